--- /dev/null
+++ b/tests/stored_files.c
@@ -0,0 +1,63 @@
+#include "stored_files.h"
+
+#include <apr_strings.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+enum { LINE_BYTES = 32 };
+
+char *file_read(const char *path, size_t *n, apr_pool_t *pool)
+{
+	FILE *f = fopen(path, "rb");
+	char *data;
+	long size;
+
+	if (!f)
+		return NULL;
+	(void)fseek(f, 0, SEEK_END);
+	size = ftell(f);
+	rewind(f);
+	data = apr_pcalloc(pool, (size_t)size + 1);
+	*n = fread(data, 1, (size_t)size, f);
+	(void)fclose(f);
+	return *n == (size_t)size ? data : NULL;
+}
+
+void file_write(const char *path, const void *data, size_t n)
+{
+	FILE *f = fopen(path, "wb");
+
+	if (!f || fwrite(data, 1, n, f) != n || fclose(f)) {
+		perror(path);
+		exit(1);
+	}
+}
+
+const char *hex_text(const uint8_t *data, size_t n, apr_pool_t *pool)
+{
+	char *text = apr_palloc(pool, 2 * n + n / LINE_BYTES + 3), *to = text;
+
+	for (size_t i = 0; i < n; i++)
+		to += snprintf(to, 4, "%02x%s", data[i], i % LINE_BYTES == LINE_BYTES - 1 && i + 1 < n ? "\n" : "");
+	*to++ = '\n';
+	*to = 0;
+	return text;
+}
+
+uint8_t *hex_bytes(const char *text, size_t *n, apr_pool_t *pool)
+{
+	uint8_t *data = apr_palloc(pool, strlen(text) / 2 + 1);
+
+	for (*n = 0; *text; text++) {
+		unsigned byte;
+
+		if (*text == '\n')
+			continue;
+		if (sscanf(text, "%2x", &byte) != 1)
+			return NULL;
+		data[(*n)++] = (uint8_t)byte;
+		text++;
+	}
+	return data;
+}
