--- a/tests/stored_walk.c
+++ b/tests/stored_walk.c
@@ -355,7 +355,7 @@
 		}
 		for (size_t k = 0; k < *(const size_t *)(const void *)(bytes + f->quantifier_offset); k++)
 			text = dump_value(text, f, *(uint8_t *const *)at + k * size_of(f->type),
-					  apr_psprintf(pool, "%s[%zu]", here, k), 1, pool);
+					  apr_psprintf(pool, "%s[%u]", here, (unsigned)k), 1, pool);
 	}
 	return text;
 }
