--- a/tests/make_stored_data.c
+++ b/tests/make_stored_data.c
@@ -12,6 +12,7 @@
 
 #include "stored_files.h"
 #include "stored_folders.h"
+#include "stored_interface.h"
 #include "stored_walk.h"
 
 static void make_messages(const char *folder, apr_pool_t *pool)
@@ -104,6 +105,12 @@
 	text = stored_calls(&w);
 	file_write(apr_pstrcat(pool, folder, "/calls.txt", NULL), text, strlen(text));
 	close_copy(&w, copy, pool);
+	text = stored_rows(pool);
+	file_write(apr_pstrcat(pool, folder, "/rows.txt", NULL), text, strlen(text));
+	text = stored_sheet(pool);
+	file_write(apr_pstrcat(pool, folder, "/sheet.txt", NULL), text, strlen(text));
+	text = stored_router(pool);
+	file_write(apr_pstrcat(pool, folder, "/router.txt", NULL), text, strlen(text));
 }
 
 static void make_folders(const char *folder, apr_pool_t *pool)
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -15,6 +15,7 @@
 
 #include "stored_files.h"
 #include "stored_folders.h"
+#include "stored_interface.h"
 
 static apr_pool_t *pool;
 
@@ -331,6 +332,24 @@
 	remove_folder(folder);
 }
 
+static void rows_of_every_kind_are_read_and_shown_as_they_were(void **state)
+{
+	(void)state;
+	assert_same_text("rows", stored_text("interface/rows.txt"), stored_rows(pool));
+}
+
+static void a_table_is_the_sheet_that_it_was_and_is_read_back(void **state)
+{
+	(void)state;
+	assert_same_text("sheet", stored_text("interface/sheet.txt"), stored_sheet(pool));
+}
+
+static void a_router_speaks_to_clients_servers_and_operators_as_it_did(void **state)
+{
+	(void)state;
+	assert_same_text("router", stored_text("interface/router.txt"), stored_router(pool));
+}
+
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
@@ -346,6 +365,9 @@
 		cmocka_unit_test(a_recovered_group_keeps_its_epoch_and_what_is_fenced),
 		cmocka_unit_test(a_follower_keeps_its_vote_and_its_term),
 		cmocka_unit_test(operators_calls_are_answered_as_they_were),
+		cmocka_unit_test(rows_of_every_kind_are_read_and_shown_as_they_were),
+		cmocka_unit_test(a_table_is_the_sheet_that_it_was_and_is_read_back),
+		cmocka_unit_test(a_router_speaks_to_clients_servers_and_operators_as_it_did),
 	};
 
 	apr_initialize();
