--- a/bin/clerk.c
+++ b/bin/clerk.c
@@ -12,25 +12,25 @@
 #include "table.h"
 #include "tool.h"
 
-enum { OK = 0, REFUSED = 1, USAGE = 2, UNREACHED = 3, OVERTAKEN = 4 };
+enum { OK = 0, REJECTED = 1, USAGE = 2, UNREACHABLE = 3, CONFLICT = 4 };
 enum {
-	ORDER_CALL_MS = 8000, /* for one sending of an order */
-	ORDER_FOR_MS = 20000, /* for which an order without a clear answer is sent again */
-	ORDER_PAUSE_MS = 200, /* before it is; twice as long each time, up to */
-	ORDER_PAUSE_MAX_MS = 1600,
-	READ_FOR_MS = 8000, /* for which a read without a clear answer is made again */
-	READ_PAUSE_MS = 200
+	REQUEST_TIMEOUT_MS = 8000, /* for one sending of an order */
+	REQUEST_RETRY_FOR_MS = 20000, /* for which an order without a clear answer is sent again */
+	REQUEST_BACKOFF_MS = 200, /* before it is; twice as long each time, up to */
+	REQUEST_BACKOFF_MAX_MS = 1600,
+	READ_RETRY_FOR_MS = 8000, /* for which a read without a clear answer is made again */
+	READ_BACKOFF_MS = 200
 };
 
 static apr_pool_t *pool;
-static const char *at = "127.0.0.1:8000"; /* the controller that is called */
-static const char *registrars[8];         /* the addresses that --at lists */
-static int registrar_count, registrar_now;
-static const char *order_key; /* of this run's order; NULL: one is made up */
+static const char *controller_addr = "127.0.0.1:8000"; /* the controller that is called */
+static const char *controllers[8];         /* the addresses that --at lists */
+static int controller_count, current_controller;
+static const char *idempotency_key; /* of this run's order; NULL: one is made up */
 
-static int usage(FILE *f)
+static int usage(FILE *file)
 {
-	fprintf(f,
+	fprintf(file,
 		"Usage: clerk [--at IP:PORT[,IP:PORT...]] [--key KEY] COMMAND      registrars' web addresses\n\n"
 		"  found                          found a fleet from the three seeds, once\n"
 		"  recover [ID ...]               at one registrar: go on with its copy of the groups whose majority is lost\n"
@@ -52,43 +52,43 @@
 		"Each order carries a key of its own, and is sent again with it, to the addresses in turn, until it has a clear\n"
 		"answer, for 20 s. --key KEY: an order that an earlier run gave up is done once, however often it is sent.\n\n"
 		"Ends with 0 done, 1 refused, 2 wrong call, 3 no clear answer, 4 overtaken: the table has changed.\n");
-	return f == stdout ? OK : USAGE;
+	return file == stdout ? OK : USAGE;
 }
 
 /* Whether an answer leaves open what became of a call, or says that it may come again. */
-static int unclear(int status) { return !status || status == 408 || status == 429 || status >= 500; }
+static int is_unclear(int status) { return !status || status == 408 || status == 429 || status >= 500; }
 
-static void call_next_registrar(void)
+static void use_next_controller(void)
 {
-	registrar_now = (registrar_now + 1) % registrar_count;
-	at = registrars[registrar_now];
+	current_controller = (current_controller + 1) % controller_count;
+	controller_addr = controllers[current_controller];
 }
 
 /* Read from a controller. It changes nothing, so it is made again until there is a clear answer, at the addresses in turn. */
 static int read_path(const char *path, int limit_ms, char **body)
 {
-	int64_t end = clock_ms() + READ_FOR_MS;
+	int64_t end = clock_ms() + READ_RETRY_FOR_MS;
 	int status;
 
-	while (unclear(status = http_do("GET", at, path, NULL, NULL, limit_ms, body)) && clock_ms() < end) {
+	while (is_unclear(status = http_call_blocking("GET", controller_addr, path, NULL, NULL, limit_ms, body)) && clock_ms() < end) {
 		free(*body);
 		*body = NULL;
-		apr_sleep(apr_time_from_msec(READ_PAUSE_MS));
-		call_next_registrar();
+		apr_sleep(apr_time_from_msec(READ_BACKOFF_MS));
+		use_next_controller();
 	}
 	return status;
 }
 
-static struct json_object *table(void)
+static struct json_object *config_table(void)
 {
 	char *body = NULL;
 	int st = read_path("/v1/table", 7000, &body);
-	struct json_object *j = st == 200 ? json_tokener_parse(body) : NULL;
+	struct json_object *json = st == 200 ? json_tokener_parse(body) : NULL;
 
-	if (!j)
-		fprintf(stderr, "clerk: step table, at %s: %s\n", at, st ? body : "nobody answers");
+	if (!json)
+		fprintf(stderr, "clerk: step table, at %s: %s\n", controller_addr, st ? body : "nobody answers");
 	free(body);
-	return j;
+	return json;
 }
 
 /* A key that no other order has. */
@@ -105,34 +105,34 @@
 }
 
 /* Read --at; 0 if it is no list of addresses. */
-static int read_registrars(const char *list)
+static int parse_controllers(const char *list)
 {
 	char *copy = apr_pstrdup(pool, list), *rest = NULL;
 
-	for (char *one = apr_strtok(copy, ",", &rest); one; one = apr_strtok(NULL, ",", &rest)) {
-		if (!core_addr(one) || registrar_count == (int)(sizeof registrars / sizeof *registrars))
+	for (char *address = apr_strtok(copy, ",", &rest); address; address = apr_strtok(NULL, ",", &rest)) {
+		if (!core_parse_addr(address) || controller_count == (int)(sizeof controllers / sizeof *controllers))
 			return 0;
-		registrars[registrar_count++] = one;
+		controllers[controller_count++] = address;
 	}
-	at = registrars[0];
-	return registrar_count > 0;
+	controller_addr = controllers[0];
+	return controller_count > 0;
 }
 
 /* Send an order until it has a clear answer, always under one key: it is done once, however often it arrives. */
 static int order(const char *path, struct json_object *request, char **body)
 {
 	const char *text = json_object_to_json_string_ext(request, JSON_C_TO_STRING_PLAIN);
-	const char *key = order_key ? order_key : new_key();
-	int64_t end = clock_ms() + ORDER_FOR_MS;
-	int pause_ms = ORDER_PAUSE_MS, status;
+	const char *key = idempotency_key ? idempotency_key : new_key();
+	int64_t end = clock_ms() + REQUEST_RETRY_FOR_MS;
+	int pause_ms = REQUEST_BACKOFF_MS, status;
 
-	while (unclear(status = http_order(at, path, key, text, ORDER_CALL_MS, body)) && clock_ms() < end) {
+	while (is_unclear(status = http_command_blocking(controller_addr, path, key, text, REQUEST_TIMEOUT_MS, body)) && clock_ms() < end) {
 		free(*body);
 		apr_sleep(apr_time_from_msec(pause_ms));
-		call_next_registrar();
-		pause_ms = pause_ms < ORDER_PAUSE_MAX_MS ? 2 * pause_ms : ORDER_PAUSE_MAX_MS;
+		use_next_controller();
+		pause_ms = pause_ms < REQUEST_BACKOFF_MAX_MS ? 2 * pause_ms : REQUEST_BACKOFF_MAX_MS;
 	}
-	if (unclear(status))
+	if (is_unclear(status))
 		fprintf(stderr, "clerk: the outcome is not known; the same command with --key %s sends this order again\n", key);
 	return status;
 }
@@ -141,18 +141,18 @@
 {
 	char *body = NULL;
 	int st = order("/v1/change", c, &body);
-	struct json_object *j = st ? json_tokener_parse(body) : NULL;
-	int rc = st == 200 ? OK : st == 409 ? OVERTAKEN : unclear(st) ? UNREACHED : REFUSED;
+	struct json_object *json = st ? json_tokener_parse(body) : NULL;
+	int rc = st == 200 ? OK : st == 409 ? CONFLICT : is_unclear(st) ? UNREACHABLE : REJECTED;
 
 	if (rc == OK)
-		printf("edition %lld\n", (long long)jgeti(j, "edition"));
-	else if (rc == OVERTAKEN)
+		printf("edition %lld\n", (long long)json_member_int(json, "edition"));
+	else if (rc == CONFLICT)
 		fprintf(stderr, "clerk: overtaken: the table is at edition %lld now; look at it and try again\n",
-			(long long)jgeti(j, "edition"));
+			(long long)json_member_int(json, "edition"));
 	else
-		fprintf(stderr, "clerk: step change, at %s: %s\n", at, st ? jgets(j, "error") : "nobody answers");
-	if (j)
-		json_object_put(j);
+		fprintf(stderr, "clerk: step change, at %s: %s\n", controller_addr, st ? json_member_string(json, "error") : "nobody answers");
+	if (json)
+		json_object_put(json);
 	free(body);
 	json_object_put(c);
 	return rc;
@@ -160,35 +160,35 @@
 
 static struct json_object *row_new(const char *kind, const char *name)
 {
-	struct json_object *r = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(r, "kind", json_object_new_string(kind));
-	json_object_object_add(r, "name", json_object_new_string(name));
-	return r;
+	json_object_object_add(json, "kind", json_object_new_string(kind));
+	json_object_object_add(json, "name", json_object_new_string(name));
+	return json;
 }
 
 static struct json_object *change_of(const char *what, struct json_object *row, struct json_object *edition)
 {
-	struct json_object *c = json_object_new_object(), *a = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
 
 	json_object_array_add(a, row);
-	json_object_object_add(c, what, a);
+	json_object_object_add(json, what, a);
 	if (edition)
-		json_object_object_add(c, "expect", json_object_get(edition));
-	return c;
+		json_object_object_add(json, "expect", json_object_get(edition));
+	return json;
 }
 
 /* Cells edited in place: the row as it is, with these columns changed, if the table has not moved on meanwhile. */
 static int set(const char *kind, const char *name, int n, char **cells)
 {
-	struct json_object *t = table(), *rows = jget(t, "rows"), *r = NULL, *c;
+	struct json_object *t = config_table(), *rows = json_member(t, "rows"), *r = NULL, *json;
 
 	if (!t)
-		return UNREACHED;
+		return UNREACHABLE;
 	for (size_t i = 0; rows && i < json_object_array_length(rows) && !r; i++) {
 		struct json_object *x = json_object_array_get_idx(rows, i);
 
-		if (!strcmp(jgets(x, "kind"), kind) && !strcmp(jgets(x, "name"), name))
+		if (!strcmp(json_member_string(x, "kind"), kind) && !strcmp(json_member_string(x, "name"), name))
 			r = json_object_get(x);
 	}
 	if (!r)
@@ -203,18 +203,18 @@
 			return USAGE;
 		}
 		json_object_object_add(r, apr_pstrmemdup(pool, cells[i], (size_t)(eq - cells[i])),
-				       sheet_cell(apr_pstrmemdup(pool, cells[i], (size_t)(eq - cells[i])), eq + 1));
+				       config_text_cell(apr_pstrmemdup(pool, cells[i], (size_t)(eq - cells[i])), eq + 1));
 	}
-	c = change_of("set", r, jget(t, "edition"));
+	json = change_of("set", r, json_member(t, "edition"));
 	json_object_put(t);
-	return change(c);
+	return change(json);
 }
 
 static int sheet(const char *path, int apply)
 {
 	char *text = file_read(path);
 	const char *why = "cannot be read";
-	struct json_object *s = text ? sheet_parse(text, pool, &why) : NULL, *t = NULL, *d = NULL;
+	struct json_object *s = text ? config_text_parse(text, pool, &why) : NULL, *t = NULL, *json = NULL;
 	int rc = OK;
 
 	free(text);
@@ -222,93 +222,93 @@
 		fprintf(stderr, "clerk: %s: %s\n", path, why);
 		return USAGE;
 	}
-	if (!(t = table())) {
-		rc = UNREACHED;
+	if (!(t = config_table())) {
+		rc = UNREACHABLE;
 		goto end;
 	}
-	d = sheet_diff(t, s);
-	if (!json_object_array_length(jget(d, "set")) && !json_object_array_length(jget(d, "del"))) {
+	json = config_text_diff(t, s);
+	if (!json_object_array_length(json_member(json, "set")) && !json_object_array_length(json_member(json, "del"))) {
 		printf("nothing to change\n");
 		goto end;
 	}
-	for (size_t i = 0; i < json_object_array_length(jget(d, "set")); i++)
+	for (size_t i = 0; i < json_object_array_length(json_member(json, "set")); i++)
 		printf("set %s\n",
-		       json_object_to_json_string_ext(json_object_array_get_idx(jget(d, "set"), i), JSON_C_TO_STRING_PLAIN));
-	for (size_t i = 0; i < json_object_array_length(jget(d, "del")); i++)
+		       json_object_to_json_string_ext(json_object_array_get_idx(json_member(json, "set"), i), JSON_C_TO_STRING_PLAIN));
+	for (size_t i = 0; i < json_object_array_length(json_member(json, "del")); i++)
 		printf("del %s\n",
-		       json_object_to_json_string_ext(json_object_array_get_idx(jget(d, "del"), i), JSON_C_TO_STRING_PLAIN));
+		       json_object_to_json_string_ext(json_object_array_get_idx(json_member(json, "del"), i), JSON_C_TO_STRING_PLAIN));
 	if (apply)
-		rc = change(json_object_get(d));
+		rc = change(json_object_get(json));
 end:
 	json_object_put(s);
 	if (t)
 		json_object_put(t);
-	if (d)
-		json_object_put(d);
+	if (json)
+		json_object_put(json);
 	return rc;
 }
 
 static int show(const char *kind)
 {
-	struct json_object *t;
+	struct json_object *json;
 
-	if (kind && table_kind(kind) == NL__KIND__NONE) {
+	if (kind && config_kind_parse(kind) == NL__KIND__NONE) {
 		fprintf(stderr, "clerk: %s: no such kind; there are lane, tenant, share, key, server, service, registrar\n", kind);
 		return USAGE;
 	}
-	if (!(t = table()))
-		return UNREACHED;
-	fputs(sheet_print(t, kind, pool), stdout);
-	json_object_put(t);
+	if (!(json = config_table()))
+		return UNREACHABLE;
+	fputs(config_text_print(json, kind, pool), stdout);
+	json_object_put(json);
 	return OK;
 }
 
 /* The fleet's state: each controller of the table is asked for its own. */
 static int state(void)
 {
-	struct json_object *t = table(), *rows = jget(t, "rows");
+	struct json_object *t = config_table(), *rows = json_member(t, "rows");
 
 	if (!t)
-		return UNREACHED;
-	printf("edition %lld\n", (long long)jgeti(t, "edition"));
+		return UNREACHABLE;
+	printf("edition %lld\n", (long long)json_member_int(t, "edition"));
 	char *body = NULL;
-	struct json_object *j = http_do("GET", at, "/v1/state", NULL, NULL, 3000, &body) == 200 ? json_tokener_parse(body) : NULL;
-	struct json_object *a = jget(j, "parts");
+	struct json_object *json = http_call_blocking("GET", controller_addr, "/v1/state", NULL, NULL, 3000, &body) == 200 ? json_tokener_parse(body) : NULL;
+	struct json_object *a = json_member(json, "parts");
 
-	printf("fleet %s, as %s knows it (edition %lld, %lld ms old, horizon %lld%s)\n", jgets(j, "fleet"), jgets(j, "addr"),
-	       (long long)jgeti(j, "edition"), (long long)jgeti(j, "age_ms"), (long long)jgeti(j, "horizon"),
-	       json_object_get_boolean(jget(j, "publisher")) ? ", publisher" : "");
+	printf("fleet %s, as %s knows it (edition %lld, %lld ms old, horizon %lld%s)\n", json_member_string(json, "fleet"), json_member_string(json, "addr"),
+	       (long long)json_member_int(json, "edition"), (long long)json_member_int(json, "age_ms"), (long long)json_member_int(json, "horizon"),
+	       json_object_get_boolean(json_member(json, "publisher")) ? ", publisher" : "");
 	for (size_t i = 0; a && i < json_object_array_length(a); i++) {
 		struct json_object *x = json_object_array_get_idx(a, i);
 
-		printf("part %lld  owner %-21s term %-4lld entries %-6lld here %s%s\n", (long long)jgeti(x, "part"),
-		       jgets(x, "owner")[0] ? jgets(x, "owner") : "not known here", (long long)jgeti(x, "term"),
-		       (long long)jgeti(x, "commit"), jgets(x, "role"),
-		       json_object_get_boolean(jget(x, "licensed")) ? ", licensed" : "");
+		printf("part %lld  owner %-21s term %-4lld entries %-6lld here %s%s\n", (long long)json_member_int(x, "part"),
+		       json_member_string(x, "owner")[0] ? json_member_string(x, "owner") : "not known here", (long long)json_member_int(x, "term"),
+		       (long long)json_member_int(x, "commit"), json_member_string(x, "role"),
+		       json_object_get_boolean(json_member(x, "licensed")) ? ", licensed" : "");
 	}
-	a = jget(j, "nodes");
+	a = json_member(json, "nodes");
 	for (size_t i = 0; a && i < json_object_array_length(a); i++) {
 		struct json_object *x = json_object_array_get_idx(a, i);
 
 		printf("%s %-21s edition %-6lld horizon %-6lld heard %lld ms ago\n",
-		       json_object_get_boolean(jget(x, "counter")) ? "counter  " : "registrar", jgets(x, "addr"),
-		       (long long)jgeti(x, "edition"), (long long)jgeti(x, "horizon"), (long long)jgeti(x, "heard_ms"));
+		       json_object_get_boolean(json_member(x, "counter")) ? "counter  " : "registrar", json_member_string(x, "addr"),
+		       (long long)json_member_int(x, "edition"), (long long)json_member_int(x, "horizon"), (long long)json_member_int(x, "heard_ms"));
 	}
-	a = jget(j, "servers");
+	a = json_member(json, "servers");
 	for (size_t i = 0; a && i < json_object_array_length(a); i++) {
 		struct json_object *x = json_object_array_get_idx(a, i);
 
-		printf("server %-12s weights %-8s %s%s purges carried out to tick %lld, reported %lld ms ago\n", jgets(x, "server"),
-		       jgets(x, "weights"), jgets(x, "loading")[0] ? "loading " : "", jgets(x, "loading"),
-		       (long long)jgeti(x, "carried"), (long long)jgeti(x, "reported_ms"));
+		printf("server %-12s weights %-8s %s%s purges carried out to tick %lld, reported %lld ms ago\n", json_member_string(x, "server"),
+		       json_member_string(x, "weights"), json_member_string(x, "loading")[0] ? "loading " : "", json_member_string(x, "loading"),
+		       (long long)json_member_int(x, "carried"), (long long)json_member_int(x, "reported_ms"));
 	}
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++)
-		if (!strcmp(jgets(json_object_array_get_idx(rows, i), "kind"), "registrar"))
-			printf("in the table: registrar %s in %s\n", jgets(json_object_array_get_idx(rows, i), "addr"),
-			       jgets(json_object_array_get_idx(rows, i), "zone"));
+		if (!strcmp(json_member_string(json_object_array_get_idx(rows, i), "kind"), "registrar"))
+			printf("in the table: registrar %s in %s\n", json_member_string(json_object_array_get_idx(rows, i), "addr"),
+			       json_member_string(json_object_array_get_idx(rows, i), "zone"));
 	free(body);
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 	json_object_put(t);
 	return OK;
 }
@@ -317,33 +317,33 @@
 static int metrics(void)
 {
 	char *body = NULL;
-	int status = http_do("GET", at, "/metrics", NULL, NULL, 3000, &body);
+	int status = http_call_blocking("GET", controller_addr, "/metrics", NULL, NULL, 3000, &body);
 
 	if (status == 200)
 		fputs(body, stdout);
 	else
-		fprintf(stderr, "clerk: step metrics, at %s: %s\n", at, status ? "it tells none" : "nobody answers");
+		fprintf(stderr, "clerk: step metrics, at %s: %s\n", controller_addr, status ? "it tells none" : "nobody answers");
 	free(body);
-	return status == 200 ? OK : status ? REFUSED : UNREACHED;
+	return status == 200 ? OK : status ? REJECTED : UNREACHABLE;
 }
 
 static int clear(const char *scope)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 	const char *user = getenv("USER");
 	char *body = NULL;
 	int st;
 
-	json_object_object_add(j, "scope", json_object_new_string(!strcmp(scope, "all") ? "*" : scope));
-	json_object_object_add(j, "by", json_object_new_string(user && user[0] ? user : "clerk"));
-	st = order("/v1/clear", j, &body);
+	json_object_object_add(json, "scope", json_object_new_string(!strcmp(scope, "all") ? "*" : scope));
+	json_object_object_add(json, "by", json_object_new_string(user && user[0] ? user : "clerk"));
+	st = order("/v1/clear", json, &body);
 	if (st == 200)
 		printf("clearing is decided; clerk retention shows how far it is\n");
 	else
-		fprintf(stderr, "clerk: step clear, at %s: %s\n", at, st ? body : "nobody answers");
+		fprintf(stderr, "clerk: step clear, at %s: %s\n", controller_addr, st ? body : "nobody answers");
 	free(body);
-	json_object_put(j);
-	return st == 200 ? OK : unclear(st) ? UNREACHED : REFUSED;
+	json_object_put(json);
+	return st == 200 ? OK : is_unclear(st) ? UNREACHABLE : REJECTED;
 }
 
 static const char *when(int64_t ms)
@@ -361,49 +361,49 @@
 {
 	char *body = NULL;
 	int st = read_path(report ? "/v1/retention.csv" : "/v1/retention", 6000, &body);
-	struct json_object *j = st == 200 && !report ? json_tokener_parse(body) : NULL, *a = jget(j, "rows");
+	struct json_object *json = st == 200 && !report ? json_tokener_parse(body) : NULL, *a = json_member(json, "rows");
 
 	if (st != 200)
-		fprintf(stderr, "clerk: step retention, at %s: %s\n", at, st ? body : "nobody answers");
+		fprintf(stderr, "clerk: step retention, at %s: %s\n", controller_addr, st ? body : "nobody answers");
 	else if (report)
 		fputs(body, stdout);
 	for (size_t i = 0; a && i < json_object_array_length(a); i++) {
 		struct json_object *x = json_object_array_get_idx(a, i);
 
-		printf("%-24s due %s (keep|every|at|window: %s)\n", jgets(x, "scope"), when(jgeti(x, "due")), jgets(x, "setting"));
+		printf("%-24s due %s (keep|every|at|window: %s)\n", json_member_string(x, "scope"), when(json_member_int(x, "due")), json_member_string(x, "setting"));
 	}
-	a = jget(j, "clearings");
+	a = json_member(json, "clearings");
 	for (size_t i = 0; a && i < json_object_array_length(a); i++) {
-		struct json_object *x = json_object_array_get_idx(a, i), *m = jget(x, "missing");
-
-		printf("clearing %" APR_INT64_T_FMT " of %s by %s, due %s: ", jgeti(x, "number"), jgets(x, "scope"), jgets(x, "by"),
-		       when(jgeti(x, "due")));
-		if (jgeti(x, "done"))
-			printf("done %s\n", when(jgeti(x, "done")));
-		else if (jgeti(x, "sliced"))
-			printf("unreachable since %s\n", when(jgeti(x, "sliced")));
+		struct json_object *x = json_object_array_get_idx(a, i), *m = json_member(x, "missing");
+
+		printf("clearing %" APR_INT64_T_FMT " of %s by %s, due %s: ", json_member_int(x, "number"), json_member_string(x, "scope"), json_member_string(x, "by"),
+		       when(json_member_int(x, "due")));
+		if (json_member_int(x, "done"))
+			printf("done %s\n", when(json_member_int(x, "done")));
+		else if (json_member_int(x, "sliced"))
+			printf("unreachable since %s\n", when(json_member_int(x, "sliced")));
 		else
-			printf("runs, %" APR_INT64_T_FMT " slices decided\n", jgeti(x, "slices"));
+			printf("runs, %" APR_INT64_T_FMT " slices decided\n", json_member_int(x, "slices"));
 		for (size_t k = 0; m && k < json_object_array_length(m); k++)
 			printf("  missing: %s\n", json_object_get_string(json_object_array_get_idx(m, k)));
 	}
-	if (j && !json_object_get_boolean(jget(j, "owner")))
+	if (json && !json_object_get_boolean(json_member(json, "owner")))
 		printf("what is missing is known at the owner of the configuration alone: %s\n",
-		       jgets(j, "owner_addr")[0] ? jgets(j, "owner_addr") : "not known here");
+		       json_member_string(json, "owner_addr")[0] ? json_member_string(json, "owner_addr") : "not known here");
 	free(body);
-	if (j)
-		json_object_put(j);
-	return st == 200 ? OK : st ? REFUSED : UNREACHED;
+	if (json)
+		json_object_put(json);
+	return st == 200 ? OK : st ? REJECTED : UNREACHABLE;
 }
 
 static int found(void)
 {
 	char *body = NULL;
-	int st = http_do("POST", at, "/v1/found", NULL, "{}", 15000, &body);
+	int st = http_call_blocking("POST", controller_addr, "/v1/found", NULL, "{}", 15000, &body);
 
 	printf("%s\n", st ? body : "nobody answers");
 	free(body);
-	return st == 200 ? OK : st ? REFUSED : UNREACHED;
+	return st == 200 ? OK : st ? REJECTED : UNREACHABLE;
 }
 
 /* Asks one controller alone: which copy goes on is the operator's choice. */
@@ -417,11 +417,11 @@
 		json_object_array_add(lost, json_object_new_string(ids[i]));
 	json_object_object_add(call, "lost", lost);
 	status =
-	    http_do("POST", at, "/v1/recover", NULL, json_object_to_json_string_ext(call, JSON_C_TO_STRING_PLAIN), 7000, &body);
+	    http_call_blocking("POST", controller_addr, "/v1/recover", NULL, json_object_to_json_string_ext(call, JSON_C_TO_STRING_PLAIN), 7000, &body);
 	json_object_put(call);
 	printf("%s\n", status ? body : "nobody answers");
 	free(body);
-	return status == 200 ? OK : status ? REFUSED : UNREACHED;
+	return status == 200 ? OK : status ? REJECTED : UNREACHABLE;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): the command line, option by option */
@@ -437,9 +437,9 @@
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	while (argc > 2 && (!strcmp(argv[1], "--at") || !strcmp(argv[1], "--key"))) {
 		if (!strcmp(argv[1], "--at"))
-			at = argv[2];
+			controller_addr = argv[2];
 		else
-			order_key = argv[2];
+			idempotency_key = argv[2];
 		argc -= 2;
 		argv += 2;
 	}
@@ -450,10 +450,10 @@
 		rc = usage(stdout);
 	else if (IS("--version", 1))
 		rc = printf("clerk (notchlug) %s\n", NL_VERSION) < 0;
-	else if (!read_registrars(at)) {
+	else if (!parse_controllers(controller_addr)) {
 		fprintf(stderr, "clerk: --at: up to eight addresses ip:port, with commas between\n");
 		rc = USAGE;
-	} else if (order_key && !order_key_valid(order_key)) {
+	} else if (idempotency_key && !idempotency_key_is_valid(idempotency_key)) {
 		fprintf(stderr, "clerk: --key: 1 to 128 visible ASCII characters\n");
 		rc = USAGE;
 	} else if (IS("found", 1))
--- a/bin/counter.c
+++ b/bin/counter.c
@@ -9,127 +9,127 @@
 
 enum { LAST_ANSWERS_MS = 300 }; /* before the end of a planned stop: for the last answers to leave */
 
-static void step(void *ctx, const struct shell_ev *e, int64_t now, struct out *o)
+static void step(void *ctx, const struct shell_event *event, int64_t now, struct out *out)
 {
 	struct router *c = ctx;
-	struct router_ev ev;
+	struct router_event ev;
 
 	memset(&ev, 0, sizeof ev);
-	if (!e) {
-		ev.kind = ROUTER_TICK;
+	if (!event) {
+		ev.kind = ROUTER_EVENT_TICK;
 	} else
-		switch (e->kind) {
-		case EV_MSG:
-			ev.kind = ROUTER_MSG;
-			ev.u.msg = e->msg;
+		switch (event->kind) {
+		case SHELL_EVENT_MESSAGE:
+			ev.kind = ROUTER_EVENT_MESSAGE;
+			ev.u.message = event->message;
 			break;
-		case EV_WEB:
-			if (!strcmp(e->path, "/v1/exchange") && !strcmp(e->verb, "POST")) {
-				ev.kind = ROUTER_EXCHANGE;
-				ev.u.exchange.token = e->token;
-				ev.u.exchange.digest = e->digest;
-				ev.u.exchange.body = e->body;
+		case SHELL_EVENT_REQUEST:
+			if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
+				ev.kind = ROUTER_EVENT_CLAIMED_REQUEST;
+				ev.u.claimed_request.token = event->token;
+				ev.u.claimed_request.key_digest = event->key_digest;
+				ev.u.claimed_request.body = event->body;
 			} else {
-				ev.kind = ROUTER_WEB;
-				ev.u.web.token = e->token;
-				ev.u.web.path = e->path;
+				ev.kind = ROUTER_EVENT_HTTP_GET;
+				ev.u.http_get.token = event->token;
+				ev.u.http_get.path = event->path;
 			}
 			break;
-		case EV_GONE:
-			ev.kind = ROUTER_GONE;
-			ev.u.gone.token = e->token;
+		case SHELL_EVENT_DISCONNECTED:
+			ev.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
+			ev.u.client_disconnected.token = event->token;
 			break;
-		case EV_PIECE:
-			ev.kind = ROUTER_PIECE;
-			ev.u.piece.token = e->token;
-			ev.u.piece.line = e->body;
+		case SHELL_EVENT_CHUNK:
+			ev.kind = ROUTER_EVENT_STREAM_CHUNK;
+			ev.u.stream_chunk.token = event->token;
+			ev.u.stream_chunk.text = event->body;
 			break;
-		case EV_DONE:
-			if (e->stream) {
-				ev.kind = ROUTER_DONE;
-				ev.u.done.token = e->token;
-				ev.u.done.status = e->status;
-				ev.u.done.never = e->never;
-				ev.u.done.body = e->body;
+		case SHELL_EVENT_CALL_DONE:
+			if (event->is_stream) {
+				ev.kind = ROUTER_EVENT_CALL_ENDED;
+				ev.u.call_ended.token = event->token;
+				ev.u.call_ended.status = event->status;
+				ev.u.call_ended.not_started = event->never_sent;
+				ev.u.call_ended.body = event->body;
 			} else {
-				ev.kind = ROUTER_CALLED;
-				ev.u.called.token = e->token;
-				ev.u.called.status = e->status;
-				ev.u.called.body = e->body;
+				ev.kind = ROUTER_EVENT_REPORT_POLLED;
+				ev.u.report_polled.token = event->token;
+				ev.u.report_polled.status = event->status;
+				ev.u.report_polled.body = event->body;
 			}
 			break;
-		case EV_STOP:
-			ev.kind = ROUTER_STOP;
-			ev.u.stop.send_until = now + (e->end_at - now) / 2;
-			ev.u.stop.run_until = e->end_at - LAST_ANSWERS_MS;
+		case SHELL_EVENT_STOP:
+			ev.kind = ROUTER_EVENT_STOP;
+			ev.u.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
+			ev.u.shutdown.run_deadline_at_ms = event->deadline_ms - LAST_ANSWERS_MS;
 			break;
 		default: return;
 		}
-	router_step(c, &ev, now, o);
+	router_step(c, &ev, now, out);
 }
 
 static void changed(void *ctx, const struct settings *s)
 {
-	struct router *c = ctx;
+	struct router *router = ctx;
 	uint64_t seeds[8];
 
-	for (int i = 0; i < s->nseeds; i++)
-		seeds[i] = core_addr(s->seed[i]);
-	config_watch_seeds(&c->f, seeds, s->nseeds);
-	c->b = s->bounds;
+	for (int i = 0; i < s->seed_count; i++)
+		seeds[i] = core_parse_addr(s->seeds[i]);
+	config_watch_set_seeds(&router->config_watch, seeds, s->seed_count);
+	router->bounds = s->bounds;
 }
 
 static int done(void *ctx) { return router_idle(ctx); }
-static int64_t good(void *ctx) { return router_good_until(ctx); }
+static int64_t good(void *ctx) { return router_config_valid_until(ctx); }
 
 static void say(void *ctx, const char *prefix, const char *line)
 {
 	(void)ctx;
-	log_say(LOG_INFO, prefix, "%s", line);
+	log_write(LOG_INFO, prefix, "%s", line);
 }
 
 int main(int argc, char **argv)
 {
-	struct proc p;
+	struct process proc;
 	struct router c;
 	struct edge edge;
-	struct proc_duty d = { &c, step, done, good, changed };
+	struct process_handlers d = { &c, step, done, good, changed };
 	uint64_t seeds[8];
 	int rc;
 
-	proc_begin();
-	memset(&p, 0, sizeof p);
+	process_ignore_hangup();
+	memset(&proc, 0, sizeof proc);
 	apr_initialize();
-	apr_pool_create(&p.p, NULL);
+	apr_pool_create(&proc.pool, NULL);
 	log_open("counter");
-	p.set.other = platform_settings;
-	rc = set_read(&p.set, "counter", 0, argc, argv, p.p);
+	proc.settings.read_external = platform_settings;
+	rc = settings_read(&proc.settings, "counter", 0, argc, argv, proc.pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	for (int i = 0; i < p.set.nseeds; i++)
-		seeds[i] = core_addr(p.set.seed[i]);
+	for (int i = 0; i < proc.settings.seed_count; i++)
+		seeds[i] = core_parse_addr(proc.settings.seeds[i]);
 	memset(&edge, 0, sizeof edge);
-	edge.c = &c;
-	if (p.set.more) { /* another language than the product's own */
-		p.door = &platform_edge;
-		p.door_ctx = &edge;
+	edge.router = &c;
+	if (proc.settings.extension) { /* another language than the product's own */
+		proc.front_end = &platform_edge;
+		proc.front_end_context = &edge;
 	}
-	router_open(&c, proc_random(), core_addr(p.set.advertise ? p.set.advertise : p.set.listen), p.set.zone, seeds, p.set.nseeds,
+	router_open(&c, process_random_id(), core_parse_addr(proc.settings.advertise ? proc.settings.advertise : proc.settings.listen), proc.settings.zone, seeds, proc.settings.seed_count,
 		    clock_ms());
-	if (p.set.more)
-		c.b = p.set.bounds;
-	c.b.without = p.set.without;
-	c.b.experiments = p.set.experiments;
-	if (!proc_open(&p))
+	if (proc.settings.extension)
+		c.bounds = proc.settings.bounds;
+	c.bounds.disabled_mechanisms = proc.settings.disabled_mechanisms;
+	c.bounds.experiments = proc.settings.experiments_allowed;
+	if (!process_open(&proc))
 		goto end;
 	c.log = say;
-	log_say(LOG_INFO, "counter", "Serves callers at %s in zone %s.",
-		p.set.more ? ((struct platform *)p.set.more)->front : p.set.web, p.set.zone);
-	rc = proc_run(&p, &d);
+	log_write(LOG_INFO, "counter", "Serves callers at %s in zone %s.",
+		proc.settings.extension ? ((struct platform *)proc.settings.extension)->front_addr : proc.settings.web, proc.settings.zone);
+	rc = process_run(&proc, &d);
 	router_close(&c);
 end:
-	apr_pool_destroy(p.p);
+	apr_pool_destroy(proc.pool);
 	apr_terminate();
 	return rc;
 }
--- a/bin/examiner.c
+++ b/bin/examiner.c
@@ -13,37 +13,37 @@
 #include "tool.h"
 #include "shell.h"
 
-enum { GOOD = 0, FAULTS = 1, USAGE = 2, UNREACHED = 3 };
+enum { GOOD = 0, FAULTS = 1, USAGE = 2, UNREACHABLE = 3 };
 
-struct exam {
-	apr_pool_t *p;
-	struct json_object *found;      /* list of {"grade","row","why"} */
-	struct json_object *now, *next; /* rows before and after */
+struct validation {
+	apr_pool_t *pool;
+	struct json_object *findings;      /* list of {"grade","row","why"} */
+	struct json_object *current_rows, *proposed_rows; /* rows before and after */
 	struct json_object *servers;    /* as a counter reports them */
 	int faults, warnings;
 };
 
-static void say(struct exam *x, int fault, const char *row, const char *why)
+static void say(struct validation *x, int fault, const char *row, const char *why)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(j, "grade", json_object_new_string(fault ? "fault" : "warning"));
-	json_object_object_add(j, "row", json_object_new_string(row));
-	json_object_object_add(j, "why", json_object_new_string(why));
-	json_object_array_add(x->found, j);
+	json_object_object_add(json, "grade", json_object_new_string(fault ? "fault" : "warning"));
+	json_object_object_add(json, "row", json_object_new_string(row));
+	json_object_object_add(json, "why", json_object_new_string(why));
+	json_object_array_add(x->findings, json);
 	x->faults += fault;
 	x->warnings += !fault;
 }
 
 /* What a change would do, neither fault nor warning. */
-static void note(struct exam *x, const char *row, const char *why)
+static void note(struct validation *check, const char *row, const char *why)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(j, "grade", json_object_new_string("note"));
-	json_object_object_add(j, "row", json_object_new_string(row));
-	json_object_object_add(j, "why", json_object_new_string(why));
-	json_object_array_add(x->found, j);
+	json_object_object_add(json, "grade", json_object_new_string("note"));
+	json_object_object_add(json, "row", json_object_new_string(row));
+	json_object_object_add(json, "why", json_object_new_string(why));
+	json_object_array_add(check->findings, json);
 }
 
 static struct json_object *row(struct json_object *rows, const char *kind, const char *name)
@@ -51,7 +51,7 @@
 	for (size_t i = 0; i < json_object_array_length(rows); i++) {
 		struct json_object *r = json_object_array_get_idx(rows, i);
 
-		if (!strcmp(jgets(r, "kind"), kind) && !strcmp(jgets(r, "name"), name))
+		if (!strcmp(json_member_string(r, "kind"), kind) && !strcmp(json_member_string(r, "name"), name))
 			return r;
 	}
 	return NULL;
@@ -64,206 +64,206 @@
 	for (size_t i = 0; i < json_object_array_length(rows); i++) {
 		struct json_object *r = json_object_array_get_idx(rows, i);
 
-		n += !strcmp(jgets(r, "kind"), kind) && !strcmp(jgets(r, column), value) && strcmp(jgets(r, "state"), "draining");
+		n += !strcmp(json_member_string(r, "kind"), kind) && !strcmp(json_member_string(r, column), value) && strcmp(json_member_string(r, "state"), "draining");
 	}
 	return n;
 }
 
 /* Places that the service's servers report, and whether any has these weights. */
-static int places(struct exam *x, const char *service, const char *weights, int *known)
+static int reported_slots(struct validation *check, const char *service, const char *weights, int *weights_reported)
 {
 	int n = 0;
 
-	*known = 0;
-	for (size_t i = 0; x->servers && i < json_object_array_length(x->servers); i++) {
-		struct json_object *s = json_object_array_get_idx(x->servers, i), *r = row(x->next, "server", jgets(s, "server"));
+	*weights_reported = 0;
+	for (size_t i = 0; check->servers && i < json_object_array_length(check->servers); i++) {
+		struct json_object *s = json_object_array_get_idx(check->servers, i), *json = row(check->proposed_rows, "server", json_member_string(s, "server"));
 
-		if (!r || strcmp(jgets(r, "service"), service))
+		if (!json || strcmp(json_member_string(json, "service"), service))
 			continue;
-		n += (int)jgeti(s, "slots");
-		*known |= !strcmp(jgets(s, "weights"), weights);
+		n += (int)json_member_int(s, "slots");
+		*weights_reported |= !strcmp(json_member_string(s, "weights"), weights);
 	}
 	return n;
 }
 
 /* What a retention row clears, and when for the first time. */
-static void check_retention(struct exam *x, struct json_object *r, struct json_object *was, const char *label)
+static void check_retention(struct validation *check, struct json_object *json, struct json_object *was, const char *label)
 {
-	int64_t wall = clock_wall();
-	struct Nl__Change c = NL__CHANGE__INIT;
+	int64_t wall = clock_wall_ms();
+	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row *rows[1];
 	const char *why = NULL;
 	char lane[200], tenant[200];
 	apr_time_exp_t e;
 	int64_t due;
 
-	rows[0] = table_row_parse(r, x->p, &why);
-	c.set = rows;
-	c.n_set = 1;
-	if (!rows[0] || retention_row(rows[0]))
+	rows[0] = config_row_parse(json, check->pool, &why);
+	change.set = rows;
+	change.n_set = 1;
+	if (!rows[0] || retention_check_row(rows[0]))
 		return; /* said already */
-	(void)retention_scope(rows[0]->name, lane, tenant);
-	if (lane[0] && !row(x->next, "lane", lane))
-		say(x, 1, label, apr_psprintf(x->p, "lane %s is not in the table", lane));
-	if (tenant[0] && !row(x->next, "tenant", tenant))
-		say(x, 1, label, apr_psprintf(x->p, "tenant %s is not in the table", tenant));
-	if ((why = retention_check(&calendar_icu, &c, wall, x->p))) {
-		say(x, 1, label, why);
+	(void)retention_parse_scope(rows[0]->name, lane, tenant);
+	if (lane[0] && !row(check->proposed_rows, "lane", lane))
+		say(check, 1, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
+	if (tenant[0] && !row(check->proposed_rows, "tenant", tenant))
+		say(check, 1, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
+	if ((why = retention_check_calendar(&calendar_icu, &change, wall, check->pool))) {
+		say(check, 1, label, why);
 		return;
 	}
-	due = retention_next(&calendar_icu, rows[0], wall, wall);
-	if ((was && json_object_equal(r, was)) || !due || apr_time_exp_gmt(&e, due * 1000) != APR_SUCCESS)
+	due = retention_next_due(&calendar_icu, rows[0], wall, wall);
+	if ((was && json_object_equal(json, was)) || !due || apr_time_exp_gmt(&e, due * 1000) != APR_SUCCESS)
 		return;
-	note(x, label,
+	note(check, label,
 	     apr_psprintf(
-		 x->p, "would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s", rows[0]->name,
+		 check->pool, "would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s", rows[0]->name,
 		 e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min, (unsigned)(rows[0]->window / 1000),
 		 !was && (lane[0] || tenant[0]) ? "; that first time with all common context, where its own lies among the others'"
 						: ""));
 }
 
-static void check_row(struct exam *x, struct json_object *r)
+static void check_row(struct validation *check, struct json_object *r)
 {
-	const char *kind = jgets(r, "kind"), *name = jgets(r, "name"), *label = apr_pstrcat(x->p, kind, " ", name, NULL), *slash;
-	struct json_object *was = row(x->now, kind, name);
+	const char *kind = json_member_string(r, "kind"), *name = json_member_string(r, "name"), *label = apr_pstrcat(check->pool, kind, " ", name, NULL), *slash;
+	struct json_object *was = row(check->current_rows, kind, name);
 	int known, n;
 
 	if (!strcmp(kind, "lane") || !strcmp(kind, "server")) {
-		if (!row(x->next, "service", jgets(r, "service")))
-			say(x, 1, label, apr_psprintf(x->p, "service %s is not in the table", jgets(r, "service")));
-		if (was && !strcmp(kind, "lane") && strcmp(jgets(was, "service"), jgets(r, "service")))
-			say(x, 1, label, "a lane cannot change its service; make a new lane");
+		if (!row(check->proposed_rows, "service", json_member_string(r, "service")))
+			say(check, 1, label, apr_psprintf(check->pool, "service %s is not in the table", json_member_string(r, "service")));
+		if (was && !strcmp(kind, "lane") && strcmp(json_member_string(was, "service"), json_member_string(r, "service")))
+			say(check, 1, label, "a lane cannot change its service; make a new lane");
 	} else if (!strcmp(kind, "retention")) {
-		check_retention(x, r, was, label);
+		check_retention(check, r, was, label);
 	} else if (!strcmp(kind, "key")) {
-		if (!row(x->next, "tenant", jgets(r, "tenant")))
-			say(x, 1, label, apr_psprintf(x->p, "tenant %s is not in the table", jgets(r, "tenant")));
+		if (!row(check->proposed_rows, "tenant", json_member_string(r, "tenant")))
+			say(check, 1, label, apr_psprintf(check->pool, "tenant %s is not in the table", json_member_string(r, "tenant")));
 	} else if (!strcmp(kind, "service")) {
-		n = places(x, name, jgets(r, "weights"), &known);
-		if (!count(x->next, "server", "service", name))
-			say(x, 1, label, "no server serves it: its lanes would be cut off");
-		else if (x->servers && !n)
-			say(x, 0, label, "none of its servers reports");
-		if (was && strcmp(jgets(was, "weights"), jgets(r, "weights")) && x->servers && !known)
-			say(x, 0, label,
-			    apr_psprintf(x->p, "weights %s are not loaded anywhere yet: a roll-out begins", jgets(r, "weights")));
+		n = reported_slots(check, name, json_member_string(r, "weights"), &known);
+		if (!count(check->proposed_rows, "server", "service", name))
+			say(check, 1, label, "no server serves it: its lanes would be cut off");
+		else if (check->servers && !n)
+			say(check, 0, label, "none of its servers reports");
+		if (was && strcmp(json_member_string(was, "weights"), json_member_string(r, "weights")) && check->servers && !known)
+			say(check, 0, label,
+			    apr_psprintf(check->pool, "weights %s are not loaded anywhere yet: a roll-out begins", json_member_string(r, "weights")));
 	} else if (!strcmp(kind, "share")) {
 		const char *lane, *tenant;
-		struct json_object *l, *t;
+		struct json_object *json, *t;
 
 		slash = strchr(name, '/');
-		lane = slash ? apr_pstrmemdup(x->p, name, (size_t)(slash - name)) : "";
+		lane = slash ? apr_pstrmemdup(check->pool, name, (size_t)(slash - name)) : "";
 		tenant = slash ? slash + 1 : "";
-		l = row(x->next, "lane", lane);
-		t = row(x->next, "tenant", tenant);
-		if (!l)
-			say(x, 1, label, apr_psprintf(x->p, "lane %s is not in the table", lane));
+		json = row(check->proposed_rows, "lane", lane);
+		t = row(check->proposed_rows, "tenant", tenant);
+		if (!json)
+			say(check, 1, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
 		if (!t)
-			say(x, 1, label, apr_psprintf(x->p, "tenant %s is not in the table", tenant));
-		if (l && (n = places(x, jgets(l, "service"), "", &known)) && jgeti(r, "limit") > n)
-			say(x, 0, label,
-			    apr_psprintf(x->p, "limit %" APR_INT64_T_FMT " is above the %d places that the lane's servers report",
-					 jgeti(r, "limit"), n));
-		if (t && jgeti(r, "limit") > jgeti(t, "limit"))
-			say(x, 0, label, "limit is above the tenant's own: it never bites");
+			say(check, 1, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
+		if (json && (n = reported_slots(check, json_member_string(json, "service"), "", &known)) && json_member_int(r, "limit") > n)
+			say(check, 0, label,
+			    apr_psprintf(check->pool, "limit %" APR_INT64_T_FMT " is above the %d places that the lane's servers report",
+					 json_member_int(r, "limit"), n));
+		if (t && json_member_int(r, "limit") > json_member_int(t, "limit"))
+			say(check, 0, label, "limit is above the tenant's own: it never bites");
 	}
 }
 
 /* Shares add up when every tenant of a lane has one, or none has: a mixture weighs two scales against each other. */
-static void check_shares(struct exam *x)
+static void check_shares(struct validation *check)
 {
-	for (size_t i = 0; i < json_object_array_length(x->next); i++) {
-		struct json_object *l = json_object_array_get_idx(x->next, i);
+	for (size_t i = 0; i < json_object_array_length(check->proposed_rows); i++) {
+		struct json_object *json = json_object_array_get_idx(check->proposed_rows, i);
 		int with = 0, without = 0;
 		int64_t sum = 0, least = INT64_MAX;
 
-		if (strcmp(jgets(l, "kind"), "lane"))
+		if (strcmp(json_member_string(json, "kind"), "lane"))
 			continue;
-		for (size_t k = 0; k < json_object_array_length(x->next); k++) {
-			struct json_object *t = json_object_array_get_idx(x->next, k), *s;
+		for (size_t k = 0; k < json_object_array_length(check->proposed_rows); k++) {
+			struct json_object *t = json_object_array_get_idx(check->proposed_rows, k), *s;
 
-			if (strcmp(jgets(t, "kind"), "tenant"))
+			if (strcmp(json_member_string(t, "kind"), "tenant"))
 				continue;
-			s = row(x->next, "share", apr_pstrcat(x->p, jgets(l, "name"), "/", jgets(t, "name"), NULL));
+			s = row(check->proposed_rows, "share", apr_pstrcat(check->pool, json_member_string(json, "name"), "/", json_member_string(t, "name"), NULL));
 			with += s != NULL;
 			without += s == NULL;
-			sum += jgeti(s ? s : t, "share");
-			least = jgeti(s ? s : t, "share") < least ? jgeti(s ? s : t, "share") : least;
+			sum += json_member_int(s ? s : t, "share");
+			least = json_member_int(s ? s : t, "share") < least ? json_member_int(s ? s : t, "share") : least;
 		}
 		if (with && without)
-			say(x, 0, apr_pstrcat(x->p, "lane ", jgets(l, "name"), NULL),
+			say(check, 0, apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
 			    apr_psprintf(
-				x->p, "shares do not add up: %d tenants have one in this lane, %d fall back to their general one",
+				check->pool, "shares do not add up: %d tenants have one in this lane, %d fall back to their general one",
 				with, without));
 		if (sum && least * 200 < sum)
-			say(x, 0, apr_pstrcat(x->p, "lane ", jgets(l, "name"), NULL),
+			say(check, 0, apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
 			    "a tenant's share is under half a percent of the sum");
 	}
 }
 
-static void check_cuts(struct exam *x)
+static void check_removals(struct validation *check)
 {
-	for (size_t i = 0; i < json_object_array_length(x->now); i++) {
-		struct json_object *r = json_object_array_get_idx(x->now, i);
-		const char *kind = jgets(r, "kind"), *name = jgets(r, "name"), *label = apr_pstrcat(x->p, kind, " ", name, NULL);
-
-		if (!strcmp(kind, "tenant") && !row(x->next, "tenant", name) && count(x->now, "key", "tenant", name))
-			say(x, 1, label, "would be cut off: it has keys and its row goes");
-		if (!strcmp(kind, "tenant") && row(x->next, "tenant", name) && count(x->now, "key", "tenant", name) &&
-		    !count(x->next, "key", "tenant", name))
-			say(x, 1, label, "would be cut off: its last key goes");
-		if (!strcmp(kind, "lane") && !row(x->next, "lane", name))
-			say(x, 0, label, "goes: what waits in it is refused");
+	for (size_t i = 0; i < json_object_array_length(check->current_rows); i++) {
+		struct json_object *json = json_object_array_get_idx(check->current_rows, i);
+		const char *kind = json_member_string(json, "kind"), *name = json_member_string(json, "name"), *label = apr_pstrcat(check->pool, kind, " ", name, NULL);
+
+		if (!strcmp(kind, "tenant") && !row(check->proposed_rows, "tenant", name) && count(check->current_rows, "key", "tenant", name))
+			say(check, 1, label, "would be cut off: it has keys and its row goes");
+		if (!strcmp(kind, "tenant") && row(check->proposed_rows, "tenant", name) && count(check->current_rows, "key", "tenant", name) &&
+		    !count(check->proposed_rows, "key", "tenant", name))
+			say(check, 1, label, "would be cut off: its last key goes");
+		if (!strcmp(kind, "lane") && !row(check->proposed_rows, "lane", name))
+			say(check, 0, label, "goes: what waits in it is refused");
 	}
 }
 
 /* The table as it would be: what is there, with the change's rows put over it. */
-static void lay_over(struct exam *x, struct json_object *change)
+static void overlay_change(struct validation *check, struct json_object *change)
 {
-	struct json_object *set = jget(change, "set"), *del = jget(change, "del");
+	struct json_object *set = json_member(change, "set"), *del = json_member(change, "del");
 
-	x->next = json_object_new_array();
-	for (size_t i = 0; i < json_object_array_length(x->now); i++) {
-		struct json_object *r = json_object_array_get_idx(x->now, i);
+	check->proposed_rows = json_object_new_array();
+	for (size_t i = 0; i < json_object_array_length(check->current_rows); i++) {
+		struct json_object *json = json_object_array_get_idx(check->current_rows, i);
 
-		if ((set && row(set, jgets(r, "kind"), jgets(r, "name"))) || (del && row(del, jgets(r, "kind"), jgets(r, "name"))))
+		if ((set && row(set, json_member_string(json, "kind"), json_member_string(json, "name"))) || (del && row(del, json_member_string(json, "kind"), json_member_string(json, "name"))))
 			continue;
-		json_object_array_add(x->next, json_object_get(r));
+		json_object_array_add(check->proposed_rows, json_object_get(json));
 	}
 	for (size_t i = 0; set && i < json_object_array_length(set); i++)
-		json_object_array_add(x->next, json_object_get(json_object_array_get_idx(set, i)));
+		json_object_array_add(check->proposed_rows, json_object_get(json_object_array_get_idx(set, i)));
 }
 
 static struct json_object *get(const char *addr, const char *path)
 {
 	char *body = NULL;
-	struct json_object *j = http_do("GET", addr, path, NULL, NULL, 7000, &body) == 200 ? json_tokener_parse(body) : NULL;
+	struct json_object *json = http_call_blocking("GET", addr, path, NULL, NULL, 7000, &body) == 200 ? json_tokener_parse(body) : NULL;
 
 	free(body);
-	return j;
+	return json;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): the command line, option by option */
 int main(int argc, char **argv)
 {
-	struct arg_str *at = arg_str0(NULL, "at", "IP:PORT", "a registrar's web address"),
+	struct arg_str *arg_str = arg_str0(NULL, "at", "IP:PORT", "a registrar's web address"),
 		       *ctr = arg_str0(NULL, "counter", "IP:PORT", "a counter's web address: what servers report");
 	struct arg_lit *json = arg_lit0(NULL, "json", "findings as JSON"), *help = arg_lit0("h", "help", "say how it is called");
 	struct arg_lit *version = arg_lit0(NULL, "version", "say the version");
 	struct arg_file *file = arg_file0(NULL, NULL, "FILE", "a sheet, or a change as JSON; - is standard input");
 	struct arg_end *end = arg_end(5);
-	void *t[] = { at, ctr, json, help, version, file, end };
-	struct exam x;
+	void *t[] = { arg_str, ctr, json, help, version, file, end };
+	struct validation check;
 	struct json_object *table = NULL, *state = NULL, *change = NULL, *sheet;
 	const char *why = NULL, *reg = "127.0.0.1:8000";
 	struct Nl__Change *c;
-	struct table empty;
+	struct config_table empty;
 	char *text = NULL;
 	int rc = USAGE, bad;
 
-	memset(&x, 0, sizeof x);
+	memset(&check, 0, sizeof check);
 	apr_initialize();
-	apr_pool_create(&x.p, NULL);
+	apr_pool_create(&check.pool, NULL);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	bad = arg_parse(argc, argv, t);
 	if (help->count) {
@@ -284,8 +284,8 @@
 		fprintf(stderr, "examiner: give a FILE; see --help\n");
 		goto end;
 	}
-	if (at->count)
-		reg = at->sval[0];
+	if (arg_str->count)
+		reg = arg_str->sval[0];
 	text = file_read(file->filename[0]);
 	if (!text) {
 		fprintf(stderr, "examiner: %s: cannot be read\n", file->filename[0]);
@@ -294,74 +294,74 @@
 	table = get(reg, "/v1/table");
 	if (!table) {
 		fprintf(stderr, "examiner: step table, at %s: nobody answers\n", reg);
-		rc = UNREACHED;
+		rc = UNREACHABLE;
 		goto end;
 	}
 	if (ctr->count && !(state = get(ctr->sval[0], "/v1/state"))) {
 		fprintf(stderr, "examiner: step state, at %s: nobody answers\n", ctr->sval[0]);
-		rc = UNREACHED;
+		rc = UNREACHABLE;
 		goto end;
 	}
 	if (text[strspn(text, " \t\r\n")] == '{') {
 		change = json_tokener_parse(text);
 		if (!change)
 			why = "not JSON";
-	} else if ((sheet = sheet_parse(text, x.p, &why))) {
-		change = sheet_diff(table, sheet);
+	} else if ((sheet = config_text_parse(text, check.pool, &why))) {
+		change = config_text_diff(table, sheet);
 		json_object_put(sheet);
 	}
 	if (why) {
 		fprintf(stderr, "examiner: %s: %s\n", file->filename[0], why);
 		goto end;
 	}
-	x.found = json_object_new_array();
-	x.now = jget(table, "rows");
-	x.servers = jget(state, "servers");
-	if ((jget(change, "set") && json_object_array_length(jget(change, "set"))) ||
-	    (jget(change, "del") && json_object_array_length(jget(change, "del")))) {
-		c = table_change_parse(json_object_to_json_string(change), x.p, &why);
-		table_open(&empty);
+	check.findings = json_object_new_array();
+	check.current_rows = json_member(table, "rows");
+	check.servers = json_member(state, "servers");
+	if ((json_member(change, "set") && json_object_array_length(json_member(change, "set"))) ||
+	    (json_member(change, "del") && json_object_array_length(json_member(change, "del")))) {
+		c = config_change_parse(json_object_to_json_string(change), check.pool, &why);
+		config_table_open(&empty);
 		if (c) {
 			c->n_del = 0; /* whether rows to take out exist is judged against the real table */
-			why = table_check(&empty, c, x.p);
+			why = config_table_check(&empty, c, check.pool);
 		}
 		if (why)
-			say(&x, 1, "change", why);
-		table_close(&empty);
+			say(&check, 1, "change", why);
+		config_table_close(&empty);
 	}
 	/* as the controllers judge it: an operator's change since then overtakes */
-	if (jget(change, "expect") && jgeti(change, "expect") < jgeti(table, "plan"))
-		say(&x, 1, "change",
+	if (json_member(change, "expect") && json_member_int(change, "expect") < json_member_int(table, "plan"))
+		say(&check, 1, "change",
 		    apr_psprintf(
-			x.p, "edition %" APR_INT64_T_FMT " is overtaken: operators changed the table in edition %" APR_INT64_T_FMT,
-			jgeti(change, "expect"), jgeti(table, "plan")));
-	lay_over(&x, change);
-	for (size_t i = 0; i < json_object_array_length(x.next); i++)
-		check_row(&x, json_object_array_get_idx(x.next, i));
-	check_shares(&x);
-	check_cuts(&x);
-	rc = x.faults ? FAULTS : GOOD;
+			check.pool, "edition %" APR_INT64_T_FMT " is overtaken: operators changed the table in edition %" APR_INT64_T_FMT,
+			json_member_int(change, "expect"), json_member_int(table, "plan")));
+	overlay_change(&check, change);
+	for (size_t i = 0; i < json_object_array_length(check.proposed_rows); i++)
+		check_row(&check, json_object_array_get_idx(check.proposed_rows, i));
+	check_shares(&check);
+	check_removals(&check);
+	rc = check.faults ? FAULTS : GOOD;
 	if (json->count) {
 		struct json_object *o = json_object_new_object();
 
-		json_object_object_add(o, "good", json_object_new_boolean(!x.faults));
-		json_object_object_add(o, "findings", json_object_get(x.found));
+		json_object_object_add(o, "good", json_object_new_boolean(!check.faults));
+		json_object_object_add(o, "findings", json_object_get(check.findings));
 		printf("%s\n", json_object_to_json_string_ext(o, JSON_C_TO_STRING_PLAIN));
 		json_object_put(o);
 	} else {
-		for (size_t i = 0; i < json_object_array_length(x.found); i++) {
-			struct json_object *f = json_object_array_get_idx(x.found, i);
+		for (size_t i = 0; i < json_object_array_length(check.findings); i++) {
+			struct json_object *f = json_object_array_get_idx(check.findings, i);
 
-			printf("%s: %s: %s\n", jgets(f, "grade"), jgets(f, "row"), jgets(f, "why"));
+			printf("%s: %s: %s\n", json_member_string(f, "grade"), json_member_string(f, "row"), json_member_string(f, "why"));
 		}
-		printf("%d faults, %d warnings\n", x.faults, x.warnings);
+		printf("%d faults, %d warnings\n", check.faults, check.warnings);
 	}
 end:
 	free(text);
-	if (x.found)
-		json_object_put(x.found);
-	if (x.next)
-		json_object_put(x.next);
+	if (check.findings)
+		json_object_put(check.findings);
+	if (check.proposed_rows)
+		json_object_put(check.proposed_rows);
 	if (change)
 		json_object_put(change);
 	if (state)
@@ -369,7 +369,7 @@
 	if (table)
 		json_object_put(table);
 	arg_freetable(t, sizeof t / sizeof *t);
-	apr_pool_destroy(x.p);
+	apr_pool_destroy(check.pool);
 	apr_terminate();
 	return rc;
 }
--- a/bin/registrar.c
+++ b/bin/registrar.c
@@ -11,158 +11,158 @@
 
 struct registrar {
 	struct controller r;
-	struct proc p;
+	struct process p;
 	struct control door;
 };
 
-static void stepped(void *ctx, const struct controller_ev *ev, int64_t now, struct out *o)
+static void stepped(void *ctx, const struct controller_event *event, int64_t now, struct out *out)
 {
-	struct registrar *g = ctx;
+	struct registrar *controller = ctx;
 
-	g->r.wall = clock_wall();
-	controller_step(&g->r, ev, now, o);
-	if (g->r.fleet_dirty) { /* on the disk before anything said under it */
-		g->r.fleet_dirty = 0;
-		if (!store_identity(g->p.store, g->r.id, g->r.fleet))
-			log_say(LOG_BAD, "store", "Step identity: the disk refuses; this registrar may be taken for a new one.");
+	controller->r.wall_clock_ms = clock_wall_ms();
+	controller_step(&controller->r, event, now, out);
+	if (controller->r.fleet_dirty) { /* on the disk before anything said under it */
+		controller->r.fleet_dirty = 0;
+		if (!storage_write_identity(controller->p.storage, controller->r.id, controller->r.fleet))
+			log_write(LOG_ERROR, "store", "Step identity: the disk refuses; this registrar may be taken for a new one.");
 	}
 }
 
-static void step(void *ctx, const struct shell_ev *e, int64_t now, struct out *o)
+static void step(void *ctx, const struct shell_event *event, int64_t now, struct out *out)
 {
-	struct controller_ev ev;
+	struct controller_event ev;
 
 	memset(&ev, 0, sizeof ev);
-	if (!e) {
+	if (!event) {
 		ev.kind = CONTROLLER_TICK;
 	} else
-		switch (e->kind) {
-		case EV_MSG:
-			ev.kind = CONTROLLER_MSG;
-			ev.u.msg = e->msg;
+		switch (event->kind) {
+		case SHELL_EVENT_MESSAGE:
+			ev.kind = CONTROLLER_MESSAGE;
+			ev.payload.message = event->message;
 			break;
-		case EV_SYNCED:
+		case SHELL_EVENT_SYNCED:
 			ev.kind = CONTROLLER_SYNCED;
-			ev.u.synced.part = e->part;
-			ev.u.synced.seq = e->seq;
+			ev.payload.synced.shard = event->shard;
+			ev.payload.synced.sequence = event->sequence;
 			break;
-		case EV_WEB:
-			ev.kind = CONTROLLER_WEB;
-			ev.u.web.token = e->token;
-			ev.u.web.verb = e->verb;
-			ev.u.web.path = e->path;
-			ev.u.web.body = e->body;
-			ev.u.web.key = e->key;
+		case SHELL_EVENT_REQUEST:
+			ev.kind = CONTROLLER_API_CALL;
+			ev.payload.api_call.token = event->token;
+			ev.payload.api_call.method = event->method;
+			ev.payload.api_call.path = event->path;
+			ev.payload.api_call.body = event->body;
+			ev.payload.api_call.idempotency_key = event->idempotency_key;
 			break;
-		case EV_DONE:
-			ev.kind = CONTROLLER_CALLED;
-			ev.u.called.token = e->token;
-			ev.u.called.status = e->status;
-			ev.u.called.body = e->body;
+		case SHELL_EVENT_CALL_DONE:
+			ev.kind = CONTROLLER_CALL_RESULT;
+			ev.payload.call_result.token = event->token;
+			ev.payload.call_result.status = event->status;
+			ev.payload.call_result.body = event->body;
 			break;
-		case EV_GONE:
-			ev.kind = CONTROLLER_GONE;
-			ev.u.gone.token = e->token;
+		case SHELL_EVENT_DISCONNECTED:
+			ev.kind = CONTROLLER_CALLER_DISCONNECTED;
+			ev.payload.disconnected.token = event->token;
 			break;
-		case EV_STOP: ev.kind = CONTROLLER_STOP; break;
+		case SHELL_EVENT_STOP: ev.kind = CONTROLLER_STOP; break;
 		default: return;
 		}
-	stepped(ctx, &ev, now, o);
+	stepped(ctx, &ev, now, out);
 }
 
 static void changed(void *ctx, const struct settings *s)
 {
-	struct registrar *g = ctx;
+	struct registrar *controller = ctx;
 	uint64_t seeds[8];
 
-	for (int i = 0; i < s->nseeds; i++)
-		seeds[i] = core_addr(s->seed[i]);
-	config_watch_seeds(&g->r.f, seeds, s->nseeds);
-	g->r.b = s->bounds;
-	g->door.list = ((const struct platform *)s->more)->list;
+	for (int i = 0; i < s->seed_count; i++)
+		seeds[i] = core_parse_addr(s->seeds[i]);
+	config_watch_set_seeds(&controller->r.config_watch, seeds, s->seed_count);
+	controller->r.bounds = s->bounds;
+	controller->door.list_addr = ((const struct platform *)s->extension)->list_addr;
 }
 
 static int done(void *ctx)
 {
-	const struct registrar *g = ctx;
+	const struct registrar *controller = ctx;
 
-	return controller_stopped(&g->r, clock_ms());
+	return controller_stopped(&controller->r, clock_ms());
 }
 
 static void say(void *ctx, const char *prefix, const char *line)
 {
 	(void)ctx;
-	log_say(LOG_INFO, prefix, "%s", line);
+	log_write(LOG_INFO, prefix, "%s", line);
 }
 
 /* What the settings say, and what only the platform's do. */
-static void take_settings(struct registrar *g)
+static void take_settings(struct registrar *controller)
 {
-	const struct settings *set = &g->p.set;
+	const struct settings *set = &controller->p.settings;
 
-	g->r.log = say;
-	g->r.calendar = &calendar_icu;
-	g->r.b.without = set->without;
-	if (!set->more)
+	controller->r.log = say;
+	controller->r.calendar = &calendar_icu;
+	controller->r.bounds.disabled_mechanisms = set->disabled_mechanisms;
+	if (!set->extension)
 		return;
-	g->r.codec = &platform_tongue;
-	g->r.b = set->bounds;
-	if (set->found && set->nseeds && !strcmp(set->seed[0], set->listen))
-		controller_bootstrap(&g->r, clock_ms());
+	controller->r.codec = &platform_codec;
+	controller->r.bounds = set->bounds;
+	if (set->may_bootstrap && set->seed_count && !strcmp(set->seeds[0], set->listen))
+		controller_bootstrap(&controller->r, clock_ms());
 }
 
 int main(int argc, char **argv)
 {
-	static struct registrar g;
-	struct proc *p = &g.p;
-	struct proc_duty d = { &g, step, done, NULL, changed };
-	struct store_found f;
+	static struct registrar controller;
+	struct process *proc = &controller.p;
+	struct process_handlers d = { &controller, step, done, NULL, changed };
+	struct stored_state f;
 	uint64_t seeds[8];
 	const char *why = "";
 	int rc;
 
-	proc_begin();
+	process_ignore_hangup();
 	apr_initialize();
-	apr_pool_create(&p->p, NULL);
+	apr_pool_create(&proc->pool, NULL);
 	log_open("registrar");
-	p->set.other = platform_settings;
-	rc = set_read(&p->set, "registrar", 1, argc, argv, p->p);
+	proc->settings.read_external = platform_settings;
+	rc = settings_read(&proc->settings, "registrar", 1, argc, argv, proc->pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	for (int i = 0; i < p->set.nseeds; i++)
-		seeds[i] = core_addr(p->set.seed[i]);
-	ring_open(&p->ring, 65536, p->p);
-	p->store = store_open(p->set.data, p->set.fault, p->ring, &f, &why, p->p);
-	if (!p->store) {
-		log_say(LOG_BAD, "store", "%s.", why);
+	for (int i = 0; i < proc->settings.seed_count; i++)
+		seeds[i] = core_parse_addr(proc->settings.seeds[i]);
+	ring_open(&proc->events, 65536, proc->pool);
+	proc->storage = storage_open(proc->settings.data, proc->settings.fault, proc->events, &f, &why, proc->pool);
+	if (!proc->storage) {
+		log_write(LOG_ERROR, "store", "%s.", why);
 		goto end;
 	}
-	if (!f.id) { /* an empty disk is a new identity */
-		f.id = proc_random();
-		if (!store_identity(p->store, f.id, 0)) {
-			log_say(LOG_BAD, "store", "Step identity: the disk refuses.");
+	if (!f.node_id) { /* an empty disk is a new identity */
+		f.node_id = process_random_id();
+		if (!storage_write_identity(proc->storage, f.node_id, 0)) {
+			log_write(LOG_ERROR, "store", "Step identity: the disk refuses.");
 			goto end;
 		}
 	}
-	if (p->set.more) { /* another language than the product's own */
-		g.door.step = stepped;
-		g.door.ctx = &g;
-		g.door.list = ((struct platform *)p->set.more)->list;
-		p->door = &platform_control;
-		p->door_ctx = &g.door;
+	if (proc->settings.extension) { /* another language than the product's own */
+		controller.door.step = stepped;
+		controller.door.ctx = &controller;
+		controller.door.list_addr = ((struct platform *)proc->settings.extension)->list_addr;
+		proc->front_end = &platform_control;
+		proc->front_end_context = &controller.door;
 	}
-	controller_open(&g.r, f.id, core_addr(p->set.advertise ? p->set.advertise : p->set.listen), p->set.zone, seeds,
-			p->set.nseeds, f.fleet, proc_random(), f.ptr, clock_ms());
-	take_settings(&g);
-	if (!proc_open(p))
+	controller_open(&controller.r, f.node_id, core_parse_addr(proc->settings.advertise ? proc->settings.advertise : proc->settings.listen), proc->settings.zone, seeds,
+			proc->settings.seed_count, f.fleet_id, process_random_id(), f.shard_pointers, clock_ms());
+	take_settings(&controller);
+	if (!process_open(proc))
 		goto end;
-	log_say(LOG_INFO, "registrar", "Serves operators at %s in zone %s.",
-		p->set.more ? ((struct platform *)p->set.more)->control : p->set.web, p->set.zone);
-	rc = proc_run(p, &d);
-	controller_close(&g.r);
+	log_write(LOG_INFO, "registrar", "Serves operators at %s in zone %s.",
+		proc->settings.extension ? ((struct platform *)proc->settings.extension)->control_addr : proc->settings.web, proc->settings.zone);
+	rc = process_run(proc, &d);
+	controller_close(&controller.r);
 end:
-	apr_pool_destroy(p->p);
+	apr_pool_destroy(proc->pool);
 	apr_terminate();
 	return rc;
 }
--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -7,174 +7,174 @@
 #include "ds.h"
 #include "controller_private.h"
 
-enum { FOUND_RETRY_MS = 1000 };
+enum { BOOTSTRAP_RETRY_MS = 1000 };
 
-static int is_empty(const struct controller *r)
+static int is_empty(const struct controller *controller)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (r->part[i].term || r->part[i].member_count || r->part[i].base)
+		if (controller->shards[i].term || controller->shards[i].member_count || controller->shards[i].base_index)
 			return 0;
-	return !r->fleet;
+	return !controller->fleet;
 }
 
-static void bootstrap_here(struct controller *r, uint64_t fleet, const struct Nl__Members *ms, int64_t now, struct out *o)
+static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members, int64_t now, struct out *out)
 {
-	struct raft_member m[RAFT_MAX_MEMBERS];
-	int n = 0, mine = 0;
-
-	for (size_t i = 0; i < ms->n_m && n < RAFT_MAX_MEMBERS; i++) {
-		memset(&m[n], 0, sizeof m[n]);
-		m[n].id = ms->m[i]->id;
-		m[n].addr = ms->m[i]->addr;
-		m[n].voter = 1;
-		mine |= m[n++].id == r->id;
+	struct raft_member member[RAFT_MAX_MEMBERS];
+	int member_count = 0, is_member = 0;
+
+	for (size_t i = 0; i < members->n_m && member_count < RAFT_MAX_MEMBERS; i++) {
+		memset(&member[member_count], 0, sizeof member[member_count]);
+		member[member_count].id = members->m[i]->id;
+		member[member_count].addr = members->m[i]->addr;
+		member[member_count].voter = 1;
+		is_member |= member[member_count++].id == controller->id;
 	}
-	if (!mine || !is_empty(r))
+	if (!is_member || !is_empty(controller))
 		return;
-	r->fleet = r->f.fleet = fleet;
-	r->fleet_dirty = 1;
-	o->fleet = fleet;
+	controller->fleet = controller->config_watch.fleet = fleet;
+	controller->fleet_dirty = 1;
+	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_bootstrap(&r->part[i], m, n, now, o);
-	log_line(r, "found", o->p, "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet, n);
+		raft_bootstrap(&controller->shards[i], member, member_count, now, out);
+	log_line(controller, "found", out->pool, "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet, member_count);
 }
 
-void on_bootstrap_message(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__Found *q = m->found;
-	struct Nl__Found *a;
+	const struct Nl__Found *q = message->found;
+	struct Nl__Found *found;
 
 	if (q->ask || q->members) {
 		if (q->members && q->fleet)
-			bootstrap_here(r, q->fleet, q->members, now, o);
-		a = OUT_NEW(o, Nl__Found, NL__FOUND__INIT);
-		a->empty = is_empty(r);
-		a->fleet = r->fleet;
-		a->token = q->token;
-		out_msg(o, m->addr, 0, NL__MSG__BODY_FOUND)->found = a;
+			bootstrap_here(controller, q->fleet, q->members, now, out);
+		found = OUT_NEW(out, Nl__Found, NL__FOUND__INIT);
+		found->empty = is_empty(controller);
+		found->fleet = controller->fleet;
+		found->token = q->token;
+		command_send(out, message->addr, 0, NL__MSG__BODY_FOUND)->found = found;
 		return;
 	}
-	for (int i = 0; i < r->nseeds && (r->found.web || r->found.own); i++)
-		if (r->seeds[i] == m->addr) {
-			r->found.id[i] = m->id;
-			r->found.empty[i] = q->empty;
-			r->found.fleet[i] = q->fleet;
+	for (int i = 0; i < controller->seed_count && (controller->bootstrap.call_token || controller->bootstrap.by_settings); i++)
+		if (controller->seeds[i] == message->addr) {
+			controller->bootstrap.id[i] = message->id;
+			controller->bootstrap.is_empty[i] = q->empty;
+			controller->bootstrap.fleet[i] = q->fleet;
 		}
 }
 
-static void bootstrap_begin(struct controller *r, int64_t now)
+static void bootstrap_begin(struct controller *controller, int64_t now)
 {
-	if (r->found.members)
-		nl__members__free_unpacked(r->found.members, NULL);
-	memset(&r->found, 0, sizeof r->found);
-	r->found.until = now + 10000;
+	if (controller->bootstrap.members)
+		nl__members__free_unpacked(controller->bootstrap.members, NULL);
+	memset(&controller->bootstrap, 0, sizeof controller->bootstrap);
+	controller->bootstrap.deadline_at_ms = now + 10000;
 }
 
-void found_fleet(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	const char *why = r->fleet ? "found: this registrar belongs to a fleet" : r->nseeds ? NULL : "found: no seeds are set";
+	const char *why = controller->fleet ? "found: this registrar belongs to a fleet" : controller->seed_count ? NULL : "found: no seeds are set";
 
 	if (why) { /* so it is for good, whatever others do */
-		out_answer(o, ev->u.web.token, 409, 0, error_json(o->p, why, 0));
+		command_answer(out, event->payload.api_call.token, 409, 0, error_json(out->pool, why, 0));
 		return;
 	}
-	if (r->found.web || r->found.own) {
-		out_answer(o, ev->u.web.token, 503, FOUND_RETRY_MS, error_json(o->p, "found: already under way", 0));
+	if (controller->bootstrap.call_token || controller->bootstrap.by_settings) {
+		command_answer(out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS, error_json(out->pool, "found: already under way", 0));
 		return;
 	}
-	bootstrap_begin(r, now);
-	r->found.web = ev->u.web.token;
+	bootstrap_begin(controller, now);
+	controller->bootstrap.call_token = event->payload.api_call.token;
 }
 
-void controller_bootstrap(struct controller *r, int64_t now)
+void controller_bootstrap(struct controller *controller, int64_t now)
 {
-	if (r->found.web || r->found.own || !r->nseeds || !is_empty(r))
+	if (controller->bootstrap.call_token || controller->bootstrap.by_settings || !controller->seed_count || !is_empty(controller))
 		return;
-	bootstrap_begin(r, now);
-	r->found.own = 1;
-	r->found.until = now + 30000; /* by then its seeds have answered, or were replaced */
+	bootstrap_begin(controller, now);
+	controller->bootstrap.by_settings = 1;
+	controller->bootstrap.deadline_at_ms = now + 30000; /* by then its seeds have answered, or were replaced */
 }
 
-static void bootstrap_end(struct controller *r, int status, const char *body, struct out *o)
+static void bootstrap_end(struct controller *controller, int status, const char *body, struct out *out)
 {
-	if (r->found.web)
-		out_answer(o, r->found.web, status, status < 500 ? 0 : FOUND_RETRY_MS, body);
-	r->found.web = 0;
-	r->found.own = 0;
+	if (controller->bootstrap.call_token)
+		command_answer(out, controller->bootstrap.call_token, status, status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
+	controller->bootstrap.call_token = 0;
+	controller->bootstrap.by_settings = 0;
 }
 
 /* Definite is only a seed's word that it belongs to a fleet. Once the members were named, some may have taken them. */
-static void found_fails(struct controller *r, int all_heard, struct out *o)
+static void bootstrap_fail(struct controller *controller, int all_answered, struct out *out)
 {
-	if (r->found.members)
-		bootstrap_end(r, 504, error_json(o->p, "found: not every seed answers, and some may have begun: ask again", 0), o);
-	else if (!all_heard)
-		bootstrap_end(r, 503, error_json(o->p, "found: not every seed answers; nothing was founded", 0), o);
+	if (controller->bootstrap.members)
+		bootstrap_end(controller, 504, error_json(out->pool, "found: not every seed answers, and some may have begun: ask again", 0), out);
+	else if (!all_answered)
+		bootstrap_end(controller, 503, error_json(out->pool, "found: not every seed answers; nothing was founded", 0), out);
 	else
-		bootstrap_end(r, 409,
-			      error_json(o->p, "found: a seed already belongs to a fleet; start the others and they join", 0), o);
+		bootstrap_end(controller, 409,
+			      error_json(out->pool, "found: a seed already belongs to a fleet; start the others and they join", 0), out);
 }
 
-void bootstrap_stop(struct controller *r, struct out *o)
+void bootstrap_stop(struct controller *controller, struct out *out)
 {
-	int begun = r->found.members != NULL;
+	int may_have_started = controller->bootstrap.members != NULL;
 
-	if (!r->found.web)
+	if (!controller->bootstrap.call_token)
 		return;
-	found_fails(r, 0, o);
-	r->found.own = begun; /* seeds that have begun are still told of the others */
+	bootstrap_fail(controller, 0, out);
+	controller->bootstrap.by_settings = may_have_started; /* seeds that have begun are still told of the others */
 }
 
-void bootstrap_tick(struct controller *r, int64_t now, struct out *o)
+void bootstrap_tick(struct controller *controller, int64_t now, struct out *out)
 {
-	int heard = 0, empty = 0, done = 0;
+	int answered_count = 0, empty_count = 0, started_count = 0;
 
-	if (!r->found.web && !r->found.own)
+	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
 		return;
-	if (now < r->found.at && !(r->found.own && r->fleet && !r->found.members))
+	if (now < controller->bootstrap.retry_at_ms && !(controller->bootstrap.by_settings && controller->fleet && !controller->bootstrap.members))
 		return;
-	r->found.at = now + 200;
-	for (int i = 0; i < r->nseeds; i++) {
-		heard += r->found.id[i] != 0;
-		empty += r->found.id[i] && r->found.empty[i] && !r->found.fleet[i];
-		done += r->found.fleet[i] && r->found.fleet[i] == r->found.name;
+	controller->bootstrap.retry_at_ms = now + 200;
+	for (int i = 0; i < controller->seed_count; i++) {
+		answered_count += controller->bootstrap.id[i] != 0;
+		empty_count += controller->bootstrap.id[i] && controller->bootstrap.is_empty[i] && !controller->bootstrap.fleet[i];
+		started_count += controller->bootstrap.fleet[i] && controller->bootstrap.fleet[i] == controller->bootstrap.proposed_fleet;
 	}
-	if (r->nseeds && done == r->nseeds) {
-		bootstrap_end(r, 200, apr_psprintf(o->p, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}", r->fleet), o);
+	if (controller->seed_count && started_count == controller->seed_count) {
+		bootstrap_end(controller, 200, apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}", controller->fleet), out);
 		return;
 	}
-	if (r->found.own ? (!r->found.members && (empty < heard || r->fleet)) || (r->fleet && now > r->found.until)
-			 : now > r->found.until || (!r->found.members && heard == r->nseeds && empty < heard)) {
-		found_fails(r, heard == r->nseeds, o);
+	if (controller->bootstrap.by_settings ? (!controller->bootstrap.members && (empty_count < answered_count || controller->fleet)) || (controller->fleet && now > controller->bootstrap.deadline_at_ms)
+			 : now > controller->bootstrap.deadline_at_ms || (!controller->bootstrap.members && answered_count == controller->seed_count && empty_count < answered_count)) {
+		bootstrap_fail(controller, answered_count == controller->seed_count, out);
 		return;
 	}
-	if (!r->found.members && heard == r->nseeds) {
-		r->found.members = malloc(sizeof *r->found.members);
-		if (!r->found.members)
+	if (!controller->bootstrap.members && answered_count == controller->seed_count) {
+		controller->bootstrap.members = malloc(sizeof *controller->bootstrap.members);
+		if (!controller->bootstrap.members)
 			abort();
-		nl__members__init(r->found.members);
-		r->found.name = core_rand(&r->rng) | 1;
-		r->found.members->m = calloc((size_t)r->nseeds, sizeof *r->found.members->m);
-		for (int i = 0; i < r->nseeds; i++) {
-			struct Nl__Member *x = malloc(sizeof *x);
+		nl__members__init(controller->bootstrap.members);
+		controller->bootstrap.proposed_fleet = core_random(&controller->rng) | 1;
+		controller->bootstrap.members->m = calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->m);
+		for (int i = 0; i < controller->seed_count; i++) {
+			struct Nl__Member *member = malloc(sizeof *member);
 
-			if (!x || !r->found.members->m)
+			if (!member || !controller->bootstrap.members->m)
 				abort();
-			nl__member__init(x);
-			x->id = r->found.id[i];
-			x->addr = r->seeds[i];
-			x->voter = 1;
-			r->found.members->m[r->found.members->n_m++] = x;
+			nl__member__init(member);
+			member->id = controller->bootstrap.id[i];
+			member->addr = controller->seeds[i];
+			member->voter = 1;
+			controller->bootstrap.members->m[controller->bootstrap.members->n_m++] = member;
 		}
 	}
-	for (int i = 0; i < r->nseeds; i++) {
-		struct Nl__Found *q = OUT_NEW(o, Nl__Found, NL__FOUND__INIT);
+	for (int i = 0; i < controller->seed_count; i++) {
+		struct Nl__Found *found = OUT_NEW(out, Nl__Found, NL__FOUND__INIT);
 
-		q->ask = 1;
-		if (r->found.members) {
-			q->fleet = r->found.name;
-			q->members = (struct Nl__Members *)core_dup(o->p, &r->found.members->base);
+		found->ask = 1;
+		if (controller->bootstrap.members) {
+			found->fleet = controller->bootstrap.proposed_fleet;
+			found->members = (struct Nl__Members *)core_copy_message(out->pool, &controller->bootstrap.members->base);
 		}
-		out_msg(o, r->seeds[i], 0, NL__MSG__BODY_FOUND)->found = q;
+		command_send(out, controller->seeds[i], 0, NL__MSG__BODY_FOUND)->found = found;
 	}
 }
--- a/lib/control/bootstrap.h
+++ b/lib/control/bootstrap.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A message of the bootstrap: a question, the members to start with, or an answer. */
-void on_bootstrap_message(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* An operator's call begins it; it has 10 s to end. */
-void found_fleet(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o);
+void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
 
 /* This controller is to stop: the call for a bootstrap that is under way is answered. Example: bootstrap_stop(r, o); */
-void bootstrap_stop(struct controller *r, struct out *o);
+void bootstrap_stop(struct controller *controller, struct out *out);
 
 /* Go on with a bootstrap that this node has begun. */
-void bootstrap_tick(struct controller *r, int64_t now, struct out *o);
+void bootstrap_tick(struct controller *controller, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -10,7 +10,7 @@
 enum { DAYS = 366 * 9 }; /* 29 February comes within these */
 
 struct schedule {
-	int days, day, month, hour, minute;
+	int weekdays, day_of_month, month, hour, minute;
 	char zone[64];
 }; /* days: bits from Sunday; day and month: 0 for any */
 
@@ -26,35 +26,35 @@
 	return v <= most ? v : -1;
 }
 
-static const char *days_of(const char *word, struct schedule *s)
+static const char *parse_weekdays(const char *list, struct schedule *schedule)
 {
 	static const char *const name[] = { "sun", "mon", "tue", "wed", "thu", "fri", "sat" };
 
-	for (const char *c = word; *c; c += c[3] == ',' ? 4 : 3) {
-		int d = 0;
+	for (const char *cursor = list; *cursor; cursor += cursor[3] == ',' ? 4 : 3) {
+		int weekday = 0;
 
-		while (d < 7 && strncmp(c, name[d], 3))
-			d++;
-		if (d == 7 || (c[3] && c[3] != ',') || (c[3] == ',' && !c[4]))
+		while (weekday < 7 && strncmp(cursor, name[weekday], 3))
+			weekday++;
+		if (weekday == 7 || (cursor[3] && cursor[3] != ',') || (cursor[3] == ',' && !cursor[4]))
 			return "neither daily, monthly, yearly nor days such as mon,thu";
-		if (s->days & 1 << d)
+		if (schedule->weekdays & 1 << weekday)
 			return "a day is named twice: it overlaps itself";
-		s->days |= 1 << d;
+		schedule->weekdays |= 1 << weekday;
 	}
 	return NULL;
 }
 
-static int zone_known(const char *zone)
+static int is_known_zone(const char *zone)
 {
-	UChar id[64], canon[64];
-	UErrorCode st = U_ZERO_ERROR;
+	UChar id[64], canonical[64];
+	UErrorCode status = U_ZERO_ERROR;
 
-	u_strFromUTF8(id, 64, NULL, zone, -1, &st);
-	ucal_getCanonicalTimeZoneID(id, -1, canon, 64, NULL, &st);
-	return U_SUCCESS(st);
+	u_strFromUTF8(id, 64, NULL, zone, -1, &status);
+	ucal_getCanonicalTimeZoneID(id, -1, canonical, 64, NULL, &status);
+	return U_SUCCESS(status);
 }
 
-static const char *parse(const char *text, struct schedule *s, apr_pool_t *p)
+static const char *parse(const char *text, struct schedule *s, apr_pool_t *pool)
 {
 	char copy[160], *word, *date = NULL, *clock, *colon, *save = NULL;
 	const char *bad;
@@ -68,17 +68,17 @@
 		return "empty";
 	if (!strcmp(word, "monthly") || !strcmp(word, "yearly")) {
 		date = apr_strtok(NULL, " ", &save);
-		s->days = 127;
+		s->weekdays = 127;
 		colon = date && word[0] == 'y' ? strchr(date, '-') : NULL;
 		if (!date || (word[0] == 'y' && !colon))
 			return "a day is missing: monthly 15, yearly 12-31";
 		s->month = colon ? number(date, (size_t)(colon - date), 12) : 0;
-		s->day = number(colon ? colon + 1 : date, strlen(colon ? colon + 1 : date), 31);
-		if (s->day < 1 || s->month < 0 || (colon && s->month < 1))
+		s->day_of_month = number(colon ? colon + 1 : date, strlen(colon ? colon + 1 : date), 31);
+		if (s->day_of_month < 1 || s->month < 0 || (colon && s->month < 1))
 			return "no such day: it never comes";
 	} else if (!strcmp(word, "daily")) {
-		s->days = 127;
-	} else if ((bad = days_of(word, s))) {
+		s->weekdays = 127;
+	} else if ((bad = parse_weekdays(word, s))) {
 		return bad;
 	}
 	clock = apr_strtok(NULL, " ", &save);
@@ -93,7 +93,7 @@
 	if (apr_strtok(NULL, " ", &save))
 		return "words after the time zone";
 	memcpy(s->zone, word, strlen(word) + 1);
-	return zone_known(s->zone) ? NULL : p ? apr_psprintf(p, "no time zone %s", s->zone) : "no such time zone";
+	return is_known_zone(s->zone) ? NULL : pool ? apr_psprintf(pool, "no time zone %s", s->zone) : "no such time zone";
 }
 
 static int64_t next(const char *text, int64_t from)
@@ -120,7 +120,7 @@
 	for (int i = 0; i < DAYS && !due && U_SUCCESS(st); i++) {
 		ucal_clear(c); /* noon is in every day, whatever its clock change */
 		ucal_setDateTime(c, y, m, d + i, 12, 0, 0, &st);
-		if (!(s.days & 1 << (ucal_get(c, UCAL_DAY_OF_WEEK, &st) - 1)) || (s.day && ucal_get(c, UCAL_DATE, &st) != s.day) ||
+		if (!(s.weekdays & 1 << (ucal_get(c, UCAL_DAY_OF_WEEK, &st) - 1)) || (s.day_of_month && ucal_get(c, UCAL_DATE, &st) != s.day_of_month) ||
 		    (s.month && ucal_get(c, UCAL_MONTH, &st) + 1 != s.month))
 			continue;
 		ucal_clear(c);
@@ -132,11 +132,11 @@
 	return U_SUCCESS(st) ? due : 0;
 }
 
-static const char *check(const char *text, apr_pool_t *p)
+static const char *check(const char *text, apr_pool_t *pool)
 {
 	struct schedule s;
 
-	return parse(text, &s, p);
+	return parse(text, &s, pool);
 }
 
 const struct controller_calendar calendar_icu = { check, next };
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -8,105 +8,105 @@
 #include "controller_private.h"
 
 /* What becomes of a request that arrives now. */
-enum handling { ANSWER, HOLD, PASS_ON };
+enum handling { HANDLE_ANSWER, HANDLE_DEFER, HANDLE_FORWARD };
 
-static uint64_t known_leader(const struct controller *r, int64_t now)
+static uint64_t known_leader(const struct controller *controller, int64_t now)
 {
-	uint64_t leader = leader_hint(r, SHARD_CONTROL, now);
+	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
 
-	return leader == r->addr ? 0 : leader;
+	return leader == controller->addr ? 0 : leader;
 }
 
-static enum handling handling_now(const struct controller *r, int64_t now)
+static enum handling handling_now(const struct controller *controller, int64_t now)
 {
-	const struct raft *part = &r->part[SHARD_CONTROL];
-
-	if (leads_shard(r, SHARD_CONTROL, now))
-		return ANSWER;
-	if (part->role == RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
-		return r->leader_term[SHARD_CONTROL] == part->term ? ANSWER : HOLD;
-	if (!r->stopping)
-		return ANSWER;
-	return known_leader(r, now) ? PASS_ON : HOLD;
+	const struct raft *group = &controller->shards[SHARD_CONTROL];
+
+	if (leads_shard(controller, SHARD_CONTROL, now))
+		return HANDLE_ANSWER;
+	if (group->role == RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
+		return controller->leader_term[SHARD_CONTROL] == group->term ? HANDLE_ANSWER : HANDLE_DEFER;
+	if (!controller->stopping)
+		return HANDLE_ANSWER;
+	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
 
-static void pass_on(const struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *out)
 {
-	struct cmd *c = out_cmd(o, CMD_SEND);
+	struct command *command = command_add(out, CMD_SEND);
 
-	c->u.send.addr = known_leader(r, now);
-	c->u.send.msg = (struct Nl__Msg *)core_dup(o->p, &m->base); /* with the asker's address: it is answered there */
+	command->args.send.addr = known_leader(r, now);
+	command->args.send.msg = (struct Nl__Msg *)core_copy_message(out->pool, &m->base); /* with the asker's address: it is answered there */
 }
 
-static void hold(struct controller *r, const struct Nl__Msg *m, int64_t now)
+static void defer_request(struct controller *controller, const struct Nl__Msg *m, int64_t now)
 {
-	struct controller_held_request held = { NULL, now + CONFIG_HANDOVER_HOLD_MS };
+	struct controller_deferred_request deferred = { NULL, now + CONFIG_HANDOVER_DEFER_MS };
 	size_t n = nl__msg__get_packed_size(m);
 	uint8_t *packed = malloc(n + 1);
 
 	if (!packed)
 		abort();
 	nl__msg__pack(m, packed);
-	held.request = nl__msg__unpack(NULL, n, packed);
+	deferred.request = nl__msg__unpack(NULL, n, packed);
 	free(packed);
-	if (!held.request)
+	if (!deferred.request)
 		abort();
-	for (ptrdiff_t i = 0; i < arrlen(r->held); i++)
-		if (r->held[i].request->id == m->id) {
-			nl__msg__free_unpacked(r->held[i].request, NULL);
-			r->held[i].request = held.request; /* by when the first was to be answered stays */
+	for (ptrdiff_t i = 0; i < arrlen(controller->deferred_requests); i++)
+		if (controller->deferred_requests[i].request->id == m->id) {
+			nl__msg__free_unpacked(controller->deferred_requests[i].request, NULL);
+			controller->deferred_requests[i].request = deferred.request; /* by when the first was to be answered stays */
 			return;
 		}
-	arrput(r->held, held);
+	arrput(controller->deferred_requests, deferred);
 }
 
-int config_handover_take(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	switch (handling_now(r, now)) {
-	case HOLD: hold(r, m, now); return 1;
-	case PASS_ON: pass_on(r, m, now, o); return 1;
+	switch (handling_now(controller, now)) {
+	case HANDLE_DEFER: defer_request(controller, message, now); return 1;
+	case HANDLE_FORWARD: forward_request(controller, message, now, out); return 1;
 	default: return 0;
 	}
 }
 
 /* Everybody who asked lately learns whom to ask from now on. */
-static void name_successor(struct controller *r, uint64_t successor, int64_t now, struct out *o)
+static void announce_successor(struct controller *controller, uint64_t successor, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++) {
-		struct Nl__Owner *owner;
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		struct Nl__Owner *hint;
 
-		if (now - r->seen[i].at > CONTROLLER_SEEN)
+		if (now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
-		owner = OUT_NEW(o, Nl__Owner, NL__OWNER__INIT);
-		owner->owner = successor;
-		out_msg(o, r->seen[i].addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = owner;
+		hint = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
+		hint->owner = successor;
+		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = hint;
 	}
-	arrsetlen(r->seen, 0);
+	arrsetlen(controller->node_statuses, 0);
 }
 
-void config_handover_tick(struct controller *r, int64_t now, struct out *o)
+void config_handover_tick(struct controller *controller, int64_t now, struct out *out)
 {
-	enum handling handling = handling_now(r, now);
+	enum handling handling = handling_now(controller, now);
 
-	if (handling == PASS_ON)
-		name_successor(r, known_leader(r, now), now, o);
-	for (ptrdiff_t i = arrlen(r->held) - 1; i >= 0; i--) {
-		struct Nl__Msg *request = r->held[i].request;
+	if (handling == HANDLE_FORWARD)
+		announce_successor(controller, known_leader(controller, now), now, out);
+	for (ptrdiff_t i = arrlen(controller->deferred_requests) - 1; i >= 0; i--) {
+		struct Nl__Msg *request = controller->deferred_requests[i].request;
 
-		if (handling == HOLD && now < r->held[i].until)
+		if (handling == HANDLE_DEFER && now < controller->deferred_requests[i].deadline_at_ms)
 			continue;
-		if (handling == PASS_ON)
-			pass_on(r, request, now, o);
+		if (handling == HANDLE_FORWARD)
+			forward_request(controller, request, now, out);
 		else
-			on_config_sync_request(r, request, now, o);
-		arrdel(r->held, i);
+			on_config_sync_request(controller, request, now, out);
+		arrdel(controller->deferred_requests, i);
 		nl__msg__free_unpacked(request, NULL);
 	}
 }
 
-void config_handover_clear(struct controller *r)
+void config_handover_clear(struct controller *controller)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->held); i++)
-		nl__msg__free_unpacked(r->held[i].request, NULL);
-	arrfree(r->held);
+	for (ptrdiff_t i = 0; i < arrlen(controller->deferred_requests); i++)
+		nl__msg__free_unpacked(controller->deferred_requests[i].request, NULL);
+	arrfree(controller->deferred_requests);
 }
--- a/lib/control/config_handover.h
+++ b/lib/control/config_handover.h
@@ -11,16 +11,16 @@
 
 #include "controller.h"
 
-enum { CONFIG_HANDOVER_HOLD_MS = 250 }; /* as long as the asker would wait before it asks again */
+enum { CONFIG_HANDOVER_DEFER_MS = 250 }; /* as long as the asker would wait before it asks again */
 
 /* A config watch request arrives. 1: it is held or was passed on; 0: it is to be answered now.
  * Example: if (!config_handover_take(r, m, now, o)) on_config_sync_request(r, m, now, o); */
-int config_handover_take(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* Answer or pass on what was held, as far as that is possible by now. Example: config_handover_tick(r, now, o); */
-void config_handover_tick(struct controller *r, int64_t now, struct out *o);
+void config_handover_tick(struct controller *controller, int64_t now, struct out *out);
 
 /* Forget all that is held. Example: config_handover_clear(r); */
-void config_handover_clear(struct controller *r);
+void config_handover_clear(struct controller *controller);
 
 #endif
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -11,128 +11,128 @@
 
 /* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes before one that has just
  * begun, which knows nothing yet that it could pass on; among those that are alike rendezvous ranks them. */
-static int is_upstream(const struct controller_seen *s, const struct controller_seen *of)
+static int is_upstream(const struct controller_node_status *s, const struct controller_node_status *node)
 {
-	if (s->warm != of->warm)
-		return s->warm;
-	return core_rdv(s->zone, s->id) > core_rdv(s->zone, of->id);
+	if (s->is_warm != node->is_warm)
+		return s->is_warm;
+	return core_rendezvous_weight(s->zone, s->id) > core_rendezvous_weight(s->zone, node->id);
 }
 
 /* The head of each zone but one's own: the router that is upstream of all others heard lately. */
-static void add_zone_heads(const struct controller *r, uint64_t zone, struct Nl__ConfigSyncReply *a, int64_t now, struct out *o)
+static void add_zone_heads(const struct controller *controller, uint64_t zone, struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
 {
-	const struct controller_seen **head = NULL;
+	const struct controller_node_status **heads = NULL;
 
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++) {
-		const struct controller_seen *c = &r->seen[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		const struct controller_node_status *node = &controller->node_statuses[i];
 		ptrdiff_t k = 0;
 
-		if (!c->counter || c->zone == zone || now - c->at > CONTROLLER_SEEN / 2)
+		if (!node->is_router || node->zone == zone || now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2)
 			continue;
-		while (k < arrlen(head) && head[k]->zone != c->zone)
+		while (k < arrlen(heads) && heads[k]->zone != node->zone)
 			k++;
-		if (k == arrlen(head))
-			arrput(head, c);
-		else if (is_upstream(c, head[k]))
-			head[k] = c;
+		if (k == arrlen(heads))
+			arrput(heads, node);
+		else if (is_upstream(node, heads[k]))
+			heads[k] = node;
 	}
-	a->head = apr_palloc(o->p, ((size_t)arrlen(head) + 1) * sizeof *a->head);
-	for (ptrdiff_t k = 0; k < arrlen(head); k++)
-		a->head[a->n_head++] = head[k]->addr;
-	arrfree(head);
+	reply->head = apr_palloc(out->pool, ((size_t)arrlen(heads) + 1) * sizeof *reply->head);
+	for (ptrdiff_t k = 0; k < arrlen(heads); k++)
+		reply->head[reply->n_head++] = heads[k]->addr;
+	arrfree(heads);
 }
 
 /* The best two of the routers upstream of this one in its zone. */
-static void add_upstream(const struct controller *r, const struct controller_seen *me, struct Nl__ConfigSyncReply *a, int64_t now,
-			 struct out *o)
+static void add_upstream(const struct controller *controller, const struct controller_node_status *me, struct Nl__ConfigSyncReply *reply, int64_t now,
+			 struct out *out)
 {
-	enum { UPSTREAM = 2 };
+	enum { MAX_UPSTREAM = 2 };
 
-	a->up = apr_palloc(o->p, UPSTREAM * sizeof *a->up);
-	for (int k = 0; k < UPSTREAM; k++) {
-		const struct controller_seen *best = NULL;
+	reply->up = apr_palloc(out->pool, MAX_UPSTREAM * sizeof *reply->up);
+	for (int k = 0; k < MAX_UPSTREAM; k++) {
+		const struct controller_node_status *best = NULL;
 
-		for (ptrdiff_t i = 0; i < arrlen(r->seen); i++) {
-			const struct controller_seen *c = &r->seen[i];
+		for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+			const struct controller_node_status *node = &controller->node_statuses[i];
 
-			if (!c->counter || c->zone != me->zone || now - c->at > CONTROLLER_SEEN / 2 || !is_upstream(c, me))
+			if (!node->is_router || node->zone != me->zone || now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 || !is_upstream(node, me))
 				continue;
-			if (a->n_up && c->addr == a->up[0])
+			if (reply->n_up && node->addr == reply->up[0])
 				continue;
-			if (!best || is_upstream(c, best))
-				best = c;
+			if (!best || is_upstream(node, best))
+				best = node;
 		}
 		if (best)
-			a->up[a->n_up++] = best->addr;
+			reply->up[reply->n_up++] = best->addr;
 	}
 }
 
-static void add_controllers(const struct controller *r, struct Nl__ConfigSyncReply *a, int64_t now, struct out *o)
+static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
 {
-	a->registrars = apr_palloc(o->p, ((size_t)arrlen(r->seen) + 1) * sizeof *a->registrars);
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++)
-		if (!r->seen[i].counter && now - r->seen[i].at < live_within(r)) {
-			struct Nl__Member *x = OUT_NEW(o, Nl__Member, NL__MEMBER__INIT);
-
-			x->id = r->seen[i].id;
-			x->addr = r->seen[i].addr;
-			a->registrars[a->n_registrars++] = x;
+	reply->registrars = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) * sizeof *reply->registrars);
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
+		if (!controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < live_window_ms(controller)) {
+			struct Nl__Member *member = OUT_NEW(out, Nl__Member, NL__MEMBER__INIT);
+
+			member->id = controller->node_statuses[i].id;
+			member->addr = controller->node_statuses[i].addr;
+			reply->registrars[reply->n_registrars++] = member;
 		}
 }
 
 /* Keep what a node says of itself, and forget who has been silent for long. 1 when a later request of its was here before: what
  * this one says of places no longer holds. */
-static int note_seen(struct controller *r, const struct controller_seen *me, int64_t now)
+static int update_node_status(struct controller *controller, const struct controller_node_status *node, int64_t now)
 {
-	for (ptrdiff_t i = arrlen(r->seen) - 1; i >= 0; i--)
-		if (r->seen[i].id != me->id && now - r->seen[i].at > CONTROLLER_SEEN_FORGET)
-			arrdelswap(r->seen, i);
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++) {
-		struct controller_seen *seen = &r->seen[i];
-		int late = me->token < seen->token;
-
-		if (seen->id != me->id)
+	for (ptrdiff_t i = arrlen(controller->node_statuses) - 1; i >= 0; i--)
+		if (controller->node_statuses[i].id != node->id && now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
+			arrdelswap(controller->node_statuses, i);
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		struct controller_node_status *known = &controller->node_statuses[i];
+		int is_late = node->token < known->token;
+
+		if (known->id != node->id)
 			continue;
-		if (late)
-			seen->at = now;
+		if (is_late)
+			known->observed_at_ms = now;
 		else
-			*seen = *me;
-		return late;
+			*known = *node;
+		return is_late;
 	}
-	arrput(r->seen, *me);
+	arrput(controller->node_statuses, *node);
 	return 0;
 }
 
-void on_config_sync_request(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__ConfigSync *q = m->follow;
-	struct Nl__ConfigSyncReply *a = OUT_NEW(o, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
-	struct controller_seen me = { m->id,    m->addr, core_hashs(0, q->zone), now, q->counter, q->warm, q->have, q->horizon,
-				      q->token, q->wall, q->load_pressure };
-	int late;
-
-	out_msg(o, m->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = a;
-	a->token = q->token;
-	a->fleet = r->fleet;
-	a->has_lease = leads_shard(r, SHARD_CONTROL, now);
-	a->hint = leader_hint(r, SHARD_CONTROL, now);
-	if (!a->hint && r->f.leader_addr[SHARD_CONTROL] != o->addr)
-		a->hint = r->f.leader_addr[SHARD_CONTROL];
-	if (!a->has_lease)
+	const struct Nl__ConfigSync *sync = message->follow;
+	struct Nl__ConfigSyncReply *reply = OUT_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+	struct controller_node_status node = { message->id,    message->addr, core_hash_string(0, sync->zone), now, sync->counter, sync->warm, sync->have, sync->horizon,
+				      sync->token, sync->wall, sync->load_pressure };
+	int is_late;
+
+	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = reply;
+	reply->token = sync->token;
+	reply->fleet = controller->fleet;
+	reply->has_lease = leads_shard(controller, SHARD_CONTROL, now);
+	reply->hint = leader_hint(controller, SHARD_CONTROL, now);
+	if (!reply->hint && controller->config_watch.leader_addr[SHARD_CONTROL] != out->addr)
+		reply->hint = controller->config_watch.leader_addr[SHARD_CONTROL];
+	if (!reply->has_lease)
 		return;
-	late = note_seen(r, &me, now);
-	retention_heard(r, m, now);
-	a->clock = group_clock_now(r, now);
-	a->clock_term = r->part[SHARD_CONTROL].term;
-	table_since(&r->ctl, q->have, a, o->p);
-	instances_since(&r->instances, q->instances, a, o->p);
-	if (q->counter)
-		add_upstream(r, &me, a, now, o);
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++)
-		a->counters += r->seen[i].counter && now - r->seen[i].at < CONTROLLER_SEEN;
-	if (q->counter && !a->n_up)
-		add_zone_heads(r, me.zone, a, now, o);
-	if (!late)
-		quota_shares_update(r, m->id, q, a->counters, a, now, o);
-	add_controllers(r, a, now, o);
+	is_late = update_node_status(controller, &node, now);
+	retention_on_report(controller, message, now);
+	reply->clock = group_clock_now(controller, now);
+	reply->clock_term = controller->shards[SHARD_CONTROL].term;
+	config_table_since(&controller->config, sync->have, reply, out->pool);
+	instances_pack_since(&controller->instances, sync->instances, reply, out->pool);
+	if (sync->counter)
+		add_upstream(controller, &node, reply, now, out);
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
+		reply->counters += controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+	if (sync->counter && !reply->n_up)
+		add_zone_heads(controller, node.zone, reply, now, out);
+	if (!is_late)
+		quota_shares_update(controller, message->id, sync, reply->counters, reply, now, out);
+	add_controllers(controller, reply, now, out);
 }
--- a/lib/control/config_sync.h
+++ b/lib/control/config_sync.h
@@ -6,6 +6,6 @@
 #include "controller.h"
 
 /* A node asks what has changed since the edition it has. */
-void on_config_sync_request(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -5,315 +5,315 @@
 
 #include "ds.h"
 
-void config_watch_open(struct config_watch *f, uint64_t born, const uint64_t *seeds, int n, int64_t now)
+void config_watch_open(struct config_watch *watch, uint64_t node_id, const uint64_t *seeds, int seed_count, int64_t now)
 {
-	memset(f, 0, sizeof *f);
-	table_open(&f->t);
-	instances_open(&f->instances);
-	sh_new_strdup(f->hold);
-	f->born = f->rng = born;
-	f->zone = f->web = "";
-	for (int i = 0; i < n && i < CONFIG_WATCH_SEATS; i++)
-		f->cand[f->ncand++] = seeds[i];
-	f->nseed = f->ncand;
-	f->fresh = f->leader_heard = now - 1000000;
-	f->last_word = now;
-	f->last_ask = now - CONFIG_WATCH_EVERY;
-	for (int i = 0; i < SHARD_COUNT && f->ncand; i++)
-		f->at[i] = (int)(core_rand(&f->rng) % (uint64_t)f->ncand);
+	memset(watch, 0, sizeof *watch);
+	config_table_open(&watch->table);
+	instances_open(&watch->instances);
+	sh_new_strdup(watch->quotas);
+	watch->node_id = watch->rng = node_id;
+	watch->zone = watch->web = "";
+	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
+		watch->candidates[watch->candidate_count++] = seeds[i];
+	watch->seed_count = watch->candidate_count;
+	watch->fetched_at_ms = watch->leader_contact_at_ms = now - 1000000;
+	watch->replied_at_ms = now;
+	watch->requested_at_ms = now - CONFIG_WATCH_POLL_MS;
+	for (int i = 0; i < SHARD_COUNT && watch->candidate_count; i++)
+		watch->next_candidate[i] = (int)(core_random(&watch->rng) % (uint64_t)watch->candidate_count);
 }
 
-void config_watch_seeds(struct config_watch *f, const uint64_t *seeds, int n)
+void config_watch_set_seeds(struct config_watch *watch, const uint64_t *seeds, int seed_count)
 {
-	uint64_t old[CONFIG_WATCH_SEATS];
-	int nold = f->ncand;
-
-	memcpy(old, f->cand, sizeof old);
-	f->ncand = 0;
-	for (int i = 0; i < n && i < CONFIG_WATCH_SEATS; i++)
-		f->cand[f->ncand++] = seeds[i];
-	f->nseed = f->ncand;
-	for (int i = 0; i < nold; i++) { /* who was known stays so until the next answer */
+	uint64_t old[CONFIG_WATCH_MAX_CONTROLLERS];
+	int old_count = watch->candidate_count;
+
+	memcpy(old, watch->candidates, sizeof old);
+	watch->candidate_count = 0;
+	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
+		watch->candidates[watch->candidate_count++] = seeds[i];
+	watch->seed_count = watch->candidate_count;
+	for (int i = 0; i < old_count; i++) { /* who was known stays so until the next answer */
 		int known = 0;
 
-		for (int k = 0; k < f->ncand; k++)
-			known |= f->cand[k] == old[i];
-		if (!known && f->ncand < CONFIG_WATCH_SEATS)
-			f->cand[f->ncand++] = old[i];
+		for (int k = 0; k < watch->candidate_count; k++)
+			known |= watch->candidates[k] == old[i];
+		if (!known && watch->candidate_count < CONFIG_WATCH_MAX_CONTROLLERS)
+			watch->candidates[watch->candidate_count++] = old[i];
 	}
 	for (int i = 0; i < SHARD_COUNT; i++)
-		f->at[i] = f->ncand ? f->at[i] % f->ncand : 0;
+		watch->next_candidate[i] = watch->candidate_count ? watch->next_candidate[i] % watch->candidate_count : 0;
 }
 
-void config_watch_close(struct config_watch *f)
+void config_watch_close(struct config_watch *watch)
 {
-	table_close(&f->t);
-	instances_close(&f->instances);
-	shfree(f->hold);
-	arrfree(f->left);
+	config_table_close(&watch->table);
+	instances_close(&watch->instances);
+	shfree(watch->quotas);
+	arrfree(watch->cache_remainders);
 }
 
-typeof(((struct config_watch_hold *)0)->value) *config_watch_hold(struct config_watch *f, const char *name)
+typeof(((struct config_watch_quota *)0)->value) *config_watch_quota(struct config_watch *watch, const char *name)
 {
-	if (shgeti(f->hold, name) < 0)
-		shput(f->hold, name, ((typeof(f->hold->value)){ 0, 0, 0 }));
-	return &shgetp(f->hold, name)->value;
+	if (shgeti(watch->quotas, name) < 0)
+		shput(watch->quotas, name, ((typeof(watch->quotas->value)){ 0, 0, 0 }));
+	return &shgetp(watch->quotas, name)->value;
 }
 
-static void say_holds(struct config_watch *f, struct Nl__ConfigSync *a, struct out *o)
+static void add_quotas(struct config_watch *watch, struct Nl__ConfigSync *sync, struct out *out)
 {
-	a->hold = apr_palloc(o->p, ((size_t)shlen(f->hold) + 1) * sizeof *a->hold);
-	for (ptrdiff_t i = shlen(f->hold) - 1; i >= 0; i--) {
-		struct Nl__Hold *h;
+	sync->hold = apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->hold);
+	for (ptrdiff_t i = shlen(watch->quotas) - 1; i >= 0; i--) {
+		struct Nl__Hold *hold;
 
-		if (!f->hold[i].value.held && !f->hold[i].value.used && !f->hold[i].value.want) {
-			(void)shdel(f->hold, f->hold[i].key);
+		if (!watch->quotas[i].value.reserved && !watch->quotas[i].value.used && !watch->quotas[i].value.requested) {
+			(void)shdel(watch->quotas, watch->quotas[i].key);
 			continue;
 		}
-		h = OUT_NEW(o, Nl__Hold, NL__HOLD__INIT);
-		h->name = apr_pstrdup(o->p, f->hold[i].key);
-		h->held = f->hold[i].value.held;
-		h->used = f->hold[i].value.used;
-		h->want = f->hold[i].value.want;
-		a->hold[a->n_hold++] = h;
+		hold = OUT_NEW(out, Nl__Hold, NL__HOLD__INIT);
+		hold->name = apr_pstrdup(out->pool, watch->quotas[i].key);
+		hold->held = watch->quotas[i].value.reserved;
+		hold->used = watch->quotas[i].value.used;
+		hold->want = watch->quotas[i].value.requested;
+		sync->hold[sync->n_hold++] = hold;
 	}
-	a->applied = f->applied;
+	sync->applied = watch->applied_token;
 }
 
 /* An older answer that comes late may say more than was given since. */
-static void take_places(struct config_watch *f, const struct Nl__ConfigSyncReply *r)
+static void apply_quotas(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
-	if (r->token <= f->applied)
+	if (reply->token <= watch->applied_token)
 		return;
-	f->applied = r->token;
-	for (size_t i = 0; i < r->n_place; i++)
-		config_watch_hold(f, r->place[i]->name)->held = r->place[i]->held;
+	watch->applied_token = reply->token;
+	for (size_t i = 0; i < reply->n_place; i++)
+		config_watch_quota(watch, reply->place[i]->name)->reserved = reply->place[i]->held;
 }
 
 /* The leader's clock was at most what the answer says when it was asked for, and has reached that when it comes. Of one leader's
  * answers the quickest tells best; one that shows the reckoning to be behind, as the two clocks drift, begins it anew. */
-static void take_clock(struct config_watch *f, const struct Nl__ConfigSyncReply *r, int64_t asked_at, int64_t now)
+static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, int64_t requested_at_ms, int64_t now)
 {
-	int64_t offset = (int64_t)r->clock - asked_at, reached = (int64_t)r->clock - now;
+	int64_t offset_ms = (int64_t)reply->clock - requested_at_ms, reached_offset_ms = (int64_t)reply->clock - now;
 
-	if (!r->clock || !r->clock_term)
+	if (!reply->clock || !reply->clock_term)
 		return;
-	for (int i = 0; i < CONFIG_WATCH_TERMS; i++)
-		if (f->group_clock[i].term == r->clock_term) {
-			if (offset < f->group_clock[i].offset || reached > f->group_clock[i].offset)
-				f->group_clock[i].offset = offset;
+	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
+		if (watch->group_clock[i].term == reply->clock_term) {
+			if (offset_ms < watch->group_clock[i].offset_ms || reached_offset_ms > watch->group_clock[i].offset_ms)
+				watch->group_clock[i].offset_ms = offset_ms;
 			return;
 		}
-	if (r->clock_term < f->group_clock[0].term)
+	if (reply->clock_term < watch->group_clock[0].term)
 		return; /* of a leader that has been followed by another since */
-	memmove(&f->group_clock[1], &f->group_clock[0], (CONFIG_WATCH_TERMS - 1) * sizeof f->group_clock[0]);
-	f->group_clock[0].term = r->clock_term;
-	f->group_clock[0].offset = offset;
+	memmove(&watch->group_clock[1], &watch->group_clock[0], (CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
+	watch->group_clock[0].term = reply->clock_term;
+	watch->group_clock[0].offset_ms = offset_ms;
 }
 
-int64_t config_watch_clock(const struct config_watch *f, uint64_t term, int64_t now)
+int64_t config_watch_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now)
 {
 	int known = 0;
 
-	if (!f->group_clock[0].term)
+	if (!watch->group_clock[0].term)
 		return 0;
-	for (int i = 0; i < CONFIG_WATCH_TERMS; i++)
-		if (term && f->group_clock[i].term == term)
+	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
+		if (term && watch->group_clock[i].term == term)
 			known = i;
-	return now + f->group_clock[known].offset;
+	return now + watch->group_clock[known].offset_ms;
 }
 
-int64_t config_watch_age(const struct config_watch *f, int64_t now) { return now - f->fresh; }
+int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now) { return now - watch->fetched_at_ms; }
 
-uint64_t config_watch_leader_addr(struct config_watch *f, uint32_t part)
+uint64_t config_watch_leader_addr(struct config_watch *watch, uint32_t shard)
 {
-	if (part >= SHARD_COUNT)
+	if (shard >= SHARD_COUNT)
 		return 0;
-	return f->leader_addr[part] ? f->leader_addr[part] : f->ncand ? f->cand[f->at[part] % f->ncand] : 0;
+	return watch->leader_addr[shard] ? watch->leader_addr[shard] : watch->candidate_count ? watch->candidates[watch->next_candidate[shard] % watch->candidate_count] : 0;
 }
 
-void config_watch_miss(struct config_watch *f, uint32_t part)
+void config_watch_miss(struct config_watch *watch, uint32_t shard)
 {
-	f->leader_addr[part] = 0;
-	f->at[part]++;
+	watch->leader_addr[shard] = 0;
+	watch->next_candidate[shard]++;
 }
 
-uint64_t config_watch_log(struct config_watch *f, int64_t moved, int64_t now)
+uint64_t config_watch_publisher_addr(struct config_watch *watch, int64_t progressed_at_ms, int64_t now)
 {
-	if (now - moved > 2 * CONFIG_WATCH_LOG && now - f->log_tried > CONFIG_WATCH_LOG) {
-		f->log_tried = now;
-		config_watch_miss(f, SHARD_PURGE);
+	if (now - progressed_at_ms > 2 * CONFIG_WATCH_PUBLISHER_TIMEOUT_MS && now - watch->publisher_retried_at_ms > CONFIG_WATCH_PUBLISHER_TIMEOUT_MS) {
+		watch->publisher_retried_at_ms = now;
+		config_watch_miss(watch, SHARD_PURGE);
 	}
-	return config_watch_leader_addr(f, SHARD_PURGE);
+	return config_watch_leader_addr(watch, SHARD_PURGE);
 }
 
-void config_watch_hint(struct config_watch *f, uint32_t part, uint64_t addr)
+void config_watch_hint(struct config_watch *watch, uint32_t shard, uint64_t addr)
 {
-	if (part >= SHARD_COUNT)
+	if (shard >= SHARD_COUNT)
 		return;
 	if (addr)
-		f->leader_addr[part] = addr;
+		watch->leader_addr[shard] = addr;
 	else
-		config_watch_miss(f, part);
+		config_watch_miss(watch, shard);
 }
 
-static struct config_watch_asked *asked_slot(struct config_watch *f, uint64_t token)
+static struct config_watch_request *in_flight_slot(struct config_watch *watch, uint64_t token)
 {
-	return &f->asked[token % CONFIG_WATCH_ASKED];
+	return &watch->in_flight[token % CONFIG_WATCH_MAX_IN_FLIGHT];
 }
 
-static struct Nl__ConfigSync *asking(struct config_watch *f, uint64_t horizon, int64_t now, struct out *o)
+static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
 {
-	struct Nl__ConfigSync *a = OUT_NEW(o, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
-
-	a->have = f->t.edition;
-	a->instances = f->instances.stamp;
-	a->born = f->born;
-	a->token = ++f->token;
-	a->zone = (char *)f->zone;
-	a->web = (char *)f->web;
-	a->counter = f->counter;
-	a->horizon = horizon;
-	a->wall = f->wall;
-	a->load_pressure = f->load_pressure;
-	a->index = f->index;
-	a->warm = f->warm;
-	a->n_left = (size_t)arrlen(f->left);
-	a->left = apr_palloc(o->p, (a->n_left + 1) * sizeof *a->left);
-	for (size_t i = 0; i < a->n_left; i++)
-		a->left[i] = (struct Nl__Left *)core_dup(o->p, &f->left[i].base);
-	say_holds(f, a, o);
-	*asked_slot(f, f->token) = (struct config_watch_asked){ f->token, f->t.edition, now };
-	f->last_ask = now;
-	return a;
+	struct Nl__ConfigSync *sync = OUT_NEW(out, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
+
+	sync->have = watch->table.revision;
+	sync->instances = watch->instances.stamp;
+	sync->born = watch->node_id;
+	sync->token = ++watch->last_token;
+	sync->zone = (char *)watch->zone;
+	sync->web = (char *)watch->web;
+	sync->counter = watch->is_router;
+	sync->horizon = horizon;
+	sync->wall = watch->wall_clock_ms;
+	sync->load_pressure = watch->load_pressure;
+	sync->index = watch->has_index;
+	sync->warm = watch->is_warm;
+	sync->n_left = (size_t)arrlen(watch->cache_remainders);
+	sync->left = apr_palloc(out->pool, (sync->n_left + 1) * sizeof *sync->left);
+	for (size_t i = 0; i < sync->n_left; i++)
+		sync->left[i] = (struct Nl__Left *)core_copy_message(out->pool, &watch->cache_remainders[i].base);
+	add_quotas(watch, sync, out);
+	*in_flight_slot(watch, watch->last_token) = (struct config_watch_request){ watch->last_token, watch->table.revision, now };
+	watch->requested_at_ms = now;
+	return sync;
 }
 
-void config_watch_ask(struct config_watch *f, uint64_t horizon, int64_t now, struct out *o)
+void config_watch_poll(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
 {
-	uint64_t to = config_watch_leader_addr(f, SHARD_CONTROL);
+	uint64_t leader_addr = config_watch_leader_addr(watch, SHARD_CONTROL);
 
-	if (to)
-		out_msg(o, to, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = asking(f, horizon, now, o);
+	if (leader_addr)
+		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = new_request(watch, horizon, now, out);
 }
 
 /* The owner is silent, or nobody's guess is right: a few at once, in turn, so that a new owner is found as soon as there is
  * one. Only a has_lease one answers with more than a hint. */
-static void ask_around(struct config_watch *f, uint64_t horizon, int64_t now, struct out *o)
+static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
 {
-	struct Nl__ConfigSync *a = asking(f, horizon, now, o);
-	uint64_t first = f->leader_addr[SHARD_CONTROL];
+	struct Nl__ConfigSync *sync = new_request(watch, horizon, now, out);
+	uint64_t first = watch->leader_addr[SHARD_CONTROL];
 
 	if (first)
-		out_msg(o, first, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = a;
-	for (int i = 0; i < CONFIG_WATCH_AROUND && i < f->ncand; i++) {
-		uint64_t to = f->cand[(f->at[SHARD_CONTROL] + i) % f->ncand];
+		command_send(out, first, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = sync;
+	for (int i = 0; i < CONFIG_WATCH_FANOUT && i < watch->candidate_count; i++) {
+		uint64_t candidate = watch->candidates[(watch->next_candidate[SHARD_CONTROL] + i) % watch->candidate_count];
 
-		if (to != first)
-			out_msg(o, to, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = a;
+		if (candidate != first)
+			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = sync;
 	}
-	f->at[SHARD_CONTROL] = (f->at[SHARD_CONTROL] + CONFIG_WATCH_AROUND) % (f->ncand ? f->ncand : 1);
+	watch->next_candidate[SHARD_CONTROL] = (watch->next_candidate[SHARD_CONTROL] + CONFIG_WATCH_FANOUT) % (watch->candidate_count ? watch->candidate_count : 1);
 }
 
 /* How much later than usual an answer may come before it counts as missing: the last one's time on its way, within a bound. */
-static int64_t slow_link_ms(const struct config_watch *f)
+static int64_t slow_link_ms(const struct config_watch *watch)
 {
-	return f->round_trip < CONFIG_WATCH_SLOW ? f->round_trip : CONFIG_WATCH_SLOW;
+	return watch->round_trip_ms < CONFIG_WATCH_SLOW_LINK_MS ? watch->round_trip_ms : CONFIG_WATCH_SLOW_LINK_MS;
 }
 
 /* An old answer is no reason to ask others: the leader is in reach, and its answers are long on their way. */
-static int leader_silent(const struct config_watch *f, int64_t now)
+static int leader_timed_out(const struct config_watch *watch, int64_t now)
 {
-	return now - f->leader_heard > CONFIG_WATCH_SILENT + slow_link_ms(f);
+	return now - watch->leader_contact_at_ms > CONFIG_WATCH_LEADER_TIMEOUT_MS + slow_link_ms(watch);
 }
 
-void config_watch_tick(struct config_watch *f, uint64_t horizon, int64_t now, struct out *o)
+void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
 {
-	int silent = leader_silent(f, now);
+	int leader_lost = leader_timed_out(watch, now);
 
-	if (now - f->last_ask < (silent ? CONFIG_WATCH_EVERY / 2 : CONFIG_WATCH_EVERY))
+	if (now - watch->requested_at_ms < (leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
 		return;
-	if (now - f->last_word > CONFIG_WATCH_WAIT + CONFIG_WATCH_EVERY + slow_link_ms(f)) {
-		config_watch_miss(f, SHARD_CONTROL);
-		f->last_word = now - CONFIG_WATCH_EVERY; /* the next one gets its time too */
+	if (now - watch->replied_at_ms > CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + slow_link_ms(watch)) {
+		config_watch_miss(watch, SHARD_CONTROL);
+		watch->replied_at_ms = now - CONFIG_WATCH_POLL_MS; /* the next one gets its time too */
 	}
-	if (silent)
-		ask_around(f, horizon, now, o);
+	if (leader_lost)
+		poll_candidates(watch, horizon, now, out);
 	else
-		config_watch_ask(f, horizon, now, o);
+		config_watch_poll(watch, horizon, now, out);
 }
 
-static void take_registrars(struct config_watch *f, const struct Nl__ConfigSyncReply *r)
+static void apply_controllers(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
-	f->ncand = f->nseed;
-	f->nlive = 0;
-	for (size_t i = 0; i < r->n_registrars; i++) {
-		const struct Nl__Member *m = r->registrars[i];
+	watch->candidate_count = watch->seed_count;
+	watch->live_count = 0;
+	for (size_t i = 0; i < reply->n_registrars; i++) {
+		const struct Nl__Member *member = reply->registrars[i];
 		int known = 0;
 
-		if (f->nlive < CONFIG_WATCH_SEATS) {
-			f->live[f->nlive] = m->addr;
-			f->live_id[f->nlive++] = m->id;
+		if (watch->live_count < CONFIG_WATCH_MAX_CONTROLLERS) {
+			watch->live_addr[watch->live_count] = member->addr;
+			watch->live_id[watch->live_count++] = member->id;
 		}
-		for (int k = 0; k < f->ncand; k++)
-			known |= f->cand[k] == m->addr;
-		if (!known && f->ncand < CONFIG_WATCH_SEATS)
-			f->cand[f->ncand++] = m->addr;
+		for (int k = 0; k < watch->candidate_count; k++)
+			known |= watch->candidates[k] == member->addr;
+		if (!known && watch->candidate_count < CONFIG_WATCH_MAX_CONTROLLERS)
+			watch->candidates[watch->candidate_count++] = member->addr;
 	}
 }
 
 /* Several requests are under way at once where the way is long, and each answer names what has changed since its own request:
  * an answer may be overtaken by a newer one. It changes nothing then, but proves as well that what is here was in force when it
  * was asked for. A leader that has less than was here already proves nothing. */
-static int take_table(struct config_watch *f, const struct Nl__ConfigSyncReply *r, const struct config_watch_asked *asked)
+static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, const struct config_watch_request *sent)
 {
-	if (r->edition < f->t.edition)
-		return r->edition >= asked->have;
-	return table_follow(&f->t, r);
+	if (reply->edition < watch->table.revision)
+		return reply->edition >= sent->base_revision;
+	return config_table_follow(&watch->table, reply);
 }
 
-int config_watch_msg(struct config_watch *f, const struct Nl__Msg *m, int64_t now, struct out *o)
+int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__ConfigSyncReply *r = m->follow_reply;
-	uint64_t was = f->t.edition;
-	struct config_watch_asked asked;
+	const struct Nl__ConfigSyncReply *reply = message->follow_reply;
+	uint64_t revision_before = watch->table.revision;
+	struct config_watch_request sent;
 
-	if (m->body_case == NL__MSG__BODY_OWNER) {
-		config_watch_hint(f, m->part, m->owner->owner);
+	if (message->body_case == NL__MSG__BODY_OWNER) {
+		config_watch_hint(watch, message->part, message->owner->owner);
 		return 0;
 	}
-	if (m->body_case != NL__MSG__BODY_FOLLOW_REPLY)
+	if (message->body_case != NL__MSG__BODY_FOLLOW_REPLY)
 		return 0;
-	asked = *asked_slot(f, r->token);
-	if (asked.token != r->token)
+	sent = *in_flight_slot(watch, reply->token);
+	if (sent.token != reply->token)
 		return 0;
-	f->last_word = now;
-	if (!r->has_lease) {
-		if (r->token == f->token) { /* only the newest asking moves the guess */
-			config_watch_hint(f, SHARD_CONTROL, r->hint == m->addr ? 0 : r->hint);
-			if (r->hint && r->hint != m->addr && now - f->last_ask >= 20)
-				config_watch_ask(f, 0, now, o);
+	watch->replied_at_ms = now;
+	if (!reply->has_lease) {
+		if (reply->token == watch->last_token) { /* only the newest asking moves the guess */
+			config_watch_hint(watch, SHARD_CONTROL, reply->hint == message->addr ? 0 : reply->hint);
+			if (reply->hint && reply->hint != message->addr && now - watch->requested_at_ms >= 20)
+				config_watch_poll(watch, 0, now, out);
 		}
 		return 0;
 	}
-	if (f->fleet && r->fleet != f->fleet)
+	if (watch->fleet && reply->fleet != watch->fleet)
 		return 0;
-	f->leader_addr[SHARD_CONTROL] = m->addr;
-	f->leader_heard = now;
-	f->round_trip = now - asked.at;
-	take_clock(f, r, asked.at, now);
-	if (!take_table(f, r, &asked))
+	watch->leader_addr[SHARD_CONTROL] = message->addr;
+	watch->leader_contact_at_ms = now;
+	watch->round_trip_ms = now - sent.requested_at_ms;
+	apply_clock(watch, reply, sent.requested_at_ms, now);
+	if (!apply_table(watch, reply, &sent))
 		return 0;
-	f->fleet = r->fleet;
-	take_places(f, r);
-	if (asked.at > f->fresh)
-		f->fresh = asked.at;
-	f->nup = 0;
-	for (size_t i = 0; i < r->n_up && i < 8; i++)
-		f->up[f->nup++] = r->up[i];
-	f->nhead = 0;
-	for (size_t i = 0; i < r->n_head && f->nhead < (int)(sizeof f->head / sizeof *f->head); i++)
-		f->head[f->nhead++] = r->head[i];
-	f->counters = r->counters;
-	take_registrars(f, r);
-	return (f->t.edition != was ? CONFIG_WATCH_TABLE : 0) | (instances_follow(&f->instances, r, now) ? CONFIG_WATCH_SIGHTS : 0);
+	watch->fleet = reply->fleet;
+	apply_quotas(watch, reply);
+	if (sent.requested_at_ms > watch->fetched_at_ms)
+		watch->fetched_at_ms = sent.requested_at_ms;
+	watch->upstream_count = 0;
+	for (size_t i = 0; i < reply->n_up && i < 8; i++)
+		watch->upstream[watch->upstream_count++] = reply->up[i];
+	watch->zone_head_count = 0;
+	for (size_t i = 0; i < reply->n_head && watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads); i++)
+		watch->zone_heads[watch->zone_head_count++] = reply->head[i];
+	watch->router_count = reply->counters;
+	apply_controllers(watch, reply);
+	return (watch->table.revision != revision_before ? CONFIG_WATCH_TABLE_CHANGED : 0) | (instances_apply_reply(&watch->instances, reply, now) ? CONFIG_WATCH_INSTANCES_CHANGED : 0);
 }
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -25,42 +25,42 @@
 #include "state_machine.h"
 
 /* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that counts them. */
-static void log_dropped(struct controller *r, const struct Nl__Msg *m, const char *why, int64_t now, struct out *o)
+static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why, int64_t now, struct out *out)
 {
-	r->dropped++;
-	if (r->drops_logged && now - r->drop_logged_at < CONTROLLER_DROP_LOG)
+	controller->dropped_count++;
+	if (controller->drops_logged_count && now - controller->drop_logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
-	log_line(r, "raft", o->p, "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
-		 (int)m->body_case, core_addr_str(o->p, m->addr), why, r->dropped - r->drops_logged);
-	r->drops_logged = r->dropped;
-	r->drop_logged_at = now;
+	log_line(controller, "raft", out->pool, "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
+		 (int)message->body_case, core_format_addr(out->pool, message->addr), why, controller->dropped_count - controller->drops_logged_count);
+	controller->drops_logged_count = controller->dropped_count;
+	controller->drop_logged_at_ms = now;
 }
 
-static void on_raft_msg(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
 	const char *why;
 
-	if (!r->fleet)
+	if (!controller->fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
-	if (m->fleet != r->fleet)
+	if (message->fleet != controller->fleet)
 		why = "it names no fleet";
-	else if (m->part >= SHARD_COUNT)
+	else if (message->part >= SHARD_COUNT)
 		why = "there is no such shard";
 	else
-		why = raft_receive(&r->part[m->part], m, now, o);
+		why = raft_receive(&controller->shards[message->part], message, now, out);
 	if (why)
-		log_dropped(r, m, why, now, o);
+		log_dropped(controller, message, why, now, out);
 }
 
-static void on_msg(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	int64_t before;
+	int64_t fetched_before_ms;
 
-	if (m->speak != CORE_SPEAK || (m->fleet && r->fleet && m->fleet != r->fleet)) {
-		log_dropped(r, m, "it is of another fleet or edition of the protocol", now, o);
+	if (message->speak != CORE_SPEAK || (message->fleet && controller->fleet && message->fleet != controller->fleet)) {
+		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now, out);
 		return;
 	}
-	switch (m->body_case) {
+	switch (message->body_case) {
 	case NL__MSG__BODY_VOTE_ASK:
 	case NL__MSG__BODY_VOTE_REPLY:
 	case NL__MSG__BODY_APPEND:
@@ -69,219 +69,219 @@
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
 	case NL__MSG__BODY_GIVE_UP:
 	case NL__MSG__BODY_PROBE:
-	case NL__MSG__BODY_PROBE_REPLY: on_raft_msg(r, m, now, o); break;
+	case NL__MSG__BODY_PROBE_REPLY: on_raft_message(controller, message, now, out); break;
 	case NL__MSG__BODY_FOLLOW:
-		if (!config_handover_take(r, m, now, o))
-			on_config_sync_request(r, m, now, o);
+		if (!config_handover_intercept(controller, message, now, out))
+			on_config_sync_request(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_FOLLOW_REPLY:
 	case NL__MSG__BODY_OWNER:
-		before = r->f.fresh;
-		if (config_watch_msg(&r->f, m, now, o))
-			rollout_on_versions(r, before);
-		if (!r->fleet && r->f.fleet) {
-			r->fleet = r->f.fleet;
-			r->fleet_dirty = 1;
+		fetched_before_ms = controller->config_watch.fetched_at_ms;
+		if (config_watch_receive(&controller->config_watch, message, now, out))
+			rollout_on_target_change(controller, fetched_before_ms);
+		if (!controller->fleet && controller->config_watch.fleet) {
+			controller->fleet = controller->config_watch.fleet;
+			controller->fleet_dirty = 1;
 		}
 		break;
-	case NL__MSG__BODY_PROPOSE: on_proposal(r, m, now, o); break;
-	case NL__MSG__BODY_ANSWER: on_proposal_reply(r, m->answer, now, o); break;
-	case NL__MSG__BODY_READ: on_read_asked(r, m, now, o); break;
-	case NL__MSG__BODY_READ_REPLY: on_read_reply(r, m->read_reply, now, o); break;
-	case NL__MSG__BODY_FEED_ASK: on_feed_request(r, m, now, o); break;
-	case NL__MSG__BODY_FEED_REPLY: on_feed_reply(r, m, now, o); break;
+	case NL__MSG__BODY_PROPOSE: on_proposal(controller, message, now, out); break;
+	case NL__MSG__BODY_ANSWER: on_proposal_reply(controller, message->answer, now, out); break;
+	case NL__MSG__BODY_READ: on_read_request(controller, message, now, out); break;
+	case NL__MSG__BODY_READ_REPLY: on_read_reply(controller, message->read_reply, now, out); break;
+	case NL__MSG__BODY_FEED_ASK: on_feed_request(controller, message, now, out); break;
+	case NL__MSG__BODY_FEED_REPLY: on_feed_reply(controller, message, now, out); break;
 	case NL__MSG__BODY_CURIOSITY:
-		if (!r->relay.publisher || !leads_shard(r, SHARD_PURGE, now)) {
-			struct Nl__Owner *w = OUT_NEW(o, Nl__Owner, NL__OWNER__INIT);
+		if (!controller->relay.is_publisher || !leads_shard(controller, SHARD_PURGE, now)) {
+			struct Nl__Owner *owner = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
 
-			w->owner = leader_hint(r, SHARD_PURGE, now);
-			out_msg(o, m->addr, SHARD_PURGE, NL__MSG__BODY_OWNER)->owner = w;
+			owner->owner = leader_hint(controller, SHARD_PURGE, now);
+			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_OWNER)->owner = owner;
 			break;
 		}
 		/* fall through */
 	case NL__MSG__BODY_KNOWLEDGE:
-	case NL__MSG__BODY_PURGE_SNAP: relay_msg(&r->relay, m, now, o); break;
-	case NL__MSG__BODY_FOUND: on_bootstrap_message(r, m, now, o); break;
+	case NL__MSG__BODY_PURGE_SNAP: relay_receive(&controller->relay, message, now, out); break;
+	case NL__MSG__BODY_FOUND: on_bootstrap_message(controller, message, now, out); break;
 	default: break;
 	}
 }
 
-static void tick(struct controller *r, int64_t now, struct out *o)
+static void tick(struct controller *controller, int64_t now, struct out *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (r->fleet)
-			raft_tick(&r->part[i], now, o);
-	bootstrap_tick(r, now, o);
+		if (controller->fleet)
+			raft_tick(&controller->shards[i], now, out);
+	bootstrap_tick(controller, now, out);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a member knows its leader best */
-		if (leader_hint(r, i, now))
-			r->f.leader_addr[i] = leader_hint(r, i, now);
-	if (r->stopping)
+		if (leader_hint(controller, i, now))
+			controller->config_watch.leader_addr[i] = leader_hint(controller, i, now);
+	if (controller->stopping)
 		return;
-	config_watch_tick(&r->f, r->relay.k.horizon, now, o);
-	membership_register_tick(r, now, o);
-	membership_tick(r, now, o);
-	if (r->relay.publisher && leads_shard(r, SHARD_PURGE, now))
-		publisher_tick(r, now, o);
-	if (!r->relay.publisher)
-		relay_up(&r->relay, NULL, 0, config_watch_log(&r->f, r->relay.moved, now), now);
-	relay_tick(&r->relay, now, o);
-	rollout_tick(r, now, o);
-	rollout_instances(r, now, o);
-	retention_tick(r, now, o);
-	retention_disks(r, now, o);
+	config_watch_tick(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
+	membership_register_tick(controller, now, out);
+	membership_tick(controller, now, out);
+	if (controller->relay.is_publisher && leads_shard(controller, SHARD_PURGE, now))
+		publisher_tick(controller, now, out);
+	if (!controller->relay.is_publisher)
+		relay_set_upstreams(&controller->relay, NULL, 0, config_watch_publisher_addr(&controller->config_watch, controller->relay.horizon_moved_at_ms, now), now);
+	relay_tick(&controller->relay, now, out);
+	rollout_tick(controller, now, out);
+	rollout_instances_tick(controller, now, out);
+	retention_tick(controller, now, out);
+	retention_trim_logs(controller, now, out);
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void controller_step(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	ptrdiff_t begins = arrlen(o->v);
+	ptrdiff_t first_command = arrlen(out->commands);
 
-	o->id = r->id;
-	o->addr = r->addr;
-	o->fleet = r->fleet;
-	r->f.wall = r->wall;
+	out->id = controller->id;
+	out->addr = controller->addr;
+	out->fleet = controller->fleet;
+	controller->config_watch.wall_clock_ms = controller->wall_clock_ms;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* what the step before took in */
-		if (r->fresh[i] && !r->part[i].snapshot_to_load) {
-			r->part[i].drop_tail = 1;
-			r->fresh[i] = 0;
-			snapshot_take(r, i, o);
+		if (controller->snapshot_needed[i] && !controller->shards[i].snapshot_to_load) {
+			controller->shards[i].drop_tail = 1;
+			controller->snapshot_needed[i] = 0;
+			snapshot_create(controller, i, out);
 		}
-	switch (ev->kind) {
-	case CONTROLLER_TICK: tick(r, now, o); break;
-	case CONTROLLER_MSG: on_msg(r, ev->u.msg, now, o); break;
-	case CONTROLLER_SYNCED: raft_synced(&r->part[ev->u.synced.part], ev->u.synced.seq, now, o); break;
-	case CONTROLLER_WEB:
-	case CONTROLLER_DOC:
-	case CONTROLLER_READ:
-	case CONTROLLER_NAME: on_operator_call(r, ev, now, o); break;
-	case CONTROLLER_GONE: operator_calls_gone(r, ev->u.gone.token); break;
-	case CONTROLLER_CALLED:
-		for (ptrdiff_t i = 0; i < arrlen(r->server); i++)
-			if (ev->u.called.token && r->server[i].call == ev->u.called.token && ev->u.called.status == 200)
-				rollout_report(r, &r->server[i], ev->u.called.body, now, o);
+	switch (event->kind) {
+	case CONTROLLER_TICK: tick(controller, now, out); break;
+	case CONTROLLER_MESSAGE: on_message(controller, event->payload.message, now, out); break;
+	case CONTROLLER_SYNCED: raft_synced(&controller->shards[event->payload.synced.shard], event->payload.synced.sequence, now, out); break;
+	case CONTROLLER_API_CALL:
+	case CONTROLLER_PUT_DOCUMENT:
+	case CONTROLLER_READ_DOCUMENT:
+	case CONTROLLER_SET_TARGET_WEIGHTS: on_operator_call(controller, event, now, out); break;
+	case CONTROLLER_CALLER_DISCONNECTED: operator_calls_disconnected(controller, event->payload.disconnected.token); break;
+	case CONTROLLER_CALL_RESULT:
+		for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++)
+			if (event->payload.call_result.token && controller->rollout_servers[i].call_token == event->payload.call_result.token && event->payload.call_result.status == 200)
+				rollout_on_report(controller, &controller->rollout_servers[i], event->payload.call_result.body, now, out);
 		break;
-	case CONTROLLER_LISTED:
-		instances_listed(&r->instances, ev->u.listed.token, ev->u.listed.ok, ev->u.listed.v, ev->u.listed.n, now);
+	case CONTROLLER_SERVERS_LISTED:
+		instances_on_list(&controller->instances, event->payload.servers_listed.token, event->payload.servers_listed.succeeded, event->payload.servers_listed.instances, event->payload.servers_listed.instance_count, now);
 		break;
-	case CONTROLLER_LOOKED:
-		rollout_on_look(r, ev->u.looked.token, ev->u.looked.status, ev->u.looked.weights, ev->u.looked.loading, now);
+	case CONTROLLER_REPORT_POLLED:
+		rollout_on_poll_reply(controller, event->payload.report_polled.token, event->payload.report_polled.status, event->payload.report_polled.weights, event->payload.report_polled.is_loading, now);
 		break;
-	case CONTROLLER_ORDERED:
-		rollout_on_ordered(r, ev->u.ordered.token, ev->u.ordered.status, ev->u.ordered.never, now, o);
+	case CONTROLLER_LOAD_ANSWERED:
+		rollout_on_command_reply(controller, event->payload.load_answered.token, event->payload.load_answered.status, event->payload.load_answered.never_sent, now, out);
 		break;
 	case CONTROLLER_STOP:
-		r->stopping = 1;
+		controller->stopping = 1;
 		for (int i = 0; i < SHARD_COUNT; i++)
-			raft_leave(&r->part[i], now);
-		bootstrap_stop(r, o);
+			raft_drain(&controller->shards[i], now);
+		bootstrap_stop(controller, out);
 		break;
 	default: break;
 	}
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		struct raft *p = &r->part[i];
-		const struct raft_entry *e;
+		struct raft *raft = &controller->shards[i];
+		const struct raft_entry *entry;
 		uint64_t index;
 
-		if (p->snapshot_to_load) {
-			snapshot_load(r, i, o->p);
+		if (raft->snapshot_to_load) {
+			snapshot_load(controller, i, out->pool);
 			if (i == SHARD_CONTROL)
-				r->rollout.blind = now; /* orders that were logged before are in no snapshot */
-			p->snapshot_to_load = 0;
+				controller->rollout.unknown_until_ms = now; /* orders that were logged before are in no snapshot */
+			raft->snapshot_to_load = 0;
 		}
-		on_leadership_lost(r, i, now, o);
-		while ((e = raft_next_committed(p, &index)))
-			answer_proposers(r, i, index, state_machine_apply(r, i, index, e, now, o), o);
-		on_leadership_gained(r, i, now, o);
-		if (raft_wants_snapshot(p))
-			snapshot_take(r, i, o);
+		on_leadership_lost(controller, i, now, out);
+		while ((entry = raft_next_committed(raft, &index)))
+			answer_proposers(controller, i, index, state_machine_apply(controller, i, index, entry, now, out), out);
+		on_leadership_gained(controller, i, now, out);
+		if (raft_wants_snapshot(raft))
+			snapshot_create(controller, i, out);
 	}
-	config_handover_tick(r, now, o);
-	proposals_tick(r, now, o);
-	calls_tick(r, now, o);
-	table_reads_tick(r, now, o);
-	operator_calls_count(&r->calls, o, begins);
+	config_handover_tick(controller, now, out);
+	proposals_tick(controller, now, out);
+	expire_calls(controller, now, out);
+	reads_tick(controller, now, out);
+	operator_calls_count(&controller->operator_calls, out, first_command);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
-		raft_flush(&r->part[i], now, o);
+		raft_flush(&controller->shards[i], now, out);
 }
 
-void controller_open(struct controller *r, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int nseeds,
+void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int seed_count,
 		     uint64_t fleet, uint64_t seed, const struct raft_saved *const *saved, int64_t now)
 {
-	memset(r, 0, sizeof *r);
-	r->id = id;
-	r->addr = addr;
-	r->zone = zone;
-	r->fleet = fleet;
-	r->rng = seed;
-	r->token = core_rand(&r->rng) >> 2; /* never one of this controller's life before */
-	r->nseeds = nseeds > 8 ? 8 : nseeds;
-	memcpy(r->seeds, seeds, (size_t)r->nseeds * sizeof *seeds);
-	r->b = bounds_default;
-	table_open(&r->ctl);
-	instances_open(&r->instances);
-	rollout_open(&r->rollout, now);
+	memset(controller, 0, sizeof *controller);
+	controller->id = id;
+	controller->addr = addr;
+	controller->zone = zone;
+	controller->fleet = fleet;
+	controller->rng = seed;
+	controller->last_token = core_random(&controller->rng) >> 2; /* never one of this controller's life before */
+	controller->seed_count = seed_count > 8 ? 8 : seed_count;
+	memcpy(controller->seeds, seeds, (size_t)controller->seed_count * sizeof *seeds);
+	controller->bounds = bounds_default;
+	config_table_open(&controller->config);
+	instances_open(&controller->instances);
+	rollout_open(&controller->rollout, now);
 	for (int i = 0; i < SHARD_SERVICES; i++)
-		clear_service_state(&r->svc[i]);
+		reset_service_state(&controller->service_states[i]);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
-		raft_open(&r->part[i], i, id, seed, saved ? saved[i] : NULL, now);
-	sh_new_strdup(r->named);
-	sh_new_strdup(r->limit);
-	config_watch_open(&r->f, id, seeds, r->nseeds, now);
-	r->f.fleet = fleet;
-	r->f.zone = zone;
-	relay_open(&r->relay, now);
+		raft_open(&controller->shards[i], i, id, seed, saved ? saved[i] : NULL, now);
+	sh_new_strdup(controller->target_weights);
+	sh_new_strdup(controller->quotas);
+	config_watch_open(&controller->config_watch, id, seeds, controller->seed_count, now);
+	controller->config_watch.fleet = fleet;
+	controller->config_watch.zone = zone;
+	relay_open(&controller->relay, now);
 }
 
-void controller_close(struct controller *r)
+void controller_close(struct controller *controller)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_close(&r->part[i]);
-	table_close(&r->ctl);
-	instances_close(&r->instances);
-	rollout_close(&r->rollout);
-	retention_clear(r);
-	free_values(&r->ctl_feed);
-	arrfree(r->ctl_done);
-	orders_clear(&r->orders);
-	arrfree(r->call);
-	config_handover_clear(r);
-	free(r->ctl_doc);
-	free_values(&r->pub.v);
-	view_clear(&r->pub.last);
+		raft_close(&controller->shards[i]);
+	config_table_close(&controller->config);
+	instances_close(&controller->instances);
+	rollout_close(&controller->rollout);
+	retention_reset(controller);
+	free_values(&controller->config_purge_feed);
+	arrfree(controller->done_operations);
+	idempotency_log_reset(&controller->accepted_requests);
+	arrfree(controller->logged_calls);
+	config_handover_clear(controller);
+	free(controller->document);
+	free_values(&controller->purge_state.values);
+	purge_view_clear(&controller->purge_state.last_view);
 	for (int i = 0; i < SHARD_SERVICES; i++) {
-		clear_service_state(&r->svc[i]);
-		shfree(r->svc[i].h);
-		shfree(r->svc[i].rolled);
+		reset_service_state(&controller->service_states[i]);
+		shfree(controller->service_states[i].claims);
+		shfree(controller->service_states[i].rolled_out);
 	}
-	config_watch_close(&r->f);
-	relay_close(&r->relay);
-	for (ptrdiff_t i = 0; i < arrlen(r->ask); i++)
-		nl__op__free_unpacked(r->ask[i].op, NULL);
-	for (ptrdiff_t i = 0; i < arrlen(r->server); i++) {
-		free(r->server[i].name);
-		free(r->server[i].service);
+	config_watch_close(&controller->config_watch);
+	relay_close(&controller->relay);
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
+		nl__op__free_unpacked(controller->proposals[i].operation, NULL);
+	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
+		free(controller->rollout_servers[i].name);
+		free(controller->rollout_servers[i].service);
 	}
-	if (r->found.members)
-		nl__members__free_unpacked(r->found.members, NULL);
-	for (ptrdiff_t i = 0; i < shlen(r->named); i++)
-		free(r->named[i].value.weights);
-	shfree(r->named);
-	quota_shares_clear(r);
-	shfree(r->limit);
-	arrfree(r->spare);
-	arrfree(r->wait);
-	arrfree(r->ask);
-	arrfree(r->seen);
-	arrfree(r->reads);
-	arrfree(r->server);
+	if (controller->bootstrap.members)
+		nl__members__free_unpacked(controller->bootstrap.members, NULL);
+	for (ptrdiff_t i = 0; i < shlen(controller->target_weights); i++)
+		free(controller->target_weights[i].value.weights);
+	shfree(controller->target_weights);
+	quota_shares_clear(controller);
+	shfree(controller->quotas);
+	arrfree(controller->reserve_limits);
+	arrfree(controller->pending_entries);
+	arrfree(controller->proposals);
+	arrfree(controller->node_statuses);
+	arrfree(controller->pending_reads);
+	arrfree(controller->rollout_servers);
 }
 
-int controller_stopped(const struct controller *r, int64_t now)
+int controller_stopped(const struct controller *controller, int64_t now)
 {
-	if (operator_calls_open(r))
+	if (operator_calls_open(controller))
 		return 0;
-	for (int i = 0; i < SHARD_COUNT && r->fleet; i++)
-		if (!raft_may_leave(&r->part[i], now))
+	for (int i = 0; i < SHARD_COUNT && controller->fleet; i++)
+		if (!raft_may_stop(&controller->shards[i], now))
 			return 0;
 	return 1;
 }
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -8,30 +8,30 @@
 #include "controller.h"
 
 /* Write one log line under a prefix. Example: log_line(r, "purge", o->p, "The publisher begins at %d.", tick); */
-static inline void log_line(struct controller *r, const char *prefix, apr_pool_t *p, const char *fmt, ...)
+static inline void log_line(struct controller *controller, const char *prefix, apr_pool_t *pool, const char *format, ...)
 {
-	va_list ap;
+	va_list arguments;
 
-	if (!r->log)
+	if (!controller->log)
 		return;
-	va_start(ap, fmt);
-	r->log(r->log_ctx, prefix, apr_pvsprintf(p, fmt, ap));
-	va_end(ap);
+	va_start(arguments, format);
+	controller->log(controller->log_context, prefix, apr_pvsprintf(pool, format, arguments));
+	va_end(arguments);
 }
 
 /* A service part's state; NULL: this part is none. */
-__attribute__((nonnull)) static inline struct controller_svc *service_shard(struct controller *r, uint32_t part)
+__attribute__((nonnull)) static inline struct controller_service_state *service_shard_state(struct controller *controller, uint32_t part)
 {
-	return part >= SHARD_SERVICE && part < SHARD_COUNT ? &r->svc[part - SHARD_SERVICE] : NULL;
+	return part >= SHARD_SERVICE && part < SHARD_COUNT ? &controller->service_states[part - SHARD_SERVICE] : NULL;
 }
 
 /* The JSON body that says why a call was refused; an edition of 0 is left out. Example: error_json(o->p, "path: no such call", 0) */
-const char *error_json(apr_pool_t *p, const char *why, uint64_t edition);
+const char *error_json(apr_pool_t *pool, const char *why, uint64_t revision);
 
 /* No leader is known: whatever this call asked for was not logged. */
-void refuse_without_leader(uint64_t token, struct out *o);
+void reject_without_leader(uint64_t token, struct out *out);
 
 /* This controller is to stop and begins nothing any more: nothing was logged. */
-void refuse_while_stopping(uint64_t token, struct out *o);
+void reject_while_stopping(uint64_t token, struct out *out);
 
 #endif
--- a/lib/control/group_clock.c
+++ b/lib/control/group_clock.c
@@ -2,21 +2,21 @@
 
 enum { FIRST_MOMENT = 1 }; /* 0 means that a moment is not known */
 
-void group_clock_lead(struct controller *r, int64_t now)
+void group_clock_lead(struct controller *controller, int64_t now)
 {
-	int64_t logged = (int64_t)r->ctl.now.at, heard = config_watch_clock(&r->f, 0, now);
-	int64_t clock = logged > heard ? logged : heard;
+	int64_t logged_ms = (int64_t)controller->config.clock.at_ms, received_ms = config_watch_clock_ms(&controller->config_watch, 0, now);
+	int64_t clock_ms = logged_ms > received_ms ? logged_ms : received_ms;
 
-	if (clock < FIRST_MOMENT)
-		clock = FIRST_MOMENT;
-	r->group_clock_offset = clock - now;
+	if (clock_ms < FIRST_MOMENT)
+		clock_ms = FIRST_MOMENT;
+	controller->group_clock_offset_ms = clock_ms - now;
 }
 
-uint64_t group_clock_now(const struct controller *r, int64_t now) { return (uint64_t)(now + r->group_clock_offset); }
+uint64_t group_clock_now(const struct controller *controller, int64_t now) { return (uint64_t)(now + controller->group_clock_offset_ms); }
 
-uint64_t group_clock_before(const struct controller *r, int64_t ms, int64_t now)
+uint64_t group_clock_before(const struct controller *controller, int64_t span_ms, int64_t now)
 {
-	int64_t clock = (int64_t)group_clock_now(r, now);
+	int64_t clock_ms = (int64_t)group_clock_now(controller, now);
 
-	return clock > ms ? (uint64_t)(clock - ms) : 0;
+	return clock_ms > span_ms ? (uint64_t)(clock_ms - span_ms) : 0;
 }
--- a/lib/control/group_clock.h
+++ b/lib/control/group_clock.h
@@ -12,12 +12,12 @@
 
 /* Leadership of the control group begins; all that was committed before has been applied.
  * Example: group_clock_lead(r, now); */
-void group_clock_lead(struct controller *r, int64_t now);
+void group_clock_lead(struct controller *controller, int64_t now);
 
 /* The clock, on its leader. Example: op->at = group_clock_now(r, now); */
-uint64_t group_clock_now(const struct controller *r, int64_t now);
+uint64_t group_clock_now(const struct controller *controller, int64_t now);
 
 /* The clock so many ms ago; 0 if it had not begun. Example: since = group_clock_before(r, bounds.roll_ms, now); */
-uint64_t group_clock_before(const struct controller *r, int64_t ms, int64_t now);
+uint64_t group_clock_before(const struct controller *controller, int64_t span_ms, int64_t now);
 
 #endif
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -9,284 +9,284 @@
 {
 	size_t n = nl__instance__get_packed_size(x);
 	uint8_t *d = malloc(n + 1);
-	struct Nl__Instance *c;
+	struct Nl__Instance *instance;
 
 	if (!d)
 		abort();
 	nl__instance__pack(x, d);
-	c = nl__instance__unpack(NULL, n, d);
+	instance = nl__instance__unpack(NULL, n, d);
 	free(d);
-	if (!c)
+	if (!instance)
 		abort();
-	return c;
+	return instance;
 }
 
-void instances_open(struct instances *s)
+void instances_open(struct instances *instances)
 {
-	memset(s, 0, sizeof *s);
-	sh_new_strdup(s->h);
+	memset(instances, 0, sizeof *instances);
+	sh_new_strdup(instances->rows);
 }
 
-void instances_close(struct instances *s)
+void instances_close(struct instances *instances)
 {
-	for (ptrdiff_t i = 0; i < shlen(s->h); i++)
-		nl__instance__free_unpacked(s->h[i].value.s, NULL);
-	shfree(s->h);
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
+		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
+	shfree(instances->rows);
 }
 
-const struct Nl__Instance *instances_get(const struct instances *s, const char *name)
+const struct Nl__Instance *instances_get(const struct instances *instances, const char *name)
 {
-	struct instances_row *h = s->h;
-	ptrdiff_t i = shgeti(h, name);
+	struct instances_row *instances_row = instances->rows;
+	ptrdiff_t i = shgeti(instances_row, name);
 
-	return i < 0 ? NULL : h[i].value.s;
+	return i < 0 ? NULL : instances_row[i].value.instance;
 }
 
 /* Put a copy in place of what stands there. */
 static typeof(((struct instances_row *)0)->value) *put(struct instances *s, const struct Nl__Instance *x)
 {
-	ptrdiff_t i = shgeti(s->h, x->server);
-	struct Nl__Instance *c = copy(x);
+	ptrdiff_t i = shgeti(s->rows, x->server);
+	struct Nl__Instance *instance = copy(x);
 
 	if (i >= 0) {
-		nl__instance__free_unpacked(s->h[i].value.s, NULL);
-		s->h[i].value.s = c;
+		nl__instance__free_unpacked(s->rows[i].value.instance, NULL);
+		s->rows[i].value.instance = instance;
 	} else {
-		shput(s->h, c->server, ((typeof(s->h->value)){ c, 0, 0, 0, 0 }));
+		shput(s->rows, instance->server, ((typeof(s->rows->value)){ instance, 0, 0, 0, 0 }));
 	}
-	return &shgetp(s->h, c->server)->value; /* x may have stood on the old one */
+	return &shgetp(s->rows, instance->server)->value; /* x may have stood on the old one */
 }
 
-static void forget(struct instances *s, int64_t now)
+static void forget(struct instances *instances, int64_t now)
 {
-	for (ptrdiff_t i = shlen(s->h) - 1; i >= 0; i--) {
-		struct Nl__Instance *x = s->h[i].value.s;
+	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0; i--) {
+		struct Nl__Instance *instance = instances->rows[i].value.instance;
 
-		if (x->state != INSTANCE_GONE || now - s->h[i].value.gone < INSTANCES_TOMB)
+		if (instance->state != INSTANCE_REMOVED || now - instances->rows[i].value.removed_at_ms < INSTANCES_TOMBSTONE_MS)
 			continue;
-		if (x->stamp > s->forgotten)
-			s->forgotten = x->stamp;
-		(void)shdel(s->h, s->h[i].key);
-		nl__instance__free_unpacked(x, NULL);
+		if (instance->stamp > instances->compacted_stamp)
+			instances->compacted_stamp = instance->stamp;
+		(void)shdel(instances->rows, instances->rows[i].key);
+		nl__instance__free_unpacked(instance, NULL);
 	}
 }
 
 /* ---- the owner's side ---------------------------------------------------------- */
 
-static void stamp(struct instances *s, struct Nl__Instance *x, int64_t now)
+static void assign_stamp(struct instances *instances, struct Nl__Instance *instance, int64_t now)
 {
-	x->stamp = ++s->stamp;
-	s->changed = now;
+	instance->stamp = ++instances->stamp;
+	instances->changed_at_ms = now;
 }
 
-void instances_begin(struct instances *s, const struct instances *f, uint64_t term, int64_t now)
+void instances_start_term(struct instances *s, const struct instances *followed, uint64_t term, int64_t now)
 {
 	instances_close(s);
 	instances_open(s);
 	s->term = term;
 	s->stamp = term << 24;
-	s->due = s->changed = now;
-	for (ptrdiff_t i = 0; i < shlen(f->h); i++) {
-		typeof(f->h->value) *v = put(s, f->h[i].value.s);
+	s->poll_not_before_ms = s->changed_at_ms = now;
+	for (ptrdiff_t i = 0; i < shlen(followed->rows); i++) {
+		typeof(followed->rows->value) *v = put(s, followed->rows[i].value.instance);
 
-		v->gone = f->h[i].value.gone;
-		v->ended = v->s->state == INSTANCE_DRAINING;
-		v->s->stamp = ++s->stamp;
+		v->removed_at_ms = followed->rows[i].value.removed_at_ms;
+		v->has_ended = v->instance->state == INSTANCE_DRAINING;
+		v->instance->stamp = ++s->stamp;
 	}
 }
 
-void instances_tick(struct instances *s, int soon, int mille, uint64_t token, int64_t now, struct out *o)
+void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct out *out)
 {
-	int64_t every = soon || now - s->changed < INSTANCES_LATELY ? INSTANCES_SOON : INSTANCES_CALM;
+	int64_t interval_ms = poll_fast || now - instances->changed_at_ms < INSTANCES_RECENT_CHANGE_MS ? INSTANCES_FAST_POLL_MS : INSTANCES_POLL_MS;
 
-	forget(s, now);
-	if (mille <= 0)
+	forget(instances, now);
+	if (rate_mille <= 0)
 		return;
-	if (every < 3000000 / mille) /* at most a third of what the whole fleet may call */
-		every = 3000000 / mille;
-	if ((s->call && now - s->called < INSTANCES_LOST) || (s->called && now - s->called < every) || now < s->due)
+	if (interval_ms < 3000000 / rate_mille) /* at most a third of what the whole fleet may call */
+		interval_ms = 3000000 / rate_mille;
+	if ((instances->poll_token && now - instances->polled_at_ms < INSTANCES_POLL_TIMEOUT_MS) || (instances->polled_at_ms && now - instances->polled_at_ms < interval_ms) || now < instances->poll_not_before_ms)
 		return;
-	s->call = token;
-	s->called = now;
-	out_cmd(o, CMD_LIST)->u.list.token = token;
+	instances->poll_token = token;
+	instances->polled_at_ms = now;
+	command_add(out, CMD_LIST_SERVERS)->args.list_servers.token = token;
 }
 
 /* Time runs down by itself where it is known: only its beginning and its end are news. */
-static int differs(const struct Nl__Instance *a, const struct Nl__Instance *b)
+static int instances_differ(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
 	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) || a->slots != b->slots ||
 	       a->state != b->state || strcmp(a->weights, b->weights) || a->loading != b->loading || !a->cold_ms != !b->cold_ms;
 }
 
-static void one_listed(struct instances *s, const struct Nl__Instance *is, int64_t now)
+static void merge_listed(struct instances *instances, const struct Nl__Instance *listed, int64_t now)
 {
-	ptrdiff_t i = shgeti(s->h, is->server);
-	struct Nl__Instance x = *is;
-	const struct Nl__Instance *was;
+	ptrdiff_t i = shgeti(instances->rows, listed->server);
+	struct Nl__Instance merged = *listed;
+	const struct Nl__Instance *previous;
 
 	if (i < 0) {
-		x.loading = 0;
-		stamp(s, put(s, &x)->s, now);
-		s->h[shgeti(s->h, is->server)].value.ended = x.state != INSTANCE_SERVING;
+		merged.loading = 0;
+		assign_stamp(instances, put(instances, &merged)->instance, now);
+		instances->rows[shgeti(instances->rows, listed->server)].value.has_ended = merged.state != INSTANCE_SERVING;
 		return;
 	}
-	was = s->h[i].value.s;
-	s->h[i].value.missed = 0;
-	if (was->state == INSTANCE_GONE && (s->h[i].value.ended || now - s->h[i].value.gone < INSTANCES_BACK))
+	previous = instances->rows[i].value.instance;
+	instances->rows[i].value.missed_polls = 0;
+	if (previous->state == INSTANCE_REMOVED && (instances->rows[i].value.has_ended || now - instances->rows[i].value.removed_at_ms < INSTANCES_RETURN_DELAY_MS))
 		return;
-	if (x.state == INSTANCE_DRAINING)
-		s->h[i].value.ended = 1;
-	else if (s->h[i].value.ended)
-		x.state = INSTANCE_DRAINING;
-	x.loading = was->loading; /* the list doesn't tell */
-	if (s->called < s->h[i].value.firm)
-		x.weights = was->weights;
-	if (differs(was, &x))
-		stamp(s, put(s, &x)->s, now);
+	if (merged.state == INSTANCE_DRAINING)
+		instances->rows[i].value.has_ended = 1;
+	else if (instances->rows[i].value.has_ended)
+		merged.state = INSTANCE_DRAINING;
+	merged.loading = previous->loading; /* the list doesn't tell */
+	if (instances->polled_at_ms < instances->rows[i].value.report_valid_until_ms)
+		merged.weights = previous->weights;
+	if (instances_differ(previous, &merged))
+		assign_stamp(instances, put(instances, &merged)->instance, now);
 }
 
 static void gone(struct instances *s, ptrdiff_t i, int64_t now)
 {
-	s->h[i].value.s->state = INSTANCE_GONE;
-	s->h[i].value.s->loading = 0;
-	s->h[i].value.gone = now;
-	stamp(s, s->h[i].value.s, now);
+	s->rows[i].value.instance->state = INSTANCE_REMOVED;
+	s->rows[i].value.instance->loading = 0;
+	s->rows[i].value.removed_at_ms = now;
+	assign_stamp(s, s->rows[i].value.instance, now);
 }
 
-void instances_listed(struct instances *s, uint64_t token, int ok, struct Nl__Instance *const *v, size_t n, int64_t now)
+void instances_on_list(struct instances *instances, uint64_t token, int succeeded, struct Nl__Instance *const *listed, size_t count, int64_t now)
 {
-	int missed = 0;
+	int any_missed = 0;
 
-	if (!s->term || !token || token != s->call)
+	if (!instances->term || !token || token != instances->poll_token)
 		return;
-	s->call = 0;
+	instances->poll_token = 0;
 	/* timed from the asking: what this process reads only after it stood still shows servers that may have left since */
-	if (now - s->called > INSTANCES_LOST)
-		ok = 0;
-	if (!ok) {
-		s->changed = now; /* again soon: a server may have begun to leave */
+	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
+		succeeded = 0;
+	if (!succeeded) {
+		instances->changed_at_ms = now; /* again soon: a server may have begun to leave */
 		return;
 	}
-	for (ptrdiff_t i = 0; i < shlen(s->h); i++)
-		s->h[i].value.missed++;
-	for (size_t i = 0; i < n; i++)
-		if (v[i]->server[0] && v[i]->state <= INSTANCE_DRAINING)
-			one_listed(s, v[i], now);
-	for (ptrdiff_t i = 0; i < shlen(s->h); i++) {
-		if (s->h[i].value.s->state == INSTANCE_GONE)
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
+		instances->rows[i].value.missed_polls++;
+	for (size_t i = 0; i < count; i++)
+		if (listed[i]->server[0] && listed[i]->state <= INSTANCE_DRAINING)
+			merge_listed(instances, listed[i], now);
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
+		if (instances->rows[i].value.instance->state == INSTANCE_REMOVED)
 			continue;
-		if (s->h[i].value.missed >= INSTANCES_MISSED)
-			gone(s, i, now);
-		else if (s->h[i].value.missed)
-			missed = 1;
+		if (instances->rows[i].value.missed_polls >= INSTANCES_MAX_MISSED_POLLS)
+			gone(instances, i, now);
+		else if (instances->rows[i].value.missed_polls)
+			any_missed = 1;
 	}
-	if (missed)
-		s->changed = now; /* look again soon */
+	if (any_missed)
+		instances->changed_at_ms = now; /* look again soon */
 	/* what this owner followed may be older than what others did: told once no server of it is in doubt */
-	if (!s->listed && (++s->lists >= INSTANCES_MISSED || !missed)) {
-		s->listed = 1;
-		s->stamp++; /* an empty list is something to tell too */
+	if (!instances->is_publishable && (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missed)) {
+		instances->is_publishable = 1;
+		instances->stamp++; /* an empty list is something to tell too */
 	}
 }
 
-void instances_set_weights(struct instances *s, const char *name, const char *weights, int loading, int64_t now)
+void instances_set_weights(struct instances *instances, const char *name, const char *weights, int loading, int64_t now)
 {
-	ptrdiff_t i = shgeti(s->h, name);
-	struct Nl__Instance x;
+	ptrdiff_t i = shgeti(instances->rows, name);
+	struct Nl__Instance instance;
 
-	if (i < 0 || s->h[i].value.s->state == INSTANCE_GONE)
+	if (i < 0 || instances->rows[i].value.instance->state == INSTANCE_REMOVED)
 		return;
-	x = *s->h[i].value.s;
-	x.weights = (char *)weights;
-	x.loading = loading;
-	s->h[i].value.firm = now + INSTANCES_FIRM;
-	if (differs(s->h[i].value.s, &x))
-		stamp(s, put(s, &x)->s, now);
+	instance = *instances->rows[i].value.instance;
+	instance.weights = (char *)weights;
+	instance.loading = loading;
+	instances->rows[i].value.report_valid_until_ms = now + INSTANCES_REPORT_VALID_MS;
+	if (instances_differ(instances->rows[i].value.instance, &instance))
+		assign_stamp(instances, put(instances, &instance)->instance, now);
 }
 
-void instances_end(struct instances *s, const char *name, int64_t now)
+void instances_mark_ended(struct instances *instances, const char *name, int64_t now)
 {
-	ptrdiff_t i = shgeti(s->h, name);
+	ptrdiff_t i = shgeti(instances->rows, name);
 
 	if (i < 0)
 		return;
-	s->h[i].value.ended = 1;
-	if (s->h[i].value.s->state != INSTANCE_GONE)
-		gone(s, i, now);
+	instances->rows[i].value.has_ended = 1;
+	if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
+		gone(instances, i, now);
 }
 
-void instances_since(const struct instances *s, uint64_t have, struct Nl__ConfigSyncReply *a, apr_pool_t *p)
+void instances_pack_since(const struct instances *instances, uint64_t known_stamp, struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
-	if (!s->term || !s->listed)
+	if (!instances->term || !instances->is_publishable)
 		return; /* what followers have is better than what this owner was told itself */
-	a->instances = s->stamp;
-	a->instances_whole = have >> 24 != s->term || have > s->stamp || have < s->forgotten;
-	if (!a->instances_whole && have == s->stamp)
+	reply->instances = instances->stamp;
+	reply->instances_whole = known_stamp >> 24 != instances->term || known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
+	if (!reply->instances_whole && known_stamp == instances->stamp)
 		return;
-	a->instance = apr_palloc(p, ((size_t)shlen(s->h) + 1) * sizeof *a->instance);
-	for (ptrdiff_t i = 0; i < shlen(s->h); i++)
-		if (a->instances_whole || s->h[i].value.s->stamp > have)
-			a->instance[a->n_instance++] = (struct Nl__Instance *)core_dup(p, &s->h[i].value.s->base);
+	reply->instance = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instance);
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
+		if (reply->instances_whole || instances->rows[i].value.instance->stamp > known_stamp)
+			reply->instance[reply->n_instance++] = (struct Nl__Instance *)core_copy_message(pool, &instances->rows[i].value.instance->base);
 }
 
 /* ---- a follower's side ----------------------------------------------------------- */
 
-int instances_follow(struct instances *s, const struct Nl__ConfigSyncReply *a, int64_t now)
+int instances_apply_reply(struct instances *instances, const struct Nl__ConfigSyncReply *reply, int64_t now)
 {
 	int changed = 0;
 
-	forget(s, now);
-	if (a->instances <= s->stamp || (!a->instances_whole && a->instances >> 24 != s->stamp >> 24))
+	forget(instances, now);
+	if (reply->instances <= instances->stamp || (!reply->instances_whole && reply->instances >> 24 != instances->stamp >> 24))
 		return 0;
-	for (ptrdiff_t i = shlen(s->h) - 1; i >= 0 && a->instances_whole; i--) {
-		int there = 0;
+	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0 && reply->instances_whole; i--) {
+		int is_listed = 0;
 
-		for (size_t k = 0; k < a->n_instance && !there; k++)
-			there = !strcmp(a->instance[k]->server, s->h[i].key);
-		if (there)
+		for (size_t k = 0; k < reply->n_instance && !is_listed; k++)
+			is_listed = !strcmp(reply->instance[k]->server, instances->rows[i].key);
+		if (is_listed)
 			continue;
 		changed = 1;
-		nl__instance__free_unpacked(s->h[i].value.s, NULL);
-		(void)shdel(s->h, s->h[i].key);
+		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
+		(void)shdel(instances->rows, instances->rows[i].key);
 	}
-	for (size_t k = 0; k < a->n_instance; k++) {
-		struct Nl__Instance x = *a->instance[k];
-		const struct Nl__Instance *was = instances_get(s, x.server);
-		typeof(s->h->value) *v;
+	for (size_t k = 0; k < reply->n_instance; k++) {
+		struct Nl__Instance received = *reply->instance[k];
+		const struct Nl__Instance *previous = instances_get(instances, received.server);
+		typeof(instances->rows->value) *v;
 
-		if (!x.server[0])
+		if (!received.server[0])
 			continue;
-		if (was && was->state == INSTANCE_DRAINING && x.state == INSTANCE_SERVING)
-			x.state = INSTANCE_DRAINING; /* an owner that knows less than the one before */
-		changed |= !was || differs(was, &x);
-		v = put(s, &x);
-		if (x.state == INSTANCE_GONE && !v->gone)
-			v->gone = now;
-		else if (x.state != INSTANCE_GONE)
-			v->gone = 0;
+		if (previous && previous->state == INSTANCE_DRAINING && received.state == INSTANCE_SERVING)
+			received.state = INSTANCE_DRAINING; /* an owner that knows less than the one before */
+		changed |= !previous || instances_differ(previous, &received);
+		v = put(instances, &received);
+		if (received.state == INSTANCE_REMOVED && !v->removed_at_ms)
+			v->removed_at_ms = now;
+		else if (received.state != INSTANCE_REMOVED)
+			v->removed_at_ms = 0;
 	}
-	s->stamp = a->instances;
+	instances->stamp = reply->instances;
 	return changed;
 }
 
-struct json_object *instances_json(const struct instances *s)
+struct json_object *instances_json(const struct instances *instances)
 {
 	static const char *const states[] = { "serving", "draining", "gone" };
 	struct json_object *a = json_object_new_array();
 
-	for (ptrdiff_t i = 0; i < shlen(s->h); i++) {
-		const struct Nl__Instance *x = s->h[i].value.s;
-		struct json_object *j = json_object_new_object();
-
-		json_object_object_add(j, "server", json_object_new_string(x->server));
-		json_object_object_add(j, "service", json_object_new_string(x->service));
-		json_object_object_add(j, "addr", json_object_new_string(x->addr));
-		json_object_object_add(j, "zone", json_object_new_string(x->zone));
-		json_object_object_add(j, "state",
-				       json_object_new_string(states[x->state > INSTANCE_GONE ? INSTANCE_GONE : x->state]));
-		json_object_object_add(j, "weights", json_object_new_string(x->weights));
-		json_object_object_add(j, "loading", json_object_new_boolean(x->loading));
-		json_object_array_add(a, j);
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
+		const struct Nl__Instance *instance = instances->rows[i].value.instance;
+		struct json_object *json = json_object_new_object();
+
+		json_object_object_add(json, "server", json_object_new_string(instance->server));
+		json_object_object_add(json, "service", json_object_new_string(instance->service));
+		json_object_object_add(json, "addr", json_object_new_string(instance->addr));
+		json_object_object_add(json, "zone", json_object_new_string(instance->zone));
+		json_object_object_add(json, "state",
+				       json_object_new_string(states[instance->state > INSTANCE_REMOVED ? INSTANCE_REMOVED : instance->state]));
+		json_object_object_add(json, "weights", json_object_new_string(instance->weights));
+		json_object_object_add(json, "loading", json_object_new_boolean(instance->loading));
+		json_object_array_add(a, json);
 	}
 	return a;
 }
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -3,24 +3,24 @@
 #include "group_clock.h"
 
 /* Twice the bound: a node that has just been given a longer one may still need the dates in between. */
-static void date_operation(const struct controller *r, struct Nl__Op *op, int64_t now)
+static void date_operation(const struct controller *controller, struct Nl__Op *operation, int64_t now)
 {
-	op->at = group_clock_now(r, now);
-	if (op->op_case == NL__OP__OP_CHANGE)
-		op->change->bound_passed = group_clock_before(r, 2 * (int64_t)r->b.roll_ms, now);
+	operation->at = group_clock_now(controller, now);
+	if (operation->op_case == NL__OP__OP_CHANGE)
+		operation->change->bound_passed = group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
 }
 
-uint64_t log_operation(struct controller *r, uint32_t part, struct Nl__Op *op, int64_t now, struct out *o)
+uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Op *operation, int64_t now, struct out *out)
 {
-	size_t n;
-	uint8_t *d;
+	size_t size;
+	uint8_t *packed;
 
-	if (!leads_shard(r, part, now))
+	if (!leads_shard(controller, shard, now))
 		return 0;
-	op->clock = (uint64_t)(now - r->clock_at[part]);
-	r->clock_at[part] = now;
-	if (part == SHARD_CONTROL)
-		date_operation(r, op, now);
-	d = core_pack(o->p, &op->base, &n);
-	return raft_propose(&r->part[part], d, n, now);
+	operation->clock = (uint64_t)(now - controller->clock_advanced_at_ms[shard]);
+	controller->clock_advanced_at_ms[shard] = now;
+	if (shard == SHARD_CONTROL)
+		date_operation(controller, operation, now);
+	packed = core_pack_message(out->pool, &operation->base, &size);
+	return raft_propose(&controller->shards[shard], packed, size, now);
 }
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -7,27 +7,27 @@
 #include "controller.h"
 
 /* Leased, and all that was committed before has been applied here. */
-static inline int leads_shard(const struct controller *r, uint32_t part, int64_t now)
+static inline int leads_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
-	return raft_has_lease(&r->part[part], now) && r->leader_term[part] == r->part[part].term;
+	return raft_has_lease(&controller->shards[shard], now) && controller->leader_term[shard] == controller->shards[shard].term;
 }
 
 /* Who owns a part, as far as this member has heard within its promise; an older word would send others to the dead. */
-static inline uint64_t leader_hint(const struct controller *r, uint32_t part, int64_t now)
+static inline uint64_t leader_hint(const struct controller *controller, uint32_t shard, int64_t now)
 {
-	const struct raft *p = &r->part[part];
+	const struct raft *raft = &controller->shards[shard];
 
-	return now < p->vote_barrier_until || raft_has_lease(p, now) ? p->leader_addr : 0;
+	return now < raft->vote_barrier_until_ms || raft_has_lease(raft, now) ? raft->leader_addr : 0;
 }
 
 /* Whether the configuration's leader was heard so lately that asking it makes sense. */
-static inline int leader_in_reach(const struct controller *r, int64_t now)
+static inline int leader_reachable(const struct controller *controller, int64_t now)
 {
-	return leads_shard(r, SHARD_CONTROL, now) || config_watch_age(&r->f, now) <= CONFIG_WATCH_SILENT;
+	return leads_shard(controller, SHARD_CONTROL, now) || config_watch_age_ms(&controller->config_watch, now) <= CONFIG_WATCH_LEADER_TIMEOUT_MS;
 }
 
 /* Log an operation of this part, stamped with the part's own clock; its index, or 0 when this is not its leader.
  * Example: w.index = log_operation(r, SHARD_CONTROL, &op, now, o); */
-uint64_t log_operation(struct controller *r, uint32_t part, struct Nl__Op *op, int64_t now, struct out *o);
+uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Op *operation, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -9,48 +9,48 @@
 #include "controller_private.h"
 
 /* Taking office comes after all that is committed has been applied, leaving it before. */
-void on_leadership_gained(struct controller *r, uint32_t i, int64_t now, struct out *o)
+void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct out *out)
 {
-	struct raft *p = &r->part[i];
+	struct raft *raft = &controller->shards[shard];
 
-	if (raft_has_lease(p, now) && r->leader_term[i] != p->term) {
-		r->leader_term[i] = p->term;
-		r->leader_since[i] = r->clock_at[i] = now;
-		log_line(r, "part", o->p, "Part %u is owned here from term %" APR_UINT64_T_FMT ".", i, p->term);
-		if (i == SHARD_CONTROL) {
-			group_clock_lead(r, now);
-			arrsetlen(r->seen, 0);
-			quota_shares_clear(r);
-			rollout_start(r, now);
-			r->ret.logged = 0;
+	if (raft_has_lease(raft, now) && controller->leader_term[shard] != raft->term) {
+		controller->leader_term[shard] = raft->term;
+		controller->leader_since_ms[shard] = controller->clock_advanced_at_ms[shard] = now;
+		log_line(controller, "part", out->pool, "Part %u is owned here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
+		if (shard == SHARD_CONTROL) {
+			group_clock_lead(controller, now);
+			arrsetlen(controller->node_statuses, 0);
+			quota_shares_clear(controller);
+			rollout_start_term(controller, now);
+			controller->retention.logged_index = 0;
 		}
-		if (i == SHARD_PURGE)
-			publisher_start(r, now, o);
+		if (shard == SHARD_PURGE)
+			publisher_start(controller, now, out);
 	}
 }
 
-void on_leadership_lost(struct controller *r, uint32_t i, int64_t now, struct out *o)
+void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct out *out)
 {
-	struct raft *p = &r->part[i];
+	struct raft *raft = &controller->shards[shard];
 
-	if (i == SHARD_PURGE && r->relay.publisher && !raft_has_lease(p, now)) {
+	if (shard == SHARD_PURGE && controller->relay.is_publisher && !raft_has_lease(raft, now)) {
 		/* between leases nothing is declared; as owner of the same term it goes on after the next */
-		if (p->role != RAFT_LEADER) {
-			r->relay.publisher = 0;
-			arrsetlen(r->relay.up, 0);
-			log_line(r, "purge", o->p, "The publisher's licence is lost here.");
+		if (raft->role != RAFT_LEADER) {
+			controller->relay.is_publisher = 0;
+			arrsetlen(controller->relay.upstreams, 0);
+			log_line(controller, "purge", out->pool, "The publisher's licence is lost here.");
 		}
 	}
-	for (ptrdiff_t k = arrlen(r->call) - 1; k >= 0 && i == SHARD_CONTROL && p->role != RAFT_LEADER; k--) {
-		out_answer(o, r->call[k].token, 504, CONTROLLER_RETRY_MS,
-			   error_json(o->p, "leadership lost: outcome unknown, send it again", 0));
-		arrdel(r->call, k);
+	for (ptrdiff_t k = arrlen(controller->logged_calls) - 1; k >= 0 && shard == SHARD_CONTROL && raft->role != RAFT_LEADER; k--) {
+		command_answer(out, controller->logged_calls[k].token, 504, CONTROLLER_RETRY_MS,
+			   error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
+		arrdel(controller->logged_calls, k);
 	}
-	if (p->role != RAFT_LEADER)
-		for (ptrdiff_t k = arrlen(r->wait) - 1; k >= 0; k--)
-			if (r->wait[k].part == i) {
-				reply_to_proposal(r->wait[k].addr, r->wait[k].token, TABLE_BUSY, 0,
-						  "ownership lost: outcome unknown", 0, o);
-				arrdel(r->wait, k);
+	if (raft->role != RAFT_LEADER)
+		for (ptrdiff_t k = arrlen(controller->pending_entries) - 1; k >= 0; k--)
+			if (controller->pending_entries[k].shard == shard) {
+				reply_to_proposal(controller->pending_entries[k].proposer_addr, controller->pending_entries[k].token, PROPOSAL_OUTCOME_UNKNOWN, 0,
+						  "ownership lost: outcome unknown", 0, out);
+				arrdel(controller->pending_entries, k);
 			}
 }
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -8,246 +8,246 @@
 #include "proposals.h"
 #include "controller_private.h"
 
-static const char *table_json(const struct table *t, apr_pool_t *p)
+static const char *config_table_json(const struct config_table *table, apr_pool_t *pool)
 {
-	struct json_object *j = json_object_new_object(), *rows = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *rows = json_object_new_array();
 	const char *s;
 
-	json_object_object_add(j, "edition", json_object_new_int64((int64_t)t->edition));
-	json_object_object_add(j, "plan", json_object_new_int64((int64_t)table_plan(t)));
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++)
-		json_object_array_add(rows, table_row_json(t->h[i].value.row));
-	json_object_object_add(j, "rows", rows);
-	s = apr_pstrdup(p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
+	json_object_object_add(json, "edition", json_object_new_int64((int64_t)table->revision));
+	json_object_object_add(json, "plan", json_object_new_int64((int64_t)config_table_operator_revision(table)));
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		json_object_array_add(rows, config_row_json(table->rows[i].value.row));
+	json_object_object_add(json, "rows", rows);
+	s = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
 	return s;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): a flat list of members */
-static const char *state_json(struct controller *r, int64_t now, apr_pool_t *p)
+static const char *state_json(struct controller *controller, int64_t now, apr_pool_t *pool)
 {
 	static const char *const roles[] = { "standby", "asking", "contender", "owner" };
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
 	const char *s;
 
-	json_object_object_add(j, "scope", json_object_new_string("this node alone"));
-	json_object_object_add(j, "id", json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT, r->id)));
-	json_object_object_add(j, "addr", json_object_new_string(core_addr_str(p, r->addr)));
-	json_object_object_add(j, "fleet", json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT, r->fleet)));
-	json_object_object_add(j, "edition", json_object_new_int64((int64_t)r->f.t.edition));
-	json_object_object_add(j, "age_ms", json_object_new_int64(config_watch_age(&r->f, now)));
-	json_object_object_add(j, "horizon", json_object_new_int64((int64_t)r->relay.k.horizon));
-	json_object_object_add(j, "publisher", json_object_new_boolean(r->relay.publisher));
+	json_object_object_add(json, "scope", json_object_new_string("this node alone"));
+	json_object_object_add(json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, controller->id)));
+	json_object_object_add(json, "addr", json_object_new_string(core_format_addr(pool, controller->addr)));
+	json_object_object_add(json, "fleet", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, controller->fleet)));
+	json_object_object_add(json, "edition", json_object_new_int64((int64_t)controller->config_watch.table.revision));
+	json_object_object_add(json, "age_ms", json_object_new_int64(config_watch_age_ms(&controller->config_watch, now)));
+	json_object_object_add(json, "horizon", json_object_new_int64((int64_t)controller->relay.knowledge.horizon));
+	json_object_object_add(json, "publisher", json_object_new_boolean(controller->relay.is_publisher));
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		struct raft *q = &r->part[i];
+		struct raft *raft = &controller->shards[i];
 		struct json_object *x = json_object_new_object(), *ms = json_object_new_array();
 
 		json_object_object_add(x, "part", json_object_new_int(i));
-		json_object_object_add(x, "role", json_object_new_string(roles[q->role]));
-		json_object_object_add(x, "licensed", json_object_new_boolean(raft_has_lease(q, now)));
-		json_object_object_add(x, "owner", json_object_new_string(q->leader_addr ? core_addr_str(p, q->leader_addr) : ""));
-		json_object_object_add(x, "term", json_object_new_int64((int64_t)q->term));
-		json_object_object_add(x, "commit", json_object_new_int64((int64_t)q->commit));
-		for (int k = 0; k < q->member_count; k++)
+		json_object_object_add(x, "role", json_object_new_string(roles[raft->role]));
+		json_object_object_add(x, "licensed", json_object_new_boolean(raft_has_lease(raft, now)));
+		json_object_object_add(x, "owner", json_object_new_string(raft->leader_addr ? core_format_addr(pool, raft->leader_addr) : ""));
+		json_object_object_add(x, "term", json_object_new_int64((int64_t)raft->term));
+		json_object_object_add(x, "commit", json_object_new_int64((int64_t)raft->commit_index));
+		for (int k = 0; k < raft->member_count; k++)
 			json_object_array_add(
-			    ms, json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT "@%s%s", q->members[k].id,
-								    core_addr_str(p, q->members[k].addr),
-								    q->members[k].voter ? "" : " (not voting)")));
+			    ms, json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT "@%s%s", raft->members[k].id,
+								    core_format_addr(pool, raft->members[k].addr),
+								    raft->members[k].voter ? "" : " (not voting)")));
 		json_object_object_add(x, "members", ms);
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "parts", a);
+	json_object_object_add(json, "parts", a);
 	a = json_object_new_array();
-	for (ptrdiff_t i = 0; i < arrlen(r->seen) && leads_shard(r, SHARD_CONTROL, now); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses) && leads_shard(controller, SHARD_CONTROL, now); i++) {
 		struct json_object *x = json_object_new_object();
 
-		json_object_object_add(x, "addr", json_object_new_string(core_addr_str(p, r->seen[i].addr)));
-		json_object_object_add(x, "counter", json_object_new_boolean(r->seen[i].counter));
-		json_object_object_add(x, "edition", json_object_new_int64((int64_t)r->seen[i].edition));
-		json_object_object_add(x, "horizon", json_object_new_int64((int64_t)r->seen[i].horizon));
-		json_object_object_add(x, "heard_ms", json_object_new_int64(now - r->seen[i].at));
+		json_object_object_add(x, "addr", json_object_new_string(core_format_addr(pool, controller->node_statuses[i].addr)));
+		json_object_object_add(x, "counter", json_object_new_boolean(controller->node_statuses[i].is_router));
+		json_object_object_add(x, "edition", json_object_new_int64((int64_t)controller->node_statuses[i].revision));
+		json_object_object_add(x, "horizon", json_object_new_int64((int64_t)controller->node_statuses[i].horizon));
+		json_object_object_add(x, "heard_ms", json_object_new_int64(now - controller->node_statuses[i].observed_at_ms));
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "nodes", a);
+	json_object_object_add(json, "nodes", a);
 	a = json_object_new_array();
-	for (ptrdiff_t i = 0; i < arrlen(r->server); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
 		struct json_object *x = json_object_new_object();
 
-		if (!leads_shard(r, core_part_of(r->server[i].service, SHARD_SERVICES), now)) {
+		if (!leads_shard(controller, core_shard_of(controller->rollout_servers[i].service, SHARD_SERVICES), now)) {
 			json_object_put(x);
 			continue;
 		}
-		json_object_object_add(x, "server", json_object_new_string(r->server[i].name));
-		json_object_object_add(x, "weights", json_object_new_string(r->server[i].weights));
-		json_object_object_add(x, "loading", json_object_new_string(r->server[i].loading));
-		json_object_object_add(x, "carried", json_object_new_int64((int64_t)r->server[i].carried));
-		json_object_object_add(x, "reported_ms", json_object_new_int64(now - r->server[i].reported));
+		json_object_object_add(x, "server", json_object_new_string(controller->rollout_servers[i].name));
+		json_object_object_add(x, "weights", json_object_new_string(controller->rollout_servers[i].weights));
+		json_object_object_add(x, "loading", json_object_new_string(controller->rollout_servers[i].loading));
+		json_object_object_add(x, "carried", json_object_new_int64((int64_t)controller->rollout_servers[i].purged_tick));
+		json_object_object_add(x, "reported_ms", json_object_new_int64(now - controller->rollout_servers[i].reported_at_ms));
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "servers", a);
-	json_object_object_add(j, "operator_calls", operator_calls_json(r));
-	if (r->b.instances)
+	json_object_object_add(json, "servers", a);
+	json_object_object_add(json, "operator_calls", operator_calls_json(controller));
+	if (controller->bounds.discover_instances)
 		json_object_object_add(
-		    j, "sights",
-		    instances_json(leads_shard(r, SHARD_CONTROL, now) && r->instances.listed ? &r->instances : &r->f.instances));
-	s = apr_pstrdup(p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
+		    json, "sights",
+		    instances_json(leads_shard(controller, SHARD_CONTROL, now) && controller->instances.is_publishable ? &controller->instances : &controller->config_watch.instances));
+	s = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
 	return s;
 }
 
-void read_state(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void read_state(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	out_answer(o, ev->u.web.token, 200, 0, state_json(r, now, o->p));
+	command_answer(out, event->payload.api_call.token, 200, 0, state_json(controller, now, out->pool));
 }
 
 /* ---- reads on the leader's word -------------------------------------------------------------- */
 
-static void read_begins(struct controller *r, uint64_t web, Nl__ReadKind kind, int64_t now)
+static void begin_read(struct controller *controller, uint64_t call_token, Nl__ReadKind kind, int64_t now)
 {
-	struct controller_read read = { web, ++r->token, kind, now, now };
+	struct controller_pending_read pending = { call_token, ++controller->last_token, kind, now, now };
 
-	arrput(r->reads, read);
+	arrput(controller->pending_reads, pending);
 }
 
-void read_table(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	read_begins(r, ev->u.web.token, NL__READ_KIND__READ_TABLE, now);
-	config_watch_ask(&r->f, r->relay.k.horizon, now, o);
+	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_TABLE, now);
+	config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 }
 
-void read_retention(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void read_retention(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	(void)o;
-	read_begins(r, ev->u.web.token, NL__READ_KIND__READ_RETENTION, now);
+	(void)out;
+	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION, now);
 }
 
-void read_retention_report(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void read_retention_report(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	(void)o;
-	read_begins(r, ev->u.web.token, NL__READ_KIND__READ_RETENTION_REPORT, now);
+	(void)out;
+	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION_REPORT, now);
 }
 
-void on_read_asked(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+void on_read_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
 	struct Nl__ReadReply *reply;
 	struct Nl__Owner *hint;
 	const char *body;
 
-	if (!leads_shard(r, SHARD_CONTROL, now)) {
-		hint = OUT_NEW(o, Nl__Owner, NL__OWNER__INIT);
-		hint->owner = leader_hint(r, SHARD_CONTROL, now);
-		out_msg(o, m->addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = hint;
+	if (!leads_shard(controller, SHARD_CONTROL, now)) {
+		hint = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
+		hint->owner = leader_hint(controller, SHARD_CONTROL, now);
+		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = hint;
 		return;
 	}
-	if (m->read->kind == NL__READ_KIND__READ_RETENTION)
-		body = retention_json(r, now, o->p);
-	else if (m->read->kind == NL__READ_KIND__READ_RETENTION_REPORT)
-		body = retention_csv(r, o->p);
+	if (message->read->kind == NL__READ_KIND__READ_RETENTION)
+		body = retention_json(controller, now, out->pool);
+	else if (message->read->kind == NL__READ_KIND__READ_RETENTION_REPORT)
+		body = retention_csv(controller, out->pool);
 	else
 		return;
-	reply = OUT_NEW(o, Nl__ReadReply, NL__READ_REPLY__INIT);
-	reply->token = m->read->token;
+	reply = OUT_NEW(out, Nl__ReadReply, NL__READ_REPLY__INIT);
+	reply->token = message->read->token;
 	reply->body.data = (uint8_t *)(uintptr_t)body;
 	reply->body.len = strlen(body);
-	out_msg(o, m->addr, SHARD_CONTROL, NL__MSG__BODY_READ_REPLY)->read_reply = reply;
+	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_READ_REPLY)->read_reply = reply;
 }
 
-void on_read_reply(struct controller *r, const struct Nl__ReadReply *reply, int64_t now, struct out *o)
+void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->reads); i++) {
-		const struct controller_read *read = &r->reads[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->pending_reads); i++) {
+		const struct controller_pending_read *pending = &controller->pending_reads[i];
 
-		if (read->token != reply->token || now >= read->asked + CONTROLLER_CALL)
+		if (pending->token != reply->token || now >= pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS)
 			continue;
-		out_answer_until(o, read->web, 200, apr_pstrmemdup(o->p, (const char *)reply->body.data, reply->body.len),
-				 read->asked + CONTROLLER_CALL);
-		arrdel(r->reads, i);
+		command_answer_until(out, pending->call_token, 200, apr_pstrmemdup(out->pool, (const char *)reply->body.data, reply->body.len),
+				 pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
+		arrdel(controller->pending_reads, i);
 		return;
 	}
 }
 
 /* Ask whoever leads, as far as is known. */
-static void read_ask(struct controller *r, struct controller_read *read, int64_t now, struct out *o)
+static void query_leader(struct controller *controller, struct controller_pending_read *pending, int64_t now, struct out *out)
 {
-	struct Nl__Read *ask;
+	struct Nl__Read *query;
 
-	if (read->kind == NL__READ_KIND__READ_TABLE || now < read->again) /* the table comes with the following */
+	if (pending->kind == NL__READ_KIND__READ_TABLE || now < pending->retry_at_ms) /* the table comes with the following */
 		return;
-	read->again = now + CONTROLLER_AGAIN / 4;
-	ask = OUT_NEW(o, Nl__Read, NL__READ__INIT);
-	ask->token = read->token;
-	ask->kind = read->kind;
-	out_msg(o, config_watch_leader_addr(&r->f, SHARD_CONTROL), SHARD_CONTROL, NL__MSG__BODY_READ)->read = ask;
+	pending->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS / 4;
+	query = OUT_NEW(out, Nl__Read, NL__READ__INIT);
+	query->token = pending->token;
+	query->kind = pending->kind;
+	command_send(out, config_watch_leader_addr(&controller->config_watch, SHARD_CONTROL), SHARD_CONTROL, NL__MSG__BODY_READ)->read = query;
 }
 
-void table_reads_tick(struct controller *r, int64_t now, struct out *o)
+void reads_tick(struct controller *controller, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(r->reads) - 1; i >= 0; i--) {
-		struct controller_read *read = &r->reads[i];
-		int fresh = read->kind == NL__READ_KIND__READ_TABLE && r->f.fresh >= read->asked;
-
-		if (fresh) {
-			out_answer_until(o, read->web, 200, table_json(&r->f.t, o->p), read->asked + CONTROLLER_CALL);
-		} else if (leader_in_reach(r, now) && now < read->asked + CONTROLLER_CALL) {
-			read_ask(r, read, now, o);
+	for (ptrdiff_t i = arrlen(controller->pending_reads) - 1; i >= 0; i--) {
+		struct controller_pending_read *pending = &controller->pending_reads[i];
+		int is_current = pending->kind == NL__READ_KIND__READ_TABLE && controller->config_watch.fetched_at_ms >= pending->requested_at_ms;
+
+		if (is_current) {
+			command_answer_until(out, pending->call_token, 200, config_table_json(&controller->config_watch.table, out->pool), pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
+		} else if (leader_reachable(controller, now) && now < pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS) {
+			query_leader(controller, pending, now, out);
 			continue;
 		} else {
-			refuse_without_leader(read->web, o);
+			reject_without_leader(pending->call_token, out);
 		}
-		arrdel(r->reads, i);
+		arrdel(controller->pending_reads, i);
 	}
 }
 
 /* ---- orders that are passed on to the leader --------------------------------------------------- */
 
 /* Who sent an order and what it is, so that it is known when it is sent again. 0: its key is none, and it is answered so. */
-static int order_of(const struct controller_ev *ev, int versioned, uint64_t version, struct order_id *id, struct out *o)
+static int identify_request(const struct controller_event *event, int versioned, uint64_t base_version, struct request_key *key, struct out *out)
 {
-	if (ev->u.web.key && !order_key_valid(ev->u.web.key)) {
-		out_answer(o, ev->u.web.token, 400, 0, error_json(o->p, ORDER_KEY_INVALID, 0));
+	if (event->payload.api_call.idempotency_key && !idempotency_key_is_valid(event->payload.api_call.idempotency_key)) {
+		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, ORDER_KEY_INVALID, 0));
 		return 0;
 	}
-	order_identify(id, ev->u.web.key, ev->u.web.path, versioned, version, ev->u.web.body, strlen(ev->u.web.body));
+	request_key_init(key, event->payload.api_call.idempotency_key, event->payload.api_call.path, versioned, base_version, event->payload.api_call.body, strlen(event->payload.api_call.body));
 	return 1;
 }
 
-void change_table(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void change_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	struct Nl__OrderId order = NL__ORDER_ID__INIT;
-	struct Nl__Op op = NL__OP__INIT;
-	struct order_id id;
-	const char *why = NULL;
-
-	op.op_case = NL__OP__OP_CHANGE;
-	op.change = table_change_parse(ev->u.web.body, o->p, &why);
-	if (why) { /* no change at all, whatever the table holds: that is for the leader to judge */
-		out_answer(o, ev->u.web.token, 400, 0, error_json(o->p, why, 0));
+	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
+	struct request_key key;
+	const char *error = NULL;
+
+	operation.op_case = NL__OP__OP_CHANGE;
+	operation.change = config_change_parse(event->payload.api_call.body, out->pool, &error);
+	if (error) { /* no change at all, whatever the table holds: that is for the leader to judge */
+		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, error, 0));
 		return;
 	}
-	if (!order_of(ev, !op.change->any, op.change->expect, &id, o))
+	if (!identify_request(event, !operation.change->any, operation.change->expect, &key, out))
 		return;
-	op.order = order_pack(&id, &order);
-	propose(r, SHARD_CONTROL, &op, ev->u.web.token, now);
+	operation.order = request_key_pack(&key, &packed_key);
+	propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
 }
 
-void clear_context(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void purge_context(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	struct json_object *j = json_tokener_parse(ev->u.web.body);
-	struct Nl__OrderId order = NL__ORDER_ID__INIT;
-	struct Nl__Op op = NL__OP__INIT;
-	struct Nl__Clear c = NL__CLEAR__INIT;
-	struct order_id id;
-
-	op.op_case = NL__OP__OP_CLEAR;
-	op.clear = &c;
-	c.step = NL__CLEAR_STEP__CLEAR_NOW;
-	c.scope = (char *)json_str(j, "scope");
-	c.by = (char *)(json_str(j, "by")[0] ? json_str(j, "by") : "an operator");
-	if (strpbrk(c.by, ",\"\r\n") || strlen(c.by) > 100) {
-		out_answer(o, ev->u.web.token, 400, 0, error_json(o->p, "by: up to 100 characters without commas and quotes", 0));
-	} else if (order_of(ev, 0, 0, &id, o)) {
-		op.order = order_pack(&id, &order);
-		propose(r, SHARD_CONTROL, &op, ev->u.web.token, now);
+	struct json_object *json = json_tokener_parse(event->payload.api_call.body);
+	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Clear clear = NL__CLEAR__INIT;
+	struct request_key key;
+
+	operation.op_case = NL__OP__OP_CLEAR;
+	operation.clear = &clear;
+	clear.step = NL__CLEAR_STEP__CLEAR_NOW;
+	clear.scope = (char *)json_string_member(json, "scope");
+	clear.by = (char *)(json_string_member(json, "by")[0] ? json_string_member(json, "by") : "an operator");
+	if (strpbrk(clear.by, ",\"\r\n") || strlen(clear.by) > 100) {
+		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, "by: up to 100 characters without commas and quotes", 0));
+	} else if (identify_request(event, 0, 0, &key, out)) {
+		operation.order = request_key_pack(&key, &packed_key);
+		propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
 	}
-	json_object_put(j);
+	json_object_put(json);
 }
--- a/lib/control/operator_calls.h
+++ b/lib/control/operator_calls.h
@@ -18,24 +18,24 @@
 struct operator_calls {
 	uint64_t read;
 	uint64_t answered; /* by the leader's word, or sent to the leader's address */
-	uint64_t refused;  /* 503: nothing was logged */
+	uint64_t rejected;  /* 503: nothing was logged */
 	uint64_t unknown;  /* 504: it may be sent again */
-	uint64_t gone;     /* the caller left before */
+	uint64_t disconnected;     /* the caller left before */
 };
 
 /* Count the answers among the commands from a position on. Example: operator_calls_count(&r->calls, o, from); */
-void operator_calls_count(struct operator_calls *calls, const struct out *o, ptrdiff_t from);
+void operator_calls_count(struct operator_calls *calls, const struct out *out, ptrdiff_t from);
 
 /* How many calls wait for an answer. Example: if (operator_calls_open(r)) wait(); */
-uint64_t operator_calls_open(const struct controller *r);
+uint64_t operator_calls_open(const struct controller *controller);
 
 /* Whether all that was read is answered, open, or its caller gone. Example: assert(operator_calls_balance(r)); */
-int operator_calls_balance(const struct controller *r);
+int operator_calls_are_balanced(const struct controller *controller);
 
 /* A caller has left: nothing is said to it any more. What it asked for goes on. Example: operator_calls_gone(r, token); */
-void operator_calls_gone(struct controller *r, uint64_t token);
+void operator_calls_disconnected(struct controller *controller, uint64_t token);
 
 /* The counts as the state shows them. Example: json_object_object_add(j, "operator_calls", operator_calls_json(r)); */
-struct json_object *operator_calls_json(const struct controller *r);
+struct json_object *operator_calls_json(const struct controller *controller);
 
 #endif
