--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -10,147 +10,147 @@
 #include "state_machine.h"
 
 /* Log a change and answer when it is committed. */
-static void log_and_answer(struct controller *r, uint64_t token, struct Nl__Change *c, const struct order_id *id, int64_t now,
-			   struct out *o)
+static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change, const struct request_key *key, int64_t now,
+			   struct out *out)
 {
-	struct controller_call w = { token, 0, *id, now + CONTROLLER_CALL };
-	struct Nl__OrderId order = NL__ORDER_ID__INIT;
-	struct Nl__Op op = NL__OP__INIT;
+	struct controller_logged_call waiting = { token, 0, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
+	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
 
-	op.op_case = NL__OP__OP_CHANGE;
-	op.change = c;
-	op.order = order_pack(id, &order);
-	w.index = log_operation(r, SHARD_CONTROL, &op, now, o);
-	if (w.index)
-		arrput(r->call, w);
+	operation.op_case = NL__OP__OP_CHANGE;
+	operation.change = change;
+	operation.order = request_key_pack(key, &packed_key);
+	waiting.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
+	if (waiting.log_index)
+		arrput(controller->logged_calls, waiting);
 	else
-		refuse_without_leader(token, o);
+		reject_without_leader(token, out);
 }
 
 /* An order that was accepted is acknowledged again; one that is being logged is waited for. 1: it was such a one. */
-static int answer_repeated(struct controller *r, uint64_t token, const struct order_id *id, int64_t now, struct out *o)
+static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key, int64_t now, struct out *out)
 {
-	const struct order_record *accepted = orders_find(&r->orders, id);
+	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, key);
 
 	if (accepted) {
-		if (order_outcome(accepted, id) == TABLE_DONE)
-			out_answer(o, token, 200, 0, "{}");
+		if (repeated_request_status(accepted, key) == PROPOSAL_DONE)
+			command_answer(out, token, 200, 0, "{}");
 		else
-			out_answer(o, token, 422, 0, error_json(o->p, ORDER_KEY_REUSED, 0));
+			command_answer(out, token, 422, 0, error_json(out->pool, ORDER_KEY_REUSED, 0));
 		return 1;
 	}
-	for (ptrdiff_t i = 0; i < arrlen(r->call); i++)
-		if (order_same(&r->call[i].order, id)) {
-			struct controller_call w = { token, r->call[i].index, *id, now + CONTROLLER_CALL };
+	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
+		if (request_key_equal(&controller->logged_calls[i].request_key, key)) {
+			struct controller_logged_call waiting = { token, controller->logged_calls[i].log_index, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
 
-			arrput(r->call, w);
+			arrput(controller->logged_calls, waiting);
 			return 1;
 		}
 	return 0;
 }
 
 /* A document that builds on another version is late, unless it may be an order that was accepted and is forgotten. */
-static void answer_overtaken(struct controller *r, uint64_t token, uint64_t base, struct out *o)
+static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version, struct out *out)
 {
-	if (orders_may_have_forgotten(&r->orders, ORDER_DOCUMENTS, base))
-		out_answer(o, token, 504, CONTROLLER_CALL, error_json(o->p, ORDER_FORGOTTEN, 0));
+	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
+		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS, error_json(out->pool, ORDER_FORGOTTEN, 0));
 	else
-		out_answer(o, token, 412, 0, error_json(o->p, "another version is current", 0));
+		command_answer(out, token, 412, 0, error_json(out->pool, "another version is current", 0));
 }
 
-void put_document(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	uint64_t token = ev->u.doc.token, base = ev->u.doc.base;
-	int patch = ev->u.doc.patch;
-	const char *body = ev->u.doc.body;
-	size_t len = ev->u.doc.len;
-	struct Nl__Change c = NL__CHANGE__INIT;
-	const char *why = NULL;
-	struct order_id id;
+	uint64_t token = event->payload.document.token, base_version = event->payload.document.base_version;
+	int patch = event->payload.document.is_patch;
+	const char *body = event->payload.document.body;
+	size_t body_bytes = event->payload.document.body_bytes;
+	struct Nl__Change change = NL__CHANGE__INIT;
+	const char *error = NULL;
+	struct request_key key;
 
-	if (ev->u.doc.invalid) {
-		out_answer(o, token, 400, 0, error_json(o->p, ev->u.doc.invalid, 0));
+	if (event->payload.document.invalid) {
+		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.document.invalid, 0));
 		return;
 	}
-	order_identify(&id, NULL, patch ? "patch" : "document", 1, base, body, len);
-	if (answer_repeated(r, token, &id, now, o))
+	request_key_init(&key, NULL, patch ? "patch" : "document", 1, base_version, body, body_bytes);
+	if (answer_repeated(controller, token, &key, now, out))
 		return;
-	if (base != r->ctl_doc_version) {
-		answer_overtaken(r, token, base, o);
+	if (base_version != controller->document_version) {
+		answer_version_conflict(controller, token, base_version, out);
 		return;
 	}
-	if (!r->codec)
-		why = "document: none is taken here";
-	else if (r->codec->read((const char *)r->ctl_doc, r->ctl_doc_len, body, len, patch, &c, &why, o->p))
-		why = why ? why : "document: cannot be read";
-	else if (c.doc_version <= r->ctl_doc_version)
-		why = "version: not above the current one";
+	if (!controller->codec)
+		error = "document: none is taken here";
+	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body, body_bytes, patch, &change, &error, out->pool))
+		error = error ? error : "document: cannot be read";
+	else if (change.doc_version <= controller->document_version)
+		error = "version: not above the current one";
 	else {
-		c.any = c.whole = c.keys = 1;
-		c.doc_base = base;
-		why = table_check(&r->ctl, &c, o->p);
+		change.any = change.whole = change.keys = 1;
+		change.doc_base = base_version;
+		error = config_table_check(&controller->config, &change, out->pool);
 	}
-	if (why)
-		out_answer(o, token, 400, 0, error_json(o->p, why, 0));
+	if (error)
+		command_answer(out, token, 400, 0, error_json(out->pool, error, 0));
 	else
-		log_and_answer(r, token, &c, &id, now, o);
+		log_and_answer(controller, token, &change, &key, now, out);
 }
 
-void read_document(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	uint64_t token = ev->u.read.token;
-	struct cmd *c;
+	uint64_t token = event->payload.read.token;
+	struct command *command;
 
 	(void)now;
-	if (!r->ctl_doc_version) {
-		out_answer(o, token, 404, 0, error_json(o->p, "no document was taken yet", 0));
+	if (!controller->document_version) {
+		command_answer(out, token, 404, 0, error_json(out->pool, "no document was taken yet", 0));
 		return;
 	}
-	c = out_cmd(o, CMD_ANSWER);
-	c->u.answer.token = token;
-	c->u.answer.status = 200;
-	c->u.answer.body = apr_pmemdup(o->p, r->ctl_doc, r->ctl_doc_len + 1);
-	c->u.answer.len = r->ctl_doc_len;
+	command = command_add(out, CMD_ANSWER);
+	command->args.answer.token = token;
+	command->args.answer.status = 200;
+	command->args.answer.body = apr_pmemdup(out->pool, controller->document, controller->document_bytes + 1);
+	command->args.answer.len = controller->document_bytes;
 }
 
-void name_weights(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	uint64_t token = ev->u.name.token;
-	const char *model = ev->u.name.model, *weights = ev->u.name.weights;
-	struct Nl__Change c = NL__CHANGE__INIT;
-	struct Nl__Row m = NL__ROW__INIT, *set[1] = { &m };
-	const struct order_id none = { 0 }; /* a number that only rises needs no record */
-	const struct Nl__Row *old;
-	const char *why;
+	uint64_t token = event->payload.target.token;
+	const char *model = event->payload.target.model, *weights = event->payload.target.weights;
+	struct Nl__Change change = NL__CHANGE__INIT;
+	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
+	const struct request_key none = { 0 }; /* a number that only rises needs no record */
+	const struct Nl__Row *previous;
+	const char *error;
 
-	if (ev->u.name.invalid) {
-		out_answer(o, token, 400, 0, error_json(o->p, ev->u.name.invalid, 0));
+	if (event->payload.target.invalid) {
+		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.target.invalid, 0));
 		return;
 	}
-	m.kind = NL__KIND__MODEL;
-	m.name = (char *)model;
-	m.weights = (char *)weights;
-	c.any = 1;
-	c.set = set;
-	c.n_set = 1;
-	why = table_check(&r->ctl, &c, o->p);
-	if (why || !weights[0]) {
-		out_answer(o, token, 400, 0, error_json(o->p, why ? why : "weights: missing", 0));
+	row.kind = NL__KIND__MODEL;
+	row.name = (char *)model;
+	row.weights = (char *)weights;
+	change.any = 1;
+	change.set = set;
+	change.n_set = 1;
+	error = config_table_check(&controller->config, &change, out->pool);
+	if (error || !weights[0]) {
+		command_answer(out, token, 400, 0, error_json(out->pool, error ? error : "weights: missing", 0));
 		return;
 	}
-	old = table_get(&r->ctl, NL__KIND__MODEL, model);
-	if (strtoull(weights, NULL, 10) <= (old ? strtoull(old->weights, NULL, 10) : 1))
-		out_answer(o, token, 200, 0, "{}"); /* committed, and perhaps overtaken, before */
+	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
+	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->weights, NULL, 10) : 1))
+		command_answer(out, token, 200, 0, "{}"); /* committed, and perhaps overtaken, before */
 	else
-		log_and_answer(r, token, &c, &none, now, o);
+		log_and_answer(controller, token, &change, &none, now, out);
 }
 
-void calls_tick(struct controller *r, int64_t now, struct out *o)
+void expire_calls(struct controller *controller, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(r->call) - 1; i >= 0; i--)
-		if (now >= r->call[i].until) {
-			out_answer(o, r->call[i].token, 504, CONTROLLER_RETRY_MS,
-				   error_json(o->p, "outcome unknown: send it again", 0));
-			arrdel(r->call, i);
+	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--)
+		if (now >= controller->logged_calls[i].deadline_at_ms) {
+			command_answer(out, controller->logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+				   error_json(out->pool, "outcome unknown: send it again", 0));
+			arrdel(controller->logged_calls, i);
 		}
 }
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A document, whole or a patch on the version base. */
-void put_document(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o);
+void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
 
 /* The newest document is wanted back. */
-void read_document(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o);
+void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
 
 /* Weights are named for a model. */
-void name_weights(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o);
+void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
 
 /* Calls whose outcome has been open for too long are told so. */
-void calls_tick(struct controller *r, int64_t now, struct out *o);
+void expire_calls(struct controller *controller, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -11,105 +11,105 @@
 #include "controller_private.h"
 
 struct operator_path {
-	enum controller_ev_kind kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
+	enum controller_event_kind kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
 	const char *method, *path;    /* of CONTROLLER_WEB */
 	enum path_needs needs;
-	void (*handle)(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o);
+	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now, struct out *o);
 };
 
 static const struct operator_path paths[] = {
-	{ CONTROLLER_WEB, "GET", "/v1/state", PATH_NEEDS_LOCAL_STATE, read_state },
-	{ CONTROLLER_WEB, "GET", "/v1/table", PATH_NEEDS_LEADER_IN_REACH, read_table },
-	{ CONTROLLER_WEB, "GET", "/v1/retention", PATH_NEEDS_LEADER_IN_REACH, read_retention },
-	{ CONTROLLER_WEB, "GET", "/v1/retention.csv", PATH_NEEDS_LEADER_IN_REACH, read_retention_report },
-	{ CONTROLLER_WEB, "POST", "/v1/change", PATH_NEEDS_LEADER_IN_REACH, change_table },
-	{ CONTROLLER_WEB, "POST", "/v1/clear", PATH_NEEDS_LEADER_IN_REACH, clear_context },
-	{ CONTROLLER_WEB, "POST", "/v1/found", PATH_NEEDS_SEEDS, found_fleet },
-	{ CONTROLLER_WEB, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recover_groups },
-	{ CONTROLLER_DOC, NULL, NULL, PATH_NEEDS_LEADERSHIP, put_document },
-	{ CONTROLLER_READ, NULL, NULL, PATH_NEEDS_LEADERSHIP, read_document },
-	{ CONTROLLER_NAME, NULL, NULL, PATH_NEEDS_LEADERSHIP, name_weights },
+	{ CONTROLLER_API_CALL, "GET", "/v1/state", PATH_NEEDS_LOCAL_STATE, read_state },
+	{ CONTROLLER_API_CALL, "GET", "/v1/table", PATH_NEEDS_LEADER_IN_REACH, read_config_table },
+	{ CONTROLLER_API_CALL, "GET", "/v1/retention", PATH_NEEDS_LEADER_IN_REACH, read_retention },
+	{ CONTROLLER_API_CALL, "GET", "/v1/retention.csv", PATH_NEEDS_LEADER_IN_REACH, read_retention_report },
+	{ CONTROLLER_API_CALL, "POST", "/v1/change", PATH_NEEDS_LEADER_IN_REACH, change_config_table },
+	{ CONTROLLER_API_CALL, "POST", "/v1/clear", PATH_NEEDS_LEADER_IN_REACH, purge_context },
+	{ CONTROLLER_API_CALL, "POST", "/v1/found", PATH_NEEDS_SEEDS, bootstrap_fleet },
+	{ CONTROLLER_API_CALL, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recover_groups },
+	{ CONTROLLER_PUT_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, put_document },
+	{ CONTROLLER_READ_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, read_document },
+	{ CONTROLLER_SET_TARGET_WEIGHTS, NULL, NULL, PATH_NEEDS_LEADERSHIP, name_weights },
 };
 
-static uint64_t token_of(const struct controller_ev *ev)
+static uint64_t call_token(const struct controller_event *event)
 {
-	switch (ev->kind) {
-	case CONTROLLER_DOC: return ev->u.doc.token;
-	case CONTROLLER_READ: return ev->u.read.token;
-	case CONTROLLER_NAME: return ev->u.name.token;
-	default: return ev->u.web.token;
+	switch (event->kind) {
+	case CONTROLLER_PUT_DOCUMENT: return event->payload.document.token;
+	case CONTROLLER_READ_DOCUMENT: return event->payload.read.token;
+	case CONTROLLER_SET_TARGET_WEIGHTS: return event->payload.target.token;
+	default: return event->payload.api_call.token;
 	}
 }
 
-static const struct operator_path *path_of(const struct controller_ev *ev)
+static const struct operator_path *find_path(const struct controller_event *event)
 {
 	for (size_t i = 0; i < sizeof paths / sizeof *paths; i++) {
-		if (paths[i].kind != ev->kind)
+		if (paths[i].kind != event->kind)
 			continue;
-		if (ev->kind != CONTROLLER_WEB ||
-		    (!strcmp(paths[i].path, ev->u.web.path) && !strcmp(paths[i].method, ev->u.web.verb)))
+		if (event->kind != CONTROLLER_API_CALL ||
+		    (!strcmp(paths[i].path, event->payload.api_call.path) && !strcmp(paths[i].method, event->payload.api_call.method)))
 			return &paths[i];
 	}
 	return NULL;
 }
 
 /* Name the leader, as far as it is known here; else say when to come back. */
-static void redirect_to_leader(struct controller *r, uint64_t token, int64_t now, struct out *o)
+static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now, struct out *out)
 {
-	uint64_t leader = leader_hint(r, SHARD_CONTROL, now);
-	struct cmd *c;
+	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
+	struct command *command;
 
-	if (!leader && leader_in_reach(r, now))
-		leader = r->f.leader_addr[SHARD_CONTROL];
-	if (!leader || leader == r->addr) {
-		refuse_without_leader(token, o);
+	if (!leader && leader_reachable(controller, now))
+		leader = controller->config_watch.leader_addr[SHARD_CONTROL];
+	if (!leader || leader == controller->addr) {
+		reject_without_leader(token, out);
 		return;
 	}
-	c = out_cmd(o, CMD_ANSWER);
-	c->u.answer.token = token;
-	c->u.answer.status = 307;
-	c->u.answer.body = "";
-	c->u.answer.to = leader;
+	command = command_add(out, CMD_ANSWER);
+	command->args.answer.token = token;
+	command->args.answer.status = 307;
+	command->args.answer.body = "";
+	command->args.answer.redirect_addr = leader;
 }
 
 /* What was answered since this command holds as long as the lease does: whoever writes it looks at the clock once more. */
-static void limit_to_lease(const struct controller *r, ptrdiff_t from, struct out *o)
+static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct out *out)
 {
-	for (ptrdiff_t i = from; i < arrlen(o->v); i++)
-		if (o->v[i].kind == CMD_ANSWER && o->v[i].u.answer.status < 500)
-			o->v[i].u.answer.not_after = r->part[SHARD_CONTROL].lease_expires_at;
+	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
+		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
+			out->commands[i].args.answer.not_after_ms = controller->shards[SHARD_CONTROL].lease_expires_at_ms;
 }
 
-void on_operator_call(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	const struct operator_path *path = path_of(ev);
-	ptrdiff_t answers = arrlen(o->v);
+	const struct operator_path *path = find_path(event);
+	ptrdiff_t answers = arrlen(out->commands);
 
-	r->calls.read++;
+	controller->operator_calls.read++;
 	if (!path) { /* whatever the log holds, there is no such path */
-		out_answer(o, token_of(ev), 404, 0, error_json(o->p, "path: no such call", 0));
+		command_answer(out, call_token(event), 404, 0, error_json(out->pool, "path: no such call", 0));
 		return;
 	}
-	if (r->stopping && path->needs != PATH_NEEDS_LOCAL_STATE) {
-		refuse_while_stopping(token_of(ev), o);
+	if (controller->stopping && path->needs != PATH_NEEDS_LOCAL_STATE) {
+		reject_while_stopping(call_token(event), out);
 		return;
 	}
 	switch (path->needs) {
 	case PATH_NEEDS_LOCAL_STATE:
-	case PATH_NEEDS_SEEDS: path->handle(r, ev, now, o); break;
+	case PATH_NEEDS_SEEDS: path->handle(controller, event, now, out); break;
 	case PATH_NEEDS_LEADERSHIP:
-		if (leads_shard(r, SHARD_CONTROL, now)) {
-			path->handle(r, ev, now, o);
-			limit_to_lease(r, answers, o);
+		if (leads_shard(controller, SHARD_CONTROL, now)) {
+			path->handle(controller, event, now, out);
+			limit_to_lease(controller, answers, out);
 		} else {
-			redirect_to_leader(r, token_of(ev), now, o);
+			redirect_to_leader(controller, call_token(event), now, out);
 		}
 		break;
 	case PATH_NEEDS_LEADER_IN_REACH:
-		if (leader_in_reach(r, now))
-			path->handle(r, ev, now, o);
+		if (leader_reachable(controller, now))
+			path->handle(controller, event, now, out);
 		else
-			refuse_without_leader(token_of(ev), o);
+			reject_without_leader(call_token(event), out);
 		break;
 	}
 }
--- a/lib/control/orders.c
+++ b/lib/control/orders.c
@@ -8,11 +8,11 @@
 /* In front of the bytes of a key, so that no key's digest is that of a content: no call has this name. */
 static const char key_prefix[] = "Idempotency-Key";
 
-int order_key_valid(const char *key)
+int idempotency_key_is_valid(const char *key)
 {
 	size_t n = strlen(key);
 
-	if (!n || n > ORDER_KEY_MAX)
+	if (!n || n > IDEMPOTENCY_KEY_MAX)
 		return 0;
 	for (size_t i = 0; i < n; i++)
 		if (key[i] <= ' ' || key[i] > '~')
@@ -20,149 +20,149 @@
 	return 1;
 }
 
-static void digest_content(uint8_t to[ORDER_DIGEST], const char *call, uint64_t base, const void *body, size_t len)
+static void digest_content(uint8_t digest[REQUEST_DIGEST_BYTES], const char *call, uint64_t base_version, const void *body, size_t body_bytes)
 {
 	struct sha256_ctx context;
 	uint8_t base_bytes[8];
 
 	for (int i = 0; i < 8; i++)
-		base_bytes[i] = (uint8_t)(base >> 8 * i);
+		base_bytes[i] = (uint8_t)(base_version >> 8 * i);
 	sha256_init(&context);
 	sha256_update(&context, strlen(call) + 1, (const uint8_t *)call);
 	sha256_update(&context, sizeof base_bytes, base_bytes);
-	sha256_update(&context, len, body);
-	sha256_digest(&context, ORDER_DIGEST, to);
+	sha256_update(&context, body_bytes, body);
+	sha256_digest(&context, REQUEST_DIGEST_BYTES, digest);
 }
 
-static void digest_key(uint8_t to[ORDER_DIGEST], const char *key)
+static void digest_key(uint8_t digest[REQUEST_DIGEST_BYTES], const char *key)
 {
 	struct sha256_ctx context;
 
 	sha256_init(&context);
 	sha256_update(&context, sizeof key_prefix, (const uint8_t *)key_prefix);
 	sha256_update(&context, strlen(key), (const uint8_t *)key);
-	sha256_digest(&context, ORDER_DIGEST, to);
+	sha256_digest(&context, REQUEST_DIGEST_BYTES, digest);
 }
 
-void order_identify(struct order_id *id, const char *key, const char *call, int based, uint64_t base, const void *body, size_t len)
+void request_key_init(struct request_key *request, const char *key, const char *call, int has_base, uint64_t base_version, const void *body, size_t body_bytes)
 {
-	int keyed = key && key[0];
+	int has_key = key && key[0];
 
-	memset(id, 0, sizeof *id);
-	digest_content(id->content, call, base, body, len);
-	if (keyed)
-		digest_key(id->id, key);
+	memset(request, 0, sizeof *request);
+	digest_content(request->content_digest, call, base_version, body, body_bytes);
+	if (has_key)
+		digest_key(request->key_digest, key);
 	else
-		memcpy(id->id, id->content, ORDER_DIGEST);
-	id->set = keyed || based;
+		memcpy(request->key_digest, request->content_digest, REQUEST_DIGEST_BYTES);
+	request->is_set = has_key || has_base;
 }
 
-int order_same(const struct order_id *a, const struct order_id *b)
+int request_key_equal(const struct request_key *a, const struct request_key *b)
 {
-	return a->set && b->set && !memcmp(a->id, b->id, ORDER_DIGEST) && !memcmp(a->content, b->content, ORDER_DIGEST);
+	return a->is_set && b->is_set && !memcmp(a->key_digest, b->key_digest, REQUEST_DIGEST_BYTES) && !memcmp(a->content_digest, b->content_digest, REQUEST_DIGEST_BYTES);
 }
 
-const struct order_record *orders_find(const struct orders *orders, const struct order_id *id)
+const struct idempotency_record *idempotency_log_find(const struct orders *log, const struct request_key *key)
 {
-	if (!id->set)
+	if (!key->is_set)
 		return NULL;
-	for (ptrdiff_t i = arrlen(orders->v) - 1; i >= 0; i--)
-		if (!memcmp(orders->v[i].id.id, id->id, ORDER_DIGEST))
-			return &orders->v[i];
+	for (ptrdiff_t i = arrlen(log->records) - 1; i >= 0; i--)
+		if (!memcmp(log->records[i].key.key_digest, key->key_digest, REQUEST_DIGEST_BYTES))
+			return &log->records[i];
 	return NULL;
 }
 
-int orders_may_have_forgotten(const struct orders *orders, enum order_series series, uint64_t base)
+int idempotency_log_may_have_evicted(const struct orders *log, enum request_series series, uint64_t base_version)
 {
 	/* an order that built on base made a version above it; all that made one above forgotten are remembered */
-	return base < orders->forgotten[series];
+	return base_version < log->forgotten_versions[series];
 }
 
-static void forget(struct orders *orders, const struct order_record *old)
+static void forget(struct orders *orders, const struct idempotency_record *old)
 {
-	if (old->series < ORDER_SERIES && old->version > orders->forgotten[old->series])
-		orders->forgotten[old->series] = old->version;
+	if (old->series < SERIES_COUNT && old->version > orders->forgotten_versions[old->series])
+		orders->forgotten_versions[old->series] = old->version;
 }
 
-void orders_add(struct orders *orders, const struct order_id *id, enum order_series series, uint64_t version)
+void idempotency_log_add(struct orders *log, const struct request_key *key, enum request_series series, uint64_t version)
 {
-	struct order_record added = { *id, series, version };
-	size_t kept = orders->kept ? orders->kept : ORDERS_KEPT;
+	struct idempotency_record added = { *key, series, version };
+	size_t capacity = log->capacity ? log->capacity : IDEMPOTENCY_MAX_RECORDS;
 
-	if (!id->set)
+	if (!key->is_set)
 		return;
-	if ((size_t)arrlen(orders->v) < kept) {
-		arrput(orders->v, added);
+	if ((size_t)arrlen(log->records) < capacity) {
+		arrput(log->records, added);
 		return;
 	}
-	forget(orders, &orders->v[orders->oldest]);
-	orders->v[orders->oldest] = added;
-	orders->oldest = (orders->oldest + 1) % kept;
+	forget(log, &log->records[log->oldest]);
+	log->records[log->oldest] = added;
+	log->oldest = (log->oldest + 1) % capacity;
 }
 
-struct Nl__OrderId *order_pack(const struct order_id *id, struct Nl__OrderId *to)
+struct Nl__OrderId *request_key_pack(const struct request_key *key, struct Nl__OrderId *message)
 {
-	if (!id->set)
+	if (!key->is_set)
 		return NULL;
-	nl__order_id__init(to);
-	to->id.data = (uint8_t *)(uintptr_t)id->id;
-	to->content.data = (uint8_t *)(uintptr_t)id->content;
-	to->id.len = to->content.len = ORDER_DIGEST;
-	return to;
+	nl__order_id__init(message);
+	message->id.data = (uint8_t *)(uintptr_t)key->key_digest;
+	message->content.data = (uint8_t *)(uintptr_t)key->content_digest;
+	message->id.len = message->content.len = REQUEST_DIGEST_BYTES;
+	return message;
 }
 
-struct order_id order_unpack(const struct Nl__OrderId *from)
+struct request_key request_key_unpack(const struct Nl__OrderId *message)
 {
-	struct order_id id = { 0 };
-
-	if (!from || from->id.len != ORDER_DIGEST || from->content.len != ORDER_DIGEST)
-		return id;
-	id.set = 1;
-	memcpy(id.id, from->id.data, ORDER_DIGEST);
-	memcpy(id.content, from->content.data, ORDER_DIGEST);
-	return id;
+	struct request_key key = { 0 };
+
+	if (!message || message->id.len != REQUEST_DIGEST_BYTES || message->content.len != REQUEST_DIGEST_BYTES)
+		return key;
+	key.is_set = 1;
+	memcpy(key.key_digest, message->id.data, REQUEST_DIGEST_BYTES);
+	memcpy(key.content_digest, message->content.data, REQUEST_DIGEST_BYTES);
+	return key;
 }
 
-void orders_pack(const struct orders *orders, struct Nl__CtlState *state, apr_pool_t *pool)
+void idempotency_log_pack(const struct orders *log, struct Nl__CtlState *state, apr_pool_t *pool)
 {
-	size_t n = (size_t)arrlen(orders->v);
-	struct Nl__OrderRecord *records = apr_palloc(pool, (n + 1) * sizeof *records);
-	struct Nl__OrderId *ids = apr_palloc(pool, (n + 1) * sizeof *ids);
+	size_t count = (size_t)arrlen(log->records);
+	struct Nl__OrderRecord *records = apr_palloc(pool, (count + 1) * sizeof *records);
+	struct Nl__OrderId *ids = apr_palloc(pool, (count + 1) * sizeof *ids);
 
-	state->n_orders = n;
-	state->orders = apr_palloc(pool, (n + 1) * sizeof *state->orders);
-	for (size_t i = 0; i < n; i++) {
-		const struct order_record *order = &orders->v[(orders->oldest + i) % n];
+	state->n_orders = count;
+	state->orders = apr_palloc(pool, (count + 1) * sizeof *state->orders);
+	for (size_t i = 0; i < count; i++) {
+		const struct idempotency_record *record = &log->records[(log->oldest + i) % count];
 
 		nl__order_record__init(&records[i]);
-		records[i].order = order_pack(&order->id, &ids[i]);
-		records[i].series = (uint32_t)order->series;
-		records[i].version = order->version;
+		records[i].order = request_key_pack(&record->key, &ids[i]);
+		records[i].series = (uint32_t)record->series;
+		records[i].version = record->version;
 		state->orders[i] = &records[i];
 	}
-	state->n_orders_forgotten = ORDER_SERIES;
-	state->orders_forgotten = (uint64_t *)(uintptr_t)orders->forgotten;
+	state->n_orders_forgotten = SERIES_COUNT;
+	state->orders_forgotten = (uint64_t *)(uintptr_t)log->forgotten_versions;
 }
 
-void orders_load(struct orders *orders, const struct Nl__CtlState *state)
+void idempotency_log_load(struct orders *log, const struct Nl__CtlState *state)
 {
-	orders_clear(orders);
+	idempotency_log_reset(log);
 	if (!state)
 		return;
 	for (size_t i = 0; i < state->n_orders; i++) {
 		const struct Nl__OrderRecord *record = state->orders[i];
-		struct order_id id = order_unpack(record->order);
+		struct request_key key = request_key_unpack(record->order);
 
-		orders_add(orders, &id, record->series < ORDER_SERIES ? (enum order_series)record->series : ORDER_UNVERSIONED,
+		idempotency_log_add(log, &key, record->series < SERIES_COUNT ? (enum request_series)record->series : SERIES_UNVERSIONED,
 			   record->version);
 	}
-	for (size_t i = 0; i < state->n_orders_forgotten && i < ORDER_SERIES; i++)
-		orders->forgotten[i] = state->orders_forgotten[i];
+	for (size_t i = 0; i < state->n_orders_forgotten && i < SERIES_COUNT; i++)
+		log->forgotten_versions[i] = state->orders_forgotten[i];
 }
 
-void orders_clear(struct orders *orders)
+void idempotency_log_reset(struct orders *log)
 {
-	arrfree(orders->v);
-	orders->oldest = 0;
-	memset(orders->forgotten, 0, sizeof orders->forgotten);
+	arrfree(log->records);
+	log->oldest = 0;
+	memset(log->forgotten_versions, 0, sizeof log->forgotten_versions);
 }
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -9,252 +9,252 @@
 #include "controller_private.h"
 #include "state_machine.h"
 
-void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t st, uint64_t version, const char *why, uint64_t hint, struct out *o)
+void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why, uint64_t hint, struct out *out)
 {
-	struct Nl__Answer *a = OUT_NEW(o, Nl__Answer, NL__ANSWER__INIT);
+	struct Nl__Answer *answer = OUT_NEW(out, Nl__Answer, NL__ANSWER__INIT);
 
-	a->token = token;
-	a->status = st;
-	a->why = (char *)why;
-	a->edition = version;
-	a->hint = hint;
-	out_msg(o, addr, 0, NL__MSG__BODY_ANSWER)->answer = a;
+	answer->token = token;
+	answer->status = status;
+	answer->why = (char *)why;
+	answer->edition = version;
+	answer->hint = hint;
+	command_send(out, addr, 0, NL__MSG__BODY_ANSWER)->answer = answer;
 }
 
 /* Operators' calls that wait for this entry. */
-static void answer_operator_calls(struct controller *r, uint64_t index, uint32_t st, struct out *o)
+static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(r->call) - 1; i >= 0; i--) {
-		if (r->call[i].index != index)
+	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--) {
+		if (controller->logged_calls[i].log_index != index)
 			continue;
-		if (st == TABLE_DONE)
-			out_answer(o, r->call[i].token, 200, 0, "{}");
-		else if (st == TABLE_KEY_REUSED)
-			out_answer(o, r->call[i].token, 422, 0, error_json(o->p, ORDER_KEY_REUSED, 0));
-		else if (st == TABLE_OVERTAKEN)
-			out_answer(o, r->call[i].token, 412, 0, error_json(o->p, "another version is current", 0));
+		if (status == PROPOSAL_DONE)
+			command_answer(out, controller->logged_calls[i].token, 200, 0, "{}");
+		else if (status == PROPOSAL_KEY_REUSED)
+			command_answer(out, controller->logged_calls[i].token, 422, 0, error_json(out->pool, ORDER_KEY_REUSED, 0));
+		else if (status == PROPOSAL_SUPERSEDED)
+			command_answer(out, controller->logged_calls[i].token, 412, 0, error_json(out->pool, "another version is current", 0));
 		else
-			out_answer(o, r->call[i].token, 400, 0, error_json(o->p, "version: not above the current one", 0));
-		arrdel(r->call, i);
+			command_answer(out, controller->logged_calls[i].token, 400, 0, error_json(out->pool, "version: not above the current one", 0));
+		arrdel(controller->logged_calls, i);
 	}
 }
 
 /* Why an entry that a proposal waited for came to nothing. */
-static const char *outcome_text(uint32_t st)
+static const char *outcome_text(uint32_t status)
 {
-	switch (st) {
-	case TABLE_OVERTAKEN: return "edition overtaken";
-	case TABLE_REFUSED: return "already claimed";
-	case TABLE_KEY_REUSED: return ORDER_KEY_REUSED;
+	switch (status) {
+	case PROPOSAL_SUPERSEDED: return "edition overtaken";
+	case PROPOSAL_REJECTED: return "already claimed";
+	case PROPOSAL_KEY_REUSED: return ORDER_KEY_REUSED;
 	default: return "";
 	}
 }
 
-void answer_proposers(struct controller *r, uint32_t part, uint64_t index, struct applied applied, struct out *o)
+void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index, struct apply_result applied, struct out *out)
 {
-	if (part == SHARD_CONTROL)
-		answer_operator_calls(r, index, applied.status, o);
-	for (ptrdiff_t i = 0; i < arrlen(r->wait); i++)
-		if (r->wait[i].part == part && r->wait[i].index == index) {
-			reply_to_proposal(r->wait[i].addr, r->wait[i].token, applied.status, applied.version,
-					  outcome_text(applied.status), 0, o);
-			arrdel(r->wait, i);
+	if (shard == SHARD_CONTROL)
+		answer_operator_calls(controller, index, applied.status, out);
+	for (ptrdiff_t i = 0; i < arrlen(controller->pending_entries); i++)
+		if (controller->pending_entries[i].shard == shard && controller->pending_entries[i].log_index == index) {
+			reply_to_proposal(controller->pending_entries[i].proposer_addr, controller->pending_entries[i].token, applied.status, applied.version,
+					  outcome_text(applied.status), 0, out);
+			arrdel(controller->pending_entries, i);
 			return;
 		}
 }
 
 /* An operator wants a scope cleared now; the time is the owner's, since nothing is planned by it. */
-static const char *check_purge_request(const struct controller *r, struct Nl__Clear *c, int64_t now, apr_pool_t *p)
+static const char *check_purge_request(const struct controller *controller, struct Nl__Clear *clear, int64_t now, apr_pool_t *pool)
 {
-	int64_t wall = retention_wall(r, now);
-	char lane[200], tenant[200];
+	int64_t wall_clock_ms = retention_wall_clock(controller, now);
+	char route[200], tenant[200];
 
-	if (!retention_scope(c->scope, lane, tenant))
+	if (!retention_parse_scope(clear->scope, route, tenant))
 		return "scope: lane/tenant, with * for all; * alone for everything";
-	if (lane[0] && !table_get(&r->ctl, NL__KIND__LANE, lane))
-		return apr_psprintf(p, "scope: no lane %s", lane);
-	if (tenant[0] && !table_get(&r->ctl, NL__KIND__TENANT, tenant))
-		return apr_psprintf(p, "scope: no tenant %s", tenant);
-	c->wall = c->due = wall == INT64_MIN ? r->wall : wall;
+	if (route[0] && !config_table_get(&controller->config, NL__KIND__LANE, route))
+		return apr_psprintf(pool, "scope: no lane %s", route);
+	if (tenant[0] && !config_table_get(&controller->config, NL__KIND__TENANT, tenant))
+		return apr_psprintf(pool, "scope: no tenant %s", tenant);
+	clear->wall = clear->due = wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
 	return NULL;
 }
 
 /* A change that builds on an older edition is late, unless it may be an order that was accepted and is forgotten. */
-static uint32_t change_overtaken(const struct controller *r, const struct Nl__Change *c)
+static uint32_t superseded_status(const struct controller *controller, const struct Nl__Change *change)
 {
-	return orders_may_have_forgotten(&r->orders, ORDER_CHANGES, c->expect) ? TABLE_FORGOTTEN : TABLE_OVERTAKEN;
+	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES, change->expect) ? PROPOSAL_KEY_EXPIRED : PROPOSAL_SUPERSEDED;
 }
 
-void on_proposal(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__Propose *q = m->propose;
-	struct controller_wait w = { m->part, 0, m->addr, q->token };
+	const struct Nl__Propose *q = message->propose;
+	struct controller_pending_entry controller_wait = { message->part, 0, message->addr, q->token };
 	const char *why = NULL;
-	const struct controller_done *done;
-	const struct order_record *accepted;
-	struct order_id id = order_unpack(q->op ? q->op->order : NULL);
-	int fits;
+	const struct controller_done_operation *done;
+	const struct idempotency_record *accepted;
+	struct request_key request_key = request_key_unpack(q->op ? q->op->order : NULL);
+	int is_expected;
 
-	if (m->part >= SHARD_COUNT || !q->op)
+	if (message->part >= SHARD_COUNT || !q->op)
 		return;
-	fits = m->part == SHARD_CONTROL    ? q->op->op_case == NL__OP__OP_CHANGE || (q->op->op_case == NL__OP__OP_CLEAR &&
+	is_expected = message->part == SHARD_CONTROL    ? q->op->op_case == NL__OP__OP_CHANGE || (q->op->op_case == NL__OP__OP_CLEAR &&
                                                                                   q->op->clear->step == NL__CLEAR_STEP__CLEAR_NOW)
-	       : service_shard(r, m->part) ? q->op->op_case == NL__OP__OP_CLAIM
+	       : service_shard_state(controller, message->part) ? q->op->op_case == NL__OP__OP_CLAIM
 					   : 0;
-	if (!leads_shard(r, m->part, now)) {
-		reply_to_proposal(m->addr, q->token, TABLE_NOT_OWNER, 0, "", leader_hint(r, m->part, now), o);
+	if (!leads_shard(controller, message->part, now)) {
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->part, now), out);
 		return;
 	}
-	if (!fits)
+	if (!is_expected)
 		why = "op: not one that this part takes";
-	else if ((accepted = orders_find(&r->orders, &id))) {
-		reply_to_proposal(m->addr, q->token, order_outcome(accepted, &id), accepted->version, ORDER_KEY_REUSED, 0, o);
+	else if ((accepted = idempotency_log_find(&controller->accepted_requests, &request_key))) {
+		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key), accepted->version, ORDER_KEY_REUSED, 0, out);
 		return;
-	} else if (m->part == SHARD_CONTROL && (done = find_done_operation(r, q->op->from, q->op->token))) {
-		reply_to_proposal(m->addr, q->token, done->status, r->ctl.edition, "edition overtaken", 0, o);
+	} else if (message->part == SHARD_CONTROL && (done = find_done_operation(controller, q->op->from, q->op->token))) {
+		reply_to_proposal(message->addr, q->token, done->status, controller->config.revision, "edition overtaken", 0, out);
 		return;
-	} else if (m->part == SHARD_CONTROL && q->op->op_case == NL__OP__OP_CLEAR) {
-		why = check_purge_request(r, q->op->clear, now, o->p);
-	} else if (m->part == SHARD_CONTROL && r->ctl.edition && !q->op->change->any && q->op->change->expect < r->ctl.plan) {
-		reply_to_proposal(m->addr, q->token, change_overtaken(r, q->op->change), r->ctl.edition, "edition overtaken", 0, o);
+	} else if (message->part == SHARD_CONTROL && q->op->op_case == NL__OP__OP_CLEAR) {
+		why = check_purge_request(controller, q->op->clear, now, out->pool);
+	} else if (message->part == SHARD_CONTROL && controller->config.revision && !q->op->change->any && q->op->change->expect < controller->config.operator_revision) {
+		reply_to_proposal(message->addr, q->token, superseded_status(controller, q->op->change), controller->config.revision, "edition overtaken", 0, out);
 		return;
-	} else if (m->part == SHARD_CONTROL) {
-		why = table_check(&r->ctl, q->op->change, o->p);
+	} else if (message->part == SHARD_CONTROL) {
+		why = config_table_check(&controller->config, q->op->change, out->pool);
 		if (!why)
-			why = retention_check(r->calendar, q->op->change, retention_wall(r, now), o->p);
+			why = retention_check_calendar(controller->calendar, q->op->change, retention_wall_clock(controller, now), out->pool);
 	}
 	if (why) {
-		reply_to_proposal(m->addr, q->token, TABLE_REFUSED, r->ctl.edition, why, 0, o);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED, controller->config.revision, why, 0, out);
 		return;
 	}
-	w.index = log_operation(r, m->part, q->op, now, o);
-	if (w.index)
-		arrput(r->wait, w);
+	controller_wait.log_index = log_operation(controller, message->part, q->op, now, out);
+	if (controller_wait.log_index)
+		arrput(controller->pending_entries, controller_wait);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
-		reply_to_proposal(m->addr, q->token, TABLE_NOT_OWNER, 0, "", leader_hint(r, m->part, now), o);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->part, now), out);
 }
 
 /* A proposal of this node's own, or of an operator calling here. */
-void propose(struct controller *r, uint32_t part, const struct Nl__Op *op, uint64_t web, int64_t now)
+void propose(struct controller *controller, uint32_t shard, const struct Nl__Op *op, uint64_t call_token, int64_t now)
 {
-	struct controller_ask a = { ++r->token, web, part, NULL, now + CONTROLLER_CALL, 0, 0, 0, 0 };
-	size_t n = nl__op__get_packed_size(op);
-	uint8_t *d = malloc(n + 1);
+	struct controller_proposal proposal = { ++controller->last_token, call_token, shard, NULL, now + CONTROLLER_CALL_TIMEOUT_MS, 0, 0, 0, 0 };
+	size_t size = nl__op__get_packed_size(op);
+	uint8_t *packed = malloc(size + 1);
 
-	if (!d)
+	if (!packed)
 		abort();
-	nl__op__pack(op, d);
-	a.op = nl__op__unpack(NULL, n, d);
-	free(d);
-	if (!a.op)
+	nl__op__pack(op, packed);
+	proposal.operation = nl__op__unpack(NULL, size, packed);
+	free(packed);
+	if (!proposal.operation)
 		abort();
-	a.op->from = r->id;
-	a.op->token = a.token;
-	arrput(r->ask, a);
+	proposal.operation->from = controller->id;
+	proposal.operation->token = proposal.token;
+	arrput(controller->proposals, proposal);
 }
 
-static void end_proposal(struct controller *r, ptrdiff_t i)
+static void end_proposal(struct controller *controller, ptrdiff_t i)
 {
-	nl__op__free_unpacked(r->ask[i].op, NULL);
-	arrdel(r->ask, i);
+	nl__op__free_unpacked(controller->proposals[i].operation, NULL);
+	arrdel(controller->proposals, i);
 }
 
 /* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader is in reach;
  * what may have been waits for its outcome, up to its time. A controller that is to stop looks for no leader any more: there
  * nothing waits without one. */
-static int ask_given_up(const struct controller *r, const struct controller_ask *a, int64_t now, struct out *o)
+static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal, int64_t now, struct out *out)
 {
-	int open = a->sends > a->denied;
+	int may_be_logged = proposal->send_count > proposal->denied_count;
 
-	if (now < a->until && (!a->web || leader_in_reach(r, now) || (open && !r->stopping)))
+	if (now < proposal->deadline_at_ms && (!proposal->call_token || leader_reachable(controller, now) || (may_be_logged && !controller->stopping)))
 		return 0;
-	if (a->web && open)
-		out_answer(o, a->web, 504, CONTROLLER_RETRY_MS,
-			   error_json(o->p, "outcome unknown: read the table before trying again", 0));
-	else if (a->web)
-		refuse_without_leader(a->web, o);
+	if (proposal->call_token && may_be_logged)
+		command_answer(out, proposal->call_token, 504, CONTROLLER_RETRY_MS,
+			   error_json(out->pool, "outcome unknown: read the table before trying again", 0));
+	else if (proposal->call_token)
+		reject_without_leader(proposal->call_token, out);
 	return 1;
 }
 
-void proposals_tick(struct controller *r, int64_t now, struct out *o)
+void proposals_tick(struct controller *controller, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(r->ask) - 1; i >= 0; i--) {
-		struct controller_ask *a = &r->ask[i];
+	for (ptrdiff_t i = arrlen(controller->proposals) - 1; i >= 0; i--) {
+		struct controller_proposal *proposal = &controller->proposals[i];
 		struct Nl__Propose *q;
 
-		if (ask_given_up(r, a, now, o)) {
-			end_proposal(r, i);
+		if (proposal_expired(controller, proposal, now, out)) {
+			end_proposal(controller, i);
 			continue;
 		}
-		if (now < a->again || !leader_in_reach(r, now))
+		if (now < proposal->retry_at_ms || !leader_reachable(controller, now))
 			continue;
-		a->again = now + CONTROLLER_AGAIN;
-		a->sends++;
-		q = OUT_NEW(o, Nl__Propose, NL__PROPOSE__INIT);
-		q->token = a->token;
-		q->op = (struct Nl__Op *)core_dup(o->p, &a->op->base);
-		out_msg(o, config_watch_leader_addr(&r->f, a->part), a->part, NL__MSG__BODY_PROPOSE)->propose = q;
+		proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS;
+		proposal->send_count++;
+		q = OUT_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+		q->token = proposal->token;
+		q->op = (struct Nl__Op *)core_copy_message(out->pool, &proposal->operation->base);
+		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard), proposal->shard, NL__MSG__BODY_PROPOSE)->propose = q;
 	}
 }
 
 /* The status of an order that was not accepted. */
-static int refusal_status(uint32_t st)
+static int rejection_http_status(uint32_t status)
 {
-	switch (st) {
-	case TABLE_OVERTAKEN: return 409;
-	case TABLE_KEY_REUSED: return 422;
-	case TABLE_FORGOTTEN: return 504;
+	switch (status) {
+	case PROPOSAL_SUPERSEDED: return 409;
+	case PROPOSAL_KEY_REUSED: return 422;
+	case PROPOSAL_KEY_EXPIRED: return 504;
 	default: return 400;
 	}
 }
 
 /* A copy was refused as the table stood. While another may still be on its way, it may be accepted as the table stands
  * then: nothing is said before that one is answered too, and no more are sent. */
-static int another_copy_is_open(struct controller_ask *a)
+static int another_copy_in_flight(struct controller_proposal *proposal)
 {
-	a->refused++;
-	if (a->refused >= a->sends - a->denied)
+	proposal->refused_count++;
+	if (proposal->refused_count >= proposal->send_count - proposal->denied_count)
 		return 0;
-	a->again = a->until;
+	proposal->retry_at_ms = proposal->deadline_at_ms;
 	return 1;
 }
 
-void on_proposal_reply(struct controller *r, const struct Nl__Answer *a, int64_t now, struct out *o)
+void on_proposal_reply(struct controller *controller, const struct Nl__Answer *answer, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->ask); i++) {
-		struct controller_ask *q = &r->ask[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++) {
+		struct controller_proposal *proposal = &controller->proposals[i];
 		const char *body;
 
-		if (q->token != a->token)
+		if (proposal->token != answer->token)
 			continue;
-		if (a->status == TABLE_NOT_OWNER) { /* surely not logged there */
-			q->denied++;
-			q->again = now + CONTROLLER_SOON; /* the one named */
-			config_watch_hint(&r->f, q->part, a->hint);
+		if (answer->status == PROPOSAL_NOT_LEADER) { /* surely not logged there */
+			proposal->denied_count++;
+			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS; /* the one named */
+			config_watch_hint(&controller->config_watch, proposal->shard, answer->hint);
 			return;
 		}
-		if (a->status == TABLE_REFUSED && another_copy_is_open(q))
+		if (answer->status == PROPOSAL_REJECTED && another_copy_in_flight(proposal))
 			return;
-		if (a->status == TABLE_BUSY) { /* stays open: its end is unknown, and the next leader will tell */
-			q->again = now + CONTROLLER_SOON;
+		if (answer->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the next leader will tell */
+			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS;
 			return;
 		}
-		if (a->status != TABLE_DONE && now >= q->until)
+		if (answer->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
 			return; /* said long ago, and read only now: no more than that it may have been logged is certain */
-		if (q->web && a->status == TABLE_DONE) {
-			body = apr_psprintf(o->p, "{\"edition\":%" APR_UINT64_T_FMT "}", a->edition);
-			out_answer(o, q->web, 200, 0, body);
-		} else if (q->web) {
-			int status = refusal_status(a->status);
+		if (proposal->call_token && answer->status == PROPOSAL_DONE) {
+			body = apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->edition);
+			command_answer(out, proposal->call_token, 200, 0, body);
+		} else if (proposal->call_token) {
+			int http_status = rejection_http_status(answer->status);
 
-			body = error_json(o->p, a->status == TABLE_FORGOTTEN ? ORDER_FORGOTTEN : a->why, a->edition);
-			if (status < 500)
-				out_answer_until(o, q->web, status, body, q->until);
+			body = error_json(out->pool, answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN : answer->why, answer->edition);
+			if (http_status < 500)
+				command_answer_until(out, proposal->call_token, http_status, body, proposal->deadline_at_ms);
 			else
-				out_answer(o, q->web, status, CONTROLLER_RETRY_MS, body);
+				command_answer(out, proposal->call_token, http_status, CONTROLLER_RETRY_MS, body);
 		}
-		end_proposal(r, i);
-		config_watch_ask(&r->f, r->relay.k.horizon, now, o);
+		end_proposal(controller, i);
+		config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 		return;
 	}
 }
--- a/lib/control/proposals.h
+++ b/lib/control/proposals.h
@@ -7,21 +7,21 @@
 #include "state_machine.h"
 
 /* Answer a proposal: its outcome (TABLE_*), the version it made, why, and who leads where this node does not. */
-void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t st, uint64_t version, const char *why, uint64_t hint, struct out *o);
+void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why, uint64_t hint, struct out *out);
 
 /* Answer whoever waits for this entry, which was just applied. */
-void answer_proposers(struct controller *r, uint32_t part, uint64_t index, struct applied applied, struct out *o);
+void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index, struct apply_result applied, struct out *out);
 
 /* Another node's proposal arrives. */
-void on_proposal(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* Propose an operation to its leader, on behalf of an operator's call or, with web 0, of this node itself. */
-void propose(struct controller *r, uint32_t part, const struct Nl__Op *op, uint64_t web, int64_t now);
+void propose(struct controller *controller, uint32_t shard, const struct Nl__Op *op, uint64_t call_token, int64_t now);
 
 /* Send open proposals again, and give up those past their time. */
-void proposals_tick(struct controller *r, int64_t now, struct out *o);
+void proposals_tick(struct controller *controller, int64_t now, struct out *out);
 
 /* The answer to one of this node's proposals arrives. */
-void on_proposal_reply(struct controller *r, const struct Nl__Answer *a, int64_t now, struct out *o);
+void on_proposal_reply(struct controller *controller, const struct Nl__Answer *answer, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/purge_publisher.h
+++ b/lib/control/purge_publisher.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A publisher asks a part that is led here for its newest decisions. */
-void on_feed_request(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* A part's decisions arrive: they are logged in batches. */
-void on_feed_reply(struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *o);
+void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* Taking office: every tick up to the old ceiling is known, as a logged value or as silence. */
-void publisher_start(struct controller *r, int64_t now, struct out *o);
+void publisher_start(struct controller *controller, int64_t now, struct out *out);
 
 /* Ask the parts for decisions, and declare silence once none has any left. */
-void publisher_tick(struct controller *r, int64_t now, struct out *o);
+void publisher_tick(struct controller *controller, int64_t now, struct out *out);
 
 #endif
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -7,156 +7,156 @@
 #include "controller_private.h"
 
 /* The fleet's limit of "tenant" or "lane/tenant" as the table has it. */
-static uint32_t find_limit(const struct controller *r, const char *name)
+static uint32_t find_limit(const struct controller *controller, const char *name)
 {
-	const struct Nl__Row *row = table_get(&r->ctl, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
+	const struct Nl__Row *row = config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
 
 	return row ? row->limit : 0;
 }
 
 /* Whether there is such a row at all; one without a limit has 0. */
-static int named(const struct controller *r, const char *name)
+static int has_quota_row(const struct controller *controller, const char *name)
 {
-	return table_get(&r->ctl, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name) != NULL;
+	return config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name) != NULL;
 }
 
 /* What the asker may use. Never more than the limit less all that others hold or may believe to hold. What is wanted
  * beyond the limit is shared out evenly; the odd places go to those that have gone without for longest. */
-static uint32_t compute_share(const struct controller_place *v, const struct controller_place *me, const char *name, uint32_t limit,
-			      uint32_t spare, int64_t now)
+static uint32_t compute_share(const struct controller_quota_share *v, const struct controller_quota_share *grant, const char *name, uint32_t limit,
+			      uint32_t reserve, int64_t now)
 {
-	uint64_t others = 0, all = 0, turn = core_hashs((uint64_t)(now / 1000), name);
-	uint32_t n = 0, rank = 0, want = me->want + spare, even;
+	uint64_t others = 0, total = 0, rotation = core_hash_string((uint64_t)(now / 1000), name);
+	uint32_t requester_count = 0, rank = 0, requested = grant->requested + reserve, even;
 
 	for (ptrdiff_t i = 0; i < arrlen(v); i++) {
-		if (v[i].id != me->id)
-			others += v[i].rec;
-		all += v[i].want + spare;
-		n += v[i].want > 0;
-		rank += v[i].want &&
-			(v[i].fed / 1000 != me->fed / 1000 ? v[i].fed < me->fed : core_rdv(turn, v[i].id) > core_rdv(turn, me->id));
+		if (v[i].router_id != grant->router_id)
+			others += v[i].reserved;
+		total += v[i].requested + reserve;
+		requester_count += v[i].requested > 0;
+		rank += v[i].requested &&
+			(v[i].last_granted_at_ms / 1000 != grant->last_granted_at_ms / 1000 ? v[i].last_granted_at_ms < grant->last_granted_at_ms : core_rendezvous_weight(rotation, v[i].router_id) > core_rendezvous_weight(rotation, grant->router_id));
 	}
-	if (all > limit) {
-		even = n ? limit / n + (rank < limit % n) : 0;
-		want = me->want < even ? me->want : even;
+	if (total > limit) {
+		even = requester_count ? limit / requester_count + (rank < limit % requester_count) : 0;
+		requested = grant->requested < even ? grant->requested : even;
 	}
-	if (want <= me->rec) /* less than it has: always; more: as far as others leave it */
-		return want;
-	return others + want <= limit     ? want
-	       : others + me->rec < limit ? (uint32_t)(limit - others)
-	       : me->rec < limit          ? me->rec
+	if (requested <= grant->reserved) /* less than it has: always; more: as far as others leave it */
+		return requested;
+	return others + requested <= limit     ? requested
+	       : others + grant->reserved < limit ? (uint32_t)(limit - others)
+	       : grant->reserved < limit          ? grant->reserved
 					  : limit;
 }
 
-static struct controller_place *find_share(struct controller *r, const char *name, uint64_t id, uint32_t most, int64_t now)
+static struct controller_quota_share *find_share(struct controller *controller, const char *name, uint64_t router_id, uint32_t in_use, int64_t now)
 {
-	struct controller_place *v, n = { id, 0, most, 0, now, 0 };
-	ptrdiff_t me = -1;
+	struct controller_quota_share *v, grant = { router_id, 0, in_use, 0, now, 0 };
+	ptrdiff_t own = -1;
 
-	if (shgeti(r->limit, name) < 0)
-		shput(r->limit, name, NULL);
-	v = shget(r->limit, name);
+	if (shgeti(controller->quotas, name) < 0)
+		shput(controller->quotas, name, NULL);
+	v = shget(controller->quotas, name);
 	for (ptrdiff_t i = arrlen(v) - 1; i >= 0; i--)
-		if (now - v[i].at > CONTROLLER_SHARES_MS)
+		if (now - v[i].updated_at_ms > CONTROLLER_QUOTA_LEASE_MS)
 			arrdelswap(v, i);
 	for (ptrdiff_t i = 0; i < arrlen(v); i++)
-		if (v[i].id == id)
-			me = i;
-	if (me < 0) {
-		arrput(v, n);
-		me = arrlen(v) - 1;
+		if (v[i].router_id == router_id)
+			own = i;
+	if (own < 0) {
+		arrput(v, grant);
+		own = arrlen(v) - 1;
 	}
-	shput(r->limit, name, v);
-	return &v[me];
+	shput(controller->quotas, name, v);
+	return &v[own];
 }
 
 /* Say what the asker may use, and count it as held until it is heard to be back. */
-static void reply_share(struct controller_place *me, const char *name, uint32_t held, uint64_t token, struct Nl__ConfigSyncReply *a,
-			struct out *o)
+static void reply_share(struct controller_quota_share *grant, const char *name, uint32_t reserved, uint64_t token, struct Nl__ConfigSyncReply *reply,
+			struct out *out)
 {
-	struct Nl__Hold *p = OUT_NEW(o, Nl__Hold, NL__HOLD__INIT);
-
-	if (held > me->rec)
-		me->rec = held;
-	me->token = token;
-	p->name = apr_pstrdup(o->p, name);
-	p->held = held;
-	a->place[a->n_place++] = p;
+	struct Nl__Hold *hold = OUT_NEW(out, Nl__Hold, NL__HOLD__INIT);
+
+	if (reserved > grant->reserved)
+		grant->reserved = reserved;
+	grant->reply_token = token;
+	hold->name = apr_pstrdup(out->pool, name);
+	hold->held = reserved;
+	reply->place[reply->n_place++] = hold;
 }
 
 /* Where a table has few limits, routers hold some of each ahead: a failover then finds them with places. */
-static void update_reserved_limits(struct controller *r)
+static void update_reserve_limits(struct controller *controller)
 {
-	if (r->spare_edition == r->ctl.edition)
+	if (controller->reserve_limits_revision == controller->config.revision)
 		return;
-	r->spare_edition = r->ctl.edition;
-	arrsetlen(r->spare, 0);
-	for (ptrdiff_t i = 0; i < shlen(r->ctl.h); i++) {
-		const struct Nl__Row *row = r->ctl.h[i].value.row;
+	controller->reserve_limits_revision = controller->config.revision;
+	arrsetlen(controller->reserve_limits, 0);
+	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
+		const struct Nl__Row *row = controller->config.rows[i].value.row;
 
 		if ((row->kind != NL__KIND__TENANT && row->kind != NL__KIND__SHARE) || !row->limit)
 			continue;
-		if (arrlen(r->spare) == CONTROLLER_SPARE) {
-			arrsetlen(r->spare, 0);
+		if (arrlen(controller->reserve_limits) == CONTROLLER_MAX_RESERVE_LIMITS) {
+			arrsetlen(controller->reserve_limits, 0);
 			return;
 		}
-		arrput(r->spare, row->name);
+		arrput(controller->reserve_limits, row->name);
 	}
 }
 
 /* Places that the asker holds, uses and wants, and what it gets. In the first seconds of an office nobody gets more: not
  * all that the last owner gave has been heard of yet. */
-void quota_shares_update(struct controller *r, uint64_t id, const struct Nl__ConfigSync *q, uint32_t counters,
-			 struct Nl__ConfigSyncReply *a, int64_t now, struct out *o)
+void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync, uint32_t router_count,
+			 struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
 {
 	/* the members are a fleet's first entry, its first owner's the second: before it nobody gave any */
-	int young = now - r->leader_since[SHARD_CONTROL] < CONTROLLER_SHARES_MS && r->part[SHARD_CONTROL].term_start > 2;
-	uint32_t n = counters ? counters : 1;
+	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS && controller->shards[SHARD_CONTROL].term_start > 2;
+	uint32_t router_divisor = router_count ? router_count : 1;
 
-	update_reserved_limits(r);
-	a->place = apr_palloc(o->p, (q->n_hold + (size_t)arrlen(r->spare) + 1) * sizeof *a->place);
-	for (size_t k = 0; k < q->n_hold; k++) {
-		const struct Nl__Hold *h = q->hold[k];
-		uint32_t limit = find_limit(r, h->name), got, most = h->held > h->used ? h->held : h->used;
-		struct controller_place *me;
+	update_reserve_limits(controller);
+	reply->place = apr_palloc(out->pool, (sync->n_hold + (size_t)arrlen(controller->reserve_limits) + 1) * sizeof *reply->place);
+	for (size_t k = 0; k < sync->n_hold; k++) {
+		const struct Nl__Hold *hold = sync->hold[k];
+		uint32_t limit = find_limit(controller, hold->name), granted, in_use = hold->held > hold->used ? hold->held : hold->used;
+		struct controller_quota_share *grant;
 
-		if (!limit && named(r, h->name)) /* no limit: nobody asks for places */
+		if (!limit && has_quota_row(controller, hold->name)) /* no limit: nobody asks for places */
 			continue;
-		me = find_share(r, h->name, id, most, now);
-		if (q->applied >= me->token || most > me->rec) /* it has heard the last that was said */
-			me->rec = most;
-		me->want = h->want;
-		me->at = now;
-		got = compute_share(shget(r->limit, h->name), me, h->name, limit, limit / n / 4, now);
-		if (young && got > h->held)
-			got = h->held < limit ? h->held : limit;
-		if (got || h->used)
-			me->fed = now;
-		reply_share(me, h->name, got, q->token, a, o);
+		grant = find_share(controller, hold->name, router_id, in_use, now);
+		if (sync->applied >= grant->reply_token || in_use > grant->reserved) /* it has heard the last that was said */
+			grant->reserved = in_use;
+		grant->requested = hold->want;
+		grant->updated_at_ms = now;
+		granted = compute_share(shget(controller->quotas, hold->name), grant, hold->name, limit, limit / router_divisor / 4, now);
+		if (new_leader && granted > hold->held)
+			granted = hold->held < limit ? hold->held : limit;
+		if (granted || hold->used)
+			grant->last_granted_at_ms = now;
+		reply_share(grant, hold->name, granted, sync->token, reply, out);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(r->spare) && q->counter && !young; i++) {
-		uint32_t limit = find_limit(r, r->spare[i]), got;
-		struct controller_place *me;
-		int named = 0;
-
-		for (size_t k = 0; k < q->n_hold && !named; k++)
-			named = !strcmp(q->hold[k]->name, r->spare[i]);
-		if (named || limit < 4 * n)
+	for (ptrdiff_t i = 0; i < arrlen(controller->reserve_limits) && sync->counter && !new_leader; i++) {
+		uint32_t limit = find_limit(controller, controller->reserve_limits[i]), granted;
+		struct controller_quota_share *grant;
+		int requested = 0;
+
+		for (size_t k = 0; k < sync->n_hold && !requested; k++)
+			requested = !strcmp(sync->hold[k]->name, controller->reserve_limits[i]);
+		if (requested || limit < 4 * router_divisor)
 			continue;
-		me = find_share(r, r->spare[i], id, 0, now);
-		me->at = now;
-		me->want = 0;
-		if (q->applied >= me->token)
-			me->rec = 0;
-		got = compute_share(shget(r->limit, r->spare[i]), me, r->spare[i], limit, limit / n / 4, now);
-		reply_share(me, r->spare[i], got, q->token, a, o);
+		grant = find_share(controller, controller->reserve_limits[i], router_id, 0, now);
+		grant->updated_at_ms = now;
+		grant->requested = 0;
+		if (sync->applied >= grant->reply_token)
+			grant->reserved = 0;
+		granted = compute_share(shget(controller->quotas, controller->reserve_limits[i]), grant, controller->reserve_limits[i], limit, limit / router_divisor / 4, now);
+		reply_share(grant, controller->reserve_limits[i], granted, sync->token, reply, out);
 	}
 }
 
-void quota_shares_clear(struct controller *r)
+void quota_shares_clear(struct controller *controller)
 {
-	for (ptrdiff_t i = 0; i < shlen(r->limit); i++)
-		arrfree(r->limit[i].value);
-	shfree(r->limit);
-	sh_new_strdup(r->limit);
+	for (ptrdiff_t i = 0; i < shlen(controller->quotas); i++)
+		arrfree(controller->quotas[i].value);
+	shfree(controller->quotas);
+	sh_new_strdup(controller->quotas);
 }
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -7,16 +7,16 @@
 #include "ds.h"
 #include "controller_private.h"
 
-enum { MOST_LOST = RAFT_MAX_MEMBERS };
+enum { MAX_LOST = RAFT_MAX_MEMBERS };
 
 /* The identities that the call names as lost for good; -1 when they cannot be read. */
-static int read_lost(const char *body, uint64_t lost[MOST_LOST])
+static int read_lost(const char *body, uint64_t lost[MAX_LOST])
 {
 	struct json_object *call = json_tokener_parse(body), *list;
 	int count = -1;
 
 	if (call && json_object_is_type(call, json_type_object) && json_object_object_get_ex(call, "lost", &list) &&
-	    json_object_is_type(list, json_type_array) && json_object_array_length(list) <= MOST_LOST) {
+	    json_object_is_type(list, json_type_array) && json_object_array_length(list) <= MAX_LOST) {
 		count = 0;
 		for (size_t i = 0; i < json_object_array_length(list); i++)
 			lost[count++] = strtoull(json_object_get_string(json_object_array_get_idx(list, i)), NULL, 16);
@@ -25,58 +25,58 @@
 	return count;
 }
 
-static struct json_object *member_json(const struct raft *raft, const struct raft_member *member, int64_t now, apr_pool_t *p)
+static struct json_object *member_json(const struct raft *raft, const struct raft_member *member, int64_t now, apr_pool_t *pool)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(j, "id", json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT, member->id)));
-	json_object_object_add(j, "address", json_object_new_string(core_addr_str(p, member->addr)));
-	json_object_object_add(j, "voter", json_object_new_boolean(member->voter));
-	json_object_object_add(j, "here", json_object_new_boolean(member->id == raft->id));
-	if (member->message_at)
-		json_object_object_add(j, "heard_ms_ago", json_object_new_int64(now - member->message_at));
-	return j;
+	json_object_object_add(json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, member->id)));
+	json_object_object_add(json, "address", json_object_new_string(core_format_addr(pool, member->addr)));
+	json_object_object_add(json, "voter", json_object_new_boolean(member->voter));
+	json_object_object_add(json, "here", json_object_new_boolean(member->id == raft->id));
+	if (member->last_message_at_ms)
+		json_object_object_add(json, "heard_ms_ago", json_object_new_int64(now - member->last_message_at_ms));
+	return json;
 }
 
 static struct json_object *shard_json(const struct raft *raft, enum raft_recovery verdict, int recovered, int64_t now,
-				      apr_pool_t *p)
+				      apr_pool_t *pool)
 {
-	struct json_object *j = json_object_new_object(), *members = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *members = json_object_new_array();
 
-	json_object_object_add(j, "shard", json_object_new_int64(raft->no));
-	json_object_object_add(j, "recovered", json_object_new_boolean(recovered));
-	json_object_object_add(j, "why", json_object_new_string(raft_recovery_text(verdict)));
-	json_object_object_add(j, "kept_up_to", json_object_new_uint64(raft->base + (uint64_t)arrlen(raft->log)));
-	json_object_object_add(j, "epoch", json_object_new_uint64(raft_epoch(raft->term)));
+	json_object_object_add(json, "shard", json_object_new_int64(raft->shard));
+	json_object_object_add(json, "recovered", json_object_new_boolean(recovered));
+	json_object_object_add(json, "why", json_object_new_string(raft_recovery_strerror(verdict)));
+	json_object_object_add(json, "kept_up_to", json_object_new_uint64(raft->base_index + (uint64_t)arrlen(raft->log)));
+	json_object_object_add(json, "epoch", json_object_new_uint64(raft_epoch(raft->term)));
 	for (int i = 0; i < raft->member_count; i++)
-		json_object_array_add(members, member_json(raft, &raft->members[i], now, p));
-	json_object_object_add(j, "members", members);
-	return j;
+		json_object_array_add(members, member_json(raft, &raft->members[i], now, pool));
+	json_object_object_add(json, "members", members);
+	return json;
 }
 
-void recover_groups(struct controller *r, const struct controller_ev *ev, int64_t now, struct out *o)
+void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
 {
-	uint64_t lost[MOST_LOST];
-	int count = read_lost(ev->u.web.body, lost), recovered = 0;
+	uint64_t lost[MAX_LOST];
+	int count = read_lost(event->payload.api_call.body, lost), recovered = 0;
 	struct json_object *answer, *shards;
 
 	if (count < 0) {
-		out_answer(o, ev->u.web.token, 400, 0, error_json(o->p, "lost: a list of up to 8 identities of registrars", 0));
+		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, "lost: a list of up to 8 identities of registrars", 0));
 		return;
 	}
 	answer = json_object_new_object();
 	shards = json_object_new_array();
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		struct raft *raft = &r->part[i];
+		struct raft *raft = &controller->shards[i];
 		enum raft_recovery verdict =
 		    count ? raft_recover(raft, lost, count, now) : raft_can_recover(raft, lost, count, now);
 		int done = count && verdict == RAFT_RECOVERY_POSSIBLE;
 
 		recovered += done;
 		if (done)
-			log_line(r, "recovery", o->p, "Shard %d goes on with this copy alone, in epoch %" APR_UINT64_T_FMT ".", i,
+			log_line(controller, "recovery", out->pool, "Shard %d goes on with this copy alone, in epoch %" APR_UINT64_T_FMT ".", i,
 				 raft_epoch(raft->term));
-		json_object_array_add(shards, shard_json(raft, verdict, done, now, o->p));
+		json_object_array_add(shards, shard_json(raft, verdict, done, now, out->pool));
 	}
 	json_object_object_add(answer, "recovered", json_object_new_int(recovered));
 	json_object_object_add(answer, "lost",
@@ -84,7 +84,7 @@
 								  "and purges that were acknowledged last may be missing"
 								: "nothing"));
 	json_object_object_add(answer, "shards", shards);
-	out_answer(o, ev->u.web.token, recovered ? 200 : 409, 0,
-		   apr_pstrdup(o->p, json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN)));
+	command_answer(out, event->payload.api_call.token, recovered ? 200 : 409, 0,
+		   apr_pstrdup(out->pool, json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(answer);
 }
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -10,33 +10,33 @@
 
 /* ---- rows ------------------------------------------------------------------ */
 
-int64_t retention_span(const char *text)
+int64_t retention_parse_span(const char *text)
 {
 	static const struct {
 		char unit;
 		int64_t ms;
 	} units[] = { { 's', 1000 }, { 'm', 60000 }, { 'h', 3600000 }, { 'd', 86400000 }, { 'w', 604800000 } };
 	size_t n = strspn(text, "0123456789");
-	int64_t v = n && n < 7 ? strtoll(text, NULL, 10) : 0;
+	int64_t value = n && n < 7 ? strtoll(text, NULL, 10) : 0;
 
-	for (size_t i = 0; v && i < sizeof units / sizeof *units; i++)
+	for (size_t i = 0; value && i < sizeof units / sizeof *units; i++)
 		if (text[n] == units[i].unit && !text[n + 1])
-			return v * units[i].ms;
+			return value * units[i].ms;
 	return -1;
 }
 
-int retention_scope(const char *name, char lane[200], char tenant[200])
+int retention_parse_scope(const char *scope, char lane[200], char tenant[200])
 {
-	const char *slash = strchr(name, '/');
+	const char *slash = strchr(scope, '/');
 
-	if (strlen(name) >= 200)
+	if (strlen(scope) >= 200)
 		return 0;
-	if (!strcmp(name, "*"))
-		name = "*/*", slash = name + 1;
-	if (!slash || slash == name || !slash[1])
+	if (!strcmp(scope, "*"))
+		scope = "*/*", slash = scope + 1;
+	if (!slash || slash == scope || !slash[1])
 		return 0;
-	memcpy(lane, name, (size_t)(slash - name));
-	lane[slash - name] = 0;
+	memcpy(lane, scope, (size_t)(slash - scope));
+	lane[slash - scope] = 0;
 	memcpy(tenant, slash + 1, strlen(slash));
 	if (!strcmp(lane, "*"))
 		lane[0] = 0;
@@ -45,67 +45,67 @@
 	return 1;
 }
 
-uint64_t retention_hash(const char *lane, const char *tenant) { return core_hashs(core_hashs(31, lane), tenant); }
+uint64_t retention_namespace_hash(const char *lane, const char *tenant) { return core_hash_string(core_hash_string(31, lane), tenant); }
 
 /* ms between two clearings of a row without calendar terms. */
-static int64_t period(const struct Nl__Row *r)
+static int64_t period(const struct Nl__Row *row)
 {
-	return r->every[0] ? retention_span(r->every) : retention_span(r->keep) - r->window;
+	return row->every[0] ? retention_parse_span(row->every) : retention_parse_span(row->keep) - row->window;
 }
 
-const char *retention_row(const struct Nl__Row *r)
+const char *retention_check_row(const struct Nl__Row *row)
 {
 	char lane[200], tenant[200];
-	int64_t keep = r->keep[0] ? retention_span(r->keep) : 0;
+	int64_t keep_ms = row->keep[0] ? retention_parse_span(row->keep) : 0;
 
-	if (!retention_scope(r->name, lane, tenant))
+	if (!retention_parse_scope(row->name, lane, tenant))
 		return "name: lane/tenant, with * for all; * alone for everything";
-	if (keep < 0)
+	if (keep_ms < 0)
 		return "keep: a number and s, m, h, d or w, such as 90m or 7d";
-	if (r->every[0] && r->at[0])
+	if (row->every[0] && row->at[0])
 		return "every: not beside at";
-	if (!keep && !r->every[0] && !r->at[0])
+	if (!keep_ms && !row->every[0] && !row->at[0])
 		return "keep: missing, and neither every nor at";
-	if (r->every[0] && retention_span(r->every) < 0)
+	if (row->every[0] && retention_parse_span(row->every) < 0)
 		return "every: a number and s, m, h, d or w, such as 6h";
-	if (keep && keep < (int64_t)r->window)
+	if (keep_ms && keep_ms < (int64_t)row->window)
 		return "keep: shorter than window";
-	if (r->at[0])
+	if (row->at[0])
 		return NULL; /* the calendar judges it */
-	if (period(r) < RETENTION_LEAST)
-		return r->every[0] ? "every: shorter than a clearing takes (10s)"
+	if (period(row) < RETENTION_MIN_PERIOD_MS)
+		return row->every[0] ? "every: shorter than a clearing takes (10s)"
 				   : "keep: shorter than window and a clearing (10s)";
-	if ((int64_t)r->window > period(r))
+	if ((int64_t)row->window > period(row))
 		return "window: longer than the time between two clearings";
-	if (keep && r->every[0] && keep < period(r) + (int64_t)r->window)
+	if (keep_ms && row->every[0] && keep_ms < period(row) + (int64_t)row->window)
 		return "keep: shorter than every and window together";
 	return NULL;
 }
 
-static int named(const struct table *t, const struct Nl__Change *c, Nl__Kind k, const char *name)
+static int has_quota_row(const struct config_table *table, const struct Nl__Change *change, Nl__Kind k, const char *name)
 {
-	for (size_t i = 0; i < c->n_set; i++)
-		if (c->set[i]->kind == k && !strcmp(c->set[i]->name, name))
+	for (size_t i = 0; i < change->n_set; i++)
+		if (change->set[i]->kind == k && !strcmp(change->set[i]->name, name))
 			return 1;
-	for (size_t i = 0; i < c->n_del; i++)
-		if (c->del[i]->kind == k && !strcmp(c->del[i]->name, name))
+	for (size_t i = 0; i < change->n_del; i++)
+		if (change->del[i]->kind == k && !strcmp(change->del[i]->name, name))
 			return 0;
-	return !c->whole && table_get(t, k, name);
+	return !change->whole && config_table_get(table, k, name);
 }
 
-const char *retention_scopes(const struct table *t, const struct Nl__Change *c, apr_pool_t *p)
+const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change, apr_pool_t *p)
 {
 	char lane[200], tenant[200];
 
-	for (size_t i = 0; i < c->n_set && shlen(t->h); i++) {
-		const struct Nl__Row *r = c->set[i];
+	for (size_t i = 0; i < change->n_set && shlen(table->rows); i++) {
+		const struct Nl__Row *row = change->set[i];
 
-		if (r->kind != NL__KIND__RETENTION || !retention_scope(r->name, lane, tenant))
+		if (row->kind != NL__KIND__RETENTION || !retention_parse_scope(row->name, lane, tenant))
 			continue;
-		if (lane[0] && !named(t, c, NL__KIND__LANE, lane))
-			return apr_psprintf(p, "retention %s: name: no lane %s", r->name, lane);
-		if (tenant[0] && !named(t, c, NL__KIND__TENANT, tenant))
-			return apr_psprintf(p, "retention %s: name: no tenant %s", r->name, tenant);
+		if (lane[0] && !has_quota_row(table, change, NL__KIND__LANE, lane))
+			return apr_psprintf(p, "retention %s: name: no lane %s", row->name, lane);
+		if (tenant[0] && !has_quota_row(table, change, NL__KIND__TENANT, tenant))
+			return apr_psprintf(p, "retention %s: name: no tenant %s", row->name, tenant);
 	}
 	return NULL;
 }
@@ -126,64 +126,64 @@
 	return n;
 }
 
-const char *retention_check(const struct controller_calendar *cal, const struct Nl__Change *c, int64_t wall, apr_pool_t *p)
+const char *retention_check_calendar(const struct controller_calendar *calendar, const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *p)
 {
-	for (size_t i = 0; i < c->n_set; i++) {
-		const struct Nl__Row *r = c->set[i];
-		int64_t least, most, keep;
-		const char *why = NULL;
+	for (size_t i = 0; i < change->n_set; i++) {
+		const struct Nl__Row *row = change->set[i];
+		int64_t shortest_ms, longest_ms, keep_ms;
+		const char *error = NULL;
 
-		if (r->kind != NL__KIND__RETENTION)
+		if (row->kind != NL__KIND__RETENTION)
 			continue;
-		if (wall == INT64_MIN)
-			why = "the registrars' clocks are not heard: nothing can be planned";
-		else if (!r->at[0])
+		if (wall_ms == INT64_MIN)
+			error = "the registrars' clocks are not heard: nothing can be planned";
+		else if (!row->at[0])
 			continue;
-		else if (!cal)
-			why = "at: no calendar is known here";
-		else if ((why = cal->check(r->at, p)))
-			why = apr_psprintf(p, "at: %s", why);
-		else if (!cal->next(r->at, wall))
-			why = "at: it never comes";
-		else if (gaps(cal, r->at, wall, &least, &most) && (int64_t)r->window > least)
-			why = "window: longer than the time between two clearings";
-		else if (r->keep[0] && (keep = retention_span(r->keep)) >= 0 && keep < most + (int64_t)r->window)
-			why =
+		else if (!calendar)
+			error = "at: no calendar is known here";
+		else if ((error = calendar->check(row->at, p)))
+			error = apr_psprintf(p, "at: %s", error);
+		else if (!calendar->next(row->at, wall_ms))
+			error = "at: it never comes";
+		else if (gaps(calendar, row->at, wall_ms, &shortest_ms, &longest_ms) && (int64_t)row->window > shortest_ms)
+			error = "window: longer than the time between two clearings";
+		else if (row->keep[0] && (keep_ms = retention_parse_span(row->keep)) >= 0 && keep_ms < longest_ms + (int64_t)row->window)
+			error =
 			    apr_psprintf(p, "keep: two clearings may be %" APR_INT64_T_FMT " h apart, and window: keep is shorter",
-					 most / 3600000);
-		if (why)
-			return apr_psprintf(p, "retention %s: %s", r->name, why);
+					 longest_ms / 3600000);
+		if (error)
+			return apr_psprintf(p, "retention %s: %s", row->name, error);
 	}
 	return NULL;
 }
 
-int64_t retention_next(const struct controller_calendar *cal, const struct Nl__Row *row, int64_t base, int64_t from)
+int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row, int64_t base_ms, int64_t from_ms)
 {
-	int64_t ms;
+	int64_t period_ms;
 
 	if (row->at[0])
-		return cal ? cal->next(row->at, from) : 0;
-	ms = period(row);
-	if (ms < RETENTION_LEAST)
+		return calendar ? calendar->next(row->at, from_ms) : 0;
+	period_ms = period(row);
+	if (period_ms < RETENTION_MIN_PERIOD_MS)
 		return 0;
-	return base > from ? base : base + ((from - base) / ms + 1) * ms;
+	return base_ms > from_ms ? base_ms : base_ms + ((from_ms - base_ms) / period_ms + 1) * period_ms;
 }
 
 /* ---- the state that part 0 keeps -------------------------------------------- */
 
-static struct Nl__Planned *plan_of(const struct retention *t, const char *scope)
+static struct Nl__Planned *find_plan(const struct retention *retention, const char *scope)
 {
-	for (ptrdiff_t i = 0; i < arrlen(t->plan); i++)
-		if (!strcmp(t->plan[i]->scope, scope))
-			return t->plan[i];
+	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
+		if (!strcmp(retention->plans[i]->scope, scope))
+			return retention->plans[i];
 	return NULL;
 }
 
-static struct Nl__Clearing *clearing_of(const struct retention *t, uint64_t number)
+static struct Nl__Clearing *find_purge(const struct retention *retention, uint64_t number)
 {
-	for (ptrdiff_t i = arrlen(t->v) - 1; i >= 0; i--)
-		if (t->v[i]->number == number)
-			return t->v[i];
+	for (ptrdiff_t i = arrlen(retention->purges) - 1; i >= 0; i--)
+		if (retention->purges[i]->number == number)
+			return retention->purges[i];
 	return NULL;
 }
 
@@ -204,45 +204,45 @@
 }
 
 /* One slice of a clearing goes to the publisher. */
-static void emit(struct controller *r, uint64_t index, struct Nl__Clearing *c)
+static void emit(struct controller *controller, uint64_t index, struct Nl__Clearing *purge_run)
 {
 	struct Nl__Purge p = NL__PURGE__INIT;
-	struct Nl__Value v = NL__VALUE__INIT;
+	struct Nl__Value value = NL__VALUE__INIT;
 	const struct Nl__Row *row;
 	char lane[200] = "", tenant[200] = "";
 	uint32_t n = 0;
 
-	if (!c->wide)
-		(void)retention_scope(c->scope, lane, tenant);
-	row = lane[0] ? table_get(&r->ctl, NL__KIND__LANE, lane) : NULL;
+	if (!purge_run->wide)
+		(void)retention_parse_scope(purge_run->scope, lane, tenant);
+	row = lane[0] ? config_table_get(&controller->config, NL__KIND__LANE, lane) : NULL;
 	p.why = PURGE_CONTEXT;
 	p.lane = lane;
 	p.tenant = tenant;
 	p.service = row ? row->service : (char *)"";
-	p.number = c->number;
-	p.slice = c->slices++;
-	for (ptrdiff_t i = arrlen(r->ctl_feed) - 1; i >= 0 && r->ctl_feed[i]->index >> 16 == index; i--)
+	p.number = purge_run->number;
+	p.slice = purge_run->slices++;
+	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1; i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
 		n++;
-	v.feed = SHARD_CONTROL;
-	v.index = index << 16 | n;
-	v.purge = &p;
-	arrput(r->ctl_feed, value_copy(&v));
+	value.feed = SHARD_CONTROL;
+	value.index = index << 16 | n;
+	value.purge = &p;
+	arrput(controller->config_purge_feed, value_copy(&value));
 }
 
-static void begin(struct controller *r, uint64_t index, const struct Nl__Clear *c, const char *by, uint32_t window, int wide)
+static void begin(struct controller *controller, uint64_t index, const struct Nl__Clear *c, const char *by, uint32_t window, int wide)
 {
-	struct retention *t = &r->ret;
+	struct retention *retention = &controller->retention;
 	struct Nl__Clearing n = NL__CLEARING__INIT;
 	char lane[200] = "", tenant[200] = "";
 
-	(void)retention_scope(c->scope, lane, tenant);
-	for (ptrdiff_t i = 0; i < arrlen(t->v); i++) /* one of a scope at a time: the one before ends here */
-		if (!strcmp(t->v[i]->scope, c->scope) && t->v[i]->slices < PURGE_SLICES) {
-			while (t->v[i]->slices < PURGE_SLICES)
-				emit(r, index, t->v[i]);
-			t->v[i]->sliced = c->wall;
+	(void)retention_parse_scope(c->scope, lane, tenant);
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) /* one of a scope at a time: the one before ends here */
+		if (!strcmp(retention->purges[i]->scope, c->scope) && retention->purges[i]->slices < PURGE_SLICES) {
+			while (retention->purges[i]->slices < PURGE_SLICES)
+				emit(controller, index, retention->purges[i]);
+			retention->purges[i]->sliced = c->wall;
 		}
-	n.number = ++t->number;
+	n.number = ++retention->last_purge_number;
 	n.scope = c->scope;
 	n.due = c->due;
 	n.decided = c->wall;
@@ -250,312 +250,312 @@
 	n.missed = c->missed;
 	n.window = window;
 	n.wide = wide && (lane[0] || tenant[0]);
-	arrput(t->v, (struct Nl__Clearing *)keep(&n.base));
-	while (arrlen(t->v) > RETENTION_RECORDS) {
+	arrput(retention->purges, (struct Nl__Clearing *)keep(&n.base));
+	while (arrlen(retention->purges) > RETENTION_MAX_PURGES) {
 		ptrdiff_t i = 0;
 
-		while (i < arrlen(t->v) - 1 && !t->v[i]->done)
+		while (i < arrlen(retention->purges) - 1 && !retention->purges[i]->done)
 			i++;
-		nl__clearing__free_unpacked(t->v[i], NULL);
-		arrdel(t->v, i);
+		nl__clearing__free_unpacked(retention->purges[i], NULL);
+		arrdel(retention->purges, i);
 	}
 }
 
-uint32_t retention_apply(struct controller *r, uint64_t index, const struct Nl__Clear *c)
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__Clear *clear)
 {
-	struct retention *t = &r->ret;
-	struct Nl__Planned *plan = plan_of(t, c->scope);
-	struct Nl__Clearing *v = clearing_of(t, c->number);
-	const struct Nl__Row *row = table_get(&r->ctl, NL__KIND__RETENTION, c->scope);
+	struct retention *retention = &controller->retention;
+	struct Nl__Planned *plan = find_plan(retention, clear->scope);
+	struct Nl__Clearing *purge = find_purge(retention, clear->number);
+	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, clear->scope);
 
-	switch (c->step) {
+	switch (clear->step) {
 	case NL__CLEAR_STEP__CLEAR_PLAN:
-		if (!plan || plan->due || !c->next)
-			return TABLE_REFUSED;
-		plan->due = c->next;
-		plan->planned = c->wall;
-		return TABLE_DONE;
+		if (!plan || plan->due || !clear->next)
+			return PROPOSAL_REJECTED;
+		plan->due = clear->next;
+		plan->planned = clear->wall;
+		return PROPOSAL_DONE;
 	case NL__CLEAR_STEP__CLEAR_DUE: /* a due time is taken once, whoever decides it and however often */
-		if (!plan || !row || plan->due != c->due || c->next <= c->due)
-			return TABLE_REFUSED;
-		plan->due = c->next;
-		begin(r, index, c, "schedule", row->window, !plan->settled);
-		plan->settled |= c->wall - plan->planned >= RETENTION_SETTLE;
-		return TABLE_DONE;
-	case NL__CLEAR_STEP__CLEAR_NOW: begin(r, index, c, c->by, 0, !plan || !plan->settled); return TABLE_DONE;
+		if (!plan || !row || plan->due != clear->due || clear->next <= clear->due)
+			return PROPOSAL_REJECTED;
+		plan->due = clear->next;
+		begin(controller, index, clear, "schedule", row->window, !plan->settled);
+		plan->settled |= clear->wall - plan->planned >= RETENTION_PROPAGATION_MS;
+		return PROPOSAL_DONE;
+	case NL__CLEAR_STEP__CLEAR_NOW: begin(controller, index, clear, clear->by, 0, !plan || !plan->settled); return PROPOSAL_DONE;
 	case NL__CLEAR_STEP__CLEAR_SLICE:
-		if (!v || v->slices != c->slice || v->slices >= PURGE_SLICES)
-			return TABLE_REFUSED;
-		emit(r, index, v);
-		v->late |= c->late;
-		if (v->slices == PURGE_SLICES)
-			v->sliced = c->wall;
-		return TABLE_DONE;
+		if (!purge || purge->slices != clear->slice || purge->slices >= PURGE_SLICES)
+			return PROPOSAL_REJECTED;
+		emit(controller, index, purge);
+		purge->late |= clear->late;
+		if (purge->slices == PURGE_SLICES)
+			purge->sliced = clear->wall;
+		return PROPOSAL_DONE;
 	case NL__CLEAR_STEP__CLEAR_DONE:
-		if (!v || v->slices < PURGE_SLICES || v->done)
-			return TABLE_REFUSED;
-		v->done = c->wall;
-		return TABLE_DONE;
-	default: return TABLE_REFUSED;
+		if (!purge || purge->slices < PURGE_SLICES || purge->done)
+			return PROPOSAL_REJECTED;
+		purge->done = clear->wall;
+		return PROPOSAL_DONE;
+	default: return PROPOSAL_REJECTED;
 	}
 }
 
-static const char *text_of(const struct Nl__Row *r, apr_pool_t *p)
+static const char *setting_text(const struct Nl__Row *row, apr_pool_t *p)
 {
-	return apr_psprintf(p, "%s|%s|%s|%u", r->keep, r->every, r->at, (unsigned)r->window);
+	return apr_psprintf(p, "%s|%s|%s|%u", row->keep, row->every, row->at, (unsigned)row->window);
 }
 
-void retention_rows(struct controller *r, uint64_t index)
+void retention_on_config_change(struct controller *controller, uint64_t index)
 {
-	struct retention *t = &r->ret;
+	struct retention *retention = &controller->retention;
 	apr_pool_t *p;
 
-	if (!arrlen(t->plan)) {
+	if (!arrlen(retention->plans)) {
 		ptrdiff_t i = 0;
 
-		while (i < shlen(r->ctl.h) && r->ctl.h[i].value.row->kind != NL__KIND__RETENTION)
+		while (i < shlen(controller->config.rows) && controller->config.rows[i].value.row->kind != NL__KIND__RETENTION)
 			i++;
-		if (i == shlen(r->ctl.h))
+		if (i == shlen(controller->config.rows))
 			return;
 	}
 	apr_pool_create(&p, NULL);
-	for (ptrdiff_t i = arrlen(t->plan) - 1; i >= 0; i--) {
-		const struct Nl__Row *row = table_get(&r->ctl, NL__KIND__RETENTION, t->plan[i]->scope);
+	for (ptrdiff_t i = arrlen(retention->plans) - 1; i >= 0; i--) {
+		const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, retention->plans[i]->scope);
 
-		if (row && !strcmp(text_of(row, p), t->plan[i]->text))
+		if (row && !strcmp(setting_text(row, p), retention->plans[i]->text))
 			continue;
 		if (row) { /* planned anew */
-			free(t->plan[i]->text);
-			t->plan[i]->text = strdup(text_of(row, p));
-			t->plan[i]->due = 0;
+			free(retention->plans[i]->text);
+			retention->plans[i]->text = strdup(setting_text(row, p));
+			retention->plans[i]->due = 0;
 			continue;
 		}
 		/* what lies on its own cache namespaces must not be found again if the row comes back */
-		struct Nl__Clear c = NL__CLEAR__INIT;
+		struct Nl__Clear clear = NL__CLEAR__INIT;
 
-		c.scope = t->plan[i]->scope;
-		c.wall = c.due = t->plan[i]->planned;
-		begin(r, index, &c, "its row was taken out", 0, 0);
-		nl__planned__free_unpacked(t->plan[i], NULL);
-		arrdel(t->plan, i);
+		clear.scope = retention->plans[i]->scope;
+		clear.wall = clear.due = retention->plans[i]->planned;
+		begin(controller, index, &clear, "its row was taken out", 0, 0);
+		nl__planned__free_unpacked(retention->plans[i], NULL);
+		arrdel(retention->plans, i);
 	}
-	for (ptrdiff_t i = 0; i < shlen(r->ctl.h); i++) {
-		const struct Nl__Row *row = r->ctl.h[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
+		const struct Nl__Row *row = controller->config.rows[i].value.row;
 		struct Nl__Planned n = NL__PLANNED__INIT;
-		ptrdiff_t k = arrlen(t->plan);
+		ptrdiff_t k = arrlen(retention->plans);
 
-		if (row->kind != NL__KIND__RETENTION || plan_of(t, row->name))
+		if (row->kind != NL__KIND__RETENTION || find_plan(retention, row->name))
 			continue;
 		n.scope = row->name;
-		n.text = (char *)text_of(row, p);
-		arrput(t->plan, (struct Nl__Planned *)keep(&n.base));
-		for (; k && strcmp(t->plan[k - 1]->scope, t->plan[k]->scope) > 0;
+		n.text = (char *)setting_text(row, p);
+		arrput(retention->plans, (struct Nl__Planned *)keep(&n.base));
+		for (; k && strcmp(retention->plans[k - 1]->scope, retention->plans[k]->scope) > 0;
 		     k--) { /* in order, so that equal states pack alike */
-			struct Nl__Planned *x = t->plan[k];
+			struct Nl__Planned *planned = retention->plans[k];
 
-			t->plan[k] = t->plan[k - 1];
-			t->plan[k - 1] = x;
+			retention->plans[k] = retention->plans[k - 1];
+			retention->plans[k - 1] = planned;
 		}
 	}
 	apr_pool_destroy(p);
 }
 
-void retention_pack(const struct controller *r, struct Nl__CtlState *s)
+void retention_pack(const struct controller *controller, struct Nl__CtlState *state)
 {
-	s->clearings = r->ret.number;
-	s->clearing = r->ret.v;
-	s->n_clearing = (size_t)arrlen(r->ret.v);
-	s->planned = r->ret.plan;
-	s->n_planned = (size_t)arrlen(r->ret.plan);
-	s->cleared = r->ret.cleared;
+	state->clearings = controller->retention.last_purge_number;
+	state->clearing = controller->retention.purges;
+	state->n_clearing = (size_t)arrlen(controller->retention.purges);
+	state->planned = controller->retention.plans;
+	state->n_planned = (size_t)arrlen(controller->retention.plans);
+	state->cleared = controller->retention.purged_tick;
 }
 
-void retention_clear(struct controller *r)
+void retention_reset(struct controller *controller)
 {
-	struct retention *t = &r->ret;
+	struct retention *retention = &controller->retention;
 
-	for (ptrdiff_t i = 0; i < arrlen(t->v); i++)
-		nl__clearing__free_unpacked(t->v[i], NULL);
-	for (ptrdiff_t i = 0; i < arrlen(t->plan); i++)
-		nl__planned__free_unpacked(t->plan[i], NULL);
-	for (ptrdiff_t i = 0; i < arrlen(t->said); i++) {
-		for (ptrdiff_t k = 0; k < arrlen(t->said[i].v); k++)
-			free(t->said[i].v[k].server);
-		arrfree(t->said[i].v);
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
+		nl__clearing__free_unpacked(retention->purges[i], NULL);
+	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
+		nl__planned__free_unpacked(retention->plans[i], NULL);
+	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++) {
+		for (ptrdiff_t k = 0; k < arrlen(retention->index_reports[i].remainders); k++)
+			free(retention->index_reports[i].remainders[k].server);
+		arrfree(retention->index_reports[i].remainders);
 	}
-	arrfree(t->v);
-	arrfree(t->plan);
-	arrfree(t->said);
-	memset(t, 0, sizeof *t);
+	arrfree(retention->purges);
+	arrfree(retention->plans);
+	arrfree(retention->index_reports);
+	memset(retention, 0, sizeof *retention);
 }
 
-void retention_load(struct controller *r, const struct Nl__CtlState *s)
+void retention_load(struct controller *controller, const struct Nl__CtlState *state)
 {
-	retention_clear(r);
-	if (!s)
+	retention_reset(controller);
+	if (!state)
 		return;
-	r->ret.number = s->clearings;
-	r->ret.cleared = s->cleared;
-	for (size_t i = 0; i < s->n_clearing; i++)
-		arrput(r->ret.v, (struct Nl__Clearing *)keep(&s->clearing[i]->base));
-	for (size_t i = 0; i < s->n_planned; i++)
-		arrput(r->ret.plan, (struct Nl__Planned *)keep(&s->planned[i]->base));
+	controller->retention.last_purge_number = state->clearings;
+	controller->retention.purged_tick = state->cleared;
+	for (size_t i = 0; i < state->n_clearing; i++)
+		arrput(controller->retention.purges, (struct Nl__Clearing *)keep(&state->clearing[i]->base));
+	for (size_t i = 0; i < state->n_planned; i++)
+		arrput(controller->retention.plans, (struct Nl__Planned *)keep(&state->planned[i]->base));
 }
 
 /* ---- the clocks --------------------------------------------------------------- */
 
 /* More than half of part 0's voters say that it is this late, or later: one clock that jumps decides nothing. */
-int64_t retention_wall(const struct controller *r, int64_t now)
+int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
-	const struct raft *p = &r->part[SHARD_CONTROL];
-	int64_t v[RAFT_MAX_MEMBERS];
+	const struct raft *p = &controller->shards[SHARD_CONTROL];
+	int64_t clocks[RAFT_MAX_MEMBERS];
 	int n = 0;
 
 	for (int i = 0; i < p->member_count; i++) {
-		int64_t wall = INT64_MIN;
+		int64_t wall_ms = INT64_MIN;
 		int k = n;
 
 		if (!p->members[i].voter)
 			continue;
-		if (p->members[i].id == r->id)
-			wall = r->wall ? r->wall : INT64_MIN;
+		if (p->members[i].id == controller->id)
+			wall_ms = controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
 		else
-			for (ptrdiff_t s = 0; s < arrlen(r->seen); s++)
-				if (r->seen[s].id == p->members[i].id && r->seen[s].wall && now - r->seen[s].at <= CONTROLLER_SEEN)
-					wall = r->seen[s].wall + (now - r->seen[s].at);
-		for (; k && v[k - 1] < wall; k--)
-			v[k] = v[k - 1];
-		v[k] = wall;
+			for (ptrdiff_t s = 0; s < arrlen(controller->node_statuses); s++)
+				if (controller->node_statuses[s].id == p->members[i].id && controller->node_statuses[s].wall_clock_ms && now - controller->node_statuses[s].observed_at_ms <= CONTROLLER_NODE_LIVE_MS)
+					wall_ms = controller->node_statuses[s].wall_clock_ms + (now - controller->node_statuses[s].observed_at_ms);
+		for (; k && clocks[k - 1] < wall_ms; k--)
+			clocks[k] = clocks[k - 1];
+		clocks[k] = wall_ms;
 		n++;
 	}
-	return n ? v[n / 2] : INT64_MIN;
+	return n ? clocks[n / 2] : INT64_MIN;
 }
 
 /* ---- the owner decides ----------------------------------------------------------- */
 
-static uint64_t step(struct controller *r, struct Nl__Clear *c, int64_t now, struct out *o)
+static uint64_t step(struct controller *controller, struct Nl__Clear *c, int64_t now, struct out *out)
 {
-	struct Nl__Op op = NL__OP__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
 
-	op.op_case = NL__OP__OP_CLEAR;
-	op.clear = c;
-	return r->ret.logged = log_operation(r, SHARD_CONTROL, &op, now, o);
+	operation.op_case = NL__OP__OP_CLEAR;
+	operation.clear = c;
+	return controller->retention.logged_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
 }
 
 /* A row without a due time gets one; one whose time has come is cleared, however many times were missed since. */
-static int plan(struct controller *r, int64_t wall, int64_t now, struct out *o)
+static int plan(struct controller *controller, int64_t wall, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.plan); i++) {
-		struct Nl__Planned *p = r->ret.plan[i];
-		const struct Nl__Row *row = table_get(&r->ctl, NL__KIND__RETENTION, p->scope);
-		struct Nl__Clear c = NL__CLEAR__INIT;
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
+		struct Nl__Planned *p = controller->retention.plans[i];
+		const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, p->scope);
+		struct Nl__Clear clear = NL__CLEAR__INIT;
 
 		if (!row || (p->due && p->due > wall))
 			continue;
-		c.scope = p->scope;
-		c.wall = wall;
+		clear.scope = p->scope;
+		clear.wall = wall;
 		if (!p->due) {
 			int64_t base = wall;
 
-			for (ptrdiff_t k = 0; k < arrlen(r->ret.v);
+			for (ptrdiff_t k = 0; k < arrlen(controller->retention.purges);
 			     k++) /* a row that is edited again and again is not put off for ever */
-				if (!strcmp(r->ret.v[k]->scope, p->scope) && r->ret.v[k]->decided < wall)
-					base = r->ret.v[k]->decided;
-			c.step = NL__CLEAR_STEP__CLEAR_PLAN;
-			c.next = retention_next(r->calendar, row, base, wall);
+				if (!strcmp(controller->retention.purges[k]->scope, p->scope) && controller->retention.purges[k]->decided < wall)
+					base = controller->retention.purges[k]->decided;
+			clear.step = NL__CLEAR_STEP__CLEAR_PLAN;
+			clear.next = retention_next_due(controller->calendar, row, base, wall);
 		} else {
 			int64_t next = p->due;
 
-			c.step = NL__CLEAR_STEP__CLEAR_DUE;
-			c.due = p->due;
-			c.next = retention_next(r->calendar, row, p->due, wall);
-			while (c.missed < 1000 && (next = retention_next(r->calendar, row, next, next)) && next <= wall)
-				c.missed++;
+			clear.step = NL__CLEAR_STEP__CLEAR_DUE;
+			clear.due = p->due;
+			clear.next = retention_next_due(controller->calendar, row, p->due, wall);
+			while (clear.missed < 1000 && (next = retention_next_due(controller->calendar, row, next, next)) && next <= wall)
+				clear.missed++;
 		}
-		if (c.next && step(r, &c, now, o)) {
-			if (c.step == NL__CLEAR_STEP__CLEAR_DUE)
-				log_line(r, "retention", o->p,
+		if (clear.next && step(controller, &clear, now, out)) {
+			if (clear.step == NL__CLEAR_STEP__CLEAR_DUE)
+				log_line(controller, "retention", out->pool,
 					 "Context of %s is due for clearing; %u due times were missed before.", p->scope,
-					 (unsigned)c.missed);
+					 (unsigned)clear.missed);
 			return 1;
 		}
 	}
 	return 0;
 }
 
-static int calm(const struct controller *r, int64_t now)
+static int calm(const struct controller *controller, int64_t now)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++)
-		if (r->seen[i].counter && now - r->seen[i].at < CONTROLLER_SEEN && r->seen[i].load_pressure > RETENTION_STRAIN)
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
+		if (controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS && controller->node_statuses[i].load_pressure > RETENTION_MAX_PRESSURE)
 			return 0;
 	return 1;
 }
 
 /* The next slice of a clearing: at half its pace while callers are served in time, at its full pace whatever they feel. */
-static int slice(struct controller *r, int64_t wall, int64_t now, struct out *o)
+static int log_next_slice(struct controller *controller, int64_t wall_ms, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.v); i++) {
-		struct Nl__Clearing *v = r->ret.v[i];
-		struct Nl__Clear c = NL__CLEAR__INIT;
-		int64_t from = v->due > v->decided - 60000 ? v->due : v->decided;
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
+		struct Nl__Clearing *purge = controller->retention.purges[i];
+		struct Nl__Clear clear = NL__CLEAR__INIT;
+		int64_t start_ms = purge->due > purge->decided - 60000 ? purge->due : purge->decided;
 
-		if (v->slices >= PURGE_SLICES)
+		if (purge->slices >= PURGE_SLICES)
 			continue;
-		c.late = v->window && !calm(r, now);
-		if (wall < from + (int64_t)v->window * v->slices / (c.late ? PURGE_SLICES : 2 * PURGE_SLICES))
+		clear.late = purge->window && !calm(controller, now);
+		if (wall_ms < start_ms + (int64_t)purge->window * purge->slices / (clear.late ? PURGE_SLICES : 2 * PURGE_SLICES))
 			continue;
-		c.step = NL__CLEAR_STEP__CLEAR_SLICE;
-		c.number = v->number;
-		c.scope = v->scope;
-		c.slice = v->slices;
-		c.wall = wall;
-		if (!step(r, &c, now, o))
+		clear.step = NL__CLEAR_STEP__CLEAR_SLICE;
+		clear.number = purge->number;
+		clear.scope = purge->scope;
+		clear.slice = purge->slices;
+		clear.wall = wall_ms;
+		if (!step(controller, &clear, now, out))
 			return 0;
-		if (c.late)
-			log_line(r, "retention", o->p,
+		if (clear.late)
+			log_line(controller, "retention", out->pool,
 				 "Clearing %" APR_UINT64_T_FMT ": lines are long, but its window ends: slice %u goes on.",
-				 v->number, c.slice);
+				 purge->number, clear.slice);
 		return 1;
 	}
 	return 0;
 }
 
 /* The tick at which a slice of a clearing is in force, as far as it is known here; 0: not published yet. */
-static uint64_t tick_of(const struct controller *r, const struct Nl__Clearing *c, uint32_t part)
+static uint64_t slice_tick(const struct controller *controller, const struct Nl__Clearing *purge_run, uint32_t slice)
 {
 	char lane[200] = "", tenant[200] = "";
 
-	if (!c->wide)
-		(void)retention_scope(c->scope, lane, tenant);
-	for (ptrdiff_t i = 0; i < arrlen(r->relay.w.clear); i++) {
-		const struct Nl__Value *v = r->relay.w.clear[i];
+	if (!purge_run->wide)
+		(void)retention_parse_scope(purge_run->scope, lane, tenant);
+	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++) {
+		const struct Nl__Value *value = controller->relay.view.context_purges[i];
 
-		if (v->purge->slice == part && v->purge->number >= c->number && !strcmp(v->purge->lane, lane) &&
-		    !strcmp(v->purge->tenant, tenant))
-			return v->tick;
+		if (value->purge->slice == slice && value->purge->number >= purge_run->number && !strcmp(value->purge->lane, lane) &&
+		    !strcmp(value->purge->tenant, tenant))
+			return value->tick;
 	}
 	return 0;
 }
 
 /* Whether a cache_namespace of this scope holds what such a clearing covers. */
-static int covers(const struct controller *r, const struct Nl__Clearing *c, uint64_t scope)
+static int purge_covers(const struct controller *controller, const struct Nl__Clearing *purge_run, uint64_t scope)
 {
-	char lane[200] = "", tenant[200] = "", l[200], t[200];
+	char lane[200] = "", tenant[200] = "", planned_lane[200], planned_tenant[200];
 
-	(void)retention_scope(c->scope, lane, tenant);
-	if (c->wide || scope == RETENTION_ANY || (!lane[0] && !tenant[0]))
+	(void)retention_parse_scope(purge_run->scope, lane, tenant);
+	if (purge_run->wide || scope == RETENTION_ANY || (!lane[0] && !tenant[0]))
 		return 1;
-	for (ptrdiff_t i = 0; scope && i < arrlen(r->ret.plan); i++)
-		if (retention_scope(r->ret.plan[i]->scope, l, t) && (uint32_t)retention_hash(l, t) == scope)
-			return (!l[0] || !lane[0] || !strcmp(l, lane)) && (!t[0] || !tenant[0] || !strcmp(t, tenant));
-	return scope == (uint32_t)retention_hash(lane, tenant);
+	for (ptrdiff_t i = 0; scope && i < arrlen(controller->retention.plans); i++)
+		if (retention_parse_scope(controller->retention.plans[i]->scope, planned_lane, planned_tenant) && (uint32_t)retention_namespace_hash(planned_lane, planned_tenant) == scope)
+			return (!planned_lane[0] || !lane[0] || !strcmp(planned_lane, lane)) && (!planned_tenant[0] || !tenant[0] || !strcmp(planned_tenant, tenant));
+	return scope == (uint32_t)retention_namespace_hash(lane, tenant);
 }
 
 /* What a clearing still waits for: texts are appended to a, if it is given. */
-static int missing(const struct controller *r, const struct Nl__Clearing *c, int64_t now, struct json_object *a, apr_pool_t *p)
+static int list_missing(const struct controller *controller, const struct Nl__Clearing *purge_run, int64_t now, struct json_object *a, apr_pool_t *p)
 {
 	uint64_t tick = 0;
-	int n = 0, index = 0;
+	int n = 0, index_has_reported = 0;
 
 #define MISS(...)                                                                                       \
 	do {                                                                                            \
@@ -563,183 +563,183 @@
 		if (a)                                                                                  \
 			json_object_array_add(a, json_object_new_string(apr_psprintf(p, __VA_ARGS__))); \
 	} while (0)
-	if (c->slices < PURGE_SLICES)
-		MISS("%u of %u slices are not decided yet", PURGE_SLICES - (unsigned)c->slices, (unsigned)PURGE_SLICES);
-	for (uint32_t k = 0; k < c->slices; k++) {
-		uint64_t t = tick_of(r, c, k);
+	if (purge_run->slices < PURGE_SLICES)
+		MISS("%u of %u slices are not decided yet", PURGE_SLICES - (unsigned)purge_run->slices, (unsigned)PURGE_SLICES);
+	for (uint32_t k = 0; k < purge_run->slices; k++) {
+		uint64_t published_tick = slice_tick(controller, purge_run, k);
 
-		if (!t)
+		if (!published_tick)
 			MISS("slice %u is not published yet", (unsigned)k);
-		tick = t > tick ? t : tick;
+		tick = published_tick > tick ? published_tick : tick;
 	}
-	for (ptrdiff_t i = 0; i < arrlen(r->seen); i++)
-		if (r->seen[i].counter && now - r->seen[i].at < RETENTION_HEARD && r->seen[i].horizon < tick)
-			MISS("counter %s has not heard of it yet; it routes cold", core_addr_str(p, r->seen[i].addr));
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.said); i++) {
-		const struct retention_said *s = &r->ret.said[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
+		if (controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < RETENTION_NODE_TIMEOUT_MS && controller->node_statuses[i].horizon < tick)
+			MISS("counter %s has not heard of it yet; it routes cold", core_format_addr(p, controller->node_statuses[i].addr));
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
+		const struct retention_index_report *retention_said = &controller->retention.index_reports[i];
 
-		if (now - s->at > RETENTION_HEARD)
+		if (now - retention_said->received_at_ms > RETENTION_NODE_TIMEOUT_MS)
 			continue;
-		index |= s->horizon >= tick;
-		for (ptrdiff_t k = 0; k < arrlen(s->v); k++)
-			if (s->v[k].number < c->number && covers(r, c, s->v[k].scope))
-				MISS(s->v[k].parts ? "server %s still names %u parts, which nothing finds any more"
+		index_has_reported |= retention_said->horizon >= tick;
+		for (ptrdiff_t k = 0; k < arrlen(retention_said->remainders); k++)
+			if (retention_said->remainders[k].purge_number < purge_run->number && purge_covers(controller, purge_run, retention_said->remainders[k].scope))
+				MISS(retention_said->remainders[k].block_count ? "server %s still names %u parts, which nothing finds any more"
 						   : "server %s has not said since what it keeps",
-				     s->v[k].server, (unsigned)s->v[k].parts);
+				     retention_said->remainders[k].server, (unsigned)retention_said->remainders[k].block_count);
 	}
-	if (!index)
+	if (!index_has_reported)
 		MISS("no holder of the index has looked since");
 #undef MISS
 	return n;
 }
 
-static int done(struct controller *r, int64_t wall, int64_t now, struct out *o)
+static int done(struct controller *r, int64_t wall, int64_t now, struct out *out)
 {
-	if (now - r->ret.checked < RETENTION_CHECK || now - r->leader_since[SHARD_CONTROL] < RETENTION_HEARD)
+	if (now - r->retention.checked_at_ms < RETENTION_CHECK_MS || now - r->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new owner hears all nodes first */
-	r->ret.checked = now;
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.v); i++) {
-		struct Nl__Clearing *v = r->ret.v[i];
-		struct Nl__Clear c = NL__CLEAR__INIT;
+	r->retention.checked_at_ms = now;
+	for (ptrdiff_t i = 0; i < arrlen(r->retention.purges); i++) {
+		struct Nl__Clearing *purge_run = r->retention.purges[i];
+		struct Nl__Clear clear = NL__CLEAR__INIT;
 
-		if (v->done || v->slices < PURGE_SLICES || missing(r, v, now, NULL, o->p))
+		if (purge_run->done || purge_run->slices < PURGE_SLICES || list_missing(r, purge_run, now, NULL, out->pool))
 			continue;
-		c.step = NL__CLEAR_STEP__CLEAR_DONE;
-		c.number = v->number;
-		c.scope = v->scope;
-		c.wall = wall;
-		if (step(r, &c, now, o)) {
-			log_line(r, "retention", o->p,
-				 "Clearing %" APR_UINT64_T_FMT " of %s is done: nothing names what was kept before.", v->number,
-				 v->scope);
+		clear.step = NL__CLEAR_STEP__CLEAR_DONE;
+		clear.number = purge_run->number;
+		clear.scope = purge_run->scope;
+		clear.wall = wall;
+		if (step(r, &clear, now, out)) {
+			log_line(r, "retention", out->pool,
+				 "Clearing %" APR_UINT64_T_FMT " of %s is done: nothing names what was kept before.", purge_run->number,
+				 purge_run->scope);
 			return 1;
 		}
 	}
 	return 0;
 }
 
-void retention_tick(struct controller *r, int64_t now, struct out *o)
+void retention_tick(struct controller *controller, int64_t now, struct out *out)
 {
-	int64_t wall;
+	int64_t wall_ms;
 
-	if ((!arrlen(r->ret.plan) && !arrlen(r->ret.v)) || !leads_shard(r, SHARD_CONTROL, now))
+	if ((!arrlen(controller->retention.plans) && !arrlen(controller->retention.purges)) || !leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	if (now - r->ret.looked < RETENTION_LOOK || r->ret.logged > r->part[SHARD_CONTROL].applied)
+	if (now - controller->retention.polled_at_ms < RETENTION_POLL_MS || controller->retention.logged_index > controller->shards[SHARD_CONTROL].applied_index)
 		return;
-	r->ret.looked = now;
-	wall = retention_wall(r, now);
-	if (wall != INT64_MIN && (plan(r, wall, now, o) || slice(r, wall, now, o) || done(r, wall, now, o)))
-		r->ret.looked = now - RETENTION_LOOK; /* the next step as soon as this one is applied */
+	controller->retention.polled_at_ms = now;
+	wall_ms = retention_wall_clock(controller, now);
+	if (wall_ms != INT64_MIN && (plan(controller, wall_ms, now, out) || log_next_slice(controller, wall_ms, now, out) || done(controller, wall_ms, now, out)))
+		controller->retention.polled_at_ms = now - RETENTION_POLL_MS; /* the next step as soon as this one is applied */
 }
 
-void retention_heard(struct controller *r, const struct Nl__Msg *m, int64_t now)
+void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now)
 {
-	const struct Nl__ConfigSync *q = m->follow;
-	struct retention_said *s = NULL, n = { m->id, 0, 0, NULL };
+	const struct Nl__ConfigSync *sync = message->follow;
+	struct retention_index_report *report = NULL, new_report = { message->id, 0, 0, NULL };
 
-	for (ptrdiff_t i = arrlen(r->ret.said) - 1; i >= 0; i--)
-		if (now - r->ret.said[i].at > 60000) {
-			for (ptrdiff_t k = 0; k < arrlen(r->ret.said[i].v); k++)
-				free(r->ret.said[i].v[k].server);
-			arrfree(r->ret.said[i].v);
-			arrdelswap(r->ret.said, i);
+	for (ptrdiff_t i = arrlen(controller->retention.index_reports) - 1; i >= 0; i--)
+		if (now - controller->retention.index_reports[i].received_at_ms > 60000) {
+			for (ptrdiff_t k = 0; k < arrlen(controller->retention.index_reports[i].remainders); k++)
+				free(controller->retention.index_reports[i].remainders[k].server);
+			arrfree(controller->retention.index_reports[i].remainders);
+			arrdelswap(controller->retention.index_reports, i);
 		}
-	if (!q->index)
+	if (!sync->index)
 		return;
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.said) && !s; i++)
-		if (r->ret.said[i].id == m->id)
-			s = &r->ret.said[i];
-	if (!s) {
-		arrput(r->ret.said, n);
-		s = &arrlast(r->ret.said);
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports) && !report; i++)
+		if (controller->retention.index_reports[i].node_id == message->id)
+			report = &controller->retention.index_reports[i];
+	if (!report) {
+		arrput(controller->retention.index_reports, new_report);
+		report = &arrlast(controller->retention.index_reports);
 	}
-	for (ptrdiff_t k = 0; k < arrlen(s->v); k++)
-		free(s->v[k].server);
-	arrsetlen(s->v, 0);
-	for (size_t k = 0; k < q->n_left && k < RETENTION_ROWS; k++) {
-		typeof(*s->v) x = { strdup(q->left[k]->server), q->left[k]->scope, q->left[k]->number, q->left[k]->parts };
+	for (ptrdiff_t k = 0; k < arrlen(report->remainders); k++)
+		free(report->remainders[k].server);
+	arrsetlen(report->remainders, 0);
+	for (size_t k = 0; k < sync->n_left && k < RETENTION_MAX_REMAINDERS; k++) {
+		typeof(*report->remainders) remainder = { strdup(sync->left[k]->server), sync->left[k]->scope, sync->left[k]->number, sync->left[k]->parts };
 
-		arrput(s->v, x);
+		arrput(report->remainders, remainder);
 	}
-	s->at = now;
-	s->horizon = q->horizon;
+	report->received_at_ms = now;
+	report->horizon = sync->horizon;
 }
 
 /* ---- the disks --------------------------------------------------------------------- */
 
-void retention_disks(struct controller *r, int64_t now, struct out *o)
+void retention_trim_logs(struct controller *controller, int64_t now, struct out *out)
 {
 	uint64_t tick = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(r->relay.w.clear); i++)
-		tick = r->relay.w.clear[i]->tick > tick ? r->relay.w.clear[i]->tick : tick;
+	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++)
+		tick = controller->relay.view.context_purges[i]->tick > tick ? controller->relay.view.context_purges[i]->tick : tick;
 	for (uint32_t i = 0; tick && i < SHARD_COUNT; i++) {
-		struct controller_svc *s = service_shard(r, i);
-		uint64_t cleared = s ? s->cleared : i == SHARD_CONTROL ? r->ret.cleared : r->pub.cleared;
-		int settle = s && !s->settled && s->cleared &&
-			     s->clock + (uint64_t)(now - r->clock_at[i]) > s->cleared_at + CONTROLLER_CLAIM_KEEP;
-		struct Nl__Op op = NL__OP__INIT;
-		struct Nl__Trim t = NL__TRIM__INIT;
-
-		if (!leads_shard(r, i, now) || now - r->disk_at[i] < RETENTION_DISK || (tick <= cleared && !settle))
+		struct controller_service_state *service = service_shard_state(controller, i);
+		uint64_t cleared = service ? service->purged_tick : i == SHARD_CONTROL ? controller->retention.purged_tick : controller->purge_state.purged_tick;
+		int compact = service && !service->is_compacted && service->purged_tick &&
+			     service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[i]) > service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
+		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__Trim trim = NL__TRIM__INIT;
+
+		if (!leads_shard(controller, i, now) || now - controller->compaction_checked_at_ms[i] < RETENTION_TRIM_MS || (tick <= cleared && !compact))
 			continue;
-		r->disk_at[i] = now;
-		t.cleared = tick;
-		t.settled = settle;
-		op.op_case = NL__OP__OP_TRIM;
-		op.trim = &t;
-		(void)log_operation(r, i, &op, now, o);
+		controller->compaction_checked_at_ms[i] = now;
+		trim.cleared = tick;
+		trim.settled = compact;
+		operation.op_case = NL__OP__OP_TRIM;
+		operation.trim = &trim;
+		(void)log_operation(controller, i, &operation, now, out);
 	}
 }
 
 /* ---- for operators ------------------------------------------------------------------- */
 
-static void add_num(struct json_object *j, const char *k, int64_t v) { json_object_object_add(j, k, json_object_new_int64(v)); }
+static void add_number(struct json_object *json, const char *name, int64_t value) { json_object_object_add(json, name, json_object_new_int64(value)); }
 
-const char *retention_json(struct controller *r, int64_t now, apr_pool_t *p)
+const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *p)
 {
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array();
-	int owner = leads_shard(r, SHARD_CONTROL, now);
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
+	int is_leader = leads_shard(controller, SHARD_CONTROL, now);
 	const char *s;
 
-	json_object_object_add(j, "owner", json_object_new_boolean(owner));
+	json_object_object_add(json, "owner", json_object_new_boolean(is_leader));
 	json_object_object_add(
-	    j, "owner_addr",
-	    json_object_new_string(leader_hint(r, SHARD_CONTROL, now) ? core_addr_str(p, leader_hint(r, SHARD_CONTROL, now)) : ""));
-	add_num(j, "wall", owner && retention_wall(r, now) != INT64_MIN ? retention_wall(r, now) : r->wall);
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.plan); i++) {
+	    json, "owner_addr",
+	    json_object_new_string(leader_hint(controller, SHARD_CONTROL, now) ? core_format_addr(p, leader_hint(controller, SHARD_CONTROL, now)) : ""));
+	add_number(json, "wall", is_leader && retention_wall_clock(controller, now) != INT64_MIN ? retention_wall_clock(controller, now) : controller->wall_clock_ms);
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
 		struct json_object *x = json_object_new_object();
 
-		json_object_object_add(x, "scope", json_object_new_string(r->ret.plan[i]->scope));
-		json_object_object_add(x, "setting", json_object_new_string(r->ret.plan[i]->text));
-		add_num(x, "due", r->ret.plan[i]->due);
+		json_object_object_add(x, "scope", json_object_new_string(controller->retention.plans[i]->scope));
+		json_object_object_add(x, "setting", json_object_new_string(controller->retention.plans[i]->text));
+		add_number(x, "due", controller->retention.plans[i]->due);
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "rows", a);
+	json_object_object_add(json, "rows", a);
 	a = json_object_new_array();
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.v); i++) {
-		const struct Nl__Clearing *c = r->ret.v[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
+		const struct Nl__Clearing *purge_run = controller->retention.purges[i];
 		struct json_object *x = json_object_new_object(), *m = json_object_new_array();
 
-		add_num(x, "number", (int64_t)c->number);
-		json_object_object_add(x, "scope", json_object_new_string(c->scope));
-		json_object_object_add(x, "by", json_object_new_string(c->by));
-		add_num(x, "due", c->due);
-		add_num(x, "decided", c->decided);
-		add_num(x, "sliced", c->sliced);
-		add_num(x, "done", c->done);
-		add_num(x, "slices", c->slices);
-		add_num(x, "missed", c->missed);
-		json_object_object_add(x, "late", json_object_new_boolean(c->late));
-		json_object_object_add(x, "wide", json_object_new_boolean(c->wide));
-		if (owner && !c->done)
-			(void)missing(r, c, now, m, p);
+		add_number(x, "number", (int64_t)purge_run->number);
+		json_object_object_add(x, "scope", json_object_new_string(purge_run->scope));
+		json_object_object_add(x, "by", json_object_new_string(purge_run->by));
+		add_number(x, "due", purge_run->due);
+		add_number(x, "decided", purge_run->decided);
+		add_number(x, "sliced", purge_run->sliced);
+		add_number(x, "done", purge_run->done);
+		add_number(x, "slices", purge_run->slices);
+		add_number(x, "missed", purge_run->missed);
+		json_object_object_add(x, "late", json_object_new_boolean(purge_run->late));
+		json_object_object_add(x, "wide", json_object_new_boolean(purge_run->wide));
+		if (is_leader && !purge_run->done)
+			(void)list_missing(controller, purge_run, now, m, p);
 		json_object_object_add(x, "missing", m);
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "clearings", a);
-	s = apr_pstrdup(p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
+	json_object_object_add(json, "clearings", a);
+	s = apr_pstrdup(p, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
 	return s;
 }
 
@@ -753,16 +753,16 @@
 			    x.tm_sec);
 }
 
-const char *retention_csv(const struct controller *r, apr_pool_t *p)
+const char *retention_csv(const struct controller *controller, apr_pool_t *p)
 {
 	const char *s = "number,scope,whole fleet,by,due,decided,unreachable,done,missed due times,window lapsed under load\n";
 
-	for (ptrdiff_t i = 0; i < arrlen(r->ret.v); i++) {
-		const struct Nl__Clearing *c = r->ret.v[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
+		const struct Nl__Clearing *purge_run = controller->retention.purges[i];
 
-		s = apr_psprintf(p, "%s%" APR_UINT64_T_FMT ",%s,%s,%s,%s,%s,%s,%s,%u,%s\n", s, c->number, c->scope,
-				 c->wide ? "yes" : "no", c->by, when(c->due, p), when(c->decided, p), when(c->sliced, p),
-				 when(c->done, p), (unsigned)c->missed, c->late ? "yes" : "no");
+		s = apr_psprintf(p, "%s%" APR_UINT64_T_FMT ",%s,%s,%s,%s,%s,%s,%s,%u,%s\n", s, purge_run->number, purge_run->scope,
+				 purge_run->wide ? "yes" : "no", purge_run->by, when(purge_run->due, p), when(purge_run->decided, p), when(purge_run->sliced, p),
+				 when(purge_run->done, p), (unsigned)purge_run->missed, purge_run->late ? "yes" : "no");
 	}
 	return s;
 }
--- a/lib/control/retention.h
+++ b/lib/control/retention.h
@@ -6,18 +6,18 @@
 #include "core.h"
 
 struct controller;
-struct table;
+struct config_table;
 
 enum {
-	RETENTION_LOOK = 200,     /* ms between the owner's looks at the schedule */
-	RETENTION_CHECK = 500,    /* ms between its looks at what still names cleared parts */
-	RETENTION_LEAST = 10000,  /* the shortest schedule: a clearing takes some seconds itself */
-	RETENTION_SETTLE = 10000, /* ms after which a row is in force everywhere, whatever the clocks say */
-	RETENTION_RECORDS = 512,  /* clearings that are remembered for the report */
-	RETENTION_HEARD = 6000,   /* a node unheard for so long routes nothing any more: it has lost its configuration */
-	RETENTION_STRAIN = 250,   /* per mille of load_pressure above which the next slice waits */
-	RETENTION_DISK = 20000,   /* ms between cuttings of a part's log */
-	RETENTION_ROWS = 128,     /* rows of what is left that a holder of the index says */
+	RETENTION_POLL_MS = 200,     /* ms between the owner's looks at the schedule */
+	RETENTION_CHECK_MS = 500,    /* ms between its looks at what still names cleared parts */
+	RETENTION_MIN_PERIOD_MS = 10000,  /* the shortest schedule: a clearing takes some seconds itself */
+	RETENTION_PROPAGATION_MS = 10000, /* ms after which a row is in force everywhere, whatever the clocks say */
+	RETENTION_MAX_PURGES = 512,  /* clearings that are remembered for the report */
+	RETENTION_NODE_TIMEOUT_MS = 6000,   /* a node unheard for so long routes nothing any more: it has lost its configuration */
+	RETENTION_MAX_PRESSURE = 250,   /* per mille of load_pressure above which the next slice waits */
+	RETENTION_TRIM_MS = 20000,   /* ms between cuttings of a part's log */
+	RETENTION_MAX_REMAINDERS = 128,     /* rows of what is left that a holder of the index says */
 };
 #define RETENTION_ANY UINT64_MAX /* scope of what is left where it is not known by scopes */
 
@@ -30,68 +30,68 @@
 };
 
 /* What one holder of the index said last. */
-struct retention_said {
-	uint64_t id, horizon;
-	int64_t at;
+struct retention_index_report {
+	uint64_t node_id, horizon;
+	int64_t received_at_ms;
 	struct {
 		char *server;
-		uint64_t scope, number;
-		uint32_t parts;
-	} * v; /* stb_ds */
+		uint64_t scope, purge_number;
+		uint32_t block_count;
+	} * remainders; /* stb_ds */
 };
 
 struct retention {                 /* a part of part 0's state */
-	uint64_t number;           /* of the newest clearing */
-	struct Nl__Clearing **v;   /* stb_ds, oldest first */
-	struct Nl__Planned **plan; /* stb_ds, by scope */
-	uint64_t cleared;
+	uint64_t last_purge_number;           /* of the newest clearing */
+	struct Nl__Clearing **purges;   /* stb_ds, oldest first */
+	struct Nl__Planned **plans; /* stb_ds, by scope */
+	uint64_t purged_tick;
 	/* the owner's soft state */
-	uint64_t logged; /* its last step: the next waits until it is applied */
-	int64_t looked, checked;
-	struct retention_said *said; /* stb_ds */
+	uint64_t logged_index; /* its last step: the next waits until it is applied */
+	int64_t polled_at_ms, checked_at_ms;
+	struct retention_index_report *index_reports; /* stb_ds */
 };
 
 /* "90m" and "7d" in ms; -1 when it is neither. Example: retention_span("6h") == 21600000 */
-int64_t retention_span(const char *text);
+int64_t retention_parse_span(const char *text);
 
 /* A row's scope, split: lane and tenant, "" for all. 0 when it is no scope. Example: retention_scope("*", lane, tenant) */
-int retention_scope(const char *name, char lane[200], char tenant[200]);
+int retention_parse_scope(const char *scope, char lane[200], char tenant[200]);
 
 /* The hash by which a scope's own cache_namespace is known. Example: retention_hash("arrears", "") */
-uint64_t retention_hash(const char *lane, const char *tenant);
+uint64_t retention_namespace_hash(const char *lane, const char *tenant);
 
 /* What is wrong with a row by itself; with the lanes and tenants of the table. NULL: nothing. */
-const char *retention_row(const struct Nl__Row *r);
-const char *retention_scopes(const struct table *t, const struct Nl__Change *c, apr_pool_t *p);
+const char *retention_check_row(const struct Nl__Row *row);
+const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change, apr_pool_t *p);
 
 /* The same against the calendar, at a time. Example: why = retention_check(cal, change, wall, pool); */
-const char *retention_check(const struct controller_calendar *cal, const struct Nl__Change *c, int64_t wall, apr_pool_t *p);
+const char *retention_check_calendar(const struct controller_calendar *calendar, const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *p);
 
 /* When a row's clearing comes after a time. Example: due = retention_next(cal, row, from, from); */
-int64_t retention_next(const struct controller_calendar *cal, const struct Nl__Row *row, int64_t base, int64_t from);
+int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row, int64_t base_ms, int64_t from_ms);
 
 /* Apply one step from the log; what it decides is appended to feed, numbered from index. */
-uint32_t retention_apply(struct controller *r, uint64_t index, const struct Nl__Clear *c);
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__Clear *clear);
 
 /* After a change of the table: plans follow rows. */
-void retention_rows(struct controller *r, uint64_t index);
+void retention_on_config_change(struct controller *controller, uint64_t index);
 
 /* The owner's time passes; a word of a node. */
-void retention_tick(struct controller *r, int64_t now, struct out *o);
-void retention_heard(struct controller *r, const struct Nl__Msg *m, int64_t now);
+void retention_tick(struct controller *controller, int64_t now, struct out *out);
+void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now);
 
 /* Cut the logs on the disks once something was cleared, in every part that is owned here. */
-void retention_disks(struct controller *r, int64_t now, struct out *o);
+void retention_trim_logs(struct controller *controller, int64_t now, struct out *out);
 
 /* What the controllers' clocks agree that it is at the least; INT64_MIN: no majority is heard. */
-int64_t retention_wall(const struct controller *r, int64_t now);
+int64_t retention_wall_clock(const struct controller *controller, int64_t now);
 
 /* For operators: rows, clearings, what is missing; and the auditors' report. */
-const char *retention_json(struct controller *r, int64_t now, apr_pool_t *p);
-const char *retention_csv(const struct controller *r, apr_pool_t *p);
+const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *p);
+const char *retention_csv(const struct controller *controller, apr_pool_t *p);
 
-void retention_pack(const struct controller *r, struct Nl__CtlState *s);
-void retention_load(struct controller *r, const struct Nl__CtlState *s);
-void retention_clear(struct controller *r);
+void retention_pack(const struct controller *controller, struct Nl__CtlState *state);
+void retention_load(struct controller *controller, const struct Nl__CtlState *state);
+void retention_reset(struct controller *controller);
 
 #endif
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -8,232 +8,232 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-static struct controller_server *server_of(struct controller *r, const char *name)
+static struct controller_server *server_of(struct controller *controller, const char *name)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->server); i++)
-		if (!strcmp(r->server[i].name, name))
-			return &r->server[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++)
+		if (!strcmp(controller->rollout_servers[i].name, name))
+			return &controller->rollout_servers[i];
 	return NULL;
 }
 
-static void call(uint64_t token, const char *addr, const char *path, const char *body, int64_t not_after, struct out *o)
+static void call(uint64_t token, const char *addr, const char *path, const char *body, int64_t not_after, struct out *out)
 {
-	struct cmd *c = out_cmd(o, CMD_CALL);
-
-	c->u.call.token = token;
-	c->u.call.addr = addr;
-	c->u.call.path = path;
-	c->u.call.body = body;
-	c->u.call.limit_ms = 400;
-	c->u.call.not_after = not_after;
+	struct command *command = command_add(out, CMD_CALL);
+
+	command->args.call.token = token;
+	command->args.call.addr = addr;
+	command->args.call.path = path;
+	command->args.call.body = body;
+	command->args.call.limit_ms = 400;
+	command->args.call.not_after_ms = not_after;
 }
 
 /* An order: body fields, fenced by the part's term. The rollout's lease is checked again before it leaves. */
-static void order(struct controller *r, struct controller_server *s, uint32_t part, const char *addr, struct json_object *what,
-		  int64_t now, struct out *o)
+static void order(struct controller *r, struct controller_server *server, uint32_t part, const char *addr, struct json_object *what,
+		  int64_t now, struct out *out)
 {
-	uint64_t fence = r->part[part].term << 20 | (++r->order_seq & 0xfffff);
+	uint64_t fence = r->shards[part].term << 20 | (++r->load_command_sequence & 0xfffff);
 
 	json_object_object_add(what, "fence", json_object_new_int64((int64_t)fence));
-	json_object_object_add(what, "giver", json_object_new_string(apr_psprintf(o->p, "%016" APR_UINT64_T_HEX_FMT, r->id)));
-	call(0, addr, "/v1/order", apr_pstrdup(o->p, json_object_to_json_string_ext(what, JSON_C_TO_STRING_PLAIN)),
-	     r->part[part].lease_expires_at, o);
+	json_object_object_add(what, "giver", json_object_new_string(apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, r->id)));
+	call(0, addr, "/v1/order", apr_pstrdup(out->pool, json_object_to_json_string_ext(what, JSON_C_TO_STRING_PLAIN)),
+	     r->shards[part].lease_expires_at_ms, out);
 	json_object_put(what);
-	s->ordered = now;
+	server->commanded_at_ms = now;
 }
 
-void rollout_report(struct controller *r, struct controller_server *s, const char *body, int64_t now, struct out *o)
+void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body, int64_t now, struct out *out)
 {
-	struct json_object *j = json_tokener_parse(body), *parts, *drop;
-	const struct Nl__Row *row = table_get(&r->f.t, NL__KIND__SERVER, s->name);
-	uint32_t part = core_part_of(s->service, SHARD_SERVICES);
+	struct json_object *json = json_tokener_parse(body), *parts, *drop;
+	const struct Nl__Row *row = config_table_get(&controller->config_watch.table, NL__KIND__SERVER, server->name);
+	uint32_t part = core_shard_of(server->service, SHARD_SERVICES);
 
-	if (!json_object_is_type(j, json_type_object) || !row)
+	if (!json_object_is_type(json, json_type_object) || !row)
 		goto end;
-	s->reported = now;
-	apr_cpystrn(s->weights, json_str(j, "weights"), sizeof s->weights);
-	apr_cpystrn(s->loading, json_str(j, "loading"), sizeof s->loading);
-	if (!json_object_object_get_ex(j, "parts", &parts) || !json_object_is_type(parts, json_type_array))
+	server->reported_at_ms = now;
+	apr_cpystrn(server->weights, json_string_member(json, "weights"), sizeof server->weights);
+	apr_cpystrn(server->loading, json_string_member(json, "loading"), sizeof server->loading);
+	if (!json_object_object_get_ex(json, "parts", &parts) || !json_object_is_type(parts, json_type_array))
 		goto end;
 	drop = json_object_new_array();
 	for (size_t i = 0; i < json_object_array_length(parts); i++) {
 		struct json_object *x = json_object_array_get_idx(parts, i);
 
-		if (!view_allows(&r->relay.w, s->service, json_str(x, "w"), json_str(x, "m"), s->name, json_num(x, "t")) ||
-		    !view_keeps(&r->relay.w, s->service, json_str(x, "m"), strtoull(json_str(x, "h"), NULL, 16), json_num(x, "t")))
+		if (!purge_view_allows(&controller->relay.view, server->service, json_string_member(x, "w"), json_string_member(x, "m"), server->name, json_uint_member(x, "t")) ||
+		    !purge_view_keeps_context(&controller->relay.view, server->service, json_string_member(x, "m"), strtoull(json_string_member(x, "h"), NULL, 16), json_uint_member(x, "t")))
 			json_object_array_add(drop, json_object_get(x));
 	}
 	if (!json_object_array_length(drop)) {
-		s->carried = s->carried_want; /* the report shows it: carried out up to the horizon at the look */
+		server->purged_tick = server->requested_purge_tick; /* the report shows it: carried out up to the horizon at the look */
 		json_object_put(drop);
-	} else if (leads_shard(r, part, now) && now - r->leader_since[part] >= CONTROLLER_HOLD && relay_current(&r->relay, now)) {
-		struct json_object *what = json_object_new_object();
+	} else if (leads_shard(controller, part, now) && now - controller->leader_since_ms[part] >= CONTROLLER_ROLLOUT_HOLD_OFF_MS && relay_is_current(&controller->relay, now)) {
+		struct json_object *command = json_object_new_object();
 
-		json_object_object_add(what, "drop", drop);
-		order(r, s, part, row->addr, what, now, o);
+		json_object_object_add(command, "drop", drop);
+		order(controller, server, part, row->addr, command, now, out);
 	} else {
 		json_object_put(drop);
 	}
 end:
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 }
 
-static void look_at(struct controller *r, const struct Nl__Row *row, int64_t now, struct out *o)
+static void look_at(struct controller *controller, const struct Nl__Row *row, int64_t now, struct out *out)
 {
-	struct controller_server *s = server_of(r, row->name);
+	struct controller_server *s = server_of(controller, row->name);
 
 	if (!s) {
-		struct controller_server n;
-
-		memset(&n, 0, sizeof n);
-		n.name = strdup(row->name);
-		n.service = strdup(row->service);
-		n.reported = now;
-		arrput(r->server, n);
-		s = &arrlast(r->server);
+		struct controller_server server;
+
+		memset(&server, 0, sizeof server);
+		server.name = strdup(row->name);
+		server.service = strdup(row->service);
+		server.reported_at_ms = now;
+		arrput(controller->rollout_servers, server);
+		s = &arrlast(controller->rollout_servers);
 	}
-	if (now - s->called < CONTROLLER_LOOK)
+	if (now - s->polled_at_ms < CONTROLLER_REPORT_POLL_MS)
 		return;
-	s->called = now;
-	s->call = ++r->token;
-	s->carried_want = r->relay.k.horizon;
-	call(s->call, apr_pstrdup(o->p, row->addr), "/v1/report", NULL, now + 400, o);
+	s->polled_at_ms = now;
+	s->call_token = ++controller->last_token;
+	s->requested_purge_tick = controller->relay.knowledge.horizon;
+	call(s->call_token, apr_pstrdup(out->pool, row->addr), "/v1/report", NULL, now + 400, out);
 }
 
 /* Whether every server of a service has had these weights, or it is not known here which ones they all had. */
-static int is_rolled_out(struct controller *r, const char *service, const char *weights)
+static int is_rolled_out(struct controller *controller, const char *service_name, const char *weights)
 {
-	struct controller_svc *shard = service_shard(r, core_part_of(service, SHARD_SERVICES));
-	ptrdiff_t i = shgeti(shard->rolled, service);
+	struct controller_service_state *shard = service_shard_state(controller, core_shard_of(service_name, SHARD_SERVICES));
+	ptrdiff_t i = shgeti(shard->rolled_out, service_name);
 
-	return i < 0 || !strcmp(shard->rolled[i].value, weights);
+	return i < 0 || !strcmp(shard->rolled_out[i].value, weights);
 }
 
 /* Followed tables say what is named; not later than the last good asking that did not say so. A naming that overtakes another one
  * leaves that one's servers no more time. */
-void rollout_on_versions(struct controller *r, int64_t before)
+void rollout_on_target_change(struct controller *controller, int64_t last_unchanged_ms)
 {
-	for (ptrdiff_t i = 0; i < shlen(r->f.t.h); i++) {
-		const struct Nl__Row *row = r->f.t.h[i].value.row;
-		int64_t unrolled;
+	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
+		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
+		int64_t unrolled_since_ms;
 		ptrdiff_t k;
 
 		if (row->kind != NL__KIND__SERVICE)
 			continue;
-		k = shgeti(r->named, row->name);
-		if (k >= 0 && !strcmp(r->named[k].value.weights, row->weights))
+		k = shgeti(controller->target_weights, row->name);
+		if (k >= 0 && !strcmp(controller->target_weights[k].value.weights, row->weights))
 			continue;
-		unrolled =
-		    k >= 0 && !is_rolled_out(r, row->name, r->named[k].value.weights) ? r->named[k].value.unrolled_since : before;
+		unrolled_since_ms =
+		    k >= 0 && !is_rolled_out(controller, row->name, controller->target_weights[k].value.weights) ? controller->target_weights[k].value.incomplete_since_ms : last_unchanged_ms;
 		if (k >= 0)
-			free(r->named[k].value.weights);
-		shput(r->named, row->name, ((typeof(r->named->value)){ strdup(row->weights), before, unrolled, 0 }));
+			free(controller->target_weights[k].value.weights);
+		shput(controller->target_weights, row->name, ((typeof(controller->target_weights->value)){ strdup(row->weights), last_unchanged_ms, unrolled_since_ms, 0 }));
 	}
 }
 
 /* How many of n servers may have been told by now: a third at once, the next ones as the loading ends, or when the
  * bound asks for it. A rollout that took over has less time left and need not leave any for another. */
-static int due(const struct controller *r, uint32_t part, typeof(((struct controller_named *)0)->value) *m, int n, int64_t now)
+static int max_commanded(const struct controller *controller, uint32_t part, typeof(((struct controller_target_weights *)0)->value) *target, int server_count, int64_t now)
 {
-	int64_t last = m->unrolled_since + CONTROLLER_TELL;
-	int third = (n + 2) / 3;
-
-	if (!m->first || m->first < r->leader_since[part])
-		m->first = now;
-	if (r->leader_since[part] <= m->unrolled_since)
-		last -= CONTROLLER_TAKE_OVER;
-	if (now >= last || m->first >= last)
-		return n;
-	return third * (1 + (int)(2 * (now - m->first) / (last - m->first)));
+	int64_t deadline_ms = target->incomplete_since_ms + CONTROLLER_LAST_LOAD_COMMAND_MS;
+	int third = (server_count + 2) / 3;
+
+	if (!target->rollout_started_at_ms || target->rollout_started_at_ms < controller->leader_since_ms[part])
+		target->rollout_started_at_ms = now;
+	if (controller->leader_since_ms[part] <= target->incomplete_since_ms)
+		deadline_ms -= CONTROLLER_FAILOVER_MS;
+	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
+		return server_count;
+	return third * (1 + (int)(2 * (now - target->rollout_started_at_ms) / (deadline_ms - target->rollout_started_at_ms)));
 }
 
 /* One service's roll-out: a third of its servers at a time, the rest keep serving. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-static void roll(struct controller *r, const struct Nl__Row *service, uint32_t part, int64_t now, struct out *o)
+static void roll(struct controller *controller, const struct Nl__Row *service, uint32_t part, int64_t now, struct out *out)
 {
-	struct controller_svc *c = service_shard(r, part);
-	typeof(r->named->value) *m = &shgetp(r->named, service->name)->value;
+	struct controller_service_state *c = service_shard_state(controller, part);
+	typeof(controller->target_weights->value) *m = &shgetp(controller->target_weights, service->name)->value;
 	int n = 0, loading = 0, on = 0, room, more;
 	ptrdiff_t was;
 
-	for (ptrdiff_t i = 0; i < shlen(r->f.t.h); i++) {
-		const struct Nl__Row *row = r->f.t.h[i].value.row;
-		struct controller_server *s;
+	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
+		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
+		struct controller_server *server;
 
 		if (row->kind != NL__KIND__SERVER || strcmp(row->service, service->name) || row->state)
 			continue;
-		s = server_of(r, row->name);
-		if (!s || now - s->reported > 10000)
+		server = server_of(controller, row->name);
+		if (!server || now - server->reported_at_ms > 10000)
 			continue; /* dead: it loads what is named when it is back */
 		n++;
-		if (!strcmp(s->weights, service->weights) && !s->loading[0])
+		if (!strcmp(server->weights, service->weights) && !server->loading[0])
 			on++;
 		else
-			loading += s->loading[0] || s->load_at >= m->since;
+			loading += server->loading[0] || server->load_commanded_at_ms >= m->targeted_at_ms;
 	}
 	if (on < n) {
 		room = (n + 2) / 3 - loading;
-		more = due(r, part, m, n, now) - on - loading;
+		more = max_commanded(controller, part, m, n, now) - on - loading;
 		if (room < more)
 			room = more;
 	} else {
 		room = 0;
 	}
-	for (ptrdiff_t i = 0; i < shlen(r->f.t.h) && on < n; i++) {
-		const struct Nl__Row *row = r->f.t.h[i].value.row;
-		struct controller_server *s;
+	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows) && on < n; i++) {
+		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
+		struct controller_server *server;
 		struct json_object *what;
 
 		if (row->kind != NL__KIND__SERVER || strcmp(row->service, service->name) || row->state)
 			continue;
-		s = server_of(r, row->name);
-		if (!s || now - s->reported > 2 * CONTROLLER_LOOK || !strcmp(s->weights, service->weights) ||
-		    !strcmp(s->loading, service->weights) || now - s->ordered < CONTROLLER_LOOK)
+		server = server_of(controller, row->name);
+		if (!server || now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS || !strcmp(server->weights, service->weights) ||
+		    !strcmp(server->loading, service->weights) || now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
 			continue;
-		if (s->load_at >= m->since && now - s->load_at < 2 * CONTROLLER_LOOK)
+		if (server->load_commanded_at_ms >= m->targeted_at_ms && now - server->load_commanded_at_ms < 2 * CONTROLLER_REPORT_POLL_MS)
 			continue; /* told just now */
 		/* one whose order was lost, or that loads what has been overtaken, is told in the place it has */
-		if (s->load_at < m->since && !s->loading[0] && room-- <= 0)
+		if (server->load_commanded_at_ms < m->targeted_at_ms && !server->loading[0] && room-- <= 0)
 			continue;
 		what = json_object_new_object();
 		json_object_object_add(what, "load", json_object_new_string(service->weights));
-		order(r, s, part, apr_pstrdup(o->p, row->addr), what, now, o);
-		s->load_at = now;
-		log_line(r, "order", o->p, "Server %s is told to load %s.", s->name, service->weights);
+		order(controller, server, part, apr_pstrdup(out->pool, row->addr), what, now, out);
+		server->load_commanded_at_ms = now;
+		log_line(controller, "order", out->pool, "Server %s is told to load %s.", server->name, service->weights);
 	}
-	was = shgeti(c->rolled, service->name);
-	if (n && on == n && (was < 0 || strcmp(c->rolled[was].value, service->weights))) {
-		struct Nl__Op op = NL__OP__INIT;
-		struct Nl__Rolled d = NL__ROLLED__INIT;
-
-		d.service = service->name;
-		d.weights = service->weights;
-		op.op_case = NL__OP__OP_ROLLED;
-		op.rolled = &d;
-		if (arrlen(r->part[part].marks) == 0) /* nothing of ours is still on its way */
-			log_operation(r, part, &op, now, o);
+	was = shgeti(c->rolled_out, service->name);
+	if (n && on == n && (was < 0 || strcmp(c->rolled_out[was].value, service->weights))) {
+		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__Rolled rolled = NL__ROLLED__INIT;
+
+		rolled.service = service->name;
+		rolled.weights = service->weights;
+		operation.op_case = NL__OP__OP_ROLLED;
+		operation.rolled = &rolled;
+		if (arrlen(controller->shards[part].pending_syncs) == 0) /* nothing of ours is still on its way */
+			log_operation(controller, part, &operation, now, out);
 	}
 }
 
-void rollout_tick(struct controller *r, int64_t now, struct out *o)
+void rollout_tick(struct controller *controller, int64_t now, struct out *out)
 {
 	for (uint32_t part = SHARD_SERVICE; part < SHARD_COUNT; part++) {
-		if (!leads_shard(r, part, now) || config_watch_age(&r->f, now) > CONFIG_WATCH_CONFIG)
+		if (!leads_shard(controller, part, now) || config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
 			continue;
-		for (ptrdiff_t i = 0; i < shlen(r->f.t.h); i++) {
-			const struct Nl__Row *row = r->f.t.h[i].value.row;
+		for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
+			const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
 
-			if (row->kind == NL__KIND__SERVER && core_part_of(row->service, SHARD_SERVICES) == part)
-				look_at(r, row, now, o);
+			if (row->kind == NL__KIND__SERVER && core_shard_of(row->service, SHARD_SERVICES) == part)
+				look_at(controller, row, now, out);
 		}
-		if (now - r->leader_since[part] < CONTROLLER_HOLD)
+		if (now - controller->leader_since_ms[part] < CONTROLLER_ROLLOUT_HOLD_OFF_MS)
 			continue; /* the last rollout's orders must have had time to end */
-		for (ptrdiff_t i = 0; i < shlen(r->f.t.h); i++) {
-			const struct Nl__Row *row = r->f.t.h[i].value.row;
+		for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
+			const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
 
-			if (row->kind == NL__KIND__SERVICE && core_part_of(row->name, SHARD_SERVICES) == part)
-				roll(r, row, part, now, o);
+			if (row->kind == NL__KIND__SERVICE && core_shard_of(row->name, SHARD_SERVICES) == part)
+				roll(controller, row, part, now, out);
 		}
 	}
 }
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -6,102 +6,102 @@
 #include "mechanism.h"
 #include "naming.h"
 
-void rollout_pace_learn(struct controller *r, const struct rollout_server *s, const char *model, int64_t now)
+void rollout_pace_learn(struct controller *controller, const struct rollout_server *server, const char *model, int64_t now)
 {
-	struct rollout_pace *m;
-	int ms = (int)(now - s->ordered_at);
+	struct rollout_pace *pace;
+	int duration_ms = (int)(now - server->commanded_at_ms);
 
-	if (shgeti(r->rollout.models, model) < 0 || s->state != ROLLOUT_LOADING || !s->ordered_at)
+	if (shgeti(controller->rollout.models, model) < 0 || server->state != ROLLOUT_LOADING || !server->commanded_at_ms)
 		return;
-	m = &shgetp(r->rollout.models, model)->value;
-	if (s->beside <= m->base) {
-		m->base_ms = m->base_ms ? (3 * m->base_ms + ms) / 4 : ms;
+	pace = &shgetp(controller->rollout.models, model)->value;
+	if (server->max_concurrent_loads <= pace->base_concurrency) {
+		pace->base_load_ms = pace->base_load_ms ? (3 * pace->base_load_ms + duration_ms) / 4 : duration_ms;
 		return;
 	}
-	m->more_ms = m->more_ms ? (m->more_ms + ms) / 2 : ms;
-	m->more++;
-	if (m->base_ms && m->more_ms > m->base_ms + m->base_ms / 4) {
-		m->many = 1;
-		m->room = m->base;
-	} else if (!m->many && m->more % (2 * m->room) == 0 && s->beside >= m->room) {
-		m->room++;
+	pace->extra_load_ms = pace->extra_load_ms ? (pace->extra_load_ms + duration_ms) / 2 : duration_ms;
+	pace->extra_samples++;
+	if (pace->base_load_ms && pace->extra_load_ms > pace->base_load_ms + pace->base_load_ms / 4) {
+		pace->is_saturated = 1;
+		pace->concurrency = pace->base_concurrency;
+	} else if (!pace->is_saturated && pace->extra_samples % (2 * pace->concurrency) == 0 && server->max_concurrent_loads >= pace->concurrency) {
+		pace->concurrency++;
 	}
 }
 
-static int64_t load_ms(const struct controller *r, const struct rollout_pace *m)
+static int64_t load_duration_ms_of(const struct controller *controller, const struct rollout_pace *pace)
 {
-	return m->base_ms ? m->base_ms : r->b.roll_ms / 10;
+	return pace->base_load_ms ? pace->base_load_ms : controller->bounds.rollout_ms / 10;
 }
 
-static int64_t notice_ms(const struct controller *r, const struct rollout_pace *m)
+static int64_t notice_ms_of(const struct controller *controller, const struct rollout_pace *pace)
 {
-	int64_t ms = load_ms(r, m) / ROLLOUT_NOTICE_PART;
+	int64_t ms = load_duration_ms_of(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
 
-	if (!mechanism_on(r->b.without, MECHANISM_RETAIN))
+	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN))
 		return 0;
-	return ms < ROLLOUT_NOTICE_MOST ? ms : ROLLOUT_NOTICE_MOST;
+	return ms < ROLLOUT_NOTICE_MAX_MS ? ms : ROLLOUT_NOTICE_MAX_MS;
 }
 
-int64_t rollout_notice_ms(const struct controller *r, const char *model, int64_t due, int64_t now)
+int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t due_at_ms, int64_t now)
 {
-	struct rollout_model *models = r->rollout.models;
+	struct rollout_model *models = controller->rollout.models;
 	ptrdiff_t k = shgeti(models, model);
 	struct rollout_pace none = { 0 };
-	const struct rollout_pace *m = k >= 0 ? &models[k].value : &none;
-	int64_t reserve = (int64_t)r->b.roll_ms * (100 - ROLLOUT_PLAN) / 100;
+	const struct rollout_pace *pace = k >= 0 ? &models[k].value : &none;
+	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
 
-	return due == INT64_MIN || now + 2 * load_ms(r, m) > due - reserve ? 0 : notice_ms(r, m);
+	return due_at_ms == INT64_MIN || now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms ? 0 : notice_ms_of(controller, pace);
 }
 
-int64_t rollout_due_at(const struct controller *r, const struct Nl__Row *model, const char *weights)
+int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model, const char *weights)
 {
-	const struct Nl__Naming *newer = naming_after(model, strtoull(weights, NULL, 10));
+	const struct Nl__Naming *next_version = version_history_after(model, strtoull(weights, NULL, 10));
 
-	return newer ? (int64_t)newer->at + r->b.roll_ms - r->group_clock_offset : INT64_MIN;
+	return next_version ? (int64_t)next_version->at + controller->bounds.rollout_ms - controller->group_clock_offset_ms : INT64_MIN;
 }
 
 /* How many servers have to load at once so that each has loaded in the time that is planned for. due: when those are due that are
  * yet to be told, soonest first. *urgent: for how many of them that time is over. */
-static int needed_at_once(const struct controller *r, const int64_t *due, int busy, int64_t load, int64_t now, int *urgent)
+static int needed_concurrency(const struct controller *controller, const int64_t *due_at_ms, int loading, int64_t load_duration_ms, int64_t now, int *urgent)
 {
-	int64_t reserve = (int64_t)r->b.roll_ms * (100 - ROLLOUT_PLAN) / 100;
+	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
 	int needed = 0;
 
 	*urgent = 0;
-	for (int i = 0; i < arrlen(due); i++) {
-		int64_t before = i + 1 + busy / 2; /* those under way have begun some time ago */
-		int64_t time = due[i] == INT64_MIN ? 0 : due[i] - reserve - now;
+	for (int i = 0; i < arrlen(due_at_ms); i++) {
+		int64_t loads_before = i + 1 + loading / 2; /* those under way have begun some time ago */
+		int64_t remaining_ms = due_at_ms[i] == INT64_MIN ? 0 : due_at_ms[i] - reserve_ms - now;
 
-		if (time <= 0 || time < load)
+		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
 			(*urgent)++;
-		else if ((before * load + time - 1) / time > needed)
-			needed = (int)((before * load + time - 1) / time);
+		else if ((loads_before * load_duration_ms + remaining_ms - 1) / remaining_ms > needed)
+			needed = (int)((loads_before * load_duration_ms + remaining_ms - 1) / remaining_ms);
 	}
 	return needed;
 }
 
-int rollout_at_once(const struct controller *r, struct rollout_pace *m, int n, const int64_t *due, int busy, int64_t now)
+int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count, const int64_t *due_at_ms, int loading, int64_t now)
 {
-	int64_t load = load_ms(r, m) + notice_ms(r, m), reserve = (int64_t)r->b.roll_ms * (100 - ROLLOUT_LAST) / 100;
+	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace), reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_DEADLINE_PERCENT) / 100;
 	int urgent, needed;
 
-	if (!m->base)
-		m->base = m->room = (n + 3) / 6 > 1 ? (n + 3) / 6 : 1;
-	needed = needed_at_once(r, due, busy, load, now, &urgent);
+	if (!pace->base_concurrency)
+		pace->base_concurrency = pace->concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
+	needed = needed_concurrency(controller, due_at_ms, loading, load_duration_ms, now, &urgent);
 	if (urgent) {
-		int helps = !m->many && (!m->base_ms || m->more >= 2 * m->base);
-		int all = urgent + busy > m->room ? urgent + busy : m->room;
+		int helps = !pace->is_saturated && (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
+		int concurrency = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
 
 		/* while more don't help, or have not shown that they do, a few more keep as busy as all */
-		return helps || due[0] == INT64_MIN || now >= due[0] - reserve || all <= 2 * m->base ? all : 2 * m->base;
+		return helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms || concurrency <= 2 * pace->base_concurrency ? concurrency : 2 * pace->base_concurrency;
 	}
-	if (!mechanism_on(r->b.without, MECHANISM_PACE))
-		return m->base;
-	if (!busy)
-		m->begun = now;
-	if (m->many || (!m->base_ms && now - m->begun < 2 * load)) /* the first ones show how long it takes */
-		return m->room;
-	if (needed > 2 * m->base && m->more < 2 * m->base) /* not further before it has shown that it helps */
-		needed = 2 * m->base;
-	return needed > m->room ? needed : m->room;
+	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
+		return pace->base_concurrency;
+	if (!loading)
+		pace->loading_since_ms = now;
+	if (pace->is_saturated || (!pace->base_load_ms && now - pace->loading_since_ms < 2 * load_duration_ms)) /* the first ones show how long it takes */
+		return pace->concurrency;
+	if (needed > 2 * pace->base_concurrency && pace->extra_samples < 2 * pace->base_concurrency) /* not further before it has shown that it helps */
+		needed = 2 * pace->base_concurrency;
+	return needed > pace->concurrency ? needed : pace->concurrency;
 }
--- a/lib/control/sheet.c
+++ b/lib/control/sheet.c
@@ -11,101 +11,101 @@
 				       "slots",      "conns",      "watches",   "room",       "health",  "rank",  "rolled",
 				       "head_bytes", "body_bytes", "head_ms",   "idle_ms",    "keep",    "every", "at",
 				       "window" };
-enum { COLUMNS = sizeof columns / sizeof *columns };
+enum { COLUMN_COUNT = sizeof columns / sizeof *columns };
 
-static const char *str(struct json_object *j, const char *k)
+static const char *member_text(struct json_object *json, const char *name)
 {
 	struct json_object *v;
 
-	return json_object_object_get_ex(j, k, &v) ? json_object_get_string(v) : "";
+	return json_object_object_get_ex(json, name, &v) ? json_object_get_string(v) : "";
 }
 
-static int operators(const char *kind) { return strcmp(kind, "key") && strcmp(kind, "registrar"); }
+static int is_operator_kind_name(const char *kind) { return strcmp(kind, "key") && strcmp(kind, "registrar"); }
 
-static struct json_object *rows_of(struct json_object *t)
+static struct json_object *rows_of(struct json_object *json)
 {
 	struct json_object *rows = NULL;
 
-	return json_object_object_get_ex(t, "rows", &rows) ? rows : NULL;
+	return json_object_object_get_ex(json, "rows", &rows) ? rows : NULL;
 }
 
-const char *sheet_print(struct json_object *table, const char *kind, apr_pool_t *p)
+const char *config_text_print(struct json_object *table, const char *kind, apr_pool_t *pool)
 {
 	struct json_object *rows = rows_of(table);
-	size_t n = rows ? json_object_array_length(rows) : 0, cap = 1024, k = 0;
+	size_t row_count = rows ? json_object_array_length(rows) : 0, capacity = 1024, used = 0;
 	char *out;
 
-	for (size_t i = 0; i < n; i++)
-		for (int c = 0; c < COLUMNS; c++)
-			cap += strlen(str(json_object_array_get_idx(rows, i), columns[c])) + 1;
-	out = apr_palloc(p, cap);
+	for (size_t i = 0; i < row_count; i++)
+		for (int c = 0; c < COLUMN_COUNT; c++)
+			capacity += strlen(member_text(json_object_array_get_idx(rows, i), columns[c])) + 1;
+	out = apr_palloc(pool, capacity);
 
-	k += (size_t)apr_snprintf(out, cap, "# edition %s\n", str(table, "edition"));
-	for (int c = 0; c < COLUMNS; c++)
-		k += (size_t)apr_snprintf(out + k, cap - k, "%s%s", c ? "\t" : "", columns[c]);
-	k += (size_t)apr_snprintf(out + k, cap - k, "\n");
-	for (size_t i = 0; i < n; i++) {
-		struct json_object *r = json_object_array_get_idx(rows, i);
+	used += (size_t)apr_snprintf(out, capacity, "# edition %s\n", member_text(table, "edition"));
+	for (int c = 0; c < COLUMN_COUNT; c++)
+		used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "", columns[c]);
+	used += (size_t)apr_snprintf(out + used, capacity - used, "\n");
+	for (size_t i = 0; i < row_count; i++) {
+		struct json_object *json = json_object_array_get_idx(rows, i);
 
-		if (kind ? strcmp(str(r, "kind"), kind) : !operators(str(r, "kind")))
+		if (kind ? strcmp(member_text(json, "kind"), kind) : !is_operator_kind_name(member_text(json, "kind")))
 			continue;
-		for (int c = 0; c < COLUMNS; c++)
-			k += (size_t)apr_snprintf(out + k, cap - k, "%s%s", c ? "\t" : "", str(r, columns[c]));
-		k += (size_t)apr_snprintf(out + k, cap - k, "\n");
+		for (int c = 0; c < COLUMN_COUNT; c++)
+			used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "", member_text(json, columns[c]));
+		used += (size_t)apr_snprintf(out + used, capacity - used, "\n");
 	}
 	return out;
 }
 
-struct json_object *sheet_cell(const char *column, const char *text)
+struct json_object *config_text_cell(const char *column, const char *text)
 {
-	static const char *const ints[] = { "prio", "share", "limit",      "prefill",    "kv_bytes", "link",    "store",
+	static const char *const integer_columns[] = { "prio", "share", "limit",      "prefill",    "kv_bytes", "link",    "store",
 					    "aim",  "pause", "timeout",    "attempts",   "slots",    "conns",   "watches",
 					    "room", "rank",  "head_bytes", "body_bytes", "head_ms",  "idle_ms", "window" };
-	static const char *const bools[] = { "walled", "resumable", "repeatable", "vouched", "open" };
+	static const char *const boolean_columns[] = { "walled", "resumable", "repeatable", "vouched", "open" };
 	char *end;
-	long long n = strtoll(text, &end, 10);
+	long long number = strtoll(text, &end, 10);
 
-	for (size_t i = 0; i < sizeof ints / sizeof *ints; i++)
-		if (!strcmp(column, ints[i]) && !*end && end != text)
-			return json_object_new_int64(n);
-	for (size_t i = 0; i < sizeof bools / sizeof *bools; i++)
-		if (!strcmp(column, bools[i]) && (!strcmp(text, "true") || !strcmp(text, "false")))
+	for (size_t i = 0; i < sizeof integer_columns / sizeof *integer_columns; i++)
+		if (!strcmp(column, integer_columns[i]) && !*end && end != text)
+			return json_object_new_int64(number);
+	for (size_t i = 0; i < sizeof boolean_columns / sizeof *boolean_columns; i++)
+		if (!strcmp(column, boolean_columns[i]) && (!strcmp(text, "true") || !strcmp(text, "false")))
 			return json_object_new_boolean(text[0] == 't');
 	return json_object_new_string(text);
 }
 
-struct json_object *sheet_parse(const char *text, apr_pool_t *p, const char **why)
+struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **why)
 {
-	struct json_object *j = json_object_new_object(), *rows = json_object_new_array();
-	char *copy = apr_pstrdup(p, text), *line, *save = NULL;
-	const char *head[COLUMNS] = { 0 };
-	int nhead = 0, no = 0;
+	struct json_object *json = json_object_new_object(), *rows = json_object_new_array();
+	char *copy = apr_pstrdup(pool, text), *line, *save = NULL;
+	const char *header[COLUMN_COUNT] = { 0 };
+	int header_count = 0, line_number = 0;
 
-	json_object_object_add(j, "rows", rows);
+	json_object_object_add(json, "rows", rows);
 	for (line = apr_strtok(copy, "\n", &save); line; line = apr_strtok(NULL, "\n", &save)) {
 		struct json_object *r;
-		size_t len = strlen(line);
+		size_t length = strlen(line);
 
-		no++;
-		if (len && line[len - 1] == '\r')
-			line[len - 1] = 0;
+		line_number++;
+		if (length && line[length - 1] == '\r')
+			line[length - 1] = 0;
 		if (!strncmp(line, "# edition ", 10)) {
-			json_object_object_add(j, "edition", json_object_new_int64(strtoll(line + 10, NULL, 10)));
+			json_object_object_add(json, "edition", json_object_new_int64(strtoll(line + 10, NULL, 10)));
 			continue;
 		}
 		if (!line[0] || line[0] == '#')
 			continue;
-		if (!nhead) {
-			for (char *c = line; c && nhead < COLUMNS; nhead++) {
+		if (!header_count) {
+			for (char *c = line; c && header_count < COLUMN_COUNT; header_count++) {
 				char *tab = strchr(c, '\t');
 
 				if (tab)
 					*tab++ = 0;
-				for (int k = 0; k < COLUMNS; k++)
+				for (int k = 0; k < COLUMN_COUNT; k++)
 					if (!strcmp(columns[k], c))
-						head[nhead] = columns[k];
-				if (!head[nhead]) {
-					*why = apr_psprintf(p, "line %d: column %s: unknown", no, c);
+						header[header_count] = columns[k];
+				if (!header[header_count]) {
+					*why = apr_psprintf(pool, "line %d: column %s: unknown", line_number, c);
 					goto bad;
 				}
 				c = tab;
@@ -114,35 +114,35 @@
 		}
 		r = json_object_new_object();
 		json_object_array_add(rows, r);
-		for (int k = 0; line && k < nhead; k++) {
+		for (int k = 0; line && k < header_count; k++) {
 			char *tab = strchr(line, '\t');
 
 			if (tab)
 				*tab++ = 0;
 			if (line[0])
-				json_object_object_add(r, head[k], sheet_cell(head[k], line));
+				json_object_object_add(r, header[k], config_text_cell(header[k], line));
 			line = tab;
 		}
 		if (line) {
-			*why = apr_psprintf(p, "line %d: more cells than columns", no);
+			*why = apr_psprintf(pool, "line %d: more cells than columns", line_number);
 			goto bad;
 		}
 	}
-	if (nhead)
-		return j;
+	if (header_count)
+		return json;
 	*why = "no line names the columns";
 bad:
-	json_object_put(j);
+	json_object_put(json);
 	return NULL;
 }
 
-static struct json_object *find(struct json_object *rows, struct json_object *like)
+static struct json_object *find_row(struct json_object *rows, struct json_object *like)
 {
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *r = json_object_array_get_idx(rows, i);
+		struct json_object *json = json_object_array_get_idx(rows, i);
 
-		if (!strcmp(str(r, "kind"), str(like, "kind")) && !strcmp(str(r, "name"), str(like, "name")))
-			return r;
+		if (!strcmp(member_text(json, "kind"), member_text(like, "kind")) && !strcmp(member_text(json, "name"), member_text(like, "name")))
+			return json;
 	}
 	return NULL;
 }
@@ -150,42 +150,42 @@
 static int has_kind(struct json_object *rows, const char *kind)
 {
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++)
-		if (!strcmp(str(json_object_array_get_idx(rows, i), "kind"), kind))
+		if (!strcmp(member_text(json_object_array_get_idx(rows, i), "kind"), kind))
 			return 1;
 	return 0;
 }
 
 /* Alike: every column either has is the same; an empty cell is a column left out. */
-static int alike(struct json_object *a, struct json_object *b)
+static int rows_alike(struct json_object *a, struct json_object *b)
 {
-	for (int c = 0; c < COLUMNS; c++)
-		if (strcmp(str(a, columns[c]), str(b, columns[c])))
+	for (int c = 0; c < COLUMN_COUNT; c++)
+		if (strcmp(member_text(a, columns[c]), member_text(b, columns[c])))
 			return 0;
 	return 1;
 }
 
-struct json_object *sheet_diff(struct json_object *table, struct json_object *sheet)
+struct json_object *config_text_diff(struct json_object *table, struct json_object *text_rows)
 {
-	struct json_object *old = rows_of(table), *rows = rows_of(sheet), *j = json_object_new_object(), *e;
+	struct json_object *old = rows_of(table), *rows = rows_of(text_rows), *j = json_object_new_object(), *e;
 	struct json_object *set = json_object_new_array(), *del = json_object_new_array();
 
-	if (json_object_object_get_ex(sheet, "edition", &e) || json_object_object_get_ex(table, "edition", &e))
+	if (json_object_object_get_ex(text_rows, "edition", &e) || json_object_object_get_ex(table, "edition", &e))
 		json_object_object_add(j, "expect", json_object_get(e));
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *r = json_object_array_get_idx(rows, i), *was = find(old, r);
+		struct json_object *r = json_object_array_get_idx(rows, i), *was = find_row(old, r);
 
-		if (!was || !alike(was, r))
+		if (!was || !rows_alike(was, r))
 			json_object_array_add(set, json_object_get(r));
 	}
 	for (size_t i = 0; old && i < json_object_array_length(old); i++) {
-		struct json_object *r = json_object_array_get_idx(old, i), *d;
+		struct json_object *r = json_object_array_get_idx(old, i), *json;
 
-		if (!operators(str(r, "kind")) || !has_kind(rows, str(r, "kind")) || find(rows, r))
+		if (!is_operator_kind_name(member_text(r, "kind")) || !has_kind(rows, member_text(r, "kind")) || find_row(rows, r))
 			continue;
-		d = json_object_new_object();
-		json_object_object_add(d, "kind", json_object_new_string(str(r, "kind")));
-		json_object_object_add(d, "name", json_object_new_string(str(r, "name")));
-		json_object_array_add(del, d);
+		json = json_object_new_object();
+		json_object_object_add(json, "kind", json_object_new_string(member_text(r, "kind")));
+		json_object_object_add(json, "name", json_object_new_string(member_text(r, "name")));
+		json_object_array_add(del, json);
 	}
 	json_object_object_add(j, "set", set);
 	json_object_object_add(j, "del", del);
--- a/lib/control/sheet.h
+++ b/lib/control/sheet.h
@@ -9,17 +9,17 @@
 
 /* The rows of a table answer ({"edition":..,"rows":[..]}) as a sheet; kind may be NULL for all the kinds that
  * operators edit. Example: puts(sheet_print(answer, NULL, pool)); */
-const char *sheet_print(struct json_object *table, const char *kind, apr_pool_t *p);
+const char *config_text_print(struct json_object *table, const char *kind, apr_pool_t *pool);
 
 /* A sheet as {"edition":..,"rows":[..]}; NULL with the line and the fault in *why.
  * Example: j = sheet_parse(text, pool, &why); */
-struct json_object *sheet_parse(const char *text, apr_pool_t *p, const char **why);
+struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **why);
 
 /* A cell's text as the JSON value its column has. Example: sheet_cell("limit", "5") */
-struct json_object *sheet_cell(const char *column, const char *text);
+struct json_object *config_text_cell(const char *column, const char *text);
 
 /* What turns the table into the sheet: {"expect":..,"set":[..],"del":[..]}. Rows of kinds that the sheet does not
  * have at all stay. Example: change = sheet_diff(table, sheet); */
-struct json_object *sheet_diff(struct json_object *table, struct json_object *sheet);
+struct json_object *config_text_diff(struct json_object *table, struct json_object *text_rows);
 
 #endif
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -10,231 +10,231 @@
 
 static int compare_keys(const void *a, const void *b) { return strcmp(*(char *const *)a, *(char *const *)b); }
 
-static uint8_t *pack_control_state(const struct controller *r, apr_pool_t *p, size_t *n)
+static uint8_t *pack_control_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
 {
-	struct Nl__CtlState s = NL__CTL_STATE__INIT;
+	struct Nl__CtlState state = NL__CTL_STATE__INIT;
 	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
-	struct table_row *h = r->ctl.h;
-	char **key = apr_palloc(p, ((size_t)shlen(h) + 1) * sizeof *key);
-
-	table_since(&r->ctl, 0, &all, p);
-	s.fleet = r->fleet;
-	s.edition = r->ctl.edition;
-	s.plan = r->ctl.plan;
-	s.clock = r->ctl.now.at;
-	s.row = all.set;
-	s.n_row = all.n_set;
-	for (size_t i = 0; i < s.n_row; i++) /* in order, so that equal states pack alike */
-		key[i] = h[i].key;
-	qsort(key, s.n_row, sizeof *key, compare_keys);
-	for (size_t i = 0; i < s.n_row; i++)
-		s.row[i] = shget(h, key[i]).row;
-	s.feed = r->ctl_feed;
-	s.n_feed = (size_t)arrlen(r->ctl_feed);
-	s.n_done = (size_t)arrlen(r->ctl_done);
-	s.done = apr_palloc(p, (s.n_done + 1) * sizeof *s.done);
-	for (size_t i = 0; i < s.n_done; i++) {
-		s.done[i] = apr_palloc(p, sizeof *s.done[i]);
-		nl__done_op__init(s.done[i]);
-		s.done[i]->from = r->ctl_done[i].from;
-		s.done[i]->token = r->ctl_done[i].token;
-		s.done[i]->status = r->ctl_done[i].status;
+	struct config_table_row *row = controller->config.rows;
+	char **key = apr_palloc(pool, ((size_t)shlen(row) + 1) * sizeof *key);
+
+	config_table_since(&controller->config, 0, &all, pool);
+	state.fleet = controller->fleet;
+	state.edition = controller->config.revision;
+	state.plan = controller->config.operator_revision;
+	state.clock = controller->config.clock.at_ms;
+	state.row = all.set;
+	state.n_row = all.n_set;
+	for (size_t i = 0; i < state.n_row; i++) /* in order, so that equal states pack alike */
+		key[i] = row[i].key;
+	qsort(key, state.n_row, sizeof *key, compare_keys);
+	for (size_t i = 0; i < state.n_row; i++)
+		state.row[i] = shget(row, key[i]).row;
+	state.feed = controller->config_purge_feed;
+	state.n_feed = (size_t)arrlen(controller->config_purge_feed);
+	state.n_done = (size_t)arrlen(controller->done_operations);
+	state.done = apr_palloc(pool, (state.n_done + 1) * sizeof *state.done);
+	for (size_t i = 0; i < state.n_done; i++) {
+		state.done[i] = apr_palloc(pool, sizeof *state.done[i]);
+		nl__done_op__init(state.done[i]);
+		state.done[i]->from = controller->done_operations[i].from;
+		state.done[i]->token = controller->done_operations[i].token;
+		state.done[i]->status = controller->done_operations[i].status;
 	}
-	s.doc.data = r->ctl_doc;
-	s.doc.len = r->ctl_doc_len;
-	s.doc_version = r->ctl_doc_version;
-	orders_pack(&r->orders, &s, p);
-	retention_pack(r, &s);
-	return core_pack(p, &s.base, n);
+	state.doc.data = controller->document;
+	state.doc.len = controller->document_bytes;
+	state.doc_version = controller->document_version;
+	idempotency_log_pack(&controller->accepted_requests, &state, pool);
+	retention_pack(controller, &state);
+	return core_pack_message(pool, &state.base, size);
 }
 
-static uint8_t *pack_purge_state(const struct controller *r, apr_pool_t *p, size_t *n)
+static uint8_t *pack_purge_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
 {
-	struct Nl__PurgeState s = NL__PURGE_STATE__INIT;
-	struct Nl__FeedMark m[SHARD_COUNT], *pm[SHARD_COUNT];
-	struct view_row *h = r->pub.last.h;
-
-	s.ceiling = r->pub.ceiling;
-	s.released = r->pub.released;
-	s.cleared = r->pub.cleared;
-	s.v = r->pub.v;
-	s.n_v = (size_t)arrlen(r->pub.v);
-	s.last = apr_palloc(p, ((size_t)hmlen(h) + 1) * sizeof *s.last);
-	for (ptrdiff_t i = 0; i < hmlen(h); i++) {
-		size_t k = s.n_last++;
-
-		for (; k && s.last[k - 1]->tick > h[i].value->tick; k--)
-			s.last[k] = s.last[k - 1];
-		s.last[k] = h[i].value;
+	struct Nl__PurgeState purge_state = NL__PURGE_STATE__INIT;
+	struct Nl__FeedMark feed_mark[SHARD_COUNT], *pm[SHARD_COUNT];
+	struct purge_view_row *row = controller->purge_state.last_view.subjects;
+
+	purge_state.ceiling = controller->purge_state.ceiling;
+	purge_state.released = controller->purge_state.released;
+	purge_state.cleared = controller->purge_state.purged_tick;
+	purge_state.v = controller->purge_state.values;
+	purge_state.n_v = (size_t)arrlen(controller->purge_state.values);
+	purge_state.last = apr_palloc(pool, ((size_t)hmlen(row) + 1) * sizeof *purge_state.last);
+	for (ptrdiff_t i = 0; i < hmlen(row); i++) {
+		size_t k = purge_state.n_last++;
+
+		for (; k && purge_state.last[k - 1]->tick > row[i].value->tick; k--)
+			purge_state.last[k] = purge_state.last[k - 1];
+		purge_state.last[k] = row[i].value;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		nl__feed_mark__init(&m[i]);
-		m[i].feed = (uint32_t)i;
-		m[i].index = r->pub.mark[i];
-		pm[i] = &m[i];
+		nl__feed_mark__init(&feed_mark[i]);
+		feed_mark[i].feed = (uint32_t)i;
+		feed_mark[i].index = controller->purge_state.published_index[i];
+		pm[i] = &feed_mark[i];
 	}
-	s.mark = pm;
-	s.n_mark = SHARD_COUNT;
-	return core_pack(p, &s.base, n);
+	purge_state.mark = pm;
+	purge_state.n_mark = SHARD_COUNT;
+	return core_pack_message(pool, &purge_state.base, size);
 }
 
-static uint8_t *pack_service_state(const struct controller_svc *c, apr_pool_t *p, size_t *n)
+static uint8_t *pack_service_state(const struct controller_service_state *service, apr_pool_t *pool, size_t *size)
 {
-	struct Nl__ServiceState s = NL__SERVICE_STATE__INIT;
-	struct controller_claim *h = c->h;
-	char **key = apr_palloc(p, ((size_t)shlen(h) + 1) * sizeof *key);
+	struct Nl__ServiceState service_state = NL__SERVICE_STATE__INIT;
+	struct controller_claim *controller_claim = service->claims;
+	char **key = apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *key);
 	size_t live = 0;
 
-	s.clock = c->clock;
-	s.cleared = c->cleared;
-	s.cleared_at = c->cleared_at;
-	s.settled = c->settled;
-	s.c = apr_palloc(p, ((size_t)shlen(h) + 1) * sizeof *s.c);
-	for (ptrdiff_t i = 0; i < shlen(h); i++)
-		if (h[i].value.at + CONTROLLER_CLAIM_KEEP >= c->clock)
-			key[live++] = h[i].key;
+	service_state.clock = service->clock_ms;
+	service_state.cleared = service->purged_tick;
+	service_state.cleared_at = service->purged_at_ms;
+	service_state.settled = service->is_compacted;
+	service_state.c = apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *service_state.c);
+	for (ptrdiff_t i = 0; i < shlen(controller_claim); i++)
+		if (controller_claim[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS >= service->clock_ms)
+			key[live++] = controller_claim[i].key;
 	qsort(key, live, sizeof *key, compare_keys);
 	for (size_t i = 0; i < live; i++) {
-		struct Nl__ClaimRow *x = apr_palloc(p, sizeof *x);
-		char *sep = strchr(key[i], '\x1f');
+		struct Nl__ClaimRow *x = apr_palloc(pool, sizeof *x);
+		char *separator = strchr(key[i], '\x1f');
 
 		nl__claim_row__init(x);
-		x->tenant = apr_pstrmemdup(p, key[i], (size_t)(sep - key[i]));
-		x->id = sep + 1;
-		x->by = shget(h, key[i]).by;
-		x->seq = shget(h, key[i]).seq;
-		x->at = shget(h, key[i]).at;
-		x->given_back = shget(h, key[i]).given_back;
-		s.c[s.n_c++] = x;
+		x->tenant = apr_pstrmemdup(pool, key[i], (size_t)(separator - key[i]));
+		x->id = separator + 1;
+		x->by = shget(controller_claim, key[i]).claimed_by;
+		x->seq = shget(controller_claim, key[i]).sequence;
+		x->at = shget(controller_claim, key[i]).claimed_at_ms;
+		x->given_back = shget(controller_claim, key[i]).returned;
+		service_state.c[service_state.n_c++] = x;
 	}
-	s.feed = c->feed;
-	s.n_feed = (size_t)arrlen(c->feed);
-	s.rolled = apr_palloc(p, ((size_t)shlen(c->rolled) + 1) * sizeof *s.rolled);
-	for (ptrdiff_t i = 0; i < shlen(c->rolled); i++) {
-		struct Nl__Rolled *x = apr_palloc(p, sizeof *x);
-		size_t k = s.n_rolled++;
+	service_state.feed = service->purge_feed;
+	service_state.n_feed = (size_t)arrlen(service->purge_feed);
+	service_state.rolled = apr_palloc(pool, ((size_t)shlen(service->rolled_out) + 1) * sizeof *service_state.rolled);
+	for (ptrdiff_t i = 0; i < shlen(service->rolled_out); i++) {
+		struct Nl__Rolled *x = apr_palloc(pool, sizeof *x);
+		size_t k = service_state.n_rolled++;
 
 		nl__rolled__init(x);
-		x->service = c->rolled[i].key;
-		x->weights = c->rolled[i].value;
-		for (; k && strcmp(s.rolled[k - 1]->service, x->service) > 0; k--)
-			s.rolled[k] = s.rolled[k - 1];
-		s.rolled[k] = x;
+		x->service = service->rolled_out[i].key;
+		x->weights = service->rolled_out[i].value;
+		for (; k && strcmp(service_state.rolled[k - 1]->service, x->service) > 0; k--)
+			service_state.rolled[k] = service_state.rolled[k - 1];
+		service_state.rolled[k] = x;
 	}
-	return core_pack(p, &s.base, n);
+	return core_pack_message(pool, &service_state.base, size);
 }
 
-uint8_t *controller_state(const struct controller *r, uint32_t part, apr_pool_t *p, size_t *n)
+uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool, size_t *size)
 {
-	return part == SHARD_CONTROL ? pack_control_state(r, p, n)
-	       : part == SHARD_PURGE ? pack_purge_state(r, p, n)
-				     : pack_service_state(&r->svc[part - SHARD_SERVICE], p, n);
+	return shard == SHARD_CONTROL ? pack_control_state(controller, pool, size)
+	       : shard == SHARD_PURGE ? pack_purge_state(controller, pool, size)
+				     : pack_service_state(&controller->service_states[shard - SHARD_SERVICE], pool, size);
 }
 
-void free_values(struct Nl__Value ***v)
+void free_values(struct Nl__Value ***value)
 {
-	for (ptrdiff_t i = 0; i < arrlen(*v); i++)
-		value_free((*v)[i]);
-	arrfree(*v);
+	for (ptrdiff_t i = 0; i < arrlen(*value); i++)
+		value_free((*value)[i]);
+	arrfree(*value);
 }
 
-void clear_service_state(struct controller_svc *s)
+void reset_service_state(struct controller_service_state *service)
 {
-	shfree(s->h);
-	free_values(&s->feed);
-	for (ptrdiff_t i = 0; i < shlen(s->rolled); i++)
-		free(s->rolled[i].value);
-	shfree(s->rolled);
-	memset(s, 0, sizeof *s);
-	sh_new_strdup(s->h);
-	sh_new_strdup(s->rolled);
+	shfree(service->claims);
+	free_values(&service->purge_feed);
+	for (ptrdiff_t i = 0; i < shlen(service->rolled_out); i++)
+		free(service->rolled_out[i].value);
+	shfree(service->rolled_out);
+	memset(service, 0, sizeof *service);
+	sh_new_strdup(service->claims);
+	sh_new_strdup(service->rolled_out);
 }
 
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-void snapshot_load(struct controller *r, uint32_t part, apr_pool_t *p)
+void snapshot_load(struct controller *controller, uint32_t shard, apr_pool_t *pool)
 {
-	const struct raft *q = &r->part[part];
+	const struct raft *raft = &controller->shards[shard];
 
-	r->epoch[part] = raft_epoch(q->snapshot_term);
-	if (part == SHARD_CONTROL) {
+	controller->epoch[shard] = raft_epoch(raft->snapshot_term);
+	if (shard == SHARD_CONTROL) {
 		struct Nl__CtlState *s =
-		    (struct Nl__CtlState *)core_unpack(p, &nl__ctl_state__descriptor, q->snapshot_len, q->snap);
+		    (struct Nl__CtlState *)core_unpack_message(pool, &nl__ctl_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 		struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 
-		table_close(&r->ctl);
-		table_open(&r->ctl);
-		arrsetlen(r->spare, 0); /* its names were that table's */
-		r->spare_edition = 0;
-		free_values(&r->ctl_feed);
-		arrsetlen(r->ctl_done, 0);
-		orders_load(&r->orders, s);
-		retention_load(r, s);
-		keep_document(r, s ? s->doc.data : NULL, s ? s->doc.len : 0, s ? s->doc_version : 0);
+		config_table_close(&controller->config);
+		config_table_open(&controller->config);
+		arrsetlen(controller->reserve_limits, 0); /* its names were that table's */
+		controller->reserve_limits_revision = 0;
+		free_values(&controller->config_purge_feed);
+		arrsetlen(controller->done_operations, 0);
+		idempotency_log_load(&controller->accepted_requests, s);
+		retention_load(controller, s);
+		store_document(controller, s ? s->doc.data : NULL, s ? s->doc.len : 0, s ? s->doc_version : 0);
 		if (!s)
 			return;
 		for (size_t i = 0; i < s->n_done; i++) {
-			struct controller_done d = { s->done[i]->from, s->done[i]->token, s->done[i]->status };
+			struct controller_done_operation controller_done = { s->done[i]->from, s->done[i]->token, s->done[i]->status };
 
-			arrput(r->ctl_done, d);
+			arrput(controller->done_operations, controller_done);
 		}
 		all.whole = 1;
 		all.edition = s->edition;
 		all.set = s->row;
 		all.n_set = s->n_row;
-		(void)table_follow(&r->ctl, &all);
-		r->ctl.plan = s->plan;
-		r->ctl.now.at = s->clock;
-		r->ctl.floor = s->edition;
+		(void)config_table_follow(&controller->config, &all);
+		controller->config.operator_revision = s->plan;
+		controller->config.clock.at_ms = s->clock;
+		controller->config.floor_revision = s->edition;
 		for (size_t i = 0; i < s->n_feed; i++)
-			arrput(r->ctl_feed, value_copy(s->feed[i]));
-	} else if (part == SHARD_PURGE) {
+			arrput(controller->config_purge_feed, value_copy(s->feed[i]));
+	} else if (shard == SHARD_PURGE) {
 		struct Nl__PurgeState *s =
-		    (struct Nl__PurgeState *)core_unpack(p, &nl__purge_state__descriptor, q->snapshot_len, q->snap);
+		    (struct Nl__PurgeState *)core_unpack_message(pool, &nl__purge_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 
-		free_values(&r->pub.v);
-		view_clear(&r->pub.last);
-		memset(&r->pub, 0, sizeof r->pub);
+		free_values(&controller->purge_state.values);
+		purge_view_clear(&controller->purge_state.last_view);
+		memset(&controller->purge_state, 0, sizeof controller->purge_state);
 		if (!s)
 			return;
-		r->pub.ceiling = s->ceiling;
-		r->pub.released = s->released;
-		r->pub.cleared = s->cleared;
+		controller->purge_state.ceiling = s->ceiling;
+		controller->purge_state.released = s->released;
+		controller->purge_state.purged_tick = s->cleared;
 		for (size_t i = 0; i < s->n_v; i++)
-			arrput(r->pub.v, value_copy(s->v[i]));
+			arrput(controller->purge_state.values, value_copy(s->v[i]));
 		for (size_t i = 0; i < s->n_last; i++)
-			view_apply(&r->pub.last, s->last[i]);
+			purge_view_apply(&controller->purge_state.last_view, s->last[i]);
 		for (size_t i = 0; i < s->n_mark; i++)
 			if (s->mark[i]->feed < SHARD_COUNT)
-				r->pub.mark[s->mark[i]->feed] = s->mark[i]->index;
+				controller->purge_state.published_index[s->mark[i]->feed] = s->mark[i]->index;
 	} else {
-		struct controller_svc *c = service_shard(r, part);
+		struct controller_service_state *service = service_shard_state(controller, shard);
 		struct Nl__ServiceState *s =
-		    (struct Nl__ServiceState *)core_unpack(p, &nl__service_state__descriptor, q->snapshot_len, q->snap);
+		    (struct Nl__ServiceState *)core_unpack_message(pool, &nl__service_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 
-		clear_service_state(c);
+		reset_service_state(service);
 		if (!s)
 			return;
-		c->clock = s->clock;
-		c->cleared = s->cleared;
-		c->cleared_at = s->cleared_at;
-		c->settled = s->settled;
+		service->clock_ms = s->clock;
+		service->purged_tick = s->cleared;
+		service->purged_at_ms = s->cleared_at;
+		service->is_compacted = s->settled;
 		for (size_t i = 0; i < s->n_c; i++)
-			shput(c->h, apr_pstrcat(p, s->c[i]->tenant, "\x1f", s->c[i]->id, NULL),
-			      ((typeof(c->h->value)){ s->c[i]->by, s->c[i]->seq, s->c[i]->at, s->c[i]->given_back }));
+			shput(service->claims, apr_pstrcat(pool, s->c[i]->tenant, "\x1f", s->c[i]->id, NULL),
+			      ((typeof(service->claims->value)){ s->c[i]->by, s->c[i]->seq, s->c[i]->at, s->c[i]->given_back }));
 		for (size_t i = 0; i < s->n_feed; i++)
-			arrput(c->feed, value_copy(s->feed[i]));
+			arrput(service->purge_feed, value_copy(s->feed[i]));
 		for (size_t i = 0; i < s->n_rolled; i++)
-			shput(c->rolled, s->rolled[i]->service, strdup(s->rolled[i]->weights));
+			shput(service->rolled_out, s->rolled[i]->service, strdup(s->rolled[i]->weights));
 	}
 }
 
-void snapshot_take(struct controller *r, uint32_t i, struct out *o)
+void snapshot_create(struct controller *controller, uint32_t shard, struct out *out)
 {
-	size_t n;
-	uint8_t *d;
+	size_t size;
+	uint8_t *packed;
 
-	if (service_shard(r, i))
-		expire_claims(service_shard(r, i));
-	d = controller_state(r, i, o->p, &n);
-	raft_snapshot(&r->part[i], d, n);
+	if (service_shard_state(controller, shard))
+		expire_claims(service_shard_state(controller, shard));
+	packed = controller_state(controller, shard, out->pool, &size);
+	raft_snapshot(&controller->shards[shard], packed, size);
 }
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* Free a list of purge values. */
-void free_values(struct Nl__Value ***v);
+void free_values(struct Nl__Value ***value);
 
 /* Empty a service part's state. */
-void clear_service_state(struct controller_svc *s);
+void reset_service_state(struct controller_service_state *service);
 
 /* Replace a part's state by the snapshot that its log holds. */
-void snapshot_load(struct controller *r, uint32_t part, apr_pool_t *p);
+void snapshot_load(struct controller *controller, uint32_t shard, apr_pool_t *pool);
 
 /* Hand the part's log a snapshot of what is applied now. */
-void snapshot_take(struct controller *r, uint32_t i, struct out *o);
+void snapshot_create(struct controller *controller, uint32_t shard, struct out *out);
 
 #endif
