--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -7,298 +7,298 @@
 #include "ds.h"
 #include "controller_private.h"
 
-static void append_to_feed(struct Nl__Value ***feed, uint32_t part, uint64_t index, struct Nl__Purge *p)
+static void append_to_feed(struct Nl__Value ***feed, uint32_t shard, uint64_t index, struct Nl__Purge *purge)
 {
-	struct Nl__Value v = NL__VALUE__INIT;
+	struct Nl__Value value = NL__VALUE__INIT;
 
-	v.feed = part;
-	v.index = index;
-	v.purge = p;
-	arrput(*feed, value_copy(&v));
+	value.feed = shard;
+	value.index = index;
+	value.purge = purge;
+	arrput(*feed, value_copy(&value));
 }
 
-static void trim_feed(struct Nl__Value ***feed, uint64_t upto)
+static void trim_feed(struct Nl__Value ***feed, uint64_t up_to)
 {
 	size_t n = 0;
 
-	while (n < (size_t)arrlen(*feed) && (*feed)[n]->index <= upto)
+	while (n < (size_t)arrlen(*feed) && (*feed)[n]->index <= up_to)
 		value_free((*feed)[n++]);
 	if (n)
 		arrdeln(*feed, 0, n);
 }
 
-const struct controller_done *find_done_operation(const struct controller *r, uint64_t from, uint64_t token)
+const struct controller_done_operation *find_done_operation(const struct controller *controller, uint64_t from, uint64_t token)
 {
-	for (ptrdiff_t i = arrlen(r->ctl_done) - 1; i >= 0; i--)
-		if (r->ctl_done[i].from == from && r->ctl_done[i].token == token)
-			return &r->ctl_done[i];
+	for (ptrdiff_t i = arrlen(controller->done_operations) - 1; i >= 0; i--)
+		if (controller->done_operations[i].from == from && controller->done_operations[i].token == token)
+			return &controller->done_operations[i];
 	return NULL;
 }
 
-uint32_t order_outcome(const struct order_record *accepted, const struct order_id *id)
+uint32_t repeated_request_status(const struct idempotency_record *accepted, const struct request_key *request_key)
 {
-	return order_same(&accepted->id, id) ? TABLE_DONE : TABLE_KEY_REUSED;
+	return request_key_equal(&accepted->key, request_key) ? PROPOSAL_DONE : PROPOSAL_KEY_REUSED;
 }
 
-void keep_document(struct controller *r, const uint8_t *d, size_t n, uint64_t version)
+void store_document(struct controller *controller, const uint8_t *data, size_t size, uint64_t version)
 {
-	free(r->ctl_doc);
-	r->ctl_doc = malloc(n + 1);
-	if (!r->ctl_doc)
+	free(controller->document);
+	controller->document = malloc(size + 1);
+	if (!controller->document)
 		abort();
-	if (n)
-		memcpy(r->ctl_doc, d, n);
-	r->ctl_doc[n] = 0;
-	r->ctl_doc_len = n;
-	r->ctl_doc_version = version;
+	if (size)
+		memcpy(controller->document, data, size);
+	controller->document[size] = 0;
+	controller->document_bytes = size;
+	controller->document_version = version;
 }
 
 /* A document is taken in the log's order: one built on another version is late. */
-static int apply_document(struct controller *r, const struct Nl__Change *c, struct Nl__Purge ***feed)
+static int apply_document(struct controller *controller, const struct Nl__Change *change, struct Nl__Purge ***feed)
 {
-	int st;
+	int status;
 
-	if (c->doc_base != r->ctl_doc_version)
-		return TABLE_OVERTAKEN;
-	if (c->doc_version <= r->ctl_doc_version)
-		return TABLE_REFUSED;
-	st = table_apply(&r->ctl, c, feed);
-	if (st != TABLE_DONE)
-		return st;
-	keep_document(r, c->doc.data, c->doc.len, c->doc_version);
-	return TABLE_DONE;
+	if (change->doc_base != controller->document_version)
+		return PROPOSAL_SUPERSEDED;
+	if (change->doc_version <= controller->document_version)
+		return PROPOSAL_REJECTED;
+	status = config_table_apply(&controller->config, change, feed);
+	if (status != PROPOSAL_DONE)
+		return status;
+	store_document(controller, change->doc.data, change->doc.len, change->doc_version);
+	return PROPOSAL_DONE;
 }
 
 /* A change may be proposed again while its answer is lost, and an order sent again by its operator: it is applied once. */
-static uint32_t apply_change(struct controller *r, uint64_t index, const struct Nl__Op *op)
+static uint32_t apply_change(struct controller *controller, uint64_t index, const struct Nl__Op *operation)
 {
-	const struct controller_done *old = op->from ? find_done_operation(r, op->from, op->token) : NULL;
-	struct controller_done d = { op->from, op->token, 0 };
-	struct Nl__Purge **p = NULL;
-	struct order_id id = order_unpack(op->order);
-	const struct order_record *accepted = orders_find(&r->orders, &id);
-	int document = op->change->doc_version != 0, st;
+	const struct controller_done_operation *old = operation->from ? find_done_operation(controller, operation->from, operation->token) : NULL;
+	struct controller_done_operation controller_done = { operation->from, operation->token, 0 };
+	struct Nl__Purge **purge = NULL;
+	struct request_key request_key = request_key_unpack(operation->order);
+	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
+	int document = operation->change->doc_version != 0, status;
 
 	if (old)
 		return old->status;
 	if (accepted)
-		return order_outcome(accepted, &id);
-	st = document ? apply_document(r, op->change, &p) : table_apply(&r->ctl, op->change, &p);
-	if (st == TABLE_DONE)
-		orders_add(&r->orders, &id, document ? ORDER_DOCUMENTS : ORDER_CHANGES,
-			   document ? r->ctl_doc_version : r->ctl.edition);
-	d.status = (uint32_t)st;
-	if (d.from)
-		arrput(r->ctl_done, d);
-	if (arrlen(r->ctl_done) > CONTROLLER_DONE)
-		arrdel(r->ctl_done, 0);
+		return repeated_request_status(accepted, &request_key);
+	status = document ? apply_document(controller, operation->change, &purge) : config_table_apply(&controller->config, operation->change, &purge);
+	if (status == PROPOSAL_DONE)
+		idempotency_log_add(&controller->accepted_requests, &request_key, document ? SERIES_DOCUMENTS : SERIES_CHANGES,
+			   document ? controller->document_version : controller->config.revision);
+	controller_done.status = (uint32_t)status;
+	if (controller_done.from)
+		arrput(controller->done_operations, controller_done);
+	if (arrlen(controller->done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
+		arrdel(controller->done_operations, 0);
 
-	for (ptrdiff_t i = 0; i < arrlen(p); i++) {
-		append_to_feed(&r->ctl_feed, SHARD_CONTROL, index << 16 | (uint64_t)i, p[i]);
-		nl__purge__free_unpacked(p[i], NULL);
+	for (ptrdiff_t i = 0; i < arrlen(purge); i++) {
+		append_to_feed(&controller->config_purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i, purge[i]);
+		nl__purge__free_unpacked(purge[i], NULL);
 	}
-	arrfree(p);
-	if (st == TABLE_DONE)
-		retention_rows(r, index);
-	return (uint32_t)st;
+	arrfree(purge);
+	if (status == PROPOSAL_DONE)
+		retention_on_config_change(controller, index);
+	return (uint32_t)status;
 }
 
 /* An operator's call to clear may be proposed again while its answer is lost, too. */
-static uint32_t apply_clear(struct controller *r, uint64_t index, const struct Nl__Op *op)
+static uint32_t apply_purge_request(struct controller *controller, uint64_t index, const struct Nl__Op *operation)
 {
-	const struct controller_done *old = op->from ? find_done_operation(r, op->from, op->token) : NULL;
-	struct controller_done d = { op->from, op->token, 0 };
-	struct order_id id = order_unpack(op->order);
-	const struct order_record *accepted = orders_find(&r->orders, &id);
+	const struct controller_done_operation *old = operation->from ? find_done_operation(controller, operation->from, operation->token) : NULL;
+	struct controller_done_operation controller_done = { operation->from, operation->token, 0 };
+	struct request_key request_key = request_key_unpack(operation->order);
+	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
 
 	if (old)
 		return old->status;
 	if (accepted)
-		return order_outcome(accepted, &id);
-	d.status = retention_apply(r, index, op->clear);
-	if (d.status == TABLE_DONE)
-		orders_add(&r->orders, &id, ORDER_UNVERSIONED, r->ctl.edition);
-	if (d.from)
-		arrput(r->ctl_done, d);
-	if (arrlen(r->ctl_done) > CONTROLLER_DONE)
-		arrdel(r->ctl_done, 0);
-	return d.status;
+		return repeated_request_status(accepted, &request_key);
+	controller_done.status = retention_apply(controller, index, operation->clear);
+	if (controller_done.status == PROPOSAL_DONE)
+		idempotency_log_add(&controller->accepted_requests, &request_key, SERIES_UNVERSIONED, controller->config.revision);
+	if (controller_done.from)
+		arrput(controller->done_operations, controller_done);
+	if (arrlen(controller->done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
+		arrdel(controller->done_operations, 0);
+	return controller_done.status;
 }
 
 /* Once context is cleared, what a part logged before goes from its disks, and again when no claim is left from then. */
-static void apply_cleared(struct controller *r, uint32_t part, const struct Nl__Trim *t)
+static void apply_compaction(struct controller *controller, uint32_t shard, const struct Nl__Trim *trim)
 {
-	struct controller_svc *s = service_shard(r, part);
-	uint64_t *cleared = s ? &s->cleared : part == SHARD_CONTROL ? &r->ret.cleared : &r->pub.cleared;
+	struct controller_service_state *service = service_shard_state(controller, shard);
+	uint64_t *purged_tick = service ? &service->purged_tick : shard == SHARD_CONTROL ? &controller->retention.purged_tick : &controller->purge_state.purged_tick;
 
-	if (t->cleared <= *cleared && !t->settled)
+	if (trim->cleared <= *purged_tick && !trim->settled)
 		return;
-	if (s && t->cleared > *cleared) {
-		s->cleared_at = s->clock;
-		s->settled = 0;
-	} else if (s) {
-		s->settled = 1;
+	if (service && trim->cleared > *purged_tick) {
+		service->purged_at_ms = service->clock_ms;
+		service->is_compacted = 0;
+	} else if (service) {
+		service->is_compacted = 1;
 	}
-	*cleared = t->cleared > *cleared ? t->cleared : *cleared;
-	r->fresh[part] = 1;
+	*purged_tick = trim->cleared > *purged_tick ? trim->cleared : *purged_tick;
+	controller->snapshot_needed[shard] = 1;
 }
 
-static uint32_t apply_claim(struct controller_svc *s, const struct Nl__Claim *c, apr_pool_t *p)
+static uint32_t apply_claim(struct controller_service_state *service, const struct Nl__Claim *claim, apr_pool_t *pool)
 {
-	char *key = apr_pstrcat(p, c->tenant, "\x1f", c->id, NULL);
-	ptrdiff_t i = shgeti(s->h, key);
-	int mine;
+	char *key = apr_pstrcat(pool, claim->tenant, "\x1f", claim->id, NULL);
+	ptrdiff_t i = shgeti(service->claims, key);
+	int is_own;
 
-	if (i >= 0 && s->h[i].value.at + CONTROLLER_CLAIM_KEEP < s->clock) {
-		(void)shdel(s->h, key);
+	if (i >= 0 && service->claims[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS < service->clock_ms) {
+		(void)shdel(service->claims, key);
 		i = -1;
 	}
-	mine = i >= 0 && s->h[i].value.by == c->by && s->h[i].value.seq == c->seq;
-	if (c->release) { /* remembered, since the claim itself may still be on its way, here or once more */
-		if (i < 0 || mine)
-			shput(s->h, key, ((typeof(s->h->value)){ c->by, c->seq, s->clock, 1 }));
-		return TABLE_DONE;
+	is_own = i >= 0 && service->claims[i].value.claimed_by == claim->by && service->claims[i].value.sequence == claim->seq;
+	if (claim->release) { /* remembered, since the claim itself may still be on its way, here or once more */
+		if (i < 0 || is_own)
+			shput(service->claims, key, ((typeof(service->claims->value)){ claim->by, claim->seq, service->clock_ms, 1 }));
+		return PROPOSAL_DONE;
 	}
-	if (mine ? s->h[i].value.given_back : i >= 0 && !s->h[i].value.given_back)
-		return TABLE_REFUSED;
-	if (!mine)
-		shput(s->h, key, ((typeof(s->h->value)){ c->by, c->seq, s->clock, 0 }));
-	return TABLE_DONE;
+	if (is_own ? service->claims[i].value.returned : i >= 0 && !service->claims[i].value.returned)
+		return PROPOSAL_REJECTED;
+	if (!is_own)
+		shput(service->claims, key, ((typeof(service->claims->value)){ claim->by, claim->seq, service->clock_ms, 0 }));
+	return PROPOSAL_DONE;
 }
 
 /* Claims past their time count as absent when looked up; now and then they go. */
-void expire_claims(struct controller_svc *s)
+void expire_claims(struct controller_service_state *service)
 {
-	for (ptrdiff_t i = shlen(s->h) - 1; i >= 0; i--)
-		if (s->h[i].value.at + CONTROLLER_CLAIM_KEEP < s->clock)
-			(void)shdel(s->h, s->h[i].key);
+	for (ptrdiff_t i = shlen(service->claims) - 1; i >= 0; i--)
+		if (service->claims[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS < service->clock_ms)
+			(void)shdel(service->claims, service->claims[i].key);
 }
 
-static void apply_rollout(struct controller *r, uint32_t part, uint64_t index, const struct Nl__Rolled *c)
+static void apply_rollout(struct controller *controller, uint32_t shard, uint64_t index, const struct Nl__Rolled *rolled)
 {
-	struct controller_svc *s = service_shard(r, part);
-	ptrdiff_t i = shgeti(s->rolled, c->service);
-	char *now_on = strdup(c->weights);
+	struct controller_service_state *service = service_shard_state(controller, shard);
+	ptrdiff_t i = shgeti(service->rolled_out, rolled->service);
+	char *weights = strdup(rolled->weights);
 
-	if (i >= 0 && strcmp(s->rolled[i].value, c->weights)) {
-		struct Nl__Purge p = NL__PURGE__INIT;
+	if (i >= 0 && strcmp(service->rolled_out[i].value, rolled->weights)) {
+		struct Nl__Purge purge = NL__PURGE__INIT;
 
-		p.why = PURGE_WEIGHTS;
-		p.service = c->service;
-		p.weights = s->rolled[i].value;
-		append_to_feed(&s->feed, part, index << 16, &p);
+		purge.why = PURGE_WEIGHTS;
+		purge.service = rolled->service;
+		purge.weights = service->rolled_out[i].value;
+		append_to_feed(&service->purge_feed, shard, index << 16, &purge);
 	}
 	if (i >= 0)
-		free(s->rolled[i].value);
-	shput(s->rolled, c->service, now_on);
+		free(service->rolled_out[i].value);
+	shput(service->rolled_out, rolled->service, weights);
 }
 
-static void apply_value(struct controller *r, const struct Nl__Value *v, int64_t now, struct out *o)
+static void apply_value(struct controller *controller, const struct Nl__Value *value, int64_t now, struct out *out)
 {
-	struct controller_pub *b = &r->pub;
-	int fresh = v->feed < SHARD_COUNT && v->index > b->mark[v->feed] && v->purge;
+	struct controller_purge_state *controller_pub = &controller->purge_state;
+	int is_new = value->feed < SHARD_COUNT && value->index > controller_pub->published_index[value->feed] && value->purge;
 
-	if (fresh) {
-		b->mark[v->feed] = v->index;
-		arrput(b->v, value_copy(v));
-		view_apply(&b->last, v);
+	if (is_new) {
+		controller_pub->published_index[value->feed] = value->index;
+		arrput(controller_pub->values, value_copy(value));
+		purge_view_apply(&controller_pub->last_view, value);
 	}
-	if (r->relay.publisher && v->tick > r->tick) { /* logged, so it may go out: value and silence before it */
-		relay_publish(&r->relay, r->tick + 1, v->tick, fresh ? v : NULL, now, o);
-		r->tick = v->tick;
-		if (r->pending_tick <= r->tick && r->tick < b->ceiling) { /* and one tick of silence after it */
-			r->tick++;
-			relay_publish(&r->relay, r->tick, r->tick, NULL, now, o);
+	if (controller->relay.is_publisher && value->tick > controller->declared_tick) { /* logged, so it may go out: value and silence before it */
+		relay_publish(&controller->relay, controller->declared_tick + 1, value->tick, is_new ? value : NULL, now, out);
+		controller->declared_tick = value->tick;
+		if (controller->pending_tick <= controller->declared_tick && controller->declared_tick < controller_pub->ceiling) { /* and one tick of silence after it */
+			controller->declared_tick++;
+			relay_publish(&controller->relay, controller->declared_tick, controller->declared_tick, NULL, now, out);
 		}
 	}
 }
 
-static void apply_reservation(struct controller *r, const struct Nl__Reserve *c)
+static void apply_reservation(struct controller *controller, const struct Nl__Reserve *reserve)
 {
 	size_t n = 0;
 
-	if (c->ceiling > r->pub.ceiling)
-		r->pub.ceiling = c->ceiling;
-	while (n < (size_t)arrlen(r->pub.v) && r->pub.v[n]->tick <= c->released)
-		value_free(r->pub.v[n++]);
+	if (reserve->ceiling > controller->purge_state.ceiling)
+		controller->purge_state.ceiling = reserve->ceiling;
+	while (n < (size_t)arrlen(controller->purge_state.values) && controller->purge_state.values[n]->tick <= reserve->released)
+		value_free(controller->purge_state.values[n++]);
 	if (n)
-		arrdeln(r->pub.v, 0, n);
-	if (c->released > r->pub.released)
-		r->pub.released = c->released;
+		arrdeln(controller->purge_state.values, 0, n);
+	if (reserve->released > controller->purge_state.released)
+		controller->purge_state.released = reserve->released;
 }
 
 /* The first operation after a recovery: numbers that the lost members may have given out are not given out again. */
-static void enter_epoch(struct controller *r, uint32_t part, uint64_t epoch)
+static void enter_epoch(struct controller *controller, uint32_t shard, uint64_t epoch)
 {
-	if (epoch <= r->epoch[part])
+	if (epoch <= controller->epoch[shard])
 		return;
-	r->epoch[part] = epoch;
-	if (part == SHARD_CONTROL) { /* every node takes the table whole */
-		r->ctl.edition += CONTROLLER_RECOVERY_SKIP;
-		r->ctl.floor = r->ctl.plan = r->ctl.edition;
+	controller->epoch[shard] = epoch;
+	if (shard == SHARD_CONTROL) { /* every node takes the table whole */
+		controller->config.revision += CONTROLLER_RECOVERY_SKIP;
+		controller->config.floor_revision = controller->config.operator_revision = controller->config.revision;
 	}
-	if (part == SHARD_PURGE)
-		r->pub.ceiling += CONTROLLER_RECOVERY_SKIP;
+	if (shard == SHARD_PURGE)
+		controller->purge_state.ceiling += CONTROLLER_RECOVERY_SKIP;
 }
 
-struct applied state_machine_apply(struct controller *r, uint32_t part, uint64_t entry_index, const struct raft_entry *e,
-				   int64_t now, struct out *o)
+struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index, const struct raft_entry *entry,
+				   int64_t now, struct out *out)
 {
-	uint64_t index = raft_epoch(e->term) << CONTROLLER_EPOCH_SHIFT | entry_index; /* of feeds: above all of the epoch before */
-	struct Nl__Op *op = (struct Nl__Op *)core_unpack(o->p, &nl__op__descriptor, e->len, e->data);
-	struct order_id id = order_unpack(op ? op->order : NULL);
-	const struct order_record *accepted;
-	uint32_t st = TABLE_REFUSED;
+	uint64_t index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT | entry_index; /* of feeds: above all of the epoch before */
+	struct Nl__Op *operation = (struct Nl__Op *)core_unpack_message(out->pool, &nl__op__descriptor, entry->len, entry->data);
+	struct request_key request_key = request_key_unpack(operation ? operation->order : NULL);
+	const struct idempotency_record *accepted;
+	uint32_t status = PROPOSAL_REJECTED;
 
-	enter_epoch(r, part, raft_epoch(e->term));
-	if (op && service_shard(r, part))
-		service_shard(r, part)->clock += op->clock;
-	if (op && part == SHARD_CONTROL)
-		r->ctl.now = (struct group_moment){ op->at > r->ctl.now.at ? op->at : r->ctl.now.at, e->term };
-	if (op)
-		switch (op->op_case) {
+	enter_epoch(controller, shard, raft_epoch(entry->term));
+	if (operation && service_shard_state(controller, shard))
+		service_shard_state(controller, shard)->clock_ms += operation->clock;
+	if (operation && shard == SHARD_CONTROL)
+		controller->config.clock = (struct group_moment){ operation->at > controller->config.clock.at_ms ? operation->at : controller->config.clock.at_ms, entry->term };
+	if (operation)
+		switch (operation->op_case) {
 		case NL__OP__OP_CHANGE:
-			if (part == SHARD_CONTROL)
-				st = apply_change(r, index, op);
+			if (shard == SHARD_CONTROL)
+				status = apply_change(controller, index, operation);
 			break;
 		case NL__OP__OP_RESERVE:
-			if (part == SHARD_PURGE) {
-				apply_reservation(r, op->reserve);
-				st = TABLE_DONE;
+			if (shard == SHARD_PURGE) {
+				apply_reservation(controller, operation->reserve);
+				status = PROPOSAL_DONE;
 			}
 			break;
 		case NL__OP__OP_VALUE:
-			if (part == SHARD_PURGE) {
-				apply_value(r, op->value, now, o);
-				st = TABLE_DONE;
+			if (shard == SHARD_PURGE) {
+				apply_value(controller, operation->value, now, out);
+				status = PROPOSAL_DONE;
 			}
 			break;
 		case NL__OP__OP_CLAIM:
-			if (service_shard(r, part))
-				st = apply_claim(service_shard(r, part), op->claim, o->p);
+			if (service_shard_state(controller, shard))
+				status = apply_claim(service_shard_state(controller, shard), operation->claim, out->pool);
 			break;
 		case NL__OP__OP_ROLLED:
-			if (service_shard(r, part)) {
-				apply_rollout(r, part, index, op->rolled);
-				st = TABLE_DONE;
-			} else if (part == SHARD_CONTROL) {
-				rollout_order_logged(r, op->rolled->server, now);
-				st = TABLE_DONE;
+			if (service_shard_state(controller, shard)) {
+				apply_rollout(controller, shard, index, operation->rolled);
+				status = PROPOSAL_DONE;
+			} else if (shard == SHARD_CONTROL) {
+				rollout_intent_logged(controller, operation->rolled->server, now);
+				status = PROPOSAL_DONE;
 			}
 			break;
 		case NL__OP__OP_TRIM:
-			if (part != SHARD_PURGE)
-				trim_feed(part == SHARD_CONTROL ? &r->ctl_feed : &service_shard(r, part)->feed, op->trim->feed);
-			if (op->trim->cleared)
-				apply_cleared(r, part, op->trim);
-			st = TABLE_DONE;
+			if (shard != SHARD_PURGE)
+				trim_feed(shard == SHARD_CONTROL ? &controller->config_purge_feed : &service_shard_state(controller, shard)->purge_feed, operation->trim->feed);
+			if (operation->trim->cleared)
+				apply_compaction(controller, shard, operation->trim);
+			status = PROPOSAL_DONE;
 			break;
 		case NL__OP__OP_CLEAR:
-			if (part == SHARD_CONTROL)
-				st = apply_clear(r, index, op);
+			if (shard == SHARD_CONTROL)
+				status = apply_purge_request(controller, index, operation);
 			break;
 		default: break;
 		}
-	accepted = orders_find(&r->orders, &id);
-	return (struct applied){ st, accepted ? accepted->version : r->ctl.edition };
+	accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
+	return (struct apply_result){ status, accepted ? accepted->version : controller->config.revision };
 }
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -8,25 +8,25 @@
 
 /* What came of an entry: TABLE_DONE, TABLE_REFUSED, TABLE_OVERTAKEN or TABLE_KEY_REUSED, and the version to acknowledge: of an
  * order, the one that it made when it was accepted, however long ago; else the table's. */
-struct applied {
+struct apply_result {
 	uint32_t status;
 	uint64_t version;
 };
 
 /* The outcome of a change that was applied before, by who proposed it and its token; NULL: none is remembered. */
-const struct controller_done *find_done_operation(const struct controller *r, uint64_t from, uint64_t token);
+const struct controller_done_operation *find_done_operation(const struct controller *controller, uint64_t from, uint64_t token);
 
 /* What an order is answered whose key or content was accepted before: TABLE_DONE again, or TABLE_KEY_REUSED. */
-uint32_t order_outcome(const struct order_record *accepted, const struct order_id *id);
+uint32_t repeated_request_status(const struct idempotency_record *accepted, const struct request_key *request_key);
 
 /* Keep a copy of the newest document, byte for byte. */
-void keep_document(struct controller *r, const uint8_t *d, size_t n, uint64_t version);
+void store_document(struct controller *controller, const uint8_t *data, size_t size, uint64_t version);
 
 /* Drop claims past their time. They count as absent before, so that no member need do it at the same entry. */
-void expire_claims(struct controller_svc *s);
+void expire_claims(struct controller_service_state *service);
 
 /* Apply one committed entry. */
-struct applied state_machine_apply(struct controller *r, uint32_t part, uint64_t index, const struct raft_entry *e, int64_t now,
-				   struct out *o);
+struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t index, const struct raft_entry *entry, int64_t now,
+				   struct out *out);
 
 #endif
--- a/lib/control/table.c
+++ b/lib/control/table.c
@@ -7,815 +7,815 @@
 #include "ds.h"
 #include "retention.h"
 
-static const char *const kinds[] = { "none",    "lane",      "tenant", "share", "key",      "server",
+static const char *const kind_names[] = { "none",    "lane",      "tenant", "share", "key",      "server",
 				     "service", "registrar", "model",  "door",  "retention" };
-enum { KINDS = sizeof kinds / sizeof *kinds };
+enum { KIND_COUNT = sizeof kind_names / sizeof *kind_names };
 
-const char *table_kind_name(Nl__Kind k) { return (unsigned)k < KINDS ? kinds[k] : "none"; }
+const char *config_kind_name(Nl__Kind kind) { return (unsigned)kind < KIND_COUNT ? kind_names[kind] : "none"; }
 
-Nl__Kind table_kind(const char *s)
+Nl__Kind config_kind_parse(const char *name)
 {
-	for (unsigned i = 1; s && i < KINDS; i++)
-		if (!strcmp(kinds[i], s))
+	for (unsigned i = 1; name && i < KIND_COUNT; i++)
+		if (!strcmp(kind_names[i], name))
 			return (Nl__Kind)i;
 	return NL__KIND__NONE;
 }
 
-static const char *key_of(char *buf, size_t n, Nl__Kind k, const char *name)
+static const char *row_key(char *buf, size_t n, Nl__Kind kind, const char *name)
 {
-	apr_snprintf(buf, n, "%d/%s", (int)k, name);
+	apr_snprintf(buf, n, "%d/%s", (int)kind, name);
 	return buf;
 }
 
 static struct Nl__Row *row_copy(const struct Nl__Row *r)
 {
-	size_t n = nl__row__get_packed_size(r);
-	uint8_t *d = malloc(n + 1);
-	struct Nl__Row *c;
+	size_t size = nl__row__get_packed_size(r);
+	uint8_t *packed = malloc(size + 1);
+	struct Nl__Row *row;
 
-	if (!d)
+	if (!packed)
 		abort();
-	nl__row__pack(r, d);
-	c = nl__row__unpack(NULL, n, d);
-	free(d);
-	if (!c)
+	nl__row__pack(r, packed);
+	row = nl__row__unpack(NULL, size, packed);
+	free(packed);
+	if (!row)
 		abort();
-	return c;
+	return row;
 }
 
-void table_open(struct table *t)
+void config_table_open(struct config_table *table)
 {
-	memset(t, 0, sizeof *t);
-	sh_new_strdup(t->h);
+	memset(table, 0, sizeof *table);
+	sh_new_strdup(table->rows);
 }
 
-void table_close(struct table *t)
+void config_table_close(struct config_table *table)
 {
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++)
-		nl__row__free_unpacked(t->h[i].value.row, NULL);
-	shfree(t->h);
-	for (ptrdiff_t i = 0; i < arrlen(t->tomb); i++)
-		free(t->tomb[i].key);
-	arrfree(t->tomb);
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		nl__row__free_unpacked(table->rows[i].value.row, NULL);
+	shfree(table->rows);
+	for (ptrdiff_t i = 0; i < arrlen(table->tombstones); i++)
+		free(table->tombstones[i].key);
+	arrfree(table->tombstones);
 }
 
-static ptrdiff_t find(const struct table *t, Nl__Kind k, const char *name)
+static ptrdiff_t find_row(const struct config_table *table, Nl__Kind k, const char *name)
 {
-	struct table_row *h = t->h;
+	struct config_table_row *h = table->rows;
 	char buf[300];
 
-	return shgeti(h, key_of(buf, sizeof buf, k, name));
+	return shgeti(h, row_key(buf, sizeof buf, k, name));
 }
 
-const struct Nl__Row *table_get(const struct table *t, Nl__Kind k, const char *name)
+const struct Nl__Row *config_table_get(const struct config_table *table, Nl__Kind kind, const char *name)
 {
-	ptrdiff_t i = find(t, k, name);
+	ptrdiff_t i = find_row(table, kind, name);
 
-	return i < 0 ? NULL : t->h[i].value.row;
+	return i < 0 ? NULL : table->rows[i].value.row;
 }
 
 /* ---- check ---------------------------------------------------------------- */
 
-static int name_ok(const char *s)
+static int is_name(const char *text)
 {
-	size_t n = strlen(s);
+	size_t length = strlen(text);
 
-	return n > 0 && n < 200 && strspn(s, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._/-*") == n;
+	return length > 0 && length < 200 && strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._/-*") == length;
 }
 
 /* Printable and without blanks, so that it fits a cell of the sheet. */
-static int word_ok(const char *s, size_t most)
+static int is_cell_text(const char *text, size_t max_length)
 {
-	size_t n = 0;
+	size_t length = 0;
 
-	for (; s[n]; n++)
-		if ((unsigned char)s[n] <= ' ' || (unsigned char)s[n] == 127)
+	for (; text[length]; length++)
+		if ((unsigned char)text[length] <= ' ' || (unsigned char)text[length] == 127)
 			return 0;
-	return n > 0 && n <= most;
+	return length > 0 && length <= max_length;
 }
 
-static int path_ok(const char *s) { return word_ok(s, 1000) && s[0] == '/' && s[strlen(s) - 1] == '/'; }
+static int is_path_prefix(const char *text) { return is_cell_text(text, 1000) && text[0] == '/' && text[strlen(text) - 1] == '/'; }
 
 /* Named weights of a model are counted upwards. */
-static int count_ok(const char *s)
+static int is_weights_number(const char *text)
 {
-	return strlen(s) > 0 && strlen(s) < 19 && s[0] != '0' && strspn(s, "0123456789") == strlen(s);
+	return strlen(text) > 0 && strlen(text) < 19 && text[0] != '0' && strspn(text, "0123456789") == strlen(text);
 }
 
-static const char *check_split(const struct Nl__Row *r)
+static const char *check_split(const struct Nl__Row *row)
 {
-	uint64_t all = 0;
+	uint64_t total_weight = 0;
 
-	if (!r->n_split)
+	if (!row->n_split)
 		return NULL;
-	if (r->n_split > TABLE_SPLITS)
+	if (row->n_split > CONFIG_TABLE_MAX_SPLITS)
 		return "split: more than 64 services";
-	for (size_t i = 0; i < r->n_split; i++) {
-		if (!name_ok(r->split[i]->service))
+	for (size_t i = 0; i < row->n_split; i++) {
+		if (!is_name(row->split[i]->service))
 			return "split: a service is missing";
-		all += r->split[i]->weight;
+		total_weight += row->split[i]->weight;
 	}
-	return all ? NULL : "split: the weights add up to 0";
+	return total_weight ? NULL : "split: the weights add up to 0";
 }
 
-static const char *check_lane(const struct Nl__Row *r)
+static const char *check_route(const struct Nl__Row *row)
 {
-	const char *bad = check_split(r);
+	const char *fault = check_split(row);
 
-	return bad                                 ? bad
-	       : !name_ok(r->service)              ? "service: missing"
-	       : r->prio > 9                       ? "prio: 0 to 9"
-	       : r->limit < 1 || r->limit > 100000 ? "limit: 1 to 100000 places in the line"
-	       : (r->host[0] || r->path[0]) && !word_ok(r->host, 255)
+	return fault                                 ? fault
+	       : !is_name(row->service)              ? "service: missing"
+	       : row->prio > 9                       ? "prio: 0 to 9"
+	       : row->limit < 1 || row->limit > 100000 ? "limit: 1 to 100000 places in the line"
+	       : (row->host[0] || row->path[0]) && !is_cell_text(row->host, 255)
 		   ? "host: 1 to 255 characters without blanks, where there is a path"
-	       : r->host[0] && !path_ok(r->path) ? "path: begins and ends with a slash"
-	       : r->timeout > 3600000            ? "timeout: up to 3600000 ms"
-	       : r->attempts > 100               ? "attempts: up to 100"
+	       : row->host[0] && !is_path_prefix(row->path) ? "path: begins and ends with a slash"
+	       : row->timeout > 3600000            ? "timeout: up to 3600000 ms"
+	       : row->attempts > 100               ? "attempts: up to 100"
 						 : NULL;
 }
 
-static const char *check_row(const struct Nl__Row *r, apr_pool_t *p)
+static const char *check_row(const struct Nl__Row *r, apr_pool_t *pool)
 {
-	const char *bad = NULL;
+	const char *fault = NULL;
 
-	if (r->kind <= NL__KIND__NONE || (unsigned)r->kind >= KINDS)
+	if (r->kind <= NL__KIND__NONE || (unsigned)r->kind >= KIND_COUNT)
 		return "kind: none of lane, tenant, share, key, server, service, registrar, model, door, retention";
-	if (!name_ok(r->name))
-		return apr_psprintf(p, "%s: name: 1 to 199 letters, digits, . _ / - or *", table_kind_name(r->kind));
+	if (!is_name(r->name))
+		return apr_psprintf(pool, "%s: name: 1 to 199 letters, digits, . _ / - or *", config_kind_name(r->kind));
 	switch (r->kind) {
-	case NL__KIND__LANE: bad = check_lane(r); break;
+	case NL__KIND__LANE: fault = check_route(r); break;
 	case NL__KIND__TENANT:
 	case NL__KIND__SHARE:
-		bad = r->share < 1 || r->share > 1000                       ? "share: 1 to 1000"
+		fault = r->share < 1 || r->share > 1000                       ? "share: 1 to 1000"
 		      : r->limit > 100000                                   ? "limit: up to 100000 running at once; 0 for no limit"
 		      : r->rank > 10                                        ? "rank: 1 to 10; 0 for none"
 		      : r->kind == NL__KIND__SHARE && !strchr(r->name, '/') ? "name: lane/tenant"
 									    : NULL;
 		break;
 	case NL__KIND__KEY:
-		bad = !name_ok(r->tenant) ? "tenant: missing" : strlen(r->name) != 64 ? "name: a digest of 64 hex digits" : NULL;
+		fault = !is_name(r->tenant) ? "tenant: missing" : strlen(r->name) != 64 ? "name: a digest of 64 hex digits" : NULL;
 		break;
 	case NL__KIND__SERVER:
-		bad = !core_addr(r->addr)    ? "addr: not ip:port"
-		      : !name_ok(r->service) ? "service: missing"
+		fault = !core_parse_addr(r->addr)    ? "addr: not ip:port"
+		      : !is_name(r->service) ? "service: missing"
 		      : r->state > 1         ? "state: serving or draining"
 					     : NULL;
 		break;
 	case NL__KIND__SERVICE:
-		bad = r->model[0] && !name_ok(r->model)                                    ? "model: letters, digits, . _ / - or *"
-		      : (r->weights[0] || !r->model[0]) && !name_ok(r->weights)            ? "weights: missing, and no model"
+		fault = r->model[0] && !is_name(r->model)                                    ? "model: letters, digits, . _ / - or *"
+		      : (r->weights[0] || !r->model[0]) && !is_name(r->weights)            ? "weights: missing, and no model"
 		      : r->prefill < 1 || r->prefill > 100000                              ? "prefill: 1 to 100000 tokens per ms"
 		      : r->kv_bytes < 1                                                    ? "kv_bytes: 1 or more"
 		      : r->link < 1                                                        ? "link: 1 or more bytes per ms"
-		      : r->health[0] && (!word_ok(r->health, 1000) || r->health[0] != '/') ? "health: a path"
-		      : r->addr[0] && !core_addr(r->addr)                                  ? "addr: not ip:port"
+		      : r->health[0] && (!is_cell_text(r->health, 1000) || r->health[0] != '/') ? "health: a path"
+		      : r->addr[0] && !core_parse_addr(r->addr)                                  ? "addr: not ip:port"
 											   : NULL;
 		break;
 	case NL__KIND__MODEL:
-		bad = r->weights[0] && !count_ok(r->weights) ? "weights: a number from 1"
-		      : r->rolled[0] && !count_ok(r->rolled) ? "rolled: a number from 1"
+		fault = r->weights[0] && !is_weights_number(r->weights) ? "weights: a number from 1"
+		      : r->rolled[0] && !is_weights_number(r->rolled) ? "rolled: a number from 1"
 		      : !r->weights[0] && !r->rolled[0]      ? "weights: missing"
 							     : NULL;
 		break;
 	case NL__KIND__DOOR: break;
-	case NL__KIND__RETENTION: bad = retention_row(r); break;
-	default: bad = !core_addr(r->addr) || !r->id ? "addr: not ip:port" : NULL; break;
+	case NL__KIND__RETENTION: fault = retention_check_row(r); break;
+	default: fault = !core_parse_addr(r->addr) || !r->id ? "addr: not ip:port" : NULL; break;
 	}
-	return bad ? apr_psprintf(p, "%s %s: %s", table_kind_name(r->kind), r->name, bad) : NULL;
+	return fault ? apr_psprintf(pool, "%s %s: %s", config_kind_name(r->kind), r->name, fault) : NULL;
 }
 
-struct names {
+struct row_index {
 	char *key;
 	const struct Nl__Row *value;
 };
 
-static int operators_kind(Nl__Kind k)
+static int is_operator_kind(Nl__Kind kind)
 {
-	return k == NL__KIND__LANE || k == NL__KIND__TENANT || k == NL__KIND__SHARE || k == NL__KIND__SERVICE ||
-	       k == NL__KIND__DOOR || k == NL__KIND__RETENTION;
+	return kind == NL__KIND__LANE || kind == NL__KIND__TENANT || kind == NL__KIND__SHARE || kind == NL__KIND__SERVICE ||
+	       kind == NL__KIND__DOOR || kind == NL__KIND__RETENTION;
 }
 
-static int replaced(const struct Nl__Change *c, Nl__Kind k)
+static int is_replaced(const struct Nl__Change *change, Nl__Kind kind)
 {
-	return (operators_kind(k) && k != NL__KIND__RETENTION) || (c->keys && k == NL__KIND__KEY);
+	return (is_operator_kind(kind) && kind != NL__KIND__RETENTION) || (change->keys && kind == NL__KIND__KEY);
 }
 
 /* The names of all rows that a change sets, in one hash. */
-static struct names *names_set(const struct Nl__Change *c)
+static struct row_index *index_set_rows(const struct Nl__Change *change)
 {
-	struct names *h = NULL;
+	struct row_index *names = NULL;
 	char buf[300];
 
-	sh_new_arena(h);
-	for (size_t i = 0; i < c->n_set; i++)
-		shput(h, key_of(buf, sizeof buf, c->set[i]->kind, c->set[i]->name), c->set[i]);
-	return h;
+	sh_new_arena(names);
+	for (size_t i = 0; i < change->n_set; i++)
+		shput(names, row_key(buf, sizeof buf, change->set[i]->kind, change->set[i]->name), change->set[i]);
+	return names;
 }
 
-static struct names *names_del(const struct Nl__Change *c)
+static struct row_index *index_deleted_rows(const struct Nl__Change *change)
 {
-	struct names *h = NULL;
+	struct row_index *names = NULL;
 	char buf[300];
 
-	sh_new_arena(h);
-	for (size_t i = 0; i < c->n_del; i++)
-		shput(h, key_of(buf, sizeof buf, c->del[i]->kind, c->del[i]->name), c->del[i]);
-	return h;
+	sh_new_arena(names);
+	for (size_t i = 0; i < change->n_del; i++)
+		shput(names, row_key(buf, sizeof buf, change->del[i]->kind, change->del[i]->name), change->del[i]);
+	return names;
 }
 
 /* Host and path lead to one lane, and splits to services that there are, after the change. */
-static const char *check_whole(const struct table *t, const struct Nl__Change *c, apr_pool_t *p)
+static const char *check_consistency(const struct config_table *table, const struct Nl__Change *change, apr_pool_t *pool)
 {
-	struct names *set = names_set(c), *del = names_del(c), *seen = NULL;
-	struct table_row *h = t->h;
+	struct row_index *set = index_set_rows(change), *deleted = index_deleted_rows(change), *by_host_and_path = NULL;
+	struct config_table_row *row = table->rows;
 	const char *why = NULL;
 	char buf[300];
-	int matters = c->whole;
-
-	sh_new_arena(seen);
-	for (size_t i = 0; i < c->n_set; i++)
-		matters |= c->set[i]->kind == NL__KIND__LANE && (c->set[i]->path[0] || c->set[i]->n_split);
-	for (ptrdiff_t i = 0; i < shlen(h) + (ptrdiff_t)c->n_set && matters && !why; i++) {
-		int mine = i >= shlen(h);
-		const struct Nl__Row *r = mine ? c->set[i - shlen(h)] : h[i].value.row;
-		ptrdiff_t k;
-		char *at;
-
-		if (r->kind != NL__KIND__LANE || (!mine && (c->whole || shgeti(set, h[i].key) >= 0 || shgeti(del, h[i].key) >= 0)))
+	int needed = change->whole;
+
+	sh_new_arena(by_host_and_path);
+	for (size_t i = 0; i < change->n_set; i++)
+		needed |= change->set[i]->kind == NL__KIND__LANE && (change->set[i]->path[0] || change->set[i]->n_split);
+	for (ptrdiff_t i = 0; i < shlen(row) + (ptrdiff_t)change->n_set && needed && !why; i++) {
+		int is_new = i >= shlen(row);
+		const struct Nl__Row *r = is_new ? change->set[i - shlen(row)] : row[i].value.row;
+		ptrdiff_t duplicate;
+		char *host_and_path;
+
+		if (r->kind != NL__KIND__LANE || (!is_new && (change->whole || shgeti(set, row[i].key) >= 0 || shgeti(deleted, row[i].key) >= 0)))
 			continue;
-		if (mine && shget(set, key_of(buf, sizeof buf, r->kind, r->name)) != r)
+		if (is_new && shget(set, row_key(buf, sizeof buf, r->kind, r->name)) != r)
 			continue; /* set twice: the last one counts */
-		for (size_t s = 0; s < r->n_split && !why && mine; s++) {
-			const char *key = key_of(buf, sizeof buf, NL__KIND__SERVICE, r->split[s]->service);
+		for (size_t share = 0; share < r->n_split && !why && is_new; share++) {
+			const char *key = row_key(buf, sizeof buf, NL__KIND__SERVICE, r->split[share]->service);
 
-			if (shgeti(set, key) < 0 && (c->whole || shgeti(del, key) >= 0 || shgeti(h, key) < 0))
-				why = apr_psprintf(p, "lane %s: split: no service %s", r->name, r->split[s]->service);
+			if (shgeti(set, key) < 0 && (change->whole || shgeti(deleted, key) >= 0 || shgeti(row, key) < 0))
+				why = apr_psprintf(pool, "lane %s: split: no service %s", r->name, r->split[share]->service);
 		}
 		if (!r->path[0] || why)
 			continue;
-		at = apr_pstrcat(p, r->host, "\t", r->path, NULL);
-		k = shgeti(seen, at);
-		if (k >= 0)
-			why = apr_psprintf(p, "lane %s: host and path: those of lane %s", r->name, seen[k].value->name);
+		host_and_path = apr_pstrcat(pool, r->host, "\t", r->path, NULL);
+		duplicate = shgeti(by_host_and_path, host_and_path);
+		if (duplicate >= 0)
+			why = apr_psprintf(pool, "lane %s: host and path: those of lane %s", r->name, by_host_and_path[duplicate].value->name);
 		else
-			shput(seen, at, r);
+			shput(by_host_and_path, host_and_path, r);
 	}
-	shfree(seen);
+	shfree(by_host_and_path);
 	shfree(set);
-	shfree(del);
+	shfree(deleted);
 	return why;
 }
 
 /* With its row the dates would go by which servers with older weights get nothing more. */
-static const char *check_model_removed(const struct table *t, const struct Nl__Row *removed, apr_pool_t *p)
+static const char *check_model_removed(const struct config_table *table, const struct Nl__Row *removed, apr_pool_t *pool)
 {
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++) {
-		const struct Nl__Row *row = t->h[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
 
 		if (row->kind == NL__KIND__SERVICE && !strcmp(row->model, removed->name))
-			return apr_psprintf(p, "del model %s: service %s has it", removed->name, row->name);
+			return apr_psprintf(pool, "del model %s: service %s has it", removed->name, row->name);
 	}
 	return NULL;
 }
 
-const char *table_check(const struct table *t, const struct Nl__Change *c, apr_pool_t *p)
+const char *config_table_check(const struct config_table *table, const struct Nl__Change *change, apr_pool_t *pool)
 {
 	const char *why;
 
-	if (protobuf_c_message_get_packed_size(&c->base) > TABLE_MAX)
-		return apr_psprintf(p, "change: larger than %d bytes", TABLE_MAX);
-	for (size_t i = 0; i < c->n_set; i++)
-		if ((why = check_row(c->set[i], p)))
+	if (protobuf_c_message_get_packed_size(&change->base) > CONFIG_TABLE_MAX_CHANGE_BYTES)
+		return apr_psprintf(pool, "change: larger than %d bytes", CONFIG_TABLE_MAX_CHANGE_BYTES);
+	for (size_t i = 0; i < change->n_set; i++)
+		if ((why = check_row(change->set[i], pool)))
 			return why;
-	for (size_t i = 0; i < c->n_set; i++) { /* an id is claimed in its service's part: such a lane stays with its service */
+	for (size_t i = 0; i < change->n_set; i++) { /* an id is claimed in its service's part: such a lane stays with its service */
 		const struct Nl__Row *old =
-		    c->set[i]->kind == NL__KIND__LANE ? table_get(t, NL__KIND__LANE, c->set[i]->name) : NULL;
+		    change->set[i]->kind == NL__KIND__LANE ? config_table_get(table, NL__KIND__LANE, change->set[i]->name) : NULL;
 
-		if (old && strcmp(old->service, c->set[i]->service) && !(old->vouched && c->set[i]->vouched))
-			return apr_psprintf(p, "lane %s: service: cannot change; make a new lane", old->name);
+		if (old && strcmp(old->service, change->set[i]->service) && !(old->vouched && change->set[i]->vouched))
+			return apr_psprintf(pool, "lane %s: service: cannot change; make a new lane", old->name);
 	}
-	for (size_t i = 0; i < c->n_del; i++)
-		if (!c->whole && find(t, c->del[i]->kind, c->del[i]->name) < 0)
-			return apr_psprintf(p, "del %s %s: no such row", table_kind_name(c->del[i]->kind), c->del[i]->name);
-	for (size_t i = 0; i < c->n_del; i++)
-		if (c->del[i]->kind == NL__KIND__MODEL && (why = check_model_removed(t, c->del[i], p)))
+	for (size_t i = 0; i < change->n_del; i++)
+		if (!change->whole && find_row(table, change->del[i]->kind, change->del[i]->name) < 0)
+			return apr_psprintf(pool, "del %s %s: no such row", config_kind_name(change->del[i]->kind), change->del[i]->name);
+	for (size_t i = 0; i < change->n_del; i++)
+		if (change->del[i]->kind == NL__KIND__MODEL && (why = check_model_removed(table, change->del[i], pool)))
 			return why;
-	why = retention_scopes(t, c, p);
-	return why ? why : check_whole(t, c, p);
+	why = retention_check_scopes(table, change, pool);
+	return why ? why : check_consistency(table, change, pool);
 }
 
 /* ---- change --------------------------------------------------------------- */
 
-static void feed_add(struct Nl__Purge ***feed, uint32_t why, const char *service, const char *weights, const char *tenant,
+static void append_purge(struct Nl__Purge ***feed, uint32_t reason, const char *service, const char *weights, const char *tenant,
 		     const char *server)
 {
-	struct Nl__Purge p = NL__PURGE__INIT, *c;
-	size_t n;
-	uint8_t *d;
+	struct Nl__Purge p = NL__PURGE__INIT, *purge;
+	size_t size;
+	uint8_t *packed;
 
-	p.why = why;
+	p.why = reason;
 	p.service = (char *)service;
 	p.weights = (char *)weights;
 	p.tenant = (char *)tenant;
 	p.server = (char *)server;
-	n = nl__purge__get_packed_size(&p);
-	d = malloc(n + 1);
-	if (!d)
+	size = nl__purge__get_packed_size(&p);
+	packed = malloc(size + 1);
+	if (!packed)
 		abort();
-	nl__purge__pack(&p, d);
-	c = nl__purge__unpack(NULL, n, d);
-	free(d);
-	arrput(*feed, c);
+	nl__purge__pack(&p, packed);
+	purge = nl__purge__unpack(NULL, size, packed);
+	free(packed);
+	arrput(*feed, purge);
 }
 
 /* A model's weights have reached every server: what stood before them, and what was named in between, is withdrawn. */
-static void withdraw_model(const struct table *t, const struct Nl__Row *was, const struct Nl__Row *is, struct Nl__Purge ***feed)
+static void purge_model(const struct config_table *table, const struct Nl__Row *was, const struct Nl__Row *row, struct Nl__Purge ***feed)
 {
-	uint64_t a = strtoull(was->rolled, NULL, 10), b = is ? strtoull(is->rolled, NULL, 10) : a + 1;
+	uint64_t replaced_weights = strtoull(was->rolled, NULL, 10), current_weights = row ? strtoull(row->rolled, NULL, 10) : replaced_weights + 1;
 
-	if (!a || a >= b)
+	if (!replaced_weights || replaced_weights >= current_weights)
 		return;
-	if (b - a > TABLE_SKIPPED)
-		b = a + TABLE_SKIPPED;
-	for (; a < b; a++)
-		for (ptrdiff_t i = 0; i < shlen(t->h); i++) {
-			const struct Nl__Row *r = t->h[i].value.row;
+	if (current_weights - replaced_weights > CONFIG_TABLE_MAX_SKIPPED_WEIGHTS)
+		current_weights = replaced_weights + CONFIG_TABLE_MAX_SKIPPED_WEIGHTS;
+	for (; replaced_weights < current_weights; replaced_weights++)
+		for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+			const struct Nl__Row *r = table->rows[i].value.row;
 			char buf[24];
 
 			if (r->kind != NL__KIND__SERVICE || strcmp(r->model, was->name))
 				continue;
-			apr_snprintf(buf, sizeof buf, "%" APR_UINT64_T_FMT, (apr_uint64_t)a);
-			feed_add(feed, 1, r->name, buf, "", "");
+			apr_snprintf(buf, sizeof buf, "%" APR_UINT64_T_FMT, (apr_uint64_t)replaced_weights);
+			append_purge(feed, 1, r->name, buf, "", "");
 		}
 }
 
 /* What a row's change withdraws. */
-static void decide(const struct table *t, const struct Nl__Row *was, const struct Nl__Row *is, struct Nl__Purge ***feed)
+static void decide_purges(const struct config_table *table, const struct Nl__Row *was, const struct Nl__Row *row, struct Nl__Purge ***feed)
 {
 	if (!feed || !was)
 		return;
-	if (was->kind == NL__KIND__SERVICE && was->weights[0] && (!is || strcmp(was->weights, is->weights)))
-		feed_add(feed, 1, was->name, was->weights, "", "");
-	if (was->kind == NL__KIND__TENANT && (!is || was->walled != is->walled))
-		feed_add(feed, 2, "", "", was->name, "");
-	if (was->kind == NL__KIND__SERVER && was->state == 0 && (!is || is->state || strcmp(was->addr, is->addr)))
-		feed_add(feed, 3, "", "", "", was->name);
-	if (was->kind == NL__KIND__MODEL && is)
-		withdraw_model(t, was, is, feed);
+	if (was->kind == NL__KIND__SERVICE && was->weights[0] && (!row || strcmp(was->weights, row->weights)))
+		append_purge(feed, 1, was->name, was->weights, "", "");
+	if (was->kind == NL__KIND__TENANT && (!row || was->walled != row->walled))
+		append_purge(feed, 2, "", "", was->name, "");
+	if (was->kind == NL__KIND__SERVER && was->state == 0 && (!row || row->state || strcmp(was->addr, row->addr)))
+		append_purge(feed, 3, "", "", "", was->name);
+	if (was->kind == NL__KIND__MODEL && row)
+		purge_model(table, was, row, feed);
 }
 
-static const char *higher(const char *a, const char *b) { return strtoull(a, NULL, 10) >= strtoull(b, NULL, 10) ? a : b; }
+static const char *higher_number(const char *first, const char *second) { return strtoull(first, NULL, 10) >= strtoull(second, NULL, 10) ? first : second; }
 
 /* Weights of a model only rise; what a change leaves empty stays. Before any are named, the first stand everywhere. */
-static struct Nl__Row *model_row(const struct table *t, const struct Nl__Row *was, const struct Nl__Row *r, uint64_t bound_passed)
+static struct Nl__Row *make_model_row(const struct config_table *table, const struct Nl__Row *was, const struct Nl__Row *r, uint64_t bound_passed)
 {
 	struct Nl__Row m = *r;
-	struct naming_list namings;
+	struct version_history versions;
 
-	m.weights = (char *)higher(r->weights, was ? was->weights : "1");
-	m.rolled = (char *)higher(r->rolled, was ? was->rolled : "1");
-	naming_update(&namings, was, &m, t->now, bound_passed);
+	m.weights = (char *)higher_number(r->weights, was ? was->weights : "1");
+	m.rolled = (char *)higher_number(r->rolled, was ? was->rolled : "1");
+	version_history_update(&versions, was, &m, table->clock, bound_passed);
 	return row_copy(&m);
 }
 
-static int row_same(const struct Nl__Row *a, const struct Nl__Row *b)
+static int rows_equal(const struct Nl__Row *a, const struct Nl__Row *b)
 {
-	size_t n = nl__row__get_packed_size(a);
-	uint8_t *x, *y;
+	size_t size = nl__row__get_packed_size(a);
+	uint8_t *first_packed, *second_packed;
 	int same = 0;
 
-	if (n != nl__row__get_packed_size(b))
+	if (size != nl__row__get_packed_size(b))
 		return 0;
-	x = malloc(2 * n + 1);
-	if (!x)
+	first_packed = malloc(2 * size + 1);
+	if (!first_packed)
 		abort();
-	y = x + n;
-	nl__row__pack(a, x);
-	nl__row__pack(b, y);
-	same = !memcmp(x, y, n);
-	free(x);
+	second_packed = first_packed + size;
+	nl__row__pack(a, first_packed);
+	nl__row__pack(b, second_packed);
+	same = !memcmp(first_packed, second_packed, size);
+	free(first_packed);
 	return same;
 }
 
 /* Put a row, which the table owns from now on, in the place of its namesake. */
-static void row_put(struct table *t, struct Nl__Row *is, uint64_t edition, struct Nl__Purge ***feed)
+static void row_put(struct config_table *table, struct Nl__Row *row, uint64_t revision, struct Nl__Purge ***feed)
 {
-	ptrdiff_t i = find(t, is->kind, is->name);
-	struct Nl__Row *old = i >= 0 ? t->h[i].value.row : NULL;
+	ptrdiff_t i = find_row(table, row->kind, row->name);
+	struct Nl__Row *old = i >= 0 ? table->rows[i].value.row : NULL;
 	char buf[300];
 
 	if (old) {
-		decide(t, old, is, feed);
-		t->h[i].value.row = is;
-		t->h[i].value.edition = edition;
+		decide_purges(table, old, row, feed);
+		table->rows[i].value.row = row;
+		table->rows[i].value.revision = revision;
 		nl__row__free_unpacked(old, NULL);
 		return;
 	}
-	shput(t->h, key_of(buf, sizeof buf, is->kind, is->name), ((typeof(t->h->value)){ is, edition }));
+	shput(table->rows, row_key(buf, sizeof buf, row->kind, row->name), ((typeof(table->rows->value)){ row, revision }));
 }
 
 /* One row of a change. In a whole document an equal row keeps its edition, so that followers get only what changed. */
-static void row_set(struct table *t, const struct Nl__Row *r, const struct Nl__Change *c, struct Nl__Purge ***feed)
+static void row_set(struct config_table *table, const struct Nl__Row *row, const struct Nl__Change *change, struct Nl__Purge ***feed)
 {
-	const struct Nl__Row *old = table_get(t, r->kind, r->name);
+	const struct Nl__Row *old = config_table_get(table, row->kind, row->name);
 
-	if (old && c->whole && row_same(old, r))
+	if (old && change->whole && rows_equal(old, row))
 		return;
-	row_put(t, r->kind == NL__KIND__MODEL ? model_row(t, old, r, c->bound_passed) : row_copy(r), t->edition, feed);
+	row_put(table, row->kind == NL__KIND__MODEL ? make_model_row(table, old, row, change->bound_passed) : row_copy(row), table->revision, feed);
 }
 
-static void row_del(struct table *t, const char *key, uint64_t edition, struct Nl__Purge ***feed)
+static void row_delete(struct config_table *table, const char *key, uint64_t revision, struct Nl__Purge ***feed)
 {
-	ptrdiff_t i = shgeti(t->h, key);
-	struct table_tomb tomb;
+	ptrdiff_t i = shgeti(table->rows, key);
+	struct config_tombstone tomb;
 	struct Nl__Row *row;
 
 	if (i < 0)
 		return;
-	row = t->h[i].value.row;
-	decide(t, row, NULL, feed);
+	row = table->rows[i].value.row;
+	decide_purges(table, row, NULL, feed);
 	tomb.key = strdup(key);
-	tomb.edition = edition;
-	arrput(t->tomb, tomb);
-	(void)shdel(t->h, key);
+	tomb.revision = revision;
+	arrput(table->tombstones, tomb);
+	(void)shdel(table->rows, key);
 	nl__row__free_unpacked(row, NULL);
-	while (arrlen(t->tomb) > TABLE_TOMBS) {
-		t->floor = t->tomb[0].edition;
-		free(t->tomb[0].key);
-		arrdel(t->tomb, 0);
+	while (arrlen(table->tombstones) > CONFIG_TABLE_MAX_TOMBSTONES) {
+		table->floor_revision = table->tombstones[0].revision;
+		free(table->tombstones[0].key);
+		arrdel(table->tombstones, 0);
 	}
 }
 
-uint64_t table_plan(const struct table *t)
+uint64_t config_table_operator_revision(const struct config_table *table)
 {
-	uint64_t plan = t->plan;
+	uint64_t operator_revision = table->operator_revision;
 
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++)
-		if (operators_kind(t->h[i].value.row->kind) && t->h[i].value.edition > plan)
-			plan = t->h[i].value.edition;
-	return plan;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		if (is_operator_kind(table->rows[i].value.row->kind) && table->rows[i].value.revision > operator_revision)
+			operator_revision = table->rows[i].value.revision;
+	return operator_revision;
 }
 
 static int compare_keys(const void *a, const void *b) { return strcmp(*(char *const *)a, *(char *const *)b); }
 
-int table_apply(struct table *t, const struct Nl__Change *c, struct Nl__Purge ***feed)
+int config_table_apply(struct config_table *table, const struct Nl__Change *change, struct Nl__Purge ***feed)
 {
-	int plan = c->whole;
+	int changes_operator_rows = change->whole;
 	char buf[300];
 
-	if (!c->any && (c->expect < t->plan || c->expect > t->edition))
-		return TABLE_OVERTAKEN;
-	t->edition++;
-	for (size_t i = 0; i < c->n_set; i++)
-		plan |= operators_kind(c->set[i]->kind);
-	for (size_t i = 0; i < c->n_del; i++)
-		plan |= operators_kind(c->del[i]->kind);
-	if (plan)
-		t->plan = t->edition;
-	if (c->whole) { /* operators' kinds are replaced; servers, controllers and models have calls of their own */
-		struct names *set = names_set(c);
-		char **gone = NULL;
-
-		for (ptrdiff_t i = 0; i < shlen(t->h); i++)
-			if (replaced(c, t->h[i].value.row->kind) && shgeti(set, t->h[i].key) < 0)
-				arrput(gone, strdup(t->h[i].key));
-		if (gone) /* the map's own order is another after a snapshot, and what follows must be the same on every replica */
-			qsort(gone, (size_t)arrlen(gone), sizeof *gone, compare_keys);
-		for (ptrdiff_t i = 0; i < arrlen(gone); i++) {
-			row_del(t, gone[i], t->edition, feed);
-			free(gone[i]);
+	if (!change->any && (change->expect < table->operator_revision || change->expect > table->revision))
+		return PROPOSAL_SUPERSEDED;
+	table->revision++;
+	for (size_t i = 0; i < change->n_set; i++)
+		changes_operator_rows |= is_operator_kind(change->set[i]->kind);
+	for (size_t i = 0; i < change->n_del; i++)
+		changes_operator_rows |= is_operator_kind(change->del[i]->kind);
+	if (changes_operator_rows)
+		table->operator_revision = table->revision;
+	if (change->whole) { /* operators' kinds are replaced; servers, controllers and models have calls of their own */
+		struct row_index *set = index_set_rows(change);
+		char **removed = NULL;
+
+		for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+			if (is_replaced(change, table->rows[i].value.row->kind) && shgeti(set, table->rows[i].key) < 0)
+				arrput(removed, strdup(table->rows[i].key));
+		if (removed) /* the map's own order is another after a snapshot, and what follows must be the same on every replica */
+			qsort(removed, (size_t)arrlen(removed), sizeof *removed, compare_keys);
+		for (ptrdiff_t i = 0; i < arrlen(removed); i++) {
+			row_delete(table, removed[i], table->revision, feed);
+			free(removed[i]);
 		}
-		arrfree(gone);
+		arrfree(removed);
 		shfree(set);
 	}
-	for (size_t i = 0; i < c->n_del; i++)
-		row_del(t, key_of(buf, sizeof buf, c->del[i]->kind, c->del[i]->name), t->edition, feed);
-	for (size_t i = 0; i < c->n_set; i++)
-		row_set(t, c->set[i], c, feed);
-	return TABLE_DONE;
+	for (size_t i = 0; i < change->n_del; i++)
+		row_delete(table, row_key(buf, sizeof buf, change->del[i]->kind, change->del[i]->name), table->revision, feed);
+	for (size_t i = 0; i < change->n_set; i++)
+		row_set(table, change->set[i], change, feed);
+	return PROPOSAL_DONE;
 }
 
 /* ---- follow --------------------------------------------------------------- */
 
-void table_since(const struct table *t, uint64_t have, struct Nl__ConfigSyncReply *r, apr_pool_t *p)
+void config_table_since(const struct config_table *table, uint64_t base_revision, struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
-	size_t n = 0, rows = (size_t)shlen(t->h);
+	size_t changed = 0, row_count = (size_t)shlen(table->rows);
 
-	r->whole = have < t->floor || have > t->edition || !have;
-	r->since = r->whole ? 0 : have;
-	r->edition = t->edition;
-	if (!r->whole && have == t->edition)
+	reply->whole = base_revision < table->floor_revision || base_revision > table->revision || !base_revision;
+	reply->since = reply->whole ? 0 : base_revision;
+	reply->edition = table->revision;
+	if (!reply->whole && base_revision == table->revision)
 		return;
-	r->set = apr_palloc(p, (rows + 1) * sizeof *r->set);
-	for (size_t i = 0; i < rows; i++)
-		if (r->whole || t->h[i].value.edition > have)
-			r->set[n++] = (struct Nl__Row *)core_dup(p, &t->h[i].value.row->base);
-	r->n_set = n;
-	if (r->whole)
+	reply->set = apr_palloc(pool, (row_count + 1) * sizeof *reply->set);
+	for (size_t i = 0; i < row_count; i++)
+		if (reply->whole || table->rows[i].value.revision > base_revision)
+			reply->set[changed++] = (struct Nl__Row *)core_copy_message(pool, &table->rows[i].value.row->base);
+	reply->n_set = changed;
+	if (reply->whole)
 		return;
-	r->del = apr_palloc(p, ((size_t)arrlen(t->tomb) + 1) * sizeof *r->del);
-	for (ptrdiff_t i = 0; i < arrlen(t->tomb); i++) {
-		struct table_row *h = t->h;
-		struct Nl__Row *d;
+	reply->del = apr_palloc(pool, ((size_t)arrlen(table->tombstones) + 1) * sizeof *reply->del);
+	for (ptrdiff_t i = 0; i < arrlen(table->tombstones); i++) {
+		struct config_table_row *h = table->rows;
+		struct Nl__Row *row;
 
-		if (t->tomb[i].edition <= have || shgeti(h, t->tomb[i].key) >= 0)
+		if (table->tombstones[i].revision <= base_revision || shgeti(h, table->tombstones[i].key) >= 0)
 			continue;
-		d = apr_palloc(p, sizeof *d);
-		nl__row__init(d);
-		d->kind = (Nl__Kind)strtol(t->tomb[i].key, NULL, 10);
-		d->name = apr_pstrdup(p, strchr(t->tomb[i].key, '/') + 1);
-		r->del[r->n_del++] = d;
+		row = apr_palloc(pool, sizeof *row);
+		nl__row__init(row);
+		row->kind = (Nl__Kind)strtol(table->tombstones[i].key, NULL, 10);
+		row->name = apr_pstrdup(pool, strchr(table->tombstones[i].key, '/') + 1);
+		reply->del[reply->n_del++] = row;
 	}
 }
 
-int table_follow(struct table *t, const struct Nl__ConfigSyncReply *r)
+int config_table_follow(struct config_table *table, const struct Nl__ConfigSyncReply *reply)
 {
 	char buf[300];
 
-	if (r->edition < t->edition || (!r->whole && r->since > t->edition))
+	if (reply->edition < table->revision || (!reply->whole && reply->since > table->revision))
 		return 0;
-	if (r->edition == t->edition && !r->whole)
+	if (reply->edition == table->revision && !reply->whole)
 		return 1;
-	if (r->whole) {
-		table_close(t);
-		table_open(t);
+	if (reply->whole) {
+		config_table_close(table);
+		config_table_open(table);
 	}
-	for (size_t i = 0; i < r->n_del; i++)
-		row_del(t, key_of(buf, sizeof buf, r->del[i]->kind, r->del[i]->name), r->edition, NULL);
-	for (size_t i = 0; i < r->n_set; i++)
-		row_put(t, row_copy(r->set[i]), r->edition, NULL); /* as the leader has it */
-	t->edition = r->edition;
+	for (size_t i = 0; i < reply->n_del; i++)
+		row_delete(table, row_key(buf, sizeof buf, reply->del[i]->kind, reply->del[i]->name), reply->edition, NULL);
+	for (size_t i = 0; i < reply->n_set; i++)
+		row_put(table, row_copy(reply->set[i]), reply->edition, NULL); /* as the leader has it */
+	table->revision = reply->edition;
 	return 1;
 }
 
 /* ---- JSON ----------------------------------------------------------------- */
 
-enum cell_kind { CELL_STR, CELL_INT, CELL_BIG, CELL_BOOL, CELL_STATE, CELL_HEX, CELL_SPLIT };
-struct cell {
+enum column_kind { COLUMN_STRING, COLUMN_UINT32, COLUMN_UINT64, COLUMN_BOOL, COLUMN_STATE, COLUMN_HEX, COLUMN_SPLIT };
+struct row_column {
 	const char *name;
-	enum cell_kind kind;
-	size_t off;
-	unsigned on;
+	enum column_kind kind;
+	size_t offset;
+	unsigned kinds;
 };
 #define ON(k) (1u << NL__KIND__##k)
 #define AT(f) offsetof(struct Nl__Row, f)
 
 /* One line per column of the table: which kinds of row have it. */
-static const struct cell cells[] = {
-	{ "name", CELL_STR, AT(name), ~0u },
-	{ "service", CELL_STR, AT(service), ON(LANE) | ON(SERVER) },
-	{ "tenant", CELL_STR, AT(tenant), ON(KEY) },
-	{ "addr", CELL_STR, AT(addr), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
-	{ "zone", CELL_STR, AT(zone), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
-	{ "weights", CELL_STR, AT(weights), ON(SERVICE) | ON(MODEL) },
-	{ "prio", CELL_INT, AT(prio), ON(LANE) },
-	{ "share", CELL_INT, AT(share), ON(TENANT) | ON(SHARE) },
-	{ "limit", CELL_INT, AT(limit), ON(LANE) | ON(TENANT) | ON(SHARE) },
-	{ "walled", CELL_BOOL, AT(walled), ON(TENANT) },
-	{ "state", CELL_STATE, AT(state), ON(SERVER) },
-	{ "id", CELL_HEX, AT(id), ON(REGISTRAR) },
-	{ "prefill", CELL_INT, AT(prefill), ON(SERVICE) },
-	{ "kv_bytes", CELL_INT, AT(kv_bytes), ON(SERVICE) },
-	{ "link", CELL_INT, AT(link), ON(SERVICE) },
-	{ "store", CELL_INT, AT(store), ON(SERVICE) },
-	{ "host", CELL_STR, AT(host), ON(LANE) },
-	{ "path", CELL_STR, AT(path), ON(LANE) },
-	{ "split", CELL_SPLIT, AT(split), ON(LANE) },
-	{ "aim", CELL_INT, AT(aim), ON(LANE) },
-	{ "pause", CELL_INT, AT(pause), ON(LANE) },
-	{ "timeout", CELL_INT, AT(timeout), ON(LANE) },
-	{ "attempts", CELL_INT, AT(attempts), ON(LANE) },
-	{ "resumable", CELL_BOOL, AT(resumable), ON(LANE) },
-	{ "repeatable", CELL_BOOL, AT(repeatable), ON(LANE) },
-	{ "vouched", CELL_BOOL, AT(vouched), ON(LANE) },
-	{ "open", CELL_BOOL, AT(open), ON(LANE) },
-	{ "model", CELL_STR, AT(model), ON(SERVICE) },
-	{ "slots", CELL_INT, AT(slots), ON(SERVICE) },
-	{ "conns", CELL_INT, AT(conns), ON(SERVICE) },
-	{ "watches", CELL_INT, AT(watches), ON(SERVICE) },
-	{ "room", CELL_BIG, AT(room), ON(SERVICE) },
-	{ "rank", CELL_INT, AT(rank), ON(TENANT) },
-	{ "rolled", CELL_STR, AT(rolled), ON(MODEL) },
-	{ "health", CELL_STR, AT(health), ON(SERVICE) },
-	{ "head_bytes", CELL_INT, AT(head_bytes), ON(DOOR) },
-	{ "body_bytes", CELL_INT, AT(body_bytes), ON(DOOR) },
-	{ "head_ms", CELL_INT, AT(head_ms), ON(DOOR) },
-	{ "idle_ms", CELL_INT, AT(idle_ms), ON(DOOR) },
-	{ "keep", CELL_STR, AT(keep), ON(RETENTION) },
-	{ "every", CELL_STR, AT(every), ON(RETENTION) },
-	{ "at", CELL_STR, AT(at), ON(RETENTION) },
-	{ "window", CELL_INT, AT(window), ON(RETENTION) },
+static const struct row_column row_columns[] = {
+	{ "name", COLUMN_STRING, AT(name), ~0u },
+	{ "service", COLUMN_STRING, AT(service), ON(LANE) | ON(SERVER) },
+	{ "tenant", COLUMN_STRING, AT(tenant), ON(KEY) },
+	{ "addr", COLUMN_STRING, AT(addr), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
+	{ "zone", COLUMN_STRING, AT(zone), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
+	{ "weights", COLUMN_STRING, AT(weights), ON(SERVICE) | ON(MODEL) },
+	{ "prio", COLUMN_UINT32, AT(prio), ON(LANE) },
+	{ "share", COLUMN_UINT32, AT(share), ON(TENANT) | ON(SHARE) },
+	{ "limit", COLUMN_UINT32, AT(limit), ON(LANE) | ON(TENANT) | ON(SHARE) },
+	{ "walled", COLUMN_BOOL, AT(walled), ON(TENANT) },
+	{ "state", COLUMN_STATE, AT(state), ON(SERVER) },
+	{ "id", COLUMN_HEX, AT(id), ON(REGISTRAR) },
+	{ "prefill", COLUMN_UINT32, AT(prefill), ON(SERVICE) },
+	{ "kv_bytes", COLUMN_UINT32, AT(kv_bytes), ON(SERVICE) },
+	{ "link", COLUMN_UINT32, AT(link), ON(SERVICE) },
+	{ "store", COLUMN_UINT32, AT(store), ON(SERVICE) },
+	{ "host", COLUMN_STRING, AT(host), ON(LANE) },
+	{ "path", COLUMN_STRING, AT(path), ON(LANE) },
+	{ "split", COLUMN_SPLIT, AT(split), ON(LANE) },
+	{ "aim", COLUMN_UINT32, AT(aim), ON(LANE) },
+	{ "pause", COLUMN_UINT32, AT(pause), ON(LANE) },
+	{ "timeout", COLUMN_UINT32, AT(timeout), ON(LANE) },
+	{ "attempts", COLUMN_UINT32, AT(attempts), ON(LANE) },
+	{ "resumable", COLUMN_BOOL, AT(resumable), ON(LANE) },
+	{ "repeatable", COLUMN_BOOL, AT(repeatable), ON(LANE) },
+	{ "vouched", COLUMN_BOOL, AT(vouched), ON(LANE) },
+	{ "open", COLUMN_BOOL, AT(open), ON(LANE) },
+	{ "model", COLUMN_STRING, AT(model), ON(SERVICE) },
+	{ "slots", COLUMN_UINT32, AT(slots), ON(SERVICE) },
+	{ "conns", COLUMN_UINT32, AT(conns), ON(SERVICE) },
+	{ "watches", COLUMN_UINT32, AT(watches), ON(SERVICE) },
+	{ "room", COLUMN_UINT64, AT(room), ON(SERVICE) },
+	{ "rank", COLUMN_UINT32, AT(rank), ON(TENANT) },
+	{ "rolled", COLUMN_STRING, AT(rolled), ON(MODEL) },
+	{ "health", COLUMN_STRING, AT(health), ON(SERVICE) },
+	{ "head_bytes", COLUMN_UINT32, AT(head_bytes), ON(DOOR) },
+	{ "body_bytes", COLUMN_UINT32, AT(body_bytes), ON(DOOR) },
+	{ "head_ms", COLUMN_UINT32, AT(head_ms), ON(DOOR) },
+	{ "idle_ms", COLUMN_UINT32, AT(idle_ms), ON(DOOR) },
+	{ "keep", COLUMN_STRING, AT(keep), ON(RETENTION) },
+	{ "every", COLUMN_STRING, AT(every), ON(RETENTION) },
+	{ "at", COLUMN_STRING, AT(at), ON(RETENTION) },
+	{ "window", COLUMN_UINT32, AT(window), ON(RETENTION) },
 };
-enum { CELLS = sizeof cells / sizeof *cells };
+enum { ROW_COLUMN_COUNT = sizeof row_columns / sizeof *row_columns };
 
 /* Services and weights as one text: "a:90,b:10". */
-static char *split_text(const struct Nl__Row *r)
+static char *split_text(const struct Nl__Row *row)
 {
-	size_t cap = 1, k = 0;
-	char *s;
+	size_t capacity = 1, used = 0;
+	char *text;
 
-	for (size_t i = 0; i < r->n_split; i++)
-		cap += strlen(r->split[i]->service) + 16;
-	s = malloc(cap);
-	if (!s)
+	for (size_t i = 0; i < row->n_split; i++)
+		capacity += strlen(row->split[i]->service) + 16;
+	text = malloc(capacity);
+	if (!text)
 		abort();
-	s[0] = 0;
-	for (size_t i = 0; i < r->n_split; i++)
-		k += (size_t)apr_snprintf(s + k, cap - k, "%s%s:%u", i ? "," : "", r->split[i]->service,
-					  (unsigned)r->split[i]->weight);
-	return s;
+	text[0] = 0;
+	for (size_t i = 0; i < row->n_split; i++)
+		used += (size_t)apr_snprintf(text + used, capacity - used, "%s%s:%u", i ? "," : "", row->split[i]->service,
+					  (unsigned)row->split[i]->weight);
+	return text;
 }
 
-static int split_parse(struct Nl__Row *r, const char *text, apr_pool_t *p)
+static int split_parse(struct Nl__Row *row, const char *text, apr_pool_t *pool)
 {
-	char *copy = apr_pstrdup(p, text), *save = NULL;
-	size_t n = 1;
+	char *copy = apr_pstrdup(pool, text), *save = NULL;
+	size_t share_count = 1;
 
 	for (const char *c = text; *c; c++)
-		n += *c == ',';
-	r->split = apr_palloc(p, (n + 1) * sizeof *r->split);
-	r->n_split = 0;
-	for (char *x = apr_strtok(copy, ",", &save); x; x = apr_strtok(NULL, ",", &save)) {
-		struct Nl__Split *s = apr_palloc(p, sizeof *s);
-		char *colon = strrchr(x, ':'), *end = colon;
-		unsigned long long w;
-
-		if (!colon || colon == x || colon[1] < '0' || colon[1] > '9')
+		share_count += *c == ',';
+	row->split = apr_palloc(pool, (share_count + 1) * sizeof *row->split);
+	row->n_split = 0;
+	for (char *item = apr_strtok(copy, ",", &save); item; item = apr_strtok(NULL, ",", &save)) {
+		struct Nl__Split *split = apr_palloc(pool, sizeof *split);
+		char *colon = strrchr(item, ':'), *end = colon;
+		unsigned long long weight;
+
+		if (!colon || colon == item || colon[1] < '0' || colon[1] > '9')
 			return 0;
-		w = strtoull(colon + 1, &end, 10);
-		if (*end || w > 1000000)
+		weight = strtoull(colon + 1, &end, 10);
+		if (*end || weight > 1000000)
 			return 0;
 		*colon = 0;
-		nl__split__init(s);
-		s->service = x;
-		s->weight = (uint32_t)w;
-		r->split[r->n_split++] = s;
+		nl__split__init(split);
+		split->service = item;
+		split->weight = (uint32_t)weight;
+		row->split[row->n_split++] = split;
 	}
 	return 1;
 }
 
-struct json_object *table_row_json(const struct Nl__Row *r)
+struct json_object *config_row_json(const struct Nl__Row *row)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 	char hex[20], *text;
 
-	json_object_object_add(j, "kind", json_object_new_string(table_kind_name(r->kind)));
-	for (int i = 0; i < CELLS; i++) {
-		const char *f = (const char *)r + cells[i].off;
+	json_object_object_add(json, "kind", json_object_new_string(config_kind_name(row->kind)));
+	for (int i = 0; i < ROW_COLUMN_COUNT; i++) {
+		const char *field = (const char *)row + row_columns[i].offset;
 		struct json_object *v = NULL;
 
-		if (!(cells[i].on & 1u << r->kind))
+		if (!(row_columns[i].kinds & 1u << row->kind))
 			continue;
-		switch (cells[i].kind) {
-		case CELL_STR: v = json_object_new_string(*(char *const *)(const void *)f); break;
-		case CELL_INT: v = json_object_new_int64(*(const uint32_t *)(const void *)f); break;
-		case CELL_BIG: v = json_object_new_uint64(*(const uint64_t *)(const void *)f); break;
-		case CELL_SPLIT:
-			text = split_text(r);
+		switch (row_columns[i].kind) {
+		case COLUMN_STRING: v = json_object_new_string(*(char *const *)(const void *)field); break;
+		case COLUMN_UINT32: v = json_object_new_int64(*(const uint32_t *)(const void *)field); break;
+		case COLUMN_UINT64: v = json_object_new_uint64(*(const uint64_t *)(const void *)field); break;
+		case COLUMN_SPLIT:
+			text = split_text(row);
 			v = json_object_new_string(text);
 			free(text);
 			break;
-		case CELL_BOOL: v = json_object_new_boolean(*(const protobuf_c_boolean *)(const void *)f); break;
-		case CELL_STATE: v = json_object_new_string(*(const uint32_t *)(const void *)f ? "draining" : "serving"); break;
-		case CELL_HEX:
-			apr_snprintf(hex, sizeof hex, "%016" APR_UINT64_T_HEX_FMT, *(const uint64_t *)(const void *)f);
+		case COLUMN_BOOL: v = json_object_new_boolean(*(const protobuf_c_boolean *)(const void *)field); break;
+		case COLUMN_STATE: v = json_object_new_string(*(const uint32_t *)(const void *)field ? "draining" : "serving"); break;
+		case COLUMN_HEX:
+			apr_snprintf(hex, sizeof hex, "%016" APR_UINT64_T_HEX_FMT, *(const uint64_t *)(const void *)field);
 			v = json_object_new_string(hex);
 			break;
 		}
-		json_object_object_add(j, cells[i].name, v);
+		json_object_object_add(json, row_columns[i].name, v);
 	}
-	return j;
+	return json;
 }
 
-struct Nl__Row *table_row_parse(struct json_object *j, apr_pool_t *p, const char **why)
+struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **why)
 {
-	struct Nl__Row *r = apr_palloc(p, sizeof *r);
+	struct Nl__Row *row = apr_palloc(pool, sizeof *row);
 	struct json_object *k;
 
-	nl__row__init(r);
-	if (!json_object_is_type(j, json_type_object) || !json_object_object_get_ex(j, "kind", &k) ||
-	    (r->kind = table_kind(json_object_get_string(k))) == NL__KIND__NONE) {
+	nl__row__init(row);
+	if (!json_object_is_type(json, json_type_object) || !json_object_object_get_ex(json, "kind", &k) ||
+	    (row->kind = config_kind_parse(json_object_get_string(k))) == NL__KIND__NONE) {
 		*why = "kind: none of lane, tenant, share, key, server, service, registrar, model, door, retention";
 		return NULL;
 	}
-	json_object_object_foreach(j, name, v)
+	json_object_object_foreach(json, column_name, v)
 	{
-		const struct cell *c = NULL;
-		char *f;
+		const struct row_column *cell = NULL;
+		char *field;
 
-		if (!strcmp(name, "kind"))
+		if (!strcmp(column_name, "kind"))
 			continue;
-		for (int i = 0; i < CELLS; i++)
-			if (!strcmp(cells[i].name, name) && (cells[i].on & 1u << r->kind))
-				c = &cells[i];
-		if (!c) {
-			*why = apr_psprintf(p, "%s: %s: no such field", table_kind_name(r->kind), name);
+		for (int i = 0; i < ROW_COLUMN_COUNT; i++)
+			if (!strcmp(row_columns[i].name, column_name) && (row_columns[i].kinds & 1u << row->kind))
+				cell = &row_columns[i];
+		if (!cell) {
+			*why = apr_psprintf(pool, "%s: %s: no such field", config_kind_name(row->kind), column_name);
 			return NULL;
 		}
-		f = (char *)r + c->off;
-		if (c->kind == CELL_BIG   ? !json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0
-		    : c->kind == CELL_INT ? !json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0 ||
+		field = (char *)row + cell->offset;
+		if (cell->kind == COLUMN_UINT64   ? !json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0
+		    : cell->kind == COLUMN_UINT32 ? !json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0 ||
 						json_object_get_int64(v) > UINT32_MAX
-		    : c->kind == CELL_BOOL ? !json_object_is_type(v, json_type_boolean)
+		    : cell->kind == COLUMN_BOOL ? !json_object_is_type(v, json_type_boolean)
 					   : !json_object_is_type(v, json_type_string)) {
-			*why = apr_psprintf(p, "%s: %s: wrong type or range", table_kind_name(r->kind), name);
+			*why = apr_psprintf(pool, "%s: %s: wrong type or range", config_kind_name(row->kind), column_name);
 			return NULL;
 		}
-		switch (c->kind) {
-		case CELL_STR: *(char **)(void *)f = apr_pstrdup(p, json_object_get_string(v)); break;
-		case CELL_INT: *(uint32_t *)(void *)f = (uint32_t)json_object_get_int64(v); break;
-		case CELL_BIG: *(uint64_t *)(void *)f = json_object_get_uint64(v); break;
-		case CELL_SPLIT:
-			if (!split_parse(r, json_object_get_string(v), p)) {
-				*why = apr_psprintf(p, "%s: split: not as service:weight,service:weight", table_kind_name(r->kind));
+		switch (cell->kind) {
+		case COLUMN_STRING: *(char **)(void *)field = apr_pstrdup(pool, json_object_get_string(v)); break;
+		case COLUMN_UINT32: *(uint32_t *)(void *)field = (uint32_t)json_object_get_int64(v); break;
+		case COLUMN_UINT64: *(uint64_t *)(void *)field = json_object_get_uint64(v); break;
+		case COLUMN_SPLIT:
+			if (!split_parse(row, json_object_get_string(v), pool)) {
+				*why = apr_psprintf(pool, "%s: split: not as service:weight,service:weight", config_kind_name(row->kind));
 				return NULL;
 			}
 			break;
-		case CELL_BOOL: *(protobuf_c_boolean *)(void *)f = json_object_get_boolean(v); break;
-		case CELL_STATE: {
-			const char *s = json_object_get_string(v);
+		case COLUMN_BOOL: *(protobuf_c_boolean *)(void *)field = json_object_get_boolean(v); break;
+		case COLUMN_STATE: {
+			const char *state = json_object_get_string(v);
 
-			*(uint32_t *)(void *)f = !strcmp(s, "serving") ? 0 : !strcmp(s, "draining") ? 1 : 2;
+			*(uint32_t *)(void *)field = !strcmp(state, "serving") ? 0 : !strcmp(state, "draining") ? 1 : 2;
 			break;
 		}
-		case CELL_HEX: *(uint64_t *)(void *)f = strtoull(json_object_get_string(v), NULL, 16); break;
+		case COLUMN_HEX: *(uint64_t *)(void *)field = strtoull(json_object_get_string(v), NULL, 16); break;
 		}
 	}
-	return r;
+	return row;
 }
 
-static int rows_parse(struct json_object *j, const char *name, size_t *n, struct Nl__Row ***v, apr_pool_t *p, const char **why)
+static int rows_parse(struct json_object *json, const char *name, size_t *n, struct Nl__Row ***row, apr_pool_t *pool, const char **why)
 {
 	struct json_object *a;
 
-	if (!json_object_object_get_ex(j, name, &a))
+	if (!json_object_object_get_ex(json, name, &a))
 		return 1;
 	if (!json_object_is_type(a, json_type_array)) {
-		*why = apr_psprintf(p, "%s: not a list", name);
+		*why = apr_psprintf(pool, "%s: not a list", name);
 		return 0;
 	}
 	*n = json_object_array_length(a);
-	*v = apr_palloc(p, (*n + 1) * sizeof **v);
+	*row = apr_palloc(pool, (*n + 1) * sizeof **row);
 	for (size_t i = 0; i < *n; i++) {
-		(*v)[i] = table_row_parse(json_object_array_get_idx(a, i), p, why);
-		if (!(*v)[i]) {
-			*why = apr_psprintf(p, "%s[%d]: %s", name, (int)i, *why);
+		(*row)[i] = config_row_parse(json_object_array_get_idx(a, i), pool, why);
+		if (!(*row)[i]) {
+			*why = apr_psprintf(pool, "%s[%d]: %s", name, (int)i, *why);
 			return 0;
 		}
 	}
 	return 1;
 }
 
-struct Nl__Change *table_change_parse(const char *body, apr_pool_t *p, const char **why)
+struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **why)
 {
-	struct json_object *j = json_tokener_parse(body), *v;
-	struct Nl__Change *c = apr_palloc(p, sizeof *c);
+	struct json_object *json = json_tokener_parse(body), *v;
+	struct Nl__Change *change = apr_palloc(pool, sizeof *change);
 
-	nl__change__init(c);
+	nl__change__init(change);
 	*why = NULL;
-	if (!json_object_is_type(j, json_type_object)) {
+	if (!json_object_is_type(json, json_type_object)) {
 		*why = "body: not a JSON object";
 		goto end;
 	}
-	json_object_object_foreach(j, name, x)
+	json_object_object_foreach(json, name, x)
 	{
 		(void)x;
 		if (strcmp(name, "expect") && strcmp(name, "whole") && strcmp(name, "set") && strcmp(name, "del")) {
-			*why = apr_psprintf(p, "%s: no such field", name);
+			*why = apr_psprintf(pool, "%s: no such field", name);
 			goto end;
 		}
 	}
-	if (json_object_object_get_ex(j, "expect", &v)) {
+	if (json_object_object_get_ex(json, "expect", &v)) {
 		if (!json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0) {
 			*why = "expect: not an edition";
 			goto end;
 		}
-		c->expect = json_object_get_uint64(v);
+		change->expect = json_object_get_uint64(v);
 	} else {
-		c->any = 1;
+		change->any = 1;
 	}
-	if (json_object_object_get_ex(j, "whole", &v))
-		c->whole = json_object_get_boolean(v);
-	if (!rows_parse(j, "set", &c->n_set, &c->set, p, why) || !rows_parse(j, "del", &c->n_del, &c->del, p, why))
+	if (json_object_object_get_ex(json, "whole", &v))
+		change->whole = json_object_get_boolean(v);
+	if (!rows_parse(json, "set", &change->n_set, &change->set, pool, why) || !rows_parse(json, "del", &change->n_del, &change->del, pool, why))
 		goto end;
-	if (!c->n_set && !c->n_del && !c->whole)
+	if (!change->n_set && !change->n_del && !change->whole)
 		*why = "set: nothing to change";
 end:
-	if (j)
-		json_object_put(j);
-	return *why ? NULL : c;
+	if (json)
+		json_object_put(json);
+	return *why ? NULL : change;
 }
 
-const char *json_str(struct json_object *j, const char *k)
+const char *json_string_member(struct json_object *json, const char *name)
 {
 	struct json_object *v;
 
-	return json_object_object_get_ex(j, k, &v) && json_object_is_type(v, json_type_string) ? json_object_get_string(v) : "";
+	return json_object_object_get_ex(json, name, &v) && json_object_is_type(v, json_type_string) ? json_object_get_string(v) : "";
 }
 
-uint64_t json_num(struct json_object *j, const char *k)
+uint64_t json_uint_member(struct json_object *json, const char *name)
 {
 	struct json_object *v;
 
-	return json_object_object_get_ex(j, k, &v) ? json_object_get_uint64(v) : 0;
+	return json_object_object_get_ex(json, name, &v) ? json_object_get_uint64(v) : 0;
 }
--- a/lib/core/core.c
+++ b/lib/core/core.c
@@ -7,130 +7,130 @@
 
 #include "ds.h"
 
-struct cmd *out_cmd(struct out *o, enum cmd_kind k)
+struct command *command_add(struct out *out, enum command_kind kind)
 {
-	struct cmd c;
+	struct command command;
 
-	memset(&c, 0, sizeof c);
-	c.kind = k;
-	arrput(o->v, c);
-	return &arrlast(o->v);
+	memset(&command, 0, sizeof command);
+	command.kind = kind;
+	arrput(out->commands, command);
+	return &arrlast(out->commands);
 }
 
-void *out_new(struct out *o, size_t n, const void *init) { return memcpy(apr_palloc(o->p, n), init, n); }
+void *out_new(struct out *out, size_t size, const void *init) { return memcpy(apr_palloc(out->pool, size), init, size); }
 
-struct Nl__Msg *out_msg(struct out *o, uint64_t addr, uint32_t part, int body)
+struct Nl__Msg *command_send(struct out *out, uint64_t addr, uint32_t shard, int body)
 {
-	struct Nl__Msg *m = OUT_NEW(o, Nl__Msg, NL__MSG__INIT);
-	struct cmd *c = out_cmd(o, CMD_SEND);
-
-	m->speak = CORE_SPEAK;
-	m->id = o->id;
-	m->addr = o->addr;
-	m->fleet = o->fleet;
-	m->part = part;
-	m->body_case = (Nl__Msg__BodyCase)body;
-	c->u.send.addr = addr;
-	c->u.send.msg = m;
-	return m;
+	struct Nl__Msg *message = OUT_NEW(out, Nl__Msg, NL__MSG__INIT);
+	struct command *command = command_add(out, CMD_SEND);
+
+	message->speak = CORE_SPEAK;
+	message->id = out->id;
+	message->addr = out->addr;
+	message->fleet = out->fleet;
+	message->part = shard;
+	message->body_case = (Nl__Msg__BodyCase)body;
+	command->args.send.addr = addr;
+	command->args.send.msg = message;
+	return message;
 }
 
-void out_answer(struct out *o, uint64_t token, int status, int retry_ms, const char *body)
+void command_answer(struct out *out, uint64_t token, int status, int retry_ms, const char *body)
 {
-	struct cmd *c = out_cmd(o, CMD_ANSWER);
+	struct command *command = command_add(out, CMD_ANSWER);
 
-	c->u.answer.token = token;
-	c->u.answer.status = status;
-	c->u.answer.retry_ms = retry_ms;
-	c->u.answer.body = body;
+	command->args.answer.token = token;
+	command->args.answer.status = status;
+	command->args.answer.retry_ms = retry_ms;
+	command->args.answer.body = body;
 }
 
-void out_answer_until(struct out *o, uint64_t token, int status, const char *body, int64_t not_after)
+void command_answer_until(struct out *out, uint64_t token, int status, const char *body, int64_t not_after_ms)
 {
-	out_answer(o, token, status, 0, body);
-	arrlast(o->v).u.answer.not_after = not_after;
+	command_answer(out, token, status, 0, body);
+	arrlast(out->commands).args.answer.not_after_ms = not_after_ms;
 }
 
-void out_clear(struct out *o)
+void command_list_clear(struct out *out)
 {
-	arrsetlen(o->v, 0);
-	apr_pool_clear(o->p);
+	arrsetlen(out->commands, 0);
+	apr_pool_clear(out->pool);
 }
 
-static uint64_t mix(uint64_t x)
+static uint64_t mix(uint64_t value)
 {
-	x ^= x >> 30;
-	x *= 0xbf58476d1ce4e5b9ull;
-	x ^= x >> 27;
-	x *= 0x94d049bb133111ebull;
-	return x ^ (x >> 31);
+	value ^= value >> 30;
+	value *= 0xbf58476d1ce4e5b9ull;
+	value ^= value >> 27;
+	value *= 0x94d049bb133111ebull;
+	return value ^ (value >> 31);
 }
 
-uint64_t core_hash(uint64_t seed, const void *d, size_t n)
+uint64_t core_hash(uint64_t seed, const void *data, size_t size)
 {
-	const unsigned char *s = d;
+	const unsigned char *s = data;
 	uint64_t h = 0xcbf29ce484222325ull ^ mix(seed + 0x9e3779b97f4a7c15ull);
 
-	for (size_t i = 0; i < n; i++)
+	for (size_t i = 0; i < size; i++)
 		h = (h ^ s[i]) * 0x100000001b3ull;
 	return mix(h);
 }
 
-uint64_t core_hashs(uint64_t seed, const char *s) { return core_hash(seed, s, strlen(s)); }
+uint64_t core_hash_string(uint64_t seed, const char *text) { return core_hash(seed, text, strlen(text)); }
 
-uint64_t core_rdv(uint64_t subject, uint64_t node) { return mix(subject ^ mix(node + 0x9e3779b97f4a7c15ull)); }
+uint64_t core_rendezvous_weight(uint64_t subject, uint64_t node) { return mix(subject ^ mix(node + 0x9e3779b97f4a7c15ull)); }
 
-uint64_t core_rand(uint64_t *s) { return mix(*s += 0x9e3779b97f4a7c15ull); }
+uint64_t core_random(uint64_t *state) { return mix(*state += 0x9e3779b97f4a7c15ull); }
 
-uint32_t core_part_of(const char *service, uint32_t n) { return SHARD_SERVICE + (uint32_t)(core_hashs(0, service) % n); }
+uint32_t core_shard_of(const char *service, uint32_t service_shards) { return SHARD_SERVICE + (uint32_t)(core_hash_string(0, service) % service_shards); }
 
-uint64_t core_addr(const char *s)
+uint64_t core_parse_addr(const char *text)
 {
 	unsigned a, b, c, d, port;
 	char end;
 
 	/* NOLINTNEXTLINE(cert-err34-c): each number has so few digits that it fits, and is checked */
-	if (!s || sscanf(s, "%3u.%3u.%3u.%3u:%5u%c", &a, &b, &c, &d, &port, &end) != 5)
+	if (!text || sscanf(text, "%3u.%3u.%3u.%3u:%5u%c", &a, &b, &c, &d, &port, &end) != 5)
 		return 0;
 	if (a > 255 || b > 255 || c > 255 || d > 255 || port > 65535)
 		return 0;
 	return (uint64_t)a << 40 | (uint64_t)b << 32 | (uint64_t)c << 24 | (uint64_t)d << 16 | port;
 }
 
-const char *core_addr_str(apr_pool_t *p, uint64_t a)
+const char *core_format_addr(apr_pool_t *pool, uint64_t addr)
 {
-	return apr_psprintf(p, "%u.%u.%u.%u:%u", (unsigned)(a >> 40) & 255, (unsigned)(a >> 32) & 255, (unsigned)(a >> 24) & 255,
-			    (unsigned)(a >> 16) & 255, (unsigned)a & 65535);
+	return apr_psprintf(pool, "%u.%u.%u.%u:%u", (unsigned)(addr >> 40) & 255, (unsigned)(addr >> 32) & 255, (unsigned)(addr >> 24) & 255,
+			    (unsigned)(addr >> 16) & 255, (unsigned)addr & 65535);
 }
 
-uint8_t *core_pack(apr_pool_t *p, const ProtobufCMessage *m, size_t *len)
+uint8_t *core_pack_message(apr_pool_t *pool, const ProtobufCMessage *message, size_t *len)
 {
-	uint8_t *d = apr_palloc(p, protobuf_c_message_get_packed_size(m) + 1);
+	uint8_t *packed = apr_palloc(pool, protobuf_c_message_get_packed_size(message) + 1);
 
-	*len = protobuf_c_message_pack(m, d);
-	return d;
+	*len = protobuf_c_message_pack(message, packed);
+	return packed;
 }
 
-static void *pool_alloc(void *p, size_t n) { return apr_palloc(p, n); }
-static void pool_free(void *p, void *d)
+static void *pool_alloc(void *pool, size_t size) { return apr_palloc(pool, size); }
+static void pool_free(void *pool, void *data)
 {
-	(void)p;
-	(void)d;
+	(void)pool;
+	(void)data;
 }
 
-ProtobufCMessage *core_unpack(apr_pool_t *p, const ProtobufCMessageDescriptor *t, size_t n, const uint8_t *d)
+ProtobufCMessage *core_unpack_message(apr_pool_t *pool, const ProtobufCMessageDescriptor *type, size_t size, const uint8_t *packed)
 {
-	ProtobufCAllocator a = { pool_alloc, pool_free, p };
+	ProtobufCAllocator allocator = { pool_alloc, pool_free, pool };
 
-	return protobuf_c_message_unpack(t, &a, n, d);
+	return protobuf_c_message_unpack(type, &allocator, size, packed);
 }
 
-ProtobufCMessage *core_dup(apr_pool_t *p, const ProtobufCMessage *m)
+ProtobufCMessage *core_copy_message(apr_pool_t *pool, const ProtobufCMessage *message)
 {
-	size_t n;
-	uint8_t *d = core_pack(p, m, &n);
+	size_t size;
+	uint8_t *packed = core_pack_message(pool, message, &size);
 
-	return core_unpack(p, m->descriptor, n, d);
+	return core_unpack_message(pool, message->descriptor, size, packed);
 }
 
 const struct bounds bounds_default = {
@@ -145,12 +145,12 @@
 	.lease_ms = 3000,
 	.thaw_ms = 300,
 	.recover_ms = 12000,
-	.roll_ms = 25000,
-	.budget_mille = 200,
-	.budget_slack = 18,
-	.budget_window_ms = 10000,
-	.copies = 3,
-	.list_mille = 0,
-	.instances = 0,
+	.rollout_ms = 25000,
+	.retry_budget_permille = 200,
+	.retry_budget_slack = 18,
+	.retry_budget_window_ms = 10000,
+	.replicas = 3,
+	.list_calls_millihertz = 0,
+	.discover_instances = 0,
 	.link_kbps = 0,
 };
--- a/lib/core/kept.c
+++ b/lib/core/kept.c
@@ -4,91 +4,91 @@
 
 #include "ds.h"
 
-void kept_put(struct kept *k, uint64_t hash, const struct kept_copy *c)
+void prefix_index_put(struct prefix_index *k, uint64_t hash, const struct block_replica *replica)
 {
-	struct kept_row *r = hmgetp_null(k->h, hash);
-	struct kept_copy *v = NULL;
+	struct prefix_index_row *row = hmgetp_null(k->blocks, hash);
+	struct block_replica *v = NULL;
 
-	if (!r) {
-		hmput(k->h, hash, v);
-		r = hmgetp(k->h, hash);
+	if (!row) {
+		hmput(k->blocks, hash, v);
+		row = hmgetp(k->blocks, hash);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(r->value); i++)
-		if (r->value[i].server == c->server && r->value[i].maker == c->maker) {
-			r->value[i] = *c;
+	for (ptrdiff_t i = 0; i < arrlen(row->value); i++)
+		if (row->value[i].server_index == replica->server_index && row->value[i].tenant_index == replica->tenant_index) {
+			row->value[i] = *replica;
 			return;
 		}
-	arrput(r->value, *c);
-	k->n++;
+	arrput(row->value, *replica);
+	k->replica_count++;
 }
 
-struct kept_copy *kept_get(struct kept *k, uint64_t hash)
+struct block_replica *prefix_index_find(struct prefix_index *k, uint64_t hash)
 {
-	struct kept_row *r = k->h ? hmgetp_null(k->h, hash) : NULL;
+	struct prefix_index_row *row = k->blocks ? hmgetp_null(k->blocks, hash) : NULL;
 
-	return r ? r->value : NULL;
+	return row ? row->value : NULL;
 }
 
-void kept_drop(struct kept *k, int (*gone)(const void *, uint64_t, const struct kept_copy *), const void *ctx)
+void prefix_index_remove_if(struct prefix_index *k, int (*matches)(const void *, uint64_t, const struct block_replica *), const void *ctx)
 {
-	for (ptrdiff_t i = hmlen(k->h) - 1; i >= 0; i--) {
-		struct kept_row *r = &k->h[i];
+	for (ptrdiff_t i = hmlen(k->blocks) - 1; i >= 0; i--) {
+		struct prefix_index_row *row = &k->blocks[i];
 
-		for (ptrdiff_t j = arrlen(r->value) - 1; j >= 0; j--)
-			if (gone(ctx, r->key, &r->value[j])) {
-				arrdelswap(r->value, j);
-				k->n--;
+		for (ptrdiff_t j = arrlen(row->value) - 1; j >= 0; j--)
+			if (matches(ctx, row->key, &row->value[j])) {
+				arrdelswap(row->value, j);
+				k->replica_count--;
 			}
-		if (!arrlen(r->value)) {
-			uint64_t key = r->key;
+		if (!arrlen(row->value)) {
+			uint64_t key = row->key;
 
-			arrfree(r->value);
-			(void)hmdel(k->h, key);
+			arrfree(row->value);
+			(void)hmdel(k->blocks, key);
 		}
 	}
 }
 
-void kept_lose(struct kept *k, uint64_t hash, uint32_t server)
+void prefix_index_remove(struct prefix_index *k, uint64_t hash, uint32_t server_index)
 {
-	struct kept_row *r = k->h ? hmgetp_null(k->h, hash) : NULL;
+	struct prefix_index_row *row = k->blocks ? hmgetp_null(k->blocks, hash) : NULL;
 
-	if (!r)
+	if (!row)
 		return;
-	for (ptrdiff_t i = arrlen(r->value) - 1; i >= 0; i--)
-		if (r->value[i].server == server) {
-			arrdelswap(r->value, i);
-			k->n--;
+	for (ptrdiff_t i = arrlen(row->value) - 1; i >= 0; i--)
+		if (row->value[i].server_index == server_index) {
+			arrdelswap(row->value, i);
+			k->replica_count--;
 		}
-	if (!arrlen(r->value)) {
-		arrfree(r->value);
-		(void)hmdel(k->h, hash);
+	if (!arrlen(row->value)) {
+		arrfree(row->value);
+		(void)hmdel(k->blocks, hash);
 	}
 }
 
 struct sweep {
-	uint32_t server;
-	uint64_t seen;
+	uint32_t server_index;
+	uint64_t report_number;
 };
 
-static int swept(const void *ctx, uint64_t id, const struct kept_copy *c)
+static int is_unreported(const void *ctx, uint64_t block_hash, const struct block_replica *replica)
 {
-	const struct sweep *s = ctx;
+	const struct sweep *sweep = ctx;
 
-	(void)id;
-	return c->server == s->server && c->seen < s->seen;
+	(void)block_hash;
+	return replica->server_index == sweep->server_index && replica->report_number < sweep->report_number;
 }
 
-void kept_sweep(struct kept *k, uint32_t server, uint64_t seen)
+void prefix_index_remove_unreported(struct prefix_index *k, uint32_t server_index, uint64_t report_number)
 {
-	struct sweep s = { server, seen };
+	struct sweep sweep = { server_index, report_number };
 
-	kept_drop(k, swept, &s);
+	prefix_index_remove_if(k, is_unreported, &sweep);
 }
 
-void kept_clear(struct kept *k)
+void prefix_index_clear(struct prefix_index *k)
 {
-	for (ptrdiff_t i = 0; i < hmlen(k->h); i++)
-		arrfree(k->h[i].value);
-	hmfree(k->h);
-	k->n = 0;
+	for (ptrdiff_t i = 0; i < hmlen(k->blocks); i++)
+		arrfree(k->blocks[i].value);
+	hmfree(k->blocks);
+	k->replica_count = 0;
 }
--- a/lib/core/purge.c
+++ b/lib/core/purge.c
@@ -11,30 +11,30 @@
 {
 	size_t n = nl__value__get_packed_size(v);
 	uint8_t *d = malloc(n + 1);
-	struct Nl__Value *c;
+	struct Nl__Value *value;
 
 	if (!d)
 		abort();
 	nl__value__pack(v, d);
-	c = nl__value__unpack(NULL, n, d);
+	value = nl__value__unpack(NULL, n, d);
 	free(d);
-	if (!c || !c->purge)
+	if (!value || !value->purge)
 		abort(); /* a value is only made with its purge */
-	return c;
+	return value;
 }
 
-void value_free(struct Nl__Value *v) { nl__value__free_unpacked(v, NULL); }
+void value_free(struct Nl__Value *value) { nl__value__free_unpacked(value, NULL); }
 
 /* ---- know ----------------------------------------------------------------- */
 
-static ptrdiff_t value_at(const struct know *k, uint64_t tick)
+static ptrdiff_t value_position(const struct tick_knowledge *known, uint64_t tick)
 {
-	ptrdiff_t lo = 0, hi = arrlen(k->v);
+	ptrdiff_t lo = 0, hi = arrlen(known->values);
 
 	while (lo < hi) {
 		ptrdiff_t mid = (lo + hi) / 2;
 
-		if (k->v[mid]->tick < tick)
+		if (known->values[mid]->tick < tick)
 			lo = mid + 1;
 		else
 			hi = mid;
@@ -42,455 +42,455 @@
 	return lo;
 }
 
-int know_add(struct know *k, uint64_t a, uint64_t b, const struct Nl__Value *v)
+int knowledge_add(struct tick_knowledge *known, uint64_t first, uint64_t last, const struct Nl__Value *value)
 {
 	ptrdiff_t i, j;
-	uint64_t a0, b0;
+	uint64_t merged_first, merged_last;
 
-	if (a > b)
+	if (first > last)
 		return 0;
-	if (v && v->tick > k->released) {
-		i = value_at(k, v->tick);
-		if (i == arrlen(k->v) || k->v[i]->tick != v->tick)
-			arrins(k->v, i, value_copy(v));
+	if (value && value->tick > known->released) {
+		i = value_position(known, value->tick);
+		if (i == arrlen(known->values) || known->values[i]->tick != value->tick)
+			arrins(known->values, i, value_copy(value));
 	}
-	if (a <= k->horizon)
-		a = k->horizon + 1;
-	if (a > b)
+	if (first <= known->horizon)
+		first = known->horizon + 1;
+	if (first > last)
 		return 0;
-	for (i = 0; i < arrlen(k->ahead) && k->ahead[i].b + 1 < a; i++)
+	for (i = 0; i < arrlen(known->known_ranges) && known->known_ranges[i].last + 1 < first; i++)
 		;
-	a0 = a;
-	b0 = b;
-	if (i < arrlen(k->ahead) && k->ahead[i].a <= a && k->ahead[i].b >= b)
+	merged_first = first;
+	merged_last = last;
+	if (i < arrlen(known->known_ranges) && known->known_ranges[i].first <= first && known->known_ranges[i].last >= last)
 		return 0;
-	for (j = i; j < arrlen(k->ahead) && k->ahead[j].a <= b + 1; j++) {
-		if (k->ahead[j].a < a0)
-			a0 = k->ahead[j].a;
-		if (k->ahead[j].b > b0)
-			b0 = k->ahead[j].b;
+	for (j = i; j < arrlen(known->known_ranges) && known->known_ranges[j].first <= last + 1; j++) {
+		if (known->known_ranges[j].first < merged_first)
+			merged_first = known->known_ranges[j].first;
+		if (known->known_ranges[j].last > merged_last)
+			merged_last = known->known_ranges[j].last;
 	}
 	if (j > i)
-		arrdeln(k->ahead, (size_t)i, (size_t)(j - i));
-	arrins(k->ahead, i, ((struct tick_range){ a0, b0 }));
-	if (k->ahead[0].a == k->horizon + 1) {
-		k->horizon = k->ahead[0].b;
-		arrdel(k->ahead, 0);
+		arrdeln(known->known_ranges, (size_t)i, (size_t)(j - i));
+	arrins(known->known_ranges, i, ((struct tick_range){ merged_first, merged_last }));
+	if (known->known_ranges[0].first == known->horizon + 1) {
+		known->horizon = known->known_ranges[0].last;
+		arrdel(known->known_ranges, 0);
 	}
 	return 1;
 }
 
-uint64_t know_reach(const struct know *k) { return arrlen(k->ahead) ? arrlast(k->ahead).b : k->horizon; }
+uint64_t knowledge_reach(const struct tick_knowledge *known) { return arrlen(known->known_ranges) ? arrlast(known->known_ranges).last : known->horizon; }
 
-int know_gaps(const struct know *k, struct tick_range *r, int n)
+int knowledge_gaps(const struct tick_knowledge *known, struct tick_range *tick_range, int max_count)
 {
-	uint64_t a = k->horizon + 1;
-	int m = 0;
+	uint64_t first = known->horizon + 1;
+	int count = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(k->ahead) && m < n; i++) {
-		r[m++] = (struct tick_range){ a, k->ahead[i].a - 1 };
-		a = k->ahead[i].b + 1;
+	for (ptrdiff_t i = 0; i < arrlen(known->known_ranges) && count < max_count; i++) {
+		tick_range[count++] = (struct tick_range){ first, known->known_ranges[i].first - 1 };
+		first = known->known_ranges[i].last + 1;
 	}
-	return m;
+	return count;
 }
 
 /* A known run [a, b]: each value takes the silence before it along, the rest is silence after. */
-static void tell_run(const struct know *k, uint64_t a, uint64_t b, struct Nl__Knowledge *m, struct out *o)
+static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct out *out)
 {
-	for (ptrdiff_t i = value_at(k, a); a <= b; i++) {
-		struct Nl__Increment *inc = OUT_NEW(o, Nl__Increment, NL__INCREMENT__INIT);
-		struct Nl__Increment **v = apr_palloc(o->p, (m->n_inc + 1) * sizeof *v);
-		uint64_t end = b;
-
-		if (i < arrlen(k->v) && k->v[i]->tick <= b) {
-			inc->value = (struct Nl__Value *)core_dup(o->p, &k->v[i]->base);
-			if (i + 1 < arrlen(k->v) && k->v[i + 1]->tick <= b)
-				end = k->v[i]->tick;
+	for (ptrdiff_t i = value_position(known, first); first <= last; i++) {
+		struct Nl__Increment *inc = OUT_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
+		struct Nl__Increment **increment = apr_palloc(out->pool, (knowledge->n_inc + 1) * sizeof *increment);
+		uint64_t end = last;
+
+		if (i < arrlen(known->values) && known->values[i]->tick <= last) {
+			inc->value = (struct Nl__Value *)core_copy_message(out->pool, &known->values[i]->base);
+			if (i + 1 < arrlen(known->values) && known->values[i + 1]->tick <= last)
+				end = known->values[i]->tick;
 		}
-		inc->a = a;
+		inc->a = first;
 		inc->b = end;
-		if (m->n_inc)
-			memcpy(v, m->inc, m->n_inc * sizeof *v);
-		v[m->n_inc++] = inc;
-		m->inc = v;
-		a = end + 1;
+		if (knowledge->n_inc)
+			memcpy(increment, knowledge->inc, knowledge->n_inc * sizeof *increment);
+		increment[knowledge->n_inc++] = inc;
+		knowledge->inc = increment;
+		first = end + 1;
 	}
 }
 
-int know_tell(const struct know *k, uint64_t a, uint64_t b, struct Nl__Knowledge *m, struct out *o)
+int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct out *out)
 {
-	if (a <= k->released)
+	if (first <= known->released)
 		return 0;
-	if (a <= k->horizon)
-		tell_run(k, a, b < k->horizon ? b : k->horizon, m, o);
-	for (ptrdiff_t i = 0; i < arrlen(k->ahead); i++) {
-		uint64_t x = k->ahead[i].a > a ? k->ahead[i].a : a;
-		uint64_t y = k->ahead[i].b < b ? k->ahead[i].b : b;
-
-		if (x <= y)
-			tell_run(k, x, y, m, o);
+	if (first <= known->horizon)
+		append_run(known, first, last < known->horizon ? last : known->horizon, knowledge, out);
+	for (ptrdiff_t i = 0; i < arrlen(known->known_ranges); i++) {
+		uint64_t range_first = known->known_ranges[i].first > first ? known->known_ranges[i].first : first;
+		uint64_t range_last = known->known_ranges[i].last < last ? known->known_ranges[i].last : last;
+
+		if (range_first <= range_last)
+			append_run(known, range_first, range_last, knowledge, out);
 	}
 	return 1;
 }
 
-void know_release(struct know *k, uint64_t upto)
+void knowledge_release(struct tick_knowledge *known, uint64_t upto)
 {
 	ptrdiff_t n;
 
-	if (upto > k->horizon)
-		upto = k->horizon;
-	if (upto <= k->released)
+	if (upto > known->horizon)
+		upto = known->horizon;
+	if (upto <= known->released)
 		return;
-	n = value_at(k, upto + 1);
+	n = value_position(known, upto + 1);
 	for (ptrdiff_t i = 0; i < n; i++)
-		value_free(k->v[i]);
+		value_free(known->values[i]);
 	if (n)
-		arrdeln(k->v, 0, (size_t)n);
-	k->released = upto;
+		arrdeln(known->values, 0, (size_t)n);
+	known->released = upto;
 }
 
-void know_clear(struct know *k)
+void knowledge_clear(struct tick_knowledge *known)
 {
-	for (ptrdiff_t i = 0; i < arrlen(k->v); i++)
-		value_free(k->v[i]);
-	arrfree(k->v);
-	arrfree(k->ahead);
-	memset(k, 0, sizeof *k);
+	for (ptrdiff_t i = 0; i < arrlen(known->values); i++)
+		value_free(known->values[i]);
+	arrfree(known->values);
+	arrfree(known->known_ranges);
+	memset(known, 0, sizeof *known);
 }
 
 /* ---- view ----------------------------------------------------------------- */
 
-static uint64_t subject(uint32_t why, const char *a, const char *b) { return core_hashs(core_hashs(why, a), b); }
+static uint64_t subject(uint32_t why, const char *name, const char *detail) { return core_hash_string(core_hash_string(why, name), detail); }
 
-uint64_t view_subject(const struct Nl__Purge *p)
+uint64_t purge_subject(const struct Nl__Purge *purge)
 {
-	switch (p->why) {
-	case PURGE_WEIGHTS: return subject(PURGE_WEIGHTS, p->service, p->weights);
-	case PURGE_TENANT: return subject(PURGE_TENANT, p->tenant, "");
-	case PURGE_CONTEXT: return core_rdv(subject(PURGE_CONTEXT, p->lane, p->tenant), p->slice);
-	default: return subject(PURGE_SERVER, p->server, "");
+	switch (purge->why) {
+	case PURGE_WEIGHTS: return subject(PURGE_WEIGHTS, purge->service, purge->weights);
+	case PURGE_TENANT: return subject(PURGE_TENANT, purge->tenant, "");
+	case PURGE_CONTEXT: return core_rendezvous_weight(subject(PURGE_CONTEXT, purge->lane, purge->tenant), purge->slice);
+	default: return subject(PURGE_SERVER, purge->server, "");
 	}
 }
 
-void view_apply(struct view *w, const struct Nl__Value *v)
+void purge_view_apply(struct view *view, const struct Nl__Value *value)
 {
-	uint64_t key = view_subject(v->purge);
-	struct view_row *r = hmgetp_null(w->h, key);
+	uint64_t key = purge_subject(value->purge);
+	struct purge_view_row *row = hmgetp_null(view->subjects, key);
 
-	if (r && r->value->tick >= v->tick)
+	if (row && row->value->tick >= value->tick)
 		return;
-	if (r && v->purge->why == PURGE_CONTEXT)
-		for (ptrdiff_t i = arrlen(w->clear) - 1; i >= 0; i--)
-			if (w->clear[i] == r->value)
-				arrdelswap(w->clear, i);
-	if (r)
-		value_free(r->value);
-	hmput(w->h, key, value_copy(v));
-	if (v->purge->why == PURGE_CONTEXT)
-		arrput(w->clear, hmget(w->h, key));
+	if (row && value->purge->why == PURGE_CONTEXT)
+		for (ptrdiff_t i = arrlen(view->context_purges) - 1; i >= 0; i--)
+			if (view->context_purges[i] == row->value)
+				arrdelswap(view->context_purges, i);
+	if (row)
+		value_free(row->value);
+	hmput(view->subjects, key, value_copy(value));
+	if (value->purge->why == PURGE_CONTEXT)
+		arrput(view->context_purges, hmget(view->subjects, key));
 }
 
 static int gone(const struct view *w, uint64_t key, uint64_t stamp)
 {
-	struct view_row *h = w->h;
-	ptrdiff_t i = hmgeti(h, key);
+	struct purge_view_row *row = w->subjects;
+	ptrdiff_t i = hmgeti(row, key);
 
-	return i >= 0 && stamp < h[i].value->tick;
+	return i >= 0 && stamp < row[i].value->tick;
 }
 
-int view_allows(const struct view *w, const char *service, const char *weights, const char *maker, const char *server,
+int purge_view_allows(const struct view *view, const char *service, const char *weights, const char *tenant, const char *server,
 		uint64_t stamp)
 {
-	if (!w->h)
+	if (!view->subjects)
 		return 1;
-	return !gone(w, subject(PURGE_WEIGHTS, service, weights), stamp) && !gone(w, subject(PURGE_TENANT, maker, ""), stamp) &&
-	       !gone(w, subject(PURGE_SERVER, server, ""), stamp);
+	return !gone(view, subject(PURGE_WEIGHTS, service, weights), stamp) && !gone(view, subject(PURGE_TENANT, tenant, ""), stamp) &&
+	       !gone(view, subject(PURGE_SERVER, server, ""), stamp);
 }
 
-int view_keeps(const struct view *w, const char *service, const char *maker, uint64_t id, uint64_t stamp)
+int purge_view_keeps_context(const struct view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp)
 {
-	for (ptrdiff_t i = 0; i < arrlen(w->clear); i++) {
-		const struct Nl__Purge *p = w->clear[i]->purge;
+	for (ptrdiff_t i = 0; i < arrlen(view->context_purges); i++) {
+		const struct Nl__Purge *purge = view->context_purges[i]->purge;
 
-		if (stamp < w->clear[i]->tick && p->slice == PURGE_SLICE(id) && (!p->tenant[0] || !strcmp(p->tenant, maker)) &&
-		    (!p->service[0] || !strcmp(p->service, service)))
+		if (stamp < view->context_purges[i]->tick && purge->slice == PURGE_SLICE(block_hash) && (!purge->tenant[0] || !strcmp(purge->tenant, tenant)) &&
+		    (!purge->service[0] || !strcmp(purge->service, service)))
 			return 0;
 	}
 	return 1;
 }
 
-uint64_t view_tick(const struct view *w, uint32_t why, const char *a, const char *b)
+uint64_t purge_view_tick(const struct view *view, uint32_t why, const char *name, const char *weights)
 {
-	struct view_row *h = w->h;
-	ptrdiff_t i = h ? hmgeti(h, subject(why, a, b)) : -1;
+	struct purge_view_row *row = view->subjects;
+	ptrdiff_t i = row ? hmgeti(row, subject(why, name, weights)) : -1;
 
-	return i < 0 ? 0 : h[i].value->tick;
+	return i < 0 ? 0 : row[i].value->tick;
 }
 
-void view_clear(struct view *w)
+void purge_view_clear(struct view *view)
 {
-	for (ptrdiff_t i = 0; i < hmlen(w->h); i++)
-		value_free(w->h[i].value);
-	hmfree(w->h);
-	arrfree(w->clear);
+	for (ptrdiff_t i = 0; i < hmlen(view->subjects); i++)
+		value_free(view->subjects[i].value);
+	hmfree(view->subjects);
+	arrfree(view->context_purges);
 }
 
 /* ---- relay ---------------------------------------------------------------- */
 
-void relay_open(struct relay *r, int64_t now)
+void relay_open(struct relay *relay, int64_t now)
 {
-	memset(r, 0, sizeof *r);
-	r->born = r->up_tried = now;
-	r->moved = r->known_at = now - PURGE_STALE - 1; /* nothing is current before the first knowledge */
+	memset(relay, 0, sizeof *relay);
+	relay->opened_at_ms = relay->upstream_tried_at_ms = now;
+	relay->horizon_moved_at_ms = relay->known_at_ms = now - PURGE_MAX_STALENESS_MS - 1; /* nothing is current before the first knowledge */
 }
 
-void relay_close(struct relay *r)
+void relay_close(struct relay *relay)
 {
-	know_clear(&r->k);
-	view_clear(&r->w);
-	arrfree(r->down);
-	arrfree(r->up);
+	knowledge_clear(&relay->knowledge);
+	purge_view_clear(&relay->view);
+	arrfree(relay->downstreams);
+	arrfree(relay->upstreams);
 }
 
-void relay_up(struct relay *r, const uint64_t *up, size_t n, uint64_t log, int64_t now)
+void relay_set_upstreams(struct relay *relay, const uint64_t *upstreams, size_t count, uint64_t log_addr, int64_t now)
 {
-	size_t want = n + (log != 0);
-	int same = (size_t)arrlen(r->up) == want;
+	size_t new_count = count + (log_addr != 0);
+	int same = (size_t)arrlen(relay->upstreams) == new_count;
 
-	for (size_t i = 0; same && i < want; i++)
-		same = r->up[i] == (i < n ? up[i] : log);
+	for (size_t i = 0; same && i < new_count; i++)
+		same = relay->upstreams[i] == (i < count ? upstreams[i] : log_addr);
 	if (same)
 		return;
-	arrsetlen(r->up, 0);
-	for (size_t i = 0; i < n; i++)
-		arrput(r->up, up[i]);
-	if (log)
-		arrput(r->up, log);
-	r->up_at = 0;
-	r->up_tried = now;
-	r->asked = 0; /* speak to the new upstream at once */
+	arrsetlen(relay->upstreams, 0);
+	for (size_t i = 0; i < count; i++)
+		arrput(relay->upstreams, upstreams[i]);
+	if (log_addr)
+		arrput(relay->upstreams, log_addr);
+	relay->upstream_position = 0;
+	relay->upstream_tried_at_ms = now;
+	relay->requested_at_ms = 0; /* speak to the new upstream at once */
 }
 
-uint64_t relay_taken(const struct relay *r)
+uint64_t relay_acknowledged_tick(const struct relay *relay)
 {
-	uint64_t t = r->k.horizon;
+	uint64_t tick = relay->knowledge.horizon;
 
-	for (ptrdiff_t i = 0; i < arrlen(r->down); i++)
-		if (r->down[i].taken < t)
-			t = r->down[i].taken;
-	return t;
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++)
+		if (relay->downstreams[i].acknowledged_tick < tick)
+			tick = relay->downstreams[i].acknowledged_tick;
+	return tick;
 }
 
-int relay_current(const struct relay *r, int64_t now) { return r->fresh && now - r->known_at < PURGE_STALE; }
+int relay_is_current(const struct relay *relay, int64_t now) { return relay->has_knowledge && now - relay->known_at_ms < PURGE_MAX_STALENESS_MS; }
 
-static uint32_t age(const struct relay *r, int64_t now)
+static uint32_t age(const struct relay *relay, int64_t now)
 {
-	int64_t ms = now - r->known_at;
+	int64_t ms = now - relay->known_at_ms;
 
 	return ms < 0 ? 0 : ms > INT32_MAX ? INT32_MAX : (uint32_t)ms;
 }
 
 /* Tell each downstream what is new above what it has. */
-static void pass_on(struct relay *r, uint64_t a, uint64_t b, int64_t now, struct out *o)
+static void forward_request(struct relay *r, uint64_t first, uint64_t last, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(r->down); i++) {
-		struct Nl__Knowledge *m = OUT_NEW(o, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+	for (ptrdiff_t i = 0; i < arrlen(r->downstreams); i++) {
+		struct Nl__Knowledge *m = OUT_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
 
-		if (!know_tell(&r->k, a, b, m, o) || !m->n_inc)
+		if (!knowledge_append(&r->knowledge, first, last, m, out) || !m->n_inc)
 			continue;
 		m->age = age(r, now);
-		m->asked = r->down[i].asked;
-		out_msg(o, r->down[i].addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = m;
-		r->n_inc += m->n_inc;
+		m->asked = r->downstreams[i].request_clock_ms;
+		command_send(out, r->downstreams[i].addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = m;
+		r->increments_sent += m->n_inc;
 	}
 }
 
 /* When what a message says held, on our clock and at the latest. It was told after we asked, and was so old then. What lay
  * in a buffer while a link was cut or this process stood still names an asking from before, and is no news. */
-static int64_t known_since(int64_t asked, uint32_t age, int64_t now) { return asked > 0 && asked <= now ? asked - age : 0; }
+static int64_t known_as_of(int64_t request_clock_ms, uint32_t age_ms, int64_t now) { return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0; }
 
 /* moved: when its teller's horizon moved, as far as messages take no time; known_at: the same, timed from our asking. */
-static int learn(struct relay *r, uint64_t a, uint64_t b, const struct Nl__Value *v, int64_t moved, int64_t known_at)
+static int learn(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t horizon_moved_at_ms, int64_t known_at_ms)
 {
-	uint64_t h = r->k.horizon;
+	uint64_t old_horizon = relay->knowledge.horizon;
 	int is_new;
 
-	if (v) {
-		view_apply(&r->w, v);
-		if (r->on_value)
-			r->on_value(r->ctx, v);
+	if (value) {
+		purge_view_apply(&relay->view, value);
+		if (relay->on_value)
+			relay->on_value(relay->context, value);
 	}
-	is_new = know_add(&r->k, a, b, v);
-	if (r->k.horizon > h) {
-		r->moved = moved > r->moved ? moved : r->moved;
-		r->known_at = known_at > r->known_at ? known_at : r->known_at;
-		r->fresh = 1;
+	is_new = knowledge_add(&relay->knowledge, first, last, value);
+	if (relay->knowledge.horizon > old_horizon) {
+		relay->horizon_moved_at_ms = horizon_moved_at_ms > relay->horizon_moved_at_ms ? horizon_moved_at_ms : relay->horizon_moved_at_ms;
+		relay->known_at_ms = known_at_ms > relay->known_at_ms ? known_at_ms : relay->known_at_ms;
+		relay->has_knowledge = 1;
 	}
 	return is_new;
 }
 
-void relay_publish(struct relay *r, uint64_t a, uint64_t b, const struct Nl__Value *v, int64_t now, struct out *o)
+void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct out *out)
 {
-	if (learn(r, a, b, v, now, now))
-		pass_on(r, a, b, now, o);
+	if (learn(relay, first, last, value, now, now))
+		forward_request(relay, first, last, now, out);
 }
 
-static void on_knowledge(struct relay *r, const struct Nl__Knowledge *m, int64_t now, struct out *o)
+static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now, struct out *out)
 {
-	for (size_t i = 0; i < m->n_inc; i++) {
-		const struct Nl__Increment *c = m->inc[i];
+	for (size_t i = 0; i < knowledge->n_inc; i++) {
+		const struct Nl__Increment *increment = knowledge->inc[i];
 
-		if (c->a > c->b || (c->value && (!c->value->purge || c->value->tick < c->a || c->value->tick > c->b)))
+		if (increment->a > increment->b || (increment->value && (!increment->value->purge || increment->value->tick < increment->a || increment->value->tick > increment->b)))
 			continue;
-		if (learn(r, c->a, c->b, c->value, now - m->age, known_since(m->asked, m->age, now)))
-			pass_on(r, c->a, c->b, now, o);
+		if (learn(relay, increment->a, increment->b, increment->value, now - knowledge->age, known_as_of(knowledge->asked, knowledge->age, now)))
+			forward_request(relay, increment->a, increment->b, now, out);
 	}
 }
 
-static void on_snap(struct relay *r, const struct Nl__PurgeSnap *s, int64_t now, struct out *o)
+static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnap *purge_snap, int64_t now, struct out *out)
 {
-	for (size_t i = 0; i < s->n_last; i++)
-		if (s->last[i]->purge) {
-			view_apply(&r->w, s->last[i]);
-			if (r->on_value)
-				r->on_value(r->ctx, s->last[i]);
+	for (size_t i = 0; i < purge_snap->n_last; i++)
+		if (purge_snap->last[i]->purge) {
+			purge_view_apply(&relay->view, purge_snap->last[i]);
+			if (relay->on_value)
+				relay->on_value(relay->context, purge_snap->last[i]);
 		}
-	if (s->upto <= r->k.horizon)
+	if (purge_snap->upto <= relay->knowledge.horizon)
 		return;
-	learn(r, r->k.horizon + 1, s->upto, NULL, now - s->age, known_since(s->asked, s->age, now));
+	learn(relay, relay->knowledge.horizon + 1, purge_snap->upto, NULL, now - purge_snap->age, known_as_of(purge_snap->asked, purge_snap->age, now));
 	/* the values themselves are not held here: those below must take a snapshot as well */
-	know_release(&r->k, s->upto);
-	pass_on(r, s->upto + 1, know_reach(&r->k), now, o);
+	knowledge_release(&relay->knowledge, purge_snap->upto);
+	forward_request(relay, purge_snap->upto + 1, knowledge_reach(&relay->knowledge), now, out);
 }
 
-static void send_snap(struct relay *r, uint64_t to, int64_t asked, int64_t now, struct out *o)
+static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms, int64_t now, struct out *out)
 {
-	struct Nl__PurgeSnap *s = OUT_NEW(o, Nl__PurgeSnap, NL__PURGE_SNAP__INIT);
-
-	s->upto = r->k.horizon;
-	s->age = age(r, now);
-	s->asked = asked;
-	s->last = apr_palloc(o->p, ((size_t)hmlen(r->w.h) + 1) * sizeof *s->last);
-	for (ptrdiff_t i = 0; i < hmlen(r->w.h); i++)
-		s->last[s->n_last++] = (struct Nl__Value *)core_dup(o->p, &r->w.h[i].value->base);
-	out_msg(o, to, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAP)->purge_snap = s;
+	struct Nl__PurgeSnap *purge_snap = OUT_NEW(out, Nl__PurgeSnap, NL__PURGE_SNAP__INIT);
+
+	purge_snap->upto = relay->knowledge.horizon;
+	purge_snap->age = age(relay, now);
+	purge_snap->asked = request_clock_ms;
+	purge_snap->last = apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *purge_snap->last);
+	for (ptrdiff_t i = 0; i < hmlen(relay->view.subjects); i++)
+		purge_snap->last[purge_snap->n_last++] = (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
+	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAP)->purge_snap = purge_snap;
 }
 
 /* Curiosity up: what is taken, and what is wanted if anything is. */
-static void ask_up(struct relay *r, int want, int64_t now, struct out *o)
+static void send_curiosity(struct relay *relay, int wants_ranges, int64_t now, struct out *out)
 {
 	struct tick_range gap[8];
-	size_t holders = (size_t)arrlen(r->up);
-	struct Nl__Curiosity *c;
-	int n;
+	size_t upstream_count = (size_t)arrlen(relay->upstreams);
+	struct Nl__Curiosity *curiosity;
+	int gap_count;
 
-	if (r->publisher || !holders)
+	if (relay->is_publisher || !upstream_count)
 		return;
-	want = want && !r->incurious;
-	n = want ? know_gaps(&r->k, gap, 8) : 0;
-	c = OUT_NEW(o, Nl__Curiosity, NL__CURIOSITY__INIT);
-	c->taken = relay_taken(r);
-	c->reach = know_reach(&r->k);
-	c->snap = !r->fresh;
-	c->asked = now;
-	c->want = apr_palloc(o->p, 9 * sizeof *c->want);
-	if (want && n < 8) /* and all above what is known at all */
-		gap[n++] = (struct tick_range){ c->reach + 1, UINT64_MAX };
-	for (int i = 0; i < n; i++) {
-		c->want[i] = OUT_NEW(o, Nl__Range, NL__RANGE__INIT);
-		c->want[i]->a = gap[i].a;
-		c->want[i]->b = gap[i].b;
-		c->n_want++;
+	wants_ranges = wants_ranges && !relay->curiosity_disabled;
+	gap_count = wants_ranges ? knowledge_gaps(&relay->knowledge, gap, 8) : 0;
+	curiosity = OUT_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
+	curiosity->taken = relay_acknowledged_tick(relay);
+	curiosity->reach = knowledge_reach(&relay->knowledge);
+	curiosity->snap = !relay->has_knowledge;
+	curiosity->asked = now;
+	curiosity->want = apr_palloc(out->pool, 9 * sizeof *curiosity->want);
+	if (wants_ranges && gap_count < 8) /* and all above what is known at all */
+		gap[gap_count++] = (struct tick_range){ curiosity->reach + 1, UINT64_MAX };
+	for (int i = 0; i < gap_count; i++) {
+		curiosity->want[i] = OUT_NEW(out, Nl__Range, NL__RANGE__INIT);
+		curiosity->want[i]->a = gap[i].first;
+		curiosity->want[i]->b = gap[i].last;
+		curiosity->n_want++;
 	}
-	r->asked = now;
-	out_msg(o, r->up[r->up_at % holders], SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = c;
+	relay->requested_at_ms = now;
+	command_send(out, relay->upstreams[relay->upstream_position % upstream_count], SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = curiosity;
 }
 
-static void on_curiosity(struct relay *r, const struct Nl__Msg *msg, int64_t now, struct out *o)
+static void on_curiosity(struct relay *relay, const struct Nl__Msg *msg, int64_t now, struct out *out)
 {
-	const struct Nl__Curiosity *c = msg->curiosity;
-	struct Nl__Knowledge *m = OUT_NEW(o, Nl__Knowledge, NL__KNOWLEDGE__INIT);
-	struct relay_down *d = NULL;
-	int unknown = 0, told = 1;
+	const struct Nl__Curiosity *curiosity = msg->curiosity;
+	struct Nl__Knowledge *knowledge = OUT_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+	struct relay_downstream *relay_down = NULL;
+	int has_unknown = 0, complete = 1;
 
-	if (!r->fresh)
+	if (!relay->has_knowledge)
 		return; /* knows nothing itself yet */
-	for (ptrdiff_t i = 0; i < arrlen(r->down); i++)
-		if (r->down[i].id == msg->id)
-			d = &r->down[i];
-	if (!d) {
-		struct relay_down nd = { msg->id, msg->addr, 0, now, 0, 0, 0 };
-
-		arrput(r->down, nd);
-		d = &arrlast(r->down);
-		d->taken = c->taken;
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++)
+		if (relay->downstreams[i].id == msg->id)
+			relay_down = &relay->downstreams[i];
+	if (!relay_down) {
+		struct relay_downstream nd = { msg->id, msg->addr, 0, now, 0, 0, 0 };
+
+		arrput(relay->downstreams, nd);
+		relay_down = &arrlast(relay->downstreams);
+		relay_down->acknowledged_tick = curiosity->taken;
 	}
-	d->heard = now;
-	d->asked = c->asked;
-	d->addr = msg->addr;
-	if (c->taken > d->taken)
-		d->taken = c->taken;
-	if (c->snap || c->taken < r->k.released) {
-		send_snap(r, msg->addr, c->asked, now, o);
+	relay_down->last_contact_at_ms = now;
+	relay_down->request_clock_ms = curiosity->asked;
+	relay_down->addr = msg->addr;
+	if (curiosity->taken > relay_down->acknowledged_tick)
+		relay_down->acknowledged_tick = curiosity->taken;
+	if (curiosity->snap || curiosity->taken < relay->knowledge.released) {
+		send_purge_snapshot(relay, msg->addr, curiosity->asked, now, out);
 		return;
 	}
-	for (size_t i = 0; i < c->n_want; i++) {
-		uint64_t b = c->want[i]->b < know_reach(&r->k) ? c->want[i]->b : know_reach(&r->k);
+	for (size_t i = 0; i < curiosity->n_want; i++) {
+		uint64_t last = curiosity->want[i]->b < knowledge_reach(&relay->knowledge) ? curiosity->want[i]->b : knowledge_reach(&relay->knowledge);
 
-		if (c->want[i]->a <= b)
-			told &= know_tell(&r->k, c->want[i]->a, b, m, o);
-		unknown |= c->want[i]->b > r->k.horizon;
+		if (curiosity->want[i]->a <= last)
+			complete &= knowledge_append(&relay->knowledge, curiosity->want[i]->a, last, knowledge, out);
+		has_unknown |= curiosity->want[i]->b > relay->knowledge.horizon;
 	}
-	if (!told)
-		send_snap(r, msg->addr, c->asked, now, o);
-	else if (m->n_inc) {
-		m->age = age(r, now);
-		m->asked = c->asked;
-		out_msg(o, msg->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = m;
+	if (!complete)
+		send_purge_snapshot(relay, msg->addr, curiosity->asked, now, out);
+	else if (knowledge->n_inc) {
+		knowledge->age = age(relay, now);
+		knowledge->asked = curiosity->asked;
+		command_send(out, msg->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = knowledge;
 	}
 	/* pass the question further up, unless it was asked lately */
-	if (unknown && !m->n_inc && now - r->asked >= PURGE_ACK)
-		ask_up(r, 1, now, o);
+	if (has_unknown && !knowledge->n_inc && now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+		send_curiosity(relay, 1, now, out);
 }
 
-void relay_msg(struct relay *r, const struct Nl__Msg *m, int64_t now, struct out *o)
+void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	switch (m->body_case) {
+	switch (message->body_case) {
 	case NL__MSG__BODY_KNOWLEDGE:
-		r->heard = now;
-		if (!r->publisher && r->fresh)
-			on_knowledge(r, m->knowledge, now, o);
+		relay->received_at_ms = now;
+		if (!relay->is_publisher && relay->has_knowledge)
+			on_knowledge(relay, message->knowledge, now, out);
 		break;
 	case NL__MSG__BODY_PURGE_SNAP:
-		r->heard = now;
-		if (!r->publisher)
-			on_snap(r, m->purge_snap, now, o);
+		relay->received_at_ms = now;
+		if (!relay->is_publisher)
+			on_purge_snapshot(relay, message->purge_snap, now, out);
 		break;
-	case NL__MSG__BODY_CURIOSITY: on_curiosity(r, m, now, o); break;
+	case NL__MSG__BODY_CURIOSITY: on_curiosity(relay, message, now, out); break;
 	default: break;
 	}
 }
 
-void relay_tick(struct relay *r, int64_t now, struct out *o)
+void relay_tick(struct relay *relay, int64_t now, struct out *out)
 {
 	struct tick_range gap[1];
-	int want;
+	int wants_ranges;
 
-	for (ptrdiff_t i = arrlen(r->down) - 1; i >= 0; i--)
-		if (now - r->down[i].heard > PURGE_DOWN)
-			arrdel(r->down, (size_t)i); /* its lease lapsed: it must take a snapshot */
+	for (ptrdiff_t i = arrlen(relay->downstreams) - 1; i >= 0; i--)
+		if (now - relay->downstreams[i].last_contact_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
+			arrdel(relay->downstreams, (size_t)i); /* its lease lapsed: it must take a snapshot */
 	/* a new holder does not know yet who is below it: nothing goes before all had time to speak */
-	if (now - r->born > PURGE_DOWN)
-		know_release(&r->k, relay_taken(r));
-	if (r->publisher)
+	if (now - relay->opened_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
+		knowledge_release(&relay->knowledge, relay_acknowledged_tick(relay));
+	if (relay->is_publisher)
 		return;
-	want = !r->fresh || now - r->moved >= PURGE_STALL || know_gaps(&r->k, gap, 1);
-	if (now - r->asked >= PURGE_ACK)
-		ask_up(r, want, now, o);
+	wants_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS || knowledge_gaps(&relay->knowledge, gap, 1);
+	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+		send_curiosity(relay, wants_ranges, now, out);
 	/* no step for a stall period: the next holder, last the log */
-	if (now - r->moved >= 2 * PURGE_STALL && now - r->up_tried >= PURGE_STALL && arrlen(r->up)) {
-		r->up_at = (r->up_at + 1) % (size_t)arrlen(r->up);
-		r->up_tried = now;
-		r->asked = 0;
+	if (now - relay->horizon_moved_at_ms >= 2 * PURGE_STALL_MS && now - relay->upstream_tried_at_ms >= PURGE_STALL_MS && arrlen(relay->upstreams)) {
+		relay->upstream_position = (relay->upstream_position + 1) % (size_t)arrlen(relay->upstreams);
+		relay->upstream_tried_at_ms = now;
+		relay->requested_at_ms = 0;
 	}
 }
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -10,19 +10,19 @@
 uint64_t raft_last_index(const struct raft *raft);
 
 /* The entry at an index, or NULL when it is not held. */
-struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t i);
+struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t index);
 
 /* The term of an index that is held or is the snapshot's; else 0. */
-uint64_t raft_term_at(const struct raft *raft, uint64_t i);
+uint64_t raft_term_at(const struct raft *raft, uint64_t index);
 
 /* A copy on the heap with room for one more byte; never NULL. */
-uint8_t *raft_copy_bytes(const uint8_t *d, size_t n);
+uint8_t *raft_copy_bytes(const uint8_t *data, size_t size);
 
 /* Something has to be synced: entries from an index on, or with 0 the term and vote alone. */
 void raft_mark_dirty(struct raft *raft, uint64_t from);
 
 /* Append one entry; it is synced by the next raft_flush. */
-void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *d, size_t n);
+void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size);
 
 /* Drop the entries from an index on; they conflict with the leader's log. */
 void raft_truncate_from(struct raft *raft, uint64_t from);
@@ -36,19 +36,19 @@
 int raft_voter_count(const struct raft *raft);
 
 /* Put the packed members entry of an index in force, keeping what is known of members that stay. */
-void raft_set_members(struct raft *raft, const uint8_t *d, size_t n, uint64_t index);
+void raft_set_members(struct raft *raft, const uint8_t *packed, size_t size, uint64_t index);
 
 /* After a truncation or a load: put the newest members entry that is left in force. */
 void raft_reload_members(struct raft *raft);
 
 /* The packed members in force at an index: what a snapshot at that index carries. */
-void raft_members_in_force(struct raft *raft, uint64_t i, const uint8_t **d, size_t *n);
+void raft_members_in_force(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size);
 
 /* Whether packed members can be a group's: each once, with identity and address, and at least one that votes. */
-int raft_members_valid(const uint8_t *d, size_t n);
+int raft_members_valid(const uint8_t *packed, size_t size);
 
 /* Members packed as a log entry holds them; the caller frees the result. */
-uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *m, int n, size_t *len);
+uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *member, int count, size_t *len);
 
 /* ---- elections (raft_election.c) ---- */
 
@@ -65,31 +65,31 @@
 int raft_sync_stalled(const struct raft *raft, int64_t now);
 
 /* Ask all voters for their vote, or with `pre` whether they would give it. */
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct out *o);
+void raft_request_votes(struct raft *raft, int pre, int64_t now, struct out *out);
 
 /* Become candidate or leader once a majority has granted. */
-void raft_count_votes(struct raft *raft, int64_t now, struct out *o);
+void raft_count_votes(struct raft *raft, int64_t now, struct out *out);
 
 /* Answer a request for votes. */
-void raft_send_vote(struct raft *raft, uint64_t to, uint64_t term, int granted, int pre, struct out *o);
+void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct out *out);
 
 /* A candidate asks for this member's vote. */
-void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* A member answers a request for its vote. */
-void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* After a restart: ask the other members whether one of them leads. */
-void raft_send_probes(struct raft *raft, int64_t now, struct out *o);
+void raft_send_probes(struct raft *raft, int64_t now, struct out *out);
 
 /* Answer a restarted member. */
-void raft_on_probe(struct raft *raft, const struct Nl__Msg *m, struct out *o);
+void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct out *out);
 
 /* A member says whether it leads; once none does, the vote barrier ends early. */
-void raft_on_probe_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now);
+void raft_on_probe_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now);
 
 /* The leader has stepped down: its successor stands for election at once, the others soon. */
-void raft_on_give_up(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* ---- replication (raft_replication.c) ---- */
 
@@ -97,36 +97,36 @@
 void raft_advance_commit(struct raft *raft);
 
 /* Leader: send appends to members that lack entries, or with `all` a heartbeat to each. */
-void raft_replicate(struct raft *raft, int all, int64_t now, struct out *o);
+void raft_replicate(struct raft *raft, int all, int64_t now, struct out *out);
 
 /* Tell the leader up to which index this member has synced the leader's log. */
-void raft_send_append_reply(struct raft *raft, uint64_t to, int ok, uint64_t match, uint64_t round, struct out *o);
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct out *out);
 
 /* A message of a leader: 0 when its term is over; else follow it and set the vote barrier. */
-int raft_accept_leader(struct raft *raft, const struct Nl__Msg *m, uint64_t term, int64_t now);
+int raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now);
 
 /* Entries or a heartbeat of the leader. */
-void raft_on_append(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* A member answers an append or a snapshot. */
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* ---- snapshots (raft_snapshot.c) ---- */
 
 /* Leader: send pieces to a member whose next entry is no longer in the log, as far as the window allows. */
-void raft_send_snapshot(struct raft *raft, struct raft_member *m, int64_t now, struct out *o);
+void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct out *out);
 
 /* Leader: the member needs no snapshot any more. */
-void raft_end_transfer(struct raft *raft, struct raft_member *m);
+void raft_end_transfer(struct raft *raft, struct raft_member *member);
 
 /* Drop the snapshot before the newest when no transfer reads it. */
 void raft_release_previous(struct raft *raft);
 
 /* A piece of the leader's snapshot; the whole is installed in place of all state up to its index. */
-void raft_on_snapshot_piece(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* A member says how much of a snapshot it holds. */
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* Forget the pieces that have come. */
 void raft_drop_incoming(struct raft *raft);
@@ -134,18 +134,18 @@
 /* ---- protocol checks (raft_validate.c) ---- */
 
 /* Why a message cannot come from a member that keeps to the protocol, or NULL. */
-const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *m);
+const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *message);
 
 /* ---- leaving and handing over (raft_transfer.c) ---- */
 
 /* Leader: a member has said whether it is to stop. */
-void raft_note_leaving(struct raft *raft, struct raft_member *member, int leaving);
+void raft_note_draining(struct raft *raft, struct raft_member *member, int draining);
 
 /* Leader: a commit without a majority that stays rests on the copies of leaving members; they are held until others have it. */
 void raft_note_commit(struct raft *raft);
 
 /* Leader: whether those who stay, and have synced an entry of this term, are a majority by themselves. */
-void raft_count_staying(struct raft *raft, int64_t now);
+void raft_count_remaining(struct raft *raft, int64_t now);
 
 /* The index up to which a voter counts towards commits: none for one that leaves where the others suffice, or that may have
  * gone. */
@@ -158,12 +158,12 @@
 uint64_t raft_successor(const struct raft *raft, int64_t now);
 
 /* A leaving leader steps down once its successor has caught up, or after a while; 1 when it has. */
-int raft_hand_over(struct raft *raft, int64_t now, struct out *o);
+int raft_hand_over(struct raft *raft, int64_t now, struct out *out);
 
 /* ---- epochs (raft_recovery.c) ---- */
 
 /* Whether a message is of this member's epoch. Tells its sender, or this member itself, when one is of an older epoch. */
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o);
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
 
 /* Remember an identity of an older epoch; the next members entry carries it. */
 void raft_add_fenced(struct raft *raft, uint64_t id);
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -7,29 +7,29 @@
 
 #include "ds.h"
 
-uint64_t raft_last_index(const struct raft *raft) { return raft->base + (uint64_t)arrlen(raft->log); }
+uint64_t raft_last_index(const struct raft *raft) { return raft->base_index + (uint64_t)arrlen(raft->log); }
 
-struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t i)
+struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t index)
 {
-	return i > raft->base && i <= raft_last_index(raft) ? &raft->log[i - raft->base - 1] : NULL;
+	return index > raft->base_index && index <= raft_last_index(raft) ? &raft->log[index - raft->base_index - 1] : NULL;
 }
 
-uint64_t raft_term_at(const struct raft *raft, uint64_t i)
+uint64_t raft_term_at(const struct raft *raft, uint64_t index)
 {
-	struct raft_entry *e = raft_entry_at(raft, i);
+	struct raft_entry *entry = raft_entry_at(raft, index);
 
-	return e ? e->term : i == raft->base ? raft->base_term : i == raft->snapshot_index ? raft->snapshot_term : 0;
+	return entry ? entry->term : index == raft->base_index ? raft->base_term : index == raft->snapshot_index ? raft->snapshot_term : 0;
 }
 
-uint8_t *raft_copy_bytes(const uint8_t *d, size_t n)
+uint8_t *raft_copy_bytes(const uint8_t *data, size_t size)
 {
-	uint8_t *c = malloc(n + 1);
+	uint8_t *copy = malloc(size + 1);
 
-	if (!c)
+	if (!copy)
 		abort();
-	if (n)
-		memcpy(c, d, n);
-	return c;
+	if (size)
+		memcpy(copy, data, size);
+	return copy;
 }
 
 void raft_mark_dirty(struct raft *raft, uint64_t from)
@@ -39,11 +39,11 @@
 		raft->dirty_from = from;
 }
 
-void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *d, size_t n)
+void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size)
 {
-	struct raft_entry e = { term, kind, n, raft_copy_bytes(d, n) };
+	struct raft_entry entry = { term, kind, size, raft_copy_bytes(data, size) };
 
-	arrput(raft->log, e);
+	arrput(raft->log, entry);
 	raft_mark_dirty(raft, raft_last_index(raft));
 }
 
@@ -51,28 +51,28 @@
 {
 	for (uint64_t i = from; i <= raft_last_index(raft); i++)
 		free(raft_entry_at(raft, i)->data);
-	arrsetlen(raft->log, (size_t)(from - raft->base - 1));
-	if (!raft->cut || from < raft->cut)
-		raft->cut = from;
+	arrsetlen(raft->log, (size_t)(from - raft->base_index - 1));
+	if (!raft->truncate_from || from < raft->truncate_from)
+		raft->truncate_from = from;
 	raft_mark_dirty(raft, 0);
 	if (raft->dirty_from > raft_last_index(raft))
 		raft->dirty_from = 0;
 	if (raft->synced_index >= from)
 		raft->synced_index = from - 1;
-	for (ptrdiff_t i = 0; i < arrlen(raft->marks); i++)
-		if (raft->marks[i].last >= from)
-			raft->marks[i].last = from - 1;
+	for (ptrdiff_t i = 0; i < arrlen(raft->pending_syncs); i++)
+		if (raft->pending_syncs[i].last_index >= from)
+			raft->pending_syncs[i].last_index = from - 1;
 }
 
 const struct raft_entry *raft_next_committed(struct raft *raft, uint64_t *index)
 {
-	while (raft->applied < raft->commit && !raft->snapshot_to_load) {
-		struct raft_entry *e = raft_entry_at(raft, ++raft->applied);
+	while (raft->applied_index < raft->commit_index && !raft->snapshot_to_load) {
+		struct raft_entry *entry = raft_entry_at(raft, ++raft->applied_index);
 
-		raft->applied_bytes += e ? e->len : 0;
-		if (e && e->kind == RAFT_ENTRY_OPERATION) {
-			*index = raft->applied;
-			return e;
+		raft->applied_bytes += entry ? entry->len : 0;
+		if (entry && entry->kind == RAFT_ENTRY_OPERATION) {
+			*index = raft->applied_index;
+			return entry;
 		}
 	}
 	return NULL;
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -22,12 +22,12 @@
 };
 
 /* How the membership stands. Positions are in raft->members; -1: none. */
-struct standing {
+struct membership_status {
 	int voters;
 	int suspects;      /* voters that are silent, for whom a learner is prepared */
 	int lost_voters;   /* voters given up */
 	int lost_voter;    /* one of them */
-	int leaving_voter; /* one that is to stop, while those who stay are no majority by themselves */
+	int draining_voter; /* one that is to stop, while those who stay are no majority by themselves */
 	int learner, lost_learner;
 };
 
@@ -59,12 +59,12 @@
 			return 0;
 		other |= view->live[i].addr == member->addr;
 	}
-	return other && view->now - member->heard_at > RAFT_LEASE_MS;
+	return other && view->now - member->last_reply_at_ms > RAFT_LEASE_MS;
 }
 
-static int is_silent_for(const struct view *view, const struct raft_member *member, int64_t ms)
+static int is_silent_for(const struct view *view, const struct raft_member *member, int64_t silent_ms)
 {
-	return member->id != view->raft->id && (view->now - member->heard_at > ms || is_replaced(view, member));
+	return member->id != view->raft->id && (view->now - member->last_reply_at_ms > silent_ms || is_replaced(view, member));
 }
 
 static int is_suspect(const struct view *view, const struct raft_member *member)
@@ -83,8 +83,8 @@
 	const struct raft *raft = view->raft;
 
 	if (member->id == raft->id)
-		return raft->synced_index >= raft->commit;
-	return !is_silent_for(view, member, RAFT_LEASE_MS) && member->match >= raft->commit;
+		return raft->synced_index >= raft->commit_index;
+	return !is_silent_for(view, member, RAFT_LEASE_MS) && member->match_index >= raft->commit_index;
 }
 
 /* Whether these members could commit and elect by themselves at once. */
@@ -114,7 +114,7 @@
 static const struct raft_member *next_replica(const struct view *view)
 {
 	const struct raft_member *best = NULL;
-	uint32_t group = view->raft->no;
+	uint32_t group = view->raft->shard;
 	int fewest = 0;
 
 	for (int i = 0; i < view->live_count; i++) {
@@ -123,7 +123,7 @@
 
 		if (raft_find_member(view->raft, candidate->id) || raft_is_fenced(view->raft, candidate->id))
 			continue;
-		if (best && (n > fewest || (n == fewest && core_rdv(group, candidate->id) <= core_rdv(group, best->id))))
+		if (best && (n > fewest || (n == fewest && core_rendezvous_weight(group, candidate->id) <= core_rendezvous_weight(group, best->id))))
 			continue;
 		best = candidate;
 		fewest = n;
@@ -144,7 +144,7 @@
 		if (member->id == raft->id || !member->voter)
 			continue;
 		if (worst >= 0 &&
-		    (n < most || (n == most && core_rdv(raft->no, member->id) >= core_rdv(raft->no, raft->members[worst].id))))
+		    (n < most || (n == most && core_rendezvous_weight(raft->shard, member->id) >= core_rendezvous_weight(raft->shard, raft->members[worst].id))))
 			continue;
 		worst = i;
 		most = n;
@@ -196,33 +196,33 @@
 /* A voter that is to stop is replaced beforehand where those who stay could not go on by themselves. */
 static int needs_successor(const struct raft *raft, const struct raft_member *member)
 {
-	return member->leaving && member->id != raft->id && !raft->staying_majority;
+	return member->draining && member->id != raft->id && !raft->has_remaining_majority;
 }
 
-static struct standing take_stock(const struct view *view)
+static struct membership_status assess_members(const struct view *view)
 {
 	const struct raft *raft = view->raft;
-	struct standing s = { .lost_voter = -1, .leaving_voter = -1, .learner = -1, .lost_learner = -1 };
+	struct membership_status standing = { .lost_voter = -1, .draining_voter = -1, .learner = -1, .lost_learner = -1 };
 
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
 
 		if (!member->voter) {
 			if (is_silent_for(view, member, LEARNER_LOST_MS) || raft_is_fenced(raft, member->id))
-				s.lost_learner = i;
+				standing.lost_learner = i;
 			else
-				s.learner = i;
+				standing.learner = i;
 			continue;
 		}
-		s.voters++;
-		s.suspects += is_suspect(view, member) || needs_successor(raft, member);
+		standing.voters++;
+		standing.suspects += is_suspect(view, member) || needs_successor(raft, member);
 		if (needs_successor(raft, member))
-			s.leaving_voter = i;
-		s.lost_voters += is_lost(view, member);
+			standing.draining_voter = i;
+		standing.lost_voters += is_lost(view, member);
 		if (is_lost(view, member))
-			s.lost_voter = i;
+			standing.lost_voter = i;
 	}
-	return s;
+	return standing;
 }
 
 /* Remove one member, unless the others would lack a live majority that holds all that is committed. */
@@ -260,72 +260,72 @@
 	members[count].id = joining->id;
 	members[count].addr = joining->addr;
 	change_members(raft, members, count + 1);
-	raft_find_member(raft, joining->id)->heard_at = view->now;
+	raft_find_member(raft, joining->id)->last_reply_at_ms = view->now;
 	raft_find_member(raft, joining->id)->zone = joining->zone;
 }
 
 /* A learner has fallen silent. Where it makes up for a voter of the minimum it goes only once another one has caught up. */
-static void exchange_learner(const struct view *view, const struct standing *s, const struct raft_member *joining)
+static void replace_learner(const struct view *view, const struct membership_status *standing, const struct raft_member *joining)
 {
-	int others = s->voters + (s->learner >= 0 && is_caught_up(view, &view->raft->members[s->learner]));
+	int others = standing->voters + (standing->learner >= 0 && is_caught_up(view, &view->raft->members[standing->learner]));
 
 	if (others >= RAFT_MIN_VOTERS)
-		remove_member(view, s->lost_learner);
-	else if (s->learner < 0 && joining)
+		remove_member(view, standing->lost_learner);
+	else if (standing->learner < 0 && joining)
 		add_learner(view, joining);
 }
 
 /* A learner is there: promote it, make room for it first, or let it go when it is no longer needed. */
-static void use_learner(const struct view *view, const struct standing *s)
+static void use_learner(const struct view *view, const struct membership_status *standing)
 {
 	const struct raft *raft = view->raft;
-	const struct raft_member *learner = &raft->members[s->learner];
-	int wanted = s->voters < raft->replicas || (!s->suspects && spreads_zones(view, learner));
+	const struct raft_member *learner = &raft->members[standing->learner];
+	int wanted = standing->voters < raft->replicas || (!standing->suspects && spreads_zones(view, learner));
 
-	if (!s->suspects && !wanted) {
-		remove_member(view, s->learner);
+	if (!standing->suspects && !wanted) {
+		remove_member(view, standing->learner);
 		return;
 	}
-	if (!is_caught_up(view, learner) || learner->match < raft->term_start)
+	if (!is_caught_up(view, learner) || learner->match_index < raft->term_start)
 		return;
-	if (s->lost_voter >= 0)
-		remove_member(view, s->lost_voter);
-	else if (wanted || s->leaving_voter >= 0)
-		promote_learner(view, s->learner);
+	if (standing->lost_voter >= 0)
+		remove_member(view, standing->lost_voter);
+	else if (wanted || standing->draining_voter >= 0)
+		promote_learner(view, standing->learner);
 }
 
 /* Without a successor at hand a lost voter goes where that lets the rest survive one more loss, never below the minimum. */
-static int shrinks_well(const struct standing *s)
+static int shrinks_well(const struct membership_status *standing)
 {
-	return s->lost_voters && s->voters > RAFT_MIN_VOTERS && (s->voters % 2 == 0 || s->lost_voters > 1);
+	return standing->lost_voters && standing->voters > RAFT_MIN_VOTERS && (standing->voters % 2 == 0 || standing->lost_voters > 1);
 }
 
-void raft_reconfigure(struct raft *raft, const struct raft_member *live, int n, int64_t now)
+void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now)
 {
-	struct view view = { raft, live, n, now };
+	struct view view = { raft, live, live_count, now };
 	const struct raft_member *joining;
-	struct standing s;
+	struct membership_status standing;
 
-	if (!raft_has_lease(raft, now) || raft->members_index > raft->commit || update_addresses(&view))
+	if (!raft_has_lease(raft, now) || raft->members_index > raft->commit_index || update_addresses(&view))
 		return;
-	s = take_stock(&view);
+	standing = assess_members(&view);
 	joining = raft->member_count < RAFT_MAX_MEMBERS ? next_replica(&view) : NULL;
-	if (s.lost_learner >= 0) {
-		exchange_learner(&view, &s, joining);
+	if (standing.lost_learner >= 0) {
+		replace_learner(&view, &standing, joining);
 		return;
 	}
-	if (s.learner >= 0) {
-		use_learner(&view, &s);
+	if (standing.learner >= 0) {
+		use_learner(&view, &standing);
 		return;
 	}
-	if (joining && (s.suspects || s.voters < raft->replicas || spreads_zones(&view, joining)) && s.voters <= raft->replicas)
+	if (joining && (standing.suspects || standing.voters < raft->replicas || spreads_zones(&view, joining)) && standing.voters <= raft->replicas)
 		add_learner(&view, joining);
-	else if (shrinks_well(&s))
-		remove_member(&view, s.lost_voter);
-	else if (s.voters > raft->replicas && s.lost_voters)
-		remove_member(&view, s.lost_voter);
-	else if (s.voters > raft->replicas && s.leaving_voter >= 0)
-		remove_member(&view, s.leaving_voter);
-	else if (s.voters > raft->replicas && !s.suspects)
+	else if (shrinks_well(&standing))
+		remove_member(&view, standing.lost_voter);
+	else if (standing.voters > raft->replicas && standing.lost_voters)
+		remove_member(&view, standing.lost_voter);
+	else if (standing.voters > raft->replicas && standing.draining_voter >= 0)
+		remove_member(&view, standing.draining_voter);
+	else if (standing.voters > raft->replicas && !standing.suspects)
 		remove_member(&view, surplus_voter(&view));
 }
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -10,17 +10,17 @@
 uint64_t raft_epoch(uint64_t term) { return term >> RAFT_EPOCH_SHIFT; }
 
 /* The term that a message speaks for; a probe speaks for none. */
-static uint64_t message_term(const struct raft *raft, const struct Nl__Msg *m)
+static uint64_t message_term(const struct raft *raft, const struct Nl__Msg *message)
 {
-	switch (m->body_case) {
-	case NL__MSG__BODY_VOTE_ASK: return m->vote_ask->term;
-	case NL__MSG__BODY_VOTE_REPLY: return m->vote_reply->term;
-	case NL__MSG__BODY_APPEND: return m->append->term;
-	case NL__MSG__BODY_APPEND_REPLY: return m->append_reply->term;
-	case NL__MSG__BODY_SNAPSHOT_PIECE: return m->snapshot_piece->term;
-	case NL__MSG__BODY_SNAPSHOT_REPLY: return m->snapshot_reply->term;
-	case NL__MSG__BODY_GIVE_UP: return m->give_up->term;
-	case NL__MSG__BODY_PROBE_REPLY: return m->probe_reply->last_term;
+	switch (message->body_case) {
+	case NL__MSG__BODY_VOTE_ASK: return message->vote_ask->term;
+	case NL__MSG__BODY_VOTE_REPLY: return message->vote_reply->term;
+	case NL__MSG__BODY_APPEND: return message->append->term;
+	case NL__MSG__BODY_APPEND_REPLY: return message->append_reply->term;
+	case NL__MSG__BODY_SNAPSHOT_PIECE: return message->snapshot_piece->term;
+	case NL__MSG__BODY_SNAPSHOT_REPLY: return message->snapshot_reply->term;
+	case NL__MSG__BODY_GIVE_UP: return message->give_up->term;
+	case NL__MSG__BODY_PROBE_REPLY: return message->probe_reply->last_term;
 	default: return raft->term;
 	}
 }
@@ -34,46 +34,46 @@
 }
 
 /* A leader of a newer epoch offers membership to an identity of an older one: it has to take another. */
-static void refuse_membership(struct raft *raft, const struct Nl__Msg *m, struct out *o)
+static void refuse_membership(struct raft *raft, const struct Nl__Msg *message, struct out *out)
 {
-	struct Nl__AppendReply *r = OUT_NEW(o, Nl__AppendReply, NL__APPEND_REPLY__INIT);
+	struct Nl__AppendReply *reply = OUT_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
-	r->term = message_term(raft, m);
-	r->fenced = 1;
-	out_msg(o, m->addr, raft->no, NL__MSG__BODY_APPEND_REPLY)->append_reply = r;
+	reply->term = message_term(raft, message);
+	reply->fenced = 1;
+	command_send(out, message->addr, raft->shard, NL__MSG__BODY_APPEND_REPLY)->append_reply = reply;
 }
 
 /* Tell a member of an older epoch that it is fenced. */
-static void fence_sender(struct raft *raft, const struct Nl__Msg *m, struct out *o)
+static void fence_sender(struct raft *raft, const struct Nl__Msg *message, struct out *out)
 {
-	struct Nl__VoteReply *r = OUT_NEW(o, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	struct Nl__VoteReply *reply = OUT_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
-	r->term = raft->term;
-	r->removed = 1;
-	out_msg(o, m->addr, raft->no, NL__MSG__BODY_VOTE_REPLY)->vote_reply = r;
+	reply->term = raft->term;
+	reply->removed = 1;
+	command_send(out, message->addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
 }
 
-static int is_offer(const struct Nl__Msg *m)
+static int is_offer(const struct Nl__Msg *message)
 {
-	return m->body_case == NL__MSG__BODY_APPEND || m->body_case == NL__MSG__BODY_SNAPSHOT_PIECE;
+	return message->body_case == NL__MSG__BODY_APPEND || message->body_case == NL__MSG__BODY_SNAPSHOT_PIECE;
 }
 
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o)
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	uint64_t theirs = raft_epoch(message_term(raft, m)), ours = raft_epoch(raft->term);
+	uint64_t theirs = raft_epoch(message_term(raft, message)), ours = raft_epoch(raft->term);
 
 	if (theirs == ours)
 		return !raft->fenced;
 	if (theirs < ours) {
-		if (m->body_case == NL__MSG__BODY_VOTE_ASK || is_offer(m))
-			fence_sender(raft, m, o);
+		if (message->body_case == NL__MSG__BODY_VOTE_ASK || is_offer(message))
+			fence_sender(raft, message, out);
 		return 0;
 	}
 	if (!raft->member_count) /* nothing is held here: it takes the group as it is */
-		return is_offer(m);
+		return is_offer(message);
 	become_fenced(raft, now);
-	if (is_offer(m))
-		refuse_membership(raft, m, o);
+	if (is_offer(message))
+		refuse_membership(raft, message, out);
 	return 0;
 }
 
@@ -113,7 +113,7 @@
 		voters++;
 		remaining += !named;
 		voting |= member->id == raft->id && !named;
-		if (named && member->id != raft->id && member->message_at && now - member->message_at < RAFT_ABSENT_MS)
+		if (named && member->id != raft->id && member->last_message_at_ms && now - member->last_message_at_ms < RAFT_ABSENT_MS)
 			return RAFT_RECOVERY_MEMBER_ANSWERS;
 		if (!named && (member->last_term > raft_term_at(raft, raft_last_index(raft)) ||
 			       (member->last_term == raft_term_at(raft, raft_last_index(raft)) &&
@@ -122,7 +122,7 @@
 	}
 	if (!voting || raft->fenced)
 		return RAFT_RECOVERY_NO_VOTER;
-	if (raft->role == RAFT_LEADER || now < raft->vote_barrier_until)
+	if (raft->role == RAFT_LEADER || now < raft->vote_barrier_until_ms)
 		return RAFT_RECOVERY_HAS_LEADER;
 	if (remaining > voters / 2)
 		return RAFT_RECOVERY_MAJORITY_REMAINS;
@@ -148,14 +148,14 @@
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_MEMBERS, packed, len);
 	raft_set_members(raft, packed, len, raft_last_index(raft));
 	free(packed);
-	raft->vote_barrier_until = 0;
+	raft->vote_barrier_until_ms = 0;
 	raft->vote_barrier_unknown = 0;
 	raft->removed = 0;
-	raft->election_at = now;
+	raft->election_at_ms = now;
 	return verdict;
 }
 
-const char *raft_recovery_text(enum raft_recovery verdict)
+const char *raft_recovery_strerror(enum raft_recovery verdict)
 {
 	switch (verdict) {
 	case RAFT_RECOVERY_POSSIBLE: return "the group goes on with this copy";
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -6,7 +6,7 @@
 #include <apr_strings.h>
 #include <stdlib.h>
 
-static int cmp_desc(const void *a, const void *b)
+static int compare_descending(const void *a, const void *b)
 {
 	uint64_t x = *(const uint64_t *)a, y = *(const uint64_t *)b;
 
@@ -22,154 +22,154 @@
 		if (!raft->members[i].voter)
 			continue;
 		match[n] = raft_counted_index(raft, &raft->members[i]);
-		round[n++] = raft->members[i].id == raft->id ? raft->round : raft->members[i].round;
+		round[n++] = raft->members[i].id == raft->id ? raft->heartbeat_round : raft->members[i].acked_round;
 	}
 	if (!n)
 		return;
-	qsort(match, (size_t)n, sizeof *match, cmp_desc);
-	qsort(round, (size_t)n, sizeof *round, cmp_desc);
-	if (match[n / 2] > raft->commit && raft_term_at(raft, match[n / 2]) == raft->term) {
-		raft->commit = match[n / 2];
+	qsort(match, (size_t)n, sizeof *match, compare_descending);
+	qsort(round, (size_t)n, sizeof *round, compare_descending);
+	if (match[n / 2] > raft->commit_index && raft_term_at(raft, match[n / 2]) == raft->term) {
+		raft->commit_index = match[n / 2];
 		raft_note_commit(raft);
 	}
-	if (round[n / 2] && raft->round - round[n / 2] < 64) {
-		int64_t until = raft->heartbeat_sent_at[round[n / 2] % 64] + RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS;
+	if (round[n / 2] && raft->heartbeat_round - round[n / 2] < 64) {
+		int64_t until = raft->heartbeat_sent_at_ms[round[n / 2] % 64] + RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS;
 
-		if (until > raft->lease_expires_at)
-			raft->lease_expires_at = until;
+		if (until > raft->lease_expires_at_ms)
+			raft->lease_expires_at_ms = until;
 	}
 }
 
 int raft_has_lease(const struct raft *raft, int64_t now)
 {
-	return raft->role == RAFT_LEADER && now < raft->lease_expires_at && raft->commit >= raft->term_start;
+	return raft->role == RAFT_LEADER && now < raft->lease_expires_at_ms && raft->commit_index >= raft->term_start;
 }
 
 /* The number of bytes of entries under way to a member, counted no further than the window. */
-static size_t bytes_under_way(const struct raft *raft, const struct raft_member *m)
+static size_t bytes_under_way(const struct raft *raft, const struct raft_member *member)
 {
 	size_t bytes = 0;
 
-	for (uint64_t i = m->unacked; i < m->next && bytes < RAFT_APPEND_WINDOW_BYTES; i++) {
-		const struct raft_entry *e = raft_entry_at(raft, i);
+	for (uint64_t i = member->unacked_index; i < member->next_index && bytes < RAFT_APPEND_WINDOW_BYTES; i++) {
+		const struct raft_entry *entry = raft_entry_at(raft, i);
 
-		bytes += e ? e->len : 0;
+		bytes += entry ? entry->len : 0;
 	}
 	return bytes;
 }
 
-static struct Nl__Append *new_append(struct raft *raft, struct raft_member *m, uint64_t prev, struct out *o)
+static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev, struct out *out)
 {
-	struct Nl__Append *a = OUT_NEW(o, Nl__Append, NL__APPEND__INIT);
-
-	a->term = raft->term;
-	a->to = m->id;
-	a->prev = prev;
-	a->prev_term = raft_term_at(raft, prev);
-	a->commit = raft->commit;
-	a->round = raft->round;
-	a->released = raft_is_released(raft, m);
-	if (a->released)
-		m->release_round = raft->round;
-	out_msg(o, m->addr, raft->no, NL__MSG__BODY_APPEND)->append = a;
-	return a;
+	struct Nl__Append *append = OUT_NEW(out, Nl__Append, NL__APPEND__INIT);
+
+	append->term = raft->term;
+	append->to = member->id;
+	append->prev = prev;
+	append->prev_term = raft_term_at(raft, prev);
+	append->commit = raft->commit_index;
+	append->round = raft->heartbeat_round;
+	append->released = raft_is_released(raft, member);
+	if (append->released)
+		member->release_round = raft->heartbeat_round;
+	command_send(out, member->addr, raft->shard, NL__MSG__BODY_APPEND)->append = append;
+	return append;
 }
 
 /* An append without entries, at an index that the member is known to hold, or at the one that is guessed. It never waits for
  * entries or pieces, nor can it arrive too early for them. */
-static void send_heartbeat(struct raft *raft, struct raft_member *m, struct out *o)
+static void send_heartbeat(struct raft *raft, struct raft_member *member, struct out *out)
 {
-	uint64_t prev = m->probing ? m->next - 1 : m->match;
+	uint64_t prev = member->probing ? member->next_index - 1 : member->match_index;
 
-	(void)new_append(raft, m, prev > raft->base ? prev : raft->base, o);
+	(void)new_append(raft, member, prev > raft->base_index ? prev : raft->base_index, out);
 }
 
 /* Entries from next on: as many as the window has room for, and one at least when none is under way. */
-static void send_entries(struct raft *raft, struct raft_member *m, int64_t now, struct out *o)
+static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
 {
-	size_t bytes = bytes_under_way(raft, m), n = (size_t)(raft_last_index(raft) + 1 - m->next);
-	int idle = m->next == m->unacked;
-	struct Nl__Append *a;
+	size_t bytes = bytes_under_way(raft, member), n = (size_t)(raft_last_index(raft) + 1 - member->next_index);
+	int idle = member->next_index == member->unacked_index;
+	struct Nl__Append *append;
 
 	if (!n || (!idle && bytes >= RAFT_APPEND_WINDOW_BYTES))
 		return;
 	if (idle)
-		m->progress_at = now;
+		member->progress_at_ms = now;
 	n = n > RAFT_APPEND_MAX_ENTRIES ? RAFT_APPEND_MAX_ENTRIES : n;
-	a = new_append(raft, m, m->next - 1, o);
-	a->e = apr_palloc(o->p, n * sizeof *a->e);
-	while (a->n_e < n && (!a->n_e || bytes < RAFT_APPEND_WINDOW_BYTES)) {
-		struct raft_entry *e = raft_entry_at(raft, m->next++);
-		struct Nl__Entry *x = OUT_NEW(o, Nl__Entry, NL__ENTRY__INIT);
-
-		x->term = e->term;
-		x->kind = e->kind;
-		x->data.data = apr_pmemdup(o->p, e->data, e->len);
-		x->data.len = e->len;
-		bytes += e->len;
-		a->e[a->n_e++] = x;
+	append = new_append(raft, member, member->next_index - 1, out);
+	append->e = apr_palloc(out->pool, n * sizeof *append->e);
+	while (append->n_e < n && (!append->n_e || bytes < RAFT_APPEND_WINDOW_BYTES)) {
+		struct raft_entry *entry = raft_entry_at(raft, member->next_index++);
+		struct Nl__Entry *x = OUT_NEW(out, Nl__Entry, NL__ENTRY__INIT);
+
+		x->term = entry->term;
+		x->kind = entry->kind;
+		x->data.data = apr_pmemdup(out->pool, entry->data, entry->len);
+		x->data.len = entry->len;
+		bytes += entry->len;
+		append->e[append->n_e++] = x;
 	}
 }
 
 /* Silence: entries under way are taken for lost, and go out again less and less often. */
-static void resend_after_silence(const struct raft *raft, struct raft_member *m, int64_t now)
+static void resend_after_silence(const struct raft *raft, struct raft_member *member, int64_t now)
 {
-	int64_t carried_ms = (int64_t)(bytes_under_way(raft, m) / RAFT_RESEND_BYTES_PER_MS);
+	int64_t carried_ms = (int64_t)(bytes_under_way(raft, member) / RAFT_RESEND_BYTES_PER_MS);
 
-	if (m->next == m->unacked || now - m->progress_at < m->resend_ms + carried_ms)
+	if (member->next_index == member->unacked_index || now - member->progress_at_ms < member->resend_ms + carried_ms)
 		return;
-	m->next = m->unacked;
-	m->progress_at = now;
-	m->resend_ms = m->resend_ms * 2 < RAFT_RESEND_MAX_MS ? m->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	member->next_index = member->unacked_index;
+	member->progress_at_ms = now;
+	member->resend_ms = member->resend_ms * 2 < RAFT_RESEND_MAX_MS ? member->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-static void send_missing(struct raft *raft, struct raft_member *m, int64_t now, struct out *o)
+static void send_missing(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
 {
-	if (m->probing && m->next > raft->base)
+	if (member->probing && member->next_index > raft->base_index)
 		return;
-	resend_after_silence(raft, m, now);
-	if (m->next <= raft->base)
-		raft_send_snapshot(raft, m, now, o);
+	resend_after_silence(raft, member, now);
+	if (member->next_index <= raft->base_index)
+		raft_send_snapshot(raft, member, now, out);
 	else
-		send_entries(raft, m, now, o);
+		send_entries(raft, member, now, out);
 }
 
-void raft_replicate(struct raft *raft, int all, int64_t now, struct out *o)
+void raft_replicate(struct raft *raft, int all, int64_t now, struct out *out)
 {
 	for (int i = 0; i < raft->member_count; i++) {
-		struct raft_member *m = &raft->members[i];
+		struct raft_member *member = &raft->members[i];
 
-		if (m->id == raft->id)
+		if (member->id == raft->id)
 			continue;
 		if (all)
-			send_heartbeat(raft, m, o);
-		send_missing(raft, m, now, o);
+			send_heartbeat(raft, member, out);
+		send_missing(raft, member, now, out);
 	}
 }
 
-void raft_send_append_reply(struct raft *raft, uint64_t to, int ok, uint64_t match, uint64_t round, struct out *o)
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct out *out)
 {
-	struct Nl__AppendReply *r = OUT_NEW(o, Nl__AppendReply, NL__APPEND_REPLY__INIT);
-
-	r->term = raft->term;
-	r->ok = ok;
-	r->match = match;
-	r->matched = ok ? raft->matched : 0;
-	r->round = round;
-	r->leaving = raft->leaving;
-	out_msg(o, to, raft->no, NL__MSG__BODY_APPEND_REPLY)->append_reply = r;
+	struct Nl__AppendReply *reply = OUT_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
+
+	reply->term = raft->term;
+	reply->ok = success;
+	reply->match = match;
+	reply->matched = success ? raft->matched_index : 0;
+	reply->round = round;
+	reply->leaving = raft->draining;
+	command_send(out, leader_addr, raft->shard, NL__MSG__BODY_APPEND_REPLY)->append_reply = reply;
 }
 
 /* A message of an owner at our term or a later one: follow it and promise it the lease. */
-int raft_accept_leader(struct raft *raft, const struct Nl__Msg *m, uint64_t term, int64_t now)
+int raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now)
 {
 	if (term < raft->term)
 		return 0;
 	if (term > raft->term || raft->role != RAFT_FOLLOWER)
 		raft_become_follower(raft, term, now);
-	raft->leader_id = m->id;
-	raft->leader_addr = m->addr;
-	raft->vote_barrier_until = now + RAFT_LEASE_MS;
+	raft->leader_id = message->id;
+	raft->leader_addr = message->addr;
+	raft->vote_barrier_until_ms = now + RAFT_LEASE_MS;
 	raft->vote_barrier_unknown = 0;
 	raft->removed = 0;
 	raft_reset_election_timer(raft, now);
@@ -178,60 +178,60 @@
 
 /* Whether this member may go: what the newest round says, as entries may arrive later than heartbeats that were sent after
  * them. The answer carries the round, so that the leader knows that this member has heard it. */
-static void note_release(struct raft *raft, const struct Nl__Append *a)
+static void note_release(struct raft *raft, const struct Nl__Append *append)
 {
-	if (a->round < raft->release_round)
+	if (append->round < raft->release_round)
 		return;
-	raft->release_round = a->round;
-	raft->release = a->released ? RAFT_RELEASED : RAFT_HELD;
+	raft->release_round = append->round;
+	raft->release = append->released ? RAFT_RELEASED : RAFT_NOT_RELEASED;
 }
 
-void raft_on_append(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o)
+void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__Append *a = m->append;
-	uint64_t i = a->prev, end = a->prev + a->n_e, skip;
+	const struct Nl__Append *append = message->append;
+	uint64_t i = append->prev, end = append->prev + append->n_e, skip;
 
-	if (!raft_accept_leader(raft, m, a->term, now)) {
-		raft_send_append_reply(raft, m->addr, 0, 0, 0, o);
+	if (!raft_accept_leader(raft, message, append->term, now)) {
+		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
 		return;
 	}
-	note_release(raft, a);
-	if (i > raft_last_index(raft) || (i >= raft->base && i > raft->commit && raft_term_at(raft, i) != a->prev_term)) {
+	note_release(raft, append);
+	if (i > raft_last_index(raft) || (i >= raft->base_index && i > raft->commit_index && raft_term_at(raft, i) != append->prev_term)) {
 		uint64_t hint = i > raft_last_index(raft) ? raft_last_index(raft) : i - 1;
 
-		raft_send_append_reply(raft, m->addr, 0, hint > raft->commit ? hint : raft->commit, a->round, o);
+		raft_send_append_reply(raft, message->addr, 0, hint > raft->commit_index ? hint : raft->commit_index, append->round, out);
 		return;
 	}
-	skip = raft->commit > i ? raft->commit - i : 0; /* committed entries never differ */
-	for (size_t k = skip; k < a->n_e; k++) {
-		const struct Nl__Entry *e = a->e[k];
+	skip = raft->commit_index > i ? raft->commit_index - i : 0; /* committed entries never differ */
+	for (size_t k = skip; k < append->n_e; k++) {
+		const struct Nl__Entry *entry = append->e[k];
 		uint64_t x = i + k + 1;
 
-		if (x <= raft_last_index(raft) && raft_term_at(raft, x) == e->term)
+		if (x <= raft_last_index(raft) && raft_term_at(raft, x) == entry->term)
 			continue;
 		if (x <= raft_last_index(raft)) {
 			raft_truncate_from(raft, x);
 			if (raft->members_index >= x)
 				raft_reload_members(raft);
 		}
-		raft_append_entry(raft, e->term, e->kind, e->data.data, e->data.len);
-		if (e->kind == RAFT_ENTRY_MEMBERS)
-			raft_set_members(raft, e->data.data, e->data.len, x);
+		raft_append_entry(raft, entry->term, entry->kind, entry->data.data, entry->data.len);
+		if (entry->kind == RAFT_ENTRY_MEMBERS)
+			raft_set_members(raft, entry->data.data, entry->data.len, x);
 	}
-	if (end > raft->matched)
-		raft->matched = end;
-	if (a->commit > raft->commit) {
-		uint64_t c = a->commit < raft->matched ? a->commit : raft->matched;
+	if (end > raft->matched_index)
+		raft->matched_index = end;
+	if (append->commit > raft->commit_index) {
+		uint64_t c = append->commit < raft->matched_index ? append->commit : raft->matched_index;
 
-		if (c > raft->commit)
-			raft->commit = c;
+		if (c > raft->commit_index)
+			raft->commit_index = c;
 	}
-	if (raft->dirty && a->round == raft->round)
+	if (raft->dirty && append->round == raft->heartbeat_round)
 		return; /* nothing new to say before the sync, and then raft_synced says it */
-	if (a->round > raft->round)
-		raft->round = a->round; /* entries arrive later than heartbeats that were sent after them */
-	raft_send_append_reply(raft, m->addr, 1, raft->matched < raft->synced_index ? raft->matched : raft->synced_index, a->round,
-			       o);
+	if (append->round > raft->heartbeat_round)
+		raft->heartbeat_round = append->round; /* entries arrive later than heartbeats that were sent after them */
+	raft_send_append_reply(raft, message->addr, 1, raft->matched_index < raft->synced_index ? raft->matched_index : raft->synced_index, append->round,
+			       out);
 }
 
 /* The member's log is ours up to matched, and synced up to match. The reply may be to an earlier append than the one that asked
@@ -240,55 +240,55 @@
 {
 	uint64_t known = matched > match ? matched : match;
 
-	if (who->probing && known + 1 < who->next)
-		who->next = who->unacked = known + 1;
+	if (who->probing && known + 1 < who->next_index)
+		who->next_index = who->unacked_index = known + 1;
 	who->probing = 0;
-	if (match > who->match) {
-		who->match = match;
-		who->progress_at = now;
+	if (match > who->match_index) {
+		who->match_index = match;
+		who->progress_at_ms = now;
 		who->resend_ms = RAFT_RESEND_MS;
 	}
-	if (who->unacked <= who->match)
-		who->unacked = who->match + 1;
-	if (who->next < who->unacked)
-		who->next = who->unacked;
+	if (who->unacked_index <= who->match_index)
+		who->unacked_index = who->match_index + 1;
+	if (who->next_index < who->unacked_index)
+		who->next_index = who->unacked_index;
 }
 
 /* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A hint below the
  * base means a snapshot, whose replies say more than further appends would. */
-static void on_rejected(struct raft *raft, struct raft_member *who, uint64_t hint, struct out *o)
+static void on_rejected(struct raft *raft, struct raft_member *who, uint64_t hint, struct out *out)
 {
-	who->next = who->unacked = (hint > who->match ? hint : who->match) + 1;
-	if (who->next <= raft->base)
+	who->next_index = who->unacked_index = (hint > who->match_index ? hint : who->match_index) + 1;
+	if (who->next_index <= raft->base_index)
 		return;
 	who->probing = 1;
-	send_heartbeat(raft, who, o);
+	send_heartbeat(raft, who, out);
 }
 
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o)
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__AppendReply *r = m->append_reply;
-	struct raft_member *who = raft_find_member(raft, m->id);
+	const struct Nl__AppendReply *reply = message->append_reply;
+	struct raft_member *who = raft_find_member(raft, message->id);
 
-	if (r->term > raft->term) {
-		raft_become_follower(raft, r->term, now);
+	if (reply->term > raft->term) {
+		raft_become_follower(raft, reply->term, now);
 		return;
 	}
-	if (raft->role != RAFT_LEADER || r->term != raft->term || !who)
+	if (raft->role != RAFT_LEADER || reply->term != raft->term || !who)
 		return;
-	if (r->fenced) {
-		raft_add_fenced(raft, m->id);
+	if (reply->fenced) {
+		raft_add_fenced(raft, message->id);
 		return;
 	}
-	who->heard_at = now;
-	raft_note_leaving(raft, who, r->leaving);
-	if (r->round > who->round)
-		who->round = r->round;
-	if (r->ok)
-		on_accepted(who, r->match, r->matched, now);
+	who->last_reply_at_ms = now;
+	raft_note_draining(raft, who, reply->leaving);
+	if (reply->round > who->acked_round)
+		who->acked_round = reply->round;
+	if (reply->ok)
+		on_accepted(who, reply->match, reply->matched, now);
 	else
-		on_rejected(raft, who, r->match, o);
-	if (who->next > raft->base && who->transfer.index)
+		on_rejected(raft, who, reply->match, out);
+	if (who->next_index > raft->base_index && who->transfer.index)
 		raft_end_transfer(raft, who);
 	raft_advance_commit(raft);
 }
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -28,7 +28,7 @@
 
 struct raft_incoming {
 	uint64_t leader_term;
-	uint64_t index, index_term, members_len, total, received;
+	uint64_t index, index_term, members_len, total_bytes, received_bytes;
 	uint8_t digest[RAFT_DIGEST_BYTES];
 	struct sha256_ctx sum; /* over what has been received */
 	uint8_t *bytes;
@@ -48,13 +48,13 @@
 	sha256_update(sum, sizeof bytes, bytes);
 }
 
-static void digest_of(const struct source *s, uint8_t digest[RAFT_DIGEST_BYTES])
+static void digest_of(const struct source *source, uint8_t digest[RAFT_DIGEST_BYTES])
 {
 	struct sha256_ctx sum;
 
-	digest_begin(&sum, s->index, s->term, s->members_len);
-	sha256_update(&sum, s->members_len, s->members);
-	sha256_update(&sum, s->len, s->data);
+	digest_begin(&sum, source->index, source->term, source->members_len);
+	sha256_update(&sum, source->members_len, source->members);
+	sha256_update(&sum, source->len, source->data);
 	sha256_digest(&sum, RAFT_DIGEST_BYTES, digest);
 }
 
@@ -101,9 +101,9 @@
 	if (!raft->drop_tail && !raft->previous.index && raft->role == RAFT_LEADER && transfers_of(raft, raft->snapshot_index)) {
 		raft->previous = (struct raft_old_snapshot){ .index = raft->snapshot_index,
 							     .term = raft->snapshot_term,
-							     .data = raft->snap,
+							     .data = raft->snapshot_data,
 							     .members = raft->snapshot_members,
-							     .len = raft->snapshot_len,
+							     .data_len = raft->snapshot_len,
 							     .members_len = raft->snapshot_members_len,
 							     .has_digest = raft->snapshot_has_digest };
 		memcpy(raft->previous.digest, raft->snapshot_digest, RAFT_DIGEST_BYTES);
@@ -112,7 +112,7 @@
 	for (int i = 0; i < raft->member_count; i++)
 		if (raft->members[i].transfer.index == raft->snapshot_index)
 			raft->members[i].transfer.index = 0;
-	free(raft->snap);
+	free(raft->snapshot_data);
 	free(raft->snapshot_members);
 }
 
@@ -121,7 +121,7 @@
 			   size_t len)
 {
 	retire_newest(raft);
-	raft->snap = data;
+	raft->snapshot_data = data;
 	raft->snapshot_len = len;
 	raft->snapshot_members = members;
 	raft->snapshot_members_len = members_len;
@@ -133,27 +133,27 @@
 	raft_mark_dirty(raft, 0);
 }
 
-static int find_source(struct raft *raft, uint64_t index, struct source *s)
+static int find_source(struct raft *raft, uint64_t index, struct source *source)
 {
 	if (index && index == raft->snapshot_index) {
-		*s = (struct source){ index,
+		*source = (struct source){ index,
 				      raft->snapshot_term,
 				      raft->snapshot_members,
-				      raft->snap,
+				      raft->snapshot_data,
 				      raft->snapshot_members_len,
 				      raft->snapshot_len,
 				      raft->snapshot_digest };
 		if (!raft->snapshot_has_digest)
-			digest_of(s, raft->snapshot_digest);
+			digest_of(source, raft->snapshot_digest);
 		raft->snapshot_has_digest = 1;
 		return 1;
 	}
 	if (index && index == raft->previous.index) {
 		struct raft_old_snapshot *old = &raft->previous;
 
-		*s = (struct source){ index, old->term, old->members, old->data, old->members_len, old->len, old->digest };
+		*source = (struct source){ index, old->term, old->members, old->data, old->members_len, old->data_len, old->digest };
 		if (!old->has_digest)
-			digest_of(s, old->digest);
+			digest_of(source, old->digest);
 		old->has_digest = 1;
 		return 1;
 	}
@@ -162,155 +162,155 @@
 
 /* ---- sending ---- */
 
-static void begin_transfer(struct raft *raft, struct raft_snapshot_transfer *t, int64_t now)
+static void begin_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	int64_t resend_ms = t->resend_ms;
+	int64_t resend_ms = transfer->resend_ms;
 
-	memset(t, 0, sizeof *t);
-	t->index = raft->snapshot_index;
-	t->heard_at = t->progress_at = now;
-	t->resend_ms = resend_ms ? resend_ms : RAFT_RESEND_MS;
+	memset(transfer, 0, sizeof *transfer);
+	transfer->index = raft->snapshot_index;
+	transfer->last_reply_at_ms = transfer->progress_at_ms = now;
+	transfer->resend_ms = resend_ms ? resend_ms : RAFT_RESEND_MS;
 }
 
-void raft_end_transfer(struct raft *raft, struct raft_member *m)
+void raft_end_transfer(struct raft *raft, struct raft_member *member)
 {
-	memset(&m->transfer, 0, sizeof m->transfer);
+	memset(&member->transfer, 0, sizeof member->transfer);
 	raft_release_previous(raft);
 }
 
 /* Members and state are two buffers; a piece may hold the end of one and the beginning of the other. */
-static void copy_range(const struct source *s, uint64_t offset, uint8_t *to, size_t n)
+static void copy_range(const struct source *source, uint64_t offset, uint8_t *target, size_t size)
 {
-	size_t head = 0;
+	size_t members_part = 0;
 
-	if (offset < s->members_len) {
-		head = s->members_len - (size_t)offset;
-		head = head < n ? head : n;
-		memcpy(to, s->members + offset, head);
+	if (offset < source->members_len) {
+		members_part = source->members_len - (size_t)offset;
+		members_part = members_part < size ? members_part : size;
+		memcpy(target, source->members + offset, members_part);
 	}
-	if (n > head)
-		memcpy(to + head, s->data + (offset + head - s->members_len), n - head);
+	if (size > members_part)
+		memcpy(target + members_part, source->data + (offset + members_part - source->members_len), size - members_part);
 }
 
-static size_t send_piece(struct raft *raft, const struct raft_member *m, const struct source *s, struct out *o)
+static size_t send_chunk(struct raft *raft, const struct raft_member *member, const struct source *source, struct out *out)
 {
-	struct Nl__SnapshotPiece *piece = OUT_NEW(o, Nl__SnapshotPiece, NL__SNAPSHOT_PIECE__INIT);
-	uint64_t left;
+	struct Nl__SnapshotPiece *piece = OUT_NEW(out, Nl__SnapshotPiece, NL__SNAPSHOT_PIECE__INIT);
+	uint64_t remaining_bytes;
 
 	piece->term = raft->term;
-	piece->to = m->id;
-	piece->index = s->index;
-	piece->index_term = s->term;
-	piece->members_len = s->members_len;
-	piece->total = s->members_len + s->len;
-	piece->offset = m->transfer.sent;
-	piece->digest.data = apr_pmemdup(o->p, s->digest, RAFT_DIGEST_BYTES);
+	piece->to = member->id;
+	piece->index = source->index;
+	piece->index_term = source->term;
+	piece->members_len = source->members_len;
+	piece->total = source->members_len + source->len;
+	piece->offset = member->transfer.sent_bytes;
+	piece->digest.data = apr_pmemdup(out->pool, source->digest, RAFT_DIGEST_BYTES);
 	piece->digest.len = RAFT_DIGEST_BYTES;
-	left = piece->total - piece->offset;
-	piece->data.len = left < RAFT_PIECE_BYTES ? (size_t)left : RAFT_PIECE_BYTES;
-	piece->data.data = apr_palloc(o->p, piece->data.len + 1);
-	copy_range(s, piece->offset, piece->data.data, piece->data.len);
-	out_msg(o, m->addr, raft->no, NL__MSG__BODY_SNAPSHOT_PIECE)->snapshot_piece = piece;
+	remaining_bytes = piece->total - piece->offset;
+	piece->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
+	piece->data.data = apr_palloc(out->pool, piece->data.len + 1);
+	copy_range(source, piece->offset, piece->data.data, piece->data.len);
+	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_PIECE)->snapshot_piece = piece;
 	return piece->data.len;
 }
 
 /* Silence: what is under way is taken for lost. */
-static void resend_after_silence(struct raft_snapshot_transfer *t, int64_t now)
+static void resend_after_silence(struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	int64_t carried_ms = (int64_t)((t->sent - t->acked) / RAFT_RESEND_BYTES_PER_MS);
+	int64_t carried_ms = (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
 
-	if (t->sent == t->acked || now - t->progress_at < t->resend_ms + carried_ms)
+	if (transfer->sent_bytes == transfer->acked_bytes || now - transfer->progress_at_ms < transfer->resend_ms + carried_ms)
 		return;
-	t->sent = t->acked;
-	t->progress_at = now;
-	t->resend_ms = t->resend_ms * 2 < RAFT_RESEND_MAX_MS ? t->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	transfer->sent_bytes = transfer->acked_bytes;
+	transfer->progress_at_ms = now;
+	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-void raft_send_snapshot(struct raft *raft, struct raft_member *m, int64_t now, struct out *o)
+void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
 {
-	struct raft_snapshot_transfer *t = &m->transfer;
-	struct source s;
+	struct raft_snapshot_transfer *transfer = &member->transfer;
+	struct source source;
 	uint64_t window;
 
-	if (t->index && now - t->heard_at > RAFT_TRANSFER_IDLE_MS)
-		t->index = 0;
-	if (!find_source(raft, t->index, &s)) {
-		begin_transfer(raft, t, now);
+	if (transfer->index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
+		transfer->index = 0;
+	if (!find_source(raft, transfer->index, &source)) {
+		begin_transfer(raft, transfer, now);
 		raft_release_previous(raft);
-		if (!find_source(raft, t->index, &s))
+		if (!find_source(raft, transfer->index, &source))
 			return;
 	}
-	resend_after_silence(t, now);
-	if (now < t->resume_at)
+	resend_after_silence(transfer, now);
+	if (now < transfer->resume_at_ms)
 		return;
-	window = t->answered ? (uint64_t)RAFT_PIECE_WINDOW * RAFT_PIECE_BYTES : RAFT_PIECE_BYTES;
-	if (t->sent == t->acked)
-		t->progress_at = now;
-	while (t->sent < s.members_len + s.len && t->sent - t->acked < window)
-		t->sent += send_piece(raft, m, &s, o);
+	window = transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
+	if (transfer->sent_bytes == transfer->acked_bytes)
+		transfer->progress_at_ms = now;
+	while (transfer->sent_bytes < source.members_len + source.len && transfer->sent_bytes - transfer->acked_bytes < window)
+		transfer->sent_bytes += send_chunk(raft, member, &source, out);
 }
 
 /* The member holds less than it said: it fell, or took another transfer in between. */
-static void rewind_transfer(struct raft_snapshot_transfer *t, uint64_t offset, int64_t now)
+static void rewind_transfer(struct raft_snapshot_transfer *transfer, uint64_t offset, int64_t now)
 {
-	if (t->rewound_at && now - t->rewound_at < REWIND_INTERVAL_MS)
+	if (transfer->rewound_at_ms && now - transfer->rewound_at_ms < REWIND_INTERVAL_MS)
 		return;
-	t->rewound_at = now;
-	t->acked = t->sent = offset;
-	t->progress_at = now;
+	transfer->rewound_at_ms = now;
+	transfer->acked_bytes = transfer->sent_bytes = offset;
+	transfer->progress_at_ms = now;
 }
 
 /* The digest does not match what the member holds: all of it goes out again, and the digest is computed anew. */
-static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *t, int64_t now)
+static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	if (now < t->resume_at)
+	if (now < transfer->resume_at_ms)
 		return;
-	if (t->index == raft->snapshot_index)
+	if (transfer->index == raft->snapshot_index)
 		raft->snapshot_has_digest = 0;
 	else
 		raft->previous.has_digest = 0;
-	t->acked = t->sent = 0;
-	t->resume_at = now + t->resend_ms;
-	t->resend_ms = t->resend_ms * 2 < RAFT_RESEND_MAX_MS ? t->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	transfer->acked_bytes = transfer->sent_bytes = 0;
+	transfer->resume_at_ms = now + transfer->resend_ms;
+	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o)
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__SnapshotReply *r = m->snapshot_reply;
-	struct raft_member *who = raft_find_member(raft, m->id);
-	struct raft_snapshot_transfer *t;
-	struct source s;
+	const struct Nl__SnapshotReply *reply = message->snapshot_reply;
+	struct raft_member *who = raft_find_member(raft, message->id);
+	struct raft_snapshot_transfer *transfer;
+	struct source source;
 
-	if (r->term > raft->term) {
-		raft_become_follower(raft, r->term, now);
+	if (reply->term > raft->term) {
+		raft_become_follower(raft, reply->term, now);
 		return;
 	}
-	if (raft->role != RAFT_LEADER || r->term != raft->term || !who)
+	if (raft->role != RAFT_LEADER || reply->term != raft->term || !who)
 		return;
-	who->heard_at = now;
-	t = &who->transfer;
-	if (r->index != t->index || !find_source(raft, t->index, &s) || r->transfer != transfer_id(s.digest) ||
-	    r->offset > s.members_len + s.len)
+	who->last_reply_at_ms = now;
+	transfer = &who->transfer;
+	if (reply->index != transfer->index || !find_source(raft, transfer->index, &source) || reply->transfer != transfer_id(source.digest) ||
+	    reply->offset > source.members_len + source.len)
 		return;
-	t->heard_at = now;
-	t->answered = 1;
-	if (r->corrupt) {
-		restart_corrupt(raft, t, now);
-	} else if (r->offset > t->acked) {
-		t->acked = r->offset;
-		t->sent = t->sent > t->acked ? t->sent : t->acked;
-		t->progress_at = now;
-		t->resend_ms = RAFT_RESEND_MS;
-	} else if (r->offset < t->acked) {
-		rewind_transfer(t, r->offset, now);
+	transfer->last_reply_at_ms = now;
+	transfer->has_reply = 1;
+	if (reply->corrupt) {
+		restart_corrupt(raft, transfer, now);
+	} else if (reply->offset > transfer->acked_bytes) {
+		transfer->acked_bytes = reply->offset;
+		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes : transfer->acked_bytes;
+		transfer->progress_at_ms = now;
+		transfer->resend_ms = RAFT_RESEND_MS;
+	} else if (reply->offset < transfer->acked_bytes) {
+		rewind_transfer(transfer, reply->offset, now);
 	}
-	if (t->acked < s.members_len + s.len) {
-		raft_send_snapshot(raft, who, now, o);
+	if (transfer->acked_bytes < source.members_len + source.len) {
+		raft_send_snapshot(raft, who, now, out);
 		return;
 	}
 	/* Installed, and synced soon: what comes after it goes out at once, and the member's own reply says what it holds. */
-	who->next = s.index > who->match ? s.index + 1 : who->match + 1;
-	who->unacked = who->next;
+	who->next_index = source.index > who->match_index ? source.index + 1 : who->match_index + 1;
+	who->unacked_index = who->next_index;
 	who->probing = 1;
 	raft_end_transfer(raft, who);
 }
@@ -327,33 +327,33 @@
 
 static void begin_incoming(struct raft *raft, const struct Nl__SnapshotPiece *piece)
 {
-	struct raft_incoming *in = calloc(1, sizeof *in);
+	struct raft_incoming *incoming = calloc(1, sizeof *incoming);
 
-	if (!in)
+	if (!incoming)
 		abort();
 	raft_drop_incoming(raft);
-	raft->incoming = in;
-	in->index = piece->index;
-	in->index_term = piece->index_term;
-	in->members_len = piece->members_len;
-	in->total = piece->total;
-	memcpy(in->digest, piece->digest.data, RAFT_DIGEST_BYTES);
-	digest_begin(&in->sum, in->index, in->index_term, in->members_len);
+	raft->incoming = incoming;
+	incoming->index = piece->index;
+	incoming->index_term = piece->index_term;
+	incoming->members_len = piece->members_len;
+	incoming->total_bytes = piece->total;
+	memcpy(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
+	digest_begin(&incoming->sum, incoming->index, incoming->index_term, incoming->members_len);
 }
 
-static int same_transfer(const struct raft_incoming *in, const struct Nl__SnapshotPiece *piece)
+static int same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotPiece *piece)
 {
-	return in->index == piece->index && in->index_term == piece->index_term && in->members_len == piece->members_len &&
-	       in->total == piece->total && !memcmp(in->digest, piece->digest.data, RAFT_DIGEST_BYTES);
+	return incoming->index == piece->index && incoming->index_term == piece->index_term && incoming->members_len == piece->members_len &&
+	       incoming->total_bytes == piece->total && !memcmp(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
 }
 
 /* The transfer that a piece belongs to, begun when it is a new one; NULL when it is older than the one under way. */
 static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotPiece *piece)
 {
-	struct raft_incoming *in = raft->incoming;
+	struct raft_incoming *incoming = raft->incoming;
 
-	if (!in || !same_transfer(in, piece)) {
-		if (in && in->leader_term == piece->term && piece->index < in->index)
+	if (!incoming || !same_transfer(incoming, piece)) {
+		if (incoming && incoming->leader_term == piece->term && piece->index < incoming->index)
 			return NULL;
 		begin_incoming(raft, piece);
 	}
@@ -361,66 +361,66 @@
 	return raft->incoming;
 }
 
-static void add_bytes(struct raft_incoming *in, const struct Nl__SnapshotPiece *piece)
+static void add_bytes(struct raft_incoming *incoming, const struct Nl__SnapshotPiece *piece)
 {
-	size_t skip = (size_t)(in->received - piece->offset), n = piece->data.len - skip;
+	size_t skip = (size_t)(incoming->received_bytes - piece->offset), n = piece->data.len - skip;
 
-	if (in->received + n > in->capacity) {
-		size_t doubled = in->capacity * 2 > in->received + n ? in->capacity * 2 : (size_t)in->received + n;
+	if (incoming->received_bytes + n > incoming->capacity) {
+		size_t doubled = incoming->capacity * 2 > incoming->received_bytes + n ? incoming->capacity * 2 : (size_t)incoming->received_bytes + n;
 
-		in->capacity = doubled < in->total ? doubled : (size_t)in->total;
-		in->bytes = realloc(in->bytes, in->capacity + 1);
-		if (!in->bytes)
+		incoming->capacity = doubled < incoming->total_bytes ? doubled : (size_t)incoming->total_bytes;
+		incoming->bytes = realloc(incoming->bytes, incoming->capacity + 1);
+		if (!incoming->bytes)
 			abort();
 	}
-	memcpy(in->bytes + in->received, piece->data.data + skip, n);
-	sha256_update(&in->sum, n, in->bytes + in->received);
-	in->received += n;
+	memcpy(incoming->bytes + incoming->received_bytes, piece->data.data + skip, n);
+	sha256_update(&incoming->sum, n, incoming->bytes + incoming->received_bytes);
+	incoming->received_bytes += n;
 }
 
 /* The digest is right: the snapshot takes the place of all state and of the whole log. */
-static void install(struct raft *raft, struct raft_incoming *in)
-{
-	size_t members_len = (size_t)in->members_len, len = (size_t)in->total - members_len;
-	uint8_t *members = raft_copy_bytes(in->bytes, members_len);
-
-	if (raft_last_index(raft) > raft->base)
-		raft_truncate_from(raft, raft->base + 1);
-	memmove(in->bytes, in->bytes + members_len, len);
-	store_snapshot(raft, in->index, in->index_term, members, members_len, in->bytes, len);
-	in->bytes = NULL;
-	raft->base = in->index;
-	raft->base_term = in->index_term;
-	raft->commit = raft->applied = raft->matched = in->index;
+static void install(struct raft *raft, struct raft_incoming *incoming)
+{
+	size_t members_len = (size_t)incoming->members_len, len = (size_t)incoming->total_bytes - members_len;
+	uint8_t *members = raft_copy_bytes(incoming->bytes, members_len);
+
+	if (raft_last_index(raft) > raft->base_index)
+		raft_truncate_from(raft, raft->base_index + 1);
+	memmove(incoming->bytes, incoming->bytes + members_len, len);
+	store_snapshot(raft, incoming->index, incoming->index_term, members, members_len, incoming->bytes, len);
+	incoming->bytes = NULL;
+	raft->base_index = incoming->index;
+	raft->base_term = incoming->index_term;
+	raft->commit_index = raft->applied_index = raft->matched_index = incoming->index;
 	raft->snapshot_to_load = 1;
 	raft_reload_members(raft);
 }
 
-static int digest_matches(struct raft_incoming *in)
+static int digest_matches(struct raft_incoming *incoming)
 {
 	uint8_t digest[RAFT_DIGEST_BYTES];
 
-	sha256_digest(&in->sum, sizeof digest, digest);
-	return !memcmp(digest, in->digest, sizeof digest);
+	sha256_digest(&incoming->sum, sizeof digest, digest);
+	return !memcmp(digest, incoming->digest, sizeof digest);
 }
 
-static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *m, uint64_t offset, int corrupt, struct out *o)
+static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, uint64_t offset, int corrupt, struct out *out)
 {
-	struct Nl__SnapshotReply *r = OUT_NEW(o, Nl__SnapshotReply, NL__SNAPSHOT_REPLY__INIT);
+	struct Nl__SnapshotReply *reply = OUT_NEW(out, Nl__SnapshotReply, NL__SNAPSHOT_REPLY__INIT);
 
-	r->term = raft->term;
-	r->index = m->snapshot_piece->index;
-	r->transfer = transfer_id(m->snapshot_piece->digest.data);
-	r->offset = offset;
-	r->corrupt = corrupt;
-	out_msg(o, m->addr, raft->no, NL__MSG__BODY_SNAPSHOT_REPLY)->snapshot_reply = r;
+	reply->term = raft->term;
+	reply->index = message->snapshot_piece->index;
+	reply->transfer = transfer_id(message->snapshot_piece->digest.data);
+	reply->offset = offset;
+	reply->corrupt = corrupt;
+	command_send(out, message->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_REPLY)->snapshot_reply = reply;
 }
 
-static void send_synced(struct raft *raft, const struct Nl__Msg *m, struct out *o)
+static void send_synced(struct raft *raft, const struct Nl__Msg *message, struct out *out)
 {
-	uint64_t match = raft->matched < raft->synced_index ? raft->matched : raft->synced_index;
+	uint64_t match = raft->matched_index < raft->synced_index ? raft->matched_index : raft->synced_index;
 
-	raft_send_append_reply(raft, m->addr, 1, match, raft->round, o);
+	raft_send_append_reply(raft, message->addr, 1, match, raft->heartbeat_round, out);
 }
 
 /* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be dropped, since what
@@ -430,40 +430,40 @@
 	return piece->index <= raft_last_index(raft) && raft_term_at(raft, piece->index) == piece->index_term;
 }
 
-void raft_on_snapshot_piece(struct raft *raft, const struct Nl__Msg *m, int64_t now, struct out *o)
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
-	const struct Nl__SnapshotPiece *piece = m->snapshot_piece;
-	struct raft_incoming *in;
+	const struct Nl__SnapshotPiece *piece = message->snapshot_piece;
+	struct raft_incoming *incoming;
 
-	if (!raft_accept_leader(raft, m, piece->term, now)) {
-		raft_send_append_reply(raft, m->addr, 0, 0, 0, o);
+	if (!raft_accept_leader(raft, message, piece->term, now)) {
+		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
 		return;
 	}
-	if (piece->index > raft->commit && log_covers(raft, piece)) {
-		raft->commit = piece->index;
-		raft->matched = raft->matched > piece->index ? raft->matched : piece->index;
+	if (piece->index > raft->commit_index && log_covers(raft, piece)) {
+		raft->commit_index = piece->index;
+		raft->matched_index = raft->matched_index > piece->index ? raft->matched_index : piece->index;
 	}
-	if (piece->index <= raft->commit) {
-		send_synced(raft, m, o);
+	if (piece->index <= raft->commit_index) {
+		send_synced(raft, message, out);
 		return;
 	}
-	in = incoming_of(raft, piece);
-	if (!in)
+	incoming = incoming_of(raft, piece);
+	if (!incoming)
 		return;
-	if (piece->offset <= in->received && piece->offset + piece->data.len > in->received)
-		add_bytes(in, piece);
-	if (in->received < in->total) {
-		send_snapshot_reply(raft, m, in->received, 0, o);
+	if (piece->offset <= incoming->received_bytes && piece->offset + piece->data.len > incoming->received_bytes)
+		add_bytes(incoming, piece);
+	if (incoming->received_bytes < incoming->total_bytes) {
+		send_snapshot_reply(raft, message, incoming->received_bytes, 0, out);
 		return;
 	}
-	if (!digest_matches(in) || !raft_members_valid(in->bytes, (size_t)in->members_len)) {
+	if (!digest_matches(incoming) || !raft_members_valid(incoming->bytes, (size_t)incoming->members_len)) {
 		raft_drop_incoming(raft);
-		send_snapshot_reply(raft, m, 0, 1, o);
+		send_snapshot_reply(raft, message, 0, 1, out);
 		return;
 	}
-	install(raft, in);
+	install(raft, incoming);
 	raft_drop_incoming(raft);
-	send_snapshot_reply(raft, m, piece->total, 0, o);
+	send_snapshot_reply(raft, message, piece->total, 0, out);
 }
 
 /* ---- the state machine's own snapshots ---- */
@@ -474,7 +474,7 @@
 	for (int i = 0; i < raft->member_count && raft->role == RAFT_LEADER; i++) {
 		const struct raft_member *member = &raft->members[i];
 
-		if (!member->voter && !member->match && !member->transfer.index)
+		if (!member->voter && !member->match_index && !member->transfer.index)
 			return 1;
 	}
 	return 0;
@@ -484,7 +484,7 @@
 {
 	size_t bytes = raft->snapshot_len > RAFT_SNAPSHOT_LOG_BYTES ? raft->snapshot_len : RAFT_SNAPSHOT_LOG_BYTES;
 
-	return raft->applied >= raft->snapshot_index + RAFT_SNAPSHOT_ENTRIES || raft->applied_bytes >= bytes ||
+	return raft->applied_index >= raft->snapshot_index + RAFT_SNAPSHOT_ENTRIES || raft->applied_bytes >= bytes ||
 	       (raft->applied_bytes > raft->snapshot_len + SMALL_LOG_BYTES && has_new_learner(raft));
 }
 
@@ -502,10 +502,10 @@
 /* The newest index that goes from the log: entries behind it are kept for members that lag, within bounds. */
 static uint64_t tail_begin(const struct raft *raft)
 {
-	uint64_t drop = raft->applied, oldest = oldest_transfer(raft);
+	uint64_t drop = raft->applied_index, oldest = oldest_transfer(raft);
 	size_t bytes = 0;
 
-	while (!raft->drop_tail && drop > raft->base && (raft->applied - drop < RAFT_LOG_TAIL || drop > oldest)) {
+	while (!raft->drop_tail && drop > raft->base_index && (raft->applied_index - drop < RAFT_LOG_TAIL || drop > oldest)) {
 		bytes += raft_entry_at(raft, drop)->len;
 		if (bytes > RAFT_LOG_TAIL_BYTES)
 			break;
@@ -514,21 +514,21 @@
 	return drop < raft->synced_index ? drop : raft->synced_index;
 }
 
-void raft_snapshot(struct raft *raft, const uint8_t *d, size_t n)
+void raft_snapshot(struct raft *raft, const uint8_t *data, size_t size)
 {
 	const uint8_t *members;
 	size_t members_len;
 	uint64_t drop;
 
-	raft_members_in_force(raft, raft->applied, &members, &members_len);
-	store_snapshot(raft, raft->applied, raft_term_at(raft, raft->applied), raft_copy_bytes(members, members_len), members_len,
-		       raft_copy_bytes(d, n), n);
+	raft_members_in_force(raft, raft->applied_index, &members, &members_len);
+	store_snapshot(raft, raft->applied_index, raft_term_at(raft, raft->applied_index), raft_copy_bytes(members, members_len), members_len,
+		       raft_copy_bytes(data, size), size);
 	drop = tail_begin(raft);
-	if (drop <= raft->base)
+	if (drop <= raft->base_index)
 		return;
 	raft->base_term = raft_term_at(raft, drop);
-	for (uint64_t i = raft->base + 1; i <= drop; i++)
+	for (uint64_t i = raft->base_index + 1; i <= drop; i++)
 		free(raft_entry_at(raft, i)->data);
-	arrdeln(raft->log, 0, (size_t)(drop - raft->base));
-	raft->base = drop;
+	arrdeln(raft->log, 0, (size_t)(drop - raft->base_index));
+	raft->base_index = drop;
 }
