--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -8,28 +8,28 @@
 
 static uint64_t synced_by(const struct raft *raft, const struct raft_member *member)
 {
-	return member->id == raft->id ? raft->synced_index : member->match;
+	return member->id == raft->id ? raft->synced_index : member->match_index;
 }
 
-static int is_leaving(const struct raft *raft, const struct raft_member *member)
+static int is_draining(const struct raft *raft, const struct raft_member *member)
 {
-	return member->id == raft->id ? raft->leaving : member->leaving;
+	return member->id == raft->id ? raft->draining : member->draining;
 }
 
-static int answers(const struct raft *raft, const struct raft_member *member, int64_t now)
+static int is_responsive(const struct raft *raft, const struct raft_member *member, int64_t now)
 {
-	return member->id == raft->id || now - member->heard_at <= RAFT_LEASE_MS;
+	return member->id == raft->id || now - member->last_reply_at_ms <= RAFT_LEASE_MS;
 }
 
 /* Whether a member was told that it may go, and has not answered a later heartbeat round since. Its acknowledgements may be of
  * before it went. */
-static int may_have_gone(const struct raft_member *member)
+static int may_have_stopped(const struct raft_member *member)
 {
-	return member->release_round && member->round <= member->release_round;
+	return member->release_round && member->acked_round <= member->release_round;
 }
 
 /* Whether every other voter has synced an index. */
-static int others_hold(const struct raft *raft, uint64_t id, uint64_t index)
+static int others_have_synced(const struct raft *raft, uint64_t id, uint64_t index)
 {
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
@@ -40,55 +40,55 @@
 	return 1;
 }
 
-void raft_note_leaving(struct raft *raft, struct raft_member *member, int leaving)
+void raft_note_draining(struct raft *raft, struct raft_member *member, int draining)
 {
-	if (leaving && !member->leaving) {
-		member->leave_index = raft_last_index(raft);
-		raft->staying_majority = 0; /* until it is counted again */
+	if (draining && !member->draining) {
+		member->drain_index = raft_last_index(raft);
+		raft->has_remaining_majority = 0; /* until it is counted again */
 	}
-	member->leaving = leaving;
+	member->draining = draining;
 }
 
 void raft_note_commit(struct raft *raft)
 {
-	if (raft->staying_majority)
+	if (raft->has_remaining_majority)
 		return;
 	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].leaving && raft->members[i].leave_index < raft->commit)
-			raft->members[i].leave_index = raft->commit;
+		if (raft->members[i].draining && raft->members[i].drain_index < raft->commit_index)
+			raft->members[i].drain_index = raft->commit_index;
 }
 
-void raft_count_staying(struct raft *raft, int64_t now)
+void raft_count_remaining(struct raft *raft, int64_t now)
 {
-	int staying = 0;
+	int remaining = 0;
 
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
 
-		staying += member->voter && !is_leaving(raft, member) && !may_have_gone(member) && answers(raft, member, now) &&
+		remaining += member->voter && !is_draining(raft, member) && !may_have_stopped(member) && is_responsive(raft, member, now) &&
 			   synced_by(raft, member) >= raft->term_start;
 	}
-	raft->staying_majority = staying > raft_voter_count(raft) / 2;
+	raft->has_remaining_majority = remaining > raft_voter_count(raft) / 2;
 }
 
 uint64_t raft_counted_index(const struct raft *raft, const struct raft_member *member)
 {
-	if (may_have_gone(member))
+	if (may_have_stopped(member))
 		return 0;
-	return raft->staying_majority && is_leaving(raft, member) ? 0 : synced_by(raft, member);
+	return raft->has_remaining_majority && is_draining(raft, member) ? 0 : synced_by(raft, member);
 }
 
 /* Whether a leaving voter's copy is needed by nobody: by members that are committed, the voters that stay are a majority by
  * themselves, and all others hold what it holds. Voters that are to stop do not vouch for each other, even where all of them
  * are: one of them may crash, come back to stay, and find itself without a majority. */
-static int is_spare(const struct raft *raft, uint64_t id, uint64_t index)
+static int is_expendable(const struct raft *raft, uint64_t id, uint64_t index)
 {
-	return raft->staying_majority && raft->members_index <= raft->commit && others_hold(raft, id, index);
+	return raft->has_remaining_majority && raft->members_index <= raft->commit_index && others_have_synced(raft, id, index);
 }
 
 int raft_is_released(const struct raft *raft, const struct raft_member *member)
 {
-	return member->leaving && is_spare(raft, member->id, member->leave_index);
+	return member->draining && is_expendable(raft, member->id, member->drain_index);
 }
 
 uint64_t raft_successor(const struct raft *raft, int64_t now)
@@ -98,39 +98,39 @@
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
 
-		if (!member->voter || member->id == raft->id || member->leaving || !answers(raft, member, now))
+		if (!member->voter || member->id == raft->id || member->draining || !is_responsive(raft, member, now))
 			continue;
-		if (!best || member->match > best->match ||
-		    (member->match == best->match && core_rdv(raft->no, member->id) > core_rdv(raft->no, best->id)))
+		if (!best || member->match_index > best->match_index ||
+		    (member->match_index == best->match_index && core_rendezvous_weight(raft->shard, member->id) > core_rendezvous_weight(raft->shard, best->id)))
 			best = member;
 	}
 	return best ? best->id : 0;
 }
 
-int raft_hand_over(struct raft *raft, int64_t now, struct out *o)
+int raft_hand_over(struct raft *raft, int64_t now, struct out *out)
 {
 	const struct raft_member *successor = raft_find_member(raft, raft_successor(raft, now));
 	uint64_t last = raft_last_index(raft);
-	int ready = successor ? successor->match >= last : others_hold(raft, raft->id, last);
+	int ready = successor ? successor->match_index >= last : others_have_synced(raft, raft->id, last);
 
-	if (!ready && now < raft->leave_by)
+	if (!ready && now < raft->drain_deadline_ms)
 		return 0;
-	raft->release = is_spare(raft, raft->id, last) ? RAFT_RELEASED_LATER : RAFT_HELD;
-	raft->leave_by = now + HANDOVER_MS;
-	raft_step_down(raft, now, o);
+	raft->release = is_expendable(raft, raft->id, last) ? RAFT_RELEASED_LATER : RAFT_NOT_RELEASED;
+	raft->drain_deadline_ms = now + HANDOVER_MS;
+	raft_step_down(raft, now, out);
 	return 1;
 }
 
-void raft_leave(struct raft *raft, int64_t now)
+void raft_drain(struct raft *raft, int64_t now)
 {
-	if (raft->leaving)
+	if (raft->draining)
 		return;
-	raft->leaving = 1;
-	raft->release = RAFT_HELD;
-	raft->leave_by = now + HANDOVER_MS;
+	raft->draining = 1;
+	raft->release = RAFT_NOT_RELEASED;
+	raft->drain_deadline_ms = now + HANDOVER_MS;
 }
 
-int raft_may_leave(const struct raft *raft, int64_t now)
+int raft_may_stop(const struct raft *raft, int64_t now)
 {
 	const struct raft_member *self = NULL;
 
@@ -141,5 +141,5 @@
 		return 0;
 	if (!self || !self->voter || raft->removed || raft->fenced)
 		return 1;
-	return raft->release == RAFT_RELEASED || (raft->release == RAFT_RELEASED_LATER && now >= raft->leave_by);
+	return raft->release == RAFT_RELEASED || (raft->release == RAFT_RELEASED_LATER && now >= raft->drain_deadline_ms);
 }
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -11,111 +11,111 @@
 static int absurd(uint64_t counter) { return counter > MAX_COUNTER; }
 
 /* A leader's own message came back, or another claims to lead in a term that has a leader. */
-static const char *leader_fault(const struct raft *raft, const struct Nl__Msg *m, uint64_t term)
+static const char *leader_fault(const struct raft *raft, const struct Nl__Msg *message, uint64_t term)
 {
 	if (!term || absurd(term))
 		return "an absurd term";
-	if (m->id == raft->id)
+	if (message->id == raft->id)
 		return "a message of our own";
-	if (term == raft->term && raft->leader_id && raft->leader_id != m->id)
+	if (term == raft->term && raft->leader_id && raft->leader_id != message->id)
 		return "a second leader of one term";
 	return NULL;
 }
 
-static const char *entries_fault(const struct Nl__Append *a)
+static const char *entries_fault(const struct Nl__Append *append)
 {
-	uint64_t term = a->prev_term;
+	uint64_t term = append->prev_term;
 
-	if (a->n_e > MAX_ENTRIES_PER_APPEND)
+	if (append->n_e > MAX_ENTRIES_PER_APPEND)
 		return "too many entries";
-	for (size_t i = 0; i < a->n_e; i++) {
-		const struct Nl__Entry *e = a->e[i];
+	for (size_t i = 0; i < append->n_e; i++) {
+		const struct Nl__Entry *entry = append->e[i];
 
-		if (!e->term || e->term < term || e->term > a->term)
+		if (!entry->term || entry->term < term || entry->term > append->term)
 			return "an entry of an impossible term";
-		if (e->kind > RAFT_ENTRY_OPERATION)
+		if (entry->kind > RAFT_ENTRY_OPERATION)
 			return "an entry of an unknown kind";
-		if (e->kind == RAFT_ENTRY_MEMBERS && !raft_members_valid(e->data.data, e->data.len))
+		if (entry->kind == RAFT_ENTRY_MEMBERS && !raft_members_valid(entry->data.data, entry->data.len))
 			return "an impossible list of members";
-		term = e->term;
+		term = entry->term;
 	}
 	return NULL;
 }
 
-static const char *append_fault(const struct raft *raft, const struct Nl__Msg *m)
+static const char *append_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__Append *a = m->append;
-	const char *fault = leader_fault(raft, m, a->term);
+	const struct Nl__Append *append = message->append;
+	const char *fault = leader_fault(raft, message, append->term);
 
 	if (fault)
 		return fault;
-	if (absurd(a->prev) || absurd(a->commit) || a->prev_term > a->term)
+	if (absurd(append->prev) || absurd(append->commit) || append->prev_term > append->term)
 		return "an absurd index";
-	return entries_fault(a);
+	return entries_fault(append);
 }
 
-static const char *append_reply_fault(const struct raft *raft, const struct Nl__Msg *m)
+static const char *append_reply_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__AppendReply *r = m->append_reply;
+	const struct Nl__AppendReply *reply = message->append_reply;
 
-	if (absurd(r->term) || absurd(r->match) || absurd(r->matched))
+	if (absurd(reply->term) || absurd(reply->match) || absurd(reply->matched))
 		return "an absurd term or index";
-	if (raft->role != RAFT_LEADER || r->term != raft->term)
+	if (raft->role != RAFT_LEADER || reply->term != raft->term)
 		return NULL;
-	if (r->ok && (r->match > raft_last_index(raft) || r->matched > raft_last_index(raft)))
+	if (reply->ok && (reply->match > raft_last_index(raft) || reply->matched > raft_last_index(raft)))
 		return "an acknowledgement of entries that do not exist";
-	if (r->round > raft->round)
+	if (reply->round > raft->heartbeat_round)
 		return "an answer to a heartbeat that was not sent";
 	return NULL;
 }
 
-static const char *vote_fault(const struct raft *raft, const struct Nl__Msg *m)
+static const char *vote_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__VoteAsk *v = m->vote_ask;
+	const struct Nl__VoteAsk *request = message->vote_ask;
 
-	if (!v->term || absurd(v->term) || absurd(v->last) || v->last_term > v->term)
+	if (!request->term || absurd(request->term) || absurd(request->last) || request->last_term > request->term)
 		return "an absurd term or index";
-	if (v->gave_up >= v->term)
+	if (request->gave_up >= request->term)
 		return "a leader that gave up a term to come";
-	return m->id == raft->id ? "a message of our own" : NULL;
+	return message->id == raft->id ? "a message of our own" : NULL;
 }
 
-static const char *piece_fault(const struct raft *raft, const struct Nl__Msg *m)
+static const char *chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__SnapshotPiece *p = m->snapshot_piece;
-	const char *fault = leader_fault(raft, m, p->term);
+	const struct Nl__SnapshotPiece *piece = message->snapshot_piece;
+	const char *fault = leader_fault(raft, message, piece->term);
 
 	if (fault)
 		return fault;
-	if (!p->index || absurd(p->index) || !p->index_term || p->index_term > p->term)
+	if (!piece->index || absurd(piece->index) || !piece->index_term || piece->index_term > piece->term)
 		return "a snapshot of an absurd index or term";
-	if (p->digest.len != RAFT_DIGEST_BYTES)
+	if (piece->digest.len != RAFT_DIGEST_BYTES)
 		return "a snapshot without a digest";
-	if (!p->members_len || p->members_len > p->total || p->total > RAFT_SNAPSHOT_MAX_BYTES)
+	if (!piece->members_len || piece->members_len > piece->total || piece->total > RAFT_SNAPSHOT_MAX_BYTES)
 		return "a snapshot of an absurd size";
-	if (!p->data.len || p->data.len > p->total || p->offset > p->total - p->data.len)
+	if (!piece->data.len || piece->data.len > piece->total || piece->offset > piece->total - piece->data.len)
 		return "a piece outside its snapshot";
 	return NULL;
 }
 
-static const char *piece_reply_fault(const struct Nl__SnapshotReply *r)
+static const char *chunk_reply_fault(const struct Nl__SnapshotReply *reply)
 {
-	return absurd(r->term) || absurd(r->index) || r->offset > RAFT_SNAPSHOT_MAX_BYTES ? "an absurd term, index or offset"
+	return absurd(reply->term) || absurd(reply->index) || reply->offset > RAFT_SNAPSHOT_MAX_BYTES ? "an absurd term, index or offset"
 											  : NULL;
 }
 
-const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *m)
+const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	switch (m->body_case) {
-	case NL__MSG__BODY_VOTE_ASK: return vote_fault(raft, m);
-	case NL__MSG__BODY_VOTE_REPLY: return absurd(m->vote_reply->term) ? "an absurd term" : NULL;
-	case NL__MSG__BODY_APPEND: return append_fault(raft, m);
-	case NL__MSG__BODY_APPEND_REPLY: return append_reply_fault(raft, m);
-	case NL__MSG__BODY_SNAPSHOT_PIECE: return piece_fault(raft, m);
-	case NL__MSG__BODY_SNAPSHOT_REPLY: return piece_reply_fault(m->snapshot_reply);
-	case NL__MSG__BODY_GIVE_UP: return absurd(m->give_up->term) ? "an absurd term" : NULL;
+	switch (message->body_case) {
+	case NL__MSG__BODY_VOTE_ASK: return vote_fault(raft, message);
+	case NL__MSG__BODY_VOTE_REPLY: return absurd(message->vote_reply->term) ? "an absurd term" : NULL;
+	case NL__MSG__BODY_APPEND: return append_fault(raft, message);
+	case NL__MSG__BODY_APPEND_REPLY: return append_reply_fault(raft, message);
+	case NL__MSG__BODY_SNAPSHOT_PIECE: return chunk_fault(raft, message);
+	case NL__MSG__BODY_SNAPSHOT_REPLY: return chunk_reply_fault(message->snapshot_reply);
+	case NL__MSG__BODY_GIVE_UP: return absurd(message->give_up->term) ? "an absurd term" : NULL;
 	case NL__MSG__BODY_PROBE_REPLY:
-		return absurd(m->probe_reply->last_term) || absurd(m->probe_reply->members_at) ? "an absurd term or index" : NULL;
+		return absurd(message->probe_reply->last_term) || absurd(message->probe_reply->members_at) ? "an absurd term or index" : NULL;
 	default: return NULL;
 	}
 }
--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -9,59 +9,59 @@
 
 /* ---- a new edition --------------------------------------------------------------------------------- */
 
-static void swap_server_table(struct router *c, int64_t now)
+static void replace_server_table(struct router *router, int64_t now)
 {
-	struct server_table *r = router_server_table_make(c, now);
-	uint32_t n = 0;
-	char line[100];
-
-	router_server_table_free(c->server_table);
-	c->server_table = r;
-	for (uint32_t i = 0; i < r->nserver; i++)
-		n += r->server[i].on && !r->server[i].draining && !r->server[i].is_store;
-	if (n != c->nstand && c->log) {
-		apr_snprintf(line, sizeof line, "Servers that stand: %u, before %u.", n, c->nstand);
-		c->log(c->log_ctx, "ctr", line);
+	struct server_table *servers = router_server_table_new(router, now);
+	uint32_t serving = 0;
+	char text[100];
+
+	router_server_table_free(router->server_table);
+	router->server_table = servers;
+	for (uint32_t i = 0; i < servers->server_count; i++)
+		serving += servers->servers[i].is_configured && !servers->servers[i].draining && !servers->servers[i].is_store;
+	if (serving != router->serving_servers && router->log) {
+		apr_snprintf(text, sizeof text, "Servers that stand: %u, before %u.", serving, router->serving_servers);
+		router->log(router->log_context, "ctr", text);
 	}
-	c->nstand = n;
+	router->serving_servers = serving;
 }
 
 /* A newer table and a request of the own interface: its key ends it wherever it is; what was not sent ends with its lane, and
  * comes back where that has another service now, since its claim is held by the old one's owner. */
-static void judge_claimed(struct router *c, struct client_request *x, int64_t now, struct out *o)
+static void recheck_claimed(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	const struct route_table *b = c->route_table;
-	struct bk_key *keys = b->key;
-	ptrdiff_t k = x->digest ? shgeti(keys, x->digest) : -1;
-
-	if (x->digest && x->tenant != b->keyless && (k < 0 || keys[k].value != x->tenant || !b->tenant[x->tenant].on)) {
-		c->n.revoked++;
-		router_end_early(c, x, 401, "key: removed", now, o);
-	} else if (x->state == REQUEST_RUNNING) {
+	const struct route_table *routes = router->route_table;
+	struct key_entry *keys = routes->keys;
+	ptrdiff_t key_index = request->key_digest ? shgeti(keys, request->key_digest) : -1;
+
+	if (request->key_digest && request->tenant_index != routes->anonymous_tenant && (key_index < 0 || keys[key_index].value != request->tenant_index || !routes->tenants[request->tenant_index].is_configured)) {
+		router->stats.revoked++;
+		router_end_early(router, request, 401, "key: removed", now, out);
+	} else if (request->state == REQUEST_RUNNING) {
 		return;
-	} else if (!b->lane[x->lane].on || !b->service[b->lane[x->lane].service].on) {
-		router_end_early(c, x, 404, "lane: removed", now, o);
-	} else if (b->lane[x->lane].service != x->service) {
-		router_end_early(c, x, 503, "the lane has another service now", now, o);
+	} else if (!routes->routes[request->route_index].is_configured || !routes->services[routes->routes[request->route_index].service_index].is_configured) {
+		router_end_early(router, request, 404, "lane: removed", now, out);
+	} else if (routes->routes[request->route_index].service_index != request->service_index) {
+		router_end_early(router, request, 503, "the lane has another service now", now, out);
 	}
 }
 
 /* What waits is placed by the new table. What runs was sent while its key and route held: it ends by itself, within its time,
  * and is placed by the new table if its server gives it back. */
-static void swap_route_table(struct router *c, int64_t now, struct out *o)
+static void replace_route_table(struct router *router, int64_t now, struct out *out)
 {
-	struct route_table *b = router_route_table_make(c, now), *old = c->route_table;
-
-	c->route_table = b;
-	router_weights_log_namings(c, old, now);
-	swap_server_table(c, now);
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--) {
-		struct client_request *x = c->all[i];
-
-		if (!x->forwarded)
-			judge_claimed(c, x, now, o);
-		else if (x->state != REQUEST_RUNNING)
-			(void)router_readmit(c, x, now, o);
+	struct route_table *routes = router_route_table_new(router, now), *old = router->route_table;
+
+	router->route_table = routes;
+	router_weights_log_targets(router, old, now);
+	replace_server_table(router, now);
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests[i];
+
+		if (!request->is_forwarded)
+			recheck_claimed(router, request, now, out);
+		else if (request->state != REQUEST_RUNNING)
+			(void)router_readmit(router, request, now, out);
 	}
 	router_route_table_free(old);
 }
@@ -69,240 +69,240 @@
 /* ---- the step ---------------------------------------------------------------------------------------- */
 
 /* NOLINTNEXTLINE(readability-function-size): a flat list of members */
-static const char *state_json(struct router *c, int64_t now, apr_pool_t *p)
+static const char *state_json(struct router *router, int64_t now, apr_pool_t *pool)
 {
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
 	uint32_t waiting = 0;
 	const char *s;
 	const struct {
-		const char *k;
-		uint64_t v;
+		const char *name;
+		uint64_t value;
 	} n[] = {
-		{ "edition", c->f.t.edition },
-		{ "horizon", c->relay.k.horizon },
-		{ "kept", c->kept.n },
-		{ "taken", c->n.taken },
-		{ "answered", c->n.outcome[REQUEST_ANSWERED] },
-		{ "refused", c->n.outcome[REQUEST_REFUSED] },
-		{ "rejected", c->n.outcome[REQUEST_REJECTED] },
-		{ "broken_off", c->n.outcome[REQUEST_BROKEN_OFF] },
-		{ "client_gone", c->n.outcome[REQUEST_CLIENT_GONE] },
-		{ "sends", c->n.sends },
-		{ "resends", c->n.resends },
-		{ "pieces", c->n.pieces },
-		{ "tokens", c->n.tokens },
-		{ "reused", c->n.reused },
-		{ "fetched", c->n.fetched },
-		{ "cold", c->n.cold },
-		{ "claims", c->n.claims },
-		{ "looks", c->n.looks },
-		{ "watches", c->n.watches },
-		{ "events", c->n.events },
-		{ "taken_up", c->n.taken_up },
-		{ "wrong_life", c->n.wrong_life },
-		{ "refused_stale", c->n.refused_stale },
-		{ "refused_line", c->n.refused_line },
-		{ "refused_limit", c->n.refused_limit },
-		{ "refused_early", c->n.refused_early },
-		{ "revoked", c->n.revoked },
-		{ "blind", c->n.blind },
-		{ "lookups_used", c->n.lookups_used },
-		{ "lookups_missed", c->n.lookups_missed },
-		{ "lookups_answered", c->n.lookups_answered },
-		{ "recalled", c->n.recalled },
-		{ "sent_past_bound", c->n.sent_past_bound },
-		{ "begun_past_bound", c->n.begun_past_bound },
-		{ "downstreams", (uint64_t)arrlen(c->relay.down) },
-		{ "increments", c->relay.n_inc },
-		{ "counters", c->f.counters },
+		{ "edition", router->config_watch.table.revision },
+		{ "horizon", router->relay.knowledge.horizon },
+		{ "kept", router->prefix_index.replica_count },
+		{ "taken", router->stats.received },
+		{ "answered", router->stats.outcomes[REQUEST_ANSWERED] },
+		{ "refused", router->stats.outcomes[REQUEST_REFUSED] },
+		{ "rejected", router->stats.outcomes[REQUEST_REJECTED] },
+		{ "broken_off", router->stats.outcomes[REQUEST_BROKEN_OFF] },
+		{ "client_gone", router->stats.outcomes[REQUEST_CLIENT_DISCONNECTED] },
+		{ "sends", router->stats.sends },
+		{ "resends", router->stats.resends },
+		{ "pieces", router->stats.chunks },
+		{ "tokens", router->stats.tokens },
+		{ "reused", router->stats.reused },
+		{ "fetched", router->stats.fetched },
+		{ "cold", router->stats.sends_without_cache },
+		{ "claims", router->stats.claims },
+		{ "looks", router->stats.report_polls },
+		{ "watches", router->stats.watches },
+		{ "events", router->stats.events },
+		{ "taken_up", router->stats.resumed },
+		{ "wrong_life", router->stats.wrong_incarnation },
+		{ "refused_stale", router->stats.refused_stale },
+		{ "refused_line", router->stats.refused_queue_full },
+		{ "refused_limit", router->stats.refused_deadline },
+		{ "refused_early", router->stats.refused_early },
+		{ "revoked", router->stats.revoked },
+		{ "blind", router->stats.ended_without_config },
+		{ "lookups_used", router->stats.lookups_used },
+		{ "lookups_missed", router->stats.lookups_missed },
+		{ "lookups_answered", router->stats.lookups_answered },
+		{ "recalled", router->stats.recalled },
+		{ "sent_past_bound", router->stats.sent_past_bound },
+		{ "begun_past_bound", router->stats.begun_past_bound },
+		{ "downstreams", (uint64_t)arrlen(router->relay.downstreams) },
+		{ "increments", router->relay.increments_sent },
+		{ "counters", router->config_watch.router_count },
 	};
 
 	for (size_t i = 0; i < sizeof n / sizeof *n; i++)
-		json_object_object_add(j, n[i].k, json_object_new_int64((int64_t)n[i].v));
-	for (ptrdiff_t i = 0; i < arrlen(c->line); i++)
-		waiting += c->line[i].n;
-	json_object_object_add(j, "id", json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT, c->id)));
-	json_object_object_add(j, "zone", json_object_new_string(c->zone));
-	json_object_object_add(j, "age_ms", json_object_new_int64(config_watch_age(&c->f, now)));
-	json_object_object_add(j, "current", json_object_new_boolean(relay_current(&c->relay, now)));
-	json_object_object_add(j, "running", json_object_new_int64(arrlen(c->all) - (int64_t)waiting));
-	json_object_object_add(j, "waiting", json_object_new_int64(waiting));
-	for (uint32_t i = 0; c->server_table && i < c->server_table->nserver; i++) {
+		json_object_object_add(json, n[i].name, json_object_new_int64((int64_t)n[i].value));
+	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
+		waiting += router->queues[i].length;
+	json_object_object_add(json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, router->id)));
+	json_object_object_add(json, "zone", json_object_new_string(router->zone_name));
+	json_object_object_add(json, "age_ms", json_object_new_int64(config_watch_age_ms(&router->config_watch, now)));
+	json_object_object_add(json, "current", json_object_new_boolean(relay_is_current(&router->relay, now)));
+	json_object_object_add(json, "running", json_object_new_int64(arrlen(router->requests) - (int64_t)waiting));
+	json_object_object_add(json, "waiting", json_object_new_int64(waiting));
+	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++) {
 		struct json_object *x;
 
-		if (!c->server_table->server[i].on)
+		if (!router->server_table->servers[i].is_configured)
 			continue;
 		x = json_object_new_object();
-		json_object_object_add(x, "server", json_object_new_string(c->servers.name[i]));
-		json_object_object_add(x, "standing", json_object_new_boolean(router_standing(c, i, now)));
-		json_object_object_add(x, "running", json_object_new_int(c->sv[i].running));
-		json_object_object_add(x, "slots", json_object_new_int(c->sv[i].slots));
+		json_object_object_add(x, "server", json_object_new_string(router->server_names.names[i]));
+		json_object_object_add(x, "standing", json_object_new_boolean(router_server_is_serving(router, i, now)));
+		json_object_object_add(x, "running", json_object_new_int(router->servers[i].running));
+		json_object_object_add(x, "slots", json_object_new_int(router->servers[i].slots));
 		json_object_object_add(x, "weights",
-				       json_object_new_string(c->sv[i].have ? c->weights.name[c->sv[i].weights] : ""));
+				       json_object_new_string(router->servers[i].is_known ? router->weights_names.names[router->servers[i].weights] : ""));
 		json_object_array_add(a, x);
 	}
-	json_object_object_add(j, "servers", a);
-	s = apr_pstrdup(p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
+	json_object_object_add(json, "servers", a);
+	s = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
 	return s;
 }
 
-const char *router_usage(const struct router *c, apr_pool_t *p)
+const char *router_usage(const struct router *router, apr_pool_t *pool)
 {
-	const char *s = "lane,tenant,exchanges,tokens,reused,pieces,errors\n";
+	const char *csv = "lane,tenant,exchanges,tokens,reused,pieces,errors\n";
 
-	for (ptrdiff_t i = 0; i < hmlen(c->use); i++) {
-		const struct router_use *u = &c->use[i];
+	for (ptrdiff_t i = 0; i < hmlen(router->usage); i++) {
+		const struct usage_entry *router_use = &router->usage[i];
 
-		s = apr_psprintf(p,
+		csv = apr_psprintf(pool,
 				 "%s%s,%s,%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT
 				 ",%" APR_UINT64_T_FMT "\n",
-				 s, c->lanes.name[u->key >> 32], c->tenants.name[u->key & UINT32_MAX], u->value.exchanges,
-				 u->value.tokens, u->value.reused, u->value.pieces, u->value.errors);
+				 csv, router->route_names.names[router_use->key >> 32], router->tenant_names.names[router_use->key & UINT32_MAX], router_use->value.requests,
+				 router_use->value.tokens, router_use->value.reused, router_use->value.chunks, router_use->value.errors);
 	}
-	return s;
+	return csv;
 }
 
 /* How long a stream may be silent before it is taken up: its client gives up after two seconds, four times its aim or eight
  * times its pause, whichever is longest, and should be told before, to take it up by itself. */
-static int64_t silence_of(const struct bk_lane *l)
+static int64_t max_stream_silence_ms(const struct route_config *route)
 {
-	int64_t patience = ROUTER_SILENCE;
+	int64_t patience = ROUTER_STREAM_MIN_PATIENCE_MS;
 
-	if (4 * (int64_t)l->aim > patience)
-		patience = 4 * (int64_t)l->aim;
-	if (8 * (int64_t)l->pause > patience)
-		patience = 8 * (int64_t)l->pause;
+	if (4 * (int64_t)route->latency_target_ms > patience)
+		patience = 4 * (int64_t)route->latency_target_ms;
+	if (8 * (int64_t)route->max_gap_ms > patience)
+		patience = 8 * (int64_t)route->max_gap_ms;
 	return patience * 3 / 4;
 }
 
 /* How long a request with so many before it has yet to wait. One of another service than the head's may pass it, as soon as it
  * is sent, and is only taken to wait for as long as it has. */
-static double wait_of(const struct line *l, const struct client_request *x, uint32_t before, int64_t now)
+static double expected_wait_ms(const struct line *queue, const struct client_request *request, uint32_t before, int64_t now)
 {
-	if (x->service == l->head->service)
-		return router_expected(l, before, now);
-	return (double)(now - (x->given_back_at ? x->given_back_at : x->since_at));
+	if (request->service_index == queue->head->service_index)
+		return router_expected_wait_ms(queue, before, now);
+	return (double)(now - (request->returned_at_ms ? request->returned_at_ms : request->received_at_ms));
 }
 
 /* What will not be sent in time is told so now, not at its limit. */
-static void end_hopeless(struct router *c, int64_t now, struct out *o)
+static void end_hopeless(struct router *router, int64_t now, struct out *out)
 {
-	const struct server_table *b = c->server_table;
+	const struct server_table *servers = router->server_table;
 
-	for (uint32_t s = 0; b && s < b->nserver; s++)
-		if (!c->server_table->server[s].is_store && router_standing(c, s, now))
-			c->stood[c->server_table->server[s].service] = now;
-	for (ptrdiff_t i = 0; i < arrlen(c->line); i++) {
-		struct line *l = &c->line[i];
+	for (uint32_t server_index = 0; servers && server_index < servers->server_count; server_index++)
+		if (!router->server_table->servers[server_index].is_store && router_server_is_serving(router, server_index, now))
+			router->last_serving_at_ms[router->server_table->servers[server_index].service_index] = now;
+	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
+		struct line *queue = &router->queues[i];
 		struct client_request *next;
 		uint32_t before = 0;
 
-		for (struct client_request *x = l->head; x; x = next) {
-			int none = now - c->stood[x->service] > ROUTER_RIDE;
-			double wait = wait_of(l, x, before, now);
+		for (struct client_request *request = queue->head; request; request = next) {
+			int none = now - router->last_serving_at_ms[request->service_index] > ROUTER_CONFIG_MAX_STALENESS_MS;
+			double wait = expected_wait_ms(queue, request, before, now);
 
-			next = x->after;
-			if (x->begun && now - x->given_back_at > silence_of(&c->route_table->lane[x->lane])) {
-				router_give_up(c, x, 502, "no server took the stream up in time", now, o);
+			next = request->next_in_queue;
+			if (request->has_begun && now - request->returned_at_ms > max_stream_silence_ms(&router->route_table->routes[request->route_index])) {
+				router_break_off(router, request, 502, "no server took the stream up in time", now, out);
 				continue;
 			}
-			if (!none && wait <= (double)(x->limit - now)) {
+			if (!none && wait <= (double)(request->deadline_at_ms - now)) {
 				before++;
 				continue;
 			}
-			c->n.refused_early++;
-			router_refuse(c, x, 503, none ? router_no_server : "the line is too long to be sent within the limit",
-				      none ? ROUTER_RETRY : wait / 2, now, o);
+			router->stats.refused_early++;
+			router_refuse(router, request, 503, none ? router_no_server : "the line is too long to be sent within the limit",
+				      none ? ROUTER_RETRY_AFTER_MIN_MS : wait / 2, now, out);
 		}
 	}
 }
 
 /* The process ends soon: what is still here is told so, rather than find its connection closed. */
-static void end_leaving(struct router *c, int64_t now, struct out *o)
+static void end_draining(struct router *router, int64_t now, struct out *out)
 {
-	if (!c->stop.run_until || now < c->stop.send_until)
+	if (!router->shutdown.run_deadline_at_ms || now < router->shutdown.send_deadline_at_ms)
 		return;
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--) {
-		struct client_request *x = c->all[i];
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests[i];
 
-		if (x->state != REQUEST_RUNNING || now >= c->stop.run_until)
-			router_end_early(c, x, 503, "this counter is stopping", now, o);
+		if (request->state != REQUEST_RUNNING || now >= router->shutdown.run_deadline_at_ms)
+			router_end_early(router, request, 503, "this counter is stopping", now, out);
 	}
 }
 
-static void tick(struct router *c, int64_t now, struct out *o)
+static void tick(struct router *router, int64_t now, struct out *out)
 {
-	router_retention_tick(c, now);
-	c->f.warm = !c->stopping && now - c->opened >= ROUTER_WARM;
-	config_watch_tick(&c->f, c->relay.k.horizon, now, o);
-	relay_up(&c->relay, c->f.up, (size_t)c->f.nup, config_watch_log(&c->f, c->relay.moved, now), now);
-	c->relay.incurious = !mechanism_on(c->b.without, MECHANISM_CURIOSITY);
-	relay_tick(&c->relay, now, o);
-	if (c->b.instances) {
-		router_load_tick(c, now, o);
-		router_feed_tick(c, now, o);
+	router_retention_tick(router, now);
+	router->config_watch.is_warm = !router->is_stopping && now - router->started_at_ms >= ROUTER_WARM_UP_MS;
+	config_watch_tick(&router->config_watch, router->relay.knowledge.horizon, now, out);
+	relay_set_upstreams(&router->relay, router->config_watch.upstream, (size_t)router->config_watch.upstream_count, config_watch_publisher_addr(&router->config_watch, router->relay.horizon_moved_at_ms, now), now);
+	router->relay.curiosity_disabled = !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CURIOSITY);
+	relay_tick(&router->relay, now, out);
+	if (router->bounds.discover_instances) {
+		router_load_tick(router, now, out);
+		router_feed_tick(router, now, out);
 	}
-	if (c->b.instances)
-		router_watch(c, now, o);
+	if (router->bounds.discover_instances)
+		router_watch_caches(router, now, out);
 	else
-		router_look(c, now, o);
-	router_log_decisions(c, now);
-	router_weights_recall(c, now, o);
-	end_hopeless(c, now, o);
-	end_leaving(c, now, o);
-	router_releases_tick(c, now, o);
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--) {
-		struct client_request *x = c->all[i];
-
-		if (now >= x->limit) {
-			c->n.refused_limit += x->state != REQUEST_RUNNING;
-			router_end_early(c, x, x->state == REQUEST_RUNNING ? 504 : 503,
-					 x->state == REQUEST_RUNNING ? "the limit passed" : "the limit passed in the line", now, o);
-		} else if (x->state == REQUEST_CLAIMING && !x->claimed && now - x->claim_from > ROUTER_RIDE) {
-			c->n.refused_early++;
-			router_refuse(c, x, 503, "the part of this service has no owner that answers", ROUTER_RETRY, now, o);
-		} else if (x->state == REQUEST_CLAIMING && !x->claimed && now - x->claim_at >= ROUTER_CLAIM_WAIT) {
+		router_poll_reports(router, now, out);
+	router_log_decisions(router, now);
+	router_weights_recall(router, now, out);
+	end_hopeless(router, now, out);
+	end_draining(router, now, out);
+	router_releases_tick(router, now, out);
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests[i];
+
+		if (now >= request->deadline_at_ms) {
+			router->stats.refused_deadline += request->state != REQUEST_RUNNING;
+			router_end_early(router, request, request->state == REQUEST_RUNNING ? 504 : 503,
+					 request->state == REQUEST_RUNNING ? "the limit passed" : "the limit passed in the line", now, out);
+		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed && now - request->claim_started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
+			router->stats.refused_early++;
+			router_refuse(router, request, 503, "the part of this service has no owner that answers", ROUTER_RETRY_AFTER_MIN_MS, now, out);
+		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed && now - request->claim_sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 			/* the same claim again: a part takes it once however often it is asked */
-			router_claim_miss(c, x->service, x->asked);
-			router_claim_send(c, x, now, o);
+			router_claim_miss(router, request->service_index, request->claim_leader_addr);
+			router_claim_send(router, request, now, out);
 		}
 	}
 }
 
-static void on_msg(struct router *c, const struct Nl__Msg *m, int64_t now, struct out *o)
+static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now, struct out *out)
 {
 	int changed;
 
-	if (m->speak != CORE_SPEAK || (m->fleet && c->f.fleet && m->fleet != c->f.fleet))
+	if (message->speak != CORE_SPEAK || (message->fleet && router->config_watch.fleet && message->fleet != router->config_watch.fleet))
 		return;
-	switch (m->body_case) {
+	switch (message->body_case) {
 	case NL__MSG__BODY_FOLLOW_REPLY:
 	case NL__MSG__BODY_OWNER:
-		changed = config_watch_msg(&c->f, m, now, o);
+		changed = config_watch_receive(&router->config_watch, message, now, out);
 		if (changed & 1)
-			swap_route_table(c, now, o);
-		else if (changed && c->route_table)
-			swap_server_table(c, now);
+			replace_route_table(router, now, out);
+		else if (changed && router->route_table)
+			replace_server_table(router, now);
 		break;
 	case NL__MSG__BODY_KNOWLEDGE:
 	case NL__MSG__BODY_PURGE_SNAP:
-	case NL__MSG__BODY_CURIOSITY: relay_msg(&c->relay, m, now, o); break;
-	case NL__MSG__BODY_ANSWER: router_on_answer(c, m->answer, m->addr, now, o); break;
-	case NL__MSG__BODY_LOAD: router_on_load(c, m->id, m->addr, m->load, now); break;
+	case NL__MSG__BODY_CURIOSITY: relay_receive(&router->relay, message, now, out); break;
+	case NL__MSG__BODY_ANSWER: router_on_answer(router, message->answer, message->addr, now, out); break;
+	case NL__MSG__BODY_LOAD: router_on_load(router, message->id, message->addr, message->load, now); break;
 	case NL__MSG__BODY_KEPT_ALL:
-		for (size_t i = 0; i < m->kept_all->n_k; i++)
-			router_on_kept(c, m->kept_all->k[i], now);
+		for (size_t i = 0; i < message->kept_all->n_k; i++)
+			router_on_cache_update(router, message->kept_all->k[i], now);
 		break;
-	case NL__MSG__BODY_PREFIX_ASK: router_on_prefix_ask(c, m, o); break;
-	case NL__MSG__BODY_PREFIX_REPLY: router_on_prefix_reply(c, m->prefix_reply, now); break;
-	case NL__MSG__BODY_REPORT: router_on_passed_report(c, m->report, now, o); break;
+	case NL__MSG__BODY_PREFIX_ASK: router_on_prefix_lookup(router, message, out); break;
+	case NL__MSG__BODY_PREFIX_REPLY: router_on_prefix_reply(router, message->prefix_reply, now); break;
+	case NL__MSG__BODY_REPORT: router_on_relayed_report(router, message->report, now, out); break;
 	case NL__MSG__BODY_FOLLOW: { /* a seed need not be a controller: say whom to ask */
-		struct Nl__ConfigSyncReply *a = OUT_NEW(o, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+		struct Nl__ConfigSyncReply *reply = OUT_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
 
-		a->token = m->follow->token;
-		a->hint = c->f.leader_addr[SHARD_CONTROL];
-		out_msg(o, m->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = a;
+		reply->token = message->follow->token;
+		reply->hint = router->config_watch.leader_addr[SHARD_CONTROL];
+		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = reply;
 		break;
 	}
 	default: break;
@@ -311,174 +311,174 @@
 
 /* A forwarded request that a server has been sent goes on, as it does where its key is known to be removed: it was sent while
  * the configuration was certain to be in force, and the server ends it within its deadline. */
-static int outlives_configuration(const struct client_request *x) { return x->forwarded && x->state == REQUEST_RUNNING; }
+static int outlives_config(const struct client_request *request) { return request->is_forwarded && request->state == REQUEST_RUNNING; }
 
 /* Cut off, or woken after a freeze: before anything else happens, what has not been sent is refused, and in the product's own
  * interface all that is held here ends. */
-static void end_blind(struct router *c, int64_t now, struct out *o)
+static void end_without_config(struct router *router, int64_t now, struct out *out)
 {
-	if (now <= router_good_until(c))
+	if (now <= router_config_valid_until(router))
 		return;
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--) {
-		if (outlives_configuration(c->all[i]))
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
+		if (outlives_config(router->requests[i]))
 			continue;
-		c->n.blind++;
-		router_end_early(c, c->all[i], 503, "this counter has been cut off: its configuration may be out of force", now, o);
+		router->stats.ended_without_config++;
+		router_end_early(router, router->requests[i], 503, "this counter has been cut off: its configuration may be out of force", now, out);
 	}
 }
 
 /* The door passes a head on before it says so. Whatever ends the exchange in this very step owes its caller an end of the
  * stream: an answer would go nowhere, and the caller wait. */
-static void door_has_begun(struct router *c, const struct router_ev *ev)
+static void note_listener_began(struct router *router, const struct router_event *event)
 {
-	uint64_t call = ev->kind == ROUTER_BEGAN                         ? ev->u.began.token
-			: ev->kind == ROUTER_ENDED && ev->u.ended->began ? ev->u.ended->token
+	uint64_t call = event->kind == ROUTER_EVENT_FORWARD_BEGAN                         ? event->u.forward_began.token
+			: event->kind == ROUTER_EVENT_FORWARD_ENDED && event->u.forward_ended->has_begun ? event->u.forward_ended->token
 									 : 0;
-	struct client_request *x = call ? router_request_by(c, call) : NULL;
+	struct client_request *request = call ? router_request_by_token(router, call) : NULL;
 
-	if (x && x->call == call)
-		x->begun = 1;
+	if (request && request->call_token == call)
+		request->has_begun = 1;
 }
 
-int64_t router_good_until(const struct router *c) { return c->f.fresh + ROUTER_RIDE; }
+int64_t router_config_valid_until(const struct router *router) { return router->config_watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS; }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void router_step(struct router *c, const struct router_ev *ev, int64_t now, struct out *o)
+void router_step(struct router *router, const struct router_event *event, int64_t now, struct out *out)
 {
-	struct client_request *x;
-
-	o->id = c->id;
-	o->addr = c->addr;
-	o->fleet = c->f.fleet;
-	if (c->now && now - c->now > ROUTER_PAUSE)
-		c->paused_at = now;
-	c->now = now;
-	door_has_begun(c, ev);
-	end_blind(c, now, o);
-	switch (ev->kind) {
-	case ROUTER_TICK: tick(c, now, o); break;
-	case ROUTER_MSG: on_msg(c, ev->u.msg, now, o); break;
-	case ROUTER_EXCHANGE: router_take(c, ev->u.exchange.token, ev->u.exchange.digest, ev->u.exchange.body, now, o); break;
-	case ROUTER_GONE: /* the caller left */
-		x = router_request_by(c, ev->u.gone.token);
-		if (!x || x->token != ev->u.gone.token)
+	struct client_request *request;
+
+	out->id = router->id;
+	out->addr = router->addr;
+	out->fleet = router->config_watch.fleet;
+	if (router->now && now - router->now > ROUTER_PAUSE_DETECTION_MS)
+		router->paused_at_ms = now;
+	router->now = now;
+	note_listener_began(router, event);
+	end_without_config(router, now, out);
+	switch (event->kind) {
+	case ROUTER_EVENT_TICK: tick(router, now, out); break;
+	case ROUTER_EVENT_MESSAGE: on_message(router, event->u.message, now, out); break;
+	case ROUTER_EVENT_CLAIMED_REQUEST: router_admit_claimed(router, event->u.claimed_request.token, event->u.claimed_request.key_digest, event->u.claimed_request.body, now, out); break;
+	case ROUTER_EVENT_CLIENT_DISCONNECTED: /* the caller left */
+		request = router_request_by_token(router, event->u.client_disconnected.token);
+		if (!request || request->token != event->u.client_disconnected.token)
 			break;
-		router_request_end(c, x, &(struct request_ending){ REQUEST_CLIENT_GONE, 0, NULL, 0 }, now, o);
+		router_request_end(router, request, &(struct request_ending){ REQUEST_CLIENT_DISCONNECTED, 0, NULL, 0 }, now, out);
 		break;
-	case ROUTER_PIECE:
-		x = router_request_by(c, ev->u.piece.token);
-		if (x && x->call == ev->u.piece.token)
-			router_on_piece(c, x, ev->u.piece.line, now, o);
+	case ROUTER_EVENT_STREAM_CHUNK:
+		request = router_request_by_token(router, event->u.stream_chunk.token);
+		if (request && request->call_token == event->u.stream_chunk.token)
+			router_on_stream_chunk(router, request, event->u.stream_chunk.text, now, out);
 		break;
-	case ROUTER_DONE:
-		x = router_request_by(c, ev->u.done.token);
-		if (x && x->call == ev->u.done.token)
-			router_on_done(c, x, &ev->u.done, now, o);
+	case ROUTER_EVENT_CALL_ENDED:
+		request = router_request_by_token(router, event->u.call_ended.token);
+		if (request && request->call_token == event->u.call_ended.token)
+			router_on_done(router, request, &event->u.call_ended, now, out);
 		break;
-	case ROUTER_CALLED:
-		for (uint32_t s = 0; c->server_table && s < c->server_table->nserver; s++)
-			if (c->sv[s].call == ev->u.called.token && ev->u.called.status == 200) {
-				router_on_report(c, s, ev->u.called.body, now);
-				router_pass_report(c, s, ev->u.called.body, o);
+	case ROUTER_EVENT_REPORT_POLLED:
+		for (uint32_t s = 0; router->server_table && s < router->server_table->server_count; s++)
+			if (router->servers[s].poll_token == event->u.report_polled.token && event->u.report_polled.status == 200) {
+				router_on_report(router, s, event->u.report_polled.body, now);
+				router_relay_report(router, s, event->u.report_polled.body, out);
 			}
 		break;
-	case ROUTER_WEB:
-		if (!strcmp(ev->u.web.path, "/v1/usage"))
-			out_answer(o, ev->u.web.token, 200, 0, router_usage(c, o->p));
-		else if (!strcmp(ev->u.web.path, "/v1/state"))
-			out_answer(o, ev->u.web.token, 200, 0, state_json(c, now, o->p));
-		else if (!strcmp(ev->u.web.path, "/metrics"))
-			out_answer(o, ev->u.web.token, 200, 0, router_metrics(c, now, o->p));
+	case ROUTER_EVENT_HTTP_GET:
+		if (!strcmp(event->u.http_get.path, "/v1/usage"))
+			command_answer(out, event->u.http_get.token, 200, 0, router_usage(router, out->pool));
+		else if (!strcmp(event->u.http_get.path, "/v1/state"))
+			command_answer(out, event->u.http_get.token, 200, 0, state_json(router, now, out->pool));
+		else if (!strcmp(event->u.http_get.path, "/metrics"))
+			command_answer(out, event->u.http_get.token, 200, 0, router_metrics(router, now, out->pool));
 		else
-			out_answer(o, ev->u.web.token, 404, 0, router_error_json(o->p, "path: no such call", "refused"));
+			command_answer(out, event->u.http_get.token, 404, 0, router_error_body(out->pool, "path: no such call", "refused"));
 		break;
-	case ROUTER_STOP:
-		c->stopping = 1;
-		c->stop = ev->u.stop;
+	case ROUTER_EVENT_STOP:
+		router->is_stopping = 1;
+		router->shutdown = event->u.shutdown;
 		break;
-	case ROUTER_ASKED: router_asked(c, ev->u.ask, now, o); break;
-	case ROUTER_BEGAN:
-		x = router_request_by(c, ev->u.began.token);
-		if (x && x->call == ev->u.began.token)
-			router_on_began(c, x, ev->u.began.weights, now);
+	case ROUTER_EVENT_FORWARDED_REQUEST: router_admit_forwarded(router, event->u.forwarded_request, now, out); break;
+	case ROUTER_EVENT_FORWARD_BEGAN:
+		request = router_request_by_token(router, event->u.forward_began.token);
+		if (request && request->call_token == event->u.forward_began.token)
+			router_on_began(router, request, event->u.forward_began.weights, now);
 		break;
-	case ROUTER_ENDED:
-		x = router_request_by(c, ev->u.ended->token);
-		if (x && x->call == ev->u.ended->token)
-			router_on_ended(c, x, ev->u.ended, now, o);
+	case ROUTER_EVENT_FORWARD_ENDED:
+		request = router_request_by_token(router, event->u.forward_ended->token);
+		if (request && request->call_token == event->u.forward_ended->token)
+			router_on_ended(router, request, event->u.forward_ended, now, out);
 		break;
-	case ROUTER_WATCHED: router_on_watched(c, ev->u.kept.token, ev->u.kept.k, ev->u.kept.status, now); break;
+	case ROUTER_EVENT_CACHE_WATCHED: router_on_cache_watched(router, event->u.cache_watched.token, event->u.cache_watched.update, event->u.cache_watched.status, now); break;
 	}
-	router_dispatch(c, now, o);
-	if (c->route_table && (ev->kind == ROUTER_TICK || ev->kind == ROUTER_EXCHANGE || ev->kind == ROUTER_ASKED))
-		router_want_places(c, now, o);
+	router_dispatch(router, now, out);
+	if (router->route_table && (event->kind == ROUTER_EVENT_TICK || event->kind == ROUTER_EVENT_CLAIMED_REQUEST || event->kind == ROUTER_EVENT_FORWARDED_REQUEST))
+		router_request_slots(router, now, out);
 }
 
-int router_ready(const struct router *c, int64_t now)
+int router_ready(const struct router *router, int64_t now)
 {
-	return !c->stopping && c->route_table && c->f.t.edition && config_watch_age(&c->f, now) <= router_ride(c);
+	return !router->is_stopping && router->route_table && router->config_watch.table.revision && config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
 }
 
-int router_idle(const struct router *c) { return arrlen(c->all) == 0 && arrlen(c->release) == 0; }
+int router_idle(const struct router *router) { return arrlen(router->requests) == 0 && arrlen(router->claim_releases) == 0; }
 
-void router_open(struct router *c, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int n, int64_t now)
+void router_open(struct router *router, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int seed_count, int64_t now)
 {
-	memset(c, 0, sizeof *c);
-	c->id = id;
-	c->addr = addr;
-	c->zone = zone;
-	c->tok = json_tokener_new();
-	if (!c->tok)
+	memset(router, 0, sizeof *router);
+	router->id = id;
+	router->addr = addr;
+	router->zone_name = zone;
+	router->json_tokener = json_tokener_new();
+	if (!router->json_tokener)
 		abort();
-	apr_pool_create(&c->p, NULL);
-	apr_pool_create(&c->scratch, c->p);
-	c->b = bounds_default;
-	c->opened = now;
-	c->first_watch_bytes = ROUTER_FIRST_WATCH_BYTES;
-	c->zone_hash = core_hashs(0, zone);
-	router_lookup_open(c);
-	config_watch_open(&c->f, id, seeds, n, now);
-	c->f.zone = zone;
-	c->f.counter = 1;
-	relay_open(&c->relay, now);
-	c->relay.on_value = router_on_value;
-	c->relay.ctx = c;
+	apr_pool_create(&router->pool, NULL);
+	apr_pool_create(&router->scratch_pool, router->pool);
+	router->bounds = bounds_default;
+	router->started_at_ms = now;
+	router->average_full_watch_bytes = ROUTER_FULL_WATCH_INITIAL_BYTES;
+	router->zone_hash = core_hash_string(0, zone);
+	router_lookup_open(router);
+	config_watch_open(&router->config_watch, id, seeds, seed_count, now);
+	router->config_watch.zone = zone;
+	router->config_watch.is_router = 1;
+	relay_open(&router->relay, now);
+	router->relay.on_value = router_on_value;
+	router->relay.context = router;
 }
 
-void router_close(struct router *c)
+void router_close(struct router *router)
 {
-	router_requests_discard(c);
-	while (arrlen(c->release))
-		router_release_end(c, 0);
-	arrfree(c->release);
-	json_tokener_free(c->tok);
-	router_route_table_free(c->route_table);
-	router_server_table_free(c->server_table);
-	router_load_clear(c);
-	router_feed_clear(c);
-	hmfree(c->line_at);
-	arrfree(c->generation);
-	arrfree(c->left);
-	arrfree(c->depth);
-	arrfree(c->server_hash);
-	arrfree(c->decisions);
-	hmfree(c->server_at);
-	router_names_clear(&c->lanes);
-	router_names_clear(&c->tenants);
-	router_names_clear(&c->services);
-	router_names_clear(&c->servers);
-	router_names_clear(&c->weights);
-	kept_clear(&c->kept);
-	config_watch_close(&c->f);
-	relay_close(&c->relay);
-	arrfree(c->sv);
-	arrfree(c->line);
-	arrfree(c->all);
-	arrfree(c->running);
-	arrfree(c->stood);
-	arrfree(c->budget);
-	hmfree(c->by);
-	hmfree(c->pair);
-	hmfree(c->use);
-	apr_pool_destroy(c->p);
+	router_requests_discard(router);
+	while (arrlen(router->claim_releases))
+		router_release_end(router, 0);
+	arrfree(router->claim_releases);
+	json_tokener_free(router->json_tokener);
+	router_route_table_free(router->route_table);
+	router_server_table_free(router->server_table);
+	router_load_clear(router);
+	router_feed_clear(router);
+	hmfree(router->queue_by_owner);
+	arrfree(router->retention_generations);
+	arrfree(router->remainders);
+	arrfree(router->cached_depth);
+	arrfree(router->server_hashes);
+	arrfree(router->decision_counts);
+	hmfree(router->server_by_hash);
+	router_names_clear(&router->route_names);
+	router_names_clear(&router->tenant_names);
+	router_names_clear(&router->service_names);
+	router_names_clear(&router->server_names);
+	router_names_clear(&router->weights_names);
+	prefix_index_clear(&router->prefix_index);
+	config_watch_close(&router->config_watch);
+	relay_close(&router->relay);
+	arrfree(router->servers);
+	arrfree(router->queues);
+	arrfree(router->requests);
+	arrfree(router->tenant_running);
+	arrfree(router->last_serving_at_ms);
+	arrfree(router->retry_budget);
+	hmfree(router->requests_by_token);
+	hmfree(router->link_observations);
+	hmfree(router->usage);
+	apr_pool_destroy(router->pool);
 }
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -7,38 +7,38 @@
 
 #include "ds.h"
 
-static const char *parse(struct router *c, struct client_request *x, const char *body, const char **lane, int *limit, apr_pool_t *p)
+static const char *parse(struct router *c, struct client_request *request, const char *body, const char **lane, int *limit, apr_pool_t *pool)
 {
-	struct json_object *j = router_read_json(c, body), *v;
+	struct json_object *json = router_read_json(c, body), *v;
 	const char *why = NULL;
 
-	*limit = ROUTER_LIMIT;
+	*limit = ROUTER_TIMEOUT_DEFAULT_MS;
 	*lane = NULL;
-	if (!json_object_is_type(j, json_type_object)) {
+	if (!json_object_is_type(json, json_type_object)) {
 		why = "body: not a JSON object";
 		goto end;
 	}
-	json_object_object_foreach(j, name, val)
+	json_object_object_foreach(json, name, val)
 	{
 		if (!strcmp(name, "lane") || !strcmp(name, "id") || !strcmp(name, "tail")) {
 			if (!json_object_is_type(val, json_type_string))
-				why = apr_psprintf(p, "%s: not a string", name);
+				why = apr_psprintf(pool, "%s: not a string", name);
 			else if (!strcmp(name, "lane"))
-				*lane = apr_pstrdup(p, json_object_get_string(val));
+				*lane = apr_pstrdup(pool, json_object_get_string(val));
 			else if (!strcmp(name, "id"))
-				x->id = apr_pstrdup(p, json_object_get_string(val));
+				request->id = apr_pstrdup(pool, json_object_get_string(val));
 			else
-				x->tail = apr_pstrdup(p, json_object_get_string(val));
+				request->tail_text = apr_pstrdup(pool, json_object_get_string(val));
 		} else if (!strcmp(name, "limit_ms")) {
 			int64_t n = json_object_get_int64(val);
 
-			if (!json_object_is_type(val, json_type_int) || n < ROUTER_LIMIT_MIN || n > ROUTER_LIMIT_MAX)
-				why = apr_psprintf(p, "limit_ms: %d to %d", ROUTER_LIMIT_MIN, ROUTER_LIMIT_MAX);
+			if (!json_object_is_type(val, json_type_int) || n < ROUTER_TIMEOUT_MIN_MS || n > ROUTER_TIMEOUT_MAX_MS)
+				why = apr_psprintf(pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS, ROUTER_TIMEOUT_MAX_MS);
 			else
 				*limit = (int)n;
 		} else if (!strcmp(name, "parts")) {
-			if (!json_object_is_type(val, json_type_array) || json_object_array_length(val) > ROUTER_PARTS) {
-				why = apr_psprintf(p, "parts: a list of at most %d strings", ROUTER_PARTS);
+			if (!json_object_is_type(val, json_type_array) || json_object_array_length(val) > ROUTER_MAX_BLOCKS) {
+				why = apr_psprintf(pool, "parts: a list of at most %d strings", ROUTER_MAX_BLOCKS);
 				continue;
 			}
 			for (size_t i = 0; i < json_object_array_length(val); i++) {
@@ -46,176 +46,176 @@
 				if (!json_object_is_type(v, json_type_string))
 					why = "parts: a list of strings";
 				else
-					x->text[x->nparts++] = apr_pstrdup(p, json_object_get_string(v));
+					request->block_text[request->block_count++] = apr_pstrdup(pool, json_object_get_string(v));
 			}
 		} else {
-			why = apr_psprintf(p, "%s: no such field", name);
+			why = apr_psprintf(pool, "%s: no such field", name);
 		}
 	}
 	if (why)
 		goto end;
 	if (!*lane)
 		why = "lane: missing";
-	else if (!x->id || !x->id[0] || strlen(x->id) > 128 || strpbrk(x->id, "\x1f\n"))
+	else if (!request->id || !request->id[0] || strlen(request->id) > 128 || strpbrk(request->id, "\x1f\n"))
 		why = "id: 1 to 128 characters";
-	else if (!x->tail)
+	else if (!request->tail_text)
 		why = "tail: missing";
 end:
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 	return why;
 }
 
 const char router_no_server[] = "no server of this service stands";
 
-static int refused_stale(struct router *c, uint64_t token, int64_t now, struct out *o)
+static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now, struct out *out)
 {
-	struct request_ending e = { REQUEST_REFUSED, 503, "this counter's configuration is not certain to be in force", 0 };
+	struct request_ending ending = { REQUEST_REFUSED, 503, "this counter's configuration is not certain to be in force", 0 };
 
-	if (!c->stopping && router_in_force(c, now))
+	if (!router->is_stopping && router_config_in_force(router, now))
 		return 0;
-	if (c->stopping)
-		e.why = "this counter is stopping";
-	c->n.refused_stale++;
-	if (!c->b.instances)
-		e.retry_ms = router_retry_in(c, ROUTER_RETRY);
-	else if (now - c->opened < ROUTER_BEGIN) /* one that has just begun knows how long its fleet takes to find its owners */
-		e.retry_ms = router_retry_soon(c, (int)(ROUTER_BEGIN - (now - c->opened) + 200));
+	if (router->is_stopping)
+		ending.reason = "this counter is stopping";
+	router->stats.refused_stale++;
+	if (!router->bounds.discover_instances)
+		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
+	else if (now - router->started_at_ms < ROUTER_STARTUP_MS) /* one that has just begun knows how long its fleet takes to find its owners */
+		ending.retry_after_ms = router_retry_fast_ms(router, (int)(ROUTER_STARTUP_MS - (now - router->started_at_ms) + 200));
 	else
-		e.retry_ms = router_retry_soon(c, ROUTER_RETRY);
-	router_decline(c, token, &e, o);
+		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
+	router_decline(router, token, &ending, out);
 	return 1;
 }
 
-static int refused_line(struct router *c, uint64_t token, const struct line *l, uint32_t lane, uint32_t service, int64_t now,
-			struct out *o)
+static int refuse_if_queue_full(struct router *router, uint64_t token, const struct line *queue, uint32_t route_index, uint32_t service, int64_t now,
+			struct out *out)
 {
-	struct request_ending e = { REQUEST_REFUSED, 503, router_no_server, 0 };
-	int full = l->n >= c->route_table->lane[lane].limit;
+	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
+	int full = queue->length >= router->route_table->routes[route_index].queue_limit;
 
-	if (!full && now - c->stood[service] <= ROUTER_RIDE)
+	if (!full && now - router->last_serving_at_ms[service] <= ROUTER_CONFIG_MAX_STALENESS_MS)
 		return 0;
-	c->n.refused_line += full;
-	c->n.refused_early += !full;
+	router->stats.refused_queue_full += full;
+	router->stats.refused_early += !full;
 	if (full) {
-		e.status = 429;
-		e.why = "the line is full";
+		ending.status = 429;
+		ending.reason = "the line is full";
 	}
-	e.retry_ms = router_retry_in(c, full ? router_expected(l, l->n / 2, now) : ROUTER_RETRY);
-	router_decline(c, token, &e, o);
+	ending.retry_after_ms = router_retry_after_ms(router, full ? router_expected_wait_ms(queue, queue->length / 2, now) : ROUTER_RETRY_AFTER_MIN_MS);
+	router_decline(router, token, &ending, out);
 	return 1;
 }
 
-static void rejected(struct router *c, uint64_t token, int status, const char *why, struct out *o)
+static void reject_new(struct router *router, uint64_t token, int status, const char *reason, struct out *out)
 {
-	router_decline(c, token, &(struct request_ending){ REQUEST_REJECTED, status, why, 0 }, o);
+	router_decline(router, token, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, out);
 }
 
 /* Into its line, and among all that are under way. */
-static void line_up(struct router *c, struct client_request *x, int64_t now)
+static void enqueue(struct router *router, struct client_request *request, int64_t now)
 {
-	x->edition = c->route_table->edition;
-	router_queue_insert(c, x, now);
-	router_request_add(c, x);
+	request->route_revision = router->route_table->revision;
+	router_queue_insert(router, request, now);
+	router_request_add(router, request);
 }
 
-void router_take(struct router *c, uint64_t token, const char *digest, const char *body, int64_t now, struct out *o)
+void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct out *out)
 {
-	struct route_table *b = c->route_table;
-	struct bk_key *keys = b ? b->key : NULL;
-	apr_pool_t *p;
-	struct client_request *x;
-	const char *lane, *why;
-	int limit, li;
-	ptrdiff_t ki;
-	uint64_t h;
-	struct line *l;
-
-	c->n.taken++;
-	if (refused_stale(c, token, now, o))
+	struct route_table *routes = router->route_table;
+	struct key_entry *keys = routes ? routes->keys : NULL;
+	apr_pool_t *pool;
+	struct client_request *request;
+	const char *route_name, *reason;
+	int limit, route_index;
+	ptrdiff_t key_index;
+	uint64_t hash;
+	struct line *queue;
+
+	router->stats.received++;
+	if (refuse_if_config_stale(router, token, now, out))
 		return;
-	ki = keys ? shgeti(keys, digest) : -1;
-	if (ki < 0 || !b->tenant[keys[ki].value].on) {
-		rejected(c, token, 401, "key: unknown", o);
+	key_index = keys ? shgeti(keys, digest) : -1;
+	if (key_index < 0 || !routes->tenants[keys[key_index].value].is_configured) {
+		reject_new(router, token, 401, "key: unknown", out);
 		return;
 	}
-	apr_pool_create(&p, c->p);
-	x = apr_pcalloc(p, sizeof *x);
-	x->p = p;
-	why = parse(c, x, body, &lane, &limit, p);
-	li = why ? -1 : names_find(&c->lanes, lane);
-	if (why || li < 0 || !b->lane[li].on || !b->service[b->lane[li].service].on) {
-		rejected(c, token, why ? 400 : 404, why ? why : "lane: unknown", o);
-		apr_pool_destroy(p);
+	apr_pool_create(&pool, router->pool);
+	request = apr_pcalloc(pool, sizeof *request);
+	request->pool = pool;
+	reason = parse(router, request, body, &route_name, &limit, pool);
+	route_index = reason ? -1 : names_find(&router->route_names, route_name);
+	if (reason || route_index < 0 || !routes->routes[route_index].is_configured || !routes->services[routes->routes[route_index].service_index].is_configured) {
+		reject_new(router, token, reason ? 400 : 404, reason ? reason : "lane: unknown", out);
+		apr_pool_destroy(pool);
 		return;
 	}
-	x->lane = (uint32_t)li;
-	x->tenant = keys[ki].value;
-	x->service = b->lane[li].service;
-	l = router_line_of(c, x->lane, x->tenant);
-	if (refused_line(c, token, l, x->lane, x->service, now, o)) {
-		apr_pool_destroy(p);
+	request->route_index = (uint32_t)route_index;
+	request->tenant_index = keys[key_index].value;
+	request->service_index = routes->routes[route_index].service_index;
+	queue = router_queue_of(router, request->route_index, request->tenant_index);
+	if (refuse_if_queue_full(router, token, queue, request->route_index, request->service_index, now, out)) {
+		apr_pool_destroy(pool);
 		return;
 	}
-	x->token = token;
-	x->digest = apr_pstrdup(p, digest);
-	x->seq = ++c->seq;
-	x->limit = now + limit;
-	x->since_at = now;
-	x->server = -1;
-	x->tried = UINT32_MAX;
-	h = core_hashs(0, c->services.name[x->service]);
-	for (int i = 0; i < x->nparts; i++) {
-		h = core_hashs(h, x->text[i]);
-		x->hash[i] = h;
-		x->tokens[i] = (uint32_t)(strlen(x->text[i]) + 3) / 4;
+	request->token = token;
+	request->key_digest = apr_pstrdup(pool, digest);
+	request->seq = ++router->last_sequence;
+	request->deadline_at_ms = now + limit;
+	request->received_at_ms = now;
+	request->server_index = -1;
+	request->avoided_server = UINT32_MAX;
+	hash = core_hash_string(0, router->service_names.names[request->service_index]);
+	for (int i = 0; i < request->block_count; i++) {
+		hash = core_hash_string(hash, request->block_text[i]);
+		request->block_hash[i] = hash;
+		request->block_tokens[i] = (uint32_t)(strlen(request->block_text[i]) + 3) / 4;
 	}
-	x->tail_tokens = (uint32_t)(strlen(x->tail) + 3) / 4;
-	line_up(c, x, now);
+	request->tail_tokens = (uint32_t)(strlen(request->tail_text) + 3) / 4;
+	enqueue(router, request, now);
 }
 
 /* Which lane an exchange is on: the longest path prefix of its host. -1: none. */
-static int lane_at(const struct route_table *b, const char *host, const char *path)
+static int route_at(const struct route_table *routes, const char *host, const char *path)
 {
-	struct bk_place *h = b->place;
+	struct route_match *bk_place = routes->matches;
 	size_t n = strcspn(path, "?#");
 
-	for (; h && n; n--) {
+	for (; bk_place && n; n--) {
 		ptrdiff_t i;
-		const struct bk_lane *l;
+		const struct route_config *route;
 
 		if (path[n - 1] != '/')
 			continue;
-		i = hmgeti(h, router_place(host, path, n));
+		i = hmgeti(bk_place, router_match_key(host, path, n));
 		if (i < 0)
 			continue;
-		l = &b->lane[h[i].value];
-		if (l->on && !strcmp(l->host, host) && strlen(l->path) == n && !strncmp(l->path, path, n))
-			return (int)h[i].value;
+		route = &routes->routes[bk_place[i].value];
+		if (route->is_configured && !strcmp(route->host, host) && strlen(route->path) == n && !strncmp(route->path, path, n))
+			return (int)bk_place[i].value;
 	}
 	return -1;
 }
 
 /* By the split's weights; the same id always goes the same way. */
-static uint32_t service_at(const struct bk_lane *l, const char *id)
+static uint32_t service_at(const struct route_config *route, const char *id)
 {
-	uint32_t at, k = 0;
+	uint32_t position, k = 0;
 
-	if (!l->nsplit)
-		return l->service;
-	at = (uint32_t)(core_hashs(31, id) % l->split[l->nsplit - 1].upto);
-	while (l->split[k].upto <= at)
+	if (!route->split_count)
+		return route->service_index;
+	position = (uint32_t)(core_hash_string(31, id) % route->splits[route->split_count - 1].cumulative_weight);
+	while (route->splits[k].cumulative_weight <= position)
 		k++;
-	return l->split[k].service;
+	return route->splits[k].service_index;
 }
 
 /* Whether a lane still leads to a service, whatever part of its requests. */
-static int leads_to(const struct bk_lane *l, uint32_t service)
+static int leads_to(const struct route_config *route, uint32_t service)
 {
-	if (!l->nsplit)
-		return l->service == service;
-	for (uint32_t k = 0; k < l->nsplit; k++)
-		if (l->split[k].service == service)
+	if (!route->split_count)
+		return route->service_index == service;
+	for (uint32_t k = 0; k < route->split_count; k++)
+		if (route->splits[k].service_index == service)
 			return 1;
 	return 0;
 }
@@ -223,151 +223,151 @@
 /* Where a request goes by a table, or the status that says why nowhere. */
 struct admission {
 	int status;
-	const char *why;
-	uint32_t lane, tenant, service;
+	const char *reason;
+	uint32_t route_index, tenant_index, service_index;
 };
 
 /* Whose a request is; 0: it may not be anybody's. */
-static int tenant_at(const struct route_table *b, const struct bk_lane *l, const char *digest, uint32_t *tenant)
+static int tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest, uint32_t *tenant)
 {
-	struct bk_key *keys = b->key;
-	ptrdiff_t at = digest && b->keys ? shgeti(keys, digest) : -1;
+	struct key_entry *keys = routes->keys;
+	ptrdiff_t key_index = digest && routes->has_keys ? shgeti(keys, digest) : -1;
 
-	*tenant = b->keyless;
-	if (at >= 0 && b->tenant[keys[at].value].on)
-		*tenant = keys[at].value;
-	else if (b->keys && !l->open)
+	*tenant = routes->anonymous_tenant;
+	if (key_index >= 0 && routes->tenants[keys[key_index].value].is_configured)
+		*tenant = keys[key_index].value;
+	else if (routes->has_keys && !route->key_optional)
 		return 0;
 	return 1;
 }
 
-static struct admission admission_of(const struct route_table *b, const char *host, const char *path, const char *digest,
+static struct admission admission_of(const struct route_table *routes, const char *host, const char *path, const char *digest,
 				     const char *id)
 {
-	struct admission p = { 0, NULL, 0, 0, 0 };
-	int lane = lane_at(b, host, path);
+	struct admission admission = { 0, NULL, 0, 0, 0 };
+	int route_index = route_at(routes, host, path);
 
-	if (lane < 0)
+	if (route_index < 0)
 		return (struct admission){ 404, "lane: none at this host and path", 0, 0, 0 };
-	p.lane = (uint32_t)lane;
-	if (!tenant_at(b, &b->lane[lane], digest, &p.tenant))
+	admission.route_index = (uint32_t)route_index;
+	if (!tenant_at(routes, &routes->routes[route_index], digest, &admission.tenant_index))
 		return (struct admission){ 401, "key: unknown", 0, 0, 0 };
-	p.service = service_at(&b->lane[lane], id);
-	if (!b->service[p.service].on)
+	admission.service_index = service_at(&routes->routes[route_index], id);
+	if (!routes->services[admission.service_index].is_configured)
 		return (struct admission){ 404, "lane: its service is unknown", 0, 0, 0 };
-	return p;
+	return admission;
 }
 
 /* Another service serves it from now on; what was set aside for another send there is set aside here. 0: that ended it. */
-static int change_service(struct router *c, struct client_request *x, uint32_t service, int64_t now, struct out *o)
+static int change_service(struct router *router, struct client_request *request, uint32_t service, int64_t now, struct out *out)
 {
-	int paid = x->resend_paid;
+	int paid = request->retry_reserved;
 
 	if (paid)
-		c->budget[x->service] += ROUTER_RESEND_COST;
-	x->resend_paid = 0;
-	x->service = service;
-	if (x->begun) { /* the other service knows nothing of this stream */
-		router_give_up(c, x, 502, "the service of this stream is gone", now, o);
+		router->retry_budget[request->service_index] += ROUTER_RETRY_COST_MILLI;
+	request->retry_reserved = 0;
+	request->service_index = service;
+	if (request->has_begun) { /* the other service knows nothing of this stream */
+		router_break_off(router, request, 502, "the service of this stream is gone", now, out);
 		return 0;
 	}
-	if (paid && c->budget[service] < ROUTER_RESEND_COST) {
-		router_refuse(c, x, 503, "its service changed, and the budget for resends is spent", ROUTER_SOON, now, o);
+	if (paid && router->retry_budget[service] < ROUTER_RETRY_COST_MILLI) {
+		router_refuse(router, request, 503, "its service changed, and the budget for resends is spent", ROUTER_RETRY_FAST_MS, now, out);
 		return 0;
 	}
 	if (paid)
-		c->budget[service] -= ROUTER_RESEND_COST;
-	x->resend_paid = paid;
+		router->retry_budget[service] -= ROUTER_RETRY_COST_MILLI;
+	request->retry_reserved = paid;
 	return 1;
 }
 
-int router_readmit(struct router *c, struct client_request *x, int64_t now, struct out *o)
+int router_readmit(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	const struct route_table *b = c->route_table;
-	const struct bk_lane *l;
-	struct admission p;
+	const struct route_table *routes = router->route_table;
+	const struct route_config *route;
+	struct admission admission;
 
-	if (x->edition == b->edition)
+	if (request->route_revision == routes->revision)
 		return 1;
-	x->edition = b->edition;
-	p = admission_of(b, x->host, x->path, x->digest, x->id);
-	if (p.status) {
-		c->n.revoked += p.status == 401;
-		router_end_early(c, x, p.status, p.why, now, o);
+	request->route_revision = routes->revision;
+	admission = admission_of(routes, request->host, request->path, request->key_digest, request->id);
+	if (admission.status) {
+		router->stats.revoked += admission.status == 401;
+		router_end_early(router, request, admission.status, admission.reason, now, out);
 		return 0;
 	}
-	if (p.lane != x->lane || p.tenant != x->tenant)
-		router_queue_move(c, x, p.lane, p.tenant, now);
-	l = &b->lane[p.lane];
-	x->repeatable = x->repeatable && l->repeatable;
-	x->resumable = x->resumable && l->resumable;
-	if (x->ran && !x->repeatable && !x->resumable) {
-		router_give_up(c, x, 502, "the server's answer broke off, and it may not be sent again", now, o);
+	if (admission.route_index != request->route_index || admission.tenant_index != request->tenant_index)
+		router_queue_move(router, request, admission.route_index, admission.tenant_index, now);
+	route = &routes->routes[admission.route_index];
+	request->idempotent = request->idempotent && route->idempotent;
+	request->resumable = request->resumable && route->resumable;
+	if (request->may_have_run && !request->idempotent && !request->resumable) {
+		router_break_off(router, request, 502, "the server's answer broke off, and it may not be sent again", now, out);
 		return 0;
 	}
-	if (b->service[x->service].on && (x->begun || leads_to(l, x->service)))
+	if (routes->services[request->service_index].is_configured && (request->has_begun || leads_to(route, request->service_index)))
 		return 1;
-	return change_service(c, x, p.service, now, o);
+	return change_service(router, request, admission.service_index, now, out);
 }
 
 /* Text of the caller's own memory, for as long as the request lives. */
-static struct client_request *request_new(struct router *c, const struct router_asking *a)
+static struct client_request *request_new(struct router *router, const struct forwarded_request *query)
 {
-	apr_pool_t *p;
+	apr_pool_t *pool;
 	struct client_request *x;
 	uint32_t shared;
 
-	apr_pool_create(&p, c->p);
-	x = apr_pcalloc(p, sizeof *x);
-	x->p = p;
-	x->token = a->token;
-	x->digest = a->digest ? apr_pstrdup(p, a->digest) : NULL;
-	x->host = apr_pstrdup(p, a->host);
-	x->path = apr_pstrdup(p, a->path);
-	x->id = apr_pstrdup(p, a->id);
-	x->seq = ++c->seq;
-	x->server = -1;
-	x->tried = UINT32_MAX;
-	x->forwarded = x->claimed = 1; /* whoever calls vouches that the id is used once */
-	x->nparts = a->nparts < ROUTER_PARTS ? a->nparts : ROUTER_PARTS;
-	for (int i = 0; i < x->nparts; i++) {
-		x->hash[i] = a->part[i].id;
-		x->tokens[i] = a->part[i].tokens;
+	apr_pool_create(&pool, router->pool);
+	x = apr_pcalloc(pool, sizeof *x);
+	x->pool = pool;
+	x->token = query->token;
+	x->key_digest = query->key_digest ? apr_pstrdup(pool, query->key_digest) : NULL;
+	x->host = apr_pstrdup(pool, query->host);
+	x->path = apr_pstrdup(pool, query->path);
+	x->id = apr_pstrdup(pool, query->id);
+	x->seq = ++router->last_sequence;
+	x->server_index = -1;
+	x->avoided_server = UINT32_MAX;
+	x->is_forwarded = x->is_claimed = 1; /* whoever calls vouches that the id is used once */
+	x->block_count = query->block_count < ROUTER_MAX_BLOCKS ? query->block_count : ROUTER_MAX_BLOCKS;
+	for (int i = 0; i < x->block_count; i++) {
+		x->block_hash[i] = query->blocks[i].hash;
+		x->block_tokens[i] = query->blocks[i].tokens;
 	}
-	shared = (uint32_t)router_tokens_upto(x, x->nparts);
-	x->tail_tokens = a->tokens_in > shared ? a->tokens_in - shared : 0;
-	x->tokens_out = a->tokens_out;
-	x->size = shared + x->tail_tokens + x->tokens_out;
+	shared = (uint32_t)router_tokens_of_blocks(x, x->block_count);
+	x->tail_tokens = query->input_tokens > shared ? query->input_tokens - shared : 0;
+	x->output_tokens = query->output_tokens;
+	x->total_tokens = shared + x->tail_tokens + x->output_tokens;
 	return x;
 }
 
-void router_asked(struct router *c, const struct router_asking *a, int64_t now, struct out *o)
+void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct out *out)
 {
-	const struct route_table *b = c->route_table;
-	const struct bk_lane *l;
-	struct client_request *x;
-	struct admission p;
+	const struct route_table *routes = router->route_table;
+	const struct route_config *route;
+	struct client_request *request;
+	struct admission admission;
 
-	c->n.taken++;
-	if (refused_stale(c, a->token, now, o))
+	router->stats.received++;
+	if (refuse_if_config_stale(router, query->token, now, out))
 		return;
-	p = admission_of(b, a->host, a->path, a->digest, a->id);
-	if (p.status) {
-		rejected(c, a->token, p.status, p.why, o);
+	admission = admission_of(routes, query->host, query->path, query->key_digest, query->id);
+	if (admission.status) {
+		reject_new(router, query->token, admission.status, admission.reason, out);
 		return;
 	}
-	if (refused_line(c, a->token, router_line_of(c, p.lane, p.tenant), p.lane, p.service, now, o))
+	if (refuse_if_queue_full(router, query->token, router_queue_of(router, admission.route_index, admission.tenant_index), admission.route_index, admission.service_index, now, out))
 		return;
-	l = &b->lane[p.lane];
-	x = request_new(c, a);
-	x->lane = p.lane;
-	x->tenant = p.tenant;
-	x->service = p.service;
-	x->limit = now + (l->timeout && (int)l->timeout < a->limit_ms ? (int)l->timeout : a->limit_ms);
-	x->since_at = now;
-	x->repeatable = l->repeatable;
-	x->resumable = l->resumable;
-	x->attempts = l->attempts ? (int)l->attempts : 2;
-	line_up(c, x, now);
-	router_lookup_ask(c, x, now, o);
+	route = &routes->routes[admission.route_index];
+	request = request_new(router, query);
+	request->route_index = admission.route_index;
+	request->tenant_index = admission.tenant_index;
+	request->service_index = admission.service_index;
+	request->deadline_at_ms = now + (route->timeout_ms && (int)route->timeout_ms < query->limit_ms ? (int)route->timeout_ms : query->limit_ms);
+	request->received_at_ms = now;
+	request->idempotent = route->idempotent;
+	request->resumable = route->resumable;
+	request->max_attempts = route->max_attempts ? (int)route->max_attempts : 2;
+	enqueue(router, request, now);
+	router_lookup_send(router, request, now, out);
 }
--- a/lib/data/router_assign.c
+++ b/lib/data/router_assign.c
@@ -8,133 +8,133 @@
 
 #include "ds.h"
 
-int router_standing(const struct router *c, uint32_t s, int64_t now)
+int router_server_is_serving(const struct router *router, uint32_t server_index, int64_t now)
 {
-	const struct bk_server *b = &c->server_table->server[s];
-	const struct router_server *v = &c->sv[s];
+	const struct server_config *config = &router->server_table->servers[server_index];
+	const struct router_server_state *server = &router->servers[server_index];
 
-	if (!b->on || b->draining || (!v->have && !(b->is_store && c->b.instances)) || v->loading || now < v->bad_until)
+	if (!config->is_configured || config->draining || (!server->is_known && !(config->is_store && router->bounds.discover_instances)) || server->is_loading || now < server->unavailable_until_ms)
 		return 0;
-	if (!c->b.instances)
-		return now - v->reported < ROUTER_REPORT;
-	if (b->is_store)
-		return now - v->heard < ROUTER_STORE_HEARD;
-	return now < router_weights_last_send(c, b->service, v->weights, now);
+	if (!router->bounds.discover_instances)
+		return now - server->reported_at_ms < ROUTER_REPORT_VALID_MS;
+	if (config->is_store)
+		return now - server->cache_update_at_ms < ROUTER_STORE_SILENCE_MAX_MS;
+	return now < router_weights_last_send(router, config->service_index, server->weights, now);
 }
 
-const struct kept_copy *router_usable(struct router *c, const struct client_request *x, uint64_t hash, uint32_t server,
+const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request, uint64_t hash, uint32_t server,
 				      uint32_t weights)
 {
-	const struct route_table *b = c->route_table;
-	struct kept_copy *v = kept_get(&c->kept, hash);
+	const struct route_table *routes = router->route_table;
+	struct block_replica *replica = prefix_index_find(&router->prefix_index, hash);
 
-	for (ptrdiff_t i = 0; i < arrlen(v); i++) {
-		if (v[i].server != server || v[i].weights != weights || v[i].maker >= b->ntenant)
+	for (ptrdiff_t i = 0; i < arrlen(replica); i++) {
+		if (replica[i].server_index != server || replica[i].weights_hash != weights || replica[i].tenant_index >= routes->tenant_count)
 			continue;
-		if (v[i].maker != x->tenant &&
-		    (b->tenant[v[i].maker].walled || b->tenant[x->tenant].walled || !b->tenant[v[i].maker].on))
+		if (replica[i].tenant_index != request->tenant_index &&
+		    (routes->tenants[replica[i].tenant_index].isolated || routes->tenants[request->tenant_index].isolated || !routes->tenants[replica[i].tenant_index].is_configured))
 			continue;
-		if (view_allows(&c->relay.w, c->services.name[x->service], c->weights.name[weights], c->tenants.name[v[i].maker],
-				c->servers.name[server], v[i].stamp) &&
-		    router_keeps(c, x->service, v[i].maker, hash, v[i].stamp))
-			return &v[i];
+		if (purge_view_allows(&router->relay.view, router->service_names.names[request->service_index], router->weights_names.names[weights], router->tenant_names.names[replica[i].tenant_index],
+				router->server_names.names[server], replica[i].stamp_tick) &&
+		    router_retains(router, request->service_index, replica[i].tenant_index, hash, replica[i].stamp_tick))
+			return &replica[i];
 	}
 	return NULL;
 }
 
 /* How many leading parts a server keeps in a form this exchange may use. */
-static int prefix(struct router *c, const struct client_request *x, uint32_t server, uint32_t weights)
+static int prefix(struct router *router, const struct client_request *request, uint32_t server, uint32_t weights)
 {
 	int n = 0;
 
-	while (n < x->nparts && router_usable(c, x, x->hash[n], server, weights))
+	while (n < request->block_count && router_usable_replica(router, request, request->block_hash[n], server, weights))
 		n++;
 	return n;
 }
 
-uint64_t router_tokens_upto(const struct client_request *x, int n)
+uint64_t router_tokens_of_blocks(const struct client_request *request, int block_count)
 {
-	uint64_t t = 0;
+	uint64_t tokens = 0;
 
-	for (int i = 0; i < n; i++)
-		t += x->tokens[i];
-	return t;
+	for (int i = 0; i < block_count; i++)
+		tokens += request->block_tokens[i];
+	return tokens;
 }
 
 /* The server that has just given a request back is passed over for a moment: another one may have it. */
-int router_avoids(const struct client_request *x, uint32_t s, int64_t now) { return s == x->tried && now < x->tried_until; }
+int router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now) { return server_index == request->avoided_server && now < request->avoided_until_ms; }
 
-static int busy(const struct router_server *v) { return v->others + v->own; }
+static int running_count(const struct router_server_state *server) { return server->others_running + server->own_running; }
 
 /* How much slower than the table says the link between two servers was seen to be; forgotten by and by. */
-double router_link_slowness(struct router *c, uint32_t from, uint32_t to, int64_t now)
+double router_link_slowness(struct router *router, uint32_t source, uint32_t target, int64_t now)
 {
-	ptrdiff_t i = hmgeti(c->pair, (uint64_t)from << 32 | to);
-	double slow = i < 0 ? 1 : c->pair[i].value.slow;
+	ptrdiff_t i = hmgeti(router->link_observations, (uint64_t)source << 32 | target);
+	double slow = i < 0 ? 1 : router->link_observations[i].value.slowdown;
 
-	for (int64_t t = i < 0 ? 0 : now - c->pair[i].value.at; t >= ROUTER_SLOW_HALF && slow > 1; t -= ROUTER_SLOW_HALF)
+	for (int64_t age_ms = i < 0 ? 0 : now - router->link_observations[i].value.observed_at_ms; age_ms >= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS && slow > 1; age_ms -= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS)
 		slow /= 2;
 	return slow < 1 ? 1 : slow;
 }
 
 /* An answer says what its fetch took and brought. One that brought nothing was waited for in vain. */
-void router_learn_fetch(struct router *c, const struct client_request *x, int64_t took, int brought, int64_t now)
+void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms, int fetched_blocks, int64_t now)
 {
-	double slow = brought && took > 0 ? (double)took / (x->fetch_ms ? x->fetch_ms : 1) : ROUTER_SLOW_MOST;
+	double slowdown = fetched_blocks && took_ms > 0 ? (double)took_ms / (request->expected_fetch_ms ? request->expected_fetch_ms : 1) : ROUTER_LINK_SLOWDOWN_MAX;
 
-	if (took <= 20 && brought) /* too short to tell a link from a process that was not scheduled */
-		slow = 1;
-	if (slow > ROUTER_SLOW_MOST)
-		slow = ROUTER_SLOW_MOST;
-	hmput(c->pair, (uint64_t)x->from << 32 | (uint32_t)x->server, ((typeof(c->pair->value)){ slow, now }));
+	if (took_ms <= 20 && fetched_blocks) /* too short to tell a link from a process that was not scheduled */
+		slowdown = 1;
+	if (slowdown > ROUTER_LINK_SLOWDOWN_MAX)
+		slowdown = ROUTER_LINK_SLOWDOWN_MAX;
+	hmput(router->link_observations, (uint64_t)request->fetch_source << 32 | (uint32_t)request->server_index, ((typeof(router->link_observations->value)){ slowdown, now }));
 }
 
 /* Prefill saved against load and lines; a fetch where the link beats the prefill. */
-struct plan router_assign(struct router *c, const struct client_request *x, int64_t now)
+struct plan router_placement_claimed(struct router *router, const struct client_request *request, int64_t now)
 {
-	const struct route_table *b = c->route_table;
-	const struct bk_service *svc = &b->service[x->service];
-	struct plan best = { .server = -1, .from = -1 };
-	int current = relay_current(&c->relay, now);
-	uint64_t all = router_tokens_upto(x, x->nparts) + x->tail_tokens;
-
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		struct router_server *v = &c->sv[s];
-		struct plan p = { .server = (int)s, .from = -1 };
+	const struct route_table *routes = router->route_table;
+	const struct service_config *service = &routes->services[request->service_index];
+	struct plan best = { .server_index = -1, .fetch_source = -1 };
+	int current = relay_is_current(&router->relay, now);
+	uint64_t all = router_tokens_of_blocks(request, request->block_count) + request->tail_tokens;
+
+	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
+		struct router_server_state *server = &router->servers[server_index];
+		struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
 		double prefill;
 
-		if (c->server_table->server[s].is_store || c->server_table->server[s].service != x->service ||
-		    router_avoids(x, s, now) || !router_standing(c, s, now) || busy(v) >= v->slots)
+		if (router->server_table->servers[server_index].is_store || router->server_table->servers[server_index].service_index != request->service_index ||
+		    router_avoids_server(request, server_index, now) || !router_server_is_serving(router, server_index, now) || running_count(server) >= server->slots)
 			continue;
 		if (current)
-			p.keep = prefix(c, x, s, v->weights);
-		prefill = c->plain ? 0 : (double)(all - router_tokens_upto(x, p.keep)) / svc->prefill;
-		p.cost = prefill + v->mean_ms * busy(v) / v->slots;
-		for (uint32_t f = 0; current && !c->plain && p.keep < x->nparts && f < c->server_table->nserver;
-		     f++) { /* a peer server or the store */
-			double speed = c->server_table->server[f].is_store ? svc->store : svc->link, save, cost, fetch;
+			plan.cached_blocks = prefix(router, request, server_index, server->weights);
+		prefill = router->naive_placement ? 0 : (double)(all - router_tokens_of_blocks(request, plan.cached_blocks)) / service->prefill_tokens_per_ms;
+		plan.cost_ms = prefill + server->average_run_ms * running_count(server) / server->slots;
+		for (uint32_t source = 0; current && !router->naive_placement && plan.cached_blocks < request->block_count && source < router->server_table->server_count;
+		     source++) { /* a peer server or the store */
+			double speed = router->server_table->servers[source].is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms, save, cost, fetch;
 			int n;
 
-			if (f == s || c->server_table->server[f].service != x->service || !speed ||
-			    (!c->server_table->server[f].is_store && c->sv[f].weights != v->weights) || !router_standing(c, f, now))
+			if (source == server_index || router->server_table->servers[source].service_index != request->service_index || !speed ||
+			    (!router->server_table->servers[source].is_store && router->servers[source].weights != server->weights) || !router_server_is_serving(router, source, now))
 				continue;
-			n = prefix(c, x, f, v->weights);
-			if (n <= p.keep)
+			n = prefix(router, request, source, server->weights);
+			if (n <= plan.cached_blocks)
 				continue;
-			save = (double)(router_tokens_upto(x, n) - router_tokens_upto(x, p.keep));
-			fetch = save * svc->kv_bytes / speed;
-			cost = fetch * router_link_slowness(c, f, s, now);
-			save /= svc->prefill;
-			if (cost < save && prefill - save + cost < p.cost - v->mean_ms * busy(v) / v->slots) {
-				p.cost = prefill - save + cost + v->mean_ms * busy(v) / v->slots;
-				p.from = (int)f;
-				p.upto = n;
-				p.fetch = fetch;
+			save = (double)(router_tokens_of_blocks(request, n) - router_tokens_of_blocks(request, plan.cached_blocks));
+			fetch = save * service->kv_bytes_per_token / speed;
+			cost = fetch * router_link_slowness(router, source, server_index, now);
+			save /= service->prefill_tokens_per_ms;
+			if (cost < save && prefill - save + cost < plan.cost_ms - server->average_run_ms * running_count(server) / server->slots) {
+				plan.cost_ms = prefill - save + cost + server->average_run_ms * running_count(server) / server->slots;
+				plan.fetch_source = (int)source;
+				plan.fetch_end = n;
+				plan.fetch_ms = fetch;
 			}
 		}
-		if (best.server < 0 || p.cost < best.cost ||
-		    (p.cost == best.cost && core_rdv(x->seq ^ c->id, s) > core_rdv(x->seq ^ c->id, (uint64_t)best.server)))
-			best = p;
+		if (best.server_index < 0 || plan.cost_ms < best.cost_ms ||
+		    (plan.cost_ms == best.cost_ms && core_rendezvous_weight(request->seq ^ router->id, server_index) > core_rendezvous_weight(request->seq ^ router->id, (uint64_t)best.server_index)))
+			best = plan;
 	}
 	return best;
 }
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -6,89 +6,89 @@
 #include "ds.h"
 
 /* Of what was seen lately, less the older it is. */
-static double faded(double v, int64_t at, int64_t now, int half)
+static double decayed(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
 {
-	for (int64_t t = now - at; t >= half && v > 0.01; t -= half)
-		v /= 2;
-	return v;
+	for (int64_t age_ms = now - observed_at_ms; age_ms >= half_life_ms && value > 0.01; age_ms -= half_life_ms)
+		value /= 2;
+	return value;
 }
 
 /* Whether others' load is known from the heads of zones. */
-static int load_is_fresh(const struct router *c, uint32_t s, int64_t now)
+static int load_is_fresh(const struct router *router, uint32_t server_index, int64_t now)
 {
-	return now - c->others_fresh <= ROUTER_LOAD_OLD && s < (uint32_t)arrlen(c->others) &&
-	       mechanism_on(c->b.without, MECHANISM_SHARED_LOAD);
+	return now - router->others_load_at_ms <= ROUTER_LOAD_VALID_MS && server_index < (uint32_t)arrlen(router->others_load) &&
+	       mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_SHARED_LOAD);
 }
 
-struct server_load router_server_load(const struct router *c, uint32_t s, int64_t now)
+struct server_load router_server_load(const struct router *router, uint32_t server_index, int64_t now)
 {
-	const struct router_server *v = &c->sv[s];
-	struct server_load load = { (uint32_t)v->own, v->ahead, v->tokens };
+	const struct router_server_state *server = &router->servers[server_index];
+	struct server_load load = { (uint32_t)server->own_running, server->prefill_tokens, server->resident_tokens };
 
-	if (load_is_fresh(c, s, now)) {
-		load.running += c->others[s].running;
-		load.ahead += c->others[s].ahead;
-		load.tokens += c->others[s].tokens;
+	if (load_is_fresh(router, server_index, now)) {
+		load.running += router->others_load[server_index].running;
+		load.prefill_tokens += router->others_load[server_index].prefill_tokens;
+		load.resident_tokens += router->others_load[server_index].resident_tokens;
 	} else {
-		uint32_t others = (uint32_t)faded(v->others, v->others_at, now, ROUTER_OTHERS_HALF);
+		uint32_t others = (uint32_t)decayed(server->others_running, server->others_observed_at_ms, now, ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
 
 		load.running += others;
-		load.tokens += (uint64_t)others * ROUTER_MEAN_SIZE;
+		load.resident_tokens += (uint64_t)others * ROUTER_ASSUMED_REQUEST_TOKENS;
 	}
 	return load;
 }
 
-double router_load_ms(const struct router *c, uint32_t s, const struct bk_service *service, int64_t now)
+double router_load_ms(const struct router *router, uint32_t server_index, const struct service_config *service, int64_t now)
 {
-	const struct router_server *v = &c->sv[s];
-	struct server_load load = router_server_load(c, s, now);
-	double ms = (double)load.ahead / service->prefill + ROUTER_STEP_MS * load.running;
-
-	if (mechanism_on(c->b.without, MECHANISM_LATENESS))
-		ms += faded(v->late_ms, v->late_at, now, ROUTER_LATE_HALF) / 2;
-	ms += ROUTER_FAILED_MS * faded(v->failed, v->failed_at, now, ROUTER_FAILED_HALF);
-	return ms + (c->server_table->server[s].zone == c->zone_hash ? 0 : 1);
+	const struct router_server_state *server = &router->servers[server_index];
+	struct server_load load = router_server_load(router, server_index, now);
+	double ms = (double)load.prefill_tokens / service->prefill_tokens_per_ms + ROUTER_STEP_MS * load.running;
+
+	if (mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_LATENESS))
+		ms += decayed(server->lateness_ms, server->lateness_observed_at_ms, now, ROUTER_LATENESS_HALF_LIFE_MS) / 2;
+	ms += ROUTER_FAILURE_COST_MS * decayed(server->failure_rate, server->failure_observed_at_ms, now, ROUTER_FAILURE_HALF_LIFE_MS);
+	return ms + (router->server_table->servers[server_index].zone_hash == router->zone_hash ? 0 : 1);
 }
 
-uint32_t router_brings(const struct client_request *x, int keep)
+uint32_t router_uncached_tokens(const struct client_request *request, int cached_blocks)
 {
-	return x->size - (uint32_t)router_tokens_upto(x, keep < x->nparts ? keep : x->nparts);
+	return request->total_tokens - (uint32_t)router_tokens_of_blocks(request, cached_blocks < request->block_count ? cached_blocks : request->block_count);
 }
 
-int router_fits(const struct router *c, const struct client_request *x, uint32_t s, int keep, const struct bk_service *service,
+int router_fits_server(const struct router *router, const struct client_request *request, uint32_t server_index, int cached_blocks, const struct service_config *service,
 		int64_t now)
 {
-	struct server_load load = router_server_load(c, s, now);
+	struct server_load load = router_server_load(router, server_index, now);
 
-	if (load.running >= (uint32_t)c->sv[s].slots)
+	if (load.running >= (uint32_t)router->servers[server_index].slots)
 		return 0;
-	if (!mechanism_on(c->b.without, MECHANISM_ROOM))
+	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CAPACITY))
 		return 1;
-	if (load.ahead && load.ahead / service->prefill > ROUTER_WAIT_MOST)
+	if (load.prefill_tokens && load.prefill_tokens / service->prefill_tokens_per_ms > ROUTER_MAX_PREFILL_WAIT_MS)
 		return 0;
-	return !service->room || !load.tokens || load.tokens + router_brings(x, keep) <= service->room * ROUTER_FULL_PART / 100;
+	return !service->capacity_tokens || !load.resident_tokens || load.resident_tokens + router_uncached_tokens(request, cached_blocks) <= service->capacity_tokens * ROUTER_MAX_RESIDENT_PERCENT / 100;
 }
 
 /* Moves at one machine run one after the other. */
-double router_link_wait(const struct router *c, uint32_t s, int64_t now)
+double router_link_wait_ms(const struct router *router, uint32_t server_index, int64_t now)
 {
-	double ms = c->sv[s].link_free - (double)now;
+	double ms = router->servers[server_index].link_free_at_ms - (double)now;
 
 	return ms > 0 ? ms : 0;
 }
 
 /* This router sees its own moves only; it takes each as standing for one of every router. */
-void router_link_use(struct router *c, uint32_t s, double ms, int64_t now)
+void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now)
 {
-	struct router_server *v = &c->sv[s];
+	struct router_server_state *server = &router->servers[server_index];
 
-	v->link_free = (v->link_free > (double)now ? v->link_free : (double)now) + ms * (c->f.counters ? c->f.counters : 1);
+	server->link_free_at_ms = (server->link_free_at_ms > (double)now ? server->link_free_at_ms : (double)now) + ms * (router->config_watch.router_count ? router->config_watch.router_count : 1);
 }
 
-double router_move_ms(const struct router *c, uint32_t from, uint32_t to, double tokens, const struct bk_service *service)
+double router_transfer_ms(const struct router *router, uint32_t from_server, uint32_t to_server, double tokens, const struct service_config *service)
 {
-	const struct bk_server *source = &c->server_table->server[from];
-	double speed = source->is_store ? service->store ? service->store : 1 : service->link;
+	const struct server_config *source = &router->server_table->servers[from_server];
+	double speed = source->is_store ? service->store_bytes_per_ms ? service->store_bytes_per_ms : 1 : service->link_bytes_per_ms;
 
-	return tokens * service->kv_bytes / speed * (source->zone == c->server_table->server[to].zone ? 1 : 2);
+	return tokens * service->kv_bytes_per_token / speed * (source->zone_hash == router->server_table->servers[to_server].zone_hash ? 1 : 2);
 }
--- a/lib/data/router_decision.c
+++ b/lib/data/router_decision.c
@@ -2,7 +2,7 @@
 
 const int decision_bucket_ms[DECISION_BUCKETS] = { 5, 10, 25, 50, 100, 200, 400, 700, 1000, 2000, 4000, 8000 };
 
-void decision_observe(struct decision_histogram *h, int64_t ms)
+void decision_observe(struct decision_histogram *decision_histogram, int64_t ms)
 {
 	int i = 0;
 
@@ -10,33 +10,33 @@
 		ms = 0;
 	while (i < DECISION_BUCKETS && ms > decision_bucket_ms[i])
 		i++;
-	h->n[i]++;
-	h->sum += (uint64_t)ms;
+	decision_histogram->counts[i]++;
+	decision_histogram->sum_ms += (uint64_t)ms;
 }
 
-void decision_count(struct decision_counts *n, const struct decision *d, int64_t queue_ms)
+void decision_count(struct decision_counts *counts, const struct decision *decision, int64_t queue_ms)
 {
-	n->decisions[d->reason]++;
-	n->older += d->older != 0;
-	n->kept += d->kept;
-	n->moved += d->moved;
-	n->read += d->read;
-	n->shared_read += d->shared;
-	decision_observe(&n->queue, queue_ms);
-	decision_observe(&n->wait, d->wait_ms);
+	counts->decisions[decision->reason]++;
+	counts->older_weights += decision->uses_older_weights != 0;
+	counts->cached_tokens += decision->cached_tokens;
+	counts->fetched_tokens += decision->fetched_tokens;
+	counts->prefill_tokens += decision->prefill_tokens;
+	counts->shared_prefill_tokens += decision->shared_prefill_tokens;
+	decision_observe(&counts->queue_ms, queue_ms);
+	decision_observe(&counts->expected_ms, decision->expected_ms);
 }
 
-void decision_began(struct decision_counts *n, struct decision *d, int64_t first_ms)
+void decision_began(struct decision_counts *counts, struct decision *decision, int64_t first_ms)
 {
-	if (!d->open)
+	if (!decision->awaiting_first_piece)
 		return;
-	d->open = 0;
-	decision_observe(&n->first, first_ms);
-	decision_observe(&n->over, first_ms - d->wait_ms);
+	decision->awaiting_first_piece = 0;
+	decision_observe(&counts->first_chunk_ms, first_ms);
+	decision_observe(&counts->unexpected_ms, first_ms - decision->expected_ms);
 }
 
-void decision_ended(struct decision_counts *n, struct decision *d)
+void decision_ended(struct decision_counts *counts, struct decision *decision)
 {
-	n->failed += d->open != 0;
-	d->open = 0;
+	counts->no_first_chunk += decision->awaiting_first_piece != 0;
+	decision->awaiting_first_piece = 0;
 }
--- a/lib/data/router_decision.h
+++ b/lib/data/router_decision.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 enum decision_reason {
-	DECISION_KEPT,  /* the server keeps the whole shared prefix */
+	DECISION_CACHED,  /* the server keeps the whole shared prefix */
 	DECISION_FETCH, /* another server, or the store, is to give what this one lacks of it */
 	DECISION_HOME,  /* the prefix's home, where it is read */
 	DECISION_LOAD,  /* it is read at a server that has less to do than the home */
@@ -20,39 +20,39 @@
 
 /* Values by bucket; the last one is of those above the largest bound. */
 struct decision_histogram {
-	uint32_t n[DECISION_BUCKETS + 1];
-	uint64_t sum;
+	uint32_t counts[DECISION_BUCKETS + 1];
+	uint64_t sum_ms;
 };
 
 struct decision {
 	enum decision_reason reason;
 	uint32_t candidates; /* servers that were open to it */
-	uint32_t kept, moved, read,
-	    shared;  /* tokens of the prompt: expected there, to be fetched, to be read; read: of the shared prefix */
-	int older;   /* it went to older weights than those named newest */
-	int wait_ms; /* expected before its first piece */
-	int open;    /* no first piece yet */
+	uint32_t cached_tokens, fetched_tokens, prefill_tokens,
+	    shared_prefill_tokens;  /* tokens of the prompt: expected there, to be fetched, to be read; read: of the shared prefix */
+	int uses_older_weights;   /* it went to older weights than those named newest */
+	int expected_ms; /* expected before its first piece */
+	int awaiting_first_piece;    /* no first piece yet */
 };
 
 /* Sums of one route. */
 struct decision_counts {
-	uint64_t decisions[DECISION_REASONS], older, looked_up, looked_up_late;
-	uint64_t kept, moved, read, shared_read; /* tokens */
-	uint64_t failed;                         /* sends that ended without a first piece */
-	struct decision_histogram queue, wait, first,
-	    over; /* ms: in the router; expected; until the first piece; of that, beyond what was expected */
+	uint64_t decisions[DECISION_REASONS], older_weights, lookups_answered, lookups_missed;
+	uint64_t cached_tokens, fetched_tokens, prefill_tokens, shared_prefill_tokens; /* tokens */
+	uint64_t no_first_chunk;                         /* sends that ended without a first piece */
+	struct decision_histogram queue_ms, expected_ms, first_chunk_ms,
+	    unexpected_ms; /* ms: in the router; expected; until the first piece; of that, beyond what was expected */
 };
 
 /* Add a value to a histogram. Example: decision_observe(&d->queue, 12); */
-void decision_observe(struct decision_histogram *h, int64_t ms);
+void decision_observe(struct decision_histogram *decision_histogram, int64_t ms);
 
 /* A send leaves. Example: decision_count(counts, &x->decision, now - x->since_at); */
-void decision_count(struct decision_counts *n, const struct decision *d, int64_t queue_ms);
+void decision_count(struct decision_counts *counts, const struct decision *decision, int64_t queue_ms);
 
 /* Its first piece has come. Example: decision_began(counts, &x->decision, now - x->sent_at); */
-void decision_began(struct decision_counts *n, struct decision *d, int64_t first_ms);
+void decision_began(struct decision_counts *counts, struct decision *decision, int64_t first_ms);
 
 /* It has ended; counted as failed where no first piece had come. Example: decision_ended(counts, &x->decision); */
-void decision_ended(struct decision_counts *n, struct decision *d);
+void decision_ended(struct decision_counts *counts, struct decision *decision);
 
 #endif
--- a/lib/data/router_kept_feed.c
+++ b/lib/data/router_kept_feed.c
@@ -12,151 +12,151 @@
 enum {
 	FEED_SHARE_PERCENT = 40, /* of the link, for all downstream routers together */
 	FEED_BURST_MS = 100,     /* of that share which one message to all of them may take */
-	FEED_ROWS = 2048         /* rows of the index in one message to a router that is new */
+	FEED_INDEX_ROWS = 2048         /* rows of the index in one message to a router that is new */
 };
 
 /* Bytes that the feed may send in a ms; 0: the link has no bound that we know. */
-static int64_t feed_rate(const struct router *c) { return (int64_t)c->b.link_kbps * FEED_SHARE_PERCENT / 100 / 8; }
+static int64_t feed_bytes_per_ms(const struct router *router) { return (int64_t)router->bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8; }
 
 /* A message of this size has been given to so many routers: no more before the link's share has carried it. */
-static void feed_spent(struct router *c, const struct Nl__KeptAll *message, ptrdiff_t routers, int64_t now)
+static void feed_spent(struct router *router, const struct Nl__KeptAll *message, ptrdiff_t routers, int64_t now)
 {
-	int64_t rate = feed_rate(c), bytes = (int64_t)nl__kept_all__get_packed_size(message) * routers;
+	int64_t rate = feed_bytes_per_ms(router), bytes = (int64_t)nl__kept_all__get_packed_size(message) * routers;
 
-	if (c->feed.free_at < now)
-		c->feed.free_at = now;
+	if (router->feed.link_free_at_ms < now)
+		router->feed.link_free_at_ms = now;
 	if (rate)
-		c->feed.free_at += bytes / rate;
+		router->feed.link_free_at_ms += bytes / rate;
 }
 
 /* ---- what waits ---------------------------------------------------------------------------------------- */
 
-static void news_clear(struct kept_news *news)
+static void pending_update_clear(struct pending_cache_update *update)
 {
-	hmfree(news->part);
-	memset(news, 0, sizeof *news);
+	hmfree(update->events);
+	memset(update, 0, sizeof *update);
 }
 
-void router_feed_clear(struct router *c)
+void router_feed_clear(struct router *router)
 {
-	for (ptrdiff_t i = 0; i < arrlen(c->sv); i++)
-		news_clear(&c->sv[i].news);
-	arrfree(c->feed.queue);
+	for (ptrdiff_t i = 0; i < arrlen(router->servers); i++)
+		pending_update_clear(&router->servers[i].pending_update);
+	arrfree(router->feed.queue);
 }
 
-void router_feed_add(struct router *c, uint32_t server, const struct Nl__Kept *kept)
+void router_feed_add(struct router *router, uint32_t server, const struct Nl__Kept *update)
 {
-	struct kept_news *news = &c->sv[server].news;
-	int anew = kept->lost || (c->sv[server].epoch && c->sv[server].epoch != kept->epoch);
+	struct pending_cache_update *pending = &router->servers[server].pending_update;
+	int is_reset = update->lost || (router->servers[server].cache_epoch && router->servers[server].cache_epoch != update->epoch);
 
 	/* of a store each word goes on, for it says that the store is up */
-	if (!arrlen(c->relay.down) || (!kept->n_e && !anew && !c->server_table->server[server].is_store))
+	if (!arrlen(router->relay.downstreams) || (!update->n_e && !is_reset && !router->server_table->servers[server].is_store))
 		return;
-	if (anew) {
-		hmfree(news->part);
-		news->lost = 1;
+	if (is_reset) {
+		hmfree(pending->events);
+		pending->is_reset = 1;
 	}
-	news->epoch = kept->epoch;
-	news->next = kept->next;
-	for (size_t i = 0; i < kept->n_e; i++) {
-		const struct Nl__KeptEvent *e = kept->e[i];
-		typeof(news->part->value) event = { router_filed_text(e->cache_namespace), e->gone };
+	pending->epoch = update->epoch;
+	pending->next_event = update->next;
+	for (size_t i = 0; i < update->n_e; i++) {
+		const struct Nl__KeptEvent *cache_event = update->e[i];
+		typeof(pending->events->value) event = { router_namespace_key_from_text(cache_event->cache_namespace), cache_event->gone };
 
-		hmput(news->part, router_kept_key(core_hashs(0, e->cache_namespace), e->id), event);
+		hmput(pending->events, router_block_key(core_hash_string(0, cache_event->cache_namespace), cache_event->id), event);
 	}
-	if (!news->queued)
-		arrput(c->feed.queue, server);
-	news->queued = 1;
+	if (!pending->is_queued)
+		arrput(router->feed.queue, server);
+	pending->is_queued = 1;
 }
 
 /* ---- to all downstream routers --------------------------------------------------------------------------- */
 
 /* The waiting events of one server as they are sent: keys alone, which is all that the index asks for. */
-static struct Nl__Kept *news_message(const struct router *c, uint32_t server, struct out *o)
+static struct Nl__Kept *pending_update_message(const struct router *router, uint32_t server, struct out *out)
 {
-	const struct kept_news *news = &c->sv[server].news;
-	struct Nl__Kept *m = OUT_NEW(o, Nl__Kept, NL__KEPT__INIT);
-	size_t n = (size_t)hmlen(news->part);
-	int filed = 0;
-
-	m->server = apr_pstrdup(o->p, c->servers.name[server]);
-	m->epoch = news->epoch;
-	m->next = news->next;
-	m->lost = news->lost;
-	m->added = apr_palloc(o->p, (n + 1) * sizeof *m->added);
-	m->added_filed = apr_palloc(o->p, (n + 1) * sizeof *m->added_filed);
-	m->removed = apr_palloc(o->p, (n + 1) * sizeof *m->removed);
+	const struct pending_cache_update *pending = &router->servers[server].pending_update;
+	struct Nl__Kept *update = OUT_NEW(out, Nl__Kept, NL__KEPT__INIT);
+	size_t n = (size_t)hmlen(pending->events);
+	int has_namespace_keys = 0;
+
+	update->server = apr_pstrdup(out->pool, router->server_names.names[server]);
+	update->epoch = pending->epoch;
+	update->next = pending->next_event;
+	update->lost = pending->is_reset;
+	update->added = apr_palloc(out->pool, (n + 1) * sizeof *update->added);
+	update->added_filed = apr_palloc(out->pool, (n + 1) * sizeof *update->added_filed);
+	update->removed = apr_palloc(out->pool, (n + 1) * sizeof *update->removed);
 	for (size_t i = 0; i < n; i++) {
-		if (news->part[i].value.gone) {
-			m->removed[m->n_removed++] = news->part[i].key;
+		if (pending->events[i].value.evicted) {
+			update->removed[update->n_removed++] = pending->events[i].key;
 			continue;
 		}
-		m->added_filed[m->n_added] = news->part[i].value.filed;
-		filed |= news->part[i].value.filed != 0;
-		m->added[m->n_added++] = news->part[i].key;
+		update->added_filed[update->n_added] = pending->events[i].value.namespace_key;
+		has_namespace_keys |= pending->events[i].value.namespace_key != 0;
+		update->added[update->n_added++] = pending->events[i].key;
 	}
-	m->n_added_filed = filed ? m->n_added : 0;
-	return m;
+	update->n_added_filed = has_namespace_keys ? update->n_added : 0;
+	return update;
 }
 
 /* The servers that have waited longest, as many as one message may take. */
-static void tell_news(struct router *c, int64_t now, struct out *o)
+static void publish_updates(struct router *router, int64_t now, struct out *out)
 {
-	ptrdiff_t routers = arrlen(c->relay.down);
-	int64_t most = routers ? feed_rate(c) * FEED_BURST_MS / routers : 0, bytes = 0;
-	struct Nl__KeptAll *all = OUT_NEW(o, Nl__KeptAll, NL__KEPT_ALL__INIT);
-	ptrdiff_t taken = 0;
-
-	all->k = apr_palloc(o->p, (size_t)arrlen(c->feed.queue) * sizeof(struct Nl__Kept *));
-	for (; taken < arrlen(c->feed.queue) && (!most || bytes < most); taken++) {
-		uint32_t server = c->feed.queue[taken];
-		struct Nl__Kept *m;
-
-		if (c->server_table->server[server].on) {
-			m = news_message(c, server, o);
-			bytes += (int64_t)nl__kept__get_packed_size(m);
-			all->k[all->n_k++] = m;
+	ptrdiff_t routers = arrlen(router->relay.downstreams);
+	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
+	struct Nl__KeptAll *all = OUT_NEW(out, Nl__KeptAll, NL__KEPT_ALL__INIT);
+	ptrdiff_t sent = 0;
+
+	all->k = apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__Kept *));
+	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
+		uint32_t server = router->feed.queue[sent];
+		struct Nl__Kept *update;
+
+		if (router->server_table->servers[server].is_configured) {
+			update = pending_update_message(router, server, out);
+			bytes += (int64_t)nl__kept__get_packed_size(update);
+			all->k[all->n_k++] = update;
 		}
-		news_clear(&c->sv[server].news);
+		pending_update_clear(&router->servers[server].pending_update);
 	}
-	arrdeln(c->feed.queue, 0, taken);
+	arrdeln(router->feed.queue, 0, sent);
 	if (!all->n_k)
 		return;
 	for (ptrdiff_t i = 0; i < routers; i++)
-		out_msg(o, c->relay.down[i].addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
-	feed_spent(c, all, routers, now);
+		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
+	feed_spent(router, all, routers, now);
 }
 
 /* ---- to one that is new ------------------------------------------------------------------------------------ */
 
 /* Rows [from, to) of the index as messages, one a server. */
-static struct Nl__KeptAll *index_message(struct router *c, ptrdiff_t from, ptrdiff_t to, struct out *o)
+static struct Nl__KeptAll *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end, struct out *out)
 {
-	const struct server_table *table = c->server_table;
-	struct Nl__KeptAll *all = OUT_NEW(o, Nl__KeptAll, NL__KEPT_ALL__INIT);
-	struct Nl__Kept **of = apr_pcalloc(o->p, (table->nserver + 1) * sizeof *of);
+	const struct server_table *table = router->server_table;
+	struct Nl__KeptAll *all = OUT_NEW(out, Nl__KeptAll, NL__KEPT_ALL__INIT);
+	struct Nl__Kept **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
 
-	all->k = apr_palloc(o->p, (table->nserver + 1) * sizeof *all->k);
+	all->k = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->k);
 	for (int fill = 0; fill < 2; fill++) { /* counted first, then put in */
-		for (ptrdiff_t i = from; i < to; i++)
-			for (ptrdiff_t k = 0; k < arrlen(c->kept.h[i].value); k++) {
-				uint32_t s = c->kept.h[i].value[k].server;
+		for (ptrdiff_t i = begin; i < end; i++)
+			for (ptrdiff_t k = 0; k < arrlen(router->prefix_index.blocks[i].value); k++) {
+				uint32_t s = router->prefix_index.blocks[i].value[k].server_index;
 
-				if (s >= table->nserver || !table->server[s].on || !c->sv[s].epoch)
+				if (s >= table->server_count || !table->servers[s].is_configured || !router->servers[s].cache_epoch)
 					continue;
-				if (!of[s]) {
-					of[s] = OUT_NEW(o, Nl__Kept, NL__KEPT__INIT);
-					of[s]->server = apr_pstrdup(o->p, c->servers.name[s]);
-					of[s]->epoch = c->sv[s].epoch;
-					of[s]->next = c->sv[s].next;
-					all->k[all->n_k++] = of[s];
+				if (!update[s]) {
+					update[s] = OUT_NEW(out, Nl__Kept, NL__KEPT__INIT);
+					update[s]->server = apr_pstrdup(out->pool, router->server_names.names[s]);
+					update[s]->epoch = router->servers[s].cache_epoch;
+					update[s]->next = router->servers[s].next_cache_event;
+					all->k[all->n_k++] = update[s];
 				}
 				if (fill)
-					of[s]->held[of[s]->n_held] = c->kept.h[i].key;
-				of[s]->n_held++;
+					update[s]->held[update[s]->n_held] = router->prefix_index.blocks[i].key;
+				update[s]->n_held++;
 			}
 		for (size_t i = 0; !fill && i < all->n_k; i++) {
-			all->k[i]->held = apr_palloc(o->p, all->k[i]->n_held * sizeof *all->k[i]->held);
+			all->k[i]->held = apr_palloc(out->pool, all->k[i]->n_held * sizeof *all->k[i]->held);
 			all->k[i]->n_held = 0;
 		}
 	}
@@ -166,47 +166,47 @@
 /* A router that is new in the zone, or back, hears only what changes from then on; so it is told once all that is known to be
  * kept, or it would have prompts read again that lie ready. It adds this to what it knows itself. The index is gone through from
  * its end: what a deletion moves meanwhile is told twice rather than never. */
-static void tell_index(struct router *c, struct relay_down *down, int64_t now, struct out *o)
+static void publish_index(struct router *router, struct relay_downstream *down, int64_t now, struct out *out)
 {
-	ptrdiff_t rows = hmlen(c->kept.h), from;
+	ptrdiff_t rows = hmlen(router->prefix_index.blocks), from;
 	struct Nl__KeptAll *all;
 
-	if (!down->briefed || down->untold > rows)
-		down->untold = rows;
-	down->briefed = 1;
-	from = down->untold > FEED_ROWS ? down->untold - FEED_ROWS : 0;
-	all = index_message(c, from, down->untold, o);
-	down->untold = from;
+	if (!down->cache_feed_started || down->cache_feed_remaining > rows)
+		down->cache_feed_remaining = rows;
+	down->cache_feed_started = 1;
+	from = down->cache_feed_remaining > FEED_INDEX_ROWS ? down->cache_feed_remaining - FEED_INDEX_ROWS : 0;
+	all = index_message(router, from, down->cache_feed_remaining, out);
+	down->cache_feed_remaining = from;
 	if (!all->n_k)
 		return;
-	out_msg(o, down->addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
-	feed_spent(c, all, 1, now);
+	command_send(out, down->addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
+	feed_spent(router, all, 1, now);
 }
 
-static struct relay_down *next_unbriefed(struct router *c)
+static struct relay_downstream *next_without_index(struct router *router)
 {
-	for (ptrdiff_t i = 0; i < arrlen(c->relay.down); i++)
-		if (!c->relay.down[i].briefed || c->relay.down[i].untold)
-			return &c->relay.down[i];
+	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++)
+		if (!router->relay.downstreams[i].cache_feed_started || router->relay.downstreams[i].cache_feed_remaining)
+			return &router->relay.downstreams[i];
 	return NULL;
 }
 
-void router_feed_tick(struct router *c, int64_t now, struct out *o)
+void router_feed_tick(struct router *router, int64_t now, struct out *out)
 {
-	struct relay_down *down;
+	struct relay_downstream *down;
 
-	if (!c->server_table || c->f.nup || !arrlen(c->relay.down) ||
-	    !mechanism_on(c->b.without, MECHANISM_FEED)) { /* another is the head, or there is nobody to tell */
-		if (arrlen(c->feed.queue))
-			router_feed_clear(c);
+	if (!router->server_table || router->config_watch.upstream_count || !arrlen(router->relay.downstreams) ||
+	    !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CACHE_FEED)) { /* another is the head, or there is nobody to tell */
+		if (arrlen(router->feed.queue))
+			router_feed_clear(router);
 		return;
 	}
-	if (now < c->feed.free_at)
+	if (now < router->feed.link_free_at_ms)
 		return;
-	if (arrlen(c->feed.queue) && now - c->feed.told_at >= router_interval(c, ROUTER_KEPT_TELL)) {
-		c->feed.told_at = now;
-		tell_news(c, now, o);
-	} else if ((down = next_unbriefed(c))) {
-		tell_index(c, down, now, o);
+	if (arrlen(router->feed.queue) && now - router->feed.sent_at_ms >= router_scaled_interval_ms(router, ROUTER_CACHE_FEED_INTERVAL_MS)) {
+		router->feed.sent_at_ms = now;
+		publish_updates(router, now, out);
+	} else if ((down = next_without_index(router))) {
+		publish_index(router, down, now, out);
 	}
 }
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -9,194 +9,194 @@
 
 #include "ds.h"
 
-enum { LOAD_OWN = 0, LOAD_ZONE = 1, LOAD_ALL = 2 };
+enum { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
-static void size_to(struct load_cell **v, uint32_t n)
+static void resize_cells(struct load_cell **load, uint32_t count)
 {
 	struct load_cell zero = { 0, 0, 0 };
 
-	while (arrlen(*v) < (ptrdiff_t)n)
-		arrput(*v, zero);
+	while (arrlen(*load) < (ptrdiff_t)count)
+		arrput(*load, zero);
 }
 
-static void add(struct load_cell *to, const struct load_cell *v)
+static void add(struct load_cell *load, const struct load_cell *v)
 {
-	to->ahead += v->ahead;
-	to->running += v->running;
-	to->tokens += v->tokens;
+	load->prefill_tokens += v->prefill_tokens;
+	load->running += v->running;
+	load->resident_tokens += v->resident_tokens;
 }
 
 /* What all have, less what this router knows that the head counts as its own. */
-static struct load_cell others_of(const struct load_cell *all, const struct load_cell *mine)
+static struct load_cell others_share(const struct load_cell *all, const struct load_cell *mine)
 {
 	return (struct load_cell){
-		all->ahead > mine->ahead ? all->ahead - mine->ahead : 0,
+		all->prefill_tokens > mine->prefill_tokens ? all->prefill_tokens - mine->prefill_tokens : 0,
 		all->running > mine->running ? all->running - mine->running : 0,
-		all->tokens > mine->tokens ? all->tokens - mine->tokens : 0,
+		all->resident_tokens > mine->resident_tokens ? all->resident_tokens - mine->resident_tokens : 0,
 	};
 }
 
 /* Say what has changed since the last word, or all that is not nothing; nothing is said when nothing has. */
 static void say(struct router *c, const uint64_t *to, int n, int of, const struct load_cell *v, struct load_cell **told, int whole,
-		struct out *o)
+		struct out *out)
 {
-	uint32_t servers = c->server_table->nserver;
-	struct Nl__Load *l;
-
-	size_to(told, servers);
-	l = OUT_NEW(o, Nl__Load, NL__LOAD__INIT);
-	l->of = (uint32_t)of;
-	l->zone = c->zone_hash;
-	l->whole = whole;
-	l->row = apr_palloc(o->p, (servers + 1) * sizeof *l->row);
+	uint32_t servers = c->server_table->server_count;
+	struct Nl__Load *load;
+
+	resize_cells(told, servers);
+	load = OUT_NEW(out, Nl__Load, NL__LOAD__INIT);
+	load->of = (uint32_t)of;
+	load->zone = c->zone_hash;
+	load->whole = whole;
+	load->row = apr_palloc(out->pool, (servers + 1) * sizeof *load->row);
 	for (uint32_t s = 0; s < servers; s++) {
 		struct Nl__LoadRow *x;
 
-		if (whole ? !v[s].ahead && !v[s].running : !memcmp(&v[s], &(*told)[s], sizeof v[s]))
+		if (whole ? !v[s].prefill_tokens && !v[s].running : !memcmp(&v[s], &(*told)[s], sizeof v[s]))
 			continue;
-		x = OUT_NEW(o, Nl__LoadRow, NL__LOAD_ROW__INIT);
-		x->server = apr_pstrdup(o->p, c->servers.name[s]);
-		x->ahead = v[s].ahead;
+		x = OUT_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
+		x->server = apr_pstrdup(out->pool, c->server_names.names[s]);
+		x->ahead = v[s].prefill_tokens;
 		x->running = v[s].running;
-		x->tokens = v[s].tokens;
-		l->row[l->n_row++] = x;
+		x->tokens = v[s].resident_tokens;
+		load->row[load->n_row++] = x;
 	}
 	if (servers)
 		memcpy(*told, v, servers * sizeof *v);
-	if (!whole && !l->n_row)
+	if (!whole && !load->n_row)
 		return;
 	for (int i = 0; i < n; i++)
-		out_msg(o, to[i], 0, NL__MSG__BODY_LOAD)->load = l;
+		command_send(out, to[i], 0, NL__MSG__BODY_LOAD)->load = load;
 }
 
-static struct load_cell *zeros(const struct router *c, struct out *o)
+static struct load_cell *zero_cells(const struct router *router, struct out *out)
 {
-	return apr_pcalloc(o->p, (c->server_table->nserver + 1) * sizeof(struct load_cell));
+	return apr_pcalloc(out->pool, (router->server_table->server_count + 1) * sizeof(struct load_cell));
 }
 
 /* How long after its last word a router says what has changed: soon where a send left or began, so that the head of its zone, which
  * others ask, knows; else as rarely as words are said that all hear. Heads are few, and tell each other soon. */
-static int load_interval(const struct router *c)
+static int load_interval_ms(const struct router *router)
 {
-	int rarely = router_interval(c, ROUTER_LOAD);
+	int rarely = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
 
-	if (!c->f.nup)
-		return ROUTER_LOAD;
-	return c->load_changed && rarely > ROUTER_LOAD_SOON ? ROUTER_LOAD_SOON : rarely;
+	if (!router->config_watch.upstream_count)
+		return ROUTER_LOAD_INTERVAL_MS;
+	return router->load_changed && rarely > ROUTER_LOAD_CHANGED_INTERVAL_MS ? ROUTER_LOAD_CHANGED_INTERVAL_MS : rarely;
 }
 
-void router_load_tick(struct router *c, int64_t now, struct out *o)
+void router_load_tick(struct router *router, int64_t now, struct out *out)
 {
 	struct load_cell *own, *zone, *all;
 	uint64_t *down;
-	int whole, n = 0;
+	int full, n = 0;
 
-	if (!c->server_table || now - c->load_at < load_interval(c))
+	if (!router->server_table || now - router->load_sent_at_ms < load_interval_ms(router))
 		return;
-	c->load_at = now;
-	c->load_changed = 0;
-	whole = now - c->load_whole >= (c->f.counters > 16 ? 2 : 1) * ROUTER_LOAD_WHOLE;
-	if (whole)
-		c->load_whole = now;
-	for (ptrdiff_t i = arrlen(c->load) - 1; i >= 0; i--)
-		if (now - c->load[i].at > ROUTER_LOAD_OLD) {
-			arrfree(c->load[i].v);
-			arrdelswap(c->load, i);
+	router->load_sent_at_ms = now;
+	router->load_changed = 0;
+	full = now - router->full_load_sent_at_ms >= (router->config_watch.router_count > 16 ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
+	if (full)
+		router->full_load_sent_at_ms = now;
+	for (ptrdiff_t i = arrlen(router->load_sources) - 1; i >= 0; i--)
+		if (now - router->load_sources[i].received_at_ms > ROUTER_LOAD_VALID_MS) {
+			arrfree(router->load_sources[i].cells);
+			arrdelswap(router->load_sources, i);
 		}
-	own = zeros(c, o);
-	for (uint32_t s = 0; s < c->server_table->nserver; s++)
-		own[s] = (struct load_cell){ c->sv[s].ahead, (uint32_t)c->sv[s].own, (uint32_t)c->sv[s].tokens };
-	if (c->f.nup) { /* not the head: what others have is what the head says of all, less what it knows to be ours */
-		say(c, c->f.up, 1, LOAD_OWN, own, &c->told_up, whole, o);
+	own = zero_cells(router, out);
+	for (uint32_t s = 0; s < router->server_table->server_count; s++)
+		own[s] = (struct load_cell){ router->servers[s].prefill_tokens, (uint32_t)router->servers[s].own_running, (uint32_t)router->servers[s].resident_tokens };
+	if (router->config_watch.upstream_count) { /* not the head: what others have is what the head says of all, less what it knows to be ours */
+		say(router, router->config_watch.upstream, 1, LOAD_SCOPE_ROUTER, own, &router->load_sent_to_head, full, out);
 		return;
 	}
-	zone = zeros(c, o);
-	all = zeros(c, o);
-	size_to(&c->others, c->server_table->nserver);
-	for (ptrdiff_t i = 0; i < arrlen(c->load); i++)
-		for (ptrdiff_t s = 0; s < arrlen(c->load[i].v) && s < (ptrdiff_t)c->server_table->nserver; s++)
-			if (c->load[i].of != LOAD_ALL)
-				add(c->load[i].of == LOAD_OWN ? &zone[s] : &all[s], &c->load[i].v[s]);
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		c->others[s] = zone[s];
-		add(&c->others[s], &all[s]);
+	zone = zero_cells(router, out);
+	all = zero_cells(router, out);
+	resize_cells(&router->others_load, router->server_table->server_count);
+	for (ptrdiff_t i = 0; i < arrlen(router->load_sources); i++)
+		for (ptrdiff_t s = 0; s < arrlen(router->load_sources[i].cells) && s < (ptrdiff_t)router->server_table->server_count; s++)
+			if (router->load_sources[i].scope != LOAD_SCOPE_FLEET)
+				add(router->load_sources[i].scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s], &router->load_sources[i].cells[s]);
+	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
+		router->others_load[s] = zone[s];
+		add(&router->others_load[s], &all[s]);
 		add(&zone[s], &own[s]);
 		add(&all[s], &zone[s]);
 	}
-	c->others_fresh = now;
-	if (c->f.nhead)
-		say(c, c->f.head, c->f.nhead, LOAD_ZONE, zone, &c->told_far, whole, o);
-	if (!whole && now - c->load_told_at < router_interval(c, ROUTER_LOAD))
+	router->others_load_at_ms = now;
+	if (router->config_watch.zone_head_count)
+		say(router, router->config_watch.zone_heads, router->config_watch.zone_head_count, LOAD_SCOPE_ZONE, zone, &router->load_sent_to_heads, full, out);
+	if (!full && now - router->zone_load_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
 		return;
-	c->load_told_at = now;
-	down = apr_palloc(o->p, ((size_t)arrlen(c->load) + 1) * sizeof *down);
-	for (ptrdiff_t i = 0; i < arrlen(c->load); i++)
-		if (c->load[i].of == LOAD_OWN)
-			down[n++] = c->load[i].addr;
+	router->zone_load_sent_at_ms = now;
+	down = apr_palloc(out->pool, ((size_t)arrlen(router->load_sources) + 1) * sizeof *down);
+	for (ptrdiff_t i = 0; i < arrlen(router->load_sources); i++)
+		if (router->load_sources[i].scope == LOAD_SCOPE_ROUTER)
+			down[n++] = router->load_sources[i].addr;
 	if (n)
-		say(c, down, n, LOAD_ALL, all, &c->told_down, whole, o);
+		say(router, down, n, LOAD_SCOPE_FLEET, all, &router->load_sent_to_zone, full, out);
 }
 
-void router_on_load(struct router *c, uint64_t id, uint64_t addr, const struct Nl__Load *l, int64_t now)
+void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load, int64_t now)
 {
-	struct load_from *f = NULL, zero = { id, (int)l->of, now, addr, NULL };
+	struct load_source *load_from = NULL, zero = { id, (int)load->of, now, addr, NULL };
 
-	if (!c->server_table || l->of > LOAD_ALL || id == c->id)
+	if (!router->server_table || load->of > LOAD_SCOPE_FLEET || id == router->id)
 		return;
-	for (ptrdiff_t i = 0; i < arrlen(c->load) && !f; i++)
-		if (c->load[i].id == id)
-			f = &c->load[i];
-	if (!f) {
-		arrput(c->load, zero);
-		f = &arrlast(c->load);
+	for (ptrdiff_t i = 0; i < arrlen(router->load_sources) && !load_from; i++)
+		if (router->load_sources[i].router_id == id)
+			load_from = &router->load_sources[i];
+	if (!load_from) {
+		arrput(router->load_sources, zero);
+		load_from = &arrlast(router->load_sources);
 	}
-	if (f->of != (int)l->of || l->whole)
-		arrsetlen(f->v, 0);
-	f->of = (int)l->of;
-	f->at = now;
-	f->addr = addr;
-	size_to(&f->v, c->server_table->nserver);
-	if (l->whole && arrlen(f->v))
-		memset(f->v, 0, (size_t)arrlen(f->v) * sizeof *f->v);
-	for (size_t i = 0; i < l->n_row; i++) {
-		int s = names_find(&c->servers, l->row[i]->server);
-
-		if (s >= 0 && s < arrlen(f->v))
-			f->v[s] = (struct load_cell){ l->row[i]->ahead, l->row[i]->running, l->row[i]->tokens };
+	if (load_from->scope != (int)load->of || load->whole)
+		arrsetlen(load_from->cells, 0);
+	load_from->scope = (int)load->of;
+	load_from->received_at_ms = now;
+	load_from->addr = addr;
+	resize_cells(&load_from->cells, router->server_table->server_count);
+	if (load->whole && arrlen(load_from->cells))
+		memset(load_from->cells, 0, (size_t)arrlen(load_from->cells) * sizeof *load_from->cells);
+	for (size_t i = 0; i < load->n_row; i++) {
+		int server_index = names_find(&router->server_names, load->row[i]->server);
+
+		if (server_index >= 0 && server_index < arrlen(load_from->cells))
+			load_from->cells[server_index] = (struct load_cell){ load->row[i]->ahead, load->row[i]->running, load->row[i]->tokens };
 	}
-	if (l->of != LOAD_ALL)
+	if (load->of != LOAD_SCOPE_FLEET)
 		return;
-	size_to(&c->others, c->server_table->nserver);
-	size_to(&c->told_up, c->server_table->nserver);
-	for (ptrdiff_t s = 0; s < arrlen(f->v) && s < arrlen(c->others); s++)
-		c->others[s] = others_of(&f->v[s], &c->told_up[s]);
-	c->others_fresh = now;
+	resize_cells(&router->others_load, router->server_table->server_count);
+	resize_cells(&router->load_sent_to_head, router->server_table->server_count);
+	for (ptrdiff_t server_index = 0; server_index < arrlen(load_from->cells) && server_index < arrlen(router->others_load); server_index++)
+		router->others_load[server_index] = others_share(&load_from->cells[server_index], &router->load_sent_to_head[server_index]);
+	router->others_load_at_ms = now;
 }
 
-int router_load_all(const struct router *c, uint32_t server, struct load_cell *all)
+int router_fleet_load(const struct router *router, uint32_t server, struct load_cell *all)
 {
-	if (!mechanism_on(c->b.without, MECHANISM_SHARED_LOAD) || server >= (uint32_t)arrlen(c->others) ||
-	    server >= (uint32_t)arrlen(c->sv))
+	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_SHARED_LOAD) || server >= (uint32_t)arrlen(router->others_load) ||
+	    server >= (uint32_t)arrlen(router->servers))
 		return 0;
-	*all = (struct load_cell){ c->sv[server].ahead, (uint32_t)c->sv[server].own, (uint32_t)c->sv[server].tokens };
-	add(all, &c->others[server]);
+	*all = (struct load_cell){ router->servers[server].prefill_tokens, (uint32_t)router->servers[server].own_running, (uint32_t)router->servers[server].resident_tokens };
+	add(all, &router->others_load[server]);
 	return 1;
 }
 
-void router_load_heard(struct router *c, uint32_t server, const struct load_cell *all)
+void router_load_learn(struct router *router, uint32_t server, const struct load_cell *all)
 {
-	if (server >= (uint32_t)arrlen(c->others) || server >= (uint32_t)arrlen(c->told_up))
+	if (server >= (uint32_t)arrlen(router->others_load) || server >= (uint32_t)arrlen(router->load_sent_to_head))
 		return;
-	c->others[server] = others_of(all, &c->told_up[server]);
+	router->others_load[server] = others_share(all, &router->load_sent_to_head[server]);
 }
 
-void router_load_clear(struct router *c)
+void router_load_clear(struct router *router)
 {
-	for (ptrdiff_t i = 0; i < arrlen(c->load); i++)
-		arrfree(c->load[i].v);
-	arrfree(c->load);
-	arrfree(c->told_up);
-	arrfree(c->told_down);
-	arrfree(c->told_far);
-	arrfree(c->others);
+	for (ptrdiff_t i = 0; i < arrlen(router->load_sources); i++)
+		arrfree(router->load_sources[i].cells);
+	arrfree(router->load_sources);
+	arrfree(router->load_sent_to_head);
+	arrfree(router->load_sent_to_zone);
+	arrfree(router->load_sent_to_heads);
+	arrfree(router->others_load);
 }
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -10,174 +10,174 @@
 
 enum {
 	STATUS_TIMED_OUT = 408,
-	STATUS_CLAIMED = 409,
+	STATUS_CONFLICT = 409,
 	STATUS_MISDIRECTED = 421,
 	STATUS_TOO_MANY = 429,
-	STATUS_BROKE = 502,
-	STATUS_AWAY = 503
+	STATUS_BAD_GATEWAY = 502,
+	STATUS_UNAVAILABLE = 503
 };
 
-struct client_request *router_request_by(struct router *c, uint64_t token)
+struct client_request *router_request_by_token(struct router *router, uint64_t token)
 {
-	ptrdiff_t i = c->by ? hmgeti(c->by, token) : -1;
+	ptrdiff_t i = router->requests_by_token ? hmgeti(router->requests_by_token, token) : -1;
 
-	return i < 0 ? NULL : c->by[i].value;
+	return i < 0 ? NULL : router->requests_by_token[i].value;
 }
 
-void router_request_add(struct router *c, struct client_request *x)
+void router_request_add(struct router *router, struct client_request *request)
 {
-	x->slot = (int)arrlen(c->all);
-	arrput(c->all, x);
-	hmput(c->by, x->token, x);
+	request->request_index = (int)arrlen(router->requests);
+	arrput(router->requests, request);
+	hmput(router->requests_by_token, request->token, request);
 }
 
 /* Take a request out of everything; what its client hears has been said before. */
-static void request_drop(struct router *c, struct client_request *x)
+static void request_drop(struct router *router, struct client_request *request)
 {
-	if (x->state == REQUEST_WAITING) {
-		router_queue_remove(c, x);
+	if (request->state == REQUEST_WAITING) {
+		router_queue_remove(router, request);
 	} else {
-		router_quota_release(c, x);
-		if (x->server >= 0) {
-			c->sv[x->server].own--;
-			c->sv[x->server].ahead -= x->ahead;
-			if (x->forwarded && x->state == REQUEST_RUNNING)
-				c->sv[x->server].tokens -= x->brings;
+		router_quota_release(router, request);
+		if (request->server_index >= 0) {
+			router->servers[request->server_index].own_running--;
+			router->servers[request->server_index].prefill_tokens -= request->prefill_tokens;
+			if (request->is_forwarded && request->state == REQUEST_RUNNING)
+				router->servers[request->server_index].resident_tokens -= request->uncached_tokens;
 		}
 	}
-	if (x->resend_paid)
-		c->budget[x->service] += ROUTER_RESEND_COST; /* never sent again */
-	(void)hmdel(c->by, x->token);
-	if (x->claim)
-		(void)hmdel(c->by, x->claim);
-	if (x->call)
-		(void)hmdel(c->by, x->call);
-	arrdelswap(c->all, x->slot);
-	if (x->slot < arrlen(c->all))
-		c->all[x->slot]->slot = x->slot;
-	apr_pool_destroy(x->p);
+	if (request->retry_reserved)
+		router->retry_budget[request->service_index] += ROUTER_RETRY_COST_MILLI; /* never sent again */
+	(void)hmdel(router->requests_by_token, request->token);
+	if (request->claim_token)
+		(void)hmdel(router->requests_by_token, request->claim_token);
+	if (request->call_token)
+		(void)hmdel(router->requests_by_token, request->call_token);
+	arrdelswap(router->requests, request->request_index);
+	if (request->request_index < arrlen(router->requests))
+		router->requests[request->request_index]->request_index = request->request_index;
+	apr_pool_destroy(request->pool);
 }
 
-void router_requests_discard(struct router *c)
+void router_requests_discard(struct router *router)
 {
-	while (arrlen(c->all))
-		request_drop(c, c->all[0]);
+	while (arrlen(router->requests))
+		request_drop(router, router->requests[0]);
 }
 
-int router_balanced(const struct router *c)
+int router_balanced(const struct router *router)
 {
-	uint64_t sum = (uint64_t)arrlen(c->all);
+	uint64_t sum = (uint64_t)arrlen(router->requests);
 
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
-		sum += c->n.outcome[i];
-	return sum == c->n.taken;
+		sum += router->stats.outcomes[i];
+	return sum == router->stats.received;
 }
 
 /* A server may have begun on it, or its client has a part of an answer: no promise holds any more. */
-static int may_have_run(const struct client_request *x) { return x->state == REQUEST_RUNNING || x->begun || x->ran; }
+static int may_have_run(const struct client_request *request) { return request->state == REQUEST_RUNNING || request->has_begun || request->may_have_run; }
 
 /* Statuses that promise that the request never ran and never will. */
 static int is_promise(int status)
 {
-	return status == STATUS_AWAY || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT || status == STATUS_MISDIRECTED;
+	return status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT || status == STATUS_MISDIRECTED;
 }
 
-static void end_stream(uint64_t token, const char *body, int ok, struct out *o)
+static void end_stream(uint64_t token, const char *body, int complete, struct out *out)
 {
-	struct cmd *k = out_cmd(o, CMD_END);
+	struct command *command = command_add(out, CMD_END_STREAM);
 
-	k->u.piece.token = token;
-	k->u.piece.body = body;
-	k->u.piece.len = strlen(body);
-	k->u.piece.ok = ok;
+	command->args.stream_chunk.token = token;
+	command->args.stream_chunk.body = body;
+	command->args.stream_chunk.len = strlen(body);
+	command->args.stream_chunk.success = complete;
 }
 
 /* Refused or rejected: nothing of it has run. */
-static void tell_refusal(uint64_t token, const struct request_ending *e, struct out *o)
+static void send_refusal(uint64_t token, const struct request_ending *ending, struct out *out)
 {
-	const char *word = e->status == STATUS_CLAIMED ? "claimed" : "refused"; /* the asking that holds the id may be running */
+	const char *outcome = ending->status == STATUS_CONFLICT ? "claimed" : "refused"; /* the asking that holds the id may be running */
 
-	out_answer(o, token, e->status, e->outcome == REQUEST_REFUSED ? e->retry_ms : 0, router_error_json(o->p, e->why, word));
+	command_answer(out, token, ending->status, ending->outcome == REQUEST_REFUSED ? ending->retry_after_ms : 0, router_error_body(out->pool, ending->reason, outcome));
 }
 
-static void tell_broken_off(const struct client_request *x, const struct request_ending *e, struct out *o)
+static void send_broken_off(const struct client_request *request, const struct request_ending *ending, struct out *out)
 {
-	const char *body = router_error_json(o->p, e->why, "unknown");
+	const char *body = router_error_body(out->pool, ending->reason, "unknown");
 
-	if (x->begun)
-		end_stream(x->token, body, 0, o);
+	if (request->has_begun)
+		end_stream(request->token, body, 0, out);
 	else
-		out_answer(o, x->token, is_promise(e->status) ? STATUS_BROKE : e->status, 0, body);
+		command_answer(out, request->token, is_promise(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0, body);
 }
 
-static void cancel_call(const struct client_request *x, struct out *o)
+static void cancel_call(const struct client_request *request, struct out *out)
 {
-	if (x->state == REQUEST_RUNNING && x->call)
-		out_cmd(o, CMD_CANCEL)->u.cancel.token = x->call;
+	if (request->state == REQUEST_RUNNING && request->call_token)
+		command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
 }
 
-void router_request_end(struct router *c, struct client_request *x, const struct request_ending *e, int64_t now, struct out *o)
+void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct out *out)
 {
-	enum request_outcome outcome = e->outcome;
+	enum request_outcome outcome = ending->outcome;
 
-	if ((outcome == REQUEST_REFUSED || outcome == REQUEST_REJECTED) && may_have_run(x))
+	if ((outcome == REQUEST_REFUSED || outcome == REQUEST_REJECTED) && may_have_run(request))
 		outcome = REQUEST_BROKEN_OFF;
 	/* the id may be used again, unless it is another asking's or may have run */
-	if (x->claim && e->status != STATUS_CLAIMED && outcome != REQUEST_ANSWERED && !may_have_run(x))
-		router_claim_release(c, x, now, o);
+	if (request->claim_token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED && !may_have_run(request))
+		router_claim_release(router, request, now, out);
 	switch (outcome) {
 	case REQUEST_ANSWERED: /* the text of a forwarded one has gone by the door */
-		if (!x->forwarded)
-			end_stream(x->token, e->why, 1, o);
-		router_use_of(c, x)->value.exchanges++;
-		router_use_of(c, x)->value.pieces += x->next;
+		if (!request->is_forwarded)
+			end_stream(request->token, ending->reason, 1, out);
+		router_usage_of(router, request)->value.requests++;
+		router_usage_of(router, request)->value.chunks += request->next_chunk;
 		break;
 	case REQUEST_REFUSED:
-	case REQUEST_REJECTED: tell_refusal(x->token, e, o); break;
+	case REQUEST_REJECTED: send_refusal(request->token, ending, out); break;
 	case REQUEST_BROKEN_OFF:
-		cancel_call(x, o);
-		tell_broken_off(x, e, o);
-		router_use_of(c, x)->value.errors++;
+		cancel_call(request, out);
+		send_broken_off(request, ending, out);
+		router_usage_of(router, request)->value.errors++;
 		break;
-	default: cancel_call(x, o); /* its client has gone: nobody is told */
+	default: cancel_call(request, out); /* its client has gone: nobody is told */
 	}
-	c->n.outcome[outcome]++;
-	request_drop(c, x);
+	router->stats.outcomes[outcome]++;
+	request_drop(router, request);
 }
 
-void router_decline(struct router *c, uint64_t token, const struct request_ending *e, struct out *o)
+void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct out *out)
 {
-	c->n.outcome[e->outcome]++;
-	tell_refusal(token, e, o);
+	router->stats.outcomes[ending->outcome]++;
+	send_refusal(token, ending, out);
 }
 
 /* ---- endings by name ----------------------------------------------------------------------------------- */
 
-void router_give_up(struct router *c, struct client_request *x, int status, const char *why, int64_t now, struct out *o)
+void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
 {
-	router_request_end(c, x, &(struct request_ending){ REQUEST_BROKEN_OFF, status, why, 0 }, now, o);
+	router_request_end(router, request, &(struct request_ending){ REQUEST_BROKEN_OFF, status, reason, 0 }, now, out);
 }
 
-void router_refuse(struct router *c, struct client_request *x, int status, const char *why, double back, int64_t now, struct out *o)
+void router_refuse(struct router *router, struct client_request *request, int status, const char *reason, double retry_after_ms, int64_t now, struct out *out)
 {
 	router_request_end(
-	    c, x,
-	    &(struct request_ending){ REQUEST_REFUSED, status, why,
-				      back == ROUTER_SOON ? router_retry_soon(c, ROUTER_SOON) : router_retry_in(c, back) },
-	    now, o);
+	    router, request,
+	    &(struct request_ending){ REQUEST_REFUSED, status, reason,
+				      retry_after_ms == ROUTER_RETRY_FAST_MS ? router_retry_fast_ms(router, ROUTER_RETRY_FAST_MS) : router_retry_after_ms(router, retry_after_ms) },
+	    now, out);
 }
 
-void router_reject(struct router *c, struct client_request *x, int status, const char *why, int64_t now, struct out *o)
+void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
 {
-	router_request_end(c, x, &(struct request_ending){ REQUEST_REJECTED, status, why, 0 }, now, o);
+	router_request_end(router, request, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, now, out);
 }
 
-void router_end_early(struct router *c, struct client_request *x, int status, const char *why, int64_t now, struct out *o)
+void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
 {
-	if (may_have_run(x))
-		router_give_up(c, x, status, why, now, o);
+	if (may_have_run(request))
+		router_break_off(router, request, status, reason, now, out);
 	else if (is_promise(status))
-		router_refuse(c, x, status, why, ROUTER_RETRY, now, o);
+		router_refuse(router, request, status, reason, ROUTER_RETRY_AFTER_MIN_MS, now, out);
 	else
-		router_reject(c, x, status, why, now, o);
+		router_reject(router, request, status, reason, now, out);
 }
--- a/lib/data/router_placement.c
+++ b/lib/data/router_placement.c
@@ -12,54 +12,54 @@
  * walls, and the purges that the view knows of. So a server finds no part that was made under other weights or behind a
  * wall, whatever it keeps; and a purge that is known here makes what was filed before it unreachable from here. A scope with
  * a retention row of its own has cache namespaces of its own, and every clearing that covers a cache_namespace's slice gives it a new name. */
-const char *router_cache_namespace(struct router *c, const struct client_request *x, uint32_t weights, apr_pool_t *p)
+const char *router_cache_namespace(struct router *router, const struct client_request *request, uint32_t weights, apr_pool_t *pool)
 {
-	const struct route_table *b = c->route_table;
-	uint32_t service = x->service, tenant = x->tenant;
-	const char *w = c->weights.name[weights], *s;
-	uint64_t filed = router_filed(c, x);
-	uint64_t cut = view_tick(&c->relay.w, PURGE_WEIGHTS, c->services.name[service], w);
-	uint64_t age = core_rdv(b->walls ^ c->walled_tick, cut);
-
-	s = apr_psprintf(p, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", w, age & 0xffffffff, b->tenant[tenant].walled ? "-" : "",
-			 b->tenant[tenant].walled ? c->tenants.name[tenant] : "");
-	return filed ? apr_psprintf(p, "%s~%016" APR_UINT64_T_HEX_FMT, s, filed) : s;
+	const struct route_table *routes = router->route_table;
+	uint32_t service = request->service_index, tenant = request->tenant_index;
+	const char *weights_name = router->weights_names.names[weights], *name;
+	uint64_t namespace_key = router_namespace_key(router, request);
+	uint64_t cut = purge_view_tick(&router->relay.view, PURGE_WEIGHTS, router->service_names.names[service], weights_name);
+	uint64_t age = core_rendezvous_weight(routes->isolation_hash ^ router->isolation_tick, cut);
+
+	name = apr_psprintf(pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name, age & 0xffffffff, routes->tenants[tenant].isolated ? "-" : "",
+			 routes->tenants[tenant].isolated ? router->tenant_names.names[tenant] : "");
+	return namespace_key ? apr_psprintf(pool, "%s~%016" APR_UINT64_T_HEX_FMT, name, namespace_key) : name;
 }
 
-uint64_t router_kept_key(uint64_t cache_namespace, uint64_t id) { return core_rdv(cache_namespace, id); }
+uint64_t router_block_key(uint64_t cache_namespace, uint64_t id) { return core_rendezvous_weight(cache_namespace, id); }
 
 /* The part that a request shares with others: the last one is its own. */
-uint64_t router_home_part(const struct client_request *x)
+uint64_t router_home_block(const struct client_request *request)
 {
-	return x->nparts > 1 ? x->hash[x->nparts - 2] : x->nparts ? x->hash[0] : x->seq;
+	return request->block_count > 1 ? request->block_hash[request->block_count - 2] : request->block_count ? request->block_hash[0] : request->seq;
 }
 
-static int shared_parts(const struct client_request *x) { return x->nparts > 1 ? x->nparts - 1 : x->nparts; }
+static int shared_block_count(const struct client_request *request) { return request->block_count > 1 ? request->block_count - 1 : request->block_count; }
 
 /* The store that a prefix is left at, if any: of several always the same. -1: there is none. */
-int router_store_of(const struct router *c, const struct client_request *x)
+int router_store_of(const struct router *router, const struct client_request *request)
 {
-	const struct route_table *b = c->route_table;
+	const struct route_table *routes = router->route_table;
 
-	if (!mechanism_on(c->b.without, MECHANISM_STORE))
+	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_OFFLOAD_STORE))
 		return -1;
-	return b->nstore ? b->store[core_rdv(61, router_home_part(x)) % b->nstore] : b->service[x->service].store_server;
+	return routes->store_count ? routes->stores[core_rendezvous_weight(61, router_home_block(request)) % routes->store_count] : routes->services[request->service_index].store_server;
 }
 
-enum { CHOICES = 3 };
+enum { ALTERNATIVES = 3 };
 
 /* What one decision goes by. */
 struct placement {
-	const struct client_request *x;
-	const struct bk_service *service;
+	const struct client_request *request;
+	const struct service_config *service;
 	int64_t now;
-	int home, store;     /* servers; -1: none */
-	int choice[CHOICES]; /* other servers that are weighed */
-	int shared;          /* leading parts that others have too */
-	int current;         /* the purge view is: parts may be reused */
+	int home_server, store_server;     /* servers; -1: none */
+	int alternatives[ALTERNATIVES]; /* other servers that are weighed */
+	int shared_blocks;          /* leading parts that others have too */
+	int purge_view_current;         /* the purge view is: parts may be reused */
 	double all_tokens;
-	struct generation generation[GENERATIONS];
-	int generations;
+	struct generation generations[MAX_GENERATIONS];
+	int generation_count;
 };
 
 /* A server that it may go to. Times in ms. */
@@ -68,12 +68,12 @@
 	double read_ms;
 };
 
-static int is_open(const struct router *c, const struct client_request *x, uint32_t s, int64_t now)
+static int is_open(const struct router *router, const struct client_request *request, uint32_t server_index, int64_t now)
 {
-	const struct bk_server *server = &c->server_table->server[s];
+	const struct server_config *server = &router->server_table->servers[server_index];
 
-	return server->on && !server->is_store && server->service == x->service && !router_avoids(x, s, now) &&
-	       router_standing(c, s, now);
+	return server->is_configured && !server->is_store && server->service_index == request->service_index && !router_avoids_server(request, server_index, now) &&
+	       router_server_is_serving(router, server_index, now);
 }
 
 /* ---- candidates ------------------------------------------------------------------------------------ */
@@ -81,84 +81,84 @@
 /* The server that rendezvous hashing names for a prefix, so that all routers name the same. While it does not stand, the
  * next in an order that does not change while others load, fall or rise; those with the newest weights go first, since what
  * is read there is of use when the others have them too. -1: none stands. */
-static int home_of(struct router *c, const struct client_request *x, int64_t now)
+static int home_server(struct router *router, const struct client_request *request, int64_t now)
 {
-	uint32_t newest = c->route_table->service[x->service].weights;
-	uint64_t part = mechanism_on(c->b.without, MECHANISM_HOMES) ? router_home_part(x) : core_hashs(67, x->id);
-	uint64_t first = 0, top = 0;
-	int home = -1, named = -1, best = -1;
+	uint32_t newest = router->route_table->services[request->service_index].target_weights;
+	uint64_t block = mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_HOMES) ? router_home_block(request) : core_hash_string(67, request->id);
+	uint64_t first_weight = 0, best_weight = 0;
+	int home = -1, is_target = -1, best = -1;
 
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		const struct bk_server *sv = &c->server_table->server[s];
-		uint64_t w;
-		int fresh;
+	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
+		const struct server_config *config = &router->server_table->servers[s];
+		uint64_t weight;
+		int on_target;
 
-		if (!sv->on || sv->is_store || sv->draining || sv->service != x->service || router_avoids(x, s, now))
+		if (!config->is_configured || config->is_store || config->draining || config->service_index != request->service_index || router_avoids_server(request, s, now))
 			continue;
-		w = core_rdv(part, c->server_hash[s]);
-		if (best < 0 || w > first) {
+		weight = core_rendezvous_weight(block, router->server_hashes[s]);
+		if (best < 0 || weight > first_weight) {
 			best = (int)s;
-			first = w;
+			first_weight = weight;
 		}
-		if (!router_standing(c, s, now))
+		if (!router_server_is_serving(router, s, now))
 			continue;
-		fresh = c->sv[s].weights == newest;
-		if (home < 0 || fresh > named || (fresh == named && w > top)) {
+		on_target = router->servers[s].weights == newest;
+		if (home < 0 || on_target > is_target || (on_target == is_target && weight > best_weight)) {
 			home = (int)s;
-			named = fresh;
-			top = w;
+			is_target = on_target;
+			best_weight = weight;
 		}
 	}
-	return best >= 0 && router_standing(c, (uint32_t)best, now) ? best : home;
+	return best >= 0 && router_server_is_serving(router, (uint32_t)best, now) ? best : home;
 }
 
 /* Where else it may go: a few that the request's own id names. All routers see the same load, some 50 ms old or more; if
  * each took the idlest of all, they would take the same one together. */
-static void find_choices(const struct router *c, struct placement *p)
+static void find_choices(const struct router *router, struct placement *placement)
 {
-	uint64_t top[CHOICES] = { 0 }, id = core_hashs(53, p->x->id);
+	uint64_t top[ALTERNATIVES] = { 0 }, id = core_hash_string(53, placement->request->id);
 
-	for (int k = 0; k < CHOICES; k++)
-		p->choice[k] = -1;
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
+	for (int k = 0; k < ALTERNATIVES; k++)
+		placement->alternatives[k] = -1;
+	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
 		uint64_t w;
 
-		if (!is_open(c, p->x, s, p->now))
+		if (!is_open(router, placement->request, s, placement->now))
 			continue;
-		w = core_rdv(id, c->server_hash[s]);
-		for (int k = 0; k < CHOICES; k++)
-			if (p->choice[k] < 0 || w > top[k]) {
-				for (int j = CHOICES - 1; j > k; j--) {
-					p->choice[j] = p->choice[j - 1];
+		w = core_rendezvous_weight(id, router->server_hashes[s]);
+		for (int k = 0; k < ALTERNATIVES; k++)
+			if (placement->alternatives[k] < 0 || w > top[k]) {
+				for (int j = ALTERNATIVES - 1; j > k; j--) {
+					placement->alternatives[j] = placement->alternatives[j - 1];
 					top[j] = top[j - 1];
 				}
-				p->choice[k] = (int)s;
+				placement->alternatives[k] = (int)s;
 				top[k] = w;
 				break;
 			}
 	}
 }
 
-int router_candidates(struct router *c, const struct client_request *x, uint32_t *server, int64_t now)
+int router_candidates(struct router *router, const struct client_request *request, uint32_t *server_indices, int64_t now)
 {
-	struct placement p = { .x = x, .now = now, .home = home_of(c, x, now) };
+	struct placement placement = { .request = request, .now = now, .home_server = home_server(router, request, now) };
 	int n = 0;
 
-	if (p.home >= 0)
-		server[n++] = (uint32_t)p.home;
-	find_choices(c, &p);
-	for (int k = 0; k < CHOICES && n < CANDIDATES; k++)
-		if (p.choice[k] >= 0 && p.choice[k] != p.home)
-			server[n++] = (uint32_t)p.choice[k];
+	if (placement.home_server >= 0)
+		server_indices[n++] = (uint32_t)placement.home_server;
+	find_choices(router, &placement);
+	for (int k = 0; k < ALTERNATIVES && n < MAX_CANDIDATES; k++)
+		if (placement.alternatives[k] >= 0 && placement.alternatives[k] != placement.home_server)
+			server_indices[n++] = (uint32_t)placement.alternatives[k];
 	return n;
 }
 
-static int is_candidate(const struct router *c, const struct placement *p, uint32_t s)
+static int is_candidate(const struct router *router, const struct placement *placement, uint32_t server_index)
 {
-	if (c->depth[s] >= p->shared || (int)s == p->home)
+	if (router->cached_depth[server_index] >= placement->shared_blocks || (int)server_index == placement->home_server)
 		return 1;
-	for (int k = 0; k < CHOICES; k++)
-		if (p->choice[k] == (int)s)
+	for (int k = 0; k < ALTERNATIVES; k++)
+		if (placement->alternatives[k] == (int)server_index)
 			return 1;
 	return 0;
 }
@@ -166,49 +166,49 @@
 /* ---- what is kept where ---------------------------------------------------------------------------- */
 
 /* The deepest holder of the prefix among servers with these weights. -1: nobody is known to keep any. */
-static int deepest_holder(const struct router *c, const struct placement *p, uint32_t weights)
+static int deepest_cache_server(const struct router *router, const struct placement *placement, uint32_t weights)
 {
 	int deep = -1;
 
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		const struct bk_server *sv = &c->server_table->server[s];
+	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
+		const struct server_config *config = &router->server_table->servers[server_index];
 
-		if (!c->depth[s] || sv->service != p->x->service || sv->is_store || c->sv[s].weights != weights)
+		if (!router->cached_depth[server_index] || config->service_index != placement->request->service_index || config->is_store || router->servers[server_index].weights != weights)
 			continue;
 		if (deep >= 0 &&
-		    (c->depth[s] < c->depth[deep] || (c->depth[s] == c->depth[deep] && c->sv[deep].own <= c->sv[s].own)))
+		    (router->cached_depth[server_index] < router->cached_depth[deep] || (router->cached_depth[server_index] == router->cached_depth[deep] && router->servers[deep].own_running <= router->servers[server_index].own_running)))
 			continue;
-		if (router_standing(c, s, p->now))
-			deep = (int)s;
+		if (router_server_is_serving(router, server_index, placement->now))
+			deep = (int)server_index;
 	}
 	return deep;
 }
 
 /* Of each generation the server to fetch from: servers' links are many, the store's is one, so it is asked for what none keeps. */
-static void find_sources(const struct router *c, struct placement *p)
+static void find_sources(const struct router *router, struct placement *placement)
 {
-	int store_up = p->store >= 0 && (uint32_t)p->store < c->server_table->nserver && c->server_table->server[p->store].on &&
-		       router_standing(c, (uint32_t)p->store, p->now);
-
-	for (int k = 0; k < p->generations; k++) {
-		struct generation *g = &p->generation[k];
-		int holder = deepest_holder(c, p, g->weights);
-
-		if (holder >= 0 && (!store_up || c->depth[holder] >= g->store_depth || c->depth[holder] >= p->shared)) {
-			g->source = holder;
-			g->source_depth = c->depth[holder];
-		} else if (store_up && g->store_depth) {
-			g->source = p->store;
-			g->source_depth = g->store_depth;
+	int store_up = placement->store_server >= 0 && (uint32_t)placement->store_server < router->server_table->server_count && router->server_table->servers[placement->store_server].is_configured &&
+		       router_server_is_serving(router, (uint32_t)placement->store_server, placement->now);
+
+	for (int k = 0; k < placement->generation_count; k++) {
+		struct generation *generation = &placement->generations[k];
+		int cached_at = deepest_cache_server(router, placement, generation->weights);
+
+		if (cached_at >= 0 && (!store_up || router->cached_depth[cached_at] >= generation->store_depth || router->cached_depth[cached_at] >= placement->shared_blocks)) {
+			generation->fetch_source = cached_at;
+			generation->source_depth = router->cached_depth[cached_at];
+		} else if (store_up && generation->store_depth) {
+			generation->fetch_source = placement->store_server;
+			generation->source_depth = generation->store_depth;
 		}
 	}
 }
 
-static const struct generation *generation_of(const struct placement *p, uint32_t weights)
+static const struct generation *generation_of(const struct placement *placement, uint32_t weights)
 {
-	for (int k = 0; k < p->generations; k++)
-		if (p->generation[k].weights == weights)
-			return &p->generation[k];
+	for (int k = 0; k < placement->generation_count; k++)
+		if (placement->generations[k].weights == weights)
+			return &placement->generations[k];
 	return NULL;
 }
 
@@ -216,138 +216,138 @@
 
 /* What goes to a server with older weights has to begin there before newer ones are due: in twice the time that it is reckoned
  * to wait, as the load that is known is older than the load it will meet. */
-static int begins_in_time(const struct router *c, const struct placement *p, uint32_t weights, double wait_ms)
+static int begins_in_time(const struct router *router, const struct placement *placement, uint32_t weights, double wait_ms)
 {
-	return p->now + (int64_t)(2 * wait_ms) < router_weights_last_send(c, p->x->service, weights, p->now);
+	return placement->now + (int64_t)(2 * wait_ms) < router_weights_last_send(router, placement->request->service_index, weights, placement->now);
 }
 
 /* Fetch what the server lacks of the prefix, where that is quicker than to read it. */
-static void plan_fetch(struct router *c, const struct placement *p, struct candidate *k, int from, int upto)
+static void plan_fetch(struct router *router, const struct placement *placement, struct candidate *candidate, int source, int end)
 {
-	const struct client_request *x = p->x;
-	uint32_t s = (uint32_t)k->plan.server;
-	double more = (double)(router_tokens_upto(x, upto) - router_tokens_upto(x, k->plan.keep));
-	double move = router_move_ms(c, (uint32_t)from, s, more, p->service);
-	double ms = move + ROUTER_FETCH_MS + router_link_wait(c, (uint32_t)from, p->now);
+	const struct client_request *request = placement->request;
+	uint32_t server_index = (uint32_t)candidate->plan.server_index;
+	double more = (double)(router_tokens_of_blocks(request, end) - router_tokens_of_blocks(request, candidate->plan.cached_blocks));
+	double move = router_transfer_ms(router, (uint32_t)source, server_index, more, placement->service);
+	double ms = move + ROUTER_FETCH_OVERHEAD_MS + router_link_wait_ms(router, (uint32_t)source, placement->now);
 
-	if (ms >= ROUTER_FETCH_WAIT)
+	if (ms >= ROUTER_FETCH_MAX_MS)
 		return;
-	k->plan.from = from;
-	k->plan.upto = upto;
-	k->plan.fetch = ms;
-	k->plan.move = move;
-	k->read_ms += ms - more / p->service->prefill;
+	candidate->plan.fetch_source = source;
+	candidate->plan.fetch_end = end;
+	candidate->plan.fetch_ms = ms;
+	candidate->plan.transfer_ms = move;
+	candidate->read_ms += ms - more / placement->service->prefill_tokens_per_ms;
 }
 
 /* What it costs to go to a server. 0: it cannot begin there in time. */
-static int weigh(struct router *c, const struct placement *p, struct candidate *k)
+static int weigh(struct router *router, const struct placement *placement, struct candidate *candidate)
 {
-	const struct client_request *x = p->x;
-	uint32_t s = (uint32_t)k->plan.server, weights = c->sv[s].weights;
-	const struct generation *g = generation_of(p, weights);
-	int from = g ? g->source : -1, upto = from >= 0 ? g->source_depth : 0, keep = k->plan.keep;
-	int is_home = (int)s == p->home;
-
-	if (from < 0 && p->current && !is_home && c->sv[p->home].weights == weights) {
-		from = p->home;
-		upto = p->shared; /* it has it, unless nobody asked there yet */
+	const struct client_request *request = placement->request;
+	uint32_t server_index = (uint32_t)candidate->plan.server_index, weights = router->servers[server_index].weights;
+	const struct generation *generation = generation_of(placement, weights);
+	int source = generation ? generation->fetch_source : -1, end = source >= 0 ? generation->source_depth : 0, cached_blocks = candidate->plan.cached_blocks;
+	int is_home = (int)server_index == placement->home_server;
+
+	if (source < 0 && placement->purge_view_current && !is_home && router->servers[placement->home_server].weights == weights) {
+		source = placement->home_server;
+		end = placement->shared_blocks; /* it has it, unless nobody asked there yet */
 	}
-	k->read_ms = (p->all_tokens - (double)router_tokens_upto(x, keep)) / p->service->prefill;
-	if (!keep && is_home && from < 0)
-		k->read_ms -=
-		    0.7 * (double)router_tokens_upto(x, p->shared) / p->service->prefill; /* others will have sent it here */
-	if (from >= 0 && from != (int)s && upto > keep && p->service->link && mechanism_on(c->b.without, MECHANISM_FETCH))
-		plan_fetch(c, p, k, from, upto);
-	k->plan.cost = k->read_ms + router_load_ms(c, s, p->service, p->now);
-	if (!begins_in_time(c, p, weights, k->plan.cost))
+	candidate->read_ms = (placement->all_tokens - (double)router_tokens_of_blocks(request, cached_blocks)) / placement->service->prefill_tokens_per_ms;
+	if (!cached_blocks && is_home && source < 0)
+		candidate->read_ms -=
+		    0.7 * (double)router_tokens_of_blocks(request, placement->shared_blocks) / placement->service->prefill_tokens_per_ms; /* others will have sent it here */
+	if (source >= 0 && source != (int)server_index && end > cached_blocks && placement->service->link_bytes_per_ms && mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_FETCH))
+		plan_fetch(router, placement, candidate, source, end);
+	candidate->plan.cost_ms = candidate->read_ms + router_load_ms(router, server_index, placement->service, placement->now);
+	if (!begins_in_time(router, placement, weights, candidate->plan.cost_ms))
 		return 0;
-	if (keep < p->shared && (!is_home || (from >= 0 && from != p->store && from != (int)s)))
-		k->plan.cost += ROUTER_AWAY_MS +
-				ROUTER_AWAY_K * (double)(router_tokens_upto(x, p->shared) - router_tokens_upto(x, keep)) / 1000;
+	if (cached_blocks < placement->shared_blocks && (!is_home || (source >= 0 && source != placement->store_server && source != (int)server_index)))
+		candidate->plan.cost_ms += ROUTER_UNCACHED_SERVER_COST_MS +
+				ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)(router_tokens_of_blocks(request, placement->shared_blocks) - router_tokens_of_blocks(request, cached_blocks)) / 1000;
 	return 1;
 }
 
 /* ---- the decision ---------------------------------------------------------------------------------- */
 
-static int placement_begin(struct router *c, struct placement *p, const struct client_request *x, int64_t now)
+static int placement_begin(struct router *router, struct placement *placement, const struct client_request *request, int64_t now)
 {
-	*p = (struct placement){
-		.x = x,
-		.service = &c->route_table->service[x->service],
+	*placement = (struct placement){
+		.request = request,
+		.service = &router->route_table->services[request->service_index],
 		.now = now,
-		.home = home_of(c, x, now),
-		.store = router_store_of(c, x),
-		.shared = shared_parts(x),
-		.current = relay_current(&c->relay, now),
-		.all_tokens = (double)(router_tokens_upto(x, x->nparts) + x->tail_tokens),
+		.home_server = home_server(router, request, now),
+		.store_server = router_store_of(router, request),
+		.shared_blocks = shared_block_count(request),
+		.purge_view_current = relay_is_current(&router->relay, now),
+		.all_tokens = (double)(router_tokens_of_blocks(request, request->block_count) + request->tail_tokens),
 	};
-	if (p->home < 0 || !p->service->on)
+	if (placement->home_server < 0 || !placement->service->is_configured)
 		return 0;
-	if (p->current)
-		p->generations = router_generations(c, x, p->generation);
-	router_prefix_depths(c, x, p->generation, p->generations, p->store);
-	find_sources(c, p);
-	find_choices(c, p);
+	if (placement->purge_view_current)
+		placement->generation_count = router_generations(router, request, placement->generations);
+	router_prefix_depths(router, request, placement->generations, placement->generation_count, placement->store_server);
+	find_sources(router, placement);
+	find_choices(router, placement);
 	return 1;
 }
 
-static enum decision_reason reason_of(const struct placement *p, const struct plan *plan)
+static enum decision_reason reason_of(const struct placement *placement, const struct plan *plan)
 {
-	if (p->shared && plan->keep >= p->shared)
-		return DECISION_KEPT;
-	if (plan->from >= 0)
+	if (placement->shared_blocks && plan->cached_blocks >= placement->shared_blocks)
+		return DECISION_CACHED;
+	if (plan->fetch_source >= 0)
 		return DECISION_FETCH;
 	if (plan->candidates == 1)
 		return DECISION_ONLY;
-	return plan->server == p->home ? DECISION_HOME : DECISION_LOAD;
+	return plan->server_index == placement->home_server ? DECISION_HOME : DECISION_LOAD;
 }
 
-struct plan router_assign_forward(struct router *c, const struct client_request *x, int64_t now)
+struct plan router_placement_forwarded(struct router *router, const struct client_request *request, int64_t now)
 {
-	struct plan best = { .server = -1, .from = -1 };
-	struct placement p;
+	struct plan best = { .server_index = -1, .fetch_source = -1 };
+	struct placement placement;
 	uint32_t open = 0;
 
-	if (!placement_begin(c, &p, x, now))
+	if (!placement_begin(router, &placement, request, now))
 		return best;
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		struct candidate k = { .plan = { .server = (int)s, .keep = c->depth[s], .from = -1 } };
+	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
+		struct candidate candidate = { .plan = { .server_index = (int)server_index, .cached_blocks = router->cached_depth[server_index], .fetch_source = -1 } };
 
-		if (!is_open(c, x, s, now) || !is_candidate(c, &p, s) || !router_fits(c, x, s, k.plan.keep, p.service, now))
+		if (!is_open(router, request, server_index, now) || !is_candidate(router, &placement, server_index) || !router_fits_server(router, request, server_index, candidate.plan.cached_blocks, placement.service, now))
 			continue;
-		if (!weigh(c, &p, &k))
+		if (!weigh(router, &placement, &candidate))
 			continue;
 		open++;
-		if (best.server < 0 || k.plan.cost < best.cost)
-			best = k.plan;
+		if (best.server_index < 0 || candidate.plan.cost_ms < best.cost_ms)
+			best = candidate.plan;
 	}
 	best.candidates = open;
-	if (best.server >= 0)
-		best.reason = reason_of(&p, &best);
+	if (best.server_index >= 0)
+		best.reason = reason_of(&placement, &best);
 	return best;
 }
 
 /* The store, where the prefix is to be left once it is read there: it is up and not known to have it. 0: not. */
-uint64_t router_sink(struct router *c, const struct client_request *x, uint64_t cache_namespace, int64_t now)
+uint64_t router_offload_target(struct router *router, const struct client_request *request, uint64_t cache_namespace, int64_t now)
 {
-	int st = router_store_of(c, x), shared = shared_parts(x);
+	int store = router_store_of(router, request), shared = shared_block_count(request);
 
-	if (st < 0 || (uint32_t)st >= c->server_table->nserver || !c->server_table->server[st].on ||
-	    !router_standing(c, (uint32_t)st, now))
+	if (store < 0 || (uint32_t)store >= router->server_table->server_count || !router->server_table->servers[store].is_configured ||
+	    !router_server_is_serving(router, (uint32_t)store, now))
 		return 0;
-	if (router_link_wait(c, (uint32_t)st, now) > ROUTER_SINK_WAIT)
+	if (router_link_wait_ms(router, (uint32_t)store, now) > ROUTER_OFFLOAD_MAX_LINK_WAIT_MS)
 		return 0;
 	/* its own part would go there too and push shared ones out: one that brings little of it will come */
-	if ((x->size - router_tokens_upto(x, shared)) * 3ull > router_tokens_upto(x, shared))
+	if ((request->total_tokens - router_tokens_of_blocks(request, shared)) * 3ull > router_tokens_of_blocks(request, shared))
 		return 0;
 	for (int i = 0; i < shared; i++) {
-		struct kept_copy *v = kept_get(&c->kept, router_kept_key(cache_namespace, x->hash[i]));
+		struct block_replica *replica = prefix_index_find(&router->prefix_index, router_block_key(cache_namespace, request->block_hash[i]));
 		int there = 0;
 
-		for (ptrdiff_t k = 0; k < arrlen(v) && !there; k++)
-			there = v[k].server == (uint32_t)st;
+		for (ptrdiff_t k = 0; k < arrlen(replica) && !there; k++)
+			there = replica[k].server_index == (uint32_t)store;
 		if (!there)
-			return c->server_table->server[st].to;
+			return router->server_table->servers[store].packed_addr;
 	}
 	return 0;
 }
--- a/lib/data/router_prefix.c
+++ b/lib/data/router_prefix.c
@@ -10,39 +10,39 @@
 #include "ds.h"
 
 enum {
-	LOOKUP_FIRST_MS = 6,   /* what an answer is taken to need until some have come */
-	LOOKUP_TIMES = 3,      /* of what answers took lately, a request waits for its own */
-	LOOKUP_LEAST_MS = 10,  /* and not for less: a tick may be between */
-	LOOKUP_MOST_MS = 45,   /* nor for more: what an answer saves is not worth a longer wait */
-	LOOKUP_MISSES = 3,     /* questions in a row without an answer after which none is waited for */
-	LOOKUP_PROBE_MS = 400, /* until the next question to a head that does not answer */
-	LOOKUP_HOLDERS = 6,    /* that an answer names for one generation */
-	LOOKUP_PARTS = 16      /* of a prompt that are asked for */
+	LOOKUP_INITIAL_ROUND_TRIP_MS = 6,   /* what an answer is taken to need until some have come */
+	LOOKUP_WAIT_ROUND_TRIPS = 3,      /* of what answers took lately, a request waits for its own */
+	LOOKUP_MIN_WAIT_MS = 10,  /* and not for less: a tick may be between */
+	LOOKUP_MAX_WAIT_MS = 45,   /* nor for more: what an answer saves is not worth a longer wait */
+	LOOKUP_MAX_MISSES = 3,     /* questions in a row without an answer after which none is waited for */
+	LOOKUP_PROBE_INTERVAL_MS = 400, /* until the next question to a head that does not answer */
+	LOOKUP_MAX_SERVERS = 6,    /* that an answer names for one generation */
+	LOOKUP_MAX_BLOCKS = 16      /* of a prompt that are asked for */
 };
 
 /* ---- generations ----------------------------------------------------------------------------------- */
 
-int router_generations(struct router *c, const struct client_request *x, struct generation *generations)
+int router_generations(struct router *router, const struct client_request *request, struct generation *generations)
 {
 	int n = 0;
 
-	for (uint32_t s = 0; s < c->server_table->nserver; s++) {
-		const struct bk_server *server = &c->server_table->server[s];
+	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
+		const struct server_config *server = &router->server_table->servers[server_index];
 		int k = 0;
 
-		if (!server->on || server->is_store || server->service != x->service)
+		if (!server->is_configured || server->is_store || server->service_index != request->service_index)
 			continue;
-		while (k < n && generations[k].weights != c->sv[s].weights)
+		while (k < n && generations[k].weights != router->servers[server_index].weights)
 			k++;
-		if (k < n || n == GENERATIONS)
+		if (k < n || n == MAX_GENERATIONS)
 			continue;
 		generations[n++] = (struct generation){
-			.weights = c->sv[s].weights,
-			.cache_namespace = core_hashs(0, router_cache_namespace(c, x, c->sv[s].weights, c->scratch)),
-			.source = -1,
+			.weights = router->servers[server_index].weights,
+			.cache_namespace = core_hash_string(0, router_cache_namespace(router, request, router->servers[server_index].weights, router->scratch_pool)),
+			.fetch_source = -1,
 		};
 	}
-	apr_pool_clear(c->scratch);
+	apr_pool_clear(router->scratch_pool);
 	return n;
 }
 
@@ -50,248 +50,248 @@
 
 /* How many of n leading parts each server keeps on this cache namespace, into c->depth, where it is larger; the store's is
  * returned. */
-static int index_depths(struct router *c, uint64_t cache_namespace, const uint64_t *part, int n, int store)
+static int index_depths(struct router *router, uint64_t cache_namespace, const uint64_t *blocks, int block_count, int store)
 {
 	int store_depth = 0;
 
-	for (int i = 0; i < n; i++) {
-		struct kept_copy *v = kept_get(&c->kept, router_kept_key(cache_namespace, part[i]));
+	for (int i = 0; i < block_count; i++) {
+		struct block_replica *replica = prefix_index_find(&router->prefix_index, router_block_key(cache_namespace, blocks[i]));
 
-		for (ptrdiff_t k = 0; k < arrlen(v); k++) {
-			uint32_t s = v[k].server;
+		for (ptrdiff_t k = 0; k < arrlen(replica); k++) {
+			uint32_t s = replica[k].server_index;
 
 			if ((int)s == store)
 				store_depth = store_depth == i ? i + 1 : store_depth;
-			else if (s < (uint32_t)arrlen(c->depth) && c->depth[s] == i)
-				c->depth[s] = i + 1;
+			else if (s < (uint32_t)arrlen(router->cached_depth) && router->cached_depth[s] == i)
+				router->cached_depth[s] = i + 1;
 		}
-		if (!v)
+		if (!replica)
 			break;
 	}
 	return store_depth;
 }
 
-static void depths_clear(struct router *c)
+static void depths_clear(struct router *router)
 {
-	uint32_t n = c->server_table->nserver;
+	uint32_t n = router->server_table->server_count;
 
-	arrsetlen(c->depth, n);
+	arrsetlen(router->cached_depth, n);
 	if (n)
-		memset(c->depth, 0, n * sizeof *c->depth);
+		memset(router->cached_depth, 0, n * sizeof *router->cached_depth);
 }
 
 /* What an answer has said, as far as the servers it names still have the weights. */
-static int answered_depths(struct router *c, const struct client_request *x, const struct generation *g, int store)
+static int answered_depths(struct router *router, const struct client_request *request, const struct generation *generation, int store)
 {
 	int store_depth = 0;
 
-	for (int i = 0; i < x->nholder; i++) {
-		const struct prefix_holder *h = &x->holder[i];
+	for (int i = 0; i < request->cached_prefix_count; i++) {
+		const struct cached_prefix *prefix_holder = &request->cached_prefixes[i];
 
-		if (h->cache_namespace != g->cache_namespace || h->server >= c->server_table->nserver)
+		if (prefix_holder->cache_namespace != generation->cache_namespace || prefix_holder->server_index >= router->server_table->server_count)
 			continue;
-		if ((int)h->server == store)
-			store_depth = (int)h->depth;
-		else if (c->sv[h->server].weights == g->weights)
-			c->depth[h->server] = (int)h->depth;
+		if ((int)prefix_holder->server_index == store)
+			store_depth = (int)prefix_holder->depth;
+		else if (router->servers[prefix_holder->server_index].weights == generation->weights)
+			router->cached_depth[prefix_holder->server_index] = (int)prefix_holder->depth;
 	}
 	return store_depth;
 }
 
 /* What this router's own index says of servers with these weights. */
-static int own_depths(struct router *c, const struct client_request *x, const struct generation *g, int store)
+static int own_depths(struct router *router, const struct client_request *request, const struct generation *generation, int store)
 {
-	int *before = c->depth, store_depth;
-
-	c->depth = NULL;
-	depths_clear(c);
-	store_depth = index_depths(c, g->cache_namespace, x->hash, x->nparts, store);
-	for (ptrdiff_t s = 0; s < arrlen(c->depth); s++)
-		if (c->depth[s] && c->sv[s].weights == g->weights)
-			before[s] = c->depth[s];
-	arrfree(c->depth);
-	c->depth = before;
+	int *before = router->cached_depth, store_depth;
+
+	router->cached_depth = NULL;
+	depths_clear(router);
+	store_depth = index_depths(router, generation->cache_namespace, request->block_hash, request->block_count, store);
+	for (ptrdiff_t s = 0; s < arrlen(router->cached_depth); s++)
+		if (router->cached_depth[s] && router->servers[s].weights == generation->weights)
+			before[s] = router->cached_depth[s];
+	arrfree(router->cached_depth);
+	router->cached_depth = before;
 	return store_depth;
 }
 
-void router_prefix_depths(struct router *c, const struct client_request *x, struct generation *generations, int n, int store)
+void router_prefix_depths(struct router *router, const struct client_request *request, struct generation *generations, int generation_count, int store)
 {
-	depths_clear(c);
-	for (int k = 0; k < n; k++) {
-		struct generation *g = &generations[k];
+	depths_clear(router);
+	for (int k = 0; k < generation_count; k++) {
+		struct generation *generation = &generations[k];
 
-		g->store_depth = x->lookup == LOOKUP_ANSWERED ? answered_depths(c, x, g, store) : own_depths(c, x, g, store);
+		generation->store_depth = request->lookup_state == LOOKUP_ANSWERED ? answered_depths(router, request, generation, store) : own_depths(router, request, generation, store);
 	}
 }
 
 /* ---- asking ---------------------------------------------------------------------------------------- */
 
-static int lookup_wait(const struct router *c)
+static int lookup_wait(const struct router *router)
 {
-	int ms = (int)(LOOKUP_TIMES * c->lookup.round_trip_ms);
+	int ms = (int)(LOOKUP_WAIT_ROUND_TRIPS * router->lookup.round_trip_ms);
 
-	return ms < LOOKUP_LEAST_MS ? LOOKUP_LEAST_MS : ms > LOOKUP_MOST_MS ? LOOKUP_MOST_MS : ms;
+	return ms < LOOKUP_MIN_WAIT_MS ? LOOKUP_MIN_WAIT_MS : ms > LOOKUP_MAX_WAIT_MS ? LOOKUP_MAX_WAIT_MS : ms;
 }
 
-void router_lookup_open(struct router *c) { c->lookup.round_trip_ms = LOOKUP_FIRST_MS; }
+void router_lookup_open(struct router *router) { router->lookup.round_trip_ms = LOOKUP_INITIAL_ROUND_TRIP_MS; }
 
 /* The load of the servers that it may go to is asked for too: what the head tells all of them is older. */
-static void ask_load(struct router *c, const struct client_request *x, struct Nl__PrefixAsk *ask, int64_t now, struct out *o)
+static void request_load(struct router *router, const struct client_request *request, struct Nl__PrefixAsk *lookup, int64_t now, struct out *out)
 {
-	uint32_t server[CANDIDATES];
-	int n = router_candidates(c, x, server, now);
+	uint32_t server[MAX_CANDIDATES];
+	int count = router_candidates(router, request, server, now);
 
-	ask->server = apr_palloc(o->p, (size_t)(n + 1) * sizeof *ask->server);
-	for (int i = 0; i < n; i++)
-		ask->server[ask->n_server++] = c->server_hash[server[i]];
+	lookup->server = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->server);
+	for (int i = 0; i < count; i++)
+		lookup->server[lookup->n_server++] = router->server_hashes[server[i]];
 }
 
-void router_lookup_ask(struct router *c, struct client_request *x, int64_t now, struct out *o)
+void router_lookup_send(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	struct generation generations[GENERATIONS];
-	struct Nl__PrefixAsk *ask;
-	int silent = c->lookup.misses >= LOOKUP_MISSES, n;
+	struct generation generations[MAX_GENERATIONS];
+	struct Nl__PrefixAsk *lookup;
+	int silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES, n;
 
-	if (!mechanism_on(c->b.without, MECHANISM_LOOKUP) || !c->f.nup || !x->nparts || !c->server_table ||
-	    !relay_current(&c->relay, now) || (silent && now < c->lookup.probe_at))
+	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_LOOKUP) || !router->config_watch.upstream_count || !request->block_count || !router->server_table ||
+	    !relay_is_current(&router->relay, now) || (silent && now < router->lookup.next_probe_at_ms))
 		return;
-	n = router_generations(c, x, generations);
+	n = router_generations(router, request, generations);
 	if (!n)
 		return;
-	ask = OUT_NEW(o, Nl__PrefixAsk, NL__PREFIX_ASK__INIT);
-	ask->token = x->seq;
+	lookup = OUT_NEW(out, Nl__PrefixAsk, NL__PREFIX_ASK__INIT);
+	lookup->token = request->seq;
 	for (int k = 0; k < n; k++)
-		x->lookup_namespace[k] = generations[k].cache_namespace;
-	x->lookup_namespaces = n;
-	ask->cache_namespace = apr_pmemdup(o->p, x->lookup_namespace, (size_t)n * sizeof *x->lookup_namespace);
-	ask->n_cache_namespace = (size_t)n;
-	ask->n_part = x->nparts < LOOKUP_PARTS ? (size_t)x->nparts : LOOKUP_PARTS;
-	ask->part = apr_pmemdup(o->p, x->hash, ask->n_part * sizeof *ask->part);
-	ask_load(c, x, ask, now, o);
-	out_msg(o, c->f.up[0], 0, NL__MSG__BODY_PREFIX_ASK)->prefix_ask = ask;
-	c->lookup.probe_at = now + LOOKUP_PROBE_MS;
-	x->lookup = silent ? LOOKUP_NONE : LOOKUP_ASKED;
-	x->lookup_at = now;
-	x->lookup_until = silent ? 0 : now + lookup_wait(c);
+		request->lookup_namespaces[k] = generations[k].cache_namespace;
+	request->lookup_namespace_count = n;
+	lookup->cache_namespace = apr_pmemdup(out->pool, request->lookup_namespaces, (size_t)n * sizeof *request->lookup_namespaces);
+	lookup->n_cache_namespace = (size_t)n;
+	lookup->n_part = request->block_count < LOOKUP_MAX_BLOCKS ? (size_t)request->block_count : LOOKUP_MAX_BLOCKS;
+	lookup->part = apr_pmemdup(out->pool, request->block_hash, lookup->n_part * sizeof *lookup->part);
+	request_load(router, request, lookup, now, out);
+	command_send(out, router->config_watch.upstream[0], 0, NL__MSG__BODY_PREFIX_ASK)->prefix_ask = lookup;
+	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
+	request->lookup_state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
+	request->lookup_sent_at_ms = now;
+	request->lookup_deadline_at_ms = silent ? 0 : now + lookup_wait(router);
 }
 
-int router_lookup_waits(struct router *c, struct client_request *x, int64_t now)
+int router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
 {
-	if (x->lookup != LOOKUP_ASKED)
+	if (request->lookup_state != LOOKUP_PENDING)
 		return 0;
-	if (now < x->lookup_until)
+	if (now < request->lookup_deadline_at_ms)
 		return 1;
-	x->lookup = LOOKUP_MISSED;
-	c->lookup.misses++;
-	c->n.lookups_missed++;
+	request->lookup_state = LOOKUP_MISSED;
+	router->lookup.consecutive_misses++;
+	router->stats.lookups_missed++;
 	return 0;
 }
 
 /* ---- answering ------------------------------------------------------------------------------------- */
 
 /* The deepest holders of one generation, and the stores that keep any. */
-static void answer_holders(struct router *c, const struct Nl__PrefixAsk *ask, size_t generation, struct Nl__PrefixReply *reply,
-			   struct out *o)
+static void answer_cached_prefixes(struct router *router, const struct Nl__PrefixAsk *lookup, size_t generation, struct Nl__PrefixReply *reply,
+			   struct out *out)
 {
-	size_t limit = reply->n_holder + LOOKUP_HOLDERS;
+	size_t limit = reply->n_holder + LOOKUP_MAX_SERVERS;
 
-	depths_clear(c);
-	(void)index_depths(c, ask->cache_namespace[generation], ask->part, (int)ask->n_part, -1);
-	for (int depth = (int)ask->n_part; depth > 0 && reply->n_holder < limit; depth--)
-		for (uint32_t s = 0; s < c->server_table->nserver && reply->n_holder < limit; s++) {
-			struct Nl__PrefixHolder *h;
+	depths_clear(router);
+	(void)index_depths(router, lookup->cache_namespace[generation], lookup->part, (int)lookup->n_part, -1);
+	for (int depth = (int)lookup->n_part; depth > 0 && reply->n_holder < limit; depth--)
+		for (uint32_t s = 0; s < router->server_table->server_count && reply->n_holder < limit; s++) {
+			struct Nl__PrefixHolder *prefix_holder;
 
-			if (c->depth[s] != depth || !c->server_table->server[s].on)
+			if (router->cached_depth[s] != depth || !router->server_table->servers[s].is_configured)
 				continue;
-			h = OUT_NEW(o, Nl__PrefixHolder, NL__PREFIX_HOLDER__INIT);
-			h->generation = (uint32_t)generation;
-			h->server = c->server_hash[s];
-			h->depth = (uint32_t)depth;
-			reply->holder[reply->n_holder++] = h;
+			prefix_holder = OUT_NEW(out, Nl__PrefixHolder, NL__PREFIX_HOLDER__INIT);
+			prefix_holder->generation = (uint32_t)generation;
+			prefix_holder->server = router->server_hashes[s];
+			prefix_holder->depth = (uint32_t)depth;
+			reply->holder[reply->n_holder++] = prefix_holder;
 		}
 }
 
 /* The load of the servers that were asked for, and of the holders that are named. */
-static void answer_load(struct router *c, const struct Nl__PrefixAsk *ask, struct Nl__PrefixReply *reply, struct out *o)
+static void answer_load(struct router *router, const struct Nl__PrefixAsk *lookup, struct Nl__PrefixReply *reply, struct out *out)
 {
-	reply->load = apr_palloc(o->p, (ask->n_server + reply->n_holder + 1) * sizeof *reply->load);
-	for (size_t i = 0; i < ask->n_server + reply->n_holder; i++) {
-		uint64_t hash = i < ask->n_server ? ask->server[i] : reply->holder[i - ask->n_server]->server;
-		ptrdiff_t at = hmgeti(c->server_at, hash);
+	reply->load = apr_palloc(out->pool, (lookup->n_server + reply->n_holder + 1) * sizeof *reply->load);
+	for (size_t i = 0; i < lookup->n_server + reply->n_holder; i++) {
+		uint64_t hash = i < lookup->n_server ? lookup->server[i] : reply->holder[i - lookup->n_server]->server;
+		ptrdiff_t at = hmgeti(router->server_by_hash, hash);
 		struct Nl__ServerLoad *load;
 		struct load_cell all;
 
-		if (at < 0 || !router_load_all(c, c->server_at[at].value, &all))
+		if (at < 0 || !router_fleet_load(router, router->server_by_hash[at].value, &all))
 			continue;
-		load = OUT_NEW(o, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
+		load = OUT_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
-		load->ahead = all.ahead;
+		load->ahead = all.prefill_tokens;
 		load->running = all.running;
-		load->tokens = all.tokens;
+		load->tokens = all.resident_tokens;
 		reply->load[reply->n_load++] = load;
 	}
 }
 
-void router_on_prefix_ask(struct router *c, const struct Nl__Msg *m, struct out *o)
+void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct out *out)
 {
-	const struct Nl__PrefixAsk *ask = m->prefix_ask;
+	const struct Nl__PrefixAsk *lookup = message->prefix_ask;
 	struct Nl__PrefixReply *reply;
 
-	if (!c->server_table || !ask->n_part || ask->n_part > LOOKUP_PARTS || ask->n_cache_namespace > GENERATIONS ||
-	    ask->n_server > CANDIDATES)
+	if (!router->server_table || !lookup->n_part || lookup->n_part > LOOKUP_MAX_BLOCKS || lookup->n_cache_namespace > MAX_GENERATIONS ||
+	    lookup->n_server > MAX_CANDIDATES)
 		return;
-	reply = OUT_NEW(o, Nl__PrefixReply, NL__PREFIX_REPLY__INIT);
-	reply->token = ask->token;
-	reply->holder = apr_palloc(o->p, (ask->n_cache_namespace * LOOKUP_HOLDERS + 1) * sizeof *reply->holder);
-	for (size_t k = 0; k < ask->n_cache_namespace; k++)
-		answer_holders(c, ask, k, reply, o);
-	answer_load(c, ask, reply, o);
-	c->n.lookups_answered++;
-	out_msg(o, m->addr, 0, NL__MSG__BODY_PREFIX_REPLY)->prefix_reply = reply;
+	reply = OUT_NEW(out, Nl__PrefixReply, NL__PREFIX_REPLY__INIT);
+	reply->token = lookup->token;
+	reply->holder = apr_palloc(out->pool, (lookup->n_cache_namespace * LOOKUP_MAX_SERVERS + 1) * sizeof *reply->holder);
+	for (size_t k = 0; k < lookup->n_cache_namespace; k++)
+		answer_cached_prefixes(router, lookup, k, reply, out);
+	answer_load(router, lookup, reply, out);
+	router->stats.lookups_answered++;
+	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_REPLY)->prefix_reply = reply;
 }
 
-static struct client_request *request_by_seq(const struct router *c, uint64_t seq)
+static struct client_request *request_by_seq(const struct router *router, uint64_t seq)
 {
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--)
-		if (c->all[i]->seq == seq)
-			return c->all[i];
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--)
+		if (router->requests[i]->seq == seq)
+			return router->requests[i];
 	return NULL;
 }
 
 /* The servers that an answer names, as this router numbers them. */
-static void take_holders(struct router *c, struct client_request *x, const struct Nl__PrefixReply *reply)
+static void learn_cached_prefixes(struct router *router, struct client_request *request, const struct Nl__PrefixReply *reply)
 {
-	x->holder = apr_palloc(x->p, (reply->n_holder + 1) * sizeof *x->holder);
-	x->nholder = 0;
+	request->cached_prefixes = apr_palloc(request->pool, (reply->n_holder + 1) * sizeof *request->cached_prefixes);
+	request->cached_prefix_count = 0;
 	for (size_t i = 0; i < reply->n_holder; i++) {
-		const struct Nl__PrefixHolder *h = reply->holder[i];
-		ptrdiff_t at = hmgeti(c->server_at, h->server);
+		const struct Nl__PrefixHolder *prefix_holder = reply->holder[i];
+		ptrdiff_t position = hmgeti(router->server_by_hash, prefix_holder->server);
 
-		if (at < 0 || h->generation >= (uint32_t)x->lookup_namespaces || h->depth > (uint32_t)x->nparts)
+		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup_namespace_count || prefix_holder->depth > (uint32_t)request->block_count)
 			continue;
-		x->holder[x->nholder++] =
-		    (struct prefix_holder){ c->server_at[at].value, h->depth, x->lookup_namespace[h->generation] };
+		request->cached_prefixes[request->cached_prefix_count++] =
+		    (struct cached_prefix){ router->server_by_hash[position].value, prefix_holder->depth, request->lookup_namespaces[prefix_holder->generation] };
 	}
 }
 
-void router_on_prefix_reply(struct router *c, const struct Nl__PrefixReply *reply, int64_t now)
+void router_on_prefix_reply(struct router *router, const struct Nl__PrefixReply *reply, int64_t now)
 {
-	struct client_request *x = request_by_seq(c, reply->token);
+	struct client_request *request = request_by_seq(router, reply->token);
 
-	c->lookup.misses = 0;
-	if (!x || x->lookup_at == 0 || x->lookup == LOOKUP_ANSWERED || !c->server_table)
+	router->lookup.consecutive_misses = 0;
+	if (!request || request->lookup_sent_at_ms == 0 || request->lookup_state == LOOKUP_ANSWERED || !router->server_table)
 		return;
-	c->lookup.round_trip_ms += ((double)(now - x->lookup_at) - c->lookup.round_trip_ms) / 8;
-	c->n.lookups_used += x->lookup == LOOKUP_ASKED;
-	take_holders(c, x, reply);
+	router->lookup.round_trip_ms += ((double)(now - request->lookup_sent_at_ms) - router->lookup.round_trip_ms) / 8;
+	router->stats.lookups_used += request->lookup_state == LOOKUP_PENDING;
+	learn_cached_prefixes(router, request, reply);
 	for (size_t i = 0; i < reply->n_load; i++) {
 		const struct Nl__ServerLoad *load = reply->load[i];
-		ptrdiff_t at = hmgeti(c->server_at, load->server);
+		ptrdiff_t at = hmgeti(router->server_by_hash, load->server);
 
 		if (at >= 0)
-			router_load_heard(c, c->server_at[at].value,
+			router_load_learn(router, router->server_by_hash[at].value,
 					  &(struct load_cell){ load->ahead, load->running, load->tokens });
 	}
-	x->lookup = LOOKUP_ANSWERED;
-	c->pump_at = 0;
+	request->lookup_state = LOOKUP_ANSWERED;
+	router->next_dispatch_at_ms = 0;
 }
