--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -8,407 +8,407 @@
 #include "ds.h"
 
 /* Tokens of claims and calls; the shell numbers callers from 1 up, so ours keep the highest bit. */
-uint64_t router_token_new(struct router *c) { return ++c->token | 1ull << 63; }
+uint64_t router_token_new(struct router *router) { return ++router->last_token | 1ull << 63; }
 
-struct line *router_line_of(struct router *c, uint32_t lane, uint32_t tenant)
+struct line *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant)
 {
-	struct line n = { lane, tenant, NULL, NULL, NULL, 0, 0, 0, 0, 0 };
+	struct line queue = { route_index, tenant, NULL, NULL, NULL, 0, 0, 0, 0, 0 };
 
-	ptrdiff_t i = hmgeti(c->line_at, (uint64_t)lane << 32 | tenant);
+	ptrdiff_t i = hmgeti(router->queue_by_owner, (uint64_t)route_index << 32 | tenant);
 
 	if (i >= 0)
-		return &c->line[c->line_at[i].value];
-	n.name = apr_pstrcat(c->p, c->lanes.name[lane], "/", c->tenants.name[tenant], NULL);
-	hmput(c->line_at, (uint64_t)lane << 32 | tenant, (uint32_t)arrlen(c->line));
-	arrput(c->line, n);
-	return &arrlast(c->line);
+		return &router->queues[router->queue_by_owner[i].value];
+	queue.name = apr_pstrcat(router->pool, router->route_names.names[route_index], "/", router->tenant_names.names[tenant], NULL);
+	hmput(router->queue_by_owner, (uint64_t)route_index << 32 | tenant, (uint32_t)arrlen(router->queues));
+	arrput(router->queues, queue);
+	return &arrlast(router->queues);
 }
 
-const char *router_error_json(apr_pool_t *p, const char *why, const char *outcome)
+const char *router_error_body(apr_pool_t *pool, const char *reason, const char *outcome)
 {
-	struct json_object *j = json_object_new_object();
-	const char *s;
-
-	json_object_object_add(j, "error", json_object_new_string(why));
-	json_object_object_add(j, "outcome", json_object_new_string(outcome));
-	s = apr_pstrdup(p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
-	return s;
+	struct json_object *json = json_object_new_object();
+	const char *text;
+
+	json_object_object_add(json, "error", json_object_new_string(reason));
+	json_object_object_add(json, "outcome", json_object_new_string(outcome));
+	text = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
+	return text;
 }
 
-uint32_t router_part_of(const struct router *c, uint32_t service)
+uint32_t router_shard_of(const struct router *router, uint32_t service)
 {
-	return core_part_of(c->services.name[service], SHARD_SERVICES);
+	return core_shard_of(router->service_names.names[service], SHARD_SERVICES);
 }
 
 /* Ask the part's owner, as far as it is known; whom. */
-static uint64_t claim_msg(struct router *c, uint32_t service, uint32_t tenant, const char *id, uint64_t seq, int release,
-			  uint64_t token, struct out *o)
+static uint64_t claim_msg(struct router *router, uint32_t service, uint32_t tenant, const char *id, uint64_t seq, int release,
+			  uint64_t token, struct out *out)
 {
-	uint32_t part = router_part_of(c, service);
-	uint64_t to = config_watch_leader_addr(&c->f, part);
-	struct Nl__Propose *q = OUT_NEW(o, Nl__Propose, NL__PROPOSE__INIT);
-
-	q->op = OUT_NEW(o, Nl__Op, NL__OP__INIT);
-	q->op->op_case = NL__OP__OP_CLAIM;
-	q->op->claim = OUT_NEW(o, Nl__Claim, NL__CLAIM__INIT);
-	q->op->claim->tenant = apr_pstrdup(o->p, c->tenants.name[tenant]);
-	q->op->claim->id = apr_pstrdup(o->p, id);
-	q->op->claim->by = c->id;
-	q->op->claim->seq = seq;
-	q->op->claim->release = release;
-	q->token = token;
-	c->n.claims++;
-	out_msg(o, to, part, NL__MSG__BODY_PROPOSE)->propose = q;
-	return to;
+	uint32_t shard = router_shard_of(router, service);
+	uint64_t leader_addr = config_watch_leader_addr(&router->config_watch, shard);
+	struct Nl__Propose *propose = OUT_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+
+	propose->op = OUT_NEW(out, Nl__Op, NL__OP__INIT);
+	propose->op->op_case = NL__OP__OP_CLAIM;
+	propose->op->claim = OUT_NEW(out, Nl__Claim, NL__CLAIM__INIT);
+	propose->op->claim->tenant = apr_pstrdup(out->pool, router->tenant_names.names[tenant]);
+	propose->op->claim->id = apr_pstrdup(out->pool, id);
+	propose->op->claim->by = router->id;
+	propose->op->claim->seq = seq;
+	propose->op->claim->release = release;
+	propose->token = token;
+	router->stats.claims++;
+	command_send(out, leader_addr, shard, NL__MSG__BODY_PROPOSE)->propose = propose;
+	return leader_addr;
 }
 
 /* Who was asked does not answer: ask another, unless that has been decided meanwhile. */
-void router_claim_miss(struct router *c, uint32_t service, uint64_t asked)
+void router_claim_miss(struct router *router, uint32_t service, uint64_t leader_addr)
 {
-	if (config_watch_leader_addr(&c->f, router_part_of(c, service)) == asked)
-		config_watch_miss(&c->f, router_part_of(c, service));
+	if (config_watch_leader_addr(&router->config_watch, router_shard_of(router, service)) == leader_addr)
+		config_watch_miss(&router->config_watch, router_shard_of(router, service));
 }
 
-void router_claim_send(struct router *c, struct client_request *x, int64_t now, struct out *o)
+void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	x->claim_at = now;
-	x->asked = claim_msg(c, x->service, x->tenant, x->id, x->seq, 0, x->claim, o);
+	request->claim_sent_at_ms = now;
+	request->claim_leader_addr = claim_msg(router, request->service_index, request->tenant_index, request->id, request->seq, 0, request->claim_token, out);
 }
 
 /* The id may be used again: said until the part has heard it. */
-void router_claim_release(struct router *c, const struct client_request *x, int64_t now, struct out *o)
+void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct out *out)
 {
-	struct router_release r = {
-		router_token_new(c), x->seq, 0, x->service, x->tenant, strdup(x->id), now, now + ROUTER_RELEASE
+	struct claim_release router_release = {
+		router_token_new(router), request->seq, 0, request->service_index, request->tenant_index, strdup(request->id), now, now + ROUTER_CLAIM_RELEASE_MAX_MS
 	};
 
-	r.asked = claim_msg(c, r.service, r.tenant, r.id, r.seq, 1, r.token, o);
-	arrput(c->release, r);
+	router_release.leader_addr = claim_msg(router, router_release.service, router_release.tenant, router_release.id, router_release.seq, 1, router_release.token, out);
+	arrput(router->claim_releases, router_release);
 }
 
-void router_release_end(struct router *c, ptrdiff_t i)
+void router_release_end(struct router *router, ptrdiff_t i)
 {
-	free(c->release[i].id);
-	arrdelswap(c->release, i);
+	free(router->claim_releases[i].id);
+	arrdelswap(router->claim_releases, i);
 }
 
-void router_releases_tick(struct router *c, int64_t now, struct out *o)
+void router_releases_tick(struct router *router, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(c->release) - 1; i >= 0; i--) {
-		struct router_release *r = &c->release[i];
-
-		if (now >= r->until) {
-			router_release_end(c, i);
-		} else if (now - r->at >= ROUTER_CLAIM_WAIT) {
-			r->at = now;
-			router_claim_miss(c, r->service, r->asked);
-			r->asked = claim_msg(c, r->service, r->tenant, r->id, r->seq, 1, r->token, o);
+	for (ptrdiff_t i = arrlen(router->claim_releases) - 1; i >= 0; i--) {
+		struct claim_release *router_release = &router->claim_releases[i];
+
+		if (now >= router_release->expires_at_ms) {
+			router_release_end(router, i);
+		} else if (now - router_release->sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
+			router_release->sent_at_ms = now;
+			router_claim_miss(router, router_release->service, router_release->leader_addr);
+			router_release->leader_addr = claim_msg(router, router_release->service, router_release->tenant, router_release->id, router_release->seq, 1, router_release->token, out);
 		}
 	}
 }
 
-struct router_use *router_use_of(struct router *c, const struct client_request *x)
+struct usage_entry *router_usage_of(struct router *router, const struct client_request *request)
 {
-	uint64_t key = (uint64_t)x->lane << 32 | x->tenant;
-	typeof(c->use->value) zero = { 0, 0, 0, 0, 0 };
+	uint64_t key = (uint64_t)request->route_index << 32 | request->tenant_index;
+	typeof(router->usage->value) zero = { 0, 0, 0, 0, 0 };
 
-	if (hmgeti(c->use, key) < 0)
-		hmput(c->use, key, zero);
-	return hmgetp(c->use, key);
+	if (hmgeti(router->usage, key) < 0)
+		hmput(router->usage, key, zero);
+	return hmgetp(router->usage, key);
 }
 
 /* When to come back for a reason that passes soon. */
-int router_retry_soon(struct router *c, int ms) { return ms + (int)(core_rdv(c->id, ++c->retries) % (uint64_t)(ms / 2 + 1)); }
+int router_retry_fast_ms(struct router *router, int ms) { return ms + (int)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) % (uint64_t)(ms / 2 + 1)); }
 
 /* When to come back: not sooner than makes sense, and not all at once. */
-int router_retry_in(struct router *c, double ms)
+int router_retry_after_ms(struct router *router, double ms)
 {
-	int64_t least = ms < ROUTER_RETRY ? ROUTER_RETRY : ms > ROUTER_RETRY_MOST ? ROUTER_RETRY_MOST : (int64_t)ms;
+	int64_t least_ms = ms < ROUTER_RETRY_AFTER_MIN_MS ? ROUTER_RETRY_AFTER_MIN_MS : ms > ROUTER_RETRY_AFTER_MAX_MS ? ROUTER_RETRY_AFTER_MAX_MS : (int64_t)ms;
 
-	return (int)(least + (int64_t)(core_rdv(c->id, ++c->retries) % (uint64_t)least));
+	return (int)(least_ms + (int64_t)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) % (uint64_t)least_ms));
 }
 
-struct json_object *router_read_json(struct router *c, const char *text)
+struct json_object *router_read_json(struct router *router, const char *text)
 {
-	json_tokener_reset(c->tok);
-	return json_tokener_parse_ex(c->tok, text, -1);
+	json_tokener_reset(router->json_tokener);
+	return json_tokener_parse_ex(router->json_tokener, text, -1);
 }
 
-enum { QUEUE_LOOK = 16 }; /* requests of a line that are weighed at a time, where its head has to wait */
+enum { QUEUE_SCAN_LIMIT = 16 }; /* requests of a line that are weighed at a time, where its head has to wait */
 
 /* How long the exchange with i others before it in its line has yet to wait: what its line's heads usually take, and
  * for the next of them no less than the time for which it has already stood still. */
-double router_expected(const struct line *l, uint32_t i, int64_t now)
+double router_expected_wait_ms(const struct line *queue, uint32_t i, int64_t now)
 {
-	double still = (double)(now - l->still);
+	double still = (double)(now - queue->head_waiting_since_ms);
 
-	return i * l->gap + (still > l->gap - still ? still : l->gap - still);
+	return i * queue->dequeue_interval_ms + (still > queue->dequeue_interval_ms - still ? still : queue->dequeue_interval_ms - still);
 }
 
 /* Whether the configuration here is certain to be in force, or may be ridden on. */
-int router_in_force(const struct router *c, int64_t now)
+int router_config_in_force(const struct router *router, int64_t now)
 {
-	return c->route_table && config_watch_age(&c->f, now) <= router_ride(c);
+	return router->route_table && config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
 }
 
 /* How long the configuration's owner may go unheard while new work is still taken. With servers from the table it is the
  * brief's two seconds. Where a deployment counts nodes as in touch only when the core has been calm for a while, an owner
  * that falls silent just after its last good answer makes the core uncalm for that long: until then what it may have
  * acknowledged meanwhile need not be in force here. No removed key may outlive its bound either: docs/design.md, Freshness. */
-int router_ride(const struct router *c)
+int router_max_staleness_ms(const struct router *router)
 {
-	int key = c->b.revoke_ms - ROUTER_RIDE_MARGIN, calm = c->b.contact_ms - ROUTER_CALM_MARGIN;
-	int drift = c->b.config_ms + c->b.drift_ms - ROUTER_RIDE_MARGIN;
+	int key = router->bounds.revoke_ms - ROUTER_STALENESS_MARGIN_MS, calm = router->bounds.contact_ms - ROUTER_CONTACT_MARGIN_MS;
+	int drift = router->bounds.config_ms + router->bounds.drift_ms - ROUTER_STALENESS_MARGIN_MS;
 
-	if (!c->b.instances)
-		return CONFIG_WATCH_CONFIG;
-	if (calm < c->b.config_ms - ROUTER_CALM_MARGIN)
-		calm = c->b.config_ms - ROUTER_CALM_MARGIN;
+	if (!router->bounds.discover_instances)
+		return CONFIG_WATCH_ADMIT_STALENESS_MS;
+	if (calm < router->bounds.config_ms - ROUTER_CONTACT_MARGIN_MS)
+		calm = router->bounds.config_ms - ROUTER_CONTACT_MARGIN_MS;
 	return key < calm && key < drift ? key : drift < calm ? drift : calm;
 }
 
 /* Which class a line goes in: its tenant's, where that has one, else its lane's. */
-static uint32_t class_of(const struct route_table *b, const struct line *l)
+static uint32_t priority_class_of(const struct route_table *routes, const struct line *queue)
 {
-	uint32_t rank = b->tenant[l->tenant].rank;
+	uint32_t priority_class = routes->tenants[queue->tenant_index].priority_class;
 
-	return rank ? rank - 1 : b->lane[l->lane].prio;
+	return priority_class ? priority_class - 1 : routes->routes[queue->route_index].priority;
 }
 
 /* A line that was empty starts where the others of its class are: the time for which it was empty counts neither as a wait
  * nor as turns that it has left to others. */
-static void line_begins(struct router *c, struct line *l, int64_t now)
+static void queue_begins(struct router *router, struct line *queue, int64_t now)
 {
-	const struct route_table *b = c->route_table;
-	uint64_t least = UINT64_MAX;
-
-	l->still = now;
-	for (ptrdiff_t i = 0; i < arrlen(c->line); i++)
-		if (c->line[i].n && class_of(b, &c->line[i]) == class_of(b, l) && c->line[i].pass < least)
-			least = c->line[i].pass;
-	if (least != UINT64_MAX && l->pass < least)
-		l->pass = least;
+	const struct route_table *routes = router->route_table;
+	uint64_t lowest_pass = UINT64_MAX;
+
+	queue->head_waiting_since_ms = now;
+	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
+		if (router->queues[i].length && priority_class_of(routes, &router->queues[i]) == priority_class_of(routes, queue) && router->queues[i].pass < lowest_pass)
+			lowest_pass = router->queues[i].pass;
+	if (lowest_pass != UINT64_MAX && queue->pass < lowest_pass)
+		queue->pass = lowest_pass;
 }
 
 /* Behind all that were taken before it. */
-void router_queue_insert(struct router *c, struct client_request *x, int64_t now)
+void router_queue_insert(struct router *router, struct client_request *x, int64_t now)
 {
-	struct line *l = router_line_of(c, x->lane, x->tenant);
-	struct client_request **at = &l->head;
-
-	if (!l->n)
-		line_begins(c, l, now);
-	if (l->tail && l->tail->seq < x->seq)
-		at = &l->tail->after;
-	while (*at && (*at)->seq < x->seq)
-		at = &(*at)->after;
+	struct line *queue = router_queue_of(router, x->route_index, x->tenant_index);
+	struct client_request **request = &queue->head;
+
+	if (!queue->length)
+		queue_begins(router, queue, now);
+	if (queue->tail && queue->tail->seq < x->seq)
+		request = &queue->tail->next_in_queue;
+	while (*request && (*request)->seq < x->seq)
+		request = &(*request)->next_in_queue;
 	x->state = REQUEST_WAITING;
-	x->after = *at;
-	*at = x;
-	if (!x->after)
-		l->tail = x;
-	l->n++;
+	x->next_in_queue = *request;
+	*request = x;
+	if (!x->next_in_queue)
+		queue->tail = x;
+	queue->length++;
 }
 
-void router_queue_remove(struct router *c, struct client_request *x)
+void router_queue_remove(struct router *router, struct client_request *x)
 {
-	struct line *l = router_line_of(c, x->lane, x->tenant);
-	struct client_request **at = &l->head, *before = NULL;
+	struct line *queue = router_queue_of(router, x->route_index, x->tenant_index);
+	struct client_request **request = &queue->head, *before = NULL;
 
-	while (*at && *at != x) {
-		before = *at;
-		at = &(*at)->after;
+	while (*request && *request != x) {
+		before = *request;
+		request = &(*request)->next_in_queue;
 	}
-	if (!*at)
+	if (!*request)
 		return;
-	*at = x->after;
-	x->after = NULL;
-	if (l->tail == x)
-		l->tail = before;
-	l->n--;
+	*request = x->next_in_queue;
+	x->next_in_queue = NULL;
+	if (queue->tail == x)
+		queue->tail = before;
+	queue->length--;
 }
 
 /* A place is one of those that limits of a tenant and a lane count: held from the moment a request leaves its line. */
-static void quota_take(struct router *c, struct client_request *x)
+static void quota_acquire(struct router *router, struct client_request *request)
 {
-	router_line_of(c, x->lane, x->tenant)->running++;
-	c->running[x->tenant]++;
+	router_queue_of(router, request->route_index, request->tenant_index)->running++;
+	router->tenant_running[request->tenant_index]++;
 }
 
-void router_quota_release(struct router *c, struct client_request *x)
+void router_quota_release(struct router *router, struct client_request *request)
 {
-	router_line_of(c, x->lane, x->tenant)->running--;
-	c->running[x->tenant]--;
+	router_queue_of(router, request->route_index, request->tenant_index)->running--;
+	router->tenant_running[request->tenant_index]--;
 }
 
 /* To the head of its line: there is no place at a server just now. */
-void router_queue_return(struct router *c, struct client_request *x, int64_t now)
+void router_queue_return(struct router *router, struct client_request *request, int64_t now)
 {
-	struct line *l = router_line_of(c, x->lane, x->tenant);
-
-	router_quota_release(c, x);
-	if (!l->n)
-		line_begins(c, l, now);
-	x->state = REQUEST_WAITING;
-	x->after = l->head;
-	l->head = x;
-	if (!l->tail)
-		l->tail = x;
-	l->n++;
+	struct line *queue = router_queue_of(router, request->route_index, request->tenant_index);
+
+	router_quota_release(router, request);
+	if (!queue->length)
+		queue_begins(router, queue, now);
+	request->state = REQUEST_WAITING;
+	request->next_in_queue = queue->head;
+	queue->head = request;
+	if (!queue->tail)
+		queue->tail = request;
+	queue->length++;
 }
 
 /* Its lane or its tenant is another one from now on, whether it waits or holds a place. */
-void router_queue_move(struct router *c, struct client_request *x, uint32_t lane, uint32_t tenant, int64_t now)
+void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index, uint32_t tenant_index, int64_t now)
 {
-	int waits = x->state == REQUEST_WAITING;
+	int waits = request->state == REQUEST_WAITING;
 
 	if (waits)
-		router_queue_remove(c, x);
+		router_queue_remove(router, request);
 	else
-		router_quota_release(c, x);
-	(void)router_line_of(c, lane, tenant);
-	x->lane = lane;
-	x->tenant = tenant;
+		router_quota_release(router, request);
+	(void)router_queue_of(router, route_index, tenant_index);
+	request->route_index = route_index;
+	request->tenant_index = tenant_index;
 	if (waits)
-		router_queue_insert(c, x, now);
+		router_queue_insert(router, request, now);
 	else
-		quota_take(c, x);
+		quota_acquire(router, request);
 }
 
-uint32_t router_held(const struct router *c, const char *name)
+uint32_t router_reserved_slots(const struct router *router, const char *name)
 {
-	struct config_watch_hold *h = c->f.hold;
+	struct config_watch_quota *h = router->config_watch.quotas;
 	ptrdiff_t i = shgeti(h, name);
 
-	return i < 0 ? 0 : h[i].value.held;
+	return i < 0 ? 0 : h[i].value.reserved;
 }
 
 /* What is used and wanted of each limit; where a line lacks places, its owner is asked at once, though not each time. */
-void router_want_places(struct router *c, int64_t now, struct out *o)
+void router_request_slots(struct router *router, int64_t now, struct out *out)
 {
-	struct config_watch *f = &c->f;
-	int lacks = 0;
+	struct config_watch *watch = &router->config_watch;
+	int lacks_slots = 0;
 
-	if (!c->route_table->limits)
+	if (!router->route_table->has_limits)
 		return;
-	for (ptrdiff_t i = 0; i < shlen(f->hold); i++)
-		f->hold[i].value.used = f->hold[i].value.want = 0;
-	for (ptrdiff_t i = 0; i < arrlen(c->line); i++) {
-		const struct line *l = &c->line[i];
+	for (ptrdiff_t i = 0; i < shlen(watch->quotas); i++)
+		watch->quotas[i].value.used = watch->quotas[i].value.requested = 0;
+	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
+		const struct line *queue = &router->queues[i];
 		uint32_t share, limit;
 
-		if (!l->n && !l->running)
+		if (!queue->length && !queue->running)
 			continue;
-		router_share_of(c->route_table, l->lane, l->tenant, &share, &limit);
+		router_share_of(router->route_table, queue->route_index, queue->tenant_index, &share, &limit);
 		for (int k = 0; k < 1 + (limit != UINT32_MAX); k++) {
-			typeof(f->hold->value) *h;
+			typeof(watch->quotas->value) *entry;
 
-			if (!k && !c->route_table->tenant[l->tenant].limit)
+			if (!k && !router->route_table->tenants[queue->tenant_index].concurrency_limit)
 				continue;
-			h = config_watch_hold(f, k ? l->name : c->tenants.name[l->tenant]);
+			entry = config_watch_quota(watch, k ? queue->name : router->tenant_names.names[queue->tenant_index]);
 
-			h->used += l->running;
-			h->want += l->running + l->n;
-			lacks |= l->n && h->used >= h->held;
+			entry->used += queue->running;
+			entry->requested += queue->running + queue->length;
+			lacks_slots |= queue->length && entry->used >= entry->reserved;
 		}
 	}
-	if (lacks && now - f->last_ask >= ROUTER_ASK)
-		config_watch_ask(f, c->relay.k.horizon, now, o);
+	if (lacks_slots && now - watch->requested_at_ms >= ROUTER_QUOTA_REQUEST_INTERVAL_MS)
+		config_watch_poll(watch, router->relay.knowledge.horizon, now, out);
 }
 
 /* The first of a line that a server has room for. Behind a head that none has room for this may be one of another service,
  * or, where the head was given back and avoids the server that did, any. NULL: none. */
-static struct client_request *first_ready(struct router *c, const struct line *l, int64_t now, struct plan *plan)
+static struct client_request *first_ready(struct router *router, const struct line *queue, int64_t now, struct plan *plan)
 {
-	uint32_t full[QUEUE_LOOK];
-	int n = 0, looked = 0, split = c->route_table->lane[l->lane].nsplit > 0;
+	uint32_t full[QUEUE_SCAN_LIMIT];
+	int n = 0, scanned = 0, split = router->route_table->routes[queue->route_index].split_count > 0;
 
-	for (struct client_request *x = l->head; x && looked < QUEUE_LOOK; x = x->after, looked++) {
+	for (struct client_request *request = queue->head; request && scanned < QUEUE_SCAN_LIMIT; request = request->next_in_queue, scanned++) {
 		int known = 0;
 
 		for (int k = 0; k < n; k++)
-			known |= full[k] == x->service;
-		if (known || router_lookup_waits(c, x, now))
+			known |= full[k] == request->service_index;
+		if (known || router_lookup_waits(router, request, now))
 			continue;
-		*plan = x->forwarded ? router_assign_forward(c, x, now) : router_assign(c, x, now);
-		if (plan->server >= 0)
-			return x;
-		if (now < x->tried_until)
+		*plan = request->is_forwarded ? router_placement_forwarded(router, request, now) : router_placement_claimed(router, request, now);
+		if (plan->server_index >= 0)
+			return request;
+		if (now < request->avoided_until_ms)
 			continue; /* there may be room at the server that it avoids */
-		if (!split && !x->begun)
+		if (!split && !request->has_begun)
 			return NULL; /* all behind it are of its service */
-		full[n++] = x->service;
+		full[n++] = request->service_index;
 	}
 	return NULL;
 }
 
 /* Heads of lines go on while there are places: by class, then by share. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-void router_dispatch(struct router *c, int64_t now, struct out *o)
+void router_dispatch(struct router *router, int64_t now, struct out *out)
 {
-	const struct route_table *b = c->route_table;
+	const struct route_table *routes = router->route_table;
 
-	if (!router_in_force(c, now) || !c->server_table || !arrlen(c->all) || now < c->pump_at)
+	if (!router_config_in_force(router, now) || !router->server_table || !arrlen(router->requests) || now < router->next_dispatch_at_ms)
 		return;
 	for (;;) {
 		struct line *best = NULL;
 		int waits = 0;
-		struct plan best_plan = { .server = -1, .from = -1 };
-		struct client_request *x = NULL, *ready;
+		struct plan best_plan = { .server_index = -1, .fetch_source = -1 };
+		struct client_request *request = NULL, *ready;
 		uint32_t share, limit;
 
-		for (ptrdiff_t i = 0; i < arrlen(c->line); i++) {
-			struct line *l = &c->line[i];
-			struct plan pl;
+		for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
+			struct line *queue = &router->queues[i];
+			struct plan plan;
 
-			if (!l->n)
+			if (!queue->length)
 				continue;
 			waits = 1;
-			router_share_of(b, l->lane, l->tenant, &share, &limit);
-			if ((b->tenant[l->tenant].limit && c->running[l->tenant] >= router_held(c, c->tenants.name[l->tenant])) ||
-			    (limit != UINT32_MAX && l->running >= router_held(c, l->name)))
+			router_share_of(routes, queue->route_index, queue->tenant_index, &share, &limit);
+			if ((routes->tenants[queue->tenant_index].concurrency_limit && router->tenant_running[queue->tenant_index] >= router_reserved_slots(router, router->tenant_names.names[queue->tenant_index])) ||
+			    (limit != UINT32_MAX && queue->running >= router_reserved_slots(router, queue->name)))
 				continue;
 			if (best &&
-			    (class_of(b, l) > class_of(b, best) || (class_of(b, l) == class_of(b, best) && l->pass >= best->pass)))
+			    (priority_class_of(routes, queue) > priority_class_of(routes, best) || (priority_class_of(routes, queue) == priority_class_of(routes, best) && queue->pass >= best->pass)))
 				continue;
-			ready = first_ready(c, l, now, &pl);
+			ready = first_ready(router, queue, now, &plan);
 			if (!ready)
 				continue;
-			best = l;
-			x = ready;
-			best_plan = pl;
+			best = queue;
+			request = ready;
+			best_plan = plan;
 		}
 		if (!best) {
-			c->pump_at =
-			    waits ? now + ROUTER_PUMP : 0; /* all that waits was weighed against all servers: not at every event */
+			router->next_dispatch_at_ms =
+			    waits ? now + ROUTER_DISPATCH_INTERVAL_MS : 0; /* all that waits was weighed against all servers: not at every event */
 			return;
 		}
-		if (x == best->head) {
-			best->gap += ((double)(now - best->still) - best->gap) / 16;
-			best->still = now;
+		if (request == best->head) {
+			best->dequeue_interval_ms += ((double)(now - best->head_waiting_since_ms) - best->dequeue_interval_ms) / 16;
+			best->head_waiting_since_ms = now;
 		}
-		router_queue_remove(c, x);
-		quota_take(c, x);
-		router_share_of(b, best->lane, best->tenant, &share, &limit);
+		router_queue_remove(router, request);
+		quota_acquire(router, request);
+		router_share_of(routes, best->route_index, best->tenant_index, &share, &limit);
 		best->pass += 1000000 / (share ? share : 1);
-		x->state = REQUEST_CLAIMING;
-		x->server = best_plan.server;
-		c->sv[x->server].own++; /* its place is held until its claim has been answered */
-		if (x->forwarded) {
-			x->prio = class_of(b, best);
-			x->server = -1;
-			c->sv[best_plan.server].own--;
-			router_forward(c, x, &best_plan, now, o);
+		request->state = REQUEST_CLAIMING;
+		request->server_index = best_plan.server_index;
+		router->servers[request->server_index].own_running++; /* its place is held until its claim has been answered */
+		if (request->is_forwarded) {
+			request->priority = priority_class_of(routes, best);
+			request->server_index = -1;
+			router->servers[best_plan.server_index].own_running--;
+			router_forward(router, request, &best_plan, now, out);
 			continue;
 		}
-		if (x->claimed) {
-			router_send_claimed(c, x, now, o);
+		if (request->is_claimed) {
+			router_send_claimed(router, request, now, out);
 			continue;
 		}
-		x->claim = router_token_new(c);
-		x->claim_from = now;
-		hmput(c->by, x->claim, x);
-		router_claim_send(c, x, now, o);
+		request->claim_token = router_token_new(router);
+		request->claim_started_at_ms = now;
+		hmput(router->requests_by_token, request->claim_token, request);
+		router_claim_send(router, request, now, out);
 	}
 }
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -7,304 +7,304 @@
 
 #include "ds.h"
 
-uint32_t names_id(struct names *n, const char *s)
+uint32_t names_id(struct row_index *names, const char *name)
 {
 	ptrdiff_t i;
 
-	if (!n->h)
-		sh_new_strdup(n->h);
-	i = shgeti(n->h, s);
+	if (!names->index)
+		sh_new_strdup(names->index);
+	i = shgeti(names->index, name);
 	if (i >= 0)
-		return n->h[i].value;
-	arrput(n->name, strdup(s));
-	shput(n->h, s, (uint32_t)arrlen(n->name) - 1);
-	return (uint32_t)arrlen(n->name) - 1;
+		return names->index[i].value;
+	arrput(names->names, strdup(name));
+	shput(names->index, name, (uint32_t)arrlen(names->names) - 1);
+	return (uint32_t)arrlen(names->names) - 1;
 }
 
-int names_find(const struct names *n, const char *s)
+int names_find(const struct row_index *names, const char *name)
 {
-	struct names_row *h = n->h;
-	ptrdiff_t i = h ? shgeti(h, s) : -1;
+	struct name_entry *row = names->index;
+	ptrdiff_t i = row ? shgeti(row, name) : -1;
 
-	return i < 0 ? -1 : (int)h[i].value;
+	return i < 0 ? -1 : (int)row[i].value;
 }
 
-void router_names_clear(struct names *n)
+void router_names_clear(struct row_index *names)
 {
-	for (ptrdiff_t i = 0; i < arrlen(n->name); i++)
-		free(n->name[i]);
-	arrfree(n->name);
-	shfree(n->h);
+	for (ptrdiff_t i = 0; i < arrlen(names->names); i++)
+		free(names->names[i]);
+	arrfree(names->names);
+	shfree(names->index);
 }
 
-void router_route_table_free(struct route_table *b)
+void router_route_table_free(struct route_table *routes)
 {
-	if (!b)
+	if (!routes)
 		return;
-	hmfree(b->share);
-	arrfree(b->scope);
-	hmfree(b->place);
-	shfree(b->key);
-	apr_pool_destroy(b->p);
+	hmfree(routes->shares);
+	arrfree(routes->scopes);
+	hmfree(routes->matches);
+	shfree(routes->keys);
+	apr_pool_destroy(routes->pool);
 }
 
 /* The names that rows bring, so that the arrays have their size. */
-static void route_table_names(struct router *c, const struct Nl__Row *r)
+static void route_table_names(struct router *router, const struct Nl__Row *row)
 {
-	switch (r->kind) {
+	switch (row->kind) {
 	case NL__KIND__LANE:
-		names_id(&c->lanes, r->name);
-		names_id(&c->services, r->service);
-		for (size_t k = 0; k < r->n_split; k++)
-			names_id(&c->services, r->split[k]->service);
+		names_id(&router->route_names, row->name);
+		names_id(&router->service_names, row->service);
+		for (size_t k = 0; k < row->n_split; k++)
+			names_id(&router->service_names, row->split[k]->service);
 		break;
-	case NL__KIND__TENANT: names_id(&c->tenants, r->name); break;
-	case NL__KIND__KEY: names_id(&c->tenants, r->tenant); break;
+	case NL__KIND__TENANT: names_id(&router->tenant_names, row->name); break;
+	case NL__KIND__KEY: names_id(&router->tenant_names, row->tenant); break;
 	case NL__KIND__SERVICE:
-		names_id(&c->services, r->name);
-		names_id(&c->weights, r->weights);
+		names_id(&router->service_names, row->name);
+		names_id(&router->weights_names, row->weights);
 		break;
-	case NL__KIND__MODEL: names_id(&c->weights, r->weights); break;
+	case NL__KIND__MODEL: names_id(&router->weights_names, row->weights); break;
 	default: break;
 	}
 }
 
 /* Where a lane is found by host and path. Example: hmget(b->place, router_place("a.example", "/x/", 3)) */
-uint64_t router_place(const char *host, const char *path, size_t n) { return core_hash(core_hashs(17, host), path, n); }
+uint64_t router_match_key(const char *host, const char *path, size_t path_length) { return core_hash(core_hash_string(17, host), path, path_length); }
 
-static void lane_row(struct router *c, struct route_table *b, const struct Nl__Row *r)
+static void lane_row(struct router *c, struct route_table *routes, const struct Nl__Row *row)
 {
-	uint32_t id = names_id(&c->lanes, r->name), upto = 0;
-	struct bk_lane *l = &b->lane[id];
-	struct bk_split *sp = apr_palloc(b->p, (r->n_split + 1) * sizeof *sp);
-
-	*l = (struct bk_lane){ 1,
-			       r->resumable,
-			       r->repeatable,
-			       r->vouched,
-			       r->open,
-			       names_id(&c->services, r->service),
-			       r->prio,
-			       r->limit,
-			       r->aim,
-			       r->pause,
-			       r->timeout,
-			       r->attempts,
-			       apr_pstrdup(b->p, r->host),
-			       apr_pstrdup(b->p, r->path),
-			       sp,
+	uint32_t route_index = names_id(&c->route_names, row->name), cumulative_weight = 0;
+	struct route_config *l = &routes->routes[route_index];
+	struct route_split *split = apr_palloc(routes->pool, (row->n_split + 1) * sizeof *split);
+
+	*l = (struct route_config){ 1,
+			       row->resumable,
+			       row->repeatable,
+			       row->vouched,
+			       row->open,
+			       names_id(&c->service_names, row->service),
+			       row->prio,
+			       row->limit,
+			       row->aim,
+			       row->pause,
+			       row->timeout,
+			       row->attempts,
+			       apr_pstrdup(routes->pool, row->host),
+			       apr_pstrdup(routes->pool, row->path),
+			       split,
 			       0 };
-	for (size_t k = 0; k < r->n_split; k++)
-		if (r->split[k]->weight)
-			sp[l->nsplit++] =
-			    (struct bk_split){ names_id(&c->services, r->split[k]->service), upto += r->split[k]->weight };
-	if (r->path[0])
-		hmput(b->place, router_place(r->host, r->path, strlen(r->path)), id);
+	for (size_t k = 0; k < row->n_split; k++)
+		if (row->split[k]->weight)
+			split[l->split_count++] =
+			    (struct route_split){ names_id(&c->service_names, row->split[k]->service), cumulative_weight += row->split[k]->weight };
+	if (row->path[0])
+		hmput(routes->matches, router_match_key(row->host, row->path, strlen(row->path)), route_index);
 }
 
-static void service_row(struct router *c, struct route_table *b, const struct Nl__Row *r)
+static void service_row(struct router *c, struct route_table *routes, const struct Nl__Row *declared)
 {
-	const struct Nl__Row *m = r->model[0] ? table_get(&c->f.t, NL__KIND__MODEL, r->model) : NULL;
-	uint32_t id = names_id(&c->services, r->name), named = names_id(&c->weights, m ? m->weights : r->weights);
-	struct bk_service *s = &b->service[id];
-
-	*s = (struct bk_service){ 1,        named,      r->prefill, r->kv_bytes, r->link, r->store,
-				  r->slots, r->watches, r->conns,   r->room,     -1,      NULL };
-	if (m)
-		s->model = (const struct Nl__Row *)core_dup(b->p, &m->base);
-	if (r->addr[0] && !r->store && c->b.instances) /* a store itself, not a service that has one */
-		b->store[b->nstore++] = (int)names_id(&c->servers, apr_pstrcat(b->p, "store:", r->name, NULL));
-	if (r->addr[0] && r->store)
-		s->store_server = (int)names_id(&c->servers, apr_pstrcat(b->p, "store:", r->name, NULL));
+	const struct Nl__Row *row = declared->model[0] ? config_table_get(&c->config_watch.table, NL__KIND__MODEL, declared->model) : NULL;
+	uint32_t id = names_id(&c->service_names, declared->name), target = names_id(&c->weights_names, row ? row->weights : declared->weights);
+	struct service_config *config = &routes->services[id];
+
+	*config = (struct service_config){ 1,        target,      declared->prefill, declared->kv_bytes, declared->link, declared->store,
+				  declared->slots, declared->watches, declared->conns,   declared->room,     -1,      NULL };
+	if (row)
+		config->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &row->base);
+	if (declared->addr[0] && !declared->store && c->bounds.discover_instances) /* a store itself, not a service that has one */
+		routes->stores[routes->store_count++] = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
+	if (declared->addr[0] && declared->store)
+		config->store_server = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
 }
 
 /* A service that is new, or back, has its time to be seen with servers, whenever one of it last stood. */
-static void services_return(struct router *c, const struct route_table *b, int64_t now)
+static void services_return(struct router *router, const struct route_table *routes, int64_t now)
 {
-	const struct route_table *old = c->route_table;
+	const struct route_table *old = router->route_table;
 
-	for (uint32_t i = 0; i < b->nservice; i++)
-		if (b->service[i].on && !(old && i < old->nservice && old->service[i].on))
-			c->stood[i] = now;
+	for (uint32_t i = 0; i < routes->service_count; i++)
+		if (routes->services[i].is_configured && !(old && i < old->service_count && old->services[i].is_configured))
+			router->last_serving_at_ms[i] = now;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-struct route_table *router_route_table_make(struct router *c, int64_t now)
+struct route_table *router_route_table_new(struct router *router, int64_t now)
 {
-	const struct table *t = &c->f.t;
-	apr_pool_t *p;
-	struct route_table *b;
-
-	apr_pool_create(&p, c->p);
-	b = apr_pcalloc(p, sizeof *b);
-	b->p = p;
-	b->edition = t->edition;
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++)
-		route_table_names(c, t->h[i].value.row);
-	b->keyless = names_id(&c->tenants, "");
-	b->nlane = (uint32_t)arrlen(c->lanes.name);
-	b->ntenant = (uint32_t)arrlen(c->tenants.name);
-	b->nservice = (uint32_t)arrlen(c->services.name);
-	b->lane = apr_pcalloc(p, (b->nlane + 1) * sizeof *b->lane);
-	b->tenant = apr_pcalloc(p, (b->ntenant + 1) * sizeof *b->tenant);
-	b->service = apr_pcalloc(p, (b->nservice + 1) * sizeof *b->service);
-	b->store = apr_pcalloc(p, (b->nservice + 1) * sizeof *b->store);
-	sh_new_arena(b->key);
-	b->tenant[b->keyless] = (struct bk_tenant){ 1, 0, 1, 0, 0 };
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++) {
-		const struct Nl__Row *r = t->h[i].value.row;
+	const struct config_table *table = &router->config_watch.table;
+	apr_pool_t *pool;
+	struct route_table *routes;
+
+	apr_pool_create(&pool, router->pool);
+	routes = apr_pcalloc(pool, sizeof *routes);
+	routes->pool = pool;
+	routes->revision = table->revision;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		route_table_names(router, table->rows[i].value.row);
+	routes->anonymous_tenant = names_id(&router->tenant_names, "");
+	routes->route_count = (uint32_t)arrlen(router->route_names.names);
+	routes->tenant_count = (uint32_t)arrlen(router->tenant_names.names);
+	routes->service_count = (uint32_t)arrlen(router->service_names.names);
+	routes->routes = apr_pcalloc(pool, (routes->route_count + 1) * sizeof *routes->routes);
+	routes->tenants = apr_pcalloc(pool, (routes->tenant_count + 1) * sizeof *routes->tenants);
+	routes->services = apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->services);
+	routes->stores = apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->stores);
+	sh_new_arena(routes->keys);
+	routes->tenants[routes->anonymous_tenant] = (struct tenant_config){ 1, 0, 1, 0, 0 };
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
 		const char *slash;
 
-		switch (r->kind) {
-		case NL__KIND__LANE: lane_row(c, b, r); break;
+		switch (row->kind) {
+		case NL__KIND__LANE: lane_row(router, routes, row); break;
 		case NL__KIND__TENANT:
-			b->tenant[names_id(&c->tenants, r->name)] = (struct bk_tenant){ 1, r->walled, r->share, r->limit, r->rank };
-			b->limits |= r->limit != 0;
-			if (r->walled)
-				b->walls += core_hashs(29, r->name); /* a sum: the order of rows does not matter */
+			routes->tenants[names_id(&router->tenant_names, row->name)] = (struct tenant_config){ 1, row->walled, row->share, row->limit, row->rank };
+			routes->has_limits |= row->limit != 0;
+			if (row->walled)
+				routes->isolation_hash += core_hash_string(29, row->name); /* a sum: the order of rows does not matter */
 			break;
 		case NL__KIND__KEY:
-			shput(b->key, r->name, names_id(&c->tenants, r->tenant));
-			b->keys = 1;
+			shput(routes->keys, row->name, names_id(&router->tenant_names, row->tenant));
+			routes->has_keys = 1;
 			break;
-		case NL__KIND__SERVICE: service_row(c, b, r); break;
-		case NL__KIND__RETENTION: router_scope_row(c, b, r); break;
+		case NL__KIND__SERVICE: service_row(router, routes, row); break;
+		case NL__KIND__RETENTION: router_scope_row(router, routes, row); break;
 		case NL__KIND__DOOR:
-			b->door.head = r->head_bytes;
-			b->door.body = r->body_bytes;
-			b->door.head_ms = r->head_ms;
-			b->door.idle_ms = r->idle_ms;
+			routes->listener.max_head_bytes = row->head_bytes;
+			routes->listener.max_body_bytes = row->body_bytes;
+			routes->listener.head_timeout_ms = row->head_ms;
+			routes->listener.idle_timeout_ms = row->idle_ms;
 			break;
 		case NL__KIND__SHARE:
-			b->limits = 1;
-			slash = strchr(r->name, '/');
+			routes->has_limits = 1;
+			slash = strchr(row->name, '/');
 			if (slash) {
-				int lane = names_find(&c->lanes, apr_pstrmemdup(p, r->name, (size_t)(slash - r->name)));
-				int tenant = names_find(&c->tenants, slash + 1);
-				typeof(b->share->value) v = { r->share, r->limit };
+				int route_index = names_find(&router->route_names, apr_pstrmemdup(pool, row->name, (size_t)(slash - row->name)));
+				int tenant = names_find(&router->tenant_names, slash + 1);
+				typeof(routes->shares->value) v = { row->share, row->limit };
 
-				if (lane >= 0 && tenant >= 0)
-					hmput(b->share, (uint64_t)lane << 32 | (uint64_t)tenant, v);
+				if (route_index >= 0 && tenant >= 0)
+					hmput(routes->shares, (uint64_t)route_index << 32 | (uint64_t)tenant, v);
 			}
 			break;
 		default: break;
 		}
 	}
-	arrsetlen(c->generation, 0);
-	while (arrlen(c->running) < (ptrdiff_t)b->ntenant)
-		arrput(c->running, 0);
-	while (arrlen(c->stood) < (ptrdiff_t)b->nservice)
-		arrput(c->stood, now);
-	while (arrlen(c->budget) < (ptrdiff_t)b->nservice)
-		arrput(c->budget, ROUTER_RESEND_COST);
-	services_return(c, b, now);
-	return b;
+	arrsetlen(router->retention_generations, 0);
+	while (arrlen(router->tenant_running) < (ptrdiff_t)routes->tenant_count)
+		arrput(router->tenant_running, 0);
+	while (arrlen(router->last_serving_at_ms) < (ptrdiff_t)routes->service_count)
+		arrput(router->last_serving_at_ms, now);
+	while (arrlen(router->retry_budget) < (ptrdiff_t)routes->service_count)
+		arrput(router->retry_budget, ROUTER_RETRY_COST_MILLI);
+	services_return(router, routes, now);
+	return routes;
 }
 
 /* A service that is not in the table has no place in the route_table's arrays: its servers do not count. */
-static void server_table_put(struct router *c, struct server_table *r, uint32_t id, const char *service, const char *addr,
+static void server_table_put(struct router *router, struct server_table *servers, uint32_t id, const char *service, const char *addr,
 			     const char *zone, int draining, int is_store)
 {
-	int s = names_find(&c->services, service);
+	int service_index = names_find(&router->service_names, service);
 
-	if (s < 0 || (uint32_t)s >= c->route_table->nservice)
+	if (service_index < 0 || (uint32_t)service_index >= router->route_table->service_count)
 		return;
-	r->server[id] =
-	    (struct bk_server){ 1, draining, is_store, (uint32_t)s, apr_pstrdup(r->p, addr), core_addr(addr), core_hashs(0, zone) };
+	servers->servers[id] =
+	    (struct server_config){ 1, draining, is_store, (uint32_t)service_index, apr_pstrdup(servers->pool, addr), core_parse_addr(addr), core_hash_string(0, zone) };
 }
 
 /* What the list says of a server; what the server itself said since goes first. */
-static void server_table_instance(struct router *c, uint32_t server, const struct Nl__Instance *s, int64_t now)
+static void server_table_instance(struct router *router, uint32_t server, const struct Nl__Instance *instance, int64_t now)
 {
-	struct router_server *v = &c->sv[server];
-	int w = s->weights[0] && strlen(s->weights) < 128 ? (int)names_id(&c->weights, s->weights) : -1;
-
-	if (w < 0 && !v->have)
-		v->weights = names_id(&c->weights, ""); /* not known: they count as the oldest */
-	if (w >= 0 && (!v->have || v->seen_weights != (uint32_t)w)) {
-		router_weights_learn(c, server, (uint32_t)w);
-		v->seen_weights = (uint32_t)w;
+	struct router_server_state *state = &router->servers[server];
+	int weights = instance->weights[0] && strlen(instance->weights) < 128 ? (int)names_id(&router->weights_names, instance->weights) : -1;
+
+	if (weights < 0 && !state->is_known)
+		state->weights = names_id(&router->weights_names, ""); /* not known: they count as the oldest */
+	if (weights >= 0 && (!state->is_known || state->listed_weights != (uint32_t)weights)) {
+		router_weights_learn(router, server, (uint32_t)weights);
+		state->listed_weights = (uint32_t)weights;
 	}
-	if (!v->have)
-		v->bad_until = now + (s->cold_ms > 2000 ? 2000 : s->cold_ms);
-	v->have = 1;
-	v->loading = s->loading;
-	v->slots = s->slots ? (int)s->slots : 1;
+	if (!state->is_known)
+		state->unavailable_until_ms = now + (instance->cold_ms > 2000 ? 2000 : instance->cold_ms);
+	state->is_known = 1;
+	state->is_loading = instance->loading;
+	state->slots = instance->slots ? (int)instance->slots : 1;
 }
 
 /* Whether a service's row stands for a store: where stores have rows of their own those do, else each service's address. */
-static int store_row(const struct router *c, const struct Nl__Row *r)
+static int store_row(const struct router *router, const struct Nl__Row *row)
 {
-	return r->addr[0] && (c->route_table->nstore ? !r->store : r->store != 0);
+	return row->addr[0] && (router->route_table->store_count ? !row->store : row->store != 0);
 }
 
-struct server_table *router_server_table_make(struct router *c, int64_t now)
+struct server_table *router_server_table_new(struct router *router, int64_t now)
 {
-	const struct table *t = &c->f.t;
-	const struct instances *g = &c->f.instances;
-	apr_pool_t *p;
-	struct server_table *r;
-
-	apr_pool_create(&p, c->p);
-	r = apr_pcalloc(p, sizeof *r);
-	r->p = p;
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++) {
-		const struct Nl__Row *row = t->h[i].value.row;
-
-		if (row->kind == NL__KIND__SERVER && !c->b.instances)
-			names_id(&c->servers, row->name);
-		else if (row->kind == NL__KIND__SERVICE && store_row(c, row))
-			names_id(&c->servers, apr_pstrcat(p, "store:", row->name, NULL));
+	const struct config_table *table = &router->config_watch.table;
+	const struct instances *instances = &router->config_watch.instances;
+	apr_pool_t *pool;
+	struct server_table *servers;
+
+	apr_pool_create(&pool, router->pool);
+	servers = apr_pcalloc(pool, sizeof *servers);
+	servers->pool = pool;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (row->kind == NL__KIND__SERVER && !router->bounds.discover_instances)
+			names_id(&router->server_names, row->name);
+		else if (row->kind == NL__KIND__SERVICE && store_row(router, row))
+			names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL));
 	}
-	for (ptrdiff_t i = 0; c->b.instances && i < shlen(g->h); i++)
-		if (g->h[i].value.s->state != INSTANCE_GONE)
-			names_id(&c->servers, g->h[i].key);
-	r->nserver = (uint32_t)arrlen(c->servers.name);
-	r->server = apr_pcalloc(p, (r->nserver + 1) * sizeof *r->server);
-	while (arrlen(c->sv) < (ptrdiff_t)r->nserver) {
-		struct router_server s;
+	for (ptrdiff_t i = 0; router->bounds.discover_instances && i < shlen(instances->rows); i++)
+		if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
+			names_id(&router->server_names, instances->rows[i].key);
+	servers->server_count = (uint32_t)arrlen(router->server_names.names);
+	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
+	while (arrlen(router->servers) < (ptrdiff_t)servers->server_count) {
+		struct router_server_state s;
 
 		memset(&s, 0, sizeof s);
-		arrput(c->server_hash, core_hashs(43, c->servers.name[arrlen(c->sv)]));
-		hmput(c->server_at, arrlast(c->server_hash), (uint32_t)arrlen(c->sv));
-		arrput(c->sv, s);
+		arrput(router->server_hashes, core_hash_string(43, router->server_names.names[arrlen(router->servers)]));
+		hmput(router->server_by_hash, arrlast(router->server_hashes), (uint32_t)arrlen(router->servers));
+		arrput(router->servers, s);
 	}
-	for (ptrdiff_t i = 0; i < shlen(t->h); i++) {
-		const struct Nl__Row *row = t->h[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVER && !c->b.instances)
-			server_table_put(c, r, names_id(&c->servers, row->name), row->service, row->addr, row->zone,
+		if (row->kind == NL__KIND__SERVER && !router->bounds.discover_instances)
+			server_table_put(router, servers, names_id(&router->server_names, row->name), row->service, row->addr, row->zone,
 					 row->state != 0, 0);
-		else if (row->kind == NL__KIND__SERVICE && store_row(c, row))
-			server_table_put(c, r, names_id(&c->servers, apr_pstrcat(p, "store:", row->name, NULL)), row->name,
+		else if (row->kind == NL__KIND__SERVICE && store_row(router, row))
+			server_table_put(router, servers, names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL)), row->name,
 					 row->addr, row->zone, 0, 1);
 	}
-	for (ptrdiff_t i = 0; c->b.instances && i < shlen(g->h); i++) {
-		const struct Nl__Instance *s = g->h[i].value.s;
-		int id = names_find(&c->servers, g->h[i].key);
+	for (ptrdiff_t i = 0; router->bounds.discover_instances && i < shlen(instances->rows); i++) {
+		const struct Nl__Instance *s = instances->rows[i].value.instance;
+		int id = names_find(&router->server_names, instances->rows[i].key);
 
-		if (id < 0 || s->state == INSTANCE_GONE)
+		if (id < 0 || s->state == INSTANCE_REMOVED)
 			continue;
-		server_table_put(c, r, (uint32_t)id, s->service, s->addr, s->zone, s->state != INSTANCE_SERVING, 0);
-		server_table_instance(c, (uint32_t)id, s, now);
+		server_table_put(router, servers, (uint32_t)id, s->service, s->addr, s->zone, s->state != INSTANCE_SERVING, 0);
+		server_table_instance(router, (uint32_t)id, s, now);
 	}
-	for (uint32_t i = 0; c->server_table && i < c->server_table->nserver; i++)
-		if (c->server_table->server[i].on && !r->server[i].on)
-			kept_sweep(&c->kept, i, UINT64_MAX); /* that life is over, and what it kept */
-	return r;
+	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++)
+		if (router->server_table->servers[i].is_configured && !servers->servers[i].is_configured)
+			prefix_index_remove_unreported(&router->prefix_index, i, UINT64_MAX); /* that life is over, and what it kept */
+	return servers;
 }
 
-void router_server_table_free(struct server_table *r)
+void router_server_table_free(struct server_table *servers)
 {
-	if (r)
-		apr_pool_destroy(r->p);
+	if (servers)
+		apr_pool_destroy(servers->pool);
 }
 
-void router_share_of(const struct route_table *b, uint32_t lane, uint32_t tenant, uint32_t *share, uint32_t *limit)
+void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant, uint32_t *share, uint32_t *limit)
 {
-	struct bk_share *h = b->share;
-	ptrdiff_t i = h ? hmgeti(h, (uint64_t)lane << 32 | tenant) : -1;
+	struct share_config *bk_share = routes->shares;
+	ptrdiff_t i = bk_share ? hmgeti(bk_share, (uint64_t)route_index << 32 | tenant) : -1;
 
-	*share = i >= 0 ? h[i].value.share : b->tenant[tenant].share;
-	*limit = i >= 0 ? h[i].value.limit : UINT32_MAX;
+	*share = i >= 0 ? bk_share[i].value.share : routes->tenants[tenant].share;
+	*limit = i >= 0 ? bk_share[i].value.concurrency_limit : UINT32_MAX;
 }
--- a/lib/data/router_send.c
+++ b/lib/data/router_send.c
@@ -7,537 +7,537 @@
 
 #include "ds.h"
 
-static struct json_object *copy_json(const struct router *c, uint64_t hash, const struct kept_copy *k, apr_pool_t *p)
+static struct json_object *copy_json(const struct router *router, uint64_t hash, const struct block_replica *replica, apr_pool_t *pool)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *object = json_object_new_object();
 
-	json_object_object_add(j, "h", json_object_new_string(apr_psprintf(p, "%016" APR_UINT64_T_HEX_FMT, hash)));
-	json_object_object_add(j, "m", json_object_new_string(c->tenants.name[k->maker]));
-	json_object_object_add(j, "t", json_object_new_int64((int64_t)k->stamp));
-	return j;
+	json_object_object_add(object, "h", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, hash)));
+	json_object_object_add(object, "m", json_object_new_string(router->tenant_names.names[replica->tenant_index]));
+	json_object_object_add(object, "t", json_object_new_int64((int64_t)replica->stamp_tick));
+	return object;
 }
 
 /* Resends that may be saved up: a router's part of what the fleet may resend at once beside its share of the traffic. */
-static int64_t budget_cap(const struct router *c)
+static int64_t budget_cap(const struct router *router)
 {
-	uint32_t n = c->f.counters ? c->f.counters : 1;
+	uint32_t n = router->config_watch.router_count ? router->config_watch.router_count : 1;
 
-	return c->b.instances ? 1000 + (int64_t)c->b.budget_slack * 600 / n : ROUTER_BUDGET_CAP;
+	return router->bounds.discover_instances ? 1000 + (int64_t)router->bounds.retry_budget_slack * 600 / n : ROUTER_RETRY_BUDGET_MAX_MILLI;
 }
 
 /* What every send costs and earns, whatever its door. */
-static void count_send(struct router *c, struct client_request *x, const struct plan *pl, int64_t now)
+static void count_send(struct router *router, struct client_request *request, const struct plan *plan, int64_t now)
 {
-	c->n.sends++;
-	c->budget[x->service] += c->b.instances ? c->b.budget_mille * 3 / 4 : ROUTER_BUDGET;
-	if (c->budget[x->service] > budget_cap(c))
-		c->budget[x->service] = budget_cap(c);
-	c->n.tokens += router_tokens_upto(x, x->nparts) + x->tail_tokens;
-	c->n.reused += router_tokens_upto(x, pl->keep);
-	c->n.fetched += pl->from >= 0 ? router_tokens_upto(x, pl->upto) - router_tokens_upto(x, pl->keep) : 0;
-	c->n.cold += !relay_current(&c->relay, now);
-	router_use_of(c, x)->value.tokens += router_tokens_upto(x, x->nparts) + x->tail_tokens;
-	router_use_of(c, x)->value.reused += router_tokens_upto(x, pl->keep);
+	router->stats.sends++;
+	router->retry_budget[request->service_index] += router->bounds.discover_instances ? router->bounds.retry_budget_permille * 3 / 4 : ROUTER_RETRY_EARNED_PER_SEND_MILLI;
+	if (router->retry_budget[request->service_index] > budget_cap(router))
+		router->retry_budget[request->service_index] = budget_cap(router);
+	router->stats.tokens += router_tokens_of_blocks(request, request->block_count) + request->tail_tokens;
+	router->stats.reused += router_tokens_of_blocks(request, plan->cached_blocks);
+	router->stats.fetched += plan->fetch_source >= 0 ? router_tokens_of_blocks(request, plan->fetch_end) - router_tokens_of_blocks(request, plan->cached_blocks) : 0;
+	router->stats.sends_without_cache += !relay_is_current(&router->relay, now);
+	router_usage_of(router, request)->value.tokens += router_tokens_of_blocks(request, request->block_count) + request->tail_tokens;
+	router_usage_of(router, request)->value.reused += router_tokens_of_blocks(request, plan->cached_blocks);
 }
 
 /* The one place where an exchange leaves for a server. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-static void send_to(struct router *c, struct client_request *x, const struct plan *pl, int64_t now, struct out *o)
+static void send_to(struct router *c, struct client_request *request, const struct plan *plan, int64_t now, struct out *o)
 {
-	const struct route_table *b = c->route_table;
-	struct router_server *v = &c->sv[pl->server];
-	struct json_object *j = json_object_new_object(), *a;
-	struct cmd *k;
+	const struct route_table *routes = c->route_table;
+	struct router_server_state *server = &c->servers[plan->server_index];
+	struct json_object *object = json_object_new_object(), *array;
+	struct command *command;
 	double read;
 
-	x->state = REQUEST_RUNNING;
-	x->server = pl->server;
-	x->weights = v->weights;
-	x->stamp = c->relay.k.horizon;
-	x->sent_at = now;
-	x->sends++;
-	x->next = 0;
-	x->from = pl->from;
-	x->fetch_ms = (uint32_t)(pl->fetch + 0.5);
-	x->call = router_token_new(c);
-	hmput(c->by, x->call, x);
-	x->xid = apr_psprintf(x->p, "%016" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT "-%d", c->id, x->seq, x->sends);
-	v->own++;
-	json_object_object_add(j, "x", json_object_new_string(x->xid));
-	json_object_object_add(j, "id", json_object_new_string(x->id));
-	json_object_object_add(j, "tenant", json_object_new_string(c->tenants.name[x->tenant]));
-	json_object_object_add(j, "weights", json_object_new_string(c->weights.name[x->weights]));
-	json_object_object_add(j, "stamp", json_object_new_int64((int64_t)x->stamp));
-	json_object_object_add(j, "limit_ms", json_object_new_int64(x->limit - now));
-	a = json_object_new_array();
-	for (int i = 0; i < x->nparts; i++) {
-		struct json_object *e = json_object_new_object();
-
-		json_object_object_add(e, "h", json_object_new_string(apr_psprintf(o->p, "%016" APR_UINT64_T_HEX_FMT, x->hash[i])));
-		json_object_object_add(e, "text", json_object_new_string(x->text[i]));
-		json_object_array_add(a, e);
+	request->state = REQUEST_RUNNING;
+	request->server_index = plan->server_index;
+	request->weights = server->weights;
+	request->stamp_tick = c->relay.knowledge.horizon;
+	request->sent_at_ms = now;
+	request->attempt_count++;
+	request->next_chunk = 0;
+	request->fetch_source = plan->fetch_source;
+	request->expected_fetch_ms = (uint32_t)(plan->fetch_ms + 0.5);
+	request->call_token = router_token_new(c);
+	hmput(c->requests_by_token, request->call_token, request);
+	request->attempt_id = apr_psprintf(request->pool, "%016" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT "-%d", c->id, request->seq, request->attempt_count);
+	server->own_running++;
+	json_object_object_add(object, "x", json_object_new_string(request->attempt_id));
+	json_object_object_add(object, "id", json_object_new_string(request->id));
+	json_object_object_add(object, "tenant", json_object_new_string(c->tenant_names.names[request->tenant_index]));
+	json_object_object_add(object, "weights", json_object_new_string(c->weights_names.names[request->weights]));
+	json_object_object_add(object, "stamp", json_object_new_int64((int64_t)request->stamp_tick));
+	json_object_object_add(object, "limit_ms", json_object_new_int64(request->deadline_at_ms - now));
+	array = json_object_new_array();
+	for (int i = 0; i < request->block_count; i++) {
+		struct json_object *json = json_object_new_object();
+
+		json_object_object_add(json, "h", json_object_new_string(apr_psprintf(o->pool, "%016" APR_UINT64_T_HEX_FMT, request->block_hash[i])));
+		json_object_object_add(json, "text", json_object_new_string(request->block_text[i]));
+		json_object_array_add(array, json);
 	}
-	json_object_object_add(j, "parts", a);
-	json_object_object_add(j, "tail", json_object_new_string(x->tail));
-	a = json_object_new_array();
-	for (int i = 0; i < pl->keep; i++)
+	json_object_object_add(object, "parts", array);
+	json_object_object_add(object, "tail", json_object_new_string(request->tail_text));
+	array = json_object_new_array();
+	for (int i = 0; i < plan->cached_blocks; i++)
 		json_object_array_add(
-		    a, copy_json(c, x->hash[i], router_usable(c, x, x->hash[i], (uint32_t)pl->server, x->weights), o->p));
-	json_object_object_add(j, "reuse", a);
-	if (pl->from >= 0) {
-		struct json_object *f = json_object_new_object();
+		    array, copy_json(c, request->block_hash[i], router_usable_replica(c, request, request->block_hash[i], (uint32_t)plan->server_index, request->weights), o->pool));
+	json_object_object_add(object, "reuse", array);
+	if (plan->fetch_source >= 0) {
+		struct json_object *fetch = json_object_new_object();
 
-		a = json_object_new_array();
-		for (int i = pl->keep; i < pl->upto; i++)
+		array = json_object_new_array();
+		for (int i = plan->cached_blocks; i < plan->fetch_end; i++)
 			json_object_array_add(
-			    a, copy_json(c, x->hash[i], router_usable(c, x, x->hash[i], (uint32_t)pl->from, x->weights), o->p));
-		json_object_object_add(f, "from", json_object_new_string(c->server_table->server[pl->from].addr));
-		json_object_object_add(f, "parts", a);
+			    array, copy_json(c, request->block_hash[i], router_usable_replica(c, request, request->block_hash[i], (uint32_t)plan->fetch_source, request->weights), o->pool));
+		json_object_object_add(fetch, "from", json_object_new_string(c->server_table->servers[plan->fetch_source].addr));
+		json_object_object_add(fetch, "parts", array);
 		/* no longer than reading them anew would take */
-		read = (double)(router_tokens_upto(x, pl->upto) - router_tokens_upto(x, pl->keep)) / b->service[x->service].prefill;
-		json_object_object_add(f, "wait_ms",
+		read = (double)(router_tokens_of_blocks(request, plan->fetch_end) - router_tokens_of_blocks(request, plan->cached_blocks)) / routes->services[request->service_index].prefill_tokens_per_ms;
+		json_object_object_add(fetch, "wait_ms",
 				       json_object_new_int(read < 1                   ? 1
-							   : read > ROUTER_FETCH_MOST ? ROUTER_FETCH_MOST
+							   : read > ROUTER_FETCH_MAX_WAIT_MS ? ROUTER_FETCH_MAX_WAIT_MS
 										      : (int)read));
-		json_object_object_add(j, "fetch", f);
+		json_object_object_add(object, "fetch", fetch);
 	}
-	k = out_cmd(o, CMD_CALL);
-	k->u.call.token = x->call;
-	k->u.call.addr = apr_pstrdup(o->p, c->server_table->server[pl->server].addr);
-	k->u.call.path = "/v1/run";
-	k->u.call.body =
-	    apr_pstrdup(o->p, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE));
-	k->u.call.limit_ms = (int)(x->limit - now);
-	k->u.call.stream = 1;
-	k->u.call.not_after = c->f.fresh + router_ride(c) + 200; /* a frozen process must not send what was decided before */
-	json_object_put(j);
-	count_send(c, x, pl, now);
+	command = command_add(o, CMD_CALL);
+	command->args.call.token = request->call_token;
+	command->args.call.addr = apr_pstrdup(o->pool, c->server_table->servers[plan->server_index].addr);
+	command->args.call.path = "/v1/run";
+	command->args.call.body =
+	    apr_pstrdup(o->pool, json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE));
+	command->args.call.limit_ms = (int)(request->deadline_at_ms - now);
+	command->args.call.stream = 1;
+	command->args.call.not_after_ms = c->config_watch.fetched_at_ms + router_max_staleness_ms(c) + 200; /* a frozen process must not send what was decided before */
+	json_object_put(object);
+	count_send(c, request, plan, now);
 }
 
 /* How long a server may work at a request. Shortly before the end of its weights not longer than until then: a server that goes on
  * with a request after its connection has closed would begin it past their bound, and turns away what its deadline has passed for. */
-static int server_limit(const struct router *c, const struct client_request *x, int64_t now)
+static int server_limit(const struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t limit = x->limit - now, weights = router_weights_end(c, x->service, x->weights, now);
+	int64_t limit = request->deadline_at_ms - now, weights = router_weights_end(router, request->service_index, request->weights, now);
 
-	if (weights != INT64_MAX && weights - now < ROUTER_ROLL_CAP && weights - now < limit)
+	if (weights != INT64_MAX && weights - now < ROUTER_ROLLOUT_DEADLINE_MARGIN_MS && weights - now < limit)
 		limit = weights - now;
 	return (int)limit;
 }
 
-static struct decision_counts *decisions_of(struct router *c, const struct client_request *x)
+static struct decision_counts *decisions_of(struct router *router, const struct client_request *request)
 {
-	while (arrlen(c->decisions) <= (ptrdiff_t)x->lane)
-		arrput(c->decisions, NULL);
-	if (!c->decisions[x->lane])
-		c->decisions[x->lane] = apr_pcalloc(c->p, sizeof **c->decisions);
-	return c->decisions[x->lane];
+	while (arrlen(router->decision_counts) <= (ptrdiff_t)request->route_index)
+		arrput(router->decision_counts, NULL);
+	if (!router->decision_counts[request->route_index])
+		router->decision_counts[request->route_index] = apr_pcalloc(router->pool, sizeof **router->decision_counts);
+	return router->decision_counts[request->route_index];
 }
 
 /* What was decided and is expected of it. */
-static void record_decision(struct router *c, struct client_request *x, const struct plan *pl, int64_t now)
+static void record_decision(struct router *router, struct client_request *request, const struct plan *plan, int64_t now)
 {
-	int shared = x->nparts > 1 ? x->nparts - 1 : x->nparts, have = pl->from >= 0 ? pl->upto : pl->keep;
-	uint64_t lacks = have < shared ? router_tokens_upto(x, shared) - router_tokens_upto(x, have) : 0;
-	struct decision_counts *n = decisions_of(c, x);
-
-	x->decision = (struct decision){
-		.reason = pl->reason,
-		.candidates = pl->candidates,
-		.kept = (uint32_t)router_tokens_upto(x, pl->keep),
-		.moved = (uint32_t)(router_tokens_upto(x, have) - router_tokens_upto(x, pl->keep)),
-		.read = x->ahead,
-		.shared = (uint32_t)lacks,
-		.older = x->weights != c->route_table->service[x->service].weights,
-		.wait_ms = (int)x->guess,
-		.open = 1,
+	int shared = request->block_count > 1 ? request->block_count - 1 : request->block_count, have = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
+	uint64_t uncached = have < shared ? router_tokens_of_blocks(request, shared) - router_tokens_of_blocks(request, have) : 0;
+	struct decision_counts *counts = decisions_of(router, request);
+
+	request->decision = (struct decision){
+		.reason = plan->reason,
+		.candidates = plan->candidates,
+		.cached_tokens = (uint32_t)router_tokens_of_blocks(request, plan->cached_blocks),
+		.fetched_tokens = (uint32_t)(router_tokens_of_blocks(request, have) - router_tokens_of_blocks(request, plan->cached_blocks)),
+		.prefill_tokens = request->prefill_tokens,
+		.shared_prefill_tokens = (uint32_t)uncached,
+		.uses_older_weights = request->weights != router->route_table->services[request->service_index].target_weights,
+		.expected_ms = (int)request->expected_first_chunk_ms,
+		.awaiting_first_piece = 1,
 	};
-	n->looked_up += x->lookup == LOOKUP_ANSWERED;
-	n->looked_up_late += x->lookup == LOOKUP_MISSED;
-	decision_count(n, &x->decision, now - (x->given_back_at ? x->given_back_at : x->since_at));
+	counts->lookups_answered += request->lookup_state == LOOKUP_ANSWERED;
+	counts->lookups_missed += request->lookup_state == LOOKUP_MISSED;
+	decision_count(counts, &request->decision, now - (request->returned_at_ms ? request->returned_at_ms : request->received_at_ms));
 }
 
 /* The text goes from the door; here is whom to, and what for. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-void router_forward(struct router *c, struct client_request *x, const struct plan *pl, int64_t now, struct out *o)
+void router_forward(struct router *router, struct client_request *request, const struct plan *plan, int64_t now, struct out *out)
 {
-	const struct route_table *b = c->route_table;
-	const struct bk_server *sv = &c->server_table->server[pl->server];
-	struct router_server *v = &c->sv[pl->server];
-	struct forward *f = apr_pcalloc(o->p, sizeof *f);
-	int current = relay_current(&c->relay, now);
+	const struct route_table *routes = router->route_table;
+	const struct server_config *config = &router->server_table->servers[plan->server_index];
+	struct router_server_state *server = &router->servers[plan->server_index];
+	struct forward *forward = apr_pcalloc(out->pool, sizeof *forward);
+	int current = relay_is_current(&router->relay, now);
 	int64_t last_send;
 
-	x->state = REQUEST_RUNNING;
-	x->server = pl->server;
-	x->weights = v->weights;
-	x->stamp = c->relay.k.horizon;
-	x->sent_at = now;
-	x->sends++;
-	x->from = pl->from;
-	x->first = 0;
-	x->call = router_token_new(c);
-	hmput(c->by, x->call, x);
-	x->ahead = (uint32_t)(router_tokens_upto(x, x->nparts) + x->tail_tokens -
-			      router_tokens_upto(x, pl->from >= 0 ? pl->upto : pl->keep));
-	x->guess = pl->cost + ROUTER_FIRST_MS;
-	v->own++;
-	v->ahead += x->ahead;
-	x->brings = router_brings(x, pl->keep);
-	v->tokens += x->brings;
-	f->call = x->call;
-	f->caller = x->token;
-	f->addr = sv->to;
-	f->server = c->servers.name[pl->server];
-	f->tenant = x->tenant == b->keyless ? NULL : c->tenants.name[x->tenant];
-	f->cache_namespace = current ? router_cache_namespace(c, x, v->weights, o->p)
-				     : apr_psprintf(o->p, "cold-%" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT, c->id, x->call);
-	x->cache_namespace = current ? core_hashs(0, f->cache_namespace) : 0;
-	x->filed = router_filed(c, x);
-	f->sink = current ? router_sink(c, x, x->cache_namespace, now) : 0;
-	if (pl->from >= 0 && pl->upto > pl->keep)
-		router_link_use(c, (uint32_t)pl->from, pl->move, now);
-	if (f->sink)
-		router_link_use(c, (uint32_t)router_store_of(c, x),
-				(double)x->ahead * b->service[x->service].kv_bytes /
-				    (b->service[x->service].store ? b->service[x->service].store : 1),
+	request->state = REQUEST_RUNNING;
+	request->server_index = plan->server_index;
+	request->weights = server->weights;
+	request->stamp_tick = router->relay.knowledge.horizon;
+	request->sent_at_ms = now;
+	request->attempt_count++;
+	request->fetch_source = plan->fetch_source;
+	request->first_chunk_at_ms = 0;
+	request->call_token = router_token_new(router);
+	hmput(router->requests_by_token, request->call_token, request);
+	request->prefill_tokens = (uint32_t)(router_tokens_of_blocks(request, request->block_count) + request->tail_tokens -
+			      router_tokens_of_blocks(request, plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks));
+	request->expected_first_chunk_ms = plan->cost_ms + ROUTER_FIRST_CHUNK_OVERHEAD_MS;
+	server->own_running++;
+	server->prefill_tokens += request->prefill_tokens;
+	request->uncached_tokens = router_uncached_tokens(request, plan->cached_blocks);
+	server->resident_tokens += request->uncached_tokens;
+	forward->call_token = request->call_token;
+	forward->client_token = request->token;
+	forward->addr = config->packed_addr;
+	forward->server = router->server_names.names[plan->server_index];
+	forward->tenant = request->tenant_index == routes->anonymous_tenant ? NULL : router->tenant_names.names[request->tenant_index];
+	forward->cache_namespace = current ? router_cache_namespace(router, request, server->weights, out->pool)
+				     : apr_psprintf(out->pool, "cold-%" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT, router->id, request->call_token);
+	request->cache_namespace = current ? core_hash_string(0, forward->cache_namespace) : 0;
+	request->namespace_key = router_namespace_key(router, request);
+	forward->offload_target = current ? router_offload_target(router, request, request->cache_namespace, now) : 0;
+	if (plan->fetch_source >= 0 && plan->fetch_end > plan->cached_blocks)
+		router_link_reserve(router, (uint32_t)plan->fetch_source, plan->transfer_ms, now);
+	if (forward->offload_target)
+		router_link_reserve(router, (uint32_t)router_store_of(router, request),
+				(double)request->prefill_tokens * routes->services[request->service_index].kv_bytes_per_token /
+				    (routes->services[request->service_index].store_bytes_per_ms ? routes->services[request->service_index].store_bytes_per_ms : 1),
 				now);
-	x->sink = f->sink ? router_store_of(c, x) : -1;
-	f->weights = c->weights.name[v->weights];
-	f->from = pl->from >= 0 ? c->server_table->server[pl->from].to : 0;
-	f->prio = (int)x->prio;
-	f->limit_ms = (int)(x->limit - now);
-	f->server_limit_ms = server_limit(c, x, now);
-	f->not_after = c->f.fresh + router_ride(c) + 200; /* a frozen process must not send what was decided before */
-	last_send = router_weights_last_send(c, x->service, x->weights, now);
-	if (f->not_after > last_send)
-		f->not_after = last_send;
-	router_weights_check_send(c, x, now);
-	f->since = x->since;
-	f->joined = x->begun;
-	f->stream = 1;
-	if (b->service[x->service].conns) {
-		int n = (int)(b->service[x->service].conns * 9 / 10 / (c->f.counters ? c->f.counters : 1));
-
-		f->most = n < 2 ? 2 : n;
+	request->offload_target = forward->offload_target ? router_store_of(router, request) : -1;
+	forward->weights = router->weights_names.names[server->weights];
+	forward->fetch_source = plan->fetch_source >= 0 ? router->server_table->servers[plan->fetch_source].packed_addr : 0;
+	forward->priority = (int)request->priority;
+	forward->client_timeout_ms = (int)(request->deadline_at_ms - now);
+	forward->server_timeout_ms = server_limit(router, request, now);
+	forward->not_after_ms = router->config_watch.fetched_at_ms + router_max_staleness_ms(router) + 200; /* a frozen process must not send what was decided before */
+	last_send = router_weights_last_send(router, request->service_index, request->weights, now);
+	if (forward->not_after_ms > last_send)
+		forward->not_after_ms = last_send;
+	router_weights_check_send(router, request, now);
+	forward->resume_after = request->last_event_id;
+	forward->headers_sent = request->has_begun;
+	forward->is_stream = 1;
+	if (routes->services[request->service_index].max_connections) {
+		int n = (int)(routes->services[request->service_index].max_connections * 9 / 10 / (router->config_watch.router_count ? router->config_watch.router_count : 1));
+
+		forward->max_connections = n < 2 ? 2 : n;
 	}
-	f->repeatable = x->repeatable || x->resumable;
-	record_decision(c, x, pl, now);
-	c->load_changed = 1;
-	out_cmd(o, CMD_FORWARD)->u.forward = f;
-	if (x->sends > 1)
-		x->resend_paid = 0; /* a resend earns nothing; what was set aside for it is spent */
-	else if (!x->unreached)
-		count_send(c, x, pl, now);
+	forward->idempotent = request->idempotent || request->resumable;
+	record_decision(router, request, plan, now);
+	router->load_changed = 1;
+	command_add(out, CMD_FORWARD)->args.forward = forward;
+	if (request->attempt_count > 1)
+		request->retry_reserved = 0; /* a resend earns nothing; what was set aside for it is spent */
+	else if (!request->unreachable_count)
+		count_send(router, request, plan, now);
 }
 
-void router_send_claimed(struct router *c, struct client_request *x, int64_t now, struct out *o)
+void router_send_claimed(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	struct plan pl = { .server = -1, .from = -1 };
+	struct plan plan = { .server_index = -1, .fetch_source = -1 };
 
-	if (now >= x->limit) {
-		c->n.refused_limit++;
-		router_refuse(c, x, 503, "the limit passed before a send", ROUTER_RETRY, now, o);
+	if (now >= request->deadline_at_ms) {
+		router->stats.refused_deadline++;
+		router_refuse(router, request, 503, "the limit passed before a send", ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
-	if (x->server >= 0) { /* the place that was held for it */
-		c->sv[x->server].own--;
-		x->server = -1;
+	if (request->server_index >= 0) { /* the place that was held for it */
+		router->servers[request->server_index].own_running--;
+		request->server_index = -1;
 	}
-	if (!x->forwarded && now - x->claim_from > ROUTER_CLAIM_HOLD) { /* it must outlast what is sent under it */
-		router_refuse(c, x, 503, "no server could take it for long", ROUTER_RETRY, now, o);
+	if (!request->is_forwarded && now - request->claim_started_at_ms > ROUTER_CLAIM_MAX_AGE_MS) { /* it must outlast what is sent under it */
+		router_refuse(router, request, 503, "no server could take it for long", ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
-	if (config_watch_age(&c->f, now) <= router_ride(c))
-		pl = x->forwarded ? router_assign_forward(c, x, now) : router_assign(c, x, now);
-	if (pl.server < 0)
-		router_queue_return(c, x, now); /* its place went to another router's, or this router must hear the owner first */
-	else if (x->forwarded)
-		router_forward(c, x, &pl, now, o);
+	if (config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router))
+		plan = request->is_forwarded ? router_placement_forwarded(router, request, now) : router_placement_claimed(router, request, now);
+	if (plan.server_index < 0)
+		router_queue_return(router, request, now); /* its place went to another router's, or this router must hear the owner first */
+	else if (request->is_forwarded)
+		router_forward(router, request, &plan, now, out);
 	else
-		send_to(c, x, &pl, now, o);
+		send_to(router, request, &plan, now, out);
 }
 
 /* ---- answers ------------------------------------------------------------------------------ */
 
 /* Who was asked is not the owner, and may know who is. A late word about another guess moves nothing. */
-static void claim_hint(struct router *c, uint32_t service, uint64_t asked, uint64_t from, uint64_t hint)
+static void claim_hint(struct router *router, uint32_t service, uint64_t requested_addr, uint64_t from, uint64_t hint)
 {
-	if (asked == from && config_watch_leader_addr(&c->f, router_part_of(c, service)) == asked)
-		config_watch_hint(&c->f, router_part_of(c, service), hint == from ? 0 : hint);
+	if (requested_addr == from && config_watch_leader_addr(&router->config_watch, router_shard_of(router, service)) == requested_addr)
+		config_watch_hint(&router->config_watch, router_shard_of(router, service), hint == from ? 0 : hint);
 }
 
-void router_on_answer(struct router *c, const struct Nl__Answer *a, uint64_t from, int64_t now, struct out *o)
+void router_on_answer(struct router *router, const struct Nl__Answer *answer, uint64_t from, int64_t now, struct out *out)
 {
-	struct client_request *x = router_request_by(c, a->token);
-
-	for (ptrdiff_t i = 0; i < arrlen(c->release); i++)
-		if (c->release[i].token == a->token) {
-			if (a->status == TABLE_NOT_OWNER) {
-				claim_hint(c, c->release[i].service, c->release[i].asked, from, a->hint);
-				c->release[i].at = now - ROUTER_CLAIM_WAIT + 50;
-				c->release[i].asked = 0;
-			} else if (a->status != TABLE_BUSY) {
-				router_release_end(c, i);
+	struct client_request *request = router_request_by_token(router, answer->token);
+
+	for (ptrdiff_t i = 0; i < arrlen(router->claim_releases); i++)
+		if (router->claim_releases[i].token == answer->token) {
+			if (answer->status == PROPOSAL_NOT_LEADER) {
+				claim_hint(router, router->claim_releases[i].service, router->claim_releases[i].leader_addr, from, answer->hint);
+				router->claim_releases[i].sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + 50;
+				router->claim_releases[i].leader_addr = 0;
+			} else if (answer->status != PROPOSAL_OUTCOME_UNKNOWN) {
+				router_release_end(router, i);
 			}
 			return;
 		}
-	if (!x || x->state != REQUEST_CLAIMING || x->claim != a->token || x->claimed)
+	if (!request || request->state != REQUEST_CLAIMING || request->claim_token != answer->token || request->is_claimed)
 		return;
-	switch (a->status) {
-	case TABLE_DONE:
-		x->claimed = 1;
-		config_watch_hint(&c->f, router_part_of(c, x->service), from); /* who answers owns */
-		router_send_claimed(c, x, now, o);
+	switch (answer->status) {
+	case PROPOSAL_DONE:
+		request->is_claimed = 1;
+		config_watch_hint(&router->config_watch, router_shard_of(router, request->service_index), from); /* who answers owns */
+		router_send_claimed(router, request, now, out);
 		break;
-	case TABLE_NOT_OWNER:
-		claim_hint(c, x->service, x->asked, from, a->hint);
-		x->asked = 0;                               /* it did answer */
-		x->claim_at = now - ROUTER_CLAIM_WAIT + 20; /* ask the one named, soon */
+	case PROPOSAL_NOT_LEADER:
+		claim_hint(router, request->service_index, request->claim_leader_addr, from, answer->hint);
+		request->claim_leader_addr = 0;                               /* it did answer */
+		request->claim_sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + 20; /* ask the one named, soon */
 		break;
-	case TABLE_BUSY: x->claim_at = now - ROUTER_CLAIM_WAIT + 50; break;
-	default: router_reject(c, x, 409, "id: claimed by an earlier asking", now, o);
+	case PROPOSAL_OUTCOME_UNKNOWN: request->claim_sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + 50; break;
+	default: router_reject(router, request, 409, "id: claimed by an earlier asking", now, out);
 	}
 }
 
-static void whole(struct router *c, struct client_request *x, int64_t now, struct out *o)
+static void whole(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	struct router_server *v = &c->sv[x->server];
+	struct router_server_state *v = &router->servers[request->server_index];
 	const char *body =
-	    apr_psprintf(o->p, "{\"end\":true,\"pieces\":%" APR_UINT64_T_FMT ",\"exchange\":\"%s\"}\n", x->next, x->xid);
+	    apr_psprintf(out->pool, "{\"end\":true,\"pieces\":%" APR_UINT64_T_FMT ",\"exchange\":\"%s\"}\n", request->next_chunk, request->attempt_id);
 
-	v->mean_ms += ((double)(now - x->sent_at) - v->mean_ms) / 8;
-	for (int i = 0; i < x->nparts; i++) { /* kept there now, until a report says otherwise */
-		struct kept_copy n = { (uint32_t)x->server, x->tenant, x->service, x->weights, x->stamp, v->asked + 1 };
-		const struct kept_copy *old = router_usable(c, x, x->hash[i], (uint32_t)x->server, x->weights);
+	v->average_run_ms += ((double)(now - request->sent_at_ms) - v->average_run_ms) / 8;
+	for (int i = 0; i < request->block_count; i++) { /* kept there now, until a report says otherwise */
+		struct block_replica n = { (uint32_t)request->server_index, request->tenant_index, request->service_index, request->weights, request->stamp_tick, v->poll_sequence + 1 };
+		const struct block_replica *old = router_usable_replica(router, request, request->block_hash[i], (uint32_t)request->server_index, request->weights);
 
 		if (!old &&
-		    view_allows(&c->relay.w, c->services.name[x->service], c->weights.name[x->weights], c->tenants.name[x->tenant],
-				c->servers.name[x->server], x->stamp) &&
-		    router_keeps(c, x->service, x->tenant, x->hash[i], x->stamp))
-			kept_put(&c->kept, x->hash[i], &n);
+		    purge_view_allows(&router->relay.view, router->service_names.names[request->service_index], router->weights_names.names[request->weights], router->tenant_names.names[request->tenant_index],
+				router->server_names.names[request->server_index], request->stamp_tick) &&
+		    router_retains(router, request->service_index, request->tenant_index, request->block_hash[i], request->stamp_tick))
+			prefix_index_put(&router->prefix_index, request->block_hash[i], &n);
 	}
-	router_request_end(c, x, &(struct request_ending){ REQUEST_ANSWERED, 200, body, 0 }, now, o);
+	router_request_end(router, request, &(struct request_ending){ REQUEST_ANSWERED, 200, body, 0 }, now, out);
 }
 
 /* One line of a server's stream: bound to this send, in order, else it is no answer. */
-void router_on_piece(struct router *c, struct client_request *x, const char *text, int64_t now, struct out *o)
+void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text, int64_t now, struct out *out)
 {
-	struct json_object *j = router_read_json(c, text), *v, *n, *t;
-	struct cmd *k;
+	struct json_object *json = router_read_json(router, text), *v, *n, *t;
+	struct command *command;
 
-	if (!json_object_is_type(j, json_type_object) || !json_object_object_get_ex(j, "x", &v) ||
-	    !json_object_is_type(v, json_type_string) || strcmp(json_object_get_string(v), x->xid) ||
-	    !json_object_object_get_ex(j, "n", &n) || json_object_get_uint64(n) != x->next) {
-		router_give_up(c, x, 502, "the server's answer does not belong to this exchange", now, o);
+	if (!json_object_is_type(json, json_type_object) || !json_object_object_get_ex(json, "x", &v) ||
+	    !json_object_is_type(v, json_type_string) || strcmp(json_object_get_string(v), request->attempt_id) ||
+	    !json_object_object_get_ex(json, "n", &n) || json_object_get_uint64(n) != request->next_chunk) {
+		router_break_off(router, request, 502, "the server's answer does not belong to this exchange", now, out);
 		goto end;
 	}
-	if (json_object_object_get_ex(j, "end", &v)) {
-		if (x->from >= 0 && json_object_object_get_ex(j, "fetch_ms", &t))
-			router_learn_fetch(c, x, json_object_get_int64(t),
-					   json_object_object_get_ex(j, "fetched", &v) ? json_object_get_int(v) : 0, now);
-		whole(c, x, now, o);
+	if (json_object_object_get_ex(json, "end", &v)) {
+		if (request->fetch_source >= 0 && json_object_object_get_ex(json, "fetch_ms", &t))
+			router_record_fetch(router, request, json_object_get_int64(t),
+					   json_object_object_get_ex(json, "fetched", &v) ? json_object_get_int(v) : 0, now);
+		whole(router, request, now, out);
 		goto end;
 	}
-	if (!json_object_object_get_ex(j, "t", &t)) {
-		router_give_up(c, x, 502, "the server's answer is not whole", now, o);
+	if (!json_object_object_get_ex(json, "t", &t)) {
+		router_break_off(router, request, 502, "the server's answer is not whole", now, out);
 		goto end;
 	}
-	k = out_cmd(o, CMD_PIECE);
-	k->u.piece.token = x->token;
-	k->u.piece.body = apr_psprintf(o->p, "{\"n\":%" APR_UINT64_T_FMT ",\"text\":%s}\n", x->next,
+	command = command_add(out, CMD_STREAM_CHUNK);
+	command->args.stream_chunk.token = request->token;
+	command->args.stream_chunk.body = apr_psprintf(out->pool, "{\"n\":%" APR_UINT64_T_FMT ",\"text\":%s}\n", request->next_chunk,
 				       json_object_to_json_string_ext(t, JSON_C_TO_STRING_PLAIN));
-	k->u.piece.len = strlen(k->u.piece.body);
-	x->begun = 1;
-	x->next++;
-	c->n.pieces++;
+	command->args.stream_chunk.len = strlen(command->args.stream_chunk.body);
+	request->has_begun = 1;
+	request->next_chunk++;
+	router->stats.chunks++;
 end:
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 }
 
 /* Its server has nothing more to do with it; it keeps its place, until it is sent again or goes back to its line. */
-static void given_back(struct router *c, struct client_request *x, int64_t now)
+static void release_server(struct router *router, struct client_request *request, int64_t now)
 {
-	struct router_server *v = &c->sv[x->server];
+	struct router_server_state *server = &router->servers[request->server_index];
 
-	v->own--;
-	if (x->forwarded) {
-		v->ahead -= x->ahead;
-		v->tokens -= x->brings;
-		x->ahead = 0;
+	server->own_running--;
+	if (request->is_forwarded) {
+		server->prefill_tokens -= request->prefill_tokens;
+		server->resident_tokens -= request->uncached_tokens;
+		request->prefill_tokens = 0;
 	}
-	x->tried = (uint32_t)x->server;
-	x->tried_until = now + ROUTER_AVOID;
-	x->given_back_at = now;
-	x->server = -1;
-	x->state = REQUEST_CLAIMING;
+	request->avoided_server = (uint32_t)request->server_index;
+	request->avoided_until_ms = now + ROUTER_AVOID_SERVER_MS;
+	request->returned_at_ms = now;
+	request->server_index = -1;
+	request->state = REQUEST_CLAIMING;
 }
 
-void router_on_done(struct router *c, struct client_request *x, const typeof(((struct router_ev *)0)->u.done) *d, int64_t now,
-		    struct out *o)
+void router_on_done(struct router *router, struct client_request *request, const typeof(((struct router_event *)0)->u.call_ended) *result, int64_t now,
+		    struct out *out)
 {
-	(void)hmdel(c->by, x->call);
-	x->call = 0;
-	if (!d->never || x->next) {
-		router_give_up(c, x, 502, "the server's answer broke off", now, o);
+	(void)hmdel(router->requests_by_token, request->call_token);
+	request->call_token = 0;
+	if (!result->not_started || request->next_chunk) {
+		router_break_off(router, request, 502, "the server's answer broke off", now, out);
 		return;
 	}
 	/* it surely never began: another server may have it, within the budget */
-	if (d->status == 0)
-		c->sv[x->server].bad_until = now + ROUTER_BAD;
-	given_back(c, x, now);
-	if (c->budget[x->service] < ROUTER_RESEND_COST) {
-		router_refuse(c, x, 503, "the server refused, and the budget for resends is spent", ROUTER_RETRY, now, o);
+	if (result->status == 0)
+		router->servers[request->server_index].unavailable_until_ms = now + ROUTER_UNREACHABLE_BACKOFF_MS;
+	release_server(router, request, now);
+	if (router->retry_budget[request->service_index] < ROUTER_RETRY_COST_MILLI) {
+		router_refuse(router, request, 503, "the server refused, and the budget for resends is spent", ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
-	c->budget[x->service] -= ROUTER_RESEND_COST + ROUTER_BUDGET; /* a resend earns nothing */
-	c->n.resends++;
-	router_send_claimed(c, x, now, o);
+	router->retry_budget[request->service_index] -= ROUTER_RETRY_COST_MILLI + ROUTER_RETRY_EARNED_PER_SEND_MILLI; /* a resend earns nothing */
+	router->stats.resends++;
+	router_send_claimed(router, request, now, out);
 }
 
 /* ---- forwarded sends -------------------------------------------------------------------------- */
 
-void router_on_began(struct router *c, struct client_request *x, const char *weights, int64_t now)
+void router_on_began(struct router *router, struct client_request *request, const char *weights, int64_t now)
 {
-	struct router_server *v = &c->sv[x->server];
+	struct router_server_state *server = &router->servers[request->server_index];
 	double late;
 
-	x->begun = 1;
-	if (x->first)
+	request->has_begun = 1;
+	if (request->first_chunk_at_ms)
 		return;
-	x->first = now;
-	decision_began(decisions_of(c, x), &x->decision, now - x->sent_at);
-	c->load_changed = 1;
-	router_weights_check_begin(c, x, now);
-	v->ahead -= x->ahead;
-	x->ahead = 0;
-	late = (double)(now - x->sent_at) - x->guess;
-	late = late < 0 ? 0 : late > ROUTER_LATE_MOST ? ROUTER_LATE_MOST : late;
-	v->late_ms = v->late_ms * 3 / 4 + late / 4;
-	v->late_at = now;
-	if (weights && strcmp(weights, c->weights.name[x->weights]))
+	request->first_chunk_at_ms = now;
+	decision_began(decisions_of(router, request), &request->decision, now - request->sent_at_ms);
+	router->load_changed = 1;
+	router_weights_check_begin(router, request, now);
+	server->prefill_tokens -= request->prefill_tokens;
+	request->prefill_tokens = 0;
+	late = (double)(now - request->sent_at_ms) - request->expected_first_chunk_ms;
+	late = late < 0 ? 0 : late > ROUTER_LATENESS_MAX_MS ? ROUTER_LATENESS_MAX_MS : late;
+	server->lateness_ms = server->lateness_ms * 3 / 4 + late / 4;
+	server->lateness_observed_at_ms = now;
+	if (weights && strcmp(weights, router->weights_names.names[request->weights]))
 		return;                                             /* not under the weights that its cache_namespace says */
-	for (int i = 0; x->cache_namespace && i < x->nparts; i++) { /* kept there now, until it is said to be gone */
-		struct kept_copy n = { (uint32_t)x->server, 0, x->service, x->weights, x->stamp, x->filed };
+	for (int i = 0; request->cache_namespace && i < request->block_count; i++) { /* kept there now, until it is said to be gone */
+		struct block_replica replica = { (uint32_t)request->server_index, 0, request->service_index, request->weights, request->stamp_tick, request->namespace_key };
 
-		kept_put(&c->kept, router_kept_key(x->cache_namespace, x->hash[i]), &n);
-		n.server = (uint32_t)x->sink;
-		if (x->sink >= 0)
-			kept_put(&c->kept, router_kept_key(x->cache_namespace, x->hash[i]), &n);
+		prefix_index_put(&router->prefix_index, router_block_key(request->cache_namespace, request->block_hash[i]), &replica);
+		replica.server_index = (uint32_t)request->offload_target;
+		if (request->offload_target >= 0)
+			prefix_index_put(&router->prefix_index, router_block_key(request->cache_namespace, request->block_hash[i]), &replica);
 	}
 }
 
-static void learn_load(struct router *c, uint32_t s, const struct router_ended *e, int64_t now)
+static void learn_load(struct router *router, uint32_t server_index, const struct forward_result *ended, int64_t now)
 {
-	struct router_server *v = &c->sv[s];
+	struct router_server_state *server = &router->servers[server_index];
 
-	if (e->slots > 0 && e->running >= 0 && e->waiting >= 0 && e->running + e->waiting < 100000) {
-		v->others = e->running + e->waiting > v->own ? e->running + e->waiting - v->own : 0;
-		v->others_at = now;
+	if (ended->slots > 0 && ended->running >= 0 && ended->waiting >= 0 && ended->running + ended->waiting < 100000) {
+		server->others_running = ended->running + ended->waiting > server->own_running ? ended->running + ended->waiting - server->own_running : 0;
+		server->others_observed_at_ms = now;
 	}
-	if (e->how != ROUTER_BROKE) {
-		v->failed = v->failed * 7 / 8;
+	if (ended->end != FORWARD_BROKEN_OFF) {
+		server->failure_rate = server->failure_rate * 7 / 8;
 	} else {
-		v->failed = v->failed * 7 / 8 + 1.0 / 8;
-		v->failed_at = now;
+		server->failure_rate = server->failure_rate * 7 / 8 + 1.0 / 8;
+		server->failure_observed_at_ms = now;
 	}
-	if (e->how == ROUTER_NEVER && !e->status) { /* its connection did not come up */
-		v->fails++;
-		v->bad_until = now + (v->fails > 3 ? 2 * ROUTER_BAD : ROUTER_BAD);
-	} else if (e->status) {
-		v->fails = 0;
+	if (ended->end == FORWARD_NOT_STARTED && !ended->status) { /* its connection did not come up */
+		server->connect_failures++;
+		server->unavailable_until_ms = now + (server->connect_failures > 3 ? 2 * ROUTER_UNREACHABLE_BACKOFF_MS : ROUTER_UNREACHABLE_BACKOFF_MS);
+	} else if (ended->status) {
+		server->connect_failures = 0;
 	}
-	if (e->how == ROUTER_NEVER && e->status == 503)
-		v->bad_until = now + ROUTER_FULL; /* full, or loading */
-	if (e->wrong_life) {
-		c->n.wrong_life++;
-		v->bad_until = now + ROUTER_BAD; /* the list will say who stands there */
+	if (ended->end == FORWARD_NOT_STARTED && ended->status == 503)
+		server->unavailable_until_ms = now + ROUTER_FULL_SERVER_BACKOFF_MS; /* full, or loading */
+	if (ended->wrong_incarnation) {
+		router->stats.wrong_incarnation++;
+		server->unavailable_until_ms = now + ROUTER_UNREACHABLE_BACKOFF_MS; /* the list will say who stands there */
 	}
-	if (e->weights && strlen(e->weights) < 128) {
-		int w = names_find(&c->weights, e->weights);
+	if (ended->weights && strlen(ended->weights) < 128) {
+		int weights = names_find(&router->weights_names, ended->weights);
 
-		if (w >= 0 || arrlen(c->weights.name) < ROUTER_WEIGHTS)
-			router_weights_learn(c, s, w >= 0 ? (uint32_t)w : names_id(&c->weights, e->weights));
+		if (weights >= 0 || arrlen(router->weights_names.names) < ROUTER_MAX_WEIGHTS_NAMES)
+			router_weights_learn(router, server_index, weights >= 0 ? (uint32_t)weights : names_id(&router->weights_names, ended->weights));
 	}
 }
 
 /* After a send that may have run: may the request be sent again at all? A stream that the caller has seen a part of goes on
  * only behind an event whose id is known. */
-static int may_repeat(const struct client_request *x)
+static int may_retry(const struct client_request *request)
 {
-	if (x->begun)
-		return x->resumable && x->since;
-	return x->repeatable || x->resumable;
+	if (request->has_begun)
+		return request->resumable && request->last_event_id;
+	return request->idempotent || request->resumable;
 }
 
 /* May another server have it? Within its own bound and the fleet's budget for the service. */
-static int again(const struct router *c, const struct client_request *x, int64_t now)
+static int again(const struct router *c, const struct client_request *request, int64_t now)
 {
-	return x->sends < x->attempts && x->unreached < ROUTER_UNREACHED &&
-	       (!x->sends || c->budget[x->service] >= ROUTER_RESEND_COST) && now + ROUTER_AGAIN_LEAST < x->limit;
+	return request->attempt_count < request->max_attempts && request->unreachable_count < ROUTER_MAX_UNREACHABLE_SENDS &&
+	       (!request->attempt_count || c->retry_budget[request->service_index] >= ROUTER_RETRY_COST_MILLI) && now + ROUTER_RETRY_MIN_REMAINING_MS < request->deadline_at_ms;
 }
 
 /* Set aside at once: it may wait in its line, and others be decided on meanwhile. */
-static void set_resend_aside(struct router *c, struct client_request *x)
+static void reserve_retry(struct router *router, struct client_request *request)
 {
-	x->resend_paid = x->sends > 0;
-	if (x->resend_paid)
-		c->budget[x->service] -= ROUTER_RESEND_COST;
-	c->n.resends++;
-	c->n.taken_up += x->begun != 0;
+	request->retry_reserved = request->attempt_count > 0;
+	if (request->retry_reserved)
+		router->retry_budget[request->service_index] -= ROUTER_RETRY_COST_MILLI;
+	router->stats.resends++;
+	router->stats.resumed += request->has_begun != 0;
 }
 
 /* Its server has nothing more to do with a request: another one may have it, or it ends. never: it surely has not run there. */
-static void send_again(struct router *c, struct client_request *x, int never, int64_t now, struct out *o)
+static void retry_or_end(struct router *router, struct client_request *request, int never, int64_t now, struct out *out)
 {
-	given_back(c, x, now);
-	if (!never && !may_repeat(x)) {
-		router_give_up(c, x, 502, "the server's answer broke off", now, o);
-	} else if (!again(c, x, now)) {
-		router_refuse(c, x, 503, "the server did not take it, and it may go to no other", ROUTER_SOON, now, o);
+	release_server(router, request, now);
+	if (!never && !may_retry(request)) {
+		router_break_off(router, request, 502, "the server's answer broke off", now, out);
+	} else if (!again(router, request, now)) {
+		router_refuse(router, request, 503, "the server did not take it, and it may go to no other", ROUTER_RETRY_FAST_MS, now, out);
 	} else {
-		set_resend_aside(c, x);
-		if (router_readmit(c, x, now, o))
-			router_send_claimed(c, x, now, o);
+		reserve_retry(router, request);
+		if (router_readmit(router, request, now, out))
+			router_send_claimed(router, request, now, out);
 	}
 }
 
-void router_on_ended(struct router *c, struct client_request *x, const struct router_ended *e, int64_t now, struct out *o)
+void router_on_ended(struct router *router, struct client_request *request, const struct forward_result *ended, int64_t now, struct out *out)
 {
-	uint32_t s = (uint32_t)x->server;
-	int unreached = e->how == ROUTER_NEVER && !e->status && !e->wrong_life;
-
-	(void)hmdel(c->by, x->call);
-	x->call = 0;
-	learn_load(c, s, e, now);
-	if (e->how != ROUTER_WHOLE)
-		decision_ended(decisions_of(c, x), &x->decision);
-	if (e->since)
-		x->since = apr_pstrdup(x->p, e->since);
-	x->next += e->pieces;
-	x->begun |= e->began;
-	x->ran |= e->how != ROUTER_NEVER;
+	uint32_t server_index = (uint32_t)request->server_index;
+	int unreached = ended->end == FORWARD_NOT_STARTED && !ended->status && !ended->wrong_incarnation;
+
+	(void)hmdel(router->requests_by_token, request->call_token);
+	request->call_token = 0;
+	learn_load(router, server_index, ended, now);
+	if (ended->end != FORWARD_COMPLETE)
+		decision_ended(decisions_of(router, request), &request->decision);
+	if (ended->last_event_id)
+		request->last_event_id = apr_pstrdup(request->pool, ended->last_event_id);
+	request->next_chunk += ended->chunks;
+	request->has_begun |= ended->has_begun;
+	request->may_have_run |= ended->end != FORWARD_NOT_STARTED;
 	if (unreached) { /* nobody heard of this send: it is no try, and what was set aside for it comes back */
-		x->unreached++;
-		if (--x->sends > 0)
-			c->budget[x->service] += ROUTER_RESEND_COST;
+		request->unreachable_count++;
+		if (--request->attempt_count > 0)
+			router->retry_budget[request->service_index] += ROUTER_RETRY_COST_MILLI;
 	}
-	if (e->how == ROUTER_WHOLE) {
-		if (!x->first)
-			router_on_began(c, x, e->weights, now);
-		c->sv[s].mean_ms += ((double)(now - x->sent_at) - c->sv[s].mean_ms) / 8;
-		router_request_end(c, x, &(struct request_ending){ REQUEST_ANSWERED, e->status, NULL, 0 }, now, o);
+	if (ended->end == FORWARD_COMPLETE) {
+		if (!request->first_chunk_at_ms)
+			router_on_began(router, request, ended->weights, now);
+		router->servers[server_index].average_run_ms += ((double)(now - request->sent_at_ms) - router->servers[server_index].average_run_ms) / 8;
+		router_request_end(router, request, &(struct request_ending){ REQUEST_ANSWERED, ended->status, NULL, 0 }, now, out);
 		return;
 	}
-	send_again(c, x, e->how == ROUTER_NEVER && !x->begun, now, o);
+	retry_or_end(router, request, ended->end == FORWARD_NOT_STARTED && !request->has_begun, now, out);
 }
 
-void router_take_back(struct router *c, struct client_request *x, int64_t now, struct out *o)
+void router_recall(struct router *router, struct client_request *request, int64_t now, struct out *out)
 {
-	out_cmd(o, CMD_CANCEL)->u.cancel.token = x->call;
-	(void)hmdel(c->by, x->call);
-	x->call = 0;
-	x->ran = 1; /* it may have begun just now */
-	send_again(c, x, 0, now, o);
+	command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
+	(void)hmdel(router->requests_by_token, request->call_token);
+	request->call_token = 0;
+	request->may_have_run = 1; /* it may have begun just now */
+	retry_or_end(router, request, 0, now, out);
 }
--- a/lib/data/router_watch.c
+++ b/lib/data/router_watch.c
@@ -11,294 +11,294 @@
 /* ---- reports ---------------------------------------------------------------------------------- */
 
 /* Names of weights come from reports too: a server may still have those from before. They are bounded. */
-static int weights_of(struct router *c, const char *name)
+static int weights_of(struct router *router, const char *name)
 {
-	int i = names_find(&c->weights, name);
+	int i = names_find(&router->weights_names, name);
 
-	return i >= 0 || strlen(name) > 128 || arrlen(c->weights.name) >= ROUTER_WEIGHTS ? i : (int)names_id(&c->weights, name);
+	return i >= 0 || strlen(name) > 128 || arrlen(router->weights_names.names) >= ROUTER_MAX_WEIGHTS_NAMES ? i : (int)names_id(&router->weights_names, name);
 }
 
 /* A report that cannot be read changes nothing, and is spoken of once. */
-static void odd_report(struct router *c, uint32_t s, const char *why)
+static void log_unreadable_report(struct router *router, uint32_t server_index, const char *reason)
 {
 	char line[300];
 
-	if (!c->sv[s].odd++ && c->log) {
+	if (!router->servers[server_index].unreadable_reports++ && router->log) {
 		apr_snprintf(line, sizeof line, "Step report: server %s: %s; it is passed over until it is mended.",
-			     c->servers.name[s], why);
-		c->log(c->log_ctx, "ctr", line);
+			     router->server_names.names[server_index], reason);
+		router->log(router->log_context, "ctr", line);
 	}
 }
 
-void router_on_report(struct router *c, uint32_t s, const char *body, int64_t now)
+void router_on_report(struct router *router, uint32_t server_index, const char *body, int64_t now)
 {
-	struct router_server *v = &c->sv[s];
-	struct json_object *j = router_read_json(c, body), *parts;
+	struct router_server_state *server = &router->servers[server_index];
+	struct json_object *report = router_read_json(router, body), *blocks;
 	const char *service;
-	int weights = json_object_is_type(j, json_type_object) ? weights_of(c, json_str(j, "weights")) : -1;
+	int weights = json_object_is_type(report, json_type_object) ? weights_of(router, json_string_member(report, "weights")) : -1;
 
-	if (weights < 0 || json_num(j, "slots") > 100000) {
-		odd_report(c, s, "its report cannot be read, or names what nobody knows");
+	if (weights < 0 || json_uint_member(report, "slots") > 100000) {
+		log_unreadable_report(router, server_index, "its report cannot be read, or names what nobody knows");
 		goto end;
 	}
-	v->odd = 0;
-	v->reported = now;
-	v->have = 1;
-	v->weights = (uint32_t)weights;
-	v->loading = json_str(j, "loading")[0] != 0;
-	v->slots = (int)json_num(j, "slots");
-	v->running = (int)json_num(j, "running");
-	v->others = v->running > v->own ? v->running - v->own : 0; /* what other routers run there */
-	if (!json_object_object_get_ex(j, "parts", &parts) || !json_object_is_type(parts, json_type_array)) {
-		if (json_num(j, "serial") != v->serial || json_num(j, "boot") != v->boot)
-			v->told = v->called = 0; /* what changed was lost on its way here: look ourselves */
+	server->unreadable_reports = 0;
+	server->reported_at_ms = now;
+	server->is_known = 1;
+	server->weights = (uint32_t)weights;
+	server->is_loading = json_string_member(report, "loading")[0] != 0;
+	server->slots = (int)json_uint_member(report, "slots");
+	server->running = (int)json_uint_member(report, "running");
+	server->others_running = server->running > server->own_running ? server->running - server->own_running : 0; /* what other routers run there */
+	if (!json_object_object_get_ex(report, "parts", &blocks) || !json_object_is_type(blocks, json_type_array)) {
+		if (json_uint_member(report, "serial") != server->report_serial || json_uint_member(report, "boot") != server->boot_id)
+			server->relayed_at_ms = server->polled_at_ms = 0; /* what changed was lost on its way here: look ourselves */
 		goto end;
 	}
-	v->serial = json_num(j, "serial");
-	v->boot = json_num(j, "boot");
-	service = c->services.name[c->server_table->server[s].service];
-	v->stale = 0;
-	v->counted = now;
-	for (size_t i = 0; i < json_object_array_length(parts) && i < ROUTER_KEPT; i++) {
-		struct json_object *e = json_object_array_get_idx(parts, i);
-		int maker = names_find(&c->tenants, json_str(e, "m")), made_under = weights_of(c, json_str(e, "w"));
-		struct kept_copy n = {
-			s, (uint32_t)maker, c->server_table->server[s].service, (uint32_t)made_under, json_num(e, "t"), v->asked
+	server->report_serial = json_uint_member(report, "serial");
+	server->boot_id = json_uint_member(report, "boot");
+	service = router->service_names.names[router->server_table->servers[server_index].service_index];
+	server->purged_blocks = 0;
+	server->inventory_at_ms = now;
+	for (size_t i = 0; i < json_object_array_length(blocks) && i < ROUTER_MAX_REPORTED_BLOCKS; i++) {
+		struct json_object *json = json_object_array_get_idx(blocks, i);
+		int maker = names_find(&router->tenant_names, json_string_member(json, "m")), made_under = weights_of(router, json_string_member(json, "w"));
+		struct block_replica replica = {
+			server_index, (uint32_t)maker, router->server_table->servers[server_index].service_index, (uint32_t)made_under, json_uint_member(json, "t"), server->poll_sequence
 		};
 
 		if (maker < 0 || made_under < 0)
 			continue; /* of nobody that the table ever named here */
 
 		/* a late report never revives what is withdrawn */
-		if (!router_keeps(c, n.service, n.maker, strtoull(json_str(e, "h"), NULL, 16), n.stamp))
-			v->stale++;
-		else if (view_allows(&c->relay.w, service, json_str(e, "w"), json_str(e, "m"), c->servers.name[s], n.stamp))
-			kept_put(&c->kept, strtoull(json_str(e, "h"), NULL, 16), &n);
+		if (!router_retains(router, replica.service_index, replica.tenant_index, strtoull(json_string_member(json, "h"), NULL, 16), replica.stamp_tick))
+			server->purged_blocks++;
+		else if (purge_view_allows(&router->relay.view, service, json_string_member(json, "w"), json_string_member(json, "m"), router->server_names.names[server_index], replica.stamp_tick))
+			prefix_index_put(&router->prefix_index, strtoull(json_string_member(json, "h"), NULL, 16), &replica);
 	}
-	kept_sweep(&c->kept, s, v->asked);
+	prefix_index_remove_unreported(&router->prefix_index, server_index, server->poll_sequence);
 end:
-	if (j)
-		json_object_put(j);
+	if (report)
+		json_object_put(report);
 }
 
 /* A relay looks for its zone: what it saw goes to its downstreams as it came. */
-void router_pass_report(struct router *c, uint32_t s, const char *body, struct out *o)
+void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct out *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(c->relay.down); i++) {
-		struct Nl__Report *r = OUT_NEW(o, Nl__Report, NL__REPORT__INIT);
+	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++) {
+		struct Nl__Report *report = OUT_NEW(out, Nl__Report, NL__REPORT__INIT);
 
-		r->server = apr_pstrdup(o->p, c->servers.name[s]);
-		r->body.len = strlen(body);
-		r->body.data = (uint8_t *)apr_pstrdup(o->p, body);
-		out_msg(o, c->relay.down[i].addr, 0, NL__MSG__BODY_REPORT)->report = r;
+		report->server = apr_pstrdup(out->pool, router->server_names.names[server_index]);
+		report->body.len = strlen(body);
+		report->body.data = (uint8_t *)apr_pstrdup(out->pool, body);
+		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_REPORT)->report = report;
 	}
 }
 
-void router_on_passed_report(struct router *c, const struct Nl__Report *r, int64_t now, struct out *o)
+void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct out *out)
 {
-	int s = names_find(&c->servers, r->server);
+	int server_index = names_find(&router->server_names, report->server);
 
-	if (s < 0 || !c->server_table || (uint32_t)s >= c->server_table->nserver || !c->server_table->server[s].on)
+	if (server_index < 0 || !router->server_table || (uint32_t)server_index >= router->server_table->server_count || !router->server_table->servers[server_index].is_configured)
 		return;
-	c->sv[s].told = now;
-	c->sv[s].asked++;
-	router_on_report(c, (uint32_t)s, apr_pstrmemdup(o->p, (char *)r->body.data, r->body.len), now);
+	router->servers[server_index].relayed_at_ms = now;
+	router->servers[server_index].poll_sequence++;
+	router_on_report(router, (uint32_t)server_index, apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
 
-void router_look(struct router *c, int64_t now, struct out *o)
+void router_poll_reports(struct router *router, int64_t now, struct out *out)
 {
-	const struct server_table *b = c->server_table;
+	const struct server_table *servers = router->server_table;
 
-	for (uint32_t s = 0; b && s < b->nserver; s++) {
-		struct router_server *v = &c->sv[s];
-		struct cmd *k;
+	for (uint32_t s = 0; servers && s < servers->server_count; s++) {
+		struct router_server_state *server = &router->servers[s];
+		struct command *command;
 
-		if (!c->server_table->server[s].on || now - v->called < ROUTER_LOOK || now - v->told < ROUTER_TOLD)
+		if (!router->server_table->servers[s].is_configured || now - server->polled_at_ms < ROUTER_REPORT_POLL_INTERVAL_MS || now - server->relayed_at_ms < ROUTER_RELAYED_REPORT_VALID_MS)
 			continue;
 		/* spread over the period, so that routers do not all look at once */
-		v->called = v->called ? now : now - (int64_t)(core_rdv(c->id, s) % ROUTER_LOOK);
-		v->call = router_token_new(c);
-		v->asked++;
-		c->n.looks++;
-		k = out_cmd(o, CMD_CALL);
-		k->u.call.token = v->call;
-		k->u.call.addr = apr_pstrdup(o->p, c->server_table->server[s].addr);
-		k->u.call.path =
-		    apr_psprintf(o->p, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT, v->serial, v->boot);
-		k->u.call.limit_ms = 800;
-		k->u.call.not_after = now + 800;
+		server->polled_at_ms = server->polled_at_ms ? now : now - (int64_t)(core_rendezvous_weight(router->id, s) % ROUTER_REPORT_POLL_INTERVAL_MS);
+		server->poll_token = router_token_new(router);
+		server->poll_sequence++;
+		router->stats.report_polls++;
+		command = command_add(out, CMD_CALL);
+		command->args.call.token = server->poll_token;
+		command->args.call.addr = apr_pstrdup(out->pool, router->server_table->servers[s].addr);
+		command->args.call.path =
+		    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT, server->report_serial, server->boot_id);
+		command->args.call.limit_ms = 800;
+		command->args.call.not_after_ms = now + 800;
 	}
 }
 
 /* ---- purges ------------------------------------------------------------------------------------- */
 
-struct withdrawn {
-	struct router *c;
-	const struct Nl__Value *v;
+struct purge_match {
+	struct router *router;
+	const struct Nl__Value *value;
 };
 
-static int is_withdrawn(const void *ctx, uint64_t id, const struct kept_copy *k)
+static int is_purged(const void *ctx, uint64_t id, const struct block_replica *replica)
 {
-	const struct withdrawn *w = ctx;
-	const struct Nl__Purge *p = w->v->purge;
-	const struct router *c = w->c;
+	const struct purge_match *withdrawn = ctx;
+	const struct Nl__Purge *purge = withdrawn->value->purge;
+	const struct router *router = withdrawn->router;
 
-	if (k->stamp >= w->v->tick)
+	if (replica->stamp_tick >= withdrawn->value->tick)
 		return 0;
-	switch (p->why) {
+	switch (purge->why) {
 	case PURGE_WEIGHTS:
-		return !strcmp(c->services.name[k->service], p->service) && !strcmp(c->weights.name[k->weights], p->weights);
+		return !strcmp(router->service_names.names[replica->service_index], purge->service) && !strcmp(router->weights_names.names[replica->weights_hash], purge->weights);
 	case PURGE_CONTEXT: /* what is forwarded is filed under another name from now on; its old names go as servers say */
-		return !c->b.instances && !router_keeps(c, k->service, k->maker, id, k->stamp);
-	case PURGE_TENANT: return !strcmp(c->tenants.name[k->maker], p->tenant);
-	default: return !strcmp(c->servers.name[k->server], p->server);
+		return !router->bounds.discover_instances && !router_retains(router, replica->service_index, replica->tenant_index, id, replica->stamp_tick);
+	case PURGE_TENANT: return !strcmp(router->tenant_names.names[replica->tenant_index], purge->tenant);
+	default: return !strcmp(router->server_names.names[replica->server_index], purge->server);
 	}
 }
 
-void router_on_value(void *ctx, const struct Nl__Value *v)
+void router_on_value(void *ctx, const struct Nl__Value *value)
 {
-	struct withdrawn w = { ctx, v };
+	struct purge_match withdrawn = { ctx, value };
 
-	if (v->purge && v->purge->why == PURGE_TENANT && v->tick > w.c->walled_tick)
-		w.c->walled_tick = v->tick;
-	if (v->purge && v->purge->why == PURGE_CONTEXT)
-		router_cleared(w.c, v, w.c->now);
-	kept_drop(&w.c->kept, is_withdrawn, &w);
+	if (value->purge && value->purge->why == PURGE_TENANT && value->tick > withdrawn.router->isolation_tick)
+		withdrawn.router->isolation_tick = value->tick;
+	if (value->purge && value->purge->why == PURGE_CONTEXT)
+		router_on_context_purge(withdrawn.router, value, withdrawn.router->now);
+	prefix_index_remove_if(&withdrawn.router->prefix_index, is_purged, &withdrawn);
 }
 
 /* ---- watches of kept parts ---------------------------------------------------------------------- */
 
 /* How many servers may be asked at once for all that they still name, as a router does that knows nothing of them yet: their
  * answers come all together, and the configuration must not wait behind them on a slow link. */
-static int first_watches(const struct router *c)
+static int max_full_watches(const struct router *router)
 {
-	int64_t room = (int64_t)c->b.link_kbps / 8 * ROUTER_FIRST_WATCH_MS;
+	int64_t room = (int64_t)router->bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
 
-	if (!c->b.link_kbps)
+	if (!router->bounds.link_kbps)
 		return INT_MAX;
-	return 1 + (int)(room / (int64_t)(c->first_watch_bytes + 1));
+	return 1 + (int)(room / (int64_t)(router->average_full_watch_bytes + 1));
 }
 
-static void watch_server(struct router *c, uint32_t s, int64_t now, struct out *o)
+static void watch_server(struct router *router, uint32_t server_index, int64_t now, struct out *out)
 {
-	struct router_server *v = &c->sv[s];
-	struct cmd *k = out_cmd(o, CMD_WATCH);
-
-	v->watch = router_token_new(c);
-	v->watched = now;
-	c->n.watches++;
-	k->u.watch.token = v->watch;
-	k->u.watch.addr = c->server_table->server[s].to;
-	k->u.watch.server = c->servers.name[s];
-	k->u.watch.since = v->next;
-	k->u.watch.wait_ms = ROUTER_WATCH_WAIT;
-	k->u.watch.all = v->watch_all = !v->listed && !v->next;
+	struct router_server_state *server = &router->servers[server_index];
+	struct command *command = command_add(out, CMD_WATCH_CACHE);
+
+	server->watch_token = router_token_new(router);
+	server->watched_at_ms = now;
+	router->stats.watches++;
+	command->args.watch_cache.token = server->watch_token;
+	command->args.watch_cache.addr = router->server_table->servers[server_index].packed_addr;
+	command->args.watch_cache.server = router->server_names.names[server_index];
+	command->args.watch_cache.since = server->next_cache_event;
+	command->args.watch_cache.wait_ms = ROUTER_CACHE_WATCH_WAIT_MS;
+	command->args.watch_cache.full = server->watch_is_full = !server->cache_listed && !server->next_cache_event;
 }
 
 /* The head of a zone's relays watches each server for its zone; what it hears goes down the way purges go. */
-void router_watch(struct router *c, int64_t now, struct out *o)
+void router_watch_caches(struct router *router, int64_t now, struct out *out)
 {
-	const struct server_table *r = c->server_table;
-	int first = 0, most = first_watches(c);
+	const struct server_table *servers = router->server_table;
+	int first = 0, most = max_full_watches(router);
 
-	if (!r || c->stopping || c->f.nup || config_watch_age(&c->f, now) > router_ride(c))
+	if (!servers || router->is_stopping || router->config_watch.upstream_count || config_watch_age_ms(&router->config_watch, now) > router_max_staleness_ms(router))
 		return;
-	for (uint32_t s = 0; s < r->nserver; s++)
-		first += c->sv[s].watch && !c->sv[s].next;
-	for (uint32_t s = 0; s < r->nserver; s++) {
-		const struct router_server *v = &c->sv[s];
+	for (uint32_t s = 0; s < servers->server_count; s++)
+		first += router->servers[s].watch_token && !router->servers[s].next_cache_event;
+	for (uint32_t s = 0; s < servers->server_count; s++) {
+		const struct router_server_state *server = &router->servers[s];
 
-		if (!r->server[s].on || r->server[s].draining || v->watch || now - v->watched < ROUTER_WATCH_GAP ||
-		    now < v->bad_until || (!v->next && first >= most))
+		if (!servers->servers[s].is_configured || servers->servers[s].draining || server->watch_token || now - server->watched_at_ms < ROUTER_CACHE_WATCH_INTERVAL_MS ||
+		    now < server->unavailable_until_ms || (!server->next_cache_event && first >= most))
 			continue;
-		first += !v->next;
-		watch_server(c, s, now, o);
+		first += !server->next_cache_event;
+		watch_server(router, s, now, out);
 	}
 }
 
 /* What a first answer brings, as they went lately. */
-static void learn_first_watch(struct router *c, const struct Nl__Kept *k)
+static void learn_full_watch_size(struct router *router, const struct Nl__Kept *update)
 {
-	double bytes = ROUTER_EVENT_BYTES * (double)k->n_e;
+	double bytes = ROUTER_CACHE_EVENT_BYTES * (double)update->n_e;
 
-	c->first_watch_bytes += (bytes - c->first_watch_bytes) / 4;
+	router->average_full_watch_bytes += (bytes - router->average_full_watch_bytes) / 4;
 }
 
-static void part_added(struct router *c, uint32_t server, uint64_t key, uint64_t filed)
+static void block_added(struct router *router, uint32_t server, uint64_t key, uint64_t namespace_key)
 {
-	struct kept_copy copy = { server, 0, c->server_table->server[server].service, c->sv[server].weights, 0, filed };
+	struct block_replica copy = { server, 0, router->server_table->servers[server].service_index, router->servers[server].weights, 0, namespace_key };
 
-	c->n.events++;
-	if (c->kept.n < ROUTER_INDEX)
-		kept_put(&c->kept, key, &copy);
+	router->stats.events++;
+	if (router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS)
+		prefix_index_put(&router->prefix_index, key, &copy);
 }
 
-static void part_removed(struct router *c, uint32_t server, uint64_t key)
+static void block_removed(struct router *router, uint32_t server, uint64_t key)
 {
-	c->n.events++;
-	kept_lose(&c->kept, key, server);
+	router->stats.events++;
+	prefix_index_remove(&router->prefix_index, key, server);
 }
 
 /* Of one server: what it keeps now, and no longer. Events that were missed make all that is known of it doubtful. */
-void router_on_kept(struct router *c, const struct Nl__Kept *k, int64_t now)
+void router_on_cache_update(struct router *router, const struct Nl__Kept *update, int64_t now)
 {
-	int s = names_find(&c->servers, k->server);
-	struct router_server *v;
+	int server_index = names_find(&router->server_names, update->server);
+	struct router_server_state *server;
 
-	if (s < 0 || !c->server_table || (uint32_t)s >= c->server_table->nserver || !c->server_table->server[s].on)
+	if (server_index < 0 || !router->server_table || (uint32_t)server_index >= router->server_table->server_count || !router->server_table->servers[server_index].is_configured)
 		return;
-	v = &c->sv[s];
-	v->heard = now;
-	if (k->lost || (v->epoch && v->epoch != k->epoch))
-		kept_sweep(&c->kept, (uint32_t)s, UINT64_MAX);
-	v->epoch = k->epoch;
-	if (!k->n_held || k->next > v->next)
-		v->next = k->next;
-	for (size_t i = 0; i < k->n_held && c->kept.n < ROUTER_INDEX; i++) {
-		struct kept_copy n = { (uint32_t)s, 0, c->server_table->server[s].service, v->weights, 0, 0 };
-
-		kept_put(&c->kept, k->held[i], &n);
+	server = &router->servers[server_index];
+	server->cache_update_at_ms = now;
+	if (update->lost || (server->cache_epoch && server->cache_epoch != update->epoch))
+		prefix_index_remove_unreported(&router->prefix_index, (uint32_t)server_index, UINT64_MAX);
+	server->cache_epoch = update->epoch;
+	if (!update->n_held || update->next > server->next_cache_event)
+		server->next_cache_event = update->next;
+	for (size_t i = 0; i < update->n_held && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
+		struct block_replica replica = { (uint32_t)server_index, 0, router->server_table->servers[server_index].service_index, server->weights, 0, 0 };
+
+		prefix_index_put(&router->prefix_index, update->held[i], &replica);
 	}
-	for (size_t i = 0; i < k->n_e; i++) {
-		uint64_t key = router_kept_key(core_hashs(0, k->e[i]->cache_namespace), k->e[i]->id);
+	for (size_t i = 0; i < update->n_e; i++) {
+		uint64_t key = router_block_key(core_hash_string(0, update->e[i]->cache_namespace), update->e[i]->id);
 
-		if (k->e[i]->gone)
-			part_removed(c, (uint32_t)s, key);
+		if (update->e[i]->gone)
+			block_removed(router, (uint32_t)server_index, key);
 		else
-			part_added(c, (uint32_t)s, key, router_filed_text(k->e[i]->cache_namespace));
+			block_added(router, (uint32_t)server_index, key, router_namespace_key_from_text(update->e[i]->cache_namespace));
 	}
-	for (size_t i = 0; i < k->n_added; i++)
-		part_added(c, (uint32_t)s, k->added[i], i < k->n_added_filed ? k->added_filed[i] : 0);
-	for (size_t i = 0; i < k->n_removed; i++)
-		part_removed(c, (uint32_t)s, k->removed[i]);
+	for (size_t i = 0; i < update->n_added; i++)
+		block_added(router, (uint32_t)server_index, update->added[i], i < update->n_added_filed ? update->added_filed[i] : 0);
+	for (size_t i = 0; i < update->n_removed; i++)
+		block_removed(router, (uint32_t)server_index, update->removed[i]);
 }
 
-void router_on_watched(struct router *c, uint64_t token, const struct Nl__Kept *k, int status, int64_t now)
+void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__Kept *update, int status, int64_t now)
 {
-	for (uint32_t s = 0; c->server_table && s < c->server_table->nserver; s++) {
-		struct router_server *v = &c->sv[s];
+	for (uint32_t server_index = 0; router->server_table && server_index < router->server_table->server_count; server_index++) {
+		struct router_server_state *server = &router->servers[server_index];
 
-		if (v->watch != token)
+		if (server->watch_token != token)
 			continue;
-		v->watch = 0;
-		v->watched = now;
-		if (status != 200 || !k) {
-			v->watched = now + ROUTER_LOOK; /* too many watch it, or it is gone */
+		server->watch_token = 0;
+		server->watched_at_ms = now;
+		if (status != 200 || !update) {
+			server->watched_at_ms = now + ROUTER_REPORT_POLL_INTERVAL_MS; /* too many watch it, or it is gone */
 			return;
 		}
-		if (v->watch_all)
-			learn_first_watch(c, k);
-		v->listed = v->watch_all || (v->listed && !k->lost);
-		router_feed_add(c, s, k);
-		router_on_kept(c, k, now);
-		if (k->lost && !v->watch_all)
-			v->next = 0; /* events were missed: all that it keeps is asked for */
+		if (server->watch_is_full)
+			learn_full_watch_size(router, update);
+		server->cache_listed = server->watch_is_full || (server->cache_listed && !update->lost);
+		router_feed_add(router, server_index, update);
+		router_on_cache_update(router, update, now);
+		if (update->lost && !server->watch_is_full)
+			server->next_cache_event = 0; /* events were missed: all that it keeps is asked for */
 		return;
 	}
 }
 
 /* Words between routers are rarer the more of them there are. Example: router_interval(c, 50) is 50 for up to 16 routers */
-int router_interval(const struct router *c, int ms)
+int router_scaled_interval_ms(const struct router *router, int ms)
 {
-	return c->f.counters <= 16 ? ms : c->f.counters >= 64 ? 4 * ms : ms * (int)c->f.counters / 16;
+	return router->config_watch.router_count <= 16 ? ms : router->config_watch.router_count >= 64 ? 4 * ms : ms * (int)router->config_watch.router_count / 16;
 }
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -12,118 +12,118 @@
 #include "ds.h"
 #include "naming.h"
 
-static uint64_t weights_number(const struct router *c, uint32_t weights) { return strtoull(c->weights.name[weights], NULL, 10); }
+static uint64_t weights_number(const struct router *router, uint32_t weights) { return strtoull(router->weights_names.names[weights], NULL, 10); }
 
-int64_t router_weights_end(const struct router *c, uint32_t service, uint32_t weights, int64_t now)
+int64_t router_weights_end(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
 {
-	const struct Nl__Row *model = c->route_table->service[service].model;
+	const struct Nl__Row *model = router->route_table->services[service].model_row;
 	const struct Nl__Naming *newer;
 	int64_t clock;
 
-	if (!model || weights == c->route_table->service[service].weights || !naming_supersedes(model, weights_number(c, weights)))
+	if (!model || weights == router->route_table->services[service].target_weights || !version_history_supersedes(model, weights_number(router, weights)))
 		return INT64_MAX;
-	newer = naming_after(model, weights_number(c, weights));
-	clock = newer ? config_watch_clock(&c->f, newer->term, now) : 0;
-	return clock ? (int64_t)newer->at + c->b.roll_ms - clock + now : INT64_MIN; /* not known: the oldest date possible counts */
+	newer = version_history_after(model, weights_number(router, weights));
+	clock = newer ? config_watch_clock_ms(&router->config_watch, newer->term, now) : 0;
+	return clock ? (int64_t)newer->at + router->bounds.rollout_ms - clock + now : INT64_MIN; /* not known: the oldest date possible counts */
 }
 
-int64_t router_weights_last_send(const struct router *c, uint32_t service, uint32_t weights, int64_t now)
+int64_t router_weights_last_send(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
 {
-	int64_t end = router_weights_end(c, service, weights, now);
+	int64_t end = router_weights_end(router, service, weights, now);
 
-	return end == INT64_MAX || end == INT64_MIN ? end : end - ROUTER_ROLL_EARLY;
+	return end == INT64_MAX || end == INT64_MIN ? end : end - ROUTER_ROLLOUT_SEND_MARGIN_MS;
 }
 
-static int64_t recall_at(const struct router *c, const struct client_request *x, int64_t now)
+static int64_t recall_at(const struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(c, x->service, x->weights, now);
+	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
 
-	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLL_RECALL;
+	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
 }
 
 static int is_number(const char *name) { return *name && strspn(name, "0123456789") == strlen(name); }
 
 /* Within one life a server's weights only rise, and what tells of them may be late. */
-void router_weights_learn(struct router *c, uint32_t server, uint32_t weights)
+void router_weights_learn(struct router *router, uint32_t server, uint32_t weights)
 {
-	struct router_server *v = &c->sv[server];
-	const char *known = c->weights.name[v->weights], *heard = c->weights.name[weights];
+	struct router_server_state *state = &router->servers[server];
+	const char *known = router->weights_names.names[state->weights], *reported = router->weights_names.names[weights];
 
-	if (v->have && is_number(known) && is_number(heard) && weights_number(c, weights) < weights_number(c, v->weights))
+	if (state->is_known && is_number(known) && is_number(reported) && weights_number(router, weights) < weights_number(router, state->weights))
 		return;
-	v->weights = weights;
+	state->weights = weights;
 }
 
-void router_weights_log_namings(struct router *c, const struct route_table *old, int64_t now)
+void router_weights_log_targets(struct router *router, const struct route_table *old, int64_t now)
 {
-	for (uint32_t i = 0; c->log && i < c->route_table->nservice; i++) {
-		const struct Nl__Row *model = c->route_table->service[i].model;
-		const struct Nl__Row *before = old && i < old->nservice ? old->service[i].model : NULL;
+	for (uint32_t i = 0; router->log && i < router->route_table->service_count; i++) {
+		const struct Nl__Row *model = router->route_table->services[i].model_row;
+		const struct Nl__Row *before = old && i < old->service_count ? old->services[i].model_row : NULL;
 		const struct Nl__Naming *newest;
-		char line[200];
+		char text[200];
 
 		if (!model || !model->n_naming || (before && !strcmp(before->weights, model->weights)))
 			continue;
 		newest = model->naming[model->n_naming - 1];
-		snprintf(line, sizeof line, "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
-			 model->weights, c->services.name[i], config_watch_clock(&c->f, newest->term, now) - (int64_t)newest->at,
+		snprintf(text, sizeof text, "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
+			 model->weights, router->service_names.names[i], config_watch_clock_ms(&router->config_watch, newest->term, now) - (int64_t)newest->at,
 			 model->n_naming);
-		c->log(c->log_ctx, "weights", line);
+		router->log(router->log_context, "weights", text);
 	}
 }
 
 /* ---- the invariant ---------------------------------------------------------------------------- */
 
 /* All are counted, and one a second is logged. */
-static void log_violation(struct router *c, const char *what, const struct client_request *x, int64_t late_ms)
+static void log_violation(struct router *router, const char *what, const struct client_request *request, int64_t late_ms)
 {
 	char line[400];
 
-	if (!c->log || (c->violation_logged_at && c->now - c->violation_logged_at < ROUTER_VIOLATION_LOG))
+	if (!router->log || (router->violation_logged_at_ms && router->now - router->violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
 		return;
-	c->violation_logged_at = c->now;
+	router->violation_logged_at_ms = router->now;
 	snprintf(line, sizeof line, "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
-		 c->weights.name[x->weights], c->services.name[x->service], c->servers.name[x->server], late_ms);
-	c->log(c->log_ctx, "invariant", line);
+		 router->weights_names.names[request->weights], router->service_names.names[request->service_index], router->server_names.names[request->server_index], late_ms);
+	router->log(router->log_context, "invariant", line);
 }
 
-void router_weights_check_send(struct router *c, const struct client_request *x, int64_t now)
+void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(c, x->service, x->weights, now);
+	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
 
 	if (now <= end)
 		return;
-	c->n.sent_past_bound++;
-	log_violation(c, "is sent", x, end == INT64_MIN ? 0 : now - end);
+	router->stats.sent_past_bound++;
+	log_violation(router, "is sent", request, end == INT64_MIN ? 0 : now - end);
 }
 
 /* Whether this process has stood still since a moment: then what it hears may have happened long before. */
-static int paused_since(const struct router *c, int64_t at) { return c->paused_at >= at; }
+static int paused_since(const struct router *router, int64_t time_ms) { return router->paused_at_ms >= time_ms; }
 
-void router_weights_check_begin(struct router *c, const struct client_request *x, int64_t now)
+void router_weights_check_begin(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(c, x->service, x->weights, now);
+	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
 
-	if (now - ROUTER_HEARD_LATE <= end || end == INT64_MIN || paused_since(c, end))
+	if (now - ROUTER_BEGIN_NOTICE_DELAY_MS <= end || end == INT64_MIN || paused_since(router, end))
 		return;
-	c->n.begun_past_bound++;
-	log_violation(c, "begins", x, now - end);
+	router->stats.begun_past_bound++;
+	log_violation(router, "begins", request, now - end);
 }
 
 /* ---- taking back ------------------------------------------------------------------------------ */
 
 /* A send that waits at its server for longer than was reckoned must not begin after its weights' bound. It is cancelled in time, and
  * goes to another server if it may. */
-void router_weights_recall(struct router *c, int64_t now, struct out *o)
+void router_weights_recall(struct router *router, int64_t now, struct out *out)
 {
-	for (ptrdiff_t i = arrlen(c->all) - 1; i >= 0; i--) {
-		struct client_request *x = c->all[i];
+	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests[i];
 
-		if (!x->forwarded || x->state != REQUEST_RUNNING || x->first)
+		if (!request->is_forwarded || request->state != REQUEST_RUNNING || request->first_chunk_at_ms)
 			continue;
-		if (now < recall_at(c, x, now))
+		if (now < recall_at(router, request, now))
 			continue;
-		c->n.recalled++;
-		router_take_back(c, x, now, o);
+		router->stats.recalled++;
+		router_recall(router, request, now, out);
 	}
 }
--- a/lib/shell/call.c
+++ b/lib/shell/call.c
@@ -15,307 +15,307 @@
 #include "ds.h"
 #include "shell.h"
 
-enum { CALL_LINE = 1 << 20, CALL_BODY = 16 << 20, CALL_CONNECT = 800 };
+enum { SERVER_CALL_MAX_LINE_BYTES = 1 << 20, SERVER_CALL_MAX_BODY_BYTES = 16 << 20, SERVER_CALL_CONNECT_TIMEOUT_MS = 800 };
 
 struct order {
 	int cancel;
 	uint64_t token;
 	char *url, *body;
-	int limit_ms, stream;
-	int64_t not_after;
+	int timeout_ms, is_stream;
+	int64_t not_after_ms;
 };
 
-struct one {
+struct server_call {
 	uint64_t token;
-	CURL *h;
+	CURL *curl;
 	struct curl_slist *headers;
-	char *body, *got; /* got: stb_ds */
-	int stream, post, sockets, guarded, late;
-	int64_t not_after;
-	struct call *c;
+	char *body, *received; /* got: stb_ds */
+	int is_stream, is_post, socket_count, socket_refused, too_late;
+	int64_t not_after_ms;
+	struct call *calls;
 };
 
 struct call {
-	struct ring *to, *orders;
-	CURLM *m;
-	apr_thread_t *t;
+	struct ring *events, *commands;
+	CURLM *multi;
+	apr_thread_t *thread;
 	atomic_int stop;
 	struct {
 		uint64_t key;
-		struct one *value;
-	} * by;
-	struct one **anon; /* stb_ds: calls whose answer nobody waits for */
+		struct server_call *value;
+	} * by_token;
+	struct server_call **anonymous; /* stb_ds: calls whose answer nobody waits for */
 };
 
-static curl_socket_t one_socket(void *arg, curlsocktype purpose, struct curl_sockaddr *a)
+static curl_socket_t open_only_socket(void *arg, curlsocktype purpose, struct curl_sockaddr *address)
 {
-	struct one *k = arg;
+	struct server_call *one = arg;
 
 	(void)purpose;
-	if (k->post && k->sockets++) {
-		k->guarded = 1;
+	if (one->is_post && one->socket_count++) {
+		one->socket_refused = 1;
 		return CURL_SOCKET_BAD;
 	}
-	return socket(a->family, a->socktype | SOCK_CLOEXEC, a->protocol);
+	return socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
 }
 
 /* The connection is up and nothing has gone out on it: the last look at the clock. The process may have frozen
  * between deciding and connecting. */
 static int before_sending(void *arg, char *to, char *from, int to_port, int from_port)
 {
-	struct one *k = arg;
+	struct server_call *one = arg;
 
 	(void)to;
 	(void)from;
 	(void)to_port;
 	(void)from_port;
-	k->late = clock_ms() > k->not_after;
-	return k->late ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
+	one->too_late = clock_ms() > one->not_after_ms;
+	return one->too_late ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
-static void piece(struct one *k, const char *d, size_t n)
+static void piece(struct server_call *one, const char *d, size_t n)
 {
-	struct shell_ev *e = shell_ev_new(EV_PIECE);
+	struct shell_event *event = shell_event_new(SHELL_EVENT_CHUNK);
 
-	e->token = k->token;
-	e->body = malloc(n + 1);
-	if (!e->body)
+	event->token = one->token;
+	event->body = malloc(n + 1);
+	if (!event->body)
 		abort();
-	memcpy(e->body, d, n);
-	e->body[n] = 0;
-	ring_push(k->c->to, e, 1);
+	memcpy(event->body, d, n);
+	event->body[n] = 0;
+	ring_push(one->calls->events, event, 1);
 }
 
 static size_t on_body(char *d, size_t one, size_t n, void *arg)
 {
-	struct one *k = arg;
+	struct server_call *k = arg;
 	long status = 0;
 	size_t from = 0;
 
 	n *= one;
-	if ((size_t)arrlen(k->got) + n > (k->stream ? CALL_LINE : CALL_BODY))
+	if ((size_t)arrlen(k->received) + n > (k->is_stream ? SERVER_CALL_MAX_LINE_BYTES : SERVER_CALL_MAX_BODY_BYTES))
 		return 0;
-	memcpy(arraddnptr(k->got, n), d, n);
-	curl_easy_getinfo(k->h, CURLINFO_RESPONSE_CODE, &status);
-	if (!k->stream || status != 200)
+	memcpy(arraddnptr(k->received, n), d, n);
+	curl_easy_getinfo(k->curl, CURLINFO_RESPONSE_CODE, &status);
+	if (!k->is_stream || status != 200)
 		return n;
-	for (size_t i = 0; i < (size_t)arrlen(k->got); i++)
-		if (k->got[i] == '\n') {
-			piece(k, k->got + from, i - from);
+	for (size_t i = 0; i < (size_t)arrlen(k->received); i++)
+		if (k->received[i] == '\n') {
+			piece(k, k->received + from, i - from);
 			from = i + 1;
 		}
 	if (from)
-		arrdeln(k->got, 0, from);
+		arrdeln(k->received, 0, from);
 	return n;
 }
 
-static void one_free(struct call *c, struct one *k)
+static void one_free(struct call *call, struct server_call *k)
 {
-	curl_multi_remove_handle(c->m, k->h);
-	curl_easy_cleanup(k->h);
+	curl_multi_remove_handle(call->multi, k->curl);
+	curl_easy_cleanup(k->curl);
 	curl_slist_free_all(k->headers);
 	if (k->token)
-		(void)hmdel(c->by, k->token);
-	for (ptrdiff_t i = 0; i < arrlen(c->anon); i++)
-		if (c->anon[i] == k) {
-			arrdelswap(c->anon, i);
+		(void)hmdel(call->by_token, k->token);
+	for (ptrdiff_t i = 0; i < arrlen(call->anonymous); i++)
+		if (call->anonymous[i] == k) {
+			arrdelswap(call->anonymous, i);
 			break;
 		}
-	arrfree(k->got);
+	arrfree(k->received);
 	free(k->body);
 	free(k);
 }
 
 /* The server itself says that it never began. */
-static int says_never(const char *body)
+static int says_never_started(const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *v;
-	int never = json_object_is_type(j, json_type_object) && json_object_object_get_ex(j, "began", &v) &&
+	struct json_object *json = json_tokener_parse(body), *v;
+	int never = json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, "began", &v) &&
 		    json_object_is_type(v, json_type_boolean) && !json_object_get_boolean(v);
 
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 	return never;
 }
 
 static void report(struct call *c, uint64_t token, int stream, int status, int never, const char *body)
 {
-	struct shell_ev *e = shell_ev_new(EV_DONE);
-
-	e->token = token;
-	e->stream = stream;
-	e->status = status;
-	e->never = never;
-	e->body = strdup(body);
-	ring_push(c->to, e, 1);
+	struct shell_event *event = shell_event_new(SHELL_EVENT_CALL_DONE);
+
+	event->token = token;
+	event->is_stream = stream;
+	event->status = status;
+	event->never_sent = never;
+	event->body = strdup(body);
+	ring_push(c->events, event, 1);
 }
 
-static void finished(struct call *c, CURL *h, CURLcode rc)
+static void call_finished(struct call *call, CURL *curl, CURLcode result)
 {
-	struct one *k;
+	struct server_call *one;
 	long status = 0;
 	curl_off_t connected = 0;
 	int never;
 
-	curl_easy_getinfo(h, CURLINFO_PRIVATE, (char **)&k);
-	curl_easy_getinfo(h, CURLINFO_RESPONSE_CODE, &status);
-	curl_easy_getinfo(h, CURLINFO_CONNECT_TIME_T, &connected);
-	arrput(k->got, 0);
+	curl_easy_getinfo(curl, CURLINFO_PRIVATE, (char **)&one);
+	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
+	curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connected);
+	arrput(one->received, 0);
 	/* no connection was ever up, or it was too late to use it, so no byte left; or the server says so in so many words */
-	never = (connected == 0 && !k->guarded) || k->late || (rc == CURLE_OK && status >= 400 && says_never(k->got));
-	if (k->token)
-		report(c, k->token, k->stream, rc == CURLE_OK ? (int)status : 0, never, k->got);
-	one_free(c, k);
+	never = (connected == 0 && !one->socket_refused) || one->too_late || (result == CURLE_OK && status >= 400 && says_never_started(one->received));
+	if (one->token)
+		report(call, one->token, one->is_stream, result == CURLE_OK ? (int)status : 0, never, one->received);
+	one_free(call, one);
 }
 
-static void begin(struct call *c, struct order *q)
+static void begin(struct call *c, struct order *order)
 {
-	struct one *k;
+	struct server_call *k;
 
-	if (clock_ms() > q->not_after) { /* decided too long ago: never sent */
-		if (q->token)
-			report(c, q->token, q->stream, 0, 1, "");
-		free(q->body);
-		free(q->url);
+	if (clock_ms() > order->not_after_ms) { /* decided too long ago: never sent */
+		if (order->token)
+			report(c, order->token, order->is_stream, 0, 1, "");
+		free(order->body);
+		free(order->url);
 		return;
 	}
 	k = calloc(1, sizeof *k);
 	if (!k)
 		abort();
-	k->c = c;
-	k->token = q->token;
-	k->stream = q->stream;
-	k->body = q->body;
-	k->post = q->body != NULL;
-	k->not_after = q->not_after;
-	k->h = curl_easy_init();
-	if (!k->h)
+	k->calls = c;
+	k->token = order->token;
+	k->is_stream = order->is_stream;
+	k->body = order->body;
+	k->is_post = order->body != NULL;
+	k->not_after_ms = order->not_after_ms;
+	k->curl = curl_easy_init();
+	if (!k->curl)
 		abort();
-	curl_easy_setopt(k->h, CURLOPT_URL, q->url);
-	curl_easy_setopt(k->h, CURLOPT_PRIVATE, k);
-	curl_easy_setopt(k->h, CURLOPT_NOSIGNAL, 1L);
-	curl_easy_setopt(k->h, CURLOPT_PROXY, "");
-	curl_easy_setopt(k->h, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(k->h, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(k->h, CURLOPT_WRITEDATA, k);
-	curl_easy_setopt(k->h, CURLOPT_TIMEOUT_MS, (long)q->limit_ms);
-	curl_easy_setopt(k->h, CURLOPT_CONNECTTIMEOUT_MS, (long)CALL_CONNECT);
-	curl_easy_setopt(k->h, CURLOPT_OPENSOCKETFUNCTION, one_socket);
-	curl_easy_setopt(k->h, CURLOPT_OPENSOCKETDATA, k);
-	curl_easy_setopt(k->h, CURLOPT_PREREQFUNCTION, before_sending);
-	curl_easy_setopt(k->h, CURLOPT_PREREQDATA, k);
-	curl_easy_setopt(k->h, CURLOPT_TCP_NODELAY, 1L);
-	if (k->post) {
+	curl_easy_setopt(k->curl, CURLOPT_URL, order->url);
+	curl_easy_setopt(k->curl, CURLOPT_PRIVATE, k);
+	curl_easy_setopt(k->curl, CURLOPT_NOSIGNAL, 1L);
+	curl_easy_setopt(k->curl, CURLOPT_PROXY, "");
+	curl_easy_setopt(k->curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
+	curl_easy_setopt(k->curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(k->curl, CURLOPT_WRITEDATA, k);
+	curl_easy_setopt(k->curl, CURLOPT_TIMEOUT_MS, (long)order->timeout_ms);
+	curl_easy_setopt(k->curl, CURLOPT_CONNECTTIMEOUT_MS, (long)SERVER_CALL_CONNECT_TIMEOUT_MS);
+	curl_easy_setopt(k->curl, CURLOPT_OPENSOCKETFUNCTION, open_only_socket);
+	curl_easy_setopt(k->curl, CURLOPT_OPENSOCKETDATA, k);
+	curl_easy_setopt(k->curl, CURLOPT_PREREQFUNCTION, before_sending);
+	curl_easy_setopt(k->curl, CURLOPT_PREREQDATA, k);
+	curl_easy_setopt(k->curl, CURLOPT_TCP_NODELAY, 1L);
+	if (k->is_post) {
 		k->headers = curl_slist_append(curl_slist_append(NULL, "Content-Type: application/json"), "Expect:");
-		curl_easy_setopt(k->h, CURLOPT_HTTPHEADER, k->headers);
-		curl_easy_setopt(k->h, CURLOPT_POSTFIELDS, k->body);
-		curl_easy_setopt(k->h, CURLOPT_FRESH_CONNECT, 1L);
-		curl_easy_setopt(k->h, CURLOPT_FORBID_REUSE, 1L);
+		curl_easy_setopt(k->curl, CURLOPT_HTTPHEADER, k->headers);
+		curl_easy_setopt(k->curl, CURLOPT_POSTFIELDS, k->body);
+		curl_easy_setopt(k->curl, CURLOPT_FRESH_CONNECT, 1L);
+		curl_easy_setopt(k->curl, CURLOPT_FORBID_REUSE, 1L);
 	}
-	free(q->url);
+	free(order->url);
 	if (k->token)
-		hmput(c->by, k->token, k);
+		hmput(c->by_token, k->token, k);
 	else
-		arrput(c->anon, k);
-	curl_multi_add_handle(c->m, k->h);
+		arrput(c->anonymous, k);
+	curl_multi_add_handle(c->multi, k->curl);
 }
 
-static void *APR_THREAD_FUNC call_thread(apr_thread_t *t, void *arg)
+static void *APR_THREAD_FUNC server_calls_thread(apr_thread_t *thread, void *arg)
 {
-	struct call *c = arg;
-
-	(void)t;
-	while (!c->stop) {
-		struct order *q;
-		struct CURLMsg *m;
-		int running, left;
-
-		while ((q = ring_pop(c->orders, 0))) {
-			struct one *k = q->cancel ? hmget(c->by, q->token) : NULL;
-
-			if (k)
-				one_free(c, k);
-			else if (!q->cancel)
-				begin(c, q);
-			free(q);
+	struct call *call = arg;
+
+	(void)thread;
+	while (!call->stop) {
+		struct order *order;
+		struct CURLMsg *curlmsg;
+		int running, remaining;
+
+		while ((order = ring_pop(call->commands, 0))) {
+			struct server_call *one = order->cancel ? hmget(call->by_token, order->token) : NULL;
+
+			if (one)
+				one_free(call, one);
+			else if (!order->cancel)
+				begin(call, order);
+			free(order);
 		}
-		curl_multi_perform(c->m, &running);
-		while ((m = curl_multi_info_read(c->m, &left)))
-			if (m->msg == CURLMSG_DONE)
-				finished(c, m->easy_handle, m->data.result);
-		curl_multi_poll(c->m, NULL, 0, 200, NULL);
+		curl_multi_perform(call->multi, &running);
+		while ((curlmsg = curl_multi_info_read(call->multi, &remaining)))
+			if (curlmsg->msg == CURLMSG_DONE)
+				call_finished(call, curlmsg->easy_handle, curlmsg->data.result);
+		curl_multi_poll(call->multi, NULL, 0, 200, NULL);
 	}
 	return NULL;
 }
 
-struct call *call_open(struct ring *to, apr_pool_t *p)
+struct call *server_calls_open(struct ring *events, apr_pool_t *pool)
 {
-	struct call *c = apr_pcalloc(p, sizeof *c);
+	struct call *call = apr_pcalloc(pool, sizeof *call);
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	c->to = to;
-	ring_open(&c->orders, 16384, p);
-	c->m = curl_multi_init();
-	if (!c->m || apr_thread_create(&c->t, NULL, call_thread, c, p) != APR_SUCCESS) {
-		log_say(LOG_BAD, "call", "Step start: no thread for the servers' calls.");
+	call->events = events;
+	ring_open(&call->commands, 16384, pool);
+	call->multi = curl_multi_init();
+	if (!call->multi || apr_thread_create(&call->thread, NULL, server_calls_thread, call, pool) != APR_SUCCESS) {
+		log_write(LOG_ERROR, "call", "Step start: no thread for the servers' calls.");
 		return NULL;
 	}
-	return c;
+	return call;
 }
 
-static void give(struct call *c, struct order *q)
+static void send_command(struct call *call, struct order *order)
 {
-	ring_push(c->orders, q, 1);
-	curl_multi_wakeup(c->m);
+	ring_push(call->commands, order, 1);
+	curl_multi_wakeup(call->multi);
 }
 
-void call_start(struct call *c, uint64_t token, const char *addr, const char *path, const char *body, int limit_ms, int stream,
-		int64_t not_after)
+void server_calls_start(struct call *call, uint64_t token, const char *addr, const char *path, const char *body, int timeout_ms, int is_stream,
+		int64_t not_after_ms)
 {
-	struct order *q = calloc(1, sizeof *q);
-	size_t n = strlen(addr) + strlen(path) + 8;
+	struct order *order = calloc(1, sizeof *order);
+	size_t url_size = strlen(addr) + strlen(path) + 8;
 
-	if (!q || !(q->url = malloc(n)))
+	if (!order || !(order->url = malloc(url_size)))
 		abort();
-	snprintf(q->url, n, "http://%s%s", addr, path);
-	q->token = token;
-	q->body = body ? strdup(body) : NULL;
-	q->limit_ms = limit_ms > 0 ? limit_ms : 1;
-	q->stream = stream;
-	q->not_after = not_after;
-	give(c, q);
+	snprintf(order->url, url_size, "http://%s%s", addr, path);
+	order->token = token;
+	order->body = body ? strdup(body) : NULL;
+	order->timeout_ms = timeout_ms > 0 ? timeout_ms : 1;
+	order->is_stream = is_stream;
+	order->not_after_ms = not_after_ms;
+	send_command(call, order);
 }
 
-void call_cancel_one(struct call *c, uint64_t token)
+void server_calls_cancel(struct call *call, uint64_t token)
 {
-	struct order *q = calloc(1, sizeof *q);
+	struct order *order = calloc(1, sizeof *order);
 
-	if (!q)
+	if (!order)
 		abort();
-	q->cancel = 1;
-	q->token = token;
-	give(c, q);
+	order->cancel = 1;
+	order->token = token;
+	send_command(call, order);
 }
 
-void call_close(struct call *c)
+void server_calls_close(struct call *call)
 {
 	apr_status_t st;
-	struct order *q;
-
-	c->stop = 1;
-	curl_multi_wakeup(c->m);
-	apr_thread_join(&st, c->t);
-	while ((q = ring_pop(c->orders, 0))) {
-		free(q->url);
-		free(q->body);
-		free(q);
+	struct order *order;
+
+	call->stop = 1;
+	curl_multi_wakeup(call->multi);
+	apr_thread_join(&st, call->thread);
+	while ((order = ring_pop(call->commands, 0))) {
+		free(order->url);
+		free(order->body);
+		free(order);
 	}
-	while (hmlen(c->by))
-		one_free(c, c->by[0].value); /* NOLINT(clang-analyzer-unix.Malloc): one_free takes it out of by */
-	while (arrlen(c->anon))
-		one_free(c, c->anon[0]);
-	hmfree(c->by);
-	arrfree(c->anon);
-	curl_multi_cleanup(c->m);
+	while (hmlen(call->by_token))
+		one_free(call, call->by_token[0].value); /* NOLINT(clang-analyzer-unix.Malloc): one_free takes it out of by */
+	while (arrlen(call->anonymous))
+		one_free(call, call->anonymous[0]);
+	hmfree(call->by_token);
+	arrfree(call->anonymous);
+	curl_multi_cleanup(call->multi);
 	curl_global_cleanup();
 }
--- a/lib/shell/http.c
+++ b/lib/shell/http.c
@@ -11,199 +11,199 @@
 #include "http_internal.h"
 #include "shell.h"
 
-static void run_todo(struct http *h)
+static void run_queued(struct http *http)
 {
-	struct conn **v = h->todo;
+	struct conn **connections = http->queued;
 	ptrdiff_t i;
 
-	if (!arrlen(v))
+	if (!arrlen(connections))
 		return;
 	/* only what was there: what callbacks add has its turn later */
-	h->todo = h->doing;
-	h->doing = v;
-	for (i = 0; i < arrlen(v); i++) {
-		struct conn *c = v[i];
+	http->queued = http->running;
+	http->running = connections;
+	for (i = 0; i < arrlen(connections); i++) {
+		struct conn *conn = connections[i];
 
-		c->queued = 0;
-		if (c->dead)
+		conn->queued = 0;
+		if (conn->dead)
 			continue;
-		if (c->kind == CONN_SERVER)
-			http_server_flush(c);
-		else if (c->st == ST_FAIL)
-			http_client_end(c, HTTP_NEVER, 0);
+		if (conn->kind == CONN_SERVER)
+			http_server_flush(conn);
+		else if (conn->state == CONN_FAILED)
+			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 		else
-			http_client_start(c);
+			http_client_start(conn);
 	}
-	arrsetlen(v, 0);
+	arrsetlen(connections, 0);
 }
 
-static void run_timers(struct http *h)
+static void run_timers(struct http *http)
 {
-	while (arrlen(h->heap) && h->heap[0]->key <= h->now) {
-		struct conn *c = h->heap[0];
+	while (arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms <= http->now_ms) {
+		struct conn *conn = http->timer_heap[0];
 
-		if (c->due > h->now) {
-			if (c->due == NO_TIME) {
-				http_timer_remove(h, c);
+		if (conn->due > http->now_ms) {
+			if (conn->due == NO_TIME) {
+				http_timer_remove(http, conn);
 			} else {
-				c->key = c->due;
-				http_timer_down(h, 0);
+				conn->heap_key_ms = conn->due;
+				http_timer_down(http, 0);
 			}
 			continue;
 		}
-		http_timer_remove(h, c);
-		c->due = NO_TIME;
-		if (c->kind == CONN_SERVER) {
-			http_server_timeout(c);
-		} else if (c->kind == CONN_CLIENT) {
-			http_client_timeout(c);
-		} else if (c->fd >= 0) {
-			c->st = ST_LISTEN;
-			http_conn_watch(c, EPOLLIN);
+		http_timer_remove(http, conn);
+		conn->due = NO_TIME;
+		if (conn->kind == CONN_SERVER) {
+			http_server_timeout(conn);
+		} else if (conn->kind == CONN_CLIENT) {
+			http_client_timeout(conn);
+		} else if (conn->fd >= 0) {
+			conn->state = CONN_LISTENING;
+			http_conn_watch(conn, EPOLLIN);
 		}
 	}
 }
 
-void http_wait(struct http *h, int ms)
+void http_wait(struct http *http, int timeout_ms)
 {
-	uint64_t v;
+	uint64_t count;
 	int i, n;
 
-	h->turn++;
-	h->did = 0;
+	http->turn++;
+	http->callback_made = 0;
 	/* the time of the last turn serves where nothing is due soon */
-	if (arrlen(h->todo) || (arrlen(h->heap) && h->heap[0]->key - h->now < (int64_t)ms + 1000))
-		h->now = clock_ms();
-	run_todo(h);
-	if (h->did || h->sweeps || arrlen(h->todo) || ms < 0)
-		ms = 0;
-	if (ms && arrlen(h->heap) && h->heap[0]->key - h->now < ms)
-		ms = h->heap[0]->key > h->now ? (int)(h->heap[0]->key - h->now) : 0;
-	h->looked = h->polled;
-	n = epoll_wait(h->ep, h->event, EVENTS, ms);
-	h->now = h->polled = clock_ms();
+	if (arrlen(http->queued) || (arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms - http->now_ms < (int64_t)timeout_ms + 1000))
+		http->now_ms = clock_ms();
+	run_queued(http);
+	if (http->callback_made || http->sweep_count || arrlen(http->queued) || timeout_ms < 0)
+		timeout_ms = 0;
+	if (timeout_ms && arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms - http->now_ms < timeout_ms)
+		timeout_ms = http->timer_heap[0]->heap_key_ms > http->now_ms ? (int)(http->timer_heap[0]->heap_key_ms - http->now_ms) : 0;
+	http->previous_poll_at_ms = http->polled_at_ms;
+	n = epoll_wait(http->epoll_fd, http->events, EVENTS, timeout_ms);
+	http->now_ms = http->polled_at_ms = clock_ms();
 	for (i = 0; i < n; i++) {
-		struct conn *c = h->event[i].data.ptr;
-		uint32_t ev = h->event[i].events;
+		struct conn *conn = http->events[i].data.ptr;
+		uint32_t events = http->events[i].events;
 
-		if (!c) {
-			if (read(h->ev, &v, sizeof v) < 0)
+		if (!conn) {
+			if (read(http->wake_fd, &count, sizeof count) < 0)
 				continue;
-			__atomic_store_n(&h->woken, 0, __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
+			__atomic_store_n(&http->woken, 0, __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
 			continue;
 		}
-		if (c->dead || c->fd < 0)
+		if (conn->dead || conn->fd < 0)
 			continue;
-		if (c->kind == CONN_SERVER)
-			http_server_event(c, ev);
-		else if (c->kind == CONN_CLIENT)
-			http_client_event(c, ev);
-		else if (c->st == ST_LISTEN)
-			http_door_accept(c);
+		if (conn->kind == CONN_SERVER)
+			http_server_event(conn, events);
+		else if (conn->kind == CONN_CLIENT)
+			http_client_event(conn, events);
+		else if (conn->state == CONN_LISTENING)
+			http_listener_accept(conn);
 	}
-	http_door_sweep(h);
-	run_timers(h);
-	run_todo(h);
-	http_conn_reap(h);
+	http_listener_sweep(http);
+	run_timers(http);
+	run_queued(http);
+	http_conn_reap(http);
 }
 
-void http_wake(struct http *h)
+void http_wake(struct http *http)
 {
 	uint64_t one = 1;
 
-	if (!__atomic_exchange_n(&h->woken, 1, __ATOMIC_SEQ_CST) && write(h->ev, &one, sizeof one) < 0)
+	if (!__atomic_exchange_n(&http->woken, 1, __ATOMIC_SEQ_CST) && write(http->wake_fd, &one, sizeof one) < 0)
 		return; /* it is awake already */
 }
 
-struct http *http_open(const struct http_on *on, apr_pool_t *p)
+struct http *http_open(const struct http_callbacks *callbacks, apr_pool_t *pool)
 {
-	struct epoll_event e = { .events = EPOLLIN };
-	struct http *h = calloc(1, sizeof *h);
+	struct epoll_event event = { .events = EPOLLIN };
+	struct http *http = calloc(1, sizeof *http);
 
-	(void)p;
-	if (!h)
+	(void)pool;
+	if (!http)
 		abort();
 	http_parse_init();
-	h->on = *on;
-	h->ep = epoll_create1(EPOLL_CLOEXEC);
-	h->ev = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-	if (h->ep < 0 || h->ev < 0 || epoll_ctl(h->ep, EPOLL_CTL_ADD, h->ev, &e)) {
-		log_say(LOG_BAD, "http", "Cannot open a loop: %s.", strerror(errno));
-		free(h);
+	http->callbacks = *callbacks;
+	http->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+	http->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+	if (http->epoll_fd < 0 || http->wake_fd < 0 || epoll_ctl(http->epoll_fd, EPOLL_CTL_ADD, http->wake_fd, &event)) {
+		log_write(LOG_ERROR, "http", "Cannot open a loop: %s.", strerror(errno));
+		free(http);
 		return NULL;
 	}
-	h->now = h->polled = h->looked = clock_ms();
-	return h;
+	http->now_ms = http->polled_at_ms = http->previous_poll_at_ms = clock_ms();
+	return http;
 }
 
-void http_close(struct http *h)
+void http_close(struct http *http)
 {
 	ptrdiff_t i;
 
-	for (i = 0; i < arrlen(h->slot); i++)
-		if (h->slot[i] && !h->slot[i]->dead)
-			http_server_stop(h->slot[i]);
-	for (i = 0; i < hmlen(h->calls); i++)
-		http_conn_close(h->calls[i].value, 0);
-	while (hmlen(h->peers)) {
-		struct peer *q = h->peers[0].value;
-
-		q->most = 0;
-		q->open++;
-		while (q->first)
-			http_conn_close(q->first, 0);
-		q->open--;
-		http_peer_release(h, q);
+	for (i = 0; i < arrlen(http->slots); i++)
+		if (http->slots[i] && !http->slots[i]->dead)
+			http_server_stop(http->slots[i]);
+	for (i = 0; i < hmlen(http->calls); i++)
+		http_conn_close(http->calls[i].value, 0);
+	while (hmlen(http->peers)) {
+		struct peer *peer = http->peers[0].value;
+
+		peer->max_connections = 0;
+		peer->open_connections++;
+		while (peer->first_idle)
+			http_conn_close(peer->first_idle, 0);
+		peer->open_connections--;
+		http_peer_release(http, peer);
 	}
-	for (i = 0; i < arrlen(h->todo); i++)
-		h->todo[i]->queued = 0;
-	http_conn_reap(h);
-	for (i = 0; i < arrlen(h->doors); i++) {
-		if (h->doors[i]->fd >= 0)
-			close(h->doors[i]->fd);
-		free(h->doors[i]->f);
-		free(h->doors[i]);
+	for (i = 0; i < arrlen(http->queued); i++)
+		http->queued[i]->queued = 0;
+	http_conn_reap(http);
+	for (i = 0; i < arrlen(http->listeners); i++) {
+		if (http->listeners[i]->fd >= 0)
+			close(http->listeners[i]->fd);
+		free(http->listeners[i]->fields);
+		free(http->listeners[i]);
 	}
-	while (h->spare) {
-		struct conn *c = h->spare;
+	while (http->spare_connections) {
+		struct conn *conn = http->spare_connections;
 
-		h->spare = c->k.next;
-		free(c->f);
-		free(c);
+		http->spare_connections = conn->client.next;
+		free(conn->fields);
+		free(conn);
 	}
-	while (h->nblock)
-		free(h->block[--h->nblock]);
-	arrfree(h->doors);
-	arrfree(h->slot);
-	arrfree(h->free_slot);
-	arrfree(h->todo);
-	arrfree(h->doing);
-	arrfree(h->dead);
-	arrfree(h->heap);
-	hmfree(h->calls);
-	hmfree(h->peers);
-	close(h->ep);
-	close(h->ev);
-	free(h);
+	while (http->spare_block_count)
+		free(http->spare_blocks[--http->spare_block_count]);
+	arrfree(http->listeners);
+	arrfree(http->slots);
+	arrfree(http->free_slots);
+	arrfree(http->queued);
+	arrfree(http->running);
+	arrfree(http->dead);
+	arrfree(http->timer_heap);
+	hmfree(http->calls);
+	hmfree(http->peers);
+	close(http->epoll_fd);
+	close(http->wake_fd);
+	free(http);
 }
 
-const char *http_get(const struct http_field *f, int nf, const char *name)
+const char *http_field_value(const struct http_field *fields, int field_count, const char *name)
 {
 	int i;
 
-	for (i = 0; i < nf; i++)
-		if (!strcasecmp(f[i].name, name))
-			return f[i].value;
+	for (i = 0; i < field_count; i++)
+		if (!strcasecmp(fields[i].name, name))
+			return fields[i].value;
 	return NULL;
 }
 
-struct http_counts http_count(const struct http *h) { return h->n; }
+struct http_counters http_counters_read(const struct http *http) { return http->counters; }
 
-uint64_t http_unsettled(const struct http *h)
+uint64_t http_pending_requests(const struct http *http)
 {
-	uint64_t left = h->n.requests;
+	uint64_t pending = http->counters.requests;
 
-	for (int i = 0; i < HTTP_OUTCOMES; i++)
-		left -= h->n.outcome[i];
-	return left;
+	for (int i = 0; i < HTTP_OUTCOME_COUNT; i++)
+		pending -= http->counters.outcomes[i];
+	return pending;
 }
--- a/lib/shell/http_buffer.c
+++ b/lib/shell/http_buffer.c
@@ -6,76 +6,76 @@
 #include "ds.h"
 #include "http_internal.h"
 
-void http_buffer_free(struct http *h, struct buffer *b)
+void http_buffer_free(struct http *http, struct buffer *buffer)
 {
-	if (b->cap == BLOCK && h->nblock < BLOCKS_KEPT)
-		h->block[h->nblock++] = b->d;
+	if (buffer->capacity == BUFFER_BLOCK_BYTES && http->spare_block_count < MAX_SPARE_BLOCKS)
+		http->spare_blocks[http->spare_block_count++] = buffer->data;
 	else
-		free(b->d);
-	*b = (struct buffer){ 0 };
+		free(buffer->data);
+	*buffer = (struct buffer){ 0 };
 }
 
-char *http_buffer_room(struct http *h, struct buffer *b, size_t n)
+char *http_buffer_reserve(struct http *http, struct buffer *buffer, size_t size)
 {
-	size_t cap = b->cap ? b->cap : BLOCK;
-	char *d;
+	size_t capacity = buffer->capacity ? buffer->capacity : BUFFER_BLOCK_BYTES;
+	char *data;
 
-	if (b->cap - b->len >= n && b->d)
-		return b->d + b->len;
-	if (b->d && b->off && b->len - b->off + n <= b->cap && b->off >= b->len - b->off) {
-		memmove(b->d, b->d + b->off, b->len - b->off);
-		b->len -= b->off;
-		b->off = 0;
-		return b->d + b->len;
+	if (buffer->capacity - buffer->len >= size && buffer->data)
+		return buffer->data + buffer->len;
+	if (buffer->data && buffer->offset && buffer->len - buffer->offset + size <= buffer->capacity && buffer->offset >= buffer->len - buffer->offset) {
+		memmove(buffer->data, buffer->data + buffer->offset, buffer->len - buffer->offset);
+		buffer->len -= buffer->offset;
+		buffer->offset = 0;
+		return buffer->data + buffer->len;
 	}
-	while (cap < b->len + n)
-		cap *= 2;
-	if (cap == BLOCK && h->nblock) {
-		d = h->block[--h->nblock];
-	} else if (!(d = malloc(cap))) {
+	while (capacity < buffer->len + size)
+		capacity *= 2;
+	if (capacity == BUFFER_BLOCK_BYTES && http->spare_block_count) {
+		data = http->spare_blocks[--http->spare_block_count];
+	} else if (!(data = malloc(capacity))) {
 		abort();
 	}
-	if (b->d) {
-		struct buffer old = *b;
+	if (buffer->data) {
+		struct buffer old = *buffer;
 
-		memcpy(d, b->d, b->len);
-		http_buffer_free(h, &old);
+		memcpy(data, buffer->data, buffer->len);
+		http_buffer_free(http, &old);
 	}
-	b->d = d;
-	b->cap = cap;
-	return b->d + b->len;
+	buffer->data = data;
+	buffer->capacity = capacity;
+	return buffer->data + buffer->len;
 }
 
-void http_buffer_put(struct http *h, struct buffer *b, const char *d, size_t n)
+void http_buffer_append(struct http *http, struct buffer *buffer, const char *data, size_t size)
 {
-	if (!n)
+	if (!size)
 		return;
-	memcpy(http_buffer_room(h, b, n), d, n);
-	b->len += n;
+	memcpy(http_buffer_reserve(http, buffer, size), data, size);
+	buffer->len += size;
 }
 
-void http_buffer_text(struct http *h, struct buffer *b, const char *s) { http_buffer_put(h, b, s, strlen(s)); }
+void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text) { http_buffer_append(http, buffer, text, strlen(text)); }
 
-void http_buffer_number(struct http *h, struct buffer *b, uint64_t v, unsigned base)
+void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base)
 {
 	char t[24], *e = t + sizeof t, *s = e;
 
 	do {
-		*--s = "0123456789abcdef"[v % base];
-		v /= base;
-	} while (v);
-	http_buffer_put(h, b, s, (size_t)(e - s));
+		*--s = "0123456789abcdef"[value % base];
+		value /= base;
+	} while (value);
+	http_buffer_append(http, buffer, s, (size_t)(e - s));
 }
 
 /* A line break inside a field would begin another one. */
-void http_buffer_clean(struct http *h, struct buffer *b, const char *s)
+void http_buffer_append_clean(struct http *http, struct buffer *buffer, const char *text)
 {
-	size_t n = strlen(s), i;
-	char *d = http_buffer_room(h, b, n ? n : 1);
+	size_t n = strlen(text), i;
+	char *d = http_buffer_reserve(http, buffer, n ? n : 1);
 
 	for (i = 0; i < n; i++)
-		d[i] = (char)(s[i] == '\r' || s[i] == '\n' ? ' ' : s[i]);
-	b->len += n;
+		d[i] = (char)(text[i] == '\r' || text[i] == '\n' ? ' ' : text[i]);
+	buffer->len += n;
 }
 
 int http_is_framing_field(const char *name)
@@ -88,10 +88,10 @@
 	return 0;
 }
 
-void http_buffer_field(struct http *h, struct buffer *b, const struct http_field *f)
+void http_buffer_append_field(struct http *http, struct buffer *buffer, const struct http_field *field)
 {
-	http_buffer_clean(h, b, f->name);
-	http_buffer_put(h, b, ": ", 2);
-	http_buffer_clean(h, b, f->value);
-	http_buffer_put(h, b, "\r\n", 2);
+	http_buffer_append_clean(http, buffer, field->name);
+	http_buffer_append(http, buffer, ": ", 2);
+	http_buffer_append_clean(http, buffer, field->value);
+	http_buffer_append(http, buffer, "\r\n", 2);
 }
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -8,489 +8,489 @@
 #include "http_internal.h"
 #include "shell.h"
 
-static struct peer *peer_of(struct http *h, uint64_t addr)
+static struct peer *peer_find_or_add(struct http *http, uint64_t addr)
 {
-	struct peer *p = hmget(h->peers, addr);
+	struct peer *peer = hmget(http->peers, addr);
 
-	if (p)
-		return p;
-	if (!(p = calloc(1, sizeof *p)))
+	if (peer)
+		return peer;
+	if (!(peer = calloc(1, sizeof *peer)))
 		abort();
-	p->addr = addr;
-	hmput(h->peers, addr, p);
-	return p;
+	peer->addr = addr;
+	hmput(http->peers, addr, peer);
+	return peer;
 }
 
 /* A connection to a peer: a kept one, or one that is still to be opened, or NULL beyond the bound. */
-static struct conn *peer_take(struct http *h, struct peer *p, int fresh, int64_t now)
+static struct conn *peer_acquire_connection(struct http *http, struct peer *peer, int fresh, int64_t now)
 {
-	struct conn *c;
+	struct conn *conn;
 
-	while (!fresh && (c = p->first)) {
-		if (c->due > now) {
-			http_kept_remove(c);
-			c->st = ST_QUEUED;
-			return c;
+	while (!fresh && (conn = peer->first_idle)) {
+		if (conn->due > now) {
+			http_idle_remove(conn);
+			conn->state = CONN_QUEUED;
+			return conn;
 		}
-		p->open++; /* so that the peer outlives it */
-		http_conn_close(c, 0);
-		p->open--;
+		peer->open_connections++; /* so that the peer outlives it */
+		http_conn_close(conn, 0);
+		peer->open_connections--;
 	}
-	if (p->most && p->open >= p->most) {
-		if (!p->last)
+	if (peer->max_connections && peer->open_connections >= peer->max_connections) {
+		if (!peer->last_idle)
 			return NULL;
-		p->open++;
-		http_conn_close(p->last, 0);
-		p->open--;
+		peer->open_connections++;
+		http_conn_close(peer->last_idle, 0);
+		peer->open_connections--;
 	}
-	c = http_conn_new(h, CONN_CLIENT, -1);
-	c->k.peer = p;
-	c->k.epoch = p->epoch;
-	c->st = ST_QUEUED;
-	p->open++;
-	return c;
+	conn = http_conn_new(http, CONN_CLIENT, -1);
+	conn->client.peer = peer;
+	conn->client.peer_epoch = peer->epoch;
+	conn->state = CONN_QUEUED;
+	peer->open_connections++;
+	return conn;
 }
 
 /* How long a connection is kept: the server must not close it just as we use it. */
-static int64_t keep_ms(const struct head *hd)
+static int64_t keep_alive_ms(const struct head *hd)
 {
-	int64_t margin = (int64_t)hd->keep_s * 250;
+	int64_t margin = (int64_t)hd->keep_alive_s * 250;
 
-	return hd->keep_s < 0 ? KEPT_MS : (int64_t)hd->keep_s * 1000 - (margin < 300 ? 300 : margin);
+	return hd->keep_alive_s < 0 ? DEFAULT_KEEP_ALIVE_MS : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
-static void client_keep(struct conn *c)
+static void client_make_idle(struct conn *conn)
 {
-	struct peer *p = c->k.peer;
+	struct peer *peer = conn->client.peer;
 
-	if (c->k.until <= c->h->now || c->k.epoch != p->epoch) {
-		http_conn_close(c, 0);
+	if (conn->client.reusable_until_ms <= conn->http->now_ms || conn->client.peer_epoch != peer->epoch) {
+		http_conn_close(conn, 0);
 		return;
 	}
-	c->st = ST_KEPT;
-	c->k.next = p->first;
-	c->k.prev = NULL;
-	if (p->first)
-		p->first->k.prev = c;
+	conn->state = CONN_IDLE;
+	conn->client.next = peer->first_idle;
+	conn->client.prev = NULL;
+	if (peer->first_idle)
+		peer->first_idle->client.prev = conn;
 	else
-		p->last = c;
-	p->first = c;
-	http_buffer_free(c->h, &c->in);
-	http_timer_set(c, c->k.until);
+		peer->last_idle = conn;
+	peer->first_idle = conn;
+	http_buffer_free(conn->http, &conn->in);
+	http_timer_set(conn, conn->client.reusable_until_ms);
 }
 
 /* The call is over. keep: its connection may serve another. */
-void http_client_end(struct conn *c, enum http_end how, int keep)
+void http_client_end(struct conn *conn, enum http_call_result result, int reusable)
 {
-	struct http *h = c->h;
-	uint64_t token = c->k.token;
-	int status = c->hd.status;
-
-	(void)hmdel(h->calls, token);
-	http_buffer_free(h, &c->out);
-	if (keep)
-		client_keep(c);
+	struct http *http = conn->http;
+	uint64_t token = conn->client.token;
+	int status = conn->head.status;
+
+	(void)hmdel(http->calls, token);
+	http_buffer_free(http, &conn->out);
+	if (reusable)
+		client_make_idle(conn);
 	else
-		http_conn_close(c, 0);
-	h->did = 1;
-	h->on.done(h->on.ctx, token, how, how == HTTP_NEVER ? 0 : status);
+		http_conn_close(conn, 0);
+	http->callback_made = 1;
+	http->callbacks.call_done(http->callbacks.context, token, result, result == HTTP_CALL_NOT_SENT ? 0 : status);
 }
 
-static void client_broken(struct conn *c) { http_client_end(c, c->k.sent ? HTTP_BROKE : HTTP_NEVER, 0); }
+static void client_broken(struct conn *conn) { http_client_end(conn, conn->client.sent ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0); }
 
-static int64_t sooner(int64_t a, int64_t b) { return a < b ? a : b; }
+static int64_t earlier(int64_t left, int64_t right) { return left < right ? left : right; }
 
-static void client_connect(struct conn *c)
+static void client_connect(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct sockaddr_in sa = http_socket_address(c->k.peer->addr);
+	struct http *http = conn->http;
+	struct sockaddr_in address = http_socket_address(conn->client.peer->addr);
 
-	if ((c->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0) {
-		http_client_end(c, HTTP_NEVER, 0);
+	if ((conn->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0) {
+		http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
 	}
-	http_socket_options(c->fd);
-	h->n.connects++;
-	if (connect(c->fd, (struct sockaddr *)&sa, sizeof sa) && errno != EINPROGRESS) {
-		http_client_end(c, HTTP_NEVER, 0);
+	http_socket_options(conn->fd);
+	http->counters.connections_opened++;
+	if (connect(conn->fd, (struct sockaddr *)&address, sizeof address) && errno != EINPROGRESS) {
+		http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
 	}
-	c->st = ST_CONNECT;
-	http_conn_watch(c, HTTP_READ_EVENTS | EPOLLOUT);
+	conn->state = CONN_CONNECTING;
+	http_conn_watch(conn, HTTP_READ_EVENTS | EPOLLOUT);
 	http_timer_set(
-	    c, sooner(sooner(c->k.not_after == NO_TIME ? NO_TIME : c->k.not_after + 1, c->k.limit_at), h->now + c->k.connect_ms));
+	    conn, earlier(earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1, conn->client.deadline_ms), http->now_ms + conn->client.connect_timeout_ms));
 }
 
 /* Put the call on another connection: nothing of it went out on this one. */
-static struct conn *client_move(struct conn *c)
+static struct conn *client_move_call(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct peer *p = c->k.peer;
+	struct http *http = conn->http;
+	struct peer *peer = conn->client.peer;
 	struct conn *n;
 
-	p->open++;
-	http_conn_close(c, 0);
-	p->open--;
-	if (!(n = peer_take(h, p, c->k.fresh, h->now))) {
-		http_peer_release(h, p);
-		(void)hmdel(h->calls, c->k.token);
-		h->did = 1;
-		h->on.done(h->on.ctx, c->k.token, HTTP_NEVER, 0);
+	peer->open_connections++;
+	http_conn_close(conn, 0);
+	peer->open_connections--;
+	if (!(n = peer_acquire_connection(http, peer, conn->client.new_connection, http->now_ms))) {
+		http_peer_release(http, peer);
+		(void)hmdel(http->calls, conn->client.token);
+		http->callback_made = 1;
+		http->callbacks.call_done(http->callbacks.context, conn->client.token, HTTP_CALL_NOT_SENT, 0);
 		return NULL;
 	}
-	n->out = c->out;
-	c->out = (struct buffer){ 0 };
-	n->k.token = c->k.token;
-	n->k.not_after = c->k.not_after;
-	n->k.limit_at = c->k.limit_at;
-	n->k.connect_ms = c->k.connect_ms;
-	n->k.fresh = c->k.fresh;
-	n->k.is_head = c->k.is_head;
-	n->k.sent = 0;
+	n->out = conn->out;
+	conn->out = (struct buffer){ 0 };
+	n->client.token = conn->client.token;
+	n->client.not_after_ms = conn->client.not_after_ms;
+	n->client.deadline_ms = conn->client.deadline_ms;
+	n->client.connect_timeout_ms = conn->client.connect_timeout_ms;
+	n->client.new_connection = conn->client.new_connection;
+	n->client.is_head = conn->client.is_head;
+	n->client.sent = 0;
 	n->due = NO_TIME;
-	hmput(h->calls, n->k.token, n);
+	hmput(http->calls, n->client.token, n);
 	return n;
 }
 
 /* Send what is left of the request. Returns 0 when the first send failed with nothing written. */
-static int client_send(struct conn *c)
+static int client_send(struct conn *conn)
 {
-	size_t off = c->out.off;
-	int lost, all = http_conn_send(c, &lost);
+	size_t off = conn->out.offset;
+	int lost, all = http_conn_send(conn, &lost);
 
 	if (lost) {
-		if (!c->k.sent)
+		if (!conn->client.sent)
 			return 0;
 		/* an answer may have come all the same; what is read says so */
-		c->k.cut = 1;
-		http_buffer_free(c->h, &c->out);
-		http_conn_watch(c, HTTP_READ_EVENTS);
+		conn->client.request_cut = 1;
+		http_buffer_free(conn->http, &conn->out);
+		http_conn_watch(conn, HTTP_READ_EVENTS);
 		return 1;
 	}
-	c->k.sent |= all || c->out.off > off;
-	http_conn_watch(c, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(c, all ? c->k.limit_at : sooner(c->k.not_after == NO_TIME ? NO_TIME : c->k.not_after + 1, c->k.limit_at));
+	conn->client.sent |= all || conn->out.offset > off;
+	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
+	http_timer_set(conn, all ? conn->client.deadline_ms : earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1, conn->client.deadline_ms));
 	return 1;
 }
 
-static int too_late(const struct conn *c)
+static int too_late(const struct conn *conn)
 {
 	int64_t now = clock_ms(); /* anew: the process may just have woken from a freeze */
 
-	return now > c->k.not_after || now >= c->k.limit_at;
+	return now > conn->client.not_after_ms || now >= conn->client.deadline_ms;
 }
 
-void http_client_start(struct conn *c)
+void http_client_start(struct conn *conn)
 {
-	while (c && c->st == ST_QUEUED) {
-		if (c->fd >= 0) {
+	while (conn && conn->state == CONN_QUEUED) {
+		if (conn->fd >= 0) {
 			char b;
 
-			if (recv(c->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK) ||
-			    clock_ms() >= c->k.until) {
-				c = client_move(c);
+			if (recv(conn->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK) ||
+			    clock_ms() >= conn->client.reusable_until_ms) {
+				conn = client_move_call(conn);
 				continue;
 			}
 		}
-		if (too_late(c)) {
-			http_client_end(c, HTTP_NEVER, c->fd >= 0);
+		if (too_late(conn)) {
+			http_client_end(conn, HTTP_CALL_NOT_SENT, conn->fd >= 0);
 			return;
 		}
-		if (c->fd < 0) {
-			client_connect(c);
+		if (conn->fd < 0) {
+			client_connect(conn);
 			return;
 		}
-		c->st = ST_ANSWER;
-		c->scan = 0;
-		c->hd = (struct head){ .keep_s = -1 };
-		if (client_send(c)) {
-			c->h->n.kept_used++;
+		conn->state = CONN_AWAITING_HEAD;
+		conn->scan_offset = 0;
+		conn->head = (struct head){ .keep_alive_s = -1 };
+		if (client_send(conn)) {
+			conn->http->counters.connections_reused++;
 			return;
 		}
-		c = client_move(c);
+		conn = client_move_call(conn);
 	}
 }
 
-static int client_bytes(struct conn *c, const char *d, size_t n);
+static int client_parse(struct conn *conn, const char *data, size_t size);
 
 /* An answer to another request is over; what stands behind it, or is to come, is the next one. */
-static int client_next_answer(struct conn *c, const char *behind, size_t n)
+static int client_next_response(struct conn *conn, const char *behind, size_t size)
 {
 	char *copy = NULL;
 	int over;
 
-	c->k.skipping = 0;
-	if (++c->k.skipped > ANSWERS_SKIPPED || c->hd.close) {
-		client_broken(c);
+	conn->client.skipping = 0;
+	if (++conn->client.skipped_count > MAX_SKIPPED_RESPONSES || conn->head.close) {
+		client_broken(conn);
 		return 1;
 	}
-	if (n) { /* it may stand in the buffer that is emptied here */
-		copy = malloc(n);
+	if (size) { /* it may stand in the buffer that is emptied here */
+		copy = malloc(size);
 		if (!copy)
 			abort();
-		memcpy(copy, behind, n);
+		memcpy(copy, behind, size);
 	}
-	http_buffer_free(c->h, &c->in);
-	c->st = ST_ANSWER;
-	c->scan = 0;
-	c->hd = (struct head){ .keep_s = -1 };
-	over = n ? client_bytes(c, copy, n) : 0;
+	http_buffer_free(conn->http, &conn->in);
+	conn->state = CONN_AWAITING_HEAD;
+	conn->scan_offset = 0;
+	conn->head = (struct head){ .keep_alive_s = -1 };
+	over = size ? client_parse(conn, copy, size) : 0;
 	free(copy);
 	return over;
 }
 
 /* Whole, with surplus bytes behind it or not. */
-static int client_whole(struct conn *c, const char *behind, size_t surplus)
+static int client_response_complete(struct conn *conn, const char *behind, size_t surplus)
 {
-	if (c->k.skipping)
-		return client_next_answer(c, behind, surplus);
+	if (conn->client.skipping)
+		return client_next_response(conn, behind, surplus);
 	/* the server counts from when it answered: after a freeze that may be long ago */
-	c->k.until = c->h->looked + keep_ms(&c->hd);
-	http_client_end(c, HTTP_WHOLE, !surplus && !c->k.skipped && !c->hd.close && !c->out.len && !c->k.cut);
+	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
+	http_client_end(conn, HTTP_CALL_COMPLETE, !surplus && !conn->client.skipped_count && !conn->head.close && !conn->out.len && !conn->client.request_cut);
 	return 1;
 }
 
-static void client_pass_body(struct conn *c, const char *d, size_t n)
+static void client_pass_body(struct conn *conn, const char *data, size_t size)
 {
-	if (n && !c->k.skipping)
-		c->h->on.body(c->h->on.ctx, c->k.token, d, n);
+	if (size && !conn->client.skipping)
+		conn->http->callbacks.response_body(conn->http->callbacks.context, conn->client.token, data, size);
 }
 
 /* Bytes of the body. Returns 1 when the call is over. */
-static int client_rest(struct conn *c, const char *d, size_t n)
+static int client_read_body(struct conn *conn, const char *data, size_t size)
 {
-	const char *p = NULL;
-	size_t pn;
-	ssize_t k;
-
-	switch (c->k.in) {
-	case FR_LENGTH:
-		pn = n < c->left ? n : (size_t)c->left;
-		c->left -= pn;
-		client_pass_body(c, d, pn);
-		if (c->dead)
+	const char *span = NULL;
+	size_t span_size;
+	ssize_t consumed;
+
+	switch (conn->client.response_framing) {
+	case BODY_LENGTH:
+		span_size = size < conn->body_remaining ? size : (size_t)conn->body_remaining;
+		conn->body_remaining -= span_size;
+		client_pass_body(conn, data, span_size);
+		if (conn->dead)
 			return 1;
-		return c->left ? 0 : client_whole(c, d + pn, n - pn);
-	case FR_CHUNKED:
-		while (n && c->ck.at != CH_DONE) {
-			if ((k = http_chunk_step(&c->ck, d, n, &p, &pn)) < 0) {
-				client_broken(c);
+		return conn->body_remaining ? 0 : client_response_complete(conn, data + span_size, size - span_size);
+	case BODY_CHUNKED:
+		while (size && conn->chunks.state != CHUNK_DONE) {
+			if ((consumed = http_chunk_step(&conn->chunks, data, size, &span, &span_size)) < 0) {
+				client_broken(conn);
 				return 1;
 			}
-			client_pass_body(c, p, pn);
-			if (c->dead)
+			client_pass_body(conn, span, span_size);
+			if (conn->dead)
 				return 1;
-			d += k;
-			n -= (size_t)k;
+			data += consumed;
+			size -= (size_t)consumed;
 		}
-		return c->ck.at == CH_DONE ? client_whole(c, d, n) : 0;
-	case FR_EOF: client_pass_body(c, d, n); return c->dead;
-	default: return client_whole(c, d, n);
+		return conn->chunks.state == CHUNK_DONE ? client_response_complete(conn, data, size) : 0;
+	case BODY_UNTIL_EOF: client_pass_body(conn, data, size); return conn->dead;
+	default: return client_response_complete(conn, data, size);
 	}
 }
 
-static int client_bytes(struct conn *c, const char *d, size_t n)
+static int client_parse(struct conn *conn, const char *data, size_t size)
 {
-	struct http *h = c->h;
+	struct http *http = conn->http;
 	size_t from = 0;
 	ssize_t end;
 
-	if (c->st == ST_REST)
-		return client_rest(c, d, n);
-	http_buffer_put(h, &c->in, d, n);
+	if (conn->state == CONN_READING_RESPONSE)
+		return client_read_body(conn, data, size);
+	http_buffer_append(http, &conn->in, data, size);
 	for (;;) {
-		end = http_head_end(c, from);
-		if (end < 0 || (end ? (size_t)end : c->in.len) - from > CLIENT_HEAD ||
-		    (end && !http_head_read(c, from, (size_t)end, 0)) || (end && c->hd.status == 101)) {
-			client_broken(c);
+		end = http_head_end(conn, from);
+		if (end < 0 || (end ? (size_t)end : conn->in.len) - from > MAX_RESPONSE_HEAD_BYTES ||
+		    (end && !http_head_read(conn, from, (size_t)end, 0)) || (end && conn->head.status == 101)) {
+			client_broken(conn);
 			return 1;
 		}
 		if (!end) {
 			if (from) {
-				memmove(c->in.d, c->in.d + from, c->in.len - from);
-				c->in.len -= from;
-				c->scan -= from;
+				memmove(conn->in.data, conn->in.data + from, conn->in.len - from);
+				conn->in.len -= from;
+				conn->scan_offset -= from;
 			}
 			return 0;
 		}
 		from = (size_t)end;
-		if (c->hd.status >= 200)
+		if (conn->head.status >= 200)
 			break;
 	}
-	c->left = c->hd.length;
-	c->ck = (struct chunks){ 0 };
-	c->k.in = c->k.is_head || c->hd.status == 204 || c->hd.status == 304 || (c->hd.has_len && !c->left) ? FR_NONE
-		  : c->hd.chunked                                                                           ? FR_CHUNKED
-		  : c->hd.has_len                                                                           ? FR_LENGTH
-													    : FR_EOF;
-	c->st = ST_REST;
-	http_head_fix_fields(c);
-	h->did = 1;
-	h->on.head(h->on.ctx, c->k.token, c->hd.status, c->f, c->nf);
-	if (c->dead)
+	conn->body_remaining = conn->head.length;
+	conn->chunks = (struct chunks){ 0 };
+	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 || conn->head.status == 304 || (conn->head.has_length && !conn->body_remaining) ? BODY_NONE
+		  : conn->head.chunked                                                                           ? BODY_CHUNKED
+		  : conn->head.has_length                                                                           ? BODY_LENGTH
+													    : BODY_UNTIL_EOF;
+	conn->state = CONN_READING_RESPONSE;
+	http_head_resolve_fields(conn);
+	http->callback_made = 1;
+	http->callbacks.response_head(http->callbacks.context, conn->client.token, conn->head.status, conn->fields, conn->field_count);
+	if (conn->dead)
 		return 1;
-	return client_rest(c, c->in.d + from, c->in.len - from);
+	return client_read_body(conn, conn->in.data + from, conn->in.len - from);
 }
 
-static void client_eof(struct conn *c)
+static void client_eof(struct conn *conn)
 {
-	if (c->st == ST_REST && c->k.in == FR_EOF && c->hd.close && !c->k.skipping)
-		http_client_end(c, HTTP_WHOLE, 0);
+	if (conn->state == CONN_READING_RESPONSE && conn->client.response_framing == BODY_UNTIL_EOF && conn->head.close && !conn->client.skipping)
+		http_client_end(conn, HTTP_CALL_COMPLETE, 0);
 	else
-		client_broken(c);
+		client_broken(conn);
 }
 
-static void client_read(struct conn *c, uint32_t ev)
+static void client_read(struct conn *conn, uint32_t events)
 {
-	struct http *h = c->h;
+	struct http *http = conn->http;
 	ssize_t n;
 
 	/* where the peer has closed, its last bytes and its end are taken in one go */
 	do {
-		n = recv(c->fd, h->scratch, SCRATCH, 0);
+		n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
 			return;
 		if (n < 0) {
-			client_broken(c);
+			client_broken(conn);
 			return;
 		}
 		if (!n) {
-			client_eof(c);
+			client_eof(conn);
 			return;
 		}
-		if (client_bytes(c, h->scratch, (size_t)n))
+		if (client_parse(conn, http->scratch, (size_t)n))
 			return;
-	} while (ev & EPOLLRDHUP);
+	} while (events & EPOLLRDHUP);
 }
 
-void http_client_event(struct conn *c, uint32_t ev)
+void http_client_event(struct conn *conn, uint32_t events)
 {
-	switch (c->st) {
-	case ST_CONNECT:
+	switch (conn->state) {
+	case CONN_CONNECTING:
 		/* nobody may have spoken before us, either */
-		if ((ev & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) || too_late(c)) {
-			http_client_end(c, HTTP_NEVER, 0);
+		if ((events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) || too_late(conn)) {
+			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 			return;
 		}
-		c->st = ST_ANSWER;
-		c->scan = 0;
-		c->hd = (struct head){ .keep_s = -1 };
-		if (!client_send(c))
-			http_client_end(c, HTTP_NEVER, 0);
+		conn->state = CONN_AWAITING_HEAD;
+		conn->scan_offset = 0;
+		conn->head = (struct head){ .keep_alive_s = -1 };
+		if (!client_send(conn))
+			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
-	case ST_ANSWER:
-	case ST_REST:
-		if (ev & ~(uint32_t)EPOLLOUT) {
-			client_read(c, ev);
+	case CONN_AWAITING_HEAD:
+	case CONN_READING_RESPONSE:
+		if (events & ~(uint32_t)EPOLLOUT) {
+			client_read(conn, events);
 			return; /* it may be another call's by now */
 		}
-		if (too_late(c))
-			client_broken(c);
+		if (too_late(conn))
+			client_broken(conn);
 		else
-			client_send(c);
+			client_send(conn);
 		return;
-	case ST_KEPT: http_conn_close(c, 0); return;
+	case CONN_IDLE: http_conn_close(conn, 0); return;
 	default: return; /* its start looks for itself */
 	}
 }
 
-void http_client_timeout(struct conn *c)
+void http_client_timeout(struct conn *conn)
 {
-	if (c->st == ST_KEPT)
-		http_conn_close(c, 0);
+	if (conn->state == CONN_IDLE)
+		http_conn_close(conn, 0);
 	else
-		client_broken(c);
+		client_broken(conn);
 }
 
-static int carries(const char *verb) { return !strcmp(verb, "POST") || !strcmp(verb, "PUT") || !strcmp(verb, "PATCH"); }
+static int method_has_body(const char *method) { return !strcmp(method, "POST") || !strcmp(method, "PUT") || !strcmp(method, "PATCH"); }
 
-void http_call(struct http *h, uint64_t token, uint64_t addr, const struct http_out *q)
+void http_call_start(struct http *http, uint64_t token, uint64_t addr, const struct http_client_request *output)
 {
 	int64_t now = clock_ms();
-	struct conn *c;
+	struct conn *conn;
 	int i;
 
-	if (hmgeti(h->calls, token) >= 0) {
-		log_say(LOG_BAD, "http", "A call's token is in use; the call is not made.");
+	if (hmgeti(http->calls, token) >= 0) {
+		log_write(LOG_ERROR, "http", "A call's token is in use; the call is not made.");
 		return;
 	}
-	if (!(c = peer_take(h, peer_of(h, addr), q->fresh, now))) {
-		c = http_conn_new(h, CONN_CLIENT, -1);
-		c->st = ST_FAIL;
+	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr), output->new_connection, now))) {
+		conn = http_conn_new(http, CONN_CLIENT, -1);
+		conn->state = CONN_FAILED;
 	}
-	c->due = NO_TIME;
-	c->k.token = token;
-	c->k.sent = 0;
-	c->k.fresh = q->fresh;
-	c->k.not_after = q->not_after;
-	c->k.limit_at = q->limit_ms > 0 ? now + q->limit_ms : NO_TIME;
-	c->k.connect_ms = q->connect_ms > 0 ? q->connect_ms : CONNECT_MS;
-	c->k.is_head = !strcmp(q->verb, "HEAD");
-	hmput(h->calls, token, c);
-	h->n.calls++;
-	http_conn_queue(c);
-	if (c->st == ST_FAIL)
+	conn->due = NO_TIME;
+	conn->client.token = token;
+	conn->client.sent = 0;
+	conn->client.new_connection = output->new_connection;
+	conn->client.not_after_ms = output->not_after_ms;
+	conn->client.deadline_ms = output->timeout_ms > 0 ? now + output->timeout_ms : NO_TIME;
+	conn->client.connect_timeout_ms = output->connect_timeout_ms > 0 ? output->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
+	conn->client.is_head = !strcmp(output->method, "HEAD");
+	hmput(http->calls, token, conn);
+	http->counters.calls++;
+	http_conn_queue(conn);
+	if (conn->state == CONN_FAILED)
 		return;
-	http_buffer_clean(h, &c->out, q->verb);
-	http_buffer_put(h, &c->out, " ", 1);
-	http_buffer_clean(h, &c->out, q->target);
-	http_buffer_put(h, &c->out, " HTTP/1.1\r\n", 11);
-	for (i = 0; i < q->nf; i++)
-		if (!http_is_framing_field(q->f[i].name) || strlen(q->f[i].name) == 10)
-			http_buffer_field(h, &c->out, &q->f[i]);
-	if (q->body || carries(q->verb)) {
-		http_buffer_text(h, &c->out, "Content-Length: ");
-		http_buffer_number(h, &c->out, q->len, 10);
-		http_buffer_put(h, &c->out, "\r\n", 2);
+	http_buffer_append_clean(http, &conn->out, output->method);
+	http_buffer_append(http, &conn->out, " ", 1);
+	http_buffer_append_clean(http, &conn->out, output->target);
+	http_buffer_append(http, &conn->out, " HTTP/1.1\r\n", 11);
+	for (i = 0; i < output->field_count; i++)
+		if (!http_is_framing_field(output->fields[i].name) || strlen(output->fields[i].name) == 10)
+			http_buffer_append_field(http, &conn->out, &output->fields[i]);
+	if (output->body || method_has_body(output->method)) {
+		http_buffer_append_text(http, &conn->out, "Content-Length: ");
+		http_buffer_append_number(http, &conn->out, output->body_bytes, 10);
+		http_buffer_append(http, &conn->out, "\r\n", 2);
 	}
-	http_buffer_put(h, &c->out, "\r\n", 2);
-	if (q->body)
-		http_buffer_put(h, &c->out, q->body, q->len);
+	http_buffer_append(http, &conn->out, "\r\n", 2);
+	if (output->body)
+		http_buffer_append(http, &conn->out, output->body, output->body_bytes);
 }
 
-void http_cancel(struct http *h, uint64_t token)
+void http_call_cancel(struct http *http, uint64_t token)
 {
-	struct conn *c = hmget(h->calls, token);
+	struct conn *conn = hmget(http->calls, token);
 
-	if (!c)
+	if (!conn)
 		return;
-	(void)hmdel(h->calls, token);
-	http_conn_close(c, 1);
+	(void)hmdel(http->calls, token);
+	http_conn_close(conn, 1);
 }
 
-void http_skip_answer(struct http *h, uint64_t token)
+void http_call_skip_response(struct http *http, uint64_t token)
 {
-	struct conn *c = hmget(h->calls, token);
+	struct conn *conn = hmget(http->calls, token);
 
-	if (c)
-		c->k.skipping = 1;
+	if (conn)
+		conn->client.skipping = 1;
 }
 
-int http_sent(struct http *h, uint64_t token)
+int http_call_is_sent(struct http *http, uint64_t token)
 {
-	struct conn *c = hmget(h->calls, token);
+	struct conn *conn = hmget(http->calls, token);
 
-	return c && c->k.sent;
+	return conn && conn->client.sent;
 }
 
-void http_forget(struct http *h, uint64_t addr)
+void http_peer_forget(struct http *http, uint64_t addr)
 {
-	struct peer *p = hmget(h->peers, addr);
+	struct peer *peer = hmget(http->peers, addr);
 
-	if (!p)
+	if (!peer)
 		return;
-	p->epoch++; /* those in use are not kept afterwards */
-	p->open++;
-	while (p->first)
-		http_conn_close(p->first, 0);
-	p->open--;
-	http_peer_release(h, p);
+	peer->epoch++; /* those in use are not kept afterwards */
+	peer->open_connections++;
+	while (peer->first_idle)
+		http_conn_close(peer->first_idle, 0);
+	peer->open_connections--;
+	http_peer_release(http, peer);
 }
 
-void http_most(struct http *h, uint64_t addr, int n)
+void http_peer_set_max_connections(struct http *http, uint64_t addr, int max_connections)
 {
-	struct peer *p = peer_of(h, addr);
+	struct peer *peer = peer_find_or_add(http, addr);
 
-	p->most = n;
-	http_peer_release(h, p);
+	peer->max_connections = max_connections;
+	http_peer_release(http, peer);
 }
