--- a/lib/shell/http_conn.c
+++ b/lib/shell/http_conn.c
@@ -12,199 +12,199 @@
 
 /* ---- times: a heap whose keys may be early, so that moving a time on costs nothing ---- */
 
-static void timer_place(struct http *h, int i, struct conn *c)
+static void timer_set_index(struct http *http, int index, struct conn *conn)
 {
-	h->heap[i] = c;
-	c->hpos = i;
+	http->timer_heap[index] = conn;
+	conn->heap_index = index;
 }
 
-static void timer_up(struct http *h, int i)
+static void timer_up(struct http *http, int index)
 {
-	struct conn *c = h->heap[i];
+	struct conn *conn = http->timer_heap[index];
 
-	for (; i && h->heap[(i - 1) / 2]->key > c->key; i = (i - 1) / 2)
-		timer_place(h, i, h->heap[(i - 1) / 2]);
-	timer_place(h, i, c);
+	for (; index && http->timer_heap[(index - 1) / 2]->heap_key_ms > conn->heap_key_ms; index = (index - 1) / 2)
+		timer_set_index(http, index, http->timer_heap[(index - 1) / 2]);
+	timer_set_index(http, index, conn);
 }
 
-void http_timer_down(struct http *h, int i)
+void http_timer_down(struct http *http, int index)
 {
-	struct conn *c = h->heap[i];
-	int n = (int)arrlen(h->heap), j;
+	struct conn *conn = http->timer_heap[index];
+	int n = (int)arrlen(http->timer_heap), j;
 
-	while ((j = 2 * i + 1) < n) {
-		if (j + 1 < n && h->heap[j + 1]->key < h->heap[j]->key)
+	while ((j = 2 * index + 1) < n) {
+		if (j + 1 < n && http->timer_heap[j + 1]->heap_key_ms < http->timer_heap[j]->heap_key_ms)
 			j++;
-		if (h->heap[j]->key >= c->key)
+		if (http->timer_heap[j]->heap_key_ms >= conn->heap_key_ms)
 			break;
-		timer_place(h, i, h->heap[j]);
-		i = j;
+		timer_set_index(http, index, http->timer_heap[j]);
+		index = j;
 	}
-	timer_place(h, i, c);
+	timer_set_index(http, index, conn);
 }
 
-void http_timer_remove(struct http *h, struct conn *c)
+void http_timer_remove(struct http *http, struct conn *conn)
 {
 	struct conn *l;
-	int i = c->hpos;
+	int i = conn->heap_index;
 
 	if (i < 0)
 		return;
-	c->hpos = -1;
-	c->key = NO_TIME;
-	l = arrpop(h->heap);
-	if (l == c)
+	conn->heap_index = -1;
+	conn->heap_key_ms = NO_TIME;
+	l = arrpop(http->timer_heap);
+	if (l == conn)
 		return;
-	timer_place(h, i, l);
-	timer_up(h, i);
-	http_timer_down(h, l->hpos);
+	timer_set_index(http, i, l);
+	timer_up(http, i);
+	http_timer_down(http, l->heap_index);
 }
 
-void http_timer_set(struct conn *c, int64_t at)
+void http_timer_set(struct conn *conn, int64_t due_at_ms)
 {
-	c->due = at;
-	if (at >= c->key)
+	conn->due = due_at_ms;
+	if (due_at_ms >= conn->heap_key_ms)
 		return;
-	c->key = at;
-	if (c->hpos < 0) {
-		c->hpos = (int)arrlen(c->h->heap);
-		arrput(c->h->heap, c);
+	conn->heap_key_ms = due_at_ms;
+	if (conn->heap_index < 0) {
+		conn->heap_index = (int)arrlen(conn->http->timer_heap);
+		arrput(conn->http->timer_heap, conn);
 	}
-	timer_up(c->h, c->hpos);
+	timer_up(conn->http, conn->heap_index);
 }
 
 /* ---- connections ---- */
 
-struct conn *http_conn_new(struct http *h, enum conn_kind kind, int fd)
+struct conn *http_conn_new(struct http *http, enum conn_kind kind, int fd)
 {
-	struct conn *c = h->spare;
-	struct http_field *f = NULL;
+	struct conn *conn = http->spare_connections;
+	struct http_field *field = NULL;
 	int fcap = 0;
 
-	if (c) {
-		h->spare = c->k.next;
-		f = c->f;
-		fcap = c->fcap;
-	} else if (!(c = malloc(sizeof *c))) {
+	if (conn) {
+		http->spare_connections = conn->client.next;
+		field = conn->fields;
+		fcap = conn->field_capacity;
+	} else if (!(conn = malloc(sizeof *conn))) {
 		abort();
 	}
-	memset(c, 0, sizeof *c);
-	c->h = h;
-	c->kind = kind;
-	c->fd = fd;
-	c->f = f;
-	c->fcap = fcap;
-	c->due = c->key = NO_TIME;
-	c->hpos = -1;
-	return c;
+	memset(conn, 0, sizeof *conn);
+	conn->http = http;
+	conn->kind = kind;
+	conn->fd = fd;
+	conn->fields = field;
+	conn->field_capacity = fcap;
+	conn->due = conn->heap_key_ms = NO_TIME;
+	conn->heap_index = -1;
+	return conn;
 }
 
-void http_conn_watch(struct conn *c, uint32_t mask)
+void http_conn_watch(struct conn *conn, uint32_t mask)
 {
-	struct epoll_event e = { .events = mask, .data.ptr = c };
+	struct epoll_event event = { .events = mask, .data.ptr = conn };
 
-	if (c->mask == mask)
+	if (conn->event_mask == mask)
 		return;
-	epoll_ctl(c->h->ep, c->mask ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, c->fd, &e);
-	c->mask = mask;
+	epoll_ctl(conn->http->epoll_fd, conn->event_mask ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, conn->fd, &event);
+	conn->event_mask = mask;
 }
 
-void http_conn_queue(struct conn *c)
+void http_conn_queue(struct conn *conn)
 {
-	if (c->queued || c->dead)
+	if (conn->queued || conn->dead)
 		return;
-	c->queued = 1;
-	arrput(c->h->todo, c);
+	conn->queued = 1;
+	arrput(conn->http->queued, conn);
 }
 
-void http_kept_remove(struct conn *c)
+void http_idle_remove(struct conn *conn)
 {
-	struct peer *p = c->k.peer;
+	struct peer *peer = conn->client.peer;
 
-	if (c->k.prev)
-		c->k.prev->k.next = c->k.next;
+	if (conn->client.prev)
+		conn->client.prev->client.next = conn->client.next;
 	else
-		p->first = c->k.next;
-	if (c->k.next)
-		c->k.next->k.prev = c->k.prev;
+		peer->first_idle = conn->client.next;
+	if (conn->client.next)
+		conn->client.next->client.prev = conn->client.prev;
 	else
-		p->last = c->k.prev;
-	c->k.next = c->k.prev = NULL;
+		peer->last_idle = conn->client.prev;
+	conn->client.next = conn->client.prev = NULL;
 }
 
-void http_peer_release(struct http *h, struct peer *p)
+void http_peer_release(struct http *http, struct peer *peer)
 {
-	if (p->open || p->most)
+	if (peer->open_connections || peer->max_connections)
 		return;
-	(void)hmdel(h->peers, p->addr);
-	free(p);
+	(void)hmdel(http->peers, peer->addr);
+	free(peer);
 }
 
 /* Would an ordinary end of this connection make an answer look whole that is not? So it is where the end of the connection
  * is the end of the answer. */
-static int end_misleads(const struct conn *c)
+static int close_misleads(const struct conn *conn)
 {
-	if (c->kind != CONN_SERVER || !c->s.begun || c->s.out != FR_EOF || c->s.no_body)
+	if (conn->kind != CONN_SERVER || !conn->s.response_begun || conn->s.response_framing != BODY_UNTIL_EOF || conn->s.no_body)
 		return 0;
-	return c->st == ST_BUSY || (c->st == ST_DONE && c->out.len > c->out.off);
+	return conn->state == CONN_HANDLING || (conn->state == CONN_SENDING_RESPONSE && conn->out.len > conn->out.offset);
 }
 
 /* Its memory lives on to the end of the turn. */
-void http_conn_close(struct conn *c, int reset)
+void http_conn_close(struct conn *conn, int reset)
 {
-	struct linger l = { 1, 0 };
-	struct http *h = c->h;
+	struct linger linger = { 1, 0 };
+	struct http *http = conn->http;
 
-	if (c->dead)
+	if (conn->dead)
 		return;
-	c->dead = 1;
-	if (c->fd >= 0) {
-		if (reset || end_misleads(c))
-			setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &l, sizeof l);
-		close(c->fd);
+	conn->dead = 1;
+	if (conn->fd >= 0) {
+		if (reset || close_misleads(conn))
+			setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
+		close(conn->fd);
 	}
-	c->fd = -1;
-	http_timer_remove(h, c);
-	if (c->kind == CONN_SERVER && (c->st == ST_BUSY || c->st == ST_DONE))
-		h->busy--;
-	if (c->kind == CONN_CLIENT && c->k.peer) {
-		if (c->st == ST_KEPT)
-			http_kept_remove(c);
-		c->k.peer->open--;
-		http_peer_release(h, c->k.peer);
-		c->k.peer = NULL;
+	conn->fd = -1;
+	http_timer_remove(http, conn);
+	if (conn->kind == CONN_SERVER && (conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE))
+		http->busy_count--;
+	if (conn->kind == CONN_CLIENT && conn->client.peer) {
+		if (conn->state == CONN_IDLE)
+			http_idle_remove(conn);
+		conn->client.peer->open_connections--;
+		http_peer_release(http, conn->client.peer);
+		conn->client.peer = NULL;
 	}
-	arrput(h->dead, c);
+	arrput(http->dead, conn);
 }
 
-static void conn_free(struct http *h, struct conn *c)
+static void conn_free(struct http *http, struct conn *conn)
 {
-	if (c->kind == CONN_SERVER) {
-		http_buffer_free(h, &c->s.early);
-		h->slot[c->s.slot] = NULL;
-		arrput(h->free_slot, c->s.slot);
+	if (conn->kind == CONN_SERVER) {
+		http_buffer_free(http, &conn->s.early);
+		http->slots[conn->s.slot] = NULL;
+		arrput(http->free_slots, conn->s.slot);
 	}
-	http_buffer_free(h, &c->in);
-	http_buffer_free(h, &c->out);
-	c->k.next = h->spare;
-	h->spare = c;
+	http_buffer_free(http, &conn->in);
+	http_buffer_free(http, &conn->out);
+	conn->client.next = http->spare_connections;
+	http->spare_connections = conn;
 }
 
-void http_conn_reap(struct http *h)
+void http_conn_reap(struct http *http)
 {
 	ptrdiff_t i, n = 0;
 
-	for (i = 0; i < arrlen(h->dead); i++)
-		if (h->dead[i]->queued)
-			h->dead[n++] = h->dead[i];
+	for (i = 0; i < arrlen(http->dead); i++)
+		if (http->dead[i]->queued)
+			http->dead[n++] = http->dead[i];
 		else
-			conn_free(h, h->dead[i]);
-	arrsetlen(h->dead, n);
+			conn_free(http, http->dead[i]);
+	arrsetlen(http->dead, n);
 }
 
 void http_socket_options(int fd)
 {
-	int on = 1, ut = USER_TIMEOUT, idle = 2, intvl = 1, cnt = 3;
+	int on = 1, ut = UNACKED_TIMEOUT_MS, idle = 2, intvl = 1, cnt = 3;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ut, sizeof ut);
@@ -214,50 +214,50 @@
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
 }
 
-static int option_is(int fd, int level, int name, int want)
+static int option_is(int fd, int level, int name, int expected)
 {
 	int v = -1;
 	socklen_t n = sizeof v;
 
-	return !getsockopt(fd, level, name, &v, &n) && (want ? v == want : v > 0);
+	return !getsockopt(fd, level, name, &v, &n) && (expected ? v == expected : v > 0);
 }
 
 /* Whether a listener hands its options on to its connections, as Linux does. */
 int http_socket_inherits(int fd)
 {
-	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) && option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT) &&
+	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) && option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS) &&
 	       option_is(fd, IPPROTO_TCP, TCP_KEEPIDLE, 2) && option_is(fd, IPPROTO_TCP, TCP_KEEPINTVL, 1) &&
 	       option_is(fd, IPPROTO_TCP, TCP_KEEPCNT, 3) && option_is(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
 }
 
 /* Returns 0 when not all could be sent, or the connection is lost. */
-int http_conn_send(struct conn *c, int *lost)
+int http_conn_send(struct conn *conn, int *lost)
 {
-	size_t n = c->out.len - c->out.off;
+	size_t n = conn->out.len - conn->out.offset;
 	ssize_t k;
 
 	*lost = 0;
 	if (!n)
 		return 1;
 	do
-		k = send(c->fd, c->out.d + c->out.off, n, MSG_NOSIGNAL);
+		k = send(conn->fd, conn->out.data + conn->out.offset, n, MSG_NOSIGNAL);
 	while (k < 0 && errno == EINTR);
 	if (k < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
 		*lost = 1;
 		return 0;
 	}
 	if (k > 0)
-		c->out.off += (size_t)k;
+		conn->out.offset += (size_t)k;
 	if (k > 0 && (size_t)k == n) {
-		http_buffer_free(c->h, &c->out);
+		http_buffer_free(conn->http, &conn->out);
 		return 1;
 	}
 	return 0;
 }
 
-struct sockaddr_in http_socket_address(uint64_t a)
+struct sockaddr_in http_socket_address(uint64_t address)
 {
 	return (struct sockaddr_in){ .sin_family = AF_INET,
-				     .sin_addr.s_addr = htonl((uint32_t)(a >> 16)),
-				     .sin_port = htons((uint16_t)a) };
+				     .sin_addr.s_addr = htonl((uint32_t)(address >> 16)),
+				     .sin_port = htons((uint16_t)address) };
 }
--- a/lib/shell/http_door.c
+++ b/lib/shell/http_door.c
@@ -8,205 +8,205 @@
 #include "http_internal.h"
 #include "shell.h"
 
-enum { ACCEPT_MOST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
+enum { MAX_ACCEPT_BURST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
 
-static void pause_accepting(struct conn *l)
+static void pause_accepting(struct conn *conn)
 {
-	l->st = ST_PAUSED;
-	http_conn_watch(l, EPOLLRDHUP);
-	http_timer_set(l, l->h->now + ACCEPT_PAUSE_MS);
+	conn->state = CONN_ACCEPT_PAUSED;
+	http_conn_watch(conn, EPOLLRDHUP);
+	http_timer_set(conn, conn->http->now_ms + ACCEPT_PAUSE_MS);
 }
 
-static uint32_t slot_for(struct http *h, struct conn *c)
+static uint32_t slot_allocate(struct http *http, struct conn *conn)
 {
 	uint32_t slot;
 
-	if (arrlen(h->free_slot)) {
-		slot = arrpop(h->free_slot);
+	if (arrlen(http->free_slots)) {
+		slot = arrpop(http->free_slots);
 	} else {
-		slot = (uint32_t)arrlenu(h->slot);
-		arrput(h->slot, NULL);
+		slot = (uint32_t)arrlenu(http->slots);
+		arrput(http->slots, NULL);
 	}
-	h->slot[slot] = c;
+	http->slots[slot] = conn;
 	return slot;
 }
 
 /* Returns 0 when there is none, or no descriptor for it. */
 static int accept_one(struct conn *l)
 {
-	struct http *h = l->h;
-	struct listener *d = &l->d;
+	struct http *http = l->http;
+	struct listener *listener = &l->listener;
 	int fd = accept4(l->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-	struct conn *c;
+	struct conn *conn;
 
 	if (fd < 0) {
 		if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
 			pause_accepting(l);
 		return 0;
 	}
-	if (!d->checked) {
-		d->checked = 1;
-		d->inherits = http_socket_inherits(fd);
+	if (!listener->options_checked) {
+		listener->options_checked = 1;
+		listener->options_inherited = http_socket_inherits(fd);
 	}
-	if (!d->inherits)
+	if (!listener->options_inherited)
 		http_socket_options(fd);
-	h->n.accepted++;
-	c = http_conn_new(h, CONN_SERVER, fd);
-	c->s.door = l;
-	c->s.slot = slot_for(h, c);
-	http_conn_watch(c, HTTP_READ_EVENTS);
-	http_server_idle(c);
+	http->counters.accepted++;
+	conn = http_conn_new(http, CONN_SERVER, fd);
+	conn->s.listener = l;
+	conn->s.slot = slot_allocate(http, conn);
+	http_conn_watch(conn, HTTP_READ_EVENTS);
+	http_server_idle(conn);
 	return 1;
 }
 
-void http_door_accept(struct conn *l)
+void http_listener_accept(struct conn *conn)
 {
-	struct http *h = l->h;
-	struct listener *d = &l->d;
+	struct http *http = conn->http;
+	struct listener *listener = &conn->listener;
 	int i;
 
 	/* one a turn, and more only when more wait turn after turn */
-	d->burst = d->turn + 1 == h->turn ? d->burst < ACCEPT_MOST ? d->burst * 2 : ACCEPT_MOST : 1;
-	d->turn = h->turn;
-	for (i = 0; i < d->burst && accept_one(l); i++)
+	listener->accept_burst = listener->last_turn + 1 == http->turn ? listener->accept_burst < MAX_ACCEPT_BURST ? listener->accept_burst * 2 : MAX_ACCEPT_BURST : 1;
+	listener->last_turn = http->turn;
+	for (i = 0; i < listener->accept_burst && accept_one(conn); i++)
 		;
 }
 
-int http_listen(struct http *h, const char *addr, int door, const struct http_limits *l)
+int http_listen(struct http *http, const char *addr, int listener_id, const struct http_limits *limits)
 {
-	uint64_t a = core_addr(addr);
-	struct sockaddr_in sa = http_socket_address(a);
-	socklen_t n = sizeof sa;
-	struct conn *c;
+	uint64_t a = core_parse_addr(addr);
+	struct sockaddr_in socket_address = http_socket_address(a);
+	socklen_t n = sizeof socket_address;
+	struct conn *conn;
 	int fd, on = 1;
 
 	if (!a) {
-		log_say(LOG_BAD, "http", "Cannot listen at %s: not an address.", addr);
+		log_write(LOG_ERROR, "http", "Cannot listen at %s: not an address.", addr);
 		return 0;
 	}
 	if ((fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0)
 		goto bad;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
 	http_socket_options(fd);
-	if (bind(fd, (struct sockaddr *)&sa, sizeof sa) || listen(fd, BACKLOG) || getsockname(fd, (struct sockaddr *)&sa, &n))
+	if (bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) || listen(fd, ACCEPT_BACKLOG) || getsockname(fd, (struct sockaddr *)&socket_address, &n))
 		goto bad;
-	c = http_conn_new(h, CONN_DOOR, fd);
-	c->st = ST_LISTEN;
-	c->d.id = door;
-	c->d.port = ntohs(sa.sin_port);
-	c->d.burst = 1;
-	c->d.lim = *l;
-	http_conn_watch(c, EPOLLIN);
-	arrput(h->doors, c);
+	conn = http_conn_new(http, CONN_LISTENER, fd);
+	conn->state = CONN_LISTENING;
+	conn->listener.listener_id = listener_id;
+	conn->listener.port = ntohs(socket_address.sin_port);
+	conn->listener.accept_burst = 1;
+	conn->listener.limits = *limits;
+	http_conn_watch(conn, EPOLLIN);
+	arrput(http->listeners, conn);
 	return 1;
 bad:
-	log_say(LOG_BAD, "http", "Cannot listen at %s: %s.", addr, strerror(errno));
+	log_write(LOG_ERROR, "http", "Cannot listen at %s: %s.", addr, strerror(errno));
 	if (fd >= 0)
 		close(fd);
 	return 0;
 }
 
-int http_port(const struct http *h, int door)
+int http_listener_port(const struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 
-	for (i = arrlen(h->doors); i--;)
-		if (h->doors[i]->d.id == door)
-			return h->doors[i]->d.port;
+	for (i = arrlen(http->listeners); i--;)
+		if (http->listeners[i]->listener.listener_id == listener_id)
+			return http->listeners[i]->listener.port;
 	return 0;
 }
 
-void http_limits(struct http *h, int door, const struct http_limits *l)
+void http_limits(struct http *http, int listener_id, const struct http_limits *limits)
 {
 	ptrdiff_t i;
 
-	for (i = 0; i < arrlen(h->doors); i++)
-		if (h->doors[i]->d.id == door)
-			h->doors[i]->d.lim = *l;
+	for (i = 0; i < arrlen(http->listeners); i++)
+		if (http->listeners[i]->listener.listener_id == listener_id)
+			http->listeners[i]->listener.limits = *limits;
 }
 
-static int is_incomplete(const struct conn *c, int door)
+static int is_incomplete(const struct conn *conn, int listener_id)
 {
-	return c && !c->dead && c->s.door->d.id == door && (c->st == ST_BODY || (c->st == ST_HEAD && c->in.len));
+	return conn && !conn->dead && conn->s.listener->listener.listener_id == listener_id && (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->in.len));
 }
 
-int http_receiving(const struct http *h, int door)
+int http_incomplete_count(const struct http *http, int listener_id)
 {
 	ptrdiff_t i;
-	int n = 0;
+	int count = 0;
 
-	for (i = 0; i < arrlen(h->slot); i++)
-		n += is_incomplete(h->slot[i], door);
-	return n;
+	for (i = 0; i < arrlen(http->slots); i++)
+		count += is_incomplete(http->slots[i], listener_id);
+	return count;
 }
 
-void http_refuse_incomplete(struct http *h, int door, int retry_ms)
+void http_reject_incomplete(struct http *http, int listener_id, int retry_after_ms)
 {
 	ptrdiff_t i;
 
-	for (i = 0; i < arrlen(h->slot); i++)
-		if (is_incomplete(h->slot[i], door))
-			http_server_refuse(h->slot[i], 503, retry_ms);
+	for (i = 0; i < arrlen(http->slots); i++)
+		if (is_incomplete(http->slots[i], listener_id))
+			http_server_reject(http->slots[i], 503, retry_after_ms);
 }
 
 /* ---- leaving ---- */
 
-static void sweep_later(struct http *h, struct conn *l)
+static void schedule_sweep(struct http *http, struct conn *conn)
 {
-	h->sweeps += !l->d.sweep;
-	l->d.sweep = 1;
+	http->sweep_count += !conn->listener.sweep_due;
+	conn->listener.sweep_due = 1;
 }
 
 /* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never served. */
-static int may_close_unread(const struct conn *c)
+static int may_close_unread(const struct conn *conn)
 {
-	return c->st == ST_HEAD && !c->in.len && (c->s.door->d.leaving || !c->s.token);
+	return conn->state == CONN_READING_HEAD && !conn->in.len && (conn->s.listener->listener.draining || !conn->s.token);
 }
 
-void http_door_sweep(struct http *h)
+void http_listener_sweep(struct http *http)
 {
 	ptrdiff_t i;
 
-	if (!h->sweeps)
+	if (!http->sweep_count)
 		return;
-	for (i = 0; i < arrlen(h->slot); i++) {
-		struct conn *c = h->slot[i];
+	for (i = 0; i < arrlen(http->slots); i++) {
+		struct conn *conn = http->slots[i];
 
-		if (c && !c->dead && c->s.door->d.sweep && may_close_unread(c) && !http_server_moves(c))
-			http_conn_close(c, 0);
+		if (conn && !conn->dead && conn->s.listener->listener.sweep_due && may_close_unread(conn) && !http_server_progressed(conn))
+			http_conn_close(conn, 0);
 	}
-	for (i = 0; i < arrlen(h->doors); i++)
-		h->doors[i]->d.sweep = 0;
-	h->sweeps = 0;
+	for (i = 0; i < arrlen(http->listeners); i++)
+		http->listeners[i]->listener.sweep_due = 0;
+	http->sweep_count = 0;
 }
 
-void http_shut(struct http *h, int door)
+void http_stop_accepting(struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 
-	for (i = 0; i < arrlen(h->doors); i++) {
-		struct conn *l = h->doors[i];
-		int taken = 0;
+	for (i = 0; i < arrlen(http->listeners); i++) {
+		struct conn *conn = http->listeners[i];
+		int accepted = 0;
 
-		if (l->d.id != door || l->fd < 0)
+		if (conn->listener.listener_id != listener_id || conn->fd < 0)
 			continue;
-		while (taken < BACKLOG && accept_one(l)) /* closing the listener would reset what waits in it */
-			taken++;
-		close(l->fd); /* its struct stays for its connections */
-		l->fd = -1;
-		http_timer_remove(h, l);
-		sweep_later(h, l);
+		while (accepted < ACCEPT_BACKLOG && accept_one(conn)) /* closing the listener would reset what waits in it */
+			accepted++;
+		close(conn->fd); /* its struct stays for its connections */
+		conn->fd = -1;
+		http_timer_remove(http, conn);
+		schedule_sweep(http, conn);
 	}
 }
 
-void http_leave(struct http *h, int door)
+void http_drain(struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 
-	for (i = 0; i < arrlen(h->doors); i++) {
-		if (h->doors[i]->d.id != door)
+	for (i = 0; i < arrlen(http->listeners); i++) {
+		if (http->listeners[i]->listener.listener_id != listener_id)
 			continue;
-		h->doors[i]->d.leaving = 1;
-		sweep_later(h, h->doors[i]);
+		http->listeners[i]->listener.draining = 1;
+		schedule_sweep(http, http->listeners[i]);
 	}
 }
--- a/lib/shell/http_end.c
+++ b/lib/shell/http_end.c
@@ -8,68 +8,68 @@
 
 enum { STOP_READS = 16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */ };
 
-void http_server_settle(struct conn *c, enum http_outcome outcome)
+void http_server_count_outcome(struct conn *conn, enum http_outcome outcome)
 {
-	if (!c->s.unsettled)
+	if (!conn->s.outcome_pending)
 		return;
-	c->s.unsettled = 0;
-	c->h->n.outcome[outcome]++;
+	conn->s.outcome_pending = 0;
+	conn->http->counters.outcomes[outcome]++;
 }
 
-void http_server_cut(struct conn *c, enum http_outcome outcome)
+void http_server_abort(struct conn *conn, enum http_outcome outcome)
 {
-	http_server_settle(c, outcome);
-	http_conn_close(c, outcome == HTTP_CUT_ABORTED || outcome == HTTP_CUT_LATE);
+	http_server_count_outcome(conn, outcome);
+	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_LATE);
 }
 
 /* Has the client said that nothing more will come, and has nothing come? */
-static int client_is_done(const struct conn *c) { return c->hd.close && !c->s.linger && c->in.len <= c->s.pos && !c->s.early.len; }
+static int client_is_done(const struct conn *conn) { return conn->head.close && !conn->s.linger && conn->in.len <= conn->s.parse_offset && !conn->s.early.len; }
 
-void http_server_linger(struct conn *c)
+void http_server_linger(struct conn *conn)
 {
-	struct http *h = c->h;
+	struct http *http = conn->http;
 
-	if (client_is_done(c)) {
-		http_conn_close(c, 0);
+	if (client_is_done(conn)) {
+		http_conn_close(conn, 0);
 		return;
 	}
-	h->busy--;
-	shutdown(c->fd, SHUT_WR);
-	c->st = ST_LINGER;
-	http_buffer_free(h, &c->in);
-	http_buffer_free(h, &c->s.early);
-	http_conn_watch(c, HTTP_READ_EVENTS);
-	http_timer_set(c, h->now + LINGER_MS);
+	http->busy_count--;
+	shutdown(conn->fd, SHUT_WR);
+	conn->state = CONN_LINGERING;
+	http_buffer_free(http, &conn->in);
+	http_buffer_free(http, &conn->s.early);
+	http_conn_watch(conn, HTTP_READ_EVENTS);
+	http_timer_set(conn, http->now_ms + LINGER_MS);
 }
 
 /* Read and forget. How many bytes; 0 when the other side has ended, -1 when nothing is there. */
-static ssize_t drain(struct conn *c)
+static ssize_t drain(struct conn *conn)
 {
-	ssize_t n = recv(c->fd, c->h->scratch, SCRATCH, 0);
+	ssize_t n = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
 
 	if (n >= 0)
 		return n;
 	return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? -1 : 0;
 }
 
-void http_server_linger_read(struct conn *c)
+void http_server_linger_read(struct conn *conn)
 {
-	if (!drain(c))
-		http_conn_close(c, 0);
+	if (!drain(conn))
+		http_conn_close(conn, 0);
 }
 
-void http_server_stop(struct conn *c)
+void http_server_stop(struct conn *conn)
 {
-	int lost, sent = c->st != ST_LINGER && http_conn_send(c, &lost), reads = 0;
-	int answered = c->st == ST_LINGER || (c->st == ST_DONE && sent);
+	int lost, sent = conn->state != CONN_LINGERING && http_conn_send(conn, &lost), reads = 0;
+	int answered = conn->state == CONN_LINGERING || (conn->state == CONN_SENDING_RESPONSE && sent);
 
 	if (!answered) {
-		http_server_cut(c, HTTP_CUT_CLOSED);
+		http_server_abort(conn, HTTP_OUTCOME_CLOSED);
 		return;
 	}
-	http_server_settle(c, c->s.refusal ? HTTP_REFUSED : HTTP_ANSWERED);
-	shutdown(c->fd, SHUT_WR);
-	while (reads++ < STOP_READS && drain(c) > 0)
+	http_server_count_outcome(conn, conn->s.is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
+	shutdown(conn->fd, SHUT_WR);
+	while (reads++ < STOP_READS && drain(conn) > 0)
 		;
-	http_conn_close(c, 0);
+	http_conn_close(conn, 0);
 }
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -11,75 +11,75 @@
 
 /* ---- heads ---- */
 
-static int is_tchar(unsigned char c)
+static int is_token_char(unsigned char character)
 {
 	static const char others[] = "!#$%&'*+-.^_`|~";
 
-	return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || (c && strchr(others, c));
+	return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') || (character >= '0' && character <= '9') || (character && strchr(others, character));
 }
 
 unsigned char http_token_char[256];
 
 /* Where the head that begins at from ends; 0 when more is to come; -1 when a line does not end in CRLF. */
-ssize_t http_head_end(struct conn *c, size_t from)
+ssize_t http_head_end(struct conn *conn, size_t from)
 {
-	const char *d = c->in.d, *nl;
+	const char *d = conn->in.data, *nl;
 
-	if (c->scan < from)
-		c->scan = from;
-	while (c->scan < c->in.len && (nl = memchr(d + c->scan, '\n', c->in.len - c->scan))) {
+	if (conn->scan_offset < from)
+		conn->scan_offset = from;
+	while (conn->scan_offset < conn->in.len && (nl = memchr(d + conn->scan_offset, '\n', conn->in.len - conn->scan_offset))) {
 		size_t i = (size_t)(nl - d);
 
 		if (i == from || d[i - 1] != '\r')
 			return -1;
-		c->scan = i + 1;
+		conn->scan_offset = i + 1;
 		if (i >= from + 2 && d[i - 2] == '\n')
 			return (ssize_t)(i + 1);
 	}
-	c->scan = c->in.len;
+	conn->scan_offset = conn->in.len;
 	return 0;
 }
 
-static int text_ok(const char *p, const char *e)
+static int is_text(const char *text, const char *end)
 {
-	for (; p < e; p++)
-		if (((unsigned char)*p < 32 && *p != '\t') || *p == 127)
+	for (; text < end; text++)
+		if (((unsigned char)*text < 32 && *text != '\t') || *text == 127)
 			return 0;
 	return 1;
 }
 
 /* First line: VERB SP target SP HTTP/1.x, or HTTP/1.x SP ddd [SP reason] */
-static int first_ok(const char *p, const char *e, int request)
+static int is_start_line(const char *line, const char *end, int request)
 {
-	const char *t;
+	const char *cursor;
 
 	if (!request)
-		return e - p >= 12 && !memcmp(p, "HTTP/1.", 7) && (p[7] == '0' || p[7] == '1') && p[8] == ' ' && p[9] >= '1' &&
-		       p[9] <= '9' && p[10] >= '0' && p[10] <= '9' && p[11] >= '0' && p[11] <= '9' &&
-		       (e - p == 12 || p[12] == ' ') && text_ok(p, e);
-	for (t = p; t < e && http_token_char[(unsigned char)*t]; t++)
+		return end - line >= 12 && !memcmp(line, "HTTP/1.", 7) && (line[7] == '0' || line[7] == '1') && line[8] == ' ' && line[9] >= '1' &&
+		       line[9] <= '9' && line[10] >= '0' && line[10] <= '9' && line[11] >= '0' && line[11] <= '9' &&
+		       (end - line == 12 || line[12] == ' ') && is_text(line, end);
+	for (cursor = line; cursor < end && http_token_char[(unsigned char)*cursor]; cursor++)
 		;
-	if (t == p || t == e || *t++ != ' ')
+	if (cursor == line || cursor == end || *cursor++ != ' ')
 		return 0;
-	for (p = t; t < e && (unsigned char)*t > 32 && *t != 127; t++)
+	for (line = cursor; cursor < end && (unsigned char)*cursor > 32 && *cursor != 127; cursor++)
 		;
-	return t > p && e - t == 9 && !memcmp(t, " HTTP/1.", 8) && (t[8] == '0' || t[8] == '1');
+	return cursor > line && end - cursor == 9 && !memcmp(cursor, " HTTP/1.", 8) && (cursor[8] == '0' || cursor[8] == '1');
 }
 
 /* http-parser forgives folded lines, blanks before a colon and more; whoever reads the same bytes may not. */
-static int lines_ok(const char *p, const char *e, int request)
+static int are_lines_exact(const char *line, const char *end, int request)
 {
-	const char *nl = memchr(p, '\n', (size_t)(e - p));
+	const char *nl = memchr(line, '\n', (size_t)(end - line));
 
-	if (!nl || nl == p || !first_ok(p, nl - 1, request))
+	if (!nl || nl == line || !is_start_line(line, nl - 1, request))
 		return 0;
-	for (p = nl + 1; p < e - 2; p = nl + 1) {
-		const char *t = p;
+	for (line = nl + 1; line < end - 2; line = nl + 1) {
+		const char *cursor = line;
 
-		nl = memchr(p, '\n', (size_t)(e - p));
-		while (http_token_char[(unsigned char)*t])
-			t++;
-		if (t == p || *t != ':' || !text_ok(t + 1, nl - 1))
+		nl = memchr(line, '\n', (size_t)(end - line));
+		while (http_token_char[(unsigned char)*cursor])
+			cursor++;
+		if (cursor == line || *cursor != ':' || !is_text(cursor + 1, nl - 1))
 			return 0;
 	}
 	return 1;
@@ -91,59 +91,59 @@
 	int values, ended;
 };
 
-static void terminate(struct reading *r)
+static void terminate(struct reading *reading)
 {
-	if (r->name_end)
-		*r->name_end = 0;
-	if (r->value_end)
-		*r->value_end = 0;
-	r->name_end = r->value_end = NULL;
+	if (reading->name_end)
+		*reading->name_end = 0;
+	if (reading->value_end)
+		*reading->value_end = 0;
+	reading->name_end = reading->value_end = NULL;
 }
 
-static const char *as_offset(struct conn *c, const char *p) { return (const char *)(uintptr_t)(p - c->in.d); }
+static const char *as_offset(struct conn *conn, const char *position) { return (const char *)(uintptr_t)(position - conn->in.data); }
 
-static int on_url(http_parser *p, const char *at, size_t n)
+static int on_url(http_parser *parser, const char *at, size_t n)
 {
-	struct reading *r = p->data;
+	struct reading *reading = parser->data;
 
-	r->c->s.target = (size_t)(at - r->c->in.d);
-	r->name_end = r->c->in.d + r->c->s.target + n; /* the blank behind it, which has been read when the next comes */
+	reading->c->s.target_offset = (size_t)(at - reading->c->in.data);
+	reading->name_end = reading->c->in.data + reading->c->s.target_offset + n; /* the blank behind it, which has been read when the next comes */
 	return 0;
 }
 
-static int on_field(http_parser *p, const char *at, size_t n)
+static int on_field(http_parser *parser, const char *text, size_t size)
 {
-	struct reading *r = p->data;
-	struct conn *c = r->c;
+	struct reading *reading = parser->data;
+	struct conn *conn = reading->c;
 
-	terminate(r);
-	if (r->values != c->nf)
+	terminate(reading);
+	if (reading->values != conn->field_count)
 		return -1;
-	if (c->nf == c->fcap) {
-		c->fcap = c->fcap ? c->fcap * 2 : 16;
-		if (!(c->f = realloc(c->f, (size_t)c->fcap * sizeof *c->f)))
+	if (conn->field_count == conn->field_capacity) {
+		conn->field_capacity = conn->field_capacity ? conn->field_capacity * 2 : 16;
+		if (!(conn->fields = realloc(conn->fields, (size_t)conn->field_capacity * sizeof *conn->fields)))
 			abort();
 	}
 	/* offsets, until the buffer moves no more; an empty value is the end of its name */
-	c->f[c->nf++] = (struct http_field){ as_offset(c, at), as_offset(c, at + n) };
-	r->name_end = c->in.d + (at - c->in.d) + n;
+	conn->fields[conn->field_count++] = (struct http_field){ as_offset(conn, text), as_offset(conn, text + size) };
+	reading->name_end = conn->in.data + (text - conn->in.data) + size;
 	return 0;
 }
 
-static int has_token(const char *v, size_t n, const char *want)
+static int list_has_token(const char *value, size_t size, const char *token)
 {
-	size_t w = strlen(want), i, j;
+	size_t w = strlen(token), i, j;
 
-	for (i = 0; i < n; i = j + 1) {
-		for (j = i; j < n && v[j] != ','; j++)
+	for (i = 0; i < size; i = j + 1) {
+		for (j = i; j < size && value[j] != ','; j++)
 			;
 		size_t a = i, b = j;
 
-		while (a < b && (v[a] == ' ' || v[a] == '\t'))
+		while (a < b && (value[a] == ' ' || value[a] == '\t'))
 			a++;
-		while (b > a && (v[b - 1] == ' ' || v[b - 1] == '\t'))
+		while (b > a && (value[b - 1] == ' ' || value[b - 1] == '\t'))
 			b--;
-		if (b - a == w && !strncasecmp(v + a, want, w))
+		if (b - a == w && !strncasecmp(value + a, token, w))
 			return 1;
 	}
 	return 0;
@@ -163,196 +163,196 @@
 	return n > 0 && n <= 15;
 }
 
-static int keep_seconds(const char *v, size_t n)
+static int keep_alive_seconds(const char *value, size_t size)
 {
 	size_t i, j;
 	uint64_t s;
 
-	for (i = 0; i + 8 <= n; i++) {
-		if (strncasecmp(v + i, "timeout=", 8))
+	for (i = 0; i + 8 <= size; i++) {
+		if (strncasecmp(value + i, "timeout=", 8))
 			continue;
-		for (j = i += 8; j < n && v[j] >= '0' && v[j] <= '9'; j++)
+		for (j = i += 8; j < size && value[j] >= '0' && value[j] <= '9'; j++)
 			;
-		if (number(v + i, j - i, &s))
+		if (number(value + i, j - i, &s))
 			return s < 100000 ? (int)s : 100000;
 	}
 	return -1;
 }
 
-static void note(struct head *hd, const char *name, size_t nn, const char *v, size_t n)
+static void note(struct head *head, const char *name, size_t nn, const char *v, size_t n)
 {
 	switch (nn) {
-	case 4: hd->hosts += !strncasecmp(name, "host", 4); break;
-	case 6: hd->expect |= !strncasecmp(name, "expect", 6) && has_token(v, n, "100-continue"); break;
+	case 4: head->host_count += !strncasecmp(name, "host", 4); break;
+	case 6: head->expects_continue |= !strncasecmp(name, "expect", 6) && list_has_token(v, n, "100-continue"); break;
 	case 10:
 		if (!strncasecmp(name, "connection", 10))
-			hd->close |= has_token(v, n, "close");
+			head->close |= list_has_token(v, n, "close");
 		else if (!strncasecmp(name, "keep-alive", 10))
-			hd->keep_s = keep_seconds(v, n);
+			head->keep_alive_s = keep_alive_seconds(v, n);
 		break;
 	case 14:
 		if (strncasecmp(name, "content-length", 14))
 			break;
-		hd->bad |= hd->has_len || !number(v, n, &hd->length);
-		hd->has_len = 1;
+		head->malformed |= head->has_length || !number(v, n, &head->length);
+		head->has_length = 1;
 		break;
 	case 17:
 		if (strncasecmp(name, "transfer-encoding", 17))
 			break;
-		hd->bad |= hd->chunked || n != 7 || strncasecmp(v, "chunked", 7);
-		hd->chunked = 1;
+		head->malformed |= head->chunked || n != 7 || strncasecmp(v, "chunked", 7);
+		head->chunked = 1;
 		break;
 	}
 }
 
-static int on_value(http_parser *p, const char *at, size_t n)
+static int on_value(http_parser *parser, const char *at, size_t n)
 {
-	struct reading *r = p->data;
-	struct conn *c = r->c;
-	size_t name = (size_t)(uintptr_t)c->f[c->nf - 1].name;
+	struct reading *reading = parser->data;
+	struct conn *conn = reading->c;
+	size_t name = (size_t)(uintptr_t)conn->fields[conn->field_count - 1].name;
 
-	if (++r->values != c->nf)
+	if (++reading->values != conn->field_count)
 		return -1;
 	while (n && (at[n - 1] == ' ' || at[n - 1] == '\t'))
 		n--;
-	note(&c->hd, c->in.d + name, (size_t)(r->name_end - c->in.d) - name, at, n);
+	note(&conn->head, conn->in.data + name, (size_t)(reading->name_end - conn->in.data) - name, at, n);
 	if (n) {
-		c->f[c->nf - 1].value = as_offset(c, at);
-		r->value_end = c->in.d + (at - c->in.d) + n;
+		conn->fields[conn->field_count - 1].value = as_offset(conn, at);
+		reading->value_end = conn->in.data + (at - conn->in.data) + n;
 	}
 	return 0;
 }
 
-static int on_head(http_parser *p)
+static int on_head(http_parser *parser)
 {
-	struct reading *r = p->data;
+	struct reading *reading = parser->data;
 
-	terminate(r);
-	r->ended = 1;
+	terminate(reading);
+	reading->ended = 1;
 	return 1; /* its body is not http-parser's */
 }
 
 /* Read the whole head at in[from, to). Fields are offsets into the buffer afterwards. */
-int http_head_read(struct conn *c, size_t from, size_t to, int request)
+int http_head_read(struct conn *conn, size_t from, size_t end, int request)
 {
 	static const http_parser_settings set = {
 		.on_url = on_url, .on_header_field = on_field, .on_header_value = on_value, .on_headers_complete = on_head
 	};
-	struct reading r = { .c = c };
-	http_parser p;
+	struct reading reading = { .c = conn };
+	http_parser parser;
 
-	c->nf = 0;
-	c->hd = (struct head){ .keep_s = -1 };
-	if (!lines_ok(c->in.d + from, c->in.d + to, request))
+	conn->field_count = 0;
+	conn->head = (struct head){ .keep_alive_s = -1 };
+	if (!are_lines_exact(conn->in.data + from, conn->in.data + end, request))
 		return 0;
-	http_parser_init(&p, request ? HTTP_REQUEST : HTTP_RESPONSE);
-	p.data = &r;
-	http_parser_execute(&p, &set, c->in.d + from, to - from);
-	if (!r.ended || HTTP_PARSER_ERRNO(&p) != HPE_OK || c->hd.bad || (c->hd.chunked && c->hd.has_len) || p.http_major != 1 ||
-	    (c->hd.chunked && !p.http_minor))
+	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
+	parser.data = &reading;
+	http_parser_execute(&parser, &set, conn->in.data + from, end - from);
+	if (!reading.ended || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.malformed || (conn->head.chunked && conn->head.has_length) || parser.http_major != 1 ||
+	    (conn->head.chunked && !parser.http_minor))
 		return 0;
-	c->hd.minor = p.http_minor;
-	c->hd.close |= !p.http_minor;
-	c->hd.status = (int)p.status_code;
+	conn->head.minor_version = parser.http_minor;
+	conn->head.close |= !parser.http_minor;
+	conn->head.status = (int)parser.status_code;
 	if (request) {
-		c->s.verb = http_method_str((enum http_method)p.method);
-		return c->hd.hosts <= 1 && p.method != HTTP_CONNECT;
+		conn->s.method = http_method_str((enum http_method)parser.method);
+		return conn->head.host_count <= 1 && parser.method != HTTP_CONNECT;
 	}
 	return 1;
 }
 
 /* From here on the buffer does not move. */
-void http_head_fix_fields(struct conn *c)
+void http_head_resolve_fields(struct conn *conn)
 {
 	int i;
 
-	for (i = 0; i < c->nf; i++)
-		c->f[i] = (struct http_field){ c->in.d + (uintptr_t)c->f[i].name, c->in.d + (uintptr_t)c->f[i].value };
+	for (i = 0; i < conn->field_count; i++)
+		conn->fields[i] = (struct http_field){ conn->in.data + (uintptr_t)conn->fields[i].name, conn->in.data + (uintptr_t)conn->fields[i].value };
 }
 
 /* ---- chunks ---- */
 
-static int hex(char c) { return c >= '0' && c <= '9' ? c - '0' : (c | 32) >= 'a' && (c | 32) <= 'f' ? (c | 32) - 'a' + 10 : -1; }
+static int hex_digit(char character) { return character >= '0' && character <= '9' ? character - '0' : (character | 32) >= 'a' && (character | 32) <= 'f' ? (character | 32) - 'a' + 10 : -1; }
 
 /* Takes bytes up to the end of a span of data, *d and *dn. Returns how many, or -1 for bad framing. */
 /* NOLINTNEXTLINE(readability-function-size): one case for each state of the parser */
-ssize_t http_chunk_step(struct chunks *k, const char *p, size_t n, const char **d, size_t *dn)
+ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data, size_t *data_size)
 {
 	size_t i;
-	int v;
+	int digit;
 
-	*dn = 0;
-	for (i = 0; i < n && k->at != CH_DONE; i++) {
-		char c = p[i];
+	*data_size = 0;
+	for (i = 0; i < size && chunks->state != CHUNK_DONE; i++) {
+		char c = input[i];
 
-		switch (k->at) {
-		case CH_SIZE:
-			if ((v = hex(c)) >= 0) {
-				if (++k->digits > 15)
+		switch (chunks->state) {
+		case CHUNK_SIZE:
+			if ((digit = hex_digit(c)) >= 0) {
+				if (++chunks->digit_count > 15)
 					return -1;
-				k->left = k->left * 16 + (uint64_t)v;
-			} else if (k->digits && (c == '\r' || c == ';')) {
-				k->at = c == '\r' ? CH_SIZE_LF : CH_EXT;
-				k->line = 0;
+				chunks->remaining = chunks->remaining * 16 + (uint64_t)digit;
+			} else if (chunks->digit_count && (c == '\r' || c == ';')) {
+				chunks->state = c == '\r' ? CHUNK_SIZE_LF : CHUNK_EXTENSION;
+				chunks->line_bytes = 0;
 			} else {
 				return -1;
 			}
 			break;
-		case CH_EXT:
+		case CHUNK_EXTENSION:
 			if (c == '\r')
-				k->at = CH_SIZE_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++k->line > CHUNK_LINE)
+				chunks->state = CHUNK_SIZE_LF;
+			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++chunks->line_bytes > MAX_CHUNK_LINE_BYTES)
 				return -1;
 			break;
-		case CH_SIZE_LF:
+		case CHUNK_SIZE_LF:
 			if (c != '\n')
 				return -1;
-			k->at = k->left ? CH_DATA : CH_LINE;
+			chunks->state = chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START;
 			break;
-		case CH_DATA:
-			*d = p + i;
-			*dn = n - i < k->left ? n - i : (size_t)k->left;
-			k->left -= *dn;
-			if (!k->left)
-				k->at = CH_DATA_CR;
-			return (ssize_t)(i + *dn);
-		case CH_DATA_CR:
+		case CHUNK_DATA:
+			*data = input + i;
+			*data_size = size - i < chunks->remaining ? size - i : (size_t)chunks->remaining;
+			chunks->remaining -= *data_size;
+			if (!chunks->remaining)
+				chunks->state = CHUNK_DATA_CR;
+			return (ssize_t)(i + *data_size);
+		case CHUNK_DATA_CR:
 			if (c != '\r')
 				return -1;
-			k->at = CH_DATA_LF;
+			chunks->state = CHUNK_DATA_LF;
 			break;
-		case CH_DATA_LF:
+		case CHUNK_DATA_LF:
 			if (c != '\n')
 				return -1;
-			k->at = CH_SIZE;
-			k->digits = 0;
+			chunks->state = CHUNK_SIZE;
+			chunks->digit_count = 0;
 			break;
-		case CH_LINE: /* of a trailer, or the end */
+		case CHUNK_TRAILER_START: /* of a trailer, or the end */
 			if (c == '\r') {
-				k->at = CH_END_LF;
+				chunks->state = CHUNK_END_LF;
 				break;
 			}
 			if (!http_token_char[(unsigned char)c])
 				return -1;
-			k->at = CH_TRAILER;
+			chunks->state = CHUNK_TRAILER;
 			break;
-		case CH_TRAILER:
+		case CHUNK_TRAILER:
 			if (c == '\r')
-				k->at = CH_TRAILER_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++k->trailers > TRAILERS)
+				chunks->state = CHUNK_TRAILER_LF;
+			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++chunks->trailer_bytes > MAX_TRAILER_BYTES)
 				return -1;
 			break;
-		case CH_TRAILER_LF:
+		case CHUNK_TRAILER_LF:
 			if (c != '\n')
 				return -1;
-			k->at = CH_LINE;
+			chunks->state = CHUNK_TRAILER_START;
 			break;
-		case CH_END_LF:
+		case CHUNK_END_LF:
 			if (c != '\n')
 				return -1;
-			k->at = CH_DONE;
+			chunks->state = CHUNK_DONE;
 			break;
-		case CH_DONE: break;
+		case CHUNK_DONE: break;
 		}
 	}
 	return (ssize_t)i;
@@ -361,6 +361,6 @@
 void http_parse_init(void)
 {
 	for (int i = 0; i < 256; i++)
-		http_token_char[i] = (unsigned char)is_tchar((unsigned char)i);
+		http_token_char[i] = (unsigned char)is_token_char((unsigned char)i);
 	http_parser_set_max_header_size(1 << 24); /* heads are bounded by who reads them */
 }
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -12,310 +12,310 @@
 #include "http_internal.h"
 #include "shell.h"
 
-static struct conn *by_token(struct http *h, uint64_t token)
+static struct conn *find_by_token(struct http *http, uint64_t token)
 {
-	size_t i = token & ((1u << SLOT_BITS) - 1);
-	struct conn *c = i < arrlenu(h->slot) ? h->slot[i] : NULL;
+	size_t index = token & ((1u << SLOT_BITS) - 1);
+	struct conn *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
-	return c && !c->dead && c->st == ST_BUSY && c->s.token == token ? c : NULL;
+	return conn && !conn->dead && conn->state == CONN_HANDLING && conn->s.token == token ? conn : NULL;
 }
 
-static void put_status(struct http *h, struct buffer *b, int status)
+static void append_status_line(struct http *http, struct buffer *buffer, int status)
 {
-	const char *s = http_status_str((enum http_status)status);
+	const char *reason = http_status_str((enum http_status)status);
 
-	http_buffer_put(h, b, "HTTP/1.1 ", 9);
-	http_buffer_number(h, b, (uint64_t)status, 10);
-	http_buffer_put(h, b, " ", 1);
-	http_buffer_text(h, b, *s == '<' ? "Other" : s);
-	http_buffer_put(h, b, "\r\n", 2);
+	http_buffer_append(http, buffer, "HTTP/1.1 ", 9);
+	http_buffer_append_number(http, buffer, (uint64_t)status, 10);
+	http_buffer_append(http, buffer, " ", 1);
+	http_buffer_append_text(http, buffer, *reason == '<' ? "Other" : reason);
+	http_buffer_append(http, buffer, "\r\n", 2);
 }
 
 /* For how long the wait under way may last. */
-static int wait_ms(const struct conn *c)
-{
-	const struct listener *d = &c->s.door->d;
-
-	switch (c->st) {
-	case ST_HEAD:
-		if (c->s.read)
-			return d->lim.head_ms;
-		return d->leaving && c->s.token && d->lim.idle_ms > LEAVE_IDLE_MS ? LEAVE_IDLE_MS : d->lim.idle_ms;
-	case ST_DONE: return c->s.unsettled ? d->lim.idle_ms : LINGER_MS; /* of a refusal: its request was not read */
-	case ST_LINGER: return LINGER_MS;
-	default: return d->lim.idle_ms;
+static int wait_ms(const struct conn *conn)
+{
+	const struct listener *listener = &conn->s.listener->listener;
+
+	switch (conn->state) {
+	case CONN_READING_HEAD:
+		if (conn->s.head_begun)
+			return listener->limits.head_timeout_ms;
+		return listener->draining && conn->s.token && listener->limits.idle_timeout_ms > DRAIN_IDLE_MS ? DRAIN_IDLE_MS : listener->limits.idle_timeout_ms;
+	case CONN_SENDING_RESPONSE: return conn->s.outcome_pending ? listener->limits.idle_timeout_ms : LINGER_MS; /* of a refusal: its request was not read */
+	case CONN_LINGERING: return LINGER_MS;
+	default: return listener->limits.idle_timeout_ms;
 	}
 }
 
-static void wait_begins(struct conn *c)
+static void begin_wait(struct conn *conn)
 {
-	c->s.since = c->h->now;
-	http_timer_set(c, c->s.since + wait_ms(c));
+	conn->s.wait_began_at_ms = conn->http->now_ms;
+	http_timer_set(conn, conn->s.wait_began_at_ms + wait_ms(conn));
 }
 
-void http_server_refuse(struct conn *c, int status, int retry_ms)
+void http_server_reject(struct conn *conn, int status, int retry_after_ms)
 {
-	struct http *h = c->h;
-	char after[48];
+	struct http *http = conn->http;
+	char retry_after[48];
 
-	h->n.bad++;
-	h->busy++;
-	put_status(h, &c->out, status);
-	if (retry_ms > 0) {
-		snprintf(after, sizeof after, "Retry-After: %d.%03d\r\n", retry_ms / 1000, retry_ms % 1000);
-		http_buffer_text(h, &c->out, after);
+	http->counters.bad_requests++;
+	http->busy_count++;
+	append_status_line(http, &conn->out, status);
+	if (retry_after_ms > 0) {
+		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000, retry_after_ms % 1000);
+		http_buffer_append_text(http, &conn->out, retry_after);
 	}
-	http_buffer_text(h, &c->out, "Content-Length: 0\r\nConnection: close\r\n\r\n");
-	c->st = ST_DONE;
-	c->s.closing = c->s.linger = 1;
-	c->in.len = 0;
-	wait_begins(c);
-	http_conn_queue(c);
+	http_buffer_append_text(http, &conn->out, "Content-Length: 0\r\nConnection: close\r\n\r\n");
+	conn->state = CONN_SENDING_RESPONSE;
+	conn->s.closing = conn->s.linger = 1;
+	conn->in.len = 0;
+	begin_wait(conn);
+	http_conn_queue(conn);
 }
 
-static void server_lost(struct conn *c)
+static void server_lost(struct conn *conn)
 {
-	struct http *h = c->h;
-	int waits = c->st == ST_BUSY;
+	struct http *http = conn->http;
+	int waits = conn->state == CONN_HANDLING;
 
-	http_server_cut(c, HTTP_CLIENT_GONE);
+	http_server_abort(conn, HTTP_OUTCOME_DISCONNECTED);
 	if (!waits)
 		return;
-	h->did = 1;
-	h->on.gone(h->on.ctx, c->s.token);
-}
-
-static void server_deliver(struct conn *c)
-{
-	struct http *h = c->h;
-	struct server_side *s = &c->s;
-
-	http_head_fix_fields(c);
-	s->token = ++h->serial << SLOT_BITS | s->slot;
-	s->req = (struct http_req){ s->token,
-				    s->door->d.id,
-				    s->verb,
-				    c->in.d + s->target,
-				    c->f,
-				    c->nf,
-				    c->hd.has_len || c->hd.chunked ? s->body_len ? c->in.d + s->body : "" : NULL,
-				    s->body_len,
-				    h->now };
-	s->begun = s->no_body = s->refusal = 0;
-	s->unsettled = 1;
-	s->answer_until = 0;
-	s->closing = c->hd.close;
-	c->st = ST_BUSY;
-	c->due = NO_TIME;
-	h->busy++;
-	h->n.requests++;
-	h->did = 1;
-	h->on.request(h->on.ctx, &s->req);
-}
-
-static int server_body(struct conn *c)
-{
-	struct server_side *s = &c->s;
+	http->callback_made = 1;
+	http->callbacks.disconnected(http->callbacks.context, conn->s.token);
+}
+
+static void server_deliver_request(struct conn *conn)
+{
+	struct http *http = conn->http;
+	struct server_side *side = &conn->s;
+
+	http_head_resolve_fields(conn);
+	side->token = ++http->serial << SLOT_BITS | side->slot;
+	side->request = (struct http_request){ side->token,
+				    side->listener->listener.listener_id,
+				    side->method,
+				    conn->in.data + side->target_offset,
+				    conn->fields,
+				    conn->field_count,
+				    conn->head.has_length || conn->head.chunked ? side->body_bytes ? conn->in.data + side->body_offset : "" : NULL,
+				    side->body_bytes,
+				    http->now_ms };
+	side->response_begun = side->no_body = side->is_rejection = 0;
+	side->outcome_pending = 1;
+	side->response_deadline_ms = 0;
+	side->closing = conn->head.close;
+	conn->state = CONN_HANDLING;
+	conn->due = NO_TIME;
+	http->busy_count++;
+	http->counters.requests++;
+	http->callback_made = 1;
+	http->callbacks.request(http->callbacks.context, &side->request);
+}
+
+static int server_body(struct conn *conn)
+{
+	struct server_side *side = &conn->s;
 	const char *d = NULL;
 	size_t dn, n;
 	ssize_t k;
 
-	if (!c->hd.chunked) {
-		n = c->in.len - s->pos;
-		if (n > c->left)
-			n = (size_t)c->left;
-		s->pos += n;
-		s->body_len += n;
-		c->left -= n;
-		return !c->left;
+	if (!conn->head.chunked) {
+		n = conn->in.len - side->parse_offset;
+		if (n > conn->body_remaining)
+			n = (size_t)conn->body_remaining;
+		side->parse_offset += n;
+		side->body_bytes += n;
+		conn->body_remaining -= n;
+		return !conn->body_remaining;
 	}
-	while (s->pos < c->in.len && c->ck.at != CH_DONE) {
-		if ((k = http_chunk_step(&c->ck, c->in.d + s->pos, c->in.len - s->pos, &d, &dn)) < 0) {
-			http_server_refuse(c, 400, 0);
+	while (side->parse_offset < conn->in.len && conn->chunks.state != CHUNK_DONE) {
+		if ((k = http_chunk_step(&conn->chunks, conn->in.data + side->parse_offset, conn->in.len - side->parse_offset, &d, &dn)) < 0) {
+			http_server_reject(conn, 400, 0);
 			return 0;
 		}
-		if (c->ck.at != CH_SIZE && s->body_len + dn + c->ck.left > s->body_max) { /* the size itself may be half read */
-			http_server_refuse(c, 413, 0);
+		if (conn->chunks.state != CHUNK_SIZE && side->body_bytes + dn + conn->chunks.remaining > side->max_body_bytes) { /* the size itself may be half read */
+			http_server_reject(conn, 413, 0);
 			return 0;
 		}
 		if (dn)
-			memmove(c->in.d + s->body + s->body_len, d, dn);
-		s->body_len += dn;
-		s->pos += (size_t)k;
+			memmove(conn->in.data + side->body_offset + side->body_bytes, d, dn);
+		side->body_bytes += dn;
+		side->parse_offset += (size_t)k;
 	}
-	if (c->ck.at == CH_DONE)
+	if (conn->chunks.state == CHUNK_DONE)
 		return 1;
 	/* what was framing makes room for what is to come */
-	c->in.len = s->pos = s->body + s->body_len;
+	conn->in.len = side->parse_offset = side->body_offset + side->body_bytes;
 	return 0;
 }
 
-static void server_parse(struct conn *c)
+static void server_parse(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct server_side *s = &c->s;
-	const struct http_limits *lim = &s->door->d.lim;
+	struct http *http = conn->http;
+	struct server_side *side = &conn->s;
+	const struct http_limits *lim = &side->listener->listener.limits;
 	ssize_t end;
 
-	if (c->st == ST_HEAD) {
-		while (c->in.len - s->pos >= 2 && !memcmp(c->in.d + s->pos, "\r\n", 2))
-			s->pos += 2; /* blank lines before a request */
-		if (c->in.len == s->pos) {
-			c->in.len = s->pos = c->scan = 0;
+	if (conn->state == CONN_READING_HEAD) {
+		while (conn->in.len - side->parse_offset >= 2 && !memcmp(conn->in.data + side->parse_offset, "\r\n", 2))
+			side->parse_offset += 2; /* blank lines before a request */
+		if (conn->in.len == side->parse_offset) {
+			conn->in.len = side->parse_offset = conn->scan_offset = 0;
 			return;
 		}
-		end = http_head_end(c, s->pos);
+		end = http_head_end(conn, side->parse_offset);
 		if (end < 0) {
-			http_server_refuse(c, 400, 0);
+			http_server_reject(conn, 400, 0);
 			return;
 		}
-		if ((end ? (size_t)end : c->in.len) - s->pos > lim->head) {
-			http_server_refuse(c, 431, 0);
+		if ((end ? (size_t)end : conn->in.len) - side->parse_offset > lim->head_bytes) {
+			http_server_reject(conn, 431, 0);
 			return;
 		}
 		if (!end) {
-			if (c->due == NO_TIME || !s->read) {
-				s->read = 1;
-				wait_begins(c);
+			if (conn->due == NO_TIME || !side->head_begun) {
+				side->head_begun = 1;
+				begin_wait(conn);
 			}
 			return;
 		}
-		if (!http_head_read(c, s->pos, (size_t)end, 1)) {
-			http_server_refuse(c, 400, 0);
+		if (!http_head_read(conn, side->parse_offset, (size_t)end, 1)) {
+			http_server_reject(conn, 400, 0);
 			return;
 		}
-		if (c->hd.has_len && c->hd.length > lim->body) {
-			http_server_refuse(c, 413, 0);
+		if (conn->head.has_length && conn->head.length > lim->body_bytes) {
+			http_server_reject(conn, 413, 0);
 			return;
 		}
-		s->pos = s->body = (size_t)end;
-		s->body_len = 0;
-		s->body_max = lim->body;
-		c->left = c->hd.length;
-		c->ck = (struct chunks){ 0 };
-		c->st = ST_BODY;
-		if (c->left > c->in.len - s->pos)
-			http_buffer_room(h, &c->in, (size_t)c->left - (c->in.len - s->pos));
-		if (c->hd.expect && c->hd.minor && (c->hd.chunked || c->left) && c->in.len == s->pos) {
-			http_buffer_text(h, &c->out, "HTTP/1.1 100 Continue\r\n\r\n");
-			http_conn_queue(c);
+		side->parse_offset = side->body_offset = (size_t)end;
+		side->body_bytes = 0;
+		side->max_body_bytes = lim->body_bytes;
+		conn->body_remaining = conn->head.length;
+		conn->chunks = (struct chunks){ 0 };
+		conn->state = CONN_READING_BODY;
+		if (conn->body_remaining > conn->in.len - side->parse_offset)
+			http_buffer_reserve(http, &conn->in, (size_t)conn->body_remaining - (conn->in.len - side->parse_offset));
+		if (conn->head.expects_continue && conn->head.minor_version && (conn->head.chunked || conn->body_remaining) && conn->in.len == side->parse_offset) {
+			http_buffer_append_text(http, &conn->out, "HTTP/1.1 100 Continue\r\n\r\n");
+			http_conn_queue(conn);
 		}
 	}
-	if (c->st != ST_BODY)
+	if (conn->state != CONN_READING_BODY)
 		return;
-	if (server_body(c))
-		server_deliver(c);
-	else if (c->st == ST_BODY)
-		wait_begins(c);
+	if (server_body(conn))
+		server_deliver_request(conn);
+	else if (conn->state == CONN_READING_BODY)
+		begin_wait(conn);
 }
 
-void http_server_idle(struct conn *c)
+void http_server_idle(struct conn *conn)
 {
-	c->st = ST_HEAD;
-	c->s.read = 0;
-	c->s.pos = c->scan = 0;
-	wait_begins(c);
+	conn->state = CONN_READING_HEAD;
+	conn->s.head_begun = 0;
+	conn->s.parse_offset = conn->scan_offset = 0;
+	begin_wait(conn);
 }
 
 /* The answer is out. A connection that has not said that it closes waits for the next request, also while the door leaves: one
  * may be on its way, and closing over it would be a reset that may overtake the answer. */
-static void server_next(struct conn *c)
+static void server_next_request(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct server_side *s = &c->s;
-	size_t rest = c->in.len > s->pos ? c->in.len - s->pos : 0;
+	struct http *http = conn->http;
+	struct server_side *side = &conn->s;
+	size_t rest = conn->in.len > side->parse_offset ? conn->in.len - side->parse_offset : 0;
 
-	http_server_settle(c, s->refusal ? HTTP_REFUSED : HTTP_ANSWERED);
-	if (s->closing) {
-		http_server_linger(c);
+	http_server_count_outcome(conn, side->is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
+	if (side->closing) {
+		http_server_linger(conn);
 		return;
 	}
 	if (rest)
-		memmove(c->in.d, c->in.d + s->pos, rest);
-	c->in.len = rest;
-	if (s->early.len) {
-		http_buffer_put(h, &c->in, s->early.d, s->early.len);
-		http_buffer_free(h, &s->early);
-		if (!(c->mask & EPOLLIN))
-			http_conn_watch(c, HTTP_READ_EVENTS);
+		memmove(conn->in.data, conn->in.data + side->parse_offset, rest);
+	conn->in.len = rest;
+	if (side->early.len) {
+		http_buffer_append(http, &conn->in, side->early.data, side->early.len);
+		http_buffer_free(http, &side->early);
+		if (!(conn->event_mask & EPOLLIN))
+			http_conn_watch(conn, HTTP_READ_EVENTS);
 	}
-	h->busy--;
-	http_server_idle(c);
-	if (c->in.len)
-		server_parse(c);
+	http->busy_count--;
+	http_server_idle(conn);
+	if (conn->in.len)
+		server_parse(conn);
 	else
-		http_buffer_free(h, &c->in);
+		http_buffer_free(http, &conn->in);
 }
 
 /* Nothing of an answer has left, and its time is over: this process may have stood still since it was given. */
-static int answer_is_late(const struct conn *c)
+static int response_is_late(const struct conn *conn)
 {
-	return c->s.answer_until && c->st == ST_DONE && c->out.len && !c->out.off && clock_ms() > c->s.answer_until;
+	return conn->s.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE && conn->out.len && !conn->out.offset && clock_ms() > conn->s.response_deadline_ms;
 }
 
-void http_server_flush(struct conn *c)
+void http_server_flush(struct conn *conn)
 {
 	int lost;
 
-	if (c->st == ST_LINGER)
+	if (conn->state == CONN_LINGERING)
 		return;
-	if (answer_is_late(c)) {
-		http_server_cut(c, HTTP_CUT_LATE);
+	if (response_is_late(conn)) {
+		http_server_abort(conn, HTTP_OUTCOME_LATE);
 		return;
 	}
-	if (!http_conn_send(c, &lost)) {
+	if (!http_conn_send(conn, &lost)) {
 		if (lost)
-			server_lost(c);
+			server_lost(conn);
 		else
-			http_conn_watch(c, c->mask | EPOLLOUT);
+			http_conn_watch(conn, conn->event_mask | EPOLLOUT);
 		return;
 	}
-	if (c->mask & EPOLLOUT)
-		http_conn_watch(c, c->mask & ~(uint32_t)EPOLLOUT);
-	if (c->st == ST_DONE)
-		server_next(c);
+	if (conn->event_mask & EPOLLOUT)
+		http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLOUT);
+	if (conn->state == CONN_SENDING_RESPONSE)
+		server_next_request(conn);
 }
 
 /* Bytes behind the request that is being answered: they are read now, so that the answer need not be the last. Not by way of
  * the scratch buffer, which may hold the piece of a server's answer that is being passed on. */
-static void server_read_early(struct conn *c)
+static void server_read_early(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct buffer *early = &c->s.early;
-	ssize_t n = recv(c->fd, http_buffer_room(h, early, BLOCK), BLOCK, 0);
+	struct http *http = conn->http;
+	struct buffer *early = &conn->s.early;
+	ssize_t n = recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
 	if (n > 0)
 		early->len += (size_t)n;
 	else
-		http_buffer_free(h, early);
+		http_buffer_free(http, early);
 }
 
 /* Returns how many bytes have come. */
-static ssize_t server_read(struct conn *c)
+static ssize_t server_read(struct conn *conn)
 {
-	struct http *h = c->h;
-	struct server_side *s = &c->s;
-	ssize_t n = recv(c->fd, h->scratch, SCRATCH, 0);
+	struct http *http = conn->http;
+	struct server_side *side = &conn->s;
+	ssize_t n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
 		return 0;
 	if (n <= 0) {
-		server_lost(c);
+		server_lost(conn);
 		return 0;
 	}
-	switch (c->st) {
-	case ST_HEAD:
-	case ST_BODY:
-		http_buffer_put(h, &c->in, h->scratch, (size_t)n);
-		server_parse(c);
+	switch (conn->state) {
+	case CONN_READING_HEAD:
+	case CONN_READING_BODY:
+		http_buffer_append(http, &conn->in, http->scratch, (size_t)n);
+		server_parse(conn);
 		break;
-	case ST_BUSY:
-	case ST_DONE:
-		if (s->linger)
+	case CONN_HANDLING:
+	case CONN_SENDING_RESPONSE:
+		if (side->linger)
 			break; /* of a request that was refused */
-		http_buffer_put(h, &s->early, h->scratch, (size_t)n);
-		if (s->early.len >= EARLY_MAX)
-			http_conn_watch(c, c->mask & ~(uint32_t)EPOLLIN);
+		http_buffer_append(http, &side->early, http->scratch, (size_t)n);
+		if (side->early.len >= MAX_EARLY_BYTES)
+			http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLIN);
 		break;
 	default: break;
 	}
@@ -323,235 +323,235 @@
 }
 
 /* The client's half has ended behind an answer that was given whole: it takes the rest of it, and asks for nothing more. */
-static void half_closed(struct conn *c)
+static void half_closed(struct conn *conn)
 {
-	c->s.closing = c->s.linger = 1;
-	http_conn_watch(c, EPOLLHUP | (c->mask & (uint32_t)EPOLLOUT));
+	conn->s.closing = conn->s.linger = 1;
+	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
 /* A client that ends its half before it has an answer counts as gone. HTTP/1.1 leaves open what such an end means; a full close
  * looks the same until something is sent, and a server must not work on for a client that has left. */
-void http_server_event(struct conn *c, uint32_t ev)
+void http_server_event(struct conn *conn, uint32_t events)
 {
-	if (c->st == ST_LINGER) {
-		http_server_linger_read(c);
+	if (conn->state == CONN_LINGERING) {
+		http_server_linger_read(conn);
 		return;
 	}
-	if ((ev & (EPOLLHUP | EPOLLERR)) || ((ev & EPOLLRDHUP) && c->st != ST_DONE)) {
-		server_lost(c);
+	if ((events & (EPOLLHUP | EPOLLERR)) || ((events & EPOLLRDHUP) && conn->state != CONN_SENDING_RESPONSE)) {
+		server_lost(conn);
 		return;
 	}
-	if (ev & EPOLLOUT)
-		http_server_flush(c);
-	if (c->dead)
+	if (events & EPOLLOUT)
+		http_server_flush(conn);
+	if (conn->dead)
 		return;
-	if ((ev & EPOLLRDHUP) && c->st == ST_DONE)
-		half_closed(c);
-	else if (ev & EPOLLIN)
-		server_read(c);
+	if ((events & EPOLLRDHUP) && conn->state == CONN_SENDING_RESPONSE)
+		half_closed(conn);
+	else if (events & EPOLLIN)
+		server_read(conn);
 }
 
 /* Bytes may have come since the loop looked: this process may have stood still. */
-int http_server_moves(struct conn *c)
+int http_server_progressed(struct conn *conn)
 {
-	int in_head = c->st == ST_HEAD && c->s.read;
-	ssize_t n = server_read(c);
+	int in_head = conn->state == CONN_READING_HEAD && conn->s.head_begun;
+	ssize_t n = server_read(conn);
 
-	return c->dead || c->st == ST_BUSY || c->st == ST_DONE || (n > 0 && !(in_head && c->st == ST_HEAD));
+	return conn->dead || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE || (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
 }
 
 /* Bytes of the answer that the client's machine has not acknowledged. */
-static uint64_t unsent(const struct conn *c)
+static uint64_t unsent_bytes(const struct conn *conn)
 {
 	int kernel = 0;
 
-	if (ioctl(c->fd, SIOCOUTQ, &kernel) || kernel < 0)
+	if (ioctl(conn->fd, SIOCOUTQ, &kernel) || kernel < 0)
 		kernel = 0;
-	return c->out.len - c->out.off + (uint64_t)kernel;
+	return conn->out.len - conn->out.offset + (uint64_t)kernel;
 }
 
 /* A slow link may need many times the idle time for one answer. */
-static int answer_moves(struct conn *c)
+static int response_progressed(struct conn *conn)
 {
-	uint64_t left;
+	uint64_t unsent;
 
-	http_server_flush(c);
-	if (c->dead || c->st != ST_DONE)
+	http_server_flush(conn);
+	if (conn->dead || conn->state != CONN_SENDING_RESPONSE)
 		return 1;
-	left = unsent(c);
-	if (left >= c->s.unsent)
+	unsent = unsent_bytes(conn);
+	if (unsent >= conn->s.unsent_bytes)
 		return 0;
-	c->s.unsent = left;
-	wait_begins(c);
+	conn->s.unsent_bytes = unsent;
+	begin_wait(conn);
 	return 1;
 }
 
-void http_server_timeout(struct conn *c)
+void http_server_timeout(struct conn *conn)
 {
-	int64_t due = c->s.since + wait_ms(c);
+	int64_t due = conn->s.wait_began_at_ms + wait_ms(conn);
 
-	if (c->st == ST_BUSY)
+	if (conn->state == CONN_HANDLING)
 		return;
-	if (c->st == ST_LINGER) {
-		http_server_linger_read(c);
-		if (!c->dead)
-			http_conn_close(c, 0);
-	} else if (due > c->h->now) { /* a longer time has come into force */
-		http_timer_set(c, due);
-	} else if (c->st == ST_DONE ? !answer_moves(c) : !http_server_moves(c)) {
-		http_server_cut(c, HTTP_CUT_STALLED);
+	if (conn->state == CONN_LINGERING) {
+		http_server_linger_read(conn);
+		if (!conn->dead)
+			http_conn_close(conn, 0);
+	} else if (due > conn->http->now_ms) { /* a longer time has come into force */
+		http_timer_set(conn, due);
+	} else if (conn->state == CONN_SENDING_RESPONSE ? !response_progressed(conn) : !http_server_progressed(conn)) {
+		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
 }
 
 /* Does the answer say that the connection closes, because the door leaves? It does not when bytes of another request have
  * come: that one is served too. */
-static int leaves_with_answer(struct conn *c)
+static int closes_with_response(struct conn *conn)
 {
-	struct server_side *s = &c->s;
+	struct server_side *side = &conn->s;
 
-	if (!s->door->d.leaving || s->closing)
+	if (!side->listener->listener.draining || side->closing)
 		return 0;
-	if (c->in.len <= s->pos && !s->early.len && (c->mask & EPOLLIN))
-		server_read_early(c);
-	return c->in.len <= s->pos && !s->early.len;
+	if (conn->in.len <= side->parse_offset && !side->early.len && (conn->event_mask & EPOLLIN))
+		server_read_early(conn);
+	return conn->in.len <= side->parse_offset && !side->early.len;
 }
 
-static int says_when_to_come_back(int status, const struct http_field *f, int nf)
+static int has_retry_after(int status, const struct http_field *fields, int field_count)
 {
-	return (status == 503 || status == 429) && http_get(f, nf, "Retry-After") != NULL;
+	return (status == 503 || status == 429) && http_field_value(fields, field_count, "Retry-After") != NULL;
 }
 
 /* Head of an answer. Length below 0: as the version allows. */
-static void answer_head(struct conn *c, int status, const struct http_field *f, int nf, int64_t length)
-{
-	struct http *h = c->h;
-	struct server_side *s = &c->s;
-	int i, none = status == 204 || status == 304 || (status >= 100 && status < 200);
-
-	put_status(h, &c->out, status);
-	for (i = 0; i < nf; i++)
-		if (!http_is_framing_field(f[i].name))
-			http_buffer_field(h, &c->out, &f[i]);
-	s->begun = 1;
-	s->no_body = none || !strcmp(s->verb, "HEAD");
-	s->refusal = says_when_to_come_back(status, f, nf);
-	if (leaves_with_answer(c))
-		s->closing = s->linger = 1;
-	s->left = length < 0 ? 0 : (uint64_t)length;
-	s->out = length >= 0 ? FR_LENGTH : c->hd.minor ? FR_CHUNKED : FR_EOF;
-	if (none) {
-		s->out = FR_NONE;
-	} else if (s->out == FR_LENGTH) {
-		http_buffer_text(h, &c->out, "Content-Length: ");
-		http_buffer_number(h, &c->out, (uint64_t)length, 10);
-		http_buffer_put(h, &c->out, "\r\n", 2);
-	} else if (s->out == FR_CHUNKED) {
-		http_buffer_text(h, &c->out, "Transfer-Encoding: chunked\r\n");
+static void append_response_head(struct conn *conn, int status, const struct http_field *fields, int field_count, int64_t length)
+{
+	struct http *http = conn->http;
+	struct server_side *side = &conn->s;
+	int i, has_no_body = status == 204 || status == 304 || (status >= 100 && status < 200);
+
+	append_status_line(http, &conn->out, status);
+	for (i = 0; i < field_count; i++)
+		if (!http_is_framing_field(fields[i].name))
+			http_buffer_append_field(http, &conn->out, &fields[i]);
+	side->response_begun = 1;
+	side->no_body = has_no_body || !strcmp(side->method, "HEAD");
+	side->is_rejection = has_retry_after(status, fields, field_count);
+	if (closes_with_response(conn))
+		side->closing = side->linger = 1;
+	side->remaining_bytes = length < 0 ? 0 : (uint64_t)length;
+	side->response_framing = length >= 0 ? BODY_LENGTH : conn->head.minor_version ? BODY_CHUNKED : BODY_UNTIL_EOF;
+	if (has_no_body) {
+		side->response_framing = BODY_NONE;
+	} else if (side->response_framing == BODY_LENGTH) {
+		http_buffer_append_text(http, &conn->out, "Content-Length: ");
+		http_buffer_append_number(http, &conn->out, (uint64_t)length, 10);
+		http_buffer_append(http, &conn->out, "\r\n", 2);
+	} else if (side->response_framing == BODY_CHUNKED) {
+		http_buffer_append_text(http, &conn->out, "Transfer-Encoding: chunked\r\n");
 	}
-	if (s->closing)
-		http_buffer_text(h, &c->out, "Connection: close\r\n");
-	http_buffer_put(h, &c->out, "\r\n", 2);
-	http_conn_queue(c);
+	if (side->closing)
+		http_buffer_append_text(http, &conn->out, "Connection: close\r\n");
+	http_buffer_append(http, &conn->out, "\r\n", 2);
+	http_conn_queue(conn);
 }
 
-static void answer_over(struct conn *c)
+static void response_complete(struct conn *conn)
 {
-	c->st = ST_DONE;
-	c->s.unsent = UINT64_MAX; /* looked at only when the idle time is over, so that an answer costs no system call more */
-	wait_begins(c);
-	http_conn_queue(c);
+	conn->state = CONN_SENDING_RESPONSE;
+	conn->s.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an answer costs no system call more */
+	begin_wait(conn);
+	http_conn_queue(conn);
 }
 
-const struct http_req *http_request(struct http *h, uint64_t token)
+const struct http_request *http_request_find(struct http *http, uint64_t token)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	return c ? &c->s.req : NULL;
+	return conn ? &conn->s.request : NULL;
 }
 
-void http_answer(struct http *h, uint64_t token, int status, const struct http_field *f, int nf, const char *body, size_t len)
+void http_respond(struct http *http, uint64_t token, int status, const struct http_field *fields, int field_count, const char *body, size_t body_bytes)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (!c || c->s.begun)
+	if (!conn || conn->s.response_begun)
 		return;
-	answer_head(c, status, f, nf, (int64_t)len);
-	if (!c->s.no_body)
-		http_buffer_put(h, &c->out, body, len);
-	answer_over(c);
+	append_response_head(conn, status, fields, field_count, (int64_t)body_bytes);
+	if (!conn->s.no_body)
+		http_buffer_append(http, &conn->out, body, body_bytes);
+	response_complete(conn);
 }
 
-void http_answer_until(struct http *h, uint64_t token, int64_t until)
+void http_response_set_deadline(struct http *http, uint64_t token, int64_t deadline_ms)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (c && !c->s.begun)
-		c->s.answer_until = until;
+	if (conn && !conn->s.response_begun)
+		conn->s.response_deadline_ms = deadline_ms;
 }
 
-void http_begin(struct http *h, uint64_t token, int status, const struct http_field *f, int nf, int64_t length)
+void http_response_begin(struct http *http, uint64_t token, int status, const struct http_field *fields, int field_count, int64_t length)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (c && !c->s.begun)
-		answer_head(c, status, f, nf, length);
+	if (conn && !conn->s.response_begun)
+		append_response_head(conn, status, fields, field_count, length);
 }
 
-void http_write(struct http *h, uint64_t token, const char *d, size_t n)
+void http_response_write(struct http *http, uint64_t token, const char *data, size_t size)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (!c || !c->s.begun || c->s.no_body || !n)
+	if (!conn || !conn->s.response_begun || conn->s.no_body || !size)
 		return;
-	switch (c->s.out) {
-	case FR_LENGTH:
-		if (n > c->s.left) {
-			log_say(LOG_BAD, "http", "An answer is longer than it said; it is broken off.");
-			http_abort(h, token);
+	switch (conn->s.response_framing) {
+	case BODY_LENGTH:
+		if (size > conn->s.remaining_bytes) {
+			log_write(LOG_ERROR, "http", "An answer is longer than it said; it is broken off.");
+			http_response_abort(http, token);
 			return;
 		}
-		c->s.left -= n;
-		http_buffer_put(h, &c->out, d, n);
+		conn->s.remaining_bytes -= size;
+		http_buffer_append(http, &conn->out, data, size);
 		break;
-	case FR_CHUNKED:
-		http_buffer_number(h, &c->out, n, 16);
-		http_buffer_put(h, &c->out, "\r\n", 2);
-		http_buffer_put(h, &c->out, d, n);
-		http_buffer_put(h, &c->out, "\r\n", 2);
+	case BODY_CHUNKED:
+		http_buffer_append_number(http, &conn->out, size, 16);
+		http_buffer_append(http, &conn->out, "\r\n", 2);
+		http_buffer_append(http, &conn->out, data, size);
+		http_buffer_append(http, &conn->out, "\r\n", 2);
 		break;
-	default: http_buffer_put(h, &c->out, d, n);
+	default: http_buffer_append(http, &conn->out, data, size);
 	}
-	http_conn_queue(c);
+	http_conn_queue(conn);
 }
 
-void http_finish(struct http *h, uint64_t token)
+void http_response_finish(struct http *http, uint64_t token)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (!c)
+	if (!conn)
 		return;
-	if (!c->s.begun || (c->s.out == FR_LENGTH && c->s.left && !c->s.no_body)) {
-		http_abort(h, token);
+	if (!conn->s.response_begun || (conn->s.response_framing == BODY_LENGTH && conn->s.remaining_bytes && !conn->s.no_body)) {
+		http_response_abort(http, token);
 		return;
 	}
-	if (c->s.out == FR_CHUNKED && !c->s.no_body)
-		http_buffer_put(h, &c->out, "0\r\n\r\n", 5);
-	answer_over(c);
+	if (conn->s.response_framing == BODY_CHUNKED && !conn->s.no_body)
+		http_buffer_append(http, &conn->out, "0\r\n\r\n", 5);
+	response_complete(conn);
 }
 
-void http_abort(struct http *h, uint64_t token)
+void http_response_abort(struct http *http, uint64_t token)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	if (c)
-		http_server_cut(c, HTTP_CUT_ABORTED);
+	if (conn)
+		http_server_abort(conn, HTTP_OUTCOME_ABORTED);
 }
 
-size_t http_backlog(struct http *h, uint64_t token)
+size_t http_response_backlog(struct http *http, uint64_t token)
 {
-	struct conn *c = by_token(h, token);
+	struct conn *conn = find_by_token(http, token);
 
-	return c ? c->out.len - c->out.off : 0;
+	return conn ? conn->out.len - conn->out.offset : 0;
 }
 
-int http_busy(const struct http *h) { return h->busy + h->sweeps; }
+int http_busy_count(const struct http *http) { return http->busy_count + http->sweep_count; }
--- a/lib/shell/net.c
+++ b/lib/shell/net.c
@@ -18,39 +18,39 @@
 #define NET_BULK ((uint64_t)1 << 63) /* in the key of a peer: its second connection */
 
 enum {
-	NET_FRAME = 32 << 20,
-	NET_QUEUE = 64 << 20,
-	NET_AGAIN = 200,
-	NET_DIAL = 250, /* ms without an answer after which another dial goes out beside it */
-	NET_DIALS = 8,  /* that wait beside the newest one; a longer way than that is as good as none */
-	NET_DRAWS = 64,
-	NET_POLL_MS = 100,
-	NET_CLOSE_MS = 200,    /* at the end, for what was said last to leave */
-	NET_CLOSE_POLL_MS = 10 /* between looks whether it has */
+	TRANSPORT_MAX_FRAME_BYTES = 32 << 20,
+	TRANSPORT_MAX_QUEUE_BYTES = 64 << 20,
+	TRANSPORT_REDIAL_MS = 200,
+	TRANSPORT_DIAL_MS = 250, /* ms without an answer after which another dial goes out beside it */
+	TRANSPORT_MAX_OLDER_DIALS = 8,  /* that wait beside the newest one; a longer way than that is as good as none */
+	TRANSPORT_MAX_READS = 64,
+	TRANSPORT_POLL_MS = 100,
+	TRANSPORT_CLOSE_MS = 200,    /* at the end, for what was said last to leave */
+	TRANSPORT_CLOSE_POLL_MS = 10 /* between looks whether it has */
 };
 
 /* Bytes that are not acknowledged for so long end a connection. The kernel would ask a silent machine again after ever longer
  * pauses, and not look for 10 s and more after it is back. Over a link that is full an acknowledgement may take as long as that:
  * so a connection whose dial took its time is given a few times that more. */
 enum {
-	NET_UNACKNOWLEDGED_MS = 1000,
-	NET_UNACKNOWLEDGED_WAYS = 3, /* round trips, as the dial took them, that are granted beside it */
-	NET_UNACKNOWLEDGED_MOST_MS = 5000
+	TRANSPORT_UNACKED_MS = 1000,
+	TRANSPORT_UNACKED_ROUND_TRIPS = 3, /* round trips, as the dial took them, that are granted beside it */
+	TRANSPORT_UNACKED_MAX_MS = 5000
 };
 
-struct net_bytes {
+struct outgoing_frame {
 	uint64_t addr;
-	int bulk;
-	size_t n;
-	uint8_t *d;
+	int is_bulk;
+	size_t size_bytes;
+	uint8_t *data;
 };
 
 /* A dial that has had no answer yet. */
 struct dial {
-	apr_pool_t *p;
-	apr_socket_t *s;
-	apr_pollfd_t fd;
-	int64_t at;
+	apr_pool_t *pool;
+	apr_socket_t *socket;
+	apr_pollfd_t poll_fd;
+	int64_t started_at_ms;
 };
 
 struct conn {
@@ -58,355 +58,355 @@
 	apr_socket_t *s;
 	apr_pollfd_t fd;
 	uint64_t addr; /* outgoing: whom to; incoming: 0 */
-	uint8_t *buf;  /* stb_ds: bytes to write or read so far */
-	size_t at;
-	int up, listed;
-	int64_t again, dialled;
-	struct dial *older; /* stb_ds: outgoing: dials before the newest one, oldest first */
-	int bad;            /* logged that it cannot be reached */
+	uint8_t *buffer;  /* stb_ds: bytes to write or read so far */
+	size_t sent_offset;
+	int up, in_pollset;
+	int64_t redial_at_ms, dialled_at_ms;
+	struct dial *older_dials; /* stb_ds: outgoing: dials before the newest one, oldest first */
+	int unreachable_logged;            /* logged that it cannot be reached */
 };
 
 struct net {
-	apr_pool_t *p;
-	apr_socket_t *s;
-	apr_pollset_t *set;
-	apr_thread_t *t;
-	struct ring *to, *out;
+	apr_pool_t *pool;
+	apr_socket_t *listen_socket;
+	apr_pollset_t *pollset;
+	apr_thread_t *thread;
+	struct ring *events, *outgoing;
 	atomic_int stop;
-	struct conn **in; /* stb_ds */
+	struct conn **incoming; /* stb_ds */
 	struct {
 		uint64_t key;
 		struct conn *value;
-	} * peer;
+	} * peers;
 };
 
-static void unlist(struct net *n, struct conn *c)
+static void pollset_remove(struct net *net, struct conn *conn)
 {
-	if (c->listed)
-		apr_pollset_remove(n->set, &c->fd);
-	c->listed = 0;
+	if (conn->in_pollset)
+		apr_pollset_remove(net->pollset, &conn->fd);
+	conn->in_pollset = 0;
 }
 
-static int list(struct net *n, struct conn *c, apr_int16_t want)
+static int list(struct net *net, struct conn *conn, apr_int16_t want)
 {
-	unlist(n, c);
-	memset(&c->fd, 0, sizeof c->fd);
-	c->fd.desc_type = APR_POLL_SOCKET;
-	c->fd.reqevents = want;
-	c->fd.desc.s = c->s;
-	c->fd.client_data = c;
-	c->fd.p = c->p;
-	c->listed = apr_pollset_add(n->set, &c->fd) == APR_SUCCESS;
-	return c->listed;
+	pollset_remove(net, conn);
+	memset(&conn->fd, 0, sizeof conn->fd);
+	conn->fd.desc_type = APR_POLL_SOCKET;
+	conn->fd.reqevents = want;
+	conn->fd.desc.s = conn->s;
+	conn->fd.client_data = conn;
+	conn->fd.p = conn->p;
+	conn->in_pollset = apr_pollset_add(net->pollset, &conn->fd) == APR_SUCCESS;
+	return conn->in_pollset;
 }
 
-static apr_sockaddr_t *sockaddr(uint64_t a, apr_pool_t *p)
+static apr_sockaddr_t *sockaddr(uint64_t address, apr_pool_t *pool)
 {
 	apr_sockaddr_t *sa = NULL;
-	const char *ip = apr_psprintf(p, "%u.%u.%u.%u", (unsigned)(a >> 40) & 255, (unsigned)(a >> 32) & 255,
-				      (unsigned)(a >> 24) & 255, (unsigned)(a >> 16) & 255);
+	const char *ip = apr_psprintf(pool, "%u.%u.%u.%u", (unsigned)(address >> 40) & 255, (unsigned)(address >> 32) & 255,
+				      (unsigned)(address >> 24) & 255, (unsigned)(address >> 16) & 255);
 
-	apr_sockaddr_info_get(&sa, ip, APR_INET, (apr_port_t)(a & 65535), 0, p);
+	apr_sockaddr_info_get(&sa, ip, APR_INET, (apr_port_t)(address & 65535), 0, pool);
 	return sa;
 }
 
-static void dial_close(struct net *n, struct dial *d)
+static void dial_close(struct net *net, struct dial *dial)
 {
-	apr_pollset_remove(n->set, &d->fd);
-	apr_socket_close(d->s);
-	apr_pool_destroy(d->p);
+	apr_pollset_remove(net->pollset, &dial->poll_fd);
+	apr_socket_close(dial->socket);
+	apr_pool_destroy(dial->pool);
 }
 
-static void older_close(struct net *n, struct conn *c)
+static void older_dials_close(struct net *net, struct conn *conn)
 {
-	for (ptrdiff_t i = 0; i < arrlen(c->older); i++)
-		dial_close(n, &c->older[i]);
-	arrfree(c->older);
+	for (ptrdiff_t i = 0; i < arrlen(conn->older_dials); i++)
+		dial_close(net, &conn->older_dials[i]);
+	arrfree(conn->older_dials);
 }
 
-static void out_close(struct net *n, struct conn *c)
+static void outgoing_close(struct net *net, struct conn *conn)
 {
-	older_close(n, c);
-	unlist(n, c);
-	if (c->s)
-		apr_socket_close(c->s);
-	c->s = NULL;
-	c->up = 0;
-	arrsetlen(c->buf, 0);
-	c->at = 0;
-	c->again = clock_ms() + NET_AGAIN;
-	apr_pool_clear(c->p);
+	older_dials_close(net, conn);
+	pollset_remove(net, conn);
+	if (conn->s)
+		apr_socket_close(conn->s);
+	conn->s = NULL;
+	conn->up = 0;
+	arrsetlen(conn->buffer, 0);
+	conn->sent_offset = 0;
+	conn->redial_at_ms = clock_ms() + TRANSPORT_REDIAL_MS;
+	apr_pool_clear(conn->p);
 }
 
-static void limit_unacknowledged(apr_socket_t *socket, int ms)
+static void limit_unacknowledged(apr_socket_t *socket, int timeout_ms)
 {
 	apr_os_sock_t fd;
 
 	if (apr_os_sock_get(&fd, socket) == APR_SUCCESS)
-		(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof ms);
+		(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
-static void out_dial(struct net *n, struct conn *c)
+static void outgoing_dial(struct net *net, struct conn *conn)
 {
-	apr_sockaddr_t *sa = sockaddr(c->addr, c->p);
+	apr_sockaddr_t *sa = sockaddr(conn->addr, conn->p);
 	apr_status_t st;
 
-	if (!sa || apr_socket_create(&c->s, APR_INET, SOCK_STREAM, APR_PROTO_TCP, c->p) != APR_SUCCESS) {
-		c->s = NULL;
+	if (!sa || apr_socket_create(&conn->s, APR_INET, SOCK_STREAM, APR_PROTO_TCP, conn->p) != APR_SUCCESS) {
+		conn->s = NULL;
 		return;
 	}
-	apr_socket_opt_set(c->s, APR_SO_NONBLOCK, 1);
-	apr_socket_timeout_set(c->s, 0);
-	apr_socket_opt_set(c->s, APR_TCP_NODELAY, 1);
-	limit_unacknowledged(c->s, NET_DIAL * (NET_DIALS + 1));
-	c->dialled = clock_ms();
-	st = apr_socket_connect(c->s, sa);
+	apr_socket_opt_set(conn->s, APR_SO_NONBLOCK, 1);
+	apr_socket_timeout_set(conn->s, 0);
+	apr_socket_opt_set(conn->s, APR_TCP_NODELAY, 1);
+	limit_unacknowledged(conn->s, TRANSPORT_DIAL_MS * (TRANSPORT_MAX_OLDER_DIALS + 1));
+	conn->dialled_at_ms = clock_ms();
+	st = apr_socket_connect(conn->s, sa);
 	if (st != APR_SUCCESS && !APR_STATUS_IS_EINPROGRESS(st)) {
-		out_close(n, c);
+		outgoing_close(net, conn);
 		return;
 	}
-	list(n, c, APR_POLLOUT | APR_POLLIN);
+	list(net, conn, APR_POLLOUT | APR_POLLIN);
 }
 
-static void out_write(struct net *n, struct conn *c)
+static void outgoing_write(struct net *net, struct conn *conn)
 {
-	while (c->at < (size_t)arrlen(c->buf)) {
-		apr_size_t len = (size_t)arrlen(c->buf) - c->at;
-		apr_status_t st = apr_socket_send(c->s, (char *)c->buf + c->at, &len);
+	while (conn->sent_offset < (size_t)arrlen(conn->buffer)) {
+		apr_size_t len = (size_t)arrlen(conn->buffer) - conn->sent_offset;
+		apr_status_t st = apr_socket_send(conn->s, (char *)conn->buffer + conn->sent_offset, &len);
 
-		c->at += len;
+		conn->sent_offset += len;
 		if (st == APR_SUCCESS)
 			continue;
 		if (APR_STATUS_IS_EAGAIN(st)) {
-			list(n, c, APR_POLLOUT | APR_POLLIN);
+			list(net, conn, APR_POLLOUT | APR_POLLIN);
 			return;
 		}
-		out_close(n, c);
+		outgoing_close(net, conn);
 		return;
 	}
-	arrsetlen(c->buf, 0);
-	c->at = 0;
-	list(n, c, APR_POLLIN);
+	arrsetlen(conn->buffer, 0);
+	conn->sent_offset = 0;
+	list(net, conn, APR_POLLIN);
 }
 
 /* An answer to a dial may only be slow, behind a full link: the dial stays, and another goes out beside it, for a machine that
  * was dark is asked again by the kernel after a second at the soonest. What it was made for is no longer worth sending. */
-static void dial_beside(struct net *n, struct conn *c)
+static void dial_beside(struct net *net, struct conn *conn)
 {
-	struct dial d = { c->p, c->s, c->fd, c->dialled };
+	struct dial dial = { conn->p, conn->s, conn->fd, conn->dialled_at_ms };
 
-	if (arrlen(c->older) == NET_DIALS) {
-		dial_close(n, &c->older[0]);
-		arrdel(c->older, 0);
+	if (arrlen(conn->older_dials) == TRANSPORT_MAX_OLDER_DIALS) {
+		dial_close(net, &conn->older_dials[0]);
+		arrdel(conn->older_dials, 0);
 	}
-	arrput(c->older, d);
-	apr_pool_create(&c->p, n->p);
-	c->s = NULL;
-	c->listed = 0;
-	arrsetlen(c->buf, 0);
-	c->at = 0;
-	out_dial(n, c);
+	arrput(conn->older_dials, dial);
+	apr_pool_create(&conn->p, net->pool);
+	conn->s = NULL;
+	conn->in_pollset = 0;
+	arrsetlen(conn->buffer, 0);
+	conn->sent_offset = 0;
+	outgoing_dial(net, conn);
 }
 
 /* The first answer to a dial: this connection is the one. */
-static void out_up(struct net *n, struct conn *c)
+static void outgoing_connected(struct net *net, struct conn *conn)
 {
-	int64_t allowed = NET_UNACKNOWLEDGED_MS + NET_UNACKNOWLEDGED_WAYS * (clock_ms() - c->dialled);
-
-	older_close(n, c);
-	limit_unacknowledged(c->s, (int)(allowed < NET_UNACKNOWLEDGED_MOST_MS ? allowed : NET_UNACKNOWLEDGED_MOST_MS));
-	if (c->bad)
-		log_say(LOG_INFO, "net", "Colleague %s is reached again.", core_addr_str(c->p, c->addr));
-	c->up = 1;
-	c->bad = 0;
+	int64_t allowed = TRANSPORT_UNACKED_MS + TRANSPORT_UNACKED_ROUND_TRIPS * (clock_ms() - conn->dialled_at_ms);
+
+	older_dials_close(net, conn);
+	limit_unacknowledged(conn->s, (int)(allowed < TRANSPORT_UNACKED_MAX_MS ? allowed : TRANSPORT_UNACKED_MAX_MS));
+	if (conn->unreachable_logged)
+		log_write(LOG_INFO, "net", "Colleague %s is reached again.", core_format_addr(conn->p, conn->addr));
+	conn->up = 1;
+	conn->unreachable_logged = 0;
 }
 
-static void out_ready(struct net *n, struct conn *c, apr_int16_t got)
+static void outgoing_ready(struct net *net, struct conn *conn, apr_int16_t events)
 {
-	if (!c->up && (got & (APR_POLLERR | APR_POLLHUP))) {
-		if (!c->bad)
-			log_say(LOG_WARN, "net", "Colleague %s cannot be reached.", core_addr_str(c->p, c->addr));
-		c->bad = 1;
-		out_close(n, c);
+	if (!conn->up && (events & (APR_POLLERR | APR_POLLHUP))) {
+		if (!conn->unreachable_logged)
+			log_write(LOG_WARN, "net", "Colleague %s cannot be reached.", core_format_addr(conn->p, conn->addr));
+		conn->unreachable_logged = 1;
+		outgoing_close(net, conn);
 		return;
 	}
-	if (got & APR_POLLIN) { /* the peer never speaks here: it closed */
+	if (events & APR_POLLIN) { /* the peer never speaks here: it closed */
 		char b[64];
 		apr_size_t len = sizeof b;
-		apr_status_t st = apr_socket_recv(c->s, b, &len);
+		apr_status_t st = apr_socket_recv(conn->s, b, &len);
 
 		if (st != APR_SUCCESS && !APR_STATUS_IS_EAGAIN(st)) {
-			out_close(n, c);
+			outgoing_close(net, conn);
 			return;
 		}
 	}
-	if (got & APR_POLLOUT) {
-		if (!c->up)
-			out_up(n, c);
-		out_write(n, c);
-	} else if (got & (APR_POLLERR | APR_POLLHUP)) {
-		out_close(n, c);
+	if (events & APR_POLLOUT) {
+		if (!conn->up)
+			outgoing_connected(net, conn);
+		outgoing_write(net, conn);
+	} else if (events & (APR_POLLERR | APR_POLLHUP)) {
+		outgoing_close(net, conn);
 	}
 }
 
 /* An older dial has its answer: it takes the newest one's place, or is over. */
-static void older_ready(struct net *n, struct conn *c, const apr_socket_t *s, apr_int16_t got)
+static void older_dial_ready(struct net *net, struct conn *conn, const apr_socket_t *socket, apr_int16_t events)
 {
 	ptrdiff_t i = 0;
-	struct dial d;
+	struct dial dial;
 
-	while (i < arrlen(c->older) && c->older[i].s != s)
+	while (i < arrlen(conn->older_dials) && conn->older_dials[i].socket != socket)
 		i++;
-	if (i == arrlen(c->older))
+	if (i == arrlen(conn->older_dials))
 		return; /* closed meanwhile */
-	d = c->older[i];
-	arrdel(c->older, i);
-	if (got & (APR_POLLERR | APR_POLLHUP)) {
-		dial_close(n, &d);
+	dial = conn->older_dials[i];
+	arrdel(conn->older_dials, i);
+	if (events & (APR_POLLERR | APR_POLLHUP)) {
+		dial_close(net, &dial);
 		return;
 	}
-	unlist(n, c);
-	if (c->s)
-		apr_socket_close(c->s);
-	apr_pool_destroy(c->p);
-	c->p = d.p;
-	c->s = d.s;
-	c->fd = d.fd;
-	c->listed = 1;
-	c->dialled = d.at;
-	out_ready(n, c, got);
+	pollset_remove(net, conn);
+	if (conn->s)
+		apr_socket_close(conn->s);
+	apr_pool_destroy(conn->p);
+	conn->p = dial.pool;
+	conn->s = dial.socket;
+	conn->fd = dial.poll_fd;
+	conn->in_pollset = 1;
+	conn->dialled_at_ms = dial.started_at_ms;
+	outgoing_ready(net, conn, events);
 }
 
-static void out_queue(struct net *n, struct net_bytes *b)
+static void outgoing_enqueue(struct net *net, struct outgoing_frame *net_bytes)
 {
-	uint64_t key = b->addr | (b->bulk ? NET_BULK : 0);
-	struct conn *c = hmget(n->peer, key);
+	uint64_t key = net_bytes->addr | (net_bytes->is_bulk ? NET_BULK : 0);
+	struct conn *conn = hmget(net->peers, key);
 	uint8_t *to;
 
-	if (!c) {
-		apr_pool_t *p;
+	if (!conn) {
+		apr_pool_t *pool;
 
-		apr_pool_create(&p, n->p);
-		c = calloc(1, sizeof *c);
-		if (!c)
+		apr_pool_create(&pool, net->pool);
+		conn = calloc(1, sizeof *conn);
+		if (!conn)
 			abort();
-		c->p = p;
-		c->addr = b->addr;
-		hmput(n->peer, key, c);
+		conn->p = pool;
+		conn->addr = net_bytes->addr;
+		hmput(net->peers, key, conn);
 	}
 	/* a machine without power, or behind a cut, does not answer a dial; the kernel would ask once more after a second only */
-	if (c->s && !c->up && clock_ms() - c->dialled > NET_DIAL)
-		dial_beside(n, c);
-	else if (!c->s && clock_ms() >= c->again)
-		out_dial(n, c);
-	if (!c->s || (size_t)arrlen(c->buf) - c->at + b->n > NET_QUEUE)
+	if (conn->s && !conn->up && clock_ms() - conn->dialled_at_ms > TRANSPORT_DIAL_MS)
+		dial_beside(net, conn);
+	else if (!conn->s && clock_ms() >= conn->redial_at_ms)
+		outgoing_dial(net, conn);
+	if (!conn->s || (size_t)arrlen(conn->buffer) - conn->sent_offset + net_bytes->size_bytes > TRANSPORT_MAX_QUEUE_BYTES)
 		return; /* lost: the core asks again */
-	if (c->at > 1 << 20) {
-		arrdeln(c->buf, 0, c->at);
-		c->at = 0;
+	if (conn->sent_offset > 1 << 20) {
+		arrdeln(conn->buffer, 0, conn->sent_offset);
+		conn->sent_offset = 0;
 	}
-	to = arraddnptr(c->buf, b->n);
-	memcpy(to, b->d, b->n);
-	if (c->up)
-		out_write(n, c);
+	to = arraddnptr(conn->buffer, net_bytes->size_bytes);
+	memcpy(to, net_bytes->data, net_bytes->size_bytes);
+	if (conn->up)
+		outgoing_write(net, conn);
 }
 
 /* ---- incoming ---- */
 
-static void in_close(struct net *n, struct conn *c)
+static void incoming_close(struct net *net, struct conn *conn)
 {
-	unlist(n, c);
-	apr_socket_close(c->s);
-	for (ptrdiff_t i = 0; i < arrlen(n->in); i++)
-		if (n->in[i] == c) {
-			arrdelswap(n->in, i);
+	pollset_remove(net, conn);
+	apr_socket_close(conn->s);
+	for (ptrdiff_t i = 0; i < arrlen(net->incoming); i++)
+		if (net->incoming[i] == conn) {
+			arrdelswap(net->incoming, i);
 			break;
 		}
-	arrfree(c->buf);
-	apr_pool_destroy(c->p);
-	free(c);
+	arrfree(conn->buffer);
+	apr_pool_destroy(conn->p);
+	free(conn);
 }
 
 /* Frames that are whole become events; 0 when the peer's bytes make no sense. */
-static int in_frames(struct net *n, struct conn *c)
+static int incoming_parse_frames(struct net *net, struct conn *conn)
 {
 	size_t at = 0;
 
-	while ((size_t)arrlen(c->buf) - at >= 4) {
-		const uint8_t *b = c->buf + at;
+	while ((size_t)arrlen(conn->buffer) - at >= 4) {
+		const uint8_t *b = conn->buffer + at;
 		size_t len = (size_t)b[0] << 24 | (size_t)b[1] << 16 | (size_t)b[2] << 8 | b[3];
-		struct shell_ev *e;
-		struct Nl__Msg *m;
+		struct shell_event *event;
+		struct Nl__Msg *message;
 
-		if (len > NET_FRAME)
+		if (len > TRANSPORT_MAX_FRAME_BYTES)
 			return 0;
-		if ((size_t)arrlen(c->buf) - at < 4 + len)
+		if ((size_t)arrlen(conn->buffer) - at < 4 + len)
 			break;
-		m = nl__msg__unpack(NULL, len, b + 4);
-		if (!m)
+		message = nl__msg__unpack(NULL, len, b + 4);
+		if (!message)
 			return 0;
-		if (m->speak != CORE_SPEAK) {
-			nl__msg__free_unpacked(m, NULL);
+		if (message->speak != CORE_SPEAK) {
+			nl__msg__free_unpacked(message, NULL);
 			return 0;
 		}
-		e = shell_ev_new(EV_MSG);
-		e->msg = m;
-		if (!ring_push(n->to, e, 0))
-			shell_ev_free(e);
+		event = shell_event_new(SHELL_EVENT_MESSAGE);
+		event->message = message;
+		if (!ring_push(net->events, event, 0))
+			shell_event_free(event);
 		at += 4 + len;
 	}
 	if (at)
-		arrdeln(c->buf, 0, at);
+		arrdeln(conn->buffer, 0, at);
 	return 1;
 }
 
-static void in_ready(struct net *n, struct conn *c)
+static void incoming_ready(struct net *net, struct conn *conn)
 {
-	for (int draws = 0; draws < NET_DRAWS; draws++) {
+	for (int reads = 0; reads < TRANSPORT_MAX_READS; reads++) {
 		char b[65536];
 		apr_size_t len = sizeof b;
-		apr_status_t st = apr_socket_recv(c->s, b, &len);
+		apr_status_t st = apr_socket_recv(conn->s, b, &len);
 
 		if (len)
-			memcpy(arraddnptr(c->buf, len), b, len);
+			memcpy(arraddnptr(conn->buffer, len), b, len);
 		if (APR_STATUS_IS_EAGAIN(st) || (st == APR_SUCCESS && len < sizeof b)) {
-			if (!in_frames(n, c)) {
-				log_say(LOG_WARN, "net", "A colleague's message makes no sense; the connection is closed.");
-				in_close(n, c);
+			if (!incoming_parse_frames(net, conn)) {
+				log_write(LOG_WARN, "net", "A colleague's message makes no sense; the connection is closed.");
+				incoming_close(net, conn);
 			}
 			return;
 		}
 		if (st != APR_SUCCESS) {
-			(void)in_frames(n, c);
-			in_close(n, c);
+			(void)incoming_parse_frames(net, conn);
+			incoming_close(net, conn);
 			return;
 		}
 	}
-	if (!in_frames(n, c))
-		in_close(n, c);
+	if (!incoming_parse_frames(net, conn))
+		incoming_close(net, conn);
 }
 
-static void in_take(struct net *n)
+static void incoming_accept(struct net *net)
 {
-	apr_pool_t *p;
+	apr_pool_t *pool;
 	apr_socket_t *s;
-	struct conn *c;
+	struct conn *conn;
 
-	apr_pool_create(&p, n->p);
-	if (apr_socket_accept(&s, n->s, p) != APR_SUCCESS) {
-		apr_pool_destroy(p);
+	apr_pool_create(&pool, net->pool);
+	if (apr_socket_accept(&s, net->listen_socket, pool) != APR_SUCCESS) {
+		apr_pool_destroy(pool);
 		return;
 	}
-	c = calloc(1, sizeof *c);
-	if (!c)
+	conn = calloc(1, sizeof *conn);
+	if (!conn)
 		abort();
-	c->p = p;
-	c->s = s;
+	conn->p = pool;
+	conn->s = s;
 	apr_socket_opt_set(s, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(s, 0);
-	arrput(n->in, c);
-	if (!list(n, c, APR_POLLIN))
-		in_close(n, c);
+	arrput(net->incoming, conn);
+	if (!list(net, conn, APR_POLLIN))
+		incoming_close(net, conn);
 }
 
 /* Wait for sockets for a while, then take what is to be sent. */
@@ -414,146 +414,146 @@
 {
 	const apr_pollfd_t *got = NULL;
 	apr_int32_t count = 0;
-	struct net_bytes *bytes;
+	struct outgoing_frame *bytes;
 
-	apr_pollset_poll(n->set, apr_time_from_msec(wait_ms), &count, &got);
+	apr_pollset_poll(n->pollset, apr_time_from_msec(wait_ms), &count, &got);
 	for (apr_int32_t i = 0; i < count; i++) {
-		struct conn *c = got[i].client_data;
-
-		if (!c)
-			in_take(n);
-		else if (!c->addr)
-			in_ready(n, c);
-		else if (c->s && got[i].desc.s == c->s)
-			out_ready(n, c, got[i].rtnevents);
+		struct conn *conn = got[i].client_data;
+
+		if (!conn)
+			incoming_accept(n);
+		else if (!conn->addr)
+			incoming_ready(n, conn);
+		else if (conn->s && got[i].desc.s == conn->s)
+			outgoing_ready(n, conn, got[i].rtnevents);
 		else
-			older_ready(n, c, got[i].desc.s, got[i].rtnevents);
+			older_dial_ready(n, conn, got[i].desc.s, got[i].rtnevents);
 	}
-	while ((bytes = ring_pop(n->out, 0))) {
-		out_queue(n, bytes);
-		free(bytes->d);
+	while ((bytes = ring_pop(n->outgoing, 0))) {
+		outgoing_enqueue(n, bytes);
+		free(bytes->data);
 		free(bytes);
 	}
 }
 
-static int has_unsent(const struct net *n)
+static int has_unsent(const struct net *net)
 {
-	for (ptrdiff_t i = 0; i < hmlen(n->peer); i++) {
-		const struct conn *c = n->peer[i].value;
+	for (ptrdiff_t i = 0; i < hmlen(net->peers); i++) {
+		const struct conn *conn = net->peers[i].value;
 
-		if (c->s && c->at < (size_t)arrlen(c->buf))
+		if (conn->s && conn->sent_offset < (size_t)arrlen(conn->buffer))
 			return 1;
 	}
 	return 0;
 }
 
-static void *APR_THREAD_FUNC net_thread(apr_thread_t *t, void *arg)
+static void *APR_THREAD_FUNC transport_thread(apr_thread_t *thread, void *arg)
 {
-	struct net *n = arg;
+	struct net *net = arg;
 	int64_t end;
 
-	(void)t;
-	while (!n->stop)
-		serve(n, NET_POLL_MS);
-	end = clock_ms() + NET_CLOSE_MS;
+	(void)thread;
+	while (!net->stop)
+		serve(net, TRANSPORT_POLL_MS);
+	end = clock_ms() + TRANSPORT_CLOSE_MS;
 	do
-		serve(n, NET_CLOSE_POLL_MS);
-	while (has_unsent(n) && clock_ms() < end);
+		serve(net, TRANSPORT_CLOSE_POLL_MS);
+	while (has_unsent(net) && clock_ms() < end);
 	return NULL;
 }
 
-struct net *net_open(const char *addr, struct ring *to, apr_pool_t *p)
+struct net *transport_open(const char *addr, struct ring *events, apr_pool_t *pool)
 {
-	struct net *n = apr_pcalloc(p, sizeof *n);
-	uint64_t a = core_addr(addr);
-	apr_sockaddr_t *sa = sockaddr(a, p);
+	struct net *net = apr_pcalloc(pool, sizeof *net);
+	uint64_t a = core_parse_addr(addr);
+	apr_sockaddr_t *sa = sockaddr(a, pool);
 	apr_pollfd_t fd;
 	apr_status_t st = APR_EINVAL;
 	char err[100];
 
-	apr_pool_create(&n->p, NULL); /* its own allocator: the thread's alone */
-	n->to = to;
-	ring_open(&n->out, 65536, p);
-	if (!a || !sa || (st = apr_socket_create(&n->s, APR_INET, SOCK_STREAM, APR_PROTO_TCP, p)) != APR_SUCCESS)
+	apr_pool_create(&net->pool, NULL); /* its own allocator: the thread's alone */
+	net->events = events;
+	ring_open(&net->outgoing, 65536, pool);
+	if (!a || !sa || (st = apr_socket_create(&net->listen_socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool)) != APR_SUCCESS)
 		goto bad;
-	apr_socket_opt_set(n->s, APR_SO_REUSEADDR, 1);
-	if ((st = apr_socket_bind(n->s, sa)) != APR_SUCCESS || (st = apr_socket_listen(n->s, 128)) != APR_SUCCESS)
+	apr_socket_opt_set(net->listen_socket, APR_SO_REUSEADDR, 1);
+	if ((st = apr_socket_bind(net->listen_socket, sa)) != APR_SUCCESS || (st = apr_socket_listen(net->listen_socket, 128)) != APR_SUCCESS)
 		goto bad;
-	apr_socket_opt_set(n->s, APR_SO_NONBLOCK, 1);
-	apr_socket_timeout_set(n->s, 0);
-	if ((st = apr_pollset_create(&n->set, 4096, p, APR_POLLSET_WAKEABLE)) != APR_SUCCESS)
+	apr_socket_opt_set(net->listen_socket, APR_SO_NONBLOCK, 1);
+	apr_socket_timeout_set(net->listen_socket, 0);
+	if ((st = apr_pollset_create(&net->pollset, 4096, pool, APR_POLLSET_WAKEABLE)) != APR_SUCCESS)
 		goto bad;
 	memset(&fd, 0, sizeof fd);
 	fd.desc_type = APR_POLL_SOCKET;
 	fd.reqevents = APR_POLLIN;
-	fd.desc.s = n->s;
-	fd.p = p;
-	apr_pollset_add(n->set, &fd);
-	if ((st = apr_thread_create(&n->t, NULL, net_thread, n, p)) == APR_SUCCESS)
-		return n;
+	fd.desc.s = net->listen_socket;
+	fd.p = pool;
+	apr_pollset_add(net->pollset, &fd);
+	if ((st = apr_thread_create(&net->thread, NULL, transport_thread, net, pool)) == APR_SUCCESS)
+		return net;
 bad:
-	log_say(LOG_BAD, "net", "Cannot listen at %s: %s.", addr, apr_strerror(st, err, sizeof err));
+	log_write(LOG_ERROR, "net", "Cannot listen at %s: %s.", addr, apr_strerror(st, err, sizeof err));
 	return NULL;
 }
 
 /* Messages that may be large, or many, and that nothing waits for within a lease or a bound of freshness. */
-static int is_bulk(const struct Nl__Msg *m)
+static int is_bulk(const struct Nl__Msg *message)
 {
-	switch (m->body_case) {
+	switch (message->body_case) {
 	case NL__MSG__BODY_SNAPSHOT_PIECE:
 	case NL__MSG__BODY_KEPT_ALL: return 1;
-	case NL__MSG__BODY_APPEND: return m->append->n_e > 0;
+	case NL__MSG__BODY_APPEND: return message->append->n_e > 0;
 	default: return 0;
 	}
 }
 
-void net_send(struct net *n, uint64_t addr, const struct Nl__Msg *m)
+void transport_send(struct net *net, uint64_t addr, const struct Nl__Msg *message)
 {
-	struct net_bytes *b = malloc(sizeof *b);
-	size_t len = nl__msg__get_packed_size(m);
+	struct outgoing_frame *net_bytes = malloc(sizeof *net_bytes);
+	size_t len = nl__msg__get_packed_size(message);
 
-	if (!b || !(b->d = malloc(len + 4)))
+	if (!net_bytes || !(net_bytes->data = malloc(len + 4)))
 		abort();
-	b->addr = addr;
-	b->bulk = is_bulk(m);
-	b->n = len + 4;
+	net_bytes->addr = addr;
+	net_bytes->is_bulk = is_bulk(message);
+	net_bytes->size_bytes = len + 4;
 	for (int i = 0; i < 4; i++)
-		b->d[i] = (uint8_t)(len >> (24 - 8 * i));
-	nl__msg__pack(m, b->d + 4);
-	if (len > NET_FRAME || !ring_push(n->out, b, 0)) {
-		free(b->d);
-		free(b);
+		net_bytes->data[i] = (uint8_t)(len >> (24 - 8 * i));
+	nl__msg__pack(message, net_bytes->data + 4);
+	if (len > TRANSPORT_MAX_FRAME_BYTES || !ring_push(net->outgoing, net_bytes, 0)) {
+		free(net_bytes->data);
+		free(net_bytes);
 		return;
 	}
-	apr_pollset_wakeup(n->set);
+	apr_pollset_wakeup(net->pollset);
 }
 
-void net_close(struct net *n)
+void transport_close(struct net *net)
 {
 	apr_status_t st;
-	struct net_bytes *b;
-
-	n->stop = 1;
-	apr_pollset_wakeup(n->set);
-	apr_thread_join(&st, n->t);
-	while ((b = ring_pop(n->out, 0))) {
-		free(b->d);
-		free(b);
+	struct outgoing_frame *net_bytes;
+
+	net->stop = 1;
+	apr_pollset_wakeup(net->pollset);
+	apr_thread_join(&st, net->thread);
+	while ((net_bytes = ring_pop(net->outgoing, 0))) {
+		free(net_bytes->data);
+		free(net_bytes);
 	}
-	while (arrlen(n->in))
-		in_close(n, n->in[0]);
-	for (ptrdiff_t i = 0; i < hmlen(n->peer); i++) {
-		struct conn *c = n->peer[i].value;
-
-		older_close(n, c);
-		if (c->s)
-			apr_socket_close(c->s);
-		arrfree(c->buf);
-		apr_pool_destroy(c->p);
-		free(c);
+	while (arrlen(net->incoming))
+		incoming_close(net, net->incoming[0]);
+	for (ptrdiff_t i = 0; i < hmlen(net->peers); i++) {
+		struct conn *conn = net->peers[i].value;
+
+		older_dials_close(net, conn);
+		if (conn->s)
+			apr_socket_close(conn->s);
+		arrfree(conn->buffer);
+		apr_pool_destroy(conn->p);
+		free(conn);
 	}
-	arrfree(n->in);
-	hmfree(n->peer);
-	apr_socket_close(n->s);
-	apr_pool_destroy(n->p);
+	arrfree(net->incoming);
+	hmfree(net->peers);
+	apr_socket_close(net->listen_socket);
+	apr_pool_destroy(net->pool);
 }
--- a/lib/shell/proc.c
+++ b/lib/shell/proc.c
@@ -21,16 +21,16 @@
 #endif
 
 enum {
-	PROC_TICK = 25,
-	PROC_SCAN = 250,
-	PROC_DRAIN = 30000,
-	PROC_RING = 65536,
-	PROC_BATCH = 64,
-	PROC_SETTINGS = 1000,
-	PROC_LEAVE = 50
+	PROCESS_TICK_MS = 25,
+	PROCESS_SCAN_MS = 250,
+	PROCESS_DRAIN_MS = 30000,
+	PROCESS_RING_CAPACITY = 65536,
+	PROCESS_EVENT_BATCH = 64,
+	PROCESS_SETTINGS_POLL_MS = 1000,
+	PROCESS_FLUSH_MS = 50
 };
 
-uint64_t proc_random(void)
+uint64_t process_random_id(void)
 {
 	uint64_t v = 0;
 
@@ -39,17 +39,17 @@
 	return v | 1;
 }
 
-static volatile sig_atomic_t got_signal, got_hup;
+static volatile sig_atomic_t got_signal, got_hangup;
 
 static void on_signal(int sig)
 {
 	if (sig == SIGHUP)
-		got_hup = 1;
+		got_hangup = 1;
 	else
 		got_signal = sig;
 }
 
-void proc_begin(void)
+void process_ignore_hangup(void)
 {
 	struct sigaction sa;
 
@@ -58,7 +58,7 @@
 	sigaction(SIGHUP, &sa, NULL);
 }
 
-static void signals(const struct settings *s)
+static void install_signal_handlers(const struct settings *settings)
 {
 	struct sigaction sa;
 
@@ -66,7 +66,7 @@
 	sa.sa_handler = on_signal;
 	sigaction(SIGTERM, &sa, NULL);
 	sigaction(SIGINT, &sa, NULL);
-	if (!s->other)
+	if (!settings->read_external)
 		sa.sa_handler = SIG_DFL;
 	sigaction(SIGHUP, &sa, NULL);
 	sa.sa_handler = SIG_IGN;
@@ -75,120 +75,120 @@
 
 /* ---- settings ---- */
 
-static const char *const set_keys = "listen, advertise, web, zone, seeds, data, fault";
+static const char *const settings_keys = "listen, advertise, web, zone, seeds, data, fault";
 
-static int set_bad(const char *program, const char *file, const char *key, const char *range)
+static int settings_error(const char *program, const char *file, const char *key, const char *range)
 {
 	fprintf(stderr, "%s: %s: %s: %s\n", program, file, key, range);
 	return 2;
 }
 
-static int set_file(struct settings *s, const char *program, apr_pool_t *p)
+static int settings_read_file(struct settings *settings, const char *program, apr_pool_t *p)
 {
-	struct json_object *j = json_object_from_file(s->file);
+	struct json_object *json = json_object_from_file(settings->file);
 	int rc = -1;
 
-	if (!json_object_is_type(j, json_type_object)) {
-		rc = set_bad(program, s->file, "file", "not readable as a JSON object");
+	if (!json_object_is_type(json, json_type_object)) {
+		rc = settings_error(program, settings->file, "file", "not readable as a JSON object");
 		goto end;
 	}
-	json_object_object_foreach(j, key, v)
+	json_object_object_foreach(json, key, value)
 	{
 		const struct {
-			const char *k;
-			const char **to;
-		} str[] = {
-			{ "listen", &s->listen }, { "advertise", &s->advertise }, { "web", &s->web },
-			{ "zone", &s->zone },     { "data", &s->data },           { "fault", &s->fault },
+			const char *name;
+			const char **target;
+		} strings[] = {
+			{ "listen", &settings->listen }, { "advertise", &settings->advertise }, { "web", &settings->web },
+			{ "zone", &settings->zone },     { "data", &settings->data },           { "fault", &settings->fault },
 		};
 		int known = 0;
 
-		for (size_t i = 0; i < sizeof str / sizeof *str; i++)
-			if (!strcmp(key, str[i].k)) {
+		for (size_t i = 0; i < sizeof strings / sizeof *strings; i++)
+			if (!strcmp(key, strings[i].name)) {
 				known = 1;
-				if (!json_object_is_type(v, json_type_string)) {
-					rc = set_bad(program, s->file, key, "a string");
+				if (!json_object_is_type(value, json_type_string)) {
+					rc = settings_error(program, settings->file, key, "a string");
 					goto end;
 				}
-				if (!*str[i].to)
-					*str[i].to = apr_pstrdup(p, json_object_get_string(v));
+				if (!*strings[i].target)
+					*strings[i].target = apr_pstrdup(p, json_object_get_string(value));
 			}
 		if (!strcmp(key, "seeds")) {
 			known = 1;
-			if (!json_object_is_type(v, json_type_array) || json_object_array_length(v) > 8) {
-				rc = set_bad(program, s->file, key, "a list of 1 to 8 addresses ip:port");
+			if (!json_object_is_type(value, json_type_array) || json_object_array_length(value) > 8) {
+				rc = settings_error(program, settings->file, key, "a list of 1 to 8 addresses ip:port");
 				goto end;
 			}
-			if (!s->nseeds)
-				for (size_t i = 0; i < json_object_array_length(v); i++)
-					s->seed[s->nseeds++] =
-					    apr_pstrdup(p, json_object_get_string(json_object_array_get_idx(v, i)));
+			if (!settings->seed_count)
+				for (size_t i = 0; i < json_object_array_length(value); i++)
+					settings->seeds[settings->seed_count++] =
+					    apr_pstrdup(p, json_object_get_string(json_object_array_get_idx(value, i)));
 		}
 		if (!known) {
-			rc = set_bad(program, s->file, key, apr_psprintf(p, "no such key; known: %s", set_keys));
+			rc = settings_error(program, settings->file, key, apr_psprintf(p, "no such key; known: %s", settings_keys));
 			goto end;
 		}
 	}
 end:
-	if (j)
-		json_object_put(j);
+	if (json)
+		json_object_put(json);
 	return rc;
 }
 
-static int set_check(const struct settings *s, const char *program, int disk)
+static int settings_check(const struct settings *settings, const char *program, int has_storage)
 {
-	const char *file = s->file ? s->file : "flags";
+	const char *file = settings->file ? settings->file : "flags";
 	const struct {
-		const char *k, *v;
-		int must;
-	} addr[] = {
-		{ "listen", s->listen, 1 },
-		{ "web", s->web, 1 },
-		{ "advertise", s->advertise, 0 },
+		const char *name, *value;
+		int required;
+	} addresses[] = {
+		{ "listen", settings->listen, 1 },
+		{ "web", settings->web, 1 },
+		{ "advertise", settings->advertise, 0 },
 	};
 
-	for (size_t i = 0; i < sizeof addr / sizeof *addr; i++)
-		if (addr[i].v ? !core_addr(addr[i].v) || !(core_addr(addr[i].v) & 65535) : addr[i].must)
-			return set_bad(program, file, addr[i].k, "an address ip:port with a port of 1 to 65535");
-	if (!s->zone || !s->zone[0] || strlen(s->zone) > 60)
-		return set_bad(program, file, "zone", "a name of 1 to 60 characters");
-	if (!s->nseeds)
-		return set_bad(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
-	for (int i = 0; i < s->nseeds; i++)
-		if (!core_addr(s->seed[i]))
-			return set_bad(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
-	if (disk && (!s->data || !s->data[0]))
-		return set_bad(program, file, "data", "the folder that this registrar keeps its files in");
+	for (size_t i = 0; i < sizeof addresses / sizeof *addresses; i++)
+		if (addresses[i].value ? !core_parse_addr(addresses[i].value) || !(core_parse_addr(addresses[i].value) & 65535) : addresses[i].required)
+			return settings_error(program, file, addresses[i].name, "an address ip:port with a port of 1 to 65535");
+	if (!settings->zone || !settings->zone[0] || strlen(settings->zone) > 60)
+		return settings_error(program, file, "zone", "a name of 1 to 60 characters");
+	if (!settings->seed_count)
+		return settings_error(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
+	for (int i = 0; i < settings->seed_count; i++)
+		if (!core_parse_addr(settings->seeds[i]))
+			return settings_error(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
+	if (has_storage && (!settings->data || !settings->data[0]))
+		return settings_error(program, file, "data", "the folder that this registrar keeps its files in");
 	return -1;
 }
 
 /* Where metrics are told, and the mechanisms that are off: only an experiment may switch one off. */
-static int set_experiment(struct settings *s, const char *program, const struct arg_int *metrics, const struct arg_lit *experiments,
+static int settings_read_experiment(struct settings *settings, const char *program, const struct arg_int *metrics, const struct arg_lit *experiments,
 			  const struct arg_str *without)
 {
-	s->experiments = experiments->count;
-	s->metrics_port = metrics->count ? metrics->ival[0] : 0;
-	if (metrics->count && (s->metrics_port < 1 || s->metrics_port > 65535))
-		return set_bad(program, "flags", "metrics", "a port of 1 to 65535");
+	settings->experiments_allowed = experiments->count;
+	settings->metrics_port = metrics->count ? metrics->ival[0] : 0;
+	if (metrics->count && (settings->metrics_port < 1 || settings->metrics_port > 65535))
+		return settings_error(program, "flags", "metrics", "a port of 1 to 65535");
 	if (without->count && !experiments->count)
-		return set_bad(program, "flags", "without", "only with --experiments");
+		return settings_error(program, "flags", "without", "only with --experiments");
 	for (int i = 0; i < without->count; i++) {
-		int m = mechanism_find(without->sval[i]);
+		int mechanism = mechanism_find(without->sval[i]);
 
-		if (m < 0) {
+		if (mechanism < 0) {
 			fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program, without->sval[i]);
 			for (int k = 0; k < MECHANISMS; k++)
 				fprintf(stderr, " %s", mechanism_info[k].name);
 			fprintf(stderr, "\n");
 			return 2;
 		}
-		s->without |= UINT32_C(1) << m;
+		settings->disabled_mechanisms |= UINT32_C(1) << mechanism;
 	}
 	return -1;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): a flat list of settings */
-int set_read(struct settings *s, const char *program, int disk, int argc, char **argv, apr_pool_t *p)
+int settings_read(struct settings *settings, const char *program, int has_storage, int argc, char **argv, apr_pool_t *p)
 {
 	struct arg_lit *help = arg_lit0("h", "help", "say how it is called"),
 		       *version = arg_lit0(NULL, "version", "say the version");
@@ -198,30 +198,30 @@
 	    "take all settings from where the platform keeps them; with --check, --metrics, --experiments and --without alone");
 	struct arg_file *file = arg_file0("s", "settings", "FILE", "JSON settings; flags go first");
 	struct arg_str *listen = arg_str0("l", "listen", "IP:PORT", "where colleagues reach this process");
-	struct arg_str *adv = arg_str0(NULL, "advertise", "IP:PORT", "the address told to colleagues, if another");
+	struct arg_str *advertise = arg_str0(NULL, "advertise", "IP:PORT", "the address told to colleagues, if another");
 	struct arg_str *web =
-	    arg_str0("w", "web", "IP:PORT", disk ? "where operators and the platform call" : "where callers call");
+	    arg_str0("w", "web", "IP:PORT", has_storage ? "where operators and the platform call" : "where callers call");
 	struct arg_str *zone = arg_str0("z", "zone", "NAME", "the zone of this machine");
 	struct arg_str *seed = arg_strn(NULL, "seed", "IP:PORT", 0, 8, "another process; give three");
-	struct arg_str *data = arg_str0("d", "data", "FOLDER", disk ? "the data folder" : "unused here");
+	struct arg_str *data = arg_str0("d", "data", "FOLDER", has_storage ? "the data folder" : "unused here");
 	struct arg_int *metrics = arg_int0(NULL, "metrics", "PORT", "tell metrics there, as GET /metrics");
 	struct arg_lit *experiments = arg_lit0(NULL, "experiments", "allow --without");
 	struct arg_str *without = arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "an experiment: switch a mechanism off");
 	struct arg_str *fault = arg_str0(NULL, "fault", "FILE", "rehearsals only: a file with the ms that each sync is slower");
 	struct arg_end *end = arg_end(10);
-	void *t[] = { help, version, check, other,   file,        listen,  adv,   web,
+	void *arguments[] = { help, version, check, other,   file,        listen,  advertise,   web,
 		      zone, seed,    data,  metrics, experiments, without, fault, end };
-	int (*from)(struct settings *, const char *, int, apr_pool_t *) = s->other;
+	int (*read_external)(struct settings *, const char *, int, apr_pool_t *) = settings->read_external;
 	int rc = -1, bad;
 
-	memset(s, 0, sizeof *s);
-	if (arg_nullcheck(t))
+	memset(settings, 0, sizeof *settings);
+	if (arg_nullcheck(arguments))
 		return 1;
-	bad = arg_parse(argc, argv, t);
+	bad = arg_parse(argc, argv, arguments);
 	if (help->count) {
 		printf("Usage: %s", program);
-		arg_print_syntax(stdout, t, "\n");
-		arg_print_glossary(stdout, t, "  %-26s %s\n");
+		arg_print_syntax(stdout, arguments, "\n");
+		arg_print_glossary(stdout, arguments, "  %-26s %s\n");
 		rc = 0;
 	} else if (version->count) {
 		printf("%s (notchlug) %s\n", program, NL_VERSION);
@@ -231,55 +231,55 @@
 		rc = 2;
 	}
 	if (rc < 0)
-		rc = set_experiment(s, program, metrics, experiments, without);
+		rc = settings_read_experiment(settings, program, metrics, experiments, without);
 	if (rc >= 0)
 		goto end;
 	if (other->count) {
-		if (!from || listen->count + adv->count + web->count + zone->count + seed->count + data->count + fault->count +
+		if (!read_external || listen->count + advertise->count + web->count + zone->count + seed->count + data->count + fault->count +
 				 file->count) {
-			rc = set_bad(program, "flags", "platform",
-				     from ? "no other flag but --check, --metrics, --experiments and --without with it"
+			rc = settings_error(program, "flags", "platform",
+				     read_external ? "no other flag but --check, --metrics, --experiments and --without with it"
 					  : "not known by this program");
 			goto end;
 		}
-		if ((rc = from(s, program, disk, p)) >= 0) {
-			fprintf(stderr, "%s: %s\n", program, s->why);
+		if ((rc = read_external(settings, program, has_storage, p)) >= 0) {
+			fprintf(stderr, "%s: %s\n", program, settings->error_text);
 			goto end;
 		}
-		s->bounds.without = s->without;
-		s->bounds.experiments = s->experiments;
-		s->check = check->count;
-		s->other = from;
+		settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
+		settings->bounds.experiments = settings->experiments_allowed;
+		settings->check_only = check->count;
+		settings->read_external = read_external;
 		goto check;
 	}
-	s->bounds = bounds_default;
-	s->bounds.without = s->without;
-	s->bounds.experiments = s->experiments;
+	settings->bounds = bounds_default;
+	settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
+	settings->bounds.experiments = settings->experiments_allowed;
 #define TAKE(a) ((a)->count ? apr_pstrdup(p, (a)->sval[0]) : NULL)
-	s->listen = TAKE(listen);
-	s->advertise = TAKE(adv);
-	s->web = TAKE(web);
-	s->zone = TAKE(zone);
-	s->data = TAKE(data);
-	s->fault = TAKE(fault);
+	settings->listen = TAKE(listen);
+	settings->advertise = TAKE(advertise);
+	settings->web = TAKE(web);
+	settings->zone = TAKE(zone);
+	settings->data = TAKE(data);
+	settings->fault = TAKE(fault);
 #undef TAKE
 	for (int i = 0; i < seed->count && i < 8; i++)
-		s->seed[s->nseeds++] = apr_pstrdup(p, seed->sval[i]);
-	s->check = check->count;
-	s->file = file->count ? apr_pstrdup(p, file->filename[0]) : NULL;
-	if (s->file)
-		rc = set_file(s, program, p);
+		settings->seeds[settings->seed_count++] = apr_pstrdup(p, seed->sval[i]);
+	settings->check_only = check->count;
+	settings->file = file->count ? apr_pstrdup(p, file->filename[0]) : NULL;
+	if (settings->file)
+		rc = settings_read_file(settings, program, p);
 check:
 	if (rc < 0)
-		rc = set_check(s, program, disk);
-	if (rc < 0 && s->check) {
+		rc = settings_check(settings, program, has_storage);
+	if (rc < 0 && settings->check_only) {
 		printf("%s: the settings are good\n", program);
 		rc = 0;
 	}
-	if (rc < 0 && s->other)
-		signals(s); /* the platform may signal at once */
+	if (rc < 0 && settings->read_external)
+		install_signal_handlers(settings); /* the platform may signal at once */
 end:
-	arg_freetable(t, sizeof t / sizeof *t);
+	arg_freetable(arguments, sizeof arguments / sizeof *arguments);
 	return rc;
 }
 
@@ -288,198 +288,198 @@
 /* Settings of another form may change at any time, with a signal or without. A file that is torn or bad changes
  * nothing, is said once, and is read again until it is good. */
 struct watch {
-	int64_t at;
+	int64_t next_poll_at_ms;
 	apr_time_t mtime;
 	apr_ino_t inode;
 	apr_off_t size;
-	int stale;
-	char why[500];
+	int retry_due;
+	char last_error[500];
 };
 
-static int watch_moved(struct watch *w, const char *file, apr_pool_t *p)
+static int watch_file_changed(struct watch *watch, const char *file, apr_pool_t *p)
 {
-	apr_finfo_t i;
-	int moved;
-
-	memset(&i, 0, sizeof i);
-	if (apr_stat(&i, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, p) != APR_SUCCESS && !i.valid)
-		return w->stale = 1; /* gone for a moment, or for good: the reading says so */
-	moved = i.mtime != w->mtime || i.inode != w->inode || i.size != w->size;
-	w->mtime = i.mtime;
-	w->inode = i.inode;
-	w->size = i.size;
-	return moved;
+	apr_finfo_t info;
+	int changed;
+
+	memset(&info, 0, sizeof info);
+	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, p) != APR_SUCCESS && !info.valid)
+		return watch->retry_due = 1; /* gone for a moment, or for good: the reading says so */
+	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
+	watch->mtime = info.mtime;
+	watch->inode = info.inode;
+	watch->size = info.size;
+	return changed;
 }
 
-static void watch_settings(struct proc *p, struct watch *w, const struct proc_duty *d, int64_t now)
+static void poll_settings(struct process *p, struct watch *watch, const struct process_handlers *duty, int64_t now)
 {
-	struct settings s;
-	apr_pool_t *tmp;
-	int moved;
+	struct settings settings;
+	apr_pool_t *scratch;
+	int changed;
 
-	if (!p->set.other || (now < w->at && !got_hup))
+	if (!p->settings.read_external || (now < watch->next_poll_at_ms && !got_hangup))
 		return;
-	apr_pool_create(&tmp, p->p);
-	moved = watch_moved(w, p->set.file, tmp);
-	if (!w->at) /* the first look: they were read a moment ago */
-		moved = 0;
-	w->at = now + PROC_SETTINGS;
-	if (got_hup || moved || w->stale) {
-		memset(&s, 0, sizeof s);
-		if (p->set.other(&s, "", p->store != NULL, tmp) >= 0) {
-			w->stale = 1;
-			if (strncmp(w->why, s.why, sizeof w->why - 1))
-				log_say(LOG_WARN, "proc", "Settings stay as they were. %s.", s.why);
-			apr_cpystrn(w->why, s.why, sizeof w->why);
+	apr_pool_create(&scratch, p->pool);
+	changed = watch_file_changed(watch, p->settings.file, scratch);
+	if (!watch->next_poll_at_ms) /* the first look: they were read a moment ago */
+		changed = 0;
+	watch->next_poll_at_ms = now + PROCESS_SETTINGS_POLL_MS;
+	if (got_hangup || changed || watch->retry_due) {
+		memset(&settings, 0, sizeof settings);
+		if (p->settings.read_external(&settings, "", p->storage != NULL, scratch) >= 0) {
+			watch->retry_due = 1;
+			if (strncmp(watch->last_error, settings.error_text, sizeof watch->last_error - 1))
+				log_write(LOG_WARN, "proc", "Settings stay as they were. %s.", settings.error_text);
+			apr_cpystrn(watch->last_error, settings.error_text, sizeof watch->last_error);
 		} else {
-			w->stale = 0;
-			w->why[0] = 0;
-			log_say(LOG_INFO, "proc", "Settings are read anew%s.", got_hup ? ", as asked by SIGHUP" : "");
-			s.bounds.without = p->set.without;
-			s.bounds.experiments = p->set.experiments;
-			p->set.bounds = s.bounds;
-			p->set.grace_ms = s.grace_ms;
-			if (d->changed)
-				d->changed(d->ctx, &s);
+			watch->retry_due = 0;
+			watch->last_error[0] = 0;
+			log_write(LOG_INFO, "proc", "Settings are read anew%s.", got_hangup ? ", as asked by SIGHUP" : "");
+			settings.bounds.disabled_mechanisms = p->settings.disabled_mechanisms;
+			settings.bounds.experiments = p->settings.experiments_allowed;
+			p->settings.bounds = settings.bounds;
+			p->settings.grace_ms = settings.grace_ms;
+			if (duty->settings_changed)
+				duty->settings_changed(duty->context, &settings);
 		}
-		got_hup = 0;
+		got_hangup = 0;
 	}
-	apr_pool_destroy(tmp);
+	apr_pool_destroy(scratch);
 }
 
-static void say_experiment(const struct settings *s)
+static void log_experiment(const struct settings *settings)
 {
-	for (int m = 0; m < MECHANISMS; m++)
-		if (!mechanism_on(s->without, (enum mechanism)m))
-			log_say(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[m].name, mechanism_info[m].what);
+	for (int mechanism = 0; mechanism < MECHANISMS; mechanism++)
+		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)mechanism))
+			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[mechanism].name, mechanism_info[mechanism].description);
 }
 
-int proc_open(struct proc *p)
+int process_open(struct process *p)
 {
-	say_experiment(&p->set);
-	signals(&p->set);
-	if (!p->ring)
-		ring_open(&p->ring, PROC_RING, p->p);
-	p->addr = core_addr(p->set.advertise ? p->set.advertise : p->set.listen);
-	apr_pool_create(&p->o.p, NULL);
-	if (p->door) {
-		p->net = net_open(p->set.listen, p->ring, p->p);
-		if (!p->net || !p->door->open(p->door_ctx, p))
+	log_experiment(&p->settings);
+	install_signal_handlers(&p->settings);
+	if (!p->events)
+		ring_open(&p->events, PROCESS_RING_CAPACITY, p->pool);
+	p->address = core_parse_addr(p->settings.advertise ? p->settings.advertise : p->settings.listen);
+	apr_pool_create(&p->commands.pool, NULL);
+	if (p->front_end) {
+		p->transport = transport_open(p->settings.listen, p->events, p->pool);
+		if (!p->transport || !p->front_end->open(p->front_end_context, p))
 			return 0;
-		ring_on_push(p->ring, p->door->wake, p->door_ctx);
+		ring_on_push(p->events, p->front_end->wake, p->front_end_context);
 		return 1;
 	}
-	return (p->net = net_open(p->set.listen, p->ring, p->p)) && (p->web = web_open(p->set.web, p->ring, p->p)) &&
-	       (p->call = call_open(p->ring, p->p));
+	return (p->transport = transport_open(p->settings.listen, p->events, p->pool)) && (p->api_server = api_server_open(p->settings.web, p->events, p->pool)) &&
+	       (p->server_calls = server_calls_open(p->events, p->pool));
 }
 
-void proc_perform(struct proc *p)
+void process_perform(struct process *p)
 {
-	for (ptrdiff_t i = 0; i < arrlen(p->o.v); i++) {
-		struct cmd *c = &p->o.v[i];
+	for (ptrdiff_t i = 0; i < arrlen(p->commands.commands); i++) {
+		struct command *command = &p->commands.commands[i];
 
-		if (p->door && p->door->perform(p->door_ctx, c))
+		if (p->front_end && p->front_end->perform(p->front_end_context, command))
 			continue;
-		switch (c->kind) {
-		case CMD_SEND: net_send(p->net, c->u.send.addr, c->u.send.msg); break;
-		case CMD_PERSIST: store_write(p->store, c->u.persist); break;
+		switch (command->kind) {
+		case CMD_SEND: transport_send(p->transport, command->args.send.addr, command->args.send.msg); break;
+		case CMD_PERSIST: storage_write(p->storage, command->args.persist); break;
 		case CMD_ANSWER:
-			web_answer(p->web, c->u.answer.token, c->u.answer.status, c->u.answer.retry_ms, c->u.answer.body,
-				   c->u.answer.not_after);
+			api_server_respond(p->api_server, command->args.answer.token, command->args.answer.status, command->args.answer.retry_ms, command->args.answer.body,
+				   command->args.answer.not_after_ms);
 			break;
-		case CMD_PIECE: web_piece(p->web, c->u.piece.token, c->u.piece.body, c->u.piece.len, 0, 1); break;
-		case CMD_END: web_piece(p->web, c->u.piece.token, c->u.piece.body, c->u.piece.len, 1, c->u.piece.ok); break;
+		case CMD_STREAM_CHUNK: api_server_stream(p->api_server, command->args.stream_chunk.token, command->args.stream_chunk.body, command->args.stream_chunk.len, 0, 1); break;
+		case CMD_END_STREAM: api_server_stream(p->api_server, command->args.stream_chunk.token, command->args.stream_chunk.body, command->args.stream_chunk.len, 1, command->args.stream_chunk.success); break;
 		case CMD_CALL:
-			call_start(p->call, c->u.call.token, c->u.call.addr, c->u.call.path, c->u.call.body, c->u.call.limit_ms,
-				   c->u.call.stream, c->u.call.not_after);
+			server_calls_start(p->server_calls, command->args.call.token, command->args.call.addr, command->args.call.path, command->args.call.body, command->args.call.limit_ms,
+				   command->args.call.stream, command->args.call.not_after_ms);
 			break;
-		case CMD_CANCEL: call_cancel_one(p->call, c->u.cancel.token); break;
+		case CMD_CANCEL: server_calls_cancel(p->server_calls, command->args.cancel.token); break;
 		case CMD_FORWARD:
-		case CMD_LIST:
-		case CMD_LOOK:
-		case CMD_ORDER:
-		case CMD_WATCH: break; /* only doors of other languages have them */
+		case CMD_LIST_SERVERS:
+		case CMD_POLL_REPORT:
+		case CMD_LOAD_WEIGHTS:
+		case CMD_WATCH_CACHE: break; /* only doors of other languages have them */
 		}
 	}
-	out_clear(&p->o);
+	command_list_clear(&p->commands);
 }
 
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-int proc_run(struct proc *p, const struct proc_duty *d)
+int process_run(struct process *p, const struct process_handlers *duty)
 {
 	int64_t tick = 0, scan = 0, now;
 	struct watch watch = { 0 };
-	struct shell_ev *e;
+	struct shell_event *event;
 	int full = 0;
 
 	for (;;) {
 		now = clock_ms();
-		watch_settings(p, &watch, d, now);
+		poll_settings(p, &watch, duty, now);
 		if (got_signal && !p->stopping) {
-			struct shell_ev stop = { .kind = EV_STOP };
+			struct shell_event stop = { .kind = SHELL_EVENT_STOP };
 
-			log_say(LOG_INFO, "proc", "Stops: what is under way is ended first.");
+			log_write(LOG_INFO, "proc", "Stops: what is under way is ended first.");
 			p->stopping = 1;
-			p->stop_at = stop.end_at = now + (p->set.grace_ms ? p->set.grace_ms : PROC_DRAIN);
-			if (p->door)
-				p->door->stop(p->door_ctx, now);
+			p->stop_deadline_ms = stop.deadline_ms = now + (p->settings.grace_ms ? p->settings.grace_ms : PROCESS_DRAIN_MS);
+			if (p->front_end)
+				p->front_end->stop(p->front_end_context, now);
 			else
-				d->step(d->ctx, &stop, now, &p->o);
-			proc_perform(p);
+				duty->step(duty->context, &stop, now, &p->commands);
+			process_perform(p);
 		}
-		if (p->stopping && ((d->done(d->ctx) && (!p->door || p->door->done(p->door_ctx, now))) || now >= p->stop_at))
+		if (p->stopping && ((duty->is_idle(duty->context) && (!p->front_end || p->front_end->is_idle(p->front_end_context, now))) || now >= p->stop_deadline_ms))
 			break;
-		if (now - tick >= PROC_TICK) {
+		if (now - tick >= PROCESS_TICK_MS) {
 			tick = now;
-			d->step(d->ctx, NULL, now, &p->o);
-			proc_perform(p);
-			if (d->good && !p->door)
-				web_good_until(p->web, d->good(d->ctx));
+			duty->step(duty->context, NULL, now, &p->commands);
+			process_perform(p);
+			if (duty->streams_valid_until && !p->front_end)
+				api_server_valid_until(p->api_server, duty->streams_valid_until(duty->context));
 		}
-		if (!p->door && now - scan >= PROC_SCAN) {
+		if (!p->front_end && now - scan >= PROCESS_SCAN_MS) {
 			scan = now;
-			web_scan(p->web);
+			api_server_scan(p->api_server);
 		}
-		if (p->door) /* what stands in the ring already wakes nobody */
-			p->door->wait(p->door_ctx, (int)(!full && tick + PROC_TICK - now > 0 ? tick + PROC_TICK - now : 0));
-		e = ring_pop(p->ring, p->door ? 0 : (int)(tick + PROC_TICK - now > 0 ? tick + PROC_TICK - now : 0));
-		for (int i = 0; e && i < PROC_BATCH; i++) {
-			d->step(d->ctx, e, clock_ms(), &p->o);
-			proc_perform(p);
-			shell_ev_free(e);
-			e = ring_pop(p->ring, 0);
+		if (p->front_end) /* what stands in the ring already wakes nobody */
+			p->front_end->wait(p->front_end_context, (int)(!full && tick + PROCESS_TICK_MS - now > 0 ? tick + PROCESS_TICK_MS - now : 0));
+		event = ring_pop(p->events, p->front_end ? 0 : (int)(tick + PROCESS_TICK_MS - now > 0 ? tick + PROCESS_TICK_MS - now : 0));
+		for (int i = 0; event && i < PROCESS_EVENT_BATCH; i++) {
+			duty->step(duty->context, event, clock_ms(), &p->commands);
+			process_perform(p);
+			shell_event_free(event);
+			event = ring_pop(p->events, 0);
 		}
-		full = e != NULL;
-		if (e) { /* the batch is full: this one still counts */
-			d->step(d->ctx, e, clock_ms(), &p->o);
-			proc_perform(p);
-			shell_ev_free(e);
+		full = event != NULL;
+		if (event) { /* the batch is full: this one still counts */
+			duty->step(duty->context, event, clock_ms(), &p->commands);
+			process_perform(p);
+			shell_event_free(event);
 		}
 	}
 	now = clock_ms();
-	if (!p->door) /* answers that were just given leave */
-		apr_sleep(PROC_LEAVE * 1000);
+	if (!p->front_end) /* answers that were just given leave */
+		apr_sleep(PROCESS_FLUSH_MS * 1000);
 	else
-		for (int64_t end = now + PROC_LEAVE; now < end; now = clock_ms())
-			p->door->wait(p->door_ctx, (int)(end - now));
+		for (int64_t end = now + PROCESS_FLUSH_MS; now < end; now = clock_ms())
+			p->front_end->wait(p->front_end_context, (int)(end - now));
 	/* the core takes nothing more: keep the line to it empty so that no thread waits at it */
-	if (p->door) {
-		ring_on_push(p->ring, NULL, NULL);
-		p->door->close(p->door_ctx);
+	if (p->front_end) {
+		ring_on_push(p->events, NULL, NULL);
+		p->front_end->close(p->front_end_context);
 	} else {
-		web_close(p->web);
+		api_server_close(p->api_server);
 	}
-	while ((e = ring_pop(p->ring, 0)))
-		shell_ev_free(e);
-	if (!p->door)
-		call_close(p->call);
-	net_close(p->net);
-	if (p->store)
-		store_close(p->store);
-	while ((e = ring_pop(p->ring, 0)))
-		shell_ev_free(e);
-	arrfree(p->o.v);
-	apr_pool_destroy(p->o.p);
-	log_say(LOG_INFO, "proc", "Ended.");
+	while ((event = ring_pop(p->events, 0)))
+		shell_event_free(event);
+	if (!p->front_end)
+		server_calls_close(p->server_calls);
+	transport_close(p->transport);
+	if (p->storage)
+		storage_close(p->storage);
+	while ((event = ring_pop(p->events, 0)))
+		shell_event_free(event);
+	arrfree(p->commands.commands);
+	apr_pool_destroy(p->commands.pool);
+	log_write(LOG_INFO, "proc", "Ended.");
 	return 0;
 }
--- a/lib/shell/store.c
+++ b/lib/shell/store.c
@@ -20,12 +20,12 @@
 #include "ds.h"
 #include "shell.h"
 
-struct store_job {
-	struct persist w;
-	apr_pool_t *p;
+struct storage_job {
+	struct persist write;
+	apr_pool_t *pool;
 };
 
-enum { STORE_KEY = 64 }; /* bytes of a record's key, its end included */
+enum { STORAGE_MAX_KEY_BYTES = 64 }; /* bytes of a record's key, its end included */
 
 static const char TOTAL_KEY[] = "total";
 
@@ -39,95 +39,95 @@
 	uint64_t value;
 };
 
-struct store {
+struct storage {
 	struct tdb_context *db;
 	struct record_sum *sums; /* stb_ds: the checksum of every record, but for the total's */
 	struct total total;
-	struct ring *to, *jobs;
-	apr_thread_t *t;
-	apr_thread_mutex_t *m;
+	struct ring *events, *jobs;
+	apr_thread_t *thread;
+	apr_thread_mutex_t *mutex;
 	atomic_int stop;
-	uint64_t first[SHARD_COUNT]; /* lowest entry held, 0 = none */
-	uint64_t last[SHARD_COUNT];
-	_Atomic uint64_t syncs, refused;
-	int lock;
-	int faults; /* that the library has logged */
-	int renew;  /* its records are to be written to a fresh file */
+	uint64_t first_entry[SHARD_COUNT]; /* lowest entry held, 0 = none */
+	uint64_t last_entry[SHARD_COUNT];
+	_Atomic uint64_t sync_count, refused_count;
+	int lock_fd;
+	int library_faults; /* that the library has logged */
+	int rewrite_due;  /* its records are to be written to a fresh file */
 	int torn;   /* a transaction has failed since the file was opened */
-	int tidy;   /* what was taken away must not stay in freed pages: a fresh file is due */
-	const char *fault, *folder, *path, *fresh;
+	int scrub_due;   /* what was taken away must not stay in freed pages: a fresh file is due */
+	const char *fault_file, *folder, *path, *fresh_path;
 };
 
 /* A record: 8 bytes checksum over key and body, then the body. Returns whether it was written, and its checksum. */
-static int record_write(struct store *s, const char *key, const void *head, size_t hn, const void *d, size_t n, uint64_t *sum)
+static int record_write(struct storage *storage, const char *key, const void *head, size_t head_size, const void *data, size_t size, uint64_t *sum)
 {
-	uint8_t *b = malloc(8 + hn + n);
-	TDB_DATA k = { (unsigned char *)(uintptr_t)key, strlen(key) }, v = { b, 8 + hn + n };
+	uint8_t *bytes = malloc(8 + head_size + size);
+	TDB_DATA key_data = { (unsigned char *)(uintptr_t)key, strlen(key) }, value_data = { bytes, 8 + head_size + size };
 	int rc;
 
-	if (!b)
+	if (!bytes)
 		abort();
-	memcpy(b + 8, head, hn);
-	if (n)
-		memcpy(b + 8 + hn, d, n);
-	*sum = core_hash(core_hashs(0, key), b + 8, hn + n);
-	memcpy(b, sum, 8);
-	rc = tdb_store(s->db, k, v, TDB_REPLACE);
-	free(b);
+	memcpy(bytes + 8, head, head_size);
+	if (size)
+		memcpy(bytes + 8 + head_size, data, size);
+	*sum = core_hash(core_hash_string(0, key), bytes + 8, head_size + size);
+	memcpy(bytes, sum, 8);
+	rc = tdb_store(storage->db, key_data, value_data, TDB_REPLACE);
+	free(bytes);
 	return rc == 0;
 }
 
 /* The checksum of a record changes, or the record comes or goes (has 0). */
-static void sums_change(struct store *s, const char *key, uint64_t sum, int has)
+static void sums_update(struct storage *storage, const char *key, uint64_t sum, int exists)
 {
-	ptrdiff_t old = shgeti(s->sums, key);
+	ptrdiff_t old = shgeti(storage->sums, key);
 
 	if (old >= 0) {
-		s->total.sum -= s->sums[old].value;
-		s->total.records--;
+		storage->total.sum -= storage->sums[old].value;
+		storage->total.records--;
 	}
-	if (has) {
-		s->total.sum += sum;
-		s->total.records++;
-		shput(s->sums, key, sum);
+	if (exists) {
+		storage->total.sum += sum;
+		storage->total.records++;
+		shput(storage->sums, key, sum);
 	} else {
-		(void)shdel(s->sums, key);
+		(void)shdel(storage->sums, key);
 	}
 }
 
-static int put(struct store *s, const char *key, const void *head, size_t hn, const void *d, size_t n)
+static int put(struct storage *s, const char *key, const void *head, size_t head_size, const void *d, size_t n)
 {
 	uint64_t sum;
 
-	if (!record_write(s, key, head, hn, d, n, &sum))
+	if (!record_write(s, key, head, head_size, d, n, &sum))
 		return 0;
-	sums_change(s, key, sum, 1);
+	sums_update(s, key, sum, 1);
 	return 1;
 }
 
-static int del(struct store *s, const char *key)
+static int record_delete(struct storage *storage, const char *key)
 {
-	TDB_DATA k = { (unsigned char *)(uintptr_t)key, strlen(key) };
+	TDB_DATA key_data = { (unsigned char *)(uintptr_t)key, strlen(key) };
 
-	if (shgeti(s->sums, key) < 0)
+	if (shgeti(storage->sums, key) < 0)
 		return 1;
-	if (tdb_delete(s->db, k))
+	if (tdb_delete(storage->db, key_data))
 		return 0;
-	sums_change(s, key, 0, 0);
+	sums_update(storage, key, 0, 0);
 	return 1;
 }
 
 /* The last write of each transaction. */
-static int total_write(struct store *s)
+static int total_write(struct storage *storage)
 {
 	uint64_t sum;
 
-	return record_write(s, TOTAL_KEY, &s->total, sizeof s->total, NULL, 0, &sum);
+	return record_write(storage, TOTAL_KEY, &storage->total, sizeof storage->total, NULL, 0, &sum);
 }
 
-static const char *entry_key(char *buf, size_t n, uint32_t part, uint64_t i)
+static const char *entry_key(char *buf, size_t size, uint32_t shard, uint64_t index)
 {
-	snprintf(buf, n, "e/%u/%llu", part, (unsigned long long)i);
+	snprintf(buf, size, "e/%u/%llu", shard, (unsigned long long)index);
 	return buf;
 }
 
@@ -141,72 +141,72 @@
 	uint64_t term, kind;
 };
 
-static int write_one(struct store *s, const struct persist *w)
+static int write_shard(struct storage *storage, const struct persist *w)
 {
-	struct meta m = { w->term, w->vote };
+	struct meta meta = { w->term, w->vote };
 	char key[64];
-	uint64_t *first = &s->first[w->part], *last = &s->last[w->part];
+	uint64_t *first = &storage->first_entry[w->shard], *last = &storage->last_entry[w->shard];
 
-	snprintf(key, sizeof key, "m/%u", w->part);
-	if (!put(s, key, &m, sizeof m, NULL, 0))
+	snprintf(key, sizeof key, "m/%u", w->shard);
+	if (!put(storage, key, &meta, sizeof meta, NULL, 0))
 		return 0;
-	for (uint64_t i = w->cut; w->cut && i <= *last; i++)
-		if (!del(s, entry_key(key, sizeof key, w->part, i)))
+	for (uint64_t i = w->truncate_from; w->truncate_from && i <= *last; i++)
+		if (!record_delete(storage, entry_key(key, sizeof key, w->shard, i)))
 			return 0;
-	if (w->cut && *last >= w->cut)
-		*last = w->cut - 1;
-	if (w->snap) {
-		struct snap_head h = { w->base, w->base_term, w->members_len, w->data_len };
-		uint8_t *both = malloc(w->members_len + w->data_len + 1);
+	if (w->truncate_from && *last >= w->truncate_from)
+		*last = w->truncate_from - 1;
+	if (w->has_snapshot) {
+		struct snap_head h = { w->snapshot_index, w->snapshot_term, w->members_len, w->data_len };
+		uint8_t *payload = malloc(w->members_len + w->data_len + 1);
 		int ok;
 
-		if (!both)
+		if (!payload)
 			abort();
-		memcpy(both, w->members, w->members_len);
-		memcpy(both + w->members_len, w->data, w->data_len);
-		snprintf(key, sizeof key, "s/%u", w->part);
-		ok = put(s, key, &h, sizeof h, both, w->members_len + w->data_len);
-		free(both);
-		for (uint64_t i = *first; ok && i && i <= w->drop && i <= *last; i++)
-			ok = del(s, entry_key(key, sizeof key, w->part, i));
+		memcpy(payload, w->members, w->members_len);
+		memcpy(payload + w->members_len, w->data, w->data_len);
+		snprintf(key, sizeof key, "s/%u", w->shard);
+		ok = put(storage, key, &h, sizeof h, payload, w->members_len + w->data_len);
+		free(payload);
+		for (uint64_t i = *first; ok && i && i <= w->drop_upto && i <= *last; i++)
+			ok = record_delete(storage, entry_key(key, sizeof key, w->shard, i));
 		if (!ok)
 			return 0;
-		if (*first && *first <= w->drop)
-			*first = w->drop + 1;
+		if (*first && *first <= w->drop_upto)
+			*first = w->drop_upto + 1;
 	}
-	for (size_t i = 0; i < w->n; i++) {
-		struct entry_head h = { w->e[i].term, w->e[i].kind };
+	for (size_t i = 0; i < w->entry_count; i++) {
+		struct entry_head h = { w->entries[i].term, w->entries[i].kind };
 
-		if (!put(s, entry_key(key, sizeof key, w->part, w->e[i].index), &h, sizeof h, w->e[i].data, w->e[i].len))
+		if (!put(storage, entry_key(key, sizeof key, w->shard, w->entries[i].index), &h, sizeof h, w->entries[i].data, w->entries[i].len))
 			return 0;
 		if (!*first || *first > *last)
-			*first = w->e[i].index;
-		*last = w->e[i].index;
+			*first = w->entries[i].index;
+		*last = w->entries[i].index;
 	}
 	return 1;
 }
 
 /* A rehearsal's fault: a file with the milliseconds that each sync is to take longer. */
-static void fault_wait(struct store *s)
+static void inject_sync_delay(struct storage *storage)
 {
-	int64_t from = clock_ms(), ms;
+	int64_t began_at_ms = clock_ms(), delay_ms;
 
 	do {
-		FILE *f = s->fault ? fopen(s->fault, "r") : NULL;
-		long v = 0;
-
-		if (f && fscanf(f, "%ld", &v) != 1) /* NOLINT(cert-err34-c): a rehearsal's own file */
-			v = 0;
-		if (f)
-			(void)fclose(f);
-		ms = v;
-		if (ms > 0)
+		FILE *file = storage->fault_file ? fopen(storage->fault_file, "r") : NULL;
+		long value = 0;
+
+		if (file && fscanf(file, "%ld", &value) != 1) /* NOLINT(cert-err34-c): a rehearsal's own file */
+			value = 0;
+		if (file)
+			(void)fclose(file);
+		delay_ms = value;
+		if (delay_ms > 0)
 			apr_sleep(5000);
-	} while (ms > 0 && clock_ms() - from < ms && !s->stop);
+	} while (delay_ms > 0 && clock_ms() - began_at_ms < delay_ms && !storage->stop);
 }
 
 /* The library's log: faults are counted, nothing is printed. */
-static void count_faults(struct tdb_context *db, enum tdb_debug_level level, const char *format, ...)
+static void count_library_faults(struct tdb_context *db, enum tdb_debug_level level, const char *format, ...)
 {
 	int *faults = tdb_get_logging_private(db);
 
@@ -217,14 +217,14 @@
 
 static struct tdb_context *file_open(const char *path, int flags, int *faults)
 {
-	struct tdb_logging_context lc = { count_faults, faults };
+	struct tdb_logging_context tdb_logging_context = { count_library_faults, faults };
 
-	return tdb_open_ex(path, 1009, TDB_NOMMAP, flags, 0600, &lc, NULL);
+	return tdb_open_ex(path, 1009, TDB_NOMMAP, flags, 0600, &tdb_logging_context, NULL);
 }
 
 static int sums_add_record(struct tdb_context *db, TDB_DATA key, TDB_DATA value, void *store)
 {
-	char name[STORE_KEY];
+	char name[STORAGE_MAX_KEY_BYTES];
 	uint64_t sum;
 
 	(void)db;
@@ -234,73 +234,73 @@
 	name[key.dsize] = 0;
 	memcpy(&sum, value.dptr, sizeof sum);
 	if (strcmp(name, TOTAL_KEY))
-		sums_change(store, name, sum, 1);
+		sums_update(store, name, sum, 1);
 	return 0;
 }
 
 /* A commit that a full disk has stopped may stand, or half of it, and what undoes it is refused as well. Only opening the file
  * tells: the library then takes back what is not whole. So nothing is written before that, and what stands is read again; the
  * batch is then written once more, whether it stands or not. */
-static int file_open_again(struct store *s)
+static int file_reopen(struct storage *storage)
 {
-	if (s->db)
-		(void)tdb_close(s->db);
-	s->db = file_open(s->path, O_RDWR, &s->faults);
-	if (!s->db)
+	if (storage->db)
+		(void)tdb_close(storage->db);
+	storage->db = file_open(storage->path, O_RDWR, &storage->library_faults);
+	if (!storage->db)
 		return 0;
-	shfree(s->sums);
-	sh_new_strdup(s->sums);
-	s->total = (struct total){ 0, 0 };
-	if (tdb_traverse_read(s->db, sums_add_record, s) < 0)
+	shfree(storage->sums);
+	sh_new_strdup(storage->sums);
+	storage->total = (struct total){ 0, 0 };
+	if (tdb_traverse_read(storage->db, sums_add_record, storage) < 0)
 		return 0;
-	s->torn = 0;
+	storage->torn = 0;
 	return 1;
 }
 
 /* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at the next opening.
  * The library's log tells. */
-static int commit(struct store *s)
+static int commit_transaction(struct storage *storage)
 {
-	int before = s->faults;
+	int before = storage->library_faults;
 
-	return tdb_transaction_commit(s->db) == 0 && s->faults == before;
+	return tdb_transaction_commit(storage->db) == 0 && storage->library_faults == before;
 }
 
-static int file_anew(struct store *s);
+static int file_rewrite(struct storage *storage);
 
 /* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not let that be yet. */
-static int is_renewed(struct store *s)
+static int rewrite_if_due(struct storage *storage)
 {
-	s->renew = s->renew && !file_anew(s);
-	return !s->renew;
+	storage->rewrite_due = storage->rewrite_due && !file_rewrite(storage);
+	return !storage->rewrite_due;
 }
 
-static int write_batch(struct store *s, struct store_job **v, size_t n)
+static int write_batch(struct storage *storage, struct storage_job **jobs, size_t count)
 {
 	uint64_t first[SHARD_COUNT], last[SHARD_COUNT];
 	int ok;
 
-	apr_thread_mutex_lock(s->m);
-	memcpy(first, s->first, sizeof first);
-	memcpy(last, s->last, sizeof last);
-	ok = (!s->torn || file_open_again(s)) && is_renewed(s) && tdb_transaction_start(s->db) == 0;
+	apr_thread_mutex_lock(storage->mutex);
+	memcpy(first, storage->first_entry, sizeof first);
+	memcpy(last, storage->last_entry, sizeof last);
+	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) && tdb_transaction_start(storage->db) == 0;
 	if (ok) {
-		for (size_t i = 0; i < n && ok; i++)
-			ok = write_one(s, &v[i]->w);
-		ok = ok && total_write(s);
+		for (size_t i = 0; i < count && ok; i++)
+			ok = write_shard(storage, &jobs[i]->write);
+		ok = ok && total_write(storage);
 		if (ok)
-			ok = commit(s); /* syncs; on a fault it has cancelled itself, as far as it could */
+			ok = commit_transaction(storage); /* syncs; on a fault it has cancelled itself, as far as it could */
 		else
-			tdb_transaction_cancel(s->db);
-		s->torn = !ok;
+			tdb_transaction_cancel(storage->db);
+		storage->torn = !ok;
 	}
 	if (!ok) {
-		memcpy(s->first, first, sizeof first);
-		memcpy(s->last, last, sizeof last);
+		memcpy(storage->first_entry, first, sizeof first);
+		memcpy(storage->last_entry, last, sizeof last);
 	} else {
-		s->syncs++;
+		storage->sync_count++;
 	}
-	apr_thread_mutex_unlock(s->m);
+	apr_thread_mutex_unlock(storage->mutex);
 	return ok;
 }
 
@@ -314,96 +314,96 @@
 	close(fd);
 }
 
-static int copy_one(struct tdb_context *db, TDB_DATA k, TDB_DATA v, void *fresh)
+static int copy_record(struct tdb_context *db, TDB_DATA key, TDB_DATA value, void *fresh)
 {
 	(void)db;
-	return tdb_store(fresh, k, v, TDB_INSERT);
+	return tdb_store(fresh, key, value, TDB_INSERT);
 }
 
 /* Everything goes to a fresh file that takes the old one's name: what was deleted is in neither its records nor its freed
  * pages. A fall at any moment leaves one whole file under that name. */
-static int file_anew(struct store *s)
+static int file_rewrite(struct storage *storage)
 {
 	struct tdb_context *db;
-	int before = s->faults, ok;
+	int before = storage->library_faults, ok;
 
-	(void)unlink(s->fresh);
-	db = file_open(s->fresh, O_RDWR | O_CREAT | O_EXCL, &s->faults);
+	(void)unlink(storage->fresh_path);
+	db = file_open(storage->fresh_path, O_RDWR | O_CREAT | O_EXCL, &storage->library_faults);
 	if (!db)
 		return 0;
 	ok = tdb_transaction_start(db) == 0;
-	if (ok && tdb_traverse_read(s->db, copy_one, db) < 0) {
+	if (ok && tdb_traverse_read(storage->db, copy_record, db) < 0) {
 		tdb_transaction_cancel(db);
 		ok = 0;
 	}
-	ok = ok && tdb_transaction_commit(db) == 0 && s->faults == before;
+	ok = ok && tdb_transaction_commit(db) == 0 && storage->library_faults == before;
 	if (ok)
-		folder_sync(s->folder); /* the fresh file's own name must last before it is given another */
-	ok = ok && rename(s->fresh, s->path) == 0;
+		folder_sync(storage->folder); /* the fresh file's own name must last before it is given another */
+	ok = ok && rename(storage->fresh_path, storage->path) == 0;
 	if (!ok) {
 		tdb_close(db);
-		(void)unlink(s->fresh);
+		(void)unlink(storage->fresh_path);
 		return 0;
 	}
-	folder_sync(s->folder);
-	tdb_close(s->db);
-	s->db = db;
+	folder_sync(storage->folder);
+	tdb_close(storage->db);
+	storage->db = db;
 	return 1;
 }
 
-static void tidy(struct store *s)
+static void scrub(struct storage *storage)
 {
 	int ok;
 
-	apr_thread_mutex_lock(s->m);
-	ok = file_anew(s);
-	apr_thread_mutex_unlock(s->m);
-	s->tidy = !ok;
+	apr_thread_mutex_lock(storage->mutex);
+	ok = file_rewrite(storage);
+	apr_thread_mutex_unlock(storage->mutex);
+	storage->scrub_due = !ok;
 	if (!ok)
-		log_say(LOG_BAD, "store",
+		log_write(LOG_ERROR, "store",
 			"Step tidy: no fresh file could be written; what was cleared stays in freed pages until the next batch.");
 }
 
-static void *APR_THREAD_FUNC store_thread(apr_thread_t *t, void *arg)
+static void *APR_THREAD_FUNC storage_thread(apr_thread_t *thread, void *arg)
 {
-	struct store *s = arg;
-	struct store_job *v[256];
+	struct storage *storage = arg;
+	struct storage_job *job[256];
 
-	(void)t;
-	while (!s->stop) {
+	(void)thread;
+	while (!storage->stop) {
 		size_t n = 0;
 		int bad = 0;
 
-		v[0] = ring_pop(s->jobs, 100);
-		if (!v[0])
+		job[0] = ring_pop(storage->jobs, 100);
+		if (!job[0])
 			continue;
-		for (n = 1; n < 256 && (v[n] = ring_pop(s->jobs, 0)); n++)
+		for (n = 1; n < 256 && (job[n] = ring_pop(storage->jobs, 0)); n++)
 			;
-		fault_wait(s);
-		while (!s->stop && !write_batch(s, v, n)) { /* nothing is acknowledged meanwhile: the owner gives up */
+		inject_sync_delay(storage);
+		while (!storage->stop && !write_batch(storage, job, n)) { /* nothing is acknowledged meanwhile: the owner gives up */
 			if (!bad)
-				log_say(LOG_BAD, "store", "Step write: the disk refuses (%s); it is tried again.",
-					s->db ? tdb_errorstr(s->db) : "it cannot be opened");
+				log_write(LOG_ERROR, "store", "Step write: the disk refuses (%s); it is tried again.",
+					storage->db ? tdb_errorstr(storage->db) : "it cannot be opened");
 			bad = 1;
-			s->refused++;
+			storage->refused_count++;
 			apr_sleep(200000);
 		}
 		for (size_t i = 0; i < n; i++)
-			s->tidy |= v[i]->w.tidy;
-		if (s->tidy && !s->stop)
-			tidy(s);
-		if (bad && !s->stop)
-			log_say(LOG_INFO, "store", "The disk takes writes again.");
+			storage->scrub_due |= job[i]->write.scrub;
+		if (storage->scrub_due && !storage->stop)
+			scrub(storage);
+		if (bad && !storage->stop)
+			log_write(LOG_INFO, "store", "The disk takes writes again.");
 		for (size_t i = 0; i < n; i++) {
-			struct shell_ev *e = shell_ev_new(EV_SYNCED);
+			struct shell_event *event = shell_event_new(SHELL_EVENT_SYNCED);
 
-			e->part = v[i]->w.part;
-			e->seq = v[i]->w.seq;
-			apr_pool_destroy(v[i]->p);
-			if (s->stop)
-				shell_ev_free(e);
+			event->shard = job[i]->write.shard;
+			event->sequence = job[i]->write.seq;
+			apr_pool_destroy(job[i]->pool);
+			if (storage->stop)
+				shell_event_free(event);
 			else
-				ring_push(s->to, e, 1);
+				ring_push(storage->events, event, 1);
 		}
 	}
 	return NULL;
@@ -412,21 +412,21 @@
 /* ---- reading back ---- */
 
 struct reading {
-	struct store_found *f;
+	struct stored_state *f;
 	apr_pool_t *p;
 	const char *bad;
 	struct raft_entry *e[SHARD_COUNT]; /* stb_ds */
-	struct store *store;
+	struct storage *store;
 	struct total total; /* as the file says */
 	int has_total;
 	uint64_t records, sum; /* as they are */
 };
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each kind of record */
-static int read_one(struct tdb_context *db, TDB_DATA k, TDB_DATA v, void *arg)
+static int read_record(struct tdb_context *db, TDB_DATA k, TDB_DATA v, void *arg)
 {
-	struct reading *r = arg;
-	char *key = apr_pstrmemdup(r->p, (char *)k.dptr, k.dsize), *end;
+	struct reading *reading = arg;
+	char *key = apr_pstrmemdup(reading->p, (char *)k.dptr, k.dsize), *end;
 	uint64_t sum;
 	uint8_t *b;
 	size_t n;
@@ -434,115 +434,115 @@
 
 	(void)db;
 	if (v.dsize < 8) {
-		r->bad = key;
+		reading->bad = key;
 		return -1;
 	}
 	memcpy(&sum, v.dptr, 8);
 	n = v.dsize - 8;
-	b = apr_palloc(r->p, n + 1);
+	b = apr_palloc(reading->p, n + 1);
 	memcpy(b, v.dptr + 8, n);
-	if (sum != core_hash(core_hashs(0, key), b, n)) {
-		r->bad = key;
+	if (sum != core_hash(core_hash_string(0, key), b, n)) {
+		reading->bad = key;
 		return -1;
 	}
-	if (!strcmp(key, TOTAL_KEY) && n == sizeof r->total) {
-		memcpy(&r->total, b, n);
-		r->has_total = 1;
+	if (!strcmp(key, TOTAL_KEY) && n == sizeof reading->total) {
+		memcpy(&reading->total, b, n);
+		reading->has_total = 1;
 		return 0;
 	}
-	if (k.dsize >= STORE_KEY) {
-		r->bad = key;
+	if (k.dsize >= STORAGE_MAX_KEY_BYTES) {
+		reading->bad = key;
 		return -1;
 	}
-	r->records++;
-	r->sum += sum;
-	sums_change(r->store, key, sum, 1);
+	reading->records++;
+	reading->sum += sum;
+	sums_update(reading->store, key, sum, 1);
 	if (!strcmp(key, "id") && n == 16) {
-		memcpy(&r->f->id, b, 8);
-		memcpy(&r->f->fleet, b + 8, 8);
+		memcpy(&reading->f->node_id, b, 8);
+		memcpy(&reading->f->fleet_id, b + 8, 8);
 		return 0;
 	}
 	part = strtoul(key + 2, &end, 10);
 	if (part >= SHARD_COUNT) {
-		r->bad = key;
+		reading->bad = key;
 		return -1;
 	}
 	if (key[0] == 'm' && n == sizeof(struct meta)) {
-		struct meta m;
+		struct meta meta;
 
-		memcpy(&m, b, sizeof m);
-		r->f->part[part].term = m.term;
-		r->f->part[part].vote = m.vote;
+		memcpy(&meta, b, sizeof meta);
+		reading->f->shards[part].term = meta.term;
+		reading->f->shards[part].vote = meta.vote;
 	} else if (key[0] == 's' && n >= sizeof(struct snap_head)) {
 		struct snap_head h;
-		struct raft_saved *s = &r->f->part[part];
+		struct raft_saved *saved = &reading->f->shards[part];
 
 		memcpy(&h, b, sizeof h);
 		if (h.members_len + h.data_len != n - sizeof h) {
-			r->bad = key;
+			reading->bad = key;
 			return -1;
 		}
-		s->base = h.base;
-		s->base_term = h.base_term;
-		s->members = b + sizeof h;
-		s->members_len = h.members_len;
-		s->data = s->members + h.members_len;
-		s->data_len = h.data_len;
+		saved->snapshot_index = h.base;
+		saved->snapshot_term = h.base_term;
+		saved->members = b + sizeof h;
+		saved->members_len = h.members_len;
+		saved->data = saved->members + h.members_len;
+		saved->data_len = h.data_len;
 	} else if (key[0] == 'e' && n >= sizeof(struct entry_head) && *end == '/') {
 		struct entry_head h;
-		struct raft_entry e;
+		struct raft_entry entry;
 		uint64_t i = strtoull(end + 1, NULL, 10);
 
 		memcpy(&h, b, sizeof h);
-		e.term = h.term;
-		e.kind = (uint32_t)h.kind;
-		e.len = n - sizeof h;
-		e.data = b + sizeof h;
+		entry.term = h.term;
+		entry.kind = (uint32_t)h.kind;
+		entry.len = n - sizeof h;
+		entry.data = b + sizeof h;
 		memcpy(b, &i, 8); /* traversal has no order: the head's place keeps the index until settle sorts */
-		arrput(r->e[part], e);
+		arrput(reading->e[part], entry);
 	} else {
-		r->bad = key;
+		reading->bad = key;
 		return -1;
 	}
 	return 0;
 }
 
-static uint64_t index_of(const struct raft_entry *e)
+static uint64_t entry_index(const struct raft_entry *entry)
 {
 	uint64_t i;
 
-	memcpy(&i, e->data - sizeof(struct entry_head), 8);
+	memcpy(&i, entry->data - sizeof(struct entry_head), 8);
 	return i;
 }
 
-static int by_index(const void *a, const void *b)
+static int compare_index(const void *left, const void *right)
 {
-	uint64_t x = index_of(a), y = index_of(b);
+	uint64_t index_a = entry_index(left), index_b = entry_index(right);
 
-	return x < y ? -1 : x > y;
+	return index_a < index_b ? -1 : index_a > index_b;
 }
 
-static const char *settle(struct store *s, const struct reading *r, apr_pool_t *p)
+static const char *settle(struct storage *s, const struct reading *reading, apr_pool_t *pool)
 {
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		struct raft_saved *q = &r->f->part[i];
-		struct raft_entry *e = r->e[i];
+		struct raft_saved *saved = &reading->f->shards[i];
+		struct raft_entry *entry = reading->e[i];
 
-		r->f->ptr[i] = q;
-		q->n = (size_t)arrlen(e);
-		if (!q->n)
+		reading->f->shard_pointers[i] = saved;
+		saved->entry_count = (size_t)arrlen(entry);
+		if (!saved->entry_count)
 			continue;
-		qsort(e, q->n, sizeof *e, by_index);
-		q->log_from = index_of(&e[0]);
-		q->e = apr_palloc(p, q->n * sizeof *e);
-		memcpy(q->e, e, q->n * sizeof *e);
-		for (size_t k = 0; k < q->n; k++)
-			if (index_of(&e[k]) != q->log_from + k)
-				return apr_psprintf(p, "part %d lacks entry %" APR_UINT64_T_FMT, i, q->log_from + k);
-		s->first[i] = q->log_from;
-		s->last[i] = q->log_from + q->n - 1;
-		if (q->log_from > q->base + 1)
-			return apr_psprintf(p, "part %d lacks the entries after its snapshot", i);
+		qsort(entry, saved->entry_count, sizeof *entry, compare_index);
+		saved->first_index = entry_index(&entry[0]);
+		saved->entries = apr_palloc(pool, saved->entry_count * sizeof *entry);
+		memcpy(saved->entries, entry, saved->entry_count * sizeof *entry);
+		for (size_t k = 0; k < saved->entry_count; k++)
+			if (entry_index(&entry[k]) != saved->first_index + k)
+				return apr_psprintf(pool, "part %d lacks entry %" APR_UINT64_T_FMT, i, saved->first_index + k);
+		s->first_entry[i] = saved->first_index;
+		s->last_entry[i] = saved->first_index + saved->entry_count - 1;
+		if (saved->first_index > saved->snapshot_index + 1)
+			return apr_psprintf(pool, "part %d lacks the entries after its snapshot", i);
 	}
 	return NULL;
 }
@@ -550,136 +550,136 @@
 /* Are these all records of the last transaction, and of no other? The library's own check also looks at what holds no record: it
  * finds fault with a file that lost power while room for a larger transaction was made, though nothing is missing. A file of an
  * earlier version has no total and must pass it. */
-static int is_complete(const struct reading *r, int whole)
+static int is_complete(const struct reading *reading, int passes_check)
 {
-	if (!r->has_total)
-		return whole;
-	return r->records == r->total.records && r->sum == r->total.sum;
+	if (!reading->has_total)
+		return passes_check;
+	return reading->records == reading->total.records && reading->sum == reading->total.sum;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one check after the other of a data folder */
-struct store *store_open(const char *folder, const char *fault, struct ring *to, struct store_found *f, const char **why,
-			 apr_pool_t *p)
+struct storage *storage_open(const char *folder, const char *fault_file, struct ring *events, struct stored_state *found, const char **error_text,
+			 apr_pool_t *pool)
 {
-	struct store *s = apr_pcalloc(p, sizeof *s);
-	struct reading r = { .f = f, .p = p, .store = s };
-	const char *path = apr_pstrcat(p, folder, "/registrar.tdb", NULL), *bad;
-	int whole;
+	struct storage *storage = apr_pcalloc(pool, sizeof *storage);
+	struct reading reading = { .f = found, .p = pool, .store = storage };
+	const char *path = apr_pstrcat(pool, folder, "/registrar.tdb", NULL), *problem;
+	int passes_check;
 
 	(void)signal(SIGXFSZ, SIG_IGN); /* a full disk is a failed write, not a death */
-	memset(f, 0, sizeof *f);
-	s->to = to;
-	s->fault = fault;
-	s->lock = -1;
+	memset(found, 0, sizeof *found);
+	storage->events = events;
+	storage->fault_file = fault_file;
+	storage->lock_fd = -1;
 	if (mkdir(folder, 0700) && errno != EEXIST) {
-		*why = apr_psprintf(p, "step make: %s: %s", folder, strerror(errno));
+		*error_text = apr_psprintf(pool, "step make: %s: %s", folder, strerror(errno));
 		return NULL;
 	}
-	s->lock = open(apr_pstrcat(p, folder, "/lock", NULL), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-	if (s->lock < 0 || flock(s->lock, LOCK_EX | LOCK_NB)) {
-		*why = apr_psprintf(p, "step lock: %s is in use by another registrar, or cannot be written", folder);
+	storage->lock_fd = open(apr_pstrcat(pool, folder, "/lock", NULL), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+	if (storage->lock_fd < 0 || flock(storage->lock_fd, LOCK_EX | LOCK_NB)) {
+		*error_text = apr_psprintf(pool, "step lock: %s is in use by another registrar, or cannot be written", folder);
 		goto bad;
 	}
-	s->folder = apr_pstrdup(p, folder);
-	s->path = path;
-	s->fresh = apr_pstrcat(p, path, ".fresh", NULL);
-	(void)unlink(s->fresh); /* of a fall in the middle of its writing */
-	s->db = file_open(path, O_RDWR | O_CREAT, &s->faults);
-	if (!s->db) {
-		*why = apr_psprintf(p,
+	storage->folder = apr_pstrdup(pool, folder);
+	storage->path = path;
+	storage->fresh_path = apr_pstrcat(pool, path, ".fresh", NULL);
+	(void)unlink(storage->fresh_path); /* of a fall in the middle of its writing */
+	storage->db = file_open(path, O_RDWR | O_CREAT, &storage->library_faults);
+	if (!storage->db) {
+		*error_text = apr_psprintf(pool,
 				    "step open: %s is damaged or unreadable (%s); move the folder away and start anew: "
 				    "the registrar then joins under a new identity",
 				    path, strerror(errno));
 		goto bad;
 	}
-	sh_new_strdup(s->sums);
-	whole = tdb_check(s->db, NULL, NULL) == 0;
-	if (tdb_traverse_read(s->db, read_one, &r) < 0 || r.bad || !is_complete(&r, whole)) {
-		*why = apr_psprintf(p,
+	sh_new_strdup(storage->sums);
+	passes_check = tdb_check(storage->db, NULL, NULL) == 0;
+	if (tdb_traverse_read(storage->db, read_record, &reading) < 0 || reading.bad || !is_complete(&reading, passes_check)) {
+		*error_text = apr_psprintf(pool,
 				    "step check: %s is damaged%s%s; it is not voted with: move the folder away and start anew, "
 				    "the registrar then joins under a new identity",
-				    path, r.bad ? " at record " : "", r.bad ? r.bad : "");
+				    path, reading.bad ? " at record " : "", reading.bad ? reading.bad : "");
 		goto bad;
 	}
-	bad = settle(s, &r, p);
-	if (bad) {
-		*why = apr_psprintf(p, "step check: %s: %s; it is not voted with: move the folder away and start anew", path, bad);
+	problem = settle(storage, &reading, pool);
+	if (problem) {
+		*error_text = apr_psprintf(pool, "step check: %s: %s; it is not voted with: move the folder away and start anew", path, problem);
 		goto bad;
 	}
-	s->renew = !whole && !file_anew(s);
-	if (!whole)
-		log_say(LOG_WARN, "store", "%s was torn outside its records by a loss of power; they %s.", path,
-			s->renew ? "are to be written anew before anything else" : "were written anew");
+	storage->rewrite_due = !passes_check && !file_rewrite(storage);
+	if (!passes_check)
+		log_write(LOG_WARN, "store", "%s was torn outside its records by a loss of power; they %s.", path,
+			storage->rewrite_due ? "are to be written anew before anything else" : "were written anew");
 	for (int i = 0; i < SHARD_COUNT; i++)
-		arrfree(r.e[i]);
+		arrfree(reading.e[i]);
 	folder_sync(folder); /* the file's name must last too */
-	apr_thread_mutex_create(&s->m, APR_THREAD_MUTEX_DEFAULT, p);
-	ring_open(&s->jobs, 65536, p);
-	if (apr_thread_create(&s->t, NULL, store_thread, s, p) == APR_SUCCESS)
-		return s;
-	*why = "step start: no thread for the disk";
+	apr_thread_mutex_create(&storage->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
+	ring_open(&storage->jobs, 65536, pool);
+	if (apr_thread_create(&storage->thread, NULL, storage_thread, storage, pool) == APR_SUCCESS)
+		return storage;
+	*error_text = "step start: no thread for the disk";
 bad:
 	for (int i = 0; i < SHARD_COUNT; i++)
-		arrfree(r.e[i]);
-	shfree(s->sums);
-	if (s->db)
-		tdb_close(s->db);
-	if (s->lock >= 0)
-		close(s->lock);
+		arrfree(reading.e[i]);
+	shfree(storage->sums);
+	if (storage->db)
+		tdb_close(storage->db);
+	if (storage->lock_fd >= 0)
+		close(storage->lock_fd);
 	return NULL;
 }
 
-int store_identity(struct store *s, uint64_t id, uint64_t fleet)
+int storage_write_identity(struct storage *storage, uint64_t node_id, uint64_t fleet_id)
 {
-	uint64_t v[2] = { id, fleet };
+	uint64_t identity[2] = { node_id, fleet_id };
 	int ok;
 
-	apr_thread_mutex_lock(s->m);
-	ok = (!s->torn || file_open_again(s)) && is_renewed(s) && tdb_transaction_start(s->db) == 0;
-	if (ok && !(ok = put(s, "id", v, sizeof v, NULL, 0) && total_write(s)))
-		tdb_transaction_cancel(s->db);
+	apr_thread_mutex_lock(storage->mutex);
+	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) && tdb_transaction_start(storage->db) == 0;
+	if (ok && !(ok = put(storage, "id", identity, sizeof identity, NULL, 0) && total_write(storage)))
+		tdb_transaction_cancel(storage->db);
 	else if (ok)
-		ok = commit(s);
-	s->torn |= !ok;
-	apr_thread_mutex_unlock(s->m);
+		ok = commit_transaction(storage);
+	storage->torn |= !ok;
+	apr_thread_mutex_unlock(storage->mutex);
 	return ok;
 }
 
-void store_write(struct store *s, const struct persist *w)
+void storage_write(struct storage *storage, const struct persist *w)
 {
-	apr_pool_t *p;
-	struct store_job *j;
-
-	apr_pool_create(&p, NULL);
-	j = apr_palloc(p, sizeof *j);
-	j->p = p;
-	j->w = *w;
-	j->w.e = apr_palloc(p, (w->n + 1) * sizeof *w->e);
-	for (size_t i = 0; i < w->n; i++) {
-		j->w.e[i] = w->e[i];
-		j->w.e[i].data = apr_pmemdup(p, w->e[i].data, w->e[i].len + 1);
+	apr_pool_t *pool;
+	struct storage_job *job;
+
+	apr_pool_create(&pool, NULL);
+	job = apr_palloc(pool, sizeof *job);
+	job->pool = pool;
+	job->write = *w;
+	job->write.entries = apr_palloc(pool, (w->entry_count + 1) * sizeof *w->entries);
+	for (size_t i = 0; i < w->entry_count; i++) {
+		job->write.entries[i] = w->entries[i];
+		job->write.entries[i].data = apr_pmemdup(pool, w->entries[i].data, w->entries[i].len + 1);
 	}
-	if (w->snap) {
-		j->w.members = apr_pmemdup(p, w->members, w->members_len + 1);
-		j->w.data = apr_pmemdup(p, w->data, w->data_len + 1);
+	if (w->has_snapshot) {
+		job->write.members = apr_pmemdup(pool, w->members, w->members_len + 1);
+		job->write.data = apr_pmemdup(pool, w->data, w->data_len + 1);
 	}
-	ring_push(s->jobs, j, 1);
+	ring_push(storage->jobs, job, 1);
 }
 
-uint64_t store_syncs(const struct store *s) { return s->syncs; }
-uint64_t store_refused(const struct store *s) { return s->refused; }
+uint64_t storage_sync_count(const struct storage *storage) { return storage->sync_count; }
+uint64_t storage_refused_count(const struct storage *storage) { return storage->refused_count; }
 
-void store_close(struct store *s)
+void storage_close(struct storage *storage)
 {
 	apr_status_t st;
-	struct store_job *j;
-
-	s->stop = 1;
-	apr_thread_join(&st, s->t);
-	while ((j = ring_pop(s->jobs, 0)))
-		apr_pool_destroy(j->p);
-	if (s->db)
-		tdb_close(s->db);
-	shfree(s->sums);
-	close(s->lock);
+	struct storage_job *job;
+
+	storage->stop = 1;
+	apr_thread_join(&st, storage->thread);
+	while ((job = ring_pop(storage->jobs, 0)))
+		apr_pool_destroy(job->pool);
+	if (storage->db)
+		tdb_close(storage->db);
+	shfree(storage->sums);
+	close(storage->lock_fd);
 }
--- a/lib/shell/tool.c
+++ b/lib/shell/tool.c
@@ -7,54 +7,54 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct json_object *jget(struct json_object *j, const char *k)
+struct json_object *json_member(struct json_object *json, const char *name)
 {
-	struct json_object *v = NULL;
+	struct json_object *value = NULL;
 
-	return json_object_is_type(j, json_type_object) && json_object_object_get_ex(j, k, &v) ? v : NULL;
+	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, name, &value) ? value : NULL;
 }
 
-const char *jgets(struct json_object *j, const char *k)
+const char *json_member_string(struct json_object *json, const char *name)
 {
-	struct json_object *v = jget(j, k);
+	struct json_object *value = json_member(json, name);
 
-	return v && json_object_is_type(v, json_type_string) ? json_object_get_string(v) : "";
+	return value && json_object_is_type(value, json_type_string) ? json_object_get_string(value) : "";
 }
 
-int64_t jgeti(struct json_object *j, const char *k)
+int64_t json_member_int(struct json_object *json, const char *name)
 {
-	struct json_object *v = jget(j, k);
+	struct json_object *value = json_member(json, name);
 
-	return v ? json_object_get_int64(v) : 0;
+	return value ? json_object_get_int64(value) : 0;
 }
 
 char *digest_hex(const char *key, char hex[65])
 {
-	struct sha256_ctx c;
-	uint8_t d[SHA256_DIGEST_SIZE];
-
-	sha256_init(&c);
-	sha256_update(&c, strlen(key), (const uint8_t *)key);
-	sha256_digest(&c, sizeof d, d);
-	for (size_t i = 0; i < sizeof d; i++)
-		snprintf(hex + 2 * i, 3, "%02x", d[i]);
+	struct sha256_ctx sha256_ctx;
+	uint8_t digest[SHA256_DIGEST_SIZE];
+
+	sha256_init(&sha256_ctx);
+	sha256_update(&sha256_ctx, strlen(key), (const uint8_t *)key);
+	sha256_digest(&sha256_ctx, sizeof digest, digest);
+	for (size_t i = 0; i < sizeof digest; i++)
+		snprintf(hex + 2 * i, 3, "%02x", digest[i]);
 	return hex;
 }
 
-struct grow {
-	char *d;
-	size_t n;
+struct growing_text {
+	char *data;
+	size_t size;
 };
 
 static size_t on_body(char *d, size_t one, size_t n, void *arg)
 {
-	struct grow *g = arg;
+	struct growing_text *g = arg;
 
 	n *= one;
-	g->d = realloc(g->d, g->n + n + 1);
-	memcpy(g->d + g->n, d, n);
-	g->n += n;
-	g->d[g->n] = 0;
+	g->data = realloc(g->data, g->size + n + 1);
+	memcpy(g->data + g->size, d, n);
+	g->size += n;
+	g->data[g->size] = 0;
 	return n;
 }
 
@@ -62,65 +62,65 @@
 static int call_once(const char *verb, const char *addr, const char *path, const char *header, const char *body, int ms, char **out)
 {
 	CURL *h = curl_easy_init();
-	struct curl_slist *hs = curl_slist_append(NULL, "Expect:");
-	struct grow g = { calloc(1, 1), 0 };
+	struct curl_slist *curl_slist = curl_slist_append(NULL, "Expect:");
+	struct growing_text grow = { calloc(1, 1), 0 };
 	char url[512];
 	long status = 0;
 
 	snprintf(url, sizeof url, "http://%s%s", addr, path);
 	if (header[0])
-		hs = curl_slist_append(hs, header);
+		curl_slist = curl_slist_append(curl_slist, header);
 	curl_easy_setopt(h, CURLOPT_URL, url);
 	curl_easy_setopt(h, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(h, CURLOPT_PROXY, "");
-	curl_easy_setopt(h, CURLOPT_HTTPHEADER, hs);
+	curl_easy_setopt(h, CURLOPT_HTTPHEADER, curl_slist);
 	curl_easy_setopt(h, CURLOPT_TIMEOUT_MS, (long)ms);
 	curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(h, CURLOPT_WRITEDATA, &g);
+	curl_easy_setopt(h, CURLOPT_WRITEDATA, &grow);
 	if (!strcmp(verb, "POST"))
 		curl_easy_setopt(h, CURLOPT_POSTFIELDS, body ? body : "");
 	if (curl_easy_perform(h) == CURLE_OK)
 		curl_easy_getinfo(h, CURLINFO_RESPONSE_CODE, &status);
-	curl_slist_free_all(hs);
+	curl_slist_free_all(curl_slist);
 	curl_easy_cleanup(h);
 	if (out)
-		*out = g.d;
+		*out = grow.data;
 	else
-		free(g.d);
+		free(grow.data);
 	return (int)status;
 }
 
-int http_do(const char *verb, const char *addr, const char *path, const char *key, const char *body, int ms, char **out)
+int http_call_blocking(const char *method, const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out)
 {
 	char header[200] = "";
 
 	if (key)
 		snprintf(header, sizeof header, "Authorization: Bearer %s", key);
-	return call_once(verb, addr, path, header, body, ms, out);
+	return call_once(method, addr, path, header, body, timeout_ms, body_out);
 }
 
-int http_order(const char *addr, const char *path, const char *key, const char *body, int ms, char **out)
+int http_command_blocking(const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out)
 {
 	char header[200];
 
 	snprintf(header, sizeof header, "Idempotency-Key: %s", key);
-	return call_once("POST", addr, path, header, body, ms, out);
+	return call_once("POST", addr, path, header, body, timeout_ms, body_out);
 }
 
 char *file_read(const char *path)
 {
-	FILE *f = strcmp(path, "-") ? fopen(path, "r") : stdin;
-	struct grow g = { calloc(1, 1), 0 };
+	FILE *file = strcmp(path, "-") ? fopen(path, "r") : stdin;
+	struct growing_text grow = { calloc(1, 1), 0 };
 	char b[4096];
 	size_t n;
 
-	if (!f) {
-		free(g.d);
+	if (!file) {
+		free(grow.data);
 		return NULL;
 	}
-	while ((n = fread(b, 1, sizeof b, f)) > 0)
-		on_body(b, 1, n, &g);
-	if (f != stdin)
-		(void)fclose(f);
-	return g.d;
+	while ((n = fread(b, 1, sizeof b, file)) > 0)
+		on_body(b, 1, n, &grow);
+	if (file != stdin)
+		(void)fclose(file);
+	return grow.data;
 }
--- a/lib/shell/tool.h
+++ b/lib/shell/tool.h
@@ -7,15 +7,15 @@
 
 /* Returns the status, 0 when nobody answered; *body_out, if wanted, is malloc'd.
  * Example: st = http_do("POST", "127.0.0.1:8000", "/v1/found", NULL, "{}", 5000, &body); */
-int http_do(const char *verb, const char *addr, const char *path, const char *key, const char *body, int ms, char **body_out);
+int http_call_blocking(const char *method, const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out);
 
 /* An operator's order, with its idempotency key. Example: st = http_order("127.0.0.1:8000", "/v1/change", key, body, 5000, &body); */
-int http_order(const char *addr, const char *path, const char *key, const char *body, int ms, char **body_out);
+int http_command_blocking(const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out);
 
 /* A member of an object, NULL, "" or 0 when it is not there. Example: jgeti(j, "edition") */
-struct json_object *jget(struct json_object *j, const char *k);
-const char *jgets(struct json_object *j, const char *k);
-int64_t jgeti(struct json_object *j, const char *k);
+struct json_object *json_member(struct json_object *json, const char *name);
+const char *json_member_string(struct json_object *json, const char *name);
+int64_t json_member_int(struct json_object *json, const char *name);
 
 /* A key's digest, as the table holds it. Example: digest_hex("key-0", buf) */
 char *digest_hex(const char *key, char hex[65]);
