--- a/rehearsal/check.c
+++ b/rehearsal/check.c
@@ -11,103 +11,103 @@
 /* A breach is named by its letter in docs/failures.md. */
 
 struct row {
-	int64_t t;
-	struct json_object *j;
-	const char *ev;
+	int64_t at_ms;
+	struct json_object *json;
+	const char *kind;
 };
 
-struct id_row { /* what is known of one id */
+struct request_row { /* what is known of one id */
 	char *key;
 	struct {
-		int began, tries, told;
-		int64_t asked;
+		int run_count, send_count, answer_count;
+		int64_t requested_at_ms;
 		char server[64];
 	} value;
 };
-struct asking_row { /* of one id at one counter: "ID COUNTER" */
+struct submission_row { /* of one id at one counter: "ID COUNTER" */
 	char *key;
 	struct {
-		int64_t refused;
-		int open, ran;
+		int64_t refused_at_ms;
+		int is_open, has_run;
 	} value;
 };
-struct counter_row { /* by the id that it has for one life: where it is, and its editions as probed */
+struct router_row { /* by the id that it has for one life: where it is, and its editions as probed */
 	char *key;
 	struct {
-		char web[64];
+		char address[64];
 		struct {
-			int64_t asked, edition;
-		} * probe;
+			int64_t requested_at_ms, revision;
+		} * probes;
 	} value;
 };
 struct server_row {
 	char *key;
 	struct {
-		int64_t drained, undrained, drain_horizon, up, loaded_at, order_at, fence;
-		char weights[64], rollout[32], service[64];
+		int64_t drained_at_ms, undrained_at_ms, drain_horizon, up_at_ms, loaded_at, commanded_at_ms, fence;
+		char weights[64], rollout_leader[32], service[64];
 		struct {
-			int64_t t;
-			char w[64];
+			int64_t loaded_at_ms;
+			char weights[64];
 		} * loads;
 	} value;
 };
 struct span_row {
 	char *key;
 	struct {
-		int64_t from, to;
+		int64_t started_at_ms, ended_at_ms;
 	} value;
 }; /* to: 0 while it lasts */
-struct table_row {
+struct config_table_row {
 	char *key;
 	struct {
-		struct json_object *sure, **maybe;
-		int64_t edition;
+		struct json_object *acknowledged, **possible;
+		int64_t revision;
 	} value;
 };
-struct naming {
-	int64_t t;
+struct target_weights {
+	int64_t set_at_ms;
 	char service[64], weights[64];
 };
 
 struct judge {
 	struct check_result *r;
 	int untimed;
-	struct row *row;
-	struct id_row *id;
-	struct asking_row *asking;
-	struct counter_row *counter;
-	struct server_row *server;
-	struct span_row *removed, *walled;
-	struct table_row *table;
+	struct row *rows;
+	struct request_row *requests;
+	struct submission_row *submissions;
+	struct router_row *routers;
+	struct server_row *servers;
+	struct span_row *removed_keys, *isolated_tenants;
+	struct config_table_row *table;
 	struct {
 		char *key;
 		int64_t value;
-	} * ends, *web_edition;
-	struct naming *naming;
+	} * piece_counts, *revision_by_address;
+	struct target_weights *targets;
 	struct {
-		int64_t edition, t;
+		int64_t revision, at_ms;
 	} * acks;
 	struct {
-		int64_t t;
-		int again;
-	} * tries; /* sends, in order of time */
-	int64_t acked, final_edition, horizon, last_fault, back, pause;
-	int64_t sends, firsts, whole, refused, unknown, fresh, tokens, fetched;
-	int closed, finished, probes, records;
+		int64_t at_ms;
+		int is_retry;
+	} * send_log; /* sends, in order of time */
+	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, back, longest_pause_ms;
+	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens, fetched_blocks;
+	int closed, finished, probe_count, server_record_count;
 };
 
-static void say(struct check_result *r, const char *fmt, ...)
+static void say(struct check_result *result, const char *fmt, ...)
 {
-	size_t n = strlen(r->text);
+	size_t n = strlen(result->text);
 	va_list ap;
 
 	va_start(ap, fmt);
-	if (n < sizeof r->text - 500)
-		vsnprintf(r->text + n, sizeof r->text - n, fmt, ap);
+	if (n < sizeof result->text - 500)
+		vsnprintf(result->text + n, sizeof result->text - n, fmt, ap);
 	va_end(ap);
 }
 
-static void breach(struct judge *g, char letter, const char *fmt, ...)
+static void breach(struct judge *checker, char rule, const char *fmt, ...)
 {
 	char line[400];
 	va_list ap;
@@ -115,11 +115,11 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	if (++g->r->breaches <= 20)
-		say(g->r, "BREACH %c: %s\n", letter, line);
+	if (++checker->r->violations <= 20)
+		say(checker->r, "BREACH %c: %s\n", rule, line);
 }
 
-static void undecided(struct judge *g, const char *fmt, ...)
+static void undecided(struct judge *checker, const char *fmt, ...)
 {
 	char line[300];
 	va_list ap;
@@ -127,19 +127,19 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	g->r->undecided = 1;
-	say(g->r, "undecided: %s\n", line);
+	checker->r->undecided = 1;
+	say(checker->r, "undecided: %s\n", line);
 }
 
 /* ---- reading ---- */
 
 /* Within one millisecond: an asking, then what servers did, then what the caller was told. */
-static int rank(const char *ev)
+static int record_order(const char *kind)
 {
 	static const char *const order[] = { "ask", "sent", "begin", "end" };
 
 	for (int i = 0; i < 4; i++)
-		if (!strcmp(ev, order[i]))
+		if (!strcmp(kind, order[i]))
 			return i;
 	return 4;
 }
@@ -148,288 +148,288 @@
 {
 	const struct row *x = a, *y = b;
 
-	return x->t < y->t ? -1 : x->t > y->t ? 1 : rank(x->ev) - rank(y->ev);
+	return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms ? 1 : record_order(x->kind) - record_order(y->kind);
 }
 
 /* Each record is one write, so a torn line is a hole: such a run is undecided. */
-static void read_file(struct judge *g, const char *path, const char *name)
+static void read_file(struct judge *checker, const char *path, const char *name)
 {
-	FILE *f = fopen(path, "r");
+	FILE *out = fopen(path, "r");
 	char *line = NULL;
 	size_t cap = 0;
 
-	while (f && getline(&line, &cap, f) > 0) {
-		struct json_object *j = json_tokener_parse(line);
-		struct row r = { j ? jgeti(j, "t") : 0, j, j ? jgets(j, "ev") : "" };
+	while (out && getline(&line, &cap, out) > 0) {
+		struct json_object *json = json_tokener_parse(line);
+		struct row row = { json ? json_member_int(json, "t") : 0, json, json ? json_member_string(json, "ev") : "" };
 
-		if (!j || !r.t || !r.ev[0]) {
-			undecided(g, "%s has a line that is torn or no record", name);
-			if (j)
-				json_object_put(j);
+		if (!json || !row.at_ms || !row.kind[0]) {
+			undecided(checker, "%s has a line that is torn or no record", name);
+			if (json)
+				json_object_put(json);
 			continue;
 		}
-		arrput(g->row, r);
+		arrput(checker->rows, row);
 	}
-	if (!f)
-		undecided(g, "%s cannot be read", name);
+	if (!out)
+		undecided(checker, "%s cannot be read", name);
 	free(line);
-	if (f)
-		fclose(f);
+	if (out)
+		fclose(out);
 }
 
-static void read_folder(struct judge *g, const char *folder)
+static void read_folder(struct judge *checker, const char *folder)
 {
 	DIR *d = opendir(folder);
-	struct dirent *e;
+	struct dirent *dirent;
 	char path[900];
 
-	while (d && (e = readdir(d))) {
-		size_t n = strlen(e->d_name);
+	while (d && (dirent = readdir(d))) {
+		size_t n = strlen(dirent->d_name);
 
-		if (n < 4 || strcmp(e->d_name + n - 4, ".rec"))
+		if (n < 4 || strcmp(dirent->d_name + n - 4, ".rec"))
 			continue;
-		snprintf(path, sizeof path, "%s/%s", folder, e->d_name);
-		g->records += !strncmp(e->d_name, "server-", 7);
-		read_file(g, path, e->d_name);
+		snprintf(path, sizeof path, "%s/%s", folder, dirent->d_name);
+		checker->server_record_count += !strncmp(dirent->d_name, "server-", 7);
+		read_file(checker, path, dirent->d_name);
 	}
 	if (d)
 		closedir(d);
-	qsort(g->row, (size_t)arrlen(g->row), sizeof *g->row, by_time);
+	qsort(checker->rows, (size_t)arrlen(checker->rows), sizeof *checker->rows, by_time);
 }
 
 /* ---- one entry of each map, made when it is new ---- */
 
 #define ENTRY(map, k) (shgeti(map, k) < 0 ? (void)shput(map, k, ((typeof((map)->value)){ 0 })) : (void)0, &shgetp(map, k)->value)
 
-static typeof(((struct asking_row *)0)->value) *asking_of(struct judge *g, const char *id, const char *web)
+static typeof(((struct submission_row *)0)->value) *asking_of(struct judge *checker, const char *id, const char *web)
 {
 	char key[300];
 
 	snprintf(key, sizeof key, "%s %s", id, web);
-	return ENTRY(g->asking, key);
+	return ENTRY(checker->submissions, key);
 }
 
 /* The counter that made a send, by the send's id; NULL when no probe ever saw it. */
-static typeof(((struct counter_row *)0)->value) *sender_of(struct judge *g, const char *x)
+static typeof(((struct router_row *)0)->value) *router_of_send(struct judge *checker, const char *send_id)
 {
 	char id[17];
 
-	snprintf(id, sizeof id, "%s", x);
-	return shgeti(g->counter, id) < 0 ? NULL : &shgetp(g->counter, id)->value;
+	snprintf(id, sizeof id, "%s", send_id);
+	return shgeti(checker->routers, id) < 0 ? NULL : &shgetp(checker->routers, id)->value;
 }
 
-static int within(const struct span_row *map, const char *key, int64_t t, int64_t after)
+static int within(const struct span_row *map, const char *key, int64_t at_ms, int64_t after)
 {
-	struct span_row *m = (struct span_row *)(uintptr_t)map;
-	ptrdiff_t i = shgeti(m, key);
+	struct span_row *span_row = (struct span_row *)(uintptr_t)map;
+	ptrdiff_t i = shgeti(span_row, key);
 
-	return i >= 0 && m[i].value.from && t - m[i].value.from > after && (!m[i].value.to || t < m[i].value.to);
+	return i >= 0 && span_row[i].value.started_at_ms && at_ms - span_row[i].value.started_at_ms > after && (!span_row[i].value.ended_at_ms || at_ms < span_row[i].value.ended_at_ms);
 }
 
 /* ---- A: once, and never after "refused". B, C: the whole answer, in order, of one run ---- */
 
-static void on_ask(struct judge *g, struct json_object *j, int64_t t)
+static void on_request_record(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	typeof(g->id->value) *k = ENTRY(g->id, jgets(j, "id"));
-	typeof(g->asking->value) *a = asking_of(g, jgets(j, "id"), jgets(j, "counter"));
-
-	k->tries = 0; /* a caller's own asking anew is no resend */
-	k->asked = t;
-	a->open = 1;
-	a->ran = 0;
-	a->refused = 0;
+	typeof(checker->requests->value) *k = ENTRY(checker->requests, json_member_string(json, "id"));
+	typeof(checker->submissions->value) *a = asking_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
+
+	k->send_count = 0; /* a caller's own asking anew is no resend */
+	k->requested_at_ms = at_ms;
+	a->is_open = 1;
+	a->has_run = 0;
+	a->refused_at_ms = 0;
 }
 
-static void in_force(struct judge *g, const char *x, int64_t t);
+static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms);
 
-static void on_sent(struct judge *g, struct json_object *j, int64_t t)
+static void on_sent(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	const char *id = jgets(j, "id"), *sv = jgets(j, "server"), *x = jgets(j, "x");
-	typeof(g->id->value) *k = ENTRY(g->id, id);
-	typeof(g->server->value) *s = ENTRY(g->server, sv);
-	typeof(g->counter->value) *c = sender_of(g, x);
-	typeof(*g->tries) y = { t, k->tries > 0 };
-
-	g->sends++;
-	g->firsts += k->tries++ == 0;
-	arrput(g->tries, y);
-	if (!k->asked)
-		breach(g, 'A', "%s was sent, and nobody asked it", id);
-	if (!g->untimed && s->drained && !s->undrained && t - s->drained > 3000)
-		breach(g, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv, id,
-		       (long long)(t - s->drained));
-	in_force(g, x, t);
-	if (jgeti(j, "refused"))
+	const char *id = json_member_string(json, "id"), *sv = json_member_string(json, "server"), *x = json_member_string(json, "x");
+	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
+	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
+	typeof(checker->routers->value) *c = router_of_send(checker, x);
+	typeof(*checker->send_log) y = { at_ms, k->send_count > 0 };
+
+	checker->sends++;
+	checker->first_sends += k->send_count++ == 0;
+	arrput(checker->send_log, y);
+	if (!k->requested_at_ms)
+		breach(checker, 'A', "%s was sent, and nobody asked it", id);
+	if (!checker->untimed && s->drained_at_ms && !s->undrained_at_ms && at_ms - s->drained_at_ms > 3000)
+		breach(checker, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv, id,
+		       (long long)(at_ms - s->drained_at_ms));
+	check_revision_in_force(checker, x, at_ms);
+	if (json_member_int(json, "refused"))
 		return;
-	if (k->began++)
-		breach(g, 'A', "%s ran twice: at %s and at %s", id, k->server, sv);
+	if (k->run_count++)
+		breach(checker, 'A', "%s ran twice: at %s and at %s", id, k->server, sv);
 	snprintf(k->server, sizeof k->server, "%s", sv);
 	if (c) {
-		typeof(g->asking->value) *a = asking_of(g, id, c->web);
+		typeof(checker->submissions->value) *a = asking_of(checker, id, c->address);
 
-		if (a->refused)
-			breach(g, 'A', "%s ran %lld ms after its caller was told it was refused", id, (long long)(t - a->refused));
-		a->ran = 1;
+		if (a->refused_at_ms)
+			breach(checker, 'A', "%s ran %lld ms after its caller was told it was refused", id, (long long)(at_ms - a->refused_at_ms));
+		a->has_run = 1;
 	}
 }
 
-static void on_told(struct judge *g, struct json_object *j, int64_t t)
+static void on_answer_record(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	const char *id = jgets(j, "id"), *o = jgets(j, "outcome"), *x = jgets(j, "x");
-	typeof(g->id->value) *k = ENTRY(g->id, id);
-	typeof(g->asking->value) *a = asking_of(g, id, jgets(j, "counter"));
+	const char *id = json_member_string(json, "id"), *o = json_member_string(json, "outcome"), *x = json_member_string(json, "x");
+	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
+	typeof(checker->submissions->value) *a = asking_of(checker, id, json_member_string(json, "counter"));
 	char key[32];
 
-	k->told++;
-	a->open = 0;
-	if (jgeti(j, "bad"))
-		breach(g, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id, (long long)jgeti(j, "bad"));
+	k->answer_count++;
+	a->is_open = 0;
+	if (json_member_int(json, "bad"))
+		breach(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id, (long long)json_member_int(json, "bad"));
 	if (!strcmp(o, "whole")) {
-		g->whole++;
+		checker->complete++;
 		/* back: answers to what was asked after the last fault; the pauses between them count as well */
-		if (g->last_fault && k->asked >= g->last_fault) {
-			if (t - (g->back ? g->back : g->last_fault) > g->pause)
-				g->pause = t - (g->back ? g->back : g->last_fault);
-			g->back = t;
+		if (checker->last_fault_at_ms && k->requested_at_ms >= checker->last_fault_at_ms) {
+			if (at_ms - (checker->back ? checker->back : checker->last_fault_at_ms) > checker->longest_pause_ms)
+				checker->longest_pause_ms = at_ms - (checker->back ? checker->back : checker->last_fault_at_ms);
+			checker->back = at_ms;
 		}
-		if (shgeti(g->ends, x) < 0 || shget(g->ends, x) != jgeti(j, "pieces"))
-			breach(g, 'B', "%s: told whole with %lld pieces, which is not the server's whole answer", id,
-			       (long long)jgeti(j, "pieces"));
+		if (shgeti(checker->piece_counts, x) < 0 || shget(checker->piece_counts, x) != json_member_int(json, "pieces"))
+			breach(checker, 'B', "%s: told whole with %lld pieces, which is not the server's whole answer", id,
+			       (long long)json_member_int(json, "pieces"));
 	} else if (!strcmp(o, "refused")) {
-		g->refused++;
-		a->refused = t;
-		if (a->ran)
-			breach(g, 'A', "%s ran, and its caller was told it was refused", id);
+		checker->refused++;
+		a->refused_at_ms = at_ms;
+		if (a->has_run)
+			breach(checker, 'A', "%s ran, and its caller was told it was refused", id);
 	} else {
-		g->unknown++;
+		checker->unknown++;
 	}
-	snprintf(key, sizeof key, "key-%lld", (long long)jgeti(j, "tenant"));
-	if (!g->untimed && jgeti(j, "last") && within(g->removed, key, jgeti(j, "last"), 5000))
-		breach(g, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
-		       (long long)(jgeti(j, "last") - shget(g->removed, key).from));
+	snprintf(key, sizeof key, "key-%lld", (long long)json_member_int(json, "tenant"));
+	if (!checker->untimed && json_member_int(json, "last") && within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
+		breach(checker, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
+		       (long long)(json_member_int(json, "last") - shget(checker->removed_keys, key).started_at_ms));
 }
 
 /* ---- D: who sends has every edition that was acknowledged 2 s before ---- */
 
-static int64_t needed(const struct judge *g, int64_t t)
+static int64_t required_revision(const struct judge *checker, int64_t at_ms)
 {
 	int64_t need = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(g->acks) && g->acks[i].t < t - 2000; i++)
-		if (g->acks[i].edition > need)
-			need = g->acks[i].edition;
+	for (ptrdiff_t i = 0; i < arrlen(checker->acks) && checker->acks[i].at_ms < at_ms - 2000; i++)
+		if (checker->acks[i].revision > need)
+			need = checker->acks[i].revision;
 	return need;
 }
 
 /* A counter's edition at a send is at most what the next probe saw there. */
-static void in_force(struct judge *g, const char *x, int64_t t)
+static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms)
 {
-	typeof(g->counter->value) *c = sender_of(g, x);
+	typeof(checker->routers->value) *c = router_of_send(checker, send_id);
 
-	for (ptrdiff_t i = 0; c && !g->untimed && i < arrlen(c->probe); i++)
-		if (c->probe[i].asked >= t) {
-			if (c->probe[i].edition < needed(g, t))
-				breach(g, 'D', "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before", c->web, x,
-				       (long long)c->probe[i].edition, (long long)needed(g, t));
+	for (ptrdiff_t i = 0; c && !checker->untimed && i < arrlen(c->probes); i++)
+		if (c->probes[i].requested_at_ms >= at_ms) {
+			if (c->probes[i].revision < required_revision(checker, at_ms))
+				breach(checker, 'D', "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before", c->address, send_id,
+				       (long long)c->probes[i].revision, (long long)required_revision(checker, at_ms));
 			return;
 		}
 }
 
-static void on_state(struct judge *g, struct json_object *j)
+static void on_state(struct judge *checker, struct json_object *json)
 {
-	const char *web = jgets(j, "web");
-	int64_t e = jgeti(j, "edition"), before = shgeti(g->web_edition, web) < 0 ? 0 : shget(g->web_edition, web);
+	const char *web = json_member_string(json, "web");
+	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0 ? 0 : shget(checker->revision_by_address, web);
 
-	g->probes++;
-	if (jgeti(j, "horizon") > g->horizon)
-		g->horizon = jgeti(j, "horizon");
+	checker->probe_count++;
+	if (json_member_int(json, "horizon") > checker->horizon)
+		checker->horizon = json_member_int(json, "horizon");
 	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves nothing */
-		breach(g, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before, (long long)e);
+		breach(checker, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before, (long long)e);
 	if (e > before)
-		shput(g->web_edition, web, e);
-	if (!g->untimed && jgeti(j, "age_ms") < 1700 && e < needed(g, jgeti(j, "asked")))
-		breach(g, 'D', "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web, (long long)e,
-		       (long long)needed(g, jgeti(j, "asked")));
+		shput(checker->revision_by_address, web, e);
+	if (!checker->untimed && json_member_int(json, "age_ms") < 1700 && e < required_revision(checker, json_member_int(json, "asked")))
+		breach(checker, 'D', "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web, (long long)e,
+		       (long long)required_revision(checker, json_member_int(json, "asked")));
 }
 
 /* ---- G: whose kept parts were used ---- */
 
-static void on_begin(struct judge *g, struct json_object *j, int64_t t)
+static void on_begin(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	struct json_object *used = jget(j, "used");
-	const char *id = jgets(j, "id"), *tn = jgets(j, "tenant"), *w = jgets(j, "weights"), *sv = jgets(j, "server");
-	typeof(g->server->value) *s = ENTRY(g->server, sv);
+	struct json_object *used = json_member(json, "used");
+	const char *id = json_member_string(json, "id"), *tn = json_member_string(json, "tenant"), *weights = json_member_string(json, "weights"), *sv = json_member_string(json, "server");
+	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
-	g->fresh += jgeti(j, "fresh");
-	g->tokens += jgeti(j, "tokens");
-	g->fetched += jgeti(j, "fetched");
+	checker->prefilled_tokens += json_member_int(json, "fresh");
+	checker->prompt_tokens += json_member_int(json, "tokens");
+	checker->fetched_blocks += json_member_int(json, "fetched");
 	for (size_t n = 0; used && n < json_object_array_length(used); n++) {
 		struct json_object *u = json_object_array_get_idx(used, n);
-		const char *m = jgets(u, "m");
+		const char *m = json_member_string(u, "m");
 
-		if (strcmp(jgets(u, "w"), w))
-			breach(g, 'G', "%s under %s used a part made under %s", id, w, jgets(u, "w"));
-		if (!g->untimed && strcmp(m, tn) && (within(g->walled, m, t, 2000) || within(g->walled, tn, t, 2000)))
-			breach(g, 'G', "%s of %s used a part made by %s, one of them walled off", id, tn, m);
+		if (strcmp(json_member_string(u, "w"), weights))
+			breach(checker, 'G', "%s under %s used a part made under %s", id, weights, json_member_string(u, "w"));
+		if (!checker->untimed && strcmp(m, tn) && (within(checker->isolated_tenants, m, at_ms, 2000) || within(checker->isolated_tenants, tn, at_ms, 2000)))
+			breach(checker, 'G', "%s of %s used a part made by %s, one of them walled off", id, tn, m);
 		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a failover and the stale horizon */
-		if (!g->untimed && s->drained && t - s->drained > 7000 && !jgeti(u, "from") && jgeti(u, "ct") <= s->drain_horizon)
-			breach(g, 'G', "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
-			       (long long)jgeti(u, "ct"), sv);
+		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 && !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
+			breach(checker, 'G', "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
+			       (long long)json_member_int(u, "ct"), sv);
 	}
 }
 
 /* ---- H, I: orders and weights ---- */
 
-static void on_order(struct judge *g, struct json_object *j, int64_t t)
+static void on_order(struct judge *checker, struct json_object *j, int64_t at_ms)
 {
-	const char *sv = jgets(j, "server");
-	typeof(g->server->value) *s = ENTRY(g->server, sv);
-
-	if (s->order_at && strcmp(s->rollout, jgets(j, "giver")) && t - s->order_at < 3000)
-		breach(g, 'I', "server %s had orders of two givers %lld ms apart", sv, (long long)(t - s->order_at));
-	if (!jgeti(j, "fenced") && jgeti(j, "fence") < s->fence)
-		breach(g, 'I', "server %s took an order with a lower fence", sv);
-	if (jgeti(j, "fence") > s->fence)
-		s->fence = jgeti(j, "fence");
-	snprintf(s->rollout, sizeof s->rollout, "%s", jgets(j, "giver"));
-	s->order_at = t;
+	const char *sv = json_member_string(j, "server");
+	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
+
+	if (s->commanded_at_ms && strcmp(s->rollout_leader, json_member_string(j, "giver")) && at_ms - s->commanded_at_ms < 3000)
+		breach(checker, 'I', "server %s had orders of two givers %lld ms apart", sv, (long long)(at_ms - s->commanded_at_ms));
+	if (!json_member_int(j, "fenced") && json_member_int(j, "fence") < s->fence)
+		breach(checker, 'I', "server %s took an order with a lower fence", sv);
+	if (json_member_int(j, "fence") > s->fence)
+		s->fence = json_member_int(j, "fence");
+	snprintf(s->rollout_leader, sizeof s->rollout_leader, "%s", json_member_string(j, "giver"));
+	s->commanded_at_ms = at_ms;
 }
 
-static void on_loaded(struct judge *g, struct json_object *j, int64_t t)
+static void on_loaded(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	typeof(g->server->value) *s = ENTRY(g->server, jgets(j, "server"));
-	typeof(*s->loads) l = { t, "" };
+	typeof(checker->servers->value) *s = ENTRY(checker->servers, json_member_string(json, "server"));
+	typeof(*s->loads) l = { at_ms, "" };
 
-	snprintf(l.w, sizeof l.w, "%s", jgets(j, "weights"));
+	snprintf(l.weights, sizeof l.weights, "%s", json_member_string(json, "weights"));
 	arrput(s->loads, l);
 }
 
 /* Weights that stayed named for 25 s are on every server of the service 25 s after the naming, or after the server
  * came up. A server says with "up" what it was started with. */
-static void judge_namings(struct judge *g, int64_t end)
+static void check_target_weights(struct judge *checker, int64_t end)
 {
-	for (ptrdiff_t i = 0; i < arrlen(g->naming); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(checker->targets); i++) {
 		int64_t until = end;
 
-		for (ptrdiff_t k = i + 1; k < arrlen(g->naming); k++)
-			if (!strcmp(g->naming[k].service, g->naming[i].service)) {
-				until = g->naming[k].t;
+		for (ptrdiff_t k = i + 1; k < arrlen(checker->targets); k++)
+			if (!strcmp(checker->targets[k].service, checker->targets[i].service)) {
+				until = checker->targets[k].set_at_ms;
 				break;
 			}
-		for (ptrdiff_t k = 0; k < shlen(g->server); k++) {
-			typeof(g->server->value) *s = &g->server[k].value;
-			int64_t from = s->up > g->naming[i].t && s->up < until ? s->up : g->naming[i].t, on = 0;
+		for (ptrdiff_t k = 0; k < shlen(checker->servers); k++) {
+			typeof(checker->servers->value) *s = &checker->servers[k].value;
+			int64_t from = s->up_at_ms > checker->targets[i].set_at_ms && s->up_at_ms < until ? s->up_at_ms : checker->targets[i].set_at_ms, on = 0;
 
-			if (strcmp(s->service, g->naming[i].service) || until - from < 25000)
+			if (strcmp(s->service, checker->targets[i].service) || until - from < 25000)
 				continue;
 			for (ptrdiff_t q = 0; q < arrlen(s->loads); q++)
-				if (!strcmp(s->loads[q].w, g->naming[i].weights) && s->loads[q].t <= until &&
-				    (s->up > until || s->loads[q].t >= s->up))
-					on = s->loads[q].t;
+				if (!strcmp(s->loads[q].weights, checker->targets[i].weights) && s->loads[q].loaded_at_ms <= until &&
+				    (s->up_at_ms > until || s->loads[q].loaded_at_ms >= s->up_at_ms))
+					on = s->loads[q].loaded_at_ms;
 			if (!on)
-				breach(g, 'H', "weights %s never reached %s", g->naming[i].weights, g->server[k].key);
+				breach(checker, 'H', "weights %s never reached %s", checker->targets[i].weights, checker->servers[k].key);
 			else if (on - from > 25000)
-				breach(g, 'H', "weights %s reached %s only after %lld ms", g->naming[i].weights, g->server[k].key,
+				breach(checker, 'H', "weights %s reached %s only after %lld ms", checker->targets[i].weights, checker->servers[k].key,
 				       (long long)(on - from));
 		}
 	}
@@ -437,21 +437,21 @@
 
 /* ---- J: resends in any ten seconds ---- */
 
-static void judge_resends(struct judge *g)
+static void check_retries(struct judge *checker)
 {
-	int64_t margin = 2 + 2 * shlen(g->counter); /* each counter may have two saved up */
+	int64_t margin = 2 + 2 * shlen(checker->routers); /* each counter may have two saved up */
 
-	for (ptrdiff_t i = 0; i < arrlen(g->tries); i++) {
-		int64_t n = 0, again = 0;
+	for (ptrdiff_t i = 0; i < arrlen(checker->send_log); i++) {
+		int64_t n = 0, retries = 0;
 
-		if (i && g->tries[i].t / 500 == g->tries[i - 1].t / 500)
+		if (i && checker->send_log[i].at_ms / 500 == checker->send_log[i - 1].at_ms / 500)
 			continue;
-		for (ptrdiff_t k = i; k < arrlen(g->tries) && g->tries[k].t < g->tries[i].t + 10000; k++) {
+		for (ptrdiff_t k = i; k < arrlen(checker->send_log) && checker->send_log[k].at_ms < checker->send_log[i].at_ms + 10000; k++) {
 			n++;
-			again += g->tries[k].again;
+			retries += checker->send_log[k].is_retry;
 		}
-		if (again > (n - again) / 5 + margin) {
-			breach(g, 'J', "%lld resends for %lld sends within ten seconds", (long long)again, (long long)(n - again));
+		if (retries > (n - retries) / 5 + margin) {
+			breach(checker, 'J', "%lld resends for %lld sends within ten seconds", (long long)retries, (long long)(n - retries));
 			return;
 		}
 	}
@@ -461,43 +461,43 @@
 
 static void row_key(struct json_object *row, char *key, size_t n)
 {
-	snprintf(key, n, "%s %s", jgets(row, "kind"), jgets(row, "name"));
+	snprintf(key, n, "%s %s", json_member_string(row, "kind"), json_member_string(row, "name"));
 }
 
 /* A change whose outcome is not known may or may not show; an acknowledged one must, unless a later one hid it. */
-static void on_change(struct judge *g, struct json_object *change, int64_t edition)
+static void on_change(struct judge *checker, struct json_object *change, int64_t revision)
 {
 	static const char *const what[] = { "set", "del" };
 
 	for (int w = 0; w < 2; w++) {
-		struct json_object *list = jget(change, what[w]);
+		struct json_object *list = json_member(change, what[w]);
 
 		for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 			struct json_object *row = json_object_array_get_idx(list, i);
-			typeof(g->table->value) *k;
+			typeof(checker->table->value) *k;
 			char key[300];
 
 			row_key(row, key, sizeof key);
-			k = ENTRY(g->table, key);
-			if (!edition) {
-				arrput(k->maybe, w ? NULL : row);
-			} else if (edition > k->edition) {
-				k->edition = edition;
-				k->sure = w ? NULL : row;
+			k = ENTRY(checker->table, key);
+			if (!revision) {
+				arrput(k->possible, w ? NULL : row);
+			} else if (revision > k->revision) {
+				k->revision = revision;
+				k->acknowledged = w ? NULL : row;
 			}
 		}
 	}
 }
 
-static int same_row(struct json_object *want, struct json_object *have)
+static int same_row(struct json_object *expected, struct json_object *have)
 {
-	if (!want || !have)
-		return !want && !have;
-	json_object_object_foreach(want, name, v) if (!json_object_equal(v, jget(have, name))) return 0;
+	if (!expected || !have)
+		return !expected && !have;
+	json_object_object_foreach(expected, name, json) if (!json_object_equal(json, json_member(have, name))) return 0;
 	return 1;
 }
 
-static void judge_table(struct judge *g, struct json_object *rows)
+static void check_table(struct judge *checker, struct json_object *rows)
 {
 	struct {
 		char *key;
@@ -513,16 +513,16 @@
 			sh_new_strdup(have);
 		shput(have, key, row);
 	}
-	for (ptrdiff_t i = 0; i < shlen(g->table); i++) {
-		typeof(g->table->value) *k = &g->table[i].value;
-		struct json_object *at_end = have && shgeti(have, g->table[i].key) >= 0 ? shget(have, g->table[i].key) : NULL;
-		int fits = !k->edition || same_row(k->sure, at_end);
+	for (ptrdiff_t i = 0; i < shlen(checker->table); i++) {
+		typeof(checker->table->value) *k = &checker->table[i].value;
+		struct json_object *at_end = have && shgeti(have, checker->table[i].key) >= 0 ? shget(have, checker->table[i].key) : NULL;
+		int fits = !k->revision || same_row(k->acknowledged, at_end);
 
-		for (ptrdiff_t q = 0; q < arrlen(k->maybe) && !fits; q++)
-			fits = same_row(k->maybe[q], at_end);
+		for (ptrdiff_t q = 0; q < arrlen(k->possible) && !fits; q++)
+			fits = same_row(k->possible[q], at_end);
 		if (!fits)
-			breach(g, 'K', "what edition %lld said of %s is not in the table at the end", (long long)k->edition,
-			       g->table[i].key);
+			breach(checker, 'K', "what edition %lld said of %s is not in the table at the end", (long long)k->revision,
+			       checker->table[i].key);
 	}
 	shfree(have);
 }
@@ -532,77 +532,77 @@
 /* Told apart by what each changes; 0 for a kind that no judge knows. */
 static int take(struct judge *g, const struct row *r)
 {
-	struct json_object *j = r->j;
-	const char *ev = r->ev, *sv = jgets(j, "server");
-	int64_t t = r->t;
+	struct json_object *json = r->json;
+	const char *ev = r->kind, *sv = json_member_string(json, "server");
+	int64_t t = r->at_ms;
 
 	if (!strcmp(ev, "ask")) {
-		on_ask(g, j, t);
+		on_request_record(g, json, t);
 	} else if (!strcmp(ev, "sent")) {
-		on_sent(g, j, t);
+		on_sent(g, json, t);
 	} else if (!strcmp(ev, "begin")) {
-		on_begin(g, j, t);
+		on_begin(g, json, t);
 	} else if (!strcmp(ev, "end")) {
-		shput(g->ends, jgets(j, "x"), jgeti(j, "n"));
+		shput(g->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
 	} else if (!strcmp(ev, "told")) {
-		on_told(g, j, t);
+		on_answer_record(g, json, t);
 	} else if (!strcmp(ev, "state")) {
-		on_state(g, j);
+		on_state(g, json);
 	} else if (!strcmp(ev, "order")) {
-		on_order(g, j, t);
+		on_order(g, json, t);
 	} else if (!strcmp(ev, "up")) {
-		ENTRY(g->server, sv)->up = t;
-		on_loaded(g, j, t);
+		ENTRY(g->servers, sv)->up_at_ms = t;
+		on_loaded(g, json, t);
 	} else if (!strcmp(ev, "loaded")) {
-		on_loaded(g, j, t);
+		on_loaded(g, json, t);
 	} else if (!strcmp(ev, "serves")) {
-		typeof(g->server->value) *s = ENTRY(g->server, sv);
+		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
 
-		snprintf(s->service, sizeof s->service, "%s", jgets(j, "service"));
+		snprintf(s->service, sizeof s->service, "%s", json_member_string(json, "service"));
 	} else if (!strcmp(ev, "named")) {
-		struct naming n = { t, "", "" };
+		struct target_weights n = { t, "", "" };
 
-		snprintf(n.service, sizeof n.service, "%s", jgets(j, "service"));
-		snprintf(n.weights, sizeof n.weights, "%s", jgets(j, "weights"));
-		arrput(g->naming, n);
+		snprintf(n.service, sizeof n.service, "%s", json_member_string(json, "service"));
+		snprintf(n.weights, sizeof n.weights, "%s", json_member_string(json, "weights"));
+		arrput(g->targets, n);
 	} else if (!strcmp(ev, "ack")) {
-		typeof(*g->acks) a = { jgeti(j, "edition"), t };
+		typeof(*g->acks) a = { json_member_int(json, "edition"), t };
 
 		arrput(g->acks, a);
-		if (a.edition > g->acked)
-			g->acked = a.edition;
-		on_change(g, jget(j, "change"), a.edition);
+		if (a.revision > g->acked_revision)
+			g->acked_revision = a.revision;
+		on_change(g, json_member(json, "change"), a.revision);
 	} else if (!strcmp(ev, "tried")) {
-		on_change(g, jget(j, "change"), 0);
+		on_change(g, json_member(json, "change"), 0);
 	} else if (!strcmp(ev, "key-removed")) {
-		shput(g->removed, jgets(j, "key"), ((typeof(g->removed->value)){ t, 0 }));
+		shput(g->removed_keys, json_member_string(json, "key"), ((typeof(g->removed_keys->value)){ t, 0 }));
 	} else if (!strcmp(ev, "key-added")) {
-		if (shgeti(g->removed, jgets(j, "key")) >= 0)
-			shgetp(g->removed, jgets(j, "key"))->value.to = t;
+		if (shgeti(g->removed_keys, json_member_string(json, "key")) >= 0)
+			shgetp(g->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
 	} else if (!strcmp(ev, "wall")) { /* walled from the acknowledgement on, open from the asking on */
-		if (jgeti(j, "walled"))
-			shput(g->walled, jgets(j, "tenant"), ((typeof(g->walled->value)){ t, 0 }));
-		else if (shgeti(g->walled, jgets(j, "tenant")) >= 0)
-			shgetp(g->walled, jgets(j, "tenant"))->value.to = t;
+		if (json_member_int(json, "walled"))
+			shput(g->isolated_tenants, json_member_string(json, "tenant"), ((typeof(g->isolated_tenants->value)){ t, 0 }));
+		else if (shgeti(g->isolated_tenants, json_member_string(json, "tenant")) >= 0)
+			shgetp(g->isolated_tenants, json_member_string(json, "tenant"))->value.ended_at_ms = t;
 	} else if (!strcmp(ev, "drain-asked")) {
-		ENTRY(g->server, sv)->drain_horizon = g->horizon;
+		ENTRY(g->servers, sv)->drain_horizon = g->horizon;
 	} else if (!strcmp(ev, "drained")) {
-		typeof(g->server->value) *s = ENTRY(g->server, sv);
+		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
 
-		s->drained = t;
-		s->undrained = 0;
+		s->drained_at_ms = t;
+		s->undrained_at_ms = 0;
 	} else if (!strcmp(ev, "undrained")) {
-		ENTRY(g->server, sv)->undrained = t;
+		ENTRY(g->servers, sv)->undrained_at_ms = t;
 	} else if (!strcmp(ev, "fault")) {
-		g->last_fault = t;
-		g->back = g->pause = 0;
+		g->last_fault_at_ms = t;
+		g->back = g->longest_pause_ms = 0;
 	} else if (!strcmp(ev, "table")) {
-		g->final_edition = jgeti(j, "edition");
-		judge_table(g, jget(j, "rows"));
+		g->final_revision = json_member_int(json, "edition");
+		check_table(g, json_member(json, "rows"));
 	} else if (!strcmp(ev, "tool-failed")) {
-		breach(g, '-', "%s", jgets(j, "what"));
+		breach(g, '-', "%s", json_member_string(json, "what"));
 	} else if (!strcmp(ev, "missed")) {
-		undecided(g, "the fault did not bite: %s", jgets(j, "what"));
+		undecided(g, "the fault did not bite: %s", json_member_string(json, "what"));
 	} else if (!strcmp(ev, "closed")) {
 		g->closed = 1;
 	} else if (!strcmp(ev, "finished")) {
@@ -613,89 +613,89 @@
 	return 1;
 }
 
-static void judge_end(struct judge *g)
+static void judge_end(struct judge *checker)
 {
-	for (ptrdiff_t i = 0; i < shlen(g->id); i++)
-		if (g->id[i].value.asked && !g->id[i].value.told)
-			undecided(g, "%s was asked, and it is not recorded what its caller was told", g->id[i].key);
-	for (ptrdiff_t i = 0; i < shlen(g->server); i++)
-		if (g->server[i].value.service[0] && !g->server[i].value.up)
-			undecided(g, "no records of server %s", g->server[i].key);
-	if (g->final_edition >= 0 && g->final_edition < g->acked)
-		breach(g, 'K', "the acknowledged edition %lld is lost: the table ends at %lld", (long long)g->acked,
-		       (long long)g->final_edition);
-	judge_resends(g);
-	if (!g->untimed && arrlen(g->row))
-		judge_namings(g, arrlast(g->row).t);
-	if (!g->untimed && g->last_fault && (!g->back || g->pause > 12000))
-		breach(g, 'L', "service was not back 12 s after the last fault");
-	if (!g->closed || !g->finished || !g->records || !g->probes || g->final_edition < 0 || !g->whole)
-		undecided(g, "%s%s%s%s%s%s", g->closed ? "" : "callers' records are not closed; ",
-			  g->finished ? "" : "the run did not finish; ", g->records ? "" : "no server's records; ",
-			  g->probes ? "" : "no probes; ", g->final_edition < 0 ? "no final table; " : "",
-			  g->whole ? "" : "not one whole answer");
+	for (ptrdiff_t i = 0; i < shlen(checker->requests); i++)
+		if (checker->requests[i].value.requested_at_ms && !checker->requests[i].value.answer_count)
+			undecided(checker, "%s was asked, and it is not recorded what its caller was told", checker->requests[i].key);
+	for (ptrdiff_t i = 0; i < shlen(checker->servers); i++)
+		if (checker->servers[i].value.service[0] && !checker->servers[i].value.up_at_ms)
+			undecided(checker, "no records of server %s", checker->servers[i].key);
+	if (checker->final_revision >= 0 && checker->final_revision < checker->acked_revision)
+		breach(checker, 'K', "the acknowledged edition %lld is lost: the table ends at %lld", (long long)checker->acked_revision,
+		       (long long)checker->final_revision);
+	check_retries(checker);
+	if (!checker->untimed && arrlen(checker->rows))
+		check_target_weights(checker, arrlast(checker->rows).at_ms);
+	if (!checker->untimed && checker->last_fault_at_ms && (!checker->back || checker->longest_pause_ms > 12000))
+		breach(checker, 'L', "service was not back 12 s after the last fault");
+	if (!checker->closed || !checker->finished || !checker->server_record_count || !checker->probe_count || checker->final_revision < 0 || !checker->complete)
+		undecided(checker, "%s%s%s%s%s%s", checker->closed ? "" : "callers' records are not closed; ",
+			  checker->finished ? "" : "the run did not finish; ", checker->server_record_count ? "" : "no server's records; ",
+			  checker->probe_count ? "" : "no probes; ", checker->final_revision < 0 ? "no final table; " : "",
+			  checker->complete ? "" : "not one whole answer");
 }
 
 int check_folder(const char *folder, int untimed, struct check_result *res)
 {
-	struct judge g;
+	struct judge checker;
 
 	memset(res, 0, sizeof *res);
-	memset(&g, 0, sizeof g);
-	g.r = res;
-	g.untimed = untimed;
-	g.final_edition = -1;
-	sh_new_strdup(g.id);
-	sh_new_strdup(g.asking);
-	sh_new_strdup(g.counter);
-	sh_new_strdup(g.server);
-	sh_new_strdup(g.removed);
-	sh_new_strdup(g.walled);
-	sh_new_strdup(g.table);
-	sh_new_strdup(g.ends);
-	sh_new_strdup(g.web_edition);
-	read_folder(&g, folder);
-	for (ptrdiff_t i = 0; i < arrlen(g.row); i++) /* a send is judged by the probe that comes after it */
-		if (!strcmp(g.row[i].ev, "state")) {
-			struct json_object *j = g.row[i].j;
-			typeof(g.counter->value) *c = ENTRY(g.counter, jgets(j, "id"));
-			typeof(*c->probe) p = { jgeti(j, "asked"), jgeti(j, "edition") };
-
-			snprintf(c->web, sizeof c->web, "%s", jgets(j, "web"));
-			arrput(c->probe, p);
+	memset(&checker, 0, sizeof checker);
+	checker.r = res;
+	checker.untimed = untimed;
+	checker.final_revision = -1;
+	sh_new_strdup(checker.requests);
+	sh_new_strdup(checker.submissions);
+	sh_new_strdup(checker.routers);
+	sh_new_strdup(checker.servers);
+	sh_new_strdup(checker.removed_keys);
+	sh_new_strdup(checker.isolated_tenants);
+	sh_new_strdup(checker.table);
+	sh_new_strdup(checker.piece_counts);
+	sh_new_strdup(checker.revision_by_address);
+	read_folder(&checker, folder);
+	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++) /* a send is judged by the probe that comes after it */
+		if (!strcmp(checker.rows[i].kind, "state")) {
+			struct json_object *json = checker.rows[i].json;
+			typeof(checker.routers->value) *c = ENTRY(checker.routers, json_member_string(json, "id"));
+			typeof(*c->probes) p = { json_member_int(json, "asked"), json_member_int(json, "edition") };
+
+			snprintf(c->address, sizeof c->address, "%s", json_member_string(json, "web"));
+			arrput(c->probes, p);
 		}
-	for (ptrdiff_t i = 0; i < arrlen(g.row); i++)
-		if (!take(&g, &g.row[i]))
-			undecided(&g, "a record of an unknown kind: %s", g.row[i].ev);
-	judge_end(&g);
+	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
+		if (!take(&checker, &checker.rows[i]))
+			undecided(&checker, "a record of an unknown kind: %s", checker.rows[i].kind);
+	judge_end(&checker);
 	say(res,
 	    "exchanges %lld, sends %lld, whole %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, read anew %lld (%.1f %%), parts fetched %lld",
-	    (long long)g.firsts, (long long)g.sends, (long long)g.whole, (long long)g.refused, (long long)g.unknown, g.probes,
-	    (long long)g.tokens, (long long)g.fresh, g.tokens ? 100.0 * (double)g.fresh / (double)g.tokens : 0.0,
-	    (long long)g.fetched);
-	if (g.last_fault)
-		say(res, ", longest pause after the last fault %lld ms", (long long)(g.back ? g.pause : -1));
-	say(res, "\n%s\n", res->undecided ? "undecided" : res->breaches ? "FAILED" : "good");
-	for (ptrdiff_t i = 0; i < arrlen(g.row); i++)
-		json_object_put(g.row[i].j);
-	for (ptrdiff_t i = 0; i < shlen(g.counter); i++)
-		arrfree(g.counter[i].value.probe);
-	for (ptrdiff_t i = 0; i < shlen(g.server); i++)
-		arrfree(g.server[i].value.loads);
-	for (ptrdiff_t i = 0; i < shlen(g.table); i++)
-		arrfree(g.table[i].value.maybe);
-	arrfree(g.row);
-	arrfree(g.acks);
-	arrfree(g.naming);
-	arrfree(g.tries);
-	shfree(g.id);
-	shfree(g.asking);
-	shfree(g.counter);
-	shfree(g.server);
-	shfree(g.removed);
-	shfree(g.walled);
-	shfree(g.table);
-	shfree(g.ends);
-	shfree(g.web_edition);
-	return !res->undecided && !res->breaches;
+	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete, (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
+	    (long long)checker.prompt_tokens, (long long)checker.prefilled_tokens, checker.prompt_tokens ? 100.0 * (double)checker.prefilled_tokens / (double)checker.prompt_tokens : 0.0,
+	    (long long)checker.fetched_blocks);
+	if (checker.last_fault_at_ms)
+		say(res, ", longest pause after the last fault %lld ms", (long long)(checker.back ? checker.longest_pause_ms : -1));
+	say(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
+	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
+		json_object_put(checker.rows[i].json);
+	for (ptrdiff_t i = 0; i < shlen(checker.routers); i++)
+		arrfree(checker.routers[i].value.probes);
+	for (ptrdiff_t i = 0; i < shlen(checker.servers); i++)
+		arrfree(checker.servers[i].value.loads);
+	for (ptrdiff_t i = 0; i < shlen(checker.table); i++)
+		arrfree(checker.table[i].value.possible);
+	arrfree(checker.rows);
+	arrfree(checker.acks);
+	arrfree(checker.targets);
+	arrfree(checker.send_log);
+	shfree(checker.requests);
+	shfree(checker.submissions);
+	shfree(checker.routers);
+	shfree(checker.servers);
+	shfree(checker.removed_keys);
+	shfree(checker.isolated_tenants);
+	shfree(checker.table);
+	shfree(checker.piece_counts);
+	shfree(checker.revision_by_address);
+	return !res->undecided && !res->violations;
 }
--- a/rehearsal/kit.c
+++ b/rehearsal/kit.c
@@ -12,39 +12,39 @@
 
 struct record *record_open(const char *path)
 {
-	struct record *r = calloc(1, sizeof *r);
+	struct record *record = calloc(1, sizeof *record);
 
-	r->fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-	if (r->fd < 0) {
+	record->fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+	if (record->fd < 0) {
 		fprintf(stderr, "rehearsal: record %s: %s\n", path, strerror(errno));
 		exit(1);
 	}
-	return r;
+	return record;
 }
 
-void record_put(struct record *r, struct json_object *j)
+void record_put(struct record *record, struct json_object *json)
 {
 	const char *s;
 	char *line;
 	size_t n;
 
-	if (!jget(j, "t"))
-		json_object_object_add(j, "t", json_object_new_int64(clock_ms()));
-	s = json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN);
+	if (!json_member(json, "t"))
+		json_object_object_add(json, "t", json_object_new_int64(clock_ms()));
+	s = json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN);
 	n = strlen(s);
 	line = malloc(n + 2);
 	memcpy(line, s, n);
 	line[n] = '\n';
-	if (write(r->fd, line, n + 1) != (ssize_t)(n + 1)) {
+	if (write(record->fd, line, n + 1) != (ssize_t)(n + 1)) {
 		fprintf(stderr, "rehearsal: a record could not be written: %s\n", strerror(errno));
 		exit(1); /* a run with holes in its records judges nothing */
 	}
 	free(line);
-	json_object_put(j);
+	json_object_put(json);
 }
 
-void record_close(struct record *r)
+void record_close(struct record *record)
 {
-	close(r->fd);
-	free(r);
+	close(record->fd);
+	free(record);
 }
--- a/rehearsal/linear.c
+++ b/rehearsal/linear.c
@@ -36,7 +36,7 @@
 
 struct search {
 	const struct linear_op *ops;
-	size_t n, words, open; /* open: answered operations that are not ordered yet */
+	size_t operation_count, bitmap_length, open; /* open: answered operations that are not ordered yet */
 	struct event *events;  /* 0: the list's head; then two for each operation */
 	struct event **answer; /* by operation; NULL if the outcome is unknown */
 	uint64_t *ordered;     /* bitmap */
@@ -49,42 +49,42 @@
 	size_t longest, stuck; /* the longest order found; the operation whose answer ended it */
 };
 
-void linear_print(const struct linear_op *op, char *to, size_t size)
+void linear_print(const struct linear_op *operation, char *to, size_t size)
 {
 	static const char *const outcome[] = { "acknowledged", "refused", "unknown" };
 	char base[24] = "any", version[24] = "?";
 
-	if (op->base != LINEAR_ANY)
-		snprintf(base, sizeof base, "%" PRIu64, op->base);
-	if (op->version != LINEAR_ANY)
-		snprintf(version, sizeof version, "%" PRIu64, op->version);
-	if (op->kind == LINEAR_READ)
-		snprintf(to, size, "read of version %s value %" PRIx64 " [%" PRId64 ", %" PRId64 "]", version, op->value,
-			 op->called, op->returned);
+	if (operation->base_version != LINEAR_ANY)
+		snprintf(base, sizeof base, "%" PRIu64, operation->base_version);
+	if (operation->version != LINEAR_ANY)
+		snprintf(version, sizeof version, "%" PRIu64, operation->version);
+	if (operation->kind == LINEAR_READ)
+		snprintf(to, size, "read of version %s value %" PRIx64 " [%" PRId64 ", %" PRId64 "]", version, operation->value,
+			 operation->called_at, operation->returned_at);
 	else
 		snprintf(to, size, "write of version %s on %s value %" PRIx64 " [%" PRId64 ", %" PRId64 "] %s", version, base,
-			 op->value, op->called, op->outcome == LINEAR_UNKNOWN ? INT64_MAX : op->returned, outcome[op->outcome]);
+			 operation->value, operation->called_at, operation->outcome == LINEAR_UNKNOWN ? INT64_MAX : operation->returned_at, outcome[operation->outcome]);
 }
 
 /* Whether a write takes effect on this state. An unknown version is above all that came before it. */
-static int write_applies(const struct linear_op *op, const struct register_state *state)
+static int write_applies(const struct linear_op *operation, const struct register_state *state)
 {
-	if (op->base != LINEAR_ANY && op->base != state->version)
+	if (operation->base_version != LINEAR_ANY && operation->base_version != state->version)
 		return 0;
-	return op->version == LINEAR_ANY || state->version == LINEAR_ANY || op->version > state->version;
+	return operation->version == LINEAR_ANY || state->version == LINEAR_ANY || operation->version > state->version;
 }
 
 /* Whether the register, in this state, would answer the operation as it was answered; its state after it. */
-static int answers_alike(const struct linear_op *op, struct register_state *state)
+static int answers_alike(const struct linear_op *operation, struct register_state *state)
 {
-	if (op->kind == LINEAR_READ)
-		return op->version == state->version && op->value == state->value;
-	if (op->outcome == LINEAR_REFUSED)
-		return !write_applies(op, state);
-	if (!write_applies(op, state))
+	if (operation->kind == LINEAR_READ)
+		return operation->version == state->version && operation->value == state->value;
+	if (operation->outcome == LINEAR_REFUSED)
+		return !write_applies(operation, state);
+	if (!write_applies(operation, state))
 		return 0;
-	state->version = op->version;
-	state->value = op->value;
+	state->version = operation->version;
+	state->value = operation->value;
 	return 1;
 }
 
@@ -102,35 +102,35 @@
 	return (a->op > b->op) - (a->op < b->op);
 }
 
-static void take_out(struct event *e)
+static void remove_entry(struct event *event)
 {
-	e->previous->next = e->next;
-	if (e->next)
-		e->next->previous = e->previous;
+	event->previous->next = event->next;
+	if (event->next)
+		event->next->previous = event->previous;
 }
 
-static void put_back(struct event *e)
+static void put_back(struct event *event)
 {
-	e->previous->next = e;
-	if (e->next)
-		e->next->previous = e;
+	event->previous->next = event;
+	if (event->next)
+		event->next->previous = event;
 }
 
-static void list_events(struct search *s)
+static void list_events(struct search *search)
 {
-	struct event **sorted = calloc(2 * s->n + 1, sizeof *sorted), *last = s->events;
+	struct event **sorted = calloc(2 * search->operation_count + 1, sizeof *sorted), *last = search->events;
 	size_t count = 0;
 
-	for (size_t i = 0; i < s->n; i++) {
-		struct event *request = &s->events[1 + 2 * i], *reply = request + 1;
+	for (size_t i = 0; i < search->operation_count; i++) {
+		struct event *request = &search->events[1 + 2 * i], *reply = request + 1;
 
-		*request = (struct event){ .op = i, .at = s->ops[i].called };
+		*request = (struct event){ .op = i, .at = search->ops[i].called_at };
 		sorted[count++] = request;
-		if (s->ops[i].outcome == LINEAR_UNKNOWN)
+		if (search->ops[i].outcome == LINEAR_UNKNOWN)
 			continue;
-		*reply = (struct event){ .op = i, .is_answer = 1, .at = s->ops[i].returned };
-		sorted[count++] = s->answer[i] = reply;
-		s->open++;
+		*reply = (struct event){ .op = i, .is_answer = 1, .at = search->ops[i].returned_at };
+		sorted[count++] = search->answer[i] = reply;
+		search->open++;
 	}
 	qsort(sorted, count, sizeof *sorted, earlier);
 	for (size_t i = 0; i < count; i++) {
@@ -144,134 +144,134 @@
 /* ---- the cache ---- */
 
 /* Note a configuration; 0 if it was visited before. */
-static int visit(struct search *s)
+static int visit(struct search *search)
 {
-	size_t bytes = s->words * sizeof *s->ordered;
-	uint64_t hash = core_hash(core_hash(0, &s->state, sizeof s->state), s->ordered, bytes);
-	ptrdiff_t at = hmgeti(s->visited, hash);
-	struct configuration *first = at >= 0 ? s->visited[at].value : NULL, *c;
+	size_t bytes = search->bitmap_length * sizeof *search->ordered;
+	uint64_t hash = core_hash(core_hash(0, &search->state, sizeof search->state), search->ordered, bytes);
+	ptrdiff_t at = hmgeti(search->visited, hash);
+	struct configuration *first = at >= 0 ? search->visited[at].value : NULL, *configuration;
 
-	for (c = first; c; c = c->same_hash)
-		if (!memcmp(&c->state, &s->state, sizeof c->state) && !memcmp(c->ordered, s->ordered, bytes))
+	for (configuration = first; configuration; configuration = configuration->same_hash)
+		if (!memcmp(&configuration->state, &search->state, sizeof configuration->state) && !memcmp(configuration->ordered, search->ordered, bytes))
 			return 0;
-	c = malloc(sizeof *c + bytes);
-	if (!c)
+	configuration = malloc(sizeof *configuration + bytes);
+	if (!configuration)
 		abort();
-	c->state = s->state;
-	c->same_hash = first;
-	memcpy(c->ordered, s->ordered, bytes);
-	hmput(s->visited, hash, c);
+	configuration->state = search->state;
+	configuration->same_hash = first;
+	memcpy(configuration->ordered, search->ordered, bytes);
+	hmput(search->visited, hash, configuration);
 	return 1;
 }
 
-static void free_visited(struct search *s)
+static void free_visited(struct search *search)
 {
-	for (ptrdiff_t i = 0; i < hmlen(s->visited); i++)
-		for (struct configuration *c = s->visited[i].value, *next; c; c = next) {
-			next = c->same_hash;
-			free(c);
+	for (ptrdiff_t i = 0; i < hmlen(search->visited); i++)
+		for (struct configuration *configuration = search->visited[i].value, *next; configuration; configuration = next) {
+			next = configuration->same_hash;
+			free(configuration);
 		}
-	hmfree(s->visited);
+	hmfree(search->visited);
 }
 
 /* ---- the search ---- */
 
-static void mark(struct search *s, size_t op) { s->ordered[op / 64] ^= (uint64_t)1 << op % 64; }
+static void mark(struct search *search, size_t op) { search->ordered[op / 64] ^= (uint64_t)1 << op % 64; }
 
 /* Put an operation next in the order, if it fits there and leads to something new. */
-static int extend(struct search *s, struct event *request)
+static int extend(struct search *search, struct event *request)
 {
-	struct step step = { request, s->state };
-	struct register_state after = s->state;
+	struct step step = { request, search->state };
+	struct register_state after = search->state;
 
-	if (!answers_alike(&s->ops[request->op], &after))
+	if (!answers_alike(&search->ops[request->op], &after))
 		return 0;
-	mark(s, request->op);
-	s->state = after;
-	if (!visit(s)) {
-		mark(s, request->op);
-		s->state = step.before;
+	mark(search, request->op);
+	search->state = after;
+	if (!visit(search)) {
+		mark(search, request->op);
+		search->state = step.before;
 		return 0;
 	}
-	arrput(s->steps, step);
-	take_out(request);
-	if (s->answer[request->op]) {
-		take_out(s->answer[request->op]);
-		s->open--;
+	arrput(search->steps, step);
+	remove_entry(request);
+	if (search->answer[request->op]) {
+		remove_entry(search->answer[request->op]);
+		search->open--;
 	}
 	return 1;
 }
 
 /* Take the order's last operation back; the event from which to go on. NULL: the order is empty. */
-static struct event *retract(struct search *s)
+static struct event *retract(struct search *search)
 {
 	struct step step;
 
-	if (!arrlen(s->steps))
+	if (!arrlen(search->steps))
 		return NULL;
-	step = arrpop(s->steps);
-	if (s->answer[step.request->op]) {
-		put_back(s->answer[step.request->op]);
-		s->open++;
+	step = arrpop(search->steps);
+	if (search->answer[step.request->op]) {
+		put_back(search->answer[step.request->op]);
+		search->open++;
 	}
 	put_back(step.request);
-	mark(s, step.request->op);
-	s->state = step.before;
+	mark(search, step.request->op);
+	search->state = step.before;
 	return step.request->next;
 }
 
-static void note_stuck(struct search *s, size_t op)
+static void note_stuck(struct search *search, size_t op)
 {
-	if ((size_t)arrlen(s->steps) < s->longest)
+	if ((size_t)arrlen(search->steps) < search->longest)
 		return;
-	s->longest = (size_t)arrlen(s->steps);
-	s->stuck = op;
+	search->longest = (size_t)arrlen(search->steps);
+	search->stuck = op;
 }
 
 static enum linear_result run(struct search *s)
 {
-	struct event *e = s->events->next;
+	struct event *event = s->events->next;
 
-	for (long left = LINEAR_STEPS; s->open; left--) {
-		if (!left)
+	for (long steps_remaining = LINEAR_STEPS; s->open; steps_remaining--) {
+		if (!steps_remaining)
 			return LINEAR_UNDECIDED;
-		if (!e->is_answer) {
-			e = extend(s, e) ? s->events->next : e->next;
+		if (!event->is_answer) {
+			event = extend(s, event) ? s->events->next : event->next;
 			continue;
 		}
 		/* this operation had to be ordered before its answer, and fits nowhere */
-		note_stuck(s, e->op);
-		e = retract(s);
-		if (!e)
+		note_stuck(s, event->op);
+		event = retract(s);
+		if (!event)
 			return LINEAR_BROKEN;
 	}
-	return LINEAR_HOLDS;
+	return LINEAR_SATISFIED;
 }
 
 enum linear_result linear_check(const struct linear_op *ops, size_t n, char *why, size_t why_size)
 {
-	struct search s = { .ops = ops, .n = n, .words = n / 64 + 1 };
+	struct search search = { .ops = ops, .operation_count = n, .bitmap_length = n / 64 + 1 };
 	enum linear_result result;
 	char text[200];
 
-	s.events = calloc(2 * n + 1, sizeof *s.events);
-	s.answer = calloc(n + 1, sizeof(struct event *));
-	s.ordered = calloc(s.words, sizeof *s.ordered);
-	if (!s.events || !s.answer || !s.ordered)
+	search.events = calloc(2 * n + 1, sizeof *search.events);
+	search.answer = calloc(n + 1, sizeof(struct event *));
+	search.ordered = calloc(search.bitmap_length, sizeof *search.ordered);
+	if (!search.events || !search.answer || !search.ordered)
 		abort();
-	list_events(&s);
-	result = run(&s);
+	list_events(&search);
+	result = run(&search);
 	if (result == LINEAR_BROKEN) {
-		linear_print(&ops[s.stuck], text, sizeof text);
-		snprintf(why, why_size, "not linearizable: after %zu of %zu operations nothing explains the %s", s.longest, n,
+		linear_print(&ops[search.stuck], text, sizeof text);
+		snprintf(why, why_size, "not linearizable: after %zu of %zu operations nothing explains the %s", search.longest, n,
 			 text);
 	} else if (result == LINEAR_UNDECIDED) {
 		snprintf(why, why_size, "undecided after %d steps over %zu operations", LINEAR_STEPS, n);
 	}
-	free_visited(&s);
-	arrfree(s.steps);
-	free(s.events);
-	free(s.answer);
-	free(s.ordered);
+	free_visited(&search);
+	arrfree(search.steps);
+	free(search.events);
+	free(search.answer);
+	free(search.ordered);
 	return result;
 }
--- a/rehearsal/linear.h
+++ b/rehearsal/linear.h
@@ -22,7 +22,7 @@
 	LINEAR_UNKNOWN  /* no clear answer: it may take effect at any time after its request, or never */
 };
 
-enum linear_result { LINEAR_HOLDS, LINEAR_BROKEN, LINEAR_UNDECIDED };
+enum linear_result { LINEAR_SATISFIED, LINEAR_BROKEN, LINEAR_UNDECIDED };
 
 /* As a write's base: it replaces whatever version is there. As a write's version: nobody has learnt which one it made. */
 #define LINEAR_ANY UINT64_MAX
@@ -30,8 +30,8 @@
 struct linear_op {
 	enum linear_kind kind;
 	enum linear_outcome outcome;
-	int64_t called, returned; /* the first request, the final answer; returned has no meaning if the outcome is unknown */
-	uint64_t base;            /* a write: the version it builds on */
+	int64_t called_at, returned_at; /* the first request, the final answer; returned has no meaning if the outcome is unknown */
+	uint64_t base_version;            /* a write: the version it builds on */
 	uint64_t version;         /* a write: the version it makes; a read: the version it returned */
 	uint64_t value;           /* of the content, unlike for unlike content */
 };
@@ -45,6 +45,6 @@
 enum linear_result linear_check(const struct linear_op *ops, size_t n, char *why, size_t why_size);
 
 /* One operation as text, for messages. Example: linear_print(&op, buf, sizeof buf); */
-void linear_print(const struct linear_op *op, char *to, size_t size);
+void linear_print(const struct linear_op *operation, char *to, size_t size);
 
 #endif
--- a/rehearsal/links.c
+++ b/rehearsal/links.c
@@ -17,111 +17,111 @@
 	int cut, delay;
 };
 struct link {
-	struct links *l;
+	struct links *links;
 	uint64_t at, real;
 	int fd;
 };
 struct links {
-	pthread_mutex_t m;
-	struct rule rule[64];
-	int n, stop, nlink;
-	struct link link[64];
+	pthread_mutex_t mutex;
+	struct rule rules[64];
+	int rule_count, stop, link_count;
+	struct link entries[64];
 };
 struct way {
-	struct link *k;
+	struct link *link;
 	int fd;
 };
 
-static struct sockaddr_in sockaddr_of(uint64_t a)
+static struct sockaddr_in sockaddr_of(uint64_t address)
 {
 	struct sockaddr_in sa;
 
 	memset(&sa, 0, sizeof sa);
 	sa.sin_family = AF_INET;
-	sa.sin_port = htons((uint16_t)(a & 65535));
-	sa.sin_addr.s_addr = htonl((uint32_t)(a >> 16));
+	sa.sin_port = htons((uint16_t)(address & 65535));
+	sa.sin_addr.s_addr = htonl((uint32_t)(address >> 16));
 	return sa;
 }
 
-static int read_all(int fd, uint8_t *d, size_t n)
+static int read_all(int fd, uint8_t *data, size_t n)
 {
 	while (n) {
-		ssize_t k = read(fd, d, n);
+		ssize_t k = read(fd, data, n);
 
 		if (k <= 0)
 			return 0;
-		d += k;
+		data += k;
 		n -= (size_t)k;
 	}
 	return 1;
 }
 
-static int rule_for(struct links *l, uint64_t from, uint64_t to, int *delay)
+static int rule_for(struct links *links, uint64_t from, uint64_t to, int *delay)
 {
 	int cut = 0;
 
 	*delay = 0;
-	pthread_mutex_lock(&l->m);
-	for (int i = 0; i < l->n; i++)
-		if ((!l->rule[i].from || l->rule[i].from == from) && (!l->rule[i].to || l->rule[i].to == to)) {
-			cut |= l->rule[i].cut;
-			*delay += l->rule[i].delay;
+	pthread_mutex_lock(&links->mutex);
+	for (int i = 0; i < links->rule_count; i++)
+		if ((!links->rules[i].from || links->rules[i].from == from) && (!links->rules[i].to || links->rules[i].to == to)) {
+			cut |= links->rules[i].cut;
+			*delay += links->rules[i].delay;
 		}
-	pthread_mutex_unlock(&l->m);
+	pthread_mutex_unlock(&links->mutex);
 	return cut;
 }
 
 /* A frame on its way: links delay each one by itself, however many are on their way at once. */
 struct held {
-	int64_t due;
-	size_t n;
+	int64_t due_at_ms;
+	size_t length;
 	struct held *next;
-	uint8_t d[];
+	uint8_t data[];
 };
 
 /* Read one frame; NULL when the connection ends. What a rule cuts is read and dropped: *h stays NULL. */
-static int frame_in(struct way *w, struct held **h)
+static int frame_in(struct way *way, struct held **held)
 {
 	uint8_t head[4];
-	struct Nl__Msg *m;
+	struct Nl__Msg *message;
 	size_t n;
 	int delay, cut;
 
-	*h = NULL;
-	if (!read_all(w->fd, head, 4))
+	*held = NULL;
+	if (!read_all(way->fd, head, 4))
 		return 0;
 	n = (size_t)head[0] << 24 | (size_t)head[1] << 16 | (size_t)head[2] << 8 | head[3];
 	if (n > 64u << 20)
 		return 0;
-	*h = calloc(1, sizeof **h + n + 4);
-	memcpy((*h)->d, head, 4);
-	m = read_all(w->fd, (*h)->d + 4, n) ? nl__msg__unpack(NULL, n, (*h)->d + 4) : NULL;
-	cut = !m || rule_for(w->k->l, m->addr, w->k->at, &delay);
-	if (m)
-		nl__msg__free_unpacked(m, NULL);
+	*held = calloc(1, sizeof **held + n + 4);
+	memcpy((*held)->data, head, 4);
+	message = read_all(way->fd, (*held)->data + 4, n) ? nl__msg__unpack(NULL, n, (*held)->data + 4) : NULL;
+	cut = !message || rule_for(way->link->links, message->addr, way->link->at, &delay);
+	if (message)
+		nl__msg__free_unpacked(message, NULL);
 	if (cut) {
-		free(*h);
-		*h = NULL;
-		return m != NULL;
+		free(*held);
+		*held = NULL;
+		return message != NULL;
 	}
-	(*h)->n = n + 4;
-	(*h)->due = clock_ms() + delay;
+	(*held)->length = n + 4;
+	(*held)->due_at_ms = clock_ms() + delay;
 	return 1;
 }
 
-static int frame_out(struct way *w, int *out, const struct held *h)
+static int frame_out(struct way *way, int *out, const struct held *held)
 {
-	struct sockaddr_in sa = sockaddr_of(w->k->real);
+	struct sockaddr_in address = sockaddr_of(way->link->real);
 	int one = 1;
 
 	if (*out < 0) {
 		*out = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 		setsockopt(*out, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-		if (connect(*out, (struct sockaddr *)&sa, sizeof sa))
+		if (connect(*out, (struct sockaddr *)&address, sizeof address))
 			return 0;
 	}
-	for (size_t at = 0; at < h->n;) {
-		ssize_t k = send(*out, h->d + at, h->n - at, MSG_NOSIGNAL);
+	for (size_t at = 0; at < held->length;) {
+		ssize_t k = send(*out, held->data + at, held->length - at, MSG_NOSIGNAL);
 
 		if (k <= 0)
 			return 0;
@@ -132,88 +132,88 @@
 
 static void *way_thread(void *arg)
 {
-	struct way *w = arg;
-	struct held *head = NULL, *tail = NULL, *h;
+	struct way *way = arg;
+	struct held *head = NULL, *tail = NULL, *held;
 	int out = -1, open = 1;
 
 	while (open) {
-		struct pollfd p = { w->fd, POLLIN, 0 };
-		int64_t wait = head ? head->due - clock_ms() : -1;
-
-		if (poll(&p, 1, head && wait < 0 ? 0 : (int)wait) > 0) {
-			open = frame_in(w, &h);
-			if (h && tail && h->due < tail->due)
-				h->due = tail->due; /* in order */
-			if (h) {
-				*(head ? &tail->next : &head) = h;
-				tail = h;
+		struct pollfd poll_fd = { way->fd, POLLIN, 0 };
+		int64_t wait = head ? head->due_at_ms - clock_ms() : -1;
+
+		if (poll(&poll_fd, 1, head && wait < 0 ? 0 : (int)wait) > 0) {
+			open = frame_in(way, &held);
+			if (held && tail && held->due_at_ms < tail->due_at_ms)
+				held->due_at_ms = tail->due_at_ms; /* in order */
+			if (held) {
+				*(head ? &tail->next : &head) = held;
+				tail = held;
 			}
 		}
-		while (open && head && head->due <= clock_ms()) {
-			h = head;
-			head = h->next;
+		while (open && head && head->due_at_ms <= clock_ms()) {
+			held = head;
+			head = held->next;
 			if (!head)
 				tail = NULL;
-			open = frame_out(w, &out, h);
-			free(h);
+			open = frame_out(way, &out, held);
+			free(held);
 		}
 	}
-	while ((h = head)) {
-		head = h->next;
-		free(h);
+	while ((held = head)) {
+		head = held->next;
+		free(held);
 	}
 	if (out >= 0)
 		close(out);
-	close(w->fd);
-	free(w);
+	close(way->fd);
+	free(way);
 	return NULL;
 }
 
 static void *link_thread(void *arg)
 {
-	struct link *k = arg;
+	struct link *link = arg;
 
 	for (;;) {
-		int fd = accept4(k->fd, NULL, NULL, SOCK_CLOEXEC), one = 1;
-		struct way *w;
+		int fd = accept4(link->fd, NULL, NULL, SOCK_CLOEXEC), one = 1;
+		struct way *way;
 		pthread_t t;
 
 		if (fd < 0) {
-			if (k->l->stop)
+			if (link->links->stop)
 				return NULL;
 			continue;
 		}
 		setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-		w = calloc(1, sizeof *w);
-		w->k = k;
-		w->fd = fd;
-		if (pthread_create(&t, NULL, way_thread, w) == 0)
+		way = calloc(1, sizeof *way);
+		way->link = link;
+		way->fd = fd;
+		if (pthread_create(&t, NULL, way_thread, way) == 0)
 			pthread_detach(t);
 	}
 }
 
 struct links *links_open(void)
 {
-	struct links *l = calloc(1, sizeof *l);
+	struct links *links = calloc(1, sizeof *links);
 
-	pthread_mutex_init(&l->m, NULL);
-	return l;
+	pthread_mutex_init(&links->mutex, NULL);
+	return links;
 }
 
-int links_add(struct links *l, const char *at, const char *real)
+int links_add(struct links *links, const char *at, const char *real)
 {
-	struct link *k = &l->link[l->nlink++];
-	struct sockaddr_in sa;
+	struct link *link = &links->entries[links->link_count++];
+	struct sockaddr_in address;
 	pthread_t t;
 	int one = 1;
 
-	k->l = l;
-	k->at = core_addr(at);
-	k->real = core_addr(real);
-	sa = sockaddr_of(k->at);
-	k->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-	setsockopt(k->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-	if (bind(k->fd, (struct sockaddr *)&sa, sizeof sa) || listen(k->fd, 64) || pthread_create(&t, NULL, link_thread, k)) {
+	link->links = links;
+	link->at = core_parse_addr(at);
+	link->real = core_parse_addr(real);
+	address = sockaddr_of(link->at);
+	link->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+	setsockopt(link->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+	if (bind(link->fd, (struct sockaddr *)&address, sizeof address) || listen(link->fd, 64) || pthread_create(&t, NULL, link_thread, link)) {
 		fprintf(stderr, "rehearsal: link %s: %s\n", at, strerror(errno));
 		return 0;
 	}
@@ -221,21 +221,21 @@
 	return 1;
 }
 
-void links_rule(struct links *l, const char *from, const char *to, int cut, int delay)
+void links_rule(struct links *links, const char *from, const char *to, int cut, int delay)
 {
-	struct rule r = { from[0] ? core_addr(from) : 0, to[0] ? core_addr(to) : 0, cut, delay };
+	struct rule rule = { from[0] ? core_parse_addr(from) : 0, to[0] ? core_parse_addr(to) : 0, cut, delay };
 
-	pthread_mutex_lock(&l->m);
-	if (l->n < 64)
-		l->rule[l->n++] = r;
-	pthread_mutex_unlock(&l->m);
+	pthread_mutex_lock(&links->mutex);
+	if (links->rule_count < 64)
+		links->rules[links->rule_count++] = rule;
+	pthread_mutex_unlock(&links->mutex);
 }
 
-void links_clear(struct links *l)
+void links_clear(struct links *links)
 {
-	pthread_mutex_lock(&l->m);
-	l->n = 0;
-	pthread_mutex_unlock(&l->m);
+	pthread_mutex_lock(&links->mutex);
+	links->rule_count = 0;
+	pthread_mutex_unlock(&links->mutex);
 }
 
-void links_close(struct links *l) { l->stop = 1; }
+void links_close(struct links *links) { links->stop = 1; }
--- a/rehearsal/main.c
+++ b/rehearsal/main.c
@@ -12,17 +12,17 @@
 #include "kit.h"
 #include "stand.h"
 
-static int usage(FILE *o)
+static int usage(FILE *out)
 {
 	fprintf(
-	    o, "Usage: rehearsal run NAME [--seed N] [--deployment warisan|rumah-teduh] [--small] [--untimed] [--folder F]\n"
+	    out, "Usage: rehearsal run NAME [--seed N] [--deployment warisan|rumah-teduh] [--small] [--untimed] [--folder F]\n"
 	       "       rehearsal up [--small] [--folder F]        a fleet to try things on\n"
 	       "       rehearsal check FOLDER                     judge the records of a run\n"
 	       "       rehearsal list                             the scenarios\n"
 	       "       rehearsal platform ...                     the same on a stand-in of the users' platform\n"
 	       "       rehearsal hollow --nodes N --servers M ... the cores of a large fleet in one process: what each role costs\n"
 	       "       rehearsal server ...                       one server stand-in\n");
-	return o == stdout ? 0 : 2;
+	return out == stdout ? 0 : 2;
 }
 
 static int run(int argc, char **argv, const char *fixed)
@@ -35,7 +35,7 @@
 	struct arg_lit *untimed = arg_lit0(NULL, "untimed", "do not judge bounds in seconds: the machine's speed is not known");
 	struct arg_end *end = arg_end(5);
 	void *with[] = { name, seed, dep, folder, small, untimed, end }, *without[] = { seed, dep, folder, small, untimed, end };
-	struct run_set s;
+	struct run_settings s;
 	char self[600], *stop = "";
 	ssize_t n;
 	int rc = 2;
@@ -63,7 +63,7 @@
 	}
 	n = readlink("/proc/self/exe", self, sizeof self - 1);
 	self[n > 0 ? n : 0] = 0;
-	s.bin = dirname(self);
+	s.program_folder = dirname(self);
 	s.folder = folder->count ? folder->sval[0] : NULL;
 	if (!folder->count) {
 		static char f[200];
@@ -92,11 +92,11 @@
 	if (!strcmp(argv[1], "server"))
 		rc = server_main(argc - 1, argv + 1);
 	else if (!strcmp(argv[1], "platform"))
-		rc = stand_main(argc - 1, argv + 1);
+		rc = platform_emulator_main(argc - 1, argv + 1);
 	else if (!strcmp(argv[1], "run"))
 		rc = run(argc - 1, argv + 1, NULL);
 	else if (!strcmp(argv[1], "hollow"))
-		rc = hollow_main(argc - 1, argv + 1);
+		rc = scale_model_main(argc - 1, argv + 1);
 	else if (!strcmp(argv[1], "up"))
 		rc = run(argc - 1, argv + 1, "up");
 	else if (!strcmp(argv[1], "check") && argc == 3) {
--- a/rehearsal/server.c
+++ b/rehearsal/server.c
@@ -15,8 +15,8 @@
 #include "kit.h"
 
 struct copy {
-	char h[20], w[64], m[64];
-	int64_t t;
+	char hash[20], weights[64], maker[64];
+	int64_t stamp;
 	int tokens;
 	uint64_t used;
 };
@@ -37,13 +37,13 @@
 static void lock(void) { apr_thread_mutex_lock(sv.m); }
 static void unlock(void) { apr_thread_mutex_unlock(sv.m); }
 
-static struct json_object *jnew(const char *ev)
+static struct json_object *record_new(const char *kind)
 {
-	struct json_object *j = json_object_new_object();
+	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(j, "ev", json_object_new_string(ev));
-	json_object_object_add(j, "server", json_object_new_string(sv.name));
-	return j;
+	json_object_object_add(json, "ev", json_object_new_string(kind));
+	json_object_object_add(json, "server", json_object_new_string(sv.name));
+	return json;
 }
 
 static void load_check(void)
@@ -55,25 +55,25 @@
 	arrsetlen(sv.kept, 0); /* what other weights made is of no use here */
 	sv.held = 0;
 	sv.serial++;
-	struct json_object *j = jnew("loaded");
-	json_object_object_add(j, "weights", json_object_new_string(sv.weights));
-	record_put(sv.rec, j);
+	struct json_object *json = record_new("loaded");
+	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
+	record_put(sv.rec, json);
 }
 
-static struct copy *find(const char *h, const char *m)
+static struct copy *find_row(const char *h, const char *maker)
 {
 	for (ptrdiff_t i = 0; i < arrlen(sv.kept); i++)
-		if (!strcmp(sv.kept[i].h, h) && !strcmp(sv.kept[i].m, m))
+		if (!strcmp(sv.kept[i].hash, h) && !strcmp(sv.kept[i].maker, maker))
 			return &sv.kept[i];
 	return NULL;
 }
 
-static void keep(const char *h, const char *w, const char *m, int64_t t, int tokens)
+static void keep(const char *h, const char *weights, const char *m, int64_t t, int tokens)
 {
-	struct copy *c = find(h, m), n;
+	struct copy *c = find_row(h, m), n;
 
 	if (c) {
-		if (!strcmp(c->w, w) && c->t >= t) {
+		if (!strcmp(c->weights, weights) && c->stamp >= t) {
 			c->used = ++sv.used;
 			return;
 		}
@@ -81,10 +81,10 @@
 		arrdel(sv.kept, c - sv.kept);
 	}
 	memset(&n, 0, sizeof n);
-	apr_cpystrn(n.h, h, sizeof n.h);
-	apr_cpystrn(n.w, w, sizeof n.w);
-	apr_cpystrn(n.m, m, sizeof n.m);
-	n.t = t;
+	apr_cpystrn(n.hash, h, sizeof n.hash);
+	apr_cpystrn(n.weights, weights, sizeof n.weights);
+	apr_cpystrn(n.maker, m, sizeof n.maker);
+	n.stamp = t;
 	n.tokens = tokens;
 	n.used = ++sv.used;
 	arrput(sv.kept, n);
@@ -104,28 +104,28 @@
 /* ---- a run ---- */
 
 struct run {
-	char xid[80], *id;
+	char send_id[80], *id;
 	struct json_object *body;
-	int pieces, next, done, again;
+	int pieces, next_piece, done, is_repeated;
 	int fetch_ms, fetched; /* -1: there was nothing to fetch */
 	char line[512];
-	size_t len, at;
+	size_t line_length, at;
 };
 
-static int reuse_from(struct json_object *list, const char *w, struct json_object *used, int have)
+static int reuse_from(struct json_object *list, const char *weights, struct json_object *used, int have)
 {
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-		struct json_object *e = json_object_array_get_idx(list, i), *u;
-		struct copy *c = find(jgets(e, "h"), jgets(e, "m"));
+		struct json_object *json = json_object_array_get_idx(list, i), *u;
+		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
 
-		if (!c || c->t != jgeti(e, "t") || strcmp(c->w, w))
+		if (!replica || replica->stamp != json_member_int(json, "t") || strcmp(replica->weights, weights))
 			break;
-		c->used = ++sv.used;
+		replica->used = ++sv.used;
 		u = json_object_new_object();
-		json_object_object_add(u, "h", json_object_new_string(c->h));
-		json_object_object_add(u, "m", json_object_new_string(c->m));
-		json_object_object_add(u, "w", json_object_new_string(c->w));
-		json_object_object_add(u, "ct", json_object_new_int64(c->t));
+		json_object_object_add(u, "h", json_object_new_string(replica->hash));
+		json_object_object_add(u, "m", json_object_new_string(replica->maker));
+		json_object_object_add(u, "w", json_object_new_string(replica->weights));
+		json_object_object_add(u, "ct", json_object_new_int64(replica->stamp));
 		json_object_array_add(used, u);
 		have++;
 	}
@@ -134,38 +134,38 @@
 
 /* Fetch kept parts from a peer server or the store; what fails, or would take longer than the send allows, is read
  * from the prompt instead. */
-static int fetch(struct json_object *f, const char *w, struct json_object *used, int have, int *ms)
+static int fetch(struct json_object *f, const char *weights, struct json_object *used, int have, int *ms)
 {
 	struct json_object *q, *got = NULL, *list;
 	char *body = NULL;
-	int64_t bytes = 0, from = clock_ms(), wait = jgeti(f, "wait_ms"), takes;
+	int64_t bytes = 0, from = clock_ms(), wait = json_member_int(f, "wait_ms"), transfer_ms;
 
 	if (!f)
 		return have;
 	q = json_object_new_object();
-	json_object_object_add(q, "weights", json_object_new_string(w));
-	json_object_object_add(q, "parts", json_object_get(jget(f, "parts")));
-	if (http_do("POST", jgets(f, "from"), "/v1/fetch", NULL, json_object_to_json_string(q), wait < 20 ? 20 : (int)wait,
+	json_object_object_add(q, "weights", json_object_new_string(weights));
+	json_object_object_add(q, "parts", json_object_get(json_member(f, "parts")));
+	if (http_call_blocking("POST", json_member_string(f, "from"), "/v1/fetch", NULL, json_object_to_json_string(q), wait < 20 ? 20 : (int)wait,
 		    &body) == 200)
 		got = json_tokener_parse(body);
-	list = jget(got, "parts");
+	list = json_member(got, "parts");
 	for (size_t i = 0; list && i < json_object_array_length(list); i++)
-		bytes += jgeti(json_object_array_get_idx(list, i), "n") * sv.kv;
-	takes = bytes / (sv.link ? sv.link : 1) * (sv.slow_link ? sv.slow_link : 1);
-	if (takes > wait) { /* not through in time: what came is thrown away */
-		takes = wait;
+		bytes += json_member_int(json_object_array_get_idx(list, i), "n") * sv.kv;
+	transfer_ms = bytes / (sv.link ? sv.link : 1) * (sv.slow_link ? sv.slow_link : 1);
+	if (transfer_ms > wait) { /* not through in time: what came is thrown away */
+		transfer_ms = wait;
 		list = NULL;
 	}
-	apr_sleep(takes * 1000);
+	apr_sleep(transfer_ms * 1000);
 	lock();
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-		struct json_object *e = json_object_array_get_idx(list, i), *u = json_object_new_object();
+		struct json_object *json = json_object_array_get_idx(list, i), *u = json_object_new_object();
 
-		keep(jgets(e, "h"), w, jgets(e, "m"), jgeti(e, "t"), (int)jgeti(e, "n"));
-		json_object_object_add(u, "h", json_object_new_string(jgets(e, "h")));
-		json_object_object_add(u, "m", json_object_new_string(jgets(e, "m")));
-		json_object_object_add(u, "w", json_object_new_string(jgets(e, "w")));
-		json_object_object_add(u, "ct", json_object_new_int64(jgeti(e, "t")));
+		keep(json_member_string(json, "h"), weights, json_member_string(json, "m"), json_member_int(json, "t"), (int)json_member_int(json, "n"));
+		json_object_object_add(u, "h", json_object_new_string(json_member_string(json, "h")));
+		json_object_object_add(u, "m", json_object_new_string(json_member_string(json, "m")));
+		json_object_object_add(u, "w", json_object_new_string(json_member_string(json, "w")));
+		json_object_object_add(u, "ct", json_object_new_int64(json_member_int(json, "t")));
 		json_object_object_add(u, "from", json_object_new_int(1)); /* fetched: kept elsewhere till now */
 		json_object_array_add(used, u);
 		have++;
@@ -180,15 +180,15 @@
 
 /* Faults of an answer, from its second piece on: 1 it is marked as another's, 2 a piece is left out, 3 it breaks off,
  * 4 a piece comes twice, 5 it says no more. */
-static int lie(struct run *r)
+static int lie(struct run *run)
 {
-	if (r->next != 1)
+	if (run->next_piece != 1)
 		return 0;
 	switch (sv.liar) {
-	case 1: r->xid[0] = r->xid[0] == '0' ? '1' : '0'; return 0;
-	case 2: r->next++; return 0;
+	case 1: run->send_id[0] = run->send_id[0] == '0' ? '1' : '0'; return 0;
+	case 2: run->next_piece++; return 0;
 	case 3: return 1;
-	case 4: r->next -= !r->again++; return 0;
+	case 4: run->next_piece -= !run->is_repeated++; return 0;
 	case 5: apr_sleep(30 * 1000 * 1000); return 1;
 	default: return 0;
 	}
@@ -196,125 +196,125 @@
 
 static ssize_t run_more(void *arg, uint64_t pos, char *to, size_t max)
 {
-	struct run *r = arg;
+	struct run *run = arg;
 	size_t n;
 
 	(void)pos;
-	if (r->at == r->len) {
-		if (r->done)
+	if (run->at == run->line_length) {
+		if (run->done)
 			return MHD_CONTENT_READER_END_OF_STREAM;
-		if (lie(r))
+		if (lie(run))
 			return MHD_CONTENT_READER_END_WITH_ERROR;
-		if (r->next < r->pieces) {
-			if (r->next)
+		if (run->next_piece < run->pieces) {
+			if (run->next_piece)
 				apr_sleep(sv.piece_ms * 1000);
-			r->len = (size_t)snprintf(r->line, sizeof r->line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d@%s\"}\n", r->xid,
-						  r->next, r->id, r->next, r->xid);
-			r->next++;
+			run->line_length = (size_t)snprintf(run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d@%s\"}\n", run->send_id,
+						  run->next_piece, run->id, run->next_piece, run->send_id);
+			run->next_piece++;
 		} else {
-			struct json_object *j = jnew("end");
-
-			json_object_object_add(j, "x", json_object_new_string(r->xid));
-			json_object_object_add(j, "id", json_object_new_string(r->id));
-			json_object_object_add(j, "n", json_object_new_int(r->pieces));
-			record_put(sv.rec, j);
-			r->len = (size_t)snprintf(r->line, sizeof r->line, "{\"x\":\"%s\",\"n\":%d,\"end\":true", r->xid, r->next);
-			if (r->fetch_ms >= 0)
-				r->len += (size_t)snprintf(r->line + r->len, sizeof r->line - r->len,
-							   ",\"fetch_ms\":%d,\"fetched\":%d", r->fetch_ms, r->fetched);
-			r->len += (size_t)snprintf(r->line + r->len, sizeof r->line - r->len, "}\n");
-			r->done = 1;
+			struct json_object *json = record_new("end");
+
+			json_object_object_add(json, "x", json_object_new_string(run->send_id));
+			json_object_object_add(json, "id", json_object_new_string(run->id));
+			json_object_object_add(json, "n", json_object_new_int(run->pieces));
+			record_put(sv.rec, json);
+			run->line_length = (size_t)snprintf(run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"end\":true", run->send_id, run->next_piece);
+			if (run->fetch_ms >= 0)
+				run->line_length += (size_t)snprintf(run->line + run->line_length, sizeof run->line - run->line_length,
+							   ",\"fetch_ms\":%d,\"fetched\":%d", run->fetch_ms, run->fetched);
+			run->line_length += (size_t)snprintf(run->line + run->line_length, sizeof run->line - run->line_length, "}\n");
+			run->done = 1;
 		}
-		r->at = 0;
+		run->at = 0;
 	}
-	n = r->len - r->at < max ? r->len - r->at : max;
-	memcpy(to, r->line + r->at, n);
-	r->at += n;
+	n = run->line_length - run->at < max ? run->line_length - run->at : max;
+	memcpy(to, run->line + run->at, n);
+	run->at += n;
 	return (ssize_t)n;
 }
 
 static void run_free(void *arg)
 {
-	struct run *r = arg;
+	struct run *run = arg;
 
 	lock();
 	sv.running--;
 	unlock();
-	json_object_put(r->body);
-	free(r);
+	json_object_put(run->body);
+	free(run);
 }
 
-static enum MHD_Result reply(struct MHD_Connection *c, unsigned status, const char *body)
+static enum MHD_Result reply(struct MHD_Connection *connection, unsigned status, const char *body)
 {
-	struct MHD_Response *r = MHD_create_response_from_buffer(strlen(body), (void *)(uintptr_t)body, MHD_RESPMEM_MUST_COPY);
-	enum MHD_Result rc = MHD_queue_response(c, status, r);
+	struct MHD_Response *mhd_response = MHD_create_response_from_buffer(strlen(body), (void *)(uintptr_t)body, MHD_RESPMEM_MUST_COPY);
+	enum MHD_Result rc = MHD_queue_response(connection, status, mhd_response);
 
-	MHD_destroy_response(r);
+	MHD_destroy_response(mhd_response);
 	return rc;
 }
 
-static enum MHD_Result on_run(struct MHD_Connection *c, const char *body)
+static enum MHD_Result on_run(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *rec, *used, *parts = jget(j, "parts");
+	struct json_object *j = json_tokener_parse(body), *rec, *used, *parts = json_member(j, "parts");
 	struct MHD_Response *resp;
-	struct run *r;
+	struct run *run;
 	enum MHD_Result rc;
 	int have, own, n = parts ? (int)json_object_array_length(parts) : 0, fresh = 0, tokens = 0;
 	const char *no = NULL;
 
 	lock();
 	load_check();
-	rec = jnew("sent");
-	json_object_object_add(rec, "x", json_object_new_string(jgets(j, "x")));
-	json_object_object_add(rec, "id", json_object_new_string(jgets(j, "id")));
+	rec = record_new("sent");
+	json_object_object_add(rec, "x", json_object_new_string(json_member_string(j, "x")));
+	json_object_object_add(rec, "id", json_object_new_string(json_member_string(j, "id")));
 	if (sv.running >= sv.slots || sv.refuse)
 		no = "{\"began\":false,\"error\":\"no place\"}";
-	else if (sv.loading[0] || strcmp(sv.weights, jgets(j, "weights")))
+	else if (sv.loading[0] || strcmp(sv.weights, json_member_string(j, "weights")))
 		no = "{\"began\":false,\"error\":\"other weights\"}";
 	json_object_object_add(rec, "refused", json_object_new_boolean(no != NULL));
 	record_put(sv.rec, rec);
 	if (no || !j) {
 		unlock();
 		json_object_put(j);
-		return reply(c, 503, no ? no : "{\"began\":false}");
+		return reply(connection, 503, no ? no : "{\"began\":false}");
 	}
 	sv.running++;
-	rec = jnew("begin");
+	rec = record_new("begin");
 	used = json_object_new_array();
-	have = reuse_from(jget(j, "reuse"), sv.weights, used, 0);
-	json_object_object_add(rec, "x", json_object_new_string(jgets(j, "x")));
-	json_object_object_add(rec, "id", json_object_new_string(jgets(j, "id")));
-	json_object_object_add(rec, "tenant", json_object_new_string(jgets(j, "tenant")));
+	have = reuse_from(json_member(j, "reuse"), sv.weights, used, 0);
+	json_object_object_add(rec, "x", json_object_new_string(json_member_string(j, "x")));
+	json_object_object_add(rec, "id", json_object_new_string(json_member_string(j, "id")));
+	json_object_object_add(rec, "tenant", json_object_new_string(json_member_string(j, "tenant")));
 	json_object_object_add(rec, "weights", json_object_new_string(sv.weights));
-	json_object_object_add(rec, "stamp", json_object_new_int64(jgeti(j, "stamp")));
+	json_object_object_add(rec, "stamp", json_object_new_int64(json_member_int(j, "stamp")));
 	json_object_object_add(rec, "t", json_object_new_int64(clock_ms()));
-	r = calloc(1, sizeof *r);
-	r->body = j;
-	r->fetch_ms = -1;
-	snprintf(r->xid, sizeof r->xid, "%s", jgets(j, "x"));
-	r->id = (char *)(uintptr_t)jgets(j, "id");
+	run = calloc(1, sizeof *run);
+	run->body = j;
+	run->fetch_ms = -1;
+	snprintf(run->send_id, sizeof run->send_id, "%s", json_member_string(j, "x"));
+	run->id = (char *)(uintptr_t)json_member_string(j, "id");
 	unlock();
 	own = have;
-	if (have == (jget(j, "reuse") ? (int)json_object_array_length(jget(j, "reuse")) : 0))
-		have = fetch(jget(j, "fetch"), jgets(j, "weights"), used, have, &r->fetch_ms);
-	r->fetched = have - own;
+	if (have == (json_member(j, "reuse") ? (int)json_object_array_length(json_member(j, "reuse")) : 0))
+		have = fetch(json_member(j, "fetch"), json_member_string(j, "weights"), used, have, &run->fetch_ms);
+	run->fetched = have - own;
 	for (int i = 0; i < n; i++) {
-		int t = (int)(strlen(jgets(json_object_array_get_idx(parts, (size_t)i), "text")) + 3) / 4;
+		int t = (int)(strlen(json_member_string(json_object_array_get_idx(parts, (size_t)i), "text")) + 3) / 4;
 
 		tokens += t;
 		fresh += i >= have ? t : 0;
 	}
-	fresh += (int)(strlen(jgets(j, "tail")) + 3) / 4;
+	fresh += (int)(strlen(json_member_string(j, "tail")) + 3) / 4;
 	apr_sleep((apr_interval_time_t)fresh * 1000 / (sv.prefill ? sv.prefill : 1));
 	lock();
 	for (int i = have; i < n; i++) {
-		struct json_object *e = json_object_array_get_idx(parts, (size_t)i);
+		struct json_object *json = json_object_array_get_idx(parts, (size_t)i);
 
-		keep(jgets(e, "h"), jgets(j, "weights"), jgets(j, "tenant"), jgeti(j, "stamp"),
-		     (int)(strlen(jgets(e, "text")) + 3) / 4);
+		keep(json_member_string(json, "h"), json_member_string(j, "weights"), json_member_string(j, "tenant"), json_member_int(j, "stamp"),
+		     (int)(strlen(json_member_string(json, "text")) + 3) / 4);
 	}
-	r->pieces = sv.pieces / 2 + (int)(core_hashs(7, r->id) % (uint64_t)(sv.pieces + 1));
-	json_object_object_add(rec, "n", json_object_new_int(r->pieces));
+	run->pieces = sv.pieces / 2 + (int)(core_hash_string(7, run->id) % (uint64_t)(sv.pieces + 1));
+	json_object_object_add(rec, "n", json_object_new_int(run->pieces));
 	json_object_object_add(rec, "tokens", json_object_new_int(tokens));
 	json_object_object_add(rec, "fresh", json_object_new_int(fresh));
 	json_object_object_add(rec, "fetched", json_object_new_int(have - own));
@@ -325,42 +325,42 @@
 		struct json_object *q = json_object_new_object(), *a = json_object_new_array();
 
 		for (int i = have; i < n; i++) {
-			struct json_object *e = json_object_array_get_idx(parts, (size_t)i), *k = json_object_new_object();
+			struct json_object *json = json_object_array_get_idx(parts, (size_t)i), *k = json_object_new_object();
 
-			json_object_object_add(k, "h", json_object_new_string(jgets(e, "h")));
-			json_object_object_add(k, "m", json_object_new_string(jgets(j, "tenant")));
-			json_object_object_add(k, "w", json_object_new_string(jgets(j, "weights")));
-			json_object_object_add(k, "t", json_object_new_int64(jgeti(j, "stamp")));
-			json_object_object_add(k, "n", json_object_new_int((int)(strlen(jgets(e, "text")) + 3) / 4));
+			json_object_object_add(k, "h", json_object_new_string(json_member_string(json, "h")));
+			json_object_object_add(k, "m", json_object_new_string(json_member_string(j, "tenant")));
+			json_object_object_add(k, "w", json_object_new_string(json_member_string(j, "weights")));
+			json_object_object_add(k, "t", json_object_new_int64(json_member_int(j, "stamp")));
+			json_object_object_add(k, "n", json_object_new_int((int)(strlen(json_member_string(json, "text")) + 3) / 4));
 			json_object_array_add(a, k);
 		}
 		json_object_object_add(q, "parts", a);
-		http_do("POST", sv.store, "/v1/keep", NULL, json_object_to_json_string(q), 300, NULL);
+		http_call_blocking("POST", sv.store, "/v1/keep", NULL, json_object_to_json_string(q), 300, NULL);
 		json_object_put(q);
 	}
-	resp = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 4096, run_more, r, run_free);
-	rc = MHD_queue_response(c, 200, resp);
+	resp = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 4096, run_more, run, run_free);
+	rc = MHD_queue_response(connection, 200, resp);
 	MHD_destroy_response(resp);
 	return rc;
 }
 
-static struct json_object *copy_json(const struct copy *k)
+static struct json_object *copy_json(const struct copy *replica)
 {
-	struct json_object *e = json_object_new_object();
-
-	json_object_object_add(e, "h", json_object_new_string(k->h));
-	json_object_object_add(e, "w", json_object_new_string(k->w));
-	json_object_object_add(e, "m", json_object_new_string(k->m));
-	json_object_object_add(e, "t", json_object_new_int64(k->t));
-	json_object_object_add(e, "n", json_object_new_int(k->tokens));
-	return e;
+	struct json_object *json = json_object_new_object();
+
+	json_object_object_add(json, "h", json_object_new_string(replica->hash));
+	json_object_object_add(json, "w", json_object_new_string(replica->weights));
+	json_object_object_add(json, "m", json_object_new_string(replica->maker));
+	json_object_object_add(json, "t", json_object_new_int64(replica->stamp));
+	json_object_object_add(json, "n", json_object_new_int(replica->tokens));
+	return json;
 }
 
-static enum MHD_Result on_report(struct MHD_Connection *c)
+static enum MHD_Result on_report(struct MHD_Connection *connection)
 {
-	const char *since = MHD_lookup_connection_value(c, MHD_GET_ARGUMENT_KIND, "since");
-	const char *boot = MHD_lookup_connection_value(c, MHD_GET_ARGUMENT_KIND, "boot");
-	struct json_object *j, *a;
+	const char *since = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "since");
+	const char *boot = MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, "boot");
+	struct json_object *json, *a;
 	enum MHD_Result rc;
 	int late;
 
@@ -371,66 +371,66 @@
 		unlock();
 		return MHD_NO;
 	}
-	j = json_object_new_object();
-	json_object_object_add(j, "weights", json_object_new_string(sv.weights));
-	json_object_object_add(j, "loading", json_object_new_string(sv.loading));
-	json_object_object_add(j, "slots", json_object_new_int(sv.slots));
-	json_object_object_add(j, "running", json_object_new_int(sv.running));
-	json_object_object_add(j, "serial", json_object_new_int64((int64_t)sv.serial));
-	json_object_object_add(j, "boot", json_object_new_int64((int64_t)sv.boot));
+	json = json_object_new_object();
+	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
+	json_object_object_add(json, "loading", json_object_new_string(sv.loading));
+	json_object_object_add(json, "slots", json_object_new_int(sv.slots));
+	json_object_object_add(json, "running", json_object_new_int(sv.running));
+	json_object_object_add(json, "serial", json_object_new_int64((int64_t)sv.serial));
+	json_object_object_add(json, "boot", json_object_new_int64((int64_t)sv.boot));
 	if (!since || !boot || strtoull(since, NULL, 10) != sv.serial || strtoull(boot, NULL, 10) != sv.boot) {
 		a = json_object_new_array();
 		for (ptrdiff_t i = 0; i < arrlen(sv.kept); i++)
 			json_object_array_add(a, copy_json(&sv.kept[i]));
-		json_object_object_add(j, "parts", a);
+		json_object_object_add(json, "parts", a);
 	}
 	unlock();
 	if (late)
 		apr_sleep(late * 1000);
-	rc = reply(c, 200, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
-	json_object_put(j);
+	rc = reply(connection, 200, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
 	return rc;
 }
 
-static enum MHD_Result on_order(struct MHD_Connection *c, const char *body)
+static enum MHD_Result on_order(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *d = jget(j, "drop"), *rec = jnew("order");
-	uint64_t fence = (uint64_t)jgeti(j, "fence");
+	struct json_object *j = json_tokener_parse(body), *json = json_member(j, "drop"), *rec = record_new("order");
+	uint64_t fence = (uint64_t)json_member_int(j, "fence");
 	int old;
 
 	lock();
 	load_check();
 	old = fence < sv.fence;
-	json_object_object_add(rec, "giver", json_object_new_string(jgets(j, "giver")));
+	json_object_object_add(rec, "giver", json_object_new_string(json_member_string(j, "giver")));
 	json_object_object_add(rec, "fence", json_object_new_int64((int64_t)fence));
-	json_object_object_add(rec, "load", json_object_new_string(jgets(j, "load")));
+	json_object_object_add(rec, "load", json_object_new_string(json_member_string(j, "load")));
 	json_object_object_add(rec, "fenced", json_object_new_boolean(old));
 	record_put(sv.rec, rec);
 	if (!old) {
 		sv.fence = fence;
-		if (jgets(j, "load")[0] && strcmp(jgets(j, "load"), sv.weights)) {
-			apr_cpystrn(sv.loading, jgets(j, "load"), sizeof sv.loading);
+		if (json_member_string(j, "load")[0] && strcmp(json_member_string(j, "load"), sv.weights)) {
+			apr_cpystrn(sv.loading, json_member_string(j, "load"), sizeof sv.loading);
 			sv.load_done = clock_ms() + sv.load_ms;
 		}
-		for (size_t i = 0; d && i < json_object_array_length(d); i++) {
-			struct json_object *e = json_object_array_get_idx(d, i);
-			struct copy *k = find(jgets(e, "h"), jgets(e, "m"));
+		for (size_t i = 0; json && i < json_object_array_length(json); i++) {
+			struct json_object *e = json_object_array_get_idx(json, i);
+			struct copy *replica = find_row(json_member_string(e, "h"), json_member_string(e, "m"));
 
-			if (k && k->t == jgeti(e, "t")) {
-				sv.held -= k->tokens;
-				arrdel(sv.kept, k - sv.kept);
+			if (replica && replica->stamp == json_member_int(e, "t")) {
+				sv.held -= replica->tokens;
+				arrdel(sv.kept, replica - sv.kept);
 				sv.serial++;
 			}
 		}
 	}
 	unlock();
 	json_object_put(j);
-	return reply(c, old ? 409 : 200, "{}");
+	return reply(connection, old ? 409 : 200, "{}");
 }
 
-static enum MHD_Result on_fetch(struct MHD_Connection *c, const char *body)
+static enum MHD_Result on_fetch(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *list = jget(j, "parts"), *out = json_object_new_object();
+	struct json_object *j = json_tokener_parse(body), *list = json_member(j, "parts"), *out = json_object_new_object();
 	struct json_object *a = json_object_new_array();
 	enum MHD_Result rc;
 
@@ -438,50 +438,50 @@
 		apr_sleep(sv.hang_fetch * 1000);
 	lock();
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-		struct json_object *e = json_object_array_get_idx(list, i);
-		struct copy *k = find(jgets(e, "h"), jgets(e, "m"));
+		struct json_object *json = json_object_array_get_idx(list, i);
+		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
 
-		if (!k || k->t != jgeti(e, "t") || strcmp(k->w, jgets(j, "weights")))
+		if (!replica || replica->stamp != json_member_int(json, "t") || strcmp(replica->weights, json_member_string(j, "weights")))
 			break;
-		json_object_array_add(a, copy_json(k));
+		json_object_array_add(a, copy_json(replica));
 	}
 	unlock();
 	json_object_object_add(out, "parts", a);
-	rc = reply(c, 200, json_object_to_json_string(out));
+	rc = reply(connection, 200, json_object_to_json_string(out));
 	json_object_put(out);
 	json_object_put(j);
 	return rc;
 }
 
-static enum MHD_Result on_keep(struct MHD_Connection *c, const char *body)
+static enum MHD_Result on_keep(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *list = jget(j, "parts");
+	struct json_object *j = json_tokener_parse(body), *list = json_member(j, "parts");
 
 	lock();
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-		struct json_object *e = json_object_array_get_idx(list, i);
+		struct json_object *json = json_object_array_get_idx(list, i);
 
-		keep(jgets(e, "h"), jgets(e, "w"), jgets(e, "m"), jgeti(e, "t"), (int)jgeti(e, "n"));
+		keep(json_member_string(json, "h"), json_member_string(json, "w"), json_member_string(json, "m"), json_member_int(json, "t"), (int)json_member_int(json, "n"));
 	}
 	unlock();
 	json_object_put(j);
-	return reply(c, 200, "{}");
+	return reply(connection, 200, "{}");
 }
 
-static enum MHD_Result on_fault(struct MHD_Connection *c, const char *body)
+static enum MHD_Result on_fault(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body);
+	struct json_object *json = json_tokener_parse(body);
 
 	lock();
-	sv.drop_reports = (int)jgeti(j, "drop_reports");
-	sv.late_reports = (int)jgeti(j, "late_reports");
-	sv.refuse = (int)jgeti(j, "refuse");
-	sv.slow_link = (int)jgeti(j, "slow_link");
-	sv.hang_fetch = (int)jgeti(j, "hang_fetch");
-	sv.liar = (int)jgeti(j, "liar");
+	sv.drop_reports = (int)json_member_int(json, "drop_reports");
+	sv.late_reports = (int)json_member_int(json, "late_reports");
+	sv.refuse = (int)json_member_int(json, "refuse");
+	sv.slow_link = (int)json_member_int(json, "slow_link");
+	sv.hang_fetch = (int)json_member_int(json, "hang_fetch");
+	sv.liar = (int)json_member_int(json, "liar");
 	unlock();
-	json_object_put(j);
-	return reply(c, 200, "{}");
+	json_object_put(json);
+	return reply(connection, 200, "{}");
 }
 
 static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method, const char *version,
@@ -511,12 +511,12 @@
 					    : reply(c, 404, "{}");
 }
 
-static void on_end(void *arg, struct MHD_Connection *c, void **state, enum MHD_RequestTerminationCode why)
+static void on_end(void *arg, struct MHD_Connection *connection, void **state, enum MHD_RequestTerminationCode why)
 {
 	char **body = *state;
 
 	(void)arg;
-	(void)c;
+	(void)connection;
 	(void)why;
 	if (body)
 		arrfree(*body);
@@ -537,14 +537,14 @@
 	struct arg_int *load = arg_int0(NULL, "load-ms", "N", "ms to load weights"),
 		       *cap = arg_int0(NULL, "cap", "N", "tokens it can keep");
 	struct arg_int *link = arg_int0(NULL, "link", "N", "bytes per ms of a fetch"),
-		       *kv = arg_int0(NULL, "kv", "N", "bytes kept per token");
+		       *arg_int = arg_int0(NULL, "kv", "N", "bytes kept per token");
 	struct arg_end *end = arg_end(5);
-	void *t[] = { addr, name, weights, store, rec, slots, prefill, piece, pieces, load, cap, link, kv, end };
-	struct json_object *up;
+	void *t[] = { addr, name, weights, store, rec, slots, prefill, piece, pieces, load, cap, link, arg_int, end };
+	struct json_object *json;
 	struct sockaddr_in sa;
-	struct MHD_Daemon *d;
-	apr_pool_t *p;
-	uint64_t a;
+	struct MHD_Daemon *mhd_daemon;
+	apr_pool_t *pool;
+	uint64_t address;
 	sigset_t set;
 	int sig;
 
@@ -552,8 +552,8 @@
 		arg_print_errors(stderr, end, "rehearsal server");
 		return 2;
 	}
-	apr_pool_create(&p, NULL);
-	apr_thread_mutex_create(&sv.m, APR_THREAD_MUTEX_DEFAULT, p);
+	apr_pool_create(&pool, NULL);
+	apr_thread_mutex_create(&sv.m, APR_THREAD_MUTEX_DEFAULT, pool);
 	apr_cpystrn(sv.name, name->sval[0], sizeof sv.name);
 	apr_cpystrn(sv.weights, weights->sval[0], sizeof sv.weights);
 	if (store->count)
@@ -565,27 +565,27 @@
 	sv.load_ms = load->count ? load->ival[0] : 1500;
 	sv.cap = cap->count ? cap->ival[0] : 100000;
 	sv.link = link->count ? link->ival[0] : 100000;
-	sv.kv = kv->count ? kv->ival[0] : 1000;
-	sv.boot = proc_random() >> 16;
+	sv.kv = arg_int->count ? arg_int->ival[0] : 1000;
+	sv.boot = process_random_id() >> 16;
 	sv.rec = record_open(rec->filename[0]);
-	a = core_addr(addr->sval[0]);
+	address = core_parse_addr(addr->sval[0]);
 	memset(&sa, 0, sizeof sa);
 	sa.sin_family = AF_INET;
-	sa.sin_port = htons((uint16_t)(a & 65535));
-	sa.sin_addr.s_addr = htonl((uint32_t)(a >> 16));
+	sa.sin_port = htons((uint16_t)(address & 65535));
+	sa.sin_addr.s_addr = htonl((uint32_t)(address >> 16));
 	signal(SIGPIPE, SIG_IGN);
 	sigemptyset(&set);
 	sigaddset(&set, SIGTERM);
 	sigaddset(&set, SIGINT);
 	sigprocmask(SIG_BLOCK, &set, NULL);
-	up = jnew("up");
-	json_object_object_add(up, "weights", json_object_new_string(sv.weights));
-	record_put(sv.rec, up);
-	d = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_request, NULL,
+	json = record_new("up");
+	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
+	record_put(sv.rec, json);
+	mhd_daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_request, NULL,
 			     MHD_OPTION_SOCK_ADDR, &sa, MHD_OPTION_NOTIFY_COMPLETED, on_end, NULL, MHD_OPTION_THREAD_STACK_SIZE,
 			     (size_t)256 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_CONNECTION_TIMEOUT, 30u,
 			     MHD_OPTION_END);
-	if (!d) {
+	if (!mhd_daemon) {
 		fprintf(stderr, "rehearsal server: cannot listen at %s\n", addr->sval[0]);
 		return 1;
 	}
--- a/rehearsal/stand.c
+++ b/rehearsal/stand.c
@@ -17,24 +17,24 @@
 #define TIMELESS "TWICE", "MIXED", "ORDER", "UNASKED", "ROUTE", "STALE", "WALL", "ONE", "FAULT"
 
 /* From the system's page: two deployments. The same weights of requests, at their rates. */
-const struct sheet sheets[2] = {
+const struct sheet deployments[2] = {
 	{ .name = "warisan", .host = "ficu95.example", .service = "lm-registry", .store = "clerk-desk", .model = "daka510000",
 	  .zone = { "shah-alam-a", "petaling-b", "cyberjaya-c", "putrajaya-d" }, .region = "my-central", .tenants = 8,
-	  .c = {
+	  .classes = {
 		{ "lineage-recon", "/lohu930/", 13300, 3720, 24, 600, 400, 8000, 1, 1, 2, 1, 161, 42.9, 2, 0.6 },
 		{ "cert-transcribe", "/pufi791/", 6300, 2890, 10, 500, 400, 5000, 1, 0, 1, 0, 126, 33.5, 3, 0.9 },
 		{ "name-check", "/wuno96/", 350, 1110, 34, 400, 400, 10000, 1, 1, 2, 2, 264, 46.7, 1, 0.3 },
 	  } },
 	{ .name = "teduh", .host = "kaje80.example", .service = "lm-pool", .store = "tenant-desk", .model = "huvo110000",
 	  .zone = { "petaling", "gombak", "klang", "ampang" }, .region = "klang-valley", .tenants = 8,
-	  .c = {
+	  .classes = {
 		{ "arrears-query", "/daka51/", 13300, 3720, 24, 400, 250, 8000, 1, 1, 2, 1, 161, 54.7, 2, 1 },
 		{ "repair-check", "/ieis12/", 6300, 2890, 10, 300, 250, 4000, 1, 0, 1, 0, 126, 40.9, 3, 1.5 },
 		{ "msg-sort", "/a9rg35/", 350, 1110, 34, 300, 250, 10000, 1, 1, 2, 2, 264, 58.9, 1, 0.5 },
 	  } },
 };
 
-void run_say(struct run *r, const char *fmt, ...)
+void run_log(struct run *r, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -49,43 +49,43 @@
 {
 	int64_t until = run_ms(r) + ms;
 
-	while (run_ms(r) < until && !r->missed) {
-		int64_t left = until - run_ms(r);
+	while (run_ms(r) < until && !r->undecided_reason) {
+		int64_t remaining_ms = until - run_ms(r);
 
-		loop_until(r->l, ms_us((double)(left < 20 ? left : 20)), NULL, NULL);
-		machines_look(r);
-		if (r->traffic_at >= 0)
-			hist_add(&r->fig.own_lag, loop_late(r->l) / 1000);
+		loop_until(r->loop, ms_us((double)(remaining_ms < 20 ? remaining_ms : 20)), NULL, NULL);
+		machines_poll(r);
+		if (r->traffic_started_at_ms >= 0)
+			histogram_add(&r->figures.own_lag_ms, loop_max_lateness(r->loop) / 1000);
 	}
 }
 
-static int wait_for(struct run *r, int64_t ms, int (*fn)(struct run *r))
+static int wait_for(struct run *r, int64_t ms, int (*condition)(struct run *r))
 {
 	int64_t until = run_ms(r) + ms;
 
-	while (!fn(r) && run_ms(r) < until)
+	while (!condition(r) && run_ms(r) < until)
 		run_for(r, 20);
-	return fn(r);
+	return condition(r);
 }
 
-static int calm_operator(struct run *r) { return operator_idle(r->op); }
-static int read_back(struct run *r) { return operator_read_done(r->op); }
-static int quiet_clients(struct run *r) { return !clients_busy(r->clients); }
+static int has_idle_operator(struct run *r) { return operator_idle(r->operator); }
+static int read_back(struct run *r) { return operator_read_done(r->operator); }
+static int clients_are_idle(struct run *r) { return !clients_busy(r->clients); }
 
 static int ready(struct run *r)
 {
-	int ok = operator_acked(r->op) > 0;
+	int ok = operator_acked(r->operator) > 0;
 
-	for (int i = 0; i < r->nm; i++)
-		ok &= r->m[i].core || (r->m[i].in && !r->m[i].misses);
+	for (int i = 0; i < r->machine_count; i++)
+		ok &= r->machines[i].is_core || (r->machines[i].in_rotation && !r->machines[i].probe_failures);
 	return ok;
 }
 
-static struct machine *nth(struct run *r, int core, int n)
+static struct machine *nth_machine(struct run *r, int core, int n)
 {
-	for (int i = 0; i < r->nm; i++)
-		if (r->m[i].core == core && !r->m[i].gone && n-- == 0)
-			return &r->m[i];
+	for (int i = 0; i < r->machine_count; i++)
+		if (r->machines[i].is_core == core && !r->machines[i].removed && n-- == 0)
+			return &r->machines[i];
 	return NULL;
 }
 
@@ -93,8 +93,8 @@
 {
 	int n = 0;
 
-	for (int i = 0; i < r->nm; i++)
-		n += r->m[i].core == core && !r->m[i].gone;
+	for (int i = 0; i < r->machine_count; i++)
+		n += r->machines[i].is_core == core && !r->machines[i].removed;
 	return n;
 }
 
@@ -104,19 +104,19 @@
 
 static void sc_kill_edge(struct run *r)
 {
-	struct machine *m = nth(r, 0, 0);
+	struct machine *machine = nth_machine(r, 0, 0);
 
 	run_for(r, 2000);
-	run_say(r, "fault: %s is killed", m->name);
-	machine_kill(m);
+	run_log(r, "fault: %s is killed", machine->name);
+	machine_kill(machine);
 	run_for(r, 800);
-	machine_start(m);
+	machine_start(machine);
 	run_for(r, 4000);
 	if (!r->small)
 		for (int i = 1; i < 4; i++) {
-			machine_kill(nth(r, 0, i));
+			machine_kill(nth_machine(r, 0, i));
 			run_for(r, 1500);
-			machine_start(nth(r, 0, i));
+			machine_start(nth_machine(r, 0, i));
 			run_for(r, 1500);
 		}
 }
@@ -125,13 +125,13 @@
 {
 	run_for(r, 1500);
 	for (int i = 0; i < (r->small ? 2 : count(r, 1)); i++) {
-		struct machine *m = nth(r, 1, i);
+		struct machine *machine = nth_machine(r, 1, i);
 
-		run_say(r, "fault: %s is killed", m->name);
-		machine_kill(m);
-		operator_change(r->op, CHANGE_SPLIT, 1);
+		run_log(r, "fault: %s is killed", machine->name);
+		machine_kill(machine);
+		operator_change(r->operator, CHANGE_SPLIT, 1);
 		run_for(r, 1500);
-		machine_start(m);
+		machine_start(machine);
 		run_for(r, 4000);
 	}
 }
@@ -140,44 +140,44 @@
 {
 	int64_t fault = run_ms(r);
 
-	run_say(r, "fault: every process is killed");
-	for (int i = 0; i < r->nm; i++)
-		machine_kill(&r->m[i]);
+	run_log(r, "fault: every process is killed");
+	for (int i = 0; i < r->machine_count; i++)
+		machine_kill(&r->machines[i]);
 	run_for(r, 700);
-	for (int i = 0; i < r->nm; i++)
-		machine_start(&r->m[i]);
+	for (int i = 0; i < r->machine_count; i++)
+		machine_start(&r->machines[i]);
 	if (closing)
-		judge_closing(r->j, fault, run_ms(r));
+		checker_set_final_fault(r->checker, fault, run_ms(r));
 }
 
 static void sc_kill_all(struct run *r)
 {
 	run_for(r, 2500);
-	operator_change(r->op, CHANGE_TIMEOUT, 0);
-	wait_for(r, 4000, calm_operator);
+	operator_change(r->operator, CHANGE_TIMEOUT, 0);
+	wait_for(r, 4000, has_idle_operator);
 	kill_everything(r, 1);
-	run_for(r, r->b.recovery + 3000);
+	run_for(r, r->bounds.recovery_ms + 3000);
 }
 
 static void sc_freeze(struct run *r)
 {
-	struct machine *m[2] = { nth(r, 0, 1), nth(r, 1, 0) };
+	struct machine *machine[2] = { nth_machine(r, 0, 1), nth_machine(r, 1, 0) };
 
 	run_for(r, 1500);
 	for (int i = 0; i < 2; i++) {
-		run_say(r, "fault: %s freezes", m[i]->name);
-		machine_freeze(m[i], 1);
+		run_log(r, "fault: %s freezes", machine[i]->name);
+		machine_freeze(machine[i], 1);
 		run_for(r, 2500);
-		machine_freeze(m[i], 0);
-		run_say(r, "%s wakes", m[i]->name);
+		machine_freeze(machine[i], 0);
+		run_log(r, "%s wakes", machine[i]->name);
 		run_for(r, 3000);
 	}
 }
 
 static int all_down(struct run *r)
 {
-	for (int i = 0; i < r->nm; i++)
-		if (r->m[i].leaving)
+	for (int i = 0; i < r->machine_count; i++)
+		if (r->machines[i].draining)
 			return 0;
 	return 1;
 }
@@ -185,14 +185,14 @@
 static void sc_term_roll(struct run *r)
 {
 	run_for(r, 3200); /* calm before it */
-	for (int i = 0; i < (r->small ? 4 : r->nm); i++) {
-		struct machine *m = r->small ? nth(r, i % 2, i / 2) : &r->m[i];
+	for (int i = 0; i < (r->small ? 4 : r->machine_count); i++) {
+		struct machine *machine = r->small ? nth_machine(r, i % 2, i / 2) : &r->machines[i];
 
-		run_say(r, "planned: %s is stopped", m->name);
-		machine_term(m);
-		wait_for(r, r->b.grace + 1000, all_down);
+		run_log(r, "planned: %s is stopped", machine->name);
+		machine_term(machine);
+		wait_for(r, r->bounds.grace_ms + 1000, all_down);
 		run_for(r, 300);
-		machine_start(m);
+		machine_start(machine);
 		run_for(r, 4000);
 	}
 }
@@ -205,7 +205,7 @@
 
 		run_for(r, 700);
 		if (what != CHANGE_KEY_OFF && what != CHANGE_IDLE)
-			operator_change(r->op, what, i >= CHANGE_BIG);
+			operator_change(r->operator, what, i >= CHANGE_BIG);
 	}
 	run_for(r, 3000);
 }
@@ -215,7 +215,7 @@
 	run_for(r, 1500);
 	clients_probe(r->clients, 1);
 	for (int i = 0; i < 30; i++)
-		operator_change(r->op, i % 3 ? CHANGE_TIMEOUT : i % 2 ? CHANGE_ROUTE_ON : CHANGE_ROUTE_OFF, i % 2);
+		operator_change(r->operator, i % 3 ? CHANGE_TIMEOUT : i % 2 ? CHANGE_ROUTE_ON : CHANGE_ROUTE_OFF, i % 2);
 	run_for(r, 6000);
 }
 
@@ -224,8 +224,8 @@
 	clients_probe(r->clients, 1);
 	for (int i = 0; i < 5; i++) {
 		run_for(r, 1200);
-		wait_for(r, 4000, calm_operator);
-		operator_race(r->op);
+		wait_for(r, 4000, has_idle_operator);
+		operator_race(r->operator);
 	}
 	run_for(r, 3000);
 }
@@ -233,11 +233,11 @@
 static void sc_bad(struct run *r)
 {
 	run_for(r, 1000);
-	for (int i = 0; i < INVALIDS; i++) {
-		operator_invalid(r->op, (enum invalid)i);
+	for (int i = 0; i < INVALID_COUNT; i++) {
+		operator_invalid(r->operator, (enum invalid)i);
 		run_for(r, 500);
-		operator_change(r->op, CHANGE_SPLIT, 0);
-		wait_for(r, 4000, calm_operator);
+		operator_change(r->operator, CHANGE_SPLIT, 0);
+		wait_for(r, 4000, has_idle_operator);
 	}
 	run_for(r, 2500);
 }
@@ -245,9 +245,9 @@
 static void sc_big(struct run *r)
 {
 	run_for(r, 1500);
-	operator_change(r->op, CHANGE_BIG, 0);
-	wait_for(r, 6000, calm_operator);
-	run_for(r, r->b.apply + 300);
+	operator_change(r->operator, CHANGE_BIG, 0);
+	wait_for(r, 6000, has_idle_operator);
+	run_for(r, r->bounds.config_apply_ms + 300);
 	clients_extra(r->clients, 200);
 	run_for(r, 5000);
 }
@@ -257,22 +257,22 @@
 	char key[64];
 
 	run_for(r, 1500);
-	operator_change(r->op, CHANGE_KEY_ON, 1);
-	wait_for(r, 5000, calm_operator);
-	run_for(r, r->b.apply + 200);
-	operator_change(r->op, CHANGE_KEY_OFF, 1);
-	wait_for(r, 5000, calm_operator);
+	operator_change(r->operator, CHANGE_KEY_ON, 1);
+	wait_for(r, 5000, has_idle_operator);
+	run_for(r, r->bounds.config_apply_ms + 200);
+	operator_change(r->operator, CHANGE_KEY_OFF, 1);
+	wait_for(r, 5000, has_idle_operator);
 	run_for(r, 1000);
 	snprintf(key, sizeof key, "key%02d-1-abcdefgh", 3); /* its clients go on with the old key a while, as some do */
-	run_for(r, r->b.revoke + 1500);
+	run_for(r, r->bounds.revoke_ms + 1500);
 	clients_keys(r->clients, 3, key);
 	run_for(r, 2000);
 }
 
 static int rolled(struct run *r)
 {
-	for (int i = 0; i < arrlen(r->f.server); i++)
-		if (!r->f.server[i]->is_store && r->f.server[i]->life == LIFE_UP && r->f.server[i]->version < r->f.newest)
+	for (int i = 0; i < arrlen(r->fleet.servers); i++)
+		if (!r->fleet.servers[i]->is_store && r->fleet.servers[i]->state == STATE_UP && r->fleet.servers[i]->version < r->fleet.newest_version)
 			return 0;
 	return 1;
 }
@@ -280,11 +280,11 @@
 static void sc_roll_out(struct run *r)
 {
 	run_for(r, 2000);
-	operator_weights(r->op, 2);
-	if (!wait_for(r, r->b.version * r->slack, rolled))
-		run_say(r, "not every server has the new weights after VersionMs");
+	operator_weights(r->operator, 2);
+	if (!wait_for(r, r->bounds.version_ms * r->slack, rolled))
+		run_log(r, "not every server has the new weights after VersionMs");
 	else
-		run_say(r, "all servers have the new weights");
+		run_log(r, "all servers have the new weights");
 	run_for(r, 3000);
 }
 
@@ -293,15 +293,15 @@
 	int n = 0;
 
 	run_for(r, 1500);
-	for (int i = 0; i < arrlen(r->f.server); i++) {
-		struct server *s = r->f.server[i];
+	for (int i = 0; i < arrlen(r->fleet.servers); i++) {
+		struct server *server = r->fleet.servers[i];
 
-		if (s->is_store || n++ >= (r->small ? 2 : 6))
+		if (server->is_store || n++ >= (r->small ? 2 : 6))
 			continue;
-		run_say(r, "planned: server %s drains", s->addr);
-		server_drain(s);
-		run_for(r, r->b.drain + r->f.e.linger + 2200);
-		server_up(s);
+		run_log(r, "planned: server %s drains", server->address);
+		server_drain(server);
+		run_for(r, r->bounds.drain_ms + r->fleet.engine.linger_ms + 2200);
+		server_up(server);
 		run_for(r, 1200);
 	}
 }
@@ -310,89 +310,89 @@
 {
 	run_for(r, 1500);
 	for (int i = 0; i < (r->small ? 2 : 6); i++) {
-		struct server *s = r->f.server[i];
+		struct server *server = r->fleet.servers[i];
 
-		run_say(r, "fault: server %s crashes", s->addr);
-		server_crash(s);
+		run_log(r, "fault: server %s crashes", server->address);
+		server_crash(server);
 		run_for(r, 1500);
-		server_up(s);
+		server_up(server);
 		run_for(r, 1500);
 	}
-	run_say(r, "fault: server %s is lost for good", r->f.server[2]->addr);
-	server_crash(r->f.server[2]);
+	run_log(r, "fault: server %s is lost for good", r->fleet.servers[2]->address);
+	server_crash(r->fleet.servers[2]);
 	run_for(r, 4000);
 }
 
-static void every_server(struct run *r, const struct server_fault *x)
+static void set_fault_on_servers(struct run *r, const struct server_fault *fault)
 {
-	for (int i = 0; i < arrlen(r->f.server); i++)
-		if (!r->f.server[i]->is_store)
-			r->f.server[i]->fault = *x;
+	for (int i = 0; i < arrlen(r->fleet.servers); i++)
+		if (!r->fleet.servers[i]->is_store)
+			r->fleet.servers[i]->fault = *fault;
 }
 
 static void sc_garble(struct run *r)
 {
-	struct server_fault x = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 }, none = { .close = 0.01 };
+	struct server_fault fault = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 }, none = { .close = 0.01 };
 
 	run_for(r, 1000);
-	run_say(r, "fault: servers break answers off, send garbage and surplus bytes");
-	every_server(r, &x);
+	run_log(r, "fault: servers break answers off, send garbage and surplus bytes");
+	set_fault_on_servers(r, &fault);
 	run_for(r, 6000);
-	every_server(r, &none);
+	set_fault_on_servers(r, &none);
 	run_for(r, 2000);
 }
 
 static void sc_lost_answer(struct run *r)
 {
-	struct server_fault x = { .close = 0.01, .lost = 0.08 }, none = { .close = 0.01 };
+	struct server_fault fault = { .close = 0.01, .lost = 0.08 }, none = { .close = 0.01 };
 
 	run_for(r, 1000);
-	run_say(r, "fault: servers run requests and lose the answers");
-	every_server(r, &x);
+	run_log(r, "fault: servers run requests and lose the answers");
+	set_fault_on_servers(r, &fault);
 	run_for(r, 6000);
-	every_server(r, &none);
+	set_fault_on_servers(r, &none);
 	run_for(r, 2000);
 }
 
 static void sc_grey(struct run *r)
 {
 	run_for(r, 1000);
-	run_say(r, "fault: server %s fails a third of its requests, and says it is well", r->f.server[0]->addr);
-	r->f.server[0]->fault.grey = 0.35;
+	run_log(r, "fault: server %s fails a third of its requests, and says it is well", r->fleet.servers[0]->address);
+	r->fleet.servers[0]->fault.grey = 0.35;
 	run_for(r, 5000);
-	r->f.server[0]->fault.grey = 0;
-	run_say(r, "fault: server %s says falsely that it is not well", r->f.server[1]->addr);
-	r->f.server[1]->fault.false_health = 1;
+	r->fleet.servers[0]->fault.grey = 0;
+	run_log(r, "fault: server %s says falsely that it is not well", r->fleet.servers[1]->address);
+	r->fleet.servers[1]->fault.false_health = 1;
 	run_for(r, 4000);
 }
 
-static void sc_dark(struct run *r)
+static void sc_silent_server(struct run *r)
 {
-	struct server *s = r->f.server[0];
+	struct server *server = r->fleet.servers[0];
 
 	run_for(r, 1500);
-	run_say(r, "fault: server %s is silent", s->addr);
-	server_dark(s, 1);
+	run_log(r, "fault: server %s is silent", server->address);
+	server_set_silent(server, 1);
 	run_for(r, 4000);
-	server_dark(s, 0);
+	server_set_silent(server, 0);
 	run_for(r, 3000);
 }
 
 /* Now this one, now that one stands still for a moment, and several at once. */
 static void sc_stall(struct run *r)
 {
-	int n = (int)arrlen(r->f.server) - 1;
+	int n = (int)arrlen(r->fleet.servers) - 1;
 
 	run_for(r, 1000);
 	for (int i = 0; i < 12; i++) {
-		int from = (int)(stand_rand(&r->rng) % (uint64_t)n), many = 1 + (int)(stand_rand(&r->rng) % (uint64_t)n);
+		int from = (int)(emulator_random(&r->rng) % (uint64_t)n), many = 1 + (int)(emulator_random(&r->rng) % (uint64_t)n);
 
 		for (int k = 0; k < many; k++)
-			server_dark(r->f.server[(from + k) % n], 1);
-		run_for(r, 200 + (int64_t)(stand_rand(&r->rng) % 1800));
+			server_set_silent(r->fleet.servers[(from + k) % n], 1);
+		run_for(r, 200 + (int64_t)(emulator_random(&r->rng) % 1800));
 		for (int k = 0; k < many; k++)
-			server_dark(r->f.server[(from + k) % n], 0);
-		run_for(r, (int64_t)(stand_rand(&r->rng) % 800));
+			server_set_silent(r->fleet.servers[(from + k) % n], 0);
+		run_for(r, (int64_t)(emulator_random(&r->rng) % 800));
 	}
 	run_for(r, 2000);
 }
@@ -401,22 +401,22 @@
  * what was sent may run, so nobody may promise that it has not. */
 static void sc_blind(struct run *r)
 {
-	struct server_fault x = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
-	double read = r->f.e.read_per_ms;
+	struct server_fault fault = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
+	double read = r->fleet.engine.prefill_tokens_per_ms;
 
 	run_for(r, 2000);
-	every_server(r, &x);
-	r->f.e.read_per_ms = 30;
-	run_say(r, "fault: the core freezes; servers are slow, and run what nobody waits for any more");
-	for (int i = 0; i < r->nm; i++)
-		if (r->m[i].core)
-			machine_freeze(&r->m[i], 1);
+	set_fault_on_servers(r, &fault);
+	r->fleet.engine.prefill_tokens_per_ms = 30;
+	run_log(r, "fault: the core freezes; servers are slow, and run what nobody waits for any more");
+	for (int i = 0; i < r->machine_count; i++)
+		if (r->machines[i].is_core)
+			machine_freeze(&r->machines[i], 1);
 	run_for(r, 6000);
-	for (int i = 0; i < r->nm; i++)
-		machine_freeze(&r->m[i], 0);
-	r->f.e.read_per_ms = read;
+	for (int i = 0; i < r->machine_count; i++)
+		machine_freeze(&r->machines[i], 0);
+	r->fleet.engine.prefill_tokens_per_ms = read;
 	run_for(r, 12000);
-	every_server(r, &none);
+	set_fault_on_servers(r, &none);
 }
 
 /* The whole platform stands still, and with it every server, client and list. */
@@ -424,8 +424,8 @@
 {
 	run_for(r, 1000);
 	for (int i = 0; i < 8; i++) {
-		usleep((useconds_t)(300 + stand_rand(&r->rng) % 1500) * 1000);
-		run_for(r, 300 + (int64_t)(stand_rand(&r->rng) % 1200));
+		usleep((useconds_t)(300 + emulator_random(&r->rng) % 1500) * 1000);
+		run_for(r, 300 + (int64_t)(emulator_random(&r->rng) % 1200));
 	}
 	run_for(r, 2000);
 }
@@ -434,14 +434,14 @@
 {
 	run_for(r, 1000);
 	for (int i = 0; i < 20; i++) {
-		int from = (int)(stand_rand(&r->rng) % (uint64_t)r->nm), many = 1 + (int)(stand_rand(&r->rng) % 3);
+		int from = (int)(emulator_random(&r->rng) % (uint64_t)r->machine_count), many = 1 + (int)(emulator_random(&r->rng) % 3);
 
 		for (int k = 0; k < many; k++)
-			machine_freeze(&r->m[(from + k) % r->nm], 1);
-		run_for(r, 100 + (int64_t)(stand_rand(&r->rng) % 1400));
+			machine_freeze(&r->machines[(from + k) % r->machine_count], 1);
+		run_for(r, 100 + (int64_t)(emulator_random(&r->rng) % 1400));
 		for (int k = 0; k < many; k++)
-			machine_freeze(&r->m[(from + k) % r->nm], 0);
-		run_for(r, (int64_t)(stand_rand(&r->rng) % 700));
+			machine_freeze(&r->machines[(from + k) % r->machine_count], 0);
+		run_for(r, (int64_t)(emulator_random(&r->rng) % 700));
 	}
 	run_for(r, 2000);
 }
@@ -450,9 +450,9 @@
 {
 	run_for(r, 1000);
 	for (int i = 0; i < 6; i++) {
-		server_crash(r->f.server[0]);
+		server_crash(r->fleet.servers[0]);
 		run_for(r, 500);
-		server_up(r->f.server[0]);
+		server_up(r->fleet.servers[0]);
 		run_for(r, 700);
 	}
 	run_for(r, 2000);
@@ -461,140 +461,140 @@
 static void sc_events_gap(struct run *r)
 {
 	run_for(r, 1500);
-	run_say(r, "fault: events come late, a few never come, and only a few stay");
-	r->f.e.events_loss = 0.05;
-	r->f.e.events_lag = 1500;
-	r->f.e.events = 20;
+	run_log(r, "fault: events come late, a few never come, and only a few stay");
+	r->fleet.engine.event_loss_ratio = 0.05;
+	r->fleet.engine.event_lag_ms = 1500;
+	r->fleet.engine.event_limit = 20;
 	run_for(r, 3000);
-	for (int i = 0; i < arrlen(r->f.server); i++)
-		r->f.server[i]->fault.events_lost = i % 2;
+	for (int i = 0; i < arrlen(r->fleet.servers); i++)
+		r->fleet.servers[i]->fault.events_lost = i % 2;
 	run_for(r, 2500);
-	for (int i = 0; i < arrlen(r->f.server); i++)
-		r->f.server[i]->fault.events_lost = 0;
-	r->f.e.events_loss = 0;
-	r->f.e.events_lag = 80;
+	for (int i = 0; i < arrlen(r->fleet.servers); i++)
+		r->fleet.servers[i]->fault.events_lost = 0;
+	r->fleet.engine.event_loss_ratio = 0;
+	r->fleet.engine.event_lag_ms = 80;
 	run_for(r, 2000);
 }
 
 static void sc_store_down(struct run *r)
 {
-	struct server *s = arrlast(r->f.server);
+	struct server *server = arrlast(r->fleet.servers);
 
 	run_for(r, 2000);
-	run_say(r, "fault: the store is down");
-	server_crash(s);
+	run_log(r, "fault: the store is down");
+	server_crash(server);
 	run_for(r, 2500);
-	server_up(s);
-	run_say(r, "the store is back, empty");
+	server_up(server);
+	run_log(r, "the store is back, empty");
 	run_for(r, 3000);
 }
 
 static void sc_wipe(struct run *r)
 {
-	struct machine *m = nth(r, 1, 1);
+	struct machine *m = nth_machine(r, 1, 1);
 
 	run_for(r, 1500);
-	operator_change(r->op, CHANGE_TIMEOUT, 1);
-	wait_for(r, 4000, calm_operator);
-	run_say(r, "fault: %s loses its disk right after an acknowledgement", m->name);
+	operator_change(r->operator, CHANGE_TIMEOUT, 1);
+	wait_for(r, 4000, has_idle_operator);
+	run_log(r, "fault: %s loses its disk right after an acknowledgement", m->name);
 	machine_kill(m);
 	while (!machine_down(m))
 		run_for(r, 10);
 	machine_wipe(m);
 	run_for(r, 800);
 	machine_start(m);
-	run_for(r, r->b.catch_up + 1000);
-	operator_change(r->op, CHANGE_SPLIT, 0);
-	wait_for(r, 5000, calm_operator);
+	run_for(r, r->bounds.catch_up_ms + 1000);
+	operator_change(r->operator, CHANGE_SPLIT, 0);
+	wait_for(r, 5000, has_idle_operator);
 	run_for(r, 2000);
 }
 
 static void sc_replace(struct run *r)
 {
-	struct machine *m = nth(r, 1, 0), *n;
+	struct machine *machine = nth_machine(r, 1, 0), *n;
 	int zone = 0;
 
 	run_for(r, 1500);
-	while (zone < 3 && strcmp(m->zone, r->sheet->zone[zone]))
+	while (zone < 3 && strcmp(machine->zone, r->sheet->zone[zone]))
 		zone++;
-	run_say(r, "fault: %s goes for good and an empty machine comes at another address", m->name);
-	machine_remove(m);
+	run_log(r, "fault: %s goes for good and an empty machine comes at another address", machine->name);
+	machine_remove(machine);
 	run_for(r, 500);
 	n = machine_add(r, 1, zone);
 	machine_start(n);
 	run_for(r, 3000); /* SeedLagS */
-	m->listed = 0;
-	n->listed = 1;
-	run_for(r, r->b.catch_up);
-	operator_change(r->op, CHANGE_SPLIT, 1);
-	wait_for(r, 5000, calm_operator);
+	machine->is_listed = 0;
+	n->is_listed = 1;
+	run_for(r, r->bounds.catch_up_ms);
+	operator_change(r->operator, CHANGE_SPLIT, 1);
+	wait_for(r, 5000, has_idle_operator);
 	run_for(r, 2000);
 }
 
-struct own_call {
-	struct run *r;
+struct control_call {
+	struct run *run;
 	int status, answered;
 	char *body;
 };
 
-static void own_answer(void *ctx, int status, const struct msg *m)
+static void on_control_answer(void *ctx, int status, const struct http_message *message)
 {
-	struct own_call *c = ctx;
+	struct control_call *c = ctx;
 
 	c->status = status;
 	c->answered = 1;
-	c->body = m && m->body ? strndup(m->body, m->len) : NULL;
+	c->body = message && message->body ? strndup(message->body, message->body_length) : NULL;
 }
 
 /* A call of the product's own at one core machine after another, until one takes it. */
-static char *own_call(struct run *r, const char *method, const char *path, const char *body)
+static char *control_call(struct run *r, const char *method, const char *path, const char *body)
 {
-	for (int i = 0; i < 12 && !r->missed; i++) {
-		struct own_call c = { r, 0, 0, NULL };
+	for (int i = 0; i < 12 && !r->undecided_reason; i++) {
+		struct control_call c = { r, 0, 0, NULL };
 
-		call_once(r->l, nth(r, 1, i % count(r, 1))->control, method, path, body ? "Content-Type: application/json\r\n" : "",
-			  body, 6000, own_answer, &c);
+		call_once(r->loop, nth_machine(r, 1, i % count(r, 1))->control_address, method, path, body ? "Content-Type: application/json\r\n" : "",
+			  body, 6000, on_control_answer, &c);
 		while (!c.answered)
 			run_for(r, 20);
 		if (c.status == 200)
 			return c.body ? c.body : strdup("");
-		run_say(r, "%s %s: %d %.200s", method, path, c.status, c.body ? c.body : "");
+		run_log(r, "%s %s: %d %.200s", method, path, c.status, c.body ? c.body : "");
 		free(c.body);
 		run_for(r, 500);
 	}
-	r->missed = "no core machine takes the call";
+	r->undecided_reason = "no core machine takes the call";
 	return strdup("");
 }
 
 /* Kept context is cleared on schedule and at once, over and again, as the decider dies and an edge stands still. */
-static void sc_clear(struct run *r)
+static void sc_purge(struct run *r)
 {
-	struct machine *m = nth(r, 1, 0);
+	struct machine *machine = nth_machine(r, 1, 0);
 	int64_t sent;
 	char *s;
 
 	run_for(r, 4000);
-	free(own_call(r, "POST", "/v1/change",
+	free(control_call(r, "POST", "/v1/change",
 		      "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"12s\",\"window\":4000}]}"));
 	run_for(r, 6000);
 	sent = loop_us();
-	free(own_call(r, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"rehearsal\"}"));
-	r->f.cleared = sent;
-	r->f.cleared_by = loop_us() + ms_us(4000);
+	free(control_call(r, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"rehearsal\"}"));
+	r->fleet.purge_requested_at_us = sent;
+	r->fleet.purge_due_at_us = loop_us() + ms_us(4000);
 	run_for(r, 5000);
 	if (!r->small) {
-		machine_freeze(nth(r, 0, 1), 1);
-		machine_kill(m);
+		machine_freeze(nth_machine(r, 0, 1), 1);
+		machine_kill(machine);
 		run_for(r, 1500);
-		machine_freeze(nth(r, 0, 1), 0);
-		machine_start(m);
+		machine_freeze(nth_machine(r, 0, 1), 0);
+		machine_start(machine);
 	}
 	run_for(r, 10000);
-	s = own_call(r, "GET", "/v1/retention.csv", NULL);
+	s = control_call(r, "GET", "/v1/retention.csv", NULL);
 	printf("%s", s);
 	free(s);
-	printf("after the clearing servers used %llu parts of before and %llu others\n", (unsigned long long)r->f.old_used,
-	       (unsigned long long)r->f.new_used);
+	printf("after the clearing servers used %llu parts of before and %llu others\n", (unsigned long long)r->fleet.old_blocks_used,
+	       (unsigned long long)r->fleet.new_blocks_used);
 }
 
 static const struct {
@@ -620,7 +620,7 @@
 	{ "garble", "broken answers, garbage, bytes behind whole answers", sc_garble, NULL },
 	{ "lost-answer", "requests run, their answers never come", sc_lost_answer, NULL },
 	{ "grey", "a server fails a third of its requests; health lies", sc_grey, NULL },
-	{ "dark", "a server falls silent", sc_dark, NULL },
+	{ "dark", "a server falls silent", sc_silent_server, NULL },
 	{ "stall", "servers stand still for moments, several at once", sc_stall, NULL },
 	{ "blind", "edges are cut off from the core while servers are slow to begin", sc_blind, NULL },
 	{ "hiccup", "the whole platform stands still for moments", sc_hiccup, NULL },
@@ -630,10 +630,10 @@
 	{ "store-down", "the store goes and comes back empty", sc_store_down, NULL },
 	{ "wipe", "a core machine loses its disk after an acknowledgement", sc_wipe, NULL },
 	{ "replace", "a core machine is replaced at another address", sc_replace, NULL },
-	{ "clear", "kept context is cleared, on schedule and at once", sc_clear, NULL },
+	{ "clear", "kept context is cleared, on schedule and at once", sc_purge, NULL },
 	{ "planned", "a long day of planned work: changes, stops, reloads, releases", planned_day, NULL },
 	{ "planned-core", "the whole core is stopped and started under changes", planned_core_stop, NULL },
-	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak, soak_prepare },
+	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak_test, soak_test_prepare },
 	{ "cut", "skipped: the links of processes on one machine cannot be cut without tools for isolation", NULL, NULL },
 };
 
@@ -642,210 +642,210 @@
 static int set_up(struct run *r, const char *deployment)
 {
 	int cores = r->cores ? r->cores : r->small ? 3 : 4, servers = r->small ? 4 : 18;
-	struct bounds_set judged = r->b;
+	struct timing_bounds judged = r->bounds;
 	char at[48];
 
 	if (r->slack > 1) { /* the daemons are told the sheet's; the judge is as patient as asked, but GraceS is the stand's own */
-		int64_t *v[] = { &judged.ack,    &judged.drain,   &judged.apply,    &judged.revert,
-				 &judged.revoke, &judged.version, &judged.recovery, &judged.loss_slack };
+		int64_t *v[] = { &judged.ack_ms,    &judged.drain_ms,   &judged.config_apply_ms,    &judged.revert_slack_ms,
+				 &judged.revoke_ms, &judged.version_ms, &judged.recovery_ms, &judged.loss_slack_ms };
 
 		for (size_t i = 0; i < sizeof v / sizeof *v; i++)
 			*v[i] *= r->slack;
 	}
 	if (r->impossible) { /* nobody can keep these: whoever judges must say so */
-		judged.apply = judged.revert = -3000;
-		judged.ack = judged.drain = judged.revoke = judged.version = 0;
-		judged.slack = -1000000;
-		judged.lease = 1000000;
+		judged.config_apply_ms = judged.revert_slack_ms = -3000;
+		judged.ack_ms = judged.drain_ms = judged.revoke_ms = judged.version_ms = 0;
+		judged.retry_slack = -1000000;
+		judged.lease_ms = 1000000;
 	}
-	r->l = loop_open();
-	r->f.l = r->l;
-	r->f.start = loop_us();
-	r->j = judge_open(&judged);
-	r->f.j = r->j;
-	r->f.e = engine_sheet;
-	r->f.e.drain_ms = (int)r->b.drain;
-	r->f.rng = r->seed * 7 + 1;
-	r->f.newest = 1;
-	r->f.thaw_ms = (int)r->b.thaw;
-	r->sheet = &sheets[!strcmp(deployment, "teduh")];
-	if (r->sheet == &sheets[1]) {
-		r->f.e.kv = 319789;
-		r->f.e.step = 3.55;
-		r->f.e.read_per_ms = 157;
-		r->f.e.load_ms = 1100;
+	r->loop = loop_open();
+	r->fleet.loop = r->loop;
+	r->fleet.started_at_us = loop_us();
+	r->checker = checker_open(&judged);
+	r->fleet.checker = r->checker;
+	r->fleet.engine = default_engine;
+	r->fleet.engine.drain_ms = (int)r->bounds.drain_ms;
+	r->fleet.rng = r->seed * 7 + 1;
+	r->fleet.newest_version = 1;
+	r->fleet.thaw_ms = (int)r->bounds.thaw_slack_ms;
+	r->sheet = &deployments[!strcmp(deployment, "teduh")];
+	if (r->sheet == &deployments[1]) {
+		r->fleet.engine.kv_capacity_tokens = 319789;
+		r->fleet.engine.step_ms = 3.55;
+		r->fleet.engine.prefill_tokens_per_ms = 157;
+		r->fleet.engine.load_ms = 1100;
 	}
-	r->f.model = r->sheet->model;
+	r->fleet.model = r->sheet->model;
 	r->rng = r->seed;
-	r->traffic_at = -1;
-	snprintf(r->base, sizeof r->base, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
+	r->traffic_started_at_ms = -1;
+	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
 	for (int i = 0; i < servers; i++) {
-		snprintf(at, sizeof at, "%s.%d:8080", r->base, 100 + i);
-		server_add(&r->f, at, r->sheet->zone[i % 4], r->sheet->service, 0);
+		snprintf(at, sizeof at, "%s.%d:8080", r->address_prefix, 100 + i);
+		server_add(&r->fleet, at, r->sheet->zone[i % 4], r->sheet->service, 0);
 	}
-	snprintf(at, sizeof at, "%s.250:8680", r->base);
-	server_add(&r->f, at, r->sheet->zone[1], r->sheet->store, 1);
-	for (int i = 0; i < arrlen(r->f.server); i++)
-		server_up(r->f.server[i]);
-	snprintf(r->list_at, sizeof r->list_at, "%s.251:8688", r->base);
-	if (!list_open(&r->f, &(struct list_set){ r->list_at, 800, 5, 47, r->verbose > 1 }))
+	snprintf(at, sizeof at, "%s.250:8680", r->address_prefix);
+	server_add(&r->fleet, at, r->sheet->zone[1], r->sheet->store, 1);
+	for (int i = 0; i < arrlen(r->fleet.servers); i++)
+		server_up(r->fleet.servers[i]);
+	snprintf(r->list_address, sizeof r->list_address, "%s.251:8688", r->address_prefix);
+	if (!list_open(&r->fleet, &(struct list_settings){ r->list_address, 800, 5, 47, r->verbose > 1 }))
 		return 0;
 	for (int i = 0; i < cores; i++)
-		machine_add(r, 1, i % 4)->listed = 1;
+		machine_add(r, 1, i % 4)->is_listed = 1;
 	for (int i = 0; i < r->edges; i++)
 		machine_add(r, 0, i % 4);
-	for (int i = 0; i < r->nm; i++)
-		machine_start(&r->m[i]);
-	r->op = operator_open(r);
+	for (int i = 0; i < r->machine_count; i++)
+		machine_start(&r->machines[i]);
+	r->operator = operator_open(r);
 	r->clients = clients_open(r);
-	operator_first(r->op);
+	operator_submit_first(r->operator);
 	wait_for(r, 20000, ready);
-	for (int i = 0; i < r->nm && !r->missed; i++)
-		if (r->m[i].own_ends >= 3)
-			r->missed = "processes end by themselves at their start: do they know --platform?";
-	if (!r->missed && !operator_acked(r->op))
-		r->missed = "no node took the first configuration within 20 s";
-	if (!r->missed && !ready(r))
-		run_say(r, "not every edge is ready 20 s after the start");
-	while (run_ms(r) < r->b.contact + 1000 && !r->missed)
+	for (int i = 0; i < r->machine_count && !r->undecided_reason; i++)
+		if (r->machines[i].unexpected_exits >= 3)
+			r->undecided_reason = "processes end by themselves at their start: do they know --platform?";
+	if (!r->undecided_reason && !operator_acked(r->operator))
+		r->undecided_reason = "no node took the first configuration within 20 s";
+	if (!r->undecided_reason && !ready(r))
+		run_log(r, "not every edge is ready 20 s after the start");
+	while (run_ms(r) < r->bounds.contact_ms + 1000 && !r->undecided_reason)
 		run_for(r, 20);
-	run_say(r, "traffic starts");
-	r->traffic_at = run_ms(r);
-	return !r->missed;
+	run_log(r, "traffic starts");
+	r->traffic_started_at_ms = run_ms(r);
+	return !r->undecided_reason;
 }
 
 /* Whether this process, or one under test, was kept from a processor for longer than the run bears. */
 static int is_late(const struct run *r)
 {
-	return hist_at(&r->fig.own_lag, 1) > r->latest * r->slack || r->waited_most > r->latest * r->slack;
+	return histogram_quantile(&r->figures.own_lag_ms, 1) > r->max_lateness_ms * r->slack || r->max_wait_ms > r->max_lateness_ms * r->slack;
 }
 
 /* Whether a breach is among these that no delay explains. */
-static int timeless(const struct breach *b, int n)
+static int has_timeless_violation(const struct breach *violation, int n)
 {
 	static const char *const rules[] = { TIMELESS };
 
 	for (int i = 0; i < n; i++)
 		for (size_t k = 0; k < sizeof rules / sizeof *rules; k++)
-			if (!strcmp(b[i].rule, rules[k]))
+			if (!strcmp(violation[i].rule, rules[k]))
 				return 1;
 	return 0;
 }
 
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *b, int breaches, int64_t reach)
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *violation, int breaches, int64_t reach)
 {
 	for (int i = 0; i < breaches; i++)
-		if (!disk_explains(stalls, n, b[i].t, reach))
+		if (!disk_explains(stalls, n, violation[i].at_ms, reach))
 			return 0;
-	return breaches > 0 && !timeless(b, breaches);
+	return breaches > 0 && !has_timeless_violation(violation, breaches);
 }
 
 /* The gate: at most 60% of the requests are refused or fail. */
 static int gate_broken(const struct run *r)
 {
-	int whole = 0, asked = 0;
+	int completed = 0, requests = 0;
 
-	for (int i = 0; i < CLASSES; i++)
-		whole += r->fig.whole[i], asked += r->fig.asked[i];
-	if (whole && whole * 10 >= asked * 4)
+	for (int i = 0; i < CLASS_COUNT; i++)
+		completed += r->figures.completed[i], requests += r->figures.requests[i];
+	if (completed && completed * 10 >= requests * 4)
 		return 0;
-	printf("BREACH GATE     : %d of %d requests were served\n", whole, asked);
+	printf("BREACH GATE     : %d of %d requests were served\n", completed, requests);
 	return 1;
 }
 
 /* A run under short bounds proves nothing if it was held up, if it never put VERSION to the test, or if too little was
  * served and nothing else is wrong: what the troubles leave to be served is not known. */
-static void timed_verdict(struct run *r, int broken, int gate, const struct breach *b, int n)
+static void timed_verdict(struct run *r, int broken, int gate, const struct breach *violation, int n)
 {
-	int at_stake = judge_version_at_stake(r->j);
-	int64_t longest = r->latest * r->slack;
+	int at_stake = checker_version_rule_exercised(r->checker);
+	int64_t longest = r->max_lateness_ms * r->slack;
 
 	printf("VERSION was judged on %d requests; tries over kept connections to processes told to end: %d\n", at_stake,
-	       r->fig.leaving);
-	printf("a process under test waited for a processor at most %lld ms of a second\n", (long long)r->waited_most);
+	       r->figures.draining_reuses);
+	printf("a process under test waited for a processor at most %lld ms of a second\n", (long long)r->max_wait_ms);
 	if (!broken && gate)
-		r->missed = "too little was served";
+		r->undecided_reason = "too little was served";
 	else if (!broken && !at_stake)
-		r->missed = "no request began when the rule VERSION could have been broken";
-	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)r->disk_most, r->disk_stalls,
+		r->undecided_reason = "no request began when the rule VERSION could have been broken";
+	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)r->max_sync_ms, r->stall_count,
 	       (long long)longest);
-	for (int i = 0; i < r->disk_stalls; i++)
-		printf("the disk stood still from %lld to %lld ms\n", (long long)r->disk_stall[i].from,
-		       (long long)r->disk_stall[i].to);
-	if (broken && !r->f.old_used && disk_explains_all(r->disk_stall, r->disk_stalls, b, n, r->b.version + r->b.contact))
-		r->missed = "the disk stood still before each breach: what depends on time is nobody's fault here";
-	if (broken && is_late(r) && !timeless(b, n))
-		r->missed = "this process or one under test was held up: what depends on time is nobody's fault here";
+	for (int i = 0; i < r->stall_count; i++)
+		printf("the disk stood still from %lld to %lld ms\n", (long long)r->stalls[i].from,
+		       (long long)r->stalls[i].to);
+	if (broken && !r->fleet.old_blocks_used && disk_explains_all(r->stalls, r->stall_count, violation, n, r->bounds.version_ms + r->bounds.contact_ms))
+		r->undecided_reason = "the disk stood still before each breach: what depends on time is nobody's fault here";
+	if (broken && is_late(r) && !has_timeless_violation(violation, n))
+		r->undecided_reason = "this process or one under test was held up: what depends on time is nobody's fault here";
 }
 
-static void hold_and_watch(struct run *r)
+static void start_quota_and_disk_watch(struct run *r)
 {
 	if (r->core_share > 0 || r->router_share > 0)
-		quota_hold(r);
-	if (r->latest)
-		r->disk_watch = disk_watch_open(r->folder, r->f.start, r->latest * r->slack, fdatasync);
+		quota_start(r);
+	if (r->max_lateness_ms)
+		r->disk_watch = disk_watch_open(r->folder, r->fleet.started_at_us, r->max_lateness_ms * r->slack, fdatasync);
 }
 
 static void disk_watch_end(struct run *r)
 {
 	if (!r->disk_watch)
 		return;
-	r->disk_stalls = disk_watch_close(r->disk_watch, r->disk_stall, MOST_DISK_STALLS, &r->disk_most);
+	r->stall_count = disk_watch_close(r->disk_watch, r->stalls, MAX_DISK_STALLS, &r->max_sync_ms);
 	r->disk_watch = NULL;
 }
 
-static int one_run(struct run *r, const char *deployment, int k, const char *report)
+static int one_run(struct run *r, const char *deployment, int scenario, const char *report)
 {
-	const struct breach *b = NULL;
+	const struct breach *violation = NULL;
 	int n = 0, rc = 1, gate;
 
 	if (!set_up(r, deployment))
 		goto end;
-	hold_and_watch(r);
+	start_quota_and_disk_watch(r);
 	clients_traffic(r->clients, 1);
-	scenarios[k].fn(r);
+	scenarios[scenario].fn(r);
 	clients_traffic(r->clients, 0);
-	wait_for(r, 11000, quiet_clients);
-	wait_for(r, 6000, calm_operator);
-	if (r->missed)
+	wait_for(r, 11000, clients_are_idle);
+	wait_for(r, 6000, has_idle_operator);
+	if (r->undecided_reason)
 		goto end;
-	operator_read_back(r->op);
-	wait_for(r, 6 * r->b.contact, read_back);
+	operator_read_back(r->operator);
+	wait_for(r, 6 * r->bounds.contact_ms, read_back);
 	disk_watch_end(r);
-	n = judge_all(r->j, run_ms(r), &b);
-	report_print(r, b, n);
-	if (report && !report_write(r, report, b, n))
+	n = checker_run(r->checker, run_ms(r), &violation);
+	report_print(r, violation, n);
+	if (report && !report_write(r, report, violation, n))
 		goto end;
 	rc = n != 0;
-	if (r->f.old_used) {
-		printf("BREACH CLEARED  : %llu parts of before a clearing were used after it\n", (unsigned long long)r->f.old_used);
+	if (r->fleet.old_blocks_used) {
+		printf("BREACH CLEARED  : %llu parts of before a clearing were used after it\n", (unsigned long long)r->fleet.old_blocks_used);
 		rc = 1;
 	}
 	gate = gate_broken(r);
-	if (r->latest)
-		timed_verdict(r, rc, gate, b, n);
+	if (r->max_lateness_ms)
+		timed_verdict(r, rc, gate, violation, n);
 	rc |= gate;
 end:
-	if (r->missed) {
-		printf("UNDECIDED: %s\n", r->missed);
+	if (r->undecided_reason) {
+		printf("UNDECIDED: %s\n", r->undecided_reason);
 		rc = 3;
 	}
 	if (r->clients)
 		clients_close(r->clients);
-	if (r->op)
-		operator_close(r->op);
+	if (r->operator)
+		operator_close(r->operator);
 	quota_release(r);
 	disk_watch_end(r);
-	machines_end(r);
+	machines_stop(r);
 	if (invariant_lines(r))
 		rc = 1;
-	if (r->f.list)
-		list_close(r->f.list);
-	servers_free(&r->f);
-	loop_close(r->l);
-	judge_close(r->j);
-	free(r->fig.sec);
-	printf("%s %s seed %llu%s: %s; logs in %s\n", r->sheet->name, scenarios[k].name, (unsigned long long)r->seed,
+	if (r->fleet.list)
+		list_close(r->fleet.list);
+	servers_free(&r->fleet);
+	loop_close(r->loop);
+	checker_close(r->checker);
+	free(r->figures.seconds);
+	printf("%s %s seed %llu%s: %s; logs in %s\n", r->sheet->name, scenarios[scenario].name, (unsigned long long)r->seed,
 	       r->small ? " small" : "",
 	       rc == 0   ? "no rule broken"
 	       : rc == 3 ? "undecided"
@@ -854,10 +854,10 @@
 	return rc;
 }
 
-static void list_scenarios(FILE *f)
+static void list_scenarios(FILE *out)
 {
 	for (size_t i = 0; i < sizeof scenarios / sizeof *scenarios; i++)
-		fprintf(f, "  %-12s %s\n", scenarios[i].name, scenarios[i].what);
+		fprintf(out, "  %-12s %s\n", scenarios[i].name, scenarios[i].what);
 }
 
 static int run(int argc, char **argv)
@@ -914,7 +914,7 @@
 	r->edges = edges->count ? edges->ival[0] : 0;
 	r->impossible = impossible->count;
 	r->verbose = verbose->count;
-	r->b = bounds_sheet;
+	r->bounds = default_timing_bounds;
 	r->rate = rate->count ? atof(rate->sval[0]) : r->small ? 0.22 : 1; /* as much for each server */
 	r->slack = slack->count ? slack->ival[0] : 1;
 	if (scenarios[k].prepare)
@@ -923,7 +923,7 @@
 		r->edges = r->small ? 3 : 9;
 	n = readlink("/proc/self/exe", self, sizeof self - 1);
 	self[n > 0 ? n : 0] = 0;
-	snprintf(r->bin, sizeof r->bin, "%s", bin->count ? bin->sval[0] : dirname(self));
+	snprintf(r->program_folder, sizeof r->program_folder, "%s", bin->count ? bin->sval[0] : dirname(self));
 	if (folder->count)
 		snprintf(r->folder, sizeof r->folder, "%s", folder->sval[0]);
 	else
@@ -941,7 +941,7 @@
 	return rc;
 }
 
-int stand_main(int argc, char **argv)
+int platform_emulator_main(int argc, char **argv)
 {
 	if (argc >= 2 && !strcmp(argv[1], "list")) {
 		list_scenarios(stdout);
--- a/rehearsal/stand_client.c
+++ b/rehearsal/stand_client.c
@@ -10,116 +10,116 @@
 enum {
 	TIMES_AS_LONG = 20, /* the answers of some requests on a planned day */
 	LONG_PROBE = 200,   /* tokens: such a probe is under way for a second or more, while its route or key goes */
-	REST_MS = 10000     /* how long a connection may rest before any configuration is known */
+	DEFAULT_IDLE_MS = 10000     /* how long a connection may rest before any configuration is known */
 };
 
-struct kept_conn {
-	struct conn *c;
+struct pooled_conn {
+	struct conn *conn;
 	int machine, busy;
-	int64_t idle_until, rests_from;
+	int64_t idle_until_ms, idle_since_ms;
 };
 struct client {
 	int zone, tenant;
 	uint64_t hash;
-	struct kept_conn *kept; /* stb array */
+	struct pooled_conn *connections; /* stb array */
 };
 
 struct subject { /* what a client wants, over all its tries */
-	struct clients *all;
-	struct client *who;
-	int cls, tries, prompt, out, last_event, done, extra, probe, refused_at, avoid[4], navoid;
-	int64_t born, first_at, last_at, worst_gap, refused;
-	double worth, size;
-	char path[160], parts[200], body[600], key[64], host[80];
+	struct clients *clients;
+	struct client *client;
+	int class_id, attempts, prompt_tokens, output_tokens, last_event_id, is_done, extra, is_probe, was_refused, avoid[4], avoid_count;
+	int64_t created_at_ms, first_event_at_ms, last_event_at_ms, longest_gap_ms, refused_after_ms;
+	double value, size;
+	char path[160], blocks_header[200], body[600], key[64], host[80];
 	int transit_late;
 };
 
 struct attempt {
-	struct subject *s;
-	struct clients *all;
-	struct conn *c;
-	int machine, fresh, status, seal, own, events, sent, bytes, done, resumed_from, read;
-	int64_t began, until, heard;
-	char id[24], seal_id[40], *text; /* stb array: what of a stream is not read yet */
+	struct subject *request;
+	struct clients *clients;
+	struct conn *conn;
+	int machine, is_new_connection, status, seal_run, is_own_answer, is_stream, sent, bytes, done, resumed_from, was_read;
+	int64_t started_at_ms, deadline_at_ms, last_received_at_ms;
+	char id[24], seal_id[40], *unparsed; /* stb array: what of a stream is not read yet */
 	double retry_after;
-	int keep, keep_s;
-	struct event_rec *event;
+	int keep_alive, keep_alive_s;
+	struct stream_event *events;
 };
 
 struct clients {
-	struct run *r;
+	struct run *run;
 	struct client *client; /* stb arrays */
-	struct attempt **going;
-	struct subject **waiting;
-	uint64_t look, probes_timer, ready_timer, ids;
-	double due[CLASSES];
-	int64_t last;
-	int on, extra, probing, long_every, closing, asked;
+	struct attempt **in_flight;
+	struct subject **retrying;
+	uint64_t poll_timer, probes_timer, ready_timer, last_id;
+	double arrival_credit[CLASS_COUNT];
+	int64_t last_poll_at_ms;
+	int traffic_on, extra_routes, probing, long_every, closing, requests;
 	char keys[16][64];
 };
 
-static const struct conn_on on_answer;
+static const struct conn_handlers on_answer;
 
-static void try_now(struct subject *s, int fresh);
-static void subject_over(struct subject *s);
+static void start_attempt(struct subject *subject, int fresh);
+static void finish_request(struct subject *subject);
 
 /* ---- the entry ---- */
 
 struct probe {
-	struct run *r;
+	struct run *run;
 	int machine;
 };
 
-static void ready_told(void *ctx, int status, const struct msg *m)
+static void on_readiness(void *ctx, int status, const struct http_message *message)
 {
-	struct probe *p = ctx;
-	struct machine *x = &p->r->m[p->machine];
+	struct probe *probe = ctx;
+	struct machine *machine = &probe->run->machines[probe->machine];
 
-	(void)m;
+	(void)message;
 	if (status == 200) {
-		if (!x->in && p->r->verbose)
-			run_say(p->r, "%s is ready", x->name);
-		x->misses = 0;
-		x->in = !x->gone;
-	} else if (++x->misses >= 2) {
-		if (x->in && p->r->verbose)
-			run_say(p->r, "%s is out: not ready (%d)", x->name, status);
-		x->in = 0;
+		if (!machine->in_rotation && probe->run->verbose)
+			run_log(probe->run, "%s is ready", machine->name);
+		machine->probe_failures = 0;
+		machine->in_rotation = !machine->removed;
+	} else if (++machine->probe_failures >= 2) {
+		if (machine->in_rotation && probe->run->verbose)
+			run_log(probe->run, "%s is out: not ready (%d)", machine->name, status);
+		machine->in_rotation = 0;
 	}
-	free(p);
+	free(probe);
 }
 
-static void ask_ready(void *ctx)
+static void poll_readiness(void *ctx)
 {
-	struct clients *c = ctx;
-	struct run *r = c->r;
+	struct clients *clients = ctx;
+	struct run *run = clients->run;
 
-	c->ready_timer = loop_after(r->l, ms_us(1000), ask_ready, c);
-	for (int i = 0; i < r->nm; i++) {
-		struct probe *p;
+	clients->ready_timer = loop_after(run->loop, ms_us(1000), poll_readiness, clients);
+	for (int i = 0; i < run->machine_count; i++) {
+		struct probe *probe;
 
-		if (r->m[i].core || r->m[i].gone)
+		if (run->machines[i].is_core || run->machines[i].removed)
 			continue;
-		p = calloc(1, sizeof *p);
-		p->r = r;
-		p->machine = i;
-		call_once(r->l, r->m[i].ready, "GET", "/readiness", "", NULL, 900, ready_told, p);
+		probe = calloc(1, sizeof *probe);
+		probe->run = run;
+		probe->machine = i;
+		call_once(run->loop, run->machines[i].readiness_address, "GET", "/readiness", "", NULL, 900, on_readiness, probe);
 	}
 }
 
-static int pick_edge(struct clients *c, const struct client *who, const struct subject *s)
+static int pick_edge(struct clients *clients, const struct client *who, const struct subject *subject)
 {
-	struct run *r = c->r;
+	struct run *run = clients->run;
 
 	for (int z = 0; z < 4; z++) { /* its own zone first, then the next ones */
-		const char *zone = r->sheet->zone[(who->zone + z) % 4];
-		int in[MOST_MACHINES], all[MOST_MACHINES], nin = 0, nall = 0, n, *from;
+		const char *zone = run->sheet->zone[(who->zone + z) % 4];
+		int in[MAX_MACHINES], all[MAX_MACHINES], nin = 0, nall = 0, n, *from;
 
-		for (int i = 0; i < r->nm; i++) {
-			if (r->m[i].core || r->m[i].gone || strcmp(r->m[i].zone, zone))
+		for (int i = 0; i < run->machine_count; i++) {
+			if (run->machines[i].is_core || run->machines[i].removed || strcmp(run->machines[i].zone, zone))
 				continue;
 			all[nall++] = i;
-			if (r->m[i].in)
+			if (run->machines[i].in_rotation)
 				in[nin++] = i;
 		}
 		if (!nin)
@@ -127,602 +127,602 @@
 		from = nin * 2 < nall ? all : in;
 		n = nin * 2 < nall ? nall : nin;
 		for (int k = 0; k < n; k++) { /* further tries meet other nodes */
-			int m = from[(who->hash + (uint64_t)s->tries + (uint64_t)k) % (uint64_t)n], met = 0;
+			int m = from[(who->hash + (uint64_t)subject->attempts + (uint64_t)k) % (uint64_t)n], met = 0;
 
-			for (int x = 0; x < s->navoid; x++)
-				met |= s->avoid[x] == m;
+			for (int x = 0; x < subject->avoid_count; x++)
+				met |= subject->avoid[x] == m;
 			if (!met)
 				return m;
 		}
-		if (z == 3 || n > 1 || !s->navoid)
-			return from[(who->hash + (uint64_t)s->tries) % (uint64_t)n];
+		if (z == 3 || n > 1 || !subject->avoid_count)
+			return from[(who->hash + (uint64_t)subject->attempts) % (uint64_t)n];
 	}
-	for (int i = 0; i < r->nm; i++) /* nobody is in: whoever there is */
-		if (!r->m[i].core && !r->m[i].gone)
+	for (int i = 0; i < run->machine_count; i++) /* nobody is in: whoever there is */
+		if (!run->machines[i].is_core && !run->machines[i].removed)
 			return i;
-	return NOBODY;
+	return NO_MACHINE;
 }
 
 /* ---- tries ---- */
 
-static void forget_kept(struct clients *c, const struct conn *x)
+static void forget_connection(struct clients *clients, const struct conn *conn)
 {
-	for (int i = 0; i < arrlen(c->client); i++)
-		for (int k = arrlen(c->client[i].kept) - 1; k >= 0; k--)
-			if (c->client[i].kept[k].c == x)
-				arrdelswap(c->client[i].kept, k);
+	for (int i = 0; i < arrlen(clients->client); i++)
+		for (int k = arrlen(clients->client[i].connections) - 1; k >= 0; k--)
+			if (clients->client[i].connections[k].conn == conn)
+				arrdelswap(clients->client[i].connections, k);
 }
 
-static struct kept_conn *kept_of(struct client *who, const struct conn *x)
+static struct pooled_conn *pooled_conn_of(struct client *who, const struct conn *conn)
 {
-	for (int k = 0; k < arrlen(who->kept); k++)
-		if (who->kept[k].c == x)
-			return &who->kept[k];
+	for (int k = 0; k < arrlen(who->connections); k++)
+		if (who->connections[k].conn == conn)
+			return &who->connections[k];
 	return NULL;
 }
 
-static struct second *second_of(struct run *r, int64_t t)
+static struct second *second_of(struct run *run, int64_t at_ms)
 {
-	int64_t s = (t - r->traffic_at) / 1000;
+	int64_t s = (at_ms - run->traffic_started_at_ms) / 1000;
 
-	return &r->fig.sec[s < 0 ? 0 : s >= MOST_SECONDS ? MOST_SECONDS - 1 : s];
+	return &run->figures.seconds[s < 0 ? 0 : s >= MAX_SECONDS ? MAX_SECONDS - 1 : s];
 }
 
-static void attempt_free(struct attempt *a)
+static void attempt_free(struct attempt *attempt)
 {
-	for (int i = 0; i < arrlen(a->all->going); i++)
-		if (a->all->going[i] == a) {
-			arrdelswap(a->all->going, i);
+	for (int i = 0; i < arrlen(attempt->clients->in_flight); i++)
+		if (attempt->clients->in_flight[i] == attempt) {
+			arrdelswap(attempt->clients->in_flight, i);
 			break;
 		}
-	arrfree(a->text);
-	arrfree(a->event);
-	free(a);
+	arrfree(attempt->unparsed);
+	arrfree(attempt->events);
+	free(attempt);
 }
 
-static int repeatable(const struct run *r, const struct subject *s) { return r->sheet->c[s->cls].resumable; }
+static int repeatable(const struct run *run, const struct subject *subject) { return run->sheet->classes[subject->class_id].resumable; }
 
 static void later(void *ctx)
 {
-	struct subject *s = ctx;
+	struct subject *subject = ctx;
 
-	for (int i = 0; i < arrlen(s->all->waiting); i++)
-		if (s->all->waiting[i] == s) {
-			arrdelswap(s->all->waiting, i);
+	for (int i = 0; i < arrlen(subject->clients->retrying); i++)
+		if (subject->clients->retrying[i] == subject) {
+			arrdelswap(subject->clients->retrying, i);
 			break;
 		}
-	try_now(s, 1);
+	start_attempt(subject, 1);
 }
 
 /* A try is over; what now? */
-static void attempt_over(struct attempt *a, enum told how)
+static void attempt_over(struct attempt *attempt, enum told how)
 {
-	struct subject *s = a->s;
-	struct clients *c = a->all;
-	struct run *r = c->r;
-	const struct class_set *k = &r->sheet->c[s->cls];
-	int64_t now = run_ms(r), left = s->born + k->deadline - now;
-	struct told_rec t;
-	int promise = a->status == 429 || a->status == 503 || a->status == 408 || a->status == 421;
-	int final = a->status == 400 || a->status == 401 || a->status == 404 || a->status == 413 || a->status == 431;
-	int whole = how == TOLD_WHOLE && a->status >= 200 && a->status < 300, again;
-	struct kept_conn *kc = a->c ? kept_of(s->who, a->c) : NULL;
-
-	if (a->done)
+	struct subject *subject = attempt->request;
+	struct clients *clients = attempt->clients;
+	struct run *run = clients->run;
+	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
+	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
+	struct answer_record answer;
+	int promise = attempt->status == 429 || attempt->status == 503 || attempt->status == 408 || attempt->status == 421;
+	int final = attempt->status == 400 || attempt->status == 401 || attempt->status == 404 || attempt->status == 413 || attempt->status == 431;
+	int complete = how == ANSWER_COMPLETE && attempt->status >= 200 && attempt->status < 300, retry;
+	struct pooled_conn *kept_conn = attempt->conn ? pooled_conn_of(subject->client, attempt->conn) : NULL;
+
+	if (attempt->done)
 		return;
-	a->done = 1;
-	memset(&t, 0, sizeof t);
-	t.id = a->id;
-	t.seal_id = a->seal_id[0] ? a->seal_id : NULL;
-	t.status = a->status;
-	t.seal = a->seal;
-	t.own = a->own;
-	t.read = a->read;
-	t.how = how;
-	t.events = a->events;
-	t.event = a->event;
-	t.nevent = (int)arrlen(a->event);
-	judge_told(r->j, now, &t);
-	if (a->c) {
-		if (how == TOLD_WHOLE && a->keep && kc) {
-			kc->busy = 0;
-			kc->rests_from = now;
-			kc->idle_until = a->keep_s > 0 ? now + a->keep_s * 1000 - 300 : INT64_MAX;
-			conn_set(a->c, &on_answer, c); /* nothing is due: what comes now is surplus */
-			conn_set_tag(a->c, NULL);
+	attempt->done = 1;
+	memset(&answer, 0, sizeof answer);
+	answer.id = attempt->id;
+	answer.seal_id = attempt->seal_id[0] ? attempt->seal_id : NULL;
+	answer.status = attempt->status;
+	answer.seal_run = attempt->seal_run;
+	answer.is_own_answer = attempt->is_own_answer;
+	answer.was_read = attempt->was_read;
+	answer.outcome = how;
+	answer.is_stream = attempt->is_stream;
+	answer.events = attempt->events;
+	answer.event_count = (int)arrlen(attempt->events);
+	checker_record_answer(run->checker, now, &answer);
+	if (attempt->conn) {
+		if (how == ANSWER_COMPLETE && attempt->keep_alive && kept_conn) {
+			kept_conn->busy = 0;
+			kept_conn->idle_since_ms = now;
+			kept_conn->idle_until_ms = attempt->keep_alive_s > 0 ? now + attempt->keep_alive_s * 1000 - 300 : INT64_MAX;
+			conn_set_handlers(attempt->conn, &on_answer, clients); /* nothing is due: what comes now is surplus */
+			conn_set_tag(attempt->conn, NULL);
 		} else {
-			forget_kept(c, a->c);
-			conn_close(a->c, how == TOLD_GAVE_UP);
+			forget_connection(clients, attempt->conn);
+			conn_close(attempt->conn, how == ANSWER_ABANDONED);
 		}
 	}
-	if (r->verbose > 1 && !whole)
-		run_say(r, "client: try %s of %s at %s: %d, how %d, %lld ms, events %d", a->id, k->name, r->m[a->machine].name,
-			a->status, (int)how, (long long)(now - a->began), (int)arrlen(a->event));
-	if (how == TOLD_CUT || how == TOLD_BAD)
-		r->fig.cut++;
-	if (how == TOLD_NOTHING)
-		r->fig.silent++;
-	if (s->probe) {
-		attempt_free(a);
-		free(s);
+	if (run->verbose > 1 && !complete)
+		run_log(run, "client: try %s of %s at %s: %d, how %d, %lld ms, events %d", attempt->id, class->name, run->machines[attempt->machine].name,
+			attempt->status, (int)how, (long long)(now - attempt->started_at_ms), (int)arrlen(attempt->events));
+	if (how == ANSWER_CUT_OFF || how == ANSWER_GARBLED)
+		run->figures.cut_off++;
+	if (how == ANSWER_NONE)
+		run->figures.no_answer++;
+	if (subject->is_probe) {
+		attempt_free(attempt);
+		free(subject);
 		return;
 	}
-	if (arrlen(a->event))
-		s->last_event = arrlast(a->event).id;
-	again = !whole && !final && s->tries <= k->retries && left > 50 && how != TOLD_GAVE_UP && !c->closing;
-	if (how == TOLD_GAVE_UP && repeatable(r, s) && s->tries <= k->retries && left > 50 && !c->closing)
-		again = 1;
-	if (promise && how == TOLD_WHOLE && !s->refused_at) {
-		s->refused_at = 1;
-		s->refused = now - s->born;
+	if (arrlen(attempt->events))
+		subject->last_event_id = arrlast(attempt->events).id;
+	retry = !complete && !final && subject->attempts <= class->retries && remaining_ms > 50 && how != ANSWER_ABANDONED && !clients->closing;
+	if (how == ANSWER_ABANDONED && repeatable(run, subject) && subject->attempts <= class->retries && remaining_ms > 50 && !clients->closing)
+		retry = 1;
+	if (promise && how == ANSWER_COMPLETE && !subject->was_refused) {
+		subject->was_refused = 1;
+		subject->refused_after_ms = now - subject->created_at_ms;
 	}
-	if (again && !(promise && how == TOLD_WHOLE) && !repeatable(r, s) && how != TOLD_NOTHING)
-		again = 0;
-	if (again && how == TOLD_NOTHING && !repeatable(r, s) && a->sent && !a->fresh)
-		again = 0; /* it may have been read */
-	if (whole) {
-		int64_t gap_most = k->gap, first = s->first_at - s->born;
-		int timely = s->first_at && first <= k->aim && s->worst_gap <= gap_most && !s->transit_late;
-
-		r->fig.whole[s->cls]++;
-		second_of(r, s->born)->whole++;
-		r->fig.late[s->cls] += !timely;
-		r->fig.earned += !timely ? s->worth * k->late / k->worth
-				 : s->refused_at && s->refused <= k->aim / 4 && s->tries > 1
-				     ? s->worth * (1 + k->late / k->worth) / 2
-				     : s->worth;
-		hist_add(&r->fig.pause[s->cls], s->worst_gap);
-	} else if (!again) {
+	if (retry && !(promise && how == ANSWER_COMPLETE) && !repeatable(run, subject) && how != ANSWER_NONE)
+		retry = 0;
+	if (retry && how == ANSWER_NONE && !repeatable(run, subject) && attempt->sent && !attempt->is_new_connection)
+		retry = 0; /* it may have been read */
+	if (complete) {
+		int64_t gap_most = class->gap_target_ms, first = subject->first_event_at_ms - subject->created_at_ms;
+		int timely = subject->first_event_at_ms && first <= class->latency_target_ms && subject->longest_gap_ms <= gap_most && !subject->transit_late;
+
+		run->figures.completed[subject->class_id]++;
+		second_of(run, subject->created_at_ms)->completed++;
+		run->figures.late[subject->class_id] += !timely;
+		run->figures.value_earned += !timely ? subject->value * class->late_value / class->value
+				 : subject->was_refused && subject->refused_after_ms <= class->latency_target_ms / 4 && subject->attempts > 1
+				     ? subject->value * (1 + class->late_value / class->value) / 2
+				     : subject->value;
+		histogram_add(&run->figures.longest_gap_ms[subject->class_id], subject->longest_gap_ms);
+	} else if (!retry) {
 		if (promise)
-			second_of(r, s->born)->refused++, r->fig.refused++;
+			second_of(run, subject->created_at_ms)->refused++, run->figures.refused++;
 		else
-			second_of(r, s->born)->failed++;
+			second_of(run, subject->created_at_ms)->failed++;
 	}
-	if (s->navoid < 4)
-		s->avoid[s->navoid++] = a->machine;
-	if (again) {
-		double wait = promise && a->retry_after > 0 ? a->retry_after * 1000 : 20;
-
-		if (wait > (double)left / 3)
-			wait = (double)left / 3;
-		arrput(c->waiting, s);
-		loop_after(r->l, ms_us(wait), later, s);
+	if (subject->avoid_count < 4)
+		subject->avoid[subject->avoid_count++] = attempt->machine;
+	if (retry) {
+		double wait = promise && attempt->retry_after > 0 ? attempt->retry_after * 1000 : 20;
+
+		if (wait > (double)remaining_ms / 3)
+			wait = (double)remaining_ms / 3;
+		arrput(clients->retrying, subject);
+		loop_after(run->loop, ms_us(wait), later, subject);
 	} else {
-		subject_over(s);
+		finish_request(subject);
 	}
-	attempt_free(a);
+	attempt_free(attempt);
 }
 
-static void subject_over(struct subject *s) { free(s); }
+static void finish_request(struct subject *subject) { free(subject); }
 
-static void on_event(struct attempt *a, char *text)
+static void on_event(struct attempt *attempt, char *text)
 {
-	struct subject *s = a->s;
-	struct run *r = a->all->r;
-	int64_t now = run_ms(r);
-	struct event_rec e = { -1, -1 };
+	struct subject *subject = attempt->request;
+	struct run *run = attempt->clients->run;
+	int64_t now = run_ms(run);
+	struct stream_event event = { -1, -1 };
 	long long made = 0;
 
 	for (char *line = strtok(text, "\n"); line; line = strtok(NULL, "\n")) {
 		int k;
 
 		if (!strncmp(line, "id:", 3))
-			e.id = atoi(line + 3);
+			event.id = atoi(line + 3);
 		else if (!strncmp(line, "data:", 5))
-			sscanf(line + 5, "%d %d %lld", &e.run, &k, &made);
+			sscanf(line + 5, "%d %d %lld", &event.run_id, &k, &made);
 	}
-	arrput(a->event, e);
-	if (!s->first_at) {
-		s->first_at = now;
-		if (!s->probe) {
-			hist_add(&r->fig.first[s->cls], now - s->born);
-			hist_add(&second_of(r, s->born)->first, now - s->born);
+	arrput(attempt->events, event);
+	if (!subject->first_event_at_ms) {
+		subject->first_event_at_ms = now;
+		if (!subject->is_probe) {
+			histogram_add(&run->figures.first_event_ms[subject->class_id], now - subject->created_at_ms);
+			histogram_add(&second_of(run, subject->created_at_ms)->first_event, now - subject->created_at_ms);
 		}
-	} else if (now - s->last_at > s->worst_gap) {
-		s->worst_gap = now - s->last_at;
+	} else if (now - subject->last_event_at_ms > subject->longest_gap_ms) {
+		subject->longest_gap_ms = now - subject->last_event_at_ms;
 	}
-	s->last_at = now;
+	subject->last_event_at_ms = now;
 	if (made) {
 		int64_t late = (loop_us() - made) / 1000;
 
-		hist_add(&r->fig.transit, late);
-		s->transit_late |= late > r->b.transit;
+		histogram_add(&run->figures.transit_ms, late);
+		subject->transit_late |= late > run->bounds.transit_ms;
 	}
 }
 
-static void on_head(void *ctx, struct conn *c, struct msg *m)
+static void on_head(void *ctx, struct conn *c, struct http_message *message)
 {
-	struct attempt *a = conn_tag(c);
+	struct attempt *attempt = conn_tag(c);
 	const char *v;
 
 	(void)ctx;
-	if (!a)
+	if (!attempt)
 		return;
-	a->heard = run_ms(a->all->r);
-	a->status = m->status;
-	a->keep = m->keep;
-	v = msg_get(m, "X-Notchlug-Server-Seal");
-	a->seal = v ? atoi(v) : -1;
-	a->own = !v && !msg_get(m, "X-Notchlug-Not-Executed");
-	v = msg_get(m, "X-Notchlug-Attempt-Id");
-	snprintf(a->seal_id, sizeof a->seal_id, "%s", v ? v : "");
-	v = msg_get(m, "Content-Type");
-	a->events = v && !strncmp(v, "text/event-stream", 17);
-	v = msg_get(m, "Retry-After");
-	a->retry_after = v ? atof(v) : 0;
-	v = msg_get(m, "Keep-Alive");
+	attempt->last_received_at_ms = run_ms(attempt->clients->run);
+	attempt->status = message->status;
+	attempt->keep_alive = message->keep_alive;
+	v = http_message_field(message, "X-Notchlug-Server-Seal");
+	attempt->seal_run = v ? atoi(v) : -1;
+	attempt->is_own_answer = !v && !http_message_field(message, "X-Notchlug-Not-Executed");
+	v = http_message_field(message, "X-Notchlug-Attempt-Id");
+	snprintf(attempt->seal_id, sizeof attempt->seal_id, "%s", v ? v : "");
+	v = http_message_field(message, "Content-Type");
+	attempt->is_stream = v && !strncmp(v, "text/event-stream", 17);
+	v = http_message_field(message, "Retry-After");
+	attempt->retry_after = v ? atof(v) : 0;
+	v = http_message_field(message, "Keep-Alive");
 	v = v ? strstr(v, "timeout=") : NULL;
-	a->keep_s = v ? atoi(v + 8) : 0;
+	attempt->keep_alive_s = v ? atoi(v + 8) : 0;
 }
 
-static void on_data(void *ctx, struct conn *c, const char *d, size_t n)
+static void on_data(void *ctx, struct conn *conn, const char *d, size_t n)
 {
-	struct attempt *a = conn_tag(c);
+	struct attempt *attempt = conn_tag(conn);
 
 	(void)ctx;
-	if (!a)
+	if (!attempt)
 		return;
-	a->heard = run_ms(a->all->r);
-	if (!a->events)
+	attempt->last_received_at_ms = run_ms(attempt->clients->run);
+	if (!attempt->is_stream)
 		return;
-	memcpy(arraddnptr(a->text, n), d, n);
+	memcpy(arraddnptr(attempt->unparsed, n), d, n);
 	for (;;) {
-		size_t k, len = arrlenu(a->text);
+		size_t k, len = arrlenu(attempt->unparsed);
 		char *one;
 
-		for (k = 0; k + 1 < len && !(a->text[k] == '\n' && a->text[k + 1] == '\n'); k++)
+		for (k = 0; k + 1 < len && !(attempt->unparsed[k] == '\n' && attempt->unparsed[k + 1] == '\n'); k++)
 			;
 		if (k + 1 >= len)
 			return;
-		one = strndup(a->text, k);
-		arrdeln(a->text, 0, k + 2);
-		on_event(a, one);
+		one = strndup(attempt->unparsed, k);
+		arrdeln(attempt->unparsed, 0, k + 2);
+		on_event(attempt, one);
 		free(one);
 	}
 }
 
-static void on_whole(void *ctx, struct conn *c, struct msg *m)
+static void on_whole(void *ctx, struct conn *conn, struct http_message *message)
 {
-	struct attempt *a = conn_tag(c);
+	struct attempt *attempt = conn_tag(conn);
 
 	(void)ctx;
-	if (!a)
+	if (!attempt)
 		return;
-	a->keep = m->keep;
-	if (a->all->r->verbose > 1 && a->status >= 300)
-		run_say(a->all->r, "client: %s got %d: %.200s", a->id, a->status, m->body ? m->body : "");
-	attempt_over(a, TOLD_WHOLE);
+	attempt->keep_alive = message->keep_alive;
+	if (attempt->clients->run->verbose > 1 && attempt->status >= 300)
+		run_log(attempt->clients->run, "client: %s got %d: %.200s", attempt->id, attempt->status, message->body ? message->body : "");
+	attempt_over(attempt, ANSWER_COMPLETE);
 }
 
 static void on_gone(void *ctx, struct conn *c, enum conn_end how)
 {
 	struct clients *all = ctx;
-	struct attempt *a = conn_tag(c);
+	struct attempt *attempt = conn_tag(c);
 
-	if (!a) { /* an idle one */
-		forget_kept(all, c);
+	if (!attempt) { /* an idle one */
+		forget_connection(all, c);
 		if (how == CONN_SURPLUS) {
-			struct told_rec t = { .how = TOLD_STRAY };
+			struct answer_record answer = { .outcome = ANSWER_UNSOLICITED };
 
-			all->r->fig.stray++;
-			judge_told(all->r->j, run_ms(all->r), &t);
+			all->run->figures.unsolicited++;
+			checker_record_answer(all->run->checker, run_ms(all->run), &answer);
 		}
 		return;
 	}
-	forget_kept(all, c);
-	a->c = NULL;
-	attempt_over(a, how == CONN_BAD ? TOLD_BAD : a->status || how == CONN_CLOSED ? TOLD_CUT : TOLD_NOTHING);
+	forget_connection(all, c);
+	attempt->conn = NULL;
+	attempt_over(attempt, how == CONN_BAD ? ANSWER_GARBLED : attempt->status || how == CONN_CLOSED ? ANSWER_CUT_OFF : ANSWER_NONE);
 }
 
-static const struct conn_on on_answer = { .head = on_head, .data = on_data, .whole = on_whole, .gone = on_gone };
+static const struct conn_handlers on_answer = { .head = on_head, .data = on_data, .complete = on_whole, .closed = on_gone };
 
 /* How long a connection may have rested that is taken up again: four fifths of IdleTimeoutMs, where that is known. */
-static int64_t rest_most(const struct run *r)
+static int64_t max_idle_ms(const struct run *run)
 {
-	int idle = r->op ? operator_idle_timeout(r->op) : 0;
+	int idle = run->operator ? operator_idle_timeout(run->operator) : 0;
 
-	return idle ? idle * 4 / 5 : REST_MS;
+	return idle ? idle * 4 / 5 : DEFAULT_IDLE_MS;
 }
 
-static void try_now(struct subject *s, int fresh)
+static void start_attempt(struct subject *subject, int fresh)
 {
-	struct clients *c = s->all;
-	struct run *r = c->r;
-	const struct class_set *k = &r->sheet->c[s->cls];
-	struct attempt *a;
-	struct try_rec t;
-	int64_t now = run_ms(r), left = s->born + k->deadline - now;
-	struct kept_conn *kept = NULL;
-	struct conn *x;
-	char head[1400], taken[60] = "";
-	int machine = s->probe ? s->avoid[0] : pick_edge(c, s->who, s), chunked = (s->out & 7) == 0;
-	size_t n = strlen(s->body);
-
-	if (left <= 0 || machine == NOBODY || c->closing) {
-		if (!s->probe)
-			second_of(r, s->born)->failed++;
-		subject_over(s);
+	struct clients *clients = subject->clients;
+	struct run *run = clients->run;
+	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
+	struct attempt *attempt;
+	struct attempt_record t;
+	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
+	struct pooled_conn *pooled = NULL;
+	struct conn *conn;
+	char head[1400], resume_field[60] = "";
+	int machine = subject->is_probe ? subject->avoid[0] : pick_edge(clients, subject->client, subject), chunked = (subject->output_tokens & 7) == 0;
+	size_t n = strlen(subject->body);
+
+	if (remaining_ms <= 0 || machine == NO_MACHINE || clients->closing) {
+		if (!subject->is_probe)
+			second_of(run, subject->created_at_ms)->failed++;
+		finish_request(subject);
 		return;
 	}
-	a = calloc(1, sizeof *a);
-	a->s = s;
-	a->all = c;
-	a->seal = -1;
-	a->own = 1;
-	a->began = a->heard = now;
-	a->until = s->born + k->deadline;
-	a->machine = machine;
-	snprintf(a->id, sizeof a->id, "%016llx", (unsigned long long)stand_hash(r->seed, &(uint64_t){ ++c->ids }, 8));
-	for (int i = arrlen(s->who->kept) - 1; i >= 0 && !fresh; i--) { /* connections stay with their nodes */
-		struct kept_conn *old = &s->who->kept[i];
+	attempt = calloc(1, sizeof *attempt);
+	attempt->request = subject;
+	attempt->clients = clients;
+	attempt->seal_run = -1;
+	attempt->is_own_answer = 1;
+	attempt->started_at_ms = attempt->last_received_at_ms = now;
+	attempt->deadline_at_ms = subject->created_at_ms + class->deadline_ms;
+	attempt->machine = machine;
+	snprintf(attempt->id, sizeof attempt->id, "%016llx", (unsigned long long)emulator_hash(run->seed, &(uint64_t){ ++clients->last_id }, 8));
+	for (int i = arrlen(subject->client->connections) - 1; i >= 0 && !fresh; i--) { /* connections stay with their nodes */
+		struct pooled_conn *old = &subject->client->connections[i];
 
 		if (old->busy)
 			continue;
-		if (now > old->idle_until || now > old->rests_from + rest_most(r)) {
-			conn_set_tag(old->c, NULL);
-			conn_close(old->c, 0);
-			arrdelswap(s->who->kept, i);
+		if (now > old->idle_until_ms || now > old->idle_since_ms + max_idle_ms(run)) {
+			conn_set_tag(old->conn, NULL);
+			conn_close(old->conn, 0);
+			arrdelswap(subject->client->connections, i);
 		}
 	}
-	for (int i = 0; i < arrlen(s->who->kept) && !fresh && !kept; i++)
-		if (!s->who->kept[i].busy)
-			kept = &s->who->kept[i];
-	if (kept) {
-		kept->busy = 1;
-		a->c = kept->c;
-		a->machine = kept->machine;
-		r->fig.leaving += r->m[a->machine].leaving;
-		conn_set(a->c, &on_answer, c);
+	for (int i = 0; i < arrlen(subject->client->connections) && !fresh && !pooled; i++)
+		if (!subject->client->connections[i].busy)
+			pooled = &subject->client->connections[i];
+	if (pooled) {
+		pooled->busy = 1;
+		attempt->conn = pooled->conn;
+		attempt->machine = pooled->machine;
+		run->figures.draining_reuses += run->machines[attempt->machine].draining;
+		conn_set_handlers(attempt->conn, &on_answer, clients);
 	} else {
-		a->fresh = 1;
-		a->c = conn_call(r->l, r->m[machine].front, &on_answer, c);
-		if (a->c) {
-			struct kept_conn made = { a->c, machine, 1, 0, 0 };
+		attempt->is_new_connection = 1;
+		attempt->conn = conn_connect(run->loop, run->machines[machine].front_address, &on_answer, clients);
+		if (attempt->conn) {
+			struct pooled_conn made = { attempt->conn, machine, 1, 0, 0 };
 
-			arrput(s->who->kept, made);
+			arrput(subject->client->connections, made);
 		}
 	}
-	s->tries++;
-	r->fig.tries++;
-	a->resumed_from = s->last_event;
+	subject->attempts++;
+	run->figures.attempts++;
+	attempt->resumed_from = subject->last_event_id;
 	memset(&t, 0, sizeof t);
-	t.id = a->id;
-	t.subject = s->path;
+	t.id = attempt->id;
+	t.subject = subject->path;
 	t.method = "POST";
-	t.host = s->host;
-	t.path = s->path;
-	t.key = s->key;
-	t.body = stand_hash(0, s->body, n);
-	t.edge = a->machine;
-	t.kind = k->resumable ? TRY_RESUMABLE : TRY_ONCE;
-	t.last_event = s->last_event;
-	t.probe = s->probe;
-	t.stream = 1;
-	t.deadline = left;
-	t.cls = s->cls;
-	judge_try(r->j, now, &t);
-	arrput(c->going, a);
-	if (!a->c) {
-		attempt_over(a, TOLD_NOTHING);
+	t.host = subject->host;
+	t.path = subject->path;
+	t.key = subject->key;
+	t.body = emulator_hash(0, subject->body, n);
+	t.machine = attempt->machine;
+	t.kind = class->resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
+	t.last_event = subject->last_event_id;
+	t.is_probe = subject->is_probe;
+	t.expects_stream = 1;
+	t.timeout_ms = remaining_ms;
+	t.class_id = subject->class_id;
+	checker_record_attempt(run->checker, now, &t);
+	arrput(clients->in_flight, attempt);
+	if (!attempt->conn) {
+		attempt_over(attempt, ANSWER_NONE);
 		return;
 	}
-	x = a->c;
-	conn_set_tag(x, a);
-	if (s->last_event)
-		snprintf(taken, sizeof taken, "Last-Event-Id: %d\r\n", s->last_event);
+	conn = attempt->conn;
+	conn_set_tag(conn, attempt);
+	if (subject->last_event_id)
+		snprintf(resume_field, sizeof resume_field, "Last-Event-Id: %d\r\n", subject->last_event_id);
 	snprintf(
 	    head, sizeof head,
 	    "POST %s HTTP/1.1\r\nHost: %s\r\nX-Notchlug-Attempt-Id: %s\r\n%sX-Notchlug-Model-Name: %s\r\nX-Notchlug-Token-Count: %d,%d\r\n"
 	    "X-Notchlug-Prompt-Prefix: %s\r\nX-Notchlug-Deadline-Remaining: %lld\r\nX-Api-Key: %s\r\n",
-	    s->path, s->host, a->id, taken, r->sheet->model, s->prompt, s->out, s->parts, (long long)left, s->key);
-	conn_expect(x);
-	conn_say(x, head, strlen(head));
+	    subject->path, subject->host, attempt->id, resume_field, run->sheet->model, subject->prompt_tokens, subject->output_tokens, subject->blocks_header, (long long)remaining_ms, subject->key);
+	conn_expect(conn);
+	conn_write(conn, head, strlen(head));
 	if (chunked) {
-		conn_sayf(x, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", n / 2);
-		conn_say(x, s->body, n / 2);
-		conn_sayf(x, "\r\n%zx\r\n", n - n / 2);
-		conn_say(x, s->body + n / 2, n - n / 2);
-		conn_say(x, "\r\n0\r\n\r\n", 7);
+		conn_writef(conn, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", n / 2);
+		conn_write(conn, subject->body, n / 2);
+		conn_writef(conn, "\r\n%zx\r\n", n - n / 2);
+		conn_write(conn, subject->body + n / 2, n - n / 2);
+		conn_write(conn, "\r\n0\r\n\r\n", 7);
 	} else {
-		conn_sayf(x, "Content-Length: %zu\r\n\r\n", n);
-		conn_say(x, s->body, n);
+		conn_writef(conn, "Content-Length: %zu\r\n\r\n", n);
+		conn_write(conn, subject->body, n);
 	}
-	a->sent = 1;
+	attempt->sent = 1;
 }
 
 /* ---- arrivals ---- */
 
-static int spread(uint64_t *rng, int mean) /* most are smaller, some a few times as large */
+static int spread(uint64_t *rng, int average) /* most are smaller, some a few times as large */
 {
-	double x = stand_unit(rng), y = stand_unit(rng);
-	double v = mean * (0.3 + 1.0 * x * y * 2.8);
+	double x = emulator_random_unit(rng), y = emulator_random_unit(rng);
+	double v = average * (0.3 + 1.0 * x * y * 2.8);
 
 	return v < 1 ? 1 : (int)v;
 }
 
-static void want(struct clients *c, int cls)
+static void want(struct clients *clients, int cls)
 {
-	struct run *r = c->r;
-	const struct class_set *k = &r->sheet->c[cls];
-	struct subject *s = calloc(1, sizeof *s);
-	uint64_t thing = stand_rand(&r->rng) % (uint64_t)k->things, seed;
+	struct run *run = clients->run;
+	const struct traffic_class *class = &run->sheet->classes[cls];
+	struct subject *subject = calloc(1, sizeof *subject);
+	uint64_t thing = emulator_random(&run->rng) % (uint64_t)class->topic_count, seed;
 	int own, shared;
 	size_t n;
 
-	s->all = c;
-	s->cls = cls;
-	s->born = run_ms(r);
-	s->who = &c->client[stand_rand(&r->rng) % arrlenu(c->client)];
+	subject->clients = clients;
+	subject->class_id = cls;
+	subject->created_at_ms = run_ms(run);
+	subject->client = &clients->client[emulator_random(&run->rng) % arrlenu(clients->client)];
 	seed = thing * 31 + (uint64_t)cls;
-	shared = spread(&seed, k->shared);
-	own = spread(&r->rng, k->own);
-	s->out = spread(&r->rng, k->out);
-	if (c->long_every && c->asked % c->long_every == 0)
-		s->out *= TIMES_AS_LONG;
-	s->prompt = shared + own;
-	snprintf(s->key, sizeof s->key, "%s", c->keys[s->who->tenant]);
-	snprintf(s->host, sizeof s->host, "%s", r->sheet->host);
-	if (c->extra && stand_rand(&r->rng) % 3 == 0)
-		snprintf(s->path, sizeof s->path, "/big%d/%llx", (int)(stand_rand(&r->rng) % (uint64_t)c->extra),
-			 (unsigned long long)(stand_rand(&r->rng) & 0xffff));
+	shared = spread(&seed, class->shared_tokens);
+	own = spread(&run->rng, class->own_tokens);
+	subject->output_tokens = spread(&run->rng, class->output_tokens);
+	if (clients->long_every && clients->requests % clients->long_every == 0)
+		subject->output_tokens *= TIMES_AS_LONG;
+	subject->prompt_tokens = shared + own;
+	snprintf(subject->key, sizeof subject->key, "%s", clients->keys[subject->client->tenant]);
+	snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
+	if (clients->extra_routes && emulator_random(&run->rng) % 3 == 0)
+		snprintf(subject->path, sizeof subject->path, "/big%d/%llx", (int)(emulator_random(&run->rng) % (uint64_t)clients->extra_routes),
+			 (unsigned long long)(emulator_random(&run->rng) & 0xffff));
 	else
-		snprintf(s->path, sizeof s->path, "%s%llx", k->prefix, (unsigned long long)(stand_rand(&r->rng) & 0xffff));
-	snprintf(s->parts, sizeof s->parts, "%08llx:%d,%08llx:%d,%08llx:%d",
-		 (unsigned long long)(stand_hash(1, &cls, sizeof cls) & 0xffffffff), shared / 4 + 1,
-		 (unsigned long long)(stand_hash(2, &seed, 8) & 0xffffffff), shared - shared / 4,
-		 (unsigned long long)(stand_rand(&r->rng) & 0xffffffff), own);
-	s->prompt = shared + 1 + own;
-	n = 80 + stand_rand(&r->rng) % 400;
+		snprintf(subject->path, sizeof subject->path, "%s%llx", class->prefix, (unsigned long long)(emulator_random(&run->rng) & 0xffff));
+	snprintf(subject->blocks_header, sizeof subject->blocks_header, "%08llx:%d,%08llx:%d,%08llx:%d",
+		 (unsigned long long)(emulator_hash(1, &cls, sizeof cls) & 0xffffffff), shared / 4 + 1,
+		 (unsigned long long)(emulator_hash(2, &seed, 8) & 0xffffffff), shared - shared / 4,
+		 (unsigned long long)(emulator_random(&run->rng) & 0xffffffff), own);
+	subject->prompt_tokens = shared + 1 + own;
+	n = 80 + emulator_random(&run->rng) % 400;
 	for (size_t i = 0; i < n; i++)
-		s->body[i] = (char)('a' + stand_rand(&r->rng) % 26);
-	s->size = (s->prompt + 10.0 * s->out) / (k->shared + k->own + 10.0 * k->out);
-	s->worth = k->worth * (0.3 + 0.7 * s->size);
-	if (s->worth > 4 * k->worth)
-		s->worth = 4 * k->worth;
-	r->fig.owed += s->worth;
-	r->fig.asked[cls]++;
-	c->asked++;
-	second_of(r, s->born)->asked++;
-	try_now(s, 0);
+		subject->body[i] = (char)('a' + emulator_random(&run->rng) % 26);
+	subject->size = (subject->prompt_tokens + 10.0 * subject->output_tokens) / (class->shared_tokens + class->own_tokens + 10.0 * class->output_tokens);
+	subject->value = class->value * (0.3 + 0.7 * subject->size);
+	if (subject->value > 4 * class->value)
+		subject->value = 4 * class->value;
+	run->figures.value_offered += subject->value;
+	run->figures.requests[cls]++;
+	clients->requests++;
+	second_of(run, subject->created_at_ms)->requests++;
+	start_attempt(subject, 0);
 }
 
 /* Straight to each edge, on what came or went lately or never was: which configuration is in force there? */
 static void probe_all(void *ctx)
 {
-	struct clients *c = ctx;
-	struct run *r = c->r;
+	struct clients *clients = ctx;
+	struct run *run = clients->run;
 
-	c->probes_timer = loop_after(r->l, ms_us(500), probe_all, c);
-	if (!c->probing || c->closing)
+	clients->probes_timer = loop_after(run->loop, ms_us(500), probe_all, clients);
+	if (!clients->probing || clients->closing)
 		return;
-	for (int i = 0; i < r->nm; i++) {
-		const char *at = stand_rand(&r->rng) % 2 ? operator_added(r->op) : operator_removed(r->op), *key;
-		struct subject *s;
+	for (int i = 0; i < run->machine_count; i++) {
+		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->operator) : operator_removed(run->operator), *key;
+		struct subject *subject;
 
-		if (r->m[i].core || r->m[i].gone || !r->m[i].in)
+		if (run->machines[i].is_core || run->machines[i].removed || !run->machines[i].in_rotation)
 			continue;
-		s = calloc(1, sizeof *s);
-		s->all = c;
-		s->cls = 2;
-		s->born = run_ms(r);
-		s->who = &c->client[0];
-		s->probe = 1;
-		s->avoid[0] = i;
-		s->prompt = 40;
-		s->out = c->long_every ? LONG_PROBE : 1;
-		key = stand_rand(&r->rng) % 2 ? operator_second_key(r->op) : NULL;
-		snprintf(s->key, sizeof s->key, "%s", key ? key : c->keys[0]);
-		snprintf(s->host, sizeof s->host, "%s", r->sheet->host);
-		snprintf(s->path, sizeof s->path, "%s%s", at ? at : "/never/", "p");
-		snprintf(s->parts, sizeof s->parts, "%08llx:40", (unsigned long long)(stand_rand(&r->rng) & 0xffffffff));
-		snprintf(s->body, sizeof s->body, "probe");
-		r->fig.probes++;
-		try_now(s, 1);
+		subject = calloc(1, sizeof *subject);
+		subject->clients = clients;
+		subject->class_id = 2;
+		subject->created_at_ms = run_ms(run);
+		subject->client = &clients->client[0];
+		subject->is_probe = 1;
+		subject->avoid[0] = i;
+		subject->prompt_tokens = 40;
+		subject->output_tokens = clients->long_every ? LONG_PROBE : 1;
+		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->operator) : NULL;
+		snprintf(subject->key, sizeof subject->key, "%s", key ? key : clients->keys[0]);
+		snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
+		snprintf(subject->path, sizeof subject->path, "%s%s", at ? at : "/never/", "p");
+		snprintf(subject->blocks_header, sizeof subject->blocks_header, "%08llx:40", (unsigned long long)(emulator_random(&run->rng) & 0xffffffff));
+		snprintf(subject->body, sizeof subject->body, "probe");
+		run->figures.probes++;
+		start_attempt(subject, 1);
 	}
 }
 
 static void look(void *ctx)
 {
 	struct clients *c = ctx;
-	struct run *r = c->r;
-	int64_t now = run_ms(r), span = now - c->last;
-
-	c->last = now;
-	c->look = loop_after(r->l, ms_us(5), look, c);
-	for (int i = 0; i < CLASSES && c->on; i++) {
-		c->due[i] += r->sheet->c[i].per_s * r->rate * (double)span / 1000;
-		while (c->due[i] > 0) {
-			c->due[i] += log(1 - stand_unit(&r->rng)); /* exponential gaps */
+	struct run *r = c->run;
+	int64_t now = run_ms(r), span = now - c->last_poll_at_ms;
+
+	c->last_poll_at_ms = now;
+	c->poll_timer = loop_after(r->loop, ms_us(5), look, c);
+	for (int i = 0; i < CLASS_COUNT && c->traffic_on; i++) {
+		c->arrival_credit[i] += r->sheet->classes[i].requests_per_second * r->rate * (double)span / 1000;
+		while (c->arrival_credit[i] > 0) {
+			c->arrival_credit[i] += log(1 - emulator_random_unit(&r->rng)); /* exponential gaps */
 			want(c, i);
 		}
 	}
-	for (int i = arrlen(c->going) - 1; i >= 0; i--) {
-		struct attempt *a = c->going[i];
-		const struct class_set *k = &r->sheet->c[a->s->cls];
+	for (int i = arrlen(c->in_flight) - 1; i >= 0; i--) {
+		struct attempt *attempt = c->in_flight[i];
+		const struct traffic_class *k = &r->sheet->classes[attempt->request->class_id];
 		int64_t silence = 2000;
 
-		if (a->c && !a->read)
-			a->read = conn_read_by_peer(a->c);
-		if (4 * k->aim > silence)
-			silence = 4 * k->aim;
-		if (8 * k->gap > silence)
-			silence = 8 * k->gap;
-		if (now >= a->until || now - a->heard > silence) {
-			r->fig.gave_up++;
-			attempt_over(a, TOLD_GAVE_UP);
-		} else if (a->c && !conn_up(a->c) && now - a->began > 1000) {
-			struct conn *x = a->c;
-
-			forget_kept(c, x);
+		if (attempt->conn && !attempt->was_read)
+			attempt->was_read = conn_read_by_peer(attempt->conn);
+		if (4 * k->latency_target_ms > silence)
+			silence = 4 * k->latency_target_ms;
+		if (8 * k->gap_target_ms > silence)
+			silence = 8 * k->gap_target_ms;
+		if (now >= attempt->deadline_at_ms || now - attempt->last_received_at_ms > silence) {
+			r->figures.abandoned++;
+			attempt_over(attempt, ANSWER_ABANDONED);
+		} else if (attempt->conn && !conn_is_up(attempt->conn) && now - attempt->started_at_ms > 1000) {
+			struct conn *x = attempt->conn;
+
+			forget_connection(c, x);
 			conn_set_tag(x, NULL);
 			conn_close(x, 1);
-			a->c = NULL;
-			attempt_over(a, TOLD_NOTHING);
+			attempt->conn = NULL;
+			attempt_over(attempt, ANSWER_NONE);
 		}
-		if (i > arrlen(c->going))
-			i = (int)arrlen(c->going);
+		if (i > arrlen(c->in_flight))
+			i = (int)arrlen(c->in_flight);
 	}
 }
 
-struct clients *clients_open(struct run *r)
+struct clients *clients_open(struct run *run)
 {
-	struct clients *c = calloc(1, sizeof *c);
+	struct clients *clients = calloc(1, sizeof *clients);
 
-	c->r = r;
-	for (int i = 0; i < r->sheet->tenants; i++)
-		snprintf(c->keys[i], sizeof c->keys[i], "key%02d-0-abcdefgh", i);
+	clients->run = run;
+	for (int i = 0; i < run->sheet->tenants; i++)
+		snprintf(clients->keys[i], sizeof clients->keys[i], "key%02d-0-abcdefgh", i);
 	for (int i = 0; i < 48; i++) {
-		struct client x;
+		struct client client;
 
-		memset(&x, 0, sizeof x);
-		x.zone = i % 4;
-		x.tenant = i % 3 ? i % r->sheet->tenants : i % 2; /* a few tenants are large */
-		x.hash = stand_hash(r->seed, &i, sizeof i) >> 7;
-		arrput(c->client, x);
+		memset(&client, 0, sizeof client);
+		client.zone = i % 4;
+		client.tenant = i % 3 ? i % run->sheet->tenants : i % 2; /* a few tenants are large */
+		client.hash = emulator_hash(run->seed, &i, sizeof i) >> 7;
+		arrput(clients->client, client);
 	}
-	r->fig.sec = calloc(MOST_SECONDS, sizeof *r->fig.sec);
-	c->last = run_ms(r);
-	look(c);
-	ask_ready(c);
-	probe_all(c);
-	return c;
+	run->figures.seconds = calloc(MAX_SECONDS, sizeof *run->figures.seconds);
+	clients->last_poll_at_ms = run_ms(run);
+	look(clients);
+	poll_readiness(clients);
+	probe_all(clients);
+	return clients;
 }
 
-void clients_traffic(struct clients *c, int on)
+void clients_traffic(struct clients *clients, int on)
 {
-	c->on = on;
-	c->last = run_ms(c->r);
+	clients->traffic_on = on;
+	clients->last_poll_at_ms = run_ms(clients->run);
 }
 
-int clients_busy(const struct clients *c) { return (int)arrlen(c->going) + (int)arrlen(c->waiting); }
-void clients_extra(struct clients *c, int routes) { c->extra = routes; }
-void clients_long(struct clients *c, int every) { c->long_every = every; }
-void clients_probe(struct clients *c, int on) { c->probing = on; }
-void clients_keys(struct clients *c, int tenant, const char *key) { snprintf(c->keys[tenant], sizeof c->keys[tenant], "%s", key); }
+int clients_busy(const struct clients *clients) { return (int)arrlen(clients->in_flight) + (int)arrlen(clients->retrying); }
+void clients_extra(struct clients *clients, int routes) { clients->extra_routes = routes; }
+void clients_long(struct clients *clients, int every) { clients->long_every = every; }
+void clients_probe(struct clients *clients, int on) { clients->probing = on; }
+void clients_keys(struct clients *clients, int tenant, const char *key) { snprintf(clients->keys[tenant], sizeof clients->keys[tenant], "%s", key); }
 
-void clients_close(struct clients *c)
+void clients_close(struct clients *clients)
 {
-	struct run *r = c->r;
-
-	c->on = 0;
-	c->closing = 1;
-	while (arrlen(c->going))
-		attempt_over(c->going[0], TOLD_GAVE_UP);
-	loop_drop(r->l, c->look);
-	loop_drop(r->l, c->probes_timer);
-	loop_drop(r->l, c->ready_timer);
-	for (int turns = 0; turns < 300 && arrlen(c->waiting); turns++)
-		loop_until(r->l, ms_us(10), NULL, NULL);
-	for (int i = 0; i < arrlen(c->client); i++) {
-		for (int k = 0; k < arrlen(c->client[i].kept); k++) {
-			conn_set_tag(c->client[i].kept[k].c, NULL);
-			conn_close(c->client[i].kept[k].c, 0);
+	struct run *run = clients->run;
+
+	clients->traffic_on = 0;
+	clients->closing = 1;
+	while (arrlen(clients->in_flight))
+		attempt_over(clients->in_flight[0], ANSWER_ABANDONED);
+	loop_cancel(run->loop, clients->poll_timer);
+	loop_cancel(run->loop, clients->probes_timer);
+	loop_cancel(run->loop, clients->ready_timer);
+	for (int turns = 0; turns < 300 && arrlen(clients->retrying); turns++)
+		loop_until(run->loop, ms_us(10), NULL, NULL);
+	for (int i = 0; i < arrlen(clients->client); i++) {
+		for (int k = 0; k < arrlen(clients->client[i].connections); k++) {
+			conn_set_tag(clients->client[i].connections[k].conn, NULL);
+			conn_close(clients->client[i].connections[k].conn, 0);
 		}
-		arrfree(c->client[i].kept);
+		arrfree(clients->client[i].connections);
 	}
-	loop_until(r->l, ms_us(1000), NULL, NULL); /* readiness probes under way */
-	arrfree(c->client);
-	arrfree(c->going);
-	arrfree(c->waiting);
-	free(c);
+	loop_until(run->loop, ms_us(1000), NULL, NULL); /* readiness probes under way */
+	arrfree(clients->client);
+	arrfree(clients->in_flight);
+	arrfree(clients->retrying);
+	free(clients);
 }
--- a/rehearsal/stand_disk.c
+++ b/rehearsal/stand_disk.c
@@ -15,34 +15,34 @@
 
 struct disk_watch {
 	pthread_t thread;
-	int fd, stalls;
+	int fd, stall_count;
 	int (*sync)(int fd);
-	int64_t start_us, longest_ms, most_ms;
-	struct disk_stall stall[MOST_DISK_STALLS];
+	int64_t start_us, stall_min_ms, max_ms;
+	struct disk_stall stalls[MAX_DISK_STALLS];
 	atomic_int stop;
 };
 
-static int64_t ms_since(const struct disk_watch *w) { return (loop_us() - w->start_us) / 1000; }
+static int64_t ms_since(const struct disk_watch *watcher) { return (loop_us() - watcher->start_us) / 1000; }
 
 static void note(struct disk_watch *w, int64_t from, int64_t to)
 {
-	if (to - from > w->most_ms)
-		w->most_ms = to - from;
-	if (to - from > w->longest_ms && w->stalls < MOST_DISK_STALLS) /* what isn't noted excuses nothing */
-		w->stall[w->stalls++] = (struct disk_stall){ from, to };
+	if (to - from > w->max_ms)
+		w->max_ms = to - from;
+	if (to - from > w->stall_min_ms && w->stall_count < MAX_DISK_STALLS) /* what isn't noted excuses nothing */
+		w->stalls[w->stall_count++] = (struct disk_stall){ from, to };
 }
 
 static void *watch(void *arg)
 {
-	struct disk_watch *w = arg;
+	struct disk_watch *watcher = arg;
 	char record[RECORD_BYTES];
 
 	memset(record, 'r', sizeof record);
-	while (!w->stop) {
-		int64_t from = ms_since(w);
+	while (!watcher->stop) {
+		int64_t from = ms_since(watcher);
 
-		if (pwrite(w->fd, record, sizeof record, 0) == (ssize_t)sizeof record && !w->sync(w->fd))
-			note(w, from, ms_since(w)); /* a refusal is no delay */
+		if (pwrite(watcher->fd, record, sizeof record, 0) == (ssize_t)sizeof record && !watcher->sync(watcher->fd))
+			note(watcher, from, ms_since(watcher)); /* a refusal is no delay */
 		usleep(PAUSE_US);
 	}
 	return NULL;
@@ -50,44 +50,44 @@
 
 struct disk_watch *disk_watch_open(const char *folder, int64_t start_us, int64_t longest_ms, int (*sync)(int fd))
 {
-	struct disk_watch *w = calloc(1, sizeof *w);
+	struct disk_watch *watcher = calloc(1, sizeof *watcher);
 	char path[700];
 
 	snprintf(path, sizeof path, "%s/disk-watch", folder);
-	w->fd = open(path, O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
-	w->sync = sync;
-	w->start_us = start_us;
-	w->longest_ms = longest_ms;
-	if (w->fd < 0 || pthread_create(&w->thread, NULL, watch, w)) {
-		if (w->fd >= 0)
-			close(w->fd);
-		free(w);
+	watcher->fd = open(path, O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
+	watcher->sync = sync;
+	watcher->start_us = start_us;
+	watcher->stall_min_ms = longest_ms;
+	if (watcher->fd < 0 || pthread_create(&watcher->thread, NULL, watch, watcher)) {
+		if (watcher->fd >= 0)
+			close(watcher->fd);
+		free(watcher);
 		return NULL;
 	}
-	return w;
+	return watcher;
 }
 
-int disk_watch_close(struct disk_watch *w, struct disk_stall *stalls, int most, int64_t *most_ms)
+int disk_watch_close(struct disk_watch *watcher, struct disk_stall *stalls, int most, int64_t *most_ms)
 {
 	int n;
 
 	*most_ms = 0;
-	if (!w)
+	if (!watcher)
 		return 0;
-	w->stop = 1;
-	pthread_join(w->thread, NULL); /* a sync that is under way is part of it */
-	n = w->stalls < most ? w->stalls : most;
-	memcpy(stalls, w->stall, (size_t)n * sizeof *stalls);
-	*most_ms = w->most_ms;
-	close(w->fd);
-	free(w);
+	watcher->stop = 1;
+	pthread_join(watcher->thread, NULL); /* a sync that is under way is part of it */
+	n = watcher->stall_count < most ? watcher->stall_count : most;
+	memcpy(stalls, watcher->stalls, (size_t)n * sizeof *stalls);
+	*most_ms = watcher->max_ms;
+	close(watcher->fd);
+	free(watcher);
 	return n;
 }
 
-int disk_explains(const struct disk_stall *stalls, int n, int64_t t, int64_t reach)
+int disk_explains(const struct disk_stall *stalls, int n, int64_t at_ms, int64_t reach)
 {
 	for (int i = 0; i < n; i++)
-		if (stalls[i].from <= t && stalls[i].to >= t - reach)
+		if (stalls[i].from <= at_ms && stalls[i].to >= at_ms - reach)
 			return 1;
 	return 0;
 }
--- a/rehearsal/stand_histogram.c
+++ b/rehearsal/stand_histogram.c
@@ -1,36 +1,36 @@
 /* A histogram of durations with buckets that widen: counts in, quantiles out. */
 #include "stand.h"
 
-static int bucket(int64_t v)
+static int bucket(int64_t value)
 {
 	int shift = 0;
 
-	if (v < 0)
-		v = 0;
-	while (v >> shift >= 128)
+	if (value < 0)
+		value = 0;
+	while (value >> shift >= 128)
 		shift++;
-	return (shift ? 64 * shift : 0) + (int)(v >> shift);
+	return (shift ? 64 * shift : 0) + (int)(value >> shift);
 }
 
-void hist_add(struct hist *h, int64_t v)
+void histogram_add(struct histogram *histogram, int64_t value)
 {
-	int k = bucket(v), most = (int)(sizeof h->n / sizeof *h->n) - 1;
+	int k = bucket(value), most = (int)(sizeof histogram->counts / sizeof *histogram->counts) - 1;
 
-	h->n[k < most ? k : most]++;
-	h->count++;
+	histogram->counts[k < most ? k : most]++;
+	histogram->count++;
 }
 
-int64_t hist_at(const struct hist *h, double q)
+int64_t histogram_quantile(const struct histogram *histogram, double quantile)
 {
-	uint64_t want = (uint64_t)(q * (double)h->count + 0.999999), sum = 0;
+	uint64_t target_count = (uint64_t)(quantile * (double)histogram->count + 0.999999), sum = 0;
 
-	if (!h->count)
+	if (!histogram->count)
 		return -1;
-	if (!want)
-		want = 1;
-	for (int i = 0; i < (int)(sizeof h->n / sizeof *h->n); i++) {
-		sum += h->n[i];
-		if (sum >= want)
+	if (!target_count)
+		target_count = 1;
+	for (int i = 0; i < (int)(sizeof histogram->counts / sizeof *histogram->counts); i++) {
+		sum += histogram->counts[i];
+		if (sum >= target_count)
 			return i < 128 ? i : (int64_t)(64 + i % 64) << (i / 64 - 1);
 	}
 	return -1;
