--- a/rehearsal/stand_operator.c
+++ b/rehearsal/stand_operator.c
@@ -7,7 +7,7 @@
 
 enum {
 	LOST_AFTER_MS = 30, /* a connection whose answer is lost is closed by then */
-	MOST_LOST = 3       /* answers to one naming: what is acknowledged can still be so within AckMs */
+	MAX_LOST = 3       /* answers to one naming: what is acknowledged can still be so within AckMs */
 };
 
 struct want {
@@ -15,229 +15,229 @@
 	int modify;
 };
 enum what { SENDS_CONFIG, SENDS_WEIGHTS, READS };
-struct sending {
-	struct operator* o;
+struct submission {
+	struct operator* operator;
 	enum what what;
-	int cfg, hops, tries, others, unclear, alone, weights, lost, losses;
-	int64_t base, version, began, read_from;
-	char *body, *path, fields[120], at[64];
-	struct json_object *full; /* what stands once it is taken; NULL: nothing valid */
+	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost, loss_count;
+	int64_t base_version, version, started_at_ms, read_from;
+	char *body, *path, fields[120], address[64];
+	struct json_object *document; /* what stands once it is taken; NULL: nothing valid */
 	char added[96], removed[96];
-	double pause;
+	double pause_ms;
 };
 
 struct operator
 {
-	struct run *r;
-	struct json_object *now; /* acknowledged */
-	int64_t version, next;
-	struct sending **going; /* stb arrays */
+	struct run *run;
+	struct json_object *current; /* acknowledged */
+	int64_t version, next_version;
+	struct submission **in_flight; /* stb arrays */
 	struct want *queue;
-	int acked, keys, routes, weights_acked, read_done, closed;
+	int acked_count, keys, routes, weights_acked, read_done, closed;
 	char added[96], removed[96];
 	int splits;
-	uint64_t rng, turn; /* what it changes; which of the planned changes comes next */
-	double lose;        /* the share of answers to namings that are lost on their way */
+	uint64_t rng, change_index; /* what it changes; which of the planned changes comes next */
+	double loss_ratio;        /* the share of answers to namings that are lost on their way */
 	char leader[64];    /* who acknowledged last */
 };
 
 static void attempt(void *ctx);
-static void next(struct operator* o);
+static void next(struct operator* operator);
 
-static struct json_object *clone(struct json_object *j)
+static struct json_object *clone(struct json_object *json)
 {
-	return json_tokener_parse(json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
+	return json_tokener_parse(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 }
 
-static struct json_object *member(struct json_object *j, const char *k)
+static struct json_object *member(struct json_object *json, const char *key)
 {
 	struct json_object *v = NULL;
 
-	json_object_object_get_ex(j, k, &v);
+	json_object_object_get_ex(json, key, &v);
 	return v;
 }
 
-static const char *name_of(struct json_object *j)
+static const char *name_of(struct json_object *json)
 {
-	struct json_object *v = member(j, "Name");
+	struct json_object *v = member(json, "Name");
 
 	return v ? json_object_get_string(v) : "";
 }
 
-static void free_sending(struct sending *s)
+static void submission_free(struct submission *s)
 {
-	json_object_put(s->full);
+	json_object_put(s->document);
 	free(s->body);
 	free(s->path);
 	free(s);
 }
 
-static const char *pick_node(struct operator* o, int other)
+static const char *pick_node(struct operator* operator, int other)
 {
-	struct run *r = o->r;
+	struct run *run = operator->run;
 	int n = 0, k;
 
-	for (int i = 0; i < r->nm; i++)
-		n += r->m[i].core && r->m[i].listed;
+	for (int i = 0; i < run->machine_count; i++)
+		n += run->machines[i].is_core && run->machines[i].is_listed;
 	if (!n)
 		return "127.0.0.1:1";
-	k = (int)(stand_rand(&r->rng) % (uint64_t)n);
+	k = (int)(emulator_random(&run->rng) % (uint64_t)n);
 	(void)other;
-	for (int i = 0; i < r->nm; i++)
-		if (r->m[i].core && r->m[i].listed && k-- == 0)
-			return r->m[i].control;
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core && run->machines[i].is_listed && k-- == 0)
+			return run->machines[i].control_address;
 	return "127.0.0.1:1";
 }
 
-static void over(struct sending *s)
+static void over(struct submission *s)
 {
-	struct operator* o = s->o;
+	struct operator* operator = s->operator;
 
-	for (int i = 0; i < arrlen(o->going); i++)
-		if (o->going[i] == s) {
-			arrdel(o->going, i);
+	for (int i = 0; i < arrlen(operator->in_flight); i++)
+		if (operator->in_flight[i] == s) {
+			arrdel(operator->in_flight, i);
 			break;
 		}
-	free_sending(s);
-	if (!o->closed)
-		next(o);
+	submission_free(s);
+	if (!operator->closed)
+		next(operator);
 }
 
-static void again_later(struct sending *s)
+static void retry_later(struct submission *s)
 {
-	s->hops = 0;
-	snprintf(s->at, sizeof s->at, "%s", pick_node(s->o, 1));
-	loop_after(s->o->r->l, ms_us(s->pause), attempt, s);
-	s->pause = s->pause < 1000 ? s->pause * 1.5 : 1000;
+	s->redirects = 0;
+	snprintf(s->address, sizeof s->address, "%s", pick_node(s->operator, 1));
+	loop_after(s->operator->run->loop, ms_us(s->pause_ms), attempt, s);
+	s->pause_ms = s->pause_ms < 1000 ? s->pause_ms * 1.5 : 1000;
 }
 
-static void answer(void *ctx, int status, const struct msg *m)
+static void answer(void *ctx, int status, const struct http_message *message)
 {
-	struct sending *s = ctx;
-	struct operator* o = s->o;
-	struct run *r = o->r;
-	const char *to = msg_get(m, "Location");
-	int64_t now = run_ms(r);
-
-	if (r->verbose)
-		run_say(r, "operator: %s %lld at %s: %d", s->path, (long long)s->version, s->at, status);
-	if (o->closed) {
+	struct submission *s = ctx;
+	struct operator* operator = s->operator;
+	struct run *run = operator->run;
+	const char *to = http_message_field(message, "Location");
+	int64_t now = run_ms(run);
+
+	if (run->verbose)
+		run_log(run, "operator: %s %lld at %s: %d", s->path, (long long)s->version, s->address, status);
+	if (operator->closed) {
 		over(s);
 		return;
 	}
-	if (s->lost) {
-		again_later(s);
+	if (s->is_lost) {
+		retry_later(s);
 		return;
 	}
-	if (status == 307 && to && s->hops < 2) {
+	if (status == 307 && to && s->redirects < 2) {
 		const char *p = strstr(to, "://");
 		size_t n;
 
 		p = p ? p + 3 : to;
 		n = strcspn(p, "/");
-		if (n && n < sizeof s->at) {
-			s->hops++;
-			memcpy(s->at, p, n);
-			s->at[n] = 0;
+		if (n && n < sizeof s->address) {
+			s->redirects++;
+			memcpy(s->address, p, n);
+			s->address[n] = 0;
 			attempt(s);
 			return;
 		}
 	}
 	if (s->what == READS) {
 		if (status == 200) {
-			char *t = strndup(m->body ? m->body : "", m->len);
+			char *t = strndup(message->body ? message->body : "", message->body_length);
 
-			judge_read(r->j, now, t);
+			checker_record_read_back(run->checker, now, t);
 			free(t);
 		}
-		if ((status == 200 && now > s->began + r->b.contact) || now > s->began + 5 * r->b.contact) {
+		if ((status == 200 && now > s->started_at_ms + run->bounds.contact_ms) || now > s->started_at_ms + 5 * run->bounds.contact_ms) {
 			if (status != 200)
-				judge_read(r->j, now, NULL);
-			o->read_done = 1;
+				checker_record_read_back(run->checker, now, NULL);
+			operator->read_done = 1;
 			over(s);
 			return;
 		}
-		s->pause = 200;
-		again_later(s);
+		s->pause_ms = 200;
+		retry_later(s);
 		return;
 	}
 	if (status >= 200 && status < 300) {
-		snprintf(o->leader, sizeof o->leader, "%s", s->at);
+		snprintf(operator->leader, sizeof operator->leader, "%s", s->address);
 		if (s->what == SENDS_WEIGHTS) {
-			judge_named(r->j, now, s->weights, 1);
-			o->weights_acked = s->weights;
-			run_say(r, "weights %d are acknowledged after %lld ms", s->weights, (long long)(now - s->began));
+			checker_record_target_version(run->checker, now, s->weights, 1);
+			operator->weights_acked = s->weights;
+			run_log(run, "weights %d are acknowledged after %lld ms", s->weights, (long long)(now - s->started_at_ms));
 		} else {
-			judge_cfg_fate(r->j, now, s->cfg, CFG_ACKED);
-			o->acked++;
-			if (r->verbose || now - s->began > 1000)
-				run_say(r, "configuration %lld is acknowledged after %lld ms", (long long)s->version,
-					(long long)(now - s->began));
-			if (s->full && s->version > o->version) {
-				json_object_put(o->now);
-				o->now = json_object_get(s->full);
-				o->version = s->version;
+			checker_record_config_outcome(run->checker, now, s->config_index, CONFIG_OUTCOME_ACKED);
+			operator->acked_count++;
+			if (run->verbose || now - s->started_at_ms > 1000)
+				run_log(run, "configuration %lld is acknowledged after %lld ms", (long long)s->version,
+					(long long)(now - s->started_at_ms));
+			if (s->document && s->version > operator->version) {
+				json_object_put(operator->current);
+				operator->current = json_object_get(s->document);
+				operator->version = s->version;
 				if (s->added[0])
-					snprintf(o->added, sizeof o->added, "%s", s->added);
+					snprintf(operator->added, sizeof operator->added, "%s", s->added);
 				if (s->removed[0])
-					snprintf(o->removed, sizeof o->removed, "%s", s->removed);
+					snprintf(operator->removed, sizeof operator->removed, "%s", s->removed);
 			}
 		}
 		over(s);
 		return;
 	}
 	if (status == 400 || status == 409 || status == 412 || status == 413 || status == 422 ||
-	    (status >= 400 && status < 500 && status != 408 && status != 429 && ++s->others >= 3)) {
+	    (status >= 400 && status < 500 && status != 408 && status != 429 && ++s->other_errors >= 3)) {
 		if (s->what == SENDS_WEIGHTS) { /* it goes on until it is taken */
-			again_later(s);
+			retry_later(s);
 			return;
 		}
-		if (!s->unclear) /* else it may have been taken, and overtaken since */
-			judge_cfg_fate(r->j, now, s->cfg, CFG_REFUSED);
-		if (s->full && !s->alone)
-			run_say(r, "configuration %lld on %lld was refused with %d: %.120s", (long long)s->version,
-				(long long)s->base, status, m && m->body ? m->body : "");
+		if (!s->is_unclear) /* else it may have been taken, and overtaken since */
+			checker_record_config_outcome(run->checker, now, s->config_index, CONFIG_OUTCOME_REFUSED);
+		if (s->document && !s->is_unqueued)
+			run_log(run, "configuration %lld on %lld was refused with %d: %.120s", (long long)s->version,
+				(long long)s->base_version, status, message && message->body ? message->body : "");
 		over(s);
 		return;
 	}
 	if (!status || status >= 500)
-		s->unclear = 1;
-	again_later(s);
+		s->is_unclear = 1;
+	retry_later(s);
 }
 
 static void attempt(void *ctx)
 {
-	struct sending *s = ctx;
+	struct submission *s = ctx;
 	int wait = 1000 + (s->body ? (int)(strlen(s->body) / 200) : 0);
 
-	if (s->o->closed) {
+	if (s->operator->closed) {
 		over(s);
 		return;
 	}
-	s->tries++;
-	s->lost = s->what == SENDS_WEIGHTS && s->losses < MOST_LOST && s->o->lose > 0 && stand_unit(&s->o->rng) < s->o->lose;
-	s->losses += s->lost;
-	if (s->lost)
-		wait = 1 + (int)(stand_rand(&s->o->rng) % LOST_AFTER_MS);
-	call_once(s->o->r->l, s->at, s->what == READS ? "GET" : "POST", s->path, s->fields, s->body, wait, answer, s);
+	s->attempts++;
+	s->is_lost = s->what == SENDS_WEIGHTS && s->loss_count < MAX_LOST && s->operator->loss_ratio > 0 && emulator_random_unit(&s->operator->rng) < s->operator->loss_ratio;
+	s->loss_count += s->is_lost;
+	if (s->is_lost)
+		wait = 1 + (int)(emulator_random(&s->operator->rng) % LOST_AFTER_MS);
+	call_once(s->operator->run->loop, s->address, s->what == READS ? "GET" : "POST", s->path, s->fields, s->body, wait, answer, s);
 }
 
-static void send_off(struct sending *s)
+static void submission_send(struct submission *s)
 {
-	struct operator* o = s->o;
+	struct operator* operator = s->operator;
 
-	s->began = run_ms(o->r);
-	s->pause = 100;
-	snprintf(s->at, sizeof s->at, "%s", pick_node(o, 0));
-	arrput(o->going, s);
+	s->started_at_ms = run_ms(operator->run);
+	s->pause_ms = 100;
+	snprintf(s->address, sizeof s->address, "%s", pick_node(operator, 0));
+	arrput(operator->in_flight, s);
 	attempt(s);
 }
 
-static struct sending *sending(struct operator* o, enum what what, const char *path, const char *body)
+static struct submission *submission(struct operator* operator, enum what what, const char *path, const char *body)
 {
-	struct sending *s = calloc(1, sizeof *s);
+	struct submission *s = calloc(1, sizeof *s);
 
-	s->o = o;
+	s->operator = operator;
 	s->what = what;
 	s->path = strdup(path);
 	s->body = body ? strdup(body) : NULL;
@@ -245,39 +245,39 @@
 }
 
 /* The whole configuration goes out, or what differs; invalid: known to be so. */
-static struct sending *config_sending(struct operator* o, struct json_object *full, const char *text, const char *path,
+static struct submission *config_submission(struct operator* operator, struct json_object *full, const char *text, const char *path,
 				      int64_t base, int invalid)
 {
-	struct sending *s = sending(o, SENDS_CONFIG, path, text);
-	struct cfg *c = full ? cfg_read(json_object_to_json_string_ext(full, JSON_C_TO_STRING_PLAIN)) : NULL;
+	struct submission *s = submission(operator, SENDS_CONFIG, path, text);
+	struct parsed_config *config = full ? parsed_config_read(json_object_to_json_string_ext(full, JSON_C_TO_STRING_PLAIN)) : NULL;
 
-	s->base = base;
-	s->version = c ? c->version : 0;
-	s->full = full && !invalid ? json_object_get(full) : NULL;
+	s->base_version = base;
+	s->version = config ? config->version : 0;
+	s->document = full && !invalid ? json_object_get(full) : NULL;
 	snprintf(s->fields, sizeof s->fields, "X-Notchlug-Base-Version: %lld\r\n", (long long)base);
-	s->cfg = judge_cfg(o->r->j, run_ms(o->r), c, base, invalid);
+	s->config_index = checker_record_config(operator->run->checker, run_ms(operator->run), config, base, invalid);
 	return s;
 }
 
 /* ---- what it wants ---- */
 
-static struct json_object *route(struct operator* o, const char *name, const char *prefix, const struct class_set *c)
+static struct json_object *route(struct operator* operator, const char *name, const char *prefix, const struct traffic_class *class)
 {
 	struct json_object *r = json_object_new_object();
 
 	json_object_object_add(r, "Name", json_object_new_string(name));
-	json_object_object_add(r, "HostName", json_object_new_string(o->r->sheet->host));
+	json_object_object_add(r, "HostName", json_object_new_string(operator->run->sheet->host));
 	json_object_object_add(r, "PathPrefix", json_object_new_string(prefix));
 	json_object_object_add(r, "RouteType", json_object_new_string("streaming"));
-	json_object_object_add(r, "TimeoutMs", json_object_new_int(c->deadline));
-	json_object_object_add(r, "TargetMs", json_object_new_int(c->aim));
-	json_object_object_add(r, "Priority", json_object_new_int(c->priority));
-	json_object_object_add(r, "ServiceName", json_object_new_string(o->r->sheet->service));
-	json_object_object_add(r, "MaxAttempts", json_object_new_int(c->attempts));
+	json_object_object_add(r, "TimeoutMs", json_object_new_int(class->deadline_ms));
+	json_object_object_add(r, "TargetMs", json_object_new_int(class->latency_target_ms));
+	json_object_object_add(r, "Priority", json_object_new_int(class->priority));
+	json_object_object_add(r, "ServiceName", json_object_new_string(operator->run->sheet->service));
+	json_object_object_add(r, "MaxAttempts", json_object_new_int(class->attempts));
 	json_object_object_add(r, "PublicAccess", json_object_new_boolean(0));
 	json_object_object_add(r, "SessionAffinity", json_object_new_boolean(1));
-	json_object_object_add(r, "Resumable", json_object_new_boolean(c->resumable));
-	json_object_object_add(r, "GapTargetMs", json_object_new_int(c->gap));
+	json_object_object_add(r, "Resumable", json_object_new_boolean(class->resumable));
+	json_object_object_add(r, "GapTargetMs", json_object_new_int(class->gap_target_ms));
 	return r;
 }
 
@@ -296,47 +296,47 @@
 	return t;
 }
 
-static struct json_object *first(struct operator* o)
+static struct json_object *first(struct operator* operator)
 {
-	struct run *r = o->r;
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array(), *s, *e, *ms, *m;
+	struct run *run = operator->run;
+	struct json_object *j = json_object_new_object(), *a = json_object_new_array(), *s, *json, *ms, *m;
 	char name[48], at[48];
 
 	json_object_object_add(j, "ConfigVersion", json_object_new_int64(3));
-	for (int i = 0; i < CLASSES; i++) {
+	for (int i = 0; i < CLASS_COUNT; i++) {
 		snprintf(name, sizeof name, "r-%d", i);
-		json_object_array_add(a, route(o, name, r->sheet->c[i].prefix, &r->sheet->c[i]));
+		json_object_array_add(a, route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
 	}
 	json_object_object_add(j, "RouteList", a);
 	a = json_object_new_array();
 	s = json_object_new_object();
-	json_object_object_add(s, "Name", json_object_new_string(r->sheet->service));
+	json_object_object_add(s, "Name", json_object_new_string(run->sheet->service));
 	json_object_object_add(s, "HealthPath", json_object_new_string("/health"));
-	json_object_object_add(s, "MaxConnections", json_object_new_int(r->f.e.max_conns));
+	json_object_object_add(s, "MaxConnections", json_object_new_int(run->fleet.engine.max_conns));
 	json_object_object_add(s, "Protocol", json_object_new_string("h1"));
 	json_object_object_add(s, "TlsMode", json_object_new_boolean(0));
-	e = json_object_new_object();
-	json_object_object_add(e, "SlotCount", json_object_new_int(r->f.e.slots));
-	json_object_object_add(e, "KvCapacity", json_object_new_int(r->f.e.kv));
-	json_object_object_add(e, "KvTokenBytes", json_object_new_int(r->f.e.kv_bytes));
-	json_object_object_add(e, "LinkMbps", json_object_new_double(r->f.e.link_mbps));
-	json_object_object_add(e, "TokenStride", json_object_new_int(r->f.e.stride));
-	json_object_object_add(e, "MaxInFlight", json_object_new_int(r->f.e.in_flight));
+	json = json_object_new_object();
+	json_object_object_add(json, "SlotCount", json_object_new_int(run->fleet.engine.slots));
+	json_object_object_add(json, "KvCapacity", json_object_new_int(run->fleet.engine.kv_capacity_tokens));
+	json_object_object_add(json, "KvTokenBytes", json_object_new_int(run->fleet.engine.kv_bytes_per_token));
+	json_object_object_add(json, "LinkMbps", json_object_new_double(run->fleet.engine.link_mbps));
+	json_object_object_add(json, "TokenStride", json_object_new_int(run->fleet.engine.token_stride));
+	json_object_object_add(json, "MaxInFlight", json_object_new_int(run->fleet.engine.in_flight));
 	ms = json_object_new_array();
 	m = json_object_new_object();
-	json_object_object_add(m, "Name", json_object_new_string(r->sheet->model));
+	json_object_object_add(m, "Name", json_object_new_string(run->sheet->model));
 	json_object_array_add(ms, m);
-	json_object_object_add(e, "Models", ms);
-	json_object_object_add(s, "EngineType", e);
+	json_object_object_add(json, "Models", ms);
+	json_object_object_add(s, "EngineType", json);
 	json_object_array_add(a, s);
 	s = json_object_new_object();
-	snprintf(at, sizeof at, "%s.250:8680", r->base);
-	json_object_object_add(s, "Name", json_object_new_string(r->sheet->store));
+	snprintf(at, sizeof at, "%s.250:8680", run->address_prefix);
+	json_object_object_add(s, "Name", json_object_new_string(run->sheet->store));
 	json_object_object_add(s, "KvStoreAddress", json_object_new_string(at));
-	json_object_object_add(s, "Zone", json_object_new_string(r->sheet->zone[1]));
+	json_object_object_add(s, "Zone", json_object_new_string(run->sheet->zone[1]));
 	json_object_object_add(s, "KvCapacity", json_object_new_int(3999450));
 	json_object_object_add(s, "LinkMbps", json_object_new_double(98000));
-	json_object_object_add(s, "MaxInFlight", json_object_new_int(r->f.e.in_flight));
+	json_object_object_add(s, "MaxInFlight", json_object_new_int(run->fleet.engine.in_flight));
 	json_object_array_add(a, s);
 	json_object_object_add(j, "ServiceList", a);
 	s = json_object_new_object();
@@ -346,28 +346,28 @@
 	json_object_object_add(s, "IdleTimeoutMs", json_object_new_int(15000));
 	json_object_object_add(j, "Limits", s);
 	a = json_object_new_array();
-	for (int i = 0; i < r->sheet->tenants; i++)
+	for (int i = 0; i < run->sheet->tenants; i++)
 		json_object_array_add(a, tenant(i));
 	json_object_object_add(j, "TenantList", a);
 	return j;
 }
 
-void operator_first(struct operator* o)
+void operator_submit_first(struct operator* operator)
 {
-	struct json_object *j = first(o);
-	struct sending *s =
-	    config_sending(o, j, json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN), "/configuration/replace", 0, 0);
+	struct json_object *json = first(operator);
+	struct submission *s =
+	    config_submission(operator, json, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN), "/configuration/replace", 0, 0);
 
-	json_object_put(j);
-	o->next = 5;
-	send_off(s);
+	json_object_put(json);
+	operator->next_version = 5;
+	submission_send(s);
 }
 
-static int64_t climb(struct operator* o)
+static int64_t next_version(struct operator* operator)
 {
-	int64_t v = (o->next > o->version ? o->next : o->version) + 1 + (int64_t)(stand_rand(&o->rng) % 3);
+	int64_t v = (operator->next_version > operator->version ? operator->next_version : operator->version) + 1 + (int64_t)(emulator_random(&operator->rng) % 3);
 
-	o->next = v;
+	operator->next_version = v;
 	return v;
 }
 
@@ -381,14 +381,14 @@
 	json_object_array_add(list, item);
 }
 
-static void put_split(struct json_object *r, const char *a, const char *b, int wa, int wb)
+static void put_split(struct json_object *json, const char *service_a, const char *service_b, int weight_a, int weight_b)
 {
 	struct json_object *list = json_object_new_array();
-	const char *name[] = { a, b };
-	int w[] = { wa, wb };
+	const char *name[] = { service_a, service_b };
+	int w[] = { weight_a, weight_b };
 
-	json_object_object_del(r, "ServiceName");
-	json_object_object_del(r, "TrafficSplit");
+	json_object_object_del(json, "ServiceName");
+	json_object_object_del(json, "TrafficSplit");
 	for (int i = 0; i < 2; i++) {
 		struct json_object *x = json_object_new_object();
 
@@ -396,34 +396,34 @@
 		json_object_object_add(x, "ShareWeight", json_object_new_int(w[i]));
 		json_object_array_add(list, x);
 	}
-	json_object_object_add(r, "TrafficSplit", list);
+	json_object_object_add(json, "TrafficSplit", list);
 }
 
 /* Changes a copy of what stands; the items touched go to up, the names removed to gone. */
-static struct json_object *changed(struct operator* o, enum change what, struct sending **out, int modify)
+static struct json_object *changed(struct operator* operator, enum change what, struct submission **out, int modify)
 {
-	struct run *r = o->r;
-	struct json_object *j = clone(o->now), *routes = member(j, "RouteList"), *tenants = member(j, "TenantList"), *x, *body, *up,
-			   *gone, *a;
+	struct run *run = operator->run;
+	struct json_object *json = clone(operator->current), *routes = member(json, "RouteList"), *tenants = member(json, "TenantList"), *x, *body, *up,
+			   *removal, *a;
 	char name[64], prefix[96], added[96] = "", removed[96] = "";
-	int i = (int)(stand_rand(&o->rng) % CLASSES);
-	struct sending *s;
+	int i = (int)(emulator_random(&operator->rng) % CLASS_COUNT);
+	struct submission *s;
 
 	body = json_object_new_object();
 	up = json_object_new_object();
-	gone = json_object_new_object();
+	removal = json_object_new_object();
 	a = json_object_new_array();
-	json_object_object_add(j, "ConfigVersion", json_object_new_int64(climb(o)));
-	json_object_object_add(body, "ConfigVersion", json_object_new_int64(o->next));
+	json_object_object_add(json, "ConfigVersion", json_object_new_int64(next_version(operator)));
+	json_object_object_add(body, "ConfigVersion", json_object_new_int64(operator->next_version));
 	switch (what) {
 	case CHANGE_SPLIT:
 	case CHANGE_MOVE:
 		x = json_object_array_get_idx(routes, (size_t)i);
 		if (what == CHANGE_SPLIT) {
-			put_split(x, r->sheet->service, r->sheet->service, 10 + o->splits++ % 80, 10);
+			put_split(x, run->sheet->service, run->sheet->service, 10 + operator->splits++ % 80, 10);
 		} else {
 			json_object_object_del(x, "TrafficSplit");
-			json_object_object_add(x, "ServiceName", json_object_new_string(r->sheet->service));
+			json_object_object_add(x, "ServiceName", json_object_new_string(run->sheet->service));
 		}
 		json_object_array_add(a, json_object_get(x));
 		json_object_object_add(up, "RouteList", a);
@@ -431,15 +431,15 @@
 	case CHANGE_TIMEOUT:
 		x = json_object_array_get_idx(routes, (size_t)i);
 		json_object_object_add(x, "TimeoutMs",
-				       json_object_new_int(r->sheet->c[i].deadline + 10 * (int)(1 + stand_rand(&o->rng) % 50)));
+				       json_object_new_int(run->sheet->classes[i].deadline_ms + 10 * (int)(1 + emulator_random(&operator->rng) % 50)));
 		json_object_array_add(a, json_object_get(x));
 		json_object_object_add(up, "RouteList", a);
 		break;
 	case CHANGE_ROUTE_ON:
-		snprintf(name, sizeof name, "r-more-%d", o->routes);
-		snprintf(prefix, sizeof prefix, "/more%d/", o->routes++);
+		snprintf(name, sizeof name, "r-more-%d", operator->routes);
+		snprintf(prefix, sizeof prefix, "/more%d/", operator->routes++);
 		snprintf(added, sizeof added, "%s", prefix);
-		x = route(o, name, prefix, &r->sheet->c[2]);
+		x = route(operator, name, prefix, &run->sheet->classes[2]);
 		json_object_array_add(a, json_object_get(x));
 		put_item(routes, x);
 		json_object_object_add(up, "RouteList", a);
@@ -454,17 +454,17 @@
 			json_object_array_del_idx(routes, k, 1);
 			break;
 		}
-		json_object_object_add(gone, "RouteList", a);
+		json_object_object_add(removal, "RouteList", a);
 		break;
 	case CHANGE_KEY_ON:
 	case CHANGE_KEY_OFF: {
 		struct json_object *keys;
 
-		i = 2 + o->keys % (r->sheet->tenants - 2);
+		i = 2 + operator->keys % (run->sheet->tenants - 2);
 		x = json_object_array_get_idx(tenants, (size_t)i);
 		keys = member(x, "AccessKeys");
 		if (what == CHANGE_KEY_ON) {
-			snprintf(name, sizeof name, "key%02d-%d-abcdefgh", i, ++o->keys);
+			snprintf(name, sizeof name, "key%02d-%d-abcdefgh", i, ++operator->keys);
 			json_object_array_add(keys, json_object_new_string(name));
 		} else if (json_object_array_length(keys) > 1) {
 			json_object_array_del_idx(keys, 0, 1);
@@ -473,8 +473,8 @@
 		json_object_object_add(up, "TenantList", a);
 		break;
 	}
-	case CHANGE_WALL:
-		i = 2 + (int)(stand_rand(&o->rng) % (uint64_t)(r->sheet->tenants - 2));
+	case CHANGE_ISOLATION:
+		i = 2 + (int)(emulator_random(&operator->rng) % (uint64_t)(run->sheet->tenants - 2));
 		x = json_object_array_get_idx(tenants, (size_t)i);
 		json_object_object_add(x, "Isolated", json_object_new_boolean(!json_object_get_boolean(member(x, "Isolated"))));
 		json_object_array_add(a, json_object_get(x));
@@ -484,7 +484,7 @@
 		for (int k = 0; k < 200; k++) {
 			snprintf(name, sizeof name, "r-big-%d", k);
 			snprintf(prefix, sizeof prefix, "/big%d/", k);
-			x = route(o, name, prefix, &r->sheet->c[2]);
+			x = route(operator, name, prefix, &run->sheet->classes[2]);
 			json_object_array_add(a, json_object_get(x));
 			put_item(routes, x);
 		}
@@ -496,86 +496,86 @@
 	case CHANGE_TENANT:
 	case CHANGE_PRIORITY:
 	case CHANGE_ATTEMPTS:
-	case CHANGE_PLACES:
-		planned_change(j, up, gone, what, o->turn++);
+	case CHANGE_MAX_CONNECTIONS:
+		planned_change(json, up, removal, what, operator->change_index++);
 		json_object_put(a);
 		break;
 	default: /* routes that nothing goes to */
-		snprintf(name, sizeof name, "r-idle-%d", o->routes);
-		snprintf(prefix, sizeof prefix, "/idle%d/", o->routes++);
-		x = route(o, name, prefix, &r->sheet->c[0]);
+		snprintf(name, sizeof name, "r-idle-%d", operator->routes);
+		snprintf(prefix, sizeof prefix, "/idle%d/", operator->routes++);
+		x = route(operator, name, prefix, &run->sheet->classes[0]);
 		json_object_array_add(a, json_object_get(x));
 		put_item(routes, x);
 		json_object_object_add(up, "RouteList", a);
 		break;
 	}
 	json_object_object_add(body, "Upsert", up);
-	json_object_object_add(body, "Remove", gone);
-	s = config_sending(o, j, json_object_to_json_string_ext(modify ? body : j, JSON_C_TO_STRING_PLAIN),
-			   modify ? "/configuration/modify" : "/configuration/replace", o->version, 0);
+	json_object_object_add(body, "Remove", removal);
+	s = config_submission(operator, json, json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
+			   modify ? "/configuration/modify" : "/configuration/replace", operator->version, 0);
 	snprintf(s->added, sizeof s->added, "%s", added);
 	snprintf(s->removed, sizeof s->removed, "%s", removed);
 	json_object_put(body);
 	*out = s;
-	return j;
+	return json;
 }
 
-static void next(struct operator* o)
+static void next(struct operator* operator)
 {
-	struct sending *s;
-	struct want w;
+	struct submission *s;
+	struct want want;
 
-	if (!arrlen(o->queue) || arrlen(o->going) || !o->now)
+	if (!arrlen(operator->queue) || arrlen(operator->in_flight) || !operator->current)
 		return;
-	w = o->queue[0];
-	arrdel(o->queue, 0);
-	json_object_put(changed(o, w.what, &s, w.modify));
-	send_off(s);
+	want = operator->queue[0];
+	arrdel(operator->queue, 0);
+	json_object_put(changed(operator, want.what, &s, want.modify));
+	submission_send(s);
 }
 
-void operator_change(struct operator* o, enum change what, int modify)
+void operator_change(struct operator* operator, enum change what, int modify)
 {
-	struct want w = { what, modify }; /* made when its turn comes, on top of what stands then */
+	struct want want = { what, modify }; /* made when its turn comes, on top of what stands then */
 
-	arrput(o->queue, w);
-	next(o);
+	arrput(operator->queue, want);
+	next(operator);
 }
 
-void operator_race(struct operator* o)
+void operator_race(struct operator* operator)
 {
-	struct sending *s[2];
+	struct submission *s[2];
 
-	if (!o->now)
+	if (!operator->current)
 		return;
 	for (int i = 0; i < 2; i++) {
-		json_object_put(changed(o, i ? CHANGE_TIMEOUT : CHANGE_ROUTE_ON, &s[i], i));
-		s[i]->alone = 1;
+		json_object_put(changed(operator, i ? CHANGE_TIMEOUT : CHANGE_ROUTE_ON, &s[i], i));
+		s[i]->is_unqueued = 1;
 	}
 	for (int i = 0; i < 2; i++)
-		send_off(s[i]);
+		submission_send(s[i]);
 }
 
-void operator_invalid(struct operator* o, enum invalid what)
+void operator_invalid(struct operator* operator, enum invalid what)
 {
-	struct json_object *j, *routes, *tenants, *x;
-	struct sending *s;
-	int64_t base = o->version;
+	struct json_object *json, *routes, *tenants, *x;
+	struct submission *s;
+	int64_t base = operator->version;
 	char *text;
 
-	if (!o->now)
+	if (!operator->current)
 		return;
-	j = clone(o->now);
-	routes = member(j, "RouteList");
-	tenants = member(j, "TenantList");
-	json_object_object_add(j, "ConfigVersion", json_object_new_int64(what == INVALID_OLD ? base : climb(o)));
+	json = clone(operator->current);
+	routes = member(json, "RouteList");
+	tenants = member(json, "TenantList");
+	json_object_object_add(json, "ConfigVersion", json_object_new_int64(what == INVALID_OLD ? base : next_version(operator)));
 	x = json_object_array_get_idx(routes, 0);
 	switch (what) {
 	case INVALID_SERVICE:
 		json_object_object_del(x, "TrafficSplit");
 		json_object_object_add(x, "ServiceName", json_object_new_string("nowhere"));
 		break;
-	case INVALID_PLACE: json_object_array_add(routes, route(o, "r-twin", o->r->sheet->c[0].prefix, &o->r->sheet->c[0])); break;
-	case INVALID_WEIGHT: put_split(x, o->r->sheet->service, o->r->sheet->service, 0, 0); break;
+	case INVALID_DUPLICATE_PREFIX: json_object_array_add(routes, route(operator, "r-twin", operator->run->sheet->classes[0].prefix, &operator->run->sheet->classes[0])); break;
+	case INVALID_WEIGHT: put_split(x, operator->run->sheet->service, operator->run->sheet->service, 0, 0); break;
 	case INVALID_TIMEOUT: json_object_object_add(x, "TimeoutMs", json_object_new_int(0)); break;
 	case INVALID_KEY:
 		json_object_array_add(
@@ -584,52 +584,52 @@
 		break;
 	default: break;
 	}
-	text = strdup(json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN));
+	text = strdup(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	if (what == INVALID_CUT)
 		text[strlen(text) / 2] = 0;
-	s = config_sending(o, what == INVALID_CUT ? NULL : j, text, "/configuration/replace", base, 1);
-	s->alone = 1;
+	s = config_submission(operator, what == INVALID_CUT ? NULL : json, text, "/configuration/replace", base, 1);
+	s->is_unqueued = 1;
 	free(text);
-	json_object_put(j);
-	send_off(s);
+	json_object_put(json);
+	submission_send(s);
 }
 
-void operator_weights(struct operator* o, int version)
+void operator_weights(struct operator* operator, int version)
 {
 	char b[200];
-	struct sending *s;
+	struct submission *s;
 
-	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}", o->r->sheet->model, version);
-	s = sending(o, SENDS_WEIGHTS, "/version-put", b);
+	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}", operator->run->sheet->model, version);
+	s = submission(operator, SENDS_WEIGHTS, "/version-put", b);
 	s->weights = version;
 	s->version = version;
-	if (version > o->r->f.newest)
-		o->r->f.newest = version;
-	judge_named(o->r->j, run_ms(o->r), version, 0);
-	send_off(s);
+	if (version > operator->run->fleet.newest_version)
+		operator->run->fleet.newest_version = version;
+	checker_record_target_version(operator->run->checker, run_ms(operator->run), version, 0);
+	submission_send(s);
 }
 
-void operator_read_back(struct operator* o) { send_off(sending(o, READS, "/configuration/retrieve", NULL)); }
+void operator_read_back(struct operator* operator) { submission_send(submission(operator, READS, "/configuration/retrieve", NULL)); }
 
-int operator_idle(const struct operator* o) { return !arrlen(o->going) && !arrlen(o->queue); }
-int operator_acked(const struct operator* o) { return o->acked; }
-void operator_lose(struct operator* o, double share) { o->lose = share; }
-const char *operator_leader(const struct operator* o) { return o->leader; }
-int operator_weights_acked(const struct operator* o) { return o->weights_acked; }
-int operator_read_done(const struct operator* o) { return o->read_done; }
-int operator_idle_timeout(const struct operator* o)
+int operator_idle(const struct operator* operator) { return !arrlen(operator->in_flight) && !arrlen(operator->queue); }
+int operator_acked(const struct operator* operator) { return operator->acked_count; }
+void operator_set_loss(struct operator* operator, double share) { operator->loss_ratio = share; }
+const char *operator_leader(const struct operator* operator) { return operator->leader; }
+int operator_weights_acked(const struct operator* operator) { return operator->weights_acked; }
+int operator_read_done(const struct operator* operator) { return operator->read_done; }
+int operator_idle_timeout(const struct operator* operator)
 {
-	struct json_object *idle = o->now ? member(member(o->now, "Limits"), "IdleTimeoutMs") : NULL;
+	struct json_object *idle = operator->current ? member(member(operator->current, "Limits"), "IdleTimeoutMs") : NULL;
 
 	return idle ? json_object_get_int(idle) : 0;
 }
 
-const char *operator_added(const struct operator* o) { return o->added[0] ? o->added : NULL; }
-const char *operator_removed(const struct operator* o) { return o->removed[0] ? o->removed : NULL; }
+const char *operator_added(const struct operator* operator) { return operator->added[0] ? operator->added : NULL; }
+const char *operator_removed(const struct operator* operator) { return operator->removed[0] ? operator->removed : NULL; }
 
-const char *operator_second_key(const struct operator* o)
+const char *operator_second_key(const struct operator* operator)
 {
-	struct json_object *tenants = o->now ? member(o->now, "TenantList") : NULL;
+	struct json_object *tenants = operator->current ? member(operator->current, "TenantList") : NULL;
 
 	for (size_t i = 0; tenants && i < json_object_array_length(tenants); i++) {
 		struct json_object *keys = member(json_object_array_get_idx(tenants, i), "AccessKeys");
@@ -640,26 +640,26 @@
 	return NULL;
 }
 
-struct operator* operator_open(struct run *r)
+struct operator* operator_open(struct run *run)
 {
-	struct operator* o = calloc(1, sizeof *o);
+	struct operator* operator = calloc(1, sizeof *operator);
 
-	o->r = r;
-	o->rng = stand_hash(r->seed, "operator", 8);
-	o->weights_acked = 1;
-	return o;
+	operator->run = run;
+	operator->rng = emulator_hash(run->seed, "operator", 8);
+	operator->weights_acked = 1;
+	return operator;
 }
 
 /* What is under way ends by itself within its second. */
-void operator_close(struct operator* o)
+void operator_close(struct operator* operator)
 {
-	int64_t until = run_ms(o->r) + 5000;
-
-	o->closed = 1;
-	while (arrlen(o->going) && run_ms(o->r) < until)
-		loop_until(o->r->l, ms_us(20), NULL, NULL);
-	arrfree(o->going);
-	arrfree(o->queue);
-	json_object_put(o->now);
-	free(o);
+	int64_t until = run_ms(operator->run) + 5000;
+
+	operator->closed = 1;
+	while (arrlen(operator->in_flight) && run_ms(operator->run) < until)
+		loop_until(operator->run->loop, ms_us(20), NULL, NULL);
+	arrfree(operator->in_flight);
+	arrfree(operator->queue);
+	json_object_put(operator->current);
+	free(operator);
 }
--- a/rehearsal/stand_planned.c
+++ b/rehearsal/stand_planned.c
@@ -31,8 +31,8 @@
 /* Machines of one kind, stopped one after another. */
 struct roll {
 	enum roll_state state;
-	int core, turn;
-	int64_t next;            /* what comes next, comes then */
+	int core, next_index;
+	int64_t next_at_ms;            /* what comes next, comes then */
 	struct machine *machine; /* the one that is stopped */
 	int64_t listed_at;       /* the list of core machines shows what is below from then on */
 	struct machine *unlisted, *newly_listed;
@@ -46,7 +46,7 @@
 	struct roll routers, core;
 };
 
-static int64_t up_to(struct day *day, int64_t most) { return (int64_t)(stand_rand(&day->rng) % (uint64_t)(most + 1)); }
+static int64_t up_to(struct day *day, int64_t most) { return (int64_t)(emulator_random(&day->rng) % (uint64_t)(most + 1)); }
 
 /* ---- configurations ---- */
 
@@ -54,27 +54,27 @@
 {
 	static const enum change changes[] = {
 		CHANGE_SPLIT,    CHANGE_TIMEOUT,   CHANGE_KEY_MORE, CHANGE_ROUTE_ON, CHANGE_PRIORITY, CHANGE_LIMITS, CHANGE_MOVE,
-		CHANGE_ATTEMPTS, CHANGE_BIG,       CHANGE_TENANT,   CHANGE_TIMEOUT,  CHANGE_SPLIT,    CHANGE_PLACES, CHANGE_WALL,
+		CHANGE_ATTEMPTS, CHANGE_BIG,       CHANGE_TENANT,   CHANGE_TIMEOUT,  CHANGE_SPLIT,    CHANGE_MAX_CONNECTIONS, CHANGE_ISOLATION,
 		CHANGE_KEY_MORE, CHANGE_ROUTE_OFF, CHANGE_BIG_OFF,  CHANGE_LIMITS,   CHANGE_TENANT,   CHANGE_MOVE,
 	};
 	struct run *run = day->run;
 	int64_t now = run_ms(run);
 	enum change what;
 
-	if (now < day->next_change || !operator_idle(run->op))
+	if (now < day->next_change || !operator_idle(run->operator))
 		return;
 	what = changes[day->changes++ % (int)(sizeof changes / sizeof *changes)];
-	operator_change(run->op, what, what != CHANGE_LIMITS && stand_rand(&day->rng) % 2);
+	operator_change(run->operator, what, what != CHANGE_LIMITS && emulator_random(&day->rng) % 2);
 	day->next_change = now + up_to(day, CHANGE_SPREAD_MS);
 }
 
 /* ---- machines ---- */
 
-static int zone_number(const struct run *run, const struct machine *m)
+static int zone_number(const struct run *run, const struct machine *machine)
 {
 	int zone = 0;
 
-	while (zone < 3 && strcmp(m->zone, run->sheet->zone[zone]) != 0)
+	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]) != 0)
 		zone++;
 	return zone;
 }
@@ -84,69 +84,69 @@
 {
 	int present = 0, wanted;
 
-	for (int i = 0; i < run->nm; i++) {
-		const struct machine *m = &run->m[i];
+	for (int i = 0; i < run->machine_count; i++) {
+		const struct machine *machine = &run->machines[i];
 
-		if (m->core != roll->core || m->gone)
+		if (machine->is_core != roll->core || machine->removed)
 			continue;
-		if (!m->pid || (!m->core && (!m->in || m->misses)))
+		if (!machine->pid || (!machine->is_core && (!machine->in_rotation || machine->probe_failures)))
 			return NULL; /* never two at once */
 		present++;
 	}
 	if (present < 2)
 		return NULL;
-	wanted = roll->turn % present;
-	for (int i = 0; i < run->nm; i++)
-		if (run->m[i].core == roll->core && !run->m[i].gone && wanted-- == 0)
-			return &run->m[i];
+	wanted = roll->next_index % present;
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core == roll->core && !run->machines[i].removed && wanted-- == 0)
+			return &run->machines[i];
 	return NULL;
 }
 
 static void stop_next(struct run *run, struct roll *roll)
 {
-	int for_good = roll->turn % REPLACED_EVERY == 1;
+	int for_good = roll->next_index % REPLACED_EVERY == 1;
 
 	roll->machine = next_machine(run, roll);
 	if (!roll->machine)
 		return;
-	run_say(run, "planned: %s is stopped%s", roll->machine->name, for_good ? " for good" : "");
+	run_log(run, "planned: %s is stopped%s", roll->machine->name, for_good ? " for good" : "");
 	if (for_good)
 		machine_retire(roll->machine);
 	else
 		machine_term(roll->machine);
-	roll->turn++;
+	roll->next_index++;
 	roll->state = ROLL_STOPS;
 }
 
 /* A new machine in the place of one that is gone. Callers of the core learn of it when SeedLagS is over. */
 static struct machine *successor(struct run *run, struct roll *roll)
 {
-	struct machine *m = machine_add(run, roll->core, zone_number(run, roll->machine));
+	struct machine *machine = machine_add(run, roll->core, zone_number(run, roll->machine));
 
-	run_say(run, "planned: %s takes the place of %s", m->name, roll->machine->name);
+	run_log(run, "planned: %s takes the place of %s", machine->name, roll->machine->name);
 	if (roll->core) {
 		roll->listed_at = run_ms(run) + SEED_LAG_MS;
 		roll->unlisted = roll->machine;
-		roll->newly_listed = m;
+		roll->newly_listed = machine;
 	}
-	return m;
+	return machine;
 }
 
 static void start_next(struct run *run, struct roll *roll)
 {
-	struct machine *m = roll->machine->gone ? successor(run, roll) : roll->machine;
+	struct machine *machine = roll->machine->removed ? successor(run, roll) : roll->machine;
 
-	machine_start(m);
+	machine_start(machine);
 	roll->state = ROLL_RESTS;
-	roll->next = run_ms(run) + (roll->core ? run->b.catch_up + CORE_PAUSE_MS : ROUTER_PAUSE_MS);
+	roll->next_at_ms = run_ms(run) + (roll->core ? run->bounds.catch_up_ms + CORE_PAUSE_MS : ROUTER_PAUSE_MS);
 }
 
 static void list_successor(struct run *run, struct roll *roll)
 {
 	if (!roll->newly_listed || run_ms(run) < roll->listed_at)
 		return;
-	roll->unlisted->listed = 0;
-	roll->newly_listed->listed = 1;
+	roll->unlisted->is_listed = 0;
+	roll->newly_listed->is_listed = 1;
 	roll->newly_listed = NULL;
 }
 
@@ -155,7 +155,7 @@
 	int64_t now = run_ms(run);
 
 	list_successor(run, roll);
-	if (now < roll->next)
+	if (now < roll->next_at_ms)
 		return;
 	switch (roll->state) {
 	case ROLL_RESTS: stop_next(run, roll); break;
@@ -163,7 +163,7 @@
 		if (!machine_down(roll->machine))
 			break;
 		roll->state = ROLL_IS_DOWN;
-		roll->next = now + DOWN_MS;
+		roll->next_at_ms = now + DOWN_MS;
 		break;
 	case ROLL_IS_DOWN: start_next(run, roll); break;
 	}
@@ -175,10 +175,10 @@
 
 	if (run_ms(run) < day->next_reload)
 		return;
-	run_say(run, "planned: SIGHUP of all machines");
-	for (int i = 0; i < run->nm; i++)
-		if (!run->m[i].gone && !run->m[i].leaving)
-			machine_hup(&run->m[i]);
+	run_log(run, "planned: SIGHUP of all machines");
+	for (int i = 0; i < run->machine_count; i++)
+		if (!run->machines[i].removed && !run->machines[i].draining)
+			machine_reload(&run->machines[i]);
 	day->next_reload = run_ms(run) + RELOAD_EVERY_MS;
 }
 
@@ -186,22 +186,22 @@
 
 static struct server *next_server(struct day *day)
 {
-	struct fleet_set *fleet = &day->run->f;
+	struct server_fleet *fleet = &day->run->fleet;
 	int up = 0, chosen;
 
-	for (int i = 0; i < arrlen(fleet->server); i++) {
-		const struct server *s = fleet->server[i];
+	for (int i = 0; i < arrlen(fleet->servers); i++) {
+		const struct server *server = fleet->servers[i];
 
-		if (s->life == LIFE_DRAINING)
+		if (server->state == STATE_DRAINING)
 			return NULL; /* never two at once */
-		up += !s->is_store && s->life == LIFE_UP;
+		up += !server->is_store && server->state == STATE_UP;
 	}
 	if (!up)
 		return NULL;
 	chosen = day->released % up;
-	for (int i = 0; i < arrlen(fleet->server); i++)
-		if (!fleet->server[i]->is_store && fleet->server[i]->life == LIFE_UP && chosen-- == 0)
-			return fleet->server[i];
+	for (int i = 0; i < arrlen(fleet->servers); i++)
+		if (!fleet->servers[i]->is_store && fleet->servers[i]->state == STATE_UP && chosen-- == 0)
+			return fleet->servers[i];
 	return NULL;
 }
 
@@ -217,9 +217,9 @@
 	old = next_server(day);
 	if (!old)
 		return;
-	snprintf(at, sizeof at, "%s.%d:8080", run->base, FIRST_NEW_SERVER + day->new_servers++);
-	run_say(run, "planned: server %s comes, %s drains", at, old->addr);
-	new = server_add(&run->f, at, old->zone, old->service, 0);
+	snprintf(at, sizeof at, "%s.%d:8080", run->address_prefix, FIRST_NEW_SERVER + day->new_servers++);
+	run_log(run, "planned: server %s comes, %s drains", at, old->address);
+	new = server_add(&run->fleet, at, old->zone, old->service, 0);
 	server_up(new);
 	server_drain(old);
 	day->released++;
@@ -230,61 +230,61 @@
 {
 	struct run *run = day->run;
 
-	if (run_ms(run) < day->next_weights || operator_weights_acked(run->op) < day->weights)
+	if (run_ms(run) < day->next_weights || operator_weights_acked(run->operator) < day->weights)
 		return;
-	operator_weights(run->op, ++day->weights);
-	run_say(run, "planned: weights %d are named", day->weights);
+	operator_weights(run->operator, ++day->weights);
+	run_log(run, "planned: weights %d are named", day->weights);
 	day->next_weights = run_ms(run) + WEIGHTS_EVERY_MS;
 }
 
-void planned_day(struct run *r)
+void planned_day(struct run *run)
 {
-	int64_t start = run_ms(r), length = r->length_s ? r->length_s * 1000 : r->small ? SMALL_DAY_MS : DAY_MS;
-	struct day day = { .run = r, .rng = stand_hash(r->seed, "planned", 7), .weights = 1 };
+	int64_t start = run_ms(run), length = run->length_s ? run->length_s * 1000 : run->small ? SMALL_DAY_MS : DAY_MS;
+	struct day day = { .run = run, .rng = emulator_hash(run->seed, "planned", 7), .weights = 1 };
 
-	day.routers = (struct roll){ .core = 0, .next = start + 200 };
-	day.core = (struct roll){ .core = 1, .next = start + 800 };
+	day.routers = (struct roll){ .core = 0, .next_at_ms = start + 200 };
+	day.core = (struct roll){ .core = 1, .next_at_ms = start + 800 };
 	day.next_reload = start + 1500;
 	day.next_release = start + 1000;
 	day.next_weights = start + 2000;
-	clients_probe(r->clients, 1);
-	clients_long(r->clients, LONG_EVERY);
-	while (run_ms(r) < start + length && !r->missed) {
+	clients_probe(run->clients, 1);
+	clients_long(run->clients, LONG_EVERY);
+	while (run_ms(run) < start + length && !run->undecided_reason) {
 		change(&day);
-		roll_on(r, &day.routers);
-		roll_on(r, &day.core);
+		roll_on(run, &day.routers);
+		roll_on(run, &day.core);
 		reload_all(&day);
 		release_one(&day);
 		name_weights(&day);
-		run_for(r, STEP_MS);
+		run_for(run, STEP_MS);
 	}
-	run_say(r, "the planned day is over: %d changes, %d routers and %d core machines stopped, %d servers replaced", day.changes,
-		day.routers.turn, day.core.turn, day.released);
+	run_log(run, "the planned day is over: %d changes, %d routers and %d core machines stopped, %d servers replaced", day.changes,
+		day.routers.next_index, day.core.next_index, day.released);
 }
 
 static void core_all(struct run *run, void (*what)(struct machine *m))
 {
-	for (int i = 0; i < run->nm; i++)
-		if (run->m[i].core && !run->m[i].gone)
-			what(&run->m[i]);
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core && !run->machines[i].removed)
+			what(&run->machines[i]);
 }
 
-void planned_core_stop(struct run *r)
+void planned_core_stop(struct run *run)
 {
-	int64_t start = run_ms(r), stop = start + r->b.contact, back = stop + CORE_AWAY_MS, end = back + r->b.grace + r->b.catch_up;
-	struct day day = { .run = r, .rng = stand_hash(r->seed, "core stop", 9), .weights = 1 };
+	int64_t start = run_ms(run), stop = start + run->bounds.contact_ms, back = stop + CORE_AWAY_MS, end = back + run->bounds.grace_ms + run->bounds.catch_up_ms;
+	struct day day = { .run = run, .rng = emulator_hash(run->seed, "core stop", 9), .weights = 1 };
 	int stopped = 0;
 
-	clients_long(r->clients, LONG_EVERY_OF_CORE_STOP);
-	while (run_ms(r) < end && !r->missed) {
+	clients_long(run->clients, LONG_EVERY_OF_CORE_STOP);
+	while (run_ms(run) < end && !run->undecided_reason) {
 		change(&day);
-		if (!stopped && run_ms(r) >= stop) {
-			run_say(r, "planned: all core machines are stopped");
-			core_all(r, machine_term);
+		if (!stopped && run_ms(run) >= stop) {
+			run_log(run, "planned: all core machines are stopped");
+			core_all(run, machine_term);
 			stopped = 1;
 		}
-		if (run_ms(r) >= back) /* one that has not ended yet is started by a later call */
-			core_all(r, machine_start);
-		run_for(r, STEP_MS);
+		if (run_ms(run) >= back) /* one that has not ended yet is started by a later call */
+			core_all(run, machine_start);
+		run_for(run, STEP_MS);
 	}
 }
--- a/rehearsal/stand_quota.c
+++ b/rehearsal/stand_quota.c
@@ -8,14 +8,14 @@
 #include "stand_run.h"
 
 enum {
-	LOOK_US = 5000,     /* how often each process is looked at */
+	POLL_US = 5000,     /* how often each process is looked at */
 	PERIOD_US = 100000, /* what is not used within a period is lost */
 	MICROSECONDS = 1000000
 };
 
 struct quota {
 	struct run *run;
-	int64_t looked;
+	int64_t sampled_at_us;
 };
 
 /* Processor time that a process has used, in microseconds; -1: it has ended. */
@@ -29,64 +29,64 @@
 	return (int64_t)used.tv_sec * MICROSECONDS + used.tv_nsec / 1000;
 }
 
-static void hold(struct machine *m, int held)
+static void defer_request(struct machine *m, int deferred)
 {
-	if (m->quota_held == held)
+	if (m->is_throttled == deferred)
 		return;
-	m->quota_held = held;
-	kill(m->pid, held ? SIGSTOP : SIGCONT);
+	m->is_throttled = deferred;
+	kill(m->pid, deferred ? SIGSTOP : SIGCONT);
 }
 
-static void look_at(struct machine *m, double share, int64_t span)
+static void look_at(struct machine *machine, double share, int64_t span)
 {
-	int64_t used = processor_time(m->pid), most = (int64_t)(share * PERIOD_US);
+	int64_t used = processor_time(machine->pid), most = (int64_t)(share * PERIOD_US);
 
 	if (used < 0)
 		return;
-	m->quota_left += (int64_t)(share * (double)span) - (used - m->quota_seen);
-	m->quota_seen = used;
-	if (m->quota_left > most)
-		m->quota_left = most;
-	hold(m, m->quota_left < 0);
+	machine->quota_remaining_us += (int64_t)(share * (double)span) - (used - machine->quota_used_us);
+	machine->quota_used_us = used;
+	if (machine->quota_remaining_us > most)
+		machine->quota_remaining_us = most;
+	defer_request(machine, machine->quota_remaining_us < 0);
 }
 
 static void look(void *ctx)
 {
 	struct quota *quota = ctx;
 	struct run *run = quota->run;
-	int64_t now = loop_us(), span = now - quota->looked;
+	int64_t now = loop_us(), span = now - quota->sampled_at_us;
 
-	quota->looked = now;
-	for (int i = 0; i < run->nm; i++) {
-		struct machine *m = &run->m[i];
+	quota->sampled_at_us = now;
+	for (int i = 0; i < run->machine_count; i++) {
+		struct machine *machine = &run->machines[i];
 
-		double share = m->core ? run->core_share : run->router_share;
+		double share = machine->is_core ? run->core_share : run->router_share;
 
-		if (share > 0 && m->pid && !m->frozen && !m->killed)
-			look_at(m, share, span);
+		if (share > 0 && machine->pid && !machine->is_frozen && !machine->is_killed)
+			look_at(machine, share, span);
 	}
-	run->quota_timer = loop_after(run->l, LOOK_US, look, quota);
+	run->quota_timer = loop_after(run->loop, POLL_US, look, quota);
 }
 
-void quota_hold(struct run *r)
+void quota_start(struct run *run)
 {
 	struct quota *quota = calloc(1, sizeof *quota);
 
-	quota->run = r;
-	quota->looked = loop_us();
-	for (int i = 0; i < r->nm; i++)
-		if (r->m[i].pid)
-			r->m[i].quota_seen = processor_time(r->m[i].pid);
-	r->quota = quota;
+	quota->run = run;
+	quota->sampled_at_us = loop_us();
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].pid)
+			run->machines[i].quota_used_us = processor_time(run->machines[i].pid);
+	run->quota = quota;
 	look(quota);
 }
 
-void quota_release(struct run *r)
+void quota_release(struct run *run)
 {
-	loop_drop(r->l, r->quota_timer);
-	for (int i = 0; r->quota && i < r->nm; i++)
-		if (r->m[i].pid)
-			hold(&r->m[i], 0);
-	free(r->quota);
-	r->quota = NULL;
+	loop_cancel(run->loop, run->quota_timer);
+	for (int i = 0; run->quota && i < run->machine_count; i++)
+		if (run->machines[i].pid)
+			defer_request(&run->machines[i], 0);
+	free(run->quota);
+	run->quota = NULL;
 }
--- a/rehearsal/stand_server.c
+++ b/rehearsal/stand_server.c
@@ -6,156 +6,156 @@
 #include "ds.h"
 #include "stand_server_private.h"
 
-const struct engine engine_sheet = {
+const struct engine default_engine = {
 	.slots = 128,
-	.queue = 384,
+	.queue_limit = 384,
 	.max_conns = 630,
 	.drain_ms = 3000,
 	.fence_checked = 1,
 	.idle_ms = 8000,
-	.kv = 239003,
-	.kv_bytes = 18432,
-	.stride = 5,
-	.chunk = 2048,
-	.block = 16,
+	.kv_capacity_tokens = 239003,
+	.kv_bytes_per_token = 18432,
+	.token_stride = 5,
+	.chunk_tokens = 2048,
+	.block_tokens = 16,
 	.in_flight = 12,
 	.load_ms = 1800,
 	.load_at_once = 3,
-	.report_lag = 100,
-	.events = 4000,
-	.events_lag = 80,
-	.linger = 1500,
-	.step = 3.41,
-	.per_slot = 0.097,
-	.read_per_ms = 112,
+	.report_lag_ms = 100,
+	.event_limit = 4000,
+	.event_lag_ms = 80,
+	.linger_ms = 1500,
+	.step_ms = 3.41,
+	.per_slot_ms = 0.097,
+	.prefill_tokens_per_ms = 112,
 	.link_mbps = 370000,
-	.events_loss = 0,
+	.event_loss_ratio = 0,
 	.setup_ms = 5,
 };
 
-int64_t fleet_ms(const struct fleet_set *f) { return (loop_us() - f->start) / 1000; }
+int64_t fleet_ms(const struct server_fleet *settings) { return (loop_us() - settings->started_at_us) / 1000; }
 
-struct server *server_add(struct fleet_set *f, const char *addr, const char *zone, const char *service, int is_store)
+struct server *server_add(struct server_fleet *settings, const char *addr, const char *zone, const char *service, int is_store)
 {
-	struct server *s = calloc(1, sizeof *s);
+	struct server *server = calloc(1, sizeof *server);
 	static const double speeds[] = { 1.0, 1.0, 1.3 };
 
-	s->f = f;
-	s->i = (int)arrlen(f->server);
-	s->is_store = is_store;
-	s->speed = speeds[s->i % 3];
-	s->life = LIFE_DOWN;
-	s->version = f->newest;
-	s->fault.close = 0.01;
-	snprintf(s->addr, sizeof s->addr, "%s", addr);
-	snprintf(s->zone, sizeof s->zone, "%s", zone);
-	snprintf(s->service, sizeof s->service, "%s", service);
-	arrput(f->server, s);
-	return s;
+	server->fleet = settings;
+	server->index = (int)arrlen(settings->servers);
+	server->is_store = is_store;
+	server->speed = speeds[server->index % 3];
+	server->state = STATE_DOWN;
+	server->version = settings->newest_version;
+	server->fault.close = 0.01;
+	snprintf(server->address, sizeof server->address, "%s", addr);
+	snprintf(server->zone, sizeof server->zone, "%s", zone);
+	snprintf(server->service, sizeof server->service, "%s", service);
+	arrput(settings->servers, server);
+	return server;
 }
 
-void server_up(struct server *s)
+void server_up(struct server *server)
 {
-	static const struct conn_on on = { .request = request, .gone = gone };
+	static const struct conn_handlers callbacks = { .request = request, .closed = gone };
 
-	if (s->life != LIFE_DOWN)
+	if (server->state != STATE_DOWN)
 		return;
-	s->port = port_open(s->f->l, s->addr, &on, s, s->is_store ? 0 : s->f->e.max_conns);
-	if (!s->port)
+	server->port = port_open(server->fleet->loop, server->address, &callbacks, server, server->is_store ? 0 : server->fleet->engine.max_conns);
+	if (!server->port)
 		return;
-	port_idle(s->port, s->f->e.idle_ms);
-	s->life = LIFE_UP;
-	s->lives++;
-	s->epoch = stand_rand(&s->f->rng);
-	snprintf(s->instance, sizeof s->instance, "i-%08llx", (unsigned long long)(s->epoch & 0xffffffff));
-	s->last_event = 0;
-	s->call_seq = 0;
-	s->fence = 0;
-	s->moves_free = 0;
-	note_report(s);
-	loop_drop(s->f->l, s->report_timer);
-	note_report(s);
-	if (s->f->list)
-		list_note(s->f->list, s);
+	port_set_idle_timeout(server->port, server->fleet->engine.idle_ms);
+	server->state = STATE_UP;
+	server->incarnations++;
+	server->epoch = emulator_random(&server->fleet->rng);
+	snprintf(server->instance, sizeof server->instance, "i-%08llx", (unsigned long long)(server->epoch & 0xffffffff));
+	server->last_event = 0;
+	server->call_seq = 0;
+	server->fence = 0;
+	server->transfer_free_at_us = 0;
+	sample_report(server);
+	loop_cancel(server->fleet->loop, server->report_timer);
+	sample_report(server);
+	if (server->fleet->list)
+		list_server_changed(server->fleet->list, server);
 }
 
-static void life_ends(struct server *s, int reset)
+static void end_incarnation(struct server *server, int reset)
 {
-	if (s->life == LIFE_DOWN)
+	if (server->state == STATE_DOWN)
 		return;
-	while (arrlen(s->run))
-		work_end(s->run[0], 0, 0);
-	while (arrlen(s->wait))
-		work_end(s->wait[0], 0, 0);
-	arrfree(s->watcher);
-	if (s->load_timer)
-		s->f->loading--;
-	loop_drop(s->f->l, s->step_timer);
-	loop_drop(s->f->l, s->load_timer);
-	loop_drop(s->f->l, s->watch_timer);
-	loop_drop(s->f->l, s->report_timer);
-	loop_drop(s->f->l, s->life_timer);
-	loop_drop(s->f->l, s->surplus_timer);
-	s->surplus_timer = 0;
-	s->step_timer = s->load_timer = s->watch_timer = s->report_timer = s->life_timer = 0;
-	s->loading_to = 0;
-	s->fault.dark = 0;
-	port_close(s->port, reset);
-	s->port = NULL;
-	s->life = LIFE_DOWN;
-	forget_all(s, 0);
-	arrfree(s->event);
-	if (s->f->list)
-		list_note(s->f->list, s);
+	while (arrlen(server->batch))
+		work_end(server->batch[0], 0, 0);
+	while (arrlen(server->queue))
+		work_end(server->queue[0], 0, 0);
+	arrfree(server->watchers);
+	if (server->load_timer)
+		server->fleet->loading--;
+	loop_cancel(server->fleet->loop, server->step_timer);
+	loop_cancel(server->fleet->loop, server->load_timer);
+	loop_cancel(server->fleet->loop, server->watch_timer);
+	loop_cancel(server->fleet->loop, server->report_timer);
+	loop_cancel(server->fleet->loop, server->drain_timer);
+	loop_cancel(server->fleet->loop, server->surplus_timer);
+	server->surplus_timer = 0;
+	server->step_timer = server->load_timer = server->watch_timer = server->report_timer = server->drain_timer = 0;
+	server->loading_to = 0;
+	server->fault.is_silent = 0;
+	port_close(server->port, reset);
+	server->port = NULL;
+	server->state = STATE_DOWN;
+	drop_all_blocks(server, 0);
+	arrfree(server->events);
+	if (server->fleet->list)
+		list_server_changed(server->fleet->list, server);
 }
 
-void server_crash(struct server *s) { life_ends(s, 1); }
+void server_crash(struct server *server) { end_incarnation(server, 1); }
 
-void server_dark(struct server *s, int dark)
+void server_set_silent(struct server *server, int dark)
 {
-	if (s->life == LIFE_DOWN)
+	if (server->state == STATE_DOWN)
 		return;
-	s->fault.dark = dark;
-	port_dark(s->port, dark);
+	server->fault.is_silent = dark;
+	port_set_silent(server->port, dark);
 	if (dark) {
-		loop_drop(s->f->l, s->step_timer);
-		s->step_timer = 0;
+		loop_cancel(server->fleet->loop, server->step_timer);
+		server->step_timer = 0;
 	} else {
-		s->read_again_at = fleet_ms(s->f);
-		set_going(s);
-		watchers_look(s);
+		server->reading_resumed_at_ms = fleet_ms(server->fleet);
+		resume_steps(server);
+		answer_watchers(server);
 	}
 }
 
 static void drained(void *ctx)
 {
-	struct server *s = ctx;
+	struct server *server = ctx;
 
-	s->life_timer = 0;
-	life_ends(s, 0);
+	server->drain_timer = 0;
+	end_incarnation(server, 0);
 }
 
-void server_drain(struct server *s)
+void server_drain(struct server *server)
 {
-	if (s->life != LIFE_UP)
+	if (server->state != STATE_UP)
 		return;
-	s->life = LIFE_DRAINING;
-	if (s->f->list)
-		list_note(s->f->list, s);
-	s->life_timer = loop_after(s->f->l, ms_us(s->f->e.drain_ms + s->f->e.linger), drained, s);
+	server->state = STATE_DRAINING;
+	if (server->fleet->list)
+		list_server_changed(server->fleet->list, server);
+	server->drain_timer = loop_after(server->fleet->loop, ms_us(server->fleet->engine.drain_ms + server->fleet->engine.linger_ms), drained, server);
 }
 
-void servers_free(struct fleet_set *f)
+void servers_free(struct server_fleet *settings)
 {
-	struct list *l = f->list;
+	struct list *list = settings->list;
 
-	f->list = NULL;
-	for (int i = 0; i < arrlen(f->server); i++) {
-		life_ends(f->server[i], 0);
-		arrfree(f->server[i]->run);
-		arrfree(f->server[i]->wait);
-		free(f->server[i]);
+	settings->list = NULL;
+	for (int i = 0; i < arrlen(settings->servers); i++) {
+		end_incarnation(settings->servers[i], 0);
+		arrfree(settings->servers[i]->batch);
+		arrfree(settings->servers[i]->queue);
+		free(settings->servers[i]);
 	}
-	arrfree(f->server);
-	f->list = l;
+	arrfree(settings->servers);
+	settings->list = list;
 }
--- a/rehearsal/stand_server_batch.c
+++ b/rehearsal/stand_server_batch.c
@@ -8,577 +8,577 @@
 
 static void again(void *ctx);
 
-static void work_free(struct work *w)
+static void work_free(struct work *work)
 {
-	for (int i = 0; i < arrlen(w->names); i++)
-		free(w->names[i]);
-	arrfree(w->names);
-	arrfree(w->ask);
-	arrfree(w->used);
-	free(w);
+	for (int i = 0; i < arrlen(work->names); i++)
+		free(work->names[i]);
+	arrfree(work->names);
+	arrfree(work->blocks);
+	arrfree(work->used_blocks);
+	free(work);
 }
 
-static void release(struct work *w)
+static void release(struct work *work)
 {
-	for (int i = 0; i < arrlen(w->ask); i++)
-		if (w->ask[i].hit) {
-			struct kept_part *p = part_find(w->s, w->salt, w->ask[i].id);
-
-			if (p && p->refs > 0)
-				p->refs--;
-			if (p)
-				p->used = loop_us();
-			w->ask[i].hit = 0;
+	for (int i = 0; i < arrlen(work->blocks); i++)
+		if (work->blocks[i].is_hit) {
+			struct prompt_block *block = part_find(work->server, work->salt, work->blocks[i].id);
+
+			if (block && block->refs > 0)
+				block->refs--;
+			if (block)
+				block->used_at_us = loop_us();
+			work->blocks[i].is_hit = 0;
 		}
 }
 
-static void take_out(struct work ***list, struct work *w)
+static void remove_entry(struct work ***list, struct work *work)
 {
 	for (int i = 0; i < arrlen(*list); i++)
-		if ((*list)[i] == w) {
+		if ((*list)[i] == work) {
 			arrdel(*list, i);
 			return;
 		}
 }
 
-void work_end(struct work *w, int how, int status)
+void work_end(struct work *work, int how, int status)
 {
-	struct server *s = w->s;
-
-	release(w);
-	take_out(&s->run, w);
-	take_out(&s->wait, w);
-	if (w->c)
-		conn_set_tag(w->c, NULL);
-	if (s->f->j)
-		judge_ran(s->f->j, fleet_ms(s->f), w->run, how, status, w->body, w->sent_id);
-	work_free(w);
+	struct server *server = work->server;
+
+	release(work);
+	remove_entry(&server->batch, work);
+	remove_entry(&server->queue, work);
+	if (work->conn)
+		conn_set_tag(work->conn, NULL);
+	if (server->fleet->checker)
+		checker_record_end(server->fleet->checker, fleet_ms(server->fleet), work->run_id, how, status, work->body, work->sent_id);
+	work_free(work);
 }
 
-void fields_of(struct server *s, const char *id, char *b, size_t n)
+void response_fields(struct server *server, const char *id, char *buffer, size_t n)
 {
-	snprintf(b, n, "%s%s%sX-Notchlug-Server-Load: %d,%d,%d\r\nX-Notchlug-Weight-Versions: %d\r\n%s",
-		 id ? "X-Notchlug-Attempt-Id: " : "", id ? id : "", id ? "\r\n" : "", (int)arrlen(s->run), (int)arrlen(s->wait),
-		 s->f->e.slots, s->version, s->f->e.idle_ms >= 1000 ? "Keep-Alive: timeout=" : "");
-	if (s->f->e.idle_ms >= 1000)
-		snprintf(b + strlen(b), n - strlen(b), "%d\r\n", s->f->e.idle_ms / 1000);
+	snprintf(buffer, n, "%s%s%sX-Notchlug-Server-Load: %d,%d,%d\r\nX-Notchlug-Weight-Versions: %d\r\n%s",
+		 id ? "X-Notchlug-Attempt-Id: " : "", id ? id : "", id ? "\r\n" : "", (int)arrlen(server->batch), (int)arrlen(server->queue),
+		 server->fleet->engine.slots, server->version, server->fleet->engine.idle_ms >= 1000 ? "Keep-Alive: timeout=" : "");
+	if (server->fleet->engine.idle_ms >= 1000)
+		snprintf(buffer + strlen(buffer), n - strlen(buffer), "%d\r\n", server->fleet->engine.idle_ms / 1000);
 }
 
-int keeps(struct server *s) { return s->life == LIFE_UP && stand_unit(&s->f->rng) >= s->fault.close; }
+int keeps_connection(struct server *server) { return server->state == STATE_UP && emulator_random_unit(&server->fleet->rng) >= server->fault.close; }
 
-void turn_away(struct server *s, struct conn *c, int run, const char *id, int status)
+void turn_away(struct server *s, struct conn *conn, int run, const char *id, int status)
 {
 	char b[600];
 
-	s->f->turned++;
-	fields_of(s, id, b, sizeof b);
+	s->fleet->rejected++;
+	response_fields(s, id, b, sizeof b);
 	snprintf(b + strlen(b), sizeof b - strlen(b), "X-Notchlug-Not-Executed: 1\r\n");
-	if (s->f->j && run >= 0)
-		judge_turned(s->f->j, run, status);
-	conn_answer(c, status, b, "", 0, keeps(s));
+	if (s->fleet->checker && run >= 0)
+		checker_record_rejection(s->fleet->checker, run, status);
+	conn_answer(conn, status, b, "", 0, keeps_connection(s));
 }
 
-static void work_turn_away(struct work *w, int status)
+static void work_reject(struct work *work, int status)
 {
-	struct server *s = w->s;
-	struct conn *c = w->c;
-	int run = w->run;
+	struct server *server = work->server;
+	struct conn *conn = work->conn;
+	int run = work->run_id;
 	char id[64];
 
-	snprintf(id, sizeof id, "%s", w->id);
-	release(w);
-	take_out(&s->run, w);
-	take_out(&s->wait, w);
-	if (c)
-		conn_set_tag(c, NULL);
-	work_free(w);
-	if (c)
-		turn_away(s, c, run, id, status);
-	else if (s->f->j && run >= 0)
-		judge_turned(s->f->j, run, status);
+	snprintf(id, sizeof id, "%s", work->id);
+	release(work);
+	remove_entry(&server->batch, work);
+	remove_entry(&server->queue, work);
+	if (conn)
+		conn_set_tag(conn, NULL);
+	work_free(work);
+	if (conn)
+		turn_away(server, conn, run, id, status);
+	else if (server->fleet->checker && run >= 0)
+		checker_record_rejection(server->fleet->checker, run, status);
 }
 
-static void send_head(struct work *w, int status)
+static void send_head(struct work *work, int status)
 {
 	char b[600];
 
-	if (w->head)
+	if (work->head_sent)
 		return;
-	w->head = 1;
-	w->told_version = w->s->version;
-	fields_of(w->s, w->id, b, sizeof b);
-	if (!w->lost)
-		conn_sayf(w->c,
+	work->head_sent = 1;
+	work->announced_version = work->server->version;
+	response_fields(work->server, work->id, b, sizeof b);
+	if (!work->lose_answer)
+		conn_writef(work->conn,
 			  "HTTP/1.1 %d OK\r\n%sX-Notchlug-Server-Seal: %d.%08x\r\nContent-Type: text/event-stream\r\n"
 			  "Transfer-Encoding: chunked\r\n%s\r\n",
-			  status, b, w->run, (unsigned)w->seed, w->close ? "Connection: close\r\n" : "");
+			  status, b, work->run_id, (unsigned)work->seed, work->close ? "Connection: close\r\n" : "");
 }
 
 /* 0: the work is over */
-static int send_event(struct work *w)
+static int send_event(struct work *work)
 {
 	char b[300], v[60] = "";
 	int n;
 
-	send_head(w, 200);
-	if (w->told_version != w->s->version) {
-		w->told_version = w->s->version;
-		snprintf(v, sizeof v, "x-notchlug-weight-versions: %d\n", w->told_version);
+	send_head(work, 200);
+	if (work->announced_version != work->server->version) {
+		work->announced_version = work->server->version;
+		snprintf(v, sizeof v, "x-notchlug-weight-versions: %d\n", work->announced_version);
 	}
-	if (w->break_at && w->sent_id >= w->break_at) {
-		struct conn *c = w->c;
-		int reset = stand_unit(&w->s->f->rng) < 0.5;
+	if (work->break_at && work->sent_id >= work->break_at) {
+		struct conn *conn = work->conn;
+		int reset = emulator_random_unit(&work->server->fleet->rng) < 0.5;
 
-		work_end(w, 0, 200);
-		conn_close(c, reset);
+		work_end(work, 0, 200);
+		conn_close(conn, reset);
 		return 0;
 	}
-	w->sent_id++;
-	n = snprintf(b, sizeof b, "%sid: %d\ndata: %d %d %lld %08llx\n\n", v, w->sent_id, w->run, w->sent_id, (long long)loop_us(),
-		     (unsigned long long)(w->seed * (uint64_t)w->sent_id) & 0xffffffff);
-	if (!w->lost)
-		conn_sayf(w->c, "%x\r\n%s\r\n", (unsigned)n, b);
+	work->sent_id++;
+	n = snprintf(b, sizeof b, "%sid: %d\ndata: %d %d %lld %08llx\n\n", v, work->sent_id, work->run_id, work->sent_id, (long long)loop_us(),
+		     (unsigned long long)(work->seed * (uint64_t)work->sent_id) & 0xffffffff);
+	if (!work->lose_answer)
+		conn_writef(work->conn, "%x\r\n%s\r\n", (unsigned)n, b);
 	return 1;
 }
 
-void surplus_say(struct server *s)
+void send_surplus(struct server *server)
 {
 	char f[600];
 
-	loop_drop(s->f->l, s->surplus_timer);
-	s->surplus_timer = 0;
-	conn_set_tag(s->surplus_conn, NULL);
-	fields_of(s, s->surplus_id, f, sizeof f);
-	conn_sayf(s->surplus_conn, "HTTP/1.1 200 OK\r\n%sContent-Length: 4\r\n\r\nlate", f);
+	loop_cancel(server->fleet->loop, server->surplus_timer);
+	server->surplus_timer = 0;
+	conn_set_tag(server->surplus_conn, NULL);
+	response_fields(server, server->surplus_id, f, sizeof f);
+	conn_writef(server->surplus_conn, "HTTP/1.1 200 OK\r\n%sContent-Length: 4\r\n\r\nlate", f);
 }
 
-static void surplus_late(void *ctx)
+static void on_surplus_timer(void *ctx)
 {
-	struct server *s = ctx;
+	struct server *server = ctx;
 
-	s->surplus_timer = 0;
-	if (conn_alive(s->f->l, s->surplus_conn) && conn_tag(s->surplus_conn) == s)
-		surplus_say(s);
+	server->surplus_timer = 0;
+	if (conn_is_alive(server->fleet->loop, server->surplus_conn) && conn_tag(server->surplus_conn) == server)
+		send_surplus(server);
 }
 
-static void work_whole(struct work *w)
+static void work_complete(struct work *work)
 {
-	struct server *s = w->s;
-	struct conn *c = w->c;
-	int close = w->close || !keeps(s), surplus = w->surplus, lost = w->lost, status = 200;
+	struct server *server = work->server;
+	struct conn *conn = work->conn;
+	int close = work->close || !keeps_connection(server), surplus = work->surplus, lost = work->lose_answer, status = 200;
 	char f[700], body[80], id[64];
 
-	snprintf(id, sizeof id, "%s", w->id);
-	if (w->plain) {
-		status = w->grey ? 500 : 200;
-		fields_of(s, w->id, f, sizeof f);
-		snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", w->run, (unsigned)w->seed);
-		snprintf(body, sizeof body, "%d %08x %d", w->run, (unsigned)w->seed, status);
-		w->body = stand_hash(0, body, strlen(body));
+	snprintf(id, sizeof id, "%s", work->id);
+	if (work->is_plain) {
+		status = work->grey ? 500 : 200;
+		response_fields(server, work->id, f, sizeof f);
+		snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", work->run_id, (unsigned)work->seed);
+		snprintf(body, sizeof body, "%d %08x %d", work->run_id, (unsigned)work->seed, status);
+		work->body = emulator_hash(0, body, strlen(body));
 	}
 	{
-		int plain = w->plain;
+		int plain = work->is_plain;
 
 		if (!plain && !lost)
-			conn_say(c, "0\r\n\r\n", 5);
-		work_end(w, lost ? 0 : 1, status);
-		if (lost && c)
-			conn_close(c, 0);
+			conn_write(conn, "0\r\n\r\n", 5);
+		work_end(work, lost ? 0 : 1, status);
+		if (lost && conn)
+			conn_close(conn, 0);
 		else if (lost)
 			;
 		else if (plain)
-			conn_answer(c, status, f, body, strlen(body), !close);
+			conn_answer(conn, status, f, body, strlen(body), !close);
 		else
-			conn_next(c, !close);
+			conn_finish_response(conn, !close);
 	}
-	if (surplus && !lost && !close && !s->surplus_timer) { /* bytes behind a whole answer, at once or a little later */
-		snprintf(s->surplus_id, sizeof s->surplus_id, "%s", id);
-		s->surplus_conn = c;
-		if (stand_unit(&s->f->rng) < 0.5) {
-			surplus_say(s);
+	if (surplus && !lost && !close && !server->surplus_timer) { /* bytes behind a whole answer, at once or a little later */
+		snprintf(server->surplus_id, sizeof server->surplus_id, "%s", id);
+		server->surplus_conn = conn;
+		if (emulator_random_unit(&server->fleet->rng) < 0.5) {
+			send_surplus(server);
 		} else { /* in the slot where the next one is due, if that comes sooner */
-			conn_set_tag(c, s);
-			s->surplus_timer = loop_after(s->f->l, ms_us(5 + 200 * stand_unit(&s->f->rng)), surplus_late, s);
+			conn_set_tag(conn, server);
+			server->surplus_timer = loop_after(server->fleet->loop, ms_us(5 + 200 * emulator_random_unit(&server->fleet->rng)), on_surplus_timer, server);
 		}
 	}
 }
 
-void set_going(struct server *s)
+void resume_steps(struct server *server)
 {
-	if (!s->step_timer && s->life != LIFE_DOWN && !s->fault.dark) {
-		s->due = loop_us();
-		s->step_timer = loop_after(s->f->l, 0, again, s);
+	if (!server->step_timer && server->state != STATE_DOWN && !server->fault.is_silent) {
+		server->next_step_at_us = loop_us();
+		server->step_timer = loop_after(server->fleet->loop, 0, again, server);
 	}
 }
 
 /* A part serves a request: after a clearing it is one that was read since. */
-static void part_used(struct fleet_set *f, const struct kept_part *p)
+static void count_block_use(struct server_fleet *settings, const struct prompt_block *block)
 {
-	if (!f->cleared_by || loop_us() < f->cleared_by)
+	if (!settings->purge_due_at_us || loop_us() < settings->purge_due_at_us)
 		return;
-	if (p->born < f->cleared)
-		f->old_used++;
+	if (block->created_at_us < settings->purge_requested_at_us)
+		settings->old_blocks_used++;
 	else
-		f->new_used++;
+		settings->new_blocks_used++;
 }
 
 /* What it keeps of the prompt, and what another keeps beyond. */
-static void find_parts(struct work *w)
+static void reuse_blocks(struct work *work)
 {
-	struct server *s = w->s, *from = NULL;
+	struct server *server = work->server, *from = NULL;
 	int64_t moved = 0;
 	int i = 0;
 
-	w->left = w->prompt + w->made;
-	for (; i < arrlen(w->ask); i++) {
-		struct kept_part *p = part_find(s, w->salt, w->ask[i].id);
-		struct used_rec u;
+	work->remaining_tokens = work->prompt_tokens + work->generated_tokens;
+	for (; i < arrlen(work->blocks); i++) {
+		struct prompt_block *block = part_find(server, work->salt, work->blocks[i].id);
+		struct reused_block record;
 
-		if (!p)
+		if (!block)
 			break;
-		p->refs++;
-		p->used = loop_us();
-		part_used(s->f, p);
-		w->ask[i].hit = 1;
-		u.version = p->version;
-		arrput(w->names, strdup(p->tenant));
-		u.tenant = arrlast(w->names);
-		arrput(w->used, u);
-		w->left -= p->tokens < w->ask[i].tokens ? p->tokens : w->ask[i].tokens;
-		s->f->found += (uint64_t)p->tokens;
-		if (p->tokens < w->ask[i].tokens)
+		block->refs++;
+		block->used_at_us = loop_us();
+		count_block_use(server->fleet, block);
+		work->blocks[i].is_hit = 1;
+		record.version = block->version;
+		arrput(work->names, strdup(block->tenant));
+		record.tenant = arrlast(work->names);
+		arrput(work->used_blocks, record);
+		work->remaining_tokens -= block->tokens < work->blocks[i].tokens ? block->tokens : work->blocks[i].tokens;
+		server->fleet->cached_tokens += (uint64_t)block->tokens;
+		if (block->tokens < work->blocks[i].tokens)
 			break;
 	}
-	w->state = WORK_READS;
-	if (w->source[0] && !w->begun && i < arrlen(w->ask)) {
-		int64_t now = loop_us(), wait = s->moves_free > now ? s->moves_free - now : 0;
+	work->state = WORK_PREFILL;
+	if (work->source[0] && !work->has_started && i < arrlen(work->blocks)) {
+		int64_t now = loop_us(), wait = server->transfer_free_at_us > now ? server->transfer_free_at_us - now : 0;
 		int n = 0;
 
-		for (int k = 0; k < arrlen(s->f->server); k++)
-			if (!strcmp(s->f->server[k]->addr, w->source))
-				from = s->f->server[k];
-		w->state = WORK_MOVES;
-		if (!from || from->life == LIFE_DOWN || from->fault.dark) {
-			w->moved_at = now + ms_us(300);
+		for (int k = 0; k < arrlen(server->fleet->servers); k++)
+			if (!strcmp(server->fleet->servers[k]->address, work->source))
+				from = server->fleet->servers[k];
+		work->state = WORK_FETCHING;
+		if (!from || from->state == STATE_DOWN || from->fault.is_silent) {
+			work->transfer_done_at_us = now + ms_us(300);
 		} else {
-			for (int k = i; k < arrlen(w->ask); k++) {
-				struct kept_part *p = part_find(from, w->salt, w->ask[k].id);
+			for (int k = i; k < arrlen(work->blocks); k++) {
+				struct prompt_block *block = part_find(from, work->salt, work->blocks[k].id);
 
-				if (!p || p->tokens < w->ask[k].tokens)
+				if (!block || block->tokens < work->blocks[k].tokens)
 					break;
 				n++;
-				moved += p->tokens;
+				moved += block->tokens;
 			}
 			if (!n || wait > ms_us(2000)) {
-				w->moved_at = now + ms_us(1);
+				work->transfer_done_at_us = now + ms_us(1);
 			} else {
-				double us = (double)moved * s->f->e.kv_bytes * 8 / s->f->e.link_mbps *
-					    (strcmp(from->zone, s->zone) ? 2 : 1);
+				double us = (double)moved * server->fleet->engine.kv_bytes_per_token * 8 / server->fleet->engine.link_mbps *
+					    (strcmp(from->zone, server->zone) ? 2 : 1);
 
-				w->moved_at = now + wait + ms_us(s->f->e.setup_ms) + (int64_t)us;
-				s->moves_free = w->moved_at;
+				work->transfer_done_at_us = now + wait + ms_us(server->fleet->engine.setup_ms) + (int64_t)us;
+				server->transfer_free_at_us = work->transfer_done_at_us;
 				for (int k = i; k < i + n; k++) {
-					struct kept_part *p = part_find(from, w->salt, w->ask[k].id), *own;
-					struct used_rec u;
+					struct prompt_block *block = part_find(from, work->salt, work->blocks[k].id), *own;
+					struct reused_block record;
 					int64_t born;
 					char tenant[48];
 
-					snprintf(tenant, sizeof tenant, "%s", p->tenant);
-					u.version = p->version;
-					p->used = now;
-					part_used(s->f, p);
-					born = p->born;
-					own = part_find(s, w->salt, w->ask[k].id);
+					snprintf(tenant, sizeof tenant, "%s", block->tenant);
+					record.version = block->version;
+					block->used_at_us = now;
+					count_block_use(server->fleet, block);
+					born = block->created_at_us;
+					own = part_find(server, work->salt, work->blocks[k].id);
 					if (!own) {
-						own = part_keep(s, w->salt, w->ask[k].id, w->ask[k].tokens, u.version, tenant);
-						own->born = born;
+						own = store_block(server, work->salt, work->blocks[k].id, work->blocks[k].tokens, record.version, tenant);
+						own->created_at_us = born;
 					}
-					if (w->ask[k].hit)
+					if (work->blocks[k].is_hit)
 						continue;
 					own->refs++;
-					w->ask[k].hit = 1;
-					arrput(w->names, strdup(tenant));
-					u.tenant = arrlast(w->names);
-					arrput(w->used, u);
-					w->left -= w->ask[k].tokens;
+					work->blocks[k].is_hit = 1;
+					arrput(work->names, strdup(tenant));
+					record.tenant = arrlast(work->names);
+					arrput(work->used_blocks, record);
+					work->remaining_tokens -= work->blocks[k].tokens;
 				}
-				s->f->fetched += (uint64_t)moved;
+				server->fleet->fetched_tokens += (uint64_t)moved;
 			}
 		}
 	}
-	if (w->left < 1)
-		w->left = 1;
+	if (work->remaining_tokens < 1)
+		work->remaining_tokens = 1;
 }
 
 /* Out of the batch again, in the middle of its stream too. */
-static void put_back(struct work *w)
+static void put_back(struct work *work)
 {
-	struct server *s = w->s;
+	struct server *server = work->server;
 
-	release(w);
-	take_out(&s->run, w);
-	w->state = WORK_WAITS;
-	arrins(s->wait, 0, w);
+	release(work);
+	remove_entry(&server->batch, work);
+	work->state = WORK_QUEUED;
+	arrins(server->queue, 0, work);
 }
 
-static struct work *least_urgent(struct server *s)
+static struct work *least_urgent(struct server *server)
 {
-	struct work *x = NULL;
+	struct work *work = NULL;
 
-	for (int i = 0; i < arrlen(s->run); i++)
-		if (!x || s->run[i]->level > x->level || (s->run[i]->level == x->level && s->run[i]->at >= x->at))
-			x = s->run[i];
-	return x;
+	for (int i = 0; i < arrlen(server->batch); i++)
+		if (!work || server->batch[i]->priority > work->priority || (server->batch[i]->priority == work->priority && server->batch[i]->queued_at_us >= work->queued_at_us))
+			work = server->batch[i];
+	return work;
 }
 
-static void admit(struct server *s)
+static void admit(struct server *server)
 {
 	for (;;) {
-		struct work *w = NULL, *x;
+		struct work *work = NULL, *x;
 
-		for (int i = 0; i < arrlen(s->wait); i++)
-			if (!w || s->wait[i]->level < w->level || (s->wait[i]->level == w->level && s->wait[i]->at < w->at))
-				w = s->wait[i];
-		if (!w)
+		for (int i = 0; i < arrlen(server->queue); i++)
+			if (!work || server->queue[i]->priority < work->priority || (server->queue[i]->priority == work->priority && server->queue[i]->queued_at_us < work->queued_at_us))
+				work = server->queue[i];
+		if (!work)
 			return;
-		x = least_urgent(s);
-		if (arrlen(s->run) >= s->f->e.slots) {
-			if (!x || x->level <= w->level)
+		x = least_urgent(server);
+		if (arrlen(server->batch) >= server->fleet->engine.slots) {
+			if (!x || x->priority <= work->priority)
 				return;
 			put_back(x);
 		}
-		if (!make_room(s, w->prompt + w->made)) {
-			x = least_urgent(s);
-			if (!x || x->level <= w->level)
+		if (!reserve_capacity(server, work->prompt_tokens + work->generated_tokens)) {
+			x = least_urgent(server);
+			if (!x || x->priority <= work->priority)
 				return;
 			put_back(x);
 			continue;
 		}
-		take_out(&s->wait, w);
-		arrput(s->run, w);
-		find_parts(w);
+		remove_entry(&server->queue, work);
+		arrput(server->batch, work);
+		reuse_blocks(work);
 	}
 }
 
 /* The prompt is read: what is new is kept from now on, and goes to the store if that is wanted. */
-static void was_read(struct work *w)
+static void was_read(struct work *work)
 {
-	struct server *s = w->s, *to = NULL;
+	struct server *server = work->server, *to = NULL;
 
-	for (int i = 0; w->sink[0] && i < arrlen(s->f->server); i++)
-		if (s->f->server[i]->is_store && !strcmp(s->f->server[i]->addr, w->sink) && s->f->server[i]->life == LIFE_UP)
-			to = s->f->server[i];
-	for (int i = 0; i < arrlen(w->ask); i++) {
-		struct kept_part *p;
+	for (int i = 0; work->offload_target[0] && i < arrlen(server->fleet->servers); i++)
+		if (server->fleet->servers[i]->is_store && !strcmp(server->fleet->servers[i]->address, work->offload_target) && server->fleet->servers[i]->state == STATE_UP)
+			to = server->fleet->servers[i];
+	for (int i = 0; i < arrlen(work->blocks); i++) {
+		struct prompt_block *p;
 
-		if (!w->ask[i].hit) {
-			if (!make_room(s, w->ask[i].tokens))
+		if (!work->blocks[i].is_hit) {
+			if (!reserve_capacity(server, work->blocks[i].tokens))
 				continue;
-			p = part_keep(s, w->salt, w->ask[i].id, w->ask[i].tokens, s->version, w->tenant);
+			p = store_block(server, work->salt, work->blocks[i].id, work->blocks[i].tokens, server->version, work->tenant);
 			p->refs++;
-			w->ask[i].hit = 1;
-		} else if ((p = part_find(s, w->salt, w->ask[i].id)) && p->tokens < w->ask[i].tokens) {
-			part_keep(s, w->salt, w->ask[i].id, w->ask[i].tokens, s->version, w->tenant);
+			work->blocks[i].is_hit = 1;
+		} else if ((p = part_find(server, work->salt, work->blocks[i].id)) && p->tokens < work->blocks[i].tokens) {
+			store_block(server, work->salt, work->blocks[i].id, work->blocks[i].tokens, server->version, work->tenant);
 		}
-		p = part_find(s, w->salt, w->ask[i].id);
+		p = part_find(server, work->salt, work->blocks[i].id);
 		if (to && p) {
-			int version = p->version, there = part_find(to, w->salt, w->ask[i].id) != NULL;
-			int64_t born = p->born;
+			int version = p->version, there = part_find(to, work->salt, work->blocks[i].id) != NULL;
+			int64_t born = p->created_at_us;
 			char tenant[48];
 
 			snprintf(tenant, sizeof tenant, "%s", p->tenant);
-			if (make_room(to, w->ask[i].tokens)) {
-				struct kept_part *at = part_keep(to, w->salt, w->ask[i].id, w->ask[i].tokens, version, tenant);
+			if (reserve_capacity(to, work->blocks[i].tokens)) {
+				struct prompt_block *block = store_block(to, work->salt, work->blocks[i].id, work->blocks[i].tokens, version, tenant);
 
-				at->born = there ? at->born : born;
+				block->created_at_us = there ? block->created_at_us : born;
 			}
 		}
 	}
-	w->state = WORK_WRITES;
-	w->left = 0;
+	work->state = WORK_DECODE;
+	work->remaining_tokens = 0;
 }
 
 static void begin(struct work *w)
 {
-	if (w->begun)
+	if (w->has_started)
 		return;
-	w->begun = 1;
-	w->version = w->s->version;
-	if (w->s->f->j)
-		judge_begin(w->s->f->j, fleet_ms(w->s->f), w->run, w->version, w->used, (int)arrlen(w->used));
+	w->has_started = 1;
+	w->version = w->server->version;
+	if (w->server->fleet->checker)
+		checker_record_start(w->server->fleet->checker, fleet_ms(w->server->fleet), w->run_id, w->version, w->used_blocks, (int)arrlen(w->used_blocks));
 }
 
-static void one_token(struct work *w)
+static void one_token(struct work *work)
 {
-	struct server *s = w->s;
+	struct server *server = work->server;
 
-	begin(w);
-	w->made++;
-	if (w->garbage) {
-		struct conn *c = w->c;
+	begin(work);
+	work->generated_tokens++;
+	if (work->garbage) {
+		struct conn *conn = work->conn;
 
-		work_end(w, 0, 200);
-		conn_say(c, "\x16\x03 this is no answer\r\n\r\n", 25);
-		conn_close(c, 0);
+		work_end(work, 0, 200);
+		conn_write(conn, "\x16\x03 this is no answer\r\n\r\n", 25);
+		conn_close(conn, 0);
 		return;
 	}
-	if (w->grey && !w->plain) {
-		struct conn *c = w->c;
+	if (work->grey && !work->is_plain) {
+		struct conn *conn = work->conn;
 		char f[700];
 
-		fields_of(s, w->id, f, sizeof f);
-		snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", w->run, (unsigned)w->seed);
-		w->body = stand_hash(0, "fault", 5);
-		work_end(w, 1, 500);
-		conn_answer(c, 500, f, "fault", 5, keeps(s));
+		response_fields(server, work->id, f, sizeof f);
+		snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", work->run_id, (unsigned)work->seed);
+		work->body = emulator_hash(0, "fault", 5);
+		work_end(work, 1, 500);
+		conn_answer(conn, 500, f, "fault", 5, keeps_connection(server));
 		return;
 	}
-	if (!w->plain && (w->made == 1 || w->made % s->f->e.stride == 0 || w->made >= w->out)) {
-		if (w->sent_id < w->last_id && !send_event(w))
+	if (!work->is_plain && (work->generated_tokens == 1 || work->generated_tokens % server->fleet->engine.token_stride == 0 || work->generated_tokens >= work->output_tokens)) {
+		if (work->sent_id < work->last_id && !send_event(work))
 			return;
 	}
-	if (w->made >= w->out || (!w->plain && w->sent_id >= w->last_id))
-		work_whole(w);
+	if (work->generated_tokens >= work->output_tokens || (!work->is_plain && work->sent_id >= work->last_id))
+		work_complete(work);
 }
 
 static void load_done(void *ctx)
 {
-	struct server *s = ctx;
-
-	s->load_timer = 0;
-	s->f->loading--;
-	s->version = s->loading_to;
-	s->loading_to = 0;
-	forget_all(s, 1);
-	for (int i = 0; i < arrlen(s->run); i++)
-		for (int k = 0; k < arrlen(s->run[i]->ask); k++)
-			s->run[i]->ask[k].hit = 0;
-	if (s->f->list)
-		list_note(s->f->list, s);
-	set_going(s);
+	struct server *server = ctx;
+
+	server->load_timer = 0;
+	server->fleet->loading--;
+	server->version = server->loading_to;
+	server->loading_to = 0;
+	drop_all_blocks(server, 1);
+	for (int i = 0; i < arrlen(server->batch); i++)
+		for (int k = 0; k < arrlen(server->batch[i]->blocks); k++)
+			server->batch[i]->blocks[k].is_hit = 0;
+	if (server->fleet->list)
+		list_server_changed(server->fleet->list, server);
+	resume_steps(server);
 }
 
-void server_load(struct server *s, int version)
+void server_load(struct server *server, int version)
 {
-	s->version = version;
-	forget_all(s, 1);
-	if (s->f->list)
-		list_note(s->f->list, s);
+	server->version = version;
+	drop_all_blocks(server, 1);
+	if (server->fleet->list)
+		list_server_changed(server->fleet->list, server);
 }
 
-static void load_begin(struct server *s)
+static void load_begin(struct server *server)
 {
-	int n = ++s->f->loading, most = s->f->e.load_at_once;
+	int n = ++server->fleet->loading, most = server->fleet->engine.load_at_once;
 
-	s->f->loads++;
-	s->load_timer = loop_after(
-	    s->f->l,
-	    ms_us(s->f->e.load_ms * (n > most ? (double)n / most : 1.0) * (s->fault.load_slow > 0 ? s->fault.load_slow : 1)),
-	    load_done, s);
+	server->fleet->loads++;
+	server->load_timer = loop_after(
+	    server->fleet->loop,
+	    ms_us(server->fleet->engine.load_ms * (n > most ? (double)n / most : 1.0) * (server->fault.load_slow > 0 ? server->fault.load_slow : 1)),
+	    load_done, server);
 }
 
 /* One step of the batch: what the last one did comes out, and the next one begins. */
 static void again(void *ctx)
 {
-	struct server *s = ctx;
+	struct server *server = ctx;
 	struct work **now = NULL;
 	int read = 0, busy = 0;
 	double ms;
 
-	s->step_timer = 0;
-	if (s->life == LIFE_DOWN || s->fault.dark)
+	server->step_timer = 0;
+	if (server->state == STATE_DOWN || server->fault.is_silent)
 		return;
-	for (int i = 0; i < arrlen(s->run); i++)
-		arrput(now, s->run[i]);
+	for (int i = 0; i < arrlen(server->batch); i++)
+		arrput(now, server->batch[i]);
 	for (int i = 0; i < arrlen(now); i++) {
-		struct work *w = now[i];
-
-		if (w->state == WORK_MOVES && loop_us() >= w->moved_at)
-			w->state = WORK_READS;
-		if (w->state == WORK_READS && w->step_read) {
-			s->f->read += (uint64_t)w->step_read;
-			w->left -= w->step_read;
-			w->step_read = 0;
-			if (w->left <= 0) {
-				was_read(w);
-				one_token(w);
+		struct work *work = now[i];
+
+		if (work->state == WORK_FETCHING && loop_us() >= work->transfer_done_at_us)
+			work->state = WORK_PREFILL;
+		if (work->state == WORK_PREFILL && work->step_read) {
+			server->fleet->prefilled_tokens += (uint64_t)work->step_read;
+			work->remaining_tokens -= work->step_read;
+			work->step_read = 0;
+			if (work->remaining_tokens <= 0) {
+				was_read(work);
+				one_token(work);
 			}
-		} else if (w->state == WORK_WRITES) {
-			if (s->load_timer && s->method != 2)
+		} else if (work->state == WORK_DECODE) {
+			if (server->load_timer && server->load_method != 2)
 				continue;
-			one_token(w);
+			one_token(work);
 		}
 	}
 	arrfree(now);
 	now = NULL;
-	for (int i = 0; i < arrlen(s->run); i++)
-		arrput(now, s->run[i]);
-	for (int i = 0; i < arrlen(s->wait); i++)
-		arrput(now, s->wait[i]);
+	for (int i = 0; i < arrlen(server->batch); i++)
+		arrput(now, server->batch[i]);
+	for (int i = 0; i < arrlen(server->queue); i++)
+		arrput(now, server->queue[i]);
 	for (int i = 0; i < arrlen(now); i++) {
-		struct work *w = now[i];
+		struct work *work = now[i];
 
-		if (loop_us() < w->until)
+		if (loop_us() < work->deadline_us)
 			continue;
-		if (!w->begun) {
-			work_turn_away(w, 503);
+		if (!work->has_started) {
+			work_reject(work, 503);
 		} else {
-			struct conn *c = w->c;
-			int head = w->head;
+			struct conn *c = work->conn;
+			int head = work->head_sent;
 			char f[700];
 
-			fields_of(s, w->id, f, sizeof f);
-			snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", w->run,
-				 (unsigned)w->seed);
-			w->body = stand_hash(0, "late", 4);
-			work_end(w, head ? 0 : 1, 504);
+			response_fields(server, work->id, f, sizeof f);
+			snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n", work->run_id,
+				 (unsigned)work->seed);
+			work->body = emulator_hash(0, "late", 4);
+			work_end(work, head ? 0 : 1, 504);
 			if (!c)
 				;
 			else if (head)
 				conn_close(c, 0);
 			else
-				conn_answer(c, 504, f, "late", 4, keeps(s));
+				conn_answer(c, 504, f, "late", 4, keeps_connection(server));
 		}
 	}
 	arrfree(now);
-	if (out_of_order(s)) {
-		for (int i = arrlen(s->wait) - 1; i >= 0; i--) /* what has begun and was put back ends first */
-			if (!s->wait[i]->begun)
-				work_turn_away(s->wait[i], 503);
-		for (int i = arrlen(s->run) - 1; i >= 0; i--)
-			if (!s->run[i]->begun)
-				work_turn_away(s->run[i], 503);
-		if (!s->load_timer && s->method != 2)
-			admit(s);
-		if (!s->load_timer && ((!arrlen(s->run) && !arrlen(s->wait)) || s->method == 2))
-			load_begin(s);
-		if (s->load_timer && s->method == 2) {
-			s->step_timer = loop_after(s->f->l, ms_us(20), again, s);
+	if (is_loading_weights(server)) {
+		for (int i = arrlen(server->queue) - 1; i >= 0; i--) /* what has begun and was put back ends first */
+			if (!server->queue[i]->has_started)
+				work_reject(server->queue[i], 503);
+		for (int i = arrlen(server->batch) - 1; i >= 0; i--)
+			if (!server->batch[i]->has_started)
+				work_reject(server->batch[i], 503);
+		if (!server->load_timer && server->load_method != 2)
+			admit(server);
+		if (!server->load_timer && ((!arrlen(server->batch) && !arrlen(server->queue)) || server->load_method == 2))
+			load_begin(server);
+		if (server->load_timer && server->load_method == 2) {
+			server->step_timer = loop_after(server->fleet->loop, ms_us(20), again, server);
 			return;
 		}
 	} else {
-		admit(s);
+		admit(server);
 	}
-	while (used_now(s) > room(s) && arrlen(s->run) > 1)
-		put_back(least_urgent(s));
-	for (int i = 0; i < arrlen(s->run); i++) {
-		struct work *w = s->run[i];
-		int n = s->f->e.chunk - read;
+	while (used_tokens(server) > room(server) && arrlen(server->batch) > 1)
+		put_back(least_urgent(server));
+	for (int i = 0; i < arrlen(server->batch); i++) {
+		struct work *work = server->batch[i];
+		int n = server->fleet->engine.chunk_tokens - read;
 
 		busy++;
-		if (w->state != WORK_READS || n <= 0)
+		if (work->state != WORK_PREFILL || n <= 0)
 			continue;
-		w->step_read = w->left < n ? w->left : n;
-		read += w->step_read;
+		work->step_read = work->remaining_tokens < n ? work->remaining_tokens : n;
+		read += work->step_read;
 	}
-	if (!busy && !arrlen(s->wait))
+	if (!busy && !arrlen(server->queue))
 		return;
-	ms = (s->f->e.step + s->f->e.per_slot * busy + read / s->f->e.read_per_ms) * s->speed *
-		 (s->fault.slow > 0 ? s->fault.slow : 1) +
-	     s->held_ms;
-	s->held_ms = 0;
-	s->due += ms_us(ms);
-	if (s->due < loop_us() - ms_us(20))
-		s->due = loop_us() - ms_us(20); /* a late process does not hurry for ever */
-	s->step_timer = loop_after(s->f->l, s->due > loop_us() ? s->due - loop_us() : 0, again, s);
+	ms = (server->fleet->engine.step_ms + server->fleet->engine.per_slot_ms * busy + read / server->fleet->engine.prefill_tokens_per_ms) * server->speed *
+		 (server->fault.slow > 0 ? server->fault.slow : 1) +
+	     server->stall_ms;
+	server->stall_ms = 0;
+	server->next_step_at_us += ms_us(ms);
+	if (server->next_step_at_us < loop_us() - ms_us(20))
+		server->next_step_at_us = loop_us() - ms_us(20); /* a late process does not hurry for ever */
+	server->step_timer = loop_after(server->fleet->loop, server->next_step_at_us > loop_us() ? server->next_step_at_us - loop_us() : 0, again, server);
 }
--- a/rehearsal/stand_server_cache.c
+++ b/rehearsal/stand_server_cache.c
@@ -6,111 +6,111 @@
 #include "ds.h"
 #include "stand_server_private.h"
 
-struct kept_part *part_find(struct server *s, const char *salt, const char *id)
+struct prompt_block *part_find(struct server *server, const char *salt, const char *id)
 {
-	for (int i = 0; i < arrlen(s->part); i++)
-		if (!strcmp(s->part[i].id, id) && !strcmp(s->part[i].salt, salt))
-			return &s->part[i];
+	for (int i = 0; i < arrlen(server->blocks); i++)
+		if (!strcmp(server->blocks[i].id, id) && !strcmp(server->blocks[i].salt, salt))
+			return &server->blocks[i];
 	return NULL;
 }
 
-static void event_add(struct server *s, char sign, const struct kept_part *p, int tokens)
+static void event_add(struct server *server, char sign, const struct prompt_block *block, int tokens)
 {
-	struct kv_event e;
-	int64_t seen = loop_us() + ms_us(s->f->e.events_lag * (0.5 + stand_unit(&s->f->rng)));
+	struct kv_event kv_event;
+	int64_t visible_at_us = loop_us() + ms_us(server->fleet->engine.event_lag_ms * (0.5 + emulator_random_unit(&server->fleet->rng)));
 
-	if (s->fault.events_lost || stand_unit(&s->f->rng) < s->f->e.events_loss)
+	if (server->fault.events_lost || emulator_random_unit(&server->fleet->rng) < server->fleet->engine.event_loss_ratio)
 		return;
-	memset(&e, 0, sizeof e);
-	e.number = ++s->last_event;
-	e.seen_at = arrlen(s->event) && arrlast(s->event).seen_at > seen ? arrlast(s->event).seen_at : seen;
-	e.sign = sign;
-	snprintf(e.salt, sizeof e.salt, "%s", p->salt);
-	snprintf(e.id, sizeof e.id, "%s", p->id);
-	e.tokens = tokens;
-	arrput(s->event, e);
-	if (arrlen(s->event) > s->f->e.events)
-		arrdel(s->event, 0);
+	memset(&kv_event, 0, sizeof kv_event);
+	kv_event.number = ++server->last_event;
+	kv_event.visible_at_us = arrlen(server->events) && arrlast(server->events).visible_at_us > visible_at_us ? arrlast(server->events).visible_at_us : visible_at_us;
+	kv_event.sign = sign;
+	snprintf(kv_event.salt, sizeof kv_event.salt, "%s", block->salt);
+	snprintf(kv_event.id, sizeof kv_event.id, "%s", block->id);
+	kv_event.tokens = tokens;
+	arrput(server->events, kv_event);
+	if (arrlen(server->events) > server->fleet->engine.event_limit)
+		arrdel(server->events, 0);
 }
 
-int64_t server_kept(const struct server *s)
+int64_t server_cached_tokens(const struct server *server)
 {
 	int64_t n = 0;
 
-	for (int i = 0; i < arrlen(s->part); i++)
-		n += s->part[i].tokens;
+	for (int i = 0; i < arrlen(server->blocks); i++)
+		n += server->blocks[i].tokens;
 	return n;
 }
 
-int64_t used_now(const struct server *s)
+int64_t used_tokens(const struct server *server)
 {
 	int64_t n = 0;
 
-	for (int i = 0; i < arrlen(s->part); i++)
-		n += s->part[i].refs ? s->part[i].tokens : 0;
-	for (int i = 0; i < arrlen(s->run); i++)
-		n += s->run[i]->state == WORK_WRITES ? s->run[i]->made : s->run[i]->left + s->run[i]->made;
+	for (int i = 0; i < arrlen(server->blocks); i++)
+		n += server->blocks[i].refs ? server->blocks[i].tokens : 0;
+	for (int i = 0; i < arrlen(server->batch); i++)
+		n += server->batch[i]->state == WORK_DECODE ? server->batch[i]->generated_tokens : server->batch[i]->remaining_tokens + server->batch[i]->generated_tokens;
 	return n;
 }
 
-int64_t room(const struct server *s) { return s->is_store ? 3999450 : s->f->e.kv; }
+int64_t room(const struct server *server) { return server->is_store ? 3999450 : server->fleet->engine.kv_capacity_tokens; }
 
-int make_room(struct server *s, int64_t need)
+int reserve_capacity(struct server *server, int64_t need)
 {
-	int64_t held = used_now(s), loose = server_kept(s);
+	int64_t in_use = used_tokens(server), loose = server_cached_tokens(server);
 
-	for (int i = 0; i < arrlen(s->part); i++)
-		loose -= s->part[i].refs ? s->part[i].tokens : 0;
-	if (held + need > room(s))
+	for (int i = 0; i < arrlen(server->blocks); i++)
+		loose -= server->blocks[i].refs ? server->blocks[i].tokens : 0;
+	if (in_use + need > room(server))
 		return 0;
-	while (held + loose + need > room(s)) {
+	while (in_use + loose + need > room(server)) {
 		int k = -1, cut;
-		int64_t over = held + loose + need - room(s);
+		int64_t over = in_use + loose + need - room(server);
 
-		for (int i = 0; i < arrlen(s->part); i++)
-			if (!s->part[i].refs && (k < 0 || s->part[i].used < s->part[k].used))
+		for (int i = 0; i < arrlen(server->blocks); i++)
+			if (!server->blocks[i].refs && (k < 0 || server->blocks[i].used_at_us < server->blocks[k].used_at_us))
 				k = i;
 		if (k < 0)
 			return 0;
-		cut = (int)((over + s->f->e.block - 1) / s->f->e.block * s->f->e.block); /* memory goes by blocks, from the end */
-		if (cut > s->part[k].tokens)
-			cut = s->part[k].tokens;
-		s->part[k].tokens -= cut;
+		cut = (int)((over + server->fleet->engine.block_tokens - 1) / server->fleet->engine.block_tokens * server->fleet->engine.block_tokens); /* memory goes by blocks, from the end */
+		if (cut > server->blocks[k].tokens)
+			cut = server->blocks[k].tokens;
+		server->blocks[k].tokens -= cut;
 		loose -= cut;
-		event_add(s, '-', &s->part[k], s->part[k].tokens);
-		if (!s->part[k].tokens)
-			arrdel(s->part, k);
+		event_add(server, '-', &server->blocks[k], server->blocks[k].tokens);
+		if (!server->blocks[k].tokens)
+			arrdel(server->blocks, k);
 	}
 	return 1;
 }
 
-struct kept_part *part_keep(struct server *s, const char *salt, const char *id, int tokens, int version, const char *tenant)
+struct prompt_block *store_block(struct server *server, const char *salt, const char *id, int tokens, int version, const char *tenant)
 {
-	struct kept_part *p = part_find(s, salt, id), n;
+	struct prompt_block *p = part_find(server, salt, id), block;
 
 	if (p) {
-		p->used = loop_us();
-		if (p->tokens < tokens && !s->is_store) {
+		p->used_at_us = loop_us();
+		if (p->tokens < tokens && !server->is_store) {
 			p->tokens = tokens;
-			event_add(s, '+', p, tokens);
+			event_add(server, '+', p, tokens);
 		}
 		return p;
 	}
-	memset(&n, 0, sizeof n);
-	snprintf(n.salt, sizeof n.salt, "%s", salt);
-	snprintf(n.id, sizeof n.id, "%s", id);
-	snprintf(n.tenant, sizeof n.tenant, "%s", tenant);
-	n.tokens = tokens;
-	n.version = version;
-	n.used = n.born = loop_us();
-	arrput(s->part, n);
-	event_add(s, '+', &n, tokens);
-	return &arrlast(s->part);
+	memset(&block, 0, sizeof block);
+	snprintf(block.salt, sizeof block.salt, "%s", salt);
+	snprintf(block.id, sizeof block.id, "%s", id);
+	snprintf(block.tenant, sizeof block.tenant, "%s", tenant);
+	block.tokens = tokens;
+	block.version = version;
+	block.used_at_us = block.created_at_us = loop_us();
+	arrput(server->blocks, block);
+	event_add(server, '+', &block, tokens);
+	return &arrlast(server->blocks);
 }
 
-void forget_all(struct server *s, int tell)
+void drop_all_blocks(struct server *server, int emit_events)
 {
-	for (int i = 0; tell && i < arrlen(s->part); i++)
-		event_add(s, '-', &s->part[i], 0);
-	arrfree(s->part);
+	for (int i = 0; emit_events && i < arrlen(server->blocks); i++)
+		event_add(server, '-', &server->blocks[i], 0);
+	arrfree(server->blocks);
 }
--- a/rehearsal/stand_server_http.c
+++ b/rehearsal/stand_server_http.c
@@ -5,394 +5,394 @@
 #include "ds.h"
 #include "stand_server_private.h"
 
-static void report(struct server *s, struct conn *c);
+static void report(struct server *server, struct conn *c);
 
-static int read_parts(struct work *w, const char *v)
+static int read_parts(struct work *work, const char *header)
 {
 	int sum = 0;
 
-	while (v && *v) {
-		struct asked_part p;
+	while (header && *header) {
+		struct requested_block asked_part;
 		int n = 0;
 
-		memset(&p, 0, sizeof p);
-		if (sscanf(v, "%23[0-9a-fA-F]:%d%n", p.id, &p.tokens, &n) != 2 || p.tokens <= 0)
+		memset(&asked_part, 0, sizeof asked_part);
+		if (sscanf(header, "%23[0-9a-fA-F]:%d%n", asked_part.id, &asked_part.tokens, &n) != 2 || asked_part.tokens <= 0)
 			break;
-		arrput(w->ask, p);
-		sum += p.tokens;
-		v += n;
-		while (*v == ',' || *v == ' ')
-			v++;
+		arrput(work->blocks, asked_part);
+		sum += asked_part.tokens;
+		header += n;
+		while (*header == ',' || *header == ' ')
+			header++;
 	}
 	return sum;
 }
 
-static void run_request(struct server *s, struct conn *c, struct msg *m)
+static void run_request(struct server *server, struct conn *conn, struct http_message *message)
 {
-	const char *id = msg_get(m, "X-Notchlug-Attempt-Id"), *v, *host = msg_get(m, "Host");
-	struct arrive_rec a;
-	struct work *w;
+	const char *id = http_message_field(message, "X-Notchlug-Attempt-Id"), *v, *host = http_message_field(message, "Host");
+	struct arrival_record arrival;
+	struct work *work;
 	int run = -1, away = 0, prompt = 0, out = 1, sum;
-	struct fleet_set *f = s->f;
-
-	memset(&a, 0, sizeof a);
-	a.id = id;
-	a.method = m->method;
-	a.path = m->target;
-	a.host = host;
-	a.tenant = msg_get(m, "X-Notchlug-Tenant-Id");
-	a.service = s->service;
-	a.instance = s->instance;
-	a.body = stand_hash(0, m->body ? m->body : "", m->len);
-	a.server = s->i;
-	a.last_event = (v = msg_get(m, "Last-Event-Id")) ? atoi(v) : 0;
-	if (f->j)
-		run = judge_arrive(f->j, fleet_ms(f), &a);
-	v = msg_get(m, "X-Notchlug-Target-Instance");
-	if (v && strcmp(v, s->instance))
+	struct server_fleet *settings = server->fleet;
+
+	memset(&arrival, 0, sizeof arrival);
+	arrival.id = id;
+	arrival.method = message->method;
+	arrival.path = message->target;
+	arrival.host = host;
+	arrival.tenant = http_message_field(message, "X-Notchlug-Tenant-Id");
+	arrival.service = server->service;
+	arrival.instance = server->instance;
+	arrival.body = emulator_hash(0, message->body ? message->body : "", message->body_length);
+	arrival.server = server->index;
+	arrival.last_event = (v = http_message_field(message, "Last-Event-Id")) ? atoi(v) : 0;
+	if (settings->checker)
+		run = checker_record_arrival(settings->checker, fleet_ms(settings), &arrival);
+	v = http_message_field(message, "X-Notchlug-Target-Instance");
+	if (v && strcmp(v, server->instance))
 		away = 421;
-	v = msg_get(m, "X-Notchlug-Expected-Version");
-	if (!away && v && atoi(v) != s->version)
+	v = http_message_field(message, "X-Notchlug-Expected-Version");
+	if (!away && v && atoi(v) != server->version)
 		away = 421;
 	if (!away && !id)
 		away = 400;
-	v = msg_get(m, "X-Notchlug-Token-Count");
+	v = http_message_field(message, "X-Notchlug-Token-Count");
 	if (v)
 		sscanf(v, "%d,%d", &prompt, &out);
-	if (!away && (prompt + out > f->e.kv || out_of_order(s) || arrlen(s->wait) >= f->e.queue))
+	if (!away && (prompt + out > settings->engine.kv_capacity_tokens || is_loading_weights(server) || arrlen(server->queue) >= settings->engine.queue_limit))
 		away = 503;
 	if (away) {
-		turn_away(s, c, run, id, away);
+		turn_away(server, conn, run, id, away);
 		return;
 	}
-	w = calloc(1, sizeof *w);
-	w->s = s;
-	w->c = c;
-	w->run = run;
-	w->at = loop_us();
-	w->plain = !v;
-	w->prompt = prompt > 0 ? prompt : 1;
-	w->seed = a.body;
-	snprintf(w->id, sizeof w->id, "%s", id);
-	snprintf(w->tenant, sizeof w->tenant, "%s", a.tenant ? a.tenant : "");
-	if ((v = msg_get(m, "X-Notchlug-Cache-Salt")))
-		snprintf(w->salt, sizeof w->salt, "%s", v);
-	if ((v = msg_get(m, "X-Notchlug-Kv-Source")))
-		snprintf(w->source, sizeof w->source, "%s", v);
-	if ((v = msg_get(m, "X-Notchlug-Kv-Sink")))
-		snprintf(w->sink, sizeof w->sink, "%s", v);
-	v = msg_get(m, "X-Notchlug-Priority-Level");
-	w->level = v ? atoi(v) : 5;
-	v = msg_get(m, "X-Notchlug-Deadline-Remaining");
-	w->until = loop_us() + ms_us(v ? atof(v) : 60000);
-	sum = read_parts(w, msg_get(m, "X-Notchlug-Prompt-Prefix"));
-	if (sum > w->prompt)
-		w->prompt = sum;
-	if (w->plain) {
-		w->out = 1;
+	work = calloc(1, sizeof *work);
+	work->server = server;
+	work->conn = conn;
+	work->run_id = run;
+	work->queued_at_us = loop_us();
+	work->is_plain = !v;
+	work->prompt_tokens = prompt > 0 ? prompt : 1;
+	work->seed = arrival.body;
+	snprintf(work->id, sizeof work->id, "%s", id);
+	snprintf(work->tenant, sizeof work->tenant, "%s", arrival.tenant ? arrival.tenant : "");
+	if ((v = http_message_field(message, "X-Notchlug-Cache-Salt")))
+		snprintf(work->salt, sizeof work->salt, "%s", v);
+	if ((v = http_message_field(message, "X-Notchlug-Kv-Source")))
+		snprintf(work->source, sizeof work->source, "%s", v);
+	if ((v = http_message_field(message, "X-Notchlug-Kv-Sink")))
+		snprintf(work->offload_target, sizeof work->offload_target, "%s", v);
+	v = http_message_field(message, "X-Notchlug-Priority-Level");
+	work->priority = v ? atoi(v) : 5;
+	v = http_message_field(message, "X-Notchlug-Deadline-Remaining");
+	work->deadline_us = loop_us() + ms_us(v ? atof(v) : 60000);
+	sum = read_parts(work, http_message_field(message, "X-Notchlug-Prompt-Prefix"));
+	if (sum > work->prompt_tokens)
+		work->prompt_tokens = sum;
+	if (work->is_plain) {
+		work->output_tokens = 1;
 	} else { /* how long an answer gets depends on what was asked, so that another server takes it up in the same place */
-		w->out = out - (int)(w->seed % (uint64_t)(out / 2 + 1));
-		w->last_id = 1 + w->out / f->e.stride;
-		w->first_id = w->sent_id = a.last_event < w->last_id ? a.last_event : w->last_id;
-		w->made = a.last_event ? a.last_event * f->e.stride : 0;
-		if (w->made >= w->out)
-			w->made = w->out - 1;
+		work->output_tokens = out - (int)(work->seed % (uint64_t)(out / 2 + 1));
+		work->last_id = 1 + work->output_tokens / settings->engine.token_stride;
+		work->first_id = work->sent_id = arrival.last_event < work->last_id ? arrival.last_event : work->last_id;
+		work->generated_tokens = arrival.last_event ? arrival.last_event * settings->engine.token_stride : 0;
+		if (work->generated_tokens >= work->output_tokens)
+			work->generated_tokens = work->output_tokens - 1;
 	}
-	w->close = !keeps(s);
-	w->lost = stand_unit(&f->rng) < s->fault.lost;
-	w->garbage = stand_unit(&f->rng) < s->fault.garbage;
-	w->surplus = stand_unit(&f->rng) < s->fault.surplus;
-	w->grey = stand_unit(&f->rng) < s->fault.grey;
-	if (stand_unit(&f->rng) < s->fault.broken && !w->plain && w->last_id > w->sent_id + 1)
-		w->break_at = w->sent_id + 1;
-	conn_set_tag(c, w);
-	arrput(s->wait, w);
-	set_going(s);
+	work->close = !keeps_connection(server);
+	work->lose_answer = emulator_random_unit(&settings->rng) < server->fault.lost;
+	work->garbage = emulator_random_unit(&settings->rng) < server->fault.garbage;
+	work->surplus = emulator_random_unit(&settings->rng) < server->fault.surplus;
+	work->grey = emulator_random_unit(&settings->rng) < server->fault.grey;
+	if (emulator_random_unit(&settings->rng) < server->fault.broken && !work->is_plain && work->last_id > work->sent_id + 1)
+		work->break_at = work->sent_id + 1;
+	conn_set_tag(conn, work);
+	arrput(server->queue, work);
+	resume_steps(server);
 }
 
-static void json_answer(struct conn *c, int status, struct json_object *j, int keep)
+static void json_answer(struct conn *conn, int status, struct json_object *json, int keep_alive)
 {
-	const char *t = json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN);
+	const char *t = json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN);
 
-	conn_answer(c, status, "Content-Type: application/json\r\n", t, strlen(t), keep);
-	json_object_put(j);
+	conn_answer(conn, status, "Content-Type: application/json\r\n", t, strlen(t), keep_alive);
+	json_object_put(json);
 }
 
-void note_report(void *ctx)
+void sample_report(void *ctx)
 {
-	struct server *s = ctx;
-
-	s->report[0] = s->report[1];
-	s->report[1].queued = (int)arrlen(s->wait);
-	s->report[1].active = (int)arrlen(s->run);
-	s->report[1].saturated = out_of_order(s);
-	s->report[1].seq = s->call_seq;
-	s->report[1].version = s->version;
-	s->report[1].used = used_now(s);
-	s->report_timer = loop_after(s->f->l, ms_us(s->f->e.report_lag), note_report, s);
+	struct server *server = ctx;
+
+	server->report[0] = server->report[1];
+	server->report[1].queued = (int)arrlen(server->queue);
+	server->report[1].active = (int)arrlen(server->batch);
+	server->report[1].saturated = is_loading_weights(server);
+	server->report[1].seq = server->call_seq;
+	server->report[1].version = server->version;
+	server->report[1].used_tokens = used_tokens(server);
+	server->report_timer = loop_after(server->fleet->loop, ms_us(server->fleet->engine.report_lag_ms), sample_report, server);
 }
 
-static struct json_object *models(struct server *s, int version)
+static struct json_object *models(struct server *server, int version)
 {
-	struct json_object *a = json_object_new_array(), *m = json_object_new_object();
+	struct json_object *a = json_object_new_array(), *json = json_object_new_object();
 
-	json_object_object_add(m, "Name", json_object_new_string(s->f->model));
-	json_object_object_add(m, "ConfigVersion", json_object_new_int(version));
-	json_object_object_add(m, "Adapters", json_object_new_array());
-	json_object_array_add(a, m);
+	json_object_object_add(json, "Name", json_object_new_string(server->fleet->model));
+	json_object_object_add(json, "ConfigVersion", json_object_new_int(version));
+	json_object_object_add(json, "Adapters", json_object_new_array());
+	json_object_array_add(a, json);
 	return a;
 }
 
-static void report(struct server *s, struct conn *c)
+static void report(struct server *server, struct conn *c)
 {
-	struct json_object *j = json_object_new_object();
-
-	s->f->probes++;
-	json_object_object_add(j, "Stage", json_object_new_string("combined"));
-	json_object_object_add(j, "Models", models(s, s->report[0].version));
-	json_object_object_add(j, "Saturated", json_object_new_boolean(s->report[0].saturated));
-	json_object_object_add(j, "CallSeq", json_object_new_int(s->report[0].seq));
-	json_object_object_add(j, "Queued", json_object_new_int(s->report[0].queued));
-	json_object_object_add(j, "Active", json_object_new_int(s->report[0].active));
-	json_object_object_add(j, "KvUsed", json_object_new_int64(s->report[0].used));
-	json_object_object_add(j, "KvTotal", json_object_new_int(s->f->e.kv));
-	json_object_object_add(j, "HandleCount", json_object_new_int(0));
-	json_answer(c, 200, j, 1);
+	struct json_object *json = json_object_new_object();
+
+	server->fleet->probes++;
+	json_object_object_add(json, "Stage", json_object_new_string("combined"));
+	json_object_object_add(json, "Models", models(server, server->report[0].version));
+	json_object_object_add(json, "Saturated", json_object_new_boolean(server->report[0].saturated));
+	json_object_object_add(json, "CallSeq", json_object_new_int(server->report[0].seq));
+	json_object_object_add(json, "Queued", json_object_new_int(server->report[0].queued));
+	json_object_object_add(json, "Active", json_object_new_int(server->report[0].active));
+	json_object_object_add(json, "KvUsed", json_object_new_int64(server->report[0].used_tokens));
+	json_object_object_add(json, "KvTotal", json_object_new_int(server->fleet->engine.kv_capacity_tokens));
+	json_object_object_add(json, "HandleCount", json_object_new_int(0));
+	json_answer(c, 200, json, 1);
 }
 
-static void order(struct server *s, struct conn *c, struct msg *m)
+static void order(struct server *server, struct conn *c, struct http_message *message)
 {
-	struct json_object *j = m->body ? json_tokener_parse(m->body) : NULL, *v = NULL;
-	const char *holder = NULL, *op = "", *model = "", *method = "", *target = msg_get(m, "X-Notchlug-Target-Instance");
+	struct json_object *json = message->body ? json_tokener_parse(message->body) : NULL, *v = NULL;
+	const char *lease_owner = NULL, *op = "", *model = "", *method = "", *target = http_message_field(message, "X-Notchlug-Target-Instance");
 	int64_t fence = -1, version = 0;
-	struct order_rec r;
+	struct load_command_record r;
 	int status;
 
-	if (json_object_is_type(j, json_type_object)) {
-		if (json_object_object_get_ex(j, "Operation", &v) && json_object_is_type(v, json_type_string))
+	if (json_object_is_type(json, json_type_object)) {
+		if (json_object_object_get_ex(json, "Operation", &v) && json_object_is_type(v, json_type_string))
 			op = json_object_get_string(v);
-		if (json_object_object_get_ex(j, "Holder", &v) && json_object_is_type(v, json_type_string))
-			holder = json_object_get_string(v);
-		if (json_object_object_get_ex(j, "ModelName", &v) && json_object_is_type(v, json_type_string))
+		if (json_object_object_get_ex(json, "Holder", &v) && json_object_is_type(v, json_type_string))
+			lease_owner = json_object_get_string(v);
+		if (json_object_object_get_ex(json, "ModelName", &v) && json_object_is_type(v, json_type_string))
 			model = json_object_get_string(v);
-		if (json_object_object_get_ex(j, "Method", &v) && json_object_is_type(v, json_type_string))
+		if (json_object_object_get_ex(json, "Method", &v) && json_object_is_type(v, json_type_string))
 			method = json_object_get_string(v);
-		if (json_object_object_get_ex(j, "FenceNumber", &v))
+		if (json_object_object_get_ex(json, "FenceNumber", &v))
 			fence = json_object_get_int64(v);
-		if (json_object_object_get_ex(j, "ConfigVersion", &v))
+		if (json_object_object_get_ex(json, "ConfigVersion", &v))
 			version = json_object_get_int64(v);
 	}
-	if (target && strcmp(target, s->instance))
+	if (target && strcmp(target, server->instance))
 		status = 421;
-	else if (strcmp(op, "ConfigVersion") || !holder || fence < 0 || strcmp(model, s->f->model) || version < 1 ||
-		 version > s->f->newest || (strcmp(method, "hold") && strcmp(method, "preempt") && strcmp(method, "retain")))
+	else if (strcmp(op, "ConfigVersion") || !lease_owner || fence < 0 || strcmp(model, server->fleet->model) || version < 1 ||
+		 version > server->fleet->newest_version || (strcmp(method, "hold") && strcmp(method, "preempt") && strcmp(method, "retain")))
 		status = 400;
-	else if (s->f->e.fence_checked && fence < s->fence)
+	else if (server->fleet->engine.fence_checked && fence < server->fence)
 		status = 412;
-	else if (json_object_object_get_ex(j, "ExpectedCount", &v) && json_object_get_int64(v) != s->call_seq)
+	else if (json_object_object_get_ex(json, "ExpectedCount", &v) && json_object_get_int64(v) != server->call_seq)
 		status = 409;
-	else if (version == s->version && !out_of_order(s))
+	else if (version == server->version && !is_loading_weights(server))
 		status = 200;
-	else if (out_of_order(s))
-		status = version == s->loading_to ? 202 : 409;
-	else if (s->fault.refuses_loads)
+	else if (is_loading_weights(server))
+		status = version == server->loading_to ? 202 : 409;
+	else if (server->fault.refuses_loads)
 		status = 0; /* no answer, and not taken */
 	else
 		status = 202;
-	if (s->f->j && status != 421 && status != 400) {
+	if (server->fleet->checker && status != 421 && status != 400) {
 		memset(&r, 0, sizeof r);
-		r.instance = s->instance;
-		r.holder = holder;
+		r.instance = server->instance;
+		r.lease_owner = lease_owner;
 		r.fence = fence;
 		r.status = status;
 		/* its sender was thawed, or the order lay unread while this server was silent: it may have been sent long ago */
-		r.thawed = (s->f->thawed && fleet_ms(s->f) - s->f->thawed < s->f->thaw_ms) ||
-			   (s->read_again_at && fleet_ms(s->f) - s->read_again_at < s->f->thaw_ms);
-		judge_order(s->f->j, fleet_ms(s->f), &r);
+		r.thawed = (server->fleet->thawed_at_ms && fleet_ms(server->fleet) - server->fleet->thawed_at_ms < server->fleet->thaw_ms) ||
+			   (server->reading_resumed_at_ms && fleet_ms(server->fleet) - server->reading_resumed_at_ms < server->fleet->thaw_ms);
+		checker_record_load_command(server->fleet->checker, fleet_ms(server->fleet), &r);
 	}
-	s->f->orders++;
-	if ((status == 202 || status == 200) && fence > s->fence)
-		s->fence = fence;
-	if (status == 202 && !out_of_order(s)) {
-		s->call_seq++;
-		s->loading_to = (int)version;
-		s->method = !strcmp(method, "hold") ? 0 : !strcmp(method, "preempt") ? 1 : 2;
-		if (s->method == 1)
-			for (int i = arrlen(s->run) - 1; i >= 0; i--) {
-				struct work *w = s->run[i];
-				struct conn *x = w->c;
-
-				if (!w->begun)
+	server->fleet->load_commands++;
+	if ((status == 202 || status == 200) && fence > server->fence)
+		server->fence = fence;
+	if (status == 202 && !is_loading_weights(server)) {
+		server->call_seq++;
+		server->loading_to = (int)version;
+		server->load_method = !strcmp(method, "hold") ? 0 : !strcmp(method, "preempt") ? 1 : 2;
+		if (server->load_method == 1)
+			for (int i = arrlen(server->batch) - 1; i >= 0; i--) {
+				struct work *work = server->batch[i];
+				struct conn *conn = work->conn;
+
+				if (!work->has_started)
 					continue;
-				work_end(w, 0, 200);
-				if (x)
-					conn_close(x, 1);
+				work_end(work, 0, 200);
+				if (conn)
+					conn_close(conn, 1);
 			}
-		set_going(s);
+		resume_steps(server);
 	}
-	json_object_put(j);
+	json_object_put(json);
 	if (!status)
 		conn_close(c, 1);
 	else
 		conn_answer(c, status, "", "", 0, 1);
 }
 
-static void kv_answer(struct server *s, struct conn *c, int64_t since)
+static void kv_answer(struct server *server, struct conn *conn, int64_t since)
 {
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array();
-	int64_t first = arrlen(s->event) ? s->event[0].number : s->last_event + 1,
-		next = since > s->last_event ? s->last_event : since;
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
+	int64_t first = arrlen(server->events) ? server->events[0].number : server->last_event + 1,
+		next = since > server->last_event ? server->last_event : since;
 
-	for (int i = 0; i < arrlen(s->event); i++) {
-		struct kv_event *e = &s->event[i];
+	for (int i = 0; i < arrlen(server->events); i++) {
+		struct kv_event *kv_event = &server->events[i];
 		struct json_object *x;
-		char sign[2] = { e->sign, 0 };
+		char sign[2] = { kv_event->sign, 0 };
 
-		if (e->number <= since || e->seen_at > loop_us())
+		if (kv_event->number <= since || kv_event->visible_at_us > loop_us())
 			continue;
 		x = json_object_new_array();
-		json_object_array_add(x, json_object_new_int64(e->number));
+		json_object_array_add(x, json_object_new_int64(kv_event->number));
 		json_object_array_add(x, json_object_new_string(sign));
-		json_object_array_add(x, json_object_new_string(e->salt));
-		json_object_array_add(x, json_object_new_string(e->id));
-		json_object_array_add(x, json_object_new_int(e->tokens));
-		json_object_array_add(x, json_object_new_string(s->f->model));
+		json_object_array_add(x, json_object_new_string(kv_event->salt));
+		json_object_array_add(x, json_object_new_string(kv_event->id));
+		json_object_array_add(x, json_object_new_int(kv_event->tokens));
+		json_object_array_add(x, json_object_new_string(server->fleet->model));
 		json_object_array_add(a, x);
-		next = e->number;
+		next = kv_event->number;
 	}
-	json_object_object_add(j, "NodeEpoch", json_object_new_int64((int64_t)(s->epoch >> 20)));
-	json_object_object_add(j, "NextToken", json_object_new_int64(next));
-	json_object_object_add(j, "LostCount", json_object_new_boolean(since + 1 < first));
-	json_object_object_add(j, "EventList", a);
-	json_answer(c, 200, j, 1);
+	json_object_object_add(json, "NodeEpoch", json_object_new_int64((int64_t)(server->epoch >> 20)));
+	json_object_object_add(json, "NextToken", json_object_new_int64(next));
+	json_object_object_add(json, "LostCount", json_object_new_boolean(since + 1 < first));
+	json_object_object_add(json, "EventList", a);
+	json_answer(conn, 200, json, 1);
 }
 
-static int visible(const struct server *s, int64_t since)
+static int visible(const struct server *server, int64_t since)
 {
-	if (since > s->last_event)
+	if (since > server->last_event)
 		return 1; /* from another life */
-	for (int i = arrlen(s->event) - 1; i >= 0 && s->event[i].number > since; i--)
-		if (s->event[i].seen_at <= loop_us())
+	for (int i = arrlen(server->events) - 1; i >= 0 && server->events[i].number > since; i--)
+		if (server->events[i].visible_at_us <= loop_us())
 			return 1;
 	return 0;
 }
 
-void watchers_look(void *ctx)
+void answer_watchers(void *ctx)
 {
-	struct server *s = ctx;
+	struct server *server = ctx;
 
-	s->watch_timer = 0;
-	if (s->fault.dark)
+	server->watch_timer = 0;
+	if (server->fault.is_silent)
 		return;
-	for (int i = arrlen(s->watcher) - 1; i >= 0; i--) {
-		struct watcher w = s->watcher[i];
+	for (int i = arrlen(server->watchers) - 1; i >= 0; i--) {
+		struct watcher watcher = server->watchers[i];
 
-		if (loop_us() < w.until && !visible(s, w.since))
+		if (loop_us() < watcher.until && !visible(server, watcher.since))
 			continue;
-		arrdel(s->watcher, i);
-		kv_answer(s, w.c, w.since);
+		arrdel(server->watchers, i);
+		kv_answer(server, watcher.conn, watcher.since);
 	}
-	if (arrlen(s->watcher) && !s->watch_timer)
-		s->watch_timer = loop_after(s->f->l, ms_us(10), watchers_look, s);
+	if (arrlen(server->watchers) && !server->watch_timer)
+		server->watch_timer = loop_after(server->fleet->loop, ms_us(10), answer_watchers, server);
 }
 
-static void kv_events(struct server *s, struct conn *c, struct msg *m)
+static void kv_events(struct server *server, struct conn *conn, struct http_message *message)
 {
-	const char *q = strstr(m->target, "SinceTime="), *wait = msg_get(m, "Wait-Ms");
-	struct watcher w = { c, q ? atoll(q + 10) : 0, loop_us() };
+	const char *q = strstr(message->target, "SinceTime="), *wait = http_message_field(message, "Wait-Ms");
+	struct watcher watcher = { conn, q ? atoll(q + 10) : 0, loop_us() };
 	int ms = wait ? atoi(wait) : 0;
 
 	if (ms > 1000)
 		ms = 1000;
 	if (ms < 200)
-		s->f->probes++;
-	if (arrlen(s->watcher) >= s->f->e.in_flight) {
-		s->f->probes++;
-		conn_answer(c, 429, "", "", 0, 1);
+		server->fleet->probes++;
+	if (arrlen(server->watchers) >= server->fleet->engine.in_flight) {
+		server->fleet->probes++;
+		conn_answer(conn, 429, "", "", 0, 1);
 		return;
 	}
-	w.until += ms_us(ms);
-	arrput(s->watcher, w);
-	if (!s->watch_timer)
-		watchers_look(s);
+	watcher.until += ms_us(ms);
+	arrput(server->watchers, watcher);
+	if (!server->watch_timer)
+		answer_watchers(server);
 }
 
-static void kv_list(struct server *s, struct conn *c)
+static void kv_list(struct server *server, struct conn *conn)
 {
-	struct json_object *j = json_object_new_object(), *a = json_object_new_array();
+	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
 	int64_t next = 0;
 
-	for (int i = 0; i < arrlen(s->event); i++)
-		next = s->event[i].seen_at <= loop_us() ? s->event[i].number : next;
-	for (int i = 0; i < arrlen(s->part); i++) {
+	for (int i = 0; i < arrlen(server->events); i++)
+		next = server->events[i].visible_at_us <= loop_us() ? server->events[i].number : next;
+	for (int i = 0; i < arrlen(server->blocks); i++) {
 		struct json_object *x = json_object_new_array();
 
-		json_object_array_add(x, json_object_new_string(s->part[i].salt));
-		json_object_array_add(x, json_object_new_string(s->part[i].id));
-		json_object_array_add(x, json_object_new_int(s->part[i].tokens));
-		json_object_array_add(x, json_object_new_string(s->f->model));
+		json_object_array_add(x, json_object_new_string(server->blocks[i].salt));
+		json_object_array_add(x, json_object_new_string(server->blocks[i].id));
+		json_object_array_add(x, json_object_new_int(server->blocks[i].tokens));
+		json_object_array_add(x, json_object_new_string(server->fleet->model));
 		json_object_array_add(a, x);
 	}
-	s->held_ms += 5;
-	s->f->probes++;
-	json_object_object_add(j, "NodeEpoch", json_object_new_int64((int64_t)(s->epoch >> 20)));
-	json_object_object_add(j, "NextToken", json_object_new_int64(next));
-	json_object_object_add(j, "HeldCount", a);
-	json_answer(c, 200, j, 1);
+	server->stall_ms += 5;
+	server->fleet->probes++;
+	json_object_object_add(json, "NodeEpoch", json_object_new_int64((int64_t)(server->epoch >> 20)));
+	json_object_object_add(json, "NextToken", json_object_new_int64(next));
+	json_object_object_add(json, "HeldCount", a);
+	json_answer(conn, 200, json, 1);
 }
 
-static void health(struct server *s, struct conn *c)
+static void health(struct server *server, struct conn *conn)
 {
 	char b[800];
-	int well = s->life == LIFE_UP;
+	int well = server->state == STATE_UP;
 
-	s->f->probes++;
-	if (s->fault.false_health)
+	server->fleet->probes++;
+	if (server->fault.false_health)
 		well = !well;
-	if (arrlen(s->run) >= s->f->e.slots) { /* no slot is free */
-		turn_away(s, c, -1, NULL, 503);
+	if (arrlen(server->batch) >= server->fleet->engine.slots) { /* no slot is free */
+		turn_away(server, conn, -1, NULL, 503);
 		return;
 	}
-	fields_of(s, NULL, b, sizeof b);
-	snprintf(b + strlen(b), sizeof b - strlen(b), "X-Notchlug-Instance-Id: %s\r\n", s->instance);
-	conn_answer(c, well ? 200 : 503, b, "", 0, keeps(s));
+	response_fields(server, NULL, b, sizeof b);
+	snprintf(b + strlen(b), sizeof b - strlen(b), "X-Notchlug-Instance-Id: %s\r\n", server->instance);
+	conn_answer(conn, well ? 200 : 503, b, "", 0, keeps_connection(server));
 }
 
-void request(void *ctx, struct conn *c, struct msg *m)
+void request(void *ctx, struct conn *conn, struct http_message *message)
 {
-	struct server *s = ctx;
-	size_t path = strcspn(m->target, "?");
-	int get = !strcmp(m->method, "GET");
-
-	if (conn_tag(c) == s)
-		surplus_say(s);
-	if (get && path == 10 && !strncmp(m->target, "/kv-events", path))
-		kv_events(s, c, m);
-	else if (get && !strcmp(m->target, "/kv-list"))
-		kv_list(s, c);
-	else if (s->is_store)
-		conn_answer(c, 404, "", "", 0, 1);
-	else if (get && !strcmp(m->target, "/health"))
-		health(s, c);
-	else if (get && !strcmp(m->target, "/report"))
-		report(s, c);
-	else if (!strcmp(m->method, "POST") && !strcmp(m->target, "/order"))
-		order(s, c, m);
+	struct server *server = ctx;
+	size_t path = strcspn(message->target, "?");
+	int get = !strcmp(message->method, "GET");
+
+	if (conn_tag(conn) == server)
+		send_surplus(server);
+	if (get && path == 10 && !strncmp(message->target, "/kv-events", path))
+		kv_events(server, conn, message);
+	else if (get && !strcmp(message->target, "/kv-list"))
+		kv_list(server, conn);
+	else if (server->is_store)
+		conn_answer(conn, 404, "", "", 0, 1);
+	else if (get && !strcmp(message->target, "/health"))
+		health(server, conn);
+	else if (get && !strcmp(message->target, "/report"))
+		report(server, conn);
+	else if (!strcmp(message->method, "POST") && !strcmp(message->target, "/order"))
+		order(server, conn, message);
 	else
-		run_request(s, c, m);
+		run_request(server, conn, message);
 }
 
 /* Most drop a request when its connection closes; some go on. */
-static void left(struct work *w)
+static void left(struct work *work)
 {
-	if (stand_unit(&w->s->f->rng) >= w->s->fault.stubborn) {
-		work_end(w, -1, 0);
+	if (emulator_random_unit(&work->server->fleet->rng) >= work->server->fault.stubborn) {
+		work_end(work, -1, 0);
 		return;
 	}
-	conn_set_tag(w->c, NULL);
-	w->c = NULL;
-	w->lost = 1;
-	w->garbage = w->grey = w->surplus = w->break_at = 0;
+	conn_set_tag(work->conn, NULL);
+	work->conn = NULL;
+	work->lose_answer = 1;
+	work->garbage = work->grey = work->surplus = work->break_at = 0;
 }
 
 void gone(void *ctx, struct conn *c, enum conn_end how)
@@ -401,16 +401,16 @@
 	struct work *w = conn_tag(c);
 
 	(void)how;
-	for (int i = arrlen(s->watcher) - 1; i >= 0; i--)
-		if (s->watcher[i].c == c)
-			arrdel(s->watcher, i);
-	for (int i = 0; w && i < arrlen(s->run); i++)
-		if (s->run[i] == w) {
+	for (int i = arrlen(s->watchers) - 1; i >= 0; i--)
+		if (s->watchers[i].conn == c)
+			arrdel(s->watchers, i);
+	for (int i = 0; w && i < arrlen(s->batch); i++)
+		if (s->batch[i] == w) {
 			left(w);
 			return;
 		}
-	for (int i = 0; w && i < arrlen(s->wait); i++)
-		if (s->wait[i] == w) {
+	for (int i = 0; w && i < arrlen(s->queue); i++)
+		if (s->queue[i] == w) {
 			left(w);
 			return;
 		}
--- a/rehearsal/stand_soak.c
+++ b/rehearsal/stand_soak.c
@@ -13,8 +13,8 @@
 	SOAK_MS = 45000,
 	STEP_MS = 10,
 	/* the run's bounds */
-	VERSION_LEAST_MS = 5000,
-	VERSION_MOST_MS = 8000,
+	VERSION_MIN_MS = 5000,
+	VERSION_MAX_MS = 8000,
 	CONTACT_MS = 1500,
 	DRAIN_MS = 1500,
 	LEASE_MS = 1500,
@@ -25,185 +25,185 @@
 	CROWDED_ROUTERS = 60,
 	CROWDED_CORE = 9,
 	/* troubles */
-	CALM_LANE_EVERY = 4, /* a subject has no trouble in one of so many runs */
+	QUIET_SERIES_EVERY = 4, /* a subject has no trouble in one of so many runs */
 	LONG_EVERY = 40,     /* one of so many answers takes seconds */
 	BURST_EVERY = 2,     /* of so many series of namings one is a burst */
-	BURST_NAMINGS_LEAST = 9,
-	BURST_NAMINGS_MORE = 12,
-	NAMING_GAP_LEAST_MS = 500,
-	NAMING_GAP_MOST_MS = 30000,
+	BURST_TARGETS_MIN = 9,
+	BURST_TARGETS_EXTRA = 12,
+	TARGET_GAP_MIN_MS = 500,
+	TARGET_GAP_MAX_MS = 30000,
 	SLOW_TIMES = 6,
 	LOAD_SLOW_TIMES = 10,
 	LOST_PERCENT = 60,
-	DOWN_MOST_MS = 3000,
-	FREEZE_LEAST_MS = 200,
+	DOWN_MAX_MS = 3000,
+	FREEZE_MIN_MS = 200,
 	LOSS_PAUSE_MS = 15000, /* from one disk lost to the next */
 	/* how late the run may be itself */
 	SAMPLE_MS = 1000,
-	LATEST_MS = 300
+	MAX_LATENESS_MS = 300
 };
 
-struct soak;
+struct soak_test;
 
 /* A trouble that is under way. `over` ends it and says 1, or 0 when it has to be called again later. */
 struct episode {
-	int64_t ends;
-	int (*over)(struct soak *soak, void *subject);
+	int64_t ends_at_ms;
+	int (*end)(struct soak_test *soak_test, void *subject);
 	void *subject;
 };
 
 /* Troubles of one subject: in series with gaps, and pauses between the series. */
-struct lane {
-	void (*strike)(struct soak *soak, int kind);
-	int kinds, most;        /* kinds of trouble; troubles in a series */
-	int64_t gap, pause;     /* the longest, in ms */
-	int64_t shortest_pause; /* the shortest pause */
-	uint64_t strike_seed, strikes;
-	int kind, left;           /* the kind that struck last; how many are still to come in the series */
-	int64_t series_gap, next; /* ms */
+struct fault_series {
+	void (*inject)(struct soak_test *soak_test, int kind);
+	int kind_count, max_faults;        /* kinds of trouble; troubles in a series */
+	int64_t max_gap_ms, max_pause_ms;     /* the longest, in ms */
+	int64_t min_pause_ms; /* the shortest pause */
+	uint64_t seed, injected_count;
+	int kind, remaining;           /* the kind that struck last; how many are still to come in the series */
+	int64_t gap_ms, next_at_ms; /* ms */
 };
 
-enum { LANE_ROUTERS, LANE_CORE, LANE_SERVERS, LANE_OTHERS, LANES };
+enum { SERIES_ROUTERS, SERIES_CORE, SERIES_SERVERS, SERIES_OTHERS, SERIES_COUNT };
 
 struct replacement {
 	struct machine *lost, *new;
 };
 
-struct soak {
+struct soak_test {
 	struct run *run;
-	uint64_t rng, naming_seed, naming_turn;
-	int64_t end;
-	struct lane lane[LANES];
-	struct episode *under_way; /* stb array */
+	uint64_t rng, target_seed, target_index;
+	int64_t ends_at_ms;
+	struct fault_series series[SERIES_COUNT];
+	struct episode *active_faults; /* stb array */
 	struct replacement replacement;
-	int64_t next_loss, next_naming, naming_gap, next_sample;
-	int version, namings_left, troubles, overlaps, burst; /* burst: so many times the load; 0: none */
+	int64_t next_disk_loss_at_ms, next_target_at_ms, target_gap_ms, next_sample_at_ms;
+	int target_version, targets_remaining, fault_count, overlap_count, load_factor; /* burst: so many times the load; 0: none */
 	struct {
 		int pid;
-		long long waited; /* ns on a processor's queue, as the kernel counts them */
-	} sample[MOST_MACHINES];
+		long long waited_ns; /* ns on a processor's queue, as the kernel counts them */
+	} sample[MAX_MACHINES];
 };
 
 /* ---- drawing ---- */
 
-static int64_t between(struct soak *soak, int64_t least, int64_t most)
+static int64_t between(struct soak_test *soak, int64_t least, int64_t most)
 {
-	return least + (int64_t)(stand_rand(&soak->rng) % (uint64_t)(most - least + 1));
+	return least + (int64_t)(emulator_random(&soak->rng) % (uint64_t)(most - least + 1));
 }
 
 /* What one strike or naming draws depends on its place in its series alone, not on what the clock did to others. */
-static void draw_anew(struct soak *soak, uint64_t seed, uint64_t turn) { soak->rng = stand_hash(seed, &turn, sizeof turn); }
+static void draw_anew(struct soak_test *soak, uint64_t seed, uint64_t index) { soak->rng = emulator_hash(seed, &index, sizeof index); }
 
-static int one_in(struct soak *soak, int64_t n) { return between(soak, 1, n) == 1; }
+static int one_in(struct soak_test *soak, int64_t n) { return between(soak, 1, n) == 1; }
 
-static void lasts(struct soak *soak, int64_t ms, int (*over)(struct soak *, void *), void *subject)
+static void start_fault(struct soak_test *soak, int64_t ms, int (*over)(struct soak_test *, void *), void *subject)
 {
-	struct episode e = { run_ms(soak->run) + ms, over, subject };
+	struct episode episode = { run_ms(soak->run) + ms, over, subject };
 
-	arrput(soak->under_way, e);
-	soak->troubles++;
-	soak->overlaps += arrlen(soak->under_way) > 1;
+	arrput(soak->active_faults, episode);
+	soak->fault_count++;
+	soak->overlap_count += arrlen(soak->active_faults) > 1;
 }
 
-static int is_calm(const struct machine *m) { return m->pid && !m->gone && !m->killed && !m->leaving && !m->frozen; }
+static int is_healthy(const struct machine *machine) { return machine->pid && !machine->removed && !machine->is_killed && !machine->draining && !machine->is_frozen; }
 
 /* One of the machines of a kind that have no trouble now; NULL: there is none. */
-static struct machine *any_calm(struct soak *soak, int core)
+static struct machine *any_healthy(struct soak_test *soak, int core)
 {
 	struct run *run = soak->run;
 	int n = 0, chosen;
 
-	for (int i = 0; i < run->nm; i++)
-		n += run->m[i].core == core && is_calm(&run->m[i]);
+	for (int i = 0; i < run->machine_count; i++)
+		n += run->machines[i].is_core == core && is_healthy(&run->machines[i]);
 	if (!n)
 		return NULL;
 	chosen = (int)between(soak, 0, n - 1);
-	for (int i = 0; i < run->nm; i++)
-		if (run->m[i].core == core && is_calm(&run->m[i]) && chosen-- == 0)
-			return &run->m[i];
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core == core && is_healthy(&run->machines[i]) && chosen-- == 0)
+			return &run->machines[i];
 	return NULL;
 }
 
 /* The core machine that acknowledged last, every other time; else any. */
-static struct machine *core_machine(struct soak *soak)
+static struct machine *core_machine(struct soak_test *soak)
 {
-	const char *leader = operator_leader(soak->run->op);
+	const char *leader = operator_leader(soak->run->operator);
 
 	if (one_in(soak, 2))
-		for (int i = 0; i < soak->run->nm; i++)
-			if (is_calm(&soak->run->m[i]) && !strcmp(soak->run->m[i].control, leader))
-				return &soak->run->m[i];
-	return any_calm(soak, 1);
+		for (int i = 0; i < soak->run->machine_count; i++)
+			if (is_healthy(&soak->run->machines[i]) && !strcmp(soak->run->machines[i].control_address, leader))
+				return &soak->run->machines[i];
+	return any_healthy(soak, 1);
 }
 
 /* ---- machines ---- */
 
-static int starts(struct soak *soak, void *subject)
+static int end_downtime(struct soak_test *soak, void *subject)
 {
-	struct machine *m = subject;
+	struct machine *machine = subject;
 
 	(void)soak;
-	if (!machine_down(m) && m->leaving)
+	if (!machine_down(machine) && machine->draining)
 		return 0;
-	machine_start(m);
+	machine_start(machine);
 	return 1;
 }
 
-static int thaws(struct soak *soak, void *subject)
+static int thaw_machine(struct soak_test *soak, void *subject)
 {
 	(void)soak;
 	machine_freeze(subject, 0);
 	return 1;
 }
 
-static void kill_one(struct soak *soak, struct machine *m)
+static void kill_one(struct soak_test *soak, struct machine *machine)
 {
-	run_say(soak->run, "soak: %s is killed", m->name);
-	machine_kill(m);
-	lasts(soak, between(soak, 0, DOWN_MOST_MS), starts, m);
+	run_log(soak->run, "soak: %s is killed", machine->name);
+	machine_kill(machine);
+	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
 }
 
-static void stop_one(struct soak *soak, struct machine *m)
+static void stop_one(struct soak_test *soak, struct machine *machine)
 {
-	run_say(soak->run, "soak: %s is stopped", m->name);
-	machine_term(m);
-	lasts(soak, between(soak, 0, DOWN_MOST_MS), starts, m);
+	run_log(soak->run, "soak: %s is stopped", machine->name);
+	machine_term(machine);
+	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
 }
 
-static void freeze_one(struct soak *soak, struct machine *m)
+static void freeze_one(struct soak_test *soak, struct machine *machine)
 {
-	int64_t ms = between(soak, FREEZE_LEAST_MS, soak->run->b.version + 2000);
+	int64_t ms = between(soak, FREEZE_MIN_MS, soak->run->bounds.version_ms + 2000);
 
-	run_say(soak->run, "soak: %s freezes for %lld ms", m->name, (long long)ms);
-	machine_freeze(m, 1);
-	lasts(soak, ms, thaws, m);
+	run_log(soak->run, "soak: %s freezes for %lld ms", machine->name, (long long)ms);
+	machine_freeze(machine, 1);
+	start_fault(soak, ms, thaw_machine, machine);
 }
 
-static void every_calm(struct soak *soak, int core, void (*what)(struct soak *, struct machine *))
+static void for_each_healthy(struct soak_test *soak, int core, void (*what)(struct soak_test *, struct machine *))
 {
-	for (int i = 0; i < soak->run->nm; i++)
-		if (soak->run->m[i].core == core && is_calm(&soak->run->m[i]))
-			what(soak, &soak->run->m[i]);
+	for (int i = 0; i < soak->run->machine_count; i++)
+		if (soak->run->machines[i].is_core == core && is_healthy(&soak->run->machines[i]))
+			what(soak, &soak->run->machines[i]);
 }
 
-static void reload_one(struct soak *soak, struct machine *m)
+static void reload_one(struct soak_test *soak, struct machine *machine)
 {
 	(void)soak;
-	machine_hup(m);
+	machine_reload(machine);
 }
 
-static void reload_all(struct soak *soak)
+static void reload_all(struct soak_test *soak)
 {
-	run_say(soak->run, "soak: SIGHUP of all machines");
-	every_calm(soak, 0, reload_one);
-	every_calm(soak, 1, reload_one);
+	run_log(soak->run, "soak: SIGHUP of all machines");
+	for_each_healthy(soak, 0, reload_one);
+	for_each_healthy(soak, 1, reload_one);
 }
 
 enum { ROUTERS_KILL, ROUTERS_STOP, ROUTERS_FREEZE, ROUTERS_HUP, ROUTERS_KILL_ALL, ROUTERS_KINDS };
 
-static void strike_routers(struct soak *soak, int kind)
+static void inject_router_fault(struct soak_test *soak, int kind)
 {
-	static void (*const what[])(struct soak *, struct machine *) = { kill_one, stop_one, freeze_one };
+	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one };
 	int many = kind == ROUTERS_STOP ? 1 : (int)between(soak, 1, (soak->run->edges + 2) / 3);
 
 	if (kind == ROUTERS_HUP) {
@@ -211,255 +211,255 @@
 		return;
 	}
 	if (kind == ROUTERS_KILL_ALL) {
-		every_calm(soak, 0, kill_one);
+		for_each_healthy(soak, 0, kill_one);
 		return;
 	}
 	while (many--) {
-		struct machine *m = any_calm(soak, 0);
+		struct machine *machine = any_healthy(soak, 0);
 
-		if (m)
-			what[kind](soak, m);
+		if (machine)
+			what[kind](soak, machine);
 	}
 }
 
 /* ---- core machines ---- */
 
-static int lists_new(struct soak *soak, void *subject)
+static int list_replacement(struct soak_test *soak, void *subject)
 {
 	struct replacement *replacement = subject;
 
 	(void)soak;
-	replacement->lost->listed = 0;
-	replacement->new->listed = 1;
+	replacement->lost->is_listed = 0;
+	replacement->new->is_listed = 1;
 	return 1;
 }
 
-static int zone_of(const struct run *run, const struct machine *m)
+static int zone_of(const struct run *run, const struct machine *machine)
 {
 	int zone = 0;
 
-	while (zone < 3 && strcmp(m->zone, run->sheet->zone[zone]) != 0)
+	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]) != 0)
 		zone++;
 	return zone;
 }
 
 /* A core machine goes for good; an empty one comes at another address. */
-static void replace_one(struct soak *soak, struct machine *m)
+static void replace_one(struct soak_test *soak, struct machine *machine)
 {
 	struct run *run = soak->run;
 
-	run_say(run, "soak: %s goes for good and an empty machine comes at another address", m->name);
-	machine_remove(m);
-	soak->replacement = (struct replacement){ m, machine_add(run, 1, zone_of(run, m)) };
-	lasts(soak, between(soak, 0, DOWN_MOST_MS), starts, soak->replacement.new);
-	lasts(soak, SEED_LAG_MS, lists_new, &soak->replacement);
+	run_log(run, "soak: %s goes for good and an empty machine comes at another address", machine->name);
+	machine_remove(machine);
+	soak->replacement = (struct replacement){ machine, machine_add(run, 1, zone_of(run, machine)) };
+	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, soak->replacement.new);
+	start_fault(soak, SEED_LAG_MS, list_replacement, &soak->replacement);
 }
 
-static int starts_empty(struct soak *soak, void *subject)
+static int restart_empty(struct soak_test *soak, void *subject)
 {
-	struct machine *m = subject;
+	struct machine *machine = subject;
 
-	if (!machine_down(m))
+	if (!machine_down(machine))
 		return 0;
-	machine_wipe(m);
-	return starts(soak, m);
+	machine_wipe(machine);
+	return end_downtime(soak, machine);
 }
 
-static void wipe_one(struct soak *soak, struct machine *m)
+static void wipe_one(struct soak_test *soak, struct machine *machine)
 {
-	run_say(soak->run, "soak: %s is killed and loses its disk", m->name);
-	machine_kill(m);
-	lasts(soak, between(soak, 500, DOWN_MOST_MS), starts_empty, m);
+	run_log(soak->run, "soak: %s is killed and loses its disk", machine->name);
+	machine_kill(machine);
+	start_fault(soak, between(soak, 500, DOWN_MAX_MS), restart_empty, machine);
 }
 
 /* The core bears the loss of one disk at a time (MachineLosses = 1). */
-static int may_lose(struct soak *soak)
+static int may_lose_disk(struct soak_test *soak)
 {
-	if (run_ms(soak->run) < soak->next_loss || soak->run->nm + 1 >= MOST_MACHINES)
+	if (run_ms(soak->run) < soak->next_disk_loss_at_ms || soak->run->machine_count + 1 >= MAX_MACHINES)
 		return 0;
-	soak->next_loss = run_ms(soak->run) + LOSS_PAUSE_MS;
+	soak->next_disk_loss_at_ms = run_ms(soak->run) + LOSS_PAUSE_MS;
 	return 1;
 }
 
-static void name_weights(struct soak *soak)
+static void name_weights(struct soak_test *soak)
 {
-	if (operator_weights_acked(soak->run->op) < soak->version)
+	if (operator_weights_acked(soak->run->operator) < soak->target_version)
 		return; /* one after another */
-	operator_weights(soak->run->op, ++soak->version);
+	operator_weights(soak->run->operator, ++soak->target_version);
 }
 
 enum { CORE_KILL, CORE_STOP, CORE_FREEZE, CORE_REPLACE, CORE_WIPE, CORE_KILL_ALL, CORE_STOP_ALL, CORE_KINDS };
 
-static void strike_core(struct soak *soak, int kind)
+static void inject_core_fault(struct soak_test *soak, int kind)
 {
-	static void (*const what[])(struct soak *, struct machine *) = { kill_one, stop_one, freeze_one, replace_one, wipe_one };
-	struct machine *m;
+	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one, replace_one, wipe_one };
+	struct machine *machine;
 
 	if (one_in(soak, 2)) { /* while a naming is on its way */
 		name_weights(soak);
 		run_for(soak->run, between(soak, 0, 3));
 	}
 	if (kind == CORE_KILL_ALL || kind == CORE_STOP_ALL) {
-		every_calm(soak, 1, kind == CORE_KILL_ALL ? kill_one : stop_one);
+		for_each_healthy(soak, 1, kind == CORE_KILL_ALL ? kill_one : stop_one);
 		return;
 	}
-	if ((kind == CORE_REPLACE || kind == CORE_WIPE) && !may_lose(soak))
+	if ((kind == CORE_REPLACE || kind == CORE_WIPE) && !may_lose_disk(soak))
 		kind = CORE_FREEZE;
-	m = core_machine(soak);
-	if (m)
-		what[kind](soak, m);
+	machine = core_machine(soak);
+	if (machine)
+		what[kind](soak, machine);
 }
 
 /* ---- model servers ---- */
 
-static int recovers(struct soak *soak, void *subject)
+static int recover_server(struct soak_test *soak, void *subject)
 {
-	struct server *s = subject;
+	struct server *server = subject;
 
 	(void)soak;
-	server_dark(s, 0);
-	s->fault = (struct server_fault){ .close = 0.01 };
+	server_set_silent(server, 0);
+	server->fault = (struct server_fault){ .close = 0.01 };
 	return 1;
 }
 
-static int comes_back(struct soak *soak, void *subject)
+static int restart_server(struct soak_test *soak, void *subject)
 {
 	(void)soak;
 	server_up(subject);
 	return 1;
 }
 
-static int comes_new(struct soak *soak, void *subject)
+static int replace_server(struct soak_test *soak, void *subject)
 {
-	struct server *s = subject;
+	struct server *server = subject;
 
-	if (s->life == LIFE_DOWN)
-		s->version = soak->run->f.newest; /* a new one has the newest */
-	return comes_back(soak, s);
+	if (server->state == STATE_DOWN)
+		server->version = soak->run->fleet.newest_version; /* a new one has the newest */
+	return restart_server(soak, server);
 }
 
 enum { SERVER_SLOW, SERVER_SILENT, SERVER_CRASH, SERVER_REPLACED, SERVER_REFUSES, SERVER_LOADS_SLOWLY, SERVER_KINDS };
 
-static void strike_server(struct soak *soak, struct server *s, int kind)
+static void inject_server_fault(struct soak_test *soak, struct server *server, int kind)
 {
 	static const char *const what[] = { "is slow", "is silent", "crashes", "is replaced", "takes no load", "loads slowly" };
-	int64_t ms = between(soak, 500, 2 * soak->run->b.version);
+	int64_t ms = between(soak, 500, 2 * soak->run->bounds.version_ms);
 
-	run_say(soak->run, "soak: server %s %s for %lld ms", s->addr, what[kind], (long long)ms);
+	run_log(soak->run, "soak: server %s %s for %lld ms", server->address, what[kind], (long long)ms);
 	switch (kind) {
-	case SERVER_SLOW: s->fault.slow = SLOW_TIMES; break;
-	case SERVER_SILENT: server_dark(s, 1); break;
-	case SERVER_REFUSES: s->fault.refuses_loads = 1; break;
-	case SERVER_LOADS_SLOWLY: s->fault.load_slow = LOAD_SLOW_TIMES; break;
-	default: server_crash(s); break;
+	case SERVER_SLOW: server->fault.slow = SLOW_TIMES; break;
+	case SERVER_SILENT: server_set_silent(server, 1); break;
+	case SERVER_REFUSES: server->fault.refuses_loads = 1; break;
+	case SERVER_LOADS_SLOWLY: server->fault.load_slow = LOAD_SLOW_TIMES; break;
+	default: server_crash(server); break;
 	}
-	lasts(soak, ms, kind == SERVER_CRASH ? comes_back : kind == SERVER_REPLACED ? comes_new : recovers, s);
+	start_fault(soak, ms, kind == SERVER_CRASH ? restart_server : kind == SERVER_REPLACED ? replace_server : recover_server, server);
 }
 
-static void strike_servers(struct soak *soak, int kind)
+static void inject_server_faults(struct soak_test *soak, int kind)
 {
-	struct fleet_set *fleet = &soak->run->f;
-	int servers = (int)arrlen(fleet->server) - 1, many = (int)between(soak, 1, (servers + 1) / 2);
+	struct server_fleet *fleet = &soak->run->fleet;
+	int servers = (int)arrlen(fleet->servers) - 1, many = (int)between(soak, 1, (servers + 1) / 2);
 
 	while (many--) { /* the last one is the store */
-		struct server *s = fleet->server[between(soak, 0, servers - 1)];
+		struct server *server = fleet->servers[between(soak, 0, servers - 1)];
 
-		if (s->life == LIFE_UP && !s->fault.dark && s->fault.slow <= 0)
-			strike_server(soak, s, kind);
+		if (server->state == STATE_UP && !server->fault.is_silent && server->fault.slow <= 0)
+			inject_server_fault(soak, server, kind);
 	}
 }
 
 /* ---- the operator's connections, load and configurations ---- */
 
-static int answers_come(struct soak *soak, void *subject)
+static int restore_answers(struct soak_test *soak, void *subject)
 {
-	operator_lose(subject, 0);
+	operator_set_loss(subject, 0);
 	(void)soak;
 	return 1;
 }
 
-static int load_falls(struct soak *soak, void *subject)
+static int restore_load(struct soak_test *soak, void *subject)
 {
 	struct run *run = subject;
 
-	run->rate /= soak->burst;
-	soak->burst = 0;
+	run->rate /= soak->load_factor;
+	soak->load_factor = 0;
 	return 1;
 }
 
 enum { OTHERS_LOSE, OTHERS_LOAD, OTHERS_CHANGE, OTHERS_KINDS };
 
-static void strike_others(struct soak *soak, int kind)
+static void inject_other_fault(struct soak_test *soak, int kind)
 {
 	static const enum change changes[] = { CHANGE_SPLIT,    CHANGE_TIMEOUT, CHANGE_ROUTE_ON, CHANGE_PRIORITY,
 					       CHANGE_ATTEMPTS, CHANGE_MOVE,    CHANGE_TENANT,   CHANGE_ROUTE_OFF };
 	struct run *run = soak->run;
-	int64_t ms = between(soak, 500, run->b.version);
+	int64_t ms = between(soak, 500, run->bounds.version_ms);
 	int more = (int)between(soak, 2, 3);
 
 	if (kind == OTHERS_LOSE) {
-		run_say(run, "soak: answers to namings are lost for %lld ms", (long long)ms);
-		operator_lose(run->op, LOST_PERCENT / 100.0);
-		lasts(soak, ms, answers_come, run->op);
-	} else if (kind == OTHERS_LOAD && !soak->burst) {
-		soak->burst = more;
-		run_say(run, "soak: %d times the load for %lld ms", more, (long long)ms);
+		run_log(run, "soak: answers to namings are lost for %lld ms", (long long)ms);
+		operator_set_loss(run->operator, LOST_PERCENT / 100.0);
+		start_fault(soak, ms, restore_answers, run->operator);
+	} else if (kind == OTHERS_LOAD && !soak->load_factor) {
+		soak->load_factor = more;
+		run_log(run, "soak: %d times the load for %lld ms", more, (long long)ms);
 		run->rate *= more;
-		lasts(soak, ms, load_falls, run);
-	} else if (operator_idle(run->op)) {
-		operator_change(run->op, changes[between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
+		start_fault(soak, ms, restore_load, run);
+	} else if (operator_idle(run->operator)) {
+		operator_change(run->operator, changes[between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
 				(int)between(soak, 0, 1));
 	}
 }
 
 /* ---- series ---- */
 
-static void lane_on(struct soak *soak, struct lane *lane)
+static void advance_series(struct soak_test *soak, struct fault_series *series)
 {
-	if (run_ms(soak->run) < lane->next)
+	if (run_ms(soak->run) < series->next_at_ms)
 		return;
-	draw_anew(soak, lane->strike_seed, lane->strikes++);
-	if (!lane->left) {
-		lane->left = (int)between(soak, 1, lane->most);
-		lane->series_gap = between(soak, lane->gap / 8, lane->gap);
+	draw_anew(soak, series->seed, series->injected_count++);
+	if (!series->remaining) {
+		series->remaining = (int)between(soak, 1, series->max_faults);
+		series->gap_ms = between(soak, series->max_gap_ms / 8, series->max_gap_ms);
 	}
 	if (one_in(soak, 2)) /* else the same again */
-		lane->kind = (int)between(soak, 0, lane->kinds - 1);
-	lane->strike(soak, lane->kind);
-	lane->left--;
-	lane->next = run_ms(soak->run) + (lane->left ? lane->series_gap : between(soak, lane->shortest_pause, lane->pause));
+		series->kind = (int)between(soak, 0, series->kind_count - 1);
+	series->inject(soak, series->kind);
+	series->remaining--;
+	series->next_at_ms = run_ms(soak->run) + (series->remaining ? series->gap_ms : between(soak, series->min_pause_ms, series->max_pause_ms));
 }
 
-static void namings_on(struct soak *soak)
+static void set_targets(struct soak_test *soak)
 {
-	int64_t now = run_ms(soak->run), longest = (soak->end - now) / 2;
+	int64_t now = run_ms(soak->run), longest = (soak->ends_at_ms - now) / 2;
 
-	if (now < soak->next_naming)
+	if (now < soak->next_target_at_ms)
 		return;
-	draw_anew(soak, soak->naming_seed, soak->naming_turn++);
-	if (!soak->namings_left && one_in(soak, BURST_EVERY)) {
-		soak->namings_left = BURST_NAMINGS_LEAST + (int)between(soak, 0, BURST_NAMINGS_MORE);
-		soak->naming_gap = between(soak, NAMING_GAP_LEAST_MS, 2 * NAMING_GAP_LEAST_MS);
-	} else if (!soak->namings_left) {
-		soak->namings_left = (int)between(soak, 1, 4);
-		soak->naming_gap = between(soak, NAMING_GAP_LEAST_MS, NAMING_GAP_MOST_MS);
-		if (soak->naming_gap > longest)
-			soak->naming_gap = longest;
+	draw_anew(soak, soak->target_seed, soak->target_index++);
+	if (!soak->targets_remaining && one_in(soak, BURST_EVERY)) {
+		soak->targets_remaining = BURST_TARGETS_MIN + (int)between(soak, 0, BURST_TARGETS_EXTRA);
+		soak->target_gap_ms = between(soak, TARGET_GAP_MIN_MS, 2 * TARGET_GAP_MIN_MS);
+	} else if (!soak->targets_remaining) {
+		soak->targets_remaining = (int)between(soak, 1, 4);
+		soak->target_gap_ms = between(soak, TARGET_GAP_MIN_MS, TARGET_GAP_MAX_MS);
+		if (soak->target_gap_ms > longest)
+			soak->target_gap_ms = longest;
 	}
 	name_weights(soak);
-	soak->namings_left--;
-	soak->next_naming = now + soak->naming_gap;
-	if (!soak->namings_left)
-		soak->next_naming += between(soak, 0, 2 * soak->run->b.version);
+	soak->targets_remaining--;
+	soak->next_target_at_ms = now + soak->target_gap_ms;
+	if (!soak->targets_remaining)
+		soak->next_target_at_ms += between(soak, 0, 2 * soak->run->bounds.version_ms);
 }
 
-static void episodes_on(struct soak *soak, int all)
+static void end_faults(struct soak_test *soak, int all)
 {
-	for (int i = (int)arrlen(soak->under_way) - 1; i >= 0; i--) {
-		struct episode e = soak->under_way[i];
+	for (int i = (int)arrlen(soak->active_faults) - 1; i >= 0; i--) {
+		struct episode episode = soak->active_faults[i];
 
-		if ((all || run_ms(soak->run) >= e.ends) && e.over(soak, e.subject))
-			arrdel(soak->under_way, i);
+		if ((all || run_ms(soak->run) >= episode.ends_at_ms) && episode.end(soak, episode.subject))
+			arrdel(soak->active_faults, i);
 	}
 }
 
@@ -470,138 +470,138 @@
 {
 	long long waited = -1;
 	char path[64], line[100];
-	FILE *f;
+	FILE *out;
 
 	snprintf(path, sizeof path, "/proc/%d/schedstat", pid);
-	f = fopen(path, "r");
-	if (!f)
+	out = fopen(path, "r");
+	if (!out)
 		return -1;
-	if (fgets(line, sizeof line, f) && strchr(line, ' '))
+	if (fgets(line, sizeof line, out) && strchr(line, ' '))
 		waited = strtoll(strchr(line, ' '), NULL, 10);
-	fclose(f);
+	fclose(out);
 	return waited;
 }
 
-static void sample_waiting(struct soak *soak)
+static void sample_waiting(struct soak_test *soak)
 {
 	struct run *run = soak->run;
 
-	if (run_ms(run) < soak->next_sample)
+	if (run_ms(run) < soak->next_sample_at_ms)
 		return;
-	soak->next_sample = run_ms(run) + SAMPLE_MS;
-	for (int i = 0; i < run->nm; i++) {
-		int pid = run->m[i].pid;
-		long long waited = pid ? waited_ns(pid) : -1, more = (waited - soak->sample[i].waited) / 1000000;
+	soak->next_sample_at_ms = run_ms(run) + SAMPLE_MS;
+	for (int i = 0; i < run->machine_count; i++) {
+		int pid = run->machines[i].pid;
+		long long waited = pid ? waited_ns(pid) : -1, more = (waited - soak->sample[i].waited_ns) / 1000000;
 
-		if (waited >= 0 && pid == soak->sample[i].pid && more > run->waited_most)
-			run->waited_most = more;
+		if (waited >= 0 && pid == soak->sample[i].pid && more > run->max_wait_ms)
+			run->max_wait_ms = more;
 		soak->sample[i].pid = waited >= 0 ? pid : 0;
-		soak->sample[i].waited = waited;
+		soak->sample[i].waited_ns = waited;
 	}
 }
 
 /* ---- the run ---- */
 
-static void go_on(struct soak *soak, int64_t until, int troubles)
+static void go_on(struct soak_test *soak, int64_t until, int inject)
 {
-	while (run_ms(soak->run) < until && !soak->run->missed) {
-		episodes_on(soak, 0);
+	while (run_ms(soak->run) < until && !soak->run->undecided_reason) {
+		end_faults(soak, 0);
 		sample_waiting(soak);
-		if (troubles) {
-			namings_on(soak);
-			for (int i = 0; i < LANES; i++)
-				lane_on(soak, &soak->lane[i]);
+		if (inject) {
+			set_targets(soak);
+			for (int i = 0; i < SERIES_COUNT; i++)
+				advance_series(soak, &soak->series[i]);
 		}
 		run_for(soak->run, STEP_MS);
 	}
 }
 
-void soak_prepare(struct run *r)
+void soak_test_prepare(struct run *run)
 {
-	struct soak draw = { .run = r, .rng = stand_hash(r->seed, "soak sizes", 10) };
-	int crowded = !r->small && !r->edges && r->seed % CROWDED_EVERY == 0;
+	struct soak_test draw = { .run = run, .rng = emulator_hash(run->seed, "soak sizes", 10) };
+	int crowded = !run->small && !run->edges && run->seed % CROWDED_EVERY == 0;
 
-	r->b.version = between(&draw, VERSION_LEAST_MS, VERSION_MOST_MS);
-	r->b.contact = CONTACT_MS;
-	r->b.drain = DRAIN_MS;
-	r->b.lease = LEASE_MS;
-	r->latest = LATEST_MS;
+	run->bounds.version_ms = between(&draw, VERSION_MIN_MS, VERSION_MAX_MS);
+	run->bounds.contact_ms = CONTACT_MS;
+	run->bounds.drain_ms = DRAIN_MS;
+	run->bounds.lease_ms = LEASE_MS;
+	run->max_lateness_ms = MAX_LATENESS_MS;
 	if (crowded) {
-		r->edges = CROWDED_ROUTERS;
-		r->cores = CROWDED_CORE;
-	} else if (!r->small) {
-		r->edges = r->edges ? r->edges : (int)between(&draw, 4, 12);
-		r->cores = (int)between(&draw, 3, 5);
+		run->edges = CROWDED_ROUTERS;
+		run->cores = CROWDED_CORE;
+	} else if (!run->small) {
+		run->edges = run->edges ? run->edges : (int)between(&draw, 4, 12);
+		run->cores = (int)between(&draw, 3, 5);
 	}
 }
 
-static void say_end(const struct soak *soak)
+static void log_summary(const struct soak_test *soak)
 {
 	struct run *run = soak->run;
 	int in_use = 0;
 
-	for (int i = 0; i < run->nm; i++)
-		in_use += run->m[i].pid != 0;
-	run_say(run, "the soak is over: VersionMs %lld, %d namings, %d troubles, %d of them beside others, %d processes at its end",
-		(long long)run->b.version, soak->version - 1, soak->troubles, soak->overlaps, in_use);
+	for (int i = 0; i < run->machine_count; i++)
+		in_use += run->machines[i].pid != 0;
+	run_log(run, "the soak is over: VersionMs %lld, %d namings, %d troubles, %d of them beside others, %d processes at its end",
+		(long long)run->bounds.version_ms, soak->target_version - 1, soak->fault_count, soak->overlap_count, in_use);
 }
 
-void soak(struct run *r)
+void soak_test(struct run *run)
 {
-	int64_t start = run_ms(r), bound = r->b.version,
-		length = r->length_s ? r->length_s * 1000
-			 : r->small  ? SMALL_SOAK_MS
+	int64_t start = run_ms(run), bound = run->bounds.version_ms,
+		length = run->length_s ? run->length_s * 1000
+			 : run->small  ? SMALL_SOAK_MS
 				     : SOAK_MS;
-	struct soak soak = { .run = r, .rng = stand_hash(r->seed, "soak", 4), .version = 1 };
+	struct soak_test soak = { .run = run, .rng = emulator_hash(run->seed, "soak", 4), .target_version = 1 };
 
-	soak.end = start + length;
-	soak.lane[LANE_ROUTERS] = (struct lane){
-		.strike = strike_routers, .kinds = ROUTERS_KINDS, .most = 4, .gap = 4000, .pause = bound, .shortest_pause = 200
+	soak.ends_at_ms = start + length;
+	soak.series[SERIES_ROUTERS] = (struct fault_series){
+		.inject = inject_router_fault, .kind_count = ROUTERS_KINDS, .max_faults = 4, .max_gap_ms = 4000, .max_pause_ms = bound, .min_pause_ms = 200
 	};
-	soak.lane[LANE_CORE] = (struct lane){ .strike = strike_core,
-					      .kinds = CORE_KINDS,
-					      .most = 3,
-					      .gap = 2000,
-					      .pause = 4 * bound,
-					      .shortest_pause = bound + 2 * r->b.contact };
-	soak.lane[LANE_SERVERS] = (struct lane){
-		.strike = strike_servers, .kinds = SERVER_KINDS, .most = 3, .gap = 3000, .pause = bound, .shortest_pause = 200
+	soak.series[SERIES_CORE] = (struct fault_series){ .inject = inject_core_fault,
+					      .kind_count = CORE_KINDS,
+					      .max_faults = 3,
+					      .max_gap_ms = 2000,
+					      .max_pause_ms = 4 * bound,
+					      .min_pause_ms = bound + 2 * run->bounds.contact_ms };
+	soak.series[SERIES_SERVERS] = (struct fault_series){
+		.inject = inject_server_faults, .kind_count = SERVER_KINDS, .max_faults = 3, .max_gap_ms = 3000, .max_pause_ms = bound, .min_pause_ms = 200
 	};
-	soak.lane[LANE_OTHERS] = (struct lane){
-		.strike = strike_others, .kinds = OTHERS_KINDS, .most = 4, .gap = 2000, .pause = bound, .shortest_pause = 200
+	soak.series[SERIES_OTHERS] = (struct fault_series){
+		.inject = inject_other_fault, .kind_count = OTHERS_KINDS, .max_faults = 4, .max_gap_ms = 2000, .max_pause_ms = bound, .min_pause_ms = 200
 	};
-	for (int i = 0; i < LANES; i++)
-		soak.lane[i].next = start + (one_in(&soak, CALM_LANE_EVERY) ? length : between(&soak, 500, bound));
-	for (int i = 0; i < LANES; i++)
-		soak.lane[i].strike_seed = stand_rand(&soak.rng);
-	soak.naming_seed = stand_rand(&soak.rng);
-	soak.next_naming = start + between(&soak, 0, 2000);
-	clients_probe(r->clients, 1);
-	clients_long(r->clients, LONG_EVERY);
-	r->f.e.load_ms = (int)(bound / LOAD_SHARE);
-	go_on(&soak, soak.end, 1);
-	for (int i = 0; i < arrlen(soak.under_way); i++)
-		soak.under_way[i].ends = soak.end;
-	go_on(&soak, soak.end + bound + CALM_CONTACTS * r->b.contact, 0); /* VERSION is judged on what the troubles left */
-	say_end(&soak);
-	arrfree(soak.under_way);
-}
-
-int invariant_lines(const struct run *r)
+	for (int i = 0; i < SERIES_COUNT; i++)
+		soak.series[i].next_at_ms = start + (one_in(&soak, QUIET_SERIES_EVERY) ? length : between(&soak, 500, bound));
+	for (int i = 0; i < SERIES_COUNT; i++)
+		soak.series[i].seed = emulator_random(&soak.rng);
+	soak.target_seed = emulator_random(&soak.rng);
+	soak.next_target_at_ms = start + between(&soak, 0, 2000);
+	clients_probe(run->clients, 1);
+	clients_long(run->clients, LONG_EVERY);
+	run->fleet.engine.load_ms = (int)(bound / LOAD_SHARE);
+	go_on(&soak, soak.ends_at_ms, 1);
+	for (int i = 0; i < arrlen(soak.active_faults); i++)
+		soak.active_faults[i].ends_at_ms = soak.ends_at_ms;
+	go_on(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms, 0); /* VERSION is judged on what the troubles left */
+	log_summary(&soak);
+	arrfree(soak.active_faults);
+}
+
+int invariant_lines(const struct run *run)
 {
 	char path[700], line[2000];
 	int n = 0;
 
-	for (int i = 0; i < r->nm; i++) {
-		FILE *f;
+	for (int i = 0; i < run->machine_count; i++) {
+		FILE *out;
 
-		snprintf(path, sizeof path, "%s/%s.log", r->folder, r->m[i].name);
-		f = fopen(path, "r");
-		while (f && fgets(line, sizeof line, f))
+		snprintf(path, sizeof path, "%s/%s.log", run->folder, run->machines[i].name);
+		out = fopen(path, "r");
+		while (out && fgets(line, sizeof line, out))
 			if (!strncmp(line, "invariant", 9) || strstr(line, ": invariant"))
-				n++, printf("INVARIANT %s: %s", r->m[i].name, line);
-		if (f)
-			fclose(f);
+				n++, printf("INVARIANT %s: %s", run->machines[i].name, line);
+		if (out)
+			fclose(out);
 	}
 	return n;
 }
--- a/tests/ablation.c
+++ b/tests/ablation.c
@@ -22,18 +22,18 @@
 {
 	return (struct engine_settings){
 		.seed = seed,
-		.read_per_ms = 50,
-		.room = day->half ? 120000 : 240000,
+		.prefill_tokens_per_ms = 50,
+		.capacity_tokens = day->half ? 120000 : 240000,
 		.link_kbps = 100,
 		.event_lag_ms = 80,
 		.event_loss = 30,
 		.load_ms = 1500,
-		.retain = mechanism_on(without, MECHANISM_RETAIN),
-		.at_once = 3,
-		.without = without,
+		.loads_under_requests = mechanism_on(without, MECHANISM_RETAIN),
+		.max_loads = 3,
+		.mechanisms_off = without,
 		.kind = {
-			{ .every_ms = 22, .prefixes = day->half ? 60 : 120, .shared = 13000, .own = 3700, .out = 100, .aim_ms = 1000 },
-			{ .every_ms = 20, .prefixes = 60, .shared = 350, .own = 1100, .out = 120, .aim_ms = 600 },
+			{ .interval_ms = 22, .prefixes = day->half ? 60 : 120, .shared_tokens = 13000, .own_tokens = 3700, .output_pieces = 100, .latency_target_ms = 1000 },
+			{ .interval_ms = 20, .prefixes = 60, .shared_tokens = 350, .own_tokens = 1100, .output_pieces = 120, .latency_target_ms = 600 },
 		},
 	};
 }
@@ -45,23 +45,23 @@
 static struct result play(const struct day *day, uint64_t seed, uint32_t without)
 {
 	struct engine_settings set = settings(day, seed, without);
-	struct engine_sim *w = engine_open(&set);
-	struct result r = { 0 };
-	uint64_t asked = 0, in_aim = 0;
+	struct engine_sim *engines = engine_open(&set);
+	struct result result = { 0 };
+	uint64_t submitted = 0, in_aim = 0;
 
-	engine_run(w, WARM_MS);
-	engine_count_anew(w);
+	engine_run(engines, WARM_MS);
+	engine_reset_counts(engines);
 	if (day->named)
-		engine_name(w);
-	engine_run(w, PLAY_MS);
+		engine_set_target(engines);
+	engine_run(engines, PLAY_MS);
 	for (int k = 0; k < KINDS_USED; k++) {
-		asked += engine_counts(w, k)->asked;
-		in_aim += engine_counts(w, k)->in_aim;
+		submitted += engine_counts(engines, k)->requests;
+		in_aim += engine_counts(engines, k)->within_target;
 	}
-	r.in_aim = (double)in_aim / (double)(asked + 1);
-	r.again = (double)engine_read_again(w) / (double)(engine_read(w) + 1);
-	engine_close(w);
-	return r;
+	result.in_aim = (double)in_aim / (double)(submitted + 1);
+	result.again = (double)engine_prefilled_again(engines) / (double)(engine_prefilled(engines) + 1);
+	engine_close(engines);
+	return result;
 }
 
 /* Mean difference and its standard error. */
