--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -11,13 +11,13 @@
 
 enum {
 	TICK_MS = 25,
-	WAY_MS = 1,      /* between processes */
+	LINK_MS = 1,      /* between processes */
 	WATCH_MS = 200,  /* for which a server holds a watch */
 	STEP_MS = 10,    /* between two tokens of an answer */
 	CHUNK = 2048,    /* tokens that a server reads of one prompt before it looks at the next */
 	MOVE_TIMES = 60, /* a move is so many times as quick as reading */
 	MOVE_MS = 4,
-	AGAIN_MS = 10000, /* a part that was used so long ago is not read again, but anew */
+	REUSE_MS = 10000, /* a part that was used so long ago is not read again, but anew */
 	LOSS_SCALE = 1000,
 	NOTICE_MS = 300, /* before a load, in which routers send the server nothing more */
 	MAX_WAITING = 400,
@@ -34,7 +34,7 @@
 
 struct event {
 	uint64_t no, id;
-	int gone;
+	int removed;
 	char name[64];
 	int64_t at;
 };
@@ -44,10 +44,10 @@
 	uint64_t call;
 	uint64_t id[ENGINE_CHAIN];
 	uint32_t tokens[ENGINE_CHAIN];
-	int parts;
+	int blocks;
 	char name[64];
 	uint64_t from;
-	uint32_t left, out; /* tokens to be read, pieces to be said */
+	uint32_t prompt_tokens_left, out; /* tokens to be read, pieces to be said */
 	int prio, begun, planned;
 	int64_t at, next_at;
 };
@@ -71,7 +71,7 @@
 	int64_t at;
 	enum happening_kind kind;
 	int router, server, status;
-	enum router_end how;
+	enum forward_end how;
 	uint64_t call;
 	struct Nl__Msg *message;
 	struct run run;
@@ -102,31 +102,31 @@
 		int64_t at;
 		uint64_t id[ENGINE_CHAIN];
 		uint32_t tokens[ENGINE_CHAIN];
-		int parts;
+		int blocks;
 		uint32_t out;
 	} value;
 };
 
 struct engine_sim {
-	struct engine_settings set;
+	struct engine_settings settings;
 	apr_pool_t *pool;
 	int64_t now;
-	uint64_t dice, edition, token, own_id;
-	int named;
-	struct node node[ENGINE_ROUTERS];
-	struct engine engine[ENGINE_SERVERS];
-	struct happening *happening; /* stb_ds */
-	struct watch *watch;         /* stb_ds */
-	struct asked *asked;         /* stb_ds */
-	struct asked *by_call;       /* stb_ds: router << 48 | call: of what is under way */
-	struct seen *seen;           /* stb_ds */
+	uint64_t rng, revision, token, own_id;
+	int target_weights;
+	struct node nodes[ENGINE_ROUTERS];
+	struct engine engines[ENGINE_SERVERS];
+	struct happening *happenings; /* stb_ds */
+	struct watch *watches;         /* stb_ds */
+	struct asked *requests;         /* stb_ds */
+	struct asked *calls;       /* stb_ds: router << 48 | call: of what is under way */
+	struct seen *prefix_uses;           /* stb_ds */
 	struct engine_counts counts[ENGINE_KINDS];
-	double due[ENGINE_KINDS];
-	uint64_t read, again;
+	double due_at[ENGINE_KINDS];
+	uint64_t prefilled_tokens, prefilled_again_tokens;
 	int table_changed;
 };
 
-static uint64_t dice(struct engine_sim *w, uint64_t n) { return core_rand(&w->dice) % n; }
+static uint64_t random_below(struct engine_sim *w, uint64_t n) { return core_random(&w->rng) % n; }
 
 static int zone_of(int i) { return i % ENGINE_ZONES; }
 
@@ -137,718 +137,718 @@
 
 /* ---- servers: what they keep ---------------------------------------------------------------------- */
 
-static uint64_t part_key(const char *name, uint64_t id) { return core_rdv(core_hashs(0, name), id); }
+static uint64_t block_key(const char *name, uint64_t id) { return core_rendezvous_weight(core_hash_string(0, name), id); }
 
-static struct part *part_find(struct engine *e, uint64_t key)
+static struct part *part_find(struct engine *engine, uint64_t key)
 {
-	for (ptrdiff_t i = 0; i < arrlen(e->part); i++)
-		if (e->part[i].key == key)
-			return &e->part[i];
+	for (ptrdiff_t i = 0; i < arrlen(engine->part); i++)
+		if (engine->part[i].key == key)
+			return &engine->part[i];
 	return NULL;
 }
 
-static void say_event(struct engine_sim *w, struct engine *e, const struct part *p, int gone)
+static void emit_event(struct engine_sim *engines, struct engine *e, const struct part *p, int removed)
 {
-	struct event event = { ++e->last_event, p->id, gone, "", w->now + w->set.event_lag_ms };
+	struct event event = { ++e->last_event, p->id, removed, "", engines->now + engines->settings.event_lag_ms };
 
 	apr_cpystrn(event.name, p->name, sizeof event.name);
-	if (dice(w, LOSS_SCALE) >= (uint64_t)w->set.event_loss)
+	if (random_below(engines, LOSS_SCALE) >= (uint64_t)engines->settings.event_loss)
 		arrput(e->event, event);
 }
 
-static uint32_t kept_tokens(const struct engine *e)
+static uint32_t cached_tokens(const struct engine *engine)
 {
 	uint32_t n = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(e->part); i++)
-		n += e->part[i].tokens;
+	for (ptrdiff_t i = 0; i < arrlen(engine->part); i++)
+		n += engine->part[i].tokens;
 	return n;
 }
 
-static void forget(struct engine_sim *w, struct engine *e, ptrdiff_t i)
+static void forget(struct engine_sim *engines, struct engine *engine, ptrdiff_t i)
 {
-	say_event(w, e, &e->part[i], 1);
-	arrdelswap(e->part, i);
+	emit_event(engines, engine, &engine->part[i], 1);
+	arrdelswap(engine->part, i);
 }
 
-static void keep_part(struct engine_sim *w, struct engine *e, const char *name, uint64_t id, uint32_t tokens)
+static void cache_block(struct engine_sim *engines, struct engine *engine, const char *name, uint64_t id, uint32_t tokens)
 {
-	uint64_t key = part_key(name, id);
-	struct part *p = part_find(e, key), new_part = { key, id, "", tokens, w->now };
+	uint64_t key = block_key(name, id);
+	struct part *part = part_find(engine, key), new_part = { key, id, "", tokens, engines->now };
 
-	if (p) {
-		p->used = w->now;
+	if (part) {
+		part->used = engines->now;
 		return;
 	}
 	apr_cpystrn(new_part.name, name, sizeof new_part.name);
-	arrput(e->part, new_part);
-	say_event(w, e, &new_part, 0);
-	while (kept_tokens(e) > w->set.room) {
+	arrput(engine->part, new_part);
+	emit_event(engines, engine, &new_part, 0);
+	while (cached_tokens(engine) > engines->settings.capacity_tokens) {
 		ptrdiff_t oldest = 0;
 
-		for (ptrdiff_t i = 1; i < arrlen(e->part); i++)
-			if (e->part[i].used < e->part[oldest].used)
+		for (ptrdiff_t i = 1; i < arrlen(engine->part); i++)
+			if (engine->part[i].used < engine->part[oldest].used)
 				oldest = i;
-		forget(w, e, oldest);
+		forget(engines, engine, oldest);
 	}
 }
 
 /* Leading parts of a run that a server keeps. */
-static int kept_parts(struct engine *e, const struct run *r)
+static int count_cached_blocks(struct engine *engine, const struct run *run)
 {
 	int n = 0;
 
-	while (n < r->parts && part_find(e, part_key(r->name, r->id[n])))
+	while (n < run->blocks && part_find(engine, block_key(run->name, run->id[n])))
 		n++;
 	return n;
 }
 
 /* ---- servers: reading ----------------------------------------------------------------------------- */
 
-static void later(struct engine_sim *w, struct happening h, int64_t ms)
+static void later(struct engine_sim *engines, struct happening happening, int64_t ms)
 {
-	h.at = w->now + ms;
-	arrput(w->happening, h);
+	happening.at = engines->now + ms;
+	arrput(engines->happenings, happening);
 }
 
 /* A shared part that is read: again, if it was in use under this name a short while ago. */
-static void count_read(struct engine_sim *w, const struct run *r, int part)
+static void count_read(struct engine_sim *engines, const struct run *run, int part)
 {
-	uint64_t key = part_key(r->name, r->id[part]);
-	ptrdiff_t i = hmgeti(w->seen, key);
+	uint64_t key = block_key(run->name, run->id[part]);
+	ptrdiff_t i = hmgeti(engines->prefix_uses, key);
 
-	w->read += r->tokens[part];
-	if (part + 1 == r->parts)
+	engines->prefilled_tokens += run->tokens[part];
+	if (part + 1 == run->blocks)
 		return;
-	if (i >= 0 && w->now - w->seen[i].value < AGAIN_MS)
-		w->again += r->tokens[part];
+	if (i >= 0 && engines->now - engines->prefix_uses[i].value < REUSE_MS)
+		engines->prefilled_again_tokens += run->tokens[part];
 }
 
-static void use_parts(struct engine_sim *w, const struct run *r)
+static void use_blocks(struct engine_sim *engines, const struct run *run)
 {
-	for (int i = 0; i + 1 < r->parts; i++)
-		hmput(w->seen, part_key(r->name, r->id[i]), w->now);
+	for (int i = 0; i + 1 < run->blocks; i++)
+		hmput(engines->prefix_uses, block_key(run->name, run->id[i]), engines->now);
 }
 
 /* What is to be read of a run's prompt, once what a source keeps has been moved; returns the ms that the move takes. */
-static int64_t plan_reading(struct engine_sim *w, struct engine *e, struct run *r)
+static int64_t plan_reading(struct engine_sim *engines, struct engine *engine, struct run *run)
 {
-	int have = kept_parts(e, r), from = have;
+	int have = count_cached_blocks(engine, run), from = have;
 	int64_t move = 0;
 
-	for (int s = 0; r->from && s < ENGINE_SERVERS; s++)
-		if (core_addr(apr_psprintf(w->pool, "127.1.0.%d:80", s + 1)) == r->from) {
-			int there = kept_parts(&w->engine[s], r);
+	for (int s = 0; run->from && s < ENGINE_SERVERS; s++)
+		if (core_parse_addr(apr_psprintf(engines->pool, "127.1.0.%d:80", s + 1)) == run->from) {
+			int there = count_cached_blocks(&engines->engines[s], run);
 
-			from = there > have && &w->engine[s] != e ? there : have;
+			from = there > have && &engines->engines[s] != engine ? there : have;
 		}
 	for (int i = have; i < from; i++) {
-		move += r->tokens[i] / (uint32_t)(w->set.read_per_ms * MOVE_TIMES);
-		keep_part(w, e, r->name, r->id[i], r->tokens[i]);
+		move += run->tokens[i] / (uint32_t)(engines->settings.prefill_tokens_per_ms * MOVE_TIMES);
+		cache_block(engines, engine, run->name, run->id[i], run->tokens[i]);
 	}
-	r->left = 0;
-	for (int i = from; i < r->parts; i++) {
-		r->left += r->tokens[i];
-		count_read(w, r, i);
+	run->prompt_tokens_left = 0;
+	for (int i = from; i < run->blocks; i++) {
+		run->prompt_tokens_left += run->tokens[i];
+		count_read(engines, run, i);
 	}
-	use_parts(w, r);
-	r->planned = 1;
+	use_blocks(engines, run);
+	run->planned = 1;
 	return from > have ? move + MOVE_MS : 0;
 }
 
 /* The next run to be read: the more urgent first, then who came first. */
-static int next_to_read(const struct engine *e)
+static int next_to_read(const struct engine *engine)
 {
 	int best = -1;
 
-	for (int i = 0; i < arrlen(e->run); i++)
-		if (!e->run[i].begun && (best < 0 || e->run[i].prio < e->run[best].prio ||
-					 (e->run[i].prio == e->run[best].prio && e->run[i].at < e->run[best].at)))
+	for (int i = 0; i < arrlen(engine->run); i++)
+		if (!engine->run[i].begun && (best < 0 || engine->run[i].prio < engine->run[best].prio ||
+					 (engine->run[i].prio == engine->run[best].prio && engine->run[i].at < engine->run[best].at)))
 			best = i;
 	return best;
 }
 
-static void say_ended(struct engine_sim *w, const struct run *r, enum router_end how, int status)
+static void report_ended(struct engine_sim *engines, const struct run *run, enum forward_end how, int status)
 {
-	later(w, (struct happening){ .kind = HAPPENS_ENDED, .router = r->router, .call = r->call, .how = how, .status = status },
-	      WAY_MS);
+	later(engines, (struct happening){ .kind = HAPPENS_ENDED, .router = run->router, .call = run->call, .how = how, .status = status },
+	      LINK_MS);
 }
 
-static void chunk_is_read(struct engine_sim *w, struct engine *e)
+static void chunk_is_read(struct engine_sim *engines, struct engine *engine)
 {
-	struct run *r = &e->run[e->reading];
+	struct run *run = &engine->run[engine->reading];
 
-	e->reading = -1;
-	if (r->left > CHUNK) {
-		r->left -= CHUNK;
+	engine->reading = -1;
+	if (run->prompt_tokens_left > CHUNK) {
+		run->prompt_tokens_left -= CHUNK;
 		return;
 	}
-	r->left = 0;
-	r->begun = 1;
-	r->next_at = w->now + (int64_t)r->out * STEP_MS;
-	for (int i = 0; i < r->parts; i++)
-		keep_part(w, e, r->name, r->id[i], r->tokens[i]);
-	later(w, (struct happening){ .kind = HAPPENS_BEGAN, .router = r->router, .call = r->call }, WAY_MS);
+	run->prompt_tokens_left = 0;
+	run->begun = 1;
+	run->next_at = engines->now + (int64_t)run->out * STEP_MS;
+	for (int i = 0; i < run->blocks; i++)
+		cache_block(engines, engine, run->name, run->id[i], run->tokens[i]);
+	later(engines, (struct happening){ .kind = HAPPENS_BEGAN, .router = run->router, .call = run->call }, LINK_MS);
 }
 
-static void read_next(struct engine_sim *w, struct engine *e)
+static void read_next(struct engine_sim *engines, struct engine *engine)
 {
-	int i = next_to_read(e);
+	int i = next_to_read(engine);
 	int64_t move = 0;
 	uint32_t n;
 
 	if (i < 0)
 		return;
-	if (!e->run[i].planned)
-		move = plan_reading(w, e, &e->run[i]);
-	n = e->run[i].left < CHUNK ? e->run[i].left : CHUNK;
-	e->reading = i;
-	e->busy_until = w->now + move + 1 + n / (uint32_t)w->set.read_per_ms;
+	if (!engine->run[i].planned)
+		move = plan_reading(engines, engine, &engine->run[i]);
+	n = engine->run[i].prompt_tokens_left < CHUNK ? engine->run[i].prompt_tokens_left : CHUNK;
+	engine->reading = i;
+	engine->busy_until = engines->now + move + 1 + n / (uint32_t)engines->settings.prefill_tokens_per_ms;
 }
 
-static void runs_end(struct engine_sim *w, struct engine *e)
+static void runs_end(struct engine_sim *engines, struct engine *engine)
 {
-	for (int i = (int)arrlen(e->run) - 1; i >= 0; i--) {
-		if (!e->run[i].begun || e->run[i].next_at > w->now)
+	for (int i = (int)arrlen(engine->run) - 1; i >= 0; i--) {
+		if (!engine->run[i].begun || engine->run[i].next_at > engines->now)
 			continue;
-		say_ended(w, &e->run[i], ROUTER_WHOLE, 200);
-		if (e->reading > i)
-			e->reading--;
-		arrdel(e->run, i);
+		report_ended(engines, &engine->run[i], FORWARD_COMPLETE, 200);
+		if (engine->reading > i)
+			engine->reading--;
+		arrdel(engine->run, i);
 	}
 }
 
 /* ---- servers: loading ----------------------------------------------------------------------------- */
 
 /* What has not begun is given back. */
-static void give_back(struct engine_sim *w, struct engine *e)
+static void give_back(struct engine_sim *engines, struct engine *engine)
 {
-	for (int i = (int)arrlen(e->run) - 1; i >= 0; i--) {
-		if (e->run[i].begun)
+	for (int i = (int)arrlen(engine->run) - 1; i >= 0; i--) {
+		if (engine->run[i].begun)
 			continue;
-		say_ended(w, &e->run[i], ROUTER_NEVER, 503);
-		arrdel(e->run, i);
+		report_ended(engines, &engine->run[i], FORWARD_NOT_STARTED, 503);
+		arrdel(engine->run, i);
 	}
-	e->reading = -1;
+	engine->reading = -1;
 }
 
-static void stage(struct engine_sim *w, struct engine *e, enum load_stage s)
+static void stage(struct engine_sim *engines, struct engine *engine, enum load_stage s)
 {
-	e->stage = s;
-	e->stage_at = w->now;
-	w->table_changed = 1;
+	engine->stage = s;
+	engine->stage_at = engines->now;
+	engines->table_changed = 1;
 }
 
-static void load_goes_on(struct engine_sim *w, struct engine *e)
+static void load_step(struct engine_sim *engines, struct engine *engine)
 {
-	if (e->stage == LOAD_NOTICE && w->now - e->stage_at >= NOTICE_MS) {
-		give_back(w, e);
-		stage(w, e, w->set.retain ? LOAD_LOADS : LOAD_WAITS);
+	if (engine->stage == LOAD_NOTICE && engines->now - engine->stage_at >= NOTICE_MS) {
+		give_back(engines, engine);
+		stage(engines, engine, engines->settings.loads_under_requests ? LOAD_LOADS : LOAD_WAITS);
 	}
-	if (e->stage == LOAD_WAITS && !arrlen(e->run))
-		stage(w, e, LOAD_LOADS);
-	if (e->stage == LOAD_LOADS && w->now - e->stage_at >= w->set.load_ms) {
-		while (arrlen(e->part))
-			forget(w, e, 0);
-		e->weights = w->named;
-		stage(w, e, LOAD_NONE);
+	if (engine->stage == LOAD_WAITS && !arrlen(engine->run))
+		stage(engines, engine, LOAD_LOADS);
+	if (engine->stage == LOAD_LOADS && engines->now - engine->stage_at >= engines->settings.load_ms) {
+		while (arrlen(engine->part))
+			forget(engines, engine, 0);
+		engine->weights = engines->target_weights;
+		stage(engines, engine, LOAD_NONE);
 	}
 }
 
-static void roll_out(struct engine_sim *w)
+static void roll_out(struct engine_sim *engines)
 {
 	int loading = 0;
 
 	for (int s = 0; s < ENGINE_SERVERS; s++)
-		loading += w->engine[s].stage != LOAD_NONE;
-	for (int s = 0; s < ENGINE_SERVERS && loading < w->set.at_once; s++) {
-		if (w->engine[s].stage != LOAD_NONE || w->engine[s].weights == w->named)
+		loading += engines->engines[s].stage != LOAD_NONE;
+	for (int s = 0; s < ENGINE_SERVERS && loading < engines->settings.max_loads; s++) {
+		if (engines->engines[s].stage != LOAD_NONE || engines->engines[s].weights == engines->target_weights)
 			continue;
-		stage(w, &w->engine[s], LOAD_NOTICE);
+		stage(engines, &engines->engines[s], LOAD_NOTICE);
 		loading++;
 	}
 }
 
-int engine_rolled(const struct engine_sim *w)
+int engine_rolled(const struct engine_sim *engines)
 {
 	for (int s = 0; s < ENGINE_SERVERS; s++)
-		if (w->engine[s].weights != w->named)
+		if (engines->engines[s].weights != engines->target_weights)
 			return 0;
 	return 1;
 }
 
-static void engine_goes_on(struct engine_sim *w, struct engine *e)
+static void engine_step(struct engine_sim *engines, struct engine *engine)
 {
-	runs_end(w, e);
-	if (e->stage != LOAD_NONE)
-		load_goes_on(w, e);
-	if (e->stage == LOAD_LOADS)
+	runs_end(engines, engine);
+	if (engine->stage != LOAD_NONE)
+		load_step(engines, engine);
+	if (engine->stage == LOAD_LOADS)
 		return;
-	if (e->reading >= 0 && w->now >= e->busy_until)
-		chunk_is_read(w, e);
-	if (e->reading < 0)
-		read_next(w, e);
+	if (engine->reading >= 0 && engines->now >= engine->busy_until)
+		chunk_is_read(engines, engine);
+	if (engine->reading < 0)
+		read_next(engines, engine);
 }
 
 /* ---- routers ---------------------------------------------------------------------------------------- */
 
 static void perform(struct engine_sim *w, int i);
 
-static void node_step(struct engine_sim *w, int i, const struct router_ev *ev)
+static void node_step(struct engine_sim *engines, int i, const struct router_event *event)
 {
-	router_step(&w->node[i].router, ev, w->now, &w->node[i].out);
-	perform(w, i);
+	router_step(&engines->nodes[i].router, event, engines->now, &engines->nodes[i].out);
+	perform(engines, i);
 }
 
-static struct Nl__Instance *instance_of(struct engine_sim *w, int s, apr_pool_t *p)
+static struct Nl__Instance *instance_of(struct engine_sim *engines, int s, apr_pool_t *pool)
 {
-	struct Nl__Instance *x = apr_palloc(p, sizeof *x);
-	const struct engine *e = &w->engine[s];
+	struct Nl__Instance *instance = apr_palloc(pool, sizeof *instance);
+	const struct engine *engine = &engines->engines[s];
 
-	nl__instance__init(x);
-	x->server = apr_psprintf(p, "i-%d", s);
-	x->service = "pool";
-	x->addr = apr_psprintf(p, "127.1.0.%d:80", s + 1);
-	x->zone = (char *)(uintptr_t)zone_name(zone_of(s));
-	x->slots = 100;
-	x->weights = apr_psprintf(p, "%d", e->weights);
-	x->loading = e->stage != LOAD_NONE;
-	x->stamp = w->edition;
-	return x;
+	nl__instance__init(instance);
+	instance->server = apr_psprintf(pool, "i-%d", s);
+	instance->service = "pool";
+	instance->addr = apr_psprintf(pool, "127.1.0.%d:80", s + 1);
+	instance->zone = (char *)(uintptr_t)zone_name(zone_of(s));
+	instance->slots = 100;
+	instance->weights = apr_psprintf(pool, "%d", engine->weights);
+	instance->loading = engine->stage != LOAD_NONE;
+	instance->stamp = engines->revision;
+	return instance;
 }
 
 /* The table and the list, as the configuration's leader says them. */
-static void node_table(struct engine_sim *w, int i)
+static void node_table(struct engine_sim *engines, int i)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ConfigSyncReply r = NL__CONFIG_SYNC_REPLY__INIT;
-	struct Nl__Row service = NL__ROW__INIT, lane[ENGINE_KINDS], *rows[1 + ENGINE_KINDS] = { &service };
+	struct Nl__Msg msg = NL__MSG__INIT;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+	struct Nl__Row service = NL__ROW__INIT, route[ENGINE_KINDS], *rows[1 + ENGINE_KINDS] = { &service };
 	struct Nl__Instance *instances[ENGINE_SERVERS];
-	struct router_ev ev = { .kind = ROUTER_MSG };
-	apr_pool_t *p;
+	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
+	apr_pool_t *pool;
 
-	apr_pool_create(&p, w->pool);
+	apr_pool_create(&pool, engines->pool);
 	for (int s = 0; s < ENGINE_SERVERS; s++)
-		instances[s] = instance_of(w, s, p);
+		instances[s] = instance_of(engines, s, pool);
 	service.kind = NL__KIND__SERVICE;
 	service.name = "pool";
-	service.weights = apr_psprintf(p, "%d", w->named);
-	service.prefill = (uint32_t)w->set.read_per_ms;
+	service.weights = apr_psprintf(pool, "%d", engines->target_weights);
+	service.prefill = (uint32_t)engines->settings.prefill_tokens_per_ms;
 	service.kv_bytes = 1;
-	service.link = (uint32_t)(w->set.read_per_ms * MOVE_TIMES);
-	service.room = w->set.room;
+	service.link = (uint32_t)(engines->settings.prefill_tokens_per_ms * MOVE_TIMES);
+	service.room = engines->settings.capacity_tokens;
 	for (int k = 0; k < ENGINE_KINDS; k++) {
-		nl__row__init(&lane[k]);
-		lane[k].kind = NL__KIND__LANE;
-		lane[k].name = apr_psprintf(p, "lane%d", k);
-		lane[k].service = "pool";
-		lane[k].host = "h";
-		lane[k].path = apr_psprintf(p, "/%d/", k);
-		lane[k].limit = MAX_WAITING;
-		lane[k].repeatable = 1;
-		lane[k].attempts = 3;
-		lane[k].aim = (uint32_t)w->set.kind[k].aim_ms;
-		rows[1 + k] = &lane[k];
+		nl__row__init(&route[k]);
+		route[k].kind = NL__KIND__LANE;
+		route[k].name = apr_psprintf(pool, "lane%d", k);
+		route[k].service = "pool";
+		route[k].host = "h";
+		route[k].path = apr_psprintf(pool, "/%d/", k);
+		route[k].limit = MAX_WAITING;
+		route[k].repeatable = 1;
+		route[k].attempts = 3;
+		route[k].aim = (uint32_t)engines->settings.kind[k].latency_target_ms;
+		rows[1 + k] = &route[k];
 	}
-	config_watch_ask(&w->node[i].router.f, 0, w->now, &w->node[i].out);
-	out_clear(&w->node[i].out);
-	r.token = w->node[i].router.f.token;
-	r.has_lease = r.whole = r.instances_whole = 1;
-	r.fleet = 7;
-	r.edition = r.instances = w->edition;
-	r.set = rows;
-	r.n_set = 1 + ENGINE_KINDS;
-	r.instance = instances;
-	r.n_instance = ENGINE_SERVERS;
-	r.counters = 64; /* words between routers are as rare as in a large fleet */
-	r.clock = (uint64_t)w->now;
-	r.clock_term = 1;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.speak = CORE_SPEAK;
-	m.follow_reply = &r;
-	m.addr = m.id = 1;
-	ev.u.msg = &m;
-	node_step(w, i, &ev);
-	apr_pool_destroy(p);
+	config_watch_poll(&engines->nodes[i].router.config_watch, 0, engines->now, &engines->nodes[i].out);
+	command_list_clear(&engines->nodes[i].out);
+	reply.token = engines->nodes[i].router.config_watch.last_token;
+	reply.has_lease = reply.whole = reply.instances_whole = 1;
+	reply.fleet = 7;
+	reply.edition = reply.instances = engines->revision;
+	reply.set = rows;
+	reply.n_set = 1 + ENGINE_KINDS;
+	reply.instance = instances;
+	reply.n_instance = ENGINE_SERVERS;
+	reply.counters = 64; /* words between routers are as rare as in a large fleet */
+	reply.clock = (uint64_t)engines->now;
+	reply.clock_term = 1;
+	msg.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	msg.speak = CORE_SPEAK;
+	msg.follow_reply = &reply;
+	msg.addr = msg.id = 1;
+	event.u.message = &msg;
+	node_step(engines, i, &event);
+	apr_pool_destroy(pool);
 }
 
 /* Who is whose upstream, and that purges and the configuration are known. */
-static void node_in_touch(struct engine_sim *w, int i)
+static void node_in_touch(struct engine_sim *engines, int i)
 {
-	struct router *c = &w->node[i].router;
+	struct router *router = &engines->nodes[i].router;
 	int zone = zone_of(i);
 
-	c->f.fresh = w->now;
-	c->relay.fresh = 1;
-	c->relay.known_at = w->now;
-	c->f.nup = i != head_of(zone);
-	c->f.up[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
-	c->f.nhead = i == head_of(zone);
-	c->f.head[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
+	router->config_watch.fetched_at_ms = engines->now;
+	router->relay.has_knowledge = 1;
+	router->relay.known_at_ms = engines->now;
+	router->config_watch.upstream_count = i != head_of(zone);
+	router->config_watch.upstream[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
+	router->config_watch.zone_head_count = i == head_of(zone);
+	router->config_watch.zone_heads[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
 	if (i != head_of(zone))
 		return;
-	for (ptrdiff_t k = 0; k < arrlen(c->relay.down); k++)
-		c->relay.down[k].heard = w->now;
-	for (int j = zone + ENGINE_ZONES; j < ENGINE_ROUTERS && arrlen(c->relay.down) < ENGINE_ROUTERS / ENGINE_ZONES - 1;
+	for (ptrdiff_t k = 0; k < arrlen(router->relay.downstreams); k++)
+		router->relay.downstreams[k].last_contact_at_ms = engines->now;
+	for (int j = zone + ENGINE_ZONES; j < ENGINE_ROUTERS && arrlen(router->relay.downstreams) < ENGINE_ROUTERS / ENGINE_ZONES - 1;
 	     j += ENGINE_ZONES) {
-		struct relay_down down = {
-			.id = (uint64_t)j + 1, .addr = (uint64_t)j + ROUTER_ADDR, .heard = w->now, .briefed = 1
+		struct relay_downstream down = {
+			.id = (uint64_t)j + 1, .addr = (uint64_t)j + ROUTER_ADDR, .last_contact_at_ms = engines->now, .cache_feed_started = 1
 		};
 
-		arrput(c->relay.down, down);
+		arrput(router->relay.downstreams, down);
 	}
 }
 
-static uint64_t at_router(int router, uint64_t token) { return core_rdv((uint64_t)router + 1, token); }
+static uint64_t at_router(int router, uint64_t token) { return core_rendezvous_weight((uint64_t)router + 1, token); }
 
 /* ---- requests ------------------------------------------------------------------------------------- */
 
 static void ask(struct engine_sim *w, int kind)
 {
-	const struct engine_kind *k = &w->set.kind[kind];
-	int router = (int)dice(w, ENGINE_ROUTERS), prefix = 0;
-	struct router_asking a = { .token = ++w->token, .limit_ms = 20000, .tokens_out = k->out };
-	struct router_ev ev = { .kind = ROUTER_ASKED };
-	typeof(w->asked->value) asked = { .kind = kind, .at = w->now, .out = k->out };
-
-	if (k->prefixes && dice(w, 100) >= (uint64_t)k->hot_percent)
-		prefix = (int)dice(w, (uint64_t)k->prefixes);
-	if (k->prefixes)
-		a.part[a.nparts++] = (struct router_part){ (uint64_t)kind << 32 | (uint64_t)(prefix + 1), k->shared };
-	a.part[a.nparts++] = (struct router_part){ UINT64_C(1) << 40 | ++w->own_id, k->own };
-	for (int i = 0; i < a.nparts; i++) {
-		asked.id[i] = a.part[i].id;
-		asked.tokens[i] = a.part[i].tokens;
-		a.tokens_in += a.part[i].tokens;
+	const struct engine_kind *engine_kind = &w->settings.kind[kind];
+	int router = (int)random_below(w, ENGINE_ROUTERS), prefix = 0;
+	struct forwarded_request a = { .token = ++w->token, .limit_ms = 20000, .output_tokens = engine_kind->output_pieces };
+	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
+	typeof(w->requests->value) submitted = { .kind = kind, .at = w->now, .out = engine_kind->output_pieces };
+
+	if (engine_kind->prefixes && random_below(w, 100) >= (uint64_t)engine_kind->hot_percent)
+		prefix = (int)random_below(w, (uint64_t)engine_kind->prefixes);
+	if (engine_kind->prefixes)
+		a.blocks[a.block_count++] = (struct request_block){ (uint64_t)kind << 32 | (uint64_t)(prefix + 1), engine_kind->shared_tokens };
+	a.blocks[a.block_count++] = (struct request_block){ UINT64_C(1) << 40 | ++w->own_id, engine_kind->own_tokens };
+	for (int i = 0; i < a.block_count; i++) {
+		submitted.id[i] = a.blocks[i].hash;
+		submitted.tokens[i] = a.blocks[i].tokens;
+		a.input_tokens += a.blocks[i].tokens;
 	}
-	asked.parts = a.nparts;
+	submitted.blocks = a.block_count;
 	a.host = "h";
 	a.path = apr_psprintf(w->pool, "/%d/", kind);
 	a.id = apr_psprintf(w->pool, "r%llu", (unsigned long long)a.token);
-	ev.u.ask = &a;
-	hmput(w->asked, at_router(router, a.token), asked);
-	w->counts[kind].asked++;
-	node_step(w, router, &ev);
+	input.u.forwarded_request = &a;
+	hmput(w->requests, at_router(router, a.token), submitted);
+	w->counts[kind].requests++;
+	node_step(w, router, &input);
 }
 
-static void ask_due(struct engine_sim *w)
+static void submit_due(struct engine_sim *engines)
 {
 	for (int k = 0; k < ENGINE_KINDS; k++) {
-		if (!w->set.kind[k].every_ms)
+		if (!engines->settings.kind[k].interval_ms)
 			continue;
-		while (w->due[k] <= (double)w->now) {
-			w->due[k] += w->set.kind[k].every_ms * (0.5 + (double)dice(w, 1000) / 1000);
-			ask(w, k);
+		while (engines->due_at[k] <= (double)engines->now) {
+			engines->due_at[k] += engines->settings.kind[k].interval_ms * (0.5 + (double)random_below(engines, 1000) / 1000);
+			ask(engines, k);
 		}
 	}
 }
 
 /* ---- what routers do ------------------------------------------------------------------------------ */
 
-static void forwarded(struct engine_sim *w, int i, const struct forward *f)
+static void forwarded(struct engine_sim *engines, int i, const struct forward *f)
 {
-	ptrdiff_t at = hmgeti(w->asked, at_router(i, f->caller));
-	struct happening h = { .kind = HAPPENS_ARRIVES, .router = i, .server = atoi(f->server + 2), .call = f->call };
-	typeof(w->asked->value) *a = at < 0 ? NULL : &w->asked[at].value;
+	ptrdiff_t at = hmgeti(engines->requests, at_router(i, f->client_token));
+	struct happening happening = { .kind = HAPPENS_ARRIVES, .router = i, .server = atoi(f->server + 2), .call = f->call_token };
+	typeof(engines->requests->value) *a = at < 0 ? NULL : &engines->requests[at].value;
 
 	if (!a)
 		return;
-	h.run = (struct run){
-		.router = i, .kind = a->kind, .call = f->call, .parts = a->parts, .from = f->from, .out = a->out, .prio = f->prio
+	happening.run = (struct run){
+		.router = i, .kind = a->kind, .call = f->call_token, .blocks = a->blocks, .from = f->fetch_source, .out = a->out, .prio = f->priority
 	};
-	memcpy(h.run.id, a->id, sizeof h.run.id);
-	memcpy(h.run.tokens, a->tokens, sizeof h.run.tokens);
-	apr_cpystrn(h.run.name, f->cache_namespace ? f->cache_namespace : "", sizeof h.run.name);
-	h.status = atoi(f->weights);
-	hmput(w->by_call, at_router(i, f->call), *a);
-	later(w, h, WAY_MS);
+	memcpy(happening.run.id, a->id, sizeof happening.run.id);
+	memcpy(happening.run.tokens, a->tokens, sizeof happening.run.tokens);
+	apr_cpystrn(happening.run.name, f->cache_namespace ? f->cache_namespace : "", sizeof happening.run.name);
+	happening.status = atoi(f->weights);
+	hmput(engines->calls, at_router(i, f->call_token), *a);
+	later(engines, happening, LINK_MS);
 }
 
 /* A message is packed and unpacked, as between processes. */
-static void message(struct engine_sim *w, int i, const struct cmd *k)
+static void message(struct engine_sim *engines, int i, const struct command *command)
 {
-	int64_t to = (int64_t)k->u.send.addr - ROUTER_ADDR;
+	int64_t to = (int64_t)command->args.send.addr - ROUTER_ADDR;
 	size_t n;
 	uint8_t *d;
 
-	if (to < 0 || to >= ENGINE_ROUTERS || w->node[i].silent || w->node[to].silent)
+	if (to < 0 || to >= ENGINE_ROUTERS || engines->nodes[i].silent || engines->nodes[to].silent)
 		return;
-	n = nl__msg__get_packed_size(k->u.send.msg);
+	n = nl__msg__get_packed_size(command->args.send.msg);
 	d = malloc(n + 1);
 	if (!d)
 		abort();
-	nl__msg__pack(k->u.send.msg, d);
-	later(w, (struct happening){ .kind = HAPPENS_MESSAGE, .router = (int)to, .message = nl__msg__unpack(NULL, n, d) }, WAY_MS);
+	nl__msg__pack(command->args.send.msg, d);
+	later(engines, (struct happening){ .kind = HAPPENS_MESSAGE, .router = (int)to, .message = nl__msg__unpack(NULL, n, d) }, LINK_MS);
 	free(d);
 }
 
 static void perform(struct engine_sim *w, int i)
 {
-	struct out *o = &w->node[i].out;
+	struct out *out = &w->nodes[i].out;
 
-	for (ptrdiff_t n = 0; n < arrlen(o->v); n++) {
-		const struct cmd *k = &o->v[n];
+	for (ptrdiff_t n = 0; n < arrlen(out->commands); n++) {
+		const struct command *k = &out->commands[n];
 
 		switch (k->kind) {
 		case CMD_SEND: message(w, i, k); break;
-		case CMD_FORWARD: forwarded(w, i, k->u.forward); break;
-		case CMD_WATCH:
-			arrput(w->watch, ((struct watch){ i, atoi(k->u.watch.server + 2), k->u.watch.token, k->u.watch.since,
+		case CMD_FORWARD: forwarded(w, i, k->args.forward); break;
+		case CMD_WATCH_CACHE:
+			arrput(w->watches, ((struct watch){ i, atoi(k->args.watch_cache.server + 2), k->args.watch_cache.token, k->args.watch_cache.since,
 							  w->now + WATCH_MS }));
 			break;
 		case CMD_ANSWER: {
-			ptrdiff_t at = hmgeti(w->asked, at_router(i, k->u.answer.token));
+			ptrdiff_t at = hmgeti(w->requests, at_router(i, k->args.answer.token));
 
 			if (at >= 0)
-				w->counts[w->asked[at].value.kind].refused++;
+				w->counts[w->requests[at].value.kind].refused++;
 			break;
 		}
 		default: break;
 		}
 	}
-	out_clear(o);
+	command_list_clear(out);
 }
 
-static int event_is_due(const struct engine_sim *w, const struct engine *e, uint64_t since)
+static int event_is_due(const struct engine_sim *engines, const struct engine *engine, uint64_t since)
 {
-	for (ptrdiff_t i = arrlen(e->event) - 1; i >= 0; i--)
-		if (e->event[i].no > since && e->event[i].at <= w->now)
+	for (ptrdiff_t i = arrlen(engine->event) - 1; i >= 0; i--)
+		if (engine->event[i].no > since && engine->event[i].at <= engines->now)
 			return 1;
 	return 0;
 }
 
-static void answer_watch(struct engine_sim *w, const struct watch *watch)
+static void answer_watch(struct engine_sim *engines, const struct watch *watch)
 {
-	struct engine *e = &w->engine[watch->server];
-	struct Nl__Kept kept = NL__KEPT__INIT;
-	struct router_ev ev = { .kind = ROUTER_WATCHED };
-	apr_pool_t *p;
+	struct engine *engine = &engines->engines[watch->server];
+	struct Nl__Kept update = NL__KEPT__INIT;
+	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
+	apr_pool_t *pool;
 
-	apr_pool_create(&p, w->pool);
-	kept.server = apr_psprintf(p, "i-%d", watch->server);
-	kept.epoch = 1;
-	kept.next = watch->since;
-	kept.e = apr_palloc(p, ((size_t)arrlen(e->event) + 1) * sizeof *kept.e);
-	for (ptrdiff_t i = 0; i < arrlen(e->event); i++) {
-		struct Nl__KeptEvent *x;
+	apr_pool_create(&pool, engines->pool);
+	update.server = apr_psprintf(pool, "i-%d", watch->server);
+	update.epoch = 1;
+	update.next = watch->since;
+	update.e = apr_palloc(pool, ((size_t)arrlen(engine->event) + 1) * sizeof *update.e);
+	for (ptrdiff_t i = 0; i < arrlen(engine->event); i++) {
+		struct Nl__KeptEvent *cache_event;
 
-		if (e->event[i].no <= watch->since || e->event[i].at > w->now)
+		if (engine->event[i].no <= watch->since || engine->event[i].at > engines->now)
 			continue;
-		x = apr_palloc(p, sizeof *x);
-		nl__kept_event__init(x);
-		x->cache_namespace = apr_pstrdup(p, e->event[i].name);
-		x->id = e->event[i].id;
-		x->gone = e->event[i].gone;
-		x->tokens = 1;
-		kept.e[kept.n_e++] = x;
-		kept.next = e->event[i].no;
+		cache_event = apr_palloc(pool, sizeof *cache_event);
+		nl__kept_event__init(cache_event);
+		cache_event->cache_namespace = apr_pstrdup(pool, engine->event[i].name);
+		cache_event->id = engine->event[i].id;
+		cache_event->gone = engine->event[i].removed;
+		cache_event->tokens = 1;
+		update.e[update.n_e++] = cache_event;
+		update.next = engine->event[i].no;
 	}
-	ev.u.kept.token = watch->token;
-	ev.u.kept.k = &kept;
-	ev.u.kept.status = 200;
-	if (!w->node[watch->router].silent)
-		node_step(w, watch->router, &ev);
-	apr_pool_destroy(p);
+	event.u.cache_watched.token = watch->token;
+	event.u.cache_watched.update = &update;
+	event.u.cache_watched.status = 200;
+	if (!engines->nodes[watch->router].silent)
+		node_step(engines, watch->router, &event);
+	apr_pool_destroy(pool);
 }
 
-static void watches_go_on(struct engine_sim *w)
+static void watches_step(struct engine_sim *engines)
 {
-	for (ptrdiff_t i = arrlen(w->watch) - 1; i >= 0; i--) {
-		struct watch watch = w->watch[i];
+	for (ptrdiff_t i = arrlen(engines->watches) - 1; i >= 0; i--) {
+		struct watch watch = engines->watches[i];
 
-		if (w->now < watch.until && !event_is_due(w, &w->engine[watch.server], watch.since))
+		if (engines->now < watch.until && !event_is_due(engines, &engines->engines[watch.server], watch.since))
 			continue;
-		arrdelswap(w->watch, i);
-		answer_watch(w, &watch);
+		arrdelswap(engines->watches, i);
+		answer_watch(engines, &watch);
 	}
 }
 
 /* ---- time ------------------------------------------------------------------------------------------- */
 
-static void arrives(struct engine_sim *w, const struct happening *h)
+static void arrives(struct engine_sim *w, const struct happening *happening)
 {
-	struct engine *e = &w->engine[h->server];
-	struct run r = h->run;
+	struct engine *e = &w->engines[happening->server];
+	struct run r = happening->run;
 
 	r.at = w->now;
 	if (e->stage == LOAD_LOADS || e->stage == LOAD_WAITS)
-		say_ended(w, &r, ROUTER_NEVER, 503);
-	else if (e->weights != h->status)
-		say_ended(w, &r, ROUTER_NEVER, 421);
+		report_ended(w, &r, FORWARD_NOT_STARTED, 503);
+	else if (e->weights != happening->status)
+		report_ended(w, &r, FORWARD_NOT_STARTED, 421);
 	else
 		arrput(e->run, r);
 }
 
-static void began(struct engine_sim *w, const struct happening *h)
+static void began(struct engine_sim *w, const struct happening *happening)
 {
-	ptrdiff_t at = hmgeti(w->by_call, at_router(h->router, h->call));
-	struct router_ev ev = { .kind = ROUTER_BEGAN };
+	ptrdiff_t at = hmgeti(w->calls, at_router(happening->router, happening->call));
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 	struct engine_counts *n;
 	int ms;
 
 	if (at >= 0) {
-		n = &w->counts[w->by_call[at].value.kind];
-		ms = (int)(w->now - w->by_call[at].value.at);
-		n->begun++;
-		n->in_aim += ms <= w->set.kind[w->by_call[at].value.kind].aim_ms;
+		n = &w->counts[w->calls[at].value.kind];
+		ms = (int)(w->now - w->calls[at].value.at);
+		n->first_pieces++;
+		n->within_target += ms <= w->settings.kind[w->calls[at].value.kind].latency_target_ms;
 		n->first_ms += ms;
 		arrput(n->first, ms);
 	}
-	ev.u.began.token = h->call;
-	node_step(w, h->router, &ev);
+	event.u.forward_began.token = happening->call;
+	node_step(w, happening->router, &event);
 }
 
-static void ended(struct engine_sim *w, const struct happening *h)
+static void ended(struct engine_sim *engines, const struct happening *happening)
 {
-	struct router_ended e = { .token = h->call,
-				  .how = h->how,
-				  .status = h->status,
-				  .began = h->how == ROUTER_WHOLE,
-				  .wrong_life = h->status == 421 };
-	struct router_ev ev = { .kind = ROUTER_ENDED };
-	ptrdiff_t at = hmgeti(w->by_call, at_router(h->router, h->call));
+	struct forward_result e = { .token = happening->call,
+				  .end = happening->how,
+				  .status = happening->status,
+				  .has_begun = happening->how == FORWARD_COMPLETE,
+				  .wrong_incarnation = happening->status == 421 };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
+	ptrdiff_t at = hmgeti(engines->calls, at_router(happening->router, happening->call));
 
-	if (at >= 0 && h->how == ROUTER_WHOLE)
-		w->counts[w->by_call[at].value.kind].ended++;
-	(void)hmdel(w->by_call, at_router(h->router, h->call));
-	ev.u.ended = &e;
-	node_step(w, h->router, &ev);
+	if (at >= 0 && happening->how == FORWARD_COMPLETE)
+		engines->counts[engines->calls[at].value.kind].ended++;
+	(void)hmdel(engines->calls, at_router(happening->router, happening->call));
+	event.u.forward_ended = &e;
+	node_step(engines, happening->router, &event);
 }
 
-static void happens(struct engine_sim *w, struct happening *h)
+static void happens(struct engine_sim *engines, struct happening *happening)
 {
-	struct router_ev ev = { .kind = ROUTER_MSG };
+	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
-	switch (h->kind) {
-	case HAPPENS_ARRIVES: arrives(w, h); break;
-	case HAPPENS_BEGAN: began(w, h); break;
-	case HAPPENS_ENDED: ended(w, h); break;
+	switch (happening->kind) {
+	case HAPPENS_ARRIVES: arrives(engines, happening); break;
+	case HAPPENS_BEGAN: began(engines, happening); break;
+	case HAPPENS_ENDED: ended(engines, happening); break;
 	case HAPPENS_MESSAGE:
-		ev.u.msg = h->message;
-		node_step(w, h->router, &ev);
-		nl__msg__free_unpacked(h->message, NULL);
+		event.u.message = happening->message;
+		node_step(engines, happening->router, &event);
+		nl__msg__free_unpacked(happening->message, NULL);
 		break;
 	}
 }
 
 /* All that is due now, in the order in which it was said. */
-static void happenings_go_on(struct engine_sim *w)
+static void happenings_step(struct engine_sim *engines)
 {
-	for (ptrdiff_t i = 0; i < arrlen(w->happening);) {
-		struct happening h = w->happening[i];
+	for (ptrdiff_t i = 0; i < arrlen(engines->happenings);) {
+		struct happening happening = engines->happenings[i];
 
-		if (h.at > w->now) {
+		if (happening.at > engines->now) {
 			i++;
 			continue;
 		}
-		arrdel(w->happening, i);
-		happens(w, &h);
+		arrdel(engines->happenings, i);
+		happens(engines, &happening);
 	}
 }
 
-void engine_run(struct engine_sim *w, int64_t ms)
+void engine_run(struct engine_sim *engines, int64_t ms)
 {
-	for (int64_t end = w->now + ms; w->now < end; w->now++) {
-		if (w->table_changed) {
-			w->table_changed = 0;
-			w->edition++;
+	for (int64_t end = engines->now + ms; engines->now < end; engines->now++) {
+		if (engines->table_changed) {
+			engines->table_changed = 0;
+			engines->revision++;
 			for (int i = 0; i < ENGINE_ROUTERS; i++)
-				node_table(w, i);
+				node_table(engines, i);
 		}
-		happenings_go_on(w);
+		happenings_step(engines);
 		for (int s = 0; s < ENGINE_SERVERS; s++)
-			engine_goes_on(w, &w->engine[s]);
-		watches_go_on(w);
-		ask_due(w);
-		if (w->named > 1)
-			roll_out(w);
+			engine_step(engines, &engines->engines[s]);
+		watches_step(engines);
+		submit_due(engines);
+		if (engines->target_weights > 1)
+			roll_out(engines);
 		for (int i = 0; i < ENGINE_ROUTERS; i++) {
-			node_in_touch(w, i);
-			if ((w->now + i) % TICK_MS == 0)
-				node_step(w, i, &(struct router_ev){ .kind = ROUTER_TICK });
+			node_in_touch(engines, i);
+			if ((engines->now + i) % TICK_MS == 0)
+				node_step(engines, i, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 		}
 	}
 }
 
 struct engine_sim *engine_open(const struct engine_settings *settings)
 {
-	struct engine_sim *w = calloc(1, sizeof *w);
+	struct engine_sim *engines = calloc(1, sizeof *engines);
 	uint64_t controller = 1;
 
-	if (!w)
+	if (!engines)
 		abort();
-	apr_pool_create(&w->pool, NULL);
-	w->set = *settings;
-	w->dice = settings->seed;
-	w->now = 1000000;
-	w->named = 1;
-	w->table_changed = 1;
+	apr_pool_create(&engines->pool, NULL);
+	engines->settings = *settings;
+	engines->rng = settings->seed;
+	engines->now = 1000000;
+	engines->target_weights = 1;
+	engines->table_changed = 1;
 	for (int k = 0; k < ENGINE_KINDS; k++)
-		w->due[k] = (double)w->now + 500;
+		engines->due_at[k] = (double)engines->now + 500;
 	for (int s = 0; s < ENGINE_SERVERS; s++) {
-		w->engine[s].weights = 1;
-		w->engine[s].reading = -1;
+		engines->engines[s].weights = 1;
+		engines->engines[s].reading = -1;
 	}
 	for (int i = 0; i < ENGINE_ROUTERS; i++) {
-		struct router *c = &w->node[i].router;
-
-		apr_pool_create(&w->node[i].out.p, w->pool);
-		router_open(c, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)), &controller, 1, w->now);
-		c->b.instances = 1;
-		c->b.link_kbps = settings->link_kbps;
-		c->b.without = settings->without;
-		c->b.budget_slack = 1000;
-		c->b.budget_mille = 200;
+		struct router *router = &engines->nodes[i].router;
+
+		apr_pool_create(&engines->nodes[i].out.pool, engines->pool);
+		router_open(router, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)), &controller, 1, engines->now);
+		router->bounds.discover_instances = 1;
+		router->bounds.link_kbps = settings->link_kbps;
+		router->bounds.disabled_mechanisms = settings->mechanisms_off;
+		router->bounds.retry_budget_slack = 1000;
+		router->bounds.retry_budget_permille = 200;
 	}
-	return w;
+	return engines;
 }
 
-void engine_close(struct engine_sim *w)
+void engine_close(struct engine_sim *engines)
 {
 	for (int i = 0; i < ENGINE_ROUTERS; i++) {
-		router_close(&w->node[i].router);
-		arrfree(w->node[i].out.v);
+		router_close(&engines->nodes[i].router);
+		arrfree(engines->nodes[i].out.commands);
 	}
 	for (int s = 0; s < ENGINE_SERVERS; s++) {
-		arrfree(w->engine[s].part);
-		arrfree(w->engine[s].event);
-		arrfree(w->engine[s].run);
+		arrfree(engines->engines[s].part);
+		arrfree(engines->engines[s].event);
+		arrfree(engines->engines[s].run);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(w->happening); i++)
-		if (w->happening[i].message)
-			nl__msg__free_unpacked(w->happening[i].message, NULL);
+	for (ptrdiff_t i = 0; i < arrlen(engines->happenings); i++)
+		if (engines->happenings[i].message)
+			nl__msg__free_unpacked(engines->happenings[i].message, NULL);
 	for (int k = 0; k < ENGINE_KINDS; k++)
-		arrfree(w->counts[k].first);
-	arrfree(w->happening);
-	arrfree(w->watch);
-	hmfree(w->asked);
-	hmfree(w->by_call);
-	hmfree(w->seen);
-	apr_pool_destroy(w->pool);
-	free(w);
+		arrfree(engines->counts[k].first);
+	arrfree(engines->happenings);
+	arrfree(engines->watches);
+	hmfree(engines->requests);
+	hmfree(engines->calls);
+	hmfree(engines->prefix_uses);
+	apr_pool_destroy(engines->pool);
+	free(engines);
 }
 
-void engine_name(struct engine_sim *w)
+void engine_set_target(struct engine_sim *engines)
 {
-	w->named++;
-	w->table_changed = 1;
+	engines->target_weights++;
+	engines->table_changed = 1;
 }
 
-void engine_silence(struct engine_sim *w, int zone, int silent) { w->node[head_of(zone)].silent = silent; }
+void engine_silence_head(struct engine_sim *engines, int zone, int silent) { engines->nodes[head_of(zone)].silent = silent; }
 
-void engine_count_anew(struct engine_sim *w)
+void engine_reset_counts(struct engine_sim *engines)
 {
 	for (int k = 0; k < ENGINE_KINDS; k++) {
-		arrfree(w->counts[k].first);
-		memset(&w->counts[k], 0, sizeof w->counts[k]);
+		arrfree(engines->counts[k].first);
+		memset(&engines->counts[k], 0, sizeof engines->counts[k]);
 	}
-	w->read = w->again = 0;
+	engines->prefilled_tokens = engines->prefilled_again_tokens = 0;
 }
 
-const struct engine_counts *engine_counts(const struct engine_sim *w, int kind) { return &w->counts[kind]; }
-uint64_t engine_read_again(const struct engine_sim *w) { return w->again; }
-uint64_t engine_read(const struct engine_sim *w) { return w->read; }
-struct router *engine_router(struct engine_sim *w, int i) { return &w->node[i].router; }
+const struct engine_counts *engine_counts(const struct engine_sim *engines, int kind) { return &engines->counts[kind]; }
+uint64_t engine_prefilled_again(const struct engine_sim *engines) { return engines->prefilled_again_tokens; }
+uint64_t engine_prefilled(const struct engine_sim *engines) { return engines->prefilled_tokens; }
+struct router *engine_router(struct engine_sim *engines, int i) { return &engines->nodes[i].router; }
 
 static int compare_ints(const void *a, const void *b)
 {
@@ -857,9 +857,9 @@
 	return (x > y) - (x < y);
 }
 
-int engine_percentile(const struct engine_sim *w, int kind, int percent)
+int engine_percentile(const struct engine_sim *engines, int kind, int percent)
 {
-	const struct engine_counts *n = &w->counts[kind];
+	const struct engine_counts *n = &engines->counts[kind];
 	size_t count = (size_t)arrlen(n->first);
 
 	if (!count)
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -16,8 +16,8 @@
 enum { RANDOM_SPAN = 2100 };
 
 struct explore_world explore_world;
-enum explore_invariant explore_breach;
-char explore_breach_text[256];
+enum explore_invariant explore_violation;
+char explore_violation_text[256];
 
 static struct explore_heap heaps[EXPLORE_NODES];
 static struct raft *rafts[EXPLORE_NODES];
@@ -44,9 +44,9 @@
 /* ---- interned byte strings ---------------------------------------------- */
 
 struct blob {
-	size_t n;
+	size_t len;
 	uint64_t hash;
-	uint8_t *d;
+	uint8_t *data;
 };
 
 static struct blob *blobs;   /* stb_ds */
@@ -66,18 +66,18 @@
 	for (; blob_slots[slot]; slot = (slot + 1) % (2 * MAX_BLOBS)) {
 		const struct blob *other = &blobs[blob_slots[slot] - 1];
 
-		if (other->hash == hash && other->n == n && !memcmp(other->d, d, n))
+		if (other->hash == hash && other->len == n && !memcmp(other->data, d, n))
 			return blob_slots[slot] - 1;
 	}
 	if (arrlen(blobs) == MAX_BLOBS) {
 		fprintf(stderr, "explore: too many messages and writes that differ\n");
 		abort();
 	}
-	blob.d = malloc(n + 1);
-	if (!blob.d)
+	blob.data = malloc(n + 1);
+	if (!blob.data)
 		abort();
 	if (n)
-		memcpy(blob.d, d, n);
+		memcpy(blob.data, d, n);
 	arrput(blobs, blob);
 	blob_slots[slot] = (uint32_t)arrlen(blobs);
 	return blob_slots[slot] - 1;
@@ -85,16 +85,16 @@
 
 const uint8_t *explore_blob(uint32_t blob, size_t *n)
 {
-	*n = blobs[blob].n;
-	return blobs[blob].d;
+	*n = blobs[blob].len;
+	return blobs[blob].data;
 }
 
 /* ---- the disk ------------------------------------------------------------- */
 
 struct disk_write {
 	uint64_t seq, term, vote, cut, base, base_term, drop, first;
-	uint32_t snapshot, members, data, n;
-	struct explore_disk_entry e[EXPLORE_ENTRIES];
+	uint32_t snapshot, members, data, entry_count;
+	struct explore_disk_entry entries[EXPLORE_ENTRIES];
 };
 
 static void queue_write(struct explore_replica *replica, const struct persist *persist)
@@ -109,40 +109,40 @@
 	write.seq = persist->seq;
 	write.term = persist->term;
 	write.vote = persist->vote;
-	write.cut = persist->cut;
-	if (persist->snap) {
+	write.cut = persist->truncate_from;
+	if (persist->has_snapshot) {
 		write.snapshot = 1;
-		write.base = persist->base;
-		write.base_term = persist->base_term;
-		write.drop = persist->drop;
+		write.base = persist->snapshot_index;
+		write.base_term = persist->snapshot_term;
+		write.drop = persist->drop_upto;
 		write.members = explore_intern(persist->members, persist->members_len);
 		write.data = explore_intern(persist->data, persist->data_len);
 	}
-	write.n = (uint32_t)persist->n;
-	write.first = persist->n ? persist->e[0].index : 0;
-	for (uint32_t i = 0; i < write.n; i++)
-		write.e[i] = (struct explore_disk_entry){ persist->e[i].term, persist->e[i].kind,
-							  explore_intern(persist->e[i].data, persist->e[i].len) };
-	replica->writes[replica->n_writes++] = explore_intern(&write, offsetof(struct disk_write, e) + write.n * sizeof *write.e);
+	write.entry_count = (uint32_t)persist->entry_count;
+	write.first = persist->entry_count ? persist->entries[0].index : 0;
+	for (uint32_t i = 0; i < write.entry_count; i++)
+		write.entries[i] = (struct explore_disk_entry){ persist->entries[i].term, persist->entries[i].kind,
+							  explore_intern(persist->entries[i].data, persist->entries[i].len) };
+	replica->writes[replica->n_writes++] = explore_intern(&write, offsetof(struct disk_write, entries) + write.entry_count * sizeof *write.entries);
 }
 
 static void disk_cut(struct explore_disk *disk, uint64_t from)
 {
-	while (disk->n && disk->first + disk->n - 1 >= from)
-		memset(&disk->e[--disk->n], 0, sizeof *disk->e);
+	while (disk->entry_count && disk->first + disk->entry_count - 1 >= from)
+		memset(&disk->entries[--disk->entry_count], 0, sizeof *disk->entries);
 }
 
 static void disk_drop(struct explore_disk *disk, uint64_t up_to)
 {
 	uint32_t gone = 0;
 
-	while (gone < disk->n && disk->first + gone <= up_to)
+	while (gone < disk->entry_count && disk->first + gone <= up_to)
 		gone++;
-	disk->n -= gone;
-	memmove(disk->e, disk->e + gone, disk->n * sizeof *disk->e);
-	memset(disk->e + disk->n, 0, gone * sizeof *disk->e);
+	disk->entry_count -= gone;
+	memmove(disk->entries, disk->entries + gone, disk->entry_count * sizeof *disk->entries);
+	memset(disk->entries + disk->entry_count, 0, gone * sizeof *disk->entries);
 	disk->first += gone;
-	if (!disk->n)
+	if (!disk->entry_count)
 		disk->first = up_to + 1;
 }
 
@@ -167,11 +167,11 @@
 		disk->base_term = write->base_term;
 		disk_drop(disk, write->drop);
 	}
-	for (uint32_t i = 0; i < write->n; i++) {
+	for (uint32_t i = 0; i < write->entry_count; i++) {
 		disk_cut(disk, write->first + i);
-		if (!disk->n)
+		if (!disk->entry_count)
 			disk->first = write->first + i;
-		disk->e[disk->n++] = write->e[i];
+		disk->entries[disk->entry_count++] = write->entries[i];
 	}
 	check_disk(node);
 	return write->seq;
@@ -193,18 +193,18 @@
 }
 
 /* The same message twice in flight is one: a second delivery is a duplicate. */
-static void send_message(int node, const struct cmd *cmd)
+static void send_message(int node, const struct command *cmd)
 {
 	struct explore_world *world = &explore_world;
 	static uint8_t bytes[MAX_BYTES];
 	struct explore_message message = { 0, (uint8_t)node, 0, 0 };
-	int to = explore_node_at(cmd->u.send.addr);
+	int to = explore_node_at(cmd->args.send.addr);
 
 	check_message(node, cmd);
-	if (to < 0 || to == node || nl__msg__get_packed_size(cmd->u.send.msg) > MAX_BYTES)
+	if (to < 0 || to == node || nl__msg__get_packed_size(cmd->args.send.msg) > MAX_BYTES)
 		return;
 	message.to = (uint8_t)to;
-	message.blob = explore_intern(bytes, nl__msg__pack(cmd->u.send.msg, bytes));
+	message.blob = explore_intern(bytes, nl__msg__pack(cmd->args.send.msg, bytes));
 	for (uint32_t i = 0; i < world->n_messages; i++)
 		if (!memcmp(&world->messages[i], &message, sizeof message))
 			return;
@@ -237,10 +237,10 @@
 
 static struct out *step_begin(int node)
 {
-	if (!out.p) {
+	if (!out.pool) {
 		apr_initialize();
-		apr_pool_create(&out.p, NULL);
-		arrsetcap(out.v, RESERVED_COMMANDS);
+		apr_pool_create(&out.pool, NULL);
+		arrsetcap(out.commands, RESERVED_COMMANDS);
 	}
 	out.id = explore_world.replica[node].identity;
 	out.addr = FIRST_ADDR + (uint64_t)node;
@@ -256,9 +256,9 @@
 
 	memset(machine, 0, sizeof *machine);
 	machine->applied = raft->snapshot_index;
-	machine->n = (uint32_t)(raft->snapshot_len / OPERATION_BYTES);
+	machine->operation_count = (uint32_t)(raft->snapshot_len / OPERATION_BYTES);
 	if (raft->snapshot_len)
-		memcpy(machine->op, raft->snap, raft->snapshot_len);
+		memcpy(machine->operations, raft->snapshot_data, raft->snapshot_len);
 	raft->snapshot_to_load = 0;
 	check_loaded(node);
 }
@@ -271,10 +271,10 @@
 
 	while ((entry = raft_next_committed(rafts[node], &index))) {
 		machine->applied = index;
-		memcpy(&machine->op[machine->n++], entry->data, OPERATION_BYTES);
+		memcpy(&machine->operations[machine->operation_count++], entry->data, OPERATION_BYTES);
 		check_applied(node, index, entry);
 	}
-	machine->applied = rafts[node]->applied;
+	machine->applied = rafts[node]->applied_index;
 }
 
 static void step_end(int node)
@@ -286,13 +286,13 @@
 	apply_committed(node);
 	raft_flush(raft, explore_world.now, &out);
 	explore_heap_select(NULL);
-	for (ptrdiff_t i = 0; i < arrlen(out.v); i++) {
-		if (out.v[i].kind == CMD_PERSIST)
-			queue_write(&explore_world.replica[node], out.v[i].u.persist);
-		else if (out.v[i].kind == CMD_SEND)
-			send_message(node, &out.v[i]);
+	for (ptrdiff_t i = 0; i < arrlen(out.commands); i++) {
+		if (out.commands[i].kind == CMD_PERSIST)
+			queue_write(&explore_world.replica[node], out.commands[i].args.persist);
+		else if (out.commands[i].kind == CMD_SEND)
+			send_message(node, &out.commands[i]);
 	}
-	out_clear(&out);
+	command_list_clear(&out);
 	check_replica(node);
 	check_leases();
 	rehash(node);
@@ -303,7 +303,7 @@
 	struct out *o = step_begin(node);
 	size_t n;
 	const uint8_t *bytes = explore_blob(blob, &n);
-	struct Nl__Msg *message = (struct Nl__Msg *)core_unpack(o->p, &nl__msg__descriptor, n, bytes);
+	struct Nl__Msg *message = (struct Nl__Msg *)core_unpack_message(o->pool, &nl__msg__descriptor, n, bytes);
 
 	raft_receive(rafts[node], message, explore_world.now, o);
 	step_end(node);
@@ -313,11 +313,11 @@
 {
 	static struct raft_entry entries[EXPLORE_ENTRIES];
 
-	for (uint32_t i = 0; i < disk->n; i++) {
+	for (uint32_t i = 0; i < disk->entry_count; i++) {
 		size_t n;
-		const uint8_t *d = explore_blob(disk->e[i].blob, &n);
+		const uint8_t *d = explore_blob(disk->entries[i].blob, &n);
 
-		entries[i] = (struct raft_entry){ disk->e[i].term, disk->e[i].kind, n, (uint8_t *)(uintptr_t)d };
+		entries[i] = (struct raft_entry){ disk->entries[i].term, disk->entries[i].kind, n, (uint8_t *)(uintptr_t)d };
 	}
 	return entries;
 }
@@ -326,15 +326,15 @@
 {
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct explore_disk *disk = &replica->disk;
-	struct raft_saved saved = { .term = disk->term, .vote = disk->vote, .base = disk->base, .base_term = disk->base_term };
+	struct raft_saved saved = { .term = disk->term, .vote = disk->vote, .snapshot_index = disk->base, .snapshot_term = disk->base_term };
 
 	if (disk->base) {
 		saved.members = explore_blob(disk->members, &saved.members_len);
 		saved.data = explore_blob(disk->data, &saved.data_len);
 	}
-	saved.log_from = disk->first;
-	saved.e = saved_entries(disk);
-	saved.n = disk->n;
+	saved.first_index = disk->first;
+	saved.entries = saved_entries(disk);
+	saved.entry_count = disk->entry_count;
 	replica->up = 1;
 	replica->commit = replica->leads = replica->members_index = 0;
 	replica->member_count = 0;
@@ -342,7 +342,7 @@
 	explore_heap_reset(&heaps[node]);
 	(void)step_begin(node);
 	rafts[node] = malloc(sizeof *rafts[node]);
-	next_random = (uint64_t)RANDOM_SPAN * (1000u * replica->identity + ++replica->lives) << 20;
+	next_random = (uint64_t)RANDOM_SPAN * (1000u * replica->identity + ++replica->incarnations) << 20;
 	raft_open(rafts[node], 0, replica->identity, 1, disk->term ? &saved : NULL, explore_world.now);
 	rafts[node]->member_lost_ms = EXPLORE_LOST_MS;
 	next_random = 0;
@@ -427,7 +427,7 @@
 
 	(void)step_begin(node);
 	rafts[node]->drop_tail = 1;
-	raft_snapshot(rafts[node], (const uint8_t *)machine->op, machine->n * OPERATION_BYTES);
+	raft_snapshot(rafts[node], (const uint8_t *)machine->operations, machine->operation_count * OPERATION_BYTES);
 	step_end(node);
 }
 
@@ -464,7 +464,7 @@
 
 	for (int i = 0; i < raft->member_count; i++)
 		voter |= raft->members[i].id == raft->id && raft->members[i].voter;
-	return voter && raft->leaving && raft_may_leave(raft, explore_world.now) &&
+	return voter && raft->draining && raft_may_stop(raft, explore_world.now) &&
 	       explore_world.identities + 1 < EXPLORE_IDENTITIES;
 }
 
@@ -490,7 +490,7 @@
 	case CHOICE_END: return may_end(choice->node);
 	case CHOICE_SYNC: return replica->n_writes > 0;
 	case CHOICE_CRASH: return choice->arg <= replica->n_writes;
-	case CHOICE_COMPACT: return rafts[choice->node]->applied > rafts[choice->node]->snapshot_index;
+	case CHOICE_COMPACT: return rafts[choice->node]->applied_index > rafts[choice->node]->snapshot_index;
 	case CHOICE_PROPOSE:
 	case CHOICE_RECONFIGURE:
 	case CHOICE_STEP_DOWN: return rafts[choice->node]->role == RAFT_LEADER;
@@ -532,9 +532,9 @@
 	case CHOICE_WIPE: wipe(node); break;
 	case CHOICE_COMPACT: compact(node); break;
 	case CHOICE_RECONFIGURE: reconfigure(node, choice->arg); break;
-	case CHOICE_LEAVE:
+	case CHOICE_DRAIN:
 		(void)step_begin(node);
-		raft_leave(rafts[node], explore_world.now);
+		raft_drain(rafts[node], explore_world.now);
 		step_end(node);
 		break;
 	case CHOICE_END: end_replica(node); break;
@@ -557,7 +557,7 @@
 	case CHOICE_COMPACT:
 	case CHOICE_RECONFIGURE:
 	case CHOICE_STEP_DOWN:
-	case CHOICE_LEAVE:
+	case CHOICE_DRAIN:
 	case CHOICE_END: return 1;
 	default: return 0;
 	}
@@ -568,7 +568,7 @@
 	if (choice.kind >= CHOICE_KINDS || !possible(&choice))
 		return 0;
 	perform(&choice);
-	if (explore_world.budget[choice.kind] && explore_world.budget[choice.kind] != EXPLORE_FREELY)
+	if (explore_world.budget[choice.kind] && explore_world.budget[choice.kind] != EXPLORE_UNLIMITED)
 		explore_world.budget[choice.kind]--;
 	if (explore_world.rare && is_rare(choice.kind))
 		explore_world.rare--;
@@ -581,8 +581,8 @@
 static const uint16_t waits[] = { RAFT_HEARTBEAT_MS, RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS, RAFT_ELECTION_MS };
 
 struct choice_list {
-	struct choice *v;
-	size_t n, limit;
+	struct choice *choices;
+	size_t count, limit;
 };
 
 static void add(struct choice_list *list, int kind, int node, int from, int arg)
@@ -591,8 +591,8 @@
 
 	if (is_rare(kind) && !explore_world.rare)
 		return;
-	if (list->n < list->limit && explore_world.budget[kind] && possible(&choice))
-		list->v[list->n++] = choice;
+	if (list->count < list->limit && explore_world.budget[kind] && possible(&choice))
+		list->choices[list->count++] = choice;
 }
 
 static void add_deliveries(struct choice_list *list)
@@ -606,9 +606,9 @@
 			}
 }
 
-size_t explore_choices(struct choice *v, size_t limit)
+size_t explore_choices(struct choice *choice, size_t limit)
 {
-	struct choice_list list = { v, 0, limit };
+	struct choice_list list = { choice, 0, limit };
 
 	if (explore_exhausted())
 		return 0;
@@ -623,7 +623,7 @@
 	}
 	for (size_t i = 0; i < sizeof waits / sizeof *waits; i++)
 		add(&list, CHOICE_WAIT, 0, 0, waits[i]);
-	return list.n;
+	return list.count;
 }
 
 int explore_exhausted(void)
@@ -631,9 +631,9 @@
 	for (int i = 0; i < explore_world.nodes; i++) {
 		const struct raft *raft = rafts[i];
 
-		if (raft && (raft->term + 4 >= EXPLORE_TERMS || raft->base + (uint64_t)arrlen(raft->log) + 4 >= EXPLORE_ENTRIES))
+		if (raft && (raft->term + 4 >= EXPLORE_TERMS || raft->base_index + (uint64_t)arrlen(raft->log) + 4 >= EXPLORE_ENTRIES))
 			return 1;
-		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES || explore_world.replica[i].lives > 200)
+		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES || explore_world.replica[i].incarnations > 200)
 			return 1;
 	}
 	return 0;
@@ -680,7 +680,7 @@
 enum explore_invariant explore_replay(enum explore_scene scene, const struct choice *path, size_t n)
 {
 	explore_begin(scene);
-	for (size_t i = 0; i < n && !explore_breach && !explore_exhausted(); i++)
+	for (size_t i = 0; i < n && !explore_violation && !explore_exhausted(); i++)
 		(void)explore_do(path[i]);
-	return explore_breach;
+	return explore_violation;
 }
--- a/tests/explore.h
+++ b/tests/explore.h
@@ -21,7 +21,7 @@
 	EXPLORE_IN_FLIGHT = 40,
 	EXPLORE_WRITES = 16,
 	EXPLORE_PATH = 2000,
-	EXPLORE_FREELY = 255,  /* no budget */
+	EXPLORE_UNLIMITED = 255,  /* no budget */
 	EXPLORE_LOST_MS = 1500 /* a member silent for so long is replaced */
 };
 
@@ -39,7 +39,7 @@
 	CHOICE_COMPACT,     /* node takes a snapshot and drops its log */
 	CHOICE_RECONFIGURE, /* node may change the membership; arg 1: it knows only of replicas that are up */
 	CHOICE_STEP_DOWN,   /* planned */
-	CHOICE_LEAVE,       /* node is to stop for good, and asks to be let go of */
+	CHOICE_DRAIN,       /* node is to stop for good, and asks to be let go of */
 	CHOICE_END,         /* node, which is to stop and may, ends; its disk is thrown away */
 	CHOICE_KINDS
 };
@@ -57,19 +57,19 @@
 /* What a replica finds after a crash. Blobs are numbers of interned byte strings. */
 struct explore_disk {
 	uint64_t term, vote, base, base_term, first; /* first: index of e[0] */
-	uint32_t members, data, n;
-	struct explore_disk_entry e[EXPLORE_ENTRIES];
+	uint32_t members, data, entry_count;
+	struct explore_disk_entry entries[EXPLORE_ENTRIES];
 };
 
 /* The state machine: the operations that were applied, in order. */
 struct explore_machine {
 	uint64_t applied; /* index in the log */
-	uint32_t n;
-	uint32_t op[EXPLORE_ENTRIES];
+	uint32_t operation_count;
+	uint32_t operations[EXPLORE_ENTRIES];
 };
 
 struct explore_replica {
-	uint8_t up, identity, lives, n_writes;
+	uint8_t up, identity, incarnations, n_writes;
 	uint8_t member_count;            /* of the membership that it knew after its last step */
 	uint32_t writes[EXPLORE_WRITES]; /* blobs, oldest first; not synced */
 	uint64_t commit;                 /* highest of this life */
@@ -131,7 +131,7 @@
 	ENOUGH_VOTERS,
 	ONE_CHANGE_AT_A_TIME,
 	CHANGE_AFTER_OWN_COMMIT,
-	LEFT_IS_NOT_NEEDED,
+	DRAINED_IS_NOT_NEEDED,
 	ENDED_IS_NOT_NEEDED,
 	INVARIANTS
 };
@@ -158,8 +158,8 @@
 
 /* The world, and the first breach since the scene began. */
 extern struct explore_world explore_world;
-extern enum explore_invariant explore_breach;
-extern char explore_breach_text[256];
+extern enum explore_invariant explore_violation;
+extern char explore_violation_text[256];
 
 const char *explore_scene_name(enum explore_scene scene);
 const char *explore_invariant_name(enum explore_invariant invariant);
@@ -172,7 +172,7 @@
 int explore_do(struct choice choice);
 
 /* All choices that are possible now and within the budget. Example: n = explore_choices(v, limit); */
-size_t explore_choices(struct choice *v, size_t limit);
+size_t explore_choices(struct choice *choice, size_t limit);
 
 /* Hash of the whole state, times relative to now. */
 uint64_t explore_hash(void);
--- a/tests/explore_check.c
+++ b/tests/explore_check.c
@@ -9,30 +9,30 @@
 {
 	va_list args;
 
-	if (explore_breach)
+	if (explore_violation)
 		return;
-	explore_breach = invariant;
+	explore_violation = invariant;
 	va_start(args, format);
-	(void)vsnprintf(explore_breach_text, sizeof explore_breach_text, format, args);
+	(void)vsnprintf(explore_violation_text, sizeof explore_violation_text, format, args);
 	va_end(args);
 }
 
-static uint64_t last_index(const struct raft *raft) { return raft->base + (uint64_t)arrlen(raft->log); }
+static uint64_t last_index(const struct raft *raft) { return raft->base_index + (uint64_t)arrlen(raft->log); }
 
 static const struct raft_entry *entry_at(const struct raft *raft, uint64_t index)
 {
-	return index > raft->base && index <= last_index(raft) ? &raft->log[index - raft->base - 1] : NULL;
+	return index > raft->base_index && index <= last_index(raft) ? &raft->log[index - raft->base_index - 1] : NULL;
 }
 
-static uint64_t disk_last(const struct explore_disk *disk) { return disk->n ? disk->first + disk->n - 1 : disk->base; }
+static uint64_t disk_last(const struct explore_disk *disk) { return disk->entry_count ? disk->first + disk->entry_count - 1 : disk->base; }
 
 /* Whether a disk holds the entry that was committed at an index, in its log or its snapshot. */
 static int disk_holds(const struct explore_disk *disk, uint64_t index)
 {
 	if (index <= disk->base)
 		return 1;
-	return disk->n && index >= disk->first && index <= disk_last(disk) &&
-	       disk->e[index - disk->first].term == explore_world.history.committed[index].term;
+	return disk->entry_count && index >= disk->first && index <= disk_last(disk) &&
+	       disk->entries[index - disk->first].term == explore_world.history.committed[index].term;
 }
 
 static struct explore_replica *replica_of(uint64_t identity)
@@ -68,11 +68,11 @@
 				   replica->identity, (int)i);
 }
 
-static void check_vote_reply(int node, const struct cmd *cmd)
+static void check_vote_reply(int node, const struct command *cmd)
 {
-	const struct Nl__VoteReply *reply = cmd->u.send.msg->vote_reply;
+	const struct Nl__VoteReply *reply = cmd->args.send.msg->vote_reply;
 	const struct explore_replica *replica = &explore_world.replica[node];
-	int candidate = explore_node_at(cmd->u.send.addr);
+	int candidate = explore_node_at(cmd->args.send.addr);
 
 	if (!reply->granted || reply->pre || candidate < 0)
 		return;
@@ -82,9 +82,9 @@
 	check_voter_log(node);
 }
 
-static void check_append_reply(int node, const struct cmd *cmd)
+static void check_append_reply(int node, const struct command *cmd)
 {
-	const struct Nl__AppendReply *reply = cmd->u.send.msg->append_reply;
+	const struct Nl__AppendReply *reply = cmd->args.send.msg->append_reply;
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct explore_disk *disk = &replica->disk;
 	struct explore_history *history = &explore_world.history;
@@ -96,13 +96,13 @@
 			   (int)reply->match, (int)disk_last(disk));
 	for (uint64_t i = 1; i <= reply->match && i <= disk->base; i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)history->committed[i].term;
-	for (uint64_t i = disk->first; disk->n && i <= reply->match && i <= disk_last(disk); i++)
-		history->acknowledged[replica->identity][i] = (uint8_t)disk->e[i - disk->first].term;
+	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match && i <= disk_last(disk); i++)
+		history->acknowledged[replica->identity][i] = (uint8_t)disk->entries[i - disk->first].term;
 }
 
-void check_message(int node, const struct cmd *cmd)
+void check_message(int node, const struct command *cmd)
 {
-	switch (cmd->u.send.msg->body_case) {
+	switch (cmd->args.send.msg->body_case) {
 	case NL__MSG__BODY_VOTE_REPLY: check_vote_reply(node, cmd); break;
 	case NL__MSG__BODY_APPEND_REPLY: check_append_reply(node, cmd); break;
 	default: break;
@@ -129,15 +129,15 @@
 
 		if (history->committed[i].kind != RAFT_ENTRY_OPERATION)
 			continue;
-		if (n >= machine->n ||
-		    memcmp(explore_blob(history->committed[i].blob, &bytes), &machine->op[n], sizeof *machine->op))
+		if (n >= machine->operation_count ||
+		    memcmp(explore_blob(history->committed[i].blob, &bytes), &machine->operations[n], sizeof *machine->operations))
 			check_fail(APPLIED_IN_ORDER, "replica %d: operation %d differs from entry %d",
 				   explore_world.replica[node].identity, (int)n, (int)i);
 		n++;
 	}
-	if (n != machine->n)
+	if (n != machine->operation_count)
 		check_fail(APPLIED_IN_ORDER, "replica %d applied %d operations up to %d, others %d",
-			   explore_world.replica[node].identity, (int)machine->n, (int)machine->applied, (int)n);
+			   explore_world.replica[node].identity, (int)machine->operation_count, (int)machine->applied, (int)n);
 }
 
 static void note_committed(int node);
@@ -208,7 +208,7 @@
 /* The packed members that a replica has in force. */
 static uint32_t members_in_force(const struct raft *raft)
 {
-	for (uint64_t i = last_index(raft); i > raft->base; i--)
+	for (uint64_t i = last_index(raft); i > raft->base_index; i--)
 		if (entry_at(raft, i)->kind == RAFT_ENTRY_MEMBERS)
 			return explore_intern(entry_at(raft, i)->data, entry_at(raft, i)->len);
 	return explore_intern(raft->snapshot_members, raft->snapshot_members_len);
@@ -219,11 +219,11 @@
 	struct explore_history *history = &explore_world.history;
 	const struct raft *raft = explore_raft(node);
 
-	for (uint64_t i = raft->base + 1; i <= raft->commit && i <= history->commit; i++)
+	for (uint64_t i = raft->base_index + 1; i <= raft->commit_index && i <= history->commit; i++)
 		if (!is_committed_entry(entry_at(raft, i), i))
 			check_fail(COMMITTED_STAYS, "replica %d has another entry %d than was committed",
 				   explore_world.replica[node].identity, (int)i);
-	while (history->commit < raft->commit) {
+	while (history->commit < raft->commit_index) {
 		const struct raft_entry *entry = entry_at(raft, history->commit + 1);
 
 		if (!entry) {
@@ -246,7 +246,7 @@
 static void check_logs(int node, int other)
 {
 	const struct raft *a = explore_raft(node), *b = explore_raft(other);
-	uint64_t from = a->base > b->base ? a->base : b->base;
+	uint64_t from = a->base_index > b->base_index ? a->base_index : b->base_index;
 	uint64_t to = last_index(a) < last_index(b) ? last_index(a) : last_index(b);
 	int same = 0;
 
@@ -288,7 +288,7 @@
 	if (!history->leader[raft->term])
 		check_elected(node);
 	history->leader[raft->term] = replica->identity;
-	for (uint64_t i = raft->base + 1; i <= history->commit; i++)
+	for (uint64_t i = raft->base_index + 1; i <= history->commit; i++)
 		if (history->committed[i].commit_term < raft->term &&
 		    (i > last_index(raft) || !is_committed_entry(entry_at(raft, i), i)))
 			check_fail(LEADER_HAS_ALL_COMMITTED, "leader %d of term %d lacks entry %d", replica->identity,
@@ -379,14 +379,14 @@
 	int uncommitted = 0, known = raft->snapshot_index > 0;
 	struct voters before = voters_unpack(raft->snapshot_members, raft->snapshot_members_len);
 
-	for (uint64_t i = raft->base + 1; i <= last_index(raft); i++) {
+	for (uint64_t i = raft->base_index + 1; i <= last_index(raft); i++) {
 		const struct raft_entry *entry = entry_at(raft, i);
 		struct voters voters;
 
 		if (entry->kind != RAFT_ENTRY_MEMBERS)
 			continue;
 		voters = voters_unpack(entry->data, entry->len);
-		uncommitted += i > raft->commit && entry->term == raft->term;
+		uncommitted += i > raft->commit_index && entry->term == raft->term;
 		if (i > raft->snapshot_index && known && voters_differ(&before, &voters) > 1)
 			check_fail(ONE_CHANGE_AT_A_TIME, "replica %d: entry %d changes %d voters",
 				   explore_world.replica[node].identity, (int)i, voters_differ(&before, &voters));
@@ -397,7 +397,7 @@
 	if (raft->role == RAFT_LEADER && uncommitted > 1)
 		check_fail(ONE_CHANGE_AT_A_TIME, "leader %d has %d changes of membership not committed",
 			   explore_world.replica[node].identity, uncommitted);
-	if (raft->role == RAFT_LEADER && uncommitted && raft->commit < raft->term_start)
+	if (raft->role == RAFT_LEADER && uncommitted && raft->commit_index < raft->term_start)
 		check_fail(CHANGE_AFTER_OWN_COMMIT, "leader %d changes the membership before an entry of its term is committed",
 			   explore_world.replica[node].identity);
 }
@@ -424,15 +424,15 @@
 	int adds = raft->member_count > replica->member_count; /* and takes no copy away */
 	int voters = 0, copies = 0;
 
-	if (raft->role == RAFT_LEADER && raft->members_index > raft->commit && raft->members_index > replica->members_index) {
-		check_copies(raft, raft->commit);
+	if (raft->role == RAFT_LEADER && raft->members_index > raft->commit_index && raft->members_index > replica->members_index) {
+		check_copies(raft, raft->commit_index);
 		for (int i = 0; i < raft->member_count; i++) {
 			voters += raft->members[i].voter;
-			copies += member_holds(&raft->members[i], raft->commit);
+			copies += member_holds(&raft->members[i], raft->commit_index);
 		}
 		if (!adds && voters < RAFT_MIN_VOTERS && copies < RAFT_MIN_VOTERS)
 			check_fail(ENOUGH_VOTERS, "leader %d leaves %d voters, and %d copies of entry %d", replica->identity,
-				   voters, copies, (int)raft->commit);
+				   voters, copies, (int)raft->commit_index);
 	}
 	replica->members_index = raft->members_index;
 	replica->member_count = (uint8_t)raft->member_count;
@@ -453,11 +453,11 @@
 	const struct raft *raft = explore_raft(node);
 	struct voters voters = committed_voters();
 
-	if (!raft->leaving || !raft_may_leave(raft, explore_world.now) || raft->removed || !is_in(&voters, raft->id))
+	if (!raft->draining || !raft_may_stop(raft, explore_world.now) || raft->removed || !is_in(&voters, raft->id))
 		return;
-	if (!majority_holds(&voters, raft->id, raft->commit))
-		check_fail(LEFT_IS_NOT_NEEDED, "replica %d may leave, entry %d is on no majority of others' disks", (int)raft->id,
-			   (int)raft->commit);
+	if (!majority_holds(&voters, raft->id, raft->commit_index))
+		check_fail(DRAINED_IS_NOT_NEEDED, "replica %d may leave, entry %d is on no majority of others' disks", (int)raft->id,
+			   (int)raft->commit_index);
 }
 
 /* ---- all ---------------------------------------------------------------------- */
@@ -467,14 +467,14 @@
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct raft *raft = explore_raft(node);
 
-	if (raft->commit < replica->commit)
+	if (raft->commit_index < replica->commit)
 		check_fail(COMMIT_NEVER_GOES_BACK, "replica %d: commit went from %d to %d", replica->identity, (int)replica->commit,
-			   (int)raft->commit);
-	if (raft->role == RAFT_LEADER && raft->commit > replica->commit && raft->commit > raft->base &&
-	    entry_at(raft, raft->commit)->term != raft->term && raft->term == replica->leads)
+			   (int)raft->commit_index);
+	if (raft->role == RAFT_LEADER && raft->commit_index > replica->commit && raft->commit_index > raft->base_index &&
+	    entry_at(raft, raft->commit_index)->term != raft->term && raft->term == replica->leads)
 		check_fail(LEADER_COMMITS_ITS_TERM, "leader %d of term %d commits up to %d, of term %d", replica->identity,
-			   (int)raft->term, (int)raft->commit, (int)entry_at(raft, raft->commit)->term);
-	replica->commit = raft->commit;
+			   (int)raft->term, (int)raft->commit_index, (int)entry_at(raft, raft->commit_index)->term);
+	replica->commit = raft->commit_index;
 	replica->leads = raft->role == RAFT_LEADER ? raft->term : 0;
 	note_committed(node);
 	check_machine(node);
--- a/tests/explore_check.h
+++ b/tests/explore_check.h
@@ -8,7 +8,7 @@
 void check_fail(enum explore_invariant invariant, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
 /* What a replica says: called before the message leaves. */
-void check_message(int node, const struct cmd *cmd);
+void check_message(int node, const struct command *cmd);
 
 /* An entry is taken in by a replica's state machine. */
 void check_applied(int node, uint64_t index, const struct raft_entry *entry);
--- a/tests/explore_heap.c
+++ b/tests/explore_heap.c
@@ -42,10 +42,10 @@
 
 void explore_heap_reset(struct explore_heap *heap) { heap->used = 0; }
 
-void explore_heap_copy(struct explore_heap *to, const struct explore_heap *from)
+void explore_heap_copy(struct explore_heap *explore_heap, const struct explore_heap *from)
 {
-	to->used = from->used;
-	memcpy(to->bytes, from->bytes, from->used);
+	explore_heap->used = from->used;
+	memcpy(explore_heap->bytes, from->bytes, from->used);
 }
 
 static struct block *block_at(const struct explore_heap *heap, size_t offset)
@@ -137,7 +137,7 @@
 struct hashing {
 	const struct explore_heap *heap;
 	int64_t now;
-	size_t n;
+	size_t word_count;
 	uint64_t words[MAX_HASH_WORDS];
 };
 
@@ -145,11 +145,11 @@
 
 static void emit(uint64_t word)
 {
-	if (hashing.n == MAX_HASH_WORDS) {
+	if (hashing.word_count == MAX_HASH_WORDS) {
 		fprintf(stderr, "explore: a replica is too large to be hashed\n");
 		abort();
 	}
-	hashing.words[hashing.n++] = word;
+	hashing.words[hashing.word_count++] = word;
 }
 
 static void scan(const uint64_t *words, size_t n, int depth);
@@ -208,7 +208,7 @@
 {
 	hashing.heap = heap;
 	hashing.now = now;
-	hashing.n = 0;
+	hashing.word_count = 0;
 	config_watch_pointer(root, 0);
-	return XXH3_64bits(hashing.words, hashing.n * sizeof *hashing.words);
+	return XXH3_64bits(hashing.words, hashing.word_count * sizeof *hashing.words);
 }
--- a/tests/explore_heap.h
+++ b/tests/explore_heap.h
@@ -25,7 +25,7 @@
 void explore_heap_reset(struct explore_heap *heap);
 
 /* Copy only what is in use. Example: explore_heap_copy(&saved, &heap); */
-void explore_heap_copy(struct explore_heap *to, const struct explore_heap *from);
+void explore_heap_copy(struct explore_heap *explore_heap, const struct explore_heap *from);
 
 /* Hash what is reachable from root, a block of heap; pointers are followed, times are relative to now.
  * Example: h = explore_heap_hash(&heap, raft, now); */
--- a/tests/explore_main.c
+++ b/tests/explore_main.c
@@ -20,10 +20,10 @@
 
 static int report(void)
 {
-	if (!path.breach)
+	if (!path.violation)
 		return 0;
-	printf("%s from %s after %zu choices; made minimal:\n", explore_invariant_name(path.breach), explore_scene_name(path.scene),
-	       path.n);
+	printf("%s from %s after %zu choices; made minimal:\n", explore_invariant_name(path.violation), explore_scene_name(path.scene),
+	       path.choice_count);
 	explore_minimize(&path);
 	explore_print(&path, stdout);
 	return 1;
@@ -45,7 +45,7 @@
 		took = seconds() - from;
 		printf("%-10s %10llu states %11llu steps, all orders to depth %2d%s, %7.1f s, %.0f steps/s\n",
 		       explore_scene_name((enum explore_scene)i), (unsigned long long)stats.states, (unsigned long long)stats.steps,
-		       stats.depth, stats.whole ? " (whole)" : "", took, (double)stats.steps / took);
+		       stats.depth, stats.complete ? " (whole)" : "", took, (double)stats.steps / took);
 		bad |= report();
 		fflush(stdout);
 	}
--- a/tests/explore_scenes.c
+++ b/tests/explore_scenes.c
@@ -66,7 +66,7 @@
 }
 
 static void fall(int node) { (void)do_one(CHOICE_CRASH, node, 0, 0); }
-static void come_back(int node) { (void)do_one(CHOICE_RESTART, node, 0, 0); }
+static void restart_replica(int node) { (void)do_one(CHOICE_RESTART, node, 0, 0); }
 
 static void found(int nodes, int voters)
 {
@@ -76,7 +76,7 @@
 	world->now = EXPLORE_EPOCH_MS;
 	world->nodes = (uint8_t)nodes;
 	world->voters = (uint8_t)voters;
-	explore_breach = INVARIANT_NONE;
+	explore_violation = INVARIANT_NONE;
 	for (int i = 0; i < nodes; i++)
 		world->replica[i].identity = ++world->identities;
 	explore_open_all();
@@ -123,7 +123,7 @@
 	(void)do_one(CHOICE_PROPOSE, 0, 0, 0);
 	(void)do_one(CHOICE_DELIVER, 2, 0, 0); /* received, not synced */
 	fall(2);
-	come_back(2);
+	restart_replica(2);
 }
 
 static void scene_learner(void)
@@ -145,7 +145,7 @@
 		fall(i);
 	lose_messages();
 	for (int i = 0; i < 3; i++)
-		come_back(i);
+		restart_replica(i);
 }
 
 static void scene_snapshot(void)
@@ -195,7 +195,7 @@
 	(void)do_one(CHOICE_SYNC, 1, 0, 0); /* the new leader's first entry, on its disk alone */
 	lose_messages();
 	fall(1);
-	come_back(0);
+	restart_replica(0);
 	wait_for(RAFT_LEASE_MS);
 }
 
@@ -212,7 +212,7 @@
 {
 	scene_cut_off();
 	fall(1);
-	come_back(1);
+	restart_replica(1);
 }
 
 static void scene_led_before(void)
@@ -268,10 +268,10 @@
 
 /* How often the exhaustive search may choose each kind; of the rare ones two in all. A message that is never chosen is lost. */
 static const uint8_t budgets[CHOICE_KINDS] = {
-	[CHOICE_DELIVER] = EXPLORE_FREELY,
-	[CHOICE_SYNC] = EXPLORE_FREELY,
-	[CHOICE_TICK] = EXPLORE_FREELY,
-	[CHOICE_RESTART] = EXPLORE_FREELY,
+	[CHOICE_DELIVER] = EXPLORE_UNLIMITED,
+	[CHOICE_SYNC] = EXPLORE_UNLIMITED,
+	[CHOICE_TICK] = EXPLORE_UNLIMITED,
+	[CHOICE_RESTART] = EXPLORE_UNLIMITED,
 	[CHOICE_WAIT] = 4,
 	[CHOICE_DUPLICATE] = 1,
 	[CHOICE_PROPOSE] = 1,
@@ -280,7 +280,7 @@
 	[CHOICE_COMPACT] = 1,
 	[CHOICE_RECONFIGURE] = 2,
 	[CHOICE_STEP_DOWN] = 1,
-	[CHOICE_LEAVE] = 1,
+	[CHOICE_DRAIN] = 1,
 	[CHOICE_END] = 1,
 };
 
--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -32,7 +32,7 @@
 	[ENOUGH_VOTERS] = "ENOUGH_VOTERS",
 	[ONE_CHANGE_AT_A_TIME] = "ONE_CHANGE_AT_A_TIME",
 	[CHANGE_AFTER_OWN_COMMIT] = "CHANGE_AFTER_OWN_COMMIT",
-	[LEFT_IS_NOT_NEEDED] = "LEFT_IS_NOT_NEEDED",
+	[DRAINED_IS_NOT_NEEDED] = "LEFT_IS_NOT_NEEDED",
 	[ENDED_IS_NOT_NEEDED] = "ENDED_IS_NOT_NEEDED",
 };
 
@@ -43,11 +43,11 @@
 /* For each state the most choices that were still left when it was reached. */
 struct seen {
 	uint64_t *key;
-	uint8_t *left;
+	uint8_t *remaining;
 	uint64_t mask, n;
 };
 
-static struct seen *seen_new(int bits)
+static struct seen *visited_new(int bits)
 {
 	struct seen *seen = malloc(sizeof *seen);
 
@@ -56,40 +56,40 @@
 	seen->mask = ((uint64_t)1 << bits) - 1;
 	seen->n = 0;
 	seen->key = calloc(seen->mask + 1, sizeof *seen->key);
-	seen->left = calloc(seen->mask + 1, 1);
-	if (!seen->key || !seen->left)
+	seen->remaining = calloc(seen->mask + 1, 1);
+	if (!seen->key || !seen->remaining)
 		abort();
 	return seen;
 }
 
-static void seen_free(struct seen *seen)
+static void visited_free(struct seen *seen)
 {
 	free(seen->key);
-	free(seen->left);
+	free(seen->remaining);
 	free(seen);
 }
 
-static void seen_clear(struct seen *seen)
+static void visited_clear(struct seen *seen)
 {
 	memset(seen->key, 0, (seen->mask + 1) * sizeof *seen->key);
 	seen->n = 0;
 }
 
 /* Whether a state has to be explored with so many choices left. */
-static int seen_add(struct seen *seen, uint64_t key, int left)
+static int visited_add(struct seen *seen, uint64_t key, int remaining)
 {
 	uint64_t at;
 
 	key += !key;
 	for (at = key & seen->mask; seen->key[at]; at = (at + 1) & seen->mask)
 		if (seen->key[at] == key) {
-			if (seen->left[at] >= left)
+			if (seen->remaining[at] >= remaining)
 				return 0;
-			seen->left[at] = (uint8_t)left;
+			seen->remaining[at] = (uint8_t)remaining;
 			return 1;
 		}
 	seen->key[at] = key;
-	seen->left[at] = (uint8_t)left;
+	seen->remaining[at] = (uint8_t)remaining;
 	seen->n++;
 	return 1;
 }
@@ -97,7 +97,7 @@
 /* ---- all orders ------------------------------------------------------------ */
 
 struct search {
-	struct seen *seen;
+	struct seen *visited;
 	uint64_t max_states, steps;
 	int cut; /* some state was not explored for want of depth */
 	int over;
@@ -105,12 +105,12 @@
 	struct explore_path *path;
 };
 
-static void search_from(struct search *search, int depth, int left)
+static void search_from(struct search *search, int depth, int remaining)
 {
-	struct choice v[MAX_CHOICES];
-	size_t n = explore_choices(v, MAX_CHOICES);
+	struct choice choice[MAX_CHOICES];
+	size_t n = explore_choices(choice, MAX_CHOICES);
 
-	if (!left) {
+	if (!remaining) {
 		search->cut |= n > 0;
 		return;
 	}
@@ -118,18 +118,18 @@
 		search->saved[depth] = explore_saved_new();
 	explore_save(search->saved[depth]);
 	for (size_t i = 0; i < n && !search->over; i++) {
-		search->path->v[depth] = v[i];
-		(void)explore_do(v[i]);
+		search->path->choices[depth] = choice[i];
+		(void)explore_do(choice[i]);
 		search->steps++;
-		if (explore_breach) {
-			search->path->n = (size_t)depth + 1;
-			search->path->breach = explore_breach;
+		if (explore_violation) {
+			search->path->choice_count = (size_t)depth + 1;
+			search->path->violation = explore_violation;
 			search->over = 1;
 			return;
 		}
-		if (seen_add(search->seen, explore_hash(), left))
-			search_from(search, depth + 1, left - 1);
-		if (search->seen->n >= search->max_states)
+		if (visited_add(search->visited, explore_hash(), remaining))
+			search_from(search, depth + 1, remaining - 1);
+		if (search->visited->n >= search->max_states)
 			search->over = 1;
 		explore_restore(search->saved[depth]);
 	}
@@ -138,38 +138,38 @@
 void explore_all(enum explore_scene scene, uint64_t max_states, int max_depth, int table_bits, struct explore_path *path,
 		 struct explore_stats *stats)
 {
-	struct search search = { .seen = seen_new(table_bits), .max_states = max_states, .path = path };
+	struct search search = { .visited = visited_new(table_bits), .max_states = max_states, .path = path };
 
 	memset(stats, 0, sizeof *stats);
 	path->scene = scene;
-	path->breach = INVARIANT_NONE;
-	path->n = 0;
-	for (int depth = 1; depth <= max_depth && depth <= MAX_DEPTH && !stats->whole; depth++) {
-		seen_clear(search.seen);
+	path->violation = INVARIANT_NONE;
+	path->choice_count = 0;
+	for (int depth = 1; depth <= max_depth && depth <= MAX_DEPTH && !stats->complete; depth++) {
+		visited_clear(search.visited);
 		search.cut = 0;
 		explore_begin(scene);
-		if (explore_breach) {
-			path->breach = explore_breach;
+		if (explore_violation) {
+			path->violation = explore_violation;
 			break;
 		}
 		search_from(&search, 0, depth);
-		stats->states = search.seen->n;
+		stats->states = search.visited->n;
 		if (search.over)
 			break;
 		stats->depth = depth;
-		stats->whole = !search.cut;
+		stats->complete = !search.cut;
 	}
 	stats->steps = search.steps;
 	for (int i = 0; i <= MAX_DEPTH; i++)
 		free(search.saved[i]);
-	seen_free(search.seen);
+	visited_free(search.visited);
 }
 
 /* ---- random paths ------------------------------------------------------------ */
 
 /* How replicas and links behave for a while. */
 struct episode {
-	int left;
+	int remaining;
 	uint8_t cell[EXPLORE_NODES]; /* replicas hear only those in the same cell */
 	uint8_t frozen[EXPLORE_NODES];
 	int in_order;
@@ -211,7 +211,7 @@
 static void episode_begin(struct episode *episode, uint64_t *state)
 {
 	memset(episode, 0, sizeof *episode);
-	episode->left = 5 + below(state, 50);
+	episode->remaining = 5 + below(state, 50);
 	episode->in_order = below(state, 3) > 0;
 	choose_links(episode, state);
 	memcpy(episode->weight, calm_weights, sizeof calm_weights);
@@ -223,7 +223,7 @@
 		episode->weight[CHOICE_CRASH] = 30;
 		episode->weight[CHOICE_WIPE] = 3;
 		episode->weight[CHOICE_STEP_DOWN] = 10;
-		episode->weight[CHOICE_LEAVE] = 10;
+		episode->weight[CHOICE_DRAIN] = 10;
 		episode->weight[CHOICE_END] = 30;
 	}
 	for (int kind = 0; kind < CHOICE_KINDS; kind++)
@@ -246,8 +246,8 @@
 		if (!awake(episode, message->to) || episode->cell[message->from] != episode->cell[message->to])
 			continue;
 		choice = (struct choice){ (uint8_t)kind, message->to, message->from, 0 };
-		for (const struct explore_message *m = world->messages; m < message; m++)
-			choice.arg += m->from == message->from && m->to == message->to;
+		for (const struct explore_message *explore_message = world->messages; explore_message < message; explore_message++)
+			choice.arg += explore_message->from == message->from && explore_message->to == message->to;
 		break;
 	}
 	return choice;
@@ -288,38 +288,38 @@
 	uint64_t state = seed;
 
 	path->scene = scene;
-	path->n = 0;
+	path->choice_count = 0;
 	explore_begin(scene);
-	for (int i = 0; i < choices && !explore_breach && !explore_exhausted() && path->n < EXPLORE_PATH; i++) {
+	for (int i = 0; i < choices && !explore_violation && !explore_exhausted() && path->choice_count < EXPLORE_PATH; i++) {
 		struct choice choice;
 
-		if (episode.left-- <= 0)
+		if (episode.remaining-- <= 0)
 			episode_begin(&episode, &state);
 		choice = choose(&episode, &state);
 		if (choice.kind == CHOICE_KINDS || !explore_do(choice))
 			continue;
-		path->v[path->n++] = choice;
+		path->choices[path->choice_count++] = choice;
 		stats->steps++;
 	}
-	path->breach = explore_breach;
+	path->violation = explore_violation;
 }
 
 /* ---- a failing path ----------------------------------------------------------- */
 
-static int still_breaks(const struct explore_path *path) { return explore_replay(path->scene, path->v, path->n) == path->breach; }
+static int still_breaks(const struct explore_path *path) { return explore_replay(path->scene, path->choices, path->choice_count) == path->violation; }
 
 /* Try to leave out each run of `size` choices. */
 static int leave_out(struct explore_path *path, size_t size)
 {
 	int shorter = 0;
 
-	for (size_t at = path->n; at-- > 0;) {
+	for (size_t at = path->choice_count; at-- > 0;) {
 		static struct explore_path tried;
-		size_t gone = path->n - at < size ? path->n - at : size;
+		size_t gone = path->choice_count - at < size ? path->choice_count - at : size;
 
 		tried = *path;
-		memmove(tried.v + at, tried.v + at + gone, (tried.n - at - gone) * sizeof *tried.v);
-		tried.n -= gone;
+		memmove(tried.choices + at, tried.choices + at + gone, (tried.choice_count - at - gone) * sizeof *tried.choices);
+		tried.choice_count -= gone;
 		if (!still_breaks(&tried))
 			continue;
 		*path = tried;
@@ -329,39 +329,39 @@
 }
 
 /* Without what comes after the breach, and without what was not possible anyway. */
-static void keep_what_happens(struct explore_path *path)
+static void keep_possible(struct explore_path *path)
 {
 	size_t kept = 0;
 
 	explore_begin(path->scene);
-	for (size_t i = 0; i < path->n && !explore_breach; i++)
-		if (explore_do(path->v[i]))
-			path->v[kept++] = path->v[i];
-	path->n = kept;
+	for (size_t i = 0; i < path->choice_count && !explore_violation; i++)
+		if (explore_do(path->choices[i]))
+			path->choices[kept++] = path->choices[i];
+	path->choice_count = kept;
 }
 
 void explore_minimize(struct explore_path *path)
 {
 	int shorter = 1;
 
-	for (size_t size = path->n / 2; size > 1; size /= 2)
+	for (size_t size = path->choice_count / 2; size > 1; size /= 2)
 		(void)leave_out(path, size);
 	while (shorter) {
-		keep_what_happens(path);
+		keep_possible(path);
 		shorter = leave_out(path, 2) | leave_out(path, 1);
 	}
-	keep_what_happens(path);
+	keep_possible(path);
 }
 
-void explore_print(const struct explore_path *path, FILE *to)
+void explore_print(const struct explore_path *path, FILE *file)
 {
-	(void)explore_replay(path->scene, path->v, path->n);
-	fprintf(to, "/* %s: %s */\n", invariant_names[explore_breach], explore_breach_text);
-	fprintf(to, "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
-	for (size_t i = 0; i < path->n; i++)
-		fprintf(to, "		{ %s, %d, %d, %d },\n", kind_names[path->v[i].kind], path->v[i].node, path->v[i].from,
-			path->v[i].arg);
-	fprintf(to, "	};\n\n	(void)state;\n");
-	fprintf(to, "	assert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
+	(void)explore_replay(path->scene, path->choices, path->choice_count);
+	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
+	fprintf(file, "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	for (size_t i = 0; i < path->choice_count; i++)
+		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind], path->choices[i].node, path->choices[i].from,
+			path->choices[i].arg);
+	fprintf(file, "	};\n\n	(void)state;\n");
+	fprintf(file, "	assert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
 		explore_scene_name(path->scene));
 }
--- a/tests/explore_search.h
+++ b/tests/explore_search.h
@@ -6,15 +6,15 @@
 
 struct explore_path {
 	enum explore_scene scene;
-	enum explore_invariant breach; /* INVARIANT_NONE: none was found */
-	size_t n;
-	struct choice v[EXPLORE_PATH];
+	enum explore_invariant violation; /* INVARIANT_NONE: none was found */
+	size_t choice_count;
+	struct choice choices[EXPLORE_PATH];
 };
 
 struct explore_stats {
 	uint64_t states, steps; /* states that differ; choices done */
 	int depth;              /* all orders were explored up to here */
-	int whole;              /* nothing is left to explore at all */
+	int complete;              /* nothing is left to explore at all */
 };
 
 /* All orders of choices from a scene, one more choice deep each round, until a round goes past max_states or max_depth.
@@ -31,6 +31,6 @@
 void explore_minimize(struct explore_path *path);
 
 /* Print a path as a C test. Example: explore_print(&path, stdout); */
-void explore_print(const struct explore_path *path, FILE *to);
+void explore_print(const struct explore_path *path, FILE *file);
 
 #endif
--- a/tests/make_stored_data.c
+++ b/tests/make_stored_data.c
@@ -41,41 +41,41 @@
 static void make_folder(const char *folder, const char *name, apr_pool_t *pool)
 {
 	const char *path = apr_psprintf(pool, "%s/%s", folder, name), *text;
-	struct world w;
+	struct world world;
 
 	stored_make(name, path);
 	(void)remove(apr_pstrcat(pool, path, "/lock", NULL));
 	if (!strcmp(name, "damaged") || !strncmp(name, "torn", 4)) /* as the first */
 		return;
-	if (world_open(&w, path)) {
+	if (world_open(&world, path)) {
 		(void)fprintf(stderr, "%s cannot be opened\n", path);
 		exit(1);
 	}
-	text = world_records(&w.found, pool);
+	text = world_records(&world.found, pool);
 	file_write(apr_psprintf(pool, "%s/records.txt", path), text, strlen(text));
-	text = world_state(&w, pool);
+	text = world_state(&world, pool);
 	file_write(apr_psprintf(pool, "%s/state.txt", path), text, strlen(text));
-	world_close(&w);
+	world_close(&world);
 	(void)remove(apr_pstrcat(pool, path, "/lock", NULL));
 }
 
 /* A controller that leads, on a copy of a folder, which goes afterwards. */
-static void open_copy(struct world *w, const char *path, const char *copy, apr_pool_t *pool)
+static void open_copy(struct world *world, const char *path, const char *copy, apr_pool_t *pool)
 {
 	size_t n;
 	const char *data = file_read(apr_pstrcat(pool, path, "/registrar.tdb", NULL), &n, pool);
 
 	(void)mkdir(copy, 0700);
 	file_write(apr_pstrcat(pool, copy, "/registrar.tdb", NULL), data, n);
-	if (world_open(w, copy)) {
+	if (world_open(world, copy)) {
 		(void)fprintf(stderr, "%s cannot be opened\n", copy);
 		exit(1);
 	}
 }
 
-static void close_copy(struct world *w, const char *copy, apr_pool_t *pool)
+static void close_copy(struct world *world, const char *copy, apr_pool_t *pool)
 {
-	world_close(w);
+	world_close(world);
 	(void)remove(apr_pstrcat(pool, copy, "/registrar.tdb", NULL));
 	(void)remove(apr_pstrcat(pool, copy, "/lock", NULL));
 	(void)rmdir(copy);
@@ -85,26 +85,26 @@
 static void make_document_texts(const char *folder, apr_pool_t *pool)
 {
 	const char *path = apr_pstrcat(pool, folder, "/document", NULL), *copy = apr_pstrcat(pool, folder, "/copy", NULL);
-	struct world w;
-
-	open_copy(&w, path, copy, pool);
-	world_run(&w, 4000);
-	(void)world_read_document(&w);
-	file_write(apr_pstrcat(pool, path, "/document.json", NULL), w.answer.body, w.answer.len);
-	(void)world_call(&w, "GET", "/v1/table", "", NULL);
-	file_write(apr_pstrcat(pool, path, "/table.json", NULL), w.answer.body, w.answer.len);
-	close_copy(&w, copy, pool);
+	struct world world;
+
+	open_copy(&world, path, copy, pool);
+	world_run(&world, 4000);
+	(void)world_read_document(&world);
+	file_write(apr_pstrcat(pool, path, "/document.json", NULL), world.answer.body, world.answer.len);
+	(void)world_call(&world, "GET", "/v1/table", "", NULL);
+	file_write(apr_pstrcat(pool, path, "/table.json", NULL), world.answer.body, world.answer.len);
+	close_copy(&world, copy, pool);
 }
 
 static void make_interface(const char *folder, apr_pool_t *pool)
 {
 	const char *copy = apr_pstrcat(pool, folder, "/copy", NULL), *text;
-	struct world w;
+	struct world world;
 
-	open_copy(&w, TEST_DATA "/stored/entries", copy, pool);
-	text = stored_calls(&w);
+	open_copy(&world, TEST_DATA "/stored/entries", copy, pool);
+	text = stored_calls(&world);
 	file_write(apr_pstrcat(pool, folder, "/calls.txt", NULL), text, strlen(text));
-	close_copy(&w, copy, pool);
+	close_copy(&world, copy, pool);
 	text = stored_rows(pool);
 	file_write(apr_pstrcat(pool, folder, "/rows.txt", NULL), text, strlen(text));
 	text = stored_sheet(pool);
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -10,16 +10,16 @@
 #include "ds.h"
 #include "sim.h"
 
-static void fail(struct sim *s, const char *what)
+static void fail(struct sim *sim, const char *what)
 {
-	fprintf(stderr, "seed %llu at %lld: %s %s\n", (unsigned long long)s->seed, (long long)s->now, what, s->bad);
+	fprintf(stderr, "seed %llu at %lld: %s %s\n", (unsigned long long)sim->seed, (long long)sim->now, what, sim->violation);
 	exit(1);
 }
 
-static void must(struct sim *s)
+static void must(struct sim *sim)
 {
-	if (s->bad[0])
-		fail(s, "breach");
+	if (sim->violation[0])
+		fail(sim, "breach");
 }
 
 static int by_value(const void *a, const void *b)
@@ -40,7 +40,7 @@
 	uint64_t msg, sync, bytes;
 };
 
-static struct count now_count(const struct sim *s) { return (struct count){ s->n_msg, s->n_sync, s->n_bytes }; }
+static struct count now_count(const struct sim *sim) { return (struct count){ sim->n_msg, sim->n_sync, sim->n_bytes }; }
 
 static void per(const char *what, struct count a, struct count b, struct count idle, double n)
 {
@@ -86,7 +86,7 @@
 	a = now_count(&s);
 	for (int i = 0; i < 1000; i++) {
 		snprintf(id, sizeof id, "m%d", i);
-		sim_ask(&s, SIM_REGS + i % 9, id, i % 4, i % 3 == 0 ? "arrears" : i % 3 == 1 ? "repairs" : "sorting", i % 3);
+		sim_submit(&s, SIM_CONTROLLERS + i % 9, id, i % 4, i % 3 == 0 ? "arrears" : i % 3 == 1 ? "repairs" : "sorting", i % 3);
 		sim_run(&s, 50, NULL);
 	}
 	per("an exchange, at 20 a second", a, now_count(&s), idle, 1000);
@@ -100,40 +100,40 @@
 		*serve = calloc((size_t)n, sizeof *serve);
 
 	for (int k = 0; k < n; k++) {
-		struct sim s;
+		struct sim sim;
 		int64_t from;
-		uint64_t whole, ceiling;
+		uint64_t complete, ceiling;
 		int pub, i;
 
-		sim_deploy(&s, 100 + (uint64_t)k, 4, 3, 6);
-		sim_run(&s, (int64_t)(core_rand(&s.rng) % 1000), NULL);
-		sim_crash(&s, sim_owner(&s, SHARD_CONTROL), 0);
-		from = s.now;
-		if (!sim_change(&s, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":9,\"limit\":100}]}", 12000))
-			fail(&s, "not acknowledged");
-		change[k] = s.now - from;
-		whole = s.n_whole;
-		for (i = 0; s.n_whole == whole; i++) {
+		sim_deploy(&sim, 100 + (uint64_t)k, 4, 3, 6);
+		sim_run(&sim, (int64_t)(core_random(&sim.rng) % 1000), NULL);
+		sim_crash(&sim, sim_leader(&sim, SHARD_CONTROL), 0);
+		from = sim.now;
+		if (!sim_change(&sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":9,\"limit\":100}]}", 12000))
+			fail(&sim, "not acknowledged");
+		change[k] = sim.now - from;
+		complete = sim.n_complete;
+		for (i = 0; sim.n_complete == complete; i++) {
 			char id[32];
 
 			snprintf(id, sizeof id, "f%d", i);
-			sim_ask(&s, SIM_REGS, id, 0, "arrears", 0);
-			sim_run(&s, 20, NULL);
+			sim_submit(&sim, SIM_CONTROLLERS, id, 0, "arrears", 0);
+			sim_run(&sim, 20, NULL);
 		}
-		serve[k] = s.now - from;
-		sim_run(&s, 20000, NULL);
-		pub = sim_owner(&s, SHARD_PURGE);
-		ceiling = s.n[pub].r->pub.ceiling; /* a successor starts above it */
-		sim_crash(&s, pub, 0);
-		from = s.now;
-		for (int c = SIM_REGS; c < SIM_REGS + 3; c++) {
-			while (s.n[c].c->relay.k.horizon < ceiling)
-				if (!sim_run(&s, 10, NULL) || s.now - from > 20000)
-					fail(&s, "the horizon stands still");
+		serve[k] = sim.now - from;
+		sim_run(&sim, 20000, NULL);
+		pub = sim_leader(&sim, SHARD_PURGE);
+		ceiling = sim.nodes[pub].controller->purge_state.ceiling; /* a successor starts above it */
+		sim_crash(&sim, pub, 0);
+		from = sim.now;
+		for (int c = SIM_CONTROLLERS; c < SIM_CONTROLLERS + 3; c++) {
+			while (sim.nodes[c].router->relay.knowledge.horizon < ceiling)
+				if (!sim_run(&sim, 10, NULL) || sim.now - from > 20000)
+					fail(&sim, "the horizon stands still");
 		}
-		horizon[k] = s.now - from;
-		must(&s);
-		sim_close(&s);
+		horizon[k] = sim.now - from;
+		must(&sim);
+		sim_close(&sim);
 	}
 	spread("owner of the configuration lost: change acknowledged", change, n);
 	spread("owner of the configuration lost: an exchange whole again", serve, n);
@@ -143,12 +143,12 @@
 	free(serve);
 }
 
-static int last_begin(struct sim *s, int tenant, int64_t since, int64_t *last)
+static int last_begin(struct sim *sim, int tenant, int64_t since, int64_t *last)
 {
-	for (ptrdiff_t i = 0; i < arrlen(s->x); i++)
-		if ((tenant < 0 || s->x[i].tenant == tenant) && s->x[i].began && s->x[i].asked_at > since &&
-		    s->x[i].asked_at - since > *last)
-			*last = s->x[i].asked_at - since;
+	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
+		if ((tenant < 0 || sim->requests[i].tenant == tenant) && sim->requests[i].began && sim->requests[i].submitted_at > since &&
+		    sim->requests[i].submitted_at - since > *last)
+			*last = sim->requests[i].submitted_at - since;
 	return 0;
 }
 
@@ -158,56 +158,56 @@
 		*roll = calloc((size_t)n, sizeof *roll);
 
 	for (int k = 0; k < n; k++) {
-		struct sim s;
+		struct sim sim;
 		char body[300], id[32], hex[65];
 		int64_t from, end;
 		uint64_t before;
 
-		sim_deploy(&s, 500 + (uint64_t)k, 4, 9, 18);
-		s.jitter = 40;
-		sim_freeze(&s, SIM_REGS + 1, 1);
+		sim_deploy(&sim, 500 + (uint64_t)k, 4, 9, 18);
+		sim.jitter_ms = 40;
+		sim_freeze(&sim, SIM_CONTROLLERS + 1, 1);
 		snprintf(
 		    body, sizeof body,
 		    "{\"set\":[{\"kind\":\"server\",\"name\":\"s0\",\"service\":\"arrears\",\"addr\":\"%s\",\"state\":\"draining\"}],\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}",
-		    s.sv[0].addr, sim_key(2, hex));
-		if (!sim_change(&s, body, 12000))
-			fail(&s, "not acknowledged");
-		from = s.now;
-		s.sv[0].departed = s.now;
+		    sim.servers[0].addr, sim_key(2, hex));
+		if (!sim_change(&sim, body, 12000))
+			fail(&sim, "not acknowledged");
+		from = sim.now;
+		sim.servers[0].departed = sim.now;
 		before = 0;
-		for (int i = 0; s.now < from + 6000; i++) {
-			int was = s.sv[0].running;
+		for (int i = 0; sim.now < from + 6000; i++) {
+			int was = sim.servers[0].running;
 
 			snprintf(id, sizeof id, "b%d", i);
-			sim_ask(&s, SIM_REGS + i % 9, id, i % 2 ? 2 : 1, "arrears", i % 3);
-			sim_run(&s, 5, NULL);
-			if (s.sv[0].running > was)
-				before = (uint64_t)(s.now - from);
-			if (s.now > from + 2500)
-				sim_freeze(&s, SIM_REGS + 1, 0); /* wakes with everything it was asked meanwhile */
+			sim_submit(&sim, SIM_CONTROLLERS + i % 9, id, i % 2 ? 2 : 1, "arrears", i % 3);
+			sim_run(&sim, 5, NULL);
+			if (sim.servers[0].running > was)
+				before = (uint64_t)(sim.now - from);
+			if (sim.now > from + 2500)
+				sim_freeze(&sim, SIM_CONTROLLERS + 1, 0); /* wakes with everything it was asked meanwhile */
 		}
 		drain[k] = (int64_t)before;
-		last_begin(&s, 2, from, &key[k]);
+		last_begin(&sim, 2, from, &key[k]);
 		if (!sim_change(
-			&s,
+			&sim,
 			"{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w2\",\"prefill\":20,\"kv_bytes\":400,\"link\":100000}]}",
 			12000))
-			fail(&s, "not acknowledged");
-		from = s.now;
+			fail(&sim, "not acknowledged");
+		from = sim.now;
 		for (end = 0; !end;) {
 			int on = 0;
 
-			sim_run(&s, 20, NULL);
+			sim_run(&sim, 20, NULL);
 			for (int i = 1; i < 18; i += 3)
-				on += !strcmp(s.sv[i].weights, "w2");
+				on += !strcmp(sim.servers[i].weights, "w2");
 			if (on == 6)
-				end = s.now;
-			if (s.now - from > 30000)
-				fail(&s, "the roll-out stands still");
+				end = sim.now;
+			if (sim.now - from > 30000)
+				fail(&sim, "the roll-out stands still");
 		}
 		roll[k] = end - from;
-		must(&s);
-		sim_close(&s);
+		must(&sim);
+		sim_close(&sim);
 	}
 	spread("last send to a draining server after the acknowledgement", drain, n);
 	spread("last exchange begun with a removed key after it", key, n);
@@ -219,19 +219,19 @@
 
 static void load(int n)
 {
-	struct sim s;
+	struct sim sim;
 	char id[32];
 
-	sim_deploy(&s, 11, 4, 3, 6);
+	sim_deploy(&sim, 11, 4, 3, 6);
 	for (int i = 0; i < n; i++) {
 		snprintf(id, sizeof id, "l%d", i);
-		sim_ask(&s, SIM_REGS + i % 3, id, i % 4, i % 3 == 0 ? "arrears" : i % 3 == 1 ? "repairs" : "sorting", i % 3);
-		sim_run(&s, 10, NULL);
+		sim_submit(&sim, SIM_CONTROLLERS + i % 3, id, i % 4, i % 3 == 0 ? "arrears" : i % 3 == 1 ? "repairs" : "sorting", i % 3);
+		sim_run(&sim, 10, NULL);
 	}
-	sim_run(&s, 2000, NULL);
-	must(&s);
-	printf("%llu whole\n", (unsigned long long)s.n_whole);
-	sim_close(&s);
+	sim_run(&sim, 2000, NULL);
+	must(&sim);
+	printf("%llu whole\n", (unsigned long long)sim.n_complete);
+	sim_close(&sim);
 }
 
 int main(int argc, char **argv)
--- a/tests/net_sim.h
+++ b/tests/net_sim.h
@@ -13,7 +13,7 @@
 enum sim_connect { SIM_ACCEPT, SIM_REFUSE, SIM_IGNORE };
 
 /* How the product left its side of a connection. */
-enum sim_left { SIM_OPEN, SIM_HALF_CLOSED, SIM_CLOSED, SIM_RESET };
+enum sim_close_state { SIM_OPEN, SIM_HALF_CLOSED, SIM_CLOSED, SIM_RESET };
 
 struct net_sim_hooks {
 	void *ctx;
@@ -36,35 +36,35 @@
 void net_sim_freeze(int64_t ms, int peek);
 
 /* A client connects to the product's port; NULL when nobody listens. */
-struct sim_conn *net_sim_dial(int port);
+struct sim_conn *net_sim_connect(int port);
 
 /* Towards the product, arriving ms from now and never before what was said earlier. Nothing arrives after an end. */
-void net_sim_say(struct sim_conn *c, const char *d, size_t n, int64_t in_ms);
-void net_sim_end(struct sim_conn *c, int64_t in_ms);
-void net_sim_reset(struct sim_conn *c, int64_t in_ms);
+void net_sim_write(struct sim_conn *conn, const char *d, size_t n, int64_t in_ms);
+void net_sim_end(struct sim_conn *conn, int64_t in_ms);
+void net_sim_reset(struct sim_conn *conn, int64_t in_ms);
 
 /* The far end has forgotten the connection without a word. What is sent to it is answered by a reset after so many ms;
  * below 0: by silence. */
-void net_sim_forget(struct sim_conn *c, int64_t reset_ms);
+void net_sim_forget(struct sim_conn *conn, int64_t reset_ms);
 
 /* Bytes that the far end takes before it has read them. */
-void net_sim_window(struct sim_conn *c, size_t n);
+void net_sim_window(struct sim_conn *conn, size_t n);
 
 /* Read what the product has sent. Example: n = net_sim_hear(c, to, sizeof to); */
-size_t net_sim_hear(struct sim_conn *c, char *to, size_t cap);
-enum sim_left net_sim_left(const struct sim_conn *c);
+size_t net_sim_read(struct sim_conn *conn, char *to, size_t cap);
+enum sim_close_state net_sim_close_state(const struct sim_conn *conn);
 
 /* Whether bytes, an end or a reset had arrived at the product, unread, when it made the system call under way; and when that
  * call began, before any freeze in it. */
-int net_sim_unread(const struct sim_conn *c);
-int64_t net_sim_called(void);
+int net_sim_unread(const struct sim_conn *conn);
+int64_t net_sim_call_began_at(void);
 
 /* Bytes that the product has read on a connection, ever. */
-size_t net_sim_taken(const struct sim_conn *c);
+size_t net_sim_bytes_read(const struct sim_conn *conn);
 
 /* A number of the connection that is never used again, and room for the test's own data. */
-uint64_t net_sim_id(const struct sim_conn *c);
-void net_sim_tag(struct sim_conn *c, void *tag);
-void *net_sim_tag_of(const struct sim_conn *c);
+uint64_t net_sim_id(const struct sim_conn *conn);
+void net_sim_set_tag(struct sim_conn *conn, void *tag);
+void *net_sim_get_tag(const struct sim_conn *conn);
 
 #endif
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -16,36 +16,36 @@
 struct Nl__Msg leader_message(int body);
 
 /* Its disk takes all that it has written. */
-void leader_sync_disk(struct leader *l);
+void leader_sync_disk(struct leader *leader);
 
 /* It receives a message of a member. */
-void leader_hear(struct leader *l, uint64_t from, struct Nl__Msg *m);
+void leader_receive(struct leader *leader, uint64_t from, struct Nl__Msg *message);
 
 /* A member grants its vote, or says with pre that it would. */
-void leader_hear_vote(struct leader *l, uint64_t from, uint64_t term, int pre);
+void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int pre);
 
 /* A member answers the newest heartbeat: it has synced all up to match. */
-void leader_hear_answer(struct leader *l, uint64_t from, uint64_t match);
+void leader_receive_append_reply(struct leader *leader, uint64_t from, uint64_t match);
 
 /* The index of its newest entry. */
-uint64_t leader_newest(const struct leader *l);
+uint64_t leader_last_index(const struct leader *leader);
 
 /* Time passes; the members in the mask answer each heartbeat, and hold all that there is. */
-void leader_beat(struct leader *l, int64_t ms, unsigned answering);
+void leader_run_heartbeats(struct leader *leader, int64_t ms, unsigned answering);
 
 /* Member 1 leads a group of so many voters; one more controller stands by. */
-void leader_begin(struct leader *l, int voters);
+void leader_begin(struct leader *leader, int voters);
 
 /* Free all memory. */
-void leader_end(struct leader *l);
+void leader_end(struct leader *leader);
 
 /* A member of its group, or NULL. */
-const struct raft_member *leader_member(const struct leader *l, uint64_t id);
+const struct raft_member *leader_member(const struct leader *leader, uint64_t id);
 
 /* It changes the membership by one step, if that is due. */
-void leader_reconfigure(struct leader *l);
+void leader_reconfigure(struct leader *leader);
 
 /* It logs an operation, and syncs it. */
-void leader_propose(struct leader *l);
+void leader_propose(struct leader *leader);
 
 #endif
--- a/tests/raft_world.h
+++ b/tests/raft_world.h
@@ -27,7 +27,7 @@
 };
 
 struct world_write {
-	int64_t due;
+	int64_t due_at;
 	apr_pool_t *pool;
 	struct persist *persist;
 };
@@ -40,10 +40,10 @@
 };
 
 struct world_machine {
-	int up, cut, disk_full;
+	int up, is_cut_off, disk_full;
 	int tick_phase;   /* ms by which its ticks come earlier than others' */
 	int slow_disk_ms; /* that its disk takes longer than the others' */
-	uint64_t id, addr, life;
+	uint64_t id, addr, incarnation;
 	struct raft raft;
 	struct out out;
 	struct world_disk disk;
@@ -57,7 +57,7 @@
 struct world_packet {
 	int64_t at;
 	int from, to;
-	uint64_t life;
+	uint64_t incarnation;
 	size_t len;
 	uint8_t *data;
 };
@@ -66,7 +66,7 @@
 	uint64_t seed, rng;
 	int64_t now;
 	int machines, voters;
-	struct world_machine m[WORLD_MAX_MACHINES];
+	struct world_machine machine[WORLD_MAX_MACHINES];
 	struct world_packet *packets; /* stb_ds */
 	int loss, repeat;             /* per mille of messages */
 	int reorder;                  /* entries and pieces, too, may pass each other */
@@ -81,53 +81,53 @@
 	int64_t idle_until;
 	int pending_at;   /* the machine that logged it; -1: none */
 	uint64_t changes; /* acknowledged */
-	char bad[300];
+	char violation[300];
 	/* figures */
 	uint64_t messages, bytes, pieces, piece_bytes, append_bytes;
-	size_t peak_memory, peak_disk, peak_under_way; /* bytes of one machine; of packets between two */
+	size_t peak_memory, peak_disk, peak_in_flight; /* bytes of one machine; of packets between two */
 	/* called for each message before it is sent; 0: it is lost */
 	int (*filter)(struct world *w, int from, int to, struct Nl__Msg *m);
 };
 
 /* A founded group of three on four machines, with a leader. Example: world_open(&w, 1, 300 << 10); */
-void world_open(struct world *w, uint64_t seed, size_t document_len);
+void world_open(struct world *world, uint64_t seed, size_t document_len);
 
 /* The same with so many voters, and one machine more. Example: world_open_with(&w, 1, 300, 5); */
-void world_open_with(struct world *w, uint64_t seed, size_t document_len, int voters);
-void world_close(struct world *w);
+void world_open_with(struct world *world, uint64_t seed, size_t document_len, int voters);
+void world_close(struct world *world);
 
 /* Let time pass, or until done says so; 0 when something was breached or done never said so.
  * Example: assert_true(world_run(&w, 500, NULL)); */
-int world_run(struct world *w, int64_t ms, int (*done)(struct world *w));
+int world_run(struct world *world, int64_t ms, int (*done)(struct world *w));
 
 /* Have the operator log documents until `count` more are acknowledged. Example: world_change(&w, 10, 20000); */
-int world_change(struct world *w, uint64_t count, int64_t ms);
+int world_change(struct world *world, uint64_t count, int64_t ms);
 
 /* An operator logs one more document at the leader, and does not wait for it; 0 without a leader. Example: world_log(&w); */
-int world_log(struct world *w);
+int world_log(struct world *world);
 
 /* Power is lost, with `wipe` the disk and its identity too; power is back. Example: world_crash(&w, 2, 0); */
-void world_crash(struct world *w, int machine, int wipe);
-void world_start(struct world *w, int machine);
+void world_crash(struct world *world, int machine, int wipe);
+void world_start(struct world *world, int machine);
 
 /* A machine hears a packed message now, as from anywhere. Example: world_inject(&w, 2, bytes, len); */
-void world_inject(struct world *w, int to, const uint8_t *bytes, size_t len);
+void world_inject(struct world *world, int to, const uint8_t *bytes, size_t len);
 
 /* The machine that leads with a lease, or -1. Example: leader = world_leader(&w); */
-int world_leader(const struct world *w);
+int world_leader(const struct world *world);
 
 /* How long, under further changes, until three members vote that have synced and applied all that is acknowledged now; -1 when
  * longer than ms. Example: assert_true(world_catch_up(&w, WORLD_CATCH_UP_MS) >= 0); */
-int64_t world_catch_up(struct world *w, int64_t ms);
+int64_t world_catch_up(struct world *world, int64_t ms);
 
 /* Whether three members vote and each has synced and applied all that is acknowledged. Example: if (world_whole(&w)) ... */
-int world_whole(const struct world *w);
+int world_fully_replicated(const struct world *world);
 
 /* Bytes that a machine holds in its log and snapshots; on its disk. Example: assert_true(world_memory(&w, 0) < 32 << 20); */
-size_t world_memory(const struct world *w, int machine);
-size_t world_disk_bytes(const struct world *w, int machine);
+size_t world_memory(const struct world *world, int machine);
+size_t world_disk_bytes(const struct world *world, int machine);
 
 /* What every machine holds and believes, for a failure's report. Example: world_print(&w); */
-void world_print(const struct world *w);
+void world_print(const struct world *world);
 
 #endif
