--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -7,7 +7,7 @@
 
 #include "ds.h"
 
-enum { FE_CONNECT, FE_ARRIVE, FE_PIECE, FE_NEVER, FE_BROKE, FE_WATCH, FE_ASK, FE_GONE, FE_LOAD, FE_MARK, FE_LIMIT, FE_BEGIN };
+enum { AT_CONNECT, AT_ARRIVE, AT_PIECE, AT_NOT_RUN, AT_BROKEN, AT_WATCH, AT_REQUEST, AT_DISCONNECT, AT_LOAD, AT_MARK, AT_DEADLINE, AT_BEGIN };
 enum { FATE_WELL, FATE_SILENT, FATE_HARD, FATE_BARE };
 
 static const char *const services[] = { "pool", "aux" };
@@ -18,834 +18,834 @@
 static const int tries_of[] = { 3, 2, 2, 2 };
 static const char *const zones[] = { "z1", "z2", "z3", "z4" };
 
-static uint64_t dice(struct fw *f, uint64_t n) { return n ? core_rand(&f->dice) % n : 0; }
-static int chance(struct fw *f, int mille) { return mille && dice(f, 1000) < (uint64_t)mille; }
-static int repeatable(int lane) { return lane == FW_IDEM || lane == FW_CHAT; }
+static uint64_t random_below(struct sim_forward *forwarding, uint64_t n) { return n ? core_random(&forwarding->rng) % n : 0; }
+static int chance(struct sim_forward *forwarding, int mille) { return mille && random_below(forwarding, 1000) < (uint64_t)mille; }
+static int repeatable(int route) { return route == SIM_FORWARD_IDEM || route == SIM_FORWARD_CHAT; }
 
-char *fw_key(int k, char buf[65])
+char *sim_forward_key(int k, char buf[65])
 {
 	memset(buf, 'a' + k, 64);
 	buf[64] = 0;
 	return buf;
 }
 
-static void later(struct fw *f, int kind, int node, uint64_t what, int64_t ms)
+static void later(struct sim_forward *forwarding, int kind, int node, uint64_t what, int64_t ms)
 {
-	struct sim_ev e = { .at = f->s.now + ms, .kind = SIM_DOOR, .node = node, .step = kind, .token = what };
+	struct sim_event input = { .at = forwarding->sim.now + ms, .kind = SIM_FRONT_END, .node = node, .step = kind, .token = what };
 
-	sim_push(&f->s, e);
+	sim_push(&forwarding->sim, input);
 }
 
 /* ---- the judge: what may be in force ------------------------------------------------------ */
 
 /* A counter that has been in touch all the while from some ms before a moment. */
-static int in_touch(const struct fw *f, int node, int64_t from)
+static int in_touch(const struct sim_forward *forwarding, int node, int64_t from)
 {
-	return f->trouble[node] <= from - f->s.b.contact_ms && f->unsettled <= from - f->s.b.contact_ms;
+	return forwarding->last_fault_at[node] <= from - forwarding->sim.bounds.contact_ms && forwarding->last_core_fault_at <= from - forwarding->sim.bounds.contact_ms;
 }
 
 /* Since when the core counts as settled, as the stand's judge has it: a majority is up, and nothing has changed for
  * contact_ms. INT64_MAX: it does not. */
-static int64_t core_settled_since(const struct fw *f)
+static int64_t core_settled_since(const struct sim_forward *forwarding)
 {
-	int64_t since = f->core_changed + f->s.b.contact_ms;
+	int64_t since = forwarding->core_changed_at + forwarding->sim.bounds.contact_ms;
 	int up = 0, all = 0;
 
-	for (int n = 0; n < SIM_REGS; n++) {
-		all += f->s.n[n].used;
-		up += (int)(f->core_up >> n & 1);
+	for (int n = 0; n < SIM_CONTROLLERS; n++) {
+		all += forwarding->sim.nodes[n].used;
+		up += (int)(forwarding->core_up >> n & 1);
 	}
-	return 2 * up > all && since <= f->s.now ? since : INT64_MAX;
+	return 2 * up > all && since <= forwarding->sim.now ? since : INT64_MAX;
 }
 
 /* The oldest version that may still be used for what was asked then. */
-static ptrdiff_t oldest(const struct fw *f, int node, int64_t asked)
+static ptrdiff_t oldest(const struct sim_forward *forwarding, int node, int64_t submitted)
 {
-	if (!in_touch(f, node, asked))
+	if (!in_touch(forwarding, node, submitted))
 		return 0;
-	for (ptrdiff_t k = arrlen(f->conf) - 1; k > 0; k--)
-		if (f->conf[k].ack < asked - f->s.b.config_ms)
+	for (ptrdiff_t k = arrlen(forwarding->configs) - 1; k > 0; k--)
+		if (forwarding->configs[k].acked_at < submitted - forwarding->sim.bounds.config_ms)
 			return k;
 	return 0;
 }
 
-static int service_in(const struct fw_conf *c, int lane)
+static int service_in(const struct sim_forward_config *config, int route)
 {
-	return lane == FW_DEEP && c->service[lane] < 0 ? c->service[FW_ONCE] : c->service[lane];
+	return route == SIM_FORWARD_DEEP && config->service[route] < 0 ? config->service[SIM_FORWARD_ONCE] : config->service[route];
 }
 
-static int leads_to(const struct fw_conf *c, int lane, int service)
+static int leads_to(const struct sim_forward_config *config, int lane, int service)
 {
-	int at = lane == FW_DEEP && c->service[lane] < 0 ? FW_ONCE : lane;
+	int at = lane == SIM_FORWARD_DEEP && config->service[lane] < 0 ? SIM_FORWARD_ONCE : lane;
 
-	return c->service[at] >= 0 && (c->service[at] == service || c->split[at]);
+	return config->service[at] >= 0 && (config->service[at] == service || config->split[at]);
 }
 
 /* The longest time that a request may have, by the shortest of the timeouts that may be in force. */
-static int64_t time_of(const struct fw *f, const struct fw_req *r)
+static int64_t time_of(const struct sim_forward *forwarding, const struct sim_forward_request *request)
 {
-	int64_t least = r->limit - r->asked;
+	int64_t least = request->deadline_at - request->submitted_at;
 
-	for (ptrdiff_t k = oldest(f, r->node, r->asked); k < arrlen(f->conf); k++) {
-		const struct fw_conf *c = &f->conf[k];
-		int at = r->lane == FW_DEEP && c->service[r->lane] < 0 ? FW_ONCE : r->lane;
+	for (ptrdiff_t k = oldest(forwarding, request->node, request->submitted_at); k < arrlen(forwarding->configs); k++) {
+		const struct sim_forward_config *config = &forwarding->configs[k];
+		int at = request->route == SIM_FORWARD_DEEP && config->service[request->route] < 0 ? SIM_FORWARD_ONCE : request->route;
 
-		if (c->timeout[at] && c->timeout[at] < least)
-			least = c->timeout[at];
+		if (config->timeout[at] && config->timeout[at] < least)
+			least = config->timeout[at];
 	}
 	return least;
 }
 
 /* A server may be at work for longer than a counter that stops can wait: counted from half of its grace on. */
-static int outlasts_grace(const struct fw *f, const struct fw_req *r)
+static int outlasts_grace(const struct sim_forward *forwarding, const struct sim_forward_request *request)
 {
-	const int node = r->node;
+	const int node = request->node;
 
-	return f->leaving[node] && r->runs && f->s.now >= f->leaving[node] - f->grace[node] / 2 &&
-	       r->asked <= f->leaving[node] - f->grace[node] + 3000;
+	return forwarding->stops_at[node] && request->runs && forwarding->sim.now >= forwarding->stops_at[node] - forwarding->grace_ms[node] / 2 &&
+	       request->submitted_at <= forwarding->stops_at[node] - forwarding->grace_ms[node] + 3000;
 }
 
 /* LOST: under planned work nothing that was read ends without an answer or a refusal, unless a server broke it off or its
  * time was over. */
-static void judge_loss(struct fw *f, const struct fw_req *r, const char *how)
+static void check_loss(struct sim_forward *forwarding, const struct sim_forward_request *request, const char *how)
 {
-	if (f->planned && r->read && !r->broke && !outlasts_grace(f, r) && f->s.now - r->asked < time_of(f, r) - 20)
-		sim_breach(&f->s, "LOST: %s %s %lld ms after it was asked", r->id, how, (long long)(f->s.now - r->asked));
+	if (forwarding->planned && request->reached_router && !request->broke && !outlasts_grace(forwarding, request) && forwarding->sim.now - request->submitted_at < time_of(forwarding, request) - 20)
+		sim_violation(&forwarding->sim, "LOST: %s %s %lld ms after it was asked", request->id, how, (long long)(forwarding->sim.now - request->submitted_at));
 }
 
-static void judge_config(struct fw *f, const struct fw_req *r, int service, int tenant)
+static void check_config(struct sim_forward *forwarding, const struct sim_forward_request *request, int service, int tenant)
 {
 	int route = 0, key = 0;
 
-	for (ptrdiff_t k = oldest(f, r->node, r->asked); k < arrlen(f->conf); k++) {
-		route |= leads_to(&f->conf[k], r->lane, service);
-		key |= f->conf[k].key[r->key] == tenant;
+	for (ptrdiff_t k = oldest(forwarding, request->node, request->submitted_at); k < arrlen(forwarding->configs); k++) {
+		route |= leads_to(&forwarding->configs[k], request->route, service);
+		key |= forwarding->configs[k].key[request->key] == tenant;
 	}
 	if (!route)
-		sim_breach(&f->s, "CONFIG: %s on lane %s ran at %s", r->id, lanes[r->lane], services[service]);
+		sim_violation(&forwarding->sim, "CONFIG: %s on lane %s ran at %s", request->id, lanes[request->route], services[service]);
 	if (!key)
-		sim_breach(&f->s, "CONFIG: %s ran for tenant %d with key %d", r->id, tenant, r->key);
-	if (f->removed[r->key] && r->asked - f->removed[r->key] > f->s.b.revoke_ms)
-		sim_breach(&f->s, "CONFIG: %s ran with key %d, asked %lld ms after its removal", r->id, r->key,
-			   (long long)(r->asked - f->removed[r->key]));
+		sim_violation(&forwarding->sim, "CONFIG: %s ran for tenant %d with key %d", request->id, tenant, request->key);
+	if (forwarding->key_removed_at[request->key] && request->submitted_at - forwarding->key_removed_at[request->key] > forwarding->sim.bounds.revoke_ms)
+		sim_violation(&forwarding->sim, "CONFIG: %s ran with key %d, asked %lld ms after its removal", request->id, request->key,
+			   (long long)(request->submitted_at - forwarding->key_removed_at[request->key]));
 }
 
-static void judge_refusal(struct fw *f, const struct fw_req *r, int status)
+static void check_refusal(struct sim_forward *forwarding, const struct sim_forward_request *request, int status)
 {
-	for (ptrdiff_t k = oldest(f, r->node, r->asked); k < arrlen(f->conf); k++)
-		if (f->conf[k].key[r->key] < 0 || service_in(&f->conf[k], r->lane) < 0)
+	for (ptrdiff_t k = oldest(forwarding, request->node, request->submitted_at); k < arrlen(forwarding->configs); k++)
+		if (forwarding->configs[k].key[request->key] < 0 || service_in(&forwarding->configs[k], request->route) < 0)
 			return;
-	if (in_touch(f, r->node, r->asked))
-		sim_breach(&f->s, "DENIED: %s was told %d", r->id, status);
+	if (in_touch(forwarding, request->node, request->submitted_at))
+		sim_violation(&forwarding->sim, "DENIED: %s was told %d", request->id, status);
 }
 
-static int newest(const struct fw *f, int service, int64_t acked_before)
+static int newest(const struct sim_forward *forwarding, int service, int64_t acked_before)
 {
 	int w = 1;
 
-	for (ptrdiff_t i = 0; i < arrlen(f->named); i++)
-		if (f->named[i].service == service && f->named[i].ack < acked_before && f->named[i].weights > w)
-			w = f->named[i].weights;
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->target_weights); i++)
+		if (forwarding->target_weights[i].service == service && forwarding->target_weights[i].acked_at < acked_before && forwarding->target_weights[i].weights > w)
+			w = forwarding->target_weights[i].weights;
 	return w;
 }
 
 /* Whether a tenant is surely walled off for what was asked then: in every version that may be in force. */
-static int walled(const struct fw *f, int node, int64_t asked, int tenant)
+static int walled(const struct sim_forward *forwarding, int node, int64_t submitted, int tenant)
 {
 	ptrdiff_t from = 0;
 
 	/* also a counter that is not in touch sends by nothing older than what it rides on */
-	for (ptrdiff_t k = arrlen(f->conf) - 1; k > 0 && !from; k--)
-		if (f->conf[k].ack < asked - f->s.b.revoke_ms - 500)
+	for (ptrdiff_t k = arrlen(forwarding->configs) - 1; k > 0 && !from; k--)
+		if (forwarding->configs[k].acked_at < submitted - forwarding->sim.bounds.revoke_ms - 500)
 			from = k;
-	if (oldest(f, node, asked) > from)
-		from = oldest(f, node, asked);
-	for (ptrdiff_t k = from; k < arrlen(f->conf); k++)
-		if (!f->conf[k].walled[tenant])
+	if (oldest(forwarding, node, submitted) > from)
+		from = oldest(forwarding, node, submitted);
+	for (ptrdiff_t k = from; k < arrlen(forwarding->configs); k++)
+		if (!forwarding->configs[k].isolated[tenant])
 			return 0;
 	return 1;
 }
 
-static void judge_use(struct fw *f, const struct fw_req *r, const struct fw_call *c, const struct fw_part *p, int weights,
+static void check_use(struct sim_forward *forwarding, const struct sim_forward_request *request, const struct sim_forward_call *call, const struct sim_forward_block *fw_part, int weights,
 		      const char *name)
 {
-	f->n_judged++;
-	if (p->weights != weights)
-		sim_breach(&f->s, "STALE: %s on weights %d used a part made under %d at %s", r->id, weights, p->weights, name);
-	if (p->tenant != c->tenant && (walled(f, r->node, r->asked, p->tenant) || walled(f, r->node, r->asked, c->tenant)))
-		sim_breach(&f->s, "WALL: %s of tenant %d used a part made by tenant %d", r->id, c->tenant, p->tenant);
-	if (!c->current)
-		sim_breach(&f->s, "COLD: %s used a part though its counter's purge horizon stood still", r->id);
-	for (ptrdiff_t i = 0; i < arrlen(f->s.value); i++) {
-		struct Nl__Purge w = NL__PURGE__INIT;
+	forwarding->n_checked++;
+	if (fw_part->weights != weights)
+		sim_violation(&forwarding->sim, "STALE: %s on weights %d used a part made under %d at %s", request->id, weights, fw_part->weights, name);
+	if (fw_part->tenant != call->tenant && (walled(forwarding, request->node, request->submitted_at, fw_part->tenant) || walled(forwarding, request->node, request->submitted_at, call->tenant)))
+		sim_violation(&forwarding->sim, "WALL: %s of tenant %d used a part made by tenant %d", request->id, call->tenant, fw_part->tenant);
+	if (!call->current)
+		sim_violation(&forwarding->sim, "COLD: %s used a part though its counter's purge horizon stood still", request->id);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.value); i++) {
+		struct Nl__Purge purge = NL__PURGE__INIT;
 		char text[16];
 
-		w.why = PURGE_WEIGHTS;
-		w.service = (char *)(uintptr_t)services[f->s.list.v[c->server].service[0] == 'a'];
-		w.weights = text;
-		snprintf(text, sizeof text, "%d", p->weights);
-		if (f->s.value[i].key == view_subject(&w) && f->s.value[i].tick > p->horizon && f->s.value[i].tick <= c->horizon)
-			sim_breach(&f->s, "PURGE: %s used a part made at horizon %llu, withdrawn at %llu, at horizon %llu", r->id,
-				   (unsigned long long)p->horizon, (unsigned long long)f->s.value[i].tick,
-				   (unsigned long long)c->horizon);
+		purge.why = PURGE_WEIGHTS;
+		purge.service = (char *)(uintptr_t)services[forwarding->sim.instance_list.instances[call->server].service[0] == 'a'];
+		purge.weights = text;
+		snprintf(text, sizeof text, "%d", fw_part->weights);
+		if (forwarding->sim.value[i].key == purge_subject(&purge) && forwarding->sim.value[i].tick > fw_part->horizon && forwarding->sim.value[i].tick <= call->horizon)
+			sim_violation(&forwarding->sim, "PURGE: %s used a part made at horizon %llu, withdrawn at %llu, at horizon %llu", request->id,
+				   (unsigned long long)fw_part->horizon, (unsigned long long)forwarding->sim.value[i].tick,
+				   (unsigned long long)call->horizon);
 	}
 }
 
 /* ---- servers ------------------------------------------------------------------------------- */
 
-static struct fw_server *server_of(struct fw *f, int i)
+static struct sim_forward_server *server_of(struct sim_forward *forwarding, int i)
 {
-	struct fw_server zero;
+	struct sim_forward_server zero;
 
-	if (i == FW_STORE)
-		return &f->store;
+	if (i == SIM_FORWARD_STORE)
+		return &forwarding->offload_store;
 	memset(&zero, 0, sizeof zero);
-	while (arrlen(f->v) <= i)
-		arrput(f->v, zero);
-	if (!f->v[i].made) {
-		f->v[i].made = 1;
-		f->v[i].epoch = core_rand(&f->dice) | 1;
-		f->v[i].next = 1;
-		f->v[i].retains = (int)dice(f, 2);
+	while (arrlen(forwarding->servers) <= i)
+		arrput(forwarding->servers, zero);
+	if (!forwarding->servers[i].is_initialized) {
+		forwarding->servers[i].is_initialized = 1;
+		forwarding->servers[i].epoch = core_random(&forwarding->rng) | 1;
+		forwarding->servers[i].next_event = 1;
+		forwarding->servers[i].retains = (int)random_below(forwarding, 2);
 	}
-	return &f->v[i];
+	return &forwarding->servers[i];
 }
 
-static uint64_t store_addr(void) { return core_addr("127.9.0.1:9000"); }
+static uint64_t store_addr(void) { return core_parse_addr("127.9.0.1:9000"); }
 
-static int inst_at(struct fw *f, uint64_t addr)
+static int instance_at(struct sim_forward *forwarding, uint64_t addr)
 {
 	if (addr == store_addr())
-		return FW_STORE;
-	for (ptrdiff_t i = arrlen(f->s.list.v) - 1; i >= 0; i--)
-		if (f->s.list.v[i].up && core_addr(f->s.list.v[i].addr) == addr)
+		return SIM_FORWARD_STORE;
+	for (ptrdiff_t i = arrlen(forwarding->sim.instance_list.instances) - 1; i >= 0; i--)
+		if (forwarding->sim.instance_list.instances[i].up && core_parse_addr(forwarding->sim.instance_list.instances[i].addr) == addr)
 			return (int)i;
 	return -1;
 }
 
-static void say_event(struct fw *f, struct fw_server *v, const struct fw_part *p, int gone)
+static void emit_event(struct sim_forward *forwarding, struct sim_forward_server *server, const struct sim_forward_block *p, int removed)
 {
-	struct fw_event e = { v->next++, gone, "", p->id, p->tokens, f->s.now + f->lag };
+	struct sim_forward_cache_event e = { server->next_event++, removed, "", p->id, p->tokens, forwarding->sim.now + forwarding->event_lag_ms };
 
 	memcpy(e.cache_namespace, p->cache_namespace, sizeof e.cache_namespace);
-	if (chance(f, f->lossy))
+	if (chance(forwarding, forwarding->event_loss))
 		return;
-	arrput(v->ev, e);
-	while (arrlen(v->ev) > FW_EVENTS)
-		arrdel(v->ev, 0);
+	arrput(server->events, e);
+	while (arrlen(server->events) > SIM_FORWARD_EVENTS)
+		arrdel(server->events, 0);
 }
 
-static int part_at(const struct fw_server *v, const char *cache_namespace, uint64_t id)
+static int block_at_server(const struct sim_forward_server *server, const char *cache_namespace, uint64_t id)
 {
-	for (ptrdiff_t i = 0; i < arrlen(v->part); i++)
-		if (v->part[i].id == id && !strcmp(v->part[i].cache_namespace, cache_namespace))
+	for (ptrdiff_t i = 0; i < arrlen(server->blocks); i++)
+		if (server->blocks[i].id == id && !strcmp(server->blocks[i].cache_namespace, cache_namespace))
 			return (int)i;
 	return -1;
 }
 
-static void keep(struct fw *f, struct fw_server *v, const struct fw_part *p)
+static void keep(struct sim_forward *f, struct sim_forward_server *server, const struct sim_forward_block *fw_part)
 {
-	int at = part_at(v, p->cache_namespace, p->id);
+	int at = block_at_server(server, fw_part->cache_namespace, fw_part->id);
 
 	if (at >= 0) { /* used: it goes last */
-		struct fw_part old = v->part[at];
+		struct sim_forward_block old = server->blocks[at];
 
-		arrdel(v->part, at);
-		arrput(v->part, old);
+		arrdel(server->blocks, at);
+		arrput(server->blocks, old);
 		return;
 	}
-	arrput(v->part, *p);
-	say_event(f, v, p, 0);
-	while (arrlen(v->part) > f->room) {
-		struct fw_part old = v->part[0];
+	arrput(server->blocks, *fw_part);
+	emit_event(f, server, fw_part, 0);
+	while (arrlen(server->blocks) > f->capacity_blocks) {
+		struct sim_forward_block old = server->blocks[0];
 
-		arrdel(v->part, 0);
-		say_event(f, v, &old, 1);
+		arrdel(server->blocks, 0);
+		emit_event(f, server, &old, 1);
 	}
 }
 
 /* A load drops what a server keeps; some retain it, so that only the cache_namespace keeps it apart. */
-static void loads(struct fw *f, int i)
+static void loads(struct sim_forward *forwarding, int i)
 {
-	struct fw_server *v = server_of(f, i);
-	int now = atoi(f->s.list.v[i].weights);
+	struct sim_forward_server *server = server_of(forwarding, i);
+	int now = atoi(forwarding->sim.instance_list.instances[i].weights);
 
-	if (v->watched == now)
+	if (server->weights_of_blocks == now)
 		return;
-	if (v->watched && !v->retains)
-		while (arrlen(v->part)) {
-			struct fw_part old = arrpop(v->part);
+	if (server->weights_of_blocks && !server->retains)
+		while (arrlen(server->blocks)) {
+			struct sim_forward_block old = arrpop(server->blocks);
 
-			say_event(f, v, &old, 1);
+			emit_event(forwarding, server, &old, 1);
 		}
-	v->watched = now;
+	server->weights_of_blocks = now;
 }
 
-static int tokens_of(int at) { return at + 1 == FW_PARTS ? 100 : 600; }
+static int block_tokens(int at) { return at + 1 == SIM_FORWARD_BLOCKS ? 100 : 600; }
 
-static uint64_t part_id(const struct fw *f, const struct fw_req *r, int at)
+static uint64_t block_id(const struct sim_forward *forwarding, const struct sim_forward_request *request, int at)
 {
 	char text[100];
 
-	if (at + 1 == FW_PARTS)
-		snprintf(text, sizeof text, "%s's own", r->id);
+	if (at + 1 == SIM_FORWARD_BLOCKS)
+		snprintf(text, sizeof text, "%s's own", request->id);
 	else
-		snprintf(text, sizeof text, "%d.%d.%d.%d", r->lane, f->prefix_of_tenant ? r->tenant : 0, at > 0 ? r->pick / 4 : 0,
-			 at > 1 ? r->pick : 0);
-	return core_hashs(5, text);
+		snprintf(text, sizeof text, "%d.%d.%d.%d", request->route, forwarding->prefix_of_tenant ? request->tenant : 0, at > 0 ? request->pick / 4 : 0,
+			 at > 1 ? request->pick : 0);
+	return core_hash_string(5, text);
 }
 
 /* ---- what comes back to a door --------------------------------------------------------------- */
 
-static void drop_run(struct fw *f, struct fw_call *c)
+static void end_run(struct sim_forward *forwarding, struct sim_forward_call *call)
 {
-	if (c->at_server)
-		server_of(f, c->server)->running--;
-	c->at_server = 0;
+	if (call->at_server)
+		server_of(forwarding, call->server)->running--;
+	call->at_server = 0;
 }
 
-static int door_stands(struct fw *f, const struct fw_call *c) { return f->s.n[c->node].up && f->s.n[c->node].life == c->life; }
+static int router_is_same(struct sim_forward *forwarding, const struct sim_forward_call *call) { return forwarding->sim.nodes[call->node].up && forwarding->sim.nodes[call->node].incarnation == call->incarnation; }
 
-static void ended(struct fw *f, uint64_t at, enum router_end how, int status, int wrong)
+static void ended(struct sim_forward *forwarding, uint64_t at, enum forward_end how, int status, int wrong)
 {
-	struct fw_call *c = &f->call[at];
-	struct router_ended e;
-	struct router_ev ev;
+	struct sim_forward_call *call = &forwarding->calls[at];
+	struct forward_result e;
+	struct router_event event;
 	char since[24], weights[24];
-	int node = c->node;
+	int node = call->node;
 
-	if (c->over)
+	if (call->ended)
 		return;
-	c->over = 1;
-	drop_run(f, c);
+	call->ended = 1;
+	end_run(forwarding, call);
 	memset(&e, 0, sizeof e);
-	e.token = c->token;
-	e.how = how;
+	e.token = call->token;
+	e.end = how;
 	e.status = status;
-	e.began = c->begun || c->joined;
-	e.pieces = (uint32_t)c->pieces;
-	snprintf(since, sizeof since, "%d", c->last);
-	e.since = c->last ? since : NULL;
-	e.slots = c->load.slots;
-	e.running = c->load.running;
-	e.wrong_life = wrong;
-	snprintf(weights, sizeof weights, "%d", c->run_weights);
-	e.weights = c->run_weights ? weights : NULL;
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_ENDED;
-	ev.u.ended = &e;
-	if (how == ROUTER_BROKE && c->req >= 0)
-		f->req[c->req].broke = 1;
-	f->n_never += how == ROUTER_NEVER;
-	f->n_wrong += wrong;
-	sim_ctr(&f->s, node, &ev);
+	e.has_begun = call->begun || call->joined;
+	e.chunks = (uint32_t)call->pieces;
+	snprintf(since, sizeof since, "%d", call->last);
+	e.last_event_id = call->last ? since : NULL;
+	e.slots = call->load.slots;
+	e.running = call->load.running;
+	e.wrong_incarnation = wrong;
+	snprintf(weights, sizeof weights, "%d", call->run_weights);
+	e.weights = call->run_weights ? weights : NULL;
+	memset(&event, 0, sizeof event);
+	event.kind = ROUTER_EVENT_FORWARD_ENDED;
+	event.u.forward_ended = &e;
+	if (how == FORWARD_BROKEN_OFF && call->request >= 0)
+		forwarding->requests[call->request].broke = 1;
+	forwarding->n_not_run += how == FORWARD_NOT_STARTED;
+	forwarding->n_wrong_incarnation += wrong;
+	sim_router_step(&forwarding->sim, node, &event);
 }
 
 /* The caller's end: there is one of each request. */
-static void told(struct fw *f, struct fw_req *r, int how, int status)
+static void told(struct sim_forward *forwarding, struct sim_forward_request *r, int how, int status)
 {
-	if (r->told == FW_LOST)
+	if (r->outcome == SIM_FORWARD_LOST)
 		return; /* it left by itself, while its counter was frozen: it hears nothing more */
-	if (r->told != FW_OPEN)
-		sim_breach(&f->s, "ENDS: %s has a second end, %d after %d", r->id, how, r->told);
-	r->told = how;
+	if (r->outcome != SIM_FORWARD_OPEN)
+		sim_violation(&forwarding->sim, "ENDS: %s has a second end, %d after %d", r->id, how, r->outcome);
+	r->outcome = how;
 	r->status = status;
-	r->told_at = f->s.now;
+	r->answered_at = forwarding->sim.now;
 	r->token = 0;
-	f->n_whole += how == FW_WHOLE;
-	f->n_cut += how == FW_CUT;
+	forwarding->n_complete += how == SIM_FORWARD_COMPLETE;
+	forwarding->n_cut += how == SIM_FORWARD_CUT;
 }
 
 /* A counter ends what it holds, once: not what has ended, nor what nobody asked. */
-static void judge_end(struct fw *f, int node, uint64_t token)
+static void judge_end(struct sim_forward *forwarding, int node, uint64_t token)
 {
-	for (ptrdiff_t i = arrlen(f->req) - 1; i >= 0; i--)
-		if (f->req[i].asked_as == token && f->req[i].node == node) {
-			if (!f->req[i].token && f->req[i].told != FW_LOST)
-				sim_breach(&f->s, "ENDS: %s is told an end after its own", f->req[i].id);
+	for (ptrdiff_t i = arrlen(forwarding->requests) - 1; i >= 0; i--)
+		if (forwarding->requests[i].first_token == token && forwarding->requests[i].node == node) {
+			if (!forwarding->requests[i].token && forwarding->requests[i].outcome != SIM_FORWARD_LOST)
+				sim_violation(&forwarding->sim, "ENDS: %s is told an end after its own", forwarding->requests[i].id);
 			return;
 		}
-	sim_breach(&f->s, "ENDS: counter %d tells an end to nobody", node);
+	sim_violation(&forwarding->sim, "ENDS: counter %d tells an end to nobody", node);
 }
 
-static struct fw_req *req_by(struct fw *f, int node, uint64_t token)
+static struct sim_forward_request *req_by(struct sim_forward *forwarding, int node, uint64_t token)
 {
-	for (ptrdiff_t i = arrlen(f->req) - 1; i >= 0 && token; i--)
-		if (f->req[i].token == token && f->req[i].node == node)
-			return &f->req[i];
+	for (ptrdiff_t i = arrlen(forwarding->requests) - 1; i >= 0 && token; i--)
+		if (forwarding->requests[i].token == token && forwarding->requests[i].node == node)
+			return &forwarding->requests[i];
 	return NULL;
 }
 
 /* ---- a request at a server ---------------------------------------------------------------------- */
 
-static void mark(struct fw *f);
+static void mark(struct sim_forward *forwarding);
 
 /* When weights newer than these were first acknowledged; INT64_MAX: never. */
-static int64_t superseded_at(const struct fw *f, int service, int weights)
+static int64_t superseded_at(const struct sim_forward *forwarding, int service, int weights)
 {
 	int64_t at = INT64_MAX;
 
-	for (ptrdiff_t i = 0; i < arrlen(f->named); i++)
-		if (f->named[i].service == service && f->named[i].weights > weights && f->named[i].ack < at)
-			at = f->named[i].ack;
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->target_weights); i++)
+		if (forwarding->target_weights[i].service == service && forwarding->target_weights[i].weights > weights && forwarding->target_weights[i].acked_at < at)
+			at = forwarding->target_weights[i].acked_at;
 	return at;
 }
 
 /* VERSION: a router that is in touch when its request begins is judged, however lately it came to be. The bound counts from the
  * acknowledgement, or from when the core was settled again. */
-static void judge_version(struct fw *f, const struct fw_req *r, int service, int weights, const char *name)
+static void check_version(struct sim_forward *forwarding, const struct sim_forward_request *request, int service, int weights, const char *name)
 {
-	int64_t named = superseded_at(f, service, weights), settled = core_settled_since(f);
-	int64_t from = named > settled ? named : settled;
+	int64_t targeted_at = superseded_at(forwarding, service, weights), settled = core_settled_since(forwarding);
+	int64_t from = targeted_at > settled ? targeted_at : settled;
 
-	if (from < f->s.now - f->s.b.roll_ms && f->trouble[r->node] <= f->s.now - f->s.b.contact_ms)
-		sim_breach(&f->s, "VERSION: %s begins on weights %d at %s, %lld ms after newer ones were acknowledged", r->id,
-			   weights, name, (long long)(f->s.now - named));
+	if (from < forwarding->sim.now - forwarding->sim.bounds.rollout_ms && forwarding->last_fault_at[request->node] <= forwarding->sim.now - forwarding->sim.bounds.contact_ms)
+		sim_violation(&forwarding->sim, "VERSION: %s begins on weights %d at %s, %lld ms after newer ones were acknowledged", request->id,
+			   weights, name, (long long)(forwarding->sim.now - targeted_at));
 }
 
-static void judge_run(struct fw *f, struct fw_req *r, struct fw_call *c, const struct sim_inst *v)
+static void check_run(struct sim_forward *forwarding, struct sim_forward_request *request, struct sim_forward_call *call, const struct sim_instance *instance)
 {
-	int service = v->service[0] == 'a', weights = atoi(v->weights);
+	int service = instance->service[0] == 'a', weights = atoi(instance->weights);
 
-	if (r->runs && !repeatable(r->lane))
-		sim_breach(&f->s, "TWICE: %s runs again at %s", r->id, v->name);
-	if (r->promised)
-		sim_breach(&f->s, "REFUSED: %s runs after it was told %d", r->id, r->status);
-	if (r->head && r->lane != FW_CHAT)
-		sim_breach(&f->s, "ORDER: %s runs again after its caller had a head", r->id);
-	if (!r->head && c->joined)
-		sim_breach(&f->s, "ORDER: %s goes on where nothing began", r->id);
-	judge_config(f, r, service, c->tenant);
-	judge_version(f, r, service, weights, v->name);
+	if (request->runs && !repeatable(request->route))
+		sim_violation(&forwarding->sim, "TWICE: %s runs again at %s", request->id, instance->name);
+	if (request->promised_not_run)
+		sim_violation(&forwarding->sim, "REFUSED: %s runs after it was told %d", request->id, request->status);
+	if (request->has_head && request->route != SIM_FORWARD_CHAT)
+		sim_violation(&forwarding->sim, "ORDER: %s runs again after its caller had a head", request->id);
+	if (!request->has_head && call->joined)
+		sim_violation(&forwarding->sim, "ORDER: %s goes on where nothing began", request->id);
+	check_config(forwarding, request, service, call->tenant);
+	check_version(forwarding, request, service, weights, instance->name);
 }
 
 /* It gets a 421: meant for another life at this address, or for other weights. */
-static int misdirected(const struct fw_call *c, const struct sim_inst *v)
+static int misdirected(const struct sim_forward_call *call, const struct sim_instance *instance)
 {
-	return strcmp(v->name, c->name) || c->weights != atoi(v->weights);
+	return strcmp(instance->name, call->name) || call->weights != atoi(instance->weights);
 }
 
-static void judge_arrival(struct fw *f, struct fw_req *r, struct fw_call *c, const struct sim_inst *v)
+static void check_arrival(struct sim_forward *forwarding, struct sim_forward_request *request, struct sim_forward_call *call, const struct sim_instance *instance)
 {
-	int64_t shown = v->draining ? v->drained + f->s.list.lag : 0;
-	struct fw_arrival a = { f->s.now, r->arrivals > 0, v->service[0] == 'a' };
+	int64_t shown = instance->draining ? instance->drained_at + forwarding->sim.instance_list.lag_ms : 0;
+	struct sim_forward_arrival fw_arrival = { forwarding->sim.now, request->arrivals > 0, instance->service[0] == 'a' };
 
-	mark(f);
-	if (shown && !misdirected(c, v) && f->s.now - shown > f->s.b.drain_ms && in_touch(f, c->node, shown))
-		sim_breach(&f->s, "DRAIN: %s was sent %s, %lld ms after its drain was shown", v->name, r->id,
-			   (long long)(f->s.now - shown));
-	if (r->arrivals++ >= tries_of[r->lane])
-		sim_breach(&f->s, "ATTEMPTS: %s was sent %d times", r->id, r->arrivals);
-	arrput(f->arrival, a);
-	f->n_resend += a.again;
-	if (f->s.now - c->sent_at > 3100)
-		sim_breach(&f->s, "FRESH: %s arrives %lld ms after it was decided on", r->id, (long long)(f->s.now - c->sent_at));
-	if (f->s.now - f->contact[c->node] > 3100 + 150)
-		sim_breach(&f->s, "FRESH: %s was sent %lld ms after its counter last heard the core", r->id,
-			   (long long)(f->s.now - f->contact[c->node]));
+	mark(forwarding);
+	if (shown && !misdirected(call, instance) && forwarding->sim.now - shown > forwarding->sim.bounds.drain_ms && in_touch(forwarding, call->node, shown))
+		sim_violation(&forwarding->sim, "DRAIN: %s was sent %s, %lld ms after its drain was shown", instance->name, request->id,
+			   (long long)(forwarding->sim.now - shown));
+	if (request->arrivals++ >= tries_of[request->route])
+		sim_violation(&forwarding->sim, "ATTEMPTS: %s was sent %d times", request->id, request->arrivals);
+	arrput(forwarding->arrivals, fw_arrival);
+	forwarding->n_resend += fw_arrival.is_retry;
+	if (forwarding->sim.now - call->sent_at > 3100)
+		sim_violation(&forwarding->sim, "FRESH: %s arrives %lld ms after it was decided on", request->id, (long long)(forwarding->sim.now - call->sent_at));
+	if (forwarding->sim.now - forwarding->last_contact_at[call->node] > 3100 + 150)
+		sim_violation(&forwarding->sim, "FRESH: %s was sent %lld ms after its counter last heard the core", request->id,
+			   (long long)(forwarding->sim.now - forwarding->last_contact_at[call->node]));
 }
 
-static void run_begins(struct fw *f, uint64_t at, struct fw_req *r, int i)
+static void run_begins(struct sim_forward *forwarding, uint64_t at, struct sim_forward_request *request, int i)
 {
-	struct fw_call *c = &f->call[at];
-	struct sim_inst *v = &f->s.list.v[i];
-	struct fw_server *w = server_of(f, i);
-	int have = 0, from, weights = atoi(v->weights), read = 0, fetch = 0;
+	struct sim_forward_call *call = &forwarding->calls[at];
+	struct sim_instance *instance = &forwarding->sim.instance_list.instances[i];
+	struct sim_forward_server *server = server_of(forwarding, i);
+	int have = 0, from, weights = atoi(instance->weights), read = 0, fetch = 0;
 
-	judge_run(f, r, c, v);
-	c->began_at = f->s.now;
-	r->runs++;
-	f->n_run++;
-	c->at_server = 1;
-	c->run_weights = weights;
-	w->running++;
-	for (int k = 0; k < FW_PARTS; k++) {
-		int p = part_at(w, c->cache_namespace, part_id(f, r, k));
+	check_run(forwarding, request, call, instance);
+	call->began_at = forwarding->sim.now;
+	request->runs++;
+	forwarding->n_run++;
+	call->at_server = 1;
+	call->run_weights = weights;
+	server->running++;
+	for (int k = 0; k < SIM_FORWARD_BLOCKS; k++) {
+		int p = block_at_server(server, call->cache_namespace, block_id(forwarding, request, k));
 
 		if (p < 0)
 			break;
-		judge_use(f, r, c, &w->part[p], weights, v->name);
+		check_use(forwarding, request, call, &server->blocks[p], weights, instance->name);
 		have++;
 	}
-	f->n_reused += (uint64_t)have;
-	from = c->fetch ? inst_at(f, c->fetch) : -1;
-	for (int k = have; from >= 0 && from != i && k < FW_PARTS; k++) {
-		struct fw_server *src = server_of(f, from);
-		int p = part_at(src, c->cache_namespace, part_id(f, r, k));
+	forwarding->n_reused += (uint64_t)have;
+	from = call->fetch_addr ? instance_at(forwarding, call->fetch_addr) : -1;
+	for (int k = have; from >= 0 && from != i && k < SIM_FORWARD_BLOCKS; k++) {
+		struct sim_forward_server *src = server_of(forwarding, from);
+		int p = block_at_server(src, call->cache_namespace, block_id(forwarding, request, k));
 
 		if (p < 0)
 			break;
-		judge_use(f, r, c, &src->part[p], weights, from == FW_STORE ? "the store" : f->s.list.v[from].name);
-		keep(f, server_of(f, i), &src->part[p]);
+		check_use(forwarding, request, call, &src->blocks[p], weights, from == SIM_FORWARD_STORE ? "the store" : forwarding->sim.instance_list.instances[from].name);
+		keep(forwarding, server_of(forwarding, i), &src->blocks[p]);
 		have++;
 		fetch += 5;
-		f->n_fetched++;
+		forwarding->n_fetched++;
 	}
-	w = server_of(f, i);
-	for (int k = 0; k < FW_PARTS; k++) {
-		struct fw_part p;
+	server = server_of(forwarding, i);
+	for (int k = 0; k < SIM_FORWARD_BLOCKS; k++) {
+		struct sim_forward_block p;
 
 		memset(&p, 0, sizeof p);
-		snprintf(p.cache_namespace, sizeof p.cache_namespace, "%s", c->cache_namespace);
-		p.id = part_id(f, r, k);
-		p.tokens = (uint32_t)tokens_of(k);
+		snprintf(p.cache_namespace, sizeof p.cache_namespace, "%s", call->cache_namespace);
+		p.id = block_id(forwarding, request, k);
+		p.tokens = (uint32_t)block_tokens(k);
 		p.weights = weights;
-		p.tenant = c->tenant;
-		p.horizon = c->horizon;
-		if (!c->cache_namespace[0])
+		p.tenant = call->tenant;
+		p.horizon = call->horizon;
+		if (!call->cache_namespace[0])
 			break;
-		keep(f, w, &p);
+		keep(forwarding, server, &p);
 		if (k >= have) {
-			read += tokens_of(k);
-			f->n_read++;
-			if (c->sink) {
-				keep(f, &f->store, &p);
-				f->n_sunk++;
+			read += block_tokens(k);
+			forwarding->n_read++;
+			if (call->offload_addr) {
+				keep(forwarding, &forwarding->offload_store, &p);
+				forwarding->n_offloaded++;
 			}
 		}
 	}
-	c->fate = chance(f, w->silent) ? FATE_SILENT : chance(f, w->hard) ? FATE_HARD : chance(f, w->bare) ? FATE_BARE : FATE_WELL;
-	c->die = chance(f, w->head) ? 0 : chance(f, w->breaks) ? 1 + (int)dice(f, (uint64_t)r->total) : -1;
-	c->next = c->from;
-	if (c->next && chance(f, w->surplus))
-		c->next = c->next > 2 ? c->next - 2 : 0;
-	c->shown = 0;
-	later(f, FE_PIECE, c->node, at, 15 + fetch + read / 20);
+	call->fate = chance(forwarding, server->silences) ? FATE_SILENT : chance(forwarding, server->errors) ? FATE_HARD : chance(forwarding, server->bare_refusals) ? FATE_BARE : FATE_WELL;
+	call->breaks_at = chance(forwarding, server->breaks_before_head) ? 0 : chance(forwarding, server->breaks) ? 1 + (int)random_below(forwarding, (uint64_t)request->total_pieces) : -1;
+	call->next = call->from;
+	if (call->next && chance(forwarding, server->repeated_pieces))
+		call->next = call->next > 2 ? call->next - 2 : 0;
+	call->pieces_shown = 0;
+	later(forwarding, AT_PIECE, call->node, at, 15 + fetch + read / 20);
 }
 
-static void arrives(struct fw *f, uint64_t at)
+static void arrives(struct sim_forward *f, uint64_t at)
 {
-	struct fw_call *c = &f->call[at];
-	struct fw_req *r = &f->req[c->req];
-	int i = inst_at(f, c->addr);
-	struct sim_inst *v;
-	struct fw_server *w;
+	struct sim_forward_call *call = &f->calls[at];
+	struct sim_forward_request *r = &f->requests[call->request];
+	int i = instance_at(f, call->addr);
+	struct sim_instance *v;
+	struct sim_forward_server *w;
 
-	if (c->over)
+	if (call->ended)
 		return;
-	if (i < 0 || i == FW_STORE) { /* it fell with its connections */
-		later(f, FE_NEVER, c->node, at, 1);
+	if (i < 0 || i == SIM_FORWARD_STORE) { /* it fell with its connections */
+		later(f, AT_NOT_RUN, call->node, at, 1);
 		return;
 	}
-	v = &f->s.list.v[i];
-	c->server = i;
+	v = &f->sim.instance_list.instances[i];
+	call->server = i;
 	w = server_of(f, i);
 	loads(f, i);
-	judge_arrival(f, r, c, v);
-	c->load.slots = f->s.list.slots ? f->s.list.slots : 128;
-	c->load.running = w->running;
-	if (misdirected(c, v)) {
-		c->status = 421;
-		if (!strcmp(v->name, c->name))
-			c->run_weights = atoi(v->weights);
-		later(f, FE_NEVER, c->node, at, 1);
+	check_arrival(f, r, call, v);
+	call->load.slots = f->sim.instance_list.slots ? f->sim.instance_list.slots : 128;
+	call->load.running = w->running;
+	if (misdirected(call, v)) {
+		call->status = 421;
+		if (!strcmp(v->name, call->name))
+			call->run_weights = atoi(v->weights);
+		later(f, AT_NOT_RUN, call->node, at, 1);
 		return;
 	}
-	if (w->running >= c->load.slots || chance(f, w->refuse) || (v->loading[0] && dice(f, 2))) {
-		c->status = 503;
-		later(f, FE_NEVER, c->node, at, 1 + w->hold);
+	if (w->running >= call->load.slots || chance(f, w->refusals) || (v->loading[0] && random_below(f, 2))) {
+		call->status = 503;
+		later(f, AT_NOT_RUN, call->node, at, 1 + w->refusal_delay_ms);
 		return;
 	}
-	c->arrived_at = f->s.now;
+	call->arrived_at = f->sim.now;
 	if (w->queue_ms)
-		later(f, FE_BEGIN, c->node, at, w->queue_ms);
+		later(f, AT_BEGIN, call->node, at, w->queue_ms);
 	else
 		run_begins(f, at, r, i);
 }
 
 /* What waited at its server begins there, unless it was taken back or the server has changed. */
-static void queued_begins(struct fw *f, uint64_t at)
+static void queued_begins(struct sim_forward *forwarding, uint64_t at)
 {
-	struct fw_call *c = &f->call[at];
-	int i = inst_at(f, c->addr);
+	struct sim_forward_call *call = &forwarding->calls[at];
+	int i = instance_at(forwarding, call->addr);
 
-	if (f->s.now - c->arrived_at >= c->limit_ms) { /* its deadline has passed in the queue: 503, and not executed */
-		c->status = 503;
-		if (!c->over)
-			later(f, FE_NEVER, c->node, at, 1);
+	if (forwarding->sim.now - call->arrived_at >= call->limit_ms) { /* its deadline has passed in the queue: 503, and not executed */
+		call->status = 503;
+		if (!call->ended)
+			later(forwarding, AT_NOT_RUN, call->node, at, 1);
 		return;
 	}
-	if (c->over && i >= 0 && i == c->server && server_of(f, i)->keeps) /* its caller has left, and it runs all the same */
-		judge_version(f, &f->req[c->req], f->s.list.v[i].service[0] == 'a', atoi(f->s.list.v[i].weights),
-			      f->s.list.v[i].name);
-	if (c->over)
+	if (call->ended && i >= 0 && i == call->server && server_of(forwarding, i)->keeps) /* its caller has left, and it runs all the same */
+		check_version(forwarding, &forwarding->requests[call->request], forwarding->sim.instance_list.instances[i].service[0] == 'a', atoi(forwarding->sim.instance_list.instances[i].weights),
+			      forwarding->sim.instance_list.instances[i].name);
+	if (call->ended)
 		return;
-	if (i != c->server || misdirected(c, &f->s.list.v[i])) {
-		c->status = i == c->server ? 421 : 0;
-		later(f, FE_NEVER, c->node, at, 1);
+	if (i != call->server || misdirected(call, &forwarding->sim.instance_list.instances[i])) {
+		call->status = i == call->server ? 421 : 0;
+		later(forwarding, AT_NOT_RUN, call->node, at, 1);
 		return;
 	}
-	run_begins(f, at, &f->req[c->req], i);
+	run_begins(forwarding, at, &forwarding->requests[call->request], i);
 }
 
 /* A piece, or the end, of a run leaves its server. */
-static void piece(struct fw *f, uint64_t at)
+static void piece(struct sim_forward *forwarding, uint64_t at)
 {
-	struct fw_call *c = &f->call[at];
-	struct fw_req *r = &f->req[c->req];
-	struct fw_server *w = server_of(f, c->server);
-	int node = c->node;
-	struct router_ev ev;
+	struct sim_forward_call *call = &forwarding->calls[at];
+	struct sim_forward_request *request = &forwarding->requests[call->request];
+	struct sim_forward_server *server = server_of(forwarding, call->server);
+	int node = call->node;
+	struct router_event ev;
 
-	if (c->over || !door_stands(f, c)) {
-		drop_run(f, c);
+	if (call->ended || !router_is_same(forwarding, call)) {
+		end_run(forwarding, call);
 		return;
 	}
-	if (f->s.n[node].frozen) {
-		later(f, FE_PIECE, node, at, 20);
+	if (forwarding->sim.nodes[node].frozen) {
+		later(forwarding, AT_PIECE, node, at, 20);
 		return;
 	}
-	if (!f->s.list.v[c->server].up || c->die == c->shown) {
-		ended(f, at, ROUTER_BROKE, c->begun ? 200 : 0, 0);
+	if (!forwarding->sim.instance_list.instances[call->server].up || call->breaks_at == call->pieces_shown) {
+		ended(forwarding, at, FORWARD_BROKEN_OFF, call->begun ? 200 : 0, 0);
 		return;
 	}
-	if (c->fate == FATE_SILENT)
+	if (call->fate == FATE_SILENT)
 		return; /* nothing comes any more; the run takes its place until it is given up */
-	if (c->fate == FATE_HARD || c->fate == FATE_BARE) { /* as the door does: an answer that would promise too much is none */
-		if (c->joined || c->repeatable || c->fate == FATE_BARE) {
-			ended(f, at, ROUTER_BROKE, c->fate == FATE_HARD ? 500 : 503, 0);
+	if (call->fate == FATE_HARD || call->fate == FATE_BARE) { /* as the door does: an answer that would promise too much is none */
+		if (call->joined || call->repeatable || call->fate == FATE_BARE) {
+			ended(forwarding, at, FORWARD_BROKEN_OFF, call->fate == FATE_HARD ? 500 : 503, 0);
 			return;
 		}
-		told(f, r, FW_ANSWERED, 500);
-		ended(f, at, ROUTER_WHOLE, 500, 0);
+		told(forwarding, request, SIM_FORWARD_ANSWERED, 500);
+		ended(forwarding, at, FORWARD_COMPLETE, 500, 0);
 		return;
 	}
-	if (c->next < r->total) {
-		c->next++;
-		c->shown++;
-		later(f, FE_PIECE, node, at, 8 + (int64_t)dice(f, 12) + w->slow);
-		if (c->stream && c->joined && c->next <= c->last)
+	if (call->next < request->total_pieces) {
+		call->next++;
+		call->pieces_shown++;
+		later(forwarding, AT_PIECE, node, at, 8 + (int64_t)random_below(forwarding, 12) + server->extra_piece_ms);
+		if (call->stream && call->joined && call->next <= call->last)
 			return; /* the caller has it */
-		if (!c->begun && !c->joined && r->head)
-			sim_breach(&f->s, "ORDER: %s has a second head", r->id);
-		if (r->token && c->next != r->last + 1)
-			sim_breach(&f->s, "ORDER: %s hears piece %d after %d", r->id, c->next, r->last);
-		r->head = 1;
-		r->last = c->next;
-		if (c->stream) {
-			c->last = c->next;
-			c->pieces++;
+		if (!call->begun && !call->joined && request->has_head)
+			sim_violation(&forwarding->sim, "ORDER: %s has a second head", request->id);
+		if (request->token && call->next != request->last_piece + 1)
+			sim_violation(&forwarding->sim, "ORDER: %s hears piece %d after %d", request->id, call->next, request->last_piece);
+		request->has_head = 1;
+		request->last_piece = call->next;
+		if (call->stream) {
+			call->last = call->next;
+			call->pieces++;
 		}
-		c->begun = 1;
-		if (c->told)
+		call->begun = 1;
+		if (call->began_reported)
 			return;
-		c->told = 1;
+		call->began_reported = 1;
 		memset(&ev, 0, sizeof ev);
-		ev.kind = ROUTER_BEGAN;
-		ev.u.began.token = c->token;
+		ev.kind = ROUTER_EVENT_FORWARD_BEGAN;
+		ev.u.forward_began.token = call->token;
 		{
 			char weights[24];
 
-			snprintf(weights, sizeof weights, "%d", c->run_weights);
-			ev.u.began.weights = weights;
-			sim_ctr(&f->s, node, &ev);
+			snprintf(weights, sizeof weights, "%d", call->run_weights);
+			ev.u.forward_began.weights = weights;
+			sim_router_step(&forwarding->sim, node, &ev);
 		}
 		return;
 	}
-	if (r->token && r->last != r->total)
-		sim_breach(&f->s, "ORDER: %s ends as whole after piece %d of %d", r->id, r->last, r->total);
-	told(f, r, FW_WHOLE, 200);
-	ended(f, at, ROUTER_WHOLE, 200, 0);
+	if (request->token && request->last_piece != request->total_pieces)
+		sim_violation(&forwarding->sim, "ORDER: %s ends as whole after piece %d of %d", request->id, request->last_piece, request->total_pieces);
+	told(forwarding, request, SIM_FORWARD_COMPLETE, 200);
+	ended(forwarding, at, FORWARD_COMPLETE, 200, 0);
 }
 
 /* ---- the door's commands --------------------------------------------------------------------------- */
 
-static void door_forward(struct fw *f, int node, const struct forward *w)
-{
-	struct fw_call c;
-	struct fw_req *r = req_by(f, node, w->caller);
-
-	memset(&c, 0, sizeof c);
-	c.token = w->call;
-	c.caller = w->caller;
-	c.node = node;
-	c.life = f->s.n[node].life;
-	c.server = -1;
-	c.addr = w->addr;
-	snprintf(c.name, sizeof c.name, "%s", w->server);
-	snprintf(c.cache_namespace, sizeof c.cache_namespace, "%s", w->cache_namespace ? w->cache_namespace : "");
-	c.tenant = w->tenant ? atoi(w->tenant + 1) : -1;
-	c.weights = w->weights ? atoi(w->weights) : 0;
-	c.fetch = w->from;
-	c.sink = w->sink;
-	c.joined = w->joined;
-	c.stream = w->stream && (!r || r->lane != FW_IDEM);
-	c.repeatable = w->repeatable;
-	c.last = c.from = w->since ? atoi(w->since) : 0;
-	c.not_after = w->not_after;
-	c.limit_ms = w->server_limit_ms;
-	c.prio = w->prio;
-	c.sent_at = f->s.now;
-	c.current = relay_current(&f->s.n[node].c->relay, sim_local(&f->s, node));
-	c.horizon = f->s.n[node].c->relay.k.horizon;
-	c.req = r ? (int)(r - f->req) : -1;
-	f->n_forward++;
-	f->n_taken_up += w->joined;
-	f->n_cold += !strncmp(c.cache_namespace, "cold-", 5);
-	if (!c.current && strncmp(c.cache_namespace, "cold-", 5))
-		sim_breach(&f->s, "COLD: a send from a counter whose purge horizon stands still has shelf %s", c.cache_namespace);
-	if (r) {
-		r->resends = w->joined;
-		r->sent = f->s.now;
-		r->prio = (uint32_t)w->prio;
+static void start_forward(struct sim_forward *forwarding, int node, const struct forward *forward)
+{
+	struct sim_forward_call call;
+	struct sim_forward_request *request = req_by(forwarding, node, forward->client_token);
+
+	memset(&call, 0, sizeof call);
+	call.token = forward->call_token;
+	call.caller = forward->client_token;
+	call.node = node;
+	call.incarnation = forwarding->sim.nodes[node].incarnation;
+	call.server = -1;
+	call.addr = forward->addr;
+	snprintf(call.name, sizeof call.name, "%s", forward->server);
+	snprintf(call.cache_namespace, sizeof call.cache_namespace, "%s", forward->cache_namespace ? forward->cache_namespace : "");
+	call.tenant = forward->tenant ? atoi(forward->tenant + 1) : -1;
+	call.weights = forward->weights ? atoi(forward->weights) : 0;
+	call.fetch_addr = forward->fetch_source;
+	call.offload_addr = forward->offload_target;
+	call.joined = forward->headers_sent;
+	call.stream = forward->is_stream && (!request || request->route != SIM_FORWARD_IDEM);
+	call.repeatable = forward->idempotent;
+	call.last = call.from = forward->resume_after ? atoi(forward->resume_after) : 0;
+	call.not_after_ms = forward->not_after_ms;
+	call.limit_ms = forward->server_timeout_ms;
+	call.priority = forward->priority;
+	call.sent_at = forwarding->sim.now;
+	call.current = relay_is_current(&forwarding->sim.nodes[node].router->relay, sim_local(&forwarding->sim, node));
+	call.horizon = forwarding->sim.nodes[node].router->relay.knowledge.horizon;
+	call.request = request ? (int)(request - forwarding->requests) : -1;
+	forwarding->n_forward++;
+	forwarding->n_resumed += forward->headers_sent;
+	forwarding->n_cold_namespaces += !strncmp(call.cache_namespace, "cold-", 5);
+	if (!call.current && strncmp(call.cache_namespace, "cold-", 5))
+		sim_violation(&forwarding->sim, "COLD: a send from a counter whose purge horizon stands still has shelf %s", call.cache_namespace);
+	if (request) {
+		request->resends = forward->headers_sent;
+		request->sent_at = forwarding->sim.now;
+		request->priority = (uint32_t)forward->priority;
 	}
-	arrput(f->call, c);
-	later(f, r ? FE_CONNECT : FE_NEVER, node, (uint64_t)arrlen(f->call) - 1, (int64_t)dice(f, 3));
+	arrput(forwarding->calls, call);
+	later(forwarding, request ? AT_CONNECT : AT_NOT_RUN, node, (uint64_t)arrlen(forwarding->calls) - 1, (int64_t)random_below(forwarding, 3));
 }
 
 /* The connection is there, or will not be. A door that was frozen meanwhile looks at its clock first. */
-static void connects(struct fw *f, uint64_t at)
+static void connects(struct sim_forward *forwarding, uint64_t at)
 {
-	struct fw_call *c = &f->call[at];
-	int i = inst_at(f, c->addr);
+	struct sim_forward_call *call = &forwarding->calls[at];
+	int i = instance_at(forwarding, call->addr);
 
-	if (c->over || !door_stands(f, c))
+	if (call->ended || !router_is_same(forwarding, call))
 		return;
-	if (f->s.n[c->node].frozen)
-		later(f, FE_CONNECT, c->node, at, 20);
-	else if (sim_local(&f->s, c->node) > c->not_after || i < 0)
-		later(f, FE_NEVER, c->node, at, i < 0 && dice(f, 2) ? 300 : 1);
+	if (forwarding->sim.nodes[call->node].frozen)
+		later(forwarding, AT_CONNECT, call->node, at, 20);
+	else if (sim_local(&forwarding->sim, call->node) > call->not_after_ms || i < 0)
+		later(forwarding, AT_NOT_RUN, call->node, at, i < 0 && random_below(forwarding, 2) ? 300 : 1);
 	else
-		later(f, FE_ARRIVE, c->node, at, 1 + (int64_t)dice(f, 3));
+		later(forwarding, AT_ARRIVE, call->node, at, 1 + (int64_t)random_below(forwarding, 3));
 }
 
-static void door_watch(struct fw *f, int node, const struct cmd *k)
+static void start_watch(struct sim_forward *forwarding, int node, const struct command *command)
 {
-	struct fw_call c;
+	struct sim_forward_call call;
 
-	memset(&c, 0, sizeof c);
-	c.watch = 1;
-	c.token = k->u.watch.token;
-	c.node = node;
-	c.life = f->s.n[node].life;
-	c.addr = k->u.watch.addr;
-	c.since = k->u.watch.since;
-	snprintf(c.name, sizeof c.name, "%s", k->u.watch.server);
-	c.wait_until = f->s.now + k->u.watch.wait_ms;
-	f->n_watch++;
-	arrput(f->call, c);
-	later(f, FE_WATCH, node, (uint64_t)arrlen(f->call) - 1, 2);
+	memset(&call, 0, sizeof call);
+	call.watch = 1;
+	call.token = command->args.watch_cache.token;
+	call.node = node;
+	call.incarnation = forwarding->sim.nodes[node].incarnation;
+	call.addr = command->args.watch_cache.addr;
+	call.since = command->args.watch_cache.since;
+	snprintf(call.name, sizeof call.name, "%s", command->args.watch_cache.server);
+	call.wait_until = forwarding->sim.now + command->args.watch_cache.wait_ms;
+	forwarding->n_watches++;
+	arrput(forwarding->calls, call);
+	later(forwarding, AT_WATCH, node, (uint64_t)arrlen(forwarding->calls) - 1, 2);
 }
 
-static void watched(struct fw *f, uint64_t at)
+static void watched(struct sim_forward *f, uint64_t at)
 {
-	struct fw_call *c = &f->call[at];
-	int i = inst_at(f, c->addr), n = 0, status = 200, node = c->node;
-	struct fw_server *v;
+	struct sim_forward_call *call = &f->calls[at];
+	int i = instance_at(f, call->addr), n = 0, status = 200, node = call->node;
+	struct sim_forward_server *server;
 	struct Nl__Kept k = NL__KEPT__INIT;
-	struct Nl__KeptEvent e[FW_EVENTS], *list[FW_EVENTS];
-	struct router_ev ev;
+	struct Nl__KeptEvent e[SIM_FORWARD_EVENTS], *list[SIM_FORWARD_EVENTS];
+	struct router_event event;
 
-	if (c->over || !door_stands(f, c))
+	if (call->ended || !router_is_same(f, call))
 		return;
-	if (f->s.n[node].frozen) {
-		later(f, FE_WATCH, node, at, 20);
+	if (f->sim.nodes[node].frozen) {
+		later(f, AT_WATCH, node, at, 20);
 		return;
 	}
-	if (i < 0 || (i != FW_STORE && strcmp(f->s.list.v[i].name, c->name)))
+	if (i < 0 || (i != SIM_FORWARD_STORE && strcmp(f->sim.instance_list.instances[i].name, call->name)))
 		status = i < 0 ? 0 : 421;
-	v = i < 0 ? NULL : server_of(f, i);
-	if (status == 200 && i != FW_STORE)
+	server = i < 0 ? NULL : server_of(f, i);
+	if (status == 200 && i != SIM_FORWARD_STORE)
 		loads(f, i);
-	for (ptrdiff_t x = 0; status == 200 && x < arrlen(v->ev) && n < FW_EVENTS; x++) {
-		if (v->ev[x].no < c->since)
+	for (ptrdiff_t x = 0; status == 200 && x < arrlen(server->events) && n < SIM_FORWARD_EVENTS; x++) {
+		if (server->events[x].number < call->since)
 			continue;
-		if (v->ev[x].at > f->s.now)
+		if (server->events[x].at > f->sim.now)
 			break;
 		nl__kept_event__init(&e[n]);
-		e[n].gone = v->ev[x].gone;
-		e[n].cache_namespace = v->ev[x].cache_namespace;
-		e[n].id = v->ev[x].id;
-		e[n].tokens = v->ev[x].tokens;
+		e[n].gone = server->events[x].evicted;
+		e[n].cache_namespace = server->events[x].cache_namespace;
+		e[n].id = server->events[x].id;
+		e[n].tokens = server->events[x].tokens;
 		list[n] = &e[n];
 		n++;
-		k.next = v->ev[x].no + 1;
+		k.next = server->events[x].number + 1;
 	}
-	if (status == 200 && !n && f->s.now < c->wait_until) {
-		later(f, FE_WATCH, node, at, 25);
+	if (status == 200 && !n && f->sim.now < call->wait_until) {
+		later(f, AT_WATCH, node, at, 25);
 		return;
 	}
-	c->over = 1;
+	call->ended = 1;
 	if (!n)
-		k.next = c->since;
-	if (v) {
-		k.epoch = v->epoch;
-		k.lost = arrlen(v->ev) && c->since && v->ev[0].no > c->since;
+		k.next = call->since;
+	if (server) {
+		k.epoch = server->epoch;
+		k.lost = arrlen(server->events) && call->since && server->events[0].number > call->since;
 		f->n_lost += (uint64_t)k.lost;
 	}
 	f->n_events += (uint64_t)n;
-	k.server = c->name;
+	k.server = call->name;
 	k.e = list;
 	k.n_e = (size_t)n;
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_WATCHED;
-	ev.u.kept.token = c->token;
-	ev.u.kept.k = status == 200 ? &k : NULL;
-	ev.u.kept.status = status;
+	memset(&event, 0, sizeof event);
+	event.kind = ROUTER_EVENT_CACHE_WATCHED;
+	event.u.cache_watched.token = call->token;
+	event.u.cache_watched.update = status == 200 ? &k : NULL;
+	event.u.cache_watched.status = status;
 	{
 		char name[32];
 
-		memcpy(name, c->name, sizeof name); /* the list of calls may move */
+		memcpy(name, call->name, sizeof name); /* the list of calls may move */
 		k.server = name;
-		sim_ctr(&f->s, node, &ev);
+		sim_router_step(&f->sim, node, &event);
 	}
 }
 
-static void answered(struct fw *f, int node, const struct cmd *k)
+static void answered(struct sim_forward *f, int node, const struct command *k)
 {
-	struct fw_req *r = req_by(f, node, k->u.answer.token);
-	int status = k->u.answer.status;
+	struct sim_forward_request *r = req_by(f, node, k->args.answer.token);
+	int status = k->args.answer.status;
 
-	judge_end(f, node, k->u.answer.token);
+	judge_end(f, node, k->args.answer.token);
 	if (!r)
 		return;
-	if (r->head)
-		sim_breach(&f->s, "MIXED: %s was answered %d in the middle of its stream", r->id, status);
+	if (r->has_head)
+		sim_violation(&f->sim, "MIXED: %s was answered %d in the middle of its stream", r->id, status);
 	if (status == 401 || status == 403 || status == 404)
-		judge_refusal(f, r, status);
+		check_refusal(f, r, status);
 	if (status == 503 || status == 429 || status == 408 || status == 421) {
-		f->n_promised++;
-		r->promised = !repeatable(r->lane);
-		if (r->promised && r->runs)
-			sim_breach(&f->s, "REFUSED: %s has run, and was told %d: %s", r->id, status, k->u.answer.body);
-		for (ptrdiff_t i = arrlen(f->call) - 1; i >= 0 && r->promised; i--)
-			if (!f->call[i].watch && f->call[i].req == r - f->req && !f->call[i].over)
-				sim_breach(&f->s, "REFUSED: %s was told %d while a send of it was under way", r->id, status);
+		f->n_promised_not_run++;
+		r->promised_not_run = !repeatable(r->route);
+		if (r->promised_not_run && r->runs)
+			sim_violation(&f->sim, "REFUSED: %s has run, and was told %d: %s", r->id, status, k->args.answer.body);
+		for (ptrdiff_t i = arrlen(f->calls) - 1; i >= 0 && r->promised_not_run; i--)
+			if (!f->calls[i].watch && f->calls[i].request == r - f->requests && !f->calls[i].ended)
+				sim_violation(&f->sim, "REFUSED: %s was told %d while a send of it was under way", r->id, status);
 	}
 	if (status == 502 || status == 504)
-		judge_loss(f, r, "was given up");
+		check_loss(f, r, "was given up");
 	f->n_refused++;
-	r->retry_ms = k->u.answer.retry_ms;
+	r->retry_ms = k->args.answer.retry_ms;
 	if ((status == 503 || status == 429) && r->retry_ms < 1 && !r->runs)
-		sim_breach(&f->s, "RETRY: %s was told %d without when to come back", r->id, status);
-	told(f, r, FW_ANSWERED, status);
-	if (r->promised || ((status == 503 || status == 429) && repeatable(r->lane)))
-		later(f, FE_ASK, node, (uint64_t)(r - f->req), r->retry_ms);
+		sim_violation(&f->sim, "RETRY: %s was told %d without when to come back", r->id, status);
+	told(f, r, SIM_FORWARD_ANSWERED, status);
+	if (r->promised_not_run || ((status == 503 || status == 429) && repeatable(r->route)))
+		later(f, AT_REQUEST, node, (uint64_t)(r - f->requests), r->retry_ms);
 }
 
-static int perform(void *ctx, int node, const struct cmd *k)
+static int perform(void *ctx, int node, const struct command *k)
 {
-	struct fw *f = ctx;
-	struct fw_req *r;
+	struct sim_forward *f = ctx;
+	struct sim_forward_request *request;
 
 	switch (k->kind) {
-	case CMD_FORWARD: door_forward(f, node, k->u.forward); return 1;
-	case CMD_WATCH: door_watch(f, node, k); return 1;
+	case CMD_FORWARD: start_forward(f, node, k->args.forward); return 1;
+	case CMD_WATCH_CACHE: start_watch(f, node, k); return 1;
 	case CMD_ANSWER: answered(f, node, k); return 1;
-	case CMD_END:
-		judge_end(f, node, k->u.piece.token);
-		r = req_by(f, node, k->u.piece.token);
-		if (r) {
-			judge_loss(f, r, "was broken off");
-			told(f, r, FW_CUT, 0);
+	case CMD_END_STREAM:
+		judge_end(f, node, k->args.stream_chunk.token);
+		request = req_by(f, node, k->args.stream_chunk.token);
+		if (request) {
+			check_loss(f, request, "was broken off");
+			told(f, request, SIM_FORWARD_CUT, 0);
 		}
 		return 1;
 	case CMD_CANCEL:
-		for (ptrdiff_t i = arrlen(f->call) - 1; i >= 0; i--)
-			if (f->call[i].token == k->u.cancel.token && f->call[i].node == node &&
-			    f->call[i].life == f->s.n[node].life) {
-				f->call[i].over = 1;
-				drop_run(f, &f->call[i]);
+		for (ptrdiff_t i = arrlen(f->calls) - 1; i >= 0; i--)
+			if (f->calls[i].token == k->args.cancel.token && f->calls[i].node == node &&
+			    f->calls[i].incarnation == f->sim.nodes[node].incarnation) {
+				f->calls[i].ended = 1;
+				end_run(f, &f->calls[i]);
 			}
 		return 1;
 	default: return 0;
@@ -854,242 +854,242 @@
 
 static void lost(void *ctx, int node)
 {
-	struct fw *f = ctx;
+	struct sim_forward *forwarding = ctx;
 
-	for (ptrdiff_t i = 0; i < arrlen(f->req); i++)
-		if (f->req[i].token && f->req[i].node == node) {
-			judge_loss(f, &f->req[i], "fell with its counter");
-			told(f, &f->req[i], FW_LOST, 0);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->requests); i++)
+		if (forwarding->requests[i].token && forwarding->requests[i].node == node) {
+			check_loss(forwarding, &forwarding->requests[i], "fell with its counter");
+			told(forwarding, &forwarding->requests[i], SIM_FORWARD_LOST, 0);
 		}
-	for (ptrdiff_t i = 0; i < arrlen(f->call); i++)
-		if (f->call[i].node == node && !f->call[i].over) { /* what is on its way arrives all the same */
-			if (f->call[i].at_server) {
-				f->call[i].over = 1;
-				drop_run(f, &f->call[i]);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++)
+		if (forwarding->calls[i].node == node && !forwarding->calls[i].ended) { /* what is on its way arrives all the same */
+			if (forwarding->calls[i].at_server) {
+				forwarding->calls[i].ended = 1;
+				end_run(forwarding, &forwarding->calls[i]);
 			}
 		}
 }
 
 /* ---- callers --------------------------------------------------------------------------------------- */
 
-int fw_ask(struct fw *f, int node, int lane, int key, int pick, int tries)
-{
-	struct fw_req r;
-	struct sim_ev e = { .at = f->s.now, .kind = SIM_DOOR, .node = node, .step = FE_ASK };
-
-	memset(&r, 0, sizeof r);
-	snprintf(r.id, sizeof r.id, "r%d", (int)arrlen(f->req));
-	r.lane = lane;
-	r.key = key;
-	r.tenant = key / 2;
-	r.node = node;
-	r.pick = pick;
-	r.tries = tries;
-	r.life = f->s.n[node].life;
-	r.token = r.asked_as = ++f->s.token;
-	r.asked = f->s.now;
-	r.limit = f->s.now + f->limit_ms;
-	r.total = 2 + (int)(core_hashs(1, r.id) % 6);
-	arrput(f->req, r);
-	e.token = (uint64_t)arrlen(f->req) - 1;
-	e.status = 1;
-	sim_push(&f->s, e);
-	later(f, FE_LIMIT, node, e.token, f->limit_ms + 300);
+int sim_forward_submit(struct sim_forward *forwarding, int node, int route, int key, int pick, int tries)
+{
+	struct sim_forward_request request;
+	struct sim_event input = { .at = forwarding->sim.now, .kind = SIM_FRONT_END, .node = node, .step = AT_REQUEST };
+
+	memset(&request, 0, sizeof request);
+	snprintf(request.id, sizeof request.id, "r%d", (int)arrlen(forwarding->requests));
+	request.route = route;
+	request.key = key;
+	request.tenant = key / 2;
+	request.node = node;
+	request.pick = pick;
+	request.attempts = tries;
+	request.incarnation = forwarding->sim.nodes[node].incarnation;
+	request.token = request.first_token = ++forwarding->sim.token;
+	request.submitted_at = forwarding->sim.now;
+	request.deadline_at = forwarding->sim.now + forwarding->limit_ms;
+	request.total_pieces = 2 + (int)(core_hash_string(1, request.id) % 6);
+	arrput(forwarding->requests, request);
+	input.token = (uint64_t)arrlen(forwarding->requests) - 1;
+	input.status = 1;
+	sim_push(&forwarding->sim, input);
+	later(forwarding, AT_DEADLINE, node, input.token, forwarding->limit_ms + 300);
 	for (int k = 0; k < 2; k++)
-		if (leads_to(&arrlast(f->conf), lane, k))
-			arrput(f->asked, ((typeof(*f->asked)){ f->s.now, k }));
-	return (int)e.token;
+		if (leads_to(&arrlast(forwarding->configs), route, k))
+			arrput(forwarding->submitted, ((typeof(*forwarding->submitted)){ forwarding->sim.now, k }));
+	return (int)input.token;
 }
 
-static void ask_arrives(struct fw *f, const struct sim_ev *e)
+static void request_arrives(struct sim_forward *forwarding, const struct sim_event *input)
 {
-	struct fw_req *r = &f->req[e->token];
-	struct sim_node *n = &f->s.n[r->node];
-	struct router_asking a;
-	struct router_ev ev;
+	struct sim_forward_request *request = &forwarding->requests[input->token];
+	struct sim_node *node = &forwarding->sim.nodes[request->node];
+	struct forwarded_request query;
+	struct router_event ev;
 	char key[65], path[40], id[32];
 
-	if (!e->status) { /* it comes back under a new id, to whoever */
-		if (r->tries < 3 && f->s.now + 500 < r->limit)
-			fw_ask(f, SIM_REGS + (int)dice(f, (uint64_t)f->ctrs), r->lane, r->key, r->pick, r->tries + 1);
+	if (!input->status) { /* it comes back under a new id, to whoever */
+		if (request->attempts < 3 && forwarding->sim.now + 500 < request->deadline_at)
+			sim_forward_submit(forwarding, SIM_CONTROLLERS + (int)random_below(forwarding, (uint64_t)forwarding->router_count), request->route, request->key, request->pick, request->attempts + 1);
 		return;
 	}
-	if (!r->token)
+	if (!request->token)
 		return;
-	if (!n->up || n->life != r->life) {
-		told(f, r, FW_LOST, 0);
+	if (!node->up || node->incarnation != request->incarnation) {
+		told(forwarding, request, SIM_FORWARD_LOST, 0);
 		return;
 	}
-	if (n->frozen) {
-		struct sim_ev again = *e;
+	if (node->frozen) {
+		struct sim_event again = *input;
 
-		again.at = f->s.now + 20;
-		sim_push(&f->s, again);
+		again.at = forwarding->sim.now + 20;
+		sim_push(&forwarding->sim, again);
 		return;
 	}
-	memset(&a, 0, sizeof a);
-	a.token = r->token;
-	a.digest = fw_key(r->key, key);
-	a.host = "h.example";
-	snprintf(path, sizeof path, "%sx?q=1", paths[r->lane]);
-	a.path = path;
-	memcpy(id, r->id, sizeof id);
-	a.id = id;
-	a.limit_ms = (int)(r->limit - f->s.now);
-	a.tokens_in = 2000;
-	a.tokens_out = 100;
-	a.nparts = FW_PARTS;
-	for (int k = 0; k < FW_PARTS; k++)
-		a.part[k] = (struct router_part){ part_id(f, r, k), (uint32_t)tokens_of(k) };
+	memset(&query, 0, sizeof query);
+	query.token = request->token;
+	query.key_digest = sim_forward_key(request->key, key);
+	query.host = "h.example";
+	snprintf(path, sizeof path, "%sx?q=1", paths[request->route]);
+	query.path = path;
+	memcpy(id, request->id, sizeof id);
+	query.id = id;
+	query.limit_ms = (int)(request->deadline_at - forwarding->sim.now);
+	query.input_tokens = 2000;
+	query.output_tokens = 100;
+	query.block_count = SIM_FORWARD_BLOCKS;
+	for (int k = 0; k < SIM_FORWARD_BLOCKS; k++)
+		query.blocks[k] = (struct request_block){ block_id(forwarding, request, k), (uint32_t)block_tokens(k) };
 	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_ASKED;
-	ev.u.ask = &a;
-	r->read = 1;
-	sim_ctr(&f->s, r->node, &ev);
+	ev.kind = ROUTER_EVENT_FORWARDED_REQUEST;
+	ev.u.forwarded_request = &query;
+	request->reached_router = 1;
+	sim_router_step(&forwarding->sim, request->node, &ev);
 }
 
-static void limit_passes(struct fw *f, uint64_t at)
+static void limit_passes(struct sim_forward *forwarding, uint64_t at)
 {
-	struct fw_req *r = &f->req[at];
-	struct router_ev ev;
-	uint64_t token = r->token;
-	int node = r->node;
+	struct sim_forward_request *request = &forwarding->requests[at];
+	struct router_event input;
+	uint64_t token = request->token;
+	int node = request->node;
 
 	if (!token)
 		return;
-	if (f->s.n[node].up && f->s.n[node].life == r->life && f->frozen[node] < r->asked - 100)
-		sim_breach(&f->s, "LIMIT: %s has no end %lld ms after its limit", r->id, (long long)(f->s.now - r->limit));
-	told(f, r, FW_LOST, 0);
-	if (!f->s.n[node].up || f->s.n[node].life != r->life || f->s.n[node].frozen)
+	if (forwarding->sim.nodes[node].up && forwarding->sim.nodes[node].incarnation == request->incarnation && forwarding->last_frozen_at[node] < request->submitted_at - 100)
+		sim_violation(&forwarding->sim, "LIMIT: %s has no end %lld ms after its limit", request->id, (long long)(forwarding->sim.now - request->deadline_at));
+	told(forwarding, request, SIM_FORWARD_LOST, 0);
+	if (!forwarding->sim.nodes[node].up || forwarding->sim.nodes[node].incarnation != request->incarnation || forwarding->sim.nodes[node].frozen)
 		return;
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_GONE;
-	ev.u.gone.token = token;
-	sim_ctr(&f->s, node, &ev);
+	memset(&input, 0, sizeof input);
+	input.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
+	input.u.client_disconnected.token = token;
+	sim_router_step(&forwarding->sim, node, &input);
 }
 
-static void one_leaves(struct fw *f)
+static void one_disconnects(struct sim_forward *forwarding)
 {
-	ptrdiff_t i = arrlen(f->req) - 1 - (ptrdiff_t)dice(f, 30);
-	struct router_ev ev;
-	struct fw_req *r;
+	ptrdiff_t i = arrlen(forwarding->requests) - 1 - (ptrdiff_t)random_below(forwarding, 30);
+	struct router_event input;
+	struct sim_forward_request *request;
 	uint64_t token;
 
 	if (i < 0)
 		return;
-	r = &f->req[i];
-	token = r->token;
-	if (!token || !f->s.n[r->node].up || f->s.n[r->node].life != r->life || f->s.n[r->node].frozen || r->asked == f->s.now)
+	request = &forwarding->requests[i];
+	token = request->token;
+	if (!token || !forwarding->sim.nodes[request->node].up || forwarding->sim.nodes[request->node].incarnation != request->incarnation || forwarding->sim.nodes[request->node].frozen || request->submitted_at == forwarding->sim.now)
 		return;
-	told(f, r, FW_LOST, 0);
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_GONE;
-	ev.u.gone.token = token;
-	sim_ctr(&f->s, r->node, &ev);
+	told(forwarding, request, SIM_FORWARD_LOST, 0);
+	memset(&input, 0, sizeof input);
+	input.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
+	input.u.client_disconnected.token = token;
+	sim_router_step(&forwarding->sim, request->node, &input);
 }
 
 /* Which controllers are up and in reach, and when that last changed. */
-static void mark_core(struct fw *f)
+static void mark_core(struct sim_forward *forwarding)
 {
 	unsigned up = 0;
 
-	for (int n = 0; n < SIM_REGS; n++)
-		up |= (unsigned)(f->s.n[n].used && f->s.n[n].up && !f->s.n[n].frozen && !f->s.n[n].cell) << n;
-	if (up != f->core_up || f->s.now < f->s.list.away_until || f->s.loss || f->s.deaf)
-		f->core_changed = f->s.now;
-	f->core_up = up;
+	for (int n = 0; n < SIM_CONTROLLERS; n++)
+		up |= (unsigned)(forwarding->sim.nodes[n].used && forwarding->sim.nodes[n].up && !forwarding->sim.nodes[n].frozen && !forwarding->sim.nodes[n].partition) << n;
+	if (up != forwarding->core_up || forwarding->sim.now < forwarding->sim.instance_list.away_until || forwarding->sim.loss_per_mille || forwarding->sim.undelivered_bodies)
+		forwarding->core_changed_at = forwarding->sim.now;
+	forwarding->core_up = up;
 }
 
 /* Where each counter and the core stand. */
-static void mark(struct fw *f)
+static void mark(struct sim_forward *forwarding)
 {
 	int core = 0;
 
-	mark_core(f);
-	for (int n = 0; n < SIM_REGS; n++)
-		if (f->s.n[n].used && (!f->s.n[n].up || f->s.n[n].frozen || f->s.n[n].cell))
+	mark_core(forwarding);
+	for (int n = 0; n < SIM_CONTROLLERS; n++)
+		if (forwarding->sim.nodes[n].used && (!forwarding->sim.nodes[n].up || forwarding->sim.nodes[n].frozen || forwarding->sim.nodes[n].partition))
 			core = 1;
-	if (core || f->s.now < f->s.list.away_until || f->s.loss || f->s.deaf)
-		f->unsettled = f->s.now;
-	if (sim_owner(&f->s, SHARD_CONTROL) >= 0 && !f->s.n[sim_owner(&f->s, SHARD_CONTROL)].cell)
-		f->owned = f->s.now;
-	for (int n = SIM_REGS; n < SIM_REGS + f->ctrs; n++) {
-		if (!f->s.n[n].up || f->s.n[n].life != f->life[n] || f->s.n[n].frozen || f->s.n[n].cell) {
-			f->trouble[n] = f->s.now;
-			f->life[n] = f->s.n[n].life;
+	if (core || forwarding->sim.now < forwarding->sim.instance_list.away_until || forwarding->sim.loss_per_mille || forwarding->sim.undelivered_bodies)
+		forwarding->last_core_fault_at = forwarding->sim.now;
+	if (sim_leader(&forwarding->sim, SHARD_CONTROL) >= 0 && !forwarding->sim.nodes[sim_leader(&forwarding->sim, SHARD_CONTROL)].partition)
+		forwarding->last_led_at = forwarding->sim.now;
+	for (int n = SIM_CONTROLLERS; n < SIM_CONTROLLERS + forwarding->router_count; n++) {
+		if (!forwarding->sim.nodes[n].up || forwarding->sim.nodes[n].incarnation != forwarding->incarnation[n] || forwarding->sim.nodes[n].frozen || forwarding->sim.nodes[n].partition) {
+			forwarding->last_fault_at[n] = forwarding->sim.now;
+			forwarding->incarnation[n] = forwarding->sim.nodes[n].incarnation;
 		}
-		if (f->s.n[n].up && !f->s.n[n].frozen && !f->s.n[n].cell && f->owned == f->s.now)
-			f->contact[n] = f->s.now;
-		if (f->s.n[n].frozen)
-			f->frozen[n] = f->s.now;
+		if (forwarding->sim.nodes[n].up && !forwarding->sim.nodes[n].frozen && !forwarding->sim.nodes[n].partition && forwarding->last_led_at == forwarding->sim.now)
+			forwarding->last_contact_at[n] = forwarding->sim.now;
+		if (forwarding->sim.nodes[n].frozen)
+			forwarding->last_frozen_at[n] = forwarding->sim.now;
 	}
 }
 
-static void event(void *ctx, struct sim_ev *e)
+static void event(void *ctx, struct sim_event *input)
 {
-	struct fw *f = ctx;
+	struct sim_forward *f = ctx;
 
-	switch (e->step) {
-	case FE_CONNECT: connects(f, e->token); break;
-	case FE_ARRIVE: arrives(f, e->token); break;
-	case FE_BEGIN: queued_begins(f, e->token); break;
-	case FE_PIECE: piece(f, e->token); break;
-	case FE_NEVER:
-	case FE_BROKE: {
-		struct fw_call *c = &f->call[e->token];
+	switch (input->step) {
+	case AT_CONNECT: connects(f, input->token); break;
+	case AT_ARRIVE: arrives(f, input->token); break;
+	case AT_BEGIN: queued_begins(f, input->token); break;
+	case AT_PIECE: piece(f, input->token); break;
+	case AT_NOT_RUN:
+	case AT_BROKEN: {
+		struct sim_forward_call *call = &f->calls[input->token];
 
-		if (c->over || !door_stands(f, c))
+		if (call->ended || !router_is_same(f, call))
 			break;
-		if (f->s.n[c->node].frozen)
-			later(f, e->step, c->node, e->token, 20);
+		if (f->sim.nodes[call->node].frozen)
+			later(f, input->step, call->node, input->token, 20);
 		else
-			ended(f, e->token, ROUTER_NEVER, c->status, c->status == 421);
+			ended(f, input->token, FORWARD_NOT_STARTED, call->status, call->status == 421);
 		break;
 	}
-	case FE_WATCH: watched(f, e->token); break;
-	case FE_ASK: ask_arrives(f, e); break;
-	case FE_LIMIT: limit_passes(f, e->token); break;
-	case FE_LOAD:
-		if (f->every) {
-			int node = SIM_REGS + (int)dice(f, (uint64_t)f->ctrs);
-
-			if (f->s.n[node].up)
-				fw_ask(f, node, (int)dice(f, FW_LANES), (int)dice(f, FW_KEYS), (int)dice(f, 12), 0);
-			if (!dice(f, 25))
-				one_leaves(f);
+	case AT_WATCH: watched(f, input->token); break;
+	case AT_REQUEST: request_arrives(f, input); break;
+	case AT_DEADLINE: limit_passes(f, input->token); break;
+	case AT_LOAD:
+		if (f->request_interval_ms) {
+			int node = SIM_CONTROLLERS + (int)random_below(f, (uint64_t)f->router_count);
+
+			if (f->sim.nodes[node].up)
+				sim_forward_submit(f, node, (int)random_below(f, SIM_FORWARD_ROUTES), (int)random_below(f, SIM_FORWARD_KEYS), (int)random_below(f, 12), 0);
+			if (!random_below(f, 25))
+				one_disconnects(f);
 		}
-		later(f, FE_LOAD, 0, 0, f->every ? 1 + (int64_t)dice(f, 2 * (uint64_t)f->every) : 50);
+		later(f, AT_LOAD, 0, 0, f->request_interval_ms ? 1 + (int64_t)random_below(f, 2 * (uint64_t)f->request_interval_ms) : 50);
 		break;
-	default: mark(f); later(f, FE_MARK, 0, 0, 10);
+	default: mark(f); later(f, AT_MARK, 0, 0, 10);
 	}
 }
 
 /* ---- the fleet ---------------------------------------------------------------------------------------- */
 
-static struct Nl__Row *row(apr_pool_t *p, struct Nl__Change *c, Nl__Kind kind, const char *name)
+static struct Nl__Row *row(apr_pool_t *pool, struct Nl__Change *change, Nl__Kind kind, const char *name)
 {
-	struct Nl__Row *r = apr_palloc(p, sizeof *r);
+	struct Nl__Row *r = apr_palloc(pool, sizeof *r);
 
 	nl__row__init(r);
 	r->kind = kind;
-	r->name = apr_pstrdup(p, name);
-	c->set[c->n_set++] = r;
+	r->name = apr_pstrdup(pool, name);
+	change->set[change->n_set++] = r;
 	return r;
 }
 
-static void gone(apr_pool_t *p, struct Nl__Change *c, Nl__Kind kind, const char *name)
+static void gone(apr_pool_t *pool, struct Nl__Change *c, Nl__Kind kind, const char *name)
 {
-	struct Nl__Row *r = apr_palloc(p, sizeof *r);
+	struct Nl__Row *r = apr_palloc(pool, sizeof *r);
 
 	nl__row__init(r);
 	r->kind = kind;
-	r->name = apr_pstrdup(p, name);
+	r->name = apr_pstrdup(pool, name);
 	c->del[c->n_del++] = r;
 }
 
-static void service_row(int k, struct Nl__Change *c, apr_pool_t *p)
+static void service_row(int k, struct Nl__Change *c, apr_pool_t *pool)
 {
-	struct Nl__Row *v = row(p, c, NL__KIND__SERVICE, services[k]);
+	struct Nl__Row *v = row(pool, c, NL__KIND__SERVICE, services[k]);
 
 	v->model = (char *)(uintptr_t)models[k];
 	v->weights = "0";
@@ -1105,302 +1105,302 @@
 	}
 }
 
-static void lane_row(int l, const struct fw_conf *is, struct Nl__Change *c, apr_pool_t *p)
+static void lane_row(int l, const struct sim_forward_config *config, struct Nl__Change *c, apr_pool_t *pool)
 {
-	struct Nl__Row *r = row(p, c, NL__KIND__LANE, lanes[l]);
+	struct Nl__Row *config_row = row(pool, c, NL__KIND__LANE, lanes[l]);
 
-	r->service = apr_pstrdup(p, services[is->service[l]]);
-	r->host = apr_pstrdup(p, "h.example");
-	r->path = apr_pstrdup(p, paths[l]);
-	r->prio = (uint32_t)prios[l];
-	r->limit = 60;
-	r->attempts = (uint32_t)tries_of[l];
-	r->resumable = l == FW_CHAT;
-	r->repeatable = l == FW_IDEM;
-	r->vouched = 1;
-	r->timeout = (uint32_t)is->timeout[l];
-	if (!is->split[l])
+	config_row->service = apr_pstrdup(pool, services[config->service[l]]);
+	config_row->host = apr_pstrdup(pool, "h.example");
+	config_row->path = apr_pstrdup(pool, paths[l]);
+	config_row->prio = (uint32_t)prios[l];
+	config_row->limit = 60;
+	config_row->attempts = (uint32_t)tries_of[l];
+	config_row->resumable = l == SIM_FORWARD_CHAT;
+	config_row->repeatable = l == SIM_FORWARD_IDEM;
+	config_row->vouched = 1;
+	config_row->timeout = (uint32_t)config->timeout[l];
+	if (!config->split[l])
 		return;
-	r->split = apr_palloc(p, 2 * sizeof *r->split);
-	for (r->n_split = 0; r->n_split < 2; r->n_split++) {
-		struct Nl__Split *half = apr_palloc(p, sizeof *half);
+	config_row->split = apr_palloc(pool, 2 * sizeof *config_row->split);
+	for (config_row->n_split = 0; config_row->n_split < 2; config_row->n_split++) {
+		struct Nl__Split *half = apr_palloc(pool, sizeof *half);
 
 		nl__split__init(half);
-		half->service = apr_pstrdup(p, services[r->n_split]);
+		half->service = apr_pstrdup(pool, services[config_row->n_split]);
 		half->weight = 1;
-		r->split[r->n_split] = half;
+		config_row->split[config_row->n_split] = half;
 	}
 }
 
-static void change_lanes(const struct fw_conf *was, const struct fw_conf *is, struct Nl__Change *c, apr_pool_t *p)
+static void change_routes(const struct sim_forward_config *was, const struct sim_forward_config *config, struct Nl__Change *change, apr_pool_t *pool)
 {
-	for (int l = 0; l < FW_LANES; l++) {
-		if (was && was->service[l] == is->service[l] && was->split[l] == is->split[l] && was->timeout[l] == is->timeout[l])
+	for (int l = 0; l < SIM_FORWARD_ROUTES; l++) {
+		if (was && was->service[l] == config->service[l] && was->split[l] == config->split[l] && was->timeout[l] == config->timeout[l])
 			continue;
-		if (is->service[l] >= 0)
-			lane_row(l, is, c, p);
+		if (config->service[l] >= 0)
+			lane_row(l, config, change, pool);
 		else if (was && was->service[l] >= 0)
-			gone(p, c, NL__KIND__LANE, lanes[l]);
+			gone(pool, change, NL__KIND__LANE, lanes[l]);
 	}
 }
 
-static void change_rows(const struct fw_conf *was, const struct fw_conf *is, struct Nl__Change *c, apr_pool_t *p)
+static void change_rows(const struct sim_forward_config *was, const struct sim_forward_config *config, struct Nl__Change *change, apr_pool_t *pool)
 {
 	char key[65], name[8];
 
-	change_lanes(was, is, c, p);
+	change_routes(was, config, change, pool);
 	for (int k = 0; k < 2; k++) {
-		if (was && was->gone[k] == is->gone[k])
+		if (was && was->removed[k] == config->removed[k])
 			continue;
-		if (is->gone[k])
-			gone(p, c, NL__KIND__SERVICE, services[k]);
+		if (config->removed[k])
+			gone(pool, change, NL__KIND__SERVICE, services[k]);
 		else
-			service_row(k, c, p);
+			service_row(k, change, pool);
 	}
-	for (int t = 0; t < FW_TENANTS; t++) {
-		struct Nl__Row *r;
+	for (int t = 0; t < SIM_FORWARD_TENANTS; t++) {
+		struct Nl__Row *config_row;
 
-		if (was && was->walled[t] == is->walled[t] && was->places[t] == is->places[t])
+		if (was && was->isolated[t] == config->isolated[t] && was->max_running[t] == config->max_running[t])
 			continue;
 		snprintf(name, sizeof name, "t%d", t & 7);
-		r = row(p, c, NL__KIND__TENANT, name);
-		r->walled = is->walled[t];
-		r->limit = (uint32_t)is->places[t];
-		r->share = 1;
+		config_row = row(pool, change, NL__KIND__TENANT, name);
+		config_row->walled = config->isolated[t];
+		config_row->limit = (uint32_t)config->max_running[t];
+		config_row->share = 1;
 	}
-	for (int k = 0; k < FW_KEYS; k++) {
-		if (was && was->key[k] == is->key[k])
+	for (int k = 0; k < SIM_FORWARD_KEYS; k++) {
+		if (was && was->key[k] == config->key[k])
 			continue;
-		if (is->key[k] < 0) {
-			gone(p, c, NL__KIND__KEY, fw_key(k, key));
+		if (config->key[k] < 0) {
+			gone(pool, change, NL__KIND__KEY, sim_forward_key(k, key));
 			continue;
 		}
-		snprintf(name, sizeof name, "t%d", is->key[k] & 7);
-		row(p, c, NL__KIND__KEY, fw_key(k, key))->tenant = apr_pstrdup(p, name);
+		snprintf(name, sizeof name, "t%d", config->key[k] & 7);
+		row(pool, change, NL__KIND__KEY, sim_forward_key(k, key))->tenant = apr_pstrdup(pool, name);
 	}
 }
 
-static int propose(struct fw *f, struct fw_conf c, int first)
+static int propose(struct sim_forward *forwarding, struct sim_forward_config config, int first)
 {
-	struct Nl__Change q = NL__CHANGE__INIT;
+	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row *set[64], *del[64];
-	apr_pool_t *p;
-	int ok, keys[FW_KEYS];
-	ptrdiff_t at = arrlen(f->conf);
-
-	apr_pool_create(&p, f->s.pool);
-	q.any = 1;
-	q.set = set;
-	q.del = del;
+	apr_pool_t *pool;
+	int ok, keys[SIM_FORWARD_KEYS];
+	ptrdiff_t at = arrlen(forwarding->configs);
+
+	apr_pool_create(&pool, forwarding->sim.pool);
+	change.any = 1;
+	change.set = set;
+	change.del = del;
 	if (first)
 		for (int i = 0; i < 2; i++) {
-			struct Nl__Row *m = row(p, &q, NL__KIND__MODEL, models[i]);
+			struct Nl__Row *config_row = row(pool, &change, NL__KIND__MODEL, models[i]);
 
-			m->weights = "1";
-			m->rolled = "";
+			config_row->weights = "1";
+			config_row->rolled = "";
 		}
-	change_rows(first ? NULL : &arrlast(f->conf), &c, &q, p);
-	for (int k = 0; k < FW_KEYS; k++)
-		keys[k] = !first && arrlast(f->conf).key[k] >= 0 && c.key[k] < 0;
-	for (int k = 0; k < FW_KEYS; k++)
-		if (c.key[k] >= 0)
-			f->removed[k] = 0;
-	c.sent = f->s.now;
-	c.ack = INT64_MAX;
-	arrput(f->conf, c);
-	ok = sim_propose(&f->s, &q, 15000);
+	change_rows(first ? NULL : &arrlast(forwarding->configs), &config, &change, pool);
+	for (int k = 0; k < SIM_FORWARD_KEYS; k++)
+		keys[k] = !first && arrlast(forwarding->configs).key[k] >= 0 && config.key[k] < 0;
+	for (int k = 0; k < SIM_FORWARD_KEYS; k++)
+		if (config.key[k] >= 0)
+			forwarding->key_removed_at[k] = 0;
+	config.sent_at = forwarding->sim.now;
+	config.acked_at = INT64_MAX;
+	arrput(forwarding->configs, config);
+	ok = sim_propose(&forwarding->sim, &change, 15000);
 	if (ok)
-		f->conf[at].ack = f->s.now;
-	for (int k = 0; k < FW_KEYS && ok; k++)
+		forwarding->configs[at].acked_at = forwarding->sim.now;
+	for (int k = 0; k < SIM_FORWARD_KEYS && ok; k++)
 		if (keys[k])
-			f->removed[k] = f->s.now;
-	apr_pool_destroy(p);
+			forwarding->key_removed_at[k] = forwarding->sim.now;
+	apr_pool_destroy(pool);
 	return ok;
 }
 
-void fw_stop(struct fw *f, int node, int grace_ms)
+void sim_forward_stop(struct sim_forward *forwarding, int node, int grace_ms)
 {
-	struct router_ev ev = { .kind = ROUTER_STOP };
+	struct router_event input = { .kind = ROUTER_EVENT_STOP };
 
-	f->leaving[node] = f->s.now + grace_ms;
-	f->grace[node] = grace_ms;
-	ev.u.stop.send_until = sim_local(&f->s, node) + grace_ms / 2;
-	ev.u.stop.run_until = sim_local(&f->s, node) + grace_ms - 300;
-	sim_ctr(&f->s, node, &ev);
+	forwarding->stops_at[node] = forwarding->sim.now + grace_ms;
+	forwarding->grace_ms[node] = grace_ms;
+	input.u.shutdown.send_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms / 2;
+	input.u.shutdown.run_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms - 300;
+	sim_router_step(&forwarding->sim, node, &input);
 }
 
-void fw_leavers(struct fw *f)
+void sim_forward_end_stopped(struct sim_forward *forwarding)
 {
-	for (int node = SIM_REGS; node < SIM_REGS + f->ctrs; node++) {
-		if (!f->leaving[node] || (!router_idle(f->s.n[node].c) && f->s.now < f->leaving[node]))
+	for (int node = SIM_CONTROLLERS; node < SIM_CONTROLLERS + forwarding->router_count; node++) {
+		if (!forwarding->stops_at[node] || (!router_idle(forwarding->sim.nodes[node].router) && forwarding->sim.now < forwarding->stops_at[node]))
 			continue;
-		f->leaving[node] = 0;
-		sim_crash(&f->s, node, 0);
-		sim_start(&f->s, node);
+		forwarding->stops_at[node] = 0;
+		sim_crash(&forwarding->sim, node, 0);
+		sim_start(&forwarding->sim, node);
 	}
 }
 
-int fw_change(struct fw *f, struct fw_conf c) { return propose(f, c, 0); }
+int sim_forward_change(struct sim_forward *forwarding, struct sim_forward_config config) { return propose(forwarding, config, 0); }
 
-int fw_name(struct fw *f, int service, int weights)
+int sim_forward_set_target(struct sim_forward *forwarding, int service, int weights)
 {
-	struct Nl__Change c = NL__CHANGE__INIT;
-	struct Nl__Row m = NL__ROW__INIT, *set[1] = { &m };
+	struct Nl__Change change = NL__CHANGE__INIT;
+	struct Nl__Row config_row = NL__ROW__INIT, *set[1] = { &config_row };
 	char text[16];
 	int ok;
 
 	snprintf(text, sizeof text, "%d", weights);
-	m.kind = NL__KIND__MODEL;
-	m.name = (char *)(uintptr_t)models[service];
-	m.weights = text;
-	c.any = 1;
-	c.set = set;
-	c.n_set = 1;
-	ok = sim_propose(&f->s, &c, 15000);
+	config_row.kind = NL__KIND__MODEL;
+	config_row.name = (char *)(uintptr_t)models[service];
+	config_row.weights = text;
+	change.any = 1;
+	change.set = set;
+	change.n_set = 1;
+	ok = sim_propose(&forwarding->sim, &change, 15000);
 	if (ok)
-		arrput(f->named, ((struct fw_named){ service, weights, f->s.now }));
+		arrput(forwarding->target_weights, ((struct sim_forward_target){ service, weights, forwarding->sim.now }));
 	return ok;
 }
 
-int fw_server(struct fw *f, int service, int at)
+int sim_forward_server(struct sim_forward *forwarding, int service, int at)
 {
 	char weights[16];
 	int i;
 
-	snprintf(weights, sizeof weights, "%d", newest(f, service, f->s.now));
-	i = sim_inst(&f->s, services[service], zones[arrlen(f->s.list.v) % 4], weights);
+	snprintf(weights, sizeof weights, "%d", newest(forwarding, service, forwarding->sim.now));
+	i = sim_instance(&forwarding->sim, services[service], zones[arrlen(forwarding->sim.instance_list.instances) % 4], weights);
 	if (at >= 0)
-		memcpy(f->s.list.v[i].addr, f->s.list.v[at].addr, sizeof f->s.list.v[i].addr);
-	server_of(f, i);
+		memcpy(forwarding->sim.instance_list.instances[i].addr, forwarding->sim.instance_list.instances[at].addr, sizeof forwarding->sim.instance_list.instances[i].addr);
+	server_of(forwarding, i);
 	return i;
 }
 
-int fw_run(struct fw *f, int64_t ms) { return sim_run(&f->s, ms, NULL); }
+int sim_forward_run(struct sim_forward *forwarding, int64_t ms) { return sim_run(&forwarding->sim, ms, NULL); }
 
-static int ready(struct sim *s)
+static int ready(struct sim *sim)
 {
-	struct fw *f = s->door.ctx;
+	struct sim_forward *forwarding = sim->front_end.ctx;
 
-	for (int n = SIM_REGS; n < SIM_REGS + f->ctrs; n++) {
-		struct router *c = s->n[n].c;
+	for (int n = SIM_CONTROLLERS; n < SIM_CONTROLLERS + forwarding->router_count; n++) {
+		struct router *c = sim->nodes[n].router;
 
-		if (!c || !router_ready(c, sim_local(s, n)) || c->nstand < (uint32_t)f->servers ||
-		    !relay_current(&c->relay, sim_local(s, n)))
+		if (!c || !router_ready(c, sim_local(sim, n)) || c->serving_servers < (uint32_t)forwarding->server_count ||
+		    !relay_is_current(&c->relay, sim_local(sim, n)))
 			return 0;
 	}
 	return 1;
 }
 
-void fw_open(struct fw *f, uint64_t seed, int regs, int ctrs, int servers, void (*before_all)(struct fw *))
+void sim_forward_open(struct sim_forward *forwarding, uint64_t seed, int controllers, int routers, int servers, void (*before_all)(struct sim_forward *))
 {
 	uint64_t at[3];
-	struct fw_conf c;
+	struct sim_forward_config config;
 	char buf[32];
 
-	memset(f, 0, sizeof *f);
-	sim_open(&f->s, seed);
-	f->s.door = (struct sim_door){ f, perform, event, lost };
-	f->s.b.instances = 1;
-	f->s.b.list_mille = 47000;
-	f->s.b.roll_ms = 15000;
-	f->s.list.load_ms = 1100;
-	f->dice = seed * 31337 + 5;
-	f->regs = regs;
-	f->ctrs = ctrs;
-	f->servers = servers;
-	f->limit_ms = 6000;
-	f->lag = 60;
-	f->room = 60;
-	f->store.made = 1;
-	f->store.epoch = 7;
-	f->store.next = 1;
+	memset(forwarding, 0, sizeof *forwarding);
+	sim_open(&forwarding->sim, seed);
+	forwarding->sim.front_end = (struct sim_front_end){ forwarding, perform, event, lost };
+	forwarding->sim.bounds.discover_instances = 1;
+	forwarding->sim.bounds.list_calls_millihertz = 47000;
+	forwarding->sim.bounds.rollout_ms = 15000;
+	forwarding->sim.instance_list.load_ms = 1100;
+	forwarding->rng = seed * 31337 + 5;
+	forwarding->controller_count = controllers;
+	forwarding->router_count = routers;
+	forwarding->server_count = servers;
+	forwarding->limit_ms = 6000;
+	forwarding->event_lag_ms = 60;
+	forwarding->capacity_blocks = 60;
+	forwarding->offload_store.is_initialized = 1;
+	forwarding->offload_store.epoch = 7;
+	forwarding->offload_store.next_event = 1;
 	if (before_all)
-		before_all(f);
+		before_all(forwarding);
 	for (int k = 0; k < 3; k++) {
 		snprintf(buf, sizeof buf, "127.0.1.%d:7000", k + 1);
-		at[k] = core_addr(buf);
+		at[k] = core_parse_addr(buf);
 	}
-	for (int i = 0; i < regs; i++)
-		sim_registrar(&f->s, zones[i % 4], at, 3);
-	sim_run(&f->s, 200, NULL);
-	if (sim_do(&f->s, 0, "POST", "/v1/found", "{}", 10000) != 200)
-		sim_breach(&f->s, "the fleet was not founded");
+	for (int i = 0; i < controllers; i++)
+		sim_add_controller(&forwarding->sim, zones[i % 4], at, 3);
+	sim_run(&forwarding->sim, 200, NULL);
+	if (sim_call_and_wait(&forwarding->sim, 0, "POST", "/v1/found", "{}", 10000) != 200)
+		sim_violation(&forwarding->sim, "the fleet was not founded");
 	for (int i = 0; i < servers; i++)
-		fw_server(f, i % 3 == 2, -1);
-	for (int i = 0; i < ctrs; i++)
-		sim_counter(&f->s, zones[i % 2]);
-	memset(&c, 0, sizeof c);
-	c.service[FW_DEEP] = 1;
-	for (int k = 0; k < FW_KEYS; k++)
-		c.key[k] = k / 2;
-	if (!propose(f, c, 1))
-		sim_breach(&f->s, "the first table was not acknowledged");
-	later(f, FE_MARK, 0, 0, 1);
-	later(f, FE_LOAD, 0, 0, 1);
-	sim_run(&f->s, 12000, ready);
-	if (!f->s.bad[0] && !ready(&f->s))
-		sim_breach(&f->s, "the fleet does not become ready");
-	sim_run(&f->s, 1000, NULL);
+		sim_forward_server(forwarding, i % 3 == 2, -1);
+	for (int i = 0; i < routers; i++)
+		sim_add_router(&forwarding->sim, zones[i % 2]);
+	memset(&config, 0, sizeof config);
+	config.service[SIM_FORWARD_DEEP] = 1;
+	for (int k = 0; k < SIM_FORWARD_KEYS; k++)
+		config.key[k] = k / 2;
+	if (!propose(forwarding, config, 1))
+		sim_violation(&forwarding->sim, "the first table was not acknowledged");
+	later(forwarding, AT_MARK, 0, 0, 1);
+	later(forwarding, AT_LOAD, 0, 0, 1);
+	sim_run(&forwarding->sim, 12000, ready);
+	if (!forwarding->sim.violation[0] && !ready(&forwarding->sim))
+		sim_violation(&forwarding->sim, "the fleet does not become ready");
+	sim_run(&forwarding->sim, 1000, NULL);
 }
 
 /* BUDGET: in no window are there more arrivals beyond first ones than the bound allows. */
-static void judge_budget(struct fw *f)
+static void check_budget(struct sim_forward *forwarding)
 {
-	int w = f->s.b.budget_window_ms;
+	int w = forwarding->sim.bounds.retry_budget_window_ms;
 
 	for (int sv = 0; sv < 2; sv++)
-		for (ptrdiff_t i = 0; i < arrlen(f->arrival); i++) {
-			int64_t from = f->arrival[i].at;
+		for (ptrdiff_t i = 0; i < arrlen(forwarding->arrivals); i++) {
+			int64_t from = forwarding->arrivals[i].at;
 			int again = 0, most = 0;
 
-			if (!f->arrival[i].again || f->arrival[i].service != sv)
+			if (!forwarding->arrivals[i].is_retry || forwarding->arrivals[i].service != sv)
 				continue;
-			for (ptrdiff_t k = i; k < arrlen(f->arrival) && f->arrival[k].at < from + w; k++)
-				again += f->arrival[k].again && f->arrival[k].service == sv;
+			for (ptrdiff_t k = i; k < arrlen(forwarding->arrivals) && forwarding->arrivals[k].at < from + w; k++)
+				again += forwarding->arrivals[k].is_retry && forwarding->arrivals[k].service == sv;
 			for (int step = 0; step < 3; step++) {
 				int64_t a = from - step * w / 2;
 				int n = 0;
 
-				for (ptrdiff_t k = 0; k < arrlen(f->asked); k++)
-					n += f->asked[k].service == sv && f->asked[k].at >= a && f->asked[k].at < a + w;
+				for (ptrdiff_t k = 0; k < arrlen(forwarding->submitted); k++)
+					n += forwarding->submitted[k].service == sv && forwarding->submitted[k].at >= a && forwarding->submitted[k].at < a + w;
 				most = n > most ? n : most;
 			}
-			if (again * 1000 > f->s.b.budget_mille * most + f->s.b.budget_slack * 1000)
-				sim_breach(&f->s, "BUDGET: %d resends for %d requests at %s in a window from %lld", again, most,
+			if (again * 1000 > forwarding->sim.bounds.retry_budget_permille * most + forwarding->sim.bounds.retry_budget_slack * 1000)
+				sim_violation(&forwarding->sim, "BUDGET: %d resends for %d requests at %s in a window from %lld", again, most,
 					   services[sv], (long long)from);
 		}
 }
 
 /* ENDS: every request that is past its limit has an end. */
-static void judge_ends(struct fw *f)
+static void check_ends(struct sim_forward *forwarding)
 {
-	for (ptrdiff_t i = 0; i < arrlen(f->req); i++)
-		if (f->req[i].told == FW_OPEN && f->req[i].limit + 300 < f->s.now)
-			sim_breach(&f->s, "ENDS: %s has no end", f->req[i].id);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->requests); i++)
+		if (forwarding->requests[i].outcome == SIM_FORWARD_OPEN && forwarding->requests[i].deadline_at + 300 < forwarding->sim.now)
+			sim_violation(&forwarding->sim, "ENDS: %s has no end", forwarding->requests[i].id);
 }
 
-int fw_end(struct fw *f)
+int sim_forward_end(struct sim_forward *forwarding)
 {
-	judge_ends(f);
-	judge_budget(f);
-	return !f->s.bad[0];
+	check_ends(forwarding);
+	check_budget(forwarding);
+	return !forwarding->sim.violation[0];
 }
 
-void fw_close(struct fw *f)
+void sim_forward_close(struct sim_forward *forwarding)
 {
-	for (ptrdiff_t i = 0; i < arrlen(f->v); i++) {
-		arrfree(f->v[i].part);
-		arrfree(f->v[i].ev);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->servers); i++) {
+		arrfree(forwarding->servers[i].blocks);
+		arrfree(forwarding->servers[i].events);
 	}
-	arrfree(f->store.part);
-	arrfree(f->store.ev);
-	arrfree(f->v);
-	arrfree(f->conf);
-	arrfree(f->named);
-	arrfree(f->req);
-	arrfree(f->call);
-	arrfree(f->arrival);
-	arrfree(f->asked);
-	f->s.door.lost = NULL;
-	sim_close(&f->s);
+	arrfree(forwarding->offload_store.blocks);
+	arrfree(forwarding->offload_store.events);
+	arrfree(forwarding->servers);
+	arrfree(forwarding->configs);
+	arrfree(forwarding->target_weights);
+	arrfree(forwarding->requests);
+	arrfree(forwarding->calls);
+	arrfree(forwarding->arrivals);
+	arrfree(forwarding->submitted);
+	forwarding->sim.front_end.lost = NULL;
+	sim_close(&forwarding->sim);
 }
--- a/tests/solo.c
+++ b/tests/solo.c
@@ -11,161 +11,161 @@
 
 #include "ds.h"
 
-void solo_open(struct solo *s, uint64_t id)
+void router_fixture_open(struct solo *solo, uint64_t id)
 {
 	uint64_t seed = 1;
 
-	memset(s, 0, sizeof *s);
-	apr_pool_create(&s->p, NULL);
-	apr_pool_create(&s->o.p, s->p);
-	s->now = 1000000;
-	router_open(&s->c, id, id + 1000, "z1", &seed, 1, s->now);
-	s->c.b.instances = 1;
+	memset(solo, 0, sizeof *solo);
+	apr_pool_create(&solo->p, NULL);
+	apr_pool_create(&solo->commands.pool, solo->p);
+	solo->now = 1000000;
+	router_open(&solo->router, id, id + 1000, "z1", &seed, 1, solo->now);
+	solo->router.bounds.discover_instances = 1;
 }
 
-void solo_close(struct solo *s)
+void router_fixture_close(struct solo *solo)
 {
-	router_close(&s->c);
-	arrfree(s->o.v);
-	apr_pool_destroy(s->p);
+	router_close(&solo->router);
+	arrfree(solo->commands.commands);
+	apr_pool_destroy(solo->p);
 }
 
-void solo_step(struct solo *s, const struct router_ev *ev) { router_step(&s->c, ev, s->now, &s->o); }
+void router_fixture_step(struct solo *solo, const struct router_event *event) { router_step(&solo->router, event, solo->now, &solo->commands); }
 
-void solo_tick(struct solo *s, int64_t ms)
+void router_fixture_tick(struct solo *solo, int64_t ms)
 {
-	s->now += ms;
-	solo_step(s, &(struct router_ev){ .kind = ROUTER_TICK });
+	solo->now += ms;
+	router_fixture_step(solo, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 }
 
-void solo_msg(struct solo *s, struct Nl__Msg *m)
+void router_fixture_message(struct solo *solo, struct Nl__Msg *message)
 {
-	struct router_ev ev;
+	struct router_event event;
 
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_MSG;
-	ev.u.msg = m;
-	m->speak = CORE_SPEAK;
-	solo_step(s, &ev);
+	memset(&event, 0, sizeof event);
+	event.kind = ROUTER_EVENT_MESSAGE;
+	event.u.message = message;
+	message->speak = CORE_SPEAK;
+	router_fixture_step(solo, &event);
 }
 
 /* A whole table, and the servers of a list. */
-void solo_table(struct solo *s, struct Nl__Row **rows, size_t n, struct Nl__Instance **instances, size_t nsight, uint64_t edition)
+void router_fixture_table(struct solo *solo, struct Nl__Row **rows, size_t n, struct Nl__Instance **instances, size_t nsight, uint64_t revision)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ConfigSyncReply r = NL__CONFIG_SYNC_REPLY__INIT;
-
-	out_clear(&s->o);
-	solo_tick(s, 300);
-	for (ptrdiff_t i = 0; i < arrlen(s->o.v); i++)
-		if (s->o.v[i].kind == CMD_SEND && s->o.v[i].u.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-			r.token = s->o.v[i].u.send.msg->follow->token;
-	assert_true(r.token);
-	r.has_lease = r.whole = r.instances_whole = 1;
-	r.fleet = 7;
-	r.edition = edition;
-	r.set = rows;
-	r.n_set = n;
-	r.instance = instances;
-	r.n_instance = nsight;
-	r.instances = edition;
-	r.counters = 1;
-	r.clock = (uint64_t)s->now; /* the control group's clock is the router's own */
-	r.clock_term = 1;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &r;
-	m.addr = 1;
-	m.id = 1;
-	solo_msg(s, &m);
-	out_clear(&s->o);
-	assert_non_null(s->c.route_table);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+
+	command_list_clear(&solo->commands);
+	router_fixture_tick(solo, 300);
+	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
+		if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
+			reply.token = solo->commands.commands[i].args.send.msg->follow->token;
+	assert_true(reply.token);
+	reply.has_lease = reply.whole = reply.instances_whole = 1;
+	reply.fleet = 7;
+	reply.edition = revision;
+	reply.set = rows;
+	reply.n_set = n;
+	reply.instance = instances;
+	reply.n_instance = nsight;
+	reply.instances = revision;
+	reply.counters = 1;
+	reply.clock = (uint64_t)solo->now; /* the control group's clock is the router's own */
+	reply.clock_term = 1;
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = &reply;
+	message.addr = 1;
+	message.id = 1;
+	router_fixture_message(solo, &message);
+	command_list_clear(&solo->commands);
+	assert_non_null(solo->router.route_table);
 }
 
-struct Nl__Row *new_row(apr_pool_t *p, Nl__Kind kind, const char *name)
+struct Nl__Row *new_row(apr_pool_t *pool, Nl__Kind kind, const char *name)
 {
-	struct Nl__Row *r = apr_palloc(p, sizeof *r);
+	struct Nl__Row *row = apr_palloc(pool, sizeof *row);
 
-	nl__row__init(r);
-	r->kind = kind;
-	r->name = apr_pstrdup(p, name);
-	return r;
+	nl__row__init(row);
+	row->kind = kind;
+	row->name = apr_pstrdup(pool, name);
+	return row;
 }
 
-struct Nl__Row *new_service(apr_pool_t *p, const char *name)
+struct Nl__Row *new_service(apr_pool_t *pool, const char *name)
 {
-	struct Nl__Row *r = new_row(p, NL__KIND__SERVICE, name);
+	struct Nl__Row *row = new_row(pool, NL__KIND__SERVICE, name);
 
-	r->weights = "w1";
-	r->prefill = 20;
-	return r;
+	row->weights = "w1";
+	row->prefill = 20;
+	return row;
 }
 
-struct Nl__Instance *new_sight(apr_pool_t *p, int i, const char *service)
+struct Nl__Instance *new_instance(apr_pool_t *pool, int i, const char *service)
 {
-	struct Nl__Instance *x = apr_palloc(p, sizeof *x);
-
-	nl__instance__init(x);
-	x->server = apr_psprintf(p, "i-%d", i);
-	x->service = (char *)(uintptr_t)service;
-	x->addr = apr_psprintf(p, "127.1.0.%d:80", i + 1);
-	x->zone = "z1";
-	x->slots = 100;
-	x->weights = "w1";
-	x->stamp = 1;
-	return x;
+	struct Nl__Instance *instance = apr_palloc(pool, sizeof *instance);
+
+	nl__instance__init(instance);
+	instance->server = apr_psprintf(pool, "i-%d", i);
+	instance->service = (char *)(uintptr_t)service;
+	instance->addr = apr_psprintf(pool, "127.1.0.%d:80", i + 1);
+	instance->zone = "z1";
+	instance->slots = 100;
+	instance->weights = "w1";
+	instance->stamp = 1;
+	return instance;
 }
 
 /* Ask; the exchange as it waits, or NULL with its status. */
-struct client_request *solo_ask(struct solo *s, const char *host, const char *path, const char *id, int *status)
+struct client_request *router_fixture_submit(struct solo *solo, const char *host, const char *path, const char *id, int *status)
 {
-	struct router_asking a;
-	struct router_ev ev;
-
-	memset(&a, 0, sizeof a);
-	memset(&ev, 0, sizeof ev);
-	a.token = ++s->token;
-	a.host = host;
-	a.path = path;
-	a.id = id;
-	a.limit_ms = 60000;
-	ev.kind = ROUTER_ASKED;
-	ev.u.ask = &a;
-	out_clear(&s->o);
-	solo_step(s, &ev);
+	struct forwarded_request query;
+	struct router_event event;
+
+	memset(&query, 0, sizeof query);
+	memset(&event, 0, sizeof event);
+	query.token = ++solo->token;
+	query.host = host;
+	query.path = path;
+	query.id = id;
+	query.limit_ms = 60000;
+	event.kind = ROUTER_EVENT_FORWARDED_REQUEST;
+	event.u.forwarded_request = &query;
+	command_list_clear(&solo->commands);
+	router_fixture_step(solo, &event);
 	*status = 0;
-	for (ptrdiff_t i = 0; i < arrlen(s->o.v); i++)
-		if (s->o.v[i].kind == CMD_ANSWER && s->o.v[i].u.answer.token == a.token)
-			*status = s->o.v[i].u.answer.status;
-	return router_request_by(&s->c, a.token);
+	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
+		if (solo->commands.commands[i].kind == CMD_ANSWER && solo->commands.commands[i].args.answer.token == query.token)
+			*status = solo->commands.commands[i].args.answer.status;
+	return router_request_by_token(&solo->router, query.token);
 }
 
-void solo_gone(struct solo *s)
+void router_fixture_disconnect(struct solo *solo)
 {
-	struct router_ev ev;
+	struct router_event event;
 
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_GONE;
-	ev.u.gone.token = s->token;
-	solo_step(s, &ev);
+	memset(&event, 0, sizeof event);
+	event.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
+	event.u.client_disconnected.token = solo->token;
+	router_fixture_step(solo, &event);
 }
 
 /* How a send of the newest request ends; its call, or 0 when it was not sent. */
-uint64_t solo_sent(struct solo *s)
+uint64_t router_fixture_last_call(struct solo *solo)
 {
-	for (ptrdiff_t i = arrlen(s->o.v) - 1; i >= 0; i--)
-		if (s->o.v[i].kind == CMD_FORWARD)
-			return s->o.v[i].u.forward->call;
+	for (ptrdiff_t i = arrlen(solo->commands.commands) - 1; i >= 0; i--)
+		if (solo->commands.commands[i].kind == CMD_FORWARD)
+			return solo->commands.commands[i].args.forward->call_token;
 	return 0;
 }
 
-void solo_ended(struct solo *s, uint64_t call, enum router_end how, int status)
+void router_fixture_end_call(struct solo *solo, uint64_t call, enum forward_end how, int status)
 {
-	struct router_ended e = { .token = call, .how = how, .status = status };
-	struct router_ev ev = { .kind = ROUTER_ENDED };
-
-	ev.u.ended = &e;
-	out_clear(&s->o);
-	solo_step(s, &ev);
-	for (int i = 0; how != ROUTER_WHOLE && i < 4; i++) /* it may wait in its line before it is sent again */
-		solo_tick(s, 60);
+	struct forward_result ended = { .token = call, .end = how, .status = status };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
+
+	event.u.forward_ended = &ended;
+	command_list_clear(&solo->commands);
+	router_fixture_step(solo, &event);
+	for (int i = 0; how != FORWARD_COMPLETE && i < 4; i++) /* it may wait in its line before it is sent again */
+		router_fixture_tick(solo, 60);
 }
--- a/tests/stored_files.c
+++ b/tests/stored_files.c
@@ -9,26 +9,26 @@
 
 char *file_read(const char *path, size_t *n, apr_pool_t *pool)
 {
-	FILE *f = fopen(path, "rb");
+	FILE *file = fopen(path, "rb");
 	char *data;
 	long size;
 
-	if (!f)
+	if (!file)
 		return NULL;
-	(void)fseek(f, 0, SEEK_END);
-	size = ftell(f);
-	rewind(f);
+	(void)fseek(file, 0, SEEK_END);
+	size = ftell(file);
+	rewind(file);
 	data = apr_pcalloc(pool, (size_t)size + 1);
-	*n = fread(data, 1, (size_t)size, f);
-	(void)fclose(f);
+	*n = fread(data, 1, (size_t)size, file);
+	(void)fclose(file);
 	return *n == (size_t)size ? data : NULL;
 }
 
 void file_write(const char *path, const void *data, size_t n)
 {
-	FILE *f = fopen(path, "wb");
+	FILE *file = fopen(path, "wb");
 
-	if (!f || fwrite(data, 1, n, f) != n || fclose(f)) {
+	if (!file || fwrite(data, 1, n, file) != n || fclose(file)) {
 		perror(path);
 		exit(1);
 	}
--- a/tests/stored_folders.c
+++ b/tests/stored_folders.c
@@ -56,21 +56,21 @@
 	for (int i = 1;; i++) {
 		const char *name = apr_psprintf(pool, "s%d", i);
 
-		if (core_part_of(name, SHARD_SERVICES) == shard)
+		if (core_shard_of(name, SHARD_SERVICES) == shard)
 			return name;
 	}
 }
 
 struct Nl__Claim stored_claim(const char *id, uint64_t by, uint64_t seq, int release)
 {
-	struct Nl__Claim c = NL__CLAIM__INIT;
-
-	c.tenant = (char *)(uintptr_t) "tenant";
-	c.id = (char *)(uintptr_t)id;
-	c.by = by;
-	c.seq = seq;
-	c.release = release;
-	return c;
+	struct Nl__Claim claim = NL__CLAIM__INIT;
+
+	claim.tenant = (char *)(uintptr_t) "tenant";
+	claim.id = (char *)(uintptr_t)id;
+	claim.by = by;
+	claim.seq = seq;
+	claim.release = release;
+	return claim;
 }
 
 static void expect(int holds, const char *what)
@@ -82,10 +82,10 @@
 }
 
 /* Print what an operator was told before the end. */
-static void expect_done(struct world *w, int status, const char *what)
+static void expect_done(struct world *world, int status, const char *what)
 {
 	if (status != 200)
-		(void)fprintf(stderr, "%d %s\n", status, w->answer.body ? w->answer.body : "");
+		(void)fprintf(stderr, "%d %s\n", status, world->answer.body ? world->answer.body : "");
 	expect(status == 200, what);
 }
 
@@ -102,124 +102,124 @@
 }
 
 /* In each service's shard: claims that stand, that were given back, and one given back before it came; weights rolled out. */
-static void make_claims(struct world *w, const char *mark)
+static void make_claims(struct world *world, const char *mark)
 {
 	for (uint32_t shard = SHARD_SERVICE; shard < SHARD_COUNT; shard++) {
-		const char *service = stored_service(shard, w->pool);
-		struct Nl__Claim stands = stored_claim(apr_pstrcat(w->pool, "stands", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 0),
-				 back = stored_claim(apr_pstrcat(w->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 0),
-				 given = stored_claim(apr_pstrcat(w->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 1),
-				 early = stored_claim(apr_pstrcat(w->pool, "early", mark, NULL), CLAIM_HOLDER, CLAIM_NEXT, 1);
+		const char *service = stored_service(shard, world->pool);
+		struct Nl__Claim stands = stored_claim(apr_pstrcat(world->pool, "stands", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 0),
+				 back = stored_claim(apr_pstrcat(world->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 0),
+				 given = stored_claim(apr_pstrcat(world->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 1),
+				 early = stored_claim(apr_pstrcat(world->pool, "early", mark, NULL), CLAIM_HOLDER, CLAIM_NEXT, 1);
 		struct Nl__Rolled rolled = NL__ROLLED__INIT;
-		struct Nl__Op op = NL__OP__INIT;
+		struct Nl__Op operation = NL__OP__INIT;
 
-		expect(world_claim(w, service, &stands) == TABLE_DONE, "a claim is refused");
-		expect(world_claim(w, service, &back) == TABLE_DONE, "a claim is refused");
-		expect(world_claim(w, service, &given) == TABLE_DONE, "a release is refused");
-		expect(world_claim(w, service, &early) == TABLE_DONE, "a release is refused");
+		expect(world_claim(world, service, &stands) == PROPOSAL_DONE, "a claim is refused");
+		expect(world_claim(world, service, &back) == PROPOSAL_DONE, "a claim is refused");
+		expect(world_claim(world, service, &given) == PROPOSAL_DONE, "a release is refused");
+		expect(world_claim(world, service, &early) == PROPOSAL_DONE, "a release is refused");
 		rolled.service = (char *)(uintptr_t)service;
 		rolled.weights = (char *)(uintptr_t) "w1";
-		op.op_case = NL__OP__OP_ROLLED;
-		op.rolled = &rolled;
-		world_log(w, shard, &op);
+		operation.op_case = NL__OP__OP_ROLLED;
+		operation.rolled = &rolled;
+		world_log(world, shard, &operation);
 		rolled.weights = (char *)(uintptr_t) "w2"; /* a purge of the first */
-		world_log(w, shard, &op);
+		world_log(world, shard, &operation);
 	}
 }
 
-static void make_changes(struct world *w)
+static void make_changes(struct world *world)
 {
-	expect_done(w, world_call(w, "POST", "/v1/change", stored_change, "first-key"), "the first change is refused");
-	world_run(w, 1000);
-	expect_done(w, world_call(w, "POST", "/v1/change", stored_second_change, NULL), "the second change is refused");
-	world_run(w, 1000);
+	expect_done(world, world_call(world, "POST", "/v1/change", stored_change, "first-key"), "the first change is refused");
+	world_run(world, 1000);
+	expect_done(world, world_call(world, "POST", "/v1/change", stored_second_change, NULL), "the second change is refused");
+	world_run(world, 1000);
 }
 
 static void make_entries(const char *folder)
 {
-	struct world w;
+	struct world world;
 
-	begin(&w, folder, 1);
-	make_changes(&w);
-	make_claims(&w, "");
-	world_run(&w, 2000);
-	world_close(&w);
+	begin(&world, folder, 1);
+	make_changes(&world);
+	make_claims(&world, "");
+	world_run(&world, 2000);
+	world_close(&world);
 }
 
 /* All context is cleared; every shard's log is cut behind a snapshot; then more is logged. */
 static void make_snapshots(const char *folder)
 {
-	struct world w;
-
-	begin(&w, folder, 1);
-	make_changes(&w);
-	make_claims(&w, "");
-	world_run(&w, 12000); /* the row is in force, its time planned */
-	expect_done(&w, world_call(&w, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"clerk\"}", "clear-key"), "no clearing");
-	world_run(&w, 30000);
+	struct world world;
+
+	begin(&world, folder, 1);
+	make_changes(&world);
+	make_claims(&world, "");
+	world_run(&world, 12000); /* the row is in force, its time planned */
+	expect_done(&world, world_call(&world, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"clerk\"}", "clear-key"), "no clearing");
+	world_run(&world, 30000);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
-		expect(w.controller.part[i].snapshot_index != 0, "a shard has no snapshot");
-	make_claims(&w, "2");
+		expect(world.controller.shards[i].snapshot_index != 0, "a shard has no snapshot");
+	make_claims(&world, "2");
 	expect_done(
-	    &w,
-	    world_call(&w, "POST", "/v1/change", "{\"set\":[{\"kind\":\"model\",\"name\":\"m1\",\"weights\":\"5\"}]}", "later-key"),
+	    &world,
+	    world_call(&world, "POST", "/v1/change", "{\"set\":[{\"kind\":\"model\",\"name\":\"m1\",\"weights\":\"5\"}]}", "later-key"),
 	    "the later change is refused");
-	world_run(&w, 1000);
-	world_close(&w);
+	world_run(&world, 1000);
+	world_close(&world);
 }
 
 static void make_document(const char *folder)
 {
-	struct world w;
-
-	begin(&w, folder, 1);
-	expect_done(&w, world_document(&w, stored_document, 0, 0), "the document is refused");
-	expect_done(&w, world_document(&w, stored_patch, 1, 7), "the patch is refused");
-	expect_done(&w, world_name_weights(&w, "daka", "5"), "weights are not named");
-	world_run(&w, 1000);
-	expect_done(&w, world_name_weights(&w, "daka", "6"), "weights are not named");
-	world_close(&w);
+	struct world world;
+
+	begin(&world, folder, 1);
+	expect_done(&world, world_document(&world, stored_document, 0, 0), "the document is refused");
+	expect_done(&world, world_document(&world, stored_patch, 1, 7), "the patch is refused");
+	expect_done(&world, world_name_weights(&world, "daka", "5"), "weights are not named");
+	world_run(&world, 1000);
+	expect_done(&world, world_name_weights(&world, "daka", "6"), "weights are not named");
+	world_close(&world);
 }
 
 /* ---- a follower of other members ---- */
 
-static void hear_vote_request(struct world *w, uint64_t from, uint32_t shard, uint64_t term, uint64_t last, uint64_t last_term)
+static void receive_vote_request(struct world *world, uint64_t from, uint32_t shard, uint64_t term, uint64_t last, uint64_t last_term)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__VoteAsk ask = NL__VOTE_ASK__INIT;
 
 	ask.term = term;
 	ask.last = last;
 	ask.last_term = last_term;
-	m.body_case = NL__MSG__BODY_VOTE_ASK;
-	m.vote_ask = &ask;
-	m.part = shard;
-	world_hear(w, from, &m);
+	message.body_case = NL__MSG__BODY_VOTE_ASK;
+	message.vote_ask = &ask;
+	message.part = shard;
+	world_hear(world, from, &message);
 }
 
 /* A change of the table as an entry. */
-static struct Nl__Entry entry_of(struct world *w, const char *body, uint64_t term)
+static struct Nl__Entry entry_of(struct world *world, const char *body, uint64_t term)
 {
-	struct Nl__Entry e = NL__ENTRY__INIT;
-	struct Nl__Op op = NL__OP__INIT;
+	struct Nl__Entry entry = NL__ENTRY__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
 	const char *why;
 
-	op.op_case = NL__OP__OP_CHANGE;
-	op.change = table_change_parse(body, w->pool, &why);
-	expect(op.change != NULL, "no change");
-	op.from = WORLD_SELF + 1;
-	op.token = term;
-	op.at = 1000 * term;
-	e.term = term;
-	e.kind = RAFT_ENTRY_OPERATION;
-	e.data.data = core_pack(w->pool, &op.base, &e.data.len);
-	return e;
+	operation.op_case = NL__OP__OP_CHANGE;
+	operation.change = config_change_parse(body, world->pool, &why);
+	expect(operation.change != NULL, "no change");
+	operation.from = WORLD_SELF + 1;
+	operation.token = term;
+	operation.at = 1000 * term;
+	entry.term = term;
+	entry.kind = RAFT_ENTRY_OPERATION;
+	entry.data.data = core_pack_message(world->pool, &operation.base, &entry.data.len);
+	return entry;
 }
 
-static void hear_entries(struct world *w, uint64_t from, uint32_t shard, uint64_t term, uint64_t prev, uint64_t prev_term,
+static void hear_entries(struct world *world, uint64_t from, uint32_t shard, uint64_t term, uint64_t prev, uint64_t prev_term,
 			 struct Nl__Entry **entries, size_t n, uint64_t commit)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Append append = NL__APPEND__INIT;
 
 	append.term = term;
@@ -229,58 +229,58 @@
 	append.n_e = n;
 	append.commit = commit;
 	append.round = 1;
-	m.body_case = NL__MSG__BODY_APPEND;
-	m.append = &append;
-	m.part = shard;
-	world_hear(w, from, &m);
+	message.body_case = NL__MSG__BODY_APPEND;
+	message.append = &append;
+	message.part = shard;
+	world_hear(world, from, &message);
 }
 
 /* Votes for others, entries of several terms that are not all committed, and in place of some others of a later leader. */
-static void follow_others(struct world *w)
+static void follow_others(struct world *world)
 {
-	struct raft *raft = &w->controller.part[SHARD_CONTROL];
+	struct raft *raft = &world->controller.shards[SHARD_CONTROL];
 	uint64_t first = raft->synced_index;
-	struct Nl__Entry a = entry_of(w, stored_change, 3), b = entry_of(w, stored_second_change, 3),
-			 c = entry_of(w, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"late\",\"share\":9}]}", 5);
-	struct Nl__Entry *both[2] = { &a, &b }, *other[1] = { &c };
-
-	world_run(w, 2000);
-	hear_vote_request(w, 2, SHARD_CONTROL, 3, first, 1);
-	hear_entries(w, 2, SHARD_CONTROL, 3, first, 1, both, 2, first + 1);
-	world_run(w, 100);
-	w->now += 600; /* a moment without a leader, which its lease lasts */
-	hear_vote_request(w, 3, SHARD_CONTROL, 5, first + 2, 3);
-	hear_entries(w, 3, SHARD_CONTROL, 5, first + 1, 3, other, 1, first + 1);
-	w->now += 600;
-	hear_vote_request(w, 2, SHARD_PURGE, 9, first, 1);
+	struct Nl__Entry a = entry_of(world, stored_change, 3), b = entry_of(world, stored_second_change, 3),
+			 entry = entry_of(world, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"late\",\"share\":9}]}", 5);
+	struct Nl__Entry *both[2] = { &a, &b }, *other[1] = { &entry };
+
+	world_run(world, 2000);
+	receive_vote_request(world, 2, SHARD_CONTROL, 3, first, 1);
+	hear_entries(world, 2, SHARD_CONTROL, 3, first, 1, both, 2, first + 1);
+	world_run(world, 100);
+	world->now += 600; /* a moment without a leader, which its lease lasts */
+	receive_vote_request(world, 3, SHARD_CONTROL, 5, first + 2, 3);
+	hear_entries(world, 3, SHARD_CONTROL, 5, first + 1, 3, other, 1, first + 1);
+	world->now += 600;
+	receive_vote_request(world, 2, SHARD_PURGE, 9, first, 1);
 }
 
 static void make_follower(const char *folder)
 {
-	struct world w;
+	struct world world;
 
-	begin(&w, folder, 3);
-	follow_others(&w);
-	world_close(&w);
+	begin(&world, folder, 3);
+	follow_others(&world);
+	world_close(&world);
 }
 
 /* Two of three members are lost for good. */
 static void make_recovered(const char *folder)
 {
-	struct world w;
+	struct world world;
 
-	begin(&w, folder, 3);
-	follow_others(&w);
-	world_run(&w, 8000);
-	expect_done(&w, world_call(&w, "POST", "/v1/recover", "{\"lost\":[\"0000000000000002\",\"0000000000000003\"]}", NULL),
+	begin(&world, folder, 3);
+	follow_others(&world);
+	world_run(&world, 8000);
+	expect_done(&world, world_call(&world, "POST", "/v1/recover", "{\"lost\":[\"0000000000000002\",\"0000000000000003\"]}", NULL),
 		    "no recovery");
-	world_run(&w, 4000);
-	expect(world_call(&w, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"after\",\"share\":8}]}", NULL) ==
+	world_run(&world, 4000);
+	expect(world_call(&world, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"after\",\"share\":8}]}", NULL) ==
 		   200,
 	       "no change after the recovery");
-	make_claims(&w, "");
-	world_run(&w, 1000);
-	world_close(&w);
+	make_claims(&world, "");
+	world_run(&world, 1000);
+	world_close(&world);
 }
 
 /* ---- torn and damaged files ---- */
@@ -288,18 +288,18 @@
 /* The store writes all records to a fresh file, which is as small as they are. */
 static void make_small(const char *folder)
 {
-	struct world w;
+	struct world world;
 	struct persist none;
-	const char *why = world_open(&w, folder);
+	const char *why = world_open(&world, folder);
 
 	expect(!why, why);
 	memset(&none, 0, sizeof none);
-	none.term = w.found.part[0].term;
-	none.vote = w.found.part[0].vote;
-	none.tidy = 1;
-	store_write(w.store, &none);
-	shell_ev_free(ring_pop(w.ring, 300000));
-	world_close(&w);
+	none.term = world.found.shards[0].term;
+	none.vote = world.found.shards[0].vote;
+	none.scrub = 1;
+	storage_write(world.store, &none);
+	shell_event_free(ring_pop(world.ring, 300000));
+	world_close(&world);
 }
 
 static char *file_in(const char *folder, apr_pool_t *pool) { return apr_pstrcat(pool, folder, "/registrar.tdb", NULL); }
@@ -427,20 +427,20 @@
 	{ "GET", "/v1/state", "", NULL },
 };
 
-const char *stored_calls(struct world *w)
+const char *stored_calls(struct world *world)
 {
 	const char *text = "";
 
-	world_run(w, 4000);
+	world_run(world, 4000);
 	for (size_t i = 0; i < sizeof calls / sizeof *calls; i++) {
-		int status = world_call(w, calls[i].method, calls[i].path, calls[i].body, calls[i].key);
+		int status = world_call(world, calls[i].method, calls[i].path, calls[i].body, calls[i].key);
 
-		text = apr_psprintf(w->pool, "%s%s %s%s%s\n%s\n%d\n%s\n\n", text, calls[i].method, calls[i].path,
+		text = apr_psprintf(world->pool, "%s%s %s%s%s\n%s\n%d\n%s\n\n", text, calls[i].method, calls[i].path,
 				    calls[i].key ? " " : "", calls[i].key ? calls[i].key : "", calls[i].body, status,
-				    w->answer.body ? w->answer.body : "");
-		w->answer.body = NULL;
-		world_run(w, 500);
+				    world->answer.body ? world->answer.body : "");
+		world->answer.body = NULL;
+		world_run(world, 500);
 	}
-	world_run(w, 20000);
+	world_run(world, 20000);
 	return text;
 }
--- a/tests/stored_folders.h
+++ b/tests/stored_folders.h
@@ -22,6 +22,6 @@
 void stored_make(const char *name, const char *folder);
 
 /* An operator's calls at the controller of the folder "entries", and what is answered: all paths of the product's own interface. */
-const char *stored_calls(struct world *w);
+const char *stored_calls(struct world *world);
 
 #endif
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -44,16 +44,16 @@
 	const char *text = "";
 
 	for (size_t i = 0; i < sizeof rows / sizeof *rows; i++) {
-		struct json_object *in = json_tokener_parse(rows[i]), *out = NULL;
+		struct json_object *json = json_tokener_parse(rows[i]), *out = NULL;
 		const char *why = "";
-		const struct Nl__Row *row = table_row_parse(in, pool, &why);
+		const struct Nl__Row *row = config_row_parse(json, pool, &why);
 
 		if (row)
-			out = table_row_json(row);
+			out = config_row_json(row);
 		text = apr_pstrcat(pool, text, rows[i], "\n",
 				   out ? json_object_to_json_string_ext(out, JSON_C_TO_STRING_PLAIN) : why, "\n\n", NULL);
 		json_object_put(out);
-		json_object_put(in);
+		json_object_put(json);
 	}
 	return text;
 }
@@ -67,8 +67,8 @@
 		json_object_array_add(list, json_tokener_parse(rows[i]));
 	json_object_object_add(table, "edition", json_object_new_int(7));
 	json_object_object_add(table, "rows", list);
-	sheet = sheet_print(table, NULL, pool);
-	again = sheet_parse(sheet, pool, &why);
+	sheet = config_text_print(table, NULL, pool);
+	again = config_text_parse(sheet, pool, &why);
 	text =
 	    apr_pstrcat(pool, sheet, "\n", again ? json_object_to_json_string_ext(again, JSON_C_TO_STRING_PLAIN) : why, "\n", NULL);
 	json_object_put(again);
@@ -96,108 +96,108 @@
 };
 
 /* The owner of the claims' shard takes whatever is proposed. */
-static void grant(struct talk *t, uint64_t token)
+static void grant(struct talk *talk, uint64_t token)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__Answer a = NL__ANSWER__INIT;
-
-	a.token = token;
-	m.body_case = NL__MSG__BODY_ANSWER;
-	m.answer = &a;
-	m.id = m.addr = 1;
-	m.fleet = 7;
-	solo_msg(&t->s, &m);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__Answer answer = NL__ANSWER__INIT;
+
+	answer.token = token;
+	message.body_case = NL__MSG__BODY_ANSWER;
+	message.answer = &answer;
+	message.id = message.addr = 1;
+	message.fleet = 7;
+	router_fixture_message(&talk->s, &message);
 }
 
 /* What the router says to its client and to its server; its claims are granted. */
-static void note(struct talk *t)
+static void note(struct talk *talk)
 {
-	for (ptrdiff_t i = 0; i < arrlen(t->s.o.v); i++) { /* more come while claims are granted */
-		const struct cmd *c = &t->s.o.v[i];
-
-		if (c->kind == CMD_SEND && c->u.send.msg->body_case == NL__MSG__BODY_PROPOSE)
-			grant(t, c->u.send.msg->propose->token);
-		else if (c->kind == CMD_ANSWER)
-			t->text = apr_psprintf(t->pool, "%sanswer %d, again in %d ms: %s\n", t->text, c->u.answer.status,
-					       c->u.answer.retry_ms, c->u.answer.body);
-		else if (c->kind == CMD_PIECE)
-			t->text = apr_psprintf(t->pool, "%spiece: %s", t->text, c->u.piece.body);
-		else if (c->kind == CMD_END)
-			t->text = apr_psprintf(t->pool, "%send %d: %s", t->text, c->u.piece.ok, c->u.piece.body);
-		else if (c->kind == CMD_CALL) {
-			t->text = apr_psprintf(t->pool, "%sto %s %s: %s\n", t->text, c->u.call.addr, c->u.call.path,
-					       c->u.call.body ? c->u.call.body : "");
-			if (c->u.call.stream)
-				t->call = c->u.call.token;
+	for (ptrdiff_t i = 0; i < arrlen(talk->s.commands.commands); i++) { /* more come while claims are granted */
+		const struct command *command = &talk->s.commands.commands[i];
+
+		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_PROPOSE)
+			grant(talk, command->args.send.msg->propose->token);
+		else if (command->kind == CMD_ANSWER)
+			talk->text = apr_psprintf(talk->pool, "%sanswer %d, again in %d ms: %s\n", talk->text, command->args.answer.status,
+					       command->args.answer.retry_ms, command->args.answer.body);
+		else if (command->kind == CMD_STREAM_CHUNK)
+			talk->text = apr_psprintf(talk->pool, "%spiece: %s", talk->text, command->args.stream_chunk.body);
+		else if (command->kind == CMD_END_STREAM)
+			talk->text = apr_psprintf(talk->pool, "%send %d: %s", talk->text, command->args.stream_chunk.success, command->args.stream_chunk.body);
+		else if (command->kind == CMD_CALL) {
+			talk->text = apr_psprintf(talk->pool, "%sto %s %s: %s\n", talk->text, command->args.call.addr, command->args.call.path,
+					       command->args.call.body ? command->args.call.body : "");
+			if (command->args.call.stream)
+				talk->call = command->args.call.token;
 		}
 	}
-	out_clear(&t->s.o);
+	command_list_clear(&talk->s.commands);
 }
 
-static void do_event(struct talk *t, const struct router_ev *ev)
+static void do_event(struct talk *talk, const struct router_event *event)
 {
-	t->s.c.relay.known_at = t->s.now;
-	out_clear(&t->s.o);
-	solo_step(&t->s, ev);
-	note(t);
+	talk->s.router.relay.known_at_ms = talk->s.now;
+	command_list_clear(&talk->s.commands);
+	router_fixture_step(&talk->s, event);
+	note(talk);
 }
 
-static void exchange(struct talk *t, const char *key, const char *body)
+static void exchange(struct talk *talk, const char *key, const char *body)
 {
-	struct router_ev ev = { .kind = ROUTER_EXCHANGE };
+	struct router_event event = { .kind = ROUTER_EVENT_CLAIMED_REQUEST };
 
-	ev.u.exchange.token = ++t->s.token;
-	ev.u.exchange.digest = key;
-	ev.u.exchange.body = body;
-	t->text = apr_pstrcat(t->pool, t->text, "exchange: ", body, "\n", NULL);
-	do_event(t, &ev);
+	event.u.claimed_request.token = ++talk->s.token;
+	event.u.claimed_request.key_digest = key;
+	event.u.claimed_request.body = body;
+	talk->text = apr_pstrcat(talk->pool, talk->text, "exchange: ", body, "\n", NULL);
+	do_event(talk, &event);
 }
 
-static void line_of_server(struct talk *t, const char *line)
+static void line_of_server(struct talk *talk, const char *line)
 {
-	struct router_ev ev = { .kind = ROUTER_PIECE };
+	struct router_event event = { .kind = ROUTER_EVENT_STREAM_CHUNK };
 
-	ev.u.piece.token = t->call;
-	ev.u.piece.line = line;
-	t->text = apr_pstrcat(t->pool, t->text, "line: ", line, "\n", NULL);
-	do_event(t, &ev);
+	event.u.stream_chunk.token = talk->call;
+	event.u.stream_chunk.text = line;
+	talk->text = apr_pstrcat(talk->pool, talk->text, "line: ", line, "\n", NULL);
+	do_event(talk, &event);
 }
 
-static void end_of_server(struct talk *t, int status, int never)
+static void end_of_server(struct talk *talk, int status, int never)
 {
-	struct router_ev ev = { .kind = ROUTER_DONE };
-
-	ev.u.done.token = t->call;
-	ev.u.done.status = status;
-	ev.u.done.never = never;
-	ev.u.done.body = "";
-	t->text = apr_psprintf(t->pool, "%sserver ends: %d, never %d\n", t->text, status, never);
-	do_event(t, &ev);
+	struct router_event event = { .kind = ROUTER_EVENT_CALL_ENDED };
+
+	event.u.call_ended.token = talk->call;
+	event.u.call_ended.status = status;
+	event.u.call_ended.not_started = never;
+	event.u.call_ended.body = "";
+	talk->text = apr_psprintf(talk->pool, "%sserver ends: %d, never %d\n", talk->text, status, never);
+	do_event(talk, &event);
 }
 
 static void get(struct talk *t, const char *path)
 {
-	struct router_ev ev = { .kind = ROUTER_WEB };
+	struct router_event event = { .kind = ROUTER_EVENT_HTTP_GET };
 
-	ev.u.web.token = ++t->s.token;
-	ev.u.web.path = path;
+	event.u.http_get.token = ++t->s.token;
+	event.u.http_get.path = path;
 	t->text = apr_pstrcat(t->pool, t->text, "GET ", path, "\n", NULL);
-	do_event(t, &ev);
+	do_event(t, &event);
 }
 
-static void talk_open(struct talk *t, apr_pool_t *pool)
+static void talk_open(struct talk *talk, apr_pool_t *pool)
 {
 	const char *why;
-	struct Nl__Change *c = table_change_parse(router_table, pool, &why);
+	struct Nl__Change *change = config_change_parse(router_table, pool, &why);
 	struct Nl__Instance *server;
 
-	t->pool = pool;
-	t->text = "";
-	solo_open(&t->s, 5);
-	server = new_sight(t->s.p, 0, "chat");
-	solo_table(&t->s, c->set, c->n_set, &server, 1, 1);
-	t->s.c.relay.fresh = 1;
-	t->s.c.relay.known_at = t->s.now;
+	talk->pool = pool;
+	talk->text = "";
+	router_fixture_open(&talk->s, 5);
+	server = new_instance(talk->s.p, 0, "chat");
+	router_fixture_table(&talk->s, change->set, change->n_set, &server, 1, 1);
+	talk->s.router.relay.has_knowledge = 1;
+	talk->s.router.relay.known_at_ms = talk->s.now;
 }
 
 #define ASK(lane, id)                         \
@@ -206,30 +206,30 @@
 
 const char *stored_router(apr_pool_t *pool)
 {
-	struct talk t;
-
-	memset(&t, 0, sizeof t);
-	talk_open(&t, pool);
-	exchange(&t, "unknown", ASK("front", "a"));
-	exchange(&t, digest, "no JSON");
-	exchange(&t, digest, "{}");
-	exchange(&t, digest, ASK("none", "a"));
-	exchange(&t, digest, ASK("front", "a"));
-	line_of_server(&t, "{\"x\":\"0000000000000005-1-1\",\"n\":0,\"t\":\"Good\"}");
-	line_of_server(&t, "{\"x\":\"0000000000000005-1-1\",\"n\":1,\"t\":\" day\"}");
-	line_of_server(&t, "{\"x\":\"0000000000000005-1-1\",\"n\":2,\"end\":true}");
-	end_of_server(&t, 200, 0);
-	exchange(&t, digest, ASK("front", "b")); /* what the first one left is used */
-	line_of_server(&t, "{\"x\":\"0000000000000005-2-1\",\"n\":0,\"t\":\"Good\"}");
-	end_of_server(&t, 0, 0);
-	exchange(&t, digest, ASK("front", "c"));
-	line_of_server(&t, "{\"x\":\"another\",\"n\":0,\"t\":\"Good\"}");
-	exchange(&t, digest, ASK("short", "d"));
-	exchange(&t, digest, ASK("short", "e"));
-	get(&t, "/v1/none");
-	get(&t, "/v1/usage");
-	get(&t, "/v1/state");
-	get(&t, "/metrics");
-	solo_close(&t.s);
-	return t.text;
+	struct talk talk;
+
+	memset(&talk, 0, sizeof talk);
+	talk_open(&talk, pool);
+	exchange(&talk, "unknown", ASK("front", "a"));
+	exchange(&talk, digest, "no JSON");
+	exchange(&talk, digest, "{}");
+	exchange(&talk, digest, ASK("none", "a"));
+	exchange(&talk, digest, ASK("front", "a"));
+	line_of_server(&talk, "{\"x\":\"0000000000000005-1-1\",\"n\":0,\"t\":\"Good\"}");
+	line_of_server(&talk, "{\"x\":\"0000000000000005-1-1\",\"n\":1,\"t\":\" day\"}");
+	line_of_server(&talk, "{\"x\":\"0000000000000005-1-1\",\"n\":2,\"end\":true}");
+	end_of_server(&talk, 200, 0);
+	exchange(&talk, digest, ASK("front", "b")); /* what the first one left is used */
+	line_of_server(&talk, "{\"x\":\"0000000000000005-2-1\",\"n\":0,\"t\":\"Good\"}");
+	end_of_server(&talk, 0, 0);
+	exchange(&talk, digest, ASK("front", "c"));
+	line_of_server(&talk, "{\"x\":\"another\",\"n\":0,\"t\":\"Good\"}");
+	exchange(&talk, digest, ASK("short", "d"));
+	exchange(&talk, digest, ASK("short", "e"));
+	get(&talk, "/v1/none");
+	get(&talk, "/v1/usage");
+	get(&talk, "/v1/state");
+	get(&talk, "/metrics");
+	router_fixture_close(&talk.s);
+	return talk.text;
 }
--- a/tests/stored_walk.c
+++ b/tests/stored_walk.c
@@ -73,23 +73,23 @@
 	const char *bad; /* the first place that differs */
 };
 
-static void walk_message(struct walk *w, ProtobufCMessage *m, const char *place, int is_root);
+static void walk_message(struct walk *walk, ProtobufCMessage *message, const char *place, int is_root);
 
-static void differs(struct walk *w, const char *place)
+static void instances_differ(struct walk *walk, const char *place)
 {
-	if (!w->bad)
-		w->bad = place;
+	if (!walk->bad)
+		walk->bad = place;
 }
 
-static void walk_raw(struct walk *w, void *at, const void *value, size_t n, const char *place)
+static void walk_raw(struct walk *walk, void *at, const void *value, size_t n, const char *place)
 {
-	if (!w->check)
+	if (!walk->check)
 		memcpy(at, value, n);
 	else if (memcmp(at, value, n))
-		differs(w, place);
+		instances_differ(walk, place);
 }
 
-static void walk_value(struct walk *w, const ProtobufCFieldDescriptor *f, void *at, const char *place)
+static void walk_value(struct walk *walk, const ProtobufCFieldDescriptor *f, void *at, const char *place)
 {
 	uint64_t h = hash_of(place);
 	uint32_t h32 = (uint32_t)(h >> 32) | 1;
@@ -97,115 +97,115 @@
 
 	switch (f->type) {
 	case PROTOBUF_C_TYPE_STRING: {
-		const char *text = apr_psprintf(w->pool, "text %s", place);
+		const char *text = apr_psprintf(walk->pool, "text %s", place);
 
-		if (!w->check)
+		if (!walk->check)
 			*(const char **)at = text;
 		else if (strcmp(*(char **)at, text))
-			differs(w, place);
+			instances_differ(walk, place);
 		break;
 	}
 	case PROTOBUF_C_TYPE_BYTES: {
-		ProtobufCBinaryData *b = at, bytes = { 9, apr_pcalloc(w->pool, 9) };
+		ProtobufCBinaryData *b = at, bytes = { 9, apr_pcalloc(walk->pool, 9) };
 
 		memcpy(bytes.data, &h, 8);
-		if (!w->check)
+		if (!walk->check)
 			*b = bytes;
 		else if (b->len != bytes.len || memcmp(b->data, bytes.data, bytes.len))
-			differs(w, place);
+			instances_differ(walk, place);
 		break;
 	}
 	case PROTOBUF_C_TYPE_MESSAGE: {
-		ProtobufCMessage **m = at;
+		ProtobufCMessage **message = at;
 		const ProtobufCMessageDescriptor *d = f->descriptor;
 
-		if (!w->check) {
-			*m = apr_pcalloc(w->pool, d->sizeof_message);
-			d->message_init(*m);
+		if (!walk->check) {
+			*message = apr_pcalloc(walk->pool, d->sizeof_message);
+			d->message_init(*message);
 		}
-		if (*m)
-			walk_message(w, *m, place, 0);
+		if (*message)
+			walk_message(walk, *message, place, 0);
 		else
-			differs(w, place);
+			instances_differ(walk, place);
 		break;
 	}
 	case PROTOBUF_C_TYPE_ENUM: {
 		const ProtobufCEnumDescriptor *e = f->descriptor;
 		int32_t last = e->values[e->n_values - 1].value;
 
-		walk_raw(w, at, &last, sizeof last, place);
+		walk_raw(walk, at, &last, sizeof last, place);
 		break;
 	}
-	case PROTOBUF_C_TYPE_BOOL: walk_raw(w, at, &yes, sizeof yes, place); break;
+	case PROTOBUF_C_TYPE_BOOL: walk_raw(walk, at, &yes, sizeof yes, place); break;
 	default:
 		if (size_of(f->type) == 8)
-			walk_raw(w, at, &h, sizeof h, place);
+			walk_raw(walk, at, &h, sizeof h, place);
 		else
-			walk_raw(w, at, &h32, sizeof h32, place);
+			walk_raw(walk, at, &h32, sizeof h32, place);
 	}
 }
 
-static void walk_field(struct walk *w, const ProtobufCFieldDescriptor *f, uint8_t *m, const char *place)
+static void walk_field(struct walk *walk, const ProtobufCFieldDescriptor *f, uint8_t *m, const char *place)
 {
 	size_t *count = (size_t *)(void *)(m + f->quantifier_offset);
 	void *at = m + f->offset;
 
 	if (f->label != PROTOBUF_C_LABEL_REPEATED) {
-		walk_value(w, f, at, place);
+		walk_value(walk, f, at, place);
 		return;
 	}
-	if (!w->check) {
+	if (!walk->check) {
 		*count = COPIES;
-		*(void **)at = apr_pcalloc(w->pool, COPIES * size_of(f->type));
+		*(void **)at = apr_pcalloc(walk->pool, COPIES * size_of(f->type));
 	} else if (*count != COPIES) {
-		differs(w, place);
+		instances_differ(walk, place);
 		return;
 	}
 	for (int i = 0; i < COPIES; i++)
-		walk_value(w, f, *(uint8_t **)at + (size_t)i * size_of(f->type), apr_psprintf(w->pool, "%s[%d]", place, i));
+		walk_value(walk, f, *(uint8_t **)at + (size_t)i * size_of(f->type), apr_psprintf(walk->pool, "%s[%d]", place, i));
 }
 
-static void walk_message(struct walk *w, ProtobufCMessage *m, const char *place, int is_root)
+static void walk_message(struct walk *walk, ProtobufCMessage *message, const char *place, int is_root)
 {
-	const ProtobufCMessageDescriptor *d = m->descriptor;
+	const ProtobufCMessageDescriptor *d = message->descriptor;
 
 	for (unsigned i = 0; i < d->n_fields; i++) {
 		const ProtobufCFieldDescriptor *f = &d->fields[i];
-		const char *here = apr_psprintf(w->pool, "%s.%u", place, (unsigned)f->id);
+		const char *here = apr_psprintf(walk->pool, "%s.%u", place, (unsigned)f->id);
 
 		if (is_alternative(f)) {
-			uint32_t *chosen = (uint32_t *)(void *)((uint8_t *)m + f->quantifier_offset);
-			uint32_t one = is_root && w->one ? w->one : first_alternative(d, f);
+			uint32_t *chosen = (uint32_t *)(void *)((uint8_t *)message + f->quantifier_offset);
+			uint32_t one = is_root && walk->one ? walk->one : first_alternative(d, f);
 
 			if (one != f->id)
 				continue;
-			if (!w->check) {
+			if (!walk->check) {
 				*chosen = one;
 			} else if (*chosen != one) {
-				differs(w, here);
+				instances_differ(walk, here);
 				continue;
 			}
 		}
-		walk_field(w, f, (uint8_t *)m, here);
+		walk_field(walk, f, (uint8_t *)message, here);
 	}
 }
 
 ProtobufCMessage *walk_fill(enum walk_root root, uint32_t one, apr_pool_t *pool)
 {
-	struct walk w = { .pool = pool, .one = one };
-	ProtobufCMessage *m = apr_pcalloc(pool, walk_roots[root]->sizeof_message);
+	struct walk walk = { .pool = pool, .one = one };
+	ProtobufCMessage *message = apr_pcalloc(pool, walk_roots[root]->sizeof_message);
 
-	walk_roots[root]->message_init(m);
-	walk_message(&w, m, apr_psprintf(pool, "%d", root), 1);
-	return m;
+	walk_roots[root]->message_init(message);
+	walk_message(&walk, message, apr_psprintf(pool, "%d", root), 1);
+	return message;
 }
 
 const char *walk_check(enum walk_root root, uint32_t one, ProtobufCMessage *message, apr_pool_t *pool)
 {
-	struct walk w = { .pool = pool, .one = one, .check = 1 };
+	struct walk walk = { .pool = pool, .one = one, .check = 1 };
 
-	walk_message(&w, message, apr_psprintf(pool, "%d", root), 1);
-	return w.bad;
+	walk_message(&walk, message, apr_psprintf(pool, "%d", root), 1);
+	return walk.bad;
 }
 
 /* ---- the fields that there are ---- */
@@ -298,7 +298,7 @@
 	return s;
 }
 
-static char *dump_message(char *text, const ProtobufCMessage *m, const char *place, apr_pool_t *pool);
+static char *dump_message(char *text, const ProtobufCMessage *message, const char *place, apr_pool_t *pool);
 
 static char *dump_value(char *text, const ProtobufCFieldDescriptor *f, const void *at, const char *place, int listed,
 			apr_pool_t *pool)
@@ -307,12 +307,12 @@
 	const char *value;
 
 	if (f->type == PROTOBUF_C_TYPE_MESSAGE) {
-		ProtobufCMessage *const *m = at;
+		ProtobufCMessage *const *message = at;
 
-		if (!*m)
+		if (!*message)
 			return text;
 		text = add_text(text, apr_psprintf(pool, "%s:\n", place));
-		return dump_message(text, *m, place, pool);
+		return dump_message(text, *message, place, pool);
 	}
 	if (f->type == PROTOBUF_C_TYPE_STRING) {
 		const char *s = *(char *const *)at;
@@ -337,10 +337,10 @@
 	return add_text(text, apr_psprintf(pool, "%s = %s\n", place, value));
 }
 
-static char *dump_message(char *text, const ProtobufCMessage *m, const char *place, apr_pool_t *pool)
+static char *dump_message(char *text, const ProtobufCMessage *message, const char *place, apr_pool_t *pool)
 {
-	const ProtobufCMessageDescriptor *d = m->descriptor;
-	const uint8_t *bytes = (const uint8_t *)m;
+	const ProtobufCMessageDescriptor *d = message->descriptor;
+	const uint8_t *bytes = (const uint8_t *)message;
 
 	for (unsigned i = 0; i < d->n_fields; i++) {
 		const ProtobufCFieldDescriptor *f = &d->fields[i];
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -33,283 +33,283 @@
 
 /* ---- steps ---- */
 
-static void wait_for_sync(struct world *w)
+static void wait_for_sync(struct world *world)
 {
-	struct shell_ev *e = ring_pop(w->ring, SYNC_LIMIT_MS);
-	struct controller_ev ev;
+	struct shell_event *event = ring_pop(world->ring, SYNC_LIMIT_MS);
+	struct controller_event ev;
 
-	must(e && e->kind == EV_SYNCED, "no sync");
+	must(event && event->kind == SHELL_EVENT_SYNCED, "no sync");
 	memset(&ev, 0, sizeof ev);
 	ev.kind = CONTROLLER_SYNCED;
-	ev.u.synced.part = e->part;
-	ev.u.synced.seq = e->seq;
-	arrput(w->synced, ev);
-	shell_ev_free(e);
+	ev.payload.synced.shard = event->shard;
+	ev.payload.synced.sequence = event->sequence;
+	arrput(world->synced, ev);
+	shell_event_free(event);
 }
 
-static void take_answer(struct world *w, const struct cmd *c)
+static void take_answer(struct world *world, const struct command *command)
 {
-	size_t n = c->u.answer.len ? c->u.answer.len : strlen(c->u.answer.body);
+	size_t n = command->args.answer.len ? command->args.answer.len : strlen(command->args.answer.body);
 
-	if (c->u.answer.token != w->token)
+	if (command->args.answer.token != world->token)
 		return;
-	must(!w->answer.status, "two answers");
-	w->answer.status = c->u.answer.status;
-	w->answer.body = apr_pstrmemdup(w->pool, c->u.answer.body, n);
-	w->answer.len = n;
+	must(!world->answer.status, "two answers");
+	world->answer.status = command->args.answer.status;
+	world->answer.body = apr_pstrmemdup(world->pool, command->args.answer.body, n);
+	world->answer.len = n;
 }
 
 /* A claim's answer goes to its router. */
-static void take_message(struct world *w, const struct cmd *c)
+static void take_message(struct world *world, const struct command *command)
 {
-	struct Nl__Msg *m = c->u.send.msg;
+	struct Nl__Msg *message = command->args.send.msg;
 
-	if (c->u.send.addr == w->controller.addr)
-		arrput(w->arriving, (struct Nl__Msg *)core_dup(w->pool, &m->base));
-	else if (c->u.send.addr == ROUTER && m->body_case == NL__MSG__BODY_ANSWER && m->answer->token == w->token) {
-		w->answer.status = 1;
-		w->answer.outcome = m->answer->status;
+	if (command->args.send.addr == world->controller.addr)
+		arrput(world->arriving, (struct Nl__Msg *)core_copy_message(world->pool, &message->base));
+	else if (command->args.send.addr == ROUTER && message->body_case == NL__MSG__BODY_ANSWER && message->answer->token == world->token) {
+		world->answer.status = 1;
+		world->answer.outcome = message->answer->status;
 	}
 }
 
 static void perform(struct world *w)
 {
 	if (w->controller.fleet_dirty)
-		must(store_identity(w->store, w->controller.id, w->controller.fleet), "no identity written");
+		must(storage_write_identity(w->store, w->controller.id, w->controller.fleet), "no identity written");
 	w->controller.fleet_dirty = 0;
-	for (ptrdiff_t i = 0; i < arrlen(w->out.v); i++)
-		switch (w->out.v[i].kind) {
+	for (ptrdiff_t i = 0; i < arrlen(w->out.commands); i++)
+		switch (w->out.commands[i].kind) {
 		case CMD_PERSIST:
-			store_write(w->store, w->out.v[i].u.persist);
+			storage_write(w->store, w->out.commands[i].args.persist);
 			wait_for_sync(w);
 			break;
-		case CMD_SEND: take_message(w, &w->out.v[i]); break;
-		case CMD_ANSWER: take_answer(w, &w->out.v[i]); break;
+		case CMD_SEND: take_message(w, &w->out.commands[i]); break;
+		case CMD_ANSWER: take_answer(w, &w->out.commands[i]); break;
 		default: break;
 		}
-	out_clear(&w->out);
+	command_list_clear(&w->out);
 }
 
-static void step_once(struct world *w, const struct controller_ev *ev)
+static void step_once(struct world *world, const struct controller_event *event)
 {
-	w->controller.wall = DAY_MS + w->now;
-	controller_step(&w->controller, ev, w->now, &w->out);
-	perform(w);
+	world->controller.wall_clock_ms = DAY_MS + world->now;
+	controller_step(&world->controller, event, world->now, &world->out);
+	perform(world);
 }
 
-void world_step(struct world *w, const struct controller_ev *ev)
+void world_step(struct world *world, const struct controller_event *event)
 {
-	step_once(w, ev);
-	while (arrlen(w->synced) || arrlen(w->arriving)) {
-		struct controller_ev next;
+	step_once(world, event);
+	while (arrlen(world->synced) || arrlen(world->arriving)) {
+		struct controller_event next;
 
 		memset(&next, 0, sizeof next);
-		if (arrlen(w->synced)) {
-			next = w->synced[0];
-			arrdel(w->synced, 0);
+		if (arrlen(world->synced)) {
+			next = world->synced[0];
+			arrdel(world->synced, 0);
 		} else {
-			next.kind = CONTROLLER_MSG;
-			next.u.msg = w->arriving[0];
-			arrdel(w->arriving, 0);
+			next.kind = CONTROLLER_MESSAGE;
+			next.payload.message = world->arriving[0];
+			arrdel(world->arriving, 0);
 		}
-		step_once(w, &next);
+		step_once(world, &next);
 	}
 }
 
-void world_run(struct world *w, int64_t ms)
+void world_run(struct world *world, int64_t ms)
 {
-	for (int64_t end = w->now + ms; w->now < end;) {
-		w->now += STEP_MS;
-		world_step(w, &(struct controller_ev){ .kind = CONTROLLER_TICK });
+	for (int64_t end = world->now + ms; world->now < end;) {
+		world->now += STEP_MS;
+		world_step(world, &(struct controller_event){ .kind = CONTROLLER_TICK });
 	}
 }
 
-static void begin_controller(struct world *w)
+static void begin_controller(struct world *world)
 {
 	uint64_t seeds[1] = { ADDRESS + WORLD_SELF };
 
-	controller_open(&w->controller, w->found.id, ADDRESS + WORLD_SELF, "z1", seeds, 1, w->found.fleet, RANDOM_SEED,
-			w->found.ptr, w->now);
-	w->controller.codec = &platform_tongue;
+	controller_open(&world->controller, world->found.node_id, ADDRESS + WORLD_SELF, "z1", seeds, 1, world->found.fleet_id, RANDOM_SEED,
+			world->found.shard_pointers, world->now);
+	world->controller.codec = &platform_codec;
 }
 
-const char *world_open(struct world *w, const char *folder)
+const char *world_open(struct world *world, const char *folder)
 {
 	const char *why = NULL;
 
-	memset(w, 0, sizeof *w);
-	apr_pool_create(&w->pool, NULL);
-	apr_pool_create(&w->out.p, NULL);
-	w->now = BEGIN_MS;
-	ring_open(&w->ring, 64, w->pool);
-	w->store = store_open(folder, NULL, w->ring, &w->found, &why, w->pool);
-	if (!w->store)
+	memset(world, 0, sizeof *world);
+	apr_pool_create(&world->pool, NULL);
+	apr_pool_create(&world->out.pool, NULL);
+	world->now = BEGIN_MS;
+	ring_open(&world->ring, 64, world->pool);
+	world->store = storage_open(folder, NULL, world->ring, &world->found, &why, world->pool);
+	if (!world->store)
 		return why;
-	if (!w->found.id) {
-		w->found.id = WORLD_SELF;
-		must(store_identity(w->store, w->found.id, 0), "no identity written");
+	if (!world->found.node_id) {
+		world->found.node_id = WORLD_SELF;
+		must(storage_write_identity(world->store, world->found.node_id, 0), "no identity written");
 	}
-	begin_controller(w);
+	begin_controller(world);
 	return NULL;
 }
 
-void world_close(struct world *w)
+void world_close(struct world *world)
 {
-	if (w->store) {
-		controller_close(&w->controller);
-		store_close(w->store);
+	if (world->store) {
+		controller_close(&world->controller);
+		storage_close(world->store);
 	}
-	arrfree(w->out.v);
-	arrfree(w->arriving);
-	arrfree(w->synced);
-	apr_pool_destroy(w->out.p);
-	apr_pool_destroy(w->pool);
+	arrfree(world->out.commands);
+	arrfree(world->arriving);
+	arrfree(world->synced);
+	apr_pool_destroy(world->out.pool);
+	apr_pool_destroy(world->pool);
 }
 
 /* ---- what others say ---- */
 
-void world_hear(struct world *w, uint64_t from, struct Nl__Msg *message)
+void world_hear(struct world *world, uint64_t from, struct Nl__Msg *message)
 {
-	struct controller_ev ev;
+	struct controller_event event;
 
-	memset(&ev, 0, sizeof ev);
+	memset(&event, 0, sizeof event);
 	message->speak = CORE_SPEAK;
 	message->id = from;
 	message->addr = from == ROUTER ? ROUTER : ADDRESS + from;
-	message->fleet = w->controller.fleet;
-	ev.kind = CONTROLLER_MSG;
-	ev.u.msg = message;
-	world_step(w, &ev);
+	message->fleet = world->controller.fleet;
+	event.kind = CONTROLLER_MESSAGE;
+	event.payload.message = message;
+	world_step(world, &event);
 }
 
-void world_bootstrap(struct world *w, int members)
+void world_bootstrap(struct world *world, int members)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__Found f = NL__FOUND__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__Found found = NL__FOUND__INIT;
 	struct Nl__Members all = NL__MEMBERS__INIT;
-	struct Nl__Member v[WORLD_MEMBERS_MOST], *p[WORLD_MEMBERS_MOST];
+	struct Nl__Member v[WORLD_MEMBERS_MOST], *member[WORLD_MEMBERS_MOST];
 
 	for (int i = 0; i < members; i++) {
 		nl__member__init(&v[i]);
 		v[i].id = (uint64_t)i + 1;
 		v[i].addr = ADDRESS + v[i].id;
 		v[i].voter = 1;
-		p[i] = &v[i];
+		member[i] = &v[i];
 	}
 	all.n_m = (size_t)members;
-	all.m = p;
-	f.fleet = WORLD_FLEET;
-	f.members = &all;
-	m.body_case = NL__MSG__BODY_FOUND;
-	m.found = &f;
-	world_hear(w, WORLD_SELF, &m);
-	must(w->controller.fleet == WORLD_FLEET, "no fleet begun");
+	all.m = member;
+	found.fleet = WORLD_FLEET;
+	found.members = &all;
+	message.body_case = NL__MSG__BODY_FOUND;
+	message.found = &found;
+	world_hear(world, WORLD_SELF, &message);
+	must(world->controller.fleet == WORLD_FLEET, "no fleet begun");
 }
 
 /* ---- operators and routers ---- */
 
-static int wait_for_answer(struct world *w, const struct controller_ev *ev)
+static int wait_for_answer(struct world *world, const struct controller_event *event)
 {
-	w->answer.status = 0;
-	world_step(w, ev);
-	for (int64_t end = w->now + CALL_LIMIT_MS; !w->answer.status && w->now < end;)
-		world_run(w, STEP_MS);
-	return w->answer.status;
+	world->answer.status = 0;
+	world_step(world, event);
+	for (int64_t end = world->now + CALL_LIMIT_MS; !world->answer.status && world->now < end;)
+		world_run(world, STEP_MS);
+	return world->answer.status;
 }
 
-int world_call(struct world *w, const char *method, const char *path, const char *body, const char *key)
+int world_call(struct world *world, const char *method, const char *path, const char *body, const char *key)
 {
-	struct controller_ev ev;
-
-	memset(&ev, 0, sizeof ev);
-	ev.kind = CONTROLLER_WEB;
-	ev.u.web.token = ++w->token;
-	ev.u.web.verb = method;
-	ev.u.web.path = path;
-	ev.u.web.body = body;
-	ev.u.web.key = key;
-	return wait_for_answer(w, &ev);
+	struct controller_event event;
+
+	memset(&event, 0, sizeof event);
+	event.kind = CONTROLLER_API_CALL;
+	event.payload.api_call.token = ++world->token;
+	event.payload.api_call.method = method;
+	event.payload.api_call.path = path;
+	event.payload.api_call.body = body;
+	event.payload.api_call.idempotency_key = key;
+	return wait_for_answer(world, &event);
 }
 
-int world_document(struct world *w, const char *body, int patch, uint64_t base)
+int world_document(struct world *world, const char *body, int patch, uint64_t base)
 {
-	struct controller_ev ev;
-
-	memset(&ev, 0, sizeof ev);
-	ev.kind = CONTROLLER_DOC;
-	ev.u.doc.token = ++w->token;
-	ev.u.doc.base = base;
-	ev.u.doc.patch = patch;
-	ev.u.doc.body = body;
-	ev.u.doc.len = strlen(body);
-	return wait_for_answer(w, &ev);
+	struct controller_event event;
+
+	memset(&event, 0, sizeof event);
+	event.kind = CONTROLLER_PUT_DOCUMENT;
+	event.payload.document.token = ++world->token;
+	event.payload.document.base_version = base;
+	event.payload.document.is_patch = patch;
+	event.payload.document.body = body;
+	event.payload.document.body_bytes = strlen(body);
+	return wait_for_answer(world, &event);
 }
 
-int world_read_document(struct world *w)
+int world_read_document(struct world *world)
 {
-	struct controller_ev ev;
+	struct controller_event event;
 
-	memset(&ev, 0, sizeof ev);
-	ev.kind = CONTROLLER_READ;
-	ev.u.read.token = ++w->token;
-	return wait_for_answer(w, &ev);
+	memset(&event, 0, sizeof event);
+	event.kind = CONTROLLER_READ_DOCUMENT;
+	event.payload.read.token = ++world->token;
+	return wait_for_answer(world, &event);
 }
 
-int world_name_weights(struct world *w, const char *model, const char *weights)
+int world_name_weights(struct world *world, const char *model, const char *weights)
 {
-	struct controller_ev ev;
-
-	memset(&ev, 0, sizeof ev);
-	ev.kind = CONTROLLER_NAME;
-	ev.u.name.token = ++w->token;
-	ev.u.name.model = model;
-	ev.u.name.weights = weights;
-	return wait_for_answer(w, &ev);
+	struct controller_event event;
+
+	memset(&event, 0, sizeof event);
+	event.kind = CONTROLLER_SET_TARGET_WEIGHTS;
+	event.payload.target.token = ++world->token;
+	event.payload.target.model = model;
+	event.payload.target.weights = weights;
+	return wait_for_answer(world, &event);
 }
 
-void world_log(struct world *w, uint32_t part, const struct Nl__Op *op)
+void world_log(struct world *world, uint32_t part, const struct Nl__Op *operation)
 {
-	struct raft *raft = &w->controller.part[part];
+	struct raft *raft = &world->controller.shards[part];
 	size_t n;
-	const uint8_t *d = core_pack(w->pool, &op->base, &n);
-	uint64_t index = raft_propose(raft, d, n, w->now);
+	const uint8_t *d = core_pack_message(world->pool, &operation->base, &n);
+	uint64_t index = raft_propose(raft, d, n, world->now);
 
 	must(index != 0, "it does not lead");
-	for (int i = 0; raft->applied < index; i++) {
-		world_run(w, STEP_MS);
+	for (int i = 0; raft->applied_index < index; i++) {
+		world_run(world, STEP_MS);
 		must(i < CALL_LIMIT_MS / STEP_MS, "nothing is applied");
 	}
 }
 
-uint32_t world_claim(struct world *w, const char *service, const struct Nl__Claim *claim)
+uint32_t world_claim(struct world *world, const char *service, const struct Nl__Claim *claim)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__Propose q = NL__PROPOSE__INIT;
-	struct Nl__Op op = NL__OP__INIT;
-
-	op.op_case = NL__OP__OP_CLAIM;
-	op.claim = (struct Nl__Claim *)(uintptr_t)claim;
-	q.token = op.token = ++w->token;
-	op.from = ROUTER;
-	q.op = &op;
-	m.body_case = NL__MSG__BODY_PROPOSE;
-	m.propose = &q;
-	m.part = core_part_of(service, SHARD_SERVICES);
-	w->answer.status = 0;
-	world_hear(w, ROUTER, &m);
-	for (int64_t end = w->now + CALL_LIMIT_MS; !w->answer.status && w->now < end;)
-		world_run(w, STEP_MS);
-	must(w->answer.status == 1, "a claim is not answered");
-	return w->answer.outcome;
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__Propose propose = NL__PROPOSE__INIT;
+	struct Nl__Op operation = NL__OP__INIT;
+
+	operation.op_case = NL__OP__OP_CLAIM;
+	operation.claim = (struct Nl__Claim *)(uintptr_t)claim;
+	propose.token = operation.token = ++world->token;
+	operation.from = ROUTER;
+	propose.op = &operation;
+	message.body_case = NL__MSG__BODY_PROPOSE;
+	message.propose = &propose;
+	message.part = core_shard_of(service, SHARD_SERVICES);
+	world->answer.status = 0;
+	world_hear(world, ROUTER, &message);
+	for (int64_t end = world->now + CALL_LIMIT_MS; !world->answer.status && world->now < end;)
+		world_run(world, STEP_MS);
+	must(world->answer.status == 1, "a claim is not answered");
+	return world->answer.outcome;
 }
 
 /* ---- what a folder holds ---- */
 
 static const char *unpacked(enum walk_root root, const uint8_t *d, size_t n, const char *place, apr_pool_t *pool)
 {
-	ProtobufCMessage *m = core_unpack(pool, walk_roots[root], n, d);
+	ProtobufCMessage *message = core_unpack_message(pool, walk_roots[root], n, d);
 
-	return m ? walk_dump(m, place, pool) : apr_psprintf(pool, "%s: unreadable\n", place);
+	return message ? walk_dump(message, place, pool) : apr_psprintf(pool, "%s: unreadable\n", place);
 }
 
 static enum walk_root state_root(uint32_t part)
@@ -317,109 +317,109 @@
 	return part == SHARD_CONTROL ? WALK_CONTROL_STATE : part == SHARD_PURGE ? WALK_PURGE_STATE : WALK_SERVICE_STATE;
 }
 
-static const char *entry_text(const struct raft_entry *e, uint64_t index, uint32_t part, apr_pool_t *pool)
+static const char *entry_text(const struct raft_entry *entry, uint64_t index, uint32_t part, apr_pool_t *pool)
 {
 	const char *place = apr_psprintf(pool, "shard %u entry %" PRIu64, part, index);
-	const char *head = apr_psprintf(pool, "%s: term %" PRIu64 " kind %u\n", place, e->term, e->kind), *data = "";
-
-	if (e->kind == RAFT_ENTRY_OPERATION)
-		data = unpacked(WALK_OPERATION, e->data, e->len, place, pool);
-	else if (e->kind == RAFT_ENTRY_MEMBERS)
-		data = unpacked(WALK_MEMBERS, e->data, e->len, place, pool);
-	else if (e->len)
-		data = apr_psprintf(pool, "%s: %u bytes\n", place, (unsigned)e->len);
+	const char *head = apr_psprintf(pool, "%s: term %" PRIu64 " kind %u\n", place, entry->term, entry->kind), *data = "";
+
+	if (entry->kind == RAFT_ENTRY_OPERATION)
+		data = unpacked(WALK_OPERATION, entry->data, entry->len, place, pool);
+	else if (entry->kind == RAFT_ENTRY_MEMBERS)
+		data = unpacked(WALK_MEMBERS, entry->data, entry->len, place, pool);
+	else if (entry->len)
+		data = apr_psprintf(pool, "%s: %u bytes\n", place, (unsigned)entry->len);
 	return apr_pstrcat(pool, head, data, NULL);
 }
 
-const char *world_records(const struct store_found *found, apr_pool_t *pool)
+const char *world_records(const struct stored_state *found, apr_pool_t *pool)
 {
-	const char *text = apr_psprintf(pool, "identity %" PRIu64 " fleet %" PRIu64 "\n", found->id, found->fleet);
+	const char *text = apr_psprintf(pool, "identity %" PRIu64 " fleet %" PRIu64 "\n", found->node_id, found->fleet_id);
 
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		const struct raft_saved *s = &found->part[i];
+		const struct raft_saved *saved = &found->shards[i];
 		const char *place = apr_psprintf(pool, "shard %u snapshot", i);
 
-		text = apr_psprintf(pool, "%sshard %u: term %" PRIu64 " vote %" PRIu64 "\n", text, i, s->term, s->vote);
-		if (s->base)
+		text = apr_psprintf(pool, "%sshard %u: term %" PRIu64 " vote %" PRIu64 "\n", text, i, saved->term, saved->vote);
+		if (saved->snapshot_index)
 			text = apr_psprintf(
-			    pool, "%s%s: up to %" PRIu64 " of term %" PRIu64 "\n%s%s", text, place, s->base, s->base_term,
-			    unpacked(WALK_MEMBERS, s->members, s->members_len, apr_pstrcat(pool, place, " members", NULL), pool),
-			    unpacked(state_root(i), s->data, s->data_len, apr_pstrcat(pool, place, " state", NULL), pool));
-		for (size_t k = 0; k < s->n; k++)
-			text = apr_pstrcat(pool, text, entry_text(&s->e[k], s->log_from + k, i, pool), NULL);
+			    pool, "%s%s: up to %" PRIu64 " of term %" PRIu64 "\n%s%s", text, place, saved->snapshot_index, saved->snapshot_term,
+			    unpacked(WALK_MEMBERS, saved->members, saved->members_len, apr_pstrcat(pool, place, " members", NULL), pool),
+			    unpacked(state_root(i), saved->data, saved->data_len, apr_pstrcat(pool, place, " state", NULL), pool));
+		for (size_t k = 0; k < saved->entry_count; k++)
+			text = apr_pstrcat(pool, text, entry_text(&saved->entries[k], saved->first_index + k, i, pool), NULL);
 	}
 	return text;
 }
 
-const char *world_state(struct world *w, apr_pool_t *pool)
+const char *world_state(struct world *world, apr_pool_t *pool)
 {
 	const char *text = "";
 
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		const struct raft_saved *s = &w->found.part[i];
+		const struct raft_saved *saved = &world->found.shards[i];
 		const uint8_t *d;
 		size_t n;
 
-		if (s->base)
-			snapshot_load(&w->controller, i, pool);
-		for (size_t k = 0; k < s->n; k++)
-			if (s->e[k].kind == RAFT_ENTRY_OPERATION && s->log_from + k > s->base)
-				(void)state_machine_apply(&w->controller, i, s->log_from + k, &s->e[k], w->now, &w->out);
-		d = controller_state(&w->controller, i, pool, &n);
+		if (saved->snapshot_index)
+			snapshot_load(&world->controller, i, pool);
+		for (size_t k = 0; k < saved->entry_count; k++)
+			if (saved->entries[k].kind == RAFT_ENTRY_OPERATION && saved->first_index + k > saved->snapshot_index)
+				(void)state_machine_apply(&world->controller, i, saved->first_index + k, &saved->entries[k], world->now, &world->out);
+		d = controller_state(&world->controller, i, pool, &n);
 		text = apr_pstrcat(pool, text, unpacked(state_root(i), d, n, apr_psprintf(pool, "shard %u", i), pool), NULL);
 	}
-	out_clear(&w->out);
+	command_list_clear(&world->out);
 	return text;
 }
 
-static void copy_shard(struct store *store, uint32_t part, const struct raft_saved *s, apr_pool_t *pool)
+static void copy_shard(struct storage *store, uint32_t part, const struct raft_saved *saved, apr_pool_t *pool)
 {
 	struct persist w;
 
 	memset(&w, 0, sizeof w);
-	w.part = part;
+	w.shard = part;
 	w.seq = 1;
-	w.term = s->term;
-	w.vote = s->vote;
-	w.n = s->n;
-	w.e = apr_pcalloc(pool, (s->n + 1) * sizeof *w.e);
-	for (size_t k = 0; k < s->n; k++)
-		w.e[k] = (struct persist_entry){ s->log_from + k, s->e[k].term, s->e[k].kind, s->e[k].len, s->e[k].data };
-	if (s->base) {
-		w.snap = 1;
-		w.base = s->base;
-		w.base_term = s->base_term;
-		w.members = s->members;
-		w.members_len = s->members_len;
-		w.data = s->data;
-		w.data_len = s->data_len;
+	w.term = saved->term;
+	w.vote = saved->vote;
+	w.entry_count = saved->entry_count;
+	w.entries = apr_pcalloc(pool, (saved->entry_count + 1) * sizeof *w.entries);
+	for (size_t k = 0; k < saved->entry_count; k++)
+		w.entries[k] = (struct persist_entry){ saved->first_index + k, saved->entries[k].term, saved->entries[k].kind, saved->entries[k].len, saved->entries[k].data };
+	if (saved->snapshot_index) {
+		w.has_snapshot = 1;
+		w.snapshot_index = saved->snapshot_index;
+		w.snapshot_term = saved->snapshot_term;
+		w.members = saved->members;
+		w.members_len = saved->members_len;
+		w.data = saved->data;
+		w.data_len = saved->data_len;
 	}
-	store_write(store, &w);
+	storage_write(store, &w);
 }
 
-void world_copy(const struct store_found *found, const char *folder)
+void world_copy(const struct stored_state *found, const char *folder)
 {
-	struct store_found none;
+	struct stored_state none;
 	const char *why = NULL;
-	struct store *store;
+	struct storage *store;
 	struct ring *ring;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, NULL);
 	ring_open(&ring, 64, pool);
-	store = store_open(folder, NULL, ring, &none, &why, pool);
-	must(store && !none.id, "the new folder is none");
-	must(store_identity(store, found->id, found->fleet), "no identity written");
+	store = storage_open(folder, NULL, ring, &none, &why, pool);
+	must(store && !none.node_id, "the new folder is none");
+	must(storage_write_identity(store, found->node_id, found->fleet_id), "no identity written");
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		struct shell_ev *e;
+		struct shell_event *event;
 
-		if (!found->part[i].term)
+		if (!found->shards[i].term)
 			continue;
-		copy_shard(store, i, &found->part[i], pool);
-		e = ring_pop(ring, SYNC_LIMIT_MS);
-		must(e && e->kind == EV_SYNCED, "no sync");
-		shell_ev_free(e);
+		copy_shard(store, i, &found->shards[i], pool);
+		event = ring_pop(ring, SYNC_LIMIT_MS);
+		must(event && event->kind == SHELL_EVENT_SYNCED, "no sync");
+		shell_event_free(event);
 	}
-	store_close(store);
+	storage_close(store);
 	apr_pool_destroy(pool);
 }
--- a/tests/test_check.c
+++ b/tests/test_check.c
@@ -64,15 +64,15 @@
 	return rc;
 }
 
-static void a_good_run_is_good(void **st)
+static void a_good_run_is_good(void **state)
 {
-	struct check_result r;
+	struct check_result result;
 
-	(void)st;
-	if (!judge(&r, -1, NULL, 0))
-		fail_msg("%s", r.text);
-	if (!judge(&r, -1, NULL, 1)) /* in whatever order the lines stand */
-		fail_msg("%s", r.text);
+	(void)state;
+	if (!judge(&result, -1, NULL, 0))
+		fail_msg("%s", result.text);
+	if (!judge(&result, -1, NULL, 1)) /* in whatever order the lines stand */
+		fail_msg("%s", result.text);
 }
 
 #define SENT(t, sv, x, id, no) \
@@ -237,30 +237,30 @@
 	  { "platform {\"t\":500,\"ev\":\"fault\",\"what\":\"f\"}" } },
 };
 
-static void each_letter_is_caught(void **st)
+static void each_rule_is_caught(void **state)
 {
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
-		struct check_result r;
-		char want[20];
+		struct check_result result;
+		char expected[20];
 
-		snprintf(want, sizeof want, "BREACH %c", cases[i].letter);
-		if (judge(&r, cases[i].drop, cases[i].bad, 0) || !r.breaches || !strstr(r.text, want))
-			fail_msg("case %d: no %s in: %s", (int)i, want, r.text);
-		(void)judge(&r, cases[i].drop, cases[i].mended, 0);
-		if (r.breaches)
-			fail_msg("case %d, mended: %s", (int)i, r.text);
+		snprintf(expected, sizeof expected, "BREACH %c", cases[i].letter);
+		if (judge(&result, cases[i].drop, cases[i].bad, 0) || !result.violations || !strstr(result.text, expected))
+			fail_msg("case %d: no %s in: %s", (int)i, expected, result.text);
+		(void)judge(&result, cases[i].drop, cases[i].mended, 0);
+		if (result.violations)
+			fail_msg("case %d, mended: %s", (int)i, result.text);
 	}
 }
 
 /* Sixteen resends for as many sends in a moment, hidden in a long run of single sends. */
-static void bursts_of_resends_are_caught(void **st)
+static void bursts_of_resends_are_caught(void **state)
 {
-	(void)st;
+	(void)state;
 	for (int burst = 0; burst < 2; burst++) {
 		static char text[900][200];
 		const char *line[900] = { 0 };
-		struct check_result r;
+		struct check_result result;
 		int n = 0;
 
 		for (int i = 0; i < 220; i++) {
@@ -283,13 +283,13 @@
 			line[n] = text[n];
 			n++;
 		}
-		assert_int_equal(judge(&r, -1, line, 0), !burst);
-		assert_true(!burst == !strstr(r.text, "BREACH J"));
+		assert_int_equal(judge(&result, -1, line, 0), !burst);
+		assert_true(!burst == !strstr(result.text, "BREACH J"));
 	}
 }
 
 /* What is torn, missing, or of a kind that nobody knows is undecided, and never good. */
-static void holes_are_undecided(void **st)
+static void holes_are_undecided(void **state)
 {
 	static const char *const torn[] = { "server-s1 {\"t\":1300,\"ev\":\"sent\",\"ser", NULL }, *const untimed[] = {
 		"callers {\"ev\":\"closed\"}", NULL
@@ -301,18 +301,18 @@
 	static const char *const missed[] = { "platform {\"t\":25,\"ev\":\"missed\",\"what\":\"it\"}", NULL };
 	const char *const *more[] = { torn, untimed, unknown, untold, silent, missed };
 	static const int needed[] = { 1, 9, 10, 11, 12 }; /* server's records, probe, table, closed, finished */
-	struct check_result r;
+	struct check_result result;
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof more / sizeof *more; i++) {
-		assert_false(judge(&r, -1, more[i], 0));
-		if (!r.undecided || r.breaches)
-			fail_msg("hole %d: %s", (int)i, r.text);
+		assert_false(judge(&result, -1, more[i], 0));
+		if (!result.undecided || result.violations)
+			fail_msg("hole %d: %s", (int)i, result.text);
 	}
 	for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
-		assert_false(judge(&r, needed[i], NULL, 0));
-		if (!r.undecided)
-			fail_msg("without line %d: %s", needed[i], r.text);
+		assert_false(judge(&result, needed[i], NULL, 0));
+		if (!result.undecided)
+			fail_msg("without line %d: %s", needed[i], result.text);
 	}
 }
 
@@ -320,7 +320,7 @@
 {
 	const struct CMUnitTest t[] = {
 		cmocka_unit_test(a_good_run_is_good),
-		cmocka_unit_test(each_letter_is_caught),
+		cmocka_unit_test(each_rule_is_caught),
 		cmocka_unit_test(bursts_of_resends_are_caught),
 		cmocka_unit_test(holes_are_undecided),
 	};
--- a/tests/test_clerk.c
+++ b/tests/test_clerk.c
@@ -83,19 +83,19 @@
 }
 
 /* Run clerk once; its exit code, and what it printed. */
-static int clerk(const char *arguments, char *output, size_t size)
+static int run_notchlugctl(const char *arguments, char *output, size_t size)
 {
 	char command[600];
 	size_t n = 0;
-	FILE *f;
+	FILE *file;
 	int status;
 
 	snprintf(command, sizeof command, "%s %s 2>&1", CLERK, arguments);
-	f = popen(command, "r");
-	assert_non_null(f);
-	n = fread(output, 1, size - 1, f);
+	file = popen(command, "r");
+	assert_non_null(file);
+	n = fread(output, 1, size - 1, file);
 	output[n] = 0;
-	status = pclose(f);
+	status = pclose(file);
 	assert_true(WIFEXITED(status));
 	return WEXITSTATUS(status);
 }
@@ -111,14 +111,14 @@
 	r->listener = listen_at(address);
 	assert_int_equal(pthread_create(&thread, NULL, serve, r), 0);
 	snprintf(all, sizeof all, arguments, address);
-	code = clerk(all, output, size);
+	code = run_notchlugctl(all, output, size);
 	shutdown(r->listener, SHUT_RDWR);
 	close(r->listener);
 	pthread_join(thread, NULL);
 	return code;
 }
 
-static const char *key_of(const struct registrar *r, int call, char key[200])
+static const char *row_key(const struct registrar *r, int call, char key[200])
 {
 	const char *at = strstr(r->request[call], "Idempotency-Key: ");
 
@@ -127,7 +127,7 @@
 	return key;
 }
 
-static void an_order_is_sent_again_under_one_key(void **state)
+static void a_request_is_sent_again_under_one_key(void **state)
 {
 	static const char *const script[] = { lost, ANSWER("503 Service Unavailable", "{\"error\":\"no leader\"}"),
 					      ANSWER("504 Gateway Timeout", "{\"error\":\"outcome unknown\"}"),
@@ -139,22 +139,22 @@
 	assert_int_equal(against(&r, script, "--at %s key add t secret", output, sizeof output), 0);
 	assert_non_null(strstr(output, "edition 7"));
 	assert_int_equal(r.calls, 4);
-	key_of(&r, 0, first);
+	row_key(&r, 0, first);
 	assert_true(strlen(first) >= 32);
 	for (int i = 1; i < 4; i++) {
-		assert_string_equal(key_of(&r, i, again), first);
+		assert_string_equal(row_key(&r, i, again), first);
 		assert_string_equal(strstr(r.request[i], "\r\n\r\n"), strstr(r.request[0], "\r\n\r\n"));
 	}
 	/* another order, another key */
 	assert_int_equal(against(&r, script + 3, "--at %s key add t secret", output, sizeof output), 0);
-	assert_string_not_equal(key_of(&r, 0, again), first);
+	assert_string_not_equal(row_key(&r, 0, again), first);
 	/* one that was given up before */
 	assert_int_equal(against(&r, script + 3, "--at %s --key earlier-1 key add t secret", output, sizeof output), 0);
-	assert_string_equal(key_of(&r, 0, again), "earlier-1");
+	assert_string_equal(row_key(&r, 0, again), "earlier-1");
 	/* clearing too */
 	assert_int_equal(against(&r, script, "--at %s clear all", output, sizeof output), 0);
 	assert_int_equal(r.calls, 4);
-	assert_string_equal(key_of(&r, 3, again), key_of(&r, 0, first));
+	assert_string_equal(row_key(&r, 3, again), row_key(&r, 0, first));
 }
 
 static void a_clear_refusal_ends_it(void **state)
@@ -176,12 +176,12 @@
 		assert_int_equal(against(&r, cases[i].script, "--at %s del tenant t", output, sizeof output), cases[i].code);
 		assert_int_equal(r.calls, 1);
 	}
-	assert_int_equal(clerk("--key 'no key' del tenant t", output, sizeof output), 2);
-	assert_int_equal(clerk("--at nowhere del tenant t", output, sizeof output), 2);
+	assert_int_equal(run_notchlugctl("--key 'no key' del tenant t", output, sizeof output), 2);
+	assert_int_equal(run_notchlugctl("--at nowhere del tenant t", output, sizeof output), 2);
 }
 
 /* A controller that is gone is not asked for ever: the next address is. */
-static void the_next_registrar_is_called(void **state)
+static void the_next_controller_is_called(void **state)
 {
 	static const char *const script[] = { ANSWER("200 OK", "{\"edition\":3}"), NULL };
 	static struct registrar r;
@@ -228,9 +228,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_order_is_sent_again_under_one_key),
+		cmocka_unit_test(a_request_is_sent_again_under_one_key),
 		cmocka_unit_test(a_clear_refusal_ends_it),
-		cmocka_unit_test(the_next_registrar_is_called),
+		cmocka_unit_test(the_next_controller_is_called),
 		cmocka_unit_test(a_read_is_made_again),
 		cmocka_unit_test(a_refused_read_ends),
 	};
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -16,30 +16,30 @@
 
 enum {
 	NAMES = 20,
-	EDITIONS = 400,
+	REVISIONS = 400,
 	TICK_MS = 25,
 	CHANGE_EVERY_MS = 150,
 	LEADER = 1,
 	FOLLOWER = 2,
 	SEEDS = 4,
 	DAY_MS = 30000,
-	WAY_LEAST_MS = 250,
-	WAY_SPREAD_MS = 500,
+	LINK_LEAST_MS = 250,
+	LINK_SPREAD_MS = 500,
 };
 
 /* A message under way: a request to a controller, or its answer. */
-struct letter {
-	int64_t due;
-	uint64_t to, token, have;
+struct envelope {
+	int64_t due_at;
+	uint64_t to, token, have_revision;
 	struct Nl__ConfigSyncReply *answer; /* NULL: a request */
 };
 
 struct world {
 	struct config_watch watch;
-	struct table leader;
-	struct letter *mail;             /* stb_ds */
-	uint32_t share[EDITIONS][NAMES]; /* by edition; 0: no such row */
-	int64_t changed_at[EDITIONS];    /* when the leader took that edition */
+	struct config_table leader;
+	struct envelope *mail;             /* stb_ds */
+	uint32_t share[REVISIONS][NAMES]; /* by edition; 0: no such row */
+	int64_t changed_at[REVISIONS];    /* when the leader took that edition */
 	uint64_t rng, requests_to_others;
 	apr_pool_t *pool;
 	struct out out;
@@ -52,37 +52,37 @@
 	return getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : n;
 }
 
-static uint64_t dice(struct world *w, uint64_t n) { return core_rand(&w->rng) % n; }
+static uint64_t random_below(struct world *w, uint64_t n) { return core_random(&w->rng) % n; }
 
-static void world_open(struct world *w, uint64_t seed)
+static void world_open(struct world *world, uint64_t seed)
 {
 	static const uint64_t seeds[SEEDS] = { LEADER, LEADER + 10, LEADER + 20, LEADER + 30 };
 
-	memset(w, 0, sizeof *w);
-	apr_pool_create(&w->pool, NULL);
-	apr_pool_create(&w->out.p, w->pool);
-	w->rng = seed;
-	w->now = 1000;
-	table_open(&w->leader);
-	config_watch_open(&w->watch, FOLLOWER, seeds, SEEDS, w->now);
+	memset(world, 0, sizeof *world);
+	apr_pool_create(&world->pool, NULL);
+	apr_pool_create(&world->out.pool, world->pool);
+	world->rng = seed;
+	world->now = 1000;
+	config_table_open(&world->leader);
+	config_watch_open(&world->watch, FOLLOWER, seeds, SEEDS, world->now);
 }
 
-static void world_close(struct world *w)
+static void world_close(struct world *world)
 {
-	config_watch_close(&w->watch);
-	table_close(&w->leader);
-	arrfree(w->mail);
-	arrfree(w->out.v);
-	apr_pool_destroy(w->pool);
+	config_watch_close(&world->watch);
+	config_table_close(&world->leader);
+	arrfree(world->mail);
+	arrfree(world->out.commands);
+	apr_pool_destroy(world->pool);
 }
 
 /* The leader sets or removes one row at random. */
-static void leader_changes(struct world *w)
+static void leader_changes(struct world *world)
 {
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *rows[1] = { &row };
 	char name[16];
-	uint64_t which = dice(w, NAMES), before = w->leader.edition;
+	uint64_t which = random_below(world, NAMES), before = world->leader.revision;
 
 	snprintf(name, sizeof name, "t%d", (int)which);
 	row.kind = NL__KIND__TENANT;
@@ -90,113 +90,113 @@
 	row.share = (uint32_t)before + 1;
 	row.limit = 1;
 	change.any = 1;
-	if (dice(w, 3)) {
+	if (random_below(world, 3)) {
 		change.set = rows;
 		change.n_set = 1;
 	} else {
 		change.del = rows;
 		change.n_del = 1;
 	}
-	assert_int_equal(table_apply(&w->leader, &change, NULL), TABLE_DONE);
-	assert_true(w->leader.edition < EDITIONS);
-	if (w->leader.edition == before)
+	assert_int_equal(config_table_apply(&world->leader, &change, NULL), PROPOSAL_DONE);
+	assert_true(world->leader.revision < REVISIONS);
+	if (world->leader.revision == before)
 		return;
-	memcpy(w->share[w->leader.edition], w->share[before], sizeof w->share[0]);
-	w->share[w->leader.edition][which] = change.n_set ? row.share : 0;
-	w->changed_at[w->leader.edition] = w->now;
+	memcpy(world->share[world->leader.revision], world->share[before], sizeof world->share[0]);
+	world->share[world->leader.revision][which] = change.n_set ? row.share : 0;
+	world->changed_at[world->leader.revision] = world->now;
 }
 
-static int64_t way(struct world *w) { return WAY_LEAST_MS + (int64_t)dice(w, WAY_SPREAD_MS); }
+static int64_t way(struct world *world) { return LINK_LEAST_MS + (int64_t)random_below(world, LINK_SPREAD_MS); }
 
-static void post_requests(struct world *w)
+static void post_requests(struct world *world)
 {
-	for (ptrdiff_t i = 0; i < arrlen(w->out.v); i++) {
-		const struct cmd *c = &w->out.v[i];
-		struct letter l = { w->now + way(w), c->u.send.addr, 0, 0, NULL };
-
-		assert_int_equal(c->kind, CMD_SEND);
-		l.token = c->u.send.msg->follow->token;
-		l.have = c->u.send.msg->follow->have;
-		w->requests_to_others += l.to != LEADER;
-		arrput(w->mail, l);
+	for (ptrdiff_t i = 0; i < arrlen(world->out.commands); i++) {
+		const struct command *command = &world->out.commands[i];
+		struct envelope letter = { world->now + way(world), command->args.send.addr, 0, 0, NULL };
+
+		assert_int_equal(command->kind, CMD_SEND);
+		letter.token = command->args.send.msg->follow->token;
+		letter.have_revision = command->args.send.msg->follow->have;
+		world->requests_to_others += letter.to != LEADER;
+		arrput(world->mail, letter);
 	}
-	out_clear(&w->out);
+	command_list_clear(&world->out);
 }
 
-static void post_answer(struct world *w, const struct letter *request)
+static void post_answer(struct world *world, const struct envelope *request)
 {
-	struct Nl__ConfigSyncReply *a = apr_palloc(w->pool, sizeof *a);
-	struct letter l = { w->now + way(w), FOLLOWER, request->token, 0, a };
-
-	nl__config_sync_reply__init(a);
-	a->token = request->token;
-	a->has_lease = request->to == LEADER;
-	a->hint = LEADER;
-	a->fleet = 7;
-	if (a->has_lease)
-		table_since(&w->leader, request->have, a, w->pool);
-	arrput(w->mail, l);
+	struct Nl__ConfigSyncReply *reply = apr_palloc(world->pool, sizeof *reply);
+	struct envelope letter = { world->now + way(world), FOLLOWER, request->token, 0, reply };
+
+	nl__config_sync_reply__init(reply);
+	reply->token = request->token;
+	reply->has_lease = request->to == LEADER;
+	reply->hint = LEADER;
+	reply->fleet = 7;
+	if (reply->has_lease)
+		config_table_since(&world->leader, request->have_revision, reply, world->pool);
+	arrput(world->mail, letter);
 }
 
-static void hand_over(struct world *w, struct letter *l)
+static void hand_over(struct world *world, struct envelope *letter)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
 
-	m.addr = LEADER;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = l->answer;
-	(void)config_watch_msg(&w->watch, &m, w->now, &w->out);
-	post_requests(w);
+	message.addr = LEADER;
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = letter->answer;
+	(void)config_watch_receive(&world->watch, &message, world->now, &world->out);
+	post_requests(world);
 }
 
-static void deliver(struct world *w)
+static void deliver(struct world *world)
 {
-	for (ptrdiff_t i = 0; i < arrlen(w->mail); i++) {
-		struct letter l = w->mail[i];
+	for (ptrdiff_t i = 0; i < arrlen(world->mail); i++) {
+		struct envelope letter = world->mail[i];
 
-		if (l.due > w->now)
+		if (letter.due_at > world->now)
 			continue;
-		arrdel(w->mail, i);
+		arrdel(world->mail, i);
 		i = -1; /* what is handed over may post more */
-		if (l.answer)
-			hand_over(w, &l);
+		if (letter.answer)
+			hand_over(world, &letter);
 		else
-			post_answer(w, &l);
+			post_answer(world, &letter);
 	}
 }
 
 /* What is here is the leader's table as it was at that edition, and nothing that was in force before the asking is missing. */
-static void check_sound(const struct world *w)
+static void check_sound(const struct world *world)
 {
-	const struct table *t = &w->watch.t;
+	const struct config_table *table = &world->watch.table;
 	uint64_t owed = 0;
 
-	while (owed + 1 <= w->leader.edition && w->changed_at[owed + 1] < w->watch.fresh)
+	while (owed + 1 <= world->leader.revision && world->changed_at[owed + 1] < world->watch.fetched_at_ms)
 		owed++;
-	assert_true(t->edition >= owed);
+	assert_true(table->revision >= owed);
 	for (int i = 0; i < NAMES; i++) {
 		char name[16];
 		const struct Nl__Row *row;
 
 		snprintf(name, sizeof name, "t%d", i);
-		row = table_get(t, NL__KIND__TENANT, name);
-		assert_int_equal(row ? row->share : 0, w->share[t->edition][i]);
+		row = config_table_get(table, NL__KIND__TENANT, name);
+		assert_int_equal(row ? row->share : 0, world->share[table->revision][i]);
 	}
 }
 
 /* One ms of the world; the age of the configuration afterwards. */
-static int64_t step(struct world *w)
+static int64_t step(struct world *world)
 {
-	w->now++;
-	if (w->now % CHANGE_EVERY_MS == 0)
-		leader_changes(w);
-	deliver(w);
-	if (w->now % TICK_MS == 0) {
-		config_watch_tick(&w->watch, 0, w->now, &w->out);
-		post_requests(w);
-		check_sound(w);
+	world->now++;
+	if (world->now % CHANGE_EVERY_MS == 0)
+		leader_changes(world);
+	deliver(world);
+	if (world->now % TICK_MS == 0) {
+		config_watch_tick(&world->watch, 0, world->now, &world->out);
+		post_requests(world);
+		check_sound(world);
 	}
-	return config_watch_age(&w->watch, w->now);
+	return config_watch_age_ms(&world->watch, world->now);
 }
 
 /* Each answer makes what is here as new as its own request, also where several are under way and the table changes between
@@ -204,24 +204,24 @@
 static void overlapping_answers_all_count(void **state)
 {
 	uint64_t first, n = seeds_of(12, &first);
-	int64_t most = 0, bound = 2 * (WAY_LEAST_MS + WAY_SPREAD_MS) + CONFIG_WATCH_EVERY + 3 * TICK_MS;
+	int64_t most = 0, bound = 2 * (LINK_LEAST_MS + LINK_SPREAD_MS) + CONFIG_WATCH_POLL_MS + 3 * TICK_MS;
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + n; seed++) {
-		struct world w;
+		struct world world;
 
-		world_open(&w, seed);
+		world_open(&world, seed);
 		for (int i = 0; i < DAY_MS; i++) {
-			int64_t age = step(&w);
+			int64_t age = step(&world);
 
 			if (i < 4000)
 				continue;
 			most = age > most ? age : most;
 			if (age > bound)
 				fail_msg("seed %llu: %lld ms old at %lld", (unsigned long long)seed, (long long)age,
-					 (long long)w.now);
+					 (long long)world.now);
 		}
-		world_close(&w);
+		world_close(&world);
 	}
 	print_message("age of the configuration at most %lld ms, bound %lld ms\n", (long long)most, (long long)bound);
 }
@@ -230,50 +230,50 @@
  * the controllers have to carry. */
 static void a_slow_leader_is_not_a_silent_one(void **state)
 {
-	struct world w;
+	struct world world;
 	uint64_t before;
 
 	(void)state;
-	world_open(&w, 3);
+	world_open(&world, 3);
 	for (int i = 0; i < 4000; i++)
-		(void)step(&w);
-	before = w.requests_to_others;
+		(void)step(&world);
+	before = world.requests_to_others;
 	for (int i = 0; i < DAY_MS; i++)
-		(void)step(&w);
-	assert_int_equal(w.requests_to_others, before);
-	world_close(&w);
+		(void)step(&world);
+	assert_int_equal(world.requests_to_others, before);
+	world_close(&world);
 }
 
 /* A leader that has less than was here when it was asked, as after a recovery from a lost majority, vouches for nothing. */
 static void a_leader_that_knows_less_proves_nothing(void **state)
 {
-	struct world w;
-	struct Nl__ConfigSyncReply a = NL__CONFIG_SYNC_REPLY__INIT;
-	struct Nl__Msg m = NL__MSG__INIT;
+	struct world world;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
 	int64_t fresh;
-	uint64_t edition;
+	uint64_t revision;
 
 	(void)state;
-	world_open(&w, 5);
+	world_open(&world, 5);
 	for (int i = 0; i < 6000; i++)
-		(void)step(&w);
-	edition = w.watch.t.edition;
-	assert_true(edition > 3);
-	fresh = w.watch.fresh;
-	config_watch_ask(&w.watch, 0, w.now, &w.out);
-	a.token = w.watch.token;
-	a.has_lease = 1;
-	a.fleet = 7;
-	a.since = edition - 2;
-	a.edition = edition - 1;
-	m.addr = LEADER;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &a;
-	assert_int_equal(config_watch_msg(&w.watch, &m, w.now + 5, &w.out), 0);
-	assert_int_equal(w.watch.fresh, fresh);
-	assert_int_equal(w.watch.t.edition, edition);
-	out_clear(&w.out);
-	world_close(&w);
+		(void)step(&world);
+	revision = world.watch.table.revision;
+	assert_true(revision > 3);
+	fresh = world.watch.fetched_at_ms;
+	config_watch_poll(&world.watch, 0, world.now, &world.out);
+	reply.token = world.watch.last_token;
+	reply.has_lease = 1;
+	reply.fleet = 7;
+	reply.since = revision - 2;
+	reply.edition = revision - 1;
+	message.addr = LEADER;
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = &reply;
+	assert_int_equal(config_watch_receive(&world.watch, &message, world.now + 5, &world.out), 0);
+	assert_int_equal(world.watch.fetched_at_ms, fresh);
+	assert_int_equal(world.watch.table.revision, revision);
+	command_list_clear(&world.out);
+	world_close(&world);
 }
 
 /* ---- upstream ---------------------------------------------------------------------------------- */
@@ -281,12 +281,12 @@
 enum { CONTROLLERS = 3, ROUTERS = 8, WARM_MS = 16000, SETTLE_MS = 2500 };
 
 /* The router of a zone that no other of it is upstream of; -1: none, or not exactly one. */
-static int head_of_zone(const struct sim *s, const char *zone)
+static int head_of_zone(const struct sim *sim, const char *zone)
 {
 	int head = -1, heads = 0;
 
-	for (int i = SIM_REGS; i < SIM_REGS + ROUTERS; i++)
-		if (s->n[i].up && !strcmp(s->n[i].zone, zone) && !s->n[i].c->f.nup) {
+	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
+		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) && !sim->nodes[i].router->config_watch.upstream_count) {
 			head = i;
 			heads++;
 		}
@@ -294,15 +294,15 @@
 }
 
 /* The router that rendezvous ranks first in a zone; a restart draws a new identity. */
-static int first_by_rank(const struct sim *s, const char *zone)
+static int first_by_rank(const struct sim *sim, const char *zone)
 {
 	int first = -1;
 
-	for (int i = SIM_REGS; i < SIM_REGS + ROUTERS; i++) {
-		uint64_t rank = core_rdv(core_hashs(0, zone), s->n[i].id);
+	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++) {
+		uint64_t rank = core_rendezvous_weight(core_hash_string(0, zone), sim->nodes[i].id);
 
-		if (s->n[i].up && !strcmp(s->n[i].zone, zone) &&
-		    (first < 0 || rank > core_rdv(core_hashs(0, zone), s->n[first].id)))
+		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) &&
+		    (first < 0 || rank > core_rendezvous_weight(core_hash_string(0, zone), sim->nodes[first].id)))
 			first = i;
 	}
 	return first;
@@ -316,23 +316,23 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + n; seed++) {
-		struct sim s;
+		struct sim sim;
 		int head, other;
 
-		sim_deploy(&s, seed, CONTROLLERS, ROUTERS, 4);
-		assert_true(sim_run(&s, WARM_MS, NULL));
-		head = head_of_zone(&s, "z1");
+		sim_deploy(&sim, seed, CONTROLLERS, ROUTERS, 4);
+		assert_true(sim_run(&sim, WARM_MS, NULL));
+		head = head_of_zone(&sim, "z1");
 		assert_true(head >= 0);
-		sim_crash(&s, head, 0);
-		assert_true(sim_run(&s, 100, NULL));
-		sim_start(&s, head);
-		assert_true(sim_run(&s, SETTLE_MS, NULL));
-		other = head_of_zone(&s, "z1");
+		sim_crash(&sim, head, 0);
+		assert_true(sim_run(&sim, 100, NULL));
+		sim_start(&sim, head);
+		assert_true(sim_run(&sim, SETTLE_MS, NULL));
+		other = head_of_zone(&sim, "z1");
 		if (other < 0 || other == head)
 			fail_msg("seed %llu: %d is the head, %d was", (unsigned long long)seed, other, head);
-		assert_true(sim_run(&s, WARM_MS, NULL));
-		assert_int_equal(head_of_zone(&s, "z1"), first_by_rank(&s, "z1"));
-		sim_close(&s);
+		assert_true(sim_run(&sim, WARM_MS, NULL));
+		assert_int_equal(head_of_zone(&sim, "z1"), first_by_rank(&sim, "z1"));
+		sim_close(&sim);
 	}
 }
 
