--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -30,10 +30,10 @@
 	TICK_MS = 25,
 	LOAD_MS = 4000,
 	DRAIN_MS = 13000,
-	OWNER = 1, /* the address that the core's owner answers at */
+	LEADER_ADDR = 1, /* the address that the core's owner answers at */
 	SEND_GRACE_MS = 200,
 	DEADLINE_SLACK_MS = 100, /* between a client's byte and the door's clock */
-	KEEP_UNTOLD_MS = 4300,   /* a connection whose server tells no time rests for less */
+	KEEP_ALIVE_DEFAULT_MS = 4300,   /* a connection whose server tells no time rests for less */
 	KEEP_MARGIN_MS = 300,
 	SEED_RUNS = 200,
 	STOP_RUNS = 400,
@@ -41,7 +41,7 @@
 	SHORT_GRACE_MS = 4000, /* less than a head may take */
 	LOSS_SLACK_MS = 200,   /* a request that ends sooner, and was passed on to nobody, is not lost */
 	STOP_LAST_MS = 300,    /* before the end of a stop: EDGE_LAST */
-	LEFT_MS = 50           /* for which the loop runs on once a process has stopped: PROC_LEAVE */
+	DISCONNECTED_MS = 50           /* for which the loop runs on once a process has stopped: PROC_LEAVE */
 };
 
 enum route { ROUTE_ONCE, ROUTE_REPEATABLE, ROUTE_RESUMABLE, ROUTE_STREAM, ROUTES };
@@ -68,10 +68,10 @@
 	char id[24], path[40], body[200];
 	size_t body_len;
 	size_t ends_at;   /* on its connection: how many bytes were said when it was whole */
-	int64_t whole_at; /* when its last byte arrives */
+	int64_t complete_at; /* when its last byte arrives */
 	int limit_ms;     /* for which its client waits */
 	int events;       /* of its stream, whoever runs it */
-	int runs, promised, told;
+	int runs, promises, answers;
 	struct wire *wires; /* stb_ds */
 };
 
@@ -86,8 +86,8 @@
 	ACT_CHUNKED,
 	ACT_CLOSE_DELIMITED,
 	ACT_FAIL,
-	ACT_TURN_AWAY,
-	ACT_WRONG_LIFE,
+	ACT_REJECT,
+	ACT_WRONG_INCARNATION,
 	ACT_TOO_MANY,
 	ACT_BARE_REFUSAL,
 	ACT_RESET_EARLY,
@@ -119,7 +119,7 @@
 	struct sim_conn *c;
 	int instance; /* the server's life that listens there */
 	char *in;     /* stb_ds: of the request under way */
-	int planned, noted, over, request;
+	int planned, noted, ended, request;
 	enum act act;
 	size_t early_at;     /* bytes of a request after which an early act comes */
 	char last_id[24];    /* of the request before */
@@ -133,18 +133,18 @@
 struct client {
 	struct sim_conn *c;
 	enum client_mode mode;
-	int *waiting; /* stb_ds: requests without a whole answer */
+	int *pending; /* stb_ds: requests without a whole answer */
 	char *in;     /* stb_ds: of the answer under way */
 	int64_t next_at;
-	size_t said; /* bytes, ever */
-	int left;    /* it has ended its side */
+	size_t bytes_written; /* bytes, ever */
+	int half_closed;    /* it has ended its side */
 	int old;     /* speaks HTTP/1.0: answers of no told length end with the connection */
 };
 
 static struct {
 	uint64_t seed, rng;
 	struct edge edge;
-	struct proc proc;
+	struct process proc;
 	struct router ctr;
 	struct platform platform;
 	struct request *requests; /* stb_ds */
@@ -166,7 +166,7 @@
 	uint64_t requests, whole, refused, failed, cut, runs, wires, again, resumed, surplus, foreign, frozen, smuggled, acts[ACTS];
 } sum;
 
-static uint64_t dice(uint64_t n) { return core_rand(&w.rng) % n; }
+static uint64_t random_below(uint64_t n) { return core_random(&w.rng) % n; }
 
 static void breach(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 static void breach(const char *fmt, ...)
@@ -238,15 +238,15 @@
 
 	if (routes[q->route].streams && status == 200) {
 		for (int i = from_event + 1; i <= q->events; i++)
-			append_format(&r.body, "%sid: %d\ndata: request %d event %d run %d\n\n", dice(8) ? "" : "x-note: 1\n", i,
+			append_format(&r.body, "%sid: %d\ndata: request %d event %d run %d\n\n", random_below(8) ? "" : "x-note: 1\n", i,
 				      request, i, no);
 	} else {
 		append_format(&r.body, "request %d run %d ", request, no);
-		for (uint64_t i = dice(4) ? dice(200) : dice(6000); i; i--)
+		for (uint64_t i = random_below(4) ? random_below(200) : random_below(6000); i; i--)
 			arrput(r.body, (char)('a' + (i + (uint64_t)no) % 26));
 	}
 	q->runs++;
-	if (q->promised)
+	if (q->promises)
 		breach("request %d (%s) runs after its client was promised that it never will", request, q->path);
 	sum.runs++;
 	arrput(w.runs, r);
@@ -254,16 +254,16 @@
 }
 
 /* Say d in pieces that are torn anywhere. Returns when the last has arrived. */
-static int64_t say_torn(struct server_conn *s, const char *d, size_t n, int64_t in_ms)
+static int64_t write_in_segments(struct server_conn *conn, const char *d, size_t n, int64_t in_ms)
 {
 	while (n) {
-		size_t k = dice(2) ? n : 1 + dice(n);
+		size_t k = random_below(2) ? n : 1 + random_below(n);
 
-		net_sim_say(s->c, d, k, in_ms);
+		net_sim_write(conn->c, d, k, in_ms);
 		d += k;
 		n -= k;
 		if (n)
-			in_ms += (int64_t)dice(4) ? 0 : (int64_t)dice(30);
+			in_ms += (int64_t)random_below(4) ? 0 : (int64_t)random_below(30);
 	}
 	return in_ms;
 }
@@ -275,15 +275,15 @@
 		append_format(to, "X-Notchlug-Attempt-Id: %s\r\n", id);
 	if (run >= 0)
 		append_format(to, "X-Notchlug-Server-Seal: %d\r\n", run);
-	append_format(to, "X-Notchlug-Server-Load: %d,%d,8\r\n%s", (int)dice(4), 0, extra);
+	append_format(to, "X-Notchlug-Server-Load: %d,%d,8\r\n%s", (int)random_below(4), 0, extra);
 }
 
 static void chunks(char **to, const char *d, size_t n)
 {
 	while (n) {
-		size_t k = 1 + dice(n < 300 ? n : 300);
+		size_t k = 1 + random_below(n < 300 ? n : 300);
 
-		append_format(to, "%zx%s\r\n", k, dice(6) ? "" : ";x=y");
+		append_format(to, "%zx%s\r\n", k, random_below(6) ? "" : ";x=y");
 		append(to, d, k);
 		append(to, "\r\n", 2);
 		d += k;
@@ -294,7 +294,7 @@
 enum framing { FRAME_LENGTH, FRAME_CHUNKED, FRAME_CLOSE };
 
 /* A whole answer as bytes. */
-static char *whole_answer(int status, const char *id, int run, const char *body, size_t n, enum framing framing, const char *extra)
+static char *complete_answer(int status, const char *id, int run, const char *body, size_t n, enum framing framing, const char *extra)
 {
 	char *b = NULL;
 
@@ -314,38 +314,38 @@
 }
 
 /* Says the whole of b, or as much as cut says, and forgets it. */
-static int64_t say_answer(struct server_conn *s, char *b, size_t cut, int64_t in_ms)
+static int64_t say_answer(struct server_conn *conn, char *b, size_t cut, int64_t in_ms)
 {
 	size_t n = (size_t)arrlen(b);
-	int64_t at = say_torn(s, b, cut < n ? cut : n, in_ms);
+	int64_t at = write_in_segments(conn, b, cut < n ? cut : n, in_ms);
 
 	arrfree(b);
-	if (!s->answered_at)
-		s->answered_at = net_sim_now() + at;
+	if (!conn->answered_at)
+		conn->answered_at = net_sim_now() + at;
 	return at;
 }
 
 /* Bytes that belong to no request begin to arrive. */
-static int64_t odd(struct server_conn *s, int64_t in_ms)
+static int64_t odd(struct server_conn *conn, int64_t in_ms)
 {
-	if (!s->odd_at)
-		s->odd_at = net_sim_now() + in_ms;
+	if (!conn->odd_at)
+		conn->odd_at = net_sim_now() + in_ms;
 	return in_ms;
 }
 
-static void cleared(struct server_conn *s, int64_t in_ms)
+static void cleared(struct server_conn *conn, int64_t in_ms)
 {
-	struct request *q = &w.requests[s->request];
+	struct request *request = &w.requests[conn->request];
 
-	for (ptrdiff_t i = 0; i < arrlen(q->wires); i++)
-		if (q->wires[i].conn == net_sim_id(s->c) && q->wires[i].cleared_at == INT64_MAX)
-			q->wires[i].cleared_at = net_sim_now() + in_ms;
+	for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
+		if (request->wires[i].conn == net_sim_id(conn->c) && request->wires[i].cleared_at == INT64_MAX)
+			request->wires[i].cleared_at = net_sim_now() + in_ms;
 }
 
 /* Turned away with the promise that it did not run. */
 static int64_t turn_away(struct server_conn *s, int status, const char *id, const char *extra, int64_t in_ms)
 {
-	int64_t at = say_answer(s, whole_answer(status, id, -1, "no", 2, FRAME_LENGTH, extra), SIZE_MAX, in_ms);
+	int64_t at = say_answer(s, complete_answer(status, id, -1, "no", 2, FRAME_LENGTH, extra), SIZE_MAX, in_ms);
 
 	cleared(s, at);
 	return at;
@@ -355,30 +355,30 @@
 
 static const char nameless[] = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"; /* an answer to nobody */
 
-static void end_or_reset(struct server_conn *s, int64_t in_ms)
+static void end_or_reset(struct server_conn *conn, int64_t in_ms)
 {
-	s->over = 1;
-	if (dice(2))
-		net_sim_end(s->c, in_ms);
+	conn->ended = 1;
+	if (random_below(2))
+		net_sim_end(conn->c, in_ms);
 	else
-		net_sim_reset(s->c, in_ms);
-	if (dice(2))
-		net_sim_forget(s->c, (int64_t)dice(20));
+		net_sim_reset(conn->c, in_ms);
+	if (random_below(2))
+		net_sim_forget(conn->c, (int64_t)random_below(20));
 }
 
 /* The whole request has come. */
 static void serve(struct server_conn *s, const char *id, int from_event)
 {
-	struct request *q = &w.requests[s->request];
-	int stream = routes[q->route].streams, run = -1;
-	int64_t at = (int64_t)(dice(5) ? dice(40) : dice(600));
+	struct request *request = &w.requests[s->request];
+	int stream = routes[request->route].streams, run = -1;
+	int64_t at = (int64_t)(random_below(5) ? random_below(40) : random_below(600));
 	const char *type = stream ? event_stream : "Content-Type: text/plain\r\n", *body;
 	char extra[300], other[24];
 	size_t n;
 	char *b;
 
-	snprintf(other, sizeof other, "%s", s->last_id[0] && strcmp(s->last_id, id) && dice(2) ? s->last_id : "elsewhere");
-	if (s->act != ACT_TURN_AWAY && s->act != ACT_WRONG_LIFE && s->act != ACT_TOO_MANY) {
+	snprintf(other, sizeof other, "%s", s->last_id[0] && strcmp(s->last_id, id) && random_below(2) ? s->last_id : "elsewhere");
+	if (s->act != ACT_REJECT && s->act != ACT_WRONG_INCARNATION && s->act != ACT_TOO_MANY) {
 		if (s->act == ACT_NOT_A_STREAM)
 			stream = 0;
 		run = run_new(s->request, from_event, s->act == ACT_FAIL ? 500 : s->act == ACT_BARE_REFUSAL ? 503 : 200);
@@ -387,108 +387,108 @@
 	n = run >= 0 ? (size_t)arrlen(w.runs[run].body) : 0;
 	snprintf(extra, sizeof extra, "%s", type);
 	switch (s->act) {
-	case ACT_ANSWER: say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
-	case ACT_CHUNKED: say_answer(s, whole_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at); break;
+	case ACT_ANSWER: say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
+	case ACT_CHUNKED: say_answer(s, complete_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at); break;
 	case ACT_CLOSE_DELIMITED:
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_CLOSE, extra), SIZE_MAX, at);
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_CLOSE, extra), SIZE_MAX, at);
 		net_sim_end(s->c, at);
-		s->over = 1;
+		s->ended = 1;
 		break;
 	case ACT_FAIL: /* which has run, whatever else it says */
-		if (dice(2))
+		if (random_below(2))
 			snprintf(extra, sizeof extra, "%s%s", type, not_executed);
-		say_answer(s, whole_answer(500, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		say_answer(s, complete_answer(500, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
 		break;
-	case ACT_TURN_AWAY: turn_away(s, 503, id, not_executed, at); break;
-	case ACT_WRONG_LIFE: turn_away(s, 421, id, dice(2) ? not_executed : "", at); break;
+	case ACT_REJECT: turn_away(s, 503, id, not_executed, at); break;
+	case ACT_WRONG_INCARNATION: turn_away(s, 421, id, random_below(2) ? not_executed : "", at); break;
 	case ACT_TOO_MANY: turn_away(s, 429, id, not_executed, at); break;
 	case ACT_BARE_REFUSAL:
-		w.runs[run].status = (int[]){ 503, 429, 408 }[dice(3)];
-		say_answer(s, whole_answer(w.runs[run].status, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		w.runs[run].status = (int[]){ 503, 429, 408 }[random_below(3)];
+		say_answer(s, complete_answer(w.runs[run].status, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
 		break;
 	case ACT_CUT_HEAD:
 	case ACT_CUT_BODY:
-		b = whole_answer(200, id, run, body, n, dice(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra);
+		b = complete_answer(200, id, run, body, n, random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra);
 		at = say_answer(s, b,
-				s->act == ACT_CUT_HEAD ? dice(head_length(b, (size_t)arrlen(b)))
-						       : head_length(b, (size_t)arrlen(b)) + dice(n ? n : 1),
+				s->act == ACT_CUT_HEAD ? random_below(head_length(b, (size_t)arrlen(b)))
+						       : head_length(b, (size_t)arrlen(b)) + random_below(n ? n : 1),
 				at);
-		end_or_reset(s, at + (int64_t)dice(20));
+		end_or_reset(s, at + (int64_t)random_below(20));
 		break;
 	case ACT_SILENT: break;
 	case ACT_LATE:
-		say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + 1500 + (int64_t)dice(4000));
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + 1500 + (int64_t)random_below(4000));
 		break;
 	case ACT_SURPLUS: /* its answer, and one more of it behind it or in the slot of the next */
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
-			   odd(s, at + (int64_t)(dice(3) ? dice(300) : 0)));
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
+			   odd(s, at + (int64_t)(random_below(3) ? random_below(300) : 0)));
 		break;
 	case ACT_SURPLUS_REFUSAL:
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		say_answer(s, whole_answer(dice(2) ? 503 : 421, id, -1, "no", 2, FRAME_LENGTH, not_executed), SIZE_MAX,
-			   odd(s, at + (int64_t)dice(300)));
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		say_answer(s, complete_answer(random_below(2) ? 503 : 421, id, -1, "no", 2, FRAME_LENGTH, not_executed), SIZE_MAX,
+			   odd(s, at + (int64_t)random_below(300)));
 		break;
 	case ACT_FOREIGN: /* another request's answer in this one's slot, and its own behind it */
 		at = say_answer(s,
-				whole_answer(200, other, (int)dice((uint64_t)run + 1), "other", 5,
-					     dice(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
+				complete_answer(200, other, (int)random_below((uint64_t)run + 1), "other", 5,
+					     random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
 				SIZE_MAX, odd(s, at));
-		if (dice(2))
-			say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)dice(200));
+		if (random_below(2))
+			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
 		break;
 	case ACT_FOREIGN_THEN_OWN:
 		at = say_answer(s,
-				whole_answer(200, other, (int)dice((uint64_t)run + 1), "other", 5,
-					     dice(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
+				complete_answer(200, other, (int)random_below((uint64_t)run + 1), "other", 5,
+					     random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
 				SIZE_MAX, odd(s, at));
-		say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)dice(200));
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
 		break;
 	case ACT_FOREIGN_REFUSAL:
 		at = say_answer(s,
-				whole_answer((int[]){ 503, 421, 429 }[dice(3)], dice(4) ? other : NULL, -1, "no", 2, FRAME_LENGTH,
+				complete_answer((int[]){ 503, 421, 429 }[random_below(3)], random_below(4) ? other : NULL, -1, "no", 2, FRAME_LENGTH,
 					     not_executed),
 				SIZE_MAX, odd(s, at));
-		if (dice(2))
-			say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)dice(200));
+		if (random_below(2))
+			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
 		break;
 	case ACT_GARBAGE:
-		net_sim_say(
+		net_sim_write(
 		    s->c,
-		    (const char *[]){ "\r\n\r\nxx", "HTTP/9.9 2OO\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01" }[dice(4)], 4,
+		    (const char *[]){ "\r\n\r\nxx", "HTTP/9.9 2OO\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01" }[random_below(4)], 4,
 		    at);
 		break;
 	case ACT_TOO_SHORT: /* says more than comes */
 		b = NULL;
 		head(&b, 200, id, run, extra);
-		append_format(&b, "Content-Length: %zu\r\n\r\n", n + 1 + dice(50));
+		append_format(&b, "Content-Length: %zu\r\n\r\n", n + 1 + random_below(50));
 		append(&b, body, n);
 		at = say_answer(s, b, SIZE_MAX, at);
-		if (dice(2))
+		if (random_below(2))
 			end_or_reset(s, at);
 		break;
 	case ACT_TOO_LONG: /* says less than comes: the rest belongs to nobody */
 		append_format(&w.runs[run].body, "-");
 		n = (size_t)arrlen(w.runs[run].body) - 1;
-		b = whole_answer(200, id, run, w.runs[run].body, n, FRAME_LENGTH, extra);
+		b = complete_answer(200, id, run, w.runs[run].body, n, FRAME_LENGTH, extra);
 		arrsetlen(w.runs[run].body, n);
-		if (dice(2)) {
-			append_format(&b, "%s", dice(2) ? "surplus" : nameless);
+		if (random_below(2)) {
+			append_format(&b, "%s", random_below(2) ? "surplus" : nameless);
 			odd(s, say_answer(s, b, SIZE_MAX, at));
 		} else {
-			at = odd(s, say_answer(s, b, SIZE_MAX, at) + (int64_t)dice(300));
-			net_sim_say(s->c, nameless, sizeof nameless - 1, at);
+			at = odd(s, say_answer(s, b, SIZE_MAX, at) + (int64_t)random_below(300));
+			net_sim_write(s->c, nameless, sizeof nameless - 1, at);
 		}
 		break;
-	case ACT_NO_SEAL: say_answer(s, whole_answer(200, id, -1, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
-	case ACT_NO_ID: say_answer(s, whole_answer(200, NULL, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
+	case ACT_NO_SEAL: say_answer(s, complete_answer(200, id, -1, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
+	case ACT_NO_ID: say_answer(s, complete_answer(200, NULL, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
 	case ACT_BAD_CHUNK:
 		b = NULL;
 		head(&b, 200, id, run, extra);
 		append_format(&b, "Transfer-Encoding: chunked\r\n\r\n");
 		chunks(&b, body, n);
-		if (dice(2)) {
-			append_format(&b, "%s", (const char *[]){ "zz\r\n", "5\nabcde\r\n0\r\n\r\n", "0\r\nx\n\r\n" }[dice(3)]);
+		if (random_below(2)) {
+			append_format(&b, "%s", (const char *[]){ "zz\r\n", "5\nabcde\r\n0\r\n\r\n", "0\r\nx\n\r\n" }[random_below(3)]);
 		} else { /* a chunk that is longer than it said: its first bytes are good */
 			append_format(&b, "3\r\nabcdef\r\n0\r\n\r\n");
 			append_format(&w.runs[run].body, "abc");
@@ -496,30 +496,30 @@
 		say_answer(s, b, SIZE_MAX, at);
 		break;
 	case ACT_FORGET:
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		net_sim_forget(s->c, dice(3) ? (int64_t)dice(40) : -1);
-		s->over = 1;
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		net_sim_forget(s->c, random_below(3) ? (int64_t)random_below(40) : -1);
+		s->ended = 1;
 		break;
 	case ACT_SHORT_KEEP:
-		s->keep_ms = 1000 * (1 + (int)dice(3));
+		s->keep_ms = 1000 * (1 + (int)random_below(3));
 		snprintf(extra, sizeof extra, "%sKeep-Alive: timeout=%d\r\n", type, s->keep_ms / 1000);
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		if (dice(2)) /* and does not wait for so long; else it stays open for longer */
-			end_or_reset(s, at + (int64_t)dice(700));
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		if (random_below(2)) /* and does not wait for so long; else it stays open for longer */
+			end_or_reset(s, at + (int64_t)random_below(700));
 		break;
 	case ACT_CLOSES:
 		snprintf(extra, sizeof extra, "%sConnection: close\r\n", type);
-		at = say_answer(s, whole_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		end_or_reset(s, at + (int64_t)dice(500));
+		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		end_or_reset(s, at + (int64_t)random_below(500));
 		break;
 	case ACT_INTERIM:
-		net_sim_say(s->c, "HTTP/1.1 103 Early Hints\r\nX-Notchlug-Not-Executed: 1\r\n\r\n", 55, 0);
-		say_answer(s, whole_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at);
+		net_sim_write(s->c, "HTTP/1.1 103 Early Hints\r\nX-Notchlug-Not-Executed: 1\r\n\r\n", 55, 0);
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at);
 		break;
 	case ACT_NOT_A_STREAM: /* on a stream's route: a body of another type, broken off now and then */
-		b = whole_answer(200, id, run, body, n, FRAME_LENGTH, "Content-Type: application/json\r\n");
-		at = say_answer(s, b, dice(2) ? SIZE_MAX : (size_t)arrlen(b) - 1, at);
-		if (dice(2))
+		b = complete_answer(200, id, run, body, n, FRAME_LENGTH, "Content-Type: application/json\r\n");
+		at = say_answer(s, b, random_below(2) ? SIZE_MAX : (size_t)arrlen(b) - 1, at);
+		if (random_below(2))
 			end_or_reset(s, at);
 		break;
 	default: break;
@@ -527,7 +527,7 @@
 	(void)stream;
 }
 
-static void watch(struct server_conn *s)
+static void watch(struct server_conn *conn)
 {
 	static const char *const bodies[] = {
 		"{\"NodeEpoch\":1,\"NextToken\":1,\"LostCount\":false,\"EventList\":[]}",
@@ -539,18 +539,18 @@
 		"[",
 		"null"
 	};
-	int64_t at = (int64_t)dice(1000);
-	const char *body = bodies[dice(10) ? dice(2) : dice(sizeof bodies / sizeof *bodies)];
+	int64_t at = (int64_t)random_below(1000);
+	const char *body = bodies[random_below(10) ? random_below(2) : random_below(sizeof bodies / sizeof *bodies)];
 
-	if (dice(10))
-		say_answer(s, whole_answer(dice(10) ? 200 : 429, NULL, -1, body, strlen(body), FRAME_LENGTH, ""), SIZE_MAX, at);
-	else if (dice(2))
-		end_or_reset(s, at);
+	if (random_below(10))
+		say_answer(conn, complete_answer(random_below(10) ? 200 : 429, NULL, -1, body, strlen(body), FRAME_LENGTH, ""), SIZE_MAX, at);
+	else if (random_below(2))
+		end_or_reset(conn, at);
 }
 
 /* What servers do that never break off. */
 static const enum act calm_acts[] = { ACT_ANSWER,    ACT_ANSWER,   ACT_ANSWER, ACT_CHUNKED, ACT_CHUNKED, ACT_CLOSE_DELIMITED,
-				      ACT_TURN_AWAY, ACT_TOO_MANY, ACT_LATE,   ACT_SILENT,  ACT_FAIL };
+				      ACT_REJECT, ACT_TOO_MANY, ACT_LATE,   ACT_SILENT,  ACT_FAIL };
 
 static enum act choose_act(void)
 {
@@ -562,8 +562,8 @@
 		return a;
 	}
 	if (w.calm)
-		return calm_acts[dice(sizeof calm_acts / sizeof *calm_acts)];
-	a = dice(3) ? ACT_ANSWER + dice(2) : (enum act)dice(ACTS);
+		return calm_acts[random_below(sizeof calm_acts / sizeof *calm_acts)];
+	a = random_below(3) ? ACT_ANSWER + random_below(2) : (enum act)random_below(ACTS);
 
 	if (w.honest_ids && (a == ACT_SURPLUS || a == ACT_SURPLUS_REFUSAL || a == ACT_FOREIGN || a == ACT_FOREIGN_REFUSAL ||
 			     a == ACT_FOREIGN_THEN_OWN))
@@ -572,112 +572,112 @@
 }
 
 /* Until when a configuration that was certain when a request was decided on may still send it. */
-static int64_t router_fresh_until(void) { return w.ctr.f.fresh + router_ride(&w.ctr) + SEND_GRACE_MS; }
+static int64_t router_fresh_until(void) { return w.ctr.config_watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS; }
 
 /* A request's path is on a wire: from here on it may run. */
-static void note_wire(struct server_conn *s, const char *path, size_t n)
+static void note_wire(struct server_conn *conn, const char *path, size_t n)
 {
-	struct request *q;
+	struct request *request;
 	int no = -1;
-	struct wire wire = { net_sim_id(s->c), INT64_MAX, (int)s->act };
+	struct wire wire = { net_sim_id(conn->c), INT64_MAX, (int)conn->act };
 
 	for (int r = 0; r < ROUTES; r++)
 		if (n > strlen(routes[r].path) && !strncmp(path, routes[r].path, strlen(routes[r].path)))
 			no = atoi(path + strlen(routes[r].path));
 	if (no < 0 || no >= arrlen(w.requests) || strlen(w.requests[no].path) != n || strncmp(w.requests[no].path, path, n)) {
 		breach("a server was sent %.*s, which no client asked for", (int)n, path);
-		s->over = 1;
+		conn->ended = 1;
 		return;
 	}
-	q = &w.requests[no];
-	s->request = no;
-	s->noted = 1;
-	if (q->promised)
-		breach("request %d (%s) was sent after its client was promised that it never will", no, q->path);
-	if (!routes[q->route].repeatable && !routes[q->route].resumable)
-		for (ptrdiff_t i = 0; i < arrlen(q->wires); i++)
-			if (q->wires[i].cleared_at > net_sim_now())
+	request = &w.requests[no];
+	conn->request = no;
+	conn->noted = 1;
+	if (request->promises)
+		breach("request %d (%s) was sent after its client was promised that it never will", no, request->path);
+	if (!routes[request->route].repeatable && !routes[request->route].resumable)
+		for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
+			if (request->wires[i].cleared_at > net_sim_now())
 				breach("request %d (%s) was sent a second time; the first may have run (act %d on connection %llu)",
-				       no, q->path, q->wires[i].act, (unsigned long long)q->wires[i].conn);
-	if (net_sim_called() > router_fresh_until())
-		breach("request %d (%s) was sent by a configuration that is %lld ms old", no, q->path,
-		       (long long)(net_sim_called() - w.ctr.f.fresh));
+				       no, request->path, request->wires[i].act, (unsigned long long)request->wires[i].conn);
+	if (net_sim_call_began_at() > router_fresh_until())
+		breach("request %d (%s) was sent by a configuration that is %lld ms old", no, request->path,
+		       (long long)(net_sim_call_began_at() - w.ctr.config_watch.fetched_at_ms));
 	sum.wires++;
-	sum.again += arrlen(q->wires) > 0;
-	arrput(q->wires, wire);
+	sum.again += arrlen(request->wires) > 0;
+	arrput(request->wires, wire);
 }
 
 /* What the door must add, take away and leave alone. */
-static void check_fields(const struct server_conn *s, const struct request *q, size_t head_len)
-{
-	char v[200], want[40];
-	int found, bearer = q->key >= 0 && q->key < TENANTS;
-
-	snprintf(want, sizeof want, "i-%d", s->instance);
-	if (!field(s->in, head_len, "X-Notchlug-Target-Instance", v, sizeof v) || strcmp(v, want))
-		breach("request %s does not name the server's life that it is meant for", q->path);
-	found = field(s->in, head_len, "X-Notchlug-Tenant-Id", v, sizeof v);
-	snprintf(want, sizeof want, "t%d", q->key);
-	if (found != bearer || (found && strcmp(v, want)))
-		breach("request %s goes on as another tenant's: %s", q->path, found ? v : "nobody's");
-	if (field(s->in, head_len, "X-Api-Key", v, sizeof v))
-		breach("request %s shows its key to a server", q->path);
-	if (!field(s->in, head_len, "X-Notchlug-Expected-Version", v, sizeof v) || strcmp(v, "w1"))
-		breach("request %s does not name the weights that it is meant for", q->path);
-	if (!field(s->in, head_len, "X-Notchlug-Cache-Salt", v, sizeof v) || !strcmp(v, "mine"))
-		breach("request %s does not name the shelf of its kept parts", q->path);
-	if (!field(s->in, head_len, "X-Notchlug-Deadline-Remaining", v, sizeof v) ||
-	    atoi(v) > q->deadline_at - net_sim_called() + DEADLINE_SLACK_MS + w.frozen_ms)
-		breach("request %s has %lld ms left and says %s", q->path, (long long)(q->deadline_at - net_sim_called()), v);
-	if (!field(s->in, head_len, "Host", v, sizeof v) || strcmp(v, "h.example"))
-		breach("request %s has lost its host", q->path);
-	for (int i = 1; i < q->more_fields; i++) { /* the first may be named by Connection */
-		snprintf(want, sizeof want, "X-More-%d", i);
-		if (!field(s->in, head_len, want, v, sizeof v))
-			breach("request %s has lost a field", q->path);
+static void check_fields(const struct server_conn *conn, const struct request *request, size_t head_len)
+{
+	char v[200], expected[40];
+	int found, bearer = request->key >= 0 && request->key < TENANTS;
+
+	snprintf(expected, sizeof expected, "i-%d", conn->instance);
+	if (!field(conn->in, head_len, "X-Notchlug-Target-Instance", v, sizeof v) || strcmp(v, expected))
+		breach("request %s does not name the server's life that it is meant for", request->path);
+	found = field(conn->in, head_len, "X-Notchlug-Tenant-Id", v, sizeof v);
+	snprintf(expected, sizeof expected, "t%d", request->key);
+	if (found != bearer || (found && strcmp(v, expected)))
+		breach("request %s goes on as another tenant's: %s", request->path, found ? v : "nobody's");
+	if (field(conn->in, head_len, "X-Api-Key", v, sizeof v))
+		breach("request %s shows its key to a server", request->path);
+	if (!field(conn->in, head_len, "X-Notchlug-Expected-Version", v, sizeof v) || strcmp(v, "w1"))
+		breach("request %s does not name the weights that it is meant for", request->path);
+	if (!field(conn->in, head_len, "X-Notchlug-Cache-Salt", v, sizeof v) || !strcmp(v, "mine"))
+		breach("request %s does not name the shelf of its kept parts", request->path);
+	if (!field(conn->in, head_len, "X-Notchlug-Deadline-Remaining", v, sizeof v) ||
+	    atoi(v) > request->deadline_at - net_sim_call_began_at() + DEADLINE_SLACK_MS + w.frozen_ms)
+		breach("request %s has %lld ms left and says %s", request->path, (long long)(request->deadline_at - net_sim_call_began_at()), v);
+	if (!field(conn->in, head_len, "Host", v, sizeof v) || strcmp(v, "h.example"))
+		breach("request %s has lost its host", request->path);
+	for (int i = 1; i < request->more_fields; i++) { /* the first may be named by Connection */
+		snprintf(expected, sizeof expected, "X-More-%d", i);
+		if (!field(conn->in, head_len, expected, v, sizeof v))
+			breach("request %s has lost a field", request->path);
 	}
 }
 
-static void take_request(struct server_conn *s, size_t head_len, size_t body_len)
+static void receive_request(struct server_conn *conn, size_t head_len, size_t body_len)
 {
-	struct request *q = &w.requests[s->request];
+	struct request *request = &w.requests[conn->request];
 	char id[64] = "", since[24] = "0";
 
-	field(s->in, head_len, "X-Notchlug-Attempt-Id", id, sizeof id);
-	if (strcmp(id, q->id) || body_len != q->body_len || memcmp(s->in + head_len, q->body, body_len))
-		breach("request %d (%s) reached a server changed", s->request, q->path);
-	check_fields(s, q, head_len);
-	if (field(s->in, head_len, "Last-Event-Id", since, sizeof since)) {
+	field(conn->in, head_len, "X-Notchlug-Attempt-Id", id, sizeof id);
+	if (strcmp(id, request->id) || body_len != request->body_len || memcmp(conn->in + head_len, request->body, body_len))
+		breach("request %d (%s) reached a server changed", conn->request, request->path);
+	check_fields(conn, request, head_len);
+	if (field(conn->in, head_len, "Last-Event-Id", since, sizeof since)) {
 		sum.resumed++;
-		if (!dice(4)) /* a server that begins anew all the same */
+		if (!random_below(4)) /* a server that begins anew all the same */
 			strcpy(since, "0");
 	}
-	sum.acts[s->act]++;
-	sum.surplus += s->act == ACT_SURPLUS || s->act == ACT_SURPLUS_REFUSAL;
-	sum.foreign += s->act == ACT_FOREIGN || s->act == ACT_FOREIGN_REFUSAL || s->act == ACT_FOREIGN_THEN_OWN;
-	serve(s, id, atoi(since));
-	snprintf(s->last_id, sizeof s->last_id, "%s", id);
+	sum.acts[conn->act]++;
+	sum.surplus += conn->act == ACT_SURPLUS || conn->act == ACT_SURPLUS_REFUSAL;
+	sum.foreign += conn->act == ACT_FOREIGN || conn->act == ACT_FOREIGN_REFUSAL || conn->act == ACT_FOREIGN_THEN_OWN;
+	serve(conn, id, atoi(since));
+	snprintf(conn->last_id, sizeof conn->last_id, "%s", id);
 }
 
 /* A request begins on a connection that was used before: was it fit for one? */
-static void check_rested(struct server_conn *s)
+static void check_rested(struct server_conn *conn)
 {
-	int64_t rested = net_sim_called() - s->answered_at;
+	int64_t rested = net_sim_call_began_at() - conn->answered_at;
 
-	if (net_sim_unread(s->c))
+	if (net_sim_unread(conn->c))
 		breach("a request is sent on a connection where something has arrived unread");
-	if (s->odd_at && s->odd_at <= net_sim_called())
+	if (conn->odd_at && conn->odd_at <= net_sim_call_began_at())
 		breach("a request is sent on a connection that is out of step since %lld ms",
-		       (long long)(net_sim_called() - s->odd_at));
-	if (s->answered_at && rested > s->keep_ms - KEEP_MARGIN_MS)
-		breach("a request is sent on a connection that has rested for %lld of %d ms", (long long)rested, s->keep_ms);
-	s->answered_at = 0;
-	s->keep_ms = KEEP_UNTOLD_MS;
+		       (long long)(net_sim_call_began_at() - conn->odd_at));
+	if (conn->answered_at && rested > conn->keep_ms - KEEP_MARGIN_MS)
+		breach("a request is sent on a connection that has rested for %lld of %d ms", (long long)rested, conn->keep_ms);
+	conn->answered_at = 0;
+	conn->keep_ms = KEEP_ALIVE_DEFAULT_MS;
 }
 
-static void on_accepted(void *ctx, struct sim_conn *c, const char *d, size_t n)
+static void on_accepted(void *ctx, struct sim_conn *conn, const char *d, size_t n)
 {
-	struct server_conn *s = net_sim_tag_of(c);
+	struct server_conn *s = net_sim_get_tag(conn);
 	size_t end;
 	char length[24] = "0";
 
@@ -687,7 +687,7 @@
 	if (!arrlen(s->in)) {
 		check_rested(s);
 		s->act = *d == 'G' ? ACT_ANSWER : choose_act(); /* a watch takes nothing from the script */
-		s->early_at = 1 + dice(400);
+		s->early_at = 1 + random_below(400);
 		s->noted = 0;
 	}
 	append(&s->in, d, n);
@@ -701,15 +701,15 @@
 				note_wire(s, from + 1, (size_t)(to - from - 1));
 		}
 	}
-	if (s->over)
+	if (s->ended)
 		return;
 	if ((s->act == ACT_RESET_EARLY || s->act == ACT_END_EARLY) && (size_t)arrlen(s->in) >= s->early_at && s->noted != 2) {
 		sum.acts[s->act]++;
 		if (s->act == ACT_END_EARLY)
-			net_sim_end(s->c, (int64_t)dice(30));
+			net_sim_end(s->c, (int64_t)random_below(30));
 		else
-			net_sim_reset(s->c, (int64_t)dice(30));
-		s->over = 1;
+			net_sim_reset(s->c, (int64_t)random_below(30));
+		s->ended = 1;
 		return;
 	}
 	end = head_length(s->in, (size_t)arrlen(s->in));
@@ -723,23 +723,23 @@
 	if (s->noted == 2)
 		watch(s);
 	else
-		take_request(s, end, (size_t)atoi(length));
+		receive_request(s, end, (size_t)atoi(length));
 	arrsetlen(s->in, 0);
 }
 
-static enum sim_connect on_connect(void *ctx, struct sim_conn *c, uint64_t addr, int *delay)
+static enum sim_connect on_connect(void *ctx, struct sim_conn *conn, uint64_t addr, int *delay)
 {
 	struct server_conn *s;
 
 	(void)ctx;
-	*delay = (int)dice(8);
-	if (!arrlen(w.script) && !dice(25))
-		return dice(2) ? SIM_REFUSE : SIM_IGNORE;
+	*delay = (int)random_below(8);
+	if (!arrlen(w.script) && !random_below(25))
+		return random_below(2) ? SIM_REFUSE : SIM_IGNORE;
 	if (!(s = calloc(1, sizeof *s)))
 		abort();
-	s->c = c;
+	s->c = conn;
 	s->instance = (int)(addr >> 16 & 0xff) - 1;
-	net_sim_tag(c, s);
+	net_sim_set_tag(conn, s);
 	arrput(w.server_conns, s);
 	return SIM_ACCEPT;
 }
@@ -748,21 +748,21 @@
 
 static int request_new(int reuse)
 {
-	struct request q;
+	struct request request;
 	int no = (int)arrlen(w.requests);
 
-	memset(&q, 0, sizeof q);
-	q.route = (enum route)dice(ROUTES);
-	snprintf(q.path, sizeof q.path, "%s%d", routes[q.route].path, no);
-	if (reuse && no > 0 && dice(3) == 0)
-		memcpy(q.id, w.requests[dice((uint64_t)no)].id, sizeof q.id);
+	memset(&request, 0, sizeof request);
+	request.route = (enum route)random_below(ROUTES);
+	snprintf(request.path, sizeof request.path, "%s%d", routes[request.route].path, no);
+	if (reuse && no > 0 && random_below(3) == 0)
+		memcpy(request.id, w.requests[random_below((uint64_t)no)].id, sizeof request.id);
 	else
-		snprintf(q.id, sizeof q.id, "try-%d", no);
-	q.body_len = dice(4) ? (size_t)snprintf(q.body, sizeof q.body, "body of %d, GET /once/0 HTTP/1.1\r\n\r\n", no) : 0;
-	q.events = 2 + (int)dice(5);
-	q.key = q.route == ROUTE_REPEATABLE ? (int)dice(TENANTS + 1) : (int)dice(TENANTS + 2) - 1;
-	q.more_fields = dice(30) ? (int)dice(4) : 90 + (int)dice(200);
-	arrput(w.requests, q);
+		snprintf(request.id, sizeof request.id, "try-%d", no);
+	request.body_len = random_below(4) ? (size_t)snprintf(request.body, sizeof request.body, "body of %d, GET /once/0 HTTP/1.1\r\n\r\n", no) : 0;
+	request.events = 2 + (int)random_below(5);
+	request.key = request.route == ROUTE_REPEATABLE ? (int)random_below(TENANTS + 1) : (int)random_below(TENANTS + 2) - 1;
+	request.more_fields = random_below(30) ? (int)random_below(4) : 90 + (int)random_below(200);
+	arrput(w.requests, request);
 	sum.requests++;
 	return no;
 }
@@ -781,32 +781,32 @@
 
 static void request_bytes(char **to, int no, int old, int pipelined)
 {
-	struct request *q = &w.requests[no];
-	int limit = 600 + (int)(pipelined || dice(6) ? dice(2400) : dice(8000)); /* four in a row end while the model still looks */
+	struct request *request = &w.requests[no];
+	int limit = 600 + (int)(pipelined || random_below(6) ? random_below(2400) : random_below(8000)); /* four in a row end while the model still looks */
 
-	append_format(to, "POST %s HTTP/1.%d\r\nHost: h.example\r\n", q->path, !old);
-	for (int i = 0; i < q->more_fields; i++)
+	append_format(to, "POST %s HTTP/1.%d\r\nHost: h.example\r\n", request->path, !old);
+	for (int i = 0; i < request->more_fields; i++)
 		append_format(to, "X-More-%d: %d\r\n", i, no);
-	append_format(to, "X-Notchlug-Attempt-Id: %s\r\nX-Notchlug-Deadline-Remaining: %d\r\n", q->id, limit);
-	if (q->key >= 0)
-		append_format(to, "X-Api-Key: key-%d\r\n", q->key);
-	if (!dice(8)) /* words that are not a client's to say */
+	append_format(to, "X-Notchlug-Attempt-Id: %s\r\nX-Notchlug-Deadline-Remaining: %d\r\n", request->id, limit);
+	if (request->key >= 0)
+		append_format(to, "X-Api-Key: key-%d\r\n", request->key);
+	if (!random_below(8)) /* words that are not a client's to say */
 		append_format(to, "X-Notchlug-Tenant-Id: t1\r\nX-Notchlug-Cache-Salt: mine\r\nX-Notchlug-Target-Instance: i-9\r\n"
 				  "X-Notchlug-Expected-Version: w0\r\n");
-	if (dice(4))
+	if (random_below(4))
 		append_format(to, "X-Notchlug-Token-Count: %s\r\nX-Notchlug-Prompt-Prefix: %s\r\n",
-			      counts[dice(8) ? 0 : dice(COUNT(counts))], prefixes[dice(8) ? 0 : dice(COUNT(prefixes))]);
-	if (!dice(8))
+			      counts[random_below(8) ? 0 : random_below(COUNT(counts))], prefixes[random_below(8) ? 0 : random_below(COUNT(prefixes))]);
+	if (!random_below(8))
 		append_format(to, "Connection: X-Notchlug-Attempt-Id, Host, X-More-0\r\n");
-	q->limit_ms = limit;
-	q->deadline_at = net_sim_now() + limit;
-	if (!old && !dice(3)) {
+	request->limit_ms = limit;
+	request->deadline_at = net_sim_now() + limit;
+	if (!old && !random_below(3)) {
 		append_format(to, "Transfer-Encoding: chunked\r\n\r\n");
-		chunks(to, q->body, q->body_len);
+		chunks(to, request->body, request->body_len);
 		append_format(to, "0\r\n\r\n");
 	} else {
-		append_format(to, "Content-Length: %zu\r\n\r\n", q->body_len);
-		append(to, q->body, q->body_len);
+		append_format(to, "Content-Length: %zu\r\n\r\n", request->body_len);
+		append(to, request->body, request->body_len);
 	}
 }
 
@@ -818,74 +818,74 @@
 	"POST /once/0 HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\nGET /once/777777 HTTP/1.1\r\n\r\n",
 };
 
-static void client_close(struct client *k)
+static void client_close(struct client *client)
 {
-	arrfree(k->waiting);
-	arrfree(k->in);
-	k->c = NULL;
+	arrfree(client->pending);
+	arrfree(client->in);
+	client->c = NULL;
 }
 
-static void client_dial(struct client *k)
+static void client_dial(struct client *client)
 {
-	memset(k, 0, sizeof *k);
-	k->mode = dice(2) ? CLIENT_PLAIN : (enum client_mode)dice(CLIENT_MODES);
-	k->old = k->mode != CLIENT_PIPELINES && !dice(6);
-	k->c = net_sim_dial(FRONT_PORT);
-	if (!k->c) { /* the listener is closed: a process that stops */
-		assert_true(w.edge.leave_at);
-		k->next_at = INT64_MAX;
+	memset(client, 0, sizeof *client);
+	client->mode = random_below(2) ? CLIENT_PLAIN : (enum client_mode)random_below(CLIENT_MODES);
+	client->old = client->mode != CLIENT_PIPELINES && !random_below(6);
+	client->c = net_sim_connect(FRONT_PORT);
+	if (!client->c) { /* the listener is closed: a process that stops */
+		assert_true(w.edge.drain_started_at_ms);
+		client->next_at = INT64_MAX;
 		return;
 	}
-	if (k->mode == CLIENT_SLOW)
-		net_sim_window(k->c, 1 + dice(600));
+	if (client->mode == CLIENT_SLOW)
+		net_sim_window(client->c, 1 + random_below(600));
 }
 
-static void client_ask(struct client *k)
+static void client_write(struct client *client)
 {
 	char *b = NULL;
-	int n = k->mode == CLIENT_PIPELINES ? 1 + (int)dice(4) : 1;
+	int n = client->mode == CLIENT_PIPELINES ? 1 + (int)random_below(4) : 1;
 	int64_t at = 0;
 
-	if (k->mode == CLIENT_SMUGGLES) {
-		const char *text = smuggled[dice(sizeof smuggled / sizeof *smuggled)];
+	if (client->mode == CLIENT_SMUGGLES) {
+		const char *text = smuggled[random_below(sizeof smuggled / sizeof *smuggled)];
 
-		net_sim_say(k->c, text, strlen(text), 0);
-		k->left = 1;
-		k->next_at = net_sim_now() + 500;
+		net_sim_write(client->c, text, strlen(text), 0);
+		client->half_closed = 1;
+		client->next_at = net_sim_now() + 500;
 		sum.smuggled++;
 		return;
 	}
 	while (n--) {
 		int no = request_new(w.honest_ids);
 
-		request_bytes(&b, no, k->old, k->mode == CLIENT_PIPELINES);
-		w.requests[no].ends_at = k->said + (size_t)arrlen(b);
-		if (arrlen(k->waiting)) /* its time begins when those before it are answered */
+		request_bytes(&b, no, client->old, client->mode == CLIENT_PIPELINES);
+		w.requests[no].ends_at = client->bytes_written + (size_t)arrlen(b);
+		if (arrlen(client->pending)) /* its time begins when those before it are answered */
 			w.requests[no].deadline_at = INT32_MAX;
-		arrput(k->waiting, no);
+		arrput(client->pending, no);
 	}
 	for (size_t off = 0, len = (size_t)arrlen(b); off < len;) {
-		size_t part = dice(3) ? len - off : 1 + dice(len - off);
+		size_t part = random_below(3) ? len - off : 1 + random_below(len - off);
 
-		net_sim_say(k->c, b + off, part, at);
+		net_sim_write(client->c, b + off, part, at);
 		off += part;
-		for (ptrdiff_t i = 0; i < arrlen(k->waiting); i++)
-			if (w.requests[k->waiting[i]].ends_at <= k->said + off && !w.requests[k->waiting[i]].whole_at)
-				w.requests[k->waiting[i]].whole_at = net_sim_now() + at;
-		at += (int64_t)dice(10);
+		for (ptrdiff_t i = 0; i < arrlen(client->pending); i++)
+			if (w.requests[client->pending[i]].ends_at <= client->bytes_written + off && !w.requests[client->pending[i]].complete_at)
+				w.requests[client->pending[i]].complete_at = net_sim_now() + at;
+		at += (int64_t)random_below(10);
 	}
-	k->said += (size_t)arrlen(b);
+	client->bytes_written += (size_t)arrlen(b);
 	arrfree(b);
-	if (k->mode == CLIENT_LEAVES) {
-		if (dice(2))
-			net_sim_reset(k->c, at + (int64_t)dice(120));
+	if (client->mode == CLIENT_LEAVES) {
+		if (random_below(2))
+			net_sim_reset(client->c, at + (int64_t)random_below(120));
 		else
-			net_sim_end(k->c, at + (int64_t)dice(120));
-		k->left = 1;
+			net_sim_end(client->c, at + (int64_t)random_below(120));
+		client->half_closed = 1;
 	}
-	if (k->mode == CLIENT_HALF_CLOSES) {
-		net_sim_end(k->c, at + (int64_t)dice(200));
-		k->left = 1;
+	if (client->mode == CLIENT_HALF_CLOSES) {
+		net_sim_end(client->c, at + (int64_t)random_below(200));
+		client->half_closed = 1;
 	}
 }
 
@@ -916,11 +916,11 @@
 	}
 	pos = a->head;
 	if (field(d, a->head, "Content-Length", v, sizeof v)) {
-		size_t want = (size_t)atoi(v), k = n - pos < want ? n - pos : want;
+		size_t expected = (size_t)atoi(v), k = n - pos < expected ? n - pos : expected;
 
 		append(&a->body, d + pos, k);
 		a->used = pos + k;
-		a->complete = k == want;
+		a->complete = k == expected;
 		return 1;
 	}
 	if (!field(d, a->head, "Transfer-Encoding", v, sizeof v)) { /* up to the end of the connection */
@@ -994,7 +994,7 @@
 
 static void check_answer(int no, const struct answer *a)
 {
-	struct request *q = &w.requests[no];
+	struct request *request = &w.requests[no];
 	const struct run *r;
 	size_t n = (size_t)arrlen(a->body);
 
@@ -1002,42 +1002,42 @@
 		return;
 	if (!a->sealed) {
 		if (a->status < 300)
-			breach("request %d (%s) received a success without a seal", no, q->path);
+			breach("request %d (%s) received a success without a seal", no, request->path);
 		if (a->status < 500 && !is_promise(a->status) &&
-		    !(a->status == 401 && q->route == ROUTE_REPEATABLE && q->key == TENANTS))
-			breach("request %d (%s) is proper and was answered %d", no, q->path, a->status);
+		    !(a->status == 401 && request->route == ROUTE_REPEATABLE && request->key == TENANTS))
+			breach("request %d (%s) is proper and was answered %d", no, request->path, a->status);
 		if (is_promise(a->status)) {
-			q->promised = 1;
-			for (ptrdiff_t i = 0; i < arrlen(q->wires); i++)
-				if (q->wires[i].cleared_at > net_sim_now())
-					breach("request %d (%s) was answered %d, and it may have run", no, q->path, a->status);
+			request->promises = 1;
+			for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
+				if (request->wires[i].cleared_at > net_sim_now())
+					breach("request %d (%s) was answered %d, and it may have run", no, request->path, a->status);
 		}
 		return;
 	}
 	if (a->run < 0 || a->run >= arrlen(w.runs) || w.runs[a->run].request != no) {
-		breach("request %d (%s) received the answer of request %d", no, q->path,
+		breach("request %d (%s) received the answer of request %d", no, request->path,
 		       a->run < 0 || a->run >= arrlen(w.runs) ? -1 : w.runs[a->run].request);
 		return;
 	}
 	r = &w.runs[a->run];
 	if (r->status != a->status)
-		breach("request %d (%s): status %d became %d", no, q->path, r->status, a->status);
+		breach("request %d (%s): status %d became %d", no, request->path, r->status, a->status);
 	if (is_promise(a->status))
-		breach("request %d (%s) ran and was answered %d", no, q->path, a->status);
-	if (routes[q->route].streams && a->status == 200 && n > 2 && strncmp(a->body, "request", 7)) {
+		breach("request %d (%s) ran and was answered %d", no, request->path, a->status);
+	if (routes[request->route].streams && a->status == 200 && n > 2 && strncmp(a->body, "request", 7)) {
 		check_events(no, a);
 		return;
 	}
 	if (n > (size_t)arrlen(r->body) || memcmp(a->body ? a->body : "", r->body ? r->body : "", n))
-		breach("request %d (%s): a body that its run %d did not say: %zu of %zu bytes, ends with %.12s", no, q->path,
+		breach("request %d (%s): a body that its run %d did not say: %zu of %zu bytes, ends with %.12s", no, request->path,
 		       a->run, n, (size_t)arrlen(r->body), a->body + n - 12);
 	else if (a->complete && n != (size_t)arrlen(r->body))
-		breach("request %d (%s): %zu bytes of %zu look complete", no, q->path, n, (size_t)arrlen(r->body));
+		breach("request %d (%s): %zu bytes of %zu look complete", no, request->path, n, (size_t)arrlen(r->body));
 }
 
-static void count_answer(const struct answer *a, struct request *q)
+static void count_answer(const struct answer *a, struct request *request)
 {
-	q->told = 1;
+	request->answers = 1;
 	if (!a->complete)
 		sum.cut++;
 	else if (a->status < 300)
@@ -1051,101 +1051,101 @@
 /* Rule LOST: read whole, and its connection ends without a whole answer before the client's deadline. What was pipelined behind
  * an answer that had to be broken off ends with it: by RFC 9112, 9.3.2, its client has to ask again. An answer that has begun
  * has to be when its deadline comes, and when the time to stop in is over. */
-static void check_lost(const struct client *k)
+static void check_lost(const struct client *client)
 {
-	for (ptrdiff_t i = 0; w.calm && !k->left && k->mode != CLIENT_SLOW && i < arrlen(k->waiting); i++) {
-		const struct request *q = &w.requests[k->waiting[i]];
+	for (ptrdiff_t i = 0; w.calm && !client->half_closed && client->mode != CLIENT_SLOW && i < arrlen(client->pending); i++) {
+		const struct request *request = &w.requests[client->pending[i]];
 
-		int64_t age = net_sim_now() - q->whole_at;
+		int64_t age = net_sim_now() - request->complete_at;
 
-		if (net_sim_taken(k->c) < q->ends_at)
+		if (net_sim_bytes_read(client->c) < request->ends_at)
 			continue;
-		if (age >= q->limit_ms || (arrlen(k->in) && w.edge.leave_at && net_sim_now() >= w.proc.stop_at - STOP_LAST_MS))
+		if (age >= request->limit_ms || (arrlen(client->in) && w.edge.drain_started_at_ms && net_sim_now() >= w.proc.stop_deadline_ms - STOP_LAST_MS))
 			break;
-		if (arrlen(q->wires) || age > LOSS_SLACK_MS)
-			breach("request %d (%s) was read whole and got no answer: sent to %d, %lld of %d ms old", k->waiting[i],
-			       q->path, (int)arrlen(q->wires), (long long)age, q->limit_ms);
+		if (arrlen(request->wires) || age > LOSS_SLACK_MS)
+			breach("request %d (%s) was read whole and got no answer: sent to %d, %lld of %d ms old", client->pending[i],
+			       request->path, (int)arrlen(request->wires), (long long)age, request->limit_ms);
 	}
 }
 
 /* Returns 0 when the connection is of no more use. */
-static int client_read(struct client *k)
+static int client_read(struct client *client)
 {
 	char d[4096];
 	size_t n;
-	enum sim_left left = net_sim_left(k->c);
+	enum sim_close_state state = net_sim_close_state(client->c);
 
-	while ((n = net_sim_hear(k->c, d, k->mode == CLIENT_SLOW ? 1 + dice(200) : sizeof d))) {
-		append(&k->in, d, n);
-		if (k->mode == CLIENT_SLOW)
+	while ((n = net_sim_read(client->c, d, client->mode == CLIENT_SLOW ? 1 + random_below(200) : sizeof d))) {
+		append(&client->in, d, n);
+		if (client->mode == CLIENT_SLOW)
 			break;
 	}
-	if (k->mode == CLIENT_SMUGGLES)
-		return left == SIM_OPEN;
+	if (client->mode == CLIENT_SMUGGLES)
+		return state == SIM_OPEN;
 	for (;;) {
 		struct answer a = { 0 };
-		int ended = left == SIM_CLOSED || left == SIM_HALF_CLOSED, over;
+		int ended = state == SIM_CLOSED || state == SIM_HALF_CLOSED, over;
 
-		if (n && k->mode == CLIENT_SLOW)
+		if (n && client->mode == CLIENT_SLOW)
 			ended = 0; /* it has not read all yet */
-		if (!arrlen(k->waiting)) {
-			if (arrlen(k->in))
-				breach("bytes on a connection where no request waits: %.40s", k->in);
+		if (!arrlen(client->pending)) {
+			if (arrlen(client->in))
+				breach("bytes on a connection where no request waits: %.40s", client->in);
 			break;
 		}
-		if (arrlen(k->in)) {
-			if (!read_answer(k->in, (size_t)arrlen(k->in), ended && left != SIM_RESET, &a))
-				breach("request %d: bytes that are no answer: %.30s", k->waiting[0], k->in);
-			check_answer(k->waiting[0], &a);
+		if (arrlen(client->in)) {
+			if (!read_answer(client->in, (size_t)arrlen(client->in), ended && state != SIM_RESET, &a))
+				breach("request %d: bytes that are no answer: %.30s", client->pending[0], client->in);
+			check_answer(client->pending[0], &a);
 		}
 		if (!a.complete) {
 			arrfree(a.body);
 			break;
 		}
-		count_answer(&a, &w.requests[k->waiting[0]]);
-		arrdel(k->waiting, 0);
-		arrdeln(k->in, 0, a.used);
+		count_answer(&a, &w.requests[client->pending[0]]);
+		arrdel(client->pending, 0);
+		arrdeln(client->in, 0, a.used);
 		over = a.closes;
 		arrfree(a.body);
 		if (over) {
-			if (arrlen(k->in))
+			if (arrlen(client->in))
 				breach("bytes behind an answer that closes its connection");
 			return 0;
 		}
 	}
-	if (left != SIM_OPEN && !(n && k->mode == CLIENT_SLOW)) {
-		sum.cut += (uint64_t)arrlen(k->waiting);
-		check_lost(k);
+	if (state != SIM_OPEN && !(n && client->mode == CLIENT_SLOW)) {
+		sum.cut += (uint64_t)arrlen(client->pending);
+		check_lost(client);
 		return 0;
 	}
 	return 1;
 }
 
-static void client_turn(struct client *k, int ask)
+static void client_turn(struct client *client, int ask)
 {
 	int64_t now = net_sim_now();
 
-	if (!k->c) {
-		if (!ask || now < k->next_at)
+	if (!client->c) {
+		if (!ask || now < client->next_at)
 			return;
-		client_dial(k);
-		if (!k->c)
+		client_dial(client);
+		if (!client->c)
 			return;
 	}
-	if (!client_read(k) || (k->left && now >= k->next_at && k->mode == CLIENT_SMUGGLES)) {
-		if (!k->left)
-			net_sim_end(k->c, 0);
-		client_close(k);
-		k->next_at = now + (int64_t)dice(60);
+	if (!client_read(client) || (client->half_closed && now >= client->next_at && client->mode == CLIENT_SMUGGLES)) {
+		if (!client->half_closed)
+			net_sim_end(client->c, 0);
+		client_close(client);
+		client->next_at = now + (int64_t)random_below(60);
 		return;
 	}
-	if (arrlen(k->waiting) || k->left || now < k->next_at || !ask)
+	if (arrlen(client->pending) || client->half_closed || now < client->next_at || !ask)
 		return;
-	if (!dice(12)) { /* rests */
-		k->next_at = now + (int64_t)dice(1500);
+	if (!random_below(12)) { /* rests */
+		client->next_at = now + (int64_t)random_below(1500);
 		return;
 	}
-	client_ask(k);
+	client_write(client);
 }
 
 /* ---- the daemon round them ---- */
@@ -1166,74 +1166,74 @@
 }
 
 int64_t __real_clock_ms(void);
-void __wrap_proc_perform(struct proc *p);
-void __wrap_proc_perform(struct proc *p)
+void __wrap_proc_perform(struct process *proc);
+void __wrap_proc_perform(struct process *proc)
 {
-	for (ptrdiff_t i = 0; i < arrlen(p->o.v); i++) {
-		const struct cmd *c = &p->o.v[i];
+	for (ptrdiff_t i = 0; i < arrlen(proc->commands.commands); i++) {
+		const struct command *command = &proc->commands.commands[i];
 
-		if (platform_edge.perform(&w.edge, c))
+		if (platform_edge.perform(&w.edge, command))
 			continue;
-		if (c->kind == CMD_SEND && c->u.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-			arrput(w.config_watch_tokens, c->u.send.msg->follow->token);
+		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
+			arrput(w.config_watch_tokens, command->args.send.msg->follow->token);
 	}
-	out_clear(&p->o);
+	command_list_clear(&proc->commands);
 }
 
-static void core_step(const struct router_ev *ev)
+static void core_step(const struct router_event *event)
 {
-	router_step(&w.ctr, ev, net_sim_now(), &w.proc.o);
+	router_step(&w.ctr, event, net_sim_now(), &w.proc.commands);
 	__wrap_proc_perform(&w.proc);
 }
 
-static struct Nl__Row *row(apr_pool_t *p, Nl__Kind kind, const char *name)
+static struct Nl__Row *row(apr_pool_t *pool, Nl__Kind kind, const char *name)
 {
-	struct Nl__Row *r = apr_palloc(p, sizeof *r);
+	struct Nl__Row *r = apr_palloc(pool, sizeof *r);
 
 	nl__row__init(r);
 	r->kind = kind;
-	r->name = apr_pstrdup(p, name);
+	r->name = apr_pstrdup(pool, name);
 	return r;
 }
 
-static struct Nl__Instance *instance(apr_pool_t *p, int i)
+static struct Nl__Instance *instance(apr_pool_t *pool, int i)
 {
-	struct Nl__Instance *x = apr_palloc(p, sizeof *x);
+	struct Nl__Instance *listed = apr_palloc(pool, sizeof *listed);
 
-	nl__instance__init(x);
-	x->server = apr_psprintf(p, "i-%d", i);
-	x->service = "pool";
-	x->addr = apr_psprintf(p, "127.1.0.%d:80", i + 1);
-	x->zone = "z1";
-	x->slots = 8;
-	x->weights = "w1";
-	x->stamp = 1;
-	return x;
+	nl__instance__init(listed);
+	listed->server = apr_psprintf(pool, "i-%d", i);
+	listed->service = "pool";
+	listed->addr = apr_psprintf(pool, "127.1.0.%d:80", i + 1);
+	listed->zone = "z1";
+	listed->slots = 8;
+	listed->weights = "w1";
+	listed->stamp = 1;
+	return listed;
 }
 
 /* The owner's word, whole the first time. */
-static void owner_answers(uint64_t token)
+static void leader_answers(uint64_t token)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ConfigSyncReply r = NL__CONFIG_SYNC_REPLY__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 	struct Nl__Row *rows[1 + ROUTES + 2 * TENANTS];
 	struct Nl__Instance *instances[SERVERS];
-	struct router_ev ev;
-	apr_pool_t *p;
-
-	apr_pool_create(&p, w.proc.p);
-	r.token = token;
-	r.has_lease = 1;
-	r.fleet = 7;
-	r.counters = 1;
-	r.edition = r.since = r.instances = 1;
+	struct router_event event;
+	apr_pool_t *pool;
+
+	apr_pool_create(&pool, w.proc.pool);
+	reply.token = token;
+	reply.has_lease = 1;
+	reply.fleet = 7;
+	reply.counters = 1;
+	reply.edition = reply.since = reply.instances = 1;
 	if (!w.ctr.route_table) {
-		r.whole = r.instances_whole = 1;
-		rows[0] = row(p, NL__KIND__SERVICE, "pool");
+		reply.whole = reply.instances_whole = 1;
+		rows[0] = row(pool, NL__KIND__SERVICE, "pool");
 		rows[0]->weights = "w1";
 		rows[0]->prefill = 20;
 		for (int i = 0; i < ROUTES; i++) {
-			struct Nl__Row *l = rows[1 + i] = row(p, NL__KIND__LANE, routes[i].path);
+			struct Nl__Row *l = rows[1 + i] = row(pool, NL__KIND__LANE, routes[i].path);
 
 			l->service = "pool";
 			l->host = "h.example";
@@ -1245,33 +1245,33 @@
 			l->resumable = routes[i].resumable;
 		}
 		for (int i = 0; i < SERVERS; i++)
-			instances[i] = instance(p, i);
-		r.set = rows;
+			instances[i] = instance(pool, i);
+		reply.set = rows;
 		for (int i = 0; i < TENANTS; i++) {
 			char hex[65];
-			struct Nl__Row **at = &rows[1 + ROUTES + 2 * i];
+			struct Nl__Row **config_row = &rows[1 + ROUTES + 2 * i];
 
-			at[0] = row(p, NL__KIND__TENANT, apr_psprintf(p, "t%d", i));
-			at[0]->share = 1;
-			at[1] = row(p, NL__KIND__KEY, doc_digest(apr_psprintf(p, "key-%d", i), hex));
-			at[1]->tenant = at[0]->name;
+			config_row[0] = row(pool, NL__KIND__TENANT, apr_psprintf(pool, "t%d", i));
+			config_row[0]->share = 1;
+			config_row[1] = row(pool, NL__KIND__KEY, doc_digest(apr_psprintf(pool, "key-%d", i), hex));
+			config_row[1]->tenant = config_row[0]->name;
 		}
-		r.n_set = 1 + ROUTES + 2 * TENANTS;
-		r.instance = instances;
-		r.n_instance = SERVERS;
+		reply.n_set = 1 + ROUTES + 2 * TENANTS;
+		reply.instance = instances;
+		reply.n_instance = SERVERS;
 	}
-	m.speak = CORE_SPEAK;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &r;
-	m.addr = m.id = OWNER;
-	memset(&ev, 0, sizeof ev);
-	ev.kind = ROUTER_MSG;
-	ev.u.msg = &m;
-	core_step(&ev);
-	apr_pool_destroy(p);
+	message.speak = CORE_SPEAK;
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = &reply;
+	message.addr = message.id = LEADER_ADDR;
+	memset(&event, 0, sizeof event);
+	event.kind = ROUTER_EVENT_MESSAGE;
+	event.u.message = &message;
+	core_step(&event);
+	apr_pool_destroy(pool);
 }
 
-static void owner_turn(void)
+static void leader_turn(void)
 {
 	uint64_t *tokens = w.config_watch_tokens;
 
@@ -1279,14 +1279,14 @@
 		return;
 	w.config_watch_tokens = NULL;
 	for (ptrdiff_t i = 0; net_sim_now() >= w.owner_silent_until && i < arrlen(tokens); i++)
-		owner_answers(tokens[i]);
+		leader_answers(tokens[i]);
 	arrfree(tokens);
 }
 
 static void world_open(uint64_t seed)
 {
 	struct net_sim_hooks hooks = { NULL, on_connect, on_accepted };
-	uint64_t owner = OWNER;
+	uint64_t leader = LEADER_ADDR;
 
 	memset(&w, 0, sizeof w);
 	w.seed = seed;
@@ -1294,16 +1294,16 @@
 	w.honest_ids = seed % 8 == 0;
 	net_sim_open(seed, &hooks);
 	w.started = net_sim_now();
-	apr_pool_create(&w.proc.p, NULL);
-	apr_pool_create(&w.proc.o.p, w.proc.p);
-	router_open(&w.ctr, 5, 1005, "z1", &owner, 1, net_sim_now());
-	w.ctr.b.instances = 1;
-	w.ctr.b.budget_mille = 1000;
-	w.ctr.b.budget_slack = 60;
-	w.platform.front = "127.0.0.1:8080";
-	w.platform.readiness = "127.0.0.1:8081";
-	w.proc.set.more = &w.platform;
-	w.edge.c = &w.ctr;
+	apr_pool_create(&w.proc.pool, NULL);
+	apr_pool_create(&w.proc.commands.pool, w.proc.pool);
+	router_open(&w.ctr, 5, 1005, "z1", &leader, 1, net_sim_now());
+	w.ctr.bounds.discover_instances = 1;
+	w.ctr.bounds.retry_budget_permille = 1000;
+	w.ctr.bounds.retry_budget_slack = 60;
+	w.platform.front_addr = "127.0.0.1:8080";
+	w.platform.readiness_addr = "127.0.0.1:8081";
+	w.proc.settings.extension = &w.platform;
+	w.edge.router = &w.ctr;
 	assert_true(platform_edge.open(&w.edge, &w.proc));
 }
 
@@ -1314,8 +1314,8 @@
 	if (!w.closed)
 		platform_edge.close(&w.edge);
 	router_close(&w.ctr);
-	arrfree(w.proc.o.v);
-	apr_pool_destroy(w.proc.p);
+	arrfree(w.proc.commands.commands);
+	apr_pool_destroy(w.proc.pool);
 	net_sim_close();
 	for (ptrdiff_t i = 0; i < arrlen(w.server_conns); i++) {
 		arrfree(w.server_conns[i]->in);
@@ -1337,26 +1337,26 @@
 	int64_t end = net_sim_now() + ms, tick = 0;
 
 	while (net_sim_now() < end && !w.bad[0]) {
-		struct router_ev ev = { .kind = ROUTER_TICK };
+		struct router_event event = { .kind = ROUTER_EVENT_TICK };
 
-		net_sim_advance((int64_t)dice(5));
-		if (ask && !w.calm && !dice(600)) {
-			int64_t frozen = (int64_t)(dice(4) ? dice(3500) : dice(9000));
+		net_sim_advance((int64_t)random_below(5));
+		if (ask && !w.calm && !random_below(600)) {
+			int64_t frozen = (int64_t)(random_below(4) ? random_below(3500) : random_below(9000));
 
-			net_sim_freeze(frozen, (int)dice(2));
+			net_sim_freeze(frozen, (int)random_below(2));
 			w.frozen_ms += frozen;
 			sum.frozen++;
 		}
-		if (ask && !w.calm && !dice(1500))
-			w.owner_silent_until = net_sim_now() + (int64_t)dice(6000);
+		if (ask && !w.calm && !random_below(1500))
+			w.owner_silent_until = net_sim_now() + (int64_t)random_below(6000);
 		for (int i = 0; i < CLIENTS; i++)
 			client_turn(&w.clients[i], ask && w.ctr.route_table);
 		platform_edge.wait(&w.edge, 0);
 		if (net_sim_now() - tick >= TICK_MS) {
 			tick = net_sim_now();
-			core_step(&ev);
+			core_step(&event);
 		}
-		owner_turn();
+		leader_turn();
 	}
 }
 
@@ -1365,7 +1365,7 @@
 static void stop_begins(int64_t grace_ms)
 {
 	w.proc.stopping = 1;
-	w.proc.stop_at = net_sim_now() + grace_ms;
+	w.proc.stop_deadline_ms = net_sim_now() + grace_ms;
 	platform_edge.stop(&w.edge, net_sim_now());
 }
 
@@ -1374,9 +1374,9 @@
 {
 	int64_t from = net_sim_now(), end;
 
-	while (!w.bad[0] && net_sim_now() < w.proc.stop_at && !platform_edge.done(&w.edge, net_sim_now()))
+	while (!w.bad[0] && net_sim_now() < w.proc.stop_deadline_ms && !platform_edge.is_idle(&w.edge, net_sim_now()))
 		play(1, ask);
-	for (end = net_sim_now() + LEFT_MS; net_sim_now() < end; net_sim_advance(5))
+	for (end = net_sim_now() + DISCONNECTED_MS; net_sim_now() < end; net_sim_advance(5))
 		platform_edge.wait(&w.edge, 0);
 	platform_edge.close(&w.edge);
 	w.closed = 1;
@@ -1403,25 +1403,25 @@
 /* Once nothing is under way, nothing is counted as under way at any server. */
 static void check_books(void)
 {
-	if (arrlen(w.ctr.all))
+	if (arrlen(w.ctr.requests))
 		return;
-	for (ptrdiff_t i = 0; i < arrlen(w.ctr.sv); i++) {
-		const struct router_server *v = &w.ctr.sv[i];
+	for (ptrdiff_t i = 0; i < arrlen(w.ctr.servers); i++) {
+		const struct router_server_state *server = &w.ctr.servers[i];
 
-		if (v->own || v->ahead || v->tokens)
-			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i, v->own, v->ahead,
-			       (unsigned long long)v->tokens);
+		if (server->own_running || server->prefill_tokens || server->resident_tokens)
+			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i, server->own_running, server->prefill_tokens,
+			       (unsigned long long)server->resident_tokens);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(w.ctr.line); i++)
-		if (w.ctr.line[i].n || w.ctr.line[i].running)
-			breach("a line of nobody has %u waiting and %u running", w.ctr.line[i].n, w.ctr.line[i].running);
+	for (ptrdiff_t i = 0; i < arrlen(w.ctr.queues); i++)
+		if (w.ctr.queues[i].length || w.ctr.queues[i].running)
+			breach("a line of nobody has %u waiting and %u running", w.ctr.queues[i].length, w.ctr.queues[i].running);
 }
 
-static void no_answer_goes_astray(void **st)
+static void no_answer_goes_astray(void **state)
 {
 	uint64_t first = first_seed(), n = seed_count(SEED_RUNS);
 
-	(void)st;
+	(void)state;
 	memset(&sum, 0, sizeof sum);
 	for (uint64_t seed = first; seed < first + n; seed++) {
 		world_open(seed);
@@ -1429,10 +1429,10 @@
 		w.owner_silent_until = 0;
 		play(DRAIN_MS, 0);
 		for (int i = 0; i < CLIENTS; i++)
-			if (w.clients[i].c && arrlen(w.clients[i].waiting) && !w.clients[i].left &&
+			if (w.clients[i].c && arrlen(w.clients[i].pending) && !w.clients[i].half_closed &&
 			    w.clients[i].mode != CLIENT_SLOW)
-				breach("request %d (%s) was never answered", w.clients[i].waiting[0],
-				       w.requests[w.clients[i].waiting[0]].path);
+				breach("request %d (%s) was never answered", w.clients[i].pending[0],
+				       w.requests[w.clients[i].pending[0]].path);
 		check_books();
 		if (w.bad[0])
 			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed, (long long)(net_sim_now() - w.started),
@@ -1476,7 +1476,7 @@
 /* One client asks on a route, and the servers that it meets do as the script says. Returns its request's number. */
 static int ask_scripted(enum route route, const enum act *acts, int n, int64_t ms)
 {
-	struct client *k = &w.clients[0];
+	struct client *client = &w.clients[0];
 	int no = request_new(0);
 	char *b = NULL;
 
@@ -1485,22 +1485,22 @@
 	snprintf(w.requests[no].path, sizeof w.requests[no].path, "%s%d", routes[route].path, no);
 	for (int i = 0; i < n; i++)
 		arrput(w.script, acts[i]);
-	if (!k->c)
-		assert_non_null(k->c = net_sim_dial(FRONT_PORT));
+	if (!client->c)
+		assert_non_null(client->c = net_sim_connect(FRONT_PORT));
 	request_bytes(&b, no, 0, 0);
-	net_sim_say(k->c, b, (size_t)arrlen(b), 0);
+	net_sim_write(client->c, b, (size_t)arrlen(b), 0);
 	arrfree(b);
-	arrput(k->waiting, no);
+	arrput(client->pending, no);
 	play(ms, 0);
 	return no;
 }
 
 /* An earlier answer that says "not executed" may stand in the slot of a request that runs: it goes to no second server. */
-static void a_refusal_of_another_request_is_no_promise(void **st)
+static void a_refusal_of_another_request_is_no_promise(void **state)
 {
 	static const enum act acts[] = { ACT_FOREIGN_REFUSAL };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 40; seed++)
 		for (int route = 0; route < ROUTES; route++) {
 			int no;
@@ -1510,18 +1510,18 @@
 			quiet_world(seed);
 			no = ask_scripted((enum route)route, acts, 1, DRAIN_MS);
 			assert_int_equal(arrlen(w.requests[no].wires), 1);
-			assert_int_equal(w.requests[no].promised, 0);
+			assert_int_equal(w.requests[no].promises, 0);
 			quiet_end(seed);
 		}
 }
 
 /* Where a server says an earlier request's answer late, a request's own answer behind it still reaches its client, whole, and the
  * request goes to no second server. */
-static void an_answer_to_another_request_is_passed_over(void **st)
+static void an_answer_to_another_request_is_passed_over(void **state)
 {
 	static const enum act acts[] = { ACT_FOREIGN_THEN_OWN };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 40; seed++)
 		for (int route = 0; route < ROUTES; route++) {
 			int no;
@@ -1529,17 +1529,17 @@
 			quiet_world(seed);
 			no = ask_scripted((enum route)route, acts, 1, DRAIN_MS);
 			assert_int_equal(arrlen(w.requests[no].wires), 1);
-			assert_int_equal(w.requests[no].told, 1);
+			assert_int_equal(w.requests[no].answers, 1);
 			quiet_end(seed);
 		}
 }
 
 /* What was turned away in its own name goes to another server, and is answered. */
-static void a_refusal_of_this_request_is_a_promise(void **st)
+static void a_refusal_of_this_request_is_a_promise(void **state)
 {
-	static const enum act acts[] = { ACT_TURN_AWAY, ACT_ANSWER };
+	static const enum act acts[] = { ACT_REJECT, ACT_ANSWER };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 20; seed++) {
 		int no;
 
@@ -1547,17 +1547,17 @@
 		no = ask_scripted(ROUTE_ONCE, acts, 2, DRAIN_MS);
 		assert_int_equal(arrlen(w.requests[no].wires), 2);
 		assert_int_equal(w.requests[no].runs, 1);
-		assert_int_equal(w.requests[no].told, 1);
+		assert_int_equal(w.requests[no].answers, 1);
 		quiet_end(seed);
 	}
 }
 
 /* Part of a body that has no events has gone to the client: nothing can go on behind it. Nor can a body behind events. */
-static void only_events_are_taken_up(void **st)
+static void only_event_streams_are_resumed(void **state)
 {
 	static const enum act acts[][2] = { { ACT_NOT_A_STREAM, ACT_ANSWER }, { ACT_CUT_BODY, ACT_NOT_A_STREAM } };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 60; seed++)
 		for (int i = 0; i < 2; i++) {
 			quiet_world(seed);
@@ -1568,15 +1568,15 @@
 
 /* The process freezes between its look at a kept connection and the request that would go out on it, for longer than its server
  * keeps it. */
-static void a_connection_ages_in_a_freeze(void **st)
+static void a_connection_ages_in_a_freeze(void **state)
 {
 	static const enum act acts[] = { ACT_SHORT_KEEP };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 200; seed++) {
 		quiet_world(seed);
 		ask_scripted(ROUTE_ONCE, acts, 1, 300);
-		if (!arrlen(w.clients[0].waiting)) {
+		if (!arrlen(w.clients[0].pending)) {
 			net_sim_freeze(1200, 1);
 			w.frozen_ms = 1200;
 			ask_scripted(ROUTE_ONCE, acts, 1, 2000);
@@ -1589,24 +1589,24 @@
 static int readiness(void)
 {
 	static const char ask[] = "GET /readiness HTTP/1.1\r\n\r\n";
-	struct sim_conn *c = net_sim_dial(READINESS_PORT);
+	struct sim_conn *conn = net_sim_connect(READINESS_PORT);
 	char answer[200] = "";
 
-	assert_non_null(c);
-	net_sim_say(c, ask, sizeof ask - 1, 0);
+	assert_non_null(conn);
+	net_sim_write(conn, ask, sizeof ask - 1, 0);
 	play(40, 0);
-	net_sim_hear(c, answer, sizeof answer - 1);
-	net_sim_end(c, 0);
+	net_sim_read(conn, answer, sizeof answer - 1);
+	net_sim_end(conn, 0);
 	return atoi(answer + strlen("HTTP/1.1 "));
 }
 
-static void readiness_follows_the_configuration(void **st)
+static void readiness_follows_the_configuration(void **state)
 {
-	(void)st;
+	(void)state;
 	quiet_world(1);
 	assert_int_equal(readiness(), 200);
 	w.owner_silent_until = net_sim_now() + 20000;
-	play(router_ride(&w.ctr) + 200, 0);
+	play(router_max_staleness_ms(&w.ctr) + 200, 0);
 	assert_int_equal(readiness(), 503);
 	w.owner_silent_until = 0;
 	play(1000, 0);
@@ -1618,26 +1618,26 @@
 
 /* Without a configuration that is certain to be in force all is refused with a promise, known routes and unknown ones: never
  * with a 4xx that a newer configuration might not give. */
-static void a_stale_door_promises_and_denies_nothing(void **st)
+static void a_stale_front_end_promises_and_denies_nothing(void **state)
 {
-	struct sim_conn *c;
+	struct sim_conn *conn;
 	char answer[400] = "";
 	static const char unknown[] =
 	    "POST /nowhere/ HTTP/1.1\r\nHost: h.example\r\nX-Notchlug-Attempt-Id: a\r\nContent-Length: 0\r\n\r\n";
 	int no;
 
-	(void)st;
+	(void)state;
 	quiet_world(1);
 	w.owner_silent_until = net_sim_now() + 60000;
-	play(router_ride(&w.ctr) + 200, 0);
+	play(router_max_staleness_ms(&w.ctr) + 200, 0);
 	no = ask_scripted(ROUTE_ONCE, NULL, 0, DRAIN_MS);
 	assert_int_equal(arrlen(w.requests[no].wires), 0);
-	assert_int_equal(w.requests[no].told, 1);
-	assert_int_equal(w.requests[no].promised, 1);
-	assert_non_null(c = net_sim_dial(FRONT_PORT));
-	net_sim_say(c, unknown, sizeof unknown - 1, 0);
+	assert_int_equal(w.requests[no].answers, 1);
+	assert_int_equal(w.requests[no].promises, 1);
+	assert_non_null(conn = net_sim_connect(FRONT_PORT));
+	net_sim_write(conn, unknown, sizeof unknown - 1, 0);
 	play(50, 0);
-	net_sim_hear(c, answer, sizeof answer - 1);
+	net_sim_read(conn, answer, sizeof answer - 1);
 	assert_int_equal(atoi(answer + strlen("HTTP/1.1 ")), 503);
 	assert_non_null(strstr(answer, "Retry-After: "));
 	quiet_end(1);
@@ -1647,18 +1647,18 @@
 
 static void random_limits(void)
 {
-	struct http_limits l = { 16384 + dice(16384), 65536 + dice(65536), 100 + (int)dice(3000), 100 + (int)dice(5000) };
+	struct http_limits limits = { 16384 + random_below(16384), 65536 + random_below(65536), 100 + (int)random_below(3000), 100 + (int)random_below(5000) };
 
-	http_limits(w.edge.h, 1, &l);
+	http_limits(w.edge.http, 1, &limits);
 }
 
 /* Settings are read anew, as counter.c takes them over. */
 static void settings_change(void)
 {
-	uint64_t seeds[2] = { OWNER, OWNER + dice(2) };
+	uint64_t seeds[2] = { LEADER_ADDR, LEADER_ADDR + random_below(2) };
 
-	config_watch_seeds(&w.ctr.f, seeds, 1 + (int)dice(2));
-	w.ctr.b.budget_mille = 500 + (int)dice(1000);
+	config_watch_set_seeds(&w.ctr.config_watch, seeds, 1 + (int)random_below(2));
+	w.ctr.bounds.retry_budget_permille = 500 + (int)random_below(1000);
 }
 
 static void play_planned(int64_t ms)
@@ -1666,21 +1666,21 @@
 	int64_t end = net_sim_now() + ms;
 
 	while (net_sim_now() < end && !w.bad[0]) {
-		play(1 + (int64_t)dice(200), 1);
-		if (!dice(3))
+		play(1 + (int64_t)random_below(200), 1);
+		if (!random_below(3))
 			random_limits();
-		if (!dice(8))
+		if (!random_below(8))
 			settings_change();
 	}
 }
 
-static uint64_t without_outcome(const struct http_counts *n)
+static uint64_t without_outcome(const struct http_counters *http_counts)
 {
-	uint64_t left = n->requests;
+	uint64_t remaining = http_counts->requests;
 
-	for (int i = 0; i < HTTP_OUTCOMES; i++)
-		left -= n->outcome[i];
-	return left;
+	for (int i = 0; i < HTTP_OUTCOME_COUNT; i++)
+		remaining -= http_counts->outcomes[i];
+	return remaining;
 }
 
 /* Who may not have taken the whole of an answer when the process ended. */
@@ -1689,30 +1689,30 @@
 	uint64_t n = 0;
 
 	for (int i = 0; i < CLIENTS; i++)
-		n += w.clients[i].c && w.clients[i].mode == CLIENT_SLOW && arrlen(w.clients[i].waiting);
+		n += w.clients[i].c && w.clients[i].mode == CLIENT_SLOW && arrlen(w.clients[i].pending);
 	return n;
 }
 
 /* Whoever's request was read whole hears a whole answer: with limits and settings that change all the time, and with a stop
  * at any time of any length. */
-static void planned_work_loses_nothing(void **st)
+static void planned_work_loses_nothing(void **state)
 {
 	uint64_t first = first_seed(), n = seed_count(STOP_RUNS), refused = 0, gone = 0;
 
-	(void)st;
+	(void)state;
 	memset(&sum, 0, sizeof sum);
 	for (uint64_t seed = first; seed < first + n; seed++) {
 		int64_t grace, took;
-		struct http_counts outcomes;
+		struct http_counters outcomes;
 
 		world_open(seed);
 		w.calm = w.honest_ids = 1;
 		play(300, 0);
-		play_planned((int64_t)dice(3000));
-		grace = dice(3) ? GRACE_MS : 500 + (int64_t)dice(9000);
+		play_planned((int64_t)random_below(3000));
+		grace = random_below(3) ? GRACE_MS : 500 + (int64_t)random_below(9000);
 		stop_begins(grace);
 		took = stop_ends(1);
-		if (took > grace + LEFT_MS + 10)
+		if (took > grace + DISCONNECTED_MS + 10)
 			breach("the stop took %lld of %lld ms", (long long)took, (long long)grace);
 		if (w.bad[0])
 			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed, (long long)(net_sim_now() - w.started),
@@ -1721,8 +1721,8 @@
 		if (without_outcome(&outcomes) > slow_clients())
 			fail_msg("NL_SEED=%llu: %llu requests have no outcome", (unsigned long long)seed,
 				 (unsigned long long)without_outcome(&outcomes));
-		refused += outcomes.outcome[HTTP_REFUSED];
-		gone += outcomes.outcome[HTTP_CLIENT_GONE];
+		refused += outcomes.outcomes[HTTP_OUTCOME_REJECTED];
+		gone += outcomes.outcomes[HTTP_OUTCOME_DISCONNECTED];
 		world_close();
 	}
 	print_message("%llu seeds: %llu requests, %llu whole, %llu refused, %llu failed, %llu cut\n", (unsigned long long)n,
@@ -1735,12 +1735,12 @@
 
 /* More requests than the servers have places, and servers that are silent: what was never sent hears early when to come back,
  * what was sent has the time to stop in and then hears that it failed. */
-static void a_stop_answers_the_waiting_and_the_running(void **st)
+static void a_stop_answers_the_waiting_and_the_running(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 10; seed++) {
-		struct sim_conn *c[CROWD];
-		int64_t told_at[CROWD] = { 0 }, from;
+		struct sim_conn *conn[CROWD];
+		int64_t answered_at[CROWD] = { 0 }, from;
 		int statuses[CROWD], waited = 0, ran = 0;
 		char *in[CROWD] = { NULL };
 
@@ -1762,21 +1762,21 @@
 				 "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Notchlug-Attempt-Id: %s\r\n"
 				 "X-Notchlug-Deadline-Remaining: 60000\r\nContent-Length: 0\r\n\r\n",
 				 w.requests[no].path, w.requests[no].id);
-			assert_non_null(c[i] = net_sim_dial(FRONT_PORT));
-			net_sim_say(c[i], b, strlen(b), 0);
+			assert_non_null(conn[i] = net_sim_connect(FRONT_PORT));
+			net_sim_write(conn[i], b, strlen(b), 0);
 		}
 		play(200, 0);
-		assert_int_equal(arrlen(w.ctr.all), CROWD);
+		assert_int_equal(arrlen(w.ctr.requests), CROWD);
 		from = net_sim_now();
 		stop_begins(GRACE_MS);
-		while (!platform_edge.done(&w.edge, net_sim_now()) && net_sim_now() < w.proc.stop_at) {
+		while (!platform_edge.is_idle(&w.edge, net_sim_now()) && net_sim_now() < w.proc.stop_deadline_ms) {
 			play(1, 0);
 			for (int i = 0; i < CROWD; i++) {
 				char b[1000];
 
-				append(&in[i], b, net_sim_hear(c[i], b, sizeof b));
-				if (arrlen(in[i]) && !told_at[i])
-					told_at[i] = net_sim_now() - from;
+				append(&in[i], b, net_sim_read(conn[i], b, sizeof b));
+				if (arrlen(in[i]) && !answered_at[i])
+					answered_at[i] = net_sim_now() - from;
 			}
 		}
 		for (int i = 0; i < CROWD; i++) {
@@ -1791,32 +1791,32 @@
 				fail_msg("seed %llu: request %d, %s, was told %d", (unsigned long long)seed, i,
 					 sent ? "sent" : "never sent", statuses[i]);
 			assert_true(sent || field(in[i], a.head, "Retry-After", v, sizeof v));
-			assert_true(sent ? told_at[i] > GRACE_MS - 500 : told_at[i] <= GRACE_MS / 2 + 100);
+			assert_true(sent ? answered_at[i] > GRACE_MS - 500 : answered_at[i] <= GRACE_MS / 2 + 100);
 			waited += !sent;
 			ran += sent;
 			arrfree(a.body);
 			arrfree(in[i]);
 		}
 		assert_true(waited && ran);
-		assert_true(platform_edge.done(&w.edge, net_sim_now()));
+		assert_true(platform_edge.is_idle(&w.edge, net_sim_now()));
 		quiet_end(seed);
 	}
 }
 
 /* SIGTERM between any two bytes of a request; the rest comes at once, when the listener has closed, or never. */
-static void a_stop_at_each_byte_of_a_request(void **st)
+static void a_stop_at_each_byte_of_a_request(void **state)
 {
 	static const char request[] = "POST /once/0 HTTP/1.1\r\nHost: h.example\r\nX-Notchlug-Attempt-Id: a\r\n"
 				      "X-Notchlug-Deadline-Remaining: 3000\r\nContent-Length: 4\r\n\r\nbody";
 	static const int64_t rest_after[] = { 1, 3000, -1 };
 	size_t len = sizeof request - 1;
 
-	(void)st;
+	(void)state;
 	for (size_t cut = 1; cut <= len; cut++)
 		for (int i = 0; i < 3; i++) {
 			struct answer a = { 0 };
 			char b[8192];
-			struct sim_conn *c;
+			struct sim_conn *conn;
 			size_t n;
 			int no, answers;
 
@@ -1832,14 +1832,14 @@
 			w.requests[no].more_fields = 0;
 			w.requests[no].deadline_at = INT32_MAX;
 			arrput(w.script, ACT_ANSWER);
-			assert_non_null(c = net_sim_dial(FRONT_PORT));
-			net_sim_say(c, request, cut, 0);
+			assert_non_null(conn = net_sim_connect(FRONT_PORT));
+			net_sim_write(conn, request, cut, 0);
 			play(20, 0);
 			stop_begins(i == 2 ? SHORT_GRACE_MS : GRACE_MS);
 			if (rest_after[i] >= 0)
-				net_sim_say(c, request + cut, len - cut, rest_after[i]);
+				net_sim_write(conn, request + cut, len - cut, rest_after[i]);
 			stop_ends(0);
-			n = net_sim_hear(c, b, sizeof b);
+			n = net_sim_read(conn, b, sizeof b);
 			answers = n && read_answer(b, n, 1, &a) && a.complete;
 			if (!answers || a.status != (i == 0 || cut == len ? 200 : 503) ||
 			    (i && cut < len && arrlen(w.requests[no].wires)))
@@ -1855,10 +1855,10 @@
 		cmocka_unit_test(a_refusal_of_another_request_is_no_promise),
 		cmocka_unit_test(an_answer_to_another_request_is_passed_over),
 		cmocka_unit_test(a_refusal_of_this_request_is_a_promise),
-		cmocka_unit_test(only_events_are_taken_up),
+		cmocka_unit_test(only_event_streams_are_resumed),
 		cmocka_unit_test(a_connection_ages_in_a_freeze),
 		cmocka_unit_test(readiness_follows_the_configuration),
-		cmocka_unit_test(a_stale_door_promises_and_denies_nothing),
+		cmocka_unit_test(a_stale_front_end_promises_and_denies_nothing),
 		cmocka_unit_test(a_stop_answers_the_waiting_and_the_running),
 		cmocka_unit_test(a_stop_at_each_byte_of_a_request),
 		cmocka_unit_test(planned_work_loses_nothing),
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -15,106 +15,106 @@
 #include "router_internal.h"
 #include "solo.h"
 
-enum { SHARED = 1000, OWN = 200, PREFILL = 20, ROOM = 100000, SERVERS_MOST = 1900, DECISIONS = 2000 };
+enum { SHARED = 1000, OWN = 200, PREFILL = 20, CAPACITY_TOKENS = 100000, SERVERS_MOST = 1900, DECISIONS = 2000 };
 
 /* A router of its own zone, with so many servers of one service and one lane. */
-static void open_before(struct solo *s, int servers, uint64_t room, const char *lane)
+static void open_before(struct solo *solo, int servers, uint64_t capacity, const char *route)
 {
 	struct Nl__Row *service, *row, *rows[2];
 	struct Nl__Instance **instances;
 
-	solo_open(s, 5);
-	service = new_service(s->p, "pool");
+	router_fixture_open(solo, 5);
+	service = new_service(solo->p, "pool");
 	service->prefill = PREFILL;
-	service->room = room;
+	service->room = capacity;
 	service->link = 10 * PREFILL;
 	service->kv_bytes = 1;
-	row = new_row(s->p, NL__KIND__LANE, lane);
+	row = new_row(solo->p, NL__KIND__LANE, route);
 	row->service = "pool";
 	row->host = "h";
 	row->path = "/x/";
 	row->limit = 100;
 	rows[0] = service;
 	rows[1] = row;
-	instances = apr_palloc(s->p, (size_t)servers * sizeof *instances);
+	instances = apr_palloc(solo->p, (size_t)servers * sizeof *instances);
 	for (int i = 0; i < servers; i++)
-		instances[i] = new_sight(s->p, i, "pool");
-	solo_table(s, rows, 2, instances, (size_t)servers, 1);
-	s->c.relay.fresh = 1;
-	s->c.relay.known_at = s->now;
+		instances[i] = new_instance(solo->p, i, "pool");
+	router_fixture_table(solo, rows, 2, instances, (size_t)servers, 1);
+	solo->router.relay.has_knowledge = 1;
+	solo->router.relay.known_at_ms = solo->now;
 }
 
 /* Ask for a prompt of a shared part and one of its own; the send's call, 0 when none left. */
-static uint64_t ask(struct solo *s, uint64_t shared, const char *id)
+static uint64_t ask(struct solo *solo, uint64_t shared, const char *id)
 {
-	struct router_asking a = { .token = ++s->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000 };
-	struct router_ev ev = { .kind = ROUTER_ASKED };
-
-	a.nparts = 2;
-	a.part[0] = (struct router_part){ shared, SHARED };
-	a.part[1] = (struct router_part){ 1000000 + s->token, OWN };
-	a.tokens_in = SHARED + OWN;
-	a.tokens_out = 10;
-	ev.u.ask = &a;
-	out_clear(&s->o);
-	solo_step(s, &ev);
-	return solo_sent(s);
+	struct forwarded_request a = { .token = ++solo->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000 };
+	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
+
+	a.block_count = 2;
+	a.blocks[0] = (struct request_block){ shared, SHARED };
+	a.blocks[1] = (struct request_block){ 1000000 + solo->token, OWN };
+	a.input_tokens = SHARED + OWN;
+	a.output_tokens = 10;
+	input.u.forwarded_request = &a;
+	command_list_clear(&solo->commands);
+	router_fixture_step(solo, &input);
+	return router_fixture_last_call(solo);
 }
 
 static void begin(struct solo *s, uint64_t call, int after_ms)
 {
-	struct router_ev ev = { .kind = ROUTER_BEGAN };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 
 	s->now += after_ms;
-	s->c.f.fresh = s->c.relay.known_at = s->now;
-	ev.u.began.token = call;
-	solo_step(s, &ev);
+	s->router.config_watch.fetched_at_ms = s->router.relay.known_at_ms = s->now;
+	event.u.forward_began.token = call;
+	router_fixture_step(s, &event);
 }
 
-static const struct decision_counts *counts(const struct solo *s) { return s->c.decisions[0]; }
+static const struct decision_counts *counts(const struct solo *s) { return s->router.decision_counts[0]; }
 
 /* The first send reads at the prefix's home; the next one finds it kept there. */
 static void reasons_are_recorded(void **state)
 {
-	struct solo s;
+	struct solo solo;
 	uint64_t call;
 
 	(void)state;
-	open_before(&s, 6, ROOM, "l1");
-	call = ask(&s, 7, "a");
+	open_before(&solo, 6, CAPACITY_TOKENS, "l1");
+	call = ask(&solo, 7, "a");
 	assert_true(call);
-	assert_int_equal(counts(&s)->decisions[DECISION_HOME], 1);
-	assert_int_equal(counts(&s)->shared_read, SHARED);
-	begin(&s, call, 90);
-	assert_int_equal(counts(&s)->first.sum, 90);
-	solo_ended(&s, call, ROUTER_WHOLE, 200);
-	call = ask(&s, 7, "b");
-	assert_int_equal(counts(&s)->decisions[DECISION_KEPT], 1);
-	assert_int_equal(counts(&s)->kept, SHARED);
-	assert_int_equal(counts(&s)->read, SHARED + 2 * OWN);
-	solo_ended(&s, call, ROUTER_BROKE, 0);
-	assert_int_equal(counts(&s)->failed, 1);
-	solo_close(&s);
+	assert_int_equal(counts(&solo)->decisions[DECISION_HOME], 1);
+	assert_int_equal(counts(&solo)->shared_prefill_tokens, SHARED);
+	begin(&solo, call, 90);
+	assert_int_equal(counts(&solo)->first_chunk_ms.sum_ms, 90);
+	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
+	call = ask(&solo, 7, "b");
+	assert_int_equal(counts(&solo)->decisions[DECISION_CACHED], 1);
+	assert_int_equal(counts(&solo)->cached_tokens, SHARED);
+	assert_int_equal(counts(&solo)->prefill_tokens, SHARED + 2 * OWN);
+	router_fixture_end_call(&solo, call, FORWARD_BROKEN_OFF, 0);
+	assert_int_equal(counts(&solo)->no_first_chunk, 1);
+	router_fixture_close(&solo);
 }
 
 /* One server, no store, and memory for less than one prompt: it is served, one at a time. */
 static void the_smallest_deployment_is_served(void **state)
 {
-	struct solo s;
+	struct solo solo;
 	uint64_t first;
 
 	(void)state;
-	open_before(&s, 1, 10, "l1");
-	first = ask(&s, 7, "a");
+	open_before(&solo, 1, 10, "l1");
+	first = ask(&solo, 7, "a");
 	assert_true(first);
-	assert_int_equal(counts(&s)->decisions[DECISION_ONLY], 1);
-	assert_int_equal(ask(&s, 7, "b"), 0); /* it waits: there is no room beside the first */
-	begin(&s, first, 50);
-	solo_ended(&s, first, ROUTER_WHOLE, 200);
-	for (int i = 0; i < 4 && !solo_sent(&s); i++)
-		solo_tick(&s, 25);
-	assert_true(solo_sent(&s));
-	solo_close(&s);
+	assert_int_equal(counts(&solo)->decisions[DECISION_ONLY], 1);
+	assert_int_equal(ask(&solo, 7, "b"), 0); /* it waits: there is no room beside the first */
+	begin(&solo, first, 50);
+	router_fixture_end_call(&solo, first, FORWARD_COMPLETE, 200);
+	for (int i = 0; i < 4 && !router_fixture_last_call(&solo); i++)
+		router_fixture_tick(&solo, 25);
+	assert_true(router_fixture_last_call(&solo));
+	router_fixture_close(&solo);
 }
 
 static int is_value(const char *s)
@@ -153,19 +153,19 @@
 /* Every line is one of the text format, whatever a route is called. */
 static void metrics_are_in_the_text_format(void **state)
 {
-	struct solo s;
+	struct solo solo;
 	const char *text;
 	char *line;
 	int samples = 0;
 
 	(void)state;
-	open_before(&s, 3, ROOM, "a \"lane\" of \\ ours");
-	assert_true(ask(&s, 7, "a"));
-	text = router_metrics(&s.c, s.now, s.p);
+	open_before(&solo, 3, CAPACITY_TOKENS, "a \"lane\" of \\ ours");
+	assert_true(ask(&solo, 7, "a"));
+	text = router_metrics(&solo.router, solo.now, solo.p);
 	assert_non_null(strstr(text, "notchlug_decisions_total{route=\"a \\\"lane\\\" of \\\\ ours\",reason=\"home\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_mechanism_on{name=\"fetch\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_queue_ms_bucket"));
-	for (line = apr_pstrdup(s.p, text); line && *line; line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
+	for (line = apr_pstrdup(solo.p, text); line && *line; line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
 		if (*line == '#')
 			continue;
 		if (!is_sample(line))
@@ -173,7 +173,7 @@
 		samples++;
 	}
 	assert_true(samples > 50);
-	solo_close(&s);
+	router_fixture_close(&solo);
 }
 
 static void mechanisms_have_names(void **state)
@@ -181,7 +181,7 @@
 	(void)state;
 	for (int m = 0; m < MECHANISMS; m++) {
 		assert_non_null(mechanism_info[m].name);
-		assert_non_null(mechanism_info[m].what);
+		assert_non_null(mechanism_info[m].description);
 		assert_int_equal(mechanism_find(mechanism_info[m].name), m);
 	}
 	assert_int_equal(mechanism_find("nothing"), -1);
@@ -195,27 +195,27 @@
 
 	(void)state;
 	for (size_t k = 0; k < sizeof servers / sizeof *servers; k++) {
-		struct solo s;
-		struct client_request x = {
-			.nparts = 2, .size = SHARED + OWN, .id = "a", .server = -1, .tried = UINT32_MAX, .forwarded = 1
+		struct solo solo;
+		struct client_request request = {
+			.block_count = 2, .total_tokens = SHARED + OWN, .id = "a", .server_index = -1, .avoided_server = UINT32_MAX, .is_forwarded = 1
 		};
 		clock_t from;
 		double us;
 		int found = 0;
 
-		open_before(&s, servers[k], ROOM, "l1");
-		x.tokens[0] = SHARED;
-		x.tokens[1] = OWN;
+		open_before(&solo, servers[k], CAPACITY_TOKENS, "l1");
+		request.block_tokens[0] = SHARED;
+		request.block_tokens[1] = OWN;
 		from = clock();
 		for (int i = 0; i < DECISIONS; i++) {
-			x.hash[0] = (uint64_t)i;
-			found += router_assign_forward(&s.c, &x, s.now).server >= 0;
+			request.block_hash[0] = (uint64_t)i;
+			found += router_placement_forwarded(&solo.router, &request, solo.now).server_index >= 0;
 		}
 		us = (double)(clock() - from) * 1e6 / CLOCKS_PER_SEC / DECISIONS;
 		print_message("%d servers: %.1f us a decision\n", servers[k], us);
 		assert_int_equal(found, DECISIONS);
 		assert_true(us < 20000);
-		solo_close(&s);
+		router_fixture_close(&solo);
 	}
 }
 
--- a/tests/test_doc.c
+++ b/tests/test_doc.c
@@ -42,126 +42,126 @@
     SERVICE("s1") "," SERVICE("s2") "," STORE("st"),
     TENANT("t1", "\"k1\",\"k2\"", ",\"Priority\":1,\"Isolated\":true") "," TENANT("t2", "\"k3\"", ""));
 
-static const struct Nl__Row *row_of(const struct Nl__Change *c, Nl__Kind k, const char *name)
+static const struct Nl__Row *row_of(const struct Nl__Change *change, Nl__Kind k, const char *name)
 {
-	for (size_t i = 0; i < c->n_set; i++)
-		if (c->set[i]->kind == k && !strcmp(c->set[i]->name, name))
-			return c->set[i];
+	for (size_t i = 0; i < change->n_set; i++)
+		if (change->set[i]->kind == k && !strcmp(change->set[i]->name, name))
+			return change->set[i];
 	return NULL;
 }
 
-static int doc(const char *old, const char *body, int patch, struct Nl__Change *c, const char **why, apr_pool_t *p)
+static int doc(const char *old, const char *body, int patch, struct Nl__Change *change, const char **why, apr_pool_t *p)
 {
-	nl__change__init(c);
+	nl__change__init(change);
 	*why = NULL;
-	return platform_tongue.read(old, old ? strlen(old) : 0, body, strlen(body), patch, c, why, p);
+	return platform_codec.read(old, old ? strlen(old) : 0, body, strlen(body), patch, change, why, p);
 }
 
 static int taken(const char *body, const char **why, apr_pool_t *p)
 {
-	struct Nl__Change c;
-	struct table t;
-	int rc = doc(NULL, body, 0, &c, why, p);
+	struct Nl__Change change;
+	struct config_table t;
+	int rc = doc(NULL, body, 0, &change, why, p);
 
 	if (rc)
 		return 0;
-	table_open(&t);
-	c.any = c.whole = c.keys = 1;
-	*why = table_check(&t, &c, p);
-	table_close(&t);
+	config_table_open(&t);
+	change.any = change.whole = change.keys = 1;
+	*why = config_table_check(&t, &change, p);
+	config_table_close(&t);
 	return !*why;
 }
 
-static void documents_become_rows(void **st)
+static void documents_become_rows(void **state)
 {
-	struct Nl__Change c;
-	const struct Nl__Row *r;
+	struct Nl__Change change;
+	const struct Nl__Row *row;
 	const char *why;
 	apr_pool_t *p;
 	char hex[65];
 
-	(void)st;
+	(void)state;
 	apr_pool_create(&p, NULL);
-	assert_int_equal(doc(NULL, first, 0, &c, &why, p), 0);
+	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
 	assert_true(taken(first, &why, p));
-	assert_int_equal(c.doc_version, 7);
-	assert_int_equal(c.doc.len, strlen(first)); /* byte for byte */
-	assert_memory_equal(c.doc.data, first, c.doc.len);
-	r = row_of(&c, NL__KIND__LANE, "r1");
-	assert_string_equal(r->service, "s1");
-	assert_string_equal(r->host, "a.example");
-	assert_string_equal(r->path, "/a/");
-	assert_true(r->repeatable && r->vouched && !r->open && !r->resumable && !r->pause);
-	assert_int_equal(r->timeout, 4000);
-	assert_int_equal(r->aim, 300);
-	assert_int_equal(r->prio, 2);
-	assert_int_equal(r->attempts, 2);
-	r = row_of(&c, NL__KIND__LANE, "r2");
-	assert_int_equal(r->n_split, 2);
-	assert_string_equal(r->split[0]->service, "s1");
-	assert_int_equal(r->split[0]->weight, 95);
-	assert_int_equal(r->split[1]->weight, 10);
-	assert_true(!r->repeatable && r->open && r->resumable);
-	assert_int_equal(r->pause, 250);
-	assert_int_equal(r->prio, 9);
-	r = row_of(&c, NL__KIND__SERVICE, "s2");
-	assert_string_equal(r->model, "daka");
-	assert_string_equal(r->weights, "");
-	assert_int_equal(r->slots, 128);
-	assert_int_equal(r->room, 319789);
-	assert_int_equal(r->kv_bytes, 18432);
-	assert_int_equal(r->link, 46250000);
-	assert_int_equal(r->store, 18750000);
-	assert_string_equal(r->addr, "172.20.0.2:8680");
-	assert_int_equal(r->watches, 12);
-	assert_int_equal(r->conns, 630);
-	assert_string_equal(r->health, "/health");
-	r = row_of(&c, NL__KIND__SERVICE, "st");
-	assert_string_equal(r->addr, "172.20.0.2:8680");
-	assert_string_equal(r->zone, "gombak");
-	assert_int_equal(r->store, 0);
-	assert_int_equal(r->room, 6934830);
-	r = row_of(&c, NL__KIND__TENANT, "t1");
-	assert_true(r->walled);
-	assert_int_equal(r->rank, 2);
-	assert_int_equal(r->limit, 0);
-	assert_int_equal(row_of(&c, NL__KIND__TENANT, "t2")->rank, 0);
-	r = row_of(&c, NL__KIND__KEY, doc_digest("k3", hex));
-	assert_string_equal(r->tenant, "t2");
+	assert_int_equal(change.doc_version, 7);
+	assert_int_equal(change.doc.len, strlen(first)); /* byte for byte */
+	assert_memory_equal(change.doc.data, first, change.doc.len);
+	row = row_of(&change, NL__KIND__LANE, "r1");
+	assert_string_equal(row->service, "s1");
+	assert_string_equal(row->host, "a.example");
+	assert_string_equal(row->path, "/a/");
+	assert_true(row->repeatable && row->vouched && !row->open && !row->resumable && !row->pause);
+	assert_int_equal(row->timeout, 4000);
+	assert_int_equal(row->aim, 300);
+	assert_int_equal(row->prio, 2);
+	assert_int_equal(row->attempts, 2);
+	row = row_of(&change, NL__KIND__LANE, "r2");
+	assert_int_equal(row->n_split, 2);
+	assert_string_equal(row->split[0]->service, "s1");
+	assert_int_equal(row->split[0]->weight, 95);
+	assert_int_equal(row->split[1]->weight, 10);
+	assert_true(!row->repeatable && row->open && row->resumable);
+	assert_int_equal(row->pause, 250);
+	assert_int_equal(row->prio, 9);
+	row = row_of(&change, NL__KIND__SERVICE, "s2");
+	assert_string_equal(row->model, "daka");
+	assert_string_equal(row->weights, "");
+	assert_int_equal(row->slots, 128);
+	assert_int_equal(row->room, 319789);
+	assert_int_equal(row->kv_bytes, 18432);
+	assert_int_equal(row->link, 46250000);
+	assert_int_equal(row->store, 18750000);
+	assert_string_equal(row->addr, "172.20.0.2:8680");
+	assert_int_equal(row->watches, 12);
+	assert_int_equal(row->conns, 630);
+	assert_string_equal(row->health, "/health");
+	row = row_of(&change, NL__KIND__SERVICE, "st");
+	assert_string_equal(row->addr, "172.20.0.2:8680");
+	assert_string_equal(row->zone, "gombak");
+	assert_int_equal(row->store, 0);
+	assert_int_equal(row->room, 6934830);
+	row = row_of(&change, NL__KIND__TENANT, "t1");
+	assert_true(row->walled);
+	assert_int_equal(row->rank, 2);
+	assert_int_equal(row->limit, 0);
+	assert_int_equal(row_of(&change, NL__KIND__TENANT, "t2")->rank, 0);
+	row = row_of(&change, NL__KIND__KEY, doc_digest("k3", hex));
+	assert_string_equal(row->tenant, "t2");
 	assert_string_equal(doc_digest("abc", hex), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
-	r = row_of(&c, NL__KIND__DOOR, "door");
-	assert_int_equal(r->body_bytes, 4194304);
-	assert_int_equal(r->idle_ms, 15000);
+	row = row_of(&change, NL__KIND__DOOR, "door");
+	assert_int_equal(row->body_bytes, 4194304);
+	assert_int_equal(row->idle_ms, 15000);
 	apr_pool_destroy(p);
 }
 
 /* Every column of the new rows goes out as JSON and comes back. */
-static void rows_survive_the_sheet(void **st)
+static void rows_survive_the_text_form(void **state)
 {
-	struct Nl__Change c;
+	struct Nl__Change change;
 	const char *why;
 	apr_pool_t *p;
 
-	(void)st;
+	(void)state;
 	apr_pool_create(&p, NULL);
-	assert_int_equal(doc(NULL, first, 0, &c, &why, p), 0);
-	for (size_t i = 0; i < c.n_set; i++) {
-		struct json_object *j = table_row_json(c.set[i]);
-		struct Nl__Row *r = table_row_parse(j, p, &why);
+	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
+	for (size_t i = 0; i < change.n_set; i++) {
+		struct json_object *json = config_row_json(change.set[i]);
+		struct Nl__Row *row = config_row_parse(json, p, &why);
 		size_t n, m;
 		uint8_t *a, *b;
 
-		assert_non_null(r);
-		a = core_pack(p, &r->base, &n);
-		b = core_pack(p, &c.set[i]->base, &m);
+		assert_non_null(row);
+		a = core_pack_message(p, &row->base, &n);
+		b = core_pack_message(p, &change.set[i]->base, &m);
 		assert_int_equal(n, m);
 		assert_memory_equal(a, b, n);
-		json_object_put(j);
+		json_object_put(json);
 	}
 	apr_pool_destroy(p);
 }
 
-static void invalid_documents_are_refused_by_name(void **st)
+static void invalid_documents_are_refused_by_name(void **state)
 {
 	static const struct {
 		const char *body, *names;
@@ -217,7 +217,7 @@
 	const char *why;
 	apr_pool_t *p;
 
-	(void)st;
+	(void)state;
 	apr_pool_create(&p, NULL);
 	for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
 		if (taken(bad[i].body, &why, p))
@@ -233,15 +233,15 @@
 	apr_pool_destroy(p);
 }
 
-static void patches_change_named_items_only(void **st)
+static void patches_change_named_items_only(void **state)
 {
-	struct json_object *is, *was, *a, *b;
-	struct Nl__Change c;
+	struct json_object *json, *was, *a, *b;
+	struct Nl__Change change;
 	const char *why;
 	apr_pool_t *p;
 	char *text;
 
-	(void)st;
+	(void)state;
 	apr_pool_create(&p, NULL);
 	assert_int_equal(
 	    doc(first,
@@ -249,40 +249,40 @@
 		    "r3", "/a/",
 		    "\"ServiceName\":\"s1\"") "],\"TenantList\":[" TENANT("t3", "\"k3\"",
 									  "") "]},\"Remove\":{\"RouteList\":[\"r2\",\"r-old\"],\"TenantList\":[\"t2\"]}}",
-		1, &c, &why, p),
+		1, &change, &why, p),
 	    0);
-	assert_int_equal(c.doc_version, 9);
-	text = apr_pstrmemdup(p, (char *)c.doc.data, c.doc.len);
-	assert_string_equal(row_of(&c, NL__KIND__LANE, "r1")->service, "s2");
-	assert_null(row_of(&c, NL__KIND__LANE, "r2"));
-	assert_non_null(row_of(&c, NL__KIND__LANE, "r3"));
+	assert_int_equal(change.doc_version, 9);
+	text = apr_pstrmemdup(p, (char *)change.doc.data, change.doc.len);
+	assert_string_equal(row_of(&change, NL__KIND__LANE, "r1")->service, "s2");
+	assert_null(row_of(&change, NL__KIND__LANE, "r2"));
+	assert_non_null(row_of(&change, NL__KIND__LANE, "r3"));
 	assert_non_null(strstr(text, "\"New\":1.50")); /* numbers stay as they were written, unknown fields as they stood */
 	assert_non_null(strstr(text, "\"Later\":{\"x\":0.10}"));
 	assert_non_null(strstr(text, "\"LinkMbps\":370000.0"));
-	is = json_tokener_parse(text);
+	json = json_tokener_parse(text);
 	was = json_tokener_parse(first);
-	assert_int_equal(json_num(is, "ConfigVersion"), 9);
-	assert_true(json_object_object_get_ex(is, "ServiceList", &a) && json_object_object_get_ex(was, "ServiceList", &b));
+	assert_int_equal(json_uint_member(json, "ConfigVersion"), 9);
+	assert_true(json_object_object_get_ex(json, "ServiceList", &a) && json_object_object_get_ex(was, "ServiceList", &b));
 	assert_true(json_object_equal(a, b));
-	json_object_put(is);
+	json_object_put(json);
 	json_object_put(was);
 	/* the whole result is checked */
-	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"ServiceList\":[\"s2\"]}}", 1, &c, &why, p), 0);
+	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"ServiceList\":[\"s2\"]}}", 1, &change, &why, p), 0);
 	assert_non_null(strstr(why, "r2: no service s2"));
 	assert_int_not_equal(
-	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE("r9", "/a/", "\"ServiceName\":\"s1\"") "]}}", 1, &c,
+	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE("r9", "/a/", "\"ServiceName\":\"s1\"") "]}}", 1, &change,
 		&why, p),
 	    0);
 	assert_int_not_equal(
-	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"TenantList\":[" TENANT("t9", "\"k1\"", "") "]}}", 1, &c, &why, p), 0);
+	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"TenantList\":[" TENANT("t9", "\"k1\"", "") "]}}", 1, &change, &why, p), 0);
 	assert_int_not_equal(doc(first,
 				 "{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE(
 				     "r9", "/x/", "\"ServiceName\":\"s1\"") "," ROUTE("r9", "/y/", "\"ServiceName\":\"s1\"") "]}}",
-				 1, &c, &why, p),
+				 1, &change, &why, p),
 			     0);
-	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[4]}}", 1, &c, &why, p), 0);
-	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":[]}", 1, &c, &why, p), 0);
-	assert_int_not_equal(doc(first, "{\"Upsert\":{}}", 1, &c, &why, p), 0);
+	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[4]}}", 1, &change, &why, p), 0);
+	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":[]}", 1, &change, &why, p), 0);
+	assert_int_not_equal(doc(first, "{\"Upsert\":{}}", 1, &change, &why, p), 0);
 	apr_pool_destroy(p);
 }
 
@@ -314,47 +314,47 @@
 }
 
 /* Nothing grows with the square of the routes. */
-static void large_documents_take_their_time_only_once(void **st)
+static void large_documents_take_their_time_only_once(void **state)
 {
 	static const int sizes[] = { 350, 20000 };
 	double all[2];
 
-	(void)st;
+	(void)state;
 	for (int i = 0; i < 2; i++) {
 		char *a = many(sizes[i], 1), *b = many(sizes[i], 2);
 		double t0, t1, t2, t3, t4;
 		struct Nl__ConfigSyncReply rep = NL__CONFIG_SYNC_REPLY__INIT;
 		struct Nl__Purge **feed = NULL;
-		struct Nl__Change c;
-		struct table t;
+		struct Nl__Change change;
+		struct config_table table;
 		const char *why;
 		apr_pool_t *p;
 
 		apr_pool_create(&p, NULL);
-		table_open(&t);
-		assert_int_equal(doc(NULL, a, 0, &c, &why, p), 0);
-		c.any = c.whole = c.keys = 1;
-		assert_int_equal(table_apply(&t, &c, &feed), TABLE_DONE);
+		config_table_open(&table);
+		assert_int_equal(doc(NULL, a, 0, &change, &why, p), 0);
+		change.any = change.whole = change.keys = 1;
+		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
 		t0 = ms_of();
-		assert_int_equal(doc(NULL, b, 0, &c, &why, p), 0);
-		c.any = c.whole = c.keys = 1;
+		assert_int_equal(doc(NULL, b, 0, &change, &why, p), 0);
+		change.any = change.whole = change.keys = 1;
 		t1 = ms_of();
-		assert_null(table_check(&t, &c, p));
+		assert_null(config_table_check(&table, &change, p));
 		t2 = ms_of();
-		assert_int_equal(table_apply(&t, &c, &feed), TABLE_DONE);
+		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
 		t3 = ms_of();
-		table_since(&t, 1, &rep, p);
+		config_table_since(&table, 1, &rep, p);
 		assert_true(rep.n_set < (size_t)sizes[i] / 100 + 2); /* followers get what changed */
 		assert_int_equal(doc(a,
 				     "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[\"r-7\"]},\"Upsert\":{\"RouteList\":[" ROUTE(
 					 "r-8", "/zz/", "\"ServiceName\":\"s1\"") "]}}",
-				     1, &c, &why, p),
+				     1, &change, &why, p),
 				 0);
 		t4 = ms_of();
 		all[i] = t4 - t0;
 		print_message("%d routes, %zu bytes: read %.1f ms, check %.1f ms, apply %.1f ms, patch %.1f ms\n", sizes[i],
 			      strlen(b), t1 - t0, t2 - t1, t3 - t2, t4 - t3);
-		table_close(&t);
+		config_table_close(&table);
 		arrfree(feed);
 		apr_pool_destroy(p);
 		free(a);
@@ -365,13 +365,13 @@
 
 /* ---- fleets ------------------------------------------------------------------------------------ */
 
-static void ok(struct sim *s)
+static void ok(struct sim *sim)
 {
-	if (s->bad[0])
-		fail_msg("seed %llu: %s", (unsigned long long)s->seed, s->bad);
+	if (sim->violation[0])
+		fail_msg("seed %llu: %s", (unsigned long long)sim->seed, sim->violation);
 }
 
-static const struct sim_web *answer(struct sim *s, uint64_t t, int64_t ms)
+static const struct sim_operator_answer *answer(struct sim *s, uint64_t t, int64_t ms)
 {
 	int64_t end = s->now + ms;
 
@@ -382,299 +382,299 @@
 }
 
 /* n controllers over a few zones, founded by the settings of the first. */
-static void fleet(struct sim *s, uint64_t seed, int n, int zones, int copies)
+static void fleet(struct sim *sim, uint64_t seed, int n, int zones, int copies)
 {
 	uint64_t seeds[3];
 	char buf[32];
 
-	sim_open(s, seed);
-	s->codec = &platform_tongue;
-	s->copies = copies;
-	s->catch_up_ms = 4000;
+	sim_open(sim, seed);
+	sim->codec = &platform_codec;
+	sim->replica_count = copies;
+	sim->catch_up_ms = 4000;
 	for (int i = 0; i < 3; i++) {
 		snprintf(buf, sizeof buf, "127.0.1.%d:7000", i + 1);
-		seeds[i] = core_addr(buf);
+		seeds[i] = core_parse_addr(buf);
 	}
 	for (int i = 0; i < n; i++) {
 		snprintf(buf, sizeof buf, "z%d", i % zones + 1);
-		sim_registrar(s, buf, seeds, 3);
+		sim_add_controller(sim, buf, seeds, 3);
 	}
-	controller_bootstrap(s->n[0].r, s->now + s->n[0].skew);
+	controller_bootstrap(sim->nodes[0].controller, sim->now + sim->nodes[0].clock_skew_ms);
 }
 
 /* Each part is owned, and has so many voting members, each of which is up. */
-static int whole_at(struct sim *s, int copies)
+static int complete_on(struct sim *sim, int copies)
 {
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		int o = sim_owner(s, i), v = 0;
+		int o = sim_leader(sim, i), v = 0;
 		const struct raft *p;
 
 		if (o < 0)
 			return 0;
-		p = &s->n[o].r->part[i];
+		p = &sim->nodes[o].controller->shards[i];
 		for (int k = 0; k < p->member_count; k++) {
 			int up = 0;
 
-			for (int q = 0; q < SIM_REGS; q++)
-				up |= s->n[q].up && !s->n[q].frozen && s->n[q].id == p->members[k].id;
+			for (int q = 0; q < SIM_CONTROLLERS; q++)
+				up |= sim->nodes[q].up && !sim->nodes[q].frozen && sim->nodes[q].id == p->members[k].id;
 			if (!up || !p->members[k].voter)
 				return 0;
 			v++;
 		}
-		if (v != copies || p->members_index > p->commit)
+		if (v != copies || p->members_index > p->commit_index)
 			return 0;
 	}
 	return 1;
 }
 
-static int64_t until_whole(struct sim *s, int copies, int64_t ms)
+static int64_t until_complete(struct sim *sim, int copies, int64_t ms)
 {
-	int64_t from = s->now;
+	int64_t from = sim->now;
 
-	while (!whole_at(s, copies)) {
-		if (s->now - from > ms || !sim_run(s, 25, NULL)) {
-			ok(s);
+	while (!complete_on(sim, copies)) {
+		if (sim->now - from > ms || !sim_run(sim, 25, NULL)) {
+			ok(sim);
 			for (uint32_t i = 0; i < SHARD_COUNT; i++)
-				print_message("part %u: owner %d, members %d\n", i, sim_owner(s, i),
-					      sim_owner(s, i) < 0 ? 0 : s->n[sim_owner(s, i)].r->part[i].member_count);
-			fail_msg("seed %llu: not whole at %d copies after %lld ms", (unsigned long long)s->seed, copies,
+				print_message("part %u: owner %d, members %d\n", i, sim_leader(sim, i),
+					      sim_leader(sim, i) < 0 ? 0 : sim->nodes[sim_leader(sim, i)].controller->shards[i].member_count);
+			fail_msg("seed %llu: not whole at %d copies after %lld ms", (unsigned long long)sim->seed, copies,
 				 (long long)ms);
 		}
 	}
-	return s->now - from;
+	return sim->now - from;
 }
 
 /* A call as the operator makes it: follows twice, goes on to another controller after a 5xx or a second of silence. */
 struct call {
 	uint64_t base, version, token;
 	int patch, node, hops, busy, status;
-	int64_t sent, again;
+	int64_t sent, retry_at;
 	char *body;
 	const char *weights;
 };
 
-static int node_of(struct sim *s, uint64_t addr)
+static int node_of(struct sim *sim, uint64_t addr)
 {
-	for (int i = 0; i < SIM_REGS; i++)
-		if (s->n[i].used && s->n[i].addr == addr)
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
+		if (sim->nodes[i].used && sim->nodes[i].addr == addr)
 			return i;
 	return -1;
 }
 
-static int regs(const struct sim *s)
+static int regs(const struct sim *sim)
 {
 	int n = 0;
 
-	while (n < SIM_REGS && s->n[n].used)
+	while (n < SIM_CONTROLLERS && sim->nodes[n].used)
 		n++;
 	return n;
 }
 
-static void send_call(struct sim *s, struct call *c, int node, int hops)
+static void send_call(struct sim *sim, struct call *call, int node, int hops)
 {
-	c->node = node;
-	c->hops = hops;
-	c->sent = s->now;
-	c->token = sim_doc(s, node, c->base, c->patch, c->body, c->weights);
+	call->node = node;
+	call->hops = hops;
+	call->sent = sim->now;
+	call->token = sim_send_document(sim, node, call->base, call->patch, call->body, call->weights);
 }
 
 /* One look at a call; 1 when it has ended. */
-static int go_on(struct sim *s, struct call *c)
+static int go_on(struct sim *sim, struct call *call)
 {
-	const struct sim_web *w = c->token ? sim_answer(s, c->token) : NULL;
+	const struct sim_operator_answer *web = call->token ? sim_answer(sim, call->token) : NULL;
 
-	if (!c->busy)
+	if (!call->busy)
 		return 0;
-	if (w && w->status == 307) {
-		assert_true(w->to && w->to != s->n[c->node].addr);
-		if (c->hops < 2 && node_of(s, w->to) >= 0) {
-			send_call(s, c, node_of(s, w->to), c->hops + 1);
+	if (web && web->status == 307) {
+		assert_true(web->to && web->to != sim->nodes[call->node].addr);
+		if (call->hops < 2 && node_of(sim, web->to) >= 0) {
+			send_call(sim, call, node_of(sim, web->to), call->hops + 1);
 			return 0;
 		}
-	} else if (w && w->status < 500) {
-		c->status = w->status;
-		c->busy = 0;
+	} else if (web && web->status < 500) {
+		call->status = web->status;
+		call->busy = 0;
 		return 1;
 	}
-	if (w || !c->token || s->now - c->sent > 1000 || !s->n[c->node].up) {
-		if (c->token && w)
-			c->again = s->now + 50 + (int64_t)(core_rand(&s->rng) % 150);
-		c->token = 0;
-		if (s->now >= c->again)
-			send_call(s, c, (int)(core_rand(&s->rng) % (uint64_t)regs(s)), 0);
+	if (web || !call->token || sim->now - call->sent > 1000 || !sim->nodes[call->node].up) {
+		if (call->token && web)
+			call->retry_at = sim->now + 50 + (int64_t)(core_random(&sim->rng) % 150);
+		call->token = 0;
+		if (sim->now >= call->retry_at)
+			send_call(sim, call, (int)(core_random(&sim->rng) % (uint64_t)regs(sim)), 0);
 	}
 	return 0;
 }
 
-static int finish(struct sim *s, struct call *c, int64_t ms)
+static int finish(struct sim *sim, struct call *call, int64_t ms)
 {
-	int64_t from = s->now;
+	int64_t from = sim->now;
 
-	c->busy = 1;
-	c->token = 0;
-	c->again = 0;
-	while (!go_on(s, c) && s->now - from < ms)
-		if (!sim_run(s, 5, NULL))
+	call->busy = 1;
+	call->token = 0;
+	call->retry_at = 0;
+	while (!go_on(sim, call) && sim->now - from < ms)
+		if (!sim_run(sim, 5, NULL))
 			break;
-	ok(s);
-	return c->busy ? 0 : c->status;
+	ok(sim);
+	return call->busy ? 0 : call->status;
 }
 
-static int put_doc(struct sim *s, uint64_t base, int patch, const char *body)
+static int put_doc(struct sim *sim, uint64_t base, int patch, const char *body)
 {
-	struct call c = { .base = base, .patch = patch, .body = (char *)body };
+	struct call call = { .base = base, .patch = patch, .body = (char *)body };
 
-	return finish(s, &c, 20000);
+	return finish(sim, &call, 20000);
 }
 
-static char *read_doc(struct sim *s, size_t *n)
+static char *read_doc(struct sim *sim, size_t *n)
 {
-	struct call c = { 0 };
+	struct call call = { 0 };
 
-	if (finish(s, &c, 20000) != 200)
+	if (finish(sim, &call, 20000) != 200)
 		return NULL;
-	*n = sim_answer(s, c.token)->len;
-	return sim_answer(s, c.token)->whole;
+	*n = sim_answer(sim, call.token)->full_body_len;
+	return sim_answer(sim, call.token)->full_body;
 }
 
-static void settings_found_a_fleet(void **st)
+static void settings_bootstrap_a_fleet(void **state)
 {
-	struct sim s;
+	struct sim sim;
 	char buf[32];
 	uint64_t seeds[3];
 	int64_t took;
 
-	(void)st;
-	fleet(&s, 1, 3, 3, 3);
-	took = until_whole(&s, 3, 5000);
+	(void)state;
+	fleet(&sim, 1, 3, 3, 3);
+	took = until_complete(&sim, 3, 5000);
 	print_message("a fleet of three stands %lld ms after its start\n", (long long)took);
-	sim_run(&s, 1000, NULL);                             /* the fleet stands before its founder has heard each seed say so */
-	controller_bootstrap(s.n[0].r, s.now + s.n[0].skew); /* again: it belongs to one */
-	assert_int_equal(s.n[0].r->found.own, 0);
-	sim_crash(&s, 0, 1); /* the first seed loses its disk, and its settings still say so */
-	sim_run(&s, 3000, NULL);
-	sim_start(&s, 0);
-	controller_bootstrap(s.n[0].r, s.now + s.n[0].skew);
-	until_whole(&s, 3, 15000);
+	sim_run(&sim, 1000, NULL);                             /* the fleet stands before its founder has heard each seed say so */
+	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms); /* again: it belongs to one */
+	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
+	sim_crash(&sim, 0, 1); /* the first seed loses its disk, and its settings still say so */
+	sim_run(&sim, 3000, NULL);
+	sim_start(&sim, 0);
+	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
+	until_complete(&sim, 3, 15000);
 	for (int i = 0; i < 3; i++)
-		assert_int_equal(s.n[i].r->fleet, s.n[1].r->fleet);
-	assert_int_equal(s.n[0].r->found.own, 0);
-	ok(&s);
-	sim_close(&s);
+		assert_int_equal(sim.nodes[i].controller->fleet, sim.nodes[1].controller->fleet);
+	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
+	ok(&sim);
+	sim_close(&sim);
 	/* seeds that come later are waited for, longer than a call would */
-	sim_open(&s, 2);
+	sim_open(&sim, 2);
 	for (int i = 0; i < 3; i++) {
 		snprintf(buf, sizeof buf, "127.0.1.%d:7000", i + 1);
-		seeds[i] = core_addr(buf);
+		seeds[i] = core_parse_addr(buf);
 	}
-	sim_registrar(&s, "z1", seeds, 3);
-	controller_bootstrap(s.n[0].r, s.now + s.n[0].skew);
-	sim_run(&s, 40000, NULL);
-	assert_int_equal(s.n[0].r->fleet, 0);
-	sim_registrar(&s, "z2", seeds, 3);
-	sim_run(&s, 15000, NULL);
-	assert_int_equal(s.n[0].r->fleet, 0);
-	sim_registrar(&s, "z3", seeds, 3);
-	until_whole(&s, 3, 5000);
-	ok(&s);
-	sim_close(&s);
+	sim_add_controller(&sim, "z1", seeds, 3);
+	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
+	sim_run(&sim, 40000, NULL);
+	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	sim_add_controller(&sim, "z2", seeds, 3);
+	sim_run(&sim, 15000, NULL);
+	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	sim_add_controller(&sim, "z3", seeds, 3);
+	until_complete(&sim, 3, 5000);
+	ok(&sim);
+	sim_close(&sim);
 }
 
-static void documents_are_taken_and_read_back(void **st)
+static void documents_are_accepted_and_read_back(void **state)
 {
-	struct sim s;
-	char *whole;
+	struct sim sim;
+	char *complete;
 	size_t n;
 	uint64_t a, b;
 	struct call name = { .body = (char *)"daka", .weights = "3" };
-	const struct Nl__Row *r;
-	uint64_t edition;
+	const struct Nl__Row *row;
+	uint64_t revision;
 	int o;
 
-	(void)st;
-	fleet(&s, 3, 4, 4, 3);
-	until_whole(&s, 3, 5000);
-	sim_run(&s, 3000, NULL); /* the controllers' own rows are in */
+	(void)state;
+	fleet(&sim, 3, 4, 4, 3);
+	until_complete(&sim, 3, 5000);
+	sim_run(&sim, 3000, NULL); /* the controllers' own rows are in */
 	{
-		struct call c = { 0 };
+		struct call call = { 0 };
 
-		assert_int_equal(finish(&s, &c, 5000), 404);
+		assert_int_equal(finish(&sim, &call, 5000), 404);
 	}
-	assert_int_equal(put_doc(&s, 5, 0, first), 412); /* it builds on one that is not */
-	assert_int_equal(put_doc(&s, 0, 0, first), 200);
-	assert_int_equal(put_doc(&s, 0, 0, first), 200); /* the very call again */
-	assert_int_equal(put_doc(&s, 0, 1, first), 412); /* the same bytes as a patch are another */
-	whole = read_doc(&s, &n);
+	assert_int_equal(put_doc(&sim, 5, 0, first), 412); /* it builds on one that is not */
+	assert_int_equal(put_doc(&sim, 0, 0, first), 200);
+	assert_int_equal(put_doc(&sim, 0, 0, first), 200); /* the very call again */
+	assert_int_equal(put_doc(&sim, 0, 1, first), 412); /* the same bytes as a patch are another */
+	complete = read_doc(&sim, &n);
 	assert_int_equal(n, strlen(first));
-	assert_memory_equal(whole, first, n);
-	o = sim_owner(&s, SHARD_CONTROL);
-	r = table_get(&s.n[o].r->ctl, NL__KIND__LANE, "r2");
-	assert_non_null(r);
-	edition = s.n[o].r->ctl.edition;
-	assert_int_equal(put_doc(&s, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
-	assert_int_equal(put_doc(&s, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
-	assert_int_equal(s.n[o].r->ctl.edition, edition);
+	assert_memory_equal(complete, first, n);
+	o = sim_leader(&sim, SHARD_CONTROL);
+	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__LANE, "r2");
+	assert_non_null(row);
+	revision = sim.nodes[o].controller->config.revision;
+	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
+	assert_int_equal(put_doc(&sim, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
+	assert_int_equal(sim.nodes[o].controller->config.revision, revision);
 	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document */
-	assert_int_equal(put_doc(&s, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"), 200);
-	o = sim_owner(&s, SHARD_CONTROL);
-	for (ptrdiff_t i = 0; i < shlen(s.n[o].r->ctl.h); i++) {
-		const struct Nl__Row *x = s.n[o].r->ctl.h[i].value.row;
+	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"), 200);
+	o = sim_leader(&sim, SHARD_CONTROL);
+	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.rows); i++) {
+		const struct Nl__Row *x = sim.nodes[o].controller->config.rows[i].value.row;
 
 		if (x->kind != NL__KIND__REGISTRAR)
-			assert_true(s.n[o].r->ctl.h[i].value.edition <= edition);
+			assert_true(sim.nodes[o].controller->config.rows[i].value.revision <= revision);
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
-	assert_true(s.n[o].r->ctl.edition > edition);
+	assert_true(sim.nodes[o].controller->config.revision > revision);
 	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new ones stand everywhere */
-	assert_int_equal(finish(&s, &name, 5000), 200);
-	assert_int_equal(finish(&s, &name, 5000), 200);
+	assert_int_equal(finish(&sim, &name, 5000), 200);
+	assert_int_equal(finish(&sim, &name, 5000), 200);
 	name.weights = "2";
-	assert_int_equal(finish(&s, &name, 5000), 200);
+	assert_int_equal(finish(&sim, &name, 5000), 200);
 	name.weights = "x";
-	assert_int_equal(finish(&s, &name, 5000), 400);
+	assert_int_equal(finish(&sim, &name, 5000), 400);
 	name.weights = "0";
-	assert_int_equal(finish(&s, &name, 5000), 400);
-	assert_int_equal(put_doc(&s, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")), 200);
-	o = sim_owner(&s, SHARD_CONTROL);
-	r = table_get(&s.n[o].r->ctl, NL__KIND__MODEL, "daka");
-	assert_string_equal(r->weights, "3");
-	assert_string_equal(r->rolled, "1");
-	assert_null(table_get(&s.n[o].r->ctl, NL__KIND__SERVICE, "s1"));
-	assert_string_equal(table_get(&s.n[o].r->ctl, NL__KIND__LANE, "r1")->service,
+	assert_int_equal(finish(&sim, &name, 5000), 400);
+	assert_int_equal(put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")), 200);
+	o = sim_leader(&sim, SHARD_CONTROL);
+	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__MODEL, "daka");
+	assert_string_equal(row->weights, "3");
+	assert_string_equal(row->rolled, "1");
+	assert_null(config_table_get(&sim.nodes[o].controller->config, NL__KIND__SERVICE, "s1"));
+	assert_string_equal(config_table_get(&sim.nodes[o].controller->config, NL__KIND__LANE, "r1")->service,
 			    "s2"); /* its lane moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
-	a = sim_doc(&s, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
-	b = sim_doc(&s, o, 12, 0, DOC("14", "", SERVICE("s4"), ""), NULL);
-	assert_non_null(answer(&s, a, 3000));
-	assert_non_null(answer(&s, b, 3000));
-	assert_int_equal(sim_answer(&s, a)->status + sim_answer(&s, b)->status, 612);
-	assert_int_equal(put_doc(&s, 12, 0, DOC("13", "", SERVICE("s3"), "")), sim_answer(&s, a)->status);
+	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
+	b = sim_send_document(&sim, o, 12, 0, DOC("14", "", SERVICE("s4"), ""), NULL);
+	assert_non_null(answer(&sim, a, 3000));
+	assert_non_null(answer(&sim, b, 3000));
+	assert_int_equal(sim_answer(&sim, a)->status + sim_answer(&sim, b)->status, 612);
+	assert_int_equal(put_doc(&sim, 12, 0, DOC("13", "", SERVICE("s3"), "")), sim_answer(&sim, a)->status);
 	/* the same call twice at once is one */
-	a = sim_doc(&s, o, s.n[o].r->ctl_doc_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
-	b = sim_doc(&s, o, s.n[o].r->ctl_doc_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
-	assert_non_null(answer(&s, a, 3000));
-	assert_non_null(answer(&s, b, 3000));
-	assert_int_equal(sim_answer(&s, a)->status, 200);
-	assert_int_equal(sim_answer(&s, b)->status, 200);
-	ok(&s);
-	sim_close(&s);
+	a = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
+	b = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
+	assert_non_null(answer(&sim, a, 3000));
+	assert_non_null(answer(&sim, b, 3000));
+	assert_int_equal(sim_answer(&sim, a)->status, 200);
+	assert_int_equal(sim_answer(&sim, b)->status, 200);
+	ok(&sim);
+	sim_close(&sim);
 }
 
 /* ---- a slow plain model ------------------------------------------------------------------------ */
 
-static struct json_object *jlist(struct json_object *j, const char *k)
+static struct json_object *jlist(struct json_object *json, const char *k)
 {
 	struct json_object *v;
 
-	return json_object_object_get_ex(j, k, &v) ? v : NULL;
+	return json_object_object_get_ex(json, k, &v) ? v : NULL;
 }
 
-static int has(struct json_object *l, const char *name)
+static int has(struct json_object *json, const char *name)
 {
 	int n = 0;
 
-	for (size_t i = 0; l && i < json_object_array_length(l); i++)
-		n += !strcmp(json_str(json_object_array_get_idx(l, i), "Name"), name);
+	for (size_t i = 0; json && i < json_object_array_length(json); i++)
+		n += !strcmp(json_string_member(json_object_array_get_idx(json, i), "Name"), name);
 	return n;
 }
 
@@ -687,7 +687,7 @@
 
 	json_object_deep_copy(old, &j, NULL);
 	for (int k = 0; k < 3; k++) {
-		struct json_object *was = jlist(j, lists[k]), *is = json_object_new_array(), *up = jlist(u, lists[k]),
+		struct json_object *was = jlist(j, lists[k]), *json = json_object_new_array(), *up = jlist(u, lists[k]),
 				   *rm = jlist(r, lists[k]);
 
 		for (size_t i = 0; was && i < json_object_array_length(was); i++) {
@@ -695,43 +695,43 @@
 			int gone = 0;
 
 			for (size_t q = 0; rm && q < json_object_array_length(rm); q++)
-				gone |= !strcmp(json_object_get_string(json_object_array_get_idx(rm, q)), json_str(x, "Name"));
+				gone |= !strcmp(json_object_get_string(json_object_array_get_idx(rm, q)), json_string_member(x, "Name"));
 			for (size_t q = 0; up && q < json_object_array_length(up) && !gone; q++)
-				if (!strcmp(json_str(json_object_array_get_idx(up, q), "Name"), json_str(x, "Name")))
+				if (!strcmp(json_string_member(json_object_array_get_idx(up, q), "Name"), json_string_member(x, "Name")))
 					x = json_object_array_get_idx(up, q);
 			if (!gone)
-				json_object_array_add(is, json_object_get(x));
+				json_object_array_add(json, json_object_get(x));
 		}
 		for (size_t q = 0; up && q < json_object_array_length(up); q++)
-			if (!has(is, json_str(json_object_array_get_idx(up, q), "Name")))
-				json_object_array_add(is, json_object_get(json_object_array_get_idx(up, q)));
-		json_object_object_add(j, lists[k], is);
+			if (!has(json, json_string_member(json_object_array_get_idx(up, q), "Name")))
+				json_object_array_add(json, json_object_get(json_object_array_get_idx(up, q)));
+		json_object_object_add(j, lists[k], json);
 	}
 	json_object_object_add(j, "ConfigVersion", json_object_get(jlist(patch, "ConfigVersion")));
 	return j;
 }
 
-static int plain_valid(struct json_object *j)
+static int plain_valid(struct json_object *json)
 {
-	struct json_object *r = jlist(j, "RouteList"), *sv = jlist(j, "ServiceList"), *t = jlist(j, "TenantList");
+	struct json_object *r = jlist(json, "RouteList"), *sv = jlist(json, "ServiceList"), *t = jlist(json, "TenantList");
 
 	for (size_t i = 0; i < json_object_array_length(r); i++) {
 		struct json_object *x = json_object_array_get_idx(r, i), *sp = jlist(x, "TrafficSplit");
 		int64_t all = 0;
 
-		if (!json_num(x, "TimeoutMs") || has(r, json_str(x, "Name")) != 1)
+		if (!json_uint_member(x, "TimeoutMs") || has(r, json_string_member(x, "Name")) != 1)
 			return 0;
-		if (!sp && !has(sv, json_str(x, "ServiceName")))
+		if (!sp && !has(sv, json_string_member(x, "ServiceName")))
 			return 0;
 		for (size_t k = 0; sp && k < json_object_array_length(sp); k++) {
-			all += (int64_t)json_num(json_object_array_get_idx(sp, k), "ShareWeight");
-			if (!has(sv, json_str(json_object_array_get_idx(sp, k), "ServiceName")))
+			all += (int64_t)json_uint_member(json_object_array_get_idx(sp, k), "ShareWeight");
+			if (!has(sv, json_string_member(json_object_array_get_idx(sp, k), "ServiceName")))
 				return 0;
 		}
 		if (sp && !all)
 			return 0;
 		for (size_t k = 0; k < i; k++)
-			if (!strcmp(json_str(json_object_array_get_idx(r, k), "PathPrefix"), json_str(x, "PathPrefix")))
+			if (!strcmp(json_string_member(json_object_array_get_idx(r, k), "PathPrefix"), json_string_member(x, "PathPrefix")))
 				return 0;
 	}
 	for (size_t i = 0; i < json_object_array_length(t); i++)
@@ -763,34 +763,34 @@
 	uint64_t acked;
 }; /* stb_ds */
 
-static uint64_t rnd(struct sim *s, uint64_t n) { return core_rand(&s->rng) % n; }
+static uint64_t rnd(struct sim *sim, uint64_t n) { return core_random(&sim->rng) % n; }
 
-static int gen_route(struct sim *s, char *b, size_t n, int i)
+static int gen_route(struct sim *sim, char *b, size_t n, int i)
 {
-	int bad = !rnd(s, 24), k;
+	int bad = !rnd(sim, 24), k;
 
 	k = snprintf(
 	    b, n,
 	    "{\"Name\":\"r%d\",\"HostName\":\"a.example\",\"PathPrefix\":\"/p%d/\",\"RouteType\":\"streaming\",\"TimeoutMs\":%d,",
-	    i, rnd(s, 40) ? i : 1, bad ? 0 : (int)rnd(s, 9000) + 1);
-	if (rnd(s, 3))
-		k += snprintf(b + k, n - (size_t)k, "\"ServiceName\":\"s%d\"}", (int)rnd(s, 12) / 3);
+	    i, rnd(sim, 40) ? i : 1, bad ? 0 : (int)rnd(sim, 9000) + 1);
+	if (rnd(sim, 3))
+		k += snprintf(b + k, n - (size_t)k, "\"ServiceName\":\"s%d\"}", (int)rnd(sim, 12) / 3);
 	else
 		k += snprintf(
 		    b + k, n - (size_t)k,
 		    "\"TrafficSplit\":[{\"ServiceName\":\"s0\",\"ShareWeight\":%d},{\"ServiceName\":\"s%d\",\"ShareWeight\":%d}]}",
-		    (int)rnd(s, 3), (int)rnd(s, 3), (int)rnd(s, 9));
+		    (int)rnd(sim, 3), (int)rnd(sim, 3), (int)rnd(sim, 9));
 	return k;
 }
 
-static int gen_tenant(struct sim *s, char *b, size_t n, int i)
+static int gen_tenant(struct sim *sim, char *b, size_t n, int i)
 {
-	return snprintf(b, n, "{\"Name\":\"t%d\",\"AccessKeys\":[\"key-%d-%d\",\"%s\"],\"Isolated\":%s}", i, i, (int)rnd(s, 3),
-			rnd(s, 30) ? "" : "common", rnd(s, 2) ? "true" : "false");
+	return snprintf(b, n, "{\"Name\":\"t%d\",\"AccessKeys\":[\"key-%d-%d\",\"%s\"],\"Isolated\":%s}", i, i, (int)rnd(sim, 3),
+			rnd(sim, 30) ? "" : "common", rnd(sim, 2) ? "true" : "false");
 }
 
 /* A document or a patch, valid more often than not. */
-static char *gen(struct sim *s, uint64_t version, int patch)
+static char *gen(struct sim *sim, uint64_t version, int patch)
 {
 	size_t n = 8192;
 	char *b = malloc(n);
@@ -799,33 +799,33 @@
 	    comma = 0;
 
 	for (int i = 0; i < 8; i++)
-		if (rnd(s, patch ? 4 : 2) == 0) {
+		if (rnd(sim, patch ? 4 : 2) == 0) {
 			k += snprintf(b + k, n - (size_t)k, "%s", comma++ ? "," : "");
-			k += gen_route(s, b + k, n - (size_t)k, i);
+			k += gen_route(sim, b + k, n - (size_t)k, i);
 		}
 	k += snprintf(b + k, n - (size_t)k, "],\"ServiceList\":[");
 	for (int i = 0, c = 0; i < 4; i++)
-		if (!patch || !rnd(s, 3))
+		if (!patch || !rnd(sim, 3))
 			k += snprintf(b + k, n - (size_t)k,
 				      "%s{\"Name\":\"s%d\",\"EngineType\":{\"LinkMbps\":%d.50,\"Models\":[{\"Name\":\"m%d\"}]}}",
-				      c++ ? "," : "", i, (int)rnd(s, 99) + 1, i % 2);
+				      c++ ? "," : "", i, (int)rnd(sim, 99) + 1, i % 2);
 	k += snprintf(b + k, n - (size_t)k, "],\"TenantList\":[");
 	for (int i = 0, c = 0; i < 3; i++)
-		if (rnd(s, 2)) {
+		if (rnd(sim, 2)) {
 			k += snprintf(b + k, n - (size_t)k, "%s", c++ ? "," : "");
-			k += gen_tenant(s, b + k, n - (size_t)k, i);
+			k += gen_tenant(sim, b + k, n - (size_t)k, i);
 		}
 	k += snprintf(b + k, n - (size_t)k, "]");
 	if (patch) {
 		k +=
-		    snprintf(b + k, n - (size_t)k, "},\"Remove\":{\"RouteList\":[\"r%d\",\"r%d\"]", (int)rnd(s, 9), (int)rnd(s, 9));
-		if (!rnd(s, 6))
-			k += snprintf(b + k, n - (size_t)k, ",\"ServiceList\":[\"s%d\"]", (int)rnd(s, 4));
+		    snprintf(b + k, n - (size_t)k, "},\"Remove\":{\"RouteList\":[\"r%d\",\"r%d\"]", (int)rnd(sim, 9), (int)rnd(sim, 9));
+		if (!rnd(sim, 6))
+			k += snprintf(b + k, n - (size_t)k, ",\"ServiceList\":[\"s%d\"]", (int)rnd(sim, 4));
 		k += snprintf(b + k, n - (size_t)k, "}");
 	}
-	k += snprintf(b + k, n - (size_t)k, ",\"Padding\":\"%*s\"}", (int)rnd(s, 300), "");
-	if (!rnd(s, 25))
-		b[k - (int)rnd(s, 200) - 1] = 0; /* cut short */
+	k += snprintf(b + k, n - (size_t)k, ",\"Padding\":\"%*s\"}", (int)rnd(sim, 300), "");
+	if (!rnd(sim, 25))
+		b[k - (int)rnd(sim, 200) - 1] = 0; /* cut short */
 	return b;
 }
 
@@ -837,12 +837,12 @@
 }
 
 /* What was taken forms one chain, each link on the one before; all that was said fits it. */
-static void judge(struct sim *s, struct model *m)
+static void judge(struct sim *sim, struct model *model)
 {
 	uint64_t at = 0;
 	struct json_object *doc_is = NULL;
 	ptrdiff_t last_one = -1;
-	int o = sim_owner(s, SHARD_CONTROL);
+	int o = sim_leader(sim, SHARD_CONTROL);
 	size_t n = 0;
 	char *body;
 
@@ -850,140 +850,140 @@
 		ptrdiff_t next = -1;
 		struct json_object *j;
 
-		for (ptrdiff_t i = 0; i < arrlen(m->v); i++)
-			if (m->v[i].status == 200 && m->v[i].base == at) {
+		for (ptrdiff_t i = 0; i < arrlen(model->v); i++)
+			if (model->v[i].status == 200 && model->v[i].base == at) {
 				if (next >= 0)
 					fail_msg("seed %llu: two documents on version %llu are acknowledged",
-						 (unsigned long long)s->seed, (unsigned long long)at);
+						 (unsigned long long)sim->seed, (unsigned long long)at);
 				next = i;
 			}
-		for (ptrdiff_t i = 0; i < arrlen(m->v); i++) { /* refused on this version: they had to be */
-			struct step *x = &m->v[i];
+		for (ptrdiff_t i = 0; i < arrlen(model->v); i++) { /* refused on this version: they had to be */
+			struct step *x = &model->v[i];
 
 			if (x->base != at || x->status == 200)
 				continue;
 			j = json_tokener_parse(x->body);
 			if (j && x->patch) {
-				struct json_object *whole = doc_is ? plain_merge(doc_is, j) : NULL;
+				struct json_object *complete = doc_is ? plain_merge(doc_is, j) : NULL;
 
 				json_object_put(j);
-				j = whole;
+				j = complete;
 			}
 			if (x->status == 400 && j && x->version > at && plain_valid(j))
-				fail_msg("seed %llu: refused, though it is valid: %s", (unsigned long long)s->seed, x->body);
+				fail_msg("seed %llu: refused, though it is valid: %s", (unsigned long long)sim->seed, x->body);
 			if (x->status == 412 && next < 0)
-				fail_msg("seed %llu: late on version %llu, which is current", (unsigned long long)s->seed,
+				fail_msg("seed %llu: late on version %llu, which is current", (unsigned long long)sim->seed,
 					 (unsigned long long)at);
 			json_object_put(j);
 		}
 		if (next < 0)
 			break;
-		j = json_tokener_parse(m->v[next].body);
-		if (!j || m->v[next].version <= at)
-			fail_msg("seed %llu: taken: %s", (unsigned long long)s->seed, m->v[next].body);
-		if (m->v[next].patch) {
-			struct json_object *whole = plain_merge(doc_is, j);
+		j = json_tokener_parse(model->v[next].body);
+		if (!j || model->v[next].version <= at)
+			fail_msg("seed %llu: taken: %s", (unsigned long long)sim->seed, model->v[next].body);
+		if (model->v[next].patch) {
+			struct json_object *complete = plain_merge(doc_is, j);
 
 			json_object_put(j);
-			j = whole;
+			j = complete;
 		}
 		if (!plain_valid(j))
-			fail_msg("seed %llu: an invalid document is taken: %s", (unsigned long long)s->seed, m->v[next].body);
-		m->v[next].j = doc_is = j;
-		at = m->v[next].version;
+			fail_msg("seed %llu: an invalid document is taken: %s", (unsigned long long)sim->seed, model->v[next].body);
+		model->v[next].j = doc_is = j;
+		at = model->v[next].version;
 		last_one = next;
-		m->v[next].status = 201; /* on the chain */
+		model->v[next].status = 201; /* on the chain */
 	}
-	for (ptrdiff_t i = 0; i < arrlen(m->v); i++)
-		if (m->v[i].status == 200)
-			fail_msg("seed %llu: version %llu is acknowledged and lost", (unsigned long long)s->seed,
-				 (unsigned long long)m->v[i].version);
-	for (ptrdiff_t i = 0; i < arrlen(m->r);
+	for (ptrdiff_t i = 0; i < arrlen(model->v); i++)
+		if (model->v[i].status == 200)
+			fail_msg("seed %llu: version %llu is acknowledged and lost", (unsigned long long)sim->seed,
+				 (unsigned long long)model->v[i].version);
+	for (ptrdiff_t i = 0; i < arrlen(model->r);
 	     i++) { /* readings are of the chain, and none is older than what was acknowledged before it */
 		const struct step *x = NULL;
-		struct json_object *j = json_tokener_parse(m->r[i].body);
-
-		if (m->r[i].version < m->r[i].floor)
-			fail_msg("seed %llu: version %llu is read after %llu was acknowledged", (unsigned long long)s->seed,
-				 (unsigned long long)m->r[i].version, (unsigned long long)m->r[i].floor);
-		for (ptrdiff_t k = 0; k < arrlen(m->v); k++)
-			if (m->v[k].status == 201 && m->v[k].version == m->r[i].version)
-				x = &m->v[k];
+		struct json_object *j = json_tokener_parse(model->r[i].body);
+
+		if (model->r[i].version < model->r[i].floor)
+			fail_msg("seed %llu: version %llu is read after %llu was acknowledged", (unsigned long long)sim->seed,
+				 (unsigned long long)model->r[i].version, (unsigned long long)model->r[i].floor);
+		for (ptrdiff_t k = 0; k < arrlen(model->v); k++)
+			if (model->v[k].status == 201 && model->v[k].version == model->r[i].version)
+				x = &model->v[k];
 		assert_non_null(x);
 		assert_true(json_object_equal(j, x->j));
 		if (!x->patch)
-			assert_string_equal(m->r[i].body, x->body);
+			assert_string_equal(model->r[i].body, x->body);
 		json_object_put(j);
 	}
 	if (last_one < 0)
 		return;
-	body = read_doc(s, &n);
+	body = read_doc(sim, &n);
 	assert_non_null(body);
 	{
-		struct json_object *j = json_tokener_parse(body), *r = jlist(doc_is, "RouteList"), *t = jlist(doc_is, "TenantList");
-		size_t lanes = 0, tenants = 0, keys = 0, want = 0;
+		struct json_object *j = json_tokener_parse(body), *json = jlist(doc_is, "RouteList"), *t = jlist(doc_is, "TenantList");
+		size_t routes = 0, tenants = 0, keys = 0, expected = 0;
 
 		assert_true(json_object_equal(j, doc_is));
 		json_object_put(j);
-		o = sim_owner(s, SHARD_CONTROL);
-		for (ptrdiff_t i = 0; i < shlen(s->n[o].r->ctl.h); i++) {
-			Nl__Kind k = s->n[o].r->ctl.h[i].value.row->kind;
+		o = sim_leader(sim, SHARD_CONTROL);
+		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.rows); i++) {
+			Nl__Kind k = sim->nodes[o].controller->config.rows[i].value.row->kind;
 
-			lanes += k == NL__KIND__LANE;
+			routes += k == NL__KIND__LANE;
 			tenants += k == NL__KIND__TENANT;
 			keys += k == NL__KIND__KEY;
 		}
-		assert_int_equal(lanes, json_object_array_length(r));
+		assert_int_equal(routes, json_object_array_length(json));
 		assert_int_equal(tenants, json_object_array_length(t));
 		for (size_t i = 0; i < json_object_array_length(t); i++) {
 			struct json_object *a = jlist(json_object_array_get_idx(t, i), "AccessKeys");
 			char hex[65];
 
-			want += json_object_array_length(a);
+			expected += json_object_array_length(a);
 			for (size_t k = 0; k < json_object_array_length(a); k++)
 				assert_string_equal(
-				    table_get(&s->n[o].r->ctl, NL__KIND__KEY,
+				    config_table_get(&sim->nodes[o].controller->config, NL__KIND__KEY,
 					      doc_digest(json_object_get_string(json_object_array_get_idx(a, k)), hex))
 					->tenant,
-				    json_str(json_object_array_get_idx(t, i), "Name"));
+				    json_string_member(json_object_array_get_idx(t, i), "Name"));
 		}
-		assert_int_equal(keys, want);
-		for (size_t i = 0; i < json_object_array_length(r); i++)
+		assert_int_equal(keys, expected);
+		for (size_t i = 0; i < json_object_array_length(json); i++)
 			assert_int_equal(
-			    table_get(&s->n[o].r->ctl, NL__KIND__LANE, json_str(json_object_array_get_idx(r, i), "Name"))->timeout,
-			    json_num(json_object_array_get_idx(r, i), "TimeoutMs"));
+			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__LANE, json_string_member(json_object_array_get_idx(json, i), "Name"))->timeout,
+			    json_uint_member(json_object_array_get_idx(json, i), "TimeoutMs"));
 	}
 }
 
 /* Followers have the rows that the owner has, and members of a part the same state. */
-static void alike(struct sim *s)
+static void rows_alike(struct sim *sim)
 {
 	apr_pool_t *p;
 	uint8_t *a = NULL;
 	size_t n = 0;
-	int o = sim_owner(s, SHARD_CONTROL);
+	int o = sim_leader(sim, SHARD_CONTROL);
 
 	apr_pool_create(&p, NULL);
-	a = controller_state(s->n[o].r, SHARD_CONTROL, p, &n);
-	for (int i = 0; i < regs(s); i++) {
-		const struct raft *q = &s->n[i].r->part[SHARD_CONTROL];
+	a = controller_state(sim->nodes[o].controller, SHARD_CONTROL, p, &n);
+	for (int i = 0; i < regs(sim); i++) {
+		const struct raft *raft = &sim->nodes[i].controller->shards[SHARD_CONTROL];
 		uint8_t *b;
 		size_t m;
 
-		if (!s->n[i].up)
+		if (!sim->nodes[i].up)
 			continue;
-		if (s->n[i].r->f.t.edition == s->n[o].r->ctl.edition)
-			for (ptrdiff_t k = 0; k < shlen(s->n[o].r->ctl.h); k++) {
-				const struct Nl__Row *x = s->n[o].r->ctl.h[k].value.row,
-						     *y = table_get(&s->n[i].r->f.t, x->kind, x->name);
+		if (sim->nodes[i].controller->config_watch.table.revision == sim->nodes[o].controller->config.revision)
+			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.rows); k++) {
+				const struct Nl__Row *x = sim->nodes[o].controller->config.rows[k].value.row,
+						     *row = config_table_get(&sim->nodes[i].controller->config_watch.table, x->kind, x->name);
 
-				assert_non_null(y);
+				assert_non_null(row);
 				assert_int_equal(protobuf_c_message_get_packed_size(&x->base),
-						 protobuf_c_message_get_packed_size(&y->base));
+						 protobuf_c_message_get_packed_size(&row->base));
 			}
-		if (q->applied != s->n[o].r->part[SHARD_CONTROL].applied || !q->member_count)
+		if (raft->applied_index != sim->nodes[o].controller->shards[SHARD_CONTROL].applied_index || !raft->member_count)
 			continue;
-		b = controller_state(s->n[i].r, SHARD_CONTROL, p, &m);
+		b = controller_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
 		assert_int_equal(n, m);
 		assert_memory_equal(a, b, n);
 	}
@@ -992,122 +992,122 @@
 
 enum { OPERATORS = 3 };
 
-static void documents_against_a_plain_model(void **st)
+static void documents_against_a_plain_model(void **state)
 {
 	int n_acked = 0, n_late = 0, n_bad = 0, n_read = 0, faults = 0, seeds = getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : 60;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds; seed++) {
-		struct sim s;
-		struct model m = { NULL, NULL, 0 };
+		struct sim sim;
+		struct model model = { NULL, NULL, 0 };
 		struct call op[OPERATORS] = { 0 }, rd = { 0 };
 		uint64_t floor = 0, known = 0, high = 0;
 		int64_t end, next_fault = 0, back = 0;
 		int down = -1, cut = -1;
 
-		fleet(&s, seed, 4 + (int)(seed % 2), 3, 3);
-		until_whole(&s, 3, 8000);
-		s.loss = seed % 3 == 0 ? 20 : 0;
-		s.disk_ms = seed % 4 == 1 ? 30 : 2;
-		end = s.now + 25000;
-		next_fault = s.now + 1000;
-		while (s.now < end || op[0].busy || op[1].busy || op[2].busy) {
-			if (s.now > end + 30000)
+		fleet(&sim, seed, 4 + (int)(seed % 2), 3, 3);
+		until_complete(&sim, 3, 8000);
+		sim.loss_per_mille = seed % 3 == 0 ? 20 : 0;
+		sim.disk_ms = seed % 4 == 1 ? 30 : 2;
+		end = sim.now + 25000;
+		next_fault = sim.now + 1000;
+		while (sim.now < end || op[0].busy || op[1].busy || op[2].busy) {
+			if (sim.now > end + 30000)
 				fail_msg("seed %llu: calls without an end", (unsigned long long)seed);
-			if (!sim_run(&s, 10, NULL))
+			if (!sim_run(&sim, 10, NULL))
 				break;
 			for (int i = 0; i < OPERATORS; i++) {
-				struct call *c = &op[i];
-
-				if (go_on(&s, c)) {
-					struct step x = { c->base, c->version, c->patch, c->status, c->body, NULL };
-
-					arrput(m.v, x);
-					n_acked += c->status == 200;
-					n_late += c->status == 412;
-					n_bad += c->status == 400;
-					if (c->status == 200 && c->version > m.acked)
-						m.acked = c->version;
-					if (c->status != 200 && c->status != 412 && c->status != 400)
-						fail_msg("seed %llu: status %d", (unsigned long long)seed, c->status);
+				struct call *call = &op[i];
+
+				if (go_on(&sim, call)) {
+					struct step x = { call->base, call->version, call->patch, call->status, call->body, NULL };
+
+					arrput(model.v, x);
+					n_acked += call->status == 200;
+					n_late += call->status == 412;
+					n_bad += call->status == 400;
+					if (call->status == 200 && call->version > model.acked)
+						model.acked = call->version;
+					if (call->status != 200 && call->status != 412 && call->status != 400)
+						fail_msg("seed %llu: status %d", (unsigned long long)seed, call->status);
 				}
-				if (c->busy || s.now > end || rnd(&s, 10))
+				if (call->busy || sim.now > end || rnd(&sim, 10))
 					continue;
-				memset(c, 0, sizeof *c);
-				c->busy = 1;
-				c->base =
-				    rnd(&s, 12) ? (known > m.acked ? known : m.acked) : rnd(&s, 9); /* sometimes one of long ago */
-				c->patch = c->base && rnd(&s, 2);
-				high = (high > c->base ? high : c->base) + 1 + rnd(&s, 3);
-				c->version = rnd(&s, 20) ? high : c->base; /* each call's own, but sometimes not above */
-				c->body = gen(&s, c->version, c->patch);
-				no_empty_keys(c->body);
-				if (!rnd(&s, 3)) { /* it goes to the owner, which dies before or after logging it */
-					int o = sim_owner(&s, SHARD_CONTROL);
-
-					if (o >= 0 && down < 0 && cut < 0 && s.now > next_fault) {
-						send_call(&s, c, o, 0);
-						sim_run(&s, (int64_t)rnd(&s, 8), NULL);
-						sim_crash(&s, o, (int)rnd(&s, 2));
+				memset(call, 0, sizeof *call);
+				call->busy = 1;
+				call->base =
+				    rnd(&sim, 12) ? (known > model.acked ? known : model.acked) : rnd(&sim, 9); /* sometimes one of long ago */
+				call->patch = call->base && rnd(&sim, 2);
+				high = (high > call->base ? high : call->base) + 1 + rnd(&sim, 3);
+				call->version = rnd(&sim, 20) ? high : call->base; /* each call's own, but sometimes not above */
+				call->body = gen(&sim, call->version, call->patch);
+				no_empty_keys(call->body);
+				if (!rnd(&sim, 3)) { /* it goes to the owner, which dies before or after logging it */
+					int o = sim_leader(&sim, SHARD_CONTROL);
+
+					if (o >= 0 && down < 0 && cut < 0 && sim.now > next_fault) {
+						send_call(&sim, call, o, 0);
+						sim_run(&sim, (int64_t)rnd(&sim, 8), NULL);
+						sim_crash(&sim, o, (int)rnd(&sim, 2));
 						faults++;
 						down = o;
-						back = s.now + 300 + (int64_t)rnd(&s, 3000);
+						back = sim.now + 300 + (int64_t)rnd(&sim, 3000);
 					}
 				}
 			}
-			if (go_on(&s, &rd) && rd.status == 200) {
-				const struct sim_web *w = sim_answer(&s, rd.token);
-				struct json_object *j = json_tokener_parse(w->whole);
-				struct seen x = { json_num(j, "ConfigVersion"), floor, w->whole, w->len };
+			if (go_on(&sim, &rd) && rd.status == 200) {
+				const struct sim_operator_answer *web = sim_answer(&sim, rd.token);
+				struct json_object *json = json_tokener_parse(web->full_body);
+				struct seen x = { json_uint_member(json, "ConfigVersion"), floor, web->full_body, web->full_body_len };
 
 				known = x.version;
-				arrput(m.r, x);
+				arrput(model.r, x);
 				n_read++;
-				json_object_put(j);
+				json_object_put(json);
 			}
-			if (!rd.busy && s.now < end) {
+			if (!rd.busy && sim.now < end) {
 				memset(&rd, 0, sizeof rd);
 				rd.busy = 1;
-				rd.again = s.now + (int64_t)rnd(&s, 300);
-				floor = m.acked;
+				rd.retry_at = sim.now + (int64_t)rnd(&sim, 300);
+				floor = model.acked;
 			}
-			if (down < 0 && cut < 0 && s.now > next_fault && s.now < end && !rnd(&s, 60)) {
-				cut = (int)rnd(&s, (uint64_t)regs(&s));
-				sim_cut(&s, cut, 1);
+			if (down < 0 && cut < 0 && sim.now > next_fault && sim.now < end && !rnd(&sim, 60)) {
+				cut = (int)rnd(&sim, (uint64_t)regs(&sim));
+				sim_cut(&sim, cut, 1);
 				faults++;
-				back = s.now + 200 + (int64_t)rnd(&s, 3000);
+				back = sim.now + 200 + (int64_t)rnd(&sim, 3000);
 			}
-			if (down >= 0 && s.now > back) {
-				sim_start(&s, down);
+			if (down >= 0 && sim.now > back) {
+				sim_start(&sim, down);
 				down = -1;
 				next_fault = INT64_MAX;
 			}
-			if (cut >= 0 && s.now > back) {
-				sim_cut(&s, cut, 0);
+			if (cut >= 0 && sim.now > back) {
+				sim_cut(&sim, cut, 0);
 				cut = -1;
 				next_fault = INT64_MAX;
 			}
-			if (next_fault == INT64_MAX && whole_at(&s, 3))
-				next_fault = s.now + 500 + (int64_t)rnd(&s, 1500);
+			if (next_fault == INT64_MAX && complete_on(&sim, 3))
+				next_fault = sim.now + 500 + (int64_t)rnd(&sim, 1500);
 		}
-		ok(&s);
+		ok(&sim);
 		if (down >= 0)
-			sim_start(&s, down);
+			sim_start(&sim, down);
 		if (cut >= 0)
-			sim_cut(&s, cut, 0);
-		s.loss = 0;
-		until_whole(&s, 3, 20000);
-		sim_run(&s, 1000, NULL);
-		judge(&s, &m);
-		alike(&s);
-		ok(&s);
-		for (ptrdiff_t i = 0; i < arrlen(m.v); i++) {
-			free(m.v[i].body);
-			json_object_put(m.v[i].j);
+			sim_cut(&sim, cut, 0);
+		sim.loss_per_mille = 0;
+		until_complete(&sim, 3, 20000);
+		sim_run(&sim, 1000, NULL);
+		judge(&sim, &model);
+		rows_alike(&sim);
+		ok(&sim);
+		for (ptrdiff_t i = 0; i < arrlen(model.v); i++) {
+			free(model.v[i].body);
+			json_object_put(model.v[i].j);
 		}
-		arrfree(m.v);
-		arrfree(m.r);
-		sim_close(&s);
+		arrfree(model.v);
+		arrfree(model.r);
+		sim_close(&sim);
 	}
 	print_message("documents: %d seeds, %d faults: %d acknowledged, %d late, %d invalid, %d read\n", seeds, faults, n_acked,
 		      n_late, n_bad, n_read);
@@ -1115,17 +1115,17 @@
 }
 
 /* Documents are large: the log is cut behind a snapshot by their bytes, and a member that comes new gets the document whole. */
-static void snapshots_hold_the_document(void **st)
+static void snapshots_hold_the_document(void **state)
 {
-	struct sim s;
+	struct sim sim;
 	size_t pad = 700000, n;
 	char *b = malloc(pad + 4096), *old = NULL, *got;
 	uint64_t from, last_base = 0;
 	int o;
 
-	(void)st;
-	fleet(&s, 5, 4, 4, 3);
-	until_whole(&s, 3, 5000);
+	(void)state;
+	fleet(&sim, 5, 4, 4, 3);
+	until_complete(&sim, 3, 5000);
 	for (uint64_t v = 1; v <= 60; v++) {
 		int k = snprintf(b, 4096,
 				 "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"TenantList\":[" TENANT(
@@ -1134,108 +1134,108 @@
 
 		memset(b + k, 'x', pad);
 		strcpy(b + k + pad, "\"}");
-		assert_int_equal(put_doc(&s, v - 1, 0, b), 200);
+		assert_int_equal(put_doc(&sim, v - 1, 0, b), 200);
 		last_base = v - 1;
 		if (v == 5)
 			old = strdup(b);
 	}
-	o = sim_owner(&s, SHARD_CONTROL);
-	from = s.n[o].r->part[SHARD_CONTROL].base;
+	o = sim_leader(&sim, SHARD_CONTROL);
+	from = sim.nodes[o].controller->shards[SHARD_CONTROL].base_index;
 	assert_true(from > 0);
-	assert_true(arrlen(s.n[o].r->part[SHARD_CONTROL].log) < 45); /* 16 MB since the last snapshot, 8 MB kept behind it */
+	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log) < 45); /* 16 MB since the last snapshot, 8 MB kept behind it */
 	for (int i = 0; i < 4; i++) {                                /* each in turn comes back without its disk */
-		sim_crash(&s, i, 1);
-		sim_run(&s, 500, NULL);
-		sim_start(&s, i);
-		until_whole(&s, 3, 15000);
+		sim_crash(&sim, i, 1);
+		sim_run(&sim, 500, NULL);
+		sim_start(&sim, i);
+		until_complete(&sim, 3, 15000);
 	}
-	sim_run(&s, 2000, NULL);
-	got = read_doc(&s, &n);
+	sim_run(&sim, 2000, NULL);
+	got = read_doc(&sim, &n);
 	assert_int_equal(n, strlen(b));
 	assert_memory_equal(got, b, n);
-	assert_int_equal(put_doc(&s, last_base, 0, b), 200); /* the call is known again, too */
-	assert_int_equal(put_doc(&s, 4, 0, old), 200);       /* also one that only the snapshot tells of */
-	assert_int_equal(put_doc(&s, 59, 0, "{\"ConfigVersion\":61}"), 412);
-	alike(&s);
-	ok(&s);
+	assert_int_equal(put_doc(&sim, last_base, 0, b), 200); /* the call is known again, too */
+	assert_int_equal(put_doc(&sim, 4, 0, old), 200);       /* also one that only the snapshot tells of */
+	assert_int_equal(put_doc(&sim, 59, 0, "{\"ConfigVersion\":61}"), 412);
+	rows_alike(&sim);
+	ok(&sim);
 	free(b);
 	free(old);
-	sim_close(&s);
+	sim_close(&sim);
 }
 
 /* Of controllers that stand in three zones in turn, no part has more than two members in one. */
-static int spread_out(struct sim *s, int n)
+static int spread_out(struct sim *sim, int n)
 {
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		int z[3] = { 0 }, o = sim_owner(s, i);
+		int z[3] = { 0 }, o = sim_leader(sim, i);
 
 		if (o < 0)
 			return 0;
-		for (int k = 0; k < s->n[o].r->part[i].member_count; k++)
+		for (int k = 0; k < sim->nodes[o].controller->shards[i].member_count; k++)
 			for (int q = 0; q < n; q++)
-				z[q % 3] += s->n[q].id == s->n[o].r->part[i].members[k].id;
+				z[q % 3] += sim->nodes[q].id == sim->nodes[o].controller->shards[i].members[k].id;
 		if (z[0] > 2 || z[1] > 2 || z[2] > 2)
 			return 0;
 	}
-	return whole_at(s, 5);
+	return complete_on(sim, 5);
 }
 
 /* Five copies over three zones; two machines lose their disks as a document is acknowledged, again and again. */
-static void two_of_five_lost(void **st)
+static void two_of_five_lost(void **state)
 {
 	int64_t worst_back = 0, worst_mend = 0, worst_found = 0, sum = 0;
 	int rounds = 0, seeds = getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : 25;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds; seed++) {
-		struct sim s;
+		struct sim sim;
 		uint64_t v = 0;
 		int n = 5 + (int)(seed % 3);
 		int64_t t;
 
-		fleet(&s, seed, n, 3, 5);
-		t = until_whole(&s, 5, 12000);
+		fleet(&sim, seed, n, 3, 5);
+		t = until_complete(&sim, 5, 12000);
 		worst_found = t > worst_found ? t : worst_found;
 		for (int round = 0; round < 3; round++) {
-			int a = (int)rnd(&s, (uint64_t)n), b = (a + 1 + (int)rnd(&s, (uint64_t)n - 1)) % n;
+			int a = (int)rnd(&sim, (uint64_t)n), b = (a + 1 + (int)rnd(&sim, (uint64_t)n - 1)) % n;
 			char body[400];
 			int64_t from;
 			size_t len;
 			char *got;
 
-			if (round == 1 && sim_owner(&s, SHARD_CONTROL) != b)
-				a = sim_owner(&s, SHARD_CONTROL);
+			if (round == 1 && sim_leader(&sim, SHARD_CONTROL) != b)
+				a = sim_leader(&sim, SHARD_CONTROL);
 			snprintf(body, sizeof body, DOC("%d", "", SERVICE("s1"), ""), (int)v + 1);
-			assert_int_equal(put_doc(&s, v, 0, body), 200);
+			assert_int_equal(put_doc(&sim, v, 0, body), 200);
 			v++;
-			sim_crash(&s, a, 1);
-			sim_crash(&s, b, 1);
-			from = s.now;
-			got = read_doc(&s, &len);
+			sim_crash(&sim, a, 1);
+			sim_crash(&sim, b, 1);
+			from = sim.now;
+			got = read_doc(&sim, &len);
 			assert_non_null(got);
 			assert_string_equal(got, body);
 			snprintf(body, sizeof body, DOC("%d", "", SERVICE("s2"), ""), (int)v + 1);
-			assert_int_equal(put_doc(&s, v, 0, body), 200);
+			assert_int_equal(put_doc(&sim, v, 0, body), 200);
 			v++;
-			sum += s.now - from;
+			sum += sim.now - from;
 			rounds++;
-			worst_back = s.now - from > worst_back ? s.now - from : worst_back;
-			if (s.now - from > 12000)
-				fail_msg("seed %llu: back after %lld ms", (unsigned long long)seed, (long long)(s.now - from));
-			sim_run(&s, (int64_t)rnd(&s, 4000), NULL);
-			sim_start(&s, a);
-			sim_start(&s, b);
-			from = s.now;
-			until_whole(&s, 5, 12000);
-			while (n >= 6 && !spread_out(&s, n)) { /* no zone has more than two of five */
-				assert_true(sim_run(&s, 25, NULL));
-				assert_true(s.now - from < 12000);
+			worst_back = sim.now - from > worst_back ? sim.now - from : worst_back;
+			if (sim.now - from > 12000)
+				fail_msg("seed %llu: back after %lld ms", (unsigned long long)seed, (long long)(sim.now - from));
+			sim_run(&sim, (int64_t)rnd(&sim, 4000), NULL);
+			sim_start(&sim, a);
+			sim_start(&sim, b);
+			from = sim.now;
+			until_complete(&sim, 5, 12000);
+			while (n >= 6 && !spread_out(&sim, n)) { /* no zone has more than two of five */
+				assert_true(sim_run(&sim, 25, NULL));
+				assert_true(sim.now - from < 12000);
 			}
-			t = s.now - from;
+			t = sim.now - from;
 			worst_mend = t > worst_mend ? t : worst_mend;
 		}
-		ok(&s);
-		sim_close(&s);
+		ok(&sim);
+		sim_close(&sim);
 	}
 	print_message(
 	    "two of five lost, %d times: taken again after %lld ms on average, %lld at most; five copies again %lld ms after their return at most; founded and grown to five in %lld ms at most\n",
@@ -1244,158 +1244,158 @@
 }
 
 /* A machine that is lost for good, with another standing ready: all copies are there again inside the bound. */
-static void one_lost_for_good(void **st)
+static void one_lost_for_good(void **state)
 {
 	int64_t worst = 0;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 24; seed++) {
-		struct sim s;
+		struct sim sim;
 		int copies = seed % 2 ? 3 : 5, a;
 		int64_t t;
 
-		fleet(&s, seed, copies + 1, 3, copies);
-		until_whole(&s, copies, 12000);
-		sim_run(&s, 3000 + (int64_t)rnd(&s, 500), NULL);
-		a = seed % 3 ? (int)rnd(&s, (uint64_t)copies + 1) : sim_owner(&s, SHARD_CONTROL);
-		sim_crash(&s, a, 1);
-		t = until_whole(&s, copies, 12000);
+		fleet(&sim, seed, copies + 1, 3, copies);
+		until_complete(&sim, copies, 12000);
+		sim_run(&sim, 3000 + (int64_t)rnd(&sim, 500), NULL);
+		a = seed % 3 ? (int)rnd(&sim, (uint64_t)copies + 1) : sim_leader(&sim, SHARD_CONTROL);
+		sim_crash(&sim, a, 1);
+		t = until_complete(&sim, copies, 12000);
 		worst = t > worst ? t : worst;
-		ok(&s);
-		sim_close(&s);
+		ok(&sim);
+		sim_close(&sim);
 	}
 	print_message("one lost for good: all copies again after at most %lld ms\n", (long long)worst);
 	assert_true(worst <= 4000);
 }
 
 /* With fewer controllers than copies wanted there are as many as there are; never fewer than three. */
-static void as_many_copies_as_registrars(void **st)
+static void as_many_replicas_as_controllers(void **state)
 {
-	struct sim s;
-
-	(void)st;
-	fleet(&s, 9, 4, 3, 5);
-	until_whole(&s, 4, 8000);
-	sim_crash(&s, 2, 1);
-	sim_run(&s, 4000, NULL);
-	until_whole(&s, 3, 8000);
-	sim_crash(&s, 1, 1);
-	sim_run(&s, 8000, NULL);
+	struct sim sim;
+
+	(void)state;
+	fleet(&sim, 9, 4, 3, 5);
+	until_complete(&sim, 4, 8000);
+	sim_crash(&sim, 2, 1);
+	sim_run(&sim, 4000, NULL);
+	until_complete(&sim, 3, 8000);
+	sim_crash(&sim, 1, 1);
+	sim_run(&sim, 8000, NULL);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		assert_true(sim_owner(&s, i) >= 0);
-		assert_int_equal(s.n[sim_owner(&s, i)].r->part[i].member_count, 3);
+		assert_true(sim_leader(&sim, i) >= 0);
+		assert_int_equal(sim.nodes[sim_leader(&sim, i)].controller->shards[i].member_count, 3);
 	}
-	sim_start(&s, 1);
-	sim_start(&s, 2);
-	until_whole(&s, 4, 8000);
-	ok(&s);
-	sim_close(&s);
+	sim_start(&sim, 1);
+	sim_start(&sim, 2);
+	until_complete(&sim, 4, 8000);
+	ok(&sim);
+	sim_close(&sim);
 }
 
 /* Seeds that all stand in one zone: the groups move out over the others. */
-static void groups_spread_over_zones(void **st)
+static void groups_spread_over_zones(void **state)
 {
-	struct sim s;
+	struct sim sim;
 	uint64_t seeds[3];
 	char buf[32];
 
-	(void)st;
-	sim_open(&s, 4);
-	s.copies = 3;
-	s.catch_up_ms = 4000;
+	(void)state;
+	sim_open(&sim, 4);
+	sim.replica_count = 3;
+	sim.catch_up_ms = 4000;
 	for (int i = 0; i < 3; i++) {
 		snprintf(buf, sizeof buf, "127.0.1.%d:7000", i + 1);
-		seeds[i] = core_addr(buf);
+		seeds[i] = core_parse_addr(buf);
 	}
 	for (int i = 0; i < 6; i++) {
 		snprintf(buf, sizeof buf, "z%d", i < 3 ? 1 : i);
-		sim_registrar(&s, buf, seeds, 3);
+		sim_add_controller(&sim, buf, seeds, 3);
 	}
-	controller_bootstrap(s.n[0].r, s.now + s.n[0].skew);
-	until_whole(&s, 3, 5000);
-	sim_run(&s, 8000, NULL);
-	until_whole(&s, 3, 5000);
+	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
+	until_complete(&sim, 3, 5000);
+	sim_run(&sim, 8000, NULL);
+	until_complete(&sim, 3, 5000);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		const struct raft *p = &s.n[sim_owner(&s, i)].r->part[i];
+		const struct raft *p = &sim.nodes[sim_leader(&sim, i)].controller->shards[i];
 		int first_zone = 0;
 
 		for (int k = 0; k < p->member_count; k++)
 			for (int q = 0; q < 3; q++)
-				first_zone += s.n[q].id == p->members[k].id;
+				first_zone += sim.nodes[q].id == p->members[k].id;
 		assert_true(first_zone <= 2);
 	}
-	ok(&s);
-	sim_close(&s);
+	ok(&sim);
+	sim_close(&sim);
 }
 
 /* A limit of 0 is none: nobody is given places under it, and nothing spare. */
-static void no_limit_needs_no_places(void **st)
+static void no_limit_needs_no_places(void **state)
 {
-	struct sim s;
+	struct sim sim;
 	int o;
 
-	(void)st;
-	fleet(&s, 6, 3, 3, 3);
-	until_whole(&s, 3, 5000);
-	assert_int_equal(put_doc(&s, 0, 0, first), 200);
-	sim_counter(&s, "z1");
-	sim_run(&s, 8000, NULL);
-	o = sim_owner(&s, SHARD_CONTROL);
-	assert_int_equal(shlen(s.n[o].r->limit), 0);
-	config_watch_hold(&s.n[SIM_REGS].c->f, "t1")->want = 1;
-	sim_run(&s, 1000, NULL);
-	assert_int_equal(shlen(s.n[o].r->limit), 0);
-	ok(&s);
-	sim_close(&s);
+	(void)state;
+	fleet(&sim, 6, 3, 3, 3);
+	until_complete(&sim, 3, 5000);
+	assert_int_equal(put_doc(&sim, 0, 0, first), 200);
+	sim_add_router(&sim, "z1");
+	sim_run(&sim, 8000, NULL);
+	o = sim_leader(&sim, SHARD_CONTROL);
+	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config_watch, "t1")->requested = 1;
+	sim_run(&sim, 1000, NULL);
+	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	ok(&sim);
+	sim_close(&sim);
 }
 
 /* Weights that a model's servers all had are withdrawn once others stand everywhere; naming alone withdraws nothing. */
-static void weights_are_withdrawn_when_rolled_out(void **st)
+static void weights_are_withdrawn_when_rolled_out(void **state)
 {
-	struct Nl__Row m = NL__ROW__INIT, *set[1] = { &m };
-	struct Nl__Change c, name = NL__CHANGE__INIT;
+	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
+	struct Nl__Change change, name = NL__CHANGE__INIT;
 	struct Nl__Purge **feed = NULL;
-	struct table t;
+	struct config_table table;
 	const char *why;
 	apr_pool_t *p;
 
-	(void)st;
+	(void)state;
 	apr_pool_create(&p, NULL);
-	table_open(&t);
-	assert_int_equal(doc(NULL, first, 0, &c, &why, p), 0);
-	c.any = c.whole = c.keys = name.any = 1;
-	assert_int_equal(table_apply(&t, &c, &feed), TABLE_DONE);
-	m.kind = NL__KIND__MODEL;
-	m.name = (char *)"daka";
-	m.weights = (char *)"2";
+	config_table_open(&table);
+	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
+	change.any = change.whole = change.keys = name.any = 1;
+	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
+	row.kind = NL__KIND__MODEL;
+	row.name = (char *)"daka";
+	row.weights = (char *)"2";
 	name.set = set;
 	name.n_set = 1;
-	assert_int_equal(table_apply(&t, &name, &feed), TABLE_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 0);
-	assert_string_equal(table_get(&t, NL__KIND__MODEL, "daka")->rolled, "1");
-	m.weights = (char *)"1"; /* only rises */
-	assert_int_equal(table_apply(&t, &name, &feed), TABLE_DONE);
-	assert_string_equal(table_get(&t, NL__KIND__MODEL, "daka")->weights, "2");
-	m.rolled = (char *)"2";
-	assert_int_equal(table_apply(&t, &name, &feed), TABLE_DONE);
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled, "1");
+	row.weights = (char *)"1"; /* only rises */
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->weights, "2");
+	row.rolled = (char *)"2";
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 2); /* for both services of the model */
 	assert_string_equal(feed[0]->weights, "1");
 	assert_int_equal(feed[0]->why, 1);
-	m.weights = (char *)"5";
-	m.rolled = (char *)"4"; /* 3 was named and overtaken: it goes as well */
-	assert_int_equal(table_apply(&t, &name, &feed), TABLE_DONE);
+	row.weights = (char *)"5";
+	row.rolled = (char *)"4"; /* 3 was named and overtaken: it goes as well */
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 6);
-	m.rolled = (char *)"2";
-	assert_int_equal(table_apply(&t, &name, &feed), TABLE_DONE);
-	assert_string_equal(table_get(&t, NL__KIND__MODEL, "daka")->rolled, "4");
+	row.rolled = (char *)"2";
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled, "4");
 	assert_int_equal(arrlen(feed), 6);
-	assert_int_equal(table_apply(&t, &c, &feed), TABLE_DONE); /* the same document: no rows change, nothing is withdrawn */
+	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE); /* the same document: no rows change, nothing is withdrawn */
 	assert_int_equal(arrlen(feed), 6);
-	assert_non_null(table_get(&t, NL__KIND__MODEL, "daka"));
+	assert_non_null(config_table_get(&table, NL__KIND__MODEL, "daka"));
 	for (ptrdiff_t i = 0; i < arrlen(feed); i++)
 		nl__purge__free_unpacked(feed[i], NULL);
 	arrfree(feed);
-	table_close(&t);
+	config_table_close(&table);
 	apr_pool_destroy(p);
 }
 
@@ -1403,18 +1403,18 @@
 {
 	const struct CMUnitTest t[] = {
 		cmocka_unit_test(documents_become_rows),
-		cmocka_unit_test(rows_survive_the_sheet),
+		cmocka_unit_test(rows_survive_the_text_form),
 		cmocka_unit_test(invalid_documents_are_refused_by_name),
 		cmocka_unit_test(patches_change_named_items_only),
 		cmocka_unit_test(weights_are_withdrawn_when_rolled_out),
 		cmocka_unit_test(large_documents_take_their_time_only_once),
-		cmocka_unit_test(settings_found_a_fleet),
-		cmocka_unit_test(documents_are_taken_and_read_back),
+		cmocka_unit_test(settings_bootstrap_a_fleet),
+		cmocka_unit_test(documents_are_accepted_and_read_back),
 		cmocka_unit_test(documents_against_a_plain_model),
 		cmocka_unit_test(snapshots_hold_the_document),
 		cmocka_unit_test(two_of_five_lost),
 		cmocka_unit_test(one_lost_for_good),
-		cmocka_unit_test(as_many_copies_as_registrars),
+		cmocka_unit_test(as_many_replicas_as_controllers),
 		cmocka_unit_test(groups_spread_over_zones),
 		cmocka_unit_test(no_limit_needs_no_places),
 	};
--- a/tests/test_explore.c
+++ b/tests/test_explore.c
@@ -21,7 +21,7 @@
 
 static void assert_nothing_found(void)
 {
-	if (!found.breach)
+	if (!found.violation)
 		return;
 	explore_minimize(&found);
 	explore_print(&found, stderr);
@@ -38,7 +38,7 @@
 		assert_nothing_found();
 		printf("%s: %llu states, %llu steps, all orders to depth %d\n", explore_scene_name((enum explore_scene)scene),
 		       (unsigned long long)stats.states, (unsigned long long)stats.steps, stats.depth);
-		assert_true(stats.states >= SHORT_STATES || stats.whole);
+		assert_true(stats.states >= SHORT_STATES || stats.complete);
 	}
 }
 
@@ -62,7 +62,7 @@
 static void states_are_saved_and_restored(void **state)
 {
 	struct explore_saved *saved = explore_saved_new();
-	struct choice v[64];
+	struct choice choice[64];
 	uint64_t hash;
 	size_t n;
 
@@ -70,16 +70,16 @@
 	explore_begin(SCENE_LEASE);
 	explore_save(saved);
 	hash = explore_hash();
-	n = explore_choices(v, 64);
+	n = explore_choices(choice, 64);
 	assert_true(n > 5);
 	for (size_t i = 0; i < n; i++) {
 		uint64_t first;
 
-		(void)explore_do(v[i]);
+		(void)explore_do(choice[i]);
 		first = explore_hash();
 		explore_restore(saved);
 		assert_true(explore_hash() == hash);
-		(void)explore_do(v[i]);
+		(void)explore_do(choice[i]);
 		assert_true(explore_hash() == first);
 		explore_restore(saved);
 	}
@@ -125,7 +125,7 @@
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 },   { CHOICE_SYNC, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_WAIT, 0, 0, 150 },    { CHOICE_WAIT, 0, 0, 300 },
 		{ CHOICE_WAIT, 0, 0, 300 },  { CHOICE_TICK, 2, 0, 0 },      { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_LEAVE, 1, 0, 0 },   { CHOICE_DELIVER, 2, 1, 0 },   { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_DELIVER, 2, 1, 0 },   { CHOICE_DELIVER, 1, 2, 0 },
 		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 },   { CHOICE_SYNC, 2, 0, 0 },
 		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },      { CHOICE_SYNC, 1, 0, 0 },
 		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 0, 2, 0 },   { CHOICE_DELIVER, 0, 2, 0 },
@@ -202,7 +202,7 @@
 	static const struct choice path[] = {
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_COMPACT, 0, 0, 0 },
-		{ CHOICE_LEAVE, 1, 0, 0 },   { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 0, 0, 0 },
+		{ CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 0, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
 		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 },
@@ -232,13 +232,13 @@
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },        { CHOICE_DELIVER, 1, 0, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 },     { CHOICE_SYNC, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_TICK, 0, 0, 0 },        { CHOICE_LEAVE, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_TICK, 0, 0, 0 },        { CHOICE_DRAIN, 1, 0, 0 },
 		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_SYNC, 2, 0, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_SYNC, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_RECONFIGURE, 0, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_LEAVE, 0, 0, 0 },       { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DRAIN, 0, 0, 0 },       { CHOICE_DELIVER, 0, 1, 0 },
 		{ CHOICE_TICK, 0, 0, 0 },    { CHOICE_WAIT, 0, 0, 150 },      { CHOICE_WAIT, 0, 0, 450 },
 		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_CRASH, 1, 0, 0 },       { CHOICE_WAIT, 0, 0, 300 },
 		{ CHOICE_TICK, 0, 0, 0 },
@@ -253,7 +253,7 @@
 {
 	static const struct choice path[] = {
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_LEAVE, 0, 0, 0 },   { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 1, 0, 0 },
+		{ CHOICE_DRAIN, 0, 0, 0 },   { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 1, 0, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_COMPACT, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 1, 0, 0 },
 		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
@@ -261,7 +261,7 @@
 		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_TICK, 1, 0, 0 },
 		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_LEAVE, 2, 0, 0 },   { CHOICE_PROPOSE, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_PROPOSE, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
 		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_END, 0, 0, 0 },
 		{ CHOICE_DELIVER, 1, 2, 0 },
 	};
@@ -276,7 +276,7 @@
 	static const struct choice path[] = {
 		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_SYNC, 0, 0, 0 },        { CHOICE_WAIT, 0, 0, 1600 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_LEAVE, 3, 0, 0 },       { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_LEAVE, 0, 0, 0 },
+		{ CHOICE_DRAIN, 3, 0, 0 },       { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DRAIN, 0, 0, 0 },
 		{ CHOICE_TICK, 2, 0, 0 },        { CHOICE_DELIVER, 3, 2, 0 }, { CHOICE_DELIVER, 2, 3, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 },     { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 3, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },
@@ -338,7 +338,7 @@
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },
 		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_RECONFIGURE, 0, 0, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_LEAVE, 0, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DRAIN, 0, 0, 0 },
 		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_TICK, 0, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 1, 0, 0 },
 		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },
@@ -348,7 +348,7 @@
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
 		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 },
 		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_WAIT, 0, 0, 450 },  { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_LEAVE, 1, 0, 0 },   { CHOICE_TICK, 1, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_TICK, 1, 0, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 },
 	};
 
@@ -364,7 +364,7 @@
 		{ CHOICE_WAIT, 0, 0, 450 },      { CHOICE_SYNC, 0, 0, 0 },        { CHOICE_WAIT, 0, 0, 450 },
 		{ CHOICE_TICK, 2, 0, 0 },        { CHOICE_CRASH, 1, 0, 0 },       { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 0, 2, 0 },     { CHOICE_SYNC, 2, 0, 0 },
-		{ CHOICE_LEAVE, 0, 0, 0 },       { CHOICE_WIPE, 1, 0, 0 },        { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_DRAIN, 0, 0, 0 },       { CHOICE_WIPE, 1, 0, 0 },        { CHOICE_SYNC, 0, 0, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 3, 2, 0 },
 		{ CHOICE_WAIT, 0, 0, 700 },      { CHOICE_DELIVER, 2, 3, 0 },     { CHOICE_DELIVER, 0, 2, 0 },
 		{ CHOICE_SYNC, 3, 0, 0 },        { CHOICE_DELIVER, 3, 2, 0 },     { CHOICE_DELIVER, 2, 0, 0 },
@@ -424,7 +424,7 @@
 	beat(0, 1, 1);
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 0 });
 	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS); /* and the silent one goes */
-	assert_int_equal(explore_breach, INVARIANT_NONE);
+	assert_int_equal(explore_violation, INVARIANT_NONE);
 }
 
 /* A leaving member was let go by a majority that was counted before another one said that it leaves. */
@@ -437,13 +437,13 @@
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
 		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_LEAVE, 2, 0, 0 },   { CHOICE_WAIT, 0, 0, 600 },  { CHOICE_DELIVER, 2, 0, 2 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_WAIT, 0, 0, 600 },  { CHOICE_DELIVER, 2, 0, 2 },
 		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
 		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 1 }, { CHOICE_DELIVER, 0, 2, 4 }, { CHOICE_DELIVER, 0, 2, 3 },
 		{ CHOICE_DELIVER, 2, 0, 2 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },
 		{ CHOICE_DELIVER, 0, 2, 1 }, { CHOICE_DROP, 0, 2, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_LEAVE, 1, 0, 0 },   { CHOICE_END, 2, 0, 0 },     { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_END, 2, 0, 0 },     { CHOICE_WAIT, 0, 0, 150 },
 		{ CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_PROPOSE, 0, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 0 },
 	};
@@ -463,7 +463,7 @@
 		{ CHOICE_DELIVER, 3, 1, 0 },     { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 1, 3, 0 },
 		{ CHOICE_DELIVER, 2, 1, 0 },     { CHOICE_DELIVER, 3, 1, 0 }, { CHOICE_DELIVER, 0, 1, 1 },
 		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_SYNC, 2, 0, 0 },
-		{ CHOICE_SYNC, 0, 0, 0 },        { CHOICE_LEAVE, 3, 0, 0 },   { CHOICE_SYNC, 1, 0, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },        { CHOICE_DRAIN, 3, 0, 0 },   { CHOICE_SYNC, 1, 0, 0 },
 		{ CHOICE_DELIVER, 1, 0, 1 },     { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
 		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
 		{ CHOICE_DELIVER, 3, 1, 0 },     { CHOICE_DELIVER, 1, 3, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -28,21 +28,21 @@
 
 /* What else is the matter while the leader is told to stop. */
 enum trouble {
-	NO_TROUBLE,
+	NO_FAULT,
 	JITTER,    /* messages take up to JITTER_MS longer */
 	SLOW_DISK, /* one of the other voters syncs slowly */
 	RETURNED,  /* one of them came back a moment ago, and lacks what was logged meanwhile */
 	AWAY,      /* one of them is down */
 	LOSSY,     /* a message of a hundred is lost */
 	STOPPED,   /* one of them is told to stop at the same moment */
-	TROUBLES
+	FAULT_KINDS
 };
 
 static const struct {
 	const char *name;
 	int64_t gap_ms; /* longest that the group may be without a leader */
-} troubles[TROUBLES] = {
-	[NO_TROUBLE] = { "none", SHORT_GAP_MS },     [JITTER] = { "jitter", LONG_GAP_MS },
+} troubles[FAULT_KINDS] = {
+	[NO_FAULT] = { "none", SHORT_GAP_MS },     [JITTER] = { "jitter", LONG_GAP_MS },
 	[SLOW_DISK] = { "slow disk", SHORT_GAP_MS }, [RETURNED] = { "returned", SHORT_GAP_MS },
 	[AWAY] = { "away", SHORT_GAP_MS },           [LOSSY] = { "lossy", LONG_GAP_MS },
 	[STOPPED] = { "two stops", LONG_GAP_MS },
@@ -51,7 +51,7 @@
 /* A group and what it runs on. */
 struct setting {
 	int voters, sync_ms, delay_us, proposals;
-	enum trouble trouble;
+	enum trouble fault;
 };
 
 static int seeds_or(int n)
@@ -75,94 +75,94 @@
 	return (x > y) - (x < y);
 }
 
-static void open_group(struct world *w, const struct setting *setting, uint64_t seed)
+static void open_group(struct world *world, const struct setting *setting, uint64_t seed)
 {
-	world_open_with(w, seed, DOCUMENT_BYTES, setting->voters);
-	w->delay_ms = w->jitter_ms = 0;
-	w->delay_us = setting->delay_us;
-	w->disk_ms = setting->sync_ms;
-	w->tick_ms = PROCESS_TICK_MS;
-	for (int i = 0; i < w->machines; i++)
-		w->m[i].tick_phase = (int)(core_rand(&w->rng) % PROCESS_TICK_MS);
+	world_open_with(world, seed, DOCUMENT_BYTES, setting->voters);
+	world->delay_ms = world->jitter_ms = 0;
+	world->delay_us = setting->delay_us;
+	world->disk_ms = setting->sync_ms;
+	world->tick_ms = PROCESS_TICK_MS;
+	for (int i = 0; i < world->machines; i++)
+		world->machine[i].tick_phase = (int)(core_random(&world->rng) % PROCESS_TICK_MS);
 }
 
 /* One ms under load. */
-static void pass_ms(struct world *w, const struct setting *setting)
+static void pass_ms(struct world *world, const struct setting *setting)
 {
-	if (setting->proposals && core_rand(&w->rng) % 1000 < (uint64_t)setting->proposals)
-		(void)world_log(w);
-	(void)world_run(w, 1, NULL);
+	if (setting->proposals && core_random(&world->rng) % 1000 < (uint64_t)setting->proposals)
+		(void)world_log(world);
+	(void)world_run(world, 1, NULL);
 }
 
-static void pass(struct world *w, const struct setting *setting, int64_t ms)
+static void pass(struct world *world, const struct setting *setting, int64_t ms)
 {
-	for (int64_t end = w->now + ms; w->now < end;)
-		pass_ms(w, setting);
+	for (int64_t end = world->now + ms; world->now < end;)
+		pass_ms(world, setting);
 }
 
 /* Whether a machine other than one holds a lease and has applied all that is committed. */
-static int has_successor(const struct world *w, int old)
+static int has_successor(const struct world *world, int old)
 {
-	int leader = world_leader(w);
+	int leader = world_leader(world);
 
-	return leader >= 0 && leader != old && w->m[leader].raft.applied == w->m[leader].raft.commit;
+	return leader >= 0 && leader != old && world->machine[leader].raft.applied_index == world->machine[leader].raft.commit_index;
 }
 
 /* The leader is told to stop; ms until another one has taken over. */
-static int64_t planned_stop(struct world *w, const struct setting *setting)
+static int64_t planned_stop(struct world *world, const struct setting *setting)
 {
-	int old = world_leader(w);
-	int64_t from = w->now;
+	int old = world_leader(world);
+	int64_t from = world->now;
 
-	raft_leave(&w->m[old].raft, w->now);
-	while (!has_successor(w, old) && w->now - from < LIMIT_MS)
-		pass_ms(w, setting);
-	return w->now - from;
+	raft_drain(&world->machine[old].raft, world->now);
+	while (!has_successor(world, old) && world->now - from < LIMIT_MS)
+		pass_ms(world, setting);
+	return world->now - from;
 }
 
-static int another(struct world *w, int than)
+static int another(struct world *world, int than)
 {
-	return (than + 1 + (int)(core_rand(&w->rng) % (uint64_t)(w->voters - 1))) % w->voters;
+	return (than + 1 + (int)(core_random(&world->rng) % (uint64_t)(world->voters - 1))) % world->voters;
 }
 
-static void bring_trouble(struct world *w, const struct setting *setting)
+static void bring_fault(struct world *world, const struct setting *setting)
 {
-	int other = another(w, world_leader(w));
+	int other = another(world, world_leader(world));
 
-	switch (setting->trouble) {
-	case JITTER: w->jitter_ms = JITTER_MS; break;
-	case SLOW_DISK: w->m[other].slow_disk_ms = SLOW_DISK_MS; break;
-	case LOSSY: w->loss = 10; break;
+	switch (setting->fault) {
+	case JITTER: world->jitter_ms = JITTER_MS; break;
+	case SLOW_DISK: world->machine[other].slow_disk_ms = SLOW_DISK_MS; break;
+	case LOSSY: world->loss = 10; break;
 	case AWAY:
-	case RETURNED: world_crash(w, other, 0); break;
-	case STOPPED: raft_leave(&w->m[other].raft, w->now); break;
+	case RETURNED: world_crash(world, other, 0); break;
+	case STOPPED: raft_drain(&world->machine[other].raft, world->now); break;
 	default: break;
 	}
-	if (setting->trouble == AWAY || setting->trouble == RETURNED)
-		pass(w, setting, AWAY_MS);
-	if (setting->trouble == RETURNED) {
-		pass(w, setting, MISSED_MS);
-		world_start(w, other);
-		pass(w, setting, BACK_MS);
+	if (setting->fault == AWAY || setting->fault == RETURNED)
+		pass(world, setting, AWAY_MS);
+	if (setting->fault == RETURNED) {
+		pass(world, setting, MISSED_MS);
+		world_start(world, other);
+		pass(world, setting, BACK_MS);
 	}
-	if (setting->trouble == SLOW_DISK || setting->trouble == JITTER)
-		pass(w, setting, CALM_MS);
+	if (setting->fault == SLOW_DISK || setting->fault == JITTER)
+		pass(world, setting, CALM_MS);
 }
 
 static int64_t gap_of(const struct setting *setting, uint64_t seed)
 {
-	struct world w;
+	struct world world;
 	int64_t gap;
 
-	open_group(&w, setting, seed);
-	pass(&w, setting, CALM_MS + (int64_t)(core_rand(&w.rng) % 200));
-	assert_true(world_leader(&w) >= 0);
-	bring_trouble(&w, setting);
-	gap = planned_stop(&w, setting);
-	pass(&w, setting, CALM_MS);
-	if (w.bad[0])
-		fail_msg("%s", w.bad);
-	world_close(&w);
+	open_group(&world, setting, seed);
+	pass(&world, setting, CALM_MS + (int64_t)(core_random(&world.rng) % 200));
+	assert_true(world_leader(&world) >= 0);
+	bring_fault(&world, setting);
+	gap = planned_stop(&world, setting);
+	pass(&world, setting, CALM_MS);
+	if (world.violation[0])
+		fail_msg("%s", world.violation);
+	world_close(&world);
 	return gap;
 }
 
@@ -173,14 +173,14 @@
 	qsort(gaps, (size_t)n, sizeof *gaps, by_value);
 	print_message(
 	    "%-9s %d voters, sync %d ms, one way %.1f ms, %3d proposals/s: median %lld, p95 %lld, most %lld ms (%d seeds)\n",
-	    troubles[setting->trouble].name, setting->voters, setting->sync_ms, setting->delay_us / 1000.0, setting->proposals,
+	    troubles[setting->fault].name, setting->voters, setting->sync_ms, setting->delay_us / 1000.0, setting->proposals,
 	    (long long)gaps[n / 2], (long long)gaps[n * 95 / 100], (long long)gaps[n - 1], n);
 }
 
 /* How many seeds leave a longer gap than they may. */
 static int measure(const struct setting *setting)
 {
-	int64_t *gaps = NULL, bound = troubles[setting->trouble].gap_ms;
+	int64_t *gaps = NULL, bound = troubles[setting->fault].gap_ms;
 	uint64_t from = first_seed(), to = from + (uint64_t)seeds_or(3);
 	int late = 0;
 
@@ -204,10 +204,10 @@
 	int late = 0;
 
 	(void)state;
-	for (int trouble = 0; trouble < TROUBLES; trouble++)
+	for (int fault = 0; fault < FAULT_KINDS; fault++)
 		for (int k = 0; k < 16; k++) {
 			struct setting setting = { voters[k >> 3], syncs[k >> 2 & 1], delays[k >> 1 & 1], loads[k & 1],
-						   (enum trouble)trouble };
+						   (enum trouble)fault };
 
 			late += measure(&setting);
 		}
@@ -224,111 +224,111 @@
 	int64_t now;
 };
 
-static void follower_open(struct follower *f)
+static void follower_open(struct follower *follower)
 {
 	struct raft_member group[3];
 
-	memset(f, 0, sizeof *f);
+	memset(follower, 0, sizeof *follower);
 	memset(group, 0, sizeof group);
 	for (int i = 0; i < 3; i++)
 		group[i] = (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
-	apr_pool_create(&f->out.p, NULL);
-	f->out.id = 1;
-	f->out.addr = 101;
-	f->now = 100000;
-	raft_open(&f->raft, 0, 1, 5, NULL, f->now);
-	raft_bootstrap(&f->raft, group, 3, f->now, &f->out);
-	raft_flush(&f->raft, f->now, &f->out);
-	raft_synced(&f->raft, f->raft.seq, f->now, &f->out);
-	f->now += 5000;
+	apr_pool_create(&follower->out.pool, NULL);
+	follower->out.id = 1;
+	follower->out.addr = 101;
+	follower->now = 100000;
+	raft_open(&follower->raft, 0, 1, 5, NULL, follower->now);
+	raft_bootstrap(&follower->raft, group, 3, follower->now, &follower->out);
+	raft_flush(&follower->raft, follower->now, &follower->out);
+	raft_synced(&follower->raft, follower->raft.sync_seq, follower->now, &follower->out);
+	follower->now += 5000;
 }
 
-static void follower_close(struct follower *f)
+static void follower_close(struct follower *follower)
 {
-	raft_close(&f->raft);
-	arrfree(f->out.v);
-	apr_pool_destroy(f->out.p);
+	raft_close(&follower->raft);
+	arrfree(follower->out.commands);
+	apr_pool_destroy(follower->out.pool);
 }
 
-static void hear(struct follower *f, uint64_t from, struct Nl__Msg *m)
+static void hear(struct follower *follower, uint64_t from, struct Nl__Msg *message)
 {
-	m->id = from;
-	m->addr = 100 + from;
-	out_clear(&f->out);
-	assert_null(raft_receive(&f->raft, m, f->now, &f->out));
+	message->id = from;
+	message->addr = 100 + from;
+	command_list_clear(&follower->out);
+	assert_null(raft_receive(&follower->raft, message, follower->now, &follower->out));
 }
 
 /* The leader's heartbeat of a round, at an entry that the follower holds or lacks. */
-static void hear_heartbeat(struct follower *f, uint64_t round, int released, uint64_t prev)
+static void receive_heartbeat(struct follower *follower, uint64_t round, int released, uint64_t prev)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__Append a = NL__APPEND__INIT;
-
-	a.term = TERM;
-	a.to = 1;
-	a.prev = prev;
-	a.prev_term = 1;
-	a.round = round;
-	a.released = released;
-	m.body_case = NL__MSG__BODY_APPEND;
-	m.append = &a;
-	hear(f, LEADER_ID, &m);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__Append append = NL__APPEND__INIT;
+
+	append.term = TERM;
+	append.to = 1;
+	append.prev = prev;
+	append.prev_term = 1;
+	append.round = round;
+	append.released = released;
+	message.body_case = NL__MSG__BODY_APPEND;
+	message.append = &append;
+	hear(follower, LEADER_ID, &message);
 }
 
 /* Whether the follower would vote for a candidate of the next term, which says that the leader of a term has given up. */
-static int would_vote(struct follower *f, uint64_t gave_up)
+static int would_vote(struct follower *follower, uint64_t gave_up)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__VoteAsk a = NL__VOTE_ASK__INIT;
-
-	a.term = TERM + 1;
-	a.last = 9;
-	a.last_term = TERM;
-	a.pre = 1;
-	a.gave_up = gave_up;
-	m.body_case = NL__MSG__BODY_VOTE_ASK;
-	m.vote_ask = &a;
-	hear(f, CANDIDATE_ID, &m);
-	for (ptrdiff_t i = 0; i < arrlen(f->out.v); i++)
-		if (f->out.v[i].kind == CMD_SEND && f->out.v[i].u.send.msg->body_case == NL__MSG__BODY_VOTE_REPLY)
-			return f->out.v[i].u.send.msg->vote_reply->granted;
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+
+	request.term = TERM + 1;
+	request.last = 9;
+	request.last_term = TERM;
+	request.pre = 1;
+	request.gave_up = gave_up;
+	message.body_case = NL__MSG__BODY_VOTE_ASK;
+	message.vote_ask = &request;
+	hear(follower, CANDIDATE_ID, &message);
+	for (ptrdiff_t i = 0; i < arrlen(follower->out.commands); i++)
+		if (follower->out.commands[i].kind == CMD_SEND && follower->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_VOTE_REPLY)
+			return follower->out.commands[i].args.send.msg->vote_reply->granted;
 	return -1;
 }
 
 /* A promise to a leader ends with the word that this very leader, or a later one, has given up. */
 static void a_promise_outlives_an_earlier_leader(void **state)
 {
-	struct follower f;
+	struct follower follower;
 
 	(void)state;
-	follower_open(&f);
-	hear_heartbeat(&f, 1, 0, 1);
-	assert_int_equal(would_vote(&f, 0), 0);
-	assert_int_equal(would_vote(&f, TERM - 1), 0);
-	assert_int_equal(would_vote(&f, TERM), 1);
-	follower_close(&f);
+	follower_open(&follower);
+	receive_heartbeat(&follower, 1, 0, 1);
+	assert_int_equal(would_vote(&follower, 0), 0);
+	assert_int_equal(would_vote(&follower, TERM - 1), 0);
+	assert_int_equal(would_vote(&follower, TERM), 1);
+	follower_close(&follower);
 }
 
 /* A member that is to stop keeps to the newest round's word, also where it had to refuse that append. */
 static void an_older_round_lets_nobody_go(void **state)
 {
-	struct follower f;
+	struct follower follower;
 
 	(void)state;
-	follower_open(&f);
-	raft_leave(&f.raft, f.now);
-	hear_heartbeat(&f, 2, 1, 1);
-	assert_true(raft_may_leave(&f.raft, f.now));
-	hear_heartbeat(&f, 3, 0, 1);
-	assert_false(raft_may_leave(&f.raft, f.now));
-	hear_heartbeat(&f, 2, 1, 1);
-	assert_false(raft_may_leave(&f.raft, f.now));
-	hear_heartbeat(&f, 4, 1, 1);
-	assert_true(raft_may_leave(&f.raft, f.now));
-	hear_heartbeat(&f, 5, 0, 7); /* of entries that it lacks */
-	hear_heartbeat(&f, 4, 1, 1);
-	assert_false(raft_may_leave(&f.raft, f.now));
-	follower_close(&f);
+	follower_open(&follower);
+	raft_drain(&follower.raft, follower.now);
+	receive_heartbeat(&follower, 2, 1, 1);
+	assert_true(raft_may_stop(&follower.raft, follower.now));
+	receive_heartbeat(&follower, 3, 0, 1);
+	assert_false(raft_may_stop(&follower.raft, follower.now));
+	receive_heartbeat(&follower, 2, 1, 1);
+	assert_false(raft_may_stop(&follower.raft, follower.now));
+	receive_heartbeat(&follower, 4, 1, 1);
+	assert_true(raft_may_stop(&follower.raft, follower.now));
+	receive_heartbeat(&follower, 5, 0, 7); /* of entries that it lacks */
+	receive_heartbeat(&follower, 4, 1, 1);
+	assert_false(raft_may_stop(&follower.raft, follower.now));
+	follower_close(&follower);
 }
 
 int main(void)
