--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -24,7 +24,7 @@
 	OPEN_OUTCOME_MS = 5200, /* for which a call may wait while its outcome is open */
 	HEALED_MS = 4000,       /* after which everything is as before */
 	ROUTER_BOUND_MS = 2000,
-	LOOK_MS = 5
+	POLL_MS = 5
 };
 
 #define SPEEDS ",\"prefill\":20,\"kv_bytes\":400,\"link\":100000"
@@ -55,19 +55,19 @@
 struct call {
 	enum call_kind kind;
 	int node;
-	uint64_t token, life, base, version;
+	uint64_t token, incarnation, base, version;
 	int64_t sent_at;
 	/* what was acknowledged before it was sent */
-	uint64_t document_floor, edition_floor, clearing_floor;
+	uint64_t document_floor, revision_floor, clearing_floor;
 	int isolated, was_frozen;
 };
 
-struct document_seen {
+struct document_in_force_since {
 	uint64_t version;
 	int64_t from;
 };
 struct acknowledged {
-	uint64_t edition;
+	uint64_t revision;
 	int64_t at;
 };
 
@@ -76,16 +76,16 @@
 	uint64_t rng;
 	int documents;              /* documents are written; else rows of the table */
 	struct call *open;          /* stb_ds */
-	struct document_seen *seen; /* stb_ds: each version in force, since when */
+	struct document_in_force_since *seen; /* stb_ds: each version in force, since when */
 	struct acknowledged *acks;  /* stb_ds */
 	uint64_t *bases;            /* stb_ds: bases of acknowledged documents */
-	uint64_t document_floor, edition_floor, clearing_floor, next_version, next_name, newest_name;
+	uint64_t document_floor, revision_floor, clearing_floor, next_version, next_name, newest_name;
 	int64_t isolated_since[SIM_NODES]; /* when a node was cut off from every other controller; 0: it is not */
 	int64_t healed_at;
 	uint64_t answers, definite, refused_isolated, acknowledged_isolated, router_refused;
 };
 
-static uint64_t dice(struct world *w, uint64_t n) { return core_rand(&w->rng) % n; }
+static uint64_t random_below(struct world *w, uint64_t n) { return core_random(&w->rng) % n; }
 
 static uint64_t seeds_of(uint64_t n, uint64_t *first)
 {
@@ -93,66 +93,66 @@
 	return getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : n;
 }
 
-static void intact(struct world *w)
+static void intact(struct world *world)
 {
-	if (w->s.bad[0])
-		fail_msg("%s", w->s.bad);
+	if (world->s.violation[0])
+		fail_msg("%s", world->s.violation);
 }
 
 /* The document's version that is in force, as the controller that has applied most knows it. */
-static uint64_t document_in_force(const struct sim *s)
+static uint64_t document_in_force(const struct sim *sim)
 {
 	uint64_t version = 0;
 
 	for (int i = 0; i < CONTROLLERS; i++)
-		if (s->n[i].up && s->n[i].r->ctl_doc_version > version)
-			version = s->n[i].r->ctl_doc_version;
+		if (sim->nodes[i].up && sim->nodes[i].controller->document_version > version)
+			version = sim->nodes[i].controller->document_version;
 	return version;
 }
 
-static void send_document_call(struct world *w, struct call *c)
+static void send_document_call(struct world *world, struct call *call)
 {
 	char body[300];
 
-	if (c->kind == CALL_READ_DOCUMENT) {
-		c->token = sim_doc(&w->s, c->node, 0, 0, NULL, NULL);
-	} else if (c->kind == CALL_NAME_WEIGHTS || c->kind == CALL_NAME_NOTHING) {
-		snprintf(body, sizeof body, "%llu", (unsigned long long)++w->next_name);
-		c->token = sim_doc(&w->s, c->node, 0, 0, "model", c->kind == CALL_NAME_WEIGHTS ? body : "not a number");
+	if (call->kind == CALL_READ_DOCUMENT) {
+		call->token = sim_send_document(&world->s, call->node, 0, 0, NULL, NULL);
+	} else if (call->kind == CALL_NAME_WEIGHTS || call->kind == CALL_NAME_NOTHING) {
+		snprintf(body, sizeof body, "%llu", (unsigned long long)++world->next_name);
+		call->token = sim_send_document(&world->s, call->node, 0, 0, "model", call->kind == CALL_NAME_WEIGHTS ? body : "not a number");
 	} else {
-		c->base = document_in_force(&w->s);
-		c->version = w->next_version > c->base ? w->next_version : c->base;
-		c->version += 1 + dice(w, 3);
-		w->next_version = c->version;
+		call->base = document_in_force(&world->s);
+		call->version = world->next_version > call->base ? world->next_version : call->base;
+		call->version += 1 + random_below(world, 3);
+		world->next_version = call->version;
 		snprintf(
 		    body, sizeof body,
 		    "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"Limits\":{\"MaxHeaderBytes\":16384,\"MaxBodyBytes\":4194304,\"HeaderTimeoutMs\":3000,\"IdleTimeoutMs\":15000},\"TenantList\":[]}",
-		    (unsigned long long)c->version);
-		c->token = sim_doc(&w->s, c->node, c->base, 0, body, NULL);
+		    (unsigned long long)call->version);
+		call->token = sim_send_document(&world->s, call->node, call->base, 0, body, NULL);
 	}
 }
 
-static void send_own_call(struct world *w, struct call *c)
+static void send_own_call(struct world *world, struct call *call)
 {
 	char body[300] = "";
 	const char *method = "GET", *path = "/v1/table";
 
-	switch (c->kind) {
+	switch (call->kind) {
 	case CALL_CHANGE: /* a lane of the service that was acknowledged last: who has not heard of it must not judge this */
 		method = "POST";
 		path = "/v1/change";
-		w->next_name++;
-		if (w->newest_name)
+		world->next_name++;
+		if (world->newest_name)
 			snprintf(body, sizeof body,
 				 "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS
 				 "},{\"kind\":\"lane\",\"name\":\"l%llu\",\"service\":\"s%llu\",\"prio\":0,\"limit\":50}]}",
-				 (unsigned long long)w->next_name, (unsigned long long)w->next_name,
-				 (unsigned long long)w->newest_name);
+				 (unsigned long long)world->next_name, (unsigned long long)world->next_name,
+				 (unsigned long long)world->newest_name);
 		else
 			snprintf(body, sizeof body,
 				 "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS "}]}",
-				 (unsigned long long)w->next_name);
-		c->version = w->next_name;
+				 (unsigned long long)world->next_name);
+		call->version = world->next_name;
 		break;
 	case CALL_BAD_CHANGE:
 		method = "POST";
@@ -182,40 +182,40 @@
 		break;
 	default: break;
 	}
-	c->token = sim_call(&w->s, c->node, method, path, body);
+	call->token = sim_call(&world->s, call->node, method, path, body);
 }
 
-static void send_call(struct world *w, enum call_kind kind, int node)
+static void send_call(struct world *world, enum call_kind kind, int node)
 {
-	struct call c = { .kind = kind, .node = node, .life = w->s.n[node].life, .sent_at = w->s.now };
+	struct call call = { .kind = kind, .node = node, .incarnation = world->s.nodes[node].incarnation, .sent_at = world->s.now };
 
-	c.document_floor = w->document_floor;
-	c.edition_floor = w->edition_floor;
-	c.clearing_floor = w->clearing_floor;
-	c.isolated = w->isolated_since[node] && w->s.now - w->isolated_since[node] >= NOTICED_MS;
-	c.was_frozen = w->s.n[node].frozen;
+	call.document_floor = world->document_floor;
+	call.revision_floor = world->revision_floor;
+	call.clearing_floor = world->clearing_floor;
+	call.isolated = world->isolated_since[node] && world->s.now - world->isolated_since[node] >= NOTICED_MS;
+	call.was_frozen = world->s.nodes[node].frozen;
 	if (kind <= CALL_NAME_NOTHING)
-		send_document_call(w, &c);
+		send_document_call(world, &call);
 	else
-		send_own_call(w, &c);
-	arrput(w->open, c);
+		send_own_call(world, &call);
+	arrput(world->open, call);
 }
 
 /* ---- the judge ------------------------------------------------------------------- */
 
-static void breach(struct world *w, const struct call *c, const struct sim_web *a, const char *what)
+static void breach(struct world *world, const struct call *call, const struct sim_operator_answer *web, const char *what)
 {
-	sim_breach(&w->s, "%s at controller %d, sent at %lld ms, is answered %d (%.120s): %s", call_names[c->kind], c->node,
-		   (long long)c->sent_at, a->status, a->whole ? a->whole : a->body, what);
+	sim_violation(&world->s, "%s at controller %d, sent at %lld ms, is answered %d (%.120s): %s", call_names[call->kind], call->node,
+		   (long long)call->sent_at, web->status, web->full_body ? web->full_body : web->body, what);
 }
 
 /* Whether a version other than this one was in force at some time from then on. */
-static int another_in_force(const struct world *w, uint64_t version, int64_t since)
+static int another_in_force(const struct world *world, uint64_t version, int64_t since)
 {
-	for (ptrdiff_t i = arrlen(w->seen) - 1; i >= 0; i--) {
-		if (w->seen[i].version != version)
+	for (ptrdiff_t i = arrlen(world->seen) - 1; i >= 0; i--) {
+		if (world->seen[i].version != version)
 			return 1;
-		if (w->seen[i].from <= since)
+		if (world->seen[i].from <= since)
 			return 0;
 	}
 	return version != 0;
@@ -246,119 +246,119 @@
 	return newest;
 }
 
-static void acknowledge(struct world *w, uint64_t edition)
+static void acknowledge(struct world *world, uint64_t revision)
 {
-	struct acknowledged a = { edition, w->s.now };
+	struct acknowledged acknowledged = { revision, world->s.now };
 
-	arrput(w->acks, a);
-	if (edition > w->edition_floor)
-		w->edition_floor = edition;
+	arrput(world->acks, acknowledged);
+	if (revision > world->revision_floor)
+		world->revision_floor = revision;
 }
 
-static void judge_document(struct world *w, const struct call *c, const struct sim_web *a)
+static void check_document(struct world *world, const struct call *call, const struct sim_operator_answer *web)
 {
-	switch (a->status) {
+	switch (web->status) {
 	case 200:
-		for (ptrdiff_t i = 0; i < arrlen(w->bases); i++)
-			if (w->bases[i] == c->base)
-				breach(w, c, a, "another document on this base was acknowledged before");
-		arrput(w->bases, c->base);
-		if (document_in_force(&w->s) < c->version)
-			breach(w, c, a, "no controller has it");
-		if (c->version > w->document_floor)
-			w->document_floor = c->version;
-		acknowledge(w, w->s.n[c->node].r->ctl.edition);
+		for (ptrdiff_t i = 0; i < arrlen(world->bases); i++)
+			if (world->bases[i] == call->base)
+				breach(world, call, web, "another document on this base was acknowledged before");
+		arrput(world->bases, call->base);
+		if (document_in_force(&world->s) < call->version)
+			breach(world, call, web, "no controller has it");
+		if (call->version > world->document_floor)
+			world->document_floor = call->version;
+		acknowledge(world, world->s.nodes[call->node].controller->config.revision);
 		break;
 	case 400:
 	case 412:
-		if (!another_in_force(w, c->base, c->sent_at))
-			breach(w, c, a, "its base was in force all the while");
+		if (!another_in_force(world, call->base, call->sent_at))
+			breach(world, call, web, "its base was in force all the while");
 		break;
-	default: breach(w, c, a, "no such answer"); break;
+	default: breach(world, call, web, "no such answer"); break;
 	}
 }
 
-static void judge_own(struct world *w, const struct call *c, const struct sim_web *a)
+static void check_own(struct world *world, const struct call *call, const struct sim_operator_answer *web)
 {
 	uint64_t n;
 
-	switch (c->kind) {
+	switch (call->kind) {
 	case CALL_CHANGE:
-		if (a->status != 200)
-			breach(w, c, a, "the change is valid");
-		acknowledge(w, number_after(a->body, "{\"edition\":"));
-		if (c->version > w->newest_name)
-			w->newest_name = c->version;
+		if (web->status != 200)
+			breach(world, call, web, "the change is valid");
+		acknowledge(world, number_after(web->body, "{\"edition\":"));
+		if (call->version > world->newest_name)
+			world->newest_name = call->version;
 		break;
 	case CALL_READ_TABLE:
-		if (number_after(a->body, "{\"edition\":") < c->edition_floor)
-			breach(w, c, a, "older than what was acknowledged before");
+		if (number_after(web->body, "{\"edition\":") < call->revision_floor)
+			breach(world, call, web, "older than what was acknowledged before");
 		break;
 	case CALL_CLEAR:
-		if (a->status != 200)
-			breach(w, c, a, "the call is valid");
+		if (web->status != 200)
+			breach(world, call, web, "the call is valid");
 		n = 0;
 		for (int i = 0; i < CONTROLLERS; i++)
-			if (w->s.n[i].up && w->s.n[i].r->ret.number > n)
-				n = w->s.n[i].r->ret.number;
-		w->clearing_floor = n > w->clearing_floor ? n : w->clearing_floor;
+			if (world->s.nodes[i].up && world->s.nodes[i].controller->retention.last_purge_number > n)
+				n = world->s.nodes[i].controller->retention.last_purge_number;
+		world->clearing_floor = n > world->clearing_floor ? n : world->clearing_floor;
 		break;
 	case CALL_READ_RETENTION:
 	case CALL_READ_REPORT:
-		if (!a->whole || newest_clearing(a->whole, c->kind) < c->clearing_floor)
-			breach(w, c, a, "older than what was acknowledged before");
+		if (!web->full_body || newest_clearing(web->full_body, call->kind) < call->clearing_floor)
+			breach(world, call, web, "older than what was acknowledged before");
 		break;
 	case CALL_BOOTSTRAP:
-		if (a->status != 409)
-			breach(w, c, a, "it belongs to a fleet");
+		if (web->status != 409)
+			breach(world, call, web, "it belongs to a fleet");
 		break;
 	default:
-		if (a->status != 400)
-			breach(w, c, a, "the call is wrong");
+		if (web->status != 400)
+			breach(world, call, web, "the call is wrong");
 		break;
 	}
 }
 
-static void judge_definite(struct world *w, const struct call *c, const struct sim_web *a)
+static void check_definite(struct world *world, const struct call *call, const struct sim_operator_answer *web)
 {
-	w->definite++;
-	if (c->isolated && c->kind != CALL_BOOTSTRAP)
-		breach(w, c, a, "it is cut off from every other controller");
+	world->definite++;
+	if (call->isolated && call->kind != CALL_BOOTSTRAP)
+		breach(world, call, web, "it is cut off from every other controller");
 	/* what is committed stays so; all else holds only for as long as the lease does */
-	if (c->kind <= CALL_NAME_NOTHING && !(a->status == 200 && c->kind != CALL_READ_DOCUMENT) && !a->by_leader)
-		breach(w, c, a, "it does not lead");
-	switch (c->kind) {
-	case CALL_PUT_DOCUMENT: judge_document(w, c, a); break;
+	if (call->kind <= CALL_NAME_NOTHING && !(web->status == 200 && call->kind != CALL_READ_DOCUMENT) && !web->by_leader)
+		breach(world, call, web, "it does not lead");
+	switch (call->kind) {
+	case CALL_PUT_DOCUMENT: check_document(world, call, web); break;
 	case CALL_READ_DOCUMENT:
-		if (a->status == 404 ? c->document_floor > 0 : number_after(a->whole, "\"ConfigVersion\":") < c->document_floor)
-			breach(w, c, a, "older than what was acknowledged before");
+		if (web->status == 404 ? call->document_floor > 0 : number_after(web->full_body, "\"ConfigVersion\":") < call->document_floor)
+			breach(world, call, web, "older than what was acknowledged before");
 		break;
 	case CALL_NAME_WEIGHTS:
-		if (a->status != 200)
-			breach(w, c, a, "the naming is valid");
+		if (web->status != 200)
+			breach(world, call, web, "the naming is valid");
 		break;
 	case CALL_NAME_NOTHING:
-		if (a->status != 400)
-			breach(w, c, a, "the naming is invalid");
+		if (web->status != 400)
+			breach(world, call, web, "the naming is invalid");
 		break;
-	default: judge_own(w, c, a); break;
+	default: check_own(world, call, web); break;
 	}
 }
 
-static void judge_answer(struct world *w, const struct call *c, const struct sim_web *a)
+static void check_answer(struct world *world, const struct call *call, const struct sim_operator_answer *web)
 {
-	w->answers++;
-	if (c->isolated && !c->was_frozen && a->at - c->sent_at > ANSWER_MS)
-		breach(w, c, a, "late: it is cut off from every other controller");
-	if (a->status == 307) {
-		if (!a->to || a->to == w->s.n[c->node].addr)
-			breach(w, c, a, "redirected to itself");
-	} else if (a->status >= 500) {
-		if (a->retry_ms <= 0)
-			breach(w, c, a, "without saying when to come back");
-		w->refused_isolated += c->isolated;
+	world->answers++;
+	if (call->isolated && !call->was_frozen && web->answered_at - call->sent_at > ANSWER_MS)
+		breach(world, call, web, "late: it is cut off from every other controller");
+	if (web->status == 307) {
+		if (!web->to || web->to == world->s.nodes[call->node].addr)
+			breach(world, call, web, "redirected to itself");
+	} else if (web->status >= 500) {
+		if (web->retry_ms <= 0)
+			breach(world, call, web, "without saying when to come back");
+		world->refused_isolated += call->isolated;
 	} else {
-		judge_definite(w, c, a);
+		check_definite(world, call, web);
 	}
 }
 
@@ -368,122 +368,122 @@
 }
 
 /* For how long a call may wait: where nobody is reached any more a read has nothing to wait for, an order its outcome. */
-static int64_t longest_wait(const struct world *w, const struct call *c)
+static int64_t longest_wait(const struct world *world, const struct call *call)
 {
-	int64_t since = w->isolated_since[c->node];
+	int64_t since = world->isolated_since[call->node];
 
-	if (c->isolated)
-		return ANSWER_MS + w->s.answer_ms;
-	if (since && only_reads(c->kind))
-		return NOTICED_MS + ANSWER_MS + w->s.answer_ms + (since > c->sent_at ? since - c->sent_at : 0);
-	return OPEN_OUTCOME_MS + w->s.answer_ms;
+	if (call->isolated)
+		return ANSWER_MS + world->s.answer_delay_ms;
+	if (since && only_reads(call->kind))
+		return NOTICED_MS + ANSWER_MS + world->s.answer_delay_ms + (since > call->sent_at ? since - call->sent_at : 0);
+	return OPEN_OUTCOME_MS + world->s.answer_delay_ms;
 }
 
 /* Each call gets its answer in time, unless its controller fell or froze meanwhile. */
-static void judge_calls(struct world *w)
-{
-	for (ptrdiff_t i = arrlen(w->open) - 1; i >= 0; i--) {
-		struct call *c = &w->open[i];
-		const struct sim_node *n = &w->s.n[c->node];
-		const struct sim_web *a = sim_answer(&w->s, c->token);
-
-		c->was_frozen |= n->frozen;
-		if (a) {
-			judge_answer(w, c, a);
-		} else if (n->up && n->life == c->life) {
-			int64_t most = longest_wait(w, c);
-
-			if (!c->was_frozen && w->s.now - c->sent_at > most + LOOK_MS)
-				sim_breach(&w->s, "%s at controller %d, sent at %lld ms, has no answer after %lld ms",
-					   call_names[c->kind], c->node, (long long)c->sent_at, (long long)(w->s.now - c->sent_at));
+static void check_calls(struct world *world)
+{
+	for (ptrdiff_t i = arrlen(world->open) - 1; i >= 0; i--) {
+		struct call *call = &world->open[i];
+		const struct sim_node *node = &world->s.nodes[call->node];
+		const struct sim_operator_answer *web = sim_answer(&world->s, call->token);
+
+		call->was_frozen |= node->frozen;
+		if (web) {
+			check_answer(world, call, web);
+		} else if (node->up && node->incarnation == call->incarnation) {
+			int64_t most = longest_wait(world, call);
+
+			if (!call->was_frozen && world->s.now - call->sent_at > most + POLL_MS)
+				sim_violation(&world->s, "%s at controller %d, sent at %lld ms, has no answer after %lld ms",
+					   call_names[call->kind], call->node, (long long)call->sent_at, (long long)(world->s.now - call->sent_at));
 			continue;
 		}
-		arrdelswap(w->open, i);
+		arrdelswap(world->open, i);
 	}
 }
 
 /* A router that takes requests has every change that was acknowledged a bound ago. */
-static void judge_routers(struct world *w)
+static void check_routers(struct world *world)
 {
-	for (int i = SIM_REGS; i < SIM_REGS + ROUTERS; i++) {
-		const struct sim_node *n = &w->s.n[i];
-		int64_t now = sim_local(&w->s, i);
+	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++) {
+		const struct sim_node *node = &world->s.nodes[i];
+		int64_t now = sim_local(&world->s, i);
 
-		if (!n->up || n->frozen)
+		if (!node->up || node->frozen)
 			continue;
-		if (!router_ready(n->c, now)) {
-			w->router_refused++;
+		if (!router_ready(node->router, now)) {
+			world->router_refused++;
 			continue;
 		}
-		for (ptrdiff_t k = arrlen(w->acks) - 1; k >= 0 && k > arrlen(w->acks) - 30; k--)
-			if (w->s.now - w->acks[k].at > ROUTER_BOUND_MS && n->c->f.t.edition < w->acks[k].edition)
-				sim_breach(&w->s, "router %d takes requests with edition %llu, %lld ms after %llu was acknowledged",
-					   i, (unsigned long long)n->c->f.t.edition, (long long)(w->s.now - w->acks[k].at),
-					   (unsigned long long)w->acks[k].edition);
+		for (ptrdiff_t k = arrlen(world->acks) - 1; k >= 0 && k > arrlen(world->acks) - 30; k--)
+			if (world->s.now - world->acks[k].at > ROUTER_BOUND_MS && node->router->config_watch.table.revision < world->acks[k].revision)
+				sim_violation(&world->s, "router %d takes requests with edition %llu, %lld ms after %llu was acknowledged",
+					   i, (unsigned long long)node->router->config_watch.table.revision, (long long)(world->s.now - world->acks[k].at),
+					   (unsigned long long)world->acks[k].revision);
 	}
 }
 
-static void note_document(struct world *w)
+static void note_document(struct world *world)
 {
-	struct document_seen d = { document_in_force(&w->s), w->s.now };
+	struct document_in_force_since document_seen = { document_in_force(&world->s), world->s.now };
 
-	if (!arrlen(w->seen) || arrlast(w->seen).version != d.version)
-		arrput(w->seen, d);
+	if (!arrlen(world->seen) || arrlast(world->seen).version != document_seen.version)
+		arrput(world->seen, document_seen);
 }
 
-static void look(struct world *w)
+static void look(struct world *world)
 {
-	if (!sim_run(&w->s, LOOK_MS, NULL))
-		intact(w);
-	note_document(w);
-	judge_calls(w);
-	judge_routers(w);
-	intact(w);
+	if (!sim_run(&world->s, POLL_MS, NULL))
+		intact(world);
+	note_document(world);
+	check_calls(world);
+	check_routers(world);
+	intact(world);
 }
 
 /* ---- the world --------------------------------------------------------------------- */
 
-static void open_world(struct world *w, uint64_t seed)
+static void open_world(struct world *world, uint64_t seed)
 {
 	uint64_t addresses[3];
 	char text[32];
 
-	memset(w, 0, sizeof *w);
-	w->rng = seed * 6364136223846793005ull + 99;
-	w->documents = (int)(seed % 2);
-	sim_open(&w->s, seed);
-	w->s.codec = &platform_tongue;
-	w->s.epoch = 1800000000000ll;
-	w->s.loss = seed % 3 ? 0 : 5;
+	memset(world, 0, sizeof *world);
+	world->rng = seed * 6364136223846793005ull + 99;
+	world->documents = (int)(seed % 2);
+	sim_open(&world->s, seed);
+	world->s.codec = &platform_codec;
+	world->s.wall_clock_epoch_ms = 1800000000000ll;
+	world->s.loss_per_mille = seed % 3 ? 0 : 5;
 	for (int i = 0; i < 3; i++) {
 		snprintf(text, sizeof text, "127.0.1.%d:7000", i + 1);
-		addresses[i] = core_addr(text);
+		addresses[i] = core_parse_addr(text);
 	}
 	for (int i = 0; i < CONTROLLERS; i++) {
 		snprintf(text, sizeof text, "z%d", i % 3 + 1);
-		sim_registrar(&w->s, text, addresses, 3);
+		sim_add_controller(&world->s, text, addresses, 3);
 	}
 	for (int i = 0; i < ROUTERS; i++) {
 		snprintf(text, sizeof text, "z%d", i % 3 + 1);
-		sim_counter(&w->s, text);
+		sim_add_router(&world->s, text);
 	}
-	controller_bootstrap(w->s.n[0].r, sim_local(&w->s, 0));
-	for (int64_t end = w->s.now + 20000; w->s.now < end && sim_owner(&w->s, SHARD_CONTROL) < 0;)
-		look(w);
-	assert_true(sim_owner(&w->s, SHARD_CONTROL) >= 0);
-	w->s.answer_ms = (int)dice(w, 3) * 20;
+	controller_bootstrap(world->s.nodes[0].controller, sim_local(&world->s, 0));
+	for (int64_t end = world->s.now + 20000; world->s.now < end && sim_leader(&world->s, SHARD_CONTROL) < 0;)
+		look(world);
+	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
+	world->s.answer_delay_ms = (int)random_below(world, 3) * 20;
 }
 
-static void close_world(struct world *w)
+static void close_world(struct world *world)
 {
-	arrfree(w->open);
-	arrfree(w->seen);
-	arrfree(w->acks);
-	arrfree(w->bases);
-	sim_close(&w->s);
+	arrfree(world->open);
+	arrfree(world->seen);
+	arrfree(world->acks);
+	arrfree(world->bases);
+	sim_close(&world->s);
 }
 
-static enum call_kind any_kind(struct world *w)
+static enum call_kind any_kind(struct world *world)
 {
 	static const enum call_kind documents[] = { CALL_PUT_DOCUMENT, CALL_PUT_DOCUMENT, CALL_READ_DOCUMENT, CALL_READ_DOCUMENT,
 						    CALL_NAME_WEIGHTS, CALL_NAME_NOTHING, CALL_READ_TABLE,    CALL_READ_RETENTION };
@@ -491,151 +491,151 @@
 					       CALL_READ_TABLE,     CALL_READ_TABLE,  CALL_CLEAR,      CALL_BAD_CLEAR,
 					       CALL_READ_RETENTION, CALL_READ_REPORT, CALL_BOOTSTRAP };
 
-	if (w->documents)
-		return documents[dice(w, sizeof documents / sizeof *documents)];
-	return rows[dice(w, sizeof rows / sizeof *rows)];
+	if (world->documents)
+		return documents[random_below(world, sizeof documents / sizeof *documents)];
+	return rows[random_below(world, sizeof rows / sizeof *rows)];
 }
 
 /* Operators call every controller, the one in trouble most of all. */
-static void operate(struct world *w, int64_t ms, int trouble, int pause_ms)
+static void operate(struct world *world, int64_t ms, int fault, int pause_ms)
 {
 	int64_t next = 0;
 
-	for (int64_t end = w->s.now + ms; w->s.now < end;) {
-		if (w->s.now >= next) {
-			int node = trouble >= 0 && trouble < CONTROLLERS && dice(w, 2) ? trouble : (int)dice(w, CONTROLLERS);
+	for (int64_t end = world->s.now + ms; world->s.now < end;) {
+		if (world->s.now >= next) {
+			int node = fault >= 0 && fault < CONTROLLERS && random_below(world, 2) ? fault : (int)random_below(world, CONTROLLERS);
 
-			if (w->s.n[node].up)
-				send_call(w, any_kind(w), node);
-			next = w->s.now + 1 + (int64_t)dice(w, 2 * (uint64_t)pause_ms);
+			if (world->s.nodes[node].up)
+				send_call(world, any_kind(world), node);
+			next = world->s.now + 1 + (int64_t)random_below(world, 2 * (uint64_t)pause_ms);
 		}
-		look(w);
+		look(world);
 	}
 }
 
 /* Cuts links between a node and others: to them, from them, or both. */
 enum { CUT_TO = 1, CUT_FROM = 2, CUT_BOTH = 3 };
 
-static void cut_links(struct world *w, int node, int from, int to, int ways)
+static void cut_links(struct world *world, int node, int from, int to, int ways)
 {
 	for (int i = from; i < to; i++) {
 		if (i == node)
 			continue;
-		w->s.link_cut[node][i] = (unsigned char)((ways & CUT_TO) != 0);
-		w->s.link_cut[i][node] = (unsigned char)((ways & CUT_FROM) != 0);
+		world->s.link_cut[node][i] = (unsigned char)((ways & CUT_TO) != 0);
+		world->s.link_cut[i][node] = (unsigned char)((ways & CUT_FROM) != 0);
 	}
 }
 
-static void heal(struct world *w)
+static void heal(struct world *world)
 {
-	memset(w->s.link_cut, 0, sizeof w->s.link_cut);
-	memset(w->isolated_since, 0, sizeof w->isolated_since);
-	w->healed_at = w->s.now;
+	memset(world->s.link_cut, 0, sizeof world->s.link_cut);
+	memset(world->isolated_since, 0, sizeof world->isolated_since);
+	world->healed_at = world->s.now;
 }
 
 /* All is as before: a leader, routers that take requests, and the newest of what was acknowledged is read everywhere. */
-static void recovered(struct world *w)
+static void recovered(struct world *world)
 {
-	char *whole;
+	char *complete;
 	uint64_t token;
 
-	operate(w, HEALED_MS, -1, 40);
-	w->s.answer_ms = 0;
-	w->s.loss = 0;
-	for (int64_t end = w->s.now + OPEN_OUTCOME_MS + 200; w->s.now < end && arrlen(w->open);)
-		look(w);
-	assert_true(sim_owner(&w->s, SHARD_CONTROL) >= 0);
-	for (int i = SIM_REGS; i < SIM_REGS + ROUTERS; i++)
-		if (!router_ready(w->s.n[i].c, sim_local(&w->s, i)))
-			fail_msg("seed %llu: router %d does not take requests again", (unsigned long long)w->s.seed, i);
+	operate(world, HEALED_MS, -1, 40);
+	world->s.answer_delay_ms = 0;
+	world->s.loss_per_mille = 0;
+	for (int64_t end = world->s.now + OPEN_OUTCOME_MS + 200; world->s.now < end && arrlen(world->open);)
+		look(world);
+	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
+	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
+		if (!router_ready(world->s.nodes[i].router, sim_local(&world->s, i)))
+			fail_msg("seed %llu: router %d does not take requests again", (unsigned long long)world->s.seed, i);
 	for (int i = 0; i < CONTROLLERS; i++)
-		if (sim_do(&w->s, i, "GET", "/v1/table", "", 2000) != 200 ||
-		    number_after(sim_answer(&w->s, w->s.token)->body, "{\"edition\":") < w->edition_floor)
-			fail_msg("seed %llu: controller %d does not read the newest table", (unsigned long long)w->s.seed, i);
-	if (!w->document_floor)
+		if (sim_call_and_wait(&world->s, i, "GET", "/v1/table", "", 2000) != 200 ||
+		    number_after(sim_answer(&world->s, world->s.token)->body, "{\"edition\":") < world->revision_floor)
+			fail_msg("seed %llu: controller %d does not read the newest table", (unsigned long long)world->s.seed, i);
+	if (!world->document_floor)
 		return;
-	token = sim_doc(&w->s, sim_owner(&w->s, SHARD_CONTROL), 0, 0, NULL, NULL);
-	sim_run(&w->s, 50, NULL);
-	assert_non_null(sim_answer(&w->s, token));
-	whole = sim_answer(&w->s, token)->whole;
-	if (number_after(whole, "\"ConfigVersion\":") < w->document_floor)
-		fail_msg("seed %llu: version %llu was acknowledged, and is not read", (unsigned long long)w->s.seed,
-			 (unsigned long long)w->document_floor);
-	intact(w);
+	token = sim_send_document(&world->s, sim_leader(&world->s, SHARD_CONTROL), 0, 0, NULL, NULL);
+	sim_run(&world->s, 50, NULL);
+	assert_non_null(sim_answer(&world->s, token));
+	complete = sim_answer(&world->s, token)->full_body;
+	if (number_after(complete, "\"ConfigVersion\":") < world->document_floor)
+		fail_msg("seed %llu: version %llu was acknowledged, and is not read", (unsigned long long)world->s.seed,
+			 (unsigned long long)world->document_floor);
+	intact(world);
 }
 
 /* ---- tests -------------------------------------------------------------------------- */
 
 enum trouble {
-	TROUBLE_CUT_BOTH,
-	TROUBLE_CUT_SENDING,
-	TROUBLE_CUT_HEARING,
-	TROUBLE_CUT_FROM_ROUTERS,
-	TROUBLE_CUT_FROM_CONTROLLERS,
-	TROUBLE_FROZEN,
-	TROUBLE_FROZEN_AND_CUT,
-	TROUBLE_SLOWED,
-	TROUBLES
+	FAULT_CUT_BOTH,
+	FAULT_CUT_SENDING,
+	FAULT_CUT_RECEIVING,
+	FAULT_CUT_FROM_ROUTERS,
+	FAULT_CUT_FROM_CONTROLLERS,
+	FAULT_FROZEN,
+	FAULT_FROZEN_AND_CUT,
+	FAULT_SLOWED,
+	FAULT_KINDS
 };
 
-static void step_clocks(struct world *w)
+static void step_clocks(struct world *world)
 {
 	for (int i = 0; i < CONTROLLERS; i++)
-		if (!dice(w, 3))
-			w->s.n[i].wall_off = (int64_t)dice(w, 7200000) - 3600000;
+		if (!random_below(world, 3))
+			world->s.nodes[i].wall_clock_offset_ms = (int64_t)random_below(world, 7200000) - 3600000;
 }
 
-static void isolate(struct world *w, int node, enum trouble trouble)
+static void isolate(struct world *world, int node, enum trouble fault)
 {
-	int all = SIM_REGS + ROUTERS;
+	int all = SIM_CONTROLLERS + ROUTERS;
 
-	switch (trouble) {
-	case TROUBLE_CUT_BOTH: cut_links(w, node, 0, all, CUT_BOTH); break;
-	case TROUBLE_CUT_SENDING: cut_links(w, node, 0, all, CUT_TO); break;
-	case TROUBLE_CUT_HEARING: cut_links(w, node, 0, all, CUT_FROM); break;
-	case TROUBLE_CUT_FROM_ROUTERS: cut_links(w, node, SIM_REGS, all, CUT_BOTH); return;
-	case TROUBLE_CUT_FROM_CONTROLLERS: cut_links(w, node, 0, SIM_REGS, CUT_BOTH); break;
-	case TROUBLE_FROZEN: sim_freeze(&w->s, node, 1); return;
-	case TROUBLE_FROZEN_AND_CUT:
-		sim_freeze(&w->s, node, 1);
-		cut_links(w, node, 0, all, CUT_BOTH);
+	switch (fault) {
+	case FAULT_CUT_BOTH: cut_links(world, node, 0, all, CUT_BOTH); break;
+	case FAULT_CUT_SENDING: cut_links(world, node, 0, all, CUT_TO); break;
+	case FAULT_CUT_RECEIVING: cut_links(world, node, 0, all, CUT_FROM); break;
+	case FAULT_CUT_FROM_ROUTERS: cut_links(world, node, SIM_CONTROLLERS, all, CUT_BOTH); return;
+	case FAULT_CUT_FROM_CONTROLLERS: cut_links(world, node, 0, SIM_CONTROLLERS, CUT_BOTH); break;
+	case FAULT_FROZEN: sim_freeze(&world->s, node, 1); return;
+	case FAULT_FROZEN_AND_CUT:
+		sim_freeze(&world->s, node, 1);
+		cut_links(world, node, 0, all, CUT_BOTH);
 		break;
 	default: return;
 	}
 	if (node < CONTROLLERS)
-		w->isolated_since[node] = w->s.now;
+		world->isolated_since[node] = world->s.now;
 }
 
 /* It runs for 30 of every 130 ms, which is less than a lease needs, or for most of the time. */
-static void slow_down(struct world *w, int node, int64_t ms)
+static void slow_down(struct world *world, int node, int64_t ms)
 {
-	int stands = dice(w, 2) ? 100 : 400;
+	int stands = random_below(world, 2) ? 100 : 400;
 
-	for (int64_t end = w->s.now + ms; w->s.now < end;) {
-		sim_freeze(&w->s, node, 1);
-		operate(w, stands, node, 40);
-		sim_freeze(&w->s, node, 0);
-		operate(w, 30, node, 40);
+	for (int64_t end = world->s.now + ms; world->s.now < end;) {
+		sim_freeze(&world->s, node, 1);
+		operate(world, stands, node, 40);
+		sim_freeze(&world->s, node, 0);
+		operate(world, 30, node, 40);
 	}
 }
 
-static void run_trouble(struct world *w, enum trouble trouble, int node)
+static void run_fault(struct world *world, enum trouble fault, int node)
 {
-	step_clocks(w);
-	isolate(w, node, trouble);
-	if (trouble == TROUBLE_SLOWED)
-		slow_down(w, node, ISOLATION_MS / 2);
+	step_clocks(world);
+	isolate(world, node, fault);
+	if (fault == FAULT_SLOWED)
+		slow_down(world, node, ISOLATION_MS / 2);
 	else
-		operate(w, ISOLATION_MS, node, 40);
-	step_clocks(w);
+		operate(world, ISOLATION_MS, node, 40);
+	step_clocks(world);
 	/* thawed before its links are whole again, or at the same time */
-	if (w->s.n[node].frozen) {
-		sim_freeze(&w->s, node, 0);
-		if (trouble == TROUBLE_FROZEN_AND_CUT)
-			operate(w, (int64_t)dice(w, 600), node, 10);
+	if (world->s.nodes[node].frozen) {
+		sim_freeze(&world->s, node, 0);
+		if (fault == FAULT_FROZEN_AND_CUT)
+			operate(world, (int64_t)random_below(world, 600), node, 10);
 	}
-	heal(w);
-	operate(w, 1500, node, 10);
+	heal(world);
+	operate(world, 1500, node, 10);
 }
 
 static void controllers_in_trouble(void **state)
@@ -644,20 +644,20 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
-		enum trouble trouble = (enum trouble)(seed / 2 % TROUBLES);
+		struct world world;
+		enum trouble fault = (enum trouble)(seed / 2 % FAULT_KINDS);
 		int node;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
-		node = seed / (2 * TROUBLES) % 3 == 1 ? (int)dice(&w, CONTROLLERS) : sim_owner(&w.s, SHARD_CONTROL);
-		run_trouble(&w, trouble, node < 0 ? 0 : node);
-		recovered(&w);
-		answers += w.answers;
-		definite += w.definite;
-		refused += w.refused_isolated;
-		router_refused += w.router_refused;
-		close_world(&w);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
+		node = seed / (2 * FAULT_KINDS) % 3 == 1 ? (int)random_below(&world, CONTROLLERS) : sim_leader(&world.s, SHARD_CONTROL);
+		run_fault(&world, fault, node < 0 ? 0 : node);
+		recovered(&world);
+		answers += world.answers;
+		definite += world.definite;
+		refused += world.refused_isolated;
+		router_refused += world.router_refused;
+		close_world(&world);
 	}
 	print_message("%llu answers, %llu of them definite, %llu refusals of isolated controllers\n", (unsigned long long)answers,
 		      (unsigned long long)definite, (unsigned long long)refused);
@@ -672,19 +672,19 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
+		struct world world;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
 		for (int i = 0; i < CONTROLLERS; i++) {
-			cut_links(&w, i, 0, SIM_REGS, CUT_BOTH);
-			w.isolated_since[i] = w.s.now;
+			cut_links(&world, i, 0, SIM_CONTROLLERS, CUT_BOTH);
+			world.isolated_since[i] = world.s.now;
 		}
-		operate(&w, ISOLATION_MS, -1, 40);
-		heal(&w);
-		operate(&w, 1500, -1, 10);
-		recovered(&w);
-		close_world(&w);
+		operate(&world, ISOLATION_MS, -1, 40);
+		heal(&world);
+		operate(&world, 1500, -1, 10);
+		recovered(&world);
+		close_world(&world);
 	}
 }
 
@@ -695,19 +695,19 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
+		struct world world;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 20);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 20);
 		for (int i = 0; i < CONTROLLERS; i++)
-			sim_freeze(&w.s, i, 1);
-		operate(&w, ISOLATION_MS, -1, 40);
+			sim_freeze(&world.s, i, 1);
+		operate(&world, ISOLATION_MS, -1, 40);
 		for (int i = 0; i < CONTROLLERS; i++) {
-			sim_freeze(&w.s, i, 0);
-			operate(&w, (int64_t)dice(&w, 200), i, 10);
+			sim_freeze(&world.s, i, 0);
+			operate(&world, (int64_t)random_below(&world, 200), i, 10);
 		}
-		recovered(&w);
-		close_world(&w);
+		recovered(&world);
+		close_world(&world);
 	}
 }
 
@@ -718,38 +718,38 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
-		int router = SIM_REGS + (int)(seed % ROUTERS), frozen = seed / 3 % 4 == 3;
+		struct world world;
+		int router = SIM_CONTROLLERS + (int)(seed % ROUTERS), frozen = seed / 3 % 4 == 3;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
 		if (frozen)
-			sim_freeze(&w.s, router, 1);
+			sim_freeze(&world.s, router, 1);
 		else
-			cut_links(&w, router, 0, SIM_REGS, seed / 3 % 4 + 1 > 3 ? CUT_BOTH : (int)(seed / 3 % 4) + 1);
-		operate(&w, ROUTER_BOUND_MS, -1, 40);
-		for (int64_t end = w.s.now + ISOLATION_MS - ROUTER_BOUND_MS; w.s.now < end;) {
-			operate(&w, 100, -1, 40);
-			if (!frozen && router_ready(w.s.n[router].c, sim_local(&w.s, router)))
+			cut_links(&world, router, 0, SIM_CONTROLLERS, seed / 3 % 4 + 1 > 3 ? CUT_BOTH : (int)(seed / 3 % 4) + 1);
+		operate(&world, ROUTER_BOUND_MS, -1, 40);
+		for (int64_t end = world.s.now + ISOLATION_MS - ROUTER_BOUND_MS; world.s.now < end;) {
+			operate(&world, 100, -1, 40);
+			if (!frozen && router_ready(world.s.nodes[router].router, sim_local(&world.s, router)))
 				fail_msg("seed %llu: router %d takes requests, and has heard nobody for a while",
 					 (unsigned long long)seed, router);
 		}
 		if (frozen)
-			sim_freeze(&w.s, router, 0);
-		heal(&w);
-		recovered(&w);
-		close_world(&w);
+			sim_freeze(&world.s, router, 0);
+		heal(&world);
+		recovered(&world);
+		close_world(&world);
 	}
 }
 
 /* Run until another answer of this kind is on its way to a node. */
-static void until_sent(struct sim *s, int body)
+static void until_sent(struct sim *sim, int body)
 {
-	uint64_t before = s->by_body[body];
+	uint64_t before = sim->by_body[body];
 
-	while (s->by_body[body] == before)
-		if (!sim_run(s, 1, NULL))
-			fail_msg("%s", s->bad);
+	while (sim->by_body[body] == before)
+		if (!sim_run(sim, 1, NULL))
+			fail_msg("%s", sim->violation);
 }
 
 /* The leader's word to one that stood still since: read twenty seconds later, it says nothing definite any more. */
@@ -757,30 +757,30 @@
 {
 	(void)state;
 	for (uint64_t seed = 1; seed <= 48; seed++) {
-		struct world w;
+		struct world world;
 		int node, read = seed % 2;
 		uint64_t token;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
-		w.s.answer_ms = 0;
-		node = (sim_owner(&w.s, SHARD_CONTROL) + 1) % CONTROLLERS;
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
+		world.s.answer_delay_ms = 0;
+		node = (sim_leader(&world.s, SHARD_CONTROL) + 1) % CONTROLLERS;
 		if (read)
-			token = sim_call(&w.s, node, "GET", "/v1/retention", "");
+			token = sim_call(&world.s, node, "GET", "/v1/retention", "");
 		else
-			token = sim_call(&w.s, node, "POST", "/v1/change",
+			token = sim_call(&world.s, node, "POST", "/v1/change",
 					 "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
-		until_sent(&w.s, read ? NL__MSG__BODY_READ_REPLY : NL__MSG__BODY_ANSWER);
-		sim_freeze(&w.s, node, 1); /* with that answer and little else at its door */
-		cut_links(&w, node, 0, SIM_REGS + ROUTERS, CUT_BOTH);
-		sim_run(&w.s, ISOLATION_MS, NULL);
-		assert_null(sim_answer(&w.s, token));
-		sim_freeze(&w.s, node, 0);
-		sim_run(&w.s, 100, NULL);
-		assert_non_null(sim_answer(&w.s, token));
-		assert_int_equal(sim_answer(&w.s, token)->status, read ? 503 : 504);
-		assert_true(sim_answer(&w.s, token)->retry_ms > 0);
-		close_world(&w);
+		until_sent(&world.s, read ? NL__MSG__BODY_READ_REPLY : NL__MSG__BODY_ANSWER);
+		sim_freeze(&world.s, node, 1); /* with that answer and little else at its door */
+		cut_links(&world, node, 0, SIM_CONTROLLERS + ROUTERS, CUT_BOTH);
+		sim_run(&world.s, ISOLATION_MS, NULL);
+		assert_null(sim_answer(&world.s, token));
+		sim_freeze(&world.s, node, 0);
+		sim_run(&world.s, 100, NULL);
+		assert_non_null(sim_answer(&world.s, token));
+		assert_int_equal(sim_answer(&world.s, token)->status, read ? 503 : 504);
+		assert_true(sim_answer(&world.s, token)->retry_ms > 0);
+		close_world(&world);
 	}
 }
 
@@ -791,32 +791,32 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= 12; seed++) {
-		struct world w;
-		struct call c = { .kind = seed % 2 ? CALL_READ_DOCUMENT : CALL_NAME_NOTHING };
+		struct world world;
+		struct call call = { .kind = seed % 2 ? CALL_READ_DOCUMENT : CALL_NAME_NOTHING };
 		int leader;
 
-		open_world(&w, seed);
-		w.s.answer_ms = 0;
-		operate(&w, 3000, -1, 40);
-		w.s.answer_ms = 40;
-		leader = sim_owner(&w.s, SHARD_CONTROL);
+		open_world(&world, seed);
+		world.s.answer_delay_ms = 0;
+		operate(&world, 3000, -1, 40);
+		world.s.answer_delay_ms = 40;
+		leader = sim_leader(&world.s, SHARD_CONTROL);
 		assert_true(leader >= 0);
-		c.node = leader;
-		send_document_call(&w, &c);
-		sim_run(&w.s, 1, NULL);
-		if (!sim_answer(&w.s, c.token)) {
+		call.node = leader;
+		send_document_call(&world, &call);
+		sim_run(&world.s, 1, NULL);
+		if (!sim_answer(&world.s, call.token)) {
 			seen++;
-			sim_freeze(&w.s, leader, 1);
-			sim_run(&w.s, ISOLATION_MS, NULL);
-			assert_null(sim_answer(&w.s, c.token));
-			sim_freeze(&w.s, leader, 0);
-			sim_run(&w.s, 100, NULL);
-			assert_non_null(sim_answer(&w.s, c.token));
-			assert_int_equal(sim_answer(&w.s, c.token)->status, 503);
-			assert_true(sim_answer(&w.s, c.token)->retry_ms > 0);
+			sim_freeze(&world.s, leader, 1);
+			sim_run(&world.s, ISOLATION_MS, NULL);
+			assert_null(sim_answer(&world.s, call.token));
+			sim_freeze(&world.s, leader, 0);
+			sim_run(&world.s, 100, NULL);
+			assert_non_null(sim_answer(&world.s, call.token));
+			assert_int_equal(sim_answer(&world.s, call.token)->status, 503);
+			assert_true(sim_answer(&world.s, call.token)->retry_ms > 0);
 		}
-		intact(&w);
-		close_world(&w);
+		intact(&world);
+		close_world(&world);
 	}
 	assert_true(seen >= 6);
 }
@@ -826,112 +826,112 @@
 {
 	struct instances seen, followed;
 	struct Nl__Instance server = NL__INSTANCE__INIT, *list[1] = { &server };
-	struct out o = { 0 };
+	struct out out = { 0 };
 	int64_t now = 100000;
 
 	(void)state;
-	apr_pool_create(&o.p, NULL);
+	apr_pool_create(&out.pool, NULL);
 	instances_open(&seen);
 	instances_open(&followed);
-	instances_begin(&seen, &followed, 1, now);
+	instances_start_term(&seen, &followed, 1, now);
 	server.server = server.service = server.addr = server.zone = server.weights = "x";
-	instances_tick(&seen, 0, 10000, 7, now, &o);
-	assert_int_equal(arrlen(o.v), 1);
-	instances_listed(&seen, 7, 1, list, 1, now + ISOLATION_MS);
+	instances_tick(&seen, 0, 10000, 7, now, &out);
+	assert_int_equal(arrlen(out.commands), 1);
+	instances_on_list(&seen, 7, 1, list, 1, now + ISOLATION_MS);
 	assert_null(instances_get(&seen, "x"));
-	assert_false(seen.listed);
-	now += ISOLATION_MS + INSTANCES_CALM;
-	instances_tick(&seen, 0, 10000, 8, now, &o);
-	instances_listed(&seen, 8, 1, list, 1, now + 100);
+	assert_false(seen.is_publishable);
+	now += ISOLATION_MS + INSTANCES_POLL_MS;
+	instances_tick(&seen, 0, 10000, 8, now, &out);
+	instances_on_list(&seen, 8, 1, list, 1, now + 100);
 	assert_non_null(instances_get(&seen, "x"));
 	instances_close(&seen);
 	instances_close(&followed);
-	arrfree(o.v);
-	apr_pool_destroy(o.p);
+	arrfree(out.commands);
+	apr_pool_destroy(out.pool);
 }
 
 /* A read that reaches one that does not lead is answered with who does, never with what it has. */
 static void only_the_leader_answers_reads(void **state)
 {
-	struct world w;
+	struct world world;
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Read read = NL__READ__INIT;
-	struct sim_ev e = { .kind = SIM_MSG };
+	struct sim_event event = { .kind = SIM_MSG };
 	uint64_t replies, hints;
 
 	(void)state;
-	open_world(&w, 2);
-	operate(&w, 3000, -1, 40);
-	sim_run(&w.s, 1000, NULL);
-	replies = w.s.by_body[NL__MSG__BODY_READ_REPLY];
-	hints = w.s.by_body[NL__MSG__BODY_OWNER];
+	open_world(&world, 2);
+	operate(&world, 3000, -1, 40);
+	sim_run(&world.s, 1000, NULL);
+	replies = world.s.by_body[NL__MSG__BODY_READ_REPLY];
+	hints = world.s.by_body[NL__MSG__BODY_OWNER];
 	read.kind = NL__READ_KIND__READ_RETENTION;
 	message.speak = CORE_SPEAK;
 	message.id = 77;
-	message.addr = core_addr("127.0.9.9:1");
+	message.addr = core_parse_addr("127.0.9.9:1");
 	message.body_case = NL__MSG__BODY_READ;
 	message.read = &read;
 	for (int i = 0; i < CONTROLLERS; i++) {
-		e.at = w.s.now;
-		e.node = i;
-		e.n = nl__msg__get_packed_size(&message);
-		e.d = malloc(e.n + 1);
-		nl__msg__pack(&message, e.d);
-		sim_push(&w.s, e);
+		event.at = world.s.now;
+		event.node = i;
+		event.data_len = nl__msg__get_packed_size(&message);
+		event.data = malloc(event.data_len + 1);
+		nl__msg__pack(&message, event.data);
+		sim_push(&world.s, event);
 	}
-	sim_run(&w.s, 1, NULL);
-	assert_int_equal(w.s.by_body[NL__MSG__BODY_READ_REPLY], replies + 1);
-	assert_true(w.s.by_body[NL__MSG__BODY_OWNER] >= hints + CONTROLLERS - 1);
-	intact(&w);
-	close_world(&w);
+	sim_run(&world.s, 1, NULL);
+	assert_int_equal(world.s.by_body[NL__MSG__BODY_READ_REPLY], replies + 1);
+	assert_true(world.s.by_body[NL__MSG__BODY_OWNER] >= hints + CONTROLLERS - 1);
+	intact(&world);
+	close_world(&world);
 }
 
 /* A controller takes a change on a leader's last word, hears of another follower that it does not lead, and then nothing:
  * what surely was not logged is refused as soon as that last word is too old. */
 static void what_nobody_took_is_refused_soon(void **state)
 {
-	enum { LAST_WORD_MS = CONFIG_WATCH_SILENT - 30 };
+	enum { LAST_UPDATE_MS = CONFIG_WATCH_LEADER_TIMEOUT_MS - 30 };
 	int refused = 0;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= 24; seed++) {
-		struct world w;
-		struct controller *r;
+		struct world world;
+		struct controller *controller;
 		int leader, node, follower;
 		uint64_t token, answers;
 		int64_t sent;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
-		w.s.answer_ms = 0;
-		w.s.loss = 0;
-		leader = sim_owner(&w.s, SHARD_CONTROL);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
+		world.s.answer_delay_ms = 0;
+		world.s.loss_per_mille = 0;
+		leader = sim_leader(&world.s, SHARD_CONTROL);
 		assert_true(leader >= 0);
 		node = (leader + 1) % CONTROLLERS;
 		follower = (leader + 2) % CONTROLLERS;
-		cut_links(&w, node, 0, SIM_REGS, CUT_BOTH);
-		w.s.link_cut[node][follower] = w.s.link_cut[follower][node] = 0;
-		r = w.s.n[node].r;
-		while (config_watch_age(&r->f, sim_local(&w.s, node)) < LAST_WORD_MS)
-			sim_run(&w.s, 1, NULL);
-		r->f.leader_addr[SHARD_CONTROL] = w.s.n[follower].addr; /* as a hint that came late would have it */
-		answers = w.s.by_body[NL__MSG__BODY_ANSWER];
-		token = sim_call(&w.s, node, "POST", "/v1/change",
+		cut_links(&world, node, 0, SIM_CONTROLLERS, CUT_BOTH);
+		world.s.link_cut[node][follower] = world.s.link_cut[follower][node] = 0;
+		controller = world.s.nodes[node].controller;
+		while (config_watch_age_ms(&controller->config_watch, sim_local(&world.s, node)) < LAST_UPDATE_MS)
+			sim_run(&world.s, 1, NULL);
+		controller->config_watch.leader_addr[SHARD_CONTROL] = world.s.nodes[follower].addr; /* as a hint that came late would have it */
+		answers = world.s.by_body[NL__MSG__BODY_ANSWER];
+		token = sim_call(&world.s, node, "POST", "/v1/change",
 				 "{\"set\":[{\"kind\":\"service\",\"name\":\"sx\",\"weights\":\"w1\"" SPEEDS "}]}");
-		sent = w.s.now;
-		sim_run(&w.s, 20, NULL);
-		if (w.s.by_body[NL__MSG__BODY_ANSWER] > answers && arrlen(r->ask) == 1 && r->ask[0].sends == 1 &&
-		    r->ask[0].denied == 1) {
-			while (!sim_answer(&w.s, token) && w.s.now < sent + 2 * OPEN_OUTCOME_MS)
-				sim_run(&w.s, LOOK_MS, NULL);
-			assert_non_null(sim_answer(&w.s, token));
-			assert_int_equal(sim_answer(&w.s, token)->status, 503);
-			if (w.s.now - sent > ANSWER_MS)
-				fail_msg("seed %llu: refused after %lld ms", (unsigned long long)seed, (long long)(w.s.now - sent));
+		sent = world.s.now;
+		sim_run(&world.s, 20, NULL);
+		if (world.s.by_body[NL__MSG__BODY_ANSWER] > answers && arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
+		    controller->proposals[0].denied_count == 1) {
+			while (!sim_answer(&world.s, token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
+				sim_run(&world.s, POLL_MS, NULL);
+			assert_non_null(sim_answer(&world.s, token));
+			assert_int_equal(sim_answer(&world.s, token)->status, 503);
+			if (world.s.now - sent > ANSWER_MS)
+				fail_msg("seed %llu: refused after %lld ms", (unsigned long long)seed, (long long)(world.s.now - sent));
 			refused++;
 		}
-		intact(&w);
-		close_world(&w);
+		intact(&world);
+		close_world(&world);
 	}
 	assert_true(refused >= 6);
 }
@@ -941,30 +941,30 @@
 {
 	(void)state;
 	for (uint64_t seed = 1; seed <= 8; seed++) {
-		struct world w;
+		struct world world;
 		int leader;
-		struct call c = { .kind = CALL_PUT_DOCUMENT };
+		struct call call = { .kind = CALL_PUT_DOCUMENT };
 		int64_t sent;
 
-		open_world(&w, seed);
-		operate(&w, 3000, -1, 40);
-		w.s.answer_ms = 0;
-		leader = sim_owner(&w.s, SHARD_CONTROL);
+		open_world(&world, seed);
+		operate(&world, 3000, -1, 40);
+		world.s.answer_delay_ms = 0;
+		leader = sim_leader(&world.s, SHARD_CONTROL);
 		assert_true(leader >= 0);
 		for (int i = 0; i < CONTROLLERS; i++)
 			if (i != leader)
-				w.s.n[i].stall_until = w.s.now + 2 * OPEN_OUTCOME_MS;
-		c.node = leader;
-		send_document_call(&w, &c);
-		sent = w.s.now;
-		while (!sim_answer(&w.s, c.token) && w.s.now < sent + 2 * OPEN_OUTCOME_MS)
-			sim_run(&w.s, LOOK_MS, NULL);
-		assert_non_null(sim_answer(&w.s, c.token));
-		assert_int_equal(sim_answer(&w.s, c.token)->status, 504);
-		assert_true(w.s.now - sent <= OPEN_OUTCOME_MS);
-		assert_true(sim_answer(&w.s, c.token)->retry_ms > 0);
-		intact(&w);
-		close_world(&w);
+				world.s.nodes[i].stalled_until = world.s.now + 2 * OPEN_OUTCOME_MS;
+		call.node = leader;
+		send_document_call(&world, &call);
+		sent = world.s.now;
+		while (!sim_answer(&world.s, call.token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
+			sim_run(&world.s, POLL_MS, NULL);
+		assert_non_null(sim_answer(&world.s, call.token));
+		assert_int_equal(sim_answer(&world.s, call.token)->status, 504);
+		assert_true(world.s.now - sent <= OPEN_OUTCOME_MS);
+		assert_true(sim_answer(&world.s, call.token)->retry_ms > 0);
+		intact(&world);
+		close_world(&world);
 	}
 }
 
--- a/tests/test_kept_feed.c
+++ b/tests/test_kept_feed.c
@@ -18,7 +18,7 @@
 enum {
 	SERVERS = 30,
 	FOLLOWERS = 6,
-	PARTS = 400,
+	BLOCKS = 400,
 	TICK_MS = 25,
 	LINK_KBPS = 2000,
 	SHARE_BYTES_MS = LINK_KBPS * 40 / 100 / 8,
@@ -46,215 +46,215 @@
 	return getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : n;
 }
 
-static uint64_t dice(struct zone *z, uint64_t n) { return core_rand(&z->rng) % n; }
+static uint64_t random_below(struct zone *zone, uint64_t n) { return core_random(&zone->rng) % n; }
 
-static void node_step(struct zone *z, int i, const struct router_ev *ev)
+static void node_step(struct zone *zone, int i, const struct router_event *event)
 {
-	router_step(&z->node[i].router, ev, z->now, &z->node[i].out);
+	router_step(&zone->node[i].router, event, zone->now, &zone->node[i].out);
 }
 
-static void node_message(struct zone *z, int i, struct Nl__Msg *m)
+static void node_message(struct zone *zone, int i, struct Nl__Msg *message)
 {
-	struct router_ev ev = { .kind = ROUTER_MSG };
+	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
-	ev.u.msg = m;
-	m->speak = CORE_SPEAK;
-	node_step(z, i, &ev);
+	event.u.message = message;
+	message->speak = CORE_SPEAK;
+	node_step(zone, i, &event);
 }
 
 /* One service and its servers, as the configuration's leader says them. */
-static void node_table(struct zone *z, int i)
+static void node_table(struct zone *zone, int i)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ConfigSyncReply r = NL__CONFIG_SYNC_REPLY__INIT;
+	struct Nl__Msg msg = NL__MSG__INIT;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *rows[1] = { &row };
 	struct Nl__Instance *instances[SERVERS];
 
 	for (int k = 0; k < SERVERS; k++)
-		instances[k] = new_sight(z->pool, (k + i) % SERVERS, "pool"); /* each router numbers them otherwise */
+		instances[k] = new_instance(zone->pool, (k + i) % SERVERS, "pool"); /* each router numbers them otherwise */
 	row.kind = NL__KIND__SERVICE;
 	row.name = "pool";
 	row.weights = "w1";
 	row.prefill = 20;
-	node_step(z, i, &(struct router_ev){ .kind = ROUTER_TICK });
-	r.token = z->node[i].router.f.token;
-	r.has_lease = r.whole = r.instances_whole = 1;
-	r.fleet = 7;
-	r.edition = r.instances = 1;
-	r.set = rows;
-	r.n_set = 1;
-	r.instance = instances;
-	r.n_instance = SERVERS;
-	r.counters = 1 + FOLLOWERS;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &r;
-	m.addr = m.id = 1;
-	node_message(z, i, &m);
-	out_clear(&z->node[i].out);
+	node_step(zone, i, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
+	reply.token = zone->node[i].router.config_watch.last_token;
+	reply.has_lease = reply.whole = reply.instances_whole = 1;
+	reply.fleet = 7;
+	reply.edition = reply.instances = 1;
+	reply.set = rows;
+	reply.n_set = 1;
+	reply.instance = instances;
+	reply.n_instance = SERVERS;
+	reply.counters = 1 + FOLLOWERS;
+	msg.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	msg.follow_reply = &reply;
+	msg.addr = msg.id = 1;
+	node_message(zone, i, &msg);
+	command_list_clear(&zone->node[i].out);
 }
 
-static void zone_open(struct zone *z, uint64_t seed, int link_kbps)
+static void zone_open(struct zone *zone, uint64_t seed, int link_kbps)
 {
 	uint64_t controller = 1;
 
-	memset(z, 0, sizeof *z);
-	apr_pool_create(&z->pool, NULL);
-	z->rng = seed;
-	z->now = z->began = 1000000;
-	z->busy = 1;
+	memset(zone, 0, sizeof *zone);
+	apr_pool_create(&zone->pool, NULL);
+	zone->rng = seed;
+	zone->now = zone->began = 1000000;
+	zone->busy = 1;
 	for (int s = 0; s < SERVERS; s++)
-		z->epoch[s] = 1;
+		zone->epoch[s] = 1;
 	for (int i = 0; i <= FOLLOWERS; i++) {
-		apr_pool_create(&z->node[i].out.p, z->pool);
-		router_open(&z->node[i].router, (uint64_t)i + 1, (uint64_t)i + 1001, "z1", &controller, 1, z->now);
-		z->node[i].router.b.instances = 1;
-		z->node[i].router.b.link_kbps = link_kbps;
-		node_table(z, i);
+		apr_pool_create(&zone->node[i].out.pool, zone->pool);
+		router_open(&zone->node[i].router, (uint64_t)i + 1, (uint64_t)i + 1001, "z1", &controller, 1, zone->now);
+		zone->node[i].router.bounds.discover_instances = 1;
+		zone->node[i].router.bounds.link_kbps = link_kbps;
+		node_table(zone, i);
 	}
 }
 
-static void zone_close(struct zone *z)
+static void zone_close(struct zone *zone)
 {
 	for (int i = 0; i <= FOLLOWERS; i++) {
-		router_close(&z->node[i].router);
-		arrfree(z->node[i].out.v);
+		router_close(&zone->node[i].router);
+		arrfree(zone->node[i].out.commands);
 	}
-	apr_pool_destroy(z->pool);
+	apr_pool_destroy(zone->pool);
 }
 
-static struct Nl__KeptEvent *event_new(apr_pool_t *p, const char *cache_namespace, uint64_t part, int gone)
+static struct Nl__KeptEvent *event_new(apr_pool_t *pool, const char *cache_namespace, uint64_t part, int removed)
 {
-	struct Nl__KeptEvent *e = apr_palloc(p, sizeof *e);
-
-	nl__kept_event__init(e);
-	e->cache_namespace = apr_pstrdup(p, cache_namespace);
-	e->id = part;
-	e->gone = gone;
-	e->tokens = 10;
-	return e;
+	struct Nl__KeptEvent *cache_event = apr_palloc(pool, sizeof *cache_event);
+
+	nl__kept_event__init(cache_event);
+	cache_event->cache_namespace = apr_pstrdup(pool, cache_namespace);
+	cache_event->id = part;
+	cache_event->gone = removed;
+	cache_event->tokens = 10;
+	return cache_event;
 }
 
 /* A server answers a watch: some events, none, or that some are missed; it may also have begun anew. */
-static void answer_watch(struct zone *z, uint64_t token, int server, apr_pool_t *p)
+static void answer_watch(struct zone *zone, uint64_t token, int server, apr_pool_t *pool)
 {
-	struct Nl__Kept kept = NL__KEPT__INIT;
-	struct router_ev ev = { .kind = ROUTER_WATCHED };
-	size_t n = z->busy ? dice(z, 40) : 0;
-
-	kept.server = apr_psprintf(p, "i-%d", server);
-	if (z->busy && !dice(z, 200)) {
-		z->epoch[server]++;
-		z->next[server] = 0;
+	struct Nl__Kept update = NL__KEPT__INIT;
+	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
+	size_t n = zone->busy ? random_below(zone, 40) : 0;
+
+	update.server = apr_psprintf(pool, "i-%d", server);
+	if (zone->busy && !random_below(zone, 200)) {
+		zone->epoch[server]++;
+		zone->next[server] = 0;
 	}
-	kept.lost = z->busy && !dice(z, 100);
-	kept.epoch = z->epoch[server];
-	kept.next = z->next[server] += n;
-	kept.e = apr_palloc(p, (n + 1) * sizeof *kept.e);
-	for (; kept.n_e < n; kept.n_e++) {
-		const char *cache_namespace = dice(z, 2) ? "w1-a" : "w1-b~0000000700000002";
-
-		kept.e[kept.n_e] = event_new(p, cache_namespace, 1 + dice(z, PARTS), !dice(z, 3));
+	update.lost = zone->busy && !random_below(zone, 100);
+	update.epoch = zone->epoch[server];
+	update.next = zone->next[server] += n;
+	update.e = apr_palloc(pool, (n + 1) * sizeof *update.e);
+	for (; update.n_e < n; update.n_e++) {
+		const char *cache_namespace = random_below(zone, 2) ? "w1-a" : "w1-b~0000000700000002";
+
+		update.e[update.n_e] = event_new(pool, cache_namespace, 1 + random_below(zone, BLOCKS), !random_below(zone, 3));
 	}
-	ev.u.kept.token = token;
-	ev.u.kept.k = &kept;
-	ev.u.kept.status = 200;
-	node_step(z, 0, &ev);
+	event.u.cache_watched.token = token;
+	event.u.cache_watched.update = &update;
+	event.u.cache_watched.status = 200;
+	node_step(zone, 0, &event);
 }
 
 /* A server answers a watch with so many events of parts that it keeps. */
-static void answer_all(struct zone *z, uint64_t token, int server, size_t events)
+static void answer_all(struct zone *zone, uint64_t token, int server, size_t events)
 {
-	struct Nl__Kept kept = NL__KEPT__INIT;
-	struct router_ev ev = { .kind = ROUTER_WATCHED };
-	apr_pool_t *p;
-
-	apr_pool_create(&p, z->pool);
-	kept.server = apr_psprintf(p, "i-%d", server);
-	kept.epoch = 1;
-	kept.next = z->next[server] += events;
-	kept.e = apr_palloc(p, events * sizeof *kept.e);
-	for (; kept.n_e < events; kept.n_e++)
-		kept.e[kept.n_e] = event_new(p, "w1-a", 1 + dice(z, PARTS), 0);
-	ev.u.kept.token = token;
-	ev.u.kept.k = &kept;
-	ev.u.kept.status = 200;
-	node_step(z, 0, &ev);
-	apr_pool_destroy(p);
+	struct Nl__Kept update = NL__KEPT__INIT;
+	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
+	apr_pool_t *pool;
+
+	apr_pool_create(&pool, zone->pool);
+	update.server = apr_psprintf(pool, "i-%d", server);
+	update.epoch = 1;
+	update.next = zone->next[server] += events;
+	update.e = apr_palloc(pool, events * sizeof *update.e);
+	for (; update.n_e < events; update.n_e++)
+		update.e[update.n_e] = event_new(pool, "w1-a", 1 + random_below(zone, BLOCKS), 0);
+	event.u.cache_watched.token = token;
+	event.u.cache_watched.update = &update;
+	event.u.cache_watched.status = 200;
+	node_step(zone, 0, &event);
+	apr_pool_destroy(pool);
 }
 
 /* What the head has sent and asked for in its last step. */
-static void head_performs(struct zone *z)
+static void head_performs(struct zone *zone)
 {
-	struct node *head = &z->node[0];
-	struct cmd *v = NULL;
-	apr_pool_t *p = head->out.p;
-
-	apr_pool_create(&head->out.p, z->pool);
-	for (ptrdiff_t i = 0; i < arrlen(head->out.v); i++)
-		arrput(v, head->out.v[i]);
-	arrsetlen(head->out.v, 0);
-	for (ptrdiff_t i = 0; i < arrlen(v); i++) {
-		if (v[i].kind == CMD_WATCH)
-			answer_watch(z, v[i].u.watch.token, atoi(v[i].u.watch.server + 2), p);
-		if (v[i].kind != CMD_SEND || v[i].u.send.msg->body_case != NL__MSG__BODY_KEPT_ALL)
+	struct node *head = &zone->node[0];
+	struct command *command = NULL;
+	apr_pool_t *pool = head->out.pool;
+
+	apr_pool_create(&head->out.pool, zone->pool);
+	for (ptrdiff_t i = 0; i < arrlen(head->out.commands); i++)
+		arrput(command, head->out.commands[i]);
+	arrsetlen(head->out.commands, 0);
+	for (ptrdiff_t i = 0; i < arrlen(command); i++) {
+		if (command[i].kind == CMD_WATCH_CACHE)
+			answer_watch(zone, command[i].args.watch_cache.token, atoi(command[i].args.watch_cache.server + 2), pool);
+		if (command[i].kind != CMD_SEND || command[i].args.send.msg->body_case != NL__MSG__BODY_KEPT_ALL)
 			continue;
-		z->bytes += (int64_t)nl__msg__get_packed_size(v[i].u.send.msg);
-		node_message(z, (int)(v[i].u.send.addr - 1001), v[i].u.send.msg);
-		out_clear(&z->node[v[i].u.send.addr - 1001].out);
+		zone->bytes += (int64_t)nl__msg__get_packed_size(command[i].args.send.msg);
+		node_message(zone, (int)(command[i].args.send.addr - 1001), command[i].args.send.msg);
+		command_list_clear(&zone->node[command[i].args.send.addr - 1001].out);
 	}
-	arrfree(v);
-	apr_pool_destroy(p);
+	arrfree(command);
+	apr_pool_destroy(pool);
 }
 
 /* A router downstream says that it is there; one that is new is told all that the head knows. */
-static void zone_keeps_downstream(struct zone *z)
+static void zone_keeps_downstream(struct zone *zone)
 {
-	struct relay *relay = &z->node[0].router.relay;
+	struct relay *relay = &zone->node[0].router.relay;
 
-	while (arrlen(relay->down) < z->followers) {
-		struct relay_down down = { 0 };
+	while (arrlen(relay->downstreams) < zone->followers) {
+		struct relay_downstream down = { 0 };
 
-		down.id = (uint64_t)arrlen(relay->down) + 2;
+		down.id = (uint64_t)arrlen(relay->downstreams) + 2;
 		down.addr = down.id + 1000;
-		arrput(relay->down, down);
+		arrput(relay->downstreams, down);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(relay->down); i++)
-		relay->down[i].heard = z->now;
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++)
+		relay->downstreams[i].last_contact_at_ms = zone->now;
 }
 
-static void zone_run(struct zone *z, int64_t ms)
+static void zone_run(struct zone *zone, int64_t ms)
 {
-	for (int64_t end = z->now + ms; z->now < end; z->now += TICK_MS) {
-		zone_keeps_downstream(z);
+	for (int64_t end = zone->now + ms; zone->now < end; zone->now += TICK_MS) {
+		zone_keeps_downstream(zone);
 		for (int i = 0; i <= FOLLOWERS; i++) {
-			z->node[i].router.f.fresh = z->now;
-			z->node[i].router.f.nup = i > 0;
+			zone->node[i].router.config_watch.fetched_at_ms = zone->now;
+			zone->node[i].router.config_watch.upstream_count = i > 0;
 		}
-		node_step(z, 0, &(struct router_ev){ .kind = ROUTER_TICK });
-		head_performs(z);
+		node_step(zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
+		head_performs(zone);
 	}
 }
 
-static size_t copies_at(struct router *r, const char *server, uint64_t key)
+static size_t copies_at(struct router *router, const char *server, uint64_t key)
 {
-	struct kept_copy *c = kept_get(&r->kept, key);
+	struct block_replica *replica = prefix_index_find(&router->prefix_index, key);
 	size_t n = 0;
 
-	for (ptrdiff_t k = 0; k < arrlen(c); k++)
-		n += !strcmp(r->servers.name[c[k].server], server);
+	for (ptrdiff_t k = 0; k < arrlen(replica); k++)
+		n += !strcmp(router->server_names.names[replica[k].server_index], server);
 	return n;
 }
 
-static void assert_same_index(struct zone *z, int follower)
+static void assert_same_index(struct zone *zone, int follower)
 {
-	struct router *head = &z->node[0].router, *other = &z->node[follower].router;
+	struct router *head = &zone->node[0].router, *other = &zone->node[follower].router;
 
-	assert_int_equal(other->kept.n, head->kept.n);
-	for (ptrdiff_t i = 0; i < hmlen(head->kept.h); i++)
-		for (ptrdiff_t k = 0; k < arrlen(head->kept.h[i].value); k++) {
-			const struct kept_copy *c = &head->kept.h[i].value[k];
+	assert_int_equal(other->prefix_index.replica_count, head->prefix_index.replica_count);
+	for (ptrdiff_t i = 0; i < hmlen(head->prefix_index.blocks); i++)
+		for (ptrdiff_t k = 0; k < arrlen(head->prefix_index.blocks[i].value); k++) {
+			const struct block_replica *replica = &head->prefix_index.blocks[i].value[k];
 
-			assert_int_equal(copies_at(other, head->servers.name[c->server], head->kept.h[i].key), 1);
+			assert_int_equal(copies_at(other, head->server_names.names[replica->server_index], head->prefix_index.blocks[i].key), 1);
 		}
 }
 
@@ -265,18 +265,18 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + n; seed++) {
-		struct zone z;
-
-		zone_open(&z, seed, seed % 2 ? LINK_KBPS : 0);
-		for (z.followers = 1; z.followers < FOLLOWERS; z.followers++)
-			zone_run(&z, BUSY_MS / FOLLOWERS);
-		zone_run(&z, BUSY_MS / FOLLOWERS);
-		z.busy = 0;
-		zone_run(&z, QUIET_MS);
-		assert_true(z.node[0].router.kept.n > 1000);
+		struct zone zone;
+
+		zone_open(&zone, seed, seed % 2 ? LINK_KBPS : 0);
+		for (zone.followers = 1; zone.followers < FOLLOWERS; zone.followers++)
+			zone_run(&zone, BUSY_MS / FOLLOWERS);
+		zone_run(&zone, BUSY_MS / FOLLOWERS);
+		zone.busy = 0;
+		zone_run(&zone, QUIET_MS);
+		assert_true(zone.node[0].router.prefix_index.replica_count > 1000);
 		for (int i = 1; i <= FOLLOWERS; i++)
-			assert_same_index(&z, i);
-		zone_close(&z);
+			assert_same_index(&zone, i);
+		zone_close(&zone);
 	}
 }
 
@@ -287,21 +287,21 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + n; seed++) {
-		struct zone z;
+		struct zone zone;
 		int64_t most = 0;
 
-		zone_open(&z, seed, LINK_KBPS);
-		z.followers = FOLLOWERS;
-		while (z.now - z.began < BUSY_MS) {
-			zone_run(&z, TICK_MS);
-			most = z.bytes - (z.now - z.began) * SHARE_BYTES_MS > most ? z.bytes - (z.now - z.began) * SHARE_BYTES_MS
+		zone_open(&zone, seed, LINK_KBPS);
+		zone.followers = FOLLOWERS;
+		while (zone.now - zone.began < BUSY_MS) {
+			zone_run(&zone, TICK_MS);
+			most = zone.bytes - (zone.now - zone.began) * SHARE_BYTES_MS > most ? zone.bytes - (zone.now - zone.began) * SHARE_BYTES_MS
 										   : most;
 		}
-		print_message("%lld bytes/s of %d, at most %lld bytes ahead\n", (long long)(z.bytes * 1000 / BUSY_MS),
+		print_message("%lld bytes/s of %d, at most %lld bytes ahead\n", (long long)(zone.bytes * 1000 / BUSY_MS),
 			      SHARE_BYTES_MS * 1000, (long long)most);
 		assert_true(most <= SLACK_BYTES);
-		assert_true(z.bytes > 0);
-		zone_close(&z);
+		assert_true(zone.bytes > 0);
+		zone_close(&zone);
 	}
 }
 
@@ -313,81 +313,81 @@
 
 	(void)state;
 	for (int link_kbps = 0; link_kbps <= 20 * LINK_KBPS; link_kbps += 5 * LINK_KBPS) {
-		struct zone z;
-		struct router *head = &z.node[0].router;
+		struct zone zone;
+		struct router *head = &zone.node[0].router;
 		int most = 0, open = 0, bound = link_kbps ? MOST_MS * link_kbps / 8 / (50 * ANSWER_EVENTS) : SERVERS;
 
-		zone_open(&z, 3, link_kbps);
-		head->f.nup = 0;
-		for (int64_t end = z.now + WITHIN_MS; z.now < end; z.now += TICK_MS) {
-			head->f.fresh = z.now;
-			node_step(&z, 0, &(struct router_ev){ .kind = ROUTER_TICK });
+		zone_open(&zone, 3, link_kbps);
+		head->config_watch.upstream_count = 0;
+		for (int64_t end = zone.now + WITHIN_MS; zone.now < end; zone.now += TICK_MS) {
+			head->config_watch.fetched_at_ms = zone.now;
+			node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 			open = 0;
 			for (int s = 0; s < SERVERS; s++)
-				open += head->sv[s].watch && !head->sv[s].next;
+				open += head->servers[s].watch_token && !head->servers[s].next_cache_event;
 			most = open > most ? open : most;
 			for (int s = 0; s < SERVERS; s++) {
-				struct router_server *v = &head->sv[s];
+				struct router_server_state *server = &head->servers[s];
 
-				if (v->watch && z.now - v->watched >= ANSWER_MS)
-					answer_all(&z, v->watch, atoi(head->servers.name[s] + 2), ANSWER_EVENTS);
+				if (server->watch_token && zone.now - server->watched_at_ms >= ANSWER_MS)
+					answer_all(&zone, server->watch_token, atoi(head->server_names.names[s] + 2), ANSWER_EVENTS);
 			}
-			out_clear(&z.node[0].out);
+			command_list_clear(&zone.node[0].out);
 		}
 		assert_true(most <= (bound < 1 ? 1 : bound));
 		for (int s = 0; s < SERVERS; s++)
-			assert_true(head->sv[s].next > 0);
-		zone_close(&z);
+			assert_true(head->servers[s].next_cache_event > 0);
+		zone_close(&zone);
 	}
 }
 
 static int watch_of(const struct node *head, const char *server, uint64_t *token)
 {
-	for (ptrdiff_t i = 0; i < arrlen(head->out.v); i++) {
-		const struct cmd *k = &head->out.v[i];
+	for (ptrdiff_t i = 0; i < arrlen(head->out.commands); i++) {
+		const struct command *command = &head->out.commands[i];
 
-		if (k->kind != CMD_WATCH || strcmp(k->u.watch.server, server))
+		if (command->kind != CMD_WATCH_CACHE || strcmp(command->args.watch_cache.server, server))
 			continue;
-		*token = k->u.watch.token;
-		return k->u.watch.all;
+		*token = command->args.watch_cache.token;
+		return command->args.watch_cache.full;
 	}
 	return -1;
 }
 
 /* The head asks a server for all that it keeps once, then for what has changed, and again for all where it has missed events. */
-static void what_is_kept_is_listed_once(void **state)
+static void cached_blocks_are_listed_once(void **state)
 {
 	static const struct {
 		int lost, all_next;
 	} answers[] = { { 0, 0 }, { 0, 0 }, { 1, 1 }, { 1, 0 }, { 0, 0 } };
-	struct zone z;
+	struct zone zone;
 	uint64_t token;
 
 	(void)state;
-	zone_open(&z, 5, 0);
-	z.node[0].router.f.nup = 0;
-	z.node[0].router.f.fresh = z.now;
-	node_step(&z, 0, &(struct router_ev){ .kind = ROUTER_TICK });
-	assert_int_equal(watch_of(&z.node[0], "i-3", &token), 1);
+	zone_open(&zone, 5, 0);
+	zone.node[0].router.config_watch.upstream_count = 0;
+	zone.node[0].router.config_watch.fetched_at_ms = zone.now;
+	node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
+	assert_int_equal(watch_of(&zone.node[0], "i-3", &token), 1);
 	for (size_t i = 0; i < sizeof answers / sizeof *answers; i++) {
-		struct Nl__Kept kept = NL__KEPT__INIT;
-		struct router_ev ev = { .kind = ROUTER_WATCHED };
-
-		out_clear(&z.node[0].out);
-		kept.server = "i-3";
-		kept.epoch = 1;
-		kept.next = i + 1;
-		kept.lost = answers[i].lost;
-		ev.u.kept.token = token;
-		ev.u.kept.k = &kept;
-		ev.u.kept.status = 200;
-		node_step(&z, 0, &ev);
-		z.now += ROUTER_WATCH_GAP + TICK_MS;
-		z.node[0].router.f.fresh = z.now;
-		node_step(&z, 0, &(struct router_ev){ .kind = ROUTER_TICK });
-		assert_int_equal(watch_of(&z.node[0], "i-3", &token), answers[i].all_next);
+		struct Nl__Kept update = NL__KEPT__INIT;
+		struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
+
+		command_list_clear(&zone.node[0].out);
+		update.server = "i-3";
+		update.epoch = 1;
+		update.next = i + 1;
+		update.lost = answers[i].lost;
+		event.u.cache_watched.token = token;
+		event.u.cache_watched.update = &update;
+		event.u.cache_watched.status = 200;
+		node_step(&zone, 0, &event);
+		zone.now += ROUTER_CACHE_WATCH_INTERVAL_MS + TICK_MS;
+		zone.node[0].router.config_watch.fetched_at_ms = zone.now;
+		node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
+		assert_int_equal(watch_of(&zone.node[0], "i-3", &token), answers[i].all_next);
 	}
-	zone_close(&z);
+	zone_close(&zone);
 }
 
 int main(void)
@@ -396,7 +396,7 @@
 		cmocka_unit_test(every_follower_ends_with_the_heads_index),
 		cmocka_unit_test(the_feed_keeps_to_its_share_of_the_link),
 		cmocka_unit_test(a_new_head_asks_few_servers_at_once),
-		cmocka_unit_test(what_is_kept_is_listed_once),
+		cmocka_unit_test(cached_blocks_are_listed_once),
 	};
 	int rc;
 
--- a/tests/test_linear.c
+++ b/tests/test_linear.c
@@ -87,7 +87,7 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof holding / sizeof *holding; i++)
-		if (linear_check(holding[i].ops, holding[i].n, why, sizeof why) != LINEAR_HOLDS)
+		if (linear_check(holding[i].ops, holding[i].n, why, sizeof why) != LINEAR_SATISFIED)
 			fail_msg("%s: %s", holding[i].name, why);
 	for (size_t i = 0; i < sizeof broken / sizeof *broken; i++) {
 		if (linear_check(broken[i].ops, broken[i].n, why, sizeof why) != LINEAR_BROKEN)
@@ -102,26 +102,26 @@
 	uint64_t version, value;
 };
 
-static int plain_step(const struct linear_op *op, struct plain_register *r)
+static int plain_step(const struct linear_op *operation, struct plain_register *plain_register)
 {
-	int applies = (op->base == LINEAR_ANY || op->base == r->version) && op->version > r->version;
+	int applies = (operation->base_version == LINEAR_ANY || operation->base_version == plain_register->version) && operation->version > plain_register->version;
 
-	if (op->kind == LINEAR_READ)
-		return op->version == r->version && op->value == r->value;
-	if (op->outcome == LINEAR_REFUSED)
+	if (operation->kind == LINEAR_READ)
+		return operation->version == plain_register->version && operation->value == plain_register->value;
+	if (operation->outcome == LINEAR_REFUSED)
 		return !applies;
 	if (applies)
-		*r = (struct plain_register){ op->version, op->value };
+		*plain_register = (struct plain_register){ operation->version, operation->value };
 	return applies;
 }
 
 /* Whether some order of the operations that are not used yet explains the history. */
-static int plain_search(const struct linear_op *ops, size_t n, unsigned used, struct plain_register r)
+static int plain_search(const struct linear_op *ops, size_t n, unsigned used, struct plain_register plain_register)
 {
 	int open = 0;
 
 	for (size_t i = 0; i < n; i++) {
-		struct plain_register after = r;
+		struct plain_register after = plain_register;
 		int too_late = 0;
 
 		if (used & 1u << i)
@@ -129,7 +129,7 @@
 		open |= ops[i].outcome != LINEAR_UNKNOWN;
 		for (size_t k = 0; k < n; k++) /* another had its answer before this one was requested */
 			too_late |=
-			    k != i && !(used & 1u << k) && ops[k].outcome != LINEAR_UNKNOWN && ops[k].returned < ops[i].called;
+			    k != i && !(used & 1u << k) && ops[k].outcome != LINEAR_UNKNOWN && ops[k].returned_at < ops[i].called_at;
 		if (!too_late && plain_step(&ops[i], &after) && plain_search(ops, n, used | 1u << i, after))
 			return 1;
 	}
@@ -138,20 +138,20 @@
 
 static struct linear_op random_op(uint64_t *rng)
 {
-	struct linear_op op = { .kind = core_rand(rng) % 3 ? LINEAR_WRITE : LINEAR_READ };
-
-	op.called = (int64_t)(core_rand(rng) % 12);
-	op.returned = op.called + (int64_t)(core_rand(rng) % 6);
-	if (op.kind == LINEAR_READ) {
-		op.version = core_rand(rng) % 4;
-		op.value = op.version ? 100 + op.version + 10 * (core_rand(rng) % 2) : 0;
-		return op;
+	struct linear_op operation = { .kind = core_random(rng) % 3 ? LINEAR_WRITE : LINEAR_READ };
+
+	operation.called_at = (int64_t)(core_random(rng) % 12);
+	operation.returned_at = operation.called_at + (int64_t)(core_random(rng) % 6);
+	if (operation.kind == LINEAR_READ) {
+		operation.version = core_random(rng) % 4;
+		operation.value = operation.version ? 100 + operation.version + 10 * (core_random(rng) % 2) : 0;
+		return operation;
 	}
-	op.outcome = core_rand(rng) % 2 ? LINEAR_OK : core_rand(rng) % 2 ? LINEAR_REFUSED : LINEAR_UNKNOWN;
-	op.base = core_rand(rng) % 6 ? core_rand(rng) % 3 : LINEAR_ANY;
-	op.version = 1 + core_rand(rng) % 3;
-	op.value = 100 + op.version + 10 * (core_rand(rng) % 2);
-	return op;
+	operation.outcome = core_random(rng) % 2 ? LINEAR_OK : core_random(rng) % 2 ? LINEAR_REFUSED : LINEAR_UNKNOWN;
+	operation.base_version = core_random(rng) % 6 ? core_random(rng) % 3 : LINEAR_ANY;
+	operation.version = 1 + core_random(rng) % 3;
+	operation.value = 100 + operation.version + 10 * (core_random(rng) % 2);
+	return operation;
 }
 
 static void random_histories_against_every_order(void **state)
@@ -163,13 +163,13 @@
 	(void)state;
 	for (size_t round = 0; round < rounds; round++) {
 		struct linear_op ops[6];
-		size_t n = 2 + core_rand(&rng) % 5;
+		size_t n = 2 + core_random(&rng) % 5;
 		int plain;
 
 		for (size_t i = 0; i < n; i++)
 			ops[i] = random_op(&rng);
 		plain = plain_search(ops, n, 0, (struct plain_register){ 0, 0 });
-		if ((linear_check(ops, n, why, sizeof why) == LINEAR_HOLDS) != plain) {
+		if ((linear_check(ops, n, why, sizeof why) == LINEAR_SATISFIED) != plain) {
 			for (size_t i = 0; i < n; i++) {
 				linear_print(&ops[i], why, sizeof why);
 				print_message("%s\n", why);
@@ -194,13 +194,13 @@
 
 	for (int64_t t = 0; n + AT_ONCE + 1 <= LONG; t += 100) {
 		for (int i = 0; i < AT_ONCE; i++) {
-			struct linear_op op = { LINEAR_WRITE,         LINEAR_REFUSED, t + i,
+			struct linear_op operation = { LINEAR_WRITE,         LINEAR_REFUSED, t + i,
 						t + 90 - i,           version,        version + 1 + (uint64_t)i,
 						(uint64_t)(t + i + 1) };
 
 			if (i == (int)(t / 100 % AT_ONCE))
-				op.outcome = t / 100 % 10 ? LINEAR_OK : LINEAR_UNKNOWN;
-			ops[n++] = op;
+				operation.outcome = t / 100 % 10 ? LINEAR_OK : LINEAR_UNKNOWN;
+			ops[n++] = operation;
 		}
 		version += 1 + (uint64_t)(t / 100 % AT_ONCE);
 		ops[n++] =
@@ -216,7 +216,7 @@
 	char why[400];
 
 	(void)state;
-	assert_int_equal(linear_check(ops, n, why, sizeof why), LINEAR_HOLDS);
+	assert_int_equal(linear_check(ops, n, why, sizeof why), LINEAR_SATISFIED);
 	ops[n / 2 / (AT_ONCE + 1) * (AT_ONCE + 1) - 1].version -= 1; /* one reading in the middle is of a version that never was */
 	assert_int_equal(linear_check(ops, n, why, sizeof why), LINEAR_BROKEN);
 	n = long_history(ops);
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -54,80 +54,80 @@
 	"killed, back with its disk", "wiped", "replaced, unplanned", "replaced, planned", "removed, unplanned", "removed, planned",
 };
 
-static uint64_t draw(struct sim *s, uint64_t n) { return core_rand(&s->rng) % n; }
+static uint64_t draw(struct sim *sim, uint64_t n) { return core_random(&sim->rng) % n; }
 
 static void check(struct sim *s)
 {
-	if (s->bad[0])
-		fail_msg("%s", s->bad);
+	if (s->violation[0])
+		fail_msg("%s", s->violation);
 }
 
-static int copies_of(const struct deployment *d) { return 2 * d->machine_losses + 1; }
+static int copies_of(const struct deployment *deployment) { return 2 * deployment->machine_losses + 1; }
 
-static void deploy(struct sim *s, const struct deployment *d, uint64_t seed)
+static void deploy(struct sim *sim, const struct deployment *deployment, uint64_t seed)
 {
 	uint64_t seeds[3];
 	char text[32];
 
-	sim_open(s, seed);
-	s->copies = copies_of(d);
-	s->catch_up_ms = CATCH_UP_MS;
+	sim_open(sim, seed);
+	sim->replica_count = copies_of(deployment);
+	sim->catch_up_ms = CATCH_UP_MS;
 	for (int i = 0; i < 3; i++) {
 		snprintf(text, sizeof text, "127.0.1.%d:7000", i + 1);
-		seeds[i] = core_addr(text);
+		seeds[i] = core_parse_addr(text);
 	}
-	for (int i = 0; i < d->machines; i++) {
-		snprintf(text, sizeof text, "z%d", i % d->zones + 1);
-		sim_registrar(s, text, seeds, 3);
+	for (int i = 0; i < deployment->machines; i++) {
+		snprintf(text, sizeof text, "z%d", i % deployment->zones + 1);
+		sim_add_controller(sim, text, seeds, 3);
 	}
-	controller_bootstrap(s->n[0].r, s->now + s->n[0].skew);
+	controller_bootstrap(sim->nodes[0].controller, sim->now + sim->nodes[0].clock_skew_ms);
 }
 
-static struct raft *raft_at(struct sim *s, int node, uint32_t shard) { return &s->n[node].r->part[shard]; }
+static struct raft *raft_at(struct sim *sim, int node, uint32_t shard) { return &sim->nodes[node].controller->shards[shard]; }
 
-static int is_live(const struct sim *s, int node) { return s->n[node].used && s->n[node].up && !s->n[node].frozen && s->n[node].r; }
+static int is_live(const struct sim *sim, int node) { return sim->nodes[node].used && sim->nodes[node].up && !sim->nodes[node].frozen && sim->nodes[node].controller; }
 
-static int node_by_id(const struct sim *s, uint64_t id)
+static int node_by_id(const struct sim *sim, uint64_t id)
 {
-	for (int i = 0; i < SIM_REGS; i++)
-		if (is_live(s, i) && s->n[i].id == id)
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
+		if (is_live(sim, i) && sim->nodes[i].id == id)
 			return i;
 	return -1;
 }
 
 /* Whether a committed entry, and so all before it, lies on a node's disk. */
-static int holds(const struct sim *s, int node, uint32_t shard, uint64_t index)
+static int holds(const struct sim *sim, int node, uint32_t shard, uint64_t index)
 {
-	const struct sim_disk_part *disk = &s->n[node].disk.p[shard];
-	const struct sim_entry *e;
+	const struct sim_disk_shard *disk = &sim->nodes[node].disk.shards[shard];
+	const struct sim_entry *entry;
 
 	if (disk->base >= index)
 		return 1;
-	if (!arrlen(disk->e) || index < disk->from || index - disk->from >= (uint64_t)arrlen(disk->e))
+	if (!arrlen(disk->entries) || index < disk->first || index - disk->first >= (uint64_t)arrlen(disk->entries))
 		return 0;
-	e = &disk->e[index - disk->from];
-	return core_hash(e->term * 4 + e->kind, e->data, e->len) == s->hash[shard][index - 1];
+	entry = &disk->entries[index - disk->first];
+	return core_hash(entry->term * 4 + entry->kind, entry->data, entry->len) == sim->entry_hashes[shard][index - 1];
 }
 
-static int holds_committed(const struct sim *s, int node, uint32_t shard)
+static int holds_committed(const struct sim *sim, int node, uint32_t shard)
 {
-	return holds(s, node, shard, (uint64_t)arrlen(s->hash[shard]));
+	return holds(sim, node, shard, (uint64_t)arrlen(sim->entry_hashes[shard]));
 }
 
 /* The member that would lead: the newest log of all live ones. */
-static int newest_member(struct sim *s, uint32_t shard)
+static int newest_member(struct sim *sim, uint32_t shard)
 {
 	int newest = -1;
 	uint64_t newest_term = 0, newest_last = 0;
 
-	for (int i = 0; i < SIM_REGS; i++) {
+	for (int i = 0; i < SIM_CONTROLLERS; i++) {
 		const struct raft *raft;
 		uint64_t last, term;
 
-		if (!is_live(s, i) || !raft_at(s, i, shard)->member_count)
+		if (!is_live(sim, i) || !raft_at(sim, i, shard)->member_count)
 			continue;
-		raft = raft_at(s, i, shard);
-		last = raft->base + (uint64_t)arrlen(raft->log);
+		raft = raft_at(sim, i, shard);
+		last = raft->base_index + (uint64_t)arrlen(raft->log);
 		term = arrlen(raft->log) ? arrlast(raft->log).term : raft->base_term;
 		if (newest >= 0 && (term < newest_term || (term == newest_term && last <= newest_last)))
 			continue;
@@ -138,83 +138,83 @@
 	return newest;
 }
 
-static int survives_with(struct sim *s, uint32_t shard, const struct Nl__Members *m, unsigned lost)
+static int survives_with(struct sim *sim, uint32_t shard, const struct Nl__Members *members, unsigned lost)
 {
 	int voters = 0, live = 0, holders = 0;
 
-	for (size_t i = 0; m && i < m->n_m; i++) {
-		int node = node_by_id(s, m->m[i]->id);
+	for (size_t i = 0; members && i < members->n_m; i++) {
+		int node = node_by_id(sim, members->m[i]->id);
 
-		if (!m->m[i]->voter)
+		if (!members->m[i]->voter)
 			continue;
 		voters++;
 		if (node < 0 || lost >> node & 1)
 			continue;
 		live++;
-		holders += holds_committed(s, node, shard);
+		holders += holds_committed(sim, node, shard);
 	}
 	return live > voters / 2 && holders > 0;
 }
 
 /* Whether a shard goes on without the nodes in lost, under each membership that may still come to hold. */
-static int shard_survives(struct sim *s, uint32_t shard, unsigned lost)
+static int shard_survives(struct sim *sim, uint32_t shard, unsigned lost)
 {
-	int node = newest_member(s, shard), seen = 0, ok = 1;
+	int node = newest_member(sim, shard), seen = 0, ok = 1;
 	const struct raft *raft;
 
 	if (node < 0)
 		return 0;
-	raft = raft_at(s, node, shard);
+	raft = raft_at(sim, node, shard);
 	for (ptrdiff_t i = arrlen(raft->log) - 1; i >= 0 && ok; i--) {
-		struct Nl__Members *m;
+		struct Nl__Members *members;
 
 		if (raft->log[i].kind != RAFT_ENTRY_MEMBERS)
 			continue;
-		m = nl__members__unpack(NULL, raft->log[i].len, raft->log[i].data);
-		ok = survives_with(s, shard, m, lost);
-		nl__members__free_unpacked(m, NULL);
+		members = nl__members__unpack(NULL, raft->log[i].len, raft->log[i].data);
+		ok = survives_with(sim, shard, members, lost);
+		nl__members__free_unpacked(members, NULL);
 		seen++;
-		if (raft->base + 1 + (uint64_t)i <= (uint64_t)arrlen(s->hash[shard]))
+		if (raft->base_index + 1 + (uint64_t)i <= (uint64_t)arrlen(sim->entry_hashes[shard]))
 			return ok;
 	}
 	if (raft->snapshot_members_len && ok) {
-		struct Nl__Members *m = nl__members__unpack(NULL, raft->snapshot_members_len, raft->snapshot_members);
+		struct Nl__Members *members = nl__members__unpack(NULL, raft->snapshot_members_len, raft->snapshot_members);
 
-		ok = survives_with(s, shard, m, lost);
-		nl__members__free_unpacked(m, NULL);
+		ok = survives_with(sim, shard, members, lost);
+		nl__members__free_unpacked(members, NULL);
 		seen++;
 	}
 	return ok && seen;
 }
 
-static int all_survive(struct sim *s, unsigned lost)
+static int all_survive(struct sim *sim, unsigned lost)
 {
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++)
-		if (!shard_survives(s, shard, lost))
+		if (!shard_survives(sim, shard, lost))
 			return 0;
 	return 1;
 }
 
-static unsigned zone_mask(const struct sim *s, const char *zone)
+static unsigned zone_mask(const struct sim *sim, const char *zone)
 {
 	unsigned mask = 0;
 
-	for (int i = 0; i < SIM_REGS; i++)
-		if (s->n[i].used && !strcmp(s->n[i].zone, zone))
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
+		if (sim->nodes[i].used && !strcmp(sim->nodes[i].zone, zone))
 			mask |= 1u << i;
 	return mask;
 }
 
 /* Whether any loss that the deployment tolerates would be survived right now. */
-static int tolerance_is_whole(struct sim *s, const struct deployment *d)
+static int tolerance_is_whole(struct sim *sim, const struct deployment *deployment)
 {
-	for (int a = 0; a < SIM_REGS; a++) {
-		if (!is_live(s, a))
+	for (int a = 0; a < SIM_CONTROLLERS; a++) {
+		if (!is_live(sim, a))
 			continue;
-		if (d->zone_losses ? !all_survive(s, zone_mask(s, s->n[a].zone)) : !all_survive(s, 1u << a))
+		if (deployment->zone_losses ? !all_survive(sim, zone_mask(sim, sim->nodes[a].zone)) : !all_survive(sim, 1u << a))
 			return 0;
-		for (int b = a + 1; b < SIM_REGS && d->machine_losses > 1; b++)
-			if (is_live(s, b) && !all_survive(s, 1u << a | 1u << b))
+		for (int b = a + 1; b < SIM_CONTROLLERS && deployment->machine_losses > 1; b++)
+			if (is_live(sim, b) && !all_survive(sim, 1u << a | 1u << b))
 				return 0;
 	}
 	return 1;
@@ -223,39 +223,39 @@
 static int64_t next_load_at;
 
 /* Let time pass under a load of changes; runs until done says so or the time is over. */
-static void pass(struct sim *s, int64_t ms)
+static void pass(struct sim *sim, int64_t ms)
 {
-	int64_t end = s->now + ms;
+	int64_t end = sim->now + ms;
 
-	while (s->now < end) {
-		int64_t step = end - s->now < SAMPLE_MS ? end - s->now : SAMPLE_MS;
-		int node = (int)draw(s, SIM_REGS);
+	while (sim->now < end) {
+		int64_t step = end - sim->now < SAMPLE_MS ? end - sim->now : SAMPLE_MS;
+		int node = (int)draw(sim, SIM_CONTROLLERS);
 
-		if (s->now >= next_load_at && is_live(s, node)) {
+		if (sim->now >= next_load_at && is_live(sim, node)) {
 			char body[128];
 
 			snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}]}",
-				 (int)draw(s, 4), 1 + (int)draw(s, 1000));
-			sim_call(s, node, "POST", "/v1/change", body);
-			next_load_at = s->now + LOAD_EVERY_MS;
+				 (int)draw(sim, 4), 1 + (int)draw(sim, 1000));
+			sim_call(sim, node, "POST", "/v1/change", body);
+			next_load_at = sim->now + LOAD_EVERY_MS;
 		}
-		if (!sim_run(s, step, NULL))
-			check(s);
+		if (!sim_run(sim, step, NULL))
+			check(sim);
 	}
 }
 
-static int groups_are_full(struct sim *s, const struct deployment *d)
+static int groups_are_full(struct sim *sim, const struct deployment *deployment)
 {
-	int want = copies_of(d) < d->machines ? copies_of(d) : d->machines;
+	int expected = copies_of(deployment) < deployment->machines ? copies_of(deployment) : deployment->machines;
 
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
-		int leader = sim_owner(s, shard), voters = 0;
+		int leader = sim_leader(sim, shard), voters = 0;
 
-		if (leader < 0 || raft_at(s, leader, shard)->members_index > raft_at(s, leader, shard)->commit)
+		if (leader < 0 || raft_at(sim, leader, shard)->members_index > raft_at(sim, leader, shard)->commit_index)
 			return 0;
-		for (int i = 0; i < raft_at(s, leader, shard)->member_count; i++)
-			voters += raft_at(s, leader, shard)->members[i].voter;
-		if (voters != want || raft_at(s, leader, shard)->member_count != want)
+		for (int i = 0; i < raft_at(sim, leader, shard)->member_count; i++)
+			voters += raft_at(sim, leader, shard)->members[i].voter;
+		if (voters != expected || raft_at(sim, leader, shard)->member_count != expected)
 			return 0;
 	}
 	return 1;
@@ -274,14 +274,14 @@
 }
 
 /* Whether all voters but one have on their disks what was committed up to an index, as far as they answer. */
-static int others_hold(struct sim *s, int node, uint32_t shard, uint64_t index)
+static int others_have_synced(struct sim *sim, int node, uint32_t shard, uint64_t index)
 {
-	const struct raft *raft = raft_at(s, node, shard);
+	const struct raft *raft = raft_at(sim, node, shard);
 
 	for (int i = 0; i < raft->member_count; i++) {
-		int other = node_by_id(s, raft->members[i].id);
+		int other = node_by_id(sim, raft->members[i].id);
 
-		if (raft->members[i].voter && other >= 0 && other != node && !holds(s, other, shard, index))
+		if (raft->members[i].voter && other >= 0 && other != node && !holds(sim, other, shard, index))
 			return 0;
 	}
 	return 1;
@@ -289,99 +289,99 @@
 
 /* A planned stop, as the process does it: it ends when it says that it may, or when the grace is over. It then leads
  * nothing, and the others hold what it held. */
-static int64_t stop(struct sim *s, int node)
+static int64_t stop(struct sim *sim, int node)
 {
-	int64_t from = s->now;
+	int64_t from = sim->now;
 	uint64_t committed[SHARD_COUNT];
 
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++)
-		committed[shard] = (uint64_t)arrlen(s->hash[shard]);
-	sim_stop(s, node);
-	pass(s, 1);
-	while (s->now - from < GRACE_MS && !controller_stopped(s->n[node].r, sim_local(s, node)))
-		pass(s, 5);
-	for (uint32_t shard = 0; shard < SHARD_COUNT && s->now - from < GRACE_MS; shard++) {
-		const struct raft *raft = raft_at(s, node, shard);
+		committed[shard] = (uint64_t)arrlen(sim->entry_hashes[shard]);
+	sim_stop(sim, node);
+	pass(sim, 1);
+	while (sim->now - from < GRACE_MS && !controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
+		pass(sim, 5);
+	for (uint32_t shard = 0; shard < SHARD_COUNT && sim->now - from < GRACE_MS; shard++) {
+		const struct raft *raft = raft_at(sim, node, shard);
 
 		assert_int_not_equal(raft->role, RAFT_LEADER);
-		if (raft->commit >= committed[shard] && !others_hold(s, node, shard, committed[shard]))
-			fail_msg("seed %llu: node %d goes, and another copy of shard %u is behind", (unsigned long long)s->seed,
+		if (raft->commit_index >= committed[shard] && !others_have_synced(sim, node, shard, committed[shard]))
+			fail_msg("seed %llu: node %d goes, and another copy of shard %u is behind", (unsigned long long)sim->seed,
 				 node, shard);
 	}
-	return s->now - from;
+	return sim->now - from;
 }
 
 /* Another machine takes the place: a new address, an empty disk. */
-static void start_successor(struct sim *s, int node)
+static void start_successor(struct sim *sim, int node)
 {
 	static int serial;
 	char text[32];
 
 	snprintf(text, sizeof text, "127.0.7.%d:7000", 1 + serial++ % 250);
-	s->n[node].addr = core_addr(text);
-	sim_start(s, node);
+	sim->nodes[node].addr = core_parse_addr(text);
+	sim_start(sim, node);
 }
 
-static int any_live(struct sim *s, const struct deployment *d)
+static int any_live(struct sim *sim, const struct deployment *deployment)
 {
 	int node;
 
 	do
-		node = (int)draw(s, (uint64_t)d->machines);
-	while (!is_live(s, node));
+		node = (int)draw(sim, (uint64_t)deployment->machines);
+	while (!is_live(sim, node));
 	return node;
 }
 
 /* The machines that go in this run: so many as the deployment tolerates at once, often a leader among them. */
-static unsigned choose_lost(struct sim *s, const struct deployment *d)
+static unsigned choose_lost(struct sim *sim, const struct deployment *deployment)
 {
-	int first = draw(s, 2) && sim_owner(s, SHARD_CONTROL) >= 0 ? sim_owner(s, SHARD_CONTROL) : any_live(s, d);
+	int first = draw(sim, 2) && sim_leader(sim, SHARD_CONTROL) >= 0 ? sim_leader(sim, SHARD_CONTROL) : any_live(sim, deployment);
 	unsigned lost = 1u << first;
 
-	if (d->zone_losses)
-		return zone_mask(s, s->n[first].zone);
-	for (int i = 1; i < d->machine_losses; i++)
+	if (deployment->zone_losses)
+		return zone_mask(sim, sim->nodes[first].zone);
+	for (int i = 1; i < deployment->machine_losses; i++)
 		while (__builtin_popcount(lost) <= i)
-			lost |= 1u << any_live(s, d);
+			lost |= 1u << any_live(sim, deployment);
 	return lost;
 }
 
 /* Bring a fault about; the time from which the catch-up bound runs. */
-static int64_t bring_about(struct sim *s, const struct deployment *d, enum fault fault, unsigned lost)
+static int64_t bring_about(struct sim *sim, const struct deployment *deployment, enum fault fault, unsigned lost)
 {
 	int planned = fault == REPLACED_PLANNED || fault == REMOVED_PLANNED;
 	int returns = fault != REMOVED && fault != REMOVED_PLANNED;
-	int64_t away = 50 + (int64_t)draw(s, draw(s, 2) ? 600 : 8000);
+	int64_t away = 50 + (int64_t)draw(sim, draw(sim, 2) ? 600 : 8000);
 
-	(void)d;
-	for (int i = 0; i < SIM_REGS; i++)
+	(void)deployment;
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
 		if (lost >> i & 1) {
 			if (planned)
-				stop(s, i);
-			sim_crash(s, i, fault != KILLED);
+				stop(sim, i);
+			sim_crash(sim, i, fault != KILLED);
 		}
 	if (!returns)
-		return s->now;
-	pass(s, away);
-	for (int i = 0; i < SIM_REGS; i++)
+		return sim->now;
+	pass(sim, away);
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
 		if (lost >> i & 1) {
 			if (fault == REPLACED || fault == REPLACED_PLANNED)
-				start_successor(s, i);
+				start_successor(sim, i);
 			else
-				sim_start(s, i);
+				sim_start(sim, i);
 		}
-	return s->now;
+	return sim->now;
 }
 
 /* How long after from the fleet was last exposed to a loss that it has to tolerate. */
-static int64_t exposed_for(struct sim *s, const struct deployment *d, int64_t from)
+static int64_t exposed_for(struct sim *sim, const struct deployment *deployment, int64_t from)
 {
 	int64_t last_exposed = from - SAMPLE_MS;
 
-	while (s->now - from < WINDOW_MS) {
-		if (!tolerance_is_whole(s, d))
-			last_exposed = s->now;
-		pass(s, SAMPLE_MS);
+	while (sim->now - from < WINDOW_MS) {
+		if (!tolerance_is_whole(sim, deployment))
+			last_exposed = sim->now;
+		pass(sim, SAMPLE_MS);
 	}
 	return last_exposed + SAMPLE_MS - from;
 }
@@ -393,12 +393,12 @@
 	return (x > y) - (x < y);
 }
 
-static void print_times(const struct deployment *d, enum fault fault, int64_t *times)
+static void print_times(const struct deployment *deployment, enum fault fault, int64_t *times)
 {
 	size_t n = (size_t)arrlen(times);
 
 	qsort(times, n, sizeof *times, compare_times);
-	print_message("%-20s | %-26s | %5zu | %5lld | %5lld | %5lld | %5lld\n", d->name, fault_names[fault], n,
+	print_message("%-20s | %-26s | %5zu | %5lld | %5lld | %5lld | %5lld\n", deployment->name, fault_names[fault], n,
 		      (long long)times[n / 2], (long long)times[n * 95 / 100], (long long)times[n * 99 / 100],
 		      (long long)times[n - 1]);
 }
@@ -415,31 +415,31 @@
 	print_message("%-20s | %-26s | %5s | %5s | %5s | %5s | %5s\n", "deployment", "loss", "runs", "p50", "p95", "p99", "most");
 	for (int k = 0; k < DEPLOYMENTS; k++)
 		for (int fault = 0; fault < FAULTS; fault++) {
-			const struct deployment *d = &deployments[k];
-			int spare = d->machines - copies_of(d);
+			const struct deployment *deployment = &deployments[k];
+			int spare = deployment->machines - copies_of(deployment);
 			int64_t *times = NULL;
 
 			if (only && k != atoi(only))
 				continue;
-			if ((fault == REMOVED || fault == REMOVED_PLANNED) && (d->zone_losses || spare < d->machine_losses))
+			if ((fault == REMOVED || fault == REMOVED_PLANNED) && (deployment->zone_losses || spare < deployment->machine_losses))
 				continue; /* no machine is left to take the place */
 			for (int seed = 1; seed <= seeds; seed++) {
-				struct sim s;
+				struct sim sim;
 				int64_t t;
 
-				deploy(&s, d, (uint64_t)(seed + 100000 * k + 10000000 * fault));
-				settle(&s, d);
-				t = bring_about(&s, d, (enum fault)fault, choose_lost(&s, d));
-				t = exposed_for(&s, d, t);
+				deploy(&sim, deployment, (uint64_t)(seed + 100000 * k + 10000000 * fault));
+				settle(&sim, deployment);
+				t = bring_about(&sim, deployment, (enum fault)fault, choose_lost(&sim, deployment));
+				t = exposed_for(&sim, deployment, t);
 				arrput(times, t);
 				late += t > CATCH_UP_MS;
 				if (t > CATCH_UP_MS)
-					print_message("late: %s, %s, seed %d: %lld ms\n", d->name, fault_names[fault], seed,
+					print_message("late: %s, %s, seed %d: %lld ms\n", deployment->name, fault_names[fault], seed,
 						      (long long)t);
-				check(&s);
-				sim_close(&s);
+				check(&sim);
+				sim_close(&sim);
 			}
-			print_times(d, (enum fault)fault, times);
+			print_times(deployment, (enum fault)fault, times);
 			arrfree(times);
 		}
 	assert_int_equal(late, 0);
@@ -450,31 +450,31 @@
 {
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds_or(6); seed++) {
-		struct sim s;
+		struct sim sim;
 		int leader, behind;
 		int64_t took;
 
-		deploy(&s, &deployments[0], seed);
-		settle(&s, &deployments[0]);
-		leader = sim_owner(&s, SHARD_CONTROL);
+		deploy(&sim, &deployments[0], seed);
+		settle(&sim, &deployments[0]);
+		leader = sim_leader(&sim, SHARD_CONTROL);
 		behind = (leader + 1 + (int)(seed % 2)) % 3;
 		for (int i = 0; i < 3; i++)
-			s.link_cut[i][behind] = s.link_cut[behind][i] = i != behind;
-		pass(&s, 1000);
+			sim.link_cut[i][behind] = sim.link_cut[behind][i] = i != behind;
+		pass(&sim, 1000);
 		/* the link heals while the member waits */
-		sim_stop(&s, leader);
-		pass(&s, 1500);
-		assert_false(controller_stopped(s.n[leader].r, sim_local(&s, leader)));
-		memset(s.link_cut, 0, sizeof s.link_cut);
-		took = stop(&s, leader);
+		sim_stop(&sim, leader);
+		pass(&sim, 1500);
+		assert_false(controller_stopped(sim.nodes[leader].controller, sim_local(&sim, leader)));
+		memset(sim.link_cut, 0, sizeof sim.link_cut);
+		took = stop(&sim, leader);
 		if (took > 3000)
 			fail_msg("seed %llu: gone %lld ms after the heal", (unsigned long long)seed, (long long)took);
-		sim_crash(&s, leader, 1);
-		sim_start(&s, leader);
-		pass(&s, CATCH_UP_MS);
-		assert_true(tolerance_is_whole(&s, &deployments[0]));
-		check(&s);
-		sim_close(&s);
+		sim_crash(&sim, leader, 1);
+		sim_start(&sim, leader);
+		pass(&sim, CATCH_UP_MS);
+		assert_true(tolerance_is_whole(&sim, &deployments[0]));
+		check(&sim);
+		sim_close(&sim);
 	}
 }
 
@@ -485,16 +485,16 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds_or(10); seed++) {
-		const struct deployment *d = &deployments[seed % DEPLOYMENTS];
-		struct sim s;
+		const struct deployment *deployment = &deployments[seed % DEPLOYMENTS];
+		struct sim sim;
 		int64_t took;
 
-		deploy(&s, d, seed);
-		settle(&s, d);
-		took = stop(&s, any_live(&s, d));
+		deploy(&sim, deployment, seed);
+		settle(&sim, deployment);
+		took = stop(&sim, any_live(&sim, deployment));
 		most = took > most ? took : most;
-		check(&s);
-		sim_close(&s);
+		check(&sim);
+		sim_close(&sim);
 	}
 	print_message("a planned stop takes %lld ms at most\n", (long long)most);
 	assert_true(most <= 2000);
@@ -505,101 +505,101 @@
 {
 	(void)state;
 	for (int k = 0; k < DEPLOYMENTS; k += 3) {
-		const struct deployment *d = &deployments[k];
-		struct sim s;
-
-		deploy(&s, d, 77 + (uint64_t)k);
-		settle(&s, d);
-		for (int i = 0; i < d->machines; i++) {
-			stop(&s, i);
-			sim_crash(&s, i, 1);
-			pass(&s, (int64_t)draw(&s, 3000));
-			start_successor(&s, i);
-			pass(&s, CATCH_UP_MS);
-			check(&s);
-			if (!tolerance_is_whole(&s, d))
-				fail_msg("%s: exposed after %d", d->name, i);
+		const struct deployment *deployment = &deployments[k];
+		struct sim sim;
+
+		deploy(&sim, deployment, 77 + (uint64_t)k);
+		settle(&sim, deployment);
+		for (int i = 0; i < deployment->machines; i++) {
+			stop(&sim, i);
+			sim_crash(&sim, i, 1);
+			pass(&sim, (int64_t)draw(&sim, 3000));
+			start_successor(&sim, i);
+			pass(&sim, CATCH_UP_MS);
+			check(&sim);
+			if (!tolerance_is_whole(&sim, deployment))
+				fail_msg("%s: exposed after %d", deployment->name, i);
 		}
-		sim_close(&s);
+		sim_close(&sim);
 	}
 }
 
 /* Two machines are told to stop at once, where the deployment tolerates one loss; spare ones take the places. */
 static void two_leave_at_once(void **state)
 {
-	const struct deployment *d = &deployments[4];
+	const struct deployment *deployment = &deployments[4];
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds_or(6); seed++) {
-		struct sim s;
+		struct sim sim;
 		int a, b;
 		int64_t from;
 
-		deploy(&s, d, seed);
-		settle(&s, d);
-		a = sim_owner(&s, SHARD_CONTROL);
+		deploy(&sim, deployment, seed);
+		settle(&sim, deployment);
+		a = sim_leader(&sim, SHARD_CONTROL);
 		do
-			b = any_live(&s, d);
+			b = any_live(&sim, deployment);
 		while (b == a);
-		sim_stop(&s, a);
-		sim_stop(&s, b);
-		from = s.now;
-		while (s.now - from < GRACE_MS && (s.n[a].up || s.n[b].up)) {
-			pass(&s, 5);
-			if (s.n[a].up && controller_stopped(s.n[a].r, sim_local(&s, a)))
-				sim_crash(&s, a, 1);
-			if (s.n[b].up && controller_stopped(s.n[b].r, sim_local(&s, b)))
-				sim_crash(&s, b, 1);
+		sim_stop(&sim, a);
+		sim_stop(&sim, b);
+		from = sim.now;
+		while (sim.now - from < GRACE_MS && (sim.nodes[a].up || sim.nodes[b].up)) {
+			pass(&sim, 5);
+			if (sim.nodes[a].up && controller_stopped(sim.nodes[a].controller, sim_local(&sim, a)))
+				sim_crash(&sim, a, 1);
+			if (sim.nodes[b].up && controller_stopped(sim.nodes[b].controller, sim_local(&sim, b)))
+				sim_crash(&sim, b, 1);
 		}
-		if (s.n[a].up || s.n[b].up)
-			fail_msg("seed %llu: %d %d still there after the grace", (unsigned long long)seed, s.n[a].up, s.n[b].up);
-		if (!all_survive(&s, 0))
+		if (sim.nodes[a].up || sim.nodes[b].up)
+			fail_msg("seed %llu: %d %d still there after the grace", (unsigned long long)seed, sim.nodes[a].up, sim.nodes[b].up);
+		if (!all_survive(&sim, 0))
 			fail_msg("seed %llu: a majority left", (unsigned long long)seed);
-		pass(&s, CATCH_UP_MS);
-		assert_true(tolerance_is_whole(&s, d));
-		check(&s);
-		sim_close(&s);
+		pass(&sim, CATCH_UP_MS);
+		assert_true(tolerance_is_whole(&sim, deployment));
+		check(&sim);
+		sim_close(&sim);
 	}
 }
 
-static int all_led(struct sim *s)
+static int all_led(struct sim *sim)
 {
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++)
-		if (sim_owner(s, shard) < 0)
+		if (sim_leader(sim, shard) < 0)
 			return 0;
 	return 1;
 }
 
 /* Right after an acknowledgement so many machines as the deployment tolerates lose their disks, and often all others their
  * power; all that were up before come back. */
-static void lose_disks_after_an_acknowledgement(struct sim *s, const struct deployment *d, const char *tenant)
+static void lose_disks_after_an_acknowledgement(struct sim *sim, const struct deployment *deployment, const char *tenant)
 {
 	unsigned up = 0, lost;
-	int power = (int)draw(s, 2), held = 0;
+	int power = (int)draw(sim, 2), held = 0;
 	char body[128];
 
 	snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"%s\",\"share\":1,\"limit\":5}]}", tenant);
-	if (!sim_change(s, body, 4000))
-		fail_msg("%s, seed %llu: no acknowledgement; %s", d->name, (unsigned long long)s->seed, s->bad);
-	lost = choose_lost(s, d);
-	for (int i = 0; i < SIM_REGS; i++)
-		if (is_live(s, i) && (power || lost >> i & 1)) {
+	if (!sim_change(sim, body, 4000))
+		fail_msg("%s, seed %llu: no acknowledgement; %s", deployment->name, (unsigned long long)sim->seed, sim->violation);
+	lost = choose_lost(sim, deployment);
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
+		if (is_live(sim, i) && (power || lost >> i & 1)) {
 			up |= 1u << i;
-			sim_crash(s, i, (int)(lost >> i & 1));
+			sim_crash(sim, i, (int)(lost >> i & 1));
 		}
-	pass(s, 100 + (int64_t)draw(s, 900));
-	for (int i = 0; i < SIM_REGS; i++)
+	pass(sim, 100 + (int64_t)draw(sim, 900));
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
 		if (up >> i & 1)
-			sim_start(s, i);
-	sim_run(s, 12000, all_led);
-	check(s);
-	if (!all_led(s))
-		fail_msg("%s, seed %llu: a group stays without a leader", d->name, (unsigned long long)s->seed);
-	pass(s, 500);
-	for (int i = 0; i < SIM_REGS; i++)
-		held |= is_live(s, i) && table_get(&s->n[i].r->ctl, NL__KIND__TENANT, tenant) != NULL;
+			sim_start(sim, i);
+	sim_run(sim, 12000, all_led);
+	check(sim);
+	if (!all_led(sim))
+		fail_msg("%s, seed %llu: a group stays without a leader", deployment->name, (unsigned long long)sim->seed);
+	pass(sim, 500);
+	for (int i = 0; i < SIM_CONTROLLERS; i++)
+		held |= is_live(sim, i) && config_table_get(&sim->nodes[i].controller->config, NL__KIND__TENANT, tenant) != NULL;
 	if (!held)
-		fail_msg("%s, seed %llu: acknowledged, and lost", d->name, (unsigned long long)s->seed);
+		fail_msg("%s, seed %llu: acknowledged, and lost", deployment->name, (unsigned long long)sim->seed);
 }
 
 /* After each kind of loss and the catch-up bound the next one comes at any moment, and again after that. */
@@ -610,30 +610,30 @@
 	(void)state;
 	for (int k = 0; k < DEPLOYMENTS; k++)
 		for (int fault = 0; fault < FAULTS; fault++) {
-			const struct deployment *d = &deployments[k];
+			const struct deployment *deployment = &deployments[k];
 
 			if ((fault == REMOVED || fault == REMOVED_PLANNED) &&
-			    (d->zone_losses || d->machines - copies_of(d) < d->machine_losses))
+			    (deployment->zone_losses || deployment->machines - copies_of(deployment) < deployment->machine_losses))
 				continue;
 			for (int seed = 1; seed <= seeds; seed++, runs++) {
-				struct sim s;
-
-				deploy(&s, d, (uint64_t)(50000000 + seed + 100000 * k + 10000000 * fault));
-				settle(&s, d);
-				bring_about(&s, d, (enum fault)fault, choose_lost(&s, d));
-				pass(&s, CATCH_UP_MS + (int64_t)draw(&s, 3000));
-				lose_disks_after_an_acknowledgement(&s, d, "first");
-				pass(&s, CATCH_UP_MS + (int64_t)draw(&s, 3000));
-				lose_disks_after_an_acknowledgement(&s, d, "second");
-				check(&s);
-				sim_close(&s);
+				struct sim sim;
+
+				deploy(&sim, deployment, (uint64_t)(50000000 + seed + 100000 * k + 10000000 * fault));
+				settle(&sim, deployment);
+				bring_about(&sim, deployment, (enum fault)fault, choose_lost(&sim, deployment));
+				pass(&sim, CATCH_UP_MS + (int64_t)draw(&sim, 3000));
+				lose_disks_after_an_acknowledgement(&sim, deployment, "first");
+				pass(&sim, CATCH_UP_MS + (int64_t)draw(&sim, 3000));
+				lose_disks_after_an_acknowledgement(&sim, deployment, "second");
+				check(&sim);
+				sim_close(&sim);
 			}
 		}
 	print_message("%d runs of three losses one after another\n", runs);
 }
 
 /* A change of many rows, so that the log of a few hundred is far larger than the state. */
-static void large_change(struct sim *s, int number)
+static void large_change(struct sim *sim, int number)
 {
 	char body[LARGE_CHANGE_ROWS * 100 + 100];
 	size_t n = (size_t)snprintf(body, sizeof body, "{\"set\":[");
@@ -643,7 +643,7 @@
 				      "%s{\"kind\":\"tenant\",\"name\":\"tenant-with-a-long-name-%d\",\"share\":1,\"limit\":%d}",
 				      i ? "," : "", i, 1 + number);
 	snprintf(body + n, sizeof body - n, "]}");
-	sim_call(s, number % 3, "POST", "/v1/change", body);
+	sim_call(sim, number % 3, "POST", "/v1/change", body);
 }
 
 /* A machine is back with an empty disk, where syncs take 25 ms, links are slow and many hundred changes lie behind. Once the catch-up bound
@@ -654,67 +654,67 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds; seed++) {
-		struct sim s;
+		struct sim sim;
 		int wiped, leader;
-		uint64_t edition;
+		uint64_t revision;
 
-		deploy(&s, &deployments[0], seed);
-		settle(&s, &deployments[0]);
-		s.disk_ms = 25;
-		s.bytes_per_ms = SLOW_BYTES_PER_MS;
+		deploy(&sim, &deployments[0], seed);
+		settle(&sim, &deployments[0]);
+		sim.disk_ms = 25;
+		sim.bytes_per_ms = SLOW_BYTES_PER_MS;
 		for (int i = 0; i < LARGE_CHANGES; i++) {
-			large_change(&s, i);
-			assert_true(sim_run(&s, 50, NULL));
+			large_change(&sim, i);
+			assert_true(sim_run(&sim, 50, NULL));
 		}
 		wiped = (int)(seed % 3);
-		sim_crash(&s, wiped, 1);
-		pass(&s, 16000);
-		sim_start(&s, wiped);
-		pass(&s, CATCH_UP_MS + 50);
-		edition = sim_change(&s, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"last\",\"share\":1,\"limit\":5}]}", 4000);
-		check(&s);
-		assert_true(edition > 0);
-		leader = sim_owner(&s, SHARD_CONTROL);
+		sim_crash(&sim, wiped, 1);
+		pass(&sim, 16000);
+		sim_start(&sim, wiped);
+		pass(&sim, CATCH_UP_MS + 50);
+		revision = sim_change(&sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"last\",\"share\":1,\"limit\":5}]}", 4000);
+		check(&sim);
+		assert_true(revision > 0);
+		leader = sim_leader(&sim, SHARD_CONTROL);
 		assert_int_not_equal(leader, -1);
 		for (int i = 0; i < 3; i++)
-			sim_crash(&s, i, i == leader);
-		pass(&s, 500);
+			sim_crash(&sim, i, i == leader);
+		pass(&sim, 500);
 		for (int i = 0; i < 3; i++)
-			sim_start(&s, i);
-		sim_run(&s, 12000, all_led);
-		check(&s);
-		if (!all_led(&s))
+			sim_start(&sim, i);
+		sim_run(&sim, 12000, all_led);
+		check(&sim);
+		if (!all_led(&sim))
 			fail_msg("seed %llu: a group stays without a leader", (unsigned long long)seed);
-		pass(&s, 500);
-		assert_non_null(table_get(&s.n[sim_owner(&s, SHARD_CONTROL)].r->ctl, NL__KIND__TENANT, "last"));
-		sim_close(&s);
+		pass(&sim, 500);
+		assert_non_null(config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, "last"));
+		sim_close(&sim);
 	}
 }
 
 /* All three seeds come back with empty disks and know only each other: the others tell them of the fleet. */
 static void seeds_with_empty_disks_find_the_fleet(void **state)
 {
-	const struct deployment *d = &deployments[5];
+	const struct deployment *deployment = &deployments[5];
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= 4; seed++) {
-		struct sim s;
-
-		deploy(&s, d, seed);
-		settle(&s, d);
-		sim_crash(&s, 0, 1);
-		sim_crash(&s, 1, 1);
-		pass(&s, CATCH_UP_MS);
-		sim_crash(&s, 2, 1);
-		pass(&s, (int64_t)draw(&s, 3000));
+		struct sim sim;
+
+		deploy(&sim, deployment, seed);
+		settle(&sim, deployment);
+		sim_crash(&sim, 0, 1);
+		sim_crash(&sim, 1, 1);
+		pass(&sim, CATCH_UP_MS);
+		sim_crash(&sim, 2, 1);
+		pass(&sim, (int64_t)draw(&sim, 3000));
 		for (int i = 0; i < 3; i++)
-			sim_start(&s, i);
-		pass(&s, CATCH_UP_MS);
-		check(&s);
+			sim_start(&sim, i);
+		pass(&sim, CATCH_UP_MS);
+		check(&sim);
 		for (int i = 0; i < 3; i++)
-			assert_int_equal(s.n[i].r->fleet, s.n[3].r->fleet);
-		assert_true(tolerance_is_whole(&s, d));
-		sim_close(&s);
+			assert_int_equal(sim.nodes[i].controller->fleet, sim.nodes[3].controller->fleet);
+		assert_true(tolerance_is_whole(&sim, deployment));
+		sim_close(&sim);
 	}
 }
 
@@ -723,121 +723,121 @@
 /* A silent voter's successor is prepared as a learner, and goes again when the voter returns. */
 static void a_short_silence_moves_no_member(void **state)
 {
-	struct leader l;
+	struct leader leader;
 
 	(void)state;
-	leader_begin(&l, 3);
-	leader_beat(&l, 1700, 1u << 2);
-	leader_reconfigure(&l);
-	assert_non_null(leader_member(&l, 4));
-	assert_false(leader_member(&l, 4)->voter);
-	leader_beat(&l, 300, 1u << 2 | 1u << 4);
-	leader_reconfigure(&l); /* caught up, but member 3 is not given up yet */
-	assert_false(leader_member(&l, 4)->voter);
-	assert_non_null(leader_member(&l, 3));
-	leader_beat(&l, 150, 1u << 2 | 1u << 3 | 1u << 4);
-	leader_reconfigure(&l);
-	assert_null(leader_member(&l, 4));
-	assert_int_equal(l.raft.member_count, 3);
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	leader_run_heartbeats(&leader, 1700, 1u << 2);
+	leader_reconfigure(&leader);
+	assert_non_null(leader_member(&leader, 4));
+	assert_false(leader_member(&leader, 4)->voter);
+	leader_run_heartbeats(&leader, 300, 1u << 2 | 1u << 4);
+	leader_reconfigure(&leader); /* caught up, but member 3 is not given up yet */
+	assert_false(leader_member(&leader, 4)->voter);
+	assert_non_null(leader_member(&leader, 3));
+	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 3 | 1u << 4);
+	leader_reconfigure(&leader);
+	assert_null(leader_member(&leader, 4));
+	assert_int_equal(leader.raft.member_count, 3);
+	leader_end(&leader);
 }
 
 /* The lost voter goes before its successor votes: its silence never counts towards a larger majority. */
 static void a_lost_voter_goes_before_its_successor_votes(void **state)
 {
-	struct leader l;
+	struct leader leader;
 
 	(void)state;
-	leader_begin(&l, 3);
-	leader_beat(&l, 1700, 1u << 2);
-	leader_reconfigure(&l);
-	leader_beat(&l, 1000, 1u << 2 | 1u << 4);
-	leader_reconfigure(&l);
-	assert_null(leader_member(&l, 3));
-	assert_false(leader_member(&l, 4)->voter);
-	leader_reconfigure(&l); /* one change at a time: this one is not committed yet */
-	assert_false(leader_member(&l, 4)->voter);
-	leader_beat(&l, 150, 1u << 2 | 1u << 4);
-	leader_reconfigure(&l);
-	assert_true(leader_member(&l, 4)->voter);
-	assert_int_equal(l.raft.member_count, 3);
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	leader_run_heartbeats(&leader, 1700, 1u << 2);
+	leader_reconfigure(&leader);
+	leader_run_heartbeats(&leader, 1000, 1u << 2 | 1u << 4);
+	leader_reconfigure(&leader);
+	assert_null(leader_member(&leader, 3));
+	assert_false(leader_member(&leader, 4)->voter);
+	leader_reconfigure(&leader); /* one change at a time: this one is not committed yet */
+	assert_false(leader_member(&leader, 4)->voter);
+	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 4);
+	leader_reconfigure(&leader);
+	assert_true(leader_member(&leader, 4)->voter);
+	assert_int_equal(leader.raft.member_count, 3);
+	leader_end(&leader);
 }
 
 /* A learner that lacks the newest committed entry gets no vote, and a lost voter keeps its place until it has it. */
 static void a_learner_votes_only_with_all_that_is_committed(void **state)
 {
-	struct leader l;
+	struct leader leader;
 	uint64_t old;
 
 	(void)state;
-	leader_begin(&l, 3);
-	leader_beat(&l, 1700, 1u << 2);
-	leader_reconfigure(&l);
-	leader_beat(&l, 1000, 1u << 2 | 1u << 4);
-	old = leader_newest(&l);
-	leader_propose(&l);
-	leader_hear_answer(&l, 2, leader_newest(&l));
-	leader_hear_answer(&l, 4, old);
-	assert_int_equal(l.raft.commit, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_non_null(leader_member(&l, 3));
-	leader_hear_answer(&l, 4, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_null(leader_member(&l, 3));
-	leader_beat(&l, 150, 1u << 2 | 1u << 4);
-	old = leader_newest(&l);
-	leader_propose(&l);
-	leader_hear_answer(&l, 2, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_false(leader_member(&l, 4)->voter);
-	leader_hear_answer(&l, 4, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_true(leader_member(&l, 4)->voter);
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	leader_run_heartbeats(&leader, 1700, 1u << 2);
+	leader_reconfigure(&leader);
+	leader_run_heartbeats(&leader, 1000, 1u << 2 | 1u << 4);
+	old = leader_last_index(&leader);
+	leader_propose(&leader);
+	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
+	leader_receive_append_reply(&leader, 4, old);
+	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_non_null(leader_member(&leader, 3));
+	leader_receive_append_reply(&leader, 4, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_null(leader_member(&leader, 3));
+	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 4);
+	old = leader_last_index(&leader);
+	leader_propose(&leader);
+	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_false(leader_member(&leader, 4)->voter);
+	leader_receive_append_reply(&leader, 4, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_true(leader_member(&leader, 4)->voter);
+	leader_end(&leader);
 }
 
 /* Five voters become four only when three of those that stay hold all that is committed. */
 static void no_change_without_a_majority_that_has_caught_up(void **state)
 {
-	struct leader l;
+	struct leader leader;
 	uint64_t old;
 
 	(void)state;
-	leader_begin(&l, 5);
-	l.live[1].zone = l.live[2].zone = 9; /* the zone with the most voters: one of members 2 and 3 is to go */
-	l.raft.replicas = 3;
-	old = leader_newest(&l);
-	leader_propose(&l);
-	leader_hear_answer(&l, 2, leader_newest(&l));
-	leader_hear_answer(&l, 3, leader_newest(&l));
-	leader_hear_answer(&l, 4, old);
-	leader_hear_answer(&l, 5, old);
-	assert_int_equal(l.raft.commit, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_int_equal(l.raft.member_count, 5);
-	leader_hear_answer(&l, 4, leader_newest(&l));
-	leader_reconfigure(&l);
-	assert_int_equal(l.raft.member_count, 4);
-	leader_end(&l);
+	leader_begin(&leader, 5);
+	leader.live[1].zone = leader.live[2].zone = 9; /* the zone with the most voters: one of members 2 and 3 is to go */
+	leader.raft.replicas = 3;
+	old = leader_last_index(&leader);
+	leader_propose(&leader);
+	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
+	leader_receive_append_reply(&leader, 3, leader_last_index(&leader));
+	leader_receive_append_reply(&leader, 4, old);
+	leader_receive_append_reply(&leader, 5, old);
+	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_int_equal(leader.raft.member_count, 5);
+	leader_receive_append_reply(&leader, 4, leader_last_index(&leader));
+	leader_reconfigure(&leader);
+	assert_int_equal(leader.raft.member_count, 4);
+	leader_end(&leader);
 	/* a voter that is silent counts for none, though it is not given up */
-	leader_begin(&l, 5);
-	l.live[1].zone = l.live[2].zone = 9;
-	leader_beat(&l, 900, 1u << 2 | 1u << 3);
-	l.raft.replicas = 3;
-	leader_reconfigure(&l);
-	assert_int_equal(l.raft.member_count, 5);
-	leader_beat(&l, 150, 1u << 2 | 1u << 3 | 1u << 4);
-	leader_reconfigure(&l);
-	assert_int_equal(l.raft.member_count, 4);
-	leader_end(&l);
+	leader_begin(&leader, 5);
+	leader.live[1].zone = leader.live[2].zone = 9;
+	leader_run_heartbeats(&leader, 900, 1u << 2 | 1u << 3);
+	leader.raft.replicas = 3;
+	leader_reconfigure(&leader);
+	assert_int_equal(leader.raft.member_count, 5);
+	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 3 | 1u << 4);
+	leader_reconfigure(&leader);
+	assert_int_equal(leader.raft.member_count, 4);
+	leader_end(&leader);
 }
 
-static uint64_t successor_named(struct leader *l)
+static uint64_t successor_named(struct leader *leader)
 {
-	for (ptrdiff_t i = 0; i < arrlen(l->out.v); i++)
-		if (l->out.v[i].kind == CMD_SEND && l->out.v[i].u.send.msg->body_case == NL__MSG__BODY_GIVE_UP)
-			return l->out.v[i].u.send.msg->give_up->successor;
+	for (ptrdiff_t i = 0; i < arrlen(leader->out.commands); i++)
+		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_GIVE_UP)
+			return leader->out.commands[i].args.send.msg->give_up->successor;
 	return 0;
 }
 
@@ -846,158 +846,158 @@
 {
 	(void)state;
 	for (uint64_t ahead = 2; ahead <= 3; ahead++) {
-		struct leader l;
+		struct leader leader;
 		uint64_t old;
 
-		leader_begin(&l, 3);
-		old = leader_newest(&l);
-		leader_propose(&l);
-		leader_hear_answer(&l, 2, ahead == 2 ? old + 1 : old);
-		leader_hear_answer(&l, 3, ahead == 3 ? old + 1 : old);
-		raft_leave(&l.raft, l.now);
-		out_clear(&l.out);
-		raft_tick(&l.raft, l.now, &l.out);
-		assert_int_equal(l.raft.role, RAFT_FOLLOWER);
-		assert_int_equal(successor_named(&l), ahead);
-		leader_end(&l);
+		leader_begin(&leader, 3);
+		old = leader_last_index(&leader);
+		leader_propose(&leader);
+		leader_receive_append_reply(&leader, 2, ahead == 2 ? old + 1 : old);
+		leader_receive_append_reply(&leader, 3, ahead == 3 ? old + 1 : old);
+		raft_drain(&leader.raft, leader.now);
+		command_list_clear(&leader.out);
+		raft_tick(&leader.raft, leader.now, &leader.out);
+		assert_int_equal(leader.raft.role, RAFT_FOLLOWER);
+		assert_int_equal(successor_named(&leader), ahead);
+		leader_end(&leader);
 	}
 	for (uint64_t wait = 0; wait <= 1; wait++) { /* nobody holds all: it waits, but not for ever */
-		struct leader l;
+		struct leader leader;
 		uint64_t old;
 
-		leader_begin(&l, 3);
-		old = leader_newest(&l);
-		leader_propose(&l);
-		raft_leave(&l.raft, l.now);
-		assert_int_equal(raft_propose(&l.raft, (const uint8_t *)"y", 1, l.now), 0);
+		leader_begin(&leader, 3);
+		old = leader_last_index(&leader);
+		leader_propose(&leader);
+		raft_drain(&leader.raft, leader.now);
+		assert_int_equal(raft_propose(&leader.raft, (const uint8_t *)"y", 1, leader.now), 0);
 		for (int i = 0; i < 4; i++) {
-			l.now += RAFT_HEARTBEAT_MS;
-			raft_tick(&l.raft, l.now, &l.out);
-			leader_sync_disk(&l);
-			leader_hear_answer(&l, 2, old);
-			leader_hear_answer(&l, 3, old);
+			leader.now += RAFT_HEARTBEAT_MS;
+			raft_tick(&leader.raft, leader.now, &leader.out);
+			leader_sync_disk(&leader);
+			leader_receive_append_reply(&leader, 2, old);
+			leader_receive_append_reply(&leader, 3, old);
 		}
-		assert_int_equal(l.raft.role, RAFT_LEADER);
+		assert_int_equal(leader.raft.role, RAFT_LEADER);
 		if (wait) {
-			l.now += 500;
-			raft_tick(&l.raft, l.now, &l.out);
-			assert_int_equal(l.raft.role, RAFT_FOLLOWER);
+			leader.now += 500;
+			raft_tick(&leader.raft, leader.now, &leader.out);
+			assert_int_equal(leader.raft.role, RAFT_FOLLOWER);
 		} else {
-			leader_hear_answer(&l, 3, leader_newest(&l));
-			raft_tick(&l.raft, l.now, &l.out);
-			assert_int_equal(l.raft.role, RAFT_FOLLOWER);
-			assert_int_equal(successor_named(&l), 3);
+			leader_receive_append_reply(&leader, 3, leader_last_index(&leader));
+			raft_tick(&leader.raft, leader.now, &leader.out);
+			assert_int_equal(leader.raft.role, RAFT_FOLLOWER);
+			assert_int_equal(successor_named(&leader), 3);
 		}
-		assert_false(raft_may_leave(&l.raft, l.now)); /* no successor has been elected yet */
-		leader_end(&l);
+		assert_false(raft_may_stop(&leader.raft, leader.now)); /* no successor has been elected yet */
+		leader_end(&leader);
 	}
 }
 
 /* What a leaving voter has synced commits nothing where the others are a majority by themselves. */
 static void a_leaving_voter_is_not_counted(void **state)
 {
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_APPEND_REPLY);
-	struct Nl__AppendReply a = NL__APPEND_REPLY__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND_REPLY);
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 	uint64_t old;
 
 	(void)state;
-	leader_begin(&l, 3);
-	old = leader_newest(&l);
-	a.term = l.raft.term;
-	a.ok = a.leaving = 1;
-	a.round = l.raft.round;
-	a.match = old;
-	m.append_reply = &a;
-	leader_hear(&l, 3, &m);
-	raft_tick(&l.raft, l.now, &l.out);
-	leader_propose(&l);
-	a.match = leader_newest(&l);
-	leader_hear(&l, 3, &m);
-	assert_int_equal(l.raft.commit, old);
-	leader_hear_answer(&l, 2, leader_newest(&l));
-	assert_int_equal(l.raft.commit, leader_newest(&l));
+	leader_begin(&leader, 3);
+	old = leader_last_index(&leader);
+	reply.term = leader.raft.term;
+	reply.ok = reply.leaving = 1;
+	reply.round = leader.raft.heartbeat_round;
+	reply.match = old;
+	message.append_reply = &reply;
+	leader_receive(&leader, 3, &message);
+	raft_tick(&leader.raft, leader.now, &leader.out);
+	leader_propose(&leader);
+	reply.match = leader_last_index(&leader);
+	leader_receive(&leader, 3, &message);
+	assert_int_equal(leader.raft.commit_index, old);
+	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
+	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
 	/* the other voter is silent: the leaving one counts, and is kept */
 	for (int i = 0; i < 5; i++) {
-		l.now += RAFT_HEARTBEAT_MS;
-		raft_tick(&l.raft, l.now, &l.out);
-		leader_sync_disk(&l);
-		a.round = l.raft.round;
-		leader_hear(&l, 3, &m);
+		leader.now += RAFT_HEARTBEAT_MS;
+		raft_tick(&leader.raft, leader.now, &leader.out);
+		leader_sync_disk(&leader);
+		reply.round = leader.raft.heartbeat_round;
+		leader_receive(&leader, 3, &message);
 	}
-	leader_propose(&l);
-	a.match = leader_newest(&l);
-	leader_hear(&l, 3, &m);
-	assert_int_equal(l.raft.commit, leader_newest(&l));
-	leader_end(&l);
+	leader_propose(&leader);
+	reply.match = leader_last_index(&leader);
+	leader_receive(&leader, 3, &message);
+	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	leader_end(&leader);
 }
 
 /* The same while the others lack what it holds, so that it is not let go yet. */
 static void a_leaving_voter_that_is_held_is_not_counted(void **state)
 {
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_APPEND_REPLY);
-	struct Nl__AppendReply a = NL__APPEND_REPLY__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND_REPLY);
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 	uint64_t old;
 
 	(void)state;
-	leader_begin(&l, 3);
-	old = leader_newest(&l);
-	leader_propose(&l);
-	a.term = l.raft.term;
-	a.ok = a.leaving = 1;
-	a.round = l.raft.round;
-	a.match = old;
-	m.append_reply = &a;
-	leader_hear(&l, 3, &m);
-	raft_tick(&l.raft, l.now, &l.out);
-	a.match = leader_newest(&l);
-	leader_hear(&l, 3, &m);
-	assert_int_equal(l.raft.commit, old);
-	leader_hear_answer(&l, 2, leader_newest(&l));
-	assert_int_equal(l.raft.commit, leader_newest(&l));
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	old = leader_last_index(&leader);
+	leader_propose(&leader);
+	reply.term = leader.raft.term;
+	reply.ok = reply.leaving = 1;
+	reply.round = leader.raft.heartbeat_round;
+	reply.match = old;
+	message.append_reply = &reply;
+	leader_receive(&leader, 3, &message);
+	raft_tick(&leader.raft, leader.now, &leader.out);
+	reply.match = leader_last_index(&leader);
+	leader_receive(&leader, 3, &message);
+	assert_int_equal(leader.raft.commit_index, old);
+	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
+	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	leader_end(&leader);
 }
 
 /* Whether the last message to a member says that it may go. */
-static int let_go(struct leader *l, uint64_t id)
+static int let_go(struct leader *leader, uint64_t id)
 {
 	int released = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(l->out.v); i++)
-		if (l->out.v[i].kind == CMD_SEND && l->out.v[i].u.send.addr == 100 + id &&
-		    l->out.v[i].u.send.msg->body_case == NL__MSG__BODY_APPEND)
-			released = l->out.v[i].u.send.msg->append->released;
+	for (ptrdiff_t i = 0; i < arrlen(leader->out.commands); i++)
+		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.addr == 100 + id &&
+		    leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_APPEND)
+			released = leader->out.commands[i].args.send.msg->append->released;
 	return released;
 }
 
 /* A leaving member is kept while another voter, though it answers, lacks what the leaving one held. */
 static void a_leaving_voter_is_kept_while_another_is_behind(void **state)
 {
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_APPEND_REPLY);
-	struct Nl__AppendReply a = NL__APPEND_REPLY__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND_REPLY);
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 	uint64_t old;
 
 	(void)state;
-	leader_begin(&l, 3);
-	old = leader_newest(&l);
-	leader_propose(&l);
-	a.term = l.raft.term;
-	a.ok = a.leaving = 1;
-	a.round = l.raft.round;
-	a.match = leader_newest(&l);
-	m.append_reply = &a;
-	leader_hear(&l, 3, &m);
+	leader_begin(&leader, 3);
+	old = leader_last_index(&leader);
+	leader_propose(&leader);
+	reply.term = leader.raft.term;
+	reply.ok = reply.leaving = 1;
+	reply.round = leader.raft.heartbeat_round;
+	reply.match = leader_last_index(&leader);
+	message.append_reply = &reply;
+	leader_receive(&leader, 3, &message);
 	for (int caught_up = 0; caught_up <= 1; caught_up++) {
-		leader_hear_answer(&l, 2, caught_up ? leader_newest(&l) : old);
-		out_clear(&l.out);
-		l.now += RAFT_HEARTBEAT_MS;
-		raft_tick(&l.raft, l.now, &l.out);
-		assert_int_equal(let_go(&l, 3), caught_up);
-		assert_int_equal(let_go(&l, 2), 0);
+		leader_receive_append_reply(&leader, 2, caught_up ? leader_last_index(&leader) : old);
+		command_list_clear(&leader.out);
+		leader.now += RAFT_HEARTBEAT_MS;
+		raft_tick(&leader.raft, leader.now, &leader.out);
+		assert_int_equal(let_go(&leader, 3), caught_up);
+		assert_int_equal(let_go(&leader, 2), 0);
 	}
-	leader_end(&l);
+	leader_end(&leader);
 }
 
 int main(void)
--- a/tests/test_naming.c
+++ b/tests/test_naming.c
@@ -17,21 +17,21 @@
 
 enum { BOUND_MS = 20000, TERM = 3, LEADER = 1 };
 
-static struct table table;
+static struct config_table config_table;
 static apr_pool_t *pool;
 
 static int setup(void **state)
 {
 	(void)state;
 	apr_pool_create(&pool, NULL);
-	table_open(&table);
+	config_table_open(&config_table);
 	return 0;
 }
 
 static int teardown(void **state)
 {
 	(void)state;
-	table_close(&table);
+	config_table_close(&config_table);
 	apr_pool_destroy(pool);
 	return 0;
 }
@@ -50,18 +50,18 @@
 	change.set = rows;
 	change.n_set = 1;
 	change.bound_passed = at > BOUND_MS ? at - BOUND_MS : 0;
-	table.now = (struct group_moment){ at, TERM };
-	assert_int_equal(table_apply(&table, &change, NULL), TABLE_DONE);
-	return table_get(&table, NL__KIND__MODEL, "m");
+	config_table.clock = (struct group_moment){ at, TERM };
+	assert_int_equal(config_table_apply(&config_table, &change, NULL), PROPOSAL_DONE);
+	return config_table_get(&config_table, NL__KIND__MODEL, "m");
 }
 
 static const struct Nl__Row *name(unsigned weights, uint64_t at) { return apply(apr_psprintf(pool, "%u", weights), "", at); }
 
 static uint64_t date_after(const struct Nl__Row *model, uint64_t weights)
 {
-	const struct Nl__Naming *naming = naming_after(model, weights);
+	const struct Nl__Naming *target = version_history_after(model, weights);
 
-	return naming ? naming->at : 0;
+	return target ? target->at : 0;
 }
 
 /* Weights are dated by the first naming that is newer than they are, whatever was named since. */
@@ -78,8 +78,8 @@
 	assert_int_equal(date_after(model, 2), 3000);
 	assert_int_equal(date_after(model, 4), 3000); /* never named */
 	assert_int_equal(date_after(model, 5), 4000);
-	assert_null(naming_after(model, 6));
-	assert_int_equal(naming_after(model, 1)->term, TERM);
+	assert_null(version_history_after(model, 6));
+	assert_int_equal(version_history_after(model, 1)->term, TERM);
 }
 
 /* A naming that is sent again, an older one, and the end of a roll-out date nothing anew. */
@@ -115,43 +115,43 @@
 static void merged_dates_are_too_early_and_not_by_much(void **state)
 {
 	const struct Nl__Row *model = NULL;
-	const uint64_t every_ms = 50, namings = 1000;
+	const uint64_t every_ms = 50, targets = 1000;
 
 	(void)state;
-	for (uint64_t weights = 2; weights < namings; weights++) {
+	for (uint64_t weights = 2; weights < targets; weights++) {
 		model = name((unsigned)weights, weights * every_ms);
-		assert_true(model->n_naming <= NAMING_MOST);
+		assert_true(model->n_naming <= VERSION_HISTORY_MAX);
 	}
 	print_message("a model's row with %d namings: %d bytes\n", (int)model->n_naming, (int)nl__row__get_packed_size(model));
-	for (uint64_t weights = namings - BOUND_MS / every_ms + 1; weights + 1 < namings; weights++) {
+	for (uint64_t weights = targets - BOUND_MS / every_ms + 1; weights + 1 < targets; weights++) {
 		uint64_t named = (weights + 1) * every_ms, date = date_after(model, weights);
 
 		assert_true(date <= named);
-		assert_true(named - date <= BOUND_MS / (NAMING_MOST / 4));
+		assert_true(named - date <= BOUND_MS / (VERSION_HISTORY_MAX / 4));
 	}
 }
 
 /* A follower's copy is the leader's row, to the byte. */
 static void followers_have_the_same_dates(void **state)
 {
-	struct table follower;
+	struct config_table follower;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 	const struct Nl__Row *model;
 
 	(void)state;
-	table_open(&follower);
+	config_table_open(&follower);
 	name(2, 1000);
-	table_since(&table, 0, &reply, pool);
-	assert_true(table_follow(&follower, &reply));
+	config_table_since(&config_table, 0, &reply, pool);
+	assert_true(config_table_follow(&follower, &reply));
 	name(3, 2000);
 	name(4, 2500);
 	nl__config_sync_reply__init(&reply);
-	table_since(&table, follower.edition, &reply, pool);
-	assert_true(table_follow(&follower, &reply));
-	model = table_get(&follower, NL__KIND__MODEL, "m");
+	config_table_since(&config_table, follower.revision, &reply, pool);
+	assert_true(config_table_follow(&follower, &reply));
+	model = config_table_get(&follower, NL__KIND__MODEL, "m");
 	assert_int_equal(model->n_naming, 3);
 	assert_int_equal(date_after(model, 2), 2000);
-	table_close(&follower);
+	config_table_close(&follower);
 }
 
 /* A row that an older edition of the program left has no dates: they count as not known. */
@@ -162,8 +162,8 @@
 	(void)state;
 	row.kind = NL__KIND__MODEL;
 	row.weights = "7";
-	assert_null(naming_after(&row, 6));
-	assert_true(naming_newest(&row) == 7);
+	assert_null(version_history_after(&row, 6));
+	assert_true(version_history_newest(&row) == 7);
 }
 
 /* The row of a model stays while a service has the model. */
@@ -179,7 +179,7 @@
 	change.any = 1;
 	change.del = removed;
 	change.n_del = 1;
-	assert_null(table_check(&table, &change, pool));
+	assert_null(config_table_check(&config_table, &change, pool));
 	service.kind = NL__KIND__SERVICE;
 	service.name = "pool";
 	service.model = "m";
@@ -187,32 +187,32 @@
 	add.any = 1;
 	add.set = added;
 	add.n_set = 1;
-	assert_int_equal(table_apply(&table, &add, NULL), TABLE_DONE);
-	assert_string_equal(table_check(&table, &change, pool), "del model m: service pool has it");
+	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
+	assert_string_equal(config_table_check(&config_table, &change, pool), "del model m: service pool has it");
 }
 
 /* ---- the clock --------------------------------------------------------------------------------- */
 
 /* Ask at one moment and get an answer at another. */
-static void hear_clock(struct config_watch *watch, uint64_t term, uint64_t clock, int64_t asked_at, int64_t answered_at)
+static void receive_clock(struct config_watch *watch, uint64_t term, uint64_t clock, int64_t asked_at, int64_t answered_at)
 {
 	struct out out = { 0 };
-	struct Nl__Msg m = NL__MSG__INIT;
+	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
-	out.p = pool;
-	config_watch_ask(watch, 0, asked_at, &out);
-	reply.token = watch->token;
+	out.pool = pool;
+	config_watch_poll(watch, 0, asked_at, &out);
+	reply.token = watch->last_token;
 	reply.has_lease = reply.whole = 1;
 	reply.fleet = 7;
-	reply.edition = watch->t.edition + 1;
+	reply.edition = watch->table.revision + 1;
 	reply.clock = clock;
 	reply.clock_term = term;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &reply;
-	m.addr = LEADER;
-	(void)config_watch_msg(watch, &m, answered_at, &out);
-	arrfree(out.v);
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = &reply;
+	message.addr = LEADER;
+	(void)config_watch_receive(watch, &message, answered_at, &out);
+	arrfree(out.commands);
 }
 
 /* The clock is never behind its leader's, and a quicker answer makes it more exact. A later leader's clock is its own, also where it
@@ -224,20 +224,20 @@
 
 	(void)state;
 	config_watch_open(&watch, 2, &seed, 1, 0);
-	assert_int_equal(config_watch_clock(&watch, 0, 500), 0);
-	hear_clock(&watch, 4, 10000, 1000, 3000); /* read by the leader at some time from 1000 to 3000 */
-	assert_int_equal(config_watch_clock(&watch, 4, 3000), 12000);
-	hear_clock(&watch, 4, 12500, 4000, 4200);
-	assert_int_equal(config_watch_clock(&watch, 4, 5000), 13500);
-	hear_clock(&watch, 4, 15000, 5000, 9000); /* a slow one tells nothing more */
-	assert_int_equal(config_watch_clock(&watch, 4, 9000), 17500);
-	hear_clock(&watch, 5, 12000, 10000, 10100);
-	assert_int_equal(config_watch_clock(&watch, 5, 10100), 12100);
-	assert_int_equal(config_watch_clock(&watch, 4, 10100), 18600);
-	assert_int_equal(config_watch_clock(&watch, 0, 10100), 12100); /* the newest leader's */
-	assert_int_equal(config_watch_clock(&watch, 3, 10100), 12100); /* not heard: it went on from there */
-	hear_clock(&watch, 3, 1000, 10200, 10300);                     /* an older leader's late word */
-	assert_int_equal(config_watch_clock(&watch, 0, 10300), 12300);
+	assert_int_equal(config_watch_clock_ms(&watch, 0, 500), 0);
+	receive_clock(&watch, 4, 10000, 1000, 3000); /* read by the leader at some time from 1000 to 3000 */
+	assert_int_equal(config_watch_clock_ms(&watch, 4, 3000), 12000);
+	receive_clock(&watch, 4, 12500, 4000, 4200);
+	assert_int_equal(config_watch_clock_ms(&watch, 4, 5000), 13500);
+	receive_clock(&watch, 4, 15000, 5000, 9000); /* a slow one tells nothing more */
+	assert_int_equal(config_watch_clock_ms(&watch, 4, 9000), 17500);
+	receive_clock(&watch, 5, 12000, 10000, 10100);
+	assert_int_equal(config_watch_clock_ms(&watch, 5, 10100), 12100);
+	assert_int_equal(config_watch_clock_ms(&watch, 4, 10100), 18600);
+	assert_int_equal(config_watch_clock_ms(&watch, 0, 10100), 12100); /* the newest leader's */
+	assert_int_equal(config_watch_clock_ms(&watch, 3, 10100), 12100); /* not heard: it went on from there */
+	receive_clock(&watch, 3, 1000, 10200, 10300);                     /* an older leader's late word */
+	assert_int_equal(config_watch_clock_ms(&watch, 0, 10300), 12300);
 	config_watch_close(&watch);
 }
 
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -20,7 +20,7 @@
 	SERVERS = 3,
 	TICK_MS = 25,
 	STALL_MS = 400,
-	SOON_MS = 1500,
+	RETRY_FAST_MS = 1500,
 	STEP_MS = 1,
 	AFTER_STOP_MS = 4000,
 	LEASE_GAP_MS = 200,  /* without a leader of the configuration */
@@ -40,16 +40,16 @@
 static uint64_t seeds_or(uint64_t n) { return number_from("NL_SEEDS", n); }
 static uint64_t first_seed(void) { return number_from("NL_SEED", 1); }
 
-static void intact(struct sim *s)
+static void intact(struct sim *sim)
 {
-	if (s->bad[0])
-		fail_msg("%s", s->bad);
+	if (sim->violation[0])
+		fail_msg("%s", sim->violation);
 }
 
-static void pass(struct sim *s, int64_t ms)
+static void pass(struct sim *sim, int64_t ms)
 {
-	sim_run(s, ms, NULL);
-	intact(s);
+	sim_run(sim, ms, NULL);
+	intact(sim);
 }
 
 /* ---- how long a planned stop leaves routers without a leader --------------------- */
@@ -83,44 +83,44 @@
 };
 
 /* The process ends once nothing needs it; what it said last has left by then. */
-static void end_when_stopped(struct sim *s, int node)
+static void end_when_stopped(struct sim *sim, int node)
 {
-	if (s->n[node].up && controller_stopped(s->n[node].r, sim_local(s, node)))
-		sim_crash(s, node, 0);
+	if (sim->nodes[node].up && controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
+		sim_crash(sim, node, 0);
 }
 
 /* The leader is told to stop while changes come in; each router is watched from then on. */
-static void stop_the_leader(struct sim *s, struct gaps *gaps)
+static void stop_the_leader(struct sim *sim, struct gaps *gaps)
 {
-	int leader = sim_owner(s, SHARD_CONTROL);
-	int64_t told_at = s->now, lost_at = told_at, led_at = 0, heard_at[ROUTERS] = { 0 }, age[ROUTERS] = { 0 };
+	int leader = sim_leader(sim, SHARD_CONTROL);
+	int64_t answered_at = sim->now, lost_at = answered_at, led_at = 0, received_at[ROUTERS] = { 0 }, age[ROUTERS] = { 0 };
 
-	sim_stop(s, leader);
-	while (s->now < told_at + AFTER_STOP_MS) {
+	sim_stop(sim, leader);
+	while (sim->now < answered_at + AFTER_STOP_MS) {
 		int now_leads;
 
-		pass(s, STEP_MS);
-		end_when_stopped(s, leader);
-		now_leads = sim_owner(s, SHARD_CONTROL);
+		pass(sim, STEP_MS);
+		end_when_stopped(sim, leader);
+		now_leads = sim_leader(sim, SHARD_CONTROL);
 		if (now_leads == leader)
-			lost_at = s->now;
+			lost_at = sim->now;
 		else if (now_leads >= 0 && !led_at)
-			led_at = s->now;
+			led_at = sim->now;
 		for (int i = 0; i < ROUTERS; i++) {
-			const struct config_watch *watch = &s->n[SIM_REGS + i].c->f;
-			int64_t fresh = watch->fresh - s->n[SIM_REGS + i].skew;
+			const struct config_watch *watch = &sim->nodes[SIM_CONTROLLERS + i].router->config_watch;
+			int64_t fresh = watch->fetched_at_ms - sim->nodes[SIM_CONTROLLERS + i].clock_skew_ms;
 
-			if (s->now - fresh > age[i])
-				age[i] = s->now - fresh;
-			if (!heard_at[i] && now_leads != leader && fresh > lost_at)
-				heard_at[i] = s->now;
+			if (sim->now - fresh > age[i])
+				age[i] = sim->now - fresh;
+			if (!received_at[i] && now_leads != leader && fresh > lost_at)
+				received_at[i] = sim->now;
 		}
 	}
 	assert_true(led_at);
 	arrput(gaps->lease, led_at - lost_at);
 	for (int i = 0; i < ROUTERS; i++) {
-		assert_true(heard_at[i]);
-		arrput(gaps->answer, heard_at[i] - lost_at);
+		assert_true(received_at[i]);
+		arrput(gaps->answer, received_at[i] - lost_at);
 		arrput(gaps->age, age[i]);
 	}
 }
@@ -131,15 +131,15 @@
 
 	(void)state;
 	for (uint64_t seed = first_seed(); seed < first_seed() + seeds_or(24); seed++) {
-		struct sim s;
-
-		sim_deploy(&s, seed, 3 + (int)(seed % 3), ROUTERS, SERVERS);
-		s.delay = 1 + (int)(seed % 4);
-		s.jitter = 2;
-		s.disk_ms = seed % 5 == 1 ? 30 : 4;
-		pass(&s, 3000 + (int64_t)(core_rand(&s.rng) % 500));
-		stop_the_leader(&s, &gaps);
-		sim_close(&s);
+		struct sim sim;
+
+		sim_deploy(&sim, seed, 3 + (int)(seed % 3), ROUTERS, SERVERS);
+		sim.delay_ms = 1 + (int)(seed % 4);
+		sim.jitter_ms = 2;
+		sim.disk_ms = seed % 5 == 1 ? 30 : 4;
+		pass(&sim, 3000 + (int64_t)(core_random(&sim.rng) % 500));
+		stop_the_leader(&sim, &gaps);
+		sim_close(&sim);
 	}
 	print_times("without a lease", gaps.lease);
 	print_times("until a router's next good answer", gaps.answer);
@@ -153,49 +153,49 @@
 }
 
 /* No successor can be elected: what the stopped leader holds is answered in time, though without a lease. */
-static void a_held_request_is_answered_in_time(void **state)
+static void a_pending_request_is_answered_in_time(void **state)
 {
 	uint64_t held = 0;
 
 	(void)state;
 	for (uint64_t seed = first_seed(); seed < first_seed() + seeds_or(6); seed++) {
-		struct sim s;
+		struct sim sim;
 		struct controller *stopped;
 		uint64_t answers;
 		int64_t end;
 		int leader;
 
-		sim_deploy(&s, seed, 3, ROUTERS, SERVERS);
-		pass(&s, 2000);
-		leader = sim_owner(&s, SHARD_CONTROL);
-		stopped = s.n[leader].r;
-		sim_stop(&s, leader);
-		while (sim_owner(&s, SHARD_CONTROL) == leader)
-			pass(&s, STEP_MS);
+		sim_deploy(&sim, seed, 3, ROUTERS, SERVERS);
+		pass(&sim, 2000);
+		leader = sim_leader(&sim, SHARD_CONTROL);
+		stopped = sim.nodes[leader].controller;
+		sim_stop(&sim, leader);
+		while (sim_leader(&sim, SHARD_CONTROL) == leader)
+			pass(&sim, STEP_MS);
 		for (int i = 0; i < 3; i++)
 			if (i != leader)
-				sim_crash(&s, i, 0);
-		answers = s.by_body[NL__MSG__BODY_FOLLOW_REPLY];
-		for (end = s.now + 2 * CONFIG_WATCH_EVERY; s.now < end;) {
-			pass(&s, STEP_MS);
-			for (ptrdiff_t i = 0; i < arrlen(stopped->held); i++)
-				if (sim_local(&s, leader) > stopped->held[i].until + TICK_MS)
+				sim_crash(&sim, i, 0);
+		answers = sim.by_body[NL__MSG__BODY_FOLLOW_REPLY];
+		for (end = sim.now + 2 * CONFIG_WATCH_POLL_MS; sim.now < end;) {
+			pass(&sim, STEP_MS);
+			for (ptrdiff_t i = 0; i < arrlen(stopped->deferred_requests); i++)
+				if (sim_local(&sim, leader) > stopped->deferred_requests[i].deadline_at_ms + TICK_MS)
 					fail_msg("seed %llu: a request is held for too long", (unsigned long long)seed);
-			held += arrlenu(stopped->held);
+			held += arrlenu(stopped->deferred_requests);
 		}
-		assert_true(s.by_body[NL__MSG__BODY_FOLLOW_REPLY] > answers);
-		sim_close(&s);
+		assert_true(sim.by_body[NL__MSG__BODY_FOLLOW_REPLY] > answers);
+		sim_close(&sim);
 	}
 	assert_true(held);
 }
 
 /* ---- what a leaving leader says to those who propose ------------------------------ */
 
-static void stall_disks(struct sim *s, int leader, int64_t ms)
+static void stall_disks(struct sim *sim, int leader, int64_t ms)
 {
 	for (int i = 0; i < 3; i++)
 		if (i != leader)
-			s->n[i].stall_until = s->now + ms;
+			sim->nodes[i].stalled_until = sim->now + ms;
 }
 
 /* A leader is to stop and may not yet, since an entry is not on the others' disks; a change that is passed on to it
@@ -206,36 +206,36 @@
 	static const char service
 	    [] = "{\"set\":[{\"kind\":\"service\",\"name\":\"extra\"" SPEEDS "}]}",
      gone[] = "{\"del\":[{\"kind\":\"service\",\"name\":\"extra\"}]}",
-     lane[] =
+     route[] =
 	    "{\"set\":[{\"kind\":\"lane\",\"name\":\"extra\",\"service\":\"extra\",\"split\":\"extra:1\",\"prio\":0,\"limit\":5}]}";
 
 	(void)state;
 	for (uint64_t seed = first_seed(); seed < first_seed() + seeds_or(8); seed++) {
-		struct sim s;
+		struct sim sim;
 		uint64_t token;
 		int64_t sent_at;
 		int leader;
 
-		sim_deploy(&s, seed, 3, 2, SERVERS);
-		assert_true(sim_change(&s, service, 8000));
-		pass(&s, 1000);
-		leader = sim_owner(&s, SHARD_CONTROL);
-		stall_disks(&s, leader, STALL_MS);
-		sim_call(&s, leader, "POST", "/v1/change", gone);
-		pass(&s, 20);
-		sim_stop(&s, leader);
-		pass(&s, 20);
-		assert_int_equal(sim_owner(&s, SHARD_CONTROL), leader);
-		token = sim_call(&s, (leader + 1) % 3, "POST", "/v1/change", lane); /* its service is still in the table */
-		sent_at = s.now;
-		while (!sim_answer(&s, token) && s.now < sent_at + 2 * CONTROLLER_CALL)
-			pass(&s, STEP_MS);
-		assert_non_null(sim_answer(&s, token));
-		if (sim_answer(&s, token)->status != 400)
-			fail_msg("seed %llu: %d after %lld ms", (unsigned long long)seed, sim_answer(&s, token)->status,
-				 (long long)(s.now - sent_at));
-		assert_true(s.now - sent_at < SOON_MS);
-		sim_close(&s);
+		sim_deploy(&sim, seed, 3, 2, SERVERS);
+		assert_true(sim_change(&sim, service, 8000));
+		pass(&sim, 1000);
+		leader = sim_leader(&sim, SHARD_CONTROL);
+		stall_disks(&sim, leader, STALL_MS);
+		sim_call(&sim, leader, "POST", "/v1/change", gone);
+		pass(&sim, 20);
+		sim_stop(&sim, leader);
+		pass(&sim, 20);
+		assert_int_equal(sim_leader(&sim, SHARD_CONTROL), leader);
+		token = sim_call(&sim, (leader + 1) % 3, "POST", "/v1/change", route); /* its service is still in the table */
+		sent_at = sim.now;
+		while (!sim_answer(&sim, token) && sim.now < sent_at + 2 * CONTROLLER_CALL_TIMEOUT_MS)
+			pass(&sim, STEP_MS);
+		assert_non_null(sim_answer(&sim, token));
+		if (sim_answer(&sim, token)->status != 400)
+			fail_msg("seed %llu: %d after %lld ms", (unsigned long long)seed, sim_answer(&sim, token)->status,
+				 (long long)(sim.now - sent_at));
+		assert_true(sim.now - sent_at < RETRY_FAST_MS);
+		sim_close(&sim);
 	}
 }
 
@@ -247,93 +247,93 @@
 
 	(void)state;
 	for (uint64_t seed = first_seed(); seed < first_seed() + seeds_or(8); seed++) {
-		struct sim s;
+		struct sim sim;
 		uint64_t token;
-		int64_t told_at;
+		int64_t answered_at;
 		int leader, node;
 
-		sim_deploy(&s, seed, 3, 2, SERVERS);
-		pass(&s, 1000);
-		leader = sim_owner(&s, SHARD_CONTROL);
+		sim_deploy(&sim, seed, 3, 2, SERVERS);
+		pass(&sim, 1000);
+		leader = sim_leader(&sim, SHARD_CONTROL);
 		node = (leader + 1) % 3;
-		stall_disks(&s, leader, STALL_MS);
-		token = sim_call(&s, node, "POST", "/v1/change", change);
-		pass(&s, 20);
-		sim_crash(&s, leader, 0);
-		sim_crash(&s, (leader + 2) % 3, 0);
-		sim_stop(&s, node);
-		told_at = s.now;
-		while (!sim_answer(&s, token) && s.now < told_at + 2 * CONTROLLER_CALL)
-			pass(&s, STEP_MS);
-		assert_non_null(sim_answer(&s, token));
-		assert_int_equal(sim_answer(&s, token)->status, 504);
-		if (s.now - told_at > CONFIG_WATCH_SILENT + TICK_MS)
-			fail_msg("seed %llu: said %lld ms after the stop", (unsigned long long)seed, (long long)(s.now - told_at));
-		assert_int_equal(operator_calls_open(s.n[node].r), 0);
-		sim_close(&s);
+		stall_disks(&sim, leader, STALL_MS);
+		token = sim_call(&sim, node, "POST", "/v1/change", change);
+		pass(&sim, 20);
+		sim_crash(&sim, leader, 0);
+		sim_crash(&sim, (leader + 2) % 3, 0);
+		sim_stop(&sim, node);
+		answered_at = sim.now;
+		while (!sim_answer(&sim, token) && sim.now < answered_at + 2 * CONTROLLER_CALL_TIMEOUT_MS)
+			pass(&sim, STEP_MS);
+		assert_non_null(sim_answer(&sim, token));
+		assert_int_equal(sim_answer(&sim, token)->status, 504);
+		if (sim.now - answered_at > CONFIG_WATCH_LEADER_TIMEOUT_MS + TICK_MS)
+			fail_msg("seed %llu: said %lld ms after the stop", (unsigned long long)seed, (long long)(sim.now - answered_at));
+		assert_int_equal(operator_calls_open(sim.nodes[node].controller), 0);
+		sim_close(&sim);
 	}
 }
 
-static int64_t answered_after(struct sim *s, uint64_t token, int64_t limit)
+static int64_t answered_after(struct sim *sim, uint64_t token, int64_t limit)
 {
-	int64_t from = s->now;
+	int64_t from = sim->now;
 
-	while (!sim_answer(s, token) && s->now < from + limit)
-		pass(s, STEP_MS);
-	assert_non_null(sim_answer(s, token));
-	return s->now - from;
+	while (!sim_answer(sim, token) && sim->now < from + limit)
+		pass(sim, STEP_MS);
+	assert_non_null(sim_answer(sim, token));
+	return sim->now - from;
 }
 
 /* Founding waits for seeds that do not answer; a stop ends it at once, in words. */
-static void a_founding_ends_with_the_stop(void **state)
+static void a_bootstrap_ends_with_the_stop(void **state)
 {
-	uint64_t seeds[3] = { core_addr("127.0.1.1:7000"), core_addr("127.0.1.2:7000"), core_addr("127.0.1.3:7000") };
-	struct sim s;
+	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"), core_parse_addr("127.0.1.3:7000") };
+	struct sim sim;
 	uint64_t token;
 
 	(void)state;
-	sim_open(&s, first_seed());
-	sim_registrar(&s, "z1", seeds, 3);
-	token = sim_call(&s, 0, "POST", "/v1/found", "{}");
-	pass(&s, 500);
-	assert_null(sim_answer(&s, token));
-	sim_stop(&s, 0);
-	assert_true(answered_after(&s, token, 12000) <= TICK_MS);
-	assert_int_equal(sim_answer(&s, token)->status, 503);
-	assert_true(controller_stopped(s.n[0].r, sim_local(&s, 0)));
-	sim_close(&s);
+	sim_open(&sim, first_seed());
+	sim_add_controller(&sim, "z1", seeds, 3);
+	token = sim_call(&sim, 0, "POST", "/v1/found", "{}");
+	pass(&sim, 500);
+	assert_null(sim_answer(&sim, token));
+	sim_stop(&sim, 0);
+	assert_true(answered_after(&sim, token, 12000) <= TICK_MS);
+	assert_int_equal(sim_answer(&sim, token)->status, 503);
+	assert_true(controller_stopped(sim.nodes[0].controller, sim_local(&sim, 0)));
+	sim_close(&sim);
 }
 
 /* Once seeds may have begun, the outcome of a founding is open, and they are still told of each other. */
-static void a_founding_that_has_begun_is_unknown(void **state)
+static void a_bootstrap_that_has_begun_is_unknown(void **state)
 {
-	uint64_t seeds[3] = { core_addr("127.0.1.1:7000"), core_addr("127.0.1.2:7000"), core_addr("127.0.1.3:7000") };
+	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"), core_parse_addr("127.0.1.3:7000") };
 
 	(void)state;
 	for (int hang_up = 0; hang_up < 2; hang_up++) {
-		struct sim s;
+		struct sim sim;
 		uint64_t token;
 
-		sim_open(&s, first_seed());
+		sim_open(&sim, first_seed());
 		for (int i = 0; i < 3; i++)
-			sim_registrar(&s, "z1", seeds, 3);
-		token = sim_call(&s, 0, "POST", "/v1/found", "{}");
-		while (!s.n[0].r->found.members) { /* the first message that names them is lost */
-			s.loss = s.n[0].r->found.id[1] && s.n[0].r->found.id[2] ? 1000 : 0;
-			pass(&s, STEP_MS);
+			sim_add_controller(&sim, "z1", seeds, 3);
+		token = sim_call(&sim, 0, "POST", "/v1/found", "{}");
+		while (!sim.nodes[0].controller->bootstrap.members) { /* the first message that names them is lost */
+			sim.loss_per_mille = sim.nodes[0].controller->bootstrap.id[1] && sim.nodes[0].controller->bootstrap.id[2] ? 1000 : 0;
+			pass(&sim, STEP_MS);
 		}
-		s.loss = 0;
+		sim.loss_per_mille = 0;
 		if (hang_up)
-			sim_hang_up(&s, 0, token);
-		sim_stop(&s, 0);
-		pass(&s, STEP_MS);
-		assert_non_null(sim_answer(&s, token)); /* to whoever is there */
-		assert_int_equal(sim_answer(&s, token)->status, 504);
-		assert_int_equal(operator_calls_open(s.n[0].r), 0);
-		pass(&s, 3000);
+			sim_operator_disconnect(&sim, 0, token);
+		sim_stop(&sim, 0);
+		pass(&sim, STEP_MS);
+		assert_non_null(sim_answer(&sim, token)); /* to whoever is there */
+		assert_int_equal(sim_answer(&sim, token)->status, 504);
+		assert_int_equal(operator_calls_open(sim.nodes[0].controller), 0);
+		pass(&sim, 3000);
 		for (int i = 0; i < 3; i++)
-			assert_true(s.n[i].r->fleet && s.n[i].r->fleet == s.n[0].r->fleet);
-		sim_close(&s);
+			assert_true(sim.nodes[i].controller->fleet && sim.nodes[i].controller->fleet == sim.nodes[0].controller->fleet);
+		sim_close(&sim);
 	}
 }
 
@@ -345,29 +345,29 @@
 
 	(void)state;
 	for (uint64_t seed = first_seed(); seed < first_seed() + seeds_or(8); seed++) {
-		struct sim s;
+		struct sim sim;
 		uint64_t before, after;
 		int node;
 
-		sim_deploy(&s, seed, 4, 2, SERVERS);
-		s.delay = 40;
-		pass(&s, 1500);
-		node = (sim_owner(&s, SHARD_CONTROL) + 1 + (int)(seed % 3)) % 4;
-		before = sim_call(&s, node, "POST", "/v1/change", change);
-		pass(&s, 20);
-		sim_stop(&s, node);
-		pass(&s, 1);
-		after = sim_call(&s, node, "GET", "/v1/table", "");
-		assert_true(answered_after(&s, after, 100) <= 1);
-		assert_int_equal(sim_answer(&s, after)->status, 503);
-		assert_true(sim_answer(&s, after)->retry_ms > 0);
-		while (!controller_stopped(s.n[node].r, sim_local(&s, node))) {
-			waited += !sim_answer(&s, before);
-			pass(&s, STEP_MS);
+		sim_deploy(&sim, seed, 4, 2, SERVERS);
+		sim.delay_ms = 40;
+		pass(&sim, 1500);
+		node = (sim_leader(&sim, SHARD_CONTROL) + 1 + (int)(seed % 3)) % 4;
+		before = sim_call(&sim, node, "POST", "/v1/change", change);
+		pass(&sim, 20);
+		sim_stop(&sim, node);
+		pass(&sim, 1);
+		after = sim_call(&sim, node, "GET", "/v1/table", "");
+		assert_true(answered_after(&sim, after, 100) <= 1);
+		assert_int_equal(sim_answer(&sim, after)->status, 503);
+		assert_true(sim_answer(&sim, after)->retry_ms > 0);
+		while (!controller_stopped(sim.nodes[node].controller, sim_local(&sim, node))) {
+			waited += !sim_answer(&sim, before);
+			pass(&sim, STEP_MS);
 		}
-		assert_non_null(sim_answer(&s, before));
-		assert_int_equal(sim_answer(&s, before)->status, 200);
-		sim_close(&s);
+		assert_non_null(sim_answer(&sim, before));
+		assert_int_equal(sim_answer(&sim, before)->status, 200);
+		sim_close(&sim);
 	}
 	assert_true(waited);
 }
@@ -375,9 +375,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_held_request_is_answered_in_time),   cmocka_unit_test(a_leaving_leader_answers_proposals),
-		cmocka_unit_test(an_open_outcome_is_said_at_once),      cmocka_unit_test(a_founding_ends_with_the_stop),
-		cmocka_unit_test(a_founding_that_has_begun_is_unknown), cmocka_unit_test(a_stop_waits_for_calls_and_begins_none),
+		cmocka_unit_test(a_pending_request_is_answered_in_time),   cmocka_unit_test(a_leaving_leader_answers_proposals),
+		cmocka_unit_test(an_open_outcome_is_said_at_once),      cmocka_unit_test(a_bootstrap_ends_with_the_stop),
+		cmocka_unit_test(a_bootstrap_that_has_begun_is_unknown), cmocka_unit_test(a_stop_waits_for_calls_and_begins_none),
 		cmocka_unit_test(a_planned_stop_leaves_a_short_gap),
 	};
 	int rc;
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -15,231 +15,231 @@
 /* ---- one member ---- */
 
 /* The leader has lost its followers: it steps down, and hears of nobody for a while. */
-static void lose_followers(struct leader *l)
+static void lose_followers(struct leader *leader)
 {
 	for (int i = 0; i < 30; i++) {
-		l->now += RAFT_HEARTBEAT_MS;
-		raft_tick(&l->raft, l->now, &l->out);
-		leader_sync_disk(l);
+		leader->now += RAFT_HEARTBEAT_MS;
+		raft_tick(&leader->raft, leader->now, &leader->out);
+		leader_sync_disk(leader);
 	}
-	assert_int_not_equal(l->raft.role, RAFT_LEADER);
-	out_clear(&l->out);
+	assert_int_not_equal(leader->raft.role, RAFT_LEADER);
+	command_list_clear(&leader->out);
 }
 
 static const uint64_t lost[2] = { 2, 3 };
 
-static struct Nl__Msg *sent(struct leader *l, int body)
+static struct Nl__Msg *sent(struct leader *leader, int body)
 {
-	for (ptrdiff_t i = arrlen(l->out.v) - 1; i >= 0; i--)
-		if (l->out.v[i].kind == CMD_SEND && (int)l->out.v[i].u.send.msg->body_case == body)
-			return l->out.v[i].u.send.msg;
+	for (ptrdiff_t i = arrlen(leader->out.commands) - 1; i >= 0; i--)
+		if (leader->out.commands[i].kind == CMD_SEND && (int)leader->out.commands[i].args.send.msg->body_case == body)
+			return leader->out.commands[i].args.send.msg;
 	return NULL;
 }
 
-static void hear_vote_request(struct leader *l, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
+static void receive_vote_request(struct leader *leader, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
 {
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_VOTE_ASK);
-	struct Nl__VoteAsk a = NL__VOTE_ASK__INIT;
-
-	a.term = term;
-	a.last = last;
-	a.last_term = last_term;
-	m.vote_ask = &a;
-	out_clear(&l->out);
-	leader_hear(l, from, &m);
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_ASK);
+	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+
+	request.term = term;
+	request.last = last;
+	request.last_term = last_term;
+	message.vote_ask = &request;
+	command_list_clear(&leader->out);
+	leader_receive(leader, from, &message);
 }
 
 static void recovery_is_refused_while_it_may_not_be(void **state)
 {
 	const uint64_t one[1] = { 3 }, none[1] = { 9 }, self[3] = { 1, 2, 3 };
-	struct leader l;
+	struct leader leader;
 
 	(void)state;
-	leader_begin(&l, 3);
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_MEMBER_ANSWERS);
-	l.now += RAFT_ABSENT_MS;
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_HAS_LEADER);
-	lose_followers(&l);
-	assert_int_equal(raft_recover(&l.raft, one, 1, l.now), RAFT_RECOVERY_MAJORITY_REMAINS);
-	assert_int_equal(raft_recover(&l.raft, none, 1, l.now), RAFT_RECOVERY_MAJORITY_REMAINS);
-	assert_int_equal(raft_recover(&l.raft, NULL, 0, l.now), RAFT_RECOVERY_MAJORITY_REMAINS);
-	assert_int_equal(raft_recover(&l.raft, self, 3, l.now), RAFT_RECOVERY_NO_VOTER);
-	l.raft.vote_barrier_until = l.now + 1; /* a leader was heard */
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_HAS_LEADER);
-	l.raft.vote_barrier_until = 0;
-	hear_vote_request(&l, 3, 2, 1, 1); /* one that is named as lost is there */
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_MEMBER_ANSWERS);
-	assert_int_equal(raft_epoch(l.raft.term), 0);
-	l.now += RAFT_ABSENT_MS;
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_POSSIBLE);
-	assert_int_equal(raft_epoch(l.raft.term), 1);
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_MAJORITY_REMAINS); /* twice */
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MEMBER_ANSWERS);
+	leader.now += RAFT_ABSENT_MS;
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_HAS_LEADER);
+	lose_followers(&leader);
+	assert_int_equal(raft_recover(&leader.raft, one, 1, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
+	assert_int_equal(raft_recover(&leader.raft, none, 1, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
+	assert_int_equal(raft_recover(&leader.raft, NULL, 0, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
+	assert_int_equal(raft_recover(&leader.raft, self, 3, leader.now), RAFT_RECOVERY_NO_VOTER);
+	leader.raft.vote_barrier_until_ms = leader.now + 1; /* a leader was heard */
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_HAS_LEADER);
+	leader.raft.vote_barrier_until_ms = 0;
+	receive_vote_request(&leader, 3, 2, 1, 1); /* one that is named as lost is there */
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MEMBER_ANSWERS);
+	assert_int_equal(raft_epoch(leader.raft.term), 0);
+	leader.now += RAFT_ABSENT_MS;
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
+	assert_int_equal(raft_epoch(leader.raft.term), 1);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS); /* twice */
+	leader_end(&leader);
 	/* of five with three lost the newer of the two copies goes on */
-	leader_begin(&l, 5);
-	lose_followers(&l);
-	hear_vote_request(&l, 4, l.raft.term, leader_newest(&l) + 1, l.raft.term);
-	assert_int_equal(raft_recover(&l.raft, (const uint64_t[]){ 2, 3, 5 }, 3, l.now), RAFT_RECOVERY_OTHER_IS_NEWER);
-	leader_end(&l);
+	leader_begin(&leader, 5);
+	lose_followers(&leader);
+	receive_vote_request(&leader, 4, leader.raft.term, leader_last_index(&leader) + 1, leader.raft.term);
+	assert_int_equal(raft_recover(&leader.raft, (const uint64_t[]){ 2, 3, 5 }, 3, leader.now), RAFT_RECOVERY_OTHER_IS_NEWER);
+	leader_end(&leader);
 	/* one that is no member */
-	leader_begin(&l, 3);
-	lose_followers(&l);
-	l.raft.id = 77;
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_NO_VOTER);
-	l.raft.id = 1;
-	leader_end(&l);
+	leader_begin(&leader, 3);
+	lose_followers(&leader);
+	leader.raft.id = 77;
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_NO_VOTER);
+	leader.raft.id = 1;
+	leader_end(&leader);
 }
 
 /* Alone, it commits all that it holds, and keeps the epoch over a restart. */
 static void the_copy_that_is_left_goes_on(void **state)
 {
-	struct leader l;
+	struct leader leader;
 	uint64_t held;
 
 	(void)state;
-	leader_begin(&l, 3);
-	leader_propose(&l); /* on this disk alone */
-	held = leader_newest(&l);
-	assert_true(l.raft.commit < held);
-	lose_followers(&l);
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_POSSIBLE);
+	leader_begin(&leader, 3);
+	leader_propose(&leader); /* on this disk alone */
+	held = leader_last_index(&leader);
+	assert_true(leader.raft.commit_index < held);
+	lose_followers(&leader);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
 	for (int i = 0; i < 4; i++) {
-		raft_tick(&l.raft, l.now, &l.out);
-		leader_sync_disk(&l);
-		l.now += RAFT_HEARTBEAT_MS;
+		raft_tick(&leader.raft, leader.now, &leader.out);
+		leader_sync_disk(&leader);
+		leader.now += RAFT_HEARTBEAT_MS;
 	}
-	assert_true(raft_has_lease(&l.raft, l.now - RAFT_HEARTBEAT_MS));
-	assert_true(l.raft.commit > held);
-	assert_int_equal(l.raft.member_count, 1);
-	assert_true(raft_epoch(l.raft.term) == 1);
-	leader_end(&l);
+	assert_true(raft_has_lease(&leader.raft, leader.now - RAFT_HEARTBEAT_MS));
+	assert_true(leader.raft.commit_index > held);
+	assert_int_equal(leader.raft.member_count, 1);
+	assert_true(raft_epoch(leader.raft.term) == 1);
+	leader_end(&leader);
 }
 
 /* Whatever an old member says is refused, and it is told; the old term may be as high as it likes. */
 static void messages_of_an_older_epoch_are_refused(void **state)
 {
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_APPEND), *reply;
-	struct Nl__Append a = NL__APPEND__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND), *reply;
+	struct Nl__Append append = NL__APPEND__INIT;
 	uint64_t term;
 
 	(void)state;
-	leader_begin(&l, 3);
-	lose_followers(&l);
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now), RAFT_RECOVERY_POSSIBLE);
-	leader_sync_disk(&l);
-	term = l.raft.term;
-	hear_vote_request(&l, 2, 1000000, leader_newest(&l) + 50, 1000000);
-	reply = sent(&l, NL__MSG__BODY_VOTE_REPLY);
+	leader_begin(&leader, 3);
+	lose_followers(&leader);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
+	leader_sync_disk(&leader);
+	term = leader.raft.term;
+	receive_vote_request(&leader, 2, 1000000, leader_last_index(&leader) + 50, 1000000);
+	reply = sent(&leader, NL__MSG__BODY_VOTE_REPLY);
 	assert_non_null(reply);
 	assert_false(reply->vote_reply->granted);
 	assert_int_equal(reply->vote_reply->term, term);
-	out_clear(&l.out);
-	a.term = 1000000;
-	a.prev = leader_newest(&l);
-	m.append = &a;
-	leader_hear(&l, 2, &m);
-	assert_null(sent(&l, NL__MSG__BODY_APPEND_REPLY));
-	assert_non_null(sent(&l, NL__MSG__BODY_VOTE_REPLY));
-	assert_int_equal(l.raft.term, term);
-	assert_int_equal(l.raft.leader_id, 0);
-	leader_end(&l);
+	command_list_clear(&leader.out);
+	append.term = 1000000;
+	append.prev = leader_last_index(&leader);
+	message.append = &append;
+	leader_receive(&leader, 2, &message);
+	assert_null(sent(&leader, NL__MSG__BODY_APPEND_REPLY));
+	assert_non_null(sent(&leader, NL__MSG__BODY_VOTE_REPLY));
+	assert_int_equal(leader.raft.term, term);
+	assert_int_equal(leader.raft.leader_id, 0);
+	leader_end(&leader);
 }
 
 /* An old member that hears of the newer epoch leads no more, gives no vote, asks for none, and joins no group. */
 static void a_member_of_an_older_epoch_is_fenced(void **state)
 {
 	const uint64_t newer = (uint64_t)1 << RAFT_EPOCH_SHIFT;
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_VOTE_REPLY), offer = leader_message(NL__MSG__BODY_APPEND);
-	struct Nl__VoteReply v = NL__VOTE_REPLY__INIT;
-	struct Nl__Append a = NL__APPEND__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REPLY), offer = leader_message(NL__MSG__BODY_APPEND);
+	struct Nl__VoteReply reply = NL__VOTE_REPLY__INIT;
+	struct Nl__Append append = NL__APPEND__INIT;
 
 	(void)state;
-	leader_begin(&l, 3);
-	v.term = newer;
-	v.removed = 1;
-	m.vote_reply = &v;
-	leader_hear(&l, 2, &m);
-	assert_int_equal(l.raft.role, RAFT_FOLLOWER);
-	assert_false(raft_has_lease(&l.raft, l.now));
-	assert_int_equal(raft_epoch(l.raft.term), 0); /* its term stays what it was: its disk can be told from the new ones */
-	out_clear(&l.out);
+	leader_begin(&leader, 3);
+	reply.term = newer;
+	reply.removed = 1;
+	message.vote_reply = &reply;
+	leader_receive(&leader, 2, &message);
+	assert_int_equal(leader.raft.role, RAFT_FOLLOWER);
+	assert_false(raft_has_lease(&leader.raft, leader.now));
+	assert_int_equal(raft_epoch(leader.raft.term), 0); /* its term stays what it was: its disk can be told from the new ones */
+	command_list_clear(&leader.out);
 	for (int i = 0; i < 30; i++) {
-		l.now += RAFT_HEARTBEAT_MS;
-		raft_tick(&l.raft, l.now, &l.out);
+		leader.now += RAFT_HEARTBEAT_MS;
+		raft_tick(&leader.raft, leader.now, &leader.out);
 	}
-	assert_null(sent(&l, NL__MSG__BODY_VOTE_ASK));
-	hear_vote_request(&l, 3, l.raft.term + 1, leader_newest(&l) + 9, l.raft.term + 1);
-	assert_null(sent(&l, NL__MSG__BODY_VOTE_REPLY));
-	a.term = newer;
-	offer.append = &a;
-	out_clear(&l.out);
-	leader_hear(&l, 3, &offer);
-	assert_non_null(sent(&l, NL__MSG__BODY_APPEND_REPLY));
-	assert_true(sent(&l, NL__MSG__BODY_APPEND_REPLY)->append_reply->fenced);
-	assert_int_equal(raft_recover(&l.raft, lost, 2, l.now + RAFT_ABSENT_MS), RAFT_RECOVERY_NO_VOTER);
-	leader_end(&l);
+	assert_null(sent(&leader, NL__MSG__BODY_VOTE_ASK));
+	receive_vote_request(&leader, 3, leader.raft.term + 1, leader_last_index(&leader) + 9, leader.raft.term + 1);
+	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REPLY));
+	append.term = newer;
+	offer.append = &append;
+	command_list_clear(&leader.out);
+	leader_receive(&leader, 3, &offer);
+	assert_non_null(sent(&leader, NL__MSG__BODY_APPEND_REPLY));
+	assert_true(sent(&leader, NL__MSG__BODY_APPEND_REPLY)->append_reply->fenced);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now + RAFT_ABSENT_MS), RAFT_RECOVERY_NO_VOTER);
+	leader_end(&leader);
 }
 
 /* A learner that turns out to hold a copy of an older epoch goes, and is not chosen again. */
 static void an_old_identity_is_not_taken_back(void **state)
 {
-	struct leader l;
-	struct Nl__Msg m = leader_message(NL__MSG__BODY_APPEND_REPLY);
-	struct Nl__AppendReply a = NL__APPEND_REPLY__INIT;
+	struct leader leader;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND_REPLY);
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 
 	(void)state;
-	leader_begin(&l, 3);
-	leader_beat(&l, 1700, 1u << 2);
-	leader_reconfigure(&l);
-	assert_non_null(leader_member(&l, 4));
-	leader_beat(&l, 150, 1u << 2);
-	a.term = l.raft.term;
-	a.fenced = 1;
-	m.append_reply = &a;
-	leader_hear(&l, 4, &m);
-	leader_reconfigure(&l);
-	assert_null(leader_member(&l, 4));
+	leader_begin(&leader, 3);
+	leader_run_heartbeats(&leader, 1700, 1u << 2);
+	leader_reconfigure(&leader);
+	assert_non_null(leader_member(&leader, 4));
+	leader_run_heartbeats(&leader, 150, 1u << 2);
+	reply.term = leader.raft.term;
+	reply.fenced = 1;
+	message.append_reply = &reply;
+	leader_receive(&leader, 4, &message);
+	leader_reconfigure(&leader);
+	assert_null(leader_member(&leader, 4));
 	for (int i = 0; i < 10; i++) {
-		leader_beat(&l, 150, 1u << 2);
-		leader_reconfigure(&l);
-		assert_null(leader_member(&l, 4));
+		leader_run_heartbeats(&leader, 150, 1u << 2);
+		leader_reconfigure(&leader);
+		assert_null(leader_member(&leader, 4));
 	}
-	leader_end(&l);
+	leader_end(&leader);
 }
 
 /* ---- fleets ---- */
 
 static void check(struct sim *s)
 {
-	if (s->bad[0])
-		fail_msg("%s", s->bad);
+	if (s->violation[0])
+		fail_msg("%s", s->violation);
 }
 
-static void pass(struct sim *s, int64_t ms)
+static void pass(struct sim *sim, int64_t ms)
 {
-	sim_run(s, ms, NULL);
-	check(s);
+	sim_run(sim, ms, NULL);
+	check(sim);
 }
 
-static int call_recover(struct sim *s, int node, const int *gone, int count)
+static int call_recover(struct sim *sim, int node, const int *removed, int count)
 {
 	char body[256];
 	int n = snprintf(body, sizeof body, "{\"lost\":[");
 
 	for (int i = 0; i < count; i++)
 		n += snprintf(body + n, sizeof body - (size_t)n, "%s\"%016llx\"", i ? "," : "",
-			      (unsigned long long)s->n[gone[i]].id);
+			      (unsigned long long)sim->nodes[removed[i]].id);
 	snprintf(body + n, sizeof body - (size_t)n, "]}");
-	return sim_do(s, node, "POST", "/v1/recover", body, 1000);
+	return sim_call_and_wait(sim, node, "POST", "/v1/recover", body, 1000);
 }
 
 #define TENANT(name) "{\"set\":[{\"kind\":\"tenant\",\"name\":\"" name "\",\"share\":1,\"limit\":5}]}"
 
-static int table_has(struct sim *s, int node, const char *tenant)
+static int table_has(struct sim *sim, int node, const char *tenant)
 {
-	return table_get(&s->n[node].r->ctl, NL__KIND__TENANT, tenant) != NULL;
+	return config_table_get(&sim->nodes[node].controller->config, NL__KIND__TENANT, tenant) != NULL;
 }
 
 /* Two of three are lost for good. The one that is left goes on, two new machines join it, the old two come back from
@@ -250,65 +250,65 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds; seed++) {
-		struct sim s;
-		int left = (int)(seed % 3), gone[2] = { (left + 1) % 3, (left + 2) % 3 };
-		uint64_t edition;
-
-		sim_fleet(&s, seed, 3);
-		s.catch_up_ms = 4000;
-		assert_true(sim_change(&s, TENANT("before"), 8000) > 0);
-		pass(&s, 1000);
+		struct sim sim;
+		int remaining = (int)(seed % 3), gone[2] = { (remaining + 1) % 3, (remaining + 2) % 3 };
+		uint64_t revision;
+
+		sim_fleet(&sim, seed, 3);
+		sim.catch_up_ms = 4000;
+		assert_true(sim_change(&sim, TENANT("before"), 8000) > 0);
+		pass(&sim, 1000);
 		for (int i = 0; i < 3; i++) /* all live: refused anywhere */
-			assert_int_equal(call_recover(&s, i, gone, 2), 409);
-		sim_crash(&s, gone[0], 0);
-		sim_crash(&s, gone[1], 0);
-		pass(&s, 500);
-		assert_int_equal(call_recover(&s, left, gone, 2), 409); /* too early: they were heard just now */
-		pass(&s, 4000);
-		assert_int_equal(call_recover(&s, left, gone, 1), 409); /* one of them is not said to be lost */
-		s.recovered = 1;
-		assert_int_equal(call_recover(&s, left, gone, 2), 200);
-		assert_int_equal(call_recover(&s, left, gone, 2), 409); /* twice */
+			assert_int_equal(call_recover(&sim, i, gone, 2), 409);
+		sim_crash(&sim, gone[0], 0);
+		sim_crash(&sim, gone[1], 0);
+		pass(&sim, 500);
+		assert_int_equal(call_recover(&sim, remaining, gone, 2), 409); /* too early: they were heard just now */
+		pass(&sim, 4000);
+		assert_int_equal(call_recover(&sim, remaining, gone, 1), 409); /* one of them is not said to be lost */
+		sim.recovered = 1;
+		assert_int_equal(call_recover(&sim, remaining, gone, 2), 200);
+		assert_int_equal(call_recover(&sim, remaining, gone, 2), 409); /* twice */
 		if (seed % 2) { /* it falls right after it said so, and goes on from its disk */
-			pass(&s, 200);
-			sim_crash(&s, left, 0);
-			sim_start(&s, left);
+			pass(&sim, 200);
+			sim_crash(&sim, remaining, 0);
+			sim_start(&sim, remaining);
 		}
-		edition = sim_change(&s, TENANT("after"), 12000);
-		check(&s);
-		assert_true(edition > CONTROLLER_RECOVERY_SKIP);
-		assert_true(table_has(&s, left, "before"));
+		revision = sim_change(&sim, TENANT("after"), 12000);
+		check(&sim);
+		assert_true(revision > CONTROLLER_RECOVERY_SKIP);
+		assert_true(table_has(&sim, remaining, "before"));
 		/* old members and new machines come together */
-		sim_start(&s, gone[0]);
-		sim_start(&s, gone[1]);
-		sim_registrar(&s, "z7", s.n[left].r->seeds, 3);
-		sim_registrar(&s, "z8", s.n[left].r->seeds, 3);
-		pass(&s, 8000);
+		sim_start(&sim, gone[0]);
+		sim_start(&sim, gone[1]);
+		sim_add_controller(&sim, "z7", sim.nodes[remaining].controller->seeds, 3);
+		sim_add_controller(&sim, "z8", sim.nodes[remaining].controller->seeds, 3);
+		pass(&sim, 8000);
 		for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 			const struct raft *raft;
 
-			assert_int_not_equal(sim_owner(&s, shard), -1);
-			raft = &s.n[sim_owner(&s, shard)].r->part[shard];
+			assert_int_not_equal(sim_leader(&sim, shard), -1);
+			raft = &sim.nodes[sim_leader(&sim, shard)].controller->shards[shard];
 			assert_int_equal(raft_epoch(raft->term), 1);
 			assert_int_equal(raft->member_count, 3);
 			for (int i = 0; i < raft->member_count; i++) {
 				assert_true(raft->members[i].voter);
-				assert_true(raft->members[i].id != s.n[gone[0]].id && raft->members[i].id != s.n[gone[1]].id);
+				assert_true(raft->members[i].id != sim.nodes[gone[0]].id && raft->members[i].id != sim.nodes[gone[1]].id);
 			}
 			for (int i = 0; i < 2; i++) {
-				assert_true(s.n[gone[i]].r->part[shard].fenced);
-				assert_int_equal(raft_epoch(s.n[gone[i]].r->part[shard].term), 0);
+				assert_true(sim.nodes[gone[i]].controller->shards[shard].fenced);
+				assert_int_equal(raft_epoch(sim.nodes[gone[i]].controller->shards[shard].term), 0);
 			}
 		}
-		assert_true(sim_change(&s, TENANT("later"), 8000) > edition);
+		assert_true(sim_change(&sim, TENANT("later"), 8000) > revision);
 		/* now it survives the loss of the copy that it was recovered from */
-		sim_crash(&s, left, 1);
-		assert_true(sim_change(&s, TENANT("last"), 12000) > edition);
-		pass(&s, 1000);
-		assert_true(table_has(&s, sim_owner(&s, SHARD_CONTROL), "before"));
-		assert_true(table_has(&s, sim_owner(&s, SHARD_CONTROL), "after"));
-		check(&s);
-		sim_close(&s);
+		sim_crash(&sim, remaining, 1);
+		assert_true(sim_change(&sim, TENANT("last"), 12000) > revision);
+		pass(&sim, 1000);
+		assert_true(table_has(&sim, sim_leader(&sim, SHARD_CONTROL), "before"));
+		assert_true(table_has(&sim, sim_leader(&sim, SHARD_CONTROL), "after"));
+		check(&sim);
+		sim_close(&sim);
 	}
 }
 
@@ -316,24 +316,24 @@
 static void a_call_at_the_wrong_machine_is_refused(void **state)
 {
 	static const char *const bodies[] = { "", "{", "[]", "{}", "{\"lost\":5}", "{\"lost\":[1,2,3,4,5,6,7,8,9]}" };
-	struct sim s;
+	struct sim sim;
 	int gone[2] = { 0, 1 }, spare;
 
 	(void)state;
-	sim_fleet(&s, 3, 3);
-	spare = sim_registrar(&s, "z9", s.n[0].r->seeds, 3);
-	pass(&s, 3000);
-	sim_crash(&s, 0, 1);
-	sim_crash(&s, 1, 1);
-	pass(&s, 4000);
-	assert_int_equal(call_recover(&s, spare, gone, 2), 409);
+	sim_fleet(&sim, 3, 3);
+	spare = sim_add_controller(&sim, "z9", sim.nodes[0].controller->seeds, 3);
+	pass(&sim, 3000);
+	sim_crash(&sim, 0, 1);
+	sim_crash(&sim, 1, 1);
+	pass(&sim, 4000);
+	assert_int_equal(call_recover(&sim, spare, gone, 2), 409);
 	for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
-		assert_int_equal(sim_do(&s, 2, "POST", "/v1/recover", bodies[i], 1000), 400);
-	assert_int_equal(sim_do(&s, 2, "POST", "/v1/recover", "{\"lost\":[]}", 1000), 409); /* only says who the members are */
+		assert_int_equal(sim_call_and_wait(&sim, 2, "POST", "/v1/recover", bodies[i], 1000), 400);
+	assert_int_equal(sim_call_and_wait(&sim, 2, "POST", "/v1/recover", "{\"lost\":[]}", 1000), 409); /* only says who the members are */
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++)
-		assert_int_equal(raft_epoch(s.n[2].r->part[shard].term), 0);
-	check(&s);
-	sim_close(&s);
+		assert_int_equal(raft_epoch(sim.nodes[2].controller->shards[shard].term), 0);
+	check(&sim);
+	sim_close(&sim);
 }
 
 int main(void)
