--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -22,61 +22,61 @@
 	int64_t now;
 };
 
-static void member_open(struct member *m)
+static void member_open(struct member *member)
 {
 	struct raft_member group[3];
 
-	memset(m, 0, sizeof *m);
+	memset(member, 0, sizeof *member);
 	memset(group, 0, sizeof group);
 	for (int i = 0; i < 3; i++)
 		group[i] = (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
-	apr_pool_create(&m->out.p, NULL);
-	m->out.id = 1;
-	m->out.addr = 101;
-	m->now = 100000;
-	raft_open(&m->raft, 0, 1, 5, NULL, m->now);
-	raft_bootstrap(&m->raft, group, 3, m->now, &m->out);
-	raft_flush(&m->raft, m->now, &m->out);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
-	out_clear(&m->out);
-	m->now += 5000;
+	apr_pool_create(&member->out.pool, NULL);
+	member->out.id = 1;
+	member->out.addr = 101;
+	member->now = 100000;
+	raft_open(&member->raft, 0, 1, 5, NULL, member->now);
+	raft_bootstrap(&member->raft, group, 3, member->now, &member->out);
+	raft_flush(&member->raft, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	command_list_clear(&member->out);
+	member->now += 5000;
 }
 
-static void member_close(struct member *m)
+static void member_close(struct member *member)
 {
-	raft_close(&m->raft);
-	arrfree(m->out.v);
-	apr_pool_destroy(m->out.p);
+	raft_close(&member->raft);
+	arrfree(member->out.commands);
+	apr_pool_destroy(member->out.pool);
 }
 
 /* Its last message of a kind since the last step, or NULL. */
-static struct Nl__Msg *sent(const struct member *m, int body)
+static struct Nl__Msg *sent(const struct member *member, int body)
 {
-	for (ptrdiff_t i = arrlen(m->out.v) - 1; i >= 0; i--)
-		if (m->out.v[i].kind == CMD_SEND && (int)m->out.v[i].u.send.msg->body_case == body)
-			return m->out.v[i].u.send.msg;
+	for (ptrdiff_t i = arrlen(member->out.commands) - 1; i >= 0; i--)
+		if (member->out.commands[i].kind == CMD_SEND && (int)member->out.commands[i].args.send.msg->body_case == body)
+			return member->out.commands[i].args.send.msg;
 	return NULL;
 }
 
-static int count_sent(const struct member *m, int body, uint64_t addr)
+static int count_sent(const struct member *member, int body, uint64_t addr)
 {
 	int n = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(m->out.v); i++)
-		n += m->out.v[i].kind == CMD_SEND && (int)m->out.v[i].u.send.msg->body_case == body &&
-		     m->out.v[i].u.send.addr == addr;
+	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++)
+		n += member->out.commands[i].kind == CMD_SEND && (int)member->out.commands[i].args.send.msg->body_case == body &&
+		     member->out.commands[i].args.send.addr == addr;
 	return n;
 }
 
-static const char *receive(struct member *m, uint64_t from, struct Nl__Msg *msg)
+static const char *receive(struct member *member, uint64_t from, struct Nl__Msg *msg)
 {
 	const char *why;
 
 	msg->id = from;
 	msg->addr = 100 + from;
-	out_clear(&m->out);
-	why = raft_receive(&m->raft, msg, m->now, &m->out);
-	raft_flush(&m->raft, m->now, &m->out);
+	command_list_clear(&member->out);
+	why = raft_receive(&member->raft, msg, member->now, &member->out);
+	raft_flush(&member->raft, member->now, &member->out);
 	return why;
 }
 
@@ -89,259 +89,259 @@
 	uint8_t digest[RAFT_DIGEST_BYTES];
 };
 
-static void sender_digest(struct sender *s)
+static void sender_digest(struct sender *sender)
 {
-	uint64_t head[3] = { s->index, s->index_term, s->members_len };
+	uint64_t head[3] = { sender->index, sender->index_term, sender->members_len };
 	struct sha256_ctx sum;
 
 	sha256_init(&sum);
 	sha256_update(&sum, sizeof head, (const uint8_t *)head);
-	sha256_update(&sum, s->len, s->bytes);
-	sha256_digest(&sum, sizeof s->digest, s->digest);
+	sha256_update(&sum, sender->len, sender->bytes);
+	sha256_digest(&sum, sizeof sender->digest, sender->digest);
 }
 
-static void sender_open(struct sender *s, uint64_t term, uint64_t index, size_t state_len)
+static void sender_open(struct sender *sender, uint64_t term, uint64_t index, size_t state_len)
 {
-	struct Nl__Members ms = NL__MEMBERS__INIT;
-	struct Nl__Member v[3], *pv[3];
+	struct Nl__Members members = NL__MEMBERS__INIT;
+	struct Nl__Member v[3], *member[3];
 
 	for (int i = 0; i < 3; i++) {
 		nl__member__init(&v[i]);
 		v[i].id = (uint64_t)i + 1;
 		v[i].addr = 101 + (uint64_t)i;
 		v[i].voter = 1;
-		pv[i] = &v[i];
+		member[i] = &v[i];
 	}
-	ms.n_m = 3;
-	ms.m = pv;
-	s->term = term;
-	s->index = index;
-	s->index_term = 1;
-	s->members_len = nl__members__get_packed_size(&ms);
-	s->len = s->members_len + state_len;
-	s->bytes = malloc(s->len);
-	nl__members__pack(&ms, s->bytes);
-	for (size_t i = s->members_len; i < s->len; i++)
-		s->bytes[i] = (uint8_t)(i * 31 + index);
-	sender_digest(s);
+	members.n_m = 3;
+	members.m = member;
+	sender->term = term;
+	sender->index = index;
+	sender->index_term = 1;
+	sender->members_len = nl__members__get_packed_size(&members);
+	sender->len = sender->members_len + state_len;
+	sender->bytes = malloc(sender->len);
+	nl__members__pack(&members, sender->bytes);
+	for (size_t i = sender->members_len; i < sender->len; i++)
+		sender->bytes[i] = (uint8_t)(i * 31 + index);
+	sender_digest(sender);
 }
 
 /* Send [offset, offset + n) to a member; the member's reply, or NULL. */
-static const struct Nl__SnapshotReply *send_range(struct member *m, const struct sender *s, uint64_t from, size_t offset, size_t n)
-{
-	struct Nl__Msg msg = NL__MSG__INIT, *r;
-	struct Nl__SnapshotPiece p = NL__SNAPSHOT_PIECE__INIT;
-
-	p.term = s->term;
-	p.index = s->index;
-	p.index_term = s->index_term;
-	p.members_len = s->members_len;
-	p.total = s->len;
-	p.offset = offset;
-	p.digest.data = (uint8_t *)(uintptr_t)s->digest;
-	p.digest.len = sizeof s->digest;
-	p.data.data = s->bytes + offset;
-	p.data.len = n;
+static const struct Nl__SnapshotReply *send_range(struct member *member, const struct sender *sender, uint64_t from, size_t offset, size_t n)
+{
+	struct Nl__Msg msg = NL__MSG__INIT, *message;
+	struct Nl__SnapshotPiece piece = NL__SNAPSHOT_PIECE__INIT;
+
+	piece.term = sender->term;
+	piece.index = sender->index;
+	piece.index_term = sender->index_term;
+	piece.members_len = sender->members_len;
+	piece.total = sender->len;
+	piece.offset = offset;
+	piece.digest.data = (uint8_t *)(uintptr_t)sender->digest;
+	piece.digest.len = sizeof sender->digest;
+	piece.data.data = sender->bytes + offset;
+	piece.data.len = n;
 	msg.body_case = NL__MSG__BODY_SNAPSHOT_PIECE;
-	msg.snapshot_piece = &p;
-	receive(m, from, &msg);
-	r = sent(m, NL__MSG__BODY_SNAPSHOT_REPLY);
-	return r ? r->snapshot_reply : NULL;
-}
-
-static void assert_installed(const struct member *m, const struct sender *s)
-{
-	assert_true(m->raft.snapshot_to_load);
-	assert_int_equal(m->raft.commit, s->index);
-	assert_int_equal(m->raft.snapshot_len, s->len - s->members_len);
-	assert_memory_equal(m->raft.snap, s->bytes + s->members_len, m->raft.snapshot_len);
-	assert_int_equal(m->raft.member_count, 3);
-}
-
-static void a_snapshot_is_installed_whole_or_not_at_all(void **st)
-{
-	struct member m;
-	struct sender s;
-
-	(void)st;
-	member_open(&m);
-	sender_open(&s, 3, 50, 1000);
-	assert_int_equal(send_range(&m, &s, 2, 0, 300)->offset, 300);
-	assert_int_equal(send_range(&m, &s, 2, 600, 300)->offset, 300); /* one between is lost */
-	assert_int_equal(send_range(&m, &s, 2, 0, 300)->offset, 300);   /* repeated */
-	assert_int_equal(send_range(&m, &s, 2, 100, 400)->offset, 500); /* overlaps */
-	assert_int_equal(send_range(&m, &s, 2, 500, s.len - 500 - 1)->offset, s.len - 1);
-	assert_false(m.raft.snapshot_to_load);
-	assert_int_equal(m.raft.base, 0);
-	assert_int_equal(m.raft.commit, 0);
-	assert_int_equal(send_range(&m, &s, 2, s.len - 1, 1)->offset, s.len);
-	assert_installed(&m, &s);
+	msg.snapshot_piece = &piece;
+	receive(member, from, &msg);
+	message = sent(member, NL__MSG__BODY_SNAPSHOT_REPLY);
+	return message ? message->snapshot_reply : NULL;
+}
+
+static void assert_installed(const struct member *member, const struct sender *sender)
+{
+	assert_true(member->raft.snapshot_to_load);
+	assert_int_equal(member->raft.commit_index, sender->index);
+	assert_int_equal(member->raft.snapshot_len, sender->len - sender->members_len);
+	assert_memory_equal(member->raft.snapshot_data, sender->bytes + sender->members_len, member->raft.snapshot_len);
+	assert_int_equal(member->raft.member_count, 3);
+}
+
+static void a_snapshot_is_installed_completely_or_not_at_all(void **state)
+{
+	struct member member;
+	struct sender sender;
+
+	(void)state;
+	member_open(&member);
+	sender_open(&sender, 3, 50, 1000);
+	assert_int_equal(send_range(&member, &sender, 2, 0, 300)->offset, 300);
+	assert_int_equal(send_range(&member, &sender, 2, 600, 300)->offset, 300); /* one between is lost */
+	assert_int_equal(send_range(&member, &sender, 2, 0, 300)->offset, 300);   /* repeated */
+	assert_int_equal(send_range(&member, &sender, 2, 100, 400)->offset, 500); /* overlaps */
+	assert_int_equal(send_range(&member, &sender, 2, 500, sender.len - 500 - 1)->offset, sender.len - 1);
+	assert_false(member.raft.snapshot_to_load);
+	assert_int_equal(member.raft.base_index, 0);
+	assert_int_equal(member.raft.commit_index, 0);
+	assert_int_equal(send_range(&member, &sender, 2, sender.len - 1, 1)->offset, sender.len);
+	assert_installed(&member, &sender);
 	/* what it says of its log waits for the disk, also when the last piece comes again */
-	assert_null(send_range(&m, &s, 2, s.len - 1, 1));
-	assert_true(sent(&m, NL__MSG__BODY_APPEND_REPLY)->append_reply->match < 50);
-	out_clear(&m.out);
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
-	assert_int_equal(sent(&m, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
-	free(s.bytes);
-	member_close(&m);
-}
-
-static void a_wrong_digest_is_asked_for_again(void **st)
-{
-	struct member m;
-	struct sender s;
-	const struct Nl__SnapshotReply *r;
-
-	(void)st;
-	member_open(&m);
-	sender_open(&s, 3, 50, 1000);
-	assert_int_equal(send_range(&m, &s, 2, 0, 600)->offset, 600);
-	s.bytes[700] ^= 1; /* on the way */
-	r = send_range(&m, &s, 2, 600, s.len - 600);
-	assert_true(r->corrupt);
-	assert_int_equal(r->offset, 0);
-	assert_false(m.raft.snapshot_to_load);
-	assert_int_equal(m.raft.base, 0);
-	s.bytes[700] ^= 1;
-	r = send_range(&m, &s, 2, 600, s.len - 600); /* nothing of it is left */
-	assert_int_equal(r->offset, 0);
-	r = send_range(&m, &s, 2, 0, s.len);
-	assert_false(r->corrupt);
-	assert_installed(&m, &s);
-	free(s.bytes);
-	member_close(&m);
-}
-
-static void pieces_of_old_terms_and_older_snapshots_change_nothing(void **st)
-{
-	struct member m;
-	struct sender old, s, older;
-
-	(void)st;
-	member_open(&m);
+	assert_null(send_range(&member, &sender, 2, sender.len - 1, 1));
+	assert_true(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match < 50);
+	command_list_clear(&member.out);
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
+	free(sender.bytes);
+	member_close(&member);
+}
+
+static void a_wrong_digest_is_asked_for_again(void **state)
+{
+	struct member member;
+	struct sender sender;
+	const struct Nl__SnapshotReply *reply;
+
+	(void)state;
+	member_open(&member);
+	sender_open(&sender, 3, 50, 1000);
+	assert_int_equal(send_range(&member, &sender, 2, 0, 600)->offset, 600);
+	sender.bytes[700] ^= 1; /* on the way */
+	reply = send_range(&member, &sender, 2, 600, sender.len - 600);
+	assert_true(reply->corrupt);
+	assert_int_equal(reply->offset, 0);
+	assert_false(member.raft.snapshot_to_load);
+	assert_int_equal(member.raft.base_index, 0);
+	sender.bytes[700] ^= 1;
+	reply = send_range(&member, &sender, 2, 600, sender.len - 600); /* nothing of it is left */
+	assert_int_equal(reply->offset, 0);
+	reply = send_range(&member, &sender, 2, 0, sender.len);
+	assert_false(reply->corrupt);
+	assert_installed(&member, &sender);
+	free(sender.bytes);
+	member_close(&member);
+}
+
+static void pieces_of_old_terms_and_older_snapshots_change_nothing(void **state)
+{
+	struct member member;
+	struct sender old, sender, older;
+
+	(void)state;
+	member_open(&member);
 	sender_open(&old, 2, 40, 1000);
-	sender_open(&s, 3, 50, 1000);
+	sender_open(&sender, 3, 50, 1000);
 	sender_open(&older, 3, 45, 1000);
-	assert_int_equal(send_range(&m, &s, 2, 0, 400)->offset, 400);
-	assert_null(send_range(&m, &old, 3, 0, old.len)); /* a leader of before */
-	assert_int_equal(sent(&m, NL__MSG__BODY_APPEND_REPLY)->append_reply->term, 3);
-	assert_null(send_range(&m, &older, 2, 0, older.len)); /* late, of the same leader */
-	assert_false(m.raft.snapshot_to_load);
-	assert_int_equal(send_range(&m, &s, 2, 400, s.len - 400)->offset, s.len);
-	assert_installed(&m, &s);
-	m.raft.snapshot_to_load = 0;
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
+	assert_int_equal(send_range(&member, &sender, 2, 0, 400)->offset, 400);
+	assert_null(send_range(&member, &old, 3, 0, old.len)); /* a leader of before */
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->term, 3);
+	assert_null(send_range(&member, &older, 2, 0, older.len)); /* late, of the same leader */
+	assert_false(member.raft.snapshot_to_load);
+	assert_int_equal(send_range(&member, &sender, 2, 400, sender.len - 400)->offset, sender.len);
+	assert_installed(&member, &sender);
+	member.raft.snapshot_to_load = 0;
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
 	/* what is committed never goes back */
-	assert_null(send_range(&m, &older, 2, 0, older.len));
-	assert_int_equal(sent(&m, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
-	assert_int_equal(m.raft.commit, 50);
-	assert_int_equal(m.raft.base, 50);
-	assert_false(m.raft.snapshot_to_load);
+	assert_null(send_range(&member, &older, 2, 0, older.len));
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
+	assert_int_equal(member.raft.commit_index, 50);
+	assert_int_equal(member.raft.base_index, 50);
+	assert_false(member.raft.snapshot_to_load);
 	free(old.bytes);
-	free(s.bytes);
+	free(sender.bytes);
 	free(older.bytes);
-	member_close(&m);
+	member_close(&member);
 }
 
 /* A machine that lost its disk has a new identity at the old address, and the leader may still send to both. */
-static void what_is_meant_for_another_identity_is_left_alone(void **st)
+static void what_is_meant_for_another_identity_is_left_alone(void **state)
 {
-	struct member m;
-	struct sender s;
+	struct member member;
+	struct sender sender;
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__SnapshotPiece p = NL__SNAPSHOT_PIECE__INIT;
-
-	(void)st;
-	member_open(&m);
-	sender_open(&s, 3, 50, 1000);
-	assert_int_equal(send_range(&m, &s, 2, 0, 300)->offset, 300);
-	p.term = 3;
-	p.index = 60; /* to the old one it began later, with a newer snapshot */
-	p.index_term = 1;
-	p.members_len = p.total = 100;
-	p.digest.data = s.digest;
-	p.digest.len = sizeof s.digest;
-	p.data.data = s.bytes;
-	p.data.len = 100;
-	p.to = 77;
+	struct Nl__SnapshotPiece piece = NL__SNAPSHOT_PIECE__INIT;
+
+	(void)state;
+	member_open(&member);
+	sender_open(&sender, 3, 50, 1000);
+	assert_int_equal(send_range(&member, &sender, 2, 0, 300)->offset, 300);
+	piece.term = 3;
+	piece.index = 60; /* to the old one it began later, with a newer snapshot */
+	piece.index_term = 1;
+	piece.members_len = piece.total = 100;
+	piece.digest.data = sender.digest;
+	piece.digest.len = sizeof sender.digest;
+	piece.data.data = sender.bytes;
+	piece.data.len = 100;
+	piece.to = 77;
 	msg.body_case = NL__MSG__BODY_SNAPSHOT_PIECE;
-	msg.snapshot_piece = &p;
-	assert_null(receive(&m, 2, &msg));
-	assert_null(sent(&m, NL__MSG__BODY_SNAPSHOT_REPLY));
-	assert_int_equal(send_range(&m, &s, 2, 300, 300)->offset, 600);
-	free(s.bytes);
-	member_close(&m);
-}
-
-static void another_leader_goes_on_where_the_last_one_ended(void **st)
-{
-	struct member m;
-	struct sender s, other;
-
-	(void)st;
-	member_open(&m);
-	sender_open(&s, 3, 50, 1000);
-	assert_int_equal(send_range(&m, &s, 2, 0, 700)->offset, 700);
-	s.term = 4;
-	assert_int_equal(send_range(&m, &s, 3, 0, 100)->offset, 700);
-	assert_int_equal(send_range(&m, &s, 3, 700, 100)->offset, 800);
+	msg.snapshot_piece = &piece;
+	assert_null(receive(&member, 2, &msg));
+	assert_null(sent(&member, NL__MSG__BODY_SNAPSHOT_REPLY));
+	assert_int_equal(send_range(&member, &sender, 2, 300, 300)->offset, 600);
+	free(sender.bytes);
+	member_close(&member);
+}
+
+static void another_leader_goes_on_where_the_last_one_ended(void **state)
+{
+	struct member member;
+	struct sender sender, other;
+
+	(void)state;
+	member_open(&member);
+	sender_open(&sender, 3, 50, 1000);
+	assert_int_equal(send_range(&member, &sender, 2, 0, 700)->offset, 700);
+	sender.term = 4;
+	assert_int_equal(send_range(&member, &sender, 3, 0, 100)->offset, 700);
+	assert_int_equal(send_range(&member, &sender, 3, 700, 100)->offset, 800);
 	/* one with other bytes begins anew, also with an older snapshot */
 	sender_open(&other, 5, 45, 900);
-	assert_int_equal(send_range(&m, &other, 2, 0, 100)->offset, 100);
-	assert_int_equal(send_range(&m, &other, 2, 100, other.len - 100)->offset, other.len);
-	assert_installed(&m, &other);
-	free(s.bytes);
+	assert_int_equal(send_range(&member, &other, 2, 0, 100)->offset, 100);
+	assert_int_equal(send_range(&member, &other, 2, 100, other.len - 100)->offset, other.len);
+	assert_installed(&member, &other);
+	free(sender.bytes);
 	free(other.bytes);
-	member_close(&m);
+	member_close(&member);
 }
 
 /* What a member acknowledged stays, also when a snapshot comes late that ends before it. */
-static void a_late_snapshot_drops_nothing_that_was_acknowledged(void **st)
+static void a_late_snapshot_drops_nothing_that_was_acknowledged(void **state)
 {
-	struct member m;
-	struct sender s;
+	struct member member;
+	struct sender sender;
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__Append a = NL__APPEND__INIT;
-	struct Nl__Entry e = NL__ENTRY__INIT, *es[9];
+	struct Nl__Append append = NL__APPEND__INIT;
+	struct Nl__Entry entry = NL__ENTRY__INIT, *es[9];
 
-	(void)st;
-	member_open(&m);
-	e.term = 1;
-	e.kind = RAFT_ENTRY_OPERATION;
+	(void)state;
+	member_open(&member);
+	entry.term = 1;
+	entry.kind = RAFT_ENTRY_OPERATION;
 	for (int i = 0; i < 9; i++)
-		es[i] = &e;
-	a.term = 2;
-	a.prev = a.prev_term = 1;
-	a.n_e = 9;
-	a.e = es;
+		es[i] = &entry;
+	append.term = 2;
+	append.prev = append.prev_term = 1;
+	append.n_e = 9;
+	append.e = es;
 	msg.body_case = NL__MSG__BODY_APPEND;
-	msg.append = &a;
-	assert_null(receive(&m, 2, &msg));
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
-	assert_int_equal(sent(&m, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 10);
-	sender_open(&s, 2, 5, 1000); /* entry 5 is of its term */
-	assert_null(send_range(&m, &s, 2, 0, s.len));
-	assert_int_equal(m.raft.commit, 5);
-	assert_int_equal(m.raft.base + (uint64_t)arrlen(m.raft.log), 10);
-	assert_int_equal(m.raft.synced_index, 10);
-	free(s.bytes);
-	member_close(&m);
+	msg.append = &append;
+	assert_null(receive(&member, 2, &msg));
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 10);
+	sender_open(&sender, 2, 5, 1000); /* entry 5 is of its term */
+	assert_null(send_range(&member, &sender, 2, 0, sender.len));
+	assert_int_equal(member.raft.commit_index, 5);
+	assert_int_equal(member.raft.base_index + (uint64_t)arrlen(member.raft.log), 10);
+	assert_int_equal(member.raft.synced_index, 10);
+	free(sender.bytes);
+	member_close(&member);
 }
 
 /* ---- a leader, its members' replies given by hand ---- */
 
-static void reply_append(struct member *m, uint64_t from, int ok, uint64_t match)
+static void reply_append(struct member *member, uint64_t from, int ok, uint64_t match)
 {
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__AppendReply r = NL__APPEND_REPLY__INIT;
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 
-	r.term = m->raft.term;
-	r.ok = ok;
-	r.match = match;
-	r.round = m->raft.round;
+	reply.term = member->raft.term;
+	reply.ok = ok;
+	reply.match = match;
+	reply.round = member->raft.heartbeat_round;
 	msg.body_case = NL__MSG__BODY_APPEND_REPLY;
-	msg.append_reply = &r;
-	assert_null(receive(m, from, &msg));
+	msg.append_reply = &reply;
+	assert_null(receive(member, from, &msg));
 }
 
 /* The last piece that went to a member in a step. */
@@ -349,242 +349,242 @@
 	uint64_t index, transfer, offset, len, total; /* index 0: there is none */
 };
 
-static struct piece piece_for(const struct member *m, uint64_t addr)
+static struct piece piece_for(const struct member *member, uint64_t addr)
 {
 	struct piece last = { 0, 0, 0, 0, 0 };
 
-	for (ptrdiff_t i = 0; i < arrlen(m->out.v); i++) {
-		const struct Nl__Msg *msg = m->out.v[i].kind == CMD_SEND ? m->out.v[i].u.send.msg : NULL;
-		const struct Nl__SnapshotPiece *p;
+	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++) {
+		const struct Nl__Msg *msg = member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
+		const struct Nl__SnapshotPiece *piece;
 
-		if (!msg || m->out.v[i].u.send.addr != addr || msg->body_case != NL__MSG__BODY_SNAPSHOT_PIECE)
+		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_SNAPSHOT_PIECE)
 			continue;
-		p = msg->snapshot_piece;
-		last = (struct piece){ p->index, 0, p->offset, p->data.len, p->total };
-		memcpy(&last.transfer, p->digest.data, sizeof last.transfer);
+		piece = msg->snapshot_piece;
+		last = (struct piece){ piece->index, 0, piece->offset, piece->data.len, piece->total };
+		memcpy(&last.transfer, piece->digest.data, sizeof last.transfer);
 	}
 	return last;
 }
 
-static void reply_piece(struct member *m, uint64_t from, struct piece p, uint64_t offset, int corrupt)
+static void reply_piece(struct member *member, uint64_t from, struct piece piece, uint64_t offset, int corrupt)
 {
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__SnapshotReply r = NL__SNAPSHOT_REPLY__INIT;
+	struct Nl__SnapshotReply reply = NL__SNAPSHOT_REPLY__INIT;
 
-	r.term = m->raft.term;
-	r.index = p.index;
-	r.transfer = p.transfer;
-	r.offset = offset;
-	r.corrupt = corrupt;
+	reply.term = member->raft.term;
+	reply.index = piece.index;
+	reply.transfer = piece.transfer;
+	reply.offset = offset;
+	reply.corrupt = corrupt;
 	msg.body_case = NL__MSG__BODY_SNAPSHOT_REPLY;
-	msg.snapshot_reply = &r;
-	assert_null(receive(m, from, &msg));
+	msg.snapshot_reply = &reply;
+	assert_null(receive(member, from, &msg));
 }
 
 /* Member 1 leads, 2 follows, and 3 has an empty disk; the log begins behind a snapshot of len bytes. */
-static void leader_open(struct member *m, size_t len)
+static void leader_open(struct member *member, size_t len)
 {
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__VoteReply v = NL__VOTE_REPLY__INIT;
+	struct Nl__VoteReply reply = NL__VOTE_REPLY__INIT;
 	uint8_t *state = calloc(1, len);
 
-	member_open(m);
-	raft_tick(&m->raft, m->now, &m->out);
-	v.term = m->raft.term + 1;
-	v.granted = v.pre = 1;
+	member_open(member);
+	raft_tick(&member->raft, member->now, &member->out);
+	reply.term = member->raft.term + 1;
+	reply.granted = reply.pre = 1;
 	msg.body_case = NL__MSG__BODY_VOTE_REPLY;
-	msg.vote_reply = &v;
-	receive(m, 2, &msg);
-	v.pre = 0;
-	receive(m, 2, &msg);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
-	raft_flush(&m->raft, m->now, &m->out);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
-	raft_tick(&m->raft, m->now, &m->out);
-	reply_append(m, 2, 1, m->raft.term_start);
-	assert_true(raft_has_lease(&m->raft, m->now));
-	m->raft.applied = m->raft.commit;
-	m->raft.drop_tail = 1;
-	raft_snapshot(&m->raft, state, len);
-	raft_flush(&m->raft, m->now, &m->out);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
-	assert_int_equal(m->raft.base, m->raft.term_start);
+	msg.vote_reply = &reply;
+	receive(member, 2, &msg);
+	reply.pre = 0;
+	receive(member, 2, &msg);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_flush(&member->raft, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_tick(&member->raft, member->now, &member->out);
+	reply_append(member, 2, 1, member->raft.term_start);
+	assert_true(raft_has_lease(&member->raft, member->now));
+	member->raft.applied_index = member->raft.commit_index;
+	member->raft.drop_tail = 1;
+	raft_snapshot(&member->raft, state, len);
+	raft_flush(&member->raft, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	assert_int_equal(member->raft.base_index, member->raft.term_start);
 	free(state);
 }
 
 /* A heartbeat round; member 2 answers. */
-static void heartbeat(struct member *m)
+static void heartbeat(struct member *member)
 {
-	m->now += RAFT_HEARTBEAT_MS;
-	out_clear(&m->out);
-	raft_tick(&m->raft, m->now, &m->out);
-	raft_flush(&m->raft, m->now, &m->out);
+	member->now += RAFT_HEARTBEAT_MS;
+	command_list_clear(&member->out);
+	raft_tick(&member->raft, member->now, &member->out);
+	raft_flush(&member->raft, member->now, &member->out);
 }
 
 /* The last of the pieces that go out next, within five seconds of heartbeats. */
-static struct piece next_piece(struct member *m, uint64_t addr)
+static struct piece next_piece(struct member *member, uint64_t addr)
 {
 	for (int i = 0; i < 5000 / RAFT_HEARTBEAT_MS; i++) {
-		reply_append(m, 2, 1, m->raft.synced_index);
-		heartbeat(m);
-		if (piece_for(m, addr).index)
+		reply_append(member, 2, 1, member->raft.synced_index);
+		heartbeat(member);
+		if (piece_for(member, addr).index)
 			break;
 	}
-	return piece_for(m, addr);
+	return piece_for(member, addr);
 }
 
-static void pieces_are_paced_and_heartbeats_go_on(void **st)
+static void pieces_are_paced_and_heartbeats_go_on(void **state)
 {
-	struct member m;
-	struct piece p;
+	struct member member;
+	struct piece piece;
 	int pieces = 0, heartbeats = 0;
 
-	(void)st;
-	leader_open(&m, 3 * MB);
-	reply_append(&m, 3, 0, 0);
-	assert_int_equal(count_sent(&m, NL__MSG__BODY_SNAPSHOT_PIECE, 103), 1); /* before it answers: one */
-	p = piece_for(&m, 103);
-	assert_int_equal(p.offset, 0);
-	reply_piece(&m, 3, p, p.len, 0);
-	assert_int_equal(count_sent(&m, NL__MSG__BODY_SNAPSHOT_PIECE, 103), RAFT_PIECE_WINDOW);
+	(void)state;
+	leader_open(&member, 3 * MB);
+	reply_append(&member, 3, 0, 0);
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103), 1); /* before it answers: one */
+	piece = piece_for(&member, 103);
+	assert_int_equal(piece.offset, 0);
+	reply_piece(&member, 3, piece, piece.len, 0);
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103), RAFT_CHUNK_WINDOW);
 	/* it is silent for ten seconds: what is under way goes out again now and then, heartbeats each round */
 	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) {
-		heartbeat(&m);
-		pieces += count_sent(&m, NL__MSG__BODY_SNAPSHOT_PIECE, 103);
-		assert_int_equal(count_sent(&m, NL__MSG__BODY_APPEND, 103), 1);
+		heartbeat(&member);
+		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103);
+		assert_int_equal(count_sent(&member, NL__MSG__BODY_APPEND, 103), 1);
 		heartbeats++;
-		reply_append(&m, 2, 1, m.raft.term_start);
-		assert_true(raft_has_lease(&m.raft, m.now));
+		reply_append(&member, 2, 1, member.raft.term_start);
+		assert_true(raft_has_lease(&member.raft, member.now));
 	}
-	assert_true(pieces >= 3 * RAFT_PIECE_WINDOW && pieces <= 5 * RAFT_PIECE_WINDOW);
-	assert_true(m.raft.members[2].transfer.sent - m.raft.members[2].transfer.acked <= RAFT_PIECE_WINDOW * RAFT_PIECE_BYTES);
-	member_close(&m);
-}
-
-static void pieces_go_on_where_the_receiver_stands(void **st)
-{
-	struct member m;
-	struct piece p;
-
-	(void)st;
-	leader_open(&m, 1 * MB);
-	reply_append(&m, 3, 0, 0);
-	p = piece_for(&m, 103);
-	reply_piece(&m, 3, p, 500000, 0); /* it holds the same bytes of another leader */
-	p = piece_for(&m, 103);
-	assert_int_equal(p.offset, 500000 + (RAFT_PIECE_WINDOW - 1) * RAFT_PIECE_BYTES);
-	m.now += 200;
-	reply_piece(&m, 3, p, 0, 0); /* it fell */
-	assert_int_equal(piece_for(&m, 103).offset, (RAFT_PIECE_WINDOW - 1) * RAFT_PIECE_BYTES);
-	p = piece_for(&m, 103);
-	reply_piece(&m, 3, p, 0, 1); /* a wrong digest: after a while, all of it */
-	assert_int_equal(piece_for(&m, 103).index, 0);
-	p = next_piece(&m, 103);
-	assert_int_equal(p.offset, (RAFT_PIECE_WINDOW - 1) * RAFT_PIECE_BYTES);
-	reply_piece(&m, 3, p, p.total, 0);
-	assert_int_equal(m.raft.members[2].transfer.index, 0);
-	assert_int_equal(m.raft.members[2].next, m.raft.base + 1);
-	member_close(&m);
-}
-
-static void take_snapshot(struct member *m, size_t len, int drop_tail)
+	assert_true(pieces >= 3 * RAFT_CHUNK_WINDOW && pieces <= 5 * RAFT_CHUNK_WINDOW);
+	assert_true(member.raft.members[2].transfer.sent_bytes - member.raft.members[2].transfer.acked_bytes <= RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES);
+	member_close(&member);
+}
+
+static void pieces_go_on_where_the_receiver_stands(void **state)
+{
+	struct member member;
+	struct piece piece;
+
+	(void)state;
+	leader_open(&member, 1 * MB);
+	reply_append(&member, 3, 0, 0);
+	piece = piece_for(&member, 103);
+	reply_piece(&member, 3, piece, 500000, 0); /* it holds the same bytes of another leader */
+	piece = piece_for(&member, 103);
+	assert_int_equal(piece.offset, 500000 + (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	member.now += 200;
+	reply_piece(&member, 3, piece, 0, 0); /* it fell */
+	assert_int_equal(piece_for(&member, 103).offset, (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	piece = piece_for(&member, 103);
+	reply_piece(&member, 3, piece, 0, 1); /* a wrong digest: after a while, all of it */
+	assert_int_equal(piece_for(&member, 103).index, 0);
+	piece = next_piece(&member, 103);
+	assert_int_equal(piece.offset, (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	reply_piece(&member, 3, piece, piece.total, 0);
+	assert_int_equal(member.raft.members[2].transfer.index, 0);
+	assert_int_equal(member.raft.members[2].next_index, member.raft.base_index + 1);
+	member_close(&member);
+}
+
+static void take_snapshot(struct member *member, size_t len, int drop_tail)
 {
 	uint8_t *state = calloc(1, len);
 
-	raft_propose(&m->raft, (const uint8_t *)"x", 1, m->now);
-	raft_flush(&m->raft, m->now, &m->out);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
-	reply_append(m, 2, 1, m->raft.synced_index);
-	assert_int_equal(m->raft.commit, m->raft.synced_index);
-	m->raft.applied = m->raft.commit;
-	m->raft.drop_tail = drop_tail;
-	raft_snapshot(&m->raft, state, len);
-	raft_flush(&m->raft, m->now, &m->out);
-	raft_synced(&m->raft, m->raft.seq, m->now, &m->out);
+	raft_propose(&member->raft, (const uint8_t *)"x", 1, member->now);
+	raft_flush(&member->raft, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	reply_append(member, 2, 1, member->raft.synced_index);
+	assert_int_equal(member->raft.commit_index, member->raft.synced_index);
+	member->raft.applied_index = member->raft.commit_index;
+	member->raft.drop_tail = drop_tail;
+	raft_snapshot(&member->raft, state, len);
+	raft_flush(&member->raft, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
 	free(state);
 }
 
-static void a_transfer_outlives_newer_snapshots(void **st)
+static void a_transfer_outlives_newer_snapshots(void **state)
 {
-	struct member m;
-	struct piece p;
+	struct member member;
+	struct piece piece;
 	uint64_t index;
 
-	(void)st;
-	leader_open(&m, 4 * MB);
-	index = m.raft.snapshot_index;
-	reply_append(&m, 3, 0, 0);
+	(void)state;
+	leader_open(&member, 4 * MB);
+	index = member.raft.snapshot_index;
+	reply_append(&member, 3, 0, 0);
 	for (int i = 0; i < 3; i++) { /* a slow link, and three newer ones meanwhile */
-		p = piece_for(&m, 103);
-		assert_int_equal(p.index, index);
-		reply_piece(&m, 3, p, p.offset + p.len, 0);
-		take_snapshot(&m, 4 * MB, 0);
-		assert_int_equal(m.raft.previous.index, index);
-		heartbeat(&m);
-		m.now += 20;
-		reply_piece(&m, 3, p, m.raft.members[2].transfer.acked + 1, 0);
+		piece = piece_for(&member, 103);
+		assert_int_equal(piece.index, index);
+		reply_piece(&member, 3, piece, piece.offset + piece.len, 0);
+		take_snapshot(&member, 4 * MB, 0);
+		assert_int_equal(member.raft.previous.index, index);
+		heartbeat(&member);
+		member.now += 20;
+		reply_piece(&member, 3, piece, member.raft.members[2].transfer.acked_bytes + 1, 0);
 	}
-	p = piece_for(&m, 103);
-	reply_piece(&m, 3, p, p.total, 0);
-	assert_int_equal(m.raft.members[2].next, index + 1); /* the entries behind it are held */
-	assert_true(m.raft.base <= index);
-	assert_int_equal(m.raft.previous.index, 0);
-	member_close(&m);
+	piece = piece_for(&member, 103);
+	reply_piece(&member, 3, piece, piece.total, 0);
+	assert_int_equal(member.raft.members[2].next_index, index + 1); /* the entries behind it are held */
+	assert_true(member.raft.base_index <= index);
+	assert_int_equal(member.raft.previous.index, 0);
+	member_close(&member);
 }
 
-static void what_was_cleared_is_sent_no_more(void **st)
+static void what_was_cleared_is_sent_no_more(void **state)
 {
-	struct member m;
-	struct piece p;
+	struct member member;
+	struct piece piece;
 	uint64_t index;
 
-	(void)st;
-	leader_open(&m, 1 * MB);
-	index = m.raft.snapshot_index;
-	reply_append(&m, 3, 0, 0);
-	p = piece_for(&m, 103);
-	reply_piece(&m, 3, p, p.len, 0);
-	take_snapshot(&m, 1 * MB, 1);
-	assert_int_equal(m.raft.previous.index, 0);
-	heartbeat(&m);
-	assert_true(m.raft.members[2].transfer.index > index);
-	assert_int_equal(m.raft.members[2].transfer.acked, 0);
-	member_close(&m);
+	(void)state;
+	leader_open(&member, 1 * MB);
+	index = member.raft.snapshot_index;
+	reply_append(&member, 3, 0, 0);
+	piece = piece_for(&member, 103);
+	reply_piece(&member, 3, piece, piece.len, 0);
+	take_snapshot(&member, 1 * MB, 1);
+	assert_int_equal(member.raft.previous.index, 0);
+	heartbeat(&member);
+	assert_true(member.raft.members[2].transfer.index > index);
+	assert_int_equal(member.raft.members[2].transfer.acked_bytes, 0);
+	member_close(&member);
 }
 
 /* Two others have synced an entry, this leader has not: it is committed and applied, and stays in the log until it is synced. */
-static void a_snapshot_cuts_the_log_only_where_it_is_synced(void **st)
+static void a_snapshot_cuts_the_log_only_where_it_is_synced(void **state)
 {
-	struct member m;
+	struct member member;
 	uint64_t index;
 
-	(void)st;
-	leader_open(&m, 1 * KB);
-	index = raft_propose(&m.raft, (const uint8_t *)"x", 1, m.now);
-	raft_flush(&m.raft, m.now, &m.out);
-	reply_append(&m, 2, 1, index);
-	reply_append(&m, 3, 1, index);
-	assert_int_equal(m.raft.commit, index);
-	assert_true(m.raft.synced_index < index);
-	m.raft.applied = index;
-	m.raft.drop_tail = 1;
-	raft_snapshot(&m.raft, (const uint8_t *)"state", 5);
-	assert_int_equal(m.raft.base, m.raft.synced_index);
-	assert_int_equal(arrlen(m.raft.log), 1);
-	raft_flush(&m.raft, m.now, &m.out);
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
-	assert_int_equal(m.raft.synced_index, index);
-	member_close(&m);
-}
-
-static size_t entry_bytes(const struct member *m, uint64_t addr)
+	(void)state;
+	leader_open(&member, 1 * KB);
+	index = raft_propose(&member.raft, (const uint8_t *)"x", 1, member.now);
+	raft_flush(&member.raft, member.now, &member.out);
+	reply_append(&member, 2, 1, index);
+	reply_append(&member, 3, 1, index);
+	assert_int_equal(member.raft.commit_index, index);
+	assert_true(member.raft.synced_index < index);
+	member.raft.applied_index = index;
+	member.raft.drop_tail = 1;
+	raft_snapshot(&member.raft, (const uint8_t *)"state", 5);
+	assert_int_equal(member.raft.base_index, member.raft.synced_index);
+	assert_int_equal(arrlen(member.raft.log), 1);
+	raft_flush(&member.raft, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	assert_int_equal(member.raft.synced_index, index);
+	member_close(&member);
+}
+
+static size_t entry_bytes(const struct member *member, uint64_t addr)
 {
 	size_t n = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(m->out.v); i++) {
-		const struct Nl__Msg *msg = m->out.v[i].kind == CMD_SEND ? m->out.v[i].u.send.msg : NULL;
+	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++) {
+		const struct Nl__Msg *msg = member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
 
-		if (!msg || m->out.v[i].u.send.addr != addr || msg->body_case != NL__MSG__BODY_APPEND)
+		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_APPEND)
 			continue;
 		for (size_t k = 0; k < msg->append->n_e; k++)
 			n += msg->append->e[k]->data.len;
@@ -592,124 +592,124 @@
 	return n;
 }
 
-static void entries_are_paced_by_what_was_acknowledged(void **st)
+static void entries_are_paced_by_what_was_acknowledged(void **state)
 {
-	struct member m;
+	struct member member;
 	enum { UNDER_WAY = 1100 * KB };
 	uint8_t *d = calloc(1, 100 * KB);
 	size_t bytes, resent = 0;
 
-	(void)st;
-	leader_open(&m, 1 * KB);
-	reply_append(&m, 3, 1, m.raft.base);
-	out_clear(&m.out);
+	(void)state;
+	leader_open(&member, 1 * KB);
+	reply_append(&member, 3, 1, member.raft.base_index);
+	command_list_clear(&member.out);
 	for (int i = 0; i < 30; i++) {
-		raft_propose(&m.raft, d, 100 * KB, m.now);
-		raft_flush(&m.raft, m.now, &m.out);
+		raft_propose(&member.raft, d, 100 * KB, member.now);
+		raft_flush(&member.raft, member.now, &member.out);
 	}
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
-	bytes = entry_bytes(&m, 103);
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	bytes = entry_bytes(&member, 103);
 	assert_int_equal(bytes, UNDER_WAY); /* the window, and the entry that fills it */
-	reply_append(&m, 3, 1, m.raft.base + 1);
-	assert_int_equal(entry_bytes(&m, 103), 100 * KB);
+	reply_append(&member, 3, 1, member.raft.base_index + 1);
+	assert_int_equal(entry_bytes(&member, 103), 100 * KB);
 	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) { /* silent for nine seconds */
-		heartbeat(&m);
-		resent += entry_bytes(&m, 103);
-		reply_append(&m, 2, 1, m.raft.synced_index);
+		heartbeat(&member);
+		resent += entry_bytes(&member, 103);
+		reply_append(&member, 2, 1, member.raft.synced_index);
 	}
 	assert_true(resent >= 3 * UNDER_WAY && resent <= 5 * UNDER_WAY);
 	/* a member that lags behind its last word is asked where it stands, without entries */
-	reply_append(&m, 3, 0, m.raft.base + 1);
-	assert_int_equal(entry_bytes(&m, 103), 0);
-	assert_int_equal(sent(&m, NL__MSG__BODY_APPEND)->append->prev, m.raft.base + 1);
-	reply_append(&m, 3, 1, m.raft.base + 1);
-	assert_int_equal(entry_bytes(&m, 103), UNDER_WAY);
+	reply_append(&member, 3, 0, member.raft.base_index + 1);
+	assert_int_equal(entry_bytes(&member, 103), 0);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND)->append->prev, member.raft.base_index + 1);
+	reply_append(&member, 3, 1, member.raft.base_index + 1);
+	assert_int_equal(entry_bytes(&member, 103), UNDER_WAY);
 	free(d);
-	member_close(&m);
+	member_close(&member);
 }
 
 /* A member that was in the group before is added again: it is asked where it stands, and a word of it that crosses the question
  * must not end the asking. */
-static void a_word_that_crosses_a_question_answers_nothing(void **st)
+static void a_reply_that_crosses_a_query_answers_nothing(void **state)
 {
-	struct member m;
+	struct member member;
 	struct raft_member *who;
 
-	(void)st;
-	leader_open(&m, 1 * KB);
+	(void)state;
+	leader_open(&member, 1 * KB);
 	for (int i = 0; i < 5; i++)
-		raft_propose(&m.raft, (const uint8_t *)"x", 1, m.now);
-	raft_flush(&m.raft, m.now, &m.out);
-	raft_synced(&m.raft, m.raft.seq, m.now, &m.out);
-	who = &m.raft.members[2];
-	who->next = who->unacked = m.raft.base + 6; /* as raft_set_members has it */
-	who->match = 0;
+		raft_propose(&member.raft, (const uint8_t *)"x", 1, member.now);
+	raft_flush(&member.raft, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	who = &member.raft.members[2];
+	who->next_index = who->unacked_index = member.raft.base_index + 6; /* as raft_set_members has it */
+	who->match_index = 0;
 	who->probing = 1;
-	reply_append(&m, 3, 1, m.raft.base + 2);
-	assert_int_equal(entry_bytes(&m, 103), 3);
-	member_close(&m);
+	reply_append(&member, 3, 1, member.raft.base_index + 2);
+	assert_int_equal(entry_bytes(&member, 103), 3);
+	member_close(&member);
 }
 
 /* ---- groups under virtual time ---- */
 
-static void ok(const struct world *w)
+static void ok(const struct world *world)
 {
-	if (w->bad[0])
-		fail_msg("%s", w->bad);
+	if (world->violation[0])
+		fail_msg("%s", world->violation);
 }
 
 static uint64_t env(const char *name, uint64_t otherwise) { return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise; }
 
-static void catch_up(struct world *w, int64_t *worst, const char *after)
+static void catch_up(struct world *world, int64_t *worst, const char *after)
 {
-	int64_t ms = world_catch_up(w, WORLD_CATCH_UP_MS);
+	int64_t ms = world_catch_up(world, WORLD_CATCH_UP_MS);
 
-	ok(w);
+	ok(world);
 	if (ms < 0) {
-		world_print(w);
-		fail_msg("seed %llu: the group is not whole %d ms after %s", (unsigned long long)w->seed, WORLD_CATCH_UP_MS, after);
+		world_print(world);
+		fail_msg("seed %llu: the group is not whole %d ms after %s", (unsigned long long)world->seed, WORLD_CATCH_UP_MS, after);
 	}
 	*worst = ms > *worst ? ms : *worst;
 }
 
 /* One fault after the other, each at a random moment under changes: a member restarted, wiped, cut off, the leader too. */
-static void faults(struct world *w, uint64_t changes, int64_t *worst)
+static void faults(struct world *world, uint64_t changes, int64_t *worst)
 {
-	uint64_t rng = w->seed;
+	uint64_t rng = world->seed;
 
-	while (w->changes < changes && !w->bad[0]) {
-		int victim = (int)(core_rand(&rng) % WORLD_MACHINES), kind = (int)(core_rand(&rng) % 4);
-		uint64_t meanwhile = core_rand(&rng) % 40;
+	while (world->changes < changes && !world->violation[0]) {
+		int victim = (int)(core_random(&rng) % WORLD_MACHINES), kind = (int)(core_random(&rng) % 4);
+		uint64_t meanwhile = core_random(&rng) % 40;
 
-		assert_true(world_change(w, 1 + core_rand(&rng) % 60, 60000) || w->bad[0]);
-		ok(w);
+		assert_true(world_change(world, 1 + core_random(&rng) % 60, 60000) || world->violation[0]);
+		ok(world);
 		if (kind == 3) {
-			w->m[victim].cut = 1;
+			world->machine[victim].is_cut_off = 1;
 		} else {
-			world_crash(w, victim, kind == 2);
+			world_crash(world, victim, kind == 2);
 			if (kind == 1) /* at once */
-				world_start(w, victim);
+				world_start(world, victim);
 		}
-		assert_true(world_change(w, meanwhile, 60000) || w->bad[0]);
-		ok(w);
-		w->m[victim].cut = 0;
-		world_start(w, victim);
-		catch_up(w, worst, kind == 3 ? "a cut" : kind == 2 ? "a wipe" : "a restart");
+		assert_true(world_change(world, meanwhile, 60000) || world->violation[0]);
+		ok(world);
+		world->machine[victim].is_cut_off = 0;
+		world_start(world, victim);
+		catch_up(world, worst, kind == 3 ? "a cut" : kind == 2 ? "a wipe" : "a restart");
 	}
 }
 
-static void bounded(const struct world *w)
+static void bounded(const struct world *world)
 {
 	/* log until a snapshot is due, and behind it; two snapshots */
-	size_t log = 2 * RAFT_SNAPSHOT_LOG_BYTES + 2 * w->document_len, all = log + RAFT_LOG_TAIL_BYTES + 2 * w->document_len;
+	size_t log = 2 * RAFT_SNAPSHOT_LOG_BYTES + 2 * world->document_len, all = log + RAFT_LOG_TAIL_BYTES + 2 * world->document_len;
 
-	if (w->peak_memory > all || w->peak_disk > all)
-		fail_msg("seed %llu: %zu bytes in memory, %zu on the disk", (unsigned long long)w->seed, w->peak_memory,
-			 w->peak_disk);
+	if (world->peak_memory > all || world->peak_disk > all)
+		fail_msg("seed %llu: %zu bytes in memory, %zu on the disk", (unsigned long long)world->seed, world->peak_memory,
+			 world->peak_disk);
 }
 
 /* A short share of it by itself; NL_CHANGES=2000 and more NL_SEEDS for the long runs. */
-static void members_come_back_under_changes(void **st)
+static void members_come_back_under_changes(void **state)
 {
 	static const struct {
 		size_t len;
@@ -717,7 +717,7 @@
 		int pause_ms;
 	} run[] = { { 30 * KB, 150, 4, 0 }, { 300 * KB, 250, 1, 0 }, { 4 * MB, 12, 1, 250 } };
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof run / sizeof *run; i++) {
 		uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", run[i].seeds),
 			 changes = env("NL_CHANGES", run[i].changes);
@@ -725,17 +725,17 @@
 		size_t memory = 0, disk = 0;
 
 		for (uint64_t seed = first; seed < first + seeds; seed++) {
-			struct world w;
-
-			world_open(&w, seed, run[i].len);
-			w.pause_ms = run[i].pause_ms;
-			ok(&w);
-			faults(&w, changes, &worst);
-			ok(&w);
-			bounded(&w);
-			memory = w.peak_memory > memory ? w.peak_memory : memory;
-			disk = w.peak_disk > disk ? w.peak_disk : disk;
-			world_close(&w);
+			struct world world;
+
+			world_open(&world, seed, run[i].len);
+			world.pause_ms = run[i].pause_ms;
+			ok(&world);
+			faults(&world, changes, &worst);
+			ok(&world);
+			bounded(&world);
+			memory = world.peak_memory > memory ? world.peak_memory : memory;
+			disk = world.peak_disk > disk ? world.peak_disk : disk;
+			world_close(&world);
 		}
 		print_message(
 		    "%zu KB documents, %llu changes, %llu seeds: whole again after at most %lld ms; at most %zu KB in memory, %zu KB on a disk\n",
@@ -746,127 +746,127 @@
 
 /* Messages lost, doubled, delayed and out of order; machines fall at any moment, also in the middle of a transfer, and the
  * leader with them. Nothing acknowledged is lost, and once links are good again the group is whole in time. */
-static void storms(void **st)
+static void storms(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 8);
 	int64_t worst = 0;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
+		struct world world;
 		uint64_t rng = seed * 7919;
 
-		world_open(&w, seed, 200 * KB);
+		world_open(&world, seed, 200 * KB);
 		for (int round = 0; round < 6; round++) {
-			int a = (int)(core_rand(&rng) % WORLD_MACHINES), b = (int)(core_rand(&rng) % WORLD_MACHINES);
-
-			w.loss = (int)(core_rand(&rng) % 100);
-			w.repeat = (int)(core_rand(&rng) % 100);
-			w.jitter_ms = (int)(core_rand(&rng) % 80);
-			w.reorder = 1;
-			w.disk_ms = 1 + (int)(core_rand(&rng) % 60);
-			w.bytes_per_ms = 1250 + core_rand(&rng) % 50000; /* from 10 Mbit/s */
-			(void)world_change(&w, core_rand(&rng) % 40, 4000);
-			world_crash(&w, a, core_rand(&rng) % 2 == 0 && world_whole(&w)); /* one disk at a time */
-			(void)world_change(&w, core_rand(&rng) % 60, 4000);
-			world_start(&w, a);
-			(void)world_run(&w, (int64_t)(core_rand(&rng) % 3000), NULL); /* into its transfer */
-			world_crash(&w, b, 0);
-			(void)world_run(&w, (int64_t)(core_rand(&rng) % 500), NULL);
-			world_start(&w, b);
-			ok(&w);
+			int a = (int)(core_random(&rng) % WORLD_MACHINES), b = (int)(core_random(&rng) % WORLD_MACHINES);
+
+			world.loss = (int)(core_random(&rng) % 100);
+			world.repeat = (int)(core_random(&rng) % 100);
+			world.jitter_ms = (int)(core_random(&rng) % 80);
+			world.reorder = 1;
+			world.disk_ms = 1 + (int)(core_random(&rng) % 60);
+			world.bytes_per_ms = 1250 + core_random(&rng) % 50000; /* from 10 Mbit/s */
+			(void)world_change(&world, core_random(&rng) % 40, 4000);
+			world_crash(&world, a, core_random(&rng) % 2 == 0 && world_fully_replicated(&world)); /* one disk at a time */
+			(void)world_change(&world, core_random(&rng) % 60, 4000);
+			world_start(&world, a);
+			(void)world_run(&world, (int64_t)(core_random(&rng) % 3000), NULL); /* into its transfer */
+			world_crash(&world, b, 0);
+			(void)world_run(&world, (int64_t)(core_random(&rng) % 500), NULL);
+			world_start(&world, b);
+			ok(&world);
 		}
-		w.loss = w.repeat = w.reorder = 0;
-		w.jitter_ms = 1;
-		w.disk_ms = 4;
-		w.bytes_per_ms = 125000;
-		catch_up(&w, &worst, "a storm");
-		if (!world_change(&w, 1, 6000) && !w.bad[0]) {
-			world_print(&w);
+		world.loss = world.repeat = world.reorder = 0;
+		world.jitter_ms = 1;
+		world.disk_ms = 4;
+		world.bytes_per_ms = 125000;
+		catch_up(&world, &worst, "a storm");
+		if (!world_change(&world, 1, 6000) && !world.violation[0]) {
+			world_print(&world);
 			fail_msg("seed %llu: no change is acknowledged after a storm", (unsigned long long)seed);
 		}
-		bounded(&w);
-		world_close(&w);
+		bounded(&world);
+		world_close(&world);
 	}
 	print_message("storms: %llu seeds, whole again after at most %lld ms\n", (unsigned long long)seeds, (long long)worst);
 }
 
 /* What a transfer costs, by the size of the state: an empty member is added while documents go on, ten a second. */
-static void transfers_by_size(void **st)
+static void transfers_by_size(void **state)
 {
 	static const size_t size[] = { 30 * KB, 300 * KB, 1 * MB, 4 * MB, 8 * MB };
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof size / sizeof *size; i++) {
 		for (int slow = 0; slow < 2; slow++) {
-			struct world w;
+			struct world world;
 			int64_t ms;
 			uint64_t needed;
 
-			world_open(&w, 5, size[i]);
-			assert_true(world_change(&w, 4 + 2 * RAFT_SNAPSHOT_LOG_BYTES / size[i], 200000) || w.bad[0]);
-			w.pause_ms = slow ? 2000 : 100;
-			assert_true(world_run(&w, 500, NULL));
-			world_crash(&w, (world_leader(&w) + 1) % 3, 1);
+			world_open(&world, 5, size[i]);
+			assert_true(world_change(&world, 4 + 2 * RAFT_SNAPSHOT_LOG_BYTES / size[i], 200000) || world.violation[0]);
+			world.pause_ms = slow ? 2000 : 100;
+			assert_true(world_run(&world, 500, NULL));
+			world_crash(&world, (world_leader(&world) + 1) % 3, 1);
 			if (slow) { /* 100 Mbit/s, 20 ms a way, 10 ms a sync */
-				w.bytes_per_ms = 12500;
-				w.delay_ms = 20;
-				w.disk_ms = 10;
+				world.bytes_per_ms = 12500;
+				world.delay_ms = 20;
+				world.disk_ms = 10;
 			}
-			assert_true(world_change(&w, 1, 60000) || w.bad[0]);
+			assert_true(world_change(&world, 1, 60000) || world.violation[0]);
 			for (int k = 0; k < WORLD_MACHINES; k++)
-				world_start(&w, k);
-			w.messages = w.pieces = w.piece_bytes = w.append_bytes = 0;
-			w.peak_memory = w.peak_disk = w.peak_under_way = 0;
-			ms = world_catch_up(&w, 4 * WORLD_CATCH_UP_MS);
-			ok(&w);
-			needed = (size[i] + RAFT_PIECE_BYTES - 1) / RAFT_PIECE_BYTES;
+				world_start(&world, k);
+			world.messages = world.pieces = world.piece_bytes = world.append_bytes = 0;
+			world.peak_memory = world.peak_disk = world.peak_in_flight = 0;
+			ms = world_catch_up(&world, 4 * WORLD_CATCH_UP_MS);
+			ok(&world);
+			needed = (size[i] + RAFT_CHUNK_BYTES - 1) / RAFT_CHUNK_BYTES;
 			print_message(
 			    "%zu KB, %s: whole after %lld ms; %llu messages, %llu pieces (one snapshot has %llu) of %llu KB, "
 			    "entries %llu KB; at most %zu KB in a member, %zu KB on a disk, %zu KB under way\n",
-			    size[i] / KB, slow ? "100 Mbit/s" : "1 Gbit/s", (long long)ms, (unsigned long long)w.messages,
-			    (unsigned long long)w.pieces, (unsigned long long)needed, (unsigned long long)w.piece_bytes / KB,
-			    (unsigned long long)w.append_bytes / KB, w.peak_memory / KB, w.peak_disk / KB, w.peak_under_way / KB);
+			    size[i] / KB, slow ? "100 Mbit/s" : "1 Gbit/s", (long long)ms, (unsigned long long)world.messages,
+			    (unsigned long long)world.pieces, (unsigned long long)needed, (unsigned long long)world.piece_bytes / KB,
+			    (unsigned long long)world.append_bytes / KB, world.peak_memory / KB, world.peak_disk / KB, world.peak_in_flight / KB);
 			assert_true(ms >= 0 && ms <= WORLD_CATCH_UP_MS);
-			bounded(&w);
-			world_close(&w);
+			bounded(&world);
+			world_close(&world);
 		}
 	}
 }
 
 /* Three machines with slow disks, and no spare one: a member that lost its disk votes again, and its old identity no longer,
  * well before one more loss is to be survived. Then that loss comes: the leader's disk, and the power of the other two. */
-static void a_wiped_member_of_three_votes_again_in_time(void **st)
+static void a_wiped_member_of_three_votes_again_in_time(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 6);
 	int64_t worst = 0;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world w;
+		struct world world;
 		int victim = (int)(seed % 3), leader;
 
-		world_open(&w, seed, 4 * KB);
-		world_crash(&w, WORLD_MACHINES - 1, 0); /* the spare one */
-		w.disk_ms = 25;
-		w.pause_ms = 20;
-		assert_true(world_change(&w, 400, 120000) || w.bad[0]);
-		world_crash(&w, victim, 1);
-		assert_true(world_change(&w, 100, 60000) || w.bad[0]);
-		world_start(&w, victim);
-		catch_up(&w, &worst, "a wipe");
-		assert_true(world_change(&w, 1, 6000) || w.bad[0]);
-		leader = world_leader(&w);
+		world_open(&world, seed, 4 * KB);
+		world_crash(&world, WORLD_MACHINES - 1, 0); /* the spare one */
+		world.disk_ms = 25;
+		world.pause_ms = 20;
+		assert_true(world_change(&world, 400, 120000) || world.violation[0]);
+		world_crash(&world, victim, 1);
+		assert_true(world_change(&world, 100, 60000) || world.violation[0]);
+		world_start(&world, victim);
+		catch_up(&world, &worst, "a wipe");
+		assert_true(world_change(&world, 1, 6000) || world.violation[0]);
+		leader = world_leader(&world);
 		for (int i = 0; i < 3; i++)
-			world_crash(&w, i, i == leader);
+			world_crash(&world, i, i == leader);
 		for (int i = 0; i < 3; i++)
-			world_start(&w, i);
-		if (!world_change(&w, 1, 6000) && !w.bad[0]) {
-			world_print(&w);
+			world_start(&world, i);
+		if (!world_change(&world, 1, 6000) && !world.violation[0]) {
+			world_print(&world);
 			fail_msg("seed %llu: no change is acknowledged after a second loss", (unsigned long long)seed);
 		}
-		ok(&w);
-		world_close(&w);
+		ok(&world);
+		world_close(&world);
 	}
 	print_message("a wiped member of three: votes again after at most %lld ms\n", (long long)worst);
 }
@@ -874,10 +874,10 @@
 int main(void)
 {
 	const struct CMUnitTest t[] = {
-		cmocka_unit_test(a_word_that_crosses_a_question_answers_nothing),
+		cmocka_unit_test(a_reply_that_crosses_a_query_answers_nothing),
 		cmocka_unit_test(what_is_meant_for_another_identity_is_left_alone),
 		cmocka_unit_test(a_snapshot_cuts_the_log_only_where_it_is_synced),
-		cmocka_unit_test(a_snapshot_is_installed_whole_or_not_at_all),
+		cmocka_unit_test(a_snapshot_is_installed_completely_or_not_at_all),
 		cmocka_unit_test(a_wrong_digest_is_asked_for_again),
 		cmocka_unit_test(pieces_of_old_terms_and_older_snapshots_change_nothing),
 		cmocka_unit_test(another_leader_goes_on_where_the_last_one_ended),
--- a/tests/test_stand.c
+++ b/tests/test_stand.c
@@ -28,7 +28,7 @@
 #define CFG(version, routes, tenants) "{\"ConfigVersion\":" version ",\"RouteList\":[" routes "]," SERVICES "," tenants "}"
 #define FIRST CFG("1", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false"))
 
-static const struct try_rec a_try = {
+static const struct attempt_record a_try = {
 	.id = "x1",
 	.subject = "s1",
 	.method = "POST",
@@ -36,384 +36,384 @@
 	.path = "/a/1",
 	.key = "k1",
 	.body = 7,
-	.edge = 0,
-	.deadline = 8000,
-	.stream = 1,
-	.kind = TRY_RESUMABLE,
+	.machine = 0,
+	.timeout_ms = 8000,
+	.expects_stream = 1,
+	.kind = ATTEMPT_RESUMABLE,
 };
 
-static int cfg_at(struct judge *j, int64_t t, int64_t acked, int64_t base, const char *s)
+static int cfg_at(struct judge *checker, int64_t t, int64_t acked, int64_t base, const char *s)
 {
-	struct cfg *c = cfg_read(s);
-	int n = judge_cfg(j, t, c, base, cfg_invalid(c, base) != NULL);
+	struct parsed_config *config = parsed_config_read(s);
+	int n = checker_record_config(checker, t, config, base, parsed_config_invalid(config, base) != NULL);
 
 	if (acked >= 0)
-		judge_cfg_fate(j, acked, n, CFG_ACKED);
+		checker_record_config_outcome(checker, acked, n, CONFIG_OUTCOME_ACKED);
 	return n;
 }
 
 static struct judge *world(void)
 {
-	struct judge *j = judge_open(&bounds_sheet);
+	struct judge *checker = checker_open(&default_timing_bounds);
 
 	for (int i = 0; i < EDGES + CORES; i++)
-		judge_machine(j, 0, i, i >= EDGES, CALM, 1);
-	cfg_at(j, 100, 300, 0, FIRST);
-	judge_named(j, 0, 1, 1);
-	return j;
+		checker_record_machine(checker, 0, i, i >= EDGES, CALM, 1);
+	cfg_at(checker, 100, 300, 0, FIRST);
+	checker_record_target_version(checker, 0, 1, 1);
+	return checker;
 }
 
-static int arrives(struct judge *j, int64_t t, const struct try_rec *x, const char *service, const char *instance)
+static int arrives(struct judge *j, int64_t t, const struct attempt_record *attempt, const char *service, const char *instance)
 {
-	struct arrive_rec a = { .id = x->id,
-				.method = x->method,
-				.host = x->host,
-				.path = x->path,
+	struct arrival_record a = { .id = attempt->id,
+				.method = attempt->method,
+				.host = attempt->host,
+				.path = attempt->path,
 				.tenant = "t1",
 				.service = service,
 				.instance = instance,
-				.body = x->body,
-				.last_event = x->last_event };
+				.body = attempt->body,
+				.last_event = attempt->last_event };
 
-	return judge_arrive(j, t, &a);
+	return checker_record_arrival(j, t, &a);
 }
 
-static int runs(struct judge *j, int64_t t, const struct try_rec *x, const char *service)
+static int runs(struct judge *checker, int64_t t, const struct attempt_record *attempt, const char *service)
 {
-	int run = arrives(j, t, x, service, "i-1");
+	int run = arrives(checker, t, attempt, service, "i-1");
 
-	judge_begin(j, t + 20, run, 1, NULL, 0);
+	checker_record_start(checker, t + 20, run, 1, NULL, 0);
 	return run;
 }
 
-static struct told_rec told(const struct try_rec *x, int run, const struct event_rec *e, int n)
+static struct answer_record told(const struct attempt_record *x, int run, const struct stream_event *event, int n)
 {
-	return (struct told_rec){
-		.id = x->id, .seal_id = x->id, .status = 200, .seal = run, .how = TOLD_WHOLE, .event = e, .nevent = n, .events = 1
+	return (struct answer_record){
+		.id = x->id, .seal_id = x->id, .status = 200, .seal_run = run, .outcome = ANSWER_COMPLETE, .events = event, .event_count = n, .is_stream = 1
 	};
 }
 
 /* A try that is served whole: two pieces. */
-static int served(struct judge *j, int64_t t, const struct try_rec *x, const char *service)
+static int served(struct judge *checker, int64_t t, const struct attempt_record *attempt, const char *service)
 {
 	int run;
-	struct event_rec e[2];
-	struct told_rec r;
-
-	judge_try(j, t, x);
-	run = runs(j, t + 5, x, service);
-	judge_ran(j, t + 60, run, 1, 200, 0, 2);
-	e[0] = (struct event_rec){ 1, run };
-	e[1] = (struct event_rec){ 2, run };
-	r = told(x, run, e, 2);
-	judge_told(j, t + 70, &r);
+	struct stream_event event[2];
+	struct answer_record r;
+
+	checker_record_attempt(checker, t, attempt);
+	run = runs(checker, t + 5, attempt, service);
+	checker_record_end(checker, t + 60, run, 1, 200, 0, 2);
+	event[0] = (struct stream_event){ 1, run };
+	event[1] = (struct stream_event){ 2, run };
+	r = told(attempt, run, event, 2);
+	checker_record_answer(checker, t + 70, &r);
 	return run;
 }
 
-static void answered(struct judge *j, int64_t t, const struct try_rec *x, int status, int own)
+static void answered(struct judge *checker, int64_t t, const struct attempt_record *attempt, int status, int own)
 {
-	struct told_rec r = { .id = x->id, .status = status, .seal = -1, .own = own, .how = TOLD_WHOLE };
+	struct answer_record r = { .id = attempt->id, .status = status, .seal_run = -1, .is_own_answer = own, .outcome = ANSWER_COMPLETE };
 
-	judge_told(j, t, &r);
+	checker_record_answer(checker, t, &r);
 }
 
-static struct try_rec named(const char *id)
+static struct attempt_record has_quota_row(const char *id)
 {
-	struct try_rec x = a_try;
+	struct attempt_record attempt = a_try;
 
-	x.id = id;
-	return x;
+	attempt.id = id;
+	return attempt;
 }
 
 /* each: with bad set the rule is broken, without it the same story is mended */
 
-static void no_seal(struct judge *j, int bad)
+static void no_seal(struct judge *checker, int bad)
 {
-	struct event_rec e[2];
-	struct told_rec r;
+	struct stream_event event[2];
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 1, 200, 0, 2);
-	e[0] = (struct event_rec){ 1, run }, e[1] = (struct event_rec){ 2, run };
-	r = told(&a_try, bad ? -1 : run, e, 2);
-	judge_told(j, 5070, &r);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 1, 200, 0, 2);
+	event[0] = (struct stream_event){ 1, run }, event[1] = (struct stream_event){ 2, run };
+	r = told(&a_try, bad ? -1 : run, event, 2);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void other_answer(struct judge *j, int bad)
+static void other_answer(struct judge *checker, int bad)
 {
-	struct try_rec y = named("x2");
-	struct event_rec e[1];
-	struct told_rec r;
+	struct attempt_record attempt = has_quota_row("x2");
+	struct stream_event event[1];
+	struct answer_record r;
 	int run[2];
 
-	judge_try(j, 5000, &a_try);
-	judge_try(j, 5000, &y);
-	run[0] = runs(j, 5005, &a_try, "lm");
-	run[1] = runs(j, 5005, &y, "lm");
-	judge_ran(j, 5060, run[0], 1, 200, 0, 1);
-	judge_ran(j, 5060, run[1], 1, 200, 0, 1);
-	e[0] = (struct event_rec){ 1, run[bad] };
-	r = told(&a_try, run[bad], e, 1);
+	checker_record_attempt(checker, 5000, &a_try);
+	checker_record_attempt(checker, 5000, &attempt);
+	run[0] = runs(checker, 5005, &a_try, "lm");
+	run[1] = runs(checker, 5005, &attempt, "lm");
+	checker_record_end(checker, 5060, run[0], 1, 200, 0, 1);
+	checker_record_end(checker, 5060, run[1], 1, 200, 0, 1);
+	event[0] = (struct stream_event){ 1, run[bad] };
+	r = told(&a_try, run[bad], event, 1);
 	r.seal_id = bad ? "x2" : "x1";
-	judge_told(j, 5070, &r);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void other_body(struct judge *j, int bad)
+static void other_body(struct judge *checker, int bad)
 {
-	struct told_rec r;
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 1, 200, 99, 0);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 1, 200, 99, 0);
 	r = told(&a_try, run, NULL, 0);
-	r.events = 0;
+	r.is_stream = 0;
 	r.body = bad ? 98 : 99;
-	judge_told(j, 5070, &r);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void success_of_a_failure(struct judge *j, int bad)
+static void success_of_a_failure(struct judge *checker, int bad)
 {
-	struct told_rec r;
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 1, 500, 99, 0);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 1, 500, 99, 0);
 	r = told(&a_try, run, NULL, 0);
-	r.events = 0;
+	r.is_stream = 0;
 	r.body = 99;
 	r.status = bad ? 200 : 500;
-	judge_told(j, 5070, &r);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void garbage(struct judge *j, int bad)
+static void garbage(struct judge *checker, int bad)
 {
-	struct told_rec r;
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, bad ? 1 : 0, 200, 0, 1); /* 0: the server broke off itself */
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, bad ? 1 : 0, 200, 0, 1); /* 0: the server broke off itself */
 	r = told(&a_try, run, NULL, 0);
 	r.status = 0;
-	r.how = TOLD_BAD;
-	judge_told(j, 5070, &r);
+	r.outcome = ANSWER_GARBLED;
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void stray(struct judge *j, int bad)
+static void stray(struct judge *checker, int bad)
 {
-	struct told_rec r = { .id = "x1", .how = TOLD_STRAY };
+	struct answer_record r = { .id = "x1", .outcome = ANSWER_UNSOLICITED };
 
-	served(j, 5000, &a_try, "lm");
+	served(checker, 5000, &a_try, "lm");
 	if (bad)
-		judge_told(j, 5100, &r);
+		checker_record_answer(checker, 5100, &r);
 }
 
-static void broke_but_whole(struct judge *j, int bad)
+static void broke_but_whole(struct judge *checker, int bad)
 {
-	struct told_rec r;
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 0, 200, 99, 0);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 0, 200, 99, 0);
 	r = told(&a_try, run, NULL, 0);
-	r.events = 0;
-	r.how = bad ? TOLD_WHOLE : TOLD_CUT;
-	judge_told(j, 5070, &r);
+	r.is_stream = 0;
+	r.outcome = bad ? ANSWER_COMPLETE : ANSWER_CUT_OFF;
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void unasked(struct judge *j, int bad)
+static void unasked(struct judge *checker, int bad)
 {
-	struct try_rec y = named(bad ? "nobody" : "x1");
+	struct attempt_record attempt = has_quota_row(bad ? "nobody" : "x1");
 
-	judge_try(j, 5000, &a_try);
-	judge_ran(j, 5060, runs(j, 5005, &y, "lm"), 1, 200, 0, 2);
+	checker_record_attempt(checker, 5000, &a_try);
+	checker_record_end(checker, 5060, runs(checker, 5005, &attempt, "lm"), 1, 200, 0, 2);
 }
 
-static void changed_path(struct judge *j, int bad)
+static void changed_path(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	judge_try(j, 5000, &a_try);
+	checker_record_attempt(checker, 5000, &a_try);
 	if (bad)
-		y.path = "/a/2";
-	runs(j, 5005, &y, "lm");
+		attempt.path = "/a/2";
+	runs(checker, 5005, &attempt, "lm");
 }
 
-static void changed_body(struct judge *j, int bad)
+static void changed_body(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	judge_try(j, 5000, &a_try);
-	y.body += (uint64_t)bad;
-	runs(j, 5005, &y, "lm");
+	checker_record_attempt(checker, 5000, &a_try);
+	attempt.body += (uint64_t)bad;
+	runs(checker, 5005, &attempt, "lm");
 }
 
-static void other_tenant(struct judge *j, int bad)
+static void other_tenant(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	y.key = bad ? "k2" : "k1"; /* runs as t1 */
-	judge_try(j, 5000, &y);
-	runs(j, 5005, &y, "lm");
+	attempt.key = bad ? "k2" : "k1"; /* runs as t1 */
+	checker_record_attempt(checker, 5000, &attempt);
+	runs(checker, 5005, &attempt, "lm");
 }
 
-static void twice(struct judge *j, int bad)
+static void twice(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	y.kind = bad ? TRY_ONCE : TRY_IDEMPOTENT;
-	judge_try(j, 5000, &y);
-	runs(j, 5005, &y, "lm");
-	runs(j, 5105, &y, "lm");
+	attempt.kind = bad ? ATTEMPT_ONCE : ATTEMPT_IDEMPOTENT;
+	checker_record_attempt(checker, 5000, &attempt);
+	runs(checker, 5005, &attempt, "lm");
+	runs(checker, 5105, &attempt, "lm");
 }
 
-static void refused(struct judge *j, int bad)
+static void refused(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	y.kind = TRY_ONCE;
-	judge_try(j, 5000, &y);
-	answered(j, 5010, &y, 503, 1);
+	attempt.kind = ATTEMPT_ONCE;
+	checker_record_attempt(checker, 5000, &attempt);
+	answered(checker, 5010, &attempt, 503, 1);
 	if (bad)
-		runs(j, 5105, &y, "lm");
+		runs(checker, 5105, &attempt, "lm");
 	else
-		arrives(j, 5105, &y, "lm", "i-1");
+		arrives(checker, 5105, &attempt, "lm", "i-1");
 }
 
-static void denied(struct judge *j, int bad)
+static void denied(struct judge *checker, int bad)
 {
 	for (int i = 0; i < 6; i++) {
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20];
 
 		snprintf(id, sizeof id, "d%d", i);
-		y.id = id;
-		judge_try(j, 5000 + i, &y);
-		answered(j, 5010 + i, &y, bad || i < 5 ? 400 : 429, 1);
+		attempt.id = id;
+		checker_record_attempt(checker, 5000 + i, &attempt);
+		answered(checker, 5010 + i, &attempt, bad || i < 5 ? 400 : 429, 1);
 	}
 }
 
 static void route(struct judge *j, int bad)
 {
-	judge_try(j, 5000, &a_try);
+	checker_record_attempt(j, 5000, &a_try);
 	runs(j, 5005, &a_try, bad ? "lm2" : "lm");
 }
 
-static void unknown_key(struct judge *j, int bad)
+static void unknown_key(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	y.key = bad ? "k9" : "k1";
-	judge_try(j, 5000, &y);
-	runs(j, 5005, &y, "lm");
+	attempt.key = bad ? "k9" : "k1";
+	checker_record_attempt(checker, 5000, &attempt);
+	runs(checker, 5005, &attempt, "lm");
 }
 
-static void old_version(struct judge *j, int bad)
+static void old_version(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
-	served(j, 5200 + 2000 + (bad ? 10 : -10), &a_try, "lm");
+	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
+	served(checker, 5200 + 2000 + (bad ? 10 : -10), &a_try, "lm");
 }
 
-static void old_denial(struct judge *j, int bad)
+static void old_denial(struct judge *checker, int bad)
 {
-	struct try_rec y = a_try;
+	struct attempt_record attempt = a_try;
 
-	y.path = "/b/1";
-	cfg_at(j, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	judge_try(j, 5200 + 2000 + (bad ? 10 : -10), &y);
-	answered(j, 7300, &y, 404, 1);
+	attempt.path = "/b/1";
+	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_attempt(checker, 5200 + 2000 + (bad ? 10 : -10), &attempt);
+	answered(checker, 7300, &attempt, 404, 1);
 }
 
-static void old_while_out_of_touch(struct judge *j, int bad)
+static void old_while_out_of_touch(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
 	if (!bad) {
-		judge_machine(j, 6000, 0, 0, UNPLANNED, 0);
-		judge_machine(j, 6500, 0, 0, CALM, 1);
+		checker_record_machine(checker, 6000, 0, 0, UNPLANNED, 0);
+		checker_record_machine(checker, 6500, 0, 0, CALM, 1);
 	}
-	served(j, 7300, &a_try, "lm");
+	served(checker, 7300, &a_try, "lm");
 }
 
-static void goes_back(struct judge *j, int bad)
+static void goes_back(struct judge *checker, int bad)
 {
-	struct try_rec y = named("x2");
+	struct attempt_record attempt = has_quota_row("x2");
 
-	cfg_at(j, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
-	served(j, 5300, &a_try, "lm2");
-	served(j, bad ? 5325 + 260 : 5325 + 240, &y, "lm");
+	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
+	served(checker, 5300, &a_try, "lm2");
+	served(checker, bad ? 5325 + 260 : 5325 + 240, &attempt, "lm");
 }
 
-static void refused_in_force(struct judge *j, int bad)
+static void refused_in_force(struct judge *checker, int bad)
 {
-	int n = cfg_at(j, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
+	int n = cfg_at(checker, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
 
-	judge_cfg_fate(j, 5200, n, CFG_REFUSED);
-	served(j, 8000, &a_try, bad ? "lm2" : "lm");
+	checker_record_config_outcome(checker, 5200, n, CONFIG_OUTCOME_REFUSED);
+	served(checker, 8000, &a_try, bad ? "lm2" : "lm");
 }
 
-static void invalid_acked(struct judge *j, int bad)
+static void invalid_acked(struct judge *checker, int bad)
 {
-	int n = cfg_at(j, 5000, -1, 1,
+	int n = cfg_at(checker, 5000, -1, 1,
 		       bad ? CFG("3", ROUTE("a", "/a/", "nowhere"), TENANTS("\"k1\"", "false"))
 			   : CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 
-	judge_cfg_fate(j, 5200, n, CFG_ACKED);
+	checker_record_config_outcome(checker, 5200, n, CONFIG_OUTCOME_ACKED);
 }
 
-static void both_acked(struct judge *j, int bad)
+static void both_acked(struct judge *checker, int bad)
 {
 	int n;
 
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	n = cfg_at(j, 5000, -1, 1, CFG("4", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	judge_cfg_fate(j, 5100, n, bad ? CFG_ACKED : CFG_REFUSED);
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	n = cfg_at(checker, 5000, -1, 1, CFG("4", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_config_outcome(checker, 5100, n, bad ? CONFIG_OUTCOME_ACKED : CONFIG_OUTCOME_REFUSED);
 }
 
-static void read_old(struct judge *j, int bad)
+static void read_old(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	judge_read(j, 20000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_read_back(checker, 20000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 /* Its base was never in force. */
-static void built_on_nothing(struct judge *j, int bad)
+static void built_on_nothing(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	cfg_at(j, 6000, 6100, bad ? 4 : 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 6000, 6100, bad ? 4 : 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 /* It was acknowledged before the one that it builds on was sent. */
-static void acknowledged_too_early(struct judge *j, int bad)
+static void acknowledged_too_early(struct judge *checker, int bad)
 {
 	int64_t first = bad ? 6000 : 5000, second = bad ? 5000 : 6000;
 
-	cfg_at(j, first, first + 100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	cfg_at(j, second, second + 100, 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, first, first + 100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, second, second + 100, 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void read_other(struct judge *j, int bad)
+static void read_other(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	judge_read(j, 20000, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_read_back(checker, 20000, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	if (bad)
-		judge_read(j, 20000, CFG("3", ROUTE("b", "/c/", "lm"), TENANTS("\"k1\"", "false")));
+		checker_record_read_back(checker, 20000, CFG("3", ROUTE("b", "/c/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void read_nothing(struct judge *j, int bad) { judge_read(j, 20000, bad ? NULL : FIRST); }
+static void read_nothing(struct judge *checker, int bad) { checker_record_read_back(checker, 20000, bad ? NULL : FIRST); }
 
-static void lost_after_fault(struct judge *j, int bad)
+static void lost_after_fault(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	judge_closing(j, 5200, 6000);
-	judge_read(j, 30000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_set_final_fault(checker, 5200, 6000);
+	checker_record_read_back(checker, 30000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void added_routes(struct judge *j, int bad)
+static void added_routes(struct judge *checker, int bad)
 {
 	char *big = malloc(20000);
 	size_t n = (size_t)sprintf(big, "{\"ConfigVersion\":3,\"RouteList\":[" ROUTE("a", "/a/", "lm"));
@@ -424,644 +424,644 @@
 		    ",{\"Name\":\"n%d\",\"HostName\":\"h.example\",\"PathPrefix\":\"/n%d/\",\"TimeoutMs\":8000,\"ServiceName\":\"lm\"}",
 		    i, i);
 	sprintf(big + n, "]," SERVICES "," TENANTS("\"k1\"", "false") "}");
-	cfg_at(j, 4000, 4100, 1, big);
+	cfg_at(checker, 4000, 4100, 1, big);
 	free(big);
 	for (int i = 0; i < 50; i++) {
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20], path[20];
 
 		snprintf(id, sizeof id, "a%d", i);
 		snprintf(path, sizeof path, i % 2 ? "/n%d/1" : "/a/%d", i / 2);
-		y.id = id;
-		y.path = path;
+		attempt.id = id;
+		attempt.path = path;
 		if (i % 2 && bad && i > 10) {
-			judge_try(j, 7000 + i, &y);
-			answered(j, 7010 + i, &y, 503, 1);
+			checker_record_attempt(checker, 7000 + i, &attempt);
+			answered(checker, 7010 + i, &attempt, 503, 1);
 		} else {
-			served(j, 7000 + i, &y, "lm");
+			served(checker, 7000 + i, &attempt, "lm");
 		}
 	}
 }
 
-static void revoked(struct judge *j, int bad)
+static void revoked(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k3\"", "false")));
-	judge_machine(j, 5050, 0, 0, UNPLANNED, 1); /* also on machines that are not in touch */
-	judge_machine(j, 9000, 0, 0, UNPLANNED, 1);
-	served(j, 5100 + 5000 + (bad ? 10 : -10), &a_try, "lm");
+	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k3\"", "false")));
+	checker_record_machine(checker, 5050, 0, 0, UNPLANNED, 1); /* also on machines that are not in touch */
+	checker_record_machine(checker, 9000, 0, 0, UNPLANNED, 1);
+	served(checker, 5100 + 5000 + (bad ? 10 : -10), &a_try, "lm");
 }
 
-static void drain(struct judge *j, int bad)
+static void drain(struct judge *checker, int bad)
 {
-	judge_shown(j, 5000, "i-1", SHOWN_DRAINING);
-	judge_try(j, 7900, &a_try);
-	arrives(j, 8000 + (bad ? 10 : -10), &a_try, "lm", "i-1");
+	checker_record_listing(checker, 5000, "i-1", LISTED_DRAINING);
+	checker_record_attempt(checker, 7900, &a_try);
+	arrives(checker, 8000 + (bad ? 10 : -10), &a_try, "lm", "i-1");
 }
 
-static void drain_421(struct judge *j, int bad)
+static void drain_421(struct judge *checker, int bad)
 {
-	judge_shown(j, 5000, "i-1", SHOWN_GONE);
-	judge_try(j, 7900, &a_try);
-	judge_turned(j, arrives(j, 8010, &a_try, "lm", "i-1"), bad ? 503 : 421);
+	checker_record_listing(checker, 5000, "i-1", LISTED_REMOVED);
+	checker_record_attempt(checker, 7900, &a_try);
+	checker_record_rejection(checker, arrives(checker, 8010, &a_try, "lm", "i-1"), bad ? 503 : 421);
 }
 
-static void lost(struct judge *j, int bad)
+static void lost(struct judge *checker, int bad)
 {
-	struct told_rec r = { .id = "x1", .seal = -1, .how = TOLD_CUT };
+	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = ANSWER_CUT_OFF };
 
-	judge_try(j, 10000, &a_try);
-	runs(j, 10010, &a_try, "lm");
-	judge_machine(j, 10100, 0, 0, bad ? PLANNED : UNPLANNED, 0);
-	judge_told(j, 10300, &r);
+	checker_record_attempt(checker, 10000, &a_try);
+	runs(checker, 10010, &a_try, "lm");
+	checker_record_machine(checker, 10100, 0, 0, bad ? PLANNED : UNPLANNED, 0);
+	checker_record_answer(checker, 10300, &r);
 }
 
-static void lost_unread(struct judge *j, int bad)
+static void lost_unread(struct judge *checker, int bad)
 {
-	struct told_rec r = { .id = "x1", .seal = -1, .how = bad ? TOLD_CUT : TOLD_NOTHING }; /* a reset: it was not read */
+	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = bad ? ANSWER_CUT_OFF : ANSWER_NONE }; /* a reset: it was not read */
 
-	judge_try(j, 10000, &a_try);
-	judge_machine(j, 10100, 0, 0, PLANNED, 0);
-	judge_told(j, 10300, &r);
+	checker_record_attempt(checker, 10000, &a_try);
+	checker_record_machine(checker, 10100, 0, 0, PLANNED, 0);
+	checker_record_answer(checker, 10300, &r);
 }
 
-static void lost_late_work(struct judge *j, int bad)
+static void lost_late_work(struct judge *checker, int bad)
 {
-	struct told_rec r = { .id = "x1", .seal = -1, .how = TOLD_CUT };
+	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = ANSWER_CUT_OFF };
 	int run;
 
-	judge_try(j, 10000, &a_try);
-	run = runs(j, 10010, &a_try, "lm");
-	judge_machine(j, 10100, 0, 0, PLANNED, 0);
+	checker_record_attempt(checker, 10000, &a_try);
+	run = runs(checker, 10010, &a_try, "lm");
+	checker_record_machine(checker, 10100, 0, 0, PLANNED, 0);
 	if (bad)
-		judge_ran(j, 11000, run, 1, 200, 0, 2);
-	judge_told(j, 15000, &r); /* in the second half of GraceS; excused while its server still works */
+		checker_record_end(checker, 11000, run, 1, 200, 0, 2);
+	checker_record_answer(checker, 15000, &r); /* in the second half of GraceS; excused while its server still works */
 }
 
 /* ---- LOST, clause by clause: bad breaks the rule, the mended twin is just inside it ---- */
 
 enum { STOPPED_AT = 10100, RELOADED_AT = 12000, CFG_SENT_AT = 20000, CFG_ACKED_AT = 20100 };
 
-static void stops(struct judge *j, int machine) { judge_machine(j, STOPPED_AT, machine, machine >= EDGES, PLANNED, 0); }
+static void stops(struct judge *checker, int machine) { checker_record_machine(checker, STOPPED_AT, machine, machine >= EDGES, PLANNED, 0); }
 
 /* A reset without a byte of an answer; read: the machine's process had read the whole request. */
-static void is_reset(struct judge *j, int64_t t, const char *id, int read)
+static void is_reset(struct judge *checker, int64_t t, const char *id, int read)
 {
-	struct told_rec r = { .id = id, .seal = -1, .how = TOLD_NOTHING, .read = read };
+	struct answer_record r = { .id = id, .seal_run = -1, .outcome = ANSWER_NONE, .was_read = read };
 
-	judge_told(j, t, &r);
+	checker_record_answer(checker, t, &r);
 }
 
 /* Passed on to a server that is at work on it when the connection is reset. */
-static void reset_at_work(struct judge *j, int64_t t, int64_t end)
+static void reset_at_work(struct judge *checker, int64_t t, int64_t end)
 {
-	judge_try(j, t, &a_try);
-	runs(j, t + 10, &a_try, "lm");
-	is_reset(j, end, "x1", 1);
+	checker_record_attempt(checker, t, &a_try);
+	runs(checker, t + 10, &a_try, "lm");
+	is_reset(checker, end, "x1", 1);
 }
 
-static void configured(struct judge *j)
+static void configured(struct judge *checker)
 {
-	cfg_at(j, CFG_SENT_AT, CFG_ACKED_AT, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, CFG_SENT_AT, CFG_ACKED_AT, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void lost_passed_on(struct judge *j, int bad)
+static void lost_passed_on(struct judge *checker, int bad)
 {
-	stops(j, 0);
+	stops(checker, 0);
 	if (bad)
-		reset_at_work(j, 10200, 10250); /* within LossSlackMs: it has been passed on all the same */
+		reset_at_work(checker, 10200, 10250); /* within LossSlackMs: it has been passed on all the same */
 	else
-		served(j, 10200, &a_try, "lm");
+		served(checker, 10200, &a_try, "lm");
 }
 
-static void lost_after_slack(struct judge *j, int bad)
+static void lost_after_slack(struct judge *checker, int bad)
 {
-	stops(j, 0);
-	judge_try(j, 10200, &a_try);
-	is_reset(j, 10400 + bad, "x1", 1);
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &a_try);
+	is_reset(checker, 10400 + bad, "x1", 1);
 }
 
-static void lost_read(struct judge *j, int bad)
+static void lost_read(struct judge *checker, int bad)
 {
-	stops(j, 0);
-	judge_try(j, 10200, &a_try);
-	is_reset(j, 10500, "x1", bad); /* unread bytes are no whole request */
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &a_try);
+	is_reset(checker, 10500, "x1", bad); /* unread bytes are no whole request */
 }
 
-static void lost_after_grace(struct judge *j, int bad)
+static void lost_after_grace(struct judge *checker, int bad)
 {
-	int64_t end = STOPPED_AT + bounds_sheet.grace + 1000 + !bad;
+	int64_t end = STOPPED_AT + default_timing_bounds.grace_ms + 1000 + !bad;
 
-	stops(j, 0);
-	judge_try(j, end - 500, &a_try);
-	is_reset(j, end, "x1", 1);
+	stops(checker, 0);
+	checker_record_attempt(checker, end - 500, &a_try);
+	is_reset(checker, end, "x1", 1);
 }
 
-static void lost_before_the_stop(struct judge *j, int bad)
+static void lost_before_the_stop(struct judge *checker, int bad)
 {
-	judge_try(j, STOPPED_AT - 500, &a_try);
-	stops(j, 0);
-	is_reset(j, STOPPED_AT - !bad, "x1", 1);
+	checker_record_attempt(checker, STOPPED_AT - 500, &a_try);
+	stops(checker, 0);
+	is_reset(checker, STOPPED_AT - !bad, "x1", 1);
 }
 
-static void lost_beside_another_stop(struct judge *j, int bad)
+static void lost_beside_another_stop(struct judge *checker, int bad)
 {
-	stops(j, bad ? 0 : 1);
-	reset_at_work(j, 10200, 10700);
+	stops(checker, bad ? 0 : 1);
+	reset_at_work(checker, 10200, 10700);
 }
 
-static void lost_sent_after_reload(struct judge *j, int bad)
+static void lost_sent_after_reload(struct judge *checker, int bad)
 {
-	int64_t t = RELOADED_AT + bounds_sheet.apply + !bad;
+	int64_t t = RELOADED_AT + default_timing_bounds.config_apply_ms + !bad;
 
-	judge_reload(j, RELOADED_AT, 0);
-	reset_at_work(j, t, t + 300);
+	checker_record_reload(checker, RELOADED_AT, 0);
+	reset_at_work(checker, t, t + 300);
 }
 
-static void lost_cut_after_reload(struct judge *j, int bad)
+static void lost_cut_after_reload(struct judge *checker, int bad)
 {
-	judge_reload(j, RELOADED_AT, 0);
-	reset_at_work(j, RELOADED_AT - 1000, RELOADED_AT + bad);
+	checker_record_reload(checker, RELOADED_AT, 0);
+	reset_at_work(checker, RELOADED_AT - 1000, RELOADED_AT + bad);
 }
 
-static void lost_beside_another_reload(struct judge *j, int bad)
+static void lost_beside_another_reload(struct judge *checker, int bad)
 {
-	judge_reload(j, RELOADED_AT, bad ? 0 : 1);
-	reset_at_work(j, RELOADED_AT + 100, RELOADED_AT + 500);
+	checker_record_reload(checker, RELOADED_AT, bad ? 0 : 1);
+	reset_at_work(checker, RELOADED_AT + 100, RELOADED_AT + 500);
 }
 
-static void lost_from_the_sending(struct judge *j, int bad)
+static void lost_from_the_sending(struct judge *checker, int bad)
 {
-	configured(j);
-	reset_at_work(j, CFG_SENT_AT - 500, CFG_SENT_AT - !bad);
+	configured(checker);
+	reset_at_work(checker, CFG_SENT_AT - 500, CFG_SENT_AT - !bad);
 }
 
-static void lost_after_the_acknowledgement(struct judge *j, int bad)
+static void lost_after_the_acknowledgement(struct judge *checker, int bad)
 {
-	int64_t end = CFG_ACKED_AT + bounds_sheet.apply + 1000 + !bad;
+	int64_t end = CFG_ACKED_AT + default_timing_bounds.config_apply_ms + 1000 + !bad;
 
-	configured(j);
-	reset_at_work(j, end - 500, end);
+	configured(checker);
+	reset_at_work(checker, end - 500, end);
 }
 
 /* One with no clear answer may be in force for the rest of the day; one that was refused never is. */
-static void lost_beside_a_refused_one(struct judge *j, int bad)
+static void lost_beside_a_refused_one(struct judge *checker, int bad)
 {
-	int n = cfg_at(j, CFG_SENT_AT, -1, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	int n = cfg_at(checker, CFG_SENT_AT, -1, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 
 	if (!bad)
-		judge_cfg_fate(j, CFG_ACKED_AT, n, CFG_REFUSED);
-	reset_at_work(j, 30000, 30500);
+		checker_record_config_outcome(checker, CFG_ACKED_AT, n, CONFIG_OUTCOME_REFUSED);
+	reset_at_work(checker, 30000, 30500);
 }
 
-static void lost_beside_an_invalid_one(struct judge *j, int bad)
+static void lost_beside_an_invalid_one(struct judge *checker, int bad)
 {
 	const char *service = bad ? CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false"))
 				  : CFG("5", ROUTE("a", "/a/", "nowhere"), TENANTS("\"k1\"", "false"));
 
-	cfg_at(j, CFG_SENT_AT, -1, 1, service);
-	reset_at_work(j, 30000, 30500);
+	cfg_at(checker, CFG_SENT_AT, -1, 1, service);
+	reset_at_work(checker, 30000, 30500);
 }
 
 /* Beside the configuration 40 requests, of them 12 or 13 cut; at other times 10, of them 1 cut. */
-static void lost_over_three_times_as_often(struct judge *j, int bad)
+static void lost_over_three_times_as_often(struct judge *checker, int bad)
 {
 	char id[20];
 
-	configured(j);
+	configured(checker);
 	for (int i = 0; i < 50; i++) {
 		int beside = i < 40, cut = beside ? i < 12 + bad : i == 40;
 		int64_t t = beside ? CFG_SENT_AT + 10 * i : 10000 + 10 * i;
-		struct try_rec x;
+		struct attempt_record attempt;
 
 		snprintf(id, sizeof id, "s%d", i);
-		x = named(id);
+		attempt = has_quota_row(id);
 		if (!cut) {
-			served(j, t, &x, "lm");
+			served(checker, t, &attempt, "lm");
 			continue;
 		}
-		judge_try(j, t, &x);
-		runs(j, t + 5, &x, "lm");
-		is_reset(j, t + 100, id, 1);
+		checker_record_attempt(checker, t, &attempt);
+		runs(checker, t + 5, &attempt, "lm");
+		is_reset(checker, t + 100, id, 1);
 	}
 }
 
-static void lost_before_seven_tenths(struct judge *j, int bad)
+static void lost_before_seven_tenths(struct judge *checker, int bad)
 {
-	configured(j);
-	reset_at_work(j, CFG_SENT_AT - 5000, CFG_SENT_AT - 5000 + 5600 - bad); /* of 8000 */
+	configured(checker);
+	reset_at_work(checker, CFG_SENT_AT - 5000, CFG_SENT_AT - 5000 + 5600 - bad); /* of 8000 */
 }
 
 /* Seven tenths of its time excuse nothing beside a SIGHUP. */
-static void lost_late_beside_reload(struct judge *j, int bad)
+static void lost_late_beside_reload(struct judge *checker, int bad)
 {
-	configured(j);
+	configured(checker);
 	if (bad)
-		judge_reload(j, CFG_SENT_AT, 0);
-	reset_at_work(j, CFG_SENT_AT - 5000, CFG_SENT_AT + 600);
+		checker_record_reload(checker, CFG_SENT_AT, 0);
+	reset_at_work(checker, CFG_SENT_AT - 5000, CFG_SENT_AT + 600);
 }
 
-static void lost_in_calm(struct judge *j, int bad)
+static void lost_in_calm(struct judge *checker, int bad)
 {
-	int64_t sent_at = 10200, from = sent_at - bounds_sheet.contact;
+	int64_t sent_at = 10200, from = sent_at - default_timing_bounds.contact_ms;
 
-	judge_machine(j, from - bad, 0, 0, UNPLANNED, 1);
-	stops(j, 0);
-	reset_at_work(j, sent_at, sent_at + 500);
+	checker_record_machine(checker, from - bad, 0, 0, UNPLANNED, 1);
+	stops(checker, 0);
+	reset_at_work(checker, sent_at, sent_at + 500);
 }
 
-static void lost_in_a_calm_core(struct judge *j, int bad)
+static void lost_in_a_calm_core(struct judge *checker, int bad)
 {
-	int64_t sent_at = 10200, from = sent_at - bounds_sheet.contact;
+	int64_t sent_at = 10200, from = sent_at - default_timing_bounds.contact_ms;
 
-	judge_machine(j, from - bad, EDGES, 1, UNPLANNED, 1);
-	stops(j, 0);
-	reset_at_work(j, sent_at, sent_at + 500);
+	checker_record_machine(checker, from - bad, EDGES, 1, UNPLANNED, 1);
+	stops(checker, 0);
+	reset_at_work(checker, sent_at, sent_at + 500);
 }
 
-static void lost_not_broken_off(struct judge *j, int bad)
+static void lost_not_broken_off(struct judge *checker, int bad)
 {
 	int run;
 
-	stops(j, 0);
-	judge_try(j, 10200, &a_try);
-	run = runs(j, 10210, &a_try, "lm");
-	judge_ran(j, 10300, run, bad, 200, 0, 2); /* 1: the whole answer went out; 0: the server broke off */
-	is_reset(j, 10400, "x1", 1);
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &a_try);
+	run = runs(checker, 10210, &a_try, "lm");
+	checker_record_end(checker, 10300, run, bad, 200, 0, 2); /* 1: the whole answer went out; 0: the server broke off */
+	is_reset(checker, 10400, "x1", 1);
 }
 
 /* A server broke off, another took the request on; only the last one counts, and not one that turned it away. */
-static void lost_at_a_second_server(struct judge *j, int bad)
+static void lost_at_a_second_server(struct judge *checker, int bad)
 {
 	int run;
 
-	stops(j, 0);
-	judge_try(j, 10200, &a_try);
-	run = runs(j, 10210, &a_try, "lm");
-	judge_ran(j, 10300, run, 0, 200, 0, 1);
-	run = arrives(j, 10310, &a_try, "lm", "i-2");
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &a_try);
+	run = runs(checker, 10210, &a_try, "lm");
+	checker_record_end(checker, 10300, run, 0, 200, 0, 1);
+	run = arrives(checker, 10310, &a_try, "lm", "i-2");
 	if (!bad)
-		judge_turned(j, run, 503);
-	is_reset(j, 10600, "x1", 1);
+		checker_record_rejection(checker, run, 503);
+	is_reset(checker, 10600, "x1", 1);
 }
 
-static void lost_before_the_deadline(struct judge *j, int bad)
+static void lost_before_the_deadline(struct judge *checker, int bad)
 {
-	struct try_rec x = a_try;
+	struct attempt_record attempt = a_try;
 
-	x.deadline = 1000;
-	stops(j, 0);
-	judge_try(j, 10200, &x);
-	is_reset(j, 11200 - bad, "x1", 1);
+	attempt.timeout_ms = 1000;
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &attempt);
+	is_reset(checker, 11200 - bad, "x1", 1);
 }
 
-static void lost_before_the_timeout(struct judge *j, int bad)
+static void lost_before_the_timeout(struct judge *checker, int bad)
 {
 	cfg_at(
-	    j, 5000, 5100, 1,
+	    checker, 5000, 5100, 1,
 	    CFG("5",
 		"{\"Name\":\"a\",\"HostName\":\"h.example\",\"PathPrefix\":\"/a/\",\"RouteType\":\"streaming\",\"TimeoutMs\":1000,"
 		"\"ServiceName\":\"lm\",\"MaxAttempts\":2}",
 		TENANTS("\"k1\"", "false")));
-	stops(j, 0);
-	judge_try(j, 10200, &a_try);
-	is_reset(j, 11200 - bad, "x1", 1);
+	stops(checker, 0);
+	checker_record_attempt(checker, 10200, &a_try);
+	is_reset(checker, 11200 - bad, "x1", 1);
 }
 
 /* The server is at work past GraceS; the request was sent 3 s after the SIGTERM at the latest, or later. */
-static void lost_sent_long_after_the_stop(struct judge *j, int bad)
+static void lost_sent_long_after_the_stop(struct judge *checker, int bad)
 {
-	stops(j, 0);
-	reset_at_work(j, STOPPED_AT + 3000 + bad, STOPPED_AT + 7000);
+	stops(checker, 0);
+	reset_at_work(checker, STOPPED_AT + 3000 + bad, STOPPED_AT + 7000);
 }
 
-static void lost_in_the_first_half(struct judge *j, int bad)
+static void lost_in_the_first_half(struct judge *checker, int bad)
 {
-	stops(j, 0);
-	reset_at_work(j, STOPPED_AT + 100, STOPPED_AT + bounds_sheet.grace / 2 - bad);
+	stops(checker, 0);
+	reset_at_work(checker, STOPPED_AT + 100, STOPPED_AT + default_timing_bounds.grace_ms / 2 - bad);
 }
 
-static void lost_done_in_the_first_half(struct judge *j, int bad)
+static void lost_done_in_the_first_half(struct judge *checker, int bad)
 {
 	int run;
 
-	stops(j, 0);
-	judge_try(j, STOPPED_AT + 100, &a_try);
-	run = runs(j, STOPPED_AT + 110, &a_try, "lm");
-	judge_ran(j, STOPPED_AT + bounds_sheet.grace / 2 - bad, run, 1, 200, 0, 2);
-	is_reset(j, STOPPED_AT + bounds_sheet.grace / 2 + 500, "x1", 1);
+	stops(checker, 0);
+	checker_record_attempt(checker, STOPPED_AT + 100, &a_try);
+	run = runs(checker, STOPPED_AT + 110, &a_try, "lm");
+	checker_record_end(checker, STOPPED_AT + default_timing_bounds.grace_ms / 2 - bad, run, 1, 200, 0, 2);
+	is_reset(checker, STOPPED_AT + default_timing_bounds.grace_ms / 2 + 500, "x1", 1);
 }
 
-static void budget(struct judge *j, int bad)
+static void budget(struct judge *checker, int bad)
 {
 	for (int i = 0; i < 100; i++) { /* 0.2 x 100 + 58 = 78 */
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20];
 
 		snprintf(id, sizeof id, "b%d", i);
-		y.id = id;
-		judge_try(j, 5000 + i, &y);
-		arrives(j, 5001 + i, &y, "lm", "i-1");
+		attempt.id = id;
+		checker_record_attempt(checker, 5000 + i, &attempt);
+		arrives(checker, 5001 + i, &attempt, "lm", "i-1");
 		if (i < 78 + bad)
-			arrives(j, 5200 + i, &y, "lm", "i-1");
+			arrives(checker, 5200 + i, &attempt, "lm", "i-1");
 	}
 }
 
-static void order_gap(struct judge *j, int bad)
+static void order_gap(struct judge *checker, int bad)
 {
-	struct event_rec e[3];
-	struct told_rec r;
+	struct stream_event event[3];
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 1, 200, 0, 3);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 1, 200, 0, 3);
 	for (int i = 0; i < 3; i++)
-		e[i] = (struct event_rec){ i + 1, run };
+		event[i] = (struct stream_event){ i + 1, run };
 	if (bad)
-		e[1] = e[2];
-	r = told(&a_try, run, e, 3 - bad);
-	judge_told(j, 5070, &r);
+		event[1] = event[2];
+	r = told(&a_try, run, event, 3 - bad);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_double(struct judge *j, int bad)
+static void order_double(struct judge *checker, int bad)
 {
-	struct event_rec e[3];
-	struct told_rec r;
+	struct stream_event event[3];
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 1, 200, 0, 2);
-	e[0] = e[1] = (struct event_rec){ 1, run };
-	e[2] = (struct event_rec){ 2, run };
-	r = told(&a_try, run, e + !bad, 2 + bad);
-	judge_told(j, 5070, &r);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 1, 200, 0, 2);
+	event[0] = event[1] = (struct stream_event){ 1, run };
+	event[2] = (struct stream_event){ 2, run };
+	r = told(&a_try, run, event + !bad, 2 + bad);
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_short(struct judge *j, int bad)
+static void order_short(struct judge *checker, int bad)
 {
-	struct event_rec e[1];
-	struct told_rec r;
+	struct stream_event event[1];
+	struct answer_record r;
 	int run;
 
-	judge_try(j, 5000, &a_try);
-	run = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run, 0, 200, 0, 1);
-	e[0] = (struct event_rec){ 1, run };
-	r = told(&a_try, run, e, 1);
-	r.how = bad ? TOLD_WHOLE : TOLD_CUT;
-	judge_told(j, 5070, &r);
+	checker_record_attempt(checker, 5000, &a_try);
+	run = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run, 0, 200, 0, 1);
+	event[0] = (struct stream_event){ 1, run };
+	r = told(&a_try, run, event, 1);
+	r.outcome = bad ? ANSWER_COMPLETE : ANSWER_CUT_OFF;
+	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_joined(struct judge *j, int bad)
+static void order_joined(struct judge *checker, int bad)
 {
-	struct try_rec again = a_try;
-	struct event_rec e[2];
-	struct told_rec r;
+	struct attempt_record again = a_try;
+	struct stream_event event[2];
+	struct answer_record r;
 	int run[2];
 
-	judge_try(j, 5000, &a_try);
-	run[0] = runs(j, 5005, &a_try, "lm");
-	judge_ran(j, 5060, run[0], 0, 200, 0, 1);
+	checker_record_attempt(checker, 5000, &a_try);
+	run[0] = runs(checker, 5005, &a_try, "lm");
+	checker_record_end(checker, 5060, run[0], 0, 200, 0, 1);
 	again.last_event = bad ? 0 : 1; /* the second run goes on where the first was cut */
-	run[1] = runs(j, 5100, &again, "lm");
-	judge_ran(j, 5160, run[1], 1, 200, 0, 2);
-	e[0] = (struct event_rec){ 1, run[0] };
-	e[1] = (struct event_rec){ 2, run[1] };
-	r = told(&a_try, run[0], e, 2);
-	judge_told(j, 5170, &r);
+	run[1] = runs(checker, 5100, &again, "lm");
+	checker_record_end(checker, 5160, run[1], 1, 200, 0, 2);
+	event[0] = (struct stream_event){ 1, run[0] };
+	event[1] = (struct stream_event){ 2, run[1] };
+	r = told(&a_try, run[0], event, 2);
+	checker_record_answer(checker, 5170, &r);
 }
 
-static void order_joined_once(struct judge *j, int bad)
+static void order_joined_once(struct judge *checker, int bad)
 {
-	struct try_rec x = a_try, again;
-	struct event_rec e[2];
-	struct told_rec r;
+	struct attempt_record attempt = a_try, again;
+	struct stream_event event[2];
+	struct answer_record r;
 	int run[2];
 
-	x.kind = bad ? TRY_ONCE : TRY_RESUMABLE;
-	judge_try(j, 5000, &x);
-	run[0] = runs(j, 5005, &x, "lm");
-	judge_ran(j, 5060, run[0], 0, 200, 0, 1);
-	again = x;
+	attempt.kind = bad ? ATTEMPT_ONCE : ATTEMPT_RESUMABLE;
+	checker_record_attempt(checker, 5000, &attempt);
+	run[0] = runs(checker, 5005, &attempt, "lm");
+	checker_record_end(checker, 5060, run[0], 0, 200, 0, 1);
+	again = attempt;
 	again.last_event = 1;
-	run[1] = runs(j, 5100, &again, "lm");
-	judge_ran(j, 5160, run[1], 1, 200, 0, 2);
-	e[0] = (struct event_rec){ 1, run[0] };
-	e[1] = (struct event_rec){ 2, run[1] };
-	r = told(&x, run[0], e, 2);
-	judge_told(j, 5170, &r);
+	run[1] = runs(checker, 5100, &again, "lm");
+	checker_record_end(checker, 5160, run[1], 1, 200, 0, 2);
+	event[0] = (struct stream_event){ 1, run[0] };
+	event[1] = (struct stream_event){ 2, run[1] };
+	r = told(&attempt, run[0], event, 2);
+	checker_record_answer(checker, 5170, &r);
 }
 
-static void orders(struct judge *j, int64_t t, const char *holder, int64_t fence, int status, int thawed)
+static void orders(struct judge *checker, int64_t t, const char *holder, int64_t fence, int status, int thawed)
 {
-	struct order_rec r = { .instance = "i-1", .holder = holder, .fence = fence, .status = status, .thawed = thawed };
+	struct load_command_record r = { .instance = "i-1", .lease_owner = holder, .fence = fence, .status = status, .thawed = thawed };
 
-	judge_order(j, t, &r);
+	checker_record_load_command(checker, t, &r);
 }
 
-static void one_fence(struct judge *j, int bad)
+static void one_fence(struct judge *checker, int bad)
 {
-	orders(j, 5000, "a", 4, 202, 0);
-	orders(j, 9000, "b", bad ? 4 : 5, 202, 0);
+	orders(checker, 5000, "a", 4, 202, 0);
+	orders(checker, 9000, "b", bad ? 4 : 5, 202, 0);
 }
 
-static void one_lease(struct judge *j, int bad)
+static void one_lease(struct judge *checker, int bad)
 {
-	orders(j, 5000, "a", 4, 202, 0);
-	orders(j, bad ? 7990 : 8010, "b", 5, 202, 0);
+	orders(checker, 5000, "a", 4, 202, 0);
+	orders(checker, bad ? 7990 : 8010, "b", 5, 202, 0);
 }
 
-static void one_thawed(struct judge *j, int bad)
+static void one_thawed(struct judge *checker, int bad)
 {
-	orders(j, 5000, "a", 4, 202, 0);
-	orders(j, 6000, "b", 5, bad ? 202 : 412, 0);
-	orders(j, 6100, "c", 5, 202, 1);
+	orders(checker, 5000, "a", 4, 202, 0);
+	orders(checker, 6000, "b", 5, bad ? 202 : 412, 0);
+	orders(checker, 6100, "c", 5, 202, 1);
 }
 
-static void stale(struct judge *j, int bad)
+static void stale(struct judge *checker, int bad)
 {
-	struct used_rec u = { bad ? 1 : 2, "t1" };
+	struct reused_block record = { bad ? 1 : 2, "t1" };
 
-	judge_try(j, 5000, &a_try);
-	judge_begin(j, 5020, arrives(j, 5005, &a_try, "lm", "i-1"), 2, &u, 1);
+	checker_record_attempt(checker, 5000, &a_try);
+	checker_record_start(checker, 5020, arrives(checker, 5005, &a_try, "lm", "i-1"), 2, &record, 1);
 }
 
-static void wall(struct judge *j, int bad)
+static void wall(struct judge *checker, int bad)
 {
-	struct used_rec u = { 1, "t2" };
+	struct reused_block record = { 1, "t2" };
 
-	cfg_at(j, 4000, 4100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "true")));
-	judge_try(j, 6000, &a_try);
-	judge_begin(j, bad ? 6110 : 6090, arrives(j, 6005, &a_try, "lm", "i-1"), 1, &u,
+	cfg_at(checker, 4000, 4100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "true")));
+	checker_record_attempt(checker, 6000, &a_try);
+	checker_record_start(checker, bad ? 6110 : 6090, arrives(checker, 6005, &a_try, "lm", "i-1"), 1, &record,
 		    1); /* in force 2 s after it was acknowledged */
 }
 
-static void version(struct judge *j, int bad)
+static void version(struct judge *checker, int bad)
 {
-	judge_named(j, 5000, 2, 0);
-	judge_named(j, 5100, 2, 1);
-	judge_try(j, 20000, &a_try);
-	judge_begin(j, 20100 + (bad ? 10 : -10), arrives(j, 20005, &a_try, "lm", "i-1"), 1, NULL, 0);
+	checker_record_target_version(checker, 5000, 2, 0);
+	checker_record_target_version(checker, 5100, 2, 1);
+	checker_record_attempt(checker, 20000, &a_try);
+	checker_record_start(checker, 20100 + (bad ? 10 : -10), arrives(checker, 20005, &a_try, "lm", "i-1"), 1, NULL, 0);
 }
 
 /* The machine that takes a_try sends it at `sent`; it begins on `weights` at `begun`. */
-static void begins_on(struct judge *j, int64_t sent, int64_t begun, int weights)
+static void begins_on(struct judge *checker, int64_t sent, int64_t begun, int weights)
 {
-	judge_try(j, sent, &a_try);
-	judge_begin(j, begun, arrives(j, sent + 5, &a_try, "lm", "i-1"), weights, NULL, 0);
+	checker_record_attempt(checker, sent, &a_try);
+	checker_record_start(checker, begun, arrives(checker, sent + 5, &a_try, "lm", "i-1"), weights, NULL, 0);
 }
 
 /* The sender is killed between the send and the beginning: it was in touch as it sent. */
-static void version_sender_gone(struct judge *j, int bad)
+static void version_sender_gone(struct judge *checker, int bad)
 {
-	judge_named(j, 5100, 2, 1);
-	judge_machine(j, 20050, a_try.edge, 0, UNPLANNED, 0);
-	begins_on(j, 20000, 20100 + (bad ? 10 : -10), 1);
+	checker_record_target_version(checker, 5100, 2, 1);
+	checker_record_machine(checker, 20050, a_try.machine, 0, UNPLANNED, 0);
+	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 1);
 }
 
 /* The sender was thawed too lately as it sent, though it is in touch again at the beginning. */
-static void version_sender_thawed(struct judge *j, int bad)
+static void version_sender_thawed(struct judge *checker, int bad)
 {
-	judge_named(j, 5100, 2, 1);
-	judge_machine(j, 20000, a_try.edge, 0, UNPLANNED, 0);
-	judge_machine(j, 21000, a_try.edge, 0, UNPLANNED, 1);
-	begins_on(j, 24000 + (bad ? 1 : -10), 24500, 1);
+	checker_record_target_version(checker, 5100, 2, 1);
+	checker_record_machine(checker, 20000, a_try.machine, 0, UNPLANNED, 0);
+	checker_record_machine(checker, 21000, a_try.machine, 0, UNPLANNED, 1);
+	begins_on(checker, 24000 + (bad ? 1 : -10), 24500, 1);
 }
 
 /* The time counts over one settled stretch, which begins ContactMs after the last trouble of the core. */
-static void version_unsettled(struct judge *j, int bad)
+static void version_unsettled(struct judge *checker, int bad)
 {
-	judge_named(j, 2000, 2, 1);
-	judge_machine(j, 6000, EDGES, 1, UNPLANNED, 0);
-	judge_machine(j, 7000, EDGES, 1, UNPLANNED, 1);
-	begins_on(j, 24900, 25000 + (bad ? 10 : -10), 1);
+	checker_record_target_version(checker, 2000, 2, 1);
+	checker_record_machine(checker, 6000, EDGES, 1, UNPLANNED, 0);
+	checker_record_machine(checker, 7000, EDGES, 1, UNPLANNED, 1);
+	begins_on(checker, 24900, 25000 + (bad ? 10 : -10), 1);
 }
 
 /* Later namings don't put off what an earlier one asks. */
-static void version_named_again(struct judge *j, int bad)
+static void version_named_again(struct judge *checker, int bad)
 {
 	for (int weights = 2; weights < 14; weights++)
-		judge_named(j, 5100 + 1000 * (weights - 2), weights, 1);
-	begins_on(j, 20000, 20100 + (bad ? 10 : -10), 1);
+		checker_record_target_version(checker, 5100 + 1000 * (weights - 2), weights, 1);
+	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 1);
 }
 
 /* Weights that are not the newest may be used for VersionMs from the naming that followed them. */
-static void version_between(struct judge *j, int bad)
+static void version_between(struct judge *checker, int bad)
 {
-	judge_named(j, 3000, 2, 1);
-	judge_named(j, 5100, 3, 1);
-	judge_named(j, 9000, 4, 1);
-	begins_on(j, 20000, 20100 + (bad ? 10 : -10), 2);
+	checker_record_target_version(checker, 3000, 2, 1);
+	checker_record_target_version(checker, 5100, 3, 1);
+	checker_record_target_version(checker, 9000, 4, 1);
+	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 2);
 }
 
 /* A naming that nobody acknowledged asks for nothing. */
-static void version_not_acked(struct judge *j, int bad)
+static void version_not_acked(struct judge *checker, int bad)
 {
-	judge_machine(j, 5050, EDGES, 1, UNPLANNED, 0); /* nor has the core to acknowledge it */
-	judge_named(j, 5100, 2, 0);
+	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED, 0); /* nor has the core to acknowledge it */
+	checker_record_target_version(checker, 5100, 2, 0);
 	if (bad)
-		judge_named(j, 5200, 2, 1);
-	begins_on(j, 23200, 23300, 1);
+		checker_record_target_version(checker, 5200, 2, 1);
+	begins_on(checker, 23200, 23300, 1);
 }
 
-static void version_at_stake(void **st)
+static void version_at_stake(void **state)
 {
-	struct judge *j = world();
+	struct judge *checker = world();
 
-	(void)st;
-	assert_int_equal(judge_version_at_stake(j), 0);
-	begins_on(j, 5000, 5010, 1);
-	judge_named(j, 5100, 2, 1);
-	assert_int_equal(judge_version_at_stake(j), 0);
-	begins_on(j, 20000, 20100, 2); /* just at the bound */
-	assert_int_equal(judge_version_at_stake(j), 0);
-	begins_on(j, 20000, 20101, 2);
-	assert_int_equal(judge_version_at_stake(j), 1);
-	judge_close(j);
+	(void)state;
+	assert_int_equal(checker_version_rule_exercised(checker), 0);
+	begins_on(checker, 5000, 5010, 1);
+	checker_record_target_version(checker, 5100, 2, 1);
+	assert_int_equal(checker_version_rule_exercised(checker), 0);
+	begins_on(checker, 20000, 20100, 2); /* just at the bound */
+	assert_int_equal(checker_version_rule_exercised(checker), 0);
+	begins_on(checker, 20000, 20101, 2);
+	assert_int_equal(checker_version_rule_exercised(checker), 1);
+	checker_close(checker);
 }
 
-static void acks(struct judge *j, int bad)
+static void acks(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, 9003 + (bad ? 1 : 0), 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 9003 + (bad ? 1 : 0), 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void acks_unsettled(struct judge *j, int bad)
+static void acks_unsettled(struct judge *checker, int bad)
 {
-	cfg_at(j, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 	if (!bad)
-		judge_machine(j, 6000, EDGES, 1, UNPLANNED, 0);
+		checker_record_machine(checker, 6000, EDGES, 1, UNPLANNED, 0);
 }
 
-static void acks_weights(struct judge *j, int bad)
+static void acks_weights(struct judge *checker, int bad)
 {
-	judge_named(j, 5000, 2, 0);
-	judge_named(j, bad ? 9010 : 8990, 2, 1);
+	checker_record_target_version(checker, 5000, 2, 0);
+	checker_record_target_version(checker, bad ? 9010 : 8990, 2, 1);
 }
 
-static void recover(struct judge *j, int bad)
+static void recover(struct judge *checker, int bad)
 {
 	for (int i = 0; i < 10; i++) {
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20];
 
 		snprintf(id, sizeof id, "q%d", i);
-		y.id = id;
-		served(j, 5000 + i, &y, "lm");
+		attempt.id = id;
+		served(checker, 5000 + i, &attempt, "lm");
 	}
-	judge_closing(j, 6000, 7000);
+	checker_set_final_fault(checker, 6000, 7000);
 	for (int i = 0; i < 10; i++) {
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20];
 
 		snprintf(id, sizeof id, "r%d", i);
-		y.id = id;
+		attempt.id = id;
 		if (i < 3 - bad) {
-			served(j, 19010 + i, &y, "lm");
+			served(checker, 19010 + i, &attempt, "lm");
 		} else {
-			judge_try(j, 19010 + i, &y);
-			answered(j, 19020 + i, &y, 503, 1);
+			checker_record_attempt(checker, 19010 + i, &attempt);
+			answered(checker, 19020 + i, &attempt, 503, 1);
 		}
 	}
 }
 
-static void own_ends(struct judge *j, int bad)
+static void own_ends(struct judge *checker, int bad)
 {
 	for (int i = 0; i < 3; i++) {
-		judge_own_end(j, 5000, 0);
+		checker_record_unexpected_exit(checker, 5000, 0);
 		if (i < 2 + bad)
-			judge_own_end(j, 5000, 1);
+			checker_record_unexpected_exit(checker, 5000, 1);
 	}
 }
 
-static void starved(struct judge *j, int bad)
+static void starved(struct judge *checker, int bad)
 {
 	for (int i = 0; i < 80; i++) {
-		struct try_rec y = a_try;
+		struct attempt_record attempt = a_try;
 		char id[20];
 
 		snprintf(id, sizeof id, "v%d", i);
-		y.id = id;
-		y.key = i % 2 ? "k1" : "k2";
-		judge_try(j, 5000 + i, &y);
+		attempt.id = id;
+		attempt.key = i % 2 ? "k1" : "k2";
+		checker_record_attempt(checker, 5000 + i, &attempt);
 		if (i % 2 || (!bad && i % 4 == 0)) {
-			struct arrive_rec a = { .id = id,
-						.method = y.method,
-						.host = y.host,
-						.path = y.path,
+			struct arrival_record a = { .id = id,
+						.method = attempt.method,
+						.host = attempt.host,
+						.path = attempt.path,
 						.tenant = i % 2 ? "t1" : "t2",
 						.service = "lm",
 						.instance = "i-1",
-						.body = y.body };
-			int run = judge_arrive(j, 5005 + i, &a);
-			struct event_rec e[1] = { { 1, run } };
-			struct told_rec r = told(&y, run, e, 1);
-
-			judge_begin(j, 5010 + i, run, 1, NULL, 0);
-			judge_ran(j, 5060 + i, run, 1, 200, 0, 1);
-			judge_told(j, 5070 + i, &r);
+						.body = attempt.body };
+			int run = checker_record_arrival(checker, 5005 + i, &a);
+			struct stream_event event[1] = { { 1, run } };
+			struct answer_record r = told(&attempt, run, event, 1);
+
+			checker_record_start(checker, 5010 + i, run, 1, NULL, 0);
+			checker_record_end(checker, 5060 + i, run, 1, 200, 0, 1);
+			checker_record_answer(checker, 5070 + i, &r);
 		} else {
-			answered(j, 5020 + i, &y, 503, 1);
+			answered(checker, 5020 + i, &attempt, 503, 1);
 		}
 	}
 }
@@ -1158,37 +1158,37 @@
 	{ "starved", "STARVED", starved },
 };
 
-static void judge_catches_each_breach(void **st)
+static void the_checker_catches_each_violation(void **state)
 {
 	int wrong = 0;
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof stories / sizeof *stories; i++)
 		for (int bad = 0; bad < 2; bad++) {
-			struct judge *j = world();
-			const struct breach *b;
+			struct judge *checker = world();
+			const struct breach *violation;
 			int n, hit = 0;
 
-			stories[i].fn(j, bad);
-			n = judge_all(j, 40000, &b);
+			stories[i].fn(checker, bad);
+			n = checker_run(checker, 40000, &violation);
 			for (int k = 0; k < n; k++) {
-				if (!bad || !strstr(stories[i].rule, b[k].rule)) {
-					print_error("%s, %s: %s %s\n", stories[i].name, bad ? "broken" : "mended", b[k].rule,
-						    b[k].text);
+				if (!bad || !strstr(stories[i].rule, violation[k].rule)) {
+					print_error("%s, %s: %s %s\n", stories[i].name, bad ? "broken" : "mended", violation[k].rule,
+						    violation[k].text);
 					wrong++;
 				}
-				hit += !strncmp(stories[i].rule, b[k].rule, strlen(b[k].rule));
+				hit += !strncmp(stories[i].rule, violation[k].rule, strlen(violation[k].rule));
 			}
 			if (bad && !hit) {
 				print_error("%s: the breach of %s is not seen\n", stories[i].name, stories[i].rule);
 				wrong++;
 			}
-			judge_close(j);
+			checker_close(checker);
 		}
 	assert_int_equal(wrong, 0);
 }
 
-static void configurations_are_told_apart(void **st)
+static void configurations_are_told_apart(void **state)
 {
 	static const struct {
 		const char *text;
@@ -1211,18 +1211,18 @@
 		  1, 1 },
 	};
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof c / sizeof *c; i++) {
-		struct cfg *k = cfg_read(c[i].text);
+		struct parsed_config *config = parsed_config_read(c[i].text);
 
-		if ((cfg_invalid(k, c[i].base) != NULL) != c[i].bad)
+		if ((parsed_config_invalid(config, c[i].base) != NULL) != c[i].bad)
 			fail_msg("configuration %zu is judged wrongly", i);
-		cfg_free(k);
+		parsed_config_free(config);
 	}
 }
 
 /* Whatever planned changes follow on each other, what comes out is valid, and the lists for modify name what was touched. */
-static void planned_changes_are_valid(void **st)
+static void planned_changes_are_valid(void **state)
 {
 	static const char text[] =
 	    "{\"ConfigVersion\":1,\"RouteList\":[" ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm") "," ROUTE(
@@ -1232,144 +1232,144 @@
 	struct json_object *config = json_tokener_parse(text),
 			   *plain = json_tokener_parse("{\"Name\":\"t3\",\"AccessKeys\":[\"k3\"]}");
 
-	(void)st;
+	(void)state;
 	json_object_array_add(json_object_object_get(config, "TenantList"), plain);
 	for (uint64_t turn = 0; turn < 100; turn++) {
-		enum change what = (enum change)(CHANGE_BIG_OFF + turn % (CHANGES - CHANGE_BIG_OFF));
+		enum change what = (enum change)(CHANGE_BIG_OFF + turn % (CHANGE_COUNT - CHANGE_BIG_OFF));
 		struct json_object *upsert = json_object_new_object(), *removed = json_object_new_object();
-		struct cfg *c;
+		struct parsed_config *c;
 
 		planned_change(config, upsert, removed, what, turn);
 		json_object_object_add(config, "ConfigVersion", json_object_new_int64((int64_t)turn + 2));
-		c = cfg_read(json_object_to_json_string(config));
+		c = parsed_config_read(json_object_to_json_string(config));
 		assert_non_null(c);
-		assert_null(cfg_invalid(c, (int64_t)turn + 1));
-		assert_int_equal(arrlen(c->route), 3 + (turn < 1 && what != CHANGE_BIG_OFF));
+		assert_null(parsed_config_invalid(c, (int64_t)turn + 1));
+		assert_int_equal(arrlen(c->routes), 3 + (turn < 1 && what != CHANGE_BIG_OFF));
 		if (what != CHANGE_LIMITS)
 			assert_int_equal(json_object_object_length(upsert) + json_object_object_length(removed), 1);
-		cfg_free(c);
+		parsed_config_free(c);
 		json_object_put(upsert);
 		json_object_put(removed);
 	}
 	json_object_put(config);
 }
 
-static void histogram_is_within_its_steps(void **st)
+static void histogram_is_within_its_steps(void **state)
 {
-	struct hist *h = calloc(1, sizeof *h);
+	struct histogram *h = calloc(1, sizeof *h);
 
-	(void)st;
-	assert_int_equal(hist_at(h, 0.5), -1);
+	(void)state;
+	assert_int_equal(histogram_quantile(h, 0.5), -1);
 	for (int i = 1; i <= 100000; i++)
-		hist_add(h, i);
+		histogram_add(h, i);
 	for (int k = 1; k < 100; k++) {
-		int64_t v = hist_at(h, k / 100.0), want = k * 1000;
+		int64_t v = histogram_quantile(h, k / 100.0), expected = k * 1000;
 
-		assert_true(v <= want && v >= want - want / 64 - 1);
+		assert_true(v <= expected && v >= expected - expected / 64 - 1);
 	}
-	assert_int_equal(hist_at(h, 0.0), 1);
+	assert_int_equal(histogram_quantile(h, 0.0), 1);
 	free(h);
 }
 
 /* ---- servers, store and list, spoken to by a plain client ---- */
 
 struct rig {
-	struct fleet_set f;
+	struct server_fleet f;
 	struct server *a, *b, *store;
 	char at[3][40];
 	int status, done, keep, held;
 	char *body, *weights, *load, *seal, *id, *not_run, *instance;
 	struct conn *c;
-	int gone;                /* 1 + how */
+	int removed;                /* 1 + how */
 	int events, first, last; /* ids of events */
 	char *stream;            /* stb array */
 };
 
-static void rig_open(struct rig *g)
+static void rig_open(struct rig *rig)
 {
 	char base[24];
 
-	memset(g, 0, sizeof *g);
+	memset(rig, 0, sizeof *rig);
 	snprintf(base, sizeof base, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
-	g->f.l = loop_open();
-	g->f.start = loop_us();
-	g->f.e = engine_sheet;
-	g->f.e.load_ms = 30;
-	g->f.e.events_lag = 5;
-	g->f.e.report_lag = 20;
-	g->f.rng = 5;
-	g->f.newest = 1;
-	g->f.model = "m1";
+	rig->f.loop = loop_open();
+	rig->f.started_at_us = loop_us();
+	rig->f.engine = default_engine;
+	rig->f.engine.load_ms = 30;
+	rig->f.engine.event_lag_ms = 5;
+	rig->f.engine.report_lag_ms = 20;
+	rig->f.rng = 5;
+	rig->f.newest_version = 1;
+	rig->f.model = "m1";
 	for (int i = 0; i < 3; i++)
-		snprintf(g->at[i], sizeof g->at[i], "%s.%d:8080", base, 100 + i);
-	g->a = server_add(&g->f, g->at[0], "z1", "lm", 0);
-	g->b = server_add(&g->f, g->at[1], "z1", "lm", 0);
-	g->store = server_add(&g->f, g->at[2], "z2", "store", 1);
+		snprintf(rig->at[i], sizeof rig->at[i], "%s.%d:8080", base, 100 + i);
+	rig->a = server_add(&rig->f, rig->at[0], "z1", "lm", 0);
+	rig->b = server_add(&rig->f, rig->at[1], "z1", "lm", 0);
+	rig->store = server_add(&rig->f, rig->at[2], "z2", "store", 1);
 	for (int i = 0; i < 3; i++) {
-		server_up(g->f.server[i]);
-		g->f.server[i]->fault.close = 0;
+		server_up(rig->f.servers[i]);
+		rig->f.servers[i]->fault.close = 0;
 	}
 }
 
-static void answer_clear(struct rig *g)
+static void answer_clear(struct rig *rig)
 {
-	char **v[] = { &g->body, &g->weights, &g->load, &g->seal, &g->id, &g->not_run, &g->instance };
+	char **v[] = { &rig->body, &rig->weights, &rig->load, &rig->seal, &rig->id, &rig->not_run, &rig->instance };
 
 	for (size_t i = 0; i < sizeof v / sizeof *v; i++) {
 		free(*v[i]);
 		*v[i] = NULL;
 	}
-	arrfree(g->stream);
-	g->status = g->done = g->gone = g->events = g->first = g->last = 0;
+	arrfree(rig->stream);
+	rig->status = rig->done = rig->removed = rig->events = rig->first = rig->last = 0;
 }
 
-static void rig_close(struct rig *g)
+static void rig_close(struct rig *rig)
 {
-	answer_clear(g);
-	if (g->f.list)
-		list_close(g->f.list);
-	servers_free(&g->f);
-	loop_close(g->f.l);
+	answer_clear(rig);
+	if (rig->f.list)
+		list_close(rig->f.list);
+	servers_free(&rig->f);
+	loop_close(rig->f.loop);
 }
 
 static char *dup_of(const char *s) { return s ? strdup(s) : NULL; }
 
-static void on_head(void *ctx, struct conn *c, struct msg *m)
+static void on_head(void *ctx, struct conn *c, struct http_message *message)
 {
 	struct rig *g = ctx;
 
 	(void)c;
-	g->status = m->status;
-	g->weights = dup_of(msg_get(m, "X-Notchlug-Weight-Versions"));
-	g->load = dup_of(msg_get(m, "X-Notchlug-Server-Load"));
-	g->seal = dup_of(msg_get(m, "X-Notchlug-Server-Seal"));
-	g->id = dup_of(msg_get(m, "X-Notchlug-Attempt-Id"));
-	g->not_run = dup_of(msg_get(m, "X-Notchlug-Not-Executed"));
-	g->instance = dup_of(msg_get(m, "X-Notchlug-Instance-Id"));
+	g->status = message->status;
+	g->weights = dup_of(http_message_field(message, "X-Notchlug-Weight-Versions"));
+	g->load = dup_of(http_message_field(message, "X-Notchlug-Server-Load"));
+	g->seal = dup_of(http_message_field(message, "X-Notchlug-Server-Seal"));
+	g->id = dup_of(http_message_field(message, "X-Notchlug-Attempt-Id"));
+	g->not_run = dup_of(http_message_field(message, "X-Notchlug-Not-Executed"));
+	g->instance = dup_of(http_message_field(message, "X-Notchlug-Instance-Id"));
 }
 
-static void on_data(void *ctx, struct conn *c, const char *d, size_t n)
+static void on_data(void *ctx, struct conn *conn, const char *d, size_t n)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 
-	(void)c;
-	memcpy(arraddnptr(g->stream, n), d, n);
+	(void)conn;
+	memcpy(arraddnptr(rig->stream, n), d, n);
 }
 
-static void on_whole(void *ctx, struct conn *c, struct msg *m)
+static void on_whole(void *ctx, struct conn *conn, struct http_message *message)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 	char *at;
 
-	(void)c;
-	g->body = strndup(m->body ? m->body : "", m->len);
-	g->keep = m->keep;
-	g->done = 1;
-	for (at = strstr(g->body, "id: "); at; at = strstr(at + 1, "\nid: ")) {
+	(void)conn;
+	rig->body = strndup(message->body ? message->body : "", message->body_length);
+	rig->keep = message->keep_alive;
+	rig->done = 1;
+	for (at = strstr(rig->body, "id: "); at; at = strstr(at + 1, "\nid: ")) {
 		int id = atoi(at + (*at == '\n' ? 5 : 4));
 
-		g->first = g->events++ ? g->first : id;
-		g->last = id;
+		rig->first = rig->events++ ? rig->first : id;
+		rig->last = id;
 	}
 }
 
@@ -1379,77 +1379,77 @@
 
 	(void)c;
 	g->c = NULL;
-	g->gone = 1 + (int)how;
+	g->removed = 1 + (int)how;
 }
 
 static int settled(void *ctx)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 
-	return g->done || g->gone;
+	return rig->done || rig->removed;
 }
 
-static const struct conn_on on_answer = { .head = on_head, .data = on_data, .whole = on_whole, .gone = on_gone };
+static const struct conn_handlers on_answer = { .head = on_head, .data = on_data, .complete = on_whole, .closed = on_gone };
 
 /* One call on the rig's connection (a new one if there is none); waits for its end. */
-static void say(struct rig *g, const char *at, const char *method, const char *target, const char *fields, const char *body)
+static void say(struct rig *rig, const char *at, const char *method, const char *target, const char *fields, const char *body)
 {
-	answer_clear(g);
-	if (!g->c)
-		g->c = conn_call(g->f.l, at, &on_answer, g);
-	conn_expect(g->c);
-	conn_sayf(g->c, "%s %s HTTP/1.1\r\nHost: h\r\n%s", method, target, fields);
+	answer_clear(rig);
+	if (!rig->c)
+		rig->c = conn_connect(rig->f.loop, at, &on_answer, rig);
+	conn_expect(rig->c);
+	conn_writef(rig->c, "%s %s HTTP/1.1\r\nHost: h\r\n%s", method, target, fields);
 	if (body)
-		conn_sayf(g->c, "Content-Length: %zu\r\n", strlen(body));
-	conn_sayf(g->c, "\r\n%s", body ? body : "");
+		conn_writef(rig->c, "Content-Length: %zu\r\n", strlen(body));
+	conn_writef(rig->c, "\r\n%s", body ? body : "");
 }
 
-static void ask(struct rig *g, const char *at, const char *method, const char *target, const char *fields, const char *body)
+static void ask(struct rig *rig, const char *at, const char *method, const char *target, const char *fields, const char *body)
 {
-	say(g, at, method, target, fields, body);
-	if (!loop_until(g->f.l, ms_us(5000), settled, g))
+	say(rig, at, method, target, fields, body);
+	if (!loop_until(rig->f.loop, ms_us(5000), settled, rig))
 		fail_msg("%s %s at %s: nothing came", method, target, at);
 }
 
-static void hang_up(struct rig *g)
+static void hang_up(struct rig *rig)
 {
-	if (g->c)
-		conn_close(g->c, 0);
-	g->c = NULL;
+	if (rig->c)
+		conn_close(rig->c, 0);
+	rig->c = NULL;
 }
 
 #define GEN(id, prompt, parts)                                                                                    \
 	"X-Notchlug-Attempt-Id: " id "\r\nX-Notchlug-Model-Name: m1\r\nX-Notchlug-Token-Count: " prompt ",20\r\n" \
 	"X-Notchlug-Prompt-Prefix: " parts "\r\nX-Notchlug-Deadline-Remaining: 5000\r\n"
 
-static void a_stream_is_whole_and_stamped(void **st)
+static void a_stream_is_whole_and_stamped(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	int all;
 
-	(void)st;
-	rig_open(&g);
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "hello");
-	assert_int_equal(g.status, 200);
-	assert_string_equal(g.id, "t1");
-	assert_non_null(g.seal);
-	assert_string_equal(g.weights, "1");
-	assert_string_equal(g.load, "1,0,128");
-	assert_int_equal(g.first, 1);
-	assert_int_equal(g.last, g.events);
-	assert_true(g.events > 1);
-	assert_true(g.keep);
-	all = g.last;
+	(void)state;
+	rig_open(&rig);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "hello");
+	assert_int_equal(rig.status, 200);
+	assert_string_equal(rig.id, "t1");
+	assert_non_null(rig.seal);
+	assert_string_equal(rig.weights, "1");
+	assert_string_equal(rig.load, "1,0,128");
+	assert_int_equal(rig.first, 1);
+	assert_int_equal(rig.last, rig.events);
+	assert_true(rig.events > 1);
+	assert_true(rig.keep);
+	all = rig.last;
 	/* the same request is taken up elsewhere where it was cut, with as many pieces */
-	hang_up(&g);
-	ask(&g, g.at[1], "POST", "/x", GEN("t2", "300", "aa:200,bb:100") "Last-Event-Id: 2\r\n", "hello");
-	assert_int_equal(g.first, 3);
-	assert_int_equal(g.last, all);
-	hang_up(&g);
-	rig_close(&g);
+	hang_up(&rig);
+	ask(&rig, rig.at[1], "POST", "/x", GEN("t2", "300", "aa:200,bb:100") "Last-Event-Id: 2\r\n", "hello");
+	assert_int_equal(rig.first, 3);
+	assert_int_equal(rig.last, all);
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
-static void what_does_not_run_says_so(void **st)
+static void what_does_not_run_says_so(void **state)
 {
 	static const struct {
 		const char *fields;
@@ -1460,190 +1460,190 @@
 		{ "X-Notchlug-Token-Count: 5,5\r\n", 400 }, /* no id */
 		{ GEN("t1", "300000", "aa:300000"), 503 },  /* larger than its memory */
 	};
-	struct rig g;
+	struct rig rig;
 
-	(void)st;
-	rig_open(&g);
-	g.f.j = judge_open(&bounds_sheet);
+	(void)state;
+	rig_open(&rig);
+	rig.f.checker = checker_open(&default_timing_bounds);
 	for (size_t i = 0; i < sizeof c / sizeof *c; i++) {
-		ask(&g, g.at[0], "POST", "/x", c[i].fields, "");
-		assert_int_equal(g.status, c[i].status);
-		assert_non_null(g.not_run);
-		assert_null(g.seal);
+		ask(&rig, rig.at[0], "POST", "/x", c[i].fields, "");
+		assert_int_equal(rig.status, c[i].status);
+		assert_non_null(rig.not_run);
+		assert_null(rig.seal);
 	}
-	assert_int_equal(arrlen(g.a->run) + arrlen(g.a->wait), 0);
-	hang_up(&g);
-	judge_close(g.f.j);
-	rig_close(&g);
+	assert_int_equal(arrlen(rig.a->batch) + arrlen(rig.a->queue), 0);
+	hang_up(&rig);
+	checker_close(rig.f.checker);
+	rig_close(&rig);
 }
 
-static void kept_parts_are_not_read_again_and_stay_behind_their_salt(void **st)
+static void cached_blocks_are_not_prefilled_again_and_stay_in_their_namespace(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	uint64_t read;
 
-	(void)st;
-	rig_open(&g);
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
-	read = g.f.read;
+	(void)state;
+	rig_open(&rig);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
+	read = rig.f.prefilled_tokens;
 	assert_int_equal(read, 300);
-	ask(&g, g.at[0], "POST", "/x", GEN("t2", "280", "aa:200,cc:80"), "2");
-	assert_int_equal(g.f.read - read, 80);
-	read = g.f.read;
-	ask(&g, g.at[0], "POST", "/x", GEN("t3", "280", "dd:80,aa:200"), "3"); /* not behind all that went before it */
-	assert_int_equal(g.f.read - read, 280);
-	read = g.f.read;
-	ask(&g, g.at[0], "POST", "/x", GEN("t4", "280", "aa:200,cc:80") "X-Notchlug-Cache-Salt: s1\r\n", "4");
-	assert_int_equal(g.f.read - read, 280);
-	hang_up(&g);
-	rig_close(&g);
-}
-
-static void the_longest_unused_gives_way(void **st)
-{
-	struct rig g;
-
-	(void)st;
-	rig_open(&g);
-	g.f.e.kv = 1000;
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "400", "aa:400"), "1");
-	ask(&g, g.at[0], "POST", "/x", GEN("t2", "400", "bb:400"), "2");
-	ask(&g, g.at[0], "POST", "/x", GEN("t3", "400", "aa:400"), "3");
-	ask(&g, g.at[0], "POST", "/x", GEN("t4", "500", "cc:500"), "4");
-	assert_true(server_kept(g.a) <= 1000);
-	for (int i = 0; i < arrlen(g.a->part); i++) {
-		if (!strcmp(g.a->part[i].id, "aa"))
-			assert_int_equal(g.a->part[i].tokens, 400);
-		if (!strcmp(g.a->part[i].id, "bb"))
-			assert_true(g.a->part[i].tokens < 400);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t2", "280", "aa:200,cc:80"), "2");
+	assert_int_equal(rig.f.prefilled_tokens - read, 80);
+	read = rig.f.prefilled_tokens;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "280", "dd:80,aa:200"), "3"); /* not behind all that went before it */
+	assert_int_equal(rig.f.prefilled_tokens - read, 280);
+	read = rig.f.prefilled_tokens;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t4", "280", "aa:200,cc:80") "X-Notchlug-Cache-Salt: s1\r\n", "4");
+	assert_int_equal(rig.f.prefilled_tokens - read, 280);
+	hang_up(&rig);
+	rig_close(&rig);
+}
+
+static void the_longest_unused_gives_way(void **state)
+{
+	struct rig rig;
+
+	(void)state;
+	rig_open(&rig);
+	rig.f.engine.kv_capacity_tokens = 1000;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "400", "aa:400"), "1");
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t2", "400", "bb:400"), "2");
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "400", "aa:400"), "3");
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t4", "500", "cc:500"), "4");
+	assert_true(server_cached_tokens(rig.a) <= 1000);
+	for (int i = 0; i < arrlen(rig.a->blocks); i++) {
+		if (!strcmp(rig.a->blocks[i].id, "aa"))
+			assert_int_equal(rig.a->blocks[i].tokens, 400);
+		if (!strcmp(rig.a->blocks[i].id, "bb"))
+			assert_true(rig.a->blocks[i].tokens < 400);
 	}
-	hang_up(&g);
-	rig_close(&g);
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
-static void parts_are_taken_from_another_and_sent_to_the_store(void **st)
+static void blocks_are_fetched_from_another_and_sent_to_the_store(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	uint64_t read;
 	char f[600];
 
-	(void)st;
-	rig_open(&g);
-	snprintf(f, sizeof f, GEN("t1", "300", "aa:200,bb:100") "X-Notchlug-Kv-Sink: %s\r\n", g.at[2]);
-	ask(&g, g.at[0], "POST", "/x", f, "1");
-	assert_int_equal(server_kept(g.store), 300);
-	hang_up(&g);
-	read = g.f.read;
-	snprintf(f, sizeof f, GEN("t2", "300", "aa:200,bb:100") "X-Notchlug-Kv-Source: %s\r\n", g.at[0]);
-	ask(&g, g.at[1], "POST", "/x", f, "2");
-	assert_int_equal(g.f.fetched, 300);
-	assert_true(g.f.read - read <= 1);
-	hang_up(&g);
+	(void)state;
+	rig_open(&rig);
+	snprintf(f, sizeof f, GEN("t1", "300", "aa:200,bb:100") "X-Notchlug-Kv-Sink: %s\r\n", rig.at[2]);
+	ask(&rig, rig.at[0], "POST", "/x", f, "1");
+	assert_int_equal(server_cached_tokens(rig.store), 300);
+	hang_up(&rig);
+	read = rig.f.prefilled_tokens;
+	snprintf(f, sizeof f, GEN("t2", "300", "aa:200,bb:100") "X-Notchlug-Kv-Source: %s\r\n", rig.at[0]);
+	ask(&rig, rig.at[1], "POST", "/x", f, "2");
+	assert_int_equal(rig.f.fetched_tokens, 300);
+	assert_true(rig.f.prefilled_tokens - read <= 1);
+	hang_up(&rig);
 	/* a dead source costs time, no more */
-	server_crash(g.store);
-	read = g.f.read;
-	snprintf(f, sizeof f, GEN("t3", "90", "ee:90") "X-Notchlug-Kv-Source: %s\r\n", g.at[2]);
-	ask(&g, g.at[1], "POST", "/x", f, "3");
-	assert_int_equal(g.status, 200);
-	assert_int_equal(g.f.read - read, 90);
-	hang_up(&g);
-	server_up(g.store);
-	assert_int_equal(server_kept(g.store), 0);
-	rig_close(&g);
+	server_crash(rig.store);
+	read = rig.f.prefilled_tokens;
+	snprintf(f, sizeof f, GEN("t3", "90", "ee:90") "X-Notchlug-Kv-Source: %s\r\n", rig.at[2]);
+	ask(&rig, rig.at[1], "POST", "/x", f, "3");
+	assert_int_equal(rig.status, 200);
+	assert_int_equal(rig.f.prefilled_tokens - read, 90);
+	hang_up(&rig);
+	server_up(rig.store);
+	assert_int_equal(server_cached_tokens(rig.store), 0);
+	rig_close(&rig);
 }
 
-static struct json_object *field(struct json_object *j, const char *k)
+static struct json_object *field(struct json_object *json, const char *k)
 {
 	struct json_object *v = NULL;
 
-	assert_true(json_object_object_get_ex(j, k, &v));
+	assert_true(json_object_object_get_ex(json, k, &v));
 	return v;
 }
 
-static void events_come_late_in_order_and_name_gaps(void **st)
+static void events_come_late_in_order_and_name_gaps(void **state)
 {
-	struct rig g;
-	struct json_object *j, *list;
+	struct rig rig;
+	struct json_object *json, *list;
 	int64_t epoch;
 
-	(void)st;
-	rig_open(&g);
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
-	ask(&g, g.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 800\r\n", NULL);
-	assert_int_equal(g.status, 200);
-	j = json_tokener_parse(g.body);
-	list = field(j, "EventList");
+	(void)state;
+	rig_open(&rig);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
+	ask(&rig, rig.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 800\r\n", NULL);
+	assert_int_equal(rig.status, 200);
+	json = json_tokener_parse(rig.body);
+	list = field(json, "EventList");
 	assert_true(json_object_array_length(list) >= 1);
 	assert_string_equal(json_object_to_json_string_ext(json_object_array_get_idx(list, 0), JSON_C_TO_STRING_PLAIN),
 			    "[1,\"+\",\"\",\"aa\",200,\"m1\"]");
-	assert_false(json_object_get_boolean(field(j, "LostCount")));
-	epoch = json_object_get_int64(field(j, "NodeEpoch"));
-	json_object_put(j);
+	assert_false(json_object_get_boolean(field(json, "LostCount")));
+	epoch = json_object_get_int64(field(json, "NodeEpoch"));
+	json_object_put(json);
 	/* nothing new: held for as long as asked */
 	{
 		int64_t began = loop_us();
 
-		ask(&g, g.at[0], "GET", "/kv-events?SinceTime=2", "Wait-Ms: 60\r\n", NULL);
+		ask(&rig, rig.at[0], "GET", "/kv-events?SinceTime=2", "Wait-Ms: 60\r\n", NULL);
 		assert_true(loop_us() - began >= 60000);
-		j = json_tokener_parse(g.body);
-		assert_int_equal(json_object_array_length(field(j, "EventList")), 0);
-		assert_int_equal(json_object_get_int64(field(j, "NextToken")), 2);
-		json_object_put(j);
+		json = json_tokener_parse(rig.body);
+		assert_int_equal(json_object_array_length(field(json, "EventList")), 0);
+		assert_int_equal(json_object_get_int64(field(json, "NextToken")), 2);
+		json_object_put(json);
 	}
-	g.f.e.events = 2;
+	rig.f.engine.event_limit = 2;
 	for (int i = 0; i < 4; i++) {
 		char f[400];
 
 		snprintf(f, sizeof f, GEN("t2", "60", "%02x:60"), i);
-		ask(&g, g.at[0], "POST", "/x", f, "2");
+		ask(&rig, rig.at[0], "POST", "/x", f, "2");
 	}
-	ask(&g, g.at[0], "GET", "/kv-events?SinceTime=2", "Wait-Ms: 800\r\n", NULL);
-	j = json_tokener_parse(g.body);
-	assert_true(json_object_get_boolean(field(j, "LostCount")));
-	json_object_put(j);
-	ask(&g, g.at[0], "GET", "/kv-list", "", NULL);
-	j = json_tokener_parse(g.body);
-	assert_int_equal(json_object_array_length(field(j, "HeldCount")), 6);
-	json_object_put(j);
-	hang_up(&g);
-	server_crash(g.a);
-	server_up(g.a);
-	ask(&g, g.at[0], "GET", "/kv-events?SinceTime=6", "", NULL);
-	j = json_tokener_parse(g.body);
-	assert_true(json_object_get_int64(field(j, "NodeEpoch")) != epoch);
-	json_object_put(j);
-	hang_up(&g);
-	rig_close(&g);
+	ask(&rig, rig.at[0], "GET", "/kv-events?SinceTime=2", "Wait-Ms: 800\r\n", NULL);
+	json = json_tokener_parse(rig.body);
+	assert_true(json_object_get_boolean(field(json, "LostCount")));
+	json_object_put(json);
+	ask(&rig, rig.at[0], "GET", "/kv-list", "", NULL);
+	json = json_tokener_parse(rig.body);
+	assert_int_equal(json_object_array_length(field(json, "HeldCount")), 6);
+	json_object_put(json);
+	hang_up(&rig);
+	server_crash(rig.a);
+	server_up(rig.a);
+	ask(&rig, rig.at[0], "GET", "/kv-events?SinceTime=6", "", NULL);
+	json = json_tokener_parse(rig.body);
+	assert_true(json_object_get_int64(field(json, "NodeEpoch")) != epoch);
+	json_object_put(json);
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
 static int are_held(void *ctx)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 
-	return arrlen(g->a->watcher) == g->held;
+	return arrlen(rig->a->watchers) == rig->held;
 }
 
-static void only_so_many_calls_for_events_are_held(void **st)
+static void only_so_many_calls_for_events_are_held(void **state)
 {
-	struct rig g;
-	struct conn *c[2];
+	struct rig rig;
+	struct conn *conn[2];
 
-	(void)st;
-	rig_open(&g);
-	g.f.e.in_flight = 2;
+	(void)state;
+	rig_open(&rig);
+	rig.f.engine.in_flight = 2;
 	for (int i = 0; i < 2; i++) {
-		say(&g, g.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
-		g.held = i + 1;
-		assert_true(loop_until(g.f.l, ms_us(3000), are_held, &g));
-		c[i] = g.c;
-		g.c = NULL;
+		say(&rig, rig.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
+		rig.held = i + 1;
+		assert_true(loop_until(rig.f.loop, ms_us(3000), are_held, &rig));
+		conn[i] = rig.c;
+		rig.c = NULL;
 	}
-	ask(&g, g.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
-	assert_int_equal(g.status, 429);
-	hang_up(&g);
+	ask(&rig, rig.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
+	assert_int_equal(rig.status, 429);
+	hang_up(&rig);
 	for (int i = 0; i < 2; i++)
-		conn_close(c[i], 0);
-	rig_close(&g);
+		conn_close(conn[i], 0);
+	rig_close(&rig);
 }
 
 #define ORDER(version, fence, more)                                                        \
@@ -1652,83 +1652,83 @@
 
 static int loaded(void *ctx)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 
-	return g->a->version == g->f.newest && !g->a->loading_to;
+	return rig->a->version == rig->f.newest_version && !rig->a->loading_to;
 }
 
-static void orders_are_fenced_counted_and_drop_what_was_kept(void **st)
+static void load_commands_are_fenced_counted_and_drop_the_cache(void **state)
 {
-	struct rig g;
+	struct rig rig;
 
-	(void)st;
-	rig_open(&g);
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ""));
-	assert_int_equal(g.status, 400); /* not named */
-	g.f.newest = 2;
-	ask(&g, g.at[0], "POST", "/order", "",
+	(void)state;
+	rig_open(&rig);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "300", "aa:200,bb:100"), "1");
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ""));
+	assert_int_equal(rig.status, 400); /* not named */
+	rig.f.newest_version = 2;
+	ask(&rig, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,\"Method\":\"hold\"}");
-	assert_int_equal(g.status, 400); /* no holder, no fence */
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ",\"ExpectedCount\":3"));
-	assert_int_equal(g.status, 409);
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ",\"ExpectedCount\":0"));
-	assert_int_equal(g.status, 202);
-	ask(&g, g.at[0], "POST", "/x", GEN("t2", "300", "aa:200,bb:100"), "1");
-	assert_int_equal(g.status, 503);
-	assert_non_null(g.not_run);
-	assert_true(loop_until(g.f.l, ms_us(3000), loaded, &g));
-	assert_int_equal(server_kept(g.a), 0);
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ""));
-	assert_int_equal(g.status, 200);
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("1", "3", ""));
-	assert_int_equal(g.status, 412);
-	ask(&g, g.at[0], "POST", "/x", GEN("t3", "300", "aa:200,bb:100"), "1");
-	assert_string_equal(g.weights, "2");
-	hang_up(&g);
-	server_crash(g.a); /* forgets fences and counts, not its version */
-	server_up(g.a);
-	assert_int_equal(g.a->version, 2);
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "1", ",\"ExpectedCount\":0"));
-	assert_int_equal(g.status, 200);
-	hang_up(&g);
-	rig_close(&g);
-}
-
-static void loads_are_refused_or_slow(void **st)
+	assert_int_equal(rig.status, 400); /* no holder, no fence */
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ",\"ExpectedCount\":3"));
+	assert_int_equal(rig.status, 409);
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ",\"ExpectedCount\":0"));
+	assert_int_equal(rig.status, 202);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t2", "300", "aa:200,bb:100"), "1");
+	assert_int_equal(rig.status, 503);
+	assert_non_null(rig.not_run);
+	assert_true(loop_until(rig.f.loop, ms_us(3000), loaded, &rig));
+	assert_int_equal(server_cached_tokens(rig.a), 0);
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ""));
+	assert_int_equal(rig.status, 200);
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("1", "3", ""));
+	assert_int_equal(rig.status, 412);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "300", "aa:200,bb:100"), "1");
+	assert_string_equal(rig.weights, "2");
+	hang_up(&rig);
+	server_crash(rig.a); /* forgets fences and counts, not its version */
+	server_up(rig.a);
+	assert_int_equal(rig.a->version, 2);
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "1", ",\"ExpectedCount\":0"));
+	assert_int_equal(rig.status, 200);
+	hang_up(&rig);
+	rig_close(&rig);
+}
+
+static void loads_are_refused_or_slow(void **state)
 {
 	int64_t began;
-	struct rig g;
-
-	(void)st;
-	rig_open(&g);
-	g.f.newest = 2;
-	g.a->fault.refuses_loads = 1;
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ""));
-	assert_int_equal(g.status, 0);
-	assert_true(g.gone); /* no answer, and nothing was taken */
-	assert_int_equal(g.a->loading_to, 0);
-	hang_up(&g);
-	g.a->fault = (struct server_fault){ .load_slow = 10 };
+	struct rig rig;
+
+	(void)state;
+	rig_open(&rig);
+	rig.f.newest_version = 2;
+	rig.a->fault.refuses_loads = 1;
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ""));
+	assert_int_equal(rig.status, 0);
+	assert_true(rig.removed); /* no answer, and nothing was taken */
+	assert_int_equal(rig.a->loading_to, 0);
+	hang_up(&rig);
+	rig.a->fault = (struct server_fault){ .load_slow = 10 };
 	began = loop_us();
-	ask(&g, g.at[0], "POST", "/order", "", ORDER("2", "4", ""));
-	assert_int_equal(g.status, 202);
-	assert_true(loop_until(g.f.l, ms_us(3000), loaded, &g));
-	assert_true(loop_us() - began >= ms_us(10 * g.f.e.load_ms));
-	hang_up(&g);
-	rig_close(&g);
+	ask(&rig, rig.at[0], "POST", "/order", "", ORDER("2", "4", ""));
+	assert_int_equal(rig.status, 202);
+	assert_true(loop_until(rig.f.loop, ms_us(3000), loaded, &rig));
+	assert_true(loop_us() - began >= ms_us(10 * rig.f.engine.load_ms));
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
 static void write_log(const struct run *run, const char *machine, const char *text)
 {
 	char path[700];
-	FILE *f;
+	FILE *file;
 
 	snprintf(path, sizeof path, "%s/%s.log", run->folder, machine);
-	f = fopen(path, "w");
-	assert_non_null(f);
-	fputs(text, f);
-	fclose(f);
+	file = fopen(path, "w");
+	assert_non_null(file);
+	fputs(text, file);
+	fclose(file);
 }
 
 enum { DISK_BOUND_MS = 10, DISK_SLOW_MS = 25, DISK_SYNCS_BEFORE = 2, DISK_LIMIT_MS = 5000 };
@@ -1782,13 +1782,13 @@
 	return n;
 }
 
-static void stalls_of_the_disk_are_seen(void **st)
+static void stalls_of_the_disk_are_seen(void **state)
 {
 	struct disk_stall stall[8];
 	int64_t longest;
 	int n;
 
-	(void)st;
+	(void)state;
 	n = watched_stalls(third_sync_is_slow, DISK_SYNCS_BEFORE + 1, stall, 8, &longest);
 	assert_true(n >= 1); /* the one that was under way as the watch was closed, too */
 	assert_true(longest >= DISK_SLOW_MS - 1);
@@ -1800,12 +1800,12 @@
 }
 
 /* A stall excuses what depends on time, for so long after it, and nothing before it. */
-static void a_stall_of_the_disk_explains_what_follows_it_for_a_while(void **st)
+static void a_stall_of_the_disk_explains_what_follows_it_for_a_while(void **state)
 {
 	const struct disk_stall stall[] = { { 1000, 1400 }, { 20000, 28000 } };
-	struct breach b[] = { { "ACKS", 24000, "" }, { "VERSION", 37000, "" } };
+	struct breach violation[] = { { "ACKS", 24000, "" }, { "VERSION", 37000, "" } };
 
-	(void)st;
+	(void)state;
 	assert_false(disk_explains(stall, 2, 999, 9000));
 	assert_true(disk_explains(stall, 2, 1000, 9000));
 	assert_true(disk_explains(stall, 2, 10400, 9000));
@@ -1813,27 +1813,27 @@
 	assert_false(disk_explains(stall, 2, 19999, 9000));
 	assert_true(disk_explains(stall, 2, 37000, 9000));
 	assert_false(disk_explains(stall, 0, 24000, 9000));
-	assert_true(disk_explains_all(stall, 2, b, 2, 9000));
-	assert_false(disk_explains_all(stall, 2, b, 0, 9000)); /* what broke then is something else */
-	b[1].t = 37001;                                        /* one of them is too late: the run has failed */
-	assert_false(disk_explains_all(stall, 2, b, 2, 9000));
-	b[1].t = 37000;
-	snprintf(b[1].rule, sizeof b[1].rule, "ONE"); /* no delay excuses that one */
-	assert_false(disk_explains_all(stall, 2, b, 2, 9000));
+	assert_true(disk_explains_all(stall, 2, violation, 2, 9000));
+	assert_false(disk_explains_all(stall, 2, violation, 0, 9000)); /* what broke then is something else */
+	violation[1].at_ms = 37001;                                        /* one of them is too late: the run has failed */
+	assert_false(disk_explains_all(stall, 2, violation, 2, 9000));
+	violation[1].at_ms = 37000;
+	snprintf(violation[1].rule, sizeof violation[1].rule, "ONE"); /* no delay excuses that one */
+	assert_false(disk_explains_all(stall, 2, violation, 2, 9000));
 }
 
-static void broken_invariants_are_found_in_logs(void **st)
+static void broken_invariants_are_found_in_logs(void **state)
 {
 	struct run *run = calloc(1, sizeof *run);
 	char path[700];
 
-	(void)st;
+	(void)state;
 	snprintf(run->folder, sizeof run->folder, "/tmp/stand-XXXXXX");
 	assert_non_null(mkdtemp(run->folder));
-	run->nm = 3; /* the third one never began: it has no log */
-	snprintf(run->m[0].name, sizeof run->m[0].name, "one");
-	snprintf(run->m[1].name, sizeof run->m[1].name, "two");
-	snprintf(run->m[2].name, sizeof run->m[2].name, "three");
+	run->machine_count = 3; /* the third one never began: it has no log */
+	snprintf(run->machines[0].name, sizeof run->machines[0].name, "one");
+	snprintf(run->machines[1].name, sizeof run->machines[1].name, "two");
+	snprintf(run->machines[2].name, sizeof run->machines[2].name, "three");
 	write_log(run, "one", "<6>counter[7]: proc: Ended, no invariant was broken.\n");
 	write_log(run, "two", "");
 	assert_int_equal(invariant_lines(run), 0);
@@ -1841,181 +1841,181 @@
 		  "<3>Dec  2 counter[7]: ctr: invariant: a send left.\ninvariant: a begin.\n<3>counter[7]: invariant a send.\n");
 	assert_int_equal(invariant_lines(run), 3);
 	for (int i = 0; i < 2; i++) {
-		snprintf(path, sizeof path, "%s/%s.log", run->folder, run->m[i].name);
+		snprintf(path, sizeof path, "%s/%s.log", run->folder, run->machines[i].name);
 		unlink(path);
 	}
 	rmdir(run->folder);
 	free(run);
 }
 
-static void heard(void *ctx, int status, const struct msg *m)
+static void heard(void *ctx, int status, const struct http_message *message)
 {
-	(void)ctx, (void)m;
+	(void)ctx, (void)message;
 	assert_int_equal(status, 202);
 }
 
 static int taken(void *ctx)
 {
-	struct rig *g = ctx;
+	struct rig *rig = ctx;
 
-	return arrlen(g->stream) > 0;
+	return arrlen(rig->stream) > 0;
 }
 
-static void preempted_streams_are_reset_and_retained_ones_tell(void **st)
+static void preempted_streams_are_reset_and_retained_ones_tell(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	struct conn *old;
 
-	(void)st;
-	rig_open(&g);
-	g.f.newest = 3;
-	g.f.e.step = 10;
-	say(&g, g.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
-	assert_true(loop_until(g.f.l, ms_us(3000), taken, &g));
+	(void)state;
+	rig_open(&rig);
+	rig.f.newest_version = 3;
+	rig.f.engine.step_ms = 10;
+	say(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
+	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
 	call_once(
-	    g.f.l, g.at[0], "POST", "/order", "",
+	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,\"Method\":\"preempt\",\"Holder\":\"n1\",\"FenceNumber\":1}",
 	    1000, heard, NULL);
-	assert_true(loop_until(g.f.l, ms_us(3000), settled, &g));
-	assert_int_equal(g.gone, 1 + CONN_RESET);
-	g.f.newest = 2;
-	assert_true(loop_until(g.f.l, ms_us(3000), loaded, &g));
-	g.f.newest = 3;
-	say(&g, g.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
-	assert_true(loop_until(g.f.l, ms_us(3000), taken, &g));
-	old = g.c;
+	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
+	assert_int_equal(rig.removed, 1 + CONN_RESET);
+	rig.f.newest_version = 2;
+	assert_true(loop_until(rig.f.loop, ms_us(3000), loaded, &rig));
+	rig.f.newest_version = 3;
+	say(&rig, rig.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
+	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
+	old = rig.c;
 	call_once(
-	    g.f.l, g.at[0], "POST", "/order", "",
+	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":3,\"Method\":\"retain\",\"Holder\":\"n1\",\"FenceNumber\":1}",
 	    1000, heard, NULL);
-	assert_true(loop_until(g.f.l, ms_us(3000), settled, &g));
-	assert_true(g.done && g.c == old);
-	assert_non_null(strstr(g.body, "\n\nx-notchlug-weight-versions: 3\nid: "));
-	hang_up(&g);
-	rig_close(&g);
+	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
+	assert_true(rig.done && rig.c == old);
+	assert_non_null(strstr(rig.body, "\n\nx-notchlug-weight-versions: 3\nid: "));
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
-static void the_urgent_go_first_and_the_late_are_turned_away(void **st)
+static void the_urgent_go_first_and_the_late_are_rejected(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	struct conn *held;
 
-	(void)st;
-	rig_open(&g);
-	g.f.e.slots = 1;
-	g.f.e.step = 20;
-	say(&g, g.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
-	assert_true(loop_until(g.f.l, ms_us(3000), taken, &g));
-	held = g.c;
-	conn_set(held, &(const struct conn_on){ .gone = NULL }, NULL);
-	g.c = NULL;
-	ask(&g, g.at[0], "POST", "/x",
+	(void)state;
+	rig_open(&rig);
+	rig.f.engine.slots = 1;
+	rig.f.engine.step_ms = 20;
+	say(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
+	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
+	held = rig.c;
+	conn_set_handlers(held, &(const struct conn_handlers){ .closed = NULL }, NULL);
+	rig.c = NULL;
+	ask(&rig, rig.at[0], "POST", "/x",
 	    "X-Notchlug-Attempt-Id: t2\r\nX-Notchlug-Token-Count: 30,20\r\nX-Notchlug-Deadline-Remaining: 40\r\n", "2");
-	assert_int_equal(g.status, 503); /* its deadline passed in the queue */
-	assert_non_null(g.not_run);
-	ask(&g, g.at[0], "POST", "/x", GEN("t3", "30", "bb:30") "X-Notchlug-Priority-Level: 1\r\n", "3");
-	assert_int_equal(g.status, 200);
-	assert_int_equal(arrlen(g.a->run) + arrlen(g.a->wait), 1); /* the first is put back, not gone */
-	hang_up(&g);
+	assert_int_equal(rig.status, 503); /* its deadline passed in the queue */
+	assert_non_null(rig.not_run);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "30", "bb:30") "X-Notchlug-Priority-Level: 1\r\n", "3");
+	assert_int_equal(rig.status, 200);
+	assert_int_equal(arrlen(rig.a->batch) + arrlen(rig.a->queue), 1); /* the first is put back, not gone */
+	hang_up(&rig);
 	conn_close(held, 0);
-	rig_close(&g);
+	rig_close(&rig);
 }
 
-static void health_and_report_tell_what_they_should(void **st)
+static void health_and_report_tell_what_they_should(void **state)
 {
-	struct rig g;
-	struct json_object *j;
+	struct rig rig;
+	struct json_object *json;
 
-	(void)st;
-	rig_open(&g);
-	ask(&g, g.at[0], "GET", "/health", "", NULL);
-	assert_int_equal(g.status, 200);
-	assert_string_equal(g.instance, g.a->instance);
-	assert_string_equal(g.load, "0,0,128");
-	ask(&g, g.at[0], "GET", "/report", "", NULL);
-	j = json_tokener_parse(g.body);
-	assert_string_equal(json_object_get_string(field(j, "Stage")), "combined");
-	assert_int_equal(json_object_get_int(field(j, "KvTotal")), g.f.e.kv);
-	assert_int_equal(json_object_get_int(field(json_object_array_get_idx(field(j, "Models"), 0), "ConfigVersion")), 1);
-	json_object_put(j);
-	g.a->fault.false_health = 1;
-	ask(&g, g.at[0], "GET", "/health", "", NULL);
-	assert_int_equal(g.status, 503);
-	hang_up(&g);
-	rig_close(&g);
+	(void)state;
+	rig_open(&rig);
+	ask(&rig, rig.at[0], "GET", "/health", "", NULL);
+	assert_int_equal(rig.status, 200);
+	assert_string_equal(rig.instance, rig.a->instance);
+	assert_string_equal(rig.load, "0,0,128");
+	ask(&rig, rig.at[0], "GET", "/report", "", NULL);
+	json = json_tokener_parse(rig.body);
+	assert_string_equal(json_object_get_string(field(json, "Stage")), "combined");
+	assert_int_equal(json_object_get_int(field(json, "KvTotal")), rig.f.engine.kv_capacity_tokens);
+	assert_int_equal(json_object_get_int(field(json_object_array_get_idx(field(json, "Models"), 0), "ConfigVersion")), 1);
+	json_object_put(json);
+	rig.a->fault.false_health = 1;
+	ask(&rig, rig.at[0], "GET", "/health", "", NULL);
+	assert_int_equal(rig.status, 503);
+	hang_up(&rig);
+	rig_close(&rig);
 }
 
-static void faults_are_as_named(void **st)
+static void faults_are_as_named(void **state)
 {
-	struct rig g;
+	struct rig rig;
 	struct server_fault none = { .close = 0 };
 
-	(void)st;
-	rig_open(&g);
-	g.a->fault.broken = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
-	assert_true(g.gone && !g.done && g.status == 200);
-	g.a->fault = none;
-	g.a->fault.garbage = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
-	assert_int_equal(g.gone, 1 + CONN_BAD);
-	g.a->fault = none;
-	g.a->fault.lost = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t3", "30", "aa:30"), "1");
-	assert_true(g.gone && g.status == 0);
-	g.a->fault = none;
-	g.a->fault.grey = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t4", "30", "aa:30"), "1");
-	assert_int_equal(g.status, 500);
-	assert_non_null(g.seal);
-	g.a->fault = none;
-	g.a->fault.surplus = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t5", "30", "aa:30"), "1");
-	assert_true(g.done && g.status == 200);
-	loop_until(g.f.l, ms_us(400), NULL, NULL);
-	assert_int_equal(g.gone, 1 + CONN_SURPLUS);
-	g.a->fault = none;
-	g.a->fault.close = 1;
-	ask(&g, g.at[0], "POST", "/x", GEN("t6", "30", "aa:30"), "1");
-	assert_true(g.done && !g.keep);
-	hang_up(&g);
-	server_dark(g.a, 1);
-	say(&g, g.at[0], "POST", "/x", GEN("t7", "30", "aa:30"), "1");
-	assert_false(loop_until(g.f.l, ms_us(150), settled, &g));
-	server_dark(g.a, 0);
-	assert_true(loop_until(g.f.l, ms_us(3000), settled, &g));
-	assert_int_equal(g.status, 200);
-	hang_up(&g);
-	server_crash(g.a);
-	ask(&g, g.at[0], "POST", "/x", GEN("t8", "30", "aa:30"), "1");
-	assert_int_equal(g.gone, 1 + CONN_REFUSED);
-	rig_close(&g);
-}
-
-static void connections_are_bounded_and_idle_ones_closed(void **st)
-{
-	struct rig g;
-
-	(void)st;
-	rig_open(&g);
-	server_crash(g.a);
-	g.f.e.max_conns = 1;
-	g.f.e.idle_ms = 100;
-	server_up(g.a);
-	ask(&g, g.at[0], "GET", "/health", "", NULL);
-	assert_int_equal(g.status, 200);
+	(void)state;
+	rig_open(&rig);
+	rig.a->fault.broken = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
+	assert_true(rig.removed && !rig.done && rig.status == 200);
+	rig.a->fault = none;
+	rig.a->fault.garbage = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
+	assert_int_equal(rig.removed, 1 + CONN_BAD);
+	rig.a->fault = none;
+	rig.a->fault.lost = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "30", "aa:30"), "1");
+	assert_true(rig.removed && rig.status == 0);
+	rig.a->fault = none;
+	rig.a->fault.grey = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t4", "30", "aa:30"), "1");
+	assert_int_equal(rig.status, 500);
+	assert_non_null(rig.seal);
+	rig.a->fault = none;
+	rig.a->fault.surplus = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t5", "30", "aa:30"), "1");
+	assert_true(rig.done && rig.status == 200);
+	loop_until(rig.f.loop, ms_us(400), NULL, NULL);
+	assert_int_equal(rig.removed, 1 + CONN_SURPLUS);
+	rig.a->fault = none;
+	rig.a->fault.close = 1;
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t6", "30", "aa:30"), "1");
+	assert_true(rig.done && !rig.keep);
+	hang_up(&rig);
+	server_set_silent(rig.a, 1);
+	say(&rig, rig.at[0], "POST", "/x", GEN("t7", "30", "aa:30"), "1");
+	assert_false(loop_until(rig.f.loop, ms_us(150), settled, &rig));
+	server_set_silent(rig.a, 0);
+	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
+	assert_int_equal(rig.status, 200);
+	hang_up(&rig);
+	server_crash(rig.a);
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t8", "30", "aa:30"), "1");
+	assert_int_equal(rig.removed, 1 + CONN_REFUSED);
+	rig_close(&rig);
+}
+
+static void connections_are_bounded_and_idle_ones_closed(void **state)
+{
+	struct rig rig;
+
+	(void)state;
+	rig_open(&rig);
+	server_crash(rig.a);
+	rig.f.engine.max_conns = 1;
+	rig.f.engine.idle_ms = 100;
+	server_up(rig.a);
+	ask(&rig, rig.at[0], "GET", "/health", "", NULL);
+	assert_int_equal(rig.status, 200);
 	{
-		struct conn *first = g.c;
+		struct conn *first = rig.c;
 
-		g.c = NULL;
-		ask(&g, g.at[0], "GET", "/health", "", NULL);
-		assert_true(g.gone);
-		g.c = first;
-		g.gone = 0;
+		rig.c = NULL;
+		ask(&rig, rig.at[0], "GET", "/health", "", NULL);
+		assert_true(rig.removed);
+		rig.c = first;
+		rig.removed = 0;
 	}
-	loop_until(g.f.l, ms_us(400), NULL, NULL);
-	assert_int_equal(g.gone, 1 + CONN_CLOSED);
-	rig_close(&g);
+	loop_until(rig.f.loop, ms_us(400), NULL, NULL);
+	assert_int_equal(rig.removed, 1 + CONN_CLOSED);
+	rig_close(&rig);
 }
 
 struct seen {
@@ -2024,114 +2024,114 @@
 	int done, draining;
 };
 
-static void keeps_request(void *ctx, struct conn *c, struct msg *m) { (void)ctx, (void)c, (void)m; }
+static void keeps_request(void *ctx, struct conn *conn, struct http_message *message) { (void)ctx, (void)conn, (void)message; }
 
 static int read_by_peer(void *ctx) { return conn_read_by_peer(ctx); }
 
 /* Whether a process has read a request is seen from outside, before its connection ends one way or the other. */
-static void what_a_process_has_not_read_is_seen(void **st)
+static void what_a_process_has_not_read_is_seen(void **state)
 {
-	static const struct conn_on serves = { .request = keeps_request }, calls = { 0 };
+	static const struct conn_handlers serves = { .request = keeps_request }, calls = { 0 };
 	static const char request[] = "GET / HTTP/1.1\r\nHost: h.example\r\n\r\n";
-	struct loop *l = loop_open();
-	struct port *p;
-	struct conn *c;
+	struct loop *loop = loop_open();
+	struct port *port;
+	struct conn *conn;
 	char at[40];
 
-	(void)st;
+	(void)state;
 	snprintf(at, sizeof at, "127.%d.%d.99:8080", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
-	p = port_open(l, at, &serves, NULL, 0);
-	assert_non_null(p);
-	port_dark(p, 1);
-	c = conn_call(l, at, &calls, NULL);
-	assert_non_null(c);
-	conn_say(c, request, sizeof request - 1);
-	assert_false(loop_until(l, ms_us(50), read_by_peer, c));
-	port_dark(p, 0);
-	assert_true(loop_until(l, ms_us(5000), read_by_peer, c));
-	conn_close(c, 1);
-	port_close(p, 1);
-	loop_close(l);
-}
-
-static void on_list(void *ctx, int status, const struct msg *m)
-{
-	struct seen *s = ctx;
-	struct json_object *j, *a, *v = NULL;
-
-	s->done = 1;
-	s->status = status;
-	s->next[0] = 0;
-	s->n = 0;
+	port = port_open(loop, at, &serves, NULL, 0);
+	assert_non_null(port);
+	port_set_silent(port, 1);
+	conn = conn_connect(loop, at, &calls, NULL);
+	assert_non_null(conn);
+	conn_write(conn, request, sizeof request - 1);
+	assert_false(loop_until(loop, ms_us(50), read_by_peer, conn));
+	port_set_silent(port, 0);
+	assert_true(loop_until(loop, ms_us(5000), read_by_peer, conn));
+	conn_close(conn, 1);
+	port_close(port, 1);
+	loop_close(loop);
+}
+
+static void on_list(void *ctx, int status, const struct http_message *message)
+{
+	struct seen *seen = ctx;
+	struct json_object *json, *a, *v = NULL;
+
+	seen->done = 1;
+	seen->status = status;
+	seen->next[0] = 0;
+	seen->n = 0;
 	if (status != 200)
 		return;
-	j = json_tokener_parse(m->body);
-	a = field(j, "Instances");
-	s->n = (int)json_object_array_length(a);
-	if (json_object_object_get_ex(j, "NextToken", &v) && v)
-		snprintf(s->next, sizeof s->next, "%s", json_object_get_string(v));
-	if (s->n) {
-		snprintf(s->first, sizeof s->first, "%s",
+	json = json_tokener_parse(message->body);
+	a = field(json, "Instances");
+	seen->n = (int)json_object_array_length(a);
+	if (json_object_object_get_ex(json, "NextToken", &v) && v)
+		snprintf(seen->next, sizeof seen->next, "%s", json_object_get_string(v));
+	if (seen->n) {
+		snprintf(seen->first, sizeof seen->first, "%s",
 			 json_object_get_string(field(json_object_array_get_idx(a, 0), "InstanceId")));
-		snprintf(s->state, sizeof s->state, "%s", json_object_get_string(field(json_object_array_get_idx(a, 0), "State")));
+		snprintf(seen->state, sizeof seen->state, "%s", json_object_get_string(field(json_object_array_get_idx(a, 0), "State")));
 	}
-	json_object_put(j);
+	json_object_put(json);
 }
 
 static int seen_done(void *ctx) { return ((struct seen *)ctx)->done; }
 
-static void ask_list(struct rig *g, const char *at, const char *target, struct seen *s)
+static void ask_list(struct rig *rig, const char *at, const char *target, struct seen *seen)
 {
-	s->done = 0;
-	call_once(g->f.l, at, "GET", target, "", NULL, 1000, on_list, s);
-	assert_true(loop_until(g->f.l, ms_us(2000), seen_done, s));
+	seen->done = 0;
+	call_once(rig->f.loop, at, "GET", target, "", NULL, 1000, on_list, seen);
+	assert_true(loop_until(rig->f.loop, ms_us(2000), seen_done, seen));
 }
 
-static void the_list_lags_comes_in_pages_and_has_a_rate(void **st)
+static void the_list_lags_comes_in_pages_and_has_a_rate(void **state)
 {
-	struct rig g;
-	struct seen s;
+	struct rig rig;
+	struct seen seen;
 	char at[40], old[32], target[60];
 
-	(void)st;
-	rig_open(&g);
-	memset(&s, 0, sizeof s);
-	snprintf(at, sizeof at, "%.*s:8688", (int)strcspn(g.at[0], ":"), g.at[0]);
-	g.f.j = judge_open(&bounds_sheet);
-	assert_non_null(list_open(&g.f, &(struct list_set){ at, 60, 1, 12, 0 }));
-	ask_list(&g, at, "/instances", &s);
-	assert_int_equal(s.n, 0); /* it lags */
-	loop_until(g.f.l, ms_us(80), NULL, NULL);
-	ask_list(&g, at, "/instances", &s);
-	assert_int_equal(s.n, 1);
-	assert_string_equal(s.state, "ready");
-	assert_true(s.next[0]);
-	snprintf(old, sizeof old, "%s", s.first);
-	snprintf(target, sizeof target, "/instances?Zone=z1&PageToken=%s", s.next);
-	ask_list(&g, at, target, &s);
-	assert_int_equal(s.n, 1);
-	assert_string_not_equal(s.first, old);
-	assert_string_equal(s.next, ""); /* the store is on no list */
-	ask_list(&g, at, "/instances?Zone=z9", &s);
-	assert_int_equal(s.n, 0);
-	server_drain(g.a);
-	loop_until(g.f.l, ms_us(80), NULL, NULL);
-	ask_list(&g, at, "/instances", &s);
-	assert_string_equal(s.state, "draining");
-	server_crash(g.a);
-	server_up(g.a);
-	loop_until(g.f.l, ms_us(80), NULL, NULL);
-	ask_list(&g, at, "/instances", &s);
-	assert_string_equal(s.state, "ready");
-	assert_string_not_equal(s.first, old); /* a new life */
-	for (int i = 0; i < 500 && s.status != 429; i++)
-		ask_list(&g, at, "/instances", &s);
-	assert_int_equal(s.status, 429);
+	(void)state;
+	rig_open(&rig);
+	memset(&seen, 0, sizeof seen);
+	snprintf(at, sizeof at, "%.*s:8688", (int)strcspn(rig.at[0], ":"), rig.at[0]);
+	rig.f.checker = checker_open(&default_timing_bounds);
+	assert_non_null(list_open(&rig.f, &(struct list_settings){ at, 60, 1, 12, 0 }));
+	ask_list(&rig, at, "/instances", &seen);
+	assert_int_equal(seen.n, 0); /* it lags */
+	loop_until(rig.f.loop, ms_us(80), NULL, NULL);
+	ask_list(&rig, at, "/instances", &seen);
+	assert_int_equal(seen.n, 1);
+	assert_string_equal(seen.state, "ready");
+	assert_true(seen.next[0]);
+	snprintf(old, sizeof old, "%s", seen.first);
+	snprintf(target, sizeof target, "/instances?Zone=z1&PageToken=%s", seen.next);
+	ask_list(&rig, at, target, &seen);
+	assert_int_equal(seen.n, 1);
+	assert_string_not_equal(seen.first, old);
+	assert_string_equal(seen.next, ""); /* the store is on no list */
+	ask_list(&rig, at, "/instances?Zone=z9", &seen);
+	assert_int_equal(seen.n, 0);
+	server_drain(rig.a);
+	loop_until(rig.f.loop, ms_us(80), NULL, NULL);
+	ask_list(&rig, at, "/instances", &seen);
+	assert_string_equal(seen.state, "draining");
+	server_crash(rig.a);
+	server_up(rig.a);
+	loop_until(rig.f.loop, ms_us(80), NULL, NULL);
+	ask_list(&rig, at, "/instances", &seen);
+	assert_string_equal(seen.state, "ready");
+	assert_string_not_equal(seen.first, old); /* a new life */
+	for (int i = 0; i < 500 && seen.status != 429; i++)
+		ask_list(&rig, at, "/instances", &seen);
+	assert_int_equal(seen.status, 429);
 	{
-		struct judge *j = g.f.j;
+		struct judge *checker = rig.f.checker;
 
-		rig_close(&g);
-		judge_close(j);
+		rig_close(&rig);
+		checker_close(checker);
 	}
 }
 
@@ -2143,70 +2143,70 @@
 static struct run *alone(const char *cfg_text)
 {
 	struct run *r = calloc(1, sizeof *r);
-	struct cfg *c;
-
-	r->l = loop_open();
-	r->f.l = r->l;
-	r->f.start = loop_us() - ms_us(ALONE_FROM_MS);
-	r->b = bounds_sheet;
-	r->j = r->f.j = judge_open(&r->b);
-	r->sheet = &sheets[0];
+	struct parsed_config *config;
+
+	r->loop = loop_open();
+	r->fleet.loop = r->loop;
+	r->fleet.started_at_us = loop_us() - ms_us(ALONE_FROM_MS);
+	r->bounds = default_timing_bounds;
+	r->checker = r->fleet.checker = checker_open(&r->bounds);
+	r->sheet = &deployments[0];
 	r->rng = r->seed = 3;
 	r->rate = 0.5;
-	r->f.e = engine_sheet;
-	r->f.e.read_per_ms = 5000; /* one server stands for all of them */
-	r->f.rng = 4;
-	r->f.newest = 1;
-	r->f.model = r->sheet->model;
-	snprintf(r->base, sizeof r->base, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
-	snprintf(r->m[0].front, sizeof r->m[0].front, "%s.100:8080", r->base);
-	snprintf(r->m[0].ready, sizeof r->m[0].ready, "%s.100:8080", r->base);
-	snprintf(r->m[0].zone, sizeof r->m[0].zone, "%s", r->sheet->zone[0]);
-	r->m[0].in = r->nm = 1;
-	judge_machine(r->j, 0, 0, 0, CALM, 1);
-	judge_machine(r->j, 0, 1, 1, CALM, 1);
-	c = cfg_read(cfg_text);
-	assert_non_null(c);
-	judge_cfg_fate(r->j, 1000, judge_cfg(r->j, 500, c, 0, 0), CFG_ACKED);
+	r->fleet.engine = default_engine;
+	r->fleet.engine.prefill_tokens_per_ms = 5000; /* one server stands for all of them */
+	r->fleet.rng = 4;
+	r->fleet.newest_version = 1;
+	r->fleet.model = r->sheet->model;
+	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
+	snprintf(r->machines[0].front_address, sizeof r->machines[0].front_address, "%s.100:8080", r->address_prefix);
+	snprintf(r->machines[0].readiness_address, sizeof r->machines[0].readiness_address, "%s.100:8080", r->address_prefix);
+	snprintf(r->machines[0].zone, sizeof r->machines[0].zone, "%s", r->sheet->zone[0]);
+	r->machines[0].in_rotation = r->machine_count = 1;
+	checker_record_machine(r->checker, 0, 0, 0, CALM, 1);
+	checker_record_machine(r->checker, 0, 1, 1, CALM, 1);
+	config = parsed_config_read(cfg_text);
+	assert_non_null(config);
+	checker_record_config_outcome(r->checker, 1000, checker_record_config(r->checker, 500, config, 0, 0), CONFIG_OUTCOME_ACKED);
 	return r;
 }
 
 static void clients_for(struct run *r, int64_t ms)
 {
-	r->op = operator_open(r);
+	r->operator = operator_open(r);
 	r->clients = clients_open(r);
 	clients_traffic(r->clients, 1);
-	loop_until(r->l, ms_us((double)ms), NULL, NULL);
+	loop_until(r->loop, ms_us((double)ms), NULL, NULL);
 	clients_traffic(r->clients, 0);
 }
 
 /* The run ends; its judge is left. */
 static struct judge *alone_end(struct run *r)
 {
-	struct judge *j = r->j;
+	struct judge *checker = r->checker;
 
 	clients_close(r->clients);
-	operator_close(r->op);
-	servers_free(&r->f);
-	loop_close(r->l);
-	free(r->fig.sec);
+	operator_close(r->operator);
+	servers_free(&r->fleet);
+	loop_close(r->loop);
+	free(r->figures.seconds);
 	free(r);
-	return j;
+	return checker;
 }
 
-static void straight(const char *cfg_text, const struct server_fault *x, int64_t ms, struct judge **j, struct figures *fig)
+static void straight(const char *cfg_text, const struct server_fault *fault, int64_t ms, struct judge **checker, struct figures *fig)
 {
 	struct run *r = alone(cfg_text);
 
-	server_add(&r->f, r->m[0].front, r->sheet->zone[0], r->sheet->service, 0);
-	server_up(r->f.server[0]);
-	r->f.server[0]->fault = *x;
+	server_add(&r->fleet, r->machines[0].front_address, r->sheet->zone[0], r->sheet->service, 0);
+	server_up(r->fleet.servers[0]);
+	r->fleet.servers[0]->fault = *fault;
 	clients_for(r, ms);
 	for (int i = 0; i < 400 && clients_busy(r->clients); i++)
-		loop_until(r->l, ms_us(25), NULL, NULL);
+		loop_until(r->loop, ms_us(25), NULL, NULL);
 	assert_int_equal(clients_busy(r->clients), 0);
-	*fig = r->fig;
-	*j = alone_end(r);
+	*fig = r->figures;
+	*checker = alone_end(r);
 }
 
 #define PLAIN_ROUTE(prefix)                                                                  \
@@ -2216,33 +2216,33 @@
 	"{\"ConfigVersion\":1,\"RouteList\":[" PLAIN_ROUTE("/lohu930/") "," PLAIN_ROUTE("/pufi791/") "," PLAIN_ROUTE( \
 	    "/wuno96/") "],\"ServiceList\":[]"
 
-static int breaches_of(struct judge *j, const char *rule, const char *words)
+static int breaches_of(struct judge *checker, const char *rule, const char *words)
 {
-	const struct breach *b;
-	int n = judge_all(j, 30000, &b), hit = 0;
+	const struct breach *violation;
+	int n = checker_run(checker, 30000, &violation), hit = 0;
 
 	for (int i = 0; i < n; i++)
-		hit += (!rule || !strcmp(b[i].rule, rule)) && (!words || strstr(b[i].text, words));
+		hit += (!rule || !strcmp(violation[i].rule, rule)) && (!words || strstr(violation[i].text, words));
 	return hit;
 }
 
-static void calm_clients_break_nothing(void **st)
+static void calm_clients_break_nothing(void **state)
 {
-	struct figures *f = calloc(1, sizeof *f);
+	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault none = { .close = 0.05 };
-	struct judge *j;
-	int asked = 0, whole = 0;
+	struct judge *checker;
+	int submitted = 0, complete = 0;
 
-	(void)st;
-	straight(ROUTES "}", &none, 1500, &j, f);
-	for (int i = 0; i < CLASSES; i++)
-		asked += f->asked[i], whole += f->whole[i];
-	assert_true(asked > 40);
-	assert_int_equal(whole, asked);
-	assert_true(f->owed > 0 && f->earned > 0 && f->earned <= f->owed + 0.001);
-	assert_int_equal(breaches_of(j, NULL, NULL), 0);
-	judge_close(j);
-	free(f);
+	(void)state;
+	straight(ROUTES "}", &none, 1500, &checker, figures);
+	for (int i = 0; i < CLASS_COUNT; i++)
+		submitted += figures->requests[i], complete += figures->completed[i];
+	assert_true(submitted > 40);
+	assert_int_equal(complete, submitted);
+	assert_true(figures->value_offered > 0 && figures->value_earned > 0 && figures->value_earned <= figures->value_offered + 0.001);
+	assert_int_equal(breaches_of(checker, NULL, NULL), 0);
+	checker_close(checker);
+	free(figures);
 }
 
 /* ---- cuts planted at a machine's front ---- */
@@ -2256,55 +2256,55 @@
 
 static void cut_oldest(void *ctx)
 {
-	struct planted *x = ctx;
-	struct conn *c = x->held[0];
+	struct planted *planted = ctx;
+	struct conn *conn = planted->held[0];
 
-	arrdel(x->held, 0);
-	if (conn_alive(x->l, c))
-		conn_close(c, 1);
+	arrdel(planted->held, 0);
+	if (conn_is_alive(planted->l, conn))
+		conn_close(conn, 1);
 }
 
-static void read_and_cut(void *ctx, struct conn *c, struct msg *m)
+static void read_and_cut(void *ctx, struct conn *conn, struct http_message *message)
 {
-	struct planted *x = ctx;
+	struct planted *planted = ctx;
 
-	(void)m;
-	arrput(x->held, c);
-	loop_after(x->l, ms_us(PLANTED_AFTER_MS), cut_oldest, x);
+	(void)message;
+	arrput(planted->held, conn);
+	loop_after(planted->l, ms_us(PLANTED_AFTER_MS), cut_oldest, planted);
 }
 
 /* How many LOST are seen when the front reads each request and resets its connection, or reads none and resets all. */
 static int lost_at_front(int reads, void (*plan)(struct judge *j))
 {
-	static const struct conn_on on = { .request = read_and_cut };
+	static const struct conn_handlers callbacks = { .request = read_and_cut };
 	struct run *r = alone(ROUTES "}");
-	struct planted x = { r->l, NULL };
-	struct port *p = port_open(r->l, r->m[0].front, &on, &x, 0);
-	struct judge *j;
+	struct planted planted = { r->loop, NULL };
+	struct port *port = port_open(r->loop, r->machines[0].front_address, &callbacks, &planted, 0);
+	struct judge *checker;
 	int lost;
 
-	assert_non_null(p);
-	port_dark(p, !reads);
-	plan(r->j);
+	assert_non_null(port);
+	port_set_silent(port, !reads);
+	plan(r->checker);
 	clients_for(r, 2 * PLANTED_AFTER_MS);
-	loop_until(r->l, ms_us(2.0 * PLANTED_AFTER_MS), NULL, NULL);
-	port_close(p, 1);
-	loop_until(r->l, ms_us(50), NULL, NULL);
-	j = alone_end(r);
-	lost = breaches_of(j, "LOST", "read and cut off");
-	judge_close(j);
-	arrfree(x.held);
+	loop_until(r->loop, ms_us(2.0 * PLANTED_AFTER_MS), NULL, NULL);
+	port_close(port, 1);
+	loop_until(r->loop, ms_us(50), NULL, NULL);
+	checker = alone_end(r);
+	lost = breaches_of(checker, "LOST", "read and cut off");
+	checker_close(checker);
+	arrfree(planted.held);
 	return lost;
 }
 
-static void plan_stop(struct judge *j) { judge_machine(j, ALONE_FROM_MS, 0, 0, PLANNED, 0); }
-static void plan_reload(struct judge *j) { judge_reload(j, ALONE_FROM_MS, 0); }
-static void plan_configuration(struct judge *j) { judge_cfg(j, ALONE_FROM_MS, cfg_read(ROUTES "}"), 0, 0); }
-static void plan_nothing(struct judge *j) { (void)j; }
+static void plan_stop(struct judge *checker) { checker_record_machine(checker, ALONE_FROM_MS, 0, 0, PLANNED, 0); }
+static void plan_reload(struct judge *checker) { checker_record_reload(checker, ALONE_FROM_MS, 0); }
+static void plan_configuration(struct judge *checker) { checker_record_config(checker, ALONE_FROM_MS, parsed_config_read(ROUTES "}"), 0, 0); }
+static void plan_nothing(struct judge *checker) { (void)checker; }
 
-static void planted_cuts_are_seen(void **st)
+static void planted_cuts_are_seen(void **state)
 {
-	(void)st;
+	(void)state;
 	assert_true(lost_at_front(1, plan_stop) > 0);
 	assert_true(lost_at_front(1, plan_reload) > 0);
 	assert_true(lost_at_front(1, plan_configuration) > 0);
@@ -2312,85 +2312,85 @@
 	assert_int_equal(lost_at_front(0, plan_stop), 0);
 }
 
-static void a_missing_tenant_is_seen(void **st)
+static void a_missing_tenant_is_seen(void **state)
 {
-	struct figures *f = calloc(1, sizeof *f);
+	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault none = { .close = 0 };
-	struct judge *j;
+	struct judge *checker;
 
-	(void)st; /* nobody translates the keys of clients into names */
-	straight(ROUTES ",\"TenantList\":[{\"Name\":\"tenant-0\",\"AccessKeys\":[\"key00-0-abcdefgh\"]}]}", &none, 500, &j, f);
-	assert_true(breaches_of(j, "UNASKED", "without its tenant's name") > 0);
-	assert_true(breaches_of(j, "ROUTE", "a key that no configuration holds") > 0);
-	judge_close(j);
-	free(f);
+	(void)state; /* nobody translates the keys of clients into names */
+	straight(ROUTES ",\"TenantList\":[{\"Name\":\"tenant-0\",\"AccessKeys\":[\"key00-0-abcdefgh\"]}]}", &none, 500, &checker, figures);
+	assert_true(breaches_of(checker, "UNASKED", "without its tenant's name") > 0);
+	assert_true(breaches_of(checker, "ROUTE", "a key that no configuration holds") > 0);
+	checker_close(checker);
+	free(figures);
 }
 
-static void cut_streams_are_taken_up_without_a_breach(void **st)
+static void cut_streams_are_resumed_without_a_violation(void **state)
 {
-	struct figures *f = calloc(1, sizeof *f);
-	struct server_fault x = { .broken = 0.2, .garbage = 0.1 };
-	struct judge *j;
+	struct figures *figures = calloc(1, sizeof *figures);
+	struct server_fault fault = { .broken = 0.2, .garbage = 0.1 };
+	struct judge *checker;
 
-	(void)st;
-	straight(ROUTES "}", &x, 1500, &j, f);
-	assert_true(f->cut > 0);
-	assert_true(f->whole[0] > 0);
-	assert_int_equal(breaches_of(j, NULL, NULL), 0);
-	judge_close(j);
-	free(f);
+	(void)state;
+	straight(ROUTES "}", &fault, 1500, &checker, figures);
+	assert_true(figures->cut_off > 0);
+	assert_true(figures->completed[0] > 0);
+	assert_int_equal(breaches_of(checker, NULL, NULL), 0);
+	checker_close(checker);
+	free(figures);
 }
 
-static void surplus_bytes_that_reach_a_client_are_seen(void **st)
+static void surplus_bytes_that_reach_a_client_are_seen(void **state)
 {
-	struct figures *f = calloc(1, sizeof *f);
-	struct server_fault x = { .surplus = 0.5 };
-	struct judge *j;
+	struct figures *figures = calloc(1, sizeof *figures);
+	struct server_fault fault = { .surplus = 0.5 };
+	struct judge *checker;
 
-	(void)st;
-	straight(ROUTES "}", &x, 1000, &j, f);
-	assert_true(breaches_of(j, "MIXED", NULL) > 0);
-	judge_close(j);
-	free(f);
+	(void)state;
+	straight(ROUTES "}", &fault, 1000, &checker, figures);
+	assert_true(breaches_of(checker, "MIXED", NULL) > 0);
+	checker_close(checker);
+	free(figures);
 }
 
-static void an_answer_lost_after_its_run_is_not_run_again_where_it_may_not(void **st)
+static void an_answer_lost_after_its_run_is_not_run_again_where_it_may_not(void **state)
 {
-	struct figures *f = calloc(1, sizeof *f);
-	struct server_fault x = { .lost = 1 };
-	struct judge *j;
+	struct figures *figures = calloc(1, sizeof *figures);
+	struct server_fault fault = { .lost = 1 };
+	struct judge *checker;
 
-	(void)st;
-	straight(ROUTES "}", &x, 1000, &j, f);
-	assert_int_equal(f->whole[0] + f->whole[1] + f->whole[2], 0);
-	assert_int_equal(breaches_of(j, "TWICE", NULL), 0);
-	assert_true(f->tries > f->asked[0] + f->asked[1] + f->asked[2]); /* what may be repeated was */
-	judge_close(j);
-	free(f);
+	(void)state;
+	straight(ROUTES "}", &fault, 1000, &checker, figures);
+	assert_int_equal(figures->completed[0] + figures->completed[1] + figures->completed[2], 0);
+	assert_int_equal(breaches_of(checker, "TWICE", NULL), 0);
+	assert_true(figures->attempts > figures->requests[0] + figures->requests[1] + figures->requests[2]); /* what may be repeated was */
+	checker_close(checker);
+	free(figures);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(judge_catches_each_breach),
+		cmocka_unit_test(the_checker_catches_each_violation),
 		cmocka_unit_test(version_at_stake),
 		cmocka_unit_test(configurations_are_told_apart),
 		cmocka_unit_test(planned_changes_are_valid),
 		cmocka_unit_test(histogram_is_within_its_steps),
 		cmocka_unit_test(a_stream_is_whole_and_stamped),
 		cmocka_unit_test(what_does_not_run_says_so),
-		cmocka_unit_test(kept_parts_are_not_read_again_and_stay_behind_their_salt),
+		cmocka_unit_test(cached_blocks_are_not_prefilled_again_and_stay_in_their_namespace),
 		cmocka_unit_test(the_longest_unused_gives_way),
-		cmocka_unit_test(parts_are_taken_from_another_and_sent_to_the_store),
+		cmocka_unit_test(blocks_are_fetched_from_another_and_sent_to_the_store),
 		cmocka_unit_test(events_come_late_in_order_and_name_gaps),
 		cmocka_unit_test(only_so_many_calls_for_events_are_held),
-		cmocka_unit_test(orders_are_fenced_counted_and_drop_what_was_kept),
+		cmocka_unit_test(load_commands_are_fenced_counted_and_drop_the_cache),
 		cmocka_unit_test(loads_are_refused_or_slow),
 		cmocka_unit_test(broken_invariants_are_found_in_logs),
 		cmocka_unit_test(stalls_of_the_disk_are_seen),
 		cmocka_unit_test(a_stall_of_the_disk_explains_what_follows_it_for_a_while),
 		cmocka_unit_test(preempted_streams_are_reset_and_retained_ones_tell),
-		cmocka_unit_test(the_urgent_go_first_and_the_late_are_turned_away),
+		cmocka_unit_test(the_urgent_go_first_and_the_late_are_rejected),
 		cmocka_unit_test(health_and_report_tell_what_they_should),
 		cmocka_unit_test(faults_are_as_named),
 		cmocka_unit_test(connections_are_bounded_and_idle_ones_closed),
@@ -2399,7 +2399,7 @@
 		cmocka_unit_test(calm_clients_break_nothing),
 		cmocka_unit_test(planted_cuts_are_seen),
 		cmocka_unit_test(a_missing_tenant_is_seen),
-		cmocka_unit_test(cut_streams_are_taken_up_without_a_breach),
+		cmocka_unit_test(cut_streams_are_resumed_without_a_violation),
 		cmocka_unit_test(surplus_bytes_that_reach_a_client_are_seen),
 		cmocka_unit_test(an_answer_lost_after_its_run_is_not_run_again_where_it_may_not),
 	};
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -96,14 +96,14 @@
 {
 	struct fall fall = { NULL, 0 };
 	uint8_t *image = NULL;
-	uint64_t mood = core_rand(&disk.random) % 4; /* nothing kept, all kept, or each by itself */
+	uint64_t mood = core_random(&disk.random) % 4; /* nothing kept, all kept, or each by itself */
 
 	image_resize(&image, (size_t)arrlen(disk.synced));
 	if (arrlen(disk.synced))
 		memcpy(image, disk.synced, (size_t)arrlen(disk.synced));
 	for (ptrdiff_t i = 0; i < arrlen(disk.pending); i++) {
 		const struct pending *write = &disk.pending[i];
-		uint64_t fate = mood == 0 ? 0 : mood == 1 ? 2 : core_rand(&disk.random) % 4;
+		uint64_t fate = mood == 0 ? 0 : mood == 1 ? 2 : core_random(&disk.random) % 4;
 		size_t half = write->length / 2 / SECTOR * SECTOR;
 
 		if (fate == 1)
@@ -131,13 +131,13 @@
 		memcpy(write.data, data, length);
 	}
 	arrput(disk.pending, write);
-	if (disk.falls_left > 0 && core_rand(&disk.random) % 6 == 0)
+	if (disk.falls_left > 0 && core_random(&disk.random) % 6 == 0)
 		power_lost();
 }
 
 static void disk_syncs(void)
 {
-	if (disk.falls_left > 0 && core_rand(&disk.random) % 2)
+	if (disk.falls_left > 0 && core_random(&disk.random) % 2)
 		power_lost();
 	for (ptrdiff_t i = 0; i < arrlen(disk.pending); i++) {
 		image_write(&disk.synced, &disk.pending[i], 0, disk.pending[i].length);
@@ -269,11 +269,11 @@
 static size_t entry_size(uint64_t seed, uint64_t index)
 {
 	uint64_t random = seed * 1000003 + index;
-	uint64_t kind = core_rand(&random) % 10;
+	uint64_t kind = core_random(&random) % 10;
 
 	if (kind == 0)
-		return core_rand(&random) % LARGE;
-	return kind < 3 ? core_rand(&random) % (LARGE / 20) : core_rand(&random) % SMALL;
+		return core_random(&random) % LARGE;
+	return kind < 3 ? core_random(&random) % (LARGE / 20) : core_random(&random) % SMALL;
 }
 
 static uint8_t *entry_data(uint64_t seed, uint64_t index)
@@ -287,69 +287,69 @@
 	return data;
 }
 
-static void write_next(struct store *store, uint64_t seed, uint64_t number, struct expected *state, uint64_t *random)
+static void write_next(struct storage *store, uint64_t seed, uint64_t number, struct expected *state, uint64_t *random)
 {
 	struct persist write = { 0 };
 	struct persist_entry entries[8];
 	uint8_t *snapshot = NULL;
 
-	write.part = SHARD;
+	write.shard = SHARD;
 	write.seq = number;
 	write.term = ++state->term;
 	write.vote = 7;
-	write.n = 1 + core_rand(random) % 4;
-	write.e = entries;
-	for (size_t i = 0; i < write.n; i++) {
+	write.entry_count = 1 + core_random(random) % 4;
+	write.entries = entries;
+	for (size_t i = 0; i < write.entry_count; i++) {
 		uint64_t index = state->last + 1 + i;
 
 		entries[i] =
 		    (struct persist_entry){ index, 1, RAFT_ENTRY_OPERATION, entry_size(seed, index), entry_data(seed, index) };
 	}
-	state->last += write.n;
+	state->last += write.entry_count;
 	if (!state->first)
 		state->first = 1;
 	if (number % SNAPSHOT_EVERY == 0) {
-		write.snap = 1;
-		write.base = state->base = state->last - write.n;
-		write.base_term = 1;
-		write.drop = write.base > KEPT_ENTRIES ? write.base - KEPT_ENTRIES : 0;
-		if (write.drop >= state->first)
-			state->first = write.drop + 1;
+		write.has_snapshot = 1;
+		write.snapshot_index = state->base = state->last - write.entry_count;
+		write.snapshot_term = 1;
+		write.drop_upto = write.snapshot_index > KEPT_ENTRIES ? write.snapshot_index - KEPT_ENTRIES : 0;
+		if (write.drop_upto >= state->first)
+			state->first = write.drop_upto + 1;
 		write.members = (const uint8_t *)"members";
 		write.members_len = strlen("members");
-		write.data_len = core_rand(random) % LARGE;
+		write.data_len = core_random(random) % LARGE;
 		write.data = snapshot = calloc(1, write.data_len + 1);
 	}
-	store_write(store, &write);
-	for (size_t i = 0; i < write.n; i++)
+	storage_write(store, &write);
+	for (size_t i = 0; i < write.entry_count; i++)
 		free((uint8_t *)(uintptr_t)entries[i].data);
 	free(snapshot);
 }
 
 static void await_synced(struct ring *ring, uint64_t number)
 {
-	struct shell_ev *event = ring_pop(ring, LIMIT_MS);
+	struct shell_event *event = ring_pop(ring, LIMIT_MS);
 
 	assert_non_null(event);
-	assert_int_equal(event->kind, EV_SYNCED);
-	assert_int_equal(event->seq, number);
-	shell_ev_free(event);
+	assert_int_equal(event->kind, SHELL_EVENT_SYNCED);
+	assert_int_equal(event->sequence, number);
+	shell_event_free(event);
 }
 
-static int holds(const struct store_found *found, uint64_t seed, const struct expected *state)
+static int holds(const struct stored_state *found, uint64_t seed, const struct expected *state)
 {
-	const struct raft_saved *shard = &found->part[SHARD];
+	const struct raft_saved *shard = &found->shards[SHARD];
 
-	if (found->id != IDENTITY || found->fleet != FLEET || shard->term != state->term || shard->base != state->base)
+	if (found->node_id != IDENTITY || found->fleet_id != FLEET || shard->term != state->term || shard->snapshot_index != state->base)
 		return 0;
 	if (!state->last)
-		return shard->n == 0;
-	if (shard->log_from != state->first || shard->n != state->last - state->first + 1)
+		return shard->entry_count == 0;
+	if (shard->first_index != state->first || shard->entry_count != state->last - state->first + 1)
 		return 0;
-	for (size_t i = 0; i < shard->n; i++) {
+	for (size_t i = 0; i < shard->entry_count; i++) {
 		uint64_t index = state->first + i;
 		uint8_t *data = entry_data(seed, index);
-		int same = shard->e[i].len == entry_size(seed, index) && !memcmp(shard->e[i].data, data, shard->e[i].len);
+		int same = shard->entries[i].len == entry_size(seed, index) && !memcmp(shard->entries[i].data, data, shard->entries[i].len);
 
 		free(data);
 		if (!same)
@@ -359,11 +359,11 @@
 }
 
 /* What is opened takes further writes, also when its free space was torn and no fresh file could be made at the start. */
-static void assert_goes_on(struct store *store, struct ring *ring, const struct store_found *found)
+static void assert_goes_on(struct storage *store, struct ring *ring, const struct stored_state *found)
 {
-	struct persist write = { .part = SHARD, .seq = 1, .term = found->part[SHARD].term + 1 };
+	struct persist write = { .shard = SHARD, .seq = 1, .term = found->shards[SHARD].term + 1 };
 
-	store_write(store, &write);
+	storage_write(store, &write);
 	await_synced(ring, 1);
 }
 
@@ -372,8 +372,8 @@
 {
 	for (ptrdiff_t i = 0; i < arrlen(disk.falls); i++) {
 		char folder[] = "/tmp/nl-fall-XXXXXX", path[200], in_the_way[200];
-		struct store_found found;
-		struct store *store;
+		struct stored_state found;
+		struct storage *store;
 		struct ring *ring;
 		const char *why = NULL;
 		apr_pool_t *pool;
@@ -389,7 +389,7 @@
 		free(disk.falls[i].image);
 		snprintf(in_the_way, sizeof in_the_way, "%s/registrar.tdb.fresh", folder);
 		assert_return_code(mkdir(in_the_way, 0700), 0); /* no fresh file can be made */
-		store = store_open(folder, NULL, ring, &found, &why, pool);
+		store = storage_open(folder, NULL, ring, &found, &why, pool);
 		if (!store)
 			fail_msg("seed %llu, transaction %llu: after a loss of power: %s", (unsigned long long)seed,
 				 (unsigned long long)number, why);
@@ -399,7 +399,7 @@
 			    (unsigned long long)seed, (unsigned long long)number);
 		assert_return_code(rmdir(in_the_way), 0);
 		assert_goes_on(store, ring, &found);
-		store_close(store);
+		storage_close(store);
 		folder_remove(folder);
 		apr_pool_destroy(pool);
 	}
@@ -410,8 +410,8 @@
 {
 	char folder[] = "/tmp/nl-store-XXXXXX";
 	struct expected before = { 0 }, after = { 0 };
-	struct store_found found;
-	struct store *store;
+	struct stored_state found;
+	struct storage *store;
 	struct ring *ring;
 	const char *why = NULL;
 	apr_pool_t *pool;
@@ -420,9 +420,9 @@
 	apr_pool_create(&pool, NULL);
 	ring_open(&ring, 64, pool);
 	assert_non_null(mkdtemp(folder));
-	store = store_open(folder, NULL, ring, &found, &why, pool);
+	store = storage_open(folder, NULL, ring, &found, &why, pool);
 	assert_non_null(store);
-	assert_true(store_identity(store, IDENTITY, FLEET));
+	assert_true(storage_write_identity(store, IDENTITY, FLEET));
 	disk.random = seed * 77;
 	watch(folder);
 	for (uint64_t number = 1; number <= TRANSACTIONS; number++) {
@@ -437,12 +437,12 @@
 	disk.file = 0;
 	arrsetlen(disk.synced, 0);
 	arrsetlen(disk.pending, 0);
-	store_close(store);
+	storage_close(store);
 	folder_remove(folder);
 	apr_pool_destroy(pool);
 }
 
-static void a_loss_of_power_leaves_whole_transactions(void **state)
+static void a_loss_of_power_leaves_complete_transactions(void **state)
 {
 	const char *first = getenv("NL_SEED"), *many = getenv("NL_SEEDS");
 	uint64_t from = first ? strtoull(first, NULL, 10) : 1, count = many ? strtoull(many, NULL, 10) : 2;
@@ -461,8 +461,8 @@
 	for (uint64_t seed = 1; seed <= FULL_SEEDS; seed++) {
 		char folder[] = "/tmp/nl-store-XXXXXX";
 		struct expected written = { 0 };
-		struct store_found found;
-		struct store *store;
+		struct stored_state found;
+		struct storage *store;
 		struct ring *ring;
 		const char *why = NULL;
 		apr_pool_t *pool;
@@ -471,33 +471,33 @@
 		apr_pool_create(&pool, NULL);
 		ring_open(&ring, 64, pool);
 		assert_non_null(mkdtemp(folder));
-		store = store_open(folder, NULL, ring, &found, &why, pool);
+		store = storage_open(folder, NULL, ring, &found, &why, pool);
 		assert_non_null(store);
-		assert_true(store_identity(store, IDENTITY, FLEET));
+		assert_true(storage_write_identity(store, IDENTITY, FLEET));
 		watch(folder);
 		for (uint64_t number = 1; number <= FULL_TRANSACTIONS; number++) {
-			uint64_t refused = store_refused(store);
-			struct shell_ev *event = NULL;
+			uint64_t refused = storage_refused_count(store);
+			struct shell_event *event = NULL;
 
-			disk.writes_until_full = 1 + (int)(core_rand(&random) % WRITES);
+			disk.writes_until_full = 1 + (int)(core_random(&random) % WRITES);
 			write_next(store, seed, number, &written, &random);
-			for (int64_t end = clock_ms() + LIMIT_MS; !event && store_refused(store) == refused && clock_ms() < end;)
+			for (int64_t end = clock_ms() + LIMIT_MS; !event && storage_refused_count(store) == refused && clock_ms() < end;)
 				event = ring_pop(ring, 10);
 			disk.writes_until_full = 0;
 			disk.full = 0;
 			if (event)
-				shell_ev_free(event);
+				shell_event_free(event);
 			else
 				await_synced(ring, number);
 		}
 		disk.file = 0;
-		store_close(store);
-		store = store_open(folder, NULL, ring, &found, &why, pool);
+		storage_close(store);
+		store = storage_open(folder, NULL, ring, &found, &why, pool);
 		if (!store)
 			fail_msg("seed %llu: after a full disk: %s", (unsigned long long)seed, why);
 		if (!holds(&found, seed, &written))
 			fail_msg("seed %llu: after a full disk: what was acknowledged does not stand", (unsigned long long)seed);
-		store_close(store);
+		storage_close(store);
 		for (ptrdiff_t i = 0; i < arrlen(disk.pending); i++)
 			free(disk.pending[i].data);
 		arrsetlen(disk.pending, 0);
@@ -512,8 +512,8 @@
 {
 	char folder[] = "/tmp/nl-store-XXXXXX", path[200], key[40];
 	struct expected written = { 0 };
-	struct store_found found;
-	struct store *store;
+	struct stored_state found;
+	struct storage *store;
 	struct ring *ring;
 	struct tdb_context *file;
 	const char *why = NULL;
@@ -524,19 +524,19 @@
 	apr_pool_create(&pool, NULL);
 	ring_open(&ring, 64, pool);
 	assert_non_null(mkdtemp(folder));
-	store = store_open(folder, NULL, ring, &found, &why, pool);
+	store = storage_open(folder, NULL, ring, &found, &why, pool);
 	assert_non_null(store);
-	assert_true(store_identity(store, IDENTITY, FLEET));
+	assert_true(storage_write_identity(store, IDENTITY, FLEET));
 	write_next(store, 1, 1, &written, &random);
 	await_synced(ring, 1);
-	store_close(store);
+	storage_close(store);
 	file_of(path, sizeof path, folder);
 	file = tdb_open(path, 0, TDB_NOMMAP, O_RDWR, 0600);
 	assert_non_null(file);
 	snprintf(key, sizeof key, "e/%d/%llu", SHARD, (unsigned long long)written.last);
 	assert_int_equal(tdb_delete(file, (TDB_DATA){ (unsigned char *)key, strlen(key) }), 0);
 	tdb_close(file);
-	assert_null(store_open(folder, NULL, ring, &found, &why, pool));
+	assert_null(storage_open(folder, NULL, ring, &found, &why, pool));
 	assert_non_null(strstr(why, "is damaged"));
 	folder_remove(folder);
 	apr_pool_destroy(pool);
@@ -545,7 +545,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_loss_of_power_leaves_whole_transactions),
+		cmocka_unit_test(a_loss_of_power_leaves_complete_transactions),
 		cmocka_unit_test(a_disk_that_fills_up_harms_nothing),
 		cmocka_unit_test(a_missing_record_is_refused),
 	};
