--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -28,8 +28,8 @@
 	apr_pool_t *pool;
 	char folder[64];
 	struct ring *ring;
-	struct store *store;
-	struct store_found found;
+	struct storage *store;
+	struct stored_state found;
 	struct raft raft;
 	struct out out;
 	int64_t now;
@@ -60,53 +60,53 @@
 static void perform(struct solo *s)
 {
 	raft_flush(&s->raft, s->now, &s->out);
-	for (ptrdiff_t i = 0; i < arrlen(s->out.v); i++)
-		if (s->out.v[i].kind == CMD_PERSIST)
-			store_write(s->store, s->out.v[i].u.persist);
-	out_clear(&s->out);
+	for (ptrdiff_t i = 0; i < arrlen(s->out.commands); i++)
+		if (s->out.commands[i].kind == CMD_PERSIST)
+			storage_write(s->store, s->out.commands[i].args.persist);
+	command_list_clear(&s->out);
 }
 
-static void apply(struct solo *s)
+static void apply(struct solo *solo)
 {
-	const struct raft_entry *e;
+	const struct raft_entry *entry;
 	uint64_t index;
 
-	while ((e = raft_next_committed(&s->raft, &index))) {
-		s->acked = version_of(e->data, e->len);
-		memcpy(s->document, e->data, e->len);
+	while ((entry = raft_next_committed(&solo->raft, &index))) {
+		solo->acked = version_of(entry->data, entry->len);
+		memcpy(solo->document, entry->data, entry->len);
 	}
-	if (raft_wants_snapshot(&s->raft))
-		raft_snapshot(&s->raft, s->document, s->len);
-	perform(s);
+	if (raft_wants_snapshot(&solo->raft))
+		raft_snapshot(&solo->raft, solo->document, solo->len);
+	perform(solo);
 }
 
 /* Wait for one sync; 0 when there is none within ms. */
-static int take_sync(struct solo *s, int ms)
+static int take_sync(struct solo *solo, int ms)
 {
-	struct shell_ev *e = ring_pop(s->ring, ms);
+	struct shell_event *event = ring_pop(solo->ring, ms);
 
-	if (!e)
+	if (!event)
 		return 0;
-	assert_int_equal(e->kind, EV_SYNCED);
-	raft_synced(&s->raft, e->seq, s->now, &s->out);
-	shell_ev_free(e);
-	apply(s);
+	assert_int_equal(event->kind, SHELL_EVENT_SYNCED);
+	raft_synced(&solo->raft, event->sequence, solo->now, &solo->out);
+	shell_event_free(event);
+	apply(solo);
 	return 1;
 }
 
 static int settle(struct solo *s)
 {
-	while (s->raft.synced < s->raft.seq)
+	while (s->raft.synced_seq < s->raft.sync_seq)
 		if (!take_sync(s, LIMIT_MS))
 			return 0;
 	return 1;
 }
 
-static const char *open_folder(struct solo *s)
+static const char *open_folder(struct solo *solo)
 {
 	const char *why = NULL;
 
-	s->store = store_open(s->folder, NULL, s->ring, &s->found, &why, s->pool);
+	solo->store = storage_open(solo->folder, NULL, solo->ring, &solo->found, &why, solo->pool);
 	return why;
 }
 
@@ -114,7 +114,7 @@
 static void begin(struct solo *s)
 {
 	struct raft_member self = { .id = 1, .addr = 101, .voter = 1 };
-	const struct raft_saved *saved = s->found.part[SHARD].term ? &s->found.part[SHARD] : NULL;
+	const struct raft_saved *saved = s->found.shards[SHARD].term ? &s->found.shards[SHARD] : NULL;
 
 	s->now += 5000;
 	raft_open(&s->raft, SHARD, 1, 7, saved, s->now);
@@ -130,110 +130,110 @@
 	assert_true(raft_has_lease(&s->raft, s->now));
 }
 
-static void solo_open(struct solo *s, size_t len)
+static void router_fixture_open(struct solo *solo, size_t len)
 {
-	memset(s, 0, sizeof *s);
-	apr_pool_create(&s->pool, NULL);
-	apr_pool_create(&s->out.p, NULL);
-	strcpy(s->folder, "/tmp/notchlug-store-XXXXXX");
-	assert_non_null(mkdtemp(s->folder));
-	ring_open(&s->ring, 64, s->pool);
-	s->out.id = 1;
-	s->out.addr = 101;
-	s->now = 100000;
-	s->len = len;
-	s->document = calloc(1, len);
-	assert_null(open_folder(s));
+	memset(solo, 0, sizeof *solo);
+	apr_pool_create(&solo->pool, NULL);
+	apr_pool_create(&solo->out.pool, NULL);
+	strcpy(solo->folder, "/tmp/notchlug-store-XXXXXX");
+	assert_non_null(mkdtemp(solo->folder));
+	ring_open(&solo->ring, 64, solo->pool);
+	solo->out.id = 1;
+	solo->out.addr = 101;
+	solo->now = 100000;
+	solo->len = len;
+	solo->document = calloc(1, len);
+	assert_null(open_folder(solo));
 }
 
-static void solo_close(struct solo *s)
+static void router_fixture_close(struct solo *solo)
 {
 	char path[100];
 
-	store_close(s->store);
-	raft_close(&s->raft);
-	free(s->document);
-	arrfree(s->out.v);
-	apr_pool_destroy(s->out.p);
-	apr_pool_destroy(s->pool);
-	snprintf(path, sizeof path, "%s/registrar.tdb", s->folder);
+	storage_close(solo->store);
+	raft_close(&solo->raft);
+	free(solo->document);
+	arrfree(solo->out.commands);
+	apr_pool_destroy(solo->out.pool);
+	apr_pool_destroy(solo->pool);
+	snprintf(path, sizeof path, "%s/registrar.tdb", solo->folder);
 	unlink(path);
-	snprintf(path, sizeof path, "%s/lock", s->folder);
+	snprintf(path, sizeof path, "%s/lock", solo->folder);
 	unlink(path);
-	rmdir(s->folder);
+	rmdir(solo->folder);
 }
 
 /* Log the next document; its sync is not waited for. */
-static void propose(struct solo *s, uint64_t version)
+static void propose(struct solo *solo, uint64_t version)
 {
-	uint8_t *d = malloc(s->len);
-
-	fill(d, s->len, version);
-	s->now += 20;
-	raft_tick(&s->raft, s->now, &s->out);
-	assert_true(raft_propose(&s->raft, d, s->len, s->now) > 0);
-	free(d);
-	perform(s);
+	uint8_t *packed = malloc(solo->len);
+
+	fill(packed, solo->len, version);
+	solo->now += 20;
+	raft_tick(&solo->raft, solo->now, &solo->out);
+	assert_true(raft_propose(&solo->raft, packed, solo->len, solo->now) > 0);
+	free(packed);
+	perform(solo);
 }
 
-static size_t file_size(const struct solo *s)
+static size_t file_size(const struct solo *solo)
 {
 	char path[100];
-	struct stat sb;
+	struct stat file_stat;
 
-	snprintf(path, sizeof path, "%s/registrar.tdb", s->folder);
-	return stat(path, &sb) ? 0 : (size_t)sb.st_size;
+	snprintf(path, sizeof path, "%s/registrar.tdb", solo->folder);
+	return stat(path, &file_stat) ? 0 : (size_t)file_stat.st_size;
 }
 
-static void the_file_stays_bounded(void **st)
+static void the_file_stays_bounded(void **state)
 {
 	static const struct {
 		size_t len;
 		uint64_t changes;
 	} run[] = { { 30 * KB, 60 }, { 300 * KB, 60 }, { 1 * MB, 18 }, { 4 * MB, 8 } };
 
-	(void)st;
+	(void)state;
 	for (size_t i = 0; i < sizeof run / sizeof *run; i++) {
 		uint64_t changes = env("NL_CHANGES", run[i].changes), snapshots = 0, last = 0;
-		struct solo s;
+		struct solo solo;
 		struct rusage use;
 		size_t peak = 0;
 
-		solo_open(&s, run[i].len);
-		begin(&s);
+		router_fixture_open(&solo, run[i].len);
+		begin(&solo);
 		for (uint64_t v = 1; v <= changes; v++) {
-			propose(&s, v);
-			assert_true(settle(&s));
-			assert_int_equal(s.acked, v);
-			peak = file_size(&s) > peak ? file_size(&s) : peak;
-			snapshots += s.raft.snapshot_index != last;
-			last = s.raft.snapshot_index;
+			propose(&solo, v);
+			assert_true(settle(&solo));
+			assert_int_equal(solo.acked, v);
+			peak = file_size(&solo) > peak ? file_size(&solo) : peak;
+			snapshots += solo.raft.snapshot_index != last;
+			last = solo.raft.snapshot_index;
 		}
 		getrusage(RUSAGE_SELF, &use);
 		print_message(
 		    "%zu KB documents, %llu changes, %llu snapshots: the file has at most %zu KB; the process had %ld KB\n",
 		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)snapshots, peak / KB, use.ru_maxrss);
 		assert_true(peak < 100 * MB);
-		solo_close(&s);
+		router_fixture_close(&solo);
 	}
 }
 
 /* What a folder gives back: the snapshot, the entries behind it without a gap, and nothing that was acknowledged is missing. */
-static void assert_holds(struct solo *s, uint64_t acked)
+static void assert_holds(struct solo *solo, uint64_t acked)
 {
-	const struct raft_saved *saved = &s->found.part[SHARD];
+	const struct raft_saved *saved = &solo->found.shards[SHARD];
 	uint64_t newest = 0;
 
 	assert_true(saved->term > 0);
-	if (saved->base)
+	if (saved->snapshot_index)
 		newest = version_of(saved->data, saved->data_len);
-	for (size_t i = 0; i < saved->n; i++) {
+	for (size_t i = 0; i < saved->entry_count; i++) {
 		uint64_t version;
 
-		if (saved->e[i].kind != RAFT_ENTRY_OPERATION)
+		if (saved->entries[i].kind != RAFT_ENTRY_OPERATION)
 			continue;
-		version = version_of(saved->e[i].data, saved->e[i].len);
-		if (saved->log_from + i <= saved->base)
+		version = version_of(saved->entries[i].data, saved->entries[i].len);
+		if (saved->first_index + i <= saved->snapshot_index)
 			continue;
 		assert_int_equal(version, newest + 1);
 		newest = version;
@@ -243,85 +243,85 @@
 
 /* The disk fills up while a snapshot is written: nothing is acknowledged, and a fall then loses nothing. Once there is room
  * the same writes go on. */
-static void a_disk_that_fills_up_in_a_snapshot_loses_nothing(void **st)
+static void a_disk_that_fills_up_in_a_snapshot_loses_nothing(void **state)
 {
-	struct solo s;
+	struct solo solo;
 	struct rlimit was, full;
 	uint64_t v = 0, acked;
 
-	(void)st;
+	(void)state;
 	signal(SIGXFSZ, SIG_IGN);
 	assert_return_code(getrlimit(RLIMIT_FSIZE, &was), 0);
-	solo_open(&s, 1 * MB);
-	begin(&s);
-	while (s.raft.applied_bytes + s.len < RAFT_SNAPSHOT_LOG_BYTES) {
-		propose(&s, ++v);
-		assert_true(settle(&s));
+	router_fixture_open(&solo, 1 * MB);
+	begin(&solo);
+	while (solo.raft.applied_bytes + solo.len < RAFT_SNAPSHOT_LOG_BYTES) {
+		propose(&solo, ++v);
+		assert_true(settle(&solo));
 	}
-	propose(&s, ++v); /* with this one a snapshot is due */
+	propose(&solo, ++v); /* with this one a snapshot is due */
 	full = was;
-	full.rlim_cur = file_size(&s);
-	while (s.raft.snapshot_index == 0) /* its entry is synced, and the snapshot asked for */
-		assert_true(take_sync(&s, LIMIT_MS));
+	full.rlim_cur = file_size(&solo);
+	while (solo.raft.snapshot_index == 0) /* its entry is synced, and the snapshot asked for */
+		assert_true(take_sync(&solo, LIMIT_MS));
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &full), 0);
-	acked = s.acked;
-	while (s.raft.synced < s.raft.seq && store_refused(s.store) < 2) /* or it came before the disk was full */
-		(void)take_sync(&s, 20);
-	for (int i = 0; store_refused(s.store) < 2; i++) { /* more, until nothing fits */
-		if (s.raft.synced == s.raft.seq)
-			propose(&s, ++v);
-		(void)take_sync(&s, 20);
-		acked = s.acked;
+	acked = solo.acked;
+	while (solo.raft.synced_seq < solo.raft.sync_seq && storage_refused_count(solo.store) < 2) /* or it came before the disk was full */
+		(void)take_sync(&solo, 20);
+	for (int i = 0; storage_refused_count(solo.store) < 2; i++) { /* more, until nothing fits */
+		if (solo.raft.synced_seq == solo.raft.sync_seq)
+			propose(&solo, ++v);
+		(void)take_sync(&solo, 20);
+		acked = solo.acked;
 		assert_true(i < 1000);
 	}
-	store_close(s.store); /* the fall */
+	storage_close(solo.store); /* the fall */
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &was), 0);
-	while (take_sync(&s, 0))
+	while (take_sync(&solo, 0))
 		;
-	raft_close(&s.raft);
-	assert_null(open_folder(&s));
-	assert_holds(&s, acked);
-	begin(&s);
-	propose(&s, v + 1);
-	assert_true(settle(&s));
-	assert_int_equal(s.acked, v + 1);
-	solo_close(&s);
+	raft_close(&solo.raft);
+	assert_null(open_folder(&solo));
+	assert_holds(&solo, acked);
+	begin(&solo);
+	propose(&solo, v + 1);
+	assert_true(settle(&solo));
+	assert_int_equal(solo.acked, v + 1);
+	router_fixture_close(&solo);
 }
 
 /* In a process of its own: documents without end; each acknowledgement goes through the pipe. */
-static void write_until_killed(struct solo *s, uint64_t from, int to_parent)
+static void write_until_killed(struct solo *solo, uint64_t from, int to_parent)
 {
 	for (uint64_t v = from;; v++) {
-		propose(s, v);
-		if (!settle(s) || write(to_parent, &s->acked, sizeof s->acked) != sizeof s->acked)
+		propose(solo, v);
+		if (!settle(solo) || write(to_parent, &solo->acked, sizeof solo->acked) != sizeof solo->acked)
 			_exit(1);
 	}
 }
 
 /* Killed in the middle of writes, snapshots and trims: all that was acknowledged is there, and the process goes on from it. */
-static void a_kill_at_any_moment_loses_nothing(void **st)
+static void a_kill_at_any_moment_loses_nothing(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 3);
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
 		uint64_t rng = seed, acked = 0, kills = 3;
-		struct solo s;
+		struct solo solo;
 
-		solo_open(&s, 700 * KB);
-		store_close(s.store);
+		router_fixture_open(&solo, 700 * KB);
+		storage_close(solo.store);
 		while (kills--) {
-			uint64_t until = acked + 1 + core_rand(&rng) % 8, more = core_rand(&rng) % 3000;
+			uint64_t until = acked + 1 + core_random(&rng) % 8, more = core_random(&rng) % 3000;
 			int pipe_ends[2], status;
 			pid_t child;
 
 			assert_return_code(pipe(pipe_ends), errno);
 			child = fork();
 			if (!child) {
-				if (open_folder(&s))
+				if (open_folder(&solo))
 					_exit(2);
-				begin(&s);
-				write_until_killed(&s, s.raft.applied ? s.acked + 1 : 1, pipe_ends[1]);
+				begin(&solo);
+				write_until_killed(&solo, solo.raft.applied_index ? solo.acked + 1 : 1, pipe_ends[1]);
 			}
 			close(pipe_ends[1]);
 			while (acked < until)
@@ -335,12 +335,12 @@
 			close(pipe_ends[0]);
 			waitpid(child, &status, 0);
 			assert_true(WIFSIGNALED(status));
-			assert_null(open_folder(&s));
-			assert_holds(&s, acked);
-			store_close(s.store);
+			assert_null(open_folder(&solo));
+			assert_holds(&solo, acked);
+			storage_close(solo.store);
 		}
-		assert_null(open_folder(&s));
-		solo_close(&s);
+		assert_null(open_folder(&solo));
+		router_fixture_close(&solo);
 	}
 }
 
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -70,9 +70,9 @@
 	}
 }
 
-static void open_copy(struct world *w, const char *folder)
+static void open_copy(struct world *world, const char *folder)
 {
-	const char *why = world_open(w, folder);
+	const char *why = world_open(world, folder);
 
 	if (why)
 		fail_msg("%s", why);
@@ -81,15 +81,15 @@
 /* What a folder should hold: a torn one is the first one, torn. */
 static const char *whole_of(const char *name) { return strncmp(name, "torn", 4) ? name : "entries"; }
 
-static void assert_records(const struct world *w, const char *name)
+static void assert_records(const struct world *world, const char *name)
 {
 	assert_same_text(name, stored_text(apr_psprintf(pool, "stored/%s/records.txt", whole_of(name))),
-			 world_records(&w->found, pool));
+			 world_records(&world->found, pool));
 }
 
-static void assert_state(struct world *w, const char *name)
+static void assert_state(struct world *world, const char *name)
 {
-	assert_same_text(name, stored_text(apr_psprintf(pool, "stored/%s/state.txt", whole_of(name))), world_state(w, pool));
+	assert_same_text(name, stored_text(apr_psprintf(pool, "stored/%s/state.txt", whole_of(name))), world_state(world, pool));
 }
 
 /* ---- what they hold ---- */
@@ -99,11 +99,11 @@
 	(void)state;
 	for (int i = 0; stored_folders[i]; i++) {
 		char *folder = copy_of(stored_folders[i]);
-		struct world w;
+		struct world world;
 
-		open_copy(&w, folder);
-		assert_records(&w, stored_folders[i]);
-		world_close(&w);
+		open_copy(&world, folder);
+		assert_records(&world, stored_folders[i]);
+		world_close(&world);
 		remove_folder(folder);
 	}
 }
@@ -113,11 +113,11 @@
 	(void)state;
 	for (int i = 0; stored_folders[i]; i++) {
 		char *folder = copy_of(stored_folders[i]);
-		struct world w;
+		struct world world;
 
-		open_copy(&w, folder);
-		assert_state(&w, stored_folders[i]);
-		world_close(&w);
+		open_copy(&world, folder);
+		assert_state(&world, stored_folders[i]);
+		world_close(&world);
 		remove_folder(folder);
 	}
 }
@@ -127,15 +127,15 @@
 	(void)state;
 	for (int i = 0; stored_folders[i]; i++) {
 		char *folder = copy_of(stored_folders[i]), *again = new_folder();
-		struct world w;
-
-		open_copy(&w, folder);
-		world_copy(&w.found, again);
-		world_close(&w);
-		open_copy(&w, again);
-		assert_records(&w, stored_folders[i]);
-		assert_state(&w, stored_folders[i]);
-		world_close(&w);
+		struct world world;
+
+		open_copy(&world, folder);
+		world_copy(&world.found, again);
+		world_close(&world);
+		open_copy(&world, again);
+		assert_records(&world, stored_folders[i]);
+		assert_state(&world, stored_folders[i]);
+		world_close(&world);
 		remove_folder(folder);
 		remove_folder(again);
 	}
@@ -147,26 +147,26 @@
 	(void)state;
 	for (int i = 0; stored_folders[i]; i++) {
 		char *folder = copy_of(stored_folders[i]), *again = new_folder();
-		struct store_found packed;
-		struct world w;
+		struct stored_state packed;
+		struct world world;
 
-		open_copy(&w, folder);
-		assert_state(&w, stored_folders[i]);
-		packed = w.found;
+		open_copy(&world, folder);
+		assert_state(&world, stored_folders[i]);
+		packed = world.found;
 		for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
-			struct raft_saved *s = &packed.part[shard];
+			struct raft_saved *saved = &packed.shards[shard];
 
-			s->data = controller_state(&w.controller, shard, pool, &s->data_len);
-			s->members = apr_pmemdup(pool, s->members, s->members_len + 1);
-			s->base = s->base + s->n + 1;
-			s->base_term = s->term;
-			s->n = 0;
+			saved->data = controller_state(&world.controller, shard, pool, &saved->data_len);
+			saved->members = apr_pmemdup(pool, saved->members, saved->members_len + 1);
+			saved->snapshot_index = saved->snapshot_index + saved->entry_count + 1;
+			saved->snapshot_term = saved->term;
+			saved->entry_count = 0;
 		}
 		world_copy(&packed, again);
-		world_close(&w);
-		open_copy(&w, again);
-		assert_state(&w, stored_folders[i]);
-		world_close(&w);
+		world_close(&world);
+		open_copy(&world, again);
+		assert_state(&world, stored_folders[i]);
+		world_close(&world);
 		remove_folder(folder);
 		remove_folder(again);
 	}
@@ -176,42 +176,42 @@
 {
 	char *folder = copy_of("damaged");
 	const char *why;
-	struct world w;
+	struct world world;
 
 	(void)state;
-	why = world_open(&w, folder);
+	why = world_open(&world, folder);
 	assert_non_null(why);
 	assert_non_null(strstr(why, "is damaged at record e/0/"));
-	world_close(&w);
+	world_close(&world);
 	remove_folder(folder);
 }
 
 static void a_torn_folder_is_written_anew_and_whole_afterwards(void **state)
 {
 	char *folder = copy_of("torn-tail");
-	struct world w;
+	struct world world;
 	size_t torn, whole;
 
 	(void)state;
 	(void)file_read(apr_pstrcat(pool, folder, "/registrar.tdb", NULL), &torn, pool);
-	open_copy(&w, folder);
-	world_close(&w);
+	open_copy(&world, folder);
+	world_close(&world);
 	(void)file_read(apr_pstrcat(pool, folder, "/registrar.tdb", NULL), &whole, pool);
 	assert_true(whole < torn);
-	open_copy(&w, folder);
-	assert_records(&w, "torn-tail");
-	world_close(&w);
+	open_copy(&world, folder);
+	assert_records(&world, "torn-tail");
+	world_close(&world);
 	remove_folder(folder);
 }
 
 /* ---- a controller goes on from them ---- */
 
-static void lead(struct world *w, const char *folder)
+static void lead(struct world *world, const char *folder)
 {
-	open_copy(w, folder);
-	world_run(w, 4000);
+	open_copy(world, folder);
+	world_run(world, 4000);
 	for (int i = 0; i < SHARD_COUNT; i++)
-		assert_true(raft_has_lease(&w->controller.part[i], w->now));
+		assert_true(raft_has_lease(&world->controller.shards[i], world->now));
 }
 
 static void an_order_that_was_accepted_is_recognised(void **state)
@@ -221,13 +221,13 @@
 	(void)state;
 	for (int i = 0; i < 2; i++) {
 		char *folder = copy_of(names[i]);
-		struct world w;
+		struct world world;
 
-		lead(&w, folder);
-		assert_int_equal(world_call(&w, "POST", "/v1/change", stored_change, "first-key"), 200);
-		assert_string_equal(w.answer.body, "{\"edition\":2}");
-		assert_int_equal(world_call(&w, "POST", "/v1/change", stored_second_change, "first-key"), 422);
-		world_close(&w);
+		lead(&world, folder);
+		assert_int_equal(world_call(&world, "POST", "/v1/change", stored_change, "first-key"), 200);
+		assert_string_equal(world.answer.body, "{\"edition\":2}");
+		assert_int_equal(world_call(&world, "POST", "/v1/change", stored_second_change, "first-key"), 422);
+		world_close(&world);
 		remove_folder(folder);
 	}
 }
@@ -239,9 +239,9 @@
 	(void)state;
 	for (int i = 0; i < 3; i++) {
 		char *folder = copy_of(names[i]);
-		struct world w;
+		struct world world;
 
-		lead(&w, folder);
+		lead(&world, folder);
 		for (uint32_t shard = SHARD_SERVICE; shard < SHARD_COUNT; shard++) {
 			const char *service = stored_service(shard, pool);
 			struct Nl__Claim taken = stored_claim("stands", CLAIM_OTHER, CLAIM_FIRST, 0),
@@ -250,13 +250,13 @@
 					 early = stored_claim("early", CLAIM_HOLDER, CLAIM_NEXT, 0),
 					 free_now = stored_claim("back", CLAIM_OTHER, CLAIM_FIRST, 0);
 
-			assert_int_equal(world_claim(&w, service, &taken), TABLE_REFUSED);
-			assert_int_equal(world_claim(&w, service, &again), TABLE_DONE);
-			assert_int_equal(world_claim(&w, service, &returned), TABLE_REFUSED);
-			assert_int_equal(world_claim(&w, service, &early), TABLE_REFUSED);
-			assert_int_equal(world_claim(&w, service, &free_now), TABLE_DONE);
+			assert_int_equal(world_claim(&world, service, &taken), PROPOSAL_REJECTED);
+			assert_int_equal(world_claim(&world, service, &again), PROPOSAL_DONE);
+			assert_int_equal(world_claim(&world, service, &returned), PROPOSAL_REJECTED);
+			assert_int_equal(world_claim(&world, service, &early), PROPOSAL_REJECTED);
+			assert_int_equal(world_claim(&world, service, &free_now), PROPOSAL_DONE);
 		}
-		world_close(&w);
+		world_close(&world);
 		remove_folder(folder);
 	}
 }
@@ -265,56 +265,56 @@
 {
 	char *folder = copy_of("document");
 	const char *then = stored_text("stored/document/document.json");
-	struct world w;
+	struct world world;
 
 	(void)state;
-	lead(&w, folder);
-	assert_int_equal(world_read_document(&w), 200);
-	assert_int_equal(w.answer.len, strlen(then));
-	assert_memory_equal(w.answer.body, then, w.answer.len);
-	assert_int_equal(world_document(&w, stored_document, 0, 6), 412);
-	assert_int_equal(world_document(&w, stored_patch, 1, 7), 200); /* the same call again */
-	assert_int_equal(world_name_weights(&w, "daka", "6"), 200);
-	assert_int_equal(world_call(&w, "GET", "/v1/table", "", NULL), 200);
-	assert_string_equal(w.answer.body, stored_text("stored/document/table.json"));
-	world_close(&w);
+	lead(&world, folder);
+	assert_int_equal(world_read_document(&world), 200);
+	assert_int_equal(world.answer.len, strlen(then));
+	assert_memory_equal(world.answer.body, then, world.answer.len);
+	assert_int_equal(world_document(&world, stored_document, 0, 6), 412);
+	assert_int_equal(world_document(&world, stored_patch, 1, 7), 200); /* the same call again */
+	assert_int_equal(world_name_weights(&world, "daka", "6"), 200);
+	assert_int_equal(world_call(&world, "GET", "/v1/table", "", NULL), 200);
+	assert_string_equal(world.answer.body, stored_text("stored/document/table.json"));
+	world_close(&world);
 	remove_folder(folder);
 }
 
 static void a_recovered_group_keeps_its_epoch_and_what_is_fenced(void **state)
 {
 	char *folder = copy_of("recovered");
-	struct world w;
+	struct world world;
 
 	(void)state;
-	lead(&w, folder);
+	lead(&world, folder);
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		const struct raft *raft = &w.controller.part[i];
+		const struct raft *raft = &world.controller.shards[i];
 
 		assert_int_equal(raft_epoch(raft->term), 1);
 		assert_int_equal(raft->member_count, 1);
 		assert_int_equal(raft->fenced_count, 2);
 	}
-	assert_int_equal(world_call(&w, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
+	assert_int_equal(world_call(&world, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
 			 200);
-	assert_true(strtoull(w.answer.body + strlen("{\"edition\":"), NULL, 10) > CONTROLLER_RECOVERY_SKIP);
-	world_close(&w);
+	assert_true(strtoull(world.answer.body + strlen("{\"edition\":"), NULL, 10) > CONTROLLER_RECOVERY_SKIP);
+	world_close(&world);
 	remove_folder(folder);
 }
 
 static void a_follower_keeps_its_vote_and_its_term(void **state)
 {
 	char *folder = copy_of("follower");
-	struct world w;
+	struct world world;
 
 	(void)state;
-	open_copy(&w, folder);
-	assert_int_equal(w.controller.part[SHARD_CONTROL].term, 5);
-	assert_int_equal(w.controller.part[SHARD_CONTROL].vote, 3);
-	assert_int_equal(w.controller.part[SHARD_PURGE].term, 9);
-	assert_int_equal(w.controller.part[SHARD_PURGE].vote, 2);
-	assert_int_equal(w.controller.part[SHARD_CONTROL].member_count, 3);
-	world_close(&w);
+	open_copy(&world, folder);
+	assert_int_equal(world.controller.shards[SHARD_CONTROL].term, 5);
+	assert_int_equal(world.controller.shards[SHARD_CONTROL].vote, 3);
+	assert_int_equal(world.controller.shards[SHARD_PURGE].term, 9);
+	assert_int_equal(world.controller.shards[SHARD_PURGE].vote, 2);
+	assert_int_equal(world.controller.shards[SHARD_CONTROL].member_count, 3);
+	world_close(&world);
 	remove_folder(folder);
 }
 
@@ -323,12 +323,12 @@
 static void operators_calls_are_answered_as_they_were(void **state)
 {
 	char *folder = copy_of("entries");
-	struct world w;
+	struct world world;
 
 	(void)state;
-	open_copy(&w, folder);
-	assert_same_text("calls", stored_text("interface/calls.txt"), stored_calls(&w));
-	world_close(&w);
+	open_copy(&world, folder);
+	assert_same_text("calls", stored_text("interface/calls.txt"), stored_calls(&world));
+	world_close(&world);
 	remove_folder(folder);
 }
 
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -18,40 +18,40 @@
 
 enum { TICKS = 200 };
 
-static struct Nl__Value *value(uint64_t tick, struct Nl__Value *v, struct Nl__Purge *p, char *tenant)
+static struct Nl__Value *value(uint64_t tick, struct Nl__Value *v, struct Nl__Purge *purge, char *tenant)
 {
 	nl__value__init(v);
-	nl__purge__init(p);
-	p->why = PURGE_TENANT;
-	p->tenant = tenant;
-	v->purge = p;
+	nl__purge__init(purge);
+	purge->why = PURGE_TENANT;
+	purge->tenant = tenant;
+	v->purge = purge;
 	v->tick = tick;
 	return v;
 }
 
 /* Knowledge in any order, with losses and repeats, against an array of ticks. */
-static void knowledge_against_plain_array(void **st)
+static void knowledge_against_plain_array(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 300; seed++) {
 		uint64_t rng = seed;
 		char known[TICKS + 1] = { 0 }, is_value[TICKS + 1] = { 0 };
-		struct know k = { 0 }, twin = { 0 };
-		struct out o = { 0 };
-		struct Nl__Knowledge m = NL__KNOWLEDGE__INIT;
+		struct tick_knowledge k = { 0 }, twin = { 0 };
+		struct out out = { 0 };
+		struct Nl__Knowledge knowledge = NL__KNOWLEDGE__INIT;
 		struct tick_range gap[TICKS];
 		uint64_t horizon, reach, released = 0;
 		int gaps, n;
 
-		apr_pool_create(&o.p, NULL);
+		apr_pool_create(&out.pool, NULL);
 		for (int i = 1; i <= TICKS; i++)
-			is_value[i] = core_rand(&rng) % 7 == 0;
+			is_value[i] = core_random(&rng) % 7 == 0;
 		known[0] = 1;
 		for (int step = 0; step < 60; step++) {
-			uint64_t a = 1 + core_rand(&rng) % TICKS, b = a + core_rand(&rng) % 9;
+			uint64_t a = 1 + core_random(&rng) % TICKS, b = a + core_random(&rng) % 9;
 			int v = 0, fresh = 0, got;
 			struct Nl__Value val;
-			struct Nl__Purge p;
+			struct Nl__Purge purge;
 
 			if (b > TICKS)
 				b = TICKS;
@@ -67,49 +67,49 @@
 				fresh |= !known[i];
 				known[i] = 1;
 			}
-			got = know_add(&k, a, b, v ? value((uint64_t)v, &val, &p, "t") : NULL);
+			got = knowledge_add(&k, a, b, v ? value((uint64_t)v, &val, &purge, "t") : NULL);
 			assert_int_equal(got, fresh);
 			for (horizon = 0; horizon < TICKS && known[horizon + 1]; horizon++)
 				;
 			for (reach = TICKS; reach > horizon && !known[reach]; reach--)
 				;
 			assert_int_equal(k.horizon, horizon);
-			assert_int_equal(know_reach(&k), reach);
+			assert_int_equal(knowledge_reach(&k), reach);
 			gaps = 0;
 			for (uint64_t i = horizon + 1; i <= reach; i++)
 				gaps += !known[i] && known[i - 1];
-			n = know_gaps(&k, gap, TICKS);
+			n = knowledge_gaps(&k, gap, TICKS);
 			assert_int_equal(n, gaps);
 			for (int g = 0; g < n; g++)
-				for (uint64_t i = gap[g].a; i <= gap[g].b; i++)
+				for (uint64_t i = gap[g].first; i <= gap[g].last; i++)
 					assert_false(known[i]);
-			if (core_rand(&rng) % 9 == 0 && horizon) {
-				released = 1 + core_rand(&rng) % horizon;
-				know_release(&k, released);
+			if (core_random(&rng) % 9 == 0 && horizon) {
+				released = 1 + core_random(&rng) % horizon;
+				knowledge_release(&k, released);
 				released = k.released;
 			}
 		}
 		/* what it tells from its release on is all it knows, values and silence alike */
-		assert_false(know_tell(&k, released ? released : 0, TICKS, &m, &o));
-		assert_true(know_tell(&k, released + 1, TICKS, &m, &o));
+		assert_false(knowledge_append(&k, released ? released : 0, TICKS, &knowledge, &out));
+		assert_true(knowledge_append(&k, released + 1, TICKS, &knowledge, &out));
 		twin.horizon = twin.released = released;
-		for (size_t i = 0; i < m.n_inc; i++)
-			know_add(&twin, m.inc[i]->a, m.inc[i]->b, m.inc[i]->value);
+		for (size_t i = 0; i < knowledge.n_inc; i++)
+			knowledge_add(&twin, knowledge.inc[i]->a, knowledge.inc[i]->b, knowledge.inc[i]->value);
 		assert_int_equal(twin.horizon, k.horizon);
-		assert_int_equal(know_reach(&twin), know_reach(&k));
+		assert_int_equal(knowledge_reach(&twin), knowledge_reach(&k));
 		n = 0;
 		for (uint64_t i = released + 1; i <= TICKS; i++)
 			if (known[i] && is_value[i])
-				assert_int_equal(twin.v[n++]->tick, i);
-		assert_int_equal(n, arrlen(twin.v));
-		know_clear(&k);
-		know_clear(&twin);
-		apr_pool_destroy(o.p);
+				assert_int_equal(twin.values[n++]->tick, i);
+		assert_int_equal(n, arrlen(twin.values));
+		knowledge_clear(&k);
+		knowledge_clear(&twin);
+		apr_pool_destroy(out.pool);
 	}
 }
 
 /* The view drops what was made before the tick, and a late report or a late value revives nothing. */
-static void view_against_plain_list(void **st)
+static void view_against_plain_list(void **state)
 {
 	static char *names[] = { "a", "b", "c" };
 	struct {
@@ -117,205 +117,205 @@
 		int who;
 	} list[100];
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 100; seed++) {
-		struct view w = { 0 };
+		struct view view = { 0 };
 		uint64_t rng = seed;
 
 		for (int i = 0; i < 100; i++) {
-			struct Nl__Value v;
-			struct Nl__Purge p;
+			struct Nl__Value purge_value;
+			struct Nl__Purge purge;
 
-			list[i].tick = 1 + core_rand(&rng) % 500; /* in no order */
-			list[i].who = (int)(core_rand(&rng) % 3);
-			view_apply(&w, value(list[i].tick, &v, &p, names[list[i].who]));
+			list[i].tick = 1 + core_random(&rng) % 500; /* in no order */
+			list[i].who = (int)(core_random(&rng) % 3);
+			purge_view_apply(&view, value(list[i].tick, &purge_value, &purge, names[list[i].who]));
 			for (int q = 0; q < 5; q++) {
-				uint64_t stamp = core_rand(&rng) % 520;
-				int who = (int)(core_rand(&rng) % 3), gone = 0;
+				uint64_t stamp = core_random(&rng) % 520;
+				int who = (int)(core_random(&rng) % 3), gone = 0;
 
 				for (int k = 0; k <= i; k++)
 					gone |= list[k].who == who && stamp < list[k].tick;
-				assert_int_equal(view_allows(&w, "s", "w", names[who], "x", stamp), !gone);
+				assert_int_equal(purge_view_allows(&view, "s", "w", names[who], "x", stamp), !gone);
 			}
 		}
-		view_clear(&w);
+		purge_view_clear(&view);
 	}
 }
 
 /* A relay whose own horizon stands still cannot make another's look current, by a snapshot or by old ticks. */
-static void what_is_old_stays_old(void **st)
+static void what_is_old_stays_old(void **state)
 {
 	struct relay a, b;
-	struct out o = { 0 };
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__Curiosity c = NL__CURIOSITY__INIT;
+	struct out out = { 0 };
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__Curiosity curiosity = NL__CURIOSITY__INIT;
 	int64_t now = 100000;
 
-	(void)st;
-	apr_pool_create(&o.p, NULL);
+	(void)state;
+	apr_pool_create(&out.pool, NULL);
 	relay_open(&a, now);
 	relay_open(&b, now);
-	a.publisher = 1;
-	relay_publish(&a, 1, 10, NULL, now, &o);
-	a.publisher = 0; /* cut off from here on */
+	a.is_publisher = 1;
+	relay_publish(&a, 1, 10, NULL, now, &out);
+	a.is_publisher = 0; /* cut off from here on */
 	now += 20000;
-	c.snap = 1;
-	c.asked = now;
-	m.body_case = NL__MSG__BODY_CURIOSITY;
-	m.curiosity = &c;
-	m.id = 2;
-	out_clear(&o);
-	relay_msg(&a, &m, now, &o);
-	assert_int_equal(arrlen(o.v), 1);
-	relay_msg(&b, o.v[0].u.send.msg, now, &o);
-	assert_int_equal(b.k.horizon, 10);
-	assert_false(relay_current(&b, now));
-	a.publisher = 1;
-	out_clear(&o);
-	relay_publish(&a, 11, 11, NULL, now, &o);
-	assert_int_equal(arrlen(o.v), 1);
-	relay_msg(&b, o.v[0].u.send.msg, now, &o);
-	assert_true(relay_current(&b, now));
-	assert_false(relay_current(&b, now + PURGE_STALE));
+	curiosity.snap = 1;
+	curiosity.asked = now;
+	message.body_case = NL__MSG__BODY_CURIOSITY;
+	message.curiosity = &curiosity;
+	message.id = 2;
+	command_list_clear(&out);
+	relay_receive(&a, &message, now, &out);
+	assert_int_equal(arrlen(out.commands), 1);
+	relay_receive(&b, out.commands[0].args.send.msg, now, &out);
+	assert_int_equal(b.knowledge.horizon, 10);
+	assert_false(relay_is_current(&b, now));
+	a.is_publisher = 1;
+	command_list_clear(&out);
+	relay_publish(&a, 11, 11, NULL, now, &out);
+	assert_int_equal(arrlen(out.commands), 1);
+	relay_receive(&b, out.commands[0].args.send.msg, now, &out);
+	assert_true(relay_is_current(&b, now));
+	assert_false(relay_is_current(&b, now + PURGE_MAX_STALENESS_MS));
 	/* what was told then, and is read much later, is no news; nor is what names no asking of ours */
-	out_clear(&o);
-	relay_publish(&a, 12, 12, NULL, now, &o);
+	command_list_clear(&out);
+	relay_publish(&a, 12, 12, NULL, now, &out);
 	now += 20000;
-	relay_msg(&b, o.v[0].u.send.msg, now, &o);
-	assert_int_equal(b.k.horizon, 12);
-	assert_false(relay_current(&b, now));
-	out_clear(&o);
-	relay_publish(&a, 13, 13, NULL, now, &o);
-	o.v[0].u.send.msg->knowledge->asked = 0;
-	relay_msg(&b, o.v[0].u.send.msg, now, &o);
-	assert_int_equal(b.k.horizon, 13);
-	assert_false(relay_current(&b, now));
+	relay_receive(&b, out.commands[0].args.send.msg, now, &out);
+	assert_int_equal(b.knowledge.horizon, 12);
+	assert_false(relay_is_current(&b, now));
+	command_list_clear(&out);
+	relay_publish(&a, 13, 13, NULL, now, &out);
+	out.commands[0].args.send.msg->knowledge->asked = 0;
+	relay_receive(&b, out.commands[0].args.send.msg, now, &out);
+	assert_int_equal(b.knowledge.horizon, 13);
+	assert_false(relay_is_current(&b, now));
 	relay_close(&a);
 	relay_close(&b);
-	arrfree(o.v);
-	apr_pool_destroy(o.p);
+	arrfree(out.commands);
+	apr_pool_destroy(out.pool);
 }
 
-static int of_server(const void *ctx, uint64_t id, const struct kept_copy *c)
+static int of_server(const void *ctx, uint64_t id, const struct block_replica *replica)
 {
 	(void)id;
-	return c->server == *(const uint32_t *)ctx;
+	return replica->server_index == *(const uint32_t *)ctx;
 }
 
-static void index_against_plain_table(void **st)
+static void index_against_plain_table(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 100; seed++) {
-		struct kept k = { 0 };
+		struct prefix_index k = { 0 };
 		uint64_t rng = seed, plain[8][4][3] = { { { 0 } } },
 			 seen[8][4][3] = { { { 0 } } }; /* part, server, maker -> stamp + 1 */
 		size_t n = 0;
 
 		for (int i = 0; i < 300; i++) {
-			struct kept_copy c = { (uint32_t)(core_rand(&rng) % 4),
-					       (uint32_t)(core_rand(&rng) % 3),
+			struct block_replica replica = { (uint32_t)(core_random(&rng) % 4),
+					       (uint32_t)(core_random(&rng) % 3),
 					       0,
 					       1,
-					       core_rand(&rng) % 90,
+					       core_random(&rng) % 90,
 					       (uint64_t)i };
-			uint64_t h = core_rand(&rng) % 8;
+			uint64_t h = core_random(&rng) % 8;
 
 			if (i % 50 == 49) {
 				uint64_t least = (uint64_t)i - 20;
 
-				kept_sweep(&k, c.server, least);
+				prefix_index_remove_unreported(&k, replica.server_index, least);
 				for (int p = 0; p < 8; p++)
 					for (int m = 0; m < 3; m++)
-						if (seen[p][c.server][m] < least)
-							plain[p][c.server][m] = 0;
+						if (seen[p][replica.server_index][m] < least)
+							plain[p][replica.server_index][m] = 0;
 			} else if (i % 70 == 69) {
-				kept_drop(&k, of_server, &c.server);
+				prefix_index_remove_if(&k, of_server, &replica.server_index);
 				for (int p = 0; p < 8; p++)
-					memset(plain[p][c.server], 0, sizeof plain[p][c.server]);
+					memset(plain[p][replica.server_index], 0, sizeof plain[p][replica.server_index]);
 			} else {
-				kept_put(&k, h, &c);
-				plain[h][c.server][c.maker] = c.stamp + 1;
-				seen[h][c.server][c.maker] = (uint64_t)i;
+				prefix_index_put(&k, h, &replica);
+				plain[h][replica.server_index][replica.tenant_index] = replica.stamp_tick + 1;
+				seen[h][replica.server_index][replica.tenant_index] = (uint64_t)i;
 			}
 		}
 		for (int p = 0; p < 8; p++)
 			for (uint32_t s = 0; s < 4; s++)
 				for (uint32_t m = 0; m < 3; m++) {
-					struct kept_copy *v = kept_get(&k, (uint64_t)p);
+					struct block_replica *v = prefix_index_find(&k, (uint64_t)p);
 					uint64_t got = 0;
 
 					for (ptrdiff_t i = 0; i < arrlen(v); i++)
-						if (v[i].server == s && v[i].maker == m)
-							got = v[i].stamp + 1;
+						if (v[i].server_index == s && v[i].tenant_index == m)
+							got = v[i].stamp_tick + 1;
 					assert_int_equal(got, plain[p][s][m]);
 					n += got != 0;
 				}
-		assert_int_equal(n, k.n);
-		kept_clear(&k);
+		assert_int_equal(n, k.replica_count);
+		prefix_index_clear(&k);
 	}
 }
 
 /* A follower that takes changes, or the whole after falling behind, ends with the owner's table. */
-static void table_followers_end_alike(void **st)
+static void table_followers_end_alike(void **state)
 {
-	apr_pool_t *p;
+	apr_pool_t *pool;
 
-	(void)st;
-	apr_pool_create(&p, NULL);
+	(void)state;
+	apr_pool_create(&pool, NULL);
 	for (uint64_t seed = 1; seed <= 30; seed++) {
-		struct table t, f;
+		struct config_table t, table;
 		uint64_t rng = seed, last = 0;
 
-		table_open(&t);
-		table_open(&f);
+		config_table_open(&t);
+		config_table_open(&table);
 		for (int i = 0; i < 1500; i++) {
-			struct Nl__Change c = NL__CHANGE__INIT;
-			struct Nl__Row r = NL__ROW__INIT, *rows[1] = { &r };
+			struct Nl__Change change = NL__CHANGE__INIT;
+			struct Nl__Row row = NL__ROW__INIT, *rows[1] = { &row };
 			char name[20];
 
-			snprintf(name, sizeof name, "t%d", (int)(core_rand(&rng) % 700));
-			r.kind = NL__KIND__TENANT;
-			r.name = name;
-			r.share = 1 + (uint32_t)i;
-			r.limit = 1;
-			c.any = 1;
-			if (core_rand(&rng) % 2) {
-				c.set = rows;
-				c.n_set = 1;
+			snprintf(name, sizeof name, "t%d", (int)(core_random(&rng) % 700));
+			row.kind = NL__KIND__TENANT;
+			row.name = name;
+			row.share = 1 + (uint32_t)i;
+			row.limit = 1;
+			change.any = 1;
+			if (core_random(&rng) % 2) {
+				change.set = rows;
+				change.n_set = 1;
 			} else {
-				c.del = rows;
-				c.n_del = 1;
+				change.del = rows;
+				change.n_del = 1;
 			}
-			assert_int_equal(table_apply(&t, &c, NULL), TABLE_DONE);
-			if (core_rand(&rng) % 40 == 0 || i == 1499) {
-				struct Nl__ConfigSyncReply a = NL__CONFIG_SYNC_REPLY__INIT;
+			assert_int_equal(config_table_apply(&t, &change, NULL), PROPOSAL_DONE);
+			if (core_random(&rng) % 40 == 0 || i == 1499) {
+				struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
-				table_since(&t, f.edition, &a, p);
-				assert_true(table_follow(&f, &a));
-				assert_int_equal(f.edition, t.edition);
-				assert_int_equal(shlen(f.h), shlen(t.h));
-				for (ptrdiff_t k = 0; k < shlen(t.h); k++) {
-					const struct Nl__Row *x = table_get(&f, NL__KIND__TENANT, t.h[k].value.row->name);
+				config_table_since(&t, table.revision, &reply, pool);
+				assert_true(config_table_follow(&table, &reply));
+				assert_int_equal(table.revision, t.revision);
+				assert_int_equal(shlen(table.rows), shlen(t.rows));
+				for (ptrdiff_t k = 0; k < shlen(t.rows); k++) {
+					const struct Nl__Row *x = config_table_get(&table, NL__KIND__TENANT, t.rows[k].value.row->name);
 
 					assert_non_null(x);
-					assert_int_equal(x->share, t.h[k].value.row->share);
+					assert_int_equal(x->share, t.rows[k].value.row->share);
 				}
 				/* an older answer, late, changes nothing: neither a change nor the whole */
-				a.edition = last;
-				assert_true(last == 0 || !table_follow(&f, &a));
-				a.whole = 1;
-				assert_true(last == 0 || !table_follow(&f, &a));
-				assert_int_equal(f.edition, t.edition);
-				last = t.edition - 1;
+				reply.edition = last;
+				assert_true(last == 0 || !config_table_follow(&table, &reply));
+				reply.whole = 1;
+				assert_true(last == 0 || !config_table_follow(&table, &reply));
+				assert_int_equal(table.revision, t.revision);
+				last = t.revision - 1;
 			}
 		}
-		table_close(&t);
-		table_close(&f);
+		config_table_close(&t);
+		config_table_close(&table);
 	}
-	apr_pool_destroy(p);
+	apr_pool_destroy(pool);
 }
 
-static void bad_changes_name_the_field(void **st)
+static void bad_changes_name_the_field(void **state)
 {
 	static const struct {
 		const char *body, *field;
@@ -338,47 +338,47 @@
 		{ "{\"set\":[{\"kind\":\"key\",\"name\":\"abc\",\"tenant\":\"t\"}]}", "name" },
 		{ "{\"del\":[{\"kind\":\"tenant\",\"name\":\"nobody\"}]}", "no such row" },
 	};
-	struct table t;
-	apr_pool_t *p;
+	struct config_table table;
+	apr_pool_t *pool;
 
-	(void)st;
-	apr_pool_create(&p, NULL);
-	table_open(&t);
+	(void)state;
+	apr_pool_create(&pool, NULL);
+	config_table_open(&table);
 	for (size_t i = 0; i < sizeof bad / sizeof *bad; i++) {
 		const char *why = NULL;
-		struct Nl__Change *c = table_change_parse(bad[i].body, p, &why);
+		struct Nl__Change *change = config_change_parse(bad[i].body, pool, &why);
 
-		if (c)
-			why = table_check(&t, c, p);
+		if (change)
+			why = config_table_check(&table, change, pool);
 		if (!why || !strstr(why, bad[i].field))
 			fail_msg("%s: said \"%s\", which does not name %s", bad[i].body, why ? why : "", bad[i].field);
 	}
 	{ /* one that is too large is refused whole */
-		struct Nl__Change c = NL__CHANGE__INIT;
-		struct Nl__Row r = NL__ROW__INIT, *rows[1] = { &r };
-
-		r.kind = NL__KIND__TENANT;
-		r.name = "a";
-		r.share = r.limit = 1;
-		r.zone = apr_palloc(p, TABLE_MAX + 1);
-		memset(r.zone, 'z', TABLE_MAX);
-		r.zone[TABLE_MAX] = 0;
-		c.set = rows;
-		c.n_set = 1;
-		assert_non_null(strstr(table_check(&t, &c, p), "larger"));
+		struct Nl__Change change = NL__CHANGE__INIT;
+		struct Nl__Row row = NL__ROW__INIT, *rows[1] = { &row };
+
+		row.kind = NL__KIND__TENANT;
+		row.name = "a";
+		row.share = row.limit = 1;
+		row.zone = apr_palloc(pool, CONFIG_TABLE_MAX_CHANGE_BYTES + 1);
+		memset(row.zone, 'z', CONFIG_TABLE_MAX_CHANGE_BYTES);
+		row.zone[CONFIG_TABLE_MAX_CHANGE_BYTES] = 0;
+		change.set = rows;
+		change.n_set = 1;
+		assert_non_null(strstr(config_table_check(&table, &change, pool), "larger"));
 	}
 	{ /* a lane keeps its service: its ids are claimed in that service's part */
-		const char *why = NULL, *lane = "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"%s\",\"limit\":%d}]}";
-		struct Nl__Change *c = table_change_parse(apr_psprintf(p, lane, "s", 5), p, &why);
+		const char *why = NULL, *route = "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"%s\",\"limit\":%d}]}";
+		struct Nl__Change *change = config_change_parse(apr_psprintf(pool, route, "s", 5), pool, &why);
 
-		assert_null(table_check(&t, c, p));
-		assert_int_equal(table_apply(&t, c, NULL), TABLE_DONE);
-		assert_null(table_check(&t, table_change_parse(apr_psprintf(p, lane, "s", 6), p, &why), p));
+		assert_null(config_table_check(&table, change, pool));
+		assert_int_equal(config_table_apply(&table, change, NULL), PROPOSAL_DONE);
+		assert_null(config_table_check(&table, config_change_parse(apr_psprintf(pool, route, "s", 6), pool, &why), pool));
 		assert_non_null(
-		    strstr(table_check(&t, table_change_parse(apr_psprintf(p, lane, "other", 5), p, &why), p), "service"));
+		    strstr(config_table_check(&table, config_change_parse(apr_psprintf(pool, route, "other", 5), pool, &why), pool), "service"));
 	}
-	table_close(&t);
-	apr_pool_destroy(p);
+	config_table_close(&table);
+	apr_pool_destroy(pool);
 }
 
 /* ---- a group's member alone, its messages and syncs given by hand ---- */
@@ -389,274 +389,274 @@
 	int64_t now;
 };
 
-static void bench_open(struct bench *b)
+static void bench_open(struct bench *bench)
 {
-	struct raft_member m[3] = { { .id = 1, .addr = 101, .voter = 1 },
+	struct raft_member member[3] = { { .id = 1, .addr = 101, .voter = 1 },
 				    { .id = 2, .addr = 102, .voter = 1 },
 				    { .id = 3, .addr = 103, .voter = 1 } };
 
-	memset(b, 0, sizeof *b);
-	apr_pool_create(&b->o.p, NULL);
-	b->o.id = 1;
-	b->o.addr = 101;
-	b->now = 100000;
-	raft_open(&b->p, 0, 1, 5, NULL, b->now);
-	raft_bootstrap(&b->p, m, 3, b->now, &b->o);
-	raft_flush(&b->p, b->now, &b->o);
-	raft_synced(&b->p, b->p.seq, b->now, &b->o);
-	out_clear(&b->o);
-	b->now += 5000;
+	memset(bench, 0, sizeof *bench);
+	apr_pool_create(&bench->o.pool, NULL);
+	bench->o.id = 1;
+	bench->o.addr = 101;
+	bench->now = 100000;
+	raft_open(&bench->p, 0, 1, 5, NULL, bench->now);
+	raft_bootstrap(&bench->p, member, 3, bench->now, &bench->o);
+	raft_flush(&bench->p, bench->now, &bench->o);
+	raft_synced(&bench->p, bench->p.sync_seq, bench->now, &bench->o);
+	command_list_clear(&bench->o);
+	bench->now += 5000;
 }
 
-static void bench_close(struct bench *b)
+static void bench_close(struct bench *bench)
 {
-	raft_close(&b->p);
-	arrfree(b->o.v);
-	apr_pool_destroy(b->o.p);
+	raft_close(&bench->p);
+	arrfree(bench->o.commands);
+	apr_pool_destroy(bench->o.pool);
 }
 
-static struct Nl__Msg *said(struct bench *b, int body)
+static struct Nl__Msg *said(struct bench *bench, int body)
 {
-	for (ptrdiff_t i = 0; i < arrlen(b->o.v); i++)
-		if (b->o.v[i].kind == CMD_SEND && (int)b->o.v[i].u.send.msg->body_case == body)
-			return b->o.v[i].u.send.msg;
+	for (ptrdiff_t i = 0; i < arrlen(bench->o.commands); i++)
+		if (bench->o.commands[i].kind == CMD_SEND && (int)bench->o.commands[i].args.send.msg->body_case == body)
+			return bench->o.commands[i].args.send.msg;
 	return NULL;
 }
 
-static void hear(struct bench *b, uint64_t from, struct Nl__Msg *m)
+static void hear(struct bench *bench, uint64_t from, struct Nl__Msg *message)
 {
-	m->id = from;
-	m->addr = 100 + from;
-	raft_receive(&b->p, m, b->now, &b->o);
-	raft_flush(&b->p, b->now, &b->o);
+	message->id = from;
+	message->addr = 100 + from;
+	raft_receive(&bench->p, message, bench->now, &bench->o);
+	raft_flush(&bench->p, bench->now, &bench->o);
 }
 
-static void hear_vote(struct bench *b, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
+static void receive_vote(struct bench *bench, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__VoteAsk a = NL__VOTE_ASK__INIT;
-
-	a.term = term;
-	a.last = last;
-	a.last_term = last_term;
-	m.body_case = NL__MSG__BODY_VOTE_ASK;
-	m.vote_ask = &a;
-	out_clear(&b->o);
-	hear(b, from, &m);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+
+	request.term = term;
+	request.last = last;
+	request.last_term = last_term;
+	message.body_case = NL__MSG__BODY_VOTE_ASK;
+	message.vote_ask = &request;
+	command_list_clear(&bench->o);
+	hear(bench, from, &message);
 }
 
-static void hear_ack(struct bench *b, uint64_t from, uint64_t match)
+static void receive_ack(struct bench *bench, uint64_t from, uint64_t match)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__AppendReply a = NL__APPEND_REPLY__INIT;
-
-	a.term = b->p.term;
-	a.ok = 1;
-	a.match = match;
-	a.round = b->p.round;
-	m.body_case = NL__MSG__BODY_APPEND_REPLY;
-	m.append_reply = &a;
-	hear(b, from, &m);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
+
+	reply.term = bench->p.term;
+	reply.ok = 1;
+	reply.match = match;
+	reply.round = bench->p.heartbeat_round;
+	message.body_case = NL__MSG__BODY_APPEND_REPLY;
+	message.append_reply = &reply;
+	hear(bench, from, &message);
 }
 
-static void nothing_is_said_before_the_disk_has_it(void **st)
+static void nothing_is_sent_before_the_disk_has_it(void **state)
 {
-	struct bench b;
-	struct Nl__Msg m = NL__MSG__INIT, *r;
-	struct Nl__Append a = NL__APPEND__INIT;
-	struct Nl__Entry e = NL__ENTRY__INIT, *es[1] = { &e };
+	struct bench bench;
+	struct Nl__Msg message = NL__MSG__INIT, *r;
+	struct Nl__Append append = NL__APPEND__INIT;
+	struct Nl__Entry entry = NL__ENTRY__INIT, *es[1] = { &entry };
 
-	(void)st;
-	bench_open(&b);
+	(void)state;
+	bench_open(&bench);
 	/* a vote */
-	hear_vote(&b, 2, 5, 1, 1);
-	assert_null(said(&b, NL__MSG__BODY_VOTE_REPLY));
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	r = said(&b, NL__MSG__BODY_VOTE_REPLY);
+	receive_vote(&bench, 2, 5, 1, 1);
+	assert_null(said(&bench, NL__MSG__BODY_VOTE_REPLY));
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	r = said(&bench, NL__MSG__BODY_VOTE_REPLY);
 	assert_non_null(r);
 	assert_true(r->vote_reply->granted);
 	/* one vote a term, and none for a log that lacks what ours has */
-	hear_vote(&b, 3, 5, 1, 1);
-	assert_false(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-	hear_vote(&b, 3, 6, 0, 0);
-	r = said(&b, NL__MSG__BODY_VOTE_REPLY);
+	receive_vote(&bench, 3, 5, 1, 1);
+	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+	receive_vote(&bench, 3, 6, 0, 0);
+	r = said(&bench, NL__MSG__BODY_VOTE_REPLY);
 	assert_non_null(r);
 	assert_false(r->vote_reply->granted);
 	/* an entry */
-	a.term = 6;
-	a.prev = 1;
-	a.prev_term = 1;
-	a.e = es;
-	a.n_e = 1;
-	a.commit = 2;
-	e.term = 6;
-	m.body_case = NL__MSG__BODY_APPEND;
-	m.append = &a;
-	out_clear(&b.o);
-	hear(&b, 2, &m);
-	assert_null(said(&b, NL__MSG__BODY_APPEND_REPLY)); /* nothing new to say yet */
-	a.round = 1;
-	a.prev = 2;
-	a.prev_term = 6;
-	a.n_e = 0;
-	hear(&b, 2, &m); /* a round is answered at once, but vouches only for what is synced */
-	r = said(&b, NL__MSG__BODY_APPEND_REPLY);
+	append.term = 6;
+	append.prev = 1;
+	append.prev_term = 1;
+	append.e = es;
+	append.n_e = 1;
+	append.commit = 2;
+	entry.term = 6;
+	message.body_case = NL__MSG__BODY_APPEND;
+	message.append = &append;
+	command_list_clear(&bench.o);
+	hear(&bench, 2, &message);
+	assert_null(said(&bench, NL__MSG__BODY_APPEND_REPLY)); /* nothing new to say yet */
+	append.round = 1;
+	append.prev = 2;
+	append.prev_term = 6;
+	append.n_e = 0;
+	hear(&bench, 2, &message); /* a round is answered at once, but vouches only for what is synced */
+	r = said(&bench, NL__MSG__BODY_APPEND_REPLY);
 	assert_non_null(r);
 	assert_int_equal(r->append_reply->match, 1);
 	assert_int_equal(r->append_reply->round, 1);
-	out_clear(&b.o);
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	assert_int_equal(said(&b, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 2);
-	bench_close(&b);
+	command_list_clear(&bench.o);
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	assert_int_equal(said(&bench, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 2);
+	bench_close(&bench);
 }
 
-static void an_owner_counts_itself_once_synced(void **st)
+static void a_leader_counts_itself_once_synced(void **state)
 {
-	struct bench b;
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__VoteReply v = NL__VOTE_REPLY__INIT;
+	struct bench bench;
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__VoteReply reply = NL__VOTE_REPLY__INIT;
 	uint64_t i;
 
-	(void)st;
-	bench_open(&b);
-	raft_tick(&b.p, b.now, &b.o);
-	assert_int_equal(b.p.role, RAFT_PRE_CANDIDATE);
-	v.term = b.p.term + 1;
-	v.granted = v.pre = 1;
-	m.body_case = NL__MSG__BODY_VOTE_REPLY;
-	m.vote_reply = &v;
-	hear(&b, 2, &m);
-	assert_int_equal(b.p.role, RAFT_CANDIDATE);
-	v.pre = 0;
-	hear(&b, 2, &m);
-	assert_int_equal(b.p.role, RAFT_CANDIDATE); /* its own vote is not on the disk yet */
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	assert_int_equal(b.p.role, RAFT_LEADER);
-	raft_flush(&b.p, b.now, &b.o);
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	raft_tick(&b.p, b.now, &b.o);
-	hear_ack(&b, 2, b.p.term_start);
-	assert_true(raft_has_lease(&b.p, b.now));
-	i = raft_propose(&b.p, (const uint8_t *)"x", 1, b.now);
+	(void)state;
+	bench_open(&bench);
+	raft_tick(&bench.p, bench.now, &bench.o);
+	assert_int_equal(bench.p.role, RAFT_PRE_CANDIDATE);
+	reply.term = bench.p.term + 1;
+	reply.granted = reply.pre = 1;
+	message.body_case = NL__MSG__BODY_VOTE_REPLY;
+	message.vote_reply = &reply;
+	hear(&bench, 2, &message);
+	assert_int_equal(bench.p.role, RAFT_CANDIDATE);
+	reply.pre = 0;
+	hear(&bench, 2, &message);
+	assert_int_equal(bench.p.role, RAFT_CANDIDATE); /* its own vote is not on the disk yet */
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	assert_int_equal(bench.p.role, RAFT_LEADER);
+	raft_flush(&bench.p, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_tick(&bench.p, bench.now, &bench.o);
+	receive_ack(&bench, 2, bench.p.term_start);
+	assert_true(raft_has_lease(&bench.p, bench.now));
+	i = raft_propose(&bench.p, (const uint8_t *)"x", 1, bench.now);
 	assert_true(i > 0);
-	raft_flush(&b.p, b.now, &b.o);
-	hear_ack(&b, 2, i);
-	assert_true(b.p.commit < i); /* one member and an unsynced owner are no majority */
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	assert_int_equal(b.p.commit, i);
+	raft_flush(&bench.p, bench.now, &bench.o);
+	receive_ack(&bench, 2, i);
+	assert_true(bench.p.commit_index < i); /* one member and an unsynced owner are no majority */
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	assert_int_equal(bench.p.commit_index, i);
 	/* its disk stalls: it gives up, and says so */
-	raft_propose(&b.p, (const uint8_t *)"y", 1, b.now);
-	raft_flush(&b.p, b.now, &b.o);
-	out_clear(&b.o);
-	b.now += RAFT_SYNC_STALL_MS + 1;
-	raft_tick(&b.p, b.now, &b.o);
-	assert_int_equal(b.p.role, RAFT_FOLLOWER);
-	assert_non_null(said(&b, NL__MSG__BODY_GIVE_UP));
-	bench_close(&b);
+	raft_propose(&bench.p, (const uint8_t *)"y", 1, bench.now);
+	raft_flush(&bench.p, bench.now, &bench.o);
+	command_list_clear(&bench.o);
+	bench.now += RAFT_SYNC_STALL_MS + 1;
+	raft_tick(&bench.p, bench.now, &bench.o);
+	assert_int_equal(bench.p.role, RAFT_FOLLOWER);
+	assert_non_null(said(&bench, NL__MSG__BODY_GIVE_UP));
+	bench_close(&bench);
 }
 
 /* Back after a fall, with a log of term 3: asks what the two others own. */
-static void bench_return(struct bench *b)
+static void bench_return(struct bench *bench)
 {
-	struct Nl__Members ms = NL__MEMBERS__INIT;
-	struct Nl__Member v[3], *pv[3];
-	struct raft_entry e[2] = { { 1, RAFT_ENTRY_MEMBERS, 0, NULL }, { 3, RAFT_ENTRY_NOOP, 0, (uint8_t *)"" } };
-	struct raft_saved saved = { .term = 3, .vote = 2, .log_from = 1, .e = e, .n = 2 };
-
-	memset(b, 0, sizeof *b);
-	apr_pool_create(&b->o.p, NULL);
-	b->o.id = 1;
-	b->o.addr = 101;
-	b->now = 100000;
+	struct Nl__Members members = NL__MEMBERS__INIT;
+	struct Nl__Member v[3], *member[3];
+	struct raft_entry entry[2] = { { 1, RAFT_ENTRY_MEMBERS, 0, NULL }, { 3, RAFT_ENTRY_NOOP, 0, (uint8_t *)"" } };
+	struct raft_saved saved = { .term = 3, .vote = 2, .first_index = 1, .entries = entry, .entry_count = 2 };
+
+	memset(bench, 0, sizeof *bench);
+	apr_pool_create(&bench->o.pool, NULL);
+	bench->o.id = 1;
+	bench->o.addr = 101;
+	bench->now = 100000;
 	for (int i = 0; i < 3; i++) {
 		nl__member__init(&v[i]);
 		v[i].id = (uint64_t)i + 1;
 		v[i].addr = 101 + (uint64_t)i;
 		v[i].voter = 1;
-		pv[i] = &v[i];
+		member[i] = &v[i];
 	}
-	ms.n_m = 3;
-	ms.m = pv;
-	e[0].len = nl__members__get_packed_size(&ms);
-	e[0].data = apr_palloc(b->o.p, e[0].len + 1);
-	nl__members__pack(&ms, e[0].data);
-	raft_open(&b->p, 0, 1, 5, &saved, b->now);
-	raft_tick(&b->p, b->now, &b->o);
+	members.n_m = 3;
+	members.m = member;
+	entry[0].len = nl__members__get_packed_size(&members);
+	entry[0].data = apr_palloc(bench->o.pool, entry[0].len + 1);
+	nl__members__pack(&members, entry[0].data);
+	raft_open(&bench->p, 0, 1, 5, &saved, bench->now);
+	raft_tick(&bench->p, bench->now, &bench->o);
 }
 
-static void hear_idle(struct bench *b, uint64_t from, uint64_t life, int owner, uint64_t last_term, uint64_t members_at)
+static void receive_idle(struct bench *bench, uint64_t from, uint64_t incarnation, int leader, uint64_t last_term, uint64_t members_at)
 {
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ProbeReply r = NL__PROBE_REPLY__INIT;
-
-	r.life = life;
-	r.owner = owner;
-	r.last_term = last_term;
-	r.members_at = members_at;
-	m.body_case = NL__MSG__BODY_PROBE_REPLY;
-	m.probe_reply = &r;
-	hear(b, from, &m);
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__ProbeReply probe_reply = NL__PROBE_REPLY__INIT;
+
+	probe_reply.life = incarnation;
+	probe_reply.owner = leader;
+	probe_reply.last_term = last_term;
+	probe_reply.members_at = members_at;
+	message.body_case = NL__MSG__BODY_PROBE_REPLY;
+	message.probe_reply = &probe_reply;
+	hear(bench, from, &message);
 }
 
-static void a_promise_from_before_a_fall_ends_when_nobody_owns(void **st)
+static void a_promise_from_before_a_crash_ends_when_nobody_leads(void **state)
 {
-	struct bench b;
-	uint64_t life;
+	struct bench bench;
+	uint64_t incarnation;
 
-	(void)st;
+	(void)state;
 	/* both others own nothing: it votes at once */
-	bench_return(&b);
-	assert_non_null(said(&b, NL__MSG__BODY_PROBE));
-	life = said(&b, NL__MSG__BODY_PROBE)->probe->life;
-	hear_idle(&b, 2, life, 0, 3, 1);
-	hear_idle(&b, 2, life, 0, 3, 1);
-	hear_vote(&b, 2, 5, 2, 3);
-	assert_false(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted); /* not before all have said so */
-	hear_idle(&b, 9, life, 0, 3, 1);                                       /* nobody of ours */
-	hear_idle(&b, 3, life ^ 1, 0, 3, 1);                                   /* said to another life */
-	hear_vote(&b, 2, 5, 2, 3);
-	assert_false(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-	hear_idle(&b, 3, life, 0, 3, 1);
-	hear_vote(&b, 2, 5, 2, 3);
-	raft_synced(&b.p, b.p.seq, b.now, &b.o);
-	assert_true(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-	bench_close(&b);
+	bench_return(&bench);
+	assert_non_null(said(&bench, NL__MSG__BODY_PROBE));
+	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+	receive_idle(&bench, 2, incarnation, 0, 3, 1);
+	receive_idle(&bench, 2, incarnation, 0, 3, 1);
+	receive_vote(&bench, 2, 5, 2, 3);
+	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted); /* not before all have said so */
+	receive_idle(&bench, 9, incarnation, 0, 3, 1);                                       /* nobody of ours */
+	receive_idle(&bench, 3, incarnation ^ 1, 0, 3, 1);                                   /* said to another life */
+	receive_vote(&bench, 2, 5, 2, 3);
+	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+	receive_idle(&bench, 3, incarnation, 0, 3, 1);
+	receive_vote(&bench, 2, 5, 2, 3);
+	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+	bench_close(&bench);
 
 	/* an owner, a later term, or later members that we do not know: the promise is waited out */
 	for (int k = 0; k < 3; k++) {
-		bench_return(&b);
-		life = said(&b, NL__MSG__BODY_PROBE)->probe->life;
-		hear_idle(&b, 3, life, k == 0, k == 1 ? 4 : 3, k == 2 ? 2 : 1);
-		hear_idle(&b, 2, life, 0, 3, 1);
-		hear_idle(&b, 3, life, 0, 3, 1);
-		hear_vote(&b, 2, 5, 2, 3);
-		assert_false(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-		b.now += RAFT_LEASE_MS;
-		hear_vote(&b, 2, 5, 2, 3);
-		raft_synced(&b.p, b.p.seq, b.now, &b.o);
-		assert_true(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-		bench_close(&b);
+		bench_return(&bench);
+		incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+		receive_idle(&bench, 3, incarnation, k == 0, k == 1 ? 4 : 3, k == 2 ? 2 : 1);
+		receive_idle(&bench, 2, incarnation, 0, 3, 1);
+		receive_idle(&bench, 3, incarnation, 0, 3, 1);
+		receive_vote(&bench, 2, 5, 2, 3);
+		assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+		bench.now += RAFT_LEASE_MS;
+		receive_vote(&bench, 2, 5, 2, 3);
+		raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+		assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+		bench_close(&bench);
 	}
 
 	/* an owner heard since: its lease holds, whatever the others said before */
-	bench_return(&b);
-	life = said(&b, NL__MSG__BODY_PROBE)->probe->life;
-	hear_idle(&b, 2, life, 0, 3, 1);
+	bench_return(&bench);
+	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	{
-		struct Nl__Msg m = NL__MSG__INIT;
-		struct Nl__Append a = NL__APPEND__INIT;
-
-		a.term = 4;
-		a.prev = 2;
-		a.prev_term = 3;
-		m.body_case = NL__MSG__BODY_APPEND;
-		m.append = &a;
-		hear(&b, 2, &m);
+		struct Nl__Msg message = NL__MSG__INIT;
+		struct Nl__Append append = NL__APPEND__INIT;
+
+		append.term = 4;
+		append.prev = 2;
+		append.prev_term = 3;
+		message.body_case = NL__MSG__BODY_APPEND;
+		message.append = &append;
+		hear(&bench, 2, &message);
 	}
-	hear_idle(&b, 3, life, 0, 3, 1);
-	hear_vote(&b, 3, 5, 2, 3);
-	assert_false(said(&b, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
-	bench_close(&b);
+	receive_idle(&bench, 3, incarnation, 0, 3, 1);
+	receive_vote(&bench, 3, 5, 2, 3);
+	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
+	bench_close(&bench);
 }
 
 int main(void)
@@ -668,9 +668,9 @@
 		cmocka_unit_test(index_against_plain_table),
 		cmocka_unit_test(table_followers_end_alike),
 		cmocka_unit_test(bad_changes_name_the_field),
-		cmocka_unit_test(nothing_is_said_before_the_disk_has_it),
-		cmocka_unit_test(an_owner_counts_itself_once_synced),
-		cmocka_unit_test(a_promise_from_before_a_fall_ends_when_nobody_owns),
+		cmocka_unit_test(nothing_is_sent_before_the_disk_has_it),
+		cmocka_unit_test(a_leader_counts_itself_once_synced),
+		cmocka_unit_test(a_promise_from_before_a_crash_ends_when_nobody_leads),
 	};
 
 	apr_initialize();
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -32,12 +32,12 @@
 	DRAIN_MS = 6500
 };
 
-static struct fw fleet;
+static struct sim_forward fleet;
 static int fleet_is_open;
 
-static struct fw *open_fleet(uint64_t seed, void (*before)(struct fw *))
+static struct sim_forward *open_fleet(uint64_t seed, void (*before)(struct sim_forward *))
 {
-	fw_open(&fleet, seed, CONTROLLERS, ROUTERS, FLEET_SERVERS, before);
+	sim_forward_open(&fleet, seed, CONTROLLERS, ROUTERS, FLEET_SERVERS, before);
 	fleet_is_open = 1;
 	return &fleet;
 }
@@ -46,90 +46,90 @@
 {
 	(void)st;
 	if (fleet_is_open)
-		fw_close(&fleet);
+		sim_forward_close(&fleet);
 	fleet_is_open = 0;
 	return 0;
 }
 
-static void go(struct fw *f, int64_t ms)
+static void go(struct sim_forward *forwarding, int64_t ms)
 {
-	if (!fw_run(f, ms))
-		fail_msg("seed %llu: %s", (unsigned long long)f->s.seed, f->s.bad);
+	if (!sim_forward_run(forwarding, ms))
+		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
 }
 
-static int64_t name(struct fw *f, int weights)
+static int64_t name(struct sim_forward *forwarding, int weights)
 {
-	if (!fw_name(f, POOL, weights))
-		fail_msg("seed %llu: weights %d are not acknowledged: %s", (unsigned long long)f->s.seed, weights, f->s.bad);
-	return arrlast(f->named).ack;
+	if (!sim_forward_set_target(forwarding, POOL, weights))
+		fail_msg("seed %llu: weights %d are not acknowledged: %s", (unsigned long long)forwarding->sim.seed, weights, forwarding->sim.violation);
+	return arrlast(forwarding->target_weights).acked_at;
 }
 
-static void bounds(struct fw *f)
+static void bounds(struct sim_forward *forwarding)
 {
-	f->s.b.roll_ms = ROLL_MS;
-	f->s.list.load_ms = LOAD_MS;
-	f->s.list.at_once = 64;
+	forwarding->sim.bounds.rollout_ms = ROLL_MS;
+	forwarding->sim.instance_list.load_ms = LOAD_MS;
+	forwarding->sim.instance_list.at_once = 64;
 }
 
-static void slow_loads(struct fw *f)
+static void slow_loads(struct sim_forward *forwarding)
 {
-	bounds(f);
-	f->s.list.load_ms = SLOW_LOAD_MS;
+	bounds(forwarding);
+	forwarding->sim.instance_list.load_ms = SLOW_LOAD_MS;
 }
 
-static int in_pool(const struct sim_inst *v) { return v->up && v->service[0] == 'p'; }
+static int in_pool(const struct sim_instance *instance) { return instance->up && instance->service[0] == 'p'; }
 
-static int pool_servers(const struct fw *f)
+static int pool_servers(const struct sim_forward *forwarding)
 {
 	int n = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(f->s.list.v); i++)
-		n += in_pool(&f->s.list.v[i]);
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++)
+		n += in_pool(&forwarding->sim.instance_list.instances[i]);
 	return n;
 }
 
 /* The most servers of the pool that load at one moment of a roll-out. */
-static int most_loading(struct fw *f, int64_t upto)
+static int most_loading(struct sim_forward *forwarding, int64_t upto)
 {
 	int most = 0;
 
-	while (f->s.now < upto) {
+	while (forwarding->sim.now < upto) {
 		int n = 0;
 
-		go(f, SAMPLE_MS);
-		for (ptrdiff_t i = 0; i < arrlen(f->s.list.v); i++)
-			n += in_pool(&f->s.list.v[i]) && f->s.list.v[i].loading[0];
+		go(forwarding, SAMPLE_MS);
+		for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++)
+			n += in_pool(&forwarding->sim.instance_list.instances[i]) && forwarding->sim.instance_list.instances[i].loading[0];
 		most = n > most ? n : most;
 	}
 	return most;
 }
 
-static int most_in_second_naming(uint64_t seed, int refuses)
+static int most_in_second_target(uint64_t seed, int refuses)
 {
-	struct fw *f = open_fleet(seed, bounds);
-	int64_t named;
+	struct sim_forward *forwarding = open_fleet(seed, bounds);
+	int64_t targeted_at;
 	int most;
 
-	f->every = 10;
-	f->s.list.v[STUCK].refuses = refuses;
-	go(f, SETTLE_MS);
-	named = name(f, 2);
-	go(f, named + 2 * ROLL_MS - f->s.now);
-	named = name(f, 3);
-	most = most_loading(f, named + ROLL_MS);
+	forwarding->request_interval_ms = 10;
+	forwarding->sim.instance_list.instances[STUCK].refuses = refuses;
+	go(forwarding, SETTLE_MS);
+	targeted_at = name(forwarding, 2);
+	go(forwarding, targeted_at + 2 * ROLL_MS - forwarding->sim.now);
+	targeted_at = name(forwarding, 3);
+	most = most_loading(forwarding, targeted_at + ROLL_MS);
 	teardown(NULL);
 	return most;
 }
 
 /* One server refuses to load and is past its bound: a calm roll-out of the next weights tells no more of the others at once
  * than it does without that server. */
-static void a_refusing_server_does_not_hurry_the_others(void **st)
+static void a_refusing_server_does_not_hurry_the_others(void **state)
 {
 	int failed = 0;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 3; seed++) {
-		int calm = most_in_second_naming(seed, 0), refusing = most_in_second_naming(seed, 1);
+		int calm = most_in_second_target(seed, 0), refusing = most_in_second_target(seed, 1);
 
 		print_message("seed %llu: at most %d servers load at once; with one that refuses %d\n", (unsigned long long)seed,
 			      calm, refusing);
@@ -139,49 +139,49 @@
 }
 
 /* Loads take over a quarter of the bound, and nothing else is wrong. */
-static void slow_loads_hold_their_places(void **st)
+static void slow_loads_hold_their_slots(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 3; seed++) {
-		struct fw *f = open_fleet(seed, slow_loads);
+		struct sim_forward *forwarding = open_fleet(seed, slow_loads);
 		int all, most;
 
-		go(f, SETTLE_MS);
-		all = pool_servers(f);
-		most = most_loading(f, name(f, 2) + 2 * ROLL_MS);
+		go(forwarding, SETTLE_MS);
+		all = pool_servers(forwarding);
+		most = most_loading(forwarding, name(forwarding, 2) + 2 * ROLL_MS);
 		print_message("seed %llu: at most %d of %d servers load at once\n", (unsigned long long)seed, most, all);
 		assert_true(most * 3 <= all * 2);
 		teardown(NULL);
 	}
 }
 
-static void long_loads(struct fw *f)
+static void long_loads(struct sim_forward *forwarding)
 {
-	bounds(f);
-	f->s.list.load_ms = LONG_LOAD_MS;
+	bounds(forwarding);
+	forwarding->sim.instance_list.load_ms = LONG_LOAD_MS;
 }
 
 /* The most servers that load at once while the first ones of a roll-out do, in which the leader may die while servers load. */
 static int most_over_a_leaders_death(uint64_t seed, int dies)
 {
-	struct fw *f = open_fleet(seed, long_loads);
-	int64_t named;
+	struct sim_forward *forwarding = open_fleet(seed, long_loads);
+	int64_t targeted_at;
 	int before, after;
 
-	go(f, SETTLE_MS);
-	named = name(f, 2);
-	before = most_loading(f, named + 500 + (int64_t)seed * 150);
+	go(forwarding, SETTLE_MS);
+	targeted_at = name(forwarding, 2);
+	before = most_loading(forwarding, targeted_at + 500 + (int64_t)seed * 150);
 	if (dies)
-		sim_crash(&f->s, sim_owner(&f->s, SHARD_CONTROL), 0);
-	after = most_loading(f, named + LONG_LOAD_MS);
+		sim_crash(&forwarding->sim, sim_leader(&forwarding->sim, SHARD_CONTROL), 0);
+	after = most_loading(forwarding, targeted_at + LONG_LOAD_MS);
 	teardown(NULL);
 	return before > after ? before : after;
 }
 
 /* Whoever takes over counts the loads of the leader before among those that go on at once. */
-static void loads_that_are_taken_over_hold_their_places(void **st)
+static void loads_that_are_taken_over_hold_their_slots(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 6; seed++) {
 		int calm = most_over_a_leaders_death(seed, 0), died = most_over_a_leaders_death(seed, 1);
 
@@ -191,48 +191,48 @@
 	}
 }
 
-static void busy_fleet(struct fw *f)
+static void busy_fleet(struct sim_forward *forwarding)
 {
-	bounds(f);
-	f->s.list.load_ms = ROLL_MS / 10;
-	f->s.list.at_once = 3;
-	f->s.list.slots = 3;
+	bounds(forwarding);
+	forwarding->sim.instance_list.load_ms = ROLL_MS / 10;
+	forwarding->sim.instance_list.at_once = 3;
+	forwarding->sim.instance_list.slots = 3;
 }
 
 /* The share of requests that is served whole in the roll-out of a second naming; one server may refuse, or be off with its
  * address still on the list. */
-static double served_in_second_naming(uint64_t seed, int refuses)
+static double served_in_second_target(uint64_t seed, int refuses)
 {
-	struct fw *f = open_fleet(seed, busy_fleet);
+	struct sim_forward *forwarding = open_fleet(seed, busy_fleet);
 	ptrdiff_t from;
-	int64_t named;
-	int whole = 0, all;
-
-	f->s.list.v[STUCK].refuses = refuses;
-	go(f, SETTLE_MS);
-	named = name(f, 2);
-	go(f, named + 2 * ROLL_MS - f->s.now);
-	f->every = 6;
-	go(f, SETTLE_MS);
-	from = arrlen(f->req);
-	named = name(f, 3);
-	go(f, ROLL_MS / 2);
-	f->every = 0;
-	all = (int)(arrlen(f->req) - from);
-	go(f, DRAIN_MS);
+	int64_t targeted_at;
+	int complete = 0, all;
+
+	forwarding->sim.instance_list.instances[STUCK].refuses = refuses;
+	go(forwarding, SETTLE_MS);
+	targeted_at = name(forwarding, 2);
+	go(forwarding, targeted_at + 2 * ROLL_MS - forwarding->sim.now);
+	forwarding->request_interval_ms = 6;
+	go(forwarding, SETTLE_MS);
+	from = arrlen(forwarding->requests);
+	targeted_at = name(forwarding, 3);
+	go(forwarding, ROLL_MS / 2);
+	forwarding->request_interval_ms = 0;
+	all = (int)(arrlen(forwarding->requests) - from);
+	go(forwarding, DRAIN_MS);
 	for (ptrdiff_t i = from; i < from + all; i++)
-		whole += f->req[i].told == FW_WHOLE;
+		complete += forwarding->requests[i].outcome == SIM_FORWARD_COMPLETE;
 	teardown(NULL);
-	return (double)whole / all;
+	return (double)complete / all;
 }
 
-static void a_refusing_server_costs_no_capacity_of_others(void **st)
+static void a_refusing_server_costs_no_capacity_of_others(void **state)
 {
 	int failed = 0;
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 3; seed++) {
-		double calm = served_in_second_naming(seed, 0), refusing = served_in_second_naming(seed, 1);
+		double calm = served_in_second_target(seed, 0), refusing = served_in_second_target(seed, 1);
 
 		print_message(
 		    "seed %llu: served %.3f in a calm roll-out, %.3f with one server that refuses and is past its bound\n",
@@ -244,61 +244,61 @@
 
 /* As what_waits_at_a_slow_server_does_not_begin_late, at a server that does not drop a request when its connection closes ("most
  * do", as the protocol of the deployments has it). */
-static void what_was_taken_back_does_not_begin_late(void **st)
+static void what_was_taken_back_does_not_begin_late(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 4; seed++) {
-		struct fw *f = open_fleet(seed, bounds);
-		int64_t named;
-
-		f->s.list.v[STUCK].refuses = 1;
-		f->every = 10;
-		go(f, SETTLE_MS);
-		f->v[STUCK].keeps = 1;
-		for (ptrdiff_t i = 0; i < arrlen(f->v); i++)
-			f->v[i].queue_ms = 400;
-		named = name(f, 2);
-		go(f, named + ROLL_MS - 3500 - f->s.now);
-		for (ptrdiff_t i = 0; i < arrlen(f->v); i++)
-			f->v[i].queue_ms = 6 * 400;
-		go(f, named + ROLL_MS + 4000 - f->s.now);
+		struct sim_forward *forwarding = open_fleet(seed, bounds);
+		int64_t targeted_at;
+
+		forwarding->sim.instance_list.instances[STUCK].refuses = 1;
+		forwarding->request_interval_ms = 10;
+		go(forwarding, SETTLE_MS);
+		forwarding->servers[STUCK].keeps = 1;
+		for (ptrdiff_t i = 0; i < arrlen(forwarding->servers); i++)
+			forwarding->servers[i].queue_ms = 400;
+		targeted_at = name(forwarding, 2);
+		go(forwarding, targeted_at + ROLL_MS - 3500 - forwarding->sim.now);
+		for (ptrdiff_t i = 0; i < arrlen(forwarding->servers); i++)
+			forwarding->servers[i].queue_ms = 6 * 400;
+		go(forwarding, targeted_at + ROLL_MS + 4000 - forwarding->sim.now);
 		teardown(NULL);
 	}
 }
 
 /* Some servers refuse; the others get two namings, 3 s apart, within the bound of each, and both models are rolled out. */
-static void healthy_servers_are_not_starved(void **st)
+static void healthy_servers_are_not_starved(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 4; seed++) {
-		struct fw *f = open_fleet(seed, busy_fleet);
+		struct sim_forward *forwarding = open_fleet(seed, busy_fleet);
 		int64_t first;
 		int behind[2] = { 0, 0 };
 
-		f->every = 10;
-		for (ptrdiff_t i = 0; i < arrlen(f->s.list.v); i++)
-			f->s.list.v[i].refuses = i % 3 == (ptrdiff_t)(seed % 3);
-		go(f, SETTLE_MS);
-		first = name(f, 2);
-		assert_true(fw_name(f, 1, 2));
-		go(f, 3000);
-		name(f, 3);
-		assert_true(fw_name(f, 1, 3));
+		forwarding->request_interval_ms = 10;
+		for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++)
+			forwarding->sim.instance_list.instances[i].refuses = i % 3 == (ptrdiff_t)(seed % 3);
+		go(forwarding, SETTLE_MS);
+		first = name(forwarding, 2);
+		assert_true(sim_forward_set_target(forwarding, 1, 2));
+		go(forwarding, 3000);
+		name(forwarding, 3);
+		assert_true(sim_forward_set_target(forwarding, 1, 3));
 		for (int weights = 2; weights <= 3; weights++) {
-			go(f, first + ROLL_MS + (weights - 2) * 3000 - f->s.now);
-			for (ptrdiff_t i = 0; i < arrlen(f->s.list.v); i++) {
-				const struct sim_inst *v = &f->s.list.v[i];
+			go(forwarding, first + ROLL_MS + (weights - 2) * 3000 - forwarding->sim.now);
+			for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++) {
+				const struct sim_instance *instance = &forwarding->sim.instance_list.instances[i];
 
-				behind[weights - 2] += v->up && !v->refuses && v->service[0] != 's' && atoi(v->weights) < weights;
+				behind[weights - 2] += instance->up && !instance->refuses && instance->service[0] != 's' && atoi(instance->weights) < weights;
 			}
 		}
 		print_message("seed %llu: %d and %d healthy servers are behind at the bounds of weights 2 and 3\n",
 			      (unsigned long long)seed, behind[0], behind[1]);
 		assert_int_equal(behind[0] + behind[1], 0);
-		f->every = 0;
-		go(f, DRAIN_MS);
-		if (!fw_end(f))
-			fail_msg("seed %llu: %s", (unsigned long long)seed, f->s.bad);
+		forwarding->request_interval_ms = 0;
+		go(forwarding, DRAIN_MS);
+		if (!sim_forward_end(forwarding))
+			fail_msg("seed %llu: %s", (unsigned long long)seed, forwarding->sim.violation);
 		teardown(NULL);
 	}
 }
@@ -307,69 +307,69 @@
 
 enum { IDLE_MS = 60000, CONTACT_MS = 4000 };
 
-static void stuck_fleet(struct fw *f)
+static void stuck_fleet(struct sim_forward *forwarding)
 {
-	bounds(f);
-	f->s.list.at_once = 12;
+	bounds(forwarding);
+	forwarding->sim.instance_list.at_once = 12;
 }
 
-static void restart(struct fw *f, int node)
+static void restart(struct sim_forward *f, int node)
 {
-	sim_crash(&f->s, node, 0);
-	sim_start(&f->s, node);
+	sim_crash(&f->sim, node, 0);
+	sim_start(&f->sim, node);
 }
 
-static int begun_at(const struct fw *f, int server, int64_t from, int64_t upto)
+static int begun_at(const struct sim_forward *forwarding, int server, int64_t from, int64_t upto)
 {
 	int n = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(f->call); i++)
-		n += f->call[i].server == server && f->call[i].began_at > from && f->call[i].began_at <= upto;
+	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++)
+		n += forwarding->calls[i].server == server && forwarding->calls[i].began_at > from && forwarding->calls[i].began_at <= upto;
 	return n;
 }
 
 /* After a minute in which nothing was logged all controllers restart, and weights are named. Routers that lived on, and one that
  * begins after the naming, use the server with the older weights for most of the bound, and not beyond it. */
-static void all_controllers_restart_after_idle_time(void **st)
+static void all_controllers_restart_after_idle_time(void **state)
 {
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 6; seed++) {
-		struct fw *f = open_fleet(seed, stuck_fleet);
-		int64_t named;
+		struct sim_forward *forwarding = open_fleet(seed, stuck_fleet);
+		int64_t targeted_at;
 		int used;
 
-		f->s.list.v[STUCK].refuses = 1;
-		go(f, SETTLE_MS);
+		forwarding->sim.instance_list.instances[STUCK].refuses = 1;
+		go(forwarding, SETTLE_MS);
 		if (seed % 2)
-			name(f, 2);
-		go(f, IDLE_MS);
+			name(forwarding, 2);
+		go(forwarding, IDLE_MS);
 		for (int node = 0; node < CONTROLLERS; node++)
-			restart(f, node);
-		go(f, CONTACT_MS);
-		f->every = 4;
-		go(f, SETTLE_MS);
-		named = name(f, 3);
+			restart(forwarding, node);
+		go(forwarding, CONTACT_MS);
+		forwarding->request_interval_ms = 4;
+		go(forwarding, SETTLE_MS);
+		targeted_at = name(forwarding, 3);
 		if (seed > 3)
-			restart(f, SIM_REGS);
-		go(f, named + ROLL_MS + CONTACT_MS - f->s.now);
-		used = begun_at(f, STUCK, named, named + ROLL_MS);
+			restart(forwarding, SIM_CONTROLLERS);
+		go(forwarding, targeted_at + ROLL_MS + CONTACT_MS - forwarding->sim.now);
+		used = begun_at(forwarding, STUCK, targeted_at, targeted_at + ROLL_MS);
 		print_message(
 		    "seed %llu: %d requests begin at the server with the older weights in the bound, %d after three quarters of it, %d before it\n",
-		    (unsigned long long)seed, used, begun_at(f, STUCK, named + ROLL_MS * 3 / 4, named + ROLL_MS),
-		    begun_at(f, STUCK, 0, named));
-		f->every = 0;
-		go(f, DRAIN_MS);
-		if (!fw_end(f))
-			fail_msg("seed %llu: %s", (unsigned long long)seed, f->s.bad);
+		    (unsigned long long)seed, used, begun_at(forwarding, STUCK, targeted_at + ROLL_MS * 3 / 4, targeted_at + ROLL_MS),
+		    begun_at(forwarding, STUCK, 0, targeted_at));
+		forwarding->request_interval_ms = 0;
+		go(forwarding, DRAIN_MS);
+		if (!sim_forward_end(forwarding))
+			fail_msg("seed %llu: %s", (unsigned long long)seed, forwarding->sim.violation);
 		if (!(seed % 2))
-			assert_true(begun_at(f, STUCK, named + ROLL_MS / 2, named + ROLL_MS) > 0);
+			assert_true(begun_at(forwarding, STUCK, targeted_at + ROLL_MS / 2, targeted_at + ROLL_MS) > 0);
 		teardown(NULL);
 	}
 }
 
 /* ---- dates ------------------------------------------------------------------------------------ */
 
-static struct Nl__Row model_row(const char *weights)
+static struct Nl__Row make_model_row(const char *weights)
 {
 	struct Nl__Row row = NL__ROW__INIT;
 
@@ -381,50 +381,50 @@
 
 /* A row from a snapshot that was made before namings were dated: 5 is named, since when is not known. A naming of 6 gives weights
  * 4, which 5 superseded long ago, no new date. */
-static void a_naming_after_undated_ones_revives_no_older_weights(void **st)
+static void a_target_version_after_undated_ones_revives_no_older_weights(void **state)
 {
-	struct Nl__Row before = model_row("5"), row = model_row("6");
-	struct naming_list list;
+	struct Nl__Row before = make_model_row("5"), row = make_model_row("6");
+	struct version_history list;
 	const struct Nl__Naming *newer;
 
-	(void)st;
-	naming_update(&list, &before, &row, (struct group_moment){ 1000000, 3 }, 900000);
-	newer = naming_after(&row, 4);
+	(void)state;
+	version_history_update(&list, &before, &row, (struct group_moment){ 1000000, 3 }, 900000);
+	newer = version_history_after(&row, 4);
 	if (newer && newer->at == 1000000)
 		fail_msg("weights 4, superseded by 5 before dates were kept, are dated by the naming of %d, at %d",
 			 (int)newer->weights, (int)newer->at);
 }
 
-enum { SEQUENCES = 2000, NAMINGS_OF_A_SEQUENCE = 200, GAP_MOST_MS = 400, PRUNE_MS = 20000 };
+enum { SEQUENCES = 2000, TARGETS_OF_A_SEQUENCE = 200, GAP_MOST_MS = 400, PRUNE_MS = 20000 };
 
 /* Namings at random moments, more than are kept: weights are never dated later than the naming that superseded them, unless both
  * dates are past the bound; and the list rises. */
-static void no_date_is_later_than_its_naming(void **st)
+static void no_date_is_later_than_its_target_version(void **state)
 {
 	uint64_t rng = 7;
 
-	(void)st;
+	(void)state;
 	for (int k = 0; k < SEQUENCES; k++) {
-		static struct naming_list lists[2];
-		uint64_t at[NAMINGS_OF_A_SEQUENCE + 2] = { 0 }, now = 1000, last = 1, most = 1 + core_rand(&rng) % GAP_MOST_MS;
+		static struct version_history lists[2];
+		uint64_t at[TARGETS_OF_A_SEQUENCE + 2] = { 0 }, now = 1000, last = 1, most = 1 + core_random(&rng) % GAP_MOST_MS;
 		char text[2][24];
-		struct Nl__Row row[2] = { model_row("1"), model_row("1") };
+		struct Nl__Row row[2] = { make_model_row("1"), make_model_row("1") };
 
-		for (int i = 1; i < NAMINGS_OF_A_SEQUENCE; i++) {
+		for (int i = 1; i < TARGETS_OF_A_SEQUENCE; i++) {
 			struct Nl__Row *is = &row[i % 2], *was = &row[(i + 1) % 2];
-			uint64_t next = last + core_rand(&rng) % 2, passed;
+			uint64_t next = last + core_random(&rng) % 2, passed;
 
-			now += core_rand(&rng) % most;
+			now += core_random(&rng) % most;
 			passed = now > PRUNE_MS ? now - PRUNE_MS : 0;
 			snprintf(text[i % 2], sizeof text[0], "%d", (int)next);
 			is->weights = text[i % 2];
 			if (next > last)
 				at[next] = now;
-			naming_update(&lists[i % 2], was, is, (struct group_moment){ now, 1 }, passed);
+			version_history_update(&lists[i % 2], was, is, (struct group_moment){ now, 1 }, passed);
 			last = next;
-			assert_true(is->n_naming <= NAMING_MOST);
+			assert_true(is->n_naming <= VERSION_HISTORY_MAX);
 			for (uint64_t w = 1; w < last; w++) {
-				const struct Nl__Naming *newer = naming_after(is, w);
+				const struct Nl__Naming *newer = version_history_after(is, w);
 
 				assert_non_null(newer);
 				assert_true(newer->at <= at[w + 1] || newer->at <= passed);
@@ -437,24 +437,24 @@
 }
 
 /* A leader's answer to a request of the watch, which comes at once. */
-static void answer_watch(struct config_watch *watch, apr_pool_t *p, int64_t now, uint64_t leader_clock)
-{
-	struct out o = { 0 };
-	struct Nl__Msg m = NL__MSG__INIT;
-	struct Nl__ConfigSyncReply a = NL__CONFIG_SYNC_REPLY__INIT;
-
-	o.p = p;
-	config_watch_ask(watch, 0, now, &o);
-	a.token = watch->token;
-	a.has_lease = 1;
-	a.fleet = 7;
-	a.clock = leader_clock;
-	a.clock_term = 1;
-	m.addr = 1;
-	m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	m.follow_reply = &a;
-	(void)config_watch_msg(watch, &m, now, &o);
-	arrfree(o.v);
+static void answer_watch(struct config_watch *watch, apr_pool_t *pool, int64_t now, uint64_t leader_clock)
+{
+	struct out out = { 0 };
+	struct Nl__Msg message = NL__MSG__INIT;
+	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+
+	out.pool = pool;
+	config_watch_poll(watch, 0, now, &out);
+	reply.token = watch->last_token;
+	reply.has_lease = 1;
+	reply.fleet = 7;
+	reply.clock = leader_clock;
+	reply.clock_term = 1;
+	message.addr = 1;
+	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+	message.follow_reply = &reply;
+	(void)config_watch_receive(watch, &message, now, &out);
+	arrfree(out.commands);
 }
 
 enum { TERMS = 30, ANSWERS = 40, WAYS = 3000, LOST_MOST_MS = 60000 };
@@ -462,59 +462,59 @@
 /* Leaders follow each other, some after a restart of all that loses time; answers are slow, late and overtake each other, also
  * those of leaders before. The clock of each leader that is remembered is never behind, and that of one that was not heard is not
  * behind the one that it followed unless time was lost since. */
-static void no_leaders_clock_is_behind(void **st)
+static void no_leaders_clock_is_behind(void **state)
 {
 	static const uint64_t seeds[1] = { 1 };
 
-	(void)st;
+	(void)state;
 	for (uint64_t seed = 1; seed <= 200; seed++) {
 		struct config_watch watch;
 		uint64_t rng = seed, heard = 0;
 		int64_t now = 100000, offset[TERMS + 1] = { 0 }, best[TERMS + 1];
-		apr_pool_t *p;
+		apr_pool_t *pool;
 
-		apr_pool_create(&p, NULL);
+		apr_pool_create(&pool, NULL);
 		config_watch_open(&watch, 5, seeds, 1, now);
 		offset[0] = 500000;
 		for (int term = 1; term <= TERMS; term++) {
-			offset[term] = offset[term - 1] + (core_rand(&rng) % 3 ? (int64_t)(core_rand(&rng) % 500)
-									       : -(int64_t)(core_rand(&rng) % LOST_MOST_MS));
+			offset[term] = offset[term - 1] + (core_random(&rng) % 3 ? (int64_t)(core_random(&rng) % 500)
+									       : -(int64_t)(core_random(&rng) % LOST_MOST_MS));
 			best[term] = INT64_MAX;
 			for (int k = 0; k < ANSWERS; k++) {
-				struct out o = { 0 };
-				struct Nl__Msg m = NL__MSG__INIT;
-				struct Nl__ConfigSyncReply a = NL__CONFIG_SYNC_REPLY__INIT;
-				int of = core_rand(&rng) % 10 || term == 1 ? term : term - 1;
-				int64_t asked = now, way = (int64_t)(core_rand(&rng) % WAYS);
-
-				o.p = p;
-				config_watch_ask(&watch, 0, now, &o);
-				a.token = watch.token;
-				a.has_lease = 1;
-				a.fleet = 7;
-				a.clock = (uint64_t)(asked + (int64_t)(core_rand(&rng) % (uint64_t)(way + 1)) + offset[of]);
-				a.clock_term = (uint64_t)of;
-				m.addr = 1;
-				m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-				m.follow_reply = &a;
+				struct out out = { 0 };
+				struct Nl__Msg message = NL__MSG__INIT;
+				struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+				int of = core_random(&rng) % 10 || term == 1 ? term : term - 1;
+				int64_t submitted = now, way = (int64_t)(core_random(&rng) % WAYS);
+
+				out.pool = pool;
+				config_watch_poll(&watch, 0, now, &out);
+				reply.token = watch.last_token;
+				reply.has_lease = 1;
+				reply.fleet = 7;
+				reply.clock = (uint64_t)(submitted + (int64_t)(core_random(&rng) % (uint64_t)(way + 1)) + offset[of]);
+				reply.clock_term = (uint64_t)of;
+				message.addr = 1;
+				message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+				message.follow_reply = &reply;
 				now += way;
-				(void)config_watch_msg(&watch, &m, now, &o);
-				arrfree(o.v);
+				(void)config_watch_receive(&watch, &message, now, &out);
+				arrfree(out.commands);
 				heard = (uint64_t)of > heard ? (uint64_t)of : heard;
 				for (int t = 1; t <= term; t++)
-					for (int i = 0; i < CONFIG_WATCH_TERMS; i++)
+					for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 						if (watch.group_clock[i].term == (uint64_t)t) {
 							int64_t ahead =
-							    config_watch_clock(&watch, (uint64_t)t, now) - now - offset[t];
+							    config_watch_clock_ms(&watch, (uint64_t)t, now) - now - offset[t];
 
 							assert_true(ahead >= 0 && ahead <= WAYS && ahead <= best[t]);
 							best[t] = ahead;
 						}
-				assert_true(config_watch_clock(&watch, 0, now) - now >= offset[heard]);
+				assert_true(config_watch_clock_ms(&watch, 0, now) - now >= offset[heard]);
 			}
 		}
 		config_watch_close(&watch);
-		apr_pool_destroy(p);
+		apr_pool_destroy(pool);
 	}
 }
 
@@ -540,22 +540,22 @@
 		answer_watch(&watch, p, now, (uint64_t)leader);
 		apr_pool_destroy(p);
 	}
-	leader -= config_watch_clock(&watch, 1, now);
+	leader -= config_watch_clock_ms(&watch, 1, now);
 	config_watch_close(&watch);
 	apr_pool_destroy(pool);
 	return leader;
 }
 
 /* "Never behind": while answers come each second, no naming looks younger than it is by as much as sends end early. */
-static void the_clock_that_is_reckoned_does_not_fall_behind(void **st)
+static void the_clock_that_is_reckoned_does_not_fall_behind(void **state)
 {
 	int64_t drift = behind_after(24, DRIFT_PER_MILLION, 0), pause = behind_after(1, 0, PAUSE_MS);
 
-	(void)st;
+	(void)state;
 	print_message(
 	    "behind the leader by %d ms after 24 h at %d parts per million, by %d ms half an hour after a pause of %d ms\n",
 	    (int)drift, DRIFT_PER_MILLION, (int)pause, PAUSE_MS);
-	assert_true(drift < ROUTER_ROLL_EARLY - ROUTER_ROLL_RECALL && pause < ROUTER_ROLL_EARLY - ROUTER_ROLL_RECALL);
+	assert_true(drift < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS && pause < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS);
 }
 
 /* ---- one router ------------------------------------------------------------------------------- */
@@ -563,30 +563,30 @@
 enum { STORM = 300, SOLO_ROLL_MS = 20000 };
 
 /* A router with servers on weights 1, but for the last few, which have the newest; one naming a ms, the first at a moment. */
-static void open_solo(struct solo *s, int servers, int new_servers, int namings, int64_t at, int repeatable, int attempts)
+static void open_solo(struct solo *solo, int servers, int new_servers, int targets, int64_t at, int repeatable, int attempts)
 {
 	struct Nl__Row *row[3];
-	struct Nl__Instance **v;
+	struct Nl__Instance **instance;
 
-	solo_open(s, 5);
-	v = apr_palloc(s->p, sizeof *v * (size_t)servers);
-	s->c.b.roll_ms = SOLO_ROLL_MS;
-	row[0] = new_row(s->p, NL__KIND__MODEL, "m");
-	row[0]->weights = apr_psprintf(s->p, "%d", namings + 1);
+	router_fixture_open(solo, 5);
+	instance = apr_palloc(solo->p, sizeof *instance * (size_t)servers);
+	solo->router.bounds.rollout_ms = SOLO_ROLL_MS;
+	row[0] = new_row(solo->p, NL__KIND__MODEL, "m");
+	row[0]->weights = apr_psprintf(solo->p, "%d", targets + 1);
 	row[0]->rolled = "1";
-	row[0]->naming = apr_palloc(s->p, sizeof *row[0]->naming * (size_t)(namings + 1));
-	for (int i = 0; i < namings; i++) {
-		struct Nl__Naming *n = apr_palloc(s->p, sizeof *n);
-
-		nl__naming__init(n);
-		n->weights = (uint64_t)(i + 2);
-		n->at = (uint64_t)(at + i);
-		n->term = 1;
-		row[0]->naming[row[0]->n_naming++] = n;
+	row[0]->naming = apr_palloc(solo->p, sizeof *row[0]->naming * (size_t)(targets + 1));
+	for (int i = 0; i < targets; i++) {
+		struct Nl__Naming *naming = apr_palloc(solo->p, sizeof *naming);
+
+		nl__naming__init(naming);
+		naming->weights = (uint64_t)(i + 2);
+		naming->at = (uint64_t)(at + i);
+		naming->term = 1;
+		row[0]->naming[row[0]->n_naming++] = naming;
 	}
-	row[1] = new_service(s->p, "pool");
+	row[1] = new_service(solo->p, "pool");
 	row[1]->model = "m";
-	row[2] = new_row(s->p, NL__KIND__LANE, "route");
+	row[2] = new_row(solo->p, NL__KIND__LANE, "route");
 	row[2]->service = "pool";
 	row[2]->host = "h";
 	row[2]->path = "/";
@@ -595,90 +595,90 @@
 	row[2]->open = 1;
 	row[2]->repeatable = repeatable;
 	for (int i = 0; i < servers; i++) {
-		v[i] = new_sight(s->p, i, "pool");
-		v[i]->weights = i < servers - new_servers ? "1" : row[0]->weights;
+		instance[i] = new_instance(solo->p, i, "pool");
+		instance[i]->weights = i < servers - new_servers ? "1" : row[0]->weights;
 	}
-	solo_table(s, row, 3, v, (size_t)servers, 1);
+	router_fixture_table(solo, row, 3, instance, (size_t)servers, 1);
 }
 
 /* Let time pass in small steps, with answers of the leader, so that the configuration stays fresh. */
-static void solo_wait(struct solo *s, int64_t upto)
-{
-	while (s->now < upto) {
-		struct Nl__Msg m = NL__MSG__INIT;
-		struct Nl__ConfigSyncReply r = NL__CONFIG_SYNC_REPLY__INIT;
-
-		out_clear(&s->o);
-		solo_tick(s, 10);
-		for (ptrdiff_t i = 0; i < arrlen(s->o.v); i++)
-			if (s->o.v[i].kind == CMD_SEND && s->o.v[i].u.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-				r.token = s->o.v[i].u.send.msg->follow->token;
-		if (!r.token)
+static void solo_wait(struct solo *solo, int64_t upto)
+{
+	while (solo->now < upto) {
+		struct Nl__Msg message = NL__MSG__INIT;
+		struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
+
+		command_list_clear(&solo->commands);
+		router_fixture_tick(solo, 10);
+		for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
+			if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
+				reply.token = solo->commands.commands[i].args.send.msg->follow->token;
+		if (!reply.token)
 			continue;
-		r.has_lease = 1;
-		r.fleet = 7;
-		r.edition = r.since = r.instances = 1;
-		r.counters = 1;
-		r.clock = (uint64_t)s->now;
-		r.clock_term = 1;
-		m.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-		m.follow_reply = &r;
-		m.addr = m.id = 1;
-		m.speak = CORE_SPEAK;
-		solo_msg(s, &m);
+		reply.has_lease = 1;
+		reply.fleet = 7;
+		reply.edition = reply.since = reply.instances = 1;
+		reply.counters = 1;
+		reply.clock = (uint64_t)solo->now;
+		reply.clock_term = 1;
+		message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
+		message.follow_reply = &reply;
+		message.addr = message.id = 1;
+		message.speak = CORE_SPEAK;
+		router_fixture_message(solo, &message);
 	}
 }
 
 /* Hundreds wait at servers with older weights when those are due. Each ends or goes on once; the accounts are right. */
-static void a_storm_of_recalls(void **st)
+static void a_storm_of_recalls(void **state)
 {
-	(void)st;
+	(void)state;
 	for (int repeatable = 0; repeatable < 2; repeatable++)
 		for (int new_servers = 0; new_servers < 4; new_servers += 3) {
-			struct solo s = { 0 };
+			struct solo solo = { 0 };
 			int refused = 0, broke = 0, sent = 0, cancelled = 0;
-			int64_t named, end;
+			int64_t targeted_at, end;
 
-			open_solo(&s, 12, new_servers, 1, 1000000, repeatable, 3);
-			named = 1000000;
-			end = named + SOLO_ROLL_MS;
-			solo_wait(&s, end - ROUTER_ROLL_EARLY - 300);
+			open_solo(&solo, 12, new_servers, 1, 1000000, repeatable, 3);
+			targeted_at = 1000000;
+			end = targeted_at + SOLO_ROLL_MS;
+			solo_wait(&solo, end - ROUTER_ROLLOUT_SEND_MARGIN_MS - 300);
 			for (int i = 0; i < STORM; i++) {
 				int status;
 
-				(void)solo_ask(&s, "h", "/x", apr_psprintf(s.p, "id-%d", i), &status);
+				(void)router_fixture_submit(&solo, "h", "/x", apr_psprintf(solo.p, "id-%d", i), &status);
 			}
-			while (s.now < end + 100) {
-				out_clear(&s.o);
-				solo_tick(&s, 10);
-				for (ptrdiff_t i = 0; i < arrlen(s.o.v); i++) {
-					const struct cmd *k = &s.o.v[i];
-
-					refused += k->kind == CMD_ANSWER && k->u.answer.status == 503;
-					broke += k->kind == CMD_ANSWER && k->u.answer.status == 502;
-					cancelled += k->kind == CMD_CANCEL;
-					sent += k->kind == CMD_FORWARD;
+			while (solo.now < end + 100) {
+				command_list_clear(&solo.commands);
+				router_fixture_tick(&solo, 10);
+				for (ptrdiff_t i = 0; i < arrlen(solo.commands.commands); i++) {
+					const struct command *command = &solo.commands.commands[i];
+
+					refused += command->kind == CMD_ANSWER && command->args.answer.status == 503;
+					broke += command->kind == CMD_ANSWER && command->args.answer.status == 502;
+					cancelled += command->kind == CMD_CANCEL;
+					sent += command->kind == CMD_FORWARD;
 				}
-				assert_true(router_balanced(&s.c));
+				assert_true(router_balanced(&solo.router));
 			}
 			print_message(
 			    "repeatable %d, new servers %d: recalled %d, cancelled %d; then 502 %d, 503 %d, sent %d; %d remain, "
 			    "sent past %d\n",
-			    repeatable, new_servers, (int)s.c.n.recalled, cancelled, broke, refused, sent, (int)arrlen(s.c.all),
-			    (int)s.c.n.sent_past_bound);
-			assert_int_equal(s.c.n.recalled, cancelled);
-			assert_int_equal(s.c.n.sent_past_bound, 0);
+			    repeatable, new_servers, (int)solo.router.stats.recalled, cancelled, broke, refused, sent, (int)arrlen(solo.router.requests),
+			    (int)solo.router.stats.sent_past_bound);
+			assert_int_equal(solo.router.stats.recalled, cancelled);
+			assert_int_equal(solo.router.stats.sent_past_bound, 0);
 			if (!repeatable)
 				assert_int_equal(sent, 0);
-			solo_close(&s);
+			router_fixture_close(&solo);
 		}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_naming_after_undated_ones_revives_no_older_weights),
-		cmocka_unit_test(no_date_is_later_than_its_naming),
+		cmocka_unit_test(a_target_version_after_undated_ones_revives_no_older_weights),
+		cmocka_unit_test(no_date_is_later_than_its_target_version),
 		cmocka_unit_test(no_leaders_clock_is_behind),
 		cmocka_unit_test(the_clock_that_is_reckoned_does_not_fall_behind),
 		cmocka_unit_test(a_storm_of_recalls),
@@ -687,8 +687,8 @@
 		cmocka_unit_test_teardown(what_was_taken_back_does_not_begin_late, teardown),
 		cmocka_unit_test_teardown(healthy_servers_are_not_starved, teardown),
 		cmocka_unit_test_teardown(all_controllers_restart_after_idle_time, teardown),
-		cmocka_unit_test_teardown(slow_loads_hold_their_places, teardown),
-		cmocka_unit_test_teardown(loads_that_are_taken_over_hold_their_places, teardown),
+		cmocka_unit_test_teardown(slow_loads_hold_their_slots, teardown),
+		cmocka_unit_test_teardown(loads_that_are_taken_over_hold_their_slots, teardown),
 	};
 	int rc;
 
