--- a/bin/counter.c
+++ b/bin/counter.c
@@ -9,7 +9,7 @@
 
 enum { LAST_ANSWERS_MS = 300 }; /* before the end of a planned stop: for the last answers to leave */
 
-static void step(void *ctx, const struct shell_event *event, int64_t now, struct out *out)
+static void step(void *ctx, const struct shell_event *event, int64_t now, struct command_list *out)
 {
 	struct router *c = ctx;
 	struct router_event ev;
--- a/bin/examiner.c
+++ b/bin/examiner.c
@@ -117,7 +117,7 @@
 	note(check, label,
 	     apr_psprintf(
 		 check->pool, "would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s", rows[0]->name,
-		 e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min, (unsigned)(rows[0]->window / 1000),
+		 e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min, (unsigned)(rows[0]->spread_ms / 1000),
 		 !was && (lane[0] || tenant[0]) ? "; that first time with all common context, where its own lies among the others'"
 						: ""));
 }
@@ -322,7 +322,7 @@
 		c = config_change_parse(json_object_to_json_string(change), check.pool, &why);
 		config_table_open(&empty);
 		if (c) {
-			c->n_del = 0; /* whether rows to take out exist is judged against the real table */
+			c->n_deleted = 0; /* whether rows to take out exist is judged against the real table */
 			why = config_table_check(&empty, c, check.pool);
 		}
 		if (why)
--- a/bin/registrar.c
+++ b/bin/registrar.c
@@ -15,7 +15,7 @@
 	struct control door;
 };
 
-static void stepped(void *ctx, const struct controller_event *event, int64_t now, struct out *out)
+static void stepped(void *ctx, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	struct registrar *controller = ctx;
 
@@ -28,7 +28,7 @@
 	}
 }
 
-static void step(void *ctx, const struct shell_event *event, int64_t now, struct out *out)
+static void step(void *ctx, const struct shell_event *event, int64_t now, struct command_list *out)
 {
 	struct controller_event ev;
 
--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -17,15 +17,15 @@
 	return !controller->fleet;
 }
 
-static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members, int64_t now, struct out *out)
+static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members, int64_t now, struct command_list *out)
 {
 	struct raft_member member[RAFT_MAX_MEMBERS];
 	int member_count = 0, is_member = 0;
 
-	for (size_t i = 0; i < members->n_m && member_count < RAFT_MAX_MEMBERS; i++) {
+	for (size_t i = 0; i < members->n_members && member_count < RAFT_MAX_MEMBERS; i++) {
 		memset(&member[member_count], 0, sizeof member[member_count]);
-		member[member_count].id = members->m[i]->id;
-		member[member_count].addr = members->m[i]->addr;
+		member[member_count].id = members->members[i]->id;
+		member[member_count].addr = members->members[i]->addr;
 		member[member_count].voter = 1;
 		is_member |= member[member_count++].id == controller->id;
 	}
@@ -39,26 +39,26 @@
 	log_line(controller, "found", out->pool, "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet, member_count);
 }
 
-void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	const struct Nl__Found *q = message->found;
-	struct Nl__Found *found;
-
-	if (q->ask || q->members) {
-		if (q->members && q->fleet)
-			bootstrap_here(controller, q->fleet, q->members, now, out);
-		found = OUT_NEW(out, Nl__Found, NL__FOUND__INIT);
-		found->empty = is_empty(controller);
-		found->fleet = controller->fleet;
+	const struct Nl__Bootstrap *q = message->bootstrap;
+	struct Nl__Bootstrap *found;
+
+	if (q->is_query || q->members) {
+		if (q->members && q->fleet_id)
+			bootstrap_here(controller, q->fleet_id, q->members, now, out);
+		found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
+		found->is_empty = is_empty(controller);
+		found->fleet_id = controller->fleet;
 		found->token = q->token;
-		command_send(out, message->addr, 0, NL__MSG__BODY_FOUND)->found = found;
+		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
 		return;
 	}
 	for (int i = 0; i < controller->seed_count && (controller->bootstrap.call_token || controller->bootstrap.by_settings); i++)
 		if (controller->seeds[i] == message->addr) {
 			controller->bootstrap.id[i] = message->id;
-			controller->bootstrap.is_empty[i] = q->empty;
-			controller->bootstrap.fleet[i] = q->fleet;
+			controller->bootstrap.is_empty[i] = q->is_empty;
+			controller->bootstrap.fleet[i] = q->fleet_id;
 		}
 }
 
@@ -70,7 +70,7 @@
 	controller->bootstrap.deadline_at_ms = now + 10000;
 }
 
-void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	const char *why = controller->fleet ? "found: this registrar belongs to a fleet" : controller->seed_count ? NULL : "found: no seeds are set";
 
@@ -95,7 +95,7 @@
 	controller->bootstrap.deadline_at_ms = now + 30000; /* by then its seeds have answered, or were replaced */
 }
 
-static void bootstrap_end(struct controller *controller, int status, const char *body, struct out *out)
+static void bootstrap_end(struct controller *controller, int status, const char *body, struct command_list *out)
 {
 	if (controller->bootstrap.call_token)
 		command_answer(out, controller->bootstrap.call_token, status, status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
@@ -104,7 +104,7 @@
 }
 
 /* Definite is only a seed's word that it belongs to a fleet. Once the members were named, some may have taken them. */
-static void bootstrap_fail(struct controller *controller, int all_answered, struct out *out)
+static void bootstrap_fail(struct controller *controller, int all_answered, struct command_list *out)
 {
 	if (controller->bootstrap.members)
 		bootstrap_end(controller, 504, error_json(out->pool, "found: not every seed answers, and some may have begun: ask again", 0), out);
@@ -115,7 +115,7 @@
 			      error_json(out->pool, "found: a seed already belongs to a fleet; start the others and they join", 0), out);
 }
 
-void bootstrap_stop(struct controller *controller, struct out *out)
+void bootstrap_stop(struct controller *controller, struct command_list *out)
 {
 	int may_have_started = controller->bootstrap.members != NULL;
 
@@ -125,7 +125,7 @@
 	controller->bootstrap.by_settings = may_have_started; /* seeds that have begun are still told of the others */
 }
 
-void bootstrap_tick(struct controller *controller, int64_t now, struct out *out)
+void bootstrap_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	int answered_count = 0, empty_count = 0, started_count = 0;
 
@@ -154,27 +154,27 @@
 			abort();
 		nl__members__init(controller->bootstrap.members);
 		controller->bootstrap.proposed_fleet = core_random(&controller->rng) | 1;
-		controller->bootstrap.members->m = calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->m);
+		controller->bootstrap.members->members = calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->members);
 		for (int i = 0; i < controller->seed_count; i++) {
 			struct Nl__Member *member = malloc(sizeof *member);
 
-			if (!member || !controller->bootstrap.members->m)
+			if (!member || !controller->bootstrap.members->members)
 				abort();
 			nl__member__init(member);
 			member->id = controller->bootstrap.id[i];
 			member->addr = controller->seeds[i];
 			member->voter = 1;
-			controller->bootstrap.members->m[controller->bootstrap.members->n_m++] = member;
+			controller->bootstrap.members->members[controller->bootstrap.members->n_members++] = member;
 		}
 	}
 	for (int i = 0; i < controller->seed_count; i++) {
-		struct Nl__Found *found = OUT_NEW(out, Nl__Found, NL__FOUND__INIT);
+		struct Nl__Bootstrap *found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
 
-		found->ask = 1;
+		found->is_query = 1;
 		if (controller->bootstrap.members) {
-			found->fleet = controller->bootstrap.proposed_fleet;
+			found->fleet_id = controller->bootstrap.proposed_fleet;
 			found->members = (struct Nl__Members *)core_copy_message(out->pool, &controller->bootstrap.members->base);
 		}
-		command_send(out, controller->seeds[i], 0, NL__MSG__BODY_FOUND)->found = found;
+		command_send(out, controller->seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
 	}
 }
--- a/lib/control/bootstrap.h
+++ b/lib/control/bootstrap.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A message of the bootstrap: a question, the members to start with, or an answer. */
-void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
+void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* An operator's call begins it; it has 10 s to end. */
-void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 /* This controller is to stop: the call for a bootstrap that is under way is answered. Example: bootstrap_stop(r, o); */
-void bootstrap_stop(struct controller *controller, struct out *out);
+void bootstrap_stop(struct controller *controller, struct command_list *out);
 
 /* Go on with a bootstrap that this node has begun. */
-void bootstrap_tick(struct controller *controller, int64_t now, struct out *out);
+void bootstrap_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -30,7 +30,7 @@
 	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
 
-static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now, struct out *out)
+static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now, struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_SEND);
 
@@ -60,7 +60,7 @@
 	arrput(controller->deferred_requests, deferred);
 }
 
-int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	switch (handling_now(controller, now)) {
 	case HANDLE_DEFER: defer_request(controller, message, now); return 1;
@@ -70,21 +70,21 @@
 }
 
 /* Everybody who asked lately learns whom to ask from now on. */
-static void announce_successor(struct controller *controller, uint64_t successor, int64_t now, struct out *out)
+static void announce_successor(struct controller *controller, uint64_t successor, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		struct Nl__Owner *hint;
+		struct Nl__LeaderHint *hint;
 
 		if (now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
-		hint = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
-		hint->owner = successor;
-		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = hint;
+		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		hint->leader_id = successor;
+		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
 	}
 	arrsetlen(controller->node_statuses, 0);
 }
 
-void config_handover_tick(struct controller *controller, int64_t now, struct out *out)
+void config_handover_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	enum handling handling = handling_now(controller, now);
 
--- a/lib/control/config_handover.h
+++ b/lib/control/config_handover.h
@@ -15,10 +15,10 @@
 
 /* A config watch request arrives. 1: it is held or was passed on; 0: it is to be answered now.
  * Example: if (!config_handover_take(r, m, now, o)) on_config_sync_request(r, m, now, o); */
-int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
+int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* Answer or pass on what was held, as far as that is possible by now. Example: config_handover_tick(r, now, o); */
-void config_handover_tick(struct controller *controller, int64_t now, struct out *out);
+void config_handover_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Forget all that is held. Example: config_handover_clear(r); */
 void config_handover_clear(struct controller *controller);
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -19,7 +19,7 @@
 }
 
 /* The head of each zone but one's own: the router that is upstream of all others heard lately. */
-static void add_zone_heads(const struct controller *controller, uint64_t zone, struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
+static void add_zone_heads(const struct controller *controller, uint64_t zone, struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	const struct controller_node_status **heads = NULL;
 
@@ -36,19 +36,19 @@
 		else if (is_upstream(node, heads[k]))
 			heads[k] = node;
 	}
-	reply->head = apr_palloc(out->pool, ((size_t)arrlen(heads) + 1) * sizeof *reply->head);
+	reply->zone_heads = apr_palloc(out->pool, ((size_t)arrlen(heads) + 1) * sizeof *reply->zone_heads);
 	for (ptrdiff_t k = 0; k < arrlen(heads); k++)
-		reply->head[reply->n_head++] = heads[k]->addr;
+		reply->zone_heads[reply->n_zone_heads++] = heads[k]->addr;
 	arrfree(heads);
 }
 
 /* The best two of the routers upstream of this one in its zone. */
 static void add_upstream(const struct controller *controller, const struct controller_node_status *me, struct Nl__ConfigSyncReply *reply, int64_t now,
-			 struct out *out)
+			 struct command_list *out)
 {
 	enum { MAX_UPSTREAM = 2 };
 
-	reply->up = apr_palloc(out->pool, MAX_UPSTREAM * sizeof *reply->up);
+	reply->upstreams = apr_palloc(out->pool, MAX_UPSTREAM * sizeof *reply->upstreams);
 	for (int k = 0; k < MAX_UPSTREAM; k++) {
 		const struct controller_node_status *best = NULL;
 
@@ -57,26 +57,26 @@
 
 			if (!node->is_router || node->zone != me->zone || now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 || !is_upstream(node, me))
 				continue;
-			if (reply->n_up && node->addr == reply->up[0])
+			if (reply->n_upstreams && node->addr == reply->upstreams[0])
 				continue;
 			if (!best || is_upstream(node, best))
 				best = node;
 		}
 		if (best)
-			reply->up[reply->n_up++] = best->addr;
+			reply->upstreams[reply->n_upstreams++] = best->addr;
 	}
 }
 
-static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
+static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
-	reply->registrars = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) * sizeof *reply->registrars);
+	reply->controllers = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) * sizeof *reply->controllers);
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
 		if (!controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < live_window_ms(controller)) {
-			struct Nl__Member *member = OUT_NEW(out, Nl__Member, NL__MEMBER__INIT);
+			struct Nl__Member *member = MESSAGE_NEW(out, Nl__Member, NL__MEMBER__INIT);
 
 			member->id = controller->node_statuses[i].id;
 			member->addr = controller->node_statuses[i].addr;
-			reply->registrars[reply->n_registrars++] = member;
+			reply->controllers[reply->n_controllers++] = member;
 		}
 }
 
@@ -103,36 +103,36 @@
 	return 0;
 }
 
-void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	const struct Nl__ConfigSync *sync = message->follow;
-	struct Nl__ConfigSyncReply *reply = OUT_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
-	struct controller_node_status node = { message->id,    message->addr, core_hash_string(0, sync->zone), now, sync->counter, sync->warm, sync->have, sync->horizon,
-				      sync->token, sync->wall, sync->load_pressure };
+	const struct Nl__ConfigSync *sync = message->config_sync;
+	struct Nl__ConfigSyncReply *reply = MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+	struct controller_node_status node = { message->id,    message->addr, core_hash_string(0, sync->zone), now, sync->is_router, sync->warmed_up, sync->have_revision, sync->horizon,
+				      sync->token, sync->wall_clock_ms, sync->load_permille };
 	int is_late;
 
-	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = reply;
+	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply = reply;
 	reply->token = sync->token;
-	reply->fleet = controller->fleet;
+	reply->fleet_id = controller->fleet;
 	reply->has_lease = leads_shard(controller, SHARD_CONTROL, now);
-	reply->hint = leader_hint(controller, SHARD_CONTROL, now);
-	if (!reply->hint && controller->config_watch.leader_addr[SHARD_CONTROL] != out->addr)
-		reply->hint = controller->config_watch.leader_addr[SHARD_CONTROL];
+	reply->leader_hint = leader_hint(controller, SHARD_CONTROL, now);
+	if (!reply->leader_hint && controller->config_watch.leader_addr[SHARD_CONTROL] != out->addr)
+		reply->leader_hint = controller->config_watch.leader_addr[SHARD_CONTROL];
 	if (!reply->has_lease)
 		return;
 	is_late = update_node_status(controller, &node, now);
 	retention_on_report(controller, message, now);
-	reply->clock = group_clock_now(controller, now);
+	reply->group_clock_ms = group_clock_now(controller, now);
 	reply->clock_term = controller->shards[SHARD_CONTROL].term;
-	config_table_since(&controller->config, sync->have, reply, out->pool);
-	instances_pack_since(&controller->instances, sync->instances, reply, out->pool);
-	if (sync->counter)
+	config_table_since(&controller->config, sync->have_revision, reply, out->pool);
+	instances_pack_since(&controller->instances, sync->instances_stamp, reply, out->pool);
+	if (sync->is_router)
 		add_upstream(controller, &node, reply, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		reply->counters += controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
-	if (sync->counter && !reply->n_up)
+		reply->router_count += controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+	if (sync->is_router && !reply->n_upstreams)
 		add_zone_heads(controller, node.zone, reply, now, out);
 	if (!is_late)
-		quota_shares_update(controller, message->id, sync, reply->counters, reply, now, out);
+		quota_shares_update(controller, message->id, sync, reply->router_count, reply, now, out);
 	add_controllers(controller, reply, now, out);
 }
--- a/lib/control/config_sync.h
+++ b/lib/control/config_sync.h
@@ -6,6 +6,6 @@
 #include "controller.h"
 
 /* A node asks what has changed since the edition it has. */
-void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
+void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -60,24 +60,24 @@
 	return &shgetp(watch->quotas, name)->value;
 }
 
-static void add_quotas(struct config_watch *watch, struct Nl__ConfigSync *sync, struct out *out)
+static void add_quotas(struct config_watch *watch, struct Nl__ConfigSync *sync, struct command_list *out)
 {
-	sync->hold = apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->hold);
+	sync->quota_grants = apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->quota_grants);
 	for (ptrdiff_t i = shlen(watch->quotas) - 1; i >= 0; i--) {
-		struct Nl__Hold *hold;
+		struct Nl__QuotaGrant *hold;
 
 		if (!watch->quotas[i].value.reserved && !watch->quotas[i].value.used && !watch->quotas[i].value.requested) {
 			(void)shdel(watch->quotas, watch->quotas[i].key);
 			continue;
 		}
-		hold = OUT_NEW(out, Nl__Hold, NL__HOLD__INIT);
+		hold = MESSAGE_NEW(out, Nl__QuotaGrant, NL__QUOTA_GRANT__INIT);
 		hold->name = apr_pstrdup(out->pool, watch->quotas[i].key);
-		hold->held = watch->quotas[i].value.reserved;
-		hold->used = watch->quotas[i].value.used;
-		hold->want = watch->quotas[i].value.requested;
-		sync->hold[sync->n_hold++] = hold;
+		hold->reserved_slots = watch->quotas[i].value.reserved;
+		hold->used_slots = watch->quotas[i].value.used;
+		hold->requested_slots = watch->quotas[i].value.requested;
+		sync->quota_grants[sync->n_quota_grants++] = hold;
 	}
-	sync->applied = watch->applied_token;
+	sync->applied_token = watch->applied_token;
 }
 
 /* An older answer that comes late may say more than was given since. */
@@ -86,17 +86,17 @@
 	if (reply->token <= watch->applied_token)
 		return;
 	watch->applied_token = reply->token;
-	for (size_t i = 0; i < reply->n_place; i++)
-		config_watch_quota(watch, reply->place[i]->name)->reserved = reply->place[i]->held;
+	for (size_t i = 0; i < reply->n_quota_grants; i++)
+		config_watch_quota(watch, reply->quota_grants[i]->name)->reserved = reply->quota_grants[i]->reserved_slots;
 }
 
 /* The leader's clock was at most what the answer says when it was asked for, and has reached that when it comes. Of one leader's
  * answers the quickest tells best; one that shows the reckoning to be behind, as the two clocks drift, begins it anew. */
 static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, int64_t requested_at_ms, int64_t now)
 {
-	int64_t offset_ms = (int64_t)reply->clock - requested_at_ms, reached_offset_ms = (int64_t)reply->clock - now;
+	int64_t offset_ms = (int64_t)reply->group_clock_ms - requested_at_ms, reached_offset_ms = (int64_t)reply->group_clock_ms - now;
 
-	if (!reply->clock || !reply->clock_term)
+	if (!reply->group_clock_ms || !reply->clock_term)
 		return;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 		if (watch->group_clock[i].term == reply->clock_term) {
@@ -162,54 +162,54 @@
 	return &watch->in_flight[token % CONFIG_WATCH_MAX_IN_FLIGHT];
 }
 
-static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
+static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
 {
-	struct Nl__ConfigSync *sync = OUT_NEW(out, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
+	struct Nl__ConfigSync *sync = MESSAGE_NEW(out, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
 
-	sync->have = watch->table.revision;
-	sync->instances = watch->instances.stamp;
-	sync->born = watch->node_id;
+	sync->have_revision = watch->table.revision;
+	sync->instances_stamp = watch->instances.stamp;
+	sync->incarnation = watch->node_id;
 	sync->token = ++watch->last_token;
 	sync->zone = (char *)watch->zone;
-	sync->web = (char *)watch->web;
-	sync->counter = watch->is_router;
+	sync->http_addr = (char *)watch->web;
+	sync->is_router = watch->is_router;
 	sync->horizon = horizon;
-	sync->wall = watch->wall_clock_ms;
-	sync->load_pressure = watch->load_pressure;
-	sync->index = watch->has_index;
-	sync->warm = watch->is_warm;
-	sync->n_left = (size_t)arrlen(watch->cache_remainders);
-	sync->left = apr_palloc(out->pool, (sync->n_left + 1) * sizeof *sync->left);
-	for (size_t i = 0; i < sync->n_left; i++)
-		sync->left[i] = (struct Nl__Left *)core_copy_message(out->pool, &watch->cache_remainders[i].base);
+	sync->wall_clock_ms = watch->wall_clock_ms;
+	sync->load_permille = watch->load_pressure;
+	sync->holds_index = watch->has_index;
+	sync->warmed_up = watch->is_warm;
+	sync->n_cache_remainders = (size_t)arrlen(watch->cache_remainders);
+	sync->cache_remainders = apr_palloc(out->pool, (sync->n_cache_remainders + 1) * sizeof *sync->cache_remainders);
+	for (size_t i = 0; i < sync->n_cache_remainders; i++)
+		sync->cache_remainders[i] = (struct Nl__CacheRemainder *)core_copy_message(out->pool, &watch->cache_remainders[i].base);
 	add_quotas(watch, sync, out);
 	*in_flight_slot(watch, watch->last_token) = (struct config_watch_request){ watch->last_token, watch->table.revision, now };
 	watch->requested_at_ms = now;
 	return sync;
 }
 
-void config_watch_poll(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
+void config_watch_poll(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
 {
 	uint64_t leader_addr = config_watch_leader_addr(watch, SHARD_CONTROL);
 
 	if (leader_addr)
-		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = new_request(watch, horizon, now, out);
+		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = new_request(watch, horizon, now, out);
 }
 
 /* The owner is silent, or nobody's guess is right: a few at once, in turn, so that a new owner is found as soon as there is
  * one. Only a has_lease one answers with more than a hint. */
-static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
+static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
 {
 	struct Nl__ConfigSync *sync = new_request(watch, horizon, now, out);
 	uint64_t first = watch->leader_addr[SHARD_CONTROL];
 
 	if (first)
-		command_send(out, first, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = sync;
+		command_send(out, first, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
 	for (int i = 0; i < CONFIG_WATCH_FANOUT && i < watch->candidate_count; i++) {
 		uint64_t candidate = watch->candidates[(watch->next_candidate[SHARD_CONTROL] + i) % watch->candidate_count];
 
 		if (candidate != first)
-			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_FOLLOW)->follow = sync;
+			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
 	}
 	watch->next_candidate[SHARD_CONTROL] = (watch->next_candidate[SHARD_CONTROL] + CONFIG_WATCH_FANOUT) % (watch->candidate_count ? watch->candidate_count : 1);
 }
@@ -226,7 +226,7 @@
 	return now - watch->leader_contact_at_ms > CONFIG_WATCH_LEADER_TIMEOUT_MS + slow_link_ms(watch);
 }
 
-void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out)
+void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
 {
 	int leader_lost = leader_timed_out(watch, now);
 
@@ -246,8 +246,8 @@
 {
 	watch->candidate_count = watch->seed_count;
 	watch->live_count = 0;
-	for (size_t i = 0; i < reply->n_registrars; i++) {
-		const struct Nl__Member *member = reply->registrars[i];
+	for (size_t i = 0; i < reply->n_controllers; i++) {
+		const struct Nl__Member *member = reply->controllers[i];
 		int known = 0;
 
 		if (watch->live_count < CONFIG_WATCH_MAX_CONTROLLERS) {
@@ -266,22 +266,22 @@
  * was asked for. A leader that has less than was here already proves nothing. */
 static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, const struct config_watch_request *sent)
 {
-	if (reply->edition < watch->table.revision)
-		return reply->edition >= sent->base_revision;
+	if (reply->revision < watch->table.revision)
+		return reply->revision >= sent->base_revision;
 	return config_table_follow(&watch->table, reply);
 }
 
-int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct out *out)
+int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	const struct Nl__ConfigSyncReply *reply = message->follow_reply;
+	const struct Nl__ConfigSyncReply *reply = message->config_sync_reply;
 	uint64_t revision_before = watch->table.revision;
 	struct config_watch_request sent;
 
-	if (message->body_case == NL__MSG__BODY_OWNER) {
-		config_watch_hint(watch, message->part, message->owner->owner);
+	if (message->body_case == NL__MSG__BODY_LEADER_HINT) {
+		config_watch_hint(watch, message->shard, message->leader_hint->leader_id);
 		return 0;
 	}
-	if (message->body_case != NL__MSG__BODY_FOLLOW_REPLY)
+	if (message->body_case != NL__MSG__BODY_CONFIG_SYNC_REPLY)
 		return 0;
 	sent = *in_flight_slot(watch, reply->token);
 	if (sent.token != reply->token)
@@ -289,13 +289,13 @@
 	watch->replied_at_ms = now;
 	if (!reply->has_lease) {
 		if (reply->token == watch->last_token) { /* only the newest asking moves the guess */
-			config_watch_hint(watch, SHARD_CONTROL, reply->hint == message->addr ? 0 : reply->hint);
-			if (reply->hint && reply->hint != message->addr && now - watch->requested_at_ms >= 20)
+			config_watch_hint(watch, SHARD_CONTROL, reply->leader_hint == message->addr ? 0 : reply->leader_hint);
+			if (reply->leader_hint && reply->leader_hint != message->addr && now - watch->requested_at_ms >= 20)
 				config_watch_poll(watch, 0, now, out);
 		}
 		return 0;
 	}
-	if (watch->fleet && reply->fleet != watch->fleet)
+	if (watch->fleet && reply->fleet_id != watch->fleet)
 		return 0;
 	watch->leader_addr[SHARD_CONTROL] = message->addr;
 	watch->leader_contact_at_ms = now;
@@ -303,17 +303,17 @@
 	apply_clock(watch, reply, sent.requested_at_ms, now);
 	if (!apply_table(watch, reply, &sent))
 		return 0;
-	watch->fleet = reply->fleet;
+	watch->fleet = reply->fleet_id;
 	apply_quotas(watch, reply);
 	if (sent.requested_at_ms > watch->fetched_at_ms)
 		watch->fetched_at_ms = sent.requested_at_ms;
 	watch->upstream_count = 0;
-	for (size_t i = 0; i < reply->n_up && i < 8; i++)
-		watch->upstream[watch->upstream_count++] = reply->up[i];
+	for (size_t i = 0; i < reply->n_upstreams && i < 8; i++)
+		watch->upstream[watch->upstream_count++] = reply->upstreams[i];
 	watch->zone_head_count = 0;
-	for (size_t i = 0; i < reply->n_head && watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads); i++)
-		watch->zone_heads[watch->zone_head_count++] = reply->head[i];
-	watch->router_count = reply->counters;
+	for (size_t i = 0; i < reply->n_zone_heads && watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads); i++)
+		watch->zone_heads[watch->zone_head_count++] = reply->zone_heads[i];
+	watch->router_count = reply->router_count;
 	apply_controllers(watch, reply);
 	return (watch->table.revision != revision_before ? CONFIG_WATCH_TABLE_CHANGED : 0) | (instances_apply_reply(&watch->instances, reply, now) ? CONFIG_WATCH_INSTANCES_CHANGED : 0);
 }
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -40,7 +40,7 @@
 	uint32_t load_pressure; /* a router's */
 	int has_index;              /* it holds the index */
 	int is_warm;               /* a router's: in service for a while */
-	struct Nl__Left *cache_remainders;  /* stb_ds: what servers still name of before a clearing */
+	struct Nl__CacheRemainder *cache_remainders;  /* stb_ds: what servers still name of before a clearing */
 	uint64_t fleet;         /* 0 until known */
 	const char *zone, *web;
 	int is_router;
@@ -80,15 +80,15 @@
 typeof(((struct config_watch_quota *)0)->value) *config_watch_quota(struct config_watch *watch, const char *name);
 
 /* Ask when it is time. Example: config_watch_tick(&f, horizon, now, o); */
-void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out);
+void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out);
 
 /* Ask at once, for example when a change is known to have passed. Example: config_watch_ask(&f, h, now, o); */
-void config_watch_poll(struct config_watch *watch, uint64_t horizon, int64_t now, struct out *out);
+void config_watch_poll(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out);
 
 enum { CONFIG_WATCH_TABLE_CHANGED = 1, CONFIG_WATCH_INSTANCES_CHANGED = 2 };
 
 /* Take an answer in; bits tell what changed, 0 nothing. Example: if (config_watch_msg(&f, m, now, o)) rebuild(); */
-int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct out *out);
+int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* How old the newest certain knowledge is. Example: if (config_watch_age(&f, now) > CONFIG_WATCH_CONFIG) refuse(); */
 int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now);
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -25,7 +25,7 @@
 #include "state_machine.h"
 
 /* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that counts them. */
-static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why, int64_t now, struct out *out)
+static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why, int64_t now, struct command_list *out)
 {
 	controller->dropped_count++;
 	if (controller->drops_logged_count && now - controller->drop_logged_at_ms < CONTROLLER_DROP_LOG_MS)
@@ -36,46 +36,46 @@
 	controller->drop_logged_at_ms = now;
 }
 
-static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const char *why;
 
 	if (!controller->fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
-	if (message->fleet != controller->fleet)
+	if (message->fleet_id != controller->fleet)
 		why = "it names no fleet";
-	else if (message->part >= SHARD_COUNT)
+	else if (message->shard >= SHARD_COUNT)
 		why = "there is no such shard";
 	else
-		why = raft_receive(&controller->shards[message->part], message, now, out);
+		why = raft_receive(&controller->shards[message->shard], message, now, out);
 	if (why)
 		log_dropped(controller, message, why, now, out);
 }
 
-static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	int64_t fetched_before_ms;
 
-	if (message->speak != CORE_SPEAK || (message->fleet && controller->fleet && message->fleet != controller->fleet)) {
+	if (message->protocol_version != CORE_PROTOCOL_VERSION || (message->fleet_id && controller->fleet && message->fleet_id != controller->fleet)) {
 		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now, out);
 		return;
 	}
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_ASK:
+	case NL__MSG__BODY_VOTE_REQUEST:
 	case NL__MSG__BODY_VOTE_REPLY:
 	case NL__MSG__BODY_APPEND:
 	case NL__MSG__BODY_APPEND_REPLY:
-	case NL__MSG__BODY_SNAPSHOT_PIECE:
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
-	case NL__MSG__BODY_GIVE_UP:
+	case NL__MSG__BODY_STEP_DOWN:
 	case NL__MSG__BODY_PROBE:
 	case NL__MSG__BODY_PROBE_REPLY: on_raft_message(controller, message, now, out); break;
-	case NL__MSG__BODY_FOLLOW:
+	case NL__MSG__BODY_CONFIG_SYNC:
 		if (!config_handover_intercept(controller, message, now, out))
 			on_config_sync_request(controller, message, now, out);
 		break;
-	case NL__MSG__BODY_FOLLOW_REPLY:
-	case NL__MSG__BODY_OWNER:
+	case NL__MSG__BODY_CONFIG_SYNC_REPLY:
+	case NL__MSG__BODY_LEADER_HINT:
 		fetched_before_ms = controller->config_watch.fetched_at_ms;
 		if (config_watch_receive(&controller->config_watch, message, now, out))
 			rollout_on_target_change(controller, fetched_before_ms);
@@ -85,28 +85,28 @@
 		}
 		break;
 	case NL__MSG__BODY_PROPOSE: on_proposal(controller, message, now, out); break;
-	case NL__MSG__BODY_ANSWER: on_proposal_reply(controller, message->answer, now, out); break;
+	case NL__MSG__BODY_PROPOSE_REPLY: on_proposal_reply(controller, message->propose_reply, now, out); break;
 	case NL__MSG__BODY_READ: on_read_request(controller, message, now, out); break;
 	case NL__MSG__BODY_READ_REPLY: on_read_reply(controller, message->read_reply, now, out); break;
-	case NL__MSG__BODY_FEED_ASK: on_feed_request(controller, message, now, out); break;
+	case NL__MSG__BODY_FEED_REQUEST: on_feed_request(controller, message, now, out); break;
 	case NL__MSG__BODY_FEED_REPLY: on_feed_reply(controller, message, now, out); break;
 	case NL__MSG__BODY_CURIOSITY:
 		if (!controller->relay.is_publisher || !leads_shard(controller, SHARD_PURGE, now)) {
-			struct Nl__Owner *owner = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
+			struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
-			owner->owner = leader_hint(controller, SHARD_PURGE, now);
-			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_OWNER)->owner = owner;
+			owner->leader_id = leader_hint(controller, SHARD_PURGE, now);
+			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
 			break;
 		}
 		/* fall through */
 	case NL__MSG__BODY_KNOWLEDGE:
-	case NL__MSG__BODY_PURGE_SNAP: relay_receive(&controller->relay, message, now, out); break;
-	case NL__MSG__BODY_FOUND: on_bootstrap_message(controller, message, now, out); break;
+	case NL__MSG__BODY_PURGE_SNAPSHOT: relay_receive(&controller->relay, message, now, out); break;
+	case NL__MSG__BODY_BOOTSTRAP: on_bootstrap_message(controller, message, now, out); break;
 	default: break;
 	}
 }
 
-static void tick(struct controller *controller, int64_t now, struct out *out)
+static void tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
 		if (controller->fleet)
@@ -132,7 +132,7 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	ptrdiff_t first_command = arrlen(out->commands);
 
@@ -256,7 +256,7 @@
 	config_watch_close(&controller->config_watch);
 	relay_close(&controller->relay);
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
-		nl__op__free_unpacked(controller->proposals[i].operation, NULL);
+		nl__operation__free_unpacked(controller->proposals[i].operation, NULL);
 	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
 		free(controller->rollout_servers[i].name);
 		free(controller->rollout_servers[i].service);
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -132,7 +132,7 @@
 struct controller_proposal {
 	uint64_t token, call_token;
 	uint32_t shard;
-	struct Nl__Op *operation; /* malloc'd */
+	struct Nl__Operation *operation; /* malloc'd */
 	int64_t deadline_at_ms, retry_at_ms;
 	int send_count, denied_count; /* as long as they are alike it surely was not logged */
 	int refused_count;       /* copies that were refused before they were logged */
@@ -190,7 +190,7 @@
 struct controller_purge_state { /* the purge part's state */
 	uint64_t ceiling, released;
 	struct Nl__Value **values; /* held values, by tick */
-	struct view last_view;
+	struct purge_view last_view;
 	uint64_t published_index[SHARD_COUNT]; /* feeds: highest index published */
 	uint64_t purged_tick;
 };
@@ -291,7 +291,7 @@
 void controller_close(struct controller *controller);
 
 /* One step. Example: controller_step(&r, &(struct controller_ev){ .kind = CONTROLLER_TICK }, now, &o); */
-void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 /* Found the fleet without a call, as the settings of the first seed say: goes on until all seeds answer that they are
  * empty, or one belongs to a fleet. Example: if (initial) controller_bootstrap(&r, now); */
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -29,9 +29,9 @@
 const char *error_json(apr_pool_t *pool, const char *why, uint64_t revision);
 
 /* No leader is known: whatever this call asked for was not logged. */
-void reject_without_leader(uint64_t token, struct out *out);
+void reject_without_leader(uint64_t token, struct command_list *out);
 
 /* This controller is to stop and begins nothing any more: nothing was logged. */
-void reject_while_stopping(uint64_t token, struct out *out);
+void reject_while_stopping(uint64_t token, struct command_list *out);
 
 #endif
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -95,7 +95,7 @@
 	}
 }
 
-void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct out *out)
+void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct command_list *out)
 {
 	int64_t interval_ms = poll_fast || now - instances->changed_at_ms < INSTANCES_RECENT_CHANGE_MS ? INSTANCES_FAST_POLL_MS : INSTANCES_POLL_MS;
 
@@ -115,7 +115,7 @@
 static int instances_differ(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
 	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) || a->slots != b->slots ||
-	       a->state != b->state || strcmp(a->weights, b->weights) || a->loading != b->loading || !a->cold_ms != !b->cold_ms;
+	       a->state != b->state || strcmp(a->weights, b->weights) || a->loading != b->loading || !a->warm_up_ms != !b->warm_up_ms;
 }
 
 static void merge_listed(struct instances *instances, const struct Nl__Instance *listed, int64_t now)
@@ -219,14 +219,14 @@
 {
 	if (!instances->term || !instances->is_publishable)
 		return; /* what followers have is better than what this owner was told itself */
-	reply->instances = instances->stamp;
-	reply->instances_whole = known_stamp >> 24 != instances->term || known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
-	if (!reply->instances_whole && known_stamp == instances->stamp)
+	reply->instances_stamp = instances->stamp;
+	reply->instances_full = known_stamp >> 24 != instances->term || known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
+	if (!reply->instances_full && known_stamp == instances->stamp)
 		return;
-	reply->instance = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instance);
+	reply->instances = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instances);
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
-		if (reply->instances_whole || instances->rows[i].value.instance->stamp > known_stamp)
-			reply->instance[reply->n_instance++] = (struct Nl__Instance *)core_copy_message(pool, &instances->rows[i].value.instance->base);
+		if (reply->instances_full || instances->rows[i].value.instance->stamp > known_stamp)
+			reply->instances[reply->n_instances++] = (struct Nl__Instance *)core_copy_message(pool, &instances->rows[i].value.instance->base);
 }
 
 /* ---- a follower's side ----------------------------------------------------------- */
@@ -236,21 +236,21 @@
 	int changed = 0;
 
 	forget(instances, now);
-	if (reply->instances <= instances->stamp || (!reply->instances_whole && reply->instances >> 24 != instances->stamp >> 24))
+	if (reply->instances_stamp <= instances->stamp || (!reply->instances_full && reply->instances_stamp >> 24 != instances->stamp >> 24))
 		return 0;
-	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0 && reply->instances_whole; i--) {
+	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0 && reply->instances_full; i--) {
 		int is_listed = 0;
 
-		for (size_t k = 0; k < reply->n_instance && !is_listed; k++)
-			is_listed = !strcmp(reply->instance[k]->server, instances->rows[i].key);
+		for (size_t k = 0; k < reply->n_instances && !is_listed; k++)
+			is_listed = !strcmp(reply->instances[k]->server, instances->rows[i].key);
 		if (is_listed)
 			continue;
 		changed = 1;
 		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
 		(void)shdel(instances->rows, instances->rows[i].key);
 	}
-	for (size_t k = 0; k < reply->n_instance; k++) {
-		struct Nl__Instance received = *reply->instance[k];
+	for (size_t k = 0; k < reply->n_instances; k++) {
+		struct Nl__Instance received = *reply->instances[k];
 		const struct Nl__Instance *previous = instances_get(instances, received.server);
 		typeof(instances->rows->value) *v;
 
@@ -265,7 +265,7 @@
 		else if (received.state != INSTANCE_REMOVED)
 			v->removed_at_ms = 0;
 	}
-	instances->stamp = reply->instances;
+	instances->stamp = reply->instances_stamp;
 	return changed;
 }
 
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -49,7 +49,7 @@
 
 /* Look at the list when it is time; soon: more often. mille: calls a second for the whole fleet, in thousandths.
  * Example: instances_tick(&r->instances, loading, r->b.list_mille, ++r->token, now, o); */
-void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct out *out);
+void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct command_list *out);
 
 /* The answer to such a look: the whole list. Example: instances_listed(&r->instances, token, ok, v, n, now); */
 void instances_on_list(struct instances *instances, uint64_t token, int succeeded, struct Nl__Instance *const *listed, size_t count, int64_t now);
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -3,21 +3,21 @@
 #include "group_clock.h"
 
 /* Twice the bound: a node that has just been given a longer one may still need the dates in between. */
-static void date_operation(const struct controller *controller, struct Nl__Op *operation, int64_t now)
+static void date_operation(const struct controller *controller, struct Nl__Operation *operation, int64_t now)
 {
-	operation->at = group_clock_now(controller, now);
-	if (operation->op_case == NL__OP__OP_CHANGE)
-		operation->change->bound_passed = group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
+	operation->logged_at_ms = group_clock_now(controller, now);
+	if (operation->body_case == NL__OPERATION__BODY_CHANGE)
+		operation->change->bound_passed_at_ms = group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
 }
 
-uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Op *operation, int64_t now, struct out *out)
+uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation, int64_t now, struct command_list *out)
 {
 	size_t size;
 	uint8_t *packed;
 
 	if (!leads_shard(controller, shard, now))
 		return 0;
-	operation->clock = (uint64_t)(now - controller->clock_advanced_at_ms[shard]);
+	operation->group_clock_ms = (uint64_t)(now - controller->clock_advanced_at_ms[shard]);
 	controller->clock_advanced_at_ms[shard] = now;
 	if (shard == SHARD_CONTROL)
 		date_operation(controller, operation, now);
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -28,6 +28,6 @@
 
 /* Log an operation of this part, stamped with the part's own clock; its index, or 0 when this is not its leader.
  * Example: w.index = log_operation(r, SHARD_CONTROL, &op, now, o); */
-uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Op *operation, int64_t now, struct out *out);
+uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -9,7 +9,7 @@
 #include "controller_private.h"
 
 /* Taking office comes after all that is committed has been applied, leaving it before. */
-void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct out *out)
+void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
 {
 	struct raft *raft = &controller->shards[shard];
 
@@ -29,7 +29,7 @@
 	}
 }
 
-void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct out *out)
+void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
 {
 	struct raft *raft = &controller->shards[shard];
 
--- a/lib/control/leadership_change.h
+++ b/lib/control/leadership_change.h
@@ -7,9 +7,9 @@
 #include "controller.h"
 
 /* Begin to lead a part if the lease is held and this term was not begun yet. */
-void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct out *out);
+void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out);
 
 /* Stop what only a leader does if the part's leadership is lost. */
-void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct out *out);
+void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -17,19 +17,19 @@
 
 static int64_t member_lost_after_ms(const struct controller *controller) { return controller->bounds.catch_up_ms * 3 / 5; }
 
-void membership_register_tick(struct controller *controller, int64_t now, struct out *out)
+void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	char name[20];
 	const struct Nl__Row *row;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row me = NL__ROW__INIT, *set[1] = { &me };
 
 	if (now - controller->registered_at_ms < 1000 || config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
 		return;
 	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->id);
-	row = config_table_get(&controller->config_watch.table, NL__KIND__REGISTRAR, name);
-	me.kind = NL__KIND__REGISTRAR;
+	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
+	me.kind = NL__KIND__CONTROLLER;
 	me.name = name;
 	me.id = controller->id;
 	me.addr = (char *)core_format_addr(out->pool, controller->addr);
@@ -37,10 +37,10 @@
 	if (row && !strcmp(row->addr, me.addr) && !strcmp(row->zone, me.zone))
 		return;
 	controller->registered_at_ms = now;
-	change.any = 1;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = &change;
 	propose(controller, SHARD_CONTROL, &operation, 0, now);
 }
@@ -58,7 +58,7 @@
 		live[live_count].id = controller->config_watch.live_id[live_count];
 		live[live_count].addr = controller->config_watch.live_addr[live_count];
 		apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, live[live_count].id);
-		row = config_table_get(&controller->config_watch.table, NL__KIND__REGISTRAR, name);
+		row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
 		live[live_count].zone = row ? core_hash_string(0, row->zone) : 0;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
@@ -79,47 +79,47 @@
 }
 
 /* Where a silent controller stood, a new one with an empty disk may stand whose seeds are all as new: it is told whom to ask. */
-static void announce_fleet(struct controller *controller, int64_t now, struct out *out)
+static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
 	if (now - controller->announced_at_ms < CONTROLLER_ANNOUNCE_MS)
 		return;
 	controller->announced_at_ms = now;
 	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
 		const struct Nl__Row *row = controller->config.rows[i].value.row;
-		struct Nl__Owner *owner;
+		struct Nl__LeaderHint *owner;
 
-		if (row->kind != NL__KIND__REGISTRAR || contacted_lately(controller, row->id, now) || !core_parse_addr(row->addr))
+		if (row->kind != NL__KIND__CONTROLLER || contacted_lately(controller, row->id, now) || !core_parse_addr(row->addr))
 			continue;
-		owner = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
-		owner->owner = out->addr;
-		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = owner;
+		owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		owner->leader_id = out->addr;
+		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
 	}
 }
 
 /* The configuration's owner takes controllers that are long gone out of the table, one at a time. */
-static void remove_expired_controllers(struct controller *controller, int64_t now, struct out *out)
+static void remove_expired_controllers(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
 		struct Nl__Row *old = controller->config.rows[i].value.row, *del[1] = { old };
-		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Change change = NL__CHANGE__INIT;
-		int is_known = old->kind != NL__KIND__REGISTRAR;
+		int is_known = old->kind != NL__KIND__CONTROLLER;
 
 		for (ptrdiff_t k = 0; k < arrlen(controller->node_statuses) && !is_known; k++)
 			is_known = controller->node_statuses[k].id == old->id;
 		if (is_known)
 			continue;
-		change.any = 1;
-		change.del = del;
-		change.n_del = 1;
-		operation.op_case = NL__OP__OP_CHANGE;
+		change.any_revision = 1;
+		change.deleted = del;
+		change.n_deleted = 1;
+		operation.body_case = NL__OPERATION__BODY_CHANGE;
 		operation.change = &change;
 		log_operation(controller, SHARD_CONTROL, &operation, now, out);
 		return;
 	}
 }
 
-void membership_tick(struct controller *controller, int64_t now, struct out *out)
+void membership_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	if (now - controller->reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS || config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
 		return;
--- a/lib/control/membership.h
+++ b/lib/control/membership.h
@@ -11,10 +11,10 @@
 int64_t live_window_ms(const struct controller *controller);
 
 /* A controller keeps its own row true: first at its joining, again when its address has changed. */
-void membership_register_tick(struct controller *controller, int64_t now, struct out *out);
+void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Leaders change the membership of their groups; the configuration's leader tells new controllers where the fleet is, and
  * forgets those that are long gone. Example: membership_tick(r, now, o); */
-void membership_tick(struct controller *controller, int64_t now, struct out *out);
+void membership_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/naming.h
+++ b/lib/control/naming.h
@@ -15,7 +15,7 @@
 
 /* A model's namings while a row is being made; the row points into it. */
 struct version_history {
-	struct Nl__Naming versions[VERSION_HISTORY_MAX + 1], *entries[VERSION_HISTORY_MAX + 1];
+	struct Nl__TargetVersion versions[VERSION_HISTORY_MAX + 1], *entries[VERSION_HISTORY_MAX + 1];
 	size_t count;
 };
 
@@ -36,7 +36,7 @@
 
 /* The first naming of newer weights than these; NULL where none is newer, or where its date is not known.
  * Example: if (naming_supersedes(model, 3) && !(naming = naming_after(model, 3))) count_as_long_ago(); */
-const struct Nl__Naming *version_history_after(const struct Nl__Row *model, uint64_t weights);
+const struct Nl__TargetVersion *version_history_after(const struct Nl__Row *model, uint64_t weights);
 
 /* A model's newest weights, as a number. Example: if (naming_newest(model) > 3) roll_out(); */
 uint64_t version_history_newest(const struct Nl__Row *model);
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -95,7 +95,7 @@
 	return s;
 }
 
-void read_state(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void read_state(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	command_answer(out, event->payload.api_call.token, 200, 0, state_json(controller, now, out->pool));
 }
@@ -109,34 +109,34 @@
 	arrput(controller->pending_reads, pending);
 }
 
-void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_TABLE, now);
 	config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 }
 
-void read_retention(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void read_retention(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	(void)out;
 	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION, now);
 }
 
-void read_retention_report(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void read_retention_report(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	(void)out;
 	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION_REPORT, now);
 }
 
-void on_read_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_read_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	struct Nl__ReadReply *reply;
-	struct Nl__Owner *hint;
+	struct Nl__LeaderHint *hint;
 	const char *body;
 
 	if (!leads_shard(controller, SHARD_CONTROL, now)) {
-		hint = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
-		hint->owner = leader_hint(controller, SHARD_CONTROL, now);
-		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_OWNER)->owner = hint;
+		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		hint->leader_id = leader_hint(controller, SHARD_CONTROL, now);
+		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
 		return;
 	}
 	if (message->read->kind == NL__READ_KIND__READ_RETENTION)
@@ -145,14 +145,14 @@
 		body = retention_csv(controller, out->pool);
 	else
 		return;
-	reply = OUT_NEW(out, Nl__ReadReply, NL__READ_REPLY__INIT);
+	reply = MESSAGE_NEW(out, Nl__ReadReply, NL__READ_REPLY__INIT);
 	reply->token = message->read->token;
 	reply->body.data = (uint8_t *)(uintptr_t)body;
 	reply->body.len = strlen(body);
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_READ_REPLY)->read_reply = reply;
 }
 
-void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now, struct out *out)
+void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->pending_reads); i++) {
 		const struct controller_pending_read *pending = &controller->pending_reads[i];
@@ -167,20 +167,20 @@
 }
 
 /* Ask whoever leads, as far as is known. */
-static void query_leader(struct controller *controller, struct controller_pending_read *pending, int64_t now, struct out *out)
+static void query_leader(struct controller *controller, struct controller_pending_read *pending, int64_t now, struct command_list *out)
 {
 	struct Nl__Read *query;
 
 	if (pending->kind == NL__READ_KIND__READ_TABLE || now < pending->retry_at_ms) /* the table comes with the following */
 		return;
 	pending->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS / 4;
-	query = OUT_NEW(out, Nl__Read, NL__READ__INIT);
+	query = MESSAGE_NEW(out, Nl__Read, NL__READ__INIT);
 	query->token = pending->token;
 	query->kind = pending->kind;
 	command_send(out, config_watch_leader_addr(&controller->config_watch, SHARD_CONTROL), SHARD_CONTROL, NL__MSG__BODY_READ)->read = query;
 }
 
-void reads_tick(struct controller *controller, int64_t now, struct out *out)
+void reads_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->pending_reads) - 1; i >= 0; i--) {
 		struct controller_pending_read *pending = &controller->pending_reads[i];
@@ -201,7 +201,7 @@
 /* ---- orders that are passed on to the leader --------------------------------------------------- */
 
 /* Who sent an order and what it is, so that it is known when it is sent again. 0: its key is none, and it is answered so. */
-static int identify_request(const struct controller_event *event, int versioned, uint64_t base_version, struct request_key *key, struct out *out)
+static int identify_request(const struct controller_event *event, int versioned, uint64_t base_version, struct request_key *key, struct command_list *out)
 {
 	if (event->payload.api_call.idempotency_key && !idempotency_key_is_valid(event->payload.api_call.idempotency_key)) {
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, ORDER_KEY_INVALID, 0));
@@ -211,42 +211,42 @@
 	return 1;
 }
 
-void change_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void change_config_table(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
-	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__RequestKey packed_key = NL__REQUEST_KEY__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct request_key key;
 	const char *error = NULL;
 
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = config_change_parse(event->payload.api_call.body, out->pool, &error);
 	if (error) { /* no change at all, whatever the table holds: that is for the leader to judge */
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, error, 0));
 		return;
 	}
-	if (!identify_request(event, !operation.change->any, operation.change->expect, &key, out))
+	if (!identify_request(event, !operation.change->any_revision, operation.change->expected_revision, &key, out))
 		return;
-	operation.order = request_key_pack(&key, &packed_key);
+	operation.request_key = request_key_pack(&key, &packed_key);
 	propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
 }
 
-void purge_context(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void purge_context(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	struct json_object *json = json_tokener_parse(event->payload.api_call.body);
-	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
-	struct Nl__Clear clear = NL__CLEAR__INIT;
+	struct Nl__RequestKey packed_key = NL__REQUEST_KEY__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
+	struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
 	struct request_key key;
 
-	operation.op_case = NL__OP__OP_CLEAR;
-	operation.clear = &clear;
-	clear.step = NL__CLEAR_STEP__CLEAR_NOW;
+	operation.body_case = NL__OPERATION__BODY_RETENTION_STEP;
+	operation.retention_step = &clear;
+	clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW;
 	clear.scope = (char *)json_string_member(json, "scope");
-	clear.by = (char *)(json_string_member(json, "by")[0] ? json_string_member(json, "by") : "an operator");
-	if (strpbrk(clear.by, ",\"\r\n") || strlen(clear.by) > 100) {
+	clear.requested_by = (char *)(json_string_member(json, "by")[0] ? json_string_member(json, "by") : "an operator");
+	if (strpbrk(clear.requested_by, ",\"\r\n") || strlen(clear.requested_by) > 100) {
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, "by: up to 100 characters without commas and quotes", 0));
 	} else if (identify_request(event, 0, 0, &key, out)) {
-		operation.order = request_key_pack(&key, &packed_key);
+		operation.request_key = request_key_pack(&key, &packed_key);
 		propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
 	}
 	json_object_put(json);
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -3,7 +3,7 @@
 #include "controller.h"
 #include "ds.h"
 
-void operator_calls_count(struct operator_calls *calls, const struct out *out, ptrdiff_t from)
+void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from)
 {
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++) {
 		if (out->commands[i].kind != CMD_ANSWER)
--- a/lib/control/operator_calls.h
+++ b/lib/control/operator_calls.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 struct controller;
-struct out;
+struct command_list;
 
 struct operator_calls {
 	uint64_t read;
@@ -24,7 +24,7 @@
 };
 
 /* Count the answers among the commands from a position on. Example: operator_calls_count(&r->calls, o, from); */
-void operator_calls_count(struct operator_calls *calls, const struct out *out, ptrdiff_t from);
+void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from);
 
 /* How many calls wait for an answer. Example: if (operator_calls_open(r)) wait(); */
 uint64_t operator_calls_open(const struct controller *controller);
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -11,15 +11,15 @@
 
 /* Log a change and answer when it is committed. */
 static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change, const struct request_key *key, int64_t now,
-			   struct out *out)
+			   struct command_list *out)
 {
 	struct controller_logged_call waiting = { token, 0, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
-	struct Nl__OrderId packed_key = NL__ORDER_ID__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__RequestKey packed_key = NL__REQUEST_KEY__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = change;
-	operation.order = request_key_pack(key, &packed_key);
+	operation.request_key = request_key_pack(key, &packed_key);
 	waiting.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
 	if (waiting.log_index)
 		arrput(controller->logged_calls, waiting);
@@ -28,7 +28,7 @@
 }
 
 /* An order that was accepted is acknowledged again; one that is being logged is waited for. 1: it was such a one. */
-static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key, int64_t now, struct out *out)
+static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key, int64_t now, struct command_list *out)
 {
 	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, key);
 
@@ -50,7 +50,7 @@
 }
 
 /* A document that builds on another version is late, unless it may be an order that was accepted and is forgotten. */
-static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version, struct out *out)
+static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version, struct command_list *out)
 {
 	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
 		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS, error_json(out->pool, ORDER_FORGOTTEN, 0));
@@ -58,7 +58,7 @@
 		command_answer(out, token, 412, 0, error_json(out->pool, "another version is current", 0));
 }
 
-void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	uint64_t token = event->payload.document.token, base_version = event->payload.document.base_version;
 	int patch = event->payload.document.is_patch;
@@ -83,11 +83,11 @@
 		error = "document: none is taken here";
 	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body, body_bytes, patch, &change, &error, out->pool))
 		error = error ? error : "document: cannot be read";
-	else if (change.doc_version <= controller->document_version)
+	else if (change.document_version <= controller->document_version)
 		error = "version: not above the current one";
 	else {
-		change.any = change.whole = change.keys = 1;
-		change.doc_base = base_version;
+		change.any_revision = change.replace_all = change.replace_keys = 1;
+		change.document_base_version = base_version;
 		error = config_table_check(&controller->config, &change, out->pool);
 	}
 	if (error)
@@ -96,7 +96,7 @@
 		log_and_answer(controller, token, &change, &key, now, out);
 }
 
-void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	uint64_t token = event->payload.read.token;
 	struct command *command;
@@ -113,7 +113,7 @@
 	command->args.answer.len = controller->document_bytes;
 }
 
-void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	uint64_t token = event->payload.target.token;
 	const char *model = event->payload.target.model, *weights = event->payload.target.weights;
@@ -129,8 +129,8 @@
 	}
 	row.kind = NL__KIND__MODEL;
 	row.name = (char *)model;
-	row.weights = (char *)weights;
-	change.any = 1;
+	row.target_weights = (char *)weights;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
 	error = config_table_check(&controller->config, &change, out->pool);
@@ -139,13 +139,13 @@
 		return;
 	}
 	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
-	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->weights, NULL, 10) : 1))
+	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->target_weights, NULL, 10) : 1))
 		command_answer(out, token, 200, 0, "{}"); /* committed, and perhaps overtaken, before */
 	else
 		log_and_answer(controller, token, &change, &none, now, out);
 }
 
-void expire_calls(struct controller *controller, int64_t now, struct out *out)
+void expire_calls(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--)
 		if (now >= controller->logged_calls[i].deadline_at_ms) {
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A document, whole or a patch on the version base. */
-void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 /* The newest document is wanted back. */
-void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 /* Weights are named for a model. */
-void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 /* Calls whose outcome has been open for too long are told so. */
-void expire_calls(struct controller *controller, int64_t now, struct out *out);
+void expire_calls(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -14,7 +14,7 @@
 	enum controller_event_kind kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
 	const char *method, *path;    /* of CONTROLLER_WEB */
 	enum path_needs needs;
-	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now, struct out *o);
+	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now, struct command_list *o);
 };
 
 static const struct operator_path paths[] = {
@@ -54,7 +54,7 @@
 }
 
 /* Name the leader, as far as it is known here; else say when to come back. */
-static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now, struct out *out)
+static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now, struct command_list *out)
 {
 	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
 	struct command *command;
@@ -73,14 +73,14 @@
 }
 
 /* What was answered since this command holds as long as the lease does: whoever writes it looks at the clock once more. */
-static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct out *out)
+static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct command_list *out)
 {
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
 		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
 			out->commands[i].args.answer.not_after_ms = controller->shards[SHARD_CONTROL].lease_expires_at_ms;
 }
 
-void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	const struct operator_path *path = find_path(event);
 	ptrdiff_t answers = arrlen(out->commands);
--- a/lib/control/operator_paths.h
+++ b/lib/control/operator_paths.h
@@ -16,6 +16,6 @@
 };
 
 /* An operator's call: an event of kind CONTROLLER_WEB, CONTROLLER_DOC, CONTROLLER_READ or CONTROLLER_NAME. */
-void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/orders.c
+++ b/lib/control/orders.c
@@ -100,64 +100,64 @@
 	log->oldest = (log->oldest + 1) % capacity;
 }
 
-struct Nl__OrderId *request_key_pack(const struct request_key *key, struct Nl__OrderId *message)
+struct Nl__RequestKey *request_key_pack(const struct request_key *key, struct Nl__RequestKey *message)
 {
 	if (!key->is_set)
 		return NULL;
-	nl__order_id__init(message);
-	message->id.data = (uint8_t *)(uintptr_t)key->key_digest;
-	message->content.data = (uint8_t *)(uintptr_t)key->content_digest;
-	message->id.len = message->content.len = REQUEST_DIGEST_BYTES;
+	nl__request_key__init(message);
+	message->key_digest.data = (uint8_t *)(uintptr_t)key->key_digest;
+	message->content_digest.data = (uint8_t *)(uintptr_t)key->content_digest;
+	message->key_digest.len = message->content_digest.len = REQUEST_DIGEST_BYTES;
 	return message;
 }
 
-struct request_key request_key_unpack(const struct Nl__OrderId *message)
+struct request_key request_key_unpack(const struct Nl__RequestKey *message)
 {
 	struct request_key key = { 0 };
 
-	if (!message || message->id.len != REQUEST_DIGEST_BYTES || message->content.len != REQUEST_DIGEST_BYTES)
+	if (!message || message->key_digest.len != REQUEST_DIGEST_BYTES || message->content_digest.len != REQUEST_DIGEST_BYTES)
 		return key;
 	key.is_set = 1;
-	memcpy(key.key_digest, message->id.data, REQUEST_DIGEST_BYTES);
-	memcpy(key.content_digest, message->content.data, REQUEST_DIGEST_BYTES);
+	memcpy(key.key_digest, message->key_digest.data, REQUEST_DIGEST_BYTES);
+	memcpy(key.content_digest, message->content_digest.data, REQUEST_DIGEST_BYTES);
 	return key;
 }
 
-void idempotency_log_pack(const struct orders *log, struct Nl__CtlState *state, apr_pool_t *pool)
+void idempotency_log_pack(const struct orders *log, struct Nl__ControlState *state, apr_pool_t *pool)
 {
 	size_t count = (size_t)arrlen(log->records);
-	struct Nl__OrderRecord *records = apr_palloc(pool, (count + 1) * sizeof *records);
-	struct Nl__OrderId *ids = apr_palloc(pool, (count + 1) * sizeof *ids);
+	struct Nl__IdempotencyRecord *records = apr_palloc(pool, (count + 1) * sizeof *records);
+	struct Nl__RequestKey *ids = apr_palloc(pool, (count + 1) * sizeof *ids);
 
-	state->n_orders = count;
-	state->orders = apr_palloc(pool, (count + 1) * sizeof *state->orders);
+	state->n_idempotency_records = count;
+	state->idempotency_records = apr_palloc(pool, (count + 1) * sizeof *state->idempotency_records);
 	for (size_t i = 0; i < count; i++) {
 		const struct idempotency_record *record = &log->records[(log->oldest + i) % count];
 
-		nl__order_record__init(&records[i]);
-		records[i].order = request_key_pack(&record->key, &ids[i]);
+		nl__idempotency_record__init(&records[i]);
+		records[i].request_key = request_key_pack(&record->key, &ids[i]);
 		records[i].series = (uint32_t)record->series;
 		records[i].version = record->version;
-		state->orders[i] = &records[i];
+		state->idempotency_records[i] = &records[i];
 	}
-	state->n_orders_forgotten = SERIES_COUNT;
-	state->orders_forgotten = (uint64_t *)(uintptr_t)log->forgotten_versions;
+	state->n_forgotten_versions = SERIES_COUNT;
+	state->forgotten_versions = (uint64_t *)(uintptr_t)log->forgotten_versions;
 }
 
-void idempotency_log_load(struct orders *log, const struct Nl__CtlState *state)
+void idempotency_log_load(struct orders *log, const struct Nl__ControlState *state)
 {
 	idempotency_log_reset(log);
 	if (!state)
 		return;
-	for (size_t i = 0; i < state->n_orders; i++) {
-		const struct Nl__OrderRecord *record = state->orders[i];
-		struct request_key key = request_key_unpack(record->order);
+	for (size_t i = 0; i < state->n_idempotency_records; i++) {
+		const struct Nl__IdempotencyRecord *record = state->idempotency_records[i];
+		struct request_key key = request_key_unpack(record->request_key);
 
 		idempotency_log_add(log, &key, record->series < SERIES_COUNT ? (enum request_series)record->series : SERIES_UNVERSIONED,
 			   record->version);
 	}
-	for (size_t i = 0; i < state->n_orders_forgotten && i < SERIES_COUNT; i++)
-		log->forgotten_versions[i] = state->orders_forgotten[i];
+	for (size_t i = 0; i < state->n_forgotten_versions && i < SERIES_COUNT; i++)
+		log->forgotten_versions[i] = state->forgotten_versions[i];
 }
 
 void idempotency_log_reset(struct orders *log)
--- a/lib/control/orders.h
+++ b/lib/control/orders.h
@@ -74,12 +74,12 @@
 
 /* An identity as messages carry it, and back; none: NULL, and one that is not set. The bytes stay the identity's.
  * Example: op.order = order_pack(&id, &message); id = order_unpack(op->order); */
-struct Nl__OrderId *request_key_pack(const struct request_key *key, struct Nl__OrderId *message);
-struct request_key request_key_unpack(const struct Nl__OrderId *message);
+struct Nl__RequestKey *request_key_pack(const struct request_key *key, struct Nl__RequestKey *message);
+struct request_key request_key_unpack(const struct Nl__RequestKey *message);
 
 /* The record as a snapshot holds it, and back. Example: orders_pack(&orders, &state, pool); orders_load(&orders, state); */
-void idempotency_log_pack(const struct orders *log, struct Nl__CtlState *state, apr_pool_t *pool);
-void idempotency_log_load(struct orders *log, const struct Nl__CtlState *state);
+void idempotency_log_pack(const struct orders *log, struct Nl__ControlState *state, apr_pool_t *pool);
+void idempotency_log_load(struct orders *log, const struct Nl__ControlState *state);
 
 /* Forget all; kept stays. Example: orders_clear(&orders); */
 void idempotency_log_reset(struct orders *log);
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -9,20 +9,20 @@
 #include "controller_private.h"
 #include "state_machine.h"
 
-void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why, uint64_t hint, struct out *out)
+void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why, uint64_t hint, struct command_list *out)
 {
-	struct Nl__Answer *answer = OUT_NEW(out, Nl__Answer, NL__ANSWER__INIT);
+	struct Nl__ProposeReply *answer = MESSAGE_NEW(out, Nl__ProposeReply, NL__PROPOSE_REPLY__INIT);
 
 	answer->token = token;
 	answer->status = status;
-	answer->why = (char *)why;
-	answer->edition = version;
-	answer->hint = hint;
-	command_send(out, addr, 0, NL__MSG__BODY_ANSWER)->answer = answer;
+	answer->reason = (char *)why;
+	answer->revision = version;
+	answer->leader_hint = hint;
+	command_send(out, addr, 0, NL__MSG__BODY_PROPOSE_REPLY)->propose_reply = answer;
 }
 
 /* Operators' calls that wait for this entry. */
-static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status, struct out *out)
+static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--) {
 		if (controller->logged_calls[i].log_index != index)
@@ -50,7 +50,7 @@
 	}
 }
 
-void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index, struct apply_result applied, struct out *out)
+void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index, struct apply_result applied, struct command_list *out)
 {
 	if (shard == SHARD_CONTROL)
 		answer_operator_calls(controller, index, applied.status, out);
@@ -64,45 +64,45 @@
 }
 
 /* An operator wants a scope cleared now; the time is the owner's, since nothing is planned by it. */
-static const char *check_purge_request(const struct controller *controller, struct Nl__Clear *clear, int64_t now, apr_pool_t *pool)
+static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *clear, int64_t now, apr_pool_t *pool)
 {
 	int64_t wall_clock_ms = retention_wall_clock(controller, now);
 	char route[200], tenant[200];
 
 	if (!retention_parse_scope(clear->scope, route, tenant))
 		return "scope: lane/tenant, with * for all; * alone for everything";
-	if (route[0] && !config_table_get(&controller->config, NL__KIND__LANE, route))
+	if (route[0] && !config_table_get(&controller->config, NL__KIND__ROUTE, route))
 		return apr_psprintf(pool, "scope: no lane %s", route);
 	if (tenant[0] && !config_table_get(&controller->config, NL__KIND__TENANT, tenant))
 		return apr_psprintf(pool, "scope: no tenant %s", tenant);
-	clear->wall = clear->due = wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
+	clear->wall_clock_ms = clear->due_at_ms = wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
 	return NULL;
 }
 
 /* A change that builds on an older edition is late, unless it may be an order that was accepted and is forgotten. */
 static uint32_t superseded_status(const struct controller *controller, const struct Nl__Change *change)
 {
-	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES, change->expect) ? PROPOSAL_KEY_EXPIRED : PROPOSAL_SUPERSEDED;
+	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES, change->expected_revision) ? PROPOSAL_KEY_EXPIRED : PROPOSAL_SUPERSEDED;
 }
 
-void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__Propose *q = message->propose;
-	struct controller_pending_entry controller_wait = { message->part, 0, message->addr, q->token };
+	struct controller_pending_entry controller_wait = { message->shard, 0, message->addr, q->token };
 	const char *why = NULL;
 	const struct controller_done_operation *done;
 	const struct idempotency_record *accepted;
-	struct request_key request_key = request_key_unpack(q->op ? q->op->order : NULL);
+	struct request_key request_key = request_key_unpack(q->operation ? q->operation->request_key : NULL);
 	int is_expected;
 
-	if (message->part >= SHARD_COUNT || !q->op)
+	if (message->shard >= SHARD_COUNT || !q->operation)
 		return;
-	is_expected = message->part == SHARD_CONTROL    ? q->op->op_case == NL__OP__OP_CHANGE || (q->op->op_case == NL__OP__OP_CLEAR &&
-                                                                                  q->op->clear->step == NL__CLEAR_STEP__CLEAR_NOW)
-	       : service_shard_state(controller, message->part) ? q->op->op_case == NL__OP__OP_CLAIM
+	is_expected = message->shard == SHARD_CONTROL    ? q->operation->body_case == NL__OPERATION__BODY_CHANGE || (q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP &&
+                                                                                  q->operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW)
+	       : service_shard_state(controller, message->shard) ? q->operation->body_case == NL__OPERATION__BODY_CLAIM
 					   : 0;
-	if (!leads_shard(controller, message->part, now)) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->part, now), out);
+	if (!leads_shard(controller, message->shard, now)) {
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->shard, now), out);
 		return;
 	}
 	if (!is_expected)
@@ -110,59 +110,59 @@
 	else if ((accepted = idempotency_log_find(&controller->accepted_requests, &request_key))) {
 		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key), accepted->version, ORDER_KEY_REUSED, 0, out);
 		return;
-	} else if (message->part == SHARD_CONTROL && (done = find_done_operation(controller, q->op->from, q->op->token))) {
+	} else if (message->shard == SHARD_CONTROL && (done = find_done_operation(controller, q->operation->requester_id, q->operation->token))) {
 		reply_to_proposal(message->addr, q->token, done->status, controller->config.revision, "edition overtaken", 0, out);
 		return;
-	} else if (message->part == SHARD_CONTROL && q->op->op_case == NL__OP__OP_CLEAR) {
-		why = check_purge_request(controller, q->op->clear, now, out->pool);
-	} else if (message->part == SHARD_CONTROL && controller->config.revision && !q->op->change->any && q->op->change->expect < controller->config.operator_revision) {
-		reply_to_proposal(message->addr, q->token, superseded_status(controller, q->op->change), controller->config.revision, "edition overtaken", 0, out);
+	} else if (message->shard == SHARD_CONTROL && q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP) {
+		why = check_purge_request(controller, q->operation->retention_step, now, out->pool);
+	} else if (message->shard == SHARD_CONTROL && controller->config.revision && !q->operation->change->any_revision && q->operation->change->expected_revision < controller->config.operator_revision) {
+		reply_to_proposal(message->addr, q->token, superseded_status(controller, q->operation->change), controller->config.revision, "edition overtaken", 0, out);
 		return;
-	} else if (message->part == SHARD_CONTROL) {
-		why = config_table_check(&controller->config, q->op->change, out->pool);
+	} else if (message->shard == SHARD_CONTROL) {
+		why = config_table_check(&controller->config, q->operation->change, out->pool);
 		if (!why)
-			why = retention_check_calendar(controller->calendar, q->op->change, retention_wall_clock(controller, now), out->pool);
+			why = retention_check_calendar(controller->calendar, q->operation->change, retention_wall_clock(controller, now), out->pool);
 	}
 	if (why) {
 		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED, controller->config.revision, why, 0, out);
 		return;
 	}
-	controller_wait.log_index = log_operation(controller, message->part, q->op, now, out);
+	controller_wait.log_index = log_operation(controller, message->shard, q->operation, now, out);
 	if (controller_wait.log_index)
 		arrput(controller->pending_entries, controller_wait);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->part, now), out);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->shard, now), out);
 }
 
 /* A proposal of this node's own, or of an operator calling here. */
-void propose(struct controller *controller, uint32_t shard, const struct Nl__Op *op, uint64_t call_token, int64_t now)
+void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op, uint64_t call_token, int64_t now)
 {
 	struct controller_proposal proposal = { ++controller->last_token, call_token, shard, NULL, now + CONTROLLER_CALL_TIMEOUT_MS, 0, 0, 0, 0 };
-	size_t size = nl__op__get_packed_size(op);
+	size_t size = nl__operation__get_packed_size(op);
 	uint8_t *packed = malloc(size + 1);
 
 	if (!packed)
 		abort();
-	nl__op__pack(op, packed);
-	proposal.operation = nl__op__unpack(NULL, size, packed);
+	nl__operation__pack(op, packed);
+	proposal.operation = nl__operation__unpack(NULL, size, packed);
 	free(packed);
 	if (!proposal.operation)
 		abort();
-	proposal.operation->from = controller->id;
+	proposal.operation->requester_id = controller->id;
 	proposal.operation->token = proposal.token;
 	arrput(controller->proposals, proposal);
 }
 
 static void end_proposal(struct controller *controller, ptrdiff_t i)
 {
-	nl__op__free_unpacked(controller->proposals[i].operation, NULL);
+	nl__operation__free_unpacked(controller->proposals[i].operation, NULL);
 	arrdel(controller->proposals, i);
 }
 
 /* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader is in reach;
  * what may have been waits for its outcome, up to its time. A controller that is to stop looks for no leader any more: there
  * nothing waits without one. */
-static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal, int64_t now, struct out *out)
+static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal, int64_t now, struct command_list *out)
 {
 	int may_be_logged = proposal->send_count > proposal->denied_count;
 
@@ -176,7 +176,7 @@
 	return 1;
 }
 
-void proposals_tick(struct controller *controller, int64_t now, struct out *out)
+void proposals_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->proposals) - 1; i >= 0; i--) {
 		struct controller_proposal *proposal = &controller->proposals[i];
@@ -190,9 +190,9 @@
 			continue;
 		proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS;
 		proposal->send_count++;
-		q = OUT_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+		q = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
 		q->token = proposal->token;
-		q->op = (struct Nl__Op *)core_copy_message(out->pool, &proposal->operation->base);
+		q->operation = (struct Nl__Operation *)core_copy_message(out->pool, &proposal->operation->base);
 		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard), proposal->shard, NL__MSG__BODY_PROPOSE)->propose = q;
 	}
 }
@@ -219,7 +219,7 @@
 	return 1;
 }
 
-void on_proposal_reply(struct controller *controller, const struct Nl__Answer *answer, int64_t now, struct out *out)
+void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *answer, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++) {
 		struct controller_proposal *proposal = &controller->proposals[i];
@@ -230,7 +230,7 @@
 		if (answer->status == PROPOSAL_NOT_LEADER) { /* surely not logged there */
 			proposal->denied_count++;
 			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS; /* the one named */
-			config_watch_hint(&controller->config_watch, proposal->shard, answer->hint);
+			config_watch_hint(&controller->config_watch, proposal->shard, answer->leader_hint);
 			return;
 		}
 		if (answer->status == PROPOSAL_REJECTED && another_copy_in_flight(proposal))
@@ -242,12 +242,12 @@
 		if (answer->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
 			return; /* said long ago, and read only now: no more than that it may have been logged is certain */
 		if (proposal->call_token && answer->status == PROPOSAL_DONE) {
-			body = apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->edition);
+			body = apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->revision);
 			command_answer(out, proposal->call_token, 200, 0, body);
 		} else if (proposal->call_token) {
 			int http_status = rejection_http_status(answer->status);
 
-			body = error_json(out->pool, answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN : answer->why, answer->edition);
+			body = error_json(out->pool, answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN : answer->reason, answer->revision);
 			if (http_status < 500)
 				command_answer_until(out, proposal->call_token, http_status, body, proposal->deadline_at_ms);
 			else
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -20,62 +20,62 @@
 	return shard == SHARD_CONTROL ? controller->config_purge_feed : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed : NULL;
 }
 
-void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	struct Nl__FeedReply *feed_reply;
 	struct Nl__Value **value;
 	size_t acknowledged = 0, released = 0;
 
-	if (message->part >= SHARD_COUNT || message->part == SHARD_PURGE)
+	if (message->shard >= SHARD_COUNT || message->shard == SHARD_PURGE)
 		return;
-	if (!leads_shard(controller, message->part, now)) {
-		struct Nl__Owner *owner = OUT_NEW(out, Nl__Owner, NL__OWNER__INIT);
+	if (!leads_shard(controller, message->shard, now)) {
+		struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
-		owner->owner = leader_hint(controller, message->part, now);
-		command_send(out, message->addr, message->part, NL__MSG__BODY_OWNER)->owner = owner;
+		owner->leader_id = leader_hint(controller, message->shard, now);
+		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
 		return;
 	}
-	feed_reply = OUT_NEW(out, Nl__FeedReply, NL__FEED_REPLY__INIT);
-	feed_reply->round = message->feed_ask->round;
-	value = find_feed(controller, message->part);
-	while (acknowledged < (size_t)arrlen(value) && value[acknowledged]->index <= message->feed_ask->have)
+	feed_reply = MESSAGE_NEW(out, Nl__FeedReply, NL__FEED_REPLY__INIT);
+	feed_reply->round = message->feed_request->round;
+	value = find_feed(controller, message->shard);
+	while (acknowledged < (size_t)arrlen(value) && value[acknowledged]->index <= message->feed_request->have_index)
 		acknowledged++;
 	released = acknowledged;
-	feed_reply->n_v = (size_t)arrlen(value) - acknowledged;
-	feed_reply->v = copy_values(value ? value + acknowledged : NULL, feed_reply->n_v, out->pool);
-	command_send(out, message->addr, message->part, NL__MSG__BODY_FEED_REPLY)->feed_reply = feed_reply;
+	feed_reply->n_values = (size_t)arrlen(value) - acknowledged;
+	feed_reply->values = copy_values(value ? value + acknowledged : NULL, feed_reply->n_values, out->pool);
+	command_send(out, message->addr, message->shard, NL__MSG__BODY_FEED_REPLY)->feed_reply = feed_reply;
 	if (released > 64) {
-		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
 
-		trim.feed = message->feed_ask->have;
-		operation.op_case = NL__OP__OP_TRIM;
+		trim.feed = message->feed_request->have_index;
+		operation.body_case = NL__OPERATION__BODY_TRIM;
 		operation.trim = &trim;
-		log_operation(controller, message->part, &operation, now, out);
+		log_operation(controller, message->shard, &operation, now, out);
 	}
 }
 
-void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out)
+void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__FeedReply *feed_reply = message->feed_reply;
 	int proposed = 0;
 
-	if (!controller->relay.is_publisher || message->part >= SHARD_COUNT || !leads_shard(controller, SHARD_PURGE, now))
+	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT || !leads_shard(controller, SHARD_PURGE, now))
 		return;
-	config_watch_hint(&controller->config_watch, message->part, message->addr);
+	config_watch_hint(&controller->config_watch, message->shard, message->addr);
 	/* one batch at a time; what does not fit, the feed will say again */
-	for (size_t i = 0; i < feed_reply->n_v && (proposed || controller->pending_tick <= controller->declared_tick); i++) {
-		struct Nl__Op operation = NL__OP__INIT;
+	for (size_t i = 0; i < feed_reply->n_values && (proposed || controller->pending_tick <= controller->declared_tick); i++) {
+		struct Nl__Operation operation = NL__OPERATION__INIT;
 		uint64_t next = (proposed ? controller->pending_tick : controller->declared_tick) + 1;
 
-		if (!feed_reply->v[i]->purge || feed_reply->v[i]->index <= controller->purge_state.published_index[message->part])
+		if (!feed_reply->values[i]->purge || feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
 			continue;
 		if (next > controller->purge_state.ceiling || proposed == CONTROLLER_PURGE_BATCH)
 			break;
-		feed_reply->v[i]->feed = message->part;
-		feed_reply->v[i]->tick = next;
-		operation.op_case = NL__OP__OP_VALUE;
-		operation.value = feed_reply->v[i];
+		feed_reply->values[i]->feed = message->shard;
+		feed_reply->values[i]->tick = next;
+		operation.body_case = NL__OPERATION__BODY_VALUE;
+		operation.value = feed_reply->values[i];
 		if (!log_operation(controller, SHARD_PURGE, &operation, now, out))
 			break;
 		controller->pending_tick = next;
@@ -83,24 +83,24 @@
 	}
 	if (controller->pending_tick > controller->declared_tick)
 		return; /* this feed has not said all yet */
-	if (feed_reply->round > controller->feed_complete_round[message->part])
-		controller->feed_complete_round[message->part] = feed_reply->round;
+	if (feed_reply->round > controller->feed_complete_round[message->shard])
+		controller->feed_complete_round[message->shard] = feed_reply->round;
 }
 
-static void reserve_ticks(struct controller *controller, int64_t now, struct out *out)
+static void reserve_ticks(struct controller *controller, int64_t now, struct command_list *out)
 {
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Reserve reserve = NL__RESERVE__INIT;
 
 	reserve.ceiling = controller->purge_state.ceiling + PURGE_RESERVED_TICKS;
 	reserve.released = controller->relay.knowledge.released;
-	operation.op_case = NL__OP__OP_RESERVE;
+	operation.body_case = NL__OPERATION__BODY_RESERVE;
 	operation.reserve = &reserve;
 	if (log_operation(controller, SHARD_PURGE, &operation, now, out))
 		controller->reserved_for_ceiling = controller->purge_state.ceiling;
 }
 
-void publisher_start(struct controller *controller, int64_t now, struct out *out)
+void publisher_start(struct controller *controller, int64_t now, struct command_list *out)
 {
 	struct relay *relay = &controller->relay;
 
@@ -126,7 +126,7 @@
 	reserve_ticks(controller, now, out);
 }
 
-void publisher_tick(struct controller *controller, int64_t now, struct out *out)
+void publisher_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	int all_complete = 1;
 
@@ -134,17 +134,17 @@
 		controller->feed_polled_at_ms = now;
 		controller->feed_round++;
 		for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-			struct Nl__FeedAsk *feed_ask;
+			struct Nl__FeedRequest *feed_ask;
 
 			if (i == SHARD_PURGE)
 				continue;
 			if (i != SHARD_CONTROL && controller->feed_round > controller->feed_complete_round[i] + 5 && controller->feed_round % 5 == 0)
 				config_watch_miss(&controller->config_watch, i); /* no word for a while: try another controller, then heed its hint */
-			feed_ask = OUT_NEW(out, Nl__FeedAsk, NL__FEED_ASK__INIT);
-			feed_ask->have = controller->purge_state.published_index[i];
+			feed_ask = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
+			feed_ask->have_index = controller->purge_state.published_index[i];
 			feed_ask->round = controller->feed_round;
-			command_send(out, leads_shard(controller, i, now) ? out->addr : config_watch_leader_addr(&controller->config_watch, i), i, NL__MSG__BODY_FEED_ASK)
-			    ->feed_ask = feed_ask;
+			command_send(out, leads_shard(controller, i, now) ? out->addr : config_watch_leader_addr(&controller->config_watch, i), i, NL__MSG__BODY_FEED_REQUEST)
+			    ->feed_request = feed_ask;
 		}
 	}
 	if (controller->purge_state.ceiling < controller->declared_tick + PURGE_RESERVED_TICKS / 2 && controller->reserved_for_ceiling != controller->purge_state.ceiling)
--- a/lib/control/purge_publisher.h
+++ b/lib/control/purge_publisher.h
@@ -7,15 +7,15 @@
 #include "controller.h"
 
 /* A publisher asks a part that is led here for its newest decisions. */
-void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
+void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* A part's decisions arrive: they are logged in batches. */
-void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct out *out);
+void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* Taking office: every tick up to the old ceiling is known, as a logged value or as silence. */
-void publisher_start(struct controller *controller, int64_t now, struct out *out);
+void publisher_start(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Ask the parts for decisions, and declare silence once none has any left. */
-void publisher_tick(struct controller *controller, int64_t now, struct out *out);
+void publisher_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -72,16 +72,16 @@
 
 /* Say what the asker may use, and count it as held until it is heard to be back. */
 static void reply_share(struct controller_quota_share *grant, const char *name, uint32_t reserved, uint64_t token, struct Nl__ConfigSyncReply *reply,
-			struct out *out)
+			struct command_list *out)
 {
-	struct Nl__Hold *hold = OUT_NEW(out, Nl__Hold, NL__HOLD__INIT);
+	struct Nl__QuotaGrant *hold = MESSAGE_NEW(out, Nl__QuotaGrant, NL__QUOTA_GRANT__INIT);
 
 	if (reserved > grant->reserved)
 		grant->reserved = reserved;
 	grant->reply_token = token;
 	hold->name = apr_pstrdup(out->pool, name);
-	hold->held = reserved;
-	reply->place[reply->n_place++] = hold;
+	hold->reserved_slots = reserved;
+	reply->quota_grants[reply->n_quota_grants++] = hold;
 }
 
 /* Where a table has few limits, routers hold some of each ahead: a failover then finds them with places. */
@@ -107,46 +107,46 @@
 /* Places that the asker holds, uses and wants, and what it gets. In the first seconds of an office nobody gets more: not
  * all that the last owner gave has been heard of yet. */
 void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync, uint32_t router_count,
-			 struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out)
+			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	/* the members are a fleet's first entry, its first owner's the second: before it nobody gave any */
 	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS && controller->shards[SHARD_CONTROL].term_start > 2;
 	uint32_t router_divisor = router_count ? router_count : 1;
 
 	update_reserve_limits(controller);
-	reply->place = apr_palloc(out->pool, (sync->n_hold + (size_t)arrlen(controller->reserve_limits) + 1) * sizeof *reply->place);
-	for (size_t k = 0; k < sync->n_hold; k++) {
-		const struct Nl__Hold *hold = sync->hold[k];
-		uint32_t limit = find_limit(controller, hold->name), granted, in_use = hold->held > hold->used ? hold->held : hold->used;
+	reply->quota_grants = apr_palloc(out->pool, (sync->n_quota_grants + (size_t)arrlen(controller->reserve_limits) + 1) * sizeof *reply->quota_grants);
+	for (size_t k = 0; k < sync->n_quota_grants; k++) {
+		const struct Nl__QuotaGrant *hold = sync->quota_grants[k];
+		uint32_t limit = find_limit(controller, hold->name), granted, in_use = hold->reserved_slots > hold->used_slots ? hold->reserved_slots : hold->used_slots;
 		struct controller_quota_share *grant;
 
 		if (!limit && has_quota_row(controller, hold->name)) /* no limit: nobody asks for places */
 			continue;
 		grant = find_share(controller, hold->name, router_id, in_use, now);
-		if (sync->applied >= grant->reply_token || in_use > grant->reserved) /* it has heard the last that was said */
+		if (sync->applied_token >= grant->reply_token || in_use > grant->reserved) /* it has heard the last that was said */
 			grant->reserved = in_use;
-		grant->requested = hold->want;
+		grant->requested = hold->requested_slots;
 		grant->updated_at_ms = now;
 		granted = compute_share(shget(controller->quotas, hold->name), grant, hold->name, limit, limit / router_divisor / 4, now);
-		if (new_leader && granted > hold->held)
-			granted = hold->held < limit ? hold->held : limit;
-		if (granted || hold->used)
+		if (new_leader && granted > hold->reserved_slots)
+			granted = hold->reserved_slots < limit ? hold->reserved_slots : limit;
+		if (granted || hold->used_slots)
 			grant->last_granted_at_ms = now;
 		reply_share(grant, hold->name, granted, sync->token, reply, out);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->reserve_limits) && sync->counter && !new_leader; i++) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->reserve_limits) && sync->is_router && !new_leader; i++) {
 		uint32_t limit = find_limit(controller, controller->reserve_limits[i]), granted;
 		struct controller_quota_share *grant;
 		int requested = 0;
 
-		for (size_t k = 0; k < sync->n_hold && !requested; k++)
-			requested = !strcmp(sync->hold[k]->name, controller->reserve_limits[i]);
+		for (size_t k = 0; k < sync->n_quota_grants && !requested; k++)
+			requested = !strcmp(sync->quota_grants[k]->name, controller->reserve_limits[i]);
 		if (requested || limit < 4 * router_divisor)
 			continue;
 		grant = find_share(controller, controller->reserve_limits[i], router_id, 0, now);
 		grant->updated_at_ms = now;
 		grant->requested = 0;
-		if (sync->applied >= grant->reply_token)
+		if (sync->applied_token >= grant->reply_token)
 			grant->reserved = 0;
 		granted = compute_share(shget(controller->quotas, controller->reserve_limits[i]), grant, controller->reserve_limits[i], limit, limit / router_divisor / 4, now);
 		reply_share(grant, controller->reserve_limits[i], granted, sync->token, reply, out);
--- a/lib/control/quota_shares.h
+++ b/lib/control/quota_shares.h
@@ -8,7 +8,7 @@
 
 /* Take in what a router holds, uses and wants under its limits, and add what it gets to the answer. */
 void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync, uint32_t router_count,
-			 struct Nl__ConfigSyncReply *reply, int64_t now, struct out *out);
+			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out);
 
 /* Forget who holds what: a new leader learns it from the routers. */
 void quota_shares_clear(struct controller *controller);
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -54,7 +54,7 @@
 	return json;
 }
 
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out)
+void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
 {
 	uint64_t lost[MAX_LOST];
 	int count = read_lost(event->payload.api_call.body, lost), recovered = 0;
--- a/lib/control/recovery.h
+++ b/lib/control/recovery.h
@@ -8,6 +8,6 @@
 /* POST /v1/recover: {"lost":["00112233445566aa", ...]} names controllers that are lost for good. Each group answers whether
  * it goes on here, and why not; with an empty list nothing is done, and the members are told.
  * Example: recover_groups(r, ev, now, o); */
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct out *out);
+void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -50,34 +50,34 @@
 /* ms between two clearings of a row without calendar terms. */
 static int64_t period(const struct Nl__Row *row)
 {
-	return row->every[0] ? retention_parse_span(row->every) : retention_parse_span(row->keep) - row->window;
+	return row->interval[0] ? retention_parse_span(row->interval) : retention_parse_span(row->max_age) - row->spread_ms;
 }
 
 const char *retention_check_row(const struct Nl__Row *row)
 {
 	char lane[200], tenant[200];
-	int64_t keep_ms = row->keep[0] ? retention_parse_span(row->keep) : 0;
+	int64_t keep_ms = row->max_age[0] ? retention_parse_span(row->max_age) : 0;
 
 	if (!retention_parse_scope(row->name, lane, tenant))
 		return "name: lane/tenant, with * for all; * alone for everything";
 	if (keep_ms < 0)
 		return "keep: a number and s, m, h, d or w, such as 90m or 7d";
-	if (row->every[0] && row->at[0])
+	if (row->interval[0] && row->calendar[0])
 		return "every: not beside at";
-	if (!keep_ms && !row->every[0] && !row->at[0])
+	if (!keep_ms && !row->interval[0] && !row->calendar[0])
 		return "keep: missing, and neither every nor at";
-	if (row->every[0] && retention_parse_span(row->every) < 0)
+	if (row->interval[0] && retention_parse_span(row->interval) < 0)
 		return "every: a number and s, m, h, d or w, such as 6h";
-	if (keep_ms && keep_ms < (int64_t)row->window)
+	if (keep_ms && keep_ms < (int64_t)row->spread_ms)
 		return "keep: shorter than window";
-	if (row->at[0])
+	if (row->calendar[0])
 		return NULL; /* the calendar judges it */
 	if (period(row) < RETENTION_MIN_PERIOD_MS)
-		return row->every[0] ? "every: shorter than a clearing takes (10s)"
+		return row->interval[0] ? "every: shorter than a clearing takes (10s)"
 				   : "keep: shorter than window and a clearing (10s)";
-	if ((int64_t)row->window > period(row))
+	if ((int64_t)row->spread_ms > period(row))
 		return "window: longer than the time between two clearings";
-	if (keep_ms && row->every[0] && keep_ms < period(row) + (int64_t)row->window)
+	if (keep_ms && row->interval[0] && keep_ms < period(row) + (int64_t)row->spread_ms)
 		return "keep: shorter than every and window together";
 	return NULL;
 }
@@ -87,10 +87,10 @@
 	for (size_t i = 0; i < change->n_set; i++)
 		if (change->set[i]->kind == k && !strcmp(change->set[i]->name, name))
 			return 1;
-	for (size_t i = 0; i < change->n_del; i++)
-		if (change->del[i]->kind == k && !strcmp(change->del[i]->name, name))
+	for (size_t i = 0; i < change->n_deleted; i++)
+		if (change->deleted[i]->kind == k && !strcmp(change->deleted[i]->name, name))
 			return 0;
-	return !change->whole && config_table_get(table, k, name);
+	return !change->replace_all && config_table_get(table, k, name);
 }
 
 const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change, apr_pool_t *p)
@@ -102,7 +102,7 @@
 
 		if (row->kind != NL__KIND__RETENTION || !retention_parse_scope(row->name, lane, tenant))
 			continue;
-		if (lane[0] && !has_quota_row(table, change, NL__KIND__LANE, lane))
+		if (lane[0] && !has_quota_row(table, change, NL__KIND__ROUTE, lane))
 			return apr_psprintf(p, "retention %s: name: no lane %s", row->name, lane);
 		if (tenant[0] && !has_quota_row(table, change, NL__KIND__TENANT, tenant))
 			return apr_psprintf(p, "retention %s: name: no tenant %s", row->name, tenant);
@@ -137,17 +137,17 @@
 			continue;
 		if (wall_ms == INT64_MIN)
 			error = "the registrars' clocks are not heard: nothing can be planned";
-		else if (!row->at[0])
+		else if (!row->calendar[0])
 			continue;
 		else if (!calendar)
 			error = "at: no calendar is known here";
-		else if ((error = calendar->check(row->at, p)))
+		else if ((error = calendar->check(row->calendar, p)))
 			error = apr_psprintf(p, "at: %s", error);
-		else if (!calendar->next(row->at, wall_ms))
+		else if (!calendar->next(row->calendar, wall_ms))
 			error = "at: it never comes";
-		else if (gaps(calendar, row->at, wall_ms, &shortest_ms, &longest_ms) && (int64_t)row->window > shortest_ms)
+		else if (gaps(calendar, row->calendar, wall_ms, &shortest_ms, &longest_ms) && (int64_t)row->spread_ms > shortest_ms)
 			error = "window: longer than the time between two clearings";
-		else if (row->keep[0] && (keep_ms = retention_parse_span(row->keep)) >= 0 && keep_ms < longest_ms + (int64_t)row->window)
+		else if (row->max_age[0] && (keep_ms = retention_parse_span(row->max_age)) >= 0 && keep_ms < longest_ms + (int64_t)row->spread_ms)
 			error =
 			    apr_psprintf(p, "keep: two clearings may be %" APR_INT64_T_FMT " h apart, and window: keep is shorter",
 					 longest_ms / 3600000);
@@ -161,8 +161,8 @@
 {
 	int64_t period_ms;
 
-	if (row->at[0])
-		return calendar ? calendar->next(row->at, from_ms) : 0;
+	if (row->calendar[0])
+		return calendar ? calendar->next(row->calendar, from_ms) : 0;
 	period_ms = period(row);
 	if (period_ms < RETENTION_MIN_PERIOD_MS)
 		return 0;
@@ -171,7 +171,7 @@
 
 /* ---- the state that part 0 keeps -------------------------------------------- */
 
-static struct Nl__Planned *find_plan(const struct retention *retention, const char *scope)
+static struct Nl__RetentionPlan *find_plan(const struct retention *retention, const char *scope)
 {
 	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
 		if (!strcmp(retention->plans[i]->scope, scope))
@@ -179,10 +179,10 @@
 	return NULL;
 }
 
-static struct Nl__Clearing *find_purge(const struct retention *retention, uint64_t number)
+static struct Nl__RetentionPurge *find_purge(const struct retention *retention, uint64_t number)
 {
 	for (ptrdiff_t i = arrlen(retention->purges) - 1; i >= 0; i--)
-		if (retention->purges[i]->number == number)
+		if (retention->purges[i]->purge_number == number)
 			return retention->purges[i];
 	return NULL;
 }
@@ -204,7 +204,7 @@
 }
 
 /* One slice of a clearing goes to the publisher. */
-static void emit(struct controller *controller, uint64_t index, struct Nl__Clearing *purge_run)
+static void emit(struct controller *controller, uint64_t index, struct Nl__RetentionPurge *purge_run)
 {
 	struct Nl__Purge p = NL__PURGE__INIT;
 	struct Nl__Value value = NL__VALUE__INIT;
@@ -214,12 +214,12 @@
 
 	if (!purge_run->wide)
 		(void)retention_parse_scope(purge_run->scope, lane, tenant);
-	row = lane[0] ? config_table_get(&controller->config, NL__KIND__LANE, lane) : NULL;
-	p.why = PURGE_CONTEXT;
-	p.lane = lane;
+	row = lane[0] ? config_table_get(&controller->config, NL__KIND__ROUTE, lane) : NULL;
+	p.reason = PURGE_CONTEXT;
+	p.route = lane;
 	p.tenant = tenant;
 	p.service = row ? row->service : (char *)"";
-	p.number = purge_run->number;
+	p.purge_number = purge_run->purge_number;
 	p.slice = purge_run->slices++;
 	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1; i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
 		n++;
@@ -229,10 +229,10 @@
 	arrput(controller->config_purge_feed, value_copy(&value));
 }
 
-static void begin(struct controller *controller, uint64_t index, const struct Nl__Clear *c, const char *by, uint32_t window, int wide)
+static void begin(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *c, const char *by, uint32_t window, int wide)
 {
 	struct retention *retention = &controller->retention;
-	struct Nl__Clearing n = NL__CLEARING__INIT;
+	struct Nl__RetentionPurge n = NL__RETENTION_PURGE__INIT;
 	char lane[200] = "", tenant[200] = "";
 
 	(void)retention_parse_scope(c->scope, lane, tenant);
@@ -240,61 +240,61 @@
 		if (!strcmp(retention->purges[i]->scope, c->scope) && retention->purges[i]->slices < PURGE_SLICES) {
 			while (retention->purges[i]->slices < PURGE_SLICES)
 				emit(controller, index, retention->purges[i]);
-			retention->purges[i]->sliced = c->wall;
+			retention->purges[i]->sliced_at_ms = c->wall_clock_ms;
 		}
-	n.number = ++retention->last_purge_number;
+	n.purge_number = ++retention->last_purge_number;
 	n.scope = c->scope;
-	n.due = c->due;
-	n.decided = c->wall;
-	n.by = (char *)by;
+	n.due_at_ms = c->due_at_ms;
+	n.decided_at_ms = c->wall_clock_ms;
+	n.requested_by = (char *)by;
 	n.missed = c->missed;
-	n.window = window;
+	n.spread_ms = window;
 	n.wide = wide && (lane[0] || tenant[0]);
-	arrput(retention->purges, (struct Nl__Clearing *)keep(&n.base));
+	arrput(retention->purges, (struct Nl__RetentionPurge *)keep(&n.base));
 	while (arrlen(retention->purges) > RETENTION_MAX_PURGES) {
 		ptrdiff_t i = 0;
 
-		while (i < arrlen(retention->purges) - 1 && !retention->purges[i]->done)
+		while (i < arrlen(retention->purges) - 1 && !retention->purges[i]->done_at_ms)
 			i++;
-		nl__clearing__free_unpacked(retention->purges[i], NULL);
+		nl__retention_purge__free_unpacked(retention->purges[i], NULL);
 		arrdel(retention->purges, i);
 	}
 }
 
-uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__Clear *clear)
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *clear)
 {
 	struct retention *retention = &controller->retention;
-	struct Nl__Planned *plan = find_plan(retention, clear->scope);
-	struct Nl__Clearing *purge = find_purge(retention, clear->number);
+	struct Nl__RetentionPlan *plan = find_plan(retention, clear->scope);
+	struct Nl__RetentionPurge *purge = find_purge(retention, clear->purge_number);
 	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, clear->scope);
 
 	switch (clear->step) {
-	case NL__CLEAR_STEP__CLEAR_PLAN:
-		if (!plan || plan->due || !clear->next)
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN:
+		if (!plan || plan->due_at_ms || !clear->next_due_at_ms)
 			return PROPOSAL_REJECTED;
-		plan->due = clear->next;
-		plan->planned = clear->wall;
+		plan->due_at_ms = clear->next_due_at_ms;
+		plan->planned_at_ms = clear->wall_clock_ms;
 		return PROPOSAL_DONE;
-	case NL__CLEAR_STEP__CLEAR_DUE: /* a due time is taken once, whoever decides it and however often */
-		if (!plan || !row || plan->due != clear->due || clear->next <= clear->due)
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE: /* a due time is taken once, whoever decides it and however often */
+		if (!plan || !row || plan->due_at_ms != clear->due_at_ms || clear->next_due_at_ms <= clear->due_at_ms)
 			return PROPOSAL_REJECTED;
-		plan->due = clear->next;
-		begin(controller, index, clear, "schedule", row->window, !plan->settled);
-		plan->settled |= clear->wall - plan->planned >= RETENTION_PROPAGATION_MS;
+		plan->due_at_ms = clear->next_due_at_ms;
+		begin(controller, index, clear, "schedule", row->spread_ms, !plan->settled);
+		plan->settled |= clear->wall_clock_ms - plan->planned_at_ms >= RETENTION_PROPAGATION_MS;
 		return PROPOSAL_DONE;
-	case NL__CLEAR_STEP__CLEAR_NOW: begin(controller, index, clear, clear->by, 0, !plan || !plan->settled); return PROPOSAL_DONE;
-	case NL__CLEAR_STEP__CLEAR_SLICE:
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW: begin(controller, index, clear, clear->requested_by, 0, !plan || !plan->settled); return PROPOSAL_DONE;
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE:
 		if (!purge || purge->slices != clear->slice || purge->slices >= PURGE_SLICES)
 			return PROPOSAL_REJECTED;
 		emit(controller, index, purge);
 		purge->late |= clear->late;
 		if (purge->slices == PURGE_SLICES)
-			purge->sliced = clear->wall;
+			purge->sliced_at_ms = clear->wall_clock_ms;
 		return PROPOSAL_DONE;
-	case NL__CLEAR_STEP__CLEAR_DONE:
-		if (!purge || purge->slices < PURGE_SLICES || purge->done)
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE:
+		if (!purge || purge->slices < PURGE_SLICES || purge->done_at_ms)
 			return PROPOSAL_REJECTED;
-		purge->done = clear->wall;
+		purge->done_at_ms = clear->wall_clock_ms;
 		return PROPOSAL_DONE;
 	default: return PROPOSAL_REJECTED;
 	}
@@ -302,7 +302,7 @@
 
 static const char *setting_text(const struct Nl__Row *row, apr_pool_t *p)
 {
-	return apr_psprintf(p, "%s|%s|%s|%u", row->keep, row->every, row->at, (unsigned)row->window);
+	return apr_psprintf(p, "%s|%s|%s|%u", row->max_age, row->interval, row->calendar, (unsigned)row->spread_ms);
 }
 
 void retention_on_config_change(struct controller *controller, uint64_t index)
@@ -327,31 +327,31 @@
 		if (row) { /* planned anew */
 			free(retention->plans[i]->text);
 			retention->plans[i]->text = strdup(setting_text(row, p));
-			retention->plans[i]->due = 0;
+			retention->plans[i]->due_at_ms = 0;
 			continue;
 		}
 		/* what lies on its own cache namespaces must not be found again if the row comes back */
-		struct Nl__Clear clear = NL__CLEAR__INIT;
+		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
 
 		clear.scope = retention->plans[i]->scope;
-		clear.wall = clear.due = retention->plans[i]->planned;
+		clear.wall_clock_ms = clear.due_at_ms = retention->plans[i]->planned_at_ms;
 		begin(controller, index, &clear, "its row was taken out", 0, 0);
-		nl__planned__free_unpacked(retention->plans[i], NULL);
+		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
 		arrdel(retention->plans, i);
 	}
 	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
 		const struct Nl__Row *row = controller->config.rows[i].value.row;
-		struct Nl__Planned n = NL__PLANNED__INIT;
+		struct Nl__RetentionPlan n = NL__RETENTION_PLAN__INIT;
 		ptrdiff_t k = arrlen(retention->plans);
 
 		if (row->kind != NL__KIND__RETENTION || find_plan(retention, row->name))
 			continue;
 		n.scope = row->name;
 		n.text = (char *)setting_text(row, p);
-		arrput(retention->plans, (struct Nl__Planned *)keep(&n.base));
+		arrput(retention->plans, (struct Nl__RetentionPlan *)keep(&n.base));
 		for (; k && strcmp(retention->plans[k - 1]->scope, retention->plans[k]->scope) > 0;
 		     k--) { /* in order, so that equal states pack alike */
-			struct Nl__Planned *planned = retention->plans[k];
+			struct Nl__RetentionPlan *planned = retention->plans[k];
 
 			retention->plans[k] = retention->plans[k - 1];
 			retention->plans[k - 1] = planned;
@@ -360,14 +360,14 @@
 	apr_pool_destroy(p);
 }
 
-void retention_pack(const struct controller *controller, struct Nl__CtlState *state)
+void retention_pack(const struct controller *controller, struct Nl__ControlState *state)
 {
-	state->clearings = controller->retention.last_purge_number;
-	state->clearing = controller->retention.purges;
-	state->n_clearing = (size_t)arrlen(controller->retention.purges);
-	state->planned = controller->retention.plans;
-	state->n_planned = (size_t)arrlen(controller->retention.plans);
-	state->cleared = controller->retention.purged_tick;
+	state->last_purge_number = controller->retention.last_purge_number;
+	state->retention_purges = controller->retention.purges;
+	state->n_retention_purges = (size_t)arrlen(controller->retention.purges);
+	state->retention_plans = controller->retention.plans;
+	state->n_retention_plans = (size_t)arrlen(controller->retention.plans);
+	state->purged_tick = controller->retention.purged_tick;
 }
 
 void retention_reset(struct controller *controller)
@@ -375,9 +375,9 @@
 	struct retention *retention = &controller->retention;
 
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
-		nl__clearing__free_unpacked(retention->purges[i], NULL);
+		nl__retention_purge__free_unpacked(retention->purges[i], NULL);
 	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
-		nl__planned__free_unpacked(retention->plans[i], NULL);
+		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
 	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++) {
 		for (ptrdiff_t k = 0; k < arrlen(retention->index_reports[i].remainders); k++)
 			free(retention->index_reports[i].remainders[k].server);
@@ -389,17 +389,17 @@
 	memset(retention, 0, sizeof *retention);
 }
 
-void retention_load(struct controller *controller, const struct Nl__CtlState *state)
+void retention_load(struct controller *controller, const struct Nl__ControlState *state)
 {
 	retention_reset(controller);
 	if (!state)
 		return;
-	controller->retention.last_purge_number = state->clearings;
-	controller->retention.purged_tick = state->cleared;
-	for (size_t i = 0; i < state->n_clearing; i++)
-		arrput(controller->retention.purges, (struct Nl__Clearing *)keep(&state->clearing[i]->base));
-	for (size_t i = 0; i < state->n_planned; i++)
-		arrput(controller->retention.plans, (struct Nl__Planned *)keep(&state->planned[i]->base));
+	controller->retention.last_purge_number = state->last_purge_number;
+	controller->retention.purged_tick = state->purged_tick;
+	for (size_t i = 0; i < state->n_retention_purges; i++)
+		arrput(controller->retention.purges, (struct Nl__RetentionPurge *)keep(&state->retention_purges[i]->base));
+	for (size_t i = 0; i < state->n_retention_plans; i++)
+		arrput(controller->retention.plans, (struct Nl__RetentionPlan *)keep(&state->retention_plans[i]->base));
 }
 
 /* ---- the clocks --------------------------------------------------------------- */
@@ -433,47 +433,47 @@
 
 /* ---- the owner decides ----------------------------------------------------------- */
 
-static uint64_t step(struct controller *controller, struct Nl__Clear *c, int64_t now, struct out *out)
+static uint64_t step(struct controller *controller, struct Nl__RetentionStep *c, int64_t now, struct command_list *out)
 {
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 
-	operation.op_case = NL__OP__OP_CLEAR;
-	operation.clear = c;
+	operation.body_case = NL__OPERATION__BODY_RETENTION_STEP;
+	operation.retention_step = c;
 	return controller->retention.logged_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
 }
 
 /* A row without a due time gets one; one whose time has come is cleared, however many times were missed since. */
-static int plan(struct controller *controller, int64_t wall, int64_t now, struct out *out)
+static int plan(struct controller *controller, int64_t wall, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
-		struct Nl__Planned *p = controller->retention.plans[i];
+		struct Nl__RetentionPlan *p = controller->retention.plans[i];
 		const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, p->scope);
-		struct Nl__Clear clear = NL__CLEAR__INIT;
+		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
 
-		if (!row || (p->due && p->due > wall))
+		if (!row || (p->due_at_ms && p->due_at_ms > wall))
 			continue;
 		clear.scope = p->scope;
-		clear.wall = wall;
-		if (!p->due) {
+		clear.wall_clock_ms = wall;
+		if (!p->due_at_ms) {
 			int64_t base = wall;
 
 			for (ptrdiff_t k = 0; k < arrlen(controller->retention.purges);
 			     k++) /* a row that is edited again and again is not put off for ever */
-				if (!strcmp(controller->retention.purges[k]->scope, p->scope) && controller->retention.purges[k]->decided < wall)
-					base = controller->retention.purges[k]->decided;
-			clear.step = NL__CLEAR_STEP__CLEAR_PLAN;
-			clear.next = retention_next_due(controller->calendar, row, base, wall);
+				if (!strcmp(controller->retention.purges[k]->scope, p->scope) && controller->retention.purges[k]->decided_at_ms < wall)
+					base = controller->retention.purges[k]->decided_at_ms;
+			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
+			clear.next_due_at_ms = retention_next_due(controller->calendar, row, base, wall);
 		} else {
-			int64_t next = p->due;
+			int64_t next = p->due_at_ms;
 
-			clear.step = NL__CLEAR_STEP__CLEAR_DUE;
-			clear.due = p->due;
-			clear.next = retention_next_due(controller->calendar, row, p->due, wall);
+			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
+			clear.due_at_ms = p->due_at_ms;
+			clear.next_due_at_ms = retention_next_due(controller->calendar, row, p->due_at_ms, wall);
 			while (clear.missed < 1000 && (next = retention_next_due(controller->calendar, row, next, next)) && next <= wall)
 				clear.missed++;
 		}
-		if (clear.next && step(controller, &clear, now, out)) {
-			if (clear.step == NL__CLEAR_STEP__CLEAR_DUE)
+		if (clear.next_due_at_ms && step(controller, &clear, now, out)) {
+			if (clear.step == NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE)
 				log_line(controller, "retention", out->pool,
 					 "Context of %s is due for clearing; %u due times were missed before.", p->scope,
 					 (unsigned)clear.missed);
@@ -492,36 +492,36 @@
 }
 
 /* The next slice of a clearing: at half its pace while callers are served in time, at its full pace whatever they feel. */
-static int log_next_slice(struct controller *controller, int64_t wall_ms, int64_t now, struct out *out)
+static int log_next_slice(struct controller *controller, int64_t wall_ms, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		struct Nl__Clearing *purge = controller->retention.purges[i];
-		struct Nl__Clear clear = NL__CLEAR__INIT;
-		int64_t start_ms = purge->due > purge->decided - 60000 ? purge->due : purge->decided;
+		struct Nl__RetentionPurge *purge = controller->retention.purges[i];
+		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
+		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - 60000 ? purge->due_at_ms : purge->decided_at_ms;
 
 		if (purge->slices >= PURGE_SLICES)
 			continue;
-		clear.late = purge->window && !calm(controller, now);
-		if (wall_ms < start_ms + (int64_t)purge->window * purge->slices / (clear.late ? PURGE_SLICES : 2 * PURGE_SLICES))
+		clear.late = purge->spread_ms && !calm(controller, now);
+		if (wall_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / (clear.late ? PURGE_SLICES : 2 * PURGE_SLICES))
 			continue;
-		clear.step = NL__CLEAR_STEP__CLEAR_SLICE;
-		clear.number = purge->number;
+		clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE;
+		clear.purge_number = purge->purge_number;
 		clear.scope = purge->scope;
 		clear.slice = purge->slices;
-		clear.wall = wall_ms;
+		clear.wall_clock_ms = wall_ms;
 		if (!step(controller, &clear, now, out))
 			return 0;
 		if (clear.late)
 			log_line(controller, "retention", out->pool,
 				 "Clearing %" APR_UINT64_T_FMT ": lines are long, but its window ends: slice %u goes on.",
-				 purge->number, clear.slice);
+				 purge->purge_number, clear.slice);
 		return 1;
 	}
 	return 0;
 }
 
 /* The tick at which a slice of a clearing is in force, as far as it is known here; 0: not published yet. */
-static uint64_t slice_tick(const struct controller *controller, const struct Nl__Clearing *purge_run, uint32_t slice)
+static uint64_t slice_tick(const struct controller *controller, const struct Nl__RetentionPurge *purge_run, uint32_t slice)
 {
 	char lane[200] = "", tenant[200] = "";
 
@@ -530,7 +530,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++) {
 		const struct Nl__Value *value = controller->relay.view.context_purges[i];
 
-		if (value->purge->slice == slice && value->purge->number >= purge_run->number && !strcmp(value->purge->lane, lane) &&
+		if (value->purge->slice == slice && value->purge->purge_number >= purge_run->purge_number && !strcmp(value->purge->route, lane) &&
 		    !strcmp(value->purge->tenant, tenant))
 			return value->tick;
 	}
@@ -538,7 +538,7 @@
 }
 
 /* Whether a cache_namespace of this scope holds what such a clearing covers. */
-static int purge_covers(const struct controller *controller, const struct Nl__Clearing *purge_run, uint64_t scope)
+static int purge_covers(const struct controller *controller, const struct Nl__RetentionPurge *purge_run, uint64_t scope)
 {
 	char lane[200] = "", tenant[200] = "", planned_lane[200], planned_tenant[200];
 
@@ -552,7 +552,7 @@
 }
 
 /* What a clearing still waits for: texts are appended to a, if it is given. */
-static int list_missing(const struct controller *controller, const struct Nl__Clearing *purge_run, int64_t now, struct json_object *a, apr_pool_t *p)
+static int list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge_run, int64_t now, struct json_object *a, apr_pool_t *p)
 {
 	uint64_t tick = 0;
 	int n = 0, index_has_reported = 0;
@@ -582,7 +582,7 @@
 			continue;
 		index_has_reported |= retention_said->horizon >= tick;
 		for (ptrdiff_t k = 0; k < arrlen(retention_said->remainders); k++)
-			if (retention_said->remainders[k].purge_number < purge_run->number && purge_covers(controller, purge_run, retention_said->remainders[k].scope))
+			if (retention_said->remainders[k].purge_number < purge_run->purge_number && purge_covers(controller, purge_run, retention_said->remainders[k].scope))
 				MISS(retention_said->remainders[k].block_count ? "server %s still names %u parts, which nothing finds any more"
 						   : "server %s has not said since what it keeps",
 				     retention_said->remainders[k].server, (unsigned)retention_said->remainders[k].block_count);
@@ -593,24 +593,24 @@
 	return n;
 }
 
-static int done(struct controller *r, int64_t wall, int64_t now, struct out *out)
+static int done(struct controller *r, int64_t wall, int64_t now, struct command_list *out)
 {
 	if (now - r->retention.checked_at_ms < RETENTION_CHECK_MS || now - r->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new owner hears all nodes first */
 	r->retention.checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(r->retention.purges); i++) {
-		struct Nl__Clearing *purge_run = r->retention.purges[i];
-		struct Nl__Clear clear = NL__CLEAR__INIT;
+		struct Nl__RetentionPurge *purge_run = r->retention.purges[i];
+		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
 
-		if (purge_run->done || purge_run->slices < PURGE_SLICES || list_missing(r, purge_run, now, NULL, out->pool))
+		if (purge_run->done_at_ms || purge_run->slices < PURGE_SLICES || list_missing(r, purge_run, now, NULL, out->pool))
 			continue;
-		clear.step = NL__CLEAR_STEP__CLEAR_DONE;
-		clear.number = purge_run->number;
+		clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE;
+		clear.purge_number = purge_run->purge_number;
 		clear.scope = purge_run->scope;
-		clear.wall = wall;
+		clear.wall_clock_ms = wall;
 		if (step(r, &clear, now, out)) {
 			log_line(r, "retention", out->pool,
-				 "Clearing %" APR_UINT64_T_FMT " of %s is done: nothing names what was kept before.", purge_run->number,
+				 "Clearing %" APR_UINT64_T_FMT " of %s is done: nothing names what was kept before.", purge_run->purge_number,
 				 purge_run->scope);
 			return 1;
 		}
@@ -618,7 +618,7 @@
 	return 0;
 }
 
-void retention_tick(struct controller *controller, int64_t now, struct out *out)
+void retention_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	int64_t wall_ms;
 
@@ -634,7 +634,7 @@
 
 void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now)
 {
-	const struct Nl__ConfigSync *sync = message->follow;
+	const struct Nl__ConfigSync *sync = message->config_sync;
 	struct retention_index_report *report = NULL, new_report = { message->id, 0, 0, NULL };
 
 	for (ptrdiff_t i = arrlen(controller->retention.index_reports) - 1; i >= 0; i--)
@@ -644,7 +644,7 @@
 			arrfree(controller->retention.index_reports[i].remainders);
 			arrdelswap(controller->retention.index_reports, i);
 		}
-	if (!sync->index)
+	if (!sync->holds_index)
 		return;
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports) && !report; i++)
 		if (controller->retention.index_reports[i].node_id == message->id)
@@ -656,8 +656,8 @@
 	for (ptrdiff_t k = 0; k < arrlen(report->remainders); k++)
 		free(report->remainders[k].server);
 	arrsetlen(report->remainders, 0);
-	for (size_t k = 0; k < sync->n_left && k < RETENTION_MAX_REMAINDERS; k++) {
-		typeof(*report->remainders) remainder = { strdup(sync->left[k]->server), sync->left[k]->scope, sync->left[k]->number, sync->left[k]->parts };
+	for (size_t k = 0; k < sync->n_cache_remainders && k < RETENTION_MAX_REMAINDERS; k++) {
+		typeof(*report->remainders) remainder = { strdup(sync->cache_remainders[k]->server), sync->cache_remainders[k]->scope, sync->cache_remainders[k]->purge_number, sync->cache_remainders[k]->block_count };
 
 		arrput(report->remainders, remainder);
 	}
@@ -667,7 +667,7 @@
 
 /* ---- the disks --------------------------------------------------------------------- */
 
-void retention_trim_logs(struct controller *controller, int64_t now, struct out *out)
+void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out)
 {
 	uint64_t tick = 0;
 
@@ -678,15 +678,15 @@
 		uint64_t cleared = service ? service->purged_tick : i == SHARD_CONTROL ? controller->retention.purged_tick : controller->purge_state.purged_tick;
 		int compact = service && !service->is_compacted && service->purged_tick &&
 			     service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[i]) > service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
-		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
 
 		if (!leads_shard(controller, i, now) || now - controller->compaction_checked_at_ms[i] < RETENTION_TRIM_MS || (tick <= cleared && !compact))
 			continue;
 		controller->compaction_checked_at_ms[i] = now;
-		trim.cleared = tick;
-		trim.settled = compact;
-		operation.op_case = NL__OP__OP_TRIM;
+		trim.purged_tick = tick;
+		trim.compacted = compact;
+		operation.body_case = NL__OPERATION__BODY_TRIM;
 		operation.trim = &trim;
 		(void)log_operation(controller, i, &operation, now, out);
 	}
@@ -712,27 +712,27 @@
 
 		json_object_object_add(x, "scope", json_object_new_string(controller->retention.plans[i]->scope));
 		json_object_object_add(x, "setting", json_object_new_string(controller->retention.plans[i]->text));
-		add_number(x, "due", controller->retention.plans[i]->due);
+		add_number(x, "due", controller->retention.plans[i]->due_at_ms);
 		json_object_array_add(a, x);
 	}
 	json_object_object_add(json, "rows", a);
 	a = json_object_new_array();
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		const struct Nl__Clearing *purge_run = controller->retention.purges[i];
+		const struct Nl__RetentionPurge *purge_run = controller->retention.purges[i];
 		struct json_object *x = json_object_new_object(), *m = json_object_new_array();
 
-		add_number(x, "number", (int64_t)purge_run->number);
+		add_number(x, "number", (int64_t)purge_run->purge_number);
 		json_object_object_add(x, "scope", json_object_new_string(purge_run->scope));
-		json_object_object_add(x, "by", json_object_new_string(purge_run->by));
-		add_number(x, "due", purge_run->due);
-		add_number(x, "decided", purge_run->decided);
-		add_number(x, "sliced", purge_run->sliced);
-		add_number(x, "done", purge_run->done);
+		json_object_object_add(x, "by", json_object_new_string(purge_run->requested_by));
+		add_number(x, "due", purge_run->due_at_ms);
+		add_number(x, "decided", purge_run->decided_at_ms);
+		add_number(x, "sliced", purge_run->sliced_at_ms);
+		add_number(x, "done", purge_run->done_at_ms);
 		add_number(x, "slices", purge_run->slices);
 		add_number(x, "missed", purge_run->missed);
 		json_object_object_add(x, "late", json_object_new_boolean(purge_run->late));
 		json_object_object_add(x, "wide", json_object_new_boolean(purge_run->wide));
-		if (is_leader && !purge_run->done)
+		if (is_leader && !purge_run->done_at_ms)
 			(void)list_missing(controller, purge_run, now, m, p);
 		json_object_object_add(x, "missing", m);
 		json_object_array_add(a, x);
@@ -758,11 +758,11 @@
 	const char *s = "number,scope,whole fleet,by,due,decided,unreachable,done,missed due times,window lapsed under load\n";
 
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		const struct Nl__Clearing *purge_run = controller->retention.purges[i];
+		const struct Nl__RetentionPurge *purge_run = controller->retention.purges[i];
 
-		s = apr_psprintf(p, "%s%" APR_UINT64_T_FMT ",%s,%s,%s,%s,%s,%s,%s,%u,%s\n", s, purge_run->number, purge_run->scope,
-				 purge_run->wide ? "yes" : "no", purge_run->by, when(purge_run->due, p), when(purge_run->decided, p), when(purge_run->sliced, p),
-				 when(purge_run->done, p), (unsigned)purge_run->missed, purge_run->late ? "yes" : "no");
+		s = apr_psprintf(p, "%s%" APR_UINT64_T_FMT ",%s,%s,%s,%s,%s,%s,%s,%u,%s\n", s, purge_run->purge_number, purge_run->scope,
+				 purge_run->wide ? "yes" : "no", purge_run->requested_by, when(purge_run->due_at_ms, p), when(purge_run->decided_at_ms, p), when(purge_run->sliced_at_ms, p),
+				 when(purge_run->done_at_ms, p), (unsigned)purge_run->missed, purge_run->late ? "yes" : "no");
 	}
 	return s;
 }
--- a/lib/control/retention.h
+++ b/lib/control/retention.h
@@ -42,8 +42,8 @@
 
 struct retention {                 /* a part of part 0's state */
 	uint64_t last_purge_number;           /* of the newest clearing */
-	struct Nl__Clearing **purges;   /* stb_ds, oldest first */
-	struct Nl__Planned **plans; /* stb_ds, by scope */
+	struct Nl__RetentionPurge **purges;   /* stb_ds, oldest first */
+	struct Nl__RetentionPlan **plans; /* stb_ds, by scope */
 	uint64_t purged_tick;
 	/* the owner's soft state */
 	uint64_t logged_index; /* its last step: the next waits until it is applied */
@@ -71,17 +71,17 @@
 int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row, int64_t base_ms, int64_t from_ms);
 
 /* Apply one step from the log; what it decides is appended to feed, numbered from index. */
-uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__Clear *clear);
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *clear);
 
 /* After a change of the table: plans follow rows. */
 void retention_on_config_change(struct controller *controller, uint64_t index);
 
 /* The owner's time passes; a word of a node. */
-void retention_tick(struct controller *controller, int64_t now, struct out *out);
+void retention_tick(struct controller *controller, int64_t now, struct command_list *out);
 void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now);
 
 /* Cut the logs on the disks once something was cleared, in every part that is owned here. */
-void retention_trim_logs(struct controller *controller, int64_t now, struct out *out);
+void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out);
 
 /* What the controllers' clocks agree that it is at the least; INT64_MIN: no majority is heard. */
 int64_t retention_wall_clock(const struct controller *controller, int64_t now);
@@ -90,8 +90,8 @@
 const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *p);
 const char *retention_csv(const struct controller *controller, apr_pool_t *p);
 
-void retention_pack(const struct controller *controller, struct Nl__CtlState *state);
-void retention_load(struct controller *controller, const struct Nl__CtlState *state);
+void retention_pack(const struct controller *controller, struct Nl__ControlState *state);
+void retention_load(struct controller *controller, const struct Nl__ControlState *state);
 void retention_reset(struct controller *controller);
 
 #endif
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -16,7 +16,7 @@
 	return NULL;
 }
 
-static void call(uint64_t token, const char *addr, const char *path, const char *body, int64_t not_after, struct out *out)
+static void call(uint64_t token, const char *addr, const char *path, const char *body, int64_t not_after, struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_CALL);
 
@@ -30,7 +30,7 @@
 
 /* An order: body fields, fenced by the part's term. The rollout's lease is checked again before it leaves. */
 static void order(struct controller *r, struct controller_server *server, uint32_t part, const char *addr, struct json_object *what,
-		  int64_t now, struct out *out)
+		  int64_t now, struct command_list *out)
 {
 	uint64_t fence = r->shards[part].term << 20 | (++r->load_command_sequence & 0xfffff);
 
@@ -42,7 +42,7 @@
 	server->commanded_at_ms = now;
 }
 
-void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body, int64_t now, struct out *out)
+void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body, int64_t now, struct command_list *out)
 {
 	struct json_object *json = json_tokener_parse(body), *parts, *drop;
 	const struct Nl__Row *row = config_table_get(&controller->config_watch.table, NL__KIND__SERVER, server->name);
@@ -79,7 +79,7 @@
 		json_object_put(json);
 }
 
-static void look_at(struct controller *controller, const struct Nl__Row *row, int64_t now, struct out *out)
+static void look_at(struct controller *controller, const struct Nl__Row *row, int64_t now, struct command_list *out)
 {
 	struct controller_server *s = server_of(controller, row->name);
 
@@ -122,13 +122,13 @@
 		if (row->kind != NL__KIND__SERVICE)
 			continue;
 		k = shgeti(controller->target_weights, row->name);
-		if (k >= 0 && !strcmp(controller->target_weights[k].value.weights, row->weights))
+		if (k >= 0 && !strcmp(controller->target_weights[k].value.weights, row->target_weights))
 			continue;
 		unrolled_since_ms =
 		    k >= 0 && !is_rolled_out(controller, row->name, controller->target_weights[k].value.weights) ? controller->target_weights[k].value.incomplete_since_ms : last_unchanged_ms;
 		if (k >= 0)
 			free(controller->target_weights[k].value.weights);
-		shput(controller->target_weights, row->name, ((typeof(controller->target_weights->value)){ strdup(row->weights), last_unchanged_ms, unrolled_since_ms, 0 }));
+		shput(controller->target_weights, row->name, ((typeof(controller->target_weights->value)){ strdup(row->target_weights), last_unchanged_ms, unrolled_since_ms, 0 }));
 	}
 }
 
@@ -150,7 +150,7 @@
 
 /* One service's roll-out: a third of its servers at a time, the rest keep serving. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-static void roll(struct controller *controller, const struct Nl__Row *service, uint32_t part, int64_t now, struct out *out)
+static void roll(struct controller *controller, const struct Nl__Row *service, uint32_t part, int64_t now, struct command_list *out)
 {
 	struct controller_service_state *c = service_shard_state(controller, part);
 	typeof(controller->target_weights->value) *m = &shgetp(controller->target_weights, service->name)->value;
@@ -167,7 +167,7 @@
 		if (!server || now - server->reported_at_ms > 10000)
 			continue; /* dead: it loads what is named when it is back */
 		n++;
-		if (!strcmp(server->weights, service->weights) && !server->loading[0])
+		if (!strcmp(server->weights, service->target_weights) && !server->loading[0])
 			on++;
 		else
 			loading += server->loading[0] || server->load_commanded_at_ms >= m->targeted_at_ms;
@@ -188,8 +188,8 @@
 		if (row->kind != NL__KIND__SERVER || strcmp(row->service, service->name) || row->state)
 			continue;
 		server = server_of(controller, row->name);
-		if (!server || now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS || !strcmp(server->weights, service->weights) ||
-		    !strcmp(server->loading, service->weights) || now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
+		if (!server || now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS || !strcmp(server->weights, service->target_weights) ||
+		    !strcmp(server->loading, service->target_weights) || now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
 			continue;
 		if (server->load_commanded_at_ms >= m->targeted_at_ms && now - server->load_commanded_at_ms < 2 * CONTROLLER_REPORT_POLL_MS)
 			continue; /* told just now */
@@ -197,26 +197,26 @@
 		if (server->load_commanded_at_ms < m->targeted_at_ms && !server->loading[0] && room-- <= 0)
 			continue;
 		what = json_object_new_object();
-		json_object_object_add(what, "load", json_object_new_string(service->weights));
+		json_object_object_add(what, "load", json_object_new_string(service->target_weights));
 		order(controller, server, part, apr_pstrdup(out->pool, row->addr), what, now, out);
 		server->load_commanded_at_ms = now;
-		log_line(controller, "order", out->pool, "Server %s is told to load %s.", server->name, service->weights);
+		log_line(controller, "order", out->pool, "Server %s is told to load %s.", server->name, service->target_weights);
 	}
 	was = shgeti(c->rolled_out, service->name);
-	if (n && on == n && (was < 0 || strcmp(c->rolled_out[was].value, service->weights))) {
-		struct Nl__Op operation = NL__OP__INIT;
-		struct Nl__Rolled rolled = NL__ROLLED__INIT;
+	if (n && on == n && (was < 0 || strcmp(c->rolled_out[was].value, service->target_weights))) {
+		struct Nl__Operation operation = NL__OPERATION__INIT;
+		struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
 
 		rolled.service = service->name;
-		rolled.weights = service->weights;
-		operation.op_case = NL__OP__OP_ROLLED;
-		operation.rolled = &rolled;
+		rolled.weights = service->target_weights;
+		operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
+		operation.rolled_out = &rolled;
 		if (arrlen(controller->shards[part].pending_syncs) == 0) /* nothing of ours is still on its way */
 			log_operation(controller, part, &operation, now, out);
 	}
 }
 
-void rollout_tick(struct controller *controller, int64_t now, struct out *out)
+void rollout_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (uint32_t part = SHARD_SERVICE; part < SHARD_COUNT; part++) {
 		if (!leads_shard(controller, part, now) || config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -63,23 +63,23 @@
 };
 
 /* Look at the servers of the table, and order what is due. Example: rollout_tick(r, now, o); */
-void rollout_tick(struct controller *controller, int64_t now, struct out *out);
+void rollout_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* The followed table has changed; before: when the last good asking was that did not say so.
  * Example: rollout_on_versions(r, before); */
 void rollout_on_target_change(struct controller *controller, int64_t last_unchanged_ms);
 
 /* A server's report. Example: rollout_report(r, &r->server[i], body, now, o); */
-void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body, int64_t now, struct out *out);
+void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body, int64_t now, struct command_list *out);
 
 /* Leadership of the control group begins; what the leader before left under way is looked at. Example: rollout_start(r, now); */
 void rollout_start_term(struct controller *controller, int64_t now);
 
 /* Roll named weights out to the listed servers. Example: rollout_instances(r, now, o); */
-void rollout_instances_tick(struct controller *controller, int64_t now, struct out *out);
+void rollout_instances_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Answers to an order and to a look. Example: rollout_on_ordered(r, token, 202, 0, now, o); */
-void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent, int64_t now, struct out *out);
+void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent, int64_t now, struct command_list *out);
 void rollout_on_poll_reply(struct controller *controller, uint64_t token, int status, const char *weights, int loading, int64_t now);
 
 /* An order to a server that was logged is applied: from now on it may leave. Example: rollout_order_logged(r, "i-7", now); */
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -136,17 +136,17 @@
 }
 
 static void log_intent(struct controller *controller, struct rollout_server *server, const char *model, const char *weights, int64_t now,
-		       struct out *out)
+		       struct command_list *out)
 {
-	struct Nl__Op operation = NL__OP__INIT;
-	struct Nl__Rolled rolled = NL__ROLLED__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
+	struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
 
 	rolled.service = (char *)model;
 	rolled.weights = (char *)weights;
 	rolled.server = server->name;
 	rolled.fence = controller->rollout.term << 20 | (controller->rollout.command_seq & 0xfffff);
-	operation.op_case = NL__OP__OP_ROLLED;
-	operation.rolled = &rolled;
+	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
+	operation.rolled_out = &rolled;
 	if (!log_operation(controller, SHARD_CONTROL, &operation, now, out))
 		return;
 	server->state = ROLLOUT_INTENDED;
@@ -159,10 +159,10 @@
 /* Routers send it nothing more from now on, where there is time for that; then the order is logged and leaves. A leader that is lost
  * meanwhile leaves nothing behind: its successor tells routers what it sees itself. */
 static void give_notice(struct controller *controller, struct rollout_server *server, const struct Nl__Row *model, const struct Nl__Instance *instance,
-			int64_t now, struct out *out)
+			int64_t now, struct command_list *out)
 {
 	if (!rollout_notice_ms(controller, model->name, rollout_due_at_ms(controller, model, instance->weights), now)) {
-		log_intent(controller, server, model->name, model->weights, now, out);
+		log_intent(controller, server, model->name, model->target_weights, now, out);
 		return;
 	}
 	server->state = ROLLOUT_NOTICE;
@@ -182,7 +182,7 @@
 /* What was named while the log was written is loaded at once. What runs at the server goes on under the new weights: to wait for its
  * end would keep the server from all others for as long as its longest answer takes. */
 static void send_load_command(struct controller *controller, struct rollout_server *server, const struct Nl__Instance *instance, const char *model,
-		       const char *target_weights, int64_t intended_at_ms, int64_t now, struct out *out)
+		       const char *target_weights, int64_t intended_at_ms, int64_t now, struct command_list *out)
 {
 	int64_t not_after_ms = controller->shards[SHARD_CONTROL].lease_expires_at_ms - ROLLOUT_LEASE_MARGIN_MS;
 	struct command *command;
@@ -213,7 +213,7 @@
 }
 
 static void look(struct controller *r, struct rollout_server *server, const struct Nl__Instance *x, const char *model, int64_t now,
-		 struct out *out)
+		 struct command_list *out)
 {
 	ptrdiff_t k = shgeti(r->rollout.models, model);
 	int load = k < 0 ? 0 : r->rollout.models[k].value.base_load_ms;
@@ -234,18 +234,18 @@
 
 /* One that was told, or may have been: what is known of it since. */
 static void follow_up(struct controller *controller, struct rollout_server *server, const struct Nl__Instance *instance, const struct Nl__Row *model,
-		      int64_t now, struct out *out)
+		      int64_t now, struct command_list *out)
 {
 	if (server->state == ROLLOUT_NOTICE) {
 		if (now - server->commanded_at_ms >= rollout_notice_ms(controller, model->name, rollout_due_at_ms(controller, model, instance->weights), now))
-			log_intent(controller, server, model->name, model->weights, now, out);
+			log_intent(controller, server, model->name, model->target_weights, now, out);
 		return;
 	}
 	if (server->state == ROLLOUT_INTENDED) {
 		ptrdiff_t k = shgeti(controller->rollout.intents, server->name);
 
 		if (k >= 0 && controller->rollout.intents[k].value >= server->commanded_at_ms) {
-			send_load_command(controller, server, instance, model->name, model->weights, controller->rollout.intents[k].value, now, out);
+			send_load_command(controller, server, instance, model->name, model->target_weights, controller->rollout.intents[k].value, now, out);
 		} else if (now - server->commanded_at_ms > ROLLOUT_INTENT_MS) {
 			server->state = ROLLOUT_IDLE; /* the log stands still */
 			publish_loading(controller, server, 0, now);
@@ -255,7 +255,7 @@
 	if (server->state == ROLLOUT_COMMANDED && now - server->commanded_at_ms >= ROLLOUT_REPLY_TIMEOUT_MS)
 		server->state = ROLLOUT_UNCONFIRMED;
 	if (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED) {
-		if (has_weights_or_newer(instance->weights, model->weights)) { /* the list says so */
+		if (has_weights_or_newer(instance->weights, model->target_weights)) { /* the list says so */
 			server->state = ROLLOUT_IDLE;
 			instances_set_weights(&controller->instances, server->name, instance->weights, 0, now);
 		} else if (now >= server->commanded_at_ms + ROLLOUT_POLL_MS) {
@@ -288,25 +288,25 @@
 	return &arrlast(*z);
 }
 
-static void log_rolled_out(struct controller *controller, struct rollout_pace *pace, const struct Nl__Row *model, int64_t now, struct out *out)
+static void log_rolled_out(struct controller *controller, struct rollout_pace *pace, const struct Nl__Row *model, int64_t now, struct command_list *out)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
 	struct Nl__Row row = *model, *set[1] = { &row };
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
 
 	/* nothing stands in the log behind the row as it is here, which would be undone; nor is this on its way already */
 	if (raft->applied_index != raft->base_index + (uint64_t)arrlen(raft->log) || now - pace->completion_logged_at_ms < 1000)
 		return;
-	row.rolled = model->weights;
-	change.any = 1;
+	row.rolled_out = model->target_weights;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = &change;
 	if (log_operation(controller, SHARD_CONTROL, &operation, now, out)) {
 		pace->completion_logged_at_ms = now;
-		log_line(controller, "order", out->pool, "Every server has %s of %s.", model->weights, model->name);
+		log_line(controller, "order", out->pool, "Every server has %s of %s.", model->target_weights, model->name);
 	}
 }
 
@@ -332,7 +332,7 @@
 		struct zone zone;
 		int64_t due;
 
-		if (!name || strcmp(name, model->name) || has_weights_or_newer(instance->weights, model->weights))
+		if (!name || strcmp(name, model->name) || has_weights_or_newer(instance->weights, model->target_weights))
 			continue;
 		due = rollout_due_at_ms(controller, model, instance->weights);
 		zone = *zone_of(zones, instance->zone, pool);
@@ -371,7 +371,7 @@
 	int64_t *due_at_ms;       /* stb_ds: of those that may be ordered now, soonest first */
 };
 
-static struct servers_found find_servers(struct controller *controller, const struct Nl__Row *model, int64_t now, struct out *o)
+static struct servers_found find_servers(struct controller *controller, const struct Nl__Row *model, int64_t now, struct command_list *o)
 {
 	struct servers_found found = { 0 };
 
@@ -391,7 +391,7 @@
 		found.total++;
 		found.busy += holds_slot(controller, server, now);
 		found.loading += may_be_loading(server) && holds_slot(controller, server, now);
-		if (!is_unavailable && has_weights_or_newer(instance->weights, model->weights))
+		if (!is_unavailable && has_weights_or_newer(instance->weights, model->target_weights))
 			found.updated++;
 		else if (may_be_commanded(controller, instance, now))
 			arrput(found.due_at_ms, rollout_due_at_ms(controller, model, instance->weights));
@@ -405,7 +405,7 @@
 
 /* Tell as many servers as there is room for. */
 static void command_servers(struct controller *controller, const struct Nl__Row *model, struct servers_found *found, int64_t now,
-			  struct out *out)
+			  struct command_list *out)
 {
 	struct rollout_pace *pace = &shgetp(controller->rollout.models, model->name)->value;
 	int capacity = rollout_concurrency(controller, pace, found->total, found->due_at_ms, found->busy, now) - found->busy;
@@ -424,12 +424,12 @@
 }
 
 /* 1 when nothing is left to do. */
-static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now, struct out *out)
+static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now, struct command_list *out)
 {
 	struct servers_found found = find_servers(controller, model, now, out);
 	int complete = found.updated == found.total;
 
-	if (found.total && complete && strcmp(model->rolled, model->weights))
+	if (found.total && complete && strcmp(model->rolled_out, model->target_weights))
 		log_rolled_out(controller, &shgetp(controller->rollout.models, model->name)->value, model, now, out);
 	if (!complete)
 		command_servers(controller, model, &found, now, out);
@@ -441,10 +441,10 @@
 	}
 	arrfree(found.zones);
 	arrfree(found.due_at_ms);
-	return !found.total || (complete && !strcmp(model->rolled, model->weights));
+	return !found.total || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
-void rollout_instances_tick(struct controller *controller, int64_t now, struct out *out)
+void rollout_instances_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	int poll_fast = 0, all_done = 1;
 
@@ -475,7 +475,7 @@
 	}
 }
 
-void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent, int64_t now, struct out *out)
+void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent, int64_t now, struct command_list *out)
 {
 	struct rollout_server *server = NULL;
 	const struct Nl__Instance *instance;
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -55,9 +55,9 @@
 
 int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model, const char *weights)
 {
-	const struct Nl__Naming *next_version = version_history_after(model, strtoull(weights, NULL, 10));
+	const struct Nl__TargetVersion *next_version = version_history_after(model, strtoull(weights, NULL, 10));
 
-	return next_version ? (int64_t)next_version->at + controller->bounds.rollout_ms - controller->group_clock_offset_ms : INT64_MIN;
+	return next_version ? (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms - controller->group_clock_offset_ms : INT64_MIN;
 }
 
 /* How many servers have to load at once so that each has loaded in the time that is planned for. due: when those are due that are
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -12,37 +12,37 @@
 
 static uint8_t *pack_control_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
 {
-	struct Nl__CtlState state = NL__CTL_STATE__INIT;
+	struct Nl__ControlState state = NL__CONTROL_STATE__INIT;
 	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 	struct config_table_row *row = controller->config.rows;
 	char **key = apr_palloc(pool, ((size_t)shlen(row) + 1) * sizeof *key);
 
 	config_table_since(&controller->config, 0, &all, pool);
-	state.fleet = controller->fleet;
-	state.edition = controller->config.revision;
-	state.plan = controller->config.operator_revision;
-	state.clock = controller->config.clock.at_ms;
-	state.row = all.set;
-	state.n_row = all.n_set;
-	for (size_t i = 0; i < state.n_row; i++) /* in order, so that equal states pack alike */
+	state.fleet_id = controller->fleet;
+	state.revision = controller->config.revision;
+	state.operator_revision = controller->config.operator_revision;
+	state.group_clock_ms = controller->config.clock.at_ms;
+	state.rows = all.set;
+	state.n_rows = all.n_set;
+	for (size_t i = 0; i < state.n_rows; i++) /* in order, so that equal states pack alike */
 		key[i] = row[i].key;
-	qsort(key, state.n_row, sizeof *key, compare_keys);
-	for (size_t i = 0; i < state.n_row; i++)
-		state.row[i] = shget(row, key[i]).row;
+	qsort(key, state.n_rows, sizeof *key, compare_keys);
+	for (size_t i = 0; i < state.n_rows; i++)
+		state.rows[i] = shget(row, key[i]).row;
 	state.feed = controller->config_purge_feed;
 	state.n_feed = (size_t)arrlen(controller->config_purge_feed);
-	state.n_done = (size_t)arrlen(controller->done_operations);
-	state.done = apr_palloc(pool, (state.n_done + 1) * sizeof *state.done);
-	for (size_t i = 0; i < state.n_done; i++) {
-		state.done[i] = apr_palloc(pool, sizeof *state.done[i]);
-		nl__done_op__init(state.done[i]);
-		state.done[i]->from = controller->done_operations[i].from;
-		state.done[i]->token = controller->done_operations[i].token;
-		state.done[i]->status = controller->done_operations[i].status;
+	state.n_completed = (size_t)arrlen(controller->done_operations);
+	state.completed = apr_palloc(pool, (state.n_completed + 1) * sizeof *state.completed);
+	for (size_t i = 0; i < state.n_completed; i++) {
+		state.completed[i] = apr_palloc(pool, sizeof *state.completed[i]);
+		nl__completed_operation__init(state.completed[i]);
+		state.completed[i]->from = controller->done_operations[i].from;
+		state.completed[i]->token = controller->done_operations[i].token;
+		state.completed[i]->status = controller->done_operations[i].status;
 	}
-	state.doc.data = controller->document;
-	state.doc.len = controller->document_bytes;
-	state.doc_version = controller->document_version;
+	state.document.data = controller->document;
+	state.document.len = controller->document_bytes;
+	state.document_version = controller->document_version;
 	idempotency_log_pack(&controller->accepted_requests, &state, pool);
 	retention_pack(controller, &state);
 	return core_pack_message(pool, &state.base, size);
@@ -51,30 +51,30 @@
 static uint8_t *pack_purge_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
 {
 	struct Nl__PurgeState purge_state = NL__PURGE_STATE__INIT;
-	struct Nl__FeedMark feed_mark[SHARD_COUNT], *pm[SHARD_COUNT];
+	struct Nl__FeedOffset feed_mark[SHARD_COUNT], *pm[SHARD_COUNT];
 	struct purge_view_row *row = controller->purge_state.last_view.subjects;
 
 	purge_state.ceiling = controller->purge_state.ceiling;
 	purge_state.released = controller->purge_state.released;
-	purge_state.cleared = controller->purge_state.purged_tick;
-	purge_state.v = controller->purge_state.values;
-	purge_state.n_v = (size_t)arrlen(controller->purge_state.values);
-	purge_state.last = apr_palloc(pool, ((size_t)hmlen(row) + 1) * sizeof *purge_state.last);
+	purge_state.purged_tick = controller->purge_state.purged_tick;
+	purge_state.values = controller->purge_state.values;
+	purge_state.n_values = (size_t)arrlen(controller->purge_state.values);
+	purge_state.latest = apr_palloc(pool, ((size_t)hmlen(row) + 1) * sizeof *purge_state.latest);
 	for (ptrdiff_t i = 0; i < hmlen(row); i++) {
-		size_t k = purge_state.n_last++;
+		size_t k = purge_state.n_latest++;
 
-		for (; k && purge_state.last[k - 1]->tick > row[i].value->tick; k--)
-			purge_state.last[k] = purge_state.last[k - 1];
-		purge_state.last[k] = row[i].value;
+		for (; k && purge_state.latest[k - 1]->tick > row[i].value->tick; k--)
+			purge_state.latest[k] = purge_state.latest[k - 1];
+		purge_state.latest[k] = row[i].value;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		nl__feed_mark__init(&feed_mark[i]);
+		nl__feed_offset__init(&feed_mark[i]);
 		feed_mark[i].feed = (uint32_t)i;
 		feed_mark[i].index = controller->purge_state.published_index[i];
 		pm[i] = &feed_mark[i];
 	}
-	purge_state.mark = pm;
-	purge_state.n_mark = SHARD_COUNT;
+	purge_state.feed_offsets = pm;
+	purge_state.n_feed_offsets = SHARD_COUNT;
 	return core_pack_message(pool, &purge_state.base, size);
 }
 
@@ -86,40 +86,40 @@
 	size_t live = 0;
 
 	service_state.clock = service->clock_ms;
-	service_state.cleared = service->purged_tick;
-	service_state.cleared_at = service->purged_at_ms;
-	service_state.settled = service->is_compacted;
-	service_state.c = apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *service_state.c);
+	service_state.purged_tick = service->purged_tick;
+	service_state.purged_at = service->purged_at_ms;
+	service_state.compacted = service->is_compacted;
+	service_state.claims = apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *service_state.claims);
 	for (ptrdiff_t i = 0; i < shlen(controller_claim); i++)
 		if (controller_claim[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS >= service->clock_ms)
 			key[live++] = controller_claim[i].key;
 	qsort(key, live, sizeof *key, compare_keys);
 	for (size_t i = 0; i < live; i++) {
-		struct Nl__ClaimRow *x = apr_palloc(pool, sizeof *x);
+		struct Nl__ClaimRecord *x = apr_palloc(pool, sizeof *x);
 		char *separator = strchr(key[i], '\x1f');
 
-		nl__claim_row__init(x);
+		nl__claim_record__init(x);
 		x->tenant = apr_pstrmemdup(pool, key[i], (size_t)(separator - key[i]));
 		x->id = separator + 1;
-		x->by = shget(controller_claim, key[i]).claimed_by;
+		x->router_id = shget(controller_claim, key[i]).claimed_by;
 		x->seq = shget(controller_claim, key[i]).sequence;
-		x->at = shget(controller_claim, key[i]).claimed_at_ms;
-		x->given_back = shget(controller_claim, key[i]).returned;
-		service_state.c[service_state.n_c++] = x;
+		x->claimed_at = shget(controller_claim, key[i]).claimed_at_ms;
+		x->returned = shget(controller_claim, key[i]).returned;
+		service_state.claims[service_state.n_claims++] = x;
 	}
 	service_state.feed = service->purge_feed;
 	service_state.n_feed = (size_t)arrlen(service->purge_feed);
-	service_state.rolled = apr_palloc(pool, ((size_t)shlen(service->rolled_out) + 1) * sizeof *service_state.rolled);
+	service_state.rolled_out = apr_palloc(pool, ((size_t)shlen(service->rolled_out) + 1) * sizeof *service_state.rolled_out);
 	for (ptrdiff_t i = 0; i < shlen(service->rolled_out); i++) {
-		struct Nl__Rolled *x = apr_palloc(pool, sizeof *x);
-		size_t k = service_state.n_rolled++;
+		struct Nl__RolledOut *x = apr_palloc(pool, sizeof *x);
+		size_t k = service_state.n_rolled_out++;
 
-		nl__rolled__init(x);
+		nl__rolled_out__init(x);
 		x->service = service->rolled_out[i].key;
 		x->weights = service->rolled_out[i].value;
-		for (; k && strcmp(service_state.rolled[k - 1]->service, x->service) > 0; k--)
-			service_state.rolled[k] = service_state.rolled[k - 1];
-		service_state.rolled[k] = x;
+		for (; k && strcmp(service_state.rolled_out[k - 1]->service, x->service) > 0; k--)
+			service_state.rolled_out[k] = service_state.rolled_out[k - 1];
+		service_state.rolled_out[k] = x;
 	}
 	return core_pack_message(pool, &service_state.base, size);
 }
@@ -157,8 +157,8 @@
 
 	controller->epoch[shard] = raft_epoch(raft->snapshot_term);
 	if (shard == SHARD_CONTROL) {
-		struct Nl__CtlState *s =
-		    (struct Nl__CtlState *)core_unpack_message(pool, &nl__ctl_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		struct Nl__ControlState *s =
+		    (struct Nl__ControlState *)core_unpack_message(pool, &nl__control_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 		struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 
 		config_table_close(&controller->config);
@@ -169,22 +169,22 @@
 		arrsetlen(controller->done_operations, 0);
 		idempotency_log_load(&controller->accepted_requests, s);
 		retention_load(controller, s);
-		store_document(controller, s ? s->doc.data : NULL, s ? s->doc.len : 0, s ? s->doc_version : 0);
+		store_document(controller, s ? s->document.data : NULL, s ? s->document.len : 0, s ? s->document_version : 0);
 		if (!s)
 			return;
-		for (size_t i = 0; i < s->n_done; i++) {
-			struct controller_done_operation controller_done = { s->done[i]->from, s->done[i]->token, s->done[i]->status };
+		for (size_t i = 0; i < s->n_completed; i++) {
+			struct controller_done_operation controller_done = { s->completed[i]->from, s->completed[i]->token, s->completed[i]->status };
 
 			arrput(controller->done_operations, controller_done);
 		}
-		all.whole = 1;
-		all.edition = s->edition;
-		all.set = s->row;
-		all.n_set = s->n_row;
+		all.full = 1;
+		all.revision = s->revision;
+		all.set = s->rows;
+		all.n_set = s->n_rows;
 		(void)config_table_follow(&controller->config, &all);
-		controller->config.operator_revision = s->plan;
-		controller->config.clock.at_ms = s->clock;
-		controller->config.floor_revision = s->edition;
+		controller->config.operator_revision = s->operator_revision;
+		controller->config.clock.at_ms = s->group_clock_ms;
+		controller->config.floor_revision = s->revision;
 		for (size_t i = 0; i < s->n_feed; i++)
 			arrput(controller->config_purge_feed, value_copy(s->feed[i]));
 	} else if (shard == SHARD_PURGE) {
@@ -198,14 +198,14 @@
 			return;
 		controller->purge_state.ceiling = s->ceiling;
 		controller->purge_state.released = s->released;
-		controller->purge_state.purged_tick = s->cleared;
-		for (size_t i = 0; i < s->n_v; i++)
-			arrput(controller->purge_state.values, value_copy(s->v[i]));
-		for (size_t i = 0; i < s->n_last; i++)
-			purge_view_apply(&controller->purge_state.last_view, s->last[i]);
-		for (size_t i = 0; i < s->n_mark; i++)
-			if (s->mark[i]->feed < SHARD_COUNT)
-				controller->purge_state.published_index[s->mark[i]->feed] = s->mark[i]->index;
+		controller->purge_state.purged_tick = s->purged_tick;
+		for (size_t i = 0; i < s->n_values; i++)
+			arrput(controller->purge_state.values, value_copy(s->values[i]));
+		for (size_t i = 0; i < s->n_latest; i++)
+			purge_view_apply(&controller->purge_state.last_view, s->latest[i]);
+		for (size_t i = 0; i < s->n_feed_offsets; i++)
+			if (s->feed_offsets[i]->feed < SHARD_COUNT)
+				controller->purge_state.published_index[s->feed_offsets[i]->feed] = s->feed_offsets[i]->index;
 	} else {
 		struct controller_service_state *service = service_shard_state(controller, shard);
 		struct Nl__ServiceState *s =
@@ -215,20 +215,20 @@
 		if (!s)
 			return;
 		service->clock_ms = s->clock;
-		service->purged_tick = s->cleared;
-		service->purged_at_ms = s->cleared_at;
-		service->is_compacted = s->settled;
-		for (size_t i = 0; i < s->n_c; i++)
-			shput(service->claims, apr_pstrcat(pool, s->c[i]->tenant, "\x1f", s->c[i]->id, NULL),
-			      ((typeof(service->claims->value)){ s->c[i]->by, s->c[i]->seq, s->c[i]->at, s->c[i]->given_back }));
+		service->purged_tick = s->purged_tick;
+		service->purged_at_ms = s->purged_at;
+		service->is_compacted = s->compacted;
+		for (size_t i = 0; i < s->n_claims; i++)
+			shput(service->claims, apr_pstrcat(pool, s->claims[i]->tenant, "\x1f", s->claims[i]->id, NULL),
+			      ((typeof(service->claims->value)){ s->claims[i]->router_id, s->claims[i]->seq, s->claims[i]->claimed_at, s->claims[i]->returned }));
 		for (size_t i = 0; i < s->n_feed; i++)
 			arrput(service->purge_feed, value_copy(s->feed[i]));
-		for (size_t i = 0; i < s->n_rolled; i++)
-			shput(service->rolled_out, s->rolled[i]->service, strdup(s->rolled[i]->weights));
+		for (size_t i = 0; i < s->n_rolled_out; i++)
+			shput(service->rolled_out, s->rolled_out[i]->service, strdup(s->rolled_out[i]->weights));
 	}
 }
 
-void snapshot_create(struct controller *controller, uint32_t shard, struct out *out)
+void snapshot_create(struct controller *controller, uint32_t shard, struct command_list *out)
 {
 	size_t size;
 	uint8_t *packed;
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -16,6 +16,6 @@
 void snapshot_load(struct controller *controller, uint32_t shard, apr_pool_t *pool);
 
 /* Hand the part's log a snapshot of what is applied now. */
-void snapshot_create(struct controller *controller, uint32_t shard, struct out *out);
+void snapshot_create(struct controller *controller, uint32_t shard, struct command_list *out);
 
 #endif
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -58,26 +58,26 @@
 {
 	int status;
 
-	if (change->doc_base != controller->document_version)
+	if (change->document_base_version != controller->document_version)
 		return PROPOSAL_SUPERSEDED;
-	if (change->doc_version <= controller->document_version)
+	if (change->document_version <= controller->document_version)
 		return PROPOSAL_REJECTED;
 	status = config_table_apply(&controller->config, change, feed);
 	if (status != PROPOSAL_DONE)
 		return status;
-	store_document(controller, change->doc.data, change->doc.len, change->doc_version);
+	store_document(controller, change->document.data, change->document.len, change->document_version);
 	return PROPOSAL_DONE;
 }
 
 /* A change may be proposed again while its answer is lost, and an order sent again by its operator: it is applied once. */
-static uint32_t apply_change(struct controller *controller, uint64_t index, const struct Nl__Op *operation)
+static uint32_t apply_change(struct controller *controller, uint64_t index, const struct Nl__Operation *operation)
 {
-	const struct controller_done_operation *old = operation->from ? find_done_operation(controller, operation->from, operation->token) : NULL;
-	struct controller_done_operation controller_done = { operation->from, operation->token, 0 };
+	const struct controller_done_operation *old = operation->requester_id ? find_done_operation(controller, operation->requester_id, operation->token) : NULL;
+	struct controller_done_operation controller_done = { operation->requester_id, operation->token, 0 };
 	struct Nl__Purge **purge = NULL;
-	struct request_key request_key = request_key_unpack(operation->order);
+	struct request_key request_key = request_key_unpack(operation->request_key);
 	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
-	int document = operation->change->doc_version != 0, status;
+	int document = operation->change->document_version != 0, status;
 
 	if (old)
 		return old->status;
@@ -104,18 +104,18 @@
 }
 
 /* An operator's call to clear may be proposed again while its answer is lost, too. */
-static uint32_t apply_purge_request(struct controller *controller, uint64_t index, const struct Nl__Op *operation)
+static uint32_t apply_purge_request(struct controller *controller, uint64_t index, const struct Nl__Operation *operation)
 {
-	const struct controller_done_operation *old = operation->from ? find_done_operation(controller, operation->from, operation->token) : NULL;
-	struct controller_done_operation controller_done = { operation->from, operation->token, 0 };
-	struct request_key request_key = request_key_unpack(operation->order);
+	const struct controller_done_operation *old = operation->requester_id ? find_done_operation(controller, operation->requester_id, operation->token) : NULL;
+	struct controller_done_operation controller_done = { operation->requester_id, operation->token, 0 };
+	struct request_key request_key = request_key_unpack(operation->request_key);
 	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
 
 	if (old)
 		return old->status;
 	if (accepted)
 		return repeated_request_status(accepted, &request_key);
-	controller_done.status = retention_apply(controller, index, operation->clear);
+	controller_done.status = retention_apply(controller, index, operation->retention_step);
 	if (controller_done.status == PROPOSAL_DONE)
 		idempotency_log_add(&controller->accepted_requests, &request_key, SERIES_UNVERSIONED, controller->config.revision);
 	if (controller_done.from)
@@ -131,15 +131,15 @@
 	struct controller_service_state *service = service_shard_state(controller, shard);
 	uint64_t *purged_tick = service ? &service->purged_tick : shard == SHARD_CONTROL ? &controller->retention.purged_tick : &controller->purge_state.purged_tick;
 
-	if (trim->cleared <= *purged_tick && !trim->settled)
+	if (trim->purged_tick <= *purged_tick && !trim->compacted)
 		return;
-	if (service && trim->cleared > *purged_tick) {
+	if (service && trim->purged_tick > *purged_tick) {
 		service->purged_at_ms = service->clock_ms;
 		service->is_compacted = 0;
 	} else if (service) {
 		service->is_compacted = 1;
 	}
-	*purged_tick = trim->cleared > *purged_tick ? trim->cleared : *purged_tick;
+	*purged_tick = trim->purged_tick > *purged_tick ? trim->purged_tick : *purged_tick;
 	controller->snapshot_needed[shard] = 1;
 }
 
@@ -153,16 +153,16 @@
 		(void)shdel(service->claims, key);
 		i = -1;
 	}
-	is_own = i >= 0 && service->claims[i].value.claimed_by == claim->by && service->claims[i].value.sequence == claim->seq;
+	is_own = i >= 0 && service->claims[i].value.claimed_by == claim->router_id && service->claims[i].value.sequence == claim->seq;
 	if (claim->release) { /* remembered, since the claim itself may still be on its way, here or once more */
 		if (i < 0 || is_own)
-			shput(service->claims, key, ((typeof(service->claims->value)){ claim->by, claim->seq, service->clock_ms, 1 }));
+			shput(service->claims, key, ((typeof(service->claims->value)){ claim->router_id, claim->seq, service->clock_ms, 1 }));
 		return PROPOSAL_DONE;
 	}
 	if (is_own ? service->claims[i].value.returned : i >= 0 && !service->claims[i].value.returned)
 		return PROPOSAL_REJECTED;
 	if (!is_own)
-		shput(service->claims, key, ((typeof(service->claims->value)){ claim->by, claim->seq, service->clock_ms, 0 }));
+		shput(service->claims, key, ((typeof(service->claims->value)){ claim->router_id, claim->seq, service->clock_ms, 0 }));
 	return PROPOSAL_DONE;
 }
 
@@ -174,7 +174,7 @@
 			(void)shdel(service->claims, service->claims[i].key);
 }
 
-static void apply_rollout(struct controller *controller, uint32_t shard, uint64_t index, const struct Nl__Rolled *rolled)
+static void apply_rollout(struct controller *controller, uint32_t shard, uint64_t index, const struct Nl__RolledOut *rolled)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
 	ptrdiff_t i = shgeti(service->rolled_out, rolled->service);
@@ -183,7 +183,7 @@
 	if (i >= 0 && strcmp(service->rolled_out[i].value, rolled->weights)) {
 		struct Nl__Purge purge = NL__PURGE__INIT;
 
-		purge.why = PURGE_WEIGHTS;
+		purge.reason = PURGE_WEIGHTS;
 		purge.service = rolled->service;
 		purge.weights = service->rolled_out[i].value;
 		append_to_feed(&service->purge_feed, shard, index << 16, &purge);
@@ -193,7 +193,7 @@
 	shput(service->rolled_out, rolled->service, weights);
 }
 
-static void apply_value(struct controller *controller, const struct Nl__Value *value, int64_t now, struct out *out)
+static void apply_value(struct controller *controller, const struct Nl__Value *value, int64_t now, struct command_list *out)
 {
 	struct controller_purge_state *controller_pub = &controller->purge_state;
 	int is_new = value->feed < SHARD_COUNT && value->index > controller_pub->published_index[value->feed] && value->purge;
@@ -242,58 +242,58 @@
 }
 
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index, const struct raft_entry *entry,
-				   int64_t now, struct out *out)
+				   int64_t now, struct command_list *out)
 {
 	uint64_t index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT | entry_index; /* of feeds: above all of the epoch before */
-	struct Nl__Op *operation = (struct Nl__Op *)core_unpack_message(out->pool, &nl__op__descriptor, entry->len, entry->data);
-	struct request_key request_key = request_key_unpack(operation ? operation->order : NULL);
+	struct Nl__Operation *operation = (struct Nl__Operation *)core_unpack_message(out->pool, &nl__operation__descriptor, entry->len, entry->data);
+	struct request_key request_key = request_key_unpack(operation ? operation->request_key : NULL);
 	const struct idempotency_record *accepted;
 	uint32_t status = PROPOSAL_REJECTED;
 
 	enter_epoch(controller, shard, raft_epoch(entry->term));
 	if (operation && service_shard_state(controller, shard))
-		service_shard_state(controller, shard)->clock_ms += operation->clock;
+		service_shard_state(controller, shard)->clock_ms += operation->group_clock_ms;
 	if (operation && shard == SHARD_CONTROL)
-		controller->config.clock = (struct group_moment){ operation->at > controller->config.clock.at_ms ? operation->at : controller->config.clock.at_ms, entry->term };
+		controller->config.clock = (struct group_moment){ operation->logged_at_ms > controller->config.clock.at_ms ? operation->logged_at_ms : controller->config.clock.at_ms, entry->term };
 	if (operation)
-		switch (operation->op_case) {
-		case NL__OP__OP_CHANGE:
+		switch (operation->body_case) {
+		case NL__OPERATION__BODY_CHANGE:
 			if (shard == SHARD_CONTROL)
 				status = apply_change(controller, index, operation);
 			break;
-		case NL__OP__OP_RESERVE:
+		case NL__OPERATION__BODY_RESERVE:
 			if (shard == SHARD_PURGE) {
 				apply_reservation(controller, operation->reserve);
 				status = PROPOSAL_DONE;
 			}
 			break;
-		case NL__OP__OP_VALUE:
+		case NL__OPERATION__BODY_VALUE:
 			if (shard == SHARD_PURGE) {
 				apply_value(controller, operation->value, now, out);
 				status = PROPOSAL_DONE;
 			}
 			break;
-		case NL__OP__OP_CLAIM:
+		case NL__OPERATION__BODY_CLAIM:
 			if (service_shard_state(controller, shard))
 				status = apply_claim(service_shard_state(controller, shard), operation->claim, out->pool);
 			break;
-		case NL__OP__OP_ROLLED:
+		case NL__OPERATION__BODY_ROLLED_OUT:
 			if (service_shard_state(controller, shard)) {
-				apply_rollout(controller, shard, index, operation->rolled);
+				apply_rollout(controller, shard, index, operation->rolled_out);
 				status = PROPOSAL_DONE;
 			} else if (shard == SHARD_CONTROL) {
-				rollout_intent_logged(controller, operation->rolled->server, now);
+				rollout_intent_logged(controller, operation->rolled_out->server, now);
 				status = PROPOSAL_DONE;
 			}
 			break;
-		case NL__OP__OP_TRIM:
+		case NL__OPERATION__BODY_TRIM:
 			if (shard != SHARD_PURGE)
 				trim_feed(shard == SHARD_CONTROL ? &controller->config_purge_feed : &service_shard_state(controller, shard)->purge_feed, operation->trim->feed);
-			if (operation->trim->cleared)
+			if (operation->trim->purged_tick)
 				apply_compaction(controller, shard, operation->trim);
 			status = PROPOSAL_DONE;
 			break;
-		case NL__OP__OP_CLEAR:
+		case NL__OPERATION__BODY_RETENTION_STEP:
 			if (shard == SHARD_CONTROL)
 				status = apply_purge_request(controller, index, operation);
 			break;
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -27,6 +27,6 @@
 
 /* Apply one committed entry. */
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t index, const struct raft_entry *entry, int64_t now,
-				   struct out *out);
+				   struct command_list *out);
 
 #endif
