--- a/lib/control/table.c
+++ b/lib/control/table.c
@@ -124,13 +124,13 @@
 
 	return fault                                 ? fault
 	       : !is_name(row->service)              ? "service: missing"
-	       : row->prio > 9                       ? "prio: 0 to 9"
+	       : row->priority > 9                       ? "prio: 0 to 9"
 	       : row->limit < 1 || row->limit > 100000 ? "limit: 1 to 100000 places in the line"
 	       : (row->host[0] || row->path[0]) && !is_cell_text(row->host, 255)
 		   ? "host: 1 to 255 characters without blanks, where there is a path"
 	       : row->host[0] && !is_path_prefix(row->path) ? "path: begins and ends with a slash"
-	       : row->timeout > 3600000            ? "timeout: up to 3600000 ms"
-	       : row->attempts > 100               ? "attempts: up to 100"
+	       : row->timeout_ms > 3600000            ? "timeout: up to 3600000 ms"
+	       : row->max_attempts > 100               ? "attempts: up to 100"
 						 : NULL;
 }
 
@@ -143,12 +143,12 @@
 	if (!is_name(r->name))
 		return apr_psprintf(pool, "%s: name: 1 to 199 letters, digits, . _ / - or *", config_kind_name(r->kind));
 	switch (r->kind) {
-	case NL__KIND__LANE: fault = check_route(r); break;
+	case NL__KIND__ROUTE: fault = check_route(r); break;
 	case NL__KIND__TENANT:
 	case NL__KIND__SHARE:
 		fault = r->share < 1 || r->share > 1000                       ? "share: 1 to 1000"
 		      : r->limit > 100000                                   ? "limit: up to 100000 running at once; 0 for no limit"
-		      : r->rank > 10                                        ? "rank: 1 to 10; 0 for none"
+		      : r->priority_class > 10                                        ? "rank: 1 to 10; 0 for none"
 		      : r->kind == NL__KIND__SHARE && !strchr(r->name, '/') ? "name: lane/tenant"
 									    : NULL;
 		break;
@@ -163,21 +163,21 @@
 		break;
 	case NL__KIND__SERVICE:
 		fault = r->model[0] && !is_name(r->model)                                    ? "model: letters, digits, . _ / - or *"
-		      : (r->weights[0] || !r->model[0]) && !is_name(r->weights)            ? "weights: missing, and no model"
-		      : r->prefill < 1 || r->prefill > 100000                              ? "prefill: 1 to 100000 tokens per ms"
-		      : r->kv_bytes < 1                                                    ? "kv_bytes: 1 or more"
-		      : r->link < 1                                                        ? "link: 1 or more bytes per ms"
-		      : r->health[0] && (!is_cell_text(r->health, 1000) || r->health[0] != '/') ? "health: a path"
+		      : (r->target_weights[0] || !r->model[0]) && !is_name(r->target_weights)            ? "weights: missing, and no model"
+		      : r->prefill_tokens_per_ms < 1 || r->prefill_tokens_per_ms > 100000                              ? "prefill: 1 to 100000 tokens per ms"
+		      : r->kv_bytes_per_token < 1                                                    ? "kv_bytes: 1 or more"
+		      : r->link_bytes_per_ms < 1                                                        ? "link: 1 or more bytes per ms"
+		      : r->health_path[0] && (!is_cell_text(r->health_path, 1000) || r->health_path[0] != '/') ? "health: a path"
 		      : r->addr[0] && !core_parse_addr(r->addr)                                  ? "addr: not ip:port"
 											   : NULL;
 		break;
 	case NL__KIND__MODEL:
-		fault = r->weights[0] && !is_weights_number(r->weights) ? "weights: a number from 1"
-		      : r->rolled[0] && !is_weights_number(r->rolled) ? "rolled: a number from 1"
-		      : !r->weights[0] && !r->rolled[0]      ? "weights: missing"
+		fault = r->target_weights[0] && !is_weights_number(r->target_weights) ? "weights: a number from 1"
+		      : r->rolled_out[0] && !is_weights_number(r->rolled_out) ? "rolled: a number from 1"
+		      : !r->target_weights[0] && !r->rolled_out[0]      ? "weights: missing"
 							     : NULL;
 		break;
-	case NL__KIND__DOOR: break;
+	case NL__KIND__LISTENER: break;
 	case NL__KIND__RETENTION: fault = retention_check_row(r); break;
 	default: fault = !core_parse_addr(r->addr) || !r->id ? "addr: not ip:port" : NULL; break;
 	}
@@ -191,13 +191,13 @@
 
 static int is_operator_kind(Nl__Kind kind)
 {
-	return kind == NL__KIND__LANE || kind == NL__KIND__TENANT || kind == NL__KIND__SHARE || kind == NL__KIND__SERVICE ||
-	       kind == NL__KIND__DOOR || kind == NL__KIND__RETENTION;
+	return kind == NL__KIND__ROUTE || kind == NL__KIND__TENANT || kind == NL__KIND__SHARE || kind == NL__KIND__SERVICE ||
+	       kind == NL__KIND__LISTENER || kind == NL__KIND__RETENTION;
 }
 
 static int is_replaced(const struct Nl__Change *change, Nl__Kind kind)
 {
-	return (is_operator_kind(kind) && kind != NL__KIND__RETENTION) || (change->keys && kind == NL__KIND__KEY);
+	return (is_operator_kind(kind) && kind != NL__KIND__RETENTION) || (change->replace_keys && kind == NL__KIND__KEY);
 }
 
 /* The names of all rows that a change sets, in one hash. */
@@ -218,8 +218,8 @@
 	char buf[300];
 
 	sh_new_arena(names);
-	for (size_t i = 0; i < change->n_del; i++)
-		shput(names, row_key(buf, sizeof buf, change->del[i]->kind, change->del[i]->name), change->del[i]);
+	for (size_t i = 0; i < change->n_deleted; i++)
+		shput(names, row_key(buf, sizeof buf, change->deleted[i]->kind, change->deleted[i]->name), change->deleted[i]);
 	return names;
 }
 
@@ -230,25 +230,25 @@
 	struct config_table_row *row = table->rows;
 	const char *why = NULL;
 	char buf[300];
-	int needed = change->whole;
+	int needed = change->replace_all;
 
 	sh_new_arena(by_host_and_path);
 	for (size_t i = 0; i < change->n_set; i++)
-		needed |= change->set[i]->kind == NL__KIND__LANE && (change->set[i]->path[0] || change->set[i]->n_split);
+		needed |= change->set[i]->kind == NL__KIND__ROUTE && (change->set[i]->path[0] || change->set[i]->n_split);
 	for (ptrdiff_t i = 0; i < shlen(row) + (ptrdiff_t)change->n_set && needed && !why; i++) {
 		int is_new = i >= shlen(row);
 		const struct Nl__Row *r = is_new ? change->set[i - shlen(row)] : row[i].value.row;
 		ptrdiff_t duplicate;
 		char *host_and_path;
 
-		if (r->kind != NL__KIND__LANE || (!is_new && (change->whole || shgeti(set, row[i].key) >= 0 || shgeti(deleted, row[i].key) >= 0)))
+		if (r->kind != NL__KIND__ROUTE || (!is_new && (change->replace_all || shgeti(set, row[i].key) >= 0 || shgeti(deleted, row[i].key) >= 0)))
 			continue;
 		if (is_new && shget(set, row_key(buf, sizeof buf, r->kind, r->name)) != r)
 			continue; /* set twice: the last one counts */
 		for (size_t share = 0; share < r->n_split && !why && is_new; share++) {
 			const char *key = row_key(buf, sizeof buf, NL__KIND__SERVICE, r->split[share]->service);
 
-			if (shgeti(set, key) < 0 && (change->whole || shgeti(deleted, key) >= 0 || shgeti(row, key) < 0))
+			if (shgeti(set, key) < 0 && (change->replace_all || shgeti(deleted, key) >= 0 || shgeti(row, key) < 0))
 				why = apr_psprintf(pool, "lane %s: split: no service %s", r->name, r->split[share]->service);
 		}
 		if (!r->path[0] || why)
@@ -289,16 +289,16 @@
 			return why;
 	for (size_t i = 0; i < change->n_set; i++) { /* an id is claimed in its service's part: such a lane stays with its service */
 		const struct Nl__Row *old =
-		    change->set[i]->kind == NL__KIND__LANE ? config_table_get(table, NL__KIND__LANE, change->set[i]->name) : NULL;
+		    change->set[i]->kind == NL__KIND__ROUTE ? config_table_get(table, NL__KIND__ROUTE, change->set[i]->name) : NULL;
 
-		if (old && strcmp(old->service, change->set[i]->service) && !(old->vouched && change->set[i]->vouched))
+		if (old && strcmp(old->service, change->set[i]->service) && !(old->client_deduplicates && change->set[i]->client_deduplicates))
 			return apr_psprintf(pool, "lane %s: service: cannot change; make a new lane", old->name);
 	}
-	for (size_t i = 0; i < change->n_del; i++)
-		if (!change->whole && find_row(table, change->del[i]->kind, change->del[i]->name) < 0)
-			return apr_psprintf(pool, "del %s %s: no such row", config_kind_name(change->del[i]->kind), change->del[i]->name);
-	for (size_t i = 0; i < change->n_del; i++)
-		if (change->del[i]->kind == NL__KIND__MODEL && (why = check_model_removed(table, change->del[i], pool)))
+	for (size_t i = 0; i < change->n_deleted; i++)
+		if (!change->replace_all && find_row(table, change->deleted[i]->kind, change->deleted[i]->name) < 0)
+			return apr_psprintf(pool, "del %s %s: no such row", config_kind_name(change->deleted[i]->kind), change->deleted[i]->name);
+	for (size_t i = 0; i < change->n_deleted; i++)
+		if (change->deleted[i]->kind == NL__KIND__MODEL && (why = check_model_removed(table, change->deleted[i], pool)))
 			return why;
 	why = retention_check_scopes(table, change, pool);
 	return why ? why : check_consistency(table, change, pool);
@@ -313,7 +313,7 @@
 	size_t size;
 	uint8_t *packed;
 
-	p.why = reason;
+	p.reason = reason;
 	p.service = (char *)service;
 	p.weights = (char *)weights;
 	p.tenant = (char *)tenant;
@@ -331,7 +331,7 @@
 /* A model's weights have reached every server: what stood before them, and what was named in between, is withdrawn. */
 static void purge_model(const struct config_table *table, const struct Nl__Row *was, const struct Nl__Row *row, struct Nl__Purge ***feed)
 {
-	uint64_t replaced_weights = strtoull(was->rolled, NULL, 10), current_weights = row ? strtoull(row->rolled, NULL, 10) : replaced_weights + 1;
+	uint64_t replaced_weights = strtoull(was->rolled_out, NULL, 10), current_weights = row ? strtoull(row->rolled_out, NULL, 10) : replaced_weights + 1;
 
 	if (!replaced_weights || replaced_weights >= current_weights)
 		return;
@@ -354,9 +354,9 @@
 {
 	if (!feed || !was)
 		return;
-	if (was->kind == NL__KIND__SERVICE && was->weights[0] && (!row || strcmp(was->weights, row->weights)))
-		append_purge(feed, 1, was->name, was->weights, "", "");
-	if (was->kind == NL__KIND__TENANT && (!row || was->walled != row->walled))
+	if (was->kind == NL__KIND__SERVICE && was->target_weights[0] && (!row || strcmp(was->target_weights, row->target_weights)))
+		append_purge(feed, 1, was->name, was->target_weights, "", "");
+	if (was->kind == NL__KIND__TENANT && (!row || was->isolated != row->isolated))
 		append_purge(feed, 2, "", "", was->name, "");
 	if (was->kind == NL__KIND__SERVER && was->state == 0 && (!row || row->state || strcmp(was->addr, row->addr)))
 		append_purge(feed, 3, "", "", "", was->name);
@@ -372,8 +372,8 @@
 	struct Nl__Row m = *r;
 	struct version_history versions;
 
-	m.weights = (char *)higher_number(r->weights, was ? was->weights : "1");
-	m.rolled = (char *)higher_number(r->rolled, was ? was->rolled : "1");
+	m.target_weights = (char *)higher_number(r->target_weights, was ? was->target_weights : "1");
+	m.rolled_out = (char *)higher_number(r->rolled_out, was ? was->rolled_out : "1");
 	version_history_update(&versions, was, &m, table->clock, bound_passed);
 	return row_copy(&m);
 }
@@ -419,9 +419,9 @@
 {
 	const struct Nl__Row *old = config_table_get(table, row->kind, row->name);
 
-	if (old && change->whole && rows_equal(old, row))
+	if (old && change->replace_all && rows_equal(old, row))
 		return;
-	row_put(table, row->kind == NL__KIND__MODEL ? make_model_row(table, old, row, change->bound_passed) : row_copy(row), table->revision, feed);
+	row_put(table, row->kind == NL__KIND__MODEL ? make_model_row(table, old, row, change->bound_passed_at_ms) : row_copy(row), table->revision, feed);
 }
 
 static void row_delete(struct config_table *table, const char *key, uint64_t revision, struct Nl__Purge ***feed)
@@ -460,19 +460,19 @@
 
 int config_table_apply(struct config_table *table, const struct Nl__Change *change, struct Nl__Purge ***feed)
 {
-	int changes_operator_rows = change->whole;
+	int changes_operator_rows = change->replace_all;
 	char buf[300];
 
-	if (!change->any && (change->expect < table->operator_revision || change->expect > table->revision))
+	if (!change->any_revision && (change->expected_revision < table->operator_revision || change->expected_revision > table->revision))
 		return PROPOSAL_SUPERSEDED;
 	table->revision++;
 	for (size_t i = 0; i < change->n_set; i++)
 		changes_operator_rows |= is_operator_kind(change->set[i]->kind);
-	for (size_t i = 0; i < change->n_del; i++)
-		changes_operator_rows |= is_operator_kind(change->del[i]->kind);
+	for (size_t i = 0; i < change->n_deleted; i++)
+		changes_operator_rows |= is_operator_kind(change->deleted[i]->kind);
 	if (changes_operator_rows)
 		table->operator_revision = table->revision;
-	if (change->whole) { /* operators' kinds are replaced; servers, controllers and models have calls of their own */
+	if (change->replace_all) { /* operators' kinds are replaced; servers, controllers and models have calls of their own */
 		struct row_index *set = index_set_rows(change);
 		char **removed = NULL;
 
@@ -488,8 +488,8 @@
 		arrfree(removed);
 		shfree(set);
 	}
-	for (size_t i = 0; i < change->n_del; i++)
-		row_delete(table, row_key(buf, sizeof buf, change->del[i]->kind, change->del[i]->name), table->revision, feed);
+	for (size_t i = 0; i < change->n_deleted; i++)
+		row_delete(table, row_key(buf, sizeof buf, change->deleted[i]->kind, change->deleted[i]->name), table->revision, feed);
 	for (size_t i = 0; i < change->n_set; i++)
 		row_set(table, change->set[i], change, feed);
 	return PROPOSAL_DONE;
@@ -501,19 +501,19 @@
 {
 	size_t changed = 0, row_count = (size_t)shlen(table->rows);
 
-	reply->whole = base_revision < table->floor_revision || base_revision > table->revision || !base_revision;
-	reply->since = reply->whole ? 0 : base_revision;
-	reply->edition = table->revision;
-	if (!reply->whole && base_revision == table->revision)
+	reply->full = base_revision < table->floor_revision || base_revision > table->revision || !base_revision;
+	reply->since_revision = reply->full ? 0 : base_revision;
+	reply->revision = table->revision;
+	if (!reply->full && base_revision == table->revision)
 		return;
 	reply->set = apr_palloc(pool, (row_count + 1) * sizeof *reply->set);
 	for (size_t i = 0; i < row_count; i++)
-		if (reply->whole || table->rows[i].value.revision > base_revision)
+		if (reply->full || table->rows[i].value.revision > base_revision)
 			reply->set[changed++] = (struct Nl__Row *)core_copy_message(pool, &table->rows[i].value.row->base);
 	reply->n_set = changed;
-	if (reply->whole)
+	if (reply->full)
 		return;
-	reply->del = apr_palloc(pool, ((size_t)arrlen(table->tombstones) + 1) * sizeof *reply->del);
+	reply->deleted = apr_palloc(pool, ((size_t)arrlen(table->tombstones) + 1) * sizeof *reply->deleted);
 	for (ptrdiff_t i = 0; i < arrlen(table->tombstones); i++) {
 		struct config_table_row *h = table->rows;
 		struct Nl__Row *row;
@@ -524,7 +524,7 @@
 		nl__row__init(row);
 		row->kind = (Nl__Kind)strtol(table->tombstones[i].key, NULL, 10);
 		row->name = apr_pstrdup(pool, strchr(table->tombstones[i].key, '/') + 1);
-		reply->del[reply->n_del++] = row;
+		reply->deleted[reply->n_deleted++] = row;
 	}
 }
 
@@ -532,19 +532,19 @@
 {
 	char buf[300];
 
-	if (reply->edition < table->revision || (!reply->whole && reply->since > table->revision))
+	if (reply->revision < table->revision || (!reply->full && reply->since_revision > table->revision))
 		return 0;
-	if (reply->edition == table->revision && !reply->whole)
+	if (reply->revision == table->revision && !reply->full)
 		return 1;
-	if (reply->whole) {
+	if (reply->full) {
 		config_table_close(table);
 		config_table_open(table);
 	}
-	for (size_t i = 0; i < reply->n_del; i++)
-		row_delete(table, row_key(buf, sizeof buf, reply->del[i]->kind, reply->del[i]->name), reply->edition, NULL);
+	for (size_t i = 0; i < reply->n_deleted; i++)
+		row_delete(table, row_key(buf, sizeof buf, reply->deleted[i]->kind, reply->deleted[i]->name), reply->revision, NULL);
 	for (size_t i = 0; i < reply->n_set; i++)
-		row_put(table, row_copy(reply->set[i]), reply->edition, NULL); /* as the leader has it */
-	table->revision = reply->edition;
+		row_put(table, row_copy(reply->set[i]), reply->revision, NULL); /* as the leader has it */
+	table->revision = reply->revision;
 	return 1;
 }
 
@@ -563,48 +563,48 @@
 /* One line per column of the table: which kinds of row have it. */
 static const struct row_column row_columns[] = {
 	{ "name", COLUMN_STRING, AT(name), ~0u },
-	{ "service", COLUMN_STRING, AT(service), ON(LANE) | ON(SERVER) },
+	{ "service", COLUMN_STRING, AT(service), ON(ROUTE) | ON(SERVER) },
 	{ "tenant", COLUMN_STRING, AT(tenant), ON(KEY) },
-	{ "addr", COLUMN_STRING, AT(addr), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
-	{ "zone", COLUMN_STRING, AT(zone), ON(SERVER) | ON(REGISTRAR) | ON(SERVICE) },
-	{ "weights", COLUMN_STRING, AT(weights), ON(SERVICE) | ON(MODEL) },
-	{ "prio", COLUMN_UINT32, AT(prio), ON(LANE) },
+	{ "addr", COLUMN_STRING, AT(addr), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
+	{ "zone", COLUMN_STRING, AT(zone), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
+	{ "weights", COLUMN_STRING, AT(target_weights), ON(SERVICE) | ON(MODEL) },
+	{ "prio", COLUMN_UINT32, AT(priority), ON(ROUTE) },
 	{ "share", COLUMN_UINT32, AT(share), ON(TENANT) | ON(SHARE) },
-	{ "limit", COLUMN_UINT32, AT(limit), ON(LANE) | ON(TENANT) | ON(SHARE) },
-	{ "walled", COLUMN_BOOL, AT(walled), ON(TENANT) },
+	{ "limit", COLUMN_UINT32, AT(limit), ON(ROUTE) | ON(TENANT) | ON(SHARE) },
+	{ "walled", COLUMN_BOOL, AT(isolated), ON(TENANT) },
 	{ "state", COLUMN_STATE, AT(state), ON(SERVER) },
-	{ "id", COLUMN_HEX, AT(id), ON(REGISTRAR) },
-	{ "prefill", COLUMN_UINT32, AT(prefill), ON(SERVICE) },
-	{ "kv_bytes", COLUMN_UINT32, AT(kv_bytes), ON(SERVICE) },
-	{ "link", COLUMN_UINT32, AT(link), ON(SERVICE) },
-	{ "store", COLUMN_UINT32, AT(store), ON(SERVICE) },
-	{ "host", COLUMN_STRING, AT(host), ON(LANE) },
-	{ "path", COLUMN_STRING, AT(path), ON(LANE) },
-	{ "split", COLUMN_SPLIT, AT(split), ON(LANE) },
-	{ "aim", COLUMN_UINT32, AT(aim), ON(LANE) },
-	{ "pause", COLUMN_UINT32, AT(pause), ON(LANE) },
-	{ "timeout", COLUMN_UINT32, AT(timeout), ON(LANE) },
-	{ "attempts", COLUMN_UINT32, AT(attempts), ON(LANE) },
-	{ "resumable", COLUMN_BOOL, AT(resumable), ON(LANE) },
-	{ "repeatable", COLUMN_BOOL, AT(repeatable), ON(LANE) },
-	{ "vouched", COLUMN_BOOL, AT(vouched), ON(LANE) },
-	{ "open", COLUMN_BOOL, AT(open), ON(LANE) },
+	{ "id", COLUMN_HEX, AT(id), ON(CONTROLLER) },
+	{ "prefill", COLUMN_UINT32, AT(prefill_tokens_per_ms), ON(SERVICE) },
+	{ "kv_bytes", COLUMN_UINT32, AT(kv_bytes_per_token), ON(SERVICE) },
+	{ "link", COLUMN_UINT32, AT(link_bytes_per_ms), ON(SERVICE) },
+	{ "store", COLUMN_UINT32, AT(store_bytes_per_ms), ON(SERVICE) },
+	{ "host", COLUMN_STRING, AT(host), ON(ROUTE) },
+	{ "path", COLUMN_STRING, AT(path), ON(ROUTE) },
+	{ "split", COLUMN_SPLIT, AT(split), ON(ROUTE) },
+	{ "aim", COLUMN_UINT32, AT(latency_target_ms), ON(ROUTE) },
+	{ "pause", COLUMN_UINT32, AT(max_gap_ms), ON(ROUTE) },
+	{ "timeout", COLUMN_UINT32, AT(timeout_ms), ON(ROUTE) },
+	{ "attempts", COLUMN_UINT32, AT(max_attempts), ON(ROUTE) },
+	{ "resumable", COLUMN_BOOL, AT(resumable), ON(ROUTE) },
+	{ "repeatable", COLUMN_BOOL, AT(idempotent), ON(ROUTE) },
+	{ "vouched", COLUMN_BOOL, AT(client_deduplicates), ON(ROUTE) },
+	{ "open", COLUMN_BOOL, AT(key_optional), ON(ROUTE) },
 	{ "model", COLUMN_STRING, AT(model), ON(SERVICE) },
 	{ "slots", COLUMN_UINT32, AT(slots), ON(SERVICE) },
-	{ "conns", COLUMN_UINT32, AT(conns), ON(SERVICE) },
-	{ "watches", COLUMN_UINT32, AT(watches), ON(SERVICE) },
-	{ "room", COLUMN_UINT64, AT(room), ON(SERVICE) },
-	{ "rank", COLUMN_UINT32, AT(rank), ON(TENANT) },
-	{ "rolled", COLUMN_STRING, AT(rolled), ON(MODEL) },
-	{ "health", COLUMN_STRING, AT(health), ON(SERVICE) },
-	{ "head_bytes", COLUMN_UINT32, AT(head_bytes), ON(DOOR) },
-	{ "body_bytes", COLUMN_UINT32, AT(body_bytes), ON(DOOR) },
-	{ "head_ms", COLUMN_UINT32, AT(head_ms), ON(DOOR) },
-	{ "idle_ms", COLUMN_UINT32, AT(idle_ms), ON(DOOR) },
-	{ "keep", COLUMN_STRING, AT(keep), ON(RETENTION) },
-	{ "every", COLUMN_STRING, AT(every), ON(RETENTION) },
-	{ "at", COLUMN_STRING, AT(at), ON(RETENTION) },
-	{ "window", COLUMN_UINT32, AT(window), ON(RETENTION) },
+	{ "conns", COLUMN_UINT32, AT(max_connections), ON(SERVICE) },
+	{ "watches", COLUMN_UINT32, AT(max_watches), ON(SERVICE) },
+	{ "room", COLUMN_UINT64, AT(capacity_tokens), ON(SERVICE) },
+	{ "rank", COLUMN_UINT32, AT(priority_class), ON(TENANT) },
+	{ "rolled", COLUMN_STRING, AT(rolled_out), ON(MODEL) },
+	{ "health", COLUMN_STRING, AT(health_path), ON(SERVICE) },
+	{ "head_bytes", COLUMN_UINT32, AT(max_head_bytes), ON(LISTENER) },
+	{ "body_bytes", COLUMN_UINT32, AT(max_body_bytes), ON(LISTENER) },
+	{ "head_ms", COLUMN_UINT32, AT(head_timeout_ms), ON(LISTENER) },
+	{ "idle_ms", COLUMN_UINT32, AT(idle_timeout_ms), ON(LISTENER) },
+	{ "keep", COLUMN_STRING, AT(max_age), ON(RETENTION) },
+	{ "every", COLUMN_STRING, AT(interval), ON(RETENTION) },
+	{ "at", COLUMN_STRING, AT(calendar), ON(RETENTION) },
+	{ "window", COLUMN_UINT32, AT(spread_ms), ON(RETENTION) },
 };
 enum { ROW_COLUMN_COUNT = sizeof row_columns / sizeof *row_columns };
 
@@ -636,7 +636,7 @@
 	row->split = apr_palloc(pool, (share_count + 1) * sizeof *row->split);
 	row->n_split = 0;
 	for (char *item = apr_strtok(copy, ",", &save); item; item = apr_strtok(NULL, ",", &save)) {
-		struct Nl__Split *split = apr_palloc(pool, sizeof *split);
+		struct Nl__RouteSplit *split = apr_palloc(pool, sizeof *split);
 		char *colon = strrchr(item, ':'), *end = colon;
 		unsigned long long weight;
 
@@ -646,7 +646,7 @@
 		if (*end || weight > 1000000)
 			return 0;
 		*colon = 0;
-		nl__split__init(split);
+		nl__route_split__init(split);
 		split->service = item;
 		split->weight = (uint32_t)weight;
 		row->split[row->n_split++] = split;
@@ -790,15 +790,15 @@
 			*why = "expect: not an edition";
 			goto end;
 		}
-		change->expect = json_object_get_uint64(v);
+		change->expected_revision = json_object_get_uint64(v);
 	} else {
-		change->any = 1;
+		change->any_revision = 1;
 	}
 	if (json_object_object_get_ex(json, "whole", &v))
-		change->whole = json_object_get_boolean(v);
-	if (!rows_parse(json, "set", &change->n_set, &change->set, pool, why) || !rows_parse(json, "del", &change->n_del, &change->del, pool, why))
+		change->replace_all = json_object_get_boolean(v);
+	if (!rows_parse(json, "set", &change->n_set, &change->set, pool, why) || !rows_parse(json, "del", &change->n_deleted, &change->deleted, pool, why))
 		goto end;
-	if (!change->n_set && !change->n_del && !change->whole)
+	if (!change->n_set && !change->n_deleted && !change->replace_all)
 		*why = "set: nothing to change";
 end:
 	if (json)
--- a/lib/control/table.h
+++ b/lib/control/table.h
@@ -64,7 +64,7 @@
  * Example: if (expect < table_plan(&t)) overtaken(); */
 uint64_t config_table_operator_revision(const struct config_table *table);
 
-/* Find a row. Example: table_get(&t, NL__KIND__LANE, "arrears") */
+/* Find a row. Example: table_get(&t, NL__KIND__ROUTE, "arrears") */
 const struct Nl__Row *config_table_get(const struct config_table *table, Nl__Kind kind, const char *name);
 
 /* Rows and JSON. On a fault *why names the field. Example: table_row_json(r) */
--- a/lib/core/core.h
+++ b/lib/core/core.h
@@ -9,7 +9,7 @@
 
 #include "notchlug.pb-c.h"
 
-#define CORE_SPEAK 1u
+#define CORE_PROTOCOL_VERSION 1u
 
 /* The places a command may stand for. A step returns a list of these; the shell performs them. */
 enum command_kind {
@@ -29,7 +29,7 @@
 
 /* A caller's request on its way to a server. The bytes stay with the shell, which passes the answer's pieces on by
  * itself and says how it ended. */
-struct forward {
+struct forward_command {
 	uint64_t call_token, client_token; /* tokens */
 	uint64_t addr;
 	const char *server, *tenant; /* the life meant; NULL tenant: none */
@@ -100,7 +100,7 @@
 		struct {
 			uint64_t token;
 		} cancel;
-		struct forward *forward;
+		struct forward_command *forward;
 		struct {
 			uint64_t token;
 		} list_servers;
@@ -144,33 +144,33 @@
 };
 extern const struct bounds bounds_default;
 
-struct out {
+struct command_list {
 	apr_pool_t *pool;            /* commands live in it until the shell clears it */
 	struct command *commands;            /* stb_ds array */
 	uint64_t id, addr, fleet; /* who speaks */
 };
 
 /* Add one command. Example: out_cmd(o, CMD_CANCEL)->u.cancel.token = t; */
-struct command *command_add(struct out *out, enum command_kind kind);
+struct command *command_add(struct command_list *out, enum command_kind kind);
 
 /* Add a message to a peer and return it for filling in.
- * Example: m = out_msg(o, addr, 0, NL__MSG__BODY_OWNER); m->owner = ...; */
-struct Nl__Msg *command_send(struct out *out, uint64_t addr, uint32_t shard, int body);
+ * Example: m = out_msg(o, addr, 0, NL__MSG__BODY_LEADER_HINT); m->owner = ...; */
+struct Nl__Msg *command_send(struct command_list *out, uint64_t addr, uint32_t shard, int body);
 
 /* Answer a web call whole. Example: out_answer(o, token, 503, 500, "{}"); */
-void command_answer(struct out *out, uint64_t token, int status, int retry_ms, const char *body);
+void command_answer(struct command_list *out, uint64_t token, int status, int retry_ms, const char *body);
 
 /* The same, for an answer that holds until then only. Example: out_answer_until(&o, token, 200, body, lease_end); */
-void command_answer_until(struct out *out, uint64_t token, int status, const char *body, int64_t not_after_ms);
+void command_answer_until(struct command_list *out, uint64_t token, int status, const char *body, int64_t not_after_ms);
 
 /* Forget all commands and their memory. Example: out_clear(&o); */
-void command_list_clear(struct out *out);
+void command_list_clear(struct command_list *out);
 
 /* Allocate and initialise a message struct in the step's pool.
- * Example: struct Nl__Append *a = OUT_NEW(o, Nl__Append, NL__APPEND__INIT); */
+ * Example: struct Nl__Append *a = MESSAGE_NEW(o, Nl__Append, NL__APPEND__INIT); */
 /* NOLINTNEXTLINE(bugprone-macro-parentheses): init is a list in braces */
-#define OUT_NEW(o, type, init) ((struct type *)out_new((o), sizeof(struct type), &(struct type)init))
-void *out_new(struct out *out, size_t size, const void *init);
+#define MESSAGE_NEW(o, type, init) ((struct type *)command_list_alloc((o), sizeof(struct type), &(struct type)init))
+void *command_list_alloc(struct command_list *out, size_t size, const void *init);
 
 /* A 64-bit hash of bytes, the same on every node. Example: core_hash(0, "arrears", 7) */
 uint64_t core_hash(uint64_t seed, const void *data, size_t size);
--- a/lib/core/purge.c
+++ b/lib/core/purge.c
@@ -95,11 +95,11 @@
 }
 
 /* A known run [a, b]: each value takes the silence before it along, the rest is silence after. */
-static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct out *out)
+static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct command_list *out)
 {
 	for (ptrdiff_t i = value_position(known, first); first <= last; i++) {
-		struct Nl__Increment *inc = OUT_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
-		struct Nl__Increment **increment = apr_palloc(out->pool, (knowledge->n_inc + 1) * sizeof *increment);
+		struct Nl__Increment *inc = MESSAGE_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
+		struct Nl__Increment **increment = apr_palloc(out->pool, (knowledge->n_increments + 1) * sizeof *increment);
 		uint64_t end = last;
 
 		if (i < arrlen(known->values) && known->values[i]->tick <= last) {
@@ -107,17 +107,17 @@
 			if (i + 1 < arrlen(known->values) && known->values[i + 1]->tick <= last)
 				end = known->values[i]->tick;
 		}
-		inc->a = first;
-		inc->b = end;
-		if (knowledge->n_inc)
-			memcpy(increment, knowledge->inc, knowledge->n_inc * sizeof *increment);
-		increment[knowledge->n_inc++] = inc;
-		knowledge->inc = increment;
+		inc->first = first;
+		inc->last = end;
+		if (knowledge->n_increments)
+			memcpy(increment, knowledge->increments, knowledge->n_increments * sizeof *increment);
+		increment[knowledge->n_increments++] = inc;
+		knowledge->increments = increment;
 		first = end + 1;
 	}
 }
 
-int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct out *out)
+int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct command_list *out)
 {
 	if (first <= known->released)
 		return 0;
@@ -164,33 +164,33 @@
 
 uint64_t purge_subject(const struct Nl__Purge *purge)
 {
-	switch (purge->why) {
+	switch (purge->reason) {
 	case PURGE_WEIGHTS: return subject(PURGE_WEIGHTS, purge->service, purge->weights);
 	case PURGE_TENANT: return subject(PURGE_TENANT, purge->tenant, "");
-	case PURGE_CONTEXT: return core_rendezvous_weight(subject(PURGE_CONTEXT, purge->lane, purge->tenant), purge->slice);
+	case PURGE_CONTEXT: return core_rendezvous_weight(subject(PURGE_CONTEXT, purge->route, purge->tenant), purge->slice);
 	default: return subject(PURGE_SERVER, purge->server, "");
 	}
 }
 
-void purge_view_apply(struct view *view, const struct Nl__Value *value)
+void purge_view_apply(struct purge_view *view, const struct Nl__Value *value)
 {
 	uint64_t key = purge_subject(value->purge);
 	struct purge_view_row *row = hmgetp_null(view->subjects, key);
 
 	if (row && row->value->tick >= value->tick)
 		return;
-	if (row && value->purge->why == PURGE_CONTEXT)
+	if (row && value->purge->reason == PURGE_CONTEXT)
 		for (ptrdiff_t i = arrlen(view->context_purges) - 1; i >= 0; i--)
 			if (view->context_purges[i] == row->value)
 				arrdelswap(view->context_purges, i);
 	if (row)
 		value_free(row->value);
 	hmput(view->subjects, key, value_copy(value));
-	if (value->purge->why == PURGE_CONTEXT)
+	if (value->purge->reason == PURGE_CONTEXT)
 		arrput(view->context_purges, hmget(view->subjects, key));
 }
 
-static int gone(const struct view *w, uint64_t key, uint64_t stamp)
+static int gone(const struct purge_view *w, uint64_t key, uint64_t stamp)
 {
 	struct purge_view_row *row = w->subjects;
 	ptrdiff_t i = hmgeti(row, key);
@@ -198,7 +198,7 @@
 	return i >= 0 && stamp < row[i].value->tick;
 }
 
-int purge_view_allows(const struct view *view, const char *service, const char *weights, const char *tenant, const char *server,
+int purge_view_allows(const struct purge_view *view, const char *service, const char *weights, const char *tenant, const char *server,
 		uint64_t stamp)
 {
 	if (!view->subjects)
@@ -207,7 +207,7 @@
 	       !gone(view, subject(PURGE_SERVER, server, ""), stamp);
 }
 
-int purge_view_keeps_context(const struct view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp)
+int purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp)
 {
 	for (ptrdiff_t i = 0; i < arrlen(view->context_purges); i++) {
 		const struct Nl__Purge *purge = view->context_purges[i]->purge;
@@ -219,7 +219,7 @@
 	return 1;
 }
 
-uint64_t purge_view_tick(const struct view *view, uint32_t why, const char *name, const char *weights)
+uint64_t purge_view_tick(const struct purge_view *view, uint32_t why, const char *name, const char *weights)
 {
 	struct purge_view_row *row = view->subjects;
 	ptrdiff_t i = row ? hmgeti(row, subject(why, name, weights)) : -1;
@@ -227,7 +227,7 @@
 	return i < 0 ? 0 : row[i].value->tick;
 }
 
-void purge_view_clear(struct view *view)
+void purge_view_clear(struct purge_view *view)
 {
 	for (ptrdiff_t i = 0; i < hmlen(view->subjects); i++)
 		value_free(view->subjects[i].value);
@@ -291,17 +291,17 @@
 }
 
 /* Tell each downstream what is new above what it has. */
-static void forward_request(struct relay *r, uint64_t first, uint64_t last, int64_t now, struct out *out)
+static void forward_request(struct relay *r, uint64_t first, uint64_t last, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(r->downstreams); i++) {
-		struct Nl__Knowledge *m = OUT_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+		struct Nl__Knowledge *m = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
 
-		if (!knowledge_append(&r->knowledge, first, last, m, out) || !m->n_inc)
+		if (!knowledge_append(&r->knowledge, first, last, m, out) || !m->n_increments)
 			continue;
-		m->age = age(r, now);
-		m->asked = r->downstreams[i].request_clock_ms;
+		m->age_ms = age(r, now);
+		m->request_clock_ms = r->downstreams[i].request_clock_ms;
 		command_send(out, r->downstreams[i].addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = m;
-		r->increments_sent += m->n_inc;
+		r->increments_sent += m->n_increments;
 	}
 }
 
@@ -329,55 +329,55 @@
 	return is_new;
 }
 
-void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct out *out)
+void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct command_list *out)
 {
 	if (learn(relay, first, last, value, now, now))
 		forward_request(relay, first, last, now, out);
 }
 
-static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now, struct out *out)
+static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now, struct command_list *out)
 {
-	for (size_t i = 0; i < knowledge->n_inc; i++) {
-		const struct Nl__Increment *increment = knowledge->inc[i];
+	for (size_t i = 0; i < knowledge->n_increments; i++) {
+		const struct Nl__Increment *increment = knowledge->increments[i];
 
-		if (increment->a > increment->b || (increment->value && (!increment->value->purge || increment->value->tick < increment->a || increment->value->tick > increment->b)))
+		if (increment->first > increment->last || (increment->value && (!increment->value->purge || increment->value->tick < increment->first || increment->value->tick > increment->last)))
 			continue;
-		if (learn(relay, increment->a, increment->b, increment->value, now - knowledge->age, known_as_of(knowledge->asked, knowledge->age, now)))
-			forward_request(relay, increment->a, increment->b, now, out);
+		if (learn(relay, increment->first, increment->last, increment->value, now - knowledge->age_ms, known_as_of(knowledge->request_clock_ms, knowledge->age_ms, now)))
+			forward_request(relay, increment->first, increment->last, now, out);
 	}
 }
 
-static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnap *purge_snap, int64_t now, struct out *out)
+static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnapshot *purge_snap, int64_t now, struct command_list *out)
 {
-	for (size_t i = 0; i < purge_snap->n_last; i++)
-		if (purge_snap->last[i]->purge) {
-			purge_view_apply(&relay->view, purge_snap->last[i]);
+	for (size_t i = 0; i < purge_snap->n_latest; i++)
+		if (purge_snap->latest[i]->purge) {
+			purge_view_apply(&relay->view, purge_snap->latest[i]);
 			if (relay->on_value)
-				relay->on_value(relay->context, purge_snap->last[i]);
+				relay->on_value(relay->context, purge_snap->latest[i]);
 		}
-	if (purge_snap->upto <= relay->knowledge.horizon)
+	if (purge_snap->upto_tick <= relay->knowledge.horizon)
 		return;
-	learn(relay, relay->knowledge.horizon + 1, purge_snap->upto, NULL, now - purge_snap->age, known_as_of(purge_snap->asked, purge_snap->age, now));
+	learn(relay, relay->knowledge.horizon + 1, purge_snap->upto_tick, NULL, now - purge_snap->age_ms, known_as_of(purge_snap->request_clock_ms, purge_snap->age_ms, now));
 	/* the values themselves are not held here: those below must take a snapshot as well */
-	knowledge_release(&relay->knowledge, purge_snap->upto);
-	forward_request(relay, purge_snap->upto + 1, knowledge_reach(&relay->knowledge), now, out);
+	knowledge_release(&relay->knowledge, purge_snap->upto_tick);
+	forward_request(relay, purge_snap->upto_tick + 1, knowledge_reach(&relay->knowledge), now, out);
 }
 
-static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms, int64_t now, struct out *out)
+static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms, int64_t now, struct command_list *out)
 {
-	struct Nl__PurgeSnap *purge_snap = OUT_NEW(out, Nl__PurgeSnap, NL__PURGE_SNAP__INIT);
+	struct Nl__PurgeSnapshot *purge_snap = MESSAGE_NEW(out, Nl__PurgeSnapshot, NL__PURGE_SNAPSHOT__INIT);
 
-	purge_snap->upto = relay->knowledge.horizon;
-	purge_snap->age = age(relay, now);
-	purge_snap->asked = request_clock_ms;
-	purge_snap->last = apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *purge_snap->last);
+	purge_snap->upto_tick = relay->knowledge.horizon;
+	purge_snap->age_ms = age(relay, now);
+	purge_snap->request_clock_ms = request_clock_ms;
+	purge_snap->latest = apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *purge_snap->latest);
 	for (ptrdiff_t i = 0; i < hmlen(relay->view.subjects); i++)
-		purge_snap->last[purge_snap->n_last++] = (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
-	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAP)->purge_snap = purge_snap;
+		purge_snap->latest[purge_snap->n_latest++] = (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
+	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAPSHOT)->purge_snapshot = purge_snap;
 }
 
 /* Curiosity up: what is taken, and what is wanted if anything is. */
-static void send_curiosity(struct relay *relay, int wants_ranges, int64_t now, struct out *out)
+static void send_curiosity(struct relay *relay, int wants_ranges, int64_t now, struct command_list *out)
 {
 	struct tick_range gap[8];
 	size_t upstream_count = (size_t)arrlen(relay->upstreams);
@@ -388,28 +388,28 @@
 		return;
 	wants_ranges = wants_ranges && !relay->curiosity_disabled;
 	gap_count = wants_ranges ? knowledge_gaps(&relay->knowledge, gap, 8) : 0;
-	curiosity = OUT_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
-	curiosity->taken = relay_acknowledged_tick(relay);
-	curiosity->reach = knowledge_reach(&relay->knowledge);
-	curiosity->snap = !relay->has_knowledge;
-	curiosity->asked = now;
-	curiosity->want = apr_palloc(out->pool, 9 * sizeof *curiosity->want);
+	curiosity = MESSAGE_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
+	curiosity->acknowledged_tick = relay_acknowledged_tick(relay);
+	curiosity->highest_tick = knowledge_reach(&relay->knowledge);
+	curiosity->needs_snapshot = !relay->has_knowledge;
+	curiosity->request_clock_ms = now;
+	curiosity->wanted = apr_palloc(out->pool, 9 * sizeof *curiosity->wanted);
 	if (wants_ranges && gap_count < 8) /* and all above what is known at all */
-		gap[gap_count++] = (struct tick_range){ curiosity->reach + 1, UINT64_MAX };
+		gap[gap_count++] = (struct tick_range){ curiosity->highest_tick + 1, UINT64_MAX };
 	for (int i = 0; i < gap_count; i++) {
-		curiosity->want[i] = OUT_NEW(out, Nl__Range, NL__RANGE__INIT);
-		curiosity->want[i]->a = gap[i].first;
-		curiosity->want[i]->b = gap[i].last;
-		curiosity->n_want++;
+		curiosity->wanted[i] = MESSAGE_NEW(out, Nl__TickRange, NL__TICK_RANGE__INIT);
+		curiosity->wanted[i]->first = gap[i].first;
+		curiosity->wanted[i]->last = gap[i].last;
+		curiosity->n_wanted++;
 	}
 	relay->requested_at_ms = now;
 	command_send(out, relay->upstreams[relay->upstream_position % upstream_count], SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = curiosity;
 }
 
-static void on_curiosity(struct relay *relay, const struct Nl__Msg *msg, int64_t now, struct out *out)
+static void on_curiosity(struct relay *relay, const struct Nl__Msg *msg, int64_t now, struct command_list *out)
 {
 	const struct Nl__Curiosity *curiosity = msg->curiosity;
-	struct Nl__Knowledge *knowledge = OUT_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+	struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
 	struct relay_downstream *relay_down = NULL;
 	int has_unknown = 0, complete = 1;
 
@@ -423,37 +423,37 @@
 
 		arrput(relay->downstreams, nd);
 		relay_down = &arrlast(relay->downstreams);
-		relay_down->acknowledged_tick = curiosity->taken;
+		relay_down->acknowledged_tick = curiosity->acknowledged_tick;
 	}
 	relay_down->last_contact_at_ms = now;
-	relay_down->request_clock_ms = curiosity->asked;
+	relay_down->request_clock_ms = curiosity->request_clock_ms;
 	relay_down->addr = msg->addr;
-	if (curiosity->taken > relay_down->acknowledged_tick)
-		relay_down->acknowledged_tick = curiosity->taken;
-	if (curiosity->snap || curiosity->taken < relay->knowledge.released) {
-		send_purge_snapshot(relay, msg->addr, curiosity->asked, now, out);
+	if (curiosity->acknowledged_tick > relay_down->acknowledged_tick)
+		relay_down->acknowledged_tick = curiosity->acknowledged_tick;
+	if (curiosity->needs_snapshot || curiosity->acknowledged_tick < relay->knowledge.released) {
+		send_purge_snapshot(relay, msg->addr, curiosity->request_clock_ms, now, out);
 		return;
 	}
-	for (size_t i = 0; i < curiosity->n_want; i++) {
-		uint64_t last = curiosity->want[i]->b < knowledge_reach(&relay->knowledge) ? curiosity->want[i]->b : knowledge_reach(&relay->knowledge);
+	for (size_t i = 0; i < curiosity->n_wanted; i++) {
+		uint64_t last = curiosity->wanted[i]->last < knowledge_reach(&relay->knowledge) ? curiosity->wanted[i]->last : knowledge_reach(&relay->knowledge);
 
-		if (curiosity->want[i]->a <= last)
-			complete &= knowledge_append(&relay->knowledge, curiosity->want[i]->a, last, knowledge, out);
-		has_unknown |= curiosity->want[i]->b > relay->knowledge.horizon;
+		if (curiosity->wanted[i]->first <= last)
+			complete &= knowledge_append(&relay->knowledge, curiosity->wanted[i]->first, last, knowledge, out);
+		has_unknown |= curiosity->wanted[i]->last > relay->knowledge.horizon;
 	}
 	if (!complete)
-		send_purge_snapshot(relay, msg->addr, curiosity->asked, now, out);
-	else if (knowledge->n_inc) {
-		knowledge->age = age(relay, now);
-		knowledge->asked = curiosity->asked;
+		send_purge_snapshot(relay, msg->addr, curiosity->request_clock_ms, now, out);
+	else if (knowledge->n_increments) {
+		knowledge->age_ms = age(relay, now);
+		knowledge->request_clock_ms = curiosity->request_clock_ms;
 		command_send(out, msg->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = knowledge;
 	}
 	/* pass the question further up, unless it was asked lately */
-	if (has_unknown && !knowledge->n_inc && now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+	if (has_unknown && !knowledge->n_increments && now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, 1, now, out);
 }
 
-void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct out *out)
+void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	switch (message->body_case) {
 	case NL__MSG__BODY_KNOWLEDGE:
@@ -461,17 +461,17 @@
 		if (!relay->is_publisher && relay->has_knowledge)
 			on_knowledge(relay, message->knowledge, now, out);
 		break;
-	case NL__MSG__BODY_PURGE_SNAP:
+	case NL__MSG__BODY_PURGE_SNAPSHOT:
 		relay->received_at_ms = now;
 		if (!relay->is_publisher)
-			on_purge_snapshot(relay, message->purge_snap, now, out);
+			on_purge_snapshot(relay, message->purge_snapshot, now, out);
 		break;
 	case NL__MSG__BODY_CURIOSITY: on_curiosity(relay, message, now, out); break;
 	default: break;
 	}
 }
 
-void relay_tick(struct relay *relay, int64_t now, struct out *out)
+void relay_tick(struct relay *relay, int64_t now, struct command_list *out)
 {
 	struct tick_range gap[1];
 	int wants_ranges;
--- a/lib/core/purge.h
+++ b/lib/core/purge.h
@@ -48,7 +48,7 @@
 
 /* Append what is known of [a, b] to a knowledge message; 0 when it reaches below what is still held.
  * Example: if (!know_tell(&k, 1, 9, msg, o)) send_snapshot(); */
-int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct out *out);
+int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct command_list *out);
 
 /* Let values at or below upto go. Example: know_release(&k, 100); */
 void knowledge_release(struct tick_knowledge *known, uint64_t upto);
@@ -59,7 +59,7 @@
 	uint64_t key;
 	struct Nl__Value *value;
 };
-struct view {
+struct purge_view {
 	struct purge_view_row *subjects;       /* stb_ds map */
 	struct Nl__Value **context_purges; /* stb_ds: of it, the clearings of context */
 };
@@ -67,20 +67,20 @@
 uint64_t purge_subject(const struct Nl__Purge *purge);
 
 /* Take a value in; an older tick of the same subject changes nothing. Example: view_apply(&w, v); */
-void purge_view_apply(struct view *view, const struct Nl__Value *value);
+void purge_view_apply(struct purge_view *view, const struct Nl__Value *value);
 
 /* Whether a part with this stamp is still usable. Example:
  * view_allows(&w, "arrears", "w1", "t3", "s7", stamp) */
-int purge_view_allows(const struct view *view, const char *service, const char *weights, const char *tenant, const char *server,
+int purge_view_allows(const struct purge_view *view, const char *service, const char *weights, const char *tenant, const char *server,
 		uint64_t stamp);
 
 /* Whether a clearing of context withdrew a part that this tenant's exchange made for this service.
  * Example: if (!view_keeps(&w, "arrears", "t1", id, stamp)) read_anew(); */
-int purge_view_keeps_context(const struct view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp);
+int purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp);
 
 /* The newest tick that withdrew a subject; 0: none. b only with weights. Example: view_tick(&w, PURGE_WEIGHTS, "arrears", "w1") */
-uint64_t purge_view_tick(const struct view *view, uint32_t why, const char *name, const char *weights);
-void purge_view_clear(struct view *view);
+uint64_t purge_view_tick(const struct purge_view *view, uint32_t why, const char *name, const char *weights);
+void purge_view_clear(struct purge_view *view);
 
 struct relay_downstream {
 	uint64_t id, addr, acknowledged_tick;
@@ -92,7 +92,7 @@
 
 struct relay {
 	struct tick_knowledge knowledge;
-	struct view view;
+	struct purge_view view;
 	struct relay_downstream *downstreams; /* stb_ds */
 	uint64_t *upstreams;            /* stb_ds: upstream addresses, best first; the last resort is the log */
 	size_t upstream_position;
@@ -114,13 +114,13 @@
 void relay_set_upstreams(struct relay *relay, const uint64_t *upstreams, size_t count, uint64_t log_addr, int64_t now);
 
 /* The publisher: [a, b] with an optional value is logged; pass it on. Example: relay_publish(&r, a, b, v, now, o); */
-void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct out *out);
+void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct command_list *out);
 
 /* A knowledge, snapshot or curiosity message. Example: relay_msg(&r, m, now, o); */
-void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct out *out);
+void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* Let time pass. Example: relay_tick(&r, now, o); */
-void relay_tick(struct relay *relay, int64_t now, struct out *out);
+void relay_tick(struct relay *relay, int64_t now, struct command_list *out);
 
 /* What every live downstream and this node have taken. Example: know_release(&r.k, relay_taken(&r)); */
 uint64_t relay_acknowledged_tick(const struct relay *relay);
--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -12,14 +12,14 @@
  * leader sends to that one would undo what it sends to us. */
 static int is_for_another(const struct raft *raft, const struct Nl__Msg *message)
 {
-	uint64_t to = message->body_case == NL__MSG__BODY_APPEND           ? message->append->to
-		      : message->body_case == NL__MSG__BODY_SNAPSHOT_PIECE ? message->snapshot_piece->to
+	uint64_t to = message->body_case == NL__MSG__BODY_APPEND           ? message->append->recipient_id
+		      : message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK ? message->snapshot_chunk->recipient_id
 								     : 0;
 
 	return to && to != raft->id;
 }
 
-const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	struct raft_member *sender = raft_find_member(raft, message->id);
 	const char *fault = raft_message_fault(raft, message);
@@ -30,20 +30,20 @@
 		return NULL;
 	if (sender)
 		sender->last_message_at_ms = now;
-	if (sender && message->body_case == NL__MSG__BODY_VOTE_ASK) {
-		sender->last_index = message->vote_ask->last;
-		sender->last_term = message->vote_ask->last_term;
+	if (sender && message->body_case == NL__MSG__BODY_VOTE_REQUEST) {
+		sender->last_index = message->vote_request->last_index;
+		sender->last_term = message->vote_request->last_term;
 	}
 	if (!raft_is_of_this_epoch(raft, message, now, out))
 		return NULL;
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_ASK: raft_on_vote_request(raft, message, now, out); break;
+	case NL__MSG__BODY_VOTE_REQUEST: raft_on_vote_request(raft, message, now, out); break;
 	case NL__MSG__BODY_VOTE_REPLY: raft_on_vote_reply(raft, message, now, out); break;
 	case NL__MSG__BODY_APPEND: raft_on_append(raft, message, now, out); break;
 	case NL__MSG__BODY_APPEND_REPLY: raft_on_append_reply(raft, message, now, out); break;
-	case NL__MSG__BODY_SNAPSHOT_PIECE: raft_on_snapshot_chunk(raft, message, now, out); break;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK: raft_on_snapshot_chunk(raft, message, now, out); break;
 	case NL__MSG__BODY_SNAPSHOT_REPLY: raft_on_snapshot_reply(raft, message, now, out); break;
-	case NL__MSG__BODY_GIVE_UP: raft_on_step_down(raft, message, now, out); break;
+	case NL__MSG__BODY_STEP_DOWN: raft_on_step_down(raft, message, now, out); break;
 	case NL__MSG__BODY_PROBE: raft_on_probe(raft, message, out); break;
 	case NL__MSG__BODY_PROBE_REPLY: raft_on_probe_reply(raft, message, now); break;
 	default: break;
@@ -51,7 +51,7 @@
 	return NULL;
 }
 
-void raft_tick(struct raft *raft, int64_t now, struct out *out)
+void raft_tick(struct raft *raft, int64_t now, struct command_list *out)
 {
 	if (raft->role == RAFT_LEADER) {
 		if (raft_sync_stalled(raft, now)) {
@@ -95,7 +95,7 @@
 	raft_count_votes(raft, now, out);
 }
 
-void raft_synced(struct raft *raft, uint64_t seq, int64_t now, struct out *out)
+void raft_synced(struct raft *raft, uint64_t seq, int64_t now, struct command_list *out)
 {
 	uint64_t to = raft->synced_index;
 
@@ -129,7 +129,7 @@
 	return raft_last_index(raft);
 }
 
-void raft_flush(struct raft *raft, int64_t now, struct out *out)
+void raft_flush(struct raft *raft, int64_t now, struct command_list *out)
 {
 	struct persist *s;
 	struct raft_pending_sync mark;
@@ -231,7 +231,7 @@
 	memset(raft, 0, sizeof *raft);
 }
 
-void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now, struct out *out)
+void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now, struct command_list *out)
 {
 	size_t len;
 	uint8_t *packed;
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -177,17 +177,17 @@
 
 /* Bootstrap: these members, an empty log. Only on an empty group.
  * Example: raft_bootstrap(&raft, members, 3, now, o); */
-void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now, struct out *out);
+void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now, struct command_list *out);
 
 /* Let time pass. Example: raft_tick(&raft, now, o); */
-void raft_tick(struct raft *raft, int64_t now, struct out *out);
+void raft_tick(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Handle a message of another member. NULL, or why it was dropped: it breaks the protocol and changed nothing.
  * Example: why = raft_receive(&raft, msg, now, o); */
-const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* The disk has synced all up to seq. Example: raft_synced(&raft, seq, now, o); */
-void raft_synced(struct raft *raft, uint64_t seq, int64_t now, struct out *out);
+void raft_synced(struct raft *raft, uint64_t seq, int64_t now, struct command_list *out);
 
 /* The leader logs an operation; 0 without a lease, else its index.
  * Example: if (!(i = raft_propose(&raft, d, n, now))) not_leader(); */
@@ -195,7 +195,7 @@
 
 /* Commands for what has become dirty; call once at the end of a step.
  * Example: raft_flush(&raft, now, o); */
-void raft_flush(struct raft *raft, int64_t now, struct out *out);
+void raft_flush(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Next committed operation for the state machine, or NULL. When snapshot_to_load is set, load the snapshot first.
  * Example: while ((e = raft_next_committed(&raft, &i))) apply(i, e); */
@@ -211,7 +211,7 @@
 
 /* Step down before the process ends, so that a successor need not wait.
  * Example: raft_step_down(&raft, now, o); */
-void raft_step_down(struct raft *raft, int64_t now, struct out *out);
+void raft_step_down(struct raft *raft, int64_t now, struct command_list *out);
 
 /* The leader changes its group by one step: adds, promotes, readdresses or removes one member, towards `replicas` of them
  * spread over zones. live: controllers known to the fleet, with their zones. Example: raft_reconfigure(&raft, live, n, now); */
--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -44,21 +44,21 @@
 	return arrlen(raft->pending_syncs) && now - raft->pending_syncs[0].started_at_ms > RAFT_SYNC_STALL_MS;
 }
 
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct out *out)
+void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < raft->member_count; i++) {
-		struct Nl__VoteAsk *request;
+		struct Nl__VoteRequest *request;
 
 		raft->members[i].vote_granted = 0;
 		if (raft->members[i].id == raft->id || !raft->members[i].voter)
 			continue;
-		request = OUT_NEW(out, Nl__VoteAsk, NL__VOTE_ASK__INIT);
+		request = MESSAGE_NEW(out, Nl__VoteRequest, NL__VOTE_REQUEST__INIT);
 		request->term = pre ? raft->term + 1 : raft->term;
-		request->last = raft_last_index(raft);
+		request->last_index = raft_last_index(raft);
 		request->last_term = raft_term_at(raft, raft_last_index(raft));
-		request->pre = pre;
-		request->gave_up = raft->stepped_down_term;
-		command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_VOTE_ASK)->vote_ask = request;
+		request->is_pre_vote = pre;
+		request->stepped_down_term = raft->stepped_down_term;
+		command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)->vote_request = request;
 	}
 	raft->quorum_requested_at_ms = now;
 }
@@ -71,7 +71,7 @@
 	raft->heartbeat_sent_at_ms[raft->heartbeat_round % 64] = now;
 }
 
-static void become_leader(struct raft *raft, int64_t now, struct out *out)
+static void become_leader(struct raft *raft, int64_t now, struct command_list *out)
 {
 	raft->role = RAFT_LEADER;
 	raft->leader_id = raft->id;
@@ -101,7 +101,7 @@
 	begin_round(raft, now);
 }
 
-static void become_candidate(struct raft *raft, struct out *out, int64_t now)
+static void become_candidate(struct raft *raft, struct command_list *out, int64_t now)
 {
 	raft->role = RAFT_CANDIDATE;
 	raft->term++;
@@ -115,7 +115,7 @@
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
 }
 
-void raft_count_votes(struct raft *raft, int64_t now, struct out *out)
+void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out)
 {
 	int n = 0;
 
@@ -132,20 +132,20 @@
 		become_leader(raft, now, out);
 }
 
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct out *out)
+void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct command_list *out)
 {
-	struct Nl__VoteReply *reply = OUT_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
 	reply->term = term;
 	reply->granted = granted;
-	reply->pre = pre;
+	reply->is_pre_vote = pre;
 	command_send(out, candidate_addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
 }
 
 /* A candidate was taken out of the group while it was away. */
-static void send_removed(struct raft *raft, uint64_t candidate_addr, struct out *out)
+static void send_removed(struct raft *raft, uint64_t candidate_addr, struct command_list *out)
 {
-	struct Nl__VoteReply *reply = OUT_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
 	reply->term = raft->term;
 	reply->removed = 1;
@@ -163,22 +163,22 @@
 	raft->vote_barrier_unknown = 0;
 }
 
-void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	const struct Nl__VoteAsk *request = message->vote_ask;
+	const struct Nl__VoteRequest *request = message->vote_request;
 	int newer = request->last_term > raft_term_at(raft, raft_last_index(raft)) ||
-		    (request->last_term == raft_term_at(raft, raft_last_index(raft)) && request->last >= raft_last_index(raft));
+		    (request->last_term == raft_term_at(raft, raft_last_index(raft)) && request->last_index >= raft_last_index(raft));
 	int free_to;
 
 	if (raft_has_lease(raft, now) && raft->members_index <= raft->commit_index && !raft_find_member(raft, message->id)) {
 		send_removed(raft, message->addr, out);
 		return;
 	}
-	note_stepped_down(raft, request->gave_up);
+	note_stepped_down(raft, request->stepped_down_term);
 	free_to = now >= raft->vote_barrier_until_ms && !raft_has_lease(raft, now);
-	if (request->pre || !free_to || request->term < raft->term) {
-		raft_send_vote(raft, message->addr, request->pre && newer && free_to ? request->term : raft->term,
-			       request->pre && newer && free_to && request->term > raft->term, request->pre, out);
+	if (request->is_pre_vote || !free_to || request->term < raft->term) {
+		raft_send_vote(raft, message->addr, request->is_pre_vote && newer && free_to ? request->term : raft->term,
+			       request->is_pre_vote && newer && free_to && request->term > raft->term, request->is_pre_vote, out);
 		return;
 	}
 	if (request->term > raft->term)
@@ -196,7 +196,7 @@
 	raft_reset_election_timer(raft, now);
 }
 
-void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__VoteReply *reply = message->vote_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
@@ -206,13 +206,13 @@
 		raft->removed = 1;
 		return;
 	}
-	if (reply->term > raft->term && !(reply->pre && reply->granted)) {
+	if (reply->term > raft->term && !(reply->is_pre_vote && reply->granted)) {
 		raft_become_follower(raft, reply->term, now);
 		return;
 	}
 	if (!who || !reply->granted)
 		return;
-	if (reply->pre ? raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1
+	if (reply->is_pre_vote ? raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1
 		   : raft->role == RAFT_CANDIDATE && reply->term == raft->term) {
 		who->vote_granted = 1;
 		raft_count_votes(raft, now, out);
@@ -226,29 +226,29 @@
 holds a lease that rests on a promise from before. An owner that we do not know can be there only if some member of ours
 was there when the members changed, so that its log is of a later term, or has a later members entry, than ours: then we wait. */
 
-void raft_send_probes(struct raft *raft, int64_t now, struct out *out)
+void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
 	raft->probe_at_ms = now + RAFT_PROBE_MS;
 	for (int i = 0; i < raft->member_count; i++)
 		if (raft->members[i].id != raft->id && !raft->members[i].not_leader) {
-			struct Nl__Probe *probe = OUT_NEW(out, Nl__Probe, NL__PROBE__INIT);
+			struct Nl__Probe *probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
 
-			probe->life = raft->incarnation;
+			probe->incarnation = raft->incarnation;
 			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_PROBE)->probe = probe;
 		}
 }
 
-void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct out *out)
+void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
 	struct Nl__ProbeReply *probe_reply;
 
 	if (!raft_find_member(raft, raft->id))
 		return; /* one that left may have forgotten what it knew */
-	probe_reply = OUT_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
-	probe_reply->life = message->probe->life;
-	probe_reply->owner = raft->role == RAFT_LEADER;
+	probe_reply = MESSAGE_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
+	probe_reply->incarnation = message->probe->incarnation;
+	probe_reply->is_leader = raft->role == RAFT_LEADER;
 	probe_reply->last_term = raft_term_at(raft, raft_last_index(raft));
-	probe_reply->members_at = raft->members_index;
+	probe_reply->members_index = raft->members_index;
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_PROBE_REPLY)->probe_reply = probe_reply;
 }
 
@@ -268,9 +268,9 @@
 	struct raft_member *who = raft_find_member(raft, message->id);
 	uint64_t term = raft_term_at(raft, raft_last_index(raft));
 
-	if (!raft->vote_barrier_unknown || probe_reply->life != raft->incarnation || !who)
+	if (!raft->vote_barrier_unknown || probe_reply->incarnation != raft->incarnation || !who)
 		return;
-	if (probe_reply->owner || probe_reply->last_term > term || (probe_reply->last_term == term && probe_reply->members_at > raft->members_index)) {
+	if (probe_reply->is_leader || probe_reply->last_term > term || (probe_reply->last_term == term && probe_reply->members_index > raft->members_index)) {
 		raft->vote_barrier_unknown = 0; /* the promise is waited out */
 		return;
 	}
@@ -293,21 +293,21 @@
 
 /* The leader ended its lease before it said so: its followers need not wait for it. The successor that it names stands at
  * once, without asking whether it would be elected; its request tells the others what they may not have heard yet. */
-void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	if (message->give_up->term != raft->term || raft->leader_id != message->id || raft->role != RAFT_FOLLOWER)
+	if (message->step_down->term != raft->term || raft->leader_id != message->id || raft->role != RAFT_FOLLOWER)
 		return;
 	note_stepped_down(raft, raft->term);
-	if (message->give_up->successor == raft->id && may_run_for_election(raft, now)) {
+	if (message->step_down->successor_id == raft->id && may_run_for_election(raft, now)) {
 		become_candidate(raft, out, now);
 		return;
 	}
 	raft->election_at_ms = now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
-	if (message->give_up->successor)
+	if (message->step_down->successor_id)
 		raft->election_at_ms += STEP_DOWN_SPREAD_MS;
 }
 
-void raft_step_down(struct raft *raft, int64_t now, struct out *out)
+void raft_step_down(struct raft *raft, int64_t now, struct command_list *out)
 {
 	uint64_t term = raft->term, successor;
 
@@ -318,10 +318,10 @@
 	raft->election_at_ms += RAFT_ELECTION_MS;
 	for (int i = 0; i < raft->member_count; i++)
 		if (raft->members[i].id != raft->id) {
-			struct Nl__GiveUp *message = OUT_NEW(out, Nl__GiveUp, NL__GIVE_UP__INIT);
+			struct Nl__StepDown *message = MESSAGE_NEW(out, Nl__StepDown, NL__STEP_DOWN__INIT);
 
 			message->term = term;
-			message->successor = successor;
-			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_GIVE_UP)->give_up = message;
+			message->successor_id = successor;
+			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_STEP_DOWN)->step_down = message;
 		}
 }
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -65,31 +65,31 @@
 int raft_sync_stalled(const struct raft *raft, int64_t now);
 
 /* Ask all voters for their vote, or with `pre` whether they would give it. */
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct out *out);
+void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out);
 
 /* Become candidate or leader once a majority has granted. */
-void raft_count_votes(struct raft *raft, int64_t now, struct out *out);
+void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Answer a request for votes. */
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct out *out);
+void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct command_list *out);
 
 /* A candidate asks for this member's vote. */
-void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* A member answers a request for its vote. */
-void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* After a restart: ask the other members whether one of them leads. */
-void raft_send_probes(struct raft *raft, int64_t now, struct out *out);
+void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Answer a restarted member. */
-void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct out *out);
+void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct command_list *out);
 
 /* A member says whether it leads; once none does, the vote barrier ends early. */
 void raft_on_probe_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now);
 
 /* The leader has stepped down: its successor stands for election at once, the others soon. */
-void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* ---- replication (raft_replication.c) ---- */
 
@@ -97,24 +97,24 @@
 void raft_advance_commit(struct raft *raft);
 
 /* Leader: send appends to members that lack entries, or with `all` a heartbeat to each. */
-void raft_replicate(struct raft *raft, int all, int64_t now, struct out *out);
+void raft_replicate(struct raft *raft, int all, int64_t now, struct command_list *out);
 
 /* Tell the leader up to which index this member has synced the leader's log. */
-void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct out *out);
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct command_list *out);
 
 /* A message of a leader: 0 when its term is over; else follow it and set the vote barrier. */
 int raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now);
 
 /* Entries or a heartbeat of the leader. */
-void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* A member answers an append or a snapshot. */
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* ---- snapshots (raft_snapshot.c) ---- */
 
 /* Leader: send pieces to a member whose next entry is no longer in the log, as far as the window allows. */
-void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct out *out);
+void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out);
 
 /* Leader: the member needs no snapshot any more. */
 void raft_end_transfer(struct raft *raft, struct raft_member *member);
@@ -123,10 +123,10 @@
 void raft_release_previous(struct raft *raft);
 
 /* A piece of the leader's snapshot; the whole is installed in place of all state up to its index. */
-void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* A member says how much of a snapshot it holds. */
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* Forget the pieces that have come. */
 void raft_drop_incoming(struct raft *raft);
@@ -158,12 +158,12 @@
 uint64_t raft_successor(const struct raft *raft, int64_t now);
 
 /* A leaving leader steps down once its successor has caught up, or after a while; 1 when it has. */
-int raft_hand_over(struct raft *raft, int64_t now, struct out *out);
+int raft_hand_over(struct raft *raft, int64_t now, struct command_list *out);
 
 /* ---- epochs (raft_recovery.c) ---- */
 
 /* Whether a message is of this member's epoch. Tells its sender, or this member itself, when one is of an older epoch. */
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out);
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* Remember an identity of an older epoch; the next members entry carries it. */
 void raft_add_fenced(struct raft *raft, uint64_t id);
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -32,7 +32,7 @@
 	raft->member_count = 0;
 	raft->members_index = index;
 	raft->has_remaining_majority = 0; /* until it is counted among these */
-	for (size_t i = 0; members && i < members->n_m && raft->member_count < RAFT_MAX_MEMBERS; i++) {
+	for (size_t i = 0; members && i < members->n_members && raft->member_count < RAFT_MAX_MEMBERS; i++) {
 		struct raft_member *member = &raft->members[raft->member_count++];
 
 		memset(member, 0, sizeof *member);
@@ -40,11 +40,11 @@
 		member->resend_ms = RAFT_RESEND_MS;
 		member->probing = 1;
 		for (int k = 0; k < old_count; k++)
-			if (old[k].id == members->m[i]->id)
+			if (old[k].id == members->members[i]->id)
 				*member = old[k];
-		member->id = members->m[i]->id;
-		member->addr = members->m[i]->addr;
-		member->voter = members->m[i]->voter;
+		member->id = members->members[i]->id;
+		member->addr = members->members[i]->addr;
+		member->voter = members->members[i]->voter;
 	}
 	raft->fenced_count = 0;
 	for (size_t i = 0; members && i < members->n_fenced; i++)
@@ -80,13 +80,13 @@
 int raft_members_valid(const uint8_t *packed, size_t size)
 {
 	struct Nl__Members *members = nl__members__unpack(NULL, size, packed);
-	int voters = 0, valid = members && members->n_m && members->n_m <= RAFT_MAX_MEMBERS;
+	int voters = 0, valid = members && members->n_members && members->n_members <= RAFT_MAX_MEMBERS;
 
-	for (size_t i = 0; valid && i < members->n_m; i++) {
-		valid = members->m[i]->id && members->m[i]->addr;
-		voters += members->m[i]->voter;
+	for (size_t i = 0; valid && i < members->n_members; i++) {
+		valid = members->members[i]->id && members->members[i]->addr;
+		voters += members->members[i]->voter;
 		for (size_t k = 0; k < i; k++)
-			valid = valid && members->m[k]->id != members->m[i]->id;
+			valid = valid && members->members[k]->id != members->members[i]->id;
 	}
 	if (members)
 		nl__members__free_unpacked(members, NULL);
@@ -106,8 +106,8 @@
 		v[i].voter = member[i].voter;
 		pv[i] = &v[i];
 	}
-	members.n_m = (size_t)count;
-	members.m = pv;
+	members.n_members = (size_t)count;
+	members.members = pv;
 	members.n_fenced = (size_t)raft->fenced_count;
 	members.fenced = (uint64_t *)raft->fenced_ids;
 	*len = nl__members__get_packed_size(&members);
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -13,13 +13,13 @@
 static uint64_t message_term(const struct raft *raft, const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_ASK: return message->vote_ask->term;
+	case NL__MSG__BODY_VOTE_REQUEST: return message->vote_request->term;
 	case NL__MSG__BODY_VOTE_REPLY: return message->vote_reply->term;
 	case NL__MSG__BODY_APPEND: return message->append->term;
 	case NL__MSG__BODY_APPEND_REPLY: return message->append_reply->term;
-	case NL__MSG__BODY_SNAPSHOT_PIECE: return message->snapshot_piece->term;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK: return message->snapshot_chunk->term;
 	case NL__MSG__BODY_SNAPSHOT_REPLY: return message->snapshot_reply->term;
-	case NL__MSG__BODY_GIVE_UP: return message->give_up->term;
+	case NL__MSG__BODY_STEP_DOWN: return message->step_down->term;
 	case NL__MSG__BODY_PROBE_REPLY: return message->probe_reply->last_term;
 	default: return raft->term;
 	}
@@ -34,9 +34,9 @@
 }
 
 /* A leader of a newer epoch offers membership to an identity of an older one: it has to take another. */
-static void refuse_membership(struct raft *raft, const struct Nl__Msg *message, struct out *out)
+static void refuse_membership(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
-	struct Nl__AppendReply *reply = OUT_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
+	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
 	reply->term = message_term(raft, message);
 	reply->fenced = 1;
@@ -44,9 +44,9 @@
 }
 
 /* Tell a member of an older epoch that it is fenced. */
-static void fence_sender(struct raft *raft, const struct Nl__Msg *message, struct out *out)
+static void fence_sender(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
-	struct Nl__VoteReply *reply = OUT_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
 	reply->term = raft->term;
 	reply->removed = 1;
@@ -55,17 +55,17 @@
 
 static int is_offer(const struct Nl__Msg *message)
 {
-	return message->body_case == NL__MSG__BODY_APPEND || message->body_case == NL__MSG__BODY_SNAPSHOT_PIECE;
+	return message->body_case == NL__MSG__BODY_APPEND || message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK;
 }
 
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	uint64_t theirs = raft_epoch(message_term(raft, message)), ours = raft_epoch(raft->term);
 
 	if (theirs == ours)
 		return !raft->fenced;
 	if (theirs < ours) {
-		if (message->body_case == NL__MSG__BODY_VOTE_ASK || is_offer(message))
+		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_offer(message))
 			fence_sender(raft, message, out);
 		return 0;
 	}
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -58,15 +58,15 @@
 	return bytes;
 }
 
-static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev, struct out *out)
+static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev, struct command_list *out)
 {
-	struct Nl__Append *append = OUT_NEW(out, Nl__Append, NL__APPEND__INIT);
+	struct Nl__Append *append = MESSAGE_NEW(out, Nl__Append, NL__APPEND__INIT);
 
 	append->term = raft->term;
-	append->to = member->id;
-	append->prev = prev;
+	append->recipient_id = member->id;
+	append->prev_index = prev;
 	append->prev_term = raft_term_at(raft, prev);
-	append->commit = raft->commit_index;
+	append->commit_index = raft->commit_index;
 	append->round = raft->heartbeat_round;
 	append->released = raft_is_released(raft, member);
 	if (append->released)
@@ -77,7 +77,7 @@
 
 /* An append without entries, at an index that the member is known to hold, or at the one that is guessed. It never waits for
  * entries or pieces, nor can it arrive too early for them. */
-static void send_heartbeat(struct raft *raft, struct raft_member *member, struct out *out)
+static void send_heartbeat(struct raft *raft, struct raft_member *member, struct command_list *out)
 {
 	uint64_t prev = member->probing ? member->next_index - 1 : member->match_index;
 
@@ -85,7 +85,7 @@
 }
 
 /* Entries from next on: as many as the window has room for, and one at least when none is under way. */
-static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
+static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
 	size_t bytes = bytes_under_way(raft, member), n = (size_t)(raft_last_index(raft) + 1 - member->next_index);
 	int idle = member->next_index == member->unacked_index;
@@ -97,17 +97,17 @@
 		member->progress_at_ms = now;
 	n = n > RAFT_APPEND_MAX_ENTRIES ? RAFT_APPEND_MAX_ENTRIES : n;
 	append = new_append(raft, member, member->next_index - 1, out);
-	append->e = apr_palloc(out->pool, n * sizeof *append->e);
-	while (append->n_e < n && (!append->n_e || bytes < RAFT_APPEND_WINDOW_BYTES)) {
+	append->entries = apr_palloc(out->pool, n * sizeof *append->entries);
+	while (append->n_entries < n && (!append->n_entries || bytes < RAFT_APPEND_WINDOW_BYTES)) {
 		struct raft_entry *entry = raft_entry_at(raft, member->next_index++);
-		struct Nl__Entry *x = OUT_NEW(out, Nl__Entry, NL__ENTRY__INIT);
+		struct Nl__Entry *x = MESSAGE_NEW(out, Nl__Entry, NL__ENTRY__INIT);
 
 		x->term = entry->term;
 		x->kind = entry->kind;
 		x->data.data = apr_pmemdup(out->pool, entry->data, entry->len);
 		x->data.len = entry->len;
 		bytes += entry->len;
-		append->e[append->n_e++] = x;
+		append->entries[append->n_entries++] = x;
 	}
 }
 
@@ -123,7 +123,7 @@
 	member->resend_ms = member->resend_ms * 2 < RAFT_RESEND_MAX_MS ? member->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-static void send_missing(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
+static void send_missing(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
 	if (member->probing && member->next_index > raft->base_index)
 		return;
@@ -134,7 +134,7 @@
 		send_entries(raft, member, now, out);
 }
 
-void raft_replicate(struct raft *raft, int all, int64_t now, struct out *out)
+void raft_replicate(struct raft *raft, int all, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < raft->member_count; i++) {
 		struct raft_member *member = &raft->members[i];
@@ -147,16 +147,16 @@
 	}
 }
 
-void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct out *out)
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct command_list *out)
 {
-	struct Nl__AppendReply *reply = OUT_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
+	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
 	reply->term = raft->term;
-	reply->ok = success;
-	reply->match = match;
-	reply->matched = success ? raft->matched_index : 0;
+	reply->success = success;
+	reply->match_index = match;
+	reply->matched_index = success ? raft->matched_index : 0;
 	reply->round = round;
-	reply->leaving = raft->draining;
+	reply->draining = raft->draining;
 	command_send(out, leader_addr, raft->shard, NL__MSG__BODY_APPEND_REPLY)->append_reply = reply;
 }
 
@@ -186,10 +186,10 @@
 	raft->release = append->released ? RAFT_RELEASED : RAFT_NOT_RELEASED;
 }
 
-void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__Append *append = message->append;
-	uint64_t i = append->prev, end = append->prev + append->n_e, skip;
+	uint64_t i = append->prev_index, end = append->prev_index + append->n_entries, skip;
 
 	if (!raft_accept_leader(raft, message, append->term, now)) {
 		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
@@ -203,8 +203,8 @@
 		return;
 	}
 	skip = raft->commit_index > i ? raft->commit_index - i : 0; /* committed entries never differ */
-	for (size_t k = skip; k < append->n_e; k++) {
-		const struct Nl__Entry *entry = append->e[k];
+	for (size_t k = skip; k < append->n_entries; k++) {
+		const struct Nl__Entry *entry = append->entries[k];
 		uint64_t x = i + k + 1;
 
 		if (x <= raft_last_index(raft) && raft_term_at(raft, x) == entry->term)
@@ -220,8 +220,8 @@
 	}
 	if (end > raft->matched_index)
 		raft->matched_index = end;
-	if (append->commit > raft->commit_index) {
-		uint64_t c = append->commit < raft->matched_index ? append->commit : raft->matched_index;
+	if (append->commit_index > raft->commit_index) {
+		uint64_t c = append->commit_index < raft->matched_index ? append->commit_index : raft->matched_index;
 
 		if (c > raft->commit_index)
 			raft->commit_index = c;
@@ -256,7 +256,7 @@
 
 /* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A hint below the
  * base means a snapshot, whose replies say more than further appends would. */
-static void on_rejected(struct raft *raft, struct raft_member *who, uint64_t hint, struct out *out)
+static void on_rejected(struct raft *raft, struct raft_member *who, uint64_t hint, struct command_list *out)
 {
 	who->next_index = who->unacked_index = (hint > who->match_index ? hint : who->match_index) + 1;
 	if (who->next_index <= raft->base_index)
@@ -265,7 +265,7 @@
 	send_heartbeat(raft, who, out);
 }
 
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__AppendReply *reply = message->append_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
@@ -281,13 +281,13 @@
 		return;
 	}
 	who->last_reply_at_ms = now;
-	raft_note_draining(raft, who, reply->leaving);
+	raft_note_draining(raft, who, reply->draining);
 	if (reply->round > who->acked_round)
 		who->acked_round = reply->round;
-	if (reply->ok)
-		on_accepted(who, reply->match, reply->matched, now);
+	if (reply->success)
+		on_accepted(who, reply->match_index, reply->matched_index, now);
 	else
-		on_rejected(raft, who, reply->match, out);
+		on_rejected(raft, who, reply->match_index, out);
 	if (who->next_index > raft->base_index && who->transfer.index)
 		raft_end_transfer(raft, who);
 	raft_advance_commit(raft);
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -192,25 +192,25 @@
 		memcpy(target + members_part, source->data + (offset + members_part - source->members_len), size - members_part);
 }
 
-static size_t send_chunk(struct raft *raft, const struct raft_member *member, const struct source *source, struct out *out)
+static size_t send_chunk(struct raft *raft, const struct raft_member *member, const struct source *source, struct command_list *out)
 {
-	struct Nl__SnapshotPiece *piece = OUT_NEW(out, Nl__SnapshotPiece, NL__SNAPSHOT_PIECE__INIT);
+	struct Nl__SnapshotChunk *piece = MESSAGE_NEW(out, Nl__SnapshotChunk, NL__SNAPSHOT_CHUNK__INIT);
 	uint64_t remaining_bytes;
 
 	piece->term = raft->term;
-	piece->to = member->id;
+	piece->recipient_id = member->id;
 	piece->index = source->index;
 	piece->index_term = source->term;
 	piece->members_len = source->members_len;
-	piece->total = source->members_len + source->len;
+	piece->total_bytes = source->members_len + source->len;
 	piece->offset = member->transfer.sent_bytes;
 	piece->digest.data = apr_pmemdup(out->pool, source->digest, RAFT_DIGEST_BYTES);
 	piece->digest.len = RAFT_DIGEST_BYTES;
-	remaining_bytes = piece->total - piece->offset;
+	remaining_bytes = piece->total_bytes - piece->offset;
 	piece->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
 	piece->data.data = apr_palloc(out->pool, piece->data.len + 1);
 	copy_range(source, piece->offset, piece->data.data, piece->data.len);
-	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_PIECE)->snapshot_piece = piece;
+	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_CHUNK)->snapshot_chunk = piece;
 	return piece->data.len;
 }
 
@@ -226,7 +226,7 @@
 	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct out *out)
+void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
 	struct raft_snapshot_transfer *transfer = &member->transfer;
 	struct source source;
@@ -274,7 +274,7 @@
 	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__SnapshotReply *reply = message->snapshot_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
@@ -289,7 +289,7 @@
 		return;
 	who->last_reply_at_ms = now;
 	transfer = &who->transfer;
-	if (reply->index != transfer->index || !find_source(raft, transfer->index, &source) || reply->transfer != transfer_id(source.digest) ||
+	if (reply->index != transfer->index || !find_source(raft, transfer->index, &source) || reply->transfer_id != transfer_id(source.digest) ||
 	    reply->offset > source.members_len + source.len)
 		return;
 	transfer->last_reply_at_ms = now;
@@ -325,7 +325,7 @@
 	raft->incoming = NULL;
 }
 
-static void begin_incoming(struct raft *raft, const struct Nl__SnapshotPiece *piece)
+static void begin_incoming(struct raft *raft, const struct Nl__SnapshotChunk *piece)
 {
 	struct raft_incoming *incoming = calloc(1, sizeof *incoming);
 
@@ -336,19 +336,19 @@
 	incoming->index = piece->index;
 	incoming->index_term = piece->index_term;
 	incoming->members_len = piece->members_len;
-	incoming->total_bytes = piece->total;
+	incoming->total_bytes = piece->total_bytes;
 	memcpy(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
 	digest_begin(&incoming->sum, incoming->index, incoming->index_term, incoming->members_len);
 }
 
-static int same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotPiece *piece)
+static int same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *piece)
 {
 	return incoming->index == piece->index && incoming->index_term == piece->index_term && incoming->members_len == piece->members_len &&
-	       incoming->total_bytes == piece->total && !memcmp(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
+	       incoming->total_bytes == piece->total_bytes && !memcmp(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
 }
 
 /* The transfer that a piece belongs to, begun when it is a new one; NULL when it is older than the one under way. */
-static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotPiece *piece)
+static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotChunk *piece)
 {
 	struct raft_incoming *incoming = raft->incoming;
 
@@ -361,7 +361,7 @@
 	return raft->incoming;
 }
 
-static void add_bytes(struct raft_incoming *incoming, const struct Nl__SnapshotPiece *piece)
+static void add_bytes(struct raft_incoming *incoming, const struct Nl__SnapshotChunk *piece)
 {
 	size_t skip = (size_t)(incoming->received_bytes - piece->offset), n = piece->data.len - skip;
 
@@ -404,19 +404,19 @@
 	return !memcmp(digest, incoming->digest, sizeof digest);
 }
 
-static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, uint64_t offset, int corrupt, struct out *out)
+static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, uint64_t offset, int corrupt, struct command_list *out)
 {
-	struct Nl__SnapshotReply *reply = OUT_NEW(out, Nl__SnapshotReply, NL__SNAPSHOT_REPLY__INIT);
+	struct Nl__SnapshotReply *reply = MESSAGE_NEW(out, Nl__SnapshotReply, NL__SNAPSHOT_REPLY__INIT);
 
 	reply->term = raft->term;
-	reply->index = message->snapshot_piece->index;
-	reply->transfer = transfer_id(message->snapshot_piece->digest.data);
+	reply->index = message->snapshot_chunk->index;
+	reply->transfer_id = transfer_id(message->snapshot_chunk->digest.data);
 	reply->offset = offset;
 	reply->corrupt = corrupt;
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_REPLY)->snapshot_reply = reply;
 }
 
-static void send_synced(struct raft *raft, const struct Nl__Msg *message, struct out *out)
+static void send_synced(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
 	uint64_t match = raft->matched_index < raft->synced_index ? raft->matched_index : raft->synced_index;
 
@@ -425,14 +425,14 @@
 
 /* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be dropped, since what
  * comes after may have been acknowledged. */
-static int log_covers(const struct raft *raft, const struct Nl__SnapshotPiece *piece)
+static int log_covers(const struct raft *raft, const struct Nl__SnapshotChunk *piece)
 {
 	return piece->index <= raft_last_index(raft) && raft_term_at(raft, piece->index) == piece->index_term;
 }
 
-void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct out *out)
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
-	const struct Nl__SnapshotPiece *piece = message->snapshot_piece;
+	const struct Nl__SnapshotChunk *piece = message->snapshot_chunk;
 	struct raft_incoming *incoming;
 
 	if (!raft_accept_leader(raft, message, piece->term, now)) {
@@ -463,7 +463,7 @@
 	}
 	install(raft, incoming);
 	raft_drop_incoming(raft);
-	send_snapshot_reply(raft, message, piece->total, 0, out);
+	send_snapshot_reply(raft, message, piece->total_bytes, 0, out);
 }
 
 /* ---- the state machine's own snapshots ---- */
--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -107,7 +107,7 @@
 	return best ? best->id : 0;
 }
 
-int raft_hand_over(struct raft *raft, int64_t now, struct out *out)
+int raft_hand_over(struct raft *raft, int64_t now, struct command_list *out)
 {
 	const struct raft_member *successor = raft_find_member(raft, raft_successor(raft, now));
 	uint64_t last = raft_last_index(raft);
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -26,10 +26,10 @@
 {
 	uint64_t term = append->prev_term;
 
-	if (append->n_e > MAX_ENTRIES_PER_APPEND)
+	if (append->n_entries > MAX_ENTRIES_PER_APPEND)
 		return "too many entries";
-	for (size_t i = 0; i < append->n_e; i++) {
-		const struct Nl__Entry *entry = append->e[i];
+	for (size_t i = 0; i < append->n_entries; i++) {
+		const struct Nl__Entry *entry = append->entries[i];
 
 		if (!entry->term || entry->term < term || entry->term > append->term)
 			return "an entry of an impossible term";
@@ -49,7 +49,7 @@
 
 	if (fault)
 		return fault;
-	if (absurd(append->prev) || absurd(append->commit) || append->prev_term > append->term)
+	if (absurd(append->prev_index) || absurd(append->commit_index) || append->prev_term > append->term)
 		return "an absurd index";
 	return entries_fault(append);
 }
@@ -58,11 +58,11 @@
 {
 	const struct Nl__AppendReply *reply = message->append_reply;
 
-	if (absurd(reply->term) || absurd(reply->match) || absurd(reply->matched))
+	if (absurd(reply->term) || absurd(reply->match_index) || absurd(reply->matched_index))
 		return "an absurd term or index";
 	if (raft->role != RAFT_LEADER || reply->term != raft->term)
 		return NULL;
-	if (reply->ok && (reply->match > raft_last_index(raft) || reply->matched > raft_last_index(raft)))
+	if (reply->success && (reply->match_index > raft_last_index(raft) || reply->matched_index > raft_last_index(raft)))
 		return "an acknowledgement of entries that do not exist";
 	if (reply->round > raft->heartbeat_round)
 		return "an answer to a heartbeat that was not sent";
@@ -71,18 +71,18 @@
 
 static const char *vote_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__VoteAsk *request = message->vote_ask;
+	const struct Nl__VoteRequest *request = message->vote_request;
 
-	if (!request->term || absurd(request->term) || absurd(request->last) || request->last_term > request->term)
+	if (!request->term || absurd(request->term) || absurd(request->last_index) || request->last_term > request->term)
 		return "an absurd term or index";
-	if (request->gave_up >= request->term)
+	if (request->stepped_down_term >= request->term)
 		return "a leader that gave up a term to come";
 	return message->id == raft->id ? "a message of our own" : NULL;
 }
 
 static const char *chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__SnapshotPiece *piece = message->snapshot_piece;
+	const struct Nl__SnapshotChunk *piece = message->snapshot_chunk;
 	const char *fault = leader_fault(raft, message, piece->term);
 
 	if (fault)
@@ -91,9 +91,9 @@
 		return "a snapshot of an absurd index or term";
 	if (piece->digest.len != RAFT_DIGEST_BYTES)
 		return "a snapshot without a digest";
-	if (!piece->members_len || piece->members_len > piece->total || piece->total > RAFT_SNAPSHOT_MAX_BYTES)
+	if (!piece->members_len || piece->members_len > piece->total_bytes || piece->total_bytes > RAFT_SNAPSHOT_MAX_BYTES)
 		return "a snapshot of an absurd size";
-	if (!piece->data.len || piece->data.len > piece->total || piece->offset > piece->total - piece->data.len)
+	if (!piece->data.len || piece->data.len > piece->total_bytes || piece->offset > piece->total_bytes - piece->data.len)
 		return "a piece outside its snapshot";
 	return NULL;
 }
@@ -107,15 +107,15 @@
 const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_ASK: return vote_fault(raft, message);
+	case NL__MSG__BODY_VOTE_REQUEST: return vote_fault(raft, message);
 	case NL__MSG__BODY_VOTE_REPLY: return absurd(message->vote_reply->term) ? "an absurd term" : NULL;
 	case NL__MSG__BODY_APPEND: return append_fault(raft, message);
 	case NL__MSG__BODY_APPEND_REPLY: return append_reply_fault(raft, message);
-	case NL__MSG__BODY_SNAPSHOT_PIECE: return chunk_fault(raft, message);
+	case NL__MSG__BODY_SNAPSHOT_CHUNK: return chunk_fault(raft, message);
 	case NL__MSG__BODY_SNAPSHOT_REPLY: return chunk_reply_fault(message->snapshot_reply);
-	case NL__MSG__BODY_GIVE_UP: return absurd(message->give_up->term) ? "an absurd term" : NULL;
+	case NL__MSG__BODY_STEP_DOWN: return absurd(message->step_down->term) ? "an absurd term" : NULL;
 	case NL__MSG__BODY_PROBE_REPLY:
-		return absurd(message->probe_reply->last_term) || absurd(message->probe_reply->members_at) ? "an absurd term or index" : NULL;
+		return absurd(message->probe_reply->last_term) || absurd(message->probe_reply->members_index) ? "an absurd term or index" : NULL;
 	default: return NULL;
 	}
 }
--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -28,7 +28,7 @@
 
 /* A newer table and a request of the own interface: its key ends it wherever it is; what was not sent ends with its lane, and
  * comes back where that has another service now, since its claim is held by the old one's owner. */
-static void recheck_claimed(struct router *router, struct client_request *request, int64_t now, struct out *out)
+static void recheck_claimed(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	struct key_entry *keys = routes->keys;
@@ -48,7 +48,7 @@
 
 /* What waits is placed by the new table. What runs was sent while its key and route held: it ends by itself, within its time,
  * and is placed by the new table if its server gives it back. */
-static void replace_route_table(struct router *router, int64_t now, struct out *out)
+static void replace_route_table(struct router *router, int64_t now, struct command_list *out)
 {
 	struct route_table *routes = router_route_table_new(router, now), *old = router->route_table;
 
@@ -186,7 +186,7 @@
 }
 
 /* What will not be sent in time is told so now, not at its limit. */
-static void end_hopeless(struct router *router, int64_t now, struct out *out)
+static void end_hopeless(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct server_table *servers = router->server_table;
 
@@ -219,7 +219,7 @@
 }
 
 /* The process ends soon: what is still here is told so, rather than find its connection closed. */
-static void end_draining(struct router *router, int64_t now, struct out *out)
+static void end_draining(struct router *router, int64_t now, struct command_list *out)
 {
 	if (!router->shutdown.run_deadline_at_ms || now < router->shutdown.send_deadline_at_ms)
 		return;
@@ -231,7 +231,7 @@
 	}
 }
 
-static void tick(struct router *router, int64_t now, struct out *out)
+static void tick(struct router *router, int64_t now, struct command_list *out)
 {
 	router_retention_tick(router, now);
 	router->config_watch.is_warm = !router->is_stopping && now - router->started_at_ms >= ROUTER_WARM_UP_MS;
@@ -270,15 +270,15 @@
 	}
 }
 
-static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now, struct out *out)
+static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	int changed;
 
-	if (message->speak != CORE_SPEAK || (message->fleet && router->config_watch.fleet && message->fleet != router->config_watch.fleet))
+	if (message->protocol_version != CORE_PROTOCOL_VERSION || (message->fleet_id && router->config_watch.fleet && message->fleet_id != router->config_watch.fleet))
 		return;
 	switch (message->body_case) {
-	case NL__MSG__BODY_FOLLOW_REPLY:
-	case NL__MSG__BODY_OWNER:
+	case NL__MSG__BODY_CONFIG_SYNC_REPLY:
+	case NL__MSG__BODY_LEADER_HINT:
 		changed = config_watch_receive(&router->config_watch, message, now, out);
 		if (changed & 1)
 			replace_route_table(router, now, out);
@@ -286,23 +286,23 @@
 			replace_server_table(router, now);
 		break;
 	case NL__MSG__BODY_KNOWLEDGE:
-	case NL__MSG__BODY_PURGE_SNAP:
+	case NL__MSG__BODY_PURGE_SNAPSHOT:
 	case NL__MSG__BODY_CURIOSITY: relay_receive(&router->relay, message, now, out); break;
-	case NL__MSG__BODY_ANSWER: router_on_answer(router, message->answer, message->addr, now, out); break;
+	case NL__MSG__BODY_PROPOSE_REPLY: router_on_answer(router, message->propose_reply, message->addr, now, out); break;
 	case NL__MSG__BODY_LOAD: router_on_load(router, message->id, message->addr, message->load, now); break;
-	case NL__MSG__BODY_KEPT_ALL:
-		for (size_t i = 0; i < message->kept_all->n_k; i++)
-			router_on_cache_update(router, message->kept_all->k[i], now);
+	case NL__MSG__BODY_CACHE_UPDATE_BATCH:
+		for (size_t i = 0; i < message->cache_update_batch->n_updates; i++)
+			router_on_cache_update(router, message->cache_update_batch->updates[i], now);
 		break;
-	case NL__MSG__BODY_PREFIX_ASK: router_on_prefix_lookup(router, message, out); break;
-	case NL__MSG__BODY_PREFIX_REPLY: router_on_prefix_reply(router, message->prefix_reply, now); break;
+	case NL__MSG__BODY_PREFIX_LOOKUP: router_on_prefix_lookup(router, message, out); break;
+	case NL__MSG__BODY_PREFIX_LOOKUP_REPLY: router_on_prefix_reply(router, message->prefix_lookup_reply, now); break;
 	case NL__MSG__BODY_REPORT: router_on_relayed_report(router, message->report, now, out); break;
-	case NL__MSG__BODY_FOLLOW: { /* a seed need not be a controller: say whom to ask */
-		struct Nl__ConfigSyncReply *reply = OUT_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+	case NL__MSG__BODY_CONFIG_SYNC: { /* a seed need not be a controller: say whom to ask */
+		struct Nl__ConfigSyncReply *reply = MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
 
-		reply->token = message->follow->token;
-		reply->hint = router->config_watch.leader_addr[SHARD_CONTROL];
-		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_FOLLOW_REPLY)->follow_reply = reply;
+		reply->token = message->config_sync->token;
+		reply->leader_hint = router->config_watch.leader_addr[SHARD_CONTROL];
+		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply = reply;
 		break;
 	}
 	default: break;
@@ -315,7 +315,7 @@
 
 /* Cut off, or woken after a freeze: before anything else happens, what has not been sent is refused, and in the product's own
  * interface all that is held here ends. */
-static void end_without_config(struct router *router, int64_t now, struct out *out)
+static void end_without_config(struct router *router, int64_t now, struct command_list *out)
 {
 	if (now <= router_config_valid_until(router))
 		return;
@@ -343,7 +343,7 @@
 int64_t router_config_valid_until(const struct router *router) { return router->config_watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS; }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void router_step(struct router *router, const struct router_event *event, int64_t now, struct out *out)
+void router_step(struct router *router, const struct router_event *event, int64_t now, struct command_list *out)
 {
 	struct client_request *request;
 
--- a/lib/data/router.h
+++ b/lib/data/router.h
@@ -177,7 +177,7 @@
 		const struct forward_result *forward_ended;
 		struct {
 			uint64_t token;
-			const struct Nl__Kept *update;
+			const struct Nl__CacheUpdate *update;
 			int status;
 		} cache_watched; /* answer to a watch */
 	} u;
@@ -476,7 +476,7 @@
 	int64_t paused_at_ms;           /* when this process last went on after it had stood still; 0: never */
 	int64_t remainder_scan_at_ms, purged_at_ms; /* a look at what servers still name began; the last clearing was heard of whole */
 	ptrdiff_t remainder_scan_position;          /* how much of the index that look has before it */
-	struct Nl__Left *remainders;       /* stb_ds: what it has found */
+	struct Nl__CacheRemainder *remainders;       /* stb_ds: what it has found */
 	int64_t started_at_ms, next_dispatch_at_ms;
 	double average_full_watch_bytes; /* what a server's first answer brings, as they went lately */
 	struct {
@@ -516,7 +516,7 @@
 void router_close(struct router *router);
 
 /* One step. Example: router_step(&c, &(struct router_ev){ .kind = ROUTER_TICK }, now, &o); */
-void router_step(struct router *router, const struct router_event *event, int64_t now, struct out *out);
+void router_step(struct router *router, const struct router_event *event, int64_t now, struct command_list *out);
 
 /* Until when what is held here may go on to callers: past it keys may have been removed that still hold here.
  * Example: web_good_until(web, router_good_until(&c)); */
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -68,7 +68,7 @@
 
 const char router_no_server[] = "no server of this service stands";
 
-static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now, struct out *out)
+static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, "this counter's configuration is not certain to be in force", 0 };
 
@@ -88,7 +88,7 @@
 }
 
 static int refuse_if_queue_full(struct router *router, uint64_t token, const struct line *queue, uint32_t route_index, uint32_t service, int64_t now,
-			struct out *out)
+			struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
 	int full = queue->length >= router->route_table->routes[route_index].queue_limit;
@@ -106,7 +106,7 @@
 	return 1;
 }
 
-static void reject_new(struct router *router, uint64_t token, int status, const char *reason, struct out *out)
+static void reject_new(struct router *router, uint64_t token, int status, const char *reason, struct command_list *out)
 {
 	router_decline(router, token, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, out);
 }
@@ -119,7 +119,7 @@
 	router_request_add(router, request);
 }
 
-void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct out *out)
+void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct command_list *out)
 {
 	struct route_table *routes = router->route_table;
 	struct key_entry *keys = routes ? routes->keys : NULL;
@@ -259,7 +259,7 @@
 }
 
 /* Another service serves it from now on; what was set aside for another send there is set aside here. 0: that ended it. */
-static int change_service(struct router *router, struct client_request *request, uint32_t service, int64_t now, struct out *out)
+static int change_service(struct router *router, struct client_request *request, uint32_t service, int64_t now, struct command_list *out)
 {
 	int paid = request->retry_reserved;
 
@@ -281,7 +281,7 @@
 	return 1;
 }
 
-int router_readmit(struct router *router, struct client_request *request, int64_t now, struct out *out)
+int router_readmit(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	const struct route_config *route;
@@ -341,7 +341,7 @@
 	return x;
 }
 
-void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct out *out)
+void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	const struct route_config *route;
--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -71,11 +71,11 @@
 void router_prefix_depths(struct router *router, const struct client_request *request, struct generation *generations, int generation_count, int store);
 void router_lookup_open(struct router *router);
 /* Ask the head of the zone who keeps a request's prefix. Example: router_lookup_ask(c, x, now, o); */
-void router_lookup_send(struct router *router, struct client_request *request, int64_t now, struct out *out);
+void router_lookup_send(struct router *router, struct client_request *request, int64_t now, struct command_list *out);
 /* Whether a request still waits for the answer. Example: if (router_lookup_waits(c, x, now)) continue; */
 int router_lookup_waits(struct router *router, struct client_request *request, int64_t now);
-void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct out *out);
-void router_on_prefix_reply(struct router *router, const struct Nl__PrefixReply *reply, int64_t now);
+void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct command_list *out);
+void router_on_prefix_reply(struct router *router, const struct Nl__PrefixLookupReply *reply, int64_t now);
 /* router_metrics.c */
 /* What this router counts, in the Prometheus text format. Example: out_answer(o, token, 200, 0, router_metrics(c, now, o->p)); */
 const char *router_metrics(const struct router *router, int64_t now, apr_pool_t *pool);
@@ -95,7 +95,7 @@
 void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now);
 void router_weights_check_begin(struct router *router, const struct client_request *request, int64_t now);
 /* Take back what has not begun shortly before its weights' bound. Example: router_weights_recall(c, now, o); */
-void router_weights_recall(struct router *router, int64_t now, struct out *out);
+void router_weights_recall(struct router *router, int64_t now, struct command_list *out);
 /* router_route_table.c */
 void router_route_table_free(struct route_table *routes);
 struct route_table *router_route_table_new(struct router *router, int64_t now);
@@ -116,36 +116,36 @@
 /* The one way for a request to end: tells its client, counts the outcome, and takes it out. What may have run is never
  * refused or rejected: it counts as broken off.
  * Example: router_request_end(c, x, &(struct request_ending){ REQUEST_ANSWERED, 200, NULL, 0 }, now, o); */
-void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct out *out);
+void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct command_list *out);
 
 /* The same for one that was never queued. Example: router_decline(c, token, &(struct request_ending){ REQUEST_REJECTED, 404,
  * "lane: unknown", 0 }, o); */
-void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct out *out);
+void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct command_list *out);
 
 /* Endings by name, each by router_request_end. */
 void router_refuse(struct router *router, struct client_request *request, int status, const char *reason, double retry_after_ms, int64_t now,
-		   struct out *out);
-void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out);
-void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out);
+		   struct command_list *out);
+void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out);
+void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out);
 
 /* Whatever state it is in: broken off if it may have run, else refused or rejected, as the status says. */
-void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out);
+void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out);
 void router_request_add(struct router *router, struct client_request *request);
 struct client_request *router_request_by_token(struct router *router, uint64_t token);
 
 /* All that is under way, without a word: the process ends. Example: router_requests_discard(c); */
 void router_requests_discard(struct router *router);
 /* router_admission.c */
-void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct out *out);
-void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct out *out);
+void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct command_list *out);
+void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct command_list *out);
 
 /* The newest table holds for what no server is working on: its lane, tenant and service are looked up again. 0: that ended
  * it. Example: if (!router_readmit(c, x, now, o)) return; */
-int router_readmit(struct router *router, struct client_request *request, int64_t now, struct out *out);
+int router_readmit(struct router *router, struct client_request *request, int64_t now, struct command_list *out);
 /* router_queue.c */
 void router_claim_miss(struct router *router, uint32_t service, uint64_t leader_addr);
-void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct out *out);
-void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct out *out);
+void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct command_list *out);
+void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct command_list *out);
 const char *router_error_body(apr_pool_t *pool, const char *reason, const char *outcome);
 double router_expected_wait_ms(const struct line *queue, uint32_t i, int64_t now);
 uint32_t router_reserved_slots(const struct router *router, const char *name);
@@ -160,15 +160,15 @@
 void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index, uint32_t tenant_index, int64_t now);
 void router_quota_release(struct router *router, struct client_request *request);
 uint32_t router_shard_of(const struct router *router, uint32_t service);
-void router_dispatch(struct router *router, int64_t now, struct out *out);
+void router_dispatch(struct router *router, int64_t now, struct command_list *out);
 struct json_object *router_read_json(struct router *router, const char *text);
 void router_release_end(struct router *router, ptrdiff_t i);
-void router_releases_tick(struct router *router, int64_t now, struct out *out);
+void router_releases_tick(struct router *router, int64_t now, struct command_list *out);
 uint64_t router_token_new(struct router *router);
 struct usage_entry *router_usage_of(struct router *router, const struct client_request *request);
-void router_request_slots(struct router *router, int64_t now, struct out *out);
+void router_request_slots(struct router *router, int64_t now, struct command_list *out);
 /* router_load.c */
-void router_load_tick(struct router *router, int64_t now, struct out *out);
+void router_load_tick(struct router *router, int64_t now, struct command_list *out);
 void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load, int64_t now);
 void router_load_clear(struct router *router);
 /* What all routers have under way at a server, as far as this one knows; 0: nothing is known. */
@@ -176,17 +176,17 @@
 /* The head of the zone says so of one server. */
 void router_load_learn(struct router *router, uint32_t server, const struct load_cell *all);
 /* router_send.c */
-void router_on_answer(struct router *router, const struct Nl__Answer *answer, uint64_t from, int64_t now, struct out *out);
+void router_on_answer(struct router *router, const struct Nl__ProposeReply *answer, uint64_t from, int64_t now, struct command_list *out);
 void router_on_done(struct router *router, struct client_request *request, const typeof(((struct router_event *)0)->u.call_ended) *result, int64_t now,
-		    struct out *out);
-void router_forward(struct router *router, struct client_request *request, const struct plan *plan, int64_t now, struct out *out);
+		    struct command_list *out);
+void router_forward(struct router *router, struct client_request *request, const struct plan *plan, int64_t now, struct command_list *out);
 /* Cancel a send that has not begun as far as is known; the request goes to another server if it may, else it ends.
  * Example: router_take_back(c, x, now, o); */
-void router_recall(struct router *router, struct client_request *request, int64_t now, struct out *out);
+void router_recall(struct router *router, struct client_request *request, int64_t now, struct command_list *out);
 void router_on_began(struct router *router, struct client_request *request, const char *weights, int64_t now);
-void router_on_ended(struct router *router, struct client_request *request, const struct forward_result *ended, int64_t now, struct out *out);
-void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text, int64_t now, struct out *out);
-void router_send_claimed(struct router *router, struct client_request *request, int64_t now, struct out *out);
+void router_on_ended(struct router *router, struct client_request *request, const struct forward_result *ended, int64_t now, struct command_list *out);
+void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text, int64_t now, struct command_list *out);
+void router_send_claimed(struct router *router, struct client_request *request, int64_t now, struct command_list *out);
 /* router_retention.c */
 void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row);
 int router_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant);
@@ -198,18 +198,18 @@
 int router_retains(const struct router *router, uint32_t service, uint32_t maker, uint64_t id, uint64_t stamp);
 /* router_kept_feed.c */
 /* What a watch has answered, before it is taken in here. */
-void router_feed_add(struct router *router, uint32_t server, const struct Nl__Kept *update);
-void router_feed_tick(struct router *router, int64_t now, struct out *out);
+void router_feed_add(struct router *router, uint32_t server, const struct Nl__CacheUpdate *update);
+void router_feed_tick(struct router *router, int64_t now, struct command_list *out);
 void router_feed_clear(struct router *router);
 /* router_watch.c */
-void router_poll_reports(struct router *router, int64_t now, struct out *out);
-void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct out *out);
+void router_poll_reports(struct router *router, int64_t now, struct command_list *out);
+void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct command_list *out);
 void router_on_report(struct router *router, uint32_t server_index, const char *body, int64_t now);
 void router_on_value(void *ctx, const struct Nl__Value *value);
-void router_watch_caches(struct router *router, int64_t now, struct out *out);
-void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__Kept *update, int status, int64_t now);
-void router_on_cache_update(struct router *router, const struct Nl__Kept *update, int64_t now);
+void router_watch_caches(struct router *router, int64_t now, struct command_list *out);
+void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update, int status, int64_t now);
+void router_on_cache_update(struct router *router, const struct Nl__CacheUpdate *update, int64_t now);
 int router_scaled_interval_ms(const struct router *router, int ms);
-void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct out *out);
+void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct command_list *out);
 
 #endif
--- a/lib/data/router_kept_feed.c
+++ b/lib/data/router_kept_feed.c
@@ -19,9 +19,9 @@
 static int64_t feed_bytes_per_ms(const struct router *router) { return (int64_t)router->bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8; }
 
 /* A message of this size has been given to so many routers: no more before the link's share has carried it. */
-static void feed_spent(struct router *router, const struct Nl__KeptAll *message, ptrdiff_t routers, int64_t now)
+static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *message, ptrdiff_t routers, int64_t now)
 {
-	int64_t rate = feed_bytes_per_ms(router), bytes = (int64_t)nl__kept_all__get_packed_size(message) * routers;
+	int64_t rate = feed_bytes_per_ms(router), bytes = (int64_t)nl__cache_update_batch__get_packed_size(message) * routers;
 
 	if (router->feed.link_free_at_ms < now)
 		router->feed.link_free_at_ms = now;
@@ -44,25 +44,25 @@
 	arrfree(router->feed.queue);
 }
 
-void router_feed_add(struct router *router, uint32_t server, const struct Nl__Kept *update)
+void router_feed_add(struct router *router, uint32_t server, const struct Nl__CacheUpdate *update)
 {
 	struct pending_cache_update *pending = &router->servers[server].pending_update;
-	int is_reset = update->lost || (router->servers[server].cache_epoch && router->servers[server].cache_epoch != update->epoch);
+	int is_reset = update->events_lost || (router->servers[server].cache_epoch && router->servers[server].cache_epoch != update->epoch);
 
 	/* of a store each word goes on, for it says that the store is up */
-	if (!arrlen(router->relay.downstreams) || (!update->n_e && !is_reset && !router->server_table->servers[server].is_store))
+	if (!arrlen(router->relay.downstreams) || (!update->n_events && !is_reset && !router->server_table->servers[server].is_store))
 		return;
 	if (is_reset) {
 		hmfree(pending->events);
 		pending->is_reset = 1;
 	}
 	pending->epoch = update->epoch;
-	pending->next_event = update->next;
-	for (size_t i = 0; i < update->n_e; i++) {
-		const struct Nl__KeptEvent *cache_event = update->e[i];
-		typeof(pending->events->value) event = { router_namespace_key_from_text(cache_event->cache_namespace), cache_event->gone };
+	pending->next_event = update->next_offset;
+	for (size_t i = 0; i < update->n_events; i++) {
+		const struct Nl__CacheEvent *cache_event = update->events[i];
+		typeof(pending->events->value) event = { router_namespace_key_from_text(cache_event->cache_namespace), cache_event->evicted };
 
-		hmput(pending->events, router_block_key(core_hash_string(0, cache_event->cache_namespace), cache_event->id), event);
+		hmput(pending->events, router_block_key(core_hash_string(0, cache_event->cache_namespace), cache_event->block_hash), event);
 	}
 	if (!pending->is_queued)
 		arrput(router->feed.queue, server);
@@ -72,71 +72,71 @@
 /* ---- to all downstream routers --------------------------------------------------------------------------- */
 
 /* The waiting events of one server as they are sent: keys alone, which is all that the index asks for. */
-static struct Nl__Kept *pending_update_message(const struct router *router, uint32_t server, struct out *out)
+static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server, struct command_list *out)
 {
 	const struct pending_cache_update *pending = &router->servers[server].pending_update;
-	struct Nl__Kept *update = OUT_NEW(out, Nl__Kept, NL__KEPT__INIT);
+	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
 	size_t n = (size_t)hmlen(pending->events);
 	int has_namespace_keys = 0;
 
 	update->server = apr_pstrdup(out->pool, router->server_names.names[server]);
 	update->epoch = pending->epoch;
-	update->next = pending->next_event;
-	update->lost = pending->is_reset;
+	update->next_offset = pending->next_event;
+	update->events_lost = pending->is_reset;
 	update->added = apr_palloc(out->pool, (n + 1) * sizeof *update->added);
-	update->added_filed = apr_palloc(out->pool, (n + 1) * sizeof *update->added_filed);
+	update->added_namespace_keys = apr_palloc(out->pool, (n + 1) * sizeof *update->added_namespace_keys);
 	update->removed = apr_palloc(out->pool, (n + 1) * sizeof *update->removed);
 	for (size_t i = 0; i < n; i++) {
 		if (pending->events[i].value.evicted) {
 			update->removed[update->n_removed++] = pending->events[i].key;
 			continue;
 		}
-		update->added_filed[update->n_added] = pending->events[i].value.namespace_key;
+		update->added_namespace_keys[update->n_added] = pending->events[i].value.namespace_key;
 		has_namespace_keys |= pending->events[i].value.namespace_key != 0;
 		update->added[update->n_added++] = pending->events[i].key;
 	}
-	update->n_added_filed = has_namespace_keys ? update->n_added : 0;
+	update->n_added_namespace_keys = has_namespace_keys ? update->n_added : 0;
 	return update;
 }
 
 /* The servers that have waited longest, as many as one message may take. */
-static void publish_updates(struct router *router, int64_t now, struct out *out)
+static void publish_updates(struct router *router, int64_t now, struct command_list *out)
 {
 	ptrdiff_t routers = arrlen(router->relay.downstreams);
 	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
-	struct Nl__KeptAll *all = OUT_NEW(out, Nl__KeptAll, NL__KEPT_ALL__INIT);
+	struct Nl__CacheUpdateBatch *all = MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 	ptrdiff_t sent = 0;
 
-	all->k = apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__Kept *));
+	all->updates = apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
 	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
 		uint32_t server = router->feed.queue[sent];
-		struct Nl__Kept *update;
+		struct Nl__CacheUpdate *update;
 
 		if (router->server_table->servers[server].is_configured) {
 			update = pending_update_message(router, server, out);
-			bytes += (int64_t)nl__kept__get_packed_size(update);
-			all->k[all->n_k++] = update;
+			bytes += (int64_t)nl__cache_update__get_packed_size(update);
+			all->updates[all->n_updates++] = update;
 		}
 		pending_update_clear(&router->servers[server].pending_update);
 	}
 	arrdeln(router->feed.queue, 0, sent);
-	if (!all->n_k)
+	if (!all->n_updates)
 		return;
 	for (ptrdiff_t i = 0; i < routers; i++)
-		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
+		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = all;
 	feed_spent(router, all, routers, now);
 }
 
 /* ---- to one that is new ------------------------------------------------------------------------------------ */
 
 /* Rows [from, to) of the index as messages, one a server. */
-static struct Nl__KeptAll *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end, struct out *out)
+static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end, struct command_list *out)
 {
 	const struct server_table *table = router->server_table;
-	struct Nl__KeptAll *all = OUT_NEW(out, Nl__KeptAll, NL__KEPT_ALL__INIT);
-	struct Nl__Kept **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
+	struct Nl__CacheUpdateBatch *all = MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
+	struct Nl__CacheUpdate **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
 
-	all->k = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->k);
+	all->updates = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->updates);
 	for (int fill = 0; fill < 2; fill++) { /* counted first, then put in */
 		for (ptrdiff_t i = begin; i < end; i++)
 			for (ptrdiff_t k = 0; k < arrlen(router->prefix_index.blocks[i].value); k++) {
@@ -145,19 +145,19 @@
 				if (s >= table->server_count || !table->servers[s].is_configured || !router->servers[s].cache_epoch)
 					continue;
 				if (!update[s]) {
-					update[s] = OUT_NEW(out, Nl__Kept, NL__KEPT__INIT);
+					update[s] = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
 					update[s]->server = apr_pstrdup(out->pool, router->server_names.names[s]);
 					update[s]->epoch = router->servers[s].cache_epoch;
-					update[s]->next = router->servers[s].next_cache_event;
-					all->k[all->n_k++] = update[s];
+					update[s]->next_offset = router->servers[s].next_cache_event;
+					all->updates[all->n_updates++] = update[s];
 				}
 				if (fill)
-					update[s]->held[update[s]->n_held] = router->prefix_index.blocks[i].key;
-				update[s]->n_held++;
+					update[s]->present[update[s]->n_present] = router->prefix_index.blocks[i].key;
+				update[s]->n_present++;
 			}
-		for (size_t i = 0; !fill && i < all->n_k; i++) {
-			all->k[i]->held = apr_palloc(out->pool, all->k[i]->n_held * sizeof *all->k[i]->held);
-			all->k[i]->n_held = 0;
+		for (size_t i = 0; !fill && i < all->n_updates; i++) {
+			all->updates[i]->present = apr_palloc(out->pool, all->updates[i]->n_present * sizeof *all->updates[i]->present);
+			all->updates[i]->n_present = 0;
 		}
 	}
 	return all;
@@ -166,10 +166,10 @@
 /* A router that is new in the zone, or back, hears only what changes from then on; so it is told once all that is known to be
  * kept, or it would have prompts read again that lie ready. It adds this to what it knows itself. The index is gone through from
  * its end: what a deletion moves meanwhile is told twice rather than never. */
-static void publish_index(struct router *router, struct relay_downstream *down, int64_t now, struct out *out)
+static void publish_index(struct router *router, struct relay_downstream *down, int64_t now, struct command_list *out)
 {
 	ptrdiff_t rows = hmlen(router->prefix_index.blocks), from;
-	struct Nl__KeptAll *all;
+	struct Nl__CacheUpdateBatch *all;
 
 	if (!down->cache_feed_started || down->cache_feed_remaining > rows)
 		down->cache_feed_remaining = rows;
@@ -177,9 +177,9 @@
 	from = down->cache_feed_remaining > FEED_INDEX_ROWS ? down->cache_feed_remaining - FEED_INDEX_ROWS : 0;
 	all = index_message(router, from, down->cache_feed_remaining, out);
 	down->cache_feed_remaining = from;
-	if (!all->n_k)
+	if (!all->n_updates)
 		return;
-	command_send(out, down->addr, 0, NL__MSG__BODY_KEPT_ALL)->kept_all = all;
+	command_send(out, down->addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = all;
 	feed_spent(router, all, 1, now);
 }
 
@@ -191,7 +191,7 @@
 	return NULL;
 }
 
-void router_feed_tick(struct router *router, int64_t now, struct out *out)
+void router_feed_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	struct relay_downstream *down;
 
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -38,38 +38,38 @@
 
 /* Say what has changed since the last word, or all that is not nothing; nothing is said when nothing has. */
 static void say(struct router *c, const uint64_t *to, int n, int of, const struct load_cell *v, struct load_cell **told, int whole,
-		struct out *out)
+		struct command_list *out)
 {
 	uint32_t servers = c->server_table->server_count;
 	struct Nl__Load *load;
 
 	resize_cells(told, servers);
-	load = OUT_NEW(out, Nl__Load, NL__LOAD__INIT);
-	load->of = (uint32_t)of;
+	load = MESSAGE_NEW(out, Nl__Load, NL__LOAD__INIT);
+	load->origin = (uint32_t)of;
 	load->zone = c->zone_hash;
-	load->whole = whole;
-	load->row = apr_palloc(out->pool, (servers + 1) * sizeof *load->row);
+	load->full = whole;
+	load->rows = apr_palloc(out->pool, (servers + 1) * sizeof *load->rows);
 	for (uint32_t s = 0; s < servers; s++) {
 		struct Nl__LoadRow *x;
 
 		if (whole ? !v[s].prefill_tokens && !v[s].running : !memcmp(&v[s], &(*told)[s], sizeof v[s]))
 			continue;
-		x = OUT_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
+		x = MESSAGE_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
 		x->server = apr_pstrdup(out->pool, c->server_names.names[s]);
-		x->ahead = v[s].prefill_tokens;
-		x->running = v[s].running;
-		x->tokens = v[s].resident_tokens;
-		load->row[load->n_row++] = x;
+		x->prefill_tokens = v[s].prefill_tokens;
+		x->running_requests = v[s].running;
+		x->memory_tokens = v[s].resident_tokens;
+		load->rows[load->n_rows++] = x;
 	}
 	if (servers)
 		memcpy(*told, v, servers * sizeof *v);
-	if (!whole && !load->n_row)
+	if (!whole && !load->n_rows)
 		return;
 	for (int i = 0; i < n; i++)
 		command_send(out, to[i], 0, NL__MSG__BODY_LOAD)->load = load;
 }
 
-static struct load_cell *zero_cells(const struct router *router, struct out *out)
+static struct load_cell *zero_cells(const struct router *router, struct command_list *out)
 {
 	return apr_pcalloc(out->pool, (router->server_table->server_count + 1) * sizeof(struct load_cell));
 }
@@ -85,7 +85,7 @@
 	return router->load_changed && rarely > ROUTER_LOAD_CHANGED_INTERVAL_MS ? ROUTER_LOAD_CHANGED_INTERVAL_MS : rarely;
 }
 
-void router_load_tick(struct router *router, int64_t now, struct out *out)
+void router_load_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	struct load_cell *own, *zone, *all;
 	uint64_t *down;
@@ -139,9 +139,9 @@
 
 void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load, int64_t now)
 {
-	struct load_source *load_from = NULL, zero = { id, (int)load->of, now, addr, NULL };
+	struct load_source *load_from = NULL, zero = { id, (int)load->origin, now, addr, NULL };
 
-	if (!router->server_table || load->of > LOAD_SCOPE_FLEET || id == router->id)
+	if (!router->server_table || load->origin > LOAD_SCOPE_FLEET || id == router->id)
 		return;
 	for (ptrdiff_t i = 0; i < arrlen(router->load_sources) && !load_from; i++)
 		if (router->load_sources[i].router_id == id)
@@ -150,21 +150,21 @@
 		arrput(router->load_sources, zero);
 		load_from = &arrlast(router->load_sources);
 	}
-	if (load_from->scope != (int)load->of || load->whole)
+	if (load_from->scope != (int)load->origin || load->full)
 		arrsetlen(load_from->cells, 0);
-	load_from->scope = (int)load->of;
+	load_from->scope = (int)load->origin;
 	load_from->received_at_ms = now;
 	load_from->addr = addr;
 	resize_cells(&load_from->cells, router->server_table->server_count);
-	if (load->whole && arrlen(load_from->cells))
+	if (load->full && arrlen(load_from->cells))
 		memset(load_from->cells, 0, (size_t)arrlen(load_from->cells) * sizeof *load_from->cells);
-	for (size_t i = 0; i < load->n_row; i++) {
-		int server_index = names_find(&router->server_names, load->row[i]->server);
+	for (size_t i = 0; i < load->n_rows; i++) {
+		int server_index = names_find(&router->server_names, load->rows[i]->server);
 
 		if (server_index >= 0 && server_index < arrlen(load_from->cells))
-			load_from->cells[server_index] = (struct load_cell){ load->row[i]->ahead, load->row[i]->running, load->row[i]->tokens };
+			load_from->cells[server_index] = (struct load_cell){ load->rows[i]->prefill_tokens, load->rows[i]->running_requests, load->rows[i]->memory_tokens };
 	}
-	if (load->of != LOAD_SCOPE_FLEET)
+	if (load->origin != LOAD_SCOPE_FLEET)
 		return;
 	resize_cells(&router->others_load, router->server_table->server_count);
 	resize_cells(&router->load_sent_to_head, router->server_table->server_count);
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -82,7 +82,7 @@
 	return status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT || status == STATUS_MISDIRECTED;
 }
 
-static void end_stream(uint64_t token, const char *body, int complete, struct out *out)
+static void end_stream(uint64_t token, const char *body, int complete, struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_END_STREAM);
 
@@ -93,14 +93,14 @@
 }
 
 /* Refused or rejected: nothing of it has run. */
-static void send_refusal(uint64_t token, const struct request_ending *ending, struct out *out)
+static void send_refusal(uint64_t token, const struct request_ending *ending, struct command_list *out)
 {
 	const char *outcome = ending->status == STATUS_CONFLICT ? "claimed" : "refused"; /* the asking that holds the id may be running */
 
 	command_answer(out, token, ending->status, ending->outcome == REQUEST_REFUSED ? ending->retry_after_ms : 0, router_error_body(out->pool, ending->reason, outcome));
 }
 
-static void send_broken_off(const struct client_request *request, const struct request_ending *ending, struct out *out)
+static void send_broken_off(const struct client_request *request, const struct request_ending *ending, struct command_list *out)
 {
 	const char *body = router_error_body(out->pool, ending->reason, "unknown");
 
@@ -110,13 +110,13 @@
 		command_answer(out, request->token, is_promise(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0, body);
 }
 
-static void cancel_call(const struct client_request *request, struct out *out)
+static void cancel_call(const struct client_request *request, struct command_list *out)
 {
 	if (request->state == REQUEST_RUNNING && request->call_token)
 		command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
 }
 
-void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct out *out)
+void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct command_list *out)
 {
 	enum request_outcome outcome = ending->outcome;
 
@@ -145,7 +145,7 @@
 	request_drop(router, request);
 }
 
-void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct out *out)
+void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct command_list *out)
 {
 	router->stats.outcomes[ending->outcome]++;
 	send_refusal(token, ending, out);
@@ -153,12 +153,12 @@
 
 /* ---- endings by name ----------------------------------------------------------------------------------- */
 
-void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
+void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
 {
 	router_request_end(router, request, &(struct request_ending){ REQUEST_BROKEN_OFF, status, reason, 0 }, now, out);
 }
 
-void router_refuse(struct router *router, struct client_request *request, int status, const char *reason, double retry_after_ms, int64_t now, struct out *out)
+void router_refuse(struct router *router, struct client_request *request, int status, const char *reason, double retry_after_ms, int64_t now, struct command_list *out)
 {
 	router_request_end(
 	    router, request,
@@ -167,12 +167,12 @@
 	    now, out);
 }
 
-void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
+void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
 {
 	router_request_end(router, request, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, now, out);
 }
 
-void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct out *out)
+void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
 {
 	if (may_have_run(request))
 		router_break_off(router, request, status, reason, now, out);
--- a/lib/data/router_prefix.c
+++ b/lib/data/router_prefix.c
@@ -136,20 +136,20 @@
 void router_lookup_open(struct router *router) { router->lookup.round_trip_ms = LOOKUP_INITIAL_ROUND_TRIP_MS; }
 
 /* The load of the servers that it may go to is asked for too: what the head tells all of them is older. */
-static void request_load(struct router *router, const struct client_request *request, struct Nl__PrefixAsk *lookup, int64_t now, struct out *out)
+static void request_load(struct router *router, const struct client_request *request, struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
 {
 	uint32_t server[MAX_CANDIDATES];
 	int count = router_candidates(router, request, server, now);
 
-	lookup->server = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->server);
+	lookup->servers = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->servers);
 	for (int i = 0; i < count; i++)
-		lookup->server[lookup->n_server++] = router->server_hashes[server[i]];
+		lookup->servers[lookup->n_servers++] = router->server_hashes[server[i]];
 }
 
-void router_lookup_send(struct router *router, struct client_request *request, int64_t now, struct out *out)
+void router_lookup_send(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	struct generation generations[MAX_GENERATIONS];
-	struct Nl__PrefixAsk *lookup;
+	struct Nl__PrefixLookup *lookup;
 	int silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES, n;
 
 	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_LOOKUP) || !router->config_watch.upstream_count || !request->block_count || !router->server_table ||
@@ -158,17 +158,17 @@
 	n = router_generations(router, request, generations);
 	if (!n)
 		return;
-	lookup = OUT_NEW(out, Nl__PrefixAsk, NL__PREFIX_ASK__INIT);
+	lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
 	lookup->token = request->seq;
 	for (int k = 0; k < n; k++)
 		request->lookup_namespaces[k] = generations[k].cache_namespace;
 	request->lookup_namespace_count = n;
-	lookup->cache_namespace = apr_pmemdup(out->pool, request->lookup_namespaces, (size_t)n * sizeof *request->lookup_namespaces);
-	lookup->n_cache_namespace = (size_t)n;
-	lookup->n_part = request->block_count < LOOKUP_MAX_BLOCKS ? (size_t)request->block_count : LOOKUP_MAX_BLOCKS;
-	lookup->part = apr_pmemdup(out->pool, request->block_hash, lookup->n_part * sizeof *lookup->part);
+	lookup->cache_namespaces = apr_pmemdup(out->pool, request->lookup_namespaces, (size_t)n * sizeof *request->lookup_namespaces);
+	lookup->n_cache_namespaces = (size_t)n;
+	lookup->n_blocks = request->block_count < LOOKUP_MAX_BLOCKS ? (size_t)request->block_count : LOOKUP_MAX_BLOCKS;
+	lookup->blocks = apr_pmemdup(out->pool, request->block_hash, lookup->n_blocks * sizeof *lookup->blocks);
 	request_load(router, request, lookup, now, out);
-	command_send(out, router->config_watch.upstream[0], 0, NL__MSG__BODY_PREFIX_ASK)->prefix_ask = lookup;
+	command_send(out, router->config_watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup = lookup;
 	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
 	request->lookup_state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
 	request->lookup_sent_at_ms = now;
@@ -190,64 +190,64 @@
 /* ---- answering ------------------------------------------------------------------------------------- */
 
 /* The deepest holders of one generation, and the stores that keep any. */
-static void answer_cached_prefixes(struct router *router, const struct Nl__PrefixAsk *lookup, size_t generation, struct Nl__PrefixReply *reply,
-			   struct out *out)
+static void answer_cached_prefixes(struct router *router, const struct Nl__PrefixLookup *lookup, size_t generation, struct Nl__PrefixLookupReply *reply,
+			   struct command_list *out)
 {
-	size_t limit = reply->n_holder + LOOKUP_MAX_SERVERS;
+	size_t limit = reply->n_matches + LOOKUP_MAX_SERVERS;
 
 	depths_clear(router);
-	(void)index_depths(router, lookup->cache_namespace[generation], lookup->part, (int)lookup->n_part, -1);
-	for (int depth = (int)lookup->n_part; depth > 0 && reply->n_holder < limit; depth--)
-		for (uint32_t s = 0; s < router->server_table->server_count && reply->n_holder < limit; s++) {
-			struct Nl__PrefixHolder *prefix_holder;
+	(void)index_depths(router, lookup->cache_namespaces[generation], lookup->blocks, (int)lookup->n_blocks, -1);
+	for (int depth = (int)lookup->n_blocks; depth > 0 && reply->n_matches < limit; depth--)
+		for (uint32_t s = 0; s < router->server_table->server_count && reply->n_matches < limit; s++) {
+			struct Nl__PrefixMatch *prefix_holder;
 
 			if (router->cached_depth[s] != depth || !router->server_table->servers[s].is_configured)
 				continue;
-			prefix_holder = OUT_NEW(out, Nl__PrefixHolder, NL__PREFIX_HOLDER__INIT);
+			prefix_holder = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
 			prefix_holder->generation = (uint32_t)generation;
 			prefix_holder->server = router->server_hashes[s];
-			prefix_holder->depth = (uint32_t)depth;
-			reply->holder[reply->n_holder++] = prefix_holder;
+			prefix_holder->block_count = (uint32_t)depth;
+			reply->matches[reply->n_matches++] = prefix_holder;
 		}
 }
 
 /* The load of the servers that were asked for, and of the holders that are named. */
-static void answer_load(struct router *router, const struct Nl__PrefixAsk *lookup, struct Nl__PrefixReply *reply, struct out *out)
+static void answer_load(struct router *router, const struct Nl__PrefixLookup *lookup, struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
-	reply->load = apr_palloc(out->pool, (lookup->n_server + reply->n_holder + 1) * sizeof *reply->load);
-	for (size_t i = 0; i < lookup->n_server + reply->n_holder; i++) {
-		uint64_t hash = i < lookup->n_server ? lookup->server[i] : reply->holder[i - lookup->n_server]->server;
+	reply->loads = apr_palloc(out->pool, (lookup->n_servers + reply->n_matches + 1) * sizeof *reply->loads);
+	for (size_t i = 0; i < lookup->n_servers + reply->n_matches; i++) {
+		uint64_t hash = i < lookup->n_servers ? lookup->servers[i] : reply->matches[i - lookup->n_servers]->server;
 		ptrdiff_t at = hmgeti(router->server_by_hash, hash);
 		struct Nl__ServerLoad *load;
 		struct load_cell all;
 
 		if (at < 0 || !router_fleet_load(router, router->server_by_hash[at].value, &all))
 			continue;
-		load = OUT_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
+		load = MESSAGE_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
-		load->ahead = all.prefill_tokens;
-		load->running = all.running;
-		load->tokens = all.resident_tokens;
-		reply->load[reply->n_load++] = load;
+		load->prefill_tokens = all.prefill_tokens;
+		load->running_requests = all.running;
+		load->memory_tokens = all.resident_tokens;
+		reply->loads[reply->n_loads++] = load;
 	}
 }
 
-void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct out *out)
+void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct command_list *out)
 {
-	const struct Nl__PrefixAsk *lookup = message->prefix_ask;
-	struct Nl__PrefixReply *reply;
+	const struct Nl__PrefixLookup *lookup = message->prefix_lookup;
+	struct Nl__PrefixLookupReply *reply;
 
-	if (!router->server_table || !lookup->n_part || lookup->n_part > LOOKUP_MAX_BLOCKS || lookup->n_cache_namespace > MAX_GENERATIONS ||
-	    lookup->n_server > MAX_CANDIDATES)
+	if (!router->server_table || !lookup->n_blocks || lookup->n_blocks > LOOKUP_MAX_BLOCKS || lookup->n_cache_namespaces > MAX_GENERATIONS ||
+	    lookup->n_servers > MAX_CANDIDATES)
 		return;
-	reply = OUT_NEW(out, Nl__PrefixReply, NL__PREFIX_REPLY__INIT);
+	reply = MESSAGE_NEW(out, Nl__PrefixLookupReply, NL__PREFIX_LOOKUP_REPLY__INIT);
 	reply->token = lookup->token;
-	reply->holder = apr_palloc(out->pool, (lookup->n_cache_namespace * LOOKUP_MAX_SERVERS + 1) * sizeof *reply->holder);
-	for (size_t k = 0; k < lookup->n_cache_namespace; k++)
+	reply->matches = apr_palloc(out->pool, (lookup->n_cache_namespaces * LOOKUP_MAX_SERVERS + 1) * sizeof *reply->matches);
+	for (size_t k = 0; k < lookup->n_cache_namespaces; k++)
 		answer_cached_prefixes(router, lookup, k, reply, out);
 	answer_load(router, lookup, reply, out);
 	router->stats.lookups_answered++;
-	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_REPLY)->prefix_reply = reply;
+	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_LOOKUP_REPLY)->prefix_lookup_reply = reply;
 }
 
 static struct client_request *request_by_seq(const struct router *router, uint64_t seq)
@@ -259,22 +259,22 @@
 }
 
 /* The servers that an answer names, as this router numbers them. */
-static void learn_cached_prefixes(struct router *router, struct client_request *request, const struct Nl__PrefixReply *reply)
+static void learn_cached_prefixes(struct router *router, struct client_request *request, const struct Nl__PrefixLookupReply *reply)
 {
-	request->cached_prefixes = apr_palloc(request->pool, (reply->n_holder + 1) * sizeof *request->cached_prefixes);
+	request->cached_prefixes = apr_palloc(request->pool, (reply->n_matches + 1) * sizeof *request->cached_prefixes);
 	request->cached_prefix_count = 0;
-	for (size_t i = 0; i < reply->n_holder; i++) {
-		const struct Nl__PrefixHolder *prefix_holder = reply->holder[i];
+	for (size_t i = 0; i < reply->n_matches; i++) {
+		const struct Nl__PrefixMatch *prefix_holder = reply->matches[i];
 		ptrdiff_t position = hmgeti(router->server_by_hash, prefix_holder->server);
 
-		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup_namespace_count || prefix_holder->depth > (uint32_t)request->block_count)
+		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup_namespace_count || prefix_holder->block_count > (uint32_t)request->block_count)
 			continue;
 		request->cached_prefixes[request->cached_prefix_count++] =
-		    (struct cached_prefix){ router->server_by_hash[position].value, prefix_holder->depth, request->lookup_namespaces[prefix_holder->generation] };
+		    (struct cached_prefix){ router->server_by_hash[position].value, prefix_holder->block_count, request->lookup_namespaces[prefix_holder->generation] };
 	}
 }
 
-void router_on_prefix_reply(struct router *router, const struct Nl__PrefixReply *reply, int64_t now)
+void router_on_prefix_reply(struct router *router, const struct Nl__PrefixLookupReply *reply, int64_t now)
 {
 	struct client_request *request = request_by_seq(router, reply->token);
 
@@ -284,13 +284,13 @@
 	router->lookup.round_trip_ms += ((double)(now - request->lookup_sent_at_ms) - router->lookup.round_trip_ms) / 8;
 	router->stats.lookups_used += request->lookup_state == LOOKUP_PENDING;
 	learn_cached_prefixes(router, request, reply);
-	for (size_t i = 0; i < reply->n_load; i++) {
-		const struct Nl__ServerLoad *load = reply->load[i];
+	for (size_t i = 0; i < reply->n_loads; i++) {
+		const struct Nl__ServerLoad *load = reply->loads[i];
 		ptrdiff_t at = hmgeti(router->server_by_hash, load->server);
 
 		if (at >= 0)
 			router_load_learn(router, router->server_by_hash[at].value,
-					  &(struct load_cell){ load->ahead, load->running, load->tokens });
+					  &(struct load_cell){ load->prefill_tokens, load->running_requests, load->memory_tokens });
 	}
 	request->lookup_state = LOOKUP_ANSWERED;
 	router->next_dispatch_at_ms = 0;
--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -43,20 +43,20 @@
 
 /* Ask the part's owner, as far as it is known; whom. */
 static uint64_t claim_msg(struct router *router, uint32_t service, uint32_t tenant, const char *id, uint64_t seq, int release,
-			  uint64_t token, struct out *out)
+			  uint64_t token, struct command_list *out)
 {
 	uint32_t shard = router_shard_of(router, service);
 	uint64_t leader_addr = config_watch_leader_addr(&router->config_watch, shard);
-	struct Nl__Propose *propose = OUT_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
-
-	propose->op = OUT_NEW(out, Nl__Op, NL__OP__INIT);
-	propose->op->op_case = NL__OP__OP_CLAIM;
-	propose->op->claim = OUT_NEW(out, Nl__Claim, NL__CLAIM__INIT);
-	propose->op->claim->tenant = apr_pstrdup(out->pool, router->tenant_names.names[tenant]);
-	propose->op->claim->id = apr_pstrdup(out->pool, id);
-	propose->op->claim->by = router->id;
-	propose->op->claim->seq = seq;
-	propose->op->claim->release = release;
+	struct Nl__Propose *propose = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+
+	propose->operation = MESSAGE_NEW(out, Nl__Operation, NL__OPERATION__INIT);
+	propose->operation->body_case = NL__OPERATION__BODY_CLAIM;
+	propose->operation->claim = MESSAGE_NEW(out, Nl__Claim, NL__CLAIM__INIT);
+	propose->operation->claim->tenant = apr_pstrdup(out->pool, router->tenant_names.names[tenant]);
+	propose->operation->claim->id = apr_pstrdup(out->pool, id);
+	propose->operation->claim->router_id = router->id;
+	propose->operation->claim->seq = seq;
+	propose->operation->claim->release = release;
 	propose->token = token;
 	router->stats.claims++;
 	command_send(out, leader_addr, shard, NL__MSG__BODY_PROPOSE)->propose = propose;
@@ -70,14 +70,14 @@
 		config_watch_miss(&router->config_watch, router_shard_of(router, service));
 }
 
-void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct out *out)
+void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	request->claim_sent_at_ms = now;
 	request->claim_leader_addr = claim_msg(router, request->service_index, request->tenant_index, request->id, request->seq, 0, request->claim_token, out);
 }
 
 /* The id may be used again: said until the part has heard it. */
-void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct out *out)
+void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct command_list *out)
 {
 	struct claim_release router_release = {
 		router_token_new(router), request->seq, 0, request->service_index, request->tenant_index, strdup(request->id), now, now + ROUTER_CLAIM_RELEASE_MAX_MS
@@ -93,7 +93,7 @@
 	arrdelswap(router->claim_releases, i);
 }
 
-void router_releases_tick(struct router *router, int64_t now, struct out *out)
+void router_releases_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(router->claim_releases) - 1; i >= 0; i--) {
 		struct claim_release *router_release = &router->claim_releases[i];
@@ -285,7 +285,7 @@
 }
 
 /* What is used and wanted of each limit; where a line lacks places, its owner is asked at once, though not each time. */
-void router_request_slots(struct router *router, int64_t now, struct out *out)
+void router_request_slots(struct router *router, int64_t now, struct command_list *out)
 {
 	struct config_watch *watch = &router->config_watch;
 	int lacks_slots = 0;
@@ -345,7 +345,7 @@
 
 /* Heads of lines go on while there are places: by class, then by share. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-void router_dispatch(struct router *router, int64_t now, struct out *out)
+void router_dispatch(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -64,11 +64,11 @@
 				const struct cache_scope *bk_scope = k ? &router->route_table->scopes[k - 1] : NULL;
 				uint64_t *newest = &router->retention_generations[k * PURGE_SLICES + purge->slice];
 
-				if (purge->number > *newest &&
-				    (bk_scope ? (!purge->lane[0] || !bk_scope->route_name[0] || !strcmp(purge->lane, bk_scope->route_name)) &&
+				if (purge->purge_number > *newest &&
+				    (bk_scope ? (!purge->route[0] || !bk_scope->route_name[0] || !strcmp(purge->route, bk_scope->route_name)) &&
 					     (!purge->tenant[0] || !bk_scope->tenant_name[0] || !strcmp(purge->tenant, bk_scope->tenant_name))
-				       : !purge->lane[0] && !purge->tenant[0]))
-					*newest = purge->number;
+				       : !purge->route[0] && !purge->tenant[0]))
+					*newest = purge->purge_number;
 			}
 		}
 	}
@@ -112,25 +112,25 @@
 	for (ptrdiff_t i = hmlen(router->usage) - 1; i >= 0 && purge->slice == PURGE_SLICES - 1; i--) {
 		uint64_t key = router->usage[i].key;
 
-		if ((!purge->lane[0] || !strcmp(purge->lane, router->route_names.names[key >> 32])) &&
+		if ((!purge->route[0] || !strcmp(purge->route, router->route_names.names[key >> 32])) &&
 		    (!purge->tenant[0] || !strcmp(purge->tenant, router->tenant_names.names[key & UINT32_MAX])))
 			(void)hmdel(router->usage, key);
 	}
 }
 
-static void remainder_add(struct router *router, struct Nl__Left **remainders, uint32_t server, uint64_t scope, uint64_t number, uint32_t blocks)
+static void remainder_add(struct router *router, struct Nl__CacheRemainder **remainders, uint32_t server, uint64_t scope, uint64_t number, uint32_t blocks)
 {
-	struct Nl__Left remainder = NL__LEFT__INIT, *found = *remainders;
+	struct Nl__CacheRemainder remainder = NL__CACHE_REMAINDER__INIT, *found = *remainders;
 
 	for (ptrdiff_t i = 0; i < arrlen(found); i++)
-		if (found[i].scope == scope && found[i].number == number && found[i].server == router->server_names.names[server]) {
-			found[i].parts += blocks;
+		if (found[i].scope == scope && found[i].purge_number == number && found[i].server == router->server_names.names[server]) {
+			found[i].block_count += blocks;
 			return;
 		}
 	remainder.server = router->server_names.names[server];
 	remainder.scope = scope;
-	remainder.number = number;
-	remainder.parts = blocks;
+	remainder.purge_number = number;
+	remainder.block_count = blocks;
 	if (arrlen(found) < RETENTION_MAX_REMAINDERS)
 		arrput(*remainders, remainder);
 }
@@ -152,7 +152,7 @@
 }
 
 /* Servers that have not said since what they keep. Our own interface's say at once what a clearing withdrew there. */
-static void remainders_of_servers(struct router *router, struct Nl__Left **remainders, int64_t now)
+static void remainders_of_servers(struct router *router, struct Nl__CacheRemainder **remainders, int64_t now)
 {
 	for (uint32_t s = 0; s < router->server_table->server_count; s++) { /* 0 parts: it is not known what it keeps */
 		const struct router_server_state *server = &router->servers[s];
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -52,7 +52,7 @@
 static void route_table_names(struct router *router, const struct Nl__Row *row)
 {
 	switch (row->kind) {
-	case NL__KIND__LANE:
+	case NL__KIND__ROUTE:
 		names_id(&router->route_names, row->name);
 		names_id(&router->service_names, row->service);
 		for (size_t k = 0; k < row->n_split; k++)
@@ -62,9 +62,9 @@
 	case NL__KIND__KEY: names_id(&router->tenant_names, row->tenant); break;
 	case NL__KIND__SERVICE:
 		names_id(&router->service_names, row->name);
-		names_id(&router->weights_names, row->weights);
+		names_id(&router->weights_names, row->target_weights);
 		break;
-	case NL__KIND__MODEL: names_id(&router->weights_names, row->weights); break;
+	case NL__KIND__MODEL: names_id(&router->weights_names, row->target_weights); break;
 	default: break;
 	}
 }
@@ -80,16 +80,16 @@
 
 	*l = (struct route_config){ 1,
 			       row->resumable,
-			       row->repeatable,
-			       row->vouched,
-			       row->open,
+			       row->idempotent,
+			       row->client_deduplicates,
+			       row->key_optional,
 			       names_id(&c->service_names, row->service),
-			       row->prio,
+			       row->priority,
 			       row->limit,
-			       row->aim,
-			       row->pause,
-			       row->timeout,
-			       row->attempts,
+			       row->latency_target_ms,
+			       row->max_gap_ms,
+			       row->timeout_ms,
+			       row->max_attempts,
 			       apr_pstrdup(routes->pool, row->host),
 			       apr_pstrdup(routes->pool, row->path),
 			       split,
@@ -105,16 +105,16 @@
 static void service_row(struct router *c, struct route_table *routes, const struct Nl__Row *declared)
 {
 	const struct Nl__Row *row = declared->model[0] ? config_table_get(&c->config_watch.table, NL__KIND__MODEL, declared->model) : NULL;
-	uint32_t id = names_id(&c->service_names, declared->name), target = names_id(&c->weights_names, row ? row->weights : declared->weights);
+	uint32_t id = names_id(&c->service_names, declared->name), target = names_id(&c->weights_names, row ? row->target_weights : declared->target_weights);
 	struct service_config *config = &routes->services[id];
 
-	*config = (struct service_config){ 1,        target,      declared->prefill, declared->kv_bytes, declared->link, declared->store,
-				  declared->slots, declared->watches, declared->conns,   declared->room,     -1,      NULL };
+	*config = (struct service_config){ 1,        target,      declared->prefill_tokens_per_ms, declared->kv_bytes_per_token, declared->link_bytes_per_ms, declared->store_bytes_per_ms,
+				  declared->slots, declared->max_watches, declared->max_connections,   declared->capacity_tokens,     -1,      NULL };
 	if (row)
 		config->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &row->base);
-	if (declared->addr[0] && !declared->store && c->bounds.discover_instances) /* a store itself, not a service that has one */
+	if (declared->addr[0] && !declared->store_bytes_per_ms && c->bounds.discover_instances) /* a store itself, not a service that has one */
 		routes->stores[routes->store_count++] = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
-	if (declared->addr[0] && declared->store)
+	if (declared->addr[0] && declared->store_bytes_per_ms)
 		config->store_server = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
 }
 
@@ -156,11 +156,11 @@
 		const char *slash;
 
 		switch (row->kind) {
-		case NL__KIND__LANE: lane_row(router, routes, row); break;
+		case NL__KIND__ROUTE: lane_row(router, routes, row); break;
 		case NL__KIND__TENANT:
-			routes->tenants[names_id(&router->tenant_names, row->name)] = (struct tenant_config){ 1, row->walled, row->share, row->limit, row->rank };
+			routes->tenants[names_id(&router->tenant_names, row->name)] = (struct tenant_config){ 1, row->isolated, row->share, row->limit, row->priority_class };
 			routes->has_limits |= row->limit != 0;
-			if (row->walled)
+			if (row->isolated)
 				routes->isolation_hash += core_hash_string(29, row->name); /* a sum: the order of rows does not matter */
 			break;
 		case NL__KIND__KEY:
@@ -169,11 +169,11 @@
 			break;
 		case NL__KIND__SERVICE: service_row(router, routes, row); break;
 		case NL__KIND__RETENTION: router_scope_row(router, routes, row); break;
-		case NL__KIND__DOOR:
-			routes->listener.max_head_bytes = row->head_bytes;
-			routes->listener.max_body_bytes = row->body_bytes;
-			routes->listener.head_timeout_ms = row->head_ms;
-			routes->listener.idle_timeout_ms = row->idle_ms;
+		case NL__KIND__LISTENER:
+			routes->listener.max_head_bytes = row->max_head_bytes;
+			routes->listener.max_body_bytes = row->max_body_bytes;
+			routes->listener.head_timeout_ms = row->head_timeout_ms;
+			routes->listener.idle_timeout_ms = row->idle_timeout_ms;
 			break;
 		case NL__KIND__SHARE:
 			routes->has_limits = 1;
@@ -226,7 +226,7 @@
 		state->listed_weights = (uint32_t)weights;
 	}
 	if (!state->is_known)
-		state->unavailable_until_ms = now + (instance->cold_ms > 2000 ? 2000 : instance->cold_ms);
+		state->unavailable_until_ms = now + (instance->warm_up_ms > 2000 ? 2000 : instance->warm_up_ms);
 	state->is_known = 1;
 	state->is_loading = instance->loading;
 	state->slots = instance->slots ? (int)instance->slots : 1;
@@ -235,7 +235,7 @@
 /* Whether a service's row stands for a store: where stores have rows of their own those do, else each service's address. */
 static int store_row(const struct router *router, const struct Nl__Row *row)
 {
-	return row->addr[0] && (router->route_table->store_count ? !row->store : row->store != 0);
+	return row->addr[0] && (router->route_table->store_count ? !row->store_bytes_per_ms : row->store_bytes_per_ms != 0);
 }
 
 struct server_table *router_server_table_new(struct router *router, int64_t now)
--- a/lib/data/router_send.c
+++ b/lib/data/router_send.c
@@ -42,7 +42,7 @@
 
 /* The one place where an exchange leaves for a server. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-static void send_to(struct router *c, struct client_request *request, const struct plan *plan, int64_t now, struct out *o)
+static void send_to(struct router *c, struct client_request *request, const struct plan *plan, int64_t now, struct command_list *o)
 {
 	const struct route_table *routes = c->route_table;
 	struct router_server_state *server = &c->servers[plan->server_index];
@@ -159,12 +159,12 @@
 
 /* The text goes from the door; here is whom to, and what for. */
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-void router_forward(struct router *router, struct client_request *request, const struct plan *plan, int64_t now, struct out *out)
+void router_forward(struct router *router, struct client_request *request, const struct plan *plan, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	const struct server_config *config = &router->server_table->servers[plan->server_index];
 	struct router_server_state *server = &router->servers[plan->server_index];
-	struct forward *forward = apr_pcalloc(out->pool, sizeof *forward);
+	struct forward_command *forward = apr_pcalloc(out->pool, sizeof *forward);
 	int current = relay_is_current(&router->relay, now);
 	int64_t last_send;
 
@@ -231,7 +231,7 @@
 		count_send(router, request, plan, now);
 }
 
-void router_send_claimed(struct router *router, struct client_request *request, int64_t now, struct out *out)
+void router_send_claimed(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	struct plan plan = { .server_index = -1, .fetch_source = -1 };
 
@@ -267,14 +267,14 @@
 		config_watch_hint(&router->config_watch, router_shard_of(router, service), hint == from ? 0 : hint);
 }
 
-void router_on_answer(struct router *router, const struct Nl__Answer *answer, uint64_t from, int64_t now, struct out *out)
+void router_on_answer(struct router *router, const struct Nl__ProposeReply *answer, uint64_t from, int64_t now, struct command_list *out)
 {
 	struct client_request *request = router_request_by_token(router, answer->token);
 
 	for (ptrdiff_t i = 0; i < arrlen(router->claim_releases); i++)
 		if (router->claim_releases[i].token == answer->token) {
 			if (answer->status == PROPOSAL_NOT_LEADER) {
-				claim_hint(router, router->claim_releases[i].service, router->claim_releases[i].leader_addr, from, answer->hint);
+				claim_hint(router, router->claim_releases[i].service, router->claim_releases[i].leader_addr, from, answer->leader_hint);
 				router->claim_releases[i].sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + 50;
 				router->claim_releases[i].leader_addr = 0;
 			} else if (answer->status != PROPOSAL_OUTCOME_UNKNOWN) {
@@ -291,7 +291,7 @@
 		router_send_claimed(router, request, now, out);
 		break;
 	case PROPOSAL_NOT_LEADER:
-		claim_hint(router, request->service_index, request->claim_leader_addr, from, answer->hint);
+		claim_hint(router, request->service_index, request->claim_leader_addr, from, answer->leader_hint);
 		request->claim_leader_addr = 0;                               /* it did answer */
 		request->claim_sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + 20; /* ask the one named, soon */
 		break;
@@ -300,7 +300,7 @@
 	}
 }
 
-static void whole(struct router *router, struct client_request *request, int64_t now, struct out *out)
+static void whole(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	struct router_server_state *v = &router->servers[request->server_index];
 	const char *body =
@@ -321,7 +321,7 @@
 }
 
 /* One line of a server's stream: bound to this send, in order, else it is no answer. */
-void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text, int64_t now, struct out *out)
+void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text, int64_t now, struct command_list *out)
 {
 	struct json_object *json = router_read_json(router, text), *v, *n, *t;
 	struct command *command;
@@ -375,7 +375,7 @@
 }
 
 void router_on_done(struct router *router, struct client_request *request, const typeof(((struct router_event *)0)->u.call_ended) *result, int64_t now,
-		    struct out *out)
+		    struct command_list *out)
 {
 	(void)hmdel(router->requests_by_token, request->call_token);
 	request->call_token = 0;
@@ -489,7 +489,7 @@
 }
 
 /* Its server has nothing more to do with a request: another one may have it, or it ends. never: it surely has not run there. */
-static void retry_or_end(struct router *router, struct client_request *request, int never, int64_t now, struct out *out)
+static void retry_or_end(struct router *router, struct client_request *request, int never, int64_t now, struct command_list *out)
 {
 	release_server(router, request, now);
 	if (!never && !may_retry(request)) {
@@ -503,7 +503,7 @@
 	}
 }
 
-void router_on_ended(struct router *router, struct client_request *request, const struct forward_result *ended, int64_t now, struct out *out)
+void router_on_ended(struct router *router, struct client_request *request, const struct forward_result *ended, int64_t now, struct command_list *out)
 {
 	uint32_t server_index = (uint32_t)request->server_index;
 	int unreached = ended->end == FORWARD_NOT_STARTED && !ended->status && !ended->wrong_incarnation;
@@ -533,7 +533,7 @@
 	retry_or_end(router, request, ended->end == FORWARD_NOT_STARTED && !request->has_begun, now, out);
 }
 
-void router_recall(struct router *router, struct client_request *request, int64_t now, struct out *out)
+void router_recall(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
 {
 	command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
 	(void)hmdel(router->requests_by_token, request->call_token);
--- a/lib/data/router_watch.c
+++ b/lib/data/router_watch.c
@@ -82,10 +82,10 @@
 }
 
 /* A relay looks for its zone: what it saw goes to its downstreams as it came. */
-void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct out *out)
+void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++) {
-		struct Nl__Report *report = OUT_NEW(out, Nl__Report, NL__REPORT__INIT);
+		struct Nl__Report *report = MESSAGE_NEW(out, Nl__Report, NL__REPORT__INIT);
 
 		report->server = apr_pstrdup(out->pool, router->server_names.names[server_index]);
 		report->body.len = strlen(body);
@@ -94,7 +94,7 @@
 	}
 }
 
-void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct out *out)
+void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct command_list *out)
 {
 	int server_index = names_find(&router->server_names, report->server);
 
@@ -105,7 +105,7 @@
 	router_on_report(router, (uint32_t)server_index, apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
 
-void router_poll_reports(struct router *router, int64_t now, struct out *out)
+void router_poll_reports(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct server_table *servers = router->server_table;
 
@@ -145,7 +145,7 @@
 
 	if (replica->stamp_tick >= withdrawn->value->tick)
 		return 0;
-	switch (purge->why) {
+	switch (purge->reason) {
 	case PURGE_WEIGHTS:
 		return !strcmp(router->service_names.names[replica->service_index], purge->service) && !strcmp(router->weights_names.names[replica->weights_hash], purge->weights);
 	case PURGE_CONTEXT: /* what is forwarded is filed under another name from now on; its old names go as servers say */
@@ -159,9 +159,9 @@
 {
 	struct purge_match withdrawn = { ctx, value };
 
-	if (value->purge && value->purge->why == PURGE_TENANT && value->tick > withdrawn.router->isolation_tick)
+	if (value->purge && value->purge->reason == PURGE_TENANT && value->tick > withdrawn.router->isolation_tick)
 		withdrawn.router->isolation_tick = value->tick;
-	if (value->purge && value->purge->why == PURGE_CONTEXT)
+	if (value->purge && value->purge->reason == PURGE_CONTEXT)
 		router_on_context_purge(withdrawn.router, value, withdrawn.router->now);
 	prefix_index_remove_if(&withdrawn.router->prefix_index, is_purged, &withdrawn);
 }
@@ -179,7 +179,7 @@
 	return 1 + (int)(room / (int64_t)(router->average_full_watch_bytes + 1));
 }
 
-static void watch_server(struct router *router, uint32_t server_index, int64_t now, struct out *out)
+static void watch_server(struct router *router, uint32_t server_index, int64_t now, struct command_list *out)
 {
 	struct router_server_state *server = &router->servers[server_index];
 	struct command *command = command_add(out, CMD_WATCH_CACHE);
@@ -196,7 +196,7 @@
 }
 
 /* The head of a zone's relays watches each server for its zone; what it hears goes down the way purges go. */
-void router_watch_caches(struct router *router, int64_t now, struct out *out)
+void router_watch_caches(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct server_table *servers = router->server_table;
 	int first = 0, most = max_full_watches(router);
@@ -217,9 +217,9 @@
 }
 
 /* What a first answer brings, as they went lately. */
-static void learn_full_watch_size(struct router *router, const struct Nl__Kept *update)
+static void learn_full_watch_size(struct router *router, const struct Nl__CacheUpdate *update)
 {
-	double bytes = ROUTER_CACHE_EVENT_BYTES * (double)update->n_e;
+	double bytes = ROUTER_CACHE_EVENT_BYTES * (double)update->n_events;
 
 	router->average_full_watch_bytes += (bytes - router->average_full_watch_bytes) / 4;
 }
@@ -240,7 +240,7 @@
 }
 
 /* Of one server: what it keeps now, and no longer. Events that were missed make all that is known of it doubtful. */
-void router_on_cache_update(struct router *router, const struct Nl__Kept *update, int64_t now)
+void router_on_cache_update(struct router *router, const struct Nl__CacheUpdate *update, int64_t now)
 {
 	int server_index = names_find(&router->server_names, update->server);
 	struct router_server_state *server;
@@ -249,31 +249,31 @@
 		return;
 	server = &router->servers[server_index];
 	server->cache_update_at_ms = now;
-	if (update->lost || (server->cache_epoch && server->cache_epoch != update->epoch))
+	if (update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch))
 		prefix_index_remove_unreported(&router->prefix_index, (uint32_t)server_index, UINT64_MAX);
 	server->cache_epoch = update->epoch;
-	if (!update->n_held || update->next > server->next_cache_event)
-		server->next_cache_event = update->next;
-	for (size_t i = 0; i < update->n_held && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
+	if (!update->n_present || update->next_offset > server->next_cache_event)
+		server->next_cache_event = update->next_offset;
+	for (size_t i = 0; i < update->n_present && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
 		struct block_replica replica = { (uint32_t)server_index, 0, router->server_table->servers[server_index].service_index, server->weights, 0, 0 };
 
-		prefix_index_put(&router->prefix_index, update->held[i], &replica);
+		prefix_index_put(&router->prefix_index, update->present[i], &replica);
 	}
-	for (size_t i = 0; i < update->n_e; i++) {
-		uint64_t key = router_block_key(core_hash_string(0, update->e[i]->cache_namespace), update->e[i]->id);
+	for (size_t i = 0; i < update->n_events; i++) {
+		uint64_t key = router_block_key(core_hash_string(0, update->events[i]->cache_namespace), update->events[i]->block_hash);
 
-		if (update->e[i]->gone)
+		if (update->events[i]->evicted)
 			block_removed(router, (uint32_t)server_index, key);
 		else
-			block_added(router, (uint32_t)server_index, key, router_namespace_key_from_text(update->e[i]->cache_namespace));
+			block_added(router, (uint32_t)server_index, key, router_namespace_key_from_text(update->events[i]->cache_namespace));
 	}
 	for (size_t i = 0; i < update->n_added; i++)
-		block_added(router, (uint32_t)server_index, update->added[i], i < update->n_added_filed ? update->added_filed[i] : 0);
+		block_added(router, (uint32_t)server_index, update->added[i], i < update->n_added_namespace_keys ? update->added_namespace_keys[i] : 0);
 	for (size_t i = 0; i < update->n_removed; i++)
 		block_removed(router, (uint32_t)server_index, update->removed[i]);
 }
 
-void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__Kept *update, int status, int64_t now)
+void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update, int status, int64_t now)
 {
 	for (uint32_t server_index = 0; router->server_table && server_index < router->server_table->server_count; server_index++) {
 		struct router_server_state *server = &router->servers[server_index];
@@ -288,10 +288,10 @@
 		}
 		if (server->watch_is_full)
 			learn_full_watch_size(router, update);
-		server->cache_listed = server->watch_is_full || (server->cache_listed && !update->lost);
+		server->cache_listed = server->watch_is_full || (server->cache_listed && !update->events_lost);
 		router_feed_add(router, server_index, update);
 		router_on_cache_update(router, update, now);
-		if (update->lost && !server->watch_is_full)
+		if (update->events_lost && !server->watch_is_full)
 			server->next_cache_event = 0; /* events were missed: all that it keeps is asked for */
 		return;
 	}
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -17,14 +17,14 @@
 int64_t router_weights_end(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
 {
 	const struct Nl__Row *model = router->route_table->services[service].model_row;
-	const struct Nl__Naming *newer;
+	const struct Nl__TargetVersion *newer;
 	int64_t clock;
 
 	if (!model || weights == router->route_table->services[service].target_weights || !version_history_supersedes(model, weights_number(router, weights)))
 		return INT64_MAX;
 	newer = version_history_after(model, weights_number(router, weights));
 	clock = newer ? config_watch_clock_ms(&router->config_watch, newer->term, now) : 0;
-	return clock ? (int64_t)newer->at + router->bounds.rollout_ms - clock + now : INT64_MIN; /* not known: the oldest date possible counts */
+	return clock ? (int64_t)newer->targeted_at_ms + router->bounds.rollout_ms - clock + now : INT64_MIN; /* not known: the oldest date possible counts */
 }
 
 int64_t router_weights_last_send(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
@@ -59,15 +59,15 @@
 	for (uint32_t i = 0; router->log && i < router->route_table->service_count; i++) {
 		const struct Nl__Row *model = router->route_table->services[i].model_row;
 		const struct Nl__Row *before = old && i < old->service_count ? old->services[i].model_row : NULL;
-		const struct Nl__Naming *newest;
+		const struct Nl__TargetVersion *newest;
 		char text[200];
 
-		if (!model || !model->n_naming || (before && !strcmp(before->weights, model->weights)))
+		if (!model || !model->n_target_versions || (before && !strcmp(before->target_weights, model->target_weights)))
 			continue;
-		newest = model->naming[model->n_naming - 1];
+		newest = model->target_versions[model->n_target_versions - 1];
 		snprintf(text, sizeof text, "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
-			 model->weights, router->service_names.names[i], config_watch_clock_ms(&router->config_watch, newest->term, now) - (int64_t)newest->at,
-			 model->n_naming);
+			 model->target_weights, router->service_names.names[i], config_watch_clock_ms(&router->config_watch, newest->term, now) - (int64_t)newest->targeted_at_ms,
+			 model->n_target_versions);
 		router->log(router->log_context, "weights", text);
 	}
 }
@@ -114,7 +114,7 @@
 
 /* A send that waits at its server for longer than was reckoned must not begin after its weights' bound. It is cancelled in time, and
  * goes to another server if it may. */
-void router_weights_recall(struct router *router, int64_t now, struct out *out)
+void router_weights_recall(struct router *router, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
 		struct client_request *request = router->requests[i];
--- a/lib/shell/net.c
+++ b/lib/shell/net.c
@@ -345,7 +345,7 @@
 		message = nl__msg__unpack(NULL, len, b + 4);
 		if (!message)
 			return 0;
-		if (message->speak != CORE_SPEAK) {
+		if (message->protocol_version != CORE_PROTOCOL_VERSION) {
 			nl__msg__free_unpacked(message, NULL);
 			return 0;
 		}
@@ -500,9 +500,9 @@
 static int is_bulk(const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
-	case NL__MSG__BODY_SNAPSHOT_PIECE:
-	case NL__MSG__BODY_KEPT_ALL: return 1;
-	case NL__MSG__BODY_APPEND: return message->append->n_e > 0;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
+	case NL__MSG__BODY_CACHE_UPDATE_BATCH: return 1;
+	case NL__MSG__BODY_APPEND: return message->append->n_entries > 0;
 	default: return 0;
 	}
 }
--- a/lib/shell/shell.h
+++ b/lib/shell/shell.h
@@ -182,7 +182,7 @@
 	struct api_server *api_server;
 	struct call *server_calls;
 	struct storage *storage;
-	struct out commands;
+	struct command_list commands;
 	uint64_t address;
 	int64_t stop_deadline_ms;
 	int stopping;
@@ -191,7 +191,7 @@
 struct process_handlers {
 	void *context;
 	/* e is NULL for a tick */
-	void (*step)(void *ctx, const struct shell_event *e, int64_t now, struct out *o);
+	void (*step)(void *ctx, const struct shell_event *e, int64_t now, struct command_list *o);
 	int (*is_idle)(void *ctx);     /* while stopping: nothing is under way any more */
 	int64_t (*streams_valid_until)(void *ctx); /* until when streams may go on; NULL: for ever */
 	/* Settings of another form were read anew; they live until it returns. NULL: nothing of them can change. */
--- a/rehearsal/hollow.c
+++ b/rehearsal/hollow.c
@@ -40,7 +40,7 @@
 	char zone[16];
 	struct router *router;
 	struct controller *controller;
-	struct out commands;
+	struct command_list commands;
 	uint64_t sync_count, disk_bytes;
 	struct tally tallies[SLOT_COUNT];
 	struct {
@@ -521,7 +521,7 @@
 }
 
 /* A request whose text stays at the door: of its send the core hears the first piece and the end. */
-static void forward(struct fleet *f, struct node *n, const struct forward *w)
+static void forward(struct fleet *f, struct node *n, const struct forward_command *w)
 {
 	struct server *server = server_at(f, w->addr);
 	struct run run = { .node_index = n->index, .incarnation = n->incarnation, .token = w->call_token };
@@ -566,8 +566,8 @@
 {
 	struct server *server = &f->servers[e->server];
 	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
-	struct Nl__Kept k = NL__KEPT__INIT;
-	struct Nl__KeptEvent *cache_event, **pe;
+	struct Nl__CacheUpdate k = NL__CACHE_UPDATE__INIT;
+	struct Nl__CacheEvent *cache_event, **pe;
 	struct watch watcher;
 	ptrdiff_t i = 0;
 
@@ -581,24 +581,24 @@
 		return;
 	k.server = server->name;
 	k.epoch = 1;
-	k.next = (uint64_t)arrlen(server->cache_events);
-	k.n_e = (size_t)(k.next - watcher.since);
-	k.e = pe = calloc(k.n_e + 1, sizeof *pe);
-	cache_event = calloc(k.n_e + 1, sizeof *cache_event);
-	for (size_t q = 0; q < k.n_e; q++) {
+	k.next_offset = (uint64_t)arrlen(server->cache_events);
+	k.n_events = (size_t)(k.next_offset - watcher.since);
+	k.events = pe = calloc(k.n_events + 1, sizeof *pe);
+	cache_event = calloc(k.n_events + 1, sizeof *cache_event);
+	for (size_t q = 0; q < k.n_events; q++) {
 		const struct kept_event *x = &server->cache_events[watcher.since + q];
 
-		nl__kept_event__init(&cache_event[q]);
-		cache_event[q].gone = x->removed;
+		nl__cache_event__init(&cache_event[q]);
+		cache_event[q].evicted = x->removed;
 		cache_event[q].cache_namespace = f->namespace_names[x->cache_namespace];
-		cache_event[q].id = x->id;
+		cache_event[q].block_hash = x->id;
 		cache_event[q].tokens = 64;
 		pe[q] = &cache_event[q];
 	}
 	event.u.cache_watched.token = watcher.token;
 	event.u.cache_watched.update = &k;
 	event.u.cache_watched.status = 200;
-	hear(n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 120 + 45 * k.n_e); /* as text */
+	hear(n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 120 + 45 * k.n_events); /* as text */
 	router_do(f, n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, &event);
 	free(cache_event);
 	free(pe);
@@ -1491,14 +1491,14 @@
 	const struct scale_model_settings *settings = &fleet->settings;
 	int64_t n = settings->cached_blocks < 200000 ? settings->cached_blocks : 200000;
 	struct prefix_index k = { 0 };
-	struct view view = { 0 };
+	struct purge_view view = { 0 };
 	struct config_table tab;
 	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 	enum { EVENTS = 100 }; /* of one message */
 	uint64_t keys[EVENTS];
-	struct Nl__Kept update = NL__KEPT__INIT;
-	struct Nl__KeptAll batch = NL__KEPT_ALL__INIT;
-	struct Nl__Kept *one = &update;
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
+	struct Nl__CacheUpdateBatch batch = NL__CACHE_UPDATE_BATCH__INIT;
+	struct Nl__CacheUpdate *one = &update;
 	struct Nl__Msg message = NL__MSG__INIT;
 	apr_pool_t *pool;
 	size_t was = heap_bytes(), bytes;
@@ -1520,10 +1520,10 @@
 	prefix_index_clear(&k);
 	for (int i = 0; i < EVENTS; i++)
 		keys[i] = core_random(&fleet->rng);
-	message.body_case = NL__MSG__BODY_KEPT_ALL;
-	message.kept_all = &batch;
-	batch.n_k = 1;
-	batch.k = &one;
+	message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
+	message.cache_update_batch = &batch;
+	batch.n_updates = 1;
+	batch.updates = &one;
 	update.server = "s1000";
 	update.n_added = EVENTS;
 	update.added = keys;
@@ -1543,7 +1543,7 @@
 		char name[20];
 
 		snprintf(name, sizeof name, "t%d", i);
-		purge.why = PURGE_TENANT;
+		purge.reason = PURGE_TENANT;
 		purge.tenant = name;
 		value.tick = 1;
 		value.purge = &purge;
@@ -1555,7 +1555,7 @@
 	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config_watch.table, 0, &all, pool);
 	was = heap_bytes();
 	config_table_open(&tab);
-	all.whole = 1;
+	all.full = 1;
 	if (config_table_follow(&tab, &all) && all.n_set)
 		row(result, (double)(heap_bytes() - was) / (double)all.n_set, (double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
 	config_table_close(&tab);
--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -91,7 +91,7 @@
 
 struct node {
 	struct router router;
-	struct out out;
+	struct command_list out;
 	int silent;
 };
 
@@ -432,40 +432,40 @@
 		instances[s] = instance_of(engines, s, pool);
 	service.kind = NL__KIND__SERVICE;
 	service.name = "pool";
-	service.weights = apr_psprintf(pool, "%d", engines->target_weights);
-	service.prefill = (uint32_t)engines->settings.prefill_tokens_per_ms;
-	service.kv_bytes = 1;
-	service.link = (uint32_t)(engines->settings.prefill_tokens_per_ms * MOVE_TIMES);
-	service.room = engines->settings.capacity_tokens;
+	service.target_weights = apr_psprintf(pool, "%d", engines->target_weights);
+	service.prefill_tokens_per_ms = (uint32_t)engines->settings.prefill_tokens_per_ms;
+	service.kv_bytes_per_token = 1;
+	service.link_bytes_per_ms = (uint32_t)(engines->settings.prefill_tokens_per_ms * MOVE_TIMES);
+	service.capacity_tokens = engines->settings.capacity_tokens;
 	for (int k = 0; k < ENGINE_KINDS; k++) {
 		nl__row__init(&route[k]);
-		route[k].kind = NL__KIND__LANE;
+		route[k].kind = NL__KIND__ROUTE;
 		route[k].name = apr_psprintf(pool, "lane%d", k);
 		route[k].service = "pool";
 		route[k].host = "h";
 		route[k].path = apr_psprintf(pool, "/%d/", k);
 		route[k].limit = MAX_WAITING;
-		route[k].repeatable = 1;
-		route[k].attempts = 3;
-		route[k].aim = (uint32_t)engines->settings.kind[k].latency_target_ms;
+		route[k].idempotent = 1;
+		route[k].max_attempts = 3;
+		route[k].latency_target_ms = (uint32_t)engines->settings.kind[k].latency_target_ms;
 		rows[1 + k] = &route[k];
 	}
 	config_watch_poll(&engines->nodes[i].router.config_watch, 0, engines->now, &engines->nodes[i].out);
 	command_list_clear(&engines->nodes[i].out);
 	reply.token = engines->nodes[i].router.config_watch.last_token;
-	reply.has_lease = reply.whole = reply.instances_whole = 1;
-	reply.fleet = 7;
-	reply.edition = reply.instances = engines->revision;
+	reply.has_lease = reply.full = reply.instances_full = 1;
+	reply.fleet_id = 7;
+	reply.revision = reply.instances_stamp = engines->revision;
 	reply.set = rows;
 	reply.n_set = 1 + ENGINE_KINDS;
-	reply.instance = instances;
-	reply.n_instance = ENGINE_SERVERS;
-	reply.counters = 64; /* words between routers are as rare as in a large fleet */
-	reply.clock = (uint64_t)engines->now;
+	reply.instances = instances;
+	reply.n_instances = ENGINE_SERVERS;
+	reply.router_count = 64; /* words between routers are as rare as in a large fleet */
+	reply.group_clock_ms = (uint64_t)engines->now;
 	reply.clock_term = 1;
-	msg.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	msg.speak = CORE_SPEAK;
-	msg.follow_reply = &reply;
+	msg.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	msg.protocol_version = CORE_PROTOCOL_VERSION;
+	msg.config_sync_reply = &reply;
 	msg.addr = msg.id = 1;
 	event.u.message = &msg;
 	node_step(engines, i, &event);
@@ -545,7 +545,7 @@
 
 /* ---- what routers do ------------------------------------------------------------------------------ */
 
-static void forwarded(struct engine_sim *engines, int i, const struct forward *f)
+static void forwarded(struct engine_sim *engines, int i, const struct forward_command *f)
 {
 	ptrdiff_t at = hmgeti(engines->requests, at_router(i, f->client_token));
 	struct happening happening = { .kind = HAPPENS_ARRIVES, .router = i, .server = atoi(f->server + 2), .call = f->call_token };
@@ -584,7 +584,7 @@
 
 static void perform(struct engine_sim *w, int i)
 {
-	struct out *out = &w->nodes[i].out;
+	struct command_list *out = &w->nodes[i].out;
 
 	for (ptrdiff_t n = 0; n < arrlen(out->commands); n++) {
 		const struct command *k = &out->commands[n];
@@ -620,28 +620,28 @@
 static void answer_watch(struct engine_sim *engines, const struct watch *watch)
 {
 	struct engine *engine = &engines->engines[watch->server];
-	struct Nl__Kept update = NL__KEPT__INIT;
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
 	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, engines->pool);
 	update.server = apr_psprintf(pool, "i-%d", watch->server);
 	update.epoch = 1;
-	update.next = watch->since;
-	update.e = apr_palloc(pool, ((size_t)arrlen(engine->event) + 1) * sizeof *update.e);
+	update.next_offset = watch->since;
+	update.events = apr_palloc(pool, ((size_t)arrlen(engine->event) + 1) * sizeof *update.events);
 	for (ptrdiff_t i = 0; i < arrlen(engine->event); i++) {
-		struct Nl__KeptEvent *cache_event;
+		struct Nl__CacheEvent *cache_event;
 
 		if (engine->event[i].no <= watch->since || engine->event[i].at > engines->now)
 			continue;
 		cache_event = apr_palloc(pool, sizeof *cache_event);
-		nl__kept_event__init(cache_event);
+		nl__cache_event__init(cache_event);
 		cache_event->cache_namespace = apr_pstrdup(pool, engine->event[i].name);
-		cache_event->id = engine->event[i].id;
-		cache_event->gone = engine->event[i].removed;
+		cache_event->block_hash = engine->event[i].id;
+		cache_event->evicted = engine->event[i].removed;
 		cache_event->tokens = 1;
-		update.e[update.n_e++] = cache_event;
-		update.next = engine->event[i].no;
+		update.events[update.n_events++] = cache_event;
+		update.next_offset = engine->event[i].no;
 	}
 	event.u.cache_watched.token = watch->token;
 	event.u.cache_watched.update = &update;
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -21,7 +21,7 @@
 
 static struct explore_heap heaps[EXPLORE_NODES];
 static struct raft *rafts[EXPLORE_NODES];
-static struct out out;
+static struct command_list out;
 static uint64_t next_random;
 
 struct explore_saved {
@@ -235,7 +235,7 @@
 	replica->hash = XXH3_64bits_withSeed(replica, sizeof *replica, raft);
 }
 
-static struct out *step_begin(int node)
+static struct command_list *step_begin(int node)
 {
 	if (!out.pool) {
 		apr_initialize();
@@ -300,7 +300,7 @@
 
 static void deliver(int node, uint32_t blob)
 {
-	struct out *o = step_begin(node);
+	struct command_list *o = step_begin(node);
 	size_t n;
 	const uint8_t *bytes = explore_blob(blob, &n);
 	struct Nl__Msg *message = (struct Nl__Msg *)core_unpack_message(o->pool, &nl__msg__descriptor, n, bytes);
--- a/tests/explore_check.c
+++ b/tests/explore_check.c
@@ -74,7 +74,7 @@
 	const struct explore_replica *replica = &explore_world.replica[node];
 	int candidate = explore_node_at(cmd->args.send.addr);
 
-	if (!reply->granted || reply->pre || candidate < 0)
+	if (!reply->granted || reply->is_pre_vote || candidate < 0)
 		return;
 	if (replica->disk.term < reply->term || (replica->disk.term == reply->term && !replica->disk.vote))
 		check_fail(VOTE_IS_ON_DISK, "replica %d grants term %d before its vote is on the disk", replica->identity,
@@ -89,14 +89,14 @@
 	const struct explore_disk *disk = &replica->disk;
 	struct explore_history *history = &explore_world.history;
 
-	if (!reply->ok)
+	if (!reply->success)
 		return;
-	if (reply->match > disk_last(disk))
+	if (reply->match_index > disk_last(disk))
 		check_fail(ACKNOWLEDGED_IS_ON_DISK, "replica %d acknowledges %d, its disk has %d", replica->identity,
-			   (int)reply->match, (int)disk_last(disk));
-	for (uint64_t i = 1; i <= reply->match && i <= disk->base; i++)
+			   (int)reply->match_index, (int)disk_last(disk));
+	for (uint64_t i = 1; i <= reply->match_index && i <= disk->base; i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)history->committed[i].term;
-	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match && i <= disk_last(disk); i++)
+	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match_index && i <= disk_last(disk); i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)disk->entries[i - disk->first].term;
 }
 
@@ -307,9 +307,9 @@
 	struct Nl__Members *members = nl__members__unpack(NULL, n, d);
 	struct voters voters = { 0 };
 
-	for (size_t i = 0; members && i < members->n_m; i++)
-		if (members->m[i]->voter)
-			voters.id[voters.n++] = members->m[i]->id;
+	for (size_t i = 0; members && i < members->n_members; i++)
+		if (members->members[i]->voter)
+			voters.id[voters.n++] = members->members[i]->id;
 	if (members)
 		nl__members__free_unpacked(members, NULL);
 	return voters;
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -64,8 +64,8 @@
 	per("nothing to do, a second (4 registrars, 9 counters)", a, b, (struct count){ 0, 0, 0 }, 50);
 	printf("  of these: rounds %.1f, follow %.1f, feeds %.1f, purge stream %.1f a second\n",
 	       (double)(s.by_body[NL__MSG__BODY_APPEND] + s.by_body[NL__MSG__BODY_APPEND_REPLY]) / 68,
-	       (double)(s.by_body[NL__MSG__BODY_FOLLOW] + s.by_body[NL__MSG__BODY_FOLLOW_REPLY]) / 68,
-	       (double)(s.by_body[NL__MSG__BODY_FEED_ASK] + s.by_body[NL__MSG__BODY_FEED_REPLY]) / 68,
+	       (double)(s.by_body[NL__MSG__BODY_CONFIG_SYNC] + s.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY]) / 68,
+	       (double)(s.by_body[NL__MSG__BODY_FEED_REQUEST] + s.by_body[NL__MSG__BODY_FEED_REPLY]) / 68,
 	       (double)(s.by_body[NL__MSG__BODY_KNOWLEDGE] + s.by_body[NL__MSG__BODY_CURIOSITY]) / 68);
 	a = now_count(&s);
 	for (int i = 0; i < n; i++) {
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -39,7 +39,7 @@
 
 	reply.term = term;
 	reply.granted = 1;
-	reply.pre = pre;
+	reply.is_pre_vote = pre;
 	message.vote_reply = &reply;
 	leader_receive(leader, from, &message);
 }
@@ -51,8 +51,8 @@
 	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 
 	reply.term = leader->raft.term;
-	reply.ok = 1;
-	reply.match = match;
+	reply.success = 1;
+	reply.match_index = match;
 	reply.round = leader->raft.heartbeat_round;
 	message.append_reply = &reply;
 	leader_receive(leader, from, &message);
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -6,7 +6,7 @@
 
 struct leader {
 	struct raft raft;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 	struct raft_member live[6]; /* controllers that the fleet knows */
 	int live_count;
--- a/tests/raft_world.c
+++ b/tests/raft_world.c
@@ -234,7 +234,7 @@
 static int64_t arrival(struct world *world, struct world_machine *from, int to, const struct Nl__Msg *message)
 {
 	int64_t delay = world->delay_ms + (int64_t)draw(world, (uint64_t)world->jitter_ms + 1), at;
-	int bulk = message->body_case == NL__MSG__BODY_SNAPSHOT_PIECE || (message->body_case == NL__MSG__BODY_APPEND && message->append->n_e);
+	int bulk = message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK || (message->body_case == NL__MSG__BODY_APPEND && message->append->n_entries);
 
 	if (world->delay_us)
 		delay += (world->delay_us + (int64_t)draw(world, 1000)) / 1000;
@@ -256,7 +256,7 @@
 
 	world->messages++;
 	world->bytes += n;
-	if (message->body_case == NL__MSG__BODY_SNAPSHOT_PIECE) {
+	if (message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK) {
 		world->pieces++;
 		world->piece_bytes += n;
 	}
--- a/tests/raft_world.h
+++ b/tests/raft_world.h
@@ -45,7 +45,7 @@
 	int slow_disk_ms; /* that its disk takes longer than the others' */
 	uint64_t id, addr, incarnation;
 	struct raft raft;
-	struct out out;
+	struct command_list out;
 	struct world_disk disk;
 	struct world_write *writes; /* stb_ds, oldest first */
 	struct world_state state;
