--- a/tests/sim.c
+++ b/tests/sim.c
@@ -245,9 +245,9 @@
 
 static void check_value(struct sim *sim, const uint8_t *d, size_t n)
 {
-	struct Nl__Op *operation = nl__op__unpack(NULL, n, d);
+	struct Nl__Operation *operation = nl__operation__unpack(NULL, n, d);
 
-	if (operation && operation->op_case == NL__OP__OP_VALUE && operation->value->feed < SHARD_COUNT && operation->value->index > sim->value_index[operation->value->feed]) {
+	if (operation && operation->body_case == NL__OPERATION__BODY_VALUE && operation->value->feed < SHARD_COUNT && operation->value->index > sim->value_index[operation->value->feed]) {
 		struct sim_value sim_value = { operation->value->tick, purge_subject(operation->value->purge) };
 
 		sim->value_index[operation->value->feed] = operation->value->index;
@@ -257,7 +257,7 @@
 		arrput(sim->value, sim_value);
 	}
 	if (operation)
-		nl__op__free_unpacked(operation, NULL);
+		nl__operation__free_unpacked(operation, NULL);
 }
 
 static int disk_holds(const struct sim_disk_shard *d, uint64_t x, uint64_t hash)
@@ -639,12 +639,12 @@
 {
 	struct Nl__Purge purge[3] = { NL__PURGE__INIT, NL__PURGE__INIT, NL__PURGE__INIT };
 
-	purge[0].why = PURGE_WEIGHTS;
+	purge[0].reason = PURGE_WEIGHTS;
 	purge[0].service = server->service;
 	purge[0].weights = (char *)(uintptr_t)cached->weights;
-	purge[1].why = PURGE_TENANT;
+	purge[1].reason = PURGE_TENANT;
 	purge[1].tenant = (char *)(uintptr_t)cached->cache_namespace;
-	purge[2].why = PURGE_SERVER;
+	purge[2].reason = PURGE_SERVER;
 	purge[2].server = server->name;
 	for (ptrdiff_t i = 0; i < arrlen(sim->value); i++)
 		for (int k = 0; k < 3; k++)
@@ -997,7 +997,7 @@
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 	struct Nl__Instance *x = calloc((size_t)arrlen(sim->instance_list.instances) + 1, sizeof *x);
 
-	reply.instance = calloc((size_t)arrlen(sim->instance_list.instances) + 1, sizeof *reply.instance);
+	reply.instances = calloc((size_t)arrlen(sim->instance_list.instances) + 1, sizeof *reply.instances);
 	for (ptrdiff_t i = 0; i < arrlen(sim->instance_list.instances); i++) {
 		struct sim_instance *instance = &sim->instance_list.instances[i];
 
@@ -1011,12 +1011,12 @@
 		x[i].slots = sim->instance_list.slots ? (uint32_t)sim->instance_list.slots : 128;
 		x[i].state = instance->draining && instance->drained_at <= at;
 		x[i].weights = instance->changed_at > at ? instance->previous_weights : instance->weights;
-		reply.instance[reply.n_instance++] = &x[i];
+		reply.instances[reply.n_instances++] = &x[i];
 	}
 	input->data_len = nl__config_sync_reply__get_packed_size(&reply);
 	input->data = malloc(input->data_len + 1);
 	nl__config_sync_reply__pack(&reply, input->data);
-	free(reply.instance);
+	free(reply.instances);
 	free(x);
 }
 
@@ -1540,8 +1540,8 @@
 		ev.kind = CONTROLLER_SERVERS_LISTED;
 		ev.payload.servers_listed.token = input->token;
 		ev.payload.servers_listed.succeeded = input->status;
-		ev.payload.servers_listed.instances = a->instance;
-		ev.payload.servers_listed.instance_count = input->status ? a->n_instance : 0;
+		ev.payload.servers_listed.instances = a->instances;
+		ev.payload.servers_listed.instance_count = input->status ? a->n_instances : 0;
 		controller_do(sim, input->node, &ev);
 		nl__config_sync_reply__free_unpacked(a, NULL);
 		break;
@@ -1964,18 +1964,18 @@
 {
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Propose propose = NL__PROPOSE__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	int64_t end = sim->now + ms;
 
 	propose.token = operation.token = ++sim->token;
-	operation.from = 77;
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.requester_id = 77;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = (struct Nl__Change *)change;
-	propose.op = &operation;
-	message.speak = CORE_SPEAK;
+	propose.operation = &operation;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = 77;
 	message.addr = core_parse_addr("127.0.9.9:1");
-	message.part = SHARD_CONTROL;
+	message.shard = SHARD_CONTROL;
 	message.body_case = NL__MSG__BODY_PROPOSE;
 	message.propose = &propose;
 	while (sim->now < end && !sim->violation[0]) {
@@ -1984,7 +1984,7 @@
 		if (at >= 0) {
 			struct sim_event input = { .at = sim->now, .kind = SIM_MSG, .node = at };
 
-			message.fleet = sim->nodes[at].controller->fleet;
+			message.fleet_id = sim->nodes[at].controller->fleet;
 			input.data_len = nl__msg__get_packed_size(&message);
 			input.data = malloc(input.data_len + 1);
 			nl__msg__pack(&message, input.data);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -46,7 +46,7 @@
 	struct sim_disk lost_disk; /* as it was when it was lost; */
 	int64_t lost_at;           /* 0: never */
 	struct sim_write *writes;  /* not yet synced, oldest first */
-	struct out commands;
+	struct command_list commands;
 	uint64_t checked[SHARD_COUNT];
 	uint64_t revision;
 };
--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -180,7 +180,7 @@
 		struct Nl__Purge purge = NL__PURGE__INIT;
 		char text[16];
 
-		purge.why = PURGE_WEIGHTS;
+		purge.reason = PURGE_WEIGHTS;
 		purge.service = (char *)(uintptr_t)services[forwarding->sim.instance_list.instances[call->server].service[0] == 'a'];
 		purge.weights = text;
 		snprintf(text, sizeof text, "%d", fw_part->weights);
@@ -650,7 +650,7 @@
 
 /* ---- the door's commands --------------------------------------------------------------------------- */
 
-static void start_forward(struct sim_forward *forwarding, int node, const struct forward *forward)
+static void start_forward(struct sim_forward *forwarding, int node, const struct forward_command *forward)
 {
 	struct sim_forward_call call;
 	struct sim_forward_request *request = req_by(forwarding, node, forward->client_token);
@@ -732,8 +732,8 @@
 	struct sim_forward_call *call = &f->calls[at];
 	int i = instance_at(f, call->addr), n = 0, status = 200, node = call->node;
 	struct sim_forward_server *server;
-	struct Nl__Kept k = NL__KEPT__INIT;
-	struct Nl__KeptEvent e[SIM_FORWARD_EVENTS], *list[SIM_FORWARD_EVENTS];
+	struct Nl__CacheUpdate k = NL__CACHE_UPDATE__INIT;
+	struct Nl__CacheEvent e[SIM_FORWARD_EVENTS], *list[SIM_FORWARD_EVENTS];
 	struct router_event event;
 
 	if (call->ended || !router_is_same(f, call))
@@ -752,14 +752,14 @@
 			continue;
 		if (server->events[x].at > f->sim.now)
 			break;
-		nl__kept_event__init(&e[n]);
-		e[n].gone = server->events[x].evicted;
+		nl__cache_event__init(&e[n]);
+		e[n].evicted = server->events[x].evicted;
 		e[n].cache_namespace = server->events[x].cache_namespace;
-		e[n].id = server->events[x].id;
+		e[n].block_hash = server->events[x].id;
 		e[n].tokens = server->events[x].tokens;
 		list[n] = &e[n];
 		n++;
-		k.next = server->events[x].number + 1;
+		k.next_offset = server->events[x].number + 1;
 	}
 	if (status == 200 && !n && f->sim.now < call->wait_until) {
 		later(f, AT_WATCH, node, at, 25);
@@ -767,16 +767,16 @@
 	}
 	call->ended = 1;
 	if (!n)
-		k.next = call->since;
+		k.next_offset = call->since;
 	if (server) {
 		k.epoch = server->epoch;
-		k.lost = arrlen(server->events) && call->since && server->events[0].number > call->since;
-		f->n_lost += (uint64_t)k.lost;
+		k.events_lost = arrlen(server->events) && call->since && server->events[0].number > call->since;
+		f->n_lost += (uint64_t)k.events_lost;
 	}
 	f->n_events += (uint64_t)n;
 	k.server = call->name;
-	k.e = list;
-	k.n_e = (size_t)n;
+	k.events = list;
+	k.n_events = (size_t)n;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_CACHE_WATCHED;
 	event.u.cache_watched.token = call->token;
@@ -1084,7 +1084,7 @@
 	nl__row__init(r);
 	r->kind = kind;
 	r->name = apr_pstrdup(pool, name);
-	c->del[c->n_del++] = r;
+	c->deleted[c->n_deleted++] = r;
 }
 
 static void service_row(int k, struct Nl__Change *c, apr_pool_t *pool)
@@ -1092,40 +1092,40 @@
 	struct Nl__Row *v = row(pool, c, NL__KIND__SERVICE, services[k]);
 
 	v->model = (char *)(uintptr_t)models[k];
-	v->weights = "0";
-	v->prefill = 20;
-	v->kv_bytes = 400;
-	v->link = 100000;
+	v->target_weights = "0";
+	v->prefill_tokens_per_ms = 20;
+	v->kv_bytes_per_token = 400;
+	v->link_bytes_per_ms = 100000;
 	v->slots = 128;
-	v->conns = 400;
-	v->watches = 8;
+	v->max_connections = 400;
+	v->max_watches = 8;
 	if (!k) {
 		v->addr = "127.9.0.1:9000";
-		v->store = 50000;
+		v->store_bytes_per_ms = 50000;
 	}
 }
 
 static void lane_row(int l, const struct sim_forward_config *config, struct Nl__Change *c, apr_pool_t *pool)
 {
-	struct Nl__Row *config_row = row(pool, c, NL__KIND__LANE, lanes[l]);
+	struct Nl__Row *config_row = row(pool, c, NL__KIND__ROUTE, lanes[l]);
 
 	config_row->service = apr_pstrdup(pool, services[config->service[l]]);
 	config_row->host = apr_pstrdup(pool, "h.example");
 	config_row->path = apr_pstrdup(pool, paths[l]);
-	config_row->prio = (uint32_t)prios[l];
+	config_row->priority = (uint32_t)prios[l];
 	config_row->limit = 60;
-	config_row->attempts = (uint32_t)tries_of[l];
+	config_row->max_attempts = (uint32_t)tries_of[l];
 	config_row->resumable = l == SIM_FORWARD_CHAT;
-	config_row->repeatable = l == SIM_FORWARD_IDEM;
-	config_row->vouched = 1;
-	config_row->timeout = (uint32_t)config->timeout[l];
+	config_row->idempotent = l == SIM_FORWARD_IDEM;
+	config_row->client_deduplicates = 1;
+	config_row->timeout_ms = (uint32_t)config->timeout[l];
 	if (!config->split[l])
 		return;
 	config_row->split = apr_palloc(pool, 2 * sizeof *config_row->split);
 	for (config_row->n_split = 0; config_row->n_split < 2; config_row->n_split++) {
-		struct Nl__Split *half = apr_palloc(pool, sizeof *half);
+		struct Nl__RouteSplit *half = apr_palloc(pool, sizeof *half);
 
-		nl__split__init(half);
+		nl__route_split__init(half);
 		half->service = apr_pstrdup(pool, services[config_row->n_split]);
 		half->weight = 1;
 		config_row->split[config_row->n_split] = half;
@@ -1140,7 +1140,7 @@
 		if (config->service[l] >= 0)
 			lane_row(l, config, change, pool);
 		else if (was && was->service[l] >= 0)
-			gone(pool, change, NL__KIND__LANE, lanes[l]);
+			gone(pool, change, NL__KIND__ROUTE, lanes[l]);
 	}
 }
 
@@ -1164,7 +1164,7 @@
 			continue;
 		snprintf(name, sizeof name, "t%d", t & 7);
 		config_row = row(pool, change, NL__KIND__TENANT, name);
-		config_row->walled = config->isolated[t];
+		config_row->isolated = config->isolated[t];
 		config_row->limit = (uint32_t)config->max_running[t];
 		config_row->share = 1;
 	}
@@ -1189,15 +1189,15 @@
 	ptrdiff_t at = arrlen(forwarding->configs);
 
 	apr_pool_create(&pool, forwarding->sim.pool);
-	change.any = 1;
+	change.any_revision = 1;
 	change.set = set;
-	change.del = del;
+	change.deleted = del;
 	if (first)
 		for (int i = 0; i < 2; i++) {
 			struct Nl__Row *config_row = row(pool, &change, NL__KIND__MODEL, models[i]);
 
-			config_row->weights = "1";
-			config_row->rolled = "";
+			config_row->target_weights = "1";
+			config_row->rolled_out = "";
 		}
 	change_rows(first ? NULL : &arrlast(forwarding->configs), &config, &change, pool);
 	for (int k = 0; k < SIM_FORWARD_KEYS; k++)
@@ -1252,8 +1252,8 @@
 	snprintf(text, sizeof text, "%d", weights);
 	config_row.kind = NL__KIND__MODEL;
 	config_row.name = (char *)(uintptr_t)models[service];
-	config_row.weights = text;
-	change.any = 1;
+	config_row.target_weights = text;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
 	ok = sim_propose(&forwarding->sim, &change, 15000);
--- a/tests/solo.c
+++ b/tests/solo.c
@@ -45,7 +45,7 @@
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_MESSAGE;
 	event.u.message = message;
-	message->speak = CORE_SPEAK;
+	message->protocol_version = CORE_PROTOCOL_VERSION;
 	router_fixture_step(solo, &event);
 }
 
@@ -58,22 +58,22 @@
 	command_list_clear(&solo->commands);
 	router_fixture_tick(solo, 300);
 	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-		if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-			reply.token = solo->commands.commands[i].args.send.msg->follow->token;
+		if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+			reply.token = solo->commands.commands[i].args.send.msg->config_sync->token;
 	assert_true(reply.token);
-	reply.has_lease = reply.whole = reply.instances_whole = 1;
-	reply.fleet = 7;
-	reply.edition = revision;
+	reply.has_lease = reply.full = reply.instances_full = 1;
+	reply.fleet_id = 7;
+	reply.revision = revision;
 	reply.set = rows;
 	reply.n_set = n;
-	reply.instance = instances;
-	reply.n_instance = nsight;
-	reply.instances = revision;
-	reply.counters = 1;
-	reply.clock = (uint64_t)solo->now; /* the control group's clock is the router's own */
+	reply.instances = instances;
+	reply.n_instances = nsight;
+	reply.instances_stamp = revision;
+	reply.router_count = 1;
+	reply.group_clock_ms = (uint64_t)solo->now; /* the control group's clock is the router's own */
 	reply.clock_term = 1;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	message.addr = 1;
 	message.id = 1;
 	router_fixture_message(solo, &message);
@@ -95,8 +95,8 @@
 {
 	struct Nl__Row *row = new_row(pool, NL__KIND__SERVICE, name);
 
-	row->weights = "w1";
-	row->prefill = 20;
+	row->target_weights = "w1";
+	row->prefill_tokens_per_ms = 20;
 	return row;
 }
 
--- a/tests/solo.h
+++ b/tests/solo.h
@@ -7,7 +7,7 @@
 
 struct solo {
 	struct router router;
-	struct out commands;
+	struct command_list commands;
 	apr_pool_t *p;
 	int64_t now;
 	uint64_t token;
--- a/tests/stored_folders.c
+++ b/tests/stored_folders.c
@@ -67,7 +67,7 @@
 
 	claim.tenant = (char *)(uintptr_t) "tenant";
 	claim.id = (char *)(uintptr_t)id;
-	claim.by = by;
+	claim.router_id = by;
 	claim.seq = seq;
 	claim.release = release;
 	return claim;
@@ -110,8 +110,8 @@
 				 back = stored_claim(apr_pstrcat(world->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 0),
 				 given = stored_claim(apr_pstrcat(world->pool, "back", mark, NULL), CLAIM_HOLDER, CLAIM_FIRST, 1),
 				 early = stored_claim(apr_pstrcat(world->pool, "early", mark, NULL), CLAIM_HOLDER, CLAIM_NEXT, 1);
-		struct Nl__Rolled rolled = NL__ROLLED__INIT;
-		struct Nl__Op operation = NL__OP__INIT;
+		struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
+		struct Nl__Operation operation = NL__OPERATION__INIT;
 
 		expect(world_claim(world, service, &stands) == PROPOSAL_DONE, "a claim is refused");
 		expect(world_claim(world, service, &back) == PROPOSAL_DONE, "a claim is refused");
@@ -119,8 +119,8 @@
 		expect(world_claim(world, service, &early) == PROPOSAL_DONE, "a release is refused");
 		rolled.service = (char *)(uintptr_t)service;
 		rolled.weights = (char *)(uintptr_t) "w1";
-		operation.op_case = NL__OP__OP_ROLLED;
-		operation.rolled = &rolled;
+		operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
+		operation.rolled_out = &rolled;
 		world_log(world, shard, &operation);
 		rolled.weights = (char *)(uintptr_t) "w2"; /* a purge of the first */
 		world_log(world, shard, &operation);
@@ -186,14 +186,14 @@
 static void receive_vote_request(struct world *world, uint64_t from, uint32_t shard, uint64_t term, uint64_t last, uint64_t last_term)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__VoteAsk ask = NL__VOTE_ASK__INIT;
+	struct Nl__VoteRequest ask = NL__VOTE_REQUEST__INIT;
 
 	ask.term = term;
-	ask.last = last;
+	ask.last_index = last;
 	ask.last_term = last_term;
-	message.body_case = NL__MSG__BODY_VOTE_ASK;
-	message.vote_ask = &ask;
-	message.part = shard;
+	message.body_case = NL__MSG__BODY_VOTE_REQUEST;
+	message.vote_request = &ask;
+	message.shard = shard;
 	world_hear(world, from, &message);
 }
 
@@ -201,15 +201,15 @@
 static struct Nl__Entry entry_of(struct world *world, const char *body, uint64_t term)
 {
 	struct Nl__Entry entry = NL__ENTRY__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 	const char *why;
 
-	operation.op_case = NL__OP__OP_CHANGE;
+	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = config_change_parse(body, world->pool, &why);
 	expect(operation.change != NULL, "no change");
-	operation.from = WORLD_SELF + 1;
+	operation.requester_id = WORLD_SELF + 1;
 	operation.token = term;
-	operation.at = 1000 * term;
+	operation.logged_at_ms = 1000 * term;
 	entry.term = term;
 	entry.kind = RAFT_ENTRY_OPERATION;
 	entry.data.data = core_pack_message(world->pool, &operation.base, &entry.data.len);
@@ -223,15 +223,15 @@
 	struct Nl__Append append = NL__APPEND__INIT;
 
 	append.term = term;
-	append.prev = prev;
+	append.prev_index = prev;
 	append.prev_term = prev_term;
-	append.e = entries;
-	append.n_e = n;
-	append.commit = commit;
+	append.entries = entries;
+	append.n_entries = n;
+	append.commit_index = commit;
 	append.round = 1;
 	message.body_case = NL__MSG__BODY_APPEND;
 	message.append = &append;
-	message.part = shard;
+	message.shard = shard;
 	world_hear(world, from, &message);
 }
 
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -99,13 +99,13 @@
 static void grant(struct talk *talk, uint64_t token)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Answer answer = NL__ANSWER__INIT;
+	struct Nl__ProposeReply answer = NL__PROPOSE_REPLY__INIT;
 
 	answer.token = token;
-	message.body_case = NL__MSG__BODY_ANSWER;
-	message.answer = &answer;
+	message.body_case = NL__MSG__BODY_PROPOSE_REPLY;
+	message.propose_reply = &answer;
 	message.id = message.addr = 1;
-	message.fleet = 7;
+	message.fleet_id = 7;
 	router_fixture_message(&talk->s, &message);
 }
 
--- a/tests/stored_walk.c
+++ b/tests/stored_walk.c
@@ -8,8 +8,8 @@
 #include "ds.h"
 #include "notchlug.pb-c.h"
 
-const ProtobufCMessageDescriptor *const walk_roots[WALK_ROOTS] = { &nl__msg__descriptor,           &nl__op__descriptor,
-								   &nl__ctl_state__descriptor,     &nl__purge_state__descriptor,
+const ProtobufCMessageDescriptor *const walk_roots[WALK_ROOTS] = { &nl__msg__descriptor,           &nl__operation__descriptor,
+								   &nl__control_state__descriptor,     &nl__purge_state__descriptor,
 								   &nl__service_state__descriptor, &nl__members__descriptor };
 
 enum { COPIES = 2 }; /* of a repeated field */
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -66,9 +66,9 @@
 
 	if (command->args.send.addr == world->controller.addr)
 		arrput(world->arriving, (struct Nl__Msg *)core_copy_message(world->pool, &message->base));
-	else if (command->args.send.addr == ROUTER && message->body_case == NL__MSG__BODY_ANSWER && message->answer->token == world->token) {
+	else if (command->args.send.addr == ROUTER && message->body_case == NL__MSG__BODY_PROPOSE_REPLY && message->propose_reply->token == world->token) {
 		world->answer.status = 1;
-		world->answer.outcome = message->answer->status;
+		world->answer.outcome = message->propose_reply->status;
 	}
 }
 
@@ -173,10 +173,10 @@
 	struct controller_event event;
 
 	memset(&event, 0, sizeof event);
-	message->speak = CORE_SPEAK;
+	message->protocol_version = CORE_PROTOCOL_VERSION;
 	message->id = from;
 	message->addr = from == ROUTER ? ROUTER : ADDRESS + from;
-	message->fleet = world->controller.fleet;
+	message->fleet_id = world->controller.fleet;
 	event.kind = CONTROLLER_MESSAGE;
 	event.payload.message = message;
 	world_step(world, &event);
@@ -185,7 +185,7 @@
 void world_bootstrap(struct world *world, int members)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Found found = NL__FOUND__INIT;
+	struct Nl__Bootstrap found = NL__BOOTSTRAP__INIT;
 	struct Nl__Members all = NL__MEMBERS__INIT;
 	struct Nl__Member v[WORLD_MEMBERS_MOST], *member[WORLD_MEMBERS_MOST];
 
@@ -196,12 +196,12 @@
 		v[i].voter = 1;
 		member[i] = &v[i];
 	}
-	all.n_m = (size_t)members;
-	all.m = member;
-	found.fleet = WORLD_FLEET;
+	all.n_members = (size_t)members;
+	all.members = member;
+	found.fleet_id = WORLD_FLEET;
 	found.members = &all;
-	message.body_case = NL__MSG__BODY_FOUND;
-	message.found = &found;
+	message.body_case = NL__MSG__BODY_BOOTSTRAP;
+	message.bootstrap = &found;
 	world_hear(world, WORLD_SELF, &message);
 	must(world->controller.fleet == WORLD_FLEET, "no fleet begun");
 }
@@ -267,7 +267,7 @@
 	return wait_for_answer(world, &event);
 }
 
-void world_log(struct world *world, uint32_t part, const struct Nl__Op *operation)
+void world_log(struct world *world, uint32_t part, const struct Nl__Operation *operation)
 {
 	struct raft *raft = &world->controller.shards[part];
 	size_t n;
@@ -285,16 +285,16 @@
 {
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Propose propose = NL__PROPOSE__INIT;
-	struct Nl__Op operation = NL__OP__INIT;
+	struct Nl__Operation operation = NL__OPERATION__INIT;
 
-	operation.op_case = NL__OP__OP_CLAIM;
+	operation.body_case = NL__OPERATION__BODY_CLAIM;
 	operation.claim = (struct Nl__Claim *)(uintptr_t)claim;
 	propose.token = operation.token = ++world->token;
-	operation.from = ROUTER;
-	propose.op = &operation;
+	operation.requester_id = ROUTER;
+	propose.operation = &operation;
 	message.body_case = NL__MSG__BODY_PROPOSE;
 	message.propose = &propose;
-	message.part = core_shard_of(service, SHARD_SERVICES);
+	message.shard = core_shard_of(service, SHARD_SERVICES);
 	world->answer.status = 0;
 	world_hear(world, ROUTER, &message);
 	for (int64_t end = world->now + CALL_LIMIT_MS; !world->answer.status && world->now < end;)
--- a/tests/stored_world.h
+++ b/tests/stored_world.h
@@ -22,7 +22,7 @@
 	struct storage *store;
 	struct stored_state found; /* what the folder held */
 	struct controller controller;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 	uint64_t token;
 	struct Nl__Msg **arriving;    /* stb_ds: sent to itself */
@@ -56,7 +56,7 @@
 int world_name_weights(struct world *world, const char *model, const char *weights);
 
 /* An operation is logged by the leader itself; waits until it is applied. Example: world_log(&w, SHARD_SERVICE, &op); */
-void world_log(struct world *world, uint32_t part, const struct Nl__Op *operation);
+void world_log(struct world *world, uint32_t part, const struct Nl__Operation *operation);
 
 /* A router's claim: the status of the answer to it. */
 uint32_t world_claim(struct world *world, const char *service, const struct Nl__Claim *claim);
--- a/tests/test_clear.c
+++ b/tests/test_clear.c
@@ -87,14 +87,14 @@
 	int n = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
-		const struct Nl__Clearing *purge_run = retention->purges[i];
+		const struct Nl__RetentionPurge *purge_run = retention->purges[i];
 
-		if (strcmp(purge_run->scope, scope) || strcmp(purge_run->by, "schedule"))
+		if (strcmp(purge_run->scope, scope) || strcmp(purge_run->requested_by, "schedule"))
 			continue;
-		if (next && purge_run->due != next)
+		if (next && purge_run->due_at_ms != next)
 			fail_msg("seed %llu: %s was due at %lld and cleared for %lld", (unsigned long long)sim->seed, scope,
-				 (long long)next, (long long)purge_run->due);
-		next = purge_run->due + every * (1 + (int64_t)purge_run->missed);
+				 (long long)next, (long long)purge_run->due_at_ms);
+		next = purge_run->due_at_ms + every * (1 + (int64_t)purge_run->missed);
 		n += 1 + (int)purge_run->missed;
 	}
 	if (n < least)
@@ -114,7 +114,7 @@
 	return 0;
 }
 
-static const struct Nl__Clearing *newest(struct sim *sim, const char *scope)
+static const struct Nl__RetentionPurge *newest(struct sim *sim, const char *scope)
 {
 	const struct retention *retention = records(sim);
 
@@ -138,7 +138,7 @@
 {
 	struct sim sim;
 	uint64_t rng = 5, tick;
-	const struct Nl__Clearing *purge_run;
+	const struct Nl__RetentionPurge *purge_run;
 
 	(void)state;
 	sim_deploy(&sim, 5, 4, 3, 6);
@@ -153,7 +153,7 @@
 	purge_run = newest(&sim, "*/*") ? newest(&sim, "*/*") : newest(&sim, "*");
 	assert_non_null(purge_run);
 	assert_true(purge_run->slices == PURGE_SLICES);
-	if (!purge_run->done)
+	if (!purge_run->done_at_ms)
 		fail_msg("%s", sim_answer(&sim, sim.token) ? sim_answer(&sim, sim.token)->body : "not done");
 	assert_int_equal(kept_at(&sim, NULL, (int64_t)tick), 0);
 	all_notified(&sim);
@@ -309,7 +309,7 @@
 		load(&sim, &rng, 10000, 15, 3);
 		all_notified(&sim);
 		assert_true(sim.n_checked > 100);
-		if (!newest(&sim, "*")->done)
+		if (!newest(&sim, "*")->done_at_ms)
 			fail_msg("seed %llu: it is never said to be done", (unsigned long long)seed);
 		sim_close(&sim);
 	}
@@ -358,10 +358,10 @@
 	tenant.kind = NL__KIND__TENANT;
 	tenant.name = (char *)(uintptr_t) "t1";
 	tenant.share = 1;
-	route.kind = NL__KIND__LANE;
+	route.kind = NL__KIND__ROUTE;
 	route.name = route.service = (char *)(uintptr_t) "arrears";
 	route.limit = 1;
-	change.any = 1;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 2;
 	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
@@ -374,10 +374,10 @@
 		nl__row__init(&row);
 		row.kind = NL__KIND__RETENTION;
 		row.name = (char *)(uintptr_t)(good ? "arrears/t1" : bad[i].name);
-		row.keep = (char *)(uintptr_t)(good ? "26h" : bad[i].keep);
-		row.every = (char *)(uintptr_t)(good ? "" : bad[i].every);
-		row.at = (char *)(uintptr_t)(good ? "daily 02:30 Europe/London" : bad[i].at);
-		row.window = good ? 3600000 : bad[i].window;
+		row.max_age = (char *)(uintptr_t)(good ? "26h" : bad[i].keep);
+		row.interval = (char *)(uintptr_t)(good ? "" : bad[i].every);
+		row.calendar = (char *)(uintptr_t)(good ? "daily 02:30 Europe/London" : bad[i].at);
+		row.spread_ms = good ? 3600000 : bad[i].window;
 		why = config_table_check(&table, &change, pool);
 		if (!why)
 			why = retention_check_calendar(&calendar_icu, &change, EPOCH * 1000ll, pool);
@@ -461,28 +461,28 @@
 	sim.servers[2].mute = 1;
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	load(&sim, &rng, 9000, 20, 3);
-	assert_true(newest(&sim, "*")->slices == PURGE_SLICES && !newest(&sim, "*")->done);
+	assert_true(newest(&sim, "*")->slices == PURGE_SLICES && !newest(&sim, "*")->done_at_ms);
 	assert_true(missing_says(&sim, "server s2 has not said since what it keeps"));
 	sim.servers[2].mute = 0;
 	load(&sim, &rng, 6000, 20, 3);
-	assert_true(newest(&sim, "*")->done);
+	assert_true(newest(&sim, "*")->done_at_ms);
 	sim_freeze(&sim, SIM_CONTROLLERS + 1, 1);
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	for (int i = 0; i < 6; i++)
 		sim.servers[i].report_delay_ms = 2500; /* what drops came of is seen late */
 	sim_run(&sim, 2000, NULL);
-	assert_false(newest(&sim, "*")->done);
+	assert_false(newest(&sim, "*")->done_at_ms);
 	assert_true(missing_says(&sim, "has not heard of it yet"));
 	assert_true(missing_says(&sim, "server s"));
 	for (int i = 0; i < 6; i++)
 		sim.servers[i].report_delay_ms = 0;
 	sim_run(&sim, 2500, NULL);
-	assert_false(newest(&sim, "*")->done);
+	assert_false(newest(&sim, "*")->done_at_ms);
 	assert_true(missing_says(&sim, "has not heard of it yet"));
 	assert_false(missing_says(&sim, "server s"));
 	sim_freeze(&sim, SIM_CONTROLLERS + 1, 0);
 	load(&sim, &rng, 6000, 20, 3);
-	assert_true(newest(&sim, "*")->done);
+	assert_true(newest(&sim, "*")->done_at_ms);
 	all_notified(&sim);
 	sim_close(&sim);
 }
@@ -558,10 +558,10 @@
 		router_retention_tick(router, sim.now + sim.nodes[SIM_CONTROLLERS].clock_skew_ms + 25 * i);
 	assert_true(router->config_watch.has_index);
 	for (ptrdiff_t i = 0; i < arrlen(router->config_watch.cache_remainders); i++) {
-		assert_true(router->config_watch.cache_remainders[i].parts == 0 ||
-			    (router->config_watch.cache_remainders[i].parts == 5 && router->config_watch.cache_remainders[i].scope == router_namespace_key_from_text(t1) >> 32 &&
-			     router->config_watch.cache_remainders[i].number == (router_namespace_key_from_text(t1) & UINT32_MAX)));
-		old += router->config_watch.cache_remainders[i].parts;
+		assert_true(router->config_watch.cache_remainders[i].block_count == 0 ||
+			    (router->config_watch.cache_remainders[i].block_count == 5 && router->config_watch.cache_remainders[i].scope == router_namespace_key_from_text(t1) >> 32 &&
+			     router->config_watch.cache_remainders[i].purge_number == (router_namespace_key_from_text(t1) & UINT32_MAX)));
+		old += router->config_watch.cache_remainders[i].block_count;
 	}
 	assert_int_equal(old, 5);
 	sim_close(&sim);
@@ -646,7 +646,7 @@
 	for (int strained = 0; strained < 2; strained++) {
 		struct sim sim;
 		uint64_t rng = 21;
-		const struct Nl__Clearing *purge_run;
+		const struct Nl__RetentionPurge *purge_run;
 		int64_t began;
 
 		sim_deploy(&sim, 21, 4, 3, 3);
@@ -726,8 +726,8 @@
 static void one_clock_decides_nothing(void **state)
 {
 	struct sim sim;
-	struct Nl__Clear clear = NL__CLEAR__INIT;
-	struct Nl__Planned *plan;
+	struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
+	struct Nl__RetentionPlan *plan;
 	int at;
 
 	(void)state;
@@ -746,10 +746,10 @@
 	}
 	assert_true(at >= 0 && arrlen(sim.nodes[at].controller->retention.plans) == 1);
 	plan = sim.nodes[at].controller->retention.plans[0];
-	clear.step = NL__CLEAR_STEP__CLEAR_DUE;
+	clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
 	clear.scope = plan->scope;
-	clear.due = plan->due - 3600000;
-	clear.next = plan->due + 3600000;
+	clear.due_at_ms = plan->due_at_ms - 3600000;
+	clear.next_due_at_ms = plan->due_at_ms + 3600000;
 	assert_int_equal(retention_apply(sim.nodes[at].controller, 1, &clear), PROPOSAL_REJECTED);
 	ok(&sim);
 	sim_close(&sim);
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -42,7 +42,7 @@
 	int64_t changed_at[REVISIONS];    /* when the leader took that edition */
 	uint64_t rng, requests_to_others;
 	apr_pool_t *pool;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 };
 
@@ -89,13 +89,13 @@
 	row.name = name;
 	row.share = (uint32_t)before + 1;
 	row.limit = 1;
-	change.any = 1;
+	change.any_revision = 1;
 	if (random_below(world, 3)) {
 		change.set = rows;
 		change.n_set = 1;
 	} else {
-		change.del = rows;
-		change.n_del = 1;
+		change.deleted = rows;
+		change.n_deleted = 1;
 	}
 	assert_int_equal(config_table_apply(&world->leader, &change, NULL), PROPOSAL_DONE);
 	assert_true(world->leader.revision < REVISIONS);
@@ -115,8 +115,8 @@
 		struct envelope letter = { world->now + way(world), command->args.send.addr, 0, 0, NULL };
 
 		assert_int_equal(command->kind, CMD_SEND);
-		letter.token = command->args.send.msg->follow->token;
-		letter.have_revision = command->args.send.msg->follow->have;
+		letter.token = command->args.send.msg->config_sync->token;
+		letter.have_revision = command->args.send.msg->config_sync->have_revision;
 		world->requests_to_others += letter.to != LEADER;
 		arrput(world->mail, letter);
 	}
@@ -131,8 +131,8 @@
 	nl__config_sync_reply__init(reply);
 	reply->token = request->token;
 	reply->has_lease = request->to == LEADER;
-	reply->hint = LEADER;
-	reply->fleet = 7;
+	reply->leader_hint = LEADER;
+	reply->fleet_id = 7;
 	if (reply->has_lease)
 		config_table_since(&world->leader, request->have_revision, reply, world->pool);
 	arrput(world->mail, letter);
@@ -143,8 +143,8 @@
 	struct Nl__Msg message = NL__MSG__INIT;
 
 	message.addr = LEADER;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = letter->answer;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = letter->answer;
 	(void)config_watch_receive(&world->watch, &message, world->now, &world->out);
 	post_requests(world);
 }
@@ -263,12 +263,12 @@
 	config_watch_poll(&world.watch, 0, world.now, &world.out);
 	reply.token = world.watch.last_token;
 	reply.has_lease = 1;
-	reply.fleet = 7;
-	reply.since = revision - 2;
-	reply.edition = revision - 1;
+	reply.fleet_id = 7;
+	reply.since_revision = revision - 2;
+	reply.revision = revision - 1;
 	message.addr = LEADER;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	assert_int_equal(config_watch_receive(&world.watch, &message, world.now + 5, &world.out), 0);
 	assert_int_equal(world.watch.fetched_at_ms, fresh);
 	assert_int_equal(world.watch.table.revision, revision);
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -1174,8 +1174,8 @@
 
 		if (platform_edge.perform(&w.edge, command))
 			continue;
-		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-			arrput(w.config_watch_tokens, command->args.send.msg->follow->token);
+		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+			arrput(w.config_watch_tokens, command->args.send.msg->config_sync->token);
 	}
 	command_list_clear(&proc->commands);
 }
@@ -1224,24 +1224,24 @@
 	apr_pool_create(&pool, w.proc.pool);
 	reply.token = token;
 	reply.has_lease = 1;
-	reply.fleet = 7;
-	reply.counters = 1;
-	reply.edition = reply.since = reply.instances = 1;
+	reply.fleet_id = 7;
+	reply.router_count = 1;
+	reply.revision = reply.since_revision = reply.instances_stamp = 1;
 	if (!w.ctr.route_table) {
-		reply.whole = reply.instances_whole = 1;
+		reply.full = reply.instances_full = 1;
 		rows[0] = row(pool, NL__KIND__SERVICE, "pool");
-		rows[0]->weights = "w1";
-		rows[0]->prefill = 20;
+		rows[0]->target_weights = "w1";
+		rows[0]->prefill_tokens_per_ms = 20;
 		for (int i = 0; i < ROUTES; i++) {
-			struct Nl__Row *l = rows[1 + i] = row(pool, NL__KIND__LANE, routes[i].path);
+			struct Nl__Row *l = rows[1 + i] = row(pool, NL__KIND__ROUTE, routes[i].path);
 
 			l->service = "pool";
 			l->host = "h.example";
 			l->path = (char *)(uintptr_t)routes[i].path;
 			l->limit = 20;
-			l->open = i != ROUTE_REPEATABLE;
-			l->attempts = 3;
-			l->repeatable = routes[i].repeatable;
+			l->key_optional = i != ROUTE_REPEATABLE;
+			l->max_attempts = 3;
+			l->idempotent = routes[i].repeatable;
 			l->resumable = routes[i].resumable;
 		}
 		for (int i = 0; i < SERVERS; i++)
@@ -1257,12 +1257,12 @@
 			config_row[1]->tenant = config_row[0]->name;
 		}
 		reply.n_set = 1 + ROUTES + 2 * TENANTS;
-		reply.instance = instances;
-		reply.n_instance = SERVERS;
+		reply.instances = instances;
+		reply.n_instances = SERVERS;
 	}
-	message.speak = CORE_SPEAK;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	message.addr = message.id = LEADER_ADDR;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_MESSAGE;
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -304,7 +304,7 @@
 
 		if (sim.nodes[i].controller->shards[SHARD_CONTROL].member_count) { /* not the fourth, which keeps no copy */
 			assert_non_null(members);
-			assert_int_equal(members->n_m, 3);
+			assert_int_equal(members->n_members, 3);
 		}
 		if (members)
 			nl__members__free_unpacked(members, NULL);
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -1207,14 +1207,14 @@
 			int64_t from = sim.now;
 			uint64_t before = sim.n_complete;
 
-			submitted = sim.by_body[NL__MSG__BODY_FOLLOW];
+			submitted = sim.by_body[NL__MSG__BODY_CONFIG_SYNC];
 			while (sim.now < from + 10000 && !sim.violation[0]) {
 				snprintf(id, sizeof id, "p%llu", (unsigned long long)++k);
 				sim_submit(&sim, SIM_CONTROLLERS + (phase ? (int)(core_random(&rng) % 9) : 4), id, 1, lanes[k % 3], 0);
 				sim_run(&sim, 10, NULL);
 			}
 			ok(&sim);
-			asks += phase ? (double)(sim.by_body[NL__MSG__BODY_FOLLOW] - submitted) / 10 : 0;
+			asks += phase ? (double)(sim.by_body[NL__MSG__BODY_CONFIG_SYNC] - submitted) / 10 : 0;
 			if (phase)
 				arrput(even, (int64_t)(sim.n_complete - before) * 1000 / limit);
 			else
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -25,11 +25,11 @@
 
 	router_fixture_open(solo, 5);
 	service = new_service(solo->p, "pool");
-	service->prefill = PREFILL;
-	service->room = capacity;
-	service->link = 10 * PREFILL;
-	service->kv_bytes = 1;
-	row = new_row(solo->p, NL__KIND__LANE, route);
+	service->prefill_tokens_per_ms = PREFILL;
+	service->capacity_tokens = capacity;
+	service->link_bytes_per_ms = 10 * PREFILL;
+	service->kv_bytes_per_token = 1;
+	row = new_row(solo->p, NL__KIND__ROUTE, route);
 	row->service = "pool";
 	row->host = "h";
 	row->path = "/x/";
--- a/tests/test_doc.c
+++ b/tests/test_doc.c
@@ -66,7 +66,7 @@
 	if (rc)
 		return 0;
 	config_table_open(&t);
-	change.any = change.whole = change.keys = 1;
+	change.any_revision = change.replace_all = change.replace_keys = 1;
 	*why = config_table_check(&t, &change, p);
 	config_table_close(&t);
 	return !*why;
@@ -84,54 +84,54 @@
 	apr_pool_create(&p, NULL);
 	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
 	assert_true(taken(first, &why, p));
-	assert_int_equal(change.doc_version, 7);
-	assert_int_equal(change.doc.len, strlen(first)); /* byte for byte */
-	assert_memory_equal(change.doc.data, first, change.doc.len);
-	row = row_of(&change, NL__KIND__LANE, "r1");
+	assert_int_equal(change.document_version, 7);
+	assert_int_equal(change.document.len, strlen(first)); /* byte for byte */
+	assert_memory_equal(change.document.data, first, change.document.len);
+	row = row_of(&change, NL__KIND__ROUTE, "r1");
 	assert_string_equal(row->service, "s1");
 	assert_string_equal(row->host, "a.example");
 	assert_string_equal(row->path, "/a/");
-	assert_true(row->repeatable && row->vouched && !row->open && !row->resumable && !row->pause);
-	assert_int_equal(row->timeout, 4000);
-	assert_int_equal(row->aim, 300);
-	assert_int_equal(row->prio, 2);
-	assert_int_equal(row->attempts, 2);
-	row = row_of(&change, NL__KIND__LANE, "r2");
+	assert_true(row->idempotent && row->client_deduplicates && !row->key_optional && !row->resumable && !row->max_gap_ms);
+	assert_int_equal(row->timeout_ms, 4000);
+	assert_int_equal(row->latency_target_ms, 300);
+	assert_int_equal(row->priority, 2);
+	assert_int_equal(row->max_attempts, 2);
+	row = row_of(&change, NL__KIND__ROUTE, "r2");
 	assert_int_equal(row->n_split, 2);
 	assert_string_equal(row->split[0]->service, "s1");
 	assert_int_equal(row->split[0]->weight, 95);
 	assert_int_equal(row->split[1]->weight, 10);
-	assert_true(!row->repeatable && row->open && row->resumable);
-	assert_int_equal(row->pause, 250);
-	assert_int_equal(row->prio, 9);
+	assert_true(!row->idempotent && row->key_optional && row->resumable);
+	assert_int_equal(row->max_gap_ms, 250);
+	assert_int_equal(row->priority, 9);
 	row = row_of(&change, NL__KIND__SERVICE, "s2");
 	assert_string_equal(row->model, "daka");
-	assert_string_equal(row->weights, "");
+	assert_string_equal(row->target_weights, "");
 	assert_int_equal(row->slots, 128);
-	assert_int_equal(row->room, 319789);
-	assert_int_equal(row->kv_bytes, 18432);
-	assert_int_equal(row->link, 46250000);
-	assert_int_equal(row->store, 18750000);
+	assert_int_equal(row->capacity_tokens, 319789);
+	assert_int_equal(row->kv_bytes_per_token, 18432);
+	assert_int_equal(row->link_bytes_per_ms, 46250000);
+	assert_int_equal(row->store_bytes_per_ms, 18750000);
 	assert_string_equal(row->addr, "172.20.0.2:8680");
-	assert_int_equal(row->watches, 12);
-	assert_int_equal(row->conns, 630);
-	assert_string_equal(row->health, "/health");
+	assert_int_equal(row->max_watches, 12);
+	assert_int_equal(row->max_connections, 630);
+	assert_string_equal(row->health_path, "/health");
 	row = row_of(&change, NL__KIND__SERVICE, "st");
 	assert_string_equal(row->addr, "172.20.0.2:8680");
 	assert_string_equal(row->zone, "gombak");
-	assert_int_equal(row->store, 0);
-	assert_int_equal(row->room, 6934830);
+	assert_int_equal(row->store_bytes_per_ms, 0);
+	assert_int_equal(row->capacity_tokens, 6934830);
 	row = row_of(&change, NL__KIND__TENANT, "t1");
-	assert_true(row->walled);
-	assert_int_equal(row->rank, 2);
+	assert_true(row->isolated);
+	assert_int_equal(row->priority_class, 2);
 	assert_int_equal(row->limit, 0);
-	assert_int_equal(row_of(&change, NL__KIND__TENANT, "t2")->rank, 0);
+	assert_int_equal(row_of(&change, NL__KIND__TENANT, "t2")->priority_class, 0);
 	row = row_of(&change, NL__KIND__KEY, doc_digest("k3", hex));
 	assert_string_equal(row->tenant, "t2");
 	assert_string_equal(doc_digest("abc", hex), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
-	row = row_of(&change, NL__KIND__DOOR, "door");
-	assert_int_equal(row->body_bytes, 4194304);
-	assert_int_equal(row->idle_ms, 15000);
+	row = row_of(&change, NL__KIND__LISTENER, "door");
+	assert_int_equal(row->max_body_bytes, 4194304);
+	assert_int_equal(row->idle_timeout_ms, 15000);
 	apr_pool_destroy(p);
 }
 
@@ -251,11 +251,11 @@
 									  "") "]},\"Remove\":{\"RouteList\":[\"r2\",\"r-old\"],\"TenantList\":[\"t2\"]}}",
 		1, &change, &why, p),
 	    0);
-	assert_int_equal(change.doc_version, 9);
-	text = apr_pstrmemdup(p, (char *)change.doc.data, change.doc.len);
-	assert_string_equal(row_of(&change, NL__KIND__LANE, "r1")->service, "s2");
-	assert_null(row_of(&change, NL__KIND__LANE, "r2"));
-	assert_non_null(row_of(&change, NL__KIND__LANE, "r3"));
+	assert_int_equal(change.document_version, 9);
+	text = apr_pstrmemdup(p, (char *)change.document.data, change.document.len);
+	assert_string_equal(row_of(&change, NL__KIND__ROUTE, "r1")->service, "s2");
+	assert_null(row_of(&change, NL__KIND__ROUTE, "r2"));
+	assert_non_null(row_of(&change, NL__KIND__ROUTE, "r3"));
 	assert_non_null(strstr(text, "\"New\":1.50")); /* numbers stay as they were written, unknown fields as they stood */
 	assert_non_null(strstr(text, "\"Later\":{\"x\":0.10}"));
 	assert_non_null(strstr(text, "\"LinkMbps\":370000.0"));
@@ -333,11 +333,11 @@
 		apr_pool_create(&p, NULL);
 		config_table_open(&table);
 		assert_int_equal(doc(NULL, a, 0, &change, &why, p), 0);
-		change.any = change.whole = change.keys = 1;
+		change.any_revision = change.replace_all = change.replace_keys = 1;
 		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
 		t0 = ms_of();
 		assert_int_equal(doc(NULL, b, 0, &change, &why, p), 0);
-		change.any = change.whole = change.keys = 1;
+		change.any_revision = change.replace_all = change.replace_keys = 1;
 		t1 = ms_of();
 		assert_null(config_table_check(&table, &change, p));
 		t2 = ms_of();
@@ -608,7 +608,7 @@
 	assert_int_equal(n, strlen(first));
 	assert_memory_equal(complete, first, n);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__LANE, "r2");
+	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r2");
 	assert_non_null(row);
 	revision = sim.nodes[o].controller->config.revision;
 	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
@@ -620,7 +620,7 @@
 	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.rows); i++) {
 		const struct Nl__Row *x = sim.nodes[o].controller->config.rows[i].value.row;
 
-		if (x->kind != NL__KIND__REGISTRAR)
+		if (x->kind != NL__KIND__CONTROLLER)
 			assert_true(sim.nodes[o].controller->config.rows[i].value.revision <= revision);
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
@@ -637,10 +637,10 @@
 	assert_int_equal(put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")), 200);
 	o = sim_leader(&sim, SHARD_CONTROL);
 	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__MODEL, "daka");
-	assert_string_equal(row->weights, "3");
-	assert_string_equal(row->rolled, "1");
+	assert_string_equal(row->target_weights, "3");
+	assert_string_equal(row->rolled_out, "1");
 	assert_null(config_table_get(&sim.nodes[o].controller->config, NL__KIND__SERVICE, "s1"));
-	assert_string_equal(config_table_get(&sim.nodes[o].controller->config, NL__KIND__LANE, "r1")->service,
+	assert_string_equal(config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r1")->service,
 			    "s2"); /* its lane moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
 	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
@@ -929,7 +929,7 @@
 		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.rows); i++) {
 			Nl__Kind k = sim->nodes[o].controller->config.rows[i].value.row->kind;
 
-			routes += k == NL__KIND__LANE;
+			routes += k == NL__KIND__ROUTE;
 			tenants += k == NL__KIND__TENANT;
 			keys += k == NL__KIND__KEY;
 		}
@@ -950,7 +950,7 @@
 		assert_int_equal(keys, expected);
 		for (size_t i = 0; i < json_object_array_length(json); i++)
 			assert_int_equal(
-			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__LANE, json_string_member(json_object_array_get_idx(json, i), "Name"))->timeout,
+			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__ROUTE, json_string_member(json_object_array_get_idx(json, i), "Name"))->timeout_ms,
 			    json_uint_member(json_object_array_get_idx(json, i), "TimeoutMs"));
 	}
 }
@@ -1363,31 +1363,31 @@
 	apr_pool_create(&p, NULL);
 	config_table_open(&table);
 	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
-	change.any = change.whole = change.keys = name.any = 1;
+	change.any_revision = change.replace_all = change.replace_keys = name.any_revision = 1;
 	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
 	row.kind = NL__KIND__MODEL;
 	row.name = (char *)"daka";
-	row.weights = (char *)"2";
+	row.target_weights = (char *)"2";
 	name.set = set;
 	name.n_set = 1;
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 0);
-	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled, "1");
-	row.weights = (char *)"1"; /* only rises */
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled_out, "1");
+	row.target_weights = (char *)"1"; /* only rises */
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
-	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->weights, "2");
-	row.rolled = (char *)"2";
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->target_weights, "2");
+	row.rolled_out = (char *)"2";
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 2); /* for both services of the model */
 	assert_string_equal(feed[0]->weights, "1");
-	assert_int_equal(feed[0]->why, 1);
-	row.weights = (char *)"5";
-	row.rolled = (char *)"4"; /* 3 was named and overtaken: it goes as well */
+	assert_int_equal(feed[0]->reason, 1);
+	row.target_weights = (char *)"5";
+	row.rolled_out = (char *)"4"; /* 3 was named and overtaken: it goes as well */
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_int_equal(arrlen(feed), 6);
-	row.rolled = (char *)"2";
+	row.rolled_out = (char *)"2";
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
-	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled, "4");
+	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled_out, "4");
 	assert_int_equal(arrlen(feed), 6);
 	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE); /* the same document: no rows change, nothing is withdrawn */
 	assert_int_equal(arrlen(feed), 6);
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -423,7 +423,7 @@
 	go(&forwarding, 3000);
 	assert_true(forwarding.n_reused > 0);
 	assert_int_equal(forwarding.n_cold_namespaces, 0);
-	forwarding.sim.undelivered_bodies = 1ull << NL__MSG__BODY_KNOWLEDGE | 1ull << NL__MSG__BODY_PURGE_SNAP;
+	forwarding.sim.undelivered_bodies = 1ull << NL__MSG__BODY_KNOWLEDGE | 1ull << NL__MSG__BODY_PURGE_SNAPSHOT;
 	go(&forwarding, PURGE_MAX_STALENESS_MS + 500);
 	reused = forwarding.n_reused + forwarding.n_fetched;
 	cold = forwarding.n_cold_namespaces;
@@ -612,7 +612,7 @@
 	for (size_t i = 0; i < n; i++) {
 		size_t m = strlen(rows[i]->path);
 
-		if (rows[i]->kind == NL__KIND__LANE && !strcmp(rows[i]->host, host) && m <= len && m > most &&
+		if (rows[i]->kind == NL__KIND__ROUTE && !strcmp(rows[i]->host, host) && m <= len && m > most &&
 		    !strncmp(rows[i]->path, path, m)) {
 			most = m;
 			best = rows[i]->name;
@@ -641,7 +641,7 @@
 	rows[n++] = new_service(solo.p, "pool");
 	sh_new_strdup(seen);
 	while (n <= N) {
-		struct Nl__Row *row = new_row(solo.p, NL__KIND__LANE, apr_psprintf(solo.p, "l%d", (int)n));
+		struct Nl__Row *row = new_row(solo.p, NL__KIND__ROUTE, apr_psprintf(solo.p, "l%d", (int)n));
 		int deep = (int)random_below(&d, 6);
 		char *key;
 
@@ -655,7 +655,7 @@
 		shput(seen, key, 1);
 		row->service = "pool";
 		row->limit = 10;
-		row->open = 1;
+		row->key_optional = 1;
 		rows[n++] = row;
 	}
 	shfree(seen);
@@ -696,7 +696,7 @@
 {
 	struct solo solo;
 	struct Nl__Row *rows[6], *route;
-	struct Nl__Split part[4], *list[4];
+	struct Nl__RouteSplit part[4], *list[4];
 	static const char *const names[] = { "s0", "s1", "s2", "s3" };
 	static const int weight[] = { 70, 0, 25, 5 };
 	int got[4] = { 0, 0, 0, 0 }, status;
@@ -705,17 +705,17 @@
 	router_fixture_open(&solo, 5);
 	for (int i = 0; i < 4; i++) {
 		rows[i] = new_service(solo.p, names[i]);
-		nl__split__init(&part[i]);
+		nl__route_split__init(&part[i]);
 		part[i].service = (char *)(uintptr_t)names[i];
 		part[i].weight = (uint32_t)weight[i];
 		list[i] = &part[i];
 	}
-	rows[4] = route = new_row(solo.p, NL__KIND__LANE, "l");
+	rows[4] = route = new_row(solo.p, NL__KIND__ROUTE, "l");
 	route->service = "s0";
 	route->host = "h";
 	route->path = "/";
 	route->limit = 10;
-	route->open = 1;
+	route->key_optional = 1;
 	route->split = list;
 	route->n_split = 4;
 	router_fixture_table(&solo, rows, 5, NULL, 0, 1);
@@ -845,37 +845,37 @@
 		router_fixture_table(&solo, rows, 1, instances, SRV, 1);
 		for (int round = 0; round < 600; round++) {
 			struct Nl__Msg message = NL__MSG__INIT;
-			struct Nl__KeptAll words = NL__KEPT_ALL__INIT;
-			struct Nl__Kept k = NL__KEPT__INIT, *word = &k;
-			struct Nl__KeptEvent cache_event[5], *list[5];
+			struct Nl__CacheUpdateBatch words = NL__CACHE_UPDATE_BATCH__INIT;
+			struct Nl__CacheUpdate k = NL__CACHE_UPDATE__INIT, *word = &k;
+			struct Nl__CacheEvent cache_event[5], *list[5];
 			int v = (int)random_below(&d, SRV), n = (int)random_below(&d, 6);
 			size_t all = 0;
 
 			k.server = solo.router.server_names.names[v];
 			if (!random_below(&d, 40))
 				epoch[v]++;
-			k.lost = !random_below(&d, 40);
-			if (k.lost || (solo.router.servers[v].cache_epoch && epoch[v] != solo.router.servers[v].cache_epoch))
+			k.events_lost = !random_below(&d, 40);
+			if (k.events_lost || (solo.router.servers[v].cache_epoch && epoch[v] != solo.router.servers[v].cache_epoch))
 				memset(have[v], 0, sizeof have[v]);
 			k.epoch = epoch[v];
-			k.next = next[v] += (uint64_t)n;
+			k.next_offset = next[v] += (uint64_t)n;
 			for (int i = 0; i < n; i++) {
 				int cache_namespace = (int)random_below(&d, SHELVES), id = (int)random_below(&d, IDS);
 
-				nl__kept_event__init(&cache_event[i]);
+				nl__cache_event__init(&cache_event[i]);
 				cache_event[i].cache_namespace = cache_namespace ? "w1-a" : "w1-b";
-				cache_event[i].id = (uint64_t)id + 1;
-				cache_event[i].gone = random_below(&d, 3) == 0;
+				cache_event[i].block_hash = (uint64_t)id + 1;
+				cache_event[i].evicted = random_below(&d, 3) == 0;
 				cache_event[i].tokens = 10;
-				have[v][cache_namespace][id] = !cache_event[i].gone;
+				have[v][cache_namespace][id] = !cache_event[i].evicted;
 				list[i] = &cache_event[i];
 			}
-			k.e = list;
-			k.n_e = (size_t)n;
-			words.k = &word;
-			words.n_k = 1;
-			message.body_case = NL__MSG__BODY_KEPT_ALL;
-			message.kept_all = &words;
+			k.events = list;
+			k.n_events = (size_t)n;
+			words.updates = &word;
+			words.n_updates = 1;
+			message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
+			message.cache_update_batch = &words;
 			router_fixture_message(&solo, &message);
 			command_list_clear(&solo.commands);
 			assert_int_equal(solo.router.servers[v].next_cache_event, next[v]);
@@ -922,12 +922,12 @@
 
 	rows[0] = new_service(solo->p, "pool");
 	rows[0]->slots = slots;
-	rows[1] = new_row(solo->p, NL__KIND__LANE, "l");
+	rows[1] = new_row(solo->p, NL__KIND__ROUTE, "l");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
 	rows[1]->limit = 10;
-	rows[1]->open = 1;
+	rows[1]->key_optional = 1;
 	instance = new_instance(solo->p, 1, "pool");
 	instance->slots = slots;
 	router_fixture_table(solo, rows, 2, &instance, 1, 1);
@@ -1127,7 +1127,7 @@
 	for (int busy = 0; busy < 2; busy++) {
 		struct solo solo;
 		struct Nl__Row *rows[3];
-		struct Nl__Naming named = NL__NAMING__INIT, *target[1] = { &named };
+		struct Nl__TargetVersion named = NL__TARGET_VERSION__INIT, *target[1] = { &named };
 		struct Nl__Instance *instance;
 		int status;
 
@@ -1135,28 +1135,28 @@
 		router_fixture_open(&solo, 5);
 		rows[0] = new_service(solo.p, "pool");
 		rows[0]->model = "m";
-		rows[1] = new_row(solo.p, NL__KIND__LANE, "l");
+		rows[1] = new_row(solo.p, NL__KIND__ROUTE, "l");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
-		rows[1]->open = 1;
+		rows[1]->key_optional = 1;
 		rows[2] = new_row(solo.p, NL__KIND__MODEL, "m");
-		rows[2]->weights = "1";
+		rows[2]->target_weights = "1";
 		instance = new_instance(solo.p, 1, "pool");
 		instance->weights = "1";
 		router_fixture_table(&solo, rows, 3, &instance, 1, 1);
-		rows[2]->weights = "2";
+		rows[2]->target_weights = "2";
 		named.weights = 2;
-		named.at = (uint64_t)solo.now;
-		rows[2]->naming = target;
-		rows[2]->n_naming = 1;
+		named.targeted_at_ms = (uint64_t)solo.now;
+		rows[2]->target_versions = target;
+		rows[2]->n_target_versions = 1;
 		router_fixture_table(&solo, rows, 3, &instance, 1, 2);
-		solo.now = (int64_t)named.at + solo.router.bounds.rollout_ms - ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
+		solo.now = (int64_t)named.targeted_at_ms + solo.router.bounds.rollout_ms - ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
 		solo.router.config_watch.fetched_at_ms = solo.now;
 		router_fixture_tick(&solo, 1);
 		if (busy)
-			solo.router.servers[0].prefill_tokens = 500 * rows[0]->prefill; /* 500 ms of reading */
+			solo.router.servers[0].prefill_tokens = 500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
 		assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
 		assert_int_equal(router_fixture_last_call(&solo) != 0, !busy);
 		router_fixture_close(&solo);
@@ -1175,13 +1175,13 @@
 	router_fixture_open(&solo, 5);
 	for (int i = 0; i < 2; i++) {
 		rows[i] = new_service(solo.p, i ? "idle" : "busy");
-		rows[2 + i] = new_row(solo.p, NL__KIND__LANE, i ? "l-idle" : "l-busy");
+		rows[2 + i] = new_row(solo.p, NL__KIND__ROUTE, i ? "l-idle" : "l-busy");
 		rows[2 + i]->service = rows[i]->name;
 		rows[2 + i]->host = i ? "idle" : "busy";
 		rows[2 + i]->path = "/";
 		rows[2 + i]->limit = 10;
-		rows[2 + i]->open = 1;
-		rows[2 + i]->attempts = 4;
+		rows[2 + i]->key_optional = 1;
+		rows[2 + i]->max_attempts = 4;
 		instances[2 * i] = new_instance(solo.p, 1 + 2 * i, rows[i]->name);
 		instances[2 * i + 1] = new_instance(solo.p, 2 + 2 * i, rows[i]->name);
 	}
@@ -1223,12 +1223,12 @@
 
 		router_fixture_open(&solo, 5);
 		rows[0] = new_service(solo.p, "pool");
-		rows[1] = new_row(solo.p, NL__KIND__LANE, "lane");
+		rows[1] = new_row(solo.p, NL__KIND__ROUTE, "lane");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
-		rows[1]->open = 1;
+		rows[1]->key_optional = 1;
 		instance = new_instance(solo.p, 1, "pool");
 		router_fixture_table(&solo, rows, 2, &instance, 1, 1);
 		assert_non_null(request = router_fixture_submit(&solo, "h", "/x", "id", &status));
@@ -1265,13 +1265,13 @@
 	(void)state;
 	router_fixture_open(&solo, 5);
 	rows[0] = new_service(solo.p, "pool");
-	rows[1] = new_row(solo.p, NL__KIND__LANE, "lane");
+	rows[1] = new_row(solo.p, NL__KIND__ROUTE, "lane");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
 	rows[1]->limit = 10;
-	rows[1]->open = rows[1]->repeatable = 1;
-	rows[1]->attempts = 3;
+	rows[1]->key_optional = rows[1]->idempotent = 1;
+	rows[1]->max_attempts = 3;
 	for (int i = 0; i < 2; i++)
 		instances[i] = new_instance(solo.p, 1 + i, "pool");
 	router_fixture_table(&solo, rows, 2, instances, 2, 1);
@@ -1315,12 +1315,12 @@
 	router_fixture_open(&solo, 5);
 	rows[0] = new_service(solo.p, "pool");
 	for (int i = 0; i < 2; i++) {
-		rows[1 + i] = new_row(solo.p, NL__KIND__LANE, i ? "later" : "first");
+		rows[1 + i] = new_row(solo.p, NL__KIND__ROUTE, i ? "later" : "first");
 		rows[1 + i]->service = "pool";
 		rows[1 + i]->host = i ? "later" : "first";
 		rows[1 + i]->path = "/";
 		rows[1 + i]->limit = ROUNDS;
-		rows[1 + i]->open = 1;
+		rows[1 + i]->key_optional = 1;
 	}
 	instance = new_instance(solo.p, 1, "pool");
 	instance->slots = 2;
@@ -1374,7 +1374,7 @@
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
 	assert_string_equal(was[0], cache_namespace_of(&solo, pool, w1, t1));
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w2, t0);
-	rows[2]->walled = 1;
+	rows[2]->isolated = 1;
 	router_fixture_table(&solo, rows, 3, NULL, 0, 2);
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t1);
@@ -1384,7 +1384,7 @@
 
 		value.tick = 5 + (uint64_t)k;
 		value.purge = &purge;
-		purge.why = k ? PURGE_TENANT : PURGE_WEIGHTS;
+		purge.reason = k ? PURGE_TENANT : PURGE_WEIGHTS;
 		purge.service = "pool";
 		purge.weights = "w1";
 		purge.tenant = "t1";
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -220,7 +220,7 @@
 
 struct follower {
 	struct raft raft;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 };
 
@@ -265,8 +265,8 @@
 	struct Nl__Append append = NL__APPEND__INIT;
 
 	append.term = TERM;
-	append.to = 1;
-	append.prev = prev;
+	append.recipient_id = 1;
+	append.prev_index = prev;
 	append.prev_term = 1;
 	append.round = round;
 	append.released = released;
@@ -279,15 +279,15 @@
 static int would_vote(struct follower *follower, uint64_t gave_up)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+	struct Nl__VoteRequest request = NL__VOTE_REQUEST__INIT;
 
 	request.term = TERM + 1;
-	request.last = 9;
+	request.last_index = 9;
 	request.last_term = TERM;
-	request.pre = 1;
-	request.gave_up = gave_up;
-	message.body_case = NL__MSG__BODY_VOTE_ASK;
-	message.vote_ask = &request;
+	request.is_pre_vote = 1;
+	request.stepped_down_term = gave_up;
+	message.body_case = NL__MSG__BODY_VOTE_REQUEST;
+	message.vote_request = &request;
 	hear(follower, CANDIDATE_ID, &message);
 	for (ptrdiff_t i = 0; i < arrlen(follower->out.commands); i++)
 		if (follower->out.commands[i].kind == CMD_SEND && follower->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_VOTE_REPLY)
--- a/tests/test_hollow.c
+++ b/tests/test_hollow.c
@@ -44,8 +44,8 @@
 	assert_true(scale_model_get(&result, "fleet.in_force_ms") <= 3000);
 	assert_int_equal(scale_model_get(&result, "counter.nodes"), settings.routers);
 	/* each counter asks what is in force four times a second, and is answered as often */
-	assert_true(scale_model_get(&result, "counter.sent.follow") >= 3.7);
-	assert_true(scale_model_get(&result, "counter.heard.follow_reply") >= 3.5);
+	assert_true(scale_model_get(&result, "counter.sent.config_sync") >= 3.7);
+	assert_true(scale_model_get(&result, "counter.heard.config_sync_reply") >= 3.5);
 	/* what is sent is heard: only controllers ask and answer in rounds */
 	assert_true(scale_model_get(&result, "registrar.sent.append") > 1);
 	assert_float_equal(scale_model_get(&result, "registrar.sent.append"), scale_model_get(&result, "registrar.heard.append"), 1);
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -98,10 +98,10 @@
 	int at = sim_leader(sim, SHARD_CONTROL);
 	const struct Nl__Row *row = at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
 
-	for (ptrdiff_t i = 0; row && row->rolled[0] && i < arrlen(sim->instance_list.instances); i++)
+	for (ptrdiff_t i = 0; row && row->rolled_out[0] && i < arrlen(sim->instance_list.instances); i++)
 		if (sim->instance_list.instances[i].up && !sim->instance_list.instances[i].draining && sim->now - sim->instance_list.instances[i].started_at > 3000 &&
-		    strcmp(sim->instance_list.instances[i].weights, row->rolled) < 0)
-			sim_violation(sim, "%s is called rolled out, but server %s has %s", row->rolled, sim->instance_list.instances[i].name,
+		    strcmp(sim->instance_list.instances[i].weights, row->rolled_out) < 0)
+			sim_violation(sim, "%s is called rolled out, but server %s has %s", row->rolled_out, sim->instance_list.instances[i].name,
 				   sim->instance_list.instances[i].weights);
 }
 
@@ -126,16 +126,16 @@
 
 	row.kind = NL__KIND__MODEL;
 	row.name = "lm";
-	row.weights = (char *)weights;
-	row.rolled = strcmp(weights, "1") ? (char *)"1" : (char *)"";
+	row.target_weights = (char *)weights;
+	row.rolled_out = strcmp(weights, "1") ? (char *)"1" : (char *)"";
 	row.addr = "127.0.0.1:1";
 	row.id = 1;
 	v.kind = NL__KIND__SERVICE;
 	v.name = "pool";
 	v.model = "lm";
-	v.weights = "0";
-	v.prefill = v.kv_bytes = v.link = 100;
-	change.any = 1;
+	v.target_weights = "0";
+	v.prefill_tokens_per_ms = v.kv_bytes_per_token = v.link_bytes_per_ms = 100;
+	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 2;
 	if (!sim_propose(sim, &change, 12000))
@@ -199,7 +199,7 @@
 	int at = sim_leader(sim, SHARD_CONTROL);
 	const struct Nl__Row *row = at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
 
-	return row ? row->rolled : "";
+	return row ? row->rolled_out : "";
 }
 
 /* ---- tests ------------------------------------------------------------------------- */
@@ -487,26 +487,26 @@
 	for (uint64_t seed = 1; seed <= 24; seed++) {
 		struct sim sim;
 		struct judge checker;
-		struct Nl__KeptEvent cache_event = NL__KEPT_EVENT__INIT, *pe = &cache_event;
-		struct Nl__Kept update = NL__KEPT__INIT, *pk = &update;
-		struct Nl__KeptAll all = NL__KEPT_ALL__INIT;
+		struct Nl__CacheEvent cache_event = NL__CACHE_EVENT__INIT, *pe = &cache_event;
+		struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT, *pk = &update;
+		struct Nl__CacheUpdateBatch all = NL__CACHE_UPDATE_BATCH__INIT;
 		struct Nl__Msg message = NL__MSG__INIT;
 		uint64_t key = router_block_key(core_hash_string(0, "shelf"), 5);
 
 		fleet(&sim, &checker, seed, 15000, 100);
 		cache_event.cache_namespace = "shelf";
-		cache_event.id = 5;
+		cache_event.block_hash = 5;
 		cache_event.tokens = 100;
 		update.server = sim.instance_list.instances[1].name;
 		update.epoch = 7;
-		update.next = 3;
-		update.n_e = 1;
-		update.e = &pe;
-		all.n_k = 1;
-		all.k = &pk;
-		message.speak = CORE_SPEAK;
-		message.body_case = NL__MSG__BODY_KEPT_ALL;
-		message.kept_all = &all;
+		update.next_offset = 3;
+		update.n_events = 1;
+		update.events = &pe;
+		all.n_updates = 1;
+		all.updates = &pk;
+		message.protocol_version = CORE_PROTOCOL_VERSION;
+		message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
+		message.cache_update_batch = &all;
 		for (int n = SIM_CONTROLLERS; n < SIM_CONTROLLERS + ROUTERS; n++) { /* what all have heard */
 			struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
@@ -547,7 +547,7 @@
 	return listed;
 }
 
-static void show(struct instances *instances, struct Nl__Instance **listed, size_t n, int64_t now, struct out *out)
+static void show(struct instances *instances, struct Nl__Instance **listed, size_t n, int64_t now, struct command_list *out)
 {
 	instances_tick(instances, 1, 47000, (uint64_t)now, now, out);
 	assert_int_equal(instances->poll_token, now);
@@ -558,7 +558,7 @@
 static void instances_alone(void **state)
 {
 	struct instances instances, w, u;
-	struct out out;
+	struct command_list out;
 	struct Nl__ConfigSyncReply a = NL__CONFIG_SYNC_REPLY__INIT, b = NL__CONFIG_SYNC_REPLY__INIT;
 	struct Nl__Instance *listed[3];
 	apr_pool_t *pool;
@@ -575,17 +575,17 @@
 	listed[2] = instance(pool, "c", 1, "1");
 	instances_start_term(&w, &instances, 3, 1000);
 	instances_pack_since(&w, 0, &a, pool);
-	assert_int_equal(a.instances, 0); /* no list yet: nothing to tell */
+	assert_int_equal(a.instances_stamp, 0); /* no list yet: nothing to tell */
 	assert_false(instances_apply_reply(&instances, &a, 1000));
 	show(&w, listed, 3, 1000, &out);
 	instances_pack_since(&w, instances.stamp, &a, pool);
-	assert_true(a.instances_whole);
+	assert_true(a.instances_full);
 	assert_true(instances_apply_reply(&instances, &a, 1000));
 	assert_int_equal(shlen(instances.rows), 3);
 	assert_false(instances_apply_reply(&instances, &a, 1000));
 	instances_pack_since(&w, instances.stamp, &b, pool);
-	assert_int_equal(b.n_instance, 0);
-	assert_false(b.instances_whole);
+	assert_int_equal(b.n_instances, 0);
+	assert_false(b.instances_full);
 
 	/* one that drains never serves again; one that is missing once is no news, twice is gone */
 	listed[2] = instance(pool, "c", 0, "1");
@@ -595,8 +595,8 @@
 	show(&w, listed + 1, 2, 2000, &out);
 	assert_int_equal(instances_get(&w, "a")->state, INSTANCE_REMOVED);
 	instances_pack_since(&w, instances.stamp, &b, pool);
-	assert_false(b.instances_whole);
-	assert_int_equal(b.n_instance, 1);
+	assert_false(b.instances_full);
+	assert_int_equal(b.n_instances, 1);
 	assert_true(instances_apply_reply(&instances, &b, 2000));
 	assert_int_equal(instances_get(&instances, "a")->state, INSTANCE_REMOVED);
 	assert_false(instances_apply_reply(&instances, &a, 2000)); /* an older answer that comes late */
@@ -626,7 +626,7 @@
 	memset(&b, 0, sizeof b);
 	nl__config_sync_reply__init(&b);
 	instances_pack_since(&u, instances.stamp, &b, pool);
-	assert_true(b.instances_whole);
+	assert_true(b.instances_full);
 	assert_true(instances_apply_reply(&instances, &b, 15000));
 	assert_int_equal(instances_get(&instances, "c")->state, INSTANCE_DRAINING);
 	/* and the owner before, which does not know yet that it is none, is heard no more */
@@ -651,7 +651,7 @@
 	assert_null(instances_get(&w, "b"));
 	nl__config_sync_reply__init(&b);
 	instances_pack_since(&w, (3ull << 24) + 1, &b, pool);
-	assert_true(b.instances_whole);
+	assert_true(b.instances_full);
 	instances_close(&instances);
 	instances_close(&w);
 	instances_close(&u);
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -770,7 +770,7 @@
 		else
 			token = sim_call(&world.s, node, "POST", "/v1/change",
 					 "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
-		until_sent(&world.s, read ? NL__MSG__BODY_READ_REPLY : NL__MSG__BODY_ANSWER);
+		until_sent(&world.s, read ? NL__MSG__BODY_READ_REPLY : NL__MSG__BODY_PROPOSE_REPLY);
 		sim_freeze(&world.s, node, 1); /* with that answer and little else at its door */
 		cut_links(&world, node, 0, SIM_CONTROLLERS + ROUTERS, CUT_BOTH);
 		sim_run(&world.s, ISOLATION_MS, NULL);
@@ -826,7 +826,7 @@
 {
 	struct instances seen, followed;
 	struct Nl__Instance server = NL__INSTANCE__INIT, *list[1] = { &server };
-	struct out out = { 0 };
+	struct command_list out = { 0 };
 	int64_t now = 100000;
 
 	(void)state;
@@ -864,9 +864,9 @@
 	operate(&world, 3000, -1, 40);
 	sim_run(&world.s, 1000, NULL);
 	replies = world.s.by_body[NL__MSG__BODY_READ_REPLY];
-	hints = world.s.by_body[NL__MSG__BODY_OWNER];
+	hints = world.s.by_body[NL__MSG__BODY_LEADER_HINT];
 	read.kind = NL__READ_KIND__READ_RETENTION;
-	message.speak = CORE_SPEAK;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = 77;
 	message.addr = core_parse_addr("127.0.9.9:1");
 	message.body_case = NL__MSG__BODY_READ;
@@ -881,7 +881,7 @@
 	}
 	sim_run(&world.s, 1, NULL);
 	assert_int_equal(world.s.by_body[NL__MSG__BODY_READ_REPLY], replies + 1);
-	assert_true(world.s.by_body[NL__MSG__BODY_OWNER] >= hints + CONTROLLERS - 1);
+	assert_true(world.s.by_body[NL__MSG__BODY_LEADER_HINT] >= hints + CONTROLLERS - 1);
 	intact(&world);
 	close_world(&world);
 }
@@ -915,12 +915,12 @@
 		while (config_watch_age_ms(&controller->config_watch, sim_local(&world.s, node)) < LAST_UPDATE_MS)
 			sim_run(&world.s, 1, NULL);
 		controller->config_watch.leader_addr[SHARD_CONTROL] = world.s.nodes[follower].addr; /* as a hint that came late would have it */
-		answers = world.s.by_body[NL__MSG__BODY_ANSWER];
+		answers = world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY];
 		token = sim_call(&world.s, node, "POST", "/v1/change",
 				 "{\"set\":[{\"kind\":\"service\",\"name\":\"sx\",\"weights\":\"w1\"" SPEEDS "}]}");
 		sent = world.s.now;
 		sim_run(&world.s, 20, NULL);
-		if (world.s.by_body[NL__MSG__BODY_ANSWER] > answers && arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
+		if (world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers && arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
 		    controller->proposals[0].denied_count == 1) {
 			while (!sim_answer(&world.s, token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
 				sim_run(&world.s, POLL_MS, NULL);
--- a/tests/test_kept_feed.c
+++ b/tests/test_kept_feed.c
@@ -29,7 +29,7 @@
 
 struct node {
 	struct router router;
-	struct out out;
+	struct command_list out;
 };
 
 struct zone {
@@ -58,7 +58,7 @@
 	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
 	event.u.message = message;
-	message->speak = CORE_SPEAK;
+	message->protocol_version = CORE_PROTOCOL_VERSION;
 	node_step(zone, i, &event);
 }
 
@@ -74,20 +74,20 @@
 		instances[k] = new_instance(zone->pool, (k + i) % SERVERS, "pool"); /* each router numbers them otherwise */
 	row.kind = NL__KIND__SERVICE;
 	row.name = "pool";
-	row.weights = "w1";
-	row.prefill = 20;
+	row.target_weights = "w1";
+	row.prefill_tokens_per_ms = 20;
 	node_step(zone, i, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 	reply.token = zone->node[i].router.config_watch.last_token;
-	reply.has_lease = reply.whole = reply.instances_whole = 1;
-	reply.fleet = 7;
-	reply.edition = reply.instances = 1;
+	reply.has_lease = reply.full = reply.instances_full = 1;
+	reply.fleet_id = 7;
+	reply.revision = reply.instances_stamp = 1;
 	reply.set = rows;
 	reply.n_set = 1;
-	reply.instance = instances;
-	reply.n_instance = SERVERS;
-	reply.counters = 1 + FOLLOWERS;
-	msg.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	msg.follow_reply = &reply;
+	reply.instances = instances;
+	reply.n_instances = SERVERS;
+	reply.router_count = 1 + FOLLOWERS;
+	msg.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	msg.config_sync_reply = &reply;
 	msg.addr = msg.id = 1;
 	node_message(zone, i, &msg);
 	command_list_clear(&zone->node[i].out);
@@ -122,14 +122,14 @@
 	apr_pool_destroy(zone->pool);
 }
 
-static struct Nl__KeptEvent *event_new(apr_pool_t *pool, const char *cache_namespace, uint64_t part, int removed)
+static struct Nl__CacheEvent *event_new(apr_pool_t *pool, const char *cache_namespace, uint64_t part, int removed)
 {
-	struct Nl__KeptEvent *cache_event = apr_palloc(pool, sizeof *cache_event);
+	struct Nl__CacheEvent *cache_event = apr_palloc(pool, sizeof *cache_event);
 
-	nl__kept_event__init(cache_event);
+	nl__cache_event__init(cache_event);
 	cache_event->cache_namespace = apr_pstrdup(pool, cache_namespace);
-	cache_event->id = part;
-	cache_event->gone = removed;
+	cache_event->block_hash = part;
+	cache_event->evicted = removed;
 	cache_event->tokens = 10;
 	return cache_event;
 }
@@ -137,7 +137,7 @@
 /* A server answers a watch: some events, none, or that some are missed; it may also have begun anew. */
 static void answer_watch(struct zone *zone, uint64_t token, int server, apr_pool_t *pool)
 {
-	struct Nl__Kept update = NL__KEPT__INIT;
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
 	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
 	size_t n = zone->busy ? random_below(zone, 40) : 0;
 
@@ -146,14 +146,14 @@
 		zone->epoch[server]++;
 		zone->next[server] = 0;
 	}
-	update.lost = zone->busy && !random_below(zone, 100);
+	update.events_lost = zone->busy && !random_below(zone, 100);
 	update.epoch = zone->epoch[server];
-	update.next = zone->next[server] += n;
-	update.e = apr_palloc(pool, (n + 1) * sizeof *update.e);
-	for (; update.n_e < n; update.n_e++) {
+	update.next_offset = zone->next[server] += n;
+	update.events = apr_palloc(pool, (n + 1) * sizeof *update.events);
+	for (; update.n_events < n; update.n_events++) {
 		const char *cache_namespace = random_below(zone, 2) ? "w1-a" : "w1-b~0000000700000002";
 
-		update.e[update.n_e] = event_new(pool, cache_namespace, 1 + random_below(zone, BLOCKS), !random_below(zone, 3));
+		update.events[update.n_events] = event_new(pool, cache_namespace, 1 + random_below(zone, BLOCKS), !random_below(zone, 3));
 	}
 	event.u.cache_watched.token = token;
 	event.u.cache_watched.update = &update;
@@ -164,17 +164,17 @@
 /* A server answers a watch with so many events of parts that it keeps. */
 static void answer_all(struct zone *zone, uint64_t token, int server, size_t events)
 {
-	struct Nl__Kept update = NL__KEPT__INIT;
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
 	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, zone->pool);
 	update.server = apr_psprintf(pool, "i-%d", server);
 	update.epoch = 1;
-	update.next = zone->next[server] += events;
-	update.e = apr_palloc(pool, events * sizeof *update.e);
-	for (; update.n_e < events; update.n_e++)
-		update.e[update.n_e] = event_new(pool, "w1-a", 1 + random_below(zone, BLOCKS), 0);
+	update.next_offset = zone->next[server] += events;
+	update.events = apr_palloc(pool, events * sizeof *update.events);
+	for (; update.n_events < events; update.n_events++)
+		update.events[update.n_events] = event_new(pool, "w1-a", 1 + random_below(zone, BLOCKS), 0);
 	event.u.cache_watched.token = token;
 	event.u.cache_watched.update = &update;
 	event.u.cache_watched.status = 200;
@@ -196,7 +196,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(command); i++) {
 		if (command[i].kind == CMD_WATCH_CACHE)
 			answer_watch(zone, command[i].args.watch_cache.token, atoi(command[i].args.watch_cache.server + 2), pool);
-		if (command[i].kind != CMD_SEND || command[i].args.send.msg->body_case != NL__MSG__BODY_KEPT_ALL)
+		if (command[i].kind != CMD_SEND || command[i].args.send.msg->body_case != NL__MSG__BODY_CACHE_UPDATE_BATCH)
 			continue;
 		zone->bytes += (int64_t)nl__msg__get_packed_size(command[i].args.send.msg);
 		node_message(zone, (int)(command[i].args.send.addr - 1001), command[i].args.send.msg);
@@ -370,14 +370,14 @@
 	node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 	assert_int_equal(watch_of(&zone.node[0], "i-3", &token), 1);
 	for (size_t i = 0; i < sizeof answers / sizeof *answers; i++) {
-		struct Nl__Kept update = NL__KEPT__INIT;
+		struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
 		struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
 
 		command_list_clear(&zone.node[0].out);
 		update.server = "i-3";
 		update.epoch = 1;
-		update.next = i + 1;
-		update.lost = answers[i].lost;
+		update.next_offset = i + 1;
+		update.events_lost = answers[i].lost;
 		event.u.cache_watched.token = token;
 		event.u.cache_watched.update = &update;
 		event.u.cache_watched.status = 200;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -142,10 +142,10 @@
 {
 	int voters = 0, live = 0, holders = 0;
 
-	for (size_t i = 0; members && i < members->n_m; i++) {
-		int node = node_by_id(sim, members->m[i]->id);
+	for (size_t i = 0; members && i < members->n_members; i++) {
+		int node = node_by_id(sim, members->members[i]->id);
 
-		if (!members->m[i]->voter)
+		if (!members->members[i]->voter)
 			continue;
 		voters++;
 		if (node < 0 || lost >> node & 1)
@@ -836,8 +836,8 @@
 static uint64_t successor_named(struct leader *leader)
 {
 	for (ptrdiff_t i = 0; i < arrlen(leader->out.commands); i++)
-		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_GIVE_UP)
-			return leader->out.commands[i].args.send.msg->give_up->successor;
+		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_STEP_DOWN)
+			return leader->out.commands[i].args.send.msg->step_down->successor_id;
 	return 0;
 }
 
@@ -905,14 +905,14 @@
 	leader_begin(&leader, 3);
 	old = leader_last_index(&leader);
 	reply.term = leader.raft.term;
-	reply.ok = reply.leaving = 1;
+	reply.success = reply.draining = 1;
 	reply.round = leader.raft.heartbeat_round;
-	reply.match = old;
+	reply.match_index = old;
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
 	raft_tick(&leader.raft, leader.now, &leader.out);
 	leader_propose(&leader);
-	reply.match = leader_last_index(&leader);
+	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
 	assert_int_equal(leader.raft.commit_index, old);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
@@ -926,7 +926,7 @@
 		leader_receive(&leader, 3, &message);
 	}
 	leader_propose(&leader);
-	reply.match = leader_last_index(&leader);
+	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
 	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
 	leader_end(&leader);
@@ -945,13 +945,13 @@
 	old = leader_last_index(&leader);
 	leader_propose(&leader);
 	reply.term = leader.raft.term;
-	reply.ok = reply.leaving = 1;
+	reply.success = reply.draining = 1;
 	reply.round = leader.raft.heartbeat_round;
-	reply.match = old;
+	reply.match_index = old;
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
 	raft_tick(&leader.raft, leader.now, &leader.out);
-	reply.match = leader_last_index(&leader);
+	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
 	assert_int_equal(leader.raft.commit_index, old);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
@@ -984,9 +984,9 @@
 	old = leader_last_index(&leader);
 	leader_propose(&leader);
 	reply.term = leader.raft.term;
-	reply.ok = reply.leaving = 1;
+	reply.success = reply.draining = 1;
 	reply.round = leader.raft.heartbeat_round;
-	reply.match = leader_last_index(&leader);
+	reply.match_index = leader_last_index(&leader);
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
 	for (int caught_up = 0; caught_up <= 1; caught_up++) {
--- a/tests/test_naming.c
+++ b/tests/test_naming.c
@@ -44,12 +44,12 @@
 
 	row.kind = NL__KIND__MODEL;
 	row.name = "m";
-	row.weights = (char *)(uintptr_t)weights;
-	row.rolled = (char *)(uintptr_t)rolled;
-	change.any = 1;
+	row.target_weights = (char *)(uintptr_t)weights;
+	row.rolled_out = (char *)(uintptr_t)rolled;
+	change.any_revision = 1;
 	change.set = rows;
 	change.n_set = 1;
-	change.bound_passed = at > BOUND_MS ? at - BOUND_MS : 0;
+	change.bound_passed_at_ms = at > BOUND_MS ? at - BOUND_MS : 0;
 	config_table.clock = (struct group_moment){ at, TERM };
 	assert_int_equal(config_table_apply(&config_table, &change, NULL), PROPOSAL_DONE);
 	return config_table_get(&config_table, NL__KIND__MODEL, "m");
@@ -59,9 +59,9 @@
 
 static uint64_t date_after(const struct Nl__Row *model, uint64_t weights)
 {
-	const struct Nl__Naming *target = version_history_after(model, weights);
+	const struct Nl__TargetVersion *target = version_history_after(model, weights);
 
-	return target ? target->at : 0;
+	return target ? target->targeted_at_ms : 0;
 }
 
 /* Weights are dated by the first naming that is newer than they are, whatever was named since. */
@@ -92,9 +92,9 @@
 	name(2, 2000);
 	name(1, 3000);
 	model = apply("", "2", 4000);
-	assert_string_equal(model->weights, "2");
-	assert_string_equal(model->rolled, "2");
-	assert_int_equal(model->n_naming, 1);
+	assert_string_equal(model->target_weights, "2");
+	assert_string_equal(model->rolled_out, "2");
+	assert_int_equal(model->n_target_versions, 1);
 	assert_int_equal(date_after(model, 1), 1000);
 }
 
@@ -106,7 +106,7 @@
 	(void)state;
 	for (unsigned weights = 2; weights < 500; weights++) {
 		model = name(weights, weights * 3000ull);
-		assert_true(model->n_naming <= BOUND_MS / 3000 + 2);
+		assert_true(model->n_target_versions <= BOUND_MS / 3000 + 2);
 		assert_true(date_after(model, 1) + BOUND_MS <= weights * 3000ull || weights < 9);
 	}
 }
@@ -120,9 +120,9 @@
 	(void)state;
 	for (uint64_t weights = 2; weights < targets; weights++) {
 		model = name((unsigned)weights, weights * every_ms);
-		assert_true(model->n_naming <= VERSION_HISTORY_MAX);
+		assert_true(model->n_target_versions <= VERSION_HISTORY_MAX);
 	}
-	print_message("a model's row with %d namings: %d bytes\n", (int)model->n_naming, (int)nl__row__get_packed_size(model));
+	print_message("a model's row with %d namings: %d bytes\n", (int)model->n_target_versions, (int)nl__row__get_packed_size(model));
 	for (uint64_t weights = targets - BOUND_MS / every_ms + 1; weights + 1 < targets; weights++) {
 		uint64_t named = (weights + 1) * every_ms, date = date_after(model, weights);
 
@@ -149,7 +149,7 @@
 	config_table_since(&config_table, follower.revision, &reply, pool);
 	assert_true(config_table_follow(&follower, &reply));
 	model = config_table_get(&follower, NL__KIND__MODEL, "m");
-	assert_int_equal(model->n_naming, 3);
+	assert_int_equal(model->n_target_versions, 3);
 	assert_int_equal(date_after(model, 2), 2000);
 	config_table_close(&follower);
 }
@@ -161,7 +161,7 @@
 
 	(void)state;
 	row.kind = NL__KIND__MODEL;
-	row.weights = "7";
+	row.target_weights = "7";
 	assert_null(version_history_after(&row, 6));
 	assert_true(version_history_newest(&row) == 7);
 }
@@ -176,15 +176,15 @@
 	name(2, 1000);
 	row.kind = NL__KIND__MODEL;
 	row.name = "m";
-	change.any = 1;
-	change.del = removed;
-	change.n_del = 1;
+	change.any_revision = 1;
+	change.deleted = removed;
+	change.n_deleted = 1;
 	assert_null(config_table_check(&config_table, &change, pool));
 	service.kind = NL__KIND__SERVICE;
 	service.name = "pool";
 	service.model = "m";
-	service.prefill = service.kv_bytes = service.link = 100;
-	add.any = 1;
+	service.prefill_tokens_per_ms = service.kv_bytes_per_token = service.link_bytes_per_ms = 100;
+	add.any_revision = 1;
 	add.set = added;
 	add.n_set = 1;
 	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
@@ -196,20 +196,20 @@
 /* Ask at one moment and get an answer at another. */
 static void receive_clock(struct config_watch *watch, uint64_t term, uint64_t clock, int64_t asked_at, int64_t answered_at)
 {
-	struct out out = { 0 };
+	struct command_list out = { 0 };
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
 	out.pool = pool;
 	config_watch_poll(watch, 0, asked_at, &out);
 	reply.token = watch->last_token;
-	reply.has_lease = reply.whole = 1;
-	reply.fleet = 7;
-	reply.edition = watch->table.revision + 1;
-	reply.clock = clock;
+	reply.has_lease = reply.full = 1;
+	reply.fleet_id = 7;
+	reply.revision = watch->table.revision + 1;
+	reply.group_clock_ms = clock;
 	reply.clock_term = term;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	message.addr = LEADER;
 	(void)config_watch_receive(watch, &message, answered_at, &out);
 	arrfree(out.commands);
--- a/tests/test_orders.c
+++ b/tests/test_orders.c
@@ -61,7 +61,7 @@
 static void the_record_is_bounded_and_knows_how_far_it_reaches(void **state)
 {
 	struct orders orders = { .capacity = 100 }, loaded = { .capacity = 100 };
-	struct Nl__CtlState saved = NL__CTL_STATE__INIT;
+	struct Nl__ControlState saved = NL__CONTROL_STATE__INIT;
 	struct request_key request_key;
 	apr_pool_t *pool;
 
@@ -110,7 +110,7 @@
 static void a_full_record_is_small(void **state)
 {
 	struct orders orders = { 0 };
-	struct Nl__CtlState saved = NL__CTL_STATE__INIT;
+	struct Nl__ControlState saved = NL__CONTROL_STATE__INIT;
 	apr_pool_t *pool;
 	size_t bytes;
 
@@ -126,7 +126,7 @@
 	}
 	assert_int_equal(arrlen(orders.records), IDEMPOTENCY_MAX_RECORDS);
 	idempotency_log_pack(&orders, &saved, pool);
-	bytes = nl__ctl_state__get_packed_size(&saved);
+	bytes = nl__control_state__get_packed_size(&saved);
 	print_message("a full record: %zu bytes in a snapshot\n", bytes);
 	assert_true(bytes < 400 * 1000);
 	idempotency_log_reset(&orders);
@@ -1086,18 +1086,18 @@
 static void deliver_refusal(struct world *world, int from, int to, uint64_t token)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Answer refusal = NL__ANSWER__INIT;
+	struct Nl__ProposeReply refusal = NL__PROPOSE_REPLY__INIT;
 	struct sim_event event = { .at = world->s.now, .kind = SIM_MSG, .node = to };
 
 	refusal.token = token;
 	refusal.status = PROPOSAL_REJECTED;
-	refusal.why = (char *)"del service s: no such row";
-	message.speak = CORE_SPEAK;
+	refusal.reason = (char *)"del service s: no such row";
+	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = world->s.nodes[from].id;
 	message.addr = world->s.nodes[from].addr;
-	message.fleet = world->s.nodes[to].controller->fleet;
-	message.body_case = NL__MSG__BODY_ANSWER;
-	message.answer = &refusal;
+	message.fleet_id = world->s.nodes[to].controller->fleet;
+	message.body_case = NL__MSG__BODY_PROPOSE_REPLY;
+	message.propose_reply = &refusal;
 	event.data_len = nl__msg__get_packed_size(&message);
 	event.data = malloc(event.data_len + 1);
 	nl__msg__pack(&message, event.data);
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -175,7 +175,7 @@
 		for (int i = 0; i < 3; i++)
 			if (i != leader)
 				sim_crash(&sim, i, 0);
-		answers = sim.by_body[NL__MSG__BODY_FOLLOW_REPLY];
+		answers = sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY];
 		for (end = sim.now + 2 * CONFIG_WATCH_POLL_MS; sim.now < end;) {
 			pass(&sim, STEP_MS);
 			for (ptrdiff_t i = 0; i < arrlen(stopped->deferred_requests); i++)
@@ -183,7 +183,7 @@
 					fail_msg("seed %llu: a request is held for too long", (unsigned long long)seed);
 			held += arrlenu(stopped->deferred_requests);
 		}
-		assert_true(sim.by_body[NL__MSG__BODY_FOLLOW_REPLY] > answers);
+		assert_true(sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY] > answers);
 		sim_close(&sim);
 	}
 	assert_true(held);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -410,7 +410,7 @@
 
 static void copy(char to[200], const char *s) { snprintf(to, 200, "%s", s ? s : "(none)"); }
 
-static void core(void *ctx, const struct controller_event *input, int64_t now, struct out *out)
+static void core(void *ctx, const struct controller_event *input, int64_t now, struct command_list *out)
 {
 	struct desk *desk = ctx;
 	struct heard heard;
@@ -457,7 +457,7 @@
 			snprintf(heard.instance[i].weights, 60, "%s", instance->weights);
 			heard.instance[i].slots = instance->slots;
 			heard.instance[i].state = instance->state;
-			heard.instance[i].cold = instance->cold_ms;
+			heard.instance[i].cold = instance->warm_up_ms;
 		}
 		break;
 	case CONTROLLER_REPORT_POLLED:
@@ -1070,7 +1070,7 @@
 	int rc;
 };
 
-static void quiet(void *ctx, const struct shell_event *input, int64_t now, struct out *out)
+static void quiet(void *ctx, const struct shell_event *input, int64_t now, struct command_list *out)
 {
 	(void)ctx;
 	(void)input;
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -36,14 +36,14 @@
 
 struct sample {
 	struct Nl__Msg msg;
-	struct Nl__VoteAsk vote_ask;
+	struct Nl__VoteRequest vote_ask;
 	struct Nl__VoteReply vote_reply;
 	struct Nl__Append append;
 	struct Nl__Entry entry[2], *entries[2];
 	struct Nl__AppendReply append_reply;
-	struct Nl__SnapshotPiece piece;
+	struct Nl__SnapshotChunk piece;
 	struct Nl__SnapshotReply piece_reply;
-	struct Nl__GiveUp give_up;
+	struct Nl__StepDown give_up;
 	struct Nl__Probe probe;
 	struct Nl__ProbeReply probe_reply;
 	uint8_t digest[RAFT_DIGEST_BYTES + 1], bytes[64], members[512];
@@ -61,8 +61,8 @@
 		v[i].voter = i < voters;
 		member[i] = &v[i];
 	}
-	members.n_m = (size_t)n;
-	members.m = member;
+	members.n_members = (size_t)n;
+	members.members = member;
 	return nl__members__pack(&members, to);
 }
 
@@ -73,20 +73,20 @@
 {
 	memset(sample, 0, sizeof *sample);
 	nl__msg__init(&sample->msg);
-	sample->msg.speak = CORE_SPEAK;
+	sample->msg.protocol_version = CORE_PROTOCOL_VERSION;
 	sample->msg.id = from;
 	sample->msg.addr = 999 + from;
-	sample->msg.fleet = 1;
+	sample->msg.fleet_id = 1;
 	sample->msg.body_case = (Nl__Msg__BodyCase)body;
-	nl__vote_ask__init(&sample->vote_ask);
+	nl__vote_request__init(&sample->vote_ask);
 	sample->vote_ask.term = raft->term + 1;
-	sample->vote_ask.last = last_of(raft);
+	sample->vote_ask.last_index = last_of(raft);
 	sample->vote_ask.last_term = raft->term;
 	nl__vote_reply__init(&sample->vote_reply);
 	sample->vote_reply.term = raft->term;
 	nl__append__init(&sample->append);
 	sample->append.term = raft->term;
-	sample->append.prev = last_of(raft);
+	sample->append.prev_index = last_of(raft);
 	sample->append.prev_term = raft->term;
 	sample->append.round = raft->heartbeat_round;
 	for (int i = 0; i < 2; i++) {
@@ -97,36 +97,36 @@
 		sample->entry[i].data.len = sizeof sample->bytes;
 		sample->entries[i] = &sample->entry[i];
 	}
-	sample->append.n_e = 2;
-	sample->append.e = sample->entries;
+	sample->append.n_entries = 2;
+	sample->append.entries = sample->entries;
 	nl__append_reply__init(&sample->append_reply);
 	sample->append_reply.term = raft->term;
-	sample->append_reply.ok = 1;
-	sample->append_reply.match = sample->append_reply.matched = last_of(raft);
+	sample->append_reply.success = 1;
+	sample->append_reply.match_index = sample->append_reply.matched_index = last_of(raft);
 	sample->append_reply.round = raft->heartbeat_round;
-	nl__snapshot_piece__init(&sample->piece);
+	nl__snapshot_chunk__init(&sample->piece);
 	sample->piece.term = sample->piece.index_term = raft->term;
 	sample->piece.index = last_of(raft) + 100;
 	sample->piece.members_len = 60;
-	sample->piece.total = 1000;
+	sample->piece.total_bytes = 1000;
 	sample->piece.digest.data = sample->digest;
 	sample->piece.digest.len = RAFT_DIGEST_BYTES;
 	sample->piece.data.data = sample->bytes;
 	sample->piece.data.len = sizeof sample->bytes;
 	nl__snapshot_reply__init(&sample->piece_reply);
 	sample->piece_reply.term = raft->term;
-	nl__give_up__init(&sample->give_up);
+	nl__step_down__init(&sample->give_up);
 	sample->give_up.term = raft->term;
 	nl__probe__init(&sample->probe);
 	nl__probe_reply__init(&sample->probe_reply);
-	sample->msg.vote_ask = &sample->vote_ask; /* the body is a union: all begin at the same place */
+	sample->msg.vote_request = &sample->vote_ask; /* the body is a union: all begin at the same place */
 	switch (body) {
 	case NL__MSG__BODY_VOTE_REPLY: sample->msg.vote_reply = &sample->vote_reply; break;
 	case NL__MSG__BODY_APPEND: sample->msg.append = &sample->append; break;
 	case NL__MSG__BODY_APPEND_REPLY: sample->msg.append_reply = &sample->append_reply; break;
-	case NL__MSG__BODY_SNAPSHOT_PIECE: sample->msg.snapshot_piece = &sample->piece; break;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK: sample->msg.snapshot_chunk = &sample->piece; break;
 	case NL__MSG__BODY_SNAPSHOT_REPLY: sample->msg.snapshot_reply = &sample->piece_reply; break;
-	case NL__MSG__BODY_GIVE_UP: sample->msg.give_up = &sample->give_up; break;
+	case NL__MSG__BODY_STEP_DOWN: sample->msg.step_down = &sample->give_up; break;
 	case NL__MSG__BODY_PROBE: sample->msg.probe = &sample->probe; break;
 	case NL__MSG__BODY_PROBE_REPLY: sample->msg.probe_reply = &sample->probe_reply; break;
 	default: break;
@@ -144,14 +144,14 @@
 
 static void vote_term_0(struct sample *sample) { sample->vote_ask.term = sample->vote_ask.last_term = 0; }
 static void vote_term_far(struct sample *sample) { sample->vote_ask.term = FAR; }
-static void vote_gave_up_late(struct sample *sample) { sample->vote_ask.gave_up = sample->vote_ask.term; }
-static void vote_last_far(struct sample *sample) { sample->vote_ask.last = FAR; }
+static void vote_gave_up_late(struct sample *sample) { sample->vote_ask.stepped_down_term = sample->vote_ask.term; }
+static void vote_last_far(struct sample *sample) { sample->vote_ask.last_index = FAR; }
 static void vote_last_term_late(struct sample *sample) { sample->vote_ask.last_term = sample->vote_ask.term + 1; }
 static void vote_reply_term_far(struct sample *sample) { sample->vote_reply.term = FAR; }
 static void append_term_0(struct sample *sample) { sample->append.term = sample->append.prev_term = sample->entry[0].term = sample->entry[1].term = 0; }
 static void append_term_far(struct sample *sample) { sample->append.term = UINT64_MAX; }
-static void append_prev_far(struct sample *sample) { sample->append.prev = UINT64_MAX; }
-static void append_commit_far(struct sample *sample) { sample->append.commit = FAR; }
+static void append_prev_far(struct sample *sample) { sample->append.prev_index = UINT64_MAX; }
+static void append_commit_far(struct sample *sample) { sample->append.commit_index = FAR; }
 static void append_prev_term_late(struct sample *sample) { sample->append.prev_term = sample->append.term + 1; }
 static void entry_term_0(struct sample *sample) { sample->entry[0].term = 0; }
 static void entry_term_late(struct sample *sample) { sample->entry[1].term = sample->append.term + 1; }
@@ -163,9 +163,9 @@
 static void members_alike(struct sample *sample) { members_entry(sample, pack_members(sample->members, 3, 3, 1)); }
 static void members_voteless(struct sample *sample) { members_entry(sample, pack_members(sample->members, 3, 0, 0)); }
 static void reply_term_far(struct sample *sample) { sample->append_reply.term = FAR; }
-static void reply_match_far(struct sample *sample) { sample->append_reply.match = UINT64_MAX; }
-static void reply_match_beyond(struct sample *sample) { sample->append_reply.match++; }
-static void reply_matched_beyond(struct sample *sample) { sample->append_reply.matched++; }
+static void reply_match_far(struct sample *sample) { sample->append_reply.match_index = UINT64_MAX; }
+static void reply_match_beyond(struct sample *sample) { sample->append_reply.match_index++; }
+static void reply_matched_beyond(struct sample *sample) { sample->append_reply.matched_index++; }
 static void reply_round_beyond(struct sample *sample) { sample->append_reply.round++; }
 static void piece_term_0(struct sample *sample) { sample->piece.term = 0; }
 static void piece_term_far(struct sample *sample) { sample->piece.term = FAR; }
@@ -176,19 +176,19 @@
 static void piece_digest_short(struct sample *sample) { sample->piece.digest.len = RAFT_DIGEST_BYTES - 1; }
 static void piece_digest_long(struct sample *sample) { sample->piece.digest.len = RAFT_DIGEST_BYTES + 1; }
 static void piece_no_members(struct sample *sample) { sample->piece.members_len = 0; }
-static void piece_members_beyond(struct sample *sample) { sample->piece.members_len = sample->piece.total + 1; }
-static void piece_huge(struct sample *sample) { sample->piece.total = FAR; }
-static void piece_too_large(struct sample *sample) { sample->piece.total = (uint64_t)RAFT_SNAPSHOT_MAX_BYTES + 1; }
-static void piece_beyond(struct sample *sample) { sample->piece.offset = sample->piece.total - sample->piece.data.len + 1; }
+static void piece_members_beyond(struct sample *sample) { sample->piece.members_len = sample->piece.total_bytes + 1; }
+static void piece_huge(struct sample *sample) { sample->piece.total_bytes = FAR; }
+static void piece_too_large(struct sample *sample) { sample->piece.total_bytes = (uint64_t)RAFT_SNAPSHOT_MAX_BYTES + 1; }
+static void piece_beyond(struct sample *sample) { sample->piece.offset = sample->piece.total_bytes - sample->piece.data.len + 1; }
 static void piece_wraps(struct sample *sample) { sample->piece.offset = UINT64_MAX - sample->piece.data.len + 2; }
 static void piece_empty(struct sample *sample) { sample->piece.data.len = 0; }
-static void piece_longer_than_all(struct sample *sample) { sample->piece.total = sample->piece.members_len = sample->piece.data.len - 1; }
+static void piece_longer_than_all(struct sample *sample) { sample->piece.total_bytes = sample->piece.members_len = sample->piece.data.len - 1; }
 static void piece_reply_term_far(struct sample *sample) { sample->piece_reply.term = FAR; }
 static void piece_reply_index_far(struct sample *sample) { sample->piece_reply.index = FAR; }
 static void piece_reply_offset_far(struct sample *sample) { sample->piece_reply.offset = FAR; }
 static void give_up_term_far(struct sample *sample) { sample->give_up.term = FAR; }
 static void probe_reply_term_far(struct sample *sample) { sample->probe_reply.last_term = FAR; }
-static void probe_reply_index_far(struct sample *sample) { sample->probe_reply.members_at = FAR; }
+static void probe_reply_index_far(struct sample *sample) { sample->probe_reply.members_index = FAR; }
 static void of_a_stranger(struct sample *sample) { sample->msg.id = STRANGER; } /* leads in a term that has a leader */
 
 enum target { FOLLOWER, LEADER, BOTH };
@@ -199,11 +199,11 @@
 	const char *what;
 	void (*spoil)(struct sample *s);
 } absurd[] = {
-	{ NL__MSG__BODY_VOTE_ASK, BOTH, "a vote in term 0", vote_term_0 },
-	{ NL__MSG__BODY_VOTE_ASK, BOTH, "a vote in a far term", vote_term_far },
-	{ NL__MSG__BODY_VOTE_ASK, BOTH, "a vote for a far index", vote_last_far },
-	{ NL__MSG__BODY_VOTE_ASK, BOTH, "a vote for a leader whose own term gave up", vote_gave_up_late },
-	{ NL__MSG__BODY_VOTE_ASK, BOTH, "a vote for a log of a later term", vote_last_term_late },
+	{ NL__MSG__BODY_VOTE_REQUEST, BOTH, "a vote in term 0", vote_term_0 },
+	{ NL__MSG__BODY_VOTE_REQUEST, BOTH, "a vote in a far term", vote_term_far },
+	{ NL__MSG__BODY_VOTE_REQUEST, BOTH, "a vote for a far index", vote_last_far },
+	{ NL__MSG__BODY_VOTE_REQUEST, BOTH, "a vote for a leader whose own term gave up", vote_gave_up_late },
+	{ NL__MSG__BODY_VOTE_REQUEST, BOTH, "a vote for a log of a later term", vote_last_term_late },
 	{ NL__MSG__BODY_VOTE_REPLY, BOTH, "a vote from a far term", vote_reply_term_far },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "an append of term 0", append_term_0 },
 	{ NL__MSG__BODY_APPEND, BOTH, "an append of a far term", append_term_far },
@@ -225,27 +225,27 @@
 	{ NL__MSG__BODY_APPEND_REPLY, LEADER, "an acknowledgement beyond the log", reply_match_beyond },
 	{ NL__MSG__BODY_APPEND_REPLY, LEADER, "a match beyond the log", reply_matched_beyond },
 	{ NL__MSG__BODY_APPEND_REPLY, LEADER, "an answer to a heartbeat to come", reply_round_beyond },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a piece of term 0", piece_term_0 },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, BOTH, "a piece of a far term", piece_term_far },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot at index 0", piece_index_0 },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot at a far index", piece_index_far },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot of term 0", piece_index_term_0 },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot of a later term", piece_index_term_late },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a short digest", piece_digest_short },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a long digest", piece_digest_long },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot without members", piece_no_members },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "members larger than the whole", piece_members_beyond },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot of exabytes", piece_huge },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a snapshot a byte too large", piece_too_large },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a piece a byte beyond the whole", piece_beyond },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a piece whose end wraps", piece_wraps },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "an empty piece", piece_empty },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, FOLLOWER, "a piece longer than the whole", piece_longer_than_all },
-	{ NL__MSG__BODY_SNAPSHOT_PIECE, BOTH, "a piece of a second leader", of_a_stranger },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a piece of term 0", piece_term_0 },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, BOTH, "a piece of a far term", piece_term_far },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot at index 0", piece_index_0 },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot at a far index", piece_index_far },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot of term 0", piece_index_term_0 },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot of a later term", piece_index_term_late },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a short digest", piece_digest_short },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a long digest", piece_digest_long },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot without members", piece_no_members },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "members larger than the whole", piece_members_beyond },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot of exabytes", piece_huge },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a snapshot a byte too large", piece_too_large },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a piece a byte beyond the whole", piece_beyond },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a piece whose end wraps", piece_wraps },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "an empty piece", piece_empty },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, FOLLOWER, "a piece longer than the whole", piece_longer_than_all },
+	{ NL__MSG__BODY_SNAPSHOT_CHUNK, BOTH, "a piece of a second leader", of_a_stranger },
 	{ NL__MSG__BODY_SNAPSHOT_REPLY, BOTH, "a piece's reply of a far term", piece_reply_term_far },
 	{ NL__MSG__BODY_SNAPSHOT_REPLY, BOTH, "a piece's reply for a far index", piece_reply_index_far },
 	{ NL__MSG__BODY_SNAPSHOT_REPLY, BOTH, "a piece's reply at a far offset", piece_reply_offset_far },
-	{ NL__MSG__BODY_GIVE_UP, BOTH, "a leader of a far term that steps down", give_up_term_far },
+	{ NL__MSG__BODY_STEP_DOWN, BOTH, "a leader of a far term that steps down", give_up_term_far },
 	{ NL__MSG__BODY_PROBE_REPLY, BOTH, "a probe's reply of a far term", probe_reply_term_far },
 	{ NL__MSG__BODY_PROBE_REPLY, BOTH, "a probe's reply of a far index", probe_reply_index_far },
 };
@@ -312,16 +312,16 @@
 	assert_true(world_change(&world, 5, 5000));
 	leader = world_leader(&world);
 	machine = &world.machine[follower_of(&world, leader)];
-	sample_open(&sample, NL__MSG__BODY_SNAPSHOT_PIECE, &machine->raft, world.machine[leader].id);
-	sample.piece.members_len = sample.piece.total = pack_members(sample.members, 3, 0, 0);
+	sample_open(&sample, NL__MSG__BODY_SNAPSHOT_CHUNK, &machine->raft, world.machine[leader].id);
+	sample.piece.members_len = sample.piece.total_bytes = pack_members(sample.members, 3, 0, 0);
 	sample.piece.data.data = sample.members;
-	sample.piece.data.len = sample.piece.total;
+	sample.piece.data.len = sample.piece.total_bytes;
 	head[0] = sample.piece.index;
 	head[1] = sample.piece.index_term;
 	head[2] = sample.piece.members_len;
 	sha256_init(&sum);
 	sha256_update(&sum, sizeof head, (const uint8_t *)head);
-	sha256_update(&sum, sample.piece.total, sample.members);
+	sha256_update(&sum, sample.piece.total_bytes, sample.members);
 	sha256_digest(&sum, RAFT_DIGEST_BYTES, sample.digest);
 	assert_null(raft_receive(&machine->raft, &sample.msg, world.now, &machine->out));
 	assert_int_equal(arrlen(machine->out.commands), 1);
@@ -334,9 +334,9 @@
 
 /* ---- bytes ---- */
 
-static const int kind_names[] = { NL__MSG__BODY_VOTE_ASK,     NL__MSG__BODY_VOTE_REPLY,     NL__MSG__BODY_APPEND,
-			     NL__MSG__BODY_APPEND_REPLY, NL__MSG__BODY_SNAPSHOT_PIECE, NL__MSG__BODY_SNAPSHOT_REPLY,
-			     NL__MSG__BODY_GIVE_UP,      NL__MSG__BODY_PROBE,          NL__MSG__BODY_PROBE_REPLY };
+static const int kind_names[] = { NL__MSG__BODY_VOTE_REQUEST,     NL__MSG__BODY_VOTE_REPLY,     NL__MSG__BODY_APPEND,
+			     NL__MSG__BODY_APPEND_REPLY, NL__MSG__BODY_SNAPSHOT_CHUNK, NL__MSG__BODY_SNAPSHOT_REPLY,
+			     NL__MSG__BODY_STEP_DOWN,      NL__MSG__BODY_PROBE,          NL__MSG__BODY_PROBE_REPLY };
 enum { KIND_COUNT = sizeof kind_names / sizeof *kind_names };
 
 /* Alter a packed message: torn, some bytes of it others, or a stretch of it moved. Its new length. */
@@ -481,7 +481,7 @@
 	return h;
 }
 
-static void foreign(struct controller *controller, struct Nl__Msg *message, int64_t now, struct out *out)
+static void foreign(struct controller *controller, struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	struct controller_event event = { .kind = CONTROLLER_MESSAGE };
 	uint64_t before = image_of_all(controller), dropped = controller->dropped_count;
@@ -514,17 +514,17 @@
 		struct sample sample;
 
 		sample_open(&sample, kind_names[i], &controller->shards[0], controller->shards[0].leader_id);
-		sample.msg.fleet = controller->fleet + 1;
+		sample.msg.fleet_id = controller->fleet + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.fleet = 0;
+		sample.msg.fleet_id = 0;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.fleet = controller->fleet;
-		sample.msg.speak = CORE_SPEAK + 1;
+		sample.msg.fleet_id = controller->fleet;
+		sample.msg.protocol_version = CORE_PROTOCOL_VERSION + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.speak = CORE_SPEAK;
-		sample.msg.part = SHARD_COUNT;
+		sample.msg.protocol_version = CORE_PROTOCOL_VERSION;
+		sample.msg.shard = SHARD_COUNT;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.part = UINT32_MAX;
+		sample.msg.shard = UINT32_MAX;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
 	}
 	{ /* a flood of them: one line a second, which counts them */
@@ -532,7 +532,7 @@
 		struct sample sample;
 
 		sample_open(&sample, NL__MSG__BODY_APPEND, &controller->shards[0], controller->shards[0].leader_id);
-		sample.msg.fleet = controller->fleet + 1;
+		sample.msg.fleet_id = controller->fleet + 1;
 		event.payload.message = &sample.msg;
 		log_lines = 0;
 		for (int i = 0; i < 3000; i++)
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -38,13 +38,13 @@
 
 static void receive_vote_request(struct leader *leader, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
 {
-	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_ASK);
-	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REQUEST);
+	struct Nl__VoteRequest request = NL__VOTE_REQUEST__INIT;
 
 	request.term = term;
-	request.last = last;
+	request.last_index = last;
 	request.last_term = last_term;
-	message.vote_ask = &request;
+	message.vote_request = &request;
 	command_list_clear(&leader->out);
 	leader_receive(leader, from, &message);
 }
@@ -136,7 +136,7 @@
 	assert_int_equal(reply->vote_reply->term, term);
 	command_list_clear(&leader.out);
 	append.term = 1000000;
-	append.prev = leader_last_index(&leader);
+	append.prev_index = leader_last_index(&leader);
 	message.append = &append;
 	leader_receive(&leader, 2, &message);
 	assert_null(sent(&leader, NL__MSG__BODY_APPEND_REPLY));
@@ -169,7 +169,7 @@
 		leader.now += RAFT_HEARTBEAT_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 	}
-	assert_null(sent(&leader, NL__MSG__BODY_VOTE_ASK));
+	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REQUEST));
 	receive_vote_request(&leader, 3, leader.raft.term + 1, leader_last_index(&leader) + 9, leader.raft.term + 1);
 	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REPLY));
 	append.term = newer;
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -30,14 +30,14 @@
 
 static struct Nl__Row *world_route(struct world *world, const char *name, const char *path, const char *service)
 {
-	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.p, NL__KIND__LANE, name);
+	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.p, NL__KIND__ROUTE, name);
 
 	row->service = apr_pstrdup(world->s.p, service);
 	row->host = "h";
 	row->path = apr_pstrdup(world->s.p, path);
 	row->limit = 10;
-	row->attempts = 3;
-	row->open = 1;
+	row->max_attempts = 3;
+	row->key_optional = 1;
 	return row;
 }
 
@@ -153,21 +153,21 @@
 	command_list_clear(&world->s.commands);
 	router_fixture_tick(&world->s, 300);
 	for (ptrdiff_t i = 0; i < arrlen(world->s.commands.commands); i++)
-		if (world->s.commands.commands[i].kind == CMD_SEND && world->s.commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-			follow = world->s.commands.commands[i].args.send.msg->follow->token;
+		if (world->s.commands.commands[i].kind == CMD_SEND && world->s.commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+			follow = world->s.commands.commands[i].args.send.msg->config_sync->token;
 	assert_true(follow);
 	command_list_clear(&world->s.commands);
 	reply.token = follow;
-	reply.has_lease = reply.whole = reply.instances_whole = 1;
-	reply.fleet = 7;
-	reply.edition = reply.instances = ++world->revision;
+	reply.has_lease = reply.full = reply.instances_full = 1;
+	reply.fleet_id = 7;
+	reply.revision = reply.instances_stamp = ++world->revision;
 	reply.set = world->row;
 	reply.n_set = world->rows;
-	reply.instance = world->server;
-	reply.n_instance = world->servers;
-	reply.counters = 1;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	reply.instances = world->server;
+	reply.n_instances = world->servers;
+	reply.router_count = 1;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	message.addr = message.id = 1;
 	router_fixture_message(&world->s, &message);
 	return heard(&world->s, token);
@@ -230,7 +230,7 @@
 	(void)state;
 	router_fixture_open(&world.s, 5);
 	world_service(&world, "pool");
-	world_route(&world, "route", "/", "pool")->open = 0;
+	world_route(&world, "route", "/", "pool")->key_optional = 0;
 	world_tenant(&world, "t1");
 	world_tenant(&world, "t2");
 	world_key(&world, 'a', "t1");
@@ -309,11 +309,11 @@
 		world_tenant(&world, "t1");
 		world_key(&world, 'b', "t1");
 		if (key) {
-			world_route(&world, "route", "/", "pool")->open = 0;
+			world_route(&world, "route", "/", "pool")->key_optional = 0;
 			world_key(&world, 'a', "t1");
 		} else {
 			world_key(&world, 'a', "t1");
-			world_route(&world, "route", "/", "pool")->open = 0;
+			world_route(&world, "route", "/", "pool")->key_optional = 0;
 		}
 		world_apply(&world);
 		assert_non_null(ask(&world, "/x", 'a'));
@@ -362,7 +362,7 @@
 	(void)state;
 	router_fixture_open(&world.s, 5);
 	world_service(&world, "pool");
-	world_route(&world, "route", "/", "pool")->open = 0;
+	world_route(&world, "route", "/", "pool")->key_optional = 0;
 	world_tenant(&world, "t1");
 	world_key(&world, 'b', "t1");
 	world_key(&world, 'a', "t1");
@@ -466,7 +466,7 @@
 		world_service(&world, "pool");
 		route = world_route(&world, "route", "/", "pool");
 		route->resumable = 1;
-		route->pause = (uint32_t)pause;
+		route->max_gap_ms = (uint32_t)pause;
 		for (int i = 0; i < 2; i++) {
 			world_server(&world, "pool");
 			world.server[i]->slots = 1;
@@ -533,9 +533,9 @@
 	route->limit = 100;
 	route->split = apr_palloc(world->s.p, 2 * sizeof *route->split);
 	for (route->n_split = 0; route->n_split < 2; route->n_split++) {
-		struct Nl__Split *half = apr_palloc(world->s.p, sizeof *half);
+		struct Nl__RouteSplit *half = apr_palloc(world->s.p, sizeof *half);
 
-		nl__split__init(half);
+		nl__route_split__init(half);
 		half->service = world->row[route->n_split]->name;
 		half->weight = 1;
 		route->split[route->n_split] = half;
@@ -795,7 +795,7 @@
 	world_key(world, 'b', "t1");
 	world_key(world, 'a', "t1");
 	world_route(world, "route", "/", "pool")->resumable = 1;
-	world->row[ROW_ROUTE]->open = 0;
+	world->row[ROW_ROUTE]->key_optional = 0;
 	if (phase != PHASE_WAITING)
 		world_server(world, "pool");
 	world_apply(world);
@@ -834,9 +834,9 @@
 	case EVENT_ROUTE_REMOVED: world->rows--; return received_table(world, 1);
 	case EVENT_KEY_REMOVED: world->row[ROW_KEY] = world->row[--world->rows]; return received_table(world, 1);
 	case EVENT_OTHER_TIMES:
-		world->row[ROW_ROUTE]->timeout = 100;
-		world->row[ROW_TENANT]->walled = 1;
-		world->row[ROW_SERVICE]->weights = "w2";
+		world->row[ROW_ROUTE]->timeout_ms = 100;
+		world->row[ROW_TENANT]->isolated = 1;
+		world->row[ROW_SERVICE]->target_weights = "w2";
 		return received_table(world, 1);
 	case EVENT_SERVERS_DRAIN:
 		for (size_t i = 0; i < world->servers; i++)
--- a/tests/test_shell.c
+++ b/tests/test_shell.c
@@ -578,7 +578,7 @@
 	struct net *a, *b;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Owner owner = NL__OWNER__INIT;
+	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
 	struct shell_event *event = NULL;
 	int64_t end = clock_ms() + LIMIT;
 
@@ -600,17 +600,17 @@
 	free_addr(at_b);
 	b = transport_open(at_b, ring, pool);
 	assert_non_null(b);
-	message.speak = CORE_SPEAK;
-	message.body_case = NL__MSG__BODY_OWNER;
-	message.owner = &owner;
-	message.part = 3;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
+	message.body_case = NL__MSG__BODY_LEADER_HINT;
+	message.leader_hint = &owner;
+	message.shard = 3;
 	while (!event && clock_ms() < end) { /* a good one still gets through */
 		transport_send(b, core_parse_addr(at_a), &message);
 		event = ring_pop(ring, 50);
 	}
 	assert_non_null(event);
 	assert_int_equal(event->kind, SHELL_EVENT_MESSAGE);
-	assert_int_equal(event->message->part, 3);
+	assert_int_equal(event->message->shard, 3);
 	shell_event_free(event);
 	transport_close(b);
 	transport_close(a);
@@ -662,7 +662,7 @@
 	struct net *net;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Owner owner = NL__OWNER__INIT;
+	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
 	int64_t end = clock_ms() + LIMIT;
 	int l, full[4], own, taken = 0, most = 0;
 	unsigned port;
@@ -679,9 +679,9 @@
 	own = dialling(port);
 	net = transport_open(at_a, ring, pool);
 	assert_non_null(net);
-	message.speak = CORE_SPEAK;
-	message.body_case = NL__MSG__BODY_OWNER;
-	message.owner = &owner;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
+	message.body_case = NL__MSG__BODY_LEADER_HINT;
+	message.leader_hint = &owner;
 	while (most < own + 3 && clock_ms() < end) { /* the newest dial, and two beside it */
 		transport_send(net, core_parse_addr(at_b), &message);
 		most = dialling(port) > most ? dialling(port) : most;
@@ -717,7 +717,7 @@
 	struct net *a, *b;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__Owner owner = NL__OWNER__INIT;
+	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
 	struct shell_event *event = NULL;
 	int64_t end = clock_ms() + LIMIT;
 	int l, full[4], one;
@@ -732,10 +732,10 @@
 	l = full_listener(port, full); /* further dials are not answered */
 	a = transport_open(at_a, ring, pool);
 	assert_non_null(a);
-	message.speak = CORE_SPEAK;
-	message.body_case = NL__MSG__BODY_OWNER;
-	message.owner = &owner;
-	message.part = 1;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
+	message.body_case = NL__MSG__BODY_LEADER_HINT;
+	message.leader_hint = &owner;
+	message.shard = 1;
 	while (!(dialling(port) > 0) && clock_ms() < end)
 		;
 	one = dialling(port);
@@ -748,7 +748,7 @@
 	b = transport_open(at_b, ring, pool);
 	assert_non_null(b);
 	__atomic_store_n(&jump, 1, __ATOMIC_SEQ_CST);
-	message.part = 2;
+	message.shard = 2;
 	end = clock_ms() + LIMIT;
 	while (!event && clock_ms() < end) {
 		transport_send(a, core_parse_addr(at_b), &message);
@@ -756,7 +756,7 @@
 	}
 	__atomic_store_n(&jump, 0, __ATOMIC_SEQ_CST);
 	assert_non_null(event);
-	assert_int_equal(event->message->part, 2); /* not what the first dial was for */
+	assert_int_equal(event->message->shard, 2); /* not what the first dial was for */
 	shell_event_free(event);
 	transport_close(b);
 	transport_close(a);
@@ -815,8 +815,8 @@
 {
 	enum { LARGE_UPDATE = 1 << 20, MANY = 40 };
 	struct Nl__Msg kept_message = NL__MSG__INIT, question = NL__MSG__INIT, *got;
-	struct Nl__KeptAll all = NL__KEPT_ALL__INIT;
-	struct Nl__Kept update = NL__KEPT__INIT, *list[] = { &update };
+	struct Nl__CacheUpdateBatch all = NL__CACHE_UPDATE_BATCH__INIT;
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT, *list[] = { &update };
 	struct Nl__Curiosity curiosity = NL__CURIOSITY__INIT;
 	int listener, deaf, quick;
 	uint8_t frame[256];
@@ -835,11 +835,11 @@
 	update.server = calloc(1, LARGE_UPDATE + 1);
 	assert_non_null(update.server);
 	memset(update.server, 'a', LARGE_UPDATE);
-	all.n_k = 1;
-	all.k = list;
-	kept_message.speak = question.speak = CORE_SPEAK;
-	kept_message.body_case = NL__MSG__BODY_KEPT_ALL;
-	kept_message.kept_all = &all;
+	all.n_updates = 1;
+	all.updates = list;
+	kept_message.protocol_version = question.protocol_version = CORE_PROTOCOL_VERSION;
+	kept_message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
+	kept_message.cache_update_batch = &all;
 	question.body_case = NL__MSG__BODY_CURIOSITY;
 	question.curiosity = &curiosity;
 	for (int i = 0; i < MANY; i++) /* more than both ends' buffers hold */
@@ -869,7 +869,7 @@
 	enum { LARGE_MESSAGE = 1 << 20, MANY = 40 };
 	int listener, deaf = -1, again = -1;
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__SnapshotPiece piece = NL__SNAPSHOT_PIECE__INIT;
+	struct Nl__SnapshotChunk piece = NL__SNAPSHOT_CHUNK__INIT;
 	struct pollfd waiting = { -1, POLLIN, 0 };
 	char at[40], peer[40];
 	struct net *net;
@@ -883,9 +883,9 @@
 	listener = waiting.fd = listen_as_peer(peer);
 	net = transport_open(at, ring, pool);
 	assert_non_null(net);
-	message.speak = CORE_SPEAK;
-	message.body_case = NL__MSG__BODY_SNAPSHOT_PIECE;
-	message.snapshot_piece = &piece;
+	message.protocol_version = CORE_PROTOCOL_VERSION;
+	message.body_case = NL__MSG__BODY_SNAPSHOT_CHUNK;
+	message.snapshot_chunk = &piece;
 	piece.data.len = LARGE_MESSAGE;
 	piece.data.data = calloc(1, LARGE_MESSAGE);
 	assert_non_null(piece.data.data);
@@ -1115,7 +1115,7 @@
 	(void)state;
 	for (int round = 0; round < ROUNDS; round++) {
 		struct Nl__Msg message = NL__MSG__INIT;
-		struct Nl__Owner leader = NL__OWNER__INIT;
+		struct Nl__LeaderHint leader = NL__LEADER_HINT__INIT;
 		struct net *from, *net;
 		struct ring *ring, *unused;
 		struct shell_event *event;
@@ -1132,9 +1132,9 @@
 		from = transport_open(at_from, unused, pool);
 		net = transport_open(at_to, ring, pool);
 		assert_true(from && net);
-		message.speak = CORE_SPEAK;
-		message.body_case = NL__MSG__BODY_OWNER;
-		message.owner = &leader;
+		message.protocol_version = CORE_PROTOCOL_VERSION;
+		message.body_case = NL__MSG__BODY_LEADER_HINT;
+		message.leader_hint = &leader;
 		if (round % 2) { /* connected before */
 			transport_send(from, core_parse_addr(at_to), &message);
 			shell_event_free(next(ring, SHELL_EVENT_MESSAGE));
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -18,7 +18,7 @@
 
 struct member {
 	struct raft raft;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 };
 
@@ -112,8 +112,8 @@
 		v[i].voter = 1;
 		member[i] = &v[i];
 	}
-	members.n_m = 3;
-	members.m = member;
+	members.n_members = 3;
+	members.members = member;
 	sender->term = term;
 	sender->index = index;
 	sender->index_term = 1;
@@ -130,20 +130,20 @@
 static const struct Nl__SnapshotReply *send_range(struct member *member, const struct sender *sender, uint64_t from, size_t offset, size_t n)
 {
 	struct Nl__Msg msg = NL__MSG__INIT, *message;
-	struct Nl__SnapshotPiece piece = NL__SNAPSHOT_PIECE__INIT;
+	struct Nl__SnapshotChunk piece = NL__SNAPSHOT_CHUNK__INIT;
 
 	piece.term = sender->term;
 	piece.index = sender->index;
 	piece.index_term = sender->index_term;
 	piece.members_len = sender->members_len;
-	piece.total = sender->len;
+	piece.total_bytes = sender->len;
 	piece.offset = offset;
 	piece.digest.data = (uint8_t *)(uintptr_t)sender->digest;
 	piece.digest.len = sizeof sender->digest;
 	piece.data.data = sender->bytes + offset;
 	piece.data.len = n;
-	msg.body_case = NL__MSG__BODY_SNAPSHOT_PIECE;
-	msg.snapshot_piece = &piece;
+	msg.body_case = NL__MSG__BODY_SNAPSHOT_CHUNK;
+	msg.snapshot_chunk = &piece;
 	receive(member, from, &msg);
 	message = sent(member, NL__MSG__BODY_SNAPSHOT_REPLY);
 	return message ? message->snapshot_reply : NULL;
@@ -178,10 +178,10 @@
 	assert_installed(&member, &sender);
 	/* what it says of its log waits for the disk, also when the last piece comes again */
 	assert_null(send_range(&member, &sender, 2, sender.len - 1, 1));
-	assert_true(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match < 50);
+	assert_true(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index < 50);
 	command_list_clear(&member.out);
 	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
-	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
 	free(sender.bytes);
 	member_close(&member);
 }
@@ -233,7 +233,7 @@
 	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
 	/* what is committed never goes back */
 	assert_null(send_range(&member, &older, 2, 0, older.len));
-	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 50);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
 	assert_int_equal(member.raft.commit_index, 50);
 	assert_int_equal(member.raft.base_index, 50);
 	assert_false(member.raft.snapshot_to_load);
@@ -249,7 +249,7 @@
 	struct member member;
 	struct sender sender;
 	struct Nl__Msg msg = NL__MSG__INIT;
-	struct Nl__SnapshotPiece piece = NL__SNAPSHOT_PIECE__INIT;
+	struct Nl__SnapshotChunk piece = NL__SNAPSHOT_CHUNK__INIT;
 
 	(void)state;
 	member_open(&member);
@@ -258,14 +258,14 @@
 	piece.term = 3;
 	piece.index = 60; /* to the old one it began later, with a newer snapshot */
 	piece.index_term = 1;
-	piece.members_len = piece.total = 100;
+	piece.members_len = piece.total_bytes = 100;
 	piece.digest.data = sender.digest;
 	piece.digest.len = sizeof sender.digest;
 	piece.data.data = sender.bytes;
 	piece.data.len = 100;
-	piece.to = 77;
-	msg.body_case = NL__MSG__BODY_SNAPSHOT_PIECE;
-	msg.snapshot_piece = &piece;
+	piece.recipient_id = 77;
+	msg.body_case = NL__MSG__BODY_SNAPSHOT_CHUNK;
+	msg.snapshot_chunk = &piece;
 	assert_null(receive(&member, 2, &msg));
 	assert_null(sent(&member, NL__MSG__BODY_SNAPSHOT_REPLY));
 	assert_int_equal(send_range(&member, &sender, 2, 300, 300)->offset, 600);
@@ -311,14 +311,14 @@
 	for (int i = 0; i < 9; i++)
 		es[i] = &entry;
 	append.term = 2;
-	append.prev = append.prev_term = 1;
-	append.n_e = 9;
-	append.e = es;
+	append.prev_index = append.prev_term = 1;
+	append.n_entries = 9;
+	append.entries = es;
 	msg.body_case = NL__MSG__BODY_APPEND;
 	msg.append = &append;
 	assert_null(receive(&member, 2, &msg));
 	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
-	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 10);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 10);
 	sender_open(&sender, 2, 5, 1000); /* entry 5 is of its term */
 	assert_null(send_range(&member, &sender, 2, 0, sender.len));
 	assert_int_equal(member.raft.commit_index, 5);
@@ -336,8 +336,8 @@
 	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 
 	reply.term = member->raft.term;
-	reply.ok = ok;
-	reply.match = match;
+	reply.success = ok;
+	reply.match_index = match;
 	reply.round = member->raft.heartbeat_round;
 	msg.body_case = NL__MSG__BODY_APPEND_REPLY;
 	msg.append_reply = &reply;
@@ -355,12 +355,12 @@
 
 	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++) {
 		const struct Nl__Msg *msg = member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
-		const struct Nl__SnapshotPiece *piece;
+		const struct Nl__SnapshotChunk *piece;
 
-		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_SNAPSHOT_PIECE)
+		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_SNAPSHOT_CHUNK)
 			continue;
-		piece = msg->snapshot_piece;
-		last = (struct piece){ piece->index, 0, piece->offset, piece->data.len, piece->total };
+		piece = msg->snapshot_chunk;
+		last = (struct piece){ piece->index, 0, piece->offset, piece->data.len, piece->total_bytes };
 		memcpy(&last.transfer, piece->digest.data, sizeof last.transfer);
 	}
 	return last;
@@ -373,7 +373,7 @@
 
 	reply.term = member->raft.term;
 	reply.index = piece.index;
-	reply.transfer = piece.transfer;
+	reply.transfer_id = piece.transfer;
 	reply.offset = offset;
 	reply.corrupt = corrupt;
 	msg.body_case = NL__MSG__BODY_SNAPSHOT_REPLY;
@@ -391,11 +391,11 @@
 	member_open(member);
 	raft_tick(&member->raft, member->now, &member->out);
 	reply.term = member->raft.term + 1;
-	reply.granted = reply.pre = 1;
+	reply.granted = reply.is_pre_vote = 1;
 	msg.body_case = NL__MSG__BODY_VOTE_REPLY;
 	msg.vote_reply = &reply;
 	receive(member, 2, &msg);
-	reply.pre = 0;
+	reply.is_pre_vote = 0;
 	receive(member, 2, &msg);
 	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
@@ -442,15 +442,15 @@
 	(void)state;
 	leader_open(&member, 3 * MB);
 	reply_append(&member, 3, 0, 0);
-	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103), 1); /* before it answers: one */
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), 1); /* before it answers: one */
 	piece = piece_for(&member, 103);
 	assert_int_equal(piece.offset, 0);
 	reply_piece(&member, 3, piece, piece.len, 0);
-	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103), RAFT_CHUNK_WINDOW);
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), RAFT_CHUNK_WINDOW);
 	/* it is silent for ten seconds: what is under way goes out again now and then, heartbeats each round */
 	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) {
 		heartbeat(&member);
-		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_PIECE, 103);
+		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103);
 		assert_int_equal(count_sent(&member, NL__MSG__BODY_APPEND, 103), 1);
 		heartbeats++;
 		reply_append(&member, 2, 1, member.raft.term_start);
@@ -586,8 +586,8 @@
 
 		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_APPEND)
 			continue;
-		for (size_t k = 0; k < msg->append->n_e; k++)
-			n += msg->append->e[k]->data.len;
+		for (size_t k = 0; k < msg->append->n_entries; k++)
+			n += msg->append->entries[k]->data.len;
 	}
 	return n;
 }
@@ -621,7 +621,7 @@
 	/* a member that lags behind its last word is asked where it stands, without entries */
 	reply_append(&member, 3, 0, member.raft.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), 0);
-	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND)->append->prev, member.raft.base_index + 1);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND)->append->prev_index, member.raft.base_index + 1);
 	reply_append(&member, 3, 1, member.raft.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), UNDER_WAY);
 	free(d);
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -31,7 +31,7 @@
 	struct storage *store;
 	struct stored_state found;
 	struct raft raft;
-	struct out out;
+	struct command_list out;
 	int64_t now;
 	uint8_t *document;
 	size_t len;
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -22,7 +22,7 @@
 {
 	nl__value__init(v);
 	nl__purge__init(purge);
-	purge->why = PURGE_TENANT;
+	purge->reason = PURGE_TENANT;
 	purge->tenant = tenant;
 	v->purge = purge;
 	v->tick = tick;
@@ -37,7 +37,7 @@
 		uint64_t rng = seed;
 		char known[TICKS + 1] = { 0 }, is_value[TICKS + 1] = { 0 };
 		struct tick_knowledge k = { 0 }, twin = { 0 };
-		struct out out = { 0 };
+		struct command_list out = { 0 };
 		struct Nl__Knowledge knowledge = NL__KNOWLEDGE__INIT;
 		struct tick_range gap[TICKS];
 		uint64_t horizon, reach, released = 0;
@@ -93,8 +93,8 @@
 		assert_false(knowledge_append(&k, released ? released : 0, TICKS, &knowledge, &out));
 		assert_true(knowledge_append(&k, released + 1, TICKS, &knowledge, &out));
 		twin.horizon = twin.released = released;
-		for (size_t i = 0; i < knowledge.n_inc; i++)
-			knowledge_add(&twin, knowledge.inc[i]->a, knowledge.inc[i]->b, knowledge.inc[i]->value);
+		for (size_t i = 0; i < knowledge.n_increments; i++)
+			knowledge_add(&twin, knowledge.increments[i]->first, knowledge.increments[i]->last, knowledge.increments[i]->value);
 		assert_int_equal(twin.horizon, k.horizon);
 		assert_int_equal(knowledge_reach(&twin), knowledge_reach(&k));
 		n = 0;
@@ -119,7 +119,7 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= 100; seed++) {
-		struct view view = { 0 };
+		struct purge_view view = { 0 };
 		uint64_t rng = seed;
 
 		for (int i = 0; i < 100; i++) {
@@ -146,7 +146,7 @@
 static void what_is_old_stays_old(void **state)
 {
 	struct relay a, b;
-	struct out out = { 0 };
+	struct command_list out = { 0 };
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Curiosity curiosity = NL__CURIOSITY__INIT;
 	int64_t now = 100000;
@@ -159,8 +159,8 @@
 	relay_publish(&a, 1, 10, NULL, now, &out);
 	a.is_publisher = 0; /* cut off from here on */
 	now += 20000;
-	curiosity.snap = 1;
-	curiosity.asked = now;
+	curiosity.needs_snapshot = 1;
+	curiosity.request_clock_ms = now;
 	message.body_case = NL__MSG__BODY_CURIOSITY;
 	message.curiosity = &curiosity;
 	message.id = 2;
@@ -186,7 +186,7 @@
 	assert_false(relay_is_current(&b, now));
 	command_list_clear(&out);
 	relay_publish(&a, 13, 13, NULL, now, &out);
-	out.commands[0].args.send.msg->knowledge->asked = 0;
+	out.commands[0].args.send.msg->knowledge->request_clock_ms = 0;
 	relay_receive(&b, out.commands[0].args.send.msg, now, &out);
 	assert_int_equal(b.knowledge.horizon, 13);
 	assert_false(relay_is_current(&b, now));
@@ -278,13 +278,13 @@
 			row.name = name;
 			row.share = 1 + (uint32_t)i;
 			row.limit = 1;
-			change.any = 1;
+			change.any_revision = 1;
 			if (core_random(&rng) % 2) {
 				change.set = rows;
 				change.n_set = 1;
 			} else {
-				change.del = rows;
-				change.n_del = 1;
+				change.deleted = rows;
+				change.n_deleted = 1;
 			}
 			assert_int_equal(config_table_apply(&t, &change, NULL), PROPOSAL_DONE);
 			if (core_random(&rng) % 40 == 0 || i == 1499) {
@@ -301,9 +301,9 @@
 					assert_int_equal(x->share, t.rows[k].value.row->share);
 				}
 				/* an older answer, late, changes nothing: neither a change nor the whole */
-				reply.edition = last;
+				reply.revision = last;
 				assert_true(last == 0 || !config_table_follow(&table, &reply));
-				reply.whole = 1;
+				reply.full = 1;
 				assert_true(last == 0 || !config_table_follow(&table, &reply));
 				assert_int_equal(table.revision, t.revision);
 				last = t.revision - 1;
@@ -385,7 +385,7 @@
 
 struct bench {
 	struct raft p;
-	struct out o;
+	struct command_list o;
 	int64_t now;
 };
 
@@ -434,13 +434,13 @@
 static void receive_vote(struct bench *bench, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
-	struct Nl__VoteAsk request = NL__VOTE_ASK__INIT;
+	struct Nl__VoteRequest request = NL__VOTE_REQUEST__INIT;
 
 	request.term = term;
-	request.last = last;
+	request.last_index = last;
 	request.last_term = last_term;
-	message.body_case = NL__MSG__BODY_VOTE_ASK;
-	message.vote_ask = &request;
+	message.body_case = NL__MSG__BODY_VOTE_REQUEST;
+	message.vote_request = &request;
 	command_list_clear(&bench->o);
 	hear(bench, from, &message);
 }
@@ -451,8 +451,8 @@
 	struct Nl__AppendReply reply = NL__APPEND_REPLY__INIT;
 
 	reply.term = bench->p.term;
-	reply.ok = 1;
-	reply.match = match;
+	reply.success = 1;
+	reply.match_index = match;
 	reply.round = bench->p.heartbeat_round;
 	message.body_case = NL__MSG__BODY_APPEND_REPLY;
 	message.append_reply = &reply;
@@ -484,11 +484,11 @@
 	assert_false(r->vote_reply->granted);
 	/* an entry */
 	append.term = 6;
-	append.prev = 1;
+	append.prev_index = 1;
 	append.prev_term = 1;
-	append.e = es;
-	append.n_e = 1;
-	append.commit = 2;
+	append.entries = es;
+	append.n_entries = 1;
+	append.commit_index = 2;
 	entry.term = 6;
 	message.body_case = NL__MSG__BODY_APPEND;
 	message.append = &append;
@@ -496,17 +496,17 @@
 	hear(&bench, 2, &message);
 	assert_null(said(&bench, NL__MSG__BODY_APPEND_REPLY)); /* nothing new to say yet */
 	append.round = 1;
-	append.prev = 2;
+	append.prev_index = 2;
 	append.prev_term = 6;
-	append.n_e = 0;
+	append.n_entries = 0;
 	hear(&bench, 2, &message); /* a round is answered at once, but vouches only for what is synced */
 	r = said(&bench, NL__MSG__BODY_APPEND_REPLY);
 	assert_non_null(r);
-	assert_int_equal(r->append_reply->match, 1);
+	assert_int_equal(r->append_reply->match_index, 1);
 	assert_int_equal(r->append_reply->round, 1);
 	command_list_clear(&bench.o);
 	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
-	assert_int_equal(said(&bench, NL__MSG__BODY_APPEND_REPLY)->append_reply->match, 2);
+	assert_int_equal(said(&bench, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 2);
 	bench_close(&bench);
 }
 
@@ -522,12 +522,12 @@
 	raft_tick(&bench.p, bench.now, &bench.o);
 	assert_int_equal(bench.p.role, RAFT_PRE_CANDIDATE);
 	reply.term = bench.p.term + 1;
-	reply.granted = reply.pre = 1;
+	reply.granted = reply.is_pre_vote = 1;
 	message.body_case = NL__MSG__BODY_VOTE_REPLY;
 	message.vote_reply = &reply;
 	hear(&bench, 2, &message);
 	assert_int_equal(bench.p.role, RAFT_CANDIDATE);
-	reply.pre = 0;
+	reply.is_pre_vote = 0;
 	hear(&bench, 2, &message);
 	assert_int_equal(bench.p.role, RAFT_CANDIDATE); /* its own vote is not on the disk yet */
 	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
@@ -551,7 +551,7 @@
 	bench.now += RAFT_SYNC_STALL_MS + 1;
 	raft_tick(&bench.p, bench.now, &bench.o);
 	assert_int_equal(bench.p.role, RAFT_FOLLOWER);
-	assert_non_null(said(&bench, NL__MSG__BODY_GIVE_UP));
+	assert_non_null(said(&bench, NL__MSG__BODY_STEP_DOWN));
 	bench_close(&bench);
 }
 
@@ -575,8 +575,8 @@
 		v[i].voter = 1;
 		member[i] = &v[i];
 	}
-	members.n_m = 3;
-	members.m = member;
+	members.n_members = 3;
+	members.members = member;
 	entry[0].len = nl__members__get_packed_size(&members);
 	entry[0].data = apr_palloc(bench->o.pool, entry[0].len + 1);
 	nl__members__pack(&members, entry[0].data);
@@ -589,10 +589,10 @@
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ProbeReply probe_reply = NL__PROBE_REPLY__INIT;
 
-	probe_reply.life = incarnation;
-	probe_reply.owner = leader;
+	probe_reply.incarnation = incarnation;
+	probe_reply.is_leader = leader;
 	probe_reply.last_term = last_term;
-	probe_reply.members_at = members_at;
+	probe_reply.members_index = members_at;
 	message.body_case = NL__MSG__BODY_PROBE_REPLY;
 	message.probe_reply = &probe_reply;
 	hear(bench, from, &message);
@@ -607,7 +607,7 @@
 	/* both others own nothing: it votes at once */
 	bench_return(&bench);
 	assert_non_null(said(&bench, NL__MSG__BODY_PROBE));
-	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->incarnation;
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	receive_vote(&bench, 2, 5, 2, 3);
@@ -625,7 +625,7 @@
 	/* an owner, a later term, or later members that we do not know: the promise is waited out */
 	for (int k = 0; k < 3; k++) {
 		bench_return(&bench);
-		incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+		incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->incarnation;
 		receive_idle(&bench, 3, incarnation, k == 0, k == 1 ? 4 : 3, k == 2 ? 2 : 1);
 		receive_idle(&bench, 2, incarnation, 0, 3, 1);
 		receive_idle(&bench, 3, incarnation, 0, 3, 1);
@@ -640,14 +640,14 @@
 
 	/* an owner heard since: its lease holds, whatever the others said before */
 	bench_return(&bench);
-	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->life;
+	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->incarnation;
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	{
 		struct Nl__Msg message = NL__MSG__INIT;
 		struct Nl__Append append = NL__APPEND__INIT;
 
 		append.term = 4;
-		append.prev = 2;
+		append.prev_index = 2;
 		append.prev_term = 3;
 		message.body_case = NL__MSG__BODY_APPEND;
 		message.append = &append;
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -375,7 +375,7 @@
 
 	row.kind = NL__KIND__MODEL;
 	row.name = "m";
-	row.weights = (char *)(uintptr_t)weights;
+	row.target_weights = (char *)(uintptr_t)weights;
 	return row;
 }
 
@@ -385,14 +385,14 @@
 {
 	struct Nl__Row before = make_model_row("5"), row = make_model_row("6");
 	struct version_history list;
-	const struct Nl__Naming *newer;
+	const struct Nl__TargetVersion *newer;
 
 	(void)state;
 	version_history_update(&list, &before, &row, (struct group_moment){ 1000000, 3 }, 900000);
 	newer = version_history_after(&row, 4);
-	if (newer && newer->at == 1000000)
+	if (newer && newer->targeted_at_ms == 1000000)
 		fail_msg("weights 4, superseded by 5 before dates were kept, are dated by the naming of %d, at %d",
-			 (int)newer->weights, (int)newer->at);
+			 (int)newer->weights, (int)newer->targeted_at_ms);
 }
 
 enum { SEQUENCES = 2000, TARGETS_OF_A_SEQUENCE = 200, GAP_MOST_MS = 400, PRUNE_MS = 20000 };
@@ -417,21 +417,21 @@
 			now += core_random(&rng) % most;
 			passed = now > PRUNE_MS ? now - PRUNE_MS : 0;
 			snprintf(text[i % 2], sizeof text[0], "%d", (int)next);
-			is->weights = text[i % 2];
+			is->target_weights = text[i % 2];
 			if (next > last)
 				at[next] = now;
 			version_history_update(&lists[i % 2], was, is, (struct group_moment){ now, 1 }, passed);
 			last = next;
-			assert_true(is->n_naming <= VERSION_HISTORY_MAX);
+			assert_true(is->n_target_versions <= VERSION_HISTORY_MAX);
 			for (uint64_t w = 1; w < last; w++) {
-				const struct Nl__Naming *newer = version_history_after(is, w);
+				const struct Nl__TargetVersion *newer = version_history_after(is, w);
 
 				assert_non_null(newer);
-				assert_true(newer->at <= at[w + 1] || newer->at <= passed);
+				assert_true(newer->targeted_at_ms <= at[w + 1] || newer->targeted_at_ms <= passed);
 			}
-			for (size_t n = 1; n < is->n_naming; n++)
-				assert_true(is->naming[n]->at >= is->naming[n - 1]->at &&
-					    is->naming[n]->weights > is->naming[n - 1]->weights);
+			for (size_t n = 1; n < is->n_target_versions; n++)
+				assert_true(is->target_versions[n]->targeted_at_ms >= is->target_versions[n - 1]->targeted_at_ms &&
+					    is->target_versions[n]->weights > is->target_versions[n - 1]->weights);
 		}
 	}
 }
@@ -439,7 +439,7 @@
 /* A leader's answer to a request of the watch, which comes at once. */
 static void answer_watch(struct config_watch *watch, apr_pool_t *pool, int64_t now, uint64_t leader_clock)
 {
-	struct out out = { 0 };
+	struct command_list out = { 0 };
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
@@ -447,12 +447,12 @@
 	config_watch_poll(watch, 0, now, &out);
 	reply.token = watch->last_token;
 	reply.has_lease = 1;
-	reply.fleet = 7;
-	reply.clock = leader_clock;
+	reply.fleet_id = 7;
+	reply.group_clock_ms = leader_clock;
 	reply.clock_term = 1;
 	message.addr = 1;
-	message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-	message.follow_reply = &reply;
+	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+	message.config_sync_reply = &reply;
 	(void)config_watch_receive(watch, &message, now, &out);
 	arrfree(out.commands);
 }
@@ -481,7 +481,7 @@
 									       : -(int64_t)(core_random(&rng) % LOST_MOST_MS));
 			best[term] = INT64_MAX;
 			for (int k = 0; k < ANSWERS; k++) {
-				struct out out = { 0 };
+				struct command_list out = { 0 };
 				struct Nl__Msg message = NL__MSG__INIT;
 				struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 				int of = core_random(&rng) % 10 || term == 1 ? term : term - 1;
@@ -491,12 +491,12 @@
 				config_watch_poll(&watch, 0, now, &out);
 				reply.token = watch.last_token;
 				reply.has_lease = 1;
-				reply.fleet = 7;
-				reply.clock = (uint64_t)(submitted + (int64_t)(core_random(&rng) % (uint64_t)(way + 1)) + offset[of]);
+				reply.fleet_id = 7;
+				reply.group_clock_ms = (uint64_t)(submitted + (int64_t)(core_random(&rng) % (uint64_t)(way + 1)) + offset[of]);
 				reply.clock_term = (uint64_t)of;
 				message.addr = 1;
-				message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-				message.follow_reply = &reply;
+				message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+				message.config_sync_reply = &reply;
 				now += way;
 				(void)config_watch_receive(&watch, &message, now, &out);
 				arrfree(out.commands);
@@ -572,31 +572,31 @@
 	instance = apr_palloc(solo->p, sizeof *instance * (size_t)servers);
 	solo->router.bounds.rollout_ms = SOLO_ROLL_MS;
 	row[0] = new_row(solo->p, NL__KIND__MODEL, "m");
-	row[0]->weights = apr_psprintf(solo->p, "%d", targets + 1);
-	row[0]->rolled = "1";
-	row[0]->naming = apr_palloc(solo->p, sizeof *row[0]->naming * (size_t)(targets + 1));
+	row[0]->target_weights = apr_psprintf(solo->p, "%d", targets + 1);
+	row[0]->rolled_out = "1";
+	row[0]->target_versions = apr_palloc(solo->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
 	for (int i = 0; i < targets; i++) {
-		struct Nl__Naming *naming = apr_palloc(solo->p, sizeof *naming);
+		struct Nl__TargetVersion *naming = apr_palloc(solo->p, sizeof *naming);
 
-		nl__naming__init(naming);
+		nl__target_version__init(naming);
 		naming->weights = (uint64_t)(i + 2);
-		naming->at = (uint64_t)(at + i);
+		naming->targeted_at_ms = (uint64_t)(at + i);
 		naming->term = 1;
-		row[0]->naming[row[0]->n_naming++] = naming;
+		row[0]->target_versions[row[0]->n_target_versions++] = naming;
 	}
 	row[1] = new_service(solo->p, "pool");
 	row[1]->model = "m";
-	row[2] = new_row(solo->p, NL__KIND__LANE, "route");
+	row[2] = new_row(solo->p, NL__KIND__ROUTE, "route");
 	row[2]->service = "pool";
 	row[2]->host = "h";
 	row[2]->path = "/";
 	row[2]->limit = 10000;
-	row[2]->attempts = (uint32_t)attempts;
-	row[2]->open = 1;
-	row[2]->repeatable = repeatable;
+	row[2]->max_attempts = (uint32_t)attempts;
+	row[2]->key_optional = 1;
+	row[2]->idempotent = repeatable;
 	for (int i = 0; i < servers; i++) {
 		instance[i] = new_instance(solo->p, i, "pool");
-		instance[i]->weights = i < servers - new_servers ? "1" : row[0]->weights;
+		instance[i]->weights = i < servers - new_servers ? "1" : row[0]->target_weights;
 	}
 	router_fixture_table(solo, row, 3, instance, (size_t)servers, 1);
 }
@@ -611,20 +611,20 @@
 		command_list_clear(&solo->commands);
 		router_fixture_tick(solo, 10);
 		for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-			if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_FOLLOW)
-				reply.token = solo->commands.commands[i].args.send.msg->follow->token;
+			if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+				reply.token = solo->commands.commands[i].args.send.msg->config_sync->token;
 		if (!reply.token)
 			continue;
 		reply.has_lease = 1;
-		reply.fleet = 7;
-		reply.edition = reply.since = reply.instances = 1;
-		reply.counters = 1;
-		reply.clock = (uint64_t)solo->now;
+		reply.fleet_id = 7;
+		reply.revision = reply.since_revision = reply.instances_stamp = 1;
+		reply.router_count = 1;
+		reply.group_clock_ms = (uint64_t)solo->now;
 		reply.clock_term = 1;
-		message.body_case = NL__MSG__BODY_FOLLOW_REPLY;
-		message.follow_reply = &reply;
+		message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
+		message.config_sync_reply = &reply;
 		message.addr = message.id = 1;
-		message.speak = CORE_SPEAK;
+		message.protocol_version = CORE_PROTOCOL_VERSION;
 		router_fixture_message(solo, &message);
 	}
 }
