--- a/rehearsal/stand_server_http.c
+++ b/emulator/model_server_http.c
@@ -1,9 +1,10 @@
-/* What a model server is asked: runs, health, reports, orders, events of kept parts, and connections that go. */
+/* What a model server is asked: runs, health, reports, orders, events of kept parts, and connections that go.
+ */
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
-#include "stand_server_private.h"
+#include "containers.h"
+#include "model_server_internal.h"
 
 static void report(struct server *server, struct conn *c);
 
@@ -16,7 +17,8 @@
 		int n = 0;
 
 		memset(&asked_part, 0, sizeof asked_part);
-		if (sscanf(header, "%23[0-9a-fA-F]:%d%n", asked_part.id, &asked_part.tokens, &n) != 2 || asked_part.tokens <= 0)
+		if (sscanf(header, "%23[0-9a-fA-F]:%d%n", asked_part.id, &asked_part.tokens, &n) != 2 ||
+		    asked_part.tokens <= 0)
 			break;
 		arrput(work->blocks, asked_part);
 		sum += asked_part.tokens;
@@ -29,7 +31,8 @@
 
 static void run_request(struct server *server, struct conn *conn, struct http_message *message)
 {
-	const char *id = http_message_field(message, "X-Notchlug-Attempt-Id"), *v, *host = http_message_field(message, "Host");
+	const char *id = http_message_field(message, "X-Notchlug-Attempt-Id"), *v,
+		   *host = http_message_field(message, "Host");
 	struct arrival_record arrival;
 	struct work *work;
 	int run = -1, away = 0, prompt = 0, out = 1, sum;
@@ -59,7 +62,8 @@
 	v = http_message_field(message, "X-Notchlug-Token-Count");
 	if (v)
 		sscanf(v, "%d,%d", &prompt, &out);
-	if (!away && (prompt + out > settings->engine.kv_capacity_tokens || is_loading_weights(server) || arrlen(server->queue) >= settings->engine.queue_limit))
+	if (!away && (prompt + out > settings->engine.kv_capacity_tokens || is_loading_weights(server) ||
+		      arrlen(server->queue) >= settings->engine.queue_limit))
 		away = 503;
 	if (away) {
 		turn_away(server, conn, run, id, away);
@@ -90,11 +94,14 @@
 		work->prompt_tokens = sum;
 	if (work->is_plain) {
 		work->output_tokens = 1;
-	} else { /* how long an answer gets depends on what was asked, so that another server takes it up in the same place */
+	} else { /* how long an answer gets depends on what was asked, so that another server takes it up in
+		    the same place */
 		work->output_tokens = out - (int)(work->seed % (uint64_t)(out / 2 + 1));
 		work->last_id = 1 + work->output_tokens / settings->engine.token_stride;
-		work->first_id = work->sent_id = arrival.last_event < work->last_id ? arrival.last_event : work->last_id;
-		work->generated_tokens = arrival.last_event ? arrival.last_event * settings->engine.token_stride : 0;
+		work->first_id = work->sent_id =
+		    arrival.last_event < work->last_id ? arrival.last_event : work->last_id;
+		work->generated_tokens =
+		    arrival.last_event ? arrival.last_event * settings->engine.token_stride : 0;
 		if (work->generated_tokens >= work->output_tokens)
 			work->generated_tokens = work->output_tokens - 1;
 	}
@@ -103,7 +110,8 @@
 	work->garbage = emulator_random_unit(&settings->rng) < server->fault.garbage;
 	work->surplus = emulator_random_unit(&settings->rng) < server->fault.surplus;
 	work->grey = emulator_random_unit(&settings->rng) < server->fault.grey;
-	if (emulator_random_unit(&settings->rng) < server->fault.broken && !work->is_plain && work->last_id > work->sent_id + 1)
+	if (emulator_random_unit(&settings->rng) < server->fault.broken && !work->is_plain &&
+	    work->last_id > work->sent_id + 1)
 		work->break_at = work->sent_id + 1;
 	conn_set_tag(conn, work);
 	arrput(server->queue, work);
@@ -129,7 +137,8 @@
 	server->report[1].seq = server->call_seq;
 	server->report[1].version = server->version;
 	server->report[1].used_tokens = used_tokens(server);
-	server->report_timer = loop_after(server->fleet->loop, ms_us(server->fleet->engine.report_lag_ms), sample_report, server);
+	server->report_timer = loop_after(server->fleet->loop, ms_us(server->fleet->engine.report_lag_ms),
+					  sample_report, server);
 }
 
 static struct json_object *models(struct server *server, int version)
@@ -155,7 +164,8 @@
 	json_object_object_add(json, "Queued", json_object_new_int(server->report[0].queued));
 	json_object_object_add(json, "Active", json_object_new_int(server->report[0].active));
 	json_object_object_add(json, "KvUsed", json_object_new_int64(server->report[0].used_tokens));
-	json_object_object_add(json, "KvTotal", json_object_new_int(server->fleet->engine.kv_capacity_tokens));
+	json_object_object_add(json, "KvTotal",
+			       json_object_new_int(server->fleet->engine.kv_capacity_tokens));
 	json_object_object_add(json, "HandleCount", json_object_new_int(0));
 	json_answer(c, 200, json, 1);
 }
@@ -163,17 +173,20 @@
 static void order(struct server *server, struct conn *c, struct http_message *message)
 {
 	struct json_object *json = message->body ? json_tokener_parse(message->body) : NULL, *v = NULL;
-	const char *lease_owner = NULL, *op = "", *model = "", *method = "", *target = http_message_field(message, "X-Notchlug-Target-Instance");
+	const char *lease_owner = NULL, *op = "", *model = "", *method = "",
+		   *target = http_message_field(message, "X-Notchlug-Target-Instance");
 	int64_t fence = -1, version = 0;
 	struct load_command_record r;
 	int status;
 
 	if (json_object_is_type(json, json_type_object)) {
-		if (json_object_object_get_ex(json, "Operation", &v) && json_object_is_type(v, json_type_string))
+		if (json_object_object_get_ex(json, "Operation", &v) &&
+		    json_object_is_type(v, json_type_string))
 			op = json_object_get_string(v);
 		if (json_object_object_get_ex(json, "Holder", &v) && json_object_is_type(v, json_type_string))
 			lease_owner = json_object_get_string(v);
-		if (json_object_object_get_ex(json, "ModelName", &v) && json_object_is_type(v, json_type_string))
+		if (json_object_object_get_ex(json, "ModelName", &v) &&
+		    json_object_is_type(v, json_type_string))
 			model = json_object_get_string(v);
 		if (json_object_object_get_ex(json, "Method", &v) && json_object_is_type(v, json_type_string))
 			method = json_object_get_string(v);
@@ -184,12 +197,15 @@
 	}
 	if (target && strcmp(target, server->instance))
 		status = 421;
-	else if (strcmp(op, "ConfigVersion") || !lease_owner || fence < 0 || strcmp(model, server->fleet->model) || version < 1 ||
-		 version > server->fleet->newest_version || (strcmp(method, "hold") && strcmp(method, "preempt") && strcmp(method, "retain")))
+	else if (strcmp(op, "ConfigVersion") || !lease_owner || fence < 0 ||
+		 strcmp(model, server->fleet->model) || version < 1 ||
+		 version > server->fleet->newest_version ||
+		 (strcmp(method, "hold") && strcmp(method, "preempt") && strcmp(method, "retain")))
 		status = 400;
 	else if (server->fleet->engine.fence_checked && fence < server->fence)
 		status = 412;
-	else if (json_object_object_get_ex(json, "ExpectedCount", &v) && json_object_get_int64(v) != server->call_seq)
+	else if (json_object_object_get_ex(json, "ExpectedCount", &v) &&
+		 json_object_get_int64(v) != server->call_seq)
 		status = 409;
 	else if (version == server->version && !is_loading_weights(server))
 		status = 200;
@@ -205,9 +221,12 @@
 		r.lease_owner = lease_owner;
 		r.fence = fence;
 		r.status = status;
-		/* its sender was thawed, or the order lay unread while this server was silent: it may have been sent long ago */
-		r.thawed = (server->fleet->thawed_at_ms && fleet_ms(server->fleet) - server->fleet->thawed_at_ms < server->fleet->thaw_ms) ||
-			   (server->reading_resumed_at_ms && fleet_ms(server->fleet) - server->reading_resumed_at_ms < server->fleet->thaw_ms);
+		/* its sender was thawed, or the order lay unread while this server was silent: it may have
+		 * been sent long ago */
+		r.thawed = (server->fleet->thawed_at_ms &&
+			    fleet_ms(server->fleet) - server->fleet->thawed_at_ms < server->fleet->thaw_ms) ||
+			   (server->reading_resumed_at_ms &&
+			    fleet_ms(server->fleet) - server->reading_resumed_at_ms < server->fleet->thaw_ms);
 		checker_record_load_command(server->fleet->checker, fleet_ms(server->fleet), &r);
 	}
 	server->fleet->load_commands++;
--- a/rehearsal/stand_server_private.h
+++ b/emulator/model_server_internal.h
@@ -1,9 +1,9 @@
-/* What the files of a model server share. A work is one request from its arrival to its end; it stands in the server's
- * wait or run, never in both. */
+/* What the files of a model server share. A work is one request from its arrival to its end; it stands in the
+ * server's wait or run, never in both. */
 #ifndef STAND_SERVER_PRIVATE_H
 #define STAND_SERVER_PRIVATE_H
 
-#include "stand.h"
+#include "platform_emulator.h"
 
 struct kv_event {
 	int64_t number, visible_at_us;
@@ -22,7 +22,8 @@
 struct work {
 	struct server *server;
 	struct conn *conn;
-	int run_id, priority, prompt_tokens, output_tokens, remaining_tokens, generated_tokens, has_started, first_id, sent_id, last_id, step_read, head_sent, version, announced_version, is_plain;
+	int run_id, priority, prompt_tokens, output_tokens, remaining_tokens, generated_tokens, has_started,
+	    first_id, sent_id, last_id, step_read, head_sent, version, announced_version, is_plain;
 	int break_at, lose_answer, grey, garbage, surplus, close;
 	int64_t queued_at_us, deadline_us, transfer_done_at_us;
 	enum work_state state;
@@ -34,7 +35,10 @@
 };
 
 /* New weights are being loaded, or are about to be. */
-static inline int is_loading_weights(const struct server *server) { return server->loading_to != 0; }
+static inline int is_loading_weights(const struct server *server)
+{
+	return server->loading_to != 0;
+}
 
 /* stand_server_cache */
 /* A kept part by salt and id, or NULL. */
@@ -46,7 +50,8 @@
 /* Let go of the longest unused until so many tokens more fit; 0 when they never will. */
 int reserve_capacity(struct server *server, int64_t need);
 /* Keep a part, or renew one that is kept; room must have been made. */
-struct prompt_block *store_block(struct server *server, const char *salt, const char *id, int tokens, int version, const char *tenant);
+struct prompt_block *store_block(struct server *server, const char *salt, const char *id, int tokens,
+				 int version, const char *tenant);
 /* Drop all kept parts; tell: with an event each. */
 void drop_all_blocks(struct server *server, int emit_events);
 
--- a/rehearsal/stand_operator.c
+++ b/emulator/operator.c
@@ -1,13 +1,14 @@
-/* The operator: sends configurations and names weights as the pages tell, races, errs, and reads back at the end. */
+/* The operator: sends configurations and names weights as the pages tell, races, errs, and reads back at the
+ * end. */
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
-#include "stand_run.h"
+#include "containers.h"
+#include "platform_run.h"
 
 enum {
 	LOST_AFTER_MS = 30, /* a connection whose answer is lost is closed by then */
-	MAX_LOST = 3       /* answers to one naming: what is acknowledged can still be so within AckMs */
+	MAX_LOST = 3        /* answers to one naming: what is acknowledged can still be so within AckMs */
 };
 
 struct want {
@@ -18,7 +19,8 @@
 struct submission {
 	struct operator* operator;
 	enum what what;
-	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost, loss_count;
+	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost,
+	    loss_count;
 	int64_t base_version, version, started_at_ms, read_from;
 	char *body, *path, fields[120], address[64];
 	struct json_object *document; /* what stands once it is taken; NULL: nothing valid */
@@ -37,8 +39,8 @@
 	char added[96], removed[96];
 	int splits;
 	uint64_t rng, change_index; /* what it changes; which of the planned changes comes next */
-	double loss_ratio;        /* the share of answers to namings that are lost on their way */
-	char leader[64];    /* who acknowledged last */
+	double loss_ratio;          /* the share of answers to namings that are lost on their way */
+	char leader[64];            /* who acknowledged last */
 };
 
 static void attempt(void *ctx);
@@ -91,7 +93,7 @@
 
 static void over(struct submission *s)
 {
-	struct operator* operator = s->operator;
+	struct operator* operator= s->operator;
 
 	for (int i = 0; i < arrlen(operator->in_flight); i++)
 		if (operator->in_flight[i] == s) {
@@ -114,13 +116,14 @@
 static void answer(void *ctx, int status, const struct http_message *message)
 {
 	struct submission *s = ctx;
-	struct operator* operator = s->operator;
+	struct operator* operator= s->operator;
 	struct run *run = operator->run;
 	const char *to = http_message_field(message, "Location");
 	int64_t now = run_ms(run);
 
 	if (run->verbose)
-		run_log(run, "operator: %s %lld at %s: %d", s->path, (long long)s->version, s->address, status);
+		run_log(run, "operator: %s %lld at %s: %d", s->path, (long long)s->version, s->address,
+			status);
 	if (operator->closed) {
 		over(s);
 		return;
@@ -150,7 +153,8 @@
 			checker_record_read_back(run->checker, now, t);
 			free(t);
 		}
-		if ((status == 200 && now > s->started_at_ms + run->bounds.contact_ms) || now > s->started_at_ms + 5 * run->bounds.contact_ms) {
+		if ((status == 200 && now > s->started_at_ms + run->bounds.contact_ms) ||
+		    now > s->started_at_ms + 5 * run->bounds.contact_ms) {
 			if (status != 200)
 				checker_record_read_back(run->checker, now, NULL);
 			operator->read_done = 1;
@@ -166,13 +170,15 @@
 		if (s->what == SENDS_WEIGHTS) {
 			checker_record_target_version(run->checker, now, s->weights, 1);
 			operator->weights_acked = s->weights;
-			run_log(run, "weights %d are acknowledged after %lld ms", s->weights, (long long)(now - s->started_at_ms));
+			run_log(run, "weights %d are acknowledged after %lld ms", s->weights,
+				(long long)(now - s->started_at_ms));
 		} else {
-			checker_record_config_outcome(run->checker, now, s->config_index, CONFIG_OUTCOME_ACKED);
+			checker_record_config_outcome(run->checker, now, s->config_index,
+						      CONFIG_OUTCOME_ACKED);
 			operator->acked_count++;
 			if (run->verbose || now - s->started_at_ms > 1000)
-				run_log(run, "configuration %lld is acknowledged after %lld ms", (long long)s->version,
-					(long long)(now - s->started_at_ms));
+				run_log(run, "configuration %lld is acknowledged after %lld ms",
+					(long long)s->version, (long long)(now - s->started_at_ms));
 			if (s->document && s->version > operator->version) {
 				json_object_put(operator->current);
 				operator->current = json_object_get(s->document);
@@ -180,7 +186,8 @@
 				if (s->added[0])
 					snprintf(operator->added, sizeof operator->added, "%s", s->added);
 				if (s->removed[0])
-					snprintf(operator->removed, sizeof operator->removed, "%s", s->removed);
+					snprintf(operator->removed, sizeof operator->removed, "%s",
+						 s->removed);
 			}
 		}
 		over(s);
@@ -193,10 +200,12 @@
 			return;
 		}
 		if (!s->is_unclear) /* else it may have been taken, and overtaken since */
-			checker_record_config_outcome(run->checker, now, s->config_index, CONFIG_OUTCOME_REFUSED);
+			checker_record_config_outcome(run->checker, now, s->config_index,
+						      CONFIG_OUTCOME_REFUSED);
 		if (s->document && !s->is_unqueued)
-			run_log(run, "configuration %lld on %lld was refused with %d: %.120s", (long long)s->version,
-				(long long)s->base_version, status, message && message->body ? message->body : "");
+			run_log(run, "configuration %lld on %lld was refused with %d: %.120s",
+				(long long)s->version, (long long)s->base_version, status,
+				message && message->body ? message->body : "");
 		over(s);
 		return;
 	}
@@ -215,16 +224,19 @@
 		return;
 	}
 	s->attempts++;
-	s->is_lost = s->what == SENDS_WEIGHTS && s->loss_count < MAX_LOST && s->operator->loss_ratio > 0 && emulator_random_unit(&s->operator->rng) < s->operator->loss_ratio;
+	s->is_lost =
+	    s->what == SENDS_WEIGHTS && s->loss_count < MAX_LOST &&
+	    s->operator->loss_ratio> 0 && emulator_random_unit(&s->operator->rng) < s->operator->loss_ratio;
 	s->loss_count += s->is_lost;
 	if (s->is_lost)
 		wait = 1 + (int)(emulator_random(&s->operator->rng) % LOST_AFTER_MS);
-	call_once(s->operator->run->loop, s->address, s->what == READS ? "GET" : "POST", s->path, s->fields, s->body, wait, answer, s);
+	call_once(s->operator->run->loop, s->address, s->what == READS ? "GET" : "POST", s->path, s->fields,
+		  s->body, wait, answer, s);
 }
 
 static void submission_send(struct submission *s)
 {
-	struct operator* operator = s->operator;
+	struct operator* operator= s->operator;
 
 	s->started_at_ms = run_ms(operator->run);
 	s->pause_ms = 100;
@@ -233,11 +245,12 @@
 	attempt(s);
 }
 
-static struct submission *submission(struct operator* operator, enum what what, const char *path, const char *body)
+static struct submission *submission(struct operator* operator, enum what what, const char *path,
+				     const char *body)
 {
 	struct submission *s = calloc(1, sizeof *s);
 
-	s->operator = operator;
+	s->operator= operator;
 	s->what = what;
 	s->path = strdup(path);
 	s->body = body ? strdup(body) : NULL;
@@ -245,23 +258,26 @@
 }
 
 /* The whole configuration goes out, or what differs; invalid: known to be so. */
-static struct submission *config_submission(struct operator* operator, struct json_object *full, const char *text, const char *path,
-				      int64_t base, int invalid)
+static struct submission *config_submission(struct operator* operator, struct json_object * full,
+					    const char *text, const char *path, int64_t base, int invalid)
 {
 	struct submission *s = submission(operator, SENDS_CONFIG, path, text);
-	struct parsed_config *config = full ? parsed_config_read(json_object_to_json_string_ext(full, JSON_C_TO_STRING_PLAIN)) : NULL;
+	struct parsed_config *config =
+	    full ? parsed_config_read(json_object_to_json_string_ext(full, JSON_C_TO_STRING_PLAIN)) : NULL;
 
 	s->base_version = base;
 	s->version = config ? config->version : 0;
 	s->document = full && !invalid ? json_object_get(full) : NULL;
 	snprintf(s->fields, sizeof s->fields, "X-Notchlug-Base-Version: %lld\r\n", (long long)base);
-	s->config_index = checker_record_config(operator->run->checker, run_ms(operator->run), config, base, invalid);
+	s->config_index =
+	    checker_record_config(operator->run->checker, run_ms(operator->run), config, base, invalid);
 	return s;
 }
 
 /* ---- what it wants ---- */
 
-static struct json_object *route(struct operator* operator, const char *name, const char *prefix, const struct traffic_class *class)
+static struct json_object *route(struct operator* operator, const char * name, const char *prefix,
+				 const struct traffic_class *class)
 {
 	struct json_object *r = json_object_new_object();
 
@@ -305,7 +321,8 @@
 	json_object_object_add(j, "ConfigVersion", json_object_new_int64(3));
 	for (int i = 0; i < CLASS_COUNT; i++) {
 		snprintf(name, sizeof name, "r-%d", i);
-		json_object_array_add(a, route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
+		json_object_array_add(
+		    a, route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
 	}
 	json_object_object_add(j, "RouteList", a);
 	a = json_object_new_array();
@@ -318,7 +335,8 @@
 	json = json_object_new_object();
 	json_object_object_add(json, "SlotCount", json_object_new_int(run->fleet.engine.slots));
 	json_object_object_add(json, "KvCapacity", json_object_new_int(run->fleet.engine.kv_capacity_tokens));
-	json_object_object_add(json, "KvTokenBytes", json_object_new_int(run->fleet.engine.kv_bytes_per_token));
+	json_object_object_add(json, "KvTokenBytes",
+			       json_object_new_int(run->fleet.engine.kv_bytes_per_token));
 	json_object_object_add(json, "LinkMbps", json_object_new_double(run->fleet.engine.link_mbps));
 	json_object_object_add(json, "TokenStride", json_object_new_int(run->fleet.engine.token_stride));
 	json_object_object_add(json, "MaxInFlight", json_object_new_int(run->fleet.engine.in_flight));
@@ -356,7 +374,8 @@
 {
 	struct json_object *json = first(operator);
 	struct submission *s =
-	    config_submission(operator, json, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN), "/configuration/replace", 0, 0);
+	    config_submission(operator, json, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN),
+			      "/configuration/replace", 0, 0);
 
 	json_object_put(json);
 	operator->next_version = 5;
@@ -381,7 +400,8 @@
 	json_object_array_add(list, item);
 }
 
-static void put_split(struct json_object *json, const char *service_a, const char *service_b, int weight_a, int weight_b)
+static void put_split(struct json_object *json, const char *service_a, const char *service_b, int weight_a,
+		      int weight_b)
 {
 	struct json_object *list = json_object_new_array();
 	const char *name[] = { service_a, service_b };
@@ -400,11 +420,12 @@
 }
 
 /* Changes a copy of what stands; the items touched go to up, the names removed to gone. */
-static struct json_object *changed(struct operator* operator, enum change what, struct submission **out, int modify)
+static struct json_object *changed(struct operator* operator, enum change what, struct submission **out,
+				   int modify)
 {
 	struct run *run = operator->run;
-	struct json_object *json = clone(operator->current), *routes = member(json, "RouteList"), *tenants = member(json, "TenantList"), *x, *body, *up,
-			   *removal, *a;
+	struct json_object *json = clone(operator->current), *routes = member(json, "RouteList"),
+			   *tenants = member(json, "TenantList"), *x, *body, *up, *removal, *a;
 	char name[64], prefix[96], added[96] = "", removed[96] = "";
 	int i = (int)(emulator_random(&operator->rng) % CLASS_COUNT);
 	struct submission *s;
@@ -420,7 +441,8 @@
 	case CHANGE_MOVE:
 		x = json_object_array_get_idx(routes, (size_t)i);
 		if (what == CHANGE_SPLIT) {
-			put_split(x, run->sheet->service, run->sheet->service, 10 + operator->splits++ % 80, 10);
+			put_split(x, run->sheet->service, run->sheet->service, 10 + operator->splits++ % 80,
+				  10);
 		} else {
 			json_object_object_del(x, "TrafficSplit");
 			json_object_object_add(x, "ServiceName", json_object_new_string(run->sheet->service));
@@ -430,8 +452,10 @@
 		break;
 	case CHANGE_TIMEOUT:
 		x = json_object_array_get_idx(routes, (size_t)i);
-		json_object_object_add(x, "TimeoutMs",
-				       json_object_new_int(run->sheet->classes[i].deadline_ms + 10 * (int)(1 + emulator_random(&operator->rng) % 50)));
+		json_object_object_add(
+		    x, "TimeoutMs",
+		    json_object_new_int(run->sheet->classes[i].deadline_ms +
+					10 * (int)(1 + emulator_random(&operator->rng) % 50)));
 		json_object_array_add(a, json_object_get(x));
 		json_object_object_add(up, "RouteList", a);
 		break;
@@ -449,7 +473,8 @@
 			x = json_object_array_get_idx(routes, k);
 			if (strncmp(name_of(x), "r-more-", 7))
 				continue;
-			snprintf(removed, sizeof removed, "%s", json_object_get_string(member(x, "PathPrefix")));
+			snprintf(removed, sizeof removed, "%s",
+				 json_object_get_string(member(x, "PathPrefix")));
 			json_object_array_add(a, json_object_new_string(name_of(x)));
 			json_object_array_del_idx(routes, k, 1);
 			break;
@@ -460,7 +485,7 @@
 	case CHANGE_KEY_OFF: {
 		struct json_object *keys;
 
-		i = 2 + operator->keys % (run->sheet->tenants - 2);
+		i = 2 + operator->keys %(run->sheet->tenants - 2);
 		x = json_object_array_get_idx(tenants, (size_t)i);
 		keys = member(x, "AccessKeys");
 		if (what == CHANGE_KEY_ON) {
@@ -476,7 +501,8 @@
 	case CHANGE_ISOLATION:
 		i = 2 + (int)(emulator_random(&operator->rng) % (uint64_t)(run->sheet->tenants - 2));
 		x = json_object_array_get_idx(tenants, (size_t)i);
-		json_object_object_add(x, "Isolated", json_object_new_boolean(!json_object_get_boolean(member(x, "Isolated"))));
+		json_object_object_add(
+		    x, "Isolated", json_object_new_boolean(!json_object_get_boolean(member(x, "Isolated"))));
 		json_object_array_add(a, json_object_get(x));
 		json_object_object_add(up, "TenantList", a);
 		break;
@@ -511,8 +537,10 @@
 	}
 	json_object_object_add(body, "Upsert", up);
 	json_object_object_add(body, "Remove", removal);
-	s = config_submission(operator, json, json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
-			   modify ? "/configuration/modify" : "/configuration/replace", operator->version, 0);
+	s = config_submission(operator, json,
+			      json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
+			      modify ? "/configuration/modify" : "/configuration/replace", operator->version,
+			      0);
 	snprintf(s->added, sizeof s->added, "%s", added);
 	snprintf(s->removed, sizeof s->removed, "%s", removed);
 	json_object_put(body);
@@ -567,27 +595,38 @@
 	json = clone(operator->current);
 	routes = member(json, "RouteList");
 	tenants = member(json, "TenantList");
-	json_object_object_add(json, "ConfigVersion", json_object_new_int64(what == INVALID_OLD ? base : next_version(operator)));
+	json_object_object_add(json, "ConfigVersion",
+			       json_object_new_int64(what == INVALID_OLD ? base : next_version(operator)));
 	x = json_object_array_get_idx(routes, 0);
 	switch (what) {
 	case INVALID_SERVICE:
 		json_object_object_del(x, "TrafficSplit");
 		json_object_object_add(x, "ServiceName", json_object_new_string("nowhere"));
 		break;
-	case INVALID_DUPLICATE_PREFIX: json_object_array_add(routes, route(operator, "r-twin", operator->run->sheet->classes[0].prefix, &operator->run->sheet->classes[0])); break;
-	case INVALID_WEIGHT: put_split(x, operator->run->sheet->service, operator->run->sheet->service, 0, 0); break;
-	case INVALID_TIMEOUT: json_object_object_add(x, "TimeoutMs", json_object_new_int(0)); break;
+	case INVALID_DUPLICATE_PREFIX:
+		json_object_array_add(routes,
+				      route(operator, "r-twin", operator->run->sheet->classes[0].prefix,
+					    &operator->run->sheet->classes[0]));
+		break;
+	case INVALID_WEIGHT:
+		put_split(x, operator->run->sheet->service, operator->run->sheet->service, 0, 0);
+		break;
+	case INVALID_TIMEOUT:
+		json_object_object_add(x, "TimeoutMs", json_object_new_int(0));
+		break;
 	case INVALID_KEY:
-		json_object_array_add(
-		    member(json_object_array_get_idx(tenants, 0), "AccessKeys"),
-		    json_object_get(json_object_array_get_idx(member(json_object_array_get_idx(tenants, 1), "AccessKeys"), 0)));
+		json_object_array_add(member(json_object_array_get_idx(tenants, 0), "AccessKeys"),
+				      json_object_get(json_object_array_get_idx(
+					  member(json_object_array_get_idx(tenants, 1), "AccessKeys"), 0)));
+		break;
+	default:
 		break;
-	default: break;
 	}
 	text = strdup(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	if (what == INVALID_CUT)
 		text[strlen(text) / 2] = 0;
-	s = config_submission(operator, what == INVALID_CUT ? NULL : json, text, "/configuration/replace", base, 1);
+	s = config_submission(operator, what == INVALID_CUT ? NULL : json, text, "/configuration/replace",
+			      base, 1);
 	s->is_unqueued = 1;
 	free(text);
 	json_object_put(json);
@@ -599,7 +638,8 @@
 	char b[200];
 	struct submission *s;
 
-	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}", operator->run->sheet->model, version);
+	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}", operator->run->sheet->model,
+		 version);
 	s = submission(operator, SENDS_WEIGHTS, "/version-put", b);
 	s->weights = version;
 	s->version = version;
@@ -609,23 +649,52 @@
 	submission_send(s);
 }
 
-void operator_read_back(struct operator* operator) { submission_send(submission(operator, READS, "/configuration/retrieve", NULL)); }
+void operator_read_back(struct operator* operator)
+{
+	submission_send(submission(operator, READS, "/configuration/retrieve", NULL));
+}
 
-int operator_idle(const struct operator* operator) { return !arrlen(operator->in_flight) && !arrlen(operator->queue); }
-int operator_acked(const struct operator* operator) { return operator->acked_count; }
-void operator_set_loss(struct operator* operator, double share) { operator->loss_ratio = share; }
-const char *operator_leader(const struct operator* operator) { return operator->leader; }
-int operator_weights_acked(const struct operator* operator) { return operator->weights_acked; }
-int operator_read_done(const struct operator* operator) { return operator->read_done; }
+int operator_idle(const struct operator* operator)
+{
+	return !arrlen(operator->in_flight) && !arrlen(operator->queue);
+}
+int operator_acked(const struct operator* operator)
+{
+	return operator->acked_count;
+}
+void operator_set_loss(struct operator* operator, double share)
+{
+	operator->loss_ratio = share;
+}
+const char *operator_leader(const struct operator* operator)
+{
+	return operator->leader;
+}
+int operator_weights_acked(const struct operator* operator)
+{
+	return operator->weights_acked;
+}
+int operator_read_done(const struct operator* operator)
+{
+	return operator->read_done;
+}
 int operator_idle_timeout(const struct operator* operator)
 {
-	struct json_object *idle = operator->current ? member(member(operator->current, "Limits"), "IdleTimeoutMs") : NULL;
+	struct json_object *idle = operator->current
+				       ? member(member(operator->current, "Limits"), "IdleTimeoutMs")
+				       : NULL;
 
 	return idle ? json_object_get_int(idle) : 0;
 }
 
-const char *operator_added(const struct operator* operator) { return operator->added[0] ? operator->added : NULL; }
-const char *operator_removed(const struct operator* operator) { return operator->removed[0] ? operator->removed : NULL; }
+const char *operator_added(const struct operator* operator)
+{
+	return operator->added[0] ? operator->added : NULL;
+}
+const char *operator_removed(const struct operator* operator)
+{
+	return operator->removed[0] ? operator->removed : NULL;
+}
 
 const char *operator_second_key(const struct operator* operator)
 {
@@ -642,7 +711,7 @@
 
 struct operator* operator_open(struct run *run)
 {
-	struct operator* operator = calloc(1, sizeof *operator);
+	struct operator* operator= calloc(1, sizeof *operator);
 
 	operator->run = run;
 	operator->rng = emulator_hash(run->seed, "operator", 8);
--- a/rehearsal/stand_history.c
+++ b/emulator/operator_history.c
@@ -1,4 +1,4 @@
-#include "stand_history.h"
+#include "operator_history.h"
 
 #include <json-c/json.h>
 #include <stdlib.h>
@@ -29,7 +29,8 @@
 	struct json_object *parsed = json_tokener_parse(text ? text : ""), *version = NULL;
 	uint64_t n = 0;
 
-	if (json_object_is_type(parsed, json_type_object) && json_object_object_get_ex(parsed, "ConfigVersion", &version))
+	if (json_object_is_type(parsed, json_type_object) &&
+	    json_object_object_get_ex(parsed, "ConfigVersion", &version))
 		n = json_object_get_uint64(version);
 	json_object_put(parsed);
 	return n;
@@ -37,7 +38,10 @@
 
 static struct linear_op write_op(const struct history_write *history_write, uint64_t value)
 {
-	struct linear_op operation = { .kind = LINEAR_WRITE, .outcome = LINEAR_UNKNOWN, .called_at = history_write->sent_at_ms, .value = value };
+	struct linear_op operation = { .kind = LINEAR_WRITE,
+				       .outcome = LINEAR_UNKNOWN,
+				       .called_at = history_write->sent_at_ms,
+				       .value = value };
 
 	operation.base_version = (uint64_t)history_write->base_version;
 	operation.version = (uint64_t)history_write->version;
@@ -48,8 +52,8 @@
 	return operation;
 }
 
-int history_is_linearizable(const struct history_write *writes, size_t write_count, const struct history_read *reads, size_t read_count, char *why,
-		  size_t why_size)
+int history_is_linearizable(const struct history_write *writes, size_t write_count,
+			    const struct history_read *reads, size_t read_count, char *why, size_t why_size)
 {
 	struct linear_op *ops = calloc(write_count + read_count + 1, sizeof *ops);
 	size_t count = 0;
@@ -58,7 +62,8 @@
 
 	if (!ops || !known.parsed)
 		abort();
-	for (size_t i = 0; i < write_count; i++) /* the pages let a valid one be refused: it must not take effect, no more */
+	for (size_t i = 0; i < write_count;
+	     i++) /* the pages let a valid one be refused: it must not take effect, no more */
 		if (writes[i].refused_at_ms < 0)
 			ops[count++] = write_op(&writes[i], number_of(&known, writes[i].text));
 	for (size_t i = 0; i < read_count; i++)
--- a/rehearsal/stand_config.c
+++ b/emulator/parsed_config.c
@@ -2,14 +2,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
-#include "stand.h"
+#include "containers.h"
+#include "platform_emulator.h"
 
 static struct json_object *get(struct json_object *json, const char *k)
 {
 	struct json_object *v = NULL;
 
-	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, k, &v) ? v : NULL;
+	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, k, &v) ? v
+												     : NULL;
 }
 
 static void get_text(struct json_object *json, const char *key, char *to, size_t n)
@@ -26,7 +27,10 @@
 	return v ? json_object_get_int(v) : 0;
 }
 
-static size_t length(struct json_object *json) { return json_object_is_type(json, json_type_array) ? json_object_array_length(json) : 0; }
+static size_t length(struct json_object *json)
+{
+	return json_object_is_type(json, json_type_array) ? json_object_array_length(json) : 0;
+}
 
 struct parsed_config *parsed_config_read(const char *text)
 {
@@ -64,8 +68,10 @@
 			x.weight[0] = x.service_count = 1;
 		}
 		for (size_t k = 0; k < length(split) && x.service_count < 4; k++) {
-			get_text(json_object_array_get_idx(split, k), "ServiceName", x.service[x.service_count], sizeof x.service[0]);
-			x.weight[x.service_count++] = get_int(json_object_array_get_idx(split, k), "ShareWeight");
+			get_text(json_object_array_get_idx(split, k), "ServiceName",
+				 x.service[x.service_count], sizeof x.service[0]);
+			x.weight[x.service_count++] =
+			    get_int(json_object_array_get_idx(split, k), "ShareWeight");
 		}
 		arrput(config->routes, x);
 	}
@@ -97,7 +103,8 @@
 	free(config);
 }
 
-const struct parsed_route *parsed_config_match(const struct parsed_config *config, const char *host, const char *path)
+const struct parsed_route *parsed_config_match(const struct parsed_config *config, const char *host,
+					       const char *path)
 {
 	const struct parsed_route *best = NULL;
 
@@ -153,12 +160,14 @@
 		if (!why && !route->timeout_ms)
 			why = "a TimeoutMs is 0";
 		for (int k = 0; k < i && !why; k++)
-			if (!strcmp(config->routes[k].host, route->host) && !strcmp(config->routes[k].prefix, route->prefix))
+			if (!strcmp(config->routes[k].host, route->host) &&
+			    !strcmp(config->routes[k].prefix, route->prefix))
 				why = "two routes share host and prefix";
 	}
 	for (int i = 0; i < arrlen(config->tenants) && !why; i++)
 		for (int k = 0; k < config->tenants[i].key_count && !why; k++)
-			if (parsed_config_tenant_of_key(config, config->tenants[i].key[k]) != &config->tenants[i])
+			if (parsed_config_tenant_of_key(config, config->tenants[i].key[k]) !=
+			    &config->tenants[i])
 				why = "two tenants share a key";
 	json_object_put(json);
 	return why;
--- a/rehearsal/stand_change.c
+++ b/emulator/planned_changes.c
@@ -1,9 +1,9 @@
-/* Changes of a configuration that a planned day is full of, beyond those that stand_operator makes itself. Each one turns
- * a whole configuration into the next one and names what it touched, for a call to modify. */
+/* Changes of a configuration that a planned day is full of, beyond those that stand_operator makes itself.
+ * Each one turns a whole configuration into the next one and names what it touched, for a call to modify. */
 #include <json-c/json.h>
 #include <string.h>
 
-#include "stand_run.h"
+#include "platform_run.h"
 
 enum { FIRST_PLAIN_TENANT = 2, KEYS_MOST = 2 };
 
@@ -32,7 +32,8 @@
 }
 
 /* Take all items whose name begins so out of a list; their names go into the list of what is removed. */
-static void remove_entry(struct json_object *config, struct json_object *removed, const char *list_name, const char *prefix)
+static void remove_entry(struct json_object *config, struct json_object *removed, const char *list_name,
+			 const char *prefix)
 {
 	struct json_object *list = list_of(config, list_name), *names = json_object_new_array();
 
@@ -60,7 +61,8 @@
 	static const int idle_ms[] = { 3000, 15000, 5000, 10000 };
 	struct json_object *limits = list_of(config, "Limits");
 
-	json_object_object_add(limits, "IdleTimeoutMs", json_object_new_int(idle_ms[index % (sizeof idle_ms / sizeof *idle_ms)]));
+	json_object_object_add(limits, "IdleTimeoutMs",
+			       json_object_new_int(idle_ms[index % (sizeof idle_ms / sizeof *idle_ms)]));
 }
 
 static struct json_object *plain_tenant(struct json_object *config, uint64_t index)
@@ -93,7 +95,8 @@
 	upserted(upsert, "TenantList", tenant);
 }
 
-static void change_tenant(struct json_object *config, struct json_object *upsert, struct json_object *removed, uint64_t index)
+static void change_tenant(struct json_object *config, struct json_object *upsert, struct json_object *removed,
+			  uint64_t index)
 {
 	static const char guest[] = "guest-";
 	struct json_object *tenants = list_of(config, "TenantList"), *tenant, *keys;
@@ -118,7 +121,8 @@
 
 static void change_attempts(struct json_object *config, struct json_object *upsert, uint64_t index)
 {
-	struct json_object *route = json_object_array_get_idx(list_of(config, "RouteList"), index % CLASS_COUNT);
+	struct json_object *route =
+	    json_object_array_get_idx(list_of(config, "RouteList"), index % CLASS_COUNT);
 
 	json_object_object_add(route, "MaxAttempts", json_object_new_int(1 + (int)(index % 3)));
 	upserted(upsert, "RouteList", route);
@@ -126,25 +130,42 @@
 
 static void change_places(struct json_object *config, struct json_object *upsert, uint64_t index)
 {
-	struct json_object *service = json_object_array_get_idx(list_of(config, "ServiceList"), 0), *most = NULL;
+	struct json_object *service = json_object_array_get_idx(list_of(config, "ServiceList"), 0),
+			   *most = NULL;
 	int step = index % 2 ? 1 : -1;
 
 	json_object_object_get_ex(service, "MaxConnections", &most);
-	json_object_object_add(service, "MaxConnections", json_object_new_int(json_object_get_int(most) + step));
+	json_object_object_add(service, "MaxConnections",
+			       json_object_new_int(json_object_get_int(most) + step));
 	upserted(upsert, "ServiceList", service);
 }
 
-void planned_change(struct json_object *config, struct json_object *upsert, struct json_object *removed, enum change what,
-		    uint64_t index)
+void planned_change(struct json_object *config, struct json_object *upsert, struct json_object *removed,
+		    enum change what, uint64_t index)
 {
 	switch (what) {
-	case CHANGE_BIG_OFF: remove_entry(config, removed, "RouteList", "r-big-"); break;
-	case CHANGE_LIMITS: change_limits(config, index); break;
-	case CHANGE_KEY_MORE: change_keys(config, upsert, index); break;
-	case CHANGE_TENANT: change_tenant(config, upsert, removed, index); break;
-	case CHANGE_PRIORITY: change_priority(config, upsert, index); break;
-	case CHANGE_ATTEMPTS: change_attempts(config, upsert, index); break;
-	case CHANGE_MAX_CONNECTIONS: change_places(config, upsert, index); break;
-	default: break;
+	case CHANGE_BIG_OFF:
+		remove_entry(config, removed, "RouteList", "r-big-");
+		break;
+	case CHANGE_LIMITS:
+		change_limits(config, index);
+		break;
+	case CHANGE_KEY_MORE:
+		change_keys(config, upsert, index);
+		break;
+	case CHANGE_TENANT:
+		change_tenant(config, upsert, removed, index);
+		break;
+	case CHANGE_PRIORITY:
+		change_priority(config, upsert, index);
+		break;
+	case CHANGE_ATTEMPTS:
+		change_attempts(config, upsert, index);
+		break;
+	case CHANGE_MAX_CONNECTIONS:
+		change_places(config, upsert, index);
+		break;
+	default:
+		break;
 	}
 }
--- a/rehearsal/stand_planned.c
+++ b/emulator/planned_day.c
@@ -1,11 +1,12 @@
-/* A long day of planned work and nothing else: configurations change without a pause, machines are stopped in turn and
- * come back or are replaced, all are told to read their settings again, servers are released and new weights are named.
- * What is done, in which order, follows from the seed; only the moments follow the clock. */
+/* A long day of planned work and nothing else: configurations change without a pause, machines are stopped in
+ * turn and come back or are replaced, all are told to read their settings again, servers are released and new
+ * weights are named. What is done, in which order, follows from the seed; only the moments follow the clock.
+ */
 #include <stdio.h>
 #include <string.h>
 
-#include "ds.h"
-#include "stand_run.h"
+#include "containers.h"
+#include "platform_run.h"
 
 enum {
 	SMALL_DAY_MS = 8000,
@@ -32,7 +33,7 @@
 struct roll {
 	enum roll_state state;
 	int core, next_index;
-	int64_t next_at_ms;            /* what comes next, comes then */
+	int64_t next_at_ms;      /* what comes next, comes then */
 	struct machine *machine; /* the one that is stopped */
 	int64_t listed_at;       /* the list of core machines shows what is below from then on */
 	struct machine *unlisted, *newly_listed;
@@ -46,16 +47,20 @@
 	struct roll routers, core;
 };
 
-static int64_t up_to(struct day *day, int64_t most) { return (int64_t)(emulator_random(&day->rng) % (uint64_t)(most + 1)); }
+static int64_t up_to(struct day *day, int64_t most)
+{
+	return (int64_t)(emulator_random(&day->rng) % (uint64_t)(most + 1));
+}
 
 /* ---- configurations ---- */
 
 static void change(struct day *day)
 {
 	static const enum change changes[] = {
-		CHANGE_SPLIT,    CHANGE_TIMEOUT,   CHANGE_KEY_MORE, CHANGE_ROUTE_ON, CHANGE_PRIORITY, CHANGE_LIMITS, CHANGE_MOVE,
-		CHANGE_ATTEMPTS, CHANGE_BIG,       CHANGE_TENANT,   CHANGE_TIMEOUT,  CHANGE_SPLIT,    CHANGE_MAX_CONNECTIONS, CHANGE_ISOLATION,
-		CHANGE_KEY_MORE, CHANGE_ROUTE_OFF, CHANGE_BIG_OFF,  CHANGE_LIMITS,   CHANGE_TENANT,   CHANGE_MOVE,
+		CHANGE_SPLIT,     CHANGE_TIMEOUT, CHANGE_KEY_MORE,        CHANGE_ROUTE_ON,  CHANGE_PRIORITY,
+		CHANGE_LIMITS,    CHANGE_MOVE,    CHANGE_ATTEMPTS,        CHANGE_BIG,       CHANGE_TENANT,
+		CHANGE_TIMEOUT,   CHANGE_SPLIT,   CHANGE_MAX_CONNECTIONS, CHANGE_ISOLATION, CHANGE_KEY_MORE,
+		CHANGE_ROUTE_OFF, CHANGE_BIG_OFF, CHANGE_LIMITS,          CHANGE_TENANT,    CHANGE_MOVE,
 	};
 	struct run *run = day->run;
 	int64_t now = run_ms(run);
@@ -89,7 +94,8 @@
 
 		if (machine->is_core != roll->core || machine->removed)
 			continue;
-		if (!machine->pid || (!machine->is_core && (!machine->in_rotation || machine->probe_failures)))
+		if (!machine->pid ||
+		    (!machine->is_core && (!machine->in_rotation || machine->probe_failures)))
 			return NULL; /* never two at once */
 		present++;
 	}
@@ -138,7 +144,8 @@
 
 	machine_start(machine);
 	roll->state = ROLL_RESTS;
-	roll->next_at_ms = run_ms(run) + (roll->core ? run->bounds.catch_up_ms + CORE_PAUSE_MS : ROUTER_PAUSE_MS);
+	roll->next_at_ms =
+	    run_ms(run) + (roll->core ? run->bounds.catch_up_ms + CORE_PAUSE_MS : ROUTER_PAUSE_MS);
 }
 
 static void list_successor(struct run *run, struct roll *roll)
@@ -158,14 +165,18 @@
 	if (now < roll->next_at_ms)
 		return;
 	switch (roll->state) {
-	case ROLL_RESTS: stop_next(run, roll); break;
+	case ROLL_RESTS:
+		stop_next(run, roll);
+		break;
 	case ROLL_STOPS:
 		if (!machine_down(roll->machine))
 			break;
 		roll->state = ROLL_IS_DOWN;
 		roll->next_at_ms = now + DOWN_MS;
 		break;
-	case ROLL_IS_DOWN: start_next(run, roll); break;
+	case ROLL_IS_DOWN:
+		start_next(run, roll);
+		break;
 	}
 }
 
@@ -232,14 +243,16 @@
 
 	if (run_ms(run) < day->next_weights || operator_weights_acked(run->operator) < day->weights)
 		return;
-	operator_weights(run->operator, ++day->weights);
+	operator_weights(run->operator, ++ day->weights);
 	run_log(run, "planned: weights %d are named", day->weights);
 	day->next_weights = run_ms(run) + WEIGHTS_EVERY_MS;
 }
 
 void planned_day(struct run *run)
 {
-	int64_t start = run_ms(run), length = run->length_s ? run->length_s * 1000 : run->small ? SMALL_DAY_MS : DAY_MS;
+	int64_t start = run_ms(run), length = run->length_s ? run->length_s * 1000
+					      : run->small  ? SMALL_DAY_MS
+							    : DAY_MS;
 	struct day day = { .run = run, .rng = emulator_hash(run->seed, "planned", 7), .weights = 1 };
 
 	day.routers = (struct roll){ .core = 0, .next_at_ms = start + 200 };
@@ -258,8 +271,10 @@
 		name_weights(&day);
 		run_for(run, STEP_MS);
 	}
-	run_log(run, "the planned day is over: %d changes, %d routers and %d core machines stopped, %d servers replaced", day.changes,
-		day.routers.next_index, day.core.next_index, day.released);
+	run_log(
+	    run,
+	    "the planned day is over: %d changes, %d routers and %d core machines stopped, %d servers replaced",
+	    day.changes, day.routers.next_index, day.core.next_index, day.released);
 }
 
 static void core_all(struct run *run, void (*what)(struct machine *m))
@@ -271,7 +286,8 @@
 
 void planned_core_stop(struct run *run)
 {
-	int64_t start = run_ms(run), stop = start + run->bounds.contact_ms, back = stop + CORE_AWAY_MS, end = back + run->bounds.grace_ms + run->bounds.catch_up_ms;
+	int64_t start = run_ms(run), stop = start + run->bounds.contact_ms, back = stop + CORE_AWAY_MS,
+		end = back + run->bounds.grace_ms + run->bounds.catch_up_ms;
 	struct day day = { .run = run, .rng = emulator_hash(run->seed, "core stop", 9), .weights = 1 };
 	int stopped = 0;
 
--- a/rehearsal/stand.h
+++ b/emulator/platform_emulator.h
@@ -1,16 +1,15 @@
-/* stand: a stand-in of the users' platform, written from its pages. One process and one loop hold model servers, the
- * store, the list of servers, the entry with its clients, the operator, the machines under test and the judge, so that
- * failures can be brought about where the users' own bench cannot run.
- *   stand_net      loop, timers, HTTP both ways       stand_server   model servers and the store
- *   stand_list     the list of servers                stand_client   entry, clients, histogram
- *   stand_operator who sends configurations           stand_machine  processes under test
- *   stand_config   how configurations read            stand_judge*   records, and rules by subject
- *   stand_report   figures and a picture              stand_histogram  durations
- *   stand_unread   what the other end has not read    stand          scenarios
- *   stand_planned  the long day of planned work       stand_change   its changes of the configuration
- *   stand_quota    shares of a processor              stand_soak     troubles and namings that overlap, by seed */
-#ifndef NL_STAND_H
-#define NL_STAND_H
+/* stand: a stand-in of the users' platform, written from its pages. One process and one loop hold model
+ * servers, the store, the list of servers, the entry with its clients, the operator, the machines under test
+ * and the judge, so that failures can be brought about where the users' own bench cannot run. stand_net loop,
+ * timers, HTTP both ways       stand_server   model servers and the store stand_list     the list of servers
+ * stand_client   entry, clients, histogram stand_operator who sends configurations           stand_machine
+ * processes under test stand_config   how configurations read            stand_judge*   records, and rules by
+ * subject stand_report   figures and a picture              stand_histogram  durations stand_unread   what
+ * the other end has not read    stand          scenarios stand_planned  the long day of planned work
+ * stand_change   its changes of the configuration stand_quota    shares of a processor stand_soak troubles
+ * and namings that overlap, by seed */
+#ifndef NL_PLATFORM_EMULATOR_H
+#define NL_PLATFORM_EMULATOR_H
 
 #include <http_parser.h>
 #include <json-c/json.h>
@@ -28,16 +27,22 @@
 
 /* Microseconds on a clock that never jumps. Example: now = loop_us(); */
 int64_t loop_us(void);
-static inline int64_t ms_us(double ms) { return (int64_t)(ms * 1000); }
+static inline int64_t ms_us(double ms)
+{
+	return (int64_t)(ms * 1000);
+}
 
-/* Call fn once after so many microseconds; the id drops it. Example: id = loop_after(l, ms_us(5), step, s); */
+/* Call fn once after so many microseconds; the id drops it. Example: id = loop_after(l, ms_us(5), step, s);
+ */
 uint64_t loop_after(struct loop *loop, int64_t us, void (*callback)(void *ctx), void *context);
 void loop_cancel(struct loop *loop, uint64_t id);
 
-/* The longest that a timer was late since this was last asked, in microseconds: whether this process itself kept up. */
+/* The longest that a timer was late since this was last asked, in microseconds: whether this process itself
+ * kept up. */
 int64_t loop_max_lateness(struct loop *loop);
 
-/* Turn until `done` says so or the time is over; 1 when done. Example: loop_until(l, ms_us(500), is_done, &x); */
+/* Turn until `done` says so or the time is over; 1 when done. Example: loop_until(l, ms_us(500), is_done,
+ * &x); */
 int loop_until(struct loop *loop, int64_t us, int (*done)(void *ctx), void *context);
 
 /* ---- HTTP ---- */
@@ -64,7 +69,8 @@
 };
 
 struct conn_handlers {
-	void (*request)(void *ctx, struct conn *c, struct http_message *m); /* whole; the next one waits for conn_next */
+	void (*request)(void *ctx, struct conn *c,
+			struct http_message *m); /* whole; the next one waits for conn_next */
 	void (*head)(void *ctx, struct conn *c, struct http_message *m);
 	void (*data)(void *ctx, struct conn *c, const char *d, size_t n);
 	void (*complete)(void *ctx, struct conn *c, struct http_message *m);
@@ -73,36 +79,42 @@
 
 struct port;
 
-/* Listen; connections beyond max (0: none) are reset. NULL on a fault. Example: p = port_open(l, "127.9.0.1:80", &on, s, 0); */
-struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *callbacks, void *context, int max);
-void port_close(struct port *port, int reset); /* its connections too */
-void port_set_silent(struct port *port, int dark);   /* accepts, reads and writes nothing */
-void port_set_idle_timeout(struct port *port, int ms);     /* idle connections are closed after so long */
+/* Listen; connections beyond max (0: none) are reset. NULL on a fault. Example: p = port_open(l,
+ * "127.9.0.1:80", &on, s, 0); */
+struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+		       void *context, int max);
+void port_close(struct port *port, int reset);         /* its connections too */
+void port_set_silent(struct port *port, int dark);     /* accepts, reads and writes nothing */
+void port_set_idle_timeout(struct port *port, int ms); /* idle connections are closed after so long */
 int port_count(const struct port *port);
 
 /* Example: c = conn_call(l, "127.9.0.1:80", &on, q); conn_say(c, text, n); */
-struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *callbacks, void *context);
+struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+			  void *context);
 void conn_write(struct conn *conn, const char *data, size_t n);
 void conn_writef(struct conn *conn, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void conn_expect(struct conn *conn);         /* calling side: an answer is due from now on */
+void conn_expect(struct conn *conn);                          /* calling side: an answer is due from now on */
 void conn_finish_response(struct conn *conn, int keep_alive); /* serving side: the answer is over */
 void conn_close(struct conn *conn, int reset);
 void conn_set_handlers(struct conn *conn, const struct conn_handlers *callbacks, void *context);
 int conn_is_up(const struct conn *conn);
-int conn_read_by_peer(const struct conn *conn);                /* 1: the process at the other end has read all that was said */
+int conn_read_by_peer(
+    const struct conn *conn); /* 1: the process at the other end has read all that was said */
 int conn_is_alive(const struct loop *loop, const struct conn *conn); /* for those who kept only its address */
 void *conn_tag(struct conn *conn);
 void conn_set_tag(struct conn *conn, void *tag);
 
 /* An answer in one piece. Example: conn_answer(c, 200, "X-A: b\r\n", "{}", 2, 1); */
-void conn_answer(struct conn *conn, int status, const char *fields, const char *body, size_t n, int keep_alive);
+void conn_answer(struct conn *conn, int status, const char *fields, const char *body, size_t n,
+		 int keep_alive);
 
 /* A plain call with its answer; fields as "Name: value\r\n". fn is called once; status 0: no clear answer. */
-void call_once(struct loop *loop, const char *addr, const char *method, const char *target, const char *fields, const char *body,
-	       int ms, void (*callback)(void *ctx, int status, const struct http_message *m), void *context);
+void call_once(struct loop *loop, const char *addr, const char *method, const char *target,
+	       const char *fields, const char *body, int ms,
+	       void (*callback)(void *ctx, int status, const struct http_message *m), void *context);
 
-/* How many bytes sent over a connected TCP socket the process at the other end, on this machine, has not read yet;
- * -1: not known. Example: if (socket_unread(fd) == 0) has_read = 1; */
+/* How many bytes sent over a connected TCP socket the process at the other end, on this machine, has not read
+ * yet; -1: not known. Example: if (socket_unread(fd) == 0) has_read = 1; */
 int socket_unread(int fd);
 
 uint64_t emulator_hash(uint64_t seed, const void *data, size_t n);
@@ -114,7 +126,8 @@
 	char name[48], host[64], prefix[96], route_type[24];
 	size_t prefix_length;
 	char service[4][48];
-	int service_count, weight[4], timeout_ms, target_ms, priority, max_attempts, is_public, resumable, gap_target_ms;
+	int service_count, weight[4], timeout_ms, target_ms, priority, max_attempts, is_public, resumable,
+	    gap_target_ms;
 };
 struct parsed_tenant {
 	char name[48], key[4][64];
@@ -130,7 +143,8 @@
 /* Read one; NULL when it cannot be read whole. Example: c = cfg_read(text); */
 struct parsed_config *parsed_config_read(const char *text);
 void parsed_config_free(struct parsed_config *config);
-const struct parsed_route *parsed_config_match(const struct parsed_config *config, const char *host, const char *path);
+const struct parsed_route *parsed_config_match(const struct parsed_config *config, const char *host,
+					       const char *path);
 const struct parsed_tenant *parsed_config_tenant_of_key(const struct parsed_config *config, const char *key);
 
 /* Why it is invalid on top of version `base`, or NULL. Example: cfg_invalid(c, 5) */
@@ -138,7 +152,8 @@
 
 /* ---- judge ---- */
 struct timing_bounds {
-	int64_t contact_ms, ack_ms, catch_up_ms, drain_ms, grace_ms, loss_slack_ms, config_apply_ms, revert_slack_ms, drift_max_ms, revoke_ms, retry_window_ms, retry_slack, recovery_ms, transit_ms,
+	int64_t contact_ms, ack_ms, catch_up_ms, drain_ms, grace_ms, loss_slack_ms, config_apply_ms,
+	    revert_slack_ms, drift_max_ms, revoke_ms, retry_window_ms, retry_slack, recovery_ms, transit_ms,
 	    lease_ms, thaw_slack_ms, version_ms;
 	double retry_ratio;
 	int fence_checked, revoke_global;
@@ -161,10 +176,10 @@
 struct attempt_record {
 	const char *id, *subject, *method, *host, *path, *key;
 	uint64_t body; /* hash */
-	int machine;      /* machine that takes it, NOBODY: none */
+	int machine;   /* machine that takes it, NOBODY: none */
 	enum attempt_kind kind;
 	int last_event; /* taken up behind this one; 0: from the start */
-	int is_probe;      /* asks for what may not be there: earns nothing and is never denied wrongly */
+	int is_probe;   /* asks for what may not be there: earns nothing and is never denied wrongly */
 	int expects_stream;
 	int64_t timeout_ms; /* ms it waits */
 	int class_id;
@@ -183,21 +198,31 @@
 	int version;
 	const char *tenant;
 };
-void checker_record_start(struct judge *checker, int64_t at_ms, int run, int version, const struct reused_block *record, int n);
+void checker_record_start(struct judge *checker, int64_t at_ms, int run, int version,
+			  const struct reused_block *record, int n);
 
-/* how: 1 the whole answer went out; 0 the server broke off; -1 its caller left. Example: judge_ran(j, t, run, 1, 200, h, 12); */
-void checker_record_end(struct judge *checker, int64_t at_ms, int run, int how, int status, uint64_t body, int last_event);
+/* how: 1 the whole answer went out; 0 the server broke off; -1 its caller left. Example: judge_ran(j, t, run,
+ * 1, 200, h, 12); */
+void checker_record_end(struct judge *checker, int64_t at_ms, int run, int how, int status, uint64_t body,
+			int last_event);
 void checker_record_rejection(struct judge *checker, int run, int status);
 
-enum told { ANSWER_COMPLETE, ANSWER_CUT_OFF, ANSWER_NONE, ANSWER_GARBLED, ANSWER_ABANDONED, ANSWER_UNSOLICITED };
+enum told {
+	ANSWER_COMPLETE,
+	ANSWER_CUT_OFF,
+	ANSWER_NONE,
+	ANSWER_GARBLED,
+	ANSWER_ABANDONED,
+	ANSWER_UNSOLICITED
+};
 struct stream_event {
 	int id, run_id;
 };
 struct answer_record {
 	const char *id, *seal_id; /* the Attempt-Id in the answer */
-	int status, seal_run;         /* run named by the seal, -1: none */
-	int is_own_answer;                  /* the answer bears neither seal nor a server's id: the system's own */
-	int was_read;                 /* the machine's process had read the whole request */
+	int status, seal_run;     /* run named by the seal, -1: none */
+	int is_own_answer;        /* the answer bears neither seal nor a server's id: the system's own */
+	int was_read;             /* the machine's process had read the whole request */
 	enum told outcome;
 	uint64_t body;
 	const struct stream_event *events;
@@ -206,35 +231,44 @@
 void checker_record_answer(struct judge *checker, int64_t at_ms, const struct answer_record *answer);
 
 enum config_outcome { CONFIG_OUTCOME_SENT, CONFIG_OUTCOME_ACKED, CONFIG_OUTCOME_REFUSED };
-/* Takes c over at CFG_SENT. invalid: it is known to be. Returns its number. Example: n = judge_cfg(j, t, cfg, 5, 0); */
-int checker_record_config(struct judge *checker, int64_t at_ms, struct parsed_config *config, int64_t base, int invalid);
-void checker_record_config_outcome(struct judge *checker, int64_t at_ms, int cfg, enum config_outcome outcome);
-void checker_record_read_back(struct judge *checker, int64_t at_ms, const char *text); /* NULL: it did not come */
+/* Takes c over at CFG_SENT. invalid: it is known to be. Returns its number. Example: n = judge_cfg(j, t, cfg,
+ * 5, 0); */
+int checker_record_config(struct judge *checker, int64_t at_ms, struct parsed_config *config, int64_t base,
+			  int invalid);
+void checker_record_config_outcome(struct judge *checker, int64_t at_ms, int cfg,
+				   enum config_outcome outcome);
+void checker_record_read_back(struct judge *checker, int64_t at_ms,
+			      const char *text); /* NULL: it did not come */
 
 enum listing_state { LISTED_READY, LISTED_DRAINING, LISTED_REMOVED };
-void checker_record_listing(struct judge *checker, int64_t at_ms, const char *instance, enum listing_state state);
+void checker_record_listing(struct judge *checker, int64_t at_ms, const char *instance,
+			    enum listing_state state);
 struct load_command_record {
 	const char *instance, *lease_owner;
 	int64_t fence;
 	int status, thawed;
 };
-void checker_record_load_command(struct judge *checker, int64_t at_ms, const struct load_command_record *record);
+void checker_record_load_command(struct judge *checker, int64_t at_ms,
+				 const struct load_command_record *record);
 void checker_record_target_version(struct judge *checker, int64_t at_ms, int version, int acked);
 
 enum trouble { CALM, PLANNED, UNPLANNED };
 /* A machine's trouble begins or ends; life: a new life of its processes begins. */
-void checker_record_machine(struct judge *checker, int64_t at_ms, int machine, int core, enum trouble cause, int up);
+void checker_record_machine(struct judge *checker, int64_t at_ms, int machine, int core, enum trouble cause,
+			    int up);
 /* The process of a machine was sent SIGHUP. */
 void checker_record_reload(struct judge *checker, int64_t at_ms, int machine);
 void checker_record_unexpected_exit(struct judge *checker, int64_t at_ms, int machine);
 void checker_set_final_fault(struct judge *checker, int64_t fault, int64_t back);
 int checker_in_contact(const struct judge *checker, int machine, int64_t at_ms);
 
-/* Judge all that was seen; the breaches, an stb array owned by the judge. Example: n = judge_all(j, end, &b); */
+/* Judge all that was seen; the breaches, an stb array owned by the judge. Example: n = judge_all(j, end, &b);
+ */
 int checker_run(struct judge *checker, int64_t end, const struct breach **violation);
 
-/* How many requests VERSION was judged on: at their beginning a newer naming had been acknowledged for longer than the
- * bound, over one settled stretch, and their sender was in touch. Example: if (!judge_version_at_stake(j)) nothing_shown(); */
+/* How many requests VERSION was judged on: at their beginning a newer naming had been acknowledged for longer
+ * than the bound, over one settled stretch, and their sender was in touch. Example: if
+ * (!judge_version_at_stake(j)) nothing_shown(); */
 int checker_version_rule_exercised(const struct judge *checker);
 
 /* What was seen of one try, in lines. Example: judge_story(j, "9c41d07be2a35f68", stdout); */
@@ -246,20 +280,22 @@
 	uint64_t count;
 };
 void histogram_add(struct histogram *histogram, int64_t value);
-int64_t histogram_quantile(const struct histogram *histogram, double quantile); /* Example: hist_at(&h, 0.99) */
+int64_t histogram_quantile(const struct histogram *histogram,
+			   double quantile); /* Example: hist_at(&h, 0.99) */
 
 /* ---- model servers ---- */
 struct engine {
-	int slots, queue_limit, max_conns, drain_ms, fence_checked, idle_ms, kv_capacity_tokens, kv_bytes_per_token, token_stride, chunk_tokens, block_tokens, in_flight, load_ms,
-	    load_at_once, report_lag_ms, event_limit, event_lag_ms, linger_ms;
+	int slots, queue_limit, max_conns, drain_ms, fence_checked, idle_ms, kv_capacity_tokens,
+	    kv_bytes_per_token, token_stride, chunk_tokens, block_tokens, in_flight, load_ms, load_at_once,
+	    report_lag_ms, event_limit, event_lag_ms, linger_ms;
 	double step_ms, per_slot_ms, prefill_tokens_per_ms, link_mbps, event_loss_ratio, setup_ms;
 };
 extern const struct engine default_engine;
 
 struct server_fault {
 	double broken, garbage, surplus, lost, grey, close; /* shares of answers */
-	double stubborn;                                    /* of requests whose connection closed, run all the same */
-	double slow, load_slow;                             /* so many times as long: a step, a load; 0: as it should be */
+	double stubborn;        /* of requests whose connection closed, run all the same */
+	double slow, load_slow; /* so many times as long: a step, a load; 0: as it should be */
 	int false_health, is_silent, events_lost, refuses_loads;
 };
 
@@ -275,10 +311,13 @@
 	int newest_version; /* weights named so far */
 	int loading;
 	int thaw_ms;
-	int64_t thawed_at_ms;              /* a machine was thawed then, in ms of the run */
-	int64_t purge_requested_at_us, purge_due_at_us; /* loop_us: what was read before must not be used after; 0: nothing was cleared */
-	uint64_t old_blocks_used, new_blocks_used; /* parts that were used after that: from before, and others */
-	uint64_t prefilled_tokens, cached_tokens, fetched_tokens, loads, load_commands, probes, rejected; /* tokens; calls */
+	int64_t thawed_at_ms;                           /* a machine was thawed then, in ms of the run */
+	int64_t purge_requested_at_us, purge_due_at_us; /* loop_us: what was read before must not be used
+							   after; 0: nothing was cleared */
+	uint64_t old_blocks_used,
+	    new_blocks_used; /* parts that were used after that: from before, and others */
+	uint64_t prefilled_tokens, cached_tokens, fetched_tokens, loads, load_commands, probes,
+	    rejected; /* tokens; calls */
 };
 
 struct prompt_block {
@@ -298,14 +337,15 @@
 	int version, loading_to, call_seq;
 	int load_method; /* 0 hold, 1 preempt, 2 retain */
 	int64_t fence;
-	int64_t reading_resumed_at_ms; /* when it last began to read again after it was silent, in ms of the run; 0: never */
+	int64_t reading_resumed_at_ms; /* when it last began to read again after it was silent, in ms of the
+					  run; 0: never */
 	char lease_owner[64];
-	struct work **batch, **queue; /* stb arrays */
-	struct prompt_block *blocks;    /* stb array */
-	int64_t transfer_free_at_us, next_step_at_us;   /* loop_us */
+	struct work **batch, **queue;                 /* stb arrays */
+	struct prompt_block *blocks;                  /* stb array */
+	int64_t transfer_free_at_us, next_step_at_us; /* loop_us */
 	uint64_t epoch;
 	struct kv_event *events;  /* stb array */
-	int64_t last_event;      /* number of the newest event */
+	int64_t last_event;       /* number of the newest event */
 	struct watcher *watchers; /* stb array */
 	uint64_t step_timer, load_timer, watch_timer, report_timer, drain_timer, surplus_timer;
 	struct conn *surplus_conn;
@@ -319,7 +359,8 @@
 };
 
 /* Example: s = server_add(f, "127.9.0.60:8080", "zone-a", "lm", 0); */
-struct server *server_add(struct server_fleet *settings, const char *addr, const char *zone, const char *service, int is_store);
+struct server *server_add(struct server_fleet *settings, const char *addr, const char *zone,
+			  const char *service, int is_store);
 void server_up(struct server *server);
 void server_crash(struct server *server); /* all its connections are reset, what it kept is gone */
 void server_set_silent(struct server *server, int dark);
--- a/rehearsal/stand.c
+++ b/emulator/platform_scenarios.c
@@ -10,8 +10,8 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#include "ds.h"
-#include "stand_run.h"
+#include "containers.h"
+#include "platform_run.h"
 
 /* Rules that no delay excuses. */
 #define TIMELESS "TWICE", "MIXED", "ORDER", "UNASKED", "ROUTE", "STALE", "WALL", "ONE", "FAULT"
@@ -38,7 +38,7 @@
 {
 	va_list ap;
 
-	fprintf(stderr, "rehearsal: %7.3f ", (double)run_ms(r) / 1000);
+	fprintf(stderr, "notchlug-emulator: %7.3f ", (double)run_ms(r) / 1000);
 	va_start(ap, fmt);
 	vfprintf(stderr, fmt, ap);
 	va_end(ap);
@@ -68,16 +68,26 @@
 	return condition(r);
 }
 
-static int has_idle_operator(struct run *r) { return operator_idle(r->operator); }
-static int read_back(struct run *r) { return operator_read_done(r->operator); }
-static int clients_are_idle(struct run *r) { return !clients_busy(r->clients); }
+static int has_idle_operator(struct run *r)
+{
+	return operator_idle(r->operator);
+}
+static int read_back(struct run *r)
+{
+	return operator_read_done(r->operator);
+}
+static int clients_are_idle(struct run *r)
+{
+	return !clients_busy(r->clients);
+}
 
 static int ready(struct run *r)
 {
 	int ok = operator_acked(r->operator) > 0;
 
 	for (int i = 0; i < r->machine_count; i++)
-		ok &= r->machines[i].is_core || (r->machines[i].in_rotation && !r->machines[i].probe_failures);
+		ok &=
+		    r->machines[i].is_core || (r->machines[i].in_rotation && !r->machines[i].probe_failures);
 	return ok;
 }
 
@@ -100,7 +110,10 @@
 
 /* ---- scenarios ---- */
 
-static void sc_quiet(struct run *r) { run_for(r, r->small ? 6000 : 20000); }
+static void sc_quiet(struct run *r)
+{
+	run_for(r, r->small ? 6000 : 20000);
+}
 
 static void sc_kill_edge(struct run *r)
 {
@@ -215,7 +228,10 @@
 	run_for(r, 1500);
 	clients_probe(r->clients, 1);
 	for (int i = 0; i < 30; i++)
-		operator_change(r->operator, i % 3 ? CHANGE_TIMEOUT : i % 2 ? CHANGE_ROUTE_ON : CHANGE_ROUTE_OFF, i % 2);
+		operator_change(r->operator, i % 3   ? CHANGE_TIMEOUT
+					     : i % 2 ? CHANGE_ROUTE_ON
+						     : CHANGE_ROUTE_OFF,
+				i % 2);
 	run_for(r, 6000);
 }
 
@@ -234,7 +250,7 @@
 {
 	run_for(r, 1000);
 	for (int i = 0; i < INVALID_COUNT; i++) {
-		operator_invalid(r->operator, (enum invalid)i);
+		operator_invalid(r->operator,(enum invalid) i);
 		run_for(r, 500);
 		operator_change(r->operator, CHANGE_SPLIT, 0);
 		wait_for(r, 4000, has_idle_operator);
@@ -263,7 +279,8 @@
 	operator_change(r->operator, CHANGE_KEY_OFF, 1);
 	wait_for(r, 5000, has_idle_operator);
 	run_for(r, 1000);
-	snprintf(key, sizeof key, "key%02d-1-abcdefgh", 3); /* its clients go on with the old key a while, as some do */
+	snprintf(key, sizeof key, "key%02d-1-abcdefgh",
+		 3); /* its clients go on with the old key a while, as some do */
 	run_for(r, r->bounds.revoke_ms + 1500);
 	clients_keys(r->clients, 3, key);
 	run_for(r, 2000);
@@ -272,7 +289,8 @@
 static int rolled(struct run *r)
 {
 	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		if (!r->fleet.servers[i]->is_store && r->fleet.servers[i]->state == STATE_UP && r->fleet.servers[i]->version < r->fleet.newest_version)
+		if (!r->fleet.servers[i]->is_store && r->fleet.servers[i]->state == STATE_UP &&
+		    r->fleet.servers[i]->version < r->fleet.newest_version)
 			return 0;
 	return 1;
 }
@@ -332,7 +350,8 @@
 
 static void sc_garble(struct run *r)
 {
-	struct server_fault fault = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 }, none = { .close = 0.01 };
+	struct server_fault fault = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 },
+			    none = { .close = 0.01 };
 
 	run_for(r, 1000);
 	run_log(r, "fault: servers break answers off, send garbage and surplus bytes");
@@ -357,7 +376,8 @@
 static void sc_grey(struct run *r)
 {
 	run_for(r, 1000);
-	run_log(r, "fault: server %s fails a third of its requests, and says it is well", r->fleet.servers[0]->address);
+	run_log(r, "fault: server %s fails a third of its requests, and says it is well",
+		r->fleet.servers[0]->address);
 	r->fleet.servers[0]->fault.grey = 0.35;
 	run_for(r, 5000);
 	r->fleet.servers[0]->fault.grey = 0;
@@ -385,7 +405,8 @@
 
 	run_for(r, 1000);
 	for (int i = 0; i < 12; i++) {
-		int from = (int)(emulator_random(&r->rng) % (uint64_t)n), many = 1 + (int)(emulator_random(&r->rng) % (uint64_t)n);
+		int from = (int)(emulator_random(&r->rng) % (uint64_t)n),
+		    many = 1 + (int)(emulator_random(&r->rng) % (uint64_t)n);
 
 		for (int k = 0; k < many; k++)
 			server_set_silent(r->fleet.servers[(from + k) % n], 1);
@@ -397,8 +418,8 @@
 	run_for(r, 2000);
 }
 
-/* Edges are cut off from the core for longer than they ride, while servers are slow to begin and go on without a caller:
- * what was sent may run, so nobody may promise that it has not. */
+/* Edges are cut off from the core for longer than they ride, while servers are slow to begin and go on
+ * without a caller: what was sent may run, so nobody may promise that it has not. */
 static void sc_blind(struct run *r)
 {
 	struct server_fault fault = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
@@ -434,7 +455,8 @@
 {
 	run_for(r, 1000);
 	for (int i = 0; i < 20; i++) {
-		int from = (int)(emulator_random(&r->rng) % (uint64_t)r->machine_count), many = 1 + (int)(emulator_random(&r->rng) % 3);
+		int from = (int)(emulator_random(&r->rng) % (uint64_t)r->machine_count),
+		    many = 1 + (int)(emulator_random(&r->rng) % 3);
 
 		for (int k = 0; k < many; k++)
 			machine_freeze(&r->machines[(from + k) % r->machine_count], 1);
@@ -552,8 +574,9 @@
 	for (int i = 0; i < 12 && !r->undecided_reason; i++) {
 		struct control_call c = { r, 0, 0, NULL };
 
-		call_once(r->loop, nth_machine(r, 1, i % count(r, 1))->control_address, method, path, body ? "Content-Type: application/json\r\n" : "",
-			  body, 6000, on_control_answer, &c);
+		call_once(r->loop, nth_machine(r, 1, i % count(r, 1))->control_address, method, path,
+			  body ? "Content-Type: application/json\r\n" : "", body, 6000, on_control_answer,
+			  &c);
 		while (!c.answered)
 			run_for(r, 20);
 		if (c.status == 200)
@@ -566,7 +589,8 @@
 	return strdup("");
 }
 
-/* Kept context is cleared on schedule and at once, over and again, as the decider dies and an edge stands still. */
+/* Kept context is cleared on schedule and at once, over and again, as the decider dies and an edge stands
+ * still. */
 static void sc_purge(struct run *r)
 {
 	struct machine *machine = nth_machine(r, 1, 0);
@@ -574,11 +598,12 @@
 	char *s;
 
 	run_for(r, 4000);
-	free(control_call(r, "POST", "/v1/change",
-		      "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"12s\",\"window\":4000}]}"));
+	free(control_call(
+	    r, "POST", "/v1/change",
+	    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"12s\",\"window\":4000}]}"));
 	run_for(r, 6000);
 	sent = loop_us();
-	free(control_call(r, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"rehearsal\"}"));
+	free(control_call(r, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"notchlug-emulator\"}"));
 	r->fleet.purge_requested_at_us = sent;
 	r->fleet.purge_due_at_us = loop_us() + ms_us(4000);
 	run_for(r, 5000);
@@ -593,8 +618,8 @@
 	s = control_call(r, "GET", "/v1/retention.csv", NULL);
 	printf("%s", s);
 	free(s);
-	printf("after the clearing servers used %llu parts of before and %llu others\n", (unsigned long long)r->fleet.old_blocks_used,
-	       (unsigned long long)r->fleet.new_blocks_used);
+	printf("after the clearing servers used %llu parts of before and %llu others\n",
+	       (unsigned long long)r->fleet.old_blocks_used, (unsigned long long)r->fleet.new_blocks_used);
 }
 
 static const struct {
@@ -633,8 +658,10 @@
 	{ "clear", "kept context is cleared, on schedule and at once", sc_purge, NULL },
 	{ "planned", "a long day of planned work: changes, stops, reloads, releases", planned_day, NULL },
 	{ "planned-core", "the whole core is stopped and started under changes", planned_core_stop, NULL },
-	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak_test, soak_test_prepare },
-	{ "cut", "skipped: the links of processes on one machine cannot be cut without tools for isolation", NULL, NULL },
+	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak_test,
+	  soak_test_prepare },
+	{ "cut", "skipped: the links of processes on one machine cannot be cut without tools for isolation",
+	  NULL, NULL },
 };
 
 /* ---- one run ---- */
@@ -645,9 +672,11 @@
 	struct timing_bounds judged = r->bounds;
 	char at[48];
 
-	if (r->slack > 1) { /* the daemons are told the sheet's; the judge is as patient as asked, but GraceS is the stand's own */
-		int64_t *v[] = { &judged.ack_ms,    &judged.drain_ms,   &judged.config_apply_ms,    &judged.revert_slack_ms,
-				 &judged.revoke_ms, &judged.version_ms, &judged.recovery_ms, &judged.loss_slack_ms };
+	if (r->slack > 1) { /* the daemons are told the sheet's; the judge is as patient as asked, but GraceS
+			       is the stand's own */
+		int64_t *v[] = { &judged.ack_ms,          &judged.drain_ms,     &judged.config_apply_ms,
+				 &judged.revert_slack_ms, &judged.revoke_ms,    &judged.version_ms,
+				 &judged.recovery_ms,     &judged.loss_slack_ms };
 
 		for (size_t i = 0; i < sizeof v / sizeof *v; i++)
 			*v[i] *= r->slack;
@@ -678,7 +707,8 @@
 	r->fleet.model = r->sheet->model;
 	r->rng = r->seed;
 	r->traffic_started_at_ms = -1;
-	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
+	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200,
+		 1 + getpid() % 250);
 	for (int i = 0; i < servers; i++) {
 		snprintf(at, sizeof at, "%s.%d:8080", r->address_prefix, 100 + i);
 		server_add(&r->fleet, at, r->sheet->zone[i % 4], r->sheet->service, 0);
@@ -696,13 +726,14 @@
 		machine_add(r, 0, i % 4);
 	for (int i = 0; i < r->machine_count; i++)
 		machine_start(&r->machines[i]);
-	r->operator = operator_open(r);
+	r->operator= operator_open(r);
 	r->clients = clients_open(r);
 	operator_submit_first(r->operator);
 	wait_for(r, 20000, ready);
 	for (int i = 0; i < r->machine_count && !r->undecided_reason; i++)
 		if (r->machines[i].unexpected_exits >= 3)
-			r->undecided_reason = "processes end by themselves at their start: do they know --platform?";
+			r->undecided_reason =
+			    "processes end by themselves at their start: do they know --platform?";
 	if (!r->undecided_reason && !operator_acked(r->operator))
 		r->undecided_reason = "no node took the first configuration within 20 s";
 	if (!r->undecided_reason && !ready(r))
@@ -717,7 +748,8 @@
 /* Whether this process, or one under test, was kept from a processor for longer than the run bears. */
 static int is_late(const struct run *r)
 {
-	return histogram_quantile(&r->figures.own_lag_ms, 1) > r->max_lateness_ms * r->slack || r->max_wait_ms > r->max_lateness_ms * r->slack;
+	return histogram_quantile(&r->figures.own_lag_ms, 1) > r->max_lateness_ms * r->slack ||
+	       r->max_wait_ms > r->max_lateness_ms * r->slack;
 }
 
 /* Whether a breach is among these that no delay explains. */
@@ -732,7 +764,8 @@
 	return 0;
 }
 
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *violation, int breaches, int64_t reach)
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *violation, int breaches,
+		      int64_t reach)
 {
 	for (int i = 0; i < breaches; i++)
 		if (!disk_explains(stalls, n, violation[i].at_ms, reach))
@@ -753,29 +786,35 @@
 	return 1;
 }
 
-/* A run under short bounds proves nothing if it was held up, if it never put VERSION to the test, or if too little was
- * served and nothing else is wrong: what the troubles leave to be served is not known. */
+/* A run under short bounds proves nothing if it was held up, if it never put VERSION to the test, or if too
+ * little was served and nothing else is wrong: what the troubles leave to be served is not known. */
 static void timed_verdict(struct run *r, int broken, int gate, const struct breach *violation, int n)
 {
 	int at_stake = checker_version_rule_exercised(r->checker);
 	int64_t longest = r->max_lateness_ms * r->slack;
 
-	printf("VERSION was judged on %d requests; tries over kept connections to processes told to end: %d\n", at_stake,
-	       r->figures.draining_reuses);
-	printf("a process under test waited for a processor at most %lld ms of a second\n", (long long)r->max_wait_ms);
+	printf(
+	    "VERSION was judged on %d requests; tries over kept connections to processes told to end: %d\n",
+	    at_stake, r->figures.draining_reuses);
+	printf("a process under test waited for a processor at most %lld ms of a second\n",
+	       (long long)r->max_wait_ms);
 	if (!broken && gate)
 		r->undecided_reason = "too little was served";
 	else if (!broken && !at_stake)
 		r->undecided_reason = "no request began when the rule VERSION could have been broken";
-	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)r->max_sync_ms, r->stall_count,
-	       (long long)longest);
+	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)r->max_sync_ms,
+	       r->stall_count, (long long)longest);
 	for (int i = 0; i < r->stall_count; i++)
 		printf("the disk stood still from %lld to %lld ms\n", (long long)r->stalls[i].from,
 		       (long long)r->stalls[i].to);
-	if (broken && !r->fleet.old_blocks_used && disk_explains_all(r->stalls, r->stall_count, violation, n, r->bounds.version_ms + r->bounds.contact_ms))
-		r->undecided_reason = "the disk stood still before each breach: what depends on time is nobody's fault here";
+	if (broken && !r->fleet.old_blocks_used &&
+	    disk_explains_all(r->stalls, r->stall_count, violation, n,
+			      r->bounds.version_ms + r->bounds.contact_ms))
+		r->undecided_reason =
+		    "the disk stood still before each breach: what depends on time is nobody's fault here";
 	if (broken && is_late(r) && !has_timeless_violation(violation, n))
-		r->undecided_reason = "this process or one under test was held up: what depends on time is nobody's fault here";
+		r->undecided_reason =
+		    "this process or one under test was held up: what depends on time is nobody's fault here";
 }
 
 static void start_quota_and_disk_watch(struct run *r)
@@ -783,7 +822,8 @@
 	if (r->core_share > 0 || r->router_share > 0)
 		quota_start(r);
 	if (r->max_lateness_ms)
-		r->disk_watch = disk_watch_open(r->folder, r->fleet.started_at_us, r->max_lateness_ms * r->slack, fdatasync);
+		r->disk_watch = disk_watch_open(r->folder, r->fleet.started_at_us,
+						r->max_lateness_ms * r->slack, fdatasync);
 }
 
 static void disk_watch_end(struct run *r)
@@ -818,7 +858,8 @@
 		goto end;
 	rc = n != 0;
 	if (r->fleet.old_blocks_used) {
-		printf("BREACH CLEARED  : %llu parts of before a clearing were used after it\n", (unsigned long long)r->fleet.old_blocks_used);
+		printf("BREACH CLEARED  : %llu parts of before a clearing were used after it\n",
+		       (unsigned long long)r->fleet.old_blocks_used);
 		rc = 1;
 	}
 	gate = gate_broken(r);
@@ -845,8 +886,8 @@
 	loop_close(r->loop);
 	checker_close(r->checker);
 	free(r->figures.seconds);
-	printf("%s %s seed %llu%s: %s; logs in %s\n", r->sheet->name, scenarios[scenario].name, (unsigned long long)r->seed,
-	       r->small ? " small" : "",
+	printf("%s %s seed %llu%s: %s; logs in %s\n", r->sheet->name, scenarios[scenario].name,
+	       (unsigned long long)r->seed, r->small ? " small" : "",
 	       rc == 0   ? "no rule broken"
 	       : rc == 3 ? "undecided"
 			 : "RULES BROKEN",
@@ -862,19 +903,22 @@
 
 static int run(int argc, char **argv)
 {
-	struct arg_str *name = arg_str1(NULL, NULL, "NAME", "the scenario"), *seed = arg_str0(NULL, "seed", "N", "a whole number"),
+	struct arg_str *name = arg_str1(NULL, NULL, "NAME", "the scenario"),
+		       *seed = arg_str0(NULL, "seed", "N", "a whole number"),
 		       *dep = arg_str0(NULL, "deployment", "NAME", "warisan or teduh"),
 		       *bin = arg_str0(NULL, "bin", "DIR", "where the programs are"),
 		       *report = arg_str0(NULL, "report", "DIR", "tables and a picture"),
 		       *folder = arg_str0(NULL, "folder", "DIR", "logs and disks; must not exist"),
 		       *rate = arg_str0(NULL, "rate", "X", "traffic, as a share of the sheet's"),
-		       *core_share = arg_str0(NULL, "core-share", "X", "the share of a processor that each core machine has"),
+		       *core_share = arg_str0(NULL, "core-share", "X",
+					      "the share of a processor that each core machine has"),
 		       *router_share = arg_str0(NULL, "router-share", "X", "and each edge");
 	struct arg_int *length = arg_int0(NULL, "length", "S", "how long a planned day is, in seconds"),
 		       *edges = arg_int0(NULL, "edges", "N", "so many edges"),
-		       *slack = arg_int0(NULL, "slack", "N", "bounds in ms are so many times as long: for slow machines");
-	struct arg_lit *impossible =
-	    arg_lit0(NULL, "impossible", "judge by bounds that nobody can keep: shows that breaches are seen");
+		       *slack = arg_int0(NULL, "slack", "N",
+					 "bounds in ms are so many times as long: for slow machines");
+	struct arg_lit *impossible = arg_lit0(
+	    NULL, "impossible", "judge by bounds that nobody can keep: shows that breaches are seen");
 	struct arg_lit *small = arg_lit0(NULL, "small", "3 edges, 3 core machines, 4 servers"),
 		       *verbose = arg_litn("v", "verbose", 0, 3, "say more");
 	struct arg_end *end = arg_end(5);
@@ -886,7 +930,7 @@
 	int rc = 2, k;
 
 	if (arg_parse(argc, argv, t)) {
-		arg_print_errors(stderr, end, "rehearsal platform run");
+		arg_print_errors(stderr, end, "notchlug-emulator platform run");
 		fprintf(stderr, "The scenarios are:\n");
 		list_scenarios(stderr);
 		goto end;
@@ -898,7 +942,9 @@
 	r->seed = seed->count ? strtoull(seed->sval[0], &stop, 10) : 1;
 	if (k == (int)(sizeof scenarios / sizeof *scenarios) || *stop || !r->seed ||
 	    (dep->count && strcmp(dep->sval[0], "warisan") && strcmp(dep->sval[0], "teduh"))) {
-		fprintf(stderr, "rehearsal: NAME is one of these, --seed 1 or more, --deployment warisan or teduh\n");
+		fprintf(
+		    stderr,
+		    "notchlug-emulator: NAME is one of these, --seed 1 or more, --deployment warisan or teduh\n");
 		list_scenarios(stderr);
 		goto end;
 	}
@@ -923,14 +969,15 @@
 		r->edges = r->small ? 3 : 9;
 	n = readlink("/proc/self/exe", self, sizeof self - 1);
 	self[n > 0 ? n : 0] = 0;
-	snprintf(r->program_folder, sizeof r->program_folder, "%s", bin->count ? bin->sval[0] : dirname(self));
+	snprintf(r->program_folder, sizeof r->program_folder, "%s",
+		 bin->count ? bin->sval[0] : dirname(self));
 	if (folder->count)
 		snprintf(r->folder, sizeof r->folder, "%s", folder->sval[0]);
 	else
-		snprintf(r->folder, sizeof r->folder, "/tmp/platform-%s-%llu-%d", scenarios[k].name, (unsigned long long)r->seed,
-			 (int)getpid());
+		snprintf(r->folder, sizeof r->folder, "/tmp/platform-%s-%llu-%d", scenarios[k].name,
+			 (unsigned long long)r->seed, (int)getpid());
 	if (mkdir(r->folder, 0700)) {
-		fprintf(stderr, "rehearsal: %s: %s\n", r->folder, strerror(errno));
+		fprintf(stderr, "notchlug-emulator: %s: %s\n", r->folder, strerror(errno));
 		goto end;
 	}
 	signal(SIGPIPE, SIG_IGN);
@@ -951,8 +998,8 @@
 		return run(argc - 1, argv + 1);
 	fprintf(
 	    stderr,
-	    "Usage: rehearsal platform list\n"
-	    "       rehearsal platform run NAME [--seed N] [--deployment warisan|teduh] [--small] [--rate X] [--slack N] [--bin DIR]\n"
+	    "Usage: notchlug-emulator platform list\n"
+	    "       notchlug-emulator platform run NAME [--seed N] [--deployment warisan|teduh] [--small] [--rate X] [--slack N] [--bin DIR]\n"
 	    "                              [--folder DIR] [--report DIR] [--length S] [--edges N]\n"
 	    "                              [--core-share X] [--router-share X] [--impossible] [-v]\n");
 	return 2;
--- a/rehearsal/check.c
+++ b/emulator/record_checker.c
@@ -1,12 +1,13 @@
 /* The checker: judges each "must never happen" of the brief from the records alone.
- * Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never good. */
+ * Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never good.
+ */
 #include <dirent.h>
 #include <stdarg.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
-#include "kit.h"
+#include "containers.h"
+#include "test_fleet.h"
 
 /* A breach is named by its letter in docs/failures.md. */
 
@@ -43,7 +44,8 @@
 struct server_row {
 	char *key;
 	struct {
-		int64_t drained_at_ms, undrained_at_ms, drain_horizon, up_at_ms, loaded_at, commanded_at_ms, fence;
+		int64_t drained_at_ms, undrained_at_ms, drain_horizon, up_at_ms, loaded_at, commanded_at_ms,
+		    fence;
 		char weights[64], rollout_leader[32], service[64];
 		struct {
 			int64_t loaded_at_ms;
@@ -92,7 +94,8 @@
 		int is_retry;
 	} * send_log; /* sends, in order of time */
 	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, back, longest_pause_ms;
-	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens, fetched_blocks;
+	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens,
+	    fetched_blocks;
 	int closed, finished, probe_count, server_record_count;
 };
 
@@ -148,7 +151,9 @@
 {
 	const struct row *x = a, *y = b;
 
-	return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms ? 1 : record_order(x->kind) - record_order(y->kind);
+	return x->at_ms < y->at_ms   ? -1
+	       : x->at_ms > y->at_ms ? 1
+				     : record_order(x->kind) - record_order(y->kind);
 }
 
 /* Each record is one write, so a torn line is a hole: such a run is undecided. */
@@ -160,7 +165,8 @@
 
 	while (out && getline(&line, &cap, out) > 0) {
 		struct json_object *json = json_tokener_parse(line);
-		struct row row = { json ? json_member_int(json, "t") : 0, json, json ? json_member_string(json, "ev") : "" };
+		struct row row = { json ? json_member_int(json, "t") : 0, json,
+				   json ? json_member_string(json, "ev") : "" };
 
 		if (!json || !row.at_ms || !row.kind[0]) {
 			undecided(checker, "%s has a line that is torn or no record", name);
@@ -199,9 +205,12 @@
 
 /* ---- one entry of each map, made when it is new ---- */
 
-#define ENTRY(map, k) (shgeti(map, k) < 0 ? (void)shput(map, k, ((typeof((map)->value)){ 0 })) : (void)0, &shgetp(map, k)->value)
+#define ENTRY(map, k)                                                                       \
+	(shgeti(map, k) < 0 ? (void)shput(map, k, ((typeof((map)->value)){ 0 })) : (void)0, \
+	 &shgetp(map, k)->value)
 
-static typeof(((struct submission_row *)0)->value) *asking_of(struct judge *checker, const char *id, const char *web)
+static typeof(((struct submission_row *)0)->value) *asking_of(struct judge *checker, const char *id,
+							      const char *web)
 {
 	char key[300];
 
@@ -223,7 +232,8 @@
 	struct span_row *span_row = (struct span_row *)(uintptr_t)map;
 	ptrdiff_t i = shgeti(span_row, key);
 
-	return i >= 0 && span_row[i].value.started_at_ms && at_ms - span_row[i].value.started_at_ms > after && (!span_row[i].value.ended_at_ms || at_ms < span_row[i].value.ended_at_ms);
+	return i >= 0 && span_row[i].value.started_at_ms && at_ms - span_row[i].value.started_at_ms > after &&
+	       (!span_row[i].value.ended_at_ms || at_ms < span_row[i].value.ended_at_ms);
 }
 
 /* ---- A: once, and never after "refused". B, C: the whole answer, in order, of one run ---- */
@@ -231,7 +241,8 @@
 static void on_request_record(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
 	typeof(checker->requests->value) *k = ENTRY(checker->requests, json_member_string(json, "id"));
-	typeof(checker->submissions->value) *a = asking_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
+	typeof(checker->submissions->value) *a =
+	    asking_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
 
 	k->send_count = 0; /* a caller's own asking anew is no resend */
 	k->requested_at_ms = at_ms;
@@ -244,7 +255,8 @@
 
 static void on_sent(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	const char *id = json_member_string(json, "id"), *sv = json_member_string(json, "server"), *x = json_member_string(json, "x");
+	const char *id = json_member_string(json, "id"), *sv = json_member_string(json, "server"),
+		   *x = json_member_string(json, "x");
 	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
 	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 	typeof(checker->routers->value) *c = router_of_send(checker, x);
@@ -256,8 +268,8 @@
 	if (!k->requested_at_ms)
 		breach(checker, 'A', "%s was sent, and nobody asked it", id);
 	if (!checker->untimed && s->drained_at_ms && !s->undrained_at_ms && at_ms - s->drained_at_ms > 3000)
-		breach(checker, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv, id,
-		       (long long)(at_ms - s->drained_at_ms));
+		breach(checker, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv,
+		       id, (long long)(at_ms - s->drained_at_ms));
 	check_revision_in_force(checker, x, at_ms);
 	if (json_member_int(json, "refused"))
 		return;
@@ -268,14 +280,16 @@
 		typeof(checker->submissions->value) *a = asking_of(checker, id, c->address);
 
 		if (a->refused_at_ms)
-			breach(checker, 'A', "%s ran %lld ms after its caller was told it was refused", id, (long long)(at_ms - a->refused_at_ms));
+			breach(checker, 'A', "%s ran %lld ms after its caller was told it was refused", id,
+			       (long long)(at_ms - a->refused_at_ms));
 		a->has_run = 1;
 	}
 }
 
 static void on_answer_record(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
-	const char *id = json_member_string(json, "id"), *o = json_member_string(json, "outcome"), *x = json_member_string(json, "x");
+	const char *id = json_member_string(json, "id"), *o = json_member_string(json, "outcome"),
+		   *x = json_member_string(json, "x");
 	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
 	typeof(checker->submissions->value) *a = asking_of(checker, id, json_member_string(json, "counter"));
 	char key[32];
@@ -283,17 +297,23 @@
 	k->answer_count++;
 	a->is_open = 0;
 	if (json_member_int(json, "bad"))
-		breach(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id, (long long)json_member_int(json, "bad"));
+		breach(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id,
+		       (long long)json_member_int(json, "bad"));
 	if (!strcmp(o, "whole")) {
 		checker->complete++;
-		/* back: answers to what was asked after the last fault; the pauses between them count as well */
+		/* back: answers to what was asked after the last fault; the pauses between them count as well
+		 */
 		if (checker->last_fault_at_ms && k->requested_at_ms >= checker->last_fault_at_ms) {
-			if (at_ms - (checker->back ? checker->back : checker->last_fault_at_ms) > checker->longest_pause_ms)
-				checker->longest_pause_ms = at_ms - (checker->back ? checker->back : checker->last_fault_at_ms);
+			if (at_ms - (checker->back ? checker->back : checker->last_fault_at_ms) >
+			    checker->longest_pause_ms)
+				checker->longest_pause_ms =
+				    at_ms - (checker->back ? checker->back : checker->last_fault_at_ms);
 			checker->back = at_ms;
 		}
-		if (shgeti(checker->piece_counts, x) < 0 || shget(checker->piece_counts, x) != json_member_int(json, "pieces"))
-			breach(checker, 'B', "%s: told whole with %lld pieces, which is not the server's whole answer", id,
+		if (shgeti(checker->piece_counts, x) < 0 ||
+		    shget(checker->piece_counts, x) != json_member_int(json, "pieces"))
+			breach(checker, 'B',
+			       "%s: told whole with %lld pieces, which is not the server's whole answer", id,
 			       (long long)json_member_int(json, "pieces"));
 	} else if (!strcmp(o, "refused")) {
 		checker->refused++;
@@ -304,9 +324,11 @@
 		checker->unknown++;
 	}
 	snprintf(key, sizeof key, "key-%lld", (long long)json_member_int(json, "tenant"));
-	if (!checker->untimed && json_member_int(json, "last") && within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
+	if (!checker->untimed && json_member_int(json, "last") &&
+	    within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
 		breach(checker, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
-		       (long long)(json_member_int(json, "last") - shget(checker->removed_keys, key).started_at_ms));
+		       (long long)(json_member_int(json, "last") -
+				   shget(checker->removed_keys, key).started_at_ms));
 }
 
 /* ---- D: who sends has every edition that was acknowledged 2 s before ---- */
@@ -329,8 +351,11 @@
 	for (ptrdiff_t i = 0; c && !checker->untimed && i < arrlen(c->probes); i++)
 		if (c->probes[i].requested_at_ms >= at_ms) {
 			if (c->probes[i].revision < required_revision(checker, at_ms))
-				breach(checker, 'D', "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before", c->address, send_id,
-				       (long long)c->probes[i].revision, (long long)required_revision(checker, at_ms));
+				breach(
+				    checker, 'D',
+				    "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before",
+				    c->address, send_id, (long long)c->probes[i].revision,
+				    (long long)required_revision(checker, at_ms));
 			return;
 		}
 }
@@ -338,18 +363,24 @@
 static void on_state(struct judge *checker, struct json_object *json)
 {
 	const char *web = json_member_string(json, "web");
-	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0 ? 0 : shget(checker->revision_by_address, web);
+	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0
+								   ? 0
+								   : shget(checker->revision_by_address, web);
 
 	checker->probe_count++;
 	if (json_member_int(json, "horizon") > checker->horizon)
 		checker->horizon = json_member_int(json, "horizon");
-	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves nothing */
-		breach(checker, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before, (long long)e);
+	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves
+				nothing */
+		breach(checker, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before,
+		       (long long)e);
 	if (e > before)
 		shput(checker->revision_by_address, web, e);
-	if (!checker->untimed && json_member_int(json, "age_ms") < 1700 && e < required_revision(checker, json_member_int(json, "asked")))
-		breach(checker, 'D', "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web, (long long)e,
-		       (long long)required_revision(checker, json_member_int(json, "asked")));
+	if (!checker->untimed && json_member_int(json, "age_ms") < 1700 &&
+	    e < required_revision(checker, json_member_int(json, "asked")))
+		breach(checker, 'D',
+		       "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web,
+		       (long long)e, (long long)required_revision(checker, json_member_int(json, "asked")));
 }
 
 /* ---- G: whose kept parts were used ---- */
@@ -357,7 +388,8 @@
 static void on_begin(struct judge *checker, struct json_object *json, int64_t at_ms)
 {
 	struct json_object *used = json_member(json, "used");
-	const char *id = json_member_string(json, "id"), *tn = json_member_string(json, "tenant"), *weights = json_member_string(json, "weights"), *sv = json_member_string(json, "server");
+	const char *id = json_member_string(json, "id"), *tn = json_member_string(json, "tenant"),
+		   *weights = json_member_string(json, "weights"), *sv = json_member_string(json, "server");
 	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
 	checker->prefilled_tokens += json_member_int(json, "fresh");
@@ -368,12 +400,19 @@
 		const char *m = json_member_string(u, "m");
 
 		if (strcmp(json_member_string(u, "w"), weights))
-			breach(checker, 'G', "%s under %s used a part made under %s", id, weights, json_member_string(u, "w"));
-		if (!checker->untimed && strcmp(m, tn) && (within(checker->isolated_tenants, m, at_ms, 2000) || within(checker->isolated_tenants, tn, at_ms, 2000)))
-			breach(checker, 'G', "%s of %s used a part made by %s, one of them walled off", id, tn, m);
-		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a failover and the stale horizon */
-		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 && !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
-			breach(checker, 'G', "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
+			breach(checker, 'G', "%s under %s used a part made under %s", id, weights,
+			       json_member_string(u, "w"));
+		if (!checker->untimed && strcmp(m, tn) &&
+		    (within(checker->isolated_tenants, m, at_ms, 2000) ||
+		     within(checker->isolated_tenants, tn, at_ms, 2000)))
+			breach(checker, 'G', "%s of %s used a part made by %s, one of them walled off", id,
+			       tn, m);
+		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a
+		 * failover and the stale horizon */
+		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 &&
+		    !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
+			breach(checker, 'G',
+			       "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
 			       (long long)json_member_int(u, "ct"), sv);
 	}
 }
@@ -385,8 +424,10 @@
 	const char *sv = json_member_string(j, "server");
 	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
-	if (s->commanded_at_ms && strcmp(s->rollout_leader, json_member_string(j, "giver")) && at_ms - s->commanded_at_ms < 3000)
-		breach(checker, 'I', "server %s had orders of two givers %lld ms apart", sv, (long long)(at_ms - s->commanded_at_ms));
+	if (s->commanded_at_ms && strcmp(s->rollout_leader, json_member_string(j, "giver")) &&
+	    at_ms - s->commanded_at_ms < 3000)
+		breach(checker, 'I', "server %s had orders of two givers %lld ms apart", sv,
+		       (long long)(at_ms - s->commanded_at_ms));
 	if (!json_member_int(j, "fenced") && json_member_int(j, "fence") < s->fence)
 		breach(checker, 'I', "server %s took an order with a lower fence", sv);
 	if (json_member_int(j, "fence") > s->fence)
@@ -404,8 +445,8 @@
 	arrput(s->loads, l);
 }
 
-/* Weights that stayed named for 25 s are on every server of the service 25 s after the naming, or after the server
- * came up. A server says with "up" what it was started with. */
+/* Weights that stayed named for 25 s are on every server of the service 25 s after the naming, or after the
+ * server came up. A server says with "up" what it was started with. */
 static void check_target_weights(struct judge *checker, int64_t end)
 {
 	for (ptrdiff_t i = 0; i < arrlen(checker->targets); i++) {
@@ -418,18 +459,24 @@
 			}
 		for (ptrdiff_t k = 0; k < shlen(checker->servers); k++) {
 			typeof(checker->servers->value) *s = &checker->servers[k].value;
-			int64_t from = s->up_at_ms > checker->targets[i].set_at_ms && s->up_at_ms < until ? s->up_at_ms : checker->targets[i].set_at_ms, on = 0;
+			int64_t from = s->up_at_ms > checker->targets[i].set_at_ms && s->up_at_ms < until
+					   ? s->up_at_ms
+					   : checker->targets[i].set_at_ms,
+				on = 0;
 
 			if (strcmp(s->service, checker->targets[i].service) || until - from < 25000)
 				continue;
 			for (ptrdiff_t q = 0; q < arrlen(s->loads); q++)
-				if (!strcmp(s->loads[q].weights, checker->targets[i].weights) && s->loads[q].loaded_at_ms <= until &&
+				if (!strcmp(s->loads[q].weights, checker->targets[i].weights) &&
+				    s->loads[q].loaded_at_ms <= until &&
 				    (s->up_at_ms > until || s->loads[q].loaded_at_ms >= s->up_at_ms))
 					on = s->loads[q].loaded_at_ms;
 			if (!on)
-				breach(checker, 'H', "weights %s never reached %s", checker->targets[i].weights, checker->servers[k].key);
+				breach(checker, 'H', "weights %s never reached %s",
+				       checker->targets[i].weights, checker->servers[k].key);
 			else if (on - from > 25000)
-				breach(checker, 'H', "weights %s reached %s only after %lld ms", checker->targets[i].weights, checker->servers[k].key,
+				breach(checker, 'H', "weights %s reached %s only after %lld ms",
+				       checker->targets[i].weights, checker->servers[k].key,
 				       (long long)(on - from));
 		}
 	}
@@ -446,12 +493,15 @@
 
 		if (i && checker->send_log[i].at_ms / 500 == checker->send_log[i - 1].at_ms / 500)
 			continue;
-		for (ptrdiff_t k = i; k < arrlen(checker->send_log) && checker->send_log[k].at_ms < checker->send_log[i].at_ms + 10000; k++) {
+		for (ptrdiff_t k = i; k < arrlen(checker->send_log) &&
+				      checker->send_log[k].at_ms < checker->send_log[i].at_ms + 10000;
+		     k++) {
 			n++;
 			retries += checker->send_log[k].is_retry;
 		}
 		if (retries > (n - retries) / 5 + margin) {
-			breach(checker, 'J', "%lld resends for %lld sends within ten seconds", (long long)retries, (long long)(n - retries));
+			breach(checker, 'J', "%lld resends for %lld sends within ten seconds",
+			       (long long)retries, (long long)(n - retries));
 			return;
 		}
 	}
@@ -464,7 +514,8 @@
 	snprintf(key, n, "%s %s", json_member_string(row, "kind"), json_member_string(row, "name"));
 }
 
-/* A change whose outcome is not known may or may not show; an acknowledged one must, unless a later one hid it. */
+/* A change whose outcome is not known may or may not show; an acknowledged one must, unless a later one hid
+ * it. */
 static void on_change(struct judge *checker, struct json_object *change, int64_t revision)
 {
 	static const char *const what[] = { "set", "del" };
@@ -493,7 +544,8 @@
 {
 	if (!expected || !have)
 		return !expected && !have;
-	json_object_object_foreach(expected, name, json) if (!json_object_equal(json, json_member(have, name))) return 0;
+	json_object_object_foreach(expected, name,
+				   json) if (!json_object_equal(json, json_member(have, name))) return 0;
 	return 1;
 }
 
@@ -515,14 +567,16 @@
 	}
 	for (ptrdiff_t i = 0; i < shlen(checker->table); i++) {
 		typeof(checker->table->value) *k = &checker->table[i].value;
-		struct json_object *at_end = have && shgeti(have, checker->table[i].key) >= 0 ? shget(have, checker->table[i].key) : NULL;
+		struct json_object *at_end = have && shgeti(have, checker->table[i].key) >= 0
+						 ? shget(have, checker->table[i].key)
+						 : NULL;
 		int fits = !k->revision || same_row(k->acknowledged, at_end);
 
 		for (ptrdiff_t q = 0; q < arrlen(k->possible) && !fits; q++)
 			fits = same_row(k->possible[q], at_end);
 		if (!fits)
-			breach(checker, 'K', "what edition %lld said of %s is not in the table at the end", (long long)k->revision,
-			       checker->table[i].key);
+			breach(checker, 'K', "what edition %lld said of %s is not in the table at the end",
+			       (long long)k->revision, checker->table[i].key);
 	}
 	shfree(have);
 }
@@ -575,15 +629,18 @@
 	} else if (!strcmp(ev, "tried")) {
 		on_change(g, json_member(json, "change"), 0);
 	} else if (!strcmp(ev, "key-removed")) {
-		shput(g->removed_keys, json_member_string(json, "key"), ((typeof(g->removed_keys->value)){ t, 0 }));
+		shput(g->removed_keys, json_member_string(json, "key"),
+		      ((typeof(g->removed_keys->value)){ t, 0 }));
 	} else if (!strcmp(ev, "key-added")) {
 		if (shgeti(g->removed_keys, json_member_string(json, "key")) >= 0)
 			shgetp(g->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
 	} else if (!strcmp(ev, "wall")) { /* walled from the acknowledgement on, open from the asking on */
 		if (json_member_int(json, "walled"))
-			shput(g->isolated_tenants, json_member_string(json, "tenant"), ((typeof(g->isolated_tenants->value)){ t, 0 }));
+			shput(g->isolated_tenants, json_member_string(json, "tenant"),
+			      ((typeof(g->isolated_tenants->value)){ t, 0 }));
 		else if (shgeti(g->isolated_tenants, json_member_string(json, "tenant")) >= 0)
-			shgetp(g->isolated_tenants, json_member_string(json, "tenant"))->value.ended_at_ms = t;
+			shgetp(g->isolated_tenants, json_member_string(json, "tenant"))->value.ended_at_ms =
+			    t;
 	} else if (!strcmp(ev, "drain-asked")) {
 		ENTRY(g->servers, sv)->drain_horizon = g->horizon;
 	} else if (!strcmp(ev, "drained")) {
@@ -617,22 +674,27 @@
 {
 	for (ptrdiff_t i = 0; i < shlen(checker->requests); i++)
 		if (checker->requests[i].value.requested_at_ms && !checker->requests[i].value.answer_count)
-			undecided(checker, "%s was asked, and it is not recorded what its caller was told", checker->requests[i].key);
+			undecided(checker, "%s was asked, and it is not recorded what its caller was told",
+				  checker->requests[i].key);
 	for (ptrdiff_t i = 0; i < shlen(checker->servers); i++)
 		if (checker->servers[i].value.service[0] && !checker->servers[i].value.up_at_ms)
 			undecided(checker, "no records of server %s", checker->servers[i].key);
 	if (checker->final_revision >= 0 && checker->final_revision < checker->acked_revision)
-		breach(checker, 'K', "the acknowledged edition %lld is lost: the table ends at %lld", (long long)checker->acked_revision,
-		       (long long)checker->final_revision);
+		breach(checker, 'K', "the acknowledged edition %lld is lost: the table ends at %lld",
+		       (long long)checker->acked_revision, (long long)checker->final_revision);
 	check_retries(checker);
 	if (!checker->untimed && arrlen(checker->rows))
 		check_target_weights(checker, arrlast(checker->rows).at_ms);
-	if (!checker->untimed && checker->last_fault_at_ms && (!checker->back || checker->longest_pause_ms > 12000))
+	if (!checker->untimed && checker->last_fault_at_ms &&
+	    (!checker->back || checker->longest_pause_ms > 12000))
 		breach(checker, 'L', "service was not back 12 s after the last fault");
-	if (!checker->closed || !checker->finished || !checker->server_record_count || !checker->probe_count || checker->final_revision < 0 || !checker->complete)
+	if (!checker->closed || !checker->finished || !checker->server_record_count ||
+	    !checker->probe_count || checker->final_revision < 0 || !checker->complete)
 		undecided(checker, "%s%s%s%s%s%s", checker->closed ? "" : "callers' records are not closed; ",
-			  checker->finished ? "" : "the run did not finish; ", checker->server_record_count ? "" : "no server's records; ",
-			  checker->probe_count ? "" : "no probes; ", checker->final_revision < 0 ? "no final table; " : "",
+			  checker->finished ? "" : "the run did not finish; ",
+			  checker->server_record_count ? "" : "no server's records; ",
+			  checker->probe_count ? "" : "no probes; ",
+			  checker->final_revision < 0 ? "no final table; " : "",
 			  checker->complete ? "" : "not one whole answer");
 }
 
@@ -655,11 +717,14 @@
 	sh_new_strdup(checker.piece_counts);
 	sh_new_strdup(checker.revision_by_address);
 	read_folder(&checker, folder);
-	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++) /* a send is judged by the probe that comes after it */
+	for (ptrdiff_t i = 0; i < arrlen(checker.rows);
+	     i++) /* a send is judged by the probe that comes after it */
 		if (!strcmp(checker.rows[i].kind, "state")) {
 			struct json_object *json = checker.rows[i].json;
-			typeof(checker.routers->value) *c = ENTRY(checker.routers, json_member_string(json, "id"));
-			typeof(*c->probes) p = { json_member_int(json, "asked"), json_member_int(json, "edition") };
+			typeof(checker.routers->value) *c =
+			    ENTRY(checker.routers, json_member_string(json, "id"));
+			typeof(*c->probes) p = { json_member_int(json, "asked"),
+						 json_member_int(json, "edition") };
 
 			snprintf(c->address, sizeof c->address, "%s", json_member_string(json, "web"));
 			arrput(c->probes, p);
@@ -670,11 +735,15 @@
 	judge_end(&checker);
 	say(res,
 	    "exchanges %lld, sends %lld, whole %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, read anew %lld (%.1f %%), parts fetched %lld",
-	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete, (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
-	    (long long)checker.prompt_tokens, (long long)checker.prefilled_tokens, checker.prompt_tokens ? 100.0 * (double)checker.prefilled_tokens / (double)checker.prompt_tokens : 0.0,
+	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete,
+	    (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
+	    (long long)checker.prompt_tokens, (long long)checker.prefilled_tokens,
+	    checker.prompt_tokens ? 100.0 * (double)checker.prefilled_tokens / (double)checker.prompt_tokens
+				  : 0.0,
 	    (long long)checker.fetched_blocks);
 	if (checker.last_fault_at_ms)
-		say(res, ", longest pause after the last fault %lld ms", (long long)(checker.back ? checker.longest_pause_ms : -1));
+		say(res, ", longest pause after the last fault %lld ms",
+		    (long long)(checker.back ? checker.longest_pause_ms : -1));
 	say(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
 	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
 		json_object_put(checker.rows[i].json);
--- a/rehearsal/hollow.c
+++ b/emulator/scale_model.c
@@ -1,4 +1,4 @@
-#include "hollow.h"
+#include "scale_model.h"
 
 #include <apr_allocator.h>
 #include <apr_strings.h>
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #include "router.h"
-#include "ds.h"
+#include "containers.h"
 #include "controller.h"
 
 enum {
@@ -27,9 +27,12 @@
 	SLOT_COUNT
 };
 
-const struct scale_model_settings scale_model_defaults = { 9, 4, 18, 4, 12, 0, 10, 0, 0, 8, 1, 180, 0, 0, 1, 0 };
+const struct scale_model_settings scale_model_defaults = {
+	9, 4, 18, 4, 12, 0, 10, 0, 0, 8, 1, 180, 0, 0, 1, 0
+};
 
-/* What was counted in the window under one kind: of message by its place in the body, from OUTSIDE on of event. */
+/* What was counted in the window under one kind: of message by its place in the body, from OUTSIDE on of
+ * event. */
 struct tally {
 	uint64_t sent, sent_bytes, received, received_bytes, step_ns, codec_ns;
 };
@@ -67,11 +70,11 @@
 	int running, eviction_index;
 	char weights[64];
 	struct block *blocks; /* stb_ds */
-	char *report_text;         /* its whole report, until something changes */
+	char *report_text;    /* its whole report, until something changes */
 	size_t report_length;
 	char name[16], zone[16], service[16];
 	struct kept_event *cache_events; /* stb_ds: all events of kept parts so far */
-	struct watch *watchers;    /* stb_ds: held */
+	struct watch *watchers;          /* stb_ds: held */
 };
 
 enum event_kind {
@@ -122,9 +125,9 @@
 	int node_count;
 	struct node *nodes;
 	struct server *servers;
-	struct ev *events;    /* stb_ds heap */
-	struct run *runs; /* stb_ds */
-	int *idle;       /* stb_ds: runs that are over */
+	struct ev *events; /* stb_ds heap */
+	struct run *runs;  /* stb_ds */
+	int *idle;         /* stb_ds: runs that are over */
 	struct {
 		uint64_t key;
 		int value;
@@ -132,7 +135,7 @@
 	struct {
 		uint64_t key;
 		struct ask value;
-	} * pending_requests;              /* stb_ds: caller's token */
+	} * pending_requests;   /* stb_ds: caller's token */
 	struct change *changes; /* stb_ds */
 	struct {
 		int nodes;
@@ -146,12 +149,15 @@
 	struct {
 		char *key;
 		uint32_t value;
-	} * namespace_ids;            /* stb_ds: under which name parts are kept */
+	} * namespace_ids;      /* stb_ds: under which name parts are kept */
 	char **namespace_names; /* stb_ds */
 	apr_pool_t *pool;
 };
 
-static int services_of(const struct scale_model_settings *settings) { return settings->routes < settings->servers ? settings->routes : settings->servers; }
+static int services_of(const struct scale_model_settings *settings)
+{
+	return settings->routes < settings->servers ? settings->routes : settings->servers;
+}
 
 static int64_t cpu_ns(void)
 {
@@ -168,11 +174,17 @@
 	return m.uordblks + m.hblkhd;
 }
 
-static uint64_t rnd(struct fleet *fleet, uint64_t n) { return n ? core_random(&fleet->rng) % n : 0; }
+static uint64_t rnd(struct fleet *fleet, uint64_t n)
+{
+	return n ? core_random(&fleet->rng) % n : 0;
+}
 
 /* ---- the queue of events ----------------------------------------------------- */
 
-static int before(const struct ev *a, const struct ev *b) { return a->at_ms != b->at_ms ? a->at_ms < b->at_ms : a->seq < b->seq; }
+static int before(const struct ev *a, const struct ev *b)
+{
+	return a->at_ms != b->at_ms ? a->at_ms < b->at_ms : a->seq < b->seq;
+}
 
 static void push(struct fleet *fleet, struct ev input)
 {
@@ -206,7 +218,10 @@
 
 enum { ADDRESS_CONTROLLER = 1, ADDRESS_ROUTER, ADDRESS_SERVER };
 
-static uint64_t address(int kind, int index) { return 127ull << 40 | (uint64_t)kind << 32 | (uint64_t)index << 16 | 7000; }
+static uint64_t address(int kind, int index)
+{
+	return 127ull << 40 | (uint64_t)kind << 32 | (uint64_t)index << 16 | 7000;
+}
 
 static struct node *node_at(struct fleet *fleet, uint64_t address)
 {
@@ -214,17 +229,24 @@
 
 	if (kind == ADDRESS_CONTROLLER && no < fleet->settings.controllers)
 		return &fleet->nodes[no];
-	return kind == ADDRESS_ROUTER && no < fleet->settings.routers ? &fleet->nodes[fleet->settings.controllers + no] : NULL;
+	return kind == ADDRESS_ROUTER && no < fleet->settings.routers
+		   ? &fleet->nodes[fleet->settings.controllers + no]
+		   : NULL;
 }
 
 static struct server *server_at(struct fleet *fleet, uint64_t address)
 {
 	int no = (int)(address >> 16 & 65535);
 
-	return (int)(address >> 32 & 255) == ADDRESS_SERVER && no < fleet->settings.servers ? &fleet->servers[no] : NULL;
+	return (int)(address >> 32 & 255) == ADDRESS_SERVER && no < fleet->settings.servers
+		   ? &fleet->servers[no]
+		   : NULL;
 }
 
-static int zone_of(const struct node *n) { return atoi(n->zone + 1); }
+static int zone_of(const struct node *n)
+{
+	return atoi(n->zone + 1);
+}
 
 /* Three zones are a region: 1 to 3 ms inside a zone, 1 more between zones, 20 more between regions. */
 static int64_t way(struct fleet *fleet, const struct node *a, const struct node *b)
@@ -245,7 +267,11 @@
 
 static void event(struct fleet *f, enum event_kind kind, int node, uint64_t token, int64_t at)
 {
-	struct ev input = { .at_ms = at, .kind = kind, .node = node, .incarnation = f->nodes[node].incarnation, .token = token };
+	struct ev input = { .at_ms = at,
+			    .kind = kind,
+			    .node = node,
+			    .incarnation = f->nodes[node].incarnation,
+			    .token = token };
 
 	push(f, input);
 }
@@ -262,7 +288,8 @@
 }
 
 /* Whoever watches hears of it a little later, with what else comes until then. */
-static void notify_watchers(struct fleet *fleet, struct server *server, const struct block *block, int is_removed)
+static void notify_watchers(struct fleet *fleet, struct server *server, const struct block *block,
+			    int is_removed)
 {
 	struct kept_event kept_event = { block->hash, block->cache_namespace, is_removed };
 
@@ -273,21 +300,24 @@
 		if (!server->watchers[i].is_due) {
 			server->watchers[i].is_due = 1;
 			push(fleet, (struct ev){ .at_ms = fleet->now_ms + EVENT_DELAY_MS,
-					     .kind = MODEL_WATCHED,
-					     .node = server->watchers[i].node,
-					     .incarnation = server->watchers[i].incarnation,
-					     .token = server->watchers[i].token,
-					     .server = (int)(server - fleet->servers) });
+						 .kind = MODEL_WATCHED,
+						 .node = server->watchers[i].node,
+						 .incarnation = server->watchers[i].incarnation,
+						 .token = server->watchers[i].token,
+						 .server = (int)(server - fleet->servers) });
 		}
 }
 
-static void keep(struct fleet *f, struct server *server, uint64_t h, uint32_t maker, uint64_t t, uint32_t cache_namespace)
+static void keep(struct fleet *f, struct server *server, uint64_t h, uint32_t maker, uint64_t t,
+		 uint32_t cache_namespace)
 {
 	struct block block = { h, t, maker, cache_namespace };
 	ptrdiff_t most = (ptrdiff_t)(f->settings.cached_blocks / f->settings.servers);
 
-	for (ptrdiff_t i = 0; i < arrlen(server->blocks) && i < 64; i++) /* the last few are looked at; a copy twice does no harm */
-		if (server->blocks[i].hash == h && server->blocks[i].maker == maker && server->blocks[i].cache_namespace == cache_namespace)
+	for (ptrdiff_t i = 0; i < arrlen(server->blocks) && i < 64;
+	     i++) /* the last few are looked at; a copy twice does no harm */
+		if (server->blocks[i].hash == h && server->blocks[i].maker == maker &&
+		    server->blocks[i].cache_namespace == cache_namespace)
 			return;
 	if (most < 4)
 		most = 4;
@@ -310,16 +340,19 @@
 	char *d;
 
 	(void)fleet;
-	n = (size_t)snprintf(head, sizeof head,
-			     "{\"weights\":\"%s\",\"loading\":\"\",\"slots\":%d,\"running\":%d,\"serial\":%llu,\"boot\":1",
-			     v->weights, SLOTS_SERVER, v->running, (unsigned long long)v->serial);
+	n = (size_t)snprintf(
+	    head, sizeof head,
+	    "{\"weights\":\"%s\",\"loading\":\"\",\"slots\":%d,\"running\":%d,\"serial\":%llu,\"boot\":1",
+	    v->weights, SLOTS_SERVER, v->running, (unsigned long long)v->serial);
 	if (!fresh && !v->report_text) {
 		v->report_text = malloc(64 + (size_t)arrlen(v->blocks) * 100);
 		k = (size_t)sprintf(v->report_text, ",\"parts\":[");
 		for (ptrdiff_t i = 0; i < arrlen(v->blocks); i++)
-			k += (size_t)sprintf(v->report_text + k, "%s{\"h\":\"%016llx\",\"w\":\"%s\",\"m\":\"t%u\",\"t\":%llu,\"n\":64}",
-					     i ? "," : "", (unsigned long long)v->blocks[i].hash, v->weights, v->blocks[i].maker,
-					     (unsigned long long)v->blocks[i].created_tick);
+			k += (size_t)sprintf(
+			    v->report_text + k,
+			    "%s{\"h\":\"%016llx\",\"w\":\"%s\",\"m\":\"t%u\",\"t\":%llu,\"n\":64}",
+			    i ? "," : "", (unsigned long long)v->blocks[i].hash, v->weights,
+			    v->blocks[i].maker, (unsigned long long)v->blocks[i].created_tick);
 		v->report_text[k++] = ']';
 		v->report_length = k;
 	}
@@ -354,7 +387,9 @@
 {
 	struct server *v = &f->servers[e->server];
 	struct json_object *j = json_tokener_parse((char *)e->data), *parts, *json;
-	struct run r = { .node_index = e->node, .server = e->server, .incarnation = e->incarnation, .token = e->token };
+	struct run r = {
+		.node_index = e->node, .server = e->server, .incarnation = e->incarnation, .token = e->token
+	};
 	uint32_t maker = (uint32_t)atoi(json_string_member(j, "tenant") + 1);
 	uint64_t stamp = json_uint_member(j, "stamp");
 
@@ -412,7 +447,8 @@
 	perform(fleet, node);
 }
 
-static void controller_do(struct fleet *fleet, struct node *node, int slot, const struct controller_event *input)
+static void controller_do(struct fleet *fleet, struct node *node, int slot,
+			  const struct controller_event *input)
 {
 	int64_t t = cpu_ns();
 
@@ -434,7 +470,10 @@
 	n->tallies[slot].sent_bytes += bytes;
 }
 
-static int slot_of(const struct Nl__Msg *message) { return (int)message->body_case < OUTSIDE ? (int)message->body_case : 0; }
+static int slot_of(const struct Nl__Msg *message)
+{
+	return (int)message->body_case < OUTSIDE ? (int)message->body_case : 0;
+}
 
 static void send_msg(struct fleet *fleet, struct node *node, const struct command *command)
 {
@@ -488,10 +527,15 @@
 static void call(struct fleet *fleet, struct node *n, const struct command *command)
 {
 	struct server *server = server_at(fleet, core_parse_addr(command->args.call.addr));
-	struct ev input = { .node = n->index, .incarnation = n->incarnation, .token = command->args.call.token };
+	struct ev input = { .node = n->index,
+			    .incarnation = n->incarnation,
+			    .token = command->args.call.token };
 
 	if (command->args.call.stream) {
-		struct client_request *request = n->router && hmgeti(n->router->requests_by_token, input.token) >= 0 ? hmget(n->router->requests_by_token, input.token) : NULL;
+		struct client_request *request =
+		    n->router && hmgeti(n->router->requests_by_token, input.token) >= 0
+			? hmget(n->router->requests_by_token, input.token)
+			: NULL;
 
 		say(n, SLOT_RUN, strlen(command->args.call.body));
 		sent(fleet, request ? request->token : 0);
@@ -510,7 +554,8 @@
 		say(n, SLOT_LOAD_COMMAND, strlen(command->args.call.body));
 		return;
 	}
-	say(n, OUTSIDE + (n->router ? (int)ROUTER_EVENT_REPORT_POLLED : (int)CONTROLLER_CALL_RESULT), strlen(command->args.call.path));
+	say(n, OUTSIDE + (n->router ? (int)ROUTER_EVENT_REPORT_POLLED : (int)CONTROLLER_CALL_RESULT),
+	    strlen(command->args.call.path));
 	if (!server)
 		return;
 	input.kind = MODEL_CALLED;
@@ -546,8 +591,13 @@
 static void watch(struct fleet *f, struct node *node, const struct command *c)
 {
 	struct server *v = server_at(f, c->args.watch_cache.addr);
-	struct watch watcher = { node->index, 0, node->incarnation, c->args.watch_cache.token, c->args.watch_cache.since };
-	struct ev input = { .at_ms = f->now_ms + c->args.watch_cache.wait_ms, .kind = MODEL_WATCHED, .node = node->index, .incarnation = node->incarnation, .token = watcher.token };
+	struct watch watcher = { node->index, 0, node->incarnation, c->args.watch_cache.token,
+				 c->args.watch_cache.since };
+	struct ev input = { .at_ms = f->now_ms + c->args.watch_cache.wait_ms,
+			    .kind = MODEL_WATCHED,
+			    .node = node->index,
+			    .incarnation = node->incarnation,
+			    .token = watcher.token };
 
 	say(node, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 60);
 	if (!v)
@@ -571,7 +621,8 @@
 	struct watch watcher;
 	ptrdiff_t i = 0;
 
-	while (i < arrlen(server->watchers) && (server->watchers[i].token != e->token || server->watchers[i].node != e->node))
+	while (i < arrlen(server->watchers) &&
+	       (server->watchers[i].token != e->token || server->watchers[i].node != e->node))
 		i++;
 	if (i == arrlen(server->watchers))
 		return; /* it was answered before */
@@ -607,7 +658,8 @@
 static void listed(struct fleet *fleet, struct node *node, const struct ev *input)
 {
 	struct controller_event ev = { .kind = CONTROLLER_SERVERS_LISTED };
-	struct Nl__Instance *x = calloc((size_t)fleet->settings.servers, sizeof *x), **instance = calloc((size_t)fleet->settings.servers, sizeof *instance);
+	struct Nl__Instance *x = calloc((size_t)fleet->settings.servers, sizeof *x),
+			    **instance = calloc((size_t)fleet->settings.servers, sizeof *instance);
 	size_t bytes = 0;
 
 	for (int i = 0; i < fleet->settings.servers; i++) {
@@ -647,7 +699,8 @@
 	if (command->args.answer.token == f->operator_token)
 		f->operator_status = command->args.answer.status;
 	for (i = 0; i < arrlen(f->changes); i++)
-		if (f->changes[i].token == command->args.answer.token && command->args.answer.status == 200 && !strncmp(b, "{\"edition\":", 11)) {
+		if (f->changes[i].token == command->args.answer.token && command->args.answer.status == 200 &&
+		    !strncmp(b, "{\"edition\":", 11)) {
 			f->changes[i].revision = strtoull(b + 11, NULL, 10);
 			f->changes[i].acked_at_ms = f->now_ms;
 		}
@@ -660,11 +713,21 @@
 		ptrdiff_t i;
 
 		switch (command->kind) {
-		case CMD_SEND: send_msg(f, n, command); break;
-		case CMD_PERSIST: persist(f, n, command->args.persist); break;
-		case CMD_CALL: call(f, n, command); break;
-		case CMD_FORWARD: forward(f, n, command->args.forward); break;
-		case CMD_WATCH_CACHE: watch(f, n, command); break;
+		case CMD_SEND:
+			send_msg(f, n, command);
+			break;
+		case CMD_PERSIST:
+			persist(f, n, command->args.persist);
+			break;
+		case CMD_CALL:
+			call(f, n, command);
+			break;
+		case CMD_FORWARD:
+			forward(f, n, command->args.forward);
+			break;
+		case CMD_WATCH_CACHE:
+			watch(f, n, command);
+			break;
 		case CMD_LIST_SERVERS:
 			say(n, OUTSIDE + CONTROLLER_SERVERS_LISTED, 100);
 			event(f, MODEL_LISTED, n->index, command->args.list_servers.token, f->now_ms + 20);
@@ -683,11 +746,15 @@
 
 			say(n, OUTSIDE + CONTROLLER_LOAD_ANSWERED, 200);
 			if (server)
-				apr_cpystrn(server->weights, command->args.load_weights.weights, sizeof server->weights);
-			event(f, MODEL_LOAD_COMMANDED, n->index, command->args.load_weights.token, f->now_ms + 4);
+				apr_cpystrn(server->weights, command->args.load_weights.weights,
+					    sizeof server->weights);
+			event(f, MODEL_LOAD_COMMANDED, n->index, command->args.load_weights.token,
+			      f->now_ms + 4);
 			break;
 		}
-		case CMD_ANSWER: answered(f, command); break;
+		case CMD_ANSWER:
+			answered(f, command);
+			break;
 		case CMD_STREAM_CHUNK:
 		case CMD_END_STREAM:
 			say(n, SLOT_OUT, command->args.stream_chunk.len);
@@ -703,7 +770,8 @@
 			}
 			break;
 		case CMD_CANCEL:
-			i = hmgeti(f->run_by_token, core_rendezvous_weight((uint64_t)n->index, command->args.cancel.token));
+			i = hmgeti(f->run_by_token,
+				   core_rendezvous_weight((uint64_t)n->index, command->args.cancel.token));
 			if (i >= 0)
 				run_end(f, f->run_by_token[i].value);
 			break;
@@ -722,12 +790,16 @@
 
 static void ask(struct fleet *fleet)
 {
-	struct node *n = &fleet->nodes[fleet->settings.controllers + (int)rnd(fleet, (uint64_t)fleet->settings.routers)];
-	int tenant = (int)rnd(fleet, (uint64_t)fleet->settings.tenants), route = (int)rnd(fleet, (uint64_t)fleet->settings.routes), matter = (int)rnd(fleet, 200);
+	struct node *n =
+	    &fleet->nodes[fleet->settings.controllers + (int)rnd(fleet, (uint64_t)fleet->settings.routers)];
+	int tenant = (int)rnd(fleet, (uint64_t)fleet->settings.tenants),
+	    route = (int)rnd(fleet, (uint64_t)fleet->settings.routes), matter = (int)rnd(fleet, 200);
 	struct ask a = { fleet->now_ms,
 			 n->index,
-			 { core_rendezvous_weight(1, (uint64_t)route), core_rendezvous_weight((uint64_t)route, (uint64_t)tenant),
-			   core_rendezvous_weight((uint64_t)tenant << 32 | (uint64_t)route, (uint64_t)matter) } };
+			 { core_rendezvous_weight(1, (uint64_t)route),
+			   core_rendezvous_weight((uint64_t)route, (uint64_t)tenant),
+			   core_rendezvous_weight((uint64_t)tenant << 32 | (uint64_t)route,
+						  (uint64_t)matter) } };
 	struct router_event input = { .kind = ROUTER_EVENT_CLAIMED_REQUEST };
 	struct forwarded_request q;
 	char key[65], body[700], path[30], id[30];
@@ -791,8 +863,10 @@
 	char body[200];
 	int no = f->change_count++;
 
-	snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":%d,\"limit\":%d,\"walled\":%s}]}",
-		 no / 2 % f->settings.tenants, 1 + no % 7, f->settings.use_instance_list ? 0 : 100000, no % 8 == 7 ? "true" : "false");
+	snprintf(body, sizeof body,
+		 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":%d,\"limit\":%d,\"walled\":%s}]}",
+		 no / 2 % f->settings.tenants, 1 + no % 7, f->settings.use_instance_list ? 0 : 100000,
+		 no % 8 == 7 ? "true" : "false");
 	c.token = f->token + 1; /* the answer may come within the step */
 	arrput(f->changes, c);
 	operate(f, "/v1/change", body);
@@ -800,12 +874,15 @@
 
 static void churn(struct fleet *fleet)
 {
-	int64_t one = fleet->settings.use_instance_list ? 2000 : 1000; /* one comes and another goes: two events */
+	int64_t one =
+	    fleet->settings.use_instance_list ? 2000 : 1000; /* one comes and another goes: two events */
 
-	for (fleet->churn_credit += fleet->settings.cache_events_per_second * 10; fleet->churn_credit >= one; fleet->churn_credit -= one) {
+	for (fleet->churn_credit += fleet->settings.cache_events_per_second * 10; fleet->churn_credit >= one;
+	     fleet->churn_credit -= one) {
 		struct server *server = &fleet->servers[rnd(fleet, (uint64_t)fleet->settings.servers)];
 
-		keep(fleet, server, core_random(&fleet->rng), (uint32_t)rnd(fleet, (uint64_t)fleet->settings.tenants), 0, 0);
+		keep(fleet, server, core_random(&fleet->rng),
+		     (uint32_t)rnd(fleet, (uint64_t)fleet->settings.tenants), 0, 0);
 	}
 }
 
@@ -827,7 +904,8 @@
 		n->router->bounds = bounds;
 	} else {
 		n->controller = malloc(sizeof *n->controller);
-		controller_open(n->controller, id, n->addr, n->zone, seeds, 3, 0, core_random(&fleet->rng), NULL, fleet->now_ms);
+		controller_open(n->controller, id, n->addr, n->zone, seeds, 3, 0, core_random(&fleet->rng),
+				NULL, fleet->now_ms);
 		n->controller->bounds = bounds;
 	}
 	event(fleet, MODEL_TICK, n->index, 0, fleet->now_ms + (int64_t)rnd(fleet, TICK_MS));
@@ -918,7 +996,8 @@
 		slot = OUTSIDE + ROUTER_EVENT_CALL_ENDED;
 		hear(node, slot, 0);
 		break;
-	default: break;
+	default:
+		break;
 	}
 	router_do(fleet, node, slot, &ev);
 	if (message)
@@ -970,7 +1049,8 @@
 		slot = OUTSIDE + CONTROLLER_LOAD_ANSWERED;
 		hear(node, slot, 100);
 		break;
-	default: break;
+	default:
+		break;
 	}
 	controller_do(fleet, node, slot, &ev);
 	if (message)
@@ -983,15 +1063,19 @@
 	struct run *run = &f->runs[i];
 	struct node *node = &f->nodes[run->node_index];
 	struct server *server = &f->servers[run->server];
-	struct forward_result done = {
-		.token = run->token, .end = FORWARD_COMPLETE, .status = 200, .has_begun = 1, .slots = SLOTS_LISTED, .weights = server->weights
-	};
+	struct forward_result done = { .token = run->token,
+				       .end = FORWARD_COMPLETE,
+				       .status = 200,
+				       .has_begun = 1,
+				       .slots = SLOTS_LISTED,
+				       .weights = server->weights };
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 	int slot = OUTSIDE + ROUTER_EVENT_FORWARD_BEGAN;
 
 	if (!run->next_piece) {
 		run->next_piece = f->settings.pieces;
-		event(f, MODEL_STREAM, run->node_index, (uint64_t)i, f->now_ms + 15 * (int64_t)f->settings.pieces);
+		event(f, MODEL_STREAM, run->node_index, (uint64_t)i,
+		      f->now_ms + 15 * (int64_t)f->settings.pieces);
 		input.u.forward_began.token = run->token;
 		input.u.forward_began.weights = server->weights;
 	} else {
@@ -1031,9 +1115,11 @@
 		return;
 	}
 	if (last)
-		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"end\":true}", run->send_id, run->next_piece);
+		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"end\":true}", run->send_id,
+			 run->next_piece);
 	else
-		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"a word \"}", run->send_id, run->next_piece);
+		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"a word \"}", run->send_id,
+			 run->next_piece);
 	ev.u.stream_chunk.token = run->token;
 	ev.u.stream_chunk.text = line;
 	run->next_piece++;
@@ -1041,7 +1127,8 @@
 		run_end(fleet, i);
 		arrput(fleet->idle, i);
 	} else {
-		event(fleet, MODEL_STREAM, run->node_index, input->token, fleet->now_ms + 10 + (int64_t)rnd(fleet, 10));
+		event(fleet, MODEL_STREAM, run->node_index, input->token,
+		      fleet->now_ms + 10 + (int64_t)rnd(fleet, 10));
 	}
 	hear(node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, strlen(line));
 	router_do(fleet, node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, &ev);
@@ -1049,7 +1136,10 @@
 
 static void again(struct fleet *f, const struct ev *input, int64_t in)
 {
-	struct ev n = { .at_ms = f->now_ms + in, .kind = input->kind, .node = input->node, .incarnation = input->incarnation };
+	struct ev n = { .at_ms = f->now_ms + in,
+			.kind = input->kind,
+			.node = input->node,
+			.incarnation = input->incarnation };
 
 	push(f, n);
 }
@@ -1059,10 +1149,15 @@
 	struct node *node = &fleet->nodes[input->node];
 
 	switch (input->kind) {
-	case MODEL_ARRIVE: arrives(fleet, input); return;
-	case MODEL_STREAM: stream_piece(fleet, input); return;
+	case MODEL_ARRIVE:
+		arrives(fleet, input);
+		return;
+	case MODEL_STREAM:
+		stream_piece(fleet, input);
+		return;
 	case MODEL_LOAD:
-		for (fleet->load_credit += fleet->settings.requests_per_second; fleet->load_credit >= 1000; fleet->load_credit -= 1000)
+		for (fleet->load_credit += fleet->settings.requests_per_second; fleet->load_credit >= 1000;
+		     fleet->load_credit -= 1000)
 			ask(fleet);
 		again(fleet, input, 1);
 		return;
@@ -1080,7 +1175,8 @@
 		if (fleet->restart_count < fleet->settings.restarts)
 			again(fleet, input, 1000 * fleet->settings.seconds / fleet->settings.restarts);
 		return;
-	default: break;
+	default:
+		break;
 	}
 	if (input->kind == MODEL_WATCHED) {
 		watched(fleet, node, input);
@@ -1122,7 +1218,10 @@
 
 /* ---- the fleet -------------------------------------------------------------------------------- */
 
-static int web_done(struct fleet *fleet) { return fleet->operator_status != 0; }
+static int web_done(struct fleet *fleet)
+{
+	return fleet->operator_status != 0;
+}
 
 static int operate_done(struct fleet *fleet, const char *path, const char *body)
 {
@@ -1153,7 +1252,10 @@
 static int all_ready(struct fleet *fleet)
 {
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++)
-		if (!fleet->nodes[i].router || config_watch_age_ms(&fleet->nodes[i].router->config_watch, fleet->now_ms) > CONFIG_WATCH_ADMIT_STALENESS_MS || fleet->nodes[i].revision < fleet->revision ||
+		if (!fleet->nodes[i].router ||
+		    config_watch_age_ms(&fleet->nodes[i].router->config_watch, fleet->now_ms) >
+			CONFIG_WATCH_ADMIT_STALENESS_MS ||
+		    fleet->nodes[i].revision < fleet->revision ||
 		    !relay_is_current(&fleet->nodes[i].router->relay, fleet->now_ms))
 			return 0;
 	return 1;
@@ -1186,7 +1288,8 @@
 
 	apr_pool_create(&pool, fleet->pool);
 	for (int i = 0; i < nsvc && settings->use_instance_list; i++) {
-		arrput(rows, apr_psprintf(pool, "{\"kind\":\"model\",\"name\":\"d%d\",\"weights\":\"1\"}", i));
+		arrput(rows,
+		       apr_psprintf(pool, "{\"kind\":\"model\",\"name\":\"d%d\",\"weights\":\"1\"}", i));
 		arrput(
 		    rows,
 		    apr_psprintf(
@@ -1205,8 +1308,9 @@
 		arrput(
 		    rows,
 		    apr_psprintf(
-			pool, "{\"kind\":\"lane\",\"name\":\"l%d\",\"service\":\"m%d\",\"prio\":%d,\"limit\":1000%s}", i, i % nsvc,
-			i % 3,
+			pool,
+			"{\"kind\":\"lane\",\"name\":\"l%d\",\"service\":\"m%d\",\"prio\":%d,\"limit\":1000%s}",
+			i, i % nsvc, i % 3,
 			!settings->use_instance_list
 			    ? ""
 			    : apr_psprintf(
@@ -1214,13 +1318,17 @@
 				  ",\"host\":\"a.example\",\"path\":\"/l%d/\",\"vouched\":true,\"aim\":360,\"pause\":72,\"attempts\":2",
 				  i)));
 	for (int i = 0; i < settings->tenants; i++) {
-		arrput(rows, apr_psprintf(pool, "{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}", i,
-					  settings->use_instance_list ? 0 : 100000));
-		arrput(rows, apr_psprintf(pool, "{\"kind\":\"key\",\"name\":\"%s\",\"tenant\":\"t%d\"}", digest(hex, i), i));
+		arrput(rows,
+		       apr_psprintf(pool, "{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}",
+				    i, settings->use_instance_list ? 0 : 100000));
+		arrput(rows, apr_psprintf(pool, "{\"kind\":\"key\",\"name\":\"%s\",\"tenant\":\"t%d\"}",
+					  digest(hex, i), i));
 	}
 	for (int i = 0; i < settings->servers && !settings->use_instance_list; i++)
-		arrput(rows, apr_psprintf(pool, "{\"kind\":\"server\",\"name\":\"s%d\",\"service\":\"m%d\",\"addr\":\"%s\"}", i,
-					  i % nsvc, core_format_addr(pool, fleet->servers[i].address)));
+		arrput(rows,
+		       apr_psprintf(
+			   pool, "{\"kind\":\"server\",\"name\":\"s%d\",\"service\":\"m%d\",\"addr\":\"%s\"}",
+			   i, i % nsvc, core_format_addr(pool, fleet->servers[i].address)));
 	for (int i = 0; i < arrlen(rows) && ok; i += 300)
 		ok = set_rows(fleet, rows, i, (int)arrlen(rows) - i < 300 ? (int)arrlen(rows) - i : 300);
 	arrfree(rows);
@@ -1253,8 +1361,10 @@
 
 		node->index = i;
 		node->is_router = i >= settings->controllers;
-		node->addr = node->is_router ? address(ADDRESS_ROUTER, i - settings->controllers) : address(ADDRESS_CONTROLLER, i);
-		snprintf(node->zone, sizeof node->zone, "z%d", (node->is_router ? i - settings->controllers : i) % zones);
+		node->addr = node->is_router ? address(ADDRESS_ROUTER, i - settings->controllers)
+					     : address(ADDRESS_CONTROLLER, i);
+		snprintf(node->zone, sizeof node->zone, "z%d",
+			 (node->is_router ? i - settings->controllers : i) % zones);
 		apr_pool_create(&node->commands.pool, fleet->pool);
 	}
 	for (int i = 0; i < settings->servers; i++) {
@@ -1266,8 +1376,10 @@
 		snprintf(server->name, sizeof server->name, "s%d", i);
 		snprintf(server->zone, sizeof server->zone, "z%d", i % zones);
 		snprintf(server->service, sizeof server->service, "m%d", i % services_of(settings));
-		for (int64_t k = settings->cached_blocks * i / settings->servers; k < settings->cached_blocks * (i + 1) / settings->servers; k++) {
-			struct block block = { core_random(&fleet->rng), 0, (uint32_t)rnd(fleet, (uint64_t)settings->tenants), 0 };
+		for (int64_t k = settings->cached_blocks * i / settings->servers;
+		     k < settings->cached_blocks * (i + 1) / settings->servers; k++) {
+			struct block block = { core_random(&fleet->rng), 0,
+					       (uint32_t)rnd(fleet, (uint64_t)settings->tenants), 0 };
 
 			arrput(server->blocks, block);
 			notify_watchers(fleet, server, &block, 0);
@@ -1312,7 +1424,8 @@
 		memset(fleet->nodes[i].tallies, 0, sizeof fleet->nodes[i].tallies);
 		fleet->nodes[i].sync_count = fleet->nodes[i].disk_bytes = 0;
 	}
-	fleet->requests = fleet->completed = fleet->refused = fleet->unknown = fleet->sends = fleet->pieces = fleet->send_ms = 0;
+	fleet->requests = fleet->completed = fleet->refused = fleet->unknown = fleet->sends = fleet->pieces =
+	    fleet->send_ms = 0;
 	fleet->max_send_ms = 0;
 	fleet->window_started_at_ms = fleet->now_ms;
 	if (fleet->settings.changes)
@@ -1324,7 +1437,8 @@
 
 /* ---- figures -------------------------------------------------------------------------------------- */
 
-static void row(struct scale_model_result *r, double average, double most, const char *fmt, ...) __attribute__((format(printf, 4, 5)));
+static void row(struct scale_model_result *r, double average, double most, const char *fmt, ...)
+    __attribute__((format(printf, 4, 5)));
 static void row(struct scale_model_result *r, double average, double most, const char *fmt, ...)
 {
 	struct scale_model_row hollow_row = { "", average, most };
@@ -1339,10 +1453,12 @@
 
 static const char *slot_name(int slot, int is_router)
 {
-	static const char *const router_events[] = { "tick", "msg",  "exchange", "gone",  "piece", "done",   "look",
-					   "web",  "stop", "asked",    "began", "ended", "watched" };
-	static const char *const controller_events[] = { "tick", "msg",  "synced", "web",    "look",   "stop",
-					   "doc",  "read", "name",   "listed", "looked", "ordered" };
+	static const char *const router_events[] = { "tick",  "msg",   "exchange", "gone", "piece",
+						     "done",  "look",  "web",      "stop", "asked",
+						     "began", "ended", "watched" };
+	static const char *const controller_events[] = { "tick", "msg",    "synced", "web",
+							 "look", "stop",   "doc",    "read",
+							 "name", "listed", "looked", "ordered" };
 	const ProtobufCFieldDescriptor *d;
 	unsigned k = (unsigned)slot - OUTSIDE;
 
@@ -1350,12 +1466,12 @@
 		d = protobuf_c_message_descriptor_get_field(&nl__msg__descriptor, (unsigned)slot);
 		return d ? d->name : "other";
 	}
-	return slot == SLOT_RUN                           ? "run"
-	       : slot == SLOT_LOAD_COMMAND                       ? "order"
-	       : slot == SLOT_OUT                         ? "passed"
-	       : is_router && k < sizeof router_events / sizeof *router_events  ? router_events[k]
+	return slot == SLOT_RUN                                                         ? "run"
+	       : slot == SLOT_LOAD_COMMAND                                              ? "order"
+	       : slot == SLOT_OUT                                                       ? "passed"
+	       : is_router && k < sizeof router_events / sizeof *router_events          ? router_events[k]
 	       : !is_router && k < sizeof controller_events / sizeof *controller_events ? controller_events[k]
-							  : "event";
+											: "event";
 }
 
 /* What callers' own bytes cost is not control. */
@@ -1364,8 +1480,10 @@
 	int k = slot - OUTSIDE;
 
 	return slot == SLOT_RUN || slot == SLOT_OUT ||
-	       (is_router && (k == ROUTER_EVENT_CLAIMED_REQUEST || k == ROUTER_EVENT_CLIENT_DISCONNECTED || k == ROUTER_EVENT_STREAM_CHUNK || k == ROUTER_EVENT_CALL_ENDED ||
-			    k == ROUTER_EVENT_FORWARDED_REQUEST || k == ROUTER_EVENT_FORWARD_BEGAN || k == ROUTER_EVENT_FORWARD_ENDED));
+	       (is_router && (k == ROUTER_EVENT_CLAIMED_REQUEST || k == ROUTER_EVENT_CLIENT_DISCONNECTED ||
+			      k == ROUTER_EVENT_STREAM_CHUNK || k == ROUTER_EVENT_CALL_ENDED ||
+			      k == ROUTER_EVENT_FORWARDED_REQUEST || k == ROUTER_EVENT_FORWARD_BEGAN ||
+			      k == ROUTER_EVENT_FORWARD_ENDED));
 }
 
 enum role { ROLE_ROUTER, ROLE_RELAY, ROLE_CONTROLLER, ROLE_COUNT };
@@ -1373,20 +1491,24 @@
 
 static int has_role(const struct node *node, enum role role)
 {
-	return role == ROLE_CONTROLLER ? node->controller != NULL : node->router && (role == ROLE_ROUTER || arrlen(node->router->relay.downstreams));
+	return role == ROLE_CONTROLLER
+		   ? node->controller != NULL
+		   : node->router && (role == ROLE_ROUTER || arrlen(node->router->relay.downstreams));
 }
 
 enum measure { SENT, SENT_BYTES, RECEIVED, RECEIVED_BYTES, CPU_TIME, CODEC_TIME, MEASURE_COUNT };
-static const char *const measure_name[] = { "sent", "sent_bytes", "heard", "heard_bytes", "cpu_us", "codec_us" };
+static const char *const measure_name[] = {
+	"sent", "sent_bytes", "heard", "heard_bytes", "cpu_us", "codec_us"
+};
 
 static double measure_value(const struct tally *tally, enum measure measure)
 {
-	return measure == SENT          ? (double)tally->sent
-	       : measure == SENT_BYTES  ? (double)tally->sent_bytes
+	return measure == SENT             ? (double)tally->sent
+	       : measure == SENT_BYTES     ? (double)tally->sent_bytes
 	       : measure == RECEIVED       ? (double)tally->received
 	       : measure == RECEIVED_BYTES ? (double)tally->received_bytes
-	       : measure == CPU_TIME         ? (double)tally->step_ns / 1000
-				  : (double)tally->codec_ns / 1000;
+	       : measure == CPU_TIME       ? (double)tally->step_ns / 1000
+					   : (double)tally->codec_ns / 1000;
 }
 
 static void role_rows(struct fleet *fleet, struct scale_model_result *result, enum role role)
@@ -1406,7 +1528,8 @@
 
 			for (int i = 0; i < fleet->node_count; i++)
 				if (has_role(&fleet->nodes[i], role)) {
-					double v = measure_value(&fleet->nodes[i].tallies[slot], (enum measure)m);
+					double v =
+					    measure_value(&fleet->nodes[i].tallies[slot], (enum measure)m);
 
 					sum += v;
 					most = v > most ? v : most;
@@ -1418,7 +1541,8 @@
 			double c = 0, d = 0;
 
 			for (int slot = 0; slot < SLOT_COUNT && has_role(&fleet->nodes[i], role); slot++)
-				*(is_data(slot, role != ROLE_CONTROLLER) ? &d : &c) += measure_value(&fleet->nodes[i].tallies[slot], (enum measure)m);
+				*(is_data(slot, role != ROLE_CONTROLLER) ? &d : &c) +=
+				    measure_value(&fleet->nodes[i].tallies[slot], (enum measure)m);
 			ctl += c;
 			data += d;
 			ctl_most = c > ctl_most ? c : ctl_most;
@@ -1431,7 +1555,8 @@
 
 static void disk_rows(struct fleet *fleet, struct scale_model_result *result)
 {
-	double syncs = 0, bytes = 0, syncs_most = 0, bytes_most = 0, n = fleet->settings.controllers, s = fleet->settings.seconds;
+	double syncs = 0, bytes = 0, syncs_most = 0, bytes_most = 0, n = fleet->settings.controllers,
+	       s = fleet->settings.seconds;
 
 	for (int i = 0; i < fleet->settings.controllers; i++) {
 		const struct node *node = &fleet->nodes[i];
@@ -1456,11 +1581,13 @@
 	row(result, (double)fleet->unknown, (double)fleet->unknown, "fleet.unknown");
 	row(result, (double)fleet->pieces, (double)fleet->pieces, "fleet.pieces");
 	if (fleet->sends)
-		row(result, (double)fleet->send_ms / (double)fleet->sends, (double)fleet->max_send_ms, "fleet.send_ms");
+		row(result, (double)fleet->send_ms / (double)fleet->sends, (double)fleet->max_send_ms,
+		    "fleet.send_ms");
 	for (ptrdiff_t i = 0; i < arrlen(fleet->changes); i++) {
 		const struct change *c = &fleet->changes[i];
 
-		if (!c->acked_at_ms || c->revision >= (uint64_t)arrlen(fleet->revision_reached) || fleet->revision_reached[c->revision].nodes < fleet->settings.routers)
+		if (!c->acked_at_ms || c->revision >= (uint64_t)arrlen(fleet->revision_reached) ||
+		    fleet->revision_reached[c->revision].nodes < fleet->settings.routers)
 			continue;
 		n++;
 		sum += (double)(fleet->revision_reached[c->revision].last_at_ms - c->acked_at_ms);
@@ -1514,7 +1641,8 @@
 	}
 	t = cpu_ns() - t;
 	if (n) {
-		row(result, (double)(heap_bytes() - was) / (double)n, (double)(heap_bytes() - was) / (double)n, "state.kept_part_bytes");
+		row(result, (double)(heap_bytes() - was) / (double)n,
+		    (double)(heap_bytes() - was) / (double)n, "state.kept_part_bytes");
 		row(result, (double)t / (double)n, (double)t / (double)n, "state.kept_put_ns");
 	}
 	prefix_index_clear(&k);
@@ -1534,7 +1662,8 @@
 	for (int i = 0; i < EVENTS; i++)
 		nl__msg__free_unpacked(nl__msg__unpack(NULL, bytes, d), NULL);
 	row(result, (double)bytes / EVENTS, (double)bytes / EVENTS, "state.kept_event_bytes");
-	row(result, (double)(cpu_ns() - t) / EVENTS / EVENTS, (double)(cpu_ns() - t) / EVENTS / EVENTS, "state.kept_event_unpack_ns");
+	row(result, (double)(cpu_ns() - t) / EVENTS / EVENTS, (double)(cpu_ns() - t) / EVENTS / EVENTS,
+	    "state.kept_event_unpack_ns");
 	free(d);
 	was = heap_bytes();
 	for (int i = 0; i < settings->tenants; i++) {
@@ -1549,7 +1678,8 @@
 		value.purge = &purge;
 		purge_view_apply(&view, &value);
 	}
-	row(result, (double)(heap_bytes() - was) / settings->tenants, (double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
+	row(result, (double)(heap_bytes() - was) / settings->tenants,
+	    (double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
 	purge_view_clear(&view);
 	apr_pool_create(&pool, fleet->pool);
 	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config_watch.table, 0, &all, pool);
@@ -1557,10 +1687,11 @@
 	config_table_open(&tab);
 	all.full = 1;
 	if (config_table_follow(&tab, &all) && all.n_set)
-		row(result, (double)(heap_bytes() - was) / (double)all.n_set, (double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
+		row(result, (double)(heap_bytes() - was) / (double)all.n_set,
+		    (double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
 	config_table_close(&tab);
-	row(result, (double)protobuf_c_message_get_packed_size(&all.base), (double)protobuf_c_message_get_packed_size(&all.base),
-	    "state.table_packed_bytes");
+	row(result, (double)protobuf_c_message_get_packed_size(&all.base),
+	    (double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
 	apr_pool_destroy(pool);
 }
 
@@ -1574,11 +1705,13 @@
 	was = heap_bytes();
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++)
 		end(&fleet->nodes[i]);
-	row(result, (double)(was - heap_bytes()) / fleet->settings.routers, (double)(was - heap_bytes()) / fleet->settings.routers, "counter.memory.bytes");
+	row(result, (double)(was - heap_bytes()) / fleet->settings.routers,
+	    (double)(was - heap_bytes()) / fleet->settings.routers, "counter.memory.bytes");
 	was = heap_bytes();
 	for (int i = 0; i < fleet->settings.controllers; i++)
 		end(&fleet->nodes[i]);
-	row(result, (double)(was - heap_bytes()) / fleet->settings.controllers, (double)(was - heap_bytes()) / fleet->settings.controllers, "registrar.memory.bytes");
+	row(result, (double)(was - heap_bytes()) / fleet->settings.controllers,
+	    (double)(was - heap_bytes()) / fleet->settings.controllers, "registrar.memory.bytes");
 	row(result, all, all, "fleet.rss_bytes");
 }
 
@@ -1613,7 +1746,8 @@
 	apr_pool_destroy(fleet->pool);
 }
 
-int scale_model_run(const struct scale_model_settings *settings, struct scale_model_result *result, const char **why)
+int scale_model_run(const struct scale_model_settings *settings, struct scale_model_result *result,
+		    const char **why)
 {
 	struct fleet fleet;
 	int ok;
@@ -1645,23 +1779,32 @@
 
 void scale_model_print(const struct scale_model_result *result, int csv, FILE *out)
 {
-	fprintf(out, csv ? "key,mean,most\n" : "%-44s %16s %16s\n", "a second and node, unless it says otherwise", "mean", "most");
+	fprintf(out, csv ? "key,mean,most\n" : "%-44s %16s %16s\n",
+		"a second and node, unless it says otherwise", "mean", "most");
 	for (ptrdiff_t i = 0; i < arrlen(result->rows); i++)
-		fprintf(out, csv ? "%s,%.3f,%.3f\n" : "%-44s %16.2f %16.2f\n", result->rows[i].key, result->rows[i].average, result->rows[i].max);
+		fprintf(out, csv ? "%s,%.3f,%.3f\n" : "%-44s %16.2f %16.2f\n", result->rows[i].key,
+			result->rows[i].average, result->rows[i].max);
 }
 
-void scale_model_free(struct scale_model_result *result) { arrfree(result->rows); }
+void scale_model_free(struct scale_model_result *result)
+{
+	arrfree(result->rows);
+}
 
 /* ---- sizes -------------------------------------------------------------------------------------------- */
 
 /* Coefficients as runs showed them, rounded up (docs/CAPACITY.md). */
 uint64_t scale_model_memory_bytes(const struct scale_model_settings *settings)
 {
-	uint64_t nodes = (uint64_t)settings->routers + (uint64_t)settings->controllers, svc = (uint64_t)settings->servers,
+	uint64_t nodes = (uint64_t)settings->routers + (uint64_t)settings->controllers,
+		 svc = (uint64_t)settings->servers,
 		 rows = svc + 2 * (uint64_t)settings->tenants + 2 * (uint64_t)settings->routes;
 
-	return (32u << 20) + nodes * (200000 + 900 * rows) + (uint64_t)settings->routers * 300 * (uint64_t)settings->cached_blocks + svc * 1000 +
-	       150 * (uint64_t)settings->cached_blocks + (uint64_t)settings->requests_per_second * (uint64_t)(settings->seconds + 4) * 1500 + (uint64_t)settings->cache_events_per_second * 100;
+	return (32u << 20) + nodes * (200000 + 900 * rows) +
+	       (uint64_t)settings->routers * 300 * (uint64_t)settings->cached_blocks + svc * 1000 +
+	       150 * (uint64_t)settings->cached_blocks +
+	       (uint64_t)settings->requests_per_second * (uint64_t)(settings->seconds + 4) * 1500 +
+	       (uint64_t)settings->cache_events_per_second * 100;
 }
 
 const char *scale_model_validate(const struct scale_model_settings *settings, char *buf, size_t n)
@@ -1670,27 +1813,42 @@
 		const char *name;
 		int64_t value, min, max;
 	} in[] = {
-		{ "nodes", settings->routers, 1, 4000 },      { "registrars", settings->controllers, 3, 24 }, { "servers", settings->servers, 1, 20000 },
-		{ "tenants", settings->tenants, 1, 20000 }, { "lanes", settings->routes, 1, 4000 },         { "zones", settings->zones, 0, 200 },
-		{ "seconds", settings->seconds, 1, 3600 },  { "changes", settings->changes, 0, 100000 },   { "restarts", settings->restarts, 0, 10000 },
-		{ "pieces", settings->pieces, 1, 10000 },   { "listed", settings->use_instance_list, 0, 1 },          { "parts", settings->cached_blocks, 0, 1000000000 },
-		{ "rate", settings->requests_per_second, 0, 1000000 },     { "events", settings->cache_events_per_second, 0, 10000000 },
+		{ "nodes", settings->routers, 1, 4000 },
+		{ "registrars", settings->controllers, 3, 24 },
+		{ "servers", settings->servers, 1, 20000 },
+		{ "tenants", settings->tenants, 1, 20000 },
+		{ "lanes", settings->routes, 1, 4000 },
+		{ "zones", settings->zones, 0, 200 },
+		{ "seconds", settings->seconds, 1, 3600 },
+		{ "changes", settings->changes, 0, 100000 },
+		{ "restarts", settings->restarts, 0, 10000 },
+		{ "pieces", settings->pieces, 1, 10000 },
+		{ "listed", settings->use_instance_list, 0, 1 },
+		{ "parts", settings->cached_blocks, 0, 1000000000 },
+		{ "rate", settings->requests_per_second, 0, 1000000 },
+		{ "events", settings->cache_events_per_second, 0, 10000000 },
 	};
-	uint64_t have = settings->memory_bytes ? settings->memory_bytes : (uint64_t)sysconf(_SC_PHYS_PAGES) * (uint64_t)sysconf(_SC_PAGESIZE), need;
+	uint64_t have = settings->memory_bytes
+			    ? settings->memory_bytes
+			    : (uint64_t)sysconf(_SC_PHYS_PAGES) * (uint64_t)sysconf(_SC_PAGESIZE),
+		 need;
 
 	for (size_t i = 0; i < sizeof in / sizeof *in; i++)
 		if (in[i].value < in[i].min || in[i].value > in[i].max) {
-			snprintf(buf, n, "--%s: %lld to %lld", in[i].name, (long long)in[i].min, (long long)in[i].max);
+			snprintf(buf, n, "--%s: %lld to %lld", in[i].name, (long long)in[i].min,
+				 (long long)in[i].max);
 			return buf;
 		}
 	need = scale_model_memory_bytes(settings);
 	if (need > have / 2) {
-		snprintf(buf, n, "such a fleet needs about %llu MB, and half of this machine's memory is %llu MB",
+		snprintf(buf, n,
+			 "such a fleet needs about %llu MB, and half of this machine's memory is %llu MB",
 			 (unsigned long long)(need >> 20), (unsigned long long)(have / 2 >> 20));
 		return buf;
 	}
 	if (settings->cached_blocks / settings->servers > MAX_BLOCKS_PER_SERVER) {
-		snprintf(buf, n, "--parts: at most %d at a server, %lld in all", MAX_BLOCKS_PER_SERVER, (long long)MAX_BLOCKS_PER_SERVER * settings->servers);
+		snprintf(buf, n, "--parts: at most %d at a server, %lld in all", MAX_BLOCKS_PER_SERVER,
+			 (long long)MAX_BLOCKS_PER_SERVER * settings->servers);
 		return buf;
 	}
 	return NULL;
@@ -1705,7 +1863,7 @@
 		return 1;
 	n = strtoll(arg_str->sval[0], &stop, 10);
 	if (*stop || stop == arg_str->sval[0] || n < 0 || n > most) {
-		fprintf(stderr, "rehearsal: hollow: --%s: a whole number\n", arg_str->hdr.longopts);
+		fprintf(stderr, "notchlug-emulator: hollow: --%s: a whole number\n", arg_str->hdr.longopts);
 		return 0;
 	}
 	*v = n;
@@ -1725,10 +1883,12 @@
 		{ "servers", "language servers", &settings.servers, NULL },
 		{ "tenants", "tenants, each with a key", &settings.tenants, NULL },
 		{ "lanes", "lanes, each with a service while there are servers", &settings.routes, NULL },
-		{ "zones", "zones; three are a region; 0: one for 16 counters, 3 to 21", &settings.zones, NULL },
+		{ "zones", "zones; three are a region; 0: one for 16 counters, 3 to 21", &settings.zones,
+		  NULL },
 		{ "parts", "kept parts at all servers together", NULL, &settings.cached_blocks },
 		{ "rate", "exchanges a second", NULL, &settings.requests_per_second },
-		{ "listed", "1: servers from a list, text at the door; 0: the product's own interface", &settings.use_instance_list, NULL },
+		{ "listed", "1: servers from a list, text at the door; 0: the product's own interface",
+		  &settings.use_instance_list, NULL },
 		{ "pieces", "pieces of an answer", &settings.pieces, NULL },
 		{ "events", "kept parts that come and go a second", NULL, &settings.cache_events_per_second },
 		{ "changes", "changes of the table in the window", &settings.changes, NULL },
@@ -1751,8 +1911,8 @@
 	argtable[N] = csv;
 	argtable[N + 1] = stop;
 	if (arg_parse(argc, argv, argtable)) {
-		arg_print_errors(stderr, stop, "rehearsal: hollow");
-		fprintf(stderr, "Usage: rehearsal hollow");
+		arg_print_errors(stderr, stop, "notchlug-emulator: hollow");
+		fprintf(stderr, "Usage: notchlug-emulator hollow");
 		arg_print_syntax(stderr, argtable, "\n");
 		arg_print_glossary(stderr, argtable, "  %-16s %s\n");
 		goto end;
@@ -1768,12 +1928,12 @@
 			*in[i].as_int64 = v;
 	}
 	if ((why = scale_model_validate(&settings, buf, sizeof buf))) {
-		fprintf(stderr, "rehearsal: hollow: %s\n", why);
+		fprintf(stderr, "notchlug-emulator: hollow: %s\n", why);
 		goto end;
 	}
 	rc = 1;
 	if (!scale_model_run(&settings, &result, &why)) {
-		fprintf(stderr, "rehearsal: hollow: %s\n", why);
+		fprintf(stderr, "notchlug-emulator: hollow: %s\n", why);
 		goto end;
 	}
 	scale_model_print(&result, csv->count, stdout);
--- a/rehearsal/server.c
+++ b/emulator/server_emulator.c
@@ -11,8 +11,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "ds.h"
-#include "kit.h"
+#include "containers.h"
+#include "test_fleet.h"
 
 struct copy {
 	char hash[20], weights[64], maker[64];
@@ -34,8 +34,14 @@
 	int slow_link, hang_fetch, liar; /* times slower; ms that a fetch from here hangs; see run_more */
 } sv;
 
-static void lock(void) { apr_thread_mutex_lock(sv.m); }
-static void unlock(void) { apr_thread_mutex_unlock(sv.m); }
+static void lock(void)
+{
+	apr_thread_mutex_lock(sv.m);
+}
+static void unlock(void)
+{
+	apr_thread_mutex_unlock(sv.m);
+}
 
 static struct json_object *record_new(const char *kind)
 {
@@ -118,7 +124,8 @@
 		struct json_object *json = json_object_array_get_idx(list, i), *u;
 		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
 
-		if (!replica || replica->stamp != json_member_int(json, "t") || strcmp(replica->weights, weights))
+		if (!replica || replica->stamp != json_member_int(json, "t") ||
+		    strcmp(replica->weights, weights))
 			break;
 		replica->used = ++sv.used;
 		u = json_object_new_object();
@@ -132,8 +139,8 @@
 	return have;
 }
 
-/* Fetch kept parts from a peer server or the store; what fails, or would take longer than the send allows, is read
- * from the prompt instead. */
+/* Fetch kept parts from a peer server or the store; what fails, or would take longer than the send allows, is
+ * read from the prompt instead. */
 static int fetch(struct json_object *f, const char *weights, struct json_object *used, int have, int *ms)
 {
 	struct json_object *q, *got = NULL, *list;
@@ -145,8 +152,8 @@
 	q = json_object_new_object();
 	json_object_object_add(q, "weights", json_object_new_string(weights));
 	json_object_object_add(q, "parts", json_object_get(json_member(f, "parts")));
-	if (http_call_blocking("POST", json_member_string(f, "from"), "/v1/fetch", NULL, json_object_to_json_string(q), wait < 20 ? 20 : (int)wait,
-		    &body) == 200)
+	if (http_call_blocking("POST", json_member_string(f, "from"), "/v1/fetch", NULL,
+			       json_object_to_json_string(q), wait < 20 ? 20 : (int)wait, &body) == 200)
 		got = json_tokener_parse(body);
 	list = json_member(got, "parts");
 	for (size_t i = 0; list && i < json_object_array_length(list); i++)
@@ -161,12 +168,14 @@
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i), *u = json_object_new_object();
 
-		keep(json_member_string(json, "h"), weights, json_member_string(json, "m"), json_member_int(json, "t"), (int)json_member_int(json, "n"));
+		keep(json_member_string(json, "h"), weights, json_member_string(json, "m"),
+		     json_member_int(json, "t"), (int)json_member_int(json, "n"));
 		json_object_object_add(u, "h", json_object_new_string(json_member_string(json, "h")));
 		json_object_object_add(u, "m", json_object_new_string(json_member_string(json, "m")));
 		json_object_object_add(u, "w", json_object_new_string(json_member_string(json, "w")));
 		json_object_object_add(u, "ct", json_object_new_int64(json_member_int(json, "t")));
-		json_object_object_add(u, "from", json_object_new_int(1)); /* fetched: kept elsewhere till now */
+		json_object_object_add(u, "from",
+				       json_object_new_int(1)); /* fetched: kept elsewhere till now */
 		json_object_array_add(used, u);
 		have++;
 	}
@@ -178,19 +187,29 @@
 	return have;
 }
 
-/* Faults of an answer, from its second piece on: 1 it is marked as another's, 2 a piece is left out, 3 it breaks off,
- * 4 a piece comes twice, 5 it says no more. */
+/* Faults of an answer, from its second piece on: 1 it is marked as another's, 2 a piece is left out, 3 it
+ * breaks off, 4 a piece comes twice, 5 it says no more. */
 static int lie(struct run *run)
 {
 	if (run->next_piece != 1)
 		return 0;
 	switch (sv.liar) {
-	case 1: run->send_id[0] = run->send_id[0] == '0' ? '1' : '0'; return 0;
-	case 2: run->next_piece++; return 0;
-	case 3: return 1;
-	case 4: run->next_piece -= !run->is_repeated++; return 0;
-	case 5: apr_sleep(30 * 1000 * 1000); return 1;
-	default: return 0;
+	case 1:
+		run->send_id[0] = run->send_id[0] == '0' ? '1' : '0';
+		return 0;
+	case 2:
+		run->next_piece++;
+		return 0;
+	case 3:
+		return 1;
+	case 4:
+		run->next_piece -= !run->is_repeated++;
+		return 0;
+	case 5:
+		apr_sleep(30 * 1000 * 1000);
+		return 1;
+	default:
+		return 0;
 	}
 }
 
@@ -208,8 +227,9 @@
 		if (run->next_piece < run->pieces) {
 			if (run->next_piece)
 				apr_sleep(sv.piece_ms * 1000);
-			run->line_length = (size_t)snprintf(run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d@%s\"}\n", run->send_id,
-						  run->next_piece, run->id, run->next_piece, run->send_id);
+			run->line_length = (size_t)snprintf(
+			    run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d@%s\"}\n",
+			    run->send_id, run->next_piece, run->id, run->next_piece, run->send_id);
 			run->next_piece++;
 		} else {
 			struct json_object *json = record_new("end");
@@ -218,11 +238,15 @@
 			json_object_object_add(json, "id", json_object_new_string(run->id));
 			json_object_object_add(json, "n", json_object_new_int(run->pieces));
 			record_put(sv.rec, json);
-			run->line_length = (size_t)snprintf(run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"end\":true", run->send_id, run->next_piece);
+			run->line_length = (size_t)snprintf(run->line, sizeof run->line,
+							    "{\"x\":\"%s\",\"n\":%d,\"end\":true",
+							    run->send_id, run->next_piece);
 			if (run->fetch_ms >= 0)
-				run->line_length += (size_t)snprintf(run->line + run->line_length, sizeof run->line - run->line_length,
-							   ",\"fetch_ms\":%d,\"fetched\":%d", run->fetch_ms, run->fetched);
-			run->line_length += (size_t)snprintf(run->line + run->line_length, sizeof run->line - run->line_length, "}\n");
+				run->line_length += (size_t)snprintf(
+				    run->line + run->line_length, sizeof run->line - run->line_length,
+				    ",\"fetch_ms\":%d,\"fetched\":%d", run->fetch_ms, run->fetched);
+			run->line_length += (size_t)snprintf(run->line + run->line_length,
+							     sizeof run->line - run->line_length, "}\n");
 			run->done = 1;
 		}
 		run->at = 0;
@@ -246,7 +270,8 @@
 
 static enum MHD_Result reply(struct MHD_Connection *connection, unsigned status, const char *body)
 {
-	struct MHD_Response *mhd_response = MHD_create_response_from_buffer(strlen(body), (void *)(uintptr_t)body, MHD_RESPMEM_MUST_COPY);
+	struct MHD_Response *mhd_response =
+	    MHD_create_response_from_buffer(strlen(body), (void *)(uintptr_t)body, MHD_RESPMEM_MUST_COPY);
 	enum MHD_Result rc = MHD_queue_response(connection, status, mhd_response);
 
 	MHD_destroy_response(mhd_response);
@@ -296,10 +321,14 @@
 	unlock();
 	own = have;
 	if (have == (json_member(j, "reuse") ? (int)json_object_array_length(json_member(j, "reuse")) : 0))
-		have = fetch(json_member(j, "fetch"), json_member_string(j, "weights"), used, have, &run->fetch_ms);
+		have = fetch(json_member(j, "fetch"), json_member_string(j, "weights"), used, have,
+			     &run->fetch_ms);
 	run->fetched = have - own;
 	for (int i = 0; i < n; i++) {
-		int t = (int)(strlen(json_member_string(json_object_array_get_idx(parts, (size_t)i), "text")) + 3) / 4;
+		int t =
+		    (int)(strlen(json_member_string(json_object_array_get_idx(parts, (size_t)i), "text")) +
+			  3) /
+		    4;
 
 		tokens += t;
 		fresh += i >= have ? t : 0;
@@ -310,7 +339,8 @@
 	for (int i = have; i < n; i++) {
 		struct json_object *json = json_object_array_get_idx(parts, (size_t)i);
 
-		keep(json_member_string(json, "h"), json_member_string(j, "weights"), json_member_string(j, "tenant"), json_member_int(j, "stamp"),
+		keep(json_member_string(json, "h"), json_member_string(j, "weights"),
+		     json_member_string(j, "tenant"), json_member_int(j, "stamp"),
 		     (int)(strlen(json_member_string(json, "text")) + 3) / 4);
 	}
 	run->pieces = sv.pieces / 2 + (int)(core_hash_string(7, run->id) % (uint64_t)(sv.pieces + 1));
@@ -325,17 +355,23 @@
 		struct json_object *q = json_object_new_object(), *a = json_object_new_array();
 
 		for (int i = have; i < n; i++) {
-			struct json_object *json = json_object_array_get_idx(parts, (size_t)i), *k = json_object_new_object();
+			struct json_object *json = json_object_array_get_idx(parts, (size_t)i),
+					   *k = json_object_new_object();
 
 			json_object_object_add(k, "h", json_object_new_string(json_member_string(json, "h")));
-			json_object_object_add(k, "m", json_object_new_string(json_member_string(j, "tenant")));
-			json_object_object_add(k, "w", json_object_new_string(json_member_string(j, "weights")));
+			json_object_object_add(k, "m",
+					       json_object_new_string(json_member_string(j, "tenant")));
+			json_object_object_add(k, "w",
+					       json_object_new_string(json_member_string(j, "weights")));
 			json_object_object_add(k, "t", json_object_new_int64(json_member_int(j, "stamp")));
-			json_object_object_add(k, "n", json_object_new_int((int)(strlen(json_member_string(json, "text")) + 3) / 4));
+			json_object_object_add(
+			    k, "n",
+			    json_object_new_int((int)(strlen(json_member_string(json, "text")) + 3) / 4));
 			json_object_array_add(a, k);
 		}
 		json_object_object_add(q, "parts", a);
-		http_call_blocking("POST", sv.store, "/v1/keep", NULL, json_object_to_json_string(q), 300, NULL);
+		http_call_blocking("POST", sv.store, "/v1/keep", NULL, json_object_to_json_string(q), 300,
+				   NULL);
 		json_object_put(q);
 	}
 	resp = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 4096, run_more, run, run_free);
@@ -378,7 +414,8 @@
 	json_object_object_add(json, "running", json_object_new_int(sv.running));
 	json_object_object_add(json, "serial", json_object_new_int64((int64_t)sv.serial));
 	json_object_object_add(json, "boot", json_object_new_int64((int64_t)sv.boot));
-	if (!since || !boot || strtoull(since, NULL, 10) != sv.serial || strtoull(boot, NULL, 10) != sv.boot) {
+	if (!since || !boot || strtoull(since, NULL, 10) != sv.serial ||
+	    strtoull(boot, NULL, 10) != sv.boot) {
 		a = json_object_new_array();
 		for (ptrdiff_t i = 0; i < arrlen(sv.kept); i++)
 			json_object_array_add(a, copy_json(&sv.kept[i]));
@@ -394,7 +431,8 @@
 
 static enum MHD_Result on_order(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *json = json_member(j, "drop"), *rec = record_new("order");
+	struct json_object *j = json_tokener_parse(body), *json = json_member(j, "drop"),
+			   *rec = record_new("order");
 	uint64_t fence = (uint64_t)json_member_int(j, "fence");
 	int old;
 
@@ -414,7 +452,8 @@
 		}
 		for (size_t i = 0; json && i < json_object_array_length(json); i++) {
 			struct json_object *e = json_object_array_get_idx(json, i);
-			struct copy *replica = find_row(json_member_string(e, "h"), json_member_string(e, "m"));
+			struct copy *replica =
+			    find_row(json_member_string(e, "h"), json_member_string(e, "m"));
 
 			if (replica && replica->stamp == json_member_int(e, "t")) {
 				sv.held -= replica->tokens;
@@ -430,7 +469,8 @@
 
 static enum MHD_Result on_fetch(struct MHD_Connection *connection, const char *body)
 {
-	struct json_object *j = json_tokener_parse(body), *list = json_member(j, "parts"), *out = json_object_new_object();
+	struct json_object *j = json_tokener_parse(body), *list = json_member(j, "parts"),
+			   *out = json_object_new_object();
 	struct json_object *a = json_object_new_array();
 	enum MHD_Result rc;
 
@@ -441,7 +481,8 @@
 		struct json_object *json = json_object_array_get_idx(list, i);
 		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
 
-		if (!replica || replica->stamp != json_member_int(json, "t") || strcmp(replica->weights, json_member_string(j, "weights")))
+		if (!replica || replica->stamp != json_member_int(json, "t") ||
+		    strcmp(replica->weights, json_member_string(j, "weights")))
 			break;
 		json_object_array_add(a, copy_json(replica));
 	}
@@ -461,7 +502,9 @@
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i);
 
-		keep(json_member_string(json, "h"), json_member_string(json, "w"), json_member_string(json, "m"), json_member_int(json, "t"), (int)json_member_int(json, "n"));
+		keep(json_member_string(json, "h"), json_member_string(json, "w"),
+		     json_member_string(json, "m"), json_member_int(json, "t"),
+		     (int)json_member_int(json, "n"));
 	}
 	unlock();
 	json_object_put(j);
@@ -484,8 +527,8 @@
 	return reply(connection, 200, "{}");
 }
 
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method, const char *version,
-				  const char *data, size_t *n, void **state)
+static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method,
+				  const char *version, const char *data, size_t *n, void **state)
 {
 	char **body = *state;
 
@@ -511,7 +554,8 @@
 					    : reply(c, 404, "{}");
 }
 
-static void on_end(void *arg, struct MHD_Connection *connection, void **state, enum MHD_RequestTerminationCode why)
+static void on_end(void *arg, struct MHD_Connection *connection, void **state,
+		   enum MHD_RequestTerminationCode why)
 {
 	char **body = *state;
 
@@ -539,7 +583,8 @@
 	struct arg_int *link = arg_int0(NULL, "link", "N", "bytes per ms of a fetch"),
 		       *arg_int = arg_int0(NULL, "kv", "N", "bytes kept per token");
 	struct arg_end *end = arg_end(5);
-	void *t[] = { addr, name, weights, store, rec, slots, prefill, piece, pieces, load, cap, link, arg_int, end };
+	void *t[] = { addr,  name,   weights, store, rec,  slots,   prefill,
+		      piece, pieces, load,    cap,   link, arg_int, end };
 	struct json_object *json;
 	struct sockaddr_in sa;
 	struct MHD_Daemon *mhd_daemon;
@@ -549,7 +594,7 @@
 	int sig;
 
 	if (arg_parse(argc, argv, t)) {
-		arg_print_errors(stderr, end, "rehearsal server");
+		arg_print_errors(stderr, end, "notchlug-emulator server");
 		return 2;
 	}
 	apr_pool_create(&pool, NULL);
@@ -581,12 +626,13 @@
 	json = record_new("up");
 	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
 	record_put(sv.rec, json);
-	mhd_daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_request, NULL,
-			     MHD_OPTION_SOCK_ADDR, &sa, MHD_OPTION_NOTIFY_COMPLETED, on_end, NULL, MHD_OPTION_THREAD_STACK_SIZE,
-			     (size_t)256 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_CONNECTION_TIMEOUT, 30u,
-			     MHD_OPTION_END);
+	mhd_daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0,
+				      NULL, NULL, on_request, NULL, MHD_OPTION_SOCK_ADDR, &sa,
+				      MHD_OPTION_NOTIFY_COMPLETED, on_end, NULL, MHD_OPTION_THREAD_STACK_SIZE,
+				      (size_t)256 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+				      MHD_OPTION_CONNECTION_TIMEOUT, 30u, MHD_OPTION_END);
 	if (!mhd_daemon) {
-		fprintf(stderr, "rehearsal server: cannot listen at %s\n", addr->sval[0]);
+		fprintf(stderr, "notchlug-emulator server: cannot listen at %s\n", addr->sval[0]);
 		return 1;
 	}
 	sigwait(&set, &sig);
--- a/rehearsal/stand_soak.c
+++ b/emulator/soak_test.c
@@ -1,12 +1,13 @@
-/* A soak: weights are named in series while troubles of routers, core machines, model servers, the operator's connections
- * and the load come in series of their own, so that several overlap at most moments. What is done, to whom, for how long
- * follows from the seed; only the moments follow the clock. The run's bounds are short, so that several pass within it. */
+/* A soak: weights are named in series while troubles of routers, core machines, model servers, the operator's
+ * connections and the load come in series of their own, so that several overlap at most moments. What is
+ * done, to whom, for how long follows from the seed; only the moments follow the clock. The run's bounds are
+ * short, so that several pass within it. */
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
 
-#include "ds.h"
-#include "stand_run.h"
+#include "containers.h"
+#include "platform_run.h"
 
 enum {
 	SMALL_SOAK_MS = 20000,
@@ -26,8 +27,8 @@
 	CROWDED_CORE = 9,
 	/* troubles */
 	QUIET_SERIES_EVERY = 4, /* a subject has no trouble in one of so many runs */
-	LONG_EVERY = 40,     /* one of so many answers takes seconds */
-	BURST_EVERY = 2,     /* of so many series of namings one is a burst */
+	LONG_EVERY = 40,        /* one of so many answers takes seconds */
+	BURST_EVERY = 2,        /* of so many series of namings one is a burst */
 	BURST_TARGETS_MIN = 9,
 	BURST_TARGETS_EXTRA = 12,
 	TARGET_GAP_MIN_MS = 500,
@@ -55,11 +56,11 @@
 /* Troubles of one subject: in series with gaps, and pauses between the series. */
 struct fault_series {
 	void (*inject)(struct soak_test *soak_test, int kind);
-	int kind_count, max_faults;        /* kinds of trouble; troubles in a series */
-	int64_t max_gap_ms, max_pause_ms;     /* the longest, in ms */
-	int64_t min_pause_ms; /* the shortest pause */
+	int kind_count, max_faults;       /* kinds of trouble; troubles in a series */
+	int64_t max_gap_ms, max_pause_ms; /* the longest, in ms */
+	int64_t min_pause_ms;             /* the shortest pause */
 	uint64_t seed, injected_count;
-	int kind, remaining;           /* the kind that struck last; how many are still to come in the series */
+	int kind, remaining;        /* the kind that struck last; how many are still to come in the series */
 	int64_t gap_ms, next_at_ms; /* ms */
 };
 
@@ -77,7 +78,8 @@
 	struct episode *active_faults; /* stb array */
 	struct replacement replacement;
 	int64_t next_disk_loss_at_ms, next_target_at_ms, target_gap_ms, next_sample_at_ms;
-	int target_version, targets_remaining, fault_count, overlap_count, load_factor; /* burst: so many times the load; 0: none */
+	int target_version, targets_remaining, fault_count, overlap_count,
+	    load_factor; /* burst: so many times the load; 0: none */
 	struct {
 		int pid;
 		long long waited_ns; /* ns on a processor's queue, as the kernel counts them */
@@ -91,12 +93,20 @@
 	return least + (int64_t)(emulator_random(&soak->rng) % (uint64_t)(most - least + 1));
 }
 
-/* What one strike or naming draws depends on its place in its series alone, not on what the clock did to others. */
-static void draw_anew(struct soak_test *soak, uint64_t seed, uint64_t index) { soak->rng = emulator_hash(seed, &index, sizeof index); }
+/* What one strike or naming draws depends on its place in its series alone, not on what the clock did to
+ * others. */
+static void draw_anew(struct soak_test *soak, uint64_t seed, uint64_t index)
+{
+	soak->rng = emulator_hash(seed, &index, sizeof index);
+}
 
-static int one_in(struct soak_test *soak, int64_t n) { return between(soak, 1, n) == 1; }
+static int one_in(struct soak_test *soak, int64_t n)
+{
+	return between(soak, 1, n) == 1;
+}
 
-static void start_fault(struct soak_test *soak, int64_t ms, int (*over)(struct soak_test *, void *), void *subject)
+static void start_fault(struct soak_test *soak, int64_t ms, int (*over)(struct soak_test *, void *),
+			void *subject)
 {
 	struct episode episode = { run_ms(soak->run) + ms, over, subject };
 
@@ -105,7 +115,11 @@
 	soak->overlap_count += arrlen(soak->active_faults) > 1;
 }
 
-static int is_healthy(const struct machine *machine) { return machine->pid && !machine->removed && !machine->is_killed && !machine->draining && !machine->is_frozen; }
+static int is_healthy(const struct machine *machine)
+{
+	return machine->pid && !machine->removed && !machine->is_killed && !machine->draining &&
+	       !machine->is_frozen;
+}
 
 /* One of the machines of a kind that have no trouble now; NULL: there is none. */
 static struct machine *any_healthy(struct soak_test *soak, int core)
@@ -131,7 +145,8 @@
 
 	if (one_in(soak, 2))
 		for (int i = 0; i < soak->run->machine_count; i++)
-			if (is_healthy(&soak->run->machines[i]) && !strcmp(soak->run->machines[i].control_address, leader))
+			if (is_healthy(&soak->run->machines[i]) &&
+			    !strcmp(soak->run->machines[i].control_address, leader))
 				return &soak->run->machines[i];
 	return any_healthy(soak, 1);
 }
@@ -179,7 +194,8 @@
 	start_fault(soak, ms, thaw_machine, machine);
 }
 
-static void for_each_healthy(struct soak_test *soak, int core, void (*what)(struct soak_test *, struct machine *))
+static void for_each_healthy(struct soak_test *soak, int core,
+			     void (*what)(struct soak_test *, struct machine *))
 {
 	for (int i = 0; i < soak->run->machine_count; i++)
 		if (soak->run->machines[i].is_core == core && is_healthy(&soak->run->machines[i]))
@@ -203,7 +219,8 @@
 
 static void inject_router_fault(struct soak_test *soak, int kind)
 {
-	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one };
+	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one,
+									      freeze_one };
 	int many = kind == ROUTERS_STOP ? 1 : (int)between(soak, 1, (soak->run->edges + 2) / 3);
 
 	if (kind == ROUTERS_HUP) {
@@ -285,14 +302,15 @@
 {
 	if (operator_weights_acked(soak->run->operator) < soak->target_version)
 		return; /* one after another */
-	operator_weights(soak->run->operator, ++soak->target_version);
+	operator_weights(soak->run->operator, ++ soak->target_version);
 }
 
 enum { CORE_KILL, CORE_STOP, CORE_FREEZE, CORE_REPLACE, CORE_WIPE, CORE_KILL_ALL, CORE_STOP_ALL, CORE_KINDS };
 
 static void inject_core_fault(struct soak_test *soak, int kind)
 {
-	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one, replace_one, wipe_one };
+	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one,
+									      replace_one, wipe_one };
 	struct machine *machine;
 
 	if (one_in(soak, 2)) { /* while a naming is on its way */
@@ -338,22 +356,45 @@
 	return restart_server(soak, server);
 }
 
-enum { SERVER_SLOW, SERVER_SILENT, SERVER_CRASH, SERVER_REPLACED, SERVER_REFUSES, SERVER_LOADS_SLOWLY, SERVER_KINDS };
+enum {
+	SERVER_SLOW,
+	SERVER_SILENT,
+	SERVER_CRASH,
+	SERVER_REPLACED,
+	SERVER_REFUSES,
+	SERVER_LOADS_SLOWLY,
+	SERVER_KINDS
+};
 
 static void inject_server_fault(struct soak_test *soak, struct server *server, int kind)
 {
-	static const char *const what[] = { "is slow", "is silent", "crashes", "is replaced", "takes no load", "loads slowly" };
+	static const char *const what[] = { "is slow",     "is silent",     "crashes",
+					    "is replaced", "takes no load", "loads slowly" };
 	int64_t ms = between(soak, 500, 2 * soak->run->bounds.version_ms);
 
 	run_log(soak->run, "soak: server %s %s for %lld ms", server->address, what[kind], (long long)ms);
 	switch (kind) {
-	case SERVER_SLOW: server->fault.slow = SLOW_TIMES; break;
-	case SERVER_SILENT: server_set_silent(server, 1); break;
-	case SERVER_REFUSES: server->fault.refuses_loads = 1; break;
-	case SERVER_LOADS_SLOWLY: server->fault.load_slow = LOAD_SLOW_TIMES; break;
-	default: server_crash(server); break;
+	case SERVER_SLOW:
+		server->fault.slow = SLOW_TIMES;
+		break;
+	case SERVER_SILENT:
+		server_set_silent(server, 1);
+		break;
+	case SERVER_REFUSES:
+		server->fault.refuses_loads = 1;
+		break;
+	case SERVER_LOADS_SLOWLY:
+		server->fault.load_slow = LOAD_SLOW_TIMES;
+		break;
+	default:
+		server_crash(server);
+		break;
 	}
-	start_fault(soak, ms, kind == SERVER_CRASH ? restart_server : kind == SERVER_REPLACED ? replace_server : recover_server, server);
+	start_fault(soak, ms,
+		    kind == SERVER_CRASH      ? restart_server
+		    : kind == SERVER_REPLACED ? replace_server
+					      : recover_server,
+		    server);
 }
 
 static void inject_server_faults(struct soak_test *soak, int kind)
@@ -391,8 +432,9 @@
 
 static void inject_other_fault(struct soak_test *soak, int kind)
 {
-	static const enum change changes[] = { CHANGE_SPLIT,    CHANGE_TIMEOUT, CHANGE_ROUTE_ON, CHANGE_PRIORITY,
-					       CHANGE_ATTEMPTS, CHANGE_MOVE,    CHANGE_TENANT,   CHANGE_ROUTE_OFF };
+	static const enum change changes[] = { CHANGE_SPLIT,    CHANGE_TIMEOUT,  CHANGE_ROUTE_ON,
+					       CHANGE_PRIORITY, CHANGE_ATTEMPTS, CHANGE_MOVE,
+					       CHANGE_TENANT,   CHANGE_ROUTE_OFF };
 	struct run *run = soak->run;
 	int64_t ms = between(soak, 500, run->bounds.version_ms);
 	int more = (int)between(soak, 2, 3);
@@ -407,7 +449,8 @@
 		run->rate *= more;
 		start_fault(soak, ms, restore_load, run);
 	} else if (operator_idle(run->operator)) {
-		operator_change(run->operator, changes[between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
+		operator_change(run->operator,
+				changes[between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
 				(int)between(soak, 0, 1));
 	}
 }
@@ -427,7 +470,9 @@
 		series->kind = (int)between(soak, 0, series->kind_count - 1);
 	series->inject(soak, series->kind);
 	series->remaining--;
-	series->next_at_ms = run_ms(soak->run) + (series->remaining ? series->gap_ms : between(soak, series->min_pause_ms, series->max_pause_ms));
+	series->next_at_ms =
+	    run_ms(soak->run) +
+	    (series->remaining ? series->gap_ms : between(soak, series->min_pause_ms, series->max_pause_ms));
 }
 
 static void set_targets(struct soak_test *soak)
@@ -491,7 +536,8 @@
 	soak->next_sample_at_ms = run_ms(run) + SAMPLE_MS;
 	for (int i = 0; i < run->machine_count; i++) {
 		int pid = run->machines[i].pid;
-		long long waited = pid ? waited_ns(pid) : -1, more = (waited - soak->sample[i].waited_ns) / 1000000;
+		long long waited = pid ? waited_ns(pid) : -1,
+			  more = (waited - soak->sample[i].waited_ns) / 1000000;
 
 		if (waited >= 0 && pid == soak->sample[i].pid && more > run->max_wait_ms)
 			run->max_wait_ms = more;
@@ -542,8 +588,11 @@
 
 	for (int i = 0; i < run->machine_count; i++)
 		in_use += run->machines[i].pid != 0;
-	run_log(run, "the soak is over: VersionMs %lld, %d namings, %d troubles, %d of them beside others, %d processes at its end",
-		(long long)run->bounds.version_ms, soak->target_version - 1, soak->fault_count, soak->overlap_count, in_use);
+	run_log(
+	    run,
+	    "the soak is over: VersionMs %lld, %d namings, %d troubles, %d of them beside others, %d processes at its end",
+	    (long long)run->bounds.version_ms, soak->target_version - 1, soak->fault_count,
+	    soak->overlap_count, in_use);
 }
 
 void soak_test(struct run *run)
@@ -551,27 +600,40 @@
 	int64_t start = run_ms(run), bound = run->bounds.version_ms,
 		length = run->length_s ? run->length_s * 1000
 			 : run->small  ? SMALL_SOAK_MS
-				     : SOAK_MS;
-	struct soak_test soak = { .run = run, .rng = emulator_hash(run->seed, "soak", 4), .target_version = 1 };
+				       : SOAK_MS;
+	struct soak_test soak = { .run = run,
+				  .rng = emulator_hash(run->seed, "soak", 4),
+				  .target_version = 1 };
 
 	soak.ends_at_ms = start + length;
-	soak.series[SERIES_ROUTERS] = (struct fault_series){
-		.inject = inject_router_fault, .kind_count = ROUTERS_KINDS, .max_faults = 4, .max_gap_ms = 4000, .max_pause_ms = bound, .min_pause_ms = 200
-	};
-	soak.series[SERIES_CORE] = (struct fault_series){ .inject = inject_core_fault,
-					      .kind_count = CORE_KINDS,
-					      .max_faults = 3,
-					      .max_gap_ms = 2000,
-					      .max_pause_ms = 4 * bound,
-					      .min_pause_ms = bound + 2 * run->bounds.contact_ms };
-	soak.series[SERIES_SERVERS] = (struct fault_series){
-		.inject = inject_server_faults, .kind_count = SERVER_KINDS, .max_faults = 3, .max_gap_ms = 3000, .max_pause_ms = bound, .min_pause_ms = 200
-	};
-	soak.series[SERIES_OTHERS] = (struct fault_series){
-		.inject = inject_other_fault, .kind_count = OTHERS_KINDS, .max_faults = 4, .max_gap_ms = 2000, .max_pause_ms = bound, .min_pause_ms = 200
-	};
+	soak.series[SERIES_ROUTERS] = (struct fault_series){ .inject = inject_router_fault,
+							     .kind_count = ROUTERS_KINDS,
+							     .max_faults = 4,
+							     .max_gap_ms = 4000,
+							     .max_pause_ms = bound,
+							     .min_pause_ms = 200 };
+	soak.series[SERIES_CORE] =
+	    (struct fault_series){ .inject = inject_core_fault,
+				   .kind_count = CORE_KINDS,
+				   .max_faults = 3,
+				   .max_gap_ms = 2000,
+				   .max_pause_ms = 4 * bound,
+				   .min_pause_ms = bound + 2 * run->bounds.contact_ms };
+	soak.series[SERIES_SERVERS] = (struct fault_series){ .inject = inject_server_faults,
+							     .kind_count = SERVER_KINDS,
+							     .max_faults = 3,
+							     .max_gap_ms = 3000,
+							     .max_pause_ms = bound,
+							     .min_pause_ms = 200 };
+	soak.series[SERIES_OTHERS] = (struct fault_series){ .inject = inject_other_fault,
+							    .kind_count = OTHERS_KINDS,
+							    .max_faults = 4,
+							    .max_gap_ms = 2000,
+							    .max_pause_ms = bound,
+							    .min_pause_ms = 200 };
 	for (int i = 0; i < SERIES_COUNT; i++)
-		soak.series[i].next_at_ms = start + (one_in(&soak, QUIET_SERIES_EVERY) ? length : between(&soak, 500, bound));
+		soak.series[i].next_at_ms =
+		    start + (one_in(&soak, QUIET_SERIES_EVERY) ? length : between(&soak, 500, bound));
 	for (int i = 0; i < SERIES_COUNT; i++)
 		soak.series[i].seed = emulator_random(&soak.rng);
 	soak.target_seed = emulator_random(&soak.rng);
@@ -582,7 +644,8 @@
 	go_on(&soak, soak.ends_at_ms, 1);
 	for (int i = 0; i < arrlen(soak.active_faults); i++)
 		soak.active_faults[i].ends_at_ms = soak.ends_at_ms;
-	go_on(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms, 0); /* VERSION is judged on what the troubles left */
+	go_on(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms,
+	      0); /* VERSION is judged on what the troubles left */
 	log_summary(&soak);
 	arrfree(soak.active_faults);
 }
--- a/rehearsal/stand_unread.c
+++ b/emulator/socket_unread.c
@@ -1,5 +1,5 @@
-/* What the process at the other end of a loopback connection has left unread, asked of the kernel by socket diagnosis
- * (sock_diag(7)). It needs no privilege and sees only sockets of this machine. */
+/* What the process at the other end of a loopback connection has left unread, asked of the kernel by socket
+ * diagnosis (sock_diag(7)). It needs no privilege and sees only sockets of this machine. */
 #include <errno.h>
 #include <linux/inet_diag.h>
 #include <linux/netlink.h>
@@ -10,7 +10,7 @@
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 
-#include "stand.h"
+#include "platform_emulator.h"
 
 enum { NOT_KNOWN = -1 };
 
@@ -55,7 +55,8 @@
 {
 	char reply[1024] __attribute__((aligned(8)));
 	const struct nlmsghdr *header = (const struct nlmsghdr *)(const void *)reply;
-	const struct inet_diag_msg *found = (const struct inet_diag_msg *)(const void *)(reply + NLMSG_HDRLEN);
+	const struct inet_diag_msg *found =
+	    (const struct inet_diag_msg *)(const void *)(reply + NLMSG_HDRLEN);
 	ssize_t size;
 
 	if (diag_socket() < 0 || send(diag_socket(), request, sizeof *request, 0) < 0)
@@ -73,8 +74,8 @@
 	struct diag_request request;
 	int on_their_way = 0, queued;
 
-	if (getsockname(fd, (struct sockaddr *)&self, &self_size) || getpeername(fd, (struct sockaddr *)&peer, &peer_size) ||
-	    ioctl(fd, SIOCOUTQ, &on_their_way))
+	if (getsockname(fd, (struct sockaddr *)&self, &self_size) ||
+	    getpeername(fd, (struct sockaddr *)&peer, &peer_size) || ioctl(fd, SIOCOUTQ, &on_their_way))
 		return NOT_KNOWN;
 	request = request_for(&self, &peer);
 	queued = receive_queue(&request);
--- a/rehearsal/kit.c
+++ b/emulator/test_fleet.c
@@ -1,4 +1,4 @@
-#include "kit.h"
+#include "test_fleet.h"
 
 #include <errno.h>
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 
 	record->fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 	if (record->fd < 0) {
-		fprintf(stderr, "rehearsal: record %s: %s\n", path, strerror(errno));
+		fprintf(stderr, "notchlug-emulator: record %s: %s\n", path, strerror(errno));
 		exit(1);
 	}
 	return record;
@@ -36,7 +36,7 @@
 	memcpy(line, s, n);
 	line[n] = '\n';
 	if (write(record->fd, line, n + 1) != (ssize_t)(n + 1)) {
-		fprintf(stderr, "rehearsal: a record could not be written: %s\n", strerror(errno));
+		fprintf(stderr, "notchlug-emulator: a record could not be written: %s\n", strerror(errno));
 		exit(1); /* a run with holes in its records judges nothing */
 	}
 	free(line);
--- a/rehearsal/kit.h
+++ b/emulator/test_fleet.h
@@ -1,14 +1,14 @@
 /* kit: rehearsals of a whole fleet on one machine: stand-ins for servers, store, callers, platform and
  * links, faults, and a checker that judges each "must never happen" from what the stand-ins recorded. */
-#ifndef NL_KIT_H
-#define NL_KIT_H
+#ifndef NL_TEST_FLEET_H
+#define NL_TEST_FLEET_H
 
 #include <json-c/json.h>
 #include <stdint.h>
 #include <stdio.h>
 
 #include "shell.h"
-#include "tool.h"
+#include "cli_support.h"
 
 /* ---- records: one JSON object a line ---- */
 struct record;
@@ -27,8 +27,8 @@
 	int router_count;
 	const char *const *route_names;
 	int route_count;
-	int tenant_count; /* keys are key-0 ... */
-	int requests_per_second;    /* exchanges a second, all together */
+	int tenant_count;        /* keys are key-0 ... */
+	int requests_per_second; /* exchanges a second, all together */
 	int thread_count;
 	int limit_ms;
 	int block_tokens;
