--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "controller_private.h"
 
 enum { BOOTSTRAP_RETRY_MS = 1000 };
@@ -12,12 +12,14 @@
 static int is_empty(const struct controller *controller)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (controller->shards[i].term || controller->shards[i].member_count || controller->shards[i].base_index)
+		if (controller->shards[i].term || controller->shards[i].member_count ||
+		    controller->shards[i].base_index)
 			return 0;
 	return !controller->fleet;
 }
 
-static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members, int64_t now, struct command_list *out)
+static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members,
+			   int64_t now, struct command_list *out)
 {
 	struct raft_member member[RAFT_MAX_MEMBERS];
 	int member_count = 0, is_member = 0;
@@ -36,10 +38,13 @@
 	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_bootstrap(&controller->shards[i], member, member_count, now, out);
-	log_line(controller, "found", out->pool, "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet, member_count);
+	log_line(controller, "found", out->pool,
+		 "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet,
+		 member_count);
 }
 
-void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out)
 {
 	const struct Nl__Bootstrap *q = message->bootstrap;
 	struct Nl__Bootstrap *found;
@@ -54,7 +59,9 @@
 		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
 		return;
 	}
-	for (int i = 0; i < controller->seed_count && (controller->bootstrap.call_token || controller->bootstrap.by_settings); i++)
+	for (int i = 0; i < controller->seed_count &&
+			(controller->bootstrap.call_token || controller->bootstrap.by_settings);
+	     i++)
 		if (controller->seeds[i] == message->addr) {
 			controller->bootstrap.id[i] = message->id;
 			controller->bootstrap.is_empty[i] = q->is_empty;
@@ -70,16 +77,20 @@
 	controller->bootstrap.deadline_at_ms = now + 10000;
 }
 
-void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
+		     struct command_list *out)
 {
-	const char *why = controller->fleet ? "found: this registrar belongs to a fleet" : controller->seed_count ? NULL : "found: no seeds are set";
+	const char *why = controller->fleet        ? "found: this registrar belongs to a fleet"
+			  : controller->seed_count ? NULL
+						   : "found: no seeds are set";
 
 	if (why) { /* so it is for good, whatever others do */
 		command_answer(out, event->payload.api_call.token, 409, 0, error_json(out->pool, why, 0));
 		return;
 	}
 	if (controller->bootstrap.call_token || controller->bootstrap.by_settings) {
-		command_answer(out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS, error_json(out->pool, "found: already under way", 0));
+		command_answer(out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS,
+			       error_json(out->pool, "found: already under way", 0));
 		return;
 	}
 	bootstrap_begin(controller, now);
@@ -88,31 +99,45 @@
 
 void controller_bootstrap(struct controller *controller, int64_t now)
 {
-	if (controller->bootstrap.call_token || controller->bootstrap.by_settings || !controller->seed_count || !is_empty(controller))
+	if (controller->bootstrap.call_token || controller->bootstrap.by_settings ||
+	    !controller->seed_count || !is_empty(controller))
 		return;
 	bootstrap_begin(controller, now);
 	controller->bootstrap.by_settings = 1;
-	controller->bootstrap.deadline_at_ms = now + 30000; /* by then its seeds have answered, or were replaced */
+	controller->bootstrap.deadline_at_ms =
+	    now + 30000; /* by then its seeds have answered, or were replaced */
 }
 
-static void bootstrap_end(struct controller *controller, int status, const char *body, struct command_list *out)
+static void bootstrap_end(struct controller *controller, int status, const char *body,
+			  struct command_list *out)
 {
 	if (controller->bootstrap.call_token)
-		command_answer(out, controller->bootstrap.call_token, status, status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
+		command_answer(out, controller->bootstrap.call_token, status,
+			       status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
 	controller->bootstrap.call_token = 0;
 	controller->bootstrap.by_settings = 0;
 }
 
-/* Definite is only a seed's word that it belongs to a fleet. Once the members were named, some may have taken them. */
+/* Definite is only a seed's word that it belongs to a fleet. Once the members were named, some may have taken
+ * them. */
 static void bootstrap_fail(struct controller *controller, int all_answered, struct command_list *out)
 {
 	if (controller->bootstrap.members)
-		bootstrap_end(controller, 504, error_json(out->pool, "found: not every seed answers, and some may have begun: ask again", 0), out);
+		bootstrap_end(controller, 504,
+			      error_json(out->pool,
+					 "found: not every seed answers, and some may have begun: ask again",
+					 0),
+			      out);
 	else if (!all_answered)
-		bootstrap_end(controller, 503, error_json(out->pool, "found: not every seed answers; nothing was founded", 0), out);
+		bootstrap_end(controller, 503,
+			      error_json(out->pool, "found: not every seed answers; nothing was founded", 0),
+			      out);
 	else
-		bootstrap_end(controller, 409,
-			      error_json(out->pool, "found: a seed already belongs to a fleet; start the others and they join", 0), out);
+		bootstrap_end(
+		    controller, 409,
+		    error_json(out->pool,
+			       "found: a seed already belongs to a fleet; start the others and they join", 0),
+		    out);
 }
 
 void bootstrap_stop(struct controller *controller, struct command_list *out)
@@ -122,7 +147,8 @@
 	if (!controller->bootstrap.call_token)
 		return;
 	bootstrap_fail(controller, 0, out);
-	controller->bootstrap.by_settings = may_have_started; /* seeds that have begun are still told of the others */
+	controller->bootstrap.by_settings =
+	    may_have_started; /* seeds that have begun are still told of the others */
 }
 
 void bootstrap_tick(struct controller *controller, int64_t now, struct command_list *out)
@@ -131,20 +157,30 @@
 
 	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
 		return;
-	if (now < controller->bootstrap.retry_at_ms && !(controller->bootstrap.by_settings && controller->fleet && !controller->bootstrap.members))
+	if (now < controller->bootstrap.retry_at_ms &&
+	    !(controller->bootstrap.by_settings && controller->fleet && !controller->bootstrap.members))
 		return;
 	controller->bootstrap.retry_at_ms = now + 200;
 	for (int i = 0; i < controller->seed_count; i++) {
 		answered_count += controller->bootstrap.id[i] != 0;
-		empty_count += controller->bootstrap.id[i] && controller->bootstrap.is_empty[i] && !controller->bootstrap.fleet[i];
-		started_count += controller->bootstrap.fleet[i] && controller->bootstrap.fleet[i] == controller->bootstrap.proposed_fleet;
+		empty_count += controller->bootstrap.id[i] && controller->bootstrap.is_empty[i] &&
+			       !controller->bootstrap.fleet[i];
+		started_count += controller->bootstrap.fleet[i] &&
+				 controller->bootstrap.fleet[i] == controller->bootstrap.proposed_fleet;
 	}
 	if (controller->seed_count && started_count == controller->seed_count) {
-		bootstrap_end(controller, 200, apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}", controller->fleet), out);
+		bootstrap_end(controller, 200,
+			      apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}",
+					   controller->fleet),
+			      out);
 		return;
 	}
-	if (controller->bootstrap.by_settings ? (!controller->bootstrap.members && (empty_count < answered_count || controller->fleet)) || (controller->fleet && now > controller->bootstrap.deadline_at_ms)
-			 : now > controller->bootstrap.deadline_at_ms || (!controller->bootstrap.members && answered_count == controller->seed_count && empty_count < answered_count)) {
+	if (controller->bootstrap.by_settings
+		? (!controller->bootstrap.members && (empty_count < answered_count || controller->fleet)) ||
+		      (controller->fleet && now > controller->bootstrap.deadline_at_ms)
+		: now > controller->bootstrap.deadline_at_ms ||
+		      (!controller->bootstrap.members && answered_count == controller->seed_count &&
+		       empty_count < answered_count)) {
 		bootstrap_fail(controller, answered_count == controller->seed_count, out);
 		return;
 	}
@@ -154,7 +190,8 @@
 			abort();
 		nl__members__init(controller->bootstrap.members);
 		controller->bootstrap.proposed_fleet = core_random(&controller->rng) | 1;
-		controller->bootstrap.members->members = calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->members);
+		controller->bootstrap.members->members =
+		    calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->members);
 		for (int i = 0; i < controller->seed_count; i++) {
 			struct Nl__Member *member = malloc(sizeof *member);
 
@@ -164,7 +201,8 @@
 			member->id = controller->bootstrap.id[i];
 			member->addr = controller->seeds[i];
 			member->voter = 1;
-			controller->bootstrap.members->members[controller->bootstrap.members->n_members++] = member;
+			controller->bootstrap.members->members[controller->bootstrap.members->n_members++] =
+			    member;
 		}
 	}
 	for (int i = 0; i < controller->seed_count; i++) {
@@ -173,7 +211,8 @@
 		found->is_query = 1;
 		if (controller->bootstrap.members) {
 			found->fleet_id = controller->bootstrap.proposed_fleet;
-			found->members = (struct Nl__Members *)core_copy_message(out->pool, &controller->bootstrap.members->base);
+			found->members = (struct Nl__Members *)core_copy_message(
+			    out->pool, &controller->bootstrap.members->base);
 		}
 		command_send(out, controller->seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
 	}
--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -93,7 +93,9 @@
 	if (apr_strtok(NULL, " ", &save))
 		return "words after the time zone";
 	memcpy(s->zone, word, strlen(word) + 1);
-	return is_known_zone(s->zone) ? NULL : pool ? apr_psprintf(pool, "no time zone %s", s->zone) : "no such time zone";
+	return is_known_zone(s->zone) ? NULL
+	       : pool                 ? apr_psprintf(pool, "no time zone %s", s->zone)
+				      : "no such time zone";
 }
 
 static int64_t next(const char *text, int64_t from)
@@ -120,7 +122,8 @@
 	for (int i = 0; i < DAYS && !due && U_SUCCESS(st); i++) {
 		ucal_clear(c); /* noon is in every day, whatever its clock change */
 		ucal_setDateTime(c, y, m, d + i, 12, 0, 0, &st);
-		if (!(s.weekdays & 1 << (ucal_get(c, UCAL_DAY_OF_WEEK, &st) - 1)) || (s.day_of_month && ucal_get(c, UCAL_DATE, &st) != s.day_of_month) ||
+		if (!(s.weekdays & 1 << (ucal_get(c, UCAL_DAY_OF_WEEK, &st) - 1)) ||
+		    (s.day_of_month && ucal_get(c, UCAL_DATE, &st) != s.day_of_month) ||
 		    (s.month && ucal_get(c, UCAL_MONTH, &st) + 1 != s.month))
 			continue;
 		ucal_clear(c);
--- a/lib/control/calendar.h
+++ b/lib/control/calendar.h
@@ -1,6 +1,7 @@
 /* calendar: schedules in calendar terms with a time zone, by ICU. Pure: times come and go as ms since 1970.
  *   daily HH:MM ZONE        mon,thu HH:MM ZONE        monthly DAY HH:MM ZONE        yearly MM-DD HH:MM ZONE
- * A time that a clock change leaves out comes when the clock goes on after it; one that comes twice counts once. */
+ * A time that a clock change leaves out comes when the clock goes on after it; one that comes twice counts
+ * once. */
 #ifndef NL_CALENDAR_H
 #define NL_CALENDAR_H
 
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "config_sync.h"
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
 
@@ -23,19 +23,22 @@
 
 	if (leads_shard(controller, SHARD_CONTROL, now))
 		return HANDLE_ANSWER;
-	if (group->role == RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
+	if (group->role ==
+	    RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
 		return controller->leader_term[SHARD_CONTROL] == group->term ? HANDLE_ANSWER : HANDLE_DEFER;
 	if (!controller->stopping)
 		return HANDLE_ANSWER;
 	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
 
-static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now, struct command_list *out)
+static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now,
+			    struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_SEND);
 
 	command->args.send.addr = known_leader(r, now);
-	command->args.send.msg = (struct Nl__Msg *)core_copy_message(out->pool, &m->base); /* with the asker's address: it is answered there */
+	command->args.send.msg = (struct Nl__Msg *)core_copy_message(
+	    out->pool, &m->base); /* with the asker's address: it is answered there */
 }
 
 static void defer_request(struct controller *controller, const struct Nl__Msg *m, int64_t now)
@@ -54,23 +57,31 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->deferred_requests); i++)
 		if (controller->deferred_requests[i].request->id == m->id) {
 			nl__msg__free_unpacked(controller->deferred_requests[i].request, NULL);
-			controller->deferred_requests[i].request = deferred.request; /* by when the first was to be answered stays */
+			controller->deferred_requests[i].request =
+			    deferred.request; /* by when the first was to be answered stays */
 			return;
 		}
 	arrput(controller->deferred_requests, deferred);
 }
 
-int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			      struct command_list *out)
 {
 	switch (handling_now(controller, now)) {
-	case HANDLE_DEFER: defer_request(controller, message, now); return 1;
-	case HANDLE_FORWARD: forward_request(controller, message, now, out); return 1;
-	default: return 0;
+	case HANDLE_DEFER:
+		defer_request(controller, message, now);
+		return 1;
+	case HANDLE_FORWARD:
+		forward_request(controller, message, now, out);
+		return 1;
+	default:
+		return 0;
 	}
 }
 
 /* Everybody who asked lately learns whom to ask from now on. */
-static void announce_successor(struct controller *controller, uint64_t successor, int64_t now, struct command_list *out)
+static void announce_successor(struct controller *controller, uint64_t successor, int64_t now,
+			       struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
 		struct Nl__LeaderHint *hint;
@@ -79,7 +90,8 @@
 			continue;
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 		hint->leader_id = successor;
-		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
+		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)
+		    ->leader_hint = hint;
 	}
 	arrsetlen(controller->node_statuses, 0);
 }
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -2,15 +2,16 @@
 
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "group_clock.h"
 #include "leadership.h"
 #include "membership.h"
 #include "quota_shares.h"
 #include "controller_private.h"
 
-/* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes before one that has just
- * begun, which knows nothing yet that it could pass on; among those that are alike rendezvous ranks them. */
+/* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
+ * before one that has just begun, which knows nothing yet that it could pass on; among those that are alike
+ * rendezvous ranks them. */
 static int is_upstream(const struct controller_node_status *s, const struct controller_node_status *node)
 {
 	if (s->is_warm != node->is_warm)
@@ -19,7 +20,8 @@
 }
 
 /* The head of each zone but one's own: the router that is upstream of all others heard lately. */
-static void add_zone_heads(const struct controller *controller, uint64_t zone, struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
+static void add_zone_heads(const struct controller *controller, uint64_t zone,
+			   struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	const struct controller_node_status **heads = NULL;
 
@@ -27,7 +29,8 @@
 		const struct controller_node_status *node = &controller->node_statuses[i];
 		ptrdiff_t k = 0;
 
-		if (!node->is_router || node->zone == zone || now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2)
+		if (!node->is_router || node->zone == zone ||
+		    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2)
 			continue;
 		while (k < arrlen(heads) && heads[k]->zone != node->zone)
 			k++;
@@ -43,8 +46,8 @@
 }
 
 /* The best two of the routers upstream of this one in its zone. */
-static void add_upstream(const struct controller *controller, const struct controller_node_status *me, struct Nl__ConfigSyncReply *reply, int64_t now,
-			 struct command_list *out)
+static void add_upstream(const struct controller *controller, const struct controller_node_status *me,
+			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	enum { MAX_UPSTREAM = 2 };
 
@@ -55,7 +58,9 @@
 		for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
 			const struct controller_node_status *node = &controller->node_statuses[i];
 
-			if (!node->is_router || node->zone != me->zone || now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 || !is_upstream(node, me))
+			if (!node->is_router || node->zone != me->zone ||
+			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
+			    !is_upstream(node, me))
 				continue;
 			if (reply->n_upstreams && node->addr == reply->upstreams[0])
 				continue;
@@ -67,11 +72,14 @@
 	}
 }
 
-static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
+static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply,
+			    int64_t now, struct command_list *out)
 {
-	reply->controllers = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) * sizeof *reply->controllers);
+	reply->controllers = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) *
+						       sizeof *reply->controllers);
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (!controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < live_window_ms(controller)) {
+		if (!controller->node_statuses[i].is_router &&
+		    now - controller->node_statuses[i].observed_at_ms < live_window_ms(controller)) {
 			struct Nl__Member *member = MESSAGE_NEW(out, Nl__Member, NL__MEMBER__INIT);
 
 			member->id = controller->node_statuses[i].id;
@@ -80,12 +88,14 @@
 		}
 }
 
-/* Keep what a node says of itself, and forget who has been silent for long. 1 when a later request of its was here before: what
- * this one says of places no longer holds. */
-static int update_node_status(struct controller *controller, const struct controller_node_status *node, int64_t now)
+/* Keep what a node says of itself, and forget who has been silent for long. 1 when a later request of its was
+ * here before: what this one says of places no longer holds. */
+static int update_node_status(struct controller *controller, const struct controller_node_status *node,
+			      int64_t now)
 {
 	for (ptrdiff_t i = arrlen(controller->node_statuses) - 1; i >= 0; i--)
-		if (controller->node_statuses[i].id != node->id && now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
+		if (controller->node_statuses[i].id != node->id &&
+		    now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
 			arrdelswap(controller->node_statuses, i);
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
 		struct controller_node_status *known = &controller->node_statuses[i];
@@ -103,15 +113,27 @@
 	return 0;
 }
 
-void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
 {
 	const struct Nl__ConfigSync *sync = message->config_sync;
-	struct Nl__ConfigSyncReply *reply = MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
-	struct controller_node_status node = { message->id,    message->addr, core_hash_string(0, sync->zone), now, sync->is_router, sync->warmed_up, sync->have_revision, sync->horizon,
-				      sync->token, sync->wall_clock_ms, sync->load_permille };
+	struct Nl__ConfigSyncReply *reply =
+	    MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+	struct controller_node_status node = { message->id,
+					       message->addr,
+					       core_hash_string(0, sync->zone),
+					       now,
+					       sync->is_router,
+					       sync->warmed_up,
+					       sync->have_revision,
+					       sync->horizon,
+					       sync->token,
+					       sync->wall_clock_ms,
+					       sync->load_permille };
 	int is_late;
 
-	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply = reply;
+	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply =
+	    reply;
 	reply->token = sync->token;
 	reply->fleet_id = controller->fleet;
 	reply->has_lease = leads_shard(controller, SHARD_CONTROL, now);
@@ -129,7 +151,9 @@
 	if (sync->is_router)
 		add_upstream(controller, &node, reply, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		reply->router_count += controller->node_statuses[i].is_router && now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+		reply->router_count +=
+		    controller->node_statuses[i].is_router &&
+		    now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
 	if (sync->is_router && !reply->n_upstreams)
 		add_zone_heads(controller, node.zone, reply, now, out);
 	if (!is_late)
--- a/lib/control/sheet.c
+++ b/lib/control/config_text.c
@@ -1,16 +1,17 @@
-#include "sheet.h"
+#include "config_text.h"
 
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const columns[] = { "kind",       "name",       "service",   "tenant",     "prio",    "share", "limit",
-				       "walled",     "weights",    "prefill",   "kv_bytes",   "link",    "store", "addr",
-				       "zone",       "state",      "host",      "path",       "split",   "aim",   "pause",
-				       "timeout",    "attempts",   "resumable", "repeatable", "vouched", "open",  "model",
-				       "slots",      "conns",      "watches",   "room",       "health",  "rank",  "rolled",
-				       "head_bytes", "body_bytes", "head_ms",   "idle_ms",    "keep",    "every", "at",
-				       "window" };
+static const char *const columns[] = {
+	"kind",       "name",    "service",  "tenant",     "prio",       "share",   "limit",    "walled",
+	"weights",    "prefill", "kv_bytes", "link",       "store",      "addr",    "zone",     "state",
+	"host",       "path",    "split",    "aim",        "pause",      "timeout", "attempts", "resumable",
+	"repeatable", "vouched", "open",     "model",      "slots",      "conns",   "watches",  "room",
+	"health",     "rank",    "rolled",   "head_bytes", "body_bytes", "head_ms", "idle_ms",  "keep",
+	"every",      "at",      "window"
+};
 enum { COLUMN_COUNT = sizeof columns / sizeof *columns };
 
 static const char *member_text(struct json_object *json, const char *name)
@@ -20,7 +21,10 @@
 	return json_object_object_get_ex(json, name, &v) ? json_object_get_string(v) : "";
 }
 
-static int is_operator_kind_name(const char *kind) { return strcmp(kind, "key") && strcmp(kind, "registrar"); }
+static int is_operator_kind_name(const char *kind)
+{
+	return strcmp(kind, "key") && strcmp(kind, "registrar");
+}
 
 static struct json_object *rows_of(struct json_object *json)
 {
@@ -47,10 +51,12 @@
 	for (size_t i = 0; i < row_count; i++) {
 		struct json_object *json = json_object_array_get_idx(rows, i);
 
-		if (kind ? strcmp(member_text(json, "kind"), kind) : !is_operator_kind_name(member_text(json, "kind")))
+		if (kind ? strcmp(member_text(json, "kind"), kind)
+			 : !is_operator_kind_name(member_text(json, "kind")))
 			continue;
 		for (int c = 0; c < COLUMN_COUNT; c++)
-			used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "", member_text(json, columns[c]));
+			used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "",
+						     member_text(json, columns[c]));
 		used += (size_t)apr_snprintf(out + used, capacity - used, "\n");
 	}
 	return out;
@@ -58,10 +64,13 @@
 
 struct json_object *config_text_cell(const char *column, const char *text)
 {
-	static const char *const integer_columns[] = { "prio", "share", "limit",      "prefill",    "kv_bytes", "link",    "store",
-					    "aim",  "pause", "timeout",    "attempts",   "slots",    "conns",   "watches",
-					    "room", "rank",  "head_bytes", "body_bytes", "head_ms",  "idle_ms", "window" };
-	static const char *const boolean_columns[] = { "walled", "resumable", "repeatable", "vouched", "open" };
+	static const char *const integer_columns[] = {
+		"prio", "share", "limit",      "prefill",    "kv_bytes", "link",    "store",
+		"aim",  "pause", "timeout",    "attempts",   "slots",    "conns",   "watches",
+		"room", "rank",  "head_bytes", "body_bytes", "head_ms",  "idle_ms", "window"
+	};
+	static const char *const boolean_columns[] = { "walled", "resumable", "repeatable", "vouched",
+						       "open" };
 	char *end;
 	long long number = strtoll(text, &end, 10);
 
@@ -90,7 +99,8 @@
 		if (length && line[length - 1] == '\r')
 			line[length - 1] = 0;
 		if (!strncmp(line, "# edition ", 10)) {
-			json_object_object_add(json, "edition", json_object_new_int64(strtoll(line + 10, NULL, 10)));
+			json_object_object_add(json, "edition",
+					       json_object_new_int64(strtoll(line + 10, NULL, 10)));
 			continue;
 		}
 		if (!line[0] || line[0] == '#')
@@ -105,7 +115,8 @@
 					if (!strcmp(columns[k], c))
 						header[header_count] = columns[k];
 				if (!header[header_count]) {
-					*why = apr_psprintf(pool, "line %d: column %s: unknown", line_number, c);
+					*why =
+					    apr_psprintf(pool, "line %d: column %s: unknown", line_number, c);
 					goto bad;
 				}
 				c = tab;
@@ -141,7 +152,8 @@
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
 		struct json_object *json = json_object_array_get_idx(rows, i);
 
-		if (!strcmp(member_text(json, "kind"), member_text(like, "kind")) && !strcmp(member_text(json, "name"), member_text(like, "name")))
+		if (!strcmp(member_text(json, "kind"), member_text(like, "kind")) &&
+		    !strcmp(member_text(json, "name"), member_text(like, "name")))
 			return json;
 	}
 	return NULL;
@@ -166,10 +178,12 @@
 
 struct json_object *config_text_diff(struct json_object *table, struct json_object *text_rows)
 {
-	struct json_object *old = rows_of(table), *rows = rows_of(text_rows), *j = json_object_new_object(), *e;
+	struct json_object *old = rows_of(table), *rows = rows_of(text_rows), *j = json_object_new_object(),
+			   *e;
 	struct json_object *set = json_object_new_array(), *del = json_object_new_array();
 
-	if (json_object_object_get_ex(text_rows, "edition", &e) || json_object_object_get_ex(table, "edition", &e))
+	if (json_object_object_get_ex(text_rows, "edition", &e) ||
+	    json_object_object_get_ex(table, "edition", &e))
 		json_object_object_add(j, "expect", json_object_get(e));
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
 		struct json_object *r = json_object_array_get_idx(rows, i), *was = find_row(old, r);
@@ -180,7 +194,8 @@
 	for (size_t i = 0; old && i < json_object_array_length(old); i++) {
 		struct json_object *r = json_object_array_get_idx(old, i), *json;
 
-		if (!is_operator_kind_name(member_text(r, "kind")) || !has_kind(rows, member_text(r, "kind")) || find_row(rows, r))
+		if (!is_operator_kind_name(member_text(r, "kind")) ||
+		    !has_kind(rows, member_text(r, "kind")) || find_row(rows, r))
 			continue;
 		json = json_object_new_object();
 		json_object_object_add(json, "kind", json_object_new_string(member_text(r, "kind")));
--- a/lib/control/sheet.h
+++ b/lib/control/config_text.h
@@ -1,7 +1,7 @@
 /* sheet: the table as tab-separated lines, one row a line, one column a field, as spreadsheets read them.
  * The first line names the edition: "# edition 7". Empty cells are those a kind does not have. */
-#ifndef NL_SHEET_H
-#define NL_SHEET_H
+#ifndef NL_CONFIG_TEXT_H
+#define NL_CONFIG_TEXT_H
 
 #include <json-c/json.h>
 
@@ -18,8 +18,8 @@
 /* A cell's text as the JSON value its column has. Example: sheet_cell("limit", "5") */
 struct json_object *config_text_cell(const char *column, const char *text);
 
-/* What turns the table into the sheet: {"expect":..,"set":[..],"del":[..]}. Rows of kinds that the sheet does not
- * have at all stay. Example: change = sheet_diff(table, sheet); */
+/* What turns the table into the sheet: {"expect":..,"set":[..],"del":[..]}. Rows of kinds that the sheet does
+ * not have at all stay. Example: change = sheet_diff(table, sheet); */
 struct json_object *config_text_diff(struct json_object *table, struct json_object *text_rows);
 
 #endif
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -3,9 +3,10 @@
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
-void config_watch_open(struct config_watch *watch, uint64_t node_id, const uint64_t *seeds, int seed_count, int64_t now)
+void config_watch_open(struct config_watch *watch, uint64_t node_id, const uint64_t *seeds, int seed_count,
+		       int64_t now)
 {
 	memset(watch, 0, sizeof *watch);
 	config_table_open(&watch->table);
@@ -42,7 +43,8 @@
 			watch->candidates[watch->candidate_count++] = old[i];
 	}
 	for (int i = 0; i < SHARD_COUNT; i++)
-		watch->next_candidate[i] = watch->candidate_count ? watch->next_candidate[i] % watch->candidate_count : 0;
+		watch->next_candidate[i] =
+		    watch->candidate_count ? watch->next_candidate[i] % watch->candidate_count : 0;
 }
 
 void config_watch_close(struct config_watch *watch)
@@ -53,7 +55,8 @@
 	arrfree(watch->cache_remainders);
 }
 
-typeof(((struct config_watch_quota *)0)->value) *config_watch_quota(struct config_watch *watch, const char *name)
+typeof(((struct config_watch_quota *)0)->value) *config_watch_quota(struct config_watch *watch,
+								    const char *name)
 {
 	if (shgeti(watch->quotas, name) < 0)
 		shput(watch->quotas, name, ((typeof(watch->quotas->value)){ 0, 0, 0 }));
@@ -62,11 +65,13 @@
 
 static void add_quotas(struct config_watch *watch, struct Nl__ConfigSync *sync, struct command_list *out)
 {
-	sync->quota_grants = apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->quota_grants);
+	sync->quota_grants =
+	    apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->quota_grants);
 	for (ptrdiff_t i = shlen(watch->quotas) - 1; i >= 0; i--) {
 		struct Nl__QuotaGrant *hold;
 
-		if (!watch->quotas[i].value.reserved && !watch->quotas[i].value.used && !watch->quotas[i].value.requested) {
+		if (!watch->quotas[i].value.reserved && !watch->quotas[i].value.used &&
+		    !watch->quotas[i].value.requested) {
 			(void)shdel(watch->quotas, watch->quotas[i].key);
 			continue;
 		}
@@ -87,26 +92,32 @@
 		return;
 	watch->applied_token = reply->token;
 	for (size_t i = 0; i < reply->n_quota_grants; i++)
-		config_watch_quota(watch, reply->quota_grants[i]->name)->reserved = reply->quota_grants[i]->reserved_slots;
+		config_watch_quota(watch, reply->quota_grants[i]->name)->reserved =
+		    reply->quota_grants[i]->reserved_slots;
 }
 
-/* The leader's clock was at most what the answer says when it was asked for, and has reached that when it comes. Of one leader's
- * answers the quickest tells best; one that shows the reckoning to be behind, as the two clocks drift, begins it anew. */
-static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, int64_t requested_at_ms, int64_t now)
+/* The leader's clock was at most what the answer says when it was asked for, and has reached that when it
+ * comes. Of one leader's answers the quickest tells best; one that shows the reckoning to be behind, as the
+ * two clocks drift, begins it anew. */
+static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
+			int64_t requested_at_ms, int64_t now)
 {
-	int64_t offset_ms = (int64_t)reply->group_clock_ms - requested_at_ms, reached_offset_ms = (int64_t)reply->group_clock_ms - now;
+	int64_t offset_ms = (int64_t)reply->group_clock_ms - requested_at_ms,
+		reached_offset_ms = (int64_t)reply->group_clock_ms - now;
 
 	if (!reply->group_clock_ms || !reply->clock_term)
 		return;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 		if (watch->group_clock[i].term == reply->clock_term) {
-			if (offset_ms < watch->group_clock[i].offset_ms || reached_offset_ms > watch->group_clock[i].offset_ms)
+			if (offset_ms < watch->group_clock[i].offset_ms ||
+			    reached_offset_ms > watch->group_clock[i].offset_ms)
 				watch->group_clock[i].offset_ms = offset_ms;
 			return;
 		}
 	if (reply->clock_term < watch->group_clock[0].term)
 		return; /* of a leader that has been followed by another since */
-	memmove(&watch->group_clock[1], &watch->group_clock[0], (CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
+	memmove(&watch->group_clock[1], &watch->group_clock[0],
+		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
 	watch->group_clock[0].term = reply->clock_term;
 	watch->group_clock[0].offset_ms = offset_ms;
 }
@@ -123,13 +134,19 @@
 	return now + watch->group_clock[known].offset_ms;
 }
 
-int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now) { return now - watch->fetched_at_ms; }
+int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now)
+{
+	return now - watch->fetched_at_ms;
+}
 
 uint64_t config_watch_leader_addr(struct config_watch *watch, uint32_t shard)
 {
 	if (shard >= SHARD_COUNT)
 		return 0;
-	return watch->leader_addr[shard] ? watch->leader_addr[shard] : watch->candidate_count ? watch->candidates[watch->next_candidate[shard] % watch->candidate_count] : 0;
+	return watch->leader_addr[shard] ? watch->leader_addr[shard]
+	       : watch->candidate_count
+		   ? watch->candidates[watch->next_candidate[shard] % watch->candidate_count]
+		   : 0;
 }
 
 void config_watch_miss(struct config_watch *watch, uint32_t shard)
@@ -140,7 +157,8 @@
 
 uint64_t config_watch_publisher_addr(struct config_watch *watch, int64_t progressed_at_ms, int64_t now)
 {
-	if (now - progressed_at_ms > 2 * CONFIG_WATCH_PUBLISHER_TIMEOUT_MS && now - watch->publisher_retried_at_ms > CONFIG_WATCH_PUBLISHER_TIMEOUT_MS) {
+	if (now - progressed_at_ms > 2 * CONFIG_WATCH_PUBLISHER_TIMEOUT_MS &&
+	    now - watch->publisher_retried_at_ms > CONFIG_WATCH_PUBLISHER_TIMEOUT_MS) {
 		watch->publisher_retried_at_ms = now;
 		config_watch_miss(watch, SHARD_PURGE);
 	}
@@ -162,7 +180,8 @@
 	return &watch->in_flight[token % CONFIG_WATCH_MAX_IN_FLIGHT];
 }
 
-static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
+static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now,
+					  struct command_list *out)
 {
 	struct Nl__ConfigSync *sync = MESSAGE_NEW(out, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
 
@@ -179,11 +198,14 @@
 	sync->holds_index = watch->has_index;
 	sync->warmed_up = watch->is_warm;
 	sync->n_cache_remainders = (size_t)arrlen(watch->cache_remainders);
-	sync->cache_remainders = apr_palloc(out->pool, (sync->n_cache_remainders + 1) * sizeof *sync->cache_remainders);
+	sync->cache_remainders =
+	    apr_palloc(out->pool, (sync->n_cache_remainders + 1) * sizeof *sync->cache_remainders);
 	for (size_t i = 0; i < sync->n_cache_remainders; i++)
-		sync->cache_remainders[i] = (struct Nl__CacheRemainder *)core_copy_message(out->pool, &watch->cache_remainders[i].base);
+		sync->cache_remainders[i] = (struct Nl__CacheRemainder *)core_copy_message(
+		    out->pool, &watch->cache_remainders[i].base);
 	add_quotas(watch, sync, out);
-	*in_flight_slot(watch, watch->last_token) = (struct config_watch_request){ watch->last_token, watch->table.revision, now };
+	*in_flight_slot(watch, watch->last_token) =
+	    (struct config_watch_request){ watch->last_token, watch->table.revision, now };
 	watch->requested_at_ms = now;
 	return sync;
 }
@@ -193,12 +215,14 @@
 	uint64_t leader_addr = config_watch_leader_addr(watch, SHARD_CONTROL);
 
 	if (leader_addr)
-		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = new_request(watch, horizon, now, out);
+		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync =
+		    new_request(watch, horizon, now, out);
 }
 
-/* The owner is silent, or nobody's guess is right: a few at once, in turn, so that a new owner is found as soon as there is
- * one. Only a has_lease one answers with more than a hint. */
-static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
+/* The owner is silent, or nobody's guess is right: a few at once, in turn, so that a new owner is found as
+ * soon as there is one. Only a has_lease one answers with more than a hint. */
+static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now,
+			    struct command_list *out)
 {
 	struct Nl__ConfigSync *sync = new_request(watch, horizon, now, out);
 	uint64_t first = watch->leader_addr[SHARD_CONTROL];
@@ -206,18 +230,23 @@
 	if (first)
 		command_send(out, first, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
 	for (int i = 0; i < CONFIG_WATCH_FANOUT && i < watch->candidate_count; i++) {
-		uint64_t candidate = watch->candidates[(watch->next_candidate[SHARD_CONTROL] + i) % watch->candidate_count];
+		uint64_t candidate =
+		    watch->candidates[(watch->next_candidate[SHARD_CONTROL] + i) % watch->candidate_count];
 
 		if (candidate != first)
-			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
+			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync =
+			    sync;
 	}
-	watch->next_candidate[SHARD_CONTROL] = (watch->next_candidate[SHARD_CONTROL] + CONFIG_WATCH_FANOUT) % (watch->candidate_count ? watch->candidate_count : 1);
+	watch->next_candidate[SHARD_CONTROL] = (watch->next_candidate[SHARD_CONTROL] + CONFIG_WATCH_FANOUT) %
+					       (watch->candidate_count ? watch->candidate_count : 1);
 }
 
-/* How much later than usual an answer may come before it counts as missing: the last one's time on its way, within a bound. */
+/* How much later than usual an answer may come before it counts as missing: the last one's time on its way,
+ * within a bound. */
 static int64_t slow_link_ms(const struct config_watch *watch)
 {
-	return watch->round_trip_ms < CONFIG_WATCH_SLOW_LINK_MS ? watch->round_trip_ms : CONFIG_WATCH_SLOW_LINK_MS;
+	return watch->round_trip_ms < CONFIG_WATCH_SLOW_LINK_MS ? watch->round_trip_ms
+								: CONFIG_WATCH_SLOW_LINK_MS;
 }
 
 /* An old answer is no reason to ask others: the leader is in reach, and its answers are long on their way. */
@@ -232,7 +261,8 @@
 
 	if (now - watch->requested_at_ms < (leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
 		return;
-	if (now - watch->replied_at_ms > CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + slow_link_ms(watch)) {
+	if (now - watch->replied_at_ms >
+	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + slow_link_ms(watch)) {
 		config_watch_miss(watch, SHARD_CONTROL);
 		watch->replied_at_ms = now - CONFIG_WATCH_POLL_MS; /* the next one gets its time too */
 	}
@@ -261,17 +291,20 @@
 	}
 }
 
-/* Several requests are under way at once where the way is long, and each answer names what has changed since its own request:
- * an answer may be overtaken by a newer one. It changes nothing then, but proves as well that what is here was in force when it
- * was asked for. A leader that has less than was here already proves nothing. */
-static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply, const struct config_watch_request *sent)
+/* Several requests are under way at once where the way is long, and each answer names what has changed since
+ * its own request: an answer may be overtaken by a newer one. It changes nothing then, but proves as well
+ * that what is here was in force when it was asked for. A leader that has less than was here already proves
+ * nothing. */
+static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
+		       const struct config_watch_request *sent)
 {
 	if (reply->revision < watch->table.revision)
 		return reply->revision >= sent->base_revision;
 	return config_table_follow(&watch->table, reply);
 }
 
-int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now,
+			 struct command_list *out)
 {
 	const struct Nl__ConfigSyncReply *reply = message->config_sync_reply;
 	uint64_t revision_before = watch->table.revision;
@@ -289,8 +322,10 @@
 	watch->replied_at_ms = now;
 	if (!reply->has_lease) {
 		if (reply->token == watch->last_token) { /* only the newest asking moves the guess */
-			config_watch_hint(watch, SHARD_CONTROL, reply->leader_hint == message->addr ? 0 : reply->leader_hint);
-			if (reply->leader_hint && reply->leader_hint != message->addr && now - watch->requested_at_ms >= 20)
+			config_watch_hint(watch, SHARD_CONTROL,
+					  reply->leader_hint == message->addr ? 0 : reply->leader_hint);
+			if (reply->leader_hint && reply->leader_hint != message->addr &&
+			    now - watch->requested_at_ms >= 20)
 				config_watch_poll(watch, 0, now, out);
 		}
 		return 0;
@@ -311,9 +346,13 @@
 	for (size_t i = 0; i < reply->n_upstreams && i < 8; i++)
 		watch->upstream[watch->upstream_count++] = reply->upstreams[i];
 	watch->zone_head_count = 0;
-	for (size_t i = 0; i < reply->n_zone_heads && watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads); i++)
+	for (size_t i = 0;
+	     i < reply->n_zone_heads &&
+	     watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads);
+	     i++)
 		watch->zone_heads[watch->zone_head_count++] = reply->zone_heads[i];
 	watch->router_count = reply->router_count;
 	apply_controllers(watch, reply);
-	return (watch->table.revision != revision_before ? CONFIG_WATCH_TABLE_CHANGED : 0) | (instances_apply_reply(&watch->instances, reply, now) ? CONFIG_WATCH_INSTANCES_CHANGED : 0);
+	return (watch->table.revision != revision_before ? CONFIG_WATCH_TABLE_CHANGED : 0) |
+	       (instances_apply_reply(&watch->instances, reply, now) ? CONFIG_WATCH_INSTANCES_CHANGED : 0);
 }
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -1,6 +1,6 @@
-/* A controller's step: passes each event to the module that it is for, then applies what was committed, part by part.
- * The daemon, the simulator and the tests call controller_step, and it alone calls the other modules' entry points.
- * Always: pure; all that it does to the world is the list of commands in o. */
+/* A controller's step: passes each event to the module that it is for, then applies what was committed, part
+ * by part. The daemon, the simulator and the tests call controller_step, and it alone calls the other
+ * modules' entry points. Always: pure; all that it does to the world is the list of commands in o. */
 #include "controller.h"
 
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 #include "bootstrap.h"
 #include "config_handover.h"
 #include "config_sync.h"
-#include "ds.h"
+#include "containers.h"
 #include "rollout.h"
 #include "leadership.h"
 #include "leadership_change.h"
@@ -24,19 +24,24 @@
 #include "snapshot.h"
 #include "state_machine.h"
 
-/* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that counts them. */
-static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why, int64_t now, struct command_list *out)
+/* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that
+ * counts them. */
+static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why,
+			int64_t now, struct command_list *out)
 {
 	controller->dropped_count++;
 	if (controller->drops_logged_count && now - controller->drop_logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
-	log_line(controller, "raft", out->pool, "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
-		 (int)message->body_case, core_format_addr(out->pool, message->addr), why, controller->dropped_count - controller->drops_logged_count);
+	log_line(controller, "raft", out->pool,
+		 "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
+		 (int)message->body_case, core_format_addr(out->pool, message->addr), why,
+		 controller->dropped_count - controller->drops_logged_count);
 	controller->drops_logged_count = controller->dropped_count;
 	controller->drop_logged_at_ms = now;
 }
 
-static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
 {
 	const char *why;
 
@@ -52,12 +57,15 @@
 		log_dropped(controller, message, why, now, out);
 }
 
-static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out)
 {
 	int64_t fetched_before_ms;
 
-	if (message->protocol_version != CORE_PROTOCOL_VERSION || (message->fleet_id && controller->fleet && message->fleet_id != controller->fleet)) {
-		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now, out);
+	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
+	    (message->fleet_id && controller->fleet && message->fleet_id != controller->fleet)) {
+		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now,
+			    out);
 		return;
 	}
 	switch (message->body_case) {
@@ -69,7 +77,9 @@
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
 	case NL__MSG__BODY_STEP_DOWN:
 	case NL__MSG__BODY_PROBE:
-	case NL__MSG__BODY_PROBE_REPLY: on_raft_message(controller, message, now, out); break;
+	case NL__MSG__BODY_PROBE_REPLY:
+		on_raft_message(controller, message, now, out);
+		break;
 	case NL__MSG__BODY_CONFIG_SYNC:
 		if (!config_handover_intercept(controller, message, now, out))
 			on_config_sync_request(controller, message, now, out);
@@ -84,25 +94,44 @@
 			controller->fleet_dirty = 1;
 		}
 		break;
-	case NL__MSG__BODY_PROPOSE: on_proposal(controller, message, now, out); break;
-	case NL__MSG__BODY_PROPOSE_REPLY: on_proposal_reply(controller, message->propose_reply, now, out); break;
-	case NL__MSG__BODY_READ: on_read_request(controller, message, now, out); break;
-	case NL__MSG__BODY_READ_REPLY: on_read_reply(controller, message->read_reply, now, out); break;
-	case NL__MSG__BODY_FEED_REQUEST: on_feed_request(controller, message, now, out); break;
-	case NL__MSG__BODY_FEED_REPLY: on_feed_reply(controller, message, now, out); break;
+	case NL__MSG__BODY_PROPOSE:
+		on_proposal(controller, message, now, out);
+		break;
+	case NL__MSG__BODY_PROPOSE_REPLY:
+		on_proposal_reply(controller, message->propose_reply, now, out);
+		break;
+	case NL__MSG__BODY_READ:
+		on_read_request(controller, message, now, out);
+		break;
+	case NL__MSG__BODY_READ_REPLY:
+		on_read_reply(controller, message->read_reply, now, out);
+		break;
+	case NL__MSG__BODY_FEED_REQUEST:
+		on_feed_request(controller, message, now, out);
+		break;
+	case NL__MSG__BODY_FEED_REPLY:
+		on_feed_reply(controller, message, now, out);
+		break;
 	case NL__MSG__BODY_CURIOSITY:
 		if (!controller->relay.is_publisher || !leads_shard(controller, SHARD_PURGE, now)) {
-			struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+			struct Nl__LeaderHint *owner =
+			    MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
 			owner->leader_id = leader_hint(controller, SHARD_PURGE, now);
-			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
+			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)
+			    ->leader_hint = owner;
 			break;
 		}
 		/* fall through */
 	case NL__MSG__BODY_KNOWLEDGE:
-	case NL__MSG__BODY_PURGE_SNAPSHOT: relay_receive(&controller->relay, message, now, out); break;
-	case NL__MSG__BODY_BOOTSTRAP: on_bootstrap_message(controller, message, now, out); break;
-	default: break;
+	case NL__MSG__BODY_PURGE_SNAPSHOT:
+		relay_receive(&controller->relay, message, now, out);
+		break;
+	case NL__MSG__BODY_BOOTSTRAP:
+		on_bootstrap_message(controller, message, now, out);
+		break;
+	default:
+		break;
 	}
 }
 
@@ -123,7 +152,10 @@
 	if (controller->relay.is_publisher && leads_shard(controller, SHARD_PURGE, now))
 		publisher_tick(controller, now, out);
 	if (!controller->relay.is_publisher)
-		relay_set_upstreams(&controller->relay, NULL, 0, config_watch_publisher_addr(&controller->config_watch, controller->relay.horizon_moved_at_ms, now), now);
+		relay_set_upstreams(&controller->relay, NULL, 0,
+				    config_watch_publisher_addr(&controller->config_watch,
+								controller->relay.horizon_moved_at_ms, now),
+				    now);
 	relay_tick(&controller->relay, now, out);
 	rollout_tick(controller, now, out);
 	rollout_instances_tick(controller, now, out);
@@ -132,7 +164,8 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now,
+		     struct command_list *out)
 {
 	ptrdiff_t first_command = arrlen(out->commands);
 
@@ -147,27 +180,48 @@
 			snapshot_create(controller, i, out);
 		}
 	switch (event->kind) {
-	case CONTROLLER_TICK: tick(controller, now, out); break;
-	case CONTROLLER_MESSAGE: on_message(controller, event->payload.message, now, out); break;
-	case CONTROLLER_SYNCED: raft_synced(&controller->shards[event->payload.synced.shard], event->payload.synced.sequence, now, out); break;
+	case CONTROLLER_TICK:
+		tick(controller, now, out);
+		break;
+	case CONTROLLER_MESSAGE:
+		on_message(controller, event->payload.message, now, out);
+		break;
+	case CONTROLLER_SYNCED:
+		raft_synced(&controller->shards[event->payload.synced.shard], event->payload.synced.sequence,
+			    now, out);
+		break;
 	case CONTROLLER_API_CALL:
 	case CONTROLLER_PUT_DOCUMENT:
 	case CONTROLLER_READ_DOCUMENT:
-	case CONTROLLER_SET_TARGET_WEIGHTS: on_operator_call(controller, event, now, out); break;
-	case CONTROLLER_CALLER_DISCONNECTED: operator_calls_disconnected(controller, event->payload.disconnected.token); break;
+	case CONTROLLER_SET_TARGET_WEIGHTS:
+		on_operator_call(controller, event, now, out);
+		break;
+	case CONTROLLER_CALLER_DISCONNECTED:
+		operator_calls_disconnected(controller, event->payload.disconnected.token);
+		break;
 	case CONTROLLER_CALL_RESULT:
 		for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++)
-			if (event->payload.call_result.token && controller->rollout_servers[i].call_token == event->payload.call_result.token && event->payload.call_result.status == 200)
-				rollout_on_report(controller, &controller->rollout_servers[i], event->payload.call_result.body, now, out);
+			if (event->payload.call_result.token &&
+			    controller->rollout_servers[i].call_token == event->payload.call_result.token &&
+			    event->payload.call_result.status == 200)
+				rollout_on_report(controller, &controller->rollout_servers[i],
+						  event->payload.call_result.body, now, out);
 		break;
 	case CONTROLLER_SERVERS_LISTED:
-		instances_on_list(&controller->instances, event->payload.servers_listed.token, event->payload.servers_listed.succeeded, event->payload.servers_listed.instances, event->payload.servers_listed.instance_count, now);
+		instances_on_list(&controller->instances, event->payload.servers_listed.token,
+				  event->payload.servers_listed.succeeded,
+				  event->payload.servers_listed.instances,
+				  event->payload.servers_listed.instance_count, now);
 		break;
 	case CONTROLLER_REPORT_POLLED:
-		rollout_on_poll_reply(controller, event->payload.report_polled.token, event->payload.report_polled.status, event->payload.report_polled.weights, event->payload.report_polled.is_loading, now);
+		rollout_on_poll_reply(
+		    controller, event->payload.report_polled.token, event->payload.report_polled.status,
+		    event->payload.report_polled.weights, event->payload.report_polled.is_loading, now);
 		break;
 	case CONTROLLER_LOAD_ANSWERED:
-		rollout_on_command_reply(controller, event->payload.load_answered.token, event->payload.load_answered.status, event->payload.load_answered.never_sent, now, out);
+		rollout_on_command_reply(controller, event->payload.load_answered.token,
+					 event->payload.load_answered.status,
+					 event->payload.load_answered.never_sent, now, out);
 		break;
 	case CONTROLLER_STOP:
 		controller->stopping = 1;
@@ -175,7 +229,8 @@
 			raft_drain(&controller->shards[i], now);
 		bootstrap_stop(controller, out);
 		break;
-	default: break;
+	default:
+		break;
 	}
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
 		struct raft *raft = &controller->shards[i];
@@ -185,12 +240,14 @@
 		if (raft->snapshot_to_load) {
 			snapshot_load(controller, i, out->pool);
 			if (i == SHARD_CONTROL)
-				controller->rollout.unknown_until_ms = now; /* orders that were logged before are in no snapshot */
+				controller->rollout.unknown_until_ms =
+				    now; /* orders that were logged before are in no snapshot */
 			raft->snapshot_to_load = 0;
 		}
 		on_leadership_lost(controller, i, now, out);
 		while ((entry = raft_next_committed(raft, &index)))
-			answer_proposers(controller, i, index, state_machine_apply(controller, i, index, entry, now, out), out);
+			answer_proposers(controller, i, index,
+					 state_machine_apply(controller, i, index, entry, now, out), out);
 		on_leadership_gained(controller, i, now, out);
 		if (raft_wants_snapshot(raft))
 			snapshot_create(controller, i, out);
@@ -204,8 +261,9 @@
 		raft_flush(&controller->shards[i], now, out);
 }
 
-void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int seed_count,
-		     uint64_t fleet, uint64_t seed, const struct raft_saved *const *saved, int64_t now)
+void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone,
+		     const uint64_t *seeds, int seed_count, uint64_t fleet, uint64_t seed,
+		     const struct raft_saved *const *saved, int64_t now)
 {
 	memset(controller, 0, sizeof *controller);
 	controller->id = id;
@@ -213,7 +271,8 @@
 	controller->zone = zone;
 	controller->fleet = fleet;
 	controller->rng = seed;
-	controller->last_token = core_random(&controller->rng) >> 2; /* never one of this controller's life before */
+	controller->last_token =
+	    core_random(&controller->rng) >> 2; /* never one of this controller's life before */
 	controller->seed_count = seed_count > 8 ? 8 : seed_count;
 	memcpy(controller->seeds, seeds, (size_t)controller->seed_count * sizeof *seeds);
 	controller->bounds = bounds_default;
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -5,38 +5,46 @@
 #include "config_watch.h"
 #include "operator_calls.h"
 #include "rollout.h"
-#include "orders.h"
+#include "idempotency.h"
 #include "raft.h"
 #include "purge.h"
 #include "retention.h"
-#include "table.h"
+#include "config_table.h"
 
 enum {
-	CONTROLLER_NODE_LIVE_MS = 3000,         /* ms a node counts as live after its last asking */
+	CONTROLLER_NODE_LIVE_MS = 3000,    /* ms a node counts as live after its last asking */
 	CONTROLLER_NODE_FORGET_MS = 60000, /* ms after its last asking when it is forgotten */
-	CONTROLLER_ROLLOUT_HOLD_OFF_MS = 4000,         /* ms a new rollout waits after the lease, before its first order */
-	CONTROLLER_REPORT_POLL_MS = 500,          /* ms between a rollout's looks at a server's report */
-	/* From the naming of weights to the last server that has them: 25 s. The last is told early enough for a loading of
-	 * 8 s; the first rollout is done with telling early enough for another to take over: lease, election, hold-off. */
+	CONTROLLER_ROLLOUT_HOLD_OFF_MS =
+	    4000,                        /* ms a new rollout waits after the lease, before its first order */
+	CONTROLLER_REPORT_POLL_MS = 500, /* ms between a rollout's looks at a server's report */
+	/* From the naming of weights to the last server that has them: 25 s. The last is told early enough
+	 * for a loading of 8 s; the first rollout is done with telling early enough for another to take over:
+	 * lease, election, hold-off. */
 	CONTROLLER_LAST_LOAD_COMMAND_MS = 16000,
 	CONTROLLER_FAILOVER_MS = 7500,
-	CONTROLLER_QUOTA_LEASE_MS = CONFIG_WATCH_MAX_STALENESS_MS + 300, /* ms after its last asking for which a router's places are its own */
-	CONTROLLER_MAX_RESERVE_LIMITS = 64,     /* limits in the table up to which every router holds spare places of each */
-	CONTROLLER_RETRY_MS = 200, /* ms after which an operator's call that was refused for want of a leader may come again */
-	CONTROLLER_CALL_TIMEOUT_MS = 5000,    /* ms before an operator's call is answered as unknown */
-	CONTROLLER_CLAIM_TTL_MS =
-	    720000,                  /* ms of the part's own clock that a claim is remembered: the longest limit and two minutes */
-	CONTROLLER_PROPOSAL_RETRY_MS = 400,      /* ms before a proposal without an answer is made again */
-	CONTROLLER_PROPOSAL_RETRY_FAST_MS = 50,        /* the same where the answer was that there is another leader */
-	CONTROLLER_PURGE_BATCH = 128,      /* purges logged together */
-	CONTROLLER_RECONFIGURE_MS = 50, /* ms between steps of changing the membership of groups */
-	CONTROLLER_ANNOUNCE_MS = 500,   /* ms between words to where silent controllers stood */
+	CONTROLLER_QUOTA_LEASE_MS =
+	    CONFIG_WATCH_MAX_STALENESS_MS +
+	    300, /* ms after its last asking for which a router's places are its own */
+	CONTROLLER_MAX_RESERVE_LIMITS =
+	    64, /* limits in the table up to which every router holds spare places of each */
+	CONTROLLER_RETRY_MS =
+	    200, /* ms after which an operator's call that was refused for want of a leader may come again */
+	CONTROLLER_CALL_TIMEOUT_MS = 5000,  /* ms before an operator's call is answered as unknown */
+	CONTROLLER_CLAIM_TTL_MS = 720000,   /* ms of the part's own clock that a claim is remembered: the
+					       longest limit and two minutes */
+	CONTROLLER_PROPOSAL_RETRY_MS = 400, /* ms before a proposal without an answer is made again */
+	CONTROLLER_PROPOSAL_RETRY_FAST_MS =
+	    50,                             /* the same where the answer was that there is another leader */
+	CONTROLLER_PURGE_BATCH = 128,       /* purges logged together */
+	CONTROLLER_RECONFIGURE_MS = 50,     /* ms between steps of changing the membership of groups */
+	CONTROLLER_ANNOUNCE_MS = 500,       /* ms between words to where silent controllers stood */
 	CONTROLLER_RECOVERY_SKIP = 1 << 20, /* editions and ticks that a recovery skips */
 	CONTROLLER_EPOCH_SHIFT = 40,        /* of the epoch in the index of a feed's value */
-	CONTROLLER_FORGET_CONTROLLERS_MS = 60000,          /* ms in office before controllers that were never heard of are forgotten */
-	CONTROLLER_DROP_LOG_MS = 1000,         /* ms between log lines on messages that break the protocol */
-	CONTROLLER_MAX_DONE_OPERATIONS = 256,              /* changes whose answers are remembered */
-	CONTROLLER_FEED_POLL_MS = 100               /* ms between the publisher's askings of the feeds */
+	CONTROLLER_FORGET_CONTROLLERS_MS =
+	    60000, /* ms in office before controllers that were never heard of are forgotten */
+	CONTROLLER_DROP_LOG_MS = 1000,        /* ms between log lines on messages that break the protocol */
+	CONTROLLER_MAX_DONE_OPERATIONS = 256, /* changes whose answers are remembered */
+	CONTROLLER_FEED_POLL_MS = 100         /* ms between the publisher's askings of the feeds */
 };
 
 enum controller_event_kind {
@@ -103,7 +111,8 @@
 		struct {
 			uint64_t token;
 		} disconnected; /* the operator who made this call has left */
-		/* 200 holds, 202 begun, 409 another under way, 412 a lower fence, 421 not this server; 0 no answer; never: nothing left */
+		/* 200 holds, 202 begun, 409 another under way, 412 a lower fence, 421 not this server; 0 no
+		 * answer; never: nothing left */
 		struct {
 			uint64_t token;
 			int status, never_sent;
@@ -111,12 +120,12 @@
 	} payload;
 };
 
-/* The language that operators' documents are written in: the door's. Makes rows out of a document, and one whole
- * document out of an old one and a patch. *why says what is wrong and names the item. Pure; results live in p.
- * whole: the new document, as bytes; c: rows that replace all earlier ones, keys too. */
+/* The language that operators' documents are written in: the door's. Makes rows out of a document, and one
+ * whole document out of an old one and a patch. *why says what is wrong and names the item. Pure; results
+ * live in p. whole: the new document, as bytes; c: rows that replace all earlier ones, keys too. */
 struct controller_codec {
-	int (*read)(const char *old, size_t old_len, const char *body, size_t len, int patch, struct Nl__Change *c,
-		    const char **why, apr_pool_t *p);
+	int (*read)(const char *old, size_t old_len, const char *body, size_t len, int patch,
+		    struct Nl__Change *c, const char **why, apr_pool_t *p);
 };
 
 /* An operator's document or naming that is logged here: answered once it is committed. */
@@ -135,7 +144,7 @@
 	struct Nl__Operation *operation; /* malloc'd */
 	int64_t deadline_at_ms, retry_at_ms;
 	int send_count, denied_count; /* as long as they are alike it surely was not logged */
-	int refused_count;       /* copies that were refused before they were logged */
+	int refused_count;            /* copies that were refused before they were logged */
 };
 /* An operator's read that waits for the leader's word. web: its call; token: of our asking. */
 struct controller_pending_read {
@@ -177,10 +186,10 @@
 
 struct controller_service_state { /* a service part's state */
 	uint64_t clock_ms;
-	struct controller_claim *claims;   /* stb_ds string map */
+	struct controller_claim *claims;    /* stb_ds string map */
 	struct Nl__Value **purge_feed;      /* decisions for the publisher */
 	uint64_t purged_tick, purged_at_ms; /* the newest clearing after which its log was cut: tick, clock */
-	int is_compacted;                  /* no claim is left from before it */
+	int is_compacted;                   /* no claim is left from before it */
 	struct controller_rolled_out {
 		char *key;
 		char *value;
@@ -195,8 +204,8 @@
 	uint64_t purged_tick;
 };
 
-/* Weights as they were named for a service, since when at the earliest; since when weights have been named that not every server
- * got; what this rollout began with. */
+/* Weights as they were named for a service, since when at the earliest; since when weights have been named
+ * that not every server got; what this rollout began with. */
 struct controller_target_weights {
 	char *key;
 	struct {
@@ -225,24 +234,26 @@
 	struct controller_done_operation {
 		uint64_t from, token;
 		uint32_t status;
-	} * done_operations;         /* stb_ds, oldest first */
+	} * done_operations;             /* stb_ds, oldest first */
 	struct orders accepted_requests; /* operators' orders that were accepted */
-	uint8_t *document;     /* the newest document, byte for byte */
+	uint8_t *document;               /* the newest document, byte for byte */
 	size_t document_bytes;
 	uint64_t document_version;
 	struct controller_logged_call *logged_calls; /* stb_ds */
 	struct operator_calls operator_calls;
 	struct retention retention;
 	const struct controller_calendar *calendar; /* NULL: no schedules in calendar terms */
-	int64_t group_clock_offset_ms; /* the control group's clock less this machine's, while it leads: group_clock.h */
-	int64_t wall_clock_ms;               /* the machine's clock at this step, ms since 1970, set by whoever steps; 0: no schedule runs */
+	int64_t group_clock_offset_ms; /* the control group's clock less this machine's, while it leads:
+					  group_clock.h */
+	int64_t wall_clock_ms; /* the machine's clock at this step, ms since 1970, set by whoever steps; 0: no
+				  schedule runs */
 	int64_t compaction_checked_at_ms[SHARD_COUNT];
-	int snapshot_needed[SHARD_COUNT];               /* a snapshot is due, and nothing older stays on the disk */
+	int snapshot_needed[SHARD_COUNT];     /* a snapshot is due, and nothing older stays on the disk */
 	const struct controller_codec *codec; /* of documents; NULL: none are taken */
 	struct controller_purge_state purge_state;
 	struct controller_service_state service_states[SHARD_SERVICES];
 	struct config_watch config_watch;
-	struct bounds bounds;            /* bounds_default until they are set */
+	struct bounds bounds;       /* bounds_default until they are set */
 	struct instances instances; /* what the configuration's owner sees itself */
 	struct rollout rollout;
 	struct relay relay;
@@ -250,18 +261,20 @@
 	struct controller_proposal *proposals;
 	struct controller_node_status *node_statuses;
 	struct controller_deferred_request *deferred_requests; /* stb_ds */
-	char **reserve_limits;                         /* stb_ds: limits of which every router is given a few places ahead */
+	char **reserve_limits; /* stb_ds: limits of which every router is given a few places ahead */
 	uint64_t reserve_limits_revision;
-	struct controller_quota *quotas; /* stb_ds: by what the limit is of; the configuration owner's soft state */
-	struct controller_pending_read *pending_reads;  /* stb_ds */
+	struct controller_quota
+	    *quotas; /* stb_ds: by what the limit is of; the configuration owner's soft state */
+	struct controller_pending_read *pending_reads; /* stb_ds */
 	struct controller_server *rollout_servers;
 	struct controller_target_weights *target_weights; /* stb_ds, by service */
 	uint64_t last_token;
 	uint64_t epoch[SHARD_COUNT]; /* of the newest operation applied */
-	int64_t leader_since_ms[SHARD_COUNT], clock_advanced_at_ms[SHARD_COUNT], reconfigured_at_ms, announced_at_ms, registered_at_ms;
+	int64_t leader_since_ms[SHARD_COUNT], clock_advanced_at_ms[SHARD_COUNT], reconfigured_at_ms,
+	    announced_at_ms, registered_at_ms;
 	uint64_t leader_term[SHARD_COUNT]; /* term in which we last took office */
 	/* publisher's soft state */
-	uint64_t declared_tick;                 /* highest tick declared */
+	uint64_t declared_tick;                    /* highest tick declared */
 	uint64_t feed_complete_round[SHARD_COUNT]; /* round at which each feed last said all */
 	uint64_t feed_round, reserved_for_ceiling;
 	int64_t feed_polled_at_ms, tick_declared_at_ms;
@@ -277,33 +290,38 @@
 		int is_empty[8];
 		struct Nl__Members *members;
 	} bootstrap;
-	int64_t drop_logged_at_ms;         /* messages that break the protocol: last log line, */
-	uint64_t dropped_count, drops_logged_count; /* how many there were, how many of them lines have told of */
+	int64_t drop_logged_at_ms; /* messages that break the protocol: last log line, */
+	uint64_t dropped_count,
+	    drops_logged_count; /* how many there were, how many of them lines have told of */
 	int stopping;
 	void (*log)(void *ctx, const char *prefix, const char *line);
 	void *log_context;
 	int fleet_dirty; /* the shell must store r->fleet */
 };
 
-/* Begin. saved[i] may be NULL. Example: controller_open(&r, id, addr, "z1", seeds, 3, fleet, seed, saved, now); */
-void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int seed_count,
-		     uint64_t fleet, uint64_t seed, const struct raft_saved *const *saved, int64_t now);
+/* Begin. saved[i] may be NULL. Example: controller_open(&r, id, addr, "z1", seeds, 3, fleet, seed, saved,
+ * now); */
+void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone,
+		     const uint64_t *seeds, int seed_count, uint64_t fleet, uint64_t seed,
+		     const struct raft_saved *const *saved, int64_t now);
 void controller_close(struct controller *controller);
 
 /* One step. Example: controller_step(&r, &(struct controller_ev){ .kind = CONTROLLER_TICK }, now, &o); */
-void controller_step(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now,
+		     struct command_list *out);
 
-/* Found the fleet without a call, as the settings of the first seed say: goes on until all seeds answer that they are
- * empty, or one belongs to a fleet. Example: if (initial) controller_bootstrap(&r, now); */
+/* Found the fleet without a call, as the settings of the first seed say: goes on until all seeds answer that
+ * they are empty, or one belongs to a fleet. Example: if (initial) controller_bootstrap(&r, now); */
 void controller_bootstrap(struct controller *controller, int64_t now);
 
 /* The state of a part's machine, packed, as a snapshot holds it; for checks.
  * Example: d = controller_state(&r, part, pool, &n); */
-uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool, size_t *size);
+uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
+			  size_t *size);
 
-/* After CONTROLLER_STOP: whether nothing more needs this controller and all that operators called for is answered, so that its
- * process may end before the grace is over.
- * Example: return controller_stopped(&r, now); */
+/* After CONTROLLER_STOP: whether nothing more needs this controller and all that operators called for is
+ * answered, so that its process may end before the grace is over. Example: return controller_stopped(&r,
+ * now); */
 int controller_stopped(const struct controller *controller, int64_t now);
 
 #endif
--- a/lib/control/controller_private.c
+++ b/lib/control/controller_private.c
@@ -15,12 +15,13 @@
 
 void reject_without_leader(uint64_t token, struct command_list *out)
 {
-	command_answer(out, token, 503, CONTROLLER_RETRY_MS,
-		   error_json(out->pool, "no leader of the configuration is in reach: nothing was logged", 0));
+	command_answer(
+	    out, token, 503, CONTROLLER_RETRY_MS,
+	    error_json(out->pool, "no leader of the configuration is in reach: nothing was logged", 0));
 }
 
 void reject_while_stopping(uint64_t token, struct command_list *out)
 {
 	command_answer(out, token, 503, CONTROLLER_RETRY_MS,
-		   error_json(out->pool, "this controller stops: nothing was logged, call another", 0));
+		       error_json(out->pool, "this controller stops: nothing was logged, call another", 0));
 }
--- a/lib/control/orders.c
+++ b/lib/control/idempotency.c
@@ -1,9 +1,9 @@
-#include "orders.h"
+#include "idempotency.h"
 
 #include <nettle/sha2.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 /* In front of the bytes of a key, so that no key's digest is that of a content: no call has this name. */
 static const char key_prefix[] = "Idempotency-Key";
@@ -20,7 +20,8 @@
 	return 1;
 }
 
-static void digest_content(uint8_t digest[REQUEST_DIGEST_BYTES], const char *call, uint64_t base_version, const void *body, size_t body_bytes)
+static void digest_content(uint8_t digest[REQUEST_DIGEST_BYTES], const char *call, uint64_t base_version,
+			   const void *body, size_t body_bytes)
 {
 	struct sha256_ctx context;
 	uint8_t base_bytes[8];
@@ -44,7 +45,8 @@
 	sha256_digest(&context, REQUEST_DIGEST_BYTES, digest);
 }
 
-void request_key_init(struct request_key *request, const char *key, const char *call, int has_base, uint64_t base_version, const void *body, size_t body_bytes)
+void request_key_init(struct request_key *request, const char *key, const char *call, int has_base,
+		      uint64_t base_version, const void *body, size_t body_bytes)
 {
 	int has_key = key && key[0];
 
@@ -59,7 +61,8 @@
 
 int request_key_equal(const struct request_key *a, const struct request_key *b)
 {
-	return a->is_set && b->is_set && !memcmp(a->key_digest, b->key_digest, REQUEST_DIGEST_BYTES) && !memcmp(a->content_digest, b->content_digest, REQUEST_DIGEST_BYTES);
+	return a->is_set && b->is_set && !memcmp(a->key_digest, b->key_digest, REQUEST_DIGEST_BYTES) &&
+	       !memcmp(a->content_digest, b->content_digest, REQUEST_DIGEST_BYTES);
 }
 
 const struct idempotency_record *idempotency_log_find(const struct orders *log, const struct request_key *key)
@@ -72,9 +75,11 @@
 	return NULL;
 }
 
-int idempotency_log_may_have_evicted(const struct orders *log, enum request_series series, uint64_t base_version)
+int idempotency_log_may_have_evicted(const struct orders *log, enum request_series series,
+				     uint64_t base_version)
 {
-	/* an order that built on base made a version above it; all that made one above forgotten are remembered */
+	/* an order that built on base made a version above it; all that made one above forgotten are
+	 * remembered */
 	return base_version < log->forgotten_versions[series];
 }
 
@@ -84,7 +89,8 @@
 		orders->forgotten_versions[old->series] = old->version;
 }
 
-void idempotency_log_add(struct orders *log, const struct request_key *key, enum request_series series, uint64_t version)
+void idempotency_log_add(struct orders *log, const struct request_key *key, enum request_series series,
+			 uint64_t version)
 {
 	struct idempotency_record added = { *key, series, version };
 	size_t capacity = log->capacity ? log->capacity : IDEMPOTENCY_MAX_RECORDS;
@@ -115,7 +121,8 @@
 {
 	struct request_key key = { 0 };
 
-	if (!message || message->key_digest.len != REQUEST_DIGEST_BYTES || message->content_digest.len != REQUEST_DIGEST_BYTES)
+	if (!message || message->key_digest.len != REQUEST_DIGEST_BYTES ||
+	    message->content_digest.len != REQUEST_DIGEST_BYTES)
 		return key;
 	key.is_set = 1;
 	memcpy(key.key_digest, message->key_digest.data, REQUEST_DIGEST_BYTES);
@@ -153,8 +160,10 @@
 		const struct Nl__IdempotencyRecord *record = state->idempotency_records[i];
 		struct request_key key = request_key_unpack(record->request_key);
 
-		idempotency_log_add(log, &key, record->series < SERIES_COUNT ? (enum request_series)record->series : SERIES_UNVERSIONED,
-			   record->version);
+		idempotency_log_add(log, &key,
+				    record->series < SERIES_COUNT ? (enum request_series)record->series
+								  : SERIES_UNVERSIONED,
+				    record->version);
 	}
 	for (size_t i = 0; i < state->n_forgotten_versions && i < SERIES_COUNT; i++)
 		log->forgotten_versions[i] = state->forgotten_versions[i];
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 static struct Nl__Instance *copy(const struct Nl__Instance *x)
 {
@@ -62,7 +62,8 @@
 	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0; i--) {
 		struct Nl__Instance *instance = instances->rows[i].value.instance;
 
-		if (instance->state != INSTANCE_REMOVED || now - instances->rows[i].value.removed_at_ms < INSTANCES_TOMBSTONE_MS)
+		if (instance->state != INSTANCE_REMOVED ||
+		    now - instances->rows[i].value.removed_at_ms < INSTANCES_TOMBSTONE_MS)
 			continue;
 		if (instance->stamp > instances->compacted_stamp)
 			instances->compacted_stamp = instance->stamp;
@@ -95,16 +96,21 @@
 	}
 }
 
-void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now, struct command_list *out)
+void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now,
+		    struct command_list *out)
 {
-	int64_t interval_ms = poll_fast || now - instances->changed_at_ms < INSTANCES_RECENT_CHANGE_MS ? INSTANCES_FAST_POLL_MS : INSTANCES_POLL_MS;
+	int64_t interval_ms = poll_fast || now - instances->changed_at_ms < INSTANCES_RECENT_CHANGE_MS
+				  ? INSTANCES_FAST_POLL_MS
+				  : INSTANCES_POLL_MS;
 
 	forget(instances, now);
 	if (rate_mille <= 0)
 		return;
 	if (interval_ms < 3000000 / rate_mille) /* at most a third of what the whole fleet may call */
 		interval_ms = 3000000 / rate_mille;
-	if ((instances->poll_token && now - instances->polled_at_ms < INSTANCES_POLL_TIMEOUT_MS) || (instances->polled_at_ms && now - instances->polled_at_ms < interval_ms) || now < instances->poll_not_before_ms)
+	if ((instances->poll_token && now - instances->polled_at_ms < INSTANCES_POLL_TIMEOUT_MS) ||
+	    (instances->polled_at_ms && now - instances->polled_at_ms < interval_ms) ||
+	    now < instances->poll_not_before_ms)
 		return;
 	instances->poll_token = token;
 	instances->polled_at_ms = now;
@@ -114,8 +120,9 @@
 /* Time runs down by itself where it is known: only its beginning and its end are news. */
 static int instances_differ(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
-	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) || a->slots != b->slots ||
-	       a->state != b->state || strcmp(a->weights, b->weights) || a->loading != b->loading || !a->warm_up_ms != !b->warm_up_ms;
+	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) ||
+	       a->slots != b->slots || a->state != b->state || strcmp(a->weights, b->weights) ||
+	       a->loading != b->loading || !a->warm_up_ms != !b->warm_up_ms;
 }
 
 static void merge_listed(struct instances *instances, const struct Nl__Instance *listed, int64_t now)
@@ -127,12 +134,15 @@
 	if (i < 0) {
 		merged.loading = 0;
 		assign_stamp(instances, put(instances, &merged)->instance, now);
-		instances->rows[shgeti(instances->rows, listed->server)].value.has_ended = merged.state != INSTANCE_SERVING;
+		instances->rows[shgeti(instances->rows, listed->server)].value.has_ended =
+		    merged.state != INSTANCE_SERVING;
 		return;
 	}
 	previous = instances->rows[i].value.instance;
 	instances->rows[i].value.missed_polls = 0;
-	if (previous->state == INSTANCE_REMOVED && (instances->rows[i].value.has_ended || now - instances->rows[i].value.removed_at_ms < INSTANCES_RETURN_DELAY_MS))
+	if (previous->state == INSTANCE_REMOVED &&
+	    (instances->rows[i].value.has_ended ||
+	     now - instances->rows[i].value.removed_at_ms < INSTANCES_RETURN_DELAY_MS))
 		return;
 	if (merged.state == INSTANCE_DRAINING)
 		instances->rows[i].value.has_ended = 1;
@@ -153,14 +163,16 @@
 	assign_stamp(s, s->rows[i].value.instance, now);
 }
 
-void instances_on_list(struct instances *instances, uint64_t token, int succeeded, struct Nl__Instance *const *listed, size_t count, int64_t now)
+void instances_on_list(struct instances *instances, uint64_t token, int succeeded,
+		       struct Nl__Instance *const *listed, size_t count, int64_t now)
 {
 	int any_missed = 0;
 
 	if (!instances->term || !token || token != instances->poll_token)
 		return;
 	instances->poll_token = 0;
-	/* timed from the asking: what this process reads only after it stood still shows servers that may have left since */
+	/* timed from the asking: what this process reads only after it stood still shows servers that may
+	 * have left since */
 	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
 		succeeded = 0;
 	if (!succeeded) {
@@ -182,14 +194,17 @@
 	}
 	if (any_missed)
 		instances->changed_at_ms = now; /* look again soon */
-	/* what this owner followed may be older than what others did: told once no server of it is in doubt */
-	if (!instances->is_publishable && (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missed)) {
+	/* what this owner followed may be older than what others did: told once no server of it is in doubt
+	 */
+	if (!instances->is_publishable &&
+	    (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missed)) {
 		instances->is_publishable = 1;
 		instances->stamp++; /* an empty list is something to tell too */
 	}
 }
 
-void instances_set_weights(struct instances *instances, const char *name, const char *weights, int loading, int64_t now)
+void instances_set_weights(struct instances *instances, const char *name, const char *weights, int loading,
+			   int64_t now)
 {
 	ptrdiff_t i = shgeti(instances->rows, name);
 	struct Nl__Instance instance;
@@ -215,18 +230,21 @@
 		gone(instances, i, now);
 }
 
-void instances_pack_since(const struct instances *instances, uint64_t known_stamp, struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
+void instances_pack_since(const struct instances *instances, uint64_t known_stamp,
+			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
 	if (!instances->term || !instances->is_publishable)
 		return; /* what followers have is better than what this owner was told itself */
 	reply->instances_stamp = instances->stamp;
-	reply->instances_full = known_stamp >> 24 != instances->term || known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
+	reply->instances_full = known_stamp >> 24 != instances->term || known_stamp > instances->stamp ||
+				known_stamp < instances->compacted_stamp;
 	if (!reply->instances_full && known_stamp == instances->stamp)
 		return;
 	reply->instances = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instances);
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
 		if (reply->instances_full || instances->rows[i].value.instance->stamp > known_stamp)
-			reply->instances[reply->n_instances++] = (struct Nl__Instance *)core_copy_message(pool, &instances->rows[i].value.instance->base);
+			reply->instances[reply->n_instances++] = (struct Nl__Instance *)core_copy_message(
+			    pool, &instances->rows[i].value.instance->base);
 }
 
 /* ---- a follower's side ----------------------------------------------------------- */
@@ -236,7 +254,8 @@
 	int changed = 0;
 
 	forget(instances, now);
-	if (reply->instances_stamp <= instances->stamp || (!reply->instances_full && reply->instances_stamp >> 24 != instances->stamp >> 24))
+	if (reply->instances_stamp <= instances->stamp ||
+	    (!reply->instances_full && reply->instances_stamp >> 24 != instances->stamp >> 24))
 		return 0;
 	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0 && reply->instances_full; i--) {
 		int is_listed = 0;
@@ -282,8 +301,10 @@
 		json_object_object_add(json, "service", json_object_new_string(instance->service));
 		json_object_object_add(json, "addr", json_object_new_string(instance->addr));
 		json_object_object_add(json, "zone", json_object_new_string(instance->zone));
-		json_object_object_add(json, "state",
-				       json_object_new_string(states[instance->state > INSTANCE_REMOVED ? INSTANCE_REMOVED : instance->state]));
+		json_object_object_add(
+		    json, "state",
+		    json_object_new_string(
+			states[instance->state > INSTANCE_REMOVED ? INSTANCE_REMOVED : instance->state]));
 		json_object_object_add(json, "weights", json_object_new_string(instance->weights));
 		json_object_object_add(json, "loading", json_object_new_boolean(instance->loading));
 		json_object_array_add(a, json);
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -7,10 +7,12 @@
 {
 	operation->logged_at_ms = group_clock_now(controller, now);
 	if (operation->body_case == NL__OPERATION__BODY_CHANGE)
-		operation->change->bound_passed_at_ms = group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
+		operation->change->bound_passed_at_ms =
+		    group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
 }
 
-uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation, int64_t now, struct command_list *out)
+uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation,
+		       int64_t now, struct command_list *out)
 {
 	size_t size;
 	uint8_t *packed;
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -1,6 +1,6 @@
 #include "leadership_change.h"
 
-#include "ds.h"
+#include "containers.h"
 #include "group_clock.h"
 #include "leadership.h"
 #include "proposals.h"
@@ -9,14 +9,16 @@
 #include "controller_private.h"
 
 /* Taking office comes after all that is committed has been applied, leaving it before. */
-void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
+void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now,
+			  struct command_list *out)
 {
 	struct raft *raft = &controller->shards[shard];
 
 	if (raft_has_lease(raft, now) && controller->leader_term[shard] != raft->term) {
 		controller->leader_term[shard] = raft->term;
 		controller->leader_since_ms[shard] = controller->clock_advanced_at_ms[shard] = now;
-		log_line(controller, "part", out->pool, "Part %u is owned here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
+		log_line(controller, "part", out->pool,
+			 "Part %u is owned here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
 			group_clock_lead(controller, now);
 			arrsetlen(controller->node_statuses, 0);
@@ -41,15 +43,18 @@
 			log_line(controller, "purge", out->pool, "The publisher's licence is lost here.");
 		}
 	}
-	for (ptrdiff_t k = arrlen(controller->logged_calls) - 1; k >= 0 && shard == SHARD_CONTROL && raft->role != RAFT_LEADER; k--) {
+	for (ptrdiff_t k = arrlen(controller->logged_calls) - 1;
+	     k >= 0 && shard == SHARD_CONTROL && raft->role != RAFT_LEADER; k--) {
 		command_answer(out, controller->logged_calls[k].token, 504, CONTROLLER_RETRY_MS,
-			   error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
+			       error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
 		arrdel(controller->logged_calls, k);
 	}
 	if (raft->role != RAFT_LEADER)
 		for (ptrdiff_t k = arrlen(controller->pending_entries) - 1; k >= 0; k--)
 			if (controller->pending_entries[k].shard == shard) {
-				reply_to_proposal(controller->pending_entries[k].proposer_addr, controller->pending_entries[k].token, PROPOSAL_OUTCOME_UNKNOWN, 0,
+				reply_to_proposal(controller->pending_entries[k].proposer_addr,
+						  controller->pending_entries[k].token,
+						  PROPOSAL_OUTCOME_UNKNOWN, 0,
 						  "ownership lost: outcome unknown", 0, out);
 				arrdel(controller->pending_entries, k);
 			}
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -3,7 +3,7 @@
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "proposals.h"
 #include "controller_private.h"
@@ -15,7 +15,10 @@
 	return window_ms < CONTROLLER_NODE_LIVE_MS ? window_ms : CONTROLLER_NODE_LIVE_MS;
 }
 
-static int64_t member_lost_after_ms(const struct controller *controller) { return controller->bounds.catch_up_ms * 3 / 5; }
+static int64_t member_lost_after_ms(const struct controller *controller)
+{
+	return controller->bounds.catch_up_ms * 3 / 5;
+}
 
 void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
@@ -25,7 +28,8 @@
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row me = NL__ROW__INIT, *set[1] = { &me };
 
-	if (now - controller->registered_at_ms < 1000 || config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
+	if (now - controller->registered_at_ms < 1000 ||
+	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
 		return;
 	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->id);
 	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
@@ -62,9 +66,10 @@
 		live[live_count].zone = row ? core_hash_string(0, row->zone) : 0;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		controller->shards[i].replicas = controller->bounds.replicas < RAFT_MIN_VOTERS        ? RAFT_MIN_VOTERS
-				      : controller->bounds.replicas < RAFT_MAX_MEMBERS - 1 ? controller->bounds.replicas
-									   : RAFT_MAX_MEMBERS - 1;
+		controller->shards[i].replicas =
+		    controller->bounds.replicas < RAFT_MIN_VOTERS        ? RAFT_MIN_VOTERS
+		    : controller->bounds.replicas < RAFT_MAX_MEMBERS - 1 ? controller->bounds.replicas
+									 : RAFT_MAX_MEMBERS - 1;
 		controller->shards[i].member_lost_ms = member_lost_after_ms(controller);
 		raft_reconfigure(&controller->shards[i], live, live_count, now);
 	}
@@ -78,7 +83,8 @@
 	return 0;
 }
 
-/* Where a silent controller stood, a new one with an empty disk may stand whose seeds are all as new: it is told whom to ask. */
+/* Where a silent controller stood, a new one with an empty disk may stand whose seeds are all as new: it is
+ * told whom to ask. */
 static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
 	if (now - controller->announced_at_ms < CONTROLLER_ANNOUNCE_MS)
@@ -88,11 +94,13 @@
 		const struct Nl__Row *row = controller->config.rows[i].value.row;
 		struct Nl__LeaderHint *owner;
 
-		if (row->kind != NL__KIND__CONTROLLER || contacted_lately(controller, row->id, now) || !core_parse_addr(row->addr))
+		if (row->kind != NL__KIND__CONTROLLER || contacted_lately(controller, row->id, now) ||
+		    !core_parse_addr(row->addr))
 			continue;
 		owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 		owner->leader_id = out->addr;
-		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
+		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)
+		    ->leader_hint = owner;
 	}
 }
 
@@ -121,7 +129,8 @@
 
 void membership_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	if (now - controller->reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS || config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
+	if (now - controller->reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS ||
+	    config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
 		return;
 	controller->reconfigured_at_ms = now;
 	reconfigure_groups(controller, now);
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -1,7 +1,7 @@
 #include "operator_calls.h"
 
 #include "controller.h"
-#include "ds.h"
+#include "containers.h"
 
 void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from)
 {
@@ -19,7 +19,8 @@
 
 uint64_t operator_calls_open(const struct controller *controller)
 {
-	uint64_t open = arrlenu(controller->logged_calls) + arrlenu(controller->pending_reads) + (controller->bootstrap.call_token != 0);
+	uint64_t open = arrlenu(controller->logged_calls) + arrlenu(controller->pending_reads) +
+			(controller->bootstrap.call_token != 0);
 
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
 		open += controller->proposals[i].call_token != 0;
@@ -31,7 +32,11 @@
 	return calls->answered + calls->rejected + calls->unknown + calls->disconnected;
 }
 
-int operator_calls_are_balanced(const struct controller *controller) { return controller->operator_calls.read == ended(&controller->operator_calls) + operator_calls_open(controller); }
+int operator_calls_are_balanced(const struct controller *controller)
+{
+	return controller->operator_calls.read ==
+	       ended(&controller->operator_calls) + operator_calls_open(controller);
+}
 
 /* Drop what waits for this caller; whether anything did. A founding goes on, and its answer goes nowhere. */
 static int forget_caller(struct controller *controller, uint64_t token)
@@ -67,8 +72,9 @@
 		const char *name;
 		uint64_t count;
 	} counts[] = {
-		{ "read", calls->read },       { "answered", calls->answered }, { "refused", calls->rejected },
-		{ "unknown", calls->unknown }, { "gone", calls->disconnected },         { "open", calls->read - ended(calls) },
+		{ "read", calls->read },         { "answered", calls->answered },
+		{ "refused", calls->rejected },  { "unknown", calls->unknown },
+		{ "gone", calls->disconnected }, { "open", calls->read - ended(calls) },
 	};
 	struct json_object *json = json_object_new_object();
 
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
 
 /* Log a change and answer when it is committed. */
-static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change, const struct request_key *key, int64_t now,
-			   struct command_list *out)
+static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change,
+			   const struct request_key *key, int64_t now, struct command_list *out)
 {
 	struct controller_logged_call waiting = { token, 0, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
 	struct Nl__RequestKey packed_key = NL__REQUEST_KEY__INIT;
@@ -27,8 +27,10 @@
 		reject_without_leader(token, out);
 }
 
-/* An order that was accepted is acknowledged again; one that is being logged is waited for. 1: it was such a one. */
-static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key, int64_t now, struct command_list *out)
+/* An order that was accepted is acknowledged again; one that is being logged is waited for. 1: it was such a
+ * one. */
+static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key,
+			   int64_t now, struct command_list *out)
 {
 	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, key);
 
@@ -41,7 +43,9 @@
 	}
 	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
 		if (request_key_equal(&controller->logged_calls[i].request_key, key)) {
-			struct controller_logged_call waiting = { token, controller->logged_calls[i].log_index, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
+			struct controller_logged_call waiting = { token,
+								  controller->logged_calls[i].log_index, *key,
+								  now + CONTROLLER_CALL_TIMEOUT_MS };
 
 			arrput(controller->logged_calls, waiting);
 			return 1;
@@ -49,16 +53,20 @@
 	return 0;
 }
 
-/* A document that builds on another version is late, unless it may be an order that was accepted and is forgotten. */
-static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version, struct command_list *out)
+/* A document that builds on another version is late, unless it may be an order that was accepted and is
+ * forgotten. */
+static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version,
+				    struct command_list *out)
 {
 	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
-		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS, error_json(out->pool, ORDER_FORGOTTEN, 0));
+		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS,
+			       error_json(out->pool, ORDER_FORGOTTEN, 0));
 	else
 		command_answer(out, token, 412, 0, error_json(out->pool, "another version is current", 0));
 }
 
-void put_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
+		  struct command_list *out)
 {
 	uint64_t token = event->payload.document.token, base_version = event->payload.document.base_version;
 	int patch = event->payload.document.is_patch;
@@ -81,7 +89,8 @@
 	}
 	if (!controller->codec)
 		error = "document: none is taken here";
-	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body, body_bytes, patch, &change, &error, out->pool))
+	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body,
+					 body_bytes, patch, &change, &error, out->pool))
 		error = error ? error : "document: cannot be read";
 	else if (change.document_version <= controller->document_version)
 		error = "version: not above the current one";
@@ -96,7 +105,8 @@
 		log_and_answer(controller, token, &change, &key, now, out);
 }
 
-void read_document(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void read_document(struct controller *controller, const struct controller_event *event, int64_t now,
+		   struct command_list *out)
 {
 	uint64_t token = event->payload.read.token;
 	struct command *command;
@@ -109,11 +119,13 @@
 	command = command_add(out, CMD_ANSWER);
 	command->args.answer.token = token;
 	command->args.answer.status = 200;
-	command->args.answer.body = apr_pmemdup(out->pool, controller->document, controller->document_bytes + 1);
+	command->args.answer.body =
+	    apr_pmemdup(out->pool, controller->document, controller->document_bytes + 1);
 	command->args.answer.len = controller->document_bytes;
 }
 
-void name_weights(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void name_weights(struct controller *controller, const struct controller_event *event, int64_t now,
+		  struct command_list *out)
 {
 	uint64_t token = event->payload.target.token;
 	const char *model = event->payload.target.model, *weights = event->payload.target.weights;
@@ -135,7 +147,8 @@
 	change.n_set = 1;
 	error = config_table_check(&controller->config, &change, out->pool);
 	if (error || !weights[0]) {
-		command_answer(out, token, 400, 0, error_json(out->pool, error ? error : "weights: missing", 0));
+		command_answer(out, token, 400, 0,
+			       error_json(out->pool, error ? error : "weights: missing", 0));
 		return;
 	}
 	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
@@ -150,7 +163,7 @@
 	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--)
 		if (now >= controller->logged_calls[i].deadline_at_ms) {
 			command_answer(out, controller->logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
-				   error_json(out->pool, "outcome unknown: send it again", 0));
+				       error_json(out->pool, "outcome unknown: send it again", 0));
 			arrdel(controller->logged_calls, i);
 		}
 }
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "bootstrap.h"
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "operator_api.h"
 #include "operator_documents.h"
@@ -11,17 +11,20 @@
 #include "controller_private.h"
 
 struct operator_path {
-	enum controller_event_kind kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
-	const char *method, *path;    /* of CONTROLLER_WEB */
+	enum controller_event_kind
+	    kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
+	const char *method, *path; /* of CONTROLLER_WEB */
 	enum path_needs needs;
-	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now, struct command_list *o);
+	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now,
+		       struct command_list *o);
 };
 
 static const struct operator_path paths[] = {
 	{ CONTROLLER_API_CALL, "GET", "/v1/state", PATH_NEEDS_LOCAL_STATE, read_state },
 	{ CONTROLLER_API_CALL, "GET", "/v1/table", PATH_NEEDS_LEADER_IN_REACH, read_config_table },
 	{ CONTROLLER_API_CALL, "GET", "/v1/retention", PATH_NEEDS_LEADER_IN_REACH, read_retention },
-	{ CONTROLLER_API_CALL, "GET", "/v1/retention.csv", PATH_NEEDS_LEADER_IN_REACH, read_retention_report },
+	{ CONTROLLER_API_CALL, "GET", "/v1/retention.csv", PATH_NEEDS_LEADER_IN_REACH,
+	  read_retention_report },
 	{ CONTROLLER_API_CALL, "POST", "/v1/change", PATH_NEEDS_LEADER_IN_REACH, change_config_table },
 	{ CONTROLLER_API_CALL, "POST", "/v1/clear", PATH_NEEDS_LEADER_IN_REACH, purge_context },
 	{ CONTROLLER_API_CALL, "POST", "/v1/found", PATH_NEEDS_SEEDS, bootstrap_fleet },
@@ -34,10 +37,14 @@
 static uint64_t call_token(const struct controller_event *event)
 {
 	switch (event->kind) {
-	case CONTROLLER_PUT_DOCUMENT: return event->payload.document.token;
-	case CONTROLLER_READ_DOCUMENT: return event->payload.read.token;
-	case CONTROLLER_SET_TARGET_WEIGHTS: return event->payload.target.token;
-	default: return event->payload.api_call.token;
+	case CONTROLLER_PUT_DOCUMENT:
+		return event->payload.document.token;
+	case CONTROLLER_READ_DOCUMENT:
+		return event->payload.read.token;
+	case CONTROLLER_SET_TARGET_WEIGHTS:
+		return event->payload.target.token;
+	default:
+		return event->payload.api_call.token;
 	}
 }
 
@@ -47,14 +54,16 @@
 		if (paths[i].kind != event->kind)
 			continue;
 		if (event->kind != CONTROLLER_API_CALL ||
-		    (!strcmp(paths[i].path, event->payload.api_call.path) && !strcmp(paths[i].method, event->payload.api_call.method)))
+		    (!strcmp(paths[i].path, event->payload.api_call.path) &&
+		     !strcmp(paths[i].method, event->payload.api_call.method)))
 			return &paths[i];
 	}
 	return NULL;
 }
 
 /* Name the leader, as far as it is known here; else say when to come back. */
-static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now, struct command_list *out)
+static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now,
+			       struct command_list *out)
 {
 	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
 	struct command *command;
@@ -72,22 +81,26 @@
 	command->args.answer.redirect_addr = leader;
 }
 
-/* What was answered since this command holds as long as the lease does: whoever writes it looks at the clock once more. */
+/* What was answered since this command holds as long as the lease does: whoever writes it looks at the clock
+ * once more. */
 static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct command_list *out)
 {
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
 		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
-			out->commands[i].args.answer.not_after_ms = controller->shards[SHARD_CONTROL].lease_expires_at_ms;
+			out->commands[i].args.answer.not_after_ms =
+			    controller->shards[SHARD_CONTROL].lease_expires_at_ms;
 }
 
-void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		      struct command_list *out)
 {
 	const struct operator_path *path = find_path(event);
 	ptrdiff_t answers = arrlen(out->commands);
 
 	controller->operator_calls.read++;
 	if (!path) { /* whatever the log holds, there is no such path */
-		command_answer(out, call_token(event), 404, 0, error_json(out->pool, "path: no such call", 0));
+		command_answer(out, call_token(event), 404, 0,
+			       error_json(out->pool, "path: no such call", 0));
 		return;
 	}
 	if (controller->stopping && path->needs != PATH_NEEDS_LOCAL_STATE) {
@@ -96,7 +109,9 @@
 	}
 	switch (path->needs) {
 	case PATH_NEEDS_LOCAL_STATE:
-	case PATH_NEEDS_SEEDS: path->handle(controller, event, now, out); break;
+	case PATH_NEEDS_SEEDS:
+		path->handle(controller, event, now, out);
+		break;
 	case PATH_NEEDS_LEADERSHIP:
 		if (leads_shard(controller, SHARD_CONTROL, now)) {
 			path->handle(controller, event, now, out);
--- a/lib/control/operator_paths.h
+++ b/lib/control/operator_paths.h
@@ -1,7 +1,8 @@
-/* Which calls operators may make here, and what each needs before it is answered. One table holds them all, those that come
- * through a platform's adapter too; the step passes each call. Always: a definite answer (2xx or 4xx) that depends on the
- * log comes from a leader that holds a lease and has applied its log; every other node redirects, or says 503 and when to
- * come back, at once. What a leader says here by itself is handed out with the end of its lease. */
+/* Which calls operators may make here, and what each needs before it is answered. One table holds them all,
+ * those that come through a platform's adapter too; the step passes each call. Always: a definite answer (2xx
+ * or 4xx) that depends on the log comes from a leader that holds a lease and has applied its log; every other
+ * node redirects, or says 503 and when to come back, at once. What a leader says here by itself is handed out
+ * with the end of its lease. */
 #ifndef NL_OPERATOR_PATHS_H
 #define NL_OPERATOR_PATHS_H
 
@@ -16,6 +17,7 @@
 };
 
 /* An operator's call: an event of kind CONTROLLER_WEB, CONTROLLER_DOC, CONTROLLER_READ or CONTROLLER_NAME. */
-void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
+void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		      struct command_list *out);
 
 #endif
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -4,12 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
 
-void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why, uint64_t hint, struct command_list *out)
+void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why,
+		       uint64_t hint, struct command_list *out)
 {
 	struct Nl__ProposeReply *answer = MESSAGE_NEW(out, Nl__ProposeReply, NL__PROPOSE_REPLY__INIT);
 
@@ -22,7 +23,8 @@
 }
 
 /* Operators' calls that wait for this entry. */
-static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status, struct command_list *out)
+static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status,
+				  struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--) {
 		if (controller->logged_calls[i].log_index != index)
@@ -30,11 +32,14 @@
 		if (status == PROPOSAL_DONE)
 			command_answer(out, controller->logged_calls[i].token, 200, 0, "{}");
 		else if (status == PROPOSAL_KEY_REUSED)
-			command_answer(out, controller->logged_calls[i].token, 422, 0, error_json(out->pool, ORDER_KEY_REUSED, 0));
+			command_answer(out, controller->logged_calls[i].token, 422, 0,
+				       error_json(out->pool, ORDER_KEY_REUSED, 0));
 		else if (status == PROPOSAL_SUPERSEDED)
-			command_answer(out, controller->logged_calls[i].token, 412, 0, error_json(out->pool, "another version is current", 0));
+			command_answer(out, controller->logged_calls[i].token, 412, 0,
+				       error_json(out->pool, "another version is current", 0));
 		else
-			command_answer(out, controller->logged_calls[i].token, 400, 0, error_json(out->pool, "version: not above the current one", 0));
+			command_answer(out, controller->logged_calls[i].token, 400, 0,
+				       error_json(out->pool, "version: not above the current one", 0));
 		arrdel(controller->logged_calls, i);
 	}
 }
@@ -43,28 +48,36 @@
 static const char *outcome_text(uint32_t status)
 {
 	switch (status) {
-	case PROPOSAL_SUPERSEDED: return "edition overtaken";
-	case PROPOSAL_REJECTED: return "already claimed";
-	case PROPOSAL_KEY_REUSED: return ORDER_KEY_REUSED;
-	default: return "";
+	case PROPOSAL_SUPERSEDED:
+		return "edition overtaken";
+	case PROPOSAL_REJECTED:
+		return "already claimed";
+	case PROPOSAL_KEY_REUSED:
+		return ORDER_KEY_REUSED;
+	default:
+		return "";
 	}
 }
 
-void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index, struct apply_result applied, struct command_list *out)
+void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index,
+		      struct apply_result applied, struct command_list *out)
 {
 	if (shard == SHARD_CONTROL)
 		answer_operator_calls(controller, index, applied.status, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->pending_entries); i++)
-		if (controller->pending_entries[i].shard == shard && controller->pending_entries[i].log_index == index) {
-			reply_to_proposal(controller->pending_entries[i].proposer_addr, controller->pending_entries[i].token, applied.status, applied.version,
-					  outcome_text(applied.status), 0, out);
+		if (controller->pending_entries[i].shard == shard &&
+		    controller->pending_entries[i].log_index == index) {
+			reply_to_proposal(controller->pending_entries[i].proposer_addr,
+					  controller->pending_entries[i].token, applied.status,
+					  applied.version, outcome_text(applied.status), 0, out);
 			arrdel(controller->pending_entries, i);
 			return;
 		}
 }
 
 /* An operator wants a scope cleared now; the time is the owner's, since nothing is planned by it. */
-static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *clear, int64_t now, apr_pool_t *pool)
+static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *clear,
+				       int64_t now, apr_pool_t *pool)
 {
 	int64_t wall_clock_ms = retention_wall_clock(controller, now);
 	char route[200], tenant[200];
@@ -75,17 +88,23 @@
 		return apr_psprintf(pool, "scope: no lane %s", route);
 	if (tenant[0] && !config_table_get(&controller->config, NL__KIND__TENANT, tenant))
 		return apr_psprintf(pool, "scope: no tenant %s", tenant);
-	clear->wall_clock_ms = clear->due_at_ms = wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
+	clear->wall_clock_ms = clear->due_at_ms =
+	    wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
 	return NULL;
 }
 
-/* A change that builds on an older edition is late, unless it may be an order that was accepted and is forgotten. */
+/* A change that builds on an older edition is late, unless it may be an order that was accepted and is
+ * forgotten. */
 static uint32_t superseded_status(const struct controller *controller, const struct Nl__Change *change)
 {
-	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES, change->expected_revision) ? PROPOSAL_KEY_EXPIRED : PROPOSAL_SUPERSEDED;
+	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES,
+						change->expected_revision)
+		   ? PROPOSAL_KEY_EXPIRED
+		   : PROPOSAL_SUPERSEDED;
 }
 
-void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+		 struct command_list *out)
 {
 	const struct Nl__Propose *q = message->propose;
 	struct controller_pending_entry controller_wait = { message->shard, 0, message->addr, q->token };
@@ -97,47 +116,73 @@
 
 	if (message->shard >= SHARD_COUNT || !q->operation)
 		return;
-	is_expected = message->shard == SHARD_CONTROL    ? q->operation->body_case == NL__OPERATION__BODY_CHANGE || (q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP &&
-                                                                                  q->operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW)
-	       : service_shard_state(controller, message->shard) ? q->operation->body_case == NL__OPERATION__BODY_CLAIM
-					   : 0;
+	is_expected =
+	    message->shard == SHARD_CONTROL
+		? q->operation->body_case == NL__OPERATION__BODY_CHANGE ||
+		      (q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP &&
+		       q->operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW)
+	    : service_shard_state(controller, message->shard)
+		? q->operation->body_case == NL__OPERATION__BODY_CLAIM
+		: 0;
 	if (!leads_shard(controller, message->shard, now)) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->shard, now), out);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
+				  leader_hint(controller, message->shard, now), out);
 		return;
 	}
 	if (!is_expected)
 		why = "op: not one that this part takes";
 	else if ((accepted = idempotency_log_find(&controller->accepted_requests, &request_key))) {
-		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key), accepted->version, ORDER_KEY_REUSED, 0, out);
+		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
+				  accepted->version, ORDER_KEY_REUSED, 0, out);
 		return;
-	} else if (message->shard == SHARD_CONTROL && (done = find_done_operation(controller, q->operation->requester_id, q->operation->token))) {
-		reply_to_proposal(message->addr, q->token, done->status, controller->config.revision, "edition overtaken", 0, out);
+	} else if (message->shard == SHARD_CONTROL &&
+		   (done =
+			find_done_operation(controller, q->operation->requester_id, q->operation->token))) {
+		reply_to_proposal(message->addr, q->token, done->status, controller->config.revision,
+				  "edition overtaken", 0, out);
 		return;
-	} else if (message->shard == SHARD_CONTROL && q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP) {
+	} else if (message->shard == SHARD_CONTROL &&
+		   q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP) {
 		why = check_purge_request(controller, q->operation->retention_step, now, out->pool);
-	} else if (message->shard == SHARD_CONTROL && controller->config.revision && !q->operation->change->any_revision && q->operation->change->expected_revision < controller->config.operator_revision) {
-		reply_to_proposal(message->addr, q->token, superseded_status(controller, q->operation->change), controller->config.revision, "edition overtaken", 0, out);
+	} else if (message->shard == SHARD_CONTROL && controller->config.revision &&
+		   !q->operation->change->any_revision &&
+		   q->operation->change->expected_revision < controller->config.operator_revision) {
+		reply_to_proposal(message->addr, q->token,
+				  superseded_status(controller, q->operation->change),
+				  controller->config.revision, "edition overtaken", 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL) {
 		why = config_table_check(&controller->config, q->operation->change, out->pool);
 		if (!why)
-			why = retention_check_calendar(controller->calendar, q->operation->change, retention_wall_clock(controller, now), out->pool);
+			why = retention_check_calendar(controller->calendar, q->operation->change,
+						       retention_wall_clock(controller, now), out->pool);
 	}
 	if (why) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED, controller->config.revision, why, 0, out);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED, controller->config.revision,
+				  why, 0, out);
 		return;
 	}
 	controller_wait.log_index = log_operation(controller, message->shard, q->operation, now, out);
 	if (controller_wait.log_index)
 		arrput(controller->pending_entries, controller_wait);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "", leader_hint(controller, message->shard, now), out);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
+				  leader_hint(controller, message->shard, now), out);
 }
 
 /* A proposal of this node's own, or of an operator calling here. */
-void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op, uint64_t call_token, int64_t now)
+void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op,
+	     uint64_t call_token, int64_t now)
 {
-	struct controller_proposal proposal = { ++controller->last_token, call_token, shard, NULL, now + CONTROLLER_CALL_TIMEOUT_MS, 0, 0, 0, 0 };
+	struct controller_proposal proposal = { ++controller->last_token,
+						call_token,
+						shard,
+						NULL,
+						now + CONTROLLER_CALL_TIMEOUT_MS,
+						0,
+						0,
+						0,
+						0 };
 	size_t size = nl__operation__get_packed_size(op);
 	uint8_t *packed = malloc(size + 1);
 
@@ -159,18 +204,21 @@
 	arrdel(controller->proposals, i);
 }
 
-/* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader is in reach;
- * what may have been waits for its outcome, up to its time. A controller that is to stop looks for no leader any more: there
- * nothing waits without one. */
-static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal, int64_t now, struct command_list *out)
+/* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader
+ * is in reach; what may have been waits for its outcome, up to its time. A controller that is to stop looks
+ * for no leader any more: there nothing waits without one. */
+static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal,
+			    int64_t now, struct command_list *out)
 {
 	int may_be_logged = proposal->send_count > proposal->denied_count;
 
-	if (now < proposal->deadline_at_ms && (!proposal->call_token || leader_reachable(controller, now) || (may_be_logged && !controller->stopping)))
+	if (now < proposal->deadline_at_ms && (!proposal->call_token || leader_reachable(controller, now) ||
+					       (may_be_logged && !controller->stopping)))
 		return 0;
 	if (proposal->call_token && may_be_logged)
-		command_answer(out, proposal->call_token, 504, CONTROLLER_RETRY_MS,
-			   error_json(out->pool, "outcome unknown: read the table before trying again", 0));
+		command_answer(
+		    out, proposal->call_token, 504, CONTROLLER_RETRY_MS,
+		    error_json(out->pool, "outcome unknown: read the table before trying again", 0));
 	else if (proposal->call_token)
 		reject_without_leader(proposal->call_token, out);
 	return 1;
@@ -192,8 +240,11 @@
 		proposal->send_count++;
 		q = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
 		q->token = proposal->token;
-		q->operation = (struct Nl__Operation *)core_copy_message(out->pool, &proposal->operation->base);
-		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard), proposal->shard, NL__MSG__BODY_PROPOSE)->propose = q;
+		q->operation =
+		    (struct Nl__Operation *)core_copy_message(out->pool, &proposal->operation->base);
+		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard),
+			     proposal->shard, NL__MSG__BODY_PROPOSE)
+		    ->propose = q;
 	}
 }
 
@@ -201,15 +252,19 @@
 static int rejection_http_status(uint32_t status)
 {
 	switch (status) {
-	case PROPOSAL_SUPERSEDED: return 409;
-	case PROPOSAL_KEY_REUSED: return 422;
-	case PROPOSAL_KEY_EXPIRED: return 504;
-	default: return 400;
+	case PROPOSAL_SUPERSEDED:
+		return 409;
+	case PROPOSAL_KEY_REUSED:
+		return 422;
+	case PROPOSAL_KEY_EXPIRED:
+		return 504;
+	default:
+		return 400;
 	}
 }
 
-/* A copy was refused as the table stood. While another may still be on its way, it may be accepted as the table stands
- * then: nothing is said before that one is answered too, and no more are sent. */
+/* A copy was refused as the table stood. While another may still be on its way, it may be accepted as the
+ * table stands then: nothing is said before that one is answered too, and no more are sent. */
 static int another_copy_in_flight(struct controller_proposal *proposal)
 {
 	proposal->refused_count++;
@@ -219,7 +274,8 @@
 	return 1;
 }
 
-void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *answer, int64_t now, struct command_list *out)
+void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *answer, int64_t now,
+		       struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++) {
 		struct controller_proposal *proposal = &controller->proposals[i];
@@ -235,23 +291,31 @@
 		}
 		if (answer->status == PROPOSAL_REJECTED && another_copy_in_flight(proposal))
 			return;
-		if (answer->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the next leader will tell */
+		if (answer->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the
+								     next leader will tell */
 			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS;
 			return;
 		}
 		if (answer->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
-			return; /* said long ago, and read only now: no more than that it may have been logged is certain */
+			return; /* said long ago, and read only now: no more than that it may have been logged
+				   is certain */
 		if (proposal->call_token && answer->status == PROPOSAL_DONE) {
-			body = apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->revision);
+			body =
+			    apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->revision);
 			command_answer(out, proposal->call_token, 200, 0, body);
 		} else if (proposal->call_token) {
 			int http_status = rejection_http_status(answer->status);
 
-			body = error_json(out->pool, answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN : answer->reason, answer->revision);
+			body = error_json(out->pool,
+					  answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN
+										 : answer->reason,
+					  answer->revision);
 			if (http_status < 500)
-				command_answer_until(out, proposal->call_token, http_status, body, proposal->deadline_at_ms);
+				command_answer_until(out, proposal->call_token, http_status, body,
+						     proposal->deadline_at_ms);
 			else
-				command_answer(out, proposal->call_token, http_status, CONTROLLER_RETRY_MS, body);
+				command_answer(out, proposal->call_token, http_status, CONTROLLER_RETRY_MS,
+					       body);
 		}
 		end_proposal(controller, i);
 		config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
 
@@ -17,10 +17,13 @@
 
 static struct Nl__Value **find_feed(struct controller *controller, uint32_t shard)
 {
-	return shard == SHARD_CONTROL ? controller->config_purge_feed : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed : NULL;
+	return shard == SHARD_CONTROL                   ? controller->config_purge_feed
+	       : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed
+							: NULL;
 }
 
-void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+		     struct command_list *out)
 {
 	struct Nl__FeedReply *feed_reply;
 	struct Nl__Value **value;
@@ -32,17 +35,20 @@
 		struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
 		owner->leader_id = leader_hint(controller, message->shard, now);
-		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint = owner;
+		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint =
+		    owner;
 		return;
 	}
 	feed_reply = MESSAGE_NEW(out, Nl__FeedReply, NL__FEED_REPLY__INIT);
 	feed_reply->round = message->feed_request->round;
 	value = find_feed(controller, message->shard);
-	while (acknowledged < (size_t)arrlen(value) && value[acknowledged]->index <= message->feed_request->have_index)
+	while (acknowledged < (size_t)arrlen(value) &&
+	       value[acknowledged]->index <= message->feed_request->have_index)
 		acknowledged++;
 	released = acknowledged;
 	feed_reply->n_values = (size_t)arrlen(value) - acknowledged;
-	feed_reply->values = copy_values(value ? value + acknowledged : NULL, feed_reply->n_values, out->pool);
+	feed_reply->values =
+	    copy_values(value ? value + acknowledged : NULL, feed_reply->n_values, out->pool);
 	command_send(out, message->addr, message->shard, NL__MSG__BODY_FEED_REPLY)->feed_reply = feed_reply;
 	if (released > 64) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
@@ -55,20 +61,25 @@
 	}
 }
 
-void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+		   struct command_list *out)
 {
 	const struct Nl__FeedReply *feed_reply = message->feed_reply;
 	int proposed = 0;
 
-	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT || !leads_shard(controller, SHARD_PURGE, now))
+	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT ||
+	    !leads_shard(controller, SHARD_PURGE, now))
 		return;
 	config_watch_hint(&controller->config_watch, message->shard, message->addr);
 	/* one batch at a time; what does not fit, the feed will say again */
-	for (size_t i = 0; i < feed_reply->n_values && (proposed || controller->pending_tick <= controller->declared_tick); i++) {
+	for (size_t i = 0;
+	     i < feed_reply->n_values && (proposed || controller->pending_tick <= controller->declared_tick);
+	     i++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		uint64_t next = (proposed ? controller->pending_tick : controller->declared_tick) + 1;
 
-		if (!feed_reply->values[i]->purge || feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
+		if (!feed_reply->values[i]->purge ||
+		    feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
 			continue;
 		if (next > controller->purge_state.ceiling || proposed == CONTROLLER_PURGE_BATCH)
 			break;
@@ -112,9 +123,11 @@
 	for (ptrdiff_t i = 0; i < hmlen(controller->purge_state.last_view.subjects); i++)
 		purge_view_apply(&relay->view, controller->purge_state.last_view.subjects[i].value);
 	for (ptrdiff_t i = 0; i < arrlen(controller->purge_state.values); i++)
-		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick, controller->purge_state.values[i], now, out);
+		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick,
+			      controller->purge_state.values[i], now, out);
 	controller->declared_tick = controller->purge_state.ceiling;
-	if (raft_epoch(controller->shards[SHARD_PURGE].term) > controller->epoch[SHARD_PURGE]) /* the ceiling rises with the first operation */
+	if (raft_epoch(controller->shards[SHARD_PURGE].term) >
+	    controller->epoch[SHARD_PURGE]) /* the ceiling rises with the first operation */
 		controller->declared_tick += CONTROLLER_RECOVERY_SKIP;
 	relay_publish(relay, relay->knowledge.horizon + 1, controller->declared_tick, NULL, now, out);
 	controller->pending_tick = 0;
@@ -138,24 +151,37 @@
 
 			if (i == SHARD_PURGE)
 				continue;
-			if (i != SHARD_CONTROL && controller->feed_round > controller->feed_complete_round[i] + 5 && controller->feed_round % 5 == 0)
-				config_watch_miss(&controller->config_watch, i); /* no word for a while: try another controller, then heed its hint */
+			if (i != SHARD_CONTROL &&
+			    controller->feed_round > controller->feed_complete_round[i] + 5 &&
+			    controller->feed_round % 5 == 0)
+				config_watch_miss(
+				    &controller->config_watch,
+				    i); /* no word for a while: try another controller, then heed its hint */
 			feed_ask = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			feed_ask->have_index = controller->purge_state.published_index[i];
 			feed_ask->round = controller->feed_round;
-			command_send(out, leads_shard(controller, i, now) ? out->addr : config_watch_leader_addr(&controller->config_watch, i), i, NL__MSG__BODY_FEED_REQUEST)
+			command_send(out,
+				     leads_shard(controller, i, now)
+					 ? out->addr
+					 : config_watch_leader_addr(&controller->config_watch, i),
+				     i, NL__MSG__BODY_FEED_REQUEST)
 			    ->feed_request = feed_ask;
 		}
 	}
-	if (controller->purge_state.ceiling < controller->declared_tick + PURGE_RESERVED_TICKS / 2 && controller->reserved_for_ceiling != controller->purge_state.ceiling)
+	if (controller->purge_state.ceiling < controller->declared_tick + PURGE_RESERVED_TICKS / 2 &&
+	    controller->reserved_for_ceiling != controller->purge_state.ceiling)
 		reserve_ticks(controller, now, out);
-	if (now - controller->tick_declared_at_ms < PURGE_TICK_MS || controller->pending_tick > controller->declared_tick || controller->declared_tick >= controller->purge_state.ceiling)
+	if (now - controller->tick_declared_at_ms < PURGE_TICK_MS ||
+	    controller->pending_tick > controller->declared_tick ||
+	    controller->declared_tick >= controller->purge_state.ceiling)
 		return;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* silence waits for every feed */
-		all_complete &= i == SHARD_PURGE || controller->feed_complete_round[i] + 2 >= controller->feed_round;
+		all_complete &=
+		    i == SHARD_PURGE || controller->feed_complete_round[i] + 2 >= controller->feed_round;
 	if (!all_complete)
 		return;
 	controller->tick_declared_at_ms = now;
 	controller->declared_tick++;
-	relay_publish(&controller->relay, controller->declared_tick, controller->declared_tick, NULL, now, out);
+	relay_publish(&controller->relay, controller->declared_tick, controller->declared_tick, NULL, now,
+		      out);
 }
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -3,13 +3,14 @@
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "controller_private.h"
 
 /* The fleet's limit of "tenant" or "lane/tenant" as the table has it. */
 static uint32_t find_limit(const struct controller *controller, const char *name)
 {
-	const struct Nl__Row *row = config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
+	const struct Nl__Row *row = config_table_get(
+	    &controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
 
 	return row ? row->limit : 0;
 }
@@ -17,12 +18,15 @@
 /* Whether there is such a row at all; one without a limit has 0. */
 static int has_quota_row(const struct controller *controller, const char *name)
 {
-	return config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name) != NULL;
+	return config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT,
+				name) != NULL;
 }
 
-/* What the asker may use. Never more than the limit less all that others hold or may believe to hold. What is wanted
- * beyond the limit is shared out evenly; the odd places go to those that have gone without for longest. */
-static uint32_t compute_share(const struct controller_quota_share *v, const struct controller_quota_share *grant, const char *name, uint32_t limit,
+/* What the asker may use. Never more than the limit less all that others hold or may believe to hold. What is
+ * wanted beyond the limit is shared out evenly; the odd places go to those that have gone without for
+ * longest. */
+static uint32_t compute_share(const struct controller_quota_share *v,
+			      const struct controller_quota_share *grant, const char *name, uint32_t limit,
 			      uint32_t reserve, int64_t now)
 {
 	uint64_t others = 0, total = 0, rotation = core_hash_string((uint64_t)(now / 1000), name);
@@ -33,8 +37,10 @@
 			others += v[i].reserved;
 		total += v[i].requested + reserve;
 		requester_count += v[i].requested > 0;
-		rank += v[i].requested &&
-			(v[i].last_granted_at_ms / 1000 != grant->last_granted_at_ms / 1000 ? v[i].last_granted_at_ms < grant->last_granted_at_ms : core_rendezvous_weight(rotation, v[i].router_id) > core_rendezvous_weight(rotation, grant->router_id));
+		rank += v[i].requested && (v[i].last_granted_at_ms / 1000 != grant->last_granted_at_ms / 1000
+					       ? v[i].last_granted_at_ms < grant->last_granted_at_ms
+					       : core_rendezvous_weight(rotation, v[i].router_id) >
+						     core_rendezvous_weight(rotation, grant->router_id));
 	}
 	if (total > limit) {
 		even = requester_count ? limit / requester_count + (rank < limit % requester_count) : 0;
@@ -42,13 +48,14 @@
 	}
 	if (requested <= grant->reserved) /* less than it has: always; more: as far as others leave it */
 		return requested;
-	return others + requested <= limit     ? requested
+	return others + requested <= limit        ? requested
 	       : others + grant->reserved < limit ? (uint32_t)(limit - others)
 	       : grant->reserved < limit          ? grant->reserved
-					  : limit;
+						  : limit;
 }
 
-static struct controller_quota_share *find_share(struct controller *controller, const char *name, uint64_t router_id, uint32_t in_use, int64_t now)
+static struct controller_quota_share *find_share(struct controller *controller, const char *name,
+						 uint64_t router_id, uint32_t in_use, int64_t now)
 {
 	struct controller_quota_share *v, grant = { router_id, 0, in_use, 0, now, 0 };
 	ptrdiff_t own = -1;
@@ -71,8 +78,8 @@
 }
 
 /* Say what the asker may use, and count it as held until it is heard to be back. */
-static void reply_share(struct controller_quota_share *grant, const char *name, uint32_t reserved, uint64_t token, struct Nl__ConfigSyncReply *reply,
-			struct command_list *out)
+static void reply_share(struct controller_quota_share *grant, const char *name, uint32_t reserved,
+			uint64_t token, struct Nl__ConfigSyncReply *reply, struct command_list *out)
 {
 	struct Nl__QuotaGrant *hold = MESSAGE_NEW(out, Nl__QuotaGrant, NL__QUOTA_GRANT__INIT);
 
@@ -104,30 +111,38 @@
 	}
 }
 
-/* Places that the asker holds, uses and wants, and what it gets. In the first seconds of an office nobody gets more: not
- * all that the last owner gave has been heard of yet. */
-void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync, uint32_t router_count,
-			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
+/* Places that the asker holds, uses and wants, and what it gets. In the first seconds of an office nobody
+ * gets more: not all that the last owner gave has been heard of yet. */
+void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync,
+			 uint32_t router_count, struct Nl__ConfigSyncReply *reply, int64_t now,
+			 struct command_list *out)
 {
 	/* the members are a fleet's first entry, its first owner's the second: before it nobody gave any */
-	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS && controller->shards[SHARD_CONTROL].term_start > 2;
+	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS &&
+			 controller->shards[SHARD_CONTROL].term_start > 2;
 	uint32_t router_divisor = router_count ? router_count : 1;
 
 	update_reserve_limits(controller);
-	reply->quota_grants = apr_palloc(out->pool, (sync->n_quota_grants + (size_t)arrlen(controller->reserve_limits) + 1) * sizeof *reply->quota_grants);
+	reply->quota_grants =
+	    apr_palloc(out->pool, (sync->n_quota_grants + (size_t)arrlen(controller->reserve_limits) + 1) *
+				      sizeof *reply->quota_grants);
 	for (size_t k = 0; k < sync->n_quota_grants; k++) {
 		const struct Nl__QuotaGrant *hold = sync->quota_grants[k];
-		uint32_t limit = find_limit(controller, hold->name), granted, in_use = hold->reserved_slots > hold->used_slots ? hold->reserved_slots : hold->used_slots;
+		uint32_t limit = find_limit(controller, hold->name), granted,
+			 in_use = hold->reserved_slots > hold->used_slots ? hold->reserved_slots
+									  : hold->used_slots;
 		struct controller_quota_share *grant;
 
 		if (!limit && has_quota_row(controller, hold->name)) /* no limit: nobody asks for places */
 			continue;
 		grant = find_share(controller, hold->name, router_id, in_use, now);
-		if (sync->applied_token >= grant->reply_token || in_use > grant->reserved) /* it has heard the last that was said */
+		if (sync->applied_token >= grant->reply_token ||
+		    in_use > grant->reserved) /* it has heard the last that was said */
 			grant->reserved = in_use;
 		grant->requested = hold->requested_slots;
 		grant->updated_at_ms = now;
-		granted = compute_share(shget(controller->quotas, hold->name), grant, hold->name, limit, limit / router_divisor / 4, now);
+		granted = compute_share(shget(controller->quotas, hold->name), grant, hold->name, limit,
+					limit / router_divisor / 4, now);
 		if (new_leader && granted > hold->reserved_slots)
 			granted = hold->reserved_slots < limit ? hold->reserved_slots : limit;
 		if (granted || hold->used_slots)
@@ -148,7 +163,9 @@
 		grant->requested = 0;
 		if (sync->applied_token >= grant->reply_token)
 			grant->reserved = 0;
-		granted = compute_share(shget(controller->quotas, controller->reserve_limits[i]), grant, controller->reserve_limits[i], limit, limit / router_divisor / 4, now);
+		granted =
+		    compute_share(shget(controller->quotas, controller->reserve_limits[i]), grant,
+				  controller->reserve_limits[i], limit, limit / router_divisor / 4, now);
 		reply_share(grant, controller->reserve_limits[i], granted, sync->token, reply, out);
 	}
 }
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -4,7 +4,7 @@
 #include <json-c/json.h>
 #include <stdlib.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "controller_private.h"
 
 enum { MAX_LOST = RAFT_MAX_MEMBERS };
@@ -15,38 +15,44 @@
 	struct json_object *call = json_tokener_parse(body), *list;
 	int count = -1;
 
-	if (call && json_object_is_type(call, json_type_object) && json_object_object_get_ex(call, "lost", &list) &&
-	    json_object_is_type(list, json_type_array) && json_object_array_length(list) <= MAX_LOST) {
+	if (call && json_object_is_type(call, json_type_object) &&
+	    json_object_object_get_ex(call, "lost", &list) && json_object_is_type(list, json_type_array) &&
+	    json_object_array_length(list) <= MAX_LOST) {
 		count = 0;
 		for (size_t i = 0; i < json_object_array_length(list); i++)
-			lost[count++] = strtoull(json_object_get_string(json_object_array_get_idx(list, i)), NULL, 16);
+			lost[count++] =
+			    strtoull(json_object_get_string(json_object_array_get_idx(list, i)), NULL, 16);
 	}
 	json_object_put(call);
 	return count;
 }
 
-static struct json_object *member_json(const struct raft *raft, const struct raft_member *member, int64_t now, apr_pool_t *pool)
+static struct json_object *member_json(const struct raft *raft, const struct raft_member *member, int64_t now,
+				       apr_pool_t *pool)
 {
 	struct json_object *json = json_object_new_object();
 
-	json_object_object_add(json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, member->id)));
+	json_object_object_add(
+	    json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, member->id)));
 	json_object_object_add(json, "address", json_object_new_string(core_format_addr(pool, member->addr)));
 	json_object_object_add(json, "voter", json_object_new_boolean(member->voter));
 	json_object_object_add(json, "here", json_object_new_boolean(member->id == raft->id));
 	if (member->last_message_at_ms)
-		json_object_object_add(json, "heard_ms_ago", json_object_new_int64(now - member->last_message_at_ms));
+		json_object_object_add(json, "heard_ms_ago",
+				       json_object_new_int64(now - member->last_message_at_ms));
 	return json;
 }
 
-static struct json_object *shard_json(const struct raft *raft, enum raft_recovery verdict, int recovered, int64_t now,
-				      apr_pool_t *pool)
+static struct json_object *shard_json(const struct raft *raft, enum raft_recovery verdict, int recovered,
+				      int64_t now, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_new_object(), *members = json_object_new_array();
 
 	json_object_object_add(json, "shard", json_object_new_int64(raft->shard));
 	json_object_object_add(json, "recovered", json_object_new_boolean(recovered));
 	json_object_object_add(json, "why", json_object_new_string(raft_recovery_strerror(verdict)));
-	json_object_object_add(json, "kept_up_to", json_object_new_uint64(raft->base_index + (uint64_t)arrlen(raft->log)));
+	json_object_object_add(json, "kept_up_to",
+			       json_object_new_uint64(raft->base_index + (uint64_t)arrlen(raft->log)));
 	json_object_object_add(json, "epoch", json_object_new_uint64(raft_epoch(raft->term)));
 	for (int i = 0; i < raft->member_count; i++)
 		json_object_array_add(members, member_json(raft, &raft->members[i], now, pool));
@@ -54,14 +60,16 @@
 	return json;
 }
 
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out)
+void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
+		    struct command_list *out)
 {
 	uint64_t lost[MAX_LOST];
 	int count = read_lost(event->payload.api_call.body, lost), recovered = 0;
 	struct json_object *answer, *shards;
 
 	if (count < 0) {
-		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, "lost: a list of up to 8 identities of registrars", 0));
+		command_answer(out, event->payload.api_call.token, 400, 0,
+			       error_json(out->pool, "lost: a list of up to 8 identities of registrars", 0));
 		return;
 	}
 	answer = json_object_new_object();
@@ -74,17 +82,20 @@
 
 		recovered += done;
 		if (done)
-			log_line(controller, "recovery", out->pool, "Shard %d goes on with this copy alone, in epoch %" APR_UINT64_T_FMT ".", i,
+			log_line(controller, "recovery", out->pool,
+				 "Shard %d goes on with this copy alone, in epoch %" APR_UINT64_T_FMT ".", i,
 				 raft_epoch(raft->term));
 		json_object_array_add(shards, shard_json(raft, verdict, done, now, out->pool));
 	}
 	json_object_object_add(answer, "recovered", json_object_new_int(recovered));
-	json_object_object_add(answer, "lost",
-			       json_object_new_string(recovered ? "what only the lost registrars held: orders, claims "
-								  "and purges that were acknowledged last may be missing"
-								: "nothing"));
+	json_object_object_add(
+	    answer, "lost",
+	    json_object_new_string(recovered ? "what only the lost registrars held: orders, claims "
+					       "and purges that were acknowledged last may be missing"
+					     : "nothing"));
 	json_object_object_add(answer, "shards", shards);
-	command_answer(out, event->payload.api_call.token, recovered ? 200 : 409, 0,
-		   apr_pstrdup(out->pool, json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN)));
+	command_answer(
+	    out, event->payload.api_call.token, recovered ? 200 : 409, 0,
+	    apr_pstrdup(out->pool, json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(answer);
 }
--- a/lib/control/recovery.h
+++ b/lib/control/recovery.h
@@ -1,13 +1,15 @@
-/* The operator's call after the loss of a majority: groups of which this controller is the last voter go on with its copy.
- * Called for POST /v1/recover. Nothing happens unless the operator names who is lost, and never while a majority lives. */
+/* The operator's call after the loss of a majority: groups of which this controller is the last voter go on
+ * with its copy. Called for POST /v1/recover. Nothing happens unless the operator names who is lost, and
+ * never while a majority lives. */
 #ifndef NL_RECOVERY_H
 #define NL_RECOVERY_H
 
 #include "controller.h"
 
-/* POST /v1/recover: {"lost":["00112233445566aa", ...]} names controllers that are lost for good. Each group answers whether
- * it goes on here, and why not; with an empty list nothing is done, and the members are told.
+/* POST /v1/recover: {"lost":["00112233445566aa", ...]} names controllers that are lost for good. Each group
+ * answers whether it goes on here, and why not; with an empty list nothing is done, and the members are told.
  * Example: recover_groups(r, ev, now, o); */
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now, struct command_list *out);
+void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
+		    struct command_list *out);
 
 #endif
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -2,20 +2,23 @@
 
 #include <stdlib.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "mechanism.h"
-#include "naming.h"
+#include "version_history.h"
 
-void rollout_pace_learn(struct controller *controller, const struct rollout_server *server, const char *model, int64_t now)
+void rollout_pace_learn(struct controller *controller, const struct rollout_server *server, const char *model,
+			int64_t now)
 {
 	struct rollout_pace *pace;
 	int duration_ms = (int)(now - server->commanded_at_ms);
 
-	if (shgeti(controller->rollout.models, model) < 0 || server->state != ROLLOUT_LOADING || !server->commanded_at_ms)
+	if (shgeti(controller->rollout.models, model) < 0 || server->state != ROLLOUT_LOADING ||
+	    !server->commanded_at_ms)
 		return;
 	pace = &shgetp(controller->rollout.models, model)->value;
 	if (server->max_concurrent_loads <= pace->base_concurrency) {
-		pace->base_load_ms = pace->base_load_ms ? (3 * pace->base_load_ms + duration_ms) / 4 : duration_ms;
+		pace->base_load_ms =
+		    pace->base_load_ms ? (3 * pace->base_load_ms + duration_ms) / 4 : duration_ms;
 		return;
 	}
 	pace->extra_load_ms = pace->extra_load_ms ? (pace->extra_load_ms + duration_ms) / 2 : duration_ms;
@@ -23,7 +26,8 @@
 	if (pace->base_load_ms && pace->extra_load_ms > pace->base_load_ms + pace->base_load_ms / 4) {
 		pace->is_saturated = 1;
 		pace->concurrency = pace->base_concurrency;
-	} else if (!pace->is_saturated && pace->extra_samples % (2 * pace->concurrency) == 0 && server->max_concurrent_loads >= pace->concurrency) {
+	} else if (!pace->is_saturated && pace->extra_samples % (2 * pace->concurrency) == 0 &&
+		   server->max_concurrent_loads >= pace->concurrency) {
 		pace->concurrency++;
 	}
 }
@@ -42,7 +46,8 @@
 	return ms < ROLLOUT_NOTICE_MAX_MS ? ms : ROLLOUT_NOTICE_MAX_MS;
 }
 
-int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t due_at_ms, int64_t now)
+int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t due_at_ms,
+			  int64_t now)
 {
 	struct rollout_model *models = controller->rollout.models;
 	ptrdiff_t k = shgeti(models, model);
@@ -50,19 +55,27 @@
 	const struct rollout_pace *pace = k >= 0 ? &models[k].value : &none;
 	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
 
-	return due_at_ms == INT64_MIN || now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms ? 0 : notice_ms_of(controller, pace);
+	return due_at_ms == INT64_MIN ||
+		       now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms
+		   ? 0
+		   : notice_ms_of(controller, pace);
 }
 
-int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model, const char *weights)
+int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model,
+			  const char *weights)
 {
-	const struct Nl__TargetVersion *next_version = version_history_after(model, strtoull(weights, NULL, 10));
+	const struct Nl__TargetVersion *next_version =
+	    version_history_after(model, strtoull(weights, NULL, 10));
 
-	return next_version ? (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms - controller->group_clock_offset_ms : INT64_MIN;
+	return next_version ? (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms -
+				  controller->group_clock_offset_ms
+			    : INT64_MIN;
 }
 
-/* How many servers have to load at once so that each has loaded in the time that is planned for. due: when those are due that are
- * yet to be told, soonest first. *urgent: for how many of them that time is over. */
-static int needed_concurrency(const struct controller *controller, const int64_t *due_at_ms, int loading, int64_t load_duration_ms, int64_t now, int *urgent)
+/* How many servers have to load at once so that each has loaded in the time that is planned for. due: when
+ * those are due that are yet to be told, soonest first. *urgent: for how many of them that time is over. */
+static int needed_concurrency(const struct controller *controller, const int64_t *due_at_ms, int loading,
+			      int64_t load_duration_ms, int64_t now, int *urgent)
 {
 	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
 	int needed = 0;
@@ -80,28 +93,39 @@
 	return needed;
 }
 
-int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count, const int64_t *due_at_ms, int loading, int64_t now)
+int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
+			const int64_t *due_at_ms, int loading, int64_t now)
 {
-	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace), reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_DEADLINE_PERCENT) / 100;
+	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace),
+		reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_DEADLINE_PERCENT) / 100;
 	int urgent, needed;
 
 	if (!pace->base_concurrency)
-		pace->base_concurrency = pace->concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
+		pace->base_concurrency = pace->concurrency =
+		    (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
 	needed = needed_concurrency(controller, due_at_ms, loading, load_duration_ms, now, &urgent);
 	if (urgent) {
-		int helps = !pace->is_saturated && (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
+		int helps = !pace->is_saturated &&
+			    (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
 		int concurrency = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
 
 		/* while more don't help, or have not shown that they do, a few more keep as busy as all */
-		return helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms || concurrency <= 2 * pace->base_concurrency ? concurrency : 2 * pace->base_concurrency;
+		return helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms ||
+			       concurrency <= 2 * pace->base_concurrency
+			   ? concurrency
+			   : 2 * pace->base_concurrency;
 	}
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
 	if (!loading)
 		pace->loading_since_ms = now;
-	if (pace->is_saturated || (!pace->base_load_ms && now - pace->loading_since_ms < 2 * load_duration_ms)) /* the first ones show how long it takes */
+	if (pace->is_saturated ||
+	    (!pace->base_load_ms &&
+	     now - pace->loading_since_ms < 2 * load_duration_ms)) /* the first ones show how long it takes */
 		return pace->concurrency;
-	if (needed > 2 * pace->base_concurrency && pace->extra_samples < 2 * pace->base_concurrency) /* not further before it has shown that it helps */
+	if (needed > 2 * pace->base_concurrency &&
+	    pace->extra_samples <
+		2 * pace->base_concurrency) /* not further before it has shown that it helps */
 		needed = 2 * pace->base_concurrency;
 	return needed > pace->concurrency ? needed : pace->concurrency;
 }
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -4,11 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "controller_private.h"
 #include "state_machine.h"
 
-static int compare_keys(const void *a, const void *b) { return strcmp(*(char *const *)a, *(char *const *)b); }
+static int compare_keys(const void *a, const void *b)
+{
+	return strcmp(*(char *const *)a, *(char *const *)b);
+}
 
 static uint8_t *pack_control_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
 {
@@ -78,7 +81,8 @@
 	return core_pack_message(pool, &purge_state.base, size);
 }
 
-static uint8_t *pack_service_state(const struct controller_service_state *service, apr_pool_t *pool, size_t *size)
+static uint8_t *pack_service_state(const struct controller_service_state *service, apr_pool_t *pool,
+				   size_t *size)
 {
 	struct Nl__ServiceState service_state = NL__SERVICE_STATE__INIT;
 	struct controller_claim *controller_claim = service->claims;
@@ -89,7 +93,8 @@
 	service_state.purged_tick = service->purged_tick;
 	service_state.purged_at = service->purged_at_ms;
 	service_state.compacted = service->is_compacted;
-	service_state.claims = apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *service_state.claims);
+	service_state.claims =
+	    apr_palloc(pool, ((size_t)shlen(controller_claim) + 1) * sizeof *service_state.claims);
 	for (ptrdiff_t i = 0; i < shlen(controller_claim); i++)
 		if (controller_claim[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS >= service->clock_ms)
 			key[live++] = controller_claim[i].key;
@@ -109,7 +114,8 @@
 	}
 	service_state.feed = service->purge_feed;
 	service_state.n_feed = (size_t)arrlen(service->purge_feed);
-	service_state.rolled_out = apr_palloc(pool, ((size_t)shlen(service->rolled_out) + 1) * sizeof *service_state.rolled_out);
+	service_state.rolled_out =
+	    apr_palloc(pool, ((size_t)shlen(service->rolled_out) + 1) * sizeof *service_state.rolled_out);
 	for (ptrdiff_t i = 0; i < shlen(service->rolled_out); i++) {
 		struct Nl__RolledOut *x = apr_palloc(pool, sizeof *x);
 		size_t k = service_state.n_rolled_out++;
@@ -127,8 +133,9 @@
 uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool, size_t *size)
 {
 	return shard == SHARD_CONTROL ? pack_control_state(controller, pool, size)
-	       : shard == SHARD_PURGE ? pack_purge_state(controller, pool, size)
-				     : pack_service_state(&controller->service_states[shard - SHARD_SERVICE], pool, size);
+	       : shard == SHARD_PURGE
+		   ? pack_purge_state(controller, pool, size)
+		   : pack_service_state(&controller->service_states[shard - SHARD_SERVICE], pool, size);
 }
 
 void free_values(struct Nl__Value ***value)
@@ -157,8 +164,8 @@
 
 	controller->epoch[shard] = raft_epoch(raft->snapshot_term);
 	if (shard == SHARD_CONTROL) {
-		struct Nl__ControlState *s =
-		    (struct Nl__ControlState *)core_unpack_message(pool, &nl__control_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		struct Nl__ControlState *s = (struct Nl__ControlState *)core_unpack_message(
+		    pool, &nl__control_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 		struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 
 		config_table_close(&controller->config);
@@ -169,11 +176,14 @@
 		arrsetlen(controller->done_operations, 0);
 		idempotency_log_load(&controller->accepted_requests, s);
 		retention_load(controller, s);
-		store_document(controller, s ? s->document.data : NULL, s ? s->document.len : 0, s ? s->document_version : 0);
+		store_document(controller, s ? s->document.data : NULL, s ? s->document.len : 0,
+			       s ? s->document_version : 0);
 		if (!s)
 			return;
 		for (size_t i = 0; i < s->n_completed; i++) {
-			struct controller_done_operation controller_done = { s->completed[i]->from, s->completed[i]->token, s->completed[i]->status };
+			struct controller_done_operation controller_done = { s->completed[i]->from,
+									     s->completed[i]->token,
+									     s->completed[i]->status };
 
 			arrput(controller->done_operations, controller_done);
 		}
@@ -188,8 +198,8 @@
 		for (size_t i = 0; i < s->n_feed; i++)
 			arrput(controller->config_purge_feed, value_copy(s->feed[i]));
 	} else if (shard == SHARD_PURGE) {
-		struct Nl__PurgeState *s =
-		    (struct Nl__PurgeState *)core_unpack_message(pool, &nl__purge_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		struct Nl__PurgeState *s = (struct Nl__PurgeState *)core_unpack_message(
+		    pool, &nl__purge_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 
 		free_values(&controller->purge_state.values);
 		purge_view_clear(&controller->purge_state.last_view);
@@ -205,11 +215,12 @@
 			purge_view_apply(&controller->purge_state.last_view, s->latest[i]);
 		for (size_t i = 0; i < s->n_feed_offsets; i++)
 			if (s->feed_offsets[i]->feed < SHARD_COUNT)
-				controller->purge_state.published_index[s->feed_offsets[i]->feed] = s->feed_offsets[i]->index;
+				controller->purge_state.published_index[s->feed_offsets[i]->feed] =
+				    s->feed_offsets[i]->index;
 	} else {
 		struct controller_service_state *service = service_shard_state(controller, shard);
-		struct Nl__ServiceState *s =
-		    (struct Nl__ServiceState *)core_unpack_message(pool, &nl__service_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		struct Nl__ServiceState *s = (struct Nl__ServiceState *)core_unpack_message(
+		    pool, &nl__service_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 
 		reset_service_state(service);
 		if (!s)
@@ -219,12 +230,16 @@
 		service->purged_at_ms = s->purged_at;
 		service->is_compacted = s->compacted;
 		for (size_t i = 0; i < s->n_claims; i++)
-			shput(service->claims, apr_pstrcat(pool, s->claims[i]->tenant, "\x1f", s->claims[i]->id, NULL),
-			      ((typeof(service->claims->value)){ s->claims[i]->router_id, s->claims[i]->seq, s->claims[i]->claimed_at, s->claims[i]->returned }));
+			shput(service->claims,
+			      apr_pstrcat(pool, s->claims[i]->tenant, "\x1f", s->claims[i]->id, NULL),
+			      ((typeof(service->claims->value)){ s->claims[i]->router_id, s->claims[i]->seq,
+								 s->claims[i]->claimed_at,
+								 s->claims[i]->returned }));
 		for (size_t i = 0; i < s->n_feed; i++)
 			arrput(service->purge_feed, value_copy(s->feed[i]));
 		for (size_t i = 0; i < s->n_rolled_out; i++)
-			shput(service->rolled_out, s->rolled_out[i]->service, strdup(s->rolled_out[i]->weights));
+			shput(service->rolled_out, s->rolled_out[i]->service,
+			      strdup(s->rolled_out[i]->weights));
 	}
 }
 
--- a/lib/control/naming.c
+++ b/lib/control/version_history.c
@@ -1,11 +1,14 @@
-#include "naming.h"
+#include "version_history.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 enum { FIRST_WEIGHTS = 1 }; /* which stand everywhere before any are named */
 
-uint64_t version_history_newest(const struct Nl__Row *model) { return strtoull(model->target_weights, NULL, 10); }
+uint64_t version_history_newest(const struct Nl__Row *model)
+{
+	return strtoull(model->target_weights, NULL, 10);
+}
 
 static void history_add(struct version_history *list, uint64_t weights, struct group_moment moment)
 {
@@ -36,23 +39,26 @@
 	size_t closest = 0;
 
 	for (size_t i = 1; i + 1 < list->count; i++)
-		if (list->versions[i + 1].targeted_at_ms - list->versions[i].targeted_at_ms < list->versions[closest + 1].targeted_at_ms - list->versions[closest].targeted_at_ms)
+		if (list->versions[i + 1].targeted_at_ms - list->versions[i].targeted_at_ms <
+		    list->versions[closest + 1].targeted_at_ms - list->versions[closest].targeted_at_ms)
 			closest = i;
 	list->versions[closest + 1].targeted_at_ms = list->versions[closest].targeted_at_ms;
 	list->versions[closest + 1].term = list->versions[closest].term;
 	history_remove(list, closest);
 }
 
-void version_history_update(struct version_history *list, const struct Nl__Row *before, struct Nl__Row *row, struct group_moment now,
-		   uint64_t bound_passed)
+void version_history_update(struct version_history *list, const struct Nl__Row *before, struct Nl__Row *row,
+			    struct group_moment now, uint64_t bound_passed)
 {
-	uint64_t newest = version_history_newest(row), older = before ? version_history_newest(before) : FIRST_WEIGHTS;
+	uint64_t newest = version_history_newest(row),
+		 older = before ? version_history_newest(before) : FIRST_WEIGHTS;
 
 	list->count = 0;
 	for (size_t i = 0; before && i < before->n_target_versions && i < VERSION_HISTORY_MAX; i++) {
 		const struct Nl__TargetVersion *version = before->target_versions[i];
 
-		history_add(list, version->weights, (struct group_moment){ version->targeted_at_ms, version->term });
+		history_add(list, version->weights,
+			    (struct group_moment){ version->targeted_at_ms, version->term });
 	}
 	if (newest > older && !list->count && older > FIRST_WEIGHTS) /* named before dates were kept */
 		history_add(list, older, (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
@@ -74,6 +80,8 @@
 {
 	for (size_t i = 0; i < model->n_target_versions; i++)
 		if (model->target_versions[i]->weights > weights)
-			return model->target_versions[i]->targeted_at_ms == VERSION_HISTORY_UNKNOWN_TIME ? NULL : model->target_versions[i];
+			return model->target_versions[i]->targeted_at_ms == VERSION_HISTORY_UNKNOWN_TIME
+				   ? NULL
+				   : model->target_versions[i];
 	return NULL;
 }
--- a/lib/core/ds.h
+++ b/lib/core/containers.h
@@ -1,6 +1,6 @@
 /* The one place that names stb_ds. */
-#ifndef NL_DS_H
-#define NL_DS_H
+#ifndef NL_CONTAINERS_H
+#define NL_CONTAINERS_H
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wconversion"
 #include <stb/stb_ds.h>
--- a/lib/core/core.c
+++ b/lib/core/core.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 struct command *command_add(struct command_list *out, enum command_kind kind)
 {
@@ -17,7 +17,10 @@
 	return &arrlast(out->commands);
 }
 
-void *command_list_alloc(struct command_list *out, size_t size, const void *init) { return memcpy(apr_palloc(out->pool, size), init, size); }
+void *command_list_alloc(struct command_list *out, size_t size, const void *init)
+{
+	return memcpy(apr_palloc(out->pool, size), init, size);
+}
 
 struct Nl__Msg *command_send(struct command_list *out, uint64_t addr, uint32_t shard, int body)
 {
@@ -45,7 +48,8 @@
 	command->args.answer.body = body;
 }
 
-void command_answer_until(struct command_list *out, uint64_t token, int status, const char *body, int64_t not_after_ms)
+void command_answer_until(struct command_list *out, uint64_t token, int status, const char *body,
+			  int64_t not_after_ms)
 {
 	command_answer(out, token, status, 0, body);
 	arrlast(out->commands).args.answer.not_after_ms = not_after_ms;
@@ -76,13 +80,25 @@
 	return mix(h);
 }
 
-uint64_t core_hash_string(uint64_t seed, const char *text) { return core_hash(seed, text, strlen(text)); }
+uint64_t core_hash_string(uint64_t seed, const char *text)
+{
+	return core_hash(seed, text, strlen(text));
+}
 
-uint64_t core_rendezvous_weight(uint64_t subject, uint64_t node) { return mix(subject ^ mix(node + 0x9e3779b97f4a7c15ull)); }
+uint64_t core_rendezvous_weight(uint64_t subject, uint64_t node)
+{
+	return mix(subject ^ mix(node + 0x9e3779b97f4a7c15ull));
+}
 
-uint64_t core_random(uint64_t *state) { return mix(*state += 0x9e3779b97f4a7c15ull); }
+uint64_t core_random(uint64_t *state)
+{
+	return mix(*state += 0x9e3779b97f4a7c15ull);
+}
 
-uint32_t core_shard_of(const char *service, uint32_t service_shards) { return SHARD_SERVICE + (uint32_t)(core_hash_string(0, service) % service_shards); }
+uint32_t core_shard_of(const char *service, uint32_t service_shards)
+{
+	return SHARD_SERVICE + (uint32_t)(core_hash_string(0, service) % service_shards);
+}
 
 uint64_t core_parse_addr(const char *text)
 {
@@ -99,7 +115,8 @@
 
 const char *core_format_addr(apr_pool_t *pool, uint64_t addr)
 {
-	return apr_psprintf(pool, "%u.%u.%u.%u:%u", (unsigned)(addr >> 40) & 255, (unsigned)(addr >> 32) & 255, (unsigned)(addr >> 24) & 255,
+	return apr_psprintf(pool, "%u.%u.%u.%u:%u", (unsigned)(addr >> 40) & 255,
+			    (unsigned)(addr >> 32) & 255, (unsigned)(addr >> 24) & 255,
 			    (unsigned)(addr >> 16) & 255, (unsigned)addr & 65535);
 }
 
@@ -111,14 +128,18 @@
 	return packed;
 }
 
-static void *pool_alloc(void *pool, size_t size) { return apr_palloc(pool, size); }
+static void *pool_alloc(void *pool, size_t size)
+{
+	return apr_palloc(pool, size);
+}
 static void pool_free(void *pool, void *data)
 {
 	(void)pool;
 	(void)data;
 }
 
-ProtobufCMessage *core_unpack_message(apr_pool_t *pool, const ProtobufCMessageDescriptor *type, size_t size, const uint8_t *packed)
+ProtobufCMessage *core_unpack_message(apr_pool_t *pool, const ProtobufCMessageDescriptor *type, size_t size,
+				      const uint8_t *packed)
 {
 	ProtobufCAllocator allocator = { pool_alloc, pool_free, pool };
 
--- a/lib/core/kept.c
+++ b/lib/core/prefix_index.c
@@ -1,8 +1,8 @@
-#include "kept.h"
+#include "prefix_index.h"
 
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 void prefix_index_put(struct prefix_index *k, uint64_t hash, const struct block_replica *replica)
 {
@@ -14,7 +14,8 @@
 		row = hmgetp(k->blocks, hash);
 	}
 	for (ptrdiff_t i = 0; i < arrlen(row->value); i++)
-		if (row->value[i].server_index == replica->server_index && row->value[i].tenant_index == replica->tenant_index) {
+		if (row->value[i].server_index == replica->server_index &&
+		    row->value[i].tenant_index == replica->tenant_index) {
 			row->value[i] = *replica;
 			return;
 		}
@@ -29,7 +30,9 @@
 	return row ? row->value : NULL;
 }
 
-void prefix_index_remove_if(struct prefix_index *k, int (*matches)(const void *, uint64_t, const struct block_replica *), const void *ctx)
+void prefix_index_remove_if(struct prefix_index *k,
+			    int (*matches)(const void *, uint64_t, const struct block_replica *),
+			    const void *ctx)
 {
 	for (ptrdiff_t i = hmlen(k->blocks) - 1; i >= 0; i--) {
 		struct prefix_index_row *row = &k->blocks[i];
--- a/lib/core/kept.h
+++ b/lib/core/prefix_index.h
@@ -1,16 +1,17 @@
 /* kept: the index of kept prompt parts: which server keeps which part, made by whom, under which
  * weights, and at which horizon tick its maker's send was stamped. */
-#ifndef NL_KEPT_H
-#define NL_KEPT_H
+#ifndef NL_PREFIX_INDEX_H
+#define NL_PREFIX_INDEX_H
 
 #include "core.h"
 #include "purge.h"
 
 struct block_replica {
 	uint32_t server_index, tenant_index, service_index; /* dense indices */
-	uint64_t weights_hash;                /* hash of the name */
+	uint64_t weights_hash;                              /* hash of the name */
 	uint64_t stamp_tick;
-	uint64_t report_number; /* the report that last named it; of forwarded sends the generation of its cache_namespace */
+	uint64_t report_number; /* the report that last named it; of forwarded sends the generation of its
+				   cache_namespace */
 };
 
 struct prefix_index_row {
@@ -36,7 +37,9 @@
 struct block_replica *prefix_index_find(struct prefix_index *k, uint64_t hash);
 
 /* Drop all copies for which gone says so. Example: kept_drop(&k, matches, purge); */
-void prefix_index_remove_if(struct prefix_index *k, int (*matches)(const void *ctx, uint64_t id, const struct block_replica *c), const void *ctx);
+void prefix_index_remove_if(struct prefix_index *k,
+			    int (*matches)(const void *ctx, uint64_t id, const struct block_replica *c),
+			    const void *ctx);
 void prefix_index_clear(struct prefix_index *k);
 
 #endif
--- a/lib/core/purge.c
+++ b/lib/core/purge.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 /* ---- values --------------------------------------------------------------- */
 
@@ -23,7 +23,10 @@
 	return value;
 }
 
-void value_free(struct Nl__Value *value) { nl__value__free_unpacked(value, NULL); }
+void value_free(struct Nl__Value *value)
+{
+	nl__value__free_unpacked(value, NULL);
+}
 
 /* ---- know ----------------------------------------------------------------- */
 
@@ -62,7 +65,8 @@
 		;
 	merged_first = first;
 	merged_last = last;
-	if (i < arrlen(known->known_ranges) && known->known_ranges[i].first <= first && known->known_ranges[i].last >= last)
+	if (i < arrlen(known->known_ranges) && known->known_ranges[i].first <= first &&
+	    known->known_ranges[i].last >= last)
 		return 0;
 	for (j = i; j < arrlen(known->known_ranges) && known->known_ranges[j].first <= last + 1; j++) {
 		if (known->known_ranges[j].first < merged_first)
@@ -80,7 +84,10 @@
 	return 1;
 }
 
-uint64_t knowledge_reach(const struct tick_knowledge *known) { return arrlen(known->known_ranges) ? arrlast(known->known_ranges).last : known->horizon; }
+uint64_t knowledge_reach(const struct tick_knowledge *known)
+{
+	return arrlen(known->known_ranges) ? arrlast(known->known_ranges).last : known->horizon;
+}
 
 int knowledge_gaps(const struct tick_knowledge *known, struct tick_range *tick_range, int max_count)
 {
@@ -95,15 +102,18 @@
 }
 
 /* A known run [a, b]: each value takes the silence before it along, the rest is silence after. */
-static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct command_list *out)
+static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last,
+		       struct Nl__Knowledge *knowledge, struct command_list *out)
 {
 	for (ptrdiff_t i = value_position(known, first); first <= last; i++) {
 		struct Nl__Increment *inc = MESSAGE_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
-		struct Nl__Increment **increment = apr_palloc(out->pool, (knowledge->n_increments + 1) * sizeof *increment);
+		struct Nl__Increment **increment =
+		    apr_palloc(out->pool, (knowledge->n_increments + 1) * sizeof *increment);
 		uint64_t end = last;
 
 		if (i < arrlen(known->values) && known->values[i]->tick <= last) {
-			inc->value = (struct Nl__Value *)core_copy_message(out->pool, &known->values[i]->base);
+			inc->value =
+			    (struct Nl__Value *)core_copy_message(out->pool, &known->values[i]->base);
 			if (i + 1 < arrlen(known->values) && known->values[i + 1]->tick <= last)
 				end = known->values[i]->tick;
 		}
@@ -117,14 +127,16 @@
 	}
 }
 
-int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last, struct Nl__Knowledge *knowledge, struct command_list *out)
+int knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last,
+		     struct Nl__Knowledge *knowledge, struct command_list *out)
 {
 	if (first <= known->released)
 		return 0;
 	if (first <= known->horizon)
 		append_run(known, first, last < known->horizon ? last : known->horizon, knowledge, out);
 	for (ptrdiff_t i = 0; i < arrlen(known->known_ranges); i++) {
-		uint64_t range_first = known->known_ranges[i].first > first ? known->known_ranges[i].first : first;
+		uint64_t range_first =
+		    known->known_ranges[i].first > first ? known->known_ranges[i].first : first;
 		uint64_t range_last = known->known_ranges[i].last < last ? known->known_ranges[i].last : last;
 
 		if (range_first <= range_last)
@@ -160,15 +172,23 @@
 
 /* ---- view ----------------------------------------------------------------- */
 
-static uint64_t subject(uint32_t why, const char *name, const char *detail) { return core_hash_string(core_hash_string(why, name), detail); }
+static uint64_t subject(uint32_t why, const char *name, const char *detail)
+{
+	return core_hash_string(core_hash_string(why, name), detail);
+}
 
 uint64_t purge_subject(const struct Nl__Purge *purge)
 {
 	switch (purge->reason) {
-	case PURGE_WEIGHTS: return subject(PURGE_WEIGHTS, purge->service, purge->weights);
-	case PURGE_TENANT: return subject(PURGE_TENANT, purge->tenant, "");
-	case PURGE_CONTEXT: return core_rendezvous_weight(subject(PURGE_CONTEXT, purge->route, purge->tenant), purge->slice);
-	default: return subject(PURGE_SERVER, purge->server, "");
+	case PURGE_WEIGHTS:
+		return subject(PURGE_WEIGHTS, purge->service, purge->weights);
+	case PURGE_TENANT:
+		return subject(PURGE_TENANT, purge->tenant, "");
+	case PURGE_CONTEXT:
+		return core_rendezvous_weight(subject(PURGE_CONTEXT, purge->route, purge->tenant),
+					      purge->slice);
+	default:
+		return subject(PURGE_SERVER, purge->server, "");
 	}
 }
 
@@ -198,21 +218,24 @@
 	return i >= 0 && stamp < row[i].value->tick;
 }
 
-int purge_view_allows(const struct purge_view *view, const char *service, const char *weights, const char *tenant, const char *server,
-		uint64_t stamp)
+int purge_view_allows(const struct purge_view *view, const char *service, const char *weights,
+		      const char *tenant, const char *server, uint64_t stamp)
 {
 	if (!view->subjects)
 		return 1;
-	return !gone(view, subject(PURGE_WEIGHTS, service, weights), stamp) && !gone(view, subject(PURGE_TENANT, tenant, ""), stamp) &&
+	return !gone(view, subject(PURGE_WEIGHTS, service, weights), stamp) &&
+	       !gone(view, subject(PURGE_TENANT, tenant, ""), stamp) &&
 	       !gone(view, subject(PURGE_SERVER, server, ""), stamp);
 }
 
-int purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant, uint64_t block_hash, uint64_t stamp)
+int purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant,
+			     uint64_t block_hash, uint64_t stamp)
 {
 	for (ptrdiff_t i = 0; i < arrlen(view->context_purges); i++) {
 		const struct Nl__Purge *purge = view->context_purges[i]->purge;
 
-		if (stamp < view->context_purges[i]->tick && purge->slice == PURGE_SLICE(block_hash) && (!purge->tenant[0] || !strcmp(purge->tenant, tenant)) &&
+		if (stamp < view->context_purges[i]->tick && purge->slice == PURGE_SLICE(block_hash) &&
+		    (!purge->tenant[0] || !strcmp(purge->tenant, tenant)) &&
 		    (!purge->service[0] || !strcmp(purge->service, service)))
 			return 0;
 	}
@@ -241,7 +264,8 @@
 {
 	memset(relay, 0, sizeof *relay);
 	relay->opened_at_ms = relay->upstream_tried_at_ms = now;
-	relay->horizon_moved_at_ms = relay->known_at_ms = now - PURGE_MAX_STALENESS_MS - 1; /* nothing is current before the first knowledge */
+	relay->horizon_moved_at_ms = relay->known_at_ms =
+	    now - PURGE_MAX_STALENESS_MS - 1; /* nothing is current before the first knowledge */
 }
 
 void relay_close(struct relay *relay)
@@ -252,7 +276,8 @@
 	arrfree(relay->upstreams);
 }
 
-void relay_set_upstreams(struct relay *relay, const uint64_t *upstreams, size_t count, uint64_t log_addr, int64_t now)
+void relay_set_upstreams(struct relay *relay, const uint64_t *upstreams, size_t count, uint64_t log_addr,
+			 int64_t now)
 {
 	size_t new_count = count + (log_addr != 0);
 	int same = (size_t)arrlen(relay->upstreams) == new_count;
@@ -281,7 +306,10 @@
 	return tick;
 }
 
-int relay_is_current(const struct relay *relay, int64_t now) { return relay->has_knowledge && now - relay->known_at_ms < PURGE_MAX_STALENESS_MS; }
+int relay_is_current(const struct relay *relay, int64_t now)
+{
+	return relay->has_knowledge && now - relay->known_at_ms < PURGE_MAX_STALENESS_MS;
+}
 
 static uint32_t age(const struct relay *relay, int64_t now)
 {
@@ -291,7 +319,8 @@
 }
 
 /* Tell each downstream what is new above what it has. */
-static void forward_request(struct relay *r, uint64_t first, uint64_t last, int64_t now, struct command_list *out)
+static void forward_request(struct relay *r, uint64_t first, uint64_t last, int64_t now,
+			    struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(r->downstreams); i++) {
 		struct Nl__Knowledge *m = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
@@ -300,17 +329,24 @@
 			continue;
 		m->age_ms = age(r, now);
 		m->request_clock_ms = r->downstreams[i].request_clock_ms;
-		command_send(out, r->downstreams[i].addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = m;
+		command_send(out, r->downstreams[i].addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge =
+		    m;
 		r->increments_sent += m->n_increments;
 	}
 }
 
-/* When what a message says held, on our clock and at the latest. It was told after we asked, and was so old then. What lay
- * in a buffer while a link was cut or this process stood still names an asking from before, and is no news. */
-static int64_t known_as_of(int64_t request_clock_ms, uint32_t age_ms, int64_t now) { return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0; }
+/* When what a message says held, on our clock and at the latest. It was told after we asked, and was so old
+ * then. What lay in a buffer while a link was cut or this process stood still names an asking from before,
+ * and is no news. */
+static int64_t known_as_of(int64_t request_clock_ms, uint32_t age_ms, int64_t now)
+{
+	return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0;
+}
 
-/* moved: when its teller's horizon moved, as far as messages take no time; known_at: the same, timed from our asking. */
-static int learn(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t horizon_moved_at_ms, int64_t known_at_ms)
+/* moved: when its teller's horizon moved, as far as messages take no time; known_at: the same, timed from our
+ * asking. */
+static int learn(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value,
+		 int64_t horizon_moved_at_ms, int64_t known_at_ms)
 {
 	uint64_t old_horizon = relay->knowledge.horizon;
 	int is_new;
@@ -322,32 +358,41 @@
 	}
 	is_new = knowledge_add(&relay->knowledge, first, last, value);
 	if (relay->knowledge.horizon > old_horizon) {
-		relay->horizon_moved_at_ms = horizon_moved_at_ms > relay->horizon_moved_at_ms ? horizon_moved_at_ms : relay->horizon_moved_at_ms;
+		relay->horizon_moved_at_ms = horizon_moved_at_ms > relay->horizon_moved_at_ms
+						 ? horizon_moved_at_ms
+						 : relay->horizon_moved_at_ms;
 		relay->known_at_ms = known_at_ms > relay->known_at_ms ? known_at_ms : relay->known_at_ms;
 		relay->has_knowledge = 1;
 	}
 	return is_new;
 }
 
-void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value, int64_t now, struct command_list *out)
+void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value,
+		   int64_t now, struct command_list *out)
 {
 	if (learn(relay, first, last, value, now, now))
 		forward_request(relay, first, last, now, out);
 }
 
-static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now, struct command_list *out)
+static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now,
+			 struct command_list *out)
 {
 	for (size_t i = 0; i < knowledge->n_increments; i++) {
 		const struct Nl__Increment *increment = knowledge->increments[i];
 
-		if (increment->first > increment->last || (increment->value && (!increment->value->purge || increment->value->tick < increment->first || increment->value->tick > increment->last)))
+		if (increment->first > increment->last ||
+		    (increment->value &&
+		     (!increment->value->purge || increment->value->tick < increment->first ||
+		      increment->value->tick > increment->last)))
 			continue;
-		if (learn(relay, increment->first, increment->last, increment->value, now - knowledge->age_ms, known_as_of(knowledge->request_clock_ms, knowledge->age_ms, now)))
+		if (learn(relay, increment->first, increment->last, increment->value, now - knowledge->age_ms,
+			  known_as_of(knowledge->request_clock_ms, knowledge->age_ms, now)))
 			forward_request(relay, increment->first, increment->last, now, out);
 	}
 }
 
-static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnapshot *purge_snap, int64_t now, struct command_list *out)
+static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnapshot *purge_snap, int64_t now,
+			      struct command_list *out)
 {
 	for (size_t i = 0; i < purge_snap->n_latest; i++)
 		if (purge_snap->latest[i]->purge) {
@@ -357,23 +402,28 @@
 		}
 	if (purge_snap->upto_tick <= relay->knowledge.horizon)
 		return;
-	learn(relay, relay->knowledge.horizon + 1, purge_snap->upto_tick, NULL, now - purge_snap->age_ms, known_as_of(purge_snap->request_clock_ms, purge_snap->age_ms, now));
+	learn(relay, relay->knowledge.horizon + 1, purge_snap->upto_tick, NULL, now - purge_snap->age_ms,
+	      known_as_of(purge_snap->request_clock_ms, purge_snap->age_ms, now));
 	/* the values themselves are not held here: those below must take a snapshot as well */
 	knowledge_release(&relay->knowledge, purge_snap->upto_tick);
 	forward_request(relay, purge_snap->upto_tick + 1, knowledge_reach(&relay->knowledge), now, out);
 }
 
-static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms, int64_t now, struct command_list *out)
+static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms,
+				int64_t now, struct command_list *out)
 {
 	struct Nl__PurgeSnapshot *purge_snap = MESSAGE_NEW(out, Nl__PurgeSnapshot, NL__PURGE_SNAPSHOT__INIT);
 
 	purge_snap->upto_tick = relay->knowledge.horizon;
 	purge_snap->age_ms = age(relay, now);
 	purge_snap->request_clock_ms = request_clock_ms;
-	purge_snap->latest = apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *purge_snap->latest);
+	purge_snap->latest =
+	    apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *purge_snap->latest);
 	for (ptrdiff_t i = 0; i < hmlen(relay->view.subjects); i++)
-		purge_snap->latest[purge_snap->n_latest++] = (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
-	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAPSHOT)->purge_snapshot = purge_snap;
+		purge_snap->latest[purge_snap->n_latest++] =
+		    (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
+	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAPSHOT)->purge_snapshot =
+	    purge_snap;
 }
 
 /* Curiosity up: what is taken, and what is wanted if anything is. */
@@ -403,10 +453,13 @@
 		curiosity->n_wanted++;
 	}
 	relay->requested_at_ms = now;
-	command_send(out, relay->upstreams[relay->upstream_position % upstream_count], SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = curiosity;
+	command_send(out, relay->upstreams[relay->upstream_position % upstream_count], SHARD_PURGE,
+		     NL__MSG__BODY_CURIOSITY)
+	    ->curiosity = curiosity;
 }
 
-static void on_curiosity(struct relay *relay, const struct Nl__Msg *msg, int64_t now, struct command_list *out)
+static void on_curiosity(struct relay *relay, const struct Nl__Msg *msg, int64_t now,
+			 struct command_list *out)
 {
 	const struct Nl__Curiosity *curiosity = msg->curiosity;
 	struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
@@ -435,10 +488,13 @@
 		return;
 	}
 	for (size_t i = 0; i < curiosity->n_wanted; i++) {
-		uint64_t last = curiosity->wanted[i]->last < knowledge_reach(&relay->knowledge) ? curiosity->wanted[i]->last : knowledge_reach(&relay->knowledge);
+		uint64_t last = curiosity->wanted[i]->last < knowledge_reach(&relay->knowledge)
+				    ? curiosity->wanted[i]->last
+				    : knowledge_reach(&relay->knowledge);
 
 		if (curiosity->wanted[i]->first <= last)
-			complete &= knowledge_append(&relay->knowledge, curiosity->wanted[i]->first, last, knowledge, out);
+			complete &= knowledge_append(&relay->knowledge, curiosity->wanted[i]->first, last,
+						     knowledge, out);
 		has_unknown |= curiosity->wanted[i]->last > relay->knowledge.horizon;
 	}
 	if (!complete)
@@ -466,8 +522,11 @@
 		if (!relay->is_publisher)
 			on_purge_snapshot(relay, message->purge_snapshot, now, out);
 		break;
-	case NL__MSG__BODY_CURIOSITY: on_curiosity(relay, message, now, out); break;
-	default: break;
+	case NL__MSG__BODY_CURIOSITY:
+		on_curiosity(relay, message, now, out);
+		break;
+	default:
+		break;
 	}
 }
 
@@ -484,11 +543,13 @@
 		knowledge_release(&relay->knowledge, relay_acknowledged_tick(relay));
 	if (relay->is_publisher)
 		return;
-	wants_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS || knowledge_gaps(&relay->knowledge, gap, 1);
+	wants_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
+		       knowledge_gaps(&relay->knowledge, gap, 1);
 	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, wants_ranges, now, out);
 	/* no step for a stall period: the next holder, last the log */
-	if (now - relay->horizon_moved_at_ms >= 2 * PURGE_STALL_MS && now - relay->upstream_tried_at_ms >= PURGE_STALL_MS && arrlen(relay->upstreams)) {
+	if (now - relay->horizon_moved_at_ms >= 2 * PURGE_STALL_MS &&
+	    now - relay->upstream_tried_at_ms >= PURGE_STALL_MS && arrlen(relay->upstreams)) {
 		relay->upstream_position = (relay->upstream_position + 1) % (size_t)arrlen(relay->upstreams);
 		relay->upstream_tried_at_ms = now;
 		relay->requested_at_ms = 0;
--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -1,25 +1,27 @@
-/* One replicated state machine: begin and end, time, messages, disk syncs, proposals. Pure: events in, commands out.
- * Daemons, simulator and model checker run these functions alike. */
+/* One replicated state machine: begin and end, time, messages, disk syncs, proposals. Pure: events in,
+ * commands out. Daemons, simulator and model checker run these functions alike. */
 #include "raft_internal.h"
 
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
-/* Whether an append or a piece is meant for another identity: one that was at our address before its disk was lost. What the
- * leader sends to that one would undo what it sends to us. */
+/* Whether an append or a piece is meant for another identity: one that was at our address before its disk was
+ * lost. What the leader sends to that one would undo what it sends to us. */
 static int is_for_another(const struct raft *raft, const struct Nl__Msg *message)
 {
-	uint64_t to = message->body_case == NL__MSG__BODY_APPEND           ? message->append->recipient_id
-		      : message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK ? message->snapshot_chunk->recipient_id
-								     : 0;
+	uint64_t to = message->body_case == NL__MSG__BODY_APPEND ? message->append->recipient_id
+		      : message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK
+			  ? message->snapshot_chunk->recipient_id
+			  : 0;
 
 	return to && to != raft->id;
 }
 
-const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+const char *raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			 struct command_list *out)
 {
 	struct raft_member *sender = raft_find_member(raft, message->id);
 	const char *fault = raft_message_fault(raft, message);
@@ -37,16 +39,35 @@
 	if (!raft_is_of_this_epoch(raft, message, now, out))
 		return NULL;
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_REQUEST: raft_on_vote_request(raft, message, now, out); break;
-	case NL__MSG__BODY_VOTE_REPLY: raft_on_vote_reply(raft, message, now, out); break;
-	case NL__MSG__BODY_APPEND: raft_on_append(raft, message, now, out); break;
-	case NL__MSG__BODY_APPEND_REPLY: raft_on_append_reply(raft, message, now, out); break;
-	case NL__MSG__BODY_SNAPSHOT_CHUNK: raft_on_snapshot_chunk(raft, message, now, out); break;
-	case NL__MSG__BODY_SNAPSHOT_REPLY: raft_on_snapshot_reply(raft, message, now, out); break;
-	case NL__MSG__BODY_STEP_DOWN: raft_on_step_down(raft, message, now, out); break;
-	case NL__MSG__BODY_PROBE: raft_on_probe(raft, message, out); break;
-	case NL__MSG__BODY_PROBE_REPLY: raft_on_probe_reply(raft, message, now); break;
-	default: break;
+	case NL__MSG__BODY_VOTE_REQUEST:
+		raft_on_vote_request(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_VOTE_REPLY:
+		raft_on_vote_reply(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_APPEND:
+		raft_on_append(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_APPEND_REPLY:
+		raft_on_append_reply(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
+		raft_on_snapshot_chunk(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_SNAPSHOT_REPLY:
+		raft_on_snapshot_reply(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_STEP_DOWN:
+		raft_on_step_down(raft, message, now, out);
+		break;
+	case NL__MSG__BODY_PROBE:
+		raft_on_probe(raft, message, out);
+		break;
+	case NL__MSG__BODY_PROBE_REPLY:
+		raft_on_probe_reply(raft, message, now);
+		break;
+	default:
+		break;
 	}
 	return NULL;
 }
@@ -118,7 +139,9 @@
 		raft_advance_commit(raft);
 	else if (raft->leader_addr && raft->matched_index)
 		raft_send_append_reply(raft, raft->leader_addr, 1,
-				       raft->matched_index < raft->synced_index ? raft->matched_index : raft->synced_index, raft->heartbeat_round, out);
+				       raft->matched_index < raft->synced_index ? raft->matched_index
+										: raft->synced_index,
+				       raft->heartbeat_round, out);
 }
 
 uint64_t raft_propose(struct raft *raft, const uint8_t *data, size_t size, int64_t now)
@@ -151,8 +174,10 @@
 		for (size_t i = 0; i < s->entry_count; i++) {
 			struct raft_entry *entry = raft_entry_at(raft, raft->dirty_from + i);
 
-			s->entries[i] = (struct persist_entry){ raft->dirty_from + i, entry->term, entry->kind, entry->len,
-							  apr_pmemdup(out->pool, entry->data, entry->len + 1) };
+			s->entries[i] =
+			    (struct persist_entry){ raft->dirty_from + i, entry->term, entry->kind,
+						    entry->len,
+						    apr_pmemdup(out->pool, entry->data, entry->len + 1) };
 		}
 	}
 	if (raft->snapshot_dirty) {
@@ -173,7 +198,8 @@
 	command_add(out, CMD_PERSIST)->args.persist = s;
 }
 
-void raft_open(struct raft *raft, uint32_t shard, uint64_t id, uint64_t seed, const struct raft_saved *s, int64_t now)
+void raft_open(struct raft *raft, uint32_t shard, uint64_t id, uint64_t seed, const struct raft_saved *s,
+	       int64_t now)
 {
 	memset(raft, 0, sizeof *raft);
 	raft->shard = shard;
@@ -231,7 +257,8 @@
 	memset(raft, 0, sizeof *raft);
 }
 
-void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now, struct command_list *out)
+void raft_bootstrap(struct raft *raft, const struct raft_member *member, int count, int64_t now,
+		    struct command_list *out)
 {
 	size_t len;
 	uint8_t *packed;
