--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -1,23 +1,25 @@
-/* Elections: follower, pre-candidate, candidate, leader; votes, the vote barrier that protects a leader lease, and the
- * probes by which a restarted member learns that no lease rests on a vote barrier from before its restart.
- * A vote is told only once it is synced; nobody votes while its vote barrier stands. */
+/* Elections: follower, pre-candidate, candidate, leader; votes, the vote barrier that protects a leader
+ * lease, and the probes by which a restarted member learns that no lease rests on a vote barrier from before
+ * its restart. A vote is told only once it is synced; nobody votes while its vote barrier stands. */
 #include "raft_internal.h"
 
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum { STEP_DOWN_SPREAD_MS = 50 }; /* voters other than the successor wait so long, and up to as much more */
 
 void raft_reset_election_timer(struct raft *raft, int64_t now)
 {
-	raft->election_at_ms = now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
+	raft->election_at_ms =
+	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
 }
 
 /* No owner is about, so the next try need not wait for one; but a slow disk must have had its time. */
 void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now)
 {
-	raft->election_at_ms = now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
+	raft->election_at_ms =
+	    now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
 }
 
 void raft_become_follower(struct raft *raft, uint64_t term, int64_t now)
@@ -58,12 +60,14 @@
 		request->last_term = raft_term_at(raft, raft_last_index(raft));
 		request->is_pre_vote = pre;
 		request->stepped_down_term = raft->stepped_down_term;
-		command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)->vote_request = request;
+		command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)
+		    ->vote_request = request;
 	}
 	raft->quorum_requested_at_ms = now;
 }
 
-/* The first entry of the term carries the first heartbeat round: one answer of a majority gives commit and lease. */
+/* The first entry of the term carries the first heartbeat round: one answer of a majority gives commit and
+ * lease. */
 static void begin_round(struct raft *raft, int64_t now)
 {
 	raft->heartbeat_round = 1;
@@ -85,7 +89,8 @@
 		raft->members[i].match_index = 0;
 		raft->members[i].acked_round = 0;
 		raft->members[i].last_reply_at_ms =
-		    now - raft->member_lost_ms / 2; /* who fell with the last owner has been silent since then */
+		    now -
+		    raft->member_lost_ms / 2; /* who fell with the last owner has been silent since then */
 		raft->members[i].draining = 0;
 		raft->members[i].release_round = 0;
 		raft->members[i].probing = 0;
@@ -94,7 +99,8 @@
 		memset(&raft->members[i].transfer, 0, sizeof raft->members[i].transfer);
 	}
 	for (int i = 0; i < 64; i++)
-		raft->heartbeat_sent_at_ms[i] = now - 1000 * RAFT_LEASE_MS; /* acks of earlier rounds grant nothing */
+		raft->heartbeat_sent_at_ms[i] =
+		    now - 1000 * RAFT_LEASE_MS; /* acks of earlier rounds grant nothing */
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_NOOP, NULL, 0);
 	raft->term_start = raft_last_index(raft);
 	raft->election_count++;
@@ -132,7 +138,8 @@
 		become_leader(raft, now, out);
 }
 
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct command_list *out)
+void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre,
+		    struct command_list *out)
 {
 	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
@@ -152,8 +159,8 @@
 	command_send(out, candidate_addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
 }
 
-/* The leader of a term has dropped its lease. Where this member knows of no later term, whatever it promised was promised to
- * that leader or to an earlier one, whose lease was over before that one led. */
+/* The leader of a term has dropped its lease. Where this member knows of no later term, whatever it promised
+ * was promised to that leader or to an earlier one, whose lease was over before that one led. */
 static void note_stepped_down(struct raft *raft, uint64_t term)
 {
 	if (!term || term < raft->term)
@@ -163,22 +170,27 @@
 	raft->vote_barrier_unknown = 0;
 }
 
-void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
 	int newer = request->last_term > raft_term_at(raft, raft_last_index(raft)) ||
-		    (request->last_term == raft_term_at(raft, raft_last_index(raft)) && request->last_index >= raft_last_index(raft));
+		    (request->last_term == raft_term_at(raft, raft_last_index(raft)) &&
+		     request->last_index >= raft_last_index(raft));
 	int free_to;
 
-	if (raft_has_lease(raft, now) && raft->members_index <= raft->commit_index && !raft_find_member(raft, message->id)) {
+	if (raft_has_lease(raft, now) && raft->members_index <= raft->commit_index &&
+	    !raft_find_member(raft, message->id)) {
 		send_removed(raft, message->addr, out);
 		return;
 	}
 	note_stepped_down(raft, request->stepped_down_term);
 	free_to = now >= raft->vote_barrier_until_ms && !raft_has_lease(raft, now);
 	if (request->is_pre_vote || !free_to || request->term < raft->term) {
-		raft_send_vote(raft, message->addr, request->is_pre_vote && newer && free_to ? request->term : raft->term,
-			       request->is_pre_vote && newer && free_to && request->term > raft->term, request->is_pre_vote, out);
+		raft_send_vote(raft, message->addr,
+			       request->is_pre_vote && newer && free_to ? request->term : raft->term,
+			       request->is_pre_vote && newer && free_to && request->term > raft->term,
+			       request->is_pre_vote, out);
 		return;
 	}
 	if (request->term > raft->term)
@@ -196,7 +208,8 @@
 	raft_reset_election_timer(raft, now);
 }
 
-void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			struct command_list *out)
 {
 	const struct Nl__VoteReply *reply = message->vote_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
@@ -213,7 +226,7 @@
 	if (!who || !reply->granted)
 		return;
 	if (reply->is_pre_vote ? raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1
-		   : raft->role == RAFT_CANDIDATE && reply->term == raft->term) {
+			       : raft->role == RAFT_CANDIDATE && reply->term == raft->term) {
 		who->vote_granted = 1;
 		raft_count_votes(raft, now, out);
 	}
@@ -221,10 +234,11 @@
 
 /* ---- back after a fall ----------------------------------------------------
 
-One that came back waits out what it may have promised before. When all fell together, that would be a wait for an owner that
-fell too. So it asks every member that it knows; once all of them have said, in this life of ours, that they own nothing, nobody
-holds a lease that rests on a promise from before. An owner that we do not know can be there only if some member of ours
-was there when the members changed, so that its log is of a later term, or has a later members entry, than ours: then we wait. */
+One that came back waits out what it may have promised before. When all fell together, that would be a wait
+for an owner that fell too. So it asks every member that it knows; once all of them have said, in this life of
+ours, that they own nothing, nobody holds a lease that rests on a promise from before. An owner that we do not
+know can be there only if some member of ours was there when the members changed, so that its log is of a
+later term, or has a later members entry, than ours: then we wait. */
 
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
@@ -234,7 +248,8 @@
 			struct Nl__Probe *probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
 
 			probe->incarnation = raft->incarnation;
-			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_PROBE)->probe = probe;
+			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_PROBE)->probe =
+			    probe;
 		}
 }
 
@@ -258,7 +273,8 @@
 	int n = 0;
 
 	for (int i = 0; i < raft->member_count; i++)
-		n += raft->members[i].voter && core_rendezvous_weight(raft->members[i].id, raft->shard) > core_rendezvous_weight(raft->id, raft->shard);
+		n += raft->members[i].voter && core_rendezvous_weight(raft->members[i].id, raft->shard) >
+						   core_rendezvous_weight(raft->id, raft->shard);
 	return n;
 }
 
@@ -270,7 +286,8 @@
 
 	if (!raft->vote_barrier_unknown || probe_reply->incarnation != raft->incarnation || !who)
 		return;
-	if (probe_reply->is_leader || probe_reply->last_term > term || (probe_reply->last_term == term && probe_reply->members_index > raft->members_index)) {
+	if (probe_reply->is_leader || probe_reply->last_term > term ||
+	    (probe_reply->last_term == term && probe_reply->members_index > raft->members_index)) {
 		raft->vote_barrier_unknown = 0; /* the promise is waited out */
 		return;
 	}
@@ -281,7 +298,7 @@
 	raft->vote_barrier_unknown = 0;
 	raft->vote_barrier_until_ms = 0;
 	raft->election_at_ms = now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
-			    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
+			       (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
 }
 
 static int may_run_for_election(struct raft *raft, int64_t now)
@@ -291,11 +308,14 @@
 	return self && self->voter && !raft->draining && !raft->fenced && !raft_sync_stalled(raft, now);
 }
 
-/* The leader ended its lease before it said so: its followers need not wait for it. The successor that it names stands at
- * once, without asking whether it would be elected; its request tells the others what they may not have heard yet. */
-void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+/* The leader ended its lease before it said so: its followers need not wait for it. The successor that it
+ * names stands at once, without asking whether it would be elected; its request tells the others what they
+ * may not have heard yet. */
+void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out)
 {
-	if (message->step_down->term != raft->term || raft->leader_id != message->id || raft->role != RAFT_FOLLOWER)
+	if (message->step_down->term != raft->term || raft->leader_id != message->id ||
+	    raft->role != RAFT_FOLLOWER)
 		return;
 	note_stepped_down(raft, raft->term);
 	if (message->step_down->successor_id == raft->id && may_run_for_election(raft, now)) {
@@ -322,6 +342,7 @@
 
 			message->term = term;
 			message->successor_id = successor;
-			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_STEP_DOWN)->step_down = message;
+			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_STEP_DOWN)
+			    ->step_down = message;
 		}
 }
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -44,7 +44,8 @@
 /* The packed members in force at an index: what a snapshot at that index carries. */
 void raft_members_in_force(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size);
 
-/* Whether packed members can be a group's: each once, with identity and address, and at least one that votes. */
+/* Whether packed members can be a group's: each once, with identity and address, and at least one that votes.
+ */
 int raft_members_valid(const uint8_t *packed, size_t size);
 
 /* Members packed as a log entry holds them; the caller frees the result. */
@@ -71,13 +72,16 @@
 void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Answer a request for votes. */
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre, struct command_list *out);
+void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre,
+		    struct command_list *out);
 
 /* A candidate asks for this member's vote. */
-void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out);
 
 /* A member answers a request for its vote. */
-void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			struct command_list *out);
 
 /* After a restart: ask the other members whether one of them leads. */
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out);
@@ -89,7 +93,8 @@
 void raft_on_probe_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now);
 
 /* The leader has stepped down: its successor stands for election at once, the others soon. */
-void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out);
 
 /* ---- replication (raft_replication.c) ---- */
 
@@ -100,7 +105,8 @@
 void raft_replicate(struct raft *raft, int all, int64_t now, struct command_list *out);
 
 /* Tell the leader up to which index this member has synced the leader's log. */
-void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct command_list *out);
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match,
+			    uint64_t round, struct command_list *out);
 
 /* A message of a leader: 0 when its term is over; else follow it and set the vote barrier. */
 int raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now);
@@ -109,7 +115,8 @@
 void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
 
 /* A member answers an append or a snapshot. */
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out);
 
 /* ---- snapshots (raft_snapshot.c) ---- */
 
@@ -123,10 +130,12 @@
 void raft_release_previous(struct raft *raft);
 
 /* A piece of the leader's snapshot; the whole is installed in place of all state up to its index. */
-void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out);
 
 /* A member says how much of a snapshot it holds. */
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out);
 
 /* Forget the pieces that have come. */
 void raft_drop_incoming(struct raft *raft);
@@ -141,14 +150,15 @@
 /* Leader: a member has said whether it is to stop. */
 void raft_note_draining(struct raft *raft, struct raft_member *member, int draining);
 
-/* Leader: a commit without a majority that stays rests on the copies of leaving members; they are held until others have it. */
+/* Leader: a commit without a majority that stays rests on the copies of leaving members; they are held until
+ * others have it. */
 void raft_note_commit(struct raft *raft);
 
 /* Leader: whether those who stay, and have synced an entry of this term, are a majority by themselves. */
 void raft_count_remaining(struct raft *raft, int64_t now);
 
-/* The index up to which a voter counts towards commits: none for one that leaves where the others suffice, or that may have
- * gone. */
+/* The index up to which a voter counts towards commits: none for one that leaves where the others suffice, or
+ * that may have gone. */
 uint64_t raft_counted_index(const struct raft *raft, const struct raft_member *member);
 
 /* Leader: whether a leaving member may go, since all other voters hold what it holds. */
@@ -162,8 +172,10 @@
 
 /* ---- epochs (raft_recovery.c) ---- */
 
-/* Whether a message is of this member's epoch. Tells its sender, or this member itself, when one is of an older epoch. */
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
+/* Whether a message is of this member's epoch. Tells its sender, or this member itself, when one is of an
+ * older epoch. */
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out);
 
 /* Remember an identity of an older epoch; the next members entry carries it. */
 void raft_add_fenced(struct raft *raft, uint64_t id);
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -1,24 +1,33 @@
 /* The replicated log in memory: entries behind the snapshot base, their terms, and what has to go to disk.
- * Called by the other raft modules. Indices are dense: log[0] is entry base + 1, and no entry at or below commit is ever cut. */
+ * Called by the other raft modules. Indices are dense: log[0] is entry base + 1, and no entry at or below
+ * commit is ever cut. */
 #include "raft_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
-uint64_t raft_last_index(const struct raft *raft) { return raft->base_index + (uint64_t)arrlen(raft->log); }
+uint64_t raft_last_index(const struct raft *raft)
+{
+	return raft->base_index + (uint64_t)arrlen(raft->log);
+}
 
 struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t index)
 {
-	return index > raft->base_index && index <= raft_last_index(raft) ? &raft->log[index - raft->base_index - 1] : NULL;
+	return index > raft->base_index && index <= raft_last_index(raft)
+		   ? &raft->log[index - raft->base_index - 1]
+		   : NULL;
 }
 
 uint64_t raft_term_at(const struct raft *raft, uint64_t index)
 {
 	struct raft_entry *entry = raft_entry_at(raft, index);
 
-	return entry ? entry->term : index == raft->base_index ? raft->base_term : index == raft->snapshot_index ? raft->snapshot_term : 0;
+	return entry                           ? entry->term
+	       : index == raft->base_index     ? raft->base_term
+	       : index == raft->snapshot_index ? raft->snapshot_term
+					       : 0;
 }
 
 uint8_t *raft_copy_bytes(const uint8_t *data, size_t size)
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -1,5 +1,5 @@
-/* The members in force: read from the newest members entry of the log, else from the snapshot, committed or not.
- * Called by the other raft modules. */
+/* The members in force: read from the newest members entry of the log, else from the snapshot, committed or
+ * not. Called by the other raft modules. */
 #include "raft_internal.h"
 
 #include <stdlib.h>
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -1,10 +1,12 @@
 /* Changes of membership, one member at a time: lost members are replaced, learners promoted, zones balanced.
- * Called by the control plane at the leader. A change starts only when the change before it is committed, in the leader's
- * own term, and only towards a membership whose voters include a live majority that holds all that is committed.
+ * Called by the control plane at the leader. A change starts only when the change before it is committed, in
+ * the leader's own term, and only towards a membership whose voters include a live majority that holds all
+ * that is committed.
  *
- * A lost voter is removed before its successor is promoted, so that its silence never counts towards a larger majority;
- * the successor has caught up as a learner by then. A voter that still answers is removed only after its successor is
- * promoted. A voter that is silent for a while gets a successor prepared as a learner, which goes again if it returns. */
+ * A lost voter is removed before its successor is promoted, so that its silence never counts towards a larger
+ * majority; the successor has caught up as a learner by then. A voter that still answers is removed only
+ * after its successor is promoted. A voter that is silent for a while gets a successor prepared as a learner,
+ * which goes again if it returns. */
 #include "raft_internal.h"
 
 #include <stdlib.h>
@@ -24,9 +26,9 @@
 /* How the membership stands. Positions are in raft->members; -1: none. */
 struct membership_status {
 	int voters;
-	int suspects;      /* voters that are silent, for whom a learner is prepared */
-	int lost_voters;   /* voters given up */
-	int lost_voter;    /* one of them */
+	int suspects;       /* voters that are silent, for whom a learner is prepared */
+	int lost_voters;    /* voters given up */
+	int lost_voter;     /* one of them */
 	int draining_voter; /* one that is to stop, while those who stay are no majority by themselves */
 	int learner, lost_learner;
 };
@@ -64,7 +66,8 @@
 
 static int is_silent_for(const struct view *view, const struct raft_member *member, int64_t silent_ms)
 {
-	return member->id != view->raft->id && (view->now - member->last_reply_at_ms > silent_ms || is_replaced(view, member));
+	return member->id != view->raft->id &&
+	       (view->now - member->last_reply_at_ms > silent_ms || is_replaced(view, member));
 }
 
 static int is_suspect(const struct view *view, const struct raft_member *member)
@@ -106,11 +109,13 @@
 	int n = 0;
 
 	for (int i = 0; i < raft->member_count && zone; i++)
-		n += raft->members[i].voter && raft->members[i].zone == zone && !is_suspect(view, &raft->members[i]);
+		n += raft->members[i].voter && raft->members[i].zone == zone &&
+		     !is_suspect(view, &raft->members[i]);
 	return n;
 }
 
-/* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing names. */
+/* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing names.
+ */
 static const struct raft_member *next_replica(const struct view *view)
 {
 	const struct raft_member *best = NULL;
@@ -119,11 +124,13 @@
 
 	for (int i = 0; i < view->live_count; i++) {
 		const struct raft_member *candidate = &view->live[i];
-		int n = candidate->zone ? voters_in_zone(view, candidate->zone) : RAFT_MAX_MEMBERS; /* unknown yet: last */
+		int n = candidate->zone ? voters_in_zone(view, candidate->zone)
+					: RAFT_MAX_MEMBERS; /* unknown yet: last */
 
 		if (raft_find_member(view->raft, candidate->id) || raft_is_fenced(view->raft, candidate->id))
 			continue;
-		if (best && (n > fewest || (n == fewest && core_rendezvous_weight(group, candidate->id) <= core_rendezvous_weight(group, best->id))))
+		if (best && (n > fewest || (n == fewest && core_rendezvous_weight(group, candidate->id) <=
+							       core_rendezvous_weight(group, best->id))))
 			continue;
 		best = candidate;
 		fewest = n;
@@ -131,7 +138,8 @@
 	return best;
 }
 
-/* One voter too many: of the zone with the most voters, the one that rendezvous hashing ranks last; never the leader. */
+/* One voter too many: of the zone with the most voters, the one that rendezvous hashing ranks last; never the
+ * leader. */
 static int surplus_voter(const struct view *view)
 {
 	const struct raft *raft = view->raft;
@@ -144,7 +152,9 @@
 		if (member->id == raft->id || !member->voter)
 			continue;
 		if (worst >= 0 &&
-		    (n < most || (n == most && core_rendezvous_weight(raft->shard, member->id) >= core_rendezvous_weight(raft->shard, raft->members[worst].id))))
+		    (n < most ||
+		     (n == most && core_rendezvous_weight(raft->shard, member->id) >=
+				       core_rendezvous_weight(raft->shard, raft->members[worst].id))))
 			continue;
 		worst = i;
 		most = n;
@@ -167,7 +177,8 @@
 	return candidate->zone && voters_in_zone(view, candidate->zone) + 2 <= most;
 }
 
-/* Take over zones and addresses as the fleet knows them; 1 when an address has changed and is being logged. */
+/* Take over zones and addresses as the fleet knows them; 1 when an address has changed and is being logged.
+ */
 static int update_addresses(const struct view *view)
 {
 	struct raft *raft = view->raft;
@@ -202,7 +213,9 @@
 static struct membership_status assess_members(const struct view *view)
 {
 	const struct raft *raft = view->raft;
-	struct membership_status standing = { .lost_voter = -1, .draining_voter = -1, .learner = -1, .lost_learner = -1 };
+	struct membership_status standing = {
+		.lost_voter = -1, .draining_voter = -1, .learner = -1, .lost_learner = -1
+	};
 
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
@@ -264,10 +277,13 @@
 	raft_find_member(raft, joining->id)->zone = joining->zone;
 }
 
-/* A learner has fallen silent. Where it makes up for a voter of the minimum it goes only once another one has caught up. */
-static void replace_learner(const struct view *view, const struct membership_status *standing, const struct raft_member *joining)
+/* A learner has fallen silent. Where it makes up for a voter of the minimum it goes only once another one has
+ * caught up. */
+static void replace_learner(const struct view *view, const struct membership_status *standing,
+			    const struct raft_member *joining)
 {
-	int others = standing->voters + (standing->learner >= 0 && is_caught_up(view, &view->raft->members[standing->learner]));
+	int others = standing->voters +
+		     (standing->learner >= 0 && is_caught_up(view, &view->raft->members[standing->learner]));
 
 	if (others >= RAFT_MIN_VOTERS)
 		remove_member(view, standing->lost_learner);
@@ -280,7 +296,8 @@
 {
 	const struct raft *raft = view->raft;
 	const struct raft_member *learner = &raft->members[standing->learner];
-	int wanted = standing->voters < raft->replicas || (!standing->suspects && spreads_zones(view, learner));
+	int wanted =
+	    standing->voters < raft->replicas || (!standing->suspects && spreads_zones(view, learner));
 
 	if (!standing->suspects && !wanted) {
 		remove_member(view, standing->learner);
@@ -294,10 +311,12 @@
 		promote_learner(view, standing->learner);
 }
 
-/* Without a successor at hand a lost voter goes where that lets the rest survive one more loss, never below the minimum. */
+/* Without a successor at hand a lost voter goes where that lets the rest survive one more loss, never below
+ * the minimum. */
 static int shrinks_well(const struct membership_status *standing)
 {
-	return standing->lost_voters && standing->voters > RAFT_MIN_VOTERS && (standing->voters % 2 == 0 || standing->lost_voters > 1);
+	return standing->lost_voters && standing->voters > RAFT_MIN_VOTERS &&
+	       (standing->voters % 2 == 0 || standing->lost_voters > 1);
 }
 
 void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now)
@@ -318,7 +337,9 @@
 		use_learner(&view, &standing);
 		return;
 	}
-	if (joining && (standing.suspects || standing.voters < raft->replicas || spreads_zones(&view, joining)) && standing.voters <= raft->replicas)
+	if (joining &&
+	    (standing.suspects || standing.voters < raft->replicas || spreads_zones(&view, joining)) &&
+	    standing.voters <= raft->replicas)
 		add_learner(&view, joining);
 	else if (shrinks_well(&standing))
 		remove_member(&view, standing.lost_voter);
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -1,27 +1,40 @@
-/* Recovery of a group that has lost its majority for good, by an operator's word: one voter that is left goes on alone
- * with its copy, in a new epoch. The epoch is the upper part of the term. Members of an older epoch are fenced: their
- * messages are refused, they neither vote nor lead once they hear of the newer epoch, and no group takes them back under
- * their old identity. Called by raft.c for every message, and by the control plane for the operator's call. */
+/* Recovery of a group that has lost its majority for good, by an operator's word: one voter that is left goes
+ * on alone with its copy, in a new epoch. The epoch is the upper part of the term. Members of an older epoch
+ * are fenced: their messages are refused, they neither vote nor lead once they hear of the newer epoch, and
+ * no group takes them back under their old identity. Called by raft.c for every message, and by the control
+ * plane for the operator's call. */
 #include "raft_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-uint64_t raft_epoch(uint64_t term) { return term >> RAFT_EPOCH_SHIFT; }
+uint64_t raft_epoch(uint64_t term)
+{
+	return term >> RAFT_EPOCH_SHIFT;
+}
 
 /* The term that a message speaks for; a probe speaks for none. */
 static uint64_t message_term(const struct raft *raft, const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_REQUEST: return message->vote_request->term;
-	case NL__MSG__BODY_VOTE_REPLY: return message->vote_reply->term;
-	case NL__MSG__BODY_APPEND: return message->append->term;
-	case NL__MSG__BODY_APPEND_REPLY: return message->append_reply->term;
-	case NL__MSG__BODY_SNAPSHOT_CHUNK: return message->snapshot_chunk->term;
-	case NL__MSG__BODY_SNAPSHOT_REPLY: return message->snapshot_reply->term;
-	case NL__MSG__BODY_STEP_DOWN: return message->step_down->term;
-	case NL__MSG__BODY_PROBE_REPLY: return message->probe_reply->last_term;
-	default: return raft->term;
+	case NL__MSG__BODY_VOTE_REQUEST:
+		return message->vote_request->term;
+	case NL__MSG__BODY_VOTE_REPLY:
+		return message->vote_reply->term;
+	case NL__MSG__BODY_APPEND:
+		return message->append->term;
+	case NL__MSG__BODY_APPEND_REPLY:
+		return message->append_reply->term;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
+		return message->snapshot_chunk->term;
+	case NL__MSG__BODY_SNAPSHOT_REPLY:
+		return message->snapshot_reply->term;
+	case NL__MSG__BODY_STEP_DOWN:
+		return message->step_down->term;
+	case NL__MSG__BODY_PROBE_REPLY:
+		return message->probe_reply->last_term;
+	default:
+		return raft->term;
 	}
 }
 
@@ -55,10 +68,12 @@
 
 static int is_offer(const struct Nl__Msg *message)
 {
-	return message->body_case == NL__MSG__BODY_APPEND || message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK;
+	return message->body_case == NL__MSG__BODY_APPEND ||
+	       message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK;
 }
 
-int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+int raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out)
 {
 	uint64_t theirs = raft_epoch(message_term(raft, message)), ours = raft_epoch(raft->term);
 
@@ -113,7 +128,8 @@
 		voters++;
 		remaining += !named;
 		voting |= member->id == raft->id && !named;
-		if (named && member->id != raft->id && member->last_message_at_ms && now - member->last_message_at_ms < RAFT_ABSENT_MS)
+		if (named && member->id != raft->id && member->last_message_at_ms &&
+		    now - member->last_message_at_ms < RAFT_ABSENT_MS)
 			return RAFT_RECOVERY_MEMBER_ANSWERS;
 		if (!named && (member->last_term > raft_term_at(raft, raft_last_index(raft)) ||
 			       (member->last_term == raft_term_at(raft, raft_last_index(raft)) &&
@@ -158,12 +174,18 @@
 const char *raft_recovery_strerror(enum raft_recovery verdict)
 {
 	switch (verdict) {
-	case RAFT_RECOVERY_POSSIBLE: return "the group goes on with this copy";
-	case RAFT_RECOVERY_NO_VOTER: return "this registrar holds no vote in the group, or its copy is of an older epoch";
-	case RAFT_RECOVERY_HAS_LEADER: return "the group has a leader";
-	case RAFT_RECOVERY_MAJORITY_REMAINS: return "the members that are not named as lost are a majority";
-	case RAFT_RECOVERY_MEMBER_ANSWERS: return "a member that is named as lost answers";
-	case RAFT_RECOVERY_OTHER_IS_NEWER: return "another member that is left holds a newer copy: recover there";
+	case RAFT_RECOVERY_POSSIBLE:
+		return "the group goes on with this copy";
+	case RAFT_RECOVERY_NO_VOTER:
+		return "this registrar holds no vote in the group, or its copy is of an older epoch";
+	case RAFT_RECOVERY_HAS_LEADER:
+		return "the group has a leader";
+	case RAFT_RECOVERY_MAJORITY_REMAINS:
+		return "the members that are not named as lost are a majority";
+	case RAFT_RECOVERY_MEMBER_ANSWERS:
+		return "a member that is named as lost answers";
+	case RAFT_RECOVERY_OTHER_IS_NEWER:
+		return "another member that is left holds a newer copy: recover there";
 	}
 	return "";
 }
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -1,6 +1,6 @@
 /* Replication: append messages, their replies, the commit index and the leader lease.
- * Called by raft.c for messages and ticks. An entry is committed once a majority of voters has synced it in the leader's own
- * term; a lease is counted from the moment at which its heartbeat round was sent. */
+ * Called by raft.c for messages and ticks. An entry is committed once a majority of voters has synced it in
+ * the leader's own term; a lease is counted from the moment at which its heartbeat round was sent. */
 #include "raft_internal.h"
 
 #include <apr_strings.h>
@@ -22,7 +22,8 @@
 		if (!raft->members[i].voter)
 			continue;
 		match[n] = raft_counted_index(raft, &raft->members[i]);
-		round[n++] = raft->members[i].id == raft->id ? raft->heartbeat_round : raft->members[i].acked_round;
+		round[n++] =
+		    raft->members[i].id == raft->id ? raft->heartbeat_round : raft->members[i].acked_round;
 	}
 	if (!n)
 		return;
@@ -33,7 +34,8 @@
 		raft_note_commit(raft);
 	}
 	if (round[n / 2] && raft->heartbeat_round - round[n / 2] < 64) {
-		int64_t until = raft->heartbeat_sent_at_ms[round[n / 2] % 64] + RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS;
+		int64_t until =
+		    raft->heartbeat_sent_at_ms[round[n / 2] % 64] + RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS;
 
 		if (until > raft->lease_expires_at_ms)
 			raft->lease_expires_at_ms = until;
@@ -42,7 +44,8 @@
 
 int raft_has_lease(const struct raft *raft, int64_t now)
 {
-	return raft->role == RAFT_LEADER && now < raft->lease_expires_at_ms && raft->commit_index >= raft->term_start;
+	return raft->role == RAFT_LEADER && now < raft->lease_expires_at_ms &&
+	       raft->commit_index >= raft->term_start;
 }
 
 /* The number of bytes of entries under way to a member, counted no further than the window. */
@@ -50,7 +53,8 @@
 {
 	size_t bytes = 0;
 
-	for (uint64_t i = member->unacked_index; i < member->next_index && bytes < RAFT_APPEND_WINDOW_BYTES; i++) {
+	for (uint64_t i = member->unacked_index; i < member->next_index && bytes < RAFT_APPEND_WINDOW_BYTES;
+	     i++) {
 		const struct raft_entry *entry = raft_entry_at(raft, i);
 
 		bytes += entry ? entry->len : 0;
@@ -58,7 +62,8 @@
 	return bytes;
 }
 
-static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev, struct command_list *out)
+static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev,
+				     struct command_list *out)
 {
 	struct Nl__Append *append = MESSAGE_NEW(out, Nl__Append, NL__APPEND__INIT);
 
@@ -75,8 +80,8 @@
 	return append;
 }
 
-/* An append without entries, at an index that the member is known to hold, or at the one that is guessed. It never waits for
- * entries or pieces, nor can it arrive too early for them. */
+/* An append without entries, at an index that the member is known to hold, or at the one that is guessed. It
+ * never waits for entries or pieces, nor can it arrive too early for them. */
 static void send_heartbeat(struct raft *raft, struct raft_member *member, struct command_list *out)
 {
 	uint64_t prev = member->probing ? member->next_index - 1 : member->match_index;
@@ -87,7 +92,8 @@
 /* Entries from next on: as many as the window has room for, and one at least when none is under way. */
 static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
-	size_t bytes = bytes_under_way(raft, member), n = (size_t)(raft_last_index(raft) + 1 - member->next_index);
+	size_t bytes = bytes_under_way(raft, member),
+	       n = (size_t)(raft_last_index(raft) + 1 - member->next_index);
 	int idle = member->next_index == member->unacked_index;
 	struct Nl__Append *append;
 
@@ -116,11 +122,13 @@
 {
 	int64_t carried_ms = (int64_t)(bytes_under_way(raft, member) / RAFT_RESEND_BYTES_PER_MS);
 
-	if (member->next_index == member->unacked_index || now - member->progress_at_ms < member->resend_ms + carried_ms)
+	if (member->next_index == member->unacked_index ||
+	    now - member->progress_at_ms < member->resend_ms + carried_ms)
 		return;
 	member->next_index = member->unacked_index;
 	member->progress_at_ms = now;
-	member->resend_ms = member->resend_ms * 2 < RAFT_RESEND_MAX_MS ? member->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	member->resend_ms =
+	    member->resend_ms * 2 < RAFT_RESEND_MAX_MS ? member->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
 static void send_missing(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
@@ -147,7 +155,8 @@
 	}
 }
 
-void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match, uint64_t round, struct command_list *out)
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match,
+			    uint64_t round, struct command_list *out)
 {
 	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
@@ -176,8 +185,9 @@
 	return 1;
 }
 
-/* Whether this member may go: what the newest round says, as entries may arrive later than heartbeats that were sent after
- * them. The answer carries the round, so that the leader knows that this member has heard it. */
+/* Whether this member may go: what the newest round says, as entries may arrive later than heartbeats that
+ * were sent after them. The answer carries the round, so that the leader knows that this member has heard it.
+ */
 static void note_release(struct raft *raft, const struct Nl__Append *append)
 {
 	if (append->round < raft->release_round)
@@ -196,10 +206,13 @@
 		return;
 	}
 	note_release(raft, append);
-	if (i > raft_last_index(raft) || (i >= raft->base_index && i > raft->commit_index && raft_term_at(raft, i) != append->prev_term)) {
+	if (i > raft_last_index(raft) ||
+	    (i >= raft->base_index && i > raft->commit_index && raft_term_at(raft, i) != append->prev_term)) {
 		uint64_t hint = i > raft_last_index(raft) ? raft_last_index(raft) : i - 1;
 
-		raft_send_append_reply(raft, message->addr, 0, hint > raft->commit_index ? hint : raft->commit_index, append->round, out);
+		raft_send_append_reply(raft, message->addr, 0,
+				       hint > raft->commit_index ? hint : raft->commit_index, append->round,
+				       out);
 		return;
 	}
 	skip = raft->commit_index > i ? raft->commit_index - i : 0; /* committed entries never differ */
@@ -221,7 +234,8 @@
 	if (end > raft->matched_index)
 		raft->matched_index = end;
 	if (append->commit_index > raft->commit_index) {
-		uint64_t c = append->commit_index < raft->matched_index ? append->commit_index : raft->matched_index;
+		uint64_t c =
+		    append->commit_index < raft->matched_index ? append->commit_index : raft->matched_index;
 
 		if (c > raft->commit_index)
 			raft->commit_index = c;
@@ -229,13 +243,16 @@
 	if (raft->dirty && append->round == raft->heartbeat_round)
 		return; /* nothing new to say before the sync, and then raft_synced says it */
 	if (append->round > raft->heartbeat_round)
-		raft->heartbeat_round = append->round; /* entries arrive later than heartbeats that were sent after them */
-	raft_send_append_reply(raft, message->addr, 1, raft->matched_index < raft->synced_index ? raft->matched_index : raft->synced_index, append->round,
-			       out);
+		raft->heartbeat_round =
+		    append->round; /* entries arrive later than heartbeats that were sent after them */
+	raft_send_append_reply(raft, message->addr, 1,
+			       raft->matched_index < raft->synced_index ? raft->matched_index
+									: raft->synced_index,
+			       append->round, out);
 }
 
-/* The member's log is ours up to matched, and synced up to match. The reply may be to an earlier append than the one that asked
- * where the member stands, so what goes out next begins behind what it vouches for. */
+/* The member's log is ours up to matched, and synced up to match. The reply may be to an earlier append than
+ * the one that asked where the member stands, so what goes out next begins behind what it vouches for. */
 static void on_accepted(struct raft_member *who, uint64_t match, uint64_t matched, int64_t now)
 {
 	uint64_t known = matched > match ? matched : match;
@@ -254,8 +271,8 @@
 		who->next_index = who->unacked_index;
 }
 
-/* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A hint below the
- * base means a snapshot, whose replies say more than further appends would. */
+/* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A
+ * hint below the base means a snapshot, whose replies say more than further appends would. */
 static void on_rejected(struct raft *raft, struct raft_member *who, uint64_t hint, struct command_list *out)
 {
 	who->next_index = who->unacked_index = (hint > who->match_index ? hint : who->match_index) + 1;
@@ -265,7 +282,8 @@
 	send_heartbeat(raft, who, out);
 }
 
-void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void raft_on_append_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			  struct command_list *out)
 {
 	const struct Nl__AppendReply *reply = message->append_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -1,11 +1,12 @@
-/* Snapshots: what stands for the log up to an index, sent in pieces to a member that is too far behind for entries.
- * Called by raft.c and raft_replication.c.
+/* Snapshots: what stands for the log up to an index, sent in pieces to a member that is too far behind for
+ * entries. Called by raft.c and raft_replication.c.
  *
- * The leader keeps a window of pieces under way to a member and moves it by what the member acknowledges; silence makes it
- * send the window again, less and less often. The member collects pieces in memory, in order, and installs the snapshot
- * once it is whole and its digest is right: state is replaced as a whole or not at all, and commit never moves backwards.
- * A restart forgets the pieces; a change of leader does not, as long as the new one sends the same bytes. A leader that takes
- * a newer snapshot in the meantime keeps the one under way, one at the most, so that a slow link finishes. */
+ * The leader keeps a window of pieces under way to a member and moves it by what the member acknowledges;
+ * silence makes it send the window again, less and less often. The member collects pieces in memory, in
+ * order, and installs the snapshot once it is whole and its digest is right: state is replaced as a whole or
+ * not at all, and commit never moves backwards. A restart forgets the pieces; a change of leader does not, as
+ * long as the new one sends the same bytes. A leader that takes a newer snapshot in the meantime keeps the
+ * one under way, one at the most, so that a slow link finishes. */
 #include "raft_internal.h"
 
 #include <apr_strings.h>
@@ -13,9 +14,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
-enum { REWIND_INTERVAL_MS = 100 };   /* between two rewinds of a transfer: replies of before one say no more than it did */
+enum {
+	REWIND_INTERVAL_MS = 100
+}; /* between two rewinds of a transfer: replies of before one say no more than it did */
 enum { SMALL_LOG_BYTES = 64 << 10 }; /* so much behind the snapshot is sent to a new learner as entries */
 
 /* A snapshot that can be sent: the newest one or the previous. */
@@ -91,14 +94,15 @@
 		free_previous(raft);
 }
 
-/* Make room for a newer snapshot. One that is being sent stays until it has been, unless an older one already does: a
- * transfer of it begins anew then. Nothing stays when old state has to be forgotten. */
+/* Make room for a newer snapshot. One that is being sent stays until it has been, unless an older one already
+ * does: a transfer of it begins anew then. Nothing stays when old state has to be forgotten. */
 static void retire_newest(struct raft *raft)
 {
 	raft_release_previous(raft);
 	if (raft->drop_tail)
 		free_previous(raft);
-	if (!raft->drop_tail && !raft->previous.index && raft->role == RAFT_LEADER && transfers_of(raft, raft->snapshot_index)) {
+	if (!raft->drop_tail && !raft->previous.index && raft->role == RAFT_LEADER &&
+	    transfers_of(raft, raft->snapshot_index)) {
 		raft->previous = (struct raft_old_snapshot){ .index = raft->snapshot_index,
 							     .term = raft->snapshot_term,
 							     .data = raft->snapshot_data,
@@ -117,8 +121,8 @@
 }
 
 /* Takes both buffers over. */
-static void store_snapshot(struct raft *raft, uint64_t index, uint64_t term, uint8_t *members, size_t members_len, uint8_t *data,
-			   size_t len)
+static void store_snapshot(struct raft *raft, uint64_t index, uint64_t term, uint8_t *members,
+			   size_t members_len, uint8_t *data, size_t len)
 {
 	retire_newest(raft);
 	raft->snapshot_data = data;
@@ -137,12 +141,12 @@
 {
 	if (index && index == raft->snapshot_index) {
 		*source = (struct source){ index,
-				      raft->snapshot_term,
-				      raft->snapshot_members,
-				      raft->snapshot_data,
-				      raft->snapshot_members_len,
-				      raft->snapshot_len,
-				      raft->snapshot_digest };
+					   raft->snapshot_term,
+					   raft->snapshot_members,
+					   raft->snapshot_data,
+					   raft->snapshot_members_len,
+					   raft->snapshot_len,
+					   raft->snapshot_digest };
 		if (!raft->snapshot_has_digest)
 			digest_of(source, raft->snapshot_digest);
 		raft->snapshot_has_digest = 1;
@@ -151,7 +155,9 @@
 	if (index && index == raft->previous.index) {
 		struct raft_old_snapshot *old = &raft->previous;
 
-		*source = (struct source){ index, old->term, old->members, old->data, old->members_len, old->data_len, old->digest };
+		*source =
+		    (struct source){ index,         old->term,  old->members, old->data, old->members_len,
+				     old->data_len, old->digest };
 		if (!old->has_digest)
 			digest_of(source, old->digest);
 		old->has_digest = 1;
@@ -189,10 +195,12 @@
 		memcpy(target, source->members + offset, members_part);
 	}
 	if (size > members_part)
-		memcpy(target + members_part, source->data + (offset + members_part - source->members_len), size - members_part);
+		memcpy(target + members_part, source->data + (offset + members_part - source->members_len),
+		       size - members_part);
 }
 
-static size_t send_chunk(struct raft *raft, const struct raft_member *member, const struct source *source, struct command_list *out)
+static size_t send_chunk(struct raft *raft, const struct raft_member *member, const struct source *source,
+			 struct command_list *out)
 {
 	struct Nl__SnapshotChunk *piece = MESSAGE_NEW(out, Nl__SnapshotChunk, NL__SNAPSHOT_CHUNK__INIT);
 	uint64_t remaining_bytes;
@@ -217,13 +225,16 @@
 /* Silence: what is under way is taken for lost. */
 static void resend_after_silence(struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	int64_t carried_ms = (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
+	int64_t carried_ms =
+	    (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
 
-	if (transfer->sent_bytes == transfer->acked_bytes || now - transfer->progress_at_ms < transfer->resend_ms + carried_ms)
+	if (transfer->sent_bytes == transfer->acked_bytes ||
+	    now - transfer->progress_at_ms < transfer->resend_ms + carried_ms)
 		return;
 	transfer->sent_bytes = transfer->acked_bytes;
 	transfer->progress_at_ms = now;
-	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	transfer->resend_ms =
+	    transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
 void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
@@ -246,7 +257,8 @@
 	window = transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
 	if (transfer->sent_bytes == transfer->acked_bytes)
 		transfer->progress_at_ms = now;
-	while (transfer->sent_bytes < source.members_len + source.len && transfer->sent_bytes - transfer->acked_bytes < window)
+	while (transfer->sent_bytes < source.members_len + source.len &&
+	       transfer->sent_bytes - transfer->acked_bytes < window)
 		transfer->sent_bytes += send_chunk(raft, member, &source, out);
 }
 
@@ -260,7 +272,8 @@
 	transfer->progress_at_ms = now;
 }
 
-/* The digest does not match what the member holds: all of it goes out again, and the digest is computed anew. */
+/* The digest does not match what the member holds: all of it goes out again, and the digest is computed anew.
+ */
 static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	if (now < transfer->resume_at_ms)
@@ -271,10 +284,12 @@
 		raft->previous.has_digest = 0;
 	transfer->acked_bytes = transfer->sent_bytes = 0;
 	transfer->resume_at_ms = now + transfer->resend_ms;
-	transfer->resend_ms = transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	transfer->resend_ms =
+	    transfer->resend_ms * 2 < RAFT_RESEND_MAX_MS ? transfer->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
 {
 	const struct Nl__SnapshotReply *reply = message->snapshot_reply;
 	struct raft_member *who = raft_find_member(raft, message->id);
@@ -289,7 +304,8 @@
 		return;
 	who->last_reply_at_ms = now;
 	transfer = &who->transfer;
-	if (reply->index != transfer->index || !find_source(raft, transfer->index, &source) || reply->transfer_id != transfer_id(source.digest) ||
+	if (reply->index != transfer->index || !find_source(raft, transfer->index, &source) ||
+	    reply->transfer_id != transfer_id(source.digest) ||
 	    reply->offset > source.members_len + source.len)
 		return;
 	transfer->last_reply_at_ms = now;
@@ -298,7 +314,8 @@
 		restart_corrupt(raft, transfer, now);
 	} else if (reply->offset > transfer->acked_bytes) {
 		transfer->acked_bytes = reply->offset;
-		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes : transfer->acked_bytes;
+		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes
+										    : transfer->acked_bytes;
 		transfer->progress_at_ms = now;
 		transfer->resend_ms = RAFT_RESEND_MS;
 	} else if (reply->offset < transfer->acked_bytes) {
@@ -308,7 +325,8 @@
 		raft_send_snapshot(raft, who, now, out);
 		return;
 	}
-	/* Installed, and synced soon: what comes after it goes out at once, and the member's own reply says what it holds. */
+	/* Installed, and synced soon: what comes after it goes out at once, and the member's own reply says
+	 * what it holds. */
 	who->next_index = source.index > who->match_index ? source.index + 1 : who->match_index + 1;
 	who->unacked_index = who->next_index;
 	who->probing = 1;
@@ -343,11 +361,13 @@
 
 static int same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *piece)
 {
-	return incoming->index == piece->index && incoming->index_term == piece->index_term && incoming->members_len == piece->members_len &&
-	       incoming->total_bytes == piece->total_bytes && !memcmp(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
+	return incoming->index == piece->index && incoming->index_term == piece->index_term &&
+	       incoming->members_len == piece->members_len && incoming->total_bytes == piece->total_bytes &&
+	       !memcmp(incoming->digest, piece->digest.data, RAFT_DIGEST_BYTES);
 }
 
-/* The transfer that a piece belongs to, begun when it is a new one; NULL when it is older than the one under way. */
+/* The transfer that a piece belongs to, begun when it is a new one; NULL when it is older than the one under
+ * way. */
 static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotChunk *piece)
 {
 	struct raft_incoming *incoming = raft->incoming;
@@ -366,9 +386,12 @@
 	size_t skip = (size_t)(incoming->received_bytes - piece->offset), n = piece->data.len - skip;
 
 	if (incoming->received_bytes + n > incoming->capacity) {
-		size_t doubled = incoming->capacity * 2 > incoming->received_bytes + n ? incoming->capacity * 2 : (size_t)incoming->received_bytes + n;
+		size_t doubled = incoming->capacity * 2 > incoming->received_bytes + n
+				     ? incoming->capacity * 2
+				     : (size_t)incoming->received_bytes + n;
 
-		incoming->capacity = doubled < incoming->total_bytes ? doubled : (size_t)incoming->total_bytes;
+		incoming->capacity =
+		    doubled < incoming->total_bytes ? doubled : (size_t)incoming->total_bytes;
 		incoming->bytes = realloc(incoming->bytes, incoming->capacity + 1);
 		if (!incoming->bytes)
 			abort();
@@ -387,7 +410,8 @@
 	if (raft_last_index(raft) > raft->base_index)
 		raft_truncate_from(raft, raft->base_index + 1);
 	memmove(incoming->bytes, incoming->bytes + members_len, len);
-	store_snapshot(raft, incoming->index, incoming->index_term, members, members_len, incoming->bytes, len);
+	store_snapshot(raft, incoming->index, incoming->index_term, members, members_len, incoming->bytes,
+		       len);
 	incoming->bytes = NULL;
 	raft->base_index = incoming->index;
 	raft->base_term = incoming->index_term;
@@ -404,7 +428,8 @@
 	return !memcmp(digest, incoming->digest, sizeof digest);
 }
 
-static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, uint64_t offset, int corrupt, struct command_list *out)
+static void send_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, uint64_t offset,
+				int corrupt, struct command_list *out)
 {
 	struct Nl__SnapshotReply *reply = MESSAGE_NEW(out, Nl__SnapshotReply, NL__SNAPSHOT_REPLY__INIT);
 
@@ -423,14 +448,15 @@
 	raft_send_append_reply(raft, message->addr, 1, match, raft->heartbeat_round, out);
 }
 
-/* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be dropped, since what
- * comes after may have been acknowledged. */
+/* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be
+ * dropped, since what comes after may have been acknowledged. */
 static int log_covers(const struct raft *raft, const struct Nl__SnapshotChunk *piece)
 {
 	return piece->index <= raft_last_index(raft) && raft_term_at(raft, piece->index) == piece->index_term;
 }
 
-void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+void raft_on_snapshot_chunk(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
 {
 	const struct Nl__SnapshotChunk *piece = message->snapshot_chunk;
 	struct raft_incoming *incoming;
@@ -450,13 +476,15 @@
 	incoming = incoming_of(raft, piece);
 	if (!incoming)
 		return;
-	if (piece->offset <= incoming->received_bytes && piece->offset + piece->data.len > incoming->received_bytes)
+	if (piece->offset <= incoming->received_bytes &&
+	    piece->offset + piece->data.len > incoming->received_bytes)
 		add_bytes(incoming, piece);
 	if (incoming->received_bytes < incoming->total_bytes) {
 		send_snapshot_reply(raft, message, incoming->received_bytes, 0, out);
 		return;
 	}
-	if (!digest_matches(incoming) || !raft_members_valid(incoming->bytes, (size_t)incoming->members_len)) {
+	if (!digest_matches(incoming) ||
+	    !raft_members_valid(incoming->bytes, (size_t)incoming->members_len)) {
 		raft_drop_incoming(raft);
 		send_snapshot_reply(raft, message, 0, 1, out);
 		return;
@@ -468,7 +496,8 @@
 
 /* ---- the state machine's own snapshots ---- */
 
-/* A learner that holds nothing yet: it is sent the state as it is now rather than an old one and the long log behind it. */
+/* A learner that holds nothing yet: it is sent the state as it is now rather than an old one and the long log
+ * behind it. */
 static int has_new_learner(const struct raft *raft)
 {
 	for (int i = 0; i < raft->member_count && raft->role == RAFT_LEADER; i++) {
@@ -482,9 +511,11 @@
 
 int raft_wants_snapshot(const struct raft *raft)
 {
-	size_t bytes = raft->snapshot_len > RAFT_SNAPSHOT_LOG_BYTES ? raft->snapshot_len : RAFT_SNAPSHOT_LOG_BYTES;
+	size_t bytes =
+	    raft->snapshot_len > RAFT_SNAPSHOT_LOG_BYTES ? raft->snapshot_len : RAFT_SNAPSHOT_LOG_BYTES;
 
-	return raft->applied_index >= raft->snapshot_index + RAFT_SNAPSHOT_ENTRIES || raft->applied_bytes >= bytes ||
+	return raft->applied_index >= raft->snapshot_index + RAFT_SNAPSHOT_ENTRIES ||
+	       raft->applied_bytes >= bytes ||
 	       (raft->applied_bytes > raft->snapshot_len + SMALL_LOG_BYTES && has_new_learner(raft));
 }
 
@@ -505,7 +536,8 @@
 	uint64_t drop = raft->applied_index, oldest = oldest_transfer(raft);
 	size_t bytes = 0;
 
-	while (!raft->drop_tail && drop > raft->base_index && (raft->applied_index - drop < RAFT_LOG_TAIL || drop > oldest)) {
+	while (!raft->drop_tail && drop > raft->base_index &&
+	       (raft->applied_index - drop < RAFT_LOG_TAIL || drop > oldest)) {
 		bytes += raft_entry_at(raft, drop)->len;
 		if (bytes > RAFT_LOG_TAIL_BYTES)
 			break;
@@ -521,8 +553,8 @@
 	uint64_t drop;
 
 	raft_members_in_force(raft, raft->applied_index, &members, &members_len);
-	store_snapshot(raft, raft->applied_index, raft_term_at(raft, raft->applied_index), raft_copy_bytes(members, members_len), members_len,
-		       raft_copy_bytes(data, size), size);
+	store_snapshot(raft, raft->applied_index, raft_term_at(raft, raft->applied_index),
+		       raft_copy_bytes(members, members_len), members_len, raft_copy_bytes(data, size), size);
 	drop = tail_begin(raft);
 	if (drop <= raft->base_index)
 		return;
--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -1,10 +1,12 @@
-/* Leaving and handing over. A member that is to stop hands its leadership to the most caught-up voter that stays, and may
- * go once the leader says that the voters that stay are a majority and that every other voter has synced all that its own
- * copy could be needed for. Until then it stays up to the end of its grace.
+/* Leaving and handing over. A member that is to stop hands its leadership to the most caught-up voter that
+ * stays, and may go once the leader says that the voters that stay are a majority and that every other voter
+ * has synced all that its own copy could be needed for. Until then it stays up to the end of its grace.
  * Called by raft.c for ticks and by raft_replication.c for what is said to a leaving member. */
 #include "raft_internal.h"
 
-enum { HANDOVER_MS = 1000 }; /* a leaving leader waits so long for a successor to catch up, and then for its election */
+enum {
+	HANDOVER_MS = 1000
+}; /* a leaving leader waits so long for a successor to catch up, and then for its election */
 
 static uint64_t synced_by(const struct raft *raft, const struct raft_member *member)
 {
@@ -21,8 +23,8 @@
 	return member->id == raft->id || now - member->last_reply_at_ms <= RAFT_LEASE_MS;
 }
 
-/* Whether a member was told that it may go, and has not answered a later heartbeat round since. Its acknowledgements may be of
- * before it went. */
+/* Whether a member was told that it may go, and has not answered a later heartbeat round since. Its
+ * acknowledgements may be of before it went. */
 static int may_have_stopped(const struct raft_member *member)
 {
 	return member->release_round && member->acked_round <= member->release_round;
@@ -65,8 +67,8 @@
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
 
-		remaining += member->voter && !is_draining(raft, member) && !may_have_stopped(member) && is_responsive(raft, member, now) &&
-			   synced_by(raft, member) >= raft->term_start;
+		remaining += member->voter && !is_draining(raft, member) && !may_have_stopped(member) &&
+			     is_responsive(raft, member, now) && synced_by(raft, member) >= raft->term_start;
 	}
 	raft->has_remaining_majority = remaining > raft_voter_count(raft) / 2;
 }
@@ -78,12 +80,14 @@
 	return raft->has_remaining_majority && is_draining(raft, member) ? 0 : synced_by(raft, member);
 }
 
-/* Whether a leaving voter's copy is needed by nobody: by members that are committed, the voters that stay are a majority by
- * themselves, and all others hold what it holds. Voters that are to stop do not vouch for each other, even where all of them
- * are: one of them may crash, come back to stay, and find itself without a majority. */
+/* Whether a leaving voter's copy is needed by nobody: by members that are committed, the voters that stay are
+ * a majority by themselves, and all others hold what it holds. Voters that are to stop do not vouch for each
+ * other, even where all of them are: one of them may crash, come back to stay, and find itself without a
+ * majority. */
 static int is_expendable(const struct raft *raft, uint64_t id, uint64_t index)
 {
-	return raft->has_remaining_majority && raft->members_index <= raft->commit_index && others_have_synced(raft, id, index);
+	return raft->has_remaining_majority && raft->members_index <= raft->commit_index &&
+	       others_have_synced(raft, id, index);
 }
 
 int raft_is_released(const struct raft *raft, const struct raft_member *member)
@@ -98,10 +102,13 @@
 	for (int i = 0; i < raft->member_count; i++) {
 		const struct raft_member *member = &raft->members[i];
 
-		if (!member->voter || member->id == raft->id || member->draining || !is_responsive(raft, member, now))
+		if (!member->voter || member->id == raft->id || member->draining ||
+		    !is_responsive(raft, member, now))
 			continue;
 		if (!best || member->match_index > best->match_index ||
-		    (member->match_index == best->match_index && core_rendezvous_weight(raft->shard, member->id) > core_rendezvous_weight(raft->shard, best->id)))
+		    (member->match_index == best->match_index &&
+		     core_rendezvous_weight(raft->shard, member->id) >
+			 core_rendezvous_weight(raft->shard, best->id)))
 			best = member;
 	}
 	return best ? best->id : 0;
@@ -141,5 +148,6 @@
 		return 0;
 	if (!self || !self->voter || raft->removed || raft->fenced)
 		return 1;
-	return raft->release == RAFT_RELEASED || (raft->release == RAFT_RELEASED_LATER && now >= raft->drain_deadline_ms);
+	return raft->release == RAFT_RELEASED ||
+	       (raft->release == RAFT_RELEASED_LATER && now >= raft->drain_deadline_ms);
 }
--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 /* ---- a new edition --------------------------------------------------------------------------------- */
 
@@ -18,36 +18,43 @@
 	router_server_table_free(router->server_table);
 	router->server_table = servers;
 	for (uint32_t i = 0; i < servers->server_count; i++)
-		serving += servers->servers[i].is_configured && !servers->servers[i].draining && !servers->servers[i].is_store;
+		serving += servers->servers[i].is_configured && !servers->servers[i].draining &&
+			   !servers->servers[i].is_store;
 	if (serving != router->serving_servers && router->log) {
-		apr_snprintf(text, sizeof text, "Servers that stand: %u, before %u.", serving, router->serving_servers);
+		apr_snprintf(text, sizeof text, "Servers that stand: %u, before %u.", serving,
+			     router->serving_servers);
 		router->log(router->log_context, "ctr", text);
 	}
 	router->serving_servers = serving;
 }
 
-/* A newer table and a request of the own interface: its key ends it wherever it is; what was not sent ends with its lane, and
- * comes back where that has another service now, since its claim is held by the old one's owner. */
-static void recheck_claimed(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
+/* A newer table and a request of the own interface: its key ends it wherever it is; what was not sent ends
+ * with its lane, and comes back where that has another service now, since its claim is held by the old one's
+ * owner. */
+static void recheck_claimed(struct router *router, struct client_request *request, int64_t now,
+			    struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index = request->key_digest ? shgeti(keys, request->key_digest) : -1;
 
-	if (request->key_digest && request->tenant_index != routes->anonymous_tenant && (key_index < 0 || keys[key_index].value != request->tenant_index || !routes->tenants[request->tenant_index].is_configured)) {
+	if (request->key_digest && request->tenant_index != routes->anonymous_tenant &&
+	    (key_index < 0 || keys[key_index].value != request->tenant_index ||
+	     !routes->tenants[request->tenant_index].is_configured)) {
 		router->stats.revoked++;
 		router_end_early(router, request, 401, "key: removed", now, out);
 	} else if (request->state == REQUEST_RUNNING) {
 		return;
-	} else if (!routes->routes[request->route_index].is_configured || !routes->services[routes->routes[request->route_index].service_index].is_configured) {
+	} else if (!routes->routes[request->route_index].is_configured ||
+		   !routes->services[routes->routes[request->route_index].service_index].is_configured) {
 		router_end_early(router, request, 404, "lane: removed", now, out);
 	} else if (routes->routes[request->route_index].service_index != request->service_index) {
 		router_end_early(router, request, 503, "the lane has another service now", now, out);
 	}
 }
 
-/* What waits is placed by the new table. What runs was sent while its key and route held: it ends by itself, within its time,
- * and is placed by the new table if its server gives it back. */
+/* What waits is placed by the new table. What runs was sent while its key and route held: it ends by itself,
+ * within its time, and is placed by the new table if its server gives it back. */
 static void replace_route_table(struct router *router, int64_t now, struct command_list *out)
 {
 	struct route_table *routes = router_route_table_new(router, now), *old = router->route_table;
@@ -121,11 +128,15 @@
 		json_object_object_add(json, n[i].name, json_object_new_int64((int64_t)n[i].value));
 	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
 		waiting += router->queues[i].length;
-	json_object_object_add(json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, router->id)));
+	json_object_object_add(
+	    json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, router->id)));
 	json_object_object_add(json, "zone", json_object_new_string(router->zone_name));
-	json_object_object_add(json, "age_ms", json_object_new_int64(config_watch_age_ms(&router->config_watch, now)));
-	json_object_object_add(json, "current", json_object_new_boolean(relay_is_current(&router->relay, now)));
-	json_object_object_add(json, "running", json_object_new_int64(arrlen(router->requests) - (int64_t)waiting));
+	json_object_object_add(json, "age_ms",
+			       json_object_new_int64(config_watch_age_ms(&router->config_watch, now)));
+	json_object_object_add(json, "current",
+			       json_object_new_boolean(relay_is_current(&router->relay, now)));
+	json_object_object_add(json, "running",
+			       json_object_new_int64(arrlen(router->requests) - (int64_t)waiting));
 	json_object_object_add(json, "waiting", json_object_new_int64(waiting));
 	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++) {
 		struct json_object *x;
@@ -134,11 +145,15 @@
 			continue;
 		x = json_object_new_object();
 		json_object_object_add(x, "server", json_object_new_string(router->server_names.names[i]));
-		json_object_object_add(x, "standing", json_object_new_boolean(router_server_is_serving(router, i, now)));
+		json_object_object_add(x, "standing",
+				       json_object_new_boolean(router_server_is_serving(router, i, now)));
 		json_object_object_add(x, "running", json_object_new_int(router->servers[i].running));
 		json_object_object_add(x, "slots", json_object_new_int(router->servers[i].slots));
-		json_object_object_add(x, "weights",
-				       json_object_new_string(router->servers[i].is_known ? router->weights_names.names[router->servers[i].weights] : ""));
+		json_object_object_add(
+		    x, "weights",
+		    json_object_new_string(router->servers[i].is_known
+					       ? router->weights_names.names[router->servers[i].weights]
+					       : ""));
 		json_object_array_add(a, x);
 	}
 	json_object_object_add(json, "servers", a);
@@ -155,16 +170,20 @@
 		const struct usage_entry *router_use = &router->usage[i];
 
 		csv = apr_psprintf(pool,
-				 "%s%s,%s,%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT
-				 ",%" APR_UINT64_T_FMT "\n",
-				 csv, router->route_names.names[router_use->key >> 32], router->tenant_names.names[router_use->key & UINT32_MAX], router_use->value.requests,
-				 router_use->value.tokens, router_use->value.reused, router_use->value.chunks, router_use->value.errors);
+				   "%s%s,%s,%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT
+				   ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT "\n",
+				   csv, router->route_names.names[router_use->key >> 32],
+				   router->tenant_names.names[router_use->key & UINT32_MAX],
+				   router_use->value.requests, router_use->value.tokens,
+				   router_use->value.reused, router_use->value.chunks,
+				   router_use->value.errors);
 	}
 	return csv;
 }
 
-/* How long a stream may be silent before it is taken up: its client gives up after two seconds, four times its aim or eight
- * times its pause, whichever is longest, and should be told before, to take it up by itself. */
+/* How long a stream may be silent before it is taken up: its client gives up after two seconds, four times
+ * its aim or eight times its pause, whichever is longest, and should be told before, to take it up by itself.
+ */
 static int64_t max_stream_silence_ms(const struct route_config *route)
 {
 	int64_t patience = ROUTER_STREAM_MIN_PATIENCE_MS;
@@ -176,9 +195,10 @@
 	return patience * 3 / 4;
 }
 
-/* How long a request with so many before it has yet to wait. One of another service than the head's may pass it, as soon as it
- * is sent, and is only taken to wait for as long as it has. */
-static double expected_wait_ms(const struct line *queue, const struct client_request *request, uint32_t before, int64_t now)
+/* How long a request with so many before it has yet to wait. One of another service than the head's may pass
+ * it, as soon as it is sent, and is only taken to wait for as long as it has. */
+static double expected_wait_ms(const struct line *queue, const struct client_request *request,
+			       uint32_t before, int64_t now)
 {
 	if (request->service_index == queue->head->service_index)
 		return router_expected_wait_ms(queue, before, now);
@@ -191,20 +211,27 @@
 	const struct server_table *servers = router->server_table;
 
 	for (uint32_t server_index = 0; servers && server_index < servers->server_count; server_index++)
-		if (!router->server_table->servers[server_index].is_store && router_server_is_serving(router, server_index, now))
-			router->last_serving_at_ms[router->server_table->servers[server_index].service_index] = now;
+		if (!router->server_table->servers[server_index].is_store &&
+		    router_server_is_serving(router, server_index, now))
+			router
+			    ->last_serving_at_ms[router->server_table->servers[server_index].service_index] =
+			    now;
 	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
 		struct line *queue = &router->queues[i];
 		struct client_request *next;
 		uint32_t before = 0;
 
 		for (struct client_request *request = queue->head; request; request = next) {
-			int none = now - router->last_serving_at_ms[request->service_index] > ROUTER_CONFIG_MAX_STALENESS_MS;
+			int none = now - router->last_serving_at_ms[request->service_index] >
+				   ROUTER_CONFIG_MAX_STALENESS_MS;
 			double wait = expected_wait_ms(queue, request, before, now);
 
 			next = request->next_in_queue;
-			if (request->has_begun && now - request->returned_at_ms > max_stream_silence_ms(&router->route_table->routes[request->route_index])) {
-				router_break_off(router, request, 502, "no server took the stream up in time", now, out);
+			if (request->has_begun &&
+			    now - request->returned_at_ms >
+				max_stream_silence_ms(&router->route_table->routes[request->route_index])) {
+				router_break_off(router, request, 502, "no server took the stream up in time",
+						 now, out);
 				continue;
 			}
 			if (!none && wait <= (double)(request->deadline_at_ms - now)) {
@@ -212,7 +239,9 @@
 				continue;
 			}
 			router->stats.refused_early++;
-			router_refuse(router, request, 503, none ? router_no_server : "the line is too long to be sent within the limit",
+			router_refuse(router, request, 503,
+				      none ? router_no_server
+					   : "the line is too long to be sent within the limit",
 				      none ? ROUTER_RETRY_AFTER_MIN_MS : wait / 2, now, out);
 		}
 	}
@@ -234,10 +263,14 @@
 static void tick(struct router *router, int64_t now, struct command_list *out)
 {
 	router_retention_tick(router, now);
-	router->config_watch.is_warm = !router->is_stopping && now - router->started_at_ms >= ROUTER_WARM_UP_MS;
+	router->config_watch.is_warm =
+	    !router->is_stopping && now - router->started_at_ms >= ROUTER_WARM_UP_MS;
 	config_watch_tick(&router->config_watch, router->relay.knowledge.horizon, now, out);
-	relay_set_upstreams(&router->relay, router->config_watch.upstream, (size_t)router->config_watch.upstream_count, config_watch_publisher_addr(&router->config_watch, router->relay.horizon_moved_at_ms, now), now);
-	router->relay.curiosity_disabled = !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CURIOSITY);
+	relay_set_upstreams(
+	    &router->relay, router->config_watch.upstream, (size_t)router->config_watch.upstream_count,
+	    config_watch_publisher_addr(&router->config_watch, router->relay.horizon_moved_at_ms, now), now);
+	router->relay.curiosity_disabled =
+	    !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CURIOSITY);
 	relay_tick(&router->relay, now, out);
 	if (router->bounds.discover_instances) {
 		router_load_tick(router, now, out);
@@ -258,11 +291,17 @@
 		if (now >= request->deadline_at_ms) {
 			router->stats.refused_deadline += request->state != REQUEST_RUNNING;
 			router_end_early(router, request, request->state == REQUEST_RUNNING ? 504 : 503,
-					 request->state == REQUEST_RUNNING ? "the limit passed" : "the limit passed in the line", now, out);
-		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed && now - request->claim_started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
+					 request->state == REQUEST_RUNNING ? "the limit passed"
+									   : "the limit passed in the line",
+					 now, out);
+		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed &&
+			   now - request->claim_started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
 			router->stats.refused_early++;
-			router_refuse(router, request, 503, "the part of this service has no owner that answers", ROUTER_RETRY_AFTER_MIN_MS, now, out);
-		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed && now - request->claim_sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
+			router_refuse(router, request, 503,
+				      "the part of this service has no owner that answers",
+				      ROUTER_RETRY_AFTER_MIN_MS, now, out);
+		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed &&
+			   now - request->claim_sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 			/* the same claim again: a part takes it once however often it is asked */
 			router_claim_miss(router, request->service_index, request->claim_leader_addr);
 			router_claim_send(router, request, now, out);
@@ -270,11 +309,14 @@
 	}
 }
 
-static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out)
 {
 	int changed;
 
-	if (message->protocol_version != CORE_PROTOCOL_VERSION || (message->fleet_id && router->config_watch.fleet && message->fleet_id != router->config_watch.fleet))
+	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
+	    (message->fleet_id && router->config_watch.fleet &&
+	     message->fleet_id != router->config_watch.fleet))
 		return;
 	switch (message->body_case) {
 	case NL__MSG__BODY_CONFIG_SYNC_REPLY:
@@ -287,34 +329,53 @@
 		break;
 	case NL__MSG__BODY_KNOWLEDGE:
 	case NL__MSG__BODY_PURGE_SNAPSHOT:
-	case NL__MSG__BODY_CURIOSITY: relay_receive(&router->relay, message, now, out); break;
-	case NL__MSG__BODY_PROPOSE_REPLY: router_on_answer(router, message->propose_reply, message->addr, now, out); break;
-	case NL__MSG__BODY_LOAD: router_on_load(router, message->id, message->addr, message->load, now); break;
+	case NL__MSG__BODY_CURIOSITY:
+		relay_receive(&router->relay, message, now, out);
+		break;
+	case NL__MSG__BODY_PROPOSE_REPLY:
+		router_on_answer(router, message->propose_reply, message->addr, now, out);
+		break;
+	case NL__MSG__BODY_LOAD:
+		router_on_load(router, message->id, message->addr, message->load, now);
+		break;
 	case NL__MSG__BODY_CACHE_UPDATE_BATCH:
 		for (size_t i = 0; i < message->cache_update_batch->n_updates; i++)
 			router_on_cache_update(router, message->cache_update_batch->updates[i], now);
 		break;
-	case NL__MSG__BODY_PREFIX_LOOKUP: router_on_prefix_lookup(router, message, out); break;
-	case NL__MSG__BODY_PREFIX_LOOKUP_REPLY: router_on_prefix_reply(router, message->prefix_lookup_reply, now); break;
-	case NL__MSG__BODY_REPORT: router_on_relayed_report(router, message->report, now, out); break;
+	case NL__MSG__BODY_PREFIX_LOOKUP:
+		router_on_prefix_lookup(router, message, out);
+		break;
+	case NL__MSG__BODY_PREFIX_LOOKUP_REPLY:
+		router_on_prefix_reply(router, message->prefix_lookup_reply, now);
+		break;
+	case NL__MSG__BODY_REPORT:
+		router_on_relayed_report(router, message->report, now, out);
+		break;
 	case NL__MSG__BODY_CONFIG_SYNC: { /* a seed need not be a controller: say whom to ask */
-		struct Nl__ConfigSyncReply *reply = MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
+		struct Nl__ConfigSyncReply *reply =
+		    MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
 
 		reply->token = message->config_sync->token;
 		reply->leader_hint = router->config_watch.leader_addr[SHARD_CONTROL];
-		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply = reply;
+		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)
+		    ->config_sync_reply = reply;
 		break;
 	}
-	default: break;
+	default:
+		break;
 	}
 }
 
-/* A forwarded request that a server has been sent goes on, as it does where its key is known to be removed: it was sent while
- * the configuration was certain to be in force, and the server ends it within its deadline. */
-static int outlives_config(const struct client_request *request) { return request->is_forwarded && request->state == REQUEST_RUNNING; }
+/* A forwarded request that a server has been sent goes on, as it does where its key is known to be removed:
+ * it was sent while the configuration was certain to be in force, and the server ends it within its deadline.
+ */
+static int outlives_config(const struct client_request *request)
+{
+	return request->is_forwarded && request->state == REQUEST_RUNNING;
+}
 
-/* Cut off, or woken after a freeze: before anything else happens, what has not been sent is refused, and in the product's own
- * interface all that is held here ends. */
+/* Cut off, or woken after a freeze: before anything else happens, what has not been sent is refused, and in
+ * the product's own interface all that is held here ends. */
 static void end_without_config(struct router *router, int64_t now, struct command_list *out)
 {
 	if (now <= router_config_valid_until(router))
@@ -323,27 +384,34 @@
 		if (outlives_config(router->requests[i]))
 			continue;
 		router->stats.ended_without_config++;
-		router_end_early(router, router->requests[i], 503, "this counter has been cut off: its configuration may be out of force", now, out);
+		router_end_early(router, router->requests[i], 503,
+				 "this counter has been cut off: its configuration may be out of force", now,
+				 out);
 	}
 }
 
-/* The door passes a head on before it says so. Whatever ends the exchange in this very step owes its caller an end of the
- * stream: an answer would go nowhere, and the caller wait. */
+/* The door passes a head on before it says so. Whatever ends the exchange in this very step owes its caller
+ * an end of the stream: an answer would go nowhere, and the caller wait. */
 static void note_listener_began(struct router *router, const struct router_event *event)
 {
-	uint64_t call = event->kind == ROUTER_EVENT_FORWARD_BEGAN                         ? event->u.forward_began.token
-			: event->kind == ROUTER_EVENT_FORWARD_ENDED && event->u.forward_ended->has_begun ? event->u.forward_ended->token
-									 : 0;
+	uint64_t call = event->kind == ROUTER_EVENT_FORWARD_BEGAN ? event->u.forward_began.token
+			: event->kind == ROUTER_EVENT_FORWARD_ENDED && event->u.forward_ended->has_begun
+			    ? event->u.forward_ended->token
+			    : 0;
 	struct client_request *request = call ? router_request_by_token(router, call) : NULL;
 
 	if (request && request->call_token == call)
 		request->has_begun = 1;
 }
 
-int64_t router_config_valid_until(const struct router *router) { return router->config_watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS; }
+int64_t router_config_valid_until(const struct router *router)
+{
+	return router->config_watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS;
+}
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void router_step(struct router *router, const struct router_event *event, int64_t now, struct command_list *out)
+void router_step(struct router *router, const struct router_event *event, int64_t now,
+		 struct command_list *out)
 {
 	struct client_request *request;
 
@@ -356,14 +424,24 @@
 	note_listener_began(router, event);
 	end_without_config(router, now, out);
 	switch (event->kind) {
-	case ROUTER_EVENT_TICK: tick(router, now, out); break;
-	case ROUTER_EVENT_MESSAGE: on_message(router, event->u.message, now, out); break;
-	case ROUTER_EVENT_CLAIMED_REQUEST: router_admit_claimed(router, event->u.claimed_request.token, event->u.claimed_request.key_digest, event->u.claimed_request.body, now, out); break;
+	case ROUTER_EVENT_TICK:
+		tick(router, now, out);
+		break;
+	case ROUTER_EVENT_MESSAGE:
+		on_message(router, event->u.message, now, out);
+		break;
+	case ROUTER_EVENT_CLAIMED_REQUEST:
+		router_admit_claimed(router, event->u.claimed_request.token,
+				     event->u.claimed_request.key_digest, event->u.claimed_request.body, now,
+				     out);
+		break;
 	case ROUTER_EVENT_CLIENT_DISCONNECTED: /* the caller left */
 		request = router_request_by_token(router, event->u.client_disconnected.token);
 		if (!request || request->token != event->u.client_disconnected.token)
 			break;
-		router_request_end(router, request, &(struct request_ending){ REQUEST_CLIENT_DISCONNECTED, 0, NULL, 0 }, now, out);
+		router_request_end(router, request,
+				   &(struct request_ending){ REQUEST_CLIENT_DISCONNECTED, 0, NULL, 0 }, now,
+				   out);
 		break;
 	case ROUTER_EVENT_STREAM_CHUNK:
 		request = router_request_by_token(router, event->u.stream_chunk.token);
@@ -377,7 +455,8 @@
 		break;
 	case ROUTER_EVENT_REPORT_POLLED:
 		for (uint32_t s = 0; router->server_table && s < router->server_table->server_count; s++)
-			if (router->servers[s].poll_token == event->u.report_polled.token && event->u.report_polled.status == 200) {
+			if (router->servers[s].poll_token == event->u.report_polled.token &&
+			    event->u.report_polled.status == 200) {
 				router_on_report(router, s, event->u.report_polled.body, now);
 				router_relay_report(router, s, event->u.report_polled.body, out);
 			}
@@ -386,17 +465,22 @@
 		if (!strcmp(event->u.http_get.path, "/v1/usage"))
 			command_answer(out, event->u.http_get.token, 200, 0, router_usage(router, out->pool));
 		else if (!strcmp(event->u.http_get.path, "/v1/state"))
-			command_answer(out, event->u.http_get.token, 200, 0, state_json(router, now, out->pool));
+			command_answer(out, event->u.http_get.token, 200, 0,
+				       state_json(router, now, out->pool));
 		else if (!strcmp(event->u.http_get.path, "/metrics"))
-			command_answer(out, event->u.http_get.token, 200, 0, router_metrics(router, now, out->pool));
+			command_answer(out, event->u.http_get.token, 200, 0,
+				       router_metrics(router, now, out->pool));
 		else
-			command_answer(out, event->u.http_get.token, 404, 0, router_error_body(out->pool, "path: no such call", "refused"));
+			command_answer(out, event->u.http_get.token, 404, 0,
+				       router_error_body(out->pool, "path: no such call", "refused"));
 		break;
 	case ROUTER_EVENT_STOP:
 		router->is_stopping = 1;
 		router->shutdown = event->u.shutdown;
 		break;
-	case ROUTER_EVENT_FORWARDED_REQUEST: router_admit_forwarded(router, event->u.forwarded_request, now, out); break;
+	case ROUTER_EVENT_FORWARDED_REQUEST:
+		router_admit_forwarded(router, event->u.forwarded_request, now, out);
+		break;
 	case ROUTER_EVENT_FORWARD_BEGAN:
 		request = router_request_by_token(router, event->u.forward_began.token);
 		if (request && request->call_token == event->u.forward_began.token)
@@ -407,21 +491,31 @@
 		if (request && request->call_token == event->u.forward_ended->token)
 			router_on_ended(router, request, event->u.forward_ended, now, out);
 		break;
-	case ROUTER_EVENT_CACHE_WATCHED: router_on_cache_watched(router, event->u.cache_watched.token, event->u.cache_watched.update, event->u.cache_watched.status, now); break;
+	case ROUTER_EVENT_CACHE_WATCHED:
+		router_on_cache_watched(router, event->u.cache_watched.token, event->u.cache_watched.update,
+					event->u.cache_watched.status, now);
+		break;
 	}
 	router_dispatch(router, now, out);
-	if (router->route_table && (event->kind == ROUTER_EVENT_TICK || event->kind == ROUTER_EVENT_CLAIMED_REQUEST || event->kind == ROUTER_EVENT_FORWARDED_REQUEST))
+	if (router->route_table &&
+	    (event->kind == ROUTER_EVENT_TICK || event->kind == ROUTER_EVENT_CLAIMED_REQUEST ||
+	     event->kind == ROUTER_EVENT_FORWARDED_REQUEST))
 		router_request_slots(router, now, out);
 }
 
 int router_ready(const struct router *router, int64_t now)
 {
-	return !router->is_stopping && router->route_table && router->config_watch.table.revision && config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
+	return !router->is_stopping && router->route_table && router->config_watch.table.revision &&
+	       config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
 }
 
-int router_idle(const struct router *router) { return arrlen(router->requests) == 0 && arrlen(router->claim_releases) == 0; }
+int router_idle(const struct router *router)
+{
+	return arrlen(router->requests) == 0 && arrlen(router->claim_releases) == 0;
+}
 
-void router_open(struct router *router, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds, int seed_count, int64_t now)
+void router_open(struct router *router, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds,
+		 int seed_count, int64_t now)
 {
 	memset(router, 0, sizeof *router);
 	router->id = id;
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -1,13 +1,14 @@
-/* router_admission: which route, tenant and service a request has by the table in force; taking requests, and what is refused
- * before it waits. A newer table judges what waits once more by the same rule. */
+/* router_admission: which route, tenant and service a request has by the table in force; taking requests, and
+ * what is refused before it waits. A newer table judges what waits once more by the same rule. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
-static const char *parse(struct router *c, struct client_request *request, const char *body, const char **lane, int *limit, apr_pool_t *pool)
+static const char *parse(struct router *c, struct client_request *request, const char *body,
+			 const char **lane, int *limit, apr_pool_t *pool)
 {
 	struct json_object *json = router_read_json(c, body), *v;
 	const char *why = NULL;
@@ -32,13 +33,17 @@
 		} else if (!strcmp(name, "limit_ms")) {
 			int64_t n = json_object_get_int64(val);
 
-			if (!json_object_is_type(val, json_type_int) || n < ROUTER_TIMEOUT_MIN_MS || n > ROUTER_TIMEOUT_MAX_MS)
-				why = apr_psprintf(pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS, ROUTER_TIMEOUT_MAX_MS);
+			if (!json_object_is_type(val, json_type_int) || n < ROUTER_TIMEOUT_MIN_MS ||
+			    n > ROUTER_TIMEOUT_MAX_MS)
+				why = apr_psprintf(pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS,
+						   ROUTER_TIMEOUT_MAX_MS);
 			else
 				*limit = (int)n;
 		} else if (!strcmp(name, "parts")) {
-			if (!json_object_is_type(val, json_type_array) || json_object_array_length(val) > ROUTER_MAX_BLOCKS) {
-				why = apr_psprintf(pool, "parts: a list of at most %d strings", ROUTER_MAX_BLOCKS);
+			if (!json_object_is_type(val, json_type_array) ||
+			    json_object_array_length(val) > ROUTER_MAX_BLOCKS) {
+				why = apr_psprintf(pool, "parts: a list of at most %d strings",
+						   ROUTER_MAX_BLOCKS);
 				continue;
 			}
 			for (size_t i = 0; i < json_object_array_length(val); i++) {
@@ -46,7 +51,8 @@
 				if (!json_object_is_type(v, json_type_string))
 					why = "parts: a list of strings";
 				else
-					request->block_text[request->block_count++] = apr_pstrdup(pool, json_object_get_string(v));
+					request->block_text[request->block_count++] =
+					    apr_pstrdup(pool, json_object_get_string(v));
 			}
 		} else {
 			why = apr_psprintf(pool, "%s: no such field", name);
@@ -56,7 +62,8 @@
 		goto end;
 	if (!*lane)
 		why = "lane: missing";
-	else if (!request->id || !request->id[0] || strlen(request->id) > 128 || strpbrk(request->id, "\x1f\n"))
+	else if (!request->id || !request->id[0] || strlen(request->id) > 128 ||
+		 strpbrk(request->id, "\x1f\n"))
 		why = "id: 1 to 128 characters";
 	else if (!request->tail_text)
 		why = "tail: missing";
@@ -68,9 +75,11 @@
 
 const char router_no_server[] = "no server of this service stands";
 
-static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
+static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now,
+				  struct command_list *out)
 {
-	struct request_ending ending = { REQUEST_REFUSED, 503, "this counter's configuration is not certain to be in force", 0 };
+	struct request_ending ending = { REQUEST_REFUSED, 503,
+					 "this counter's configuration is not certain to be in force", 0 };
 
 	if (!router->is_stopping && router_config_in_force(router, now))
 		return 0;
@@ -79,16 +88,18 @@
 	router->stats.refused_stale++;
 	if (!router->bounds.discover_instances)
 		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
-	else if (now - router->started_at_ms < ROUTER_STARTUP_MS) /* one that has just begun knows how long its fleet takes to find its owners */
-		ending.retry_after_ms = router_retry_fast_ms(router, (int)(ROUTER_STARTUP_MS - (now - router->started_at_ms) + 200));
+	else if (now - router->started_at_ms < ROUTER_STARTUP_MS) /* one that has just begun knows how long
+								     its fleet takes to find its owners */
+		ending.retry_after_ms = router_retry_fast_ms(
+		    router, (int)(ROUTER_STARTUP_MS - (now - router->started_at_ms) + 200));
 	else
 		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return 1;
 }
 
-static int refuse_if_queue_full(struct router *router, uint64_t token, const struct line *queue, uint32_t route_index, uint32_t service, int64_t now,
-			struct command_list *out)
+static int refuse_if_queue_full(struct router *router, uint64_t token, const struct line *queue,
+				uint32_t route_index, uint32_t service, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
 	int full = queue->length >= router->route_table->routes[route_index].queue_limit;
@@ -101,12 +112,15 @@
 		ending.status = 429;
 		ending.reason = "the line is full";
 	}
-	ending.retry_after_ms = router_retry_after_ms(router, full ? router_expected_wait_ms(queue, queue->length / 2, now) : ROUTER_RETRY_AFTER_MIN_MS);
+	ending.retry_after_ms =
+	    router_retry_after_ms(router, full ? router_expected_wait_ms(queue, queue->length / 2, now)
+					       : ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return 1;
 }
 
-static void reject_new(struct router *router, uint64_t token, int status, const char *reason, struct command_list *out)
+static void reject_new(struct router *router, uint64_t token, int status, const char *reason,
+		       struct command_list *out)
 {
 	router_decline(router, token, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, out);
 }
@@ -119,7 +133,8 @@
 	router_request_add(router, request);
 }
 
-void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body, int64_t now, struct command_list *out)
+void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body,
+			  int64_t now, struct command_list *out)
 {
 	struct route_table *routes = router->route_table;
 	struct key_entry *keys = routes ? routes->keys : NULL;
@@ -144,7 +159,8 @@
 	request->pool = pool;
 	reason = parse(router, request, body, &route_name, &limit, pool);
 	route_index = reason ? -1 : names_find(&router->route_names, route_name);
-	if (reason || route_index < 0 || !routes->routes[route_index].is_configured || !routes->services[routes->routes[route_index].service_index].is_configured) {
+	if (reason || route_index < 0 || !routes->routes[route_index].is_configured ||
+	    !routes->services[routes->routes[route_index].service_index].is_configured) {
 		reject_new(router, token, reason ? 400 : 404, reason ? reason : "lane: unknown", out);
 		apr_pool_destroy(pool);
 		return;
@@ -153,7 +169,8 @@
 	request->tenant_index = keys[key_index].value;
 	request->service_index = routes->routes[route_index].service_index;
 	queue = router_queue_of(router, request->route_index, request->tenant_index);
-	if (refuse_if_queue_full(router, token, queue, request->route_index, request->service_index, now, out)) {
+	if (refuse_if_queue_full(router, token, queue, request->route_index, request->service_index, now,
+				 out)) {
 		apr_pool_destroy(pool);
 		return;
 	}
@@ -190,7 +207,8 @@
 		if (i < 0)
 			continue;
 		route = &routes->routes[bk_place[i].value];
-		if (route->is_configured && !strcmp(route->host, host) && strlen(route->path) == n && !strncmp(route->path, path, n))
+		if (route->is_configured && !strcmp(route->host, host) && strlen(route->path) == n &&
+		    !strncmp(route->path, path, n))
 			return (int)bk_place[i].value;
 	}
 	return -1;
@@ -203,7 +221,8 @@
 
 	if (!route->split_count)
 		return route->service_index;
-	position = (uint32_t)(core_hash_string(31, id) % route->splits[route->split_count - 1].cumulative_weight);
+	position =
+	    (uint32_t)(core_hash_string(31, id) % route->splits[route->split_count - 1].cumulative_weight);
 	while (route->splits[k].cumulative_weight <= position)
 		k++;
 	return route->splits[k].service_index;
@@ -228,7 +247,8 @@
 };
 
 /* Whose a request is; 0: it may not be anybody's. */
-static int tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest, uint32_t *tenant)
+static int tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest,
+		     uint32_t *tenant)
 {
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index = digest && routes->has_keys ? shgeti(keys, digest) : -1;
@@ -241,8 +261,8 @@
 	return 1;
 }
 
-static struct admission admission_of(const struct route_table *routes, const char *host, const char *path, const char *digest,
-				     const char *id)
+static struct admission admission_of(const struct route_table *routes, const char *host, const char *path,
+				     const char *digest, const char *id)
 {
 	struct admission admission = { 0, NULL, 0, 0, 0 };
 	int route_index = route_at(routes, host, path);
@@ -258,8 +278,10 @@
 	return admission;
 }
 
-/* Another service serves it from now on; what was set aside for another send there is set aside here. 0: that ended it. */
-static int change_service(struct router *router, struct client_request *request, uint32_t service, int64_t now, struct command_list *out)
+/* Another service serves it from now on; what was set aside for another send there is set aside here. 0: that
+ * ended it. */
+static int change_service(struct router *router, struct client_request *request, uint32_t service,
+			  int64_t now, struct command_list *out)
 {
 	int paid = request->retry_reserved;
 
@@ -272,7 +294,9 @@
 		return 0;
 	}
 	if (paid && router->retry_budget[service] < ROUTER_RETRY_COST_MILLI) {
-		router_refuse(router, request, 503, "its service changed, and the budget for resends is spent", ROUTER_RETRY_FAST_MS, now, out);
+		router_refuse(router, request, 503,
+			      "its service changed, and the budget for resends is spent",
+			      ROUTER_RETRY_FAST_MS, now, out);
 		return 0;
 	}
 	if (paid)
@@ -281,7 +305,8 @@
 	return 1;
 }
 
-int router_readmit(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
+int router_readmit(struct router *router, struct client_request *request, int64_t now,
+		   struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	const struct route_config *route;
@@ -302,10 +327,12 @@
 	request->idempotent = request->idempotent && route->idempotent;
 	request->resumable = request->resumable && route->resumable;
 	if (request->may_have_run && !request->idempotent && !request->resumable) {
-		router_break_off(router, request, 502, "the server's answer broke off, and it may not be sent again", now, out);
+		router_break_off(router, request, 502,
+				 "the server's answer broke off, and it may not be sent again", now, out);
 		return 0;
 	}
-	if (routes->services[request->service_index].is_configured && (request->has_begun || leads_to(route, request->service_index)))
+	if (routes->services[request->service_index].is_configured &&
+	    (request->has_begun || leads_to(route, request->service_index)))
 		return 1;
 	return change_service(router, request, admission.service_index, now, out);
 }
@@ -341,7 +368,8 @@
 	return x;
 }
 
-void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now, struct command_list *out)
+void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now,
+			    struct command_list *out)
 {
 	const struct route_table *routes = router->route_table;
 	const struct route_config *route;
@@ -356,14 +384,18 @@
 		reject_new(router, query->token, admission.status, admission.reason, out);
 		return;
 	}
-	if (refuse_if_queue_full(router, query->token, router_queue_of(router, admission.route_index, admission.tenant_index), admission.route_index, admission.service_index, now, out))
+	if (refuse_if_queue_full(router, query->token,
+				 router_queue_of(router, admission.route_index, admission.tenant_index),
+				 admission.route_index, admission.service_index, now, out))
 		return;
 	route = &routes->routes[admission.route_index];
 	request = request_new(router, query);
 	request->route_index = admission.route_index;
 	request->tenant_index = admission.tenant_index;
 	request->service_index = admission.service_index;
-	request->deadline_at_ms = now + (route->timeout_ms && (int)route->timeout_ms < query->limit_ms ? (int)route->timeout_ms : query->limit_ms);
+	request->deadline_at_ms =
+	    now + (route->timeout_ms && (int)route->timeout_ms < query->limit_ms ? (int)route->timeout_ms
+										 : query->limit_ms);
 	request->received_at_ms = now;
 	request->idempotent = route->idempotent;
 	request->resumable = route->resumable;
--- a/lib/data/router_kept_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -1,27 +1,34 @@
-/* router_kept_feed: what the head of a zone tells its downstream routers of the prompt parts that servers keep.
- * The head alone watches servers; each of their events would be sent on once for each router of the zone, so the head's own
- * link is the bound. Events wait here, the newest of each part in place of older ones, and leave as fast as a share of the
- * link carries them: what callers and the configuration send shares that link and must not wait behind them. */
+/* router_kept_feed: what the head of a zone tells its downstream routers of the prompt parts that servers
+ * keep. The head alone watches servers; each of their events would be sent on once for each router of the
+ * zone, so the head's own link is the bound. Events wait here, the newest of each part in place of older
+ * ones, and leave as fast as a share of the link carries them: what callers and the configuration send shares
+ * that link and must not wait behind them. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum {
 	FEED_SHARE_PERCENT = 40, /* of the link, for all downstream routers together */
 	FEED_BURST_MS = 100,     /* of that share which one message to all of them may take */
-	FEED_INDEX_ROWS = 2048         /* rows of the index in one message to a router that is new */
+	FEED_INDEX_ROWS = 2048   /* rows of the index in one message to a router that is new */
 };
 
 /* Bytes that the feed may send in a ms; 0: the link has no bound that we know. */
-static int64_t feed_bytes_per_ms(const struct router *router) { return (int64_t)router->bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8; }
+static int64_t feed_bytes_per_ms(const struct router *router)
+{
+	return (int64_t)router->bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
+}
 
-/* A message of this size has been given to so many routers: no more before the link's share has carried it. */
-static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *message, ptrdiff_t routers, int64_t now)
+/* A message of this size has been given to so many routers: no more before the link's share has carried it.
+ */
+static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *message, ptrdiff_t routers,
+		       int64_t now)
 {
-	int64_t rate = feed_bytes_per_ms(router), bytes = (int64_t)nl__cache_update_batch__get_packed_size(message) * routers;
+	int64_t rate = feed_bytes_per_ms(router),
+		bytes = (int64_t)nl__cache_update_batch__get_packed_size(message) * routers;
 
 	if (router->feed.link_free_at_ms < now)
 		router->feed.link_free_at_ms = now;
@@ -47,10 +54,12 @@
 void router_feed_add(struct router *router, uint32_t server, const struct Nl__CacheUpdate *update)
 {
 	struct pending_cache_update *pending = &router->servers[server].pending_update;
-	int is_reset = update->events_lost || (router->servers[server].cache_epoch && router->servers[server].cache_epoch != update->epoch);
+	int is_reset = update->events_lost || (router->servers[server].cache_epoch &&
+					       router->servers[server].cache_epoch != update->epoch);
 
 	/* of a store each word goes on, for it says that the store is up */
-	if (!arrlen(router->relay.downstreams) || (!update->n_events && !is_reset && !router->server_table->servers[server].is_store))
+	if (!arrlen(router->relay.downstreams) ||
+	    (!update->n_events && !is_reset && !router->server_table->servers[server].is_store))
 		return;
 	if (is_reset) {
 		hmfree(pending->events);
@@ -60,19 +69,26 @@
 	pending->next_event = update->next_offset;
 	for (size_t i = 0; i < update->n_events; i++) {
 		const struct Nl__CacheEvent *cache_event = update->events[i];
-		typeof(pending->events->value) event = { router_namespace_key_from_text(cache_event->cache_namespace), cache_event->evicted };
-
-		hmput(pending->events, router_block_key(core_hash_string(0, cache_event->cache_namespace), cache_event->block_hash), event);
+		typeof(pending->events->value) event = {
+			router_namespace_key_from_text(cache_event->cache_namespace), cache_event->evicted
+		};
+
+		hmput(pending->events,
+		      router_block_key(core_hash_string(0, cache_event->cache_namespace),
+				       cache_event->block_hash),
+		      event);
 	}
 	if (!pending->is_queued)
 		arrput(router->feed.queue, server);
 	pending->is_queued = 1;
 }
 
-/* ---- to all downstream routers --------------------------------------------------------------------------- */
+/* ---- to all downstream routers ---------------------------------------------------------------------------
+ */
 
 /* The waiting events of one server as they are sent: keys alone, which is all that the index asks for. */
-static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server, struct command_list *out)
+static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server,
+						      struct command_list *out)
 {
 	const struct pending_cache_update *pending = &router->servers[server].pending_update;
 	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
@@ -104,10 +120,12 @@
 {
 	ptrdiff_t routers = arrlen(router->relay.downstreams);
 	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
-	struct Nl__CacheUpdateBatch *all = MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
+	struct Nl__CacheUpdateBatch *all =
+	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 	ptrdiff_t sent = 0;
 
-	all->updates = apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
+	all->updates =
+	    apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
 	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
 		uint32_t server = router->feed.queue[sent];
 		struct Nl__CacheUpdate *update;
@@ -123,17 +141,21 @@
 	if (!all->n_updates)
 		return;
 	for (ptrdiff_t i = 0; i < routers; i++)
-		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = all;
+		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)
+		    ->cache_update_batch = all;
 	feed_spent(router, all, routers, now);
 }
 
-/* ---- to one that is new ------------------------------------------------------------------------------------ */
+/* ---- to one that is new
+ * ------------------------------------------------------------------------------------ */
 
 /* Rows [from, to) of the index as messages, one a server. */
-static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end, struct command_list *out)
+static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
+						  struct command_list *out)
 {
 	const struct server_table *table = router->server_table;
-	struct Nl__CacheUpdateBatch *all = MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
+	struct Nl__CacheUpdateBatch *all =
+	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 	struct Nl__CacheUpdate **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
 
 	all->updates = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->updates);
@@ -142,31 +164,37 @@
 			for (ptrdiff_t k = 0; k < arrlen(router->prefix_index.blocks[i].value); k++) {
 				uint32_t s = router->prefix_index.blocks[i].value[k].server_index;
 
-				if (s >= table->server_count || !table->servers[s].is_configured || !router->servers[s].cache_epoch)
+				if (s >= table->server_count || !table->servers[s].is_configured ||
+				    !router->servers[s].cache_epoch)
 					continue;
 				if (!update[s]) {
 					update[s] = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
-					update[s]->server = apr_pstrdup(out->pool, router->server_names.names[s]);
+					update[s]->server =
+					    apr_pstrdup(out->pool, router->server_names.names[s]);
 					update[s]->epoch = router->servers[s].cache_epoch;
 					update[s]->next_offset = router->servers[s].next_cache_event;
 					all->updates[all->n_updates++] = update[s];
 				}
 				if (fill)
-					update[s]->present[update[s]->n_present] = router->prefix_index.blocks[i].key;
+					update[s]->present[update[s]->n_present] =
+					    router->prefix_index.blocks[i].key;
 				update[s]->n_present++;
 			}
 		for (size_t i = 0; !fill && i < all->n_updates; i++) {
-			all->updates[i]->present = apr_palloc(out->pool, all->updates[i]->n_present * sizeof *all->updates[i]->present);
+			all->updates[i]->present = apr_palloc(
+			    out->pool, all->updates[i]->n_present * sizeof *all->updates[i]->present);
 			all->updates[i]->n_present = 0;
 		}
 	}
 	return all;
 }
 
-/* A router that is new in the zone, or back, hears only what changes from then on; so it is told once all that is known to be
- * kept, or it would have prompts read again that lie ready. It adds this to what it knows itself. The index is gone through from
- * its end: what a deletion moves meanwhile is told twice rather than never. */
-static void publish_index(struct router *router, struct relay_downstream *down, int64_t now, struct command_list *out)
+/* A router that is new in the zone, or back, hears only what changes from then on; so it is told once all
+ * that is known to be kept, or it would have prompts read again that lie ready. It adds this to what it knows
+ * itself. The index is gone through from its end: what a deletion moves meanwhile is told twice rather than
+ * never. */
+static void publish_index(struct router *router, struct relay_downstream *down, int64_t now,
+			  struct command_list *out)
 {
 	ptrdiff_t rows = hmlen(router->prefix_index.blocks), from;
 	struct Nl__CacheUpdateBatch *all;
@@ -174,7 +202,8 @@
 	if (!down->cache_feed_started || down->cache_feed_remaining > rows)
 		down->cache_feed_remaining = rows;
 	down->cache_feed_started = 1;
-	from = down->cache_feed_remaining > FEED_INDEX_ROWS ? down->cache_feed_remaining - FEED_INDEX_ROWS : 0;
+	from =
+	    down->cache_feed_remaining > FEED_INDEX_ROWS ? down->cache_feed_remaining - FEED_INDEX_ROWS : 0;
 	all = index_message(router, from, down->cache_feed_remaining, out);
 	down->cache_feed_remaining = from;
 	if (!all->n_updates)
@@ -186,7 +215,8 @@
 static struct relay_downstream *next_without_index(struct router *router)
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++)
-		if (!router->relay.downstreams[i].cache_feed_started || router->relay.downstreams[i].cache_feed_remaining)
+		if (!router->relay.downstreams[i].cache_feed_started ||
+		    router->relay.downstreams[i].cache_feed_remaining)
 			return &router->relay.downstreams[i];
 	return NULL;
 }
@@ -195,15 +225,19 @@
 {
 	struct relay_downstream *down;
 
-	if (!router->server_table || router->config_watch.upstream_count || !arrlen(router->relay.downstreams) ||
-	    !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CACHE_FEED)) { /* another is the head, or there is nobody to tell */
+	if (!router->server_table || router->config_watch.upstream_count ||
+	    !arrlen(router->relay.downstreams) ||
+	    !mechanism_on(router->bounds.disabled_mechanisms,
+			  MECHANISM_CACHE_FEED)) { /* another is the head, or there is nobody to tell */
 		if (arrlen(router->feed.queue))
 			router_feed_clear(router);
 		return;
 	}
 	if (now < router->feed.link_free_at_ms)
 		return;
-	if (arrlen(router->feed.queue) && now - router->feed.sent_at_ms >= router_scaled_interval_ms(router, ROUTER_CACHE_FEED_INTERVAL_MS)) {
+	if (arrlen(router->feed.queue) &&
+	    now - router->feed.sent_at_ms >=
+		router_scaled_interval_ms(router, ROUTER_CACHE_FEED_INTERVAL_MS)) {
 		router->feed.sent_at_ms = now;
 		publish_updates(router, now, out);
 	} else if ((down = next_without_index(router))) {
--- a/lib/data/router_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 /* ---- reports ---------------------------------------------------------------------------------- */
 
@@ -15,7 +15,9 @@
 {
 	int i = names_find(&router->weights_names, name);
 
-	return i >= 0 || strlen(name) > 128 || arrlen(router->weights_names.names) >= ROUTER_MAX_WEIGHTS_NAMES ? i : (int)names_id(&router->weights_names, name);
+	return i >= 0 || strlen(name) > 128 || arrlen(router->weights_names.names) >= ROUTER_MAX_WEIGHTS_NAMES
+		   ? i
+		   : (int)names_id(&router->weights_names, name);
 }
 
 /* A report that cannot be read changes nothing, and is spoken of once. */
@@ -24,7 +26,8 @@
 	char line[300];
 
 	if (!router->servers[server_index].unreadable_reports++ && router->log) {
-		apr_snprintf(line, sizeof line, "Step report: server %s: %s; it is passed over until it is mended.",
+		apr_snprintf(line, sizeof line,
+			     "Step report: server %s: %s; it is passed over until it is mended.",
 			     router->server_names.names[server_index], reason);
 		router->log(router->log_context, "ctr", line);
 	}
@@ -35,10 +38,13 @@
 	struct router_server_state *server = &router->servers[server_index];
 	struct json_object *report = router_read_json(router, body), *blocks;
 	const char *service;
-	int weights = json_object_is_type(report, json_type_object) ? weights_of(router, json_string_member(report, "weights")) : -1;
+	int weights = json_object_is_type(report, json_type_object)
+			  ? weights_of(router, json_string_member(report, "weights"))
+			  : -1;
 
 	if (weights < 0 || json_uint_member(report, "slots") > 100000) {
-		log_unreadable_report(router, server_index, "its report cannot be read, or names what nobody knows");
+		log_unreadable_report(router, server_index,
+				      "its report cannot be read, or names what nobody knows");
 		goto end;
 	}
 	server->unreadable_reports = 0;
@@ -48,10 +54,14 @@
 	server->is_loading = json_string_member(report, "loading")[0] != 0;
 	server->slots = (int)json_uint_member(report, "slots");
 	server->running = (int)json_uint_member(report, "running");
-	server->others_running = server->running > server->own_running ? server->running - server->own_running : 0; /* what other routers run there */
-	if (!json_object_object_get_ex(report, "parts", &blocks) || !json_object_is_type(blocks, json_type_array)) {
-		if (json_uint_member(report, "serial") != server->report_serial || json_uint_member(report, "boot") != server->boot_id)
-			server->relayed_at_ms = server->polled_at_ms = 0; /* what changed was lost on its way here: look ourselves */
+	server->others_running = server->running > server->own_running ? server->running - server->own_running
+								       : 0; /* what other routers run there */
+	if (!json_object_object_get_ex(report, "parts", &blocks) ||
+	    !json_object_is_type(blocks, json_type_array)) {
+		if (json_uint_member(report, "serial") != server->report_serial ||
+		    json_uint_member(report, "boot") != server->boot_id)
+			server->relayed_at_ms = server->polled_at_ms =
+			    0; /* what changed was lost on its way here: look ourselves */
 		goto end;
 	}
 	server->report_serial = json_uint_member(report, "serial");
@@ -61,19 +71,27 @@
 	server->inventory_at_ms = now;
 	for (size_t i = 0; i < json_object_array_length(blocks) && i < ROUTER_MAX_REPORTED_BLOCKS; i++) {
 		struct json_object *json = json_object_array_get_idx(blocks, i);
-		int maker = names_find(&router->tenant_names, json_string_member(json, "m")), made_under = weights_of(router, json_string_member(json, "w"));
-		struct block_replica replica = {
-			server_index, (uint32_t)maker, router->server_table->servers[server_index].service_index, (uint32_t)made_under, json_uint_member(json, "t"), server->poll_sequence
-		};
+		int maker = names_find(&router->tenant_names, json_string_member(json, "m")),
+		    made_under = weights_of(router, json_string_member(json, "w"));
+		struct block_replica replica = { server_index,
+						 (uint32_t)maker,
+						 router->server_table->servers[server_index].service_index,
+						 (uint32_t)made_under,
+						 json_uint_member(json, "t"),
+						 server->poll_sequence };
 
 		if (maker < 0 || made_under < 0)
 			continue; /* of nobody that the table ever named here */
 
 		/* a late report never revives what is withdrawn */
-		if (!router_retains(router, replica.service_index, replica.tenant_index, strtoull(json_string_member(json, "h"), NULL, 16), replica.stamp_tick))
+		if (!router_retains(router, replica.service_index, replica.tenant_index,
+				    strtoull(json_string_member(json, "h"), NULL, 16), replica.stamp_tick))
 			server->purged_blocks++;
-		else if (purge_view_allows(&router->relay.view, service, json_string_member(json, "w"), json_string_member(json, "m"), router->server_names.names[server_index], replica.stamp_tick))
-			prefix_index_put(&router->prefix_index, strtoull(json_string_member(json, "h"), NULL, 16), &replica);
+		else if (purge_view_allows(&router->relay.view, service, json_string_member(json, "w"),
+					   json_string_member(json, "m"),
+					   router->server_names.names[server_index], replica.stamp_tick))
+			prefix_index_put(&router->prefix_index,
+					 strtoull(json_string_member(json, "h"), NULL, 16), &replica);
 	}
 	prefix_index_remove_unreported(&router->prefix_index, server_index, server->poll_sequence);
 end:
@@ -82,7 +100,8 @@
 }
 
 /* A relay looks for its zone: what it saw goes to its downstreams as it came. */
-void router_relay_report(struct router *router, uint32_t server_index, const char *body, struct command_list *out)
+void router_relay_report(struct router *router, uint32_t server_index, const char *body,
+			 struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++) {
 		struct Nl__Report *report = MESSAGE_NEW(out, Nl__Report, NL__REPORT__INIT);
@@ -90,19 +109,24 @@
 		report->server = apr_pstrdup(out->pool, router->server_names.names[server_index]);
 		report->body.len = strlen(body);
 		report->body.data = (uint8_t *)apr_pstrdup(out->pool, body);
-		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_REPORT)->report = report;
+		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_REPORT)->report =
+		    report;
 	}
 }
 
-void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now, struct command_list *out)
+void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now,
+			      struct command_list *out)
 {
 	int server_index = names_find(&router->server_names, report->server);
 
-	if (server_index < 0 || !router->server_table || (uint32_t)server_index >= router->server_table->server_count || !router->server_table->servers[server_index].is_configured)
+	if (server_index < 0 || !router->server_table ||
+	    (uint32_t)server_index >= router->server_table->server_count ||
+	    !router->server_table->servers[server_index].is_configured)
 		return;
 	router->servers[server_index].relayed_at_ms = now;
 	router->servers[server_index].poll_sequence++;
-	router_on_report(router, (uint32_t)server_index, apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
+	router_on_report(router, (uint32_t)server_index,
+			 apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
 
 void router_poll_reports(struct router *router, int64_t now, struct command_list *out)
@@ -113,10 +137,15 @@
 		struct router_server_state *server = &router->servers[s];
 		struct command *command;
 
-		if (!router->server_table->servers[s].is_configured || now - server->polled_at_ms < ROUTER_REPORT_POLL_INTERVAL_MS || now - server->relayed_at_ms < ROUTER_RELAYED_REPORT_VALID_MS)
+		if (!router->server_table->servers[s].is_configured ||
+		    now - server->polled_at_ms < ROUTER_REPORT_POLL_INTERVAL_MS ||
+		    now - server->relayed_at_ms < ROUTER_RELAYED_REPORT_VALID_MS)
 			continue;
 		/* spread over the period, so that routers do not all look at once */
-		server->polled_at_ms = server->polled_at_ms ? now : now - (int64_t)(core_rendezvous_weight(router->id, s) % ROUTER_REPORT_POLL_INTERVAL_MS);
+		server->polled_at_ms = server->polled_at_ms
+					   ? now
+					   : now - (int64_t)(core_rendezvous_weight(router->id, s) %
+							     ROUTER_REPORT_POLL_INTERVAL_MS);
 		server->poll_token = router_token_new(router);
 		server->poll_sequence++;
 		router->stats.report_polls++;
@@ -124,7 +153,8 @@
 		command->args.call.token = server->poll_token;
 		command->args.call.addr = apr_pstrdup(out->pool, router->server_table->servers[s].addr);
 		command->args.call.path =
-		    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT, server->report_serial, server->boot_id);
+		    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT,
+				 server->report_serial, server->boot_id);
 		command->args.call.limit_ms = 800;
 		command->args.call.not_after_ms = now + 800;
 	}
@@ -147,11 +177,17 @@
 		return 0;
 	switch (purge->reason) {
 	case PURGE_WEIGHTS:
-		return !strcmp(router->service_names.names[replica->service_index], purge->service) && !strcmp(router->weights_names.names[replica->weights_hash], purge->weights);
-	case PURGE_CONTEXT: /* what is forwarded is filed under another name from now on; its old names go as servers say */
-		return !router->bounds.discover_instances && !router_retains(router, replica->service_index, replica->tenant_index, id, replica->stamp_tick);
-	case PURGE_TENANT: return !strcmp(router->tenant_names.names[replica->tenant_index], purge->tenant);
-	default: return !strcmp(router->server_names.names[replica->server_index], purge->server);
+		return !strcmp(router->service_names.names[replica->service_index], purge->service) &&
+		       !strcmp(router->weights_names.names[replica->weights_hash], purge->weights);
+	case PURGE_CONTEXT: /* what is forwarded is filed under another name from now on; its old names go as
+			       servers say */
+		return !router->bounds.discover_instances &&
+		       !router_retains(router, replica->service_index, replica->tenant_index, id,
+				       replica->stamp_tick);
+	case PURGE_TENANT:
+		return !strcmp(router->tenant_names.names[replica->tenant_index], purge->tenant);
+	default:
+		return !strcmp(router->server_names.names[replica->server_index], purge->server);
 	}
 }
 
@@ -159,7 +195,8 @@
 {
 	struct purge_match withdrawn = { ctx, value };
 
-	if (value->purge && value->purge->reason == PURGE_TENANT && value->tick > withdrawn.router->isolation_tick)
+	if (value->purge && value->purge->reason == PURGE_TENANT &&
+	    value->tick > withdrawn.router->isolation_tick)
 		withdrawn.router->isolation_tick = value->tick;
 	if (value->purge && value->purge->reason == PURGE_CONTEXT)
 		router_on_context_purge(withdrawn.router, value, withdrawn.router->now);
@@ -168,8 +205,9 @@
 
 /* ---- watches of kept parts ---------------------------------------------------------------------- */
 
-/* How many servers may be asked at once for all that they still name, as a router does that knows nothing of them yet: their
- * answers come all together, and the configuration must not wait behind them on a slow link. */
+/* How many servers may be asked at once for all that they still name, as a router does that knows nothing of
+ * them yet: their answers come all together, and the configuration must not wait behind them on a slow link.
+ */
 static int max_full_watches(const struct router *router)
 {
 	int64_t room = (int64_t)router->bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
@@ -192,7 +230,8 @@
 	command->args.watch_cache.server = router->server_names.names[server_index];
 	command->args.watch_cache.since = server->next_cache_event;
 	command->args.watch_cache.wait_ms = ROUTER_CACHE_WATCH_WAIT_MS;
-	command->args.watch_cache.full = server->watch_is_full = !server->cache_listed && !server->next_cache_event;
+	command->args.watch_cache.full = server->watch_is_full =
+	    !server->cache_listed && !server->next_cache_event;
 }
 
 /* The head of a zone's relays watches each server for its zone; what it hears goes down the way purges go. */
@@ -201,14 +240,16 @@
 	const struct server_table *servers = router->server_table;
 	int first = 0, most = max_full_watches(router);
 
-	if (!servers || router->is_stopping || router->config_watch.upstream_count || config_watch_age_ms(&router->config_watch, now) > router_max_staleness_ms(router))
+	if (!servers || router->is_stopping || router->config_watch.upstream_count ||
+	    config_watch_age_ms(&router->config_watch, now) > router_max_staleness_ms(router))
 		return;
 	for (uint32_t s = 0; s < servers->server_count; s++)
 		first += router->servers[s].watch_token && !router->servers[s].next_cache_event;
 	for (uint32_t s = 0; s < servers->server_count; s++) {
 		const struct router_server_state *server = &router->servers[s];
 
-		if (!servers->servers[s].is_configured || servers->servers[s].draining || server->watch_token || now - server->watched_at_ms < ROUTER_CACHE_WATCH_INTERVAL_MS ||
+		if (!servers->servers[s].is_configured || servers->servers[s].draining ||
+		    server->watch_token || now - server->watched_at_ms < ROUTER_CACHE_WATCH_INTERVAL_MS ||
 		    now < server->unavailable_until_ms || (!server->next_cache_event && first >= most))
 			continue;
 		first += !server->next_cache_event;
@@ -226,7 +267,12 @@
 
 static void block_added(struct router *router, uint32_t server, uint64_t key, uint64_t namespace_key)
 {
-	struct block_replica copy = { server, 0, router->server_table->servers[server].service_index, router->servers[server].weights, 0, namespace_key };
+	struct block_replica copy = { server,
+				      0,
+				      router->server_table->servers[server].service_index,
+				      router->servers[server].weights,
+				      0,
+				      namespace_key };
 
 	router->stats.events++;
 	if (router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS)
@@ -239,13 +285,16 @@
 	prefix_index_remove(&router->prefix_index, key, server);
 }
 
-/* Of one server: what it keeps now, and no longer. Events that were missed make all that is known of it doubtful. */
+/* Of one server: what it keeps now, and no longer. Events that were missed make all that is known of it
+ * doubtful. */
 void router_on_cache_update(struct router *router, const struct Nl__CacheUpdate *update, int64_t now)
 {
 	int server_index = names_find(&router->server_names, update->server);
 	struct router_server_state *server;
 
-	if (server_index < 0 || !router->server_table || (uint32_t)server_index >= router->server_table->server_count || !router->server_table->servers[server_index].is_configured)
+	if (server_index < 0 || !router->server_table ||
+	    (uint32_t)server_index >= router->server_table->server_count ||
+	    !router->server_table->servers[server_index].is_configured)
 		return;
 	server = &router->servers[server_index];
 	server->cache_update_at_ms = now;
@@ -254,28 +303,37 @@
 	server->cache_epoch = update->epoch;
 	if (!update->n_present || update->next_offset > server->next_cache_event)
 		server->next_cache_event = update->next_offset;
-	for (size_t i = 0; i < update->n_present && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
-		struct block_replica replica = { (uint32_t)server_index, 0, router->server_table->servers[server_index].service_index, server->weights, 0, 0 };
+	for (size_t i = 0;
+	     i < update->n_present && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
+		struct block_replica replica = {
+			(uint32_t)server_index, 0, router->server_table->servers[server_index].service_index,
+			server->weights,        0, 0
+		};
 
 		prefix_index_put(&router->prefix_index, update->present[i], &replica);
 	}
 	for (size_t i = 0; i < update->n_events; i++) {
-		uint64_t key = router_block_key(core_hash_string(0, update->events[i]->cache_namespace), update->events[i]->block_hash);
+		uint64_t key = router_block_key(core_hash_string(0, update->events[i]->cache_namespace),
+						update->events[i]->block_hash);
 
 		if (update->events[i]->evicted)
 			block_removed(router, (uint32_t)server_index, key);
 		else
-			block_added(router, (uint32_t)server_index, key, router_namespace_key_from_text(update->events[i]->cache_namespace));
+			block_added(router, (uint32_t)server_index, key,
+				    router_namespace_key_from_text(update->events[i]->cache_namespace));
 	}
 	for (size_t i = 0; i < update->n_added; i++)
-		block_added(router, (uint32_t)server_index, update->added[i], i < update->n_added_namespace_keys ? update->added_namespace_keys[i] : 0);
+		block_added(router, (uint32_t)server_index, update->added[i],
+			    i < update->n_added_namespace_keys ? update->added_namespace_keys[i] : 0);
 	for (size_t i = 0; i < update->n_removed; i++)
 		block_removed(router, (uint32_t)server_index, update->removed[i]);
 }
 
-void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update, int status, int64_t now)
+void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
+			     int status, int64_t now)
 {
-	for (uint32_t server_index = 0; router->server_table && server_index < router->server_table->server_count; server_index++) {
+	for (uint32_t server_index = 0;
+	     router->server_table && server_index < router->server_table->server_count; server_index++) {
 		struct router_server_state *server = &router->servers[server_index];
 
 		if (server->watch_token != token)
@@ -283,12 +341,14 @@
 		server->watch_token = 0;
 		server->watched_at_ms = now;
 		if (status != 200 || !update) {
-			server->watched_at_ms = now + ROUTER_REPORT_POLL_INTERVAL_MS; /* too many watch it, or it is gone */
+			server->watched_at_ms =
+			    now + ROUTER_REPORT_POLL_INTERVAL_MS; /* too many watch it, or it is gone */
 			return;
 		}
 		if (server->watch_is_full)
 			learn_full_watch_size(router, update);
-		server->cache_listed = server->watch_is_full || (server->cache_listed && !update->events_lost);
+		server->cache_listed =
+		    server->watch_is_full || (server->cache_listed && !update->events_lost);
 		router_feed_add(router, server_index, update);
 		router_on_cache_update(router, update, now);
 		if (update->events_lost && !server->watch_is_full)
@@ -297,8 +357,11 @@
 	}
 }
 
-/* Words between routers are rarer the more of them there are. Example: router_interval(c, 50) is 50 for up to 16 routers */
+/* Words between routers are rarer the more of them there are. Example: router_interval(c, 50) is 50 for up to
+ * 16 routers */
 int router_scaled_interval_ms(const struct router *router, int ms)
 {
-	return router->config_watch.router_count <= 16 ? ms : router->config_watch.router_count >= 64 ? 4 * ms : ms * (int)router->config_watch.router_count / 16;
+	return router->config_watch.router_count <= 16   ? ms
+	       : router->config_watch.router_count >= 64 ? 4 * ms
+							 : ms * (int)router->config_watch.router_count / 16;
 }
--- a/lib/data/router_decision.c
+++ b/lib/data/router_decision.c
@@ -1,6 +1,8 @@
 #include "router_decision.h"
 
-const int decision_bucket_ms[DECISION_BUCKETS] = { 5, 10, 25, 50, 100, 200, 400, 700, 1000, 2000, 4000, 8000 };
+const int decision_bucket_ms[DECISION_BUCKETS] = {
+	5, 10, 25, 50, 100, 200, 400, 700, 1000, 2000, 4000, 8000
+};
 
 void decision_observe(struct decision_histogram *decision_histogram, int64_t ms)
 {
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -1,13 +1,13 @@
-/* router_load: what all routers have under way at each server. A router alone sees only its own sends, so several would
- * queue behind each other at one server while others idle. Its word goes to the head of its zone, sums go between heads,
- * and the sum of all comes back: three hops, some 50 ms old, and a cost that does not grow with the square of routers.
- * Soft state: a lost word is mended by the next whole one. */
+/* router_load: what all routers have under way at each server. A router alone sees only its own sends, so
+ * several would queue behind each other at one server while others idle. Its word goes to the head of its
+ * zone, sums go between heads, and the sum of all comes back: three hops, some 50 ms old, and a cost that
+ * does not grow with the square of routers. Soft state: a lost word is mended by the next whole one. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
@@ -32,13 +32,14 @@
 	return (struct load_cell){
 		all->prefill_tokens > mine->prefill_tokens ? all->prefill_tokens - mine->prefill_tokens : 0,
 		all->running > mine->running ? all->running - mine->running : 0,
-		all->resident_tokens > mine->resident_tokens ? all->resident_tokens - mine->resident_tokens : 0,
+		all->resident_tokens > mine->resident_tokens ? all->resident_tokens - mine->resident_tokens
+							     : 0,
 	};
 }
 
 /* Say what has changed since the last word, or all that is not nothing; nothing is said when nothing has. */
-static void say(struct router *c, const uint64_t *to, int n, int of, const struct load_cell *v, struct load_cell **told, int whole,
-		struct command_list *out)
+static void say(struct router *c, const uint64_t *to, int n, int of, const struct load_cell *v,
+		struct load_cell **told, int whole, struct command_list *out)
 {
 	uint32_t servers = c->server_table->server_count;
 	struct Nl__Load *load;
@@ -74,15 +75,18 @@
 	return apr_pcalloc(out->pool, (router->server_table->server_count + 1) * sizeof(struct load_cell));
 }
 
-/* How long after its last word a router says what has changed: soon where a send left or began, so that the head of its zone, which
- * others ask, knows; else as rarely as words are said that all hear. Heads are few, and tell each other soon. */
+/* How long after its last word a router says what has changed: soon where a send left or began, so that the
+ * head of its zone, which others ask, knows; else as rarely as words are said that all hear. Heads are few,
+ * and tell each other soon. */
 static int load_interval_ms(const struct router *router)
 {
 	int rarely = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
 
 	if (!router->config_watch.upstream_count)
 		return ROUTER_LOAD_INTERVAL_MS;
-	return router->load_changed && rarely > ROUTER_LOAD_CHANGED_INTERVAL_MS ? ROUTER_LOAD_CHANGED_INTERVAL_MS : rarely;
+	return router->load_changed && rarely > ROUTER_LOAD_CHANGED_INTERVAL_MS
+		   ? ROUTER_LOAD_CHANGED_INTERVAL_MS
+		   : rarely;
 }
 
 void router_load_tick(struct router *router, int64_t now, struct command_list *out)
@@ -95,7 +99,8 @@
 		return;
 	router->load_sent_at_ms = now;
 	router->load_changed = 0;
-	full = now - router->full_load_sent_at_ms >= (router->config_watch.router_count > 16 ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
+	full = now - router->full_load_sent_at_ms >=
+	       (router->config_watch.router_count > 16 ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
 	if (full)
 		router->full_load_sent_at_ms = now;
 	for (ptrdiff_t i = arrlen(router->load_sources) - 1; i >= 0; i--)
@@ -105,18 +110,25 @@
 		}
 	own = zero_cells(router, out);
 	for (uint32_t s = 0; s < router->server_table->server_count; s++)
-		own[s] = (struct load_cell){ router->servers[s].prefill_tokens, (uint32_t)router->servers[s].own_running, (uint32_t)router->servers[s].resident_tokens };
-	if (router->config_watch.upstream_count) { /* not the head: what others have is what the head says of all, less what it knows to be ours */
-		say(router, router->config_watch.upstream, 1, LOAD_SCOPE_ROUTER, own, &router->load_sent_to_head, full, out);
+		own[s] = (struct load_cell){ router->servers[s].prefill_tokens,
+					     (uint32_t)router->servers[s].own_running,
+					     (uint32_t)router->servers[s].resident_tokens };
+	if (router->config_watch.upstream_count) { /* not the head: what others have is what the head says of
+						      all, less what it knows to be ours */
+		say(router, router->config_watch.upstream, 1, LOAD_SCOPE_ROUTER, own,
+		    &router->load_sent_to_head, full, out);
 		return;
 	}
 	zone = zero_cells(router, out);
 	all = zero_cells(router, out);
 	resize_cells(&router->others_load, router->server_table->server_count);
 	for (ptrdiff_t i = 0; i < arrlen(router->load_sources); i++)
-		for (ptrdiff_t s = 0; s < arrlen(router->load_sources[i].cells) && s < (ptrdiff_t)router->server_table->server_count; s++)
+		for (ptrdiff_t s = 0; s < arrlen(router->load_sources[i].cells) &&
+				      s < (ptrdiff_t)router->server_table->server_count;
+		     s++)
 			if (router->load_sources[i].scope != LOAD_SCOPE_FLEET)
-				add(router->load_sources[i].scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s], &router->load_sources[i].cells[s]);
+				add(router->load_sources[i].scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s],
+				    &router->load_sources[i].cells[s]);
 	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
 		router->others_load[s] = zone[s];
 		add(&router->others_load[s], &all[s]);
@@ -125,8 +137,10 @@
 	}
 	router->others_load_at_ms = now;
 	if (router->config_watch.zone_head_count)
-		say(router, router->config_watch.zone_heads, router->config_watch.zone_head_count, LOAD_SCOPE_ZONE, zone, &router->load_sent_to_heads, full, out);
-	if (!full && now - router->zone_load_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
+		say(router, router->config_watch.zone_heads, router->config_watch.zone_head_count,
+		    LOAD_SCOPE_ZONE, zone, &router->load_sent_to_heads, full, out);
+	if (!full &&
+	    now - router->zone_load_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
 		return;
 	router->zone_load_sent_at_ms = now;
 	down = apr_palloc(out->pool, ((size_t)arrlen(router->load_sources) + 1) * sizeof *down);
@@ -137,7 +151,8 @@
 		say(router, down, n, LOAD_SCOPE_FLEET, all, &router->load_sent_to_zone, full, out);
 }
 
-void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load, int64_t now)
+void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load,
+		    int64_t now)
 {
 	struct load_source *load_from = NULL, zero = { id, (int)load->origin, now, addr, NULL };
 
@@ -162,30 +177,38 @@
 		int server_index = names_find(&router->server_names, load->rows[i]->server);
 
 		if (server_index >= 0 && server_index < arrlen(load_from->cells))
-			load_from->cells[server_index] = (struct load_cell){ load->rows[i]->prefill_tokens, load->rows[i]->running_requests, load->rows[i]->memory_tokens };
+			load_from->cells[server_index] = (struct load_cell){ load->rows[i]->prefill_tokens,
+									     load->rows[i]->running_requests,
+									     load->rows[i]->memory_tokens };
 	}
 	if (load->origin != LOAD_SCOPE_FLEET)
 		return;
 	resize_cells(&router->others_load, router->server_table->server_count);
 	resize_cells(&router->load_sent_to_head, router->server_table->server_count);
-	for (ptrdiff_t server_index = 0; server_index < arrlen(load_from->cells) && server_index < arrlen(router->others_load); server_index++)
-		router->others_load[server_index] = others_share(&load_from->cells[server_index], &router->load_sent_to_head[server_index]);
+	for (ptrdiff_t server_index = 0;
+	     server_index < arrlen(load_from->cells) && server_index < arrlen(router->others_load);
+	     server_index++)
+		router->others_load[server_index] =
+		    others_share(&load_from->cells[server_index], &router->load_sent_to_head[server_index]);
 	router->others_load_at_ms = now;
 }
 
 int router_fleet_load(const struct router *router, uint32_t server, struct load_cell *all)
 {
-	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_SHARED_LOAD) || server >= (uint32_t)arrlen(router->others_load) ||
-	    server >= (uint32_t)arrlen(router->servers))
+	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_SHARED_LOAD) ||
+	    server >= (uint32_t)arrlen(router->others_load) || server >= (uint32_t)arrlen(router->servers))
 		return 0;
-	*all = (struct load_cell){ router->servers[server].prefill_tokens, (uint32_t)router->servers[server].own_running, (uint32_t)router->servers[server].resident_tokens };
+	*all = (struct load_cell){ router->servers[server].prefill_tokens,
+				   (uint32_t)router->servers[server].own_running,
+				   (uint32_t)router->servers[server].resident_tokens };
 	add(all, &router->others_load[server]);
 	return 1;
 }
 
 void router_load_learn(struct router *router, uint32_t server, const struct load_cell *all)
 {
-	if (server >= (uint32_t)arrlen(router->others_load) || server >= (uint32_t)arrlen(router->load_sent_to_head))
+	if (server >= (uint32_t)arrlen(router->others_load) ||
+	    server >= (uint32_t)arrlen(router->load_sent_to_head))
 		return;
 	router->others_load[server] = others_share(all, &router->load_sent_to_head[server]);
 }
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -1,12 +1,13 @@
-/* router_outcome: how requests end. Every request that is taken ends in exactly one outcome, through router_request_end, or
- * through router_decline when it was never queued. Nothing else answers a client for good or takes a request out of the
- * router's tables. At every step: taken == the sum of outcomes + those under way (router_balanced). */
+/* router_outcome: how requests end. Every request that is taken ends in exactly one outcome, through
+ * router_request_end, or through router_decline when it was never queued. Nothing else answers a client for
+ * good or takes a request out of the router's tables. At every step: taken == the sum of outcomes + those
+ * under way (router_balanced). */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum {
 	STATUS_TIMED_OUT = 408,
@@ -42,11 +43,13 @@
 			router->servers[request->server_index].own_running--;
 			router->servers[request->server_index].prefill_tokens -= request->prefill_tokens;
 			if (request->is_forwarded && request->state == REQUEST_RUNNING)
-				router->servers[request->server_index].resident_tokens -= request->uncached_tokens;
+				router->servers[request->server_index].resident_tokens -=
+				    request->uncached_tokens;
 		}
 	}
 	if (request->retry_reserved)
-		router->retry_budget[request->service_index] += ROUTER_RETRY_COST_MILLI; /* never sent again */
+		router->retry_budget[request->service_index] +=
+		    ROUTER_RETRY_COST_MILLI; /* never sent again */
 	(void)hmdel(router->requests_by_token, request->token);
 	if (request->claim_token)
 		(void)hmdel(router->requests_by_token, request->claim_token);
@@ -74,12 +77,16 @@
 }
 
 /* A server may have begun on it, or its client has a part of an answer: no promise holds any more. */
-static int may_have_run(const struct client_request *request) { return request->state == REQUEST_RUNNING || request->has_begun || request->may_have_run; }
+static int may_have_run(const struct client_request *request)
+{
+	return request->state == REQUEST_RUNNING || request->has_begun || request->may_have_run;
+}
 
 /* Statuses that promise that the request never ran and never will. */
 static int is_promise(int status)
 {
-	return status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT || status == STATUS_MISDIRECTED;
+	return status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT ||
+	       status == STATUS_MISDIRECTED;
 }
 
 static void end_stream(uint64_t token, const char *body, int complete, struct command_list *out)
@@ -95,19 +102,25 @@
 /* Refused or rejected: nothing of it has run. */
 static void send_refusal(uint64_t token, const struct request_ending *ending, struct command_list *out)
 {
-	const char *outcome = ending->status == STATUS_CONFLICT ? "claimed" : "refused"; /* the asking that holds the id may be running */
+	const char *outcome = ending->status == STATUS_CONFLICT
+				  ? "claimed"
+				  : "refused"; /* the asking that holds the id may be running */
 
-	command_answer(out, token, ending->status, ending->outcome == REQUEST_REFUSED ? ending->retry_after_ms : 0, router_error_body(out->pool, ending->reason, outcome));
+	command_answer(out, token, ending->status,
+		       ending->outcome == REQUEST_REFUSED ? ending->retry_after_ms : 0,
+		       router_error_body(out->pool, ending->reason, outcome));
 }
 
-static void send_broken_off(const struct client_request *request, const struct request_ending *ending, struct command_list *out)
+static void send_broken_off(const struct client_request *request, const struct request_ending *ending,
+			    struct command_list *out)
 {
 	const char *body = router_error_body(out->pool, ending->reason, "unknown");
 
 	if (request->has_begun)
 		end_stream(request->token, body, 0, out);
 	else
-		command_answer(out, request->token, is_promise(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0, body);
+		command_answer(out, request->token,
+			       is_promise(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0, body);
 }
 
 static void cancel_call(const struct client_request *request, struct command_list *out)
@@ -116,14 +129,16 @@
 		command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
 }
 
-void router_request_end(struct router *router, struct client_request *request, const struct request_ending *ending, int64_t now, struct command_list *out)
+void router_request_end(struct router *router, struct client_request *request,
+			const struct request_ending *ending, int64_t now, struct command_list *out)
 {
 	enum request_outcome outcome = ending->outcome;
 
 	if ((outcome == REQUEST_REFUSED || outcome == REQUEST_REJECTED) && may_have_run(request))
 		outcome = REQUEST_BROKEN_OFF;
 	/* the id may be used again, unless it is another asking's or may have run */
-	if (request->claim_token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED && !may_have_run(request))
+	if (request->claim_token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED &&
+	    !may_have_run(request))
 		router_claim_release(router, request, now, out);
 	switch (outcome) {
 	case REQUEST_ANSWERED: /* the text of a forwarded one has gone by the door */
@@ -133,19 +148,23 @@
 		router_usage_of(router, request)->value.chunks += request->next_chunk;
 		break;
 	case REQUEST_REFUSED:
-	case REQUEST_REJECTED: send_refusal(request->token, ending, out); break;
+	case REQUEST_REJECTED:
+		send_refusal(request->token, ending, out);
+		break;
 	case REQUEST_BROKEN_OFF:
 		cancel_call(request, out);
 		send_broken_off(request, ending, out);
 		router_usage_of(router, request)->value.errors++;
 		break;
-	default: cancel_call(request, out); /* its client has gone: nobody is told */
+	default:
+		cancel_call(request, out); /* its client has gone: nobody is told */
 	}
 	router->stats.outcomes[outcome]++;
 	request_drop(router, request);
 }
 
-void router_decline(struct router *router, uint64_t token, const struct request_ending *ending, struct command_list *out)
+void router_decline(struct router *router, uint64_t token, const struct request_ending *ending,
+		    struct command_list *out)
 {
 	router->stats.outcomes[ending->outcome]++;
 	send_refusal(token, ending, out);
@@ -153,26 +172,33 @@
 
 /* ---- endings by name ----------------------------------------------------------------------------------- */
 
-void router_break_off(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
+void router_break_off(struct router *router, struct client_request *request, int status, const char *reason,
+		      int64_t now, struct command_list *out)
 {
-	router_request_end(router, request, &(struct request_ending){ REQUEST_BROKEN_OFF, status, reason, 0 }, now, out);
+	router_request_end(router, request, &(struct request_ending){ REQUEST_BROKEN_OFF, status, reason, 0 },
+			   now, out);
 }
 
-void router_refuse(struct router *router, struct client_request *request, int status, const char *reason, double retry_after_ms, int64_t now, struct command_list *out)
+void router_refuse(struct router *router, struct client_request *request, int status, const char *reason,
+		   double retry_after_ms, int64_t now, struct command_list *out)
 {
-	router_request_end(
-	    router, request,
-	    &(struct request_ending){ REQUEST_REFUSED, status, reason,
-				      retry_after_ms == ROUTER_RETRY_FAST_MS ? router_retry_fast_ms(router, ROUTER_RETRY_FAST_MS) : router_retry_after_ms(router, retry_after_ms) },
-	    now, out);
+	router_request_end(router, request,
+			   &(struct request_ending){ REQUEST_REFUSED, status, reason,
+						     retry_after_ms == ROUTER_RETRY_FAST_MS
+							 ? router_retry_fast_ms(router, ROUTER_RETRY_FAST_MS)
+							 : router_retry_after_ms(router, retry_after_ms) },
+			   now, out);
 }
 
-void router_reject(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
+void router_reject(struct router *router, struct client_request *request, int status, const char *reason,
+		   int64_t now, struct command_list *out)
 {
-	router_request_end(router, request, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, now, out);
+	router_request_end(router, request, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 },
+			   now, out);
 }
 
-void router_end_early(struct router *router, struct client_request *request, int status, const char *reason, int64_t now, struct command_list *out)
+void router_end_early(struct router *router, struct client_request *request, int status, const char *reason,
+		      int64_t now, struct command_list *out)
 {
 	if (may_have_run(request))
 		router_break_off(router, request, status, reason, now, out);
--- a/lib/data/router_assign.c
+++ b/lib/data/router_placement_claimed.c
@@ -1,19 +1,21 @@
-/* router_assign: which server a request of the product's own interface goes to, what it reuses there, and what it fetches from
- * where. router_placement has the same for forwarded requests. */
+/* router_assign: which server a request of the product's own interface goes to, what it reuses there, and
+ * what it fetches from where. router_placement has the same for forwarded requests. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 int router_server_is_serving(const struct router *router, uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = &router->server_table->servers[server_index];
 	const struct router_server_state *server = &router->servers[server_index];
 
-	if (!config->is_configured || config->draining || (!server->is_known && !(config->is_store && router->bounds.discover_instances)) || server->is_loading || now < server->unavailable_until_ms)
+	if (!config->is_configured || config->draining ||
+	    (!server->is_known && !(config->is_store && router->bounds.discover_instances)) ||
+	    server->is_loading || now < server->unavailable_until_ms)
 		return 0;
 	if (!router->bounds.discover_instances)
 		return now - server->reported_at_ms < ROUTER_REPORT_VALID_MS;
@@ -22,32 +24,41 @@
 	return now < router_weights_last_send(router, config->service_index, server->weights, now);
 }
 
-const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request, uint64_t hash, uint32_t server,
-				      uint32_t weights)
+const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request,
+						  uint64_t hash, uint32_t server, uint32_t weights)
 {
 	const struct route_table *routes = router->route_table;
 	struct block_replica *replica = prefix_index_find(&router->prefix_index, hash);
 
 	for (ptrdiff_t i = 0; i < arrlen(replica); i++) {
-		if (replica[i].server_index != server || replica[i].weights_hash != weights || replica[i].tenant_index >= routes->tenant_count)
+		if (replica[i].server_index != server || replica[i].weights_hash != weights ||
+		    replica[i].tenant_index >= routes->tenant_count)
 			continue;
 		if (replica[i].tenant_index != request->tenant_index &&
-		    (routes->tenants[replica[i].tenant_index].isolated || routes->tenants[request->tenant_index].isolated || !routes->tenants[replica[i].tenant_index].is_configured))
+		    (routes->tenants[replica[i].tenant_index].isolated ||
+		     routes->tenants[request->tenant_index].isolated ||
+		     !routes->tenants[replica[i].tenant_index].is_configured))
 			continue;
-		if (purge_view_allows(&router->relay.view, router->service_names.names[request->service_index], router->weights_names.names[weights], router->tenant_names.names[replica[i].tenant_index],
-				router->server_names.names[server], replica[i].stamp_tick) &&
-		    router_retains(router, request->service_index, replica[i].tenant_index, hash, replica[i].stamp_tick))
+		if (purge_view_allows(&router->relay.view,
+				      router->service_names.names[request->service_index],
+				      router->weights_names.names[weights],
+				      router->tenant_names.names[replica[i].tenant_index],
+				      router->server_names.names[server], replica[i].stamp_tick) &&
+		    router_retains(router, request->service_index, replica[i].tenant_index, hash,
+				   replica[i].stamp_tick))
 			return &replica[i];
 	}
 	return NULL;
 }
 
 /* How many leading parts a server keeps in a form this exchange may use. */
-static int prefix(struct router *router, const struct client_request *request, uint32_t server, uint32_t weights)
+static int prefix(struct router *router, const struct client_request *request, uint32_t server,
+		  uint32_t weights)
 {
 	int n = 0;
 
-	while (n < request->block_count && router_usable_replica(router, request, request->block_hash[n], server, weights))
+	while (n < request->block_count &&
+	       router_usable_replica(router, request, request->block_hash[n], server, weights))
 		n++;
 	return n;
 }
@@ -62,9 +73,15 @@
 }
 
 /* The server that has just given a request back is passed over for a moment: another one may have it. */
-int router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now) { return server_index == request->avoided_server && now < request->avoided_until_ms; }
+int router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now)
+{
+	return server_index == request->avoided_server && now < request->avoided_until_ms;
+}
 
-static int running_count(const struct router_server_state *server) { return server->others_running + server->own_running; }
+static int running_count(const struct router_server_state *server)
+{
+	return server->others_running + server->own_running;
+}
 
 /* How much slower than the table says the link between two servers was seen to be; forgotten by and by. */
 double router_link_slowness(struct router *router, uint32_t source, uint32_t target, int64_t now)
@@ -72,21 +89,30 @@
 	ptrdiff_t i = hmgeti(router->link_observations, (uint64_t)source << 32 | target);
 	double slow = i < 0 ? 1 : router->link_observations[i].value.slowdown;
 
-	for (int64_t age_ms = i < 0 ? 0 : now - router->link_observations[i].value.observed_at_ms; age_ms >= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS && slow > 1; age_ms -= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS)
+	for (int64_t age_ms = i < 0 ? 0 : now - router->link_observations[i].value.observed_at_ms;
+	     age_ms >= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS && slow > 1;
+	     age_ms -= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS)
 		slow /= 2;
 	return slow < 1 ? 1 : slow;
 }
 
 /* An answer says what its fetch took and brought. One that brought nothing was waited for in vain. */
-void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms, int fetched_blocks, int64_t now)
+void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms,
+			 int fetched_blocks, int64_t now)
 {
-	double slowdown = fetched_blocks && took_ms > 0 ? (double)took_ms / (request->expected_fetch_ms ? request->expected_fetch_ms : 1) : ROUTER_LINK_SLOWDOWN_MAX;
+	double slowdown =
+	    fetched_blocks && took_ms > 0
+		? (double)took_ms / (request->expected_fetch_ms ? request->expected_fetch_ms : 1)
+		: ROUTER_LINK_SLOWDOWN_MAX;
 
-	if (took_ms <= 20 && fetched_blocks) /* too short to tell a link from a process that was not scheduled */
+	if (took_ms <= 20 &&
+	    fetched_blocks) /* too short to tell a link from a process that was not scheduled */
 		slowdown = 1;
 	if (slowdown > ROUTER_LINK_SLOWDOWN_MAX)
 		slowdown = ROUTER_LINK_SLOWDOWN_MAX;
-	hmput(router->link_observations, (uint64_t)request->fetch_source << 32 | (uint32_t)request->server_index, ((typeof(router->link_observations->value)){ slowdown, now }));
+	hmput(router->link_observations,
+	      (uint64_t)request->fetch_source << 32 | (uint32_t)request->server_index,
+	      ((typeof(router->link_observations->value)){ slowdown, now }));
 }
 
 /* Prefill saved against load and lines; a fetch where the link beats the prefill. */
@@ -103,37 +129,58 @@
 		struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
 		double prefill;
 
-		if (router->server_table->servers[server_index].is_store || router->server_table->servers[server_index].service_index != request->service_index ||
-		    router_avoids_server(request, server_index, now) || !router_server_is_serving(router, server_index, now) || running_count(server) >= server->slots)
+		if (router->server_table->servers[server_index].is_store ||
+		    router->server_table->servers[server_index].service_index != request->service_index ||
+		    router_avoids_server(request, server_index, now) ||
+		    !router_server_is_serving(router, server_index, now) ||
+		    running_count(server) >= server->slots)
 			continue;
 		if (current)
 			plan.cached_blocks = prefix(router, request, server_index, server->weights);
-		prefill = router->naive_placement ? 0 : (double)(all - router_tokens_of_blocks(request, plan.cached_blocks)) / service->prefill_tokens_per_ms;
+		prefill = router->naive_placement
+			      ? 0
+			      : (double)(all - router_tokens_of_blocks(request, plan.cached_blocks)) /
+				    service->prefill_tokens_per_ms;
 		plan.cost_ms = prefill + server->average_run_ms * running_count(server) / server->slots;
-		for (uint32_t source = 0; current && !router->naive_placement && plan.cached_blocks < request->block_count && source < router->server_table->server_count;
+		for (uint32_t source = 0;
+		     current && !router->naive_placement && plan.cached_blocks < request->block_count &&
+		     source < router->server_table->server_count;
 		     source++) { /* a peer server or the store */
-			double speed = router->server_table->servers[source].is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms, save, cost, fetch;
+			double speed = router->server_table->servers[source].is_store
+					   ? service->store_bytes_per_ms
+					   : service->link_bytes_per_ms,
+			       save, cost, fetch;
 			int n;
 
-			if (source == server_index || router->server_table->servers[source].service_index != request->service_index || !speed ||
-			    (!router->server_table->servers[source].is_store && router->servers[source].weights != server->weights) || !router_server_is_serving(router, source, now))
+			if (source == server_index ||
+			    router->server_table->servers[source].service_index != request->service_index ||
+			    !speed ||
+			    (!router->server_table->servers[source].is_store &&
+			     router->servers[source].weights != server->weights) ||
+			    !router_server_is_serving(router, source, now))
 				continue;
 			n = prefix(router, request, source, server->weights);
 			if (n <= plan.cached_blocks)
 				continue;
-			save = (double)(router_tokens_of_blocks(request, n) - router_tokens_of_blocks(request, plan.cached_blocks));
+			save = (double)(router_tokens_of_blocks(request, n) -
+					router_tokens_of_blocks(request, plan.cached_blocks));
 			fetch = save * service->kv_bytes_per_token / speed;
 			cost = fetch * router_link_slowness(router, source, server_index, now);
 			save /= service->prefill_tokens_per_ms;
-			if (cost < save && prefill - save + cost < plan.cost_ms - server->average_run_ms * running_count(server) / server->slots) {
-				plan.cost_ms = prefill - save + cost + server->average_run_ms * running_count(server) / server->slots;
+			if (cost < save && prefill - save + cost < plan.cost_ms - server->average_run_ms *
+										      running_count(server) /
+										      server->slots) {
+				plan.cost_ms = prefill - save + cost +
+					       server->average_run_ms * running_count(server) / server->slots;
 				plan.fetch_source = (int)source;
 				plan.fetch_end = n;
 				plan.fetch_ms = fetch;
 			}
 		}
 		if (best.server_index < 0 || plan.cost_ms < best.cost_ms ||
-		    (plan.cost_ms == best.cost_ms && core_rendezvous_weight(request->seq ^ router->id, server_index) > core_rendezvous_weight(request->seq ^ router->id, (uint64_t)best.server_index)))
+		    (plan.cost_ms == best.cost_ms &&
+		     core_rendezvous_weight(request->seq ^ router->id, server_index) >
+			 core_rendezvous_weight(request->seq ^ router->id, (uint64_t)best.server_index)))
 			best = plan;
 	}
 	return best;
--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -5,10 +5,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 /* Tokens of claims and calls; the shell numbers callers from 1 up, so ours keep the highest bit. */
-uint64_t router_token_new(struct router *router) { return ++router->last_token | 1ull << 63; }
+uint64_t router_token_new(struct router *router)
+{
+	return ++router->last_token | 1ull << 63;
+}
 
 struct line *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant)
 {
@@ -18,7 +21,8 @@
 
 	if (i >= 0)
 		return &router->queues[router->queue_by_owner[i].value];
-	queue.name = apr_pstrcat(router->pool, router->route_names.names[route_index], "/", router->tenant_names.names[tenant], NULL);
+	queue.name = apr_pstrcat(router->pool, router->route_names.names[route_index], "/",
+				 router->tenant_names.names[tenant], NULL);
 	hmput(router->queue_by_owner, (uint64_t)route_index << 32 | tenant, (uint32_t)arrlen(router->queues));
 	arrput(router->queues, queue);
 	return &arrlast(router->queues);
@@ -42,8 +46,8 @@
 }
 
 /* Ask the part's owner, as far as it is known; whom. */
-static uint64_t claim_msg(struct router *router, uint32_t service, uint32_t tenant, const char *id, uint64_t seq, int release,
-			  uint64_t token, struct command_list *out)
+static uint64_t claim_msg(struct router *router, uint32_t service, uint32_t tenant, const char *id,
+			  uint64_t seq, int release, uint64_t token, struct command_list *out)
 {
 	uint32_t shard = router_shard_of(router, service);
 	uint64_t leader_addr = config_watch_leader_addr(&router->config_watch, shard);
@@ -70,20 +74,26 @@
 		config_watch_miss(&router->config_watch, router_shard_of(router, service));
 }
 
-void router_claim_send(struct router *router, struct client_request *request, int64_t now, struct command_list *out)
+void router_claim_send(struct router *router, struct client_request *request, int64_t now,
+		       struct command_list *out)
 {
 	request->claim_sent_at_ms = now;
-	request->claim_leader_addr = claim_msg(router, request->service_index, request->tenant_index, request->id, request->seq, 0, request->claim_token, out);
+	request->claim_leader_addr = claim_msg(router, request->service_index, request->tenant_index,
+					       request->id, request->seq, 0, request->claim_token, out);
 }
 
 /* The id may be used again: said until the part has heard it. */
-void router_claim_release(struct router *router, const struct client_request *request, int64_t now, struct command_list *out)
+void router_claim_release(struct router *router, const struct client_request *request, int64_t now,
+			  struct command_list *out)
 {
 	struct claim_release router_release = {
-		router_token_new(router), request->seq, 0, request->service_index, request->tenant_index, strdup(request->id), now, now + ROUTER_CLAIM_RELEASE_MAX_MS
+		router_token_new(router), request->seq,        0,   request->service_index,
+		request->tenant_index,    strdup(request->id), now, now + ROUTER_CLAIM_RELEASE_MAX_MS
 	};
 
-	router_release.leader_addr = claim_msg(router, router_release.service, router_release.tenant, router_release.id, router_release.seq, 1, router_release.token, out);
+	router_release.leader_addr =
+	    claim_msg(router, router_release.service, router_release.tenant, router_release.id,
+		      router_release.seq, 1, router_release.token, out);
 	arrput(router->claim_releases, router_release);
 }
 
@@ -103,7 +113,9 @@
 		} else if (now - router_release->sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 			router_release->sent_at_ms = now;
 			router_claim_miss(router, router_release->service, router_release->leader_addr);
-			router_release->leader_addr = claim_msg(router, router_release->service, router_release->tenant, router_release->id, router_release->seq, 1, router_release->token, out);
+			router_release->leader_addr =
+			    claim_msg(router, router_release->service, router_release->tenant,
+				      router_release->id, router_release->seq, 1, router_release->token, out);
 		}
 	}
 }
@@ -119,14 +131,21 @@
 }
 
 /* When to come back for a reason that passes soon. */
-int router_retry_fast_ms(struct router *router, int ms) { return ms + (int)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) % (uint64_t)(ms / 2 + 1)); }
+int router_retry_fast_ms(struct router *router, int ms)
+{
+	return ms + (int)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) %
+			  (uint64_t)(ms / 2 + 1));
+}
 
 /* When to come back: not sooner than makes sense, and not all at once. */
 int router_retry_after_ms(struct router *router, double ms)
 {
-	int64_t least_ms = ms < ROUTER_RETRY_AFTER_MIN_MS ? ROUTER_RETRY_AFTER_MIN_MS : ms > ROUTER_RETRY_AFTER_MAX_MS ? ROUTER_RETRY_AFTER_MAX_MS : (int64_t)ms;
+	int64_t least_ms = ms < ROUTER_RETRY_AFTER_MIN_MS   ? ROUTER_RETRY_AFTER_MIN_MS
+			   : ms > ROUTER_RETRY_AFTER_MAX_MS ? ROUTER_RETRY_AFTER_MAX_MS
+							    : (int64_t)ms;
 
-	return (int)(least_ms + (int64_t)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) % (uint64_t)least_ms));
+	return (int)(least_ms + (int64_t)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) %
+					  (uint64_t)least_ms));
 }
 
 struct json_object *router_read_json(struct router *router, const char *text)
@@ -135,30 +154,36 @@
 	return json_tokener_parse_ex(router->json_tokener, text, -1);
 }
 
-enum { QUEUE_SCAN_LIMIT = 16 }; /* requests of a line that are weighed at a time, where its head has to wait */
+enum {
+	QUEUE_SCAN_LIMIT = 16
+}; /* requests of a line that are weighed at a time, where its head has to wait */
 
-/* How long the exchange with i others before it in its line has yet to wait: what its line's heads usually take, and
- * for the next of them no less than the time for which it has already stood still. */
+/* How long the exchange with i others before it in its line has yet to wait: what its line's heads usually
+ * take, and for the next of them no less than the time for which it has already stood still. */
 double router_expected_wait_ms(const struct line *queue, uint32_t i, int64_t now)
 {
 	double still = (double)(now - queue->head_waiting_since_ms);
 
-	return i * queue->dequeue_interval_ms + (still > queue->dequeue_interval_ms - still ? still : queue->dequeue_interval_ms - still);
+	return i * queue->dequeue_interval_ms +
+	       (still > queue->dequeue_interval_ms - still ? still : queue->dequeue_interval_ms - still);
 }
 
 /* Whether the configuration here is certain to be in force, or may be ridden on. */
 int router_config_in_force(const struct router *router, int64_t now)
 {
-	return router->route_table && config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
+	return router->route_table &&
+	       config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
 }
 
-/* How long the configuration's owner may go unheard while new work is still taken. With servers from the table it is the
- * brief's two seconds. Where a deployment counts nodes as in touch only when the core has been calm for a while, an owner
- * that falls silent just after its last good answer makes the core uncalm for that long: until then what it may have
- * acknowledged meanwhile need not be in force here. No removed key may outlive its bound either: docs/design.md, Freshness. */
+/* How long the configuration's owner may go unheard while new work is still taken. With servers from the
+ * table it is the brief's two seconds. Where a deployment counts nodes as in touch only when the core has
+ * been calm for a while, an owner that falls silent just after its last good answer makes the core uncalm for
+ * that long: until then what it may have acknowledged meanwhile need not be in force here. No removed key may
+ * outlive its bound either: docs/design.md, Freshness. */
 int router_max_staleness_ms(const struct router *router)
 {
-	int key = router->bounds.revoke_ms - ROUTER_STALENESS_MARGIN_MS, calm = router->bounds.contact_ms - ROUTER_CONTACT_MARGIN_MS;
+	int key = router->bounds.revoke_ms - ROUTER_STALENESS_MARGIN_MS,
+	    calm = router->bounds.contact_ms - ROUTER_CONTACT_MARGIN_MS;
 	int drift = router->bounds.config_ms + router->bounds.drift_ms - ROUTER_STALENESS_MARGIN_MS;
 
 	if (!router->bounds.discover_instances)
@@ -176,8 +201,8 @@
 	return priority_class ? priority_class - 1 : routes->routes[queue->route_index].priority;
 }
 
-/* A line that was empty starts where the others of its class are: the time for which it was empty counts neither as a wait
- * nor as turns that it has left to others. */
+/* A line that was empty starts where the others of its class are: the time for which it was empty counts
+ * neither as a wait nor as turns that it has left to others. */
 static void queue_begins(struct router *router, struct line *queue, int64_t now)
 {
 	const struct route_table *routes = router->route_table;
@@ -185,7 +210,9 @@
 
 	queue->head_waiting_since_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
-		if (router->queues[i].length && priority_class_of(routes, &router->queues[i]) == priority_class_of(routes, queue) && router->queues[i].pass < lowest_pass)
+		if (router->queues[i].length &&
+		    priority_class_of(routes, &router->queues[i]) == priority_class_of(routes, queue) &&
+		    router->queues[i].pass < lowest_pass)
 			lowest_pass = router->queues[i].pass;
 	if (lowest_pass != UINT64_MAX && queue->pass < lowest_pass)
 		queue->pass = lowest_pass;
@@ -229,7 +256,8 @@
 	queue->length--;
 }
 
-/* A place is one of those that limits of a tenant and a lane count: held from the moment a request leaves its line. */
+/* A place is one of those that limits of a tenant and a lane count: held from the moment a request leaves its
+ * line. */
 static void quota_acquire(struct router *router, struct client_request *request)
 {
 	router_queue_of(router, request->route_index, request->tenant_index)->running++;
@@ -259,7 +287,8 @@
 }
 
 /* Its lane or its tenant is another one from now on, whether it waits or holds a place. */
-void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index, uint32_t tenant_index, int64_t now)
+void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index,
+		       uint32_t tenant_index, int64_t now)
 {
 	int waits = request->state == REQUEST_WAITING;
 
@@ -284,7 +313,8 @@
 	return i < 0 ? 0 : h[i].value.reserved;
 }
 
-/* What is used and wanted of each limit; where a line lacks places, its owner is asked at once, though not each time. */
+/* What is used and wanted of each limit; where a line lacks places, its owner is asked at once, though not
+ * each time. */
 void router_request_slots(struct router *router, int64_t now, struct command_list *out)
 {
 	struct config_watch *watch = &router->config_watch;
@@ -306,7 +336,8 @@
 
 			if (!k && !router->route_table->tenants[queue->tenant_index].concurrency_limit)
 				continue;
-			entry = config_watch_quota(watch, k ? queue->name : router->tenant_names.names[queue->tenant_index]);
+			entry = config_watch_quota(
+			    watch, k ? queue->name : router->tenant_names.names[queue->tenant_index]);
 
 			entry->used += queue->running;
 			entry->requested += queue->running + queue->length;
@@ -317,21 +348,24 @@
 		config_watch_poll(watch, router->relay.knowledge.horizon, now, out);
 }
 
-/* The first of a line that a server has room for. Behind a head that none has room for this may be one of another service,
- * or, where the head was given back and avoids the server that did, any. NULL: none. */
-static struct client_request *first_ready(struct router *router, const struct line *queue, int64_t now, struct plan *plan)
+/* The first of a line that a server has room for. Behind a head that none has room for this may be one of
+ * another service, or, where the head was given back and avoids the server that did, any. NULL: none. */
+static struct client_request *first_ready(struct router *router, const struct line *queue, int64_t now,
+					  struct plan *plan)
 {
 	uint32_t full[QUEUE_SCAN_LIMIT];
 	int n = 0, scanned = 0, split = router->route_table->routes[queue->route_index].split_count > 0;
 
-	for (struct client_request *request = queue->head; request && scanned < QUEUE_SCAN_LIMIT; request = request->next_in_queue, scanned++) {
+	for (struct client_request *request = queue->head; request && scanned < QUEUE_SCAN_LIMIT;
+	     request = request->next_in_queue, scanned++) {
 		int known = 0;
 
 		for (int k = 0; k < n; k++)
 			known |= full[k] == request->service_index;
 		if (known || router_lookup_waits(router, request, now))
 			continue;
-		*plan = request->is_forwarded ? router_placement_forwarded(router, request, now) : router_placement_claimed(router, request, now);
+		*plan = request->is_forwarded ? router_placement_forwarded(router, request, now)
+					      : router_placement_claimed(router, request, now);
 		if (plan->server_index >= 0)
 			return request;
 		if (now < request->avoided_until_ms)
@@ -349,7 +383,8 @@
 {
 	const struct route_table *routes = router->route_table;
 
-	if (!router_config_in_force(router, now) || !router->server_table || !arrlen(router->requests) || now < router->next_dispatch_at_ms)
+	if (!router_config_in_force(router, now) || !router->server_table || !arrlen(router->requests) ||
+	    now < router->next_dispatch_at_ms)
 		return;
 	for (;;) {
 		struct line *best = NULL;
@@ -366,11 +401,16 @@
 				continue;
 			waits = 1;
 			router_share_of(routes, queue->route_index, queue->tenant_index, &share, &limit);
-			if ((routes->tenants[queue->tenant_index].concurrency_limit && router->tenant_running[queue->tenant_index] >= router_reserved_slots(router, router->tenant_names.names[queue->tenant_index])) ||
-			    (limit != UINT32_MAX && queue->running >= router_reserved_slots(router, queue->name)))
+			if ((routes->tenants[queue->tenant_index].concurrency_limit &&
+			     router->tenant_running[queue->tenant_index] >=
+				 router_reserved_slots(router,
+						       router->tenant_names.names[queue->tenant_index])) ||
+			    (limit != UINT32_MAX &&
+			     queue->running >= router_reserved_slots(router, queue->name)))
 				continue;
-			if (best &&
-			    (priority_class_of(routes, queue) > priority_class_of(routes, best) || (priority_class_of(routes, queue) == priority_class_of(routes, best) && queue->pass >= best->pass)))
+			if (best && (priority_class_of(routes, queue) > priority_class_of(routes, best) ||
+				     (priority_class_of(routes, queue) == priority_class_of(routes, best) &&
+				      queue->pass >= best->pass)))
 				continue;
 			ready = first_ready(router, queue, now, &plan);
 			if (!ready)
@@ -381,11 +421,14 @@
 		}
 		if (!best) {
 			router->next_dispatch_at_ms =
-			    waits ? now + ROUTER_DISPATCH_INTERVAL_MS : 0; /* all that waits was weighed against all servers: not at every event */
+			    waits
+				? now + ROUTER_DISPATCH_INTERVAL_MS
+				: 0; /* all that waits was weighed against all servers: not at every event */
 			return;
 		}
 		if (request == best->head) {
-			best->dequeue_interval_ms += ((double)(now - best->head_waiting_since_ms) - best->dequeue_interval_ms) / 16;
+			best->dequeue_interval_ms +=
+			    ((double)(now - best->head_waiting_since_ms) - best->dequeue_interval_ms) / 16;
 			best->head_waiting_since_ms = now;
 		}
 		router_queue_remove(router, request);
@@ -394,7 +437,8 @@
 		best->pass += 1000000 / (share ? share : 1);
 		request->state = REQUEST_CLAIMING;
 		request->server_index = best_plan.server_index;
-		router->servers[request->server_index].own_running++; /* its place is held until its claim has been answered */
+		router->servers[request->server_index]
+		    .own_running++; /* its place is held until its claim has been answered */
 		if (request->is_forwarded) {
 			request->priority = priority_class_of(routes, best);
 			request->server_index = -1;
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -1,17 +1,19 @@
-/* router_retention: what a clearing of context means at a router: under which names parts are filed, what still names others. */
+/* router_retention: what a clearing of context means at a router: under which names parts are filed, what
+ * still names others. */
 #include "router_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "retention.h"
 
 enum {
 	RETENTION_SCAN_INTERVAL_MS = 1000,
 	RETENTION_SILENT_SERVER_MS = 5000,
 	RETENTION_ROWS_PER_TICK = 2000
-}; /* ms between countings of what servers still name; after which one is not heard; rows of the index looked at in a tick */
+}; /* ms between countings of what servers still name; after which one is not heard; rows of the index looked
+      at in a tick */
 
 void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
@@ -30,7 +32,8 @@
 	arrput(routes->scopes, bk_scope);
 }
 
-/* The narrowest scope of a lane and a tenant that is cleared by itself; a tenant's goes before a lane's. -1: none. */
+/* The narrowest scope of a lane and a tenant that is cleared by itself; a tenant's goes before a lane's. -1:
+ * none. */
 int router_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant)
 {
 	int best = -1, best_weight = 0;
@@ -39,7 +42,9 @@
 		const struct cache_scope *bk_scope = &routes->scopes[i];
 		int weight = (bk_scope->tenant_index >= 0) * 2 + (bk_scope->route_index >= 0);
 
-		if ((bk_scope->route_index < 0 || bk_scope->route_index == (int)route_index) && (bk_scope->tenant_index < 0 || bk_scope->tenant_index == (int)tenant) && weight > best_weight) {
+		if ((bk_scope->route_index < 0 || bk_scope->route_index == (int)route_index) &&
+		    (bk_scope->tenant_index < 0 || bk_scope->tenant_index == (int)tenant) &&
+		    weight > best_weight) {
 			best = (int)i;
 			best_weight = weight;
 		}
@@ -47,7 +52,8 @@
 	return best;
 }
 
-/* The newest clearing that covers a scope's cache namespaces of a slice, or the common ones (-1); 0: none ever did. */
+/* The newest clearing that covers a scope's cache namespaces of a slice, or the common ones (-1); 0: none
+ * ever did. */
 uint64_t router_generation(struct router *router, int scope, uint32_t slice)
 {
 	ptrdiff_t scope_count = arrlen(router->route_table->scopes) + 1;
@@ -56,18 +62,23 @@
 		return 0;
 	if (!arrlen(router->retention_generations)) {
 		arrsetlen(router->retention_generations, scope_count * PURGE_SLICES);
-		memset(router->retention_generations, 0, (size_t)scope_count * PURGE_SLICES * sizeof *router->retention_generations);
+		memset(router->retention_generations, 0,
+		       (size_t)scope_count * PURGE_SLICES * sizeof *router->retention_generations);
 		for (ptrdiff_t i = 0; i < arrlen(router->relay.view.context_purges); i++) {
 			const struct Nl__Purge *purge = router->relay.view.context_purges[i]->purge;
 
 			for (ptrdiff_t k = 0; k < scope_count && purge->slice < PURGE_SLICES; k++) {
-				const struct cache_scope *bk_scope = k ? &router->route_table->scopes[k - 1] : NULL;
-				uint64_t *newest = &router->retention_generations[k * PURGE_SLICES + purge->slice];
+				const struct cache_scope *bk_scope =
+				    k ? &router->route_table->scopes[k - 1] : NULL;
+				uint64_t *newest =
+				    &router->retention_generations[k * PURGE_SLICES + purge->slice];
 
 				if (purge->purge_number > *newest &&
-				    (bk_scope ? (!purge->route[0] || !bk_scope->route_name[0] || !strcmp(purge->route, bk_scope->route_name)) &&
-					     (!purge->tenant[0] || !bk_scope->tenant_name[0] || !strcmp(purge->tenant, bk_scope->tenant_name))
-				       : !purge->route[0] && !purge->tenant[0]))
+				    (bk_scope ? (!purge->route[0] || !bk_scope->route_name[0] ||
+						 !strcmp(purge->route, bk_scope->route_name)) &&
+						    (!purge->tenant[0] || !bk_scope->tenant_name[0] ||
+						     !strcmp(purge->tenant, bk_scope->tenant_name))
+					      : !purge->route[0] && !purge->tenant[0]))
 					*newest = purge->purge_number;
 			}
 		}
@@ -81,7 +92,8 @@
 	int scope = router_scope(router->route_table, request->route_index, request->tenant_index);
 	uint64_t hash = scope < 0 ? 0 : router->route_table->scopes[scope].hash;
 
-	return hash << 32 | (router_generation(router, scope, PURGE_SLICE(router_home_block(request))) & UINT32_MAX);
+	return hash << 32 |
+	       (router_generation(router, scope, PURGE_SLICE(router_home_block(request))) & UINT32_MAX);
 }
 
 uint64_t router_namespace_key_from_text(const char *cache_namespace)
@@ -93,7 +105,8 @@
 
 int router_retains(const struct router *router, uint32_t service, uint32_t maker, uint64_t id, uint64_t stamp)
 {
-	return purge_view_keeps_context(&router->relay.view, router->service_names.names[service], router->tenant_names.names[maker], id, stamp);
+	return purge_view_keeps_context(&router->relay.view, router->service_names.names[service],
+					router->tenant_names.names[maker], id, stamp);
 }
 
 /* With the last slice, usage that names who is cleared goes too. */
@@ -107,23 +120,27 @@
 		router->remainder_scan_position = 0; /* a new look at once */
 		router->remainder_scan_at_ms = now - RETENTION_SCAN_INTERVAL_MS;
 		for (ptrdiff_t server_index = 0; server_index < arrlen(router->servers); server_index++)
-			router->servers[server_index].report_serial = router->servers[server_index].boot_id = 0;
+			router->servers[server_index].report_serial = router->servers[server_index].boot_id =
+			    0;
 	}
 	for (ptrdiff_t i = hmlen(router->usage) - 1; i >= 0 && purge->slice == PURGE_SLICES - 1; i--) {
 		uint64_t key = router->usage[i].key;
 
 		if ((!purge->route[0] || !strcmp(purge->route, router->route_names.names[key >> 32])) &&
-		    (!purge->tenant[0] || !strcmp(purge->tenant, router->tenant_names.names[key & UINT32_MAX])))
+		    (!purge->tenant[0] ||
+		     !strcmp(purge->tenant, router->tenant_names.names[key & UINT32_MAX])))
 			(void)hmdel(router->usage, key);
 	}
 }
 
-static void remainder_add(struct router *router, struct Nl__CacheRemainder **remainders, uint32_t server, uint64_t scope, uint64_t number, uint32_t blocks)
+static void remainder_add(struct router *router, struct Nl__CacheRemainder **remainders, uint32_t server,
+			  uint64_t scope, uint64_t number, uint32_t blocks)
 {
 	struct Nl__CacheRemainder remainder = NL__CACHE_REMAINDER__INIT, *found = *remainders;
 
 	for (ptrdiff_t i = 0; i < arrlen(found); i++)
-		if (found[i].scope == scope && found[i].purge_number == number && found[i].server == router->server_names.names[server]) {
+		if (found[i].scope == scope && found[i].purge_number == number &&
+		    found[i].server == router->server_names.names[server]) {
 			found[i].block_count += blocks;
 			return;
 		}
@@ -135,7 +152,8 @@
 		arrput(*remainders, remainder);
 }
 
-/* A cache_namespace's generation is of one slice; what is older than the oldest slice of its scope now is surely from before. */
+/* A cache_namespace's generation is of one slice; what is older than the oldest slice of its scope now is
+ * surely from before. */
 static int is_purged_generation(struct router *router, uint64_t namespace_key)
 {
 	uint64_t oldest = UINT64_MAX;
@@ -147,23 +165,33 @@
 	if (namespace_key >> 32 && scope < 0)
 		return 1; /* of a row that is no more */
 	for (uint32_t k = 0; k < PURGE_SLICES; k++)
-		oldest = router_generation(router, scope, k) < oldest ? router_generation(router, scope, k) : oldest;
+		oldest = router_generation(router, scope, k) < oldest ? router_generation(router, scope, k)
+								      : oldest;
 	return (namespace_key & UINT32_MAX) < oldest;
 }
 
-/* Servers that have not said since what they keep. Our own interface's say at once what a clearing withdrew there. */
+/* Servers that have not said since what they keep. Our own interface's say at once what a clearing withdrew
+ * there. */
 static void remainders_of_servers(struct router *router, struct Nl__CacheRemainder **remainders, int64_t now)
 {
-	for (uint32_t s = 0; s < router->server_table->server_count; s++) { /* 0 parts: it is not known what it keeps */
+	for (uint32_t s = 0; s < router->server_table->server_count;
+	     s++) { /* 0 parts: it is not known what it keeps */
 		const struct router_server_state *server = &router->servers[s];
 
 		if (router->server_table->servers[s].is_configured &&
-		    (router->bounds.discover_instances ? now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS : server->purged_blocks || server->inventory_at_ms <= router->purged_at_ms))
-			remainder_add(router, remainders, s, RETENTION_ANY, 0, router->bounds.discover_instances || server->inventory_at_ms <= router->purged_at_ms ? 0 : server->purged_blocks);
+		    (router->bounds.discover_instances
+			 ? now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS
+			 : server->purged_blocks || server->inventory_at_ms <= router->purged_at_ms))
+			remainder_add(router, remainders, s, RETENTION_ANY, 0,
+				      router->bounds.discover_instances ||
+					      server->inventory_at_ms <= router->purged_at_ms
+					  ? 0
+					  : server->purged_blocks);
 	}
 }
 
-/* A stretch of the index, from its end on: what a deletion moves meanwhile is looked at twice rather than never. */
+/* A stretch of the index, from its end on: what a deletion moves meanwhile is looked at twice rather than
+ * never. */
 static void remainders_of_index(struct router *router)
 {
 	struct prefix_index_row *row = router->prefix_index.blocks;
@@ -182,40 +210,51 @@
 				old = is_purged_generation(router, namespace_key);
 			last = namespace_key;
 			if (old && index_row->value[k].server_index < router->server_table->server_count)
-				remainder_add(router, &router->remainders, index_row->value[k].server_index, namespace_key >> 32, namespace_key & UINT32_MAX, 1);
+				remainder_add(router, &router->remainders, index_row->value[k].server_index,
+					      namespace_key >> 32, namespace_key & UINT32_MAX, 1);
 		}
 	}
 }
 
-/* What servers still name from before a clearing, for the owner of part 0; how far lines are from free capacity. */
+/* What servers still name from before a clearing, for the owner of part 0; how far lines are from free
+ * capacity. */
 void router_retention_tick(struct router *router, int64_t now)
 {
 	uint32_t waiting = 0;
 
 	if (!router->route_table)
 		return;
-	if (!arrlen(router->relay.view.context_purges) || (router->bounds.discover_instances && router->config_watch.upstream_count)) {
+	if (!arrlen(router->relay.view.context_purges) ||
+	    (router->bounds.discover_instances && router->config_watch.upstream_count)) {
 		router->config_watch.has_index = 0;
 		router->remainder_scan_position = 0;
 		arrsetlen(router->config_watch.cache_remainders, 0);
 	} else if (router->remainder_scan_position > 0) {
 		remainders_of_index(router);
 	}
-	if (router->remainder_scan_position > 0 || now - router->remainder_scan_at_ms < RETENTION_SCAN_INTERVAL_MS)
+	if (router->remainder_scan_position > 0 ||
+	    now - router->remainder_scan_at_ms < RETENTION_SCAN_INTERVAL_MS)
 		return;
 	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
 		waiting += router->queues[i].length;
-	router->config_watch.load_pressure = waiting ? (uint32_t)(1000ull * waiting / (arrlen(router->requests) ? (uint64_t)arrlen(router->requests) : 1)) : 0;
-	if (!arrlen(router->relay.view.context_purges) || (router->bounds.discover_instances && router->config_watch.upstream_count)) {
+	router->config_watch.load_pressure =
+	    waiting ? (uint32_t)(1000ull * waiting /
+				 (arrlen(router->requests) ? (uint64_t)arrlen(router->requests) : 1))
+		    : 0;
+	if (!arrlen(router->relay.view.context_purges) ||
+	    (router->bounds.discover_instances && router->config_watch.upstream_count)) {
 		router->remainder_scan_at_ms = now;
 		return;
 	}
-	remainders_of_servers(router, &router->remainders, now); /* a look is over: it is said, if it began after the last clearing */
+	remainders_of_servers(router, &router->remainders,
+			      now); /* a look is over: it is said, if it began after the last clearing */
 	arrsetlen(router->config_watch.cache_remainders, 0);
 	for (ptrdiff_t i = 0; i < arrlen(router->remainders); i++)
 		arrput(router->config_watch.cache_remainders, router->remainders[i]);
-	router->config_watch.has_index = !router->bounds.discover_instances || router->remainder_scan_at_ms >= router->purged_at_ms;
+	router->config_watch.has_index =
+	    !router->bounds.discover_instances || router->remainder_scan_at_ms >= router->purged_at_ms;
 	arrsetlen(router->remainders, 0);
 	router->remainder_scan_at_ms = now;
-	router->remainder_scan_position = router->bounds.discover_instances ? hmlen(router->prefix_index.blocks) : 0;
+	router->remainder_scan_position =
+	    router->bounds.discover_instances ? hmlen(router->prefix_index.blocks) : 0;
 }
