--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -1,11 +1,12 @@
-/* router_route_table: names at the door, and the table as the data plane reads it: immutable, swapped whole. */
+/* router_route_table: names at the door, and the table as the data plane reads it: immutable, swapped whole.
+ */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 uint32_t names_id(struct row_index *names, const char *name)
 {
@@ -58,19 +59,29 @@
 		for (size_t k = 0; k < row->n_split; k++)
 			names_id(&router->service_names, row->split[k]->service);
 		break;
-	case NL__KIND__TENANT: names_id(&router->tenant_names, row->name); break;
-	case NL__KIND__KEY: names_id(&router->tenant_names, row->tenant); break;
+	case NL__KIND__TENANT:
+		names_id(&router->tenant_names, row->name);
+		break;
+	case NL__KIND__KEY:
+		names_id(&router->tenant_names, row->tenant);
+		break;
 	case NL__KIND__SERVICE:
 		names_id(&router->service_names, row->name);
 		names_id(&router->weights_names, row->target_weights);
 		break;
-	case NL__KIND__MODEL: names_id(&router->weights_names, row->target_weights); break;
-	default: break;
+	case NL__KIND__MODEL:
+		names_id(&router->weights_names, row->target_weights);
+		break;
+	default:
+		break;
 	}
 }
 
 /* Where a lane is found by host and path. Example: hmget(b->place, router_place("a.example", "/x/", 3)) */
-uint64_t router_match_key(const char *host, const char *path, size_t path_length) { return core_hash(core_hash_string(17, host), path, path_length); }
+uint64_t router_match_key(const char *host, const char *path, size_t path_length)
+{
+	return core_hash(core_hash_string(17, host), path, path_length);
+}
 
 static void lane_row(struct router *c, struct route_table *routes, const struct Nl__Row *row)
 {
@@ -79,43 +90,61 @@
 	struct route_split *split = apr_palloc(routes->pool, (row->n_split + 1) * sizeof *split);
 
 	*l = (struct route_config){ 1,
-			       row->resumable,
-			       row->idempotent,
-			       row->client_deduplicates,
-			       row->key_optional,
-			       names_id(&c->service_names, row->service),
-			       row->priority,
-			       row->limit,
-			       row->latency_target_ms,
-			       row->max_gap_ms,
-			       row->timeout_ms,
-			       row->max_attempts,
-			       apr_pstrdup(routes->pool, row->host),
-			       apr_pstrdup(routes->pool, row->path),
-			       split,
-			       0 };
+				    row->resumable,
+				    row->idempotent,
+				    row->client_deduplicates,
+				    row->key_optional,
+				    names_id(&c->service_names, row->service),
+				    row->priority,
+				    row->limit,
+				    row->latency_target_ms,
+				    row->max_gap_ms,
+				    row->timeout_ms,
+				    row->max_attempts,
+				    apr_pstrdup(routes->pool, row->host),
+				    apr_pstrdup(routes->pool, row->path),
+				    split,
+				    0 };
 	for (size_t k = 0; k < row->n_split; k++)
 		if (row->split[k]->weight)
 			split[l->split_count++] =
-			    (struct route_split){ names_id(&c->service_names, row->split[k]->service), cumulative_weight += row->split[k]->weight };
+			    (struct route_split){ names_id(&c->service_names, row->split[k]->service),
+						  cumulative_weight += row->split[k]->weight };
 	if (row->path[0])
-		hmput(routes->matches, router_match_key(row->host, row->path, strlen(row->path)), route_index);
+		hmput(routes->matches, router_match_key(row->host, row->path, strlen(row->path)),
+		      route_index);
 }
 
 static void service_row(struct router *c, struct route_table *routes, const struct Nl__Row *declared)
 {
-	const struct Nl__Row *row = declared->model[0] ? config_table_get(&c->config_watch.table, NL__KIND__MODEL, declared->model) : NULL;
-	uint32_t id = names_id(&c->service_names, declared->name), target = names_id(&c->weights_names, row ? row->target_weights : declared->target_weights);
+	const struct Nl__Row *row =
+	    declared->model[0] ? config_table_get(&c->config_watch.table, NL__KIND__MODEL, declared->model)
+			       : NULL;
+	uint32_t id = names_id(&c->service_names, declared->name),
+		 target = names_id(&c->weights_names, row ? row->target_weights : declared->target_weights);
 	struct service_config *config = &routes->services[id];
 
-	*config = (struct service_config){ 1,        target,      declared->prefill_tokens_per_ms, declared->kv_bytes_per_token, declared->link_bytes_per_ms, declared->store_bytes_per_ms,
-				  declared->slots, declared->max_watches, declared->max_connections,   declared->capacity_tokens,     -1,      NULL };
+	*config = (struct service_config){ 1,
+					   target,
+					   declared->prefill_tokens_per_ms,
+					   declared->kv_bytes_per_token,
+					   declared->link_bytes_per_ms,
+					   declared->store_bytes_per_ms,
+					   declared->slots,
+					   declared->max_watches,
+					   declared->max_connections,
+					   declared->capacity_tokens,
+					   -1,
+					   NULL };
 	if (row)
 		config->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &row->base);
-	if (declared->addr[0] && !declared->store_bytes_per_ms && c->bounds.discover_instances) /* a store itself, not a service that has one */
-		routes->stores[routes->store_count++] = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
+	if (declared->addr[0] && !declared->store_bytes_per_ms &&
+	    c->bounds.discover_instances) /* a store itself, not a service that has one */
+		routes->stores[routes->store_count++] = (int)names_id(
+		    &c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
 	if (declared->addr[0] && declared->store_bytes_per_ms)
-		config->store_server = (int)names_id(&c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
+		config->store_server = (int)names_id(
+		    &c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
 }
 
 /* A service that is new, or back, has its time to be seen with servers, whenever one of it last stood. */
@@ -124,7 +153,8 @@
 	const struct route_table *old = router->route_table;
 
 	for (uint32_t i = 0; i < routes->service_count; i++)
-		if (routes->services[i].is_configured && !(old && i < old->service_count && old->services[i].is_configured))
+		if (routes->services[i].is_configured &&
+		    !(old && i < old->service_count && old->services[i].is_configured))
 			router->last_serving_at_ms[i] = now;
 }
 
@@ -156,19 +186,28 @@
 		const char *slash;
 
 		switch (row->kind) {
-		case NL__KIND__ROUTE: lane_row(router, routes, row); break;
+		case NL__KIND__ROUTE:
+			lane_row(router, routes, row);
+			break;
 		case NL__KIND__TENANT:
-			routes->tenants[names_id(&router->tenant_names, row->name)] = (struct tenant_config){ 1, row->isolated, row->share, row->limit, row->priority_class };
+			routes->tenants[names_id(&router->tenant_names, row->name)] =
+			    (struct tenant_config){ 1, row->isolated, row->share, row->limit,
+						    row->priority_class };
 			routes->has_limits |= row->limit != 0;
 			if (row->isolated)
-				routes->isolation_hash += core_hash_string(29, row->name); /* a sum: the order of rows does not matter */
+				routes->isolation_hash += core_hash_string(
+				    29, row->name); /* a sum: the order of rows does not matter */
 			break;
 		case NL__KIND__KEY:
 			shput(routes->keys, row->name, names_id(&router->tenant_names, row->tenant));
 			routes->has_keys = 1;
 			break;
-		case NL__KIND__SERVICE: service_row(router, routes, row); break;
-		case NL__KIND__RETENTION: router_scope_row(router, routes, row); break;
+		case NL__KIND__SERVICE:
+			service_row(router, routes, row);
+			break;
+		case NL__KIND__RETENTION:
+			router_scope_row(router, routes, row);
+			break;
 		case NL__KIND__LISTENER:
 			routes->listener.max_head_bytes = row->max_head_bytes;
 			routes->listener.max_body_bytes = row->max_body_bytes;
@@ -179,15 +218,19 @@
 			routes->has_limits = 1;
 			slash = strchr(row->name, '/');
 			if (slash) {
-				int route_index = names_find(&router->route_names, apr_pstrmemdup(pool, row->name, (size_t)(slash - row->name)));
+				int route_index =
+				    names_find(&router->route_names,
+					       apr_pstrmemdup(pool, row->name, (size_t)(slash - row->name)));
 				int tenant = names_find(&router->tenant_names, slash + 1);
 				typeof(routes->shares->value) v = { row->share, row->limit };
 
 				if (route_index >= 0 && tenant >= 0)
-					hmput(routes->shares, (uint64_t)route_index << 32 | (uint64_t)tenant, v);
+					hmput(routes->shares, (uint64_t)route_index << 32 | (uint64_t)tenant,
+					      v);
 			}
 			break;
-		default: break;
+		default:
+			break;
 		}
 	}
 	arrsetlen(router->retention_generations, 0);
@@ -202,40 +245,53 @@
 }
 
 /* A service that is not in the table has no place in the route_table's arrays: its servers do not count. */
-static void server_table_put(struct router *router, struct server_table *servers, uint32_t id, const char *service, const char *addr,
-			     const char *zone, int draining, int is_store)
+static void server_table_put(struct router *router, struct server_table *servers, uint32_t id,
+			     const char *service, const char *addr, const char *zone, int draining,
+			     int is_store)
 {
 	int service_index = names_find(&router->service_names, service);
 
 	if (service_index < 0 || (uint32_t)service_index >= router->route_table->service_count)
 		return;
-	servers->servers[id] =
-	    (struct server_config){ 1, draining, is_store, (uint32_t)service_index, apr_pstrdup(servers->pool, addr), core_parse_addr(addr), core_hash_string(0, zone) };
+	servers->servers[id] = (struct server_config){ 1,
+						       draining,
+						       is_store,
+						       (uint32_t)service_index,
+						       apr_pstrdup(servers->pool, addr),
+						       core_parse_addr(addr),
+						       core_hash_string(0, zone) };
 }
 
 /* What the list says of a server; what the server itself said since goes first. */
-static void server_table_instance(struct router *router, uint32_t server, const struct Nl__Instance *instance, int64_t now)
+static void server_table_instance(struct router *router, uint32_t server, const struct Nl__Instance *instance,
+				  int64_t now)
 {
 	struct router_server_state *state = &router->servers[server];
-	int weights = instance->weights[0] && strlen(instance->weights) < 128 ? (int)names_id(&router->weights_names, instance->weights) : -1;
+	int weights = instance->weights[0] && strlen(instance->weights) < 128
+			  ? (int)names_id(&router->weights_names, instance->weights)
+			  : -1;
 
 	if (weights < 0 && !state->is_known)
-		state->weights = names_id(&router->weights_names, ""); /* not known: they count as the oldest */
+		state->weights =
+		    names_id(&router->weights_names, ""); /* not known: they count as the oldest */
 	if (weights >= 0 && (!state->is_known || state->listed_weights != (uint32_t)weights)) {
 		router_weights_learn(router, server, (uint32_t)weights);
 		state->listed_weights = (uint32_t)weights;
 	}
 	if (!state->is_known)
-		state->unavailable_until_ms = now + (instance->warm_up_ms > 2000 ? 2000 : instance->warm_up_ms);
+		state->unavailable_until_ms =
+		    now + (instance->warm_up_ms > 2000 ? 2000 : instance->warm_up_ms);
 	state->is_known = 1;
 	state->is_loading = instance->loading;
 	state->slots = instance->slots ? (int)instance->slots : 1;
 }
 
-/* Whether a service's row stands for a store: where stores have rows of their own those do, else each service's address. */
+/* Whether a service's row stands for a store: where stores have rows of their own those do, else each
+ * service's address. */
 static int store_row(const struct router *router, const struct Nl__Row *row)
 {
-	return row->addr[0] && (router->route_table->store_count ? !row->store_bytes_per_ms : row->store_bytes_per_ms != 0);
+	return row->addr[0] &&
+	       (router->route_table->store_count ? !row->store_bytes_per_ms : row->store_bytes_per_ms != 0);
 }
 
 struct server_table *router_server_table_new(struct router *router, int64_t now)
@@ -265,19 +321,23 @@
 		struct router_server_state s;
 
 		memset(&s, 0, sizeof s);
-		arrput(router->server_hashes, core_hash_string(43, router->server_names.names[arrlen(router->servers)]));
-		hmput(router->server_by_hash, arrlast(router->server_hashes), (uint32_t)arrlen(router->servers));
+		arrput(router->server_hashes,
+		       core_hash_string(43, router->server_names.names[arrlen(router->servers)]));
+		hmput(router->server_by_hash, arrlast(router->server_hashes),
+		      (uint32_t)arrlen(router->servers));
 		arrput(router->servers, s);
 	}
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
 		if (row->kind == NL__KIND__SERVER && !router->bounds.discover_instances)
-			server_table_put(router, servers, names_id(&router->server_names, row->name), row->service, row->addr, row->zone,
-					 row->state != 0, 0);
+			server_table_put(router, servers, names_id(&router->server_names, row->name),
+					 row->service, row->addr, row->zone, row->state != 0, 0);
 		else if (row->kind == NL__KIND__SERVICE && store_row(router, row))
-			server_table_put(router, servers, names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL)), row->name,
-					 row->addr, row->zone, 0, 1);
+			server_table_put(
+			    router, servers,
+			    names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL)),
+			    row->name, row->addr, row->zone, 0, 1);
 	}
 	for (ptrdiff_t i = 0; router->bounds.discover_instances && i < shlen(instances->rows); i++) {
 		const struct Nl__Instance *s = instances->rows[i].value.instance;
@@ -285,12 +345,14 @@
 
 		if (id < 0 || s->state == INSTANCE_REMOVED)
 			continue;
-		server_table_put(router, servers, (uint32_t)id, s->service, s->addr, s->zone, s->state != INSTANCE_SERVING, 0);
+		server_table_put(router, servers, (uint32_t)id, s->service, s->addr, s->zone,
+				 s->state != INSTANCE_SERVING, 0);
 		server_table_instance(router, (uint32_t)id, s, now);
 	}
 	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++)
 		if (router->server_table->servers[i].is_configured && !servers->servers[i].is_configured)
-			prefix_index_remove_unreported(&router->prefix_index, i, UINT64_MAX); /* that life is over, and what it kept */
+			prefix_index_remove_unreported(&router->prefix_index, i,
+						       UINT64_MAX); /* that life is over, and what it kept */
 	return servers;
 }
 
@@ -300,7 +362,8 @@
 		apr_pool_destroy(servers->pool);
 }
 
-void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant, uint32_t *share, uint32_t *limit)
+void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant, uint32_t *share,
+		     uint32_t *limit)
 {
 	struct share_config *bk_share = routes->shares;
 	ptrdiff_t i = bk_share ? hmgeti(bk_share, (uint64_t)route_index << 32 | tenant) : -1;
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -1,7 +1,8 @@
-/* router_weights: until when servers with older weights may be sent requests, and what is done about a send that has not begun by
- * then. Newer weights that were named are on every server within a bound (bounds.roll_ms); no request may begin on older ones after
- * it. The date of each naming comes with the configuration, on the control group's clock (lib/control/naming.h).
- * Always: no send leaves, and none is known to begin, on weights past their bound. What breaks this is counted and logged. */
+/* router_weights: until when servers with older weights may be sent requests, and what is done about a send
+ * that has not begun by then. Newer weights that were named are on every server within a bound
+ * (bounds.roll_ms); no request may begin on older ones after it. The date of each naming comes with the
+ * configuration, on the control group's clock (lib/control/version_history.h). Always: no send leaves, and
+ * none is known to begin, on weights past their bound. What breaks this is counted and logged. */
 #include "router_internal.h"
 
 #include <inttypes.h>
@@ -9,10 +10,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
-#include "naming.h"
+#include "containers.h"
+#include "version_history.h"
 
-static uint64_t weights_number(const struct router *router, uint32_t weights) { return strtoull(router->weights_names.names[weights], NULL, 10); }
+static uint64_t weights_number(const struct router *router, uint32_t weights)
+{
+	return strtoull(router->weights_names.names[weights], NULL, 10);
+}
 
 int64_t router_weights_end(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
 {
@@ -20,11 +24,13 @@
 	const struct Nl__TargetVersion *newer;
 	int64_t clock;
 
-	if (!model || weights == router->route_table->services[service].target_weights || !version_history_supersedes(model, weights_number(router, weights)))
+	if (!model || weights == router->route_table->services[service].target_weights ||
+	    !version_history_supersedes(model, weights_number(router, weights)))
 		return INT64_MAX;
 	newer = version_history_after(model, weights_number(router, weights));
 	clock = newer ? config_watch_clock_ms(&router->config_watch, newer->term, now) : 0;
-	return clock ? (int64_t)newer->targeted_at_ms + router->bounds.rollout_ms - clock + now : INT64_MIN; /* not known: the oldest date possible counts */
+	return clock ? (int64_t)newer->targeted_at_ms + router->bounds.rollout_ms - clock + now
+		     : INT64_MIN; /* not known: the oldest date possible counts */
 }
 
 int64_t router_weights_last_send(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
@@ -41,15 +47,20 @@
 	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
 }
 
-static int is_number(const char *name) { return *name && strspn(name, "0123456789") == strlen(name); }
+static int is_number(const char *name)
+{
+	return *name && strspn(name, "0123456789") == strlen(name);
+}
 
 /* Within one life a server's weights only rise, and what tells of them may be late. */
 void router_weights_learn(struct router *router, uint32_t server, uint32_t weights)
 {
 	struct router_server_state *state = &router->servers[server];
-	const char *known = router->weights_names.names[state->weights], *reported = router->weights_names.names[weights];
+	const char *known = router->weights_names.names[state->weights],
+		   *reported = router->weights_names.names[weights];
 
-	if (state->is_known && is_number(known) && is_number(reported) && weights_number(router, weights) < weights_number(router, state->weights))
+	if (state->is_known && is_number(known) && is_number(reported) &&
+	    weights_number(router, weights) < weights_number(router, state->weights))
 		return;
 	state->weights = weights;
 }
@@ -58,15 +69,20 @@
 {
 	for (uint32_t i = 0; router->log && i < router->route_table->service_count; i++) {
 		const struct Nl__Row *model = router->route_table->services[i].model_row;
-		const struct Nl__Row *before = old && i < old->service_count ? old->services[i].model_row : NULL;
+		const struct Nl__Row *before =
+		    old && i < old->service_count ? old->services[i].model_row : NULL;
 		const struct Nl__TargetVersion *newest;
 		char text[200];
 
-		if (!model || !model->n_target_versions || (before && !strcmp(before->target_weights, model->target_weights)))
+		if (!model || !model->n_target_versions ||
+		    (before && !strcmp(before->target_weights, model->target_weights)))
 			continue;
 		newest = model->target_versions[model->n_target_versions - 1];
-		snprintf(text, sizeof text, "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
-			 model->target_weights, router->service_names.names[i], config_watch_clock_ms(&router->config_watch, newest->term, now) - (int64_t)newest->targeted_at_ms,
+		snprintf(text, sizeof text,
+			 "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
+			 model->target_weights, router->service_names.names[i],
+			 config_watch_clock_ms(&router->config_watch, newest->term, now) -
+			     (int64_t)newest->targeted_at_ms,
 			 model->n_target_versions);
 		router->log(router->log_context, "weights", text);
 	}
@@ -75,15 +91,20 @@
 /* ---- the invariant ---------------------------------------------------------------------------- */
 
 /* All are counted, and one a second is logged. */
-static void log_violation(struct router *router, const char *what, const struct client_request *request, int64_t late_ms)
+static void log_violation(struct router *router, const char *what, const struct client_request *request,
+			  int64_t late_ms)
 {
 	char line[400];
 
-	if (!router->log || (router->violation_logged_at_ms && router->now - router->violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
+	if (!router->log || (router->violation_logged_at_ms &&
+			     router->now - router->violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
 		return;
 	router->violation_logged_at_ms = router->now;
-	snprintf(line, sizeof line, "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
-		 router->weights_names.names[request->weights], router->service_names.names[request->service_index], router->server_names.names[request->server_index], late_ms);
+	snprintf(line, sizeof line,
+		 "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
+		 router->weights_names.names[request->weights],
+		 router->service_names.names[request->service_index],
+		 router->server_names.names[request->server_index], late_ms);
 	router->log(router->log_context, "invariant", line);
 }
 
@@ -98,7 +119,10 @@
 }
 
 /* Whether this process has stood still since a moment: then what it hears may have happened long before. */
-static int paused_since(const struct router *router, int64_t time_ms) { return router->paused_at_ms >= time_ms; }
+static int paused_since(const struct router *router, int64_t time_ms)
+{
+	return router->paused_at_ms >= time_ms;
+}
 
 void router_weights_check_begin(struct router *router, const struct client_request *request, int64_t now)
 {
@@ -112,8 +136,8 @@
 
 /* ---- taking back ------------------------------------------------------------------------------ */
 
-/* A send that waits at its server for longer than was reckoned must not begin after its weights' bound. It is cancelled in time, and
- * goes to another server if it may. */
+/* A send that waits at its server for longer than was reckoned must not begin after its weights' bound. It is
+ * cancelled in time, and goes to another server if it may. */
 void router_weights_recall(struct router *router, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
--- a/lib/shell/web.c
+++ b/lib/shell/api_server.c
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
 enum {
@@ -70,11 +70,13 @@
 
 static enum MHD_Result send_response(struct conn *conn)
 {
-	struct MHD_Response *mhd_response = MHD_create_response_from_buffer(strlen(conn->response), conn->response, MHD_RESPMEM_MUST_COPY);
+	struct MHD_Response *mhd_response =
+	    MHD_create_response_from_buffer(strlen(conn->response), conn->response, MHD_RESPMEM_MUST_COPY);
 	enum MHD_Result rc;
 	char num[32];
 
-	MHD_add_response_header(mhd_response, "Content-Type", conn->response[0] == '{' ? "application/json" : "text/csv");
+	MHD_add_response_header(mhd_response, "Content-Type",
+				conn->response[0] == '{' ? "application/json" : "text/csv");
 	if (conn->retry_after_ms) {
 		snprintf(num, sizeof num, "%d", (conn->retry_after_ms + 999) / 1000);
 		MHD_add_response_header(mhd_response, "Retry-After", num);
@@ -98,7 +100,8 @@
 	(void)pos;
 	apr_thread_mutex_lock(source->server->mutex);
 	conn = hmget(source->server->connections, source->token);
-	if (!conn || (source->server->streams_valid_until_ms && clock_ms() > source->server->streams_valid_until_ms)) {
+	if (!conn ||
+	    (source->server->streams_valid_until_ms && clock_ms() > source->server->streams_valid_until_ms)) {
 		n = MHD_CONTENT_READER_END_WITH_ERROR;
 	} else if (conn->sent_offset < (size_t)arrlen(conn->buffer)) {
 		n = (ssize_t)((size_t)arrlen(conn->buffer) - conn->sent_offset);
@@ -163,8 +166,8 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one check after the other of a request */
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method, const char *version,
-				  const char *data, size_t *n, void **state)
+static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method,
+				  const char *version, const char *data, size_t *n, void **state)
 {
 	struct api_server *web = arg;
 	struct conn *conn = *state;
@@ -206,7 +209,8 @@
 			event->token = conn->token;
 			event->method = strdup(method);
 			event->path = strdup(url);
-			event->key_digest = digest(MHD_lookup_connection_value(c, MHD_HEADER_KIND, "Authorization"));
+			event->key_digest =
+			    digest(MHD_lookup_connection_value(c, MHD_HEADER_KIND, "Authorization"));
 			arrput(conn->body, 0);
 			event->body = strdup(conn->body);
 			if ((key = MHD_lookup_connection_value(c, MHD_HEADER_KIND, "Idempotency-Key")))
@@ -233,7 +237,8 @@
 	return rc;
 }
 
-static void on_end(void *arg, struct MHD_Connection *connection, void **state, enum MHD_RequestTerminationCode why)
+static void on_end(void *arg, struct MHD_Connection *connection, void **state,
+		   enum MHD_RequestTerminationCode why)
 {
 	struct api_server *web = arg;
 	struct conn *conn = *state;
@@ -272,10 +277,11 @@
 	address.sin_addr.s_addr = htonl((uint32_t)(a >> 16));
 	web->events = events;
 	apr_thread_mutex_create(&web->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
-	web->daemon = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, web,
-				MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_end, web, MHD_OPTION_CONNECTION_LIMIT,
-				20000u, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)64 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-				1u, MHD_OPTION_END);
+	web->daemon = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL,
+				       NULL, on_request, web, MHD_OPTION_SOCK_ADDR, &address,
+				       MHD_OPTION_NOTIFY_COMPLETED, on_end, web, MHD_OPTION_CONNECTION_LIMIT,
+				       20000u, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)64 << 10,
+				       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
 	if (!web->daemon) {
 		log_write(LOG_ERROR, "web", "Cannot listen at %s: %s.", addr, strerror(errno));
 		return NULL;
@@ -283,7 +289,8 @@
 	return web;
 }
 
-void api_server_respond(struct api_server *web, uint64_t token, int status, int retry_after_ms, const char *body, int64_t not_after_ms)
+void api_server_respond(struct api_server *web, uint64_t token, int status, int retry_after_ms,
+			const char *body, int64_t not_after_ms)
 {
 	struct conn *conn;
 
@@ -316,7 +323,8 @@
 	apr_thread_mutex_unlock(web->mutex);
 }
 
-void api_server_stream(struct api_server *web, uint64_t token, const char *data, size_t size, int is_last, int is_complete)
+void api_server_stream(struct api_server *web, uint64_t token, const char *data, size_t size, int is_last,
+		       int is_complete)
 {
 	struct conn *conn;
 
@@ -324,9 +332,11 @@
 	conn = hmget(web->connections, token);
 	if (conn && !conn->response && !conn->ended) {
 		conn->streaming = 1;
-		if (is_last && !is_complete) /* broken: what its caller has not read yet, beyond the line begun, is not passed on */
+		if (is_last && !is_complete) /* broken: what its caller has not read yet, beyond the line
+						begun, is not passed on */
 			stream_truncate(conn);
-		if ((size_t)arrlen(conn->buffer) + size > API_SERVER_MAX_STREAM_BYTES) { /* a caller that does not read */
+		if ((size_t)arrlen(conn->buffer) + size >
+		    API_SERVER_MAX_STREAM_BYTES) { /* a caller that does not read */
 			is_last = 1;
 			is_complete = 0;
 		} else if (size) {
--- a/lib/shell/base.c
+++ b/lib/shell/base.c
@@ -12,7 +12,10 @@
 
 static const char *log_program = "notchlug";
 
-void log_open(const char *program) { log_program = program; }
+void log_open(const char *program)
+{
+	log_program = program;
+}
 
 void log_write(enum log_level level, const char *prefix, const char *fmt, ...)
 {
@@ -24,7 +27,8 @@
 
 	localtime_r(&now, &tm);
 	strftime(when, sizeof when, "%b %e %H:%M:%S", &tm);
-	length = snprintf(line, sizeof line, "<%d>%s %s[%d]: %s: ", level, when, log_program, (int)getpid(), prefix);
+	length = snprintf(line, sizeof line, "<%d>%s %s[%d]: %s: ", level, when, log_program, (int)getpid(),
+			  prefix);
 	va_start(arguments, fmt);
 	length += vsnprintf(line + length, sizeof line - (size_t)length - 1, fmt, arguments);
 	va_end(arguments);
@@ -35,7 +39,10 @@
 		return; /* nobody listens */
 }
 
-int64_t clock_wall_ms(void) { return apr_time_now() / 1000; /* schedules alone */ }
+int64_t clock_wall_ms(void)
+{
+	return apr_time_now() / 1000; /* schedules alone */
+}
 
 int64_t clock_ms(void)
 {
@@ -45,7 +52,8 @@
 	return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* POSIX and not APR: APR's timed wait goes by the wall clock, and lasts an hour when that is set back by one. */
+/* POSIX and not APR: APR's timed wait goes by the wall clock, and lasts an hour when that is set back by one.
+ */
 struct ring {
 	pthread_mutex_t mutex;
 	pthread_cond_t not_empty, not_full;
--- a/lib/shell/tool.c
+++ b/lib/shell/cli_support.c
@@ -1,5 +1,5 @@
 /* tool: plain calls for the operators' tools and the rehearsal. */
-#include "tool.h"
+#include "cli_support.h"
 
 #include <curl/curl.h>
 #include <nettle/sha2.h>
@@ -11,7 +11,9 @@
 {
 	struct json_object *value = NULL;
 
-	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, name, &value) ? value : NULL;
+	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, name, &value)
+		   ? value
+		   : NULL;
 }
 
 const char *json_member_string(struct json_object *json, const char *name)
@@ -59,7 +61,8 @@
 }
 
 /* One call with one more header, unless that is empty. */
-static int call_once(const char *verb, const char *addr, const char *path, const char *header, const char *body, int ms, char **out)
+static int call_once(const char *verb, const char *addr, const char *path, const char *header,
+		     const char *body, int ms, char **out)
 {
 	CURL *h = curl_easy_init();
 	struct curl_slist *curl_slist = curl_slist_append(NULL, "Expect:");
@@ -90,7 +93,8 @@
 	return (int)status;
 }
 
-int http_call_blocking(const char *method, const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out)
+int http_call_blocking(const char *method, const char *addr, const char *path, const char *key,
+		       const char *body, int timeout_ms, char **body_out)
 {
 	char header[200] = "";
 
@@ -99,7 +103,8 @@
 	return call_once(method, addr, path, header, body, timeout_ms, body_out);
 }
 
-int http_command_blocking(const char *addr, const char *path, const char *key, const char *body, int timeout_ms, char **body_out)
+int http_command_blocking(const char *addr, const char *path, const char *key, const char *body,
+			  int timeout_ms, char **body_out)
 {
 	char header[200];
 
--- a/lib/shell/http_buffer.c
+++ b/lib/shell/http_buffer.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 
 void http_buffer_free(struct http *http, struct buffer *buffer)
@@ -22,7 +22,8 @@
 
 	if (buffer->capacity - buffer->len >= size && buffer->data)
 		return buffer->data + buffer->len;
-	if (buffer->data && buffer->offset && buffer->len - buffer->offset + size <= buffer->capacity && buffer->offset >= buffer->len - buffer->offset) {
+	if (buffer->data && buffer->offset && buffer->len - buffer->offset + size <= buffer->capacity &&
+	    buffer->offset >= buffer->len - buffer->offset) {
 		memmove(buffer->data, buffer->data + buffer->offset, buffer->len - buffer->offset);
 		buffer->len -= buffer->offset;
 		buffer->offset = 0;
@@ -54,7 +55,10 @@
 	buffer->len += size;
 }
 
-void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text) { http_buffer_append(http, buffer, text, strlen(text)); }
+void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text)
+{
+	http_buffer_append(http, buffer, text, strlen(text));
+}
 
 void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base)
 {
@@ -81,9 +85,12 @@
 int http_is_framing_field(const char *name)
 {
 	switch (strlen(name)) {
-	case 10: return !strcasecmp(name, "connection");
-	case 14: return !strcasecmp(name, "content-length");
-	case 17: return !strcasecmp(name, "transfer-encoding");
+	case 10:
+		return !strcasecmp(name, "connection");
+	case 14:
+		return !strcasecmp(name, "content-length");
+	case 17:
+		return !strcasecmp(name, "transfer-encoding");
 	}
 	return 0;
 }
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 #include "shell.h"
 
@@ -56,7 +56,8 @@
 {
 	int64_t margin = (int64_t)hd->keep_alive_s * 250;
 
-	return hd->keep_alive_s < 0 ? DEFAULT_KEEP_ALIVE_MS : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
+	return hd->keep_alive_s < 0 ? DEFAULT_KEEP_ALIVE_MS
+				    : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
 static void client_make_idle(struct conn *conn)
@@ -93,12 +94,19 @@
 	else
 		http_conn_close(conn, 0);
 	http->callback_made = 1;
-	http->callbacks.call_done(http->callbacks.context, token, result, result == HTTP_CALL_NOT_SENT ? 0 : status);
+	http->callbacks.call_done(http->callbacks.context, token, result,
+				  result == HTTP_CALL_NOT_SENT ? 0 : status);
 }
 
-static void client_broken(struct conn *conn) { http_client_end(conn, conn->client.sent ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0); }
+static void client_broken(struct conn *conn)
+{
+	http_client_end(conn, conn->client.sent ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0);
+}
 
-static int64_t earlier(int64_t left, int64_t right) { return left < right ? left : right; }
+static int64_t earlier(int64_t left, int64_t right)
+{
+	return left < right ? left : right;
+}
 
 static void client_connect(struct conn *conn)
 {
@@ -118,7 +126,10 @@
 	conn->state = CONN_CONNECTING;
 	http_conn_watch(conn, HTTP_READ_EVENTS | EPOLLOUT);
 	http_timer_set(
-	    conn, earlier(earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1, conn->client.deadline_ms), http->now_ms + conn->client.connect_timeout_ms));
+	    conn,
+	    earlier(earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
+			    conn->client.deadline_ms),
+		    http->now_ms + conn->client.connect_timeout_ms));
 }
 
 /* Put the call on another connection: nothing of it went out on this one. */
@@ -169,7 +180,11 @@
 	}
 	conn->client.sent |= all || conn->out.offset > off;
 	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(conn, all ? conn->client.deadline_ms : earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1, conn->client.deadline_ms));
+	http_timer_set(
+	    conn,
+	    all ? conn->client.deadline_ms
+		: earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
+			  conn->client.deadline_ms));
 	return 1;
 }
 
@@ -186,7 +201,8 @@
 		if (conn->fd >= 0) {
 			char b;
 
-			if (recv(conn->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK) ||
+			if (recv(conn->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 ||
+			    (errno != EAGAIN && errno != EWOULDBLOCK) ||
 			    clock_ms() >= conn->client.reusable_until_ms) {
 				conn = client_move_call(conn);
 				continue;
@@ -246,14 +262,17 @@
 		return client_next_response(conn, behind, surplus);
 	/* the server counts from when it answered: after a freeze that may be long ago */
 	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
-	http_client_end(conn, HTTP_CALL_COMPLETE, !surplus && !conn->client.skipped_count && !conn->head.close && !conn->out.len && !conn->client.request_cut);
+	http_client_end(conn, HTTP_CALL_COMPLETE,
+			!surplus && !conn->client.skipped_count && !conn->head.close && !conn->out.len &&
+			    !conn->client.request_cut);
 	return 1;
 }
 
 static void client_pass_body(struct conn *conn, const char *data, size_t size)
 {
 	if (size && !conn->client.skipping)
-		conn->http->callbacks.response_body(conn->http->callbacks.context, conn->client.token, data, size);
+		conn->http->callbacks.response_body(conn->http->callbacks.context, conn->client.token, data,
+						    size);
 }
 
 /* Bytes of the body. Returns 1 when the call is over. */
@@ -270,7 +289,9 @@
 		client_pass_body(conn, data, span_size);
 		if (conn->dead)
 			return 1;
-		return conn->body_remaining ? 0 : client_response_complete(conn, data + span_size, size - span_size);
+		return conn->body_remaining
+			   ? 0
+			   : client_response_complete(conn, data + span_size, size - span_size);
 	case BODY_CHUNKED:
 		while (size && conn->chunks.state != CHUNK_DONE) {
 			if ((consumed = http_chunk_step(&conn->chunks, data, size, &span, &span_size)) < 0) {
@@ -284,8 +305,11 @@
 			size -= (size_t)consumed;
 		}
 		return conn->chunks.state == CHUNK_DONE ? client_response_complete(conn, data, size) : 0;
-	case BODY_UNTIL_EOF: client_pass_body(conn, data, size); return conn->dead;
-	default: return client_response_complete(conn, data, size);
+	case BODY_UNTIL_EOF:
+		client_pass_body(conn, data, size);
+		return conn->dead;
+	default:
+		return client_response_complete(conn, data, size);
 	}
 }
 
@@ -301,7 +325,8 @@
 	for (;;) {
 		end = http_head_end(conn, from);
 		if (end < 0 || (end ? (size_t)end : conn->in.len) - from > MAX_RESPONSE_HEAD_BYTES ||
-		    (end && !http_head_read(conn, from, (size_t)end, 0)) || (end && conn->head.status == 101)) {
+		    (end && !http_head_read(conn, from, (size_t)end, 0)) ||
+		    (end && conn->head.status == 101)) {
 			client_broken(conn);
 			return 1;
 		}
@@ -319,14 +344,18 @@
 	}
 	conn->body_remaining = conn->head.length;
 	conn->chunks = (struct chunks){ 0 };
-	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 || conn->head.status == 304 || (conn->head.has_length && !conn->body_remaining) ? BODY_NONE
-		  : conn->head.chunked                                                                           ? BODY_CHUNKED
-		  : conn->head.has_length                                                                           ? BODY_LENGTH
-													    : BODY_UNTIL_EOF;
+	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 ||
+						conn->head.status == 304 ||
+						(conn->head.has_length && !conn->body_remaining)
+					    ? BODY_NONE
+					: conn->head.chunked    ? BODY_CHUNKED
+					: conn->head.has_length ? BODY_LENGTH
+								: BODY_UNTIL_EOF;
 	conn->state = CONN_READING_RESPONSE;
 	http_head_resolve_fields(conn);
 	http->callback_made = 1;
-	http->callbacks.response_head(http->callbacks.context, conn->client.token, conn->head.status, conn->fields, conn->field_count);
+	http->callbacks.response_head(http->callbacks.context, conn->client.token, conn->head.status,
+				      conn->fields, conn->field_count);
 	if (conn->dead)
 		return 1;
 	return client_read_body(conn, conn->in.data + from, conn->in.len - from);
@@ -334,7 +363,8 @@
 
 static void client_eof(struct conn *conn)
 {
-	if (conn->state == CONN_READING_RESPONSE && conn->client.response_framing == BODY_UNTIL_EOF && conn->head.close && !conn->client.skipping)
+	if (conn->state == CONN_READING_RESPONSE && conn->client.response_framing == BODY_UNTIL_EOF &&
+	    conn->head.close && !conn->client.skipping)
 		http_client_end(conn, HTTP_CALL_COMPLETE, 0);
 	else
 		client_broken(conn);
@@ -389,8 +419,11 @@
 		else
 			client_send(conn);
 		return;
-	case CONN_IDLE: http_conn_close(conn, 0); return;
-	default: return; /* its start looks for itself */
+	case CONN_IDLE:
+		http_conn_close(conn, 0);
+		return;
+	default:
+		return; /* its start looks for itself */
 	}
 }
 
@@ -402,9 +435,13 @@
 		client_broken(conn);
 }
 
-static int method_has_body(const char *method) { return !strcmp(method, "POST") || !strcmp(method, "PUT") || !strcmp(method, "PATCH"); }
+static int method_has_body(const char *method)
+{
+	return !strcmp(method, "POST") || !strcmp(method, "PUT") || !strcmp(method, "PATCH");
+}
 
-void http_call_start(struct http *http, uint64_t token, uint64_t addr, const struct http_client_request *output)
+void http_call_start(struct http *http, uint64_t token, uint64_t addr,
+		     const struct http_client_request *output)
 {
 	int64_t now = clock_ms();
 	struct conn *conn;
@@ -414,7 +451,8 @@
 		log_write(LOG_ERROR, "http", "A call's token is in use; the call is not made.");
 		return;
 	}
-	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr), output->new_connection, now))) {
+	if (!(conn =
+		  peer_acquire_connection(http, peer_find_or_add(http, addr), output->new_connection, now))) {
 		conn = http_conn_new(http, CONN_CLIENT, -1);
 		conn->state = CONN_FAILED;
 	}
@@ -424,7 +462,8 @@
 	conn->client.new_connection = output->new_connection;
 	conn->client.not_after_ms = output->not_after_ms;
 	conn->client.deadline_ms = output->timeout_ms > 0 ? now + output->timeout_ms : NO_TIME;
-	conn->client.connect_timeout_ms = output->connect_timeout_ms > 0 ? output->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
+	conn->client.connect_timeout_ms =
+	    output->connect_timeout_ms > 0 ? output->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
 	conn->client.is_head = !strcmp(output->method, "HEAD");
 	hmput(http->calls, token, conn);
 	http->counters.calls++;
--- a/lib/shell/http_conn.c
+++ b/lib/shell/http_connection.c
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 
 /* ---- times: a heap whose keys may be early, so that moving a time on costs nothing ---- */
@@ -22,7 +22,8 @@
 {
 	struct conn *conn = http->timer_heap[index];
 
-	for (; index && http->timer_heap[(index - 1) / 2]->heap_key_ms > conn->heap_key_ms; index = (index - 1) / 2)
+	for (; index && http->timer_heap[(index - 1) / 2]->heap_key_ms > conn->heap_key_ms;
+	     index = (index - 1) / 2)
 		timer_set_index(http, index, http->timer_heap[(index - 1) / 2]);
 	timer_set_index(http, index, conn);
 }
@@ -140,13 +141,15 @@
 	free(peer);
 }
 
-/* Would an ordinary end of this connection make an answer look whole that is not? So it is where the end of the connection
- * is the end of the answer. */
+/* Would an ordinary end of this connection make an answer look whole that is not? So it is where the end of
+ * the connection is the end of the answer. */
 static int close_misleads(const struct conn *conn)
 {
-	if (conn->kind != CONN_SERVER || !conn->s.response_begun || conn->s.response_framing != BODY_UNTIL_EOF || conn->s.no_body)
+	if (conn->kind != CONN_SERVER || !conn->s.response_begun ||
+	    conn->s.response_framing != BODY_UNTIL_EOF || conn->s.no_body)
 		return 0;
-	return conn->state == CONN_HANDLING || (conn->state == CONN_SENDING_RESPONSE && conn->out.len > conn->out.offset);
+	return conn->state == CONN_HANDLING ||
+	       (conn->state == CONN_SENDING_RESPONSE && conn->out.len > conn->out.offset);
 }
 
 /* Its memory lives on to the end of the turn. */
@@ -165,7 +168,8 @@
 	}
 	conn->fd = -1;
 	http_timer_remove(http, conn);
-	if (conn->kind == CONN_SERVER && (conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE))
+	if (conn->kind == CONN_SERVER &&
+	    (conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE))
 		http->busy_count--;
 	if (conn->kind == CONN_CLIENT && conn->client.peer) {
 		if (conn->state == CONN_IDLE)
@@ -225,7 +229,8 @@
 /* Whether a listener hands its options on to its connections, as Linux does. */
 int http_socket_inherits(int fd)
 {
-	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) && option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS) &&
+	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) &&
+	       option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS) &&
 	       option_is(fd, IPPROTO_TCP, TCP_KEEPIDLE, 2) && option_is(fd, IPPROTO_TCP, TCP_KEEPINTVL, 1) &&
 	       option_is(fd, IPPROTO_TCP, TCP_KEEPCNT, 3) && option_is(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
 }
--- a/lib/shell/http_end.c
+++ b/lib/shell/http_disconnect.c
@@ -1,12 +1,15 @@
 /* http_end: how a client's connection ends, and what became of each request that was read whole.
- * Every end of a client's connection goes through this file. An answer that was given whole is never followed by a close over
- * unread bytes, for the kernel answers those with a reset, which may overtake the answer. */
+ * Every end of a client's connection goes through this file. An answer that was given whole is never followed
+ * by a close over unread bytes, for the kernel answers those with a reset, which may overtake the answer. */
 #include <errno.h>
 #include <sys/socket.h>
 
 #include "http_internal.h"
 
-enum { STOP_READS = 16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */ };
+enum {
+	STOP_READS =
+	    16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */
+};
 
 void http_server_count_outcome(struct conn *conn, enum http_outcome outcome)
 {
@@ -23,7 +26,11 @@
 }
 
 /* Has the client said that nothing more will come, and has nothing come? */
-static int client_is_done(const struct conn *conn) { return conn->head.close && !conn->s.linger && conn->in.len <= conn->s.parse_offset && !conn->s.early.len; }
+static int client_is_done(const struct conn *conn)
+{
+	return conn->head.close && !conn->s.linger && conn->in.len <= conn->s.parse_offset &&
+	       !conn->s.early.len;
+}
 
 void http_server_linger(struct conn *conn)
 {
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -22,9 +22,10 @@
 	MAX_RESPONSE_HEAD_BYTES = 65536,
 	MAX_CHUNK_LINE_BYTES = 4096,
 	MAX_TRAILER_BYTES = 16384,
-	LINGER_MS = 2000,    /* for a caller to take an answer after which we close */
-	DRAIN_IDLE_MS = 200, /* at a door that leaves, for a request that was on its way when the answer before it ended */
-	ACCEPT_BACKLOG = 1024,      /* connections that the kernel keeps until they are accepted */
+	LINGER_MS = 2000,          /* for a caller to take an answer after which we close */
+	DRAIN_IDLE_MS = 200,       /* at a door that leaves, for a request that was on its way when the answer
+				      before it ended */
+	ACCEPT_BACKLOG = 1024,     /* connections that the kernel keeps until they are accepted */
 	MAX_SKIPPED_RESPONSES = 4, /* answers to other requests that a call passes over on its connection */
 	DEFAULT_KEEP_ALIVE_MS = 4000,
 	DEFAULT_CONNECT_TIMEOUT_MS = 3000,
@@ -100,17 +101,17 @@
 	uint64_t token;
 	struct http_request request;
 	struct buffer early;
-	size_t max_body_bytes;            /* the limit in force when the body began */
+	size_t max_body_bytes;                        /* the limit in force when the body began */
 	size_t parse_offset, body_offset, body_bytes; /* next raw byte; the body's place in the buffer */
 	size_t target_offset;
 	const char *method;
 	int head_begun, closing, linger, response_begun, no_body;
 	enum framing response_framing;
-	int outcome_pending;        /* a request was read whole, and its outcome is not counted yet */
-	int is_rejection;          /* its answer says when to come back */
-	int64_t wait_began_at_ms;        /* when the wait under way began, which the door's limits bound */
-	uint64_t unsent_bytes;      /* of a finished answer, when that wait began; UINT64_MAX: not looked at yet */
-	uint64_t remaining_bytes;        /* of the answer's length */
+	int outcome_pending;      /* a request was read whole, and its outcome is not counted yet */
+	int is_rejection;         /* its answer says when to come back */
+	int64_t wait_began_at_ms; /* when the wait under way began, which the door's limits bound */
+	uint64_t unsent_bytes; /* of a finished answer, when that wait began; UINT64_MAX: not looked at yet */
+	uint64_t remaining_bytes;     /* of the answer's length */
 	int64_t response_deadline_ms; /* no answer begins to leave after it; 0: whenever */
 };
 
@@ -120,8 +121,8 @@
 	uint64_t token;
 	int64_t not_after_ms, deadline_ms, reusable_until_ms; /* until: a kept one may be used */
 	int connect_timeout_ms, new_connection, is_head, sent, request_cut;
-	int skipping; /* the answer being read belongs to another request: nothing of it is passed on */
-	int skipped_count;  /* such answers on this connection */
+	int skipping;      /* the answer being read belongs to another request: nothing of it is passed on */
+	int skipped_count; /* such answers on this connection */
 	struct conn *next, *prev;
 	enum framing response_framing;
 };
@@ -143,7 +144,7 @@
 	int64_t due, heap_key_ms; /* when something is to be done; what the heap believes, never later */
 	int heap_index;
 	struct buffer in, out;
-	size_t scan_offset;   /* of a head: lines before it are exact */
+	size_t scan_offset;      /* of a head: lines before it are exact */
 	uint64_t body_remaining; /* of the body being read */
 	struct chunks chunks;
 	struct head head;
@@ -169,8 +170,9 @@
 	struct http_callbacks callbacks;
 	int epoll_fd, wake_fd, woken;
 	int64_t now_ms;
-	int64_t polled_at_ms; /* when the newest events were asked for */
-	int64_t previous_poll_at_ms; /* when the loop looked for events the time before: what comes now arrived later */
+	int64_t polled_at_ms;        /* when the newest events were asked for */
+	int64_t previous_poll_at_ms; /* when the loop looked for events the time before: what comes now
+					arrived later */
 	uint64_t turn, serial;
 	int callback_made; /* callbacks were made before the wait of this turn */
 	int busy_count;
@@ -206,7 +208,7 @@
 /* Is it a field by which a message is framed, which are written here alone? */
 int http_is_framing_field(const char *name);
 
-/* ---- http_conn.c ---- */
+/* ---- http_connection.c ---- */
 
 struct conn *http_conn_new(struct http *http, enum conn_kind kind, int fd);
 
@@ -249,7 +251,8 @@
 void http_head_resolve_fields(struct conn *conn);
 
 /* Take bytes up to the end of a span of data, *d and *dn. How many, or -1 for bad framing. */
-ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data, size_t *data_size);
+ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data,
+			size_t *data_size);
 
 /* ---- http_server.c ---- */
 
@@ -257,16 +260,18 @@
 void http_server_flush(struct conn *conn);
 void http_server_timeout(struct conn *conn);
 
-/* Read what has come of a request. Returns whether anything has that lets it go on: a head has its time as a whole. */
+/* Read what has come of a request. Returns whether anything has that lets it go on: a head has its time as a
+ * whole. */
 int http_server_progressed(struct conn *conn);
 
 /* Wait for a request, from now on. */
 void http_server_idle(struct conn *conn);
 
-/* Answer what cannot be served, or not read to its end; nothing of it is delivered. retry_ms: when to come back; 0: not said. */
+/* Answer what cannot be served, or not read to its end; nothing of it is delivered. retry_ms: when to come
+ * back; 0: not said. */
 void http_server_reject(struct conn *conn, int status, int retry_after_ms);
 
-/* ---- http_end.c ---- */
+/* ---- http_disconnect.c ---- */
 
 /* The request's outcome, counted once. */
 void http_server_count_outcome(struct conn *conn, enum http_outcome outcome);
@@ -274,7 +279,8 @@
 /* Close before the answer has left: at once, and with a reset where an ordinary end could look whole. */
 void http_server_abort(struct conn *conn, enum http_outcome outcome);
 
-/* Close behind a whole answer, so that it arrives: our side ends, and theirs is read until it ends too, for LINGER_MS. */
+/* Close behind a whole answer, so that it arrives: our side ends, and theirs is read until it ends too, for
+ * LINGER_MS. */
 void http_server_linger(struct conn *conn);
 
 /* Read and forget what comes on a connection that lingers; close it once its other side has ended. */
@@ -283,7 +289,7 @@
 /* The loop is closed: send what the kernel takes, and close. */
 void http_server_stop(struct conn *conn);
 
-/* ---- http_door.c ---- */
+/* ---- http_listener.c ---- */
 
 void http_listener_accept(struct conn *conn);
 
--- a/lib/shell/http_door.c
+++ b/lib/shell/http_listener.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 #include "shell.h"
 
@@ -66,7 +66,10 @@
 	int i;
 
 	/* one a turn, and more only when more wait turn after turn */
-	listener->accept_burst = listener->last_turn + 1 == http->turn ? listener->accept_burst < MAX_ACCEPT_BURST ? listener->accept_burst * 2 : MAX_ACCEPT_BURST : 1;
+	listener->accept_burst =
+	    listener->last_turn + 1 == http->turn
+		? listener->accept_burst < MAX_ACCEPT_BURST ? listener->accept_burst * 2 : MAX_ACCEPT_BURST
+		: 1;
 	listener->last_turn = http->turn;
 	for (i = 0; i < listener->accept_burst && accept_one(conn); i++)
 		;
@@ -88,7 +91,8 @@
 		goto bad;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
 	http_socket_options(fd);
-	if (bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) || listen(fd, ACCEPT_BACKLOG) || getsockname(fd, (struct sockaddr *)&socket_address, &n))
+	if (bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) ||
+	    listen(fd, ACCEPT_BACKLOG) || getsockname(fd, (struct sockaddr *)&socket_address, &n))
 		goto bad;
 	conn = http_conn_new(http, CONN_LISTENER, fd);
 	conn->state = CONN_LISTENING;
@@ -127,7 +131,8 @@
 
 static int is_incomplete(const struct conn *conn, int listener_id)
 {
-	return conn && !conn->dead && conn->s.listener->listener.listener_id == listener_id && (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->in.len));
+	return conn && !conn->dead && conn->s.listener->listener.listener_id == listener_id &&
+	       (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->in.len));
 }
 
 int http_incomplete_count(const struct http *http, int listener_id)
@@ -157,10 +162,12 @@
 	conn->listener.sweep_due = 1;
 }
 
-/* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never served. */
+/* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never
+ * served. */
 static int may_close_unread(const struct conn *conn)
 {
-	return conn->state == CONN_READING_HEAD && !conn->in.len && (conn->s.listener->listener.draining || !conn->s.token);
+	return conn->state == CONN_READING_HEAD && !conn->in.len &&
+	       (conn->s.listener->listener.draining || !conn->s.token);
 }
 
 void http_listener_sweep(struct http *http)
@@ -172,7 +179,8 @@
 	for (i = 0; i < arrlen(http->slots); i++) {
 		struct conn *conn = http->slots[i];
 
-		if (conn && !conn->dead && conn->s.listener->listener.sweep_due && may_close_unread(conn) && !http_server_progressed(conn))
+		if (conn && !conn->dead && conn->s.listener->listener.sweep_due && may_close_unread(conn) &&
+		    !http_server_progressed(conn))
 			http_conn_close(conn, 0);
 	}
 	for (i = 0; i < arrlen(http->listeners); i++)
@@ -190,7 +198,8 @@
 
 		if (conn->listener.listener_id != listener_id || conn->fd < 0)
 			continue;
-		while (accepted < ACCEPT_BACKLOG && accept_one(conn)) /* closing the listener would reset what waits in it */
+		while (accepted < ACCEPT_BACKLOG &&
+		       accept_one(conn)) /* closing the listener would reset what waits in it */
 			accepted++;
 		close(conn->fd); /* its struct stays for its connections */
 		conn->fd = -1;
--- a/lib/shell/http.c
+++ b/lib/shell/http_loop.c
@@ -1,5 +1,5 @@
-/* http: see http.h. One epoll, level-triggered: a connection is registered once, and asks for room to write only after a short
- * write. What is written during a turn goes out at its end in one send. */
+/* http: see http.h. One epoll, level-triggered: a connection is registered once, and asks for room to write
+ * only after a short write. What is written during a turn goes out at its end in one send. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 #include "shell.h"
 
@@ -72,13 +72,18 @@
 	http->turn++;
 	http->callback_made = 0;
 	/* the time of the last turn serves where nothing is due soon */
-	if (arrlen(http->queued) || (arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms - http->now_ms < (int64_t)timeout_ms + 1000))
+	if (arrlen(http->queued) ||
+	    (arrlen(http->timer_heap) &&
+	     http->timer_heap[0]->heap_key_ms - http->now_ms < (int64_t)timeout_ms + 1000))
 		http->now_ms = clock_ms();
 	run_queued(http);
 	if (http->callback_made || http->sweep_count || arrlen(http->queued) || timeout_ms < 0)
 		timeout_ms = 0;
-	if (timeout_ms && arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms - http->now_ms < timeout_ms)
-		timeout_ms = http->timer_heap[0]->heap_key_ms > http->now_ms ? (int)(http->timer_heap[0]->heap_key_ms - http->now_ms) : 0;
+	if (timeout_ms && arrlen(http->timer_heap) &&
+	    http->timer_heap[0]->heap_key_ms - http->now_ms < timeout_ms)
+		timeout_ms = http->timer_heap[0]->heap_key_ms > http->now_ms
+				 ? (int)(http->timer_heap[0]->heap_key_ms - http->now_ms)
+				 : 0;
 	http->previous_poll_at_ms = http->polled_at_ms;
 	n = epoll_wait(http->epoll_fd, http->events, EVENTS, timeout_ms);
 	http->now_ms = http->polled_at_ms = clock_ms();
@@ -89,7 +94,9 @@
 		if (!conn) {
 			if (read(http->wake_fd, &count, sizeof count) < 0)
 				continue;
-			__atomic_store_n(&http->woken, 0, __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
+			__atomic_store_n(
+			    &http->woken, 0,
+			    __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
 			continue;
 		}
 		if (conn->dead || conn->fd < 0)
@@ -111,7 +118,8 @@
 {
 	uint64_t one = 1;
 
-	if (!__atomic_exchange_n(&http->woken, 1, __ATOMIC_SEQ_CST) && write(http->wake_fd, &one, sizeof one) < 0)
+	if (!__atomic_exchange_n(&http->woken, 1, __ATOMIC_SEQ_CST) &&
+	    write(http->wake_fd, &one, sizeof one) < 0)
 		return; /* it is awake already */
 }
 
@@ -127,7 +135,8 @@
 	http->callbacks = *callbacks;
 	http->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
 	http->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-	if (http->epoll_fd < 0 || http->wake_fd < 0 || epoll_ctl(http->epoll_fd, EPOLL_CTL_ADD, http->wake_fd, &event)) {
+	if (http->epoll_fd < 0 || http->wake_fd < 0 ||
+	    epoll_ctl(http->epoll_fd, EPOLL_CTL_ADD, http->wake_fd, &event)) {
 		log_write(LOG_ERROR, "http", "Cannot open a loop: %s.", strerror(errno));
 		free(http);
 		return NULL;
@@ -197,7 +206,10 @@
 	return NULL;
 }
 
-struct http_counters http_counters_read(const struct http *http) { return http->counters; }
+struct http_counters http_counters_read(const struct http *http)
+{
+	return http->counters;
+}
 
 uint64_t http_pending_requests(const struct http *http)
 {
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -1,12 +1,12 @@
-/* http_parse: heads go through http-parser once they are whole and their lines are exact. Bodies are counted here, because
- * http-parser as it is packaged forgives chunks that do not end where they say. */
+/* http_parse: heads go through http-parser once they are whole and their lines are exact. Bodies are counted
+ * here, because http-parser as it is packaged forgives chunks that do not end where they say. */
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
 
 #include <http_parser.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 
 /* ---- heads ---- */
@@ -15,7 +15,8 @@
 {
 	static const char others[] = "!#$%&'*+-.^_`|~";
 
-	return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') || (character >= '0' && character <= '9') || (character && strchr(others, character));
+	return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
+	       (character >= '0' && character <= '9') || (character && strchr(others, character));
 }
 
 unsigned char http_token_char[256];
@@ -27,7 +28,8 @@
 
 	if (conn->scan_offset < from)
 		conn->scan_offset = from;
-	while (conn->scan_offset < conn->in.len && (nl = memchr(d + conn->scan_offset, '\n', conn->in.len - conn->scan_offset))) {
+	while (conn->scan_offset < conn->in.len &&
+	       (nl = memchr(d + conn->scan_offset, '\n', conn->in.len - conn->scan_offset))) {
 		size_t i = (size_t)(nl - d);
 
 		if (i == from || d[i - 1] != '\r')
@@ -54,16 +56,18 @@
 	const char *cursor;
 
 	if (!request)
-		return end - line >= 12 && !memcmp(line, "HTTP/1.", 7) && (line[7] == '0' || line[7] == '1') && line[8] == ' ' && line[9] >= '1' &&
-		       line[9] <= '9' && line[10] >= '0' && line[10] <= '9' && line[11] >= '0' && line[11] <= '9' &&
-		       (end - line == 12 || line[12] == ' ') && is_text(line, end);
+		return end - line >= 12 && !memcmp(line, "HTTP/1.", 7) &&
+		       (line[7] == '0' || line[7] == '1') && line[8] == ' ' && line[9] >= '1' &&
+		       line[9] <= '9' && line[10] >= '0' && line[10] <= '9' && line[11] >= '0' &&
+		       line[11] <= '9' && (end - line == 12 || line[12] == ' ') && is_text(line, end);
 	for (cursor = line; cursor < end && http_token_char[(unsigned char)*cursor]; cursor++)
 		;
 	if (cursor == line || cursor == end || *cursor++ != ' ')
 		return 0;
 	for (line = cursor; cursor < end && (unsigned char)*cursor > 32 && *cursor != 127; cursor++)
 		;
-	return cursor > line && end - cursor == 9 && !memcmp(cursor, " HTTP/1.", 8) && (cursor[8] == '0' || cursor[8] == '1');
+	return cursor > line && end - cursor == 9 && !memcmp(cursor, " HTTP/1.", 8) &&
+	       (cursor[8] == '0' || cursor[8] == '1');
 }
 
 /* http-parser forgives folded lines, blanks before a colon and more; whoever reads the same bytes may not. */
@@ -100,14 +104,18 @@
 	reading->name_end = reading->value_end = NULL;
 }
 
-static const char *as_offset(struct conn *conn, const char *position) { return (const char *)(uintptr_t)(position - conn->in.data); }
+static const char *as_offset(struct conn *conn, const char *position)
+{
+	return (const char *)(uintptr_t)(position - conn->in.data);
+}
 
 static int on_url(http_parser *parser, const char *at, size_t n)
 {
 	struct reading *reading = parser->data;
 
 	reading->c->s.target_offset = (size_t)(at - reading->c->in.data);
-	reading->name_end = reading->c->in.data + reading->c->s.target_offset + n; /* the blank behind it, which has been read when the next comes */
+	reading->name_end = reading->c->in.data + reading->c->s.target_offset +
+			    n; /* the blank behind it, which has been read when the next comes */
 	return 0;
 }
 
@@ -121,11 +129,13 @@
 		return -1;
 	if (conn->field_count == conn->field_capacity) {
 		conn->field_capacity = conn->field_capacity ? conn->field_capacity * 2 : 16;
-		if (!(conn->fields = realloc(conn->fields, (size_t)conn->field_capacity * sizeof *conn->fields)))
+		if (!(conn->fields =
+			  realloc(conn->fields, (size_t)conn->field_capacity * sizeof *conn->fields)))
 			abort();
 	}
 	/* offsets, until the buffer moves no more; an empty value is the end of its name */
-	conn->fields[conn->field_count++] = (struct http_field){ as_offset(conn, text), as_offset(conn, text + size) };
+	conn->fields[conn->field_count++] =
+	    (struct http_field){ as_offset(conn, text), as_offset(conn, text + size) };
 	reading->name_end = conn->in.data + (text - conn->in.data) + size;
 	return 0;
 }
@@ -182,8 +192,13 @@
 static void note(struct head *head, const char *name, size_t nn, const char *v, size_t n)
 {
 	switch (nn) {
-	case 4: head->host_count += !strncasecmp(name, "host", 4); break;
-	case 6: head->expects_continue |= !strncasecmp(name, "expect", 6) && list_has_token(v, n, "100-continue"); break;
+	case 4:
+		head->host_count += !strncasecmp(name, "host", 4);
+		break;
+	case 6:
+		head->expects_continue |=
+		    !strncasecmp(name, "expect", 6) && list_has_token(v, n, "100-continue");
+		break;
 	case 10:
 		if (!strncasecmp(name, "connection", 10))
 			head->close |= list_has_token(v, n, "close");
@@ -235,9 +250,10 @@
 /* Read the whole head at in[from, to). Fields are offsets into the buffer afterwards. */
 int http_head_read(struct conn *conn, size_t from, size_t end, int request)
 {
-	static const http_parser_settings set = {
-		.on_url = on_url, .on_header_field = on_field, .on_header_value = on_value, .on_headers_complete = on_head
-	};
+	static const http_parser_settings set = { .on_url = on_url,
+						  .on_header_field = on_field,
+						  .on_header_value = on_value,
+						  .on_headers_complete = on_head };
 	struct reading reading = { .c = conn };
 	http_parser parser;
 
@@ -248,7 +264,8 @@
 	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
 	parser.data = &reading;
 	http_parser_execute(&parser, &set, conn->in.data + from, end - from);
-	if (!reading.ended || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.malformed || (conn->head.chunked && conn->head.has_length) || parser.http_major != 1 ||
+	if (!reading.ended || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.malformed ||
+	    (conn->head.chunked && conn->head.has_length) || parser.http_major != 1 ||
 	    (conn->head.chunked && !parser.http_minor))
 		return 0;
 	conn->head.minor_version = parser.http_minor;
@@ -267,16 +284,23 @@
 	int i;
 
 	for (i = 0; i < conn->field_count; i++)
-		conn->fields[i] = (struct http_field){ conn->in.data + (uintptr_t)conn->fields[i].name, conn->in.data + (uintptr_t)conn->fields[i].value };
+		conn->fields[i] = (struct http_field){ conn->in.data + (uintptr_t)conn->fields[i].name,
+						       conn->in.data + (uintptr_t)conn->fields[i].value };
 }
 
 /* ---- chunks ---- */
 
-static int hex_digit(char character) { return character >= '0' && character <= '9' ? character - '0' : (character | 32) >= 'a' && (character | 32) <= 'f' ? (character | 32) - 'a' + 10 : -1; }
+static int hex_digit(char character)
+{
+	return character >= '0' && character <= '9'                 ? character - '0'
+	       : (character | 32) >= 'a' && (character | 32) <= 'f' ? (character | 32) - 'a' + 10
+								    : -1;
+}
 
 /* Takes bytes up to the end of a span of data, *d and *dn. Returns how many, or -1 for bad framing. */
 /* NOLINTNEXTLINE(readability-function-size): one case for each state of the parser */
-ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data, size_t *data_size)
+ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data,
+			size_t *data_size)
 {
 	size_t i;
 	int digit;
@@ -301,7 +325,8 @@
 		case CHUNK_EXTENSION:
 			if (c == '\r')
 				chunks->state = CHUNK_SIZE_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++chunks->line_bytes > MAX_CHUNK_LINE_BYTES)
+			else if (((unsigned char)c < 32 && c != '\t') || c == 127 ||
+				 ++chunks->line_bytes > MAX_CHUNK_LINE_BYTES)
 				return -1;
 			break;
 		case CHUNK_SIZE_LF:
@@ -339,7 +364,8 @@
 		case CHUNK_TRAILER:
 			if (c == '\r')
 				chunks->state = CHUNK_TRAILER_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 || ++chunks->trailer_bytes > MAX_TRAILER_BYTES)
+			else if (((unsigned char)c < 32 && c != '\t') || c == 127 ||
+				 ++chunks->trailer_bytes > MAX_TRAILER_BYTES)
 				return -1;
 			break;
 		case CHUNK_TRAILER_LF:
@@ -352,7 +378,8 @@
 				return -1;
 			chunks->state = CHUNK_DONE;
 			break;
-		case CHUNK_DONE: break;
+		case CHUNK_DONE:
+			break;
 		}
 	}
 	return (ssize_t)i;
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -8,7 +8,7 @@
 
 #include <http_parser.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "http_internal.h"
 #include "shell.h"
 
@@ -40,10 +40,16 @@
 	case CONN_READING_HEAD:
 		if (conn->s.head_begun)
 			return listener->limits.head_timeout_ms;
-		return listener->draining && conn->s.token && listener->limits.idle_timeout_ms > DRAIN_IDLE_MS ? DRAIN_IDLE_MS : listener->limits.idle_timeout_ms;
-	case CONN_SENDING_RESPONSE: return conn->s.outcome_pending ? listener->limits.idle_timeout_ms : LINGER_MS; /* of a refusal: its request was not read */
-	case CONN_LINGERING: return LINGER_MS;
-	default: return listener->limits.idle_timeout_ms;
+		return listener->draining && conn->s.token && listener->limits.idle_timeout_ms > DRAIN_IDLE_MS
+			   ? DRAIN_IDLE_MS
+			   : listener->limits.idle_timeout_ms;
+	case CONN_SENDING_RESPONSE:
+		return conn->s.outcome_pending ? listener->limits.idle_timeout_ms
+					       : LINGER_MS; /* of a refusal: its request was not read */
+	case CONN_LINGERING:
+		return LINGER_MS;
+	default:
+		return listener->limits.idle_timeout_ms;
 	}
 }
 
@@ -62,7 +68,8 @@
 	http->busy_count++;
 	append_status_line(http, &conn->out, status);
 	if (retry_after_ms > 0) {
-		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000, retry_after_ms % 1000);
+		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000,
+			 retry_after_ms % 1000);
 		http_buffer_append_text(http, &conn->out, retry_after);
 	}
 	http_buffer_append_text(http, &conn->out, "Content-Length: 0\r\nConnection: close\r\n\r\n");
@@ -93,14 +100,16 @@
 	http_head_resolve_fields(conn);
 	side->token = ++http->serial << SLOT_BITS | side->slot;
 	side->request = (struct http_request){ side->token,
-				    side->listener->listener.listener_id,
-				    side->method,
-				    conn->in.data + side->target_offset,
-				    conn->fields,
-				    conn->field_count,
-				    conn->head.has_length || conn->head.chunked ? side->body_bytes ? conn->in.data + side->body_offset : "" : NULL,
-				    side->body_bytes,
-				    http->now_ms };
+					       side->listener->listener.listener_id,
+					       side->method,
+					       conn->in.data + side->target_offset,
+					       conn->fields,
+					       conn->field_count,
+					       conn->head.has_length || conn->head.chunked
+						   ? side->body_bytes ? conn->in.data + side->body_offset : ""
+						   : NULL,
+					       side->body_bytes,
+					       http->now_ms };
 	side->response_begun = side->no_body = side->is_rejection = 0;
 	side->outcome_pending = 1;
 	side->response_deadline_ms = 0;
@@ -130,11 +139,14 @@
 		return !conn->body_remaining;
 	}
 	while (side->parse_offset < conn->in.len && conn->chunks.state != CHUNK_DONE) {
-		if ((k = http_chunk_step(&conn->chunks, conn->in.data + side->parse_offset, conn->in.len - side->parse_offset, &d, &dn)) < 0) {
+		if ((k = http_chunk_step(&conn->chunks, conn->in.data + side->parse_offset,
+					 conn->in.len - side->parse_offset, &d, &dn)) < 0) {
 			http_server_reject(conn, 400, 0);
 			return 0;
 		}
-		if (conn->chunks.state != CHUNK_SIZE && side->body_bytes + dn + conn->chunks.remaining > side->max_body_bytes) { /* the size itself may be half read */
+		if (conn->chunks.state != CHUNK_SIZE &&
+		    side->body_bytes + dn + conn->chunks.remaining >
+			side->max_body_bytes) { /* the size itself may be half read */
 			http_server_reject(conn, 413, 0);
 			return 0;
 		}
@@ -158,7 +170,8 @@
 	ssize_t end;
 
 	if (conn->state == CONN_READING_HEAD) {
-		while (conn->in.len - side->parse_offset >= 2 && !memcmp(conn->in.data + side->parse_offset, "\r\n", 2))
+		while (conn->in.len - side->parse_offset >= 2 &&
+		       !memcmp(conn->in.data + side->parse_offset, "\r\n", 2))
 			side->parse_offset += 2; /* blank lines before a request */
 		if (conn->in.len == side->parse_offset) {
 			conn->in.len = side->parse_offset = conn->scan_offset = 0;
@@ -195,8 +208,11 @@
 		conn->chunks = (struct chunks){ 0 };
 		conn->state = CONN_READING_BODY;
 		if (conn->body_remaining > conn->in.len - side->parse_offset)
-			http_buffer_reserve(http, &conn->in, (size_t)conn->body_remaining - (conn->in.len - side->parse_offset));
-		if (conn->head.expects_continue && conn->head.minor_version && (conn->head.chunked || conn->body_remaining) && conn->in.len == side->parse_offset) {
+			http_buffer_reserve(http, &conn->in,
+					    (size_t)conn->body_remaining -
+						(conn->in.len - side->parse_offset));
+		if (conn->head.expects_continue && conn->head.minor_version &&
+		    (conn->head.chunked || conn->body_remaining) && conn->in.len == side->parse_offset) {
 			http_buffer_append_text(http, &conn->out, "HTTP/1.1 100 Continue\r\n\r\n");
 			http_conn_queue(conn);
 		}
@@ -217,8 +233,8 @@
 	begin_wait(conn);
 }
 
-/* The answer is out. A connection that has not said that it closes waits for the next request, also while the door leaves: one
- * may be on its way, and closing over it would be a reset that may overtake the answer. */
+/* The answer is out. A connection that has not said that it closes waits for the next request, also while the
+ * door leaves: one may be on its way, and closing over it would be a reset that may overtake the answer. */
 static void server_next_request(struct conn *conn)
 {
 	struct http *http = conn->http;
@@ -247,10 +263,12 @@
 		http_buffer_free(http, &conn->in);
 }
 
-/* Nothing of an answer has left, and its time is over: this process may have stood still since it was given. */
+/* Nothing of an answer has left, and its time is over: this process may have stood still since it was given.
+ */
 static int response_is_late(const struct conn *conn)
 {
-	return conn->s.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE && conn->out.len && !conn->out.offset && clock_ms() > conn->s.response_deadline_ms;
+	return conn->s.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE && conn->out.len &&
+	       !conn->out.offset && clock_ms() > conn->s.response_deadline_ms;
 }
 
 void http_server_flush(struct conn *conn)
@@ -276,13 +294,15 @@
 		server_next_request(conn);
 }
 
-/* Bytes behind the request that is being answered: they are read now, so that the answer need not be the last. Not by way of
- * the scratch buffer, which may hold the piece of a server's answer that is being passed on. */
+/* Bytes behind the request that is being answered: they are read now, so that the answer need not be the
+ * last. Not by way of the scratch buffer, which may hold the piece of a server's answer that is being passed
+ * on. */
 static void server_read_early(struct conn *conn)
 {
 	struct http *http = conn->http;
 	struct buffer *early = &conn->s.early;
-	ssize_t n = recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
+	ssize_t n =
+	    recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
 	if (n > 0)
 		early->len += (size_t)n;
@@ -317,27 +337,31 @@
 		if (side->early.len >= MAX_EARLY_BYTES)
 			http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLIN);
 		break;
-	default: break;
+	default:
+		break;
 	}
 	return n;
 }
 
-/* The client's half has ended behind an answer that was given whole: it takes the rest of it, and asks for nothing more. */
+/* The client's half has ended behind an answer that was given whole: it takes the rest of it, and asks for
+ * nothing more. */
 static void half_closed(struct conn *conn)
 {
 	conn->s.closing = conn->s.linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
-/* A client that ends its half before it has an answer counts as gone. HTTP/1.1 leaves open what such an end means; a full close
- * looks the same until something is sent, and a server must not work on for a client that has left. */
+/* A client that ends its half before it has an answer counts as gone. HTTP/1.1 leaves open what such an end
+ * means; a full close looks the same until something is sent, and a server must not work on for a client that
+ * has left. */
 void http_server_event(struct conn *conn, uint32_t events)
 {
 	if (conn->state == CONN_LINGERING) {
 		http_server_linger_read(conn);
 		return;
 	}
-	if ((events & (EPOLLHUP | EPOLLERR)) || ((events & EPOLLRDHUP) && conn->state != CONN_SENDING_RESPONSE)) {
+	if ((events & (EPOLLHUP | EPOLLERR)) ||
+	    ((events & EPOLLRDHUP) && conn->state != CONN_SENDING_RESPONSE)) {
 		server_lost(conn);
 		return;
 	}
@@ -357,7 +381,8 @@
 	int in_head = conn->state == CONN_READING_HEAD && conn->s.head_begun;
 	ssize_t n = server_read(conn);
 
-	return conn->dead || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE || (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
+	return conn->dead || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
+	       (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
 }
 
 /* Bytes of the answer that the client's machine has not acknowledged. */
@@ -398,13 +423,14 @@
 			http_conn_close(conn, 0);
 	} else if (due > conn->http->now_ms) { /* a longer time has come into force */
 		http_timer_set(conn, due);
-	} else if (conn->state == CONN_SENDING_RESPONSE ? !response_progressed(conn) : !http_server_progressed(conn)) {
+	} else if (conn->state == CONN_SENDING_RESPONSE ? !response_progressed(conn)
+							: !http_server_progressed(conn)) {
 		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
 }
 
-/* Does the answer say that the connection closes, because the door leaves? It does not when bytes of another request have
- * come: that one is served too. */
+/* Does the answer say that the connection closes, because the door leaves? It does not when bytes of another
+ * request have come: that one is served too. */
 static int closes_with_response(struct conn *conn)
 {
 	struct server_side *side = &conn->s;
@@ -418,11 +444,13 @@
 
 static int has_retry_after(int status, const struct http_field *fields, int field_count)
 {
-	return (status == 503 || status == 429) && http_field_value(fields, field_count, "Retry-After") != NULL;
+	return (status == 503 || status == 429) &&
+	       http_field_value(fields, field_count, "Retry-After") != NULL;
 }
 
 /* Head of an answer. Length below 0: as the version allows. */
-static void append_response_head(struct conn *conn, int status, const struct http_field *fields, int field_count, int64_t length)
+static void append_response_head(struct conn *conn, int status, const struct http_field *fields,
+				 int field_count, int64_t length)
 {
 	struct http *http = conn->http;
 	struct server_side *side = &conn->s;
@@ -438,7 +466,9 @@
 	if (closes_with_response(conn))
 		side->closing = side->linger = 1;
 	side->remaining_bytes = length < 0 ? 0 : (uint64_t)length;
-	side->response_framing = length >= 0 ? BODY_LENGTH : conn->head.minor_version ? BODY_CHUNKED : BODY_UNTIL_EOF;
+	side->response_framing = length >= 0                ? BODY_LENGTH
+				 : conn->head.minor_version ? BODY_CHUNKED
+							    : BODY_UNTIL_EOF;
 	if (has_no_body) {
 		side->response_framing = BODY_NONE;
 	} else if (side->response_framing == BODY_LENGTH) {
@@ -457,7 +487,8 @@
 static void response_complete(struct conn *conn)
 {
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->s.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an answer costs no system call more */
+	conn->s.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an answer
+					      costs no system call more */
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
@@ -469,7 +500,8 @@
 	return conn ? &conn->s.request : NULL;
 }
 
-void http_respond(struct http *http, uint64_t token, int status, const struct http_field *fields, int field_count, const char *body, size_t body_bytes)
+void http_respond(struct http *http, uint64_t token, int status, const struct http_field *fields,
+		  int field_count, const char *body, size_t body_bytes)
 {
 	struct conn *conn = find_by_token(http, token);
 
@@ -489,7 +521,8 @@
 		conn->s.response_deadline_ms = deadline_ms;
 }
 
-void http_response_begin(struct http *http, uint64_t token, int status, const struct http_field *fields, int field_count, int64_t length)
+void http_response_begin(struct http *http, uint64_t token, int status, const struct http_field *fields,
+			 int field_count, int64_t length)
 {
 	struct conn *conn = find_by_token(http, token);
 
@@ -519,7 +552,8 @@
 		http_buffer_append(http, &conn->out, data, size);
 		http_buffer_append(http, &conn->out, "\r\n", 2);
 		break;
-	default: http_buffer_append(http, &conn->out, data, size);
+	default:
+		http_buffer_append(http, &conn->out, data, size);
 	}
 	http_conn_queue(conn);
 }
@@ -530,7 +564,8 @@
 
 	if (!conn)
 		return;
-	if (!conn->s.response_begun || (conn->s.response_framing == BODY_LENGTH && conn->s.remaining_bytes && !conn->s.no_body)) {
+	if (!conn->s.response_begun ||
+	    (conn->s.response_framing == BODY_LENGTH && conn->s.remaining_bytes && !conn->s.no_body)) {
 		http_response_abort(http, token);
 		return;
 	}
@@ -554,4 +589,7 @@
 	return conn ? conn->out.len - conn->out.offset : 0;
 }
 
-int http_busy_count(const struct http *http) { return http->busy_count + http->sweep_count; }
+int http_busy_count(const struct http *http)
+{
+	return http->busy_count + http->sweep_count;
+}
--- a/lib/shell/proc.c
+++ b/lib/shell/process.c
@@ -1,4 +1,5 @@
-/* proc: settings, and the loop that every daemon runs: events to the owner of its state, commands performed. */
+/* proc: settings, and the loop that every daemon runs: events to the owner of its state, commands performed.
+ */
 #include <apr_file_info.h>
 #include <apr_strings.h>
 #include <argtable2.h>
@@ -12,7 +13,7 @@
 #include <sys/random.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "mechanism.h"
 #include "shell.h"
 
@@ -98,8 +99,9 @@
 			const char *name;
 			const char **target;
 		} strings[] = {
-			{ "listen", &settings->listen }, { "advertise", &settings->advertise }, { "web", &settings->web },
-			{ "zone", &settings->zone },     { "data", &settings->data },           { "fault", &settings->fault },
+			{ "listen", &settings->listen }, { "advertise", &settings->advertise },
+			{ "web", &settings->web },       { "zone", &settings->zone },
+			{ "data", &settings->data },     { "fault", &settings->fault },
 		};
 		int known = 0;
 
@@ -115,17 +117,20 @@
 			}
 		if (!strcmp(key, "seeds")) {
 			known = 1;
-			if (!json_object_is_type(value, json_type_array) || json_object_array_length(value) > 8) {
-				rc = settings_error(program, settings->file, key, "a list of 1 to 8 addresses ip:port");
+			if (!json_object_is_type(value, json_type_array) ||
+			    json_object_array_length(value) > 8) {
+				rc = settings_error(program, settings->file, key,
+						    "a list of 1 to 8 addresses ip:port");
 				goto end;
 			}
 			if (!settings->seed_count)
 				for (size_t i = 0; i < json_object_array_length(value); i++)
-					settings->seeds[settings->seed_count++] =
-					    apr_pstrdup(p, json_object_get_string(json_object_array_get_idx(value, i)));
+					settings->seeds[settings->seed_count++] = apr_pstrdup(
+					    p, json_object_get_string(json_object_array_get_idx(value, i)));
 		}
 		if (!known) {
-			rc = settings_error(program, settings->file, key, apr_psprintf(p, "no such key; known: %s", settings_keys));
+			rc = settings_error(program, settings->file, key,
+					    apr_psprintf(p, "no such key; known: %s", settings_keys));
 			goto end;
 		}
 	}
@@ -148,23 +153,29 @@
 	};
 
 	for (size_t i = 0; i < sizeof addresses / sizeof *addresses; i++)
-		if (addresses[i].value ? !core_parse_addr(addresses[i].value) || !(core_parse_addr(addresses[i].value) & 65535) : addresses[i].required)
-			return settings_error(program, file, addresses[i].name, "an address ip:port with a port of 1 to 65535");
+		if (addresses[i].value ? !core_parse_addr(addresses[i].value) ||
+					     !(core_parse_addr(addresses[i].value) & 65535)
+				       : addresses[i].required)
+			return settings_error(program, file, addresses[i].name,
+					      "an address ip:port with a port of 1 to 65535");
 	if (!settings->zone || !settings->zone[0] || strlen(settings->zone) > 60)
 		return settings_error(program, file, "zone", "a name of 1 to 60 characters");
 	if (!settings->seed_count)
 		return settings_error(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
 	for (int i = 0; i < settings->seed_count; i++)
 		if (!core_parse_addr(settings->seeds[i]))
-			return settings_error(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
+			return settings_error(program, file, "seeds",
+					      "1 to 8 addresses ip:port of other processes");
 	if (has_storage && (!settings->data || !settings->data[0]))
-		return settings_error(program, file, "data", "the folder that this registrar keeps its files in");
+		return settings_error(program, file, "data",
+				      "the folder that this registrar keeps its files in");
 	return -1;
 }
 
 /* Where metrics are told, and the mechanisms that are off: only an experiment may switch one off. */
-static int settings_read_experiment(struct settings *settings, const char *program, const struct arg_int *metrics, const struct arg_lit *experiments,
-			  const struct arg_str *without)
+static int settings_read_experiment(struct settings *settings, const char *program,
+				    const struct arg_int *metrics, const struct arg_lit *experiments,
+				    const struct arg_str *without)
 {
 	settings->experiments_allowed = experiments->count;
 	settings->metrics_port = metrics->count ? metrics->ival[0] : 0;
@@ -176,7 +187,8 @@
 		int mechanism = mechanism_find(without->sval[i]);
 
 		if (mechanism < 0) {
-			fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program, without->sval[i]);
+			fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program,
+				without->sval[i]);
 			for (int k = 0; k < MECHANISMS; k++)
 				fprintf(stderr, " %s", mechanism_info[k].name);
 			fprintf(stderr, "\n");
@@ -188,7 +200,8 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size): a flat list of settings */
-int settings_read(struct settings *settings, const char *program, int has_storage, int argc, char **argv, apr_pool_t *p)
+int settings_read(struct settings *settings, const char *program, int has_storage, int argc, char **argv,
+		  apr_pool_t *p)
 {
 	struct arg_lit *help = arg_lit0("h", "help", "say how it is called"),
 		       *version = arg_lit0(NULL, "version", "say the version");
@@ -198,19 +211,24 @@
 	    "take all settings from where the platform keeps them; with --check, --metrics, --experiments and --without alone");
 	struct arg_file *file = arg_file0("s", "settings", "FILE", "JSON settings; flags go first");
 	struct arg_str *listen = arg_str0("l", "listen", "IP:PORT", "where colleagues reach this process");
-	struct arg_str *advertise = arg_str0(NULL, "advertise", "IP:PORT", "the address told to colleagues, if another");
+	struct arg_str *advertise =
+	    arg_str0(NULL, "advertise", "IP:PORT", "the address told to colleagues, if another");
 	struct arg_str *web =
-	    arg_str0("w", "web", "IP:PORT", has_storage ? "where operators and the platform call" : "where callers call");
+	    arg_str0("w", "web", "IP:PORT",
+		     has_storage ? "where operators and the platform call" : "where callers call");
 	struct arg_str *zone = arg_str0("z", "zone", "NAME", "the zone of this machine");
 	struct arg_str *seed = arg_strn(NULL, "seed", "IP:PORT", 0, 8, "another process; give three");
-	struct arg_str *data = arg_str0("d", "data", "FOLDER", has_storage ? "the data folder" : "unused here");
+	struct arg_str *data =
+	    arg_str0("d", "data", "FOLDER", has_storage ? "the data folder" : "unused here");
 	struct arg_int *metrics = arg_int0(NULL, "metrics", "PORT", "tell metrics there, as GET /metrics");
 	struct arg_lit *experiments = arg_lit0(NULL, "experiments", "allow --without");
-	struct arg_str *without = arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "an experiment: switch a mechanism off");
-	struct arg_str *fault = arg_str0(NULL, "fault", "FILE", "rehearsals only: a file with the ms that each sync is slower");
+	struct arg_str *without =
+	    arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "an experiment: switch a mechanism off");
+	struct arg_str *fault =
+	    arg_str0(NULL, "fault", "FILE", "rehearsals only: a file with the ms that each sync is slower");
 	struct arg_end *end = arg_end(10);
-	void *arguments[] = { help, version, check, other,   file,        listen,  advertise,   web,
-		      zone, seed,    data,  metrics, experiments, without, fault, end };
+	void *arguments[] = { help, version, check, other,   file,        listen,  advertise, web,
+			      zone, seed,    data,  metrics, experiments, without, fault,     end };
 	int (*read_external)(struct settings *, const char *, int, apr_pool_t *) = settings->read_external;
 	int rc = -1, bad;
 
@@ -235,11 +253,13 @@
 	if (rc >= 0)
 		goto end;
 	if (other->count) {
-		if (!read_external || listen->count + advertise->count + web->count + zone->count + seed->count + data->count + fault->count +
-				 file->count) {
-			rc = settings_error(program, "flags", "platform",
-				     read_external ? "no other flag but --check, --metrics, --experiments and --without with it"
-					  : "not known by this program");
+		if (!read_external || listen->count + advertise->count + web->count + zone->count +
+					  seed->count + data->count + fault->count + file->count) {
+			rc = settings_error(
+			    program, "flags", "platform",
+			    read_external
+				? "no other flag but --check, --metrics, --experiments and --without with it"
+				: "not known by this program");
 			goto end;
 		}
 		if ((rc = read_external(settings, program, has_storage, p)) >= 0) {
@@ -285,8 +305,8 @@
 
 /* ---- the loop ---- */
 
-/* Settings of another form may change at any time, with a signal or without. A file that is torn or bad changes
- * nothing, is said once, and is read again until it is good. */
+/* Settings of another form may change at any time, with a signal or without. A file that is torn or bad
+ * changes nothing, is said once, and is read again until it is good. */
 struct watch {
 	int64_t next_poll_at_ms;
 	apr_time_t mtime;
@@ -302,7 +322,8 @@
 	int changed;
 
 	memset(&info, 0, sizeof info);
-	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, p) != APR_SUCCESS && !info.valid)
+	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, p) != APR_SUCCESS &&
+	    !info.valid)
 		return watch->retry_due = 1; /* gone for a moment, or for good: the reading says so */
 	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
 	watch->mtime = info.mtime;
@@ -311,7 +332,8 @@
 	return changed;
 }
 
-static void poll_settings(struct process *p, struct watch *watch, const struct process_handlers *duty, int64_t now)
+static void poll_settings(struct process *p, struct watch *watch, const struct process_handlers *duty,
+			  int64_t now)
 {
 	struct settings settings;
 	apr_pool_t *scratch;
@@ -329,12 +351,14 @@
 		if (p->settings.read_external(&settings, "", p->storage != NULL, scratch) >= 0) {
 			watch->retry_due = 1;
 			if (strncmp(watch->last_error, settings.error_text, sizeof watch->last_error - 1))
-				log_write(LOG_WARN, "proc", "Settings stay as they were. %s.", settings.error_text);
+				log_write(LOG_WARN, "proc", "Settings stay as they were. %s.",
+					  settings.error_text);
 			apr_cpystrn(watch->last_error, settings.error_text, sizeof watch->last_error);
 		} else {
 			watch->retry_due = 0;
 			watch->last_error[0] = 0;
-			log_write(LOG_INFO, "proc", "Settings are read anew%s.", got_hangup ? ", as asked by SIGHUP" : "");
+			log_write(LOG_INFO, "proc", "Settings are read anew%s.",
+				  got_hangup ? ", as asked by SIGHUP" : "");
 			settings.bounds.disabled_mechanisms = p->settings.disabled_mechanisms;
 			settings.bounds.experiments = p->settings.experiments_allowed;
 			p->settings.bounds = settings.bounds;
@@ -351,7 +375,8 @@
 {
 	for (int mechanism = 0; mechanism < MECHANISMS; mechanism++)
 		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)mechanism))
-			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[mechanism].name, mechanism_info[mechanism].description);
+			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[mechanism].name,
+				  mechanism_info[mechanism].description);
 }
 
 int process_open(struct process *p)
@@ -369,7 +394,8 @@
 		ring_on_push(p->events, p->front_end->wake, p->front_end_context);
 		return 1;
 	}
-	return (p->transport = transport_open(p->settings.listen, p->events, p->pool)) && (p->api_server = api_server_open(p->settings.web, p->events, p->pool)) &&
+	return (p->transport = transport_open(p->settings.listen, p->events, p->pool)) &&
+	       (p->api_server = api_server_open(p->settings.web, p->events, p->pool)) &&
 	       (p->server_calls = server_calls_open(p->events, p->pool));
 }
 
@@ -381,24 +407,42 @@
 		if (p->front_end && p->front_end->perform(p->front_end_context, command))
 			continue;
 		switch (command->kind) {
-		case CMD_SEND: transport_send(p->transport, command->args.send.addr, command->args.send.msg); break;
-		case CMD_PERSIST: storage_write(p->storage, command->args.persist); break;
+		case CMD_SEND:
+			transport_send(p->transport, command->args.send.addr, command->args.send.msg);
+			break;
+		case CMD_PERSIST:
+			storage_write(p->storage, command->args.persist);
+			break;
 		case CMD_ANSWER:
-			api_server_respond(p->api_server, command->args.answer.token, command->args.answer.status, command->args.answer.retry_ms, command->args.answer.body,
-				   command->args.answer.not_after_ms);
+			api_server_respond(p->api_server, command->args.answer.token,
+					   command->args.answer.status, command->args.answer.retry_ms,
+					   command->args.answer.body, command->args.answer.not_after_ms);
+			break;
+		case CMD_STREAM_CHUNK:
+			api_server_stream(p->api_server, command->args.stream_chunk.token,
+					  command->args.stream_chunk.body, command->args.stream_chunk.len, 0,
+					  1);
+			break;
+		case CMD_END_STREAM:
+			api_server_stream(p->api_server, command->args.stream_chunk.token,
+					  command->args.stream_chunk.body, command->args.stream_chunk.len, 1,
+					  command->args.stream_chunk.success);
 			break;
-		case CMD_STREAM_CHUNK: api_server_stream(p->api_server, command->args.stream_chunk.token, command->args.stream_chunk.body, command->args.stream_chunk.len, 0, 1); break;
-		case CMD_END_STREAM: api_server_stream(p->api_server, command->args.stream_chunk.token, command->args.stream_chunk.body, command->args.stream_chunk.len, 1, command->args.stream_chunk.success); break;
 		case CMD_CALL:
-			server_calls_start(p->server_calls, command->args.call.token, command->args.call.addr, command->args.call.path, command->args.call.body, command->args.call.limit_ms,
-				   command->args.call.stream, command->args.call.not_after_ms);
+			server_calls_start(p->server_calls, command->args.call.token, command->args.call.addr,
+					   command->args.call.path, command->args.call.body,
+					   command->args.call.limit_ms, command->args.call.stream,
+					   command->args.call.not_after_ms);
+			break;
+		case CMD_CANCEL:
+			server_calls_cancel(p->server_calls, command->args.cancel.token);
 			break;
-		case CMD_CANCEL: server_calls_cancel(p->server_calls, command->args.cancel.token); break;
 		case CMD_FORWARD:
 		case CMD_LIST_SERVERS:
 		case CMD_POLL_REPORT:
 		case CMD_LOAD_WEIGHTS:
-		case CMD_WATCH_CACHE: break; /* only doors of other languages have them */
+		case CMD_WATCH_CACHE:
+			break; /* only doors of other languages have them */
 		}
 	}
 	command_list_clear(&p->commands);
@@ -420,29 +464,39 @@
 
 			log_write(LOG_INFO, "proc", "Stops: what is under way is ended first.");
 			p->stopping = 1;
-			p->stop_deadline_ms = stop.deadline_ms = now + (p->settings.grace_ms ? p->settings.grace_ms : PROCESS_DRAIN_MS);
+			p->stop_deadline_ms = stop.deadline_ms =
+			    now + (p->settings.grace_ms ? p->settings.grace_ms : PROCESS_DRAIN_MS);
 			if (p->front_end)
 				p->front_end->stop(p->front_end_context, now);
 			else
 				duty->step(duty->context, &stop, now, &p->commands);
 			process_perform(p);
 		}
-		if (p->stopping && ((duty->is_idle(duty->context) && (!p->front_end || p->front_end->is_idle(p->front_end_context, now))) || now >= p->stop_deadline_ms))
+		if (p->stopping && ((duty->is_idle(duty->context) &&
+				     (!p->front_end || p->front_end->is_idle(p->front_end_context, now))) ||
+				    now >= p->stop_deadline_ms))
 			break;
 		if (now - tick >= PROCESS_TICK_MS) {
 			tick = now;
 			duty->step(duty->context, NULL, now, &p->commands);
 			process_perform(p);
 			if (duty->streams_valid_until && !p->front_end)
-				api_server_valid_until(p->api_server, duty->streams_valid_until(duty->context));
+				api_server_valid_until(p->api_server,
+						       duty->streams_valid_until(duty->context));
 		}
 		if (!p->front_end && now - scan >= PROCESS_SCAN_MS) {
 			scan = now;
 			api_server_scan(p->api_server);
 		}
 		if (p->front_end) /* what stands in the ring already wakes nobody */
-			p->front_end->wait(p->front_end_context, (int)(!full && tick + PROCESS_TICK_MS - now > 0 ? tick + PROCESS_TICK_MS - now : 0));
-		event = ring_pop(p->events, p->front_end ? 0 : (int)(tick + PROCESS_TICK_MS - now > 0 ? tick + PROCESS_TICK_MS - now : 0));
+			p->front_end->wait(p->front_end_context,
+					   (int)(!full && tick + PROCESS_TICK_MS - now > 0
+						     ? tick + PROCESS_TICK_MS - now
+						     : 0));
+		event = ring_pop(p->events, p->front_end ? 0
+							 : (int)(tick + PROCESS_TICK_MS - now > 0
+								     ? tick + PROCESS_TICK_MS - now
+								     : 0));
 		for (int i = 0; event && i < PROCESS_EVENT_BATCH; i++) {
 			duty->step(duty->context, event, clock_ms(), &p->commands);
 			process_perform(p);
--- a/lib/shell/call.c
+++ b/lib/shell/server_calls.c
@@ -12,10 +12,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
-enum { SERVER_CALL_MAX_LINE_BYTES = 1 << 20, SERVER_CALL_MAX_BODY_BYTES = 16 << 20, SERVER_CALL_CONNECT_TIMEOUT_MS = 800 };
+enum {
+	SERVER_CALL_MAX_LINE_BYTES = 1 << 20,
+	SERVER_CALL_MAX_BODY_BYTES = 16 << 20,
+	SERVER_CALL_CONNECT_TIMEOUT_MS = 800
+};
 
 struct order {
 	int cancel;
@@ -59,8 +63,8 @@
 	return socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
 }
 
-/* The connection is up and nothing has gone out on it: the last look at the clock. The process may have frozen
- * between deciding and connecting. */
+/* The connection is up and nothing has gone out on it: the last look at the clock. The process may have
+ * frozen between deciding and connecting. */
 static int before_sending(void *arg, char *to, char *from, int to_port, int from_port)
 {
 	struct server_call *one = arg;
@@ -93,7 +97,8 @@
 	size_t from = 0;
 
 	n *= one;
-	if ((size_t)arrlen(k->received) + n > (k->is_stream ? SERVER_CALL_MAX_LINE_BYTES : SERVER_CALL_MAX_BODY_BYTES))
+	if ((size_t)arrlen(k->received) + n >
+	    (k->is_stream ? SERVER_CALL_MAX_LINE_BYTES : SERVER_CALL_MAX_BODY_BYTES))
 		return 0;
 	memcpy(arraddnptr(k->received, n), d, n);
 	curl_easy_getinfo(k->curl, CURLINFO_RESPONSE_CODE, &status);
@@ -130,7 +135,8 @@
 static int says_never_started(const char *body)
 {
 	struct json_object *json = json_tokener_parse(body), *v;
-	int never = json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, "began", &v) &&
+	int never = json_object_is_type(json, json_type_object) &&
+		    json_object_object_get_ex(json, "began", &v) &&
 		    json_object_is_type(v, json_type_boolean) && !json_object_get_boolean(v);
 
 	if (json)
@@ -161,10 +167,13 @@
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
 	curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connected);
 	arrput(one->received, 0);
-	/* no connection was ever up, or it was too late to use it, so no byte left; or the server says so in so many words */
-	never = (connected == 0 && !one->socket_refused) || one->too_late || (result == CURLE_OK && status >= 400 && says_never_started(one->received));
+	/* no connection was ever up, or it was too late to use it, so no byte left; or the server says so in
+	 * so many words */
+	never = (connected == 0 && !one->socket_refused) || one->too_late ||
+		(result == CURLE_OK && status >= 400 && says_never_started(one->received));
 	if (one->token)
-		report(call, one->token, one->is_stream, result == CURLE_OK ? (int)status : 0, never, one->received);
+		report(call, one->token, one->is_stream, result == CURLE_OK ? (int)status : 0, never,
+		       one->received);
 	one_free(call, one);
 }
 
@@ -206,7 +215,8 @@
 	curl_easy_setopt(k->curl, CURLOPT_PREREQDATA, k);
 	curl_easy_setopt(k->curl, CURLOPT_TCP_NODELAY, 1L);
 	if (k->is_post) {
-		k->headers = curl_slist_append(curl_slist_append(NULL, "Content-Type: application/json"), "Expect:");
+		k->headers =
+		    curl_slist_append(curl_slist_append(NULL, "Content-Type: application/json"), "Expect:");
 		curl_easy_setopt(k->curl, CURLOPT_HTTPHEADER, k->headers);
 		curl_easy_setopt(k->curl, CURLOPT_POSTFIELDS, k->body);
 		curl_easy_setopt(k->curl, CURLOPT_FRESH_CONNECT, 1L);
@@ -256,7 +266,8 @@
 	call->events = events;
 	ring_open(&call->commands, 16384, pool);
 	call->multi = curl_multi_init();
-	if (!call->multi || apr_thread_create(&call->thread, NULL, server_calls_thread, call, pool) != APR_SUCCESS) {
+	if (!call->multi ||
+	    apr_thread_create(&call->thread, NULL, server_calls_thread, call, pool) != APR_SUCCESS) {
 		log_write(LOG_ERROR, "call", "Step start: no thread for the servers' calls.");
 		return NULL;
 	}
@@ -269,8 +280,8 @@
 	curl_multi_wakeup(call->multi);
 }
 
-void server_calls_start(struct call *call, uint64_t token, const char *addr, const char *path, const char *body, int timeout_ms, int is_stream,
-		int64_t not_after_ms)
+void server_calls_start(struct call *call, uint64_t token, const char *addr, const char *path,
+			const char *body, int timeout_ms, int is_stream, int64_t not_after_ms)
 {
 	struct order *order = calloc(1, sizeof *order);
 	size_t url_size = strlen(addr) + strlen(path) + 8;
@@ -311,7 +322,9 @@
 		free(order);
 	}
 	while (hmlen(call->by_token))
-		one_free(call, call->by_token[0].value); /* NOLINT(clang-analyzer-unix.Malloc): one_free takes it out of by */
+		one_free(call,
+			 call->by_token[0]
+			     .value); /* NOLINT(clang-analyzer-unix.Malloc): one_free takes it out of by */
 	while (arrlen(call->anonymous))
 		one_free(call, call->anonymous[0]);
 	hmfree(call->by_token);
--- a/lib/shell/store.c
+++ b/lib/shell/storage.c
@@ -1,7 +1,8 @@
 /* store: a controller's data folder: one TDB file, every record with a checksum, one transaction a batch.
  * Acknowledged only after the transaction's own syncs; a failing disk is retried, never skipped.
- * Each transaction also writes how many records there are and the sum of their checksums (TOTAL_KEY), so that what a loss of
- * power has left is judged by its records: all of them of one transaction, or the file is refused. */
+ * Each transaction also writes how many records there are and the sum of their checksums (TOTAL_KEY), so that
+ * what a loss of power has left is judged by its records: all of them of one transaction, or the file is
+ * refused. */
 #include <apr_file_io.h>
 #include <apr_strings.h>
 #include <errno.h>
@@ -17,7 +18,7 @@
 
 #include <tdb.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
 struct storage_job {
@@ -52,17 +53,20 @@
 	_Atomic uint64_t sync_count, refused_count;
 	int lock_fd;
 	int library_faults; /* that the library has logged */
-	int rewrite_due;  /* its records are to be written to a fresh file */
-	int torn;   /* a transaction has failed since the file was opened */
-	int scrub_due;   /* what was taken away must not stay in freed pages: a fresh file is due */
+	int rewrite_due;    /* its records are to be written to a fresh file */
+	int torn;           /* a transaction has failed since the file was opened */
+	int scrub_due;      /* what was taken away must not stay in freed pages: a fresh file is due */
 	const char *fault_file, *folder, *path, *fresh_path;
 };
 
-/* A record: 8 bytes checksum over key and body, then the body. Returns whether it was written, and its checksum. */
-static int record_write(struct storage *storage, const char *key, const void *head, size_t head_size, const void *data, size_t size, uint64_t *sum)
+/* A record: 8 bytes checksum over key and body, then the body. Returns whether it was written, and its
+ * checksum. */
+static int record_write(struct storage *storage, const char *key, const void *head, size_t head_size,
+			const void *data, size_t size, uint64_t *sum)
 {
 	uint8_t *bytes = malloc(8 + head_size + size);
-	TDB_DATA key_data = { (unsigned char *)(uintptr_t)key, strlen(key) }, value_data = { bytes, 8 + head_size + size };
+	TDB_DATA key_data = { (unsigned char *)(uintptr_t)key, strlen(key) },
+		 value_data = { bytes, 8 + head_size + size };
 	int rc;
 
 	if (!bytes)
@@ -95,7 +99,8 @@
 	}
 }
 
-static int put(struct storage *s, const char *key, const void *head, size_t head_size, const void *d, size_t n)
+static int put(struct storage *s, const char *key, const void *head, size_t head_size, const void *d,
+	       size_t n)
 {
 	uint64_t sum;
 
@@ -177,7 +182,8 @@
 	for (size_t i = 0; i < w->entry_count; i++) {
 		struct entry_head h = { w->entries[i].term, w->entries[i].kind };
 
-		if (!put(storage, entry_key(key, sizeof key, w->shard, w->entries[i].index), &h, sizeof h, w->entries[i].data, w->entries[i].len))
+		if (!put(storage, entry_key(key, sizeof key, w->shard, w->entries[i].index), &h, sizeof h,
+			 w->entries[i].data, w->entries[i].len))
 			return 0;
 		if (!*first || *first > *last)
 			*first = w->entries[i].index;
@@ -195,7 +201,8 @@
 		FILE *file = storage->fault_file ? fopen(storage->fault_file, "r") : NULL;
 		long value = 0;
 
-		if (file && fscanf(file, "%ld", &value) != 1) /* NOLINT(cert-err34-c): a rehearsal's own file */
+		if (file &&
+		    fscanf(file, "%ld", &value) != 1) /* NOLINT(cert-err34-c): a rehearsal's own file */
 			value = 0;
 		if (file)
 			(void)fclose(file);
@@ -238,9 +245,9 @@
 	return 0;
 }
 
-/* A commit that a full disk has stopped may stand, or half of it, and what undoes it is refused as well. Only opening the file
- * tells: the library then takes back what is not whole. So nothing is written before that, and what stands is read again; the
- * batch is then written once more, whether it stands or not. */
+/* A commit that a full disk has stopped may stand, or half of it, and what undoes it is refused as well. Only
+ * opening the file tells: the library then takes back what is not whole. So nothing is written before that,
+ * and what stands is read again; the batch is then written once more, whether it stands or not. */
 static int file_reopen(struct storage *storage)
 {
 	if (storage->db)
@@ -257,8 +264,8 @@
 	return 1;
 }
 
-/* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at the next opening.
- * The library's log tells. */
+/* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at
+ * the next opening. The library's log tells. */
 static int commit_transaction(struct storage *storage)
 {
 	int before = storage->library_faults;
@@ -268,7 +275,8 @@
 
 static int file_rewrite(struct storage *storage);
 
-/* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not let that be yet. */
+/* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not
+ * let that be yet. */
 static int rewrite_if_due(struct storage *storage)
 {
 	storage->rewrite_due = storage->rewrite_due && !file_rewrite(storage);
@@ -283,13 +291,15 @@
 	apr_thread_mutex_lock(storage->mutex);
 	memcpy(first, storage->first_entry, sizeof first);
 	memcpy(last, storage->last_entry, sizeof last);
-	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) && tdb_transaction_start(storage->db) == 0;
+	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) &&
+	     tdb_transaction_start(storage->db) == 0;
 	if (ok) {
 		for (size_t i = 0; i < count && ok; i++)
 			ok = write_shard(storage, &jobs[i]->write);
 		ok = ok && total_write(storage);
 		if (ok)
-			ok = commit_transaction(storage); /* syncs; on a fault it has cancelled itself, as far as it could */
+			ok = commit_transaction(
+			    storage); /* syncs; on a fault it has cancelled itself, as far as it could */
 		else
 			tdb_transaction_cancel(storage->db);
 		storage->torn = !ok;
@@ -320,8 +330,8 @@
 	return tdb_store(fresh, key, value, TDB_INSERT);
 }
 
-/* Everything goes to a fresh file that takes the old one's name: what was deleted is in neither its records nor its freed
- * pages. A fall at any moment leaves one whole file under that name. */
+/* Everything goes to a fresh file that takes the old one's name: what was deleted is in neither its records
+ * nor its freed pages. A fall at any moment leaves one whole file under that name. */
 static int file_rewrite(struct storage *storage)
 {
 	struct tdb_context *db;
@@ -338,7 +348,8 @@
 	}
 	ok = ok && tdb_transaction_commit(db) == 0 && storage->library_faults == before;
 	if (ok)
-		folder_sync(storage->folder); /* the fresh file's own name must last before it is given another */
+		folder_sync(
+		    storage->folder); /* the fresh file's own name must last before it is given another */
 	ok = ok && rename(storage->fresh_path, storage->path) == 0;
 	if (!ok) {
 		tdb_close(db);
@@ -360,8 +371,9 @@
 	apr_thread_mutex_unlock(storage->mutex);
 	storage->scrub_due = !ok;
 	if (!ok)
-		log_write(LOG_ERROR, "store",
-			"Step tidy: no fresh file could be written; what was cleared stays in freed pages until the next batch.");
+		log_write(
+		    LOG_ERROR, "store",
+		    "Step tidy: no fresh file could be written; what was cleared stays in freed pages until the next batch.");
 }
 
 static void *APR_THREAD_FUNC storage_thread(apr_thread_t *thread, void *arg)
@@ -380,10 +392,13 @@
 		for (n = 1; n < 256 && (job[n] = ring_pop(storage->jobs, 0)); n++)
 			;
 		inject_sync_delay(storage);
-		while (!storage->stop && !write_batch(storage, job, n)) { /* nothing is acknowledged meanwhile: the owner gives up */
+		while (!storage->stop &&
+		       !write_batch(storage, job,
+				    n)) { /* nothing is acknowledged meanwhile: the owner gives up */
 			if (!bad)
-				log_write(LOG_ERROR, "store", "Step write: the disk refuses (%s); it is tried again.",
-					storage->db ? tdb_errorstr(storage->db) : "it cannot be opened");
+				log_write(LOG_ERROR, "store",
+					  "Step write: the disk refuses (%s); it is tried again.",
+					  storage->db ? tdb_errorstr(storage->db) : "it cannot be opened");
 			bad = 1;
 			storage->refused_count++;
 			apr_sleep(200000);
@@ -498,7 +513,8 @@
 		entry.kind = (uint32_t)h.kind;
 		entry.len = n - sizeof h;
 		entry.data = b + sizeof h;
-		memcpy(b, &i, 8); /* traversal has no order: the head's place keeps the index until settle sorts */
+		memcpy(b, &i,
+		       8); /* traversal has no order: the head's place keeps the index until settle sorts */
 		arrput(reading->e[part], entry);
 	} else {
 		reading->bad = key;
@@ -538,7 +554,8 @@
 		memcpy(saved->entries, entry, saved->entry_count * sizeof *entry);
 		for (size_t k = 0; k < saved->entry_count; k++)
 			if (entry_index(&entry[k]) != saved->first_index + k)
-				return apr_psprintf(pool, "part %d lacks entry %" APR_UINT64_T_FMT, i, saved->first_index + k);
+				return apr_psprintf(pool, "part %d lacks entry %" APR_UINT64_T_FMT, i,
+						    saved->first_index + k);
 		s->first_entry[i] = saved->first_index;
 		s->last_entry[i] = saved->first_index + saved->entry_count - 1;
 		if (saved->first_index > saved->snapshot_index + 1)
@@ -547,9 +564,9 @@
 	return NULL;
 }
 
-/* Are these all records of the last transaction, and of no other? The library's own check also looks at what holds no record: it
- * finds fault with a file that lost power while room for a larger transaction was made, though nothing is missing. A file of an
- * earlier version has no total and must pass it. */
+/* Are these all records of the last transaction, and of no other? The library's own check also looks at what
+ * holds no record: it finds fault with a file that lost power while room for a larger transaction was made,
+ * though nothing is missing. A file of an earlier version has no total and must pass it. */
 static int is_complete(const struct reading *reading, int passes_check)
 {
 	if (!reading->has_total)
@@ -558,8 +575,8 @@
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one check after the other of a data folder */
-struct storage *storage_open(const char *folder, const char *fault_file, struct ring *events, struct stored_state *found, const char **error_text,
-			 apr_pool_t *pool)
+struct storage *storage_open(const char *folder, const char *fault_file, struct ring *events,
+			     struct stored_state *found, const char **error_text, apr_pool_t *pool)
 {
 	struct storage *storage = apr_pcalloc(pool, sizeof *storage);
 	struct reading reading = { .f = found, .p = pool, .store = storage };
@@ -577,7 +594,8 @@
 	}
 	storage->lock_fd = open(apr_pstrcat(pool, folder, "/lock", NULL), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
 	if (storage->lock_fd < 0 || flock(storage->lock_fd, LOCK_EX | LOCK_NB)) {
-		*error_text = apr_psprintf(pool, "step lock: %s is in use by another registrar, or cannot be written", folder);
+		*error_text = apr_psprintf(
+		    pool, "step lock: %s is in use by another registrar, or cannot be written", folder);
 		goto bad;
 	}
 	storage->folder = apr_pstrdup(pool, folder);
@@ -586,30 +604,37 @@
 	(void)unlink(storage->fresh_path); /* of a fall in the middle of its writing */
 	storage->db = file_open(path, O_RDWR | O_CREAT, &storage->library_faults);
 	if (!storage->db) {
-		*error_text = apr_psprintf(pool,
-				    "step open: %s is damaged or unreadable (%s); move the folder away and start anew: "
-				    "the registrar then joins under a new identity",
-				    path, strerror(errno));
+		*error_text = apr_psprintf(
+		    pool,
+		    "step open: %s is damaged or unreadable (%s); move the folder away and start anew: "
+		    "the registrar then joins under a new identity",
+		    path, strerror(errno));
 		goto bad;
 	}
 	sh_new_strdup(storage->sums);
 	passes_check = tdb_check(storage->db, NULL, NULL) == 0;
-	if (tdb_traverse_read(storage->db, read_record, &reading) < 0 || reading.bad || !is_complete(&reading, passes_check)) {
-		*error_text = apr_psprintf(pool,
-				    "step check: %s is damaged%s%s; it is not voted with: move the folder away and start anew, "
-				    "the registrar then joins under a new identity",
-				    path, reading.bad ? " at record " : "", reading.bad ? reading.bad : "");
+	if (tdb_traverse_read(storage->db, read_record, &reading) < 0 || reading.bad ||
+	    !is_complete(&reading, passes_check)) {
+		*error_text = apr_psprintf(
+		    pool,
+		    "step check: %s is damaged%s%s; it is not voted with: move the folder away and start anew, "
+		    "the registrar then joins under a new identity",
+		    path, reading.bad ? " at record " : "", reading.bad ? reading.bad : "");
 		goto bad;
 	}
 	problem = settle(storage, &reading, pool);
 	if (problem) {
-		*error_text = apr_psprintf(pool, "step check: %s: %s; it is not voted with: move the folder away and start anew", path, problem);
+		*error_text = apr_psprintf(
+		    pool, "step check: %s: %s; it is not voted with: move the folder away and start anew",
+		    path, problem);
 		goto bad;
 	}
 	storage->rewrite_due = !passes_check && !file_rewrite(storage);
 	if (!passes_check)
-		log_write(LOG_WARN, "store", "%s was torn outside its records by a loss of power; they %s.", path,
-			storage->rewrite_due ? "are to be written anew before anything else" : "were written anew");
+		log_write(LOG_WARN, "store", "%s was torn outside its records by a loss of power; they %s.",
+			  path,
+			  storage->rewrite_due ? "are to be written anew before anything else"
+					       : "were written anew");
 	for (int i = 0; i < SHARD_COUNT; i++)
 		arrfree(reading.e[i]);
 	folder_sync(folder); /* the file's name must last too */
@@ -635,7 +660,8 @@
 	int ok;
 
 	apr_thread_mutex_lock(storage->mutex);
-	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) && tdb_transaction_start(storage->db) == 0;
+	ok = (!storage->torn || file_reopen(storage)) && rewrite_if_due(storage) &&
+	     tdb_transaction_start(storage->db) == 0;
 	if (ok && !(ok = put(storage, "id", identity, sizeof identity, NULL, 0) && total_write(storage)))
 		tdb_transaction_cancel(storage->db);
 	else if (ok)
@@ -666,8 +692,14 @@
 	ring_push(storage->jobs, job, 1);
 }
 
-uint64_t storage_sync_count(const struct storage *storage) { return storage->sync_count; }
-uint64_t storage_refused_count(const struct storage *storage) { return storage->refused_count; }
+uint64_t storage_sync_count(const struct storage *storage)
+{
+	return storage->sync_count;
+}
+uint64_t storage_refused_count(const struct storage *storage)
+{
+	return storage->refused_count;
+}
 
 void storage_close(struct storage *storage)
 {
--- a/lib/shell/net.c
+++ b/lib/shell/transport.c
@@ -1,6 +1,7 @@
-/* net: framed messages between our own processes. A direction has one TCP connection, and a second one for log entries and
- * pieces of snapshots: heartbeats must not wait behind those on a slow link, or the leader's lease ends.
- * A message may be lost when a connection breaks, and overtake one of the other connection; the core's protocols expect that. */
+/* net: framed messages between our own processes. A direction has one TCP connection, and a second one for
+ * log entries and pieces of snapshots: heartbeats must not wait behind those on a slow link, or the leader's
+ * lease ends. A message may be lost when a connection breaks, and overtake one of the other connection; the
+ * core's protocols expect that. */
 #include <apr_network_io.h>
 #include <apr_poll.h>
 #include <apr_portable.h>
@@ -12,7 +13,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
 #define NET_BULK ((uint64_t)1 << 63) /* in the key of a peer: its second connection */
@@ -22,19 +23,22 @@
 	TRANSPORT_MAX_QUEUE_BYTES = 64 << 20,
 	TRANSPORT_REDIAL_MS = 200,
 	TRANSPORT_DIAL_MS = 250, /* ms without an answer after which another dial goes out beside it */
-	TRANSPORT_MAX_OLDER_DIALS = 8,  /* that wait beside the newest one; a longer way than that is as good as none */
+	TRANSPORT_MAX_OLDER_DIALS =
+	    8, /* that wait beside the newest one; a longer way than that is as good as none */
 	TRANSPORT_MAX_READS = 64,
 	TRANSPORT_POLL_MS = 100,
 	TRANSPORT_CLOSE_MS = 200,    /* at the end, for what was said last to leave */
 	TRANSPORT_CLOSE_POLL_MS = 10 /* between looks whether it has */
 };
 
-/* Bytes that are not acknowledged for so long end a connection. The kernel would ask a silent machine again after ever longer
- * pauses, and not look for 10 s and more after it is back. Over a link that is full an acknowledgement may take as long as that:
- * so a connection whose dial took its time is given a few times that more. */
+/* Bytes that are not acknowledged for so long end a connection. The kernel would ask a silent machine again
+ * after ever longer pauses, and not look for 10 s and more after it is back. Over a link that is full an
+ * acknowledgement may take as long as that: so a connection whose dial took its time is given a few times
+ * that more. */
 enum {
 	TRANSPORT_UNACKED_MS = 1000,
-	TRANSPORT_UNACKED_ROUND_TRIPS = 3, /* round trips, as the dial took them, that are granted beside it */
+	TRANSPORT_UNACKED_ROUND_TRIPS =
+	    3, /* round trips, as the dial took them, that are granted beside it */
 	TRANSPORT_UNACKED_MAX_MS = 5000
 };
 
@@ -57,13 +61,13 @@
 	apr_pool_t *p;
 	apr_socket_t *s;
 	apr_pollfd_t fd;
-	uint64_t addr; /* outgoing: whom to; incoming: 0 */
-	uint8_t *buffer;  /* stb_ds: bytes to write or read so far */
+	uint64_t addr;   /* outgoing: whom to; incoming: 0 */
+	uint8_t *buffer; /* stb_ds: bytes to write or read so far */
 	size_t sent_offset;
 	int up, in_pollset;
 	int64_t redial_at_ms, dialled_at_ms;
 	struct dial *older_dials; /* stb_ds: outgoing: dials before the newest one, oldest first */
-	int unreachable_logged;            /* logged that it cannot be reached */
+	int unreachable_logged;   /* logged that it cannot be reached */
 };
 
 struct net {
@@ -103,8 +107,9 @@
 static apr_sockaddr_t *sockaddr(uint64_t address, apr_pool_t *pool)
 {
 	apr_sockaddr_t *sa = NULL;
-	const char *ip = apr_psprintf(pool, "%u.%u.%u.%u", (unsigned)(address >> 40) & 255, (unsigned)(address >> 32) & 255,
-				      (unsigned)(address >> 24) & 255, (unsigned)(address >> 16) & 255);
+	const char *ip = apr_psprintf(pool, "%u.%u.%u.%u", (unsigned)(address >> 40) & 255,
+				      (unsigned)(address >> 32) & 255, (unsigned)(address >> 24) & 255,
+				      (unsigned)(address >> 16) & 255);
 
 	apr_sockaddr_info_get(&sa, ip, APR_INET, (apr_port_t)(address & 65535), 0, pool);
 	return sa;
@@ -151,7 +156,8 @@
 	apr_sockaddr_t *sa = sockaddr(conn->addr, conn->p);
 	apr_status_t st;
 
-	if (!sa || apr_socket_create(&conn->s, APR_INET, SOCK_STREAM, APR_PROTO_TCP, conn->p) != APR_SUCCESS) {
+	if (!sa ||
+	    apr_socket_create(&conn->s, APR_INET, SOCK_STREAM, APR_PROTO_TCP, conn->p) != APR_SUCCESS) {
 		conn->s = NULL;
 		return;
 	}
@@ -189,8 +195,9 @@
 	list(net, conn, APR_POLLIN);
 }
 
-/* An answer to a dial may only be slow, behind a full link: the dial stays, and another goes out beside it, for a machine that
- * was dark is asked again by the kernel after a second at the soonest. What it was made for is no longer worth sending. */
+/* An answer to a dial may only be slow, behind a full link: the dial stays, and another goes out beside it,
+ * for a machine that was dark is asked again by the kernel after a second at the soonest. What it was made
+ * for is no longer worth sending. */
 static void dial_beside(struct net *net, struct conn *conn)
 {
 	struct dial dial = { conn->p, conn->s, conn->fd, conn->dialled_at_ms };
@@ -211,12 +218,15 @@
 /* The first answer to a dial: this connection is the one. */
 static void outgoing_connected(struct net *net, struct conn *conn)
 {
-	int64_t allowed = TRANSPORT_UNACKED_MS + TRANSPORT_UNACKED_ROUND_TRIPS * (clock_ms() - conn->dialled_at_ms);
+	int64_t allowed =
+	    TRANSPORT_UNACKED_MS + TRANSPORT_UNACKED_ROUND_TRIPS * (clock_ms() - conn->dialled_at_ms);
 
 	older_dials_close(net, conn);
-	limit_unacknowledged(conn->s, (int)(allowed < TRANSPORT_UNACKED_MAX_MS ? allowed : TRANSPORT_UNACKED_MAX_MS));
+	limit_unacknowledged(conn->s,
+			     (int)(allowed < TRANSPORT_UNACKED_MAX_MS ? allowed : TRANSPORT_UNACKED_MAX_MS));
 	if (conn->unreachable_logged)
-		log_write(LOG_INFO, "net", "Colleague %s is reached again.", core_format_addr(conn->p, conn->addr));
+		log_write(LOG_INFO, "net", "Colleague %s is reached again.",
+			  core_format_addr(conn->p, conn->addr));
 	conn->up = 1;
 	conn->unreachable_logged = 0;
 }
@@ -225,7 +235,8 @@
 {
 	if (!conn->up && (events & (APR_POLLERR | APR_POLLHUP))) {
 		if (!conn->unreachable_logged)
-			log_write(LOG_WARN, "net", "Colleague %s cannot be reached.", core_format_addr(conn->p, conn->addr));
+			log_write(LOG_WARN, "net", "Colleague %s cannot be reached.",
+				  core_format_addr(conn->p, conn->addr));
 		conn->unreachable_logged = 1;
 		outgoing_close(net, conn);
 		return;
@@ -250,7 +261,8 @@
 }
 
 /* An older dial has its answer: it takes the newest one's place, or is over. */
-static void older_dial_ready(struct net *net, struct conn *conn, const apr_socket_t *socket, apr_int16_t events)
+static void older_dial_ready(struct net *net, struct conn *conn, const apr_socket_t *socket,
+			     apr_int16_t events)
 {
 	ptrdiff_t i = 0;
 	struct dial dial;
@@ -294,12 +306,14 @@
 		conn->addr = net_bytes->addr;
 		hmput(net->peers, key, conn);
 	}
-	/* a machine without power, or behind a cut, does not answer a dial; the kernel would ask once more after a second only */
+	/* a machine without power, or behind a cut, does not answer a dial; the kernel would ask once more
+	 * after a second only */
 	if (conn->s && !conn->up && clock_ms() - conn->dialled_at_ms > TRANSPORT_DIAL_MS)
 		dial_beside(net, conn);
 	else if (!conn->s && clock_ms() >= conn->redial_at_ms)
 		outgoing_dial(net, conn);
-	if (!conn->s || (size_t)arrlen(conn->buffer) - conn->sent_offset + net_bytes->size_bytes > TRANSPORT_MAX_QUEUE_BYTES)
+	if (!conn->s || (size_t)arrlen(conn->buffer) - conn->sent_offset + net_bytes->size_bytes >
+			    TRANSPORT_MAX_QUEUE_BYTES)
 		return; /* lost: the core asks again */
 	if (conn->sent_offset > 1 << 20) {
 		arrdeln(conn->buffer, 0, conn->sent_offset);
@@ -371,7 +385,8 @@
 			memcpy(arraddnptr(conn->buffer, len), b, len);
 		if (APR_STATUS_IS_EAGAIN(st) || (st == APR_SUCCESS && len < sizeof b)) {
 			if (!incoming_parse_frames(net, conn)) {
-				log_write(LOG_WARN, "net", "A colleague's message makes no sense; the connection is closed.");
+				log_write(LOG_WARN, "net",
+					  "A colleague's message makes no sense; the connection is closed.");
 				incoming_close(net, conn);
 			}
 			return;
@@ -474,10 +489,13 @@
 	apr_pool_create(&net->pool, NULL); /* its own allocator: the thread's alone */
 	net->events = events;
 	ring_open(&net->outgoing, 65536, pool);
-	if (!a || !sa || (st = apr_socket_create(&net->listen_socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool)) != APR_SUCCESS)
+	if (!a || !sa ||
+	    (st = apr_socket_create(&net->listen_socket, APR_INET, SOCK_STREAM, APR_PROTO_TCP, pool)) !=
+		APR_SUCCESS)
 		goto bad;
 	apr_socket_opt_set(net->listen_socket, APR_SO_REUSEADDR, 1);
-	if ((st = apr_socket_bind(net->listen_socket, sa)) != APR_SUCCESS || (st = apr_socket_listen(net->listen_socket, 128)) != APR_SUCCESS)
+	if ((st = apr_socket_bind(net->listen_socket, sa)) != APR_SUCCESS ||
+	    (st = apr_socket_listen(net->listen_socket, 128)) != APR_SUCCESS)
 		goto bad;
 	apr_socket_opt_set(net->listen_socket, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(net->listen_socket, 0);
@@ -501,9 +519,12 @@
 {
 	switch (message->body_case) {
 	case NL__MSG__BODY_SNAPSHOT_CHUNK:
-	case NL__MSG__BODY_CACHE_UPDATE_BATCH: return 1;
-	case NL__MSG__BODY_APPEND: return message->append->n_entries > 0;
-	default: return 0;
+	case NL__MSG__BODY_CACHE_UPDATE_BATCH:
+		return 1;
+	case NL__MSG__BODY_APPEND:
+		return message->append->n_entries > 0;
+	default:
+		return 0;
 	}
 }
 
--- a/tests/ablation.c
+++ b/tests/ablation.c
@@ -1,6 +1,6 @@
-/* ablation: what each mechanism of the routers is worth before servers that read, keep, load and forget (tests/engine_sim): the same
- * days with all of them and without one. Not a test: it prints a table.
- * Usage: ablation [SEEDS]; example: build/ablation 8 */
+/* ablation: what each mechanism of the routers is worth before servers that read, keep, load and forget
+ * (tests/engine_sim): the same days with all of them and without one. Not a test: it prints a table. Usage:
+ * ablation [SEEDS]; example: build/ablation 8 */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -107,7 +107,8 @@
 		return 2;
 	}
 	apr_initialize();
-	printf("Without a mechanism, against all: share in aim, share of tokens read again; %d seeds.\n%-14s", seeds, "");
+	printf("Without a mechanism, against all: share in aim, share of tokens read again; %d seeds.\n%-14s",
+	       seeds, "");
 	for (int d = 0; d < DAYS; d++)
 		printf("  %-34s", days[d].name);
 	printf("\n");
--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -1,4 +1,5 @@
-/* engine_sim: see engine_sim.h. Time goes in steps of a ms; what is under way waits in one list, soonest first. */
+/* engine_sim: see engine_sim.h. Time goes in steps of a ms; what is under way waits in one list, soonest
+ * first. */
 #include "engine_sim.h"
 
 #include <stdio.h>
@@ -7,11 +8,11 @@
 
 #include <apr_strings.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum {
 	TICK_MS = 25,
-	LINK_MS = 1,      /* between processes */
+	LINK_MS = 1,     /* between processes */
 	WATCH_MS = 200,  /* for which a server holds a watch */
 	STEP_MS = 10,    /* between two tokens of an answer */
 	CHUNK = 2048,    /* tokens that a server reads of one prompt before it looks at the next */
@@ -116,28 +117,43 @@
 	struct node nodes[ENGINE_ROUTERS];
 	struct engine engines[ENGINE_SERVERS];
 	struct happening *happenings; /* stb_ds */
-	struct watch *watches;         /* stb_ds */
-	struct asked *requests;         /* stb_ds */
-	struct asked *calls;       /* stb_ds: router << 48 | call: of what is under way */
-	struct seen *prefix_uses;           /* stb_ds */
+	struct watch *watches;        /* stb_ds */
+	struct asked *requests;       /* stb_ds */
+	struct asked *calls;          /* stb_ds: router << 48 | call: of what is under way */
+	struct seen *prefix_uses;     /* stb_ds */
 	struct engine_counts counts[ENGINE_KINDS];
 	double due_at[ENGINE_KINDS];
 	uint64_t prefilled_tokens, prefilled_again_tokens;
 	int table_changed;
 };
 
-static uint64_t random_below(struct engine_sim *w, uint64_t n) { return core_random(&w->rng) % n; }
+static uint64_t random_below(struct engine_sim *w, uint64_t n)
+{
+	return core_random(&w->rng) % n;
+}
 
-static int zone_of(int i) { return i % ENGINE_ZONES; }
+static int zone_of(int i)
+{
+	return i % ENGINE_ZONES;
+}
 
 /* The first router of each zone is its head, the second its successor. */
-static int head_of(int zone) { return zone; }
+static int head_of(int zone)
+{
+	return zone;
+}
 
-static const char *zone_name(int zone) { return zone ? "z2" : "z1"; }
+static const char *zone_name(int zone)
+{
+	return zone ? "z2" : "z1";
+}
 
 /* ---- servers: what they keep ---------------------------------------------------------------------- */
 
-static uint64_t block_key(const char *name, uint64_t id) { return core_rendezvous_weight(core_hash_string(0, name), id); }
+static uint64_t block_key(const char *name, uint64_t id)
+{
+	return core_rendezvous_weight(core_hash_string(0, name), id);
+}
 
 static struct part *part_find(struct engine *engine, uint64_t key)
 {
@@ -149,7 +165,8 @@
 
 static void emit_event(struct engine_sim *engines, struct engine *e, const struct part *p, int removed)
 {
-	struct event event = { ++e->last_event, p->id, removed, "", engines->now + engines->settings.event_lag_ms };
+	struct event event = { ++e->last_event, p->id, removed, "",
+			       engines->now + engines->settings.event_lag_ms };
 
 	apr_cpystrn(event.name, p->name, sizeof event.name);
 	if (random_below(engines, LOSS_SCALE) >= (uint64_t)engines->settings.event_loss)
@@ -171,7 +188,8 @@
 	arrdelswap(engine->part, i);
 }
 
-static void cache_block(struct engine_sim *engines, struct engine *engine, const char *name, uint64_t id, uint32_t tokens)
+static void cache_block(struct engine_sim *engines, struct engine *engine, const char *name, uint64_t id,
+			uint32_t tokens)
 {
 	uint64_t key = block_key(name, id);
 	struct part *part = part_find(engine, key), new_part = { key, id, "", tokens, engines->now };
@@ -230,7 +248,8 @@
 		hmput(engines->prefix_uses, block_key(run->name, run->id[i]), engines->now);
 }
 
-/* What is to be read of a run's prompt, once what a source keeps has been moved; returns the ms that the move takes. */
+/* What is to be read of a run's prompt, once what a source keeps has been moved; returns the ms that the move
+ * takes. */
 static int64_t plan_reading(struct engine_sim *engines, struct engine *engine, struct run *run)
 {
 	int have = count_cached_blocks(engine, run), from = have;
@@ -263,14 +282,20 @@
 
 	for (int i = 0; i < arrlen(engine->run); i++)
 		if (!engine->run[i].begun && (best < 0 || engine->run[i].prio < engine->run[best].prio ||
-					 (engine->run[i].prio == engine->run[best].prio && engine->run[i].at < engine->run[best].at)))
+					      (engine->run[i].prio == engine->run[best].prio &&
+					       engine->run[i].at < engine->run[best].at)))
 			best = i;
 	return best;
 }
 
 static void report_ended(struct engine_sim *engines, const struct run *run, enum forward_end how, int status)
 {
-	later(engines, (struct happening){ .kind = HAPPENS_ENDED, .router = run->router, .call = run->call, .how = how, .status = status },
+	later(engines,
+	      (struct happening){ .kind = HAPPENS_ENDED,
+				  .router = run->router,
+				  .call = run->call,
+				  .how = how,
+				  .status = status },
 	      LINK_MS);
 }
 
@@ -288,7 +313,8 @@
 	run->next_at = engines->now + (int64_t)run->out * STEP_MS;
 	for (int i = 0; i < run->blocks; i++)
 		cache_block(engines, engine, run->name, run->id[i], run->tokens[i]);
-	later(engines, (struct happening){ .kind = HAPPENS_BEGAN, .router = run->router, .call = run->call }, LINK_MS);
+	later(engines, (struct happening){ .kind = HAPPENS_BEGAN, .router = run->router, .call = run->call },
+	      LINK_MS);
 }
 
 static void read_next(struct engine_sim *engines, struct engine *engine)
@@ -362,7 +388,8 @@
 	for (int s = 0; s < ENGINE_SERVERS; s++)
 		loading += engines->engines[s].stage != LOAD_NONE;
 	for (int s = 0; s < ENGINE_SERVERS && loading < engines->settings.max_loads; s++) {
-		if (engines->engines[s].stage != LOAD_NONE || engines->engines[s].weights == engines->target_weights)
+		if (engines->engines[s].stage != LOAD_NONE ||
+		    engines->engines[s].weights == engines->target_weights)
 			continue;
 		stage(engines, &engines->engines[s], LOAD_NOTICE);
 		loading++;
@@ -489,17 +516,22 @@
 		return;
 	for (ptrdiff_t k = 0; k < arrlen(router->relay.downstreams); k++)
 		router->relay.downstreams[k].last_contact_at_ms = engines->now;
-	for (int j = zone + ENGINE_ZONES; j < ENGINE_ROUTERS && arrlen(router->relay.downstreams) < ENGINE_ROUTERS / ENGINE_ZONES - 1;
+	for (int j = zone + ENGINE_ZONES;
+	     j < ENGINE_ROUTERS && arrlen(router->relay.downstreams) < ENGINE_ROUTERS / ENGINE_ZONES - 1;
 	     j += ENGINE_ZONES) {
-		struct relay_downstream down = {
-			.id = (uint64_t)j + 1, .addr = (uint64_t)j + ROUTER_ADDR, .last_contact_at_ms = engines->now, .cache_feed_started = 1
-		};
+		struct relay_downstream down = { .id = (uint64_t)j + 1,
+						 .addr = (uint64_t)j + ROUTER_ADDR,
+						 .last_contact_at_ms = engines->now,
+						 .cache_feed_started = 1 };
 
 		arrput(router->relay.downstreams, down);
 	}
 }
 
-static uint64_t at_router(int router, uint64_t token) { return core_rendezvous_weight((uint64_t)router + 1, token); }
+static uint64_t at_router(int router, uint64_t token)
+{
+	return core_rendezvous_weight((uint64_t)router + 1, token);
+}
 
 /* ---- requests ------------------------------------------------------------------------------------- */
 
@@ -507,15 +539,22 @@
 {
 	const struct engine_kind *engine_kind = &w->settings.kind[kind];
 	int router = (int)random_below(w, ENGINE_ROUTERS), prefix = 0;
-	struct forwarded_request a = { .token = ++w->token, .limit_ms = 20000, .output_tokens = engine_kind->output_pieces };
+	struct forwarded_request a = { .token = ++w->token,
+				       .limit_ms = 20000,
+				       .output_tokens = engine_kind->output_pieces };
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
-	typeof(w->requests->value) submitted = { .kind = kind, .at = w->now, .out = engine_kind->output_pieces };
+	typeof(w->requests->value) submitted = { .kind = kind,
+						 .at = w->now,
+						 .out = engine_kind->output_pieces };
 
 	if (engine_kind->prefixes && random_below(w, 100) >= (uint64_t)engine_kind->hot_percent)
 		prefix = (int)random_below(w, (uint64_t)engine_kind->prefixes);
 	if (engine_kind->prefixes)
-		a.blocks[a.block_count++] = (struct request_block){ (uint64_t)kind << 32 | (uint64_t)(prefix + 1), engine_kind->shared_tokens };
-	a.blocks[a.block_count++] = (struct request_block){ UINT64_C(1) << 40 | ++w->own_id, engine_kind->own_tokens };
+		a.blocks[a.block_count++] =
+		    (struct request_block){ (uint64_t)kind << 32 | (uint64_t)(prefix + 1),
+					    engine_kind->shared_tokens };
+	a.blocks[a.block_count++] =
+	    (struct request_block){ UINT64_C(1) << 40 | ++w->own_id, engine_kind->own_tokens };
 	for (int i = 0; i < a.block_count; i++) {
 		submitted.id[i] = a.blocks[i].hash;
 		submitted.tokens[i] = a.blocks[i].tokens;
@@ -537,7 +576,8 @@
 		if (!engines->settings.kind[k].interval_ms)
 			continue;
 		while (engines->due_at[k] <= (double)engines->now) {
-			engines->due_at[k] += engines->settings.kind[k].interval_ms * (0.5 + (double)random_below(engines, 1000) / 1000);
+			engines->due_at[k] += engines->settings.kind[k].interval_ms *
+					      (0.5 + (double)random_below(engines, 1000) / 1000);
 			ask(engines, k);
 		}
 	}
@@ -548,17 +588,24 @@
 static void forwarded(struct engine_sim *engines, int i, const struct forward_command *f)
 {
 	ptrdiff_t at = hmgeti(engines->requests, at_router(i, f->client_token));
-	struct happening happening = { .kind = HAPPENS_ARRIVES, .router = i, .server = atoi(f->server + 2), .call = f->call_token };
+	struct happening happening = {
+		.kind = HAPPENS_ARRIVES, .router = i, .server = atoi(f->server + 2), .call = f->call_token
+	};
 	typeof(engines->requests->value) *a = at < 0 ? NULL : &engines->requests[at].value;
 
 	if (!a)
 		return;
-	happening.run = (struct run){
-		.router = i, .kind = a->kind, .call = f->call_token, .blocks = a->blocks, .from = f->fetch_source, .out = a->out, .prio = f->priority
-	};
+	happening.run = (struct run){ .router = i,
+				      .kind = a->kind,
+				      .call = f->call_token,
+				      .blocks = a->blocks,
+				      .from = f->fetch_source,
+				      .out = a->out,
+				      .prio = f->priority };
 	memcpy(happening.run.id, a->id, sizeof happening.run.id);
 	memcpy(happening.run.tokens, a->tokens, sizeof happening.run.tokens);
-	apr_cpystrn(happening.run.name, f->cache_namespace ? f->cache_namespace : "", sizeof happening.run.name);
+	apr_cpystrn(happening.run.name, f->cache_namespace ? f->cache_namespace : "",
+		    sizeof happening.run.name);
 	happening.status = atoi(f->weights);
 	hmput(engines->calls, at_router(i, f->call_token), *a);
 	later(engines, happening, LINK_MS);
@@ -578,7 +625,10 @@
 	if (!d)
 		abort();
 	nl__msg__pack(command->args.send.msg, d);
-	later(engines, (struct happening){ .kind = HAPPENS_MESSAGE, .router = (int)to, .message = nl__msg__unpack(NULL, n, d) }, LINK_MS);
+	later(engines,
+	      (struct happening){
+		  .kind = HAPPENS_MESSAGE, .router = (int)to, .message = nl__msg__unpack(NULL, n, d) },
+	      LINK_MS);
 	free(d);
 }
 
@@ -590,11 +640,16 @@
 		const struct command *k = &out->commands[n];
 
 		switch (k->kind) {
-		case CMD_SEND: message(w, i, k); break;
-		case CMD_FORWARD: forwarded(w, i, k->args.forward); break;
+		case CMD_SEND:
+			message(w, i, k);
+			break;
+		case CMD_FORWARD:
+			forwarded(w, i, k->args.forward);
+			break;
 		case CMD_WATCH_CACHE:
-			arrput(w->watches, ((struct watch){ i, atoi(k->args.watch_cache.server + 2), k->args.watch_cache.token, k->args.watch_cache.since,
-							  w->now + WATCH_MS }));
+			arrput(w->watches, ((struct watch){ i, atoi(k->args.watch_cache.server + 2),
+							    k->args.watch_cache.token,
+							    k->args.watch_cache.since, w->now + WATCH_MS }));
 			break;
 		case CMD_ANSWER: {
 			ptrdiff_t at = hmgeti(w->requests, at_router(i, k->args.answer.token));
@@ -603,7 +658,8 @@
 				w->counts[w->requests[at].value.kind].refused++;
 			break;
 		}
-		default: break;
+		default:
+			break;
 		}
 	}
 	command_list_clear(out);
@@ -656,7 +712,8 @@
 	for (ptrdiff_t i = arrlen(engines->watches) - 1; i >= 0; i--) {
 		struct watch watch = engines->watches[i];
 
-		if (engines->now < watch.until && !event_is_due(engines, &engines->engines[watch.server], watch.since))
+		if (engines->now < watch.until &&
+		    !event_is_due(engines, &engines->engines[watch.server], watch.since))
 			continue;
 		arrdelswap(engines->watches, i);
 		answer_watch(engines, &watch);
@@ -701,10 +758,10 @@
 static void ended(struct engine_sim *engines, const struct happening *happening)
 {
 	struct forward_result e = { .token = happening->call,
-				  .end = happening->how,
-				  .status = happening->status,
-				  .has_begun = happening->how == FORWARD_COMPLETE,
-				  .wrong_incarnation = happening->status == 421 };
+				    .end = happening->how,
+				    .status = happening->status,
+				    .has_begun = happening->how == FORWARD_COMPLETE,
+				    .wrong_incarnation = happening->status == 421 };
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 	ptrdiff_t at = hmgeti(engines->calls, at_router(happening->router, happening->call));
 
@@ -720,9 +777,15 @@
 	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
 	switch (happening->kind) {
-	case HAPPENS_ARRIVES: arrives(engines, happening); break;
-	case HAPPENS_BEGAN: began(engines, happening); break;
-	case HAPPENS_ENDED: ended(engines, happening); break;
+	case HAPPENS_ARRIVES:
+		arrives(engines, happening);
+		break;
+	case HAPPENS_BEGAN:
+		began(engines, happening);
+		break;
+	case HAPPENS_ENDED:
+		ended(engines, happening);
+		break;
 	case HAPPENS_MESSAGE:
 		event.u.message = happening->message;
 		node_step(engines, happening->router, &event);
@@ -793,7 +856,8 @@
 		struct router *router = &engines->nodes[i].router;
 
 		apr_pool_create(&engines->nodes[i].out.pool, engines->pool);
-		router_open(router, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)), &controller, 1, engines->now);
+		router_open(router, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)),
+			    &controller, 1, engines->now);
 		router->bounds.discover_instances = 1;
 		router->bounds.link_kbps = settings->link_kbps;
 		router->bounds.disabled_mechanisms = settings->mechanisms_off;
@@ -834,7 +898,10 @@
 	engines->table_changed = 1;
 }
 
-void engine_silence_head(struct engine_sim *engines, int zone, int silent) { engines->nodes[head_of(zone)].silent = silent; }
+void engine_silence_head(struct engine_sim *engines, int zone, int silent)
+{
+	engines->nodes[head_of(zone)].silent = silent;
+}
 
 void engine_reset_counts(struct engine_sim *engines)
 {
@@ -845,10 +912,22 @@
 	engines->prefilled_tokens = engines->prefilled_again_tokens = 0;
 }
 
-const struct engine_counts *engine_counts(const struct engine_sim *engines, int kind) { return &engines->counts[kind]; }
-uint64_t engine_prefilled_again(const struct engine_sim *engines) { return engines->prefilled_again_tokens; }
-uint64_t engine_prefilled(const struct engine_sim *engines) { return engines->prefilled_tokens; }
-struct router *engine_router(struct engine_sim *engines, int i) { return &engines->nodes[i].router; }
+const struct engine_counts *engine_counts(const struct engine_sim *engines, int kind)
+{
+	return &engines->counts[kind];
+}
+uint64_t engine_prefilled_again(const struct engine_sim *engines)
+{
+	return engines->prefilled_again_tokens;
+}
+uint64_t engine_prefilled(const struct engine_sim *engines)
+{
+	return engines->prefilled_tokens;
+}
+struct router *engine_router(struct engine_sim *engines, int i)
+{
+	return &engines->nodes[i].router;
+}
 
 static int compare_ints(const void *a, const void *b)
 {
--- a/tests/engine_sim.h
+++ b/tests/engine_sim.h
@@ -1,6 +1,7 @@
-/* engine_sim: routers of some zones before servers that read prompts, keep parts, load weights and forget. The routers are the real
- * ones; who is head of a zone, the table and the list of servers are given to them, and messages between them, events of kept parts
- * and servers' answers take their time. It counts what policies decide on: first pieces, and shared tokens read again. */
+/* engine_sim: routers of some zones before servers that read prompts, keep parts, load weights and forget.
+ * The routers are the real ones; who is head of a zone, the table and the list of servers are given to them,
+ * and messages between them, events of kept parts and servers' answers take their time. It counts what
+ * policies decide on: first pieces, and shared tokens read again. */
 #ifndef NL_ENGINE_SIM_H
 #define NL_ENGINE_SIM_H
 
@@ -10,7 +11,7 @@
 
 /* A kind of request: a shared prefix out of so many, an own part, and pieces to put out. */
 struct engine_kind {
-	int interval_ms;    /* between requests of all routers together; 0: none come */
+	int interval_ms; /* between requests of all routers together; 0: none come */
 	int prefixes;    /* shared prefixes; 0: the request shares none */
 	int hot_percent; /* of the requests, those for the first prefix alone */
 	uint32_t shared_tokens, own_tokens, output_pieces;
@@ -19,14 +20,14 @@
 
 struct engine_settings {
 	uint64_t seed;
-	int prefill_tokens_per_ms;              /* tokens that a server reads in a ms */
-	uint32_t capacity_tokens;                /* tokens that a server keeps, what runs included */
+	int prefill_tokens_per_ms;    /* tokens that a server reads in a ms */
+	uint32_t capacity_tokens;     /* tokens that a server keeps, what runs included */
 	int link_kbps;                /* of a router's own link, as it is told */
 	int event_lag_ms, event_loss; /* of events of kept parts; per mille that never come */
 	int load_ms;                  /* for which new weights load */
-	int loads_under_requests;                   /* they load under running requests */
-	int max_loads;                  /* servers that load together */
-	uint32_t mechanisms_off;             /* mechanisms that are off */
+	int loads_under_requests;     /* they load under running requests */
+	int max_loads;                /* servers that load together */
+	uint32_t mechanisms_off;      /* mechanisms that are off */
 	struct engine_kind kind[ENGINE_KINDS];
 };
 
@@ -57,8 +58,9 @@
 
 const struct engine_counts *engine_counts(const struct engine_sim *engines, int kind);
 
-/* Tokens of shared prefixes that servers read though another one kept them, or they themselves had, under the same weights and lately;
- * all tokens that were read; the most copies of one prefix. Example: again = engine_read_again(w); */
+/* Tokens of shared prefixes that servers read though another one kept them, or they themselves had, under the
+ * same weights and lately; all tokens that were read; the most copies of one prefix. Example: again =
+ * engine_read_again(w); */
 uint64_t engine_prefilled_again(const struct engine_sim *engines);
 uint64_t engine_prefilled(const struct engine_sim *engines);
 
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -6,13 +6,19 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "explore_check.h"
 
-enum { FIRST_ADDR = 100, OPERATION_BYTES = 4, RESERVED_COMMANDS = 64, MAX_BLOBS = 1 << 22, MAX_BYTES = 1 << 16 };
+enum {
+	FIRST_ADDR = 100,
+	OPERATION_BYTES = 4,
+	RESERVED_COMMANDS = 64,
+	MAX_BLOBS = 1 << 22,
+	MAX_BYTES = 1 << 16
+};
 
-/* Every random number of the replicated log is 0: the order of ticks, which is chosen, decides who is first. Only the number
- * of a life has to differ, and leaves no rest against the spans that it is cut to. */
+/* Every random number of the replicated log is 0: the order of ticks, which is chosen, decides who is first.
+ * Only the number of a life has to differ, and leaves no rest against the spans that it is cut to. */
 enum { RANDOM_SPAN = 2100 };
 
 struct explore_world explore_world;
@@ -30,7 +36,8 @@
 	struct explore_heap heaps[EXPLORE_NODES];
 };
 
-/* NOLINTNEXTLINE(bugprone-reserved-identifier,cert-dcl37-c,cert-dcl51-cpp): the linker's --wrap asks for this name */
+/* NOLINTNEXTLINE(bugprone-reserved-identifier,cert-dcl37-c,cert-dcl51-cpp): the linker's --wrap asks for this
+ * name */
 uint64_t __wrap_core_rand(uint64_t *state);
 
 uint64_t __wrap_core_rand(uint64_t *state)
@@ -39,7 +46,10 @@
 	return next_random;
 }
 
-struct raft *explore_raft(int node) { return rafts[node]; }
+struct raft *explore_raft(int node)
+{
+	return rafts[node];
+}
 
 /* ---- interned byte strings ---------------------------------------------- */
 
@@ -121,9 +131,12 @@
 	write.entry_count = (uint32_t)persist->entry_count;
 	write.first = persist->entry_count ? persist->entries[0].index : 0;
 	for (uint32_t i = 0; i < write.entry_count; i++)
-		write.entries[i] = (struct explore_disk_entry){ persist->entries[i].term, persist->entries[i].kind,
-							  explore_intern(persist->entries[i].data, persist->entries[i].len) };
-	replica->writes[replica->n_writes++] = explore_intern(&write, offsetof(struct disk_write, entries) + write.entry_count * sizeof *write.entries);
+		write.entries[i] =
+		    (struct explore_disk_entry){ persist->entries[i].term, persist->entries[i].kind,
+						 explore_intern(persist->entries[i].data,
+								persist->entries[i].len) };
+	replica->writes[replica->n_writes++] = explore_intern(
+	    &write, offsetof(struct disk_write, entries) + write.entry_count * sizeof *write.entries);
 }
 
 static void disk_cut(struct explore_disk *disk, uint64_t from)
@@ -152,7 +165,8 @@
 	struct explore_replica *replica = &explore_world.replica[node];
 	struct explore_disk *disk = &replica->disk;
 	size_t n;
-	const struct disk_write *write = (const struct disk_write *)(const void *)explore_blob(replica->writes[0], &n);
+	const struct disk_write *write =
+	    (const struct disk_write *)(const void *)explore_blob(replica->writes[0], &n);
 
 	memmove(replica->writes, replica->writes + 1, --replica->n_writes * sizeof *replica->writes);
 	replica->writes[replica->n_writes] = 0;
@@ -181,14 +195,17 @@
 
 int explore_node_at(uint64_t addr)
 {
-	return addr >= FIRST_ADDR && addr < FIRST_ADDR + (uint64_t)explore_world.nodes ? (int)(addr - FIRST_ADDR) : -1;
+	return addr >= FIRST_ADDR && addr < FIRST_ADDR + (uint64_t)explore_world.nodes
+		   ? (int)(addr - FIRST_ADDR)
+		   : -1;
 }
 
 static void remove_message(uint32_t at)
 {
 	struct explore_world *world = &explore_world;
 
-	memmove(world->messages + at, world->messages + at + 1, (--world->n_messages - at) * sizeof *world->messages);
+	memmove(world->messages + at, world->messages + at + 1,
+		(--world->n_messages - at) * sizeof *world->messages);
 	memset(&world->messages[world->n_messages], 0, sizeof *world->messages);
 }
 
@@ -218,8 +235,8 @@
 	uint32_t nth = 0;
 
 	for (uint32_t i = 0; i < explore_world.n_messages; i++)
-		if (explore_world.messages[i].to == choice->node && explore_world.messages[i].from == choice->from &&
-		    nth++ == choice->arg)
+		if (explore_world.messages[i].to == choice->node &&
+		    explore_world.messages[i].from == choice->from && nth++ == choice->arg)
 			return (int)i;
 	return -1;
 }
@@ -303,7 +320,8 @@
 	struct command_list *o = step_begin(node);
 	size_t n;
 	const uint8_t *bytes = explore_blob(blob, &n);
-	struct Nl__Msg *message = (struct Nl__Msg *)core_unpack_message(o->pool, &nl__msg__descriptor, n, bytes);
+	struct Nl__Msg *message =
+	    (struct Nl__Msg *)core_unpack_message(o->pool, &nl__msg__descriptor, n, bytes);
 
 	raft_receive(rafts[node], message, explore_world.now, o);
 	step_end(node);
@@ -317,7 +335,8 @@
 		size_t n;
 		const uint8_t *d = explore_blob(disk->entries[i].blob, &n);
 
-		entries[i] = (struct raft_entry){ disk->entries[i].term, disk->entries[i].kind, n, (uint8_t *)(uintptr_t)d };
+		entries[i] = (struct raft_entry){ disk->entries[i].term, disk->entries[i].kind, n,
+						  (uint8_t *)(uintptr_t)d };
 	}
 	return entries;
 }
@@ -326,7 +345,10 @@
 {
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct explore_disk *disk = &replica->disk;
-	struct raft_saved saved = { .term = disk->term, .vote = disk->vote, .snapshot_index = disk->base, .snapshot_term = disk->base_term };
+	struct raft_saved saved = { .term = disk->term,
+				    .vote = disk->vote,
+				    .snapshot_index = disk->base,
+				    .snapshot_term = disk->base_term };
 
 	if (disk->base) {
 		saved.members = explore_blob(disk->members, &saved.members_len);
@@ -427,7 +449,8 @@
 
 	(void)step_begin(node);
 	rafts[node]->drop_tail = 1;
-	raft_snapshot(rafts[node], (const uint8_t *)machine->operations, machine->operation_count * OPERATION_BYTES);
+	raft_snapshot(rafts[node], (const uint8_t *)machine->operations,
+		      machine->operation_count * OPERATION_BYTES);
 	step_end(node);
 }
 
@@ -477,24 +500,35 @@
 	if (choice->node >= explore_world.nodes)
 		return 0;
 	switch (choice->kind) {
-	case CHOICE_DROP: return find_message(choice) >= 0;
-	case CHOICE_RESTART: return !replica->up;
-	case CHOICE_WIPE: return !replica->up && explore_world.identities + 1 < EXPLORE_IDENTITIES;
-	default: break;
+	case CHOICE_DROP:
+		return find_message(choice) >= 0;
+	case CHOICE_RESTART:
+		return !replica->up;
+	case CHOICE_WIPE:
+		return !replica->up && explore_world.identities + 1 < EXPLORE_IDENTITIES;
+	default:
+		break;
 	}
 	if (!replica->up)
 		return 0;
 	switch (choice->kind) {
 	case CHOICE_DELIVER:
-	case CHOICE_DUPLICATE: return find_message(choice) >= 0;
-	case CHOICE_END: return may_end(choice->node);
-	case CHOICE_SYNC: return replica->n_writes > 0;
-	case CHOICE_CRASH: return choice->arg <= replica->n_writes;
-	case CHOICE_COMPACT: return rafts[choice->node]->applied_index > rafts[choice->node]->snapshot_index;
+	case CHOICE_DUPLICATE:
+		return find_message(choice) >= 0;
+	case CHOICE_END:
+		return may_end(choice->node);
+	case CHOICE_SYNC:
+		return replica->n_writes > 0;
+	case CHOICE_CRASH:
+		return choice->arg <= replica->n_writes;
+	case CHOICE_COMPACT:
+		return rafts[choice->node]->applied_index > rafts[choice->node]->snapshot_index;
 	case CHOICE_PROPOSE:
 	case CHOICE_RECONFIGURE:
-	case CHOICE_STEP_DOWN: return rafts[choice->node]->role == RAFT_LEADER;
-	default: return 1;
+	case CHOICE_STEP_DOWN:
+		return rafts[choice->node]->role == RAFT_LEADER;
+	default:
+		return 1;
 	}
 }
 
@@ -525,24 +559,41 @@
 		raft_tick(rafts[node], explore_world.now, step_begin(node));
 		step_end(node);
 		break;
-	case CHOICE_WAIT: wait_ms(choice->arg); break;
-	case CHOICE_PROPOSE: propose(node); break;
-	case CHOICE_CRASH: crash(node, choice->arg); break;
-	case CHOICE_RESTART: open_replica(node); break;
-	case CHOICE_WIPE: wipe(node); break;
-	case CHOICE_COMPACT: compact(node); break;
-	case CHOICE_RECONFIGURE: reconfigure(node, choice->arg); break;
+	case CHOICE_WAIT:
+		wait_ms(choice->arg);
+		break;
+	case CHOICE_PROPOSE:
+		propose(node);
+		break;
+	case CHOICE_CRASH:
+		crash(node, choice->arg);
+		break;
+	case CHOICE_RESTART:
+		open_replica(node);
+		break;
+	case CHOICE_WIPE:
+		wipe(node);
+		break;
+	case CHOICE_COMPACT:
+		compact(node);
+		break;
+	case CHOICE_RECONFIGURE:
+		reconfigure(node, choice->arg);
+		break;
 	case CHOICE_DRAIN:
 		(void)step_begin(node);
 		raft_drain(rafts[node], explore_world.now);
 		step_end(node);
 		break;
-	case CHOICE_END: end_replica(node); break;
+	case CHOICE_END:
+		end_replica(node);
+		break;
 	case CHOICE_STEP_DOWN:
 		raft_step_down(rafts[node], explore_world.now, step_begin(node));
 		step_end(node);
 		break;
-	default: break;
+	default:
+		break;
 	}
 }
 
@@ -558,8 +609,10 @@
 	case CHOICE_RECONFIGURE:
 	case CHOICE_STEP_DOWN:
 	case CHOICE_DRAIN:
-	case CHOICE_END: return 1;
-	default: return 0;
+	case CHOICE_END:
+		return 1;
+	default:
+		return 0;
 	}
 }
 
@@ -599,7 +652,8 @@
 {
 	for (int to = 0; to < explore_world.nodes; to++)
 		for (int from = 0; from < explore_world.nodes; from++)
-			for (int nth = 0; find_message(&(struct choice){ 0, (uint8_t)to, (uint8_t)from, (uint16_t)nth }) >= 0;
+			for (int nth = 0; find_message(&(struct choice){ 0, (uint8_t)to, (uint8_t)from,
+									 (uint16_t)nth }) >= 0;
 			     nth++) {
 				add(list, CHOICE_DELIVER, to, from, nth);
 				add(list, CHOICE_DUPLICATE, to, from, nth);
@@ -631,9 +685,11 @@
 	for (int i = 0; i < explore_world.nodes; i++) {
 		const struct raft *raft = rafts[i];
 
-		if (raft && (raft->term + 4 >= EXPLORE_TERMS || raft->base_index + (uint64_t)arrlen(raft->log) + 4 >= EXPLORE_ENTRIES))
+		if (raft && (raft->term + 4 >= EXPLORE_TERMS ||
+			     raft->base_index + (uint64_t)arrlen(raft->log) + 4 >= EXPLORE_ENTRIES))
 			return 1;
-		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES || explore_world.replica[i].incarnations > 200)
+		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES ||
+		    explore_world.replica[i].incarnations > 200)
 			return 1;
 	}
 	return 0;
@@ -642,8 +698,9 @@
 uint64_t explore_hash(void)
 {
 	struct explore_world *world = &explore_world;
-	uint64_t sum = XXH3_64bits(&world->history, sizeof world->history) ^
-		       XXH3_64bits_withSeed(world->budget, sizeof world->budget, world->operations * 256u + world->rare);
+	uint64_t sum =
+	    XXH3_64bits(&world->history, sizeof world->history) ^
+	    XXH3_64bits_withSeed(world->budget, sizeof world->budget, world->operations * 256u + world->rare);
 
 	for (uint32_t i = 0; i < world->n_messages; i++)
 		sum += XXH3_64bits(&world->messages[i], sizeof *world->messages);
--- a/tests/explore.h
+++ b/tests/explore.h
@@ -1,8 +1,10 @@
-/* explore: a model checker for the replicated log. It drives the real step functions of lib/core/raft with several replicas, their
- * disks and the messages between them, one choice at a time, and checks the invariants after each.
+/* explore: a model checker for the replicated log. It drives the real step functions of lib/core/raft with
+ * several replicas, their disks and the messages between them, one choice at a time, and checks the
+ * invariants after each.
  *
- * A choice is one event at one replica, or the passing of time. Delay, reordering, loss, cut links and frozen replicas need no
- * choices of their own: a message that is never chosen is lost, one chosen late was delayed, a replica without choices is frozen. */
+ * A choice is one event at one replica, or the passing of time. Delay, reordering, loss, cut links and frozen
+ * replicas need no choices of their own: a message that is never chosen is lost, one chosen late was delayed,
+ * a replica without choices is frozen. */
 #ifndef NL_EXPLORE_H
 #define NL_EXPLORE_H
 
@@ -21,8 +23,8 @@
 	EXPLORE_IN_FLIGHT = 40,
 	EXPLORE_WRITES = 16,
 	EXPLORE_PATH = 2000,
-	EXPLORE_UNLIMITED = 255,  /* no budget */
-	EXPLORE_LOST_MS = 1500 /* a member silent for so long is replaced */
+	EXPLORE_UNLIMITED = 255, /* no budget */
+	EXPLORE_LOST_MS = 1500   /* a member silent for so long is replaced */
 };
 
 enum choice_kind {
@@ -33,10 +35,11 @@
 	CHOICE_TICK,
 	CHOICE_WAIT,    /* arg ms pass */
 	CHOICE_PROPOSE, /* a client's operation at node */
-	CHOICE_CRASH,   /* node falls; the oldest arg of its writes that were not synced are on the disk all the same */
+	CHOICE_CRASH, /* node falls; the oldest arg of its writes that were not synced are on the disk all the
+			 same */
 	CHOICE_RESTART,
-	CHOICE_WIPE,        /* node, which is down, loses its disk and comes back empty under a new identity */
-	CHOICE_COMPACT,     /* node takes a snapshot and drops its log */
+	CHOICE_WIPE,    /* node, which is down, loses its disk and comes back empty under a new identity */
+	CHOICE_COMPACT, /* node takes a snapshot and drops its log */
 	CHOICE_RECONFIGURE, /* node may change the membership; arg 1: it knows only of replicas that are up */
 	CHOICE_STEP_DOWN,   /* planned */
 	CHOICE_DRAIN,       /* node is to stop for good, and asks to be let go of */
@@ -94,10 +97,11 @@
 		uint64_t term, commit_term;
 		uint32_t kind, blob;
 	} committed[EXPLORE_ENTRIES];
-	uint8_t leader[EXPLORE_TERMS];                             /* identity that led the term */
-	uint8_t vote[EXPLORE_IDENTITIES][EXPLORE_TERMS];           /* identity voted for */
-	uint8_t acknowledged[EXPLORE_IDENTITIES][EXPLORE_ENTRIES]; /* term of the entry acknowledged at an index */
-	uint8_t ended[EXPLORE_IDENTITIES];                         /* its leave was granted, and its disk is gone */
+	uint8_t leader[EXPLORE_TERMS];                   /* identity that led the term */
+	uint8_t vote[EXPLORE_IDENTITIES][EXPLORE_TERMS]; /* identity voted for */
+	uint8_t acknowledged[EXPLORE_IDENTITIES]
+			    [EXPLORE_ENTRIES]; /* term of the entry acknowledged at an index */
+	uint8_t ended[EXPLORE_IDENTITIES];     /* its leave was granted, and its disk is gone */
 };
 
 struct explore_world {
@@ -140,7 +144,8 @@
 enum explore_scene {
 	SCENE_EMPTY,      /* three replicas, just founded */
 	SCENE_LEASE,      /* a leader with a lease, a follower that lags */
-	SCENE_NEW_LEADER, /* just after the leader changed; the old one knows nothing of it, and its entries are in flight */
+	SCENE_NEW_LEADER, /* just after the leader changed; the old one knows nothing of it, and its entries
+			     are in flight */
 	SCENE_CHANGE,     /* a fourth member is being added */
 	SCENE_REJOINED,   /* a member came back that lost what was not synced */
 	SCENE_LEARNER,    /* a learner that has nearly caught up */
@@ -151,8 +156,10 @@
 	SCENE_SPLIT_LOG,  /* an old leader's entries of an earlier term stand on one follower */
 	SCENE_CUT_OFF,    /* a follower heard nothing of the leader for longer than an election timeout */
 	SCENE_RESTARTED,  /* the same, and the follower that grants the lease has just restarted */
-	SCENE_LED_BEFORE, /* a leader again, two terms after its first; an acknowledgement of then is still in flight */
-	SCENE_LATE_ACK,   /* a leader took a snapshot; a follower's acknowledgement of entries behind it is in flight */
+	SCENE_LED_BEFORE, /* a leader again, two terms after its first; an acknowledgement of then is still in
+			     flight */
+	SCENE_LATE_ACK,   /* a leader took a snapshot; a follower's acknowledgement of entries behind it is in
+			     flight */
 	SCENES
 };
 
@@ -192,7 +199,8 @@
 /* Whether terms, entries or identities near the bounds of the model. */
 int explore_exhausted(void);
 
-/* Run a path from a scene; the first invariant that breaks. Example: assert_int_equal(explore_replay(SCENE_LEASE, path, n), 0); */
+/* Run a path from a scene; the first invariant that breaks. Example:
+ * assert_int_equal(explore_replay(SCENE_LEASE, path, n), 0); */
 enum explore_invariant explore_replay(enum explore_scene scene, const struct choice *path, size_t n);
 
 #endif
--- a/tests/explore_check.c
+++ b/tests/explore_check.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 void check_fail(enum explore_invariant invariant, const char *format, ...)
 {
@@ -17,14 +17,22 @@
 	va_end(args);
 }
 
-static uint64_t last_index(const struct raft *raft) { return raft->base_index + (uint64_t)arrlen(raft->log); }
+static uint64_t last_index(const struct raft *raft)
+{
+	return raft->base_index + (uint64_t)arrlen(raft->log);
+}
 
 static const struct raft_entry *entry_at(const struct raft *raft, uint64_t index)
 {
-	return index > raft->base_index && index <= last_index(raft) ? &raft->log[index - raft->base_index - 1] : NULL;
+	return index > raft->base_index && index <= last_index(raft)
+		   ? &raft->log[index - raft->base_index - 1]
+		   : NULL;
 }
 
-static uint64_t disk_last(const struct explore_disk *disk) { return disk->entry_count ? disk->first + disk->entry_count - 1 : disk->base; }
+static uint64_t disk_last(const struct explore_disk *disk)
+{
+	return disk->entry_count ? disk->first + disk->entry_count - 1 : disk->base;
+}
 
 /* Whether a disk holds the entry that was committed at an index, in its log or its snapshot. */
 static int disk_holds(const struct explore_disk *disk, uint64_t index)
@@ -52,8 +60,8 @@
 	if (!vote)
 		return;
 	if (*known && *known != vote)
-		check_fail(ONE_VOTE_A_TERM, "replica %d voted in term %d for %d and for %d", (int)identity, (int)term, *known,
-			   (int)vote);
+		check_fail(ONE_VOTE_A_TERM, "replica %d voted in term %d for %d and for %d", (int)identity,
+			   (int)term, *known, (int)vote);
 	*known = (uint8_t)vote;
 }
 
@@ -63,8 +71,10 @@
 	const struct explore_replica *replica = &explore_world.replica[node];
 
 	for (uint64_t i = 1; i <= history->commit; i++)
-		if (history->acknowledged[replica->identity][i] == history->committed[i].term && !disk_holds(&replica->disk, i))
-			check_fail(VOTER_KEEPS_WHAT_IT_ACKNOWLEDGED, "replica %d votes without entry %d, which it acknowledged",
+		if (history->acknowledged[replica->identity][i] == history->committed[i].term &&
+		    !disk_holds(&replica->disk, i))
+			check_fail(VOTER_KEEPS_WHAT_IT_ACKNOWLEDGED,
+				   "replica %d votes without entry %d, which it acknowledged",
 				   replica->identity, (int)i);
 }
 
@@ -77,8 +87,8 @@
 	if (!reply->granted || reply->is_pre_vote || candidate < 0)
 		return;
 	if (replica->disk.term < reply->term || (replica->disk.term == reply->term && !replica->disk.vote))
-		check_fail(VOTE_IS_ON_DISK, "replica %d grants term %d before its vote is on the disk", replica->identity,
-			   (int)reply->term);
+		check_fail(VOTE_IS_ON_DISK, "replica %d grants term %d before its vote is on the disk",
+			   replica->identity, (int)reply->term);
 	check_voter_log(node);
 }
 
@@ -92,20 +102,26 @@
 	if (!reply->success)
 		return;
 	if (reply->match_index > disk_last(disk))
-		check_fail(ACKNOWLEDGED_IS_ON_DISK, "replica %d acknowledges %d, its disk has %d", replica->identity,
-			   (int)reply->match_index, (int)disk_last(disk));
+		check_fail(ACKNOWLEDGED_IS_ON_DISK, "replica %d acknowledges %d, its disk has %d",
+			   replica->identity, (int)reply->match_index, (int)disk_last(disk));
 	for (uint64_t i = 1; i <= reply->match_index && i <= disk->base; i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)history->committed[i].term;
-	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match_index && i <= disk_last(disk); i++)
+	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match_index && i <= disk_last(disk);
+	     i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)disk->entries[i - disk->first].term;
 }
 
 void check_message(int node, const struct command *cmd)
 {
 	switch (cmd->args.send.msg->body_case) {
-	case NL__MSG__BODY_VOTE_REPLY: check_vote_reply(node, cmd); break;
-	case NL__MSG__BODY_APPEND_REPLY: check_append_reply(node, cmd); break;
-	default: break;
+	case NL__MSG__BODY_VOTE_REPLY:
+		check_vote_reply(node, cmd);
+		break;
+	case NL__MSG__BODY_APPEND_REPLY:
+		check_append_reply(node, cmd);
+		break;
+	default:
+		break;
 	}
 }
 
@@ -130,14 +146,16 @@
 		if (history->committed[i].kind != RAFT_ENTRY_OPERATION)
 			continue;
 		if (n >= machine->operation_count ||
-		    memcmp(explore_blob(history->committed[i].blob, &bytes), &machine->operations[n], sizeof *machine->operations))
+		    memcmp(explore_blob(history->committed[i].blob, &bytes), &machine->operations[n],
+			   sizeof *machine->operations))
 			check_fail(APPLIED_IN_ORDER, "replica %d: operation %d differs from entry %d",
 				   explore_world.replica[node].identity, (int)n, (int)i);
 		n++;
 	}
 	if (n != machine->operation_count)
 		check_fail(APPLIED_IN_ORDER, "replica %d applied %d operations up to %d, others %d",
-			   explore_world.replica[node].identity, (int)machine->operation_count, (int)machine->applied, (int)n);
+			   explore_world.replica[node].identity, (int)machine->operation_count,
+			   (int)machine->applied, (int)n);
 }
 
 static void note_committed(int node);
@@ -147,8 +165,8 @@
 	(void)entry;
 	note_committed(node);
 	if (index > explore_world.history.commit)
-		check_fail(APPLIED_IN_ORDER, "replica %d applied %d, which is not committed", explore_world.replica[node].identity,
-			   (int)index);
+		check_fail(APPLIED_IN_ORDER, "replica %d applied %d, which is not committed",
+			   explore_world.replica[node].identity, (int)index);
 }
 
 void check_loaded(int node)
@@ -164,12 +182,13 @@
 {
 	const struct explore_history *history = &explore_world.history;
 
-	return entry->term == history->committed[index].term && entry->kind == history->committed[index].kind &&
+	return entry->term == history->committed[index].term &&
+	       entry->kind == history->committed[index].kind &&
 	       explore_intern(entry->data, entry->len) == history->committed[index].blob;
 }
 
-/* Whether a member has the entry that was committed at an index. One that has lost its disk counts as long as it is a member;
- * one that was let go does not. */
+/* Whether a member has the entry that was committed at an index. One that has lost its disk counts as long as
+ * it is a member; one that was let go does not. */
 static int member_holds(const struct raft_member *member, uint64_t index)
 {
 	const struct explore_history *history = &explore_world.history;
@@ -181,7 +200,8 @@
 		       : history->acknowledged[member->id][index] == history->committed[index].term;
 }
 
-/* Whether an identity is there with the entry at an index, or would be but for a disk that was lost, which is another loss. */
+/* Whether an identity is there with the entry at an index, or would be but for a disk that was lost, which is
+ * another loss. */
 static int holds_or_was_lost(uint64_t id, uint64_t index)
 {
 	const struct explore_replica *replica = replica_of(id);
@@ -202,7 +222,8 @@
 		copies += member_holds(&raft->members[i], index);
 	}
 	if (copies <= voters / 2)
-		check_fail(COMMITTED_ON_A_MAJORITY, "entry %d, committed, is on %d of %d disks", (int)index, copies, voters);
+		check_fail(COMMITTED_ON_A_MAJORITY, "entry %d, committed, is on %d of %d disks", (int)index,
+			   copies, voters);
 }
 
 /* The packed members that a replica has in force. */
@@ -252,11 +273,13 @@
 
 	for (uint64_t i = to; i > from; i--) {
 		const struct raft_entry *x = entry_at(a, i), *y = entry_at(b, i);
-		int equal = x->term == y->term && x->kind == y->kind && x->len == y->len && !memcmp(x->data, y->data, x->len);
+		int equal = x->term == y->term && x->kind == y->kind && x->len == y->len &&
+			    !memcmp(x->data, y->data, x->len);
 
 		same |= x->term == y->term;
 		if (same && !equal)
-			check_fail(LOGS_MATCH, "replicas %d and %d differ at entry %d", explore_world.replica[node].identity,
+			check_fail(LOGS_MATCH, "replicas %d and %d differ at entry %d",
+				   explore_world.replica[node].identity,
 				   explore_world.replica[other].identity, (int)i);
 	}
 }
@@ -269,11 +292,12 @@
 
 	for (int i = 0; i < raft->member_count; i++) {
 		voters += raft->members[i].voter;
-		votes += raft->members[i].voter && explore_world.history.vote[raft->members[i].id][raft->term] == raft->id;
+		votes += raft->members[i].voter &&
+			 explore_world.history.vote[raft->members[i].id][raft->term] == raft->id;
 	}
 	if (votes <= voters / 2)
-		check_fail(VOTE_IS_ON_DISK, "replica %d leads term %d with %d of %d votes on disks", (int)raft->id, (int)raft->term,
-			   votes, voters);
+		check_fail(VOTE_IS_ON_DISK, "replica %d leads term %d with %d of %d votes on disks",
+			   (int)raft->id, (int)raft->term, votes, voters);
 }
 
 static void check_leader(int node)
@@ -283,16 +307,16 @@
 	const struct raft *raft = explore_raft(node);
 
 	if (history->leader[raft->term] && history->leader[raft->term] != replica->identity)
-		check_fail(ONE_LEADER_A_TERM, "term %d has the leaders %d and %d", (int)raft->term, history->leader[raft->term],
-			   replica->identity);
+		check_fail(ONE_LEADER_A_TERM, "term %d has the leaders %d and %d", (int)raft->term,
+			   history->leader[raft->term], replica->identity);
 	if (!history->leader[raft->term])
 		check_elected(node);
 	history->leader[raft->term] = replica->identity;
 	for (uint64_t i = raft->base_index + 1; i <= history->commit; i++)
 		if (history->committed[i].commit_term < raft->term &&
 		    (i > last_index(raft) || !is_committed_entry(entry_at(raft, i), i)))
-			check_fail(LEADER_HAS_ALL_COMMITTED, "leader %d of term %d lacks entry %d", replica->identity,
-				   (int)raft->term, (int)i);
+			check_fail(LEADER_HAS_ALL_COMMITTED, "leader %d of term %d lacks entry %d",
+				   replica->identity, (int)raft->term, (int)i);
 }
 
 /* ---- membership ---------------------------------------------------------------- */
@@ -339,8 +363,9 @@
 	return copies > voters->n / 2;
 }
 
-/* Whether a majority holds all up to an index without one identity: of the newest membership that is committed, or of that by
- * which the newest entry was committed, which its leader may just have put in force. Any two such majorities meet. */
+/* Whether a majority holds all up to an index without one identity: of the newest membership that is
+ * committed, or of that by which the newest entry was committed, which its leader may just have put in force.
+ * Any two such majorities meet. */
 static int is_held_without(uint64_t without, uint64_t index)
 {
 	struct voters voters = committed_voters();
@@ -389,7 +414,8 @@
 		uncommitted += i > raft->commit_index && entry->term == raft->term;
 		if (i > raft->snapshot_index && known && voters_differ(&before, &voters) > 1)
 			check_fail(ONE_CHANGE_AT_A_TIME, "replica %d: entry %d changes %d voters",
-				   explore_world.replica[node].identity, (int)i, voters_differ(&before, &voters));
+				   explore_world.replica[node].identity, (int)i,
+				   voters_differ(&before, &voters));
 		if (i > raft->snapshot_index)
 			before = voters;
 		known = 1;
@@ -398,11 +424,13 @@
 		check_fail(ONE_CHANGE_AT_A_TIME, "leader %d has %d changes of membership not committed",
 			   explore_world.replica[node].identity, uncommitted);
 	if (raft->role == RAFT_LEADER && uncommitted && raft->commit_index < raft->term_start)
-		check_fail(CHANGE_AFTER_OWN_COMMIT, "leader %d changes the membership before an entry of its term is committed",
+		check_fail(CHANGE_AFTER_OWN_COMMIT,
+			   "leader %d changes the membership before an entry of its term is committed",
 			   explore_world.replica[node].identity);
 }
 
-/* Never fewer members than the minimum. A lost voter may go before its successor, which is a learner then, has its vote. */
+/* Never fewer members than the minimum. A lost voter may go before its successor, which is a learner then,
+ * has its vote. */
 static void check_voters(int node)
 {
 	const struct raft *raft = explore_raft(node);
@@ -411,12 +439,12 @@
 	for (int i = 0; i < raft->member_count; i++)
 		voters += raft->members[i].voter;
 	if (raft->member_count && (raft->member_count < RAFT_MIN_VOTERS || voters < RAFT_MIN_VOTERS - 1))
-		check_fail(ENOUGH_VOTERS, "replica %d knows of %d members, %d of them voters", explore_world.replica[node].identity,
-			   raft->member_count, voters);
+		check_fail(ENOUGH_VOTERS, "replica %d knows of %d members, %d of them voters",
+			   explore_world.replica[node].identity, raft->member_count, voters);
 }
 
-/* A leader has just changed the membership: a majority of the new voters has all that is committed on its disks, and where
- * there are fewer voters than the minimum, learners that have it make up for them. */
+/* A leader has just changed the membership: a majority of the new voters has all that is committed on its
+ * disks, and where there are fewer voters than the minimum, learners that have it make up for them. */
 static void check_new_members(int node)
 {
 	struct explore_replica *replica = &explore_world.replica[node];
@@ -424,15 +452,16 @@
 	int adds = raft->member_count > replica->member_count; /* and takes no copy away */
 	int voters = 0, copies = 0;
 
-	if (raft->role == RAFT_LEADER && raft->members_index > raft->commit_index && raft->members_index > replica->members_index) {
+	if (raft->role == RAFT_LEADER && raft->members_index > raft->commit_index &&
+	    raft->members_index > replica->members_index) {
 		check_copies(raft, raft->commit_index);
 		for (int i = 0; i < raft->member_count; i++) {
 			voters += raft->members[i].voter;
 			copies += member_holds(&raft->members[i], raft->commit_index);
 		}
 		if (!adds && voters < RAFT_MIN_VOTERS && copies < RAFT_MIN_VOTERS)
-			check_fail(ENOUGH_VOTERS, "leader %d leaves %d voters, and %d copies of entry %d", replica->identity,
-				   voters, copies, (int)raft->commit_index);
+			check_fail(ENOUGH_VOTERS, "leader %d leaves %d voters, and %d copies of entry %d",
+				   replica->identity, voters, copies, (int)raft->commit_index);
 	}
 	replica->members_index = raft->members_index;
 	replica->member_count = (uint8_t)raft->member_count;
@@ -446,17 +475,20 @@
 	return 0;
 }
 
-/* One that may leave takes no copy along that is needed: a majority of the group has all that it knows as committed without
- * it. The group is as its newest committed membership says, of which the leaving one may not have heard. */
+/* One that may leave takes no copy along that is needed: a majority of the group has all that it knows as
+ * committed without it. The group is as its newest committed membership says, of which the leaving one may
+ * not have heard. */
 static void check_leaving(int node)
 {
 	const struct raft *raft = explore_raft(node);
 	struct voters voters = committed_voters();
 
-	if (!raft->draining || !raft_may_stop(raft, explore_world.now) || raft->removed || !is_in(&voters, raft->id))
+	if (!raft->draining || !raft_may_stop(raft, explore_world.now) || raft->removed ||
+	    !is_in(&voters, raft->id))
 		return;
 	if (!majority_holds(&voters, raft->id, raft->commit_index))
-		check_fail(DRAINED_IS_NOT_NEEDED, "replica %d may leave, entry %d is on no majority of others' disks", (int)raft->id,
+		check_fail(DRAINED_IS_NOT_NEEDED,
+			   "replica %d may leave, entry %d is on no majority of others' disks", (int)raft->id,
 			   (int)raft->commit_index);
 }
 
@@ -468,12 +500,14 @@
 	const struct raft *raft = explore_raft(node);
 
 	if (raft->commit_index < replica->commit)
-		check_fail(COMMIT_NEVER_GOES_BACK, "replica %d: commit went from %d to %d", replica->identity, (int)replica->commit,
-			   (int)raft->commit_index);
-	if (raft->role == RAFT_LEADER && raft->commit_index > replica->commit && raft->commit_index > raft->base_index &&
-	    entry_at(raft, raft->commit_index)->term != raft->term && raft->term == replica->leads)
-		check_fail(LEADER_COMMITS_ITS_TERM, "leader %d of term %d commits up to %d, of term %d", replica->identity,
-			   (int)raft->term, (int)raft->commit_index, (int)entry_at(raft, raft->commit_index)->term);
+		check_fail(COMMIT_NEVER_GOES_BACK, "replica %d: commit went from %d to %d", replica->identity,
+			   (int)replica->commit, (int)raft->commit_index);
+	if (raft->role == RAFT_LEADER && raft->commit_index > replica->commit &&
+	    raft->commit_index > raft->base_index && entry_at(raft, raft->commit_index)->term != raft->term &&
+	    raft->term == replica->leads)
+		check_fail(LEADER_COMMITS_ITS_TERM, "leader %d of term %d commits up to %d, of term %d",
+			   replica->identity, (int)raft->term, (int)raft->commit_index,
+			   (int)entry_at(raft, raft->commit_index)->term);
 	replica->commit = raft->commit_index;
 	replica->leads = raft->role == RAFT_LEADER ? raft->term : 0;
 	note_committed(node);
@@ -504,7 +538,8 @@
 		holder = i;
 		if (explore_world.replica[i].machine.applied < explore_world.history.commit)
 			check_fail(READS_ARE_FRESH, "replica %d has a lease and applied %d of %d",
-				   explore_world.replica[i].identity, (int)explore_world.replica[i].machine.applied,
+				   explore_world.replica[i].identity,
+				   (int)explore_world.replica[i].machine.applied,
 				   (int)explore_world.history.commit);
 	}
 }
--- a/tests/explore_check.h
+++ b/tests/explore_check.h
@@ -1,11 +1,13 @@
-/* explore_check: the invariants of the model checker. They are checked against what an onlooker has seen so far. */
+/* explore_check: the invariants of the model checker. They are checked against what an onlooker has seen so
+ * far. */
 #ifndef NL_EXPLORE_CHECK_H
 #define NL_EXPLORE_CHECK_H
 
 #include "explore.h"
 
 /* Note a breach, unless one is noted already. Example: check_fail(LOGS_MATCH, "entry %d", 3); */
-void check_fail(enum explore_invariant invariant, const char *format, ...) __attribute__((format(printf, 2, 3)));
+void check_fail(enum explore_invariant invariant, const char *format, ...)
+    __attribute__((format(printf, 2, 3)));
 
 /* What a replica says: called before the message leaves. */
 void check_message(int node, const struct command *cmd);
--- a/tests/explore_heap.c
+++ b/tests/explore_heap.c
@@ -7,7 +7,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum {
 	ALIGNMENT = 16,
@@ -38,9 +38,15 @@
 void *__wrap_realloc(void *p, size_t n);
 void __wrap_free(void *p);
 
-void explore_heap_select(struct explore_heap *heap) { selected = heap; }
+void explore_heap_select(struct explore_heap *heap)
+{
+	selected = heap;
+}
 
-void explore_heap_reset(struct explore_heap *heap) { heap->used = 0; }
+void explore_heap_reset(struct explore_heap *heap)
+{
+	heap->used = 0;
+}
 
 void explore_heap_copy(struct explore_heap *explore_heap, const struct explore_heap *from)
 {
@@ -55,7 +61,8 @@
 
 static int contains(const struct explore_heap *heap, const void *p)
 {
-	return heap && (const unsigned char *)p >= heap->bytes && (const unsigned char *)p < heap->bytes + heap->used;
+	return heap && (const unsigned char *)p >= heap->bytes &&
+	       (const unsigned char *)p < heap->bytes + heap->used;
 }
 
 static void *block_take(struct block *block, size_t n)
@@ -79,7 +86,8 @@
 		offset += sizeof *block + block->capacity;
 	}
 	if (heap->used + sizeof *block + need > EXPLORE_HEAP_BYTES) {
-		fprintf(stderr, "explore: a replica needs more than %d bytes of memory\n", EXPLORE_HEAP_BYTES);
+		fprintf(stderr, "explore: a replica needs more than %d bytes of memory\n",
+			EXPLORE_HEAP_BYTES);
 		abort();
 	}
 	block = block_at(heap, heap->used);
@@ -99,9 +107,15 @@
 	return block;
 }
 
-void *__wrap_malloc(size_t n) { return selected ? heap_alloc(selected, n) : __real_malloc(n); }
+void *__wrap_malloc(size_t n)
+{
+	return selected ? heap_alloc(selected, n) : __real_malloc(n);
+}
 
-void *__wrap_calloc(size_t n, size_t size) { return selected ? heap_alloc(selected, n * size) : __real_calloc(n, size); }
+void *__wrap_calloc(size_t n, size_t size)
+{
+	return selected ? heap_alloc(selected, n * size) : __real_calloc(n, size);
+}
 
 void __wrap_free(void *p)
 {
@@ -179,7 +193,8 @@
 
 		emit(array->length);
 		if (array->capacity)
-			scan((const uint64_t *)(const void *)p, (bytes / array->capacity * array->length + 7) / 8, depth);
+			scan((const uint64_t *)(const void *)p,
+			     (bytes / array->capacity * array->length + 7) / 8, depth);
 	}
 }
 
@@ -192,7 +207,8 @@
 
 static void scan(const uint64_t *words, size_t n, int depth)
 {
-	uint64_t low = (uint64_t)(uintptr_t)hashing.heap->bytes, oldest = (uint64_t)hashing.now - TIME_WINDOW_MS;
+	uint64_t low = (uint64_t)(uintptr_t)hashing.heap->bytes,
+		 oldest = (uint64_t)hashing.now - TIME_WINDOW_MS;
 
 	for (size_t i = 0; i < n; i++) {
 		if (words[i] - low < hashing.heap->used && words[i] % 8 == 0)
--- a/tests/explore_heap.h
+++ b/tests/explore_heap.h
@@ -1,5 +1,6 @@
-/* explore_heap: the heap of one replica as one flat block of memory, so that the model checker can save, restore and hash
- * a replica without knowing what its structures hold. While a heap is selected, malloc and its kin take from it. */
+/* explore_heap: the heap of one replica as one flat block of memory, so that the model checker can save,
+ * restore and hash a replica without knowing what its structures hold. While a heap is selected, malloc and
+ * its kin take from it. */
 #ifndef NL_EXPLORE_HEAP_H
 #define NL_EXPLORE_HEAP_H
 
@@ -8,8 +9,8 @@
 
 enum { EXPLORE_HEAP_BYTES = 64 << 10 };
 
-/* Virtual time starts here. Hashing tells times from other numbers by their size and takes them relative to now, so that
- * two states that differ only by when they were reached are one. */
+/* Virtual time starts here. Hashing tells times from other numbers by their size and takes them relative to
+ * now, so that two states that differ only by when they were reached are one. */
 #define EXPLORE_EPOCH_MS ((int64_t)1 << 40)
 
 struct explore_heap {
--- a/tests/explore_main.c
+++ b/tests/explore_main.c
@@ -22,8 +22,8 @@
 {
 	if (!path.violation)
 		return 0;
-	printf("%s from %s after %zu choices; made minimal:\n", explore_invariant_name(path.violation), explore_scene_name(path.scene),
-	       path.choice_count);
+	printf("%s from %s after %zu choices; made minimal:\n", explore_invariant_name(path.violation),
+	       explore_scene_name(path.scene), path.choice_count);
 	explore_minimize(&path);
 	explore_print(&path, stdout);
 	return 1;
@@ -44,8 +44,9 @@
 		explore_all((enum explore_scene)i, states, 64, bits, &path, &stats);
 		took = seconds() - from;
 		printf("%-10s %10llu states %11llu steps, all orders to depth %2d%s, %7.1f s, %.0f steps/s\n",
-		       explore_scene_name((enum explore_scene)i), (unsigned long long)stats.states, (unsigned long long)stats.steps,
-		       stats.depth, stats.complete ? " (whole)" : "", took, (double)stats.steps / took);
+		       explore_scene_name((enum explore_scene)i), (unsigned long long)stats.states,
+		       (unsigned long long)stats.steps, stats.depth, stats.complete ? " (whole)" : "", took,
+		       (double)stats.steps / took);
 		bad |= report();
 		fflush(stdout);
 	}
@@ -71,8 +72,9 @@
 	took = seconds() - from;
 	printf(
 	    "%llu random paths from seed %llu, %llu steps, %.1f terms with a leader and %.1f entries committed a path, %.1f s, %.0f steps/s\n",
-	    (unsigned long long)paths, (unsigned long long)seed, (unsigned long long)stats.steps, (double)leaders / (double)paths,
-	    (double)committed / (double)paths, took, (double)stats.steps / took);
+	    (unsigned long long)paths, (unsigned long long)seed, (unsigned long long)stats.steps,
+	    (double)leaders / (double)paths, (double)committed / (double)paths, took,
+	    (double)stats.steps / took);
 	return 0;
 }
 
@@ -81,7 +83,8 @@
 	if (argc >= 3 && !strcmp(argv[1], "all"))
 		return run_all(strtoull(argv[2], NULL, 10), argc > 3 ? argv[3] : NULL);
 	if (argc >= 4 && !strcmp(argv[1], "random"))
-		return run_random(strtoull(argv[2], NULL, 10), atoi(argv[3]), argc > 4 ? strtoull(argv[4], NULL, 10) : 1);
+		return run_random(strtoull(argv[2], NULL, 10), atoi(argv[3]),
+				  argc > 4 ? strtoull(argv[4], NULL, 10) : 1);
 	fprintf(stderr, "usage: explore all STATES [SCENE] | random PATHS CHOICES [SEED]\n");
 	return 2;
 }
--- a/tests/explore_scenes.c
+++ b/tests/explore_scenes.c
@@ -1,4 +1,5 @@
-/* The prepared states that an exploration begins with. Each is reached by choices, so that its invariants hold too. */
+/* The prepared states that an exploration begins with. Each is reached by choices, so that its invariants
+ * hold too. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,7 +8,10 @@
 
 enum { ALL = 15, SETTLE_STEPS = 400, ELECTION_ROUNDS = 40 };
 
-static int in_set(int nodes, int node) { return nodes >> node & 1; }
+static int in_set(int nodes, int node)
+{
+	return nodes >> node & 1;
+}
 
 static int do_one(int kind, int node, int from, int arg)
 {
@@ -41,7 +45,10 @@
 		(void)do_one(CHOICE_DROP, explore_world.messages[0].to, explore_world.messages[0].from, 0);
 }
 
-static void wait_for(int ms) { (void)do_one(CHOICE_WAIT, 0, 0, ms); }
+static void wait_for(int ms)
+{
+	(void)do_one(CHOICE_WAIT, 0, 0, ms);
+}
 
 static void heartbeat(int leader, int nodes)
 {
@@ -50,7 +57,10 @@
 	settle(nodes);
 }
 
-static int leads(int node) { return explore_raft(node) && raft_has_lease(explore_raft(node), explore_world.now); }
+static int leads(int node)
+{
+	return explore_raft(node) && raft_has_lease(explore_raft(node), explore_world.now);
+}
 
 /* Only node's clock runs out, and only `nodes` hear each other. */
 static void elect(int node, int nodes)
@@ -65,8 +75,14 @@
 	settle(nodes);
 }
 
-static void fall(int node) { (void)do_one(CHOICE_CRASH, node, 0, 0); }
-static void restart_replica(int node) { (void)do_one(CHOICE_RESTART, node, 0, 0); }
+static void fall(int node)
+{
+	(void)do_one(CHOICE_CRASH, node, 0, 0);
+}
+static void restart_replica(int node)
+{
+	(void)do_one(CHOICE_RESTART, node, 0, 0);
+}
 
 static void found(int nodes, int voters)
 {
@@ -90,7 +106,10 @@
 	propose(0, ALL);
 }
 
-static void scene_empty(void) { found(3, 3); }
+static void scene_empty(void)
+{
+	found(3, 3);
+}
 
 static void scene_lease(void)
 {
@@ -233,9 +252,11 @@
 	begin_lease(3, 3);
 	(void)do_one(CHOICE_PROPOSE, 0, 0, 0);
 	(void)do_one(CHOICE_PROPOSE, 0, 0, 0);
-	while (do_one(CHOICE_SYNC, 0, 0, 0) || do_one(CHOICE_DELIVER, 2, 0, 0) || do_one(CHOICE_SYNC, 2, 0, 0))
+	while (do_one(CHOICE_SYNC, 0, 0, 0) || do_one(CHOICE_DELIVER, 2, 0, 0) ||
+	       do_one(CHOICE_SYNC, 2, 0, 0))
 		;
-	(void)do_one(CHOICE_DELIVER, 1, 0, 0); /* the first entry alone is committed, and the follower has not heard of it */
+	(void)do_one(CHOICE_DELIVER, 1, 0,
+		     0); /* the first entry alone is committed, and the follower has not heard of it */
 	(void)do_one(CHOICE_SYNC, 1, 0, 0);
 	(void)do_one(CHOICE_DELIVER, 0, 1, 0);
 	(void)do_one(CHOICE_COMPACT, 0, 0, 0);
@@ -262,11 +283,15 @@
 	[SCENE_LATE_ACK] = { "LATE_ACK", scene_late_ack },
 };
 
-const char *explore_scene_name(enum explore_scene scene) { return scenes[scene].name; }
+const char *explore_scene_name(enum explore_scene scene)
+{
+	return scenes[scene].name;
+}
 
 enum { RARE = 2 };
 
-/* How often the exhaustive search may choose each kind; of the rare ones two in all. A message that is never chosen is lost. */
+/* How often the exhaustive search may choose each kind; of the rare ones two in all. A message that is never
+ * chosen is lost. */
 static const uint8_t budgets[CHOICE_KINDS] = {
 	[CHOICE_DELIVER] = EXPLORE_UNLIMITED,
 	[CHOICE_SYNC] = EXPLORE_UNLIMITED,
--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ds.h"
+#include "containers.h"
 
 enum { MAX_CHOICES = 256, MAX_DEPTH = 64 };
 
@@ -36,7 +36,10 @@
 	[ENDED_IS_NOT_NEEDED] = "ENDED_IS_NOT_NEEDED",
 };
 
-const char *explore_invariant_name(enum explore_invariant invariant) { return invariant_names[invariant]; }
+const char *explore_invariant_name(enum explore_invariant invariant)
+{
+	return invariant_names[invariant];
+}
 
 /* ---- the states seen --------------------------------------------------- */
 
@@ -135,8 +138,8 @@
 	}
 }
 
-void explore_all(enum explore_scene scene, uint64_t max_states, int max_depth, int table_bits, struct explore_path *path,
-		 struct explore_stats *stats)
+void explore_all(enum explore_scene scene, uint64_t max_states, int max_depth, int table_bits,
+		 struct explore_path *path, struct explore_stats *stats)
 {
 	struct search search = { .visited = visited_new(table_bits), .max_states = max_states, .path = path };
 
@@ -191,20 +194,28 @@
 	return x ^ (x >> 31);
 }
 
-static int below(uint64_t *state, int n) { return (int)(random_next(state) % (uint64_t)n); }
+static int below(uint64_t *state, int n)
+{
+	return (int)(random_next(state) % (uint64_t)n);
+}
 
 static void choose_links(struct episode *episode, uint64_t *state)
 {
 	int nodes = explore_world.nodes, alone = below(state, nodes);
 
 	switch (below(state, 6)) {
-	case 0: episode->cell[alone] = 1; break;
-	case 1: episode->frozen[alone] = 1; break;
+	case 0:
+		episode->cell[alone] = 1;
+		break;
+	case 1:
+		episode->frozen[alone] = 1;
+		break;
 	case 2:
 		for (int i = 0; i < nodes; i++)
 			episode->cell[i] = (uint8_t)below(state, 2);
 		break;
-	default: break;
+	default:
+		break;
 	}
 }
 
@@ -230,7 +241,10 @@
 		episode->total = (uint16_t)(episode->total + episode->weight[kind]);
 }
 
-static int awake(const struct episode *episode, int node) { return explore_world.replica[node].up && !episode->frozen[node]; }
+static int awake(const struct episode *episode, int node)
+{
+	return explore_world.replica[node].up && !episode->frozen[node];
+}
 
 static struct choice choose_delivery(const struct episode *episode, uint64_t *state, int kind)
 {
@@ -243,11 +257,14 @@
 	for (uint32_t k = 0; k < world->n_messages; k++) {
 		const struct explore_message *message = &world->messages[(from + k) % world->n_messages];
 
-		if (!awake(episode, message->to) || episode->cell[message->from] != episode->cell[message->to])
+		if (!awake(episode, message->to) ||
+		    episode->cell[message->from] != episode->cell[message->to])
 			continue;
 		choice = (struct choice){ (uint8_t)kind, message->to, message->from, 0 };
-		for (const struct explore_message *explore_message = world->messages; explore_message < message; explore_message++)
-			choice.arg += explore_message->from == message->from && explore_message->to == message->to;
+		for (const struct explore_message *explore_message = world->messages;
+		     explore_message < message; explore_message++)
+			choice.arg +=
+			    explore_message->from == message->from && explore_message->to == message->to;
 		break;
 	}
 	return choice;
@@ -271,18 +288,27 @@
 	switch (kind) {
 	case CHOICE_DELIVER:
 	case CHOICE_DUPLICATE:
-	case CHOICE_DROP: return choose_delivery(episode, state, kind);
-	case CHOICE_WAIT: return (struct choice){ CHOICE_WAIT, 0, 0, waits[below(state, sizeof waits / sizeof *waits)] };
-	case CHOICE_RECONFIGURE: choice.arg = (uint16_t)below(state, 2); break;
-	case CHOICE_CRASH: choice.arg = (uint16_t)below(state, 3); break;
-	default: break;
+	case CHOICE_DROP:
+		return choose_delivery(episode, state, kind);
+	case CHOICE_WAIT:
+		return (struct choice){ CHOICE_WAIT, 0, 0,
+					waits[below(state, sizeof waits / sizeof *waits)] };
+	case CHOICE_RECONFIGURE:
+		choice.arg = (uint16_t)below(state, 2);
+		break;
+	case CHOICE_CRASH:
+		choice.arg = (uint16_t)below(state, 3);
+		break;
+	default:
+		break;
 	}
 	if (kind != CHOICE_RESTART && kind != CHOICE_WIPE && !awake(episode, node))
 		choice.kind = CHOICE_KINDS;
 	return choice;
 }
 
-void explore_random(enum explore_scene scene, uint64_t seed, int choices, struct explore_path *path, struct explore_stats *stats)
+void explore_random(enum explore_scene scene, uint64_t seed, int choices, struct explore_path *path,
+		    struct explore_stats *stats)
 {
 	struct episode episode = { 0 };
 	uint64_t state = seed;
@@ -290,7 +316,9 @@
 	path->scene = scene;
 	path->choice_count = 0;
 	explore_begin(scene);
-	for (int i = 0; i < choices && !explore_violation && !explore_exhausted() && path->choice_count < EXPLORE_PATH; i++) {
+	for (int i = 0;
+	     i < choices && !explore_violation && !explore_exhausted() && path->choice_count < EXPLORE_PATH;
+	     i++) {
 		struct choice choice;
 
 		if (episode.remaining-- <= 0)
@@ -306,7 +334,10 @@
 
 /* ---- a failing path ----------------------------------------------------------- */
 
-static int still_breaks(const struct explore_path *path) { return explore_replay(path->scene, path->choices, path->choice_count) == path->violation; }
+static int still_breaks(const struct explore_path *path)
+{
+	return explore_replay(path->scene, path->choices, path->choice_count) == path->violation;
+}
 
 /* Try to leave out each run of `size` choices. */
 static int leave_out(struct explore_path *path, size_t size)
@@ -318,7 +349,8 @@
 		size_t gone = path->choice_count - at < size ? path->choice_count - at : size;
 
 		tried = *path;
-		memmove(tried.choices + at, tried.choices + at + gone, (tried.choice_count - at - gone) * sizeof *tried.choices);
+		memmove(tried.choices + at, tried.choices + at + gone,
+			(tried.choice_count - at - gone) * sizeof *tried.choices);
 		tried.choice_count -= gone;
 		if (!still_breaks(&tried))
 			continue;
@@ -357,11 +389,15 @@
 {
 	(void)explore_replay(path->scene, path->choices, path->choice_count);
 	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
-	fprintf(file, "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	fprintf(
+	    file,
+	    "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
 	for (size_t i = 0; i < path->choice_count; i++)
-		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind], path->choices[i].node, path->choices[i].from,
-			path->choices[i].arg);
+		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
+			path->choices[i].node, path->choices[i].from, path->choices[i].arg);
 	fprintf(file, "	};\n\n	(void)state;\n");
-	fprintf(file, "	assert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
-		explore_scene_name(path->scene));
+	fprintf(
+	    file,
+	    "	assert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
+	    explore_scene_name(path->scene));
 }
--- a/tests/make_stored_data.c
+++ b/tests/make_stored_data.c
@@ -1,7 +1,7 @@
 /* Makes tests/data: what the version of this build stores and says, for tests of later versions to read.
- * The data that is in the repository was made by the version before all names of the code were changed, and stays: what a later
- * version adds goes beside it. Not run by the tests.
- * Usage: build/make_stored_data messages|stored|interface FOLDER */
+ * The data that is in the repository was made by the version before all names of the code were changed, and
+ * stays: what a later version adds goes beside it. Not run by the tests. Usage: build/make_stored_data
+ * messages|stored|interface FOLDER */
 #include <apr_general.h>
 #include <apr_strings.h>
 #include <stdio.h>
@@ -32,7 +32,8 @@
 
 			(void)protobuf_c_message_pack(message, data);
 			text = hex_text(data, n, pool);
-			file_write(apr_psprintf(pool, "%s/%d-%u.hex", folder, root, (unsigned)*one), text, strlen(text));
+			file_write(apr_psprintf(pool, "%s/%d-%u.hex", folder, root, (unsigned)*one), text,
+				   strlen(text));
 		} while (*one && *++one);
 	}
 }
@@ -84,7 +85,8 @@
 /* The document as it is handed back, and the table that it made. */
 static void make_document_texts(const char *folder, apr_pool_t *pool)
 {
-	const char *path = apr_pstrcat(pool, folder, "/document", NULL), *copy = apr_pstrcat(pool, folder, "/copy", NULL);
+	const char *path = apr_pstrcat(pool, folder, "/document", NULL),
+		   *copy = apr_pstrcat(pool, folder, "/copy", NULL);
 	struct world world;
 
 	open_copy(&world, path, copy, pool);
