--- a/tests/test_check.c
+++ b/tests/test_check.c
@@ -10,7 +10,7 @@
 
 #include <cmocka.h>
 
-#include "kit.h"
+#include "test_fleet.h"
 
 /* A good run, in lines "FILE JSON". Counter c (id 00000000000000aa) at web C; server s1 of service a. */
 static const char *const good[] = {
@@ -55,8 +55,9 @@
 		put(folder, *more);
 	rc = check_folder(folder, 0, res);
 	snprintf(cmd, sizeof cmd, "%s/", folder);
-	for (const char *const *f = (const char *const[]){ "callers", "server-s1", "server-s2", "platform", "probes", NULL }; *f;
-	     f++) {
+	for (const char *const *f =
+		 (const char *const[]){ "callers", "server-s1", "server-s2", "platform", "probes", NULL };
+	     *f; f++) {
 		snprintf(cmd, sizeof cmd, "%s/%s.rec", folder, *f);
 		unlink(cmd);
 	}
@@ -75,20 +76,25 @@
 		fail_msg("%s", result.text);
 }
 
-#define SENT(t, sv, x, id, no) \
-	"server-" sv " {\"t\":" t ",\"ev\":\"sent\",\"server\":\"" sv "\",\"x\":\"" x "\",\"id\":\"" id "\",\"refused\":" no "}"
+#define SENT(t, sv, x, id, no)                                                                          \
+	"server-" sv " {\"t\":" t ",\"ev\":\"sent\",\"server\":\"" sv "\",\"x\":\"" x "\",\"id\":\"" id \
+	"\",\"refused\":" no "}"
 #define ASK(t, id) "callers {\"t\":" t ",\"ev\":\"ask\",\"id\":\"" id "\",\"counter\":\"C\",\"tenant\":1}"
-#define TOLD(t, id, out, more) \
-	"callers {\"t\":" t ",\"ev\":\"told\",\"id\":\"" id "\",\"counter\":\"C\",\"tenant\":1,\"outcome\":\"" out "\"" more "}"
-#define BEGIN(t, used)        \
-	"server-s1 {\"t\":" t \
-	",\"ev\":\"begin\",\"server\":\"s1\",\"id\":\"x2\",\"tenant\":\"tenant-1\",\"weights\":\"w1\",\"used\":[" used "]}"
-#define ORDER(t, rollout, fence, no) \
-	"server-s1 {\"t\":" t ",\"ev\":\"order\",\"server\":\"s1\",\"giver\":\"" rollout "\",\"fence\":" fence ",\"fenced\":" no "}"
-#define STATE(t, e, age)                                                                                                \
-	"probes {\"t\":" t ",\"ev\":\"state\",\"id\":\"00000000000000aa\",\"web\":\"C\",\"asked\":" t ",\"edition\":" e \
-	",\"age_ms\":" age ",\"horizon\":20}"
-#define ACK(t, e, row) "platform {\"t\":" t ",\"ev\":\"ack\",\"edition\":" e ",\"change\":{\"set\":[" row "]}}"
+#define TOLD(t, id, out, more)                              \
+	"callers {\"t\":" t ",\"ev\":\"told\",\"id\":\"" id \
+	"\",\"counter\":\"C\",\"tenant\":1,\"outcome\":\"" out "\"" more "}"
+#define BEGIN(t, used)                                                                                                 \
+	"server-s1 {\"t\":" t                                                                                          \
+	",\"ev\":\"begin\",\"server\":\"s1\",\"id\":\"x2\",\"tenant\":\"tenant-1\",\"weights\":\"w1\",\"used\":[" used \
+	"]}"
+#define ORDER(t, rollout, fence, no)                                                     \
+	"server-s1 {\"t\":" t ",\"ev\":\"order\",\"server\":\"s1\",\"giver\":\"" rollout \
+	"\",\"fence\":" fence ",\"fenced\":" no "}"
+#define STATE(t, e, age)                                                                              \
+	"probes {\"t\":" t ",\"ev\":\"state\",\"id\":\"00000000000000aa\",\"web\":\"C\",\"asked\":" t \
+	",\"edition\":" e ",\"age_ms\":" age ",\"horizon\":20}"
+#define ACK(t, e, row) \
+	"platform {\"t\":" t ",\"ev\":\"ack\",\"edition\":" e ",\"change\":{\"set\":[" row "]}}"
 #define X "00000000000000aa-2-1"
 
 /* Each pair: lines that breach a letter, and the same ones mended. */
@@ -97,21 +103,26 @@
 	int drop;
 	const char *bad[8], *mended[8];
 } cases[] = {
-	{ 'A', -1, { SENT("1200", "s1", X, "x1", "false") }, { SENT("1200", "s1", X, "x1", "true") } }, /* twice */
 	{ 'A',
 	  -1,
-	  { ASK("2000", "x2"), TOLD("2100", "x2", "refused", ""), SENT("2200", "s1", X, "x2", "false") }, /* after refused */
+	  { SENT("1200", "s1", X, "x1", "false") },
+	  { SENT("1200", "s1", X, "x1", "true") } }, /* twice */
+	{ 'A',
+	  -1,
+	  { ASK("2000", "x2"), TOLD("2100", "x2", "refused", ""),
+	    SENT("2200", "s1", X, "x2", "false") }, /* after refused */
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ""), SENT("2200", "s1", X, "x2", "false") } },
 	{ 'A',
 	  -1,
-	  { ASK("2000", "x2"), TOLD("2300", "x2", "refused", ""), SENT("2200", "s1", X, "x2", "false") }, /* ran, then refused */
+	  { ASK("2000", "x2"), TOLD("2300", "x2", "refused", ""),
+	    SENT("2200", "s1", X, "x2", "false") }, /* ran, then refused */
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "refused", ""), SENT("2200", "s1", X, "x2", "true") } },
 	{ 'A',
 	  -1,
-	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ""), ASK("2400", "x2"), SENT("2450", "s1", X, "x2", "false"),
-	    TOLD("2500", "x2", "refused", "") },
-	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ""), ASK("2400", "x2"), SENT("2450", "s1", X, "x2", "false"),
-	    TOLD("2500", "x2", "unknown", "") } },
+	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ""), ASK("2400", "x2"),
+	    SENT("2450", "s1", X, "x2", "false"), TOLD("2500", "x2", "refused", "") },
+	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ""), ASK("2400", "x2"),
+	    SENT("2450", "s1", X, "x2", "false"), TOLD("2500", "x2", "unknown", "") } },
 	{ 'A',
 	  -1,
 	  { SENT("2200", "s1", X, "x9", "false") },
@@ -119,7 +130,8 @@
 	{ 'B',
 	  -1,
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "whole", ",\"pieces\":2,\"x\":\"00000000000000aa-1-1\"") },
-	  { ASK("2000", "x2"), TOLD("2300", "x2", "whole", ",\"pieces\":3,\"x\":\"00000000000000aa-1-1\"") } },
+	  { ASK("2000", "x2"),
+	    TOLD("2300", "x2", "whole", ",\"pieces\":3,\"x\":\"00000000000000aa-1-1\"") } },
 	{ 'B',
 	  -1,
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "whole", ",\"pieces\":3,\"x\":\"nobody\"") },
@@ -128,7 +140,10 @@
 	  -1,
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ",\"bad\":3") },
 	  { ASK("2000", "x2"), TOLD("2300", "x2", "unknown", ",\"bad\":0") } },
-	{ 'D', -1, { STATE("3000", "4", "9000") }, { STATE("3000", "0", "9000") } }, /* back, whatever it says of its age */
+	{ 'D',
+	  -1,
+	  { STATE("3000", "4", "9000") },
+	  { STATE("3000", "0", "9000") } }, /* back, whatever it says of its age */
 	{ 'D',
 	  -1,
 	  { ACK("2000", "6", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}"), ASK("4000", "x2"),
@@ -136,7 +151,8 @@
 	    TOLD("4200", "x2", "refused", ""), STATE("4200", "5", "9000"),
 	    "platform {\"t\":60000,\"ev\":\"table\",\"edition\":6,\"rows\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}]}" },
 	  { ACK("2000", "6", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}"), ASK("3900", "x2"),
-	    SENT("3950", "s1", X, "x2", "true"), TOLD("4200", "x2", "refused", ""), STATE("4200", "5", "9000"),
+	    SENT("3950", "s1", X, "x2", "true"), TOLD("4200", "x2", "refused", ""),
+	    STATE("4200", "5", "9000"),
 	    "platform {\"t\":60000,\"ev\":\"table\",\"edition\":6,\"rows\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}]}" } },
 	{ 'E',
 	  -1,
@@ -154,12 +170,15 @@
 	    TOLD("9900", "x2", "unknown", ",\"last\":9100") } },
 	{ 'F',
 	  -1,
-	  { "platform {\"t\":2000,\"ev\":\"drained\",\"server\":\"s1\"}", ASK("5000", "x2"), SENT("5100", "s1", X, "x2", "true"),
-	    TOLD("5200", "x2", "refused", "") },
+	  { "platform {\"t\":2000,\"ev\":\"drained\",\"server\":\"s1\"}", ASK("5000", "x2"),
+	    SENT("5100", "s1", X, "x2", "true"), TOLD("5200", "x2", "refused", "") },
 	  { "platform {\"t\":2000,\"ev\":\"drained\",\"server\":\"s1\"}",
-	    "platform {\"t\":5050,\"ev\":\"undrained\",\"server\":\"s1\"}", ASK("5000", "x2"), SENT("5100", "s1", X, "x2", "true"),
-	    TOLD("5200", "x2", "refused", "") } },
-	{ 'G', -1, { BEGIN("2000", "{\"w\":\"w0\",\"m\":\"tenant-1\"}") }, { BEGIN("2000", "{\"w\":\"w1\",\"m\":\"tenant-1\"}") } },
+	    "platform {\"t\":5050,\"ev\":\"undrained\",\"server\":\"s1\"}", ASK("5000", "x2"),
+	    SENT("5100", "s1", X, "x2", "true"), TOLD("5200", "x2", "refused", "") } },
+	{ 'G',
+	  -1,
+	  { BEGIN("2000", "{\"w\":\"w0\",\"m\":\"tenant-1\"}") },
+	  { BEGIN("2000", "{\"w\":\"w1\",\"m\":\"tenant-1\"}") } },
 	{ 'G',
 	  -1,
 	  { "platform {\"t\":2000,\"ev\":\"wall\",\"tenant\":\"tenant-2\",\"walled\":1}",
@@ -184,7 +203,8 @@
 	{ 'H',
 	  -1,
 	  { "platform {\"t\":2000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w2\"}",
-	    "platform {\"t\":28000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w3\"}", /* overtaken late */
+	    "platform {\"t\":28000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w3\"}", /* overtaken late
+											     */
 	    "server-s1 {\"t\":30000,\"ev\":\"loaded\",\"server\":\"s1\",\"weights\":\"w3\"}" },
 	  { "platform {\"t\":2000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w2\"}",
 	    "platform {\"t\":26000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w3\"}",
@@ -198,7 +218,9 @@
 	{ 'H',
 	  -1,
 	  { "platform {\"t\":2000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w2\"}",
-	    "server-s1 {\"t\":9000,\"ev\":\"loaded\",\"server\":\"s1\",\"weights\":\"w2\"}", /* came up again with the old ones */
+	    "server-s1 {\"t\":9000,\"ev\":\"loaded\",\"server\":\"s1\",\"weights\":\"w2\"}", /* came up again
+												with the old
+												ones */
 	    "server-s1 {\"t\":12000,\"ev\":\"up\",\"server\":\"s1\",\"weights\":\"w1\"}" },
 	  { "platform {\"t\":2000,\"ev\":\"named\",\"service\":\"a\",\"weights\":\"w2\"}",
 	    "server-s1 {\"t\":9000,\"ev\":\"loaded\",\"server\":\"s1\",\"weights\":\"w2\"}",
@@ -245,7 +267,8 @@
 		char expected[20];
 
 		snprintf(expected, sizeof expected, "BREACH %c", cases[i].letter);
-		if (judge(&result, cases[i].drop, cases[i].bad, 0) || !result.violations || !strstr(result.text, expected))
+		if (judge(&result, cases[i].drop, cases[i].bad, 0) || !result.violations ||
+		    !strstr(result.text, expected))
 			fail_msg("case %d: no %s in: %s", (int)i, expected, result.text);
 		(void)judge(&result, cases[i].drop, cases[i].mended, 0);
 		if (result.violations)
@@ -264,8 +287,10 @@
 		int n = 0;
 
 		for (int i = 0; i < 220; i++) {
-			snprintf(text[n], 200, "callers {\"t\":%d,\"ev\":\"ask\",\"id\":\"y%d\",\"counter\":\"C\",\"tenant\":1}",
-				 2000 + i * 200, i);
+			snprintf(
+			    text[n], 200,
+			    "callers {\"t\":%d,\"ev\":\"ask\",\"id\":\"y%d\",\"counter\":\"C\",\"tenant\":1}",
+			    2000 + i * 200, i);
 			line[n] = text[n];
 			n++;
 			for (int k = 0; k < (burst && i >= 100 && i < 116 ? 2 : 1); k++) {
@@ -291,16 +316,17 @@
 /* What is torn, missing, or of a kind that nobody knows is undecided, and never good. */
 static void holes_are_undecided(void **state)
 {
-	static const char *const torn[] = { "server-s1 {\"t\":1300,\"ev\":\"sent\",\"ser", NULL }, *const untimed[] = {
-		"callers {\"ev\":\"closed\"}", NULL
-	};
-	static const char *const unknown[] = { "platform {\"t\":1,\"ev\":\"novelty\"}", NULL }, *const untold[] = {
-		ASK("3000", "x7"), NULL
+	static const char *const torn[] = { "server-s1 {\"t\":1300,\"ev\":\"sent\",\"ser", NULL },
+				 *const untimed[] = { "callers {\"ev\":\"closed\"}", NULL };
+	static const char *const unknown[] = { "platform {\"t\":1,\"ev\":\"novelty\"}", NULL },
+				 *const untold[] = { ASK("3000", "x7"), NULL };
+	static const char *const silent[] = {
+		"platform {\"t\":25,\"ev\":\"serves\",\"server\":\"s2\",\"service\":\"b\"}", NULL
 	};
-	static const char *const silent[] = { "platform {\"t\":25,\"ev\":\"serves\",\"server\":\"s2\",\"service\":\"b\"}", NULL };
 	static const char *const missed[] = { "platform {\"t\":25,\"ev\":\"missed\",\"what\":\"it\"}", NULL };
 	const char *const *more[] = { torn, untimed, unknown, untold, silent, missed };
-	static const int needed[] = { 1, 9, 10, 11, 12 }; /* server's records, probe, table, closed, finished */
+	static const int needed[] = { 1, 9, 10, 11,
+				      12 }; /* server's records, probe, table, closed, finished */
 	struct check_result result;
 
 	(void)state;
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -1,5 +1,5 @@
-/* Configuration sync over a slow link: requests and answers that take longer than the pause between two requests, and that
- * overtake each other, while the configuration changes all the time. */
+/* Configuration sync over a slow link: requests and answers that take longer than the pause between two
+ * requests, and that overtake each other, while the configuration changes all the time. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 
 #include "config_watch.h"
-#include "ds.h"
+#include "containers.h"
 #include "sim.h"
 
 enum {
@@ -37,7 +37,7 @@
 struct world {
 	struct config_watch watch;
 	struct config_table leader;
-	struct envelope *mail;             /* stb_ds */
+	struct envelope *mail;            /* stb_ds */
 	uint32_t share[REVISIONS][NAMES]; /* by edition; 0: no such row */
 	int64_t changed_at[REVISIONS];    /* when the leader took that edition */
 	uint64_t rng, requests_to_others;
@@ -52,7 +52,10 @@
 	return getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : n;
 }
 
-static uint64_t random_below(struct world *w, uint64_t n) { return core_random(&w->rng) % n; }
+static uint64_t random_below(struct world *w, uint64_t n)
+{
+	return core_random(&w->rng) % n;
+}
 
 static void world_open(struct world *world, uint64_t seed)
 {
@@ -106,7 +109,10 @@
 	world->changed_at[world->leader.revision] = world->now;
 }
 
-static int64_t way(struct world *world) { return LINK_LEAST_MS + (int64_t)random_below(world, LINK_SPREAD_MS); }
+static int64_t way(struct world *world)
+{
+	return LINK_LEAST_MS + (int64_t)random_below(world, LINK_SPREAD_MS);
+}
 
 static void post_requests(struct world *world)
 {
@@ -165,7 +171,8 @@
 	}
 }
 
-/* What is here is the leader's table as it was at that edition, and nothing that was in force before the asking is missing. */
+/* What is here is the leader's table as it was at that edition, and nothing that was in force before the
+ * asking is missing. */
 static void check_sound(const struct world *world)
 {
 	const struct config_table *table = &world->watch.table;
@@ -199,8 +206,9 @@
 	return config_watch_age_ms(&world->watch, world->now);
 }
 
-/* Each answer makes what is here as new as its own request, also where several are under way and the table changes between
- * them. Before, an answer was dropped whenever another had changed the table since its request: one in seven counted. */
+/* Each answer makes what is here as new as its own request, also where several are under way and the table
+ * changes between them. Before, an answer was dropped whenever another had changed the table since its
+ * request: one in seven counted. */
 static void overlapping_answers_all_count(void **state)
 {
 	uint64_t first, n = seeds_of(12, &first);
@@ -218,16 +226,17 @@
 				continue;
 			most = age > most ? age : most;
 			if (age > bound)
-				fail_msg("seed %llu: %lld ms old at %lld", (unsigned long long)seed, (long long)age,
-					 (long long)world.now);
+				fail_msg("seed %llu: %lld ms old at %lld", (unsigned long long)seed,
+					 (long long)age, (long long)world.now);
 		}
 		world_close(&world);
 	}
-	print_message("age of the configuration at most %lld ms, bound %lld ms\n", (long long)most, (long long)bound);
+	print_message("age of the configuration at most %lld ms, bound %lld ms\n", (long long)most,
+		      (long long)bound);
 }
 
-/* A leader whose answers are slow is not silent: nobody else is asked in its place, which would only add to what the link and
- * the controllers have to carry. */
+/* A leader whose answers are slow is not silent: nobody else is asked in its place, which would only add to
+ * what the link and the controllers have to carry. */
 static void a_slow_leader_is_not_a_silent_one(void **state)
 {
 	struct world world;
@@ -244,7 +253,8 @@
 	world_close(&world);
 }
 
-/* A leader that has less than was here when it was asked, as after a recovery from a lost majority, vouches for nothing. */
+/* A leader that has less than was here when it was asked, as after a recovery from a lost majority, vouches
+ * for nothing. */
 static void a_leader_that_knows_less_proves_nothing(void **state)
 {
 	struct world world;
@@ -286,7 +296,8 @@
 	int head = -1, heads = 0;
 
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
-		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) && !sim->nodes[i].router->config_watch.upstream_count) {
+		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) &&
+		    !sim->nodes[i].router->config_watch.upstream_count) {
 			head = i;
 			heads++;
 		}
@@ -302,14 +313,15 @@
 		uint64_t rank = core_rendezvous_weight(core_hash_string(0, zone), sim->nodes[i].id);
 
 		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) &&
-		    (first < 0 || rank > core_rendezvous_weight(core_hash_string(0, zone), sim->nodes[first].id)))
+		    (first < 0 ||
+		     rank > core_rendezvous_weight(core_hash_string(0, zone), sim->nodes[first].id)))
 			first = i;
 	}
 	return first;
 }
 
-/* A head that is restarted is not the head again before it has been in service for a while: it would know nothing that it could
- * pass on, and ask all servers at once. Then rank alone decides. */
+/* A head that is restarted is not the head again before it has been in service for a while: it would know
+ * nothing that it could pass on, and ask all servers at once. Then rank alone decides. */
 static void a_restarted_router_is_no_head_at_first(void **state)
 {
 	uint64_t first, n = seeds_of(4, &first);
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -1,7 +1,7 @@
-/* Connections under a hostile far end: the platform's door, the forwarding core and the event loop as they run in the
- * daemon, on a simulated network with virtual time. Servers answer late, twice, with other requests' ids, half, torn, not at
- * all; clients pipeline, leave, read slowly, smuggle. What reaches whom is checked byte by byte. A failing seed prints itself:
- * NL_SEED=n NL_SEEDS=1 build/test_connections */
+/* Connections under a hostile far end: the platform's door, the forwarding core and the event loop as they
+ * run in the daemon, on a simulated network with virtual time. Servers answer late, twice, with other
+ * requests' ids, half, torn, not at all; clients pipeline, leave, read slowly, smuggle. What reaches whom is
+ * checked byte by byte. A failing seed prints itself: NL_SEED=n NL_SEEDS=1 build/test_connections */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,8 +15,8 @@
 #include <cmocka.h>
 
 #include "router_internal.h"
-#include "doc.h"
-#include "ds.h"
+#include "config_document.h"
+#include "containers.h"
 #include "edge.h"
 #include "http.h"
 #include "net_sim.h"
@@ -32,8 +32,8 @@
 	DRAIN_MS = 13000,
 	LEADER_ADDR = 1, /* the address that the core's owner answers at */
 	SEND_GRACE_MS = 200,
-	DEADLINE_SLACK_MS = 100, /* between a client's byte and the door's clock */
-	KEEP_ALIVE_DEFAULT_MS = 4300,   /* a connection whose server tells no time rests for less */
+	DEADLINE_SLACK_MS = 100,      /* between a client's byte and the door's clock */
+	KEEP_ALIVE_DEFAULT_MS = 4300, /* a connection whose server tells no time rests for less */
 	KEEP_MARGIN_MS = 300,
 	SEED_RUNS = 200,
 	STOP_RUNS = 400,
@@ -41,7 +41,7 @@
 	SHORT_GRACE_MS = 4000, /* less than a head may take */
 	LOSS_SLACK_MS = 200,   /* a request that ends sooner, and was passed on to nobody, is not lost */
 	STOP_LAST_MS = 300,    /* before the end of a stop: EDGE_LAST */
-	DISCONNECTED_MS = 50           /* for which the loop runs on once a process has stopped: PROC_LEAVE */
+	DISCONNECTED_MS = 50   /* for which the loop runs on once a process has stopped: PROC_LEAVE */
 };
 
 enum route { ROUTE_ONCE, ROUTE_REPEATABLE, ROUTE_RESUMABLE, ROUTE_STREAM, ROUTES };
@@ -49,7 +49,10 @@
 static const struct {
 	const char *path;
 	int repeatable, resumable, streams;
-} routes[ROUTES] = { { "/once/", 0, 0, 0 }, { "/repeatable/", 1, 0, 0 }, { "/resumable/", 0, 1, 1 }, { "/stream/", 0, 0, 1 } };
+} routes[ROUTES] = { { "/once/", 0, 0, 0 },
+		     { "/repeatable/", 1, 0, 0 },
+		     { "/resumable/", 0, 1, 1 },
+		     { "/stream/", 0, 0, 1 } };
 
 /* One time that a request was put on a wire. */
 struct wire {
@@ -67,10 +70,10 @@
 	int64_t deadline_at;
 	char id[24], path[40], body[200];
 	size_t body_len;
-	size_t ends_at;   /* on its connection: how many bytes were said when it was whole */
+	size_t ends_at;      /* on its connection: how many bytes were said when it was whole */
 	int64_t complete_at; /* when its last byte arrives */
-	int limit_ms;     /* for which its client waits */
-	int events;       /* of its stream, whoever runs it */
+	int limit_ms;        /* for which its client waits */
+	int events;          /* of its stream, whoever runs it */
 	int runs, promises, answers;
 	struct wire *wires; /* stb_ds */
 };
@@ -128,7 +131,15 @@
 	int keep_ms;         /* for how long it may rest afterwards */
 };
 
-enum client_mode { CLIENT_PLAIN, CLIENT_PIPELINES, CLIENT_LEAVES, CLIENT_HALF_CLOSES, CLIENT_SLOW, CLIENT_SMUGGLES, CLIENT_MODES };
+enum client_mode {
+	CLIENT_PLAIN,
+	CLIENT_PIPELINES,
+	CLIENT_LEAVES,
+	CLIENT_HALF_CLOSES,
+	CLIENT_SLOW,
+	CLIENT_SMUGGLES,
+	CLIENT_MODES
+};
 
 struct client {
 	struct sim_conn *c;
@@ -137,8 +148,8 @@
 	char *in;     /* stb_ds: of the answer under way */
 	int64_t next_at;
 	size_t bytes_written; /* bytes, ever */
-	int half_closed;    /* it has ended its side */
-	int old;     /* speaks HTTP/1.0: answers of no told length end with the connection */
+	int half_closed;      /* it has ended its side */
+	int old;              /* speaks HTTP/1.0: answers of no told length end with the connection */
 };
 
 static struct {
@@ -154,8 +165,9 @@
 	uint64_t *config_watch_tokens; /* stb_ds: askings that the owner has not answered */
 	uint64_t edition;
 	int64_t owner_silent_until, started, frozen_ms;
-	int calm;         /* no server breaks off, nobody freezes, the owner always answers: only planned work is about */
-	int closed;       /* the process has ended */
+	int calm;   /* no server breaks off, nobody freezes, the owner always answers: only planned work is
+		       about */
+	int closed; /* the process has ended */
 	int honest_ids;   /* ids are used again, and servers send no surplus */
 	enum act *script; /* stb_ds: what servers do with the next requests; by chance where it is empty */
 	char bad[400];
@@ -163,10 +175,14 @@
 
 /* Sums over all seeds: a model that brings nothing about proves nothing. */
 static struct {
-	uint64_t requests, whole, refused, failed, cut, runs, wires, again, resumed, surplus, foreign, frozen, smuggled, acts[ACTS];
+	uint64_t requests, whole, refused, failed, cut, runs, wires, again, resumed, surplus, foreign, frozen,
+	    smuggled, acts[ACTS];
 } sum;
 
-static uint64_t random_below(uint64_t n) { return core_random(&w.rng) % n; }
+static uint64_t random_below(uint64_t n)
+{
+	return core_random(&w.rng) % n;
+}
 
 static void breach(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 static void breach(const char *fmt, ...)
@@ -213,7 +229,8 @@
 {
 	size_t len = strlen(name);
 
-	for (const char *p = memchr(d, '\n', n), *end = d + n; p && p + 1 < end; p = memchr(p + 1, '\n', (size_t)(end - p - 1))) {
+	for (const char *p = memchr(d, '\n', n), *end = d + n; p && p + 1 < end;
+	     p = memchr(p + 1, '\n', (size_t)(end - p - 1))) {
 		const char *line = p + 1, *stop;
 
 		if ((size_t)(end - line) <= len || strncasecmp(line, name, len) || line[len] != ':')
@@ -238,8 +255,8 @@
 
 	if (routes[q->route].streams && status == 200) {
 		for (int i = from_event + 1; i <= q->events; i++)
-			append_format(&r.body, "%sid: %d\ndata: request %d event %d run %d\n\n", random_below(8) ? "" : "x-note: 1\n", i,
-				      request, i, no);
+			append_format(&r.body, "%sid: %d\ndata: request %d event %d run %d\n\n",
+				      random_below(8) ? "" : "x-note: 1\n", i, request, i, no);
 	} else {
 		append_format(&r.body, "request %d run %d ", request, no);
 		for (uint64_t i = random_below(4) ? random_below(200) : random_below(6000); i; i--)
@@ -247,7 +264,8 @@
 	}
 	q->runs++;
 	if (q->promises)
-		breach("request %d (%s) runs after its client was promised that it never will", request, q->path);
+		breach("request %d (%s) runs after its client was promised that it never will", request,
+		       q->path);
 	sum.runs++;
 	arrput(w.runs, r);
 	return no;
@@ -294,7 +312,8 @@
 enum framing { FRAME_LENGTH, FRAME_CHUNKED, FRAME_CLOSE };
 
 /* A whole answer as bytes. */
-static char *complete_answer(int status, const char *id, int run, const char *body, size_t n, enum framing framing, const char *extra)
+static char *complete_answer(int status, const char *id, int run, const char *body, size_t n,
+			     enum framing framing, const char *extra)
 {
 	char *b = NULL;
 
@@ -338,20 +357,23 @@
 	struct request *request = &w.requests[conn->request];
 
 	for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
-		if (request->wires[i].conn == net_sim_id(conn->c) && request->wires[i].cleared_at == INT64_MAX)
+		if (request->wires[i].conn == net_sim_id(conn->c) &&
+		    request->wires[i].cleared_at == INT64_MAX)
 			request->wires[i].cleared_at = net_sim_now() + in_ms;
 }
 
 /* Turned away with the promise that it did not run. */
 static int64_t turn_away(struct server_conn *s, int status, const char *id, const char *extra, int64_t in_ms)
 {
-	int64_t at = say_answer(s, complete_answer(status, id, -1, "no", 2, FRAME_LENGTH, extra), SIZE_MAX, in_ms);
+	int64_t at =
+	    say_answer(s, complete_answer(status, id, -1, "no", 2, FRAME_LENGTH, extra), SIZE_MAX, in_ms);
 
 	cleared(s, at);
 	return at;
 }
 
-static const char event_stream[] = "Content-Type: text/event-stream\r\n", not_executed[] = "X-Notchlug-Not-Executed: 1\r\n";
+static const char event_stream[] = "Content-Type: text/event-stream\r\n",
+		  not_executed[] = "X-Notchlug-Not-Executed: 1\r\n";
 
 static const char nameless[] = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"; /* an answer to nobody */
 
@@ -377,18 +399,26 @@
 	size_t n;
 	char *b;
 
-	snprintf(other, sizeof other, "%s", s->last_id[0] && strcmp(s->last_id, id) && random_below(2) ? s->last_id : "elsewhere");
+	snprintf(other, sizeof other, "%s",
+		 s->last_id[0] && strcmp(s->last_id, id) && random_below(2) ? s->last_id : "elsewhere");
 	if (s->act != ACT_REJECT && s->act != ACT_WRONG_INCARNATION && s->act != ACT_TOO_MANY) {
 		if (s->act == ACT_NOT_A_STREAM)
 			stream = 0;
-		run = run_new(s->request, from_event, s->act == ACT_FAIL ? 500 : s->act == ACT_BARE_REFUSAL ? 503 : 200);
+		run = run_new(s->request, from_event,
+			      s->act == ACT_FAIL           ? 500
+			      : s->act == ACT_BARE_REFUSAL ? 503
+							   : 200);
 	}
 	body = run >= 0 ? w.runs[run].body : "";
 	n = run >= 0 ? (size_t)arrlen(w.runs[run].body) : 0;
 	snprintf(extra, sizeof extra, "%s", type);
 	switch (s->act) {
-	case ACT_ANSWER: say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
-	case ACT_CHUNKED: say_answer(s, complete_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at); break;
+	case ACT_ANSWER:
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		break;
+	case ACT_CHUNKED:
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at);
+		break;
 	case ACT_CLOSE_DELIMITED:
 		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_CLOSE, extra), SIZE_MAX, at);
 		net_sim_end(s->c, at);
@@ -399,25 +429,36 @@
 			snprintf(extra, sizeof extra, "%s%s", type, not_executed);
 		say_answer(s, complete_answer(500, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
 		break;
-	case ACT_REJECT: turn_away(s, 503, id, not_executed, at); break;
-	case ACT_WRONG_INCARNATION: turn_away(s, 421, id, random_below(2) ? not_executed : "", at); break;
-	case ACT_TOO_MANY: turn_away(s, 429, id, not_executed, at); break;
+	case ACT_REJECT:
+		turn_away(s, 503, id, not_executed, at);
+		break;
+	case ACT_WRONG_INCARNATION:
+		turn_away(s, 421, id, random_below(2) ? not_executed : "", at);
+		break;
+	case ACT_TOO_MANY:
+		turn_away(s, 429, id, not_executed, at);
+		break;
 	case ACT_BARE_REFUSAL:
 		w.runs[run].status = (int[]){ 503, 429, 408 }[random_below(3)];
-		say_answer(s, complete_answer(w.runs[run].status, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		say_answer(s, complete_answer(w.runs[run].status, id, run, body, n, FRAME_LENGTH, extra),
+			   SIZE_MAX, at);
 		break;
 	case ACT_CUT_HEAD:
 	case ACT_CUT_BODY:
-		b = complete_answer(200, id, run, body, n, random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra);
+		b = complete_answer(200, id, run, body, n, random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED,
+				    extra);
 		at = say_answer(s, b,
-				s->act == ACT_CUT_HEAD ? random_below(head_length(b, (size_t)arrlen(b)))
-						       : head_length(b, (size_t)arrlen(b)) + random_below(n ? n : 1),
+				s->act == ACT_CUT_HEAD
+				    ? random_below(head_length(b, (size_t)arrlen(b)))
+				    : head_length(b, (size_t)arrlen(b)) + random_below(n ? n : 1),
 				at);
 		end_or_reset(s, at + (int64_t)random_below(20));
 		break;
-	case ACT_SILENT: break;
+	case ACT_SILENT:
+		break;
 	case ACT_LATE:
-		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + 1500 + (int64_t)random_below(4000));
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
+			   at + 1500 + (int64_t)random_below(4000));
 		break;
 	case ACT_SURPLUS: /* its answer, and one more of it behind it or in the slot of the next */
 		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
@@ -426,37 +467,43 @@
 		break;
 	case ACT_SURPLUS_REFUSAL:
 		at = say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
-		say_answer(s, complete_answer(random_below(2) ? 503 : 421, id, -1, "no", 2, FRAME_LENGTH, not_executed), SIZE_MAX,
-			   odd(s, at + (int64_t)random_below(300)));
+		say_answer(
+		    s,
+		    complete_answer(random_below(2) ? 503 : 421, id, -1, "no", 2, FRAME_LENGTH, not_executed),
+		    SIZE_MAX, odd(s, at + (int64_t)random_below(300)));
 		break;
 	case ACT_FOREIGN: /* another request's answer in this one's slot, and its own behind it */
 		at = say_answer(s,
 				complete_answer(200, other, (int)random_below((uint64_t)run + 1), "other", 5,
-					     random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
+						random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
 				SIZE_MAX, odd(s, at));
 		if (random_below(2))
-			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
+			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
+				   at + (int64_t)random_below(200));
 		break;
 	case ACT_FOREIGN_THEN_OWN:
 		at = say_answer(s,
 				complete_answer(200, other, (int)random_below((uint64_t)run + 1), "other", 5,
-					     random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
+						random_below(2) ? FRAME_LENGTH : FRAME_CHUNKED, extra),
 				SIZE_MAX, odd(s, at));
-		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
+		say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
+			   at + (int64_t)random_below(200));
 		break;
 	case ACT_FOREIGN_REFUSAL:
 		at = say_answer(s,
-				complete_answer((int[]){ 503, 421, 429 }[random_below(3)], random_below(4) ? other : NULL, -1, "no", 2, FRAME_LENGTH,
-					     not_executed),
+				complete_answer((int[]){ 503, 421, 429 }[random_below(3)],
+						random_below(4) ? other : NULL, -1, "no", 2, FRAME_LENGTH,
+						not_executed),
 				SIZE_MAX, odd(s, at));
 		if (random_below(2))
-			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at + (int64_t)random_below(200));
+			say_answer(s, complete_answer(200, id, run, body, n, FRAME_LENGTH, extra), SIZE_MAX,
+				   at + (int64_t)random_below(200));
 		break;
 	case ACT_GARBAGE:
-		net_sim_write(
-		    s->c,
-		    (const char *[]){ "\r\n\r\nxx", "HTTP/9.9 2OO\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01" }[random_below(4)], 4,
-		    at);
+		net_sim_write(s->c,
+			      (const char *[]){ "\r\n\r\nxx", "HTTP/9.9 2OO\r\n\r\n",
+						"GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01" }[random_below(4)],
+			      4, at);
 		break;
 	case ACT_TOO_SHORT: /* says more than comes */
 		b = NULL;
@@ -480,15 +527,21 @@
 			net_sim_write(s->c, nameless, sizeof nameless - 1, at);
 		}
 		break;
-	case ACT_NO_SEAL: say_answer(s, complete_answer(200, id, -1, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
-	case ACT_NO_ID: say_answer(s, complete_answer(200, NULL, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at); break;
+	case ACT_NO_SEAL:
+		say_answer(s, complete_answer(200, id, -1, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		break;
+	case ACT_NO_ID:
+		say_answer(s, complete_answer(200, NULL, run, body, n, FRAME_LENGTH, extra), SIZE_MAX, at);
+		break;
 	case ACT_BAD_CHUNK:
 		b = NULL;
 		head(&b, 200, id, run, extra);
 		append_format(&b, "Transfer-Encoding: chunked\r\n\r\n");
 		chunks(&b, body, n);
 		if (random_below(2)) {
-			append_format(&b, "%s", (const char *[]){ "zz\r\n", "5\nabcde\r\n0\r\n\r\n", "0\r\nx\n\r\n" }[random_below(3)]);
+			append_format(&b, "%s",
+				      (const char *[]){ "zz\r\n", "5\nabcde\r\n0\r\n\r\n",
+							"0\r\nx\n\r\n" }[random_below(3)]);
 		} else { /* a chunk that is longer than it said: its first bytes are good */
 			append_format(&b, "3\r\nabcdef\r\n0\r\n\r\n");
 			append_format(&w.runs[run].body, "abc");
@@ -517,12 +570,14 @@
 		say_answer(s, complete_answer(200, id, run, body, n, FRAME_CHUNKED, extra), SIZE_MAX, at);
 		break;
 	case ACT_NOT_A_STREAM: /* on a stream's route: a body of another type, broken off now and then */
-		b = complete_answer(200, id, run, body, n, FRAME_LENGTH, "Content-Type: application/json\r\n");
+		b = complete_answer(200, id, run, body, n, FRAME_LENGTH,
+				    "Content-Type: application/json\r\n");
 		at = say_answer(s, b, random_below(2) ? SIZE_MAX : (size_t)arrlen(b) - 1, at);
 		if (random_below(2))
 			end_or_reset(s, at);
 		break;
-	default: break;
+	default:
+		break;
 	}
 	(void)stream;
 }
@@ -540,17 +595,22 @@
 		"null"
 	};
 	int64_t at = (int64_t)random_below(1000);
-	const char *body = bodies[random_below(10) ? random_below(2) : random_below(sizeof bodies / sizeof *bodies)];
+	const char *body =
+	    bodies[random_below(10) ? random_below(2) : random_below(sizeof bodies / sizeof *bodies)];
 
 	if (random_below(10))
-		say_answer(conn, complete_answer(random_below(10) ? 200 : 429, NULL, -1, body, strlen(body), FRAME_LENGTH, ""), SIZE_MAX, at);
+		say_answer(conn,
+			   complete_answer(random_below(10) ? 200 : 429, NULL, -1, body, strlen(body),
+					   FRAME_LENGTH, ""),
+			   SIZE_MAX, at);
 	else if (random_below(2))
 		end_or_reset(conn, at);
 }
 
 /* What servers do that never break off. */
-static const enum act calm_acts[] = { ACT_ANSWER,    ACT_ANSWER,   ACT_ANSWER, ACT_CHUNKED, ACT_CHUNKED, ACT_CLOSE_DELIMITED,
-				      ACT_REJECT, ACT_TOO_MANY, ACT_LATE,   ACT_SILENT,  ACT_FAIL };
+static const enum act calm_acts[] = { ACT_ANSWER,  ACT_ANSWER,          ACT_ANSWER, ACT_CHUNKED,
+				      ACT_CHUNKED, ACT_CLOSE_DELIMITED, ACT_REJECT, ACT_TOO_MANY,
+				      ACT_LATE,    ACT_SILENT,          ACT_FAIL };
 
 static enum act choose_act(void)
 {
@@ -565,14 +625,17 @@
 		return calm_acts[random_below(sizeof calm_acts / sizeof *calm_acts)];
 	a = random_below(3) ? ACT_ANSWER + random_below(2) : (enum act)random_below(ACTS);
 
-	if (w.honest_ids && (a == ACT_SURPLUS || a == ACT_SURPLUS_REFUSAL || a == ACT_FOREIGN || a == ACT_FOREIGN_REFUSAL ||
-			     a == ACT_FOREIGN_THEN_OWN))
+	if (w.honest_ids && (a == ACT_SURPLUS || a == ACT_SURPLUS_REFUSAL || a == ACT_FOREIGN ||
+			     a == ACT_FOREIGN_REFUSAL || a == ACT_FOREIGN_THEN_OWN))
 		a = ACT_ANSWER;
 	return a;
 }
 
 /* Until when a configuration that was certain when a request was decided on may still send it. */
-static int64_t router_fresh_until(void) { return w.ctr.config_watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS; }
+static int64_t router_fresh_until(void)
+{
+	return w.ctr.config_watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS;
+}
 
 /* A request's path is on a wire: from here on it may run. */
 static void note_wire(struct server_conn *conn, const char *path, size_t n)
@@ -584,7 +647,8 @@
 	for (int r = 0; r < ROUTES; r++)
 		if (n > strlen(routes[r].path) && !strncmp(path, routes[r].path, strlen(routes[r].path)))
 			no = atoi(path + strlen(routes[r].path));
-	if (no < 0 || no >= arrlen(w.requests) || strlen(w.requests[no].path) != n || strncmp(w.requests[no].path, path, n)) {
+	if (no < 0 || no >= arrlen(w.requests) || strlen(w.requests[no].path) != n ||
+	    strncmp(w.requests[no].path, path, n)) {
 		breach("a server was sent %.*s, which no client asked for", (int)n, path);
 		conn->ended = 1;
 		return;
@@ -593,12 +657,15 @@
 	conn->request = no;
 	conn->noted = 1;
 	if (request->promises)
-		breach("request %d (%s) was sent after its client was promised that it never will", no, request->path);
+		breach("request %d (%s) was sent after its client was promised that it never will", no,
+		       request->path);
 	if (!routes[request->route].repeatable && !routes[request->route].resumable)
 		for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
 			if (request->wires[i].cleared_at > net_sim_now())
-				breach("request %d (%s) was sent a second time; the first may have run (act %d on connection %llu)",
-				       no, request->path, request->wires[i].act, (unsigned long long)request->wires[i].conn);
+				breach(
+				    "request %d (%s) was sent a second time; the first may have run (act %d on connection %llu)",
+				    no, request->path, request->wires[i].act,
+				    (unsigned long long)request->wires[i].conn);
 	if (net_sim_call_began_at() > router_fresh_until())
 		breach("request %d (%s) was sent by a configuration that is %lld ms old", no, request->path,
 		       (long long)(net_sim_call_began_at() - w.ctr.config_watch.fetched_at_ms));
@@ -628,7 +695,8 @@
 		breach("request %s does not name the shelf of its kept parts", request->path);
 	if (!field(conn->in, head_len, "X-Notchlug-Deadline-Remaining", v, sizeof v) ||
 	    atoi(v) > request->deadline_at - net_sim_call_began_at() + DEADLINE_SLACK_MS + w.frozen_ms)
-		breach("request %s has %lld ms left and says %s", request->path, (long long)(request->deadline_at - net_sim_call_began_at()), v);
+		breach("request %s has %lld ms left and says %s", request->path,
+		       (long long)(request->deadline_at - net_sim_call_began_at()), v);
 	if (!field(conn->in, head_len, "Host", v, sizeof v) || strcmp(v, "h.example"))
 		breach("request %s has lost its host", request->path);
 	for (int i = 1; i < request->more_fields; i++) { /* the first may be named by Connection */
@@ -644,7 +712,8 @@
 	char id[64] = "", since[24] = "0";
 
 	field(conn->in, head_len, "X-Notchlug-Attempt-Id", id, sizeof id);
-	if (strcmp(id, request->id) || body_len != request->body_len || memcmp(conn->in + head_len, request->body, body_len))
+	if (strcmp(id, request->id) || body_len != request->body_len ||
+	    memcmp(conn->in + head_len, request->body, body_len))
 		breach("request %d (%s) reached a server changed", conn->request, request->path);
 	check_fields(conn, request, head_len);
 	if (field(conn->in, head_len, "Last-Event-Id", since, sizeof since)) {
@@ -654,7 +723,8 @@
 	}
 	sum.acts[conn->act]++;
 	sum.surplus += conn->act == ACT_SURPLUS || conn->act == ACT_SURPLUS_REFUSAL;
-	sum.foreign += conn->act == ACT_FOREIGN || conn->act == ACT_FOREIGN_REFUSAL || conn->act == ACT_FOREIGN_THEN_OWN;
+	sum.foreign +=
+	    conn->act == ACT_FOREIGN || conn->act == ACT_FOREIGN_REFUSAL || conn->act == ACT_FOREIGN_THEN_OWN;
 	serve(conn, id, atoi(since));
 	snprintf(conn->last_id, sizeof conn->last_id, "%s", id);
 }
@@ -670,7 +740,8 @@
 		breach("a request is sent on a connection that is out of step since %lld ms",
 		       (long long)(net_sim_call_began_at() - conn->odd_at));
 	if (conn->answered_at && rested > conn->keep_ms - KEEP_MARGIN_MS)
-		breach("a request is sent on a connection that has rested for %lld of %d ms", (long long)rested, conn->keep_ms);
+		breach("a request is sent on a connection that has rested for %lld of %d ms",
+		       (long long)rested, conn->keep_ms);
 	conn->answered_at = 0;
 	conn->keep_ms = KEEP_ALIVE_DEFAULT_MS;
 }
@@ -703,7 +774,8 @@
 	}
 	if (s->ended)
 		return;
-	if ((s->act == ACT_RESET_EARLY || s->act == ACT_END_EARLY) && (size_t)arrlen(s->in) >= s->early_at && s->noted != 2) {
+	if ((s->act == ACT_RESET_EARLY || s->act == ACT_END_EARLY) && (size_t)arrlen(s->in) >= s->early_at &&
+	    s->noted != 2) {
 		sum.acts[s->act]++;
 		if (s->act == ACT_END_EARLY)
 			net_sim_end(s->c, (int64_t)random_below(30));
@@ -758,16 +830,21 @@
 		memcpy(request.id, w.requests[random_below((uint64_t)no)].id, sizeof request.id);
 	else
 		snprintf(request.id, sizeof request.id, "try-%d", no);
-	request.body_len = random_below(4) ? (size_t)snprintf(request.body, sizeof request.body, "body of %d, GET /once/0 HTTP/1.1\r\n\r\n", no) : 0;
+	request.body_len = random_below(4) ? (size_t)snprintf(request.body, sizeof request.body,
+							      "body of %d, GET /once/0 HTTP/1.1\r\n\r\n", no)
+					   : 0;
 	request.events = 2 + (int)random_below(5);
-	request.key = request.route == ROUTE_REPEATABLE ? (int)random_below(TENANTS + 1) : (int)random_below(TENANTS + 2) - 1;
+	request.key = request.route == ROUTE_REPEATABLE ? (int)random_below(TENANTS + 1)
+							: (int)random_below(TENANTS + 2) - 1;
 	request.more_fields = random_below(30) ? (int)random_below(4) : 90 + (int)random_below(200);
 	arrput(w.requests, request);
 	sum.requests++;
 	return no;
 }
 
-static const char *const counts[] = { "900,80", "-1,-1", "4294967295,4294967295", "x", "99999999999999999999,1", ",", "0,0" };
+static const char *const counts[] = {
+	"900,80", "-1,-1", "4294967295,4294967295", "x", "99999999999999999999,1", ",", "0,0"
+};
 static const char *const prefixes[] = { "5c:400,91:300",
 					"5c:4294967295,91:4294967295",
 					"5c:-1,91:-2",
@@ -782,20 +859,26 @@
 static void request_bytes(char **to, int no, int old, int pipelined)
 {
 	struct request *request = &w.requests[no];
-	int limit = 600 + (int)(pipelined || random_below(6) ? random_below(2400) : random_below(8000)); /* four in a row end while the model still looks */
+	int limit = 600 + (int)(pipelined || random_below(6)
+				    ? random_below(2400)
+				    : random_below(8000)); /* four in a row end while the model still looks */
 
 	append_format(to, "POST %s HTTP/1.%d\r\nHost: h.example\r\n", request->path, !old);
 	for (int i = 0; i < request->more_fields; i++)
 		append_format(to, "X-More-%d: %d\r\n", i, no);
-	append_format(to, "X-Notchlug-Attempt-Id: %s\r\nX-Notchlug-Deadline-Remaining: %d\r\n", request->id, limit);
+	append_format(to, "X-Notchlug-Attempt-Id: %s\r\nX-Notchlug-Deadline-Remaining: %d\r\n", request->id,
+		      limit);
 	if (request->key >= 0)
 		append_format(to, "X-Api-Key: key-%d\r\n", request->key);
 	if (!random_below(8)) /* words that are not a client's to say */
-		append_format(to, "X-Notchlug-Tenant-Id: t1\r\nX-Notchlug-Cache-Salt: mine\r\nX-Notchlug-Target-Instance: i-9\r\n"
-				  "X-Notchlug-Expected-Version: w0\r\n");
+		append_format(
+		    to,
+		    "X-Notchlug-Tenant-Id: t1\r\nX-Notchlug-Cache-Salt: mine\r\nX-Notchlug-Target-Instance: i-9\r\n"
+		    "X-Notchlug-Expected-Version: w0\r\n");
 	if (random_below(4))
 		append_format(to, "X-Notchlug-Token-Count: %s\r\nX-Notchlug-Prompt-Prefix: %s\r\n",
-			      counts[random_below(8) ? 0 : random_below(COUNT(counts))], prefixes[random_below(8) ? 0 : random_below(COUNT(prefixes))]);
+			      counts[random_below(8) ? 0 : random_below(COUNT(counts))],
+			      prefixes[random_below(8) ? 0 : random_below(COUNT(prefixes))]);
 	if (!random_below(8))
 		append_format(to, "Connection: X-Notchlug-Attempt-Id, Host, X-More-0\r\n");
 	request->limit_ms = limit;
@@ -870,7 +953,8 @@
 		net_sim_write(client->c, b + off, part, at);
 		off += part;
 		for (ptrdiff_t i = 0; i < arrlen(client->pending); i++)
-			if (w.requests[client->pending[i]].ends_at <= client->bytes_written + off && !w.requests[client->pending[i]].complete_at)
+			if (w.requests[client->pending[i]].ends_at <= client->bytes_written + off &&
+			    !w.requests[client->pending[i]].complete_at)
 				w.requests[client->pending[i]].complete_at = net_sim_now() + at;
 		at += (int64_t)random_below(10);
 	}
@@ -978,7 +1062,8 @@
 		if (request != no || w.runs[run].request != no)
 			breach("request %d (%s) received an event of request %d", no, q->path, request);
 		if (id != expected || event != id)
-			breach("request %d (%s) received event %d where %d was due", no, q->path, id, expected);
+			breach("request %d (%s) received event %d where %d was due", no, q->path, id,
+			       expected);
 		if (first_run >= 0 && run != first_run && !routes[q->route].resumable)
 			breach("request %d (%s): events of two runs", no, q->path);
 		first_run = run;
@@ -986,11 +1071,15 @@
 		p = end + 2;
 	}
 	if (a->complete && expected != q->events + 1)
-		breach("request %d (%s): a stream of %d events looks complete after %d", no, q->path, q->events, expected - 1);
+		breach("request %d (%s): a stream of %d events looks complete after %d", no, q->path,
+		       q->events, expected - 1);
 	free(text);
 }
 
-static int is_promise(int status) { return status == 503 || status == 429 || status == 408 || status == 421; }
+static int is_promise(int status)
+{
+	return status == 503 || status == 429 || status == 408 || status == 421;
+}
 
 static void check_answer(int no, const struct answer *a)
 {
@@ -1010,7 +1099,8 @@
 			request->promises = 1;
 			for (ptrdiff_t i = 0; i < arrlen(request->wires); i++)
 				if (request->wires[i].cleared_at > net_sim_now())
-					breach("request %d (%s) was answered %d, and it may have run", no, request->path, a->status);
+					breach("request %d (%s) was answered %d, and it may have run", no,
+					       request->path, a->status);
 		}
 		return;
 	}
@@ -1029,10 +1119,12 @@
 		return;
 	}
 	if (n > (size_t)arrlen(r->body) || memcmp(a->body ? a->body : "", r->body ? r->body : "", n))
-		breach("request %d (%s): a body that its run %d did not say: %zu of %zu bytes, ends with %.12s", no, request->path,
-		       a->run, n, (size_t)arrlen(r->body), a->body + n - 12);
+		breach(
+		    "request %d (%s): a body that its run %d did not say: %zu of %zu bytes, ends with %.12s",
+		    no, request->path, a->run, n, (size_t)arrlen(r->body), a->body + n - 12);
 	else if (a->complete && n != (size_t)arrlen(r->body))
-		breach("request %d (%s): %zu bytes of %zu look complete", no, request->path, n, (size_t)arrlen(r->body));
+		breach("request %d (%s): %zu bytes of %zu look complete", no, request->path, n,
+		       (size_t)arrlen(r->body));
 }
 
 static void count_answer(const struct answer *a, struct request *request)
@@ -1048,23 +1140,29 @@
 		sum.failed++;
 }
 
-/* Rule LOST: read whole, and its connection ends without a whole answer before the client's deadline. What was pipelined behind
- * an answer that had to be broken off ends with it: by RFC 9112, 9.3.2, its client has to ask again. An answer that has begun
- * has to be when its deadline comes, and when the time to stop in is over. */
+/* Rule LOST: read whole, and its connection ends without a whole answer before the client's deadline. What
+ * was pipelined behind an answer that had to be broken off ends with it: by RFC 9112, 9.3.2, its client has
+ * to ask again. An answer that has begun has to be when its deadline comes, and when the time to stop in is
+ * over. */
 static void check_lost(const struct client *client)
 {
-	for (ptrdiff_t i = 0; w.calm && !client->half_closed && client->mode != CLIENT_SLOW && i < arrlen(client->pending); i++) {
+	for (ptrdiff_t i = 0;
+	     w.calm && !client->half_closed && client->mode != CLIENT_SLOW && i < arrlen(client->pending);
+	     i++) {
 		const struct request *request = &w.requests[client->pending[i]];
 
 		int64_t age = net_sim_now() - request->complete_at;
 
 		if (net_sim_bytes_read(client->c) < request->ends_at)
 			continue;
-		if (age >= request->limit_ms || (arrlen(client->in) && w.edge.drain_started_at_ms && net_sim_now() >= w.proc.stop_deadline_ms - STOP_LAST_MS))
+		if (age >= request->limit_ms || (arrlen(client->in) && w.edge.drain_started_at_ms &&
+						 net_sim_now() >= w.proc.stop_deadline_ms - STOP_LAST_MS))
 			break;
 		if (arrlen(request->wires) || age > LOSS_SLACK_MS)
-			breach("request %d (%s) was read whole and got no answer: sent to %d, %lld of %d ms old", client->pending[i],
-			       request->path, (int)arrlen(request->wires), (long long)age, request->limit_ms);
+			breach(
+			    "request %d (%s) was read whole and got no answer: sent to %d, %lld of %d ms old",
+			    client->pending[i], request->path, (int)arrlen(request->wires), (long long)age,
+			    request->limit_ms);
 	}
 }
 
@@ -1075,7 +1173,8 @@
 	size_t n;
 	enum sim_close_state state = net_sim_close_state(client->c);
 
-	while ((n = net_sim_read(client->c, d, client->mode == CLIENT_SLOW ? 1 + random_below(200) : sizeof d))) {
+	while ((
+	    n = net_sim_read(client->c, d, client->mode == CLIENT_SLOW ? 1 + random_below(200) : sizeof d))) {
 		append(&client->in, d, n);
 		if (client->mode == CLIENT_SLOW)
 			break;
@@ -1094,8 +1193,10 @@
 			break;
 		}
 		if (arrlen(client->in)) {
-			if (!read_answer(client->in, (size_t)arrlen(client->in), ended && state != SIM_RESET, &a))
-				breach("request %d: bytes that are no answer: %.30s", client->pending[0], client->in);
+			if (!read_answer(client->in, (size_t)arrlen(client->in), ended && state != SIM_RESET,
+					 &a))
+				breach("request %d: bytes that are no answer: %.30s", client->pending[0],
+				       client->in);
 			check_answer(client->pending[0], &a);
 		}
 		if (!a.complete) {
@@ -1132,7 +1233,8 @@
 		if (!client->c)
 			return;
 	}
-	if (!client_read(client) || (client->half_closed && now >= client->next_at && client->mode == CLIENT_SMUGGLES)) {
+	if (!client_read(client) ||
+	    (client->half_closed && now >= client->next_at && client->mode == CLIENT_SMUGGLES)) {
 		if (!client->half_closed)
 			net_sim_end(client->c, 0);
 		client_close(client);
@@ -1151,8 +1253,9 @@
 /* ---- the daemon round them ---- */
 
 /* Thousands of stops say thousands of lines; only what is wrong is shown. */
-void __wrap_log_say(enum log_level level, const char *prefix, const char *fmt, ...) __attribute__((format(printf, 3, 4)));
-void __wrap_log_say(enum log_level level, const char *prefix, const char *fmt, ...)
+void __wrap_log_write(enum log_level level, const char *prefix, const char *fmt, ...)
+    __attribute__((format(printf, 3, 4)));
+void __wrap_log_write(enum log_level level, const char *prefix, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -1166,15 +1269,16 @@
 }
 
 int64_t __real_clock_ms(void);
-void __wrap_proc_perform(struct process *proc);
-void __wrap_proc_perform(struct process *proc)
+void __wrap_process_perform(struct process *proc);
+void __wrap_process_perform(struct process *proc)
 {
 	for (ptrdiff_t i = 0; i < arrlen(proc->commands.commands); i++) {
 		const struct command *command = &proc->commands.commands[i];
 
 		if (platform_edge.perform(&w.edge, command))
 			continue;
-		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+		if (command->kind == CMD_SEND &&
+		    command->args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
 			arrput(w.config_watch_tokens, command->args.send.msg->config_sync->token);
 	}
 	command_list_clear(&proc->commands);
@@ -1183,7 +1287,7 @@
 static void core_step(const struct router_event *event)
 {
 	router_step(&w.ctr, event, net_sim_now(), &w.proc.commands);
-	__wrap_proc_perform(&w.proc);
+	__wrap_process_perform(&w.proc);
 }
 
 static struct Nl__Row *row(apr_pool_t *pool, Nl__Kind kind, const char *name)
@@ -1253,7 +1357,8 @@
 
 			config_row[0] = row(pool, NL__KIND__TENANT, apr_psprintf(pool, "t%d", i));
 			config_row[0]->share = 1;
-			config_row[1] = row(pool, NL__KIND__KEY, doc_digest(apr_psprintf(pool, "key-%d", i), hex));
+			config_row[1] =
+			    row(pool, NL__KIND__KEY, doc_digest(apr_psprintf(pool, "key-%d", i), hex));
 			config_row[1]->tenant = config_row[0]->name;
 		}
 		reply.n_set = 1 + ROUTES + 2 * TENANTS;
@@ -1374,7 +1479,8 @@
 {
 	int64_t from = net_sim_now(), end;
 
-	while (!w.bad[0] && net_sim_now() < w.proc.stop_deadline_ms && !platform_edge.is_idle(&w.edge, net_sim_now()))
+	while (!w.bad[0] && net_sim_now() < w.proc.stop_deadline_ms &&
+	       !platform_edge.is_idle(&w.edge, net_sim_now()))
 		play(1, ask);
 	for (end = net_sim_now() + DISCONNECTED_MS; net_sim_now() < end; net_sim_advance(5))
 		platform_edge.wait(&w.edge, 0);
@@ -1409,12 +1515,14 @@
 		const struct router_server_state *server = &w.ctr.servers[i];
 
 		if (server->own_running || server->prefill_tokens || server->resident_tokens)
-			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i, server->own_running, server->prefill_tokens,
+			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i,
+			       server->own_running, server->prefill_tokens,
 			       (unsigned long long)server->resident_tokens);
 	}
 	for (ptrdiff_t i = 0; i < arrlen(w.ctr.queues); i++)
 		if (w.ctr.queues[i].length || w.ctr.queues[i].running)
-			breach("a line of nobody has %u waiting and %u running", w.ctr.queues[i].length, w.ctr.queues[i].running);
+			breach("a line of nobody has %u waiting and %u running", w.ctr.queues[i].length,
+			       w.ctr.queues[i].running);
 }
 
 static void no_answer_goes_astray(void **state)
@@ -1435,24 +1543,25 @@
 				       w.requests[w.clients[i].pending[0]].path);
 		check_books();
 		if (w.bad[0])
-			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed, (long long)(net_sim_now() - w.started),
-				 w.bad);
+			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed,
+				 (long long)(net_sim_now() - w.started), w.bad);
 		world_close();
 	}
 	print_message(
 	    "%llu seeds: %llu requests, %llu whole, %llu refused, %llu failed, %llu cut; %llu wires (%llu again, %llu resumed), %llu runs; "
 	    "%llu surplus, %llu foreign, %llu freezes, %llu smuggled\n",
-	    (unsigned long long)n, (unsigned long long)sum.requests, (unsigned long long)sum.whole, (unsigned long long)sum.refused,
-	    (unsigned long long)sum.failed, (unsigned long long)sum.cut, (unsigned long long)sum.wires,
-	    (unsigned long long)sum.again, (unsigned long long)sum.resumed, (unsigned long long)sum.runs,
-	    (unsigned long long)sum.surplus, (unsigned long long)sum.foreign, (unsigned long long)sum.frozen,
-	    (unsigned long long)sum.smuggled);
+	    (unsigned long long)n, (unsigned long long)sum.requests, (unsigned long long)sum.whole,
+	    (unsigned long long)sum.refused, (unsigned long long)sum.failed, (unsigned long long)sum.cut,
+	    (unsigned long long)sum.wires, (unsigned long long)sum.again, (unsigned long long)sum.resumed,
+	    (unsigned long long)sum.runs, (unsigned long long)sum.surplus, (unsigned long long)sum.foreign,
+	    (unsigned long long)sum.frozen, (unsigned long long)sum.smuggled);
 	if (n < 20)
 		return;
 	for (int i = 0; i < ACTS; i++)
 		if (!sum.acts[i])
 			fail_msg("act %d was never played", i);
-	assert_true(sum.whole > sum.requests / 4 && sum.again && sum.resumed && sum.refused && sum.failed && sum.cut);
+	assert_true(sum.whole > sum.requests / 4 && sum.again && sum.resumed && sum.refused && sum.failed &&
+		    sum.cut);
 }
 
 /* ---- one request at a time, servers by script ---- */
@@ -1473,7 +1582,8 @@
 	world_close();
 }
 
-/* One client asks on a route, and the servers that it meets do as the script says. Returns its request's number. */
+/* One client asks on a route, and the servers that it meets do as the script says. Returns its request's
+ * number. */
 static int ask_scripted(enum route route, const enum act *acts, int n, int64_t ms)
 {
 	struct client *client = &w.clients[0];
@@ -1495,7 +1605,8 @@
 	return no;
 }
 
-/* An earlier answer that says "not executed" may stand in the slot of a request that runs: it goes to no second server. */
+/* An earlier answer that says "not executed" may stand in the slot of a request that runs: it goes to no
+ * second server. */
 static void a_refusal_of_another_request_is_no_promise(void **state)
 {
 	static const enum act acts[] = { ACT_FOREIGN_REFUSAL };
@@ -1515,8 +1626,8 @@
 		}
 }
 
-/* Where a server says an earlier request's answer late, a request's own answer behind it still reaches its client, whole, and the
- * request goes to no second server. */
+/* Where a server says an earlier request's answer late, a request's own answer behind it still reaches its
+ * client, whole, and the request goes to no second server. */
 static void an_answer_to_another_request_is_passed_over(void **state)
 {
 	static const enum act acts[] = { ACT_FOREIGN_THEN_OWN };
@@ -1552,10 +1663,12 @@
 	}
 }
 
-/* Part of a body that has no events has gone to the client: nothing can go on behind it. Nor can a body behind events. */
+/* Part of a body that has no events has gone to the client: nothing can go on behind it. Nor can a body
+ * behind events. */
 static void only_event_streams_are_resumed(void **state)
 {
-	static const enum act acts[][2] = { { ACT_NOT_A_STREAM, ACT_ANSWER }, { ACT_CUT_BODY, ACT_NOT_A_STREAM } };
+	static const enum act acts[][2] = { { ACT_NOT_A_STREAM, ACT_ANSWER },
+					    { ACT_CUT_BODY, ACT_NOT_A_STREAM } };
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= 60; seed++)
@@ -1566,8 +1679,8 @@
 		}
 }
 
-/* The process freezes between its look at a kept connection and the request that would go out on it, for longer than its server
- * keeps it. */
+/* The process freezes between its look at a kept connection and the request that would go out on it, for
+ * longer than its server keeps it. */
 static void a_connection_ages_in_a_freeze(void **state)
 {
 	static const enum act acts[] = { ACT_SHORT_KEEP };
@@ -1585,7 +1698,8 @@
 	}
 }
 
-/* The readiness door follows the configuration: ready while it is certain to be in force, not while its owner is silent. */
+/* The readiness door follows the configuration: ready while it is certain to be in force, not while its owner
+ * is silent. */
 static int readiness(void)
 {
 	static const char ask[] = "GET /readiness HTTP/1.1\r\n\r\n";
@@ -1616,8 +1730,8 @@
 	quiet_end(1);
 }
 
-/* Without a configuration that is certain to be in force all is refused with a promise, known routes and unknown ones: never
- * with a 4xx that a newer configuration might not give. */
+/* Without a configuration that is certain to be in force all is refused with a promise, known routes and
+ * unknown ones: never with a 4xx that a newer configuration might not give. */
 static void a_stale_front_end_promises_and_denies_nothing(void **state)
 {
 	struct sim_conn *conn;
@@ -1647,12 +1761,13 @@
 
 static void random_limits(void)
 {
-	struct http_limits limits = { 16384 + random_below(16384), 65536 + random_below(65536), 100 + (int)random_below(3000), 100 + (int)random_below(5000) };
+	struct http_limits limits = { 16384 + random_below(16384), 65536 + random_below(65536),
+				      100 + (int)random_below(3000), 100 + (int)random_below(5000) };
 
 	http_limits(w.edge.http, 1, &limits);
 }
 
-/* Settings are read anew, as counter.c takes them over. */
+/* Settings are read anew, as notchlug_router.c takes them over. */
 static void settings_change(void)
 {
 	uint64_t seeds[2] = { LEADER_ADDR, LEADER_ADDR + random_below(2) };
@@ -1693,8 +1808,8 @@
 	return n;
 }
 
-/* Whoever's request was read whole hears a whole answer: with limits and settings that change all the time, and with a stop
- * at any time of any length. */
+/* Whoever's request was read whole hears a whole answer: with limits and settings that change all the time,
+ * and with a stop at any time of any length. */
 static void planned_work_loses_nothing(void **state)
 {
 	uint64_t first = first_seed(), n = seed_count(STOP_RUNS), refused = 0, gone = 0;
@@ -1715,8 +1830,8 @@
 		if (took > grace + DISCONNECTED_MS + 10)
 			breach("the stop took %lld of %lld ms", (long long)took, (long long)grace);
 		if (w.bad[0])
-			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed, (long long)(net_sim_now() - w.started),
-				 w.bad);
+			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed,
+				 (long long)(net_sim_now() - w.started), w.bad);
 		outcomes = w.edge.outcomes;
 		if (without_outcome(&outcomes) > slow_clients())
 			fail_msg("NL_SEED=%llu: %llu requests have no outcome", (unsigned long long)seed,
@@ -1725,16 +1840,17 @@
 		gone += outcomes.outcomes[HTTP_OUTCOME_DISCONNECTED];
 		world_close();
 	}
-	print_message("%llu seeds: %llu requests, %llu whole, %llu refused, %llu failed, %llu cut\n", (unsigned long long)n,
-		      (unsigned long long)sum.requests, (unsigned long long)sum.whole, (unsigned long long)sum.refused,
-		      (unsigned long long)sum.failed, (unsigned long long)sum.cut);
+	print_message("%llu seeds: %llu requests, %llu whole, %llu refused, %llu failed, %llu cut\n",
+		      (unsigned long long)n, (unsigned long long)sum.requests, (unsigned long long)sum.whole,
+		      (unsigned long long)sum.refused, (unsigned long long)sum.failed,
+		      (unsigned long long)sum.cut);
 	assert_true(n < 20 || (sum.whole && sum.refused && sum.failed && refused && gone));
 }
 
 enum { CROWD = 50 };
 
-/* More requests than the servers have places, and servers that are silent: what was never sent hears early when to come back,
- * what was sent has the time to stop in and then hears that it failed. */
+/* More requests than the servers have places, and servers that are silent: what was never sent hears early
+ * when to come back, what was sent has the time to stop in and then hears that it failed. */
 static void a_stop_answers_the_waiting_and_the_running(void **state)
 {
 	(void)state;
@@ -1769,7 +1885,8 @@
 		assert_int_equal(arrlen(w.ctr.requests), CROWD);
 		from = net_sim_now();
 		stop_begins(GRACE_MS);
-		while (!platform_edge.is_idle(&w.edge, net_sim_now()) && net_sim_now() < w.proc.stop_deadline_ms) {
+		while (!platform_edge.is_idle(&w.edge, net_sim_now()) &&
+		       net_sim_now() < w.proc.stop_deadline_ms) {
 			play(1, 0);
 			for (int i = 0; i < CROWD; i++) {
 				char b[1000];
@@ -1788,10 +1905,11 @@
 			if (arrlen(in[i]) && read_answer(in[i], (size_t)arrlen(in[i]), 1, &a) && a.complete)
 				statuses[i] = a.status;
 			if (statuses[i] != (sent ? 502 : 503))
-				fail_msg("seed %llu: request %d, %s, was told %d", (unsigned long long)seed, i,
-					 sent ? "sent" : "never sent", statuses[i]);
+				fail_msg("seed %llu: request %d, %s, was told %d", (unsigned long long)seed,
+					 i, sent ? "sent" : "never sent", statuses[i]);
 			assert_true(sent || field(in[i], a.head, "Retry-After", v, sizeof v));
-			assert_true(sent ? answered_at[i] > GRACE_MS - 500 : answered_at[i] <= GRACE_MS / 2 + 100);
+			assert_true(sent ? answered_at[i] > GRACE_MS - 500
+					 : answered_at[i] <= GRACE_MS / 2 + 100);
 			waited += !sent;
 			ran += sent;
 			arrfree(a.body);
@@ -1803,11 +1921,13 @@
 	}
 }
 
-/* SIGTERM between any two bytes of a request; the rest comes at once, when the listener has closed, or never. */
+/* SIGTERM between any two bytes of a request; the rest comes at once, when the listener has closed, or never.
+ */
 static void a_stop_at_each_byte_of_a_request(void **state)
 {
-	static const char request[] = "POST /once/0 HTTP/1.1\r\nHost: h.example\r\nX-Notchlug-Attempt-Id: a\r\n"
-				      "X-Notchlug-Deadline-Remaining: 3000\r\nContent-Length: 4\r\n\r\nbody";
+	static const char request[] =
+	    "POST /once/0 HTTP/1.1\r\nHost: h.example\r\nX-Notchlug-Attempt-Id: a\r\n"
+	    "X-Notchlug-Deadline-Remaining: 3000\r\nContent-Length: 4\r\n\r\nbody";
 	static const int64_t rest_after[] = { 1, 3000, -1 };
 	size_t len = sizeof request - 1;
 
@@ -1843,7 +1963,8 @@
 			answers = n && read_answer(b, n, 1, &a) && a.complete;
 			if (!answers || a.status != (i == 0 || cut == len ? 200 : 503) ||
 			    (i && cut < len && arrlen(w.requests[no].wires)))
-				fail_msg("cut %zu, rest after %lld ms: %d", cut, (long long)rest_after[i], answers ? a.status : -1);
+				fail_msg("cut %zu, rest after %lld ms: %d", cut, (long long)rest_after[i],
+					 answers ? a.status : -1);
 			arrfree(a.body);
 			quiet_end(cut);
 		}
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "sim.h"
 
 #define TENANT(n, share) "{\"kind\":\"tenant\",\"name\":\"" n "\",\"share\":" share ",\"limit\":50}"
@@ -38,9 +38,13 @@
 		assert_int_equal(sim.nodes[i].disk.fleet, sim.nodes[0].controller->fleet);
 		assert_true(sim.nodes[i].disk.shards[SHARD_CONTROL].term > 0);
 	}
-	assert_int_equal(sim_call_and_wait(&sim, 1, "POST", "/v1/change", "{\"set\":[" TENANT("rumah", "3") "]}", 6000), 200);
 	assert_int_equal(
-	    sim_call_and_wait(&sim, 2, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":0,\"limit\":1}]}", 6000),
+	    sim_call_and_wait(&sim, 1, "POST", "/v1/change", "{\"set\":[" TENANT("rumah", "3") "]}", 6000),
+	    200);
+	assert_int_equal(
+	    sim_call_and_wait(&sim, 2, "POST", "/v1/change",
+			      "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":0,\"limit\":1}]}",
+			      6000),
 	    400);
 	assert_int_equal(sim_call_and_wait(&sim, 3, "GET", "/v1/table", "", 6000), 200);
 	ok(&sim);
@@ -61,9 +65,11 @@
 		sim_run(&sim, 3000, NULL);
 		base = revision_of(&sim, a);
 		assert_true(base > 0);
-		snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[" TENANT("rumah", "4") "]}", (unsigned long long)base);
+		snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[" TENANT("rumah", "4") "]}",
+			 (unsigned long long)base);
 		a = sim_call(&sim, 1, "POST", "/v1/change", body);
-		snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[" TENANT("teduh", "5") "]}", (unsigned long long)base);
+		snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[" TENANT("teduh", "5") "]}",
+			 (unsigned long long)base);
 		b = sim_call(&sim, 2, "POST", "/v1/change", body);
 		sim_run(&sim, 6000, NULL);
 		ok(&sim);
@@ -89,19 +95,23 @@
 		int64_t from;
 
 		sim_fleet(&sim, seed, 4);
-		t = sim_call(&sim, (victim + 1) % 4, "POST", "/v1/change", "{\"set\":[" TENANT("rumah", "3") "]}");
+		t = sim_call(&sim, (victim + 1) % 4, "POST", "/v1/change",
+			     "{\"set\":[" TENANT("rumah", "3") "]}");
 		while (!sim_answer(&sim, t))
 			assert_true(sim_run(&sim, 1, NULL));
 		e = revision_of(&sim, t);
 		assert_true(e > 0);
 		sim_crash(&sim, victim, seed % 2); /* half the time the disk goes too */
 		from = sim.now;
-		while (sim_call_and_wait(&sim, (victim + 1) % 4, "POST", "/v1/change", "{\"set\":[" TENANT("teduh", "1") "]}", 6000) != 200)
+		while (sim_call_and_wait(&sim, (victim + 1) % 4, "POST", "/v1/change",
+					 "{\"set\":[" TENANT("teduh", "1") "]}", 6000) != 200)
 			assert_true(sim.now - from < 12000);
 		if (sim.now - from > worst)
 			worst = sim.now - from;
 		assert_true(sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision > e);
-		assert_non_null(config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, "rumah"));
+		assert_non_null(
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+				     NL__KIND__TENANT, "rumah"));
 		/* the group mends itself with the fourth controller, then the lost one comes back */
 		sim_run(&sim, 15000, NULL);
 		ok(&sim);
@@ -112,10 +122,12 @@
 			assert_true(sim_leader(&sim, (uint32_t)i) >= 0);
 		sim_close(&sim);
 	}
-	print_message("one registrar lost: service back after at most %lld ms of virtual time\n", (long long)worst);
+	print_message("one registrar lost: service back after at most %lld ms of virtual time\n",
+		      (long long)worst);
 }
 
-/* All controllers lose power at the moment a change is acknowledged: it is there when they are back, within 12 s. */
+/* All controllers lose power at the moment a change is acknowledged: it is there when they are back, within
+ * 12 s. */
 static void all_controllers_lose_power(void **state)
 {
 	int64_t worst = 0;
@@ -140,14 +152,17 @@
 		for (int i = 0; i < 4; i++)
 			sim_start(&sim, i);
 		assert_true(sim_change(&sim, "{\"set\":[" TENANT("teduh", "1") "]}", 12000) > e);
-		assert_non_null(config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, "rumah"));
+		assert_non_null(
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+				     NL__KIND__TENANT, "rumah"));
 		if (sim.now - from > worst)
 			worst = sim.now - from;
 		ok(&sim);
 		sim_close(&sim);
 	}
-	print_message("all registrars lose power: a change is acknowledged again after at most %lld ms of virtual time\n",
-		      (long long)worst);
+	print_message(
+	    "all registrars lose power: a change is acknowledged again after at most %lld ms of virtual time\n",
+	    (long long)worst);
 }
 
 static int all_owned(struct sim *sim)
@@ -158,7 +173,8 @@
 	return 1;
 }
 
-/* Who fell together owes no promise to an owner that fell too: every part is owned well before a lease would have ended. */
+/* Who fell together owes no promise to an owner that fell too: every part is owned well before a lease would
+ * have ended. */
 static void who_fell_together_wait_for_nobody(void **state)
 {
 	int64_t worst = 0;
@@ -184,12 +200,14 @@
 		ok(&sim);
 		sim_close(&sim);
 	}
-	print_message("all registrars fell: every part is owned again after at most %lld ms of virtual time\n", (long long)worst);
+	print_message(
+	    "all registrars fell: every part is owned again after at most %lld ms of virtual time\n",
+	    (long long)worst);
 	assert_true(worst <= 300);
 }
 
-/* Every machine of the core is swapped for an empty one at a new address, one after the other; in the end none of
- * the seeds is left. Nothing acknowledged is lost, and the groups are whole again. */
+/* Every machine of the core is swapped for an empty one at a new address, one after the other; in the end
+ * none of the seeds is left. Nothing acknowledged is lost, and the groups are whole again. */
 static void all_machines_replaced(void **state)
 {
 	int64_t worst = 0;
@@ -219,29 +237,43 @@
 				for (uint32_t q = 0; q < SHARD_COUNT; q++) {
 					int o = sim_leader(&sim, q), up = 0;
 
-					for (int m = 0; o >= 0 && m < sim.nodes[o].controller->shards[q].member_count; m++)
+					for (int m = 0;
+					     o >= 0 && m < sim.nodes[o].controller->shards[q].member_count;
+					     m++)
 						for (int k = 0; k < SIM_CONTROLLERS; k++)
-							up += sim.nodes[k].up && sim.nodes[k].id == sim.nodes[o].controller->shards[q].members[m].id &&
-							      sim.nodes[o].controller->shards[q].members[m].voter;
-					complete &= o >= 0 && up == 3 && sim.nodes[o].controller->shards[q].member_count == 3;
+							up += sim.nodes[k].up &&
+							      sim.nodes[k].id == sim.nodes[o]
+										     .controller->shards[q]
+										     .members[m]
+										     .id &&
+							      sim.nodes[o]
+								  .controller->shards[q]
+								  .members[m]
+								  .voter;
+					complete &= o >= 0 && up == 3 &&
+						    sim.nodes[o].controller->shards[q].member_count == 3;
 				}
 				if (sim.now - from > 40000)
-					fail_msg("seed %llu: the groups are not whole 40 s after machine %d was replaced",
-						 (unsigned long long)seed, i);
+					fail_msg(
+					    "seed %llu: the groups are not whole 40 s after machine %d was replaced",
+					    (unsigned long long)seed, i);
 			}
 			if (sim.now - from > worst)
 				worst = sim.now - from;
 		}
 		assert_true(sim_change(&sim, "{\"set\":[" TENANT("teduh", "3") "]}", 6000));
-		assert_non_null(config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, "rumah"));
+		assert_non_null(
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+				     NL__KIND__TENANT, "rumah"));
 		ok(&sim);
 		sim_close(&sim);
 	}
-	print_message("a machine replaced: all groups whole again after at most %lld ms of virtual time\n", (long long)worst);
+	print_message("a machine replaced: all groups whole again after at most %lld ms of virtual time\n",
+		      (long long)worst);
 }
 
-/* One member and the owner do not hear each other, and it asks for votes; the other, who does, keeps its promise, also when it
- * falls and is back at once: never two has_lease owners. */
+/* One member and the owner do not hear each other, and it asks for votes; the other, who does, keeps its
+ * promise, also when it falls and is back at once: never two has_lease owners. */
 static void promises_outlast_a_restart(void **state)
 {
 	(void)state;
@@ -262,7 +294,8 @@
 
 			/* just before the deaf one asks */
 			while (sim.now < end &&
-			       n->controller->shards[SHARD_CONTROL].election_at_ms > sim.now + n->clock_skew_ms + 5 + (int64_t)(core_random(&rng) % 20))
+			       n->controller->shards[SHARD_CONTROL].election_at_ms >
+				   sim.now + n->clock_skew_ms + 5 + (int64_t)(core_random(&rng) % 20))
 				sim_run(&sim, 1, NULL);
 			sim_crash(&sim, b, 0);
 			sim_start(&sim, b);
@@ -277,8 +310,8 @@
 	}
 }
 
-/* A part's second snapshot and its third stand on the members of the first: all lose power after them, and the groups
- * are what they were. */
+/* A part's second snapshot and its third stand on the members of the first: all lose power after them, and
+ * the groups are what they were. */
 static void later_snapshots_keep_the_members(void **state)
 {
 	struct sim sim;
@@ -300,9 +333,11 @@
 	assert_true(e > 2 * RAFT_SNAPSHOT_ENTRIES + RAFT_SNAPSHOT_ENTRIES / 2);
 	for (int i = 0; i < 4; i++) {
 		struct Nl__Members *members =
-		    nl__members__unpack(NULL, sim.nodes[i].disk.shards[SHARD_CONTROL].members_len, sim.nodes[i].disk.shards[SHARD_CONTROL].members);
+		    nl__members__unpack(NULL, sim.nodes[i].disk.shards[SHARD_CONTROL].members_len,
+					sim.nodes[i].disk.shards[SHARD_CONTROL].members);
 
-		if (sim.nodes[i].controller->shards[SHARD_CONTROL].member_count) { /* not the fourth, which keeps no copy */
+		if (sim.nodes[i].controller->shards[SHARD_CONTROL].member_count) { /* not the fourth, which
+										      keeps no copy */
 			assert_non_null(members);
 			assert_int_equal(members->n_members, 3);
 		}
@@ -334,23 +369,28 @@
 		sim_crash(&sim, pub, 0);
 		from = sim.now;
 		for (int i = 0; i < 4; i++)
-			while (sim.nodes[i].controller && (sim_leader(&sim, SHARD_PURGE) < 0 || sim.nodes[i].controller->relay.knowledge.horizon <= PURGE_RESERVED_TICKS)) {
+			while (sim.nodes[i].controller &&
+			       (sim_leader(&sim, SHARD_PURGE) < 0 ||
+				sim.nodes[i].controller->relay.knowledge.horizon <= PURGE_RESERVED_TICKS)) {
 				assert_true(sim_run(&sim, 10, NULL));
 				if (sim.now - from > 12000)
-					fail_msg("seed %llu: node %d's horizon stands still", (unsigned long long)seed, i);
+					fail_msg("seed %llu: node %d's horizon stands still",
+						 (unsigned long long)seed, i);
 			}
 		if (sim.now - from > worst)
 			worst = sim.now - from;
 		sim_close(&sim);
 	}
-	print_message("publisher lost: every horizon moves again after at most %lld ms of virtual time\n", (long long)worst);
+	print_message("publisher lost: every horizon moves again after at most %lld ms of virtual time\n",
+		      (long long)worst);
 }
 
 /* Crashes, cuts, freezes, stalls, loss: invariants hold at every step; all heals in the end. */
 static void storm(void **state)
 {
 	const char *n = getenv("NL_SEEDS");
-	uint64_t seeds = n ? strtoull(n, NULL, 10) : 60, first = getenv("NL_SEED") ? strtoull(getenv("NL_SEED"), NULL, 10) : 1;
+	uint64_t seeds = n ? strtoull(n, NULL, 10) : 60,
+		 first = getenv("NL_SEED") ? strtoull(getenv("NL_SEED"), NULL, 10) : 1;
 
 	uint64_t values = 0;
 
@@ -377,12 +417,22 @@
 				if (!sim.nodes[v].up)
 					sim_start(&sim, v);
 				break;
-			case 2: sim_cut(&sim, v, !sim.nodes[v].partition); break;
-			case 3: sim_freeze(&sim, v, !sim.nodes[v].frozen); break;
-			case 4: sim.nodes[v].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000); break;
-			case 5: sim.jitter_ms = (int)(core_random(&rng) % 200); break;
+			case 2:
+				sim_cut(&sim, v, !sim.nodes[v].partition);
+				break;
+			case 3:
+				sim_freeze(&sim, v, !sim.nodes[v].frozen);
+				break;
+			case 4:
+				sim.nodes[v].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000);
+				break;
+			case 5:
+				sim.jitter_ms = (int)(core_random(&rng) % 200);
+				break;
 			case 6:
-			case 7: sim.link_cut[v][core_random(&rng) % 4] ^= 1; break; /* one way, between two */
+			case 7:
+				sim.link_cut[v][core_random(&rng) % 4] ^= 1;
+				break; /* one way, between two */
 			case 8:
 			case 9: /* several fall together, or all, and come back at once or a little later */
 				for (int i = 0; i < 4; i++)
@@ -395,11 +445,13 @@
 						sim_run(&sim, (int64_t)(core_random(&rng) % 100), NULL);
 					}
 				break;
-			default: break;
+			default:
+				break;
 			}
-			snprintf(body, sizeof body,
-				 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":9,\"walled\":%s}]}", k % 5,
-				 k & 1 ? "true" : "false");
+			snprintf(
+			    body, sizeof body,
+			    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":9,\"walled\":%s}]}",
+			    k % 5, k & 1 ? "true" : "false");
 			for (int i = 0; i < 4; i++)
 				if (sim.nodes[i].up)
 					sim_call(&sim, i, "POST", "/v1/change", body);
@@ -419,13 +471,16 @@
 		ok(&sim);
 		for (uint32_t i = 0; i < SHARD_COUNT; i++)
 			if (sim_leader(&sim, i) < 0)
-				fail_msg("seed %llu: part %u has no owner 12 s after the last fault", (unsigned long long)seed, i);
+				fail_msg("seed %llu: part %u has no owner 12 s after the last fault",
+					 (unsigned long long)seed, i);
 		/* all horizons reach the publisher's, all tables agree */
 		for (int i = 0; i < 4; i++) {
-			struct controller *pub = sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller, *controller = sim.nodes[i].controller;
+			struct controller *pub = sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller,
+					  *controller = sim.nodes[i].controller;
 
 			assert_true(controller->relay.knowledge.horizon + 10 >= pub->declared_tick);
-			assert_true(controller->config_watch.table.revision == sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision);
+			assert_true(controller->config_watch.table.revision ==
+				    sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision);
 		}
 		values += (uint64_t)arrlen(sim.value);
 		sim_close(&sim);
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "sim.h"
 
 static void ok(struct sim *sim)
@@ -24,7 +24,8 @@
 
 	ok(sim);
 	if (!e)
-		fail_msg("seed %llu: not acknowledged within %lld ms: %s", (unsigned long long)sim->seed, (long long)ms, body);
+		fail_msg("seed %llu: not acknowledged within %lld ms: %s", (unsigned long long)sim->seed,
+			 (long long)ms, body);
 }
 
 static uint64_t seeds_of(uint64_t n, uint64_t *first)
@@ -44,12 +45,14 @@
 	int64_t end = sim->now + ms;
 
 	while (sim->now < end && !sim->violation[0]) {
-		int node = SIM_CONTROLLERS + (int)(core_random(rng) % (uint64_t)routers), route = (int)(core_random(rng) % 3);
+		int node = SIM_CONTROLLERS + (int)(core_random(rng) % (uint64_t)routers),
+		    route = (int)(core_random(rng) % 3);
 		char id[64];
 
 		if (sim->nodes[node].up && !sim->nodes[node].frozen) {
 			ptrdiff_t n = arrlen(sim->requests);
-			struct sim_request *old = n > 20 ? &sim->requests[n - 1 - (ptrdiff_t)(core_random(rng) % 20)] : NULL;
+			struct sim_request *old =
+			    n > 20 ? &sim->requests[n - 1 - (ptrdiff_t)(core_random(rng) % 20)] : NULL;
 
 			if (old && old->outcome > SIM_COMPLETE && core_random(rng) % 3 == 0) {
 				snprintf(id, sizeof id, "%s", old->id);
@@ -57,7 +60,7 @@
 			} else {
 				snprintf(id, sizeof id, "x%llu", (unsigned long long)++sim->token);
 				sim_submit(sim, node, id, (int)(core_random(rng) % 4), lanes[route],
-					(int)(core_random(rng) % (uint64_t)matters));
+					   (int)(core_random(rng) % (uint64_t)matters));
 			}
 		}
 		sim_run(sim, 1 + (int64_t)(core_random(rng) % (uint64_t)(2 * gap)), NULL);
@@ -72,10 +75,12 @@
 	ok(sim);
 	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
 		if (sim->requests[i].outcome == SIM_OPEN)
-			fail_msg("seed %llu: %s was never told anything", (unsigned long long)sim->seed, sim->requests[i].id);
+			fail_msg("seed %llu: %s was never told anything", (unsigned long long)sim->seed,
+				 sim->requests[i].id);
 }
 
-/* Resends in any ten seconds over all counters: a fifth of the first sends, and two saved up at each life of a counter. */
+/* Resends in any ten seconds over all counters: a fifth of the first sends, and two saved up at each life of
+ * a counter. */
 static void budget_kept(struct sim *sim, int lives)
 {
 	ptrdiff_t from = 0;
@@ -89,7 +94,8 @@
 			again -= sim->sends[from++].again;
 		}
 		if (again > n / 5 + 2 * lives + 2)
-			fail_msg("seed %llu: %d resends for %d sends within ten seconds", (unsigned long long)sim->seed, again, n);
+			fail_msg("seed %llu: %d resends for %d sends within ten seconds",
+				 (unsigned long long)sim->seed, again, n);
 	}
 }
 
@@ -112,15 +118,17 @@
 	rng = 3;
 	load(&b, &rng, 20000, 20, 3);
 	all_notified(&b);
-	print_message("read anew of all prompt part tokens: %.1f %% with the index, %.1f %% with a least-loaded choice\n",
-		      100.0 * (double)a.n_fresh / (double)a.n_tokens, 100.0 * (double)b.n_fresh / (double)b.n_tokens);
+	print_message(
+	    "read anew of all prompt part tokens: %.1f %% with the index, %.1f %% with a least-loaded choice\n",
+	    100.0 * (double)a.n_fresh / (double)a.n_tokens, 100.0 * (double)b.n_fresh / (double)b.n_tokens);
 	assert_true(a.n_fresh * 3 < b.n_fresh * 2);
 	matters = 3;
 	sim_close(&a);
 	sim_close(&b);
 }
 
-/* Drain, wall, revoke and roll out while callers go on; the bounds of the brief are checked by the simulator. */
+/* Drain, wall, revoke and roll out while callers go on; the bounds of the brief are checked by the simulator.
+ */
 static void decisions_under_load(void **state)
 {
 	uint64_t first, seeds = seeds_of(10, &first);
@@ -138,8 +146,10 @@
 		sim.jitter_ms = (int)(core_random(&rng) % 60);
 		load(&sim, &rng, 3000, 30, 3);
 		/* wall t1 off */
-		must_change(&sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":100,\"walled\":true}]}",
-			    12000);
+		must_change(
+		    &sim,
+		    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":100,\"walled\":true}]}",
+		    12000);
 		sim.isolation[1].isolated = 1;
 		sim.isolation[1].since = sim.now;
 		load(&sim, &rng, 4000, 20, 3);
@@ -152,11 +162,13 @@
 		sim.servers[0].departed = sim.now;
 		load(&sim, &rng, 5000, 20, 3);
 		/* remove the key of t2, with a counter cut off and another frozen meanwhile */
-		/* the first hears all controllers but the configuration's owner: it could claim and send, but not know */
+		/* the first hears all controllers but the configuration's owner: it could claim and send, but
+		 * not know */
 		rollout = sim_leader(&sim, SHARD_CONTROL);
 		sim.link_cut[rollout][SIM_CONTROLLERS] = 1;
 		sim_freeze(&sim, SIM_CONTROLLERS + 1, 1);
-		snprintf(body, sizeof body, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}", sim_key(2, hex));
+		snprintf(body, sizeof body, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}",
+			 sim_key(2, hex));
 		must_change(&sim, body, 12000);
 		sh_new_strdup(sim.removed_keys);
 		shput(sim.removed_keys, hex, sim.now);
@@ -172,7 +184,8 @@
 		    12000);
 		targeted_at = sim.now;
 		load(&sim, &rng, 1000, 20, 3);
-		rollout = sim_leader(&sim, core_shard_of("repairs", SHARD_SERVICES)); /* and the rollout dies in the middle */
+		rollout = sim_leader(
+		    &sim, core_shard_of("repairs", SHARD_SERVICES)); /* and the rollout dies in the middle */
 		if (rollout >= 0)
 			sim_crash(&sim, rollout, 0);
 		load(&sim, &rng, 2000, 20, 3);
@@ -180,18 +193,23 @@
 		while (strcmp(sim.servers[1].weights, "w2") || strcmp(sim.servers[4].weights, "w2")) {
 			load(&sim, &rng, 200, 20, 3);
 			if (sim.now - targeted_at > 20000)
-				fail_msg("seed %llu: weights on %s and %s after 20 s", (unsigned long long)seed, sim.servers[1].weights,
+				fail_msg("seed %llu: weights on %s and %s after 20 s",
+					 (unsigned long long)seed, sim.servers[1].weights,
 					 sim.servers[4].weights);
 		}
-		/* back to the old weights: nothing made under them before may come back to life; t1 let back in */
-		sim.isolation[1].isolated = 0; /* from the asking on: a counter may know before the operator does */
+		/* back to the old weights: nothing made under them before may come back to life; t1 let back
+		 * in */
+		sim.isolation[1].isolated =
+		    0; /* from the asking on: a counter may know before the operator does */
 		must_change(
 		    &sim,
 		    "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w1\",\"prefill\":20,\"kv_bytes\":400,\"link\":100000},"
 		    "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":100}]}",
 		    12000);
-		snprintf(body, sizeof body,
-			 "{\"set\":[{\"kind\":\"server\",\"name\":\"s0\",\"service\":\"arrears\",\"addr\":\"%s\"}]}", sim.servers[0].addr);
+		snprintf(
+		    body, sizeof body,
+		    "{\"set\":[{\"kind\":\"server\",\"name\":\"s0\",\"service\":\"arrears\",\"addr\":\"%s\"}]}",
+		    sim.servers[0].addr);
 		sim.servers[0].departed = 0;
 		must_change(&sim, body, 12000);
 		load(&sim, &rng, 9000, 20, 3);
@@ -220,7 +238,8 @@
 		ok(&sim);
 		sim.loss_per_mille = (int)(core_random(&rng) % 20);
 		for (int k = 0; k < 14; k++) {
-			int r = (int)(core_random(&rng) % 4), c = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
+			int r = (int)(core_random(&rng) % 4),
+			    c = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
 			    v = (int)(core_random(&rng) % 6), down = 0;
 			char body[300];
 
@@ -235,17 +254,27 @@
 				if (!sim.nodes[r].up)
 					sim_start(&sim, r);
 				break;
-			case 2: sim_cut(&sim, r, !sim.nodes[r].partition); break;
-			case 3: sim_freeze(&sim, r, !sim.nodes[r].frozen); break;
-			case 4: sim.nodes[r].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000); break;
+			case 2:
+				sim_cut(&sim, r, !sim.nodes[r].partition);
+				break;
+			case 3:
+				sim_freeze(&sim, r, !sim.nodes[r].frozen);
+				break;
+			case 4:
+				sim.nodes[r].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000);
+				break;
 			case 5:
 				if (sim.nodes[c].up)
 					sim_crash(&sim, c, 0);
 				else
 					sim_start(&sim, c), lives++;
 				break;
-			case 6: sim_freeze(&sim, c, !sim.nodes[c].frozen); break;
-			case 7: sim_cut(&sim, c, !sim.nodes[c].partition); break;
+			case 6:
+				sim_freeze(&sim, c, !sim.nodes[c].frozen);
+				break;
+			case 7:
+				sim_cut(&sim, c, !sim.nodes[c].partition);
+				break;
 			case 8:
 				sim.servers[v].up = !sim.servers[v].up;
 				if (sim.servers[v].up) { /* back empty, with the weights it was made with */
@@ -253,8 +282,12 @@
 					sim.servers[v].loading[0] = 0;
 				}
 				break;
-			case 9: sim.jitter_ms = (int)(core_random(&rng) % 100); break;
-			case 10: sim.link_cut[r][core_random(&rng) % 11] ^= 1; break; /* one way, from a controller to any */
+			case 9:
+				sim.jitter_ms = (int)(core_random(&rng) % 100);
+				break;
+			case 10:
+				sim.link_cut[r][core_random(&rng) % 11] ^= 1;
+				break; /* one way, from a controller to any */
 			default:
 				snprintf(
 				    body, sizeof body,
@@ -287,7 +320,8 @@
 		do {
 			load(&sim, &rng, 100, 30, 3);
 			if (sim.now - from > 12000)
-				fail_msg("seed %llu: no service 12 s after the last fault", (unsigned long long)seed);
+				fail_msg("seed %llu: no service 12 s after the last fault",
+					 (unsigned long long)seed);
 		} while (sim.n_complete < complete + 10);
 		if (sim.now - from > worst)
 			worst = sim.now - from;
@@ -295,7 +329,8 @@
 		budget_kept(&sim, 3 + lives);
 		sim_close(&sim);
 	}
-	print_message("ten whole answers after the last fault: at most %lld ms of virtual time\n", (long long)worst);
+	print_message("ten whole answers after the last fault: at most %lld ms of virtual time\n",
+		      (long long)worst);
 }
 
 static int by_ms(const void *a, const void *b)
@@ -310,16 +345,18 @@
 	size_t n = (size_t)arrlen(v);
 
 	qsort(v, n, sizeof *v, by_ms);
-	print_message("%s: least %lld, median %lld, p95 %lld, most %lld ms of %llu\n", what, (long long)v[0], (long long)v[n / 2],
-		      (long long)v[n * 95 / 100], (long long)v[n - 1], (unsigned long long)n);
+	print_message("%s: least %lld, median %lld, p95 %lld, most %lld ms of %llu\n", what, (long long)v[0],
+		      (long long)v[n / 2], (long long)v[n * 95 / 100], (long long)v[n - 1],
+		      (unsigned long long)n);
 }
 
-/* New weights for one service of six servers that load for 1 to 8 s, under load: its rollout dies at any moment of the
- * roll-out, or a server dies and is back, or both, or another naming overtakes. All have them within 25 s. */
+/* New weights for one service of six servers that load for 1 to 8 s, under load: its rollout dies at any
+ * moment of the roll-out, or a server dies and is back, or both, or another naming overtakes. All have them
+ * within 25 s. */
 static void weights_reach_every_server(void **state)
 {
-	static const char *const names[] = { "nothing fails", "the giver dies", "a server dies and is back", "both",
-					     "overtaken, then the giver dies" };
+	static const char *const names[] = { "nothing fails", "the giver dies", "a server dies and is back",
+					     "both", "overtaken, then the giver dies" };
 	uint64_t first, seeds = seeds_of(10, &first);
 
 	(void)state;
@@ -352,14 +389,18 @@
 				    12000);
 			}
 			targeted_at = sim.now;
-			rollout_at = mode % 2 || mode == 4 ? targeted_at + (int64_t)(core_random(&rng) % 15000) : INT64_MAX;
-			server_at = mode == 2 || mode == 3 ? targeted_at + (int64_t)(core_random(&rng) % 5000) : INT64_MAX;
+			rollout_at = mode % 2 || mode == 4
+					 ? targeted_at + (int64_t)(core_random(&rng) % 15000)
+					 : INT64_MAX;
+			server_at = mode == 2 || mode == 3 ? targeted_at + (int64_t)(core_random(&rng) % 5000)
+							   : INT64_MAX;
 			while (on < 6) {
 				int up = 0;
 
 				load(&sim, &rng, 100, 60, 2);
 				if (sim.now >= rollout_at && rollout < 0 &&
-				    (rollout = sim_leader(&sim, core_shard_of("repairs", SHARD_SERVICES))) >= 0)
+				    (rollout = sim_leader(&sim, core_shard_of("repairs", SHARD_SERVICES))) >=
+					0)
 					sim_crash(&sim, rollout, 0);
 				if (sim.now >= server_at && !gone) {
 					gone = 1;
@@ -377,22 +418,25 @@
 				if (up < least)
 					least = up;
 				if (sim.now - targeted_at > 25000)
-					fail_msg("seed %llu, %s, loading takes %d ms: %d of 6 servers have the weights after 25 s",
-						 (unsigned long long)seed, names[mode], sim.load_ms, on);
+					fail_msg(
+					    "seed %llu, %s, loading takes %d ms: %d of 6 servers have the weights after 25 s",
+					    (unsigned long long)seed, names[mode], sim.load_ms, on);
 			}
 			arrput(took, sim.now - targeted_at);
 			sim_close(&sim);
 		}
-		snprintf(what, sizeof what, "weights on every server, %s (at least %d of 6 serving)", names[mode], least);
+		snprintf(what, sizeof what, "weights on every server, %s (at least %d of 6 serving)",
+			 names[mode], least);
 		print_spread(what, took);
-		if (mode == 0 || mode == 2) /* a third serves throughout; a late takeover puts the bound first */
+		if (mode == 0 ||
+		    mode == 2) /* a third serves throughout; a late takeover puts the bound first */
 			assert_true(least >= 1);
 		arrfree(took);
 	}
 }
 
-/* Weights that are named every three seconds: each naming overtakes the one before, and leaves the servers that have not been told
- * of that one no more time. None keeps the first weights beyond 25 s. */
+/* Weights that are named every three seconds: each naming overtakes the one before, and leaves the servers
+ * that have not been told of that one no more time. None keeps the first weights beyond 25 s. */
 static void target_versions_that_overtake_delay_nothing(void **state)
 {
 	uint64_t first, seeds = seeds_of(10, &first);
@@ -409,10 +453,11 @@
 		sim.load_ms = 2000;
 		sim_run(&sim, 6000, NULL); /* the rollout's hold-off is over */
 		for (int weights = 2; weights < 11; weights++) {
-			snprintf(body, sizeof body,
-				 "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w%d\",\"prefill\":20,"
-				 "\"kv_bytes\":400,\"link\":100000}]}",
-				 weights);
+			snprintf(
+			    body, sizeof body,
+			    "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w%d\",\"prefill\":20,"
+			    "\"kv_bytes\":400,\"link\":100000}]}",
+			    weights);
 			must_change(&sim, body, 12000);
 			if (!targeted_at)
 				targeted_at = sim.now;
@@ -420,14 +465,16 @@
 		}
 		for (int i = 1; i < 18; i += 3)
 			if (!strcmp(sim.servers[i].weights, "w1"))
-				fail_msg("seed %llu: server %d has the first weights after 25 s", (unsigned long long)seed, i);
+				fail_msg("seed %llu: server %d has the first weights after 25 s",
+					 (unsigned long long)seed, i);
 		sim_close(&sim);
 	}
 }
 
-/* Walls both ways, roll-outs there and back and drains while parts are fetched between servers and from a store that
- * keeps all it ever got; the store goes down and is back empty, links between servers are slow or hang in a fetch,
- * reports are lost or late. No part of other weights, of a walled tenant or withdrawn at a known tick is ever used. */
+/* Walls both ways, roll-outs there and back and drains while parts are fetched between servers and from a
+ * store that keeps all it ever got; the store goes down and is back empty, links between servers are slow or
+ * hang in a fetch, reports are lost or late. No part of other weights, of a walled tenant or withdrawn at a
+ * known tick is ever used. */
 static void fetches_stay_within_isolation(void **state)
 {
 	uint64_t first, seeds = seeds_of(10, &first), fetched = 0, vain = 0;
@@ -444,16 +491,18 @@
 		store = sim_store(&sim);
 		sim.jitter_ms = (int)(core_random(&rng) % 30);
 		for (int k = 0; k < 22; k++) {
-			int t = (int)(core_random(&rng) % 4), v = (int)(core_random(&rng) % 9), l = (int)(core_random(&rng) % 3);
+			int t = (int)(core_random(&rng) % 4), v = (int)(core_random(&rng) % 9),
+			    l = (int)(core_random(&rng) % 3);
 
 			switch (k ? core_random(&rng) % 9 : 99) {
 			case 0: /* a wall goes up, or comes down */
 				on = !sim.isolation[t].isolated;
-				sim.isolation[t].isolated = 0; /* walled from the acknowledgement on, open from the asking on */
+				sim.isolation[t].isolated =
+				    0; /* walled from the acknowledgement on, open from the asking on */
 				snprintf(
 				    body, sizeof body,
-				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":100,\"walled\":%s}]}", t,
-				    on ? "true" : "false");
+				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":100,\"walled\":%s}]}",
+				    t, on ? "true" : "false");
 				must_change(&sim, body, 12000);
 				sim.isolation[t].isolated = on;
 				sim.isolation[t].since = sim.now;
@@ -474,11 +523,23 @@
 				sim.servers[store].up = !sim.servers[store].up;
 				arrsetlen(sim.servers[store].blocks, 0);
 				break;
-			case 3: sim.servers[v].slow_link = sim.servers[v].slow_link ? 0 : 1 << core_random(&rng) % 12; break;
-			case 4: sim.servers[v].hang = !sim.servers[v].hang; break;
-			case 5: sim.servers[v].mute = !sim.servers[v].mute; break;
-			case 6: sim.servers[v].report_delay_ms = sim.servers[v].report_delay_ms ? 0 : (int)(core_random(&rng) % 1500); break;
-			case 7: sim.servers[store].hang = !sim.servers[store].hang; break;
+			case 3:
+				sim.servers[v].slow_link =
+				    sim.servers[v].slow_link ? 0 : 1 << core_random(&rng) % 12;
+				break;
+			case 4:
+				sim.servers[v].hang = !sim.servers[v].hang;
+				break;
+			case 5:
+				sim.servers[v].mute = !sim.servers[v].mute;
+				break;
+			case 6:
+				sim.servers[v].report_delay_ms =
+				    sim.servers[v].report_delay_ms ? 0 : (int)(core_random(&rng) % 1500);
+				break;
+			case 7:
+				sim.servers[store].hang = !sim.servers[store].hang;
+				break;
 			default:
 				if (drained >= 0) {
 					sim.servers[drained].departed = 0;
@@ -487,7 +548,8 @@
 				snprintf(
 				    body, sizeof body,
 				    "{\"set\":[{\"kind\":\"server\",\"name\":\"s%d\",\"service\":\"%s\",\"addr\":\"%s\",\"state\":\"%s\"}]}",
-				    v, lanes[v % 3], sim.servers[v].addr, drained >= 0 ? "serving" : "draining");
+				    v, lanes[v % 3], sim.servers[v].addr,
+				    drained >= 0 ? "serving" : "draining");
 				must_change(&sim, body, 12000);
 				if (drained < 0)
 					sim.servers[v].departed = sim.now;
@@ -500,13 +562,15 @@
 		vain += sim.n_vain;
 		sim_close(&sim);
 	}
-	print_message("fetches among walls and roll-outs: %llu parts fetched, %llu fetches in vain, over %llu seeds\n",
-		      (unsigned long long)fetched, (unsigned long long)vain, (unsigned long long)seeds);
+	print_message(
+	    "fetches among walls and roll-outs: %llu parts fetched, %llu fetches in vain, over %llu seeds\n",
+	    (unsigned long long)fetched, (unsigned long long)vain, (unsigned long long)seeds);
 	assert_true(fetched > 20 * seeds);
 }
 
-/* A server whose link hangs in the middle of fetches, or is a thousand times slower: nothing is lost by it but the time that
- * reading anew would have taken, and soon nobody fetches from there; when the link is good again, they do. */
+/* A server whose link hangs in the middle of fetches, or is a thousand times slower: nothing is lost by it
+ * but the time that reading anew would have taken, and soon nobody fetches from there; when the link is good
+ * again, they do. */
 static void slow_links_are_learned(void **state)
 {
 	(void)state;
@@ -530,12 +594,13 @@
 		matters = 3;
 		all_notified(&sim);
 		assert_int_equal(sim.n_unknown, 0);
-		print_message("links %s: fetches in vain before %llu, meanwhile %llu, after %llu; parts fetched %llu, %llu, %llu\n",
-			      hang ? "hang" : "are slow", (unsigned long long)vain[0], (unsigned long long)vain[1],
-			      (unsigned long long)vain[2], (unsigned long long)fetched[0], (unsigned long long)fetched[1],
-			      (unsigned long long)fetched[2]);
-		assert_true(vain[1] <=
-			    2 * 18); /* each pair of servers of a service once, and once more when it is half forgotten */
+		print_message(
+		    "links %s: fetches in vain before %llu, meanwhile %llu, after %llu; parts fetched %llu, %llu, %llu\n",
+		    hang ? "hang" : "are slow", (unsigned long long)vain[0], (unsigned long long)vain[1],
+		    (unsigned long long)vain[2], (unsigned long long)fetched[0],
+		    (unsigned long long)fetched[1], (unsigned long long)fetched[2]);
+		assert_true(vain[1] <= 2 * 18); /* each pair of servers of a service once, and once more when
+						   it is half forgotten */
 		assert_true(fetched[0] && fetched[2]);
 		sim_close(&sim);
 	}
@@ -579,7 +644,9 @@
 	size_t k;
 
 	switch (fault) {
-	case LOSE_LEADER: sim_crash(sim, leader, 0); break;
+	case LOSE_LEADER:
+		sim_crash(sim, leader, 0);
+		break;
 	case LOSE_TWO_AT_ONCE:
 		sim_crash(sim, leader, 0);
 		sim_crash(sim, (leader + 1) % 4, 0);
@@ -609,9 +676,12 @@
 		for (int i = 0; i < 16; i++)
 			sim->link_cut[leader][i] = 1;
 		break;
-	case LOSE_STALLED_DISK: sim->nodes[leader].stalled_until = sim->now + 8000; break;
+	case LOSE_STALLED_DISK:
+		sim->nodes[leader].stalled_until = sim->now + 8000;
+		break;
 	case LOSE_FULL_DISK: /* it takes nothing more until there is room again; two machines */
-		sim->nodes[leader].stalled_until = sim->nodes[(leader + 1) % 4].stalled_until = sim->now + 9000;
+		sim->nodes[leader].stalled_until = sim->nodes[(leader + 1) % 4].stalled_until =
+		    sim->now + 9000;
 		break;
 	case LOSE_ROUTERS:
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + 2; i++)
@@ -623,13 +693,17 @@
 			arrsetlen(sim->servers[i].blocks, 0);
 		}
 		break;
-	case LOSE_EMPTY_DISK: replace_controller(sim, leader); break;
+	case LOSE_EMPTY_DISK:
+		replace_controller(sim, leader);
+		break;
 	case LOSE_NOTHING_IN_A_STORM:
 		for (int i = 0; i < 200; i++) {
 			char b[200];
 
-			snprintf(b, sizeof b, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":%d,\"limit\":100}]}",
-				 i % 4, 1 + i % 9);
+			snprintf(
+			    b, sizeof b,
+			    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":%d,\"limit\":100}]}",
+			    i % 4, 1 + i % 9);
 			sim_call(sim, i % 4, "POST", "/v1/change", b);
 			sim_run(sim, 10, NULL);
 			if (i == 100)
@@ -640,14 +714,17 @@
 		body = malloc(4000 * 100);
 		k = (size_t)sprintf(body, "{\"set\":[");
 		for (int i = 0; i < 4000; i++)
-			k += (size_t)sprintf(body + k, "%s{\"kind\":\"tenant\",\"name\":\"estate-%d\",\"share\":1,\"limit\":10}",
-					     i ? "," : "", i);
+			k += (size_t)sprintf(
+			    body + k,
+			    "%s{\"kind\":\"tenant\",\"name\":\"estate-%d\",\"share\":1,\"limit\":10}",
+			    i ? "," : "", i);
 		sprintf(body + k, "]}");
 		must_change(sim, body, 12000);
 		free(body);
 		sim_crash(sim, leader, 0);
 		break;
-	default: break;
+	default:
+		break;
 	}
 }
 
@@ -658,7 +735,8 @@
 		sim_cut(sim, i, 0);
 		if (sim->nodes[i].used && sim->nodes[i].up)
 			sim_freeze(sim, i, 0);
-		if (sim->nodes[i].used && !sim->nodes[i].up && sim->nodes[i].disk.made + sim->nodes[i].is_router)
+		if (sim->nodes[i].used && !sim->nodes[i].up &&
+		    sim->nodes[i].disk.made + sim->nodes[i].is_router)
 			sim_start(sim, i);
 	}
 	for (int i = 0; i < 9; i++)
@@ -674,8 +752,8 @@
 	return i;
 }
 
-/* Each fault of the brief, healed as it would be; then one more that is not: the configuration's owner dies for good.
- * Time until a change is acknowledged, and until every lane is answered whole at every counter. */
+/* Each fault of the brief, healed as it would be; then one more that is not: the configuration's owner dies
+ * for good. Time until a change is acknowledged, and until every lane is answered whole at every counter. */
 static void each_fault_and_one_more(void **state)
 {
 	static const char *const names[] = { "owner killed",
@@ -716,8 +794,8 @@
 			load(&sim, &rng, 15000, 30, 3); /* long enough for a group to mend itself */
 			leader = sim_leader(&sim, SHARD_CONTROL);
 			if (leader < 0)
-				fail_msg("seed %llu, %s: no owner 15 s after it was mended", (unsigned long long)seed,
-					 names[fault]);
+				fail_msg("seed %llu, %s: no owner 15 s after it was mended",
+					 (unsigned long long)seed, names[fault]);
 			sim_crash(&sim, leader, 0);
 			from = sim.now;
 			submitted = arrlen(sim.requests);
@@ -728,18 +806,19 @@
 					snprintf(id, sizeof id, "l%lld-%d", (long long)sim.now, k);
 					sim_submit(&sim, SIM_CONTROLLERS + k % 3, id, k % 4, lanes[k / 3], 0);
 				}
-				if (!acked && (!call || (sim_answer(&sim, call) && sim_answer(&sim, call)->status != 200)))
-					call =
-					    sim_call(&sim, any_up(&sim), "POST", "/v1/change",
-						     "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":7,\"limit\":100}]}");
+				if (!acked && (!call || (sim_answer(&sim, call) &&
+							 sim_answer(&sim, call)->status != 200)))
+					call = sim_call(
+					    &sim, any_up(&sim), "POST", "/v1/change",
+					    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":7,\"limit\":100}]}");
 				sim_run(&sim, 100, NULL);
 				ok(&sim);
 				if (!acked && sim_answer(&sim, call) && sim_answer(&sim, call)->status == 200)
 					acked = sim_answer(&sim, call)->answered_at;
 				for (ptrdiff_t i = submitted; i < arrlen(sim.requests); i++) {
 					int route = sim.requests[i].route[0] == 'a'   ? 0
-						   : sim.requests[i].route[0] == 'r' ? 1
-									   : 2,
+						    : sim.requests[i].route[0] == 'r' ? 1
+										      : 2,
 					    *at = &seen[sim.requests[i].node - SIM_CONTROLLERS][route];
 
 					if (sim.requests[i].outcome == SIM_COMPLETE && !*at) {
@@ -756,8 +835,8 @@
 					arrput(routes_ms, sim.now - from);
 			}
 			if (acked - from > 6000)
-				print_message("seed %llu, %s: change %lld\n", (unsigned long long)seed, names[fault],
-					      (long long)(acked - from));
+				print_message("seed %llu, %s: change %lld\n", (unsigned long long)seed,
+					      names[fault], (long long)(acked - from));
 			arrput(change_ms, acked - from);
 			all_notified(&sim);
 			sim_close(&sim);
@@ -835,8 +914,8 @@
 	sim_close(&sim);
 }
 
-/* A key is removed while its counter is cut off, hears all but the owner, is frozen, or frozen and then cut off:
- * nothing is heard with it 5 s after the acknowledgement, and what runs ends as an error. */
+/* A key is removed while its counter is cut off, hears all but the owner, is frozen, or frozen and then cut
+ * off: nothing is heard with it 5 s after the acknowledgement, and what runs ends as an error. */
 static void cut_off_routers_end_their_streams(void **state)
 {
 	uint64_t first, seeds = seeds_of(24, &first);
@@ -862,7 +941,8 @@
 			sim.link_cut[sim_leader(&sim, SHARD_CONTROL)][SIM_CONTROLLERS] = 1;
 		if (mode >= 2)
 			sim_freeze(&sim, SIM_CONTROLLERS, 1);
-		snprintf(body, sizeof body, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}", sim_key(1, hex));
+		snprintf(body, sizeof body, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}",
+			 sim_key(1, hex));
 		must_change(&sim, body, 3000);
 		sh_new_strdup(sim.removed_keys);
 		shput(sim.removed_keys, hex, sim.now);
@@ -877,14 +957,16 @@
 		}
 		sim_close(&sim);
 	}
-	print_message("key removed while its counter is cut off or frozen: the last stream ended after %lld ms\n",
-		      (long long)worst);
+	print_message(
+	    "key removed while its counter is cut off or frozen: the last stream ended after %lld ms\n",
+	    (long long)worst);
 }
 
-/* Races round the claim, with loss and links that reorder: at any moment between asking, claim, answer and send the
- * caller leaves, the counter dies or freezes, the part's owner changes, or the same id is asked at another counter, or
- * at the same. Nothing runs twice, nor after it was refused; and an id that was refused, or that its caller left
- * before it was sent, may be used again (unless the counter has died since, and with it its word). */
+/* Races round the claim, with loss and links that reorder: at any moment between asking, claim, answer and
+ * send the caller leaves, the counter dies or freezes, the part's owner changes, or the same id is asked at
+ * another counter, or at the same. Nothing runs twice, nor after it was refused; and an id that was refused,
+ * or that its caller left before it was sent, may be used again (unless the counter has died since, and with
+ * it its word). */
 static void claims_race(void **state)
 {
 	uint64_t first, seeds = seeds_of(20, &first), again = 0, claimed = 0, twice = 0;
@@ -900,7 +982,8 @@
 		sim.loss_per_mille = (int)(core_random(&rng) % 60);
 		sim.jitter_ms = (int)(core_random(&rng) % 80);
 		for (int k = 0; k < 120 && !sim.violation[0]; k++) {
-			int node = SIM_CONTROLLERS + (int)(core_random(&rng) % 3), other = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
+			int node = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
+			    other = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
 			    what = (int)(core_random(&rng) % 10);
 			int leader = sim_leader(&sim, core_shard_of(lanes[k % 3], SHARD_SERVICES)), down = 0;
 			char id[32];
@@ -925,7 +1008,8 @@
 				sim_crash(&sim, leader, 0);
 			else if (what == 4 && leader >= 0)
 				sim.nodes[leader].stalled_until = sim.now + 700;
-			if (what && what < 7 && sim.nodes[other].up && !sim.nodes[other].frozen) { /* asked again while the first may go on */
+			if (what && what < 7 && sim.nodes[other].up &&
+			    !sim.nodes[other].frozen) { /* asked again while the first may go on */
 				if (sim_is_open(&sim, id))
 					sim_forget(&sim, id);
 				sim_run(&sim, (int64_t)(core_random(&rng) % 40), NULL);
@@ -949,10 +1033,13 @@
 			sim.servers[i].refuse = 0;
 		n = arrlen(sim.requests);
 		for (ptrdiff_t i = 0; i < n; i++)
-			if (sim.requests[i].submissions == 1 && !sim.requests[i].began && (sim.requests[i].outcome == SIM_REFUSED || (sim.requests[i].disconnected && !sim.requests[i].tries)) &&
+			if (sim.requests[i].submissions == 1 && !sim.requests[i].began &&
+			    (sim.requests[i].outcome == SIM_REFUSED ||
+			     (sim.requests[i].disconnected && !sim.requests[i].tries)) &&
 			    sim_same_incarnation(&sim, sim.requests[i].id)) {
 				again++;
-				sim_submit(&sim, SIM_CONTROLLERS + (int)(i % 3), sim.requests[i].id, sim.requests[i].tenant, sim.requests[i].route, 1);
+				sim_submit(&sim, SIM_CONTROLLERS + (int)(i % 3), sim.requests[i].id,
+					   sim.requests[i].tenant, sim.requests[i].route, 1);
 				sim_run(&sim, 50, NULL);
 			}
 		all_notified(&sim);
@@ -994,8 +1081,9 @@
 	}
 }
 
-/* Reports that are torn, no object, beyond reason, or name a thousand unknown tenants and weights each time: nothing is
- * learned from them, names do not grow without end, each server is spoken of once, and the others serve. */
+/* Reports that are torn, no object, beyond reason, or name a thousand unknown tenants and weights each time:
+ * nothing is learned from them, names do not grow without end, each server is spoken of once, and the others
+ * serve. */
 static void odd_reports_change_nothing(void **state)
 {
 	(void)state;
@@ -1021,7 +1109,8 @@
 	}
 }
 
-/* A caller that leaves stops its exchange, running or waiting; a counter that is told to stop ends what it has. */
+/* A caller that leaves stops its exchange, running or waiting; a counter that is told to stop ends what it
+ * has. */
 static void leaving_and_stopping(void **state)
 {
 	struct sim sim;
@@ -1057,7 +1146,8 @@
 	sim_close(&sim);
 }
 
-/* More than the servers can do: the first class goes first, small tenants get their share, the rest is refused. */
+/* More than the servers can do: the first class goes first, small tenants get their share, the rest is
+ * refused. */
 static void overload_keeps_classes_and_shares(void **state)
 {
 	struct sim sim;
@@ -1066,10 +1156,11 @@
 	(void)state;
 	sim_deploy(&sim, 6, 3, 1, 3);
 	/* one service, all lanes on it, so that they compete */
-	must_change(&sim,
-		    "{\"set\":[{\"kind\":\"lane\",\"name\":\"first\",\"service\":\"arrears\",\"prio\":0,\"limit\":60},"
-		    "{\"kind\":\"lane\",\"name\":\"later\",\"service\":\"arrears\",\"prio\":5,\"limit\":20}]}",
-		    12000);
+	must_change(
+	    &sim,
+	    "{\"set\":[{\"kind\":\"lane\",\"name\":\"first\",\"service\":\"arrears\",\"prio\":0,\"limit\":60},"
+	    "{\"kind\":\"lane\",\"name\":\"later\",\"service\":\"arrears\",\"prio\":5,\"limit\":20}]}",
+	    12000);
 	sim_run(&sim, 1000, NULL);
 	for (int k = 0; k < 3000; k++) { /* t0 asks ten times as often as t1 */
 		char id[32];
@@ -1088,14 +1179,19 @@
 	}
 	print_message(
 	    "overload, whole answers: first class of the large tenant %llu of %llu, of the small one %llu of %llu, later class %llu of %llu\n",
-	    (unsigned long long)answered_complete[0], (unsigned long long)n[0], (unsigned long long)answered_complete[1],
-	    (unsigned long long)n[1], (unsigned long long)answered_complete[2], (unsigned long long)n[2]);
-	assert_true(answered_complete[1] * 6 >= answered_complete[0] + answered_complete[1]); /* one share of six, though asked a tenth as often */
-	assert_true(answered_complete[0] * n[2] > 4 * answered_complete[2] * n[0]);    /* the later class waits */
+	    (unsigned long long)answered_complete[0], (unsigned long long)n[0],
+	    (unsigned long long)answered_complete[1], (unsigned long long)n[1],
+	    (unsigned long long)answered_complete[2], (unsigned long long)n[2]);
+	assert_true(answered_complete[1] * 6 >=
+		    answered_complete[0] +
+			answered_complete[1]); /* one share of six, though asked a tenth as often */
+	assert_true(answered_complete[0] * n[2] >
+		    4 * answered_complete[2] * n[0]); /* the later class waits */
 	sim_close(&sim);
 }
 
-/* Held times of what was refused, from the asking on; each was told when to come back, and not all the same. */
+/* Held times of what was refused, from the asking on; each was told when to come back, and not all the same.
+ */
 static int64_t *held(struct sim *sim, ptrdiff_t from)
 {
 	int64_t *v = NULL;
@@ -1111,8 +1207,8 @@
 	return v;
 }
 
-/* What the fleet has given up on is told so at once, however long its limit: no server stands, the core has no majority,
- * the line is too long. And it is given up on only then. */
+/* What the fleet has given up on is told so at once, however long its limit: no server stands, the core has
+ * no majority, the line is too long. And it is given up on only then. */
 static void given_up_is_answered_at_once(void **state)
 {
 	uint64_t first, seeds = seeds_of(6, &first);
@@ -1131,10 +1227,11 @@
 			char id[32];
 
 			sim_deploy(&sim, seed, 3, 2, 3);
-			must_change(&sim,
-				    "{\"set\":[{\"kind\":\"lane\",\"name\":\"arrears\",\"service\":\"arrears\",\"limit\":1000},"
-				    "{\"kind\":\"lane\",\"name\":\"later\",\"service\":\"arrears\",\"prio\":4,\"limit\":1000}]}",
-				    5000);
+			must_change(
+			    &sim,
+			    "{\"set\":[{\"kind\":\"lane\",\"name\":\"arrears\",\"service\":\"arrears\",\"limit\":1000},"
+			    "{\"kind\":\"lane\",\"name\":\"later\",\"service\":\"arrears\",\"prio\":4,\"limit\":1000}]}",
+			    5000);
 			sim_run(&sim, 1000, NULL);
 			sim.request_timeout_ms = mode == 2 ? 6000 : 60000;
 			load(&sim, &rng, 1000 + (int64_t)(seed % 5) * 50, 30, 2);
@@ -1151,7 +1248,8 @@
 			}
 			for (int k = 0; k < 900; k++) {
 				snprintf(id, sizeof id, "g%d", k);
-				sim_submit(&sim, SIM_CONTROLLERS + k % 2, id, k % 4, k % 5 ? "arrears" : "later", 0);
+				sim_submit(&sim, SIM_CONTROLLERS + k % 2, id, k % 4,
+					   k % 5 ? "arrears" : "later", 0);
 				sim_run(&sim, 9, NULL);
 			}
 			sim_run(&sim, 6500, NULL);
@@ -1161,12 +1259,18 @@
 
 				assert_int_not_equal(sim.requests[i].outcome, SIM_OPEN);
 				complete += sim.requests[i].outcome == SIM_COMPLETE;
-				late += sim.requests[i].outcome == SIM_REFUSED && sim.requests[i].answered_at - sim.requests[i].submitted_at >= sim.request_timeout_ms;
+				late += sim.requests[i].outcome == SIM_REFUSED &&
+					sim.requests[i].answered_at - sim.requests[i].submitted_at >=
+					    sim.request_timeout_ms;
 				if (mode < 2 && sim.requests[i].outcome == SIM_REFUSED &&
-				    sim.requests[i].answered_at > fault + ROUTER_REPORT_VALID_MS + ROUTER_CONFIG_MAX_STALENESS_MS + 500 &&
-				    sim.requests[i].answered_at - sim.requests[i].submitted_at > (mode ? ROUTER_CONFIG_MAX_STALENESS_MS + 100 : 100))
-					fail_msg("seed %llu: %s was held for %lld ms", (unsigned long long)seed, sim.requests[i].id,
-						 (long long)(sim.requests[i].answered_at - sim.requests[i].submitted_at));
+				    sim.requests[i].answered_at > fault + ROUTER_REPORT_VALID_MS +
+								      ROUTER_CONFIG_MAX_STALENESS_MS + 500 &&
+				    sim.requests[i].answered_at - sim.requests[i].submitted_at >
+					(mode ? ROUTER_CONFIG_MAX_STALENESS_MS + 100 : 100))
+					fail_msg("seed %llu: %s was held for %lld ms",
+						 (unsigned long long)seed, sim.requests[i].id,
+						 (long long)(sim.requests[i].answered_at -
+							     sim.requests[i].submitted_at));
 			}
 			for (ptrdiff_t i = 0; i < arrlen(v); i++)
 				arrput(all, v[i]);
@@ -1174,14 +1278,16 @@
 			sim_close(&sim);
 		}
 		print_spread(what[mode], all);
-		print_message("  whole answers %lld, held to the limit %lld\n", (long long)complete, (long long)late);
+		print_message("  whole answers %lld, held to the limit %lld\n", (long long)complete,
+			      (long long)late);
 		assert_true(late * 50 <= arrlen(all)); /* an estimate may be wrong now and then */
 		arrfree(all);
 	}
 }
 
-/* A limit holds over the fleet, whatever counters its callers use, while counters die, freeze and are cut off, the
- * configuration's owner changes and the table lowers the limit; and it is used: by one counter alone too. */
+/* A limit holds over the fleet, whatever counters its callers use, while counters die, freeze and are cut
+ * off, the configuration's owner changes and the table lowers the limit; and it is used: by one counter alone
+ * too. */
 static void limits_hold_fleet_wide(void **state)
 {
 	uint64_t first, seeds = seeds_of(8, &first);
@@ -1196,7 +1302,8 @@
 		char id[32], body[200];
 
 		sim_deploy(&sim, seed, 4, 9, 9);
-		snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":%d}]}", limit);
+		snprintf(body, sizeof body,
+			 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":%d}]}", limit);
 		must_change(&sim, body, 6000);
 		sim_run(&sim, 6000, NULL); /* what was held under the limit before has ended */
 		for (int i = 0; i < 9; i++)
@@ -1210,7 +1317,8 @@
 			submitted = sim.by_body[NL__MSG__BODY_CONFIG_SYNC];
 			while (sim.now < from + 10000 && !sim.violation[0]) {
 				snprintf(id, sizeof id, "p%llu", (unsigned long long)++k);
-				sim_submit(&sim, SIM_CONTROLLERS + (phase ? (int)(core_random(&rng) % 9) : 4), id, 1, lanes[k % 3], 0);
+				sim_submit(&sim, SIM_CONTROLLERS + (phase ? (int)(core_random(&rng) % 9) : 4),
+					   id, 1, lanes[k % 3], 0);
 				sim_run(&sim, 10, NULL);
 			}
 			ok(&sim);
@@ -1221,10 +1329,11 @@
 				arrput(skewed, (int64_t)(sim.n_complete - before) * 1000 / limit);
 			assert_int_equal(sim.most_runs[1], limit);
 		}
-		/* faults, with the limit lowered among them: what runs may go on, so it is judged a little later */
+		/* faults, with the limit lowered among them: what runs may go on, so it is judged a little
+		 * later */
 		for (int f = 0; f < 10 && !sim.violation[0]; f++) {
-			int c = (int)(core_random(&rng) % 9), node = SIM_CONTROLLERS + c, what = (int)(core_random(&rng) % 6),
-			    leader = sim_leader(&sim, SHARD_CONTROL);
+			int c = (int)(core_random(&rng) % 9), node = SIM_CONTROLLERS + c,
+			    what = (int)(core_random(&rng) % 6), leader = sim_leader(&sim, SHARD_CONTROL);
 			int64_t end = sim.now + 2500;
 
 			if (what == 0)
@@ -1238,9 +1347,10 @@
 			else if (what == 4 && leader >= 0)
 				sim.link_cut[leader][node < 16 ? node : 15] ^= 1;
 			else {
-				snprintf(body, sizeof body,
-					 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":%d}]}",
-					 limit = 1 + (int)(core_random(&rng) % 9));
+				snprintf(
+				    body, sizeof body,
+				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1,\"limit\":%d}]}",
+				    limit = 1 + (int)(core_random(&rng) % 9));
 				sim.tenant_limits[1] = 0;
 				must_change(&sim, body, 12000);
 			}
@@ -1272,7 +1382,8 @@
 	}
 	print_spread("whole answers a place in 10 s, thousandths, all callers at one counter", skewed);
 	print_spread("whole answers a place in 10 s, thousandths, callers at all nine", even);
-	print_message("askings of the configuration's owner a second with nine busy counters: %.1f\n", asks / (double)seeds);
+	print_message("askings of the configuration's owner a second with nine busy counters: %.1f\n",
+		      asks / (double)seeds);
 	arrfree(skewed);
 	arrfree(even);
 }
@@ -1326,9 +1437,10 @@
 		size_t k = (size_t)sprintf(body, "{\"set\":[");
 
 		for (int i = 0; i < MANY; i++)
-			k += (size_t)sprintf(body + k,
-					     "%s{\"kind\":\"tenant\",\"name\":\"m%d\",\"share\":1,\"limit\":1,\"walled\":%s}",
-					     i ? "," : "", i, isolated ? "true" : "false");
+			k += (size_t)sprintf(
+			    body + k,
+			    "%s{\"kind\":\"tenant\",\"name\":\"m%d\",\"share\":1,\"limit\":1,\"walled\":%s}",
+			    i ? "," : "", i, isolated ? "true" : "false");
 		sprintf(body + k, "]}");
 		must_change(&sim, body, 6000);
 	}
@@ -1337,15 +1449,18 @@
 		assert_true(sim_run(&sim, 20, NULL));
 		known = 0;
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + 3; i++)
-			known += arrlen(sim.value) == MANY && sim.nodes[i].router->relay.knowledge.horizon >= arrlast(sim.value).tick;
+			known += arrlen(sim.value) == MANY &&
+				 sim.nodes[i].router->relay.knowledge.horizon >= arrlast(sim.value).tick;
 		if (sim.now - from > 60000)
 			fail_msg("%d of %d purges published after a minute", (int)arrlen(sim.value), MANY);
 	}
-	print_message("%d purges of one change known everywhere after %lld ms of virtual time\n", MANY, (long long)(sim.now - from));
+	print_message("%d purges of one change known everywhere after %lld ms of virtual time\n", MANY,
+		      (long long)(sim.now - from));
 	assert_true(sim.now - from < 3000);
 	ok(&sim);
 	{ /* and each once: asked again, the feeds say the same, and nothing is published anew */
-		struct controller_purge_state *pub = &sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller->purge_state;
+		struct controller_purge_state *pub =
+		    &sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller->purge_state;
 		uint64_t sum = 0, later = 0;
 
 		for (ptrdiff_t i = 0; i < hmlen(pub->last_view.subjects); i++)
@@ -1360,7 +1475,8 @@
 	sim_close(&sim);
 }
 
-/* The relays' work at three sizes of fleet: the publisher speaks to a few, whatever the number of counters. */
+/* The relays' work at three sizes of fleet: the publisher speaks to a few, whatever the number of counters.
+ */
 static void relays_spare_the_publisher(void **state)
 {
 	(void)state;
@@ -1376,7 +1492,8 @@
 		sim_run(&sim, 5000, NULL);
 		node = sim_leader(&sim, SHARD_PURGE);
 		pub = sim.nodes[node].controller;
-		assert_true(arrlen(pub->relay.downstreams) <= 4 + 3); /* a relay a zone, and the other controllers */
+		assert_true(arrlen(pub->relay.downstreams) <=
+			    4 + 3); /* a relay a zone, and the other controllers */
 		from = sim.by_body[NL__MSG__BODY_KNOWLEDGE];
 		inc = pub->relay.increments_sent;
 		horizon = pub->declared_tick;
@@ -1386,15 +1503,21 @@
 		ok(&sim);
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + size[k]; i++)
 			looks += sim.nodes[i].router->stats.report_polls;
-		print_message("%d counters: %.1f looks at each server a second\n", size[k], (double)looks / 10 / 3);
-		assert_true(looks <= 10 * 3 * 9); /* two a second for each zone's relay, whatever the number of counters */
+		print_message("%d counters: %.1f looks at each server a second\n", size[k],
+			      (double)looks / 10 / 3);
+		assert_true(looks <=
+			    10 * 3 *
+				9); /* two a second for each zone's relay, whatever the number of counters */
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + size[k]; i++)
 			if (sim.nodes[i].router->relay.knowledge.horizon < worst)
 				worst = sim.nodes[i].router->relay.knowledge.horizon;
 		print_message(
 		    "%d counters: %.2f knowledge messages a tick in all, %.2f of the publisher; the last horizon is %llu ticks behind\n",
-		    size[k], (double)(sim.by_body[NL__MSG__BODY_KNOWLEDGE] - from) / (double)(pub->declared_tick - horizon),
-		    (double)(pub->relay.increments_sent - inc) / (double)(pub->declared_tick - horizon), (unsigned long long)(pub->declared_tick - worst));
+		    size[k],
+		    (double)(sim.by_body[NL__MSG__BODY_KNOWLEDGE] - from) /
+			(double)(pub->declared_tick - horizon),
+		    (double)(pub->relay.increments_sent - inc) / (double)(pub->declared_tick - horizon),
+		    (unsigned long long)(pub->declared_tick - worst));
 		assert_true(worst + 3 >= pub->declared_tick);
 		sim_close(&sim);
 	}
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -1,4 +1,5 @@
-/* Decisions of a router and what it tells of them: records, sums, metrics, and mechanisms that an experiment switches off. */
+/* Decisions of a router and what it tells of them: records, sums, metrics, and mechanisms that an experiment
+ * switches off. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,11 +12,18 @@
 #include <apr_strings.h>
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "router_internal.h"
-#include "solo.h"
+#include "router_fixture.h"
 
-enum { SHARED = 1000, OWN = 200, PREFILL = 20, CAPACITY_TOKENS = 100000, SERVERS_MOST = 1900, DECISIONS = 2000 };
+enum {
+	SHARED = 1000,
+	OWN = 200,
+	PREFILL = 20,
+	CAPACITY_TOKENS = 100000,
+	SERVERS_MOST = 1900,
+	DECISIONS = 2000
+};
 
 /* A router of its own zone, with so many servers of one service and one lane. */
 static void open_before(struct solo *solo, int servers, uint64_t capacity, const char *route)
@@ -47,7 +55,9 @@
 /* Ask for a prompt of a shared part and one of its own; the send's call, 0 when none left. */
 static uint64_t ask(struct solo *solo, uint64_t shared, const char *id)
 {
-	struct forwarded_request a = { .token = ++solo->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000 };
+	struct forwarded_request a = {
+		.token = ++solo->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000
+	};
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
 
 	a.block_count = 2;
@@ -71,7 +81,10 @@
 	router_fixture_step(s, &event);
 }
 
-static const struct decision_counts *counts(const struct solo *s) { return s->router.decision_counts[0]; }
+static const struct decision_counts *counts(const struct solo *s)
+{
+	return s->router.decision_counts[0];
+}
 
 /* The first send reads at the prefix's home; the next one finds it kept there. */
 static void reasons_are_recorded(void **state)
@@ -162,10 +175,12 @@
 	open_before(&solo, 3, CAPACITY_TOKENS, "a \"lane\" of \\ ours");
 	assert_true(ask(&solo, 7, "a"));
 	text = router_metrics(&solo.router, solo.now, solo.p);
-	assert_non_null(strstr(text, "notchlug_decisions_total{route=\"a \\\"lane\\\" of \\\\ ours\",reason=\"home\"} 1\n"));
+	assert_non_null(strstr(
+	    text, "notchlug_decisions_total{route=\"a \\\"lane\\\" of \\\\ ours\",reason=\"home\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_mechanism_on{name=\"fetch\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_queue_ms_bucket"));
-	for (line = apr_pstrdup(solo.p, text); line && *line; line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
+	for (line = apr_pstrdup(solo.p, text); line && *line;
+	     line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
 		if (*line == '#')
 			continue;
 		if (!is_sample(line))
@@ -188,7 +203,8 @@
 	assert_int_equal(mechanism_find(""), -1);
 }
 
-/* How long a decision takes, by the number of servers: printed, and bounded far above what any machine needs. */
+/* How long a decision takes, by the number of servers: printed, and bounded far above what any machine needs.
+ */
 static void the_time_of_a_decision(void **state)
 {
 	static const int servers[] = { 18, 60, 480, SERVERS_MOST };
@@ -196,9 +212,12 @@
 	(void)state;
 	for (size_t k = 0; k < sizeof servers / sizeof *servers; k++) {
 		struct solo solo;
-		struct client_request request = {
-			.block_count = 2, .total_tokens = SHARED + OWN, .id = "a", .server_index = -1, .avoided_server = UINT32_MAX, .is_forwarded = 1
-		};
+		struct client_request request = { .block_count = 2,
+						  .total_tokens = SHARED + OWN,
+						  .id = "a",
+						  .server_index = -1,
+						  .avoided_server = UINT32_MAX,
+						  .is_forwarded = 1 };
 		clock_t from;
 		double us;
 		int found = 0;
@@ -209,7 +228,8 @@
 		from = clock();
 		for (int i = 0; i < DECISIONS; i++) {
 			request.block_hash[0] = (uint64_t)i;
-			found += router_placement_forwarded(&solo.router, &request, solo.now).server_index >= 0;
+			found +=
+			    router_placement_forwarded(&solo.router, &request, solo.now).server_index >= 0;
 		}
 		us = (double)(clock() - from) * 1e6 / CLOCKS_PER_SEC / DECISIONS;
 		print_message("%d servers: %.1f us a decision\n", servers[k], us);
@@ -222,8 +242,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(reasons_are_recorded),           cmocka_unit_test(the_smallest_deployment_is_served),
-		cmocka_unit_test(metrics_are_in_the_text_format), cmocka_unit_test(mechanisms_have_names),
+		cmocka_unit_test(reasons_are_recorded),
+		cmocka_unit_test(the_smallest_deployment_is_served),
+		cmocka_unit_test(metrics_are_in_the_text_format),
+		cmocka_unit_test(mechanisms_have_names),
 		cmocka_unit_test(the_time_of_a_decision),
 	};
 	int rc;
--- a/tests/test_doc.c
+++ b/tests/test_documents.c
@@ -1,4 +1,5 @@
-/* Operators' documents: their translation, and a slow plain model of taking them against the code under virtual time. */
+/* Operators' documents: their translation, and a slow plain model of taking them against the code under
+ * virtual time. */
 #include <apr_strings.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,8 +12,8 @@
 #include <apr_strings.h>
 #include <cmocka.h>
 
-#include "doc.h"
-#include "ds.h"
+#include "config_document.h"
+#include "containers.h"
 #include "sim.h"
 
 #define ROUTE(n, p, more)                                                                                                                   \
@@ -26,10 +27,11 @@
 	"{\"Name\":\"" n \
 	"\",\"KvStoreAddress\":\"172.20.0.2:8680\",\"Zone\":\"gombak\",\"KvCapacity\":6934830,\"LinkMbps\":150000.0,\"MaxInFlight\":12}"
 #define TENANT(n, k, more) "{\"Name\":\"" n "\",\"AccessKeys\":[" k "]" more "}"
-#define LIMITS "{\"MaxHeaderBytes\":16384,\"MaxBodyBytes\":4194304,\"HeaderTimeoutMs\":3000,\"IdleTimeoutMs\":15000}"
-#define DOC(v, routes, services, tenants)                                                                       \
-	"{\"ConfigVersion\":" v ",\"RouteList\":[" routes "],\"ServiceList\":[" services "],\"Limits\":" LIMITS \
-	",\"TenantList\":[" tenants "],\"Later\":{\"x\":0.10}}"
+#define LIMITS \
+	"{\"MaxHeaderBytes\":16384,\"MaxBodyBytes\":4194304,\"HeaderTimeoutMs\":3000,\"IdleTimeoutMs\":15000}"
+#define DOC(v, routes, services, tenants)                                                \
+	"{\"ConfigVersion\":" v ",\"RouteList\":[" routes "],\"ServiceList\":[" services \
+	"],\"Limits\":" LIMITS ",\"TenantList\":[" tenants "],\"Later\":{\"x\":0.10}}"
 
 static const char first[] = DOC(
     "7",
@@ -50,7 +52,8 @@
 	return NULL;
 }
 
-static int doc(const char *old, const char *body, int patch, struct Nl__Change *change, const char **why, apr_pool_t *p)
+static int doc(const char *old, const char *body, int patch, struct Nl__Change *change, const char **why,
+	       apr_pool_t *p)
 {
 	nl__change__init(change);
 	*why = NULL;
@@ -91,7 +94,8 @@
 	assert_string_equal(row->service, "s1");
 	assert_string_equal(row->host, "a.example");
 	assert_string_equal(row->path, "/a/");
-	assert_true(row->idempotent && row->client_deduplicates && !row->key_optional && !row->resumable && !row->max_gap_ms);
+	assert_true(row->idempotent && row->client_deduplicates && !row->key_optional && !row->resumable &&
+		    !row->max_gap_ms);
 	assert_int_equal(row->timeout_ms, 4000);
 	assert_int_equal(row->latency_target_ms, 300);
 	assert_int_equal(row->priority, 2);
@@ -128,7 +132,8 @@
 	assert_int_equal(row_of(&change, NL__KIND__TENANT, "t2")->priority_class, 0);
 	row = row_of(&change, NL__KIND__KEY, doc_digest("k3", hex));
 	assert_string_equal(row->tenant, "t2");
-	assert_string_equal(doc_digest("abc", hex), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
+	assert_string_equal(doc_digest("abc", hex),
+			    "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 	row = row_of(&change, NL__KIND__LISTENER, "door");
 	assert_int_equal(row->max_body_bytes, 4194304);
 	assert_int_equal(row->idle_timeout_ms, 15000);
@@ -176,43 +181,61 @@
 		{ "{\"ConfigVersion\":0}", "ConfigVersion" },
 		{ "{\"ConfigVersion\":-3}", "ConfigVersion" },
 		{ "{\"ConfigVersion\":null}", "ConfigVersion" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s9\""), SERVICE("s1"), ""), "r1: no service s9" },
+		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s9\""), SERVICE("s1"), ""),
+		  "r1: no service s9" },
 		{ DOC("7",
 		      ROUTE(
 			  "r1", "/a/",
 			  "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":1},{\"ServiceName\":\"s9\",\"ShareWeight\":0}]"),
 		      SERVICE("s1"), ""),
 		  "r1: no service s9" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\"") "," ROUTE("r2", "/a/", "\"ServiceName\":\"s1\""),
+		{ DOC("7",
+		      ROUTE("r1", "/a/", "\"ServiceName\":\"s1\"") "," ROUTE("r2", "/a/",
+									     "\"ServiceName\":\"s1\""),
 		      SERVICE("s1"), ""),
 		  "r2: host and prefix" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":0}]"), SERVICE("s1"), ""),
+		{ DOC("7",
+		      ROUTE("r1", "/a/", "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":0}]"),
+		      SERVICE("s1"), ""),
+		  "r1: TrafficSplit" },
+		{ DOC("7", ROUTE("r1", "/a/", "\"TrafficSplit\":[]"), SERVICE("s1"), ""),
 		  "r1: TrafficSplit" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"TrafficSplit\":[]"), SERVICE("s1"), ""), "r1: TrafficSplit" },
 		{ DOC("7",
 		      ROUTE(
 			  "r1", "/a/",
 			  "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":2},{\"ServiceName\":\"s1\",\"ShareWeight\":-1}]"),
 		      SERVICE("s1"), ""),
 		  "r1: ShareWeight" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":\"2\"}]"), SERVICE("s1"),
-		      ""),
+		{ DOC("7",
+		      ROUTE("r1", "/a/", "\"TrafficSplit\":[{\"ServiceName\":\"s1\",\"ShareWeight\":\"2\"}]"),
+		      SERVICE("s1"), ""),
 		  "r1: ShareWeight" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":0"), SERVICE("s1"), ""), "r1: TimeoutMs" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":-5"), SERVICE("s1"), ""), "r1: TimeoutMs" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":\"9\""), SERVICE("s1"), ""), "r1: TimeoutMs" },
-		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\"") "," ROUTE("r1", "/b/", "\"ServiceName\":\"s1\""),
+		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":0"), SERVICE("s1"), ""),
+		  "r1: TimeoutMs" },
+		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":-5"), SERVICE("s1"), ""),
+		  "r1: TimeoutMs" },
+		{ DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\",\"TimeoutMs\":\"9\""), SERVICE("s1"),
+		      ""),
+		  "r1: TimeoutMs" },
+		{ DOC("7",
+		      ROUTE("r1", "/a/", "\"ServiceName\":\"s1\"") "," ROUTE("r1", "/b/",
+									     "\"ServiceName\":\"s1\""),
 		      SERVICE("s1"), ""),
 		  "r1: Name: twice" },
 		{ DOC("7", "", SERVICE("s1") "," SERVICE("s1"), ""), "s1: Name: twice" },
-		{ DOC("7", "", "", TENANT("t1", "\"k1\"", "") "," TENANT("t1", "\"k2\"", "")), "t1: Name: twice" },
-		{ DOC("7", "", "", TENANT("t1", "\"k1\"", "") "," TENANT("t2", "\"k2\",\"k1\"", "")), "t2: AccessKeys" },
-		{ DOC("7", ROUTE("r1", "a/", "\"ServiceName\":\"s1\""), SERVICE("s1"), ""), "r1: PathPrefix" },
-		{ DOC("7", ROUTE("r1", "/a", "\"ServiceName\":\"s1\""), SERVICE("s1"), ""), "r1: PathPrefix" },
+		{ DOC("7", "", "", TENANT("t1", "\"k1\"", "") "," TENANT("t1", "\"k2\"", "")),
+		  "t1: Name: twice" },
+		{ DOC("7", "", "", TENANT("t1", "\"k1\"", "") "," TENANT("t2", "\"k2\",\"k1\"", "")),
+		  "t2: AccessKeys" },
+		{ DOC("7", ROUTE("r1", "a/", "\"ServiceName\":\"s1\""), SERVICE("s1"), ""),
+		  "r1: PathPrefix" },
+		{ DOC("7", ROUTE("r1", "/a", "\"ServiceName\":\"s1\""), SERVICE("s1"), ""),
+		  "r1: PathPrefix" },
 		{ DOC("7", ROUTE("r1", "", "\"ServiceName\":\"s1\""), SERVICE("s1"), ""), "r1: PathPrefix" },
 		{ DOC("7", "{\"HostName\":\"a\"}", SERVICE("s1"), ""), "RouteList 0: Name" },
 		{ "{\"ConfigVersion\":7,\"RouteList\":{}}", "RouteList" },
-		{ DOC("7", "", "{\"Name\":\"s1\",\"KvStoreAddress\":\"nowhere\"}", ""), "s1: KvStoreAddress" },
+		{ DOC("7", "", "{\"Name\":\"s1\",\"KvStoreAddress\":\"nowhere\"}", ""),
+		  "s1: KvStoreAddress" },
 	};
 	const char *why;
 	apr_pool_t *p;
@@ -228,7 +251,8 @@
 	}
 	for (size_t n = 0; n < strlen(first); n++) /* cut short anywhere */
 		assert_false(taken(apr_pstrmemdup(p, first, n), &why, p));
-	assert_true(taken(DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\""), SERVICE("s1"), TENANT("t1", "\"k1\",\"k1\"", "")),
+	assert_true(taken(DOC("7", ROUTE("r1", "/a/", "\"ServiceName\":\"s1\""), SERVICE("s1"),
+			      TENANT("t1", "\"k1\",\"k1\"", "")),
 			  &why, p));
 	apr_pool_destroy(p);
 }
@@ -256,31 +280,41 @@
 	assert_string_equal(row_of(&change, NL__KIND__ROUTE, "r1")->service, "s2");
 	assert_null(row_of(&change, NL__KIND__ROUTE, "r2"));
 	assert_non_null(row_of(&change, NL__KIND__ROUTE, "r3"));
-	assert_non_null(strstr(text, "\"New\":1.50")); /* numbers stay as they were written, unknown fields as they stood */
+	assert_non_null(strstr(
+	    text, "\"New\":1.50")); /* numbers stay as they were written, unknown fields as they stood */
 	assert_non_null(strstr(text, "\"Later\":{\"x\":0.10}"));
 	assert_non_null(strstr(text, "\"LinkMbps\":370000.0"));
 	json = json_tokener_parse(text);
 	was = json_tokener_parse(first);
 	assert_int_equal(json_uint_member(json, "ConfigVersion"), 9);
-	assert_true(json_object_object_get_ex(json, "ServiceList", &a) && json_object_object_get_ex(was, "ServiceList", &b));
+	assert_true(json_object_object_get_ex(json, "ServiceList", &a) &&
+		    json_object_object_get_ex(was, "ServiceList", &b));
 	assert_true(json_object_equal(a, b));
 	json_object_put(json);
 	json_object_put(was);
 	/* the whole result is checked */
-	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"ServiceList\":[\"s2\"]}}", 1, &change, &why, p), 0);
-	assert_non_null(strstr(why, "r2: no service s2"));
 	assert_int_not_equal(
-	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE("r9", "/a/", "\"ServiceName\":\"s1\"") "]}}", 1, &change,
-		&why, p),
+	    doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"ServiceList\":[\"s2\"]}}", 1, &change, &why, p),
 	    0);
-	assert_int_not_equal(
-	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"TenantList\":[" TENANT("t9", "\"k1\"", "") "]}}", 1, &change, &why, p), 0);
+	assert_non_null(strstr(why, "r2: no service s2"));
 	assert_int_not_equal(doc(first,
 				 "{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE(
-				     "r9", "/x/", "\"ServiceName\":\"s1\"") "," ROUTE("r9", "/y/", "\"ServiceName\":\"s1\"") "]}}",
+				     "r9", "/a/", "\"ServiceName\":\"s1\"") "]}}",
 				 1, &change, &why, p),
 			     0);
-	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[4]}}", 1, &change, &why, p), 0);
+	assert_int_not_equal(
+	    doc(first, "{\"ConfigVersion\":9,\"Upsert\":{\"TenantList\":[" TENANT("t9", "\"k1\"", "") "]}}",
+		1, &change, &why, p),
+	    0);
+	assert_int_not_equal(
+	    doc(first,
+		"{\"ConfigVersion\":9,\"Upsert\":{\"RouteList\":[" ROUTE(
+		    "r9", "/x/", "\"ServiceName\":\"s1\"") "," ROUTE("r9", "/y/",
+								     "\"ServiceName\":\"s1\"") "]}}",
+		1, &change, &why, p),
+	    0);
+	assert_int_not_equal(
+	    doc(first, "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[4]}}", 1, &change, &why, p), 0);
 	assert_int_not_equal(doc(first, "{\"ConfigVersion\":9,\"Remove\":[]}", 1, &change, &why, p), 0);
 	assert_int_not_equal(doc(first, "{\"Upsert\":{}}", 1, &change, &why, p), 0);
 	apr_pool_destroy(p);
@@ -300,8 +334,8 @@
 		    "%s{\"Name\":\"r-%d\",\"HostName\":\"h%d.example\",\"PathPrefix\":\"/p%d/\",\"RouteType\":\"streaming\",\"TimeoutMs\":%d,\"TargetMs\":400,"
 		    "\"Priority\":1,\"ServiceName\":\"s%d\",\"MaxAttempts\":2,\"PublicAccess\":false,\"SessionAffinity\":true,\"Resumable\":true,\"GapTargetMs\":250}",
 		    i ? "," : "", i, i % 50, i, 8000 + (i % 1000 == version % 1000), i % 2 + 1);
-	snprintf(s + k, cap - k, "],\"ServiceList\":[%s,%s],\"Limits\":%s,\"TenantList\":[%s]}", SERVICE("s1"), SERVICE("s2"),
-		 LIMITS, TENANT("t1", "\"k1\"", ""));
+	snprintf(s + k, cap - k, "],\"ServiceList\":[%s,%s],\"Limits\":%s,\"TenantList\":[%s]}",
+		 SERVICE("s1"), SERVICE("s2"), LIMITS, TENANT("t1", "\"k1\"", ""));
 	return s;
 }
 
@@ -345,15 +379,17 @@
 		t3 = ms_of();
 		config_table_since(&table, 1, &rep, p);
 		assert_true(rep.n_set < (size_t)sizes[i] / 100 + 2); /* followers get what changed */
-		assert_int_equal(doc(a,
-				     "{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[\"r-7\"]},\"Upsert\":{\"RouteList\":[" ROUTE(
-					 "r-8", "/zz/", "\"ServiceName\":\"s1\"") "]}}",
-				     1, &change, &why, p),
-				 0);
+		assert_int_equal(
+		    doc(a,
+			"{\"ConfigVersion\":9,\"Remove\":{\"RouteList\":[\"r-7\"]},\"Upsert\":{\"RouteList\":[" ROUTE(
+			    "r-8", "/zz/", "\"ServiceName\":\"s1\"") "]}}",
+			1, &change, &why, p),
+		    0);
 		t4 = ms_of();
 		all[i] = t4 - t0;
-		print_message("%d routes, %zu bytes: read %.1f ms, check %.1f ms, apply %.1f ms, patch %.1f ms\n", sizes[i],
-			      strlen(b), t1 - t0, t2 - t1, t3 - t2, t4 - t3);
+		print_message(
+		    "%d routes, %zu bytes: read %.1f ms, check %.1f ms, apply %.1f ms, patch %.1f ms\n",
+		    sizes[i], strlen(b), t1 - t0, t2 - t1, t3 - t2, t4 - t3);
 		config_table_close(&table);
 		arrfree(feed);
 		apr_pool_destroy(p);
@@ -416,7 +452,8 @@
 			int up = 0;
 
 			for (int q = 0; q < SIM_CONTROLLERS; q++)
-				up |= sim->nodes[q].up && !sim->nodes[q].frozen && sim->nodes[q].id == p->members[k].id;
+				up |= sim->nodes[q].up && !sim->nodes[q].frozen &&
+				      sim->nodes[q].id == p->members[k].id;
 			if (!up || !p->members[k].voter)
 				return 0;
 			v++;
@@ -435,16 +472,20 @@
 		if (sim->now - from > ms || !sim_run(sim, 25, NULL)) {
 			ok(sim);
 			for (uint32_t i = 0; i < SHARD_COUNT; i++)
-				print_message("part %u: owner %d, members %d\n", i, sim_leader(sim, i),
-					      sim_leader(sim, i) < 0 ? 0 : sim->nodes[sim_leader(sim, i)].controller->shards[i].member_count);
-			fail_msg("seed %llu: not whole at %d copies after %lld ms", (unsigned long long)sim->seed, copies,
-				 (long long)ms);
+				print_message(
+				    "part %u: owner %d, members %d\n", i, sim_leader(sim, i),
+				    sim_leader(sim, i) < 0
+					? 0
+					: sim->nodes[sim_leader(sim, i)].controller->shards[i].member_count);
+			fail_msg("seed %llu: not whole at %d copies after %lld ms",
+				 (unsigned long long)sim->seed, copies, (long long)ms);
 		}
 	}
 	return sim->now - from;
 }
 
-/* A call as the operator makes it: follows twice, goes on to another controller after a 5xx or a second of silence. */
+/* A call as the operator makes it: follows twice, goes on to another controller after a 5xx or a second of
+ * silence. */
 struct call {
 	uint64_t base, version, token;
 	int patch, node, hops, busy, status;
@@ -548,8 +589,9 @@
 	fleet(&sim, 1, 3, 3, 3);
 	took = until_complete(&sim, 3, 5000);
 	print_message("a fleet of three stands %lld ms after its start\n", (long long)took);
-	sim_run(&sim, 1000, NULL);                             /* the fleet stands before its founder has heard each seed say so */
-	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms); /* again: it belongs to one */
+	sim_run(&sim, 1000, NULL); /* the fleet stands before its founder has heard each seed say so */
+	controller_bootstrap(sim.nodes[0].controller,
+			     sim.now + sim.nodes[0].clock_skew_ms); /* again: it belongs to one */
 	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
 	sim_crash(&sim, 0, 1); /* the first seed loses its disk, and its settings still say so */
 	sim_run(&sim, 3000, NULL);
@@ -614,8 +656,10 @@
 	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
 	assert_int_equal(put_doc(&sim, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
 	assert_int_equal(sim.nodes[o].controller->config.revision, revision);
-	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document */
-	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"), 200);
+	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document
+	 */
+	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"),
+			 200);
 	o = sim_leader(&sim, SHARD_CONTROL);
 	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.rows); i++) {
 		const struct Nl__Row *x = sim.nodes[o].controller->config.rows[i].value.row;
@@ -625,7 +669,8 @@
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
 	assert_true(sim.nodes[o].controller->config.revision > revision);
-	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new ones stand everywhere */
+	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new
+	 * ones stand everywhere */
 	assert_int_equal(finish(&sim, &name, 5000), 200);
 	assert_int_equal(finish(&sim, &name, 5000), 200);
 	name.weights = "2";
@@ -634,14 +679,17 @@
 	assert_int_equal(finish(&sim, &name, 5000), 400);
 	name.weights = "0";
 	assert_int_equal(finish(&sim, &name, 5000), 400);
-	assert_int_equal(put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")), 200);
+	assert_int_equal(
+	    put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")),
+	    200);
 	o = sim_leader(&sim, SHARD_CONTROL);
 	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__MODEL, "daka");
 	assert_string_equal(row->target_weights, "3");
 	assert_string_equal(row->rolled_out, "1");
 	assert_null(config_table_get(&sim.nodes[o].controller->config, NL__KIND__SERVICE, "s1"));
-	assert_string_equal(config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r1")->service,
-			    "s2"); /* its lane moved, since it is vouched for */
+	assert_string_equal(
+	    config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r1")->service,
+	    "s2"); /* its lane moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
 	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
 	b = sim_send_document(&sim, o, 12, 0, DOC("14", "", SERVICE("s4"), ""), NULL);
@@ -650,8 +698,10 @@
 	assert_int_equal(sim_answer(&sim, a)->status + sim_answer(&sim, b)->status, 612);
 	assert_int_equal(put_doc(&sim, 12, 0, DOC("13", "", SERVICE("s3"), "")), sim_answer(&sim, a)->status);
 	/* the same call twice at once is one */
-	a = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
-	b = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0, DOC("20", "", SERVICE("s5"), ""), NULL);
+	a = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+			      DOC("20", "", SERVICE("s5"), ""), NULL);
+	b = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+			      DOC("20", "", SERVICE("s5"), ""), NULL);
 	assert_non_null(answer(&sim, a, 3000));
 	assert_non_null(answer(&sim, b, 3000));
 	assert_int_equal(sim_answer(&sim, a)->status, 200);
@@ -687,24 +737,27 @@
 
 	json_object_deep_copy(old, &j, NULL);
 	for (int k = 0; k < 3; k++) {
-		struct json_object *was = jlist(j, lists[k]), *json = json_object_new_array(), *up = jlist(u, lists[k]),
-				   *rm = jlist(r, lists[k]);
+		struct json_object *was = jlist(j, lists[k]), *json = json_object_new_array(),
+				   *up = jlist(u, lists[k]), *rm = jlist(r, lists[k]);
 
 		for (size_t i = 0; was && i < json_object_array_length(was); i++) {
 			struct json_object *x = json_object_array_get_idx(was, i);
 			int gone = 0;
 
 			for (size_t q = 0; rm && q < json_object_array_length(rm); q++)
-				gone |= !strcmp(json_object_get_string(json_object_array_get_idx(rm, q)), json_string_member(x, "Name"));
+				gone |= !strcmp(json_object_get_string(json_object_array_get_idx(rm, q)),
+						json_string_member(x, "Name"));
 			for (size_t q = 0; up && q < json_object_array_length(up) && !gone; q++)
-				if (!strcmp(json_string_member(json_object_array_get_idx(up, q), "Name"), json_string_member(x, "Name")))
+				if (!strcmp(json_string_member(json_object_array_get_idx(up, q), "Name"),
+					    json_string_member(x, "Name")))
 					x = json_object_array_get_idx(up, q);
 			if (!gone)
 				json_object_array_add(json, json_object_get(x));
 		}
 		for (size_t q = 0; up && q < json_object_array_length(up); q++)
 			if (!has(json, json_string_member(json_object_array_get_idx(up, q), "Name")))
-				json_object_array_add(json, json_object_get(json_object_array_get_idx(up, q)));
+				json_object_array_add(json,
+						      json_object_get(json_object_array_get_idx(up, q)));
 		json_object_object_add(j, lists[k], json);
 	}
 	json_object_object_add(j, "ConfigVersion", json_object_get(jlist(patch, "ConfigVersion")));
@@ -713,7 +766,8 @@
 
 static int plain_valid(struct json_object *json)
 {
-	struct json_object *r = jlist(json, "RouteList"), *sv = jlist(json, "ServiceList"), *t = jlist(json, "TenantList");
+	struct json_object *r = jlist(json, "RouteList"), *sv = jlist(json, "ServiceList"),
+			   *t = jlist(json, "TenantList");
 
 	for (size_t i = 0; i < json_object_array_length(r); i++) {
 		struct json_object *x = json_object_array_get_idx(r, i), *sp = jlist(x, "TrafficSplit");
@@ -731,17 +785,23 @@
 		if (sp && !all)
 			return 0;
 		for (size_t k = 0; k < i; k++)
-			if (!strcmp(json_string_member(json_object_array_get_idx(r, k), "PathPrefix"), json_string_member(x, "PathPrefix")))
+			if (!strcmp(json_string_member(json_object_array_get_idx(r, k), "PathPrefix"),
+				    json_string_member(x, "PathPrefix")))
 				return 0;
 	}
 	for (size_t i = 0; i < json_object_array_length(t); i++)
 		for (size_t k = 0; k < i; k++)
-			for (size_t a = 0; a < json_object_array_length(jlist(json_object_array_get_idx(t, i), "AccessKeys")); a++)
-				for (size_t b = 0;
-				     b < json_object_array_length(jlist(json_object_array_get_idx(t, k), "AccessKeys")); b++)
+			for (size_t a = 0; a < json_object_array_length(
+						   jlist(json_object_array_get_idx(t, i), "AccessKeys"));
+			     a++)
+				for (size_t b = 0; b < json_object_array_length(jlist(
+							   json_object_array_get_idx(t, k), "AccessKeys"));
+				     b++)
 					if (json_object_equal(
-						json_object_array_get_idx(jlist(json_object_array_get_idx(t, i), "AccessKeys"), a),
-						json_object_array_get_idx(jlist(json_object_array_get_idx(t, k), "AccessKeys"), b)))
+						json_object_array_get_idx(
+						    jlist(json_object_array_get_idx(t, i), "AccessKeys"), a),
+						json_object_array_get_idx(
+						    jlist(json_object_array_get_idx(t, k), "AccessKeys"), b)))
 						return 0;
 	return 1;
 }
@@ -763,7 +823,10 @@
 	uint64_t acked;
 }; /* stb_ds */
 
-static uint64_t rnd(struct sim *sim, uint64_t n) { return core_random(&sim->rng) % n; }
+static uint64_t rnd(struct sim *sim, uint64_t n)
+{
+	return core_random(&sim->rng) % n;
+}
 
 static int gen_route(struct sim *sim, char *b, size_t n, int i)
 {
@@ -785,8 +848,8 @@
 
 static int gen_tenant(struct sim *sim, char *b, size_t n, int i)
 {
-	return snprintf(b, n, "{\"Name\":\"t%d\",\"AccessKeys\":[\"key-%d-%d\",\"%s\"],\"Isolated\":%s}", i, i, (int)rnd(sim, 3),
-			rnd(sim, 30) ? "" : "common", rnd(sim, 2) ? "true" : "false");
+	return snprintf(b, n, "{\"Name\":\"t%d\",\"AccessKeys\":[\"key-%d-%d\",\"%s\"],\"Isolated\":%s}", i,
+			i, (int)rnd(sim, 3), rnd(sim, 30) ? "" : "common", rnd(sim, 2) ? "true" : "false");
 }
 
 /* A document or a patch, valid more often than not. */
@@ -806,9 +869,10 @@
 	k += snprintf(b + k, n - (size_t)k, "],\"ServiceList\":[");
 	for (int i = 0, c = 0; i < 4; i++)
 		if (!patch || !rnd(sim, 3))
-			k += snprintf(b + k, n - (size_t)k,
-				      "%s{\"Name\":\"s%d\",\"EngineType\":{\"LinkMbps\":%d.50,\"Models\":[{\"Name\":\"m%d\"}]}}",
-				      c++ ? "," : "", i, (int)rnd(sim, 99) + 1, i % 2);
+			k += snprintf(
+			    b + k, n - (size_t)k,
+			    "%s{\"Name\":\"s%d\",\"EngineType\":{\"LinkMbps\":%d.50,\"Models\":[{\"Name\":\"m%d\"}]}}",
+			    c++ ? "," : "", i, (int)rnd(sim, 99) + 1, i % 2);
 	k += snprintf(b + k, n - (size_t)k, "],\"TenantList\":[");
 	for (int i = 0, c = 0; i < 3; i++)
 		if (rnd(sim, 2)) {
@@ -817,8 +881,8 @@
 		}
 	k += snprintf(b + k, n - (size_t)k, "]");
 	if (patch) {
-		k +=
-		    snprintf(b + k, n - (size_t)k, "},\"Remove\":{\"RouteList\":[\"r%d\",\"r%d\"]", (int)rnd(sim, 9), (int)rnd(sim, 9));
+		k += snprintf(b + k, n - (size_t)k, "},\"Remove\":{\"RouteList\":[\"r%d\",\"r%d\"]",
+			      (int)rnd(sim, 9), (int)rnd(sim, 9));
 		if (!rnd(sim, 6))
 			k += snprintf(b + k, n - (size_t)k, ",\"ServiceList\":[\"s%d\"]", (int)rnd(sim, 4));
 		k += snprintf(b + k, n - (size_t)k, "}");
@@ -857,7 +921,8 @@
 						 (unsigned long long)sim->seed, (unsigned long long)at);
 				next = i;
 			}
-		for (ptrdiff_t i = 0; i < arrlen(model->v); i++) { /* refused on this version: they had to be */
+		for (ptrdiff_t i = 0; i < arrlen(model->v);
+		     i++) { /* refused on this version: they had to be */
 			struct step *x = &model->v[i];
 
 			if (x->base != at || x->status == 200)
@@ -870,10 +935,11 @@
 				j = complete;
 			}
 			if (x->status == 400 && j && x->version > at && plain_valid(j))
-				fail_msg("seed %llu: refused, though it is valid: %s", (unsigned long long)sim->seed, x->body);
+				fail_msg("seed %llu: refused, though it is valid: %s",
+					 (unsigned long long)sim->seed, x->body);
 			if (x->status == 412 && next < 0)
-				fail_msg("seed %llu: late on version %llu, which is current", (unsigned long long)sim->seed,
-					 (unsigned long long)at);
+				fail_msg("seed %llu: late on version %llu, which is current",
+					 (unsigned long long)sim->seed, (unsigned long long)at);
 			json_object_put(j);
 		}
 		if (next < 0)
@@ -888,7 +954,8 @@
 			j = complete;
 		}
 		if (!plain_valid(j))
-			fail_msg("seed %llu: an invalid document is taken: %s", (unsigned long long)sim->seed, model->v[next].body);
+			fail_msg("seed %llu: an invalid document is taken: %s", (unsigned long long)sim->seed,
+				 model->v[next].body);
 		model->v[next].j = doc_is = j;
 		at = model->v[next].version;
 		last_one = next;
@@ -896,16 +963,17 @@
 	}
 	for (ptrdiff_t i = 0; i < arrlen(model->v); i++)
 		if (model->v[i].status == 200)
-			fail_msg("seed %llu: version %llu is acknowledged and lost", (unsigned long long)sim->seed,
-				 (unsigned long long)model->v[i].version);
+			fail_msg("seed %llu: version %llu is acknowledged and lost",
+				 (unsigned long long)sim->seed, (unsigned long long)model->v[i].version);
 	for (ptrdiff_t i = 0; i < arrlen(model->r);
 	     i++) { /* readings are of the chain, and none is older than what was acknowledged before it */
 		const struct step *x = NULL;
 		struct json_object *j = json_tokener_parse(model->r[i].body);
 
 		if (model->r[i].version < model->r[i].floor)
-			fail_msg("seed %llu: version %llu is read after %llu was acknowledged", (unsigned long long)sim->seed,
-				 (unsigned long long)model->r[i].version, (unsigned long long)model->r[i].floor);
+			fail_msg("seed %llu: version %llu is read after %llu was acknowledged",
+				 (unsigned long long)sim->seed, (unsigned long long)model->r[i].version,
+				 (unsigned long long)model->r[i].floor);
 		for (ptrdiff_t k = 0; k < arrlen(model->v); k++)
 			if (model->v[k].status == 201 && model->v[k].version == model->r[i].version)
 				x = &model->v[k];
@@ -920,7 +988,8 @@
 	body = read_doc(sim, &n);
 	assert_non_null(body);
 	{
-		struct json_object *j = json_tokener_parse(body), *json = jlist(doc_is, "RouteList"), *t = jlist(doc_is, "TenantList");
+		struct json_object *j = json_tokener_parse(body), *json = jlist(doc_is, "RouteList"),
+				   *t = jlist(doc_is, "TenantList");
 		size_t routes = 0, tenants = 0, keys = 0, expected = 0;
 
 		assert_true(json_object_equal(j, doc_is));
@@ -942,15 +1011,19 @@
 			expected += json_object_array_length(a);
 			for (size_t k = 0; k < json_object_array_length(a); k++)
 				assert_string_equal(
-				    config_table_get(&sim->nodes[o].controller->config, NL__KIND__KEY,
-					      doc_digest(json_object_get_string(json_object_array_get_idx(a, k)), hex))
+				    config_table_get(
+					&sim->nodes[o].controller->config, NL__KIND__KEY,
+					doc_digest(json_object_get_string(json_object_array_get_idx(a, k)),
+						   hex))
 					->tenant,
 				    json_string_member(json_object_array_get_idx(t, i), "Name"));
 		}
 		assert_int_equal(keys, expected);
 		for (size_t i = 0; i < json_object_array_length(json); i++)
 			assert_int_equal(
-			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__ROUTE, json_string_member(json_object_array_get_idx(json, i), "Name"))->timeout_ms,
+			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__ROUTE,
+					     json_string_member(json_object_array_get_idx(json, i), "Name"))
+				->timeout_ms,
 			    json_uint_member(json_object_array_get_idx(json, i), "TimeoutMs"));
 	}
 }
@@ -972,16 +1045,20 @@
 
 		if (!sim->nodes[i].up)
 			continue;
-		if (sim->nodes[i].controller->config_watch.table.revision == sim->nodes[o].controller->config.revision)
+		if (sim->nodes[i].controller->config_watch.table.revision ==
+		    sim->nodes[o].controller->config.revision)
 			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.rows); k++) {
 				const struct Nl__Row *x = sim->nodes[o].controller->config.rows[k].value.row,
-						     *row = config_table_get(&sim->nodes[i].controller->config_watch.table, x->kind, x->name);
+						     *row = config_table_get(
+							 &sim->nodes[i].controller->config_watch.table,
+							 x->kind, x->name);
 
 				assert_non_null(row);
 				assert_int_equal(protobuf_c_message_get_packed_size(&x->base),
 						 protobuf_c_message_get_packed_size(&row->base));
 			}
-		if (raft->applied_index != sim->nodes[o].controller->shards[SHARD_CONTROL].applied_index || !raft->member_count)
+		if (raft->applied_index != sim->nodes[o].controller->shards[SHARD_CONTROL].applied_index ||
+		    !raft->member_count)
 			continue;
 		b = controller_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
 		assert_int_equal(n, m);
@@ -994,7 +1071,8 @@
 
 static void documents_against_a_plain_model(void **state)
 {
-	int n_acked = 0, n_late = 0, n_bad = 0, n_read = 0, faults = 0, seeds = getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : 60;
+	int n_acked = 0, n_late = 0, n_bad = 0, n_read = 0, faults = 0,
+	    seeds = getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : 60;
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= (uint64_t)seeds; seed++) {
@@ -1020,7 +1098,8 @@
 				struct call *call = &op[i];
 
 				if (go_on(&sim, call)) {
-					struct step x = { call->base, call->version, call->patch, call->status, call->body, NULL };
+					struct step x = { call->base,   call->version, call->patch,
+							  call->status, call->body,    NULL };
 
 					arrput(model.v, x);
 					n_acked += call->status == 200;
@@ -1029,20 +1108,24 @@
 					if (call->status == 200 && call->version > model.acked)
 						model.acked = call->version;
 					if (call->status != 200 && call->status != 412 && call->status != 400)
-						fail_msg("seed %llu: status %d", (unsigned long long)seed, call->status);
+						fail_msg("seed %llu: status %d", (unsigned long long)seed,
+							 call->status);
 				}
 				if (call->busy || sim.now > end || rnd(&sim, 10))
 					continue;
 				memset(call, 0, sizeof *call);
 				call->busy = 1;
-				call->base =
-				    rnd(&sim, 12) ? (known > model.acked ? known : model.acked) : rnd(&sim, 9); /* sometimes one of long ago */
+				call->base = rnd(&sim, 12) ? (known > model.acked ? known : model.acked)
+							   : rnd(&sim, 9); /* sometimes one of long ago */
 				call->patch = call->base && rnd(&sim, 2);
 				high = (high > call->base ? high : call->base) + 1 + rnd(&sim, 3);
-				call->version = rnd(&sim, 20) ? high : call->base; /* each call's own, but sometimes not above */
+				call->version =
+				    rnd(&sim, 20) ? high
+						  : call->base; /* each call's own, but sometimes not above */
 				call->body = gen(&sim, call->version, call->patch);
 				no_empty_keys(call->body);
-				if (!rnd(&sim, 3)) { /* it goes to the owner, which dies before or after logging it */
+				if (!rnd(&sim, 3)) { /* it goes to the owner, which dies before or after
+							logging it */
 					int o = sim_leader(&sim, SHARD_CONTROL);
 
 					if (o >= 0 && down < 0 && cut < 0 && sim.now > next_fault) {
@@ -1058,7 +1141,8 @@
 			if (go_on(&sim, &rd) && rd.status == 200) {
 				const struct sim_operator_answer *web = sim_answer(&sim, rd.token);
 				struct json_object *json = json_tokener_parse(web->full_body);
-				struct seen x = { json_uint_member(json, "ConfigVersion"), floor, web->full_body, web->full_body_len };
+				struct seen x = { json_uint_member(json, "ConfigVersion"), floor,
+						  web->full_body, web->full_body_len };
 
 				known = x.version;
 				arrput(model.r, x);
@@ -1109,12 +1193,13 @@
 		arrfree(model.r);
 		sim_close(&sim);
 	}
-	print_message("documents: %d seeds, %d faults: %d acknowledged, %d late, %d invalid, %d read\n", seeds, faults, n_acked,
-		      n_late, n_bad, n_read);
+	print_message("documents: %d seeds, %d faults: %d acknowledged, %d late, %d invalid, %d read\n",
+		      seeds, faults, n_acked, n_late, n_bad, n_read);
 	assert_true(n_acked > 3 * seeds && n_late > seeds && n_bad > seeds);
 }
 
-/* Documents are large: the log is cut behind a snapshot by their bytes, and a member that comes new gets the document whole. */
+/* Documents are large: the log is cut behind a snapshot by their bytes, and a member that comes new gets the
+ * document whole. */
 static void snapshots_hold_the_document(void **state)
 {
 	struct sim sim;
@@ -1127,10 +1212,11 @@
 	fleet(&sim, 5, 4, 4, 3);
 	until_complete(&sim, 3, 5000);
 	for (uint64_t v = 1; v <= 60; v++) {
-		int k = snprintf(b, 4096,
-				 "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"TenantList\":[" TENANT(
-				     "t1", "\"k%llu\"", "") "],\"Padding\":\"",
-				 (unsigned long long)v, (unsigned long long)v);
+		int k = snprintf(
+		    b, 4096,
+		    "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"TenantList\":[" TENANT(
+			"t1", "\"k%llu\"", "") "],\"Padding\":\"",
+		    (unsigned long long)v, (unsigned long long)v);
 
 		memset(b + k, 'x', pad);
 		strcpy(b + k + pad, "\"}");
@@ -1142,8 +1228,9 @@
 	o = sim_leader(&sim, SHARD_CONTROL);
 	from = sim.nodes[o].controller->shards[SHARD_CONTROL].base_index;
 	assert_true(from > 0);
-	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log) < 45); /* 16 MB since the last snapshot, 8 MB kept behind it */
-	for (int i = 0; i < 4; i++) {                                /* each in turn comes back without its disk */
+	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log) <
+		    45);              /* 16 MB since the last snapshot, 8 MB kept behind it */
+	for (int i = 0; i < 4; i++) { /* each in turn comes back without its disk */
 		sim_crash(&sim, i, 1);
 		sim_run(&sim, 500, NULL);
 		sim_start(&sim, i);
@@ -1173,14 +1260,16 @@
 			return 0;
 		for (int k = 0; k < sim->nodes[o].controller->shards[i].member_count; k++)
 			for (int q = 0; q < n; q++)
-				z[q % 3] += sim->nodes[q].id == sim->nodes[o].controller->shards[i].members[k].id;
+				z[q % 3] +=
+				    sim->nodes[q].id == sim->nodes[o].controller->shards[i].members[k].id;
 		if (z[0] > 2 || z[1] > 2 || z[2] > 2)
 			return 0;
 	}
 	return complete_on(sim, 5);
 }
 
-/* Five copies over three zones; two machines lose their disks as a document is acknowledged, again and again. */
+/* Five copies over three zones; two machines lose their disks as a document is acknowledged, again and again.
+ */
 static void two_of_five_lost(void **state)
 {
 	int64_t worst_back = 0, worst_mend = 0, worst_found = 0, sum = 0;
@@ -1197,7 +1286,8 @@
 		t = until_complete(&sim, 5, 12000);
 		worst_found = t > worst_found ? t : worst_found;
 		for (int round = 0; round < 3; round++) {
-			int a = (int)rnd(&sim, (uint64_t)n), b = (a + 1 + (int)rnd(&sim, (uint64_t)n - 1)) % n;
+			int a = (int)rnd(&sim, (uint64_t)n),
+			    b = (a + 1 + (int)rnd(&sim, (uint64_t)n - 1)) % n;
 			char body[400];
 			int64_t from;
 			size_t len;
@@ -1221,7 +1311,8 @@
 			rounds++;
 			worst_back = sim.now - from > worst_back ? sim.now - from : worst_back;
 			if (sim.now - from > 12000)
-				fail_msg("seed %llu: back after %lld ms", (unsigned long long)seed, (long long)(sim.now - from));
+				fail_msg("seed %llu: back after %lld ms", (unsigned long long)seed,
+					 (long long)(sim.now - from));
 			sim_run(&sim, (int64_t)rnd(&sim, 4000), NULL);
 			sim_start(&sim, a);
 			sim_start(&sim, b);
@@ -1239,11 +1330,13 @@
 	}
 	print_message(
 	    "two of five lost, %d times: taken again after %lld ms on average, %lld at most; five copies again %lld ms after their return at most; founded and grown to five in %lld ms at most\n",
-	    rounds, (long long)(sum / rounds), (long long)worst_back, (long long)worst_mend, (long long)worst_found);
+	    rounds, (long long)(sum / rounds), (long long)worst_back, (long long)worst_mend,
+	    (long long)worst_found);
 	assert_true(worst_mend <= 4000);
 }
 
-/* A machine that is lost for good, with another standing ready: all copies are there again inside the bound. */
+/* A machine that is lost for good, with another standing ready: all copies are there again inside the bound.
+ */
 static void one_lost_for_good(void **state)
 {
 	int64_t worst = 0;
@@ -1349,7 +1442,8 @@
 	sim_close(&sim);
 }
 
-/* Weights that a model's servers all had are withdrawn once others stand everywhere; naming alone withdraws nothing. */
+/* Weights that a model's servers all had are withdrawn once others stand everywhere; naming alone withdraws
+ * nothing. */
 static void weights_are_withdrawn_when_rolled_out(void **state)
 {
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
@@ -1389,7 +1483,8 @@
 	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
 	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled_out, "4");
 	assert_int_equal(arrlen(feed), 6);
-	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE); /* the same document: no rows change, nothing is withdrawn */
+	assert_int_equal(config_table_apply(&table, &change, &feed),
+			 PROPOSAL_DONE); /* the same document: no rows change, nothing is withdrawn */
 	assert_int_equal(arrlen(feed), 6);
 	assert_non_null(config_table_get(&table, NL__KIND__MODEL, "daka"));
 	for (ptrdiff_t i = 0; i < arrlen(feed); i++)
