--- a/tests/test_stand.c
+++ b/tests/test_emulator.c
@@ -1,5 +1,5 @@
-/* The stand-in of the users' platform, tried by itself: the judge catches a breach of each rule and lets its mended
- * twin pass; servers, store and list speak as the pages say. */
+/* The stand-in of the users' platform, tried by itself: the judge catches a breach of each rule and lets its
+ * mended twin pass; servers, store and list speak as the pages say. */
 #include <sched.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,21 +11,23 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
-#include "stand_run.h"
+#include "containers.h"
+#include "platform_run.h"
 
 /* ---- the judge ---- */
 
 enum { EDGES = 3, CORES = 3 };
-#define ROUTE(name, prefix, service)                                                                                   \
-	"{\"Name\":\"" name "\",\"HostName\":\"h.example\",\"PathPrefix\":\"" prefix "\",\"RouteType\":\"streaming\"," \
-	"\"TimeoutMs\":8000,\"TargetMs\":400,\"Priority\":0,\"ServiceName\":\"" service                                \
+#define ROUTE(name, prefix, service)                                                    \
+	"{\"Name\":\"" name "\",\"HostName\":\"h.example\",\"PathPrefix\":\"" prefix    \
+	"\",\"RouteType\":\"streaming\","                                               \
+	"\"TimeoutMs\":8000,\"TargetMs\":400,\"Priority\":0,\"ServiceName\":\"" service \
 	"\",\"MaxAttempts\":2,\"PublicAccess\":false,\"Resumable\":true}"
 #define TENANTS(keys, iso)                                                             \
 	"\"TenantList\":[{\"Name\":\"t1\",\"AccessKeys\":[" keys "],\"Isolated\":" iso \
 	"},{\"Name\":\"t2\",\"AccessKeys\":[\"k2\"],\"Isolated\":false}]"
 #define SERVICES "\"ServiceList\":[{\"Name\":\"lm\"},{\"Name\":\"lm2\"}]"
-#define CFG(version, routes, tenants) "{\"ConfigVersion\":" version ",\"RouteList\":[" routes "]," SERVICES "," tenants "}"
+#define CFG(version, routes, tenants) \
+	"{\"ConfigVersion\":" version ",\"RouteList\":[" routes "]," SERVICES "," tenants "}"
 #define FIRST CFG("1", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false"))
 
 static const struct attempt_record a_try = {
@@ -63,17 +65,18 @@
 	return checker;
 }
 
-static int arrives(struct judge *j, int64_t t, const struct attempt_record *attempt, const char *service, const char *instance)
+static int arrives(struct judge *j, int64_t t, const struct attempt_record *attempt, const char *service,
+		   const char *instance)
 {
 	struct arrival_record a = { .id = attempt->id,
-				.method = attempt->method,
-				.host = attempt->host,
-				.path = attempt->path,
-				.tenant = "t1",
-				.service = service,
-				.instance = instance,
-				.body = attempt->body,
-				.last_event = attempt->last_event };
+				    .method = attempt->method,
+				    .host = attempt->host,
+				    .path = attempt->path,
+				    .tenant = "t1",
+				    .service = service,
+				    .instance = instance,
+				    .body = attempt->body,
+				    .last_event = attempt->last_event };
 
 	return checker_record_arrival(j, t, &a);
 }
@@ -86,11 +89,17 @@
 	return run;
 }
 
-static struct answer_record told(const struct attempt_record *x, int run, const struct stream_event *event, int n)
+static struct answer_record told(const struct attempt_record *x, int run, const struct stream_event *event,
+				 int n)
 {
-	return (struct answer_record){
-		.id = x->id, .seal_id = x->id, .status = 200, .seal_run = run, .outcome = ANSWER_COMPLETE, .events = event, .event_count = n, .is_stream = 1
-	};
+	return (struct answer_record){ .id = x->id,
+				       .seal_id = x->id,
+				       .status = 200,
+				       .seal_run = run,
+				       .outcome = ANSWER_COMPLETE,
+				       .events = event,
+				       .event_count = n,
+				       .is_stream = 1 };
 }
 
 /* A try that is served whole: two pieces. */
@@ -110,9 +119,14 @@
 	return run;
 }
 
-static void answered(struct judge *checker, int64_t t, const struct attempt_record *attempt, int status, int own)
+static void answered(struct judge *checker, int64_t t, const struct attempt_record *attempt, int status,
+		     int own)
 {
-	struct answer_record r = { .id = attempt->id, .status = status, .seal_run = -1, .is_own_answer = own, .outcome = ANSWER_COMPLETE };
+	struct answer_record r = { .id = attempt->id,
+				   .status = status,
+				   .seal_run = -1,
+				   .is_own_answer = own,
+				   .outcome = ANSWER_COMPLETE };
 
 	checker_record_answer(checker, t, &r);
 }
@@ -324,7 +338,8 @@
 	struct attempt_record attempt = a_try;
 
 	attempt.path = "/b/1";
-	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 5200, 1,
+	       CFG("3", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	checker_record_attempt(checker, 5200 + 2000 + (bad ? 10 : -10), &attempt);
 	answered(checker, 7300, &attempt, 404, 1);
 }
@@ -377,14 +392,16 @@
 static void read_old(struct judge *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	checker_record_read_back(checker, 20000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_read_back(checker, 20000,
+				 bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 /* Its base was never in force. */
 static void built_on_nothing(struct judge *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	cfg_at(checker, 6000, 6100, bad ? 4 : 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 6000, 6100, bad ? 4 : 3,
+	       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 /* It was acknowledged before the one that it builds on was sent. */
@@ -393,24 +410,31 @@
 	int64_t first = bad ? 6000 : 5000, second = bad ? 5000 : 6000;
 
 	cfg_at(checker, first, first + 100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
-	cfg_at(checker, second, second + 100, 3, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, second, second + 100, 3,
+	       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 static void read_other(struct judge *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
-	checker_record_read_back(checker, 20000, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_read_back(checker, 20000,
+				 CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	if (bad)
-		checker_record_read_back(checker, 20000, CFG("3", ROUTE("b", "/c/", "lm"), TENANTS("\"k1\"", "false")));
+		checker_record_read_back(checker, 20000,
+					 CFG("3", ROUTE("b", "/c/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void read_nothing(struct judge *checker, int bad) { checker_record_read_back(checker, 20000, bad ? NULL : FIRST); }
+static void read_nothing(struct judge *checker, int bad)
+{
+	checker_record_read_back(checker, 20000, bad ? NULL : FIRST);
+}
 
 static void lost_after_fault(struct judge *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	checker_set_final_fault(checker, 5200, 6000);
-	checker_record_read_back(checker, 30000, bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
+	checker_record_read_back(checker, 30000,
+				 bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 static void added_routes(struct judge *checker, int bad)
@@ -446,7 +470,8 @@
 static void revoked(struct judge *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k3\"", "false")));
-	checker_record_machine(checker, 5050, 0, 0, UNPLANNED, 1); /* also on machines that are not in touch */
+	checker_record_machine(checker, 5050, 0, 0, UNPLANNED,
+			       1); /* also on machines that are not in touch */
 	checker_record_machine(checker, 9000, 0, 0, UNPLANNED, 1);
 	served(checker, 5100 + 5000 + (bad ? 10 : -10), &a_try, "lm");
 }
@@ -477,7 +502,9 @@
 
 static void lost_unread(struct judge *checker, int bad)
 {
-	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = bad ? ANSWER_CUT_OFF : ANSWER_NONE }; /* a reset: it was not read */
+	struct answer_record r = {
+		.id = "x1", .seal_run = -1, .outcome = bad ? ANSWER_CUT_OFF : ANSWER_NONE
+	}; /* a reset: it was not read */
 
 	checker_record_attempt(checker, 10000, &a_try);
 	checker_record_machine(checker, 10100, 0, 0, PLANNED, 0);
@@ -494,14 +521,18 @@
 	checker_record_machine(checker, 10100, 0, 0, PLANNED, 0);
 	if (bad)
 		checker_record_end(checker, 11000, run, 1, 200, 0, 2);
-	checker_record_answer(checker, 15000, &r); /* in the second half of GraceS; excused while its server still works */
+	checker_record_answer(checker, 15000,
+			      &r); /* in the second half of GraceS; excused while its server still works */
 }
 
 /* ---- LOST, clause by clause: bad breaks the rule, the mended twin is just inside it ---- */
 
 enum { STOPPED_AT = 10100, RELOADED_AT = 12000, CFG_SENT_AT = 20000, CFG_ACKED_AT = 20100 };
 
-static void stops(struct judge *checker, int machine) { checker_record_machine(checker, STOPPED_AT, machine, machine >= EDGES, PLANNED, 0); }
+static void stops(struct judge *checker, int machine)
+{
+	checker_record_machine(checker, STOPPED_AT, machine, machine >= EDGES, PLANNED, 0);
+}
 
 /* A reset without a byte of an answer; read: the machine's process had read the whole request. */
 static void is_reset(struct judge *checker, int64_t t, const char *id, int read)
@@ -521,14 +552,16 @@
 
 static void configured(struct judge *checker)
 {
-	cfg_at(checker, CFG_SENT_AT, CFG_ACKED_AT, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, CFG_SENT_AT, CFG_ACKED_AT, 1,
+	       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 static void lost_passed_on(struct judge *checker, int bad)
 {
 	stops(checker, 0);
 	if (bad)
-		reset_at_work(checker, 10200, 10250); /* within LossSlackMs: it has been passed on all the same */
+		reset_at_work(checker, 10200,
+			      10250); /* within LossSlackMs: it has been passed on all the same */
 	else
 		served(checker, 10200, &a_try, "lm");
 }
@@ -606,7 +639,8 @@
 /* One with no clear answer may be in force for the rest of the day; one that was refused never is. */
 static void lost_beside_a_refused_one(struct judge *checker, int bad)
 {
-	int n = cfg_at(checker, CFG_SENT_AT, -1, 1, CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	int n = cfg_at(checker, CFG_SENT_AT, -1, 1,
+		       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 
 	if (!bad)
 		checker_record_config_outcome(checker, CFG_ACKED_AT, n, CONFIG_OUTCOME_REFUSED);
@@ -685,11 +719,13 @@
 	stops(checker, 0);
 	checker_record_attempt(checker, 10200, &a_try);
 	run = runs(checker, 10210, &a_try, "lm");
-	checker_record_end(checker, 10300, run, bad, 200, 0, 2); /* 1: the whole answer went out; 0: the server broke off */
+	checker_record_end(checker, 10300, run, bad, 200, 0,
+			   2); /* 1: the whole answer went out; 0: the server broke off */
 	is_reset(checker, 10400, "x1", 1);
 }
 
-/* A server broke off, another took the request on; only the last one counts, and not one that turned it away. */
+/* A server broke off, another took the request on; only the last one counts, and not one that turned it away.
+ */
 static void lost_at_a_second_server(struct judge *checker, int bad)
 {
 	int run;
@@ -853,9 +889,12 @@
 	checker_record_answer(checker, 5170, &r);
 }
 
-static void orders(struct judge *checker, int64_t t, const char *holder, int64_t fence, int status, int thawed)
+static void orders(struct judge *checker, int64_t t, const char *holder, int64_t fence, int status,
+		   int thawed)
 {
-	struct load_command_record r = { .instance = "i-1", .lease_owner = holder, .fence = fence, .status = status, .thawed = thawed };
+	struct load_command_record r = {
+		.instance = "i-1", .lease_owner = holder, .fence = fence, .status = status, .thawed = thawed
+	};
 
 	checker_record_load_command(checker, t, &r);
 }
@@ -893,8 +932,8 @@
 
 	cfg_at(checker, 4000, 4100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "true")));
 	checker_record_attempt(checker, 6000, &a_try);
-	checker_record_start(checker, bad ? 6110 : 6090, arrives(checker, 6005, &a_try, "lm", "i-1"), 1, &record,
-		    1); /* in force 2 s after it was acknowledged */
+	checker_record_start(checker, bad ? 6110 : 6090, arrives(checker, 6005, &a_try, "lm", "i-1"), 1,
+			     &record, 1); /* in force 2 s after it was acknowledged */
 }
 
 static void version(struct judge *checker, int bad)
@@ -902,14 +941,16 @@
 	checker_record_target_version(checker, 5000, 2, 0);
 	checker_record_target_version(checker, 5100, 2, 1);
 	checker_record_attempt(checker, 20000, &a_try);
-	checker_record_start(checker, 20100 + (bad ? 10 : -10), arrives(checker, 20005, &a_try, "lm", "i-1"), 1, NULL, 0);
+	checker_record_start(checker, 20100 + (bad ? 10 : -10), arrives(checker, 20005, &a_try, "lm", "i-1"),
+			     1, NULL, 0);
 }
 
 /* The machine that takes a_try sends it at `sent`; it begins on `weights` at `begun`. */
 static void begins_on(struct judge *checker, int64_t sent, int64_t begun, int weights)
 {
 	checker_record_attempt(checker, sent, &a_try);
-	checker_record_start(checker, begun, arrives(checker, sent + 5, &a_try, "lm", "i-1"), weights, NULL, 0);
+	checker_record_start(checker, begun, arrives(checker, sent + 5, &a_try, "lm", "i-1"), weights, NULL,
+			     0);
 }
 
 /* The sender is killed between the send and the beginning: it was in touch as it sent. */
@@ -958,7 +999,8 @@
 /* A naming that nobody acknowledged asks for nothing. */
 static void version_not_acked(struct judge *checker, int bad)
 {
-	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED, 0); /* nor has the core to acknowledge it */
+	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED,
+			       0); /* nor has the core to acknowledge it */
 	checker_record_target_version(checker, 5100, 2, 0);
 	if (bad)
 		checker_record_target_version(checker, 5200, 2, 1);
@@ -983,7 +1025,8 @@
 
 static void acks(struct judge *checker, int bad)
 {
-	cfg_at(checker, 5000, 9003 + (bad ? 1 : 0), 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
+	cfg_at(checker, 5000, 9003 + (bad ? 1 : 0), 1,
+	       CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
 static void acks_unsettled(struct judge *checker, int bad)
@@ -1046,13 +1089,13 @@
 		checker_record_attempt(checker, 5000 + i, &attempt);
 		if (i % 2 || (!bad && i % 4 == 0)) {
 			struct arrival_record a = { .id = id,
-						.method = attempt.method,
-						.host = attempt.host,
-						.path = attempt.path,
-						.tenant = i % 2 ? "t1" : "t2",
-						.service = "lm",
-						.instance = "i-1",
-						.body = attempt.body };
+						    .method = attempt.method,
+						    .host = attempt.host,
+						    .path = attempt.path,
+						    .tenant = i % 2 ? "t1" : "t2",
+						    .service = "lm",
+						    .instance = "i-1",
+						    .body = attempt.body };
 			int run = checker_record_arrival(checker, 5005 + i, &a);
 			struct stream_event event[1] = { { 1, run } };
 			struct answer_record r = told(&attempt, run, event, 1);
@@ -1173,14 +1216,17 @@
 			n = checker_run(checker, 40000, &violation);
 			for (int k = 0; k < n; k++) {
 				if (!bad || !strstr(stories[i].rule, violation[k].rule)) {
-					print_error("%s, %s: %s %s\n", stories[i].name, bad ? "broken" : "mended", violation[k].rule,
+					print_error("%s, %s: %s %s\n", stories[i].name,
+						    bad ? "broken" : "mended", violation[k].rule,
 						    violation[k].text);
 					wrong++;
 				}
-				hit += !strncmp(stories[i].rule, violation[k].rule, strlen(violation[k].rule));
+				hit +=
+				    !strncmp(stories[i].rule, violation[k].rule, strlen(violation[k].rule));
 			}
 			if (bad && !hit) {
-				print_error("%s: the breach of %s is not seen\n", stories[i].name, stories[i].rule);
+				print_error("%s: the breach of %s is not seen\n", stories[i].name,
+					    stories[i].rule);
 				wrong++;
 			}
 			checker_close(checker);
@@ -1199,10 +1245,13 @@
 		{ FIRST, 1, 1 },                                  /* not above */
 		{ "{\"ConfigVersion\":2,\"RouteList\":[", 1, 1 }, /* cut short */
 		{ CFG("2", ROUTE("a", "/a/", "nowhere"), TENANTS("\"k1\"", "false")), 1, 1 },
-		{ CFG("2", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/a/", "lm"), TENANTS("\"k1\"", "false")), 1, 1 },
-		{ CFG("2", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")), 1, 0 },
+		{ CFG("2", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/a/", "lm"), TENANTS("\"k1\"", "false")),
+		  1, 1 },
+		{ CFG("2", ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")),
+		  1, 0 },
 		{ CFG("2", ROUTE("a", "/a/", "lm"), TENANTS("\"k2\"", "false")), 1, 1 }, /* a shared key */
-		{ CFG("2", "{\"Name\":\"a\",\"HostName\":\"h\",\"PathPrefix\":\"/a/\",\"TimeoutMs\":0,\"ServiceName\":\"lm\"}",
+		{ CFG("2",
+		      "{\"Name\":\"a\",\"HostName\":\"h\",\"PathPrefix\":\"/a/\",\"TimeoutMs\":0,\"ServiceName\":\"lm\"}",
 		      TENANTS("", "false")),
 		  1, 1 },
 		{ CFG("2",
@@ -1221,14 +1270,16 @@
 	}
 }
 
-/* Whatever planned changes follow on each other, what comes out is valid, and the lists for modify name what was touched. */
+/* Whatever planned changes follow on each other, what comes out is valid, and the lists for modify name what
+ * was touched. */
 static void planned_changes_are_valid(void **state)
 {
 	static const char text[] =
 	    "{\"ConfigVersion\":1,\"RouteList\":[" ROUTE("a", "/a/", "lm") "," ROUTE("b", "/b/", "lm") "," ROUTE(
-		"c", "/c/", "lm") "," ROUTE("r-big-0", "/big0/",
-					    "lm") "],\"ServiceList\":[{\"Name\":\"lm\",\"MaxConnections\":9}],\"Limits\":"
-						  "{\"IdleTimeoutMs\":15000}," TENANTS("\"k1\"", "false") "}";
+		"c", "/c/",
+		"lm") "," ROUTE("r-big-0", "/big0/",
+				"lm") "],\"ServiceList\":[{\"Name\":\"lm\",\"MaxConnections\":9}],\"Limits\":"
+				      "{\"IdleTimeoutMs\":15000}," TENANTS("\"k1\"", "false") "}";
 	struct json_object *config = json_tokener_parse(text),
 			   *plain = json_tokener_parse("{\"Name\":\"t3\",\"AccessKeys\":[\"k3\"]}");
 
@@ -1246,7 +1297,8 @@
 		assert_null(parsed_config_invalid(c, (int64_t)turn + 1));
 		assert_int_equal(arrlen(c->routes), 3 + (turn < 1 && what != CHANGE_BIG_OFF));
 		if (what != CHANGE_LIMITS)
-			assert_int_equal(json_object_object_length(upsert) + json_object_object_length(removed), 1);
+			assert_int_equal(
+			    json_object_object_length(upsert) + json_object_object_length(removed), 1);
 		parsed_config_free(c);
 		json_object_put(upsert);
 		json_object_put(removed);
@@ -1280,7 +1332,7 @@
 	int status, done, keep, held;
 	char *body, *weights, *load, *seal, *id, *not_run, *instance;
 	struct conn *c;
-	int removed;                /* 1 + how */
+	int removed;             /* 1 + how */
 	int events, first, last; /* ids of events */
 	char *stream;            /* stb array */
 };
@@ -1313,7 +1365,8 @@
 
 static void answer_clear(struct rig *rig)
 {
-	char **v[] = { &rig->body, &rig->weights, &rig->load, &rig->seal, &rig->id, &rig->not_run, &rig->instance };
+	char **v[] = { &rig->body, &rig->weights, &rig->load,    &rig->seal,
+		       &rig->id,   &rig->not_run, &rig->instance };
 
 	for (size_t i = 0; i < sizeof v / sizeof *v; i++) {
 		free(*v[i]);
@@ -1332,7 +1385,10 @@
 	loop_close(rig->f.loop);
 }
 
-static char *dup_of(const char *s) { return s ? strdup(s) : NULL; }
+static char *dup_of(const char *s)
+{
+	return s ? strdup(s) : NULL;
+}
 
 static void on_head(void *ctx, struct conn *c, struct http_message *message)
 {
@@ -1389,10 +1445,13 @@
 	return rig->done || rig->removed;
 }
 
-static const struct conn_handlers on_answer = { .head = on_head, .data = on_data, .complete = on_whole, .closed = on_gone };
+static const struct conn_handlers on_answer = {
+	.head = on_head, .data = on_data, .complete = on_whole, .closed = on_gone
+};
 
 /* One call on the rig's connection (a new one if there is none); waits for its end. */
-static void say(struct rig *rig, const char *at, const char *method, const char *target, const char *fields, const char *body)
+static void say(struct rig *rig, const char *at, const char *method, const char *target, const char *fields,
+		const char *body)
 {
 	answer_clear(rig);
 	if (!rig->c)
@@ -1404,7 +1463,8 @@
 	conn_writef(rig->c, "\r\n%s", body ? body : "");
 }
 
-static void ask(struct rig *rig, const char *at, const char *method, const char *target, const char *fields, const char *body)
+static void ask(struct rig *rig, const char *at, const char *method, const char *target, const char *fields,
+		const char *body)
 {
 	say(rig, at, method, target, fields, body);
 	if (!loop_until(rig->f.loop, ms_us(5000), settled, rig))
@@ -1418,8 +1478,9 @@
 	rig->c = NULL;
 }
 
-#define GEN(id, prompt, parts)                                                                                    \
-	"X-Notchlug-Attempt-Id: " id "\r\nX-Notchlug-Model-Name: m1\r\nX-Notchlug-Token-Count: " prompt ",20\r\n" \
+#define GEN(id, prompt, parts)                                                                          \
+	"X-Notchlug-Attempt-Id: " id "\r\nX-Notchlug-Model-Name: m1\r\nX-Notchlug-Token-Count: " prompt \
+	",20\r\n"                                                                                       \
 	"X-Notchlug-Prompt-Prefix: " parts "\r\nX-Notchlug-Deadline-Remaining: 5000\r\n"
 
 static void a_stream_is_whole_and_stamped(void **state)
@@ -1490,10 +1551,12 @@
 	ask(&rig, rig.at[0], "POST", "/x", GEN("t2", "280", "aa:200,cc:80"), "2");
 	assert_int_equal(rig.f.prefilled_tokens - read, 80);
 	read = rig.f.prefilled_tokens;
-	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "280", "dd:80,aa:200"), "3"); /* not behind all that went before it */
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "280", "dd:80,aa:200"),
+	    "3"); /* not behind all that went before it */
 	assert_int_equal(rig.f.prefilled_tokens - read, 280);
 	read = rig.f.prefilled_tokens;
-	ask(&rig, rig.at[0], "POST", "/x", GEN("t4", "280", "aa:200,cc:80") "X-Notchlug-Cache-Salt: s1\r\n", "4");
+	ask(&rig, rig.at[0], "POST", "/x", GEN("t4", "280", "aa:200,cc:80") "X-Notchlug-Cache-Salt: s1\r\n",
+	    "4");
 	assert_int_equal(rig.f.prefilled_tokens - read, 280);
 	hang_up(&rig);
 	rig_close(&rig);
@@ -1574,8 +1637,9 @@
 	json = json_tokener_parse(rig.body);
 	list = field(json, "EventList");
 	assert_true(json_object_array_length(list) >= 1);
-	assert_string_equal(json_object_to_json_string_ext(json_object_array_get_idx(list, 0), JSON_C_TO_STRING_PLAIN),
-			    "[1,\"+\",\"\",\"aa\",200,\"m1\"]");
+	assert_string_equal(
+	    json_object_to_json_string_ext(json_object_array_get_idx(list, 0), JSON_C_TO_STRING_PLAIN),
+	    "[1,\"+\",\"\",\"aa\",200,\"m1\"]");
 	assert_false(json_object_get_boolean(field(json, "LostCount")));
 	epoch = json_object_get_int64(field(json, "NodeEpoch"));
 	json_object_put(json);
@@ -1761,7 +1825,8 @@
 }
 
 /* Watch until so many syncs have begun; then close, though the last may be under way. */
-static int watched_stalls(int (*sync)(int fd), int syncs, struct disk_stall *stalls, int most, int64_t *longest)
+static int watched_stalls(int (*sync)(int fd), int syncs, struct disk_stall *stalls, int most,
+			  int64_t *longest)
 {
 	int64_t limit = loop_us() + ms_us(DISK_LIMIT_MS);
 	char folder[] = "/tmp/stand-XXXXXX", path[700];
@@ -1793,7 +1858,8 @@
 	assert_true(n >= 1); /* the one that was under way as the watch was closed, too */
 	assert_true(longest >= DISK_SLOW_MS - 1);
 	assert_true(stall[n - 1].to - stall[n - 1].from >= DISK_SLOW_MS - 1);
-	assert_int_equal(watched_stalls(every_sync_is_refused, 2, stall, 8, &longest), 0); /* refused is not stalled */
+	assert_int_equal(watched_stalls(every_sync_is_refused, 2, stall, 8, &longest),
+			 0); /* refused is not stalled */
 	assert_int_equal(longest, 0);
 	assert_int_equal(disk_watch_close(NULL, stall, 8, &longest), 0);
 	assert_null(disk_watch_open("/nowhere", loop_us(), DISK_BOUND_MS, third_sync_is_slow));
@@ -1815,7 +1881,7 @@
 	assert_false(disk_explains(stall, 0, 24000, 9000));
 	assert_true(disk_explains_all(stall, 2, violation, 2, 9000));
 	assert_false(disk_explains_all(stall, 2, violation, 0, 9000)); /* what broke then is something else */
-	violation[1].at_ms = 37001;                                        /* one of them is too late: the run has failed */
+	violation[1].at_ms = 37001; /* one of them is too late: the run has failed */
 	assert_false(disk_explains_all(stall, 2, violation, 2, 9000));
 	violation[1].at_ms = 37000;
 	snprintf(violation[1].rule, sizeof violation[1].rule, "ONE"); /* no delay excuses that one */
@@ -1837,8 +1903,9 @@
 	write_log(run, "one", "<6>counter[7]: proc: Ended, no invariant was broken.\n");
 	write_log(run, "two", "");
 	assert_int_equal(invariant_lines(run), 0);
-	write_log(run, "two",
-		  "<3>Dec  2 counter[7]: ctr: invariant: a send left.\ninvariant: a begin.\n<3>counter[7]: invariant a send.\n");
+	write_log(
+	    run, "two",
+	    "<3>Dec  2 counter[7]: ctr: invariant: a send left.\ninvariant: a begin.\n<3>counter[7]: invariant a send.\n");
 	assert_int_equal(invariant_lines(run), 3);
 	for (int i = 0; i < 2; i++) {
 		snprintf(path, sizeof path, "%s/%s.log", run->folder, run->machines[i].name);
@@ -1910,12 +1977,14 @@
 	conn_set_handlers(held, &(const struct conn_handlers){ .closed = NULL }, NULL);
 	rig.c = NULL;
 	ask(&rig, rig.at[0], "POST", "/x",
-	    "X-Notchlug-Attempt-Id: t2\r\nX-Notchlug-Token-Count: 30,20\r\nX-Notchlug-Deadline-Remaining: 40\r\n", "2");
+	    "X-Notchlug-Attempt-Id: t2\r\nX-Notchlug-Token-Count: 30,20\r\nX-Notchlug-Deadline-Remaining: 40\r\n",
+	    "2");
 	assert_int_equal(rig.status, 503); /* its deadline passed in the queue */
 	assert_non_null(rig.not_run);
 	ask(&rig, rig.at[0], "POST", "/x", GEN("t3", "30", "bb:30") "X-Notchlug-Priority-Level: 1\r\n", "3");
 	assert_int_equal(rig.status, 200);
-	assert_int_equal(arrlen(rig.a->batch) + arrlen(rig.a->queue), 1); /* the first is put back, not gone */
+	assert_int_equal(arrlen(rig.a->batch) + arrlen(rig.a->queue),
+			 1); /* the first is put back, not gone */
 	hang_up(&rig);
 	conn_close(held, 0);
 	rig_close(&rig);
@@ -1936,7 +2005,9 @@
 	json = json_tokener_parse(rig.body);
 	assert_string_equal(json_object_get_string(field(json, "Stage")), "combined");
 	assert_int_equal(json_object_get_int(field(json, "KvTotal")), rig.f.engine.kv_capacity_tokens);
-	assert_int_equal(json_object_get_int(field(json_object_array_get_idx(field(json, "Models"), 0), "ConfigVersion")), 1);
+	assert_int_equal(
+	    json_object_get_int(field(json_object_array_get_idx(field(json, "Models"), 0), "ConfigVersion")),
+	    1);
 	json_object_put(json);
 	rig.a->fault.false_health = 1;
 	ask(&rig, rig.at[0], "GET", "/health", "", NULL);
@@ -2024,11 +2095,18 @@
 	int done, draining;
 };
 
-static void keeps_request(void *ctx, struct conn *conn, struct http_message *message) { (void)ctx, (void)conn, (void)message; }
+static void keeps_request(void *ctx, struct conn *conn, struct http_message *message)
+{
+	(void)ctx, (void)conn, (void)message;
+}
 
-static int read_by_peer(void *ctx) { return conn_read_by_peer(ctx); }
+static int read_by_peer(void *ctx)
+{
+	return conn_read_by_peer(ctx);
+}
 
-/* Whether a process has read a request is seen from outside, before its connection ends one way or the other. */
+/* Whether a process has read a request is seen from outside, before its connection ends one way or the other.
+ */
 static void what_a_process_has_not_read_is_seen(void **state)
 {
 	static const struct conn_handlers serves = { .request = keeps_request }, calls = { 0 };
@@ -2073,12 +2151,16 @@
 	if (seen->n) {
 		snprintf(seen->first, sizeof seen->first, "%s",
 			 json_object_get_string(field(json_object_array_get_idx(a, 0), "InstanceId")));
-		snprintf(seen->state, sizeof seen->state, "%s", json_object_get_string(field(json_object_array_get_idx(a, 0), "State")));
+		snprintf(seen->state, sizeof seen->state, "%s",
+			 json_object_get_string(field(json_object_array_get_idx(a, 0), "State")));
 	}
 	json_object_put(json);
 }
 
-static int seen_done(void *ctx) { return ((struct seen *)ctx)->done; }
+static int seen_done(void *ctx)
+{
+	return ((struct seen *)ctx)->done;
+}
 
 static void ask_list(struct rig *rig, const char *at, const char *target, struct seen *seen)
 {
@@ -2158,22 +2240,26 @@
 	r->fleet.rng = 4;
 	r->fleet.newest_version = 1;
 	r->fleet.model = r->sheet->model;
-	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200, 1 + getpid() % 250);
-	snprintf(r->machines[0].front_address, sizeof r->machines[0].front_address, "%s.100:8080", r->address_prefix);
-	snprintf(r->machines[0].readiness_address, sizeof r->machines[0].readiness_address, "%s.100:8080", r->address_prefix);
+	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200,
+		 1 + getpid() % 250);
+	snprintf(r->machines[0].front_address, sizeof r->machines[0].front_address, "%s.100:8080",
+		 r->address_prefix);
+	snprintf(r->machines[0].readiness_address, sizeof r->machines[0].readiness_address, "%s.100:8080",
+		 r->address_prefix);
 	snprintf(r->machines[0].zone, sizeof r->machines[0].zone, "%s", r->sheet->zone[0]);
 	r->machines[0].in_rotation = r->machine_count = 1;
 	checker_record_machine(r->checker, 0, 0, 0, CALM, 1);
 	checker_record_machine(r->checker, 0, 1, 1, CALM, 1);
 	config = parsed_config_read(cfg_text);
 	assert_non_null(config);
-	checker_record_config_outcome(r->checker, 1000, checker_record_config(r->checker, 500, config, 0, 0), CONFIG_OUTCOME_ACKED);
+	checker_record_config_outcome(r->checker, 1000, checker_record_config(r->checker, 500, config, 0, 0),
+				      CONFIG_OUTCOME_ACKED);
 	return r;
 }
 
 static void clients_for(struct run *r, int64_t ms)
 {
-	r->operator = operator_open(r);
+	r->operator= operator_open(r);
 	r->clients = clients_open(r);
 	clients_traffic(r->clients, 1);
 	loop_until(r->loop, ms_us((double)ms), NULL, NULL);
@@ -2194,7 +2280,8 @@
 	return checker;
 }
 
-static void straight(const char *cfg_text, const struct server_fault *fault, int64_t ms, struct judge **checker, struct figures *fig)
+static void straight(const char *cfg_text, const struct server_fault *fault, int64_t ms,
+		     struct judge **checker, struct figures *fig)
 {
 	struct run *r = alone(cfg_text);
 
@@ -2212,9 +2299,9 @@
 #define PLAIN_ROUTE(prefix)                                                                  \
 	"{\"Name\":\"r" prefix "\",\"HostName\":\"ficu95.example\",\"PathPrefix\":\"" prefix \
 	"\",\"TimeoutMs\":8000,\"ServiceName\":\"lm-registry\"}"
-#define ROUTES                                                                                                        \
-	"{\"ConfigVersion\":1,\"RouteList\":[" PLAIN_ROUTE("/lohu930/") "," PLAIN_ROUTE("/pufi791/") "," PLAIN_ROUTE( \
-	    "/wuno96/") "],\"ServiceList\":[]"
+#define ROUTES                                                                           \
+	"{\"ConfigVersion\":1,\"RouteList\":[" PLAIN_ROUTE("/lohu930/") "," PLAIN_ROUTE( \
+	    "/pufi791/") "," PLAIN_ROUTE("/wuno96/") "],\"ServiceList\":[]"
 
 static int breaches_of(struct judge *checker, const char *rule, const char *words)
 {
@@ -2222,7 +2309,8 @@
 	int n = checker_run(checker, 30000, &violation), hit = 0;
 
 	for (int i = 0; i < n; i++)
-		hit += (!rule || !strcmp(violation[i].rule, rule)) && (!words || strstr(violation[i].text, words));
+		hit += (!rule || !strcmp(violation[i].rule, rule)) &&
+		       (!words || strstr(violation[i].text, words));
 	return hit;
 }
 
@@ -2239,7 +2327,8 @@
 		submitted += figures->requests[i], complete += figures->completed[i];
 	assert_true(submitted > 40);
 	assert_int_equal(complete, submitted);
-	assert_true(figures->value_offered > 0 && figures->value_earned > 0 && figures->value_earned <= figures->value_offered + 0.001);
+	assert_true(figures->value_offered > 0 && figures->value_earned > 0 &&
+		    figures->value_earned <= figures->value_offered + 0.001);
 	assert_int_equal(breaches_of(checker, NULL, NULL), 0);
 	checker_close(checker);
 	free(figures);
@@ -2273,7 +2362,8 @@
 	loop_after(planted->l, ms_us(PLANTED_AFTER_MS), cut_oldest, planted);
 }
 
-/* How many LOST are seen when the front reads each request and resets its connection, or reads none and resets all. */
+/* How many LOST are seen when the front reads each request and resets its connection, or reads none and
+ * resets all. */
 static int lost_at_front(int reads, void (*plan)(struct judge *j))
 {
 	static const struct conn_handlers callbacks = { .request = read_and_cut };
@@ -2297,10 +2387,22 @@
 	return lost;
 }
 
-static void plan_stop(struct judge *checker) { checker_record_machine(checker, ALONE_FROM_MS, 0, 0, PLANNED, 0); }
-static void plan_reload(struct judge *checker) { checker_record_reload(checker, ALONE_FROM_MS, 0); }
-static void plan_configuration(struct judge *checker) { checker_record_config(checker, ALONE_FROM_MS, parsed_config_read(ROUTES "}"), 0, 0); }
-static void plan_nothing(struct judge *checker) { (void)checker; }
+static void plan_stop(struct judge *checker)
+{
+	checker_record_machine(checker, ALONE_FROM_MS, 0, 0, PLANNED, 0);
+}
+static void plan_reload(struct judge *checker)
+{
+	checker_record_reload(checker, ALONE_FROM_MS, 0);
+}
+static void plan_configuration(struct judge *checker)
+{
+	checker_record_config(checker, ALONE_FROM_MS, parsed_config_read(ROUTES "}"), 0, 0);
+}
+static void plan_nothing(struct judge *checker)
+{
+	(void)checker;
+}
 
 static void planted_cuts_are_seen(void **state)
 {
@@ -2319,7 +2421,8 @@
 	struct judge *checker;
 
 	(void)state; /* nobody translates the keys of clients into names */
-	straight(ROUTES ",\"TenantList\":[{\"Name\":\"tenant-0\",\"AccessKeys\":[\"key00-0-abcdefgh\"]}]}", &none, 500, &checker, figures);
+	straight(ROUTES ",\"TenantList\":[{\"Name\":\"tenant-0\",\"AccessKeys\":[\"key00-0-abcdefgh\"]}]}",
+		 &none, 500, &checker, figures);
 	assert_true(breaches_of(checker, "UNASKED", "without its tenant's name") > 0);
 	assert_true(breaches_of(checker, "ROUTE", "a key that no configuration holds") > 0);
 	checker_close(checker);
@@ -2364,7 +2467,8 @@
 	straight(ROUTES "}", &fault, 1000, &checker, figures);
 	assert_int_equal(figures->completed[0] + figures->completed[1] + figures->completed[2], 0);
 	assert_int_equal(breaches_of(checker, "TWICE", NULL), 0);
-	assert_true(figures->attempts > figures->requests[0] + figures->requests[1] + figures->requests[2]); /* what may be repeated was */
+	assert_true(figures->attempts > figures->requests[0] + figures->requests[1] +
+					    figures->requests[2]); /* what may be repeated was */
 	checker_close(checker);
 	free(figures);
 }
--- a/tests/test_explore.c
+++ b/tests/test_explore.c
@@ -36,8 +36,9 @@
 
 		explore_all((enum explore_scene)scene, SHORT_STATES, MAX_DEPTH, TABLE_BITS, &found, &stats);
 		assert_nothing_found();
-		printf("%s: %llu states, %llu steps, all orders to depth %d\n", explore_scene_name((enum explore_scene)scene),
-		       (unsigned long long)stats.states, (unsigned long long)stats.steps, stats.depth);
+		printf("%s: %llu states, %llu steps, all orders to depth %d\n",
+		       explore_scene_name((enum explore_scene)scene), (unsigned long long)stats.states,
+		       (unsigned long long)stats.steps, stats.depth);
 		assert_true(stats.states >= SHORT_STATES || stats.complete);
 	}
 }
@@ -53,8 +54,8 @@
 		committed += explore_world.history.commit;
 		assert_nothing_found();
 	}
-	printf("%d paths, %llu steps, %llu entries committed\n", RANDOM_PATHS, (unsigned long long)stats.steps,
-	       (unsigned long long)committed);
+	printf("%d paths, %llu steps, %llu entries committed\n", RANDOM_PATHS,
+	       (unsigned long long)stats.steps, (unsigned long long)committed);
 	assert_true(committed > 4 * RANDOM_PATHS); /* or the paths show nothing */
 }
 
@@ -86,18 +87,21 @@
 	free(saved);
 }
 
-/* A snapshot came to a member whose log went past it: the entries behind it, which the member had acknowledged, were lost. It
- * was sent because a second proposal had overtaken the first. */
+/* A snapshot came to a member whose log went past it: the entries behind it, which the member had
+ * acknowledged, were lost. It was sent because a second proposal had overtaken the first. */
 static void a_snapshot_keeps_the_acknowledged_entries_behind_it(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_PROPOSE, 0, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_PROPOSE, 0, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
-		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_COMPACT, 0, 0, 0 }, { CHOICE_WAIT, 0, 0, 300 },
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_WAIT, 0, 0, 300 },  { CHOICE_SYNC, 2, 0, 0 },
-		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_WAIT, 0, 0, 300 },  { CHOICE_TICK, 1, 0, 0 },    { CHOICE_WAIT, 0, 0, 300 },
-		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },
+		{ CHOICE_PROPOSE, 0, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_PROPOSE, 0, 0, 0 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_COMPACT, 0, 0, 0 }, { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_SYNC, 2, 0, 0 },
+		{ CHOICE_WAIT, 0, 0, 300 },  { CHOICE_TICK, 1, 0, 0 },    { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },
 	};
 
 	(void)state;
@@ -108,9 +112,10 @@
 static void a_late_acknowledgement_is_not_taken_back(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 },
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_WAIT, 0, 0, 1600 },
-		{ CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_WAIT, 0, 0, 1600 }, { CHOICE_TICK, 1, 0, 0 },
+		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
 		{ CHOICE_SYNC, 2, 0, 0 },
 	};
 
@@ -118,7 +123,8 @@
 	assert_int_equal(explore_replay(SCENE_LATE_ACK, path, sizeof path / sizeof *path), INVARIANT_NONE);
 }
 
-/* An entry was committed with the leaving member's copy while another was silent, and the member was released when that one answered. */
+/* An entry was committed with the leaving member's copy while another was silent, and the member was released
+ * when that one answered. */
 static void a_member_is_let_go_when_no_commit_rests_on_its_copy(void **state)
 {
 	static const struct choice path[] = {
@@ -145,14 +151,17 @@
 static void an_older_log_gets_no_vote(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_WAIT, 0, 0, 700 },  { CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_WAIT, 0, 0, 1600 }, { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
-		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_WAIT, 0, 0, 150 },
-		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_WAIT, 0, 0, 450 },  { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 2, 0, 0 },
-		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_WAIT, 0, 0, 700 },  { CHOICE_TICK, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_WAIT, 0, 0, 1600 }, { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_WAIT, 0, 0, 450 },  { CHOICE_SYNC, 2, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },
 	};
 
 	(void)state;
@@ -186,17 +195,19 @@
 static void one_answer_to_a_probe_is_not_all(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_TICK, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_WAIT, 0, 0, 150 },
-		{ CHOICE_TICK, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
-		{ CHOICE_SYNC, 2, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 1, 0, 0 },
+		{ CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 1, 0, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 1, 0, 0 },
 	};
 
 	(void)state;
 	assert_int_equal(explore_replay(SCENE_RESTARTED, path, sizeof path / sizeof *path), INVARIANT_NONE);
 }
 
-/* The leader still counted a majority that stays from before the member began to leave and another was removed. */
+/* The leader still counted a majority that stays from before the member began to leave and another was
+ * removed. */
 static void a_member_is_let_go_only_by_a_majority_that_stays(void **state)
 {
 	static const struct choice path[] = {
@@ -214,7 +225,8 @@
 	assert_int_equal(explore_replay(SCENE_REPLACED, path, sizeof path / sizeof *path), INVARIANT_NONE);
 }
 
-/* Both voters were told to stop, so each was let go on the other's word; one crashed and came back to stay. */
+/* Both voters were told to stop, so each was let go on the other's word; one crashed and came back to stay.
+ */
 static void leaving_members_do_not_vouch_for_each_other(void **state)
 {
 	static const struct choice path[] = {
@@ -248,22 +260,26 @@
 	assert_int_equal(explore_replay(SCENE_REPLACED, path, sizeof path / sizeof *path), INVARIANT_NONE);
 }
 
-/* An entry counted as committed by the acknowledgement of a member that had been let go with that very entry, and was gone. */
+/* An entry counted as committed by the acknowledgement of a member that had been let go with that very entry,
+ * and was gone. */
 static void one_that_may_have_gone_is_not_counted(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_DRAIN, 0, 0, 0 },   { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_COMPACT, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 1, 0, 0 },
-		{ CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_TICK, 1, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 },
-		{ CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_PROPOSE, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_END, 0, 0, 0 },
-		{ CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DRAIN, 0, 0, 0 },   { CHOICE_TICK, 0, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_COMPACT, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 }, { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_TICK, 1, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_TICK, 1, 0, 0 },    { CHOICE_SYNC, 1, 0, 0 },
+		{ CHOICE_DELIVER, 2, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 1, 2, 0 },
+		{ CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_PROPOSE, 1, 0, 0 }, { CHOICE_DELIVER, 2, 1, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },    { CHOICE_END, 0, 0, 0 },     { CHOICE_DELIVER, 1, 2, 0 },
 	};
 
 	(void)state;
@@ -298,22 +314,30 @@
 static void a_silent_learner_goes_after_its_successor_came(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_DELIVER, 2, 0, 0 },   { CHOICE_SYNC, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_SYNC, 0, 0, 0 },      { CHOICE_WAIT, 0, 0, 300 },
-		{ CHOICE_TICK, 0, 0, 0 },        { CHOICE_DELIVER, 1, 0, 0 },   { CHOICE_DELIVER, 2, 0, 0 },
-		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 2, 0, 0 },   { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 0, 2, 0 },   { CHOICE_DELIVER, 2, 0, 0 },
-		{ CHOICE_DUPLICATE, 0, 2, 0 },   { CHOICE_DELIVER, 2, 0, 0 },   { CHOICE_DELIVER, 0, 2, 0 },
-		{ CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 0, 2, 0 },   { CHOICE_RECONFIGURE, 0, 0, 1 },
-		{ CHOICE_SYNC, 0, 0, 0 },        { CHOICE_STEP_DOWN, 0, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_WAIT, 0, 0, 600 },      { CHOICE_WAIT, 0, 0, 150 },    { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_WAIT, 0, 0, 300 },      { CHOICE_SYNC, 1, 0, 0 },      { CHOICE_WAIT, 0, 0, 450 },
-		{ CHOICE_TICK, 0, 0, 0 },        { CHOICE_DELIVER, 1, 0, 0 },   { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_DELIVER, 1, 0, 0 },   { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },        { CHOICE_DELIVER, 0, 1, 0 },   { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },        { CHOICE_DELIVER, 0, 1, 0 },   { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_WAIT, 0, 0, 10 },       { CHOICE_WAIT, 0, 0, 300 },    { CHOICE_TICK, 0, 0, 0 },
-		{ CHOICE_WAIT, 0, 0, 150 },      { CHOICE_DELIVER, 1, 0, 0 },   { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },        { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },        { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_TICK, 0, 0, 0 },        { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DUPLICATE, 0, 2, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 },     { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_SYNC, 2, 0, 0 },        { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_RECONFIGURE, 0, 0, 1 }, { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_STEP_DOWN, 0, 0, 0 },   { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_WAIT, 0, 0, 600 },      { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_SYNC, 1, 0, 0 },        { CHOICE_WAIT, 0, 0, 450 },
+		{ CHOICE_TICK, 0, 0, 0 },        { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },        { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_SYNC, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 },     { CHOICE_SYNC, 0, 0, 0 },
+		{ CHOICE_WAIT, 0, 0, 10 },       { CHOICE_WAIT, 0, 0, 300 },
+		{ CHOICE_TICK, 0, 0, 0 },        { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_DELIVER, 1, 0, 0 },     { CHOICE_DELIVER, 0, 1, 0 },
 		{ CHOICE_RECONFIGURE, 0, 0, 0 },
 	};
 
@@ -417,7 +441,8 @@
 	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS + 1); /* another one joins */
 	beat(0, 1, 2);
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 0 });
-	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS + 1); /* which has not caught up yet */
+	assert_int_equal(explore_raft(0)->member_count,
+			 RAFT_MIN_VOTERS + 1); /* which has not caught up yet */
 	beat(0, 3, 1);
 	beat(0, 1, 1);
 	beat(0, 3, 2);
@@ -431,28 +456,33 @@
 static void a_majority_counted_before_is_not_used(void **state)
 {
 	static const struct choice path[] = {
-		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 450 },  { CHOICE_TICK, 0, 0, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_WAIT, 0, 0, 150 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 0, 0, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
-		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_WAIT, 0, 0, 600 },  { CHOICE_DELIVER, 2, 0, 2 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
-		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 1 }, { CHOICE_DELIVER, 0, 2, 4 }, { CHOICE_DELIVER, 0, 2, 3 },
-		{ CHOICE_DELIVER, 2, 0, 2 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },
-		{ CHOICE_DELIVER, 0, 2, 1 }, { CHOICE_DROP, 0, 2, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
-		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_END, 2, 0, 0 },     { CHOICE_WAIT, 0, 0, 150 },
-		{ CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_PROPOSE, 0, 0, 0 },
-		{ CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 150 },  { CHOICE_WAIT, 0, 0, 450 },
+		{ CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },
+		{ CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_WAIT, 0, 0, 150 },
+		{ CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 }, { CHOICE_DELIVER, 0, 1, 0 },
+		{ CHOICE_SYNC, 1, 0, 0 },    { CHOICE_DRAIN, 2, 0, 0 },   { CHOICE_WAIT, 0, 0, 600 },
+		{ CHOICE_DELIVER, 2, 0, 2 }, { CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_SYNC, 2, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 2, 0, 0 },
+		{ CHOICE_DELIVER, 2, 0, 0 }, { CHOICE_DELIVER, 0, 2, 1 }, { CHOICE_DELIVER, 0, 2, 4 },
+		{ CHOICE_DELIVER, 0, 2, 3 }, { CHOICE_DELIVER, 2, 0, 2 }, { CHOICE_DELIVER, 0, 2, 0 },
+		{ CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_SYNC, 2, 0, 0 },    { CHOICE_DELIVER, 0, 2, 1 },
+		{ CHOICE_DROP, 0, 2, 0 },    { CHOICE_DELIVER, 0, 2, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_DRAIN, 1, 0, 0 },   { CHOICE_END, 2, 0, 0 },
+		{ CHOICE_WAIT, 0, 0, 150 },  { CHOICE_TICK, 0, 0, 0 },    { CHOICE_DELIVER, 1, 0, 0 },
+		{ CHOICE_DELIVER, 0, 1, 0 }, { CHOICE_PROPOSE, 0, 0, 0 }, { CHOICE_DELIVER, 1, 0, 0 },
 	};
 
 	(void)state;
 	assert_int_equal(explore_replay(SCENE_ALL_FELL, path, sizeof path / sizeof *path), INVARIANT_NONE);
 }
 
-/* Not a fault: the leader committed by members that it had just put in force, and led no more when one ended. */
+/* Not a fault: the leader committed by members that it had just put in force, and led no more when one ended.
+ */
 static void an_entry_committed_by_new_members_is_not_lost_by_a_leave(void **state)
 {
 	static const struct choice path[] = {
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -1,4 +1,5 @@
-/* Forwarded exchanges: whole fleets with doors, callers and servers that keep parts, under seeded virtual time and trouble. */
+/* Forwarded exchanges: whole fleets with doors, callers and servers that keep parts, under seeded virtual
+ * time and trouble. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,9 +12,9 @@
 #include <cmocka.h>
 
 #include "router_internal.h"
-#include "ds.h"
+#include "containers.h"
 #include "sim_forward.h"
-#include "solo.h"
+#include "router_fixture.h"
 
 enum { CONTROLLERS = 4, ROUTERS = 4, SERVERS = 9 };
 
@@ -24,7 +25,10 @@
 	return e ? strtoull(e, NULL, 10) : n;
 }
 
-static uint64_t random_below(uint64_t *s, uint64_t n) { return core_random(s) % n; }
+static uint64_t random_below(uint64_t *s, uint64_t n)
+{
+	return core_random(s) % n;
+}
 
 static void go(struct sim_forward *forwarding, int64_t ms)
 {
@@ -39,7 +43,8 @@
 	sim_forward_close(forwarding);
 }
 
-static void open_fleet(struct sim_forward *forwarding, uint64_t seed, int routers, int servers, void (*before)(struct sim_forward *))
+static void open_fleet(struct sim_forward *forwarding, uint64_t seed, int routers, int servers,
+		       void (*before)(struct sim_forward *))
 {
 	sim_forward_open(forwarding, seed, CONTROLLERS, routers, servers, before);
 	if (forwarding->sim.violation[0])
@@ -49,7 +54,8 @@
 static void change(struct sim_forward *f, struct sim_forward_config c)
 {
 	if (!sim_forward_change(f, c))
-		fail_msg("seed %llu: the change is not acknowledged: %s", (unsigned long long)f->sim.seed, f->sim.violation);
+		fail_msg("seed %llu: the change is not acknowledged: %s", (unsigned long long)f->sim.seed,
+			 f->sim.violation);
 }
 
 /* ---- whole fleets ------------------------------------------------------------------------- */
@@ -69,9 +75,12 @@
 		if (seed == 1)
 			print_message(
 			    "calm: %d asked, %d whole, %d refused, %d parts read, %d reused, %d fetched, %d left at the store, %d watches, %d events\n",
-			    (int)arrlen(forwarding.submitted), (int)forwarding.n_complete, (int)forwarding.n_refused, (int)forwarding.n_read, (int)forwarding.n_reused,
-			    (int)forwarding.n_fetched, (int)forwarding.n_offloaded, (int)forwarding.n_watches, (int)forwarding.n_events);
-		assert_true(forwarding.n_complete * 100 >= (uint64_t)arrlen(forwarding.submitted) * 93); /* some callers leave */
+			    (int)arrlen(forwarding.submitted), (int)forwarding.n_complete,
+			    (int)forwarding.n_refused, (int)forwarding.n_read, (int)forwarding.n_reused,
+			    (int)forwarding.n_fetched, (int)forwarding.n_offloaded, (int)forwarding.n_watches,
+			    (int)forwarding.n_events);
+		assert_true(forwarding.n_complete * 100 >=
+			    (uint64_t)arrlen(forwarding.submitted) * 93); /* some callers leave */
 		assert_true(forwarding.n_reused > forwarding.n_read);
 		assert_int_equal(forwarding.n_cut, 0);
 		assert_int_equal(forwarding.n_resend, 0);
@@ -84,15 +93,34 @@
 	struct sim_forward_server *server = &forwarding->servers[i];
 
 	switch (random_below(d, 10)) {
-	case 0: server->refusals = 300; break;
-	case 1: server->silences = 100; break;
-	case 2: server->extra_piece_ms = 200; break;
-	case 3: server->errors = 200; break;
-	case 4: server->breaks = 300; break;
-	case 5: server->breaks_before_head = 300; break;
-	case 6: server->repeated_pieces = 500; break;
-	case 7: server->bare_refusals = 200; break;
-	default: server->refusals = server->silences = server->extra_piece_ms = server->errors = server->breaks = server->breaks_before_head = server->repeated_pieces = server->bare_refusals = 0;
+	case 0:
+		server->refusals = 300;
+		break;
+	case 1:
+		server->silences = 100;
+		break;
+	case 2:
+		server->extra_piece_ms = 200;
+		break;
+	case 3:
+		server->errors = 200;
+		break;
+	case 4:
+		server->breaks = 300;
+		break;
+	case 5:
+		server->breaks_before_head = 300;
+		break;
+	case 6:
+		server->repeated_pieces = 500;
+		break;
+	case 7:
+		server->bare_refusals = 200;
+		break;
+	default:
+		server->refusals = server->silences = server->extra_piece_ms = server->errors =
+		    server->breaks = server->breaks_before_head = server->repeated_pieces =
+			server->bare_refusals = 0;
 	}
 }
 
@@ -103,21 +131,25 @@
 
 	kind = instance->service[0] == 'a';
 	for (ptrdiff_t k = 0; k < arrlen(forwarding->sim.instance_list.instances); k++)
-		up += forwarding->sim.instance_list.instances[k].up && !forwarding->sim.instance_list.instances[k].draining && (forwarding->sim.instance_list.instances[k].service[0] == 'a') == kind;
+		up += forwarding->sim.instance_list.instances[k].up &&
+		      !forwarding->sim.instance_list.instances[k].draining &&
+		      (forwarding->sim.instance_list.instances[k].service[0] == 'a') == kind;
 	switch (random_below(d, 4)) {
 	case 0:
 		if (instance->up && !instance->draining && up > 1)
 			sim_instance_drain(&forwarding->sim, i);
 		break;
 	case 1:
-		if (instance->up && up > 1 && (!instance->draining || forwarding->sim.now - instance->drained_at > 2000))
+		if (instance->up && up > 1 &&
+		    (!instance->draining || forwarding->sim.now - instance->drained_at > 2000))
 			sim_instance_end(&forwarding->sim, i, instance->draining ? 0 : 2000);
 		break;
 	case 2:
 		if (!instance->up) /* its address is somebody else's now, of the other service */
 			sim_forward_server(forwarding, !kind, i);
 		break;
-	default: sim_forward_server(forwarding, kind, -1);
+	default:
+		sim_forward_server(forwarding, kind, -1);
 	}
 }
 
@@ -127,15 +159,24 @@
 	int k = (int)random_below(d, SIM_FORWARD_KEYS), t = (int)random_below(d, SIM_FORWARD_TENANTS);
 
 	switch (random_below(d, 5)) {
-	case 0: config.service[SIM_FORWARD_ONCE] = !config.service[SIM_FORWARD_ONCE]; break;
-	case 1: config.service[SIM_FORWARD_DEEP] = config.service[SIM_FORWARD_DEEP] < 0; break;
-	case 2: config.isolated[t] = !config.isolated[t]; break;
-	case 3: config.isolated[0] = !config.isolated[0]; break;
+	case 0:
+		config.service[SIM_FORWARD_ONCE] = !config.service[SIM_FORWARD_ONCE];
+		break;
+	case 1:
+		config.service[SIM_FORWARD_DEEP] = config.service[SIM_FORWARD_DEEP] < 0;
+		break;
+	case 2:
+		config.isolated[t] = !config.isolated[t];
+		break;
+	case 3:
+		config.isolated[0] = !config.isolated[0];
+		break;
 	default:
 		if (k % 2) /* one key of each tenant stays */
 			config.key[k] = -1;
 	}
-	(void)sim_forward_change(forwarding, config); /* in times of trouble it may fail, and be in force all the same */
+	(void)sim_forward_change(forwarding,
+				 config); /* in times of trouble it may fail, and be in force all the same */
 	if (forwarding->sim.violation[0])
 		fail_msg("%s", forwarding->sim.violation);
 }
@@ -147,9 +188,11 @@
 
 static void trouble(struct sim_forward *forwarding, struct down *v, uint64_t *d, int core)
 {
-	struct down down = { -1, (int)random_below(d, 3), forwarding->sim.now + 300 + (int64_t)random_below(d, 7000) };
+	struct down down = { -1, (int)random_below(d, 3),
+			     forwarding->sim.now + 300 + (int64_t)random_below(d, 7000) };
 
-	down.node = core ? sim_leader(&forwarding->sim, random_below(d, 4) ? SHARD_CONTROL : SHARD_PURGE) : SIM_CONTROLLERS + (int)random_below(d, (uint64_t)forwarding->router_count);
+	down.node = core ? sim_leader(&forwarding->sim, random_below(d, 4) ? SHARD_CONTROL : SHARD_PURGE)
+			 : SIM_CONTROLLERS + (int)random_below(d, (uint64_t)forwarding->router_count);
 	if (down.node < 0 || v->node >= 0 || !forwarding->sim.nodes[down.node].up)
 		return;
 	*v = down;
@@ -158,7 +201,8 @@
 	else if (down.how == 1)
 		sim_freeze(&forwarding->sim, down.node, 1);
 	else
-		sim_cut(&forwarding->sim, down.node, core ? 1 : 2); /* both at once are not cut off together */
+		sim_cut(&forwarding->sim, down.node,
+			core ? 1 : 2); /* both at once are not cut off together */
 }
 
 static void mend(struct sim_forward *forwarding, struct down *down, int now)
@@ -191,8 +235,8 @@
 /* Everything at once: each seed has its own mixture. */
 static void storms(void **state)
 {
-	uint64_t complete = 0, submitted = 0, resend = 0, up = 0, wrong = 0, cut = 0, refused = 0, reused = 0, judged = 0, never = 0,
-		 runs = 0, lost = 0;
+	uint64_t complete = 0, submitted = 0, resend = 0, up = 0, wrong = 0, cut = 0, refused = 0, reused = 0,
+		 judged = 0, never = 0, runs = 0, lost = 0;
 	const char *from = getenv("NL_FROM");
 
 	(void)state;
@@ -207,9 +251,14 @@
 		for (int step = 0; step < 40; step++) {
 			switch (random_below(&d, 9)) {
 			case 0:
-			case 1: misbehave(&forwarding, (int)random_below(&d, (uint64_t)arrlen(forwarding.servers)), &d); break;
+			case 1:
+				misbehave(&forwarding,
+					  (int)random_below(&d, (uint64_t)arrlen(forwarding.servers)), &d);
+				break;
 			case 2:
-			case 3: servers_change(&forwarding, &d); break;
+			case 3:
+				servers_change(&forwarding, &d);
+				break;
 			case 4:
 				if (seed % 5 != 1)
 					config_changes(&forwarding, &d);
@@ -259,9 +308,10 @@
 	print_message(
 	    "storms: %llu asked, %llu runs, %llu whole, %llu answered otherwise, %llu cut, %llu resends, %llu taken up, %llu never ran, "
 	    "%llu 421, %llu parts reused or fetched, %llu gaps in events\n",
-	    (unsigned long long)submitted, (unsigned long long)runs, (unsigned long long)complete, (unsigned long long)refused,
-	    (unsigned long long)cut, (unsigned long long)resend, (unsigned long long)up, (unsigned long long)never,
-	    (unsigned long long)wrong, (unsigned long long)reused, (unsigned long long)lost);
+	    (unsigned long long)submitted, (unsigned long long)runs, (unsigned long long)complete,
+	    (unsigned long long)refused, (unsigned long long)cut, (unsigned long long)resend,
+	    (unsigned long long)up, (unsigned long long)never, (unsigned long long)wrong,
+	    (unsigned long long)reused, (unsigned long long)lost);
 	assert_true(judged == reused);
 }
 
@@ -272,11 +322,13 @@
 	int first = (int)arrlen(forwarding->requests);
 
 	for (int i = 0; i < n; i++)
-		sim_forward_submit(forwarding, SIM_CONTROLLERS + i % forwarding->router_count, route, i % SIM_FORWARD_KEYS, i, 9); /* without trying again */
+		sim_forward_submit(forwarding, SIM_CONTROLLERS + i % forwarding->router_count, route,
+				   i % SIM_FORWARD_KEYS, i, 9); /* without trying again */
 	return first;
 }
 
-/* All servers refuse at once, again and again: what went back to its line is not sent again on a credit that is spent. */
+/* All servers refuse at once, again and again: what went back to its line is not sent again on a credit that
+ * is spent. */
 static void many_are_requeued(void **state)
 {
 	(void)state;
@@ -319,8 +371,9 @@
 	assert_true(all > 10 * seeds(4));
 }
 
-/* A counter is cut off while slow servers work for it: what may have run is never told that it has not; and with its keys
- * it takes nothing more in time, nor does a door that was frozen send what was decided before. */
+/* A counter is cut off while slow servers work for it: what may have run is never told that it has not; and
+ * with its keys it takes nothing more in time, nor does a door that was frozen send what was decided before.
+ */
 static void a_router_is_partitioned(void **state)
 {
 	(void)state;
@@ -423,7 +476,8 @@
 	go(&forwarding, 3000);
 	assert_true(forwarding.n_reused > 0);
 	assert_int_equal(forwarding.n_cold_namespaces, 0);
-	forwarding.sim.undelivered_bodies = 1ull << NL__MSG__BODY_KNOWLEDGE | 1ull << NL__MSG__BODY_PURGE_SNAPSHOT;
+	forwarding.sim.undelivered_bodies =
+	    1ull << NL__MSG__BODY_KNOWLEDGE | 1ull << NL__MSG__BODY_PURGE_SNAPSHOT;
 	go(&forwarding, PURGE_MAX_STALENESS_MS + 500);
 	reused = forwarding.n_reused + forwarding.n_fetched;
 	cold = forwarding.n_cold_namespaces;
@@ -443,9 +497,13 @@
 	done(&forwarding);
 }
 
-static void few_slots(struct sim_forward *forwarding) { forwarding->sim.instance_list.slots = 2; }
+static void few_slots(struct sim_forward *forwarding)
+{
+	forwarding->sim.instance_list.slots = 2;
+}
 
-/* Servers have few places: among what waits at a counter, urgent lanes go first, and within a line the first. */
+/* Servers have few places: among what waits at a counter, urgent lanes go first, and within a line the first.
+ */
 static void urgent_routes_go_first(void **state)
 {
 	(void)state;
@@ -458,14 +516,16 @@
 		forwarding.limit_ms = 30000;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++)
 			forwarding.servers[i].extra_piece_ms = 50;
-		asks(&forwarding, 12, SIM_FORWARD_ONCE); /* these lines are known first, so that no order by age helps the urgent */
+		asks(&forwarding, 12, SIM_FORWARD_ONCE); /* these lines are known first, so that no order by
+							    age helps the urgent */
 		go(&forwarding, 100);
 		idem = asks(&forwarding, 20, SIM_FORWARD_IDEM);
 		go(&forwarding, 10);
 		once = asks(&forwarding, 20, SIM_FORWARD_ONCE);
 		go(&forwarding, 25000);
 		for (int i = 0; i < 20; i++) {
-			const struct sim_forward_request *a = &forwarding.requests[once + i], *b = &forwarding.requests[idem + i];
+			const struct sim_forward_request *a = &forwarding.requests[once + i],
+							 *b = &forwarding.requests[idem + i];
 
 			assert_int_equal(a->outcome, SIM_FORWARD_COMPLETE);
 			assert_int_equal(a->priority, 0);
@@ -477,8 +537,8 @@
 					assert_true(forwarding.requests[once + k].sent_at >= a->sent_at);
 		}
 		if (last_once > first_idem)
-			fail_msg("seed %d: a request of class 2 went %lld ms before one of class 0", (int)seed,
-				 (long long)(last_once - first_idem));
+			fail_msg("seed %d: a request of class 2 went %lld ms before one of class 0",
+				 (int)seed, (long long)(last_once - first_idem));
 		done(&forwarding);
 	}
 }
@@ -557,8 +617,8 @@
 	}
 }
 
-/* Weights are named; one server never loads them, and gets nothing more after the bound. Names that come back from the
- * list make none of what was read under others good again. */
+/* Weights are named; one server never loads them, and gets nothing more after the bound. Names that come back
+ * from the list make none of what was read under others good again. */
 static void a_server_keeps_old_weights(void **state)
 {
 	(void)state;
@@ -567,7 +627,8 @@
 
 		open_fleet(&forwarding, seed, 3, 6, stuck);
 		forwarding.request_interval_ms = 10;
-		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++) /* so that the others are full now and then */
+		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers);
+		     i++) /* so that the others are full now and then */
 			forwarding.servers[i].extra_piece_ms = 100;
 		go(&forwarding, 2000);
 		assert_true(sim_forward_set_target(&forwarding, 0, 2));
@@ -612,8 +673,8 @@
 	for (size_t i = 0; i < n; i++) {
 		size_t m = strlen(rows[i]->path);
 
-		if (rows[i]->kind == NL__KIND__ROUTE && !strcmp(rows[i]->host, host) && m <= len && m > most &&
-		    !strncmp(rows[i]->path, path, m)) {
+		if (rows[i]->kind == NL__KIND__ROUTE && !strcmp(rows[i]->host, host) && m <= len &&
+		    m > most && !strncmp(rows[i]->path, path, m)) {
 			most = m;
 			best = rows[i]->name;
 		}
@@ -647,7 +708,8 @@
 
 		row->path = "/";
 		for (int i = 0; i < deep; i++)
-			row->path = apr_psprintf(solo.p, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3), (int)random_below(&d, i ? 3 : 12));
+			row->path = apr_psprintf(solo.p, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3),
+						 (int)random_below(&d, i ? 3 : 12));
 		row->host = apr_psprintf(solo.p, "h%d.example", (int)random_below(&d, 12));
 		key = apr_pstrcat(solo.p, row->host, row->path, NULL);
 		if (shgeti(seen, key) >= 0)
@@ -669,8 +731,10 @@
 
 		snprintf(host, sizeof host, "h%d.example", (int)random_below(&d, 13));
 		for (int i = 0; i < deep; i++)
-			at += (size_t)snprintf(path + at, sizeof path - at, "%c%d%s", 'a' + (int)random_below(&d, 3),
-					       (int)random_below(&d, i ? 3 : 12), i + 1 < deep || random_below(&d, 2) ? "/" : "");
+			at += (size_t)snprintf(path + at, sizeof path - at, "%c%d%s",
+					       'a' + (int)random_below(&d, 3),
+					       (int)random_below(&d, i ? 3 : 12),
+					       i + 1 < deep || random_below(&d, 2) ? "/" : "");
 		if (!random_below(&d, 4))
 			snprintf(path + at, sizeof path - at, "?q=/a1/b2/");
 		expected = plain_route(rows, n, host, path);
@@ -727,7 +791,8 @@
 		first = router_fixture_submit(&solo, "h", "/x", id, &status)->service_index;
 		router_fixture_disconnect(&solo);
 		if (k % 10 == 0) {
-			assert_int_equal(router_fixture_submit(&solo, "h", "/x", id, &status)->service_index, first);
+			assert_int_equal(router_fixture_submit(&solo, "h", "/x", id, &status)->service_index,
+					 first);
 			router_fixture_disconnect(&solo);
 		}
 		got[solo.router.service_names.names[first][1] - '0']++;
@@ -737,7 +802,8 @@
 	router_fixture_close(&solo);
 }
 
-/* Words of load between 9 counters in 3 zones, some lost: once words arrive again, each knows what all others have. */
+/* Words of load between 9 counters in 3 zones, some lost: once words arrive again, each knows what all others
+ * have. */
 static void loads_add_up(void **state)
 {
 	enum { N = 9, ZONES = 3, SRV = 7 };
@@ -754,7 +820,8 @@
 			router_fixture_open(&solo[i], (uint64_t)i + 1);
 			rows[0] = new_service(solo[i].p, "pool");
 			for (int k = 0; k < SRV; k++)
-				instances[k] = new_instance(solo[i].p, (k + i) % SRV, "pool"); /* each knows them by other numbers */
+				instances[k] = new_instance(solo[i].p, (k + i) % SRV,
+							    "pool"); /* each knows them by other numbers */
 			router_fixture_table(&solo[i], rows, 1, instances, SRV, 1);
 		}
 		for (int round = 0; round < 400; round++) {
@@ -771,7 +838,9 @@
 				router->config_watch.zone_head_count = 0;
 				for (int z = 0; z < ZONES && head; z++)
 					if (z != zone)
-						router->config_watch.zone_heads[router->config_watch.zone_head_count++] = (uint64_t)z + 1001;
+						router->config_watch
+						    .zone_heads[router->config_watch.zone_head_count++] =
+						    (uint64_t)z + 1001;
 				if (!quiet && random_below(&d, 3) == 0) {
 					int k = (int)random_below(&d, SRV);
 
@@ -790,8 +859,9 @@
 					struct command *command = &solo[i].commands.commands[k];
 					int to = (int)command->args.send.addr - 1001;
 
-					if (command->kind != CMD_SEND || command->args.send.msg->body_case != NL__MSG__BODY_LOAD || to < 0 ||
-					    to >= N || random_below(&d, 1000) < (uint64_t)lose)
+					if (command->kind != CMD_SEND ||
+					    command->args.send.msg->body_case != NL__MSG__BODY_LOAD ||
+					    to < 0 || to >= N || random_below(&d, 1000) < (uint64_t)lose)
 						continue;
 					command->args.send.msg->id = (uint64_t)i + 1;
 					command->args.send.msg->addr = (uint64_t)i + 1001;
@@ -809,12 +879,15 @@
 					int at = names_find(&solo[x].router.server_names, name);
 
 					ahead += x == i ? 0 : solo[x].router.servers[at].prefill_tokens;
-					running += x == i ? 0 : (uint32_t)solo[x].router.servers[at].own_running;
+					running +=
+					    x == i ? 0 : (uint32_t)solo[x].router.servers[at].own_running;
 				}
-				if (solo[i].router.others_load[k].prefill_tokens != ahead || solo[i].router.others_load[k].running != running)
+				if (solo[i].router.others_load[k].prefill_tokens != ahead ||
+				    solo[i].router.others_load[k].running != running)
 					fail_msg(
 					    "seed %d: counter %d thinks that others have %u tokens, %u requests at %s; they have %u, %u",
-					    (int)seed, i, solo[i].router.others_load[k].prefill_tokens, solo[i].router.others_load[k].running, name, ahead, running);
+					    (int)seed, i, solo[i].router.others_load[k].prefill_tokens,
+					    solo[i].router.others_load[k].running, name, ahead, running);
 			}
 		for (int i = 0; i < N; i++) {
 			for (int k = 0; k < SRV; k++)
@@ -855,12 +928,14 @@
 			if (!random_below(&d, 40))
 				epoch[v]++;
 			k.events_lost = !random_below(&d, 40);
-			if (k.events_lost || (solo.router.servers[v].cache_epoch && epoch[v] != solo.router.servers[v].cache_epoch))
+			if (k.events_lost || (solo.router.servers[v].cache_epoch &&
+					      epoch[v] != solo.router.servers[v].cache_epoch))
 				memset(have[v], 0, sizeof have[v]);
 			k.epoch = epoch[v];
 			k.next_offset = next[v] += (uint64_t)n;
 			for (int i = 0; i < n; i++) {
-				int cache_namespace = (int)random_below(&d, SHELVES), id = (int)random_below(&d, IDS);
+				int cache_namespace = (int)random_below(&d, SHELVES),
+				    id = (int)random_below(&d, IDS);
 
 				nl__cache_event__init(&cache_event[i]);
 				cache_event[i].cache_namespace = cache_namespace ? "w1-a" : "w1-b";
@@ -882,9 +957,10 @@
 			for (int x = 0; x < SRV; x++)
 				for (int h = 0; h < SHELVES; h++)
 					for (int i = 0; i < IDS; i++) {
-						struct block_replica *replica =
-						    prefix_index_find(&solo.router.prefix_index,
-							     router_block_key(core_hash_string(0, h ? "w1-a" : "w1-b"), (uint64_t)i + 1));
+						struct block_replica *replica = prefix_index_find(
+						    &solo.router.prefix_index,
+						    router_block_key(core_hash_string(0, h ? "w1-a" : "w1-b"),
+								     (uint64_t)i + 1));
 						int there = 0;
 
 						for (ptrdiff_t q = 0; q < arrlen(replica); q++)
@@ -899,7 +975,8 @@
 		router_fixture_table(&solo, rows, 1, instances, SRV, 2);
 		for (ptrdiff_t i = 0; i < hmlen(solo.router.prefix_index.blocks); i++)
 			for (ptrdiff_t q = 0; q < arrlen(solo.router.prefix_index.blocks[i].value); q++)
-				assert_int_not_equal(solo.router.prefix_index.blocks[i].value[q].server_index, names_find(&solo.router.server_names, "i-0"));
+				assert_int_not_equal(solo.router.prefix_index.blocks[i].value[q].server_index,
+						     names_find(&solo.router.server_names, "i-0"));
 		router_fixture_close(&solo);
 	}
 }
@@ -956,8 +1033,9 @@
 	return answered;
 }
 
-/* A router that has been cut off for too long hears what becomes of a stream. One that begins goes on to its end; one that the
- * server broke off has a head at its caller, and is owed an end of the stream: an answer would go nowhere, and the caller wait. */
+/* A router that has been cut off for too long hears what becomes of a stream. One that begins goes on to its
+ * end; one that the server broke off has a head at its caller, and is owed an end of the stream: an answer
+ * would go nowhere, and the caller wait. */
 static void a_router_out_of_touch_learns_of_a_stream(void **state)
 {
 	for (int how = 0; how < 2; how++) {
@@ -1004,8 +1082,9 @@
 	}
 }
 
-/* The configuration's leader is not heard for longer than new work may go by what it said last. What has been sent goes on,
- * for as long as it may; what waits is refused with a time to come back; and what comes is refused at once. */
+/* The configuration's leader is not heard for longer than new work may go by what it said last. What has been
+ * sent goes on, for as long as it may; what waits is refused with a time to come back; and what comes is
+ * refused at once. */
 static void what_is_sent_outlives_the_configuration(void **state)
 {
 	struct solo solo;
@@ -1085,8 +1164,9 @@
 	router_fixture_close(&solo);
 }
 
-/* Settings that are read anew bring a shorter bound for removed keys: it holds from the next step on. What is sent goes on; what
- * waits is not sent by a configuration that is older than the bound allows now; and what comes is refused. */
+/* Settings that are read anew bring a shorter bound for removed keys: it holds from the next step on. What is
+ * sent goes on; what waits is not sent by a configuration that is older than the bound allows now; and what
+ * comes is refused. */
 static void new_bounds_hold_from_the_next_step(void **state)
 {
 	struct solo solo;
@@ -1112,16 +1192,17 @@
 	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
 	answered = solo_told(&solo);
 	assert_int_equal(answered.ends + answered.answers, 0);
-	assert_false(router_fixture_last_call(&solo)); /* there is a place, but the configuration is too old */
-	solo.router.config_watch.fetched_at_ms = solo.now;         /* heard again */
+	assert_false(
+	    router_fixture_last_call(&solo)); /* there is a place, but the configuration is too old */
+	solo.router.config_watch.fetched_at_ms = solo.now; /* heard again */
 	command_list_clear(&solo.commands);
 	router_fixture_tick(&solo, 25);
 	assert_true(router_fixture_last_call(&solo));
 	router_fixture_close(&solo);
 }
 
-/* Newer weights are due soon, and a server still has older ones: what begins there at once may go, what would wait there may
- * not, since it could begin when the bound has passed. */
+/* Newer weights are due soon, and a server still has older ones: what begins there at once may go, what would
+ * wait there may not, since it could begin when the bound has passed. */
 static void older_weights_get_nothing_that_would_wait(void **state)
 {
 	for (int busy = 0; busy < 2; busy++) {
@@ -1152,11 +1233,13 @@
 		rows[2]->target_versions = target;
 		rows[2]->n_target_versions = 1;
 		router_fixture_table(&solo, rows, 3, &instance, 1, 2);
-		solo.now = (int64_t)named.targeted_at_ms + solo.router.bounds.rollout_ms - ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
+		solo.now = (int64_t)named.targeted_at_ms + solo.router.bounds.rollout_ms -
+			   ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
 		solo.router.config_watch.fetched_at_ms = solo.now;
 		router_fixture_tick(&solo, 1);
 		if (busy)
-			solo.router.servers[0].prefill_tokens = 500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
+			solo.router.servers[0].prefill_tokens =
+			    500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
 		assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
 		assert_int_equal(router_fixture_last_call(&solo) != 0, !busy);
 		router_fixture_close(&solo);
@@ -1208,9 +1291,14 @@
 /* Lines of a server's stream that are none of this send's end its exchange, whatever stands in them. */
 static void odd_lines_end_a_request(void **state)
 {
-	static const char *const lines[] = {
-		"{\"x\":null,\"n\":0}", "{\"x\":{},\"n\":0}", "{\"x\":\"other\",\"n\":0}", "{\"n\":0}", "null", "[]", "{", ""
-	};
+	static const char *const lines[] = { "{\"x\":null,\"n\":0}",
+					     "{\"x\":{},\"n\":0}",
+					     "{\"x\":\"other\",\"n\":0}",
+					     "{\"n\":0}",
+					     "null",
+					     "[]",
+					     "{",
+					     "" };
 
 	(void)state;
 	for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) {
@@ -1238,7 +1326,11 @@
 		command_list_clear(&solo.commands);
 		router_fixture_step(&solo, &event);
 		assert_null(router_request_by_token(&solo.router, solo.token));
-		assert_int_equal(arrlen(solo.commands.commands) ? solo.commands.commands[arrlen(solo.commands.commands) - 1].args.answer.status : 0, 502);
+		assert_int_equal(
+		    arrlen(solo.commands.commands)
+			? solo.commands.commands[arrlen(solo.commands.commands) - 1].args.answer.status
+			: 0,
+		    502);
 		router_fixture_close(&solo);
 	}
 }
@@ -1252,8 +1344,8 @@
 	return NULL;
 }
 
-/* While withdrawals are not known to be heard of, each send has a cache_namespace of its own, also the second one of a request: what the
- * first left there may have been withdrawn meanwhile. */
+/* While withdrawals are not known to be heard of, each send has a cache_namespace of its own, also the second
+ * one of a request: what the first left there may have been withdrawn meanwhile. */
 static void a_cold_namespace_is_of_one_send(void **state)
 {
 	struct solo solo;
@@ -1275,7 +1367,8 @@
 	for (int i = 0; i < 2; i++)
 		instances[i] = new_instance(solo.p, 1 + i, "pool");
 	router_fixture_table(&solo, rows, 2, instances, 2, 1);
-	assert_false(relay_is_current(&solo.router.relay, solo.now)); /* nothing has been heard of withdrawals */
+	assert_false(
+	    relay_is_current(&solo.router.relay, solo.now)); /* nothing has been heard of withdrawals */
 	assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
 	assert_non_null(solo_cache_namespace(&solo));
 	first = apr_pstrdup(solo.p, solo_cache_namespace(&solo));
@@ -1297,11 +1390,13 @@
 			continue;
 		call = solo->commands.commands[i].args.forward->call_token;
 		arrput(*running, call);
-		served[router_request_by_token(&solo->router, call)->route_index == (uint32_t)names_find(&solo->router.route_names, "later")]++;
+		served[router_request_by_token(&solo->router, call)->route_index ==
+		       (uint32_t)names_find(&solo->router.route_names, "later")]++;
 	}
 }
 
-/* A lane that a later edition brings gets its turns like those that were there before, and takes none from them. */
+/* A lane that a later edition brings gets its turns like those that were there before, and takes none from
+ * them. */
 static void routes_added_later_take_turns(void **state)
 {
 	enum { ROUNDS = 200 };
@@ -1337,7 +1432,8 @@
 	for (int round = 0; round < ROUNDS; round++) { /* two come, one goes */
 		solo.now += 11;
 		for (int i = 0; i < 2; i++) {
-			assert_non_null(router_fixture_submit(&solo, i ? "later" : "first", "/x", "id", &status));
+			assert_non_null(
+			    router_fixture_submit(&solo, i ? "later" : "first", "/x", "id", &status));
 			solo_note_sends(&solo, &running, served);
 		}
 		router_fixture_end_call(&solo, running[0], FORWARD_COMPLETE, 200);
@@ -1399,8 +1495,8 @@
 	router_fixture_close(&solo);
 }
 
-/* Servers go dark and the list does not say so yet: a request that did not reach one goes to the next, also where one try may go
- * to one server only, and it draws on no budget. */
+/* Servers go dark and the list does not say so yet: a request that did not reach one goes to the next, also
+ * where one try may go to one server only, and it draws on no budget. */
 static void a_server_that_is_not_reached_costs_no_attempt(void **state)
 {
 	(void)state;
@@ -1411,13 +1507,15 @@
 		open_fleet(&forwarding, seed, ROUTERS, SERVERS, NULL);
 		go(&forwarding, 1000);
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.sim.instance_list.instances) && dark < 2; i++)
-			if (forwarding.sim.instance_list.instances[i].service[0] == 'p' && forwarding.sim.instance_list.instances[i].up && !forwarding.servers[i].running) {
+			if (forwarding.sim.instance_list.instances[i].service[0] == 'p' &&
+			    forwarding.sim.instance_list.instances[i].up && !forwarding.servers[i].running) {
 				sim_instance_end(&forwarding.sim, (int)i, 3000);
 				dark++;
 			}
 		first = (int)arrlen(forwarding.requests);
 		for (int k = 0; k < 48; k++) {
-			sim_forward_submit(&forwarding, SIM_CONTROLLERS + k % ROUTERS, SIM_FORWARD_ONCE, 2, k % 12, 0);
+			sim_forward_submit(&forwarding, SIM_CONTROLLERS + k % ROUTERS, SIM_FORWARD_ONCE, 2,
+					   k % 12, 0);
 			go(&forwarding, 5);
 		}
 		go(&forwarding, 9000);
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -1,4 +1,5 @@
-/* A planned stop of a leader: how long its group is without one that holds a lease and has applied its log. */
+/* A planned stop of a leader: how long its group is without one that holds a lease and has applied its log.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,12 +9,13 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "raft_world.h"
 
 enum {
-	SHORT_GAP_MS = 60,    /* a handover and nothing else */
-	LONG_GAP_MS = 200,    /* where messages are late or lost, or the successor may have been told to stop too */
+	SHORT_GAP_MS = 60, /* a handover and nothing else */
+	LONG_GAP_MS =
+	    200, /* where messages are late or lost, or the successor may have been told to stop too */
 	PROCESS_TICK_MS = 25, /* as the registrar's process ticks */
 	PROPOSALS_A_SECOND = 400,
 	DOCUMENT_BYTES = 300,
@@ -42,7 +44,7 @@
 	const char *name;
 	int64_t gap_ms; /* longest that the group may be without a leader */
 } troubles[FAULT_KINDS] = {
-	[NO_FAULT] = { "none", SHORT_GAP_MS },     [JITTER] = { "jitter", LONG_GAP_MS },
+	[NO_FAULT] = { "none", SHORT_GAP_MS },       [JITTER] = { "jitter", LONG_GAP_MS },
 	[SLOW_DISK] = { "slow disk", SHORT_GAP_MS }, [RETURNED] = { "returned", SHORT_GAP_MS },
 	[AWAY] = { "away", SHORT_GAP_MS },           [LOSSY] = { "lossy", LONG_GAP_MS },
 	[STOPPED] = { "two stops", LONG_GAP_MS },
@@ -105,7 +107,8 @@
 {
 	int leader = world_leader(world);
 
-	return leader >= 0 && leader != old && world->machine[leader].raft.applied_index == world->machine[leader].raft.commit_index;
+	return leader >= 0 && leader != old &&
+	       world->machine[leader].raft.applied_index == world->machine[leader].raft.commit_index;
 }
 
 /* The leader is told to stop; ms until another one has taken over. */
@@ -130,13 +133,24 @@
 	int other = another(world, world_leader(world));
 
 	switch (setting->fault) {
-	case JITTER: world->jitter_ms = JITTER_MS; break;
-	case SLOW_DISK: world->machine[other].slow_disk_ms = SLOW_DISK_MS; break;
-	case LOSSY: world->loss = 10; break;
+	case JITTER:
+		world->jitter_ms = JITTER_MS;
+		break;
+	case SLOW_DISK:
+		world->machine[other].slow_disk_ms = SLOW_DISK_MS;
+		break;
+	case LOSSY:
+		world->loss = 10;
+		break;
 	case AWAY:
-	case RETURNED: world_crash(world, other, 0); break;
-	case STOPPED: raft_drain(&world->machine[other].raft, world->now); break;
-	default: break;
+	case RETURNED:
+		world_crash(world, other, 0);
+		break;
+	case STOPPED:
+		raft_drain(&world->machine[other].raft, world->now);
+		break;
+	default:
+		break;
 	}
 	if (setting->fault == AWAY || setting->fault == RETURNED)
 		pass(world, setting, AWAY_MS);
@@ -173,8 +187,9 @@
 	qsort(gaps, (size_t)n, sizeof *gaps, by_value);
 	print_message(
 	    "%-9s %d voters, sync %d ms, one way %.1f ms, %3d proposals/s: median %lld, p95 %lld, most %lld ms (%d seeds)\n",
-	    troubles[setting->fault].name, setting->voters, setting->sync_ms, setting->delay_us / 1000.0, setting->proposals,
-	    (long long)gaps[n / 2], (long long)gaps[n * 95 / 100], (long long)gaps[n - 1], n);
+	    troubles[setting->fault].name, setting->voters, setting->sync_ms, setting->delay_us / 1000.0,
+	    setting->proposals, (long long)gaps[n / 2], (long long)gaps[n * 95 / 100], (long long)gaps[n - 1],
+	    n);
 }
 
 /* How many seeds leave a longer gap than they may. */
@@ -200,14 +215,15 @@
 /* Over settings and seeds a planned stop of a leader leaves its group without one for a short while only. */
 static void a_planned_stop_leaves_no_gap(void **state)
 {
-	static const int voters[] = { 3, 5 }, syncs[] = { 2, 5 }, delays[] = { 500, 1400 }, loads[] = { 0, PROPOSALS_A_SECOND };
+	static const int voters[] = { 3, 5 }, syncs[] = { 2, 5 }, delays[] = { 500, 1400 },
+			 loads[] = { 0, PROPOSALS_A_SECOND };
 	int late = 0;
 
 	(void)state;
 	for (int fault = 0; fault < FAULT_KINDS; fault++)
 		for (int k = 0; k < 16; k++) {
-			struct setting setting = { voters[k >> 3], syncs[k >> 2 & 1], delays[k >> 1 & 1], loads[k & 1],
-						   (enum trouble)fault };
+			struct setting setting = { voters[k >> 3], syncs[k >> 2 & 1], delays[k >> 1 & 1],
+						   loads[k & 1], (enum trouble)fault };
 
 			late += measure(&setting);
 		}
@@ -231,7 +247,8 @@
 	memset(follower, 0, sizeof *follower);
 	memset(group, 0, sizeof group);
 	for (int i = 0; i < 3; i++)
-		group[i] = (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
+		group[i] =
+		    (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
 	apr_pool_create(&follower->out.pool, NULL);
 	follower->out.id = 1;
 	follower->out.addr = 101;
@@ -275,7 +292,8 @@
 	hear(follower, LEADER_ID, &message);
 }
 
-/* Whether the follower would vote for a candidate of the next term, which says that the leader of a term has given up. */
+/* Whether the follower would vote for a candidate of the next term, which says that the leader of a term has
+ * given up. */
 static int would_vote(struct follower *follower, uint64_t gave_up)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
@@ -290,7 +308,8 @@
 	message.vote_request = &request;
 	hear(follower, CANDIDATE_ID, &message);
 	for (ptrdiff_t i = 0; i < arrlen(follower->out.commands); i++)
-		if (follower->out.commands[i].kind == CMD_SEND && follower->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_VOTE_REPLY)
+		if (follower->out.commands[i].kind == CMD_SEND &&
+		    follower->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_VOTE_REPLY)
 			return follower->out.commands[i].args.send.msg->vote_reply->granted;
 	return -1;
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,5 +1,6 @@
-/* http both ways on real sockets: loopback, ports given by the kernel, waits on conditions with limits. One thread plays
- * both ends. The clock is the shell's, moved on where a test waits for a time; system calls of http are counted. */
+/* http both ways on real sockets: loopback, ports given by the kernel, waits on conditions with limits. One
+ * thread plays both ends. The clock is the shell's, moved on where a test waits for a time; system calls of
+ * http are counted. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -36,7 +37,7 @@
 };
 
 static int64_t moved, freeze; /* freeze: for so long in the next wait */
-static struct {               /* said to the product in the next wait, once it has looked; the process then stands still */
+static struct { /* said to the product in the next wait, once it has looked; the process then stands still */
 	int fd;
 	const char *text;
 	int64_t frozen_ms;
@@ -45,7 +46,10 @@
 static struct there *early; /* a server that speaks first, in the next wait */
 static void write_first(struct there *t);
 
-int64_t __wrap_clock_ms(void) { return __real_clock_ms() + moved; }
+int64_t __wrap_clock_ms(void)
+{
+	return __real_clock_ms() + moved;
+}
 
 static struct {
 	int waits, recvs, peeks, sends, others;
@@ -182,7 +186,8 @@
 	struct seen *seen = ctx;
 	struct call *c = &seen->call[token];
 
-	c->bad |= c->done || c->cancelled || (how == HTTP_CALL_COMPLETE && status != c->status) || (how == HTTP_CALL_NOT_SENT && status);
+	c->bad |= c->done || c->cancelled || (how == HTTP_CALL_COMPLETE && status != c->status) ||
+		  (how == HTTP_CALL_NOT_SENT && status);
 	c->done++;
 	c->how = how;
 	hook(seen, "done", token);
@@ -210,13 +215,16 @@
 
 /* ---- the other end ---- */
 
-static uint64_t addr_of(int port) { return (uint64_t)INADDR_LOOPBACK << 16 | (uint64_t)port; }
+static uint64_t addr_of(int port)
+{
+	return (uint64_t)INADDR_LOOPBACK << 16 | (uint64_t)port;
+}
 
 static int dial(struct http *h)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET,
-				  .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
-				  .sin_port = htons((uint16_t)http_listener_port(h, 1)) };
+				       .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
+				       .sin_port = htons((uint16_t)http_listener_port(h, 1)) };
 	int fd = socket(AF_INET, SOCK_STREAM, 0), on = 1;
 
 	assert_return_code(connect(fd, (struct sockaddr *)&address, sizeof address), errno);
@@ -236,9 +244,13 @@
 	}
 }
 
-static void say(int fd, const char *d) { write_bytes(fd, d, strlen(d)); }
+static void say(int fd, const char *d)
+{
+	write_bytes(fd, d, strlen(d));
+}
 
-/* Hear until the other end closes, or so many bytes came. Returns how many; *end: 0 open, 1 closed, 2 reset. */
+/* Hear until the other end closes, or so many bytes came. Returns how many; *end: 0 open, 1 closed, 2 reset.
+ */
 static size_t hear(struct http *h, int fd, char *to, size_t expected, size_t cap, int *how)
 {
 	int64_t stop = __real_clock_ms() + LIMIT;
@@ -309,9 +321,10 @@
 {
 	struct seen seen;
 	struct http *h = begin(&seen);
-	struct http_field field[] = {
-		{ "X-A", "b\r\nX-B: c" }, { "Connection", "close" }, { "Content-length", "7" }, { "Transfer-Encoding", "x" }
-	};
+	struct http_field field[] = { { "X-A", "b\r\nX-B: c" },
+				      { "Connection", "close" },
+				      { "Content-length", "7" },
+				      { "Transfer-Encoding", "x" } };
 	int fd = dial(h);
 
 	(void)state;
@@ -345,7 +358,9 @@
 	http_response_write(h, seen.token[3], "hello, hello, hello", 19);
 	http_response_write(h, seen.token[3], "", 0);
 	http_response_write(h, seen.token[3], "!", 1);
-	expect_bytes(h, fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n13\r\nhello, hello, hello\r\n1\r\n!\r\n");
+	expect_bytes(
+	    h, fd,
+	    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n13\r\nhello, hello, hello\r\n1\r\n!\r\n");
 	http_response_finish(h, seen.token[3]);
 	expect_bytes(h, fd, "0\r\n\r\n");
 	say(fd, "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n");
@@ -422,9 +437,10 @@
 	assert_int_equal(seen.nb, 5);
 	assert_memory_equal(seen.body, "three", 5);
 	http_respond(h, seen.token[2], 200, NULL, 0, "3", 1);
-	expect_bytes(h, fd,
-		     "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2"
-		     "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n3");
+	expect_bytes(
+	    h, fd,
+	    "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2"
+	    "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n3");
 	say(fd, "TP/1.1\r\n\r\n");
 	UNTIL(h, seen.requests == 4);
 	assert_string_equal(seen.target, "/4");
@@ -450,7 +466,9 @@
 		http_wait(h, 1000);
 		http_wait(h, 0);
 	}
-	expect_bytes(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello!HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+	expect_bytes(
+	    h, fd,
+	    "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello!HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
 	assert_int_equal(seen.requests, 2);
 	close(fd);
 	end(&seen);
@@ -553,8 +571,10 @@
 
 static void too_large(void **state)
 {
-	static const char big[] = "HTTP/1.1 413 Payload Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-	static const char head[] = "HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+	static const char big[] =
+	    "HTTP/1.1 413 Payload Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+	static const char head[] =
+	    "HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 	struct seen seen;
 	struct http *h = begin(&seen);
 	struct http_limits small = { 100, 10, 5000, 60000 };
@@ -584,7 +604,8 @@
 	heard(h, fd, big);
 	http_limits(h, 1, &small);
 	fd = dial(h);
-	say(fd, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n5\r\nabcde\r\n0\r\n\r\n");
+	say(fd,
+	    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nabcdef\r\n5\r\nabcde\r\n0\r\n\r\n");
 	heard(h, fd, big);
 	assert_int_equal(seen.requests, 0);
 	seen.answer = 1;
@@ -623,7 +644,8 @@
 	(void)state;
 	for (i = 0; i < 2; i++)                   /* version */
 		for (j = 0; j < 3; j++)           /* in chunks, with a length, unanswered */
-			for (k = 0; k < 4; k++) { /* abort at once, after its bytes were read, finish a short one, write too much */
+			for (k = 0; k < 4; k++) { /* abort at once, after its bytes were read, finish a short
+						     one, write too much */
 				int fd = dial(h), n = seen.requests;
 				uint64_t t;
 
@@ -702,7 +724,8 @@
 {
 	struct seen seen;
 	struct http *h = begin(&seen);
-	int idle = dial(h), busy = dial(h), begun = dial(h), half = dial(h), unread, port = http_listener_port(h, 1), how;
+	int idle = dial(h), busy = dial(h), begun = dial(h), half = dial(h), unread,
+	    port = http_listener_port(h, 1), how;
 	char b[GOT];
 
 	(void)state;
@@ -726,8 +749,8 @@
 	close(unread);
 	{
 		struct sockaddr_in address = { .sin_family = AF_INET,
-					  .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
-					  .sin_port = htons((uint16_t)port) };
+					       .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
+					       .sin_port = htons((uint16_t)port) };
 		int fd = socket(AF_INET, SOCK_STREAM, 0);
 
 		assert_int_equal(connect(fd, (struct sockaddr *)&address, sizeof address), -1);
@@ -949,8 +972,8 @@
 	end(&seen);
 }
 
-/* An answer whose head left before the door leaves has not said that the connection closes: a request that has come behind it
- * is served, and the answer is not lost with a reset over unread bytes. */
+/* An answer whose head left before the door leaves has not said that the connection closes: a request that
+ * has come behind it is served, and the answer is not lost with a reset over unread bytes. */
 static void leaving_keeps_the_answer_under_way(void **state)
 {
 	struct seen seen;
@@ -1000,7 +1023,8 @@
 /* A time is over, and the bytes that it waited for have come since the loop looked: they are read first. */
 static void bytes_go_before_their_timer(void **state)
 {
-	static const char *const before[] = { "", "GET /a HT", "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\na" };
+	static const char *const before[] = { "", "GET /a HT",
+					      "POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\na" };
 	static const char *const rest[] = { "GET /a HTTP/1.1\r\n\r\n", "TP/1.1\r\n\r\n", "b" };
 	struct seen seen;
 	struct http *h = begin(&seen);
@@ -1103,7 +1127,8 @@
 
 enum { LARGE = 12 << 20 };
 
-/* A large answer, given whole; read by somebody who takes a little of it each time that the clock has moved on. */
+/* A large answer, given whole; read by somebody who takes a little of it each time that the clock has moved
+ * on. */
 static size_t read_slowly(struct http *h, int fd, size_t expected, int64_t step_ms, int *how)
 {
 	static char b[LARGE + 1000];
@@ -1129,7 +1154,8 @@
 	UNTIL(seen->h, seen->requests == 1);
 	http_respond(seen->h, seen->token[0], 200, NULL, 0, body, LARGE);
 	free(body);
-	return (size_t)snprintf(text, sizeof text, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", LARGE) + LARGE;
+	return (size_t)snprintf(text, sizeof text, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", LARGE) +
+	       LARGE;
 }
 
 /* A slow link that moves is not cut off, however long the answer takes in all; one that does not move is. */
@@ -1203,7 +1229,8 @@
 	end(&seen);
 }
 
-/* No descriptor is left for what the listener's backlog holds when the door is shut: the rest goes on as ever. */
+/* No descriptor is left for what the listener's backlog holds when the door is shut: the rest goes on as
+ * ever. */
 static void shutting_without_descriptors(void **state)
 {
 	struct seen seen;
@@ -1267,8 +1294,9 @@
 			http_response_set_deadline(h, seen.token[i], clock_ms() - 1);
 			http_respond(h, seen.token[i], 200, NULL, 0, "x", 1);
 		}
-		expected[(int[]){ HTTP_OUTCOME_ANSWERED, HTTP_OUTCOME_REJECTED, HTTP_OUTCOME_ANSWERED, HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_DISCONNECTED,
-			      HTTP_OUTCOME_LATE }[i]]++;
+		expected[(int[]){ HTTP_OUTCOME_ANSWERED, HTTP_OUTCOME_REJECTED, HTTP_OUTCOME_ANSWERED,
+				  HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_DISCONNECTED,
+				  HTTP_OUTCOME_LATE }[i]]++;
 		UNTIL(h, !http_pending_requests(h));
 		n = http_counters_read(h);
 		assert_memory_equal(n.outcomes, expected, sizeof expected);
@@ -1315,7 +1343,8 @@
 	close(waits);
 }
 
-/* A request that is read in part when the process ends is refused with when to come back, and the client hears it. */
+/* A request that is read in part when the process ends is refused with when to come back, and the client
+ * hears it. */
 static void what_is_incomplete_is_refused(void **state)
 {
 	static const char refused[] =
@@ -1361,7 +1390,9 @@
 	if (strcmp(what, "request"))
 		return;
 	(void)token;
-	understood->n += (size_t)snprintf(understood->what + understood->n, GOT - understood->n, "%s %s %d %.*s\n", seen->verb, seen->target, seen->nf, (int)seen->nb, seen->body);
+	understood->n +=
+	    (size_t)snprintf(understood->what + understood->n, GOT - understood->n, "%s %s %d %.*s\n",
+			     seen->verb, seen->target, seen->nf, (int)seen->nb, seen->body);
 }
 
 static void understand(const char *d, size_t n, unsigned seed, struct understood *understood)
@@ -1437,16 +1468,18 @@
 		int i, k = 2 + (int)rnd(&r, 14);
 
 		for (i = 0; i < k; i++)
-			n += (size_t)sprintf(d + n, "%s",
-					     part[rnd(&r, 2) ? rnd(&r, parts) : parts - 1 - rnd(&r, 4)]); /* half of them whole */
+			n += (size_t)sprintf(
+			    d + n, "%s",
+			    part[rnd(&r, 2) ? rnd(&r, parts)
+					    : parts - 1 - rnd(&r, 4)]); /* half of them whole */
 		for (i = (int)rnd(&r, 3); i--;)
 			d[rnd(&r, (unsigned)n)] = "\r\n \t:;\0a0,\xff"[rnd(&r, 11)];
 		understand(d, n, 0, &a);
 		understand(d, n, seed, &b);
 		/* an interim answer is asked for only while its body has not come */
 		if (a.requests != b.requests || a.bad != b.bad || strcmp(a.what, b.what))
-			fail_msg("seed %u: %d and %d requests, %d and %d refused\n%.*s\n--\n%s--\n%s", seed, a.requests, b.requests,
-				 a.bad, b.bad, (int)n, d, a.what, b.what);
+			fail_msg("seed %u: %d and %d requests, %d and %d refused\n%.*s\n--\n%s--\n%s", seed,
+				 a.requests, b.requests, a.bad, b.bad, (int)n, d, a.what, b.what);
 		complete += (unsigned)a.requests;
 		bad += (unsigned)a.bad;
 	}
@@ -1515,12 +1548,12 @@
 static struct http_client_request get(void)
 {
 	return (struct http_client_request){ .method = "GET",
-				  .target = "/t",
-				  .fields = host,
-				  .field_count = 1,
-				  .not_after_ms = __wrap_clock_ms() + 5000,
-				  .connect_timeout_ms = 1000,
-				  .timeout_ms = 10000 };
+					     .target = "/t",
+					     .fields = host,
+					     .field_count = 1,
+					     .not_after_ms = __wrap_clock_ms() + 5000,
+					     .connect_timeout_ms = 1000,
+					     .timeout_ms = 10000 };
 }
 
 #define GET "GET /t HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -1537,50 +1570,70 @@
 		int kept;
 		const char *verb;
 	} all[] = {
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 1,
+		  "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0,
+		  "GET" },
 		{ "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 200, "", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n1;x\r\n!\r\n0\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 200,
-		  "hi!", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 200, "", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiho", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nho", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0,
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n1;x\r\n!\r\n0\r\n\r\n",
+		  OPEN, HTTP_CALL_COMPLETE, 200, "hi!", 1, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\r\n\r\n", OPEN,
+		  HTTP_CALL_COMPLETE, 200, "", 1, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi", OPEN,
+		  HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
+		{ "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0,
 		  "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiho", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0,
+		  "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\nho", OPEN,
+		  HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 204 No\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 204, "", 1, "GET" },
-		{ "HTTP/1.1 304 No\r\nContent-Length: 9\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 304, "", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 200, "", 1, "HEAD" },
+		{ "HTTP/1.1 304 No\r\nContent-Length: 9\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 304, "", 1,
+		  "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", OPEN, HTTP_CALL_COMPLETE, 200, "", 1,
+		  "HEAD" },
 		{ "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
 		  OPEN, HTTP_CALL_COMPLETE, 200, "hi", 1, "GET" },
-		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.0 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_COMPLETE, 200, "hi", 0,
+		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0,
 		  "GET" },
+		{ "HTTP/1.0 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nhi", OPEN,
+		  HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", RESET, HTTP_CALL_BROKEN, 200, NULL, 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0,
+		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", RESET, HTTP_CALL_BROKEN, 200, NULL, 0,
+		  "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0,
 		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhiXX0\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 200, "hi", 0,
+		{ "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nhi", SHUT,
+		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", SHUT, HTTP_CALL_BROKEN,
+		  200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n", SHUT,
+		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r", SHUT,
+		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhiXX0\r\n\r\n", OPEN,
+		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", OPEN, HTTP_CALL_BROKEN, 200,
+		  "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi", OPEN,
+		  HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", OPEN,
+		  HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0,
 		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", OPEN, HTTP_CALL_BROKEN, 200, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0,
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 0, "", 0,
 		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nX: a\r\n b\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nX: a\r\n b\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0,
+		  "", 0, "GET" },
 		{ "HTTP/1.1 200 OK\nContent-Length: 2\n\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", SHUT, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "HTTP/1.1 101 Up\r\nUpgrade: x\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "HTTP/1.1 20 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "HTTP/1.1 099 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		{ "\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0,
+		  "GET" },
 		{ "GET / HTTP/1.1\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "nonsense\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
 		{ "", SHUT, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
@@ -1604,7 +1657,8 @@
 			const char *p;
 
 			output.method = all[i].verb;
-			snprintf(expected, sizeof expected, "%s /t HTTP/1.1\r\nHost: x\r\n\r\n", output.method);
+			snprintf(expected, sizeof expected, "%s /t HTTP/1.1\r\nHost: x\r\n\r\n",
+				 output.method);
 			http_call_start(h, k, t.addr, &output);
 			assert_false(http_call_is_sent(h, k));
 			taken(h, &t);
@@ -1623,16 +1677,18 @@
 				close(t.c);
 			UNTIL(h, call->done);
 			if ((int)call->how != (int)all[i].how || call->status != all[i].status || call->bad ||
-			    (all[i].body && (call->n != strlen(all[i].body) || memcmp(call->got, all[i].body, call->n))))
-				fail_msg("number %zu, split %d: how %d status %d body %.*s", i, split, call->how, call->status, (int)call->n,
-					 call->got);
+			    (all[i].body &&
+			     (call->n != strlen(all[i].body) || memcmp(call->got, all[i].body, call->n))))
+				fail_msg("number %zu, split %d: how %d status %d body %.*s", i, split,
+					 call->how, call->status, (int)call->n, call->got);
 			http_wait(h, 0);
 			http_wait(h, 0);
 			output = get();
 			http_call_start(h, 1000, t.addr, &output);
 			UNTIL(h, http_call_is_sent(h, 1000) || seen.call[1000].done);
 			if ((int)(http_counters_read(h).connections_opened - connects) !=
-			    (split && all[i].kept == 0 && all[i].how == HTTP_CALL_COMPLETE ? 2 : 2 - all[i].kept))
+			    (split && all[i].kept == 0 && all[i].how == HTTP_CALL_COMPLETE ? 2
+											   : 2 - all[i].kept))
 				fail_msg("number %zu, split %d: kept wrongly", i, split);
 			http_call_cancel(h, 1000);
 			if (!all[i].then)
@@ -1652,7 +1708,8 @@
 	http_response_finish(seen->h, seen->token[0]);
 }
 
-/* A piece of a server's answer goes on as it is, also when the head before it makes a leaving door look for another request. */
+/* A piece of a server's answer goes on as it is, also when the head before it makes a leaving door look for
+ * another request. */
 static void a_look_behind_a_request_spoils_no_piece(void **state)
 {
 	struct seen seen;
@@ -1674,7 +1731,8 @@
 	say(t.c, "body"); /* read by itself */
 	seen.answer = 1;
 	after_look.fd = fd;
-	after_look.text = "GET /a/path/that/is/longer/than/the/head/and/the/body/of/the/answer/that/is/passed/on HTTP/1.1\r\n\r\n";
+	after_look.text =
+	    "GET /a/path/that/is/longer/than/the/head/and/the/body/of/the/answer/that/is/passed/on HTTP/1.1\r\n\r\n";
 	heard(h, fd,
 	      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
 	      "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
@@ -1948,8 +2006,8 @@
 	listen(full.fd, 0);
 	for (i = 0; i < 8; i++) {
 		struct sockaddr_in address = { .sin_family = AF_INET,
-					  .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
-					  .sin_port = htons((uint16_t)full.addr) };
+					       .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
+					       .sin_port = htons((uint16_t)full.addr) };
 
 		fd[i] = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 		connect(fd[i], (struct sockaddr *)&address, sizeof address);
@@ -1974,10 +2032,10 @@
 static void requests_as_written(void **state)
 {
 	struct http_field field[] = { { "Host", "x" },
-				  { "content-length", "9" },
-				  { "Transfer-Encoding", "chunked" },
-				  { "X", "a\r\nb" },
-				  { "Connection", "close" } };
+				      { "content-length", "9" },
+				      { "Transfer-Encoding", "chunked" },
+				      { "X", "a\r\nb" },
+				      { "Connection", "close" } };
 	struct seen seen;
 	struct http *h = begin(&seen);
 	struct there t = serve();
@@ -1989,7 +2047,9 @@
 	output.method = "POST";
 	http_call_start(h, 1, t.addr, &output);
 	taken(h, &t);
-	expect_bytes(h, t.c, "POST /t HTTP/1.1\r\nHost: x\r\nX: a  b\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+	expect_bytes(
+	    h, t.c,
+	    "POST /t HTTP/1.1\r\nHost: x\r\nX: a  b\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
 	http_call_cancel(h, 1);
 	close(t.c);
 	output.body = "body";
@@ -2086,7 +2146,8 @@
 				taken(h, &t);
 				hear(h, t.c, b, strlen(GET), GOT, &how);
 				say(fd, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
-				say(t.c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n1\r\nb\r\n0\r\n\r\n");
+				say(t.c,
+				    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n1\r\nb\r\n0\r\n\r\n");
 				if (k)
 					shutdown(fd, SHUT_WR);
 				for (n = 0; n < 10; n++)
@@ -2186,16 +2247,22 @@
 		liar_conn->closing = 2;
 		break;
 	case 14:
-	case 17: /* surplus */ ADD("surplus"); break;
+	case 17: /* surplus */
+		ADD("surplus");
+		break;
 	case 16: /* twice */
 		n = (size_t)(o - liar_conn->out);
 		if (n < 4400)
 			PUT(liar_conn->out, n);
 		break;
-	case 18: /* silence */ o = liar_conn->out; break;
+	case 18: /* silence */
+		o = liar_conn->out;
+		break;
 	case 19:
 	case 20:
-	case 6: liar_conn->closing = 1; break;
+	case 6:
+		liar_conn->closing = 1;
+		break;
 	}
 	liar_conn->off = 0;
 	liar_conn->len = (size_t)(o - liar_conn->out);
@@ -2204,7 +2271,8 @@
 /* Returns the id of a request that is now whole, 0 for none, -1 when the caller has gone. */
 static int liar_read(struct liar *liar, struct liar_conn *liar_conn)
 {
-	ssize_t k = recv(liar_conn->fd, liar_conn->b + liar_conn->n, sizeof liar_conn->b - 1 - liar_conn->n, MSG_DONTWAIT);
+	ssize_t k = recv(liar_conn->fd, liar_conn->b + liar_conn->n, sizeof liar_conn->b - 1 - liar_conn->n,
+			 MSG_DONTWAIT);
 	char *end, *p, *id;
 	size_t all;
 
@@ -2263,10 +2331,15 @@
 				continue;
 			}
 			if (!liar->fair && !rnd(&liar->r, 30))
-				say(liar_conn->fd, "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nearly");
+				say(liar_conn->fd,
+				    "HTTP/1.1 200 OK\r\nX-Id: 0\r\nContent-Length: 5\r\n\r\nearly");
 		}
 		if (liar_conn->off < liar_conn->len) { /* what it says is said to the end, then it listens */
-			k = send(liar_conn->fd, liar_conn->out + liar_conn->off, liar_conn->len - liar_conn->off < liar_conn->step ? liar_conn->len - liar_conn->off : liar_conn->step, MSG_NOSIGNAL);
+			k = send(liar_conn->fd, liar_conn->out + liar_conn->off,
+				 liar_conn->len - liar_conn->off < liar_conn->step
+				     ? liar_conn->len - liar_conn->off
+				     : liar_conn->step,
+				 MSG_NOSIGNAL);
 			if (k > 0)
 				liar_conn->off += (size_t)k;
 			else if (errno != EAGAIN)
@@ -2290,7 +2363,9 @@
 		else if (id)
 			liar_answer(liar, liar_conn, id);
 		else if (liar_conn->n && !liar->fair && !rnd(&liar->r, 10))
-			say(liar_conn->fd, "HTTP/1.1 413 No\r\nX-Id: 0\r\nContent-Length: 3\r\n\r\nbig"); /* before it has read all */
+			say(liar_conn->fd,
+			    "HTTP/1.1 413 No\r\nX-Id: 0\r\nContent-Length: 3\r\n\r\nbig"); /* before it has
+											      read all */
 	}
 }
 
@@ -2325,12 +2400,12 @@
 			char id[16];
 			struct http_field field[] = { { "Host", "x" }, { "X-Id", id } };
 			struct http_client_request output = { .method = "POST",
-					      .target = "/",
-					      .fields = field,
-					      .field_count = 2,
-					      .not_after_ms = __wrap_clock_ms() + 1000,
-					      .connect_timeout_ms = 100,
-					      .timeout_ms = fair ? 10000 : 60 };
+							      .target = "/",
+							      .fields = field,
+							      .field_count = 2,
+							      .not_after_ms = __wrap_clock_ms() + 1000,
+							      .connect_timeout_ms = 100,
+							      .timeout_ms = fair ? 10000 : 60 };
 
 			snprintf(id, sizeof id, "%d", ++started);
 			memset(post, 'p', sizeof post);
@@ -2377,17 +2452,21 @@
 			why = "did not end once";
 		if (call->done && call->how == HTTP_CALL_NOT_SENT && liar.arrived[i])
 			why = "never sent, and arrived";
-		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) == i && !liar.arrived[i])
+		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) == i &&
+		    !liar.arrived[i])
 			why = "answered, and did not arrive";
-		/* who answers is told by the id: bytes of another answer in this one's slot are whole in themselves */
+		/* who answers is told by the id: bytes of another answer in this one's slot are whole in
+		 * themselves */
 		n = body_of(atoi(call->x_id), body);
-		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) && (call->n != n || memcmp(call->got, body, n)))
+		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) &&
+		    (call->n != n || memcmp(call->got, body, n)))
 			why = "whole, and is not";
-		if (fair && (!call->done || call->how != HTTP_CALL_COMPLETE || atoi(call->x_id) != i || liar.arrived[i] != 1))
+		if (fair && (!call->done || call->how != HTTP_CALL_COMPLETE || atoi(call->x_id) != i ||
+			     liar.arrived[i] != 1))
 			why = "of a fair server was not served";
 		if (why)
-			fail_msg("seed %u: call %d %s (how %d, arrived %u, id %s, %zu bytes)", seed, i, why, call->how, liar.arrived[i],
-				 call->x_id, call->n);
+			fail_msg("seed %u: call %d %s (how %d, arrived %u, id %s, %zu bytes)", seed, i, why,
+				 call->how, liar.arrived[i], call->x_id, call->n);
 		sum->complete += call->done && call->how == HTTP_CALL_COMPLETE;
 		sum->never += call->done && call->how == HTTP_CALL_NOT_SENT;
 		sum->broke += call->done && call->how == HTTP_CALL_BROKEN;
@@ -2407,8 +2486,10 @@
 	(void)state;
 	for (i = 1; i <= seeds; i++)
 		lie(i, 0, &sum);
-	print_message("%u seeds: whole %d, never %d, broke %d, cancelled %d, another's answer %d, kept connections used %llu\n",
-		      seeds, sum.complete, sum.never, sum.broke, sum.cancelled, sum.other, (unsigned long long)sum.kept);
+	print_message(
+	    "%u seeds: whole %d, never %d, broke %d, cancelled %d, another's answer %d, kept connections used %llu\n",
+	    seeds, sum.complete, sum.never, sum.broke, sum.cancelled, sum.other,
+	    (unsigned long long)sum.kept);
 	assert_true(sum.complete && sum.never && sum.broke && sum.cancelled && sum.kept);
 	for (i = 1; i <= 3; i++)
 		lie(i, 1, &sum);
@@ -2423,7 +2504,8 @@
 	uint64_t mine = seen->token[seen->requests - 1];
 
 	if (!strcmp(what, "request"))
-		http_call_start(seen->h, (uint64_t)seen->requests, ((struct there *)seen->arg)->addr, &output);
+		http_call_start(seen->h, (uint64_t)seen->requests, ((struct there *)seen->arg)->addr,
+				&output);
 	else if (!strcmp(what, "head"))
 		http_response_begin(seen->h, mine, seen->call[token].status, NULL, 0, -1);
 	else if (!strcmp(what, "body"))
@@ -2459,17 +2541,20 @@
 		while (!seen.call[i + 1].done)
 			http_wait(h, 1000);
 		counting = 0;
-		expect_bytes(h, fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n");
+		expect_bytes(h, fd,
+			     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n");
 	}
 	n = sys.waits + sys.recvs + sys.peeks + sys.sends + sys.others;
 	print_message(
 	    "%d requests passed on: %.2f system calls each (waits %.2f, reads %.2f, looks %.2f, sends %.2f, others %.2f), "
 	    "%llu connection to the server\n",
-	    N - 1, (double)n / (N - 1), (double)sys.waits / (N - 1), (double)sys.recvs / (N - 1), (double)sys.peeks / (N - 1),
-	    (double)sys.sends / (N - 1), (double)sys.others / (N - 1), (unsigned long long)http_counters_read(h).connections_opened);
+	    N - 1, (double)n / (N - 1), (double)sys.waits / (N - 1), (double)sys.recvs / (N - 1),
+	    (double)sys.peeks / (N - 1), (double)sys.sends / (N - 1), (double)sys.others / (N - 1),
+	    (unsigned long long)http_counters_read(h).connections_opened);
 	assert_int_equal(http_counters_read(h).connections_opened, 1);
 	/* a wait may end early by an old time, once in a while */
-	assert_true(sys.sends <= 2 * N && sys.recvs <= 2 * N && sys.peeks <= N && !sys.others && sys.waits <= 2 * N + 10);
+	assert_true(sys.sends <= 2 * N && sys.recvs <= 2 * N && sys.peeks <= N && !sys.others &&
+		    sys.waits <= 2 * N + 10);
 	close(fd);
 	close(t.c);
 	close(t.fd);
@@ -2498,10 +2583,10 @@
 			continue;
 		for (k = 0; k < 6; k++) {
 			n = sizeof *v;
-			getsockopt(
-			    i, k == 5 ? SOL_SOCKET : IPPROTO_TCP,
-			    (int[]){ TCP_NODELAY, TCP_USER_TIMEOUT, TCP_KEEPIDLE, TCP_KEEPINTVL, TCP_KEEPCNT, SO_KEEPALIVE }[k],
-			    &v[k], &n);
+			getsockopt(i, k == 5 ? SOL_SOCKET : IPPROTO_TCP,
+				   (int[]){ TCP_NODELAY, TCP_USER_TIMEOUT, TCP_KEEPIDLE, TCP_KEEPINTVL,
+					    TCP_KEEPCNT, SO_KEEPALIVE }[k],
+				   &v[k], &n);
 		}
 		assert_true(v[0] && v[5]);
 		assert_int_equal(v[1], 3000);
--- a/tests/test_orders.c
+++ b/tests/test_idempotency.c
@@ -1,6 +1,6 @@
-/* Operators' orders: the record that recognises repeated ones, and histories of many operators at once, under virtual time,
- * while answers are lost and controllers fall, freeze and are cut off, or are told to stop one after the other. Each history
- * must be linearizable. */
+/* Operators' orders: the record that recognises repeated ones, and histories of many operators at once, under
+ * virtual time, while answers are lost and controllers fall, freeze and are cut off, or are told to stop one
+ * after the other. Each history must be linearizable. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,10 +11,10 @@
 #include <apr_general.h>
 #include <cmocka.h>
 
-#include "doc.h"
-#include "ds.h"
+#include "config_document.h"
+#include "containers.h"
 #include "linear.h"
-#include "orders.h"
+#include "idempotency.h"
 #include "sim.h"
 
 /* ---- the record ---- */
@@ -29,16 +29,18 @@
 
 static void keyed_requests_are_identified(void **state)
 {
-	struct request_key request_key = identity("key", 0, 0, "x"), same = identity("key", 0, 0, "x"), other = identity("key", 0, 0, "y");
+	struct request_key request_key = identity("key", 0, 0, "x"), same = identity("key", 0, 0, "x"),
+			   other = identity("key", 0, 0, "y");
 	struct request_key plain = identity(NULL, 1, 7, "x"), plain_same = identity("", 1, 7, "x"),
-			rebased = identity(NULL, 1, 8, "x"), free_standing = identity(NULL, 0, 0, "x");
+			   rebased = identity(NULL, 1, 8, "x"), free_standing = identity(NULL, 0, 0, "x");
 	struct request_key path;
 	char key[IDEMPOTENCY_KEY_MAX + 2];
 
 	(void)state;
 	assert_true(request_key_equal(&request_key, &same));
 	assert_false(request_key_equal(&request_key, &other));
-	assert_memory_equal(request_key.key_digest, other.key_digest, REQUEST_DIGEST_BYTES); /* one key: found, and seen to be another */
+	assert_memory_equal(request_key.key_digest, other.key_digest,
+			    REQUEST_DIGEST_BYTES); /* one key: found, and seen to be another */
 	assert_true(request_key_equal(&plain, &plain_same));
 	assert_false(request_key_equal(&plain, &rebased));
 	assert_memory_not_equal(plain.key_digest, rebased.key_digest, REQUEST_DIGEST_BYTES);
@@ -46,8 +48,10 @@
 	assert_false(request_key_equal(&free_standing, &free_standing));
 	request_key_init(&path, NULL, "/v1/clear", 1, 7, "x", 1);
 	assert_memory_not_equal(plain.key_digest, path.key_digest, REQUEST_DIGEST_BYTES);
-	assert_true(idempotency_key_is_valid("a") && idempotency_key_is_valid("\"8e03978e-40d5-43dd-bc93-6894a57f9324\""));
-	assert_false(idempotency_key_is_valid("") || idempotency_key_is_valid("a b") || idempotency_key_is_valid("a\x7f") || idempotency_key_is_valid("\xc3\xa4"));
+	assert_true(idempotency_key_is_valid("a") &&
+		    idempotency_key_is_valid("\"8e03978e-40d5-43dd-bc93-6894a57f9324\""));
+	assert_false(idempotency_key_is_valid("") || idempotency_key_is_valid("a b") ||
+		     idempotency_key_is_valid("a\x7f") || idempotency_key_is_valid("\xc3\xa4"));
 	memset(key, 'k', sizeof key);
 	key[IDEMPOTENCY_KEY_MAX] = 0;
 	assert_true(idempotency_key_is_valid(key));
@@ -56,7 +60,10 @@
 	assert_false(idempotency_key_is_valid(key));
 }
 
-static struct request_key numbered(uint64_t n) { return identity(NULL, 1, n, "x"); }
+static struct request_key numbered(uint64_t n)
+{
+	return identity(NULL, 1, n, "x");
+}
 
 static void the_record_is_bounded_and_knows_how_far_it_reaches(void **state)
 {
@@ -70,7 +77,8 @@
 	for (uint64_t base = 0; base < 250; base++) {
 		request_key = numbered(base);
 		assert_null(idempotency_log_find(&orders, &request_key));
-		idempotency_log_add(&orders, &request_key, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES, base + 1);
+		idempotency_log_add(&orders, &request_key, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES,
+				    base + 1);
 	}
 	idempotency_log_pack(&orders, &saved, pool);
 	idempotency_log_load(&loaded, &saved);
@@ -82,12 +90,15 @@
 			request_key = numbered(base);
 			if (base < 150) {
 				assert_null(idempotency_log_find(record, &request_key));
-				assert_true(idempotency_log_may_have_evicted(record, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES,
-								      base)); /* so it is not refused */
+				assert_true(idempotency_log_may_have_evicted(
+				    record, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES,
+				    base)); /* so it is not refused */
 			} else {
 				assert_non_null(idempotency_log_find(record, &request_key));
-				assert_int_equal(idempotency_log_find(record, &request_key)->version, base + 1);
-				assert_false(idempotency_log_may_have_evicted(record, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES, base));
+				assert_int_equal(idempotency_log_find(record, &request_key)->version,
+						 base + 1);
+				assert_false(idempotency_log_may_have_evicted(
+				    record, base % 2 ? SERIES_DOCUMENTS : SERIES_CHANGES, base));
 			}
 		}
 	}
@@ -97,7 +108,8 @@
 	request_key = numbered(150);
 	assert_null(idempotency_log_find(&orders, &request_key));
 	assert_null(idempotency_log_find(&loaded, &request_key));
-	assert_int_equal(orders.forgotten_versions[SERIES_CHANGES], loaded.forgotten_versions[SERIES_CHANGES]);
+	assert_int_equal(orders.forgotten_versions[SERIES_CHANGES],
+			 loaded.forgotten_versions[SERIES_CHANGES]);
 	idempotency_log_load(&loaded, NULL);
 	assert_int_equal(arrlen(loaded.records), 0);
 	assert_int_equal(loaded.forgotten_versions[SERIES_DOCUMENTS], 0);
@@ -176,7 +188,7 @@
 	struct copy copy[COPIES];
 	int copies, sendings;
 	int64_t retry_at; /* when it is sent next */
-	int repeats;   /* an order that was accepted before: its number in accepted, plus one */
+	int repeats;      /* an order that was accepted before: its number in accepted, plus one */
 };
 
 /* An order that was acknowledged, and what was said. */
@@ -197,13 +209,16 @@
 	struct known *known;       /* stb_ds: by version */
 	struct accepted *accepted; /* stb_ds */
 	int64_t fault_at, heal_at;
-	int broken;        /* the node in trouble; -1: none */
-	int64_t stop_requested_at;   /* when it was told to stop; 0: it was not, or has ended */
-	int64_t *calls_ms; /* stb_ds: of each planned stop, until no call was open any more */
+	int broken;                /* the node in trouble; -1: none */
+	int64_t stop_requested_at; /* when it was told to stop; 0: it was not, or has ended */
+	int64_t *calls_ms;         /* stb_ds: of each planned stop, until no call was open any more */
 	uint64_t refused, unknown, resent, repeated, faults, snapshots, reads;
 };
 
-static uint64_t random_below(struct world *w, uint64_t n) { return core_random(&w->rng) % n; }
+static uint64_t random_below(struct world *w, uint64_t n)
+{
+	return core_random(&w->rng) % n;
+}
 
 static void intact(struct world *world)
 {
@@ -227,7 +242,9 @@
 			int up = 0;
 
 			for (int q = 0; q < world->controllers; q++)
-				up |= world->s.nodes[q].up && !world->s.nodes[q].frozen && !world->s.nodes[q].partition && world->s.nodes[q].id == shard->members[k].id;
+				up |= world->s.nodes[q].up && !world->s.nodes[q].frozen &&
+				      !world->s.nodes[q].partition &&
+				      world->s.nodes[q].id == shard->members[k].id;
 			if (!up || !shard->members[k].voter)
 				return 0;
 		}
@@ -243,7 +260,8 @@
 		;
 	intact(world);
 	if (!whole(world))
-		fail_msg("seed %llu: not whole after %lld ms", (unsigned long long)world->s.seed, (long long)ms);
+		fail_msg("seed %llu: not whole after %lld ms", (unsigned long long)world->s.seed,
+			 (long long)ms);
 }
 
 static void found(struct world *w, uint64_t seed, enum interface interface, enum trouble fault)
@@ -302,7 +320,8 @@
 	if (world->stop_requested_at && node == world->broken)
 		return; /* its door is shut */
 	if (world->interface == DOCUMENTS)
-		c->token = sim_send_document(&world->s, node, o->op.base_version, 0, o->reads ? NULL : o->body, NULL);
+		c->token = sim_send_document(&world->s, node, o->op.base_version, 0,
+					     o->reads ? NULL : o->body, NULL);
 	else if (o->reads)
 		c->token = sim_call(&world->s, node, "GET", "/v1/table", "");
 	else
@@ -314,17 +333,20 @@
 {
 	operator->copies = operator->reads || random_below(world, 6) ? 1 : 2;
 	for (int i = 0; i < operator->copies; i++) {
-		operator->copy[i].lost = operator->sendings < 4 && !random_below(world, 4);
-		send_to(world, operator, &operator->copy[i], (int)random_below(world, (uint64_t)world->controllers), 0);
+		operator->copy[i].lost = operator->sendings<4 && !random_below(world, 4);
+		send_to(world, operator, & operator->copy[i],
+			(int)random_below(world, (uint64_t)world->controllers), 0);
 	}
 	operator->sendings++;
-	world->resent += operator->sendings > 1;
+	world->resent += operator->sendings> 1;
 }
 
 /* What one copy was answered, if it was: its status, 0 for none yet, -1 if none will be heard of. */
-static int hear(struct world *world, struct operator* operator, struct copy *replica, const struct sim_operator_answer **answer)
+static int hear(struct world *world, struct operator* operator, struct copy * replica,
+		const struct sim_operator_answer **answer)
 {
-	const struct sim_operator_answer *web = *answer = replica->lost ? NULL : sim_answer(&world->s, replica->token);
+	const struct sim_operator_answer *web = *answer =
+	    replica->lost ? NULL : sim_answer(&world->s, replica->token);
 
 	if (web && web->status == 307) {
 		if (replica->hops < 2 && node_at(world, web->to) >= 0) {
@@ -348,7 +370,8 @@
 }
 
 /* What a reading returned: the version and the content. */
-static void take_reading(struct world *world, struct operator* operator, const struct sim_operator_answer *web, int status)
+static void take_reading(struct world *world, struct operator* operator,
+			 const struct sim_operator_answer * web, int status)
 {
 	const char *text = web->full_body ? web->full_body : "";
 
@@ -379,14 +402,17 @@
 }
 
 /* An order that was accepted before is sent again: it must be acknowledged, with the same version. */
-static void take_repetition(struct world *world, struct operator* operator, const struct sim_operator_answer *web, int status)
+static void take_repetition(struct world *world, struct operator* operator,
+			    const struct sim_operator_answer * web, int status)
 {
 	const struct accepted *first = &world->accepted[operator->repeats - 1];
 
 	if (status != 200)
-		fail_msg("seed %llu: version %llu on %llu was acknowledged; sent again after %td more, it is refused with %d: %s",
-			 (unsigned long long)world->s.seed, (unsigned long long)first->version, (unsigned long long)first->base,
-			 arrlen(world->accepted) - operator->repeats, status, web->body);
+		fail_msg(
+		    "seed %llu: version %llu on %llu was acknowledged; sent again after %td more, it is refused with %d: %s",
+		    (unsigned long long)world->s.seed, (unsigned long long)first->version,
+		    (unsigned long long)first->base, arrlen(world->accepted) - operator->repeats, status,
+		    web->body);
 	if (world->interface == TABLE && number_after(web->body, "\"edition\":") != first->version)
 		fail_msg("seed %llu: acknowledged as %llu first, then %s", (unsigned long long)world->s.seed,
 			 (unsigned long long)first->version, web->body);
@@ -413,13 +439,15 @@
 }
 
 /* The operator has a clear answer. */
-static void conclude(struct world *world, struct operator* operator, const struct sim_operator_answer *web, int status)
+static void conclude(struct world *world, struct operator* operator, const struct sim_operator_answer * web,
+		     int status)
 {
 	operator->op.returned_at = world->s.now;
 	operator->busy = 0;
 	if (operator->reads) {
 		if (status != 200 && status != 404)
-			fail_msg("seed %llu: a reading is answered with %d", (unsigned long long)world->s.seed, status);
+			fail_msg("seed %llu: a reading is answered with %d",
+				 (unsigned long long)world->s.seed, status);
 		take_reading(world, operator, web, status);
 		learn(world, &operator->op);
 		world->reads++;
@@ -431,7 +459,8 @@
 		remember(world, operator);
 	} else {
 		if (status != (world->interface == TABLE ? 409 : 412))
-			fail_msg("seed %llu: status %d for a valid order: %s", (unsigned long long)world->s.seed, status, web->body);
+			fail_msg("seed %llu: status %d for a valid order: %s",
+				 (unsigned long long)world->s.seed, status, web->body);
 		operator->op.outcome = LINEAR_REFUSED;
 		world->refused++;
 	}
@@ -445,8 +474,8 @@
 		const struct sim_operator_answer *web = sim_answer(&world->s, operator->copy[i].token);
 
 		if (web && web->status < 500 && web->status != 307 && web->status != status)
-			fail_msg("seed %llu: copies of one order are answered with %d and %d", (unsigned long long)world->s.seed,
-				 status, web->status);
+			fail_msg("seed %llu: copies of one order are answered with %d and %d",
+				 (unsigned long long)world->s.seed, status, web->status);
 	}
 }
 
@@ -454,7 +483,8 @@
 static void leave_calls(struct world *world, struct operator* operator)
 {
 	for (int i = 0; i < operator->copies; i++)
-		if (random_below(world, 2) && operator->copy[i].token && !sim_answer(&world->s, operator->copy[i].token))
+		if (random_below(world, 2) && operator->copy[i].token && !sim_answer(
+						  &world->s, operator->copy[i].token))
 			sim_operator_disconnect(&world->s, operator->copy[i].node, operator->copy[i].token);
 	operator->copies = 0;
 }
@@ -468,7 +498,7 @@
 		return;
 	for (int i = 0; i < operator->copies; i++) {
 		const struct sim_operator_answer *web;
-		int status = hear(world, operator, &operator->copy[i], &web);
+		int status = hear(world, operator, & operator->copy[i], &web);
 
 		waiting += !status;
 		if (status <= 0)
@@ -485,7 +515,7 @@
 		return;
 	if (operator->copies) { /* none will be answered: again, elsewhere, a little later */
 		leave_calls(world, operator);
-		operator->retry_at = world->s.now + 20 + (int64_t)random_below(world, 200);
+		operator->retry_at = world->s.now + 20 +(int64_t) random_below(world, 200);
 	}
 	if (operator->gives_up && operator->sendings) {
 		operator->op.outcome = LINEAR_UNKNOWN;
@@ -517,22 +547,26 @@
 	struct known base = { 0, 0 };
 
 	if (n)
-		base = world->known[random_below(world, 10) ? (size_t)n - 1 : random_below(world, (uint64_t)n)];
+		base =
+		    world->known[random_below(world, 10) ? (size_t)n - 1 : random_below(world, (uint64_t)n)];
 	operator->op.base_version = base.version;
 	operator->base_value = base.value;
 }
 
-/* A document on the newest version that is known, or now and then on an older one; several may choose the same number. */
+/* A document on the newest version that is known, or now and then on an older one; several may choose the
+ * same number. */
 static void write_document(struct world *world, struct operator* operator)
 {
 	choose_base(world, operator);
 	operator->op.version = operator->op.base_version + 1 + random_below(world, 2);
-	snprintf(operator->body, sizeof operator->body,
-		 "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"TenantList\":[],\"OrderNumber\":%llu}",
-		 (unsigned long long)operator->op.version, (unsigned long long)operator->op.value);
+	snprintf(
+	    operator->body, sizeof operator->body,
+	    "{\"ConfigVersion\":%llu,\"RouteList\":[],\"ServiceList\":[],\"TenantList\":[],\"OrderNumber\":%llu}",
+	    (unsigned long long)operator->op.version, (unsigned long long)operator->op.value);
 }
 
-/* A change of one cell: on the newest version known, and now and then on whatever is in force, then with a key. */
+/* A change of one cell: on the newest version known, and now and then on whatever is in force, then with a
+ * key. */
 static void write_row(struct world *world, struct operator* operator)
 {
 	int anywhere = !random_below(world, 6);
@@ -543,17 +577,20 @@
 		operator->op.base_version = LINEAR_ANY;
 	operator->op.version = LINEAR_ANY;
 	if (!anywhere)
-		snprintf(expect, sizeof expect, "\"expect\":%llu,", (unsigned long long)operator->op.base_version);
+		snprintf(expect, sizeof expect, "\"expect\":%llu,",
+			 (unsigned long long)operator->op.base_version);
 	if (anywhere || random_below(world, 2))
-		snprintf(operator->key, sizeof operator->key, "operator-%llu", (unsigned long long)operator->op.value);
-	snprintf(operator->body, sizeof operator->body, "{%s\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1,\"limit\":%llu}]}", expect,
+		snprintf(operator->key, sizeof operator->key, "operator-%llu",
+			 (unsigned long long)operator->op.value);
+	snprintf(operator->body, sizeof operator->body,
+		 "{%s\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1,\"limit\":%llu}]}", expect,
 		 (unsigned long long)operator->op.value);
 }
 
 static void begin_request(struct world *world, struct operator* operator)
 {
 	begin(world, operator, 0);
-	operator->op.value = ++world->values;
+	operator->op.value = ++ world->values;
 	operator->gives_up = !random_below(world, 40);
 	if (world->interface == DOCUMENTS)
 		write_document(world, operator);
@@ -563,10 +600,12 @@
 
 static void begin_repetition(struct world *world, struct operator* operator)
 {
-	size_t n = (size_t)arrlen(world->accepted), at = random_below(world, 2) ? random_below(world, n) : random_below(world, n / 4 + 1); /* rather an old one */
+	size_t n = (size_t)arrlen(world->accepted),
+	       at = random_below(world, 2) ? random_below(world, n)
+					   : random_below(world, n / 4 + 1); /* rather an old one */
 
 	begin(world, operator, 0);
-	operator->repeats = (int)at + 1;
+	operator->repeats =(int) at + 1;
 	operator->op.base_version = world->accepted[at].base;
 	memcpy(operator->body, world->accepted[at].body, sizeof operator->body);
 	memcpy(operator->key, world->accepted[at].key, sizeof operator->key);
@@ -580,24 +619,37 @@
 
 	if (!world->s.nodes[node].up)
 		return;
-	world->s.nodes[node].controller->shards[SHARD_CONTROL].applied_bytes = 2 * RAFT_SNAPSHOT_LOG_BYTES; /* as after large documents */
+	world->s.nodes[node].controller->shards[SHARD_CONTROL].applied_bytes =
+	    2 * RAFT_SNAPSHOT_LOG_BYTES; /* as after large documents */
 	world->snapshots++;
 }
 
 static void break_something(struct world *world)
 {
 	int leader = sim_leader(&world->s, SHARD_CONTROL),
-	    node = leader >= 0 && random_below(world, 3) ? leader : (int)random_below(world, (uint64_t)world->controllers);
+	    node = leader >= 0 && random_below(world, 3)
+		       ? leader
+		       : (int)random_below(world, (uint64_t)world->controllers);
 
 	world->broken = node;
 	world->faults++;
 	world->heal_at = world->s.now + 200 + (int64_t)random_below(world, 3000);
 	switch (random_below(world, 6)) {
-	case 0: sim_crash(&world->s, node, 0); break;
-	case 1: sim_crash(&world->s, node, 1); break;
-	case 2: sim_cut(&world->s, node, 1); break;
-	case 3: sim_freeze(&world->s, node, 1); break;
-	case 4: world->s.nodes[node].stalled_until = world->heal_at; break;
+	case 0:
+		sim_crash(&world->s, node, 0);
+		break;
+	case 1:
+		sim_crash(&world->s, node, 1);
+		break;
+	case 2:
+		sim_cut(&world->s, node, 1);
+		break;
+	case 3:
+		sim_freeze(&world->s, node, 1);
+		break;
+	case 4:
+		world->s.nodes[node].stalled_until = world->heal_at;
+		break;
 	default: /* it speaks, and hears nothing; or the other way round */
 		for (int i = 0, deaf = (int)random_below(world, 2); i < world->controllers; i++)
 			world->s.link_cut[deaf ? i : node][deaf ? node : i] = i != node;
@@ -617,8 +669,9 @@
 
 /* ---- planned stops ---- */
 
-/* As a program that got SIGTERM: it ends once nothing needs it and all its calls are answered, and at the latest when the
- * grace is over; no call may be open by then. Some go for good, and an empty machine takes the address. */
+/* As a program that got SIGTERM: it ends once nothing needs it and all its calls are answered, and at the
+ * latest when the grace is over; no call may be open by then. Some go for good, and an empty machine takes
+ * the address. */
 static void end_planned_stop(struct world *world)
 {
 	struct controller *controller = world->s.nodes[world->broken].controller;
@@ -626,8 +679,8 @@
 	int64_t took = world->s.now - world->stop_requested_at;
 
 	if (open && took > STOP_CALLS_MS)
-		fail_msg("seed %llu: %llu calls are open %lld ms after the stop", (unsigned long long)world->s.seed,
-			 (unsigned long long)open, (long long)took);
+		fail_msg("seed %llu: %llu calls are open %lld ms after the stop",
+			 (unsigned long long)world->s.seed, (unsigned long long)open, (long long)took);
 	if (!open && world->calls_ms && arrlast(world->calls_ms) < 0)
 		arrlast(world->calls_ms) = took;
 	if ((open || !controller_stopped(controller, sim_local(&world->s, world->broken))) && took < GRACE_MS)
@@ -641,7 +694,9 @@
 {
 	int leader = sim_leader(&world->s, SHARD_CONTROL);
 
-	world->broken = leader >= 0 && random_below(world, 5) ? leader : (int)random_below(world, (uint64_t)world->controllers);
+	world->broken = leader >= 0 && random_below(world, 5)
+			    ? leader
+			    : (int)random_below(world, (uint64_t)world->controllers);
 	world->stop_requested_at = world->s.now;
 	world->heal_at = INT64_MAX;
 	world->fault_at = world->s.now + STOP_EVERY_MS;
@@ -739,7 +794,7 @@
 /* Read at the leader, once all is calm. */
 static void read_back(struct world *world)
 {
-	struct operator* operator = & world->reader[0];
+	struct operator* operator= & world->reader[0];
 
 	begin(world, operator, 1);
 	while (operator->busy) {
@@ -747,19 +802,20 @@
 		if (world->s.now > operator->op.called_at + SETTLE_MS || !sim_run(&world->s, POLL_MS, NULL))
 			fail_msg("seed %llu: nothing is read back", (unsigned long long)world->s.seed);
 	}
-	if (operator->op.version < world->newest)
-		fail_msg("seed %llu: version %llu is read back after %llu was acknowledged", (unsigned long long)world->s.seed,
-			 (unsigned long long)operator->op.version, (unsigned long long)world->newest);
+	if (operator->op.version<world->newest)
+		fail_msg("seed %llu: version %llu is read back after %llu was acknowledged",
+			 (unsigned long long)world->s.seed, (unsigned long long)operator->op.version,
+			 (unsigned long long)world->newest);
 }
 
 /* All that was ever acknowledged is acknowledged again. */
 static void repeat_all(struct world *world)
 {
 	for (size_t i = 0; i < (size_t)arrlen(world->accepted); i++) {
-		struct operator* operator = & world->repeater[0];
+		struct operator* operator= & world->repeater[0];
 
 		begin_repetition(world, operator);
-		operator->repeats = (int)i + 1;
+		operator->repeats =(int) i + 1;
 		operator->op.base_version = world->accepted[i].base;
 		memcpy(operator->body, world->accepted[i].body, sizeof operator->body);
 		memcpy(operator->key, world->accepted[i].key, sizeof operator->key);
@@ -767,19 +823,22 @@
 		while (operator->busy) {
 			attend(world, operator);
 			if (world->s.now > operator->op.called_at + SETTLE_MS || !sim_run(&world->s, 1, NULL))
-				fail_msg("seed %llu: no answer to a repeated order", (unsigned long long)world->s.seed);
+				fail_msg("seed %llu: no answer to a repeated order",
+					 (unsigned long long)world->s.seed);
 		}
 	}
 }
 
-/* The version of the table under which a value came into force: that its order was told, else the lowest under which it was
- * read. Other rows raise the table's version too, and a reading may show any from there up to the next change. */
+/* The version of the table under which a value came into force: that its order was told, else the lowest
+ * under which it was read. Other rows raise the table's version too, and a reading may show any from there up
+ * to the next change. */
 static uint64_t table_version(const struct world *world, uint64_t value)
 {
 	uint64_t version = value ? LINEAR_ANY : 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(world->ops); i++)
-		if (world->ops[i].value == value && world->ops[i].outcome == LINEAR_OK && world->ops[i].version < version)
+		if (world->ops[i].value == value && world->ops[i].outcome == LINEAR_OK &&
+		    world->ops[i].version < version)
 			version = world->ops[i].version;
 	return version;
 }
@@ -806,10 +865,13 @@
 			const struct linear_op *a = &world->ops[i], *b = &world->ops[k];
 
 			if (a->kind == LINEAR_WRITE && b->kind == LINEAR_WRITE && a->outcome == LINEAR_OK &&
-			    b->outcome == LINEAR_OK && ((a->base_version == b->base_version && a->base_version != LINEAR_ANY) || a->version == b->version))
-				fail_msg("seed %llu: two orders on version %llu are acknowledged as %llu and %llu",
-					 (unsigned long long)world->s.seed, (unsigned long long)a->base_version, (unsigned long long)b->version,
-					 (unsigned long long)a->version);
+			    b->outcome == LINEAR_OK &&
+			    ((a->base_version == b->base_version && a->base_version != LINEAR_ANY) ||
+			     a->version == b->version))
+				fail_msg(
+				    "seed %llu: two orders on version %llu are acknowledged as %llu and %llu",
+				    (unsigned long long)world->s.seed, (unsigned long long)a->base_version,
+				    (unsigned long long)b->version, (unsigned long long)a->version);
 		}
 }
 
@@ -846,7 +908,10 @@
 		const struct raft *shard = &world->s.nodes[i].controller->shards[SHARD_CONTROL];
 		uint8_t *b;
 
-		if (!world->s.nodes[i].up || shard->applied_index != world->s.nodes[leader].controller->shards[SHARD_CONTROL].applied_index || !shard->member_count)
+		if (!world->s.nodes[i].up ||
+		    shard->applied_index !=
+			world->s.nodes[leader].controller->shards[SHARD_CONTROL].applied_index ||
+		    !shard->member_count)
 			continue;
 		b = controller_state(world->s.nodes[i].controller, SHARD_CONTROL, pool, &m);
 		assert_int_equal(n, m);
@@ -869,17 +934,18 @@
 	if (!ms || !n)
 		return;
 	qsort(ms, (size_t)n, sizeof *ms, compare_times);
-	print_message("%td planned stops: all calls answered after %lld ms in the median, p99 %lld, most %lld\n", n,
-		      (long long)ms[n / 2], (long long)ms[(n - 1) * 99 / 100], (long long)ms[n - 1]);
+	print_message(
+	    "%td planned stops: all calls answered after %lld ms in the median, p99 %lld, most %lld\n", n,
+	    (long long)ms[n / 2], (long long)ms[(n - 1) * 99 / 100], (long long)ms[n - 1]);
 }
 
-static void operators_at_once(enum interface interface, enum trouble fault, const char *name, uint64_t seeds_wanted,
-			      int64_t run_ms)
+static void operators_at_once(enum interface interface, enum trouble fault, const char *name,
+			      uint64_t seeds_wanted, int64_t run_ms)
 {
 	uint64_t seeds = getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : seeds_wanted,
 		 first = getenv("NL_SEED") ? strtoull(getenv("NL_SEED"), NULL, 10) : 1;
-	uint64_t orders = 0, accepted = 0, refused = 0, unknown = 0, reads = 0, resent = 0, repeated = 0, faults = 0,
-		 snapshots = 0;
+	uint64_t orders = 0, accepted = 0, refused = 0, unknown = 0, reads = 0, resent = 0, repeated = 0,
+		 faults = 0, snapshots = 0;
 	int64_t *calls_ms = NULL;
 	static struct world world;
 
@@ -909,13 +975,14 @@
 	print_message(
 	    "%s, %llu seeds: %llu orders: %llu accepted, %llu refused, %llu unknown; %llu readings; sent again without an answer %llu times, after an acknowledgement %llu; "
 	    "%llu troubles, %llu snapshots\n",
-	    name, (unsigned long long)seeds, (unsigned long long)orders, (unsigned long long)accepted, (unsigned long long)refused,
-	    (unsigned long long)unknown, (unsigned long long)reads, (unsigned long long)resent, (unsigned long long)repeated,
-	    (unsigned long long)faults, (unsigned long long)snapshots);
+	    name, (unsigned long long)seeds, (unsigned long long)orders, (unsigned long long)accepted,
+	    (unsigned long long)refused, (unsigned long long)unknown, (unsigned long long)reads,
+	    (unsigned long long)resent, (unsigned long long)repeated, (unsigned long long)faults,
+	    (unsigned long long)snapshots);
 	print_stops(calls_ms);
 	arrfree(calls_ms);
-	assert_true(accepted > 20 * seeds && refused > 20 * seeds && resent > 20 * seeds && repeated > 20 * seeds &&
-		    faults > seeds);
+	assert_true(accepted > 20 * seeds && refused > 20 * seeds && resent > 20 * seeds &&
+		    repeated > 20 * seeds && faults > seeds);
 }
 
 static void documents_of_many_operators(void **state)
@@ -938,7 +1005,8 @@
 	operators_at_once(TABLE, FAULTS, "changes, long", 4, LONG_RUN_MS);
 }
 
-/* Hundreds of changes while the leader is told to stop every 4 s and comes back with its disk or as an empty machine. */
+/* Hundreds of changes while the leader is told to stop every 4 s and comes back with its disk or as an empty
+ * machine. */
 static void requests_through_planned_stops(void **state)
 {
 	(void)state;
@@ -949,21 +1017,25 @@
 /* ---- single cases ---- */
 
 /* Make a call as one operator does, wherever it is answered; its status. */
-static int call(struct world *world, const char *path, const char *body, const char *key, const struct sim_operator_answer **answer)
+static int call(struct world *world, const char *path, const char *body, const char *key,
+		const struct sim_operator_answer **answer)
 {
 	int64_t end = world->s.now + SETTLE_MS;
 
 	while (world->s.now < end) {
 		int node = (int)random_below(world, (uint64_t)world->controllers);
-		uint64_t token = world->s.nodes[node].up ? sim_call_keyed(&world->s, node, "POST", path, body, key) : 0;
+		uint64_t token =
+		    world->s.nodes[node].up ? sim_call_keyed(&world->s, node, "POST", path, body, key) : 0;
 		int64_t sent = world->s.now;
 
-		for (int hops = 0; token && world->s.now - sent < 6000 && sim_run(&world->s, POLL_MS, NULL);) {
+		for (int hops = 0;
+		     token && world->s.now - sent < 6000 && sim_run(&world->s, POLL_MS, NULL);) {
 			const struct sim_operator_answer *web = sim_answer(&world->s, token);
 
 			if (web && web->status == 307 && hops++ < 2) {
 				node = node_at(world, web->to);
-				token = node >= 0 ? sim_call_keyed(&world->s, node, "POST", path, body, key) : 0;
+				token =
+				    node >= 0 ? sim_call_keyed(&world->s, node, "POST", path, body, key) : 0;
 			} else if (web && web->status < 500 && web->status != 307) {
 				*answer = web;
 				return web->status;
@@ -988,10 +1060,15 @@
 	run_until_complete(world, 15000);
 }
 
-static uint64_t edition(const struct sim_operator_answer *web) { return number_after(web->body, "\"edition\":"); }
+static uint64_t edition(const struct sim_operator_answer *web)
+{
+	return number_after(web->body, "\"edition\":");
+}
 
-static const char tenant_change[] = "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1}]}";
-static const char other_change[] = "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":2}]}";
+static const char tenant_change[] =
+    "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1}]}";
+static const char other_change[] =
+    "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":2}]}";
 static const char unconditional[] = "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":3}]}";
 
 static const char service_change[] =
@@ -1009,7 +1086,8 @@
 	sim_run(&world.s, 3000, NULL);
 	assert_int_equal(call(&world, "/v1/change", tenant_change, "", &web), 200);
 	first = edition(web);
-	assert_int_equal(call(&world, "/v1/change", tenant_change, "", &web), 200); /* was: 409, edition overtaken */
+	assert_int_equal(call(&world, "/v1/change", tenant_change, "", &web),
+			 200); /* was: 409, edition overtaken */
 	assert_int_equal(edition(web), first);
 	assert_int_equal(call(&world, "/v1/change", other_change, "", &web), 409);
 	/* without a base it is recognised by its key alone */
@@ -1063,19 +1141,25 @@
 		for (int i = 0; i < 2; i++) {
 			char body[200];
 
-			snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1}]}", i);
-			token[i] = sim_call_keyed(&world.s, sim_leader(&world.s, SHARD_CONTROL), "POST", "/v1/change", body, "one-key");
+			snprintf(body, sizeof body,
+				 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1}]}", i);
+			token[i] = sim_call_keyed(&world.s, sim_leader(&world.s, SHARD_CONTROL), "POST",
+						  "/v1/change", body, "one-key");
 		}
 		sim_run(&world.s, 3000, NULL);
 		for (int i = 0; i < 2; i++)
-			status[i] = sim_answer(&world.s, token[i]) ? sim_answer(&world.s, token[i])->status : 0;
+			status[i] =
+			    sim_answer(&world.s, token[i]) ? sim_answer(&world.s, token[i])->status : 0;
 		if (status[0] + status[1] != 200 + 422)
 			fail_msg("seed %llu: %d and %d", (unsigned long long)seed, status[0], status[1]);
 		for (int i = 0; i < 2; i++) {
 			char name[4] = { 't', (char)('0' + i), 0 };
 
-			assert_int_equal(status[i] == 200,
-					 config_table_get(&world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, name) != NULL);
+			assert_int_equal(
+			    status[i] == 200,
+			    config_table_get(
+				&world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->config,
+				NL__KIND__TENANT, name) != NULL);
 		}
 		intact(&world);
 		close_world(&world);
@@ -1104,8 +1188,8 @@
 	sim_push(&world->s, event);
 }
 
-/* A controller passes an order on twice, since no answer comes. The leader refuses the first copy and, after another change,
- * accepts the second: the refusal, which arrives last, must not be said. */
+/* A controller passes an order on twice, since no answer comes. The leader refuses the first copy and, after
+ * another change, accepts the second: the refusal, which arrives last, must not be said. */
 static void a_refused_copy_does_not_decide_for_the_others(void **state)
 {
 	static struct world world;
@@ -1122,7 +1206,8 @@
 	sim_run(&world.s, 50, NULL);
 	assert_int_equal(sim_call_and_wait(&world.s, leader, "POST", "/v1/change", service_change, 300), 200);
 	sim_run(&world.s, 500, NULL);
-	assert_null(config_table_get(&world.s.nodes[leader].controller->config, NL__KIND__SERVICE, "s")); /* the second copy was accepted */
+	assert_null(config_table_get(&world.s.nodes[leader].controller->config, NL__KIND__SERVICE,
+				     "s")); /* the second copy was accepted */
 	assert_int_equal(arrlen(world.s.nodes[submitted].controller->proposals), 1);
 	deliver_refusal(&world, leader, submitted, world.s.nodes[submitted].controller->proposals[0].token);
 	sim_run(&world.s, 100, NULL);
@@ -1147,14 +1232,22 @@
 
 		found(&world, seed, TABLE, FAULTS);
 		for (int i = 0; i < 4; i++) {
-			assert_int_equal(call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"one\"}", "clear-1", &web), 200);
+			assert_int_equal(
+			    call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"one\"}", "clear-1", &web),
+			    200);
 			if (i == 1)
 				replace_leader(&world);
 		}
-		assert_int_equal(world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->retention.last_purge_number, 1);
-		assert_int_equal(call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"two\"}", "clear-1", &web), 422);
-		assert_int_equal(call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"two\"}", "clear-2", &web), 200);
-		assert_int_equal(world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->retention.last_purge_number, 2);
+		assert_int_equal(world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)]
+				     .controller->retention.last_purge_number,
+				 1);
+		assert_int_equal(
+		    call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"two\"}", "clear-1", &web), 422);
+		assert_int_equal(
+		    call(&world, "/v1/clear", "{\"scope\":\"*\",\"by\":\"two\"}", "clear-2", &web), 200);
+		assert_int_equal(world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)]
+				     .controller->retention.last_purge_number,
+				 2);
 		intact(&world);
 		close_world(&world);
 	}
@@ -1174,7 +1267,8 @@
 	for (int i = 0; i < world.controllers; i++)
 		world.s.nodes[i].controller->accepted_requests.capacity = 8;
 	for (int i = 0; i < 20; i++) {
-		snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":%d}]}",
+		snprintf(body, sizeof body,
+			 "{\"expect\":%llu,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":%d}]}",
 			 (unsigned long long)base, i + 1);
 		assert_int_equal(call(&world, "/v1/change", body, "", &web), 200);
 		base = edition(web);
@@ -1182,11 +1276,14 @@
 	leader = sim_leader(&world.s, SHARD_CONTROL);
 	assert_int_equal(arrlen(world.s.nodes[leader].controller->accepted_requests.records), 8);
 	assert_int_equal(call(&world, "/v1/change", body, "", &web), 200);
-	snprintf(body, sizeof body, "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1}]}");
+	snprintf(body, sizeof body,
+		 "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1}]}");
 	assert_int_equal(sim_call_and_wait(&world.s, leader, "POST", "/v1/change", body, 3000), 504);
-	snprintf(body, sizeof body, "{\"expect\":%llu,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":99}]}",
+	snprintf(body, sizeof body,
+		 "{\"expect\":%llu,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":99}]}",
 		 (unsigned long long)base - 1);
-	assert_int_equal(call(&world, "/v1/change", body, "", &web), 409); /* never sent, and its base is inside the record */
+	assert_int_equal(call(&world, "/v1/change", body, "", &web),
+			 409); /* never sent, and its base is inside the record */
 	intact(&world);
 	close_world(&world);
 }
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -9,7 +9,7 @@
 #include <apr_general.h>
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "router_internal.h"
 #include "sim.h"
 
@@ -22,7 +22,10 @@
 	return e ? strtoull(e, NULL, 10) : n;
 }
 
-static uint64_t random_below(uint64_t *s, uint64_t n) { return core_random(s) % n; }
+static uint64_t random_below(uint64_t *s, uint64_t n)
+{
+	return core_random(s) % n;
+}
 
 /* ---- the judge ------------------------------------------------------------------ */
 
@@ -31,38 +34,50 @@
 	int state[SIM_NODES][256];
 	uint64_t incarnations[SIM_NODES];
 	int64_t in_touch_since[SIM_NODES]; /* in touch since */
-	int64_t last_core_fault_at;       /* last trouble of the core, or of the list */
+	int64_t last_core_fault_at;        /* last trouble of the core, or of the list */
 	int64_t drained_worst;
 };
 
 static void check_one(struct sim *sim, struct judge *checker, int node, int i)
 {
 	struct sim_instance *listed = &sim->instance_list.instances[i];
-	const struct Nl__Instance *x = instances_get(&sim->nodes[node].router->config_watch.instances, listed->name);
+	const struct Nl__Instance *x =
+	    instances_get(&sim->nodes[node].router->config_watch.instances, listed->name);
 	int was = checker->state[node][i], is = !x ? -1 : (int)x->state;
 
 	/* state as judged: 0 never seen, 1 serving, 2 draining, 3 gone or forgotten after it */
-	is = is < 0 ? (was >= 2 || (was && listed->ended_at && sim->now > listed->ended_at + sim->instance_list.lag_ms) ? 3 : 0) : is + 1;
+	is = is < 0 ? (was >= 2 || (was && listed->ended_at &&
+				    sim->now > listed->ended_at + sim->instance_list.lag_ms)
+			   ? 3
+			   : 0)
+		    : is + 1;
 	if (was == 1 && is == 0)
 		sim_violation(sim, "counter %d loses server %s", node, listed->name);
 	if (was >= 2 && is == 1)
 		sim_violation(sim, "counter %d: server %s serves again", node, listed->name);
 	if (is == 3 && was != 3 && !listed->ended_at)
-		sim_violation(sim, "counter %d: server %s is gone, but stands on the list", node, listed->name);
-	if (is == 1 && sim->now - checker->in_touch_since[node] > 3000 && sim->now - checker->last_core_fault_at > 3000) {
-		int64_t shown = listed->draining ? listed->drained_at + sim->instance_list.lag_ms : listed->ended_at ? listed->ended_at + sim->instance_list.lag_ms : 0;
+		sim_violation(sim, "counter %d: server %s is gone, but stands on the list", node,
+			      listed->name);
+	if (is == 1 && sim->now - checker->in_touch_since[node] > 3000 &&
+	    sim->now - checker->last_core_fault_at > 3000) {
+		int64_t shown = listed->draining   ? listed->drained_at + sim->instance_list.lag_ms
+				: listed->ended_at ? listed->ended_at + sim->instance_list.lag_ms
+						   : 0;
 
 		if (shown && sim->now - shown > checker->drained_worst && shown > checker->last_core_fault_at)
 			checker->drained_worst = sim->now - shown;
 		if (shown && sim->now - shown > sim->bounds.drain_ms)
-			sim_violation(sim, "counter %d: server %s serves %lld ms after the list showed that it leaves", node, listed->name,
-				   (long long)(sim->now - shown));
-		if (sim->now - checker->in_touch_since[node] > 6000 && sim->now - checker->last_core_fault_at > 6000 && x && strcmp(x->weights, listed->weights) &&
-		    sim->now - listed->changed_at > 3000)
-			sim_violation(sim, "counter %d: server %s has %s, not %s", node, listed->name, listed->weights, x->weights);
+			sim_violation(
+			    sim, "counter %d: server %s serves %lld ms after the list showed that it leaves",
+			    node, listed->name, (long long)(sim->now - shown));
+		if (sim->now - checker->in_touch_since[node] > 6000 &&
+		    sim->now - checker->last_core_fault_at > 6000 && x &&
+		    strcmp(x->weights, listed->weights) && sim->now - listed->changed_at > 3000)
+			sim_violation(sim, "counter %d: server %s has %s, not %s", node, listed->name,
+				      listed->weights, x->weights);
 	}
-	if (!is && listed->up && !listed->draining && sim->now - listed->started_at > 6000 && sim->now - checker->in_touch_since[node] > 6000 &&
-	    sim->now - checker->last_core_fault_at > 8000)
+	if (!is && listed->up && !listed->draining && sim->now - listed->started_at > 6000 &&
+	    sim->now - checker->in_touch_since[node] > 6000 && sim->now - checker->last_core_fault_at > 8000)
 		sim_violation(sim, "counter %d doesn't know server %s", node, listed->name);
 	checker->state[node][i] = is;
 }
@@ -79,11 +94,14 @@
 		}
 		if (!sim->nodes[n].up || sim->nodes[n].frozen || sim->nodes[n].partition)
 			j->in_touch_since[n] = sim->now;
-		for (int i = 0; i < arrlen(sim->instance_list.instances) && i < 256 && sim->nodes[n].up && sim->nodes[n].router && !sim->nodes[n].frozen; i++)
+		for (int i = 0; i < arrlen(sim->instance_list.instances) && i < 256 && sim->nodes[n].up &&
+				sim->nodes[n].router && !sim->nodes[n].frozen;
+		     i++)
 			check_one(sim, j, n, i);
 	}
 	for (int n = 0; n < SIM_CONTROLLERS; n++)
-		if (sim->nodes[n].used && (!sim->nodes[n].up || sim->nodes[n].frozen || sim->nodes[n].partition))
+		if (sim->nodes[n].used &&
+		    (!sim->nodes[n].up || sim->nodes[n].frozen || sim->nodes[n].partition))
 			j->last_core_fault_at = sim->now;
 	for (int n = 0; n < CONTROLLERS * CONTROLLERS; n++)
 		if (sim->link_cut[n / CONTROLLERS][n % CONTROLLERS])
@@ -96,13 +114,16 @@
 static void check_rolled_out(struct sim *sim)
 {
 	int at = sim_leader(sim, SHARD_CONTROL);
-	const struct Nl__Row *row = at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
+	const struct Nl__Row *row =
+	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
 
 	for (ptrdiff_t i = 0; row && row->rolled_out[0] && i < arrlen(sim->instance_list.instances); i++)
-		if (sim->instance_list.instances[i].up && !sim->instance_list.instances[i].draining && sim->now - sim->instance_list.instances[i].started_at > 3000 &&
+		if (sim->instance_list.instances[i].up && !sim->instance_list.instances[i].draining &&
+		    sim->now - sim->instance_list.instances[i].started_at > 3000 &&
 		    strcmp(sim->instance_list.instances[i].weights, row->rolled_out) < 0)
-			sim_violation(sim, "%s is called rolled out, but server %s has %s", row->rolled_out, sim->instance_list.instances[i].name,
-				   sim->instance_list.instances[i].weights);
+			sim_violation(sim, "%s is called rolled out, but server %s has %s", row->rolled_out,
+				      sim->instance_list.instances[i].name,
+				      sim->instance_list.instances[i].weights);
 }
 
 static void go(struct sim *sim, struct judge *checker, int64_t ms)
@@ -197,7 +218,8 @@
 static const char *rolled(struct sim *sim)
 {
 	int at = sim_leader(sim, SHARD_CONTROL);
-	const struct Nl__Row *row = at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
+	const struct Nl__Row *row =
+	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
 
 	return row ? row->rolled_out : "";
 }
@@ -224,18 +246,23 @@
 		go(&sim, &checker, sim.bounds.rollout_ms);
 		last = all_have(&sim, "2", targeted_at);
 		if (seed < 3)
-			print_message("seed %d: load %d ms: all have it after %lld ms, %d at once, %d orders, %d looks, %d lists\n",
-				      (int)seed, sim.instance_list.load_ms, (long long)last, sim.instance_list.most_loads, (int)sim.instance_list.n_commands,
-				      (int)sim.instance_list.n_polls, (int)sim.instance_list.n_list);
+			print_message(
+			    "seed %d: load %d ms: all have it after %lld ms, %d at once, %d orders, %d looks, %d lists\n",
+			    (int)seed, sim.instance_list.load_ms, (long long)last,
+			    sim.instance_list.most_loads, (int)sim.instance_list.n_commands,
+			    (int)sim.instance_list.n_polls, (int)sim.instance_list.n_list);
 		assert_true(last >= 0);
 		assert_int_equal(sim.instance_list.n_load, SERVERS);
 		assert_int_equal(sim.instance_list.n_commands, SERVERS);
-		assert_int_equal(sim.instance_list.n_loads_under_requests, SERVERS); /* no server waits for the end of what runs there */
+		assert_int_equal(sim.instance_list.n_loads_under_requests,
+				 SERVERS); /* no server waits for the end of what runs there */
 		go(&sim, &checker, 2000);
 		assert_string_equal(rolled(&sim), "2");
 		assert_int_equal(sim.instance_list.n_commands, SERVERS);
 		for (int i = 0; i < SERVERS; i++) {
-			const struct Nl__Instance *listed = instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances, sim.instance_list.instances[i].name);
+			const struct Nl__Instance *listed =
+			    instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances,
+					  sim.instance_list.instances[i].name);
 
 			assert_non_null(listed);
 			assert_string_equal(listed->weights, "2");
@@ -245,7 +272,8 @@
 	}
 }
 
-/* Where more at once don't slow each other down, more are told from early on, rather than all that are left at the end. */
+/* Where more at once don't slow each other down, more are told from early on, rather than all that are left
+ * at the end. */
 static void more_at_once_where_it_helps(void **state)
 {
 	struct sim sim;
@@ -259,8 +287,8 @@
 	targeted_at = sim.now;
 	go(&sim, &checker, sim.bounds.rollout_ms);
 	last = all_have(&sim, "2", targeted_at);
-	print_message("no slower with more: all have it after %lld ms, %d at once, %d orders\n", (long long)last, sim.instance_list.most_loads,
-		      (int)sim.instance_list.n_commands);
+	print_message("no slower with more: all have it after %lld ms, %d at once, %d orders\n",
+		      (long long)last, sim.instance_list.most_loads, (int)sim.instance_list.n_commands);
 	assert_true(last >= 0 && last < sim.bounds.rollout_ms * ROLLOUT_PLANNED_PERCENT / 100);
 	assert_true(sim.instance_list.most_loads <= 6);
 	sim_close(&sim);
@@ -334,7 +362,8 @@
 		if (last > worst)
 			worst = last;
 		if (last > sim.bounds.rollout_ms)
-			fail_msg("seed %llu: all have it after %lld ms", (unsigned long long)seed, (long long)last);
+			fail_msg("seed %llu: all have it after %lld ms", (unsigned long long)seed,
+				 (long long)last);
 		assert_string_equal(rolled(&sim), "2");
 		assert_int_equal(sim.instance_list.n_load, SERVERS);
 		sim_close(&sim);
@@ -353,7 +382,8 @@
 		int64_t targeted_at;
 
 		fleet(&sim, &checker, seed, 15000, 1800);
-		sim.instance_list.at_once = 6; /* with 3 the servers would be loading for most of the bound, were they told at once */
+		sim.instance_list.at_once =
+		    6; /* with 3 the servers would be loading for most of the bound, were they told at once */
 		sim.instance_list.lossy = seed % 2 ? 0 : 150;
 		name_weights(&sim, "2");
 		go(&sim, &checker, (int64_t)random_below(&d, 9000));
@@ -361,7 +391,8 @@
 		targeted_at = sim.now;
 		go(&sim, &checker, sim.bounds.rollout_ms);
 		if (all_have(&sim, "3", targeted_at) < 0)
-			fail_msg("seed %llu: not every server has the newest weights in time", (unsigned long long)seed);
+			fail_msg("seed %llu: not every server has the newest weights in time",
+				 (unsigned long long)seed);
 		assert_true(sim.instance_list.n_load <= 2 * SERVERS);
 		go(&sim, &checker, 2000);
 		assert_string_equal(rolled(&sim), "3");
@@ -369,7 +400,8 @@
 	}
 }
 
-/* Servers come, drain, crash and are replaced while the list lags, refuses, is slow or away, and controllers fall. */
+/* Servers come, drain, crash and are replaced while the list lags, refuses, is slow or away, and controllers
+ * fall. */
 static void servers_come_and_go(void **state)
 {
 	int64_t worst = 0;
@@ -400,7 +432,9 @@
 					sim_instance_end(&sim, i, listed->draining ? 0 : 2000);
 				break;
 			case 3:
-			case 4: sim_instance(&sim, "pool", zones[step % 4], "1"); break;
+			case 4:
+				sim_instance(&sim, "pool", zones[step % 4], "1");
+				break;
 			case 5:
 				if (seed % 2 && step % 4 == 0)
 					sim.instance_list.away_until = sim.now + 2000;
@@ -446,7 +480,8 @@
 	print_message("drains reach every counter after at most %lld ms\n", (long long)worst);
 }
 
-/* A server that has seen a higher fence: its rollout is not the newest, and gives no more orders in its term. */
+/* A server that has seen a higher fence: its rollout is not the newest, and gives no more orders in its term.
+ */
 static void a_higher_fence_bars(void **state)
 {
 	struct sim sim;
@@ -466,7 +501,10 @@
 	assert_int_equal(sim.instance_list.n_load, 0);
 	for (int i = 0; i < SERVERS; i++) {
 		sim.instance_list.instances[i].fence = 0;
-		assert_int_equal(instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances, sim.instance_list.instances[i].name)->loading, 0);
+		assert_int_equal(instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances,
+					       sim.instance_list.instances[i].name)
+				     ->loading,
+				 0);
 	}
 	sim_crash(&sim, sim_leader(&sim, SHARD_CONTROL), 0);
 	go(&sim, &checker, 25000);
@@ -476,9 +514,13 @@
 
 /* ---- kept parts ------------------------------------------------------------------------ */
 
-static int knows(struct sim *sim, int node, uint64_t key) { return arrlen(prefix_index_find(&sim->nodes[node].router->prefix_index, key)) == 1; }
+static int knows(struct sim *sim, int node, uint64_t key)
+{
+	return arrlen(prefix_index_find(&sim->nodes[node].router->prefix_index, key)) == 1;
+}
 
-/* A counter that comes back hears from its zone's head what is kept where, also what has not changed since. */
+/* A counter that comes back hears from its zone's head what is kept where, also what has not changed since.
+ */
 static void a_router_that_is_back_learns_the_prefix_index(void **state)
 {
 	int learned = 0;
@@ -511,7 +553,8 @@
 			struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
 			event.u.message = &message;
-			router_step(sim.nodes[n].router, &event, sim.now + sim.nodes[n].clock_skew_ms, &sim.nodes[n].commands);
+			router_step(sim.nodes[n].router, &event, sim.now + sim.nodes[n].clock_skew_ms,
+				    &sim.nodes[n].commands);
 			command_list_clear(&sim.nodes[n].commands);
 			assert_true(knows(&sim, n, key));
 		}
@@ -523,7 +566,12 @@
 			if (!sim.nodes[n].router->config_watch.upstream_count)
 				break; /* it is a head now, and asks the servers themselves */
 			assert_true(knows(&sim, n, key));
-			assert_int_equal(sim.nodes[n].router->servers[names_find(&sim.nodes[n].router->server_names, update.server)].next_cache_event, 3);
+			assert_int_equal(
+			    sim.nodes[n]
+				.router
+				->servers[names_find(&sim.nodes[n].router->server_names, update.server)]
+				.next_cache_event,
+			    3);
 			learned++;
 		}
 		sim_close(&sim);
@@ -547,7 +595,8 @@
 	return listed;
 }
 
-static void show(struct instances *instances, struct Nl__Instance **listed, size_t n, int64_t now, struct command_list *out)
+static void show(struct instances *instances, struct Nl__Instance **listed, size_t n, int64_t now,
+		 struct command_list *out)
 {
 	instances_tick(instances, 1, 47000, (uint64_t)now, now, out);
 	assert_int_equal(instances->poll_token, now);
