--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -1,5 +1,6 @@
-/* Controllers that are cut off, frozen or slowed for twenty seconds, while operators call every one of them and routers
- * follow the configuration. A judge checks each answer against what was acknowledged and what was in force. */
+/* Controllers that are cut off, frozen or slowed for twenty seconds, while operators call every one of them
+ * and routers follow the configuration. A judge checks each answer against what was acknowledged and what was
+ * in force. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,8 +12,8 @@
 #include <cmocka.h>
 
 #include "router_internal.h"
-#include "doc.h"
-#include "ds.h"
+#include "config_document.h"
+#include "containers.h"
 #include "sim.h"
 
 enum {
@@ -48,9 +49,10 @@
 	CALL_KINDS
 };
 
-static const char *const call_names[] = { "put document",   "read document", "name weights", "name nothing", "change",
-					  "bad change",     "no change",     "read table",   "clear",        "bad clear",
-					  "read retention", "read report",   "bootstrap" };
+static const char *const call_names[] = { "put document", "read document", "name weights",   "name nothing",
+					  "change",       "bad change",    "no change",      "read table",
+					  "clear",        "bad clear",     "read retention", "read report",
+					  "bootstrap" };
 
 struct call {
 	enum call_kind kind;
@@ -74,18 +76,22 @@
 struct world {
 	struct sim s;
 	uint64_t rng;
-	int documents;              /* documents are written; else rows of the table */
-	struct call *open;          /* stb_ds */
+	int documents;                        /* documents are written; else rows of the table */
+	struct call *open;                    /* stb_ds */
 	struct document_in_force_since *seen; /* stb_ds: each version in force, since when */
-	struct acknowledged *acks;  /* stb_ds */
-	uint64_t *bases;            /* stb_ds: bases of acknowledged documents */
+	struct acknowledged *acks;            /* stb_ds */
+	uint64_t *bases;                      /* stb_ds: bases of acknowledged documents */
 	uint64_t document_floor, revision_floor, clearing_floor, next_version, next_name, newest_name;
-	int64_t isolated_since[SIM_NODES]; /* when a node was cut off from every other controller; 0: it is not */
+	int64_t
+	    isolated_since[SIM_NODES]; /* when a node was cut off from every other controller; 0: it is not */
 	int64_t healed_at;
 	uint64_t answers, definite, refused_isolated, acknowledged_isolated, router_refused;
 };
 
-static uint64_t random_below(struct world *w, uint64_t n) { return core_random(&w->rng) % n; }
+static uint64_t random_below(struct world *w, uint64_t n)
+{
+	return core_random(&w->rng) % n;
+}
 
 static uint64_t seeds_of(uint64_t n, uint64_t *first)
 {
@@ -118,7 +124,8 @@
 		call->token = sim_send_document(&world->s, call->node, 0, 0, NULL, NULL);
 	} else if (call->kind == CALL_NAME_WEIGHTS || call->kind == CALL_NAME_NOTHING) {
 		snprintf(body, sizeof body, "%llu", (unsigned long long)++world->next_name);
-		call->token = sim_send_document(&world->s, call->node, 0, 0, "model", call->kind == CALL_NAME_WEIGHTS ? body : "not a number");
+		call->token = sim_send_document(&world->s, call->node, 0, 0, "model",
+						call->kind == CALL_NAME_WEIGHTS ? body : "not a number");
 	} else {
 		call->base = document_in_force(&world->s);
 		call->version = world->next_version > call->base ? world->next_version : call->base;
@@ -138,26 +145,31 @@
 	const char *method = "GET", *path = "/v1/table";
 
 	switch (call->kind) {
-	case CALL_CHANGE: /* a lane of the service that was acknowledged last: who has not heard of it must not judge this */
+	case CALL_CHANGE: /* a lane of the service that was acknowledged last: who has not heard of it must
+			     not judge this */
 		method = "POST";
 		path = "/v1/change";
 		world->next_name++;
 		if (world->newest_name)
-			snprintf(body, sizeof body,
-				 "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS
-				 "},{\"kind\":\"lane\",\"name\":\"l%llu\",\"service\":\"s%llu\",\"prio\":0,\"limit\":50}]}",
-				 (unsigned long long)world->next_name, (unsigned long long)world->next_name,
-				 (unsigned long long)world->newest_name);
+			snprintf(
+			    body, sizeof body,
+			    "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS
+			    "},{\"kind\":\"lane\",\"name\":\"l%llu\",\"service\":\"s%llu\",\"prio\":0,\"limit\":50}]}",
+			    (unsigned long long)world->next_name, (unsigned long long)world->next_name,
+			    (unsigned long long)world->newest_name);
 		else
-			snprintf(body, sizeof body,
-				 "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS "}]}",
-				 (unsigned long long)world->next_name);
+			snprintf(
+			    body, sizeof body,
+			    "{\"set\":[{\"kind\":\"service\",\"name\":\"s%llu\",\"weights\":\"w1\"" SPEEDS
+			    "}]}",
+			    (unsigned long long)world->next_name);
 		call->version = world->next_name;
 		break;
 	case CALL_BAD_CHANGE:
 		method = "POST";
 		path = "/v1/change";
-		snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
+		snprintf(body, sizeof body,
+			 "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
 		break;
 	case CALL_NO_CHANGE:
 		method = "POST";
@@ -174,25 +186,34 @@
 		path = "/v1/clear";
 		snprintf(body, sizeof body, "{\"scope\":\"*\",\"by\":\"a,b\"}");
 		break;
-	case CALL_READ_RETENTION: path = "/v1/retention"; break;
-	case CALL_READ_REPORT: path = "/v1/retention.csv"; break;
+	case CALL_READ_RETENTION:
+		path = "/v1/retention";
+		break;
+	case CALL_READ_REPORT:
+		path = "/v1/retention.csv";
+		break;
 	case CALL_BOOTSTRAP:
 		method = "POST";
 		path = "/v1/found";
 		break;
-	default: break;
+	default:
+		break;
 	}
 	call->token = sim_call(&world->s, call->node, method, path, body);
 }
 
 static void send_call(struct world *world, enum call_kind kind, int node)
 {
-	struct call call = { .kind = kind, .node = node, .incarnation = world->s.nodes[node].incarnation, .sent_at = world->s.now };
+	struct call call = { .kind = kind,
+			     .node = node,
+			     .incarnation = world->s.nodes[node].incarnation,
+			     .sent_at = world->s.now };
 
 	call.document_floor = world->document_floor;
 	call.revision_floor = world->revision_floor;
 	call.clearing_floor = world->clearing_floor;
-	call.isolated = world->isolated_since[node] && world->s.now - world->isolated_since[node] >= NOTICED_MS;
+	call.isolated =
+	    world->isolated_since[node] && world->s.now - world->isolated_since[node] >= NOTICED_MS;
 	call.was_frozen = world->s.nodes[node].frozen;
 	if (kind <= CALL_NAME_NOTHING)
 		send_document_call(world, &call);
@@ -203,10 +224,12 @@
 
 /* ---- the judge ------------------------------------------------------------------- */
 
-static void breach(struct world *world, const struct call *call, const struct sim_operator_answer *web, const char *what)
+static void breach(struct world *world, const struct call *call, const struct sim_operator_answer *web,
+		   const char *what)
 {
-	sim_violation(&world->s, "%s at controller %d, sent at %lld ms, is answered %d (%.120s): %s", call_names[call->kind], call->node,
-		   (long long)call->sent_at, web->status, web->full_body ? web->full_body : web->body, what);
+	sim_violation(&world->s, "%s at controller %d, sent at %lld ms, is answered %d (%.120s): %s",
+		      call_names[call->kind], call->node, (long long)call->sent_at, web->status,
+		      web->full_body ? web->full_body : web->body, what);
 }
 
 /* Whether a version other than this one was in force at some time from then on. */
@@ -255,13 +278,15 @@
 		world->revision_floor = revision;
 }
 
-static void check_document(struct world *world, const struct call *call, const struct sim_operator_answer *web)
+static void check_document(struct world *world, const struct call *call,
+			   const struct sim_operator_answer *web)
 {
 	switch (web->status) {
 	case 200:
 		for (ptrdiff_t i = 0; i < arrlen(world->bases); i++)
 			if (world->bases[i] == call->base)
-				breach(world, call, web, "another document on this base was acknowledged before");
+				breach(world, call, web,
+				       "another document on this base was acknowledged before");
 		arrput(world->bases, call->base);
 		if (document_in_force(&world->s) < call->version)
 			breach(world, call, web, "no controller has it");
@@ -274,7 +299,9 @@
 		if (!another_in_force(world, call->base, call->sent_at))
 			breach(world, call, web, "its base was in force all the while");
 		break;
-	default: breach(world, call, web, "no such answer"); break;
+	default:
+		breach(world, call, web, "no such answer");
+		break;
 	}
 }
 
@@ -299,7 +326,8 @@
 			breach(world, call, web, "the call is valid");
 		n = 0;
 		for (int i = 0; i < CONTROLLERS; i++)
-			if (world->s.nodes[i].up && world->s.nodes[i].controller->retention.last_purge_number > n)
+			if (world->s.nodes[i].up &&
+			    world->s.nodes[i].controller->retention.last_purge_number > n)
 				n = world->s.nodes[i].controller->retention.last_purge_number;
 		world->clearing_floor = n > world->clearing_floor ? n : world->clearing_floor;
 		break;
@@ -319,18 +347,24 @@
 	}
 }
 
-static void check_definite(struct world *world, const struct call *call, const struct sim_operator_answer *web)
+static void check_definite(struct world *world, const struct call *call,
+			   const struct sim_operator_answer *web)
 {
 	world->definite++;
 	if (call->isolated && call->kind != CALL_BOOTSTRAP)
 		breach(world, call, web, "it is cut off from every other controller");
 	/* what is committed stays so; all else holds only for as long as the lease does */
-	if (call->kind <= CALL_NAME_NOTHING && !(web->status == 200 && call->kind != CALL_READ_DOCUMENT) && !web->by_leader)
+	if (call->kind <= CALL_NAME_NOTHING && !(web->status == 200 && call->kind != CALL_READ_DOCUMENT) &&
+	    !web->by_leader)
 		breach(world, call, web, "it does not lead");
 	switch (call->kind) {
-	case CALL_PUT_DOCUMENT: check_document(world, call, web); break;
+	case CALL_PUT_DOCUMENT:
+		check_document(world, call, web);
+		break;
 	case CALL_READ_DOCUMENT:
-		if (web->status == 404 ? call->document_floor > 0 : number_after(web->full_body, "\"ConfigVersion\":") < call->document_floor)
+		if (web->status == 404
+			? call->document_floor > 0
+			: number_after(web->full_body, "\"ConfigVersion\":") < call->document_floor)
 			breach(world, call, web, "older than what was acknowledged before");
 		break;
 	case CALL_NAME_WEIGHTS:
@@ -341,7 +375,9 @@
 		if (web->status != 400)
 			breach(world, call, web, "the naming is invalid");
 		break;
-	default: check_own(world, call, web); break;
+	default:
+		check_own(world, call, web);
+		break;
 	}
 }
 
@@ -364,10 +400,12 @@
 
 static int only_reads(enum call_kind kind)
 {
-	return kind == CALL_READ_DOCUMENT || kind == CALL_READ_TABLE || kind == CALL_READ_RETENTION || kind == CALL_READ_REPORT;
+	return kind == CALL_READ_DOCUMENT || kind == CALL_READ_TABLE || kind == CALL_READ_RETENTION ||
+	       kind == CALL_READ_REPORT;
 }
 
-/* For how long a call may wait: where nobody is reached any more a read has nothing to wait for, an order its outcome. */
+/* For how long a call may wait: where nobody is reached any more a read has nothing to wait for, an order its
+ * outcome. */
 static int64_t longest_wait(const struct world *world, const struct call *call)
 {
 	int64_t since = world->isolated_since[call->node];
@@ -375,7 +413,8 @@
 	if (call->isolated)
 		return ANSWER_MS + world->s.answer_delay_ms;
 	if (since && only_reads(call->kind))
-		return NOTICED_MS + ANSWER_MS + world->s.answer_delay_ms + (since > call->sent_at ? since - call->sent_at : 0);
+		return NOTICED_MS + ANSWER_MS + world->s.answer_delay_ms +
+		       (since > call->sent_at ? since - call->sent_at : 0);
 	return OPEN_OUTCOME_MS + world->s.answer_delay_ms;
 }
 
@@ -394,8 +433,11 @@
 			int64_t most = longest_wait(world, call);
 
 			if (!call->was_frozen && world->s.now - call->sent_at > most + POLL_MS)
-				sim_violation(&world->s, "%s at controller %d, sent at %lld ms, has no answer after %lld ms",
-					   call_names[call->kind], call->node, (long long)call->sent_at, (long long)(world->s.now - call->sent_at));
+				sim_violation(
+				    &world->s,
+				    "%s at controller %d, sent at %lld ms, has no answer after %lld ms",
+				    call_names[call->kind], call->node, (long long)call->sent_at,
+				    (long long)(world->s.now - call->sent_at));
 			continue;
 		}
 		arrdelswap(world->open, i);
@@ -416,10 +458,14 @@
 			continue;
 		}
 		for (ptrdiff_t k = arrlen(world->acks) - 1; k >= 0 && k > arrlen(world->acks) - 30; k--)
-			if (world->s.now - world->acks[k].at > ROUTER_BOUND_MS && node->router->config_watch.table.revision < world->acks[k].revision)
-				sim_violation(&world->s, "router %d takes requests with edition %llu, %lld ms after %llu was acknowledged",
-					   i, (unsigned long long)node->router->config_watch.table.revision, (long long)(world->s.now - world->acks[k].at),
-					   (unsigned long long)world->acks[k].revision);
+			if (world->s.now - world->acks[k].at > ROUTER_BOUND_MS &&
+			    node->router->config_watch.table.revision < world->acks[k].revision)
+				sim_violation(
+				    &world->s,
+				    "router %d takes requests with edition %llu, %lld ms after %llu was acknowledged",
+				    i, (unsigned long long)node->router->config_watch.table.revision,
+				    (long long)(world->s.now - world->acks[k].at),
+				    (unsigned long long)world->acks[k].revision);
 	}
 }
 
@@ -468,7 +514,8 @@
 		sim_add_router(&world->s, text);
 	}
 	controller_bootstrap(world->s.nodes[0].controller, sim_local(&world->s, 0));
-	for (int64_t end = world->s.now + 20000; world->s.now < end && sim_leader(&world->s, SHARD_CONTROL) < 0;)
+	for (int64_t end = world->s.now + 20000;
+	     world->s.now < end && sim_leader(&world->s, SHARD_CONTROL) < 0;)
 		look(world);
 	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
 	world->s.answer_delay_ms = (int)random_below(world, 3) * 20;
@@ -485,11 +532,14 @@
 
 static enum call_kind any_kind(struct world *world)
 {
-	static const enum call_kind documents[] = { CALL_PUT_DOCUMENT, CALL_PUT_DOCUMENT, CALL_READ_DOCUMENT, CALL_READ_DOCUMENT,
-						    CALL_NAME_WEIGHTS, CALL_NAME_NOTHING, CALL_READ_TABLE,    CALL_READ_RETENTION };
-	static const enum call_kind rows[] = { CALL_CHANGE,         CALL_CHANGE,      CALL_BAD_CHANGE, CALL_NO_CHANGE,
-					       CALL_READ_TABLE,     CALL_READ_TABLE,  CALL_CLEAR,      CALL_BAD_CLEAR,
-					       CALL_READ_RETENTION, CALL_READ_REPORT, CALL_BOOTSTRAP };
+	static const enum call_kind documents[] = { CALL_PUT_DOCUMENT,  CALL_PUT_DOCUMENT,
+						    CALL_READ_DOCUMENT, CALL_READ_DOCUMENT,
+						    CALL_NAME_WEIGHTS,  CALL_NAME_NOTHING,
+						    CALL_READ_TABLE,    CALL_READ_RETENTION };
+	static const enum call_kind rows[] = { CALL_CHANGE,      CALL_CHANGE,     CALL_BAD_CHANGE,
+					       CALL_NO_CHANGE,   CALL_READ_TABLE, CALL_READ_TABLE,
+					       CALL_CLEAR,       CALL_BAD_CLEAR,  CALL_READ_RETENTION,
+					       CALL_READ_REPORT, CALL_BOOTSTRAP };
 
 	if (world->documents)
 		return documents[random_below(world, sizeof documents / sizeof *documents)];
@@ -503,7 +553,9 @@
 
 	for (int64_t end = world->s.now + ms; world->s.now < end;) {
 		if (world->s.now >= next) {
-			int node = fault >= 0 && fault < CONTROLLERS && random_below(world, 2) ? fault : (int)random_below(world, CONTROLLERS);
+			int node = fault >= 0 && fault < CONTROLLERS && random_below(world, 2)
+				       ? fault
+				       : (int)random_below(world, CONTROLLERS);
 
 			if (world->s.nodes[node].up)
 				send_call(world, any_kind(world), node);
@@ -533,7 +585,8 @@
 	world->healed_at = world->s.now;
 }
 
-/* All is as before: a leader, routers that take requests, and the newest of what was acknowledged is read everywhere. */
+/* All is as before: a leader, routers that take requests, and the newest of what was acknowledged is read
+ * everywhere. */
 static void recovered(struct world *world)
 {
 	char *complete;
@@ -547,11 +600,14 @@
 	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
 		if (!router_ready(world->s.nodes[i].router, sim_local(&world->s, i)))
-			fail_msg("seed %llu: router %d does not take requests again", (unsigned long long)world->s.seed, i);
+			fail_msg("seed %llu: router %d does not take requests again",
+				 (unsigned long long)world->s.seed, i);
 	for (int i = 0; i < CONTROLLERS; i++)
 		if (sim_call_and_wait(&world->s, i, "GET", "/v1/table", "", 2000) != 200 ||
-		    number_after(sim_answer(&world->s, world->s.token)->body, "{\"edition\":") < world->revision_floor)
-			fail_msg("seed %llu: controller %d does not read the newest table", (unsigned long long)world->s.seed, i);
+		    number_after(sim_answer(&world->s, world->s.token)->body, "{\"edition\":") <
+			world->revision_floor)
+			fail_msg("seed %llu: controller %d does not read the newest table",
+				 (unsigned long long)world->s.seed, i);
 	if (!world->document_floor)
 		return;
 	token = sim_send_document(&world->s, sim_leader(&world->s, SHARD_CONTROL), 0, 0, NULL, NULL);
@@ -559,8 +615,8 @@
 	assert_non_null(sim_answer(&world->s, token));
 	complete = sim_answer(&world->s, token)->full_body;
 	if (number_after(complete, "\"ConfigVersion\":") < world->document_floor)
-		fail_msg("seed %llu: version %llu was acknowledged, and is not read", (unsigned long long)world->s.seed,
-			 (unsigned long long)world->document_floor);
+		fail_msg("seed %llu: version %llu was acknowledged, and is not read",
+			 (unsigned long long)world->s.seed, (unsigned long long)world->document_floor);
 	intact(world);
 }
 
@@ -582,7 +638,8 @@
 {
 	for (int i = 0; i < CONTROLLERS; i++)
 		if (!random_below(world, 3))
-			world->s.nodes[i].wall_clock_offset_ms = (int64_t)random_below(world, 7200000) - 3600000;
+			world->s.nodes[i].wall_clock_offset_ms =
+			    (int64_t)random_below(world, 7200000) - 3600000;
 }
 
 static void isolate(struct world *world, int node, enum trouble fault)
@@ -590,17 +647,30 @@
 	int all = SIM_CONTROLLERS + ROUTERS;
 
 	switch (fault) {
-	case FAULT_CUT_BOTH: cut_links(world, node, 0, all, CUT_BOTH); break;
-	case FAULT_CUT_SENDING: cut_links(world, node, 0, all, CUT_TO); break;
-	case FAULT_CUT_RECEIVING: cut_links(world, node, 0, all, CUT_FROM); break;
-	case FAULT_CUT_FROM_ROUTERS: cut_links(world, node, SIM_CONTROLLERS, all, CUT_BOTH); return;
-	case FAULT_CUT_FROM_CONTROLLERS: cut_links(world, node, 0, SIM_CONTROLLERS, CUT_BOTH); break;
-	case FAULT_FROZEN: sim_freeze(&world->s, node, 1); return;
+	case FAULT_CUT_BOTH:
+		cut_links(world, node, 0, all, CUT_BOTH);
+		break;
+	case FAULT_CUT_SENDING:
+		cut_links(world, node, 0, all, CUT_TO);
+		break;
+	case FAULT_CUT_RECEIVING:
+		cut_links(world, node, 0, all, CUT_FROM);
+		break;
+	case FAULT_CUT_FROM_ROUTERS:
+		cut_links(world, node, SIM_CONTROLLERS, all, CUT_BOTH);
+		return;
+	case FAULT_CUT_FROM_CONTROLLERS:
+		cut_links(world, node, 0, SIM_CONTROLLERS, CUT_BOTH);
+		break;
+	case FAULT_FROZEN:
+		sim_freeze(&world->s, node, 1);
+		return;
 	case FAULT_FROZEN_AND_CUT:
 		sim_freeze(&world->s, node, 1);
 		cut_links(world, node, 0, all, CUT_BOTH);
 		break;
-	default: return;
+	default:
+		return;
 	}
 	if (node < CONTROLLERS)
 		world->isolated_since[node] = world->s.now;
@@ -640,7 +710,8 @@
 
 static void controllers_in_trouble(void **state)
 {
-	uint64_t first, seeds = seeds_of(48, &first), answers = 0, definite = 0, refused = 0, router_refused = 0;
+	uint64_t first, seeds = seeds_of(48, &first), answers = 0, definite = 0, refused = 0,
+			router_refused = 0;
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
@@ -650,7 +721,8 @@
 
 		open_world(&world, seed);
 		operate(&world, 3000, -1, 40);
-		node = seed / (2 * FAULT_KINDS) % 3 == 1 ? (int)random_below(&world, CONTROLLERS) : sim_leader(&world.s, SHARD_CONTROL);
+		node = seed / (2 * FAULT_KINDS) % 3 == 1 ? (int)random_below(&world, CONTROLLERS)
+							 : sim_leader(&world.s, SHARD_CONTROL);
 		run_fault(&world, fault, node < 0 ? 0 : node);
 		recovered(&world);
 		answers += world.answers;
@@ -659,8 +731,8 @@
 		router_refused += world.router_refused;
 		close_world(&world);
 	}
-	print_message("%llu answers, %llu of them definite, %llu refusals of isolated controllers\n", (unsigned long long)answers,
-		      (unsigned long long)definite, (unsigned long long)refused);
+	print_message("%llu answers, %llu of them definite, %llu refusals of isolated controllers\n",
+		      (unsigned long long)answers, (unsigned long long)definite, (unsigned long long)refused);
 	if (seeds >= 16)
 		assert_true(definite > answers / 4 && refused > answers / 50);
 }
@@ -688,7 +760,8 @@
 	}
 }
 
-/* All machines stop at once, and go on at once: the lease of the leader is over, whatever anybody remembers. */
+/* All machines stop at once, and go on at once: the lease of the leader is over, whatever anybody remembers.
+ */
 static void all_frozen_and_thawed(void **state)
 {
 	uint64_t first, seeds = seeds_of(12, &first);
@@ -726,13 +799,16 @@
 		if (frozen)
 			sim_freeze(&world.s, router, 1);
 		else
-			cut_links(&world, router, 0, SIM_CONTROLLERS, seed / 3 % 4 + 1 > 3 ? CUT_BOTH : (int)(seed / 3 % 4) + 1);
+			cut_links(&world, router, 0, SIM_CONTROLLERS,
+				  seed / 3 % 4 + 1 > 3 ? CUT_BOTH : (int)(seed / 3 % 4) + 1);
 		operate(&world, ROUTER_BOUND_MS, -1, 40);
 		for (int64_t end = world.s.now + ISOLATION_MS - ROUTER_BOUND_MS; world.s.now < end;) {
 			operate(&world, 100, -1, 40);
-			if (!frozen && router_ready(world.s.nodes[router].router, sim_local(&world.s, router)))
-				fail_msg("seed %llu: router %d takes requests, and has heard nobody for a while",
-					 (unsigned long long)seed, router);
+			if (!frozen &&
+			    router_ready(world.s.nodes[router].router, sim_local(&world.s, router)))
+				fail_msg(
+				    "seed %llu: router %d takes requests, and has heard nobody for a while",
+				    (unsigned long long)seed, router);
 		}
 		if (frozen)
 			sim_freeze(&world.s, router, 0);
@@ -752,7 +828,8 @@
 			fail_msg("%s", sim->violation);
 }
 
-/* The leader's word to one that stood still since: read twenty seconds later, it says nothing definite any more. */
+/* The leader's word to one that stood still since: read twenty seconds later, it says nothing definite any
+ * more. */
 static void an_answer_read_late_is_none(void **state)
 {
 	(void)state;
@@ -768,8 +845,9 @@
 		if (read)
 			token = sim_call(&world.s, node, "GET", "/v1/retention", "");
 		else
-			token = sim_call(&world.s, node, "POST", "/v1/change",
-					 "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
+			token = sim_call(
+			    &world.s, node, "POST", "/v1/change",
+			    "{\"set\":[{\"kind\":\"lane\",\"name\":\"bad\",\"service\":\"nowhere\"}]}");
 		until_sent(&world.s, read ? NL__MSG__BODY_READ_REPLY : NL__MSG__BODY_PROPOSE_REPLY);
 		sim_freeze(&world.s, node, 1); /* with that answer and little else at its door */
 		cut_links(&world, node, 0, SIM_CONTROLLERS + ROUTERS, CUT_BOTH);
@@ -821,7 +899,8 @@
 	assert_true(seen >= 6);
 }
 
-/* The list of servers as it was when the leader asked: after a freeze it is not told to anybody as the list of now. */
+/* The list of servers as it was when the leader asked: after a freeze it is not told to anybody as the list
+ * of now. */
 static void a_list_read_late_is_none(void **state)
 {
 	struct instances seen, followed;
@@ -886,8 +965,8 @@
 	close_world(&world);
 }
 
-/* A controller takes a change on a leader's last word, hears of another follower that it does not lead, and then nothing:
- * what surely was not logged is refused as soon as that last word is too old. */
+/* A controller takes a change on a leader's last word, hears of another follower that it does not lead, and
+ * then nothing: what surely was not logged is refused as soon as that last word is too old. */
 static void what_nobody_took_is_refused_soon(void **state)
 {
 	enum { LAST_UPDATE_MS = CONFIG_WATCH_LEADER_TIMEOUT_MS - 30 };
@@ -912,22 +991,27 @@
 		cut_links(&world, node, 0, SIM_CONTROLLERS, CUT_BOTH);
 		world.s.link_cut[node][follower] = world.s.link_cut[follower][node] = 0;
 		controller = world.s.nodes[node].controller;
-		while (config_watch_age_ms(&controller->config_watch, sim_local(&world.s, node)) < LAST_UPDATE_MS)
+		while (config_watch_age_ms(&controller->config_watch, sim_local(&world.s, node)) <
+		       LAST_UPDATE_MS)
 			sim_run(&world.s, 1, NULL);
-		controller->config_watch.leader_addr[SHARD_CONTROL] = world.s.nodes[follower].addr; /* as a hint that came late would have it */
+		controller->config_watch.leader_addr[SHARD_CONTROL] =
+		    world.s.nodes[follower].addr; /* as a hint that came late would have it */
 		answers = world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY];
 		token = sim_call(&world.s, node, "POST", "/v1/change",
-				 "{\"set\":[{\"kind\":\"service\",\"name\":\"sx\",\"weights\":\"w1\"" SPEEDS "}]}");
+				 "{\"set\":[{\"kind\":\"service\",\"name\":\"sx\",\"weights\":\"w1\"" SPEEDS
+				 "}]}");
 		sent = world.s.now;
 		sim_run(&world.s, 20, NULL);
-		if (world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers && arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
+		if (world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers &&
+		    arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
 		    controller->proposals[0].denied_count == 1) {
 			while (!sim_answer(&world.s, token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
 				sim_run(&world.s, POLL_MS, NULL);
 			assert_non_null(sim_answer(&world.s, token));
 			assert_int_equal(sim_answer(&world.s, token)->status, 503);
 			if (world.s.now - sent > ANSWER_MS)
-				fail_msg("seed %llu: refused after %lld ms", (unsigned long long)seed, (long long)(world.s.now - sent));
+				fail_msg("seed %llu: refused after %lld ms", (unsigned long long)seed,
+					 (long long)(world.s.now - sent));
 			refused++;
 		}
 		intact(&world);
@@ -936,7 +1020,8 @@
 	assert_true(refused >= 6);
 }
 
-/* The others' disks stand still, though their processes go on: nothing is committed, and whoever waits is told so. */
+/* The others' disks stand still, though their processes go on: nothing is committed, and whoever waits is
+ * told so. */
 static void an_open_outcome_is_said_to_be_open(void **state)
 {
 	(void)state;
@@ -971,11 +1056,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(controllers_in_trouble),        cmocka_unit_test(core_in_pieces),
-		cmocka_unit_test(all_frozen_and_thawed),         cmocka_unit_test(routers_in_trouble),
-		cmocka_unit_test(an_answer_read_late_is_none),   cmocka_unit_test(an_answer_held_back_is_not_written),
-		cmocka_unit_test(a_list_read_late_is_none),      cmocka_unit_test(an_open_outcome_is_said_to_be_open),
-		cmocka_unit_test(only_the_leader_answers_reads), cmocka_unit_test(what_nobody_took_is_refused_soon),
+		cmocka_unit_test(controllers_in_trouble),
+		cmocka_unit_test(core_in_pieces),
+		cmocka_unit_test(all_frozen_and_thawed),
+		cmocka_unit_test(routers_in_trouble),
+		cmocka_unit_test(an_answer_read_late_is_none),
+		cmocka_unit_test(an_answer_held_back_is_not_written),
+		cmocka_unit_test(a_list_read_late_is_none),
+		cmocka_unit_test(an_open_outcome_is_said_to_be_open),
+		cmocka_unit_test(only_the_leader_answers_reads),
+		cmocka_unit_test(what_nobody_took_is_refused_soon),
 	};
 
 	apr_initialize();
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -1,6 +1,6 @@
-/* Losses of controllers one after another: after a repair, a replacement or a planned stop the fleet has to survive the
- * next loss within the deployment's catch-up bound. Times are measured over many seeds: NL_SEEDS=1000 prints the
- * distributions of docs/measurements.md. */
+/* Losses of controllers one after another: after a repair, a replacement or a planned stop the fleet has to
+ * survive the next loss within the deployment's catch-up bound. Times are measured over many seeds:
+ * NL_SEEDS=1000 prints the distributions of docs/measurements.md. */
 #include <apr_general.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "raft_leader.h"
 #include "sim.h"
 
@@ -34,8 +34,9 @@
 };
 
 static const struct deployment deployments[] = {
-	{ "3 machines, 1 lost", 3, 3, 1, 0 }, { "4 machines, 1 lost", 4, 4, 1, 0 }, { "5 machines, 1 lost", 5, 3, 1, 0 },
-	{ "5 machines, 2 lost", 5, 3, 2, 0 }, { "8 machines, 1 lost", 8, 4, 1, 0 }, { "8 machines, 2 lost", 8, 4, 2, 0 },
+	{ "3 machines, 1 lost", 3, 3, 1, 0 }, { "4 machines, 1 lost", 4, 4, 1, 0 },
+	{ "5 machines, 1 lost", 5, 3, 1, 0 }, { "5 machines, 2 lost", 5, 3, 2, 0 },
+	{ "8 machines, 1 lost", 8, 4, 1, 0 }, { "8 machines, 2 lost", 8, 4, 2, 0 },
 	{ "3 machines, a zone", 3, 3, 1, 1 }, { "8 machines, a zone", 8, 4, 1, 1 },
 };
 enum { DEPLOYMENTS = sizeof deployments / sizeof *deployments };
@@ -51,10 +52,15 @@
 };
 
 static const char *const fault_names[FAULTS] = {
-	"killed, back with its disk", "wiped", "replaced, unplanned", "replaced, planned", "removed, unplanned", "removed, planned",
+	"killed, back with its disk", "wiped",
+	"replaced, unplanned",        "replaced, planned",
+	"removed, unplanned",         "removed, planned",
 };
 
-static uint64_t draw(struct sim *sim, uint64_t n) { return core_random(&sim->rng) % n; }
+static uint64_t draw(struct sim *sim, uint64_t n)
+{
+	return core_random(&sim->rng) % n;
+}
 
 static void check(struct sim *s)
 {
@@ -62,7 +68,10 @@
 		fail_msg("%s", s->violation);
 }
 
-static int copies_of(const struct deployment *deployment) { return 2 * deployment->machine_losses + 1; }
+static int copies_of(const struct deployment *deployment)
+{
+	return 2 * deployment->machine_losses + 1;
+}
 
 static void deploy(struct sim *sim, const struct deployment *deployment, uint64_t seed)
 {
@@ -83,9 +92,16 @@
 	controller_bootstrap(sim->nodes[0].controller, sim->now + sim->nodes[0].clock_skew_ms);
 }
 
-static struct raft *raft_at(struct sim *sim, int node, uint32_t shard) { return &sim->nodes[node].controller->shards[shard]; }
+static struct raft *raft_at(struct sim *sim, int node, uint32_t shard)
+{
+	return &sim->nodes[node].controller->shards[shard];
+}
 
-static int is_live(const struct sim *sim, int node) { return sim->nodes[node].used && sim->nodes[node].up && !sim->nodes[node].frozen && sim->nodes[node].controller; }
+static int is_live(const struct sim *sim, int node)
+{
+	return sim->nodes[node].used && sim->nodes[node].up && !sim->nodes[node].frozen &&
+	       sim->nodes[node].controller;
+}
 
 static int node_by_id(const struct sim *sim, uint64_t id)
 {
@@ -103,10 +119,12 @@
 
 	if (disk->base >= index)
 		return 1;
-	if (!arrlen(disk->entries) || index < disk->first || index - disk->first >= (uint64_t)arrlen(disk->entries))
+	if (!arrlen(disk->entries) || index < disk->first ||
+	    index - disk->first >= (uint64_t)arrlen(disk->entries))
 		return 0;
 	entry = &disk->entries[index - disk->first];
-	return core_hash(entry->term * 4 + entry->kind, entry->data, entry->len) == sim->entry_hashes[shard][index - 1];
+	return core_hash(entry->term * 4 + entry->kind, entry->data, entry->len) ==
+	       sim->entry_hashes[shard][index - 1];
 }
 
 static int holds_committed(const struct sim *sim, int node, uint32_t shard)
@@ -178,7 +196,8 @@
 			return ok;
 	}
 	if (raft->snapshot_members_len && ok) {
-		struct Nl__Members *members = nl__members__unpack(NULL, raft->snapshot_members_len, raft->snapshot_members);
+		struct Nl__Members *members =
+		    nl__members__unpack(NULL, raft->snapshot_members_len, raft->snapshot_members);
 
 		ok = survives_with(sim, shard, members, lost);
 		nl__members__free_unpacked(members, NULL);
@@ -211,7 +230,8 @@
 	for (int a = 0; a < SIM_CONTROLLERS; a++) {
 		if (!is_live(sim, a))
 			continue;
-		if (deployment->zone_losses ? !all_survive(sim, zone_mask(sim, sim->nodes[a].zone)) : !all_survive(sim, 1u << a))
+		if (deployment->zone_losses ? !all_survive(sim, zone_mask(sim, sim->nodes[a].zone))
+					    : !all_survive(sim, 1u << a))
 			return 0;
 		for (int b = a + 1; b < SIM_CONTROLLERS && deployment->machine_losses > 1; b++)
 			if (is_live(sim, b) && !all_survive(sim, 1u << a | 1u << b))
@@ -234,8 +254,10 @@
 		if (sim->now >= next_load_at && is_live(sim, node)) {
 			char body[128];
 
-			snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}]}",
-				 (int)draw(sim, 4), 1 + (int)draw(sim, 1000));
+			snprintf(
+			    body, sizeof body,
+			    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}]}",
+			    (int)draw(sim, 4), 1 + (int)draw(sim, 1000));
 			sim_call(sim, node, "POST", "/v1/change", body);
 			next_load_at = sim->now + LOAD_EVERY_MS;
 		}
@@ -246,12 +268,14 @@
 
 static int groups_are_full(struct sim *sim, const struct deployment *deployment)
 {
-	int expected = copies_of(deployment) < deployment->machines ? copies_of(deployment) : deployment->machines;
+	int expected =
+	    copies_of(deployment) < deployment->machines ? copies_of(deployment) : deployment->machines;
 
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 		int leader = sim_leader(sim, shard), voters = 0;
 
-		if (leader < 0 || raft_at(sim, leader, shard)->members_index > raft_at(sim, leader, shard)->commit_index)
+		if (leader < 0 ||
+		    raft_at(sim, leader, shard)->members_index > raft_at(sim, leader, shard)->commit_index)
 			return 0;
 		for (int i = 0; i < raft_at(sim, leader, shard)->member_count; i++)
 			voters += raft_at(sim, leader, shard)->members[i].voter;
@@ -287,8 +311,8 @@
 	return 1;
 }
 
-/* A planned stop, as the process does it: it ends when it says that it may, or when the grace is over. It then leads
- * nothing, and the others hold what it held. */
+/* A planned stop, as the process does it: it ends when it says that it may, or when the grace is over. It
+ * then leads nothing, and the others hold what it held. */
 static int64_t stop(struct sim *sim, int node)
 {
 	int64_t from = sim->now;
@@ -298,15 +322,17 @@
 		committed[shard] = (uint64_t)arrlen(sim->entry_hashes[shard]);
 	sim_stop(sim, node);
 	pass(sim, 1);
-	while (sim->now - from < GRACE_MS && !controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
+	while (sim->now - from < GRACE_MS &&
+	       !controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
 		pass(sim, 5);
 	for (uint32_t shard = 0; shard < SHARD_COUNT && sim->now - from < GRACE_MS; shard++) {
 		const struct raft *raft = raft_at(sim, node, shard);
 
 		assert_int_not_equal(raft->role, RAFT_LEADER);
-		if (raft->commit_index >= committed[shard] && !others_have_synced(sim, node, shard, committed[shard]))
-			fail_msg("seed %llu: node %d goes, and another copy of shard %u is behind", (unsigned long long)sim->seed,
-				 node, shard);
+		if (raft->commit_index >= committed[shard] &&
+		    !others_have_synced(sim, node, shard, committed[shard]))
+			fail_msg("seed %llu: node %d goes, and another copy of shard %u is behind",
+				 (unsigned long long)sim->seed, node, shard);
 	}
 	return sim->now - from;
 }
@@ -332,10 +358,12 @@
 	return node;
 }
 
-/* The machines that go in this run: so many as the deployment tolerates at once, often a leader among them. */
+/* The machines that go in this run: so many as the deployment tolerates at once, often a leader among them.
+ */
 static unsigned choose_lost(struct sim *sim, const struct deployment *deployment)
 {
-	int first = draw(sim, 2) && sim_leader(sim, SHARD_CONTROL) >= 0 ? sim_leader(sim, SHARD_CONTROL) : any_live(sim, deployment);
+	int first = draw(sim, 2) && sim_leader(sim, SHARD_CONTROL) >= 0 ? sim_leader(sim, SHARD_CONTROL)
+									: any_live(sim, deployment);
 	unsigned lost = 1u << first;
 
 	if (deployment->zone_losses)
@@ -347,7 +375,8 @@
 }
 
 /* Bring a fault about; the time from which the catch-up bound runs. */
-static int64_t bring_about(struct sim *sim, const struct deployment *deployment, enum fault fault, unsigned lost)
+static int64_t bring_about(struct sim *sim, const struct deployment *deployment, enum fault fault,
+			   unsigned lost)
 {
 	int planned = fault == REPLACED_PLANNED || fault == REMOVED_PLANNED;
 	int returns = fault != REMOVED && fault != REMOVED_PLANNED;
@@ -398,12 +427,15 @@
 	size_t n = (size_t)arrlen(times);
 
 	qsort(times, n, sizeof *times, compare_times);
-	print_message("%-20s | %-26s | %5zu | %5lld | %5lld | %5lld | %5lld\n", deployment->name, fault_names[fault], n,
-		      (long long)times[n / 2], (long long)times[n * 95 / 100], (long long)times[n * 99 / 100],
-		      (long long)times[n - 1]);
+	print_message("%-20s | %-26s | %5zu | %5lld | %5lld | %5lld | %5lld\n", deployment->name,
+		      fault_names[fault], n, (long long)times[n / 2], (long long)times[n * 95 / 100],
+		      (long long)times[n * 99 / 100], (long long)times[n - 1]);
 }
 
-static int seeds_or(int n) { return getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : n; }
+static int seeds_or(int n)
+{
+	return getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : n;
+}
 
 /* After any loss that the deployment tolerates, the next one is survived within the catch-up bound. */
 static void next_loss_is_survived_in_time(void **state)
@@ -412,7 +444,8 @@
 	int seeds = seeds_or(2), late = 0;
 
 	(void)state;
-	print_message("%-20s | %-26s | %5s | %5s | %5s | %5s | %5s\n", "deployment", "loss", "runs", "p50", "p95", "p99", "most");
+	print_message("%-20s | %-26s | %5s | %5s | %5s | %5s | %5s\n", "deployment", "loss", "runs", "p50",
+		      "p95", "p99", "most");
 	for (int k = 0; k < DEPLOYMENTS; k++)
 		for (int fault = 0; fault < FAULTS; fault++) {
 			const struct deployment *deployment = &deployments[k];
@@ -421,7 +454,8 @@
 
 			if (only && k != atoi(only))
 				continue;
-			if ((fault == REMOVED || fault == REMOVED_PLANNED) && (deployment->zone_losses || spare < deployment->machine_losses))
+			if ((fault == REMOVED || fault == REMOVED_PLANNED) &&
+			    (deployment->zone_losses || spare < deployment->machine_losses))
 				continue; /* no machine is left to take the place */
 			for (int seed = 1; seed <= seeds; seed++) {
 				struct sim sim;
@@ -429,13 +463,14 @@
 
 				deploy(&sim, deployment, (uint64_t)(seed + 100000 * k + 10000000 * fault));
 				settle(&sim, deployment);
-				t = bring_about(&sim, deployment, (enum fault)fault, choose_lost(&sim, deployment));
+				t = bring_about(&sim, deployment, (enum fault)fault,
+						choose_lost(&sim, deployment));
 				t = exposed_for(&sim, deployment, t);
 				arrput(times, t);
 				late += t > CATCH_UP_MS;
 				if (t > CATCH_UP_MS)
-					print_message("late: %s, %s, seed %d: %lld ms\n", deployment->name, fault_names[fault], seed,
-						      (long long)t);
+					print_message("late: %s, %s, seed %d: %lld ms\n", deployment->name,
+						      fault_names[fault], seed, (long long)t);
 				check(&sim);
 				sim_close(&sim);
 			}
@@ -445,7 +480,8 @@
 	assert_int_equal(late, 0);
 }
 
-/* A member that is to stop while another copy is behind stays until that one has caught up, and leads no more by then. */
+/* A member that is to stop while another copy is behind stays until that one has caught up, and leads no more
+ * by then. */
 static void a_leaving_member_waits_for_the_others(void **state)
 {
 	(void)state;
@@ -468,7 +504,8 @@
 		memset(sim.link_cut, 0, sizeof sim.link_cut);
 		took = stop(&sim, leader);
 		if (took > 3000)
-			fail_msg("seed %llu: gone %lld ms after the heal", (unsigned long long)seed, (long long)took);
+			fail_msg("seed %llu: gone %lld ms after the heal", (unsigned long long)seed,
+				 (long long)took);
 		sim_crash(&sim, leader, 1);
 		sim_start(&sim, leader);
 		pass(&sim, CATCH_UP_MS);
@@ -500,7 +537,8 @@
 	assert_true(most <= 2000);
 }
 
-/* One machine after the other is told to stop, and replaced by a new one; the next follows once that had its time. */
+/* One machine after the other is told to stop, and replaced by a new one; the next follows once that had its
+ * time. */
 static void all_machines_are_replaced_in_turn(void **state)
 {
 	(void)state;
@@ -524,7 +562,8 @@
 	}
 }
 
-/* Two machines are told to stop at once, where the deployment tolerates one loss; spare ones take the places. */
+/* Two machines are told to stop at once, where the deployment tolerates one loss; spare ones take the places.
+ */
 static void two_leave_at_once(void **state)
 {
 	const struct deployment *deployment = &deployments[4];
@@ -546,13 +585,16 @@
 		from = sim.now;
 		while (sim.now - from < GRACE_MS && (sim.nodes[a].up || sim.nodes[b].up)) {
 			pass(&sim, 5);
-			if (sim.nodes[a].up && controller_stopped(sim.nodes[a].controller, sim_local(&sim, a)))
+			if (sim.nodes[a].up &&
+			    controller_stopped(sim.nodes[a].controller, sim_local(&sim, a)))
 				sim_crash(&sim, a, 1);
-			if (sim.nodes[b].up && controller_stopped(sim.nodes[b].controller, sim_local(&sim, b)))
+			if (sim.nodes[b].up &&
+			    controller_stopped(sim.nodes[b].controller, sim_local(&sim, b)))
 				sim_crash(&sim, b, 1);
 		}
 		if (sim.nodes[a].up || sim.nodes[b].up)
-			fail_msg("seed %llu: %d %d still there after the grace", (unsigned long long)seed, sim.nodes[a].up, sim.nodes[b].up);
+			fail_msg("seed %llu: %d %d still there after the grace", (unsigned long long)seed,
+				 sim.nodes[a].up, sim.nodes[b].up);
 		if (!all_survive(&sim, 0))
 			fail_msg("seed %llu: a majority left", (unsigned long long)seed);
 		pass(&sim, CATCH_UP_MS);
@@ -570,17 +612,20 @@
 	return 1;
 }
 
-/* Right after an acknowledgement so many machines as the deployment tolerates lose their disks, and often all others their
- * power; all that were up before come back. */
-static void lose_disks_after_an_acknowledgement(struct sim *sim, const struct deployment *deployment, const char *tenant)
+/* Right after an acknowledgement so many machines as the deployment tolerates lose their disks, and often all
+ * others their power; all that were up before come back. */
+static void lose_disks_after_an_acknowledgement(struct sim *sim, const struct deployment *deployment,
+						const char *tenant)
 {
 	unsigned up = 0, lost;
 	int power = (int)draw(sim, 2), held = 0;
 	char body[128];
 
-	snprintf(body, sizeof body, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"%s\",\"share\":1,\"limit\":5}]}", tenant);
+	snprintf(body, sizeof body,
+		 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"%s\",\"share\":1,\"limit\":5}]}", tenant);
 	if (!sim_change(sim, body, 4000))
-		fail_msg("%s, seed %llu: no acknowledgement; %s", deployment->name, (unsigned long long)sim->seed, sim->violation);
+		fail_msg("%s, seed %llu: no acknowledgement; %s", deployment->name,
+			 (unsigned long long)sim->seed, sim->violation);
 	lost = choose_lost(sim, deployment);
 	for (int i = 0; i < SIM_CONTROLLERS; i++)
 		if (is_live(sim, i) && (power || lost >> i & 1)) {
@@ -594,12 +639,15 @@
 	sim_run(sim, 12000, all_led);
 	check(sim);
 	if (!all_led(sim))
-		fail_msg("%s, seed %llu: a group stays without a leader", deployment->name, (unsigned long long)sim->seed);
+		fail_msg("%s, seed %llu: a group stays without a leader", deployment->name,
+			 (unsigned long long)sim->seed);
 	pass(sim, 500);
 	for (int i = 0; i < SIM_CONTROLLERS; i++)
-		held |= is_live(sim, i) && config_table_get(&sim->nodes[i].controller->config, NL__KIND__TENANT, tenant) != NULL;
+		held |= is_live(sim, i) &&
+			config_table_get(&sim->nodes[i].controller->config, NL__KIND__TENANT, tenant) != NULL;
 	if (!held)
-		fail_msg("%s, seed %llu: acknowledged, and lost", deployment->name, (unsigned long long)sim->seed);
+		fail_msg("%s, seed %llu: acknowledged, and lost", deployment->name,
+			 (unsigned long long)sim->seed);
 }
 
 /* After each kind of loss and the catch-up bound the next one comes at any moment, and again after that. */
@@ -613,14 +661,17 @@
 			const struct deployment *deployment = &deployments[k];
 
 			if ((fault == REMOVED || fault == REMOVED_PLANNED) &&
-			    (deployment->zone_losses || deployment->machines - copies_of(deployment) < deployment->machine_losses))
+			    (deployment->zone_losses ||
+			     deployment->machines - copies_of(deployment) < deployment->machine_losses))
 				continue;
 			for (int seed = 1; seed <= seeds; seed++, runs++) {
 				struct sim sim;
 
-				deploy(&sim, deployment, (uint64_t)(50000000 + seed + 100000 * k + 10000000 * fault));
+				deploy(&sim, deployment,
+				       (uint64_t)(50000000 + seed + 100000 * k + 10000000 * fault));
 				settle(&sim, deployment);
-				bring_about(&sim, deployment, (enum fault)fault, choose_lost(&sim, deployment));
+				bring_about(&sim, deployment, (enum fault)fault,
+					    choose_lost(&sim, deployment));
 				pass(&sim, CATCH_UP_MS + (int64_t)draw(&sim, 3000));
 				lose_disks_after_an_acknowledgement(&sim, deployment, "first");
 				pass(&sim, CATCH_UP_MS + (int64_t)draw(&sim, 3000));
@@ -639,15 +690,17 @@
 	size_t n = (size_t)snprintf(body, sizeof body, "{\"set\":[");
 
 	for (int i = 0; i < LARGE_CHANGE_ROWS; i++)
-		n += (size_t)snprintf(body + n, sizeof body - n,
-				      "%s{\"kind\":\"tenant\",\"name\":\"tenant-with-a-long-name-%d\",\"share\":1,\"limit\":%d}",
-				      i ? "," : "", i, 1 + number);
+		n += (size_t)snprintf(
+		    body + n, sizeof body - n,
+		    "%s{\"kind\":\"tenant\",\"name\":\"tenant-with-a-long-name-%d\",\"share\":1,\"limit\":%d}",
+		    i ? "," : "", i, 1 + number);
 	snprintf(body + n, sizeof body - n, "]}");
 	sim_call(sim, number % 3, "POST", "/v1/change", body);
 }
 
-/* A machine is back with an empty disk, where syncs take 25 ms, links are slow and many hundred changes lie behind. Once the catch-up bound
- * is over, a change is acknowledged, and right then the leader loses its disk while the other two lose power. */
+/* A machine is back with an empty disk, where syncs take 25 ms, links are slow and many hundred changes lie
+ * behind. Once the catch-up bound is over, a change is acknowledged, and right then the leader loses its disk
+ * while the other two lose power. */
 static void the_leaders_disk_is_lost_after_a_repair(void **state)
 {
 	int seeds = seeds_or(1);
@@ -671,7 +724,9 @@
 		pass(&sim, 16000);
 		sim_start(&sim, wiped);
 		pass(&sim, CATCH_UP_MS + 50);
-		revision = sim_change(&sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"last\",\"share\":1,\"limit\":5}]}", 4000);
+		revision = sim_change(
+		    &sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"last\",\"share\":1,\"limit\":5}]}",
+		    4000);
 		check(&sim);
 		assert_true(revision > 0);
 		leader = sim_leader(&sim, SHARD_CONTROL);
@@ -686,7 +741,9 @@
 		if (!all_led(&sim))
 			fail_msg("seed %llu: a group stays without a leader", (unsigned long long)seed);
 		pass(&sim, 500);
-		assert_non_null(config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config, NL__KIND__TENANT, "last"));
+		assert_non_null(
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+				     NL__KIND__TENANT, "last"));
 		sim_close(&sim);
 	}
 }
@@ -764,7 +821,8 @@
 	leader_end(&leader);
 }
 
-/* A learner that lacks the newest committed entry gets no vote, and a lost voter keeps its place until it has it. */
+/* A learner that lacks the newest committed entry gets no vote, and a lost voter keeps its place until it has
+ * it. */
 static void a_learner_votes_only_with_all_that_is_committed(void **state)
 {
 	struct leader leader;
@@ -805,7 +863,8 @@
 
 	(void)state;
 	leader_begin(&leader, 5);
-	leader.live[1].zone = leader.live[2].zone = 9; /* the zone with the most voters: one of members 2 and 3 is to go */
+	leader.live[1].zone = leader.live[2].zone =
+	    9; /* the zone with the most voters: one of members 2 and 3 is to go */
 	leader.raft.replicas = 3;
 	old = leader_last_index(&leader);
 	leader_propose(&leader);
@@ -836,12 +895,14 @@
 static uint64_t successor_named(struct leader *leader)
 {
 	for (ptrdiff_t i = 0; i < arrlen(leader->out.commands); i++)
-		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_STEP_DOWN)
+		if (leader->out.commands[i].kind == CMD_SEND &&
+		    leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_STEP_DOWN)
 			return leader->out.commands[i].args.send.msg->step_down->successor_id;
 	return 0;
 }
 
-/* A leaving leader takes no proposals, waits for a voter that holds all, and names the one that holds most. */
+/* A leaving leader takes no proposals, waits for a voter that holds all, and names the one that holds most.
+ */
 static void a_leaving_leader_hands_over_to_the_most_caught_up(void **state)
 {
 	(void)state;
@@ -965,7 +1026,8 @@
 	int released = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(leader->out.commands); i++)
-		if (leader->out.commands[i].kind == CMD_SEND && leader->out.commands[i].args.send.addr == 100 + id &&
+		if (leader->out.commands[i].kind == CMD_SEND &&
+		    leader->out.commands[i].args.send.addr == 100 + id &&
 		    leader->out.commands[i].args.send.msg->body_case == NL__MSG__BODY_APPEND)
 			released = leader->out.commands[i].args.send.msg->append->released;
 	return released;
--- a/tests/test_clerk.c
+++ b/tests/test_notchlugctl.c
@@ -25,7 +25,8 @@
 	char request[CALLS][REQUEST];
 };
 
-#define ANSWER(status, body) "HTTP/1.1 " status "\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" body
+#define ANSWER(status, body) \
+	"HTTP/1.1 " status "\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n" body
 static const char lost[] = "";
 
 static int listen_at(char address[32])
@@ -90,7 +91,7 @@
 	FILE *file;
 	int status;
 
-	snprintf(command, sizeof command, "%s %s 2>&1", CLERK, arguments);
+	snprintf(command, sizeof command, "%s %s 2>&1", NOTCHLUGCTL, arguments);
 	file = popen(command, "r");
 	assert_non_null(file);
 	n = fread(output, 1, size - 1, file);
@@ -100,7 +101,8 @@
 	return WEXITSTATUS(status);
 }
 
-static int against(struct registrar *r, const char *const *script, const char *arguments, char *output, size_t size)
+static int against(struct registrar *r, const char *const *script, const char *arguments, char *output,
+		   size_t size)
 {
 	char address[32], all[300];
 	pthread_t thread;
@@ -129,9 +131,11 @@
 
 static void a_request_is_sent_again_under_one_key(void **state)
 {
-	static const char *const script[] = { lost, ANSWER("503 Service Unavailable", "{\"error\":\"no leader\"}"),
-					      ANSWER("504 Gateway Timeout", "{\"error\":\"outcome unknown\"}"),
-					      ANSWER("200 OK", "{\"edition\":7}"), NULL };
+	static const char *const script[] = {
+		lost, ANSWER("503 Service Unavailable", "{\"error\":\"no leader\"}"),
+		ANSWER("504 Gateway Timeout", "{\"error\":\"outcome unknown\"}"),
+		ANSWER("200 OK", "{\"edition\":7}"), NULL
+	};
 	static struct registrar r;
 	char output[1000], first[200], again[200];
 
@@ -149,7 +153,8 @@
 	assert_int_equal(against(&r, script + 3, "--at %s key add t secret", output, sizeof output), 0);
 	assert_string_not_equal(row_key(&r, 0, again), first);
 	/* one that was given up before */
-	assert_int_equal(against(&r, script + 3, "--at %s --key earlier-1 key add t secret", output, sizeof output), 0);
+	assert_int_equal(
+	    against(&r, script + 3, "--at %s --key earlier-1 key add t secret", output, sizeof output), 0);
 	assert_string_equal(row_key(&r, 0, again), "earlier-1");
 	/* clearing too */
 	assert_int_equal(against(&r, script, "--at %s clear all", output, sizeof output), 0);
@@ -165,7 +170,9 @@
 	} cases[] = {
 		{ { ANSWER("409 Conflict", "{\"error\":\"edition overtaken\",\"edition\":9}"), NULL }, 4 },
 		{ { ANSWER("400 Bad Request", "{\"error\":\"wrong\"}"), NULL }, 1 },
-		{ { ANSWER("422 Unprocessable Entity", "{\"error\":\"Idempotency-Key: used before for another order\"}"), NULL },
+		{ { ANSWER("422 Unprocessable Entity",
+			   "{\"error\":\"Idempotency-Key: used before for another order\"}"),
+		    NULL },
 		  1 },
 	};
 	static struct registrar r;
@@ -173,7 +180,8 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
-		assert_int_equal(against(&r, cases[i].script, "--at %s del tenant t", output, sizeof output), cases[i].code);
+		assert_int_equal(against(&r, cases[i].script, "--at %s del tenant t", output, sizeof output),
+				 cases[i].code);
 		assert_int_equal(r.calls, 1);
 	}
 	assert_int_equal(run_notchlugctl("--key 'no key' del tenant t", output, sizeof output), 2);
@@ -194,12 +202,15 @@
 	assert_int_equal(r.calls, 1);
 }
 
-/* A read changes nothing: one whose answer is lost, or that a controller cannot answer, is made again, at the next address. */
+/* A read changes nothing: one whose answer is lost, or that a controller cannot answer, is made again, at the
+ * next address. */
 static void a_read_is_made_again(void **state)
 {
-	static const char *const script[] = { lost, ANSWER("503 Service Unavailable", "{\"error\":\"this controller stops\"}"),
-					      ANSWER("504 Gateway Timeout", "{\"error\":\"outcome unknown\"}"),
-					      ANSWER("200 OK", "{\"edition\":3,\"rows\":[]}"), NULL };
+	static const char *const script[] = {
+		lost, ANSWER("503 Service Unavailable", "{\"error\":\"this controller stops\"}"),
+		ANSWER("504 Gateway Timeout", "{\"error\":\"outcome unknown\"}"),
+		ANSWER("200 OK", "{\"edition\":3,\"rows\":[]}"), NULL
+	};
 	static struct registrar r;
 	char output[1000], gone[32], arguments[100];
 
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -1,5 +1,6 @@
-/* Planned stops of controllers (SIGTERM) under virtual time: what happens to the calls that were read and not yet answered,
- * how long routers are without a fresh configuration, and what a leaving leader tells those who still propose to it. */
+/* Planned stops of controllers (SIGTERM) under virtual time: what happens to the calls that were read and not
+ * yet answered, how long routers are without a fresh configuration, and what a leaving leader tells those who
+ * still propose to it. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +12,7 @@
 #include <cmocka.h>
 
 #include "config_handover.h"
-#include "ds.h"
+#include "containers.h"
 #include "router_internal.h"
 #include "sim.h"
 
@@ -37,8 +38,14 @@
 	return text ? strtoull(text, NULL, 10) : otherwise;
 }
 
-static uint64_t seeds_or(uint64_t n) { return number_from("NL_SEEDS", n); }
-static uint64_t first_seed(void) { return number_from("NL_SEED", 1); }
+static uint64_t seeds_or(uint64_t n)
+{
+	return number_from("NL_SEEDS", n);
+}
+static uint64_t first_seed(void)
+{
+	return number_from("NL_SEED", 1);
+}
 
 static void intact(struct sim *sim)
 {
@@ -72,14 +79,16 @@
 {
 	if (v)
 		qsort(v, arrlenu(v), sizeof *v, compare);
-	print_message("%s: n %td, median %lld, p90 %lld, p99 %lld, most %lld ms\n", what, arrlen(v), (long long)percentile(v, 50),
-		      (long long)percentile(v, 90), (long long)percentile(v, 99), (long long)percentile(v, 100));
+	print_message("%s: n %td, median %lld, p90 %lld, p99 %lld, most %lld ms\n", what, arrlen(v),
+		      (long long)percentile(v, 50), (long long)percentile(v, 90),
+		      (long long)percentile(v, 99), (long long)percentile(v, 100));
 }
 
 struct gaps {
-	int64_t *lease;  /* from the old leader's last leased moment to the new one's first */
-	int64_t *answer; /* from the old leader's last leased moment to a router's first good answer behind it */
-	int64_t *age;    /* the oldest that a router's configuration becomes */
+	int64_t *lease; /* from the old leader's last leased moment to the new one's first */
+	int64_t
+	    *answer;  /* from the old leader's last leased moment to a router's first good answer behind it */
+	int64_t *age; /* the oldest that a router's configuration becomes */
 };
 
 /* The process ends once nothing needs it; what it said last has left by then. */
@@ -93,7 +102,8 @@
 static void stop_the_leader(struct sim *sim, struct gaps *gaps)
 {
 	int leader = sim_leader(sim, SHARD_CONTROL);
-	int64_t answered_at = sim->now, lost_at = answered_at, led_at = 0, received_at[ROUTERS] = { 0 }, age[ROUTERS] = { 0 };
+	int64_t answered_at = sim->now, lost_at = answered_at, led_at = 0, received_at[ROUTERS] = { 0 },
+		age[ROUTERS] = { 0 };
 
 	sim_stop(sim, leader);
 	while (sim->now < answered_at + AFTER_STOP_MS) {
@@ -107,7 +117,8 @@
 		else if (now_leads >= 0 && !led_at)
 			led_at = sim->now;
 		for (int i = 0; i < ROUTERS; i++) {
-			const struct config_watch *watch = &sim->nodes[SIM_CONTROLLERS + i].router->config_watch;
+			const struct config_watch *watch =
+			    &sim->nodes[SIM_CONTROLLERS + i].router->config_watch;
 			int64_t fresh = watch->fetched_at_ms - sim->nodes[SIM_CONTROLLERS + i].clock_skew_ms;
 
 			if (sim->now - fresh > age[i])
@@ -179,8 +190,10 @@
 		for (end = sim.now + 2 * CONFIG_WATCH_POLL_MS; sim.now < end;) {
 			pass(&sim, STEP_MS);
 			for (ptrdiff_t i = 0; i < arrlen(stopped->deferred_requests); i++)
-				if (sim_local(&sim, leader) > stopped->deferred_requests[i].deadline_at_ms + TICK_MS)
-					fail_msg("seed %llu: a request is held for too long", (unsigned long long)seed);
+				if (sim_local(&sim, leader) >
+				    stopped->deferred_requests[i].deadline_at_ms + TICK_MS)
+					fail_msg("seed %llu: a request is held for too long",
+						 (unsigned long long)seed);
 			held += arrlenu(stopped->deferred_requests);
 		}
 		assert_true(sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY] > answers);
@@ -198,9 +211,9 @@
 			sim->nodes[i].stalled_until = sim->now + ms;
 }
 
-/* A leader is to stop and may not yet, since an entry is not on the others' disks; a change that is passed on to it
- * meanwhile was surely not logged there, and it says so. If it said nothing, a refusal by its successor would have to be
- * held back: the copy that got no answer might still be accepted. */
+/* A leader is to stop and may not yet, since an entry is not on the others' disks; a change that is passed on
+ * to it meanwhile was surely not logged there, and it says so. If it said nothing, a refusal by its successor
+ * would have to be held back: the copy that got no answer might still be accepted. */
 static void a_leaving_leader_answers_proposals(void **state)
 {
 	static const char service
@@ -226,21 +239,22 @@
 		sim_stop(&sim, leader);
 		pass(&sim, 20);
 		assert_int_equal(sim_leader(&sim, SHARD_CONTROL), leader);
-		token = sim_call(&sim, (leader + 1) % 3, "POST", "/v1/change", route); /* its service is still in the table */
+		token = sim_call(&sim, (leader + 1) % 3, "POST", "/v1/change",
+				 route); /* its service is still in the table */
 		sent_at = sim.now;
 		while (!sim_answer(&sim, token) && sim.now < sent_at + 2 * CONTROLLER_CALL_TIMEOUT_MS)
 			pass(&sim, STEP_MS);
 		assert_non_null(sim_answer(&sim, token));
 		if (sim_answer(&sim, token)->status != 400)
-			fail_msg("seed %llu: %d after %lld ms", (unsigned long long)seed, sim_answer(&sim, token)->status,
-				 (long long)(sim.now - sent_at));
+			fail_msg("seed %llu: %d after %lld ms", (unsigned long long)seed,
+				 sim_answer(&sim, token)->status, (long long)(sim.now - sent_at));
 		assert_true(sim.now - sent_at < RETRY_FAST_MS);
 		sim_close(&sim);
 	}
 }
 
-/* A change that was passed on, and perhaps logged, by a controller that is told to stop when its leader is gone: it looks for
- * no other leader, so it says at once that the outcome is unknown. */
+/* A change that was passed on, and perhaps logged, by a controller that is told to stop when its leader is
+ * gone: it looks for no other leader, so it says at once that the outcome is unknown. */
 static void an_open_outcome_is_said_at_once(void **state)
 {
 	static const char change[] = "{\"set\":[{\"kind\":\"service\",\"name\":\"extra\"" SPEEDS "}]}";
@@ -268,7 +282,8 @@
 		assert_non_null(sim_answer(&sim, token));
 		assert_int_equal(sim_answer(&sim, token)->status, 504);
 		if (sim.now - answered_at > CONFIG_WATCH_LEADER_TIMEOUT_MS + TICK_MS)
-			fail_msg("seed %llu: said %lld ms after the stop", (unsigned long long)seed, (long long)(sim.now - answered_at));
+			fail_msg("seed %llu: said %lld ms after the stop", (unsigned long long)seed,
+				 (long long)(sim.now - answered_at));
 		assert_int_equal(operator_calls_open(sim.nodes[node].controller), 0);
 		sim_close(&sim);
 	}
@@ -287,7 +302,8 @@
 /* Founding waits for seeds that do not answer; a stop ends it at once, in words. */
 static void a_bootstrap_ends_with_the_stop(void **state)
 {
-	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"), core_parse_addr("127.0.1.3:7000") };
+	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"),
+			      core_parse_addr("127.0.1.3:7000") };
 	struct sim sim;
 	uint64_t token;
 
@@ -307,7 +323,8 @@
 /* Once seeds may have begun, the outcome of a founding is open, and they are still told of each other. */
 static void a_bootstrap_that_has_begun_is_unknown(void **state)
 {
-	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"), core_parse_addr("127.0.1.3:7000") };
+	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"),
+			      core_parse_addr("127.0.1.3:7000") };
 
 	(void)state;
 	for (int hang_up = 0; hang_up < 2; hang_up++) {
@@ -318,8 +335,12 @@
 		for (int i = 0; i < 3; i++)
 			sim_add_controller(&sim, "z1", seeds, 3);
 		token = sim_call(&sim, 0, "POST", "/v1/found", "{}");
-		while (!sim.nodes[0].controller->bootstrap.members) { /* the first message that names them is lost */
-			sim.loss_per_mille = sim.nodes[0].controller->bootstrap.id[1] && sim.nodes[0].controller->bootstrap.id[2] ? 1000 : 0;
+		while (!sim.nodes[0]
+			    .controller->bootstrap.members) { /* the first message that names them is lost */
+			sim.loss_per_mille = sim.nodes[0].controller->bootstrap.id[1] &&
+						     sim.nodes[0].controller->bootstrap.id[2]
+						 ? 1000
+						 : 0;
 			pass(&sim, STEP_MS);
 		}
 		sim.loss_per_mille = 0;
@@ -332,7 +353,8 @@
 		assert_int_equal(operator_calls_open(sim.nodes[0].controller), 0);
 		pass(&sim, 3000);
 		for (int i = 0; i < 3; i++)
-			assert_true(sim.nodes[i].controller->fleet && sim.nodes[i].controller->fleet == sim.nodes[0].controller->fleet);
+			assert_true(sim.nodes[i].controller->fleet &&
+				    sim.nodes[i].controller->fleet == sim.nodes[0].controller->fleet);
 		sim_close(&sim);
 	}
 }
@@ -375,9 +397,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_pending_request_is_answered_in_time),   cmocka_unit_test(a_leaving_leader_answers_proposals),
-		cmocka_unit_test(an_open_outcome_is_said_at_once),      cmocka_unit_test(a_bootstrap_ends_with_the_stop),
-		cmocka_unit_test(a_bootstrap_that_has_begun_is_unknown), cmocka_unit_test(a_stop_waits_for_calls_and_begins_none),
+		cmocka_unit_test(a_pending_request_is_answered_in_time),
+		cmocka_unit_test(a_leaving_leader_answers_proposals),
+		cmocka_unit_test(an_open_outcome_is_said_at_once),
+		cmocka_unit_test(a_bootstrap_ends_with_the_stop),
+		cmocka_unit_test(a_bootstrap_that_has_begun_is_unknown),
+		cmocka_unit_test(a_stop_waits_for_calls_and_begins_none),
 		cmocka_unit_test(a_planned_stop_leaves_a_short_gap),
 	};
 	int rc;
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -21,7 +21,7 @@
 #include <unistd.h>
 
 #include "control.h"
-#include "ds.h"
+#include "containers.h"
 #include "platform.h"
 
 enum { LIMIT = 20000 };
@@ -236,7 +236,8 @@
 		{ "ContractList", NULL, "ContractList: a list of at most 100 names", 0 },
 		{ "ContractList", "[1]", "ContractList: a list of at most 100 names", 0 },
 		{ "z2", "2", "Zones.z2: a name of 1 to 60 characters", 0 },
-		{ "FrontAddr", NULL, "ListenAddrs.FrontAddr: an address ip:port with a port of 1 to 65535", 0 },
+		{ "FrontAddr", NULL, "ListenAddrs.FrontAddr: an address ip:port with a port of 1 to 65535",
+		  0 },
 		{ "FrontAddr", "\"127.0.0.1\"", "ListenAddrs.FrontAddr: an address ip:port", 0 },
 		{ "Readiness", "\"127.0.0.1:0\"", "ListenAddrs.Readiness: an address ip:port", 0 },
 		{ "ControlAddr", NULL, "ListenAddrs.ControlAddr: an address ip:port", 1 },
@@ -283,9 +284,10 @@
 		put(with(c[i].key, c[i].value, pool));
 		if (read_them(&settings, c[i].disk, pool) != 2)
 			fail_msg("%s = %s is taken", c[i].key, c[i].value ? c[i].value : "(missing)");
-		if (strncmp(settings.error_text, expected, strlen(expected)) || strchr(settings.error_text, '\n'))
-			fail_msg("%s = %s: said \"%s\", wanted \"%s\"", c[i].key, c[i].value ? c[i].value : "(missing)", settings.error_text,
-				 expected);
+		if (strncmp(settings.error_text, expected, strlen(expected)) ||
+		    strchr(settings.error_text, '\n'))
+			fail_msg("%s = %s: said \"%s\", wanted \"%s\"", c[i].key,
+				 c[i].value ? c[i].value : "(missing)", settings.error_text, expected);
 	}
 }
 
@@ -300,9 +302,11 @@
 		fail_msg("%s", settings.error_text);
 	put(apr_psprintf(pool, "%s", strstr(with("ContractList", "[\"base\"]", pool), "NodeName")));
 	assert_int_equal(read_them(&settings, 0, pool), -1);
-	for (int i = 0; i < LINES; i++) /* a bound whose part is not in force may be missing, and is the product's own */
+	for (int i = 0; i < LINES;
+	     i++) /* a bound whose part is not in force may be missing, and is the product's own */
 		if (!strncmp(edge[i], "VersionMs", 9)) {
-			const char *t = with("VersionMs", NULL, pool), *at = strstr(t, "ContractList"), *end = strchr(at, '\n');
+			const char *t = with("VersionMs", NULL, pool), *at = strstr(t, "ContractList"),
+				   *end = strchr(at, '\n');
 
 			put(apr_psprintf(pool, "%.*sContractList = [\"base\"]%s", (int)(at - t), t, end));
 			assert_int_equal(read_them(&settings, 0, pool), -1);
@@ -326,13 +330,15 @@
 	assert_non_null(strstr(settings.error_text, ": file: readable as TOML"));
 	unsetenv("NOTCHLUG_CONFIG");
 	assert_int_equal(read_them(&settings, 0, pool), 2);
-	assert_string_equal(settings.error_text, "environment: NOTCHLUG_CONFIG: the path of the settings file");
+	assert_string_equal(settings.error_text,
+			    "environment: NOTCHLUG_CONFIG: the path of the settings file");
 }
 
 /* --platform takes everything from there: no flag stands beside it but --check. */
 static void the_flag_stands_alone(void **state)
 {
-	char *good[] = { "test", "--platform", "--check", NULL }, *two[] = { "test", "--platform", "--zone", "z9", NULL };
+	char *good[] = { "test", "--platform", "--check", NULL },
+	     *two[] = { "test", "--platform", "--zone", "z9", NULL };
 	char *run[] = { "test", "--platform", NULL };
 	apr_pool_t *pool = *state;
 	struct settings settings;
@@ -343,7 +349,8 @@
 	assert_int_equal(settings_read(&settings, "test", 0, 3, good, pool), 0);
 	assert_int_equal(settings_read(&settings, "test", 0, 4, two, pool), 2);
 	memset(&settings, 0, sizeof settings);
-	assert_int_equal(settings_read(&settings, "test", 0, 3, good, pool), 2); /* a program without such settings */
+	assert_int_equal(settings_read(&settings, "test", 0, 3, good, pool),
+			 2); /* a program without such settings */
 	put(with("Zone", NULL, pool));
 	settings.read_external = platform_settings;
 	assert_int_equal(settings_read(&settings, "test", 0, 2, run, pool), 2);
@@ -400,15 +407,18 @@
 {
 	uint64_t a = core_parse_addr(addr);
 	struct sockaddr_in address = { .sin_family = AF_INET,
-				  .sin_addr.s_addr = htonl((uint32_t)(a >> 16)),
-				  .sin_port = htons((uint16_t)a) };
+				       .sin_addr.s_addr = htonl((uint32_t)(a >> 16)),
+				       .sin_port = htons((uint16_t)a) };
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
 	assert_return_code(connect(fd, (struct sockaddr *)&address, sizeof address), 0);
 	return fd;
 }
 
-static void copy(char to[200], const char *s) { snprintf(to, 200, "%s", s ? s : "(none)"); }
+static void copy(char to[200], const char *s)
+{
+	snprintf(to, 200, "%s", s ? s : "(none)");
+}
 
 static void core(void *ctx, const struct controller_event *input, int64_t now, struct command_list *out)
 {
@@ -424,12 +434,17 @@
 		heard.token = input->payload.document.token;
 		heard.base = input->payload.document.base_version;
 		heard.patch = input->payload.document.is_patch;
-		snprintf(heard.text[0], 200, "%.*s", (int)input->payload.document.body_bytes, input->payload.document.body);
+		snprintf(heard.text[0], 200, "%.*s", (int)input->payload.document.body_bytes,
+			 input->payload.document.body);
 		copy(heard.text[1], input->payload.document.invalid);
 		heard.n = input->payload.document.body_bytes;
 		break;
-	case CONTROLLER_READ_DOCUMENT: heard.token = input->payload.read.token; break;
-	case CONTROLLER_CALLER_DISCONNECTED: heard.token = input->payload.disconnected.token; break;
+	case CONTROLLER_READ_DOCUMENT:
+		heard.token = input->payload.read.token;
+		break;
+	case CONTROLLER_CALLER_DISCONNECTED:
+		heard.token = input->payload.disconnected.token;
+		break;
 	case CONTROLLER_SET_TARGET_WEIGHTS:
 		heard.token = input->payload.target.token;
 		copy(heard.text[0], input->payload.target.model);
@@ -441,7 +456,8 @@
 		copy(heard.text[0], input->payload.api_call.method);
 		copy(heard.text[1], input->payload.api_call.path);
 		copy(heard.text[2], input->payload.api_call.body);
-		copy(heard.text[3], input->payload.api_call.idempotency_key ? input->payload.api_call.idempotency_key : "");
+		copy(heard.text[3],
+		     input->payload.api_call.idempotency_key ? input->payload.api_call.idempotency_key : "");
 		break;
 	case CONTROLLER_SERVERS_LISTED:
 		heard.token = input->payload.servers_listed.token;
@@ -471,11 +487,12 @@
 		heard.status = input->payload.load_answered.status;
 		heard.never = input->payload.load_answered.never_sent;
 		break;
-	default: break;
+	default:
+		break;
 	}
 	arrput(desk->v, heard);
-	if ((input->kind == CONTROLLER_PUT_DOCUMENT || input->kind == CONTROLLER_READ_DOCUMENT || input->kind == CONTROLLER_SET_TARGET_WEIGHTS ||
-	     input->kind == CONTROLLER_API_CALL) &&
+	if ((input->kind == CONTROLLER_PUT_DOCUMENT || input->kind == CONTROLLER_READ_DOCUMENT ||
+	     input->kind == CONTROLLER_SET_TARGET_WEIGHTS || input->kind == CONTROLLER_API_CALL) &&
 	    !desk->s.hold) {
 		command_answer(out, heard.token, desk->s.status, desk->s.retry, desk->s.body);
 		command = &arrlast(out->commands);
@@ -539,11 +556,13 @@
 
 static char said[70000];
 
-static const char *ask(struct desk *d, const char *verb, const char *target, const char *fields, const char *body)
+static const char *ask(struct desk *d, const char *verb, const char *target, const char *fields,
+		       const char *body)
 {
 	char q[2000];
-	int fd = dial(d->web), n = snprintf(q, sizeof q, "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %zu\r\n\r\n%s", verb,
-					    target, fields, strlen(body), body);
+	int fd = dial(d->web),
+	    n = snprintf(q, sizeof q, "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %zu\r\n\r\n%s", verb,
+			 target, fields, strlen(body), body);
 
 	assert_int_equal(write(fd, q, (size_t)n), n);
 	hear(d, fd, said, sizeof said);
@@ -563,8 +582,9 @@
 	struct heard *heard;
 
 	desk_open(&desk, *state);
-	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 5\r\n", "{\"ConfigVersion\":7}"), "200",
-	     "Content-Type: application/json");
+	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 5\r\n",
+		 "{\"ConfigVersion\":7}"),
+	     "200", "Content-Type: application/json");
 	heard = &arrlast(desk.v);
 	assert_int_equal(heard->kind, CONTROLLER_PUT_DOCUMENT);
 	assert_int_equal(heard->base, 5);
@@ -572,8 +592,8 @@
 	assert_string_equal(heard->text[0], "{\"ConfigVersion\":7}");
 
 	desk.s = (struct script){ 412, 0, 0, "{\"error\":\"another version is current\"}", 0, 0 };
-	says(ask(&desk, "POST", "/configuration/modify", "x-notchlug-base-version: 18446744073709\r\n", "{}"), "412",
-	     "another version");
+	says(ask(&desk, "POST", "/configuration/modify", "x-notchlug-base-version: 18446744073709\r\n", "{}"),
+	     "412", "another version");
 	heard = &arrlast(desk.v);
 	assert_int_equal(heard->base, 18446744073709);
 	assert_int_equal(heard->patch, 1);
@@ -585,10 +605,12 @@
 
 	desk.s = (struct script){ 307, 0, core_parse_addr("127.9.8.7:7360"), NULL, 0, 0 };
 	says(ask(&desk, "POST", "/configuration/replace?x=1", "X-Notchlug-Base-Version: 0\r\n", "{}"), "307",
-	     apr_psprintf(*state, "Location: http://127.9.8.7%s/configuration/replace?x=1\r\n", strchr(desk.web, ':')));
+	     apr_psprintf(*state, "Location: http://127.9.8.7%s/configuration/replace?x=1\r\n",
+			  strchr(desk.web, ':')));
 
 	desk.s = (struct script){ 503, 1250, 0, "{}", 0, 0 };
-	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 0\r\n", "{}"), "503", "Retry-After: 1.250\r\n");
+	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 0\r\n", "{}"), "503",
+	     "Retry-After: 1.250\r\n");
 
 	desk.s = (struct script){ 200, 0, 0, "{}", 0, 0 };
 	says(ask(&desk, "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVersion\":2}"), "200", "");
@@ -609,8 +631,8 @@
 	desk_close(&desk);
 }
 
-/* Whether an order is invalid depends on no state, and yet only a leader says so: the core is told what is wrong with it.
- * A path or a method that there is not is refused at the listener. */
+/* Whether an order is invalid depends on no state, and yet only a leader says so: the core is told what is
+ * wrong with it. A path or a method that there is not is refused at the listener. */
 static void what_makes_no_sense_is_said_to(void **state)
 {
 	enum { NO_EVENT = -1 };
@@ -618,27 +640,32 @@
 		const char *verb, *target, *fields, *body, *status, *part;
 		int kind;
 	} c[] = {
-		{ "POST", "/configuration/replace", "", "{}", "400", "X-Notchlug-Base-Version", CONTROLLER_PUT_DOCUMENT },
-		{ "POST", "/configuration/replace", "X-Notchlug-Base-Version: -1\r\n", "{}", "400", "X-Notchlug-Base-Version",
+		{ "POST", "/configuration/replace", "", "{}", "400", "X-Notchlug-Base-Version",
 		  CONTROLLER_PUT_DOCUMENT },
-		{ "POST", "/configuration/replace", "X-Notchlug-Base-Version: 99999999999999999999\r\n", "{}", "400",
+		{ "POST", "/configuration/replace", "X-Notchlug-Base-Version: -1\r\n", "{}", "400",
+		  "X-Notchlug-Base-Version", CONTROLLER_PUT_DOCUMENT },
+		{ "POST", "/configuration/replace", "X-Notchlug-Base-Version: 99999999999999999999\r\n", "{}",
+		  "400", "X-Notchlug-Base-Version", CONTROLLER_PUT_DOCUMENT },
+		{ "POST", "/configuration/modify", "X-Notchlug-Base-Version: 7x\r\n", "{}", "400",
 		  "X-Notchlug-Base-Version", CONTROLLER_PUT_DOCUMENT },
-		{ "POST", "/configuration/modify", "X-Notchlug-Base-Version: 7x\r\n", "{}", "400", "X-Notchlug-Base-Version",
-		  CONTROLLER_PUT_DOCUMENT },
 		{ "GET", "/configuration/replace", "", "", "405", "Allow: POST", NO_EVENT },
 		{ "POST", "/configuration/retrieve", "", "", "405", "Allow: GET", NO_EVENT },
 		{ "PUT", "/version-put", "", "", "405", "Allow: POST", NO_EVENT },
 		{ "GET", "/configuration", "", "", "404", "no such path", NO_EVENT },
 		{ "GET", "/configuration/retrieve/", "", "", "404", "no such path", NO_EVENT },
 		{ "POST", "/version-put", "", "", "400", "ModelName", CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\"}", "400", "ConfigVersion", CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "{\"ModelName\":\"\",\"ConfigVersion\":2}", "400", "ModelName", CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVersion\":0}", "400", "ConfigVersion",
+		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\"}", "400", "ConfigVersion",
+		  CONTROLLER_SET_TARGET_WEIGHTS },
+		{ "POST", "/version-put", "", "{\"ModelName\":\"\",\"ConfigVersion\":2}", "400", "ModelName",
+		  CONTROLLER_SET_TARGET_WEIGHTS },
+		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVersion\":0}", "400",
+		  "ConfigVersion", CONTROLLER_SET_TARGET_WEIGHTS },
+		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVersion\":1.5}", "400",
+		  "ConfigVersion", CONTROLLER_SET_TARGET_WEIGHTS },
+		{ "POST", "/version-put", "", "[\"m1\",2]", "400", "ModelName",
 		  CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVersion\":1.5}", "400", "ConfigVersion",
+		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVer", "400", "ModelName",
 		  CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "[\"m1\",2]", "400", "ModelName", CONTROLLER_SET_TARGET_WEIGHTS },
-		{ "POST", "/version-put", "", "{\"ModelName\":\"m1\",\"ConfigVer", "400", "ModelName", CONTROLLER_SET_TARGET_WEIGHTS },
 	};
 	struct desk desk;
 	ptrdiff_t events = 0;
@@ -650,7 +677,8 @@
 		char body[200];
 
 		snprintf(body, sizeof body, "{\"error\":\"%s\"}", c[i].part);
-		desk.s = leads ? (struct script){ 400, 0, 0, body, 0, 0 } : (struct script){ 503, 200, 0, "{}", 0, 0 };
+		desk.s = leads ? (struct script){ 400, 0, 0, body, 0, 0 }
+			       : (struct script){ 503, 200, 0, "{}", 0, 0 };
 		says(ask(&desk, c[i].verb, c[i].target, c[i].fields, c[i].body), leads ? c[i].status : "503",
 		     leads ? c[i].part : "Retry-After: 0.200");
 		events += c[i].kind != NO_EVENT;
@@ -665,7 +693,8 @@
 	desk_close(&desk);
 }
 
-/* An answer that holds until the lease ends is not written once that is past, whatever held its process up. */
+/* An answer that holds until the lease ends is not written once that is past, whatever held its process up.
+ */
 static void an_answer_past_its_lease_is_not_given(void **state)
 {
 	struct desk desk;
@@ -676,7 +705,8 @@
 	says(ask(&desk, "GET", "/configuration/retrieve", "", ""), "503", "Retry-After: 0.200");
 	assert_null(strstr(said, "RouteList"));
 	desk.s = (struct script){ 412, 0, 0, "{\"error\":\"another version is current\"}", 0, 0 };
-	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 0\r\n", "{}"), "503", "too late");
+	says(ask(&desk, "POST", "/configuration/replace", "X-Notchlug-Base-Version: 0\r\n", "{}"), "503",
+	     "too late");
 	desk.good_for = LIMIT;
 	desk.s = (struct script){ 200, 0, 0, "{\"RouteList\":[]}", 0, 0 };
 	says(ask(&desk, "GET", "/configuration/retrieve", "", ""), "200", "RouteList");
@@ -712,7 +742,8 @@
 	desk_close(&desk);
 }
 
-/* Plays one call's server: takes a connection, or the next request on the last one, hears it and says reply; NULL: closes. */
+/* Plays one call's server: takes a connection, or the next request on the last one, hears it and says reply;
+ * NULL: closes. */
 static void serve(struct desk *desk, const char *reply, char *received, size_t size)
 {
 	int64_t end = clock_ms() + LIMIT;
@@ -742,9 +773,10 @@
 
 static const char *reply(apr_pool_t *pool, int status, const char *body)
 {
-	return apr_psprintf(pool,
-			    "HTTP/1.1 %d X\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
-			    status, (int)strlen(body), body);
+	return apr_psprintf(
+	    pool,
+	    "HTTP/1.1 %d X\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
+	    status, (int)strlen(body), body);
 }
 
 static struct heard *event(struct desk *desk)
@@ -765,7 +797,8 @@
 }
 
 #define ENTRY(id, addr, state)                                                                                                                \
-	"{\"ServiceName\":\"s1\",\"Address\":\"" addr "\",\"Zone\":\"z1\",\"ConfigVersion\":\"v1\",\"SlotCount\":128,"                        \
+	"{\"ServiceName\":\"s1\",\"Address\":\"" addr                                                                                         \
+	"\",\"Zone\":\"z1\",\"ConfigVersion\":\"v1\",\"SlotCount\":128,"                                                                      \
 	"\"State\":\"" state                                                                                                                  \
 	"\",\"ColdLeftMs\":40,\"Stage\":\"combined\",\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":3,\"Adapters\":[]}],\"InstanceId\":\"" id \
 	"\"}"
@@ -780,8 +813,8 @@
 	list(&desk, 77);
 	serve(&desk,
 	      reply(*state, 200,
-		    "{\"Instances\":[" ENTRY("i-1", "127.0.0.9:8080", "ready") "," ENTRY("i-2", "127.0.0.8:8080",
-											 "ready") "],\"NextToken\":\"p 2/&\"}"),
+		    "{\"Instances\":[" ENTRY("i-1", "127.0.0.9:8080", "ready") "," ENTRY(
+			"i-2", "127.0.0.8:8080", "ready") "],\"NextToken\":\"p 2/&\"}"),
 	      q, sizeof q);
 	assert_int_equal(strncmp(q, "GET /instances HTTP/1.1\r\n", 25), 0);
 	assert_non_null(strcasestr(q, apr_psprintf(*state, "Host: %s\r\n", desk.list_addr)));
@@ -864,7 +897,8 @@
 	serve(&desk, reply(*state, 200, "{\"Instances\":[],\"NextToken\":\"p\"}"), q, sizeof q);
 	assert_false(event(&desk)->ok);
 	list(&desk, 91); /* an answer that breaks off */
-	serve(&desk, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"Instances\":[],\"NextToken\":null}", q, sizeof q);
+	serve(&desk, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"Instances\":[],\"NextToken\":null}", q,
+	      sizeof q);
 	assert_false(event(&desk)->ok);
 	close(desk.list);
 	list(&desk, 92); /* nobody there */
@@ -898,8 +932,10 @@
 		{ 200, "m2",
 		  "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1},{\"Name\":\"m2\",\"ConfigVersion\":4}],\"Saturated\":true}",
 		  200, 1, "4" },
-		{ 200, "m1", "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1}],\"Saturated\":false}", 200, 0, "1" },
-		{ 200, "m3", "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1}],\"Saturated\":false}", 200, 0, "" },
+		{ 200, "m1", "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1}],\"Saturated\":false}", 200,
+		  0, "1" },
+		{ 200, "m3", "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1}],\"Saturated\":false}", 200,
+		  0, "" },
 		{ 200, "m1", "{\"Models\":[{\"Name\":\"m1\"}],\"Saturated\":false}", 0, 0, "" },
 		{ 200, "m1", "{\"Models\":[{\"Name\":\"m1\",\"ConfigVersion\":1}]}", 0, 0, "1" },
 		{ 200, "m1", "{\"Models\":", 0, 0, "" },
@@ -952,9 +988,10 @@
 		serve(&desk, reply(*state, status[i], ""), q, sizeof q);
 		assert_int_equal(strncmp(q, "POST /order HTTP/1.1\r\n", 22), 0);
 		assert_non_null(strcasestr(q, "\r\nX-Notchlug-Target-Instance: i-1\r\n"));
-		assert_string_equal(strstr(q, "\r\n\r\n") + 4,
-				    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,"
-				    "\"Method\":\"hold\",\"Holder\":\"node-7\",\"FenceNumber\":18446744073709551615}");
+		assert_string_equal(
+		    strstr(q, "\r\n\r\n") + 4,
+		    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,"
+		    "\"Method\":\"hold\",\"Holder\":\"node-7\",\"FenceNumber\":18446744073709551615}");
 		assert_int_equal(event(&desk)->kind, CONTROLLER_LOAD_ANSWERED);
 		assert_int_equal(desk.v[0].token, 6);
 		assert_int_equal(desk.v[0].status, status[i]);
@@ -990,17 +1027,21 @@
 	assert_int_equal(write(fd, q, sizeof q - 1), sizeof q - 1);
 	while (!arrlen(desk.v) && clock_ms() < end)
 		platform_control.wait(&desk.c, 5);
-	command_add(&desk.p.commands, CMD_LOAD_WEIGHTS)->args.load_weights.addr = core_parse_addr(desk.list_addr);
-	arrlast(desk.p.commands.commands).args.load_weights.server = arrlast(desk.p.commands.commands).args.load_weights.model = arrlast(desk.p.commands.commands).args.load_weights.lease_holder =
-	    arrlast(desk.p.commands.commands).args.load_weights.weights = "w";
+	command_add(&desk.p.commands, CMD_LOAD_WEIGHTS)->args.load_weights.addr =
+	    core_parse_addr(desk.list_addr);
+	arrlast(desk.p.commands.commands).args.load_weights.server =
+	    arrlast(desk.p.commands.commands).args.load_weights.model =
+		arrlast(desk.p.commands.commands).args.load_weights.lease_holder =
+		    arrlast(desk.p.commands.commands).args.load_weights.weights = "w";
 	process_perform(&desk.p);
 	platform_control.stop(&desk.c, clock_ms());
 	assert_int_equal(arrlast(desk.v).kind, CONTROLLER_STOP);
 	late = socket(AF_INET, SOCK_STREAM, 0); /* refused, or closed unread */
 	if (connect(late,
-		    (struct sockaddr *)&(struct sockaddr_in){ .sin_family = AF_INET,
-							      .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
-							      .sin_port = htons((uint16_t)core_parse_addr(desk.web)) },
+		    (struct sockaddr *)&(struct sockaddr_in){
+			.sin_family = AF_INET,
+			.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
+			.sin_port = htons((uint16_t)core_parse_addr(desk.web)) },
 		    sizeof(struct sockaddr_in)) == 0) {
 		assert_int_equal(write(late, q, sizeof q - 1), sizeof q - 1);
 		for (int i = 0; i < 20; i++)
@@ -1022,7 +1063,8 @@
 	desk_close(&desk);
 }
 
-/* The time to stop in is over, and the core has not answered: whoever waits is told that the outcome is open, before the end. */
+/* The time to stop in is over, and the core has not answered: whoever waits is told that the outcome is open,
+ * before the end. */
 static void what_is_open_at_the_end_of_the_grace_is_said(void **state)
 {
 	const char q[] = "GET /configuration/retrieve HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -1109,7 +1151,8 @@
 	free(s);
 }
 
-/* A program that runs goes on with new settings, asked by a signal or not, and with the old ones while they are torn. */
+/* A program that runs goes on with new settings, asked by a signal or not, and with the old ones while they
+ * are torn. */
 static void settings_are_read_anew(void **state)
 {
 	static const char moved[] = "[\"127.5.5.5:8683\"]", again[] = "[\"127.6.6.6:8683\"]";
@@ -1123,7 +1166,9 @@
 	memset(&running, 0, sizeof running);
 	put(with(NULL, NULL, pool));
 	running.d.p.settings.read_external = counted;
-	assert_int_equal(settings_read(&running.d.p.settings, "test", 0, 2, (char *[]){ "test", "--platform", NULL }, pool), -1);
+	assert_int_equal(settings_read(&running.d.p.settings, "test", 0, 2,
+				       (char *[]){ "test", "--platform", NULL }, pool),
+			 -1);
 	close(listener(in));
 	close(listener(running.d.web));
 	running.d.p.pool = pool;
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,5 +1,5 @@
-/* How well routers decide, before servers that read, keep, load and forget: each test is seen to fail where the mechanism that it is
- * for is switched off. */
+/* How well routers decide, before servers that read, keep, load and forget: each test is seen to fail where
+ * the mechanism that it is for is switched off. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,8 @@
 
 enum { LARGE, SMALL };
 
-/* Sixteen servers, some 55 % of whose time goes to reading if each prefix is read once; links too thin for all news. */
+/* Sixteen servers, some 55 % of whose time goes to reading if each prefix is read once; links too thin for
+ * all news. */
 static struct engine_settings usual(uint64_t seed)
 {
 	return (struct engine_settings){
@@ -34,7 +35,10 @@
 	};
 }
 
-static double share_again(const struct engine_sim *engines) { return (double)engine_prefilled_again(engines) / (double)(engine_prefilled(engines) + 1); }
+static double share_again(const struct engine_sim *engines)
+{
+	return (double)engine_prefilled_again(engines) / (double)(engine_prefilled(engines) + 1);
+}
 
 static double within_target(const struct engine_sim *engines, int kind)
 {
@@ -46,12 +50,16 @@
 static void print_counts(const char *what, uint64_t seed, const struct engine_sim *engines)
 {
 	print_message(
-	    "%s, seed %llu: read again %.3f of all; in aim %.3f of large and %.3f of small; 90 of 100 within %d and %d ms\n", what,
-	    (unsigned long long)seed, share_again(engines), within_target(engines, LARGE), within_target(engines, SMALL), engine_percentile(engines, LARGE, 90),
+	    "%s, seed %llu: read again %.3f of all; in aim %.3f of large and %.3f of small; 90 of 100 within %d and %d ms\n",
+	    what, (unsigned long long)seed, share_again(engines), within_target(engines, LARGE),
+	    within_target(engines, SMALL), engine_percentile(engines, LARGE, 90),
 	    engine_percentile(engines, SMALL, 90));
 }
 
-static uint32_t off(enum mechanism m) { return UINT32_C(1) << m; }
+static uint32_t off(enum mechanism m)
+{
+	return UINT32_C(1) << m;
+}
 
 /* A warm fleet, then so many ms that are counted. */
 static struct engine_sim *played(const struct engine_settings *set, int64_t ms)
@@ -80,11 +88,13 @@
 
 /* What a mechanism is worth: the same days with it and without it. */
 struct comparison {
-	double large[2], small[2], again[2]; /* in aim, in aim, read again: with, without; sums over the seeds */
-	int small_p90[2], large_p90[2];      /* the largest of the seeds, in ms */
+	double large[2], small[2],
+	    again[2];                   /* in aim, in aim, read again: with, without; sums over the seeds */
+	int small_p90[2], large_p90[2]; /* the largest of the seeds, in ms */
 };
 
-static struct comparison compare(const char *what, struct engine_settings (*settings)(uint64_t seed), uint32_t without, int named)
+static struct comparison compare(const char *what, struct engine_settings (*settings)(uint64_t seed),
+				 uint32_t without, int named)
 {
 	struct comparison comparison = { 0 };
 
@@ -101,14 +111,18 @@
 			comparison.small[k] += within_target(engines, SMALL) / SEEDS;
 			comparison.again[k] += share_again(engines) / SEEDS;
 			p90 = engine_percentile(engines, SMALL, 90);
-			comparison.small_p90[k] = p90 > comparison.small_p90[k] ? p90 : comparison.small_p90[k];
+			comparison.small_p90[k] =
+			    p90 > comparison.small_p90[k] ? p90 : comparison.small_p90[k];
 			p90 = engine_percentile(engines, LARGE, 90);
-			comparison.large_p90[k] = p90 > comparison.large_p90[k] ? p90 : comparison.large_p90[k];
+			comparison.large_p90[k] =
+			    p90 > comparison.large_p90[k] ? p90 : comparison.large_p90[k];
 			engine_close(engines);
 		}
-	print_message("%s: large %.3f for %.3f, small %.3f for %.3f, again %.3f for %.3f, p90 %d for %d and %d for %d ms\n", what,
-		      comparison.large[0], comparison.large[1], comparison.small[0], comparison.small[1], comparison.again[0], comparison.again[1], comparison.large_p90[0], comparison.large_p90[1],
-		      comparison.small_p90[0], comparison.small_p90[1]);
+	print_message(
+	    "%s: large %.3f for %.3f, small %.3f for %.3f, again %.3f for %.3f, p90 %d for %d and %d for %d ms\n",
+	    what, comparison.large[0], comparison.large[1], comparison.small[0], comparison.small[1],
+	    comparison.again[0], comparison.again[1], comparison.large_p90[0], comparison.large_p90[1],
+	    comparison.small_p90[0], comparison.small_p90[1]);
 	return comparison;
 }
 
@@ -140,7 +154,8 @@
 	return set;
 }
 
-/* Links carry a part of the news alone: without lookups prompts are read again that lie ready, and a roll-out lasts twice. */
+/* Links carry a part of the news alone: without lookups prompts are read again that lie ready, and a roll-out
+ * lasts twice. */
 static void a_target_version_under_load(void **state)
 {
 	struct comparison comparison = compare("a naming", usual, off(MECHANISM_LOOKUP), 1);
@@ -152,7 +167,8 @@
 
 static void memory_half_as_large(void **state)
 {
-	struct comparison comparison = compare("half the memory", with_half_the_memory, off(MECHANISM_LOOKUP), 0);
+	struct comparison comparison =
+	    compare("half the memory", with_half_the_memory, off(MECHANISM_LOOKUP), 0);
 
 	(void)state;
 	assert_true(comparison.large[0] > 0.95 && comparison.small[0] > 0.95 && comparison.again[0] < 0.23);
@@ -170,7 +186,8 @@
 
 static void small_behind_large(void **state)
 {
-	struct comparison comparison = compare("small behind large", with_small_behind_large, off(MECHANISM_LOOKUP), 0);
+	struct comparison comparison =
+	    compare("small behind large", with_small_behind_large, off(MECHANISM_LOOKUP), 0);
 
 	(void)state;
 	assert_true(comparison.small_p90[0] < 950 && comparison.large_p90[0] < 1150);
@@ -208,8 +225,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_target_version_under_load), cmocka_unit_test(memory_half_as_large), cmocka_unit_test(a_hot_prefix),
-		cmocka_unit_test(small_behind_large),  cmocka_unit_test(a_silent_head),
+		cmocka_unit_test(a_target_version_under_load),
+		cmocka_unit_test(memory_half_as_large),
+		cmocka_unit_test(a_hot_prefix),
+		cmocka_unit_test(small_behind_large),
+		cmocka_unit_test(a_silent_head),
 	};
 	int rc;
 
--- a/tests/test_purge_freshness.c
+++ b/tests/test_purge_freshness.c
@@ -1,4 +1,5 @@
-/* Routers that stand still, or are cut off, while context is cleared: what they hear late of purges must not look like news. */
+/* Routers that stand still, or are cut off, while context is cleared: what they hear late of purges must not
+ * look like news. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,10 +10,17 @@
 #include <apr_general.h>
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "sim.h"
 
-enum { CONTROLLERS = 4, ROUTERS = 3, ISOLATION_MS = 20000, SERVERS = 6, PURGED_GRACE_MS = 5000, LINGER_MS = 2500 };
+enum {
+	CONTROLLERS = 4,
+	ROUTERS = 3,
+	ISOLATION_MS = 20000,
+	SERVERS = 6,
+	PURGED_GRACE_MS = 5000,
+	LINGER_MS = 2500
+};
 
 static uint64_t seeds_of(uint64_t n, uint64_t *first)
 {
@@ -43,8 +51,9 @@
 		sim->link_cut[node][i] = sim->link_cut[i][node] = i != node;
 }
 
-/* A router stands still while its neighbours' messages lie at its door, and goes on once all context was cleared. Its
- * publisher is still cut off: what it reads first is the old knowledge, which must not look like news. */
+/* A router stands still while its neighbours' messages lie at its door, and goes on once all context was
+ * cleared. Its publisher is still cut off: what it reads first is the old knowledge, which must not look like
+ * news. */
 static void old_knowledge_is_not_fresh(void **state)
 {
 	uint64_t first, seeds = seeds_of(16, &first), judged = 0, seen = 0;
@@ -82,7 +91,8 @@
 			sim.link_cut[router][publisher] = sim.link_cut[publisher][router] = 1;
 			for (int i = 0; i < ROUTERS; i++)
 				if (SIM_CONTROLLERS + i != router)
-					sim.link_cut[router][SIM_CONTROLLERS + i] = sim.link_cut[SIM_CONTROLLERS + i][router] = 1;
+					sim.link_cut[router][SIM_CONTROLLERS + i] =
+					    sim.link_cut[SIM_CONTROLLERS + i][router] = 1;
 			seen++;
 		}
 		sim_freeze(&sim, router, 0);
@@ -92,12 +102,13 @@
 		if (sim.violation[0])
 			fail_msg("%s", sim.violation);
 		if (!relay_is_current(&sim.nodes[router].router->relay, sim_local(&sim, router)))
-			fail_msg("seed %llu: router %d does not hear of purges again", (unsigned long long)seed, router);
+			fail_msg("seed %llu: router %d does not hear of purges again",
+				 (unsigned long long)seed, router);
 		judged += sim.n_checked;
 		sim_close(&sim);
 	}
-	print_message("%llu uses judged, %llu of %llu with the publisher cut off\n", (unsigned long long)judged,
-		      (unsigned long long)seen, (unsigned long long)seeds);
+	print_message("%llu uses judged, %llu of %llu with the publisher cut off\n",
+		      (unsigned long long)judged, (unsigned long long)seen, (unsigned long long)seeds);
 }
 
 int main(void)
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -1,5 +1,6 @@
-/* What comes in over the network and cannot be right: absurd terms, indices, sizes and lists of members, messages of other
- * fleets, torn and altered bytes, and real messages again, late and out of order. Fixed seeds; run with sanitizers. */
+/* What comes in over the network and cannot be right: absurd terms, indices, sizes and lists of members,
+ * messages of other fleets, torn and altered bytes, and real messages again, late and out of order. Fixed
+ * seeds; run with sanitizers. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,14 +11,17 @@
 #include <cmocka.h>
 #include <nettle/sha2.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "raft_world.h"
 #include "sim.h"
 
 enum { STRANGER = 9 };
 #define FAR ((uint64_t)1 << 60)
 
-static uint64_t env(const char *name, uint64_t otherwise) { return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise; }
+static uint64_t env(const char *name, uint64_t otherwise)
+{
+	return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise;
+}
 
 /* All that a member is: bytes of its struct, and of what its log and snapshot hold. */
 static uint64_t image(const struct raft *raft)
@@ -66,7 +70,10 @@
 	return nl__members__pack(&members, to);
 }
 
-static uint64_t last_of(const struct raft *raft) { return raft->base_index + (uint64_t)arrlen(raft->log); }
+static uint64_t last_of(const struct raft *raft)
+{
+	return raft->base_index + (uint64_t)arrlen(raft->log);
+}
 
 /* A message of this kind that the member would take: from its leader, or to a leader from its follower. */
 static void sample_open(struct sample *sample, int body, const struct raft *raft, uint64_t from)
@@ -121,15 +128,32 @@
 	nl__probe_reply__init(&sample->probe_reply);
 	sample->msg.vote_request = &sample->vote_ask; /* the body is a union: all begin at the same place */
 	switch (body) {
-	case NL__MSG__BODY_VOTE_REPLY: sample->msg.vote_reply = &sample->vote_reply; break;
-	case NL__MSG__BODY_APPEND: sample->msg.append = &sample->append; break;
-	case NL__MSG__BODY_APPEND_REPLY: sample->msg.append_reply = &sample->append_reply; break;
-	case NL__MSG__BODY_SNAPSHOT_CHUNK: sample->msg.snapshot_chunk = &sample->piece; break;
-	case NL__MSG__BODY_SNAPSHOT_REPLY: sample->msg.snapshot_reply = &sample->piece_reply; break;
-	case NL__MSG__BODY_STEP_DOWN: sample->msg.step_down = &sample->give_up; break;
-	case NL__MSG__BODY_PROBE: sample->msg.probe = &sample->probe; break;
-	case NL__MSG__BODY_PROBE_REPLY: sample->msg.probe_reply = &sample->probe_reply; break;
-	default: break;
+	case NL__MSG__BODY_VOTE_REPLY:
+		sample->msg.vote_reply = &sample->vote_reply;
+		break;
+	case NL__MSG__BODY_APPEND:
+		sample->msg.append = &sample->append;
+		break;
+	case NL__MSG__BODY_APPEND_REPLY:
+		sample->msg.append_reply = &sample->append_reply;
+		break;
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
+		sample->msg.snapshot_chunk = &sample->piece;
+		break;
+	case NL__MSG__BODY_SNAPSHOT_REPLY:
+		sample->msg.snapshot_reply = &sample->piece_reply;
+		break;
+	case NL__MSG__BODY_STEP_DOWN:
+		sample->msg.step_down = &sample->give_up;
+		break;
+	case NL__MSG__BODY_PROBE:
+		sample->msg.probe = &sample->probe;
+		break;
+	case NL__MSG__BODY_PROBE_REPLY:
+		sample->msg.probe_reply = &sample->probe_reply;
+		break;
+	default:
+		break;
 	}
 }
 
@@ -142,54 +166,198 @@
 	sample->entry[0].data.len = len;
 }
 
-static void vote_term_0(struct sample *sample) { sample->vote_ask.term = sample->vote_ask.last_term = 0; }
-static void vote_term_far(struct sample *sample) { sample->vote_ask.term = FAR; }
-static void vote_gave_up_late(struct sample *sample) { sample->vote_ask.stepped_down_term = sample->vote_ask.term; }
-static void vote_last_far(struct sample *sample) { sample->vote_ask.last_index = FAR; }
-static void vote_last_term_late(struct sample *sample) { sample->vote_ask.last_term = sample->vote_ask.term + 1; }
-static void vote_reply_term_far(struct sample *sample) { sample->vote_reply.term = FAR; }
-static void append_term_0(struct sample *sample) { sample->append.term = sample->append.prev_term = sample->entry[0].term = sample->entry[1].term = 0; }
-static void append_term_far(struct sample *sample) { sample->append.term = UINT64_MAX; }
-static void append_prev_far(struct sample *sample) { sample->append.prev_index = UINT64_MAX; }
-static void append_commit_far(struct sample *sample) { sample->append.commit_index = FAR; }
-static void append_prev_term_late(struct sample *sample) { sample->append.prev_term = sample->append.term + 1; }
-static void entry_term_0(struct sample *sample) { sample->entry[0].term = 0; }
-static void entry_term_late(struct sample *sample) { sample->entry[1].term = sample->append.term + 1; }
-static void entry_terms_fall(struct sample *sample) { sample->entry[1].term = sample->entry[0].term - 1; }
-static void entry_kind(struct sample *sample) { sample->entry[1].kind = 7; }
-static void members_torn(struct sample *sample) { members_entry(sample, pack_members(sample->members, 3, 3, 0) - 1); }
-static void members_none(struct sample *sample) { members_entry(sample, 0); }
-static void members_many(struct sample *sample) { members_entry(sample, pack_members(sample->members, RAFT_MAX_MEMBERS + 1, 3, 0)); }
-static void members_alike(struct sample *sample) { members_entry(sample, pack_members(sample->members, 3, 3, 1)); }
-static void members_voteless(struct sample *sample) { members_entry(sample, pack_members(sample->members, 3, 0, 0)); }
-static void reply_term_far(struct sample *sample) { sample->append_reply.term = FAR; }
-static void reply_match_far(struct sample *sample) { sample->append_reply.match_index = UINT64_MAX; }
-static void reply_match_beyond(struct sample *sample) { sample->append_reply.match_index++; }
-static void reply_matched_beyond(struct sample *sample) { sample->append_reply.matched_index++; }
-static void reply_round_beyond(struct sample *sample) { sample->append_reply.round++; }
-static void piece_term_0(struct sample *sample) { sample->piece.term = 0; }
-static void piece_term_far(struct sample *sample) { sample->piece.term = FAR; }
-static void piece_index_0(struct sample *sample) { sample->piece.index = 0; }
-static void piece_index_far(struct sample *sample) { sample->piece.index = FAR; }
-static void piece_index_term_0(struct sample *sample) { sample->piece.index_term = 0; }
-static void piece_index_term_late(struct sample *sample) { sample->piece.index_term = sample->piece.term + 1; }
-static void piece_digest_short(struct sample *sample) { sample->piece.digest.len = RAFT_DIGEST_BYTES - 1; }
-static void piece_digest_long(struct sample *sample) { sample->piece.digest.len = RAFT_DIGEST_BYTES + 1; }
-static void piece_no_members(struct sample *sample) { sample->piece.members_len = 0; }
-static void piece_members_beyond(struct sample *sample) { sample->piece.members_len = sample->piece.total_bytes + 1; }
-static void piece_huge(struct sample *sample) { sample->piece.total_bytes = FAR; }
-static void piece_too_large(struct sample *sample) { sample->piece.total_bytes = (uint64_t)RAFT_SNAPSHOT_MAX_BYTES + 1; }
-static void piece_beyond(struct sample *sample) { sample->piece.offset = sample->piece.total_bytes - sample->piece.data.len + 1; }
-static void piece_wraps(struct sample *sample) { sample->piece.offset = UINT64_MAX - sample->piece.data.len + 2; }
-static void piece_empty(struct sample *sample) { sample->piece.data.len = 0; }
-static void piece_longer_than_all(struct sample *sample) { sample->piece.total_bytes = sample->piece.members_len = sample->piece.data.len - 1; }
-static void piece_reply_term_far(struct sample *sample) { sample->piece_reply.term = FAR; }
-static void piece_reply_index_far(struct sample *sample) { sample->piece_reply.index = FAR; }
-static void piece_reply_offset_far(struct sample *sample) { sample->piece_reply.offset = FAR; }
-static void give_up_term_far(struct sample *sample) { sample->give_up.term = FAR; }
-static void probe_reply_term_far(struct sample *sample) { sample->probe_reply.last_term = FAR; }
-static void probe_reply_index_far(struct sample *sample) { sample->probe_reply.members_index = FAR; }
-static void of_a_stranger(struct sample *sample) { sample->msg.id = STRANGER; } /* leads in a term that has a leader */
+static void vote_term_0(struct sample *sample)
+{
+	sample->vote_ask.term = sample->vote_ask.last_term = 0;
+}
+static void vote_term_far(struct sample *sample)
+{
+	sample->vote_ask.term = FAR;
+}
+static void vote_gave_up_late(struct sample *sample)
+{
+	sample->vote_ask.stepped_down_term = sample->vote_ask.term;
+}
+static void vote_last_far(struct sample *sample)
+{
+	sample->vote_ask.last_index = FAR;
+}
+static void vote_last_term_late(struct sample *sample)
+{
+	sample->vote_ask.last_term = sample->vote_ask.term + 1;
+}
+static void vote_reply_term_far(struct sample *sample)
+{
+	sample->vote_reply.term = FAR;
+}
+static void append_term_0(struct sample *sample)
+{
+	sample->append.term = sample->append.prev_term = sample->entry[0].term = sample->entry[1].term = 0;
+}
+static void append_term_far(struct sample *sample)
+{
+	sample->append.term = UINT64_MAX;
+}
+static void append_prev_far(struct sample *sample)
+{
+	sample->append.prev_index = UINT64_MAX;
+}
+static void append_commit_far(struct sample *sample)
+{
+	sample->append.commit_index = FAR;
+}
+static void append_prev_term_late(struct sample *sample)
+{
+	sample->append.prev_term = sample->append.term + 1;
+}
+static void entry_term_0(struct sample *sample)
+{
+	sample->entry[0].term = 0;
+}
+static void entry_term_late(struct sample *sample)
+{
+	sample->entry[1].term = sample->append.term + 1;
+}
+static void entry_terms_fall(struct sample *sample)
+{
+	sample->entry[1].term = sample->entry[0].term - 1;
+}
+static void entry_kind(struct sample *sample)
+{
+	sample->entry[1].kind = 7;
+}
+static void members_torn(struct sample *sample)
+{
+	members_entry(sample, pack_members(sample->members, 3, 3, 0) - 1);
+}
+static void members_none(struct sample *sample)
+{
+	members_entry(sample, 0);
+}
+static void members_many(struct sample *sample)
+{
+	members_entry(sample, pack_members(sample->members, RAFT_MAX_MEMBERS + 1, 3, 0));
+}
+static void members_alike(struct sample *sample)
+{
+	members_entry(sample, pack_members(sample->members, 3, 3, 1));
+}
+static void members_voteless(struct sample *sample)
+{
+	members_entry(sample, pack_members(sample->members, 3, 0, 0));
+}
+static void reply_term_far(struct sample *sample)
+{
+	sample->append_reply.term = FAR;
+}
+static void reply_match_far(struct sample *sample)
+{
+	sample->append_reply.match_index = UINT64_MAX;
+}
+static void reply_match_beyond(struct sample *sample)
+{
+	sample->append_reply.match_index++;
+}
+static void reply_matched_beyond(struct sample *sample)
+{
+	sample->append_reply.matched_index++;
+}
+static void reply_round_beyond(struct sample *sample)
+{
+	sample->append_reply.round++;
+}
+static void piece_term_0(struct sample *sample)
+{
+	sample->piece.term = 0;
+}
+static void piece_term_far(struct sample *sample)
+{
+	sample->piece.term = FAR;
+}
+static void piece_index_0(struct sample *sample)
+{
+	sample->piece.index = 0;
+}
+static void piece_index_far(struct sample *sample)
+{
+	sample->piece.index = FAR;
+}
+static void piece_index_term_0(struct sample *sample)
+{
+	sample->piece.index_term = 0;
+}
+static void piece_index_term_late(struct sample *sample)
+{
+	sample->piece.index_term = sample->piece.term + 1;
+}
+static void piece_digest_short(struct sample *sample)
+{
+	sample->piece.digest.len = RAFT_DIGEST_BYTES - 1;
+}
+static void piece_digest_long(struct sample *sample)
+{
+	sample->piece.digest.len = RAFT_DIGEST_BYTES + 1;
+}
+static void piece_no_members(struct sample *sample)
+{
+	sample->piece.members_len = 0;
+}
+static void piece_members_beyond(struct sample *sample)
+{
+	sample->piece.members_len = sample->piece.total_bytes + 1;
+}
+static void piece_huge(struct sample *sample)
+{
+	sample->piece.total_bytes = FAR;
+}
+static void piece_too_large(struct sample *sample)
+{
+	sample->piece.total_bytes = (uint64_t)RAFT_SNAPSHOT_MAX_BYTES + 1;
+}
+static void piece_beyond(struct sample *sample)
+{
+	sample->piece.offset = sample->piece.total_bytes - sample->piece.data.len + 1;
+}
+static void piece_wraps(struct sample *sample)
+{
+	sample->piece.offset = UINT64_MAX - sample->piece.data.len + 2;
+}
+static void piece_empty(struct sample *sample)
+{
+	sample->piece.data.len = 0;
+}
+static void piece_longer_than_all(struct sample *sample)
+{
+	sample->piece.total_bytes = sample->piece.members_len = sample->piece.data.len - 1;
+}
+static void piece_reply_term_far(struct sample *sample)
+{
+	sample->piece_reply.term = FAR;
+}
+static void piece_reply_index_far(struct sample *sample)
+{
+	sample->piece_reply.index = FAR;
+}
+static void piece_reply_offset_far(struct sample *sample)
+{
+	sample->piece_reply.offset = FAR;
+}
+static void give_up_term_far(struct sample *sample)
+{
+	sample->give_up.term = FAR;
+}
+static void probe_reply_term_far(struct sample *sample)
+{
+	sample->probe_reply.last_term = FAR;
+}
+static void probe_reply_index_far(struct sample *sample)
+{
+	sample->probe_reply.members_index = FAR;
+}
+static void of_a_stranger(struct sample *sample)
+{
+	sample->msg.id = STRANGER;
+} /* leads in a term that has a leader */
 
 enum target { FOLLOWER, LEADER, BOTH };
 
@@ -209,7 +377,8 @@
 	{ NL__MSG__BODY_APPEND, BOTH, "an append of a far term", append_term_far },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "an append at a far index", append_prev_far },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "an append with a far commit", append_commit_far },
-	{ NL__MSG__BODY_APPEND, FOLLOWER, "an append behind an entry of a later term", append_prev_term_late },
+	{ NL__MSG__BODY_APPEND, FOLLOWER, "an append behind an entry of a later term",
+	  append_prev_term_late },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "an entry of term 0", entry_term_0 },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "an entry of a later term", entry_term_late },
 	{ NL__MSG__BODY_APPEND, FOLLOWER, "entries whose terms fall", entry_terms_fall },
@@ -258,7 +427,8 @@
 	return -1;
 }
 
-static void drops(struct world *world, int target, uint64_t from, int body, void (*spoil)(struct sample *), const char *what)
+static void drops(struct world *world, int target, uint64_t from, int body, void (*spoil)(struct sample *),
+		  const char *what)
 {
 	struct world_machine *machine = &world->machine[target];
 	uint64_t before = image(&machine->raft);
@@ -288,9 +458,11 @@
 	assert_true(leader >= 0 && follower >= 0);
 	for (size_t i = 0; i < sizeof absurd / sizeof *absurd; i++) {
 		if (absurd[i].target != LEADER)
-			drops(&world, follower, world.machine[leader].id, absurd[i].body, absurd[i].spoil, absurd[i].what);
+			drops(&world, follower, world.machine[leader].id, absurd[i].body, absurd[i].spoil,
+			      absurd[i].what);
 		if (absurd[i].target != FOLLOWER)
-			drops(&world, leader, world.machine[follower].id, absurd[i].body, absurd[i].spoil, absurd[i].what);
+			drops(&world, leader, world.machine[follower].id, absurd[i].body, absurd[i].spoil,
+			      absurd[i].what);
 	}
 	/* the group goes on as if nothing had been */
 	assert_true(world_change(&world, 20, 5000));
@@ -334,9 +506,11 @@
 
 /* ---- bytes ---- */
 
-static const int kind_names[] = { NL__MSG__BODY_VOTE_REQUEST,     NL__MSG__BODY_VOTE_REPLY,     NL__MSG__BODY_APPEND,
-			     NL__MSG__BODY_APPEND_REPLY, NL__MSG__BODY_SNAPSHOT_CHUNK, NL__MSG__BODY_SNAPSHOT_REPLY,
-			     NL__MSG__BODY_STEP_DOWN,      NL__MSG__BODY_PROBE,          NL__MSG__BODY_PROBE_REPLY };
+static const int kind_names[] = { NL__MSG__BODY_VOTE_REQUEST,   NL__MSG__BODY_VOTE_REPLY,
+				  NL__MSG__BODY_APPEND,         NL__MSG__BODY_APPEND_REPLY,
+				  NL__MSG__BODY_SNAPSHOT_CHUNK, NL__MSG__BODY_SNAPSHOT_REPLY,
+				  NL__MSG__BODY_STEP_DOWN,      NL__MSG__BODY_PROBE,
+				  NL__MSG__BODY_PROBE_REPLY };
 enum { KIND_COUNT = sizeof kind_names / sizeof *kind_names };
 
 /* Alter a packed message: torn, some bytes of it others, or a stretch of it moved. Its new length. */
@@ -351,7 +525,8 @@
 	for (uint64_t i = 0; i < 1 + core_random(rng) % 4; i++)
 		d[core_random(rng) % n] ^= (uint8_t)(1u << (core_random(rng) % 8));
 	if (how == 1) {
-		size_t from = core_random(rng) % n, to = core_random(rng) % n, len = n - (from > to ? from : to);
+		size_t from = core_random(rng) % n, to = core_random(rng) % n,
+		       len = n - (from > to ? from : to);
 
 		memmove(d + to, d + from, len);
 	}
@@ -360,8 +535,9 @@
 	return n;
 }
 
-/* Whatever still reads as a message is dropped or answered; nothing is read or written outside, and nothing grows. A member
- * believes what it can't tell from another's word, so what became of the group is not judged. */
+/* Whatever still reads as a message is dropped or answered; nothing is read or written outside, and nothing
+ * grows. A member believes what it can't tell from another's word, so what became of the group is not judged.
+ */
 static void altered_bytes_do_no_harm_to_the_process(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 12), read = 0, dropped = 0, all = 0;
@@ -381,7 +557,8 @@
 			struct Nl__Msg *msg;
 			size_t n;
 
-			sample_open(&sample, kind_names[core_random(&rng) % KIND_COUNT], &machine->raft, 1 + core_random(&rng) % 4);
+			sample_open(&sample, kind_names[core_random(&rng) % KIND_COUNT], &machine->raft,
+				    1 + core_random(&rng) % 4);
 			n = alter(d, nl__msg__pack(&sample.msg, d), &rng);
 			msg = nl__msg__unpack(NULL, n, d);
 			all++;
@@ -399,8 +576,8 @@
 		}
 		world_close(&world);
 	}
-	print_message("%llu altered messages: %llu could be read, %llu of them dropped\n", (unsigned long long)all,
-		      (unsigned long long)read, (unsigned long long)dropped);
+	print_message("%llu altered messages: %llu could be read, %llu of them dropped\n",
+		      (unsigned long long)all, (unsigned long long)read, (unsigned long long)dropped);
 	assert_true(read > all / 10 && dropped > 0);
 }
 
@@ -421,7 +598,8 @@
 	return 1;
 }
 
-/* Everything that was ever said may be heard again, at any time and in any order: old terms, old snapshots, old votes. */
+/* Everything that was ever said may be heard again, at any time and in any order: old terms, old snapshots,
+ * old votes. */
 static void what_was_said_before_is_harmless(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 10), replayed = 0;
@@ -441,7 +619,8 @@
 			(void)world_run(&world, (int64_t)(core_random(&rng) % 1500), NULL);
 			world_start(&world, victim);
 			for (int i = 0; i < 300 && arrlen(recorded) && !world.violation[0]; i++) {
-				const struct world_packet *packet = &recorded[core_random(&rng) % (uint64_t)arrlen(recorded)];
+				const struct world_packet *packet =
+				    &recorded[core_random(&rng) % (uint64_t)arrlen(recorded)];
 
 				world_inject(&world, packet->to, packet->data, packet->len);
 				replayed++;
@@ -449,8 +628,10 @@
 					(void)world_run(&world, (int64_t)(core_random(&rng) % 30), NULL);
 			}
 		}
-		if (!world.violation[0] && !(world_run(&world, 3000, NULL) && world_change(&world, 1, 6000)) && !world.violation[0])
-			fail_msg("seed %llu: no change is acknowledged after the replay", (unsigned long long)seed);
+		if (!world.violation[0] &&
+		    !(world_run(&world, 3000, NULL) && world_change(&world, 1, 6000)) && !world.violation[0])
+			fail_msg("seed %llu: no change is acknowledged after the replay",
+				 (unsigned long long)seed);
 		if (world.violation[0])
 			fail_msg("%s", world.violation);
 		world_close(&world);
@@ -458,7 +639,8 @@
 			free(recorded[i].data);
 		arrfree(recorded);
 	}
-	print_message("%llu seeds, %llu messages heard again\n", (unsigned long long)seeds, (unsigned long long)replayed);
+	print_message("%llu seeds, %llu messages heard again\n", (unsigned long long)seeds,
+		      (unsigned long long)replayed);
 }
 
 /* ---- a controller's door to its groups ---- */
@@ -481,7 +663,8 @@
 	return h;
 }
 
-static void foreign(struct controller *controller, struct Nl__Msg *message, int64_t now, struct command_list *out)
+static void foreign(struct controller *controller, struct Nl__Msg *message, int64_t now,
+		    struct command_list *out)
 {
 	struct controller_event event = { .kind = CONTROLLER_MESSAGE };
 	uint64_t before = image_of_all(controller), dropped = controller->dropped_count;
@@ -531,7 +714,8 @@
 		struct controller_event event = { .kind = CONTROLLER_MESSAGE };
 		struct sample sample;
 
-		sample_open(&sample, NL__MSG__BODY_APPEND, &controller->shards[0], controller->shards[0].leader_id);
+		sample_open(&sample, NL__MSG__BODY_APPEND, &controller->shards[0],
+			    controller->shards[0].leader_id);
 		sample.msg.fleet_id = controller->fleet + 1;
 		event.payload.message = &sample.msg;
 		log_lines = 0;
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -1,4 +1,5 @@
-/* Recovery of groups that lost their majority, by an operator's word, and the fencing of the members of older epochs. */
+/* Recovery of groups that lost their majority, by an operator's word, and the fencing of the members of older
+ * epochs. */
 #include <apr_general.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -8,7 +9,7 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "raft_leader.h"
 #include "sim.h"
 
@@ -31,12 +32,14 @@
 static struct Nl__Msg *sent(struct leader *leader, int body)
 {
 	for (ptrdiff_t i = arrlen(leader->out.commands) - 1; i >= 0; i--)
-		if (leader->out.commands[i].kind == CMD_SEND && (int)leader->out.commands[i].args.send.msg->body_case == body)
+		if (leader->out.commands[i].kind == CMD_SEND &&
+		    (int)leader->out.commands[i].args.send.msg->body_case == body)
 			return leader->out.commands[i].args.send.msg;
 	return NULL;
 }
 
-static void receive_vote_request(struct leader *leader, uint64_t from, uint64_t term, uint64_t last, uint64_t last_term)
+static void receive_vote_request(struct leader *leader, uint64_t from, uint64_t term, uint64_t last,
+				 uint64_t last_term)
 {
 	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REQUEST);
 	struct Nl__VoteRequest request = NL__VOTE_REQUEST__INIT;
@@ -73,13 +76,15 @@
 	leader.now += RAFT_ABSENT_MS;
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
 	assert_int_equal(raft_epoch(leader.raft.term), 1);
-	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS); /* twice */
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now),
+			 RAFT_RECOVERY_MAJORITY_REMAINS); /* twice */
 	leader_end(&leader);
 	/* of five with three lost the newer of the two copies goes on */
 	leader_begin(&leader, 5);
 	lose_followers(&leader);
 	receive_vote_request(&leader, 4, leader.raft.term, leader_last_index(&leader) + 1, leader.raft.term);
-	assert_int_equal(raft_recover(&leader.raft, (const uint64_t[]){ 2, 3, 5 }, 3, leader.now), RAFT_RECOVERY_OTHER_IS_NEWER);
+	assert_int_equal(raft_recover(&leader.raft, (const uint64_t[]){ 2, 3, 5 }, 3, leader.now),
+			 RAFT_RECOVERY_OTHER_IS_NEWER);
 	leader_end(&leader);
 	/* one that is no member */
 	leader_begin(&leader, 3);
@@ -146,12 +151,14 @@
 	leader_end(&leader);
 }
 
-/* An old member that hears of the newer epoch leads no more, gives no vote, asks for none, and joins no group. */
+/* An old member that hears of the newer epoch leads no more, gives no vote, asks for none, and joins no
+ * group. */
 static void a_member_of_an_older_epoch_is_fenced(void **state)
 {
 	const uint64_t newer = (uint64_t)1 << RAFT_EPOCH_SHIFT;
 	struct leader leader;
-	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REPLY), offer = leader_message(NL__MSG__BODY_APPEND);
+	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REPLY),
+		       offer = leader_message(NL__MSG__BODY_APPEND);
 	struct Nl__VoteReply reply = NL__VOTE_REPLY__INIT;
 	struct Nl__Append append = NL__APPEND__INIT;
 
@@ -163,14 +170,16 @@
 	leader_receive(&leader, 2, &message);
 	assert_int_equal(leader.raft.role, RAFT_FOLLOWER);
 	assert_false(raft_has_lease(&leader.raft, leader.now));
-	assert_int_equal(raft_epoch(leader.raft.term), 0); /* its term stays what it was: its disk can be told from the new ones */
+	assert_int_equal(raft_epoch(leader.raft.term),
+			 0); /* its term stays what it was: its disk can be told from the new ones */
 	command_list_clear(&leader.out);
 	for (int i = 0; i < 30; i++) {
 		leader.now += RAFT_HEARTBEAT_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 	}
 	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REQUEST));
-	receive_vote_request(&leader, 3, leader.raft.term + 1, leader_last_index(&leader) + 9, leader.raft.term + 1);
+	receive_vote_request(&leader, 3, leader.raft.term + 1, leader_last_index(&leader) + 9,
+			     leader.raft.term + 1);
 	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REPLY));
 	append.term = newer;
 	offer.append = &append;
@@ -178,7 +187,8 @@
 	leader_receive(&leader, 3, &offer);
 	assert_non_null(sent(&leader, NL__MSG__BODY_APPEND_REPLY));
 	assert_true(sent(&leader, NL__MSG__BODY_APPEND_REPLY)->append_reply->fenced);
-	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now + RAFT_ABSENT_MS), RAFT_RECOVERY_NO_VOTER);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now + RAFT_ABSENT_MS),
+			 RAFT_RECOVERY_NO_VOTER);
 	leader_end(&leader);
 }
 
@@ -242,8 +252,8 @@
 	return config_table_get(&sim->nodes[node].controller->config, NL__KIND__TENANT, tenant) != NULL;
 }
 
-/* Two of three are lost for good. The one that is left goes on, two new machines join it, the old two come back from
- * their disks and change nothing. */
+/* Two of three are lost for good. The one that is left goes on, two new machines join it, the old two come
+ * back from their disks and change nothing. */
 static void a_fleet_recovers_from_a_lost_majority(void **state)
 {
 	int seeds = getenv("NL_SEEDS") ? atoi(getenv("NL_SEEDS")) : 6;
@@ -263,9 +273,11 @@
 		sim_crash(&sim, gone[0], 0);
 		sim_crash(&sim, gone[1], 0);
 		pass(&sim, 500);
-		assert_int_equal(call_recover(&sim, remaining, gone, 2), 409); /* too early: they were heard just now */
+		assert_int_equal(call_recover(&sim, remaining, gone, 2),
+				 409); /* too early: they were heard just now */
 		pass(&sim, 4000);
-		assert_int_equal(call_recover(&sim, remaining, gone, 1), 409); /* one of them is not said to be lost */
+		assert_int_equal(call_recover(&sim, remaining, gone, 1),
+				 409); /* one of them is not said to be lost */
 		sim.recovered = 1;
 		assert_int_equal(call_recover(&sim, remaining, gone, 2), 200);
 		assert_int_equal(call_recover(&sim, remaining, gone, 2), 409); /* twice */
@@ -293,11 +305,13 @@
 			assert_int_equal(raft->member_count, 3);
 			for (int i = 0; i < raft->member_count; i++) {
 				assert_true(raft->members[i].voter);
-				assert_true(raft->members[i].id != sim.nodes[gone[0]].id && raft->members[i].id != sim.nodes[gone[1]].id);
+				assert_true(raft->members[i].id != sim.nodes[gone[0]].id &&
+					    raft->members[i].id != sim.nodes[gone[1]].id);
 			}
 			for (int i = 0; i < 2; i++) {
 				assert_true(sim.nodes[gone[i]].controller->shards[shard].fenced);
-				assert_int_equal(raft_epoch(sim.nodes[gone[i]].controller->shards[shard].term), 0);
+				assert_int_equal(
+				    raft_epoch(sim.nodes[gone[i]].controller->shards[shard].term), 0);
 			}
 		}
 		assert_true(sim_change(&sim, TENANT("later"), 8000) > revision);
@@ -315,7 +329,9 @@
 /* A controller that joined no group cannot take one over, and bodies that are no such call are refused. */
 static void a_call_at_the_wrong_machine_is_refused(void **state)
 {
-	static const char *const bodies[] = { "", "{", "[]", "{}", "{\"lost\":5}", "{\"lost\":[1,2,3,4,5,6,7,8,9]}" };
+	static const char *const bodies[] = {
+		"", "{", "[]", "{}", "{\"lost\":5}", "{\"lost\":[1,2,3,4,5,6,7,8,9]}"
+	};
 	struct sim sim;
 	int gone[2] = { 0, 1 }, spare;
 
@@ -329,7 +345,8 @@
 	assert_int_equal(call_recover(&sim, spare, gone, 2), 409);
 	for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
 		assert_int_equal(sim_call_and_wait(&sim, 2, "POST", "/v1/recover", bodies[i], 1000), 400);
-	assert_int_equal(sim_call_and_wait(&sim, 2, "POST", "/v1/recover", "{\"lost\":[]}", 1000), 409); /* only says who the members are */
+	assert_int_equal(sim_call_and_wait(&sim, 2, "POST", "/v1/recover", "{\"lost\":[]}", 1000),
+			 409); /* only says who the members are */
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++)
 		assert_int_equal(raft_epoch(sim.nodes[2].controller->shards[shard].term), 0);
 	check(&sim);
@@ -339,9 +356,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(recovery_is_refused_while_it_may_not_be), cmocka_unit_test(the_copy_that_is_left_goes_on),
-		cmocka_unit_test(messages_of_an_older_epoch_are_refused),  cmocka_unit_test(a_member_of_an_older_epoch_is_fenced),
-		cmocka_unit_test(an_old_identity_is_not_taken_back),       cmocka_unit_test(a_fleet_recovers_from_a_lost_majority),
+		cmocka_unit_test(recovery_is_refused_while_it_may_not_be),
+		cmocka_unit_test(the_copy_that_is_left_goes_on),
+		cmocka_unit_test(messages_of_an_older_epoch_are_refused),
+		cmocka_unit_test(a_member_of_an_older_epoch_is_fenced),
+		cmocka_unit_test(an_old_identity_is_not_taken_back),
+		cmocka_unit_test(a_fleet_recovers_from_a_lost_majority),
 		cmocka_unit_test(a_call_at_the_wrong_machine_is_refused),
 	};
 
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,5 +1,5 @@
-/* How requests end in the router's core: each state of a request against each event that may end it. The table of states
- * and events is in docs/consistency.md, "A request in the core". */
+/* How requests end in the router's core: each state of a request against each event that may end it. The
+ * table of states and events is in docs/consistency.md, "A request in the core". */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,9 +11,9 @@
 #include <apr_strings.h>
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "sim_forward.h"
-#include "solo.h"
+#include "router_fixture.h"
 
 enum { ROWS = 16, SERVERS_MOST = 8, REQUEST_LIMIT = 60000 };
 
@@ -26,9 +26,13 @@
 	uint64_t revision;
 };
 
-static struct Nl__Row *world_service(struct world *world, const char *name) { return world->row[world->rows++] = new_service(world->s.p, name); }
+static struct Nl__Row *world_service(struct world *world, const char *name)
+{
+	return world->row[world->rows++] = new_service(world->s.p, name);
+}
 
-static struct Nl__Row *world_route(struct world *world, const char *name, const char *path, const char *service)
+static struct Nl__Row *world_route(struct world *world, const char *name, const char *path,
+				   const char *service)
 {
 	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.p, NL__KIND__ROUTE, name);
 
@@ -66,7 +70,11 @@
 }
 
 /* Put the table into force; the commands of that step stay in w->s.o. */
-static void world_apply(struct world *world) { router_fixture_table(&world->s, world->row, world->rows, world->server, world->servers, ++world->revision); }
+static void world_apply(struct world *world)
+{
+	router_fixture_table(&world->s, world->row, world->rows, world->server, world->servers,
+			     ++world->revision);
+}
 
 /* The answer that a caller got in the last step; 0: none, -1: its stream was broken off. */
 static int heard(const struct solo *solo, uint64_t token)
@@ -115,9 +123,12 @@
 }
 
 /* How a send ends, without letting time pass. */
-static void send_ends(struct world *world, uint64_t call, enum forward_end how, int status, int began, const char *since)
+static void send_ends(struct world *world, uint64_t call, enum forward_end how, int status, int began,
+		      const char *since)
 {
-	struct forward_result ended = { .token = call, .end = how, .status = status, .has_begun = began, .last_event_id = since };
+	struct forward_result ended = {
+		.token = call, .end = how, .status = status, .has_begun = began, .last_event_id = since
+	};
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
 	event.u.forward_ended = &ended;
@@ -153,7 +164,8 @@
 	command_list_clear(&world->s.commands);
 	router_fixture_tick(&world->s, 300);
 	for (ptrdiff_t i = 0; i < arrlen(world->s.commands.commands); i++)
-		if (world->s.commands.commands[i].kind == CMD_SEND && world->s.commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+		if (world->s.commands.commands[i].kind == CMD_SEND &&
+		    world->s.commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
 			follow = world->s.commands.commands[i].args.send.msg->config_sync->token;
 	assert_true(follow);
 	command_list_clear(&world->s.commands);
@@ -269,7 +281,8 @@
 	router_fixture_close(&world.s);
 }
 
-/* On the product's own interface a claim binds a request to its service's owner: it is refused, and comes back. */
+/* On the product's own interface a claim binds a request to its service's owner: it is refused, and comes
+ * back. */
 static void a_waiting_claim_comes_back_for_its_routes_new_service(void **state)
 {
 	struct world world = { 0 };
@@ -450,8 +463,9 @@
 	router_fixture_close(&world.s);
 }
 
-/* A stream broke off, and no server has a place for long: its client is told while it still listens, so that it can take the
- * stream up by itself. Its patience is two seconds, four times the aim or eight times the pause, whichever is longest. */
+/* A stream broke off, and no server has a place for long: its client is told while it still listens, so that
+ * it can take the stream up by itself. Its patience is two seconds, four times the aim or eight times the
+ * pause, whichever is longest. */
 static void a_stream_is_not_held_in_silence(void **state)
 {
 	(void)state;
@@ -477,12 +491,14 @@
 		call = router_fixture_last_call(&world.s);
 		began(&world, call);
 		send_ends(&world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
-		assert_non_null(ask(&world, "/x", 0)); /* it takes the place: the stream's server is to be avoided for now */
+		assert_non_null(ask(
+		    &world, "/x", 0)); /* it takes the place: the stream's server is to be avoided for now */
 		from = world.s.now;
 		while (!status && world.s.now - from < 20000) {
 			command_list_clear(&world.s.commands);
 			world.s.router.config_watch.fetched_at_ms = world.s.now;
-			world.s.router.servers[1].unavailable_until_ms = world.s.router.servers[0].unavailable_until_ms = world.s.now + 100;
+			world.s.router.servers[1].unavailable_until_ms =
+			    world.s.router.servers[0].unavailable_until_ms = world.s.now + 100;
 			router_fixture_tick(&world.s, 50);
 			status = heard(&world.s, 2);
 		}
@@ -492,7 +508,8 @@
 	}
 }
 
-/* The one server that stands turned it away: it is neither held until its limit, nor does it hold up others. */
+/* The one server that stands turned it away: it is neither held until its limit, nor does it hold up others.
+ */
 static void one_server_turns_a_request_away(void **state)
 {
 	struct world world = { 0 };
@@ -563,7 +580,8 @@
 {
 	for (ptrdiff_t k = 0; k < arrlen(world->s.router.requests); k++)
 		if (world->s.router.requests[k]->state == REQUEST_RUNNING) {
-			send_ends(world, world->s.router.requests[k]->call_token, FORWARD_COMPLETE, 200, 1, NULL);
+			send_ends(world, world->s.router.requests[k]->call_token, FORWARD_COMPLETE, 200, 1,
+				  NULL);
 			break;
 		}
 	time_passes(world, 50);
@@ -606,8 +624,8 @@
 	router_fixture_close(&world.s);
 }
 
-/* The head of a line stands still for a service without a server: one of another service, with little time, is not told that
- * the line is too long. */
+/* The head of a line stands still for a service without a server: one of another service, with little time,
+ * is not told that the line is too long. */
 static void a_split_refuses_nobody_for_a_head_of_another_service(void **state)
 {
 	struct world world = { 0 };
@@ -632,7 +650,8 @@
 	router_fixture_close(&world.s);
 }
 
-/* What the caller hears of each way in which a send can end, in each state: 0: nothing, and it is sent again. */
+/* What the caller hears of each way in which a send can end, in each state: 0: nothing, and it is sent again.
+ */
 enum { ANSWER_RESENT = 0, ANSWER_BROKEN = -1 };
 struct send_end {
 	enum forward_end how;
@@ -644,7 +663,9 @@
 /* The first table of docs/consistency.md, "A request in the core". */
 static int expected(const struct send_end *send_end)
 {
-	int runs_again = send_end->begun ? send_end->resumable && send_end->since : send_end->how == FORWARD_NOT_STARTED || send_end->repeatable || send_end->resumable;
+	int runs_again = send_end->begun ? send_end->resumable && send_end->since
+					 : send_end->how == FORWARD_NOT_STARTED || send_end->repeatable ||
+					       send_end->resumable;
 
 	if (runs_again && !send_end->spent)
 		return ANSWER_RESENT;
@@ -678,10 +699,14 @@
 		world.s.router.retry_budget[request->service_index] = 0;
 	if (send_end->spent == SPENT_TIME)
 		request->deadline_at_ms = world.s.now + 10;
-	send_ends(&world, call, send_end->how, send_end->how == FORWARD_NOT_STARTED ? 503 : 200, send_end->begun, send_end->since ? "3" : NULL);
+	send_ends(&world, call, send_end->how, send_end->how == FORWARD_NOT_STARTED ? 503 : 200,
+		  send_end->begun, send_end->since ? "3" : NULL);
 	if (heard(&world.s, 1) != expected(send_end))
-		fail_msg("how %d begun %d ran %d repeatable %d resumable %d since %d spent %d: heard %d, not %d", (int)send_end->how,
-			 send_end->begun, send_end->ran, send_end->repeatable, send_end->resumable, send_end->since, send_end->spent, heard(&world.s, 1), expected(send_end));
+		fail_msg(
+		    "how %d begun %d ran %d repeatable %d resumable %d since %d spent %d: heard %d, not %d",
+		    (int)send_end->how, send_end->begun, send_end->ran, send_end->repeatable,
+		    send_end->resumable, send_end->since, send_end->spent, heard(&world.s, 1),
+		    expected(send_end));
 	assert_int_equal(sent_to(&world.s) != NULL, expected(send_end) == ANSWER_RESENT);
 	assert_int_equal(arrlen(world.s.router.requests), expected(send_end) == ANSWER_RESENT);
 	assert_true(router_balanced(&world.s.router));
@@ -696,8 +721,10 @@
 	for (int how = FORWARD_NOT_STARTED; how <= FORWARD_BROKEN_OFF; how++)
 		for (int flags = 0; flags < 1 << FLAGS; flags++)
 			for (int spent = 0; spent < SPENT_KINDS; spent++) {
-				struct send_end send_end = { (enum forward_end)how, flags & 1,      flags >> 1 & 1, flags >> 2 & 1,
-						      flags >> 3 & 1,       flags >> 4 & 1, spent };
+				struct send_end send_end = {
+					(enum forward_end)how, flags & 1,      flags >> 1 & 1, flags >> 2 & 1,
+					flags >> 3 & 1,        flags >> 4 & 1, spent
+				};
 
 				check_send_end(&send_end);
 			}
@@ -745,14 +772,15 @@
 	router_fixture_close(&world.s);
 }
 
-/* ---- each event in each state --------------------------------------------------------------------------- */
+/* ---- each event in each state ---------------------------------------------------------------------------
+ */
 
 enum request_phase {
-	PHASE_WAITING,    /* taken, never sent */
-	PHASE_SENT,       /* at a server, nothing heard of it */
-	PHASE_STREAMING,  /* its client has a head */
-	PHASE_RETURNED, /* waits again; it surely never ran */
-	PHASE_RESUMING,    /* waits again; its client has a part of the stream */
+	PHASE_WAITING,   /* taken, never sent */
+	PHASE_SENT,      /* at a server, nothing heard of it */
+	PHASE_STREAMING, /* its client has a head */
+	PHASE_RETURNED,  /* waits again; it surely never ran */
+	PHASE_RESUMING,  /* waits again; its client has a part of the stream */
 	PHASES
 };
 enum request_event {
@@ -779,7 +807,9 @@
 	[EVENT_NO_SERVER] = { 503, 0, 0, 503, ANSWER_BROKEN },
 	[EVENT_DEADLINE] = { 503, 504, ANSWER_BROKEN, 503, ANSWER_BROKEN },
 	[EVENT_PROCESS_STOPS] = { 503, 502, ANSWER_BROKEN, 503, ANSWER_BROKEN },
-	[EVENT_CLIENT_DISCONNECTED] = { ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED },
+	[EVENT_CLIENT_DISCONNECTED] = { ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED,
+					ANSWER_CLIENT_DISCONNECTED, ANSWER_CLIENT_DISCONNECTED,
+					ANSWER_CLIENT_DISCONNECTED },
 };
 
 /* Rows in order: what events take away comes last. */
@@ -809,7 +839,8 @@
 	if (phase == PHASE_RESUMING)
 		send_ends(world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
 	if (phase != PHASE_WAITING)
-		world->s.router.servers[0].unavailable_until_ms = world->s.now + 100000; /* none takes it before the event is over */
+		world->s.router.servers[0].unavailable_until_ms =
+		    world->s.now + 100000; /* none takes it before the event is over */
 }
 
 static int ticks_until_answered(struct world *world, int64_t ms)
@@ -831,8 +862,12 @@
 	struct router_event stop = { .kind = ROUTER_EVENT_STOP };
 
 	switch (event) {
-	case EVENT_ROUTE_REMOVED: world->rows--; return received_table(world, 1);
-	case EVENT_KEY_REMOVED: world->row[ROW_KEY] = world->row[--world->rows]; return received_table(world, 1);
+	case EVENT_ROUTE_REMOVED:
+		world->rows--;
+		return received_table(world, 1);
+	case EVENT_KEY_REMOVED:
+		world->row[ROW_KEY] = world->row[--world->rows];
+		return received_table(world, 1);
 	case EVENT_OTHER_TIMES:
 		world->row[ROW_ROUTE]->timeout_ms = 100;
 		world->row[ROW_TENANT]->isolated = 1;
@@ -842,9 +877,15 @@
 		for (size_t i = 0; i < world->servers; i++)
 			world->server[i]->state = INSTANCE_DRAINING;
 		return received_table(world, 1);
-	case EVENT_SERVERS_REMOVED: world->servers = 0; return received_table(world, 1);
-	case EVENT_NO_SERVER: world->servers = 0; return received_table(world, 1) ? 1 : ticks_until_answered(world, 5000);
-	case EVENT_DEADLINE: world->s.router.requests[0]->deadline_at_ms = world->s.now + 200; return ticks_until_answered(world, 300);
+	case EVENT_SERVERS_REMOVED:
+		world->servers = 0;
+		return received_table(world, 1);
+	case EVENT_NO_SERVER:
+		world->servers = 0;
+		return received_table(world, 1) ? 1 : ticks_until_answered(world, 5000);
+	case EVENT_DEADLINE:
+		world->s.router.requests[0]->deadline_at_ms = world->s.now + 200;
+		return ticks_until_answered(world, 300);
 	case EVENT_PROCESS_STOPS:
 		stop.u.shutdown.send_deadline_at_ms = world->s.now + 200;
 		stop.u.shutdown.run_deadline_at_ms = world->s.now + 900;
@@ -859,10 +900,10 @@
 
 static enum request_outcome outcome_answered(int answered)
 {
-	return answered == ANSWER_CLIENT_DISCONNECTED    ? REQUEST_CLIENT_DISCONNECTED
-	       : answered == 503                ? REQUEST_REFUSED
-	       : answered == 401 || answered == 404 ? REQUEST_REJECTED
-					    : REQUEST_BROKEN_OFF;
+	return answered == ANSWER_CLIENT_DISCONNECTED ? REQUEST_CLIENT_DISCONNECTED
+	       : answered == 503                      ? REQUEST_REFUSED
+	       : answered == 401 || answered == 404   ? REQUEST_REJECTED
+						      : REQUEST_BROKEN_OFF;
 }
 
 static void each_event_in_each_state_ends_as_the_table_says(void **state)
@@ -876,11 +917,13 @@
 			open_in_phase(&world, (enum request_phase)phase);
 			answered = event_happens(&world, (enum request_event)event);
 			if (answered != hears[event][phase])
-				fail_msg("event %d in phase %d: heard %d, not %d", event, phase, answered, hears[event][phase]);
+				fail_msg("event %d in phase %d: heard %d, not %d", event, phase, answered,
+					 hears[event][phase]);
 			assert_int_equal(arrlen(world.s.router.requests), answered == ANSWER_NONE);
 			assert_true(router_balanced(&world.s.router));
 			if (answered)
-				assert_int_equal(world.s.router.stats.outcomes[outcome_answered(answered)], 1);
+				assert_int_equal(world.s.router.stats.outcomes[outcome_answered(answered)],
+						 1);
 			for (ptrdiff_t i = 0; i < arrlen(world.s.commands.commands); i++)
 				cancels += world.s.commands.commands[i].kind == CMD_CANCEL;
 			assert_int_equal(cancels, answered && runs);
@@ -904,12 +947,16 @@
 	return e ? strtoull(e, NULL, 10) : 1;
 }
 
-static uint64_t random_below(uint64_t *s, uint64_t n) { return core_random(s) % n; }
+static uint64_t random_below(uint64_t *s, uint64_t n)
+{
+	return core_random(s) % n;
+}
 
 static void go(struct sim_forward *forwarding, int64_t ms)
 {
 	if (!sim_forward_run(forwarding, ms))
-		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
+		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed,
+			 forwarding->sim.violation);
 }
 
 /* Two places a server, so that requests wait, are turned away and given back. */
@@ -930,8 +977,11 @@
 		if (config->service[route] >= 0)
 			config->service[route] = !config->service[route];
 		break;
-	case 2: config->split[route] = config->service[route] >= 0 && !config->split[route]; break;
-	default: config->timeout[route] = random_below(d, 2) ? 0 : 1500 + (int)random_below(d, 3000);
+	case 2:
+		config->split[route] = config->service[route] >= 0 && !config->split[route];
+		break;
+	default:
+		config->timeout[route] = random_below(d, 2) ? 0 : 1500 + (int)random_below(d, 3000);
 	}
 }
 
@@ -939,7 +989,9 @@
 {
 	if (key % 2 == 0)
 		return; /* one of each tenant stays */
-	config->key[key] = config->key[key] < 0 ? key / 2 : random_below(d, 2) ? -1 : (int)random_below(d, SIM_FORWARD_TENANTS);
+	config->key[key] = config->key[key] < 0 ? key / 2
+			   : random_below(d, 2) ? -1
+						: (int)random_below(d, SIM_FORWARD_TENANTS);
 }
 
 /* The second service goes with all that leads to it, or is back. */
@@ -971,15 +1023,26 @@
 	for (uint64_t n = 1 + random_below(d, 3); n; n--)
 		switch (random_below(d, 6)) {
 		case 0:
-		case 1: route_changes(&config, (int)random_below(d, SIM_FORWARD_ROUTES), d); break;
-		case 2: key_changes(&config, (int)random_below(d, SIM_FORWARD_KEYS), d); break;
-		case 3: service_changes(&config); break;
-		case 4: config.isolated[random_below(d, SIM_FORWARD_TENANTS)] ^= 1; break;
-		default: config.max_running[random_below(d, SIM_FORWARD_TENANTS)] = random_below(d, 2) ? 0 : 4 + (int)random_below(d, 30);
+		case 1:
+			route_changes(&config, (int)random_below(d, SIM_FORWARD_ROUTES), d);
+			break;
+		case 2:
+			key_changes(&config, (int)random_below(d, SIM_FORWARD_KEYS), d);
+			break;
+		case 3:
+			service_changes(&config);
+			break;
+		case 4:
+			config.isolated[random_below(d, SIM_FORWARD_TENANTS)] ^= 1;
+			break;
+		default:
+			config.max_running[random_below(d, SIM_FORWARD_TENANTS)] =
+			    random_below(d, 2) ? 0 : 4 + (int)random_below(d, 30);
 		}
 	heed_removed(&config);
 	if (!sim_forward_change(forwarding, config))
-		fail_msg("seed %llu: the change is not acknowledged: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
+		fail_msg("seed %llu: the change is not acknowledged: %s",
+			 (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
 }
 
 /* A server is drained, one that drained for long ends, or a new one comes. */
@@ -989,10 +1052,14 @@
 	struct sim_instance *instance = &forwarding->sim.instance_list.instances[i];
 
 	for (ptrdiff_t k = 0; k < arrlen(forwarding->sim.instance_list.instances); k++)
-		stand += forwarding->sim.instance_list.instances[k].up && !forwarding->sim.instance_list.instances[k].draining && !strcmp(forwarding->sim.instance_list.instances[k].service, instance->service);
+		stand += forwarding->sim.instance_list.instances[k].up &&
+			 !forwarding->sim.instance_list.instances[k].draining &&
+			 !strcmp(forwarding->sim.instance_list.instances[k].service, instance->service);
 	if (!instance->up)
 		sim_forward_server(forwarding, instance->service[0] == 'a', random_below(d, 2) ? i : -1);
-	else if (instance->draining && forwarding->sim.now - instance->drained_at > (forwarding->sim.seed % 2 ? 8000 : 3500) && (forwarding->sim.seed % 4 == 0 || !forwarding->servers[i].running))
+	else if (instance->draining &&
+		 forwarding->sim.now - instance->drained_at > (forwarding->sim.seed % 2 ? 8000 : 3500) &&
+		 (forwarding->sim.seed % 4 == 0 || !forwarding->servers[i].running))
 		sim_instance_end(&forwarding->sim, i, 0);
 	else if (!instance->draining && stand > 1)
 		sim_instance_drain(&forwarding->sim, i);
@@ -1010,11 +1077,12 @@
 	sim_forward_stop(forwarding, node, 2000 + (int)random_below(d, 5000));
 }
 
-/* Hundreds of changes, servers drained and replaced, routers stopped and started again, in crowded services whose servers do
- * nothing wrong: each request ends once, and nothing is broken off but at its deadline. */
+/* Hundreds of changes, servers drained and replaced, routers stopped and started again, in crowded services
+ * whose servers do nothing wrong: each request ends once, and nothing is broken off but at its deadline. */
 static void planned_work_loses_nothing(void **state)
 {
-	uint64_t submitted = 0, complete = 0, refused = 0, cut = 0, resends = 0, changes = 0, stops = 0, never = 0;
+	uint64_t submitted = 0, complete = 0, refused = 0, cut = 0, resends = 0, changes = 0, stops = 0,
+		 never = 0;
 
 	(void)state;
 	for (uint64_t seed = first_seed(), n = seeds(8); n; seed++, n--) {
@@ -1059,8 +1127,9 @@
 	print_message(
 	    "planned work: %llu asked, %llu whole, %llu answered otherwise, %llu cut, %llu given back, %llu resends; %llu "
 	    "changes, %llu stops\n",
-	    (unsigned long long)submitted, (unsigned long long)complete, (unsigned long long)refused, (unsigned long long)cut,
-	    (unsigned long long)never, (unsigned long long)resends, (unsigned long long)changes, (unsigned long long)stops);
+	    (unsigned long long)submitted, (unsigned long long)complete, (unsigned long long)refused,
+	    (unsigned long long)cut, (unsigned long long)never, (unsigned long long)resends,
+	    (unsigned long long)changes, (unsigned long long)stops);
 }
 
 int main(void)
--- a/tests/test_clear.c
+++ b/tests/test_retention.c
@@ -1,4 +1,5 @@
-/* Clearing of kept context: on schedule and at once, under faults and clocks that jump; judged by what servers used. */
+/* Clearing of kept context: on schedule and at once, under faults and clocks that jump; judged by what
+ * servers used. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +11,7 @@
 
 #include "calendar.h"
 #include "router_internal.h"
-#include "ds.h"
+#include "containers.h"
 #include "retention.h"
 #include "sim.h"
 
@@ -34,7 +35,8 @@
 
 	ok(sim);
 	if (!e)
-		fail_msg("seed %llu: not acknowledged within %lld ms: %s", (unsigned long long)sim->seed, (long long)ms, body);
+		fail_msg("seed %llu: not acknowledged within %lld ms: %s", (unsigned long long)sim->seed,
+			 (long long)ms, body);
 }
 
 static const char *const lanes[] = { "arrears", "repairs", "sorting" };
@@ -65,7 +67,8 @@
 	ok(sim);
 	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
 		if (sim->requests[i].outcome == SIM_OPEN)
-			fail_msg("seed %llu: %s was never told anything", (unsigned long long)sim->seed, sim->requests[i].id);
+			fail_msg("seed %llu: %s was never told anything", (unsigned long long)sim->seed,
+				 sim->requests[i].id);
 }
 
 /* The records of clearings, as the controller that knows most has them. */
@@ -74,12 +77,15 @@
 	const struct retention *best = NULL;
 
 	for (int i = 0; i < SIM_CONTROLLERS; i++)
-		if (sim->nodes[i].used && sim->nodes[i].up && sim->nodes[i].controller && (!best || sim->nodes[i].controller->retention.last_purge_number >= best->last_purge_number))
+		if (sim->nodes[i].used && sim->nodes[i].up && sim->nodes[i].controller &&
+		    (!best ||
+		     sim->nodes[i].controller->retention.last_purge_number >= best->last_purge_number))
 			best = &sim->nodes[i].controller->retention;
 	return best;
 }
 
-/* No due time of a scope is cleared twice, and none is passed over: each record takes up where the last one ended. */
+/* No due time of a scope is cleared twice, and none is passed over: each record takes up where the last one
+ * ended. */
 static void each_due_once(struct sim *sim, const char *scope, int64_t every, int least)
 {
 	const struct retention *retention = records(sim);
@@ -92,13 +98,15 @@
 		if (strcmp(purge_run->scope, scope) || strcmp(purge_run->requested_by, "schedule"))
 			continue;
 		if (next && purge_run->due_at_ms != next)
-			fail_msg("seed %llu: %s was due at %lld and cleared for %lld", (unsigned long long)sim->seed, scope,
-				 (long long)next, (long long)purge_run->due_at_ms);
+			fail_msg("seed %llu: %s was due at %lld and cleared for %lld",
+				 (unsigned long long)sim->seed, scope, (long long)next,
+				 (long long)purge_run->due_at_ms);
 		next = purge_run->due_at_ms + every * (1 + (int64_t)purge_run->missed);
 		n += 1 + (int)purge_run->missed;
 	}
 	if (n < least)
-		fail_msg("seed %llu: %s was cleared for %d due times, %d passed", (unsigned long long)sim->seed, scope, n, least);
+		fail_msg("seed %llu: %s was cleared for %d due times, %d passed",
+			 (unsigned long long)sim->seed, scope, n, least);
 }
 
 static uint64_t clear_now(struct sim *sim, const char *scope, int64_t ms)
@@ -109,7 +117,8 @@
 	snprintf(body, sizeof body, "{\"scope\":\"%s\",\"by\":\"clerk\"}", scope);
 	while (sim->now < end && !sim->violation[0])
 		for (int i = 0; i < SIM_CONTROLLERS; i++)
-			if (sim->nodes[i].used && sim->nodes[i].up && !sim->nodes[i].frozen && sim_call_and_wait(sim, i, "POST", "/v1/clear", body, 6000) == 200)
+			if (sim->nodes[i].used && sim->nodes[i].up && !sim->nodes[i].frozen &&
+			    sim_call_and_wait(sim, i, "POST", "/v1/clear", body, 6000) == 200)
 				return records(sim)->last_purge_number;
 	return 0;
 }
@@ -130,7 +139,8 @@
 
 	for (int i = 0; i < SIM_SERVERS; i++)
 		for (ptrdiff_t k = 0; k < arrlen(sim->servers[i].blocks); k++)
-			n += (!maker || !strcmp(sim->servers[i].blocks[k].cache_namespace, maker)) && (int64_t)sim->servers[i].blocks[k].horizon < tick;
+			n += (!maker || !strcmp(sim->servers[i].blocks[k].cache_namespace, maker)) &&
+			     (int64_t)sim->servers[i].blocks[k].horizon < tick;
 	return n;
 }
 
@@ -146,7 +156,8 @@
 	load(&sim, &rng, 4000, 20, 3);
 	tick = sim.nodes[SIM_CONTROLLERS].router->relay.knowledge.horizon;
 	assert_true(kept_at(&sim, NULL, INT64_MAX) > 0);
-	assert_int_equal(sim_call_and_wait(&sim, 0, "POST", "/v1/clear", "{\"scope\":\"nolane/t1\"}", 6000), 400);
+	assert_int_equal(sim_call_and_wait(&sim, 0, "POST", "/v1/clear", "{\"scope\":\"nolane/t1\"}", 6000),
+			 400);
 	assert_int_equal(sim_call_and_wait(&sim, 0, "POST", "/v1/clear", "{\"scope\":\"\"}", 6000), 400);
 	assert_true(clear_now(&sim, "*", 8000) > 0);
 	load(&sim, &rng, 15000, 20, 3);
@@ -161,8 +172,8 @@
 	sim_close(&sim);
 }
 
-/* Whom the judge holds a clearing against: what was kept before its time must not be used once its slices are in force
- * everywhere: the purge's two seconds, and what a send may be on its way. */
+/* Whom the judge holds a clearing against: what was kept before its time must not be used once its slices are
+ * in force everywhere: the purge's two seconds, and what a send may be on its way. */
 enum { GRACE = 5000 };
 
 /* The newest tick that a part made until now may bear. */
@@ -171,13 +182,14 @@
 	uint64_t h = 0;
 
 	for (int i = SIM_CONTROLLERS; i < SIM_NODES; i++)
-		if (sim->nodes[i].used && sim->nodes[i].up && sim->nodes[i].router && sim->nodes[i].router->relay.knowledge.horizon > h)
+		if (sim->nodes[i].used && sim->nodes[i].up && sim->nodes[i].router &&
+		    sim->nodes[i].router->relay.knowledge.horizon > h)
 			h = sim->nodes[i].router->relay.knowledge.horizon;
 	return h;
 }
 
-/* Nothing that servers used for a run after a clearing was made before it: the simulator's own judge looks at every
- * reuse and fetch against the clearings in s->clear. */
+/* Nothing that servers used for a run after a clearing was made before it: the simulator's own judge looks at
+ * every reuse and fetch against the clearings in s->clear. */
 static void judge(struct sim *sim, const char *tenant, const char *service, uint64_t made)
 {
 	struct sim_purge sim_clear = { "", "", made, 0 };
@@ -188,7 +200,8 @@
 	arrput(sim->purges, sim_clear);
 }
 
-/* The first owner's clock, and others', jump about at the due moment; the machines fall, freeze, and lose their disks. */
+/* The first owner's clock, and others', jump about at the due moment; the machines fall, freeze, and lose
+ * their disks. */
 static void each_due_purge_runs_once(void **state)
 {
 	uint64_t first, seeds = seeds_of(12, &first);
@@ -205,8 +218,14 @@
 		sim.calendar = &calendar_icu;
 		for (int i = 0; i < 4; i++)
 			sim.nodes[i].controller->calendar = &calendar_icu;
-		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"20s\",\"window\":4000}]}", 12000);
-		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t1\",\"every\":\"15s\",\"keep\":\"30s\"}]}", 12000);
+		must_change(
+		    &sim,
+		    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"20s\",\"window\":4000}]}",
+		    12000);
+		must_change(
+		    &sim,
+		    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t1\",\"every\":\"15s\",\"keep\":\"30s\"}]}",
+		    12000);
 		for (int k = 0; k < 16; k++) {
 			int leader = sim_leader(&sim, SHARD_CONTROL);
 
@@ -221,23 +240,33 @@
 				for (int i = 0; i < 4; i++)
 					sim.nodes[i].wall_clock_offset_ms = 0;
 				sim.nodes[core_random(&rng) % 4].wall_clock_offset_ms =
-				    (core_random(&rng) % 2 ? 1 : -1) * (int64_t)(core_random(&rng) % 10000000);
+				    (core_random(&rng) % 2 ? 1 : -1) *
+				    (int64_t)(core_random(&rng) % 10000000);
 				break;
 			case 1:
 				if (leader >= 0) {
 					for (int i = 0; i < 4; i++)
 						sim.nodes[i].wall_clock_offset_ms = 0;
-					sim.nodes[leader].wall_clock_offset_ms = (core_random(&rng) % 2 ? 1 : -1) * 7200000;
+					sim.nodes[leader].wall_clock_offset_ms =
+					    (core_random(&rng) % 2 ? 1 : -1) * 7200000;
 				}
 				break;
 			case 2:
 				if (leader >= 0)
 					sim_crash(&sim, hurt = leader, 0);
 				break;
-			case 3: sim_crash(&sim, hurt = (int)(core_random(&rng) % 4), k % 2); break;
-			case 4: sim_freeze(&sim, frozen = (int)(core_random(&rng) % 4), 1); break;
-			case 5: sim_freeze(&sim, frozen = SIM_CONTROLLERS + (int)(core_random(&rng) % 3), 1); break;
-			default: clear_now(&sim, core_random(&rng) % 2 ? "*" : "*/t1", 3000); break;
+			case 3:
+				sim_crash(&sim, hurt = (int)(core_random(&rng) % 4), k % 2);
+				break;
+			case 4:
+				sim_freeze(&sim, frozen = (int)(core_random(&rng) % 4), 1);
+				break;
+			case 5:
+				sim_freeze(&sim, frozen = SIM_CONTROLLERS + (int)(core_random(&rng) % 3), 1);
+				break;
+			default:
+				clear_now(&sim, core_random(&rng) % 2 ? "*" : "*/t1", 3000);
+				break;
 			}
 			ok(&sim);
 		}
@@ -255,7 +284,8 @@
 	}
 }
 
-/* A tenant is cleared while others go on, with the faults that a fleet has; what it had is used for nobody. */
+/* A tenant is cleared while others go on, with the faults that a fleet has; what it had is used for nobody.
+ */
 static void nothing_old_is_used(void **state)
 {
 	uint64_t first, seeds = seeds_of(20, &first);
@@ -270,17 +300,28 @@
 		ok(&sim);
 		sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 		sim.loss_per_mille = (int)(core_random(&rng) % 30);
-		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t2\",\"every\":\"1d\"}]}", 12000);
+		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t2\",\"every\":\"1d\"}]}",
+			    12000);
 		load(&sim, &rng, 12000, 15, 3);
 		for (int i = 0; i < 6; i++) /* counters must not rely on servers' dropping */
 			sim.servers[i].hoard = 1;
 		switch (seed % 6) { /* what goes wrong as the clearing runs */
-		case 0: sim_freeze(&sim, SIM_CONTROLLERS, 1); break;
-		case 1: sim_cut(&sim, SIM_CONTROLLERS + 1, 1); break;
-		case 2: sim_crash(&sim, sim_leader(&sim, SHARD_PURGE), 0); break;
-		case 3: sim_crash(&sim, sim_leader(&sim, SHARD_CONTROL), seed % 2 ? 1 : 0); break;
-		case 4: sim.servers[1].up = 0; break; /* and comes back with what it had */
-		default:                       /* a wall and a roll-out at the same time */
+		case 0:
+			sim_freeze(&sim, SIM_CONTROLLERS, 1);
+			break;
+		case 1:
+			sim_cut(&sim, SIM_CONTROLLERS + 1, 1);
+			break;
+		case 2:
+			sim_crash(&sim, sim_leader(&sim, SHARD_PURGE), 0);
+			break;
+		case 3:
+			sim_crash(&sim, sim_leader(&sim, SHARD_CONTROL), seed % 2 ? 1 : 0);
+			break;
+		case 4:
+			sim.servers[1].up = 0;
+			break; /* and comes back with what it had */
+		default:       /* a wall and a roll-out at the same time */
 			snprintf(
 			    body, sizeof body,
 			    "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w2\",\"prefill\":20,\"kv_bytes\":400,\"link\":100000},"
@@ -347,7 +388,8 @@
 		{ "*", "1d", "", "daily 02:30 UTC", "keep", 1 },
 	};
 	struct config_table table;
-	struct Nl__Row tenant = NL__ROW__INIT, route = NL__ROW__INIT, row, *set[2] = { &tenant, &route }, *one[1] = { &row };
+	struct Nl__Row tenant = NL__ROW__INIT, route = NL__ROW__INIT, row, *set[2] = { &tenant, &route },
+		       *one[1] = { &row };
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Purge **feed = NULL;
 	apr_pool_t *pool;
@@ -382,7 +424,8 @@
 		if (!why)
 			why = retention_check_calendar(&calendar_icu, &change, EPOCH * 1000ll, pool);
 		if (good ? why != NULL : !why || !strstr(why, bad[i].why) || !strstr(why, "retention"))
-			fail_msg("row %d: %s, not %s", (int)i, why ? why : "taken", good ? "taken" : bad[i].why);
+			fail_msg("row %d: %s, not %s", (int)i, why ? why : "taken",
+				 good ? "taken" : bad[i].why);
 	}
 	config_table_close(&table);
 	apr_pool_destroy(pool);
@@ -418,7 +461,8 @@
 		{ "daily 02:30 Europe/Berlin", utc(2027, 3, 27, 12, 0),
 		  utc(2027, 3, 28, 1, 0) }, /* left out: the clock goes on at 03:00 */
 		{ "daily 02:30 Europe/Berlin", utc(2027, 3, 28, 1, 0), utc(2027, 3, 29, 0, 30) },
-		{ "daily 02:30 Europe/Berlin", utc(2027, 10, 30, 12, 0), utc(2027, 10, 31, 0, 30) }, /* twice: the first counts */
+		{ "daily 02:30 Europe/Berlin", utc(2027, 10, 30, 12, 0),
+		  utc(2027, 10, 31, 0, 30) }, /* twice: the first counts */
 		{ "daily 02:30 Europe/Berlin", utc(2027, 10, 31, 0, 30), utc(2027, 11, 1, 1, 30) },
 		{ "yearly 02-30 12:00 UTC", utc(2027, 1, 1, 0, 0), 0 },
 	};
@@ -430,7 +474,8 @@
 				 (long long)calendar_icu.next(c[i].text, c[i].from), (long long)c[i].due);
 }
 
-static const char *cache_namespace(struct router *router, struct client_request *request, uint32_t weights, apr_pool_t *pool, const char *tenant)
+static const char *cache_namespace(struct router *router, struct client_request *request, uint32_t weights,
+				   apr_pool_t *pool, const char *tenant)
 {
 	request->tenant_index = (uint32_t)names_find(&router->tenant_names, tenant);
 	return router_cache_namespace(router, request, weights, pool);
@@ -443,12 +488,15 @@
 
 	assert_true(at >= 0);
 	apr_pool_create(&pool, NULL);
-	found = strstr(retention_json(sim->nodes[at].controller, sim->now + sim->nodes[at].clock_skew_ms, pool), text) != NULL;
+	found =
+	    strstr(retention_json(sim->nodes[at].controller, sim->now + sim->nodes[at].clock_skew_ms, pool),
+		   text) != NULL;
 	apr_pool_destroy(pool);
 	return found;
 }
 
-/* Done is said of no clearing that a counter has not heard, or after which a server has not said what it keeps. */
+/* Done is said of no clearing that a counter has not heard, or after which a server has not said what it
+ * keeps. */
 static void done_waits_for_all(void **state)
 {
 	struct sim sim;
@@ -510,13 +558,16 @@
 	request.block_hash[0] = 12345;
 	w = (uint32_t)names_find(&router->weights_names, "w1");
 	t1 = cache_namespace(router, &request, w, pool, "t1");
-	assert_string_equal(t1, cache_namespace(router, &request, w, pool, "t2")); /* no row: all on one cache_namespace, and named as ever */
+	assert_string_equal(
+	    t1, cache_namespace(router, &request, w, pool,
+				"t2")); /* no row: all on one cache_namespace, and named as ever */
 	assert_null(strchr(t1, '~'));
 	must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t1\",\"every\":\"12s\"}]}", 12000);
 	sim_run(&sim, 1000, NULL);
 	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t1"), t1);
 	assert_string_equal(cache_namespace(router, &request, w, pool, "t2"), t1);
-	/* the first clearing of a row takes the common cache namespaces along: what t1 left there before is found by nobody */
+	/* the first clearing of a row takes the common cache namespaces along: what t1 left there before is
+	 * found by nobody */
 	while (!records(&sim)->last_purge_number)
 		load(&sim, &rng, 500, 50, 1);
 	load(&sim, &rng, 2000, 50, 1);
@@ -534,12 +585,14 @@
 	assert_true(clear_now(&sim, "arrears/t1", 9000) > 0);
 	sim_run(&sim, 2000, NULL);
 	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t1"), t1);
-	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t2"), t2); /* that scope has no row: all common cache namespaces */
+	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t2"),
+				t2); /* that scope has no row: all common cache namespaces */
 	/* its row goes and comes back: nothing of before is found again */
 	t1 = cache_namespace(router, &request, w, pool, "t1");
 	must_change(&sim, "{\"del\":[{\"kind\":\"retention\",\"name\":\"*/t1\"}]}", 12000);
 	sim_run(&sim, 2000, NULL);
-	assert_string_equal(cache_namespace(router, &request, w, pool, "t1"), cache_namespace(router, &request, w, pool, "t2"));
+	assert_string_equal(cache_namespace(router, &request, w, pool, "t1"),
+			    cache_namespace(router, &request, w, pool, "t2"));
 	must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t1\",\"every\":\"1d\"}]}", 12000);
 	sim_run(&sim, 2000, NULL);
 	again = cache_namespace(router, &request, w, pool, "t1");
@@ -548,19 +601,25 @@
 	request.block_hash[0] = 12346;
 	assert_string_equal(again, cache_namespace(router, &request, w, pool, "t1"));
 	ok(&sim);
-	/* the head of a zone sees in its index what servers still name of before, and nothing else, in a few thousand rows a tick */
+	/* the head of a zone sees in its index what servers still name of before, and nothing else, in a few
+	 * thousand rows a tick */
 	router->bounds.discover_instances = 1;
 	router->config_watch.upstream_count = 0;
 	for (uint64_t i = 0; i < 5000; i++)
-		prefix_index_put(&router->prefix_index, 1000 + i,
-			 &(struct block_replica){ (uint32_t)(i % 2), 0, 0, 0, 0, router_namespace_key_from_text(i % 1000 == 7 ? t1 : again) });
+		prefix_index_put(
+		    &router->prefix_index, 1000 + i,
+		    &(struct block_replica){ (uint32_t)(i % 2), 0, 0, 0, 0,
+					     router_namespace_key_from_text(i % 1000 == 7 ? t1 : again) });
 	for (int i = 0; i < 200; i++)
 		router_retention_tick(router, sim.now + sim.nodes[SIM_CONTROLLERS].clock_skew_ms + 25 * i);
 	assert_true(router->config_watch.has_index);
 	for (ptrdiff_t i = 0; i < arrlen(router->config_watch.cache_remainders); i++) {
 		assert_true(router->config_watch.cache_remainders[i].block_count == 0 ||
-			    (router->config_watch.cache_remainders[i].block_count == 5 && router->config_watch.cache_remainders[i].scope == router_namespace_key_from_text(t1) >> 32 &&
-			     router->config_watch.cache_remainders[i].purge_number == (router_namespace_key_from_text(t1) & UINT32_MAX)));
+			    (router->config_watch.cache_remainders[i].block_count == 5 &&
+			     router->config_watch.cache_remainders[i].scope ==
+				 router_namespace_key_from_text(t1) >> 32 &&
+			     router->config_watch.cache_remainders[i].purge_number ==
+				 (router_namespace_key_from_text(t1) & UINT32_MAX)));
 		old += router->config_watch.cache_remainders[i].block_count;
 	}
 	assert_int_equal(old, 5);
@@ -574,7 +633,8 @@
 {
 	(void)ctx;
 	(void)prefix;
-	told_of_content += strstr(line, "matter") || strstr(line, "secret-") || strstr(line, "quite long as such");
+	told_of_content +=
+	    strstr(line, "matter") || strstr(line, "secret-") || strstr(line, "quite long as such");
 }
 
 /* On how many disks a text stands, in entries or snapshots. */
@@ -600,8 +660,8 @@
 	return n;
 }
 
-/* Ids that were claimed before a clearing are on no disk once their claims have run out, though nobody asks any more; no
- * line of a log tells of content; usage that names who was cleared is gone. */
+/* Ids that were claimed before a clearing are on no disk once their claims have run out, though nobody asks
+ * any more; no line of a log tells of content; usage that names who was cleared is gone. */
 static void disks_and_logs_keep_nothing(void **state)
 {
 	struct sim sim;
@@ -638,8 +698,8 @@
 	sim_close(&sim);
 }
 
-/* A window spreads a clearing: its slices come at half its pace while lines are short, and all are in force at its end even
- * where they are long, which is said. */
+/* A window spreads a clearing: its slices come at half its pace while lines are short, and all are in force
+ * at its end even where they are long, which is said. */
 static void windows_spread_and_end(void **state)
 {
 	(void)state;
@@ -651,7 +711,10 @@
 
 		sim_deploy(&sim, 21, 4, 3, 3);
 		sim.wall_clock_epoch_ms = EPOCH * 1000ll;
-		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"40s\",\"window\":16000}]}", 12000);
+		must_change(
+		    &sim,
+		    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"40s\",\"window\":16000}]}",
+		    12000);
 		while (!newest(&sim, "*"))
 			load(&sim, &rng, 100, 40, 3);
 		for (int i = 0; strained && i < 3; i++)
@@ -661,7 +724,8 @@
 		purge_run = newest(&sim, "*");
 		assert_true(purge_run->slices >= 2 && purge_run->slices < 6);
 		load(&sim, &rng, 6500, strained ? 4 : 40, 3);
-		assert_true(strained ? purge_run->slices < PURGE_SLICES && purge_run->late : purge_run->slices == PURGE_SLICES && !purge_run->late);
+		assert_true(strained ? purge_run->slices < PURGE_SLICES && purge_run->late
+				     : purge_run->slices == PURGE_SLICES && !purge_run->late);
 		load(&sim, &rng, began + 16000 - sim.now, strained ? 4 : 40, 3);
 		assert_int_equal(newest(&sim, "*")->slices, PURGE_SLICES);
 		sim_close(&sim);
@@ -688,8 +752,8 @@
 	return ms;
 }
 
-/* The same day with and without clearings: each is answered once, and 90 in 100 wait for their first piece no longer, those
- * that read a slice anew no longer than such a reading takes. */
+/* The same day with and without clearings: each is answered once, and 90 in 100 wait for their first piece no
+ * longer, those that read a slice anew no longer than such a reading takes. */
 static void first_pieces_come_in_time(void **state)
 {
 	int64_t most[2][2];
@@ -703,10 +767,15 @@
 		sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 		sim.prefill_ms_per_token = 5;
 		if (on)
-			must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"20s\",\"window\":8000}]}",
-				    12000);
+			must_change(
+			    &sim,
+			    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"20s\",\"window\":8000}]}",
+			    12000);
 		else
-			must_change(&sim, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t3\",\"share\":1,\"limit\":99}]}", 12000);
+			must_change(
+			    &sim,
+			    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t3\",\"share\":1,\"limit\":99}]}",
+			    12000);
 		load(&sim, &rng, 60000, 20, 3);
 		all_notified(&sim);
 		most[on][0] = first_piece(&sim, 90);
@@ -716,13 +785,15 @@
 		assert_true(!on || records(&sim)->last_purge_number >= 2);
 		sim_close(&sim);
 	}
-	print_message("first piece of 90 and 99 in 100: %lld and %lld ms without clearing, %lld and %lld ms with one each 20 s\n",
-		      (long long)most[0][0], (long long)most[0][1], (long long)most[1][0], (long long)most[1][1]);
+	print_message(
+	    "first piece of 90 and 99 in 100: %lld and %lld ms without clearing, %lld and %lld ms with one each 20 s\n",
+	    (long long)most[0][0], (long long)most[0][1], (long long)most[1][0], (long long)most[1][1]);
 	assert_true(most[1][0] <= most[0][0] + 30);
 	assert_true(most[1][1] <= most[0][1] + 60 * 5 + 30);
 }
 
-/* One clock of the voters, the decider's own too, runs nothing early; a due time that was taken is refused. */
+/* One clock of the voters, the decider's own too, runs nothing early; a due time that was taken is refused.
+ */
 static void one_clock_decides_nothing(void **state)
 {
 	struct sim sim;
--- a/tests/test_hollow.c
+++ b/tests/test_scale_model.c
@@ -1,4 +1,5 @@
-/* The hollow fleet: it serves, its figures add up, and sizes that do not fit are refused before anything is made. */
+/* The hollow fleet: it serves, its figures add up, and sizes that do not fit are refused before anything is
+ * made. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -7,7 +8,7 @@
 #include <apr_general.h>
 #include <cmocka.h>
 
-#include "hollow.h"
+#include "scale_model.h"
 
 static struct scale_model_settings tiny(void)
 {
@@ -36,10 +37,12 @@
 	settings.use_instance_list = listed;
 	if (!scale_model_run(&settings, &result, &why))
 		fail_msg("%s", why);
-	assert_int_equal(scale_model_get(&result, "fleet.asked"), settings.requests_per_second * settings.seconds);
+	assert_int_equal(scale_model_get(&result, "fleet.asked"),
+			 settings.requests_per_second * settings.seconds);
 	/* a counter is replaced once: what it held is unknown to its callers, all else is answered whole */
 	assert_true(scale_model_get(&result, "fleet.whole") >= 0.7 * scale_model_get(&result, "fleet.asked"));
-	assert_true(scale_model_get(&result, "fleet.unknown") < 0.1 * scale_model_get(&result, "fleet.asked"));
+	assert_true(scale_model_get(&result, "fleet.unknown") <
+		    0.1 * scale_model_get(&result, "fleet.asked"));
 	assert_int_equal(scale_model_get(&result, "fleet.changes_in_force"), settings.changes);
 	assert_true(scale_model_get(&result, "fleet.in_force_ms") <= 3000);
 	assert_int_equal(scale_model_get(&result, "counter.nodes"), settings.routers);
@@ -48,7 +51,8 @@
 	assert_true(scale_model_get(&result, "counter.heard.config_sync_reply") >= 3.5);
 	/* what is sent is heard: only controllers ask and answer in rounds */
 	assert_true(scale_model_get(&result, "registrar.sent.append") > 1);
-	assert_float_equal(scale_model_get(&result, "registrar.sent.append"), scale_model_get(&result, "registrar.heard.append"), 1);
+	assert_float_equal(scale_model_get(&result, "registrar.sent.append"),
+			   scale_model_get(&result, "registrar.heard.append"), 1);
 	assert_true(scale_model_get(&result, "registrar.disk.bytes") > 0);
 	assert_true(scale_model_get(&result, "counter.cpu_us.=control") > 0);
 	/* kept parts become known by events, or by reports; the list is looked at, or it is not there */
@@ -82,8 +86,10 @@
 	settings.seed = 7;
 	assert_true(scale_model_run(&settings, &a, &why));
 	assert_true(scale_model_run(&settings, &b, &why));
-	assert_float_equal(scale_model_get(&a, "counter.sent_bytes.=control"), scale_model_get(&b, "counter.sent_bytes.=control"), 0);
-	assert_float_equal(scale_model_get(&a, "registrar.heard_bytes.=control"), scale_model_get(&b, "registrar.heard_bytes.=control"), 0);
+	assert_float_equal(scale_model_get(&a, "counter.sent_bytes.=control"),
+			   scale_model_get(&b, "counter.sent_bytes.=control"), 0);
+	assert_float_equal(scale_model_get(&a, "registrar.heard_bytes.=control"),
+			   scale_model_get(&b, "registrar.heard_bytes.=control"), 0);
 	assert_float_equal(scale_model_get(&a, "fleet.whole"), scale_model_get(&b, "fleet.whole"), 0);
 	scale_model_free(&a);
 	scale_model_free(&b);
@@ -145,8 +151,8 @@
 /* The command itself: 2 for what is refused, at once, and for what is no number. */
 static void the_command_refuses(void **state)
 {
-	char *big[] = { "hollow", "--nodes", "340", "--parts", "170000000" }, *none[] = { "hollow", "--nodes", "many" },
-	     *odd[] = { "hollow", "--size", "3" };
+	char *big[] = { "hollow", "--nodes", "340", "--parts", "170000000" },
+	     *none[] = { "hollow", "--nodes", "many" }, *odd[] = { "hollow", "--size", "3" };
 
 	(void)state;
 	assert_int_equal(scale_model_main(5, big), 2);
--- a/tests/test_shell.c
+++ b/tests/test_shell.c
@@ -1,4 +1,5 @@
-/* The shell on real sockets and files: loopback, ports given by the kernel, waits on conditions with limits. */
+/* The shell on real sockets and files: loopback, ports given by the kernel, waits on conditions with limits.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -37,14 +38,17 @@
 }
 
 /* An address nobody listens at: given by the kernel, then left. */
-static void free_addr(char addr[40]) { close(listener(addr)); }
+static void free_addr(char addr[40])
+{
+	close(listener(addr));
+}
 
 static int dial(const char *addr)
 {
 	uint64_t a = core_parse_addr(addr);
 	struct sockaddr_in address = { .sin_family = AF_INET,
-				  .sin_addr.s_addr = htonl((uint32_t)(a >> 16)),
-				  .sin_port = htons((uint16_t)a) };
+				       .sin_addr.s_addr = htonl((uint32_t)(a >> 16)),
+				       .sin_port = htons((uint16_t)a) };
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
 	assert_return_code(connect(fd, (struct sockaddr *)&address, sizeof address), 0);
@@ -88,15 +92,17 @@
 			continue;
 		c = accept(fake->fd, NULL, NULL);
 		fake->taken++;
-		if (read(c, b, sizeof b) > 0 && ++fake->requests && fake->reply && write(c, fake->reply, strlen(fake->reply)) > 0 && fake->keep)
-			fake->requests += read(c, b, sizeof b) > 0; /* the second request on a kept connection dies unanswered */
+		if (read(c, b, sizeof b) > 0 && ++fake->requests && fake->reply &&
+		    write(c, fake->reply, strlen(fake->reply)) > 0 && fake->keep)
+			fake->requests += read(c, b, sizeof b) >
+					  0; /* the second request on a kept connection dies unanswered */
 		close(c);
 	}
 	return NULL;
 }
 
-/* The clock as the code under test reads it. Armed, it jumps 10 s after its next reading by another thread than the
- * test's: as if the process froze between the decision to send and the connection. */
+/* The clock as the code under test reads it. Armed, it jumps 10 s after its next reading by another thread
+ * than the test's: as if the process froze between the decision to send and the connection. */
 int64_t __real_clock_ms(void);
 int64_t __wrap_clock_ms(void);
 static int jump_armed, jump;
@@ -111,8 +117,8 @@
 	return now;
 }
 
-/* The wall clock as libraries read it: an hour ahead of the kernel's when armed, as if it were set back by an hour
- * between a reading and the wait that follows. */
+/* The wall clock as libraries read it: an hour ahead of the kernel's when armed, as if it were set back by an
+ * hour between a reading and the wait that follows. */
 static int wall_jump;
 #include <sys/time.h>
 int gettimeofday(struct timeval *restrict tv, void *restrict tz)
@@ -189,7 +195,8 @@
 	assert_int_equal(event->never_sent, 0);
 	assert_int_equal(fake.taken, 1);
 	shell_event_free(event);
-	/* a kept connection that dies at the second request: the library would send that one again by itself */
+	/* a kept connection that dies at the second request: the library would send that one again by itself
+	 */
 	fake.keep = 1;
 	fake.reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: keep-alive\r\n\r\n{}";
 	server_calls_start(call, 2, addr, "/v1/run", "{}", 5000, 0, clock_ms() + LIMIT);
@@ -262,7 +269,8 @@
 	rmdir(path);
 }
 
-static void write_some(struct storage *storage, struct ring *ring, uint64_t seq, uint64_t from, uint64_t n, uint64_t cut)
+static void write_some(struct storage *storage, struct ring *ring, uint64_t seq, uint64_t from, uint64_t n,
+		       uint64_t cut)
 {
 	struct persist w = { 0 };
 	struct persist_entry persist_entry[100];
@@ -278,7 +286,8 @@
 	w.entries = persist_entry;
 	for (uint64_t i = 0; i < n; i++) {
 		snprintf(d[i], sizeof d[i], "entry %d of %d", (int)(from + i), (int)seq);
-		persist_entry[i] = (struct persist_entry){ from + i, 7, RAFT_ENTRY_OPERATION, strlen(d[i]), (uint8_t *)d[i] };
+		persist_entry[i] = (struct persist_entry){ from + i, 7, RAFT_ENTRY_OPERATION, strlen(d[i]),
+							   (uint8_t *)d[i] };
 	}
 	storage_write(storage, &w);
 	do {
@@ -288,14 +297,16 @@
 	} while (n != seq);
 }
 
-static struct storage *open_again(const char *folder, struct ring *ring, struct stored_state *found, const char **why, apr_pool_t *pool)
+static struct storage *open_again(const char *folder, struct ring *ring, struct stored_state *found,
+				  const char **why, apr_pool_t *pool)
 {
 	*why = NULL;
 	return storage_open(folder, NULL, ring, found, why, pool);
 }
 
 /* A new folder with an identity in it. */
-static struct storage *folder_begin(char *folder, struct ring *ring, struct stored_state *found, apr_pool_t *pool)
+static struct storage *folder_begin(char *folder, struct ring *ring, struct stored_state *found,
+				    apr_pool_t *pool)
 {
 	const char *why;
 	struct storage *storage;
@@ -417,7 +428,8 @@
 	assert_true(traces(folder, "entry 1000 of 20") > 0);
 	write_some(storage, ring, 23, 1001, 5, 0);
 	storage_close(storage);
-	snprintf(fresh, sizeof fresh, "%s/registrar.tdb.fresh", folder); /* a fall in the middle of a later one */
+	snprintf(fresh, sizeof fresh, "%s/registrar.tdb.fresh",
+		 folder); /* a fall in the middle of a later one */
 	torn = fopen(fresh, "w");
 	assert_non_null(torn);
 	fclose(torn);
@@ -477,7 +489,8 @@
 	apr_pool_destroy(pool);
 }
 
-/* Every damage to the file is either harmless to what it holds, or refused with the remedy; never read as good. */
+/* Every damage to the file is either harmless to what it holds, or refused with the remedy; never read as
+ * good. */
 static void damaged_folder_is_refused(void **state)
 {
 	apr_pool_t *pool;
@@ -517,23 +530,27 @@
 			assert_non_null(strstr(why, "step"));
 			refused++;
 		} else {
-			if (found.node_id) { /* it holds all that was synced, or it is the empty file of a new controller */
+			if (found.node_id) { /* it holds all that was synced, or it is the empty file of a new
+						controller */
 				assert_int_equal(found.shards[2].entry_count, 90);
 				for (int k = 0; k < 90; k++) {
 					char expected[32];
 
 					snprintf(expected, sizeof expected, "entry %d of 1", k + 1);
 					assert_int_equal(found.shards[2].entries[k].len, strlen(expected));
-					assert_memory_equal(found.shards[2].entries[k].data, expected, strlen(expected));
+					assert_memory_equal(found.shards[2].entries[k].data, expected,
+							    strlen(expected));
 				}
 			}
 			storage_close(storage);
 		}
 		folder_end(folder);
 	}
-	print_message("damaged folders refused: %d of %d; the rest was harmed where nothing is kept\n", refused, rounds);
+	print_message("damaged folders refused: %d of %d; the rest was harmed where nothing is kept\n",
+		      refused, rounds);
 	assert_true(refused >= 8);
-	{ /* one letter of a kept entry: the file's own structure is whole, only the record's checksum tells */
+	{ /* one letter of a kept entry: the file's own structure is whole, only the record's checksum tells
+	   */
 		char *text = malloc(HELD), *hit;
 		int fd;
 
@@ -636,7 +653,8 @@
 	return n;
 }
 
-/* A listener whose queue is full, by connections of its own: no dial to it is answered before one is taken. */
+/* A listener whose queue is full, by connections of its own: no dial to it is answered before one is taken.
+ */
 static int full_listener(unsigned port, int full[4])
 {
 	struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK) };
@@ -653,8 +671,8 @@
 	return l;
 }
 
-/* Over a link that is full the answer to a dial takes longer than the pause between two: each stays under way beside the newer
- * ones, within a bound, and once one is answered the others are over. */
+/* Over a link that is full the answer to a dial takes longer than the pause between two: each stays under way
+ * beside the newer ones, within a bound, and once one is answered the others are over. */
 static void a_dial_that_is_slow_stays_under_way(void **state)
 {
 	apr_pool_t *pool;
@@ -690,7 +708,8 @@
 	assert_true(most >= own + 3);
 	for (int i = 0; i < 4; i++)
 		close(full[i]);
-	while ((dialling(port) > 0 || !taken) && clock_ms() < end) { /* the queue empties, and dials are answered */
+	while ((dialling(port) > 0 || !taken) &&
+	       clock_ms() < end) { /* the queue empties, and dials are answered */
 		struct pollfd wait = { l, POLLIN, 0 };
 		int fd;
 
@@ -708,8 +727,8 @@
 	apr_pool_destroy(pool);
 }
 
-/* A peer without power does not answer the dial at all; once it is back it is dialled anew, not when the kernel
- * thinks of it. */
+/* A peer without power does not answer the dial at all; once it is back it is dialled anew, not when the
+ * kernel thinks of it. */
 static void a_dial_that_hangs_is_made_anew(void **state)
 {
 	apr_pool_t *pool;
@@ -786,7 +805,8 @@
 	}
 }
 
-/* A peer that takes nothing more, on a connection that was up: what is sent then goes over a new one, once it listens again. */
+/* A peer that takes nothing more, on a connection that was up: what is sent then goes over a new one, once it
+ * listens again. */
 /* A listener at a free address of the loopback, which is written to peer. */
 static int listen_as_peer(char *peer)
 {
@@ -850,7 +870,8 @@
 	quick = accept_within_limit(listener);
 	assert_return_code(quick, 0);
 	assert_int_equal(recv(quick, frame, 4, MSG_WAITALL), 4);
-	assert_true(frame[0] == 0 && frame[1] == 0 && frame[2] == 0); /* a small one, before all that is large */
+	assert_true(frame[0] == 0 && frame[1] == 0 &&
+		    frame[2] == 0); /* a small one, before all that is large */
 	assert_int_equal(recv(quick, frame + 4, frame[3], MSG_WAITALL), frame[3]);
 	got = nl__msg__unpack(NULL, frame[3], frame + 4);
 	assert_non_null(got);
@@ -909,8 +930,10 @@
 
 static void streams_end_definitely(void **state)
 {
-	static const char ask[] = "POST /v1/exchange HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\nContent-Length: 2\r\n\r\n{}";
-	static const char keyed[] = "POST /v1/change HTTP/1.1\r\nHost: x\r\nIdempotency-Key: one-2\r\nContent-Length: 2\r\n\r\n{}";
+	static const char ask[] =
+	    "POST /v1/exchange HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\nContent-Length: 2\r\n\r\n{}";
+	static const char keyed[] =
+	    "POST /v1/change HTTP/1.1\r\nHost: x\r\nIdempotency-Key: one-2\r\nContent-Length: 2\r\n\r\n{}";
 	apr_pool_t *pool;
 	struct ring *ring;
 	struct api_server *web;
@@ -1023,11 +1046,14 @@
 	shell_event_free(event);
 	/* too large a body is refused before the core hears of it */
 	fd = dial(addr);
-	snprintf(b, sizeof b, "POST /v1/change HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", API_SERVER_MAX_BODY_BYTES + 10);
+	snprintf(b, sizeof b, "POST /v1/change HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n",
+		 API_SERVER_MAX_BODY_BYTES + 10);
 	assert_true(write(fd, b, strlen(b)) > 0);
 	memset(b, 'x', sizeof b);
 	for (int sent = 0; sent < API_SERVER_MAX_BODY_BYTES + 10;) {
-		int n = API_SERVER_MAX_BODY_BYTES + 10 - sent < (int)sizeof b ? API_SERVER_MAX_BODY_BYTES + 10 - sent : (int)sizeof b;
+		int n = API_SERVER_MAX_BODY_BYTES + 10 - sent < (int)sizeof b
+			    ? API_SERVER_MAX_BODY_BYTES + 10 - sent
+			    : (int)sizeof b;
 		ssize_t k = write(fd, b, (size_t)n);
 
 		assert_true(k > 0);
@@ -1062,8 +1088,8 @@
 	pthread_join(thread, NULL);
 }
 
-/* The process ends: an answer that was just given leaves whole, however large, and whoever has none is told that the outcome
- * is open. */
+/* The process ends: an answer that was just given leaves whole, however large, and whoever has none is told
+ * that the outcome is open. */
 static void a_close_says_what_is_left_to_say(void **state)
 {
 	enum { LARGE = 3 << 20 };
@@ -1106,8 +1132,8 @@
 	}
 }
 
-/* What was said before the close still leaves: to a peer that is connected, and to one that is only now dialled. A peer that
- * takes nothing does not hold the close up. */
+/* What was said before the close still leaves: to a peer that is connected, and to one that is only now
+ * dialled. A peer that takes nothing does not hold the close up. */
 static void what_was_said_last_leaves(void **state)
 {
 	enum { MESSAGES = 2000, ROUNDS = 20, CLOSE_MS = 2000 };
@@ -1164,12 +1190,26 @@
 		char *argv[12];
 		int rc;
 	} calls[] = {
-		{ 9, { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "z1", "--seed", "127.0.0.1:3" }, -1 },
-		{ 10, { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "z1", "--seed", "127.0.0.1:3", "--check" }, 0 },
+		{ 9,
+		  { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "z1", "--seed",
+		    "127.0.0.1:3" },
+		  -1 },
+		{ 10,
+		  { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "z1", "--seed", "127.0.0.1:3",
+		    "--check" },
+		  0 },
 		{ 7, { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "z1" }, 2 },
-		{ 9, { "counter", "-l", "127.0.0.1:70000", "-w", "127.0.0.1:2", "-z", "z1", "--seed", "127.0.0.1:3" }, 2 },
-		{ 9, { "counter", "-l", "127.0.0.1:1", "-w", "localhost:2", "-z", "z1", "--seed", "127.0.0.1:3" }, 2 },
-		{ 9, { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "", "--seed", "127.0.0.1:3" }, 2 },
+		{ 9,
+		  { "counter", "-l", "127.0.0.1:70000", "-w", "127.0.0.1:2", "-z", "z1", "--seed",
+		    "127.0.0.1:3" },
+		  2 },
+		{ 9,
+		  { "counter", "-l", "127.0.0.1:1", "-w", "localhost:2", "-z", "z1", "--seed",
+		    "127.0.0.1:3" },
+		  2 },
+		{ 9,
+		  { "counter", "-l", "127.0.0.1:1", "-w", "127.0.0.1:2", "-z", "", "--seed", "127.0.0.1:3" },
+		  2 },
 		{ 2, { "counter", "--no-such-flag" }, 2 },
 		{ 3, { "counter", "--settings", "/nonexistent.json" }, 2 },
 	};
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -1,4 +1,5 @@
-/* Snapshots in pieces and the pacing of appends: members by hand, then groups under seeded virtual time with large documents. */
+/* Snapshots in pieces and the pacing of appends: members by hand, then groups under seeded virtual time with
+ * large documents. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,7 +10,7 @@
 #include <cmocka.h>
 #include <nettle/sha2.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "raft_world.h"
 
 enum { KB = 1024, MB = 1024 * 1024 };
@@ -29,7 +30,8 @@
 	memset(member, 0, sizeof *member);
 	memset(group, 0, sizeof group);
 	for (int i = 0; i < 3; i++)
-		group[i] = (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
+		group[i] =
+		    (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
 	apr_pool_create(&member->out.pool, NULL);
 	member->out.id = 1;
 	member->out.addr = 101;
@@ -53,7 +55,8 @@
 static struct Nl__Msg *sent(const struct member *member, int body)
 {
 	for (ptrdiff_t i = arrlen(member->out.commands) - 1; i >= 0; i--)
-		if (member->out.commands[i].kind == CMD_SEND && (int)member->out.commands[i].args.send.msg->body_case == body)
+		if (member->out.commands[i].kind == CMD_SEND &&
+		    (int)member->out.commands[i].args.send.msg->body_case == body)
 			return member->out.commands[i].args.send.msg;
 	return NULL;
 }
@@ -63,7 +66,8 @@
 	int n = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++)
-		n += member->out.commands[i].kind == CMD_SEND && (int)member->out.commands[i].args.send.msg->body_case == body &&
+		n += member->out.commands[i].kind == CMD_SEND &&
+		     (int)member->out.commands[i].args.send.msg->body_case == body &&
 		     member->out.commands[i].args.send.addr == addr;
 	return n;
 }
@@ -127,7 +131,8 @@
 }
 
 /* Send [offset, offset + n) to a member; the member's reply, or NULL. */
-static const struct Nl__SnapshotReply *send_range(struct member *member, const struct sender *sender, uint64_t from, size_t offset, size_t n)
+static const struct Nl__SnapshotReply *send_range(struct member *member, const struct sender *sender,
+						  uint64_t from, size_t offset, size_t n)
 {
 	struct Nl__Msg msg = NL__MSG__INIT, *message;
 	struct Nl__SnapshotChunk piece = NL__SNAPSHOT_CHUNK__INIT;
@@ -154,7 +159,8 @@
 	assert_true(member->raft.snapshot_to_load);
 	assert_int_equal(member->raft.commit_index, sender->index);
 	assert_int_equal(member->raft.snapshot_len, sender->len - sender->members_len);
-	assert_memory_equal(member->raft.snapshot_data, sender->bytes + sender->members_len, member->raft.snapshot_len);
+	assert_memory_equal(member->raft.snapshot_data, sender->bytes + sender->members_len,
+			    member->raft.snapshot_len);
 	assert_int_equal(member->raft.member_count, 3);
 }
 
@@ -243,7 +249,8 @@
 	member_close(&member);
 }
 
-/* A machine that lost its disk has a new identity at the old address, and the leader may still send to both. */
+/* A machine that lost its disk has a new identity at the old address, and the leader may still send to both.
+ */
 static void what_is_meant_for_another_identity_is_left_alone(void **state)
 {
 	struct member member;
@@ -354,10 +361,12 @@
 	struct piece last = { 0, 0, 0, 0, 0 };
 
 	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++) {
-		const struct Nl__Msg *msg = member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
+		const struct Nl__Msg *msg =
+		    member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
 		const struct Nl__SnapshotChunk *piece;
 
-		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_SNAPSHOT_CHUNK)
+		if (!msg || member->out.commands[i].args.send.addr != addr ||
+		    msg->body_case != NL__MSG__BODY_SNAPSHOT_CHUNK)
 			continue;
 		piece = msg->snapshot_chunk;
 		last = (struct piece){ piece->index, 0, piece->offset, piece->data.len, piece->total_bytes };
@@ -366,7 +375,8 @@
 	return last;
 }
 
-static void reply_piece(struct member *member, uint64_t from, struct piece piece, uint64_t offset, int corrupt)
+static void reply_piece(struct member *member, uint64_t from, struct piece piece, uint64_t offset,
+			int corrupt)
 {
 	struct Nl__Msg msg = NL__MSG__INIT;
 	struct Nl__SnapshotReply reply = NL__SNAPSHOT_REPLY__INIT;
@@ -442,12 +452,14 @@
 	(void)state;
 	leader_open(&member, 3 * MB);
 	reply_append(&member, 3, 0, 0);
-	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), 1); /* before it answers: one */
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103),
+			 1); /* before it answers: one */
 	piece = piece_for(&member, 103);
 	assert_int_equal(piece.offset, 0);
 	reply_piece(&member, 3, piece, piece.len, 0);
 	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), RAFT_CHUNK_WINDOW);
-	/* it is silent for ten seconds: what is under way goes out again now and then, heartbeats each round */
+	/* it is silent for ten seconds: what is under way goes out again now and then, heartbeats each round
+	 */
 	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) {
 		heartbeat(&member);
 		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103);
@@ -457,7 +469,9 @@
 		assert_true(raft_has_lease(&member.raft, member.now));
 	}
 	assert_true(pieces >= 3 * RAFT_CHUNK_WINDOW && pieces <= 5 * RAFT_CHUNK_WINDOW);
-	assert_true(member.raft.members[2].transfer.sent_bytes - member.raft.members[2].transfer.acked_bytes <= RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES);
+	assert_true(member.raft.members[2].transfer.sent_bytes -
+			member.raft.members[2].transfer.acked_bytes <=
+		    RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES);
 	member_close(&member);
 }
 
@@ -552,7 +566,8 @@
 	member_close(&member);
 }
 
-/* Two others have synced an entry, this leader has not: it is committed and applied, and stays in the log until it is synced. */
+/* Two others have synced an entry, this leader has not: it is committed and applied, and stays in the log
+ * until it is synced. */
 static void a_snapshot_cuts_the_log_only_where_it_is_synced(void **state)
 {
 	struct member member;
@@ -582,9 +597,11 @@
 	size_t n = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(member->out.commands); i++) {
-		const struct Nl__Msg *msg = member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
+		const struct Nl__Msg *msg =
+		    member->out.commands[i].kind == CMD_SEND ? member->out.commands[i].args.send.msg : NULL;
 
-		if (!msg || member->out.commands[i].args.send.addr != addr || msg->body_case != NL__MSG__BODY_APPEND)
+		if (!msg || member->out.commands[i].args.send.addr != addr ||
+		    msg->body_case != NL__MSG__BODY_APPEND)
 			continue;
 		for (size_t k = 0; k < msg->append->n_entries; k++)
 			n += msg->append->entries[k]->data.len;
@@ -628,8 +645,8 @@
 	member_close(&member);
 }
 
-/* A member that was in the group before is added again: it is asked where it stands, and a word of it that crosses the question
- * must not end the asking. */
+/* A member that was in the group before is added again: it is asked where it stands, and a word of it that
+ * crosses the question must not end the asking. */
 static void a_reply_that_crosses_a_query_answers_nothing(void **state)
 {
 	struct member member;
@@ -658,7 +675,10 @@
 		fail_msg("%s", world->violation);
 }
 
-static uint64_t env(const char *name, uint64_t otherwise) { return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise; }
+static uint64_t env(const char *name, uint64_t otherwise)
+{
+	return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise;
+}
 
 static void catch_up(struct world *world, int64_t *worst, const char *after)
 {
@@ -667,12 +687,14 @@
 	ok(world);
 	if (ms < 0) {
 		world_print(world);
-		fail_msg("seed %llu: the group is not whole %d ms after %s", (unsigned long long)world->seed, WORLD_CATCH_UP_MS, after);
+		fail_msg("seed %llu: the group is not whole %d ms after %s", (unsigned long long)world->seed,
+			 WORLD_CATCH_UP_MS, after);
 	}
 	*worst = ms > *worst ? ms : *worst;
 }
 
-/* One fault after the other, each at a random moment under changes: a member restarted, wiped, cut off, the leader too. */
+/* One fault after the other, each at a random moment under changes: a member restarted, wiped, cut off, the
+ * leader too. */
 static void faults(struct world *world, uint64_t changes, int64_t *worst)
 {
 	uint64_t rng = world->seed;
@@ -701,11 +723,12 @@
 static void bounded(const struct world *world)
 {
 	/* log until a snapshot is due, and behind it; two snapshots */
-	size_t log = 2 * RAFT_SNAPSHOT_LOG_BYTES + 2 * world->document_len, all = log + RAFT_LOG_TAIL_BYTES + 2 * world->document_len;
+	size_t log = 2 * RAFT_SNAPSHOT_LOG_BYTES + 2 * world->document_len,
+	       all = log + RAFT_LOG_TAIL_BYTES + 2 * world->document_len;
 
 	if (world->peak_memory > all || world->peak_disk > all)
-		fail_msg("seed %llu: %zu bytes in memory, %zu on the disk", (unsigned long long)world->seed, world->peak_memory,
-			 world->peak_disk);
+		fail_msg("seed %llu: %zu bytes in memory, %zu on the disk", (unsigned long long)world->seed,
+			 world->peak_memory, world->peak_disk);
 }
 
 /* A short share of it by itself; NL_CHANGES=2000 and more NL_SEEDS for the long runs. */
@@ -739,13 +762,14 @@
 		}
 		print_message(
 		    "%zu KB documents, %llu changes, %llu seeds: whole again after at most %lld ms; at most %zu KB in memory, %zu KB on a disk\n",
-		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)seeds, (long long)worst, memory / KB,
-		    disk / KB);
+		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)seeds, (long long)worst,
+		    memory / KB, disk / KB);
 	}
 }
 
-/* Messages lost, doubled, delayed and out of order; machines fall at any moment, also in the middle of a transfer, and the
- * leader with them. Nothing acknowledged is lost, and once links are good again the group is whole in time. */
+/* Messages lost, doubled, delayed and out of order; machines fall at any moment, also in the middle of a
+ * transfer, and the leader with them. Nothing acknowledged is lost, and once links are good again the group
+ * is whole in time. */
 static void storms(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 8);
@@ -758,7 +782,8 @@
 
 		world_open(&world, seed, 200 * KB);
 		for (int round = 0; round < 6; round++) {
-			int a = (int)(core_random(&rng) % WORLD_MACHINES), b = (int)(core_random(&rng) % WORLD_MACHINES);
+			int a = (int)(core_random(&rng) % WORLD_MACHINES),
+			    b = (int)(core_random(&rng) % WORLD_MACHINES);
 
 			world.loss = (int)(core_random(&rng) % 100);
 			world.repeat = (int)(core_random(&rng) % 100);
@@ -767,10 +792,13 @@
 			world.disk_ms = 1 + (int)(core_random(&rng) % 60);
 			world.bytes_per_ms = 1250 + core_random(&rng) % 50000; /* from 10 Mbit/s */
 			(void)world_change(&world, core_random(&rng) % 40, 4000);
-			world_crash(&world, a, core_random(&rng) % 2 == 0 && world_fully_replicated(&world)); /* one disk at a time */
+			world_crash(&world, a,
+				    core_random(&rng) % 2 == 0 &&
+					world_fully_replicated(&world)); /* one disk at a time */
 			(void)world_change(&world, core_random(&rng) % 60, 4000);
 			world_start(&world, a);
-			(void)world_run(&world, (int64_t)(core_random(&rng) % 3000), NULL); /* into its transfer */
+			(void)world_run(&world, (int64_t)(core_random(&rng) % 3000),
+					NULL); /* into its transfer */
 			world_crash(&world, b, 0);
 			(void)world_run(&world, (int64_t)(core_random(&rng) % 500), NULL);
 			world_start(&world, b);
@@ -783,15 +811,18 @@
 		catch_up(&world, &worst, "a storm");
 		if (!world_change(&world, 1, 6000) && !world.violation[0]) {
 			world_print(&world);
-			fail_msg("seed %llu: no change is acknowledged after a storm", (unsigned long long)seed);
+			fail_msg("seed %llu: no change is acknowledged after a storm",
+				 (unsigned long long)seed);
 		}
 		bounded(&world);
 		world_close(&world);
 	}
-	print_message("storms: %llu seeds, whole again after at most %lld ms\n", (unsigned long long)seeds, (long long)worst);
+	print_message("storms: %llu seeds, whole again after at most %lld ms\n", (unsigned long long)seeds,
+		      (long long)worst);
 }
 
-/* What a transfer costs, by the size of the state: an empty member is added while documents go on, ten a second. */
+/* What a transfer costs, by the size of the state: an empty member is added while documents go on, ten a
+ * second. */
 static void transfers_by_size(void **state)
 {
 	static const size_t size[] = { 30 * KB, 300 * KB, 1 * MB, 4 * MB, 8 * MB };
@@ -804,7 +835,8 @@
 			uint64_t needed;
 
 			world_open(&world, 5, size[i]);
-			assert_true(world_change(&world, 4 + 2 * RAFT_SNAPSHOT_LOG_BYTES / size[i], 200000) || world.violation[0]);
+			assert_true(world_change(&world, 4 + 2 * RAFT_SNAPSHOT_LOG_BYTES / size[i], 200000) ||
+				    world.violation[0]);
 			world.pause_ms = slow ? 2000 : 100;
 			assert_true(world_run(&world, 500, NULL));
 			world_crash(&world, (world_leader(&world) + 1) % 3, 1);
@@ -824,9 +856,11 @@
 			print_message(
 			    "%zu KB, %s: whole after %lld ms; %llu messages, %llu pieces (one snapshot has %llu) of %llu KB, "
 			    "entries %llu KB; at most %zu KB in a member, %zu KB on a disk, %zu KB under way\n",
-			    size[i] / KB, slow ? "100 Mbit/s" : "1 Gbit/s", (long long)ms, (unsigned long long)world.messages,
-			    (unsigned long long)world.pieces, (unsigned long long)needed, (unsigned long long)world.piece_bytes / KB,
-			    (unsigned long long)world.append_bytes / KB, world.peak_memory / KB, world.peak_disk / KB, world.peak_in_flight / KB);
+			    size[i] / KB, slow ? "100 Mbit/s" : "1 Gbit/s", (long long)ms,
+			    (unsigned long long)world.messages, (unsigned long long)world.pieces,
+			    (unsigned long long)needed, (unsigned long long)world.piece_bytes / KB,
+			    (unsigned long long)world.append_bytes / KB, world.peak_memory / KB,
+			    world.peak_disk / KB, world.peak_in_flight / KB);
 			assert_true(ms >= 0 && ms <= WORLD_CATCH_UP_MS);
 			bounded(&world);
 			world_close(&world);
@@ -834,8 +868,9 @@
 	}
 }
 
-/* Three machines with slow disks, and no spare one: a member that lost its disk votes again, and its old identity no longer,
- * well before one more loss is to be survived. Then that loss comes: the leader's disk, and the power of the other two. */
+/* Three machines with slow disks, and no spare one: a member that lost its disk votes again, and its old
+ * identity no longer, well before one more loss is to be survived. Then that loss comes: the leader's disk,
+ * and the power of the other two. */
 static void a_wiped_member_of_three_votes_again_in_time(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 6);
@@ -863,7 +898,8 @@
 			world_start(&world, i);
 		if (!world_change(&world, 1, 6000) && !world.violation[0]) {
 			world_print(&world);
-			fail_msg("seed %llu: no change is acknowledged after a second loss", (unsigned long long)seed);
+			fail_msg("seed %llu: no change is acknowledged after a second loss",
+				 (unsigned long long)seed);
 		}
 		ok(&world);
 		world_close(&world);
