--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,6 +1,6 @@
-/* The data folder after a loss of power at any moment. Writes that were not synced are kept, lost or torn, each by itself; what is
- * left is opened like any folder. It must hold all that was acknowledged, and a transaction whole or not at all. A failing seed
- * prints itself: NL_SEED=n NL_SEEDS=1 build/test_store */
+/* The data folder after a loss of power at any moment. Writes that were not synced are kept, lost or torn,
+ * each by itself; what is left is opened like any folder. It must hold all that was acknowledged, and a
+ * transaction whole or not at all. A failing seed prints itself: NL_SEED=n NL_SEEDS=1 build/test_store */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -20,7 +20,7 @@
 #include <signal.h>
 #include <tdb.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
 enum {
@@ -172,7 +172,10 @@
 	return written;
 }
 
-ssize_t pwrite64(int fd, const void *data, size_t length, off_t offset) { return pwrite(fd, data, length, offset); }
+ssize_t pwrite64(int fd, const void *data, size_t length, off_t offset)
+{
+	return pwrite(fd, data, length, offset);
+}
 
 int ftruncate(int fd, off_t length)
 {
@@ -186,7 +189,10 @@
 	return result;
 }
 
-int ftruncate64(int fd, off_t length) { return ftruncate(fd, length); }
+int ftruncate64(int fd, off_t length)
+{
+	return ftruncate(fd, length);
+}
 
 int posix_fallocate(int fd, off_t offset, off_t length)
 {
@@ -204,11 +210,17 @@
 	return 0;
 }
 
-int fdatasync(int fd) { return fsync(fd); }
+int fdatasync(int fd)
+{
+	return fsync(fd);
+}
 
 /* ---- folders ---- */
 
-static void file_of(char *path, size_t size, const char *folder) { snprintf(path, size, "%s/registrar.tdb", folder); }
+static void file_of(char *path, size_t size, const char *folder)
+{
+	snprintf(path, size, "%s/registrar.tdb", folder);
+}
 
 static void folder_remove(const char *folder)
 {
@@ -287,7 +299,8 @@
 	return data;
 }
 
-static void write_next(struct storage *store, uint64_t seed, uint64_t number, struct expected *state, uint64_t *random)
+static void write_next(struct storage *store, uint64_t seed, uint64_t number, struct expected *state,
+		       uint64_t *random)
 {
 	struct persist write = { 0 };
 	struct persist_entry entries[8];
@@ -302,8 +315,8 @@
 	for (size_t i = 0; i < write.entry_count; i++) {
 		uint64_t index = state->last + 1 + i;
 
-		entries[i] =
-		    (struct persist_entry){ index, 1, RAFT_ENTRY_OPERATION, entry_size(seed, index), entry_data(seed, index) };
+		entries[i] = (struct persist_entry){ index, 1, RAFT_ENTRY_OPERATION, entry_size(seed, index),
+						     entry_data(seed, index) };
 	}
 	state->last += write.entry_count;
 	if (!state->first)
@@ -312,7 +325,8 @@
 		write.has_snapshot = 1;
 		write.snapshot_index = state->base = state->last - write.entry_count;
 		write.snapshot_term = 1;
-		write.drop_upto = write.snapshot_index > KEPT_ENTRIES ? write.snapshot_index - KEPT_ENTRIES : 0;
+		write.drop_upto =
+		    write.snapshot_index > KEPT_ENTRIES ? write.snapshot_index - KEPT_ENTRIES : 0;
 		if (write.drop_upto >= state->first)
 			state->first = write.drop_upto + 1;
 		write.members = (const uint8_t *)"members";
@@ -340,7 +354,8 @@
 {
 	const struct raft_saved *shard = &found->shards[SHARD];
 
-	if (found->node_id != IDENTITY || found->fleet_id != FLEET || shard->term != state->term || shard->snapshot_index != state->base)
+	if (found->node_id != IDENTITY || found->fleet_id != FLEET || shard->term != state->term ||
+	    shard->snapshot_index != state->base)
 		return 0;
 	if (!state->last)
 		return shard->entry_count == 0;
@@ -349,7 +364,8 @@
 	for (size_t i = 0; i < shard->entry_count; i++) {
 		uint64_t index = state->first + i;
 		uint8_t *data = entry_data(seed, index);
-		int same = shard->entries[i].len == entry_size(seed, index) && !memcmp(shard->entries[i].data, data, shard->entries[i].len);
+		int same = shard->entries[i].len == entry_size(seed, index) &&
+			   !memcmp(shard->entries[i].data, data, shard->entries[i].len);
 
 		free(data);
 		if (!same)
@@ -358,7 +374,8 @@
 	return 1;
 }
 
-/* What is opened takes further writes, also when its free space was torn and no fresh file could be made at the start. */
+/* What is opened takes further writes, also when its free space was torn and no fresh file could be made at
+ * the start. */
 static void assert_goes_on(struct storage *store, struct ring *ring, const struct stored_state *found)
 {
 	struct persist write = { .shard = SHARD, .seq = 1, .term = found->shards[SHARD].term + 1 };
@@ -368,7 +385,8 @@
 }
 
 /* Opens what each loss of power has left. */
-static void open_what_is_left(uint64_t seed, uint64_t number, const struct expected *before, const struct expected *after)
+static void open_what_is_left(uint64_t seed, uint64_t number, const struct expected *before,
+			      const struct expected *after)
 {
 	for (ptrdiff_t i = 0; i < arrlen(disk.falls); i++) {
 		char folder[] = "/tmp/nl-fall-XXXXXX", path[200], in_the_way[200];
@@ -391,8 +409,8 @@
 		assert_return_code(mkdir(in_the_way, 0700), 0); /* no fresh file can be made */
 		store = storage_open(folder, NULL, ring, &found, &why, pool);
 		if (!store)
-			fail_msg("seed %llu, transaction %llu: after a loss of power: %s", (unsigned long long)seed,
-				 (unsigned long long)number, why);
+			fail_msg("seed %llu, transaction %llu: after a loss of power: %s",
+				 (unsigned long long)seed, (unsigned long long)number, why);
 		if (!holds(&found, seed, before) && !holds(&found, seed, after))
 			fail_msg(
 			    "seed %llu, transaction %llu: after a loss of power: neither what was before nor what was written stands",
@@ -452,7 +470,8 @@
 		run(seed);
 }
 
-/* A disk that fills up in the middle of a transaction, and takes nothing for a while, harms neither what was there nor what comes. */
+/* A disk that fills up in the middle of a transaction, and takes nothing for a while, harms neither what was
+ * there nor what comes. */
 static void a_disk_that_fills_up_harms_nothing(void **state)
 {
 	enum { FULL_SEEDS = 4, FULL_TRANSACTIONS = 12, WRITES = 30 };
@@ -481,7 +500,8 @@
 
 			disk.writes_until_full = 1 + (int)(core_random(&random) % WRITES);
 			write_next(store, seed, number, &written, &random);
-			for (int64_t end = clock_ms() + LIMIT_MS; !event && storage_refused_count(store) == refused && clock_ms() < end;)
+			for (int64_t end = clock_ms() + LIMIT_MS;
+			     !event && storage_refused_count(store) == refused && clock_ms() < end;)
 				event = ring_pop(ring, 10);
 			disk.writes_until_full = 0;
 			disk.full = 0;
@@ -496,7 +516,8 @@
 		if (!store)
 			fail_msg("seed %llu: after a full disk: %s", (unsigned long long)seed, why);
 		if (!holds(&found, seed, &written))
-			fail_msg("seed %llu: after a full disk: what was acknowledged does not stand", (unsigned long long)seed);
+			fail_msg("seed %llu: after a full disk: what was acknowledged does not stand",
+				 (unsigned long long)seed);
 		storage_close(store);
 		for (ptrdiff_t i = 0; i < arrlen(disk.pending); i++)
 			free(disk.pending[i].data);
@@ -507,7 +528,8 @@
 	}
 }
 
-/* The newest entry is taken out of a file that is otherwise whole: no checksum and no gap in the log tells, the total does. */
+/* The newest entry is taken out of a file that is otherwise whole: no checksum and no gap in the log tells,
+ * the total does. */
 static void a_missing_record_is_refused(void **state)
 {
 	char folder[] = "/tmp/nl-store-XXXXXX", path[200], key[40];
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -1,5 +1,5 @@
-/* The data folder under snapshots: a group of one member whose writes go to a real folder. Its size, a disk that fills up in
- * the middle of a snapshot, and a process that is killed at any moment. */
+/* The data folder under snapshots: a group of one member whose writes go to a real folder. Its size, a disk
+ * that fills up in the middle of a snapshot, and a process that is killed at any moment. */
 #include <apr_general.h>
 #include <errno.h>
 #include <setjmp.h>
@@ -16,12 +16,15 @@
 
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "shell.h"
 
 enum { KB = 1024, MB = 1024 * 1024, LIMIT_MS = 60000, SHARD = 0 };
 
-static uint64_t env(const char *name, uint64_t otherwise) { return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise; }
+static uint64_t env(const char *name, uint64_t otherwise)
+{
+	return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise;
+}
 
 /* One controller's group of one: raft, its folder, and the newest document as its state. */
 struct solo {
@@ -212,13 +215,15 @@
 		getrusage(RUSAGE_SELF, &use);
 		print_message(
 		    "%zu KB documents, %llu changes, %llu snapshots: the file has at most %zu KB; the process had %ld KB\n",
-		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)snapshots, peak / KB, use.ru_maxrss);
+		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)snapshots, peak / KB,
+		    use.ru_maxrss);
 		assert_true(peak < 100 * MB);
 		router_fixture_close(&solo);
 	}
 }
 
-/* What a folder gives back: the snapshot, the entries behind it without a gap, and nothing that was acknowledged is missing. */
+/* What a folder gives back: the snapshot, the entries behind it without a gap, and nothing that was
+ * acknowledged is missing. */
 static void assert_holds(struct solo *solo, uint64_t acked)
 {
 	const struct raft_saved *saved = &solo->found.shards[SHARD];
@@ -241,8 +246,8 @@
 	assert_true(newest >= acked);
 }
 
-/* The disk fills up while a snapshot is written: nothing is acknowledged, and a fall then loses nothing. Once there is room
- * the same writes go on. */
+/* The disk fills up while a snapshot is written: nothing is acknowledged, and a fall then loses nothing. Once
+ * there is room the same writes go on. */
 static void a_disk_that_fills_up_in_a_snapshot_loses_nothing(void **state)
 {
 	struct solo solo;
@@ -265,7 +270,8 @@
 		assert_true(take_sync(&solo, LIMIT_MS));
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &full), 0);
 	acked = solo.acked;
-	while (solo.raft.synced_seq < solo.raft.sync_seq && storage_refused_count(solo.store) < 2) /* or it came before the disk was full */
+	while (solo.raft.synced_seq < solo.raft.sync_seq &&
+	       storage_refused_count(solo.store) < 2) /* or it came before the disk was full */
 		(void)take_sync(&solo, 20);
 	for (int i = 0; storage_refused_count(solo.store) < 2; i++) { /* more, until nothing fits */
 		if (solo.raft.synced_seq == solo.raft.sync_seq)
@@ -298,7 +304,8 @@
 	}
 }
 
-/* Killed in the middle of writes, snapshots and trims: all that was acknowledged is there, and the process goes on from it. */
+/* Killed in the middle of writes, snapshots and trims: all that was acknowledged is there, and the process
+ * goes on from it. */
 static void a_kill_at_any_moment_loses_nothing(void **state)
 {
 	uint64_t first = env("NL_SEED", 1), seeds = env("NL_SEEDS", 3);
@@ -321,13 +328,16 @@
 				if (open_folder(&solo))
 					_exit(2);
 				begin(&solo);
-				write_until_killed(&solo, solo.raft.applied_index ? solo.acked + 1 : 1, pipe_ends[1]);
+				write_until_killed(&solo, solo.raft.applied_index ? solo.acked + 1 : 1,
+						   pipe_ends[1]);
 			}
 			close(pipe_ends[1]);
 			while (acked < until)
 				if (read(pipe_ends[0], &acked, sizeof acked) != sizeof acked)
-					fail_msg("seed %llu: the writer ended by itself", (unsigned long long)seed);
-			for (volatile uint64_t spin = 0; spin < more * 1000; spin++) /* somewhere in the next write */
+					fail_msg("seed %llu: the writer ended by itself",
+						 (unsigned long long)seed);
+			for (volatile uint64_t spin = 0; spin < more * 1000;
+			     spin++) /* somewhere in the next write */
 				;
 			kill(child, SIGKILL);
 			while (read(pipe_ends[0], &acked, sizeof acked) == sizeof acked)
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -1,6 +1,6 @@
-/* Data folders and answers as earlier versions wrote them: tests/data/stored and tests/data/interface, made by
- * tests/make_stored_data.c. Each folder is opened from a copy. What it holds and the state that it makes must be what they were,
- * value by value; and a controller must go on from it. */
+/* Data folders and answers as earlier versions wrote them: tests/data/stored and tests/data/interface, made
+ * by tests/make_stored_data.c. Each folder is opened from a copy. What it holds and the state that it makes
+ * must be what they were, value by value; and a controller must go on from it. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -79,7 +79,10 @@
 }
 
 /* What a folder should hold: a torn one is the first one, torn. */
-static const char *whole_of(const char *name) { return strncmp(name, "torn", 4) ? name : "entries"; }
+static const char *whole_of(const char *name)
+{
+	return strncmp(name, "torn", 4) ? name : "entries";
+}
 
 static void assert_records(const struct world *world, const char *name)
 {
@@ -89,7 +92,8 @@
 
 static void assert_state(struct world *world, const char *name)
 {
-	assert_same_text(name, stored_text(apr_psprintf(pool, "stored/%s/state.txt", whole_of(name))), world_state(world, pool));
+	assert_same_text(name, stored_text(apr_psprintf(pool, "stored/%s/state.txt", whole_of(name))),
+			 world_state(world, pool));
 }
 
 /* ---- what they hold ---- */
@@ -226,7 +230,8 @@
 		lead(&world, folder);
 		assert_int_equal(world_call(&world, "POST", "/v1/change", stored_change, "first-key"), 200);
 		assert_string_equal(world.answer.body, "{\"edition\":2}");
-		assert_int_equal(world_call(&world, "POST", "/v1/change", stored_second_change, "first-key"), 422);
+		assert_int_equal(world_call(&world, "POST", "/v1/change", stored_second_change, "first-key"),
+				 422);
 		world_close(&world);
 		remove_folder(folder);
 	}
@@ -295,9 +300,11 @@
 		assert_int_equal(raft->member_count, 1);
 		assert_int_equal(raft->fenced_count, 2);
 	}
-	assert_int_equal(world_call(&world, "POST", "/v1/change", "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
+	assert_int_equal(world_call(&world, "POST", "/v1/change",
+				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
 			 200);
-	assert_true(strtoull(world.answer.body + strlen("{\"edition\":"), NULL, 10) > CONTROLLER_RECOVERY_SKIP);
+	assert_true(strtoull(world.answer.body + strlen("{\"edition\":"), NULL, 10) >
+		    CONTROLLER_RECOVERY_SKIP);
 	world_close(&world);
 	remove_folder(folder);
 }
--- a/tests/test_stored_messages.c
+++ b/tests/test_stored_messages.c
@@ -1,5 +1,5 @@
-/* Messages as earlier versions said and stored them: tests/data/messages, made by tests/make_stored_data.c. Names are free to
- * change; a number, a type or a value is not. */
+/* Messages as earlier versions said and stored them: tests/data/messages, made by tests/make_stored_data.c.
+ * Names are free to change; a number, a type or a value is not. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,7 +19,8 @@
 static const char *data_text(const char *name)
 {
 	size_t n;
-	const char *path = apr_psprintf(pool, "%s/messages/%s", TEST_DATA, name), *text = file_read(path, &n, pool);
+	const char *path = apr_psprintf(pool, "%s/messages/%s", TEST_DATA, name),
+		   *text = file_read(path, &n, pool);
 
 	if (!text)
 		fail_msg("%s cannot be read", path);
@@ -83,14 +84,16 @@
 		do {
 			size_t n;
 			const uint8_t *then = stored_bytes(root, *one, &n);
-			ProtobufCMessage *message = protobuf_c_message_unpack(walk_roots[root], NULL, n, then);
+			ProtobufCMessage *message =
+			    protobuf_c_message_unpack(walk_roots[root], NULL, n, then);
 			const char *bad;
 
 			if (!message)
 				fail_msg("message %d-%u cannot be read", root, (unsigned)*one);
 			bad = walk_check(root, *one, message, pool);
 			if (bad)
-				fail_msg("message %d-%u: field %s has another value", root, (unsigned)*one, bad);
+				fail_msg("message %d-%u: field %s has another value", root, (unsigned)*one,
+					 bad);
 			protobuf_c_message_free_unpacked(message, NULL);
 		} while (*one && *++one);
 	}
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -10,11 +10,11 @@
 #include <cmocka.h>
 
 #include "router.h"
-#include "ds.h"
-#include "kept.h"
+#include "containers.h"
+#include "prefix_index.h"
 #include "raft.h"
 #include "purge.h"
-#include "table.h"
+#include "config_table.h"
 
 enum { TICKS = 200 };
 
@@ -94,7 +94,8 @@
 		assert_true(knowledge_append(&k, released + 1, TICKS, &knowledge, &out));
 		twin.horizon = twin.released = released;
 		for (size_t i = 0; i < knowledge.n_increments; i++)
-			knowledge_add(&twin, knowledge.increments[i]->first, knowledge.increments[i]->last, knowledge.increments[i]->value);
+			knowledge_add(&twin, knowledge.increments[i]->first, knowledge.increments[i]->last,
+				      knowledge.increments[i]->value);
 		assert_int_equal(twin.horizon, k.horizon);
 		assert_int_equal(knowledge_reach(&twin), knowledge_reach(&k));
 		n = 0;
@@ -128,21 +129,24 @@
 
 			list[i].tick = 1 + core_random(&rng) % 500; /* in no order */
 			list[i].who = (int)(core_random(&rng) % 3);
-			purge_view_apply(&view, value(list[i].tick, &purge_value, &purge, names[list[i].who]));
+			purge_view_apply(&view,
+					 value(list[i].tick, &purge_value, &purge, names[list[i].who]));
 			for (int q = 0; q < 5; q++) {
 				uint64_t stamp = core_random(&rng) % 520;
 				int who = (int)(core_random(&rng) % 3), gone = 0;
 
 				for (int k = 0; k <= i; k++)
 					gone |= list[k].who == who && stamp < list[k].tick;
-				assert_int_equal(purge_view_allows(&view, "s", "w", names[who], "x", stamp), !gone);
+				assert_int_equal(purge_view_allows(&view, "s", "w", names[who], "x", stamp),
+						 !gone);
 			}
 		}
 		purge_view_clear(&view);
 	}
 }
 
-/* A relay whose own horizon stands still cannot make another's look current, by a snapshot or by old ticks. */
+/* A relay whose own horizon stands still cannot make another's look current, by a snapshot or by old ticks.
+ */
 static void what_is_old_stays_old(void **state)
 {
 	struct relay a, b;
@@ -213,11 +217,11 @@
 
 		for (int i = 0; i < 300; i++) {
 			struct block_replica replica = { (uint32_t)(core_random(&rng) % 4),
-					       (uint32_t)(core_random(&rng) % 3),
-					       0,
-					       1,
-					       core_random(&rng) % 90,
-					       (uint64_t)i };
+							 (uint32_t)(core_random(&rng) % 3),
+							 0,
+							 1,
+							 core_random(&rng) % 90,
+							 (uint64_t)i };
 			uint64_t h = core_random(&rng) % 8;
 
 			if (i % 50 == 49) {
@@ -231,7 +235,8 @@
 			} else if (i % 70 == 69) {
 				prefix_index_remove_if(&k, of_server, &replica.server_index);
 				for (int p = 0; p < 8; p++)
-					memset(plain[p][replica.server_index], 0, sizeof plain[p][replica.server_index]);
+					memset(plain[p][replica.server_index], 0,
+					       sizeof plain[p][replica.server_index]);
 			} else {
 				prefix_index_put(&k, h, &replica);
 				plain[h][replica.server_index][replica.tenant_index] = replica.stamp_tick + 1;
@@ -295,7 +300,8 @@
 				assert_int_equal(table.revision, t.revision);
 				assert_int_equal(shlen(table.rows), shlen(t.rows));
 				for (ptrdiff_t k = 0; k < shlen(t.rows); k++) {
-					const struct Nl__Row *x = config_table_get(&table, NL__KIND__TENANT, t.rows[k].value.row->name);
+					const struct Nl__Row *x = config_table_get(&table, NL__KIND__TENANT,
+										   t.rows[k].value.row->name);
 
 					assert_non_null(x);
 					assert_int_equal(x->share, t.rows[k].value.row->share);
@@ -326,13 +332,15 @@
 		{ "{\"expect\":\"1\",\"set\":[]}", "expect" },
 		{ "{\"set\":{}}", "set" },
 		{ "{\"set\":[{\"kind\":\"lan\"}]}", "kind" },
-		{ "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"s\",\"limit\":5,\"weights\":\"w\"}]}", "weights" },
+		{ "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"s\",\"limit\":5,\"weights\":\"w\"}]}",
+		  "weights" },
 		{ "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"s\",\"limit\":-1}]}", "limit" },
 		{ "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"s\",\"limit\":0}]}", "limit" },
 		{ "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"limit\":5}]}", "service" },
 		{ "{\"set\":[{\"kind\":\"tenant\",\"name\":\"a b\",\"share\":1,\"limit\":1}]}", "name" },
 		{ "{\"set\":[{\"kind\":\"tenant\",\"name\":\"a\",\"share\":1001,\"limit\":1}]}", "share" },
-		{ "{\"set\":[{\"kind\":\"server\",\"name\":\"a\",\"service\":\"s\",\"addr\":\"1.2.3.4\"}]}", "addr" },
+		{ "{\"set\":[{\"kind\":\"server\",\"name\":\"a\",\"service\":\"s\",\"addr\":\"1.2.3.4\"}]}",
+		  "addr" },
 		{ "{\"set\":[{\"kind\":\"server\",\"name\":\"a\",\"service\":\"s\",\"addr\":\"1.2.3.4:5\",\"state\":\"gone\"}]}",
 		  "state" },
 		{ "{\"set\":[{\"kind\":\"key\",\"name\":\"abc\",\"tenant\":\"t\"}]}", "name" },
@@ -351,7 +359,8 @@
 		if (change)
 			why = config_table_check(&table, change, pool);
 		if (!why || !strstr(why, bad[i].field))
-			fail_msg("%s: said \"%s\", which does not name %s", bad[i].body, why ? why : "", bad[i].field);
+			fail_msg("%s: said \"%s\", which does not name %s", bad[i].body, why ? why : "",
+				 bad[i].field);
 	}
 	{ /* one that is too large is refused whole */
 		struct Nl__Change change = NL__CHANGE__INIT;
@@ -368,14 +377,20 @@
 		assert_non_null(strstr(config_table_check(&table, &change, pool), "larger"));
 	}
 	{ /* a lane keeps its service: its ids are claimed in that service's part */
-		const char *why = NULL, *route = "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"%s\",\"limit\":%d}]}";
-		struct Nl__Change *change = config_change_parse(apr_psprintf(pool, route, "s", 5), pool, &why);
+		const char
+		    *why = NULL,
+		    *route = "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"%s\",\"limit\":%d}]}";
+		struct Nl__Change *change =
+		    config_change_parse(apr_psprintf(pool, route, "s", 5), pool, &why);
 
 		assert_null(config_table_check(&table, change, pool));
 		assert_int_equal(config_table_apply(&table, change, NULL), PROPOSAL_DONE);
-		assert_null(config_table_check(&table, config_change_parse(apr_psprintf(pool, route, "s", 6), pool, &why), pool));
-		assert_non_null(
-		    strstr(config_table_check(&table, config_change_parse(apr_psprintf(pool, route, "other", 5), pool, &why), pool), "service"));
+		assert_null(config_table_check(
+		    &table, config_change_parse(apr_psprintf(pool, route, "s", 6), pool, &why), pool));
+		assert_non_null(strstr(
+		    config_table_check(
+			&table, config_change_parse(apr_psprintf(pool, route, "other", 5), pool, &why), pool),
+		    "service"));
 	}
 	config_table_close(&table);
 	apr_pool_destroy(pool);
@@ -392,8 +407,8 @@
 static void bench_open(struct bench *bench)
 {
 	struct raft_member member[3] = { { .id = 1, .addr = 101, .voter = 1 },
-				    { .id = 2, .addr = 102, .voter = 1 },
-				    { .id = 3, .addr = 103, .voter = 1 } };
+					 { .id = 2, .addr = 102, .voter = 1 },
+					 { .id = 3, .addr = 103, .voter = 1 } };
 
 	memset(bench, 0, sizeof *bench);
 	apr_pool_create(&bench->o.pool, NULL);
@@ -418,7 +433,8 @@
 static struct Nl__Msg *said(struct bench *bench, int body)
 {
 	for (ptrdiff_t i = 0; i < arrlen(bench->o.commands); i++)
-		if (bench->o.commands[i].kind == CMD_SEND && (int)bench->o.commands[i].args.send.msg->body_case == body)
+		if (bench->o.commands[i].kind == CMD_SEND &&
+		    (int)bench->o.commands[i].args.send.msg->body_case == body)
 			return bench->o.commands[i].args.send.msg;
 	return NULL;
 }
@@ -560,8 +576,11 @@
 {
 	struct Nl__Members members = NL__MEMBERS__INIT;
 	struct Nl__Member v[3], *member[3];
-	struct raft_entry entry[2] = { { 1, RAFT_ENTRY_MEMBERS, 0, NULL }, { 3, RAFT_ENTRY_NOOP, 0, (uint8_t *)"" } };
-	struct raft_saved saved = { .term = 3, .vote = 2, .first_index = 1, .entries = entry, .entry_count = 2 };
+	struct raft_entry entry[2] = { { 1, RAFT_ENTRY_MEMBERS, 0, NULL },
+				       { 3, RAFT_ENTRY_NOOP, 0, (uint8_t *)"" } };
+	struct raft_saved saved = {
+		.term = 3, .vote = 2, .first_index = 1, .entries = entry, .entry_count = 2
+	};
 
 	memset(bench, 0, sizeof *bench);
 	apr_pool_create(&bench->o.pool, NULL);
@@ -584,7 +603,8 @@
 	raft_tick(&bench->p, bench->now, &bench->o);
 }
 
-static void receive_idle(struct bench *bench, uint64_t from, uint64_t incarnation, int leader, uint64_t last_term, uint64_t members_at)
+static void receive_idle(struct bench *bench, uint64_t from, uint64_t incarnation, int leader,
+			 uint64_t last_term, uint64_t members_at)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ProbeReply probe_reply = NL__PROBE_REPLY__INIT;
@@ -611,9 +631,10 @@
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
 	receive_vote(&bench, 2, 5, 2, 3);
-	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted); /* not before all have said so */
-	receive_idle(&bench, 9, incarnation, 0, 3, 1);                                       /* nobody of ours */
-	receive_idle(&bench, 3, incarnation ^ 1, 0, 3, 1);                                   /* said to another life */
+	assert_false(
+	    said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted); /* not before all have said so */
+	receive_idle(&bench, 9, incarnation, 0, 3, 1);                    /* nobody of ours */
+	receive_idle(&bench, 3, incarnation ^ 1, 0, 3, 1);                /* said to another life */
 	receive_vote(&bench, 2, 5, 2, 3);
 	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	receive_idle(&bench, 3, incarnation, 0, 3, 1);
--- a/tests/test_naming.c
+++ b/tests/test_version_history.c
@@ -1,4 +1,5 @@
-/* Dates of namings in a model's row, and the control group's clock as a node reckons it by its leader's answers. */
+/* Dates of namings in a model's row, and the control group's clock as a node reckons it by its leader's
+ * answers. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,9 +12,9 @@
 #include <cmocka.h>
 
 #include "config_watch.h"
-#include "ds.h"
-#include "naming.h"
-#include "table.h"
+#include "containers.h"
+#include "version_history.h"
+#include "config_table.h"
 
 enum { BOUND_MS = 20000, TERM = 3, LEADER = 1 };
 
@@ -55,7 +56,10 @@
 	return config_table_get(&config_table, NL__KIND__MODEL, "m");
 }
 
-static const struct Nl__Row *name(unsigned weights, uint64_t at) { return apply(apr_psprintf(pool, "%u", weights), "", at); }
+static const struct Nl__Row *name(unsigned weights, uint64_t at)
+{
+	return apply(apr_psprintf(pool, "%u", weights), "", at);
+}
 
 static uint64_t date_after(const struct Nl__Row *model, uint64_t weights)
 {
@@ -98,7 +102,8 @@
 	assert_int_equal(date_after(model, 1), 1000);
 }
 
-/* Of namings whose bound has passed the newest is kept: it forbids all that is older, and what came before it is no longer needed. */
+/* Of namings whose bound has passed the newest is kept: it forbids all that is older, and what came before it
+ * is no longer needed. */
 static void the_newest_passed_date_is_kept(void **state)
 {
 	const struct Nl__Row *model;
@@ -111,7 +116,8 @@
 	}
 }
 
-/* More namings within the bound than are kept: a date is only ever too early, and by less than a share of the bound. */
+/* More namings within the bound than are kept: a date is only ever too early, and by less than a share of the
+ * bound. */
 static void merged_dates_are_too_early_and_not_by_much(void **state)
 {
 	const struct Nl__Row *model = NULL;
@@ -122,7 +128,8 @@
 		model = name((unsigned)weights, weights * every_ms);
 		assert_true(model->n_target_versions <= VERSION_HISTORY_MAX);
 	}
-	print_message("a model's row with %d namings: %d bytes\n", (int)model->n_target_versions, (int)nl__row__get_packed_size(model));
+	print_message("a model's row with %d namings: %d bytes\n", (int)model->n_target_versions,
+		      (int)nl__row__get_packed_size(model));
 	for (uint64_t weights = targets - BOUND_MS / every_ms + 1; weights + 1 < targets; weights++) {
 		uint64_t named = (weights + 1) * every_ms, date = date_after(model, weights);
 
@@ -170,7 +177,8 @@
 static void a_model_in_use_is_not_removed(void **state)
 {
 	struct Nl__Change change = NL__CHANGE__INIT, add = NL__CHANGE__INIT;
-	struct Nl__Row row = NL__ROW__INIT, service = NL__ROW__INIT, *removed[1] = { &row }, *added[1] = { &service };
+	struct Nl__Row row = NL__ROW__INIT, service = NL__ROW__INIT, *removed[1] = { &row },
+		       *added[1] = { &service };
 
 	(void)state;
 	name(2, 1000);
@@ -188,13 +196,15 @@
 	add.set = added;
 	add.n_set = 1;
 	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
-	assert_string_equal(config_table_check(&config_table, &change, pool), "del model m: service pool has it");
+	assert_string_equal(config_table_check(&config_table, &change, pool),
+			    "del model m: service pool has it");
 }
 
 /* ---- the clock --------------------------------------------------------------------------------- */
 
 /* Ask at one moment and get an answer at another. */
-static void receive_clock(struct config_watch *watch, uint64_t term, uint64_t clock, int64_t asked_at, int64_t answered_at)
+static void receive_clock(struct config_watch *watch, uint64_t term, uint64_t clock, int64_t asked_at,
+			  int64_t answered_at)
 {
 	struct command_list out = { 0 };
 	struct Nl__Msg message = NL__MSG__INIT;
@@ -215,8 +225,8 @@
 	arrfree(out.commands);
 }
 
-/* The clock is never behind its leader's, and a quicker answer makes it more exact. A later leader's clock is its own, also where it
- * has lost time; what the one before dated is reckoned by that one's. */
+/* The clock is never behind its leader's, and a quicker answer makes it more exact. A later leader's clock is
+ * its own, also where it has lost time; what the one before dated is reckoned by that one's. */
 static void the_clock_is_never_behind_its_leader(void **state)
 {
 	struct config_watch watch;
@@ -235,8 +245,9 @@
 	assert_int_equal(config_watch_clock_ms(&watch, 5, 10100), 12100);
 	assert_int_equal(config_watch_clock_ms(&watch, 4, 10100), 18600);
 	assert_int_equal(config_watch_clock_ms(&watch, 0, 10100), 12100); /* the newest leader's */
-	assert_int_equal(config_watch_clock_ms(&watch, 3, 10100), 12100); /* not heard: it went on from there */
-	receive_clock(&watch, 3, 1000, 10200, 10300);                     /* an older leader's late word */
+	assert_int_equal(config_watch_clock_ms(&watch, 3, 10100),
+			 12100);                      /* not heard: it went on from there */
+	receive_clock(&watch, 3, 1000, 10200, 10300); /* an older leader's late word */
 	assert_int_equal(config_watch_clock_ms(&watch, 0, 10300), 12300);
 	config_watch_close(&watch);
 }
--- a/tests/test_weights_bound.c
+++ b/tests/test_weights_bound.c
@@ -1,5 +1,6 @@
-/* VERSION: no request begins on weights that were superseded longer ago than the bound. Whole fleets on the simulator, in which
- * one server refuses to load while newer weights are named; judged from outside, by what begins where and when. */
+/* VERSION: no request begins on weights that were superseded longer ago than the bound. Whole fleets on the
+ * simulator, in which one server refuses to load while newer weights are named; judged from outside, by what
+ * begins where and when. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +11,7 @@
 #include <apr_general.h>
 #include <cmocka.h>
 
-#include "ds.h"
+#include "containers.h"
 #include "sim_forward.h"
 
 enum {
@@ -21,8 +22,8 @@
 	POOL = 0,              /* the service whose weights are named */
 	ROLL_MS = 12000,       /* the bound */
 	LOAD_MS = 900,         /* of one load; ROLL_MS / 10 where capacity is measured */
-	REQUEST_MS = 10,           /* between callers */
-	BUSY_REQUEST_MS = 6,       /* the same where they keep most of the servers' places busy */
+	REQUEST_MS = 10,       /* between callers */
+	BUSY_REQUEST_MS = 6,   /* the same where they keep most of the servers' places busy */
 	SETTLE_MS = 2000,      /* of load before the first naming */
 	DRAIN_MS = 6500,       /* after which every request has its end */
 	BEYOND_MS = 4000,      /* past a bound: for how long late beginnings are looked for */
@@ -44,7 +45,8 @@
 static void go(struct sim_forward *forwarding, int64_t ms)
 {
 	if (!sim_forward_run(forwarding, ms))
-		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
+		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed,
+			 forwarding->sim.violation);
 }
 
 static void go_until(struct sim_forward *forwarding, int64_t at)
@@ -57,11 +59,15 @@
 static int64_t name(struct sim_forward *forwarding, int weights)
 {
 	if (!sim_forward_set_target(forwarding, POOL, weights))
-		fail_msg("seed %llu: weights %d are not acknowledged: %s", (unsigned long long)forwarding->sim.seed, weights, forwarding->sim.violation);
+		fail_msg("seed %llu: weights %d are not acknowledged: %s",
+			 (unsigned long long)forwarding->sim.seed, weights, forwarding->sim.violation);
 	return arrlast(forwarding->target_weights).acked_at;
 }
 
-static int weights_of(const struct sim_instance *server) { return (int)strtol(server->weights, NULL, 10); }
+static int weights_of(const struct sim_instance *server)
+{
+	return (int)strtol(server->weights, NULL, 10);
+}
 
 static void bounds(struct sim_forward *forwarding)
 {
@@ -111,7 +117,8 @@
 	int n = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++)
-		n += forwarding->calls[i].server == server && forwarding->calls[i].began_at > from && forwarding->calls[i].began_at <= upto;
+		n += forwarding->calls[i].server == server && forwarding->calls[i].began_at > from &&
+		     forwarding->calls[i].began_at <= upto;
 	return n;
 }
 
@@ -125,7 +132,8 @@
 	go(forwarding, DRAIN_MS);
 	assert_int_equal(weights_of(&forwarding->sim.instance_list.instances[STUCK]), 1);
 	if (!sim_forward_end(forwarding))
-		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
+		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed,
+			 forwarding->sim.violation);
 	close_fleet(forwarding);
 }
 
@@ -155,7 +163,8 @@
 	}
 }
 
-/* A router is killed and begins when most of the bound is over: it has what is left of it, however it comes to know. */
+/* A router is killed and begins when most of the bound is over: it has what is left of it, however it comes
+ * to know. */
 static void a_router_begins_late_in_a_roll_out(void **state)
 {
 	(void)state;
@@ -171,7 +180,8 @@
 	}
 }
 
-/* A router begins right after a second naming: what it finds named is the second, what is due is the first. */
+/* A router begins right after a second naming: what it finds named is the second, what is due is the first.
+ */
 static void a_router_begins_between_two_target_versions(void **state)
 {
 	(void)state;
@@ -233,8 +243,8 @@
 
 /* ---- what waits, and what stands still ------------------------------------------------------- */
 
-/* Shortly before the bound servers become much slower than routers reckon: what waits at the one with old weights begins in
- * time or not there. */
+/* Shortly before the bound servers become much slower than routers reckon: what waits at the one with old
+ * weights begins in time or not there. */
 static void what_waits_at_a_slow_server_does_not_begin_late(void **state)
 {
 	(void)state;
@@ -259,14 +269,15 @@
 	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++) {
 		const struct sim_forward_call *call = &forwarding->calls[i];
 
-		if (!call->watch && !call->ended && call->server < 0 && !strcmp(call->name, forwarding->sim.instance_list.instances[STUCK].name))
+		if (!call->watch && !call->ended && call->server < 0 &&
+		    !strcmp(call->name, forwarding->sim.instance_list.instances[STUCK].name))
 			return 1;
 	}
 	return 0;
 }
 
-/* Routers decide, stand still before a request leaves, and go on past the bound. They are not in touch then, so the judge says
- * nothing; all the same nothing that was decided on earlier leaves for the old weights. */
+/* Routers decide, stand still before a request leaves, and go on past the bound. They are not in touch then,
+ * so the judge says nothing; all the same nothing that was decided on earlier leaves for the old weights. */
 static void a_frozen_router_sends_nothing_after_the_bound(void **state)
 {
 	(void)state;
@@ -286,7 +297,8 @@
 			sim_freeze(&forwarding->sim, node, 0);
 		go_until(forwarding, first + ROLL_MS + BEYOND_MS);
 		if (begun_at(forwarding, STUCK, first + ROLL_MS, forwarding->sim.now))
-			fail_msg("seed %llu: %d requests begin on weights 1 past the bound of weights 2", (unsigned long long)seed,
+			fail_msg("seed %llu: %d requests begin on weights 1 past the bound of weights 2",
+				 (unsigned long long)seed,
 				 begun_at(forwarding, STUCK, first + ROLL_MS, forwarding->sim.now));
 		close_stuck(forwarding);
 	}
@@ -308,7 +320,10 @@
 	forwarding->sim.instance_list.slots = 3;
 }
 
-static int in_pool(const struct sim_instance *instance) { return instance->up && instance->service[0] == 'p'; }
+static int in_pool(const struct sim_instance *instance)
+{
+	return instance->up && instance->service[0] == 'p';
+}
 
 /* Servers of the pool with weights older than some; all of them. */
 static int older_servers(const struct sim_forward *forwarding, int weights, int *all)
@@ -330,12 +345,12 @@
 	int all, older = older_servers(forwarding, weights, &all);
 
 	if (older)
-		fail_msg("seed %llu: %d of %d servers are older than weights %d at their bound", (unsigned long long)forwarding->sim.seed,
-			 older, all, weights);
+		fail_msg("seed %llu: %d of %d servers are older than weights %d at their bound",
+			 (unsigned long long)forwarding->sim.seed, older, all, weights);
 }
 
-/* Controllers fall during a roll-out, before a second naming or without one; all come back at once, or a leader later. The first
- * naming's bound holds, for servers and routers. */
+/* Controllers fall during a roll-out, before a second naming or without one; all come back at once, or a
+ * leader later. The first naming's bound holds, for servers and routers. */
 static void controllers_fall(uint64_t seed, int64_t fall_ms, int everyone, int named_again)
 {
 	struct sim_forward *forwarding = open_fleet(seed, MANY_SERVERS, many_servers);
@@ -390,8 +405,8 @@
 		controllers_fall(seed, 2500, 1, 1);
 }
 
-/* All controllers stand still until shortly before the bound: whoever leads then tells all servers that are left at once, as they serve nobody
- * any more, rather than so many at a time. */
+/* All controllers stand still until shortly before the bound: whoever leads then tells all servers that are
+ * left at once, as they serve nobody any more, rather than so many at a time. */
 static void all_remaining_servers_are_commanded_at_the_last(void **state)
 {
 	(void)state;
@@ -418,9 +433,11 @@
 				notified_upto = forwarding->sim.now;
 		} while (older && forwarding->sim.now < forwarding->target_weights[0].acked_at + 3 * ROLL_MS);
 		assert_int_equal(older, 0);
-		if (notified_upto - notified_from >= 2 * forwarding->sim.instance_list.load_ms) /* so many at once load half as fast */
-			fail_msg("seed %llu: %lld ms between the first and the last server that has the weights",
-				 (unsigned long long)seed, (long long)(notified_upto - notified_from));
+		if (notified_upto - notified_from >=
+		    2 * forwarding->sim.instance_list.load_ms) /* so many at once load half as fast */
+			fail_msg(
+			    "seed %llu: %lld ms between the first and the last server that has the weights",
+			    (unsigned long long)seed, (long long)(notified_upto - notified_from));
 		close_fleet(forwarding);
 	}
 }
@@ -431,7 +448,9 @@
 	int weights = 1;
 
 	for (ptrdiff_t i = 0; i < arrlen(forwarding->target_weights); i++)
-		if (forwarding->target_weights[i].acked_at < forwarding->sim.now - forwarding->sim.bounds.rollout_ms && forwarding->target_weights[i].weights > weights)
+		if (forwarding->target_weights[i].acked_at <
+			forwarding->sim.now - forwarding->sim.bounds.rollout_ms &&
+		    forwarding->target_weights[i].weights > weights)
 			weights = forwarding->target_weights[i].weights;
 	return weights;
 }
@@ -439,7 +458,8 @@
 struct span {
 	double share;         /* of requests served whole */
 	int worst, all;       /* servers behind at the worst moment, of how many */
-	int64_t behind_since; /* when first more than a third of them were behind, after the first naming; -1: never */
+	int64_t behind_since; /* when first more than a third of them were behind, after the first naming; -1:
+				 never */
 };
 
 /* A calm fleet for a while, with a naming every so many ms; 0: none. */
@@ -452,7 +472,8 @@
 
 	forwarding->request_interval_ms = BUSY_REQUEST_MS;
 	go(forwarding, SETTLE_MS);
-	for (begin = next = forwarding->sim.now; forwarding->sim.now < begin + TARGETS_MS; go(forwarding, SAMPLE_MS)) {
+	for (begin = next = forwarding->sim.now; forwarding->sim.now < begin + TARGETS_MS;
+	     go(forwarding, SAMPLE_MS)) {
 		int behind;
 
 		if (every_ms && forwarding->sim.now >= next) {
@@ -475,8 +496,8 @@
 	return span;
 }
 
-/* A naming every 1 to 3 s, and no trouble: nothing begins late, no more than a third of the servers may not be sent to, and
- * nearly as much is served as without namings. */
+/* A naming every 1 to 3 s, and no trouble: nothing begins late, no more than a third of the servers may not
+ * be sent to, and nearly as much is served as without namings. */
 static void target_versions_every_few_seconds_leave_no_server_behind(void **state)
 {
 	int failed = 0;
@@ -489,8 +510,8 @@
 		print_message(
 		    "seed %llu, a naming every %lld ms: at worst %d of %d servers behind (more than a third from %lld ms), "
 		    "served %.3f, without namings %.3f\n",
-		    (unsigned long long)seed, (long long)every_ms, named.worst, named.all, (long long)named.behind_since,
-		    named.share, calm.share);
+		    (unsigned long long)seed, (long long)every_ms, named.worst, named.all,
+		    (long long)named.behind_since, named.share, calm.share);
 		failed += named.worst * 3 > named.all || named.share < 0.8 * calm.share;
 	}
 	assert_int_equal(failed, 0);
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -1,5 +1,5 @@
-/* Review of the dates of namings (incident 17): what was found to fail. Whole fleets on the simulator, single routers, and the
- * parts by themselves. */
+/* Review of the dates of namings (incident 17): what was found to fail. Whole fleets on the simulator, single
+ * routers, and the parts by themselves. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,10 +12,10 @@
 #include <cmocka.h>
 
 #include "config_watch.h"
-#include "ds.h"
-#include "naming.h"
+#include "containers.h"
+#include "version_history.h"
 #include "sim_forward.h"
-#include "solo.h"
+#include "router_fixture.h"
 
 enum {
 	CONTROLLERS = 4,
@@ -54,13 +54,15 @@
 static void go(struct sim_forward *forwarding, int64_t ms)
 {
 	if (!sim_forward_run(forwarding, ms))
-		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed, forwarding->sim.violation);
+		fail_msg("seed %llu: %s", (unsigned long long)forwarding->sim.seed,
+			 forwarding->sim.violation);
 }
 
 static int64_t name(struct sim_forward *forwarding, int weights)
 {
 	if (!sim_forward_set_target(forwarding, POOL, weights))
-		fail_msg("seed %llu: weights %d are not acknowledged: %s", (unsigned long long)forwarding->sim.seed, weights, forwarding->sim.violation);
+		fail_msg("seed %llu: weights %d are not acknowledged: %s",
+			 (unsigned long long)forwarding->sim.seed, weights, forwarding->sim.violation);
 	return arrlast(forwarding->target_weights).acked_at;
 }
 
@@ -77,7 +79,10 @@
 	forwarding->sim.instance_list.load_ms = SLOW_LOAD_MS;
 }
 
-static int in_pool(const struct sim_instance *instance) { return instance->up && instance->service[0] == 'p'; }
+static int in_pool(const struct sim_instance *instance)
+{
+	return instance->up && instance->service[0] == 'p';
+}
 
 static int pool_servers(const struct sim_forward *forwarding)
 {
@@ -98,7 +103,8 @@
 
 		go(forwarding, SAMPLE_MS);
 		for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++)
-			n += in_pool(&forwarding->sim.instance_list.instances[i]) && forwarding->sim.instance_list.instances[i].loading[0];
+			n += in_pool(&forwarding->sim.instance_list.instances[i]) &&
+			     forwarding->sim.instance_list.instances[i].loading[0];
 		most = n > most ? n : most;
 	}
 	return most;
@@ -121,8 +127,8 @@
 	return most;
 }
 
-/* One server refuses to load and is past its bound: a calm roll-out of the next weights tells no more of the others at once
- * than it does without that server. */
+/* One server refuses to load and is past its bound: a calm roll-out of the next weights tells no more of the
+ * others at once than it does without that server. */
 static void a_refusing_server_does_not_hurry_the_others(void **state)
 {
 	int failed = 0;
@@ -131,8 +137,8 @@
 	for (uint64_t seed = 1; seed <= 3; seed++) {
 		int calm = most_in_second_target(seed, 0), refusing = most_in_second_target(seed, 1);
 
-		print_message("seed %llu: at most %d servers load at once; with one that refuses %d\n", (unsigned long long)seed,
-			      calm, refusing);
+		print_message("seed %llu: at most %d servers load at once; with one that refuses %d\n",
+			      (unsigned long long)seed, calm, refusing);
 		failed += refusing > calm + 1;
 	}
 	assert_int_equal(failed, 0);
@@ -149,7 +155,8 @@
 		go(forwarding, SETTLE_MS);
 		all = pool_servers(forwarding);
 		most = most_loading(forwarding, name(forwarding, 2) + 2 * ROLL_MS);
-		print_message("seed %llu: at most %d of %d servers load at once\n", (unsigned long long)seed, most, all);
+		print_message("seed %llu: at most %d of %d servers load at once\n", (unsigned long long)seed,
+			      most, all);
 		assert_true(most * 3 <= all * 2);
 		teardown(NULL);
 	}
@@ -161,7 +168,8 @@
 	forwarding->sim.instance_list.load_ms = LONG_LOAD_MS;
 }
 
-/* The most servers that load at once while the first ones of a roll-out do, in which the leader may die while servers load. */
+/* The most servers that load at once while the first ones of a roll-out do, in which the leader may die while
+ * servers load. */
 static int most_over_a_leaders_death(uint64_t seed, int dies)
 {
 	struct sim_forward *forwarding = open_fleet(seed, long_loads);
@@ -185,8 +193,8 @@
 	for (uint64_t seed = 1; seed <= 6; seed++) {
 		int calm = most_over_a_leaders_death(seed, 0), died = most_over_a_leaders_death(seed, 1);
 
-		print_message("seed %llu: at most %d servers load at once, %d if the leader dies\n", (unsigned long long)seed, calm,
-			      died);
+		print_message("seed %llu: at most %d servers load at once, %d if the leader dies\n",
+			      (unsigned long long)seed, calm, died);
 		assert_true(died <= calm);
 	}
 }
@@ -199,8 +207,8 @@
 	forwarding->sim.instance_list.slots = 3;
 }
 
-/* The share of requests that is served whole in the roll-out of a second naming; one server may refuse, or be off with its
- * address still on the list. */
+/* The share of requests that is served whole in the roll-out of a second naming; one server may refuse, or be
+ * off with its address still on the list. */
 static double served_in_second_target(uint64_t seed, int refuses)
 {
 	struct sim_forward *forwarding = open_fleet(seed, busy_fleet);
@@ -242,8 +250,8 @@
 	assert_int_equal(failed, 0);
 }
 
-/* As what_waits_at_a_slow_server_does_not_begin_late, at a server that does not drop a request when its connection closes ("most
- * do", as the protocol of the deployments has it). */
+/* As what_waits_at_a_slow_server_does_not_begin_late, at a server that does not drop a request when its
+ * connection closes ("most do", as the protocol of the deployments has it). */
 static void what_was_taken_back_does_not_begin_late(void **state)
 {
 	(void)state;
@@ -266,7 +274,8 @@
 	}
 }
 
-/* Some servers refuse; the others get two namings, 3 s apart, within the bound of each, and both models are rolled out. */
+/* Some servers refuse; the others get two namings, 3 s apart, within the bound of each, and both models are
+ * rolled out. */
 static void healthy_servers_are_not_starved(void **state)
 {
 	(void)state;
@@ -287,13 +296,17 @@
 		for (int weights = 2; weights <= 3; weights++) {
 			go(forwarding, first + ROLL_MS + (weights - 2) * 3000 - forwarding->sim.now);
 			for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++) {
-				const struct sim_instance *instance = &forwarding->sim.instance_list.instances[i];
+				const struct sim_instance *instance =
+				    &forwarding->sim.instance_list.instances[i];
 
-				behind[weights - 2] += instance->up && !instance->refuses && instance->service[0] != 's' && atoi(instance->weights) < weights;
+				behind[weights - 2] += instance->up && !instance->refuses &&
+						       instance->service[0] != 's' &&
+						       atoi(instance->weights) < weights;
 			}
 		}
-		print_message("seed %llu: %d and %d healthy servers are behind at the bounds of weights 2 and 3\n",
-			      (unsigned long long)seed, behind[0], behind[1]);
+		print_message(
+		    "seed %llu: %d and %d healthy servers are behind at the bounds of weights 2 and 3\n",
+		    (unsigned long long)seed, behind[0], behind[1]);
 		assert_int_equal(behind[0] + behind[1], 0);
 		forwarding->request_interval_ms = 0;
 		go(forwarding, DRAIN_MS);
@@ -324,12 +337,14 @@
 	int n = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++)
-		n += forwarding->calls[i].server == server && forwarding->calls[i].began_at > from && forwarding->calls[i].began_at <= upto;
+		n += forwarding->calls[i].server == server && forwarding->calls[i].began_at > from &&
+		     forwarding->calls[i].began_at <= upto;
 	return n;
 }
 
-/* After a minute in which nothing was logged all controllers restart, and weights are named. Routers that lived on, and one that
- * begins after the naming, use the server with the older weights for most of the bound, and not beyond it. */
+/* After a minute in which nothing was logged all controllers restart, and weights are named. Routers that
+ * lived on, and one that begins after the naming, use the server with the older weights for most of the
+ * bound, and not beyond it. */
 static void all_controllers_restart_after_idle_time(void **state)
 {
 	(void)state;
@@ -355,14 +370,16 @@
 		used = begun_at(forwarding, STUCK, targeted_at, targeted_at + ROLL_MS);
 		print_message(
 		    "seed %llu: %d requests begin at the server with the older weights in the bound, %d after three quarters of it, %d before it\n",
-		    (unsigned long long)seed, used, begun_at(forwarding, STUCK, targeted_at + ROLL_MS * 3 / 4, targeted_at + ROLL_MS),
+		    (unsigned long long)seed, used,
+		    begun_at(forwarding, STUCK, targeted_at + ROLL_MS * 3 / 4, targeted_at + ROLL_MS),
 		    begun_at(forwarding, STUCK, 0, targeted_at));
 		forwarding->request_interval_ms = 0;
 		go(forwarding, DRAIN_MS);
 		if (!sim_forward_end(forwarding))
 			fail_msg("seed %llu: %s", (unsigned long long)seed, forwarding->sim.violation);
 		if (!(seed % 2))
-			assert_true(begun_at(forwarding, STUCK, targeted_at + ROLL_MS / 2, targeted_at + ROLL_MS) > 0);
+			assert_true(begun_at(forwarding, STUCK, targeted_at + ROLL_MS / 2,
+					     targeted_at + ROLL_MS) > 0);
 		teardown(NULL);
 	}
 }
@@ -379,8 +396,8 @@
 	return row;
 }
 
-/* A row from a snapshot that was made before namings were dated: 5 is named, since when is not known. A naming of 6 gives weights
- * 4, which 5 superseded long ago, no new date. */
+/* A row from a snapshot that was made before namings were dated: 5 is named, since when is not known. A
+ * naming of 6 gives weights 4, which 5 superseded long ago, no new date. */
 static void a_target_version_after_undated_ones_revives_no_older_weights(void **state)
 {
 	struct Nl__Row before = make_model_row("5"), row = make_model_row("6");
@@ -391,14 +408,15 @@
 	version_history_update(&list, &before, &row, (struct group_moment){ 1000000, 3 }, 900000);
 	newer = version_history_after(&row, 4);
 	if (newer && newer->targeted_at_ms == 1000000)
-		fail_msg("weights 4, superseded by 5 before dates were kept, are dated by the naming of %d, at %d",
-			 (int)newer->weights, (int)newer->targeted_at_ms);
+		fail_msg(
+		    "weights 4, superseded by 5 before dates were kept, are dated by the naming of %d, at %d",
+		    (int)newer->weights, (int)newer->targeted_at_ms);
 }
 
 enum { SEQUENCES = 2000, TARGETS_OF_A_SEQUENCE = 200, GAP_MOST_MS = 400, PRUNE_MS = 20000 };
 
-/* Namings at random moments, more than are kept: weights are never dated later than the naming that superseded them, unless both
- * dates are past the bound; and the list rises. */
+/* Namings at random moments, more than are kept: weights are never dated later than the naming that
+ * superseded them, unless both dates are past the bound; and the list rises. */
 static void no_date_is_later_than_its_target_version(void **state)
 {
 	uint64_t rng = 7;
@@ -406,7 +424,8 @@
 	(void)state;
 	for (int k = 0; k < SEQUENCES; k++) {
 		static struct version_history lists[2];
-		uint64_t at[TARGETS_OF_A_SEQUENCE + 2] = { 0 }, now = 1000, last = 1, most = 1 + core_random(&rng) % GAP_MOST_MS;
+		uint64_t at[TARGETS_OF_A_SEQUENCE + 2] = { 0 }, now = 1000, last = 1,
+						    most = 1 + core_random(&rng) % GAP_MOST_MS;
 		char text[2][24];
 		struct Nl__Row row[2] = { make_model_row("1"), make_model_row("1") };
 
@@ -420,18 +439,22 @@
 			is->target_weights = text[i % 2];
 			if (next > last)
 				at[next] = now;
-			version_history_update(&lists[i % 2], was, is, (struct group_moment){ now, 1 }, passed);
+			version_history_update(&lists[i % 2], was, is, (struct group_moment){ now, 1 },
+					       passed);
 			last = next;
 			assert_true(is->n_target_versions <= VERSION_HISTORY_MAX);
 			for (uint64_t w = 1; w < last; w++) {
 				const struct Nl__TargetVersion *newer = version_history_after(is, w);
 
 				assert_non_null(newer);
-				assert_true(newer->targeted_at_ms <= at[w + 1] || newer->targeted_at_ms <= passed);
+				assert_true(newer->targeted_at_ms <= at[w + 1] ||
+					    newer->targeted_at_ms <= passed);
 			}
 			for (size_t n = 1; n < is->n_target_versions; n++)
-				assert_true(is->target_versions[n]->targeted_at_ms >= is->target_versions[n - 1]->targeted_at_ms &&
-					    is->target_versions[n]->weights > is->target_versions[n - 1]->weights);
+				assert_true(is->target_versions[n]->targeted_at_ms >=
+						is->target_versions[n - 1]->targeted_at_ms &&
+					    is->target_versions[n]->weights >
+						is->target_versions[n - 1]->weights);
 		}
 	}
 }
@@ -459,9 +482,9 @@
 
 enum { TERMS = 30, ANSWERS = 40, WAYS = 3000, LOST_MOST_MS = 60000 };
 
-/* Leaders follow each other, some after a restart of all that loses time; answers are slow, late and overtake each other, also
- * those of leaders before. The clock of each leader that is remembered is never behind, and that of one that was not heard is not
- * behind the one that it followed unless time was lost since. */
+/* Leaders follow each other, some after a restart of all that loses time; answers are slow, late and overtake
+ * each other, also those of leaders before. The clock of each leader that is remembered is never behind, and
+ * that of one that was not heard is not behind the one that it followed unless time was lost since. */
 static void no_leaders_clock_is_behind(void **state)
 {
 	static const uint64_t seeds[1] = { 1 };
@@ -477,8 +500,9 @@
 		config_watch_open(&watch, 5, seeds, 1, now);
 		offset[0] = 500000;
 		for (int term = 1; term <= TERMS; term++) {
-			offset[term] = offset[term - 1] + (core_random(&rng) % 3 ? (int64_t)(core_random(&rng) % 500)
-									       : -(int64_t)(core_random(&rng) % LOST_MOST_MS));
+			offset[term] = offset[term - 1] +
+				       (core_random(&rng) % 3 ? (int64_t)(core_random(&rng) % 500)
+							      : -(int64_t)(core_random(&rng) % LOST_MOST_MS));
 			best[term] = INT64_MAX;
 			for (int k = 0; k < ANSWERS; k++) {
 				struct command_list out = { 0 };
@@ -492,7 +516,10 @@
 				reply.token = watch.last_token;
 				reply.has_lease = 1;
 				reply.fleet_id = 7;
-				reply.group_clock_ms = (uint64_t)(submitted + (int64_t)(core_random(&rng) % (uint64_t)(way + 1)) + offset[of]);
+				reply.group_clock_ms =
+				    (uint64_t)(submitted +
+					       (int64_t)(core_random(&rng) % (uint64_t)(way + 1)) +
+					       offset[of]);
 				reply.clock_term = (uint64_t)of;
 				message.addr = 1;
 				message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
@@ -505,9 +532,11 @@
 					for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 						if (watch.group_clock[i].term == (uint64_t)t) {
 							int64_t ahead =
-							    config_watch_clock_ms(&watch, (uint64_t)t, now) - now - offset[t];
+							    config_watch_clock_ms(&watch, (uint64_t)t, now) -
+							    now - offset[t];
 
-							assert_true(ahead >= 0 && ahead <= WAYS && ahead <= best[t]);
+							assert_true(ahead >= 0 && ahead <= WAYS &&
+								    ahead <= best[t]);
 							best[t] = ahead;
 						}
 				assert_true(config_watch_clock_ms(&watch, 0, now) - now >= offset[heard]);
@@ -520,8 +549,9 @@
 
 enum { HOUR_MS = 3600000, DRIFT_PER_MILLION = 50, PAUSE_MS = 5000, ANSWER_EVERY_MS = 1000 };
 
-/* How far a node's reckoning of the leader's clock is behind after a day of the same leader, whose clock runs faster by so much;
- * and pauses of the node's own clock, as of a virtual machine that is suspended by its host. */
+/* How far a node's reckoning of the leader's clock is behind after a day of the same leader, whose clock runs
+ * faster by so much; and pauses of the node's own clock, as of a virtual machine that is suspended by its
+ * host. */
 static int64_t behind_after(int hours, int drift_per_million, int64_t pause_ms)
 {
 	static const uint64_t seeds[1] = { 1 };
@@ -546,7 +576,8 @@
 	return leader;
 }
 
-/* "Never behind": while answers come each second, no naming looks younger than it is by as much as sends end early. */
+/* "Never behind": while answers come each second, no naming looks younger than it is by as much as sends end
+ * early. */
 static void the_clock_that_is_reckoned_does_not_fall_behind(void **state)
 {
 	int64_t drift = behind_after(24, DRIFT_PER_MILLION, 0), pause = behind_after(1, 0, PAUSE_MS);
@@ -555,15 +586,18 @@
 	print_message(
 	    "behind the leader by %d ms after 24 h at %d parts per million, by %d ms half an hour after a pause of %d ms\n",
 	    (int)drift, DRIFT_PER_MILLION, (int)pause, PAUSE_MS);
-	assert_true(drift < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS && pause < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS);
+	assert_true(drift < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS &&
+		    pause < ROUTER_ROLLOUT_SEND_MARGIN_MS - ROUTER_ROLLOUT_RECALL_MARGIN_MS);
 }
 
 /* ---- one router ------------------------------------------------------------------------------- */
 
 enum { STORM = 300, SOLO_ROLL_MS = 20000 };
 
-/* A router with servers on weights 1, but for the last few, which have the newest; one naming a ms, the first at a moment. */
-static void open_solo(struct solo *solo, int servers, int new_servers, int targets, int64_t at, int repeatable, int attempts)
+/* A router with servers on weights 1, but for the last few, which have the newest; one naming a ms, the first
+ * at a moment. */
+static void open_solo(struct solo *solo, int servers, int new_servers, int targets, int64_t at,
+		      int repeatable, int attempts)
 {
 	struct Nl__Row *row[3];
 	struct Nl__Instance **instance;
@@ -574,7 +608,8 @@
 	row[0] = new_row(solo->p, NL__KIND__MODEL, "m");
 	row[0]->target_weights = apr_psprintf(solo->p, "%d", targets + 1);
 	row[0]->rolled_out = "1";
-	row[0]->target_versions = apr_palloc(solo->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
+	row[0]->target_versions =
+	    apr_palloc(solo->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
 	for (int i = 0; i < targets; i++) {
 		struct Nl__TargetVersion *naming = apr_palloc(solo->p, sizeof *naming);
 
@@ -611,7 +646,8 @@
 		command_list_clear(&solo->commands);
 		router_fixture_tick(solo, 10);
 		for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-			if (solo->commands.commands[i].kind == CMD_SEND && solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+			if (solo->commands.commands[i].kind == CMD_SEND &&
+			    solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
 				reply.token = solo->commands.commands[i].args.send.msg->config_sync->token;
 		if (!reply.token)
 			continue;
@@ -629,7 +665,8 @@
 	}
 }
 
-/* Hundreds wait at servers with older weights when those are due. Each ends or goes on once; the accounts are right. */
+/* Hundreds wait at servers with older weights when those are due. Each ends or goes on once; the accounts are
+ * right. */
 static void a_storm_of_recalls(void **state)
 {
 	(void)state;
@@ -646,7 +683,8 @@
 			for (int i = 0; i < STORM; i++) {
 				int status;
 
-				(void)router_fixture_submit(&solo, "h", "/x", apr_psprintf(solo.p, "id-%d", i), &status);
+				(void)router_fixture_submit(&solo, "h", "/x",
+							    apr_psprintf(solo.p, "id-%d", i), &status);
 			}
 			while (solo.now < end + 100) {
 				command_list_clear(&solo.commands);
@@ -654,8 +692,10 @@
 				for (ptrdiff_t i = 0; i < arrlen(solo.commands.commands); i++) {
 					const struct command *command = &solo.commands.commands[i];
 
-					refused += command->kind == CMD_ANSWER && command->args.answer.status == 503;
-					broke += command->kind == CMD_ANSWER && command->args.answer.status == 502;
+					refused +=
+					    command->kind == CMD_ANSWER && command->args.answer.status == 503;
+					broke +=
+					    command->kind == CMD_ANSWER && command->args.answer.status == 502;
 					cancelled += command->kind == CMD_CANCEL;
 					sent += command->kind == CMD_FORWARD;
 				}
@@ -664,7 +704,8 @@
 			print_message(
 			    "repeatable %d, new servers %d: recalled %d, cancelled %d; then 502 %d, 503 %d, sent %d; %d remain, "
 			    "sent past %d\n",
-			    repeatable, new_servers, (int)solo.router.stats.recalled, cancelled, broke, refused, sent, (int)arrlen(solo.router.requests),
+			    repeatable, new_servers, (int)solo.router.stats.recalled, cancelled, broke,
+			    refused, sent, (int)arrlen(solo.router.requests),
 			    (int)solo.router.stats.sent_past_bound);
 			assert_int_equal(solo.router.stats.recalled, cancelled);
 			assert_int_equal(solo.router.stats.sent_past_bound, 0);
