--- a/tests/stored_world.h
+++ b/tests/stored_world.h
@@ -65,6 +65,9 @@
 /* A router's claim: the status of the answer to it. */
 uint32_t world_claim(struct world *world, const char *service, const struct Nl__Claim *claim);
 
+/* The disk's word on a write, waited for up to five minutes; NULL: none came. */
+struct shell_event *world_synced(struct ring *ring);
+
 /* All that a folder held, as text without names: identity, terms, votes, members, snapshots and entries. */
 const char *world_records(const struct stored_state *found, apr_pool_t *pool);
 
