--- a/bin/notchlug_controller.c
+++ b/bin/notchlug_controller.c
@@ -19,11 +19,12 @@
 {
 	struct registrar *controller = ctx;
 
-	controller->r.wall_clock_ms = clock_wall_ms();
+	controller->r.clocks.wall_ms = clock_wall_ms();
 	controller_step(&controller->r, event, now, out);
-	if (controller->r.fleet_dirty) { /* on the disk before anything said under it */
-		controller->r.fleet_dirty = 0;
-		if (!storage_write_identity(controller->p.storage, controller->r.id, controller->r.fleet))
+	if (controller->r.identity.fleet_dirty) { /* on the disk before anything said under it */
+		controller->r.identity.fleet_dirty = 0;
+		if (!storage_write_identity(controller->p.storage, controller->r.identity.id,
+					    controller->r.identity.fleet))
 			log_write(
 			    LOG_ERROR, "store",
 			    "Step identity: the disk refuses; this registrar may be taken for a new one.");
@@ -105,12 +106,12 @@
 {
 	const struct settings *set = &controller->p.settings;
 
-	controller->r.log = say;
-	controller->r.calendar = &calendar_icu;
+	controller->r.adapters.log = say;
+	controller->r.adapters.calendar = &calendar_icu;
 	controller->r.bounds.disabled_mechanisms = set->disabled_mechanisms;
 	if (!set->extension)
 		return;
-	controller->r.codec = &platform_codec;
+	controller->r.adapters.codec = &platform_codec;
 	controller->r.bounds = set->bounds;
 	if (set->may_bootstrap && set->seed_count && !strcmp(set->seeds[0], set->listen))
 		controller_bootstrap(&controller->r, clock_ms());
--- a/emulator/scale_model.c
+++ b/emulator/scale_model.c
@@ -454,7 +454,7 @@
 
 	controller_step(node->controller, input, fleet->now_ms, &node->commands);
 	node->tallies[slot].step_ns += (uint64_t)(cpu_ns() - t);
-	node->controller->fleet_dirty = 0;
+	node->controller->identity.fleet_dirty = 0;
 	perform(fleet, node);
 }
 
--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -15,7 +15,7 @@
 		if (controller->shards[i].term || controller->shards[i].member_count ||
 		    controller->shards[i].base_index)
 			return 0;
-	return !controller->fleet;
+	return !controller->identity.fleet;
 }
 
 static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members,
@@ -29,12 +29,12 @@
 		member[member_count].id = members->members[i]->id;
 		member[member_count].addr = members->members[i]->addr;
 		member[member_count].voter = 1;
-		is_member |= member[member_count++].id == controller->id;
+		is_member |= member[member_count++].id == controller->identity.id;
 	}
 	if (!is_member || !is_empty(controller))
 		return;
-	controller->fleet = controller->config_watch.fleet = fleet;
-	controller->fleet_dirty = 1;
+	controller->identity.fleet = controller->config_watch.fleet = fleet;
+	controller->identity.fleet_dirty = 1;
 	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_bootstrap(&controller->shards[i], member, member_count, now, out);
@@ -54,18 +54,18 @@
 			bootstrap_here(controller, q->fleet_id, q->members, now, out);
 		found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
 		found->is_empty = is_empty(controller);
-		found->fleet_id = controller->fleet;
+		found->fleet_id = controller->identity.fleet;
 		found->token = q->token;
 		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
 		return;
 	}
-	for (int i = 0; i < controller->seed_count &&
+	for (int i = 0; i < controller->identity.seed_count &&
 			(controller->bootstrap.call_token || controller->bootstrap.by_settings);
 	     i++)
-		if (controller->seeds[i] == message->addr) {
-			controller->bootstrap.id[i] = message->id;
-			controller->bootstrap.is_empty[i] = q->is_empty;
-			controller->bootstrap.fleet[i] = q->fleet_id;
+		if (controller->identity.seeds[i] == message->addr) {
+			controller->bootstrap.seeds[i].id = message->id;
+			controller->bootstrap.seeds[i].is_empty = q->is_empty;
+			controller->bootstrap.seeds[i].fleet = q->fleet_id;
 		}
 }
 
@@ -80,9 +80,9 @@
 void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
 		     struct command_list *out)
 {
-	const char *why = controller->fleet        ? "found: this registrar belongs to a fleet"
-			  : controller->seed_count ? NULL
-						   : "found: no seeds are set";
+	const char *why = controller->identity.fleet        ? "found: this registrar belongs to a fleet"
+			  : controller->identity.seed_count ? NULL
+							    : "found: no seeds are set";
 
 	if (why) { /* so it is for good, whatever others do */
 		command_answer(out, event->payload.api_call.token, 409, 0, error_json(out->pool, why, 0));
@@ -100,7 +100,7 @@
 void controller_bootstrap(struct controller *controller, int64_t now)
 {
 	if (controller->bootstrap.call_token || controller->bootstrap.by_settings ||
-	    !controller->seed_count || !is_empty(controller))
+	    !controller->identity.seed_count || !is_empty(controller))
 		return;
 	bootstrap_begin(controller, now);
 	controller->bootstrap.by_settings = 1;
@@ -158,54 +158,56 @@
 	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
 		return;
 	if (now < controller->bootstrap.retry_at_ms &&
-	    !(controller->bootstrap.by_settings && controller->fleet && !controller->bootstrap.members))
+	    !(controller->bootstrap.by_settings && controller->identity.fleet &&
+	      !controller->bootstrap.members))
 		return;
 	controller->bootstrap.retry_at_ms = now + 200;
-	for (int i = 0; i < controller->seed_count; i++) {
-		answered_count += controller->bootstrap.id[i] != 0;
-		empty_count += controller->bootstrap.id[i] && controller->bootstrap.is_empty[i] &&
-			       !controller->bootstrap.fleet[i];
-		started_count += controller->bootstrap.fleet[i] &&
-				 controller->bootstrap.fleet[i] == controller->bootstrap.proposed_fleet;
+	for (int i = 0; i < controller->identity.seed_count; i++) {
+		answered_count += controller->bootstrap.seeds[i].id != 0;
+		empty_count += controller->bootstrap.seeds[i].id && controller->bootstrap.seeds[i].is_empty &&
+			       !controller->bootstrap.seeds[i].fleet;
+		started_count += controller->bootstrap.seeds[i].fleet &&
+				 controller->bootstrap.seeds[i].fleet == controller->bootstrap.proposed_fleet;
 	}
-	if (controller->seed_count && started_count == controller->seed_count) {
+	if (controller->identity.seed_count && started_count == controller->identity.seed_count) {
 		bootstrap_end(controller, 200,
 			      apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}",
-					   controller->fleet),
+					   controller->identity.fleet),
 			      out);
 		return;
 	}
 	if (controller->bootstrap.by_settings
-		? (!controller->bootstrap.members && (empty_count < answered_count || controller->fleet)) ||
-		      (controller->fleet && now > controller->bootstrap.deadline_at_ms)
+		? (!controller->bootstrap.members &&
+		   (empty_count < answered_count || controller->identity.fleet)) ||
+		      (controller->identity.fleet && now > controller->bootstrap.deadline_at_ms)
 		: now > controller->bootstrap.deadline_at_ms ||
-		      (!controller->bootstrap.members && answered_count == controller->seed_count &&
+		      (!controller->bootstrap.members && answered_count == controller->identity.seed_count &&
 		       empty_count < answered_count)) {
-		bootstrap_fail(controller, answered_count == controller->seed_count, out);
+		bootstrap_fail(controller, answered_count == controller->identity.seed_count, out);
 		return;
 	}
-	if (!controller->bootstrap.members && answered_count == controller->seed_count) {
+	if (!controller->bootstrap.members && answered_count == controller->identity.seed_count) {
 		controller->bootstrap.members = malloc(sizeof *controller->bootstrap.members);
 		if (!controller->bootstrap.members)
 			abort();
 		nl__members__init(controller->bootstrap.members);
-		controller->bootstrap.proposed_fleet = core_random(&controller->rng) | 1;
-		controller->bootstrap.members->members =
-		    calloc((size_t)controller->seed_count, sizeof *controller->bootstrap.members->members);
-		for (int i = 0; i < controller->seed_count; i++) {
+		controller->bootstrap.proposed_fleet = core_random(&controller->identity.rng) | 1;
+		controller->bootstrap.members->members = calloc(
+		    (size_t)controller->identity.seed_count, sizeof *controller->bootstrap.members->members);
+		for (int i = 0; i < controller->identity.seed_count; i++) {
 			struct Nl__Member *member = malloc(sizeof *member);
 
 			if (!member || !controller->bootstrap.members->members)
 				abort();
 			nl__member__init(member);
-			member->id = controller->bootstrap.id[i];
-			member->addr = controller->seeds[i];
+			member->id = controller->bootstrap.seeds[i].id;
+			member->addr = controller->identity.seeds[i];
 			member->voter = 1;
 			controller->bootstrap.members->members[controller->bootstrap.members->n_members++] =
 			    member;
 		}
 	}
-	for (int i = 0; i < controller->seed_count; i++) {
+	for (int i = 0; i < controller->identity.seed_count; i++) {
 		struct Nl__Bootstrap *found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
 
 		found->is_query = 1;
@@ -214,6 +216,7 @@
 			found->members = (struct Nl__Members *)core_copy_message(
 			    out->pool, &controller->bootstrap.members->base);
 		}
-		command_send(out, controller->seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
+		command_send(out, controller->identity.seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap =
+		    found;
 	}
 }
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -14,7 +14,7 @@
 {
 	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
 
-	return leader == controller->addr ? 0 : leader;
+	return leader == controller->identity.addr ? 0 : leader;
 }
 
 static enum handling handling_now(const struct controller *controller, int64_t now)
@@ -25,7 +25,8 @@
 		return HANDLE_ANSWER;
 	if (group->role ==
 	    RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
-		return controller->leader_term[SHARD_CONTROL] == group->term ? HANDLE_ANSWER : HANDLE_DEFER;
+		return controller->leadership[SHARD_CONTROL].term == group->term ? HANDLE_ANSWER
+										 : HANDLE_DEFER;
 	if (!controller->stopping)
 		return HANDLE_ANSWER;
 	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
@@ -54,14 +55,14 @@
 	free(packed);
 	if (!deferred.request)
 		abort();
-	for (ptrdiff_t i = 0; i < arrlen(controller->deferred_requests); i++)
-		if (controller->deferred_requests[i].request->id == m->id) {
-			nl__msg__free_unpacked(controller->deferred_requests[i].request, NULL);
-			controller->deferred_requests[i].request =
+	for (ptrdiff_t i = 0; i < arrlen(controller->handover.deferred); i++)
+		if (controller->handover.deferred[i].request->id == m->id) {
+			nl__msg__free_unpacked(controller->handover.deferred[i].request, NULL);
+			controller->handover.deferred[i].request =
 			    deferred.request; /* by when the first was to be answered stays */
 			return;
 		}
-	arrput(controller->deferred_requests, deferred);
+	arrput(controller->handover.deferred, deferred);
 }
 
 int config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -83,17 +84,18 @@
 static void announce_successor(struct controller *controller, uint64_t successor, int64_t now,
 			       struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		struct Nl__LeaderHint *hint;
 
-		if (now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
+		if (now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 		hint->leader_id = successor;
-		command_send(out, controller->node_statuses[i].addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)
+		command_send(out, controller->membership.nodes[i].addr, SHARD_CONTROL,
+			     NL__MSG__BODY_LEADER_HINT)
 		    ->leader_hint = hint;
 	}
-	arrsetlen(controller->node_statuses, 0);
+	arrsetlen(controller->membership.nodes, 0);
 }
 
 void config_handover_tick(struct controller *controller, int64_t now, struct command_list *out)
@@ -102,23 +104,23 @@
 
 	if (handling == HANDLE_FORWARD)
 		announce_successor(controller, known_leader(controller, now), now, out);
-	for (ptrdiff_t i = arrlen(controller->deferred_requests) - 1; i >= 0; i--) {
-		struct Nl__Msg *request = controller->deferred_requests[i].request;
+	for (ptrdiff_t i = arrlen(controller->handover.deferred) - 1; i >= 0; i--) {
+		struct Nl__Msg *request = controller->handover.deferred[i].request;
 
-		if (handling == HANDLE_DEFER && now < controller->deferred_requests[i].deadline_at_ms)
+		if (handling == HANDLE_DEFER && now < controller->handover.deferred[i].deadline_at_ms)
 			continue;
 		if (handling == HANDLE_FORWARD)
 			forward_request(controller, request, now, out);
 		else
 			on_config_sync_request(controller, request, now, out);
-		arrdel(controller->deferred_requests, i);
+		arrdel(controller->handover.deferred, i);
 		nl__msg__free_unpacked(request, NULL);
 	}
 }
 
 void config_handover_clear(struct controller *controller)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->deferred_requests); i++)
-		nl__msg__free_unpacked(controller->deferred_requests[i].request, NULL);
-	arrfree(controller->deferred_requests);
+	for (ptrdiff_t i = 0; i < arrlen(controller->handover.deferred); i++)
+		nl__msg__free_unpacked(controller->handover.deferred[i].request, NULL);
+	arrfree(controller->handover.deferred);
 }
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -25,8 +25,8 @@
 {
 	const struct controller_node_status **heads = NULL;
 
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		const struct controller_node_status *node = &controller->node_statuses[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		const struct controller_node_status *node = &controller->membership.nodes[i];
 		ptrdiff_t k = 0;
 
 		if (!node->is_router || node->zone == zone ||
@@ -55,8 +55,8 @@
 	for (int k = 0; k < MAX_UPSTREAM; k++) {
 		const struct controller_node_status *best = NULL;
 
-		for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-			const struct controller_node_status *node = &controller->node_statuses[i];
+		for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+			const struct controller_node_status *node = &controller->membership.nodes[i];
 
 			if (!node->is_router || node->zone != me->zone ||
 			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
@@ -75,15 +75,15 @@
 static void add_controllers(const struct controller *controller, struct Nl__ConfigSyncReply *reply,
 			    int64_t now, struct command_list *out)
 {
-	reply->controllers = apr_palloc(out->pool, ((size_t)arrlen(controller->node_statuses) + 1) *
+	reply->controllers = apr_palloc(out->pool, ((size_t)arrlen(controller->membership.nodes) + 1) *
 						       sizeof *reply->controllers);
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (!controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < live_window_ms(controller)) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
+		if (!controller->membership.nodes[i].is_router &&
+		    now - controller->membership.nodes[i].observed_at_ms < live_window_ms(controller)) {
 			struct Nl__Member *member = MESSAGE_NEW(out, Nl__Member, NL__MEMBER__INIT);
 
-			member->id = controller->node_statuses[i].id;
-			member->addr = controller->node_statuses[i].addr;
+			member->id = controller->membership.nodes[i].id;
+			member->addr = controller->membership.nodes[i].addr;
 			reply->controllers[reply->n_controllers++] = member;
 		}
 }
@@ -93,12 +93,12 @@
 static int update_node_status(struct controller *controller, const struct controller_node_status *node,
 			      int64_t now)
 {
-	for (ptrdiff_t i = arrlen(controller->node_statuses) - 1; i >= 0; i--)
-		if (controller->node_statuses[i].id != node->id &&
-		    now - controller->node_statuses[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
-			arrdelswap(controller->node_statuses, i);
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		struct controller_node_status *known = &controller->node_statuses[i];
+	for (ptrdiff_t i = arrlen(controller->membership.nodes) - 1; i >= 0; i--)
+		if (controller->membership.nodes[i].id != node->id &&
+		    now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
+			arrdelswap(controller->membership.nodes, i);
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		struct controller_node_status *known = &controller->membership.nodes[i];
 		int is_late = node->token < known->token;
 
 		if (known->id != node->id)
@@ -109,7 +109,7 @@
 			*known = *node;
 		return is_late;
 	}
-	arrput(controller->node_statuses, *node);
+	arrput(controller->membership.nodes, *node);
 	return 0;
 }
 
@@ -135,7 +135,7 @@
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply =
 	    reply;
 	reply->token = sync->token;
-	reply->fleet_id = controller->fleet;
+	reply->fleet_id = controller->identity.fleet;
 	reply->has_lease = leads_shard(controller, SHARD_CONTROL, now);
 	reply->leader_hint = leader_hint(controller, SHARD_CONTROL, now);
 	if (!reply->leader_hint && controller->config_watch.leader_addr[SHARD_CONTROL] != out->addr)
@@ -146,14 +146,14 @@
 	retention_on_report(controller, message, now);
 	reply->group_clock_ms = group_clock_now(controller, now);
 	reply->clock_term = controller->shards[SHARD_CONTROL].term;
-	config_table_since(&controller->config, sync->have_revision, reply, out->pool);
+	config_table_since(&controller->config.table, sync->have_revision, reply, out->pool);
 	instances_pack_since(&controller->instances, sync->instances_stamp, reply, out->pool);
 	if (sync->is_router)
 		add_upstream(controller, &node, reply, now, out);
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		reply->router_count +=
-		    controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+		    controller->membership.nodes[i].is_router &&
+		    now - controller->membership.nodes[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
 	if (sync->is_router && !reply->n_upstreams)
 		add_zone_heads(controller, node.zone, reply, now, out);
 	if (!is_late)
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -29,15 +29,15 @@
 static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why,
 			int64_t now, struct command_list *out)
 {
-	controller->dropped_count++;
-	if (controller->drops_logged_count && now - controller->drop_logged_at_ms < CONTROLLER_DROP_LOG_MS)
+	controller->drop_log.dropped++;
+	if (controller->drop_log.logged && now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
 	log_line(controller, "raft", out->pool,
 		 "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
 		 (int)message->body_case, core_format_addr(out->pool, message->addr), why,
-		 controller->dropped_count - controller->drops_logged_count);
-	controller->drops_logged_count = controller->dropped_count;
-	controller->drop_logged_at_ms = now;
+		 controller->drop_log.dropped - controller->drop_log.logged);
+	controller->drop_log.logged = controller->drop_log.dropped;
+	controller->drop_log.logged_at_ms = now;
 }
 
 static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -45,9 +45,9 @@
 {
 	const char *why;
 
-	if (!controller->fleet)
+	if (!controller->identity.fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
-	if (message->fleet_id != controller->fleet)
+	if (message->fleet_id != controller->identity.fleet)
 		why = "it names no fleet";
 	else if (message->shard >= SHARD_COUNT)
 		why = "there is no such shard";
@@ -63,7 +63,8 @@
 	int64_t fetched_before_ms;
 
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
-	    (message->fleet_id && controller->fleet && message->fleet_id != controller->fleet)) {
+	    (message->fleet_id && controller->identity.fleet &&
+	     message->fleet_id != controller->identity.fleet)) {
 		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now,
 			    out);
 		return;
@@ -89,9 +90,9 @@
 		fetched_before_ms = controller->config_watch.fetched_at_ms;
 		if (config_watch_receive(&controller->config_watch, message, now, out))
 			rollout_on_target_change(controller, fetched_before_ms);
-		if (!controller->fleet && controller->config_watch.fleet) {
-			controller->fleet = controller->config_watch.fleet;
-			controller->fleet_dirty = 1;
+		if (!controller->identity.fleet && controller->config_watch.fleet) {
+			controller->identity.fleet = controller->config_watch.fleet;
+			controller->identity.fleet_dirty = 1;
 		}
 		break;
 	case NL__MSG__BODY_PROPOSE:
@@ -138,7 +139,7 @@
 static void tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (controller->fleet)
+		if (controller->identity.fleet)
 			raft_tick(&controller->shards[i], now, out);
 	bootstrap_tick(controller, now, out);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a member knows its leader best */
@@ -169,14 +170,14 @@
 {
 	ptrdiff_t first_command = arrlen(out->commands);
 
-	out->id = controller->id;
-	out->addr = controller->addr;
-	out->fleet = controller->fleet;
-	controller->config_watch.wall_clock_ms = controller->wall_clock_ms;
+	out->id = controller->identity.id;
+	out->addr = controller->identity.addr;
+	out->fleet = controller->identity.fleet;
+	controller->config_watch.wall_clock_ms = controller->clocks.wall_ms;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* what the step before took in */
-		if (controller->snapshot_needed[i] && !controller->shards[i].snapshot_to_load) {
+		if (controller->compaction[i].snapshot_needed && !controller->shards[i].snapshot_to_load) {
 			controller->shards[i].drop_tail = 1;
-			controller->snapshot_needed[i] = 0;
+			controller->compaction[i].snapshot_needed = 0;
 			snapshot_create(controller, i, out);
 		}
 	switch (event->kind) {
@@ -200,11 +201,12 @@
 		operator_calls_disconnected(controller, event->payload.disconnected.token);
 		break;
 	case CONTROLLER_CALL_RESULT:
-		for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++)
+		for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
 			if (event->payload.call_result.token &&
-			    controller->rollout_servers[i].call_token == event->payload.call_result.token &&
+			    controller->server_rollout.servers[i].call_token ==
+				event->payload.call_result.token &&
 			    event->payload.call_result.status == 200)
-				rollout_on_report(controller, &controller->rollout_servers[i],
+				rollout_on_report(controller, &controller->server_rollout.servers[i],
 						  event->payload.call_result.body, now, out);
 		break;
 	case CONTROLLER_SERVERS_LISTED:
@@ -256,7 +258,7 @@
 	proposals_tick(controller, now, out);
 	expire_calls(controller, now, out);
 	reads_tick(controller, now, out);
-	operator_calls_count(&controller->operator_calls, out, first_command);
+	operator_calls_count(&controller->operators.calls, out, first_command);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		raft_flush(&controller->shards[i], now, out);
 }
@@ -266,26 +268,27 @@
 		     const struct raft_saved *const *saved, int64_t now)
 {
 	memset(controller, 0, sizeof *controller);
-	controller->id = id;
-	controller->addr = addr;
-	controller->zone = zone;
-	controller->fleet = fleet;
-	controller->rng = seed;
-	controller->last_token =
-	    core_random(&controller->rng) >> 2; /* never one of this controller's life before */
-	controller->seed_count = seed_count > 8 ? 8 : seed_count;
-	memcpy(controller->seeds, seeds, (size_t)controller->seed_count * sizeof *seeds);
+	controller->identity.id = id;
+	controller->identity.addr = addr;
+	controller->identity.zone = zone;
+	controller->identity.fleet = fleet;
+	controller->identity.rng = seed;
+	controller->identity.last_token =
+	    core_random(&controller->identity.rng) >> 2; /* never one of this controller's life before */
+	controller->identity.seed_count =
+	    seed_count > CONTROLLER_MAX_SEEDS ? CONTROLLER_MAX_SEEDS : seed_count;
+	memcpy(controller->identity.seeds, seeds, (size_t)controller->identity.seed_count * sizeof *seeds);
 	controller->bounds = bounds_default;
-	config_table_open(&controller->config);
+	config_table_open(&controller->config.table);
 	instances_open(&controller->instances);
 	rollout_open(&controller->rollout, now);
 	for (int i = 0; i < SHARD_SERVICES; i++)
 		reset_service_state(&controller->service_states[i]);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		raft_open(&controller->shards[i], i, id, seed, saved ? saved[i] : NULL, now);
-	sh_new_strdup(controller->target_weights);
-	sh_new_strdup(controller->quotas);
-	config_watch_open(&controller->config_watch, id, seeds, controller->seed_count, now);
+	sh_new_strdup(controller->server_rollout.targets);
+	sh_new_strdup(controller->quota.limits);
+	config_watch_open(&controller->config_watch, id, seeds, controller->identity.seed_count, now);
 	controller->config_watch.fleet = fleet;
 	controller->config_watch.zone = zone;
 	relay_open(&controller->relay, now);
@@ -295,16 +298,16 @@
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_close(&controller->shards[i]);
-	config_table_close(&controller->config);
+	config_table_close(&controller->config.table);
 	instances_close(&controller->instances);
 	rollout_close(&controller->rollout);
 	retention_reset(controller);
-	free_values(&controller->config_purge_feed);
-	arrfree(controller->done_operations);
-	idempotency_log_reset(&controller->accepted_requests);
-	arrfree(controller->logged_calls);
+	free_values(&controller->config.purge_feed);
+	arrfree(controller->config.done_operations);
+	idempotency_log_reset(&controller->config.accepted_requests);
+	arrfree(controller->operators.logged_calls);
 	config_handover_clear(controller);
-	free(controller->document);
+	free(controller->config.document);
 	free_values(&controller->purge_state.values);
 	purge_view_clear(&controller->purge_state.last_view);
 	for (int i = 0; i < SHARD_SERVICES; i++) {
@@ -314,32 +317,32 @@
 	}
 	config_watch_close(&controller->config_watch);
 	relay_close(&controller->relay);
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
-		nl__operation__free_unpacked(controller->proposals[i].operation, NULL);
-	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
-		free(controller->rollout_servers[i].name);
-		free(controller->rollout_servers[i].service);
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++)
+		nl__operation__free_unpacked(controller->proposals.own[i].operation, NULL);
+	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++) {
+		free(controller->server_rollout.servers[i].name);
+		free(controller->server_rollout.servers[i].service);
 	}
 	if (controller->bootstrap.members)
 		nl__members__free_unpacked(controller->bootstrap.members, NULL);
-	for (ptrdiff_t i = 0; i < shlen(controller->target_weights); i++)
-		free(controller->target_weights[i].value.weights);
-	shfree(controller->target_weights);
+	for (ptrdiff_t i = 0; i < shlen(controller->server_rollout.targets); i++)
+		free(controller->server_rollout.targets[i].value.weights);
+	shfree(controller->server_rollout.targets);
 	quota_shares_clear(controller);
-	shfree(controller->quotas);
-	arrfree(controller->reserve_limits);
-	arrfree(controller->pending_entries);
-	arrfree(controller->proposals);
-	arrfree(controller->node_statuses);
-	arrfree(controller->pending_reads);
-	arrfree(controller->rollout_servers);
+	shfree(controller->quota.limits);
+	arrfree(controller->quota.reserve_limits);
+	arrfree(controller->proposals.received);
+	arrfree(controller->proposals.own);
+	arrfree(controller->membership.nodes);
+	arrfree(controller->operators.pending_reads);
+	arrfree(controller->server_rollout.servers);
 }
 
 int controller_stopped(const struct controller *controller, int64_t now)
 {
 	if (operator_calls_open(controller))
 		return 0;
-	for (int i = 0; i < SHARD_COUNT && controller->fleet; i++)
+	for (int i = 0; i < SHARD_COUNT && controller->identity.fleet; i++)
 		if (!raft_may_stop(&controller->shards[i], now))
 			return 0;
 	return 1;
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -2,6 +2,8 @@
 #ifndef NL_CONTROLLER_H
 #define NL_CONTROLLER_H
 
+#include <stdbool.h>
+
 #include "config_watch.h"
 #include "operator_calls.h"
 #include "rollout.h"
@@ -12,6 +14,7 @@
 #include "config_table.h"
 
 enum {
+	CONTROLLER_MAX_SEEDS = 8,
 	CONTROLLER_NODE_LIVE_MS = 3000,    /* ms a node counts as live after its last asking */
 	CONTROLLER_NODE_FORGET_MS = 60000, /* ms after its last asking when it is forgotten */
 	CONTROLLER_ROLLOUT_HOLD_OFF_MS =
@@ -223,80 +226,180 @@
 	uint64_t requested_purge_tick;
 };
 
-struct controller {
-	uint64_t id, addr, fleet, rng;
+/* A change that was applied, as its proposer knows it, and what came of it. */
+struct controller_done_operation {
+	uint64_t from;
+	uint64_t token;
+	uint32_t status;
+};
+
+/* Who this process is in the fleet, and how it makes numbers that nobody else has. Written at the start and
+ * by the bootstrap. */
+struct controller_identity {
+	uint64_t id;
+	uint64_t addr;
+	uint64_t fleet;   /* 0: none yet */
+	bool fleet_dirty; /* the shell has to store the fleet */
 	const char *zone;
-	uint64_t seeds[8];
+	uint64_t seeds[CONTROLLER_MAX_SEEDS]; /* addresses */
 	int seed_count;
-	struct raft shards[SHARD_COUNT];
-	struct config_table config;
-	struct Nl__Value **config_purge_feed;
-	struct controller_done_operation {
-		uint64_t from, token;
-		uint32_t status;
-	} * done_operations;             /* stb_ds, oldest first */
-	struct orders accepted_requests; /* operators' orders that were accepted */
-	uint8_t *document;               /* the newest document, byte for byte */
+	uint64_t rng;        /* state of the random numbers */
+	uint64_t last_token; /* the newest token that was given out; the first one is random */
+};
+
+/* What the process lends to the controller: functions that belong to other libraries. Set once before the
+ * first step. */
+struct controller_adapters {
+	const struct controller_codec *codec;       /* of documents; NULL: none are taken */
+	const struct controller_calendar *calendar; /* NULL: no schedules in calendar terms */
+	void (*log)(void *ctx, const char *prefix, const char *line);
+	void *log_context;
+};
+
+/* Clocks other than the monotonic one that each step is given. */
+struct controller_clocks {
+	int64_t group_offset_ms; /* the control group's clock less this machine's, while it leads:
+				    group_clock.h */
+	int64_t wall_ms;         /* this machine's, since 1970; set by whoever steps; 0: no schedule runs */
+};
+
+/* Applied state of the control shard but for retention: equal on all members. Written by state_machine.c and
+ * snapshot.c. */
+struct controller_config {
+	struct config_table table;
+	struct Nl__Value **purge_feed; /* stb_ds: decisions for the publisher, oldest first */
+	struct controller_done_operation *done_operations; /* stb_ds, oldest first */
+	struct orders accepted_requests;                   /* operators' requests that were accepted */
+	uint8_t *document;                                 /* the newest document, byte for byte; malloc'd */
 	size_t document_bytes;
 	uint64_t document_version;
-	struct controller_logged_call *logged_calls; /* stb_ds */
-	struct operator_calls operator_calls;
-	struct retention retention;
-	const struct controller_calendar *calendar; /* NULL: no schedules in calendar terms */
-	int64_t group_clock_offset_ms; /* the control group's clock less this machine's, while it leads:
-					  group_clock.h */
-	int64_t wall_clock_ms; /* the machine's clock at this step, ms since 1970, set by whoever steps; 0: no
-				  schedule runs */
-	int64_t compaction_checked_at_ms[SHARD_COUNT];
-	int snapshot_needed[SHARD_COUNT];     /* a snapshot is due, and nothing older stays on the disk */
-	const struct controller_codec *codec; /* of documents; NULL: none are taken */
+};
+
+/* This node's leadership of one shard. Written by leadership_change.c; the clock by leadership.c. */
+struct controller_leadership {
+	uint64_t term;                /* in which it last began to lead */
+	int64_t since_ms;             /* when it began to lead in that term */
+	int64_t clock_advanced_at_ms; /* up to when the shard's own clock is counted in its log */
+};
+
+/* Compaction of one shard's log after a retention purge. */
+struct controller_compaction {
+	bool snapshot_needed;  /* nothing older than the next snapshot may stay on the disk */
+	int64_t checked_at_ms; /* when the leader last logged a trim for it */
+};
+
+/* Operators' calls that came here and are not answered yet. */
+struct controller_operators {
+	struct operator_calls calls;                   /* counters */
+	struct controller_logged_call *logged_calls;   /* stb_ds: wait for a commit */
+	struct controller_pending_read *pending_reads; /* stb_ds: wait for the leader's answer */
+};
+
+/* Proposals in flight. Owned by proposals.c. */
+struct controller_proposals {
+	struct controller_proposal *own; /* stb_ds: this node's, until they are answered */
+	struct controller_pending_entry
+	    *received; /* stb_ds: other nodes', logged here and not yet committed */
+};
+
+/* Which nodes there are, as the configuration's leader sees them, and when the membership was last looked
+ * after. Owned by membership.c; the nodes are written by config_sync.c. */
+struct controller_membership {
+	struct controller_node_status *nodes; /* stb_ds */
+	int64_t reconfigured_at_ms;           /* last step of changing the groups' members */
+	int64_t announced_at_ms;  /* last time that silent controllers were told where the fleet is */
+	int64_t registered_at_ms; /* last proposal of this node's own row */
+};
+
+/* Requests that wait for a change of leaders. Owned by config_handover.c. */
+struct controller_handover {
+	struct controller_deferred_request *deferred; /* stb_ds: one for each asker */
+};
+
+/* The fleet-wide limits as the configuration's leader shares them out: soft state. Owned by quota_shares.c.
+ */
+struct controller_quota_shares {
+	struct controller_quota *limits; /* stb_ds string map, by "tenant" or "route/tenant" */
+	char **reserve_limits; /* stb_ds: limits of which every router is given some slots ahead; names are
+				  the table's */
+	uint64_t reserve_limits_revision; /* of the table that reserve_limits was made from */
+};
+
+/* The rollout of weights to servers that speak the product's own interface. Owned by rollout.c. */
+struct controller_server_rollout {
+	struct controller_server *servers;         /* stb_ds */
+	struct controller_target_weights *targets; /* stb_ds string map, by service */
+	uint32_t command_sequence;                 /* lower bits of the newest command's fence */
+};
+
+/* The publisher of the purge stream while it runs here: soft state. Owned by purge_publisher.c; the tick
+ * moves when a value is applied as well. */
+struct controller_publisher {
+	uint64_t tick;                 /* highest tick declared */
+	int64_t tick_declared_at_ms;   /* when silence was last declared */
+	uint64_t pending_tick;         /* of the newest value that is being logged */
+	uint64_t reserved_for_ceiling; /* the ceiling above which the newest reservation was logged */
+	uint64_t feed_round;           /* of the newest request to the feeds */
+	int64_t feed_polled_at_ms;     /* when that round began */
+	uint64_t feed_complete_round[SHARD_COUNT]; /* round in which each feed had nothing more */
+};
+
+/* A bootstrap that this node has begun. Owned by bootstrap.c. */
+struct controller_bootstrap {
+	uint64_t call_token;     /* the operator's call that asked for it; 0: none */
+	bool by_settings;        /* the settings asked for it */
+	uint64_t proposed_fleet; /* 0 until the members are chosen */
+	int64_t deadline_at_ms;
+	int64_t retry_at_ms;
+	struct {
+		uint64_t id; /* 0: no answer yet */
+		uint64_t fleet;
+		bool is_empty;
+	} seeds[CONTROLLER_MAX_SEEDS]; /* answers, in the order of the identity's seeds */
+	struct Nl__Members *members;   /* malloc'd; NULL until all seeds have answered */
+};
+
+/* Log lines on messages that break the protocol. Owned by controller.c. */
+struct controller_drop_log {
+	int64_t logged_at_ms; /* the last line */
+	uint64_t dropped;     /* messages so far */
+	uint64_t logged;      /* how many of them lines have reported */
+};
+
+/* A controller. Each record has one owner; the step wires them. */
+struct controller {
+	struct controller_identity identity;
+	struct controller_adapters adapters;
+	struct controller_clocks clocks;
+	struct bounds bounds; /* bounds_default until they are set */
+	bool stopping;        /* told to stop: begins nothing any more */
+
+	/* replication */
+	struct raft shards[SHARD_COUNT];
+	struct controller_leadership leadership[SHARD_COUNT];
+	struct controller_compaction compaction[SHARD_COUNT];
+	uint64_t epoch[SHARD_COUNT]; /* of the newest operation applied */
+
+	/* applied state */
+	struct controller_config config;
+	struct retention retention; /* its leader's part is soft */
 	struct controller_purge_state purge_state;
 	struct controller_service_state service_states[SHARD_SERVICES];
+
+	/* soft state of services */
 	struct config_watch config_watch;
-	struct bounds bounds;       /* bounds_default until they are set */
-	struct instances instances; /* what the configuration's owner sees itself */
+	struct controller_membership membership;
+	struct controller_handover handover;
+	struct controller_quota_shares quota;
+	struct instances instances; /* servers, as the configuration's leader observes them itself */
 	struct rollout rollout;
+	struct controller_server_rollout server_rollout;
+	struct controller_publisher publisher;
 	struct relay relay;
-	struct controller_pending_entry *pending_entries;
-	struct controller_proposal *proposals;
-	struct controller_node_status *node_statuses;
-	struct controller_deferred_request *deferred_requests; /* stb_ds */
-	char **reserve_limits; /* stb_ds: limits of which every router is given a few places ahead */
-	uint64_t reserve_limits_revision;
-	struct controller_quota
-	    *quotas; /* stb_ds: by what the limit is of; the configuration owner's soft state */
-	struct controller_pending_read *pending_reads; /* stb_ds */
-	struct controller_server *rollout_servers;
-	struct controller_target_weights *target_weights; /* stb_ds, by service */
-	uint64_t last_token;
-	uint64_t epoch[SHARD_COUNT]; /* of the newest operation applied */
-	int64_t leader_since_ms[SHARD_COUNT], clock_advanced_at_ms[SHARD_COUNT], reconfigured_at_ms,
-	    announced_at_ms, registered_at_ms;
-	uint64_t leader_term[SHARD_COUNT]; /* term in which we last took office */
-	/* publisher's soft state */
-	uint64_t declared_tick;                    /* highest tick declared */
-	uint64_t feed_complete_round[SHARD_COUNT]; /* round at which each feed last said all */
-	uint64_t feed_round, reserved_for_ceiling;
-	int64_t feed_polled_at_ms, tick_declared_at_ms;
-	uint64_t pending_tick; /* of a value being logged */
-	uint32_t load_command_sequence;
-	/* founding */
-	/* web: the call that asked for it; own: the settings did */
-	struct {
-		uint64_t call_token, proposed_fleet;
-		int by_settings;
-		int64_t deadline_at_ms, retry_at_ms;
-		uint64_t id[8], fleet[8];
-		int is_empty[8];
-		struct Nl__Members *members;
-	} bootstrap;
-	int64_t drop_logged_at_ms; /* messages that break the protocol: last log line, */
-	uint64_t dropped_count,
-	    drops_logged_count; /* how many there were, how many of them lines have told of */
-	int stopping;
-	void (*log)(void *ctx, const char *prefix, const char *line);
-	void *log_context;
-	int fleet_dirty; /* the shell must store r->fleet */
+	struct controller_bootstrap bootstrap;
+	struct controller_proposals proposals;
+	struct controller_operators operators;
+	struct controller_drop_log drop_log;
 };
 
 /* Begin. saved[i] may be NULL. Example: controller_open(&r, id, addr, "z1", seeds, 3, fleet, seed, saved,
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -14,10 +14,11 @@
 {
 	va_list arguments;
 
-	if (!controller->log)
+	if (!controller->adapters.log)
 		return;
 	va_start(arguments, format);
-	controller->log(controller->log_context, prefix, apr_pvsprintf(pool, format, arguments));
+	controller->adapters.log(controller->adapters.log_context, prefix,
+				 apr_pvsprintf(pool, format, arguments));
 	va_end(arguments);
 }
 
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -19,8 +19,8 @@
 
 	if (!leads_shard(controller, shard, now))
 		return 0;
-	operation->group_clock_ms = (uint64_t)(now - controller->clock_advanced_at_ms[shard]);
-	controller->clock_advanced_at_ms[shard] = now;
+	operation->group_clock_ms = (uint64_t)(now - controller->leadership[shard].clock_advanced_at_ms);
+	controller->leadership[shard].clock_advanced_at_ms = now;
 	if (shard == SHARD_CONTROL)
 		date_operation(controller, operation, now);
 	packed = core_pack_message(out->pool, &operation->base, &size);
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -11,7 +11,7 @@
 static inline int leads_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	return raft_has_lease(&controller->shards[shard], now) &&
-	       controller->leader_term[shard] == controller->shards[shard].term;
+	       controller->leadership[shard].term == controller->shards[shard].term;
 }
 
 /* Who owns a part, as far as this member has heard within its promise; an older word would send others to the
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -14,14 +14,15 @@
 {
 	struct raft *raft = &controller->shards[shard];
 
-	if (raft_has_lease(raft, now) && controller->leader_term[shard] != raft->term) {
-		controller->leader_term[shard] = raft->term;
-		controller->leader_since_ms[shard] = controller->clock_advanced_at_ms[shard] = now;
+	if (raft_has_lease(raft, now) && controller->leadership[shard].term != raft->term) {
+		controller->leadership[shard].term = raft->term;
+		controller->leadership[shard].since_ms = controller->leadership[shard].clock_advanced_at_ms =
+		    now;
 		log_line(controller, "part", out->pool,
 			 "Part %u is owned here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
 			group_clock_lead(controller, now);
-			arrsetlen(controller->node_statuses, 0);
+			arrsetlen(controller->membership.nodes, 0);
 			quota_shares_clear(controller);
 			rollout_start_term(controller, now);
 			controller->retention.logged_index = 0;
@@ -43,19 +44,19 @@
 			log_line(controller, "purge", out->pool, "The publisher's licence is lost here.");
 		}
 	}
-	for (ptrdiff_t k = arrlen(controller->logged_calls) - 1;
+	for (ptrdiff_t k = arrlen(controller->operators.logged_calls) - 1;
 	     k >= 0 && shard == SHARD_CONTROL && raft->role != RAFT_LEADER; k--) {
-		command_answer(out, controller->logged_calls[k].token, 504, CONTROLLER_RETRY_MS,
+		command_answer(out, controller->operators.logged_calls[k].token, 504, CONTROLLER_RETRY_MS,
 			       error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
-		arrdel(controller->logged_calls, k);
+		arrdel(controller->operators.logged_calls, k);
 	}
 	if (raft->role != RAFT_LEADER)
-		for (ptrdiff_t k = arrlen(controller->pending_entries) - 1; k >= 0; k--)
-			if (controller->pending_entries[k].shard == shard) {
-				reply_to_proposal(controller->pending_entries[k].proposer_addr,
-						  controller->pending_entries[k].token,
+		for (ptrdiff_t k = arrlen(controller->proposals.received) - 1; k >= 0; k--)
+			if (controller->proposals.received[k].shard == shard) {
+				reply_to_proposal(controller->proposals.received[k].proposer_addr,
+						  controller->proposals.received[k].token,
 						  PROPOSAL_OUTCOME_UNKNOWN, 0,
 						  "ownership lost: outcome unknown", 0, out);
-				arrdel(controller->pending_entries, k);
+				arrdel(controller->proposals.received, k);
 			}
 }
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -28,19 +28,19 @@
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row me = NL__ROW__INIT, *set[1] = { &me };
 
-	if (now - controller->registered_at_ms < 1000 ||
+	if (now - controller->membership.registered_at_ms < 1000 ||
 	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
 		return;
-	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->id);
+	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
 	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
 	me.kind = NL__KIND__CONTROLLER;
 	me.name = name;
-	me.id = controller->id;
-	me.addr = (char *)core_format_addr(out->pool, controller->addr);
-	me.zone = (char *)controller->zone;
+	me.id = controller->identity.id;
+	me.addr = (char *)core_format_addr(out->pool, controller->identity.addr);
+	me.zone = (char *)controller->identity.zone;
 	if (row && !strcmp(row->addr, me.addr) && !strcmp(row->zone, me.zone))
 		return;
-	controller->registered_at_ms = now;
+	controller->membership.registered_at_ms = now;
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
@@ -77,9 +77,9 @@
 
 static int contacted_lately(const struct controller *controller, uint64_t node_id, int64_t now)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (controller->node_statuses[i].id == node_id)
-			return now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
+		if (controller->membership.nodes[i].id == node_id)
+			return now - controller->membership.nodes[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
 	return 0;
 }
 
@@ -87,11 +87,11 @@
  * told whom to ask. */
 static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
-	if (now - controller->announced_at_ms < CONTROLLER_ANNOUNCE_MS)
+	if (now - controller->membership.announced_at_ms < CONTROLLER_ANNOUNCE_MS)
 		return;
-	controller->announced_at_ms = now;
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		const struct Nl__Row *row = controller->config.rows[i].value.row;
+	controller->membership.announced_at_ms = now;
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
+		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
 		struct Nl__LeaderHint *owner;
 
 		if (row->kind != NL__KIND__CONTROLLER || contacted_lately(controller, row->id, now) ||
@@ -107,14 +107,14 @@
 /* The configuration's owner takes controllers that are long gone out of the table, one at a time. */
 static void remove_expired_controllers(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		struct Nl__Row *old = controller->config.rows[i].value.row, *del[1] = { old };
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
+		struct Nl__Row *old = controller->config.table.rows[i].value.row, *del[1] = { old };
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Change change = NL__CHANGE__INIT;
 		int is_known = old->kind != NL__KIND__CONTROLLER;
 
-		for (ptrdiff_t k = 0; k < arrlen(controller->node_statuses) && !is_known; k++)
-			is_known = controller->node_statuses[k].id == old->id;
+		for (ptrdiff_t k = 0; k < arrlen(controller->membership.nodes) && !is_known; k++)
+			is_known = controller->membership.nodes[k].id == old->id;
 		if (is_known)
 			continue;
 		change.any_revision = 1;
@@ -129,14 +129,14 @@
 
 void membership_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	if (now - controller->reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS ||
+	if (now - controller->membership.reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS ||
 	    config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
 		return;
-	controller->reconfigured_at_ms = now;
+	controller->membership.reconfigured_at_ms = now;
 	reconfigure_groups(controller, now);
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	announce_fleet(controller, now, out);
-	if (now - controller->leader_since_ms[SHARD_CONTROL] >= CONTROLLER_FORGET_CONTROLLERS_MS)
+	if (now - controller->leadership[SHARD_CONTROL].since_ms >= CONTROLLER_FORGET_CONTROLLERS_MS)
 		remove_expired_controllers(controller, now, out);
 }
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -34,12 +34,12 @@
 	json_object_object_add(json, "scope", json_object_new_string("this node alone"));
 	json_object_object_add(
 	    json, "id",
-	    json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, controller->id)));
+	    json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id)));
 	json_object_object_add(json, "addr",
-			       json_object_new_string(core_format_addr(pool, controller->addr)));
-	json_object_object_add(
-	    json, "fleet",
-	    json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, controller->fleet)));
+			       json_object_new_string(core_format_addr(pool, controller->identity.addr)));
+	json_object_object_add(json, "fleet",
+			       json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT,
+								   controller->identity.fleet)));
 	json_object_object_add(json, "edition",
 			       json_object_new_int64((int64_t)controller->config_watch.table.revision));
 	json_object_object_add(json, "age_ms",
@@ -72,44 +72,46 @@
 	json_object_object_add(json, "parts", a);
 	a = json_object_new_array();
 	for (ptrdiff_t i = 0;
-	     i < arrlen(controller->node_statuses) && leads_shard(controller, SHARD_CONTROL, now); i++) {
+	     i < arrlen(controller->membership.nodes) && leads_shard(controller, SHARD_CONTROL, now); i++) {
 		struct json_object *x = json_object_new_object();
 
 		json_object_object_add(
 		    x, "addr",
-		    json_object_new_string(core_format_addr(pool, controller->node_statuses[i].addr)));
+		    json_object_new_string(core_format_addr(pool, controller->membership.nodes[i].addr)));
 		json_object_object_add(x, "counter",
-				       json_object_new_boolean(controller->node_statuses[i].is_router));
-		json_object_object_add(x, "edition",
-				       json_object_new_int64((int64_t)controller->node_statuses[i].revision));
-		json_object_object_add(x, "horizon",
-				       json_object_new_int64((int64_t)controller->node_statuses[i].horizon));
+				       json_object_new_boolean(controller->membership.nodes[i].is_router));
+		json_object_object_add(
+		    x, "edition", json_object_new_int64((int64_t)controller->membership.nodes[i].revision));
+		json_object_object_add(
+		    x, "horizon", json_object_new_int64((int64_t)controller->membership.nodes[i].horizon));
 		json_object_object_add(
-		    x, "heard_ms", json_object_new_int64(now - controller->node_statuses[i].observed_at_ms));
+		    x, "heard_ms",
+		    json_object_new_int64(now - controller->membership.nodes[i].observed_at_ms));
 		json_object_array_add(a, x);
 	}
 	json_object_object_add(json, "nodes", a);
 	a = json_object_new_array();
-	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++) {
 		struct json_object *x = json_object_new_object();
 
 		if (!leads_shard(controller,
-				 core_shard_of(controller->rollout_servers[i].service, SHARD_SERVICES),
+				 core_shard_of(controller->server_rollout.servers[i].service, SHARD_SERVICES),
 				 now)) {
 			json_object_put(x);
 			continue;
 		}
 		json_object_object_add(x, "server",
-				       json_object_new_string(controller->rollout_servers[i].name));
+				       json_object_new_string(controller->server_rollout.servers[i].name));
 		json_object_object_add(x, "weights",
-				       json_object_new_string(controller->rollout_servers[i].weights));
+				       json_object_new_string(controller->server_rollout.servers[i].weights));
 		json_object_object_add(x, "loading",
-				       json_object_new_string(controller->rollout_servers[i].loading));
+				       json_object_new_string(controller->server_rollout.servers[i].loading));
 		json_object_object_add(
-		    x, "carried", json_object_new_int64((int64_t)controller->rollout_servers[i].purged_tick));
+		    x, "carried",
+		    json_object_new_int64((int64_t)controller->server_rollout.servers[i].purged_tick));
 		json_object_object_add(
 		    x, "reported_ms",
-		    json_object_new_int64(now - controller->rollout_servers[i].reported_at_ms));
+		    json_object_new_int64(now - controller->server_rollout.servers[i].reported_at_ms));
 		json_object_array_add(a, x);
 	}
 	json_object_object_add(json, "servers", a);
@@ -135,9 +137,10 @@
 
 static void begin_read(struct controller *controller, uint64_t call_token, Nl__ReadKind kind, int64_t now)
 {
-	struct controller_pending_read pending = { call_token, ++controller->last_token, kind, now, now };
+	struct controller_pending_read pending = { call_token, ++controller->identity.last_token, kind, now,
+						   now };
 
-	arrput(controller->pending_reads, pending);
+	arrput(controller->operators.pending_reads, pending);
 }
 
 void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -191,8 +194,8 @@
 void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now,
 		   struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->pending_reads); i++) {
-		const struct controller_pending_read *pending = &controller->pending_reads[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.pending_reads); i++) {
+		const struct controller_pending_read *pending = &controller->operators.pending_reads[i];
 
 		if (pending->token != reply->token ||
 		    now >= pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS)
@@ -201,7 +204,7 @@
 		    out, pending->call_token, 200,
 		    apr_pstrmemdup(out->pool, (const char *)reply->body.data, reply->body.len),
 		    pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
-		arrdel(controller->pending_reads, i);
+		arrdel(controller->operators.pending_reads, i);
 		return;
 	}
 }
@@ -226,8 +229,8 @@
 
 void reads_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->pending_reads) - 1; i >= 0; i--) {
-		struct controller_pending_read *pending = &controller->pending_reads[i];
+	for (ptrdiff_t i = arrlen(controller->operators.pending_reads) - 1; i >= 0; i--) {
+		struct controller_pending_read *pending = &controller->operators.pending_reads[i];
 		int is_current = pending->kind == NL__READ_KIND__READ_TABLE &&
 				 controller->config_watch.fetched_at_ms >= pending->requested_at_ms;
 
@@ -242,7 +245,7 @@
 		} else {
 			reject_without_leader(pending->call_token, out);
 		}
-		arrdel(controller->pending_reads, i);
+		arrdel(controller->operators.pending_reads, i);
 	}
 }
 
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -19,11 +19,12 @@
 
 uint64_t operator_calls_open(const struct controller *controller)
 {
-	uint64_t open = arrlenu(controller->logged_calls) + arrlenu(controller->pending_reads) +
+	uint64_t open = arrlenu(controller->operators.logged_calls) +
+			arrlenu(controller->operators.pending_reads) +
 			(controller->bootstrap.call_token != 0);
 
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
-		open += controller->proposals[i].call_token != 0;
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++)
+		open += controller->proposals.own[i].call_token != 0;
 	return open;
 }
 
@@ -34,26 +35,26 @@
 
 int operator_calls_are_balanced(const struct controller *controller)
 {
-	return controller->operator_calls.read ==
-	       ended(&controller->operator_calls) + operator_calls_open(controller);
+	return controller->operators.calls.read ==
+	       ended(&controller->operators.calls) + operator_calls_open(controller);
 }
 
 /* Drop what waits for this caller; whether anything did. A founding goes on, and its answer goes nowhere. */
 static int forget_caller(struct controller *controller, uint64_t token)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
-		if (controller->logged_calls[i].token == token) {
-			arrdel(controller->logged_calls, i);
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
+		if (controller->operators.logged_calls[i].token == token) {
+			arrdel(controller->operators.logged_calls, i);
 			return 1;
 		}
-	for (ptrdiff_t i = 0; i < arrlen(controller->pending_reads); i++)
-		if (controller->pending_reads[i].call_token == token) {
-			arrdel(controller->pending_reads, i);
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.pending_reads); i++)
+		if (controller->operators.pending_reads[i].call_token == token) {
+			arrdel(controller->operators.pending_reads, i);
 			return 1;
 		}
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++)
-		if (controller->proposals[i].call_token == token) {
-			controller->proposals[i].call_token = 0;
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++)
+		if (controller->proposals.own[i].call_token == token) {
+			controller->proposals.own[i].call_token = 0;
 			return 1;
 		}
 	return 0;
@@ -62,12 +63,12 @@
 void operator_calls_disconnected(struct controller *controller, uint64_t token)
 {
 	if (token && forget_caller(controller, token))
-		controller->operator_calls.disconnected++;
+		controller->operators.calls.disconnected++;
 }
 
 struct json_object *operator_calls_json(const struct controller *controller)
 {
-	const struct operator_calls *calls = &controller->operator_calls;
+	const struct operator_calls *calls = &controller->operators.calls;
 	const struct {
 		const char *name;
 		uint64_t count;
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -22,7 +22,7 @@
 	operation.request_key = request_key_pack(key, &packed_key);
 	waiting.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
 	if (waiting.log_index)
-		arrput(controller->logged_calls, waiting);
+		arrput(controller->operators.logged_calls, waiting);
 	else
 		reject_without_leader(token, out);
 }
@@ -32,7 +32,8 @@
 static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key,
 			   int64_t now, struct command_list *out)
 {
-	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, key);
+	const struct idempotency_record *accepted =
+	    idempotency_log_find(&controller->config.accepted_requests, key);
 
 	if (accepted) {
 		if (repeated_request_status(accepted, key) == PROPOSAL_DONE)
@@ -41,13 +42,14 @@
 			command_answer(out, token, 422, 0, error_json(out->pool, ORDER_KEY_REUSED, 0));
 		return 1;
 	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
-		if (request_key_equal(&controller->logged_calls[i].request_key, key)) {
-			struct controller_logged_call waiting = { token,
-								  controller->logged_calls[i].log_index, *key,
-								  now + CONTROLLER_CALL_TIMEOUT_MS };
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
+		if (request_key_equal(&controller->operators.logged_calls[i].request_key, key)) {
+			struct controller_logged_call waiting = {
+				token, controller->operators.logged_calls[i].log_index, *key,
+				now + CONTROLLER_CALL_TIMEOUT_MS
+			};
 
-			arrput(controller->logged_calls, waiting);
+			arrput(controller->operators.logged_calls, waiting);
 			return 1;
 		}
 	return 0;
@@ -58,7 +60,8 @@
 static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version,
 				    struct command_list *out)
 {
-	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
+	if (idempotency_log_may_have_evicted(&controller->config.accepted_requests, SERIES_DOCUMENTS,
+					     base_version))
 		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS,
 			       error_json(out->pool, ORDER_FORGOTTEN, 0));
 	else
@@ -83,21 +86,22 @@
 	request_key_init(&key, NULL, patch ? "patch" : "document", 1, base_version, body, body_bytes);
 	if (answer_repeated(controller, token, &key, now, out))
 		return;
-	if (base_version != controller->document_version) {
+	if (base_version != controller->config.document_version) {
 		answer_version_conflict(controller, token, base_version, out);
 		return;
 	}
-	if (!controller->codec)
+	if (!controller->adapters.codec)
 		error = "document: none is taken here";
-	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body,
-					 body_bytes, patch, &change, &error, out->pool))
+	else if (controller->adapters.codec->read((const char *)controller->config.document,
+						  controller->config.document_bytes, body, body_bytes, patch,
+						  &change, &error, out->pool))
 		error = error ? error : "document: cannot be read";
-	else if (change.document_version <= controller->document_version)
+	else if (change.document_version <= controller->config.document_version)
 		error = "version: not above the current one";
 	else {
 		change.any_revision = change.replace_all = change.replace_keys = 1;
 		change.document_base_version = base_version;
-		error = config_table_check(&controller->config, &change, out->pool);
+		error = config_table_check(&controller->config.table, &change, out->pool);
 	}
 	if (error)
 		command_answer(out, token, 400, 0, error_json(out->pool, error, 0));
@@ -112,7 +116,7 @@
 	struct command *command;
 
 	(void)now;
-	if (!controller->document_version) {
+	if (!controller->config.document_version) {
 		command_answer(out, token, 404, 0, error_json(out->pool, "no document was taken yet", 0));
 		return;
 	}
@@ -120,8 +124,8 @@
 	command->args.answer.token = token;
 	command->args.answer.status = 200;
 	command->args.answer.body =
-	    apr_pmemdup(out->pool, controller->document, controller->document_bytes + 1);
-	command->args.answer.len = controller->document_bytes;
+	    apr_pmemdup(out->pool, controller->config.document, controller->config.document_bytes + 1);
+	command->args.answer.len = controller->config.document_bytes;
 }
 
 void name_weights(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -145,13 +149,13 @@
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	error = config_table_check(&controller->config, &change, out->pool);
+	error = config_table_check(&controller->config.table, &change, out->pool);
 	if (error || !weights[0]) {
 		command_answer(out, token, 400, 0,
 			       error_json(out->pool, error ? error : "weights: missing", 0));
 		return;
 	}
-	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
+	previous = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
 	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->target_weights, NULL, 10) : 1))
 		command_answer(out, token, 200, 0, "{}"); /* committed, and perhaps overtaken, before */
 	else
@@ -160,10 +164,11 @@
 
 void expire_calls(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--)
-		if (now >= controller->logged_calls[i].deadline_at_ms) {
-			command_answer(out, controller->logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--)
+		if (now >= controller->operators.logged_calls[i].deadline_at_ms) {
+			command_answer(out, controller->operators.logged_calls[i].token, 504,
+				       CONTROLLER_RETRY_MS,
 				       error_json(out->pool, "outcome unknown: send it again", 0));
-			arrdel(controller->logged_calls, i);
+			arrdel(controller->operators.logged_calls, i);
 		}
 }
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -70,7 +70,7 @@
 
 	if (!leader && leader_reachable(controller, now))
 		leader = controller->config_watch.leader_addr[SHARD_CONTROL];
-	if (!leader || leader == controller->addr) {
+	if (!leader || leader == controller->identity.addr) {
 		reject_without_leader(token, out);
 		return;
 	}
@@ -97,7 +97,7 @@
 	const struct operator_path *path = find_path(event);
 	ptrdiff_t answers = arrlen(out->commands);
 
-	controller->operator_calls.read++;
+	controller->operators.calls.read++;
 	if (!path) { /* whatever the log holds, there is no such path */
 		command_answer(out, call_token(event), 404, 0,
 			       error_json(out->pool, "path: no such call", 0));
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -26,21 +26,21 @@
 static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status,
 				  struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--) {
-		if (controller->logged_calls[i].log_index != index)
+	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
+		if (controller->operators.logged_calls[i].log_index != index)
 			continue;
 		if (status == PROPOSAL_DONE)
-			command_answer(out, controller->logged_calls[i].token, 200, 0, "{}");
+			command_answer(out, controller->operators.logged_calls[i].token, 200, 0, "{}");
 		else if (status == PROPOSAL_KEY_REUSED)
-			command_answer(out, controller->logged_calls[i].token, 422, 0,
+			command_answer(out, controller->operators.logged_calls[i].token, 422, 0,
 				       error_json(out->pool, ORDER_KEY_REUSED, 0));
 		else if (status == PROPOSAL_SUPERSEDED)
-			command_answer(out, controller->logged_calls[i].token, 412, 0,
+			command_answer(out, controller->operators.logged_calls[i].token, 412, 0,
 				       error_json(out->pool, "another version is current", 0));
 		else
-			command_answer(out, controller->logged_calls[i].token, 400, 0,
+			command_answer(out, controller->operators.logged_calls[i].token, 400, 0,
 				       error_json(out->pool, "version: not above the current one", 0));
-		arrdel(controller->logged_calls, i);
+		arrdel(controller->operators.logged_calls, i);
 	}
 }
 
@@ -64,13 +64,13 @@
 {
 	if (shard == SHARD_CONTROL)
 		answer_operator_calls(controller, index, applied.status, out);
-	for (ptrdiff_t i = 0; i < arrlen(controller->pending_entries); i++)
-		if (controller->pending_entries[i].shard == shard &&
-		    controller->pending_entries[i].log_index == index) {
-			reply_to_proposal(controller->pending_entries[i].proposer_addr,
-					  controller->pending_entries[i].token, applied.status,
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.received); i++)
+		if (controller->proposals.received[i].shard == shard &&
+		    controller->proposals.received[i].log_index == index) {
+			reply_to_proposal(controller->proposals.received[i].proposer_addr,
+					  controller->proposals.received[i].token, applied.status,
 					  applied.version, outcome_text(applied.status), 0, out);
-			arrdel(controller->pending_entries, i);
+			arrdel(controller->proposals.received, i);
 			return;
 		}
 }
@@ -84,12 +84,12 @@
 
 	if (!retention_parse_scope(clear->scope, route, tenant))
 		return "scope: lane/tenant, with * for all; * alone for everything";
-	if (route[0] && !config_table_get(&controller->config, NL__KIND__ROUTE, route))
+	if (route[0] && !config_table_get(&controller->config.table, NL__KIND__ROUTE, route))
 		return apr_psprintf(pool, "scope: no lane %s", route);
-	if (tenant[0] && !config_table_get(&controller->config, NL__KIND__TENANT, tenant))
+	if (tenant[0] && !config_table_get(&controller->config.table, NL__KIND__TENANT, tenant))
 		return apr_psprintf(pool, "scope: no tenant %s", tenant);
 	clear->wall_clock_ms = clear->due_at_ms =
-	    wall_clock_ms == INT64_MIN ? controller->wall_clock_ms : wall_clock_ms;
+	    wall_clock_ms == INT64_MIN ? controller->clocks.wall_ms : wall_clock_ms;
 	return NULL;
 }
 
@@ -97,7 +97,7 @@
  * forgotten. */
 static uint32_t superseded_status(const struct controller *controller, const struct Nl__Change *change)
 {
-	return idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_CHANGES,
+	return idempotency_log_may_have_evicted(&controller->config.accepted_requests, SERIES_CHANGES,
 						change->expected_revision)
 		   ? PROPOSAL_KEY_EXPIRED
 		   : PROPOSAL_SUPERSEDED;
@@ -131,40 +131,40 @@
 	}
 	if (!is_expected)
 		why = "op: not one that this part takes";
-	else if ((accepted = idempotency_log_find(&controller->accepted_requests, &request_key))) {
+	else if ((accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key))) {
 		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
 				  accepted->version, ORDER_KEY_REUSED, 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL &&
 		   (done =
 			find_done_operation(controller, q->operation->requester_id, q->operation->token))) {
-		reply_to_proposal(message->addr, q->token, done->status, controller->config.revision,
+		reply_to_proposal(message->addr, q->token, done->status, controller->config.table.revision,
 				  "edition overtaken", 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL &&
 		   q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP) {
 		why = check_purge_request(controller, q->operation->retention_step, now, out->pool);
-	} else if (message->shard == SHARD_CONTROL && controller->config.revision &&
+	} else if (message->shard == SHARD_CONTROL && controller->config.table.revision &&
 		   !q->operation->change->any_revision &&
-		   q->operation->change->expected_revision < controller->config.operator_revision) {
+		   q->operation->change->expected_revision < controller->config.table.operator_revision) {
 		reply_to_proposal(message->addr, q->token,
 				  superseded_status(controller, q->operation->change),
-				  controller->config.revision, "edition overtaken", 0, out);
+				  controller->config.table.revision, "edition overtaken", 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL) {
-		why = config_table_check(&controller->config, q->operation->change, out->pool);
+		why = config_table_check(&controller->config.table, q->operation->change, out->pool);
 		if (!why)
-			why = retention_check_calendar(controller->calendar, q->operation->change,
+			why = retention_check_calendar(controller->adapters.calendar, q->operation->change,
 						       retention_wall_clock(controller, now), out->pool);
 	}
 	if (why) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED, controller->config.revision,
-				  why, 0, out);
+		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED,
+				  controller->config.table.revision, why, 0, out);
 		return;
 	}
 	controller_wait.log_index = log_operation(controller, message->shard, q->operation, now, out);
 	if (controller_wait.log_index)
-		arrput(controller->pending_entries, controller_wait);
+		arrput(controller->proposals.received, controller_wait);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
 		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
@@ -174,7 +174,7 @@
 void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op,
 	     uint64_t call_token, int64_t now)
 {
-	struct controller_proposal proposal = { ++controller->last_token,
+	struct controller_proposal proposal = { ++controller->identity.last_token,
 						call_token,
 						shard,
 						NULL,
@@ -193,15 +193,15 @@
 	free(packed);
 	if (!proposal.operation)
 		abort();
-	proposal.operation->requester_id = controller->id;
+	proposal.operation->requester_id = controller->identity.id;
 	proposal.operation->token = proposal.token;
-	arrput(controller->proposals, proposal);
+	arrput(controller->proposals.own, proposal);
 }
 
 static void end_proposal(struct controller *controller, ptrdiff_t i)
 {
-	nl__operation__free_unpacked(controller->proposals[i].operation, NULL);
-	arrdel(controller->proposals, i);
+	nl__operation__free_unpacked(controller->proposals.own[i].operation, NULL);
+	arrdel(controller->proposals.own, i);
 }
 
 /* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader
@@ -226,8 +226,8 @@
 
 void proposals_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->proposals) - 1; i >= 0; i--) {
-		struct controller_proposal *proposal = &controller->proposals[i];
+	for (ptrdiff_t i = arrlen(controller->proposals.own) - 1; i >= 0; i--) {
+		struct controller_proposal *proposal = &controller->proposals.own[i];
 		struct Nl__Propose *q;
 
 		if (proposal_expired(controller, proposal, now, out)) {
@@ -277,8 +277,8 @@
 void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *answer, int64_t now,
 		       struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals); i++) {
-		struct controller_proposal *proposal = &controller->proposals[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++) {
+		struct controller_proposal *proposal = &controller->proposals.own[i];
 		const char *body;
 
 		if (proposal->token != answer->token)
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -17,7 +17,7 @@
 
 static struct Nl__Value **find_feed(struct controller *controller, uint32_t shard)
 {
-	return shard == SHARD_CONTROL                   ? controller->config_purge_feed
+	return shard == SHARD_CONTROL                   ? controller->config.purge_feed
 	       : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed
 							: NULL;
 }
@@ -72,11 +72,12 @@
 		return;
 	config_watch_hint(&controller->config_watch, message->shard, message->addr);
 	/* one batch at a time; what does not fit, the feed will say again */
-	for (size_t i = 0;
-	     i < feed_reply->n_values && (proposed || controller->pending_tick <= controller->declared_tick);
+	for (size_t i = 0; i < feed_reply->n_values &&
+			   (proposed || controller->publisher.pending_tick <= controller->publisher.tick);
 	     i++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
-		uint64_t next = (proposed ? controller->pending_tick : controller->declared_tick) + 1;
+		uint64_t next =
+		    (proposed ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
 
 		if (!feed_reply->values[i]->purge ||
 		    feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
@@ -89,13 +90,13 @@
 		operation.value = feed_reply->values[i];
 		if (!log_operation(controller, SHARD_PURGE, &operation, now, out))
 			break;
-		controller->pending_tick = next;
+		controller->publisher.pending_tick = next;
 		proposed++;
 	}
-	if (controller->pending_tick > controller->declared_tick)
+	if (controller->publisher.pending_tick > controller->publisher.tick)
 		return; /* this feed has not said all yet */
-	if (feed_reply->round > controller->feed_complete_round[message->shard])
-		controller->feed_complete_round[message->shard] = feed_reply->round;
+	if (feed_reply->round > controller->publisher.feed_complete_round[message->shard])
+		controller->publisher.feed_complete_round[message->shard] = feed_reply->round;
 }
 
 static void reserve_ticks(struct controller *controller, int64_t now, struct command_list *out)
@@ -108,7 +109,7 @@
 	operation.body_case = NL__OPERATION__BODY_RESERVE;
 	operation.reserve = &reserve;
 	if (log_operation(controller, SHARD_PURGE, &operation, now, out))
-		controller->reserved_for_ceiling = controller->purge_state.ceiling;
+		controller->publisher.reserved_for_ceiling = controller->purge_state.ceiling;
 }
 
 void publisher_start(struct controller *controller, int64_t now, struct command_list *out)
@@ -125,17 +126,17 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->purge_state.values); i++)
 		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick,
 			      controller->purge_state.values[i], now, out);
-	controller->declared_tick = controller->purge_state.ceiling;
+	controller->publisher.tick = controller->purge_state.ceiling;
 	if (raft_epoch(controller->shards[SHARD_PURGE].term) >
 	    controller->epoch[SHARD_PURGE]) /* the ceiling rises with the first operation */
-		controller->declared_tick += CONTROLLER_RECOVERY_SKIP;
-	relay_publish(relay, relay->knowledge.horizon + 1, controller->declared_tick, NULL, now, out);
-	controller->pending_tick = 0;
-	controller->reserved_for_ceiling = UINT64_MAX;
-	controller->tick_declared_at_ms = now;
+		controller->publisher.tick += CONTROLLER_RECOVERY_SKIP;
+	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.tick, NULL, now, out);
+	controller->publisher.pending_tick = 0;
+	controller->publisher.reserved_for_ceiling = UINT64_MAX;
+	controller->publisher.tick_declared_at_ms = now;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		controller->feed_complete_round[i] = 0;
-	controller->feed_round = 1;
+		controller->publisher.feed_complete_round[i] = 0;
+	controller->publisher.feed_round = 1;
 	reserve_ticks(controller, now, out);
 }
 
@@ -143,23 +144,24 @@
 {
 	int all_complete = 1;
 
-	if (now - controller->feed_polled_at_ms >= CONTROLLER_FEED_POLL_MS) {
-		controller->feed_polled_at_ms = now;
-		controller->feed_round++;
+	if (now - controller->publisher.feed_polled_at_ms >= CONTROLLER_FEED_POLL_MS) {
+		controller->publisher.feed_polled_at_ms = now;
+		controller->publisher.feed_round++;
 		for (uint32_t i = 0; i < SHARD_COUNT; i++) {
 			struct Nl__FeedRequest *feed_ask;
 
 			if (i == SHARD_PURGE)
 				continue;
 			if (i != SHARD_CONTROL &&
-			    controller->feed_round > controller->feed_complete_round[i] + 5 &&
-			    controller->feed_round % 5 == 0)
+			    controller->publisher.feed_round >
+				controller->publisher.feed_complete_round[i] + 5 &&
+			    controller->publisher.feed_round % 5 == 0)
 				config_watch_miss(
 				    &controller->config_watch,
 				    i); /* no word for a while: try another controller, then heed its hint */
 			feed_ask = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			feed_ask->have_index = controller->purge_state.published_index[i];
-			feed_ask->round = controller->feed_round;
+			feed_ask->round = controller->publisher.feed_round;
 			command_send(out,
 				     leads_shard(controller, i, now)
 					 ? out->addr
@@ -168,20 +170,20 @@
 			    ->feed_request = feed_ask;
 		}
 	}
-	if (controller->purge_state.ceiling < controller->declared_tick + PURGE_RESERVED_TICKS / 2 &&
-	    controller->reserved_for_ceiling != controller->purge_state.ceiling)
+	if (controller->purge_state.ceiling < controller->publisher.tick + PURGE_RESERVED_TICKS / 2 &&
+	    controller->publisher.reserved_for_ceiling != controller->purge_state.ceiling)
 		reserve_ticks(controller, now, out);
-	if (now - controller->tick_declared_at_ms < PURGE_TICK_MS ||
-	    controller->pending_tick > controller->declared_tick ||
-	    controller->declared_tick >= controller->purge_state.ceiling)
+	if (now - controller->publisher.tick_declared_at_ms < PURGE_TICK_MS ||
+	    controller->publisher.pending_tick > controller->publisher.tick ||
+	    controller->publisher.tick >= controller->purge_state.ceiling)
 		return;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* silence waits for every feed */
-		all_complete &=
-		    i == SHARD_PURGE || controller->feed_complete_round[i] + 2 >= controller->feed_round;
+		all_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
+							controller->publisher.feed_round;
 	if (!all_complete)
 		return;
-	controller->tick_declared_at_ms = now;
-	controller->declared_tick++;
-	relay_publish(&controller->relay, controller->declared_tick, controller->declared_tick, NULL, now,
+	controller->publisher.tick_declared_at_ms = now;
+	controller->publisher.tick++;
+	relay_publish(&controller->relay, controller->publisher.tick, controller->publisher.tick, NULL, now,
 		      out);
 }
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -10,7 +10,7 @@
 static uint32_t find_limit(const struct controller *controller, const char *name)
 {
 	const struct Nl__Row *row = config_table_get(
-	    &controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
+	    &controller->config.table, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name);
 
 	return row ? row->limit : 0;
 }
@@ -18,8 +18,8 @@
 /* Whether there is such a row at all; one without a limit has 0. */
 static int has_quota_row(const struct controller *controller, const char *name)
 {
-	return config_table_get(&controller->config, strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT,
-				name) != NULL;
+	return config_table_get(&controller->config.table,
+				strchr(name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT, name) != NULL;
 }
 
 /* What the asker may use. Never more than the limit less all that others hold or may believe to hold. What is
@@ -60,9 +60,9 @@
 	struct controller_quota_share *v, grant = { router_id, 0, in_use, 0, now, 0 };
 	ptrdiff_t own = -1;
 
-	if (shgeti(controller->quotas, name) < 0)
-		shput(controller->quotas, name, NULL);
-	v = shget(controller->quotas, name);
+	if (shgeti(controller->quota.limits, name) < 0)
+		shput(controller->quota.limits, name, NULL);
+	v = shget(controller->quota.limits, name);
 	for (ptrdiff_t i = arrlen(v) - 1; i >= 0; i--)
 		if (now - v[i].updated_at_ms > CONTROLLER_QUOTA_LEASE_MS)
 			arrdelswap(v, i);
@@ -73,7 +73,7 @@
 		arrput(v, grant);
 		own = arrlen(v) - 1;
 	}
-	shput(controller->quotas, name, v);
+	shput(controller->quota.limits, name, v);
 	return &v[own];
 }
 
@@ -94,20 +94,20 @@
 /* Where a table has few limits, routers hold some of each ahead: a failover then finds them with places. */
 static void update_reserve_limits(struct controller *controller)
 {
-	if (controller->reserve_limits_revision == controller->config.revision)
+	if (controller->quota.reserve_limits_revision == controller->config.table.revision)
 		return;
-	controller->reserve_limits_revision = controller->config.revision;
-	arrsetlen(controller->reserve_limits, 0);
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		const struct Nl__Row *row = controller->config.rows[i].value.row;
+	controller->quota.reserve_limits_revision = controller->config.table.revision;
+	arrsetlen(controller->quota.reserve_limits, 0);
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
+		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
 
 		if ((row->kind != NL__KIND__TENANT && row->kind != NL__KIND__SHARE) || !row->limit)
 			continue;
-		if (arrlen(controller->reserve_limits) == CONTROLLER_MAX_RESERVE_LIMITS) {
-			arrsetlen(controller->reserve_limits, 0);
+		if (arrlen(controller->quota.reserve_limits) == CONTROLLER_MAX_RESERVE_LIMITS) {
+			arrsetlen(controller->quota.reserve_limits, 0);
 			return;
 		}
-		arrput(controller->reserve_limits, row->name);
+		arrput(controller->quota.reserve_limits, row->name);
 	}
 }
 
@@ -118,14 +118,14 @@
 			 struct command_list *out)
 {
 	/* the members are a fleet's first entry, its first owner's the second: before it nobody gave any */
-	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS &&
+	int new_leader = now - controller->leadership[SHARD_CONTROL].since_ms < CONTROLLER_QUOTA_LEASE_MS &&
 			 controller->shards[SHARD_CONTROL].term_start > 2;
 	uint32_t router_divisor = router_count ? router_count : 1;
 
 	update_reserve_limits(controller);
-	reply->quota_grants =
-	    apr_palloc(out->pool, (sync->n_quota_grants + (size_t)arrlen(controller->reserve_limits) + 1) *
-				      sizeof *reply->quota_grants);
+	reply->quota_grants = apr_palloc(
+	    out->pool, (sync->n_quota_grants + (size_t)arrlen(controller->quota.reserve_limits) + 1) *
+			   sizeof *reply->quota_grants);
 	for (size_t k = 0; k < sync->n_quota_grants; k++) {
 		const struct Nl__QuotaGrant *hold = sync->quota_grants[k];
 		uint32_t limit = find_limit(controller, hold->name), granted,
@@ -141,7 +141,7 @@
 			grant->reserved = in_use;
 		grant->requested = hold->requested_slots;
 		grant->updated_at_ms = now;
-		granted = compute_share(shget(controller->quotas, hold->name), grant, hold->name, limit,
+		granted = compute_share(shget(controller->quota.limits, hold->name), grant, hold->name, limit,
 					limit / router_divisor / 4, now);
 		if (new_leader && granted > hold->reserved_slots)
 			granted = hold->reserved_slots < limit ? hold->reserved_slots : limit;
@@ -149,31 +149,32 @@
 			grant->last_granted_at_ms = now;
 		reply_share(grant, hold->name, granted, sync->token, reply, out);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->reserve_limits) && sync->is_router && !new_leader; i++) {
-		uint32_t limit = find_limit(controller, controller->reserve_limits[i]), granted;
+	for (ptrdiff_t i = 0; i < arrlen(controller->quota.reserve_limits) && sync->is_router && !new_leader;
+	     i++) {
+		uint32_t limit = find_limit(controller, controller->quota.reserve_limits[i]), granted;
 		struct controller_quota_share *grant;
 		int requested = 0;
 
 		for (size_t k = 0; k < sync->n_quota_grants && !requested; k++)
-			requested = !strcmp(sync->quota_grants[k]->name, controller->reserve_limits[i]);
+			requested = !strcmp(sync->quota_grants[k]->name, controller->quota.reserve_limits[i]);
 		if (requested || limit < 4 * router_divisor)
 			continue;
-		grant = find_share(controller, controller->reserve_limits[i], router_id, 0, now);
+		grant = find_share(controller, controller->quota.reserve_limits[i], router_id, 0, now);
 		grant->updated_at_ms = now;
 		grant->requested = 0;
 		if (sync->applied_token >= grant->reply_token)
 			grant->reserved = 0;
-		granted =
-		    compute_share(shget(controller->quotas, controller->reserve_limits[i]), grant,
-				  controller->reserve_limits[i], limit, limit / router_divisor / 4, now);
-		reply_share(grant, controller->reserve_limits[i], granted, sync->token, reply, out);
+		granted = compute_share(shget(controller->quota.limits, controller->quota.reserve_limits[i]),
+					grant, controller->quota.reserve_limits[i], limit,
+					limit / router_divisor / 4, now);
+		reply_share(grant, controller->quota.reserve_limits[i], granted, sync->token, reply, out);
 	}
 }
 
 void quota_shares_clear(struct controller *controller)
 {
-	for (ptrdiff_t i = 0; i < shlen(controller->quotas); i++)
-		arrfree(controller->quotas[i].value);
-	shfree(controller->quotas);
-	sh_new_strdup(controller->quotas);
+	for (ptrdiff_t i = 0; i < shlen(controller->quota.limits); i++)
+		arrfree(controller->quota.limits[i].value);
+	shfree(controller->quota.limits);
+	sh_new_strdup(controller->quota.limits);
 }
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -229,20 +229,20 @@
 
 	if (!purge_run->wide)
 		(void)retention_parse_scope(purge_run->scope, lane, tenant);
-	row = lane[0] ? config_table_get(&controller->config, NL__KIND__ROUTE, lane) : NULL;
+	row = lane[0] ? config_table_get(&controller->config.table, NL__KIND__ROUTE, lane) : NULL;
 	p.reason = PURGE_CONTEXT;
 	p.route = lane;
 	p.tenant = tenant;
 	p.service = row ? row->service : (char *)"";
 	p.purge_number = purge_run->purge_number;
 	p.slice = purge_run->slices++;
-	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1;
-	     i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
+	for (ptrdiff_t i = arrlen(controller->config.purge_feed) - 1;
+	     i >= 0 && controller->config.purge_feed[i]->index >> 16 == index; i--)
 		n++;
 	value.feed = SHARD_CONTROL;
 	value.index = index << 16 | n;
 	value.purge = &p;
-	arrput(controller->config_purge_feed, value_copy(&value));
+	arrput(controller->config.purge_feed, value_copy(&value));
 }
 
 static void begin(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *c,
@@ -285,7 +285,8 @@
 	struct retention *retention = &controller->retention;
 	struct Nl__RetentionPlan *plan = find_plan(retention, clear->scope);
 	struct Nl__RetentionPurge *purge = find_purge(retention, clear->purge_number);
-	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, clear->scope);
+	const struct Nl__Row *row =
+	    config_table_get(&controller->config.table, NL__KIND__RETENTION, clear->scope);
 
 	switch (clear->step) {
 	case NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN:
@@ -338,16 +339,16 @@
 	if (!arrlen(retention->plans)) {
 		ptrdiff_t i = 0;
 
-		while (i < shlen(controller->config.rows) &&
-		       controller->config.rows[i].value.row->kind != NL__KIND__RETENTION)
+		while (i < shlen(controller->config.table.rows) &&
+		       controller->config.table.rows[i].value.row->kind != NL__KIND__RETENTION)
 			i++;
-		if (i == shlen(controller->config.rows))
+		if (i == shlen(controller->config.table.rows))
 			return;
 	}
 	apr_pool_create(&p, NULL);
 	for (ptrdiff_t i = arrlen(retention->plans) - 1; i >= 0; i--) {
-		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, retention->plans[i]->scope);
+		const struct Nl__Row *row = config_table_get(&controller->config.table, NL__KIND__RETENTION,
+							     retention->plans[i]->scope);
 
 		if (row && !strcmp(setting_text(row, p), retention->plans[i]->text))
 			continue;
@@ -366,8 +367,8 @@
 		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
 		arrdel(retention->plans, i);
 	}
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		const struct Nl__Row *row = controller->config.rows[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
+		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
 		struct Nl__RetentionPlan n = NL__RETENTION_PLAN__INIT;
 		ptrdiff_t k = arrlen(retention->plans);
 
@@ -447,16 +448,16 @@
 
 		if (!p->members[i].voter)
 			continue;
-		if (p->members[i].id == controller->id)
-			wall_ms = controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
+		if (p->members[i].id == controller->identity.id)
+			wall_ms = controller->clocks.wall_ms ? controller->clocks.wall_ms : INT64_MIN;
 		else
-			for (ptrdiff_t s = 0; s < arrlen(controller->node_statuses); s++)
-				if (controller->node_statuses[s].id == p->members[i].id &&
-				    controller->node_statuses[s].wall_clock_ms &&
-				    now - controller->node_statuses[s].observed_at_ms <=
+			for (ptrdiff_t s = 0; s < arrlen(controller->membership.nodes); s++)
+				if (controller->membership.nodes[s].id == p->members[i].id &&
+				    controller->membership.nodes[s].wall_clock_ms &&
+				    now - controller->membership.nodes[s].observed_at_ms <=
 					CONTROLLER_NODE_LIVE_MS)
-					wall_ms = controller->node_statuses[s].wall_clock_ms +
-						  (now - controller->node_statuses[s].observed_at_ms);
+					wall_ms = controller->membership.nodes[s].wall_clock_ms +
+						  (now - controller->membership.nodes[s].observed_at_ms);
 		for (; k && clocks[k - 1] < wall_ms; k--)
 			clocks[k] = clocks[k - 1];
 		clocks[k] = wall_ms;
@@ -485,7 +486,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
 		struct Nl__RetentionPlan *p = controller->retention.plans[i];
 		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, p->scope);
+		    config_table_get(&controller->config.table, NL__KIND__RETENTION, p->scope);
 		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
 
 		if (!row || (p->due_at_ms && p->due_at_ms > wall))
@@ -501,16 +502,17 @@
 				    controller->retention.purges[k]->decided_at_ms < wall)
 					base = controller->retention.purges[k]->decided_at_ms;
 			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
-			clear.next_due_at_ms = retention_next_due(controller->calendar, row, base, wall);
+			clear.next_due_at_ms =
+			    retention_next_due(controller->adapters.calendar, row, base, wall);
 		} else {
 			int64_t next = p->due_at_ms;
 
 			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
 			clear.due_at_ms = p->due_at_ms;
 			clear.next_due_at_ms =
-			    retention_next_due(controller->calendar, row, p->due_at_ms, wall);
+			    retention_next_due(controller->adapters.calendar, row, p->due_at_ms, wall);
 			while (clear.missed < 1000 &&
-			       (next = retention_next_due(controller->calendar, row, next, next)) &&
+			       (next = retention_next_due(controller->adapters.calendar, row, next, next)) &&
 			       next <= wall)
 				clear.missed++;
 		}
@@ -528,10 +530,10 @@
 
 static int calm(const struct controller *controller, int64_t now)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
-		    controller->node_statuses[i].load_pressure > RETENTION_MAX_PRESSURE)
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
+		if (controller->membership.nodes[i].is_router &&
+		    now - controller->membership.nodes[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
+		    controller->membership.nodes[i].load_pressure > RETENTION_MAX_PRESSURE)
 			return 0;
 	return 1;
 }
@@ -629,12 +631,12 @@
 			MISS("slice %u is not published yet", (unsigned)k);
 		tick = published_tick > tick ? published_tick : tick;
 	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
-		    controller->node_statuses[i].horizon < tick)
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
+		if (controller->membership.nodes[i].is_router &&
+		    now - controller->membership.nodes[i].observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
+		    controller->membership.nodes[i].horizon < tick)
 			MISS("counter %s has not heard of it yet; it routes cold",
-			     core_format_addr(p, controller->node_statuses[i].addr));
+			     core_format_addr(p, controller->membership.nodes[i].addr));
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
 		const struct retention_index_report *retention_said = &controller->retention.index_reports[i];
 
@@ -659,7 +661,7 @@
 static int done(struct controller *r, int64_t wall, int64_t now, struct command_list *out)
 {
 	if (now - r->retention.checked_at_ms < RETENTION_CHECK_MS ||
-	    now - r->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
+	    now - r->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new owner hears all nodes first */
 	r->retention.checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(r->retention.purges); i++) {
@@ -755,17 +757,18 @@
 		uint64_t cleared = service              ? service->purged_tick
 				   : i == SHARD_CONTROL ? controller->retention.purged_tick
 							: controller->purge_state.purged_tick;
-		int compact = service && !service->is_compacted && service->purged_tick &&
-			      service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[i]) >
-				  service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
+		int compact =
+		    service && !service->is_compacted && service->purged_tick &&
+		    service->clock_ms + (uint64_t)(now - controller->leadership[i].clock_advanced_at_ms) >
+			service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
 
 		if (!leads_shard(controller, i, now) ||
-		    now - controller->compaction_checked_at_ms[i] < RETENTION_TRIM_MS ||
+		    now - controller->compaction[i].checked_at_ms < RETENTION_TRIM_MS ||
 		    (tick <= cleared && !compact))
 			continue;
-		controller->compaction_checked_at_ms[i] = now;
+		controller->compaction[i].checked_at_ms = now;
 		trim.purged_tick = tick;
 		trim.compacted = compact;
 		operation.body_case = NL__OPERATION__BODY_TRIM;
@@ -796,7 +799,7 @@
 	add_number(json, "wall",
 		   is_leader && retention_wall_clock(controller, now) != INT64_MIN
 		       ? retention_wall_clock(controller, now)
-		       : controller->wall_clock_ms);
+		       : controller->clocks.wall_ms);
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
 		struct json_object *x = json_object_new_object();
 
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -10,9 +10,9 @@
 
 static struct controller_server *server_of(struct controller *controller, const char *name)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++)
-		if (!strcmp(controller->rollout_servers[i].name, name))
-			return &controller->rollout_servers[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
+		if (!strcmp(controller->server_rollout.servers[i].name, name))
+			return &controller->server_rollout.servers[i];
 	return NULL;
 }
 
@@ -33,12 +33,12 @@
 static void order(struct controller *r, struct controller_server *server, uint32_t part, const char *addr,
 		  struct json_object *what, int64_t now, struct command_list *out)
 {
-	uint64_t fence = r->shards[part].term << 20 | (++r->load_command_sequence & 0xfffff);
+	uint64_t fence = r->shards[part].term << 20 | (++r->server_rollout.command_sequence & 0xfffff);
 
 	json_object_object_add(what, "fence", json_object_new_int64((int64_t)fence));
 	json_object_object_add(
 	    what, "giver",
-	    json_object_new_string(apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, r->id)));
+	    json_object_new_string(apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, r->identity.id)));
 	call(0, addr, "/v1/order",
 	     apr_pstrdup(out->pool, json_object_to_json_string_ext(what, JSON_C_TO_STRING_PLAIN)),
 	     r->shards[part].lease_expires_at_ms, out);
@@ -77,7 +77,7 @@
 								       the horizon at the look */
 		json_object_put(drop);
 	} else if (leads_shard(controller, part, now) &&
-		   now - controller->leader_since_ms[part] >= CONTROLLER_ROLLOUT_HOLD_OFF_MS &&
+		   now - controller->leadership[part].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS &&
 		   relay_is_current(&controller->relay, now)) {
 		struct json_object *command = json_object_new_object();
 
@@ -103,13 +103,13 @@
 		server.name = strdup(row->name);
 		server.service = strdup(row->service);
 		server.reported_at_ms = now;
-		arrput(controller->rollout_servers, server);
-		s = &arrlast(controller->rollout_servers);
+		arrput(controller->server_rollout.servers, server);
+		s = &arrlast(controller->server_rollout.servers);
 	}
 	if (now - s->polled_at_ms < CONTROLLER_REPORT_POLL_MS)
 		return;
 	s->polled_at_ms = now;
-	s->call_token = ++controller->last_token;
+	s->call_token = ++controller->identity.last_token;
 	s->requested_purge_tick = controller->relay.knowledge.horizon;
 	call(s->call_token, apr_pstrdup(out->pool, row->addr), "/v1/report", NULL, now + 400, out);
 }
@@ -136,17 +136,19 @@
 
 		if (row->kind != NL__KIND__SERVICE)
 			continue;
-		k = shgeti(controller->target_weights, row->name);
-		if (k >= 0 && !strcmp(controller->target_weights[k].value.weights, row->target_weights))
+		k = shgeti(controller->server_rollout.targets, row->name);
+		if (k >= 0 &&
+		    !strcmp(controller->server_rollout.targets[k].value.weights, row->target_weights))
 			continue;
-		unrolled_since_ms = k >= 0 && !is_rolled_out(controller, row->name,
-							     controller->target_weights[k].value.weights)
-					? controller->target_weights[k].value.incomplete_since_ms
-					: last_unchanged_ms;
+		unrolled_since_ms =
+		    k >= 0 && !is_rolled_out(controller, row->name,
+					     controller->server_rollout.targets[k].value.weights)
+			? controller->server_rollout.targets[k].value.incomplete_since_ms
+			: last_unchanged_ms;
 		if (k >= 0)
-			free(controller->target_weights[k].value.weights);
-		shput(controller->target_weights, row->name,
-		      ((typeof(controller->target_weights->value)){
+			free(controller->server_rollout.targets[k].value.weights);
+		shput(controller->server_rollout.targets, row->name,
+		      ((typeof(controller->server_rollout.targets->value)){
 			  strdup(row->target_weights), last_unchanged_ms, unrolled_since_ms, 0 }));
 	}
 }
@@ -162,9 +164,9 @@
 	int third = (server_count + 2) / 3;
 
 	if (!target->rollout_started_at_ms ||
-	    target->rollout_started_at_ms < controller->leader_since_ms[part])
+	    target->rollout_started_at_ms < controller->leadership[part].since_ms)
 		target->rollout_started_at_ms = now;
-	if (controller->leader_since_ms[part] <= target->incomplete_since_ms)
+	if (controller->leadership[part].since_ms <= target->incomplete_since_ms)
 		deadline_ms -= CONTROLLER_FAILOVER_MS;
 	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
 		return server_count;
@@ -178,8 +180,8 @@
 		 struct command_list *out)
 {
 	struct controller_service_state *c = service_shard_state(controller, part);
-	typeof(controller->target_weights->value) *m =
-	    &shgetp(controller->target_weights, service->name)->value;
+	typeof(controller->server_rollout.targets->value) *m =
+	    &shgetp(controller->server_rollout.targets, service->name)->value;
 	int n = 0, loading = 0, on = 0, room, more;
 	ptrdiff_t was;
 
@@ -261,7 +263,7 @@
 			    core_shard_of(row->service, SHARD_SERVICES) == part)
 				look_at(controller, row, now, out);
 		}
-		if (now - controller->leader_since_ms[part] < CONTROLLER_ROLLOUT_HOLD_OFF_MS)
+		if (now - controller->leadership[part].since_ms < CONTROLLER_ROLLOUT_HOLD_OFF_MS)
 			continue; /* the last rollout's orders must have had time to end */
 		for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
 			const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -81,8 +81,8 @@
 /* What is learnt of each model's loads has a place from its first naming on. */
 static void add_models(struct controller *controller)
 {
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		const struct Nl__Row *row = controller->config.rows[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
+		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
 		struct rollout_pace empty = { 0, 0, 0, 0, 0, 0, 0, 0 };
 
 		if (row->kind == NL__KIND__MODEL && shgeti(controller->rollout.models, row->name) < 0)
@@ -110,7 +110,7 @@
 {
 	const struct Nl__Row *service =
 	    instance->state == INSTANCE_SERVING
-		? config_table_get(&controller->config, NL__KIND__SERVICE, instance->service)
+		? config_table_get(&controller->config.table, NL__KIND__SERVICE, instance->service)
 		: NULL;
 
 	return service && service->model[0] ? service->model : NULL;
@@ -218,7 +218,7 @@
 	}
 	set_target(server, target_weights);
 	server->state = ROLLOUT_COMMANDED;
-	server->command_token = ++controller->last_token;
+	server->command_token = ++controller->identity.last_token;
 	server->commanded_at_ms = now;
 	command = command_add(out, CMD_LOAD_WEIGHTS);
 	command->args.load_weights.token = server->command_token;
@@ -229,7 +229,7 @@
 	command->args.load_weights.model = apr_pstrdup(out->pool, model);
 	command->args.load_weights.weights = apr_pstrdup(out->pool, server->target_weights);
 	command->args.load_weights.lease_holder =
-	    apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, controller->id);
+	    apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
 	command->args.load_weights.not_after_ms = not_after_ms;
 	command->args.load_weights.during_requests =
 	    mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN);
@@ -249,7 +249,7 @@
 	if (now - server->polled_at_ms < ROLLOUT_POLL_MS || now - server->commanded_at_ms < load * 4 / 5 ||
 	    (server->poll_token && now - server->polled_at_ms < ROLLOUT_REPLY_TIMEOUT_MS))
 		return;
-	server->poll_token = ++r->last_token;
+	server->poll_token = ++r->identity.last_token;
 	server->polled_at_ms = now;
 	c = command_add(out, CMD_POLL_REPORT);
 	c->args.poll_report.token = server->poll_token;
@@ -523,18 +523,18 @@
 		arrdelswap(controller->rollout.servers, i);
 	}
 	instances_tick(&controller->instances, poll_fast, controller->bounds.list_calls_millihertz,
-		       ++controller->last_token, now, out);
+		       ++controller->identity.last_token, now, out);
 	if (!controller->instances.is_publishable ||
 	    (controller->rollout.done_stamp == controller->instances.stamp &&
-	     controller->rollout.done_revision == controller->config.revision))
+	     controller->rollout.done_revision == controller->config.table.revision))
 		return;
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++)
-		if (controller->config.rows[i].value.row->kind == NL__KIND__MODEL)
+	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++)
+		if (controller->config.table.rows[i].value.row->kind == NL__KIND__MODEL)
 			all_done &=
-			    roll_out_model(controller, controller->config.rows[i].value.row, now, out);
+			    roll_out_model(controller, controller->config.table.rows[i].value.row, now, out);
 	if (all_done) { /* until something is seen or named */
 		controller->rollout.done_stamp = controller->instances.stamp;
-		controller->rollout.done_revision = controller->config.revision;
+		controller->rollout.done_revision = controller->config.table.revision;
 	}
 }
 
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -68,7 +68,7 @@
 	    version_history_after(model, strtoull(weights, NULL, 10));
 
 	return next_version ? (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms -
-				  controller->group_clock_offset_ms
+				  controller->clocks.group_offset_ms
 			    : INT64_MIN;
 }
 
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -17,14 +17,14 @@
 {
 	struct Nl__ControlState state = NL__CONTROL_STATE__INIT;
 	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
-	struct config_table_row *row = controller->config.rows;
+	struct config_table_row *row = controller->config.table.rows;
 	char **key = apr_palloc(pool, ((size_t)shlen(row) + 1) * sizeof *key);
 
-	config_table_since(&controller->config, 0, &all, pool);
-	state.fleet_id = controller->fleet;
-	state.revision = controller->config.revision;
-	state.operator_revision = controller->config.operator_revision;
-	state.group_clock_ms = controller->config.clock.at_ms;
+	config_table_since(&controller->config.table, 0, &all, pool);
+	state.fleet_id = controller->identity.fleet;
+	state.revision = controller->config.table.revision;
+	state.operator_revision = controller->config.table.operator_revision;
+	state.group_clock_ms = controller->config.table.clock.at_ms;
 	state.rows = all.set;
 	state.n_rows = all.n_set;
 	for (size_t i = 0; i < state.n_rows; i++) /* in order, so that equal states pack alike */
@@ -32,21 +32,21 @@
 	qsort(key, state.n_rows, sizeof *key, compare_keys);
 	for (size_t i = 0; i < state.n_rows; i++)
 		state.rows[i] = shget(row, key[i]).row;
-	state.feed = controller->config_purge_feed;
-	state.n_feed = (size_t)arrlen(controller->config_purge_feed);
-	state.n_completed = (size_t)arrlen(controller->done_operations);
+	state.feed = controller->config.purge_feed;
+	state.n_feed = (size_t)arrlen(controller->config.purge_feed);
+	state.n_completed = (size_t)arrlen(controller->config.done_operations);
 	state.completed = apr_palloc(pool, (state.n_completed + 1) * sizeof *state.completed);
 	for (size_t i = 0; i < state.n_completed; i++) {
 		state.completed[i] = apr_palloc(pool, sizeof *state.completed[i]);
 		nl__completed_operation__init(state.completed[i]);
-		state.completed[i]->from = controller->done_operations[i].from;
-		state.completed[i]->token = controller->done_operations[i].token;
-		state.completed[i]->status = controller->done_operations[i].status;
+		state.completed[i]->from = controller->config.done_operations[i].from;
+		state.completed[i]->token = controller->config.done_operations[i].token;
+		state.completed[i]->status = controller->config.done_operations[i].status;
 	}
-	state.document.data = controller->document;
-	state.document.len = controller->document_bytes;
-	state.document_version = controller->document_version;
-	idempotency_log_pack(&controller->accepted_requests, &state, pool);
+	state.document.data = controller->config.document;
+	state.document.len = controller->config.document_bytes;
+	state.document_version = controller->config.document_version;
+	idempotency_log_pack(&controller->config.accepted_requests, &state, pool);
 	retention_pack(controller, &state);
 	return core_pack_message(pool, &state.base, size);
 }
@@ -168,13 +168,13 @@
 		    pool, &nl__control_state__descriptor, raft->snapshot_len, raft->snapshot_data);
 		struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 
-		config_table_close(&controller->config);
-		config_table_open(&controller->config);
-		arrsetlen(controller->reserve_limits, 0); /* its names were that table's */
-		controller->reserve_limits_revision = 0;
-		free_values(&controller->config_purge_feed);
-		arrsetlen(controller->done_operations, 0);
-		idempotency_log_load(&controller->accepted_requests, s);
+		config_table_close(&controller->config.table);
+		config_table_open(&controller->config.table);
+		arrsetlen(controller->quota.reserve_limits, 0); /* its names were that table's */
+		controller->quota.reserve_limits_revision = 0;
+		free_values(&controller->config.purge_feed);
+		arrsetlen(controller->config.done_operations, 0);
+		idempotency_log_load(&controller->config.accepted_requests, s);
 		retention_load(controller, s);
 		store_document(controller, s ? s->document.data : NULL, s ? s->document.len : 0,
 			       s ? s->document_version : 0);
@@ -185,18 +185,18 @@
 									     s->completed[i]->token,
 									     s->completed[i]->status };
 
-			arrput(controller->done_operations, controller_done);
+			arrput(controller->config.done_operations, controller_done);
 		}
 		all.full = 1;
 		all.revision = s->revision;
 		all.set = s->rows;
 		all.n_set = s->n_rows;
-		(void)config_table_follow(&controller->config, &all);
-		controller->config.operator_revision = s->operator_revision;
-		controller->config.clock.at_ms = s->group_clock_ms;
-		controller->config.floor_revision = s->revision;
+		(void)config_table_follow(&controller->config.table, &all);
+		controller->config.table.operator_revision = s->operator_revision;
+		controller->config.table.clock.at_ms = s->group_clock_ms;
+		controller->config.table.floor_revision = s->revision;
 		for (size_t i = 0; i < s->n_feed; i++)
-			arrput(controller->config_purge_feed, value_copy(s->feed[i]));
+			arrput(controller->config.purge_feed, value_copy(s->feed[i]));
 	} else if (shard == SHARD_PURGE) {
 		struct Nl__PurgeState *s = (struct Nl__PurgeState *)core_unpack_message(
 		    pool, &nl__purge_state__descriptor, raft->snapshot_len, raft->snapshot_data);
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -30,10 +30,10 @@
 const struct controller_done_operation *find_done_operation(const struct controller *controller,
 							    uint64_t from, uint64_t token)
 {
-	for (ptrdiff_t i = arrlen(controller->done_operations) - 1; i >= 0; i--)
-		if (controller->done_operations[i].from == from &&
-		    controller->done_operations[i].token == token)
-			return &controller->done_operations[i];
+	for (ptrdiff_t i = arrlen(controller->config.done_operations) - 1; i >= 0; i--)
+		if (controller->config.done_operations[i].from == from &&
+		    controller->config.done_operations[i].token == token)
+			return &controller->config.done_operations[i];
 	return NULL;
 }
 
@@ -45,15 +45,15 @@
 
 void store_document(struct controller *controller, const uint8_t *data, size_t size, uint64_t version)
 {
-	free(controller->document);
-	controller->document = malloc(size + 1);
-	if (!controller->document)
+	free(controller->config.document);
+	controller->config.document = malloc(size + 1);
+	if (!controller->config.document)
 		abort();
 	if (size)
-		memcpy(controller->document, data, size);
-	controller->document[size] = 0;
-	controller->document_bytes = size;
-	controller->document_version = version;
+		memcpy(controller->config.document, data, size);
+	controller->config.document[size] = 0;
+	controller->config.document_bytes = size;
+	controller->config.document_version = version;
 }
 
 /* A document is taken in the log's order: one built on another version is late. */
@@ -62,11 +62,11 @@
 {
 	int status;
 
-	if (change->document_base_version != controller->document_version)
+	if (change->document_base_version != controller->config.document_version)
 		return PROPOSAL_SUPERSEDED;
-	if (change->document_version <= controller->document_version)
+	if (change->document_version <= controller->config.document_version)
 		return PROPOSAL_REJECTED;
-	status = config_table_apply(&controller->config, change, feed);
+	status = config_table_apply(&controller->config.table, change, feed);
 	if (status != PROPOSAL_DONE)
 		return status;
 	store_document(controller, change->document.data, change->document.len, change->document_version);
@@ -86,7 +86,7 @@
 	struct Nl__Purge **purge = NULL;
 	struct request_key request_key = request_key_unpack(operation->request_key);
 	const struct idempotency_record *accepted =
-	    idempotency_log_find(&controller->accepted_requests, &request_key);
+	    idempotency_log_find(&controller->config.accepted_requests, &request_key);
 	int document = operation->change->document_version != 0, status;
 
 	if (old)
@@ -94,19 +94,20 @@
 	if (accepted)
 		return repeated_request_status(accepted, &request_key);
 	status = document ? apply_document(controller, operation->change, &purge)
-			  : config_table_apply(&controller->config, operation->change, &purge);
+			  : config_table_apply(&controller->config.table, operation->change, &purge);
 	if (status == PROPOSAL_DONE)
-		idempotency_log_add(&controller->accepted_requests, &request_key,
+		idempotency_log_add(&controller->config.accepted_requests, &request_key,
 				    document ? SERIES_DOCUMENTS : SERIES_CHANGES,
-				    document ? controller->document_version : controller->config.revision);
+				    document ? controller->config.document_version
+					     : controller->config.table.revision);
 	controller_done.status = (uint32_t)status;
 	if (controller_done.from)
-		arrput(controller->done_operations, controller_done);
-	if (arrlen(controller->done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
-		arrdel(controller->done_operations, 0);
+		arrput(controller->config.done_operations, controller_done);
+	if (arrlen(controller->config.done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
+		arrdel(controller->config.done_operations, 0);
 
 	for (ptrdiff_t i = 0; i < arrlen(purge); i++) {
-		append_to_feed(&controller->config_purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i,
+		append_to_feed(&controller->config.purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i,
 			       purge[i]);
 		nl__purge__free_unpacked(purge[i], NULL);
 	}
@@ -127,7 +128,7 @@
 	struct controller_done_operation controller_done = { operation->requester_id, operation->token, 0 };
 	struct request_key request_key = request_key_unpack(operation->request_key);
 	const struct idempotency_record *accepted =
-	    idempotency_log_find(&controller->accepted_requests, &request_key);
+	    idempotency_log_find(&controller->config.accepted_requests, &request_key);
 
 	if (old)
 		return old->status;
@@ -135,12 +136,12 @@
 		return repeated_request_status(accepted, &request_key);
 	controller_done.status = retention_apply(controller, index, operation->retention_step);
 	if (controller_done.status == PROPOSAL_DONE)
-		idempotency_log_add(&controller->accepted_requests, &request_key, SERIES_UNVERSIONED,
-				    controller->config.revision);
+		idempotency_log_add(&controller->config.accepted_requests, &request_key, SERIES_UNVERSIONED,
+				    controller->config.table.revision);
 	if (controller_done.from)
-		arrput(controller->done_operations, controller_done);
-	if (arrlen(controller->done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
-		arrdel(controller->done_operations, 0);
+		arrput(controller->config.done_operations, controller_done);
+	if (arrlen(controller->config.done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
+		arrdel(controller->config.done_operations, 0);
 	return controller_done.status;
 }
 
@@ -162,7 +163,7 @@
 		service->is_compacted = 1;
 	}
 	*purged_tick = trim->purged_tick > *purged_tick ? trim->purged_tick : *purged_tick;
-	controller->snapshot_needed[shard] = 1;
+	controller->compaction[shard].snapshot_needed = 1;
 }
 
 static uint32_t apply_claim(struct controller_service_state *service, const struct Nl__Claim *claim,
@@ -237,16 +238,16 @@
 	}
 	if (controller->relay.is_publisher &&
 	    value->tick >
-		controller->declared_tick) { /* logged, so it may go out: value and silence before it */
-		relay_publish(&controller->relay, controller->declared_tick + 1, value->tick,
+		controller->publisher.tick) { /* logged, so it may go out: value and silence before it */
+		relay_publish(&controller->relay, controller->publisher.tick + 1, value->tick,
 			      is_new ? value : NULL, now, out);
-		controller->declared_tick = value->tick;
-		if (controller->pending_tick <= controller->declared_tick &&
-		    controller->declared_tick <
+		controller->publisher.tick = value->tick;
+		if (controller->publisher.pending_tick <= controller->publisher.tick &&
+		    controller->publisher.tick <
 			controller_pub->ceiling) { /* and one tick of silence after it */
-			controller->declared_tick++;
-			relay_publish(&controller->relay, controller->declared_tick,
-				      controller->declared_tick, NULL, now, out);
+			controller->publisher.tick++;
+			relay_publish(&controller->relay, controller->publisher.tick,
+				      controller->publisher.tick, NULL, now, out);
 		}
 	}
 }
@@ -274,9 +275,9 @@
 		return;
 	controller->epoch[shard] = epoch;
 	if (shard == SHARD_CONTROL) { /* every node takes the table whole */
-		controller->config.revision += CONTROLLER_RECOVERY_SKIP;
-		controller->config.floor_revision = controller->config.operator_revision =
-		    controller->config.revision;
+		controller->config.table.revision += CONTROLLER_RECOVERY_SKIP;
+		controller->config.table.floor_revision = controller->config.table.operator_revision =
+		    controller->config.table.revision;
 	}
 	if (shard == SHARD_PURGE)
 		controller->purge_state.ceiling += CONTROLLER_RECOVERY_SKIP;
@@ -297,10 +298,10 @@
 	if (operation && service_shard_state(controller, shard))
 		service_shard_state(controller, shard)->clock_ms += operation->group_clock_ms;
 	if (operation && shard == SHARD_CONTROL)
-		controller->config.clock =
-		    (struct group_moment){ operation->logged_at_ms > controller->config.clock.at_ms
+		controller->config.table.clock =
+		    (struct group_moment){ operation->logged_at_ms > controller->config.table.clock.at_ms
 					       ? operation->logged_at_ms
-					       : controller->config.clock.at_ms,
+					       : controller->config.table.clock.at_ms,
 					   entry->term };
 	if (operation)
 		switch (operation->body_case) {
@@ -337,7 +338,7 @@
 		case NL__OPERATION__BODY_TRIM:
 			if (shard != SHARD_PURGE)
 				trim_feed(shard == SHARD_CONTROL
-					      ? &controller->config_purge_feed
+					      ? &controller->config.purge_feed
 					      : &service_shard_state(controller, shard)->purge_feed,
 					  operation->trim->feed);
 			if (operation->trim->purged_tick)
@@ -351,6 +352,7 @@
 		default:
 			break;
 		}
-	accepted = idempotency_log_find(&controller->accepted_requests, &request_key);
-	return (struct apply_result){ status, accepted ? accepted->version : controller->config.revision };
+	accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key);
+	return (struct apply_result){ status,
+				      accepted ? accepted->version : controller->config.table.revision };
 }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -478,11 +478,11 @@
 		sim_violation(
 		    sim,
 		    "controller %d: operators' calls: %llu read, %llu answered, %llu refused, %llu unknown, %llu gone, %llu open",
-		    i, (unsigned long long)node->controller->operator_calls.read,
-		    (unsigned long long)node->controller->operator_calls.answered,
-		    (unsigned long long)node->controller->operator_calls.rejected,
-		    (unsigned long long)node->controller->operator_calls.unknown,
-		    (unsigned long long)node->controller->operator_calls.disconnected,
+		    i, (unsigned long long)node->controller->operators.calls.read,
+		    (unsigned long long)node->controller->operators.calls.answered,
+		    (unsigned long long)node->controller->operators.calls.rejected,
+		    (unsigned long long)node->controller->operators.calls.unknown,
+		    (unsigned long long)node->controller->operators.calls.disconnected,
 		    (unsigned long long)operator_calls_open(node->controller));
 }
 
@@ -1501,12 +1501,12 @@
 {
 	struct sim_node *node = &sim->nodes[i];
 
-	node->controller->wall_clock_ms =
+	node->controller->clocks.wall_ms =
 	    sim->wall_clock_epoch_ms ? sim->wall_clock_epoch_ms + sim->now + node->wall_clock_offset_ms : 0;
 	controller_step(node->controller, input, local(sim, node), &node->commands);
-	if (node->controller->fleet_dirty) {
-		node->disk.fleet = node->controller->fleet;
-		node->controller->fleet_dirty = 0;
+	if (node->controller->identity.fleet_dirty) {
+		node->disk.fleet = node->controller->identity.fleet;
+		node->controller->identity.fleet_dirty = 0;
 	}
 	perform(sim, i);
 	check_node(sim, i);
@@ -1857,8 +1857,8 @@
 	controller_open(node->controller, node->id, node->addr, node->zone, seeds, nseeds, node->disk.fleet,
 			core_random(&sim->rng), psv, local(sim, node));
 	node->controller->bounds = sim->bounds;
-	node->controller->codec = sim->codec;
-	node->controller->calendar = sim->calendar;
+	node->controller->adapters.codec = sim->codec;
+	node->controller->adapters.calendar = sim->calendar;
 	if (sim->replica_count)
 		node->controller->bounds.replicas = sim->replica_count;
 	if (sim->catch_up_ms)
@@ -2193,7 +2193,7 @@
 		if (at >= 0) {
 			struct sim_event input = { .at = sim->now, .kind = SIM_MSG, .node = at };
 
-			message.fleet_id = sim->nodes[at].controller->fleet;
+			message.fleet_id = sim->nodes[at].controller->identity.fleet;
 			input.data_len = nl__msg__get_packed_size(&message);
 			input.data = malloc(input.data_len + 1);
 			nl__msg__pack(&message, input.data);
@@ -2203,11 +2203,12 @@
 			if (!sim_run(sim, 5, NULL))
 				return 0;
 			for (int i = 0; i < SIM_CONTROLLERS; i++)
-				for (ptrdiff_t d = 0; sim->nodes[i].up && sim->nodes[i].controller &&
-						      d < arrlen(sim->nodes[i].controller->done_operations);
+				for (ptrdiff_t d = 0;
+				     sim->nodes[i].up && sim->nodes[i].controller &&
+				     d < arrlen(sim->nodes[i].controller->config.done_operations);
 				     d++)
-					if (sim->nodes[i].controller->done_operations[d].from == 77 &&
-					    sim->nodes[i].controller->done_operations[d].token ==
+					if (sim->nodes[i].controller->config.done_operations[d].from == 77 &&
+					    sim->nodes[i].controller->config.done_operations[d].token ==
 						operation.token)
 						return 1;
 		}
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -77,7 +77,7 @@
 {
 	struct Nl__Msg *message = command->args.send.msg;
 
-	if (command->args.send.addr == world->controller.addr)
+	if (command->args.send.addr == world->controller.identity.addr)
 		arrput(world->arriving, (struct Nl__Msg *)core_copy_message(world->pool, &message->base));
 	else if (command->args.send.addr == ROUTER && message->body_case == NL__MSG__BODY_PROPOSE_REPLY &&
 		 message->propose_reply->token == world->token) {
@@ -88,10 +88,11 @@
 
 static void perform(struct world *w)
 {
-	if (w->controller.fleet_dirty)
-		must(storage_write_identity(w->store, w->controller.id, w->controller.fleet),
-		     "no identity written");
-	w->controller.fleet_dirty = 0;
+	if (w->controller.identity.fleet_dirty)
+		must(
+		    storage_write_identity(w->store, w->controller.identity.id, w->controller.identity.fleet),
+		    "no identity written");
+	w->controller.identity.fleet_dirty = 0;
 	for (ptrdiff_t i = 0; i < arrlen(w->out.commands); i++)
 		switch (w->out.commands[i].kind) {
 		case CMD_PERSIST:
@@ -112,7 +113,7 @@
 
 static void step_once(struct world *world, const struct controller_event *event)
 {
-	world->controller.wall_clock_ms = DAY_MS + world->now;
+	world->controller.clocks.wall_ms = DAY_MS + world->now;
 	controller_step(&world->controller, event, world->now, &world->out);
 	perform(world);
 }
@@ -150,7 +151,7 @@
 
 	controller_open(&world->controller, world->found.node_id, ADDRESS + WORLD_SELF, "z1", seeds, 1,
 			world->found.fleet_id, RANDOM_SEED, world->found.shard_pointers, world->now);
-	world->controller.codec = &platform_codec;
+	world->controller.adapters.codec = &platform_codec;
 }
 
 const char *world_open(struct world *world, const char *folder)
@@ -196,7 +197,7 @@
 	message->protocol_version = CORE_PROTOCOL_VERSION;
 	message->id = from;
 	message->addr = from == ROUTER ? ROUTER : ADDRESS + from;
-	message->fleet_id = world->controller.fleet;
+	message->fleet_id = world->controller.identity.fleet;
 	event.kind = CONTROLLER_MESSAGE;
 	event.payload.message = message;
 	world_step(world, &event);
@@ -223,7 +224,7 @@
 	message.body_case = NL__MSG__BODY_BOOTSTRAP;
 	message.bootstrap = &found;
 	world_hear(world, WORLD_SELF, &message);
-	must(world->controller.fleet == WORLD_FLEET, "no fleet begun");
+	must(world->controller.identity.fleet == WORLD_FLEET, "no fleet begun");
 }
 
 /* ---- operators and routers ---- */
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -35,7 +35,7 @@
 	ok(&sim);
 	assert_true(sim_leader(&sim, SHARD_CONTROL) >= 0);
 	for (int i = 0; i < 3; i++) { /* every founder has it on its disk, the one that was asked too */
-		assert_int_equal(sim.nodes[i].disk.fleet, sim.nodes[0].controller->fleet);
+		assert_int_equal(sim.nodes[i].disk.fleet, sim.nodes[0].controller->identity.fleet);
 		assert_true(sim.nodes[i].disk.shards[SHARD_CONTROL].term > 0);
 	}
 	assert_int_equal(
@@ -108,9 +108,9 @@
 			assert_true(sim.now - from < 12000);
 		if (sim.now - from > worst)
 			worst = sim.now - from;
-		assert_true(sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision > e);
+		assert_true(sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table.revision > e);
 		assert_non_null(
-		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table,
 				     NL__KIND__TENANT, "rumah"));
 		/* the group mends itself with the fourth controller, then the lost one comes back */
 		sim_run(&sim, 15000, NULL);
@@ -153,7 +153,7 @@
 			sim_start(&sim, i);
 		assert_true(sim_change(&sim, "{\"set\":[" TENANT("teduh", "1") "]}", 12000) > e);
 		assert_non_null(
-		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table,
 				     NL__KIND__TENANT, "rumah"));
 		if (sim.now - from > worst)
 			worst = sim.now - from;
@@ -263,7 +263,7 @@
 		}
 		assert_true(sim_change(&sim, "{\"set\":[" TENANT("teduh", "3") "]}", 6000));
 		assert_non_null(
-		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table,
 				     NL__KIND__TENANT, "rumah"));
 		ok(&sim);
 		sim_close(&sim);
@@ -329,7 +329,7 @@
 		ok(&sim);
 	}
 	sim_run(&sim, 6000, NULL);
-	e = sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision;
+	e = sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table.revision;
 	assert_true(e > 2 * RAFT_SNAPSHOT_ENTRIES + RAFT_SNAPSHOT_ENTRIES / 2);
 	for (int i = 0; i < 4; i++) {
 		struct Nl__Members *members =
@@ -478,9 +478,10 @@
 			struct controller *pub = sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller,
 					  *controller = sim.nodes[i].controller;
 
-			assert_true(controller->relay.knowledge.horizon + 10 >= pub->declared_tick);
-			assert_true(controller->config_watch.table.revision ==
-				    sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.revision);
+			assert_true(controller->relay.knowledge.horizon + 10 >= pub->publisher.tick);
+			assert_true(
+			    controller->config_watch.table.revision ==
+			    sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table.revision);
 		}
 		values += (uint64_t)arrlen(sim.value);
 		sim_close(&sim);
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -1496,7 +1496,7 @@
 			    4 + 3); /* a relay a zone, and the other controllers */
 		from = sim.by_body[NL__MSG__BODY_KNOWLEDGE];
 		inc = pub->relay.increments_sent;
-		horizon = pub->declared_tick;
+		horizon = pub->publisher.tick;
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + size[k]; i++)
 			looks -= sim.nodes[i].router->stats.report_polls;
 		sim_run(&sim, 10000, NULL);
@@ -1515,10 +1515,10 @@
 		    "%d counters: %.2f knowledge messages a tick in all, %.2f of the publisher; the last horizon is %llu ticks behind\n",
 		    size[k],
 		    (double)(sim.by_body[NL__MSG__BODY_KNOWLEDGE] - from) /
-			(double)(pub->declared_tick - horizon),
-		    (double)(pub->relay.increments_sent - inc) / (double)(pub->declared_tick - horizon),
-		    (unsigned long long)(pub->declared_tick - worst));
-		assert_true(worst + 3 >= pub->declared_tick);
+			(double)(pub->publisher.tick - horizon),
+		    (double)(pub->relay.increments_sent - inc) / (double)(pub->publisher.tick - horizon),
+		    (unsigned long long)(pub->publisher.tick - worst));
+		assert_true(worst + 3 >= pub->publisher.tick);
 		sim_close(&sim);
 	}
 }
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -599,7 +599,8 @@
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	until_complete(&sim, 3, 15000);
 	for (int i = 0; i < 3; i++)
-		assert_int_equal(sim.nodes[i].controller->fleet, sim.nodes[1].controller->fleet);
+		assert_int_equal(sim.nodes[i].controller->identity.fleet,
+				 sim.nodes[1].controller->identity.fleet);
 	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
 	ok(&sim);
 	sim_close(&sim);
@@ -612,10 +613,10 @@
 	sim_add_controller(&sim, "z1", seeds, 3);
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	sim_run(&sim, 40000, NULL);
-	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
 	sim_add_controller(&sim, "z2", seeds, 3);
 	sim_run(&sim, 15000, NULL);
-	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
 	sim_add_controller(&sim, "z3", seeds, 3);
 	until_complete(&sim, 3, 5000);
 	ok(&sim);
@@ -650,25 +651,25 @@
 	assert_int_equal(n, strlen(first));
 	assert_memory_equal(complete, first, n);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r2");
+	row = config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__ROUTE, "r2");
 	assert_non_null(row);
-	revision = sim.nodes[o].controller->config.revision;
+	revision = sim.nodes[o].controller->config.table.revision;
 	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
 	assert_int_equal(put_doc(&sim, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
-	assert_int_equal(sim.nodes[o].controller->config.revision, revision);
+	assert_int_equal(sim.nodes[o].controller->config.table.revision, revision);
 	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document
 	 */
 	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"),
 			 200);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.rows); i++) {
-		const struct Nl__Row *x = sim.nodes[o].controller->config.rows[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.table.rows); i++) {
+		const struct Nl__Row *x = sim.nodes[o].controller->config.table.rows[i].value.row;
 
 		if (x->kind != NL__KIND__CONTROLLER)
-			assert_true(sim.nodes[o].controller->config.rows[i].value.revision <= revision);
+			assert_true(sim.nodes[o].controller->config.table.rows[i].value.revision <= revision);
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
-	assert_true(sim.nodes[o].controller->config.revision > revision);
+	assert_true(sim.nodes[o].controller->config.table.revision > revision);
 	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new
 	 * ones stand everywhere */
 	assert_int_equal(finish(&sim, &name, 5000), 200);
@@ -683,12 +684,12 @@
 	    put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")),
 	    200);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__MODEL, "daka");
+	row = config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__MODEL, "daka");
 	assert_string_equal(row->target_weights, "3");
 	assert_string_equal(row->rolled_out, "1");
-	assert_null(config_table_get(&sim.nodes[o].controller->config, NL__KIND__SERVICE, "s1"));
+	assert_null(config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__SERVICE, "s1"));
 	assert_string_equal(
-	    config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r1")->service,
+	    config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__ROUTE, "r1")->service,
 	    "s2"); /* its lane moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
 	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
@@ -698,9 +699,9 @@
 	assert_int_equal(sim_answer(&sim, a)->status + sim_answer(&sim, b)->status, 612);
 	assert_int_equal(put_doc(&sim, 12, 0, DOC("13", "", SERVICE("s3"), "")), sim_answer(&sim, a)->status);
 	/* the same call twice at once is one */
-	a = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+	a = sim_send_document(&sim, o, sim.nodes[o].controller->config.document_version, 0,
 			      DOC("20", "", SERVICE("s5"), ""), NULL);
-	b = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+	b = sim_send_document(&sim, o, sim.nodes[o].controller->config.document_version, 0,
 			      DOC("20", "", SERVICE("s5"), ""), NULL);
 	assert_non_null(answer(&sim, a, 3000));
 	assert_non_null(answer(&sim, b, 3000));
@@ -995,8 +996,8 @@
 		assert_true(json_object_equal(j, doc_is));
 		json_object_put(j);
 		o = sim_leader(sim, SHARD_CONTROL);
-		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.rows); i++) {
-			Nl__Kind k = sim->nodes[o].controller->config.rows[i].value.row->kind;
+		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.table.rows); i++) {
+			Nl__Kind k = sim->nodes[o].controller->config.table.rows[i].value.row->kind;
 
 			routes += k == NL__KIND__ROUTE;
 			tenants += k == NL__KIND__TENANT;
@@ -1012,7 +1013,7 @@
 			for (size_t k = 0; k < json_object_array_length(a); k++)
 				assert_string_equal(
 				    config_table_get(
-					&sim->nodes[o].controller->config, NL__KIND__KEY,
+					&sim->nodes[o].controller->config.table, NL__KIND__KEY,
 					doc_digest(json_object_get_string(json_object_array_get_idx(a, k)),
 						   hex))
 					->tenant,
@@ -1021,7 +1022,7 @@
 		assert_int_equal(keys, expected);
 		for (size_t i = 0; i < json_object_array_length(json); i++)
 			assert_int_equal(
-			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__ROUTE,
+			    config_table_get(&sim->nodes[o].controller->config.table, NL__KIND__ROUTE,
 					     json_string_member(json_object_array_get_idx(json, i), "Name"))
 				->timeout_ms,
 			    json_uint_member(json_object_array_get_idx(json, i), "TimeoutMs"));
@@ -1046,12 +1047,12 @@
 		if (!sim->nodes[i].up)
 			continue;
 		if (sim->nodes[i].controller->config_watch.table.revision ==
-		    sim->nodes[o].controller->config.revision)
-			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.rows); k++) {
-				const struct Nl__Row *x = sim->nodes[o].controller->config.rows[k].value.row,
-						     *row = config_table_get(
-							 &sim->nodes[i].controller->config_watch.table,
-							 x->kind, x->name);
+		    sim->nodes[o].controller->config.table.revision)
+			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.table.rows); k++) {
+				const struct Nl__Row
+				    *x = sim->nodes[o].controller->config.table.rows[k].value.row,
+				    *row = config_table_get(&sim->nodes[i].controller->config_watch.table,
+							    x->kind, x->name);
 
 				assert_non_null(row);
 				assert_int_equal(protobuf_c_message_get_packed_size(&x->base),
@@ -1434,10 +1435,10 @@
 	sim_add_router(&sim, "z1");
 	sim_run(&sim, 8000, NULL);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
 	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config_watch, "t1")->requested = 1;
 	sim_run(&sim, 1000, NULL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
 	ok(&sim);
 	sim_close(&sim);
 }
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -1158,7 +1158,7 @@
 			assert_int_equal(
 			    status[i] == 200,
 			    config_table_get(
-				&world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->config,
+				&world.s.nodes[sim_leader(&world.s, SHARD_CONTROL)].controller->config.table,
 				NL__KIND__TENANT, name) != NULL);
 		}
 		intact(&world);
@@ -1179,7 +1179,7 @@
 	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = world->s.nodes[from].id;
 	message.addr = world->s.nodes[from].addr;
-	message.fleet_id = world->s.nodes[to].controller->fleet;
+	message.fleet_id = world->s.nodes[to].controller->identity.fleet;
 	message.body_case = NL__MSG__BODY_PROPOSE_REPLY;
 	message.propose_reply = &refusal;
 	event.data_len = nl__msg__get_packed_size(&message);
@@ -1206,10 +1206,11 @@
 	sim_run(&world.s, 50, NULL);
 	assert_int_equal(sim_call_and_wait(&world.s, leader, "POST", "/v1/change", service_change, 300), 200);
 	sim_run(&world.s, 500, NULL);
-	assert_null(config_table_get(&world.s.nodes[leader].controller->config, NL__KIND__SERVICE,
+	assert_null(config_table_get(&world.s.nodes[leader].controller->config.table, NL__KIND__SERVICE,
 				     "s")); /* the second copy was accepted */
-	assert_int_equal(arrlen(world.s.nodes[submitted].controller->proposals), 1);
-	deliver_refusal(&world, leader, submitted, world.s.nodes[submitted].controller->proposals[0].token);
+	assert_int_equal(arrlen(world.s.nodes[submitted].controller->proposals.own), 1);
+	deliver_refusal(&world, leader, submitted,
+			world.s.nodes[submitted].controller->proposals.own[0].token);
 	sim_run(&world.s, 100, NULL);
 	if (sim_answer(&world.s, token) && sim_answer(&world.s, token)->status < 500)
 		fail_msg("answered with %d", sim_answer(&world.s, token)->status);
@@ -1265,7 +1266,7 @@
 	(void)state;
 	found(&world, 3, TABLE, FAULTS);
 	for (int i = 0; i < world.controllers; i++)
-		world.s.nodes[i].controller->accepted_requests.capacity = 8;
+		world.s.nodes[i].controller->config.accepted_requests.capacity = 8;
 	for (int i = 0; i < 20; i++) {
 		snprintf(body, sizeof body,
 			 "{\"expect\":%llu,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":%d}]}",
@@ -1274,7 +1275,7 @@
 		base = edition(web);
 	}
 	leader = sim_leader(&world.s, SHARD_CONTROL);
-	assert_int_equal(arrlen(world.s.nodes[leader].controller->accepted_requests.records), 8);
+	assert_int_equal(arrlen(world.s.nodes[leader].controller->config.accepted_requests.records), 8);
 	assert_int_equal(call(&world, "/v1/change", body, "", &web), 200);
 	snprintf(body, sizeof body,
 		 "{\"expect\":0,\"set\":[{\"kind\":\"tenant\",\"name\":\"t\",\"share\":1}]}");
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -115,7 +115,7 @@
 {
 	int at = sim_leader(sim, SHARD_CONTROL);
 	const struct Nl__Row *row =
-	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
+	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config.table, NL__KIND__MODEL, "lm");
 
 	for (ptrdiff_t i = 0; row && row->rolled_out[0] && i < arrlen(sim->instance_list.instances); i++)
 		if (sim->instance_list.instances[i].up && !sim->instance_list.instances[i].draining &&
@@ -219,7 +219,7 @@
 {
 	int at = sim_leader(sim, SHARD_CONTROL);
 	const struct Nl__Row *row =
-	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config, NL__KIND__MODEL, "lm");
+	    at < 0 ? NULL : config_table_get(&sim->nodes[at].controller->config.table, NL__KIND__MODEL, "lm");
 
 	return row ? row->rolled_out : "";
 }
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -111,8 +111,8 @@
 	uint64_t version = 0;
 
 	for (int i = 0; i < CONTROLLERS; i++)
-		if (sim->nodes[i].up && sim->nodes[i].controller->document_version > version)
-			version = sim->nodes[i].controller->document_version;
+		if (sim->nodes[i].up && sim->nodes[i].controller->config.document_version > version)
+			version = sim->nodes[i].controller->config.document_version;
 	return version;
 }
 
@@ -292,7 +292,7 @@
 			breach(world, call, web, "no controller has it");
 		if (call->version > world->document_floor)
 			world->document_floor = call->version;
-		acknowledge(world, world->s.nodes[call->node].controller->config.revision);
+		acknowledge(world, world->s.nodes[call->node].controller->config.table.revision);
 		break;
 	case 400:
 	case 412:
@@ -1003,8 +1003,8 @@
 		sent = world.s.now;
 		sim_run(&world.s, 20, NULL);
 		if (world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers &&
-		    arrlen(controller->proposals) == 1 && controller->proposals[0].send_count == 1 &&
-		    controller->proposals[0].denied_count == 1) {
+		    arrlen(controller->proposals.own) == 1 && controller->proposals.own[0].send_count == 1 &&
+		    controller->proposals.own[0].denied_count == 1) {
 			while (!sim_answer(&world.s, token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
 				sim_run(&world.s, POLL_MS, NULL);
 			assert_non_null(sim_answer(&world.s, token));
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -643,8 +643,8 @@
 			 (unsigned long long)sim->seed);
 	pass(sim, 500);
 	for (int i = 0; i < SIM_CONTROLLERS; i++)
-		held |= is_live(sim, i) &&
-			config_table_get(&sim->nodes[i].controller->config, NL__KIND__TENANT, tenant) != NULL;
+		held |= is_live(sim, i) && config_table_get(&sim->nodes[i].controller->config.table,
+							    NL__KIND__TENANT, tenant) != NULL;
 	if (!held)
 		fail_msg("%s, seed %llu: acknowledged, and lost", deployment->name,
 			 (unsigned long long)sim->seed);
@@ -742,7 +742,7 @@
 			fail_msg("seed %llu: a group stays without a leader", (unsigned long long)seed);
 		pass(&sim, 500);
 		assert_non_null(
-		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config,
+		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table,
 				     NL__KIND__TENANT, "last"));
 		sim_close(&sim);
 	}
@@ -769,7 +769,8 @@
 		pass(&sim, CATCH_UP_MS);
 		check(&sim);
 		for (int i = 0; i < 3; i++)
-			assert_int_equal(sim.nodes[i].controller->fleet, sim.nodes[3].controller->fleet);
+			assert_int_equal(sim.nodes[i].controller->identity.fleet,
+					 sim.nodes[3].controller->identity.fleet);
 		assert_true(tolerance_is_whole(&sim, deployment));
 		sim_close(&sim);
 	}
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -189,12 +189,12 @@
 		answers = sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY];
 		for (end = sim.now + 2 * CONFIG_WATCH_POLL_MS; sim.now < end;) {
 			pass(&sim, STEP_MS);
-			for (ptrdiff_t i = 0; i < arrlen(stopped->deferred_requests); i++)
+			for (ptrdiff_t i = 0; i < arrlen(stopped->handover.deferred); i++)
 				if (sim_local(&sim, leader) >
-				    stopped->deferred_requests[i].deadline_at_ms + TICK_MS)
+				    stopped->handover.deferred[i].deadline_at_ms + TICK_MS)
 					fail_msg("seed %llu: a request is held for too long",
 						 (unsigned long long)seed);
-			held += arrlenu(stopped->deferred_requests);
+			held += arrlenu(stopped->handover.deferred);
 		}
 		assert_true(sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY] > answers);
 		sim_close(&sim);
@@ -337,8 +337,8 @@
 		token = sim_call(&sim, 0, "POST", "/v1/found", "{}");
 		while (!sim.nodes[0]
 			    .controller->bootstrap.members) { /* the first message that names them is lost */
-			sim.loss_per_mille = sim.nodes[0].controller->bootstrap.id[1] &&
-						     sim.nodes[0].controller->bootstrap.id[2]
+			sim.loss_per_mille = sim.nodes[0].controller->bootstrap.seeds[1].id &&
+						     sim.nodes[0].controller->bootstrap.seeds[2].id
 						 ? 1000
 						 : 0;
 			pass(&sim, STEP_MS);
@@ -353,8 +353,9 @@
 		assert_int_equal(operator_calls_open(sim.nodes[0].controller), 0);
 		pass(&sim, 3000);
 		for (int i = 0; i < 3; i++)
-			assert_true(sim.nodes[i].controller->fleet &&
-				    sim.nodes[i].controller->fleet == sim.nodes[0].controller->fleet);
+			assert_true(sim.nodes[i].controller->identity.fleet &&
+				    sim.nodes[i].controller->identity.fleet ==
+					sim.nodes[0].controller->identity.fleet);
 		sim_close(&sim);
 	}
 }
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -667,13 +667,13 @@
 		    struct command_list *out)
 {
 	struct controller_event event = { .kind = CONTROLLER_MESSAGE };
-	uint64_t before = image_of_all(controller), dropped = controller->dropped_count;
+	uint64_t before = image_of_all(controller), dropped = controller->drop_log.dropped;
 
 	event.payload.message = message;
-	controller->drop_logged_at_ms = now - 10 * CONTROLLER_DROP_LOG_MS;
+	controller->drop_log.logged_at_ms = now - 10 * CONTROLLER_DROP_LOG_MS;
 	log_lines = 0;
 	controller_step(controller, &event, now, out);
-	assert_int_equal(controller->dropped_count, dropped + 1);
+	assert_int_equal(controller->drop_log.dropped, dropped + 1);
 	assert_int_equal(log_lines, 1);
 	assert_true(image_of_all(controller) == before);
 	command_list_clear(out);
@@ -692,16 +692,16 @@
 	node = (sim_leader(&sim, SHARD_CONTROL) + 1) % 3;
 	controller = sim.nodes[node].controller;
 	now = sim_local(&sim, node);
-	controller->log = count_lines;
+	controller->adapters.log = count_lines;
 	for (int i = 0; i < KIND_COUNT; i++) {
 		struct sample sample;
 
 		sample_open(&sample, kind_names[i], &controller->shards[0], controller->shards[0].leader_id);
-		sample.msg.fleet_id = controller->fleet + 1;
+		sample.msg.fleet_id = controller->identity.fleet + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
 		sample.msg.fleet_id = 0;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.fleet_id = controller->fleet;
+		sample.msg.fleet_id = controller->identity.fleet;
 		sample.msg.protocol_version = CORE_PROTOCOL_VERSION + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
 		sample.msg.protocol_version = CORE_PROTOCOL_VERSION;
@@ -716,7 +716,7 @@
 
 		sample_open(&sample, NL__MSG__BODY_APPEND, &controller->shards[0],
 			    controller->shards[0].leader_id);
-		sample.msg.fleet_id = controller->fleet + 1;
+		sample.msg.fleet_id = controller->identity.fleet + 1;
 		event.payload.message = &sample.msg;
 		log_lines = 0;
 		for (int i = 0; i < 3000; i++)
@@ -724,7 +724,7 @@
 		assert_true(log_lines >= 2 && log_lines <= 4);
 	}
 	command_list_clear(&sim.nodes[node].commands);
-	controller->log = NULL;
+	controller->adapters.log = NULL;
 	sim_close(&sim);
 }
 
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -249,7 +249,7 @@
 
 static int table_has(struct sim *sim, int node, const char *tenant)
 {
-	return config_table_get(&sim->nodes[node].controller->config, NL__KIND__TENANT, tenant) != NULL;
+	return config_table_get(&sim->nodes[node].controller->config.table, NL__KIND__TENANT, tenant) != NULL;
 }
 
 /* Two of three are lost for good. The one that is left goes on, two new machines join it, the old two come
@@ -293,8 +293,8 @@
 		/* old members and new machines come together */
 		sim_start(&sim, gone[0]);
 		sim_start(&sim, gone[1]);
-		sim_add_controller(&sim, "z7", sim.nodes[remaining].controller->seeds, 3);
-		sim_add_controller(&sim, "z8", sim.nodes[remaining].controller->seeds, 3);
+		sim_add_controller(&sim, "z7", sim.nodes[remaining].controller->identity.seeds, 3);
+		sim_add_controller(&sim, "z8", sim.nodes[remaining].controller->identity.seeds, 3);
 		pass(&sim, 8000);
 		for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 			const struct raft *raft;
@@ -337,7 +337,7 @@
 
 	(void)state;
 	sim_fleet(&sim, 3, 3);
-	spare = sim_add_controller(&sim, "z9", sim.nodes[0].controller->seeds, 3);
+	spare = sim_add_controller(&sim, "z9", sim.nodes[0].controller->identity.seeds, 3);
 	pass(&sim, 3000);
 	sim_crash(&sim, 0, 1);
 	sim_crash(&sim, 1, 1);
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -217,7 +217,7 @@
 		sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 		sim.calendar = &calendar_icu;
 		for (int i = 0; i < 4; i++)
-			sim.nodes[i].controller->calendar = &calendar_icu;
+			sim.nodes[i].controller->adapters.calendar = &calendar_icu;
 		must_change(
 		    &sim,
 		    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"20s\",\"window\":4000}]}",
@@ -672,7 +672,7 @@
 	sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 	for (int i = 0; i < SIM_CONTROLLERS + 2; i++) {
 		if (sim.nodes[i].controller)
-			sim.nodes[i].controller->log = no_content;
+			sim.nodes[i].controller->adapters.log = no_content;
 		if (sim.nodes[i].router)
 			sim.nodes[i].router->log = no_content;
 	}
