--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -12,8 +12,8 @@
 static int is_empty(const struct controller *controller)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (controller->shards[i].term || controller->shards[i].member_count ||
-		    controller->shards[i].base_index)
+		if (controller->shards[i].term || controller->shards[i].group.member_count ||
+		    controller->shards[i].log.base_index)
 			return 0;
 	return !controller->fleet;
 }
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -43,7 +43,8 @@
 static void on_raft_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
-	const char *why;
+	enum raft_fault fault;
+	const char *why = NULL;
 
 	if (!controller->fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
@@ -51,8 +52,8 @@
 		why = "it names no fleet";
 	else if (message->shard >= SHARD_COUNT)
 		why = "there is no such shard";
-	else
-		why = raft_receive(&controller->shards[message->shard], message, now, out);
+	else if ((fault = raft_receive(&controller->shards[message->shard], message, now, out)))
+		why = raft_fault_strerror(fault);
 	if (why)
 		log_dropped(controller, message, why, now, out);
 }
@@ -174,8 +175,8 @@
 	out->fleet = controller->fleet;
 	controller->config_watch.wall_clock_ms = controller->wall_clock_ms;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* what the step before took in */
-		if (controller->snapshot_needed[i] && !controller->shards[i].snapshot_to_load) {
-			controller->shards[i].drop_tail = 1;
+		if (controller->snapshot_needed[i] && !controller->shards[i].snapshots.to_load) {
+			controller->shards[i].snapshots.drop_tail = 1;
 			controller->snapshot_needed[i] = 0;
 			snapshot_create(controller, i, out);
 		}
@@ -237,12 +238,12 @@
 		const struct raft_entry *entry;
 		uint64_t index;
 
-		if (raft->snapshot_to_load) {
+		if (raft->snapshots.to_load) {
 			snapshot_load(controller, i, out->pool);
 			if (i == SHARD_CONTROL)
 				controller->rollout.unknown_until_ms =
 				    now; /* orders that were logged before are in no snapshot */
-			raft->snapshot_to_load = 0;
+			raft->snapshots.to_load = 0;
 		}
 		on_leadership_lost(controller, i, now, out);
 		while ((entry = raft_next_committed(raft, &index)))
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -20,7 +20,8 @@
 {
 	const struct raft *raft = &controller->shards[shard];
 
-	return now < raft->vote_barrier_until_ms || raft_has_lease(raft, now) ? raft->leader_addr : 0;
+	return now < raft->election.vote_barrier_until_ms || raft_has_lease(raft, now) ? raft->leader_addr
+										       : 0;
 }
 
 /* Whether the configuration's leader was heard so lately that asking it makes sense. */
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -66,11 +66,11 @@
 		live[live_count].zone = row ? core_hash_string(0, row->zone) : 0;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		controller->shards[i].replicas =
+		controller->shards[i].group.replicas =
 		    controller->bounds.replicas < RAFT_MIN_VOTERS        ? RAFT_MIN_VOTERS
 		    : controller->bounds.replicas < RAFT_MAX_MEMBERS - 1 ? controller->bounds.replicas
 									 : RAFT_MAX_MEMBERS - 1;
-		controller->shards[i].member_lost_ms = member_lost_after_ms(controller);
+		controller->shards[i].group.member_lost_ms = member_lost_after_ms(controller);
 		raft_reconfigure(&controller->shards[i], live, live_count, now);
 	}
 }
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -59,13 +59,13 @@
 								  ? core_format_addr(pool, raft->leader_addr)
 								  : ""));
 		json_object_object_add(x, "term", json_object_new_int64((int64_t)raft->term));
-		json_object_object_add(x, "commit", json_object_new_int64((int64_t)raft->commit_index));
-		for (int k = 0; k < raft->member_count; k++)
+		json_object_object_add(x, "commit", json_object_new_int64((int64_t)raft->log.commit_index));
+		for (int k = 0; k < raft->group.member_count; k++)
 			json_object_array_add(
 			    ms, json_object_new_string(apr_psprintf(
-				    pool, "%016" APR_UINT64_T_HEX_FMT "@%s%s", raft->members[k].id,
-				    core_format_addr(pool, raft->members[k].addr),
-				    raft->members[k].voter ? "" : " (not voting)")));
+				    pool, "%016" APR_UINT64_T_HEX_FMT "@%s%s", raft->group.members[k].id,
+				    core_format_addr(pool, raft->group.members[k].addr),
+				    raft->group.members[k].voter ? "" : " (not voting)")));
 		json_object_object_add(x, "members", ms);
 		json_object_array_add(a, x);
 	}
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -88,7 +88,7 @@
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
 		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
 			out->commands[i].args.answer.not_after_ms =
-			    controller->shards[SHARD_CONTROL].lease_expires_at_ms;
+			    controller->shards[SHARD_CONTROL].lease.expires_at_ms;
 }
 
 void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -119,7 +119,7 @@
 {
 	/* the members are a fleet's first entry, its first owner's the second: before it nobody gave any */
 	int new_leader = now - controller->leader_since_ms[SHARD_CONTROL] < CONTROLLER_QUOTA_LEASE_MS &&
-			 controller->shards[SHARD_CONTROL].term_start > 2;
+			 controller->shards[SHARD_CONTROL].log.term_start_index > 2;
 	uint32_t router_divisor = router_count ? router_count : 1;
 
 	update_reserve_limits(controller);
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -51,11 +51,12 @@
 	json_object_object_add(json, "shard", json_object_new_int64(raft->shard));
 	json_object_object_add(json, "recovered", json_object_new_boolean(recovered));
 	json_object_object_add(json, "why", json_object_new_string(raft_recovery_strerror(verdict)));
-	json_object_object_add(json, "kept_up_to",
-			       json_object_new_uint64(raft->base_index + (uint64_t)arrlen(raft->log)));
+	json_object_object_add(
+	    json, "kept_up_to",
+	    json_object_new_uint64(raft->log.base_index + (uint64_t)arrlen(raft->log.entries)));
 	json_object_object_add(json, "epoch", json_object_new_uint64(raft_epoch(raft->term)));
-	for (int i = 0; i < raft->member_count; i++)
-		json_object_array_add(members, member_json(raft, &raft->members[i], now, pool));
+	for (int i = 0; i < raft->group.member_count; i++)
+		json_object_array_add(members, member_json(raft, &raft->group.members[i], now, pool));
 	json_object_object_add(json, "members", members);
 	return json;
 }
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -441,17 +441,17 @@
 	int64_t clocks[RAFT_MAX_MEMBERS];
 	int n = 0;
 
-	for (int i = 0; i < p->member_count; i++) {
+	for (int i = 0; i < p->group.member_count; i++) {
 		int64_t wall_ms = INT64_MIN;
 		int k = n;
 
-		if (!p->members[i].voter)
+		if (!p->group.members[i].voter)
 			continue;
-		if (p->members[i].id == controller->id)
+		if (p->group.members[i].id == controller->id)
 			wall_ms = controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
 		else
 			for (ptrdiff_t s = 0; s < arrlen(controller->node_statuses); s++)
-				if (controller->node_statuses[s].id == p->members[i].id &&
+				if (controller->node_statuses[s].id == p->group.members[i].id &&
 				    controller->node_statuses[s].wall_clock_ms &&
 				    now - controller->node_statuses[s].observed_at_ms <=
 					CONTROLLER_NODE_LIVE_MS)
@@ -692,7 +692,7 @@
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	if (now - controller->retention.polled_at_ms < RETENTION_POLL_MS ||
-	    controller->retention.logged_index > controller->shards[SHARD_CONTROL].applied_index)
+	    controller->retention.logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	controller->retention.polled_at_ms = now;
 	wall_ms = retention_wall_clock(controller, now);
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -41,7 +41,7 @@
 	    json_object_new_string(apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, r->id)));
 	call(0, addr, "/v1/order",
 	     apr_pstrdup(out->pool, json_object_to_json_string_ext(what, JSON_C_TO_STRING_PLAIN)),
-	     r->shards[part].lease_expires_at_ms, out);
+	     r->shards[part].lease.expires_at_ms, out);
 	json_object_put(what);
 	server->commanded_at_ms = now;
 }
@@ -242,7 +242,7 @@
 		rolled.weights = service->target_weights;
 		operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 		operation.rolled_out = &rolled;
-		if (arrlen(controller->shards[part].pending_syncs) ==
+		if (arrlen(controller->shards[part].disk.pending_syncs) ==
 		    0) /* nothing of ours is still on its way */
 			log_operation(controller, part, &operation, now, out);
 	}
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -206,7 +206,7 @@
 			      struct command_list *out)
 {
 	int64_t not_after_ms =
-	    controller->shards[SHARD_CONTROL].lease_expires_at_ms - ROLLOUT_LEASE_MARGIN_MS;
+	    controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS;
 	struct command *command;
 
 	if (not_after_ms > intended_at_ms + ROLLOUT_INTENT_MS)
@@ -330,7 +330,7 @@
 
 	/* nothing stands in the log behind the row as it is here, which would be undone; nor is this on its
 	 * way already */
-	if (raft->applied_index != raft->base_index + (uint64_t)arrlen(raft->log) ||
+	if (raft->log.applied_index != raft->log.base_index + (uint64_t)arrlen(raft->log.entries) ||
 	    now - pace->completion_logged_at_ms < 1000)
 		return;
 	row.rolled_out = model->target_weights;
@@ -463,7 +463,7 @@
 	    found->busy;
 
 	if (controller->rollout.is_fenced ||
-	    now >= controller->shards[SHARD_CONTROL].lease_expires_at_ms - ROLLOUT_LEASE_MARGIN_MS)
+	    now >= controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS)
 		return;
 	while (capacity-- > 0) {
 		const struct Nl__Instance *next =
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -162,10 +162,11 @@
 {
 	const struct raft *raft = &controller->shards[shard];
 
-	controller->epoch[shard] = raft_epoch(raft->snapshot_term);
+	controller->epoch[shard] = raft_epoch(raft->snapshots.newest.term);
 	if (shard == SHARD_CONTROL) {
 		struct Nl__ControlState *s = (struct Nl__ControlState *)core_unpack_message(
-		    pool, &nl__control_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		    pool, &nl__control_state__descriptor, raft->snapshots.newest.data_len,
+		    raft->snapshots.newest.data);
 		struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
 
 		config_table_close(&controller->config);
@@ -199,7 +200,8 @@
 			arrput(controller->config_purge_feed, value_copy(s->feed[i]));
 	} else if (shard == SHARD_PURGE) {
 		struct Nl__PurgeState *s = (struct Nl__PurgeState *)core_unpack_message(
-		    pool, &nl__purge_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		    pool, &nl__purge_state__descriptor, raft->snapshots.newest.data_len,
+		    raft->snapshots.newest.data);
 
 		free_values(&controller->purge_state.values);
 		purge_view_clear(&controller->purge_state.last_view);
@@ -220,7 +222,8 @@
 	} else {
 		struct controller_service_state *service = service_shard_state(controller, shard);
 		struct Nl__ServiceState *s = (struct Nl__ServiceState *)core_unpack_message(
-		    pool, &nl__service_state__descriptor, raft->snapshot_len, raft->snapshot_data);
+		    pool, &nl__service_state__descriptor, raft->snapshots.newest.data_len,
+		    raft->snapshots.newest.data);
 
 		reset_service_state(service);
 		if (!s)
--- /dev/null
+++ b/lib/core/raft_disk.c
@@ -0,0 +1,84 @@
+/* What a replica has on its disk, and what is on its way there: the record that the next sync writes, and the
+ * syncs that have not been reported as done. The disk itself is the caller's (CMD_PERSIST, answered by
+ * raft_synced). Syncs are done in the order in which they are requested. An entry counts as stored only once
+ * its sync is done. Called by raft.c and, for raft_sync_stalled, raft_election.c; calls raft_log.c only. */
+#include <apr_strings.h>
+
+#include "containers.h"
+#include "raft_internal.h"
+
+int raft_sync_stalled(const struct raft *raft, int64_t now)
+{
+	return arrlen(raft->disk.pending_syncs) &&
+	       now - raft->disk.pending_syncs[0].started_at_ms > RAFT_SYNC_STALL_MS;
+}
+
+static void add_entries(const struct raft *raft, struct persist *record, apr_pool_t *pool)
+{
+	uint64_t first = raft->disk.dirty_from, last = raft_last_index(raft);
+
+	if (!first || first > last)
+		return;
+	record->entry_count = (size_t)(last - first + 1);
+	record->entries = apr_palloc(pool, record->entry_count * sizeof *record->entries);
+	for (size_t i = 0; i < record->entry_count; i++) {
+		const struct raft_entry *entry = raft_entry_at(raft, first + i);
+
+		record->entries[i] = (struct persist_entry){ first + i, entry->term, entry->kind, entry->len,
+							     apr_pmemdup(pool, entry->data, entry->len + 1) };
+	}
+}
+
+static void add_snapshot(const struct raft *raft, struct persist *record, apr_pool_t *pool)
+{
+	const struct raft_stored_snapshot *snapshot = &raft->snapshots.newest;
+
+	if (!raft->snapshots.dirty)
+		return;
+	record->has_snapshot = 1;
+	record->scrub = raft->snapshots.drop_tail;
+	record->snapshot_index = snapshot->index;
+	record->snapshot_term = snapshot->term;
+	record->drop_upto = raft->log.base_index;
+	record->members = apr_pmemdup(pool, snapshot->members, snapshot->members_len + 1);
+	record->members_len = snapshot->members_len;
+	record->data = apr_pmemdup(pool, snapshot->data, snapshot->data_len + 1);
+	record->data_len = snapshot->data_len;
+}
+
+void raft_write_dirty(struct raft *raft, int64_t now, struct command_list *out)
+{
+	struct persist *record;
+	struct raft_pending_sync sync;
+
+	if (!raft->disk.dirty)
+		return;
+	record = apr_pcalloc(out->pool, sizeof *record);
+	record->shard = raft->shard;
+	record->seq = ++raft->disk.requested_seq;
+	record->term = raft->term;
+	record->vote = raft->vote;
+	record->truncate_from = raft->disk.truncate_from;
+	add_entries(raft, record, out->pool);
+	add_snapshot(raft, record, out->pool);
+	sync = (struct raft_pending_sync){ raft->disk.requested_seq, raft_last_index(raft), now };
+	arrput(raft->disk.pending_syncs, sync);
+	raft->disk.dirty = raft->snapshots.dirty = raft->snapshots.drop_tail = false;
+	raft->disk.dirty_from = raft->disk.truncate_from = 0;
+	command_add(out, CMD_PERSIST)->args.persist = record;
+}
+
+int raft_note_synced(struct raft *raft, uint64_t seq)
+{
+	uint64_t last_index = raft->disk.synced_index;
+
+	if (seq <= raft->disk.synced_seq)
+		return 0;
+	raft->disk.synced_seq = seq;
+	while (arrlen(raft->disk.pending_syncs) && raft->disk.pending_syncs[0].seq <= seq) {
+		last_index = raft->disk.pending_syncs[0].last_index;
+		arrdel(raft->disk.pending_syncs, 0);
+	}
+	raft->disk.synced_index = last_index;
+	return 1;
+}
--- /dev/null
+++ b/lib/core/raft_drain.c
@@ -0,0 +1,111 @@
+/* Members that are to stop, as the leader counts them. A member whose stop is planned is told that it may go
+ * (released) once its copy is needed by nobody; until then it keeps voting and storing. Always: a committed
+ * entry is stored by a majority that does not rest on members that may have stopped. Called by
+ * raft_election.c, raft_transfer.c and raft_replication.c; calls raft_members.c and raft_log.c. */
+#include "raft_internal.h"
+
+uint64_t raft_synced_by(const struct raft *raft, const struct raft_member *member)
+{
+	return member->id == raft->id ? raft->disk.synced_index : member->progress.match_index;
+}
+
+static int is_draining(const struct raft *raft, const struct raft_member *member)
+{
+	return member->id == raft->id ? raft->drain.requested : member->drain.requested;
+}
+
+static int is_responsive(const struct raft *raft, const struct raft_member *member, int64_t now)
+{
+	return member->id == raft->id || now - member->progress.last_reply_at_ms <= RAFT_LEASE_MS;
+}
+
+/* Whether a member was told that it may stop, and has not answered a later heartbeat round since. Its
+ * acknowledgements may be older than its stop. */
+static int may_have_stopped(const struct raft_member *member)
+{
+	return member->drain.release_round && member->progress.acked_round <= member->drain.release_round;
+}
+
+int raft_others_have_synced(const struct raft *raft, uint64_t id, uint64_t index)
+{
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+
+		if (member->voter && member->id != id && raft_synced_by(raft, member) < index)
+			return 0;
+	}
+	return 1;
+}
+
+void raft_note_draining(struct raft *raft, struct raft_member *member, int draining)
+{
+	if (draining && !member->drain.requested) {
+		member->drain.index = raft_last_index(raft);
+		raft->drain.has_remaining_majority = false; /* until it is counted again */
+	}
+	member->drain.requested = draining;
+}
+
+void raft_note_commit(struct raft *raft)
+{
+	if (raft->drain.has_remaining_majority)
+		return;
+	for (int i = 0; i < raft->group.member_count; i++) {
+		struct raft_member *member = &raft->group.members[i];
+
+		if (member->drain.requested && member->drain.index < raft->log.commit_index)
+			member->drain.index = raft->log.commit_index;
+	}
+}
+
+void raft_count_remaining(struct raft *raft, int64_t now)
+{
+	int remaining = 0;
+
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+
+		remaining += member->voter && !is_draining(raft, member) && !may_have_stopped(member) &&
+			     is_responsive(raft, member, now) &&
+			     raft_synced_by(raft, member) >= raft->log.term_start_index;
+	}
+	raft->drain.has_remaining_majority = remaining > raft_voter_count(raft) / 2;
+}
+
+uint64_t raft_counted_index(const struct raft *raft, const struct raft_member *member)
+{
+	if (may_have_stopped(member))
+		return 0;
+	return raft->drain.has_remaining_majority && is_draining(raft, member) ? 0
+									       : raft_synced_by(raft, member);
+}
+
+int raft_is_expendable(const struct raft *raft, uint64_t id, uint64_t index)
+{
+	return raft->drain.has_remaining_majority && raft->group.members_index <= raft->log.commit_index &&
+	       raft_others_have_synced(raft, id, index);
+}
+
+int raft_is_released(const struct raft *raft, const struct raft_member *member)
+{
+	return member->drain.requested && raft_is_expendable(raft, member->id, member->drain.index);
+}
+
+uint64_t raft_successor(const struct raft *raft, int64_t now)
+{
+	const struct raft_member *best = NULL;
+
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+
+		if (!member->voter || member->id == raft->id || member->drain.requested ||
+		    !is_responsive(raft, member, now))
+			continue;
+		if (!best || member->progress.match_index > best->progress.match_index ||
+		    (member->progress.match_index == best->progress.match_index &&
+		     core_rendezvous_weight(raft->shard, member->id) >
+			 core_rendezvous_weight(raft->shard, best->id)))
+			best = member;
+	}
+	return best ? best->id : 0;
+}
--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -1,24 +1,34 @@
-/* Elections: follower, pre-candidate, candidate, leader; votes, the vote barrier that protects a leader
- * lease, and the probes by which a restarted member learns that no lease rests on a vote barrier from before
- * its restart. A vote is told only once it is synced; nobody votes while its vote barrier stands. */
-#include "raft_internal.h"
-
+/* Elections and leadership: roles, votes, the election timer, the leader lease's vote barrier, and the probes
+ * by which a restarted member learns that no lease rests on a vote barrier from before its restart. Always: a
+ * vote is sent only once it is synced; nobody grants a vote while its vote barrier stands, so no two leaders
+ * hold a lease at once. Called by raft_snapshot.c, raft_replication.c, raft_transfer.c, raft_recovery.c,
+ * raft_reconfigure.c and raft.c; calls raft_drain.c, raft_members.c, raft_disk.c, raft_messages.c and
+ * raft_log.c. */
 #include <string.h>
 
-#include "containers.h"
+#include "raft_internal.h"
 
-enum { STEP_DOWN_SPREAD_MS = 50 }; /* voters other than the successor wait so long, and up to as much more */
+enum {
+	/* after a leader stepped down, voters other than its successor wait so long, and up to as much more
+	 */
+	STEP_DOWN_SPREAD_MS = 50,
+	BOOTSTRAP_SPREAD_MS = 300, /* the first election of a new group comes within so long */
+	ROUND_NOT_SENT_MS =
+	    1000 *
+	    RAFT_LEASE_MS /* age of heartbeat rounds of earlier terms: answers to them grant no lease */
+};
 
 void raft_reset_election_timer(struct raft *raft, int64_t now)
 {
-	raft->election_at_ms =
+	raft->election.due_at_ms =
 	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
 }
 
-/* No owner is about, so the next try need not wait for one; but a slow disk must have had its time. */
+/* There is no leader to wait for, so the next attempt may come sooner; but a slow disk must have had time to
+ * sync the vote. */
 void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now)
 {
-	raft->election_at_ms =
+	raft->election.due_at_ms =
 	    now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
 }
 
@@ -29,50 +39,88 @@
 		raft->vote = 0;
 		raft_mark_dirty(raft, 0);
 		raft->leader_id = raft->leader_addr = 0;
-		raft->matched_index = raft->commit_index;
-		raft->heartbeat_round = raft->release_round = 0; /* rounds are counted within a term */
-		raft->release = RAFT_NOT_RELEASED;
+		raft->log.matched_index = raft->log.commit_index;
+		raft->lease.heartbeat_round = raft->drain.release_round =
+		    0; /* rounds are counted within a term */
+		raft->drain.release = RAFT_NOT_RELEASED;
 	}
 	if (raft->role == RAFT_LEADER)
 		raft->leader_id = raft->leader_addr = 0;
 	raft->role = RAFT_FOLLOWER;
-	raft->lease_expires_at_ms = 0;
-	raft->self_vote_seq = 0;
+	raft->lease.expires_at_ms = 0;
+	raft->disk.self_vote_seq = 0;
 	raft_reset_election_timer(raft, now);
 }
 
-int raft_sync_stalled(const struct raft *raft, int64_t now)
+int raft_has_lease(const struct raft *raft, int64_t now)
+{
+	return raft->role == RAFT_LEADER && now < raft->lease.expires_at_ms &&
+	       raft->log.commit_index >= raft->log.term_start_index;
+}
+
+int raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now)
 {
-	return arrlen(raft->pending_syncs) && now - raft->pending_syncs[0].started_at_ms > RAFT_SYNC_STALL_MS;
+	if (term < raft->term)
+		return 0;
+	if (term > raft->term || raft->role != RAFT_FOLLOWER)
+		raft_become_follower(raft, term, now);
+	raft->leader_id = message->id;
+	raft->leader_addr = message->addr;
+	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
+	raft->election.vote_barrier_unknown = false;
+	raft->removed = false;
+	raft_reset_election_timer(raft, now);
+	return 1;
 }
 
+/* ---- candidates and their votes ---- */
+
 void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out)
 {
-	for (int i = 0; i < raft->member_count; i++) {
+	for (int i = 0; i < raft->group.member_count; i++) {
+		struct raft_member *member = &raft->group.members[i];
 		struct Nl__VoteRequest *request;
 
-		raft->members[i].vote_granted = 0;
-		if (raft->members[i].id == raft->id || !raft->members[i].voter)
+		member->vote.granted = 0;
+		if (member->id == raft->id || !member->voter)
 			continue;
 		request = MESSAGE_NEW(out, Nl__VoteRequest, NL__VOTE_REQUEST__INIT);
 		request->term = pre ? raft->term + 1 : raft->term;
 		request->last_index = raft_last_index(raft);
-		request->last_term = raft_term_at(raft, raft_last_index(raft));
+		request->last_term = raft_last_term(raft);
 		request->is_pre_vote = pre;
-		request->stepped_down_term = raft->stepped_down_term;
-		command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)
-		    ->vote_request = request;
+		request->stepped_down_term = raft->election.stepped_down_term;
+		command_send(out, member->addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)->vote_request =
+		    request;
 	}
-	raft->quorum_requested_at_ms = now;
+	raft->lease.quorum_requested_at_ms = now;
 }
 
-/* The first entry of the term carries the first heartbeat round: one answer of a majority gives commit and
- * lease. */
+/* The first entry of the term carries the first heartbeat round: one answer of a majority commits it and
+ * grants the lease. */
 static void begin_round(struct raft *raft, int64_t now)
 {
-	raft->heartbeat_round = 1;
-	raft->heartbeat_at_ms = now;
-	raft->heartbeat_sent_at_ms[raft->heartbeat_round % 64] = now;
+	raft->lease.heartbeat_round = 1;
+	raft->lease.heartbeat_at_ms = now;
+	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUNDS] = now;
+}
+
+/* Forget what an earlier term knew of a member's log. One that failed together with the last leader has been
+ * silent since then: half of the bound for lost members counts as over. */
+static void reset_member(struct raft *raft, struct raft_member *member, int64_t now)
+{
+	uint64_t next = raft_last_index(raft) + 1;
+
+	member->progress = (struct raft_progress){
+		.next_index = next,
+		.unacked_index = next,
+		.last_reply_at_ms = now - raft->group.member_lost_ms / 2,
+		.advanced_at_ms = now,
+		.resend_ms = RAFT_RESEND_MS,
+	};
+	member->drain.requested = false;
+	member->drain.release_round = 0;
+	memset(&member->transfer, 0, sizeof member->transfer);
 }
 
 static void become_leader(struct raft *raft, int64_t now, struct command_list *out)
@@ -80,30 +128,16 @@
 	raft->role = RAFT_LEADER;
 	raft->leader_id = raft->id;
 	raft->leader_addr = out->addr;
-	raft->lease_expires_at_ms = 0;
-	raft->quorum_requested_at_ms = now;
-	raft->has_remaining_majority = 0;
-	for (int i = 0; i < raft->member_count; i++) {
-		raft->members[i].next_index = raft_last_index(raft) + 1;
-		raft->members[i].unacked_index = raft->members[i].next_index;
-		raft->members[i].match_index = 0;
-		raft->members[i].acked_round = 0;
-		raft->members[i].last_reply_at_ms =
-		    now -
-		    raft->member_lost_ms / 2; /* who fell with the last owner has been silent since then */
-		raft->members[i].draining = 0;
-		raft->members[i].release_round = 0;
-		raft->members[i].probing = 0;
-		raft->members[i].progress_at_ms = now;
-		raft->members[i].resend_ms = RAFT_RESEND_MS;
-		memset(&raft->members[i].transfer, 0, sizeof raft->members[i].transfer);
-	}
-	for (int i = 0; i < 64; i++)
-		raft->heartbeat_sent_at_ms[i] =
-		    now - 1000 * RAFT_LEASE_MS; /* acks of earlier rounds grant nothing */
+	raft->lease.expires_at_ms = 0;
+	raft->lease.quorum_requested_at_ms = now;
+	raft->drain.has_remaining_majority = false;
+	for (int i = 0; i < raft->group.member_count; i++)
+		reset_member(raft, &raft->group.members[i], now);
+	for (int i = 0; i < RAFT_HEARTBEAT_ROUNDS; i++)
+		raft->lease.heartbeat_sent_at_ms[i] = now - ROUND_NOT_SENT_MS;
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_NOOP, NULL, 0);
-	raft->term_start = raft_last_index(raft);
-	raft->election_count++;
+	raft->log.term_start_index = raft_last_index(raft);
+	raft->election.won_count++;
 	begin_round(raft, now);
 }
 
@@ -112,25 +146,32 @@
 	raft->role = RAFT_CANDIDATE;
 	raft->term++;
 	raft->vote = raft->id;
-	raft->matched_index = raft->commit_index;
-	raft->heartbeat_round = raft->release_round = 0;
+	raft->log.matched_index = raft->log.commit_index;
+	raft->lease.heartbeat_round = raft->drain.release_round = 0;
 	raft->leader_id = raft->leader_addr = 0;
 	raft_mark_dirty(raft, 0);
-	raft->self_vote_seq = raft->sync_seq + 1; /* the sync that this step's flush will ask for */
+	raft->disk.self_vote_seq =
+	    raft->disk.requested_seq + 1; /* the sync that this step's flush will request */
 	raft_request_votes(raft, 0, now, out);
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
 }
 
+/* Whether a voter has granted; our own vote counts once it is synced. */
+static int has_granted(const struct raft *raft, const struct raft_member *member)
+{
+	if (member->id == raft->id)
+		return raft->role == RAFT_PRE_CANDIDATE || raft->disk.synced_seq >= raft->disk.self_vote_seq;
+	return member->vote.granted;
+}
+
 void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	int n = 0;
+	int granted = 0;
 
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].voter)
-			n += raft->members[i].id == raft->id
-				 ? raft->role == RAFT_PRE_CANDIDATE || raft->synced_seq >= raft->self_vote_seq
-				 : raft->members[i].vote_granted;
-	if (n <= raft_voter_count(raft) / 2)
+	for (int i = 0; i < raft->group.member_count; i++)
+		if (raft->group.members[i].voter)
+			granted += has_granted(raft, &raft->group.members[i]);
+	if (granted <= raft_voter_count(raft) / 2)
 		return;
 	if (raft->role == RAFT_PRE_CANDIDATE)
 		become_candidate(raft, out, now);
@@ -138,59 +179,68 @@
 		become_leader(raft, now, out);
 }
 
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre,
-		    struct command_list *out)
+void raft_run_for_election(struct raft *raft, int64_t now, struct command_list *out)
 {
-	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	raft->role = RAFT_PRE_CANDIDATE;
+	raft->leader_id = raft->leader_addr = 0;
+	raft_request_votes(raft, 1, now, out);
+	raft_retry_election_after(raft, RAFT_ELECTION_RETRY_MS, now);
+	raft_count_votes(raft, now, out);
+}
+
+/* ---- voters ---- */
 
-	reply->term = term;
-	reply->granted = granted;
-	reply->is_pre_vote = pre;
-	command_send(out, candidate_addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
+/* The leader of a term has dropped its lease. Where this member knows of no later term, its vote barrier
+ * protects that leader or an earlier one, whose lease was over before that one led: no lease is left to
+ * protect. */
+static void note_stepped_down(struct raft *raft, uint64_t term)
+{
+	if (!term || term < raft->term)
+		return;
+	raft->election.stepped_down_term = term;
+	raft->election.vote_barrier_until_ms = 0;
+	raft->election.vote_barrier_unknown = false;
 }
 
-/* A candidate was taken out of the group while it was away. */
-static void send_removed(struct raft *raft, uint64_t candidate_addr, struct command_list *out)
+/* Whether a candidate's log is at least as new as ours. */
+static int is_up_to_date(const struct raft *raft, const struct Nl__VoteRequest *request)
 {
-	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
+	uint64_t last_term = raft_last_term(raft);
 
-	reply->term = raft->term;
-	reply->removed = 1;
-	command_send(out, candidate_addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
+	return request->last_term > last_term ||
+	       (request->last_term == last_term && request->last_index >= raft_last_index(raft));
 }
 
-/* The leader of a term has dropped its lease. Where this member knows of no later term, whatever it promised
- * was promised to that leader or to an earlier one, whose lease was over before that one led. */
-static void note_stepped_down(struct raft *raft, uint64_t term)
+/* Grant the vote of this term; it is sent once it is synced. */
+static void grant_vote(struct raft *raft, const struct Nl__Msg *message, int64_t now)
 {
-	if (!term || term < raft->term)
-		return;
-	raft->stepped_down_term = term;
-	raft->vote_barrier_until_ms = 0;
-	raft->vote_barrier_unknown = 0;
+	raft->vote = message->id;
+	raft_mark_dirty(raft, 0);
+	raft->disk.pending_vote.active = true;
+	raft->disk.pending_vote.sync_seq = raft->disk.requested_seq + 1;
+	raft->disk.pending_vote.candidate_addr = message->addr;
+	raft->disk.pending_vote.term = raft->term;
+	raft_reset_election_timer(raft, now);
 }
 
 void raft_on_vote_request(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 			  struct command_list *out)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
-	int newer = request->last_term > raft_term_at(raft, raft_last_index(raft)) ||
-		    (request->last_term == raft_term_at(raft, raft_last_index(raft)) &&
-		     request->last_index >= raft_last_index(raft));
-	int free_to;
+	int newer = is_up_to_date(raft, request);
+	int free_to, pre_granted;
 
-	if (raft_has_lease(raft, now) && raft->members_index <= raft->commit_index &&
+	if (raft_has_lease(raft, now) && raft->group.members_index <= raft->log.commit_index &&
 	    !raft_find_member(raft, message->id)) {
-		send_removed(raft, message->addr, out);
+		raft_send_removed(raft, message->addr, out);
 		return;
 	}
 	note_stepped_down(raft, request->stepped_down_term);
-	free_to = now >= raft->vote_barrier_until_ms && !raft_has_lease(raft, now);
+	free_to = now >= raft->election.vote_barrier_until_ms && !raft_has_lease(raft, now);
 	if (request->is_pre_vote || !free_to || request->term < raft->term) {
-		raft_send_vote(raft, message->addr,
-			       request->is_pre_vote && newer && free_to ? request->term : raft->term,
-			       request->is_pre_vote && newer && free_to && request->term > raft->term,
-			       request->is_pre_vote, out);
+		pre_granted = request->is_pre_vote && newer && free_to;
+		raft_send_vote(raft, message->addr, pre_granted ? request->term : raft->term,
+			       pre_granted && request->term > raft->term, request->is_pre_vote, out);
 		return;
 	}
 	if (request->term > raft->term)
@@ -199,118 +249,136 @@
 		raft_send_vote(raft, message->addr, raft->term, 0, 0, out);
 		return;
 	}
-	raft->vote = message->id;
-	raft_mark_dirty(raft, 0);
-	raft->pending_vote.active = 1; /* said only once it is on the disk */
-	raft->pending_vote.sync_seq = raft->sync_seq + 1;
-	raft->pending_vote.candidate_addr = message->addr;
-	raft->pending_vote.term = raft->term;
-	raft_reset_election_timer(raft, now);
+	grant_vote(raft, message, now);
+}
+
+/* Whether a granted vote is for our current candidacy, or pre-vote for the one that would follow. */
+static int counts_now(const struct raft *raft, const struct Nl__VoteReply *reply)
+{
+	if (reply->is_pre_vote)
+		return raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1;
+	return raft->role == RAFT_CANDIDATE && reply->term == raft->term;
 }
 
 void raft_on_vote_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 			struct command_list *out)
 {
 	const struct Nl__VoteReply *reply = message->vote_reply;
-	struct raft_member *who = raft_find_member(raft, message->id);
+	struct raft_member *member = raft_find_member(raft, message->id);
 
 	if (reply->removed && reply->term >= raft->term) {
 		raft_become_follower(raft, raft->term, now);
-		raft->removed = 1;
+		raft->removed = true;
 		return;
 	}
 	if (reply->term > raft->term && !(reply->is_pre_vote && reply->granted)) {
 		raft_become_follower(raft, reply->term, now);
 		return;
 	}
-	if (!who || !reply->granted)
+	if (!member || !reply->granted)
 		return;
-	if (reply->is_pre_vote ? raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1
-			       : raft->role == RAFT_CANDIDATE && reply->term == raft->term) {
-		who->vote_granted = 1;
-		raft_count_votes(raft, now, out);
-	}
+	if (!counts_now(raft, reply))
+		return;
+	member->vote.granted = true;
+	raft_count_votes(raft, now, out);
 }
 
-/* ---- back after a fall ----------------------------------------------------
-
-One that came back waits out what it may have promised before. When all fell together, that would be a wait
-for an owner that fell too. So it asks every member that it knows; once all of them have said, in this life of
-ours, that they own nothing, nobody holds a lease that rests on a promise from before. An owner that we do not
-know can be there only if some member of ours was there when the members changed, so that its log is of a
-later term, or has a later members entry, than ours: then we wait. */
+/* ---- after a restart ----
+ *
+ * A restarted member waits until every vote barrier that it may have set before is over. Where the whole
+ * group restarted, that would be a wait for a leader that is gone too. So it probes every member that it
+ * knows; once all of them have answered, to this incarnation, that they do not lead, nobody holds a lease
+ * that rests on its earlier vote barrier. A leader that it does not know can exist only if some member that
+ * it does know took part in a change of members, and so has a log of a later term, or a later members entry:
+ * then it waits. */
 
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	raft->probe_at_ms = now + RAFT_PROBE_MS;
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].id != raft->id && !raft->members[i].not_leader) {
-			struct Nl__Probe *probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
-
-			probe->incarnation = raft->incarnation;
-			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_PROBE)->probe =
-			    probe;
-		}
+	raft->election.probe_at_ms = now + RAFT_PROBE_MS;
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+		struct Nl__Probe *probe;
+
+		if (member->id == raft->id || member->vote.not_leader)
+			continue;
+		probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
+		probe->incarnation = raft->election.incarnation;
+		command_send(out, member->addr, raft->shard, NL__MSG__BODY_PROBE)->probe = probe;
+	}
 }
 
 void raft_on_probe(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
-	struct Nl__ProbeReply *probe_reply;
+	struct Nl__ProbeReply *reply;
 
 	if (!raft_find_member(raft, raft->id))
-		return; /* one that left may have forgotten what it knew */
-	probe_reply = MESSAGE_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
-	probe_reply->incarnation = message->probe->incarnation;
-	probe_reply->is_leader = raft->role == RAFT_LEADER;
-	probe_reply->last_term = raft_term_at(raft, raft_last_index(raft));
-	probe_reply->members_index = raft->members_index;
-	command_send(out, message->addr, raft->shard, NL__MSG__BODY_PROBE_REPLY)->probe_reply = probe_reply;
+		return; /* one that was removed may not know of the group's leader any more */
+	reply = MESSAGE_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
+	reply->incarnation = message->probe->incarnation;
+	reply->is_leader = raft->role == RAFT_LEADER;
+	reply->last_term = raft_last_term(raft);
+	reply->members_index = raft->group.members_index;
+	command_send(out, message->addr, raft->shard, NL__MSG__BODY_PROBE_REPLY)->probe_reply = reply;
 }
 
-/* In this part so many members go before us, so that who fell together does not ask for votes together. */
+/* How many voters rank before this one in its shard: those that restarted together request votes one after
+ * another. */
 static int voters_ahead(const struct raft *raft)
 {
+	uint64_t own_weight = core_rendezvous_weight(raft->id, raft->shard);
 	int n = 0;
 
-	for (int i = 0; i < raft->member_count; i++)
-		n += raft->members[i].voter && core_rendezvous_weight(raft->members[i].id, raft->shard) >
-						   core_rendezvous_weight(raft->id, raft->shard);
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+
+		n += member->voter && core_rendezvous_weight(member->id, raft->shard) > own_weight;
+	}
 	return n;
 }
 
+/* Whether a member's answer shows that there may be a leader which this one does not know. */
+static int may_hide_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
+{
+	uint64_t term = raft_last_term(raft);
+
+	return reply->is_leader || reply->last_term > term ||
+	       (reply->last_term == term && reply->members_index > raft->group.members_index);
+}
+
 void raft_on_probe_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now)
 {
-	const struct Nl__ProbeReply *probe_reply = message->probe_reply;
-	struct raft_member *who = raft_find_member(raft, message->id);
-	uint64_t term = raft_term_at(raft, raft_last_index(raft));
+	const struct Nl__ProbeReply *reply = message->probe_reply;
+	struct raft_member *member = raft_find_member(raft, message->id);
 
-	if (!raft->vote_barrier_unknown || probe_reply->incarnation != raft->incarnation || !who)
+	if (!raft->election.vote_barrier_unknown || reply->incarnation != raft->election.incarnation ||
+	    !member)
 		return;
-	if (probe_reply->is_leader || probe_reply->last_term > term ||
-	    (probe_reply->last_term == term && probe_reply->members_index > raft->members_index)) {
-		raft->vote_barrier_unknown = 0; /* the promise is waited out */
+	if (may_hide_leader(raft, reply)) {
+		raft->election.vote_barrier_unknown = false; /* the vote barrier is waited out */
 		return;
 	}
-	who->not_leader = 1;
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].id != raft->id && !raft->members[i].not_leader)
+	member->vote.not_leader = true;
+	for (int i = 0; i < raft->group.member_count; i++)
+		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.not_leader)
 			return;
-	raft->vote_barrier_unknown = 0;
-	raft->vote_barrier_until_ms = 0;
-	raft->election_at_ms = now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
-			       (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
+	raft->election.vote_barrier_unknown = false;
+	raft->election.vote_barrier_until_ms = 0;
+	raft->election.due_at_ms =
+	    now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
+	    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
 }
 
 static int may_run_for_election(struct raft *raft, int64_t now)
 {
 	const struct raft_member *self = raft_find_member(raft, raft->id);
 
-	return self && self->voter && !raft->draining && !raft->fenced && !raft_sync_stalled(raft, now);
+	return self && self->voter && !raft->drain.requested && !raft->fenced &&
+	       !raft_sync_stalled(raft, now);
 }
 
-/* The leader ended its lease before it said so: its followers need not wait for it. The successor that it
- * names stands at once, without asking whether it would be elected; its request tells the others what they
- * may not have heard yet. */
+/* The leader ended its lease before it announced that it steps down: its followers need not wait for it. The
+ * successor that it names runs for election at once, without a pre-vote; its request tells the others of the
+ * step-down if they have not heard. */
 void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 		       struct command_list *out)
 {
@@ -322,9 +390,9 @@
 		become_candidate(raft, out, now);
 		return;
 	}
-	raft->election_at_ms = now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
+	raft->election.due_at_ms = now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
 	if (message->step_down->successor_id)
-		raft->election_at_ms += STEP_DOWN_SPREAD_MS;
+		raft->election.due_at_ms += STEP_DOWN_SPREAD_MS;
 }
 
 void raft_step_down(struct raft *raft, int64_t now, struct command_list *out)
@@ -334,15 +402,35 @@
 	if (raft->role != RAFT_LEADER)
 		return;
 	successor = raft_successor(raft, now);
-	raft_become_follower(raft, raft->term, now); /* the lease ends before anyone is told */
-	raft->election_at_ms += RAFT_ELECTION_MS;
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].id != raft->id) {
-			struct Nl__StepDown *message = MESSAGE_NEW(out, Nl__StepDown, NL__STEP_DOWN__INIT);
-
-			message->term = term;
-			message->successor_id = successor;
-			command_send(out, raft->members[i].addr, raft->shard, NL__MSG__BODY_STEP_DOWN)
-			    ->step_down = message;
-		}
+	raft_become_follower(raft, raft->term, now); /* the lease ends before the step-down is announced */
+	raft->election.due_at_ms += RAFT_ELECTION_MS;
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
+		struct Nl__StepDown *message;
+
+		if (member->id == raft->id)
+			continue;
+		message = MESSAGE_NEW(out, Nl__StepDown, NL__STEP_DOWN__INIT);
+		message->term = term;
+		message->successor_id = successor;
+		command_send(out, member->addr, raft->shard, NL__MSG__BODY_STEP_DOWN)->step_down = message;
+	}
+}
+
+/* ---- begin ---- */
+
+void raft_begin_elections(struct raft *raft, int64_t now)
+{
+	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
+	raft->election.vote_barrier_unknown = true;
+	raft->election.incarnation = core_random(&raft->random_state);
+	raft->election.probe_at_ms = now;
+	raft_reset_election_timer(raft, now);
+}
+
+void raft_begin_first_election(struct raft *raft, int64_t now)
+{
+	raft->election.due_at_ms = now + (int64_t)(core_random(&raft->random_state) % BOOTSTRAP_SPREAD_MS);
+	raft->election.vote_barrier_until_ms = 0;
+	raft->election.vote_barrier_unknown = false;
 }
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -1,33 +1,40 @@
-/* The replicated log in memory: entries behind the snapshot base, their terms, and what has to go to disk.
- * Called by the other raft modules. Indices are dense: log[0] is entry base + 1, and no entry at or below
- * commit is ever cut. */
-#include "raft_internal.h"
-
+/* The replicated log in memory: entries behind the snapshot base, their terms, and which of them have yet to
+ * be written. Lowest of the raft modules: it calls none of the others, and all of them call it. Indices are
+ * dense: entries[0] is entry base_index + 1. An entry at or below the commit index is never truncated. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "containers.h"
+#include "raft_internal.h"
 
 uint64_t raft_last_index(const struct raft *raft)
 {
-	return raft->base_index + (uint64_t)arrlen(raft->log);
+	return raft->log.base_index + (uint64_t)arrlen(raft->log.entries);
 }
 
 struct raft_entry *raft_entry_at(const struct raft *raft, uint64_t index)
 {
-	return index > raft->base_index && index <= raft_last_index(raft)
-		   ? &raft->log[index - raft->base_index - 1]
-		   : NULL;
+	if (index <= raft->log.base_index || index > raft_last_index(raft))
+		return NULL;
+	return &raft->log.entries[index - raft->log.base_index - 1];
 }
 
 uint64_t raft_term_at(const struct raft *raft, uint64_t index)
 {
-	struct raft_entry *entry = raft_entry_at(raft, index);
+	const struct raft_entry *entry = raft_entry_at(raft, index);
 
-	return entry                           ? entry->term
-	       : index == raft->base_index     ? raft->base_term
-	       : index == raft->snapshot_index ? raft->snapshot_term
-					       : 0;
+	if (entry)
+		return entry->term;
+	if (index == raft->log.base_index)
+		return raft->log.base_term;
+	if (index == raft->snapshots.newest.index)
+		return raft->snapshots.newest.term;
+	return 0;
+}
+
+uint64_t raft_last_term(const struct raft *raft)
+{
+	return raft_term_at(raft, raft_last_index(raft));
 }
 
 uint8_t *raft_copy_bytes(const uint8_t *data, size_t size)
@@ -43,16 +50,16 @@
 
 void raft_mark_dirty(struct raft *raft, uint64_t from)
 {
-	raft->dirty = 1;
-	if (from && (!raft->dirty_from || from < raft->dirty_from))
-		raft->dirty_from = from;
+	raft->disk.dirty = true;
+	if (from && (!raft->disk.dirty_from || from < raft->disk.dirty_from))
+		raft->disk.dirty_from = from;
 }
 
 void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size)
 {
 	struct raft_entry entry = { term, kind, size, raft_copy_bytes(data, size) };
 
-	arrput(raft->log, entry);
+	arrput(raft->log.entries, entry);
 	raft_mark_dirty(raft, raft_last_index(raft));
 }
 
@@ -60,27 +67,42 @@
 {
 	for (uint64_t i = from; i <= raft_last_index(raft); i++)
 		free(raft_entry_at(raft, i)->data);
-	arrsetlen(raft->log, (size_t)(from - raft->base_index - 1));
-	if (!raft->truncate_from || from < raft->truncate_from)
-		raft->truncate_from = from;
+	arrsetlen(raft->log.entries, (size_t)(from - raft->log.base_index - 1));
+	if (!raft->disk.truncate_from || from < raft->disk.truncate_from)
+		raft->disk.truncate_from = from;
 	raft_mark_dirty(raft, 0);
-	if (raft->dirty_from > raft_last_index(raft))
-		raft->dirty_from = 0;
-	if (raft->synced_index >= from)
-		raft->synced_index = from - 1;
-	for (ptrdiff_t i = 0; i < arrlen(raft->pending_syncs); i++)
-		if (raft->pending_syncs[i].last_index >= from)
-			raft->pending_syncs[i].last_index = from - 1;
+	if (raft->disk.dirty_from > raft_last_index(raft))
+		raft->disk.dirty_from = 0;
+	if (raft->disk.synced_index >= from)
+		raft->disk.synced_index = from - 1;
+	for (ptrdiff_t i = 0; i < arrlen(raft->disk.pending_syncs); i++)
+		if (raft->disk.pending_syncs[i].last_index >= from)
+			raft->disk.pending_syncs[i].last_index = from - 1;
+}
+
+void raft_drop_until(struct raft *raft, uint64_t index)
+{
+	raft->log.base_term = raft_term_at(raft, index);
+	for (uint64_t i = raft->log.base_index + 1; i <= index; i++)
+		free(raft_entry_at(raft, i)->data);
+	arrdeln(raft->log.entries, 0, (size_t)(index - raft->log.base_index));
+	raft->log.base_index = index;
+}
+
+uint64_t raft_synced_match(const struct raft *raft)
+{
+	return raft->log.matched_index < raft->disk.synced_index ? raft->log.matched_index
+								 : raft->disk.synced_index;
 }
 
 const struct raft_entry *raft_next_committed(struct raft *raft, uint64_t *index)
 {
-	while (raft->applied_index < raft->commit_index && !raft->snapshot_to_load) {
-		struct raft_entry *entry = raft_entry_at(raft, ++raft->applied_index);
+	while (raft->log.applied_index < raft->log.commit_index && !raft->snapshots.to_load) {
+		struct raft_entry *entry = raft_entry_at(raft, ++raft->log.applied_index);
 
-		raft->applied_bytes += entry ? entry->len : 0;
+		raft->log.applied_bytes += entry ? entry->len : 0;
 		if (entry && entry->kind == RAFT_ENTRY_OPERATION) {
-			*index = raft->applied_index;
+			*index = raft->log.applied_index;
 			return entry;
 		}
 	}
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -1,44 +1,74 @@
-/* The members in force: read from the newest members entry of the log, else from the snapshot, committed or
- * not. Called by the other raft modules. */
-#include "raft_internal.h"
-
+/* The members in force: those of the newest members entry of the log, else of the snapshot, committed or not;
+ * and the identities of older epochs that the group does not take back. Called by all raft modules above the
+ * log; calls raft_log.c only. */
 #include <stdlib.h>
 #include <string.h>
 
-struct raft_member *raft_find_member(struct raft *raft, uint64_t id)
+#include "raft_internal.h"
+
+const struct raft_member *raft_find_const_member(const struct raft *raft, uint64_t id)
 {
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].id == id)
-			return &raft->members[i];
+	for (int i = 0; i < raft->group.member_count; i++)
+		if (raft->group.members[i].id == id)
+			return &raft->group.members[i];
 	return NULL;
 }
 
+struct raft_member *raft_find_member(struct raft *raft, uint64_t id)
+{
+	return (struct raft_member *)raft_find_const_member(raft, id);
+}
+
 int raft_voter_count(const struct raft *raft)
 {
 	int n = 0;
 
-	for (int i = 0; i < raft->member_count; i++)
-		n += raft->members[i].voter;
+	for (int i = 0; i < raft->group.member_count; i++)
+		n += raft->group.members[i].voter;
 	return n;
 }
 
+void raft_add_fenced(struct raft *raft, uint64_t id)
+{
+	if (raft_is_fenced(raft, id) || raft->group.fenced_count == RAFT_MAX_FENCED)
+		return;
+	raft->group.fenced_ids[raft->group.fenced_count++] = id;
+}
+
+int raft_is_fenced(const struct raft *raft, uint64_t id)
+{
+	for (int i = 0; i < raft->group.fenced_count; i++)
+		if (raft->group.fenced_ids[i] == id)
+			return 1;
+	return 0;
+}
+
+/* A member of which nothing is known yet. */
+static struct raft_member new_member(const struct raft *raft)
+{
+	uint64_t next = raft_last_index(raft) + 1;
+
+	return (struct raft_member){ .progress = { .next_index = next,
+						   .unacked_index = next,
+						   .resend_ms = RAFT_RESEND_MS,
+						   .probing = true } };
+}
+
 void raft_set_members(struct raft *raft, const uint8_t *packed, size_t size, uint64_t index)
 {
 	struct Nl__Members *members = nl__members__unpack(NULL, size, packed);
 	struct raft_member old[RAFT_MAX_MEMBERS];
-	int old_count = raft->member_count;
-
-	memcpy(old, raft->members, sizeof old);
-	raft->member_count = 0;
-	raft->members_index = index;
-	raft->has_remaining_majority = 0; /* until it is counted among these */
-	for (size_t i = 0; members && i < members->n_members && raft->member_count < RAFT_MAX_MEMBERS; i++) {
-		struct raft_member *member = &raft->members[raft->member_count++];
-
-		memset(member, 0, sizeof *member);
-		member->next_index = member->unacked_index = raft_last_index(raft) + 1;
-		member->resend_ms = RAFT_RESEND_MS;
-		member->probing = 1;
+	int old_count = raft->group.member_count;
+
+	memcpy(old, raft->group.members, sizeof old);
+	raft->group.member_count = 0;
+	raft->group.members_index = index;
+	raft->drain.has_remaining_majority = false; /* until it is counted among these */
+	for (size_t i = 0; members && i < members->n_members && raft->group.member_count < RAFT_MAX_MEMBERS;
+	     i++) {
+		struct raft_member *member = &raft->group.members[raft->group.member_count++];
+
+		*member = new_member(raft);
 		for (int k = 0; k < old_count; k++)
 			if (old[k].id == members->members[i]->id)
 				*member = old[k];
@@ -46,35 +76,34 @@
 		member->addr = members->members[i]->addr;
 		member->voter = members->members[i]->voter;
 	}
-	raft->fenced_count = 0;
+	raft->group.fenced_count = 0;
 	for (size_t i = 0; members && i < members->n_fenced; i++)
 		raft_add_fenced(raft, members->fenced[i]);
 	if (members)
 		nl__members__free_unpacked(members, NULL);
 }
 
-/* After a cut or a load: the newest members entry in the log, else the snapshot's. */
 void raft_reload_members(struct raft *raft)
 {
-	for (uint64_t i = raft_last_index(raft); i > raft->base_index; i--)
+	for (uint64_t i = raft_last_index(raft); i > raft->log.base_index; i--)
 		if (raft_entry_at(raft, i)->kind == RAFT_ENTRY_MEMBERS) {
 			raft_set_members(raft, raft_entry_at(raft, i)->data, raft_entry_at(raft, i)->len, i);
 			return;
 		}
-	raft_set_members(raft, raft->snapshot_members, raft->snapshot_members_len, raft->snapshot_index);
+	raft_set_members(raft, raft->snapshots.newest.members, raft->snapshots.newest.members_len,
+			 raft->snapshots.newest.index);
 }
 
-/* The members in force at index i, packed: what a snapshot at i must carry. */
 void raft_members_in_force(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size)
 {
-	for (; index > raft->base_index; index--)
+	for (; index > raft->log.base_index; index--)
 		if (raft_entry_at(raft, index)->kind == RAFT_ENTRY_MEMBERS) {
 			*packed = raft_entry_at(raft, index)->data;
 			*size = raft_entry_at(raft, index)->len;
 			return;
 		}
-	*packed = raft->snapshot_members;
-	*size = raft->snapshot_members_len;
+	*packed = raft->snapshots.newest.members;
+	*size = raft->snapshots.newest.members_len;
 }
 
 int raft_members_valid(const uint8_t *packed, size_t size)
@@ -96,20 +125,20 @@
 uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *member, int count, size_t *len)
 {
 	struct Nl__Members members = NL__MEMBERS__INIT;
-	struct Nl__Member v[RAFT_MAX_MEMBERS], *pv[RAFT_MAX_MEMBERS];
+	struct Nl__Member records[RAFT_MAX_MEMBERS], *pointers[RAFT_MAX_MEMBERS];
 	uint8_t *packed;
 
 	for (int i = 0; i < count; i++) {
-		nl__member__init(&v[i]);
-		v[i].id = member[i].id;
-		v[i].addr = member[i].addr;
-		v[i].voter = member[i].voter;
-		pv[i] = &v[i];
+		nl__member__init(&records[i]);
+		records[i].id = member[i].id;
+		records[i].addr = member[i].addr;
+		records[i].voter = member[i].voter;
+		pointers[i] = &records[i];
 	}
 	members.n_members = (size_t)count;
-	members.members = pv;
-	members.n_fenced = (size_t)raft->fenced_count;
-	members.fenced = (uint64_t *)raft->fenced_ids;
+	members.members = pointers;
+	members.n_fenced = (size_t)raft->group.fenced_count;
+	members.fenced = (uint64_t *)raft->group.fenced_ids;
 	*len = nl__members__get_packed_size(&members);
 	packed = raft_copy_bytes(NULL, 0);
 	packed = realloc(packed, *len + 1);
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -1,36 +1,39 @@
 /* Changes of membership, one member at a time: lost members are replaced, learners promoted, zones balanced.
- * Called by the control plane at the leader. A change starts only when the change before it is committed, in
- * the leader's own term, and only towards a membership whose voters include a live majority that holds all
- * that is committed.
+ * Always: a change starts only when the change before it is committed, in the leader's own term, and only
+ * towards a membership whose voters include a live majority that holds all that is committed. Called by the
+ * control plane at the leader; calls raft_election.c, raft_members.c and raft_log.c.
  *
  * A lost voter is removed before its successor is promoted, so that its silence never counts towards a larger
  * majority; the successor has caught up as a learner by then. A voter that still answers is removed only
  * after its successor is promoted. A voter that is silent for a while gets a successor prepared as a learner,
- * which goes again if it returns. */
-#include "raft_internal.h"
-
+ * which is removed again if it returns. */
 #include <stdlib.h>
 #include <string.h>
 
-/* A learner that is silent for so long makes room for another; it has no vote that could be missed. */
+#include "raft_internal.h"
+
+/* A learner that is silent for so long is removed, so that another can join; it has no vote that could be
+ * missed. */
 enum { LEARNER_LOST_MS = 2 * RAFT_LEASE_MS };
 
 /* What the leader knows when it decides on a change. */
-struct view {
+struct fleet_view {
 	struct raft *raft;
 	const struct raft_member *live; /* controllers known to the fleet, with their zones */
 	int live_count;
 	int64_t now;
 };
 
-/* How the membership stands. Positions are in raft->members; -1: none. */
+/* The state of the membership. Positions are in raft->group.members; -1: none. */
 struct membership_status {
 	int voters;
 	int suspects;       /* voters that are silent, for whom a learner is prepared */
-	int lost_voters;    /* voters given up */
-	int lost_voter;     /* one of them */
-	int draining_voter; /* one that is to stop, while those who stay are no majority by themselves */
-	int learner, lost_learner;
+	int lost_voters;    /* voters silent for longer than member_lost_ms */
+	int lost_voter;     /* position of one of them */
+	int draining_voter; /* position of one that is to stop, while those who stay are no majority by
+			       themselves */
+	int learner;        /* position */
+	int lost_learner;   /* position */
 };
 
 static void change_members(struct raft *raft, const struct raft_member *members, int count)
@@ -43,7 +46,7 @@
 	free(packed);
 }
 
-static const struct raft_member *find_live(const struct view *view, uint64_t id)
+static const struct raft_member *find_live(const struct fleet_view *view, uint64_t id)
 {
 	for (int i = 0; i < view->live_count; i++)
 		if (view->live[i].id == id)
@@ -51,8 +54,9 @@
 	return NULL;
 }
 
-/* Another identity stands where a member stood: its disk was lost, and it will not come back. */
-static int is_replaced(const struct view *view, const struct raft_member *member)
+/* Another identity has the address of a member: the disk of that member was lost, and it will not come back.
+ */
+static int is_replaced(const struct fleet_view *view, const struct raft_member *member)
 {
 	int other = 0;
 
@@ -61,37 +65,38 @@
 			return 0;
 		other |= view->live[i].addr == member->addr;
 	}
-	return other && view->now - member->last_reply_at_ms > RAFT_LEASE_MS;
+	return other && view->now - member->progress.last_reply_at_ms > RAFT_LEASE_MS;
 }
 
-static int is_silent_for(const struct view *view, const struct raft_member *member, int64_t silent_ms)
+static int is_silent_for(const struct fleet_view *view, const struct raft_member *member, int64_t silent_ms)
 {
 	return member->id != view->raft->id &&
-	       (view->now - member->last_reply_at_ms > silent_ms || is_replaced(view, member));
+	       (view->now - member->progress.last_reply_at_ms > silent_ms || is_replaced(view, member));
 }
 
-static int is_suspect(const struct view *view, const struct raft_member *member)
+static int is_suspect(const struct fleet_view *view, const struct raft_member *member)
 {
-	return is_silent_for(view, member, view->raft->member_lost_ms * 2 / 3);
+	return is_silent_for(view, member, view->raft->group.member_lost_ms * 2 / 3);
 }
 
-static int is_lost(const struct view *view, const struct raft_member *member)
+static int is_lost(const struct fleet_view *view, const struct raft_member *member)
 {
-	return is_silent_for(view, member, view->raft->member_lost_ms);
+	return is_silent_for(view, member, view->raft->group.member_lost_ms);
 }
 
 /* Whether a member answers, and has synced all that is committed. */
-static int is_caught_up(const struct view *view, const struct raft_member *member)
+static int is_caught_up(const struct fleet_view *view, const struct raft_member *member)
 {
 	const struct raft *raft = view->raft;
 
 	if (member->id == raft->id)
-		return raft->synced_index >= raft->commit_index;
-	return !is_silent_for(view, member, RAFT_LEASE_MS) && member->match_index >= raft->commit_index;
+		return raft->disk.synced_index >= raft->log.commit_index;
+	return !is_silent_for(view, member, RAFT_LEASE_MS) &&
+	       member->progress.match_index >= raft->log.commit_index;
 }
 
 /* Whether these members could commit and elect by themselves at once. */
-static int has_ready_majority(const struct view *view, const struct raft_member *members, int count)
+static int has_ready_majority(const struct fleet_view *view, const struct raft_member *members, int count)
 {
 	int voters = 0, ready = 0;
 
@@ -103,20 +108,20 @@
 }
 
 /* Voters of a zone that are not silent. */
-static int voters_in_zone(const struct view *view, uint64_t zone)
+static int voters_in_zone(const struct fleet_view *view, uint64_t zone)
 {
 	const struct raft *raft = view->raft;
 	int n = 0;
 
-	for (int i = 0; i < raft->member_count && zone; i++)
-		n += raft->members[i].voter && raft->members[i].zone == zone &&
-		     !is_suspect(view, &raft->members[i]);
+	for (int i = 0; i < raft->group.member_count && zone; i++)
+		n += raft->group.members[i].voter && raft->group.members[i].zone == zone &&
+		     !is_suspect(view, &raft->group.members[i]);
 	return n;
 }
 
-/* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing names.
- */
-static const struct raft_member *next_replica(const struct view *view)
+/* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing ranks
+ * first. */
+static const struct raft_member *next_replica(const struct fleet_view *view)
 {
 	const struct raft_member *best = NULL;
 	uint32_t group = view->raft->shard;
@@ -140,13 +145,13 @@
 
 /* One voter too many: of the zone with the most voters, the one that rendezvous hashing ranks last; never the
  * leader. */
-static int surplus_voter(const struct view *view)
+static int surplus_voter(const struct fleet_view *view)
 {
 	const struct raft *raft = view->raft;
 	int worst = -1, most = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		const struct raft_member *member = &raft->members[i];
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
 		int n = voters_in_zone(view, member->zone);
 
 		if (member->id == raft->id || !member->voter)
@@ -154,7 +159,7 @@
 		if (worst >= 0 &&
 		    (n < most ||
 		     (n == most && core_rendezvous_weight(raft->shard, member->id) >=
-				       core_rendezvous_weight(raft->shard, raft->members[worst].id))))
+				       core_rendezvous_weight(raft->shard, raft->group.members[worst].id))))
 			continue;
 		worst = i;
 		most = n;
@@ -163,13 +168,13 @@
 }
 
 /* Whether a controller's zone has two voters fewer than another: its joining spreads the group better. */
-static int spreads_zones(const struct view *view, const struct raft_member *candidate)
+static int spreads_zones(const struct fleet_view *view, const struct raft_member *candidate)
 {
 	const struct raft *raft = view->raft;
 	int most = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		int n = voters_in_zone(view, raft->members[i].zone);
+	for (int i = 0; i < raft->group.member_count; i++) {
+		int n = voters_in_zone(view, raft->group.members[i].zone);
 
 		if (n > most)
 			most = n;
@@ -177,22 +182,21 @@
 	return candidate->zone && voters_in_zone(view, candidate->zone) + 2 <= most;
 }
 
-/* Take over zones and addresses as the fleet knows them; 1 when an address has changed and is being logged.
- */
-static int update_addresses(const struct view *view)
+/* Update zones and addresses to what the fleet knows; 1 when an address has changed and is being logged. */
+static int update_addresses(const struct fleet_view *view)
 {
 	struct raft *raft = view->raft;
 	struct raft_member members[RAFT_MAX_MEMBERS];
 	int moved = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		const struct raft_member *known = find_live(view, raft->members[i].id);
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *known = find_live(view, raft->group.members[i].id);
 
 		if (known && known->zone)
-			raft->members[i].zone = known->zone;
+			raft->group.members[i].zone = known->zone;
 	}
-	memcpy(members, raft->members, sizeof members);
-	for (int i = 0; i < raft->member_count && !moved; i++) {
+	memcpy(members, raft->group.members, sizeof members);
+	for (int i = 0; i < raft->group.member_count && !moved; i++) {
 		const struct raft_member *known = find_live(view, members[i].id);
 
 		moved = known && known->addr != members[i].addr;
@@ -200,25 +204,25 @@
 			members[i].addr = known->addr;
 	}
 	if (moved)
-		change_members(raft, members, raft->member_count);
+		change_members(raft, members, raft->group.member_count);
 	return moved;
 }
 
-/* A voter that is to stop is replaced beforehand where those who stay could not go on by themselves. */
+/* A draining voter is replaced beforehand where those who stay could not go on by themselves. */
 static int needs_successor(const struct raft *raft, const struct raft_member *member)
 {
-	return member->draining && member->id != raft->id && !raft->has_remaining_majority;
+	return member->drain.requested && member->id != raft->id && !raft->drain.has_remaining_majority;
 }
 
-static struct membership_status assess_members(const struct view *view)
+static struct membership_status assess_members(const struct fleet_view *view)
 {
 	const struct raft *raft = view->raft;
 	struct membership_status standing = {
 		.lost_voter = -1, .draining_voter = -1, .learner = -1, .lost_learner = -1
 	};
 
-	for (int i = 0; i < raft->member_count; i++) {
-		const struct raft_member *member = &raft->members[i];
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
 
 		if (!member->voter) {
 			if (is_silent_for(view, member, LEARNER_LOST_MS) || raft_is_fenced(raft, member->id))
@@ -239,51 +243,51 @@
 }
 
 /* Remove one member, unless the others would lack a live majority that holds all that is committed. */
-static void remove_member(const struct view *view, int position)
+static void remove_member(const struct fleet_view *view, int position)
 {
 	struct raft *raft = view->raft;
 	struct raft_member members[RAFT_MAX_MEMBERS];
 
-	memcpy(members, raft->members, sizeof members);
-	members[position] = members[raft->member_count - 1];
-	if (has_ready_majority(view, members, raft->member_count - 1))
-		change_members(raft, members, raft->member_count - 1);
+	memcpy(members, raft->group.members, sizeof members);
+	members[position] = members[raft->group.member_count - 1];
+	if (has_ready_majority(view, members, raft->group.member_count - 1))
+		change_members(raft, members, raft->group.member_count - 1);
 }
 
 /* Give a learner its vote; it holds all that is committed. */
-static void promote_learner(const struct view *view, int position)
+static void promote_learner(const struct fleet_view *view, int position)
 {
 	struct raft *raft = view->raft;
 	struct raft_member members[RAFT_MAX_MEMBERS];
 
-	memcpy(members, raft->members, sizeof members);
+	memcpy(members, raft->group.members, sizeof members);
 	members[position].voter = 1;
-	if (has_ready_majority(view, members, raft->member_count))
-		change_members(raft, members, raft->member_count);
+	if (has_ready_majority(view, members, raft->group.member_count))
+		change_members(raft, members, raft->group.member_count);
 }
 
-static void add_learner(const struct view *view, const struct raft_member *joining)
+static void add_learner(const struct fleet_view *view, const struct raft_member *joining)
 {
 	struct raft *raft = view->raft;
 	struct raft_member members[RAFT_MAX_MEMBERS];
-	int count = raft->member_count;
+	int count = raft->group.member_count;
 
-	memcpy(members, raft->members, sizeof members);
+	memcpy(members, raft->group.members, sizeof members);
 	memset(&members[count], 0, sizeof *members);
 	members[count].id = joining->id;
 	members[count].addr = joining->addr;
 	change_members(raft, members, count + 1);
-	raft_find_member(raft, joining->id)->last_reply_at_ms = view->now;
+	raft_find_member(raft, joining->id)->progress.last_reply_at_ms = view->now;
 	raft_find_member(raft, joining->id)->zone = joining->zone;
 }
 
-/* A learner has fallen silent. Where it makes up for a voter of the minimum it goes only once another one has
- * caught up. */
-static void replace_learner(const struct view *view, const struct membership_status *standing,
+/* A learner has stopped answering. Where it makes up for a voter of the minimum it is removed only once
+ * another has caught up. */
+static void replace_learner(const struct fleet_view *view, const struct membership_status *standing,
 			    const struct raft_member *joining)
 {
-	int others = standing->voters +
-		     (standing->learner >= 0 && is_caught_up(view, &view->raft->members[standing->learner]));
+	int others = standing->voters + (standing->learner >= 0 &&
+					 is_caught_up(view, &view->raft->group.members[standing->learner]));
 
 	if (others >= RAFT_MIN_VOTERS)
 		remove_member(view, standing->lost_learner);
@@ -291,19 +295,20 @@
 		add_learner(view, joining);
 }
 
-/* A learner is there: promote it, make room for it first, or let it go when it is no longer needed. */
-static void use_learner(const struct view *view, const struct membership_status *standing)
+/* There is a learner: promote it, remove the voter that it replaces first, or remove it when it is no longer
+ * needed. */
+static void use_learner(const struct fleet_view *view, const struct membership_status *standing)
 {
 	const struct raft *raft = view->raft;
-	const struct raft_member *learner = &raft->members[standing->learner];
+	const struct raft_member *learner = &raft->group.members[standing->learner];
 	int wanted =
-	    standing->voters < raft->replicas || (!standing->suspects && spreads_zones(view, learner));
+	    standing->voters < raft->group.replicas || (!standing->suspects && spreads_zones(view, learner));
 
 	if (!standing->suspects && !wanted) {
 		remove_member(view, standing->learner);
 		return;
 	}
-	if (!is_caught_up(view, learner) || learner->match_index < raft->term_start)
+	if (!is_caught_up(view, learner) || learner->progress.match_index < raft->log.term_start_index)
 		return;
 	if (standing->lost_voter >= 0)
 		remove_member(view, standing->lost_voter);
@@ -311,8 +316,8 @@
 		promote_learner(view, standing->learner);
 }
 
-/* Without a successor at hand a lost voter goes where that lets the rest survive one more loss, never below
- * the minimum. */
+/* Without a successor a lost voter is removed where that lets the rest survive one more loss, never below the
+ * minimum. */
 static int shrinks_well(const struct membership_status *standing)
 {
 	return standing->lost_voters && standing->voters > RAFT_MIN_VOTERS &&
@@ -321,14 +326,15 @@
 
 void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now)
 {
-	struct view view = { raft, live, live_count, now };
+	struct fleet_view view = { raft, live, live_count, now };
 	const struct raft_member *joining;
 	struct membership_status standing;
 
-	if (!raft_has_lease(raft, now) || raft->members_index > raft->commit_index || update_addresses(&view))
+	if (!raft_has_lease(raft, now) || raft->group.members_index > raft->log.commit_index ||
+	    update_addresses(&view))
 		return;
 	standing = assess_members(&view);
-	joining = raft->member_count < RAFT_MAX_MEMBERS ? next_replica(&view) : NULL;
+	joining = raft->group.member_count < RAFT_MAX_MEMBERS ? next_replica(&view) : NULL;
 	if (standing.lost_learner >= 0) {
 		replace_learner(&view, &standing, joining);
 		return;
@@ -338,15 +344,15 @@
 		return;
 	}
 	if (joining &&
-	    (standing.suspects || standing.voters < raft->replicas || spreads_zones(&view, joining)) &&
-	    standing.voters <= raft->replicas)
+	    (standing.suspects || standing.voters < raft->group.replicas || spreads_zones(&view, joining)) &&
+	    standing.voters <= raft->group.replicas)
 		add_learner(&view, joining);
 	else if (shrinks_well(&standing))
 		remove_member(&view, standing.lost_voter);
-	else if (standing.voters > raft->replicas && standing.lost_voters)
+	else if (standing.voters > raft->group.replicas && standing.lost_voters)
 		remove_member(&view, standing.lost_voter);
-	else if (standing.voters > raft->replicas && standing.draining_voter >= 0)
+	else if (standing.voters > raft->group.replicas && standing.draining_voter >= 0)
 		remove_member(&view, standing.draining_voter);
-	else if (standing.voters > raft->replicas && !standing.suspects)
+	else if (standing.voters > raft->group.replicas && !standing.suspects)
 		remove_member(&view, surplus_voter(&view));
 }
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -1,13 +1,14 @@
-/* Recovery of a group that has lost its majority for good, by an operator's word: one voter that is left goes
- * on alone with its copy, in a new epoch. The epoch is the upper part of the term. Members of an older epoch
- * are fenced: their messages are refused, they neither vote nor lead once they hear of the newer epoch, and
- * no group takes them back under their old identity. Called by raft.c for every message, and by the control
- * plane for the operator's call. */
-#include "raft_internal.h"
-
+/* Recovery of a group that has lost its majority for good, by an operator's decision: one voter that is left
+ * goes on alone with its copy, in a new epoch. The epoch is the upper part of the term. Members of an older
+ * epoch are fenced: their messages are refused, they neither vote nor lead once they hear of the newer epoch,
+ * and no group takes them back under their old identity. Called by raft.c for every message, and by the
+ * control plane for the operator's request; calls raft_election.c, raft_members.c, raft_messages.c and
+ * raft_log.c. */
 #include <stdlib.h>
 #include <string.h>
 
+#include "raft_internal.h"
+
 uint64_t raft_epoch(uint64_t term)
 {
 	return term >> RAFT_EPOCH_SHIFT;
@@ -43,7 +44,7 @@
 {
 	raft_become_follower(raft, raft->term, now);
 	raft->leader_id = raft->leader_addr = 0;
-	raft->fenced = 1;
+	raft->fenced = true;
 }
 
 /* A leader of a newer epoch offers membership to an identity of an older one: it has to take another. */
@@ -52,20 +53,10 @@
 	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
 	reply->term = message_term(raft, message);
-	reply->fenced = 1;
+	reply->fenced = true;
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_APPEND_REPLY)->append_reply = reply;
 }
 
-/* Tell a member of an older epoch that it is fenced. */
-static void fence_sender(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
-{
-	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
-
-	reply->term = raft->term;
-	reply->removed = 1;
-	command_send(out, message->addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
-}
-
 static int is_offer(const struct Nl__Msg *message)
 {
 	return message->body_case == NL__MSG__BODY_APPEND ||
@@ -81,10 +72,10 @@
 		return !raft->fenced;
 	if (theirs < ours) {
 		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_offer(message))
-			fence_sender(raft, message, out);
+			raft_send_removed(raft, message->addr, out); /* it is fenced */
 		return 0;
 	}
-	if (!raft->member_count) /* nothing is held here: it takes the group as it is */
+	if (!raft->group.member_count) /* nothing is held here: it takes the group as it is */
 		return is_offer(message);
 	become_fenced(raft, now);
 	if (is_offer(message))
@@ -92,21 +83,6 @@
 	return 0;
 }
 
-void raft_add_fenced(struct raft *raft, uint64_t id)
-{
-	if (raft_is_fenced(raft, id) || raft->fenced_count == RAFT_MAX_FENCED)
-		return;
-	raft->fenced_ids[raft->fenced_count++] = id;
-}
-
-int raft_is_fenced(const struct raft *raft, uint64_t id)
-{
-	for (int i = 0; i < raft->fenced_count; i++)
-		if (raft->fenced_ids[i] == id)
-			return 1;
-	return 0;
-}
-
 static int is_named(const uint64_t *lost, int count, uint64_t id)
 {
 	for (int i = 0; i < count; i++)
@@ -119,8 +95,8 @@
 {
 	int voters = 0, remaining = 0, voting = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		const struct raft_member *member = &raft->members[i];
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const struct raft_member *member = &raft->group.members[i];
 		int named = is_named(lost, count, member->id);
 
 		if (!member->voter)
@@ -131,14 +107,14 @@
 		if (named && member->id != raft->id && member->last_message_at_ms &&
 		    now - member->last_message_at_ms < RAFT_ABSENT_MS)
 			return RAFT_RECOVERY_MEMBER_ANSWERS;
-		if (!named && (member->last_term > raft_term_at(raft, raft_last_index(raft)) ||
-			       (member->last_term == raft_term_at(raft, raft_last_index(raft)) &&
-				member->last_index > raft_last_index(raft))))
+		if (!named && (member->vote.last_term > raft_last_term(raft) ||
+			       (member->vote.last_term == raft_last_term(raft) &&
+				member->vote.last_index > raft_last_index(raft))))
 			return RAFT_RECOVERY_OTHER_IS_NEWER;
 	}
 	if (!voting || raft->fenced)
 		return RAFT_RECOVERY_NO_VOTER;
-	if (raft->role == RAFT_LEADER || now < raft->vote_barrier_until_ms)
+	if (raft->role == RAFT_LEADER || now < raft->election.vote_barrier_until_ms)
 		return RAFT_RECOVERY_HAS_LEADER;
 	if (remaining > voters / 2)
 		return RAFT_RECOVERY_MAJORITY_REMAINS;
@@ -154,9 +130,9 @@
 
 	if (verdict != RAFT_RECOVERY_POSSIBLE)
 		return verdict;
-	for (int i = 0; i < raft->member_count; i++)
-		if (raft->members[i].id != raft->id)
-			raft_add_fenced(raft, raft->members[i].id);
+	for (int i = 0; i < raft->group.member_count; i++)
+		if (raft->group.members[i].id != raft->id)
+			raft_add_fenced(raft, raft->group.members[i].id);
 	self = *raft_find_member(raft, raft->id);
 	raft_become_follower(raft, (raft_epoch(raft->term) + 1) << RAFT_EPOCH_SHIFT, now);
 	raft->vote = raft->id;
@@ -164,10 +140,10 @@
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_MEMBERS, packed, len);
 	raft_set_members(raft, packed, len, raft_last_index(raft));
 	free(packed);
-	raft->vote_barrier_until_ms = 0;
-	raft->vote_barrier_unknown = 0;
-	raft->removed = 0;
-	raft->election_at_ms = now;
+	raft->election.vote_barrier_until_ms = 0;
+	raft->election.vote_barrier_unknown = false;
+	raft->removed = false;
+	raft->election.due_at_ms = now;
 	return verdict;
 }
 
--- /dev/null
+++ b/lib/core/raft_snapshot_send.c
@@ -0,0 +1,203 @@
+/* Leader: the transfer of a snapshot to a member that is too far behind for entries.
+ * A window of chunks is kept under way to the member and moves by what the member acknowledges; without
+ * progress the window is sent again, with growing back-off. A transfer goes on with the snapshot that it
+ * began with, also when a newer one is taken. Called by raft_replication.c and raft.c; calls raft_election.c,
+ * raft_snapshot.c, raft_members.c. */
+#include <apr_strings.h>
+#include <string.h>
+
+#include "raft_internal.h"
+
+enum {
+	REWIND_INTERVAL_MS = 100
+}; /* between two rewinds of a transfer: replies sent before one say no more than it did */
+
+static uint64_t total_bytes(const struct raft_stored_snapshot *snapshot)
+{
+	return snapshot->members_len + snapshot->data_len;
+}
+
+static int64_t doubled_backoff_ms(int64_t resend_ms)
+{
+	return resend_ms * 2 < RAFT_RESEND_MAX_MS ? resend_ms * 2 : RAFT_RESEND_MAX_MS;
+}
+
+static void begin_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
+{
+	int64_t resend_ms = transfer->resend_ms;
+
+	memset(transfer, 0, sizeof *transfer);
+	transfer->index = raft->snapshots.newest.index;
+	transfer->last_reply_at_ms = transfer->advanced_at_ms = now;
+	transfer->resend_ms = resend_ms ? resend_ms : RAFT_RESEND_MS;
+}
+
+void raft_end_transfer(struct raft *raft, struct raft_member *member)
+{
+	memset(&member->transfer, 0, sizeof member->transfer);
+	raft_release_previous(raft);
+}
+
+/* Members and state are two buffers; a chunk may hold the end of one and the beginning of the other. */
+static void copy_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
+		       size_t size)
+{
+	size_t members_part = 0;
+
+	if (offset < snapshot->members_len) {
+		members_part = snapshot->members_len - (size_t)offset;
+		members_part = members_part < size ? members_part : size;
+		memcpy(target, snapshot->members + offset, members_part);
+	}
+	if (size > members_part)
+		memcpy(target + members_part,
+		       snapshot->data + (offset + members_part - snapshot->members_len), size - members_part);
+}
+
+static size_t send_chunk(struct raft *raft, const struct raft_member *member,
+			 const struct raft_stored_snapshot *snapshot, struct command_list *out)
+{
+	struct Nl__SnapshotChunk *chunk = MESSAGE_NEW(out, Nl__SnapshotChunk, NL__SNAPSHOT_CHUNK__INIT);
+	uint64_t remaining_bytes;
+
+	chunk->term = raft->term;
+	chunk->recipient_id = member->id;
+	chunk->index = snapshot->index;
+	chunk->index_term = snapshot->term;
+	chunk->members_len = snapshot->members_len;
+	chunk->total_bytes = total_bytes(snapshot);
+	chunk->offset = member->transfer.sent_bytes;
+	chunk->digest.data = apr_pmemdup(out->pool, snapshot->digest, RAFT_DIGEST_BYTES);
+	chunk->digest.len = RAFT_DIGEST_BYTES;
+	remaining_bytes = chunk->total_bytes - chunk->offset;
+	chunk->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
+	chunk->data.data = apr_palloc(out->pool, chunk->data.len + 1);
+	copy_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
+	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_CHUNK)->snapshot_chunk = chunk;
+	return chunk->data.len;
+}
+
+/* Without progress for a while: what is under way is taken for lost. */
+static void resend_after_timeout(struct raft_snapshot_transfer *transfer, int64_t now)
+{
+	int64_t carried_ms =
+	    (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
+
+	if (transfer->sent_bytes == transfer->acked_bytes ||
+	    now - transfer->advanced_at_ms < transfer->resend_ms + carried_ms)
+		return;
+	transfer->sent_bytes = transfer->acked_bytes;
+	transfer->advanced_at_ms = now;
+	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
+}
+
+void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
+{
+	struct raft_snapshot_transfer *transfer = &member->transfer;
+	struct raft_stored_snapshot *snapshot;
+	uint64_t window;
+
+	if (transfer->index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
+		transfer->index = 0;
+	snapshot = raft_find_snapshot(raft, transfer->index);
+	if (!snapshot) {
+		begin_transfer(raft, transfer, now);
+		raft_release_previous(raft);
+		snapshot = raft_find_snapshot(raft, transfer->index);
+	}
+	if (!snapshot)
+		return;
+	resend_after_timeout(transfer, now);
+	if (now < transfer->resume_at_ms)
+		return;
+	window = transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
+	if (transfer->sent_bytes == transfer->acked_bytes)
+		transfer->advanced_at_ms = now;
+	while (transfer->sent_bytes < total_bytes(snapshot) &&
+	       transfer->sent_bytes - transfer->acked_bytes < window)
+		transfer->sent_bytes += send_chunk(raft, member, snapshot, out);
+}
+
+/* The member holds less than it had acknowledged: it restarted, or received another transfer in between. */
+static void rewind_transfer(struct raft_snapshot_transfer *transfer, uint64_t offset, int64_t now)
+{
+	if (transfer->rewound_at_ms && now - transfer->rewound_at_ms < REWIND_INTERVAL_MS)
+		return;
+	transfer->rewound_at_ms = now;
+	transfer->acked_bytes = transfer->sent_bytes = offset;
+	transfer->advanced_at_ms = now;
+}
+
+/* The digest does not match what the member received: all of it is sent again, and the digest is computed
+ * anew. */
+static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
+{
+	if (now < transfer->resume_at_ms)
+		return;
+	if (transfer->index == raft->snapshots.newest.index)
+		raft->snapshots.newest.has_digest = false;
+	else
+		raft->snapshots.previous.has_digest = false;
+	transfer->acked_bytes = transfer->sent_bytes = 0;
+	transfer->resume_at_ms = now + transfer->resend_ms;
+	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
+}
+
+/* Move the window by what a member says it has received. */
+static void note_offset(struct raft *raft, struct raft_snapshot_transfer *transfer,
+			const struct Nl__SnapshotReply *reply, int64_t now)
+{
+	if (reply->corrupt) {
+		restart_corrupt(raft, transfer, now);
+	} else if (reply->offset > transfer->acked_bytes) {
+		transfer->acked_bytes = reply->offset;
+		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes
+										    : transfer->acked_bytes;
+		transfer->advanced_at_ms = now;
+		transfer->resend_ms = RAFT_RESEND_MS;
+	} else if (reply->offset < transfer->acked_bytes) {
+		rewind_transfer(transfer, reply->offset, now);
+	}
+}
+
+/* The member has installed the snapshot, and will have synced it soon: entries behind it are sent at once,
+ * and its own reply will say what it holds. */
+static void finish_transfer(struct raft *raft, struct raft_member *member, uint64_t index)
+{
+	uint64_t known = index > member->progress.match_index ? index : member->progress.match_index;
+
+	member->progress.next_index = member->progress.unacked_index = known + 1;
+	member->progress.probing = true;
+	raft_end_transfer(raft, member);
+}
+
+void raft_on_snapshot_reply(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
+{
+	const struct Nl__SnapshotReply *reply = message->snapshot_reply;
+	struct raft_member *member = raft_find_member(raft, message->id);
+	struct raft_snapshot_transfer *transfer;
+	struct raft_stored_snapshot *snapshot;
+
+	if (reply->term > raft->term) {
+		raft_become_follower(raft, reply->term, now);
+		return;
+	}
+	if (raft->role != RAFT_LEADER || reply->term != raft->term || !member)
+		return;
+	member->progress.last_reply_at_ms = now;
+	transfer = &member->transfer;
+	if (reply->index != transfer->index)
+		return;
+	snapshot = raft_find_snapshot(raft, transfer->index);
+	if (!snapshot || reply->transfer_id != raft_transfer_id(snapshot->digest) ||
+	    reply->offset > total_bytes(snapshot))
+		return;
+	transfer->last_reply_at_ms = now;
+	transfer->has_reply = true;
+	note_offset(raft, transfer, reply, now);
+	if (transfer->acked_bytes < total_bytes(snapshot))
+		raft_send_snapshot(raft, member, now, out);
+	else
+		finish_transfer(raft, member, snapshot->index);
+}
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -1,125 +1,130 @@
 /* Checks on messages of the replicated state machine, before anything is done with them: what no member that
- * keeps to the protocol can have sent is dropped as a whole. Called by raft_receive. Messages that are merely
- * late or repeated pass; the protocol deals with them. */
+ * keeps to the protocol can have sent is dropped as a whole. Messages that are merely late or repeated pass;
+ * the protocol deals with them. Called by raft.c; calls raft_members.c and raft_log.c, and changes nothing.
+ */
 #include "raft_internal.h"
 
 enum { MAX_ENTRIES_PER_APPEND = 4096 };
 
-/* Terms and indices beyond this come from no fleet: counted up once a microsecond it takes eight years. */
+/* No fleet reaches terms and indices beyond this: incremented once a microsecond they take eight years. */
 #define MAX_COUNTER ((uint64_t)1 << 48)
 
-static int absurd(uint64_t counter)
+static int is_implausible(uint64_t counter)
 {
 	return counter > MAX_COUNTER;
 }
 
 /* A leader's own message came back, or another claims to lead in a term that has a leader. */
-static const char *leader_fault(const struct raft *raft, const struct Nl__Msg *message, uint64_t term)
+static enum raft_fault leader_fault(const struct raft *raft, const struct Nl__Msg *message, uint64_t term)
 {
-	if (!term || absurd(term))
-		return "an absurd term";
+	if (!term || is_implausible(term))
+		return RAFT_FAULT_TERM;
 	if (message->id == raft->id)
-		return "a message of our own";
+		return RAFT_FAULT_OWN_MESSAGE;
 	if (term == raft->term && raft->leader_id && raft->leader_id != message->id)
-		return "a second leader of one term";
-	return NULL;
+		return RAFT_FAULT_SECOND_LEADER;
+	return RAFT_FAULT_NONE;
 }
 
-static const char *entries_fault(const struct Nl__Append *append)
+static enum raft_fault entries_fault(const struct Nl__Append *append)
 {
 	uint64_t term = append->prev_term;
 
 	if (append->n_entries > MAX_ENTRIES_PER_APPEND)
-		return "too many entries";
+		return RAFT_FAULT_TOO_MANY_ENTRIES;
 	for (size_t i = 0; i < append->n_entries; i++) {
 		const struct Nl__Entry *entry = append->entries[i];
 
 		if (!entry->term || entry->term < term || entry->term > append->term)
-			return "an entry of an impossible term";
+			return RAFT_FAULT_ENTRY_TERM;
 		if (entry->kind > RAFT_ENTRY_OPERATION)
-			return "an entry of an unknown kind";
+			return RAFT_FAULT_ENTRY_KIND;
 		if (entry->kind == RAFT_ENTRY_MEMBERS &&
 		    !raft_members_valid(entry->data.data, entry->data.len))
-			return "an impossible list of members";
+			return RAFT_FAULT_MEMBERS;
 		term = entry->term;
 	}
-	return NULL;
+	return RAFT_FAULT_NONE;
 }
 
-static const char *append_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault append_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	const struct Nl__Append *append = message->append;
-	const char *fault = leader_fault(raft, message, append->term);
+	enum raft_fault fault = leader_fault(raft, message, append->term);
 
 	if (fault)
 		return fault;
-	if (absurd(append->prev_index) || absurd(append->commit_index) || append->prev_term > append->term)
-		return "an absurd index";
+	if (is_implausible(append->prev_index) || is_implausible(append->commit_index) ||
+	    append->prev_term > append->term)
+		return RAFT_FAULT_TERM;
 	return entries_fault(append);
 }
 
-static const char *append_reply_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault append_reply_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	const struct Nl__AppendReply *reply = message->append_reply;
 
-	if (absurd(reply->term) || absurd(reply->match_index) || absurd(reply->matched_index))
-		return "an absurd term or index";
+	if (is_implausible(reply->term) || is_implausible(reply->match_index) ||
+	    is_implausible(reply->matched_index))
+		return RAFT_FAULT_TERM;
 	if (raft->role != RAFT_LEADER || reply->term != raft->term)
-		return NULL;
+		return RAFT_FAULT_NONE;
 	if (reply->success &&
 	    (reply->match_index > raft_last_index(raft) || reply->matched_index > raft_last_index(raft)))
-		return "an acknowledgement of entries that do not exist";
-	if (reply->round > raft->heartbeat_round)
-		return "an answer to a heartbeat that was not sent";
-	return NULL;
+		return RAFT_FAULT_ACKNOWLEDGEMENT;
+	if (reply->round > raft->lease.heartbeat_round)
+		return RAFT_FAULT_ROUND;
+	return RAFT_FAULT_NONE;
 }
 
-static const char *vote_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault vote_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
 
-	if (!request->term || absurd(request->term) || absurd(request->last_index) ||
+	if (!request->term || is_implausible(request->term) || is_implausible(request->last_index) ||
 	    request->last_term > request->term)
-		return "an absurd term or index";
+		return RAFT_FAULT_TERM;
 	if (request->stepped_down_term >= request->term)
-		return "a leader that gave up a term to come";
-	return message->id == raft->id ? "a message of our own" : NULL;
+		return RAFT_FAULT_FUTURE_STEP_DOWN;
+	return message->id == raft->id ? RAFT_FAULT_OWN_MESSAGE : RAFT_FAULT_NONE;
 }
 
-static const char *chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
-	const struct Nl__SnapshotChunk *piece = message->snapshot_chunk;
-	const char *fault = leader_fault(raft, message, piece->term);
+	const struct Nl__SnapshotChunk *chunk = message->snapshot_chunk;
+	enum raft_fault fault = leader_fault(raft, message, chunk->term);
 
 	if (fault)
 		return fault;
-	if (!piece->index || absurd(piece->index) || !piece->index_term || piece->index_term > piece->term)
-		return "a snapshot of an absurd index or term";
-	if (piece->digest.len != RAFT_DIGEST_BYTES)
-		return "a snapshot without a digest";
-	if (!piece->members_len || piece->members_len > piece->total_bytes ||
-	    piece->total_bytes > RAFT_SNAPSHOT_MAX_BYTES)
-		return "a snapshot of an absurd size";
-	if (!piece->data.len || piece->data.len > piece->total_bytes ||
-	    piece->offset > piece->total_bytes - piece->data.len)
-		return "a piece outside its snapshot";
-	return NULL;
+	if (!chunk->index || is_implausible(chunk->index) || !chunk->index_term ||
+	    chunk->index_term > chunk->term)
+		return RAFT_FAULT_TERM;
+	if (chunk->digest.len != RAFT_DIGEST_BYTES)
+		return RAFT_FAULT_NO_DIGEST;
+	if (!chunk->members_len || chunk->members_len > chunk->total_bytes ||
+	    chunk->total_bytes > RAFT_SNAPSHOT_MAX_BYTES)
+		return RAFT_FAULT_SNAPSHOT_SIZE;
+	if (!chunk->data.len || chunk->data.len > chunk->total_bytes ||
+	    chunk->offset > chunk->total_bytes - chunk->data.len)
+		return RAFT_FAULT_CHUNK_RANGE;
+	return RAFT_FAULT_NONE;
 }
 
-static const char *chunk_reply_fault(const struct Nl__SnapshotReply *reply)
+static enum raft_fault chunk_reply_fault(const struct Nl__SnapshotReply *reply)
 {
-	return absurd(reply->term) || absurd(reply->index) || reply->offset > RAFT_SNAPSHOT_MAX_BYTES
-		   ? "an absurd term, index or offset"
-		   : NULL;
+	return is_implausible(reply->term) || is_implausible(reply->index) ||
+		       reply->offset > RAFT_SNAPSHOT_MAX_BYTES
+		   ? RAFT_FAULT_TERM
+		   : RAFT_FAULT_NONE;
 }
 
-const char *raft_message_fault(const struct raft *raft, const struct Nl__Msg *message)
+enum raft_fault raft_message_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
 	case NL__MSG__BODY_VOTE_REQUEST:
 		return vote_fault(raft, message);
 	case NL__MSG__BODY_VOTE_REPLY:
-		return absurd(message->vote_reply->term) ? "an absurd term" : NULL;
+		return is_implausible(message->vote_reply->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_APPEND:
 		return append_fault(raft, message);
 	case NL__MSG__BODY_APPEND_REPLY:
@@ -129,12 +134,48 @@
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
 		return chunk_reply_fault(message->snapshot_reply);
 	case NL__MSG__BODY_STEP_DOWN:
-		return absurd(message->step_down->term) ? "an absurd term" : NULL;
+		return is_implausible(message->step_down->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_PROBE_REPLY:
-		return absurd(message->probe_reply->last_term) || absurd(message->probe_reply->members_index)
-			   ? "an absurd term or index"
-			   : NULL;
+		return is_implausible(message->probe_reply->last_term) ||
+			       is_implausible(message->probe_reply->members_index)
+			   ? RAFT_FAULT_TERM
+			   : RAFT_FAULT_NONE;
 	default:
-		return NULL;
+		return RAFT_FAULT_NONE;
+	}
+}
+
+const char *raft_fault_strerror(enum raft_fault fault)
+{
+	switch (fault) {
+	case RAFT_FAULT_NONE:
+		return "no fault";
+	case RAFT_FAULT_TERM:
+		return "an implausible term, index or offset";
+	case RAFT_FAULT_OWN_MESSAGE:
+		return "a message under our own identity";
+	case RAFT_FAULT_SECOND_LEADER:
+		return "a second leader of one term";
+	case RAFT_FAULT_TOO_MANY_ENTRIES:
+		return "too many entries";
+	case RAFT_FAULT_ENTRY_TERM:
+		return "an entry of an impossible term";
+	case RAFT_FAULT_ENTRY_KIND:
+		return "an entry of an unknown kind";
+	case RAFT_FAULT_MEMBERS:
+		return "an impossible list of members";
+	case RAFT_FAULT_ACKNOWLEDGEMENT:
+		return "an acknowledgement of entries that do not exist";
+	case RAFT_FAULT_ROUND:
+		return "an answer to a heartbeat that was not sent";
+	case RAFT_FAULT_FUTURE_STEP_DOWN:
+		return "a step-down of a leader of a later term";
+	case RAFT_FAULT_NO_DIGEST:
+		return "a snapshot without a digest";
+	case RAFT_FAULT_SNAPSHOT_SIZE:
+		return "a snapshot of an impossible size";
+	case RAFT_FAULT_CHUNK_RANGE:
+		return "a chunk outside its snapshot";
 	}
+	return "";
 }
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -272,11 +272,11 @@
 	struct raft *raft = rafts[node];
 
 	memset(machine, 0, sizeof *machine);
-	machine->applied = raft->snapshot_index;
-	machine->operation_count = (uint32_t)(raft->snapshot_len / OPERATION_BYTES);
-	if (raft->snapshot_len)
-		memcpy(machine->operations, raft->snapshot_data, raft->snapshot_len);
-	raft->snapshot_to_load = 0;
+	machine->applied = raft->snapshots.newest.index;
+	machine->operation_count = (uint32_t)(raft->snapshots.newest.data_len / OPERATION_BYTES);
+	if (raft->snapshots.newest.data_len)
+		memcpy(machine->operations, raft->snapshots.newest.data, raft->snapshots.newest.data_len);
+	raft->snapshots.to_load = 0;
 	check_loaded(node);
 }
 
@@ -291,14 +291,14 @@
 		memcpy(&machine->operations[machine->operation_count++], entry->data, OPERATION_BYTES);
 		check_applied(node, index, entry);
 	}
-	machine->applied = rafts[node]->applied_index;
+	machine->applied = rafts[node]->log.applied_index;
 }
 
 static void step_end(int node)
 {
 	struct raft *raft = rafts[node];
 
-	if (raft->snapshot_to_load)
+	if (raft->snapshots.to_load)
 		load_machine(node);
 	apply_committed(node);
 	raft_flush(raft, explore_world.now, &out);
@@ -366,7 +366,7 @@
 	rafts[node] = malloc(sizeof *rafts[node]);
 	next_random = (uint64_t)RANDOM_SPAN * (1000u * replica->identity + ++replica->incarnations) << 20;
 	raft_open(rafts[node], 0, replica->identity, 1, disk->term ? &saved : NULL, explore_world.now);
-	rafts[node]->member_lost_ms = EXPLORE_LOST_MS;
+	rafts[node]->group.member_lost_ms = EXPLORE_LOST_MS;
 	next_random = 0;
 	step_end(node);
 }
@@ -448,7 +448,7 @@
 	const struct explore_machine *machine = &explore_world.replica[node].machine;
 
 	(void)step_begin(node);
-	rafts[node]->drop_tail = 1;
+	rafts[node]->snapshots.drop_tail = 1;
 	raft_snapshot(rafts[node], (const uint8_t *)machine->operations,
 		      machine->operation_count * OPERATION_BYTES);
 	step_end(node);
@@ -485,9 +485,9 @@
 	const struct raft *raft = rafts[node];
 	int voter = 0;
 
-	for (int i = 0; i < raft->member_count; i++)
-		voter |= raft->members[i].id == raft->id && raft->members[i].voter;
-	return voter && raft->draining && raft_may_stop(raft, explore_world.now) &&
+	for (int i = 0; i < raft->group.member_count; i++)
+		voter |= raft->group.members[i].id == raft->id && raft->group.members[i].voter;
+	return voter && raft->drain.requested && raft_may_stop(raft, explore_world.now) &&
 	       explore_world.identities + 1 < EXPLORE_IDENTITIES;
 }
 
@@ -522,7 +522,7 @@
 	case CHOICE_CRASH:
 		return choice->arg <= replica->n_writes;
 	case CHOICE_COMPACT:
-		return rafts[choice->node]->applied_index > rafts[choice->node]->snapshot_index;
+		return rafts[choice->node]->log.applied_index > rafts[choice->node]->snapshots.newest.index;
 	case CHOICE_PROPOSE:
 	case CHOICE_RECONFIGURE:
 	case CHOICE_STEP_DOWN:
@@ -685,8 +685,9 @@
 	for (int i = 0; i < explore_world.nodes; i++) {
 		const struct raft *raft = rafts[i];
 
-		if (raft && (raft->term + 4 >= EXPLORE_TERMS ||
-			     raft->base_index + (uint64_t)arrlen(raft->log) + 4 >= EXPLORE_ENTRIES))
+		if (raft &&
+		    (raft->term + 4 >= EXPLORE_TERMS ||
+		     raft->log.base_index + (uint64_t)arrlen(raft->log.entries) + 4 >= EXPLORE_ENTRIES))
 			return 1;
 		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES ||
 		    explore_world.replica[i].incarnations > 200)
--- a/tests/explore_check.c
+++ b/tests/explore_check.c
@@ -19,13 +19,13 @@
 
 static uint64_t last_index(const struct raft *raft)
 {
-	return raft->base_index + (uint64_t)arrlen(raft->log);
+	return raft->log.base_index + (uint64_t)arrlen(raft->log.entries);
 }
 
 static const struct raft_entry *entry_at(const struct raft *raft, uint64_t index)
 {
-	return index > raft->base_index && index <= last_index(raft)
-		   ? &raft->log[index - raft->base_index - 1]
+	return index > raft->log.base_index && index <= last_index(raft)
+		   ? &raft->log.entries[index - raft->log.base_index - 1]
 		   : NULL;
 }
 
@@ -215,11 +215,11 @@
 {
 	int voters = 0, copies = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		if (!raft->members[i].voter)
+	for (int i = 0; i < raft->group.member_count; i++) {
+		if (!raft->group.members[i].voter)
 			continue;
 		voters++;
-		copies += member_holds(&raft->members[i], index);
+		copies += member_holds(&raft->group.members[i], index);
 	}
 	if (copies <= voters / 2)
 		check_fail(COMMITTED_ON_A_MAJORITY, "entry %d, committed, is on %d of %d disks", (int)index,
@@ -229,10 +229,10 @@
 /* The packed members that a replica has in force. */
 static uint32_t members_in_force(const struct raft *raft)
 {
-	for (uint64_t i = last_index(raft); i > raft->base_index; i--)
+	for (uint64_t i = last_index(raft); i > raft->log.base_index; i--)
 		if (entry_at(raft, i)->kind == RAFT_ENTRY_MEMBERS)
 			return explore_intern(entry_at(raft, i)->data, entry_at(raft, i)->len);
-	return explore_intern(raft->snapshot_members, raft->snapshot_members_len);
+	return explore_intern(raft->snapshots.newest.members, raft->snapshots.newest.members_len);
 }
 
 static void note_committed(int node)
@@ -240,11 +240,11 @@
 	struct explore_history *history = &explore_world.history;
 	const struct raft *raft = explore_raft(node);
 
-	for (uint64_t i = raft->base_index + 1; i <= raft->commit_index && i <= history->commit; i++)
+	for (uint64_t i = raft->log.base_index + 1; i <= raft->log.commit_index && i <= history->commit; i++)
 		if (!is_committed_entry(entry_at(raft, i), i))
 			check_fail(COMMITTED_STAYS, "replica %d has another entry %d than was committed",
 				   explore_world.replica[node].identity, (int)i);
-	while (history->commit < raft->commit_index) {
+	while (history->commit < raft->log.commit_index) {
 		const struct raft_entry *entry = entry_at(raft, history->commit + 1);
 
 		if (!entry) {
@@ -267,7 +267,7 @@
 static void check_logs(int node, int other)
 {
 	const struct raft *a = explore_raft(node), *b = explore_raft(other);
-	uint64_t from = a->base_index > b->base_index ? a->base_index : b->base_index;
+	uint64_t from = a->log.base_index > b->log.base_index ? a->log.base_index : b->log.base_index;
 	uint64_t to = last_index(a) < last_index(b) ? last_index(a) : last_index(b);
 	int same = 0;
 
@@ -290,10 +290,10 @@
 	const struct raft *raft = explore_raft(node);
 	int voters = 0, votes = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
-		voters += raft->members[i].voter;
-		votes += raft->members[i].voter &&
-			 explore_world.history.vote[raft->members[i].id][raft->term] == raft->id;
+	for (int i = 0; i < raft->group.member_count; i++) {
+		voters += raft->group.members[i].voter;
+		votes += raft->group.members[i].voter &&
+			 explore_world.history.vote[raft->group.members[i].id][raft->term] == raft->id;
 	}
 	if (votes <= voters / 2)
 		check_fail(VOTE_IS_ON_DISK, "replica %d leads term %d with %d of %d votes on disks",
@@ -312,7 +312,7 @@
 	if (!history->leader[raft->term])
 		check_elected(node);
 	history->leader[raft->term] = replica->identity;
-	for (uint64_t i = raft->base_index + 1; i <= history->commit; i++)
+	for (uint64_t i = raft->log.base_index + 1; i <= history->commit; i++)
 		if (history->committed[i].commit_term < raft->term &&
 		    (i > last_index(raft) || !is_committed_entry(entry_at(raft, i), i)))
 			check_fail(LEADER_HAS_ALL_COMMITTED, "leader %d of term %d lacks entry %d",
@@ -401,29 +401,30 @@
 static void check_changes(int node)
 {
 	const struct raft *raft = explore_raft(node);
-	int uncommitted = 0, known = raft->snapshot_index > 0;
-	struct voters before = voters_unpack(raft->snapshot_members, raft->snapshot_members_len);
+	int uncommitted = 0, known = raft->snapshots.newest.index > 0;
+	struct voters before =
+	    voters_unpack(raft->snapshots.newest.members, raft->snapshots.newest.members_len);
 
-	for (uint64_t i = raft->base_index + 1; i <= last_index(raft); i++) {
+	for (uint64_t i = raft->log.base_index + 1; i <= last_index(raft); i++) {
 		const struct raft_entry *entry = entry_at(raft, i);
 		struct voters voters;
 
 		if (entry->kind != RAFT_ENTRY_MEMBERS)
 			continue;
 		voters = voters_unpack(entry->data, entry->len);
-		uncommitted += i > raft->commit_index && entry->term == raft->term;
-		if (i > raft->snapshot_index && known && voters_differ(&before, &voters) > 1)
+		uncommitted += i > raft->log.commit_index && entry->term == raft->term;
+		if (i > raft->snapshots.newest.index && known && voters_differ(&before, &voters) > 1)
 			check_fail(ONE_CHANGE_AT_A_TIME, "replica %d: entry %d changes %d voters",
 				   explore_world.replica[node].identity, (int)i,
 				   voters_differ(&before, &voters));
-		if (i > raft->snapshot_index)
+		if (i > raft->snapshots.newest.index)
 			before = voters;
 		known = 1;
 	}
 	if (raft->role == RAFT_LEADER && uncommitted > 1)
 		check_fail(ONE_CHANGE_AT_A_TIME, "leader %d has %d changes of membership not committed",
 			   explore_world.replica[node].identity, uncommitted);
-	if (raft->role == RAFT_LEADER && uncommitted && raft->commit_index < raft->term_start)
+	if (raft->role == RAFT_LEADER && uncommitted && raft->log.commit_index < raft->log.term_start_index)
 		check_fail(CHANGE_AFTER_OWN_COMMIT,
 			   "leader %d changes the membership before an entry of its term is committed",
 			   explore_world.replica[node].identity);
@@ -436,11 +437,12 @@
 	const struct raft *raft = explore_raft(node);
 	int voters = 0;
 
-	for (int i = 0; i < raft->member_count; i++)
-		voters += raft->members[i].voter;
-	if (raft->member_count && (raft->member_count < RAFT_MIN_VOTERS || voters < RAFT_MIN_VOTERS - 1))
+	for (int i = 0; i < raft->group.member_count; i++)
+		voters += raft->group.members[i].voter;
+	if (raft->group.member_count &&
+	    (raft->group.member_count < RAFT_MIN_VOTERS || voters < RAFT_MIN_VOTERS - 1))
 		check_fail(ENOUGH_VOTERS, "replica %d knows of %d members, %d of them voters",
-			   explore_world.replica[node].identity, raft->member_count, voters);
+			   explore_world.replica[node].identity, raft->group.member_count, voters);
 }
 
 /* A leader has just changed the membership: a majority of the new voters has all that is committed on its
@@ -449,22 +451,22 @@
 {
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct raft *raft = explore_raft(node);
-	int adds = raft->member_count > replica->member_count; /* and takes no copy away */
+	int adds = raft->group.member_count > replica->member_count; /* and takes no copy away */
 	int voters = 0, copies = 0;
 
-	if (raft->role == RAFT_LEADER && raft->members_index > raft->commit_index &&
-	    raft->members_index > replica->members_index) {
-		check_copies(raft, raft->commit_index);
-		for (int i = 0; i < raft->member_count; i++) {
-			voters += raft->members[i].voter;
-			copies += member_holds(&raft->members[i], raft->commit_index);
+	if (raft->role == RAFT_LEADER && raft->group.members_index > raft->log.commit_index &&
+	    raft->group.members_index > replica->members_index) {
+		check_copies(raft, raft->log.commit_index);
+		for (int i = 0; i < raft->group.member_count; i++) {
+			voters += raft->group.members[i].voter;
+			copies += member_holds(&raft->group.members[i], raft->log.commit_index);
 		}
 		if (!adds && voters < RAFT_MIN_VOTERS && copies < RAFT_MIN_VOTERS)
 			check_fail(ENOUGH_VOTERS, "leader %d leaves %d voters, and %d copies of entry %d",
-				   replica->identity, voters, copies, (int)raft->commit_index);
+				   replica->identity, voters, copies, (int)raft->log.commit_index);
 	}
-	replica->members_index = raft->members_index;
-	replica->member_count = (uint8_t)raft->member_count;
+	replica->members_index = raft->group.members_index;
+	replica->member_count = (uint8_t)raft->group.member_count;
 }
 
 static int is_in(const struct voters *voters, uint64_t id)
@@ -483,13 +485,13 @@
 	const struct raft *raft = explore_raft(node);
 	struct voters voters = committed_voters();
 
-	if (!raft->draining || !raft_may_stop(raft, explore_world.now) || raft->removed ||
+	if (!raft->drain.requested || !raft_may_stop(raft, explore_world.now) || raft->removed ||
 	    !is_in(&voters, raft->id))
 		return;
-	if (!majority_holds(&voters, raft->id, raft->commit_index))
+	if (!majority_holds(&voters, raft->id, raft->log.commit_index))
 		check_fail(DRAINED_IS_NOT_NEEDED,
 			   "replica %d may leave, entry %d is on no majority of others' disks", (int)raft->id,
-			   (int)raft->commit_index);
+			   (int)raft->log.commit_index);
 }
 
 /* ---- all ---------------------------------------------------------------------- */
@@ -499,16 +501,16 @@
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct raft *raft = explore_raft(node);
 
-	if (raft->commit_index < replica->commit)
+	if (raft->log.commit_index < replica->commit)
 		check_fail(COMMIT_NEVER_GOES_BACK, "replica %d: commit went from %d to %d", replica->identity,
-			   (int)replica->commit, (int)raft->commit_index);
-	if (raft->role == RAFT_LEADER && raft->commit_index > replica->commit &&
-	    raft->commit_index > raft->base_index && entry_at(raft, raft->commit_index)->term != raft->term &&
-	    raft->term == replica->leads)
+			   (int)replica->commit, (int)raft->log.commit_index);
+	if (raft->role == RAFT_LEADER && raft->log.commit_index > replica->commit &&
+	    raft->log.commit_index > raft->log.base_index &&
+	    entry_at(raft, raft->log.commit_index)->term != raft->term && raft->term == replica->leads)
 		check_fail(LEADER_COMMITS_ITS_TERM, "leader %d of term %d commits up to %d, of term %d",
-			   replica->identity, (int)raft->term, (int)raft->commit_index,
-			   (int)entry_at(raft, raft->commit_index)->term);
-	replica->commit = raft->commit_index;
+			   replica->identity, (int)raft->term, (int)raft->log.commit_index,
+			   (int)entry_at(raft, raft->log.commit_index)->term);
+	replica->commit = raft->log.commit_index;
 	replica->leads = raft->role == RAFT_LEADER ? raft->term : 0;
 	note_committed(node);
 	check_machine(node);
--- a/tests/explore_scenes.c
+++ b/tests/explore_scenes.c
@@ -132,7 +132,7 @@
 static void scene_change(void)
 {
 	begin_lease(4, 3);
-	explore_raft(0)->replicas = 4;
+	explore_raft(0)->group.replicas = 4;
 	(void)do_one(CHOICE_RECONFIGURE, 0, 0, 0);
 }
 
@@ -148,7 +148,7 @@
 static void scene_learner(void)
 {
 	begin_lease(4, 3);
-	explore_raft(0)->replicas = 4;
+	explore_raft(0)->group.replicas = 4;
 	(void)do_one(CHOICE_RECONFIGURE, 0, 0, 0);
 	settle(ALL);
 	heartbeat(0, ALL);
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -20,7 +20,7 @@
 void leader_sync_disk(struct leader *leader)
 {
 	raft_flush(&leader->raft, leader->now, &leader->out);
-	raft_synced(&leader->raft, leader->raft.sync_seq, leader->now, &leader->out);
+	raft_synced(&leader->raft, leader->raft.disk.requested_seq, leader->now, &leader->out);
 	raft_flush(&leader->raft, leader->now, &leader->out);
 }
 
@@ -53,14 +53,14 @@
 	reply.term = leader->raft.term;
 	reply.success = 1;
 	reply.match_index = match;
-	reply.round = leader->raft.heartbeat_round;
+	reply.round = leader->raft.lease.heartbeat_round;
 	message.append_reply = &reply;
 	leader_receive(leader, from, &message);
 }
 
 uint64_t leader_last_index(const struct leader *leader)
 {
-	return leader->raft.base_index + (uint64_t)arrlen(leader->raft.log);
+	return leader->raft.log.base_index + (uint64_t)arrlen(leader->raft.log.entries);
 }
 
 /* Time passes; the members in the mask answer each heartbeat, and hold all that there is. */
@@ -97,8 +97,8 @@
 							.zone = 1 + (uint64_t)i };
 	leader->live_count = voters + 1; /* one more stands by */
 	raft_open(&leader->raft, 0, 1, 5, NULL, leader->now);
-	leader->raft.replicas = voters;
-	leader->raft.member_lost_ms = 2400;
+	leader->raft.group.replicas = voters;
+	leader->raft.group.member_lost_ms = 2400;
 	raft_bootstrap(&leader->raft, members, voters, leader->now, &leader->out);
 	leader_sync_disk(leader);
 	leader->now += 5000;
@@ -121,9 +121,9 @@
 
 const struct raft_member *leader_member(const struct leader *leader, uint64_t id)
 {
-	for (int i = 0; i < leader->raft.member_count; i++)
-		if (leader->raft.members[i].id == id)
-			return &leader->raft.members[i];
+	for (int i = 0; i < leader->raft.group.member_count; i++)
+		if (leader->raft.group.members[i].id == id)
+			return &leader->raft.group.members[i];
 	return NULL;
 }
 
--- a/tests/raft_world.c
+++ b/tests/raft_world.c
@@ -96,16 +96,16 @@
 
 	memset(&state->version, 0, 3 * sizeof state->version);
 	state_set(state, NULL, 0);
-	if (!raft->snapshot_index)
+	if (!raft->snapshots.newest.index)
 		return;
-	if (raft->snapshot_len < HEAD) {
+	if (raft->snapshots.newest.data_len < HEAD) {
 		breach(world, "a snapshot is torn");
 		return;
 	}
-	state->version = get_u64(raft->snapshot_data);
-	state->applied = get_u64(raft->snapshot_data + 8);
-	state->chain = get_u64(raft->snapshot_data + 16);
-	state_set(state, raft->snapshot_data + HEAD, raft->snapshot_len - HEAD);
+	state->version = get_u64(raft->snapshots.newest.data);
+	state->applied = get_u64(raft->snapshots.newest.data + 8);
+	state->chain = get_u64(raft->snapshots.newest.data + 16);
+	state_set(state, raft->snapshots.newest.data + HEAD, raft->snapshots.newest.data_len - HEAD);
 	for (size_t i = HEAD; i < state->len; i++)
 		if (state->document[i] != filling(state->version)) {
 			breach(world, "a snapshot's document is not the one of version %llu",
@@ -220,10 +220,10 @@
 size_t world_memory(const struct world *world, int machine)
 {
 	const struct raft *raft = &world->machine[machine].raft;
-	size_t n = raft->snapshot_len + raft->previous.data_len;
+	size_t n = raft->snapshots.newest.data_len + raft->snapshots.previous.data_len;
 
-	for (ptrdiff_t i = 0; i < arrlen(raft->log); i++)
-		n += raft->log[i].len;
+	for (ptrdiff_t i = 0; i < arrlen(raft->log.entries); i++)
+		n += raft->log.entries[i].len;
 	return n;
 }
 
@@ -306,10 +306,11 @@
 	struct world_machine *machine = &world->machine[i];
 	size_t memory = world_memory(world, i);
 
-	if (machine->raft.commit_index < machine->commit)
+	if (machine->raft.log.commit_index < machine->commit)
 		breach(world, "machine %d's commit went back from %llu to %llu", i,
-		       (unsigned long long)machine->commit, (unsigned long long)machine->raft.commit_index);
-	machine->commit = machine->raft.commit_index;
+		       (unsigned long long)machine->commit,
+		       (unsigned long long)machine->raft.log.commit_index);
+	machine->commit = machine->raft.log.commit_index;
 	if (memory > world->peak_memory)
 		world->peak_memory = memory;
 	if (!raft_has_lease(&machine->raft, world->now))
@@ -341,9 +342,9 @@
 	const struct raft_entry *entry;
 	uint64_t index;
 
-	if (machine->raft.snapshot_to_load) {
+	if (machine->raft.snapshots.to_load) {
 		state_load(world, machine);
-		machine->raft.snapshot_to_load = 0;
+		machine->raft.snapshots.to_load = 0;
 	}
 	while ((entry = raft_next_committed(&machine->raft, &index)))
 		state_apply(world, machine, entry);
@@ -535,7 +536,7 @@
 	if (!machine->up || machine->raft.role != RAFT_LEADER || machine->raft.term != world->pending_term) {
 		world->pending_at = -1;
 	} else if (raft_has_lease(&machine->raft, world->now) &&
-		   machine->raft.applied_index >= world->pending_index) {
+		   machine->raft.log.applied_index >= world->pending_index) {
 		world->acked = world->proposed;
 		world->acked_index = world->pending_index;
 		world->changes++;
@@ -585,8 +586,8 @@
 					 machine->disk.entries[i].len, machine->disk.entries[i].data };
 	raft_open(&machine->raft, 0, machine->id, world->seed + machine->incarnation,
 		  machine->disk.term ? &saved : NULL, world->now);
-	machine->raft.member_lost_ms = WORLD_CATCH_UP_MS * 2 / 5;
-	machine->raft.replicas = world->voters;
+	machine->raft.group.member_lost_ms = WORLD_CATCH_UP_MS * 2 / 5;
+	machine->raft.group.replicas = world->voters;
 	free(saved.entries);
 	machine->out.id = machine->id;
 	machine->out.addr = machine->addr;
@@ -686,8 +687,8 @@
 {
 	for (int i = 0; i < world->machines; i++)
 		if (world->machine[i].id == id && world->machine[i].up)
-			return world->machine[i].raft.applied_index >= index &&
-			       world->machine[i].raft.synced_index >= index;
+			return world->machine[i].raft.log.applied_index >= index &&
+			       world->machine[i].raft.disk.synced_index >= index;
 	return 0;
 }
 
@@ -697,10 +698,11 @@
 	int leader = world_leader(world);
 	const struct raft *raft = leader < 0 ? NULL : &world->machine[leader].raft;
 
-	if (!raft || raft->member_count != world->voters || raft->members_index > raft->commit_index)
+	if (!raft || raft->group.member_count != world->voters ||
+	    raft->group.members_index > raft->log.commit_index)
 		return 0;
-	for (int i = 0; i < raft->member_count; i++)
-		if (!raft->members[i].voter || !holds(world, raft->members[i].id, index))
+	for (int i = 0; i < raft->group.member_count; i++)
+		if (!raft->group.members[i].voter || !holds(world, raft->group.members[i].id, index))
 			return 0;
 	return 1;
 }
@@ -735,19 +737,21 @@
 		    "machine %d id %llu %s%s: role %d term %llu log %llu..%llu synced %llu commit %llu snapshot %llu\n",
 		    i, (unsigned long long)world->machine[i].id, world->machine[i].up ? "up" : "down",
 		    world->machine[i].is_cut_off ? " cut" : "", (int)raft->role,
-		    (unsigned long long)raft->term, (unsigned long long)raft->base_index,
-		    (unsigned long long)(raft->base_index + (uint64_t)arrlen(raft->log)),
-		    (unsigned long long)raft->synced_index, (unsigned long long)raft->commit_index,
-		    (unsigned long long)raft->snapshot_index);
-		for (int k = 0; k < raft->member_count; k++) {
-			const struct raft_member *member = &raft->members[k];
+		    (unsigned long long)raft->term, (unsigned long long)raft->log.base_index,
+		    (unsigned long long)(raft->log.base_index + (uint64_t)arrlen(raft->log.entries)),
+		    (unsigned long long)raft->disk.synced_index, (unsigned long long)raft->log.commit_index,
+		    (unsigned long long)raft->snapshots.newest.index);
+		for (int k = 0; k < raft->group.member_count; k++) {
+			const struct raft_member *member = &raft->group.members[k];
 
 			printf(
 			    "  member %llu %s next %llu unacked %llu match %llu%s heard %lld ms ago, transfer of %llu: %llu of %llu acknowledged\n",
 			    (unsigned long long)member->id, member->voter ? "votes" : "learns",
-			    (unsigned long long)member->next_index, (unsigned long long)member->unacked_index,
-			    (unsigned long long)member->match_index, member->probing ? " probing" : "",
-			    (long long)(world->now - member->last_reply_at_ms),
+			    (unsigned long long)member->progress.next_index,
+			    (unsigned long long)member->progress.unacked_index,
+			    (unsigned long long)member->progress.match_index,
+			    member->progress.probing ? " probing" : "",
+			    (long long)(world->now - member->progress.last_reply_at_ms),
 			    (unsigned long long)member->transfer.index,
 			    (unsigned long long)member->transfer.acked_bytes,
 			    (unsigned long long)member->transfer.sent_bytes);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -325,11 +325,11 @@
 	for (int i = 0; i < SHARD_COUNT; i++) {
 		struct raft *raft = &n->controller->shards[i];
 
-		if (n->checked[i] < raft->base_index)
-			n->checked[i] = raft->base_index;
-		while (n->checked[i] < raft->commit_index) {
+		if (n->checked[i] < raft->log.base_index)
+			n->checked[i] = raft->log.base_index;
+		while (n->checked[i] < raft->log.commit_index) {
 			uint64_t x = ++n->checked[i];
-			struct raft_entry *entry = &raft->log[x - raft->base_index - 1];
+			struct raft_entry *entry = &raft->log.entries[x - raft->log.base_index - 1];
 			uint64_t h = core_hash(entry->term * 4 + entry->kind, entry->data, entry->len);
 
 			if ((uint64_t)arrlen(sim->entry_hashes[i]) >= x) {
--- a/tests/stored_folders.c
+++ b/tests/stored_folders.c
@@ -193,7 +193,7 @@
 	    "no clearing");
 	world_run(&world, 30000);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
-		expect(world.controller.shards[i].snapshot_index != 0, "a shard has no snapshot");
+		expect(world.controller.shards[i].snapshots.newest.index != 0, "a shard has no snapshot");
 	make_claims(&world, "2");
 	expect_done(&world,
 		    world_call(&world, "POST", "/v1/change",
@@ -277,7 +277,7 @@
 static void follow_others(struct world *world)
 {
 	struct raft *raft = &world->controller.shards[SHARD_CONTROL];
-	uint64_t first = raft->synced_index;
+	uint64_t first = raft->disk.synced_index;
 	struct Nl__Entry a = entry_of(world, stored_change, 3), b = entry_of(world, stored_second_change, 3),
 			 entry = entry_of(
 			     world, "{\"set\":[{\"kind\":\"tenant\",\"name\":\"late\",\"share\":9}]}", 5);
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -295,7 +295,7 @@
 	uint64_t index = raft_propose(raft, d, n, world->now);
 
 	must(index != 0, "it does not lead");
-	for (int i = 0; raft->applied_index < index; i++) {
+	for (int i = 0; raft->log.applied_index < index; i++) {
 		world_run(world, STEP_MS);
 		must(i < CALL_LIMIT_MS / STEP_MS, "nothing is applied");
 	}
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -238,20 +238,22 @@
 					int o = sim_leader(&sim, q), up = 0;
 
 					for (int m = 0;
-					     o >= 0 && m < sim.nodes[o].controller->shards[q].member_count;
+					     o >= 0 &&
+					     m < sim.nodes[o].controller->shards[q].group.member_count;
 					     m++)
 						for (int k = 0; k < SIM_CONTROLLERS; k++)
 							up += sim.nodes[k].up &&
 							      sim.nodes[k].id == sim.nodes[o]
 										     .controller->shards[q]
-										     .members[m]
+										     .group.members[m]
 										     .id &&
 							      sim.nodes[o]
 								  .controller->shards[q]
-								  .members[m]
+								  .group.members[m]
 								  .voter;
-					complete &= o >= 0 && up == 3 &&
-						    sim.nodes[o].controller->shards[q].member_count == 3;
+					complete &=
+					    o >= 0 && up == 3 &&
+					    sim.nodes[o].controller->shards[q].group.member_count == 3;
 				}
 				if (sim.now - from > 40000)
 					fail_msg(
@@ -294,7 +296,7 @@
 
 			/* just before the deaf one asks */
 			while (sim.now < end &&
-			       n->controller->shards[SHARD_CONTROL].election_at_ms >
+			       n->controller->shards[SHARD_CONTROL].election.due_at_ms >
 				   sim.now + n->clock_skew_ms + 5 + (int64_t)(core_random(&rng) % 20))
 				sim_run(&sim, 1, NULL);
 			sim_crash(&sim, b, 0);
@@ -336,8 +338,8 @@
 		    nl__members__unpack(NULL, sim.nodes[i].disk.shards[SHARD_CONTROL].members_len,
 					sim.nodes[i].disk.shards[SHARD_CONTROL].members);
 
-		if (sim.nodes[i].controller->shards[SHARD_CONTROL].member_count) { /* not the fourth, which
-										      keeps no copy */
+		if (sim.nodes[i].controller->shards[SHARD_CONTROL].group.member_count) { /* not the fourth,
+										      which keeps no copy */
 			assert_non_null(members);
 			assert_int_equal(members->n_members, 3);
 		}
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -448,17 +448,17 @@
 		if (o < 0)
 			return 0;
 		p = &sim->nodes[o].controller->shards[i];
-		for (int k = 0; k < p->member_count; k++) {
+		for (int k = 0; k < p->group.member_count; k++) {
 			int up = 0;
 
 			for (int q = 0; q < SIM_CONTROLLERS; q++)
 				up |= sim->nodes[q].up && !sim->nodes[q].frozen &&
-				      sim->nodes[q].id == p->members[k].id;
-			if (!up || !p->members[k].voter)
+				      sim->nodes[q].id == p->group.members[k].id;
+			if (!up || !p->group.members[k].voter)
 				return 0;
 			v++;
 		}
-		if (v != copies || p->members_index > p->commit_index)
+		if (v != copies || p->group.members_index > p->log.commit_index)
 			return 0;
 	}
 	return 1;
@@ -472,11 +472,11 @@
 		if (sim->now - from > ms || !sim_run(sim, 25, NULL)) {
 			ok(sim);
 			for (uint32_t i = 0; i < SHARD_COUNT; i++)
-				print_message(
-				    "part %u: owner %d, members %d\n", i, sim_leader(sim, i),
-				    sim_leader(sim, i) < 0
-					? 0
-					: sim->nodes[sim_leader(sim, i)].controller->shards[i].member_count);
+				print_message("part %u: owner %d, members %d\n", i, sim_leader(sim, i),
+					      sim_leader(sim, i) < 0 ? 0
+								     : sim->nodes[sim_leader(sim, i)]
+									   .controller->shards[i]
+									   .group.member_count);
 			fail_msg("seed %llu: not whole at %d copies after %lld ms",
 				 (unsigned long long)sim->seed, copies, (long long)ms);
 		}
@@ -1057,8 +1057,9 @@
 				assert_int_equal(protobuf_c_message_get_packed_size(&x->base),
 						 protobuf_c_message_get_packed_size(&row->base));
 			}
-		if (raft->applied_index != sim->nodes[o].controller->shards[SHARD_CONTROL].applied_index ||
-		    !raft->member_count)
+		if (raft->log.applied_index !=
+			sim->nodes[o].controller->shards[SHARD_CONTROL].log.applied_index ||
+		    !raft->group.member_count)
 			continue;
 		b = controller_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
 		assert_int_equal(n, m);
@@ -1226,9 +1227,9 @@
 			old = strdup(b);
 	}
 	o = sim_leader(&sim, SHARD_CONTROL);
-	from = sim.nodes[o].controller->shards[SHARD_CONTROL].base_index;
+	from = sim.nodes[o].controller->shards[SHARD_CONTROL].log.base_index;
 	assert_true(from > 0);
-	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log) <
+	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log.entries) <
 		    45);              /* 16 MB since the last snapshot, 8 MB kept behind it */
 	for (int i = 0; i < 4; i++) { /* each in turn comes back without its disk */
 		sim_crash(&sim, i, 1);
@@ -1258,10 +1259,10 @@
 
 		if (o < 0)
 			return 0;
-		for (int k = 0; k < sim->nodes[o].controller->shards[i].member_count; k++)
+		for (int k = 0; k < sim->nodes[o].controller->shards[i].group.member_count; k++)
 			for (int q = 0; q < n; q++)
-				z[q % 3] +=
-				    sim->nodes[q].id == sim->nodes[o].controller->shards[i].members[k].id;
+				z[q % 3] += sim->nodes[q].id ==
+					    sim->nodes[o].controller->shards[i].group.members[k].id;
 		if (z[0] > 2 || z[1] > 2 || z[2] > 2)
 			return 0;
 	}
@@ -1376,7 +1377,7 @@
 	sim_run(&sim, 8000, NULL);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
 		assert_true(sim_leader(&sim, i) >= 0);
-		assert_int_equal(sim.nodes[sim_leader(&sim, i)].controller->shards[i].member_count, 3);
+		assert_int_equal(sim.nodes[sim_leader(&sim, i)].controller->shards[i].group.member_count, 3);
 	}
 	sim_start(&sim, 1);
 	sim_start(&sim, 2);
@@ -1412,9 +1413,9 @@
 		const struct raft *p = &sim.nodes[sim_leader(&sim, i)].controller->shards[i];
 		int first_zone = 0;
 
-		for (int k = 0; k < p->member_count; k++)
+		for (int k = 0; k < p->group.member_count; k++)
 			for (int q = 0; q < 3; q++)
-				first_zone += sim.nodes[q].id == p->members[k].id;
+				first_zone += sim.nodes[q].id == p->group.members[k].id;
 		assert_true(first_zone <= 2);
 	}
 	ok(&sim);
--- a/tests/test_explore.c
+++ b/tests/test_explore.c
@@ -436,19 +436,19 @@
 	}
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 1 });
 	beat(0, 1, 12);
-	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS);
+	assert_int_equal(explore_raft(0)->group.member_count, RAFT_MIN_VOTERS);
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 0 });
-	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS + 1); /* another one joins */
+	assert_int_equal(explore_raft(0)->group.member_count, RAFT_MIN_VOTERS + 1); /* another one joins */
 	beat(0, 1, 2);
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 0 });
-	assert_int_equal(explore_raft(0)->member_count,
+	assert_int_equal(explore_raft(0)->group.member_count,
 			 RAFT_MIN_VOTERS + 1); /* which has not caught up yet */
 	beat(0, 3, 1);
 	beat(0, 1, 1);
 	beat(0, 3, 2);
 	beat(0, 1, 1);
 	(void)explore_do((struct choice){ CHOICE_RECONFIGURE, 0, 0, 0 });
-	assert_int_equal(explore_raft(0)->member_count, RAFT_MIN_VOTERS); /* and the silent one goes */
+	assert_int_equal(explore_raft(0)->group.member_count, RAFT_MIN_VOTERS); /* and the silent one goes */
 	assert_int_equal(explore_violation, INVARIANT_NONE);
 }
 
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -108,7 +108,7 @@
 	int leader = world_leader(world);
 
 	return leader >= 0 && leader != old &&
-	       world->machine[leader].raft.applied_index == world->machine[leader].raft.commit_index;
+	       world->machine[leader].raft.log.applied_index == world->machine[leader].raft.log.commit_index;
 }
 
 /* The leader is told to stop; ms until another one has taken over. */
@@ -256,7 +256,7 @@
 	raft_open(&follower->raft, 0, 1, 5, NULL, follower->now);
 	raft_bootstrap(&follower->raft, group, 3, follower->now, &follower->out);
 	raft_flush(&follower->raft, follower->now, &follower->out);
-	raft_synced(&follower->raft, follower->raft.sync_seq, follower->now, &follower->out);
+	raft_synced(&follower->raft, follower->raft.disk.requested_seq, follower->now, &follower->out);
 	follower->now += 5000;
 }
 
@@ -272,7 +272,8 @@
 	message->id = from;
 	message->addr = 100 + from;
 	command_list_clear(&follower->out);
-	assert_null(raft_receive(&follower->raft, message, follower->now, &follower->out));
+	assert_int_equal(raft_receive(&follower->raft, message, follower->now, &follower->out),
+			 RAFT_FAULT_NONE);
 }
 
 /* The leader's heartbeat of a round, at an entry that the follower holds or lacks. */
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -236,16 +236,17 @@
 		if (leader < 0)
 			return 0;
 		shard = &world->s.nodes[leader].controller->shards[i];
-		if (shard->member_count != REPLICAS || shard->members_index > shard->commit_index)
+		if (shard->group.member_count != REPLICAS ||
+		    shard->group.members_index > shard->log.commit_index)
 			return 0;
-		for (int k = 0; k < shard->member_count; k++) {
+		for (int k = 0; k < shard->group.member_count; k++) {
 			int up = 0;
 
 			for (int q = 0; q < world->controllers; q++)
 				up |= world->s.nodes[q].up && !world->s.nodes[q].frozen &&
 				      !world->s.nodes[q].partition &&
-				      world->s.nodes[q].id == shard->members[k].id;
-			if (!up || !shard->members[k].voter)
+				      world->s.nodes[q].id == shard->group.members[k].id;
+			if (!up || !shard->group.members[k].voter)
 				return 0;
 		}
 	}
@@ -619,7 +620,7 @@
 
 	if (!world->s.nodes[node].up)
 		return;
-	world->s.nodes[node].controller->shards[SHARD_CONTROL].applied_bytes =
+	world->s.nodes[node].controller->shards[SHARD_CONTROL].log.applied_bytes =
 	    2 * RAFT_SNAPSHOT_LOG_BYTES; /* as after large documents */
 	world->snapshots++;
 }
@@ -909,9 +910,9 @@
 		uint8_t *b;
 
 		if (!world->s.nodes[i].up ||
-		    shard->applied_index !=
-			world->s.nodes[leader].controller->shards[SHARD_CONTROL].applied_index ||
-		    !shard->member_count)
+		    shard->log.applied_index !=
+			world->s.nodes[leader].controller->shards[SHARD_CONTROL].log.applied_index ||
+		    !shard->group.member_count)
 			continue;
 		b = controller_state(world->s.nodes[i].controller, SHARD_CONTROL, pool, &m);
 		assert_int_equal(n, m);
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -142,11 +142,11 @@
 		const struct raft *raft;
 		uint64_t last, term;
 
-		if (!is_live(sim, i) || !raft_at(sim, i, shard)->member_count)
+		if (!is_live(sim, i) || !raft_at(sim, i, shard)->group.member_count)
 			continue;
 		raft = raft_at(sim, i, shard);
-		last = raft->base_index + (uint64_t)arrlen(raft->log);
-		term = arrlen(raft->log) ? arrlast(raft->log).term : raft->base_term;
+		last = raft->log.base_index + (uint64_t)arrlen(raft->log.entries);
+		term = arrlen(raft->log.entries) ? arrlast(raft->log.entries).term : raft->log.base_term;
 		if (newest >= 0 && (term < newest_term || (term == newest_term && last <= newest_last)))
 			continue;
 		newest = i;
@@ -183,21 +183,21 @@
 	if (node < 0)
 		return 0;
 	raft = raft_at(sim, node, shard);
-	for (ptrdiff_t i = arrlen(raft->log) - 1; i >= 0 && ok; i--) {
+	for (ptrdiff_t i = arrlen(raft->log.entries) - 1; i >= 0 && ok; i--) {
 		struct Nl__Members *members;
 
-		if (raft->log[i].kind != RAFT_ENTRY_MEMBERS)
+		if (raft->log.entries[i].kind != RAFT_ENTRY_MEMBERS)
 			continue;
-		members = nl__members__unpack(NULL, raft->log[i].len, raft->log[i].data);
+		members = nl__members__unpack(NULL, raft->log.entries[i].len, raft->log.entries[i].data);
 		ok = survives_with(sim, shard, members, lost);
 		nl__members__free_unpacked(members, NULL);
 		seen++;
-		if (raft->base_index + 1 + (uint64_t)i <= (uint64_t)arrlen(sim->entry_hashes[shard]))
+		if (raft->log.base_index + 1 + (uint64_t)i <= (uint64_t)arrlen(sim->entry_hashes[shard]))
 			return ok;
 	}
-	if (raft->snapshot_members_len && ok) {
-		struct Nl__Members *members =
-		    nl__members__unpack(NULL, raft->snapshot_members_len, raft->snapshot_members);
+	if (raft->snapshots.newest.members_len && ok) {
+		struct Nl__Members *members = nl__members__unpack(NULL, raft->snapshots.newest.members_len,
+								  raft->snapshots.newest.members);
 
 		ok = survives_with(sim, shard, members, lost);
 		nl__members__free_unpacked(members, NULL);
@@ -274,12 +274,12 @@
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 		int leader = sim_leader(sim, shard), voters = 0;
 
-		if (leader < 0 ||
-		    raft_at(sim, leader, shard)->members_index > raft_at(sim, leader, shard)->commit_index)
+		if (leader < 0 || raft_at(sim, leader, shard)->group.members_index >
+				      raft_at(sim, leader, shard)->log.commit_index)
 			return 0;
-		for (int i = 0; i < raft_at(sim, leader, shard)->member_count; i++)
-			voters += raft_at(sim, leader, shard)->members[i].voter;
-		if (voters != expected || raft_at(sim, leader, shard)->member_count != expected)
+		for (int i = 0; i < raft_at(sim, leader, shard)->group.member_count; i++)
+			voters += raft_at(sim, leader, shard)->group.members[i].voter;
+		if (voters != expected || raft_at(sim, leader, shard)->group.member_count != expected)
 			return 0;
 	}
 	return 1;
@@ -302,10 +302,11 @@
 {
 	const struct raft *raft = raft_at(sim, node, shard);
 
-	for (int i = 0; i < raft->member_count; i++) {
-		int other = node_by_id(sim, raft->members[i].id);
+	for (int i = 0; i < raft->group.member_count; i++) {
+		int other = node_by_id(sim, raft->group.members[i].id);
 
-		if (raft->members[i].voter && other >= 0 && other != node && !holds(sim, other, shard, index))
+		if (raft->group.members[i].voter && other >= 0 && other != node &&
+		    !holds(sim, other, shard, index))
 			return 0;
 	}
 	return 1;
@@ -329,7 +330,7 @@
 		const struct raft *raft = raft_at(sim, node, shard);
 
 		assert_int_not_equal(raft->role, RAFT_LEADER);
-		if (raft->commit_index >= committed[shard] &&
+		if (raft->log.commit_index >= committed[shard] &&
 		    !others_have_synced(sim, node, shard, committed[shard]))
 			fail_msg("seed %llu: node %d goes, and another copy of shard %u is behind",
 				 (unsigned long long)sim->seed, node, shard);
@@ -795,7 +796,7 @@
 	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 3 | 1u << 4);
 	leader_reconfigure(&leader);
 	assert_null(leader_member(&leader, 4));
-	assert_int_equal(leader.raft.member_count, 3);
+	assert_int_equal(leader.raft.group.member_count, 3);
 	leader_end(&leader);
 }
 
@@ -817,7 +818,7 @@
 	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 4);
 	leader_reconfigure(&leader);
 	assert_true(leader_member(&leader, 4)->voter);
-	assert_int_equal(leader.raft.member_count, 3);
+	assert_int_equal(leader.raft.group.member_count, 3);
 	leader_end(&leader);
 }
 
@@ -837,7 +838,7 @@
 	leader_propose(&leader);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
 	leader_receive_append_reply(&leader, 4, old);
-	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	leader_reconfigure(&leader);
 	assert_non_null(leader_member(&leader, 3));
 	leader_receive_append_reply(&leader, 4, leader_last_index(&leader));
@@ -865,30 +866,30 @@
 	leader_begin(&leader, 5);
 	leader.live[1].zone = leader.live[2].zone =
 	    9; /* the zone with the most voters: one of members 2 and 3 is to go */
-	leader.raft.replicas = 3;
+	leader.raft.group.replicas = 3;
 	old = leader_last_index(&leader);
 	leader_propose(&leader);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
 	leader_receive_append_reply(&leader, 3, leader_last_index(&leader));
 	leader_receive_append_reply(&leader, 4, old);
 	leader_receive_append_reply(&leader, 5, old);
-	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	leader_reconfigure(&leader);
-	assert_int_equal(leader.raft.member_count, 5);
+	assert_int_equal(leader.raft.group.member_count, 5);
 	leader_receive_append_reply(&leader, 4, leader_last_index(&leader));
 	leader_reconfigure(&leader);
-	assert_int_equal(leader.raft.member_count, 4);
+	assert_int_equal(leader.raft.group.member_count, 4);
 	leader_end(&leader);
 	/* a voter that is silent counts for none, though it is not given up */
 	leader_begin(&leader, 5);
 	leader.live[1].zone = leader.live[2].zone = 9;
 	leader_run_heartbeats(&leader, 900, 1u << 2 | 1u << 3);
-	leader.raft.replicas = 3;
+	leader.raft.group.replicas = 3;
 	leader_reconfigure(&leader);
-	assert_int_equal(leader.raft.member_count, 5);
+	assert_int_equal(leader.raft.group.member_count, 5);
 	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 3 | 1u << 4);
 	leader_reconfigure(&leader);
-	assert_int_equal(leader.raft.member_count, 4);
+	assert_int_equal(leader.raft.group.member_count, 4);
 	leader_end(&leader);
 }
 
@@ -967,7 +968,7 @@
 	old = leader_last_index(&leader);
 	reply.term = leader.raft.term;
 	reply.success = reply.draining = 1;
-	reply.round = leader.raft.heartbeat_round;
+	reply.round = leader.raft.lease.heartbeat_round;
 	reply.match_index = old;
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
@@ -975,21 +976,21 @@
 	leader_propose(&leader);
 	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
-	assert_int_equal(leader.raft.commit_index, old);
+	assert_int_equal(leader.raft.log.commit_index, old);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
-	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	/* the other voter is silent: the leaving one counts, and is kept */
 	for (int i = 0; i < 5; i++) {
 		leader.now += RAFT_HEARTBEAT_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 		leader_sync_disk(&leader);
-		reply.round = leader.raft.heartbeat_round;
+		reply.round = leader.raft.lease.heartbeat_round;
 		leader_receive(&leader, 3, &message);
 	}
 	leader_propose(&leader);
 	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
-	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	leader_end(&leader);
 }
 
@@ -1007,16 +1008,16 @@
 	leader_propose(&leader);
 	reply.term = leader.raft.term;
 	reply.success = reply.draining = 1;
-	reply.round = leader.raft.heartbeat_round;
+	reply.round = leader.raft.lease.heartbeat_round;
 	reply.match_index = old;
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
 	raft_tick(&leader.raft, leader.now, &leader.out);
 	reply.match_index = leader_last_index(&leader);
 	leader_receive(&leader, 3, &message);
-	assert_int_equal(leader.raft.commit_index, old);
+	assert_int_equal(leader.raft.log.commit_index, old);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
-	assert_int_equal(leader.raft.commit_index, leader_last_index(&leader));
+	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	leader_end(&leader);
 }
 
@@ -1047,7 +1048,7 @@
 	leader_propose(&leader);
 	reply.term = leader.raft.term;
 	reply.success = reply.draining = 1;
-	reply.round = leader.raft.heartbeat_round;
+	reply.round = leader.raft.lease.heartbeat_round;
 	reply.match_index = leader_last_index(&leader);
 	message.append_reply = &reply;
 	leader_receive(&leader, 3, &message);
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -28,12 +28,12 @@
 {
 	uint64_t h = core_hash(1, raft, sizeof *raft);
 
-	for (ptrdiff_t i = 0; i < arrlen(raft->log); i++) {
-		h = core_hash(h, &raft->log[i], sizeof raft->log[i]);
-		h = core_hash(h, raft->log[i].data, raft->log[i].len);
+	for (ptrdiff_t i = 0; i < arrlen(raft->log.entries); i++) {
+		h = core_hash(h, &raft->log.entries[i], sizeof raft->log.entries[i]);
+		h = core_hash(h, raft->log.entries[i].data, raft->log.entries[i].len);
 	}
-	h = core_hash(h, raft->snapshot_members, raft->snapshot_members_len);
-	return core_hash(h, raft->snapshot_data, raft->snapshot_len);
+	h = core_hash(h, raft->snapshots.newest.members, raft->snapshots.newest.members_len);
+	return core_hash(h, raft->snapshots.newest.data, raft->snapshots.newest.data_len);
 }
 
 /* ---- valid messages, as a member of the group sends them ---- */
@@ -72,7 +72,7 @@
 
 static uint64_t last_of(const struct raft *raft)
 {
-	return raft->base_index + (uint64_t)arrlen(raft->log);
+	return raft->log.base_index + (uint64_t)arrlen(raft->log.entries);
 }
 
 /* A message of this kind that the member would take: from its leader, or to a leader from its follower. */
@@ -95,7 +95,7 @@
 	sample->append.term = raft->term;
 	sample->append.prev_index = last_of(raft);
 	sample->append.prev_term = raft->term;
-	sample->append.round = raft->heartbeat_round;
+	sample->append.round = raft->lease.heartbeat_round;
 	for (int i = 0; i < 2; i++) {
 		nl__entry__init(&sample->entry[i]);
 		sample->entry[i].term = raft->term;
@@ -110,7 +110,7 @@
 	sample->append_reply.term = raft->term;
 	sample->append_reply.success = 1;
 	sample->append_reply.match_index = sample->append_reply.matched_index = last_of(raft);
-	sample->append_reply.round = raft->heartbeat_round;
+	sample->append_reply.round = raft->lease.heartbeat_round;
 	nl__snapshot_chunk__init(&sample->piece);
 	sample->piece.term = sample->piece.index_term = raft->term;
 	sample->piece.index = last_of(raft) + 100;
@@ -495,11 +495,12 @@
 	sha256_update(&sum, sizeof head, (const uint8_t *)head);
 	sha256_update(&sum, sample.piece.total_bytes, sample.members);
 	sha256_digest(&sum, RAFT_DIGEST_BYTES, sample.digest);
-	assert_null(raft_receive(&machine->raft, &sample.msg, world.now, &machine->out));
+	assert_int_equal(raft_receive(&machine->raft, &sample.msg, world.now, &machine->out),
+			 RAFT_FAULT_NONE);
 	assert_int_equal(arrlen(machine->out.commands), 1);
 	assert_true(machine->out.commands[0].args.send.msg->snapshot_reply->corrupt);
-	assert_true(machine->raft.commit_index < sample.piece.index);
-	assert_false(machine->raft.snapshot_to_load);
+	assert_true(machine->raft.log.commit_index < sample.piece.index);
+	assert_false(machine->raft.snapshots.to_load);
 	command_list_clear(&machine->out);
 	world_close(&world);
 }
@@ -565,12 +566,14 @@
 			if (!msg)
 				continue;
 			read++;
-			dropped += raft_receive(&machine->raft, msg, world.now, &machine->out) != NULL;
+			dropped +=
+			    raft_receive(&machine->raft, msg, world.now, &machine->out) != RAFT_FAULT_NONE;
 			nl__msg__free_unpacked(msg, NULL);
 			world.now += (int64_t)(core_random(&rng) % 20);
 			raft_tick(&machine->raft, world.now, &machine->out);
 			raft_flush(&machine->raft, world.now, &machine->out);
-			raft_synced(&machine->raft, machine->raft.sync_seq, world.now, &machine->out);
+			raft_synced(&machine->raft, machine->raft.disk.requested_seq, world.now,
+				    &machine->out);
 			command_list_clear(&machine->out);
 			assert_true(world_memory(&world, target) < 4 << 20);
 		}
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -67,9 +67,9 @@
 	assert_int_equal(raft_recover(&leader.raft, none, 1, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
 	assert_int_equal(raft_recover(&leader.raft, NULL, 0, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
 	assert_int_equal(raft_recover(&leader.raft, self, 3, leader.now), RAFT_RECOVERY_NO_VOTER);
-	leader.raft.vote_barrier_until_ms = leader.now + 1; /* a leader was heard */
+	leader.raft.election.vote_barrier_until_ms = leader.now + 1; /* a leader was heard */
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_HAS_LEADER);
-	leader.raft.vote_barrier_until_ms = 0;
+	leader.raft.election.vote_barrier_until_ms = 0;
 	receive_vote_request(&leader, 3, 2, 1, 1); /* one that is named as lost is there */
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MEMBER_ANSWERS);
 	assert_int_equal(raft_epoch(leader.raft.term), 0);
@@ -105,7 +105,7 @@
 	leader_begin(&leader, 3);
 	leader_propose(&leader); /* on this disk alone */
 	held = leader_last_index(&leader);
-	assert_true(leader.raft.commit_index < held);
+	assert_true(leader.raft.log.commit_index < held);
 	lose_followers(&leader);
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
 	for (int i = 0; i < 4; i++) {
@@ -114,8 +114,8 @@
 		leader.now += RAFT_HEARTBEAT_MS;
 	}
 	assert_true(raft_has_lease(&leader.raft, leader.now - RAFT_HEARTBEAT_MS));
-	assert_true(leader.raft.commit_index > held);
-	assert_int_equal(leader.raft.member_count, 1);
+	assert_true(leader.raft.log.commit_index > held);
+	assert_int_equal(leader.raft.group.member_count, 1);
 	assert_true(raft_epoch(leader.raft.term) == 1);
 	leader_end(&leader);
 }
@@ -302,11 +302,11 @@
 			assert_int_not_equal(sim_leader(&sim, shard), -1);
 			raft = &sim.nodes[sim_leader(&sim, shard)].controller->shards[shard];
 			assert_int_equal(raft_epoch(raft->term), 1);
-			assert_int_equal(raft->member_count, 3);
-			for (int i = 0; i < raft->member_count; i++) {
-				assert_true(raft->members[i].voter);
-				assert_true(raft->members[i].id != sim.nodes[gone[0]].id &&
-					    raft->members[i].id != sim.nodes[gone[1]].id);
+			assert_int_equal(raft->group.member_count, 3);
+			for (int i = 0; i < raft->group.member_count; i++) {
+				assert_true(raft->group.members[i].voter);
+				assert_true(raft->group.members[i].id != sim.nodes[gone[0]].id &&
+					    raft->group.members[i].id != sim.nodes[gone[1]].id);
 			}
 			for (int i = 0; i < 2; i++) {
 				assert_true(sim.nodes[gone[i]].controller->shards[shard].fenced);
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -39,7 +39,7 @@
 	raft_open(&member->raft, 0, 1, 5, NULL, member->now);
 	raft_bootstrap(&member->raft, group, 3, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
 	command_list_clear(&member->out);
 	member->now += 5000;
 }
@@ -72,16 +72,16 @@
 	return n;
 }
 
-static const char *receive(struct member *member, uint64_t from, struct Nl__Msg *msg)
+static enum raft_fault receive(struct member *member, uint64_t from, struct Nl__Msg *msg)
 {
-	const char *why;
+	enum raft_fault fault;
 
 	msg->id = from;
 	msg->addr = 100 + from;
 	command_list_clear(&member->out);
-	why = raft_receive(&member->raft, msg, member->now, &member->out);
+	fault = raft_receive(&member->raft, msg, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
-	return why;
+	return fault;
 }
 
 /* ---- a snapshot as a leader sends it ---- */
@@ -156,12 +156,12 @@
 
 static void assert_installed(const struct member *member, const struct sender *sender)
 {
-	assert_true(member->raft.snapshot_to_load);
-	assert_int_equal(member->raft.commit_index, sender->index);
-	assert_int_equal(member->raft.snapshot_len, sender->len - sender->members_len);
-	assert_memory_equal(member->raft.snapshot_data, sender->bytes + sender->members_len,
-			    member->raft.snapshot_len);
-	assert_int_equal(member->raft.member_count, 3);
+	assert_true(member->raft.snapshots.to_load);
+	assert_int_equal(member->raft.log.commit_index, sender->index);
+	assert_int_equal(member->raft.snapshots.newest.data_len, sender->len - sender->members_len);
+	assert_memory_equal(member->raft.snapshots.newest.data, sender->bytes + sender->members_len,
+			    member->raft.snapshots.newest.data_len);
+	assert_int_equal(member->raft.group.member_count, 3);
 }
 
 static void a_snapshot_is_installed_completely_or_not_at_all(void **state)
@@ -177,16 +177,16 @@
 	assert_int_equal(send_range(&member, &sender, 2, 0, 300)->offset, 300);   /* repeated */
 	assert_int_equal(send_range(&member, &sender, 2, 100, 400)->offset, 500); /* overlaps */
 	assert_int_equal(send_range(&member, &sender, 2, 500, sender.len - 500 - 1)->offset, sender.len - 1);
-	assert_false(member.raft.snapshot_to_load);
-	assert_int_equal(member.raft.base_index, 0);
-	assert_int_equal(member.raft.commit_index, 0);
+	assert_false(member.raft.snapshots.to_load);
+	assert_int_equal(member.raft.log.base_index, 0);
+	assert_int_equal(member.raft.log.commit_index, 0);
 	assert_int_equal(send_range(&member, &sender, 2, sender.len - 1, 1)->offset, sender.len);
 	assert_installed(&member, &sender);
 	/* what it says of its log waits for the disk, also when the last piece comes again */
 	assert_null(send_range(&member, &sender, 2, sender.len - 1, 1));
 	assert_true(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index < 50);
 	command_list_clear(&member.out);
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
 	free(sender.bytes);
 	member_close(&member);
@@ -206,8 +206,8 @@
 	reply = send_range(&member, &sender, 2, 600, sender.len - 600);
 	assert_true(reply->corrupt);
 	assert_int_equal(reply->offset, 0);
-	assert_false(member.raft.snapshot_to_load);
-	assert_int_equal(member.raft.base_index, 0);
+	assert_false(member.raft.snapshots.to_load);
+	assert_int_equal(member.raft.log.base_index, 0);
 	sender.bytes[700] ^= 1;
 	reply = send_range(&member, &sender, 2, 600, sender.len - 600); /* nothing of it is left */
 	assert_int_equal(reply->offset, 0);
@@ -232,17 +232,17 @@
 	assert_null(send_range(&member, &old, 3, 0, old.len)); /* a leader of before */
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->term, 3);
 	assert_null(send_range(&member, &older, 2, 0, older.len)); /* late, of the same leader */
-	assert_false(member.raft.snapshot_to_load);
+	assert_false(member.raft.snapshots.to_load);
 	assert_int_equal(send_range(&member, &sender, 2, 400, sender.len - 400)->offset, sender.len);
 	assert_installed(&member, &sender);
-	member.raft.snapshot_to_load = 0;
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	member.raft.snapshots.to_load = 0;
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
 	/* what is committed never goes back */
 	assert_null(send_range(&member, &older, 2, 0, older.len));
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
-	assert_int_equal(member.raft.commit_index, 50);
-	assert_int_equal(member.raft.base_index, 50);
-	assert_false(member.raft.snapshot_to_load);
+	assert_int_equal(member.raft.log.commit_index, 50);
+	assert_int_equal(member.raft.log.base_index, 50);
+	assert_false(member.raft.snapshots.to_load);
 	free(old.bytes);
 	free(sender.bytes);
 	free(older.bytes);
@@ -273,7 +273,7 @@
 	piece.recipient_id = 77;
 	msg.body_case = NL__MSG__BODY_SNAPSHOT_CHUNK;
 	msg.snapshot_chunk = &piece;
-	assert_null(receive(&member, 2, &msg));
+	assert_int_equal(receive(&member, 2, &msg), RAFT_FAULT_NONE);
 	assert_null(sent(&member, NL__MSG__BODY_SNAPSHOT_REPLY));
 	assert_int_equal(send_range(&member, &sender, 2, 300, 300)->offset, 600);
 	free(sender.bytes);
@@ -323,14 +323,14 @@
 	append.entries = es;
 	msg.body_case = NL__MSG__BODY_APPEND;
 	msg.append = &append;
-	assert_null(receive(&member, 2, &msg));
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	assert_int_equal(receive(&member, 2, &msg), RAFT_FAULT_NONE);
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 10);
 	sender_open(&sender, 2, 5, 1000); /* entry 5 is of its term */
 	assert_null(send_range(&member, &sender, 2, 0, sender.len));
-	assert_int_equal(member.raft.commit_index, 5);
-	assert_int_equal(member.raft.base_index + (uint64_t)arrlen(member.raft.log), 10);
-	assert_int_equal(member.raft.synced_index, 10);
+	assert_int_equal(member.raft.log.commit_index, 5);
+	assert_int_equal(member.raft.log.base_index + (uint64_t)arrlen(member.raft.log.entries), 10);
+	assert_int_equal(member.raft.disk.synced_index, 10);
 	free(sender.bytes);
 	member_close(&member);
 }
@@ -345,7 +345,7 @@
 	reply.term = member->raft.term;
 	reply.success = ok;
 	reply.match_index = match;
-	reply.round = member->raft.heartbeat_round;
+	reply.round = member->raft.lease.heartbeat_round;
 	msg.body_case = NL__MSG__BODY_APPEND_REPLY;
 	msg.append_reply = &reply;
 	assert_null(receive(member, from, &msg));
@@ -407,18 +407,18 @@
 	receive(member, 2, &msg);
 	reply.is_pre_vote = 0;
 	receive(member, 2, &msg);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
 	raft_tick(&member->raft, member->now, &member->out);
-	reply_append(member, 2, 1, member->raft.term_start);
+	reply_append(member, 2, 1, member->raft.log.term_start_index);
 	assert_true(raft_has_lease(&member->raft, member->now));
-	member->raft.applied_index = member->raft.commit_index;
-	member->raft.drop_tail = 1;
+	member->raft.log.applied_index = member->raft.log.commit_index;
+	member->raft.snapshots.drop_tail = 1;
 	raft_snapshot(&member->raft, state, len);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
-	assert_int_equal(member->raft.base_index, member->raft.term_start);
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	assert_int_equal(member->raft.log.base_index, member->raft.log.term_start_index);
 	free(state);
 }
 
@@ -435,7 +435,7 @@
 static struct piece next_piece(struct member *member, uint64_t addr)
 {
 	for (int i = 0; i < 5000 / RAFT_HEARTBEAT_MS; i++) {
-		reply_append(member, 2, 1, member->raft.synced_index);
+		reply_append(member, 2, 1, member->raft.disk.synced_index);
 		heartbeat(member);
 		if (piece_for(member, addr).index)
 			break;
@@ -465,12 +465,12 @@
 		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103);
 		assert_int_equal(count_sent(&member, NL__MSG__BODY_APPEND, 103), 1);
 		heartbeats++;
-		reply_append(&member, 2, 1, member.raft.term_start);
+		reply_append(&member, 2, 1, member.raft.log.term_start_index);
 		assert_true(raft_has_lease(&member.raft, member.now));
 	}
 	assert_true(pieces >= 3 * RAFT_CHUNK_WINDOW && pieces <= 5 * RAFT_CHUNK_WINDOW);
-	assert_true(member.raft.members[2].transfer.sent_bytes -
-			member.raft.members[2].transfer.acked_bytes <=
+	assert_true(member.raft.group.members[2].transfer.sent_bytes -
+			member.raft.group.members[2].transfer.acked_bytes <=
 		    RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES);
 	member_close(&member);
 }
@@ -496,8 +496,8 @@
 	piece = next_piece(&member, 103);
 	assert_int_equal(piece.offset, (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
 	reply_piece(&member, 3, piece, piece.total, 0);
-	assert_int_equal(member.raft.members[2].transfer.index, 0);
-	assert_int_equal(member.raft.members[2].next_index, member.raft.base_index + 1);
+	assert_int_equal(member.raft.group.members[2].transfer.index, 0);
+	assert_int_equal(member.raft.group.members[2].progress.next_index, member.raft.log.base_index + 1);
 	member_close(&member);
 }
 
@@ -507,14 +507,14 @@
 
 	raft_propose(&member->raft, (const uint8_t *)"x", 1, member->now);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
-	reply_append(member, 2, 1, member->raft.synced_index);
-	assert_int_equal(member->raft.commit_index, member->raft.synced_index);
-	member->raft.applied_index = member->raft.commit_index;
-	member->raft.drop_tail = drop_tail;
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	reply_append(member, 2, 1, member->raft.disk.synced_index);
+	assert_int_equal(member->raft.log.commit_index, member->raft.disk.synced_index);
+	member->raft.log.applied_index = member->raft.log.commit_index;
+	member->raft.snapshots.drop_tail = drop_tail;
 	raft_snapshot(&member->raft, state, len);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.sync_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
 	free(state);
 }
 
@@ -526,23 +526,24 @@
 
 	(void)state;
 	leader_open(&member, 4 * MB);
-	index = member.raft.snapshot_index;
+	index = member.raft.snapshots.newest.index;
 	reply_append(&member, 3, 0, 0);
 	for (int i = 0; i < 3; i++) { /* a slow link, and three newer ones meanwhile */
 		piece = piece_for(&member, 103);
 		assert_int_equal(piece.index, index);
 		reply_piece(&member, 3, piece, piece.offset + piece.len, 0);
 		take_snapshot(&member, 4 * MB, 0);
-		assert_int_equal(member.raft.previous.index, index);
+		assert_int_equal(member.raft.snapshots.previous.index, index);
 		heartbeat(&member);
 		member.now += 20;
-		reply_piece(&member, 3, piece, member.raft.members[2].transfer.acked_bytes + 1, 0);
+		reply_piece(&member, 3, piece, member.raft.group.members[2].transfer.acked_bytes + 1, 0);
 	}
 	piece = piece_for(&member, 103);
 	reply_piece(&member, 3, piece, piece.total, 0);
-	assert_int_equal(member.raft.members[2].next_index, index + 1); /* the entries behind it are held */
-	assert_true(member.raft.base_index <= index);
-	assert_int_equal(member.raft.previous.index, 0);
+	assert_int_equal(member.raft.group.members[2].progress.next_index,
+			 index + 1); /* the entries behind it are held */
+	assert_true(member.raft.log.base_index <= index);
+	assert_int_equal(member.raft.snapshots.previous.index, 0);
 	member_close(&member);
 }
 
@@ -554,15 +555,15 @@
 
 	(void)state;
 	leader_open(&member, 1 * MB);
-	index = member.raft.snapshot_index;
+	index = member.raft.snapshots.newest.index;
 	reply_append(&member, 3, 0, 0);
 	piece = piece_for(&member, 103);
 	reply_piece(&member, 3, piece, piece.len, 0);
 	take_snapshot(&member, 1 * MB, 1);
-	assert_int_equal(member.raft.previous.index, 0);
+	assert_int_equal(member.raft.snapshots.previous.index, 0);
 	heartbeat(&member);
-	assert_true(member.raft.members[2].transfer.index > index);
-	assert_int_equal(member.raft.members[2].transfer.acked_bytes, 0);
+	assert_true(member.raft.group.members[2].transfer.index > index);
+	assert_int_equal(member.raft.group.members[2].transfer.acked_bytes, 0);
 	member_close(&member);
 }
 
@@ -579,16 +580,16 @@
 	raft_flush(&member.raft, member.now, &member.out);
 	reply_append(&member, 2, 1, index);
 	reply_append(&member, 3, 1, index);
-	assert_int_equal(member.raft.commit_index, index);
-	assert_true(member.raft.synced_index < index);
-	member.raft.applied_index = index;
-	member.raft.drop_tail = 1;
+	assert_int_equal(member.raft.log.commit_index, index);
+	assert_true(member.raft.disk.synced_index < index);
+	member.raft.log.applied_index = index;
+	member.raft.snapshots.drop_tail = 1;
 	raft_snapshot(&member.raft, (const uint8_t *)"state", 5);
-	assert_int_equal(member.raft.base_index, member.raft.synced_index);
-	assert_int_equal(arrlen(member.raft.log), 1);
+	assert_int_equal(member.raft.log.base_index, member.raft.disk.synced_index);
+	assert_int_equal(arrlen(member.raft.log.entries), 1);
 	raft_flush(&member.raft, member.now, &member.out);
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
-	assert_int_equal(member.raft.synced_index, index);
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	assert_int_equal(member.raft.disk.synced_index, index);
 	member_close(&member);
 }
 
@@ -618,28 +619,29 @@
 
 	(void)state;
 	leader_open(&member, 1 * KB);
-	reply_append(&member, 3, 1, member.raft.base_index);
+	reply_append(&member, 3, 1, member.raft.log.base_index);
 	command_list_clear(&member.out);
 	for (int i = 0; i < 30; i++) {
 		raft_propose(&member.raft, d, 100 * KB, member.now);
 		raft_flush(&member.raft, member.now, &member.out);
 	}
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
 	bytes = entry_bytes(&member, 103);
 	assert_int_equal(bytes, UNDER_WAY); /* the window, and the entry that fills it */
-	reply_append(&member, 3, 1, member.raft.base_index + 1);
+	reply_append(&member, 3, 1, member.raft.log.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), 100 * KB);
 	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) { /* silent for nine seconds */
 		heartbeat(&member);
 		resent += entry_bytes(&member, 103);
-		reply_append(&member, 2, 1, member.raft.synced_index);
+		reply_append(&member, 2, 1, member.raft.disk.synced_index);
 	}
 	assert_true(resent >= 3 * UNDER_WAY && resent <= 5 * UNDER_WAY);
 	/* a member that lags behind its last word is asked where it stands, without entries */
-	reply_append(&member, 3, 0, member.raft.base_index + 1);
+	reply_append(&member, 3, 0, member.raft.log.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), 0);
-	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND)->append->prev_index, member.raft.base_index + 1);
-	reply_append(&member, 3, 1, member.raft.base_index + 1);
+	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND)->append->prev_index,
+			 member.raft.log.base_index + 1);
+	reply_append(&member, 3, 1, member.raft.log.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), UNDER_WAY);
 	free(d);
 	member_close(&member);
@@ -657,12 +659,13 @@
 	for (int i = 0; i < 5; i++)
 		raft_propose(&member.raft, (const uint8_t *)"x", 1, member.now);
 	raft_flush(&member.raft, member.now, &member.out);
-	raft_synced(&member.raft, member.raft.sync_seq, member.now, &member.out);
-	who = &member.raft.members[2];
-	who->next_index = who->unacked_index = member.raft.base_index + 6; /* as raft_set_members has it */
-	who->match_index = 0;
-	who->probing = 1;
-	reply_append(&member, 3, 1, member.raft.base_index + 2);
+	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	who = &member.raft.group.members[2];
+	who->progress.next_index = who->progress.unacked_index =
+	    member.raft.log.base_index + 6; /* as raft_set_members has it */
+	who->progress.match_index = 0;
+	who->progress.probing = 1;
+	reply_append(&member, 3, 1, member.raft.log.base_index + 2);
 	assert_int_equal(entry_bytes(&member, 103), 3);
 	member_close(&member);
 }
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -99,7 +99,7 @@
 
 static int settle(struct solo *s)
 {
-	while (s->raft.synced_seq < s->raft.sync_seq)
+	while (s->raft.disk.synced_seq < s->raft.disk.requested_seq)
 		if (!take_sync(s, LIMIT_MS))
 			return 0;
 	return 1;
@@ -123,7 +123,7 @@
 	raft_open(&s->raft, SHARD, 1, 7, saved, s->now);
 	if (!saved)
 		raft_bootstrap(&s->raft, &self, 1, s->now, &s->out);
-	s->raft.snapshot_to_load = 0;
+	s->raft.snapshots.to_load = 0;
 	for (int i = 0; i < 200 && !raft_has_lease(&s->raft, s->now); i++) {
 		s->now += 20;
 		raft_tick(&s->raft, s->now, &s->out);
@@ -209,8 +209,8 @@
 			assert_true(settle(&solo));
 			assert_int_equal(solo.acked, v);
 			peak = file_size(&solo) > peak ? file_size(&solo) : peak;
-			snapshots += solo.raft.snapshot_index != last;
-			last = solo.raft.snapshot_index;
+			snapshots += solo.raft.snapshots.newest.index != last;
+			last = solo.raft.snapshots.newest.index;
 		}
 		getrusage(RUSAGE_SELF, &use);
 		print_message(
@@ -259,22 +259,22 @@
 	assert_return_code(getrlimit(RLIMIT_FSIZE, &was), 0);
 	router_fixture_open(&solo, 1 * MB);
 	begin(&solo);
-	while (solo.raft.applied_bytes + solo.len < RAFT_SNAPSHOT_LOG_BYTES) {
+	while (solo.raft.log.applied_bytes + solo.len < RAFT_SNAPSHOT_LOG_BYTES) {
 		propose(&solo, ++v);
 		assert_true(settle(&solo));
 	}
 	propose(&solo, ++v); /* with this one a snapshot is due */
 	full = was;
 	full.rlim_cur = file_size(&solo);
-	while (solo.raft.snapshot_index == 0) /* its entry is synced, and the snapshot asked for */
+	while (solo.raft.snapshots.newest.index == 0) /* its entry is synced, and the snapshot asked for */
 		assert_true(take_sync(&solo, LIMIT_MS));
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &full), 0);
 	acked = solo.acked;
-	while (solo.raft.synced_seq < solo.raft.sync_seq &&
+	while (solo.raft.disk.synced_seq < solo.raft.disk.requested_seq &&
 	       storage_refused_count(solo.store) < 2) /* or it came before the disk was full */
 		(void)take_sync(&solo, 20);
 	for (int i = 0; storage_refused_count(solo.store) < 2; i++) { /* more, until nothing fits */
-		if (solo.raft.synced_seq == solo.raft.sync_seq)
+		if (solo.raft.disk.synced_seq == solo.raft.disk.requested_seq)
 			propose(&solo, ++v);
 		(void)take_sync(&solo, 20);
 		acked = solo.acked;
@@ -328,7 +328,7 @@
 				if (open_folder(&solo))
 					_exit(2);
 				begin(&solo);
-				write_until_killed(&solo, solo.raft.applied_index ? solo.acked + 1 : 1,
+				write_until_killed(&solo, solo.raft.log.applied_index ? solo.acked + 1 : 1,
 						   pipe_ends[1]);
 			}
 			close(pipe_ends[1]);
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -298,8 +298,8 @@
 		const struct raft *raft = &world.controller.shards[i];
 
 		assert_int_equal(raft_epoch(raft->term), 1);
-		assert_int_equal(raft->member_count, 1);
-		assert_int_equal(raft->fenced_count, 2);
+		assert_int_equal(raft->group.member_count, 1);
+		assert_int_equal(raft->group.fenced_count, 2);
 	}
 	assert_int_equal(world_call(&world, "POST", "/v1/change",
 				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
@@ -321,7 +321,7 @@
 	assert_int_equal(world.controller.shards[SHARD_CONTROL].vote, 3);
 	assert_int_equal(world.controller.shards[SHARD_PURGE].term, 9);
 	assert_int_equal(world.controller.shards[SHARD_PURGE].vote, 2);
-	assert_int_equal(world.controller.shards[SHARD_CONTROL].member_count, 3);
+	assert_int_equal(world.controller.shards[SHARD_CONTROL].group.member_count, 3);
 	world_close(&world);
 	remove_folder(folder);
 }
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -418,7 +418,7 @@
 	raft_open(&bench->p, 0, 1, 5, NULL, bench->now);
 	raft_bootstrap(&bench->p, member, 3, bench->now, &bench->o);
 	raft_flush(&bench->p, bench->now, &bench->o);
-	raft_synced(&bench->p, bench->p.sync_seq, bench->now, &bench->o);
+	raft_synced(&bench->p, bench->p.disk.requested_seq, bench->now, &bench->o);
 	command_list_clear(&bench->o);
 	bench->now += 5000;
 }
@@ -469,7 +469,7 @@
 	reply.term = bench->p.term;
 	reply.success = 1;
 	reply.match_index = match;
-	reply.round = bench->p.heartbeat_round;
+	reply.round = bench->p.lease.heartbeat_round;
 	message.body_case = NL__MSG__BODY_APPEND_REPLY;
 	message.append_reply = &reply;
 	hear(bench, from, &message);
@@ -487,7 +487,7 @@
 	/* a vote */
 	receive_vote(&bench, 2, 5, 1, 1);
 	assert_null(said(&bench, NL__MSG__BODY_VOTE_REPLY));
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	r = said(&bench, NL__MSG__BODY_VOTE_REPLY);
 	assert_non_null(r);
 	assert_true(r->vote_reply->granted);
@@ -521,7 +521,7 @@
 	assert_int_equal(r->append_reply->match_index, 1);
 	assert_int_equal(r->append_reply->round, 1);
 	command_list_clear(&bench.o);
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	assert_int_equal(said(&bench, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 2);
 	bench_close(&bench);
 }
@@ -546,20 +546,20 @@
 	reply.is_pre_vote = 0;
 	hear(&bench, 2, &message);
 	assert_int_equal(bench.p.role, RAFT_CANDIDATE); /* its own vote is not on the disk yet */
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	assert_int_equal(bench.p.role, RAFT_LEADER);
 	raft_flush(&bench.p, bench.now, &bench.o);
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	raft_tick(&bench.p, bench.now, &bench.o);
-	receive_ack(&bench, 2, bench.p.term_start);
+	receive_ack(&bench, 2, bench.p.log.term_start_index);
 	assert_true(raft_has_lease(&bench.p, bench.now));
 	i = raft_propose(&bench.p, (const uint8_t *)"x", 1, bench.now);
 	assert_true(i > 0);
 	raft_flush(&bench.p, bench.now, &bench.o);
 	receive_ack(&bench, 2, i);
-	assert_true(bench.p.commit_index < i); /* one member and an unsynced owner are no majority */
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
-	assert_int_equal(bench.p.commit_index, i);
+	assert_true(bench.p.log.commit_index < i); /* one member and an unsynced owner are no majority */
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	assert_int_equal(bench.p.log.commit_index, i);
 	/* its disk stalls: it gives up, and says so */
 	raft_propose(&bench.p, (const uint8_t *)"y", 1, bench.now);
 	raft_flush(&bench.p, bench.now, &bench.o);
@@ -639,7 +639,7 @@
 	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	receive_idle(&bench, 3, incarnation, 0, 3, 1);
 	receive_vote(&bench, 2, 5, 2, 3);
-	raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	bench_close(&bench);
 
@@ -654,7 +654,7 @@
 		assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 		bench.now += RAFT_LEASE_MS;
 		receive_vote(&bench, 2, 5, 2, 3);
-		raft_synced(&bench.p, bench.p.sync_seq, bench.now, &bench.o);
+		raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 		assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 		bench_close(&bench);
 	}
