--- a/tests/explore.c
+++ b/tests/explore.c
@@ -38,9 +38,9 @@
 
 /* NOLINTNEXTLINE(bugprone-reserved-identifier,cert-dcl37-c,cert-dcl51-cpp): the linker's --wrap asks for this
  * name */
-uint64_t __wrap_core_rand(uint64_t *state);
+uint64_t __wrap_core_random(uint64_t *state);
 
-uint64_t __wrap_core_rand(uint64_t *state)
+uint64_t __wrap_core_random(uint64_t *state)
 {
 	(void)state;
 	return next_random;
