--- a/bin/notchlug_validate.c
+++ b/bin/notchlug_validate.c
@@ -12,6 +12,8 @@
 #include "config_table.h"
 #include "cli_support.h"
 #include "shell.h"
+#include "config_check.h"
+#include "config_row.h"
 
 enum { GOOD = 0, FAULTS = 1, USAGE = 2, UNREACHABLE = 3 };
 
@@ -365,7 +367,7 @@
 		if (c) {
 			c->n_deleted =
 			    0; /* whether rows to take out exist is judged against the real table */
-			why = config_table_check(&empty, c, check.pool);
+			why = config_check_change(&empty, c, check.pool);
 		}
 		if (why)
 			say(&check, 1, "change", why);
--- a/bin/notchlugctl.c
+++ b/bin/notchlugctl.c
@@ -11,6 +11,7 @@
 #include "shell.h"
 #include "config_table.h"
 #include "cli_support.h"
+#include "config_row.h"
 
 enum { OK = 0, REJECTED = 1, USAGE = 2, UNREACHABLE = 3, CONFLICT = 4 };
 enum {
--- a/emulator/scale_model.c
+++ b/emulator/scale_model.c
@@ -12,6 +12,7 @@
 #include "router.h"
 #include "containers.h"
 #include "controller.h"
+#include "config_row.h"
 
 enum {
 	TICK_MS = 25,
--- a/lib/control/bootstrap.h
+++ b/lib/control/bootstrap.h
@@ -4,7 +4,8 @@
 #ifndef NL_BOOTSTRAP_H
 #define NL_BOOTSTRAP_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* A message of the bootstrap: a question, the members to start with, or an answer. */
 void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -21,4 +22,9 @@
 /* Go on with a bootstrap that this node has begun. */
 void bootstrap_tick(struct controller *controller, int64_t now, struct command_list *out);
 
+/* Begin a bootstrap without a call, as the settings of the first seed say: it goes on until all seeds answer
+ * that they are empty, or one belongs to a fleet. Does nothing unless this node is empty and has seeds.
+ * Example: if (initial) controller_bootstrap(&controller, now); */
+void controller_bootstrap(struct controller *controller, int64_t now);
+
 #endif
--- /dev/null
+++ b/lib/control/config_check.c
@@ -0,0 +1,353 @@
+#include "config_check.h"
+
+#include <apr_strings.h>
+#include <string.h>
+
+#include "config_row.h"
+#include "containers.h"
+#include "retention.h"
+
+static int is_name(const char *text)
+{
+	size_t length = strlen(text);
+
+	return length > 0 && length < 200 &&
+	       strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._/-*") == length;
+}
+
+/* Printable and without blanks, so that it fits a cell of the text form. */
+static int is_cell_text(const char *text, size_t max_length)
+{
+	size_t length = 0;
+
+	for (; text[length]; length++)
+		if ((unsigned char)text[length] <= ' ' || (unsigned char)text[length] == 127)
+			return 0;
+	return length > 0 && length <= max_length;
+}
+
+static int is_path_prefix(const char *text)
+{
+	return is_cell_text(text, 1000) && text[0] == '/' && text[strlen(text) - 1] == '/';
+}
+
+/* Weights of a model are numbered upwards from 1. */
+static int is_weights_number(const char *text)
+{
+	return strlen(text) > 0 && strlen(text) < 19 && text[0] != '0' &&
+	       strspn(text, "0123456789") == strlen(text);
+}
+
+static const char *check_split(const struct Nl__Row *row)
+{
+	uint64_t total_weight = 0;
+
+	if (!row->n_split)
+		return NULL;
+	if (row->n_split > CONFIG_CHECK_MAX_SPLITS)
+		return "split: more than 64 services";
+	for (size_t i = 0; i < row->n_split; i++) {
+		if (!is_name(row->split[i]->service))
+			return "split: a service is missing";
+		total_weight += row->split[i]->weight;
+	}
+	return total_weight ? NULL : "split: the weights add up to 0";
+}
+
+static const char *check_route(const struct Nl__Row *row)
+{
+	const char *fault = check_split(row);
+
+	if (fault)
+		return fault;
+	if (!is_name(row->service))
+		return "service: missing";
+	if (row->priority > 9)
+		return "prio: 0 to 9";
+	if (row->limit < 1 || row->limit > 100000)
+		return "limit: 1 to 100000 places in the line";
+	if ((row->host[0] || row->path[0]) && !is_cell_text(row->host, 255))
+		return "host: 1 to 255 characters without blanks, where there is a path";
+	if (row->host[0] && !is_path_prefix(row->path))
+		return "path: begins and ends with a slash";
+	if (row->timeout_ms > 3600000)
+		return "timeout: up to 3600000 ms";
+	if (row->max_attempts > 100)
+		return "attempts: up to 100";
+	return NULL;
+}
+
+/* A tenant, or a tenant's share of a route. */
+static const char *check_tenant(const struct Nl__Row *row)
+{
+	if (row->share < 1 || row->share > 1000)
+		return "share: 1 to 1000";
+	if (row->limit > 100000)
+		return "limit: up to 100000 running at once; 0 for no limit";
+	if (row->priority_class > 10)
+		return "rank: 1 to 10; 0 for none";
+	if (row->kind == NL__KIND__SHARE && !strchr(row->name, '/'))
+		return "name: lane/tenant";
+	return NULL;
+}
+
+static const char *check_key(const struct Nl__Row *row)
+{
+	if (!is_name(row->tenant))
+		return "tenant: missing";
+	if (strlen(row->name) != 64)
+		return "name: a digest of 64 hex digits";
+	return NULL;
+}
+
+static const char *check_server(const struct Nl__Row *row)
+{
+	if (!core_parse_addr(row->addr))
+		return "addr: not ip:port";
+	if (!is_name(row->service))
+		return "service: missing";
+	if (row->state > 1)
+		return "state: serving or draining";
+	return NULL;
+}
+
+static const char *check_service(const struct Nl__Row *row)
+{
+	if (row->model[0] && !is_name(row->model))
+		return "model: letters, digits, . _ / - or *";
+	if ((row->target_weights[0] || !row->model[0]) && !is_name(row->target_weights))
+		return "weights: missing, and no model";
+	if (row->prefill_tokens_per_ms < 1 || row->prefill_tokens_per_ms > 100000)
+		return "prefill: 1 to 100000 tokens per ms";
+	if (row->kv_bytes_per_token < 1)
+		return "kv_bytes: 1 or more";
+	if (row->link_bytes_per_ms < 1)
+		return "link: 1 or more bytes per ms";
+	if (row->health_path[0] && (!is_cell_text(row->health_path, 1000) || row->health_path[0] != '/'))
+		return "health: a path";
+	if (row->addr[0] && !core_parse_addr(row->addr))
+		return "addr: not ip:port";
+	return NULL;
+}
+
+static const char *check_model(const struct Nl__Row *row)
+{
+	if (row->target_weights[0] && !is_weights_number(row->target_weights))
+		return "weights: a number from 1";
+	if (row->rolled_out[0] && !is_weights_number(row->rolled_out))
+		return "rolled: a number from 1";
+	if (!row->target_weights[0] && !row->rolled_out[0])
+		return "weights: missing";
+	return NULL;
+}
+
+static const char *check_controller(const struct Nl__Row *row)
+{
+	return !core_parse_addr(row->addr) || !row->id ? "addr: not ip:port" : NULL;
+}
+
+static const char *check_columns(const struct Nl__Row *row)
+{
+	switch (row->kind) {
+	case NL__KIND__ROUTE:
+		return check_route(row);
+	case NL__KIND__TENANT:
+	case NL__KIND__SHARE:
+		return check_tenant(row);
+	case NL__KIND__KEY:
+		return check_key(row);
+	case NL__KIND__SERVER:
+		return check_server(row);
+	case NL__KIND__SERVICE:
+		return check_service(row);
+	case NL__KIND__MODEL:
+		return check_model(row);
+	case NL__KIND__LISTENER:
+		return NULL;
+	case NL__KIND__RETENTION:
+		return retention_check_row(row);
+	default:
+		return check_controller(row);
+	}
+}
+
+static const char *check_row(const struct Nl__Row *row, apr_pool_t *pool)
+{
+	const char *fault;
+
+	if (!config_kind_is_valid(row->kind))
+		return CONFIG_KIND_UNKNOWN;
+	if (!is_name(row->name))
+		return apr_psprintf(pool, "%s: name: 1 to 199 letters, digits, . _ / - or *",
+				    config_kind_name(row->kind));
+	fault = check_columns(row);
+	return fault ? apr_psprintf(pool, "%s %s: %s", config_kind_name(row->kind), row->name, fault) : NULL;
+}
+
+/* A change, and the rows before and after it, while they are checked together. */
+struct consistency_check {
+	const struct Nl__Change *change;
+	struct config_table_row *before;           /* the table's */
+	struct config_row_index *set;              /* by key */
+	struct config_row_index *deleted;          /* by key */
+	struct config_row_index *by_host_and_path; /* routes after the change */
+};
+
+/* Whether a row of the table is still there after the change, as it was. */
+static int row_stays(const struct consistency_check *check, const char *key)
+{
+	struct config_row_index *set = check->set, *deleted = check->deleted;
+
+	return !check->change->replace_all && shgeti(set, key) < 0 && shgeti(deleted, key) < 0;
+}
+
+/* Splits lead to services that there are after the change. */
+static const char *check_split_services(const struct consistency_check *check, const struct Nl__Row *route,
+					apr_pool_t *pool)
+{
+	struct config_row_index *set = check->set;
+	struct config_table_row *before = check->before;
+	char buffer[CONFIG_ROW_KEY_BYTES];
+
+	for (size_t i = 0; i < route->n_split; i++) {
+		const char *service = route->split[i]->service;
+		const char *key = config_row_key(buffer, NL__KIND__SERVICE, service);
+
+		if (shgeti(set, key) < 0 && (!row_stays(check, key) || shgeti(before, key) < 0))
+			return apr_psprintf(pool, "lane %s: split: no service %s", route->name, service);
+	}
+	return NULL;
+}
+
+/* Host and path lead to one route. */
+static const char *check_host_and_path(struct consistency_check *check, const struct Nl__Row *route,
+				       apr_pool_t *pool)
+{
+	const char *host_and_path;
+	ptrdiff_t duplicate;
+
+	if (!route->path[0])
+		return NULL;
+	host_and_path = apr_pstrcat(pool, route->host, "\t", route->path, NULL);
+	duplicate = shgeti(check->by_host_and_path, host_and_path);
+	if (duplicate >= 0)
+		return apr_psprintf(pool, "lane %s: host and path: those of lane %s", route->name,
+				    check->by_host_and_path[duplicate].value->name);
+	shput(check->by_host_and_path, host_and_path, route);
+	return NULL;
+}
+
+/* Routes that stay first, then those of the change; of a row that is set twice the last one counts. */
+static const char *check_routes(struct consistency_check *check, apr_pool_t *pool)
+{
+	const struct Nl__Change *change = check->change;
+	char key[CONFIG_ROW_KEY_BYTES];
+	const char *fault = NULL;
+
+	for (ptrdiff_t i = 0; i < shlen(check->before) && !fault; i++) {
+		const struct Nl__Row *row = check->before[i].value.row;
+
+		if (row->kind == NL__KIND__ROUTE && row_stays(check, check->before[i].key))
+			fault = check_host_and_path(check, row, pool);
+	}
+	for (size_t i = 0; i < change->n_set && !fault; i++) {
+		const struct Nl__Row *row = change->set[i];
+
+		if (row->kind != NL__KIND__ROUTE ||
+		    shget(check->set, config_row_key(key, row->kind, row->name)) != row)
+			continue;
+		fault = check_split_services(check, row, pool);
+		if (!fault)
+			fault = check_host_and_path(check, row, pool);
+	}
+	return fault;
+}
+
+/* What only holds between rows: host and path lead to one route, and splits to services that there are. */
+static const char *check_consistency(const struct config_table *table, const struct Nl__Change *change,
+				     apr_pool_t *pool)
+{
+	struct consistency_check check = { .change = change, .before = table->rows };
+	const char *fault = NULL;
+	int needed = change->replace_all;
+
+	for (size_t i = 0; i < change->n_set; i++)
+		needed |= change->set[i]->kind == NL__KIND__ROUTE &&
+			  (change->set[i]->path[0] || change->set[i]->n_split);
+	if (!needed)
+		return NULL;
+	check.set = config_row_index(change->set, change->n_set);
+	check.deleted = config_row_index(change->deleted, change->n_deleted);
+	sh_new_arena(check.by_host_and_path);
+	fault = check_routes(&check, pool);
+	shfree(check.by_host_and_path);
+	shfree(check.set);
+	shfree(check.deleted);
+	return fault;
+}
+
+/* With a model's row the dates would go by which servers with older weights get no more requests. */
+static const char *check_model_removed(const struct config_table *table, const struct Nl__Row *removed,
+				       apr_pool_t *pool)
+{
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (row->kind == NL__KIND__SERVICE && !strcmp(row->model, removed->name))
+			return apr_psprintf(pool, "del model %s: service %s has it", removed->name,
+					    row->name);
+	}
+	return NULL;
+}
+
+/* A claim is logged in the shard of its route's service, so a route whose requests are claimed keeps it. */
+static const char *check_service_unchanged(const struct config_table *table, const struct Nl__Row *row,
+					   apr_pool_t *pool)
+{
+	const struct Nl__Row *old =
+	    row->kind == NL__KIND__ROUTE ? config_table_get(table, NL__KIND__ROUTE, row->name) : NULL;
+
+	if (old && strcmp(old->service, row->service) &&
+	    !(old->client_deduplicates && row->client_deduplicates))
+		return apr_psprintf(pool, "lane %s: service: cannot change; make a new lane", old->name);
+	return NULL;
+}
+
+static const char *check_deleted(const struct config_table *table, const struct Nl__Change *change,
+				 apr_pool_t *pool)
+{
+	const char *fault;
+
+	for (size_t i = 0; i < change->n_deleted; i++) {
+		const struct Nl__Row *row = change->deleted[i];
+
+		if (!change->replace_all && !config_table_get(table, row->kind, row->name))
+			return apr_psprintf(pool, "del %s %s: no such row", config_kind_name(row->kind),
+					    row->name);
+	}
+	for (size_t i = 0; i < change->n_deleted; i++)
+		if (change->deleted[i]->kind == NL__KIND__MODEL &&
+		    (fault = check_model_removed(table, change->deleted[i], pool)))
+			return fault;
+	return NULL;
+}
+
+const char *config_check_change(const struct config_table *table, const struct Nl__Change *change,
+				apr_pool_t *pool)
+{
+	const char *fault = NULL;
+
+	if (protobuf_c_message_get_packed_size(&change->base) > CONFIG_CHECK_MAX_CHANGE_BYTES)
+		return apr_psprintf(pool, "change: larger than %d bytes", CONFIG_CHECK_MAX_CHANGE_BYTES);
+	for (size_t i = 0; i < change->n_set && !fault; i++)
+		fault = check_row(change->set[i], pool);
+	for (size_t i = 0; i < change->n_set && !fault; i++)
+		fault = check_service_unchanged(table, change->set[i], pool);
+	if (!fault)
+		fault = check_deleted(table, change, pool);
+	if (!fault)
+		fault = retention_check_scopes(table, change, pool);
+	if (!fault)
+		fault = check_consistency(table, change, pool);
+	return fault;
+}
--- a/lib/control/config_handover.h
+++ b/lib/control/config_handover.h
@@ -9,7 +9,7 @@
 #ifndef NL_CONFIG_HANDOVER_H
 #define NL_CONFIG_HANDOVER_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 enum { CONFIG_HANDOVER_DEFER_MS = 250 }; /* as long as the asker would wait before it asks again */
 
--- /dev/null
+++ b/lib/control/config_row.c
@@ -0,0 +1,359 @@
+#include "config_row.h"
+
+#include <apr_strings.h>
+#include <stdlib.h>
+#include <string.h>
+
+static const char *const kind_names[] = { "none",    "lane",      "tenant", "share", "key",      "server",
+					  "service", "registrar", "model",  "door",  "retention" };
+enum { KIND_COUNT = sizeof kind_names / sizeof *kind_names };
+
+int config_kind_is_valid(Nl__Kind kind)
+{
+	return kind > NL__KIND__NONE && (unsigned)kind < KIND_COUNT;
+}
+
+const char *config_kind_name(Nl__Kind kind)
+{
+	return (unsigned)kind < KIND_COUNT ? kind_names[kind] : "none";
+}
+
+Nl__Kind config_kind_parse(const char *name)
+{
+	for (unsigned i = 1; name && i < KIND_COUNT; i++)
+		if (!strcmp(kind_names[i], name))
+			return (Nl__Kind)i;
+	return NL__KIND__NONE;
+}
+
+/* How a column's value is kept in struct Nl__Row, and which JSON type it has. */
+enum column_kind {
+	COLUMN_STRING,
+	COLUMN_UINT32,
+	COLUMN_UINT64,
+	COLUMN_BOOL,
+	COLUMN_STATE, /* "serving" or "draining" */
+	COLUMN_HEX,   /* a 64 bit id as 16 hex digits */
+	COLUMN_SPLIT  /* "service:weight,service:weight" */
+};
+
+struct row_column {
+	const char *name; /* in JSON and in the text form */
+	enum column_kind kind;
+	size_t offset;  /* of the field in struct Nl__Row */
+	unsigned kinds; /* of rows that have it: one bit each */
+};
+#define ON(k) (1u << NL__KIND__##k)
+#define AT(f) offsetof(struct Nl__Row, f)
+
+/* Names of columns are the operators' interface and keep the words of its pages. */
+static const struct row_column row_columns[] = {
+	{ "name", COLUMN_STRING, AT(name), ~0u },
+	{ "service", COLUMN_STRING, AT(service), ON(ROUTE) | ON(SERVER) },
+	{ "tenant", COLUMN_STRING, AT(tenant), ON(KEY) },
+	{ "addr", COLUMN_STRING, AT(addr), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
+	{ "zone", COLUMN_STRING, AT(zone), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
+	{ "weights", COLUMN_STRING, AT(target_weights), ON(SERVICE) | ON(MODEL) },
+	{ "prio", COLUMN_UINT32, AT(priority), ON(ROUTE) },
+	{ "share", COLUMN_UINT32, AT(share), ON(TENANT) | ON(SHARE) },
+	{ "limit", COLUMN_UINT32, AT(limit), ON(ROUTE) | ON(TENANT) | ON(SHARE) },
+	{ "walled", COLUMN_BOOL, AT(isolated), ON(TENANT) },
+	{ "state", COLUMN_STATE, AT(state), ON(SERVER) },
+	{ "id", COLUMN_HEX, AT(id), ON(CONTROLLER) },
+	{ "prefill", COLUMN_UINT32, AT(prefill_tokens_per_ms), ON(SERVICE) },
+	{ "kv_bytes", COLUMN_UINT32, AT(kv_bytes_per_token), ON(SERVICE) },
+	{ "link", COLUMN_UINT32, AT(link_bytes_per_ms), ON(SERVICE) },
+	{ "store", COLUMN_UINT32, AT(store_bytes_per_ms), ON(SERVICE) },
+	{ "host", COLUMN_STRING, AT(host), ON(ROUTE) },
+	{ "path", COLUMN_STRING, AT(path), ON(ROUTE) },
+	{ "split", COLUMN_SPLIT, AT(split), ON(ROUTE) },
+	{ "aim", COLUMN_UINT32, AT(latency_target_ms), ON(ROUTE) },
+	{ "pause", COLUMN_UINT32, AT(max_gap_ms), ON(ROUTE) },
+	{ "timeout", COLUMN_UINT32, AT(timeout_ms), ON(ROUTE) },
+	{ "attempts", COLUMN_UINT32, AT(max_attempts), ON(ROUTE) },
+	{ "resumable", COLUMN_BOOL, AT(resumable), ON(ROUTE) },
+	{ "repeatable", COLUMN_BOOL, AT(idempotent), ON(ROUTE) },
+	{ "vouched", COLUMN_BOOL, AT(client_deduplicates), ON(ROUTE) },
+	{ "open", COLUMN_BOOL, AT(key_optional), ON(ROUTE) },
+	{ "model", COLUMN_STRING, AT(model), ON(SERVICE) },
+	{ "slots", COLUMN_UINT32, AT(slots), ON(SERVICE) },
+	{ "conns", COLUMN_UINT32, AT(max_connections), ON(SERVICE) },
+	{ "watches", COLUMN_UINT32, AT(max_watches), ON(SERVICE) },
+	{ "room", COLUMN_UINT64, AT(capacity_tokens), ON(SERVICE) },
+	{ "rank", COLUMN_UINT32, AT(priority_class), ON(TENANT) },
+	{ "rolled", COLUMN_STRING, AT(rolled_out), ON(MODEL) },
+	{ "health", COLUMN_STRING, AT(health_path), ON(SERVICE) },
+	{ "head_bytes", COLUMN_UINT32, AT(max_head_bytes), ON(LISTENER) },
+	{ "body_bytes", COLUMN_UINT32, AT(max_body_bytes), ON(LISTENER) },
+	{ "head_ms", COLUMN_UINT32, AT(head_timeout_ms), ON(LISTENER) },
+	{ "idle_ms", COLUMN_UINT32, AT(idle_timeout_ms), ON(LISTENER) },
+	{ "keep", COLUMN_STRING, AT(max_age), ON(RETENTION) },
+	{ "every", COLUMN_STRING, AT(interval), ON(RETENTION) },
+	{ "at", COLUMN_STRING, AT(calendar), ON(RETENTION) },
+	{ "window", COLUMN_UINT32, AT(spread_ms), ON(RETENTION) },
+};
+enum { ROW_COLUMN_COUNT = sizeof row_columns / sizeof *row_columns };
+
+/* Services and weights as one text: "a:90,b:10". */
+static char *split_text(const struct Nl__Row *row)
+{
+	size_t capacity = 1, used = 0;
+	char *text;
+
+	for (size_t i = 0; i < row->n_split; i++)
+		capacity += strlen(row->split[i]->service) + 16;
+	text = malloc(capacity);
+	if (!text)
+		abort();
+	text[0] = 0;
+	for (size_t i = 0; i < row->n_split; i++)
+		used += (size_t)apr_snprintf(text + used, capacity - used, "%s%s:%u", i ? "," : "",
+					     row->split[i]->service, (unsigned)row->split[i]->weight);
+	return text;
+}
+
+static int split_parse(struct Nl__Row *row, const char *text, apr_pool_t *pool)
+{
+	char *copy = apr_pstrdup(pool, text), *save = NULL;
+	size_t share_count = 1;
+
+	for (const char *c = text; *c; c++)
+		share_count += *c == ',';
+	row->split = apr_palloc(pool, (share_count + 1) * sizeof *row->split);
+	row->n_split = 0;
+	for (char *item = apr_strtok(copy, ",", &save); item; item = apr_strtok(NULL, ",", &save)) {
+		struct Nl__RouteSplit *split = apr_palloc(pool, sizeof *split);
+		char *colon = strrchr(item, ':'), *end = colon;
+		unsigned long long weight;
+
+		if (!colon || colon == item || colon[1] < '0' || colon[1] > '9')
+			return 0;
+		weight = strtoull(colon + 1, &end, 10);
+		if (*end || weight > 1000000)
+			return 0;
+		*colon = 0;
+		nl__route_split__init(split);
+		split->service = item;
+		split->weight = (uint32_t)weight;
+		row->split[row->n_split++] = split;
+	}
+	return 1;
+}
+
+static struct json_object *field_json(const struct Nl__Row *row, const struct row_column *column)
+{
+	const void *field = (const char *)row + column->offset;
+	struct json_object *json;
+	char hex[20], *text;
+
+	switch (column->kind) {
+	case COLUMN_STRING:
+		return json_object_new_string(*(char *const *)field);
+	case COLUMN_UINT32:
+		return json_object_new_int64(*(const uint32_t *)field);
+	case COLUMN_UINT64:
+		return json_object_new_uint64(*(const uint64_t *)field);
+	case COLUMN_SPLIT:
+		text = split_text(row);
+		json = json_object_new_string(text);
+		free(text);
+		return json;
+	case COLUMN_BOOL:
+		return json_object_new_boolean(*(const protobuf_c_boolean *)field);
+	case COLUMN_STATE:
+		return json_object_new_string(*(const uint32_t *)field ? "draining" : "serving");
+	case COLUMN_HEX:
+		apr_snprintf(hex, sizeof hex, "%016" APR_UINT64_T_HEX_FMT, *(const uint64_t *)field);
+		return json_object_new_string(hex);
+	}
+	return NULL;
+}
+
+struct json_object *config_row_json(const struct Nl__Row *row)
+{
+	struct json_object *json = json_object_new_object();
+
+	json_object_object_add(json, "kind", json_object_new_string(config_kind_name(row->kind)));
+	for (int i = 0; i < ROW_COLUMN_COUNT; i++)
+		if (row_columns[i].kinds & 1u << row->kind)
+			json_object_object_add(json, row_columns[i].name, field_json(row, &row_columns[i]));
+	return json;
+}
+
+static const struct row_column *find_column(Nl__Kind kind, const char *name)
+{
+	for (int i = 0; i < ROW_COLUMN_COUNT; i++)
+		if (!strcmp(row_columns[i].name, name) && (row_columns[i].kinds & 1u << kind))
+			return &row_columns[i];
+	return NULL;
+}
+
+static int has_type_of_column(struct json_object *value, enum column_kind kind)
+{
+	switch (kind) {
+	case COLUMN_UINT64:
+		return json_object_is_type(value, json_type_int) && json_object_get_int64(value) >= 0;
+	case COLUMN_UINT32:
+		return json_object_is_type(value, json_type_int) && json_object_get_int64(value) >= 0 &&
+		       json_object_get_int64(value) <= UINT32_MAX;
+	case COLUMN_BOOL:
+		return json_object_is_type(value, json_type_boolean);
+	default:
+		return json_object_is_type(value, json_type_string);
+	}
+}
+
+static uint32_t parse_state(const char *text)
+{
+	if (!strcmp(text, "serving"))
+		return 0;
+	return !strcmp(text, "draining") ? 1 : 2;
+}
+
+/* Set a row's field from a value of the column's type; 0 when a split cannot be read. */
+static int set_field(struct Nl__Row *row, const struct row_column *column, struct json_object *value,
+		     apr_pool_t *pool)
+{
+	void *field = (char *)row + column->offset;
+
+	switch (column->kind) {
+	case COLUMN_STRING:
+		*(char **)field = apr_pstrdup(pool, json_object_get_string(value));
+		break;
+	case COLUMN_UINT32:
+		*(uint32_t *)field = (uint32_t)json_object_get_int64(value);
+		break;
+	case COLUMN_UINT64:
+		*(uint64_t *)field = json_object_get_uint64(value);
+		break;
+	case COLUMN_SPLIT:
+		return split_parse(row, json_object_get_string(value), pool);
+	case COLUMN_BOOL:
+		*(protobuf_c_boolean *)field = json_object_get_boolean(value);
+		break;
+	case COLUMN_STATE:
+		*(uint32_t *)field = parse_state(json_object_get_string(value));
+		break;
+	case COLUMN_HEX:
+		*(uint64_t *)field = strtoull(json_object_get_string(value), NULL, 16);
+		break;
+	}
+	return 1;
+}
+
+struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **why)
+{
+	struct Nl__Row *row = apr_palloc(pool, sizeof *row);
+	struct json_object *kind;
+
+	nl__row__init(row);
+	if (!json_object_is_type(json, json_type_object) || !json_object_object_get_ex(json, "kind", &kind) ||
+	    (row->kind = config_kind_parse(json_object_get_string(kind))) == NL__KIND__NONE) {
+		*why = CONFIG_KIND_UNKNOWN;
+		return NULL;
+	}
+	json_object_object_foreach(json, name, value)
+	{
+		const struct row_column *column;
+
+		if (!strcmp(name, "kind"))
+			continue;
+		column = find_column(row->kind, name);
+		if (!column) {
+			*why = apr_psprintf(pool, "%s: %s: no such field", config_kind_name(row->kind), name);
+			return NULL;
+		}
+		if (!has_type_of_column(value, column->kind)) {
+			*why = apr_psprintf(pool, "%s: %s: wrong type or range", config_kind_name(row->kind),
+					    name);
+			return NULL;
+		}
+		if (!set_field(row, column, value, pool)) {
+			*why = apr_psprintf(pool, "%s: split: not as service:weight,service:weight",
+					    config_kind_name(row->kind));
+			return NULL;
+		}
+	}
+	return row;
+}
+
+static int rows_parse(struct json_object *json, const char *name, size_t *count, struct Nl__Row ***rows,
+		      apr_pool_t *pool, const char **why)
+{
+	struct json_object *list;
+
+	if (!json_object_object_get_ex(json, name, &list))
+		return 1;
+	if (!json_object_is_type(list, json_type_array)) {
+		*why = apr_psprintf(pool, "%s: not a list", name);
+		return 0;
+	}
+	*count = json_object_array_length(list);
+	*rows = apr_palloc(pool, (*count + 1) * sizeof **rows);
+	for (size_t i = 0; i < *count; i++) {
+		(*rows)[i] = config_row_parse(json_object_array_get_idx(list, i), pool, why);
+		if (!(*rows)[i]) {
+			*why = apr_psprintf(pool, "%s[%d]: %s", name, (int)i, *why);
+			return 0;
+		}
+	}
+	return 1;
+}
+
+struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **why)
+{
+	struct json_object *json = json_tokener_parse(body), *v;
+	struct Nl__Change *change = apr_palloc(pool, sizeof *change);
+
+	nl__change__init(change);
+	*why = NULL;
+	if (!json_object_is_type(json, json_type_object)) {
+		*why = "body: not a JSON object";
+		goto end;
+	}
+	json_object_object_foreach(json, name, x)
+	{
+		(void)x;
+		if (strcmp(name, "expect") && strcmp(name, "whole") && strcmp(name, "set") &&
+		    strcmp(name, "del")) {
+			*why = apr_psprintf(pool, "%s: no such field", name);
+			goto end;
+		}
+	}
+	if (json_object_object_get_ex(json, "expect", &v)) {
+		if (!json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0) {
+			*why = "expect: not an edition";
+			goto end;
+		}
+		change->expected_revision = json_object_get_uint64(v);
+	} else {
+		change->any_revision = 1;
+	}
+	if (json_object_object_get_ex(json, "whole", &v))
+		change->replace_all = json_object_get_boolean(v);
+	if (!rows_parse(json, "set", &change->n_set, &change->set, pool, why) ||
+	    !rows_parse(json, "del", &change->n_deleted, &change->deleted, pool, why))
+		goto end;
+	if (!change->n_set && !change->n_deleted && !change->replace_all)
+		*why = "set: nothing to change";
+end:
+	if (json)
+		json_object_put(json);
+	return *why ? NULL : change;
+}
+
+const char *json_string_member(struct json_object *json, const char *name)
+{
+	struct json_object *v;
+
+	return json_object_object_get_ex(json, name, &v) && json_object_is_type(v, json_type_string)
+		   ? json_object_get_string(v)
+		   : "";
+}
+
+uint64_t json_uint_member(struct json_object *json, const char *name)
+{
+	struct json_object *v;
+
+	return json_object_object_get_ex(json, name, &v) ? json_object_get_uint64(v) : 0;
+}
--- a/lib/control/config_sync.h
+++ b/lib/control/config_sync.h
@@ -4,7 +4,7 @@
 #ifndef NL_CONFIG_SYNC_H
 #define NL_CONFIG_SYNC_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* A node asks what has changed since the edition it has. */
 void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -1,6 +1,3 @@
-/* A controller's step: passes each event to the module that it is for, then applies what was committed, part
- * by part. The daemon, the simulator and the tests call controller_step, and it alone calls the other
- * modules' entry points. Always: pure; all that it does to the world is the list of commands in o. */
 #include "controller.h"
 
 #include <stdlib.h>
@@ -165,22 +162,38 @@
 	retention_trim_logs(controller, now, out);
 }
 
-/* NOLINTNEXTLINE(readability-function-size): one case for each event */
-void controller_step(struct controller *controller, const struct controller_event *event, int64_t now,
-		     struct command_list *out)
+/* Retention purged what a shard had logged before: nothing older than a new snapshot stays on the disk. */
+static void compact_logs(struct controller *controller, struct command_list *out)
 {
-	ptrdiff_t first_command = arrlen(out->commands);
-
-	out->id = controller->identity.id;
-	out->addr = controller->identity.addr;
-	out->fleet = controller->identity.fleet;
-	controller->config_watch.wall_clock_ms = controller->clocks.wall_ms;
-	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* what the step before took in */
+	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		if (controller->compaction[i].snapshot_needed && !controller->shards[i].snapshots.to_load) {
 			controller->shards[i].snapshots.drop_tail = 1;
-			controller->compaction[i].snapshot_needed = 0;
+			controller->compaction[i].snapshot_needed = false;
 			snapshot_create(controller, i, out);
 		}
+}
+
+static void on_call_result(struct controller *controller, uint64_t token, int status, const char *body,
+			   int64_t now, struct command_list *out)
+{
+	if (!token || status != 200)
+		return;
+	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
+		if (controller->server_rollout.servers[i].call_token == token)
+			rollout_on_report(controller, &controller->server_rollout.servers[i], body, now, out);
+}
+
+static void on_stop(struct controller *controller, int64_t now, struct command_list *out)
+{
+	controller->stopping = true;
+	for (int i = 0; i < SHARD_COUNT; i++)
+		raft_drain(&controller->shards[i], now);
+	bootstrap_stop(controller, out);
+}
+
+static void on_event(struct controller *controller, const struct controller_event *event, int64_t now,
+		     struct command_list *out)
+{
 	switch (event->kind) {
 	case CONTROLLER_TICK:
 		tick(controller, now, out);
@@ -202,13 +215,8 @@
 		operator_calls_disconnected(controller, event->payload.disconnected.token);
 		break;
 	case CONTROLLER_CALL_RESULT:
-		for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
-			if (event->payload.call_result.token &&
-			    controller->server_rollout.servers[i].call_token ==
-				event->payload.call_result.token &&
-			    event->payload.call_result.status == 200)
-				rollout_on_report(controller, &controller->server_rollout.servers[i],
-						  event->payload.call_result.body, now, out);
+		on_call_result(controller, event->payload.call_result.token,
+			       event->payload.call_result.status, event->payload.call_result.body, now, out);
 		break;
 	case CONTROLLER_SERVERS_LISTED:
 		instances_on_list(&controller->instances, event->payload.servers_listed.token,
@@ -227,34 +235,63 @@
 					 event->payload.load_answered.never_sent, now, out);
 		break;
 	case CONTROLLER_STOP:
-		controller->stopping = 1;
-		for (int i = 0; i < SHARD_COUNT; i++)
-			raft_drain(&controller->shards[i], now);
-		bootstrap_stop(controller, out);
+		on_stop(controller, now, out);
 		break;
 	default:
 		break;
 	}
-	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-		struct raft *raft = &controller->shards[i];
-		const struct raft_entry *entry;
-		uint64_t index;
+}
 
-		if (raft->snapshots.to_load) {
-			snapshot_load(controller, i, out->pool);
-			if (i == SHARD_CONTROL)
-				controller->rollout.unknown_until_ms =
-				    now; /* orders that were logged before are in no snapshot */
-			raft->snapshots.to_load = 0;
-		}
-		on_leadership_lost(controller, i, now, out);
-		while ((entry = raft_next_committed(raft, &index)))
-			answer_proposers(controller, i, index,
-					 state_machine_apply(controller, i, index, entry, now, out), out);
-		on_leadership_gained(controller, i, now, out);
-		if (raft_wants_snapshot(raft))
-			snapshot_create(controller, i, out);
+/* Apply what is committed, and pass on to the services what follows from each entry. */
+static void apply_committed(struct controller *controller, uint32_t shard, int64_t now,
+			    struct command_list *out)
+{
+	const struct raft_entry *entry;
+	uint64_t index;
+
+	while ((entry = raft_next_committed(&controller->shards[shard], &index))) {
+		struct apply_result applied = state_machine_apply(controller, shard, index, entry, out->pool);
+
+		if (applied.logged_value)
+			publisher_on_value_logged(controller, applied.logged_value, applied.value_is_new, now,
+						  out);
+		if (applied.commanded_server)
+			rollout_intent_logged(controller, applied.commanded_server, now);
+		answer_proposers(controller, shard, index, applied, out);
 	}
+}
+
+static void advance_shard(struct controller *controller, uint32_t shard, int64_t now,
+			  struct command_list *out)
+{
+	struct raft *raft = &controller->shards[shard];
+
+	if (raft->snapshots.to_load) {
+		snapshot_load(controller, shard, out->pool);
+		if (shard == SHARD_CONTROL) /* load commands that were logged before are in no snapshot */
+			controller->rollout.unknown_until_ms = now;
+		raft->snapshots.to_load = 0;
+	}
+	on_leadership_lost(controller, shard, now, out);
+	apply_committed(controller, shard, now, out);
+	on_leadership_gained(controller, shard, now, out);
+	if (raft_wants_snapshot(raft))
+		snapshot_create(controller, shard, out);
+}
+
+void controller_step(struct controller *controller, const struct controller_event *event, int64_t now,
+		     struct command_list *out)
+{
+	ptrdiff_t first_command = arrlen(out->commands);
+
+	out->id = controller->identity.id;
+	out->addr = controller->identity.addr;
+	out->fleet = controller->identity.fleet;
+	controller->config_watch.wall_clock_ms = controller->clocks.wall_ms;
+	compact_logs(controller, out);
+	on_event(controller, event, now, out);
+	for (uint32_t i = 0; i < SHARD_COUNT; i++)
+		advance_shard(controller, i, now, out);
 	config_handover_tick(controller, now, out);
 	proposals_tick(controller, now, out);
 	expire_calls(controller, now, out);
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -5,7 +5,7 @@
 
 #include <apr_strings.h>
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Write one log line under a prefix. Example: log_line(r, "purge", o->p, "The publisher begins at %d.",
  * tick); */
--- a/lib/control/group_clock.h
+++ b/lib/control/group_clock.h
@@ -9,7 +9,7 @@
 #ifndef NL_GROUP_CLOCK_H
 #define NL_GROUP_CLOCK_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Leadership of the control group begins; all that was committed before has been applied.
  * Example: group_clock_lead(r, now); */
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -5,7 +5,7 @@
 #ifndef NL_LEADERSHIP_H
 #define NL_LEADERSHIP_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Leased, and all that was committed before has been applied here. */
 static inline int leads_shard(const struct controller *controller, uint32_t shard, int64_t now)
--- a/lib/control/leadership_change.h
+++ b/lib/control/leadership_change.h
@@ -5,7 +5,7 @@
 #ifndef NL_LEADERSHIP_CHANGE_H
 #define NL_LEADERSHIP_CHANGE_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Begin to lead a part if the lease is held and this term was not begun yet. */
 void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now,
--- a/lib/control/membership.h
+++ b/lib/control/membership.h
@@ -4,7 +4,7 @@
 #ifndef NL_MEMBERSHIP_H
 #define NL_MEMBERSHIP_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* ms of silence after which a controller is not named as one that could join a group. A member loses its
  * place after three times as long, and a learner is prepared for it at two thirds of that; the rest of the
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -7,6 +7,7 @@
 #include "leadership.h"
 #include "proposals.h"
 #include "controller_private.h"
+#include "config_row.h"
 
 static const char *config_table_json(const struct config_table *table, apr_pool_t *pool)
 {
--- a/lib/control/operator_api.h
+++ b/lib/control/operator_api.h
@@ -5,7 +5,8 @@
 #ifndef NL_OPERATOR_API_H
 #define NL_OPERATOR_API_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* What this node knows, for whoever looks at this node. */
 void read_state(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -1,6 +1,6 @@
 #include "operator_calls.h"
 
-#include "controller.h"
+#include "controller_state.h"
 #include "containers.h"
 
 void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from)
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -8,6 +8,7 @@
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
+#include "config_check.h"
 
 /* Log a change and answer when it is committed. */
 static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change,
@@ -101,7 +102,7 @@
 	else {
 		change.any_revision = change.replace_all = change.replace_keys = 1;
 		change.document_base_version = base_version;
-		error = config_table_check(&controller->config.table, &change, out->pool);
+		error = config_check_change(&controller->config.table, &change, out->pool);
 	}
 	if (error)
 		command_answer(out, token, 400, 0, error_json(out->pool, error, 0));
@@ -149,7 +150,7 @@
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	error = config_table_check(&controller->config.table, &change, out->pool);
+	error = config_check_change(&controller->config.table, &change, out->pool);
 	if (error || !weights[0]) {
 		command_answer(out, token, 400, 0,
 			       error_json(out->pool, error ? error : "weights: missing", 0));
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -5,7 +5,8 @@
 #ifndef NL_OPERATOR_DOCUMENTS_H
 #define NL_OPERATOR_DOCUMENTS_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* A document, whole or a patch on the version base. */
 void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/operator_paths.h
+++ b/lib/control/operator_paths.h
@@ -6,7 +6,8 @@
 #ifndef NL_OPERATOR_PATHS_H
 #define NL_OPERATOR_PATHS_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* What an answer rests on. */
 enum path_needs {
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -8,6 +8,7 @@
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
+#include "config_check.h"
 
 void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why,
 		       uint64_t hint, struct command_list *out)
@@ -44,21 +45,6 @@
 	}
 }
 
-/* Why an entry that a proposal waited for came to nothing. */
-static const char *outcome_text(uint32_t status)
-{
-	switch (status) {
-	case PROPOSAL_SUPERSEDED:
-		return "edition overtaken";
-	case PROPOSAL_REJECTED:
-		return "already claimed";
-	case PROPOSAL_KEY_REUSED:
-		return ORDER_KEY_REUSED;
-	default:
-		return "";
-	}
-}
-
 void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index,
 		      struct apply_result applied, struct command_list *out)
 {
@@ -69,7 +55,7 @@
 		    controller->proposals.received[i].log_index == index) {
 			reply_to_proposal(controller->proposals.received[i].proposer_addr,
 					  controller->proposals.received[i].token, applied.status,
-					  applied.version, outcome_text(applied.status), 0, out);
+					  applied.version, proposal_status_strerror(applied.status), 0, out);
 			arrdel(controller->proposals.received, i);
 			return;
 		}
@@ -152,7 +138,7 @@
 				  controller->config.table.revision, "edition overtaken", 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL) {
-		why = config_table_check(&controller->config.table, q->operation->change, out->pool);
+		why = config_check_change(&controller->config.table, q->operation->change, out->pool);
 		if (!why)
 			why = retention_check_calendar(controller->adapters.calendar, q->operation->change,
 						       retention_wall_clock(controller, now), out->pool);
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -99,6 +99,23 @@
 		controller->publisher.feed_complete_round[message->shard] = feed_reply->round;
 }
 
+void publisher_on_value_logged(struct controller *controller, const struct Nl__Value *value, bool is_new,
+			       int64_t now, struct command_list *out)
+{
+	struct controller_publisher *publisher = &controller->publisher;
+
+	if (!controller->relay.is_publisher || value->tick <= publisher->tick)
+		return;
+	/* the value, and silence before it */
+	relay_publish(&controller->relay, publisher->tick + 1, value->tick, is_new ? value : NULL, now, out);
+	publisher->tick = value->tick;
+	if (publisher->pending_tick > publisher->tick || publisher->tick >= controller->purge_state.ceiling)
+		return;
+	/* and one tick of silence after the last that was pending */
+	publisher->tick++;
+	relay_publish(&controller->relay, publisher->tick, publisher->tick, NULL, now, out);
+}
+
 static void reserve_ticks(struct controller *controller, int64_t now, struct command_list *out)
 {
 	struct Nl__Operation operation = NL__OPERATION__INIT;
--- a/lib/control/purge_publisher.h
+++ b/lib/control/purge_publisher.h
@@ -5,7 +5,7 @@
 #ifndef NL_PURGE_PUBLISHER_H
 #define NL_PURGE_PUBLISHER_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* A publisher asks a part that is led here for its newest decisions. */
 void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -15,6 +15,11 @@
 void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 		   struct command_list *out);
 
+/* A value that this publisher logged is committed: it is published with the silence before it.
+ * is_new: its feed has not given it before; else the tick is silence. */
+void publisher_on_value_logged(struct controller *controller, const struct Nl__Value *value, bool is_new,
+			       int64_t now, struct command_list *out);
+
 /* Taking office: every tick up to the old ceiling is known, as a logged value or as silence. */
 void publisher_start(struct controller *controller, int64_t now, struct command_list *out);
 
--- a/lib/control/quota_shares.h
+++ b/lib/control/quota_shares.h
@@ -4,7 +4,7 @@
 #ifndef NL_QUOTA_SHARES_H
 #define NL_QUOTA_SHARES_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Take in what a router holds, uses and wants under its limits, and add what it gets to the answer. */
 void quota_shares_update(struct controller *controller, uint64_t router_id, const struct Nl__ConfigSync *sync,
--- a/lib/control/recovery.h
+++ b/lib/control/recovery.h
@@ -4,7 +4,8 @@
 #ifndef NL_RECOVERY_H
 #define NL_RECOVERY_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* POST /v1/recover: {"lost":["00112233445566aa", ...]} names controllers that are lost for good. Each group
  * answers whether it goes on here, and why not; with an empty list nothing is done, and the members are told.
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -7,6 +7,7 @@
 #include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
+#include "config_row.h"
 
 static struct controller_server *server_of(struct controller *controller, const char *name)
 {
--- a/lib/control/rollout_pace.h
+++ b/lib/control/rollout_pace.h
@@ -4,7 +4,7 @@
 #ifndef NL_ROLLOUT_PACE_H
 #define NL_ROLLOUT_PACE_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* A server's load has ended: learn how long one takes, and whether more at once than at first make it longer.
  * Example: rollout_pace_learn(r, server, "lm", now); */
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -4,7 +4,7 @@
 #ifndef NL_SNAPSHOT_H
 #define NL_SNAPSHOT_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Free a list of purge values. */
 void free_values(struct Nl__Value ***value);
@@ -18,4 +18,9 @@
 /* Hand the part's log a snapshot of what is applied now. */
 void snapshot_create(struct controller *controller, uint32_t shard, struct command_list *out);
 
+/* The state of a shard as a snapshot holds it, packed, in the pool; for checks as well.
+ * Example: data = controller_state(controller, shard, pool, &size); */
+uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
+			  size_t *size);
+
 #endif
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -37,8 +37,8 @@
 	return NULL;
 }
 
-uint32_t repeated_request_status(const struct idempotency_record *accepted,
-				 const struct request_key *request_key)
+enum proposal_status repeated_request_status(const struct idempotency_record *accepted,
+					     const struct request_key *request_key)
 {
 	return request_key_equal(&accepted->key, request_key) ? PROPOSAL_DONE : PROPOSAL_KEY_REUSED;
 }
@@ -56,11 +56,50 @@
 	controller->config.document_version = version;
 }
 
-/* A document is taken in the log's order: one built on another version is late. */
-static int apply_document(struct controller *controller, const struct Nl__Change *change,
-			  struct Nl__Purge ***feed)
+/* Whether an operation was applied before, and what came of it then. A proposer sends one again while its
+ * answer is lost, and an operator sends a request again: it is applied once. */
+static bool applied_before(const struct controller *controller, const struct Nl__Operation *operation,
+			   enum proposal_status *status)
 {
-	int status;
+	const struct controller_done_operation *done =
+	    operation->requester_id
+		? find_done_operation(controller, operation->requester_id, operation->token)
+		: NULL;
+	struct request_key request_key = request_key_unpack(operation->request_key);
+	const struct idempotency_record *accepted =
+	    idempotency_log_find(&controller->config.accepted_requests, &request_key);
+
+	if (done) {
+		*status = done->status;
+		return true;
+	}
+	if (accepted) {
+		*status = repeated_request_status(accepted, &request_key);
+		return true;
+	}
+	return false;
+}
+
+/* Remember what came of an operation, so that it is applied once. */
+static void remember_operation(struct controller *controller, const struct Nl__Operation *operation,
+			       enum proposal_status status, enum request_series series, uint64_t version)
+{
+	struct controller_done_operation done = { operation->requester_id, operation->token, status };
+	struct request_key request_key = request_key_unpack(operation->request_key);
+
+	if (status == PROPOSAL_DONE)
+		idempotency_log_add(&controller->config.accepted_requests, &request_key, series, version);
+	if (done.from)
+		arrput(controller->config.done_operations, done);
+	if (arrlen(controller->config.done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
+		arrdel(controller->config.done_operations, 0);
+}
+
+/* Documents are accepted in the log's order: one that builds on another version is late. */
+static enum proposal_status apply_document(struct controller *controller, const struct Nl__Change *change,
+					   struct Nl__Purge ***feed)
+{
+	enum proposal_status status;
 
 	if (change->document_base_version != controller->config.document_version)
 		return PROPOSAL_SUPERSEDED;
@@ -73,80 +112,47 @@
 	return PROPOSAL_DONE;
 }
 
-/* A change may be proposed again while its answer is lost, and an order sent again by its operator: it is
- * applied once. */
-static uint32_t apply_change(struct controller *controller, uint64_t index,
-			     const struct Nl__Operation *operation)
+static enum proposal_status apply_change(struct controller *controller, uint64_t index,
+					 const struct Nl__Operation *operation)
 {
-	const struct controller_done_operation *old =
-	    operation->requester_id
-		? find_done_operation(controller, operation->requester_id, operation->token)
-		: NULL;
-	struct controller_done_operation controller_done = { operation->requester_id, operation->token, 0 };
-	struct Nl__Purge **purge = NULL;
-	struct request_key request_key = request_key_unpack(operation->request_key);
-	const struct idempotency_record *accepted =
-	    idempotency_log_find(&controller->config.accepted_requests, &request_key);
-	int document = operation->change->document_version != 0, status;
-
-	if (old)
-		return old->status;
-	if (accepted)
-		return repeated_request_status(accepted, &request_key);
-	status = document ? apply_document(controller, operation->change, &purge)
-			  : config_table_apply(&controller->config.table, operation->change, &purge);
-	if (status == PROPOSAL_DONE)
-		idempotency_log_add(&controller->config.accepted_requests, &request_key,
-				    document ? SERIES_DOCUMENTS : SERIES_CHANGES,
-				    document ? controller->config.document_version
-					     : controller->config.table.revision);
-	controller_done.status = (uint32_t)status;
-	if (controller_done.from)
-		arrput(controller->config.done_operations, controller_done);
-	if (arrlen(controller->config.done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
-		arrdel(controller->config.done_operations, 0);
+	struct controller_config *config = &controller->config;
+	struct Nl__Purge **purges = NULL;
+	enum proposal_status status;
 
-	for (ptrdiff_t i = 0; i < arrlen(purge); i++) {
-		append_to_feed(&controller->config.purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i,
-			       purge[i]);
-		nl__purge__free_unpacked(purge[i], NULL);
+	if (applied_before(controller, operation, &status))
+		return status;
+	if (operation->change->document_version) {
+		status = apply_document(controller, operation->change, &purges);
+		remember_operation(controller, operation, status, SERIES_DOCUMENTS, config->document_version);
+	} else {
+		status = config_table_apply(&config->table, operation->change, &purges);
+		remember_operation(controller, operation, status, SERIES_CHANGES, config->table.revision);
+	}
+	for (ptrdiff_t i = 0; i < arrlen(purges); i++) {
+		append_to_feed(&config->purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i, purges[i]);
+		nl__purge__free_unpacked(purges[i], NULL);
 	}
-	arrfree(purge);
+	arrfree(purges);
 	if (status == PROPOSAL_DONE)
 		retention_on_config_change(controller, index);
-	return (uint32_t)status;
+	return status;
 }
 
-/* An operator's call to clear may be proposed again while its answer is lost, too. */
-static uint32_t apply_purge_request(struct controller *controller, uint64_t index,
-				    const struct Nl__Operation *operation)
+static enum proposal_status apply_retention_step(struct controller *controller, uint64_t index,
+						 const struct Nl__Operation *operation)
 {
-	const struct controller_done_operation *old =
-	    operation->requester_id
-		? find_done_operation(controller, operation->requester_id, operation->token)
-		: NULL;
-	struct controller_done_operation controller_done = { operation->requester_id, operation->token, 0 };
-	struct request_key request_key = request_key_unpack(operation->request_key);
-	const struct idempotency_record *accepted =
-	    idempotency_log_find(&controller->config.accepted_requests, &request_key);
+	enum proposal_status status;
 
-	if (old)
-		return old->status;
-	if (accepted)
-		return repeated_request_status(accepted, &request_key);
-	controller_done.status = retention_apply(controller, index, operation->retention_step);
-	if (controller_done.status == PROPOSAL_DONE)
-		idempotency_log_add(&controller->config.accepted_requests, &request_key, SERIES_UNVERSIONED,
-				    controller->config.table.revision);
-	if (controller_done.from)
-		arrput(controller->config.done_operations, controller_done);
-	if (arrlen(controller->config.done_operations) > CONTROLLER_MAX_DONE_OPERATIONS)
-		arrdel(controller->config.done_operations, 0);
-	return controller_done.status;
+	if (applied_before(controller, operation, &status))
+		return status;
+	status = (enum proposal_status)retention_apply(controller, index, operation->retention_step);
+	remember_operation(controller, operation, status, SERIES_UNVERSIONED,
+			   controller->config.table.revision);
+	return status;
 }
 
-/* Once context is cleared, what a part logged before goes from its disks, and again when no claim is left
- * from then. */
+/* After a retention purge, what a shard logged before it goes from its disks; and again when no claim from
+ * before it is left. */
 static void apply_compaction(struct controller *controller, uint32_t shard, const struct Nl__Trim *trim)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
@@ -158,16 +164,16 @@
 		return;
 	if (service && trim->purged_tick > *purged_tick) {
 		service->purged_at_ms = service->clock_ms;
-		service->is_compacted = 0;
+		service->is_compacted = false;
 	} else if (service) {
-		service->is_compacted = 1;
+		service->is_compacted = true;
 	}
 	*purged_tick = trim->purged_tick > *purged_tick ? trim->purged_tick : *purged_tick;
-	controller->compaction[shard].snapshot_needed = 1;
+	controller->compaction[shard].snapshot_needed = true;
 }
 
-static uint32_t apply_claim(struct controller_service_state *service, const struct Nl__Claim *claim,
-			    apr_pool_t *pool)
+static enum proposal_status apply_claim(struct controller_service_state *service,
+					const struct Nl__Claim *claim, apr_pool_t *pool)
 {
 	char *key = apr_pstrcat(pool, claim->tenant, "\x1f", claim->id, NULL);
 	ptrdiff_t i = shgeti(service->claims, key);
@@ -179,8 +185,8 @@
 	}
 	is_own = i >= 0 && service->claims[i].value.claimed_by == claim->router_id &&
 		 service->claims[i].value.sequence == claim->seq;
-	if (claim->release) { /* remembered, since the claim itself may still be on its way, here or once more
-			       */
+	/* a release is remembered, since the claim itself may still be on its way, here or once more */
+	if (claim->release) {
 		if (i < 0 || is_own)
 			shput(service->claims, key,
 			      ((typeof(service->claims->value)){ claim->router_id, claim->seq,
@@ -196,7 +202,6 @@
 	return PROPOSAL_DONE;
 }
 
-/* Claims past their time count as absent when looked up; now and then they go. */
 void expire_claims(struct controller_service_state *service)
 {
 	for (ptrdiff_t i = shlen(service->claims) - 1; i >= 0; i--)
@@ -204,10 +209,9 @@
 			(void)shdel(service->claims, service->claims[i].key);
 }
 
-static void apply_rollout(struct controller *controller, uint32_t shard, uint64_t index,
+static void apply_rollout(struct controller_service_state *service, uint32_t shard, uint64_t index,
 			  const struct Nl__RolledOut *rolled)
 {
-	struct controller_service_state *service = service_shard_state(controller, shard);
 	ptrdiff_t i = shgeti(service->rolled_out, rolled->service);
 	char *weights = strdup(rolled->weights);
 
@@ -224,47 +228,30 @@
 	shput(service->rolled_out, rolled->service, weights);
 }
 
-static void apply_value(struct controller *controller, const struct Nl__Value *value, int64_t now,
-			struct command_list *out)
+/* A value of the purge stream; true when it is new, and not one that its feed has given before. */
+static bool apply_value(struct controller_purge_state *state, const struct Nl__Value *value)
 {
-	struct controller_purge_state *controller_pub = &controller->purge_state;
-	int is_new = value->feed < SHARD_COUNT &&
-		     value->index > controller_pub->published_index[value->feed] && value->purge;
-
-	if (is_new) {
-		controller_pub->published_index[value->feed] = value->index;
-		arrput(controller_pub->values, value_copy(value));
-		purge_view_apply(&controller_pub->last_view, value);
-	}
-	if (controller->relay.is_publisher &&
-	    value->tick >
-		controller->publisher.tick) { /* logged, so it may go out: value and silence before it */
-		relay_publish(&controller->relay, controller->publisher.tick + 1, value->tick,
-			      is_new ? value : NULL, now, out);
-		controller->publisher.tick = value->tick;
-		if (controller->publisher.pending_tick <= controller->publisher.tick &&
-		    controller->publisher.tick <
-			controller_pub->ceiling) { /* and one tick of silence after it */
-			controller->publisher.tick++;
-			relay_publish(&controller->relay, controller->publisher.tick,
-				      controller->publisher.tick, NULL, now, out);
-		}
-	}
+	if (value->feed >= SHARD_COUNT || value->index <= state->published_index[value->feed] ||
+	    !value->purge)
+		return false;
+	state->published_index[value->feed] = value->index;
+	arrput(state->values, value_copy(value));
+	purge_view_apply(&state->last_view, value);
+	return true;
 }
 
-static void apply_reservation(struct controller *controller, const struct Nl__Reserve *reserve)
+static void apply_reservation(struct controller_purge_state *state, const struct Nl__Reserve *reserve)
 {
 	size_t n = 0;
 
-	if (reserve->ceiling > controller->purge_state.ceiling)
-		controller->purge_state.ceiling = reserve->ceiling;
-	while (n < (size_t)arrlen(controller->purge_state.values) &&
-	       controller->purge_state.values[n]->tick <= reserve->released)
-		value_free(controller->purge_state.values[n++]);
+	if (reserve->ceiling > state->ceiling)
+		state->ceiling = reserve->ceiling;
+	while (n < (size_t)arrlen(state->values) && state->values[n]->tick <= reserve->released)
+		value_free(state->values[n++]);
 	if (n)
-		arrdeln(controller->purge_state.values, 0, n);
-	if (reserve->released > controller->purge_state.released)
-		controller->purge_state.released = reserve->released;
+		arrdeln(state->values, 0, n);
+	if (reserve->released > state->released)
+		state->released = reserve->released;
 }
 
 /* The first operation after a recovery: numbers that the lost members may have given out are not given out
@@ -283,76 +270,120 @@
 		controller->purge_state.ceiling += CONTROLLER_RECOVERY_SKIP;
 }
 
+/* The clocks that operations carry: a service shard's own, and the control group's. */
+static void advance_clocks(struct controller *controller, uint32_t shard, const struct raft_entry *entry,
+			   const struct Nl__Operation *operation)
+{
+	struct controller_service_state *service = service_shard_state(controller, shard);
+	struct group_moment *clock = &controller->config.table.clock;
+
+	if (service)
+		service->clock_ms += operation->group_clock_ms;
+	if (shard == SHARD_CONTROL) {
+		if (operation->logged_at_ms > clock->at_ms)
+			clock->at_ms = operation->logged_at_ms;
+		clock->term = entry->term;
+	}
+}
+
+static void apply_control(struct controller *controller, uint64_t index,
+			  const struct Nl__Operation *operation, struct apply_result *result)
+{
+	switch (operation->body_case) {
+	case NL__OPERATION__BODY_CHANGE:
+		result->status = apply_change(controller, index, operation);
+		break;
+	case NL__OPERATION__BODY_RETENTION_STEP:
+		result->status = apply_retention_step(controller, index, operation);
+		break;
+	case NL__OPERATION__BODY_ROLLED_OUT:
+		result->commanded_server = operation->rolled_out->server;
+		result->status = PROPOSAL_DONE;
+		break;
+	case NL__OPERATION__BODY_TRIM:
+		trim_feed(&controller->config.purge_feed, operation->trim->feed);
+		result->status = PROPOSAL_DONE;
+		break;
+	default:
+		break;
+	}
+}
+
+static void apply_purge(struct controller *controller, const struct Nl__Operation *operation,
+			struct apply_result *result)
+{
+	switch (operation->body_case) {
+	case NL__OPERATION__BODY_RESERVE:
+		apply_reservation(&controller->purge_state, operation->reserve);
+		result->status = PROPOSAL_DONE;
+		break;
+	case NL__OPERATION__BODY_VALUE:
+		result->value_is_new = apply_value(&controller->purge_state, operation->value);
+		result->logged_value = operation->value;
+		result->status = PROPOSAL_DONE;
+		break;
+	case NL__OPERATION__BODY_TRIM:
+		result->status = PROPOSAL_DONE;
+		break;
+	default:
+		break;
+	}
+}
+
+static void apply_service(struct controller_service_state *service, uint32_t shard, uint64_t index,
+			  const struct Nl__Operation *operation, struct apply_result *result,
+			  apr_pool_t *pool)
+{
+	switch (operation->body_case) {
+	case NL__OPERATION__BODY_CLAIM:
+		result->status = apply_claim(service, operation->claim, pool);
+		break;
+	case NL__OPERATION__BODY_ROLLED_OUT:
+		apply_rollout(service, shard, index, operation->rolled_out);
+		result->status = PROPOSAL_DONE;
+		break;
+	case NL__OPERATION__BODY_TRIM:
+		trim_feed(&service->purge_feed, operation->trim->feed);
+		result->status = PROPOSAL_DONE;
+		break;
+	default:
+		break;
+	}
+}
+
+static void apply_operation(struct controller *controller, uint32_t shard, uint64_t index,
+			    const struct Nl__Operation *operation, struct apply_result *result,
+			    apr_pool_t *pool)
+{
+	struct controller_service_state *service = service_shard_state(controller, shard);
+
+	if (service)
+		apply_service(service, shard, index, operation, result, pool);
+	else if (shard == SHARD_CONTROL)
+		apply_control(controller, index, operation, result);
+	else
+		apply_purge(controller, operation, result);
+	if (operation->body_case == NL__OPERATION__BODY_TRIM && operation->trim->purged_tick)
+		apply_compaction(controller, shard, operation->trim);
+}
+
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index,
-					const struct raft_entry *entry, int64_t now, struct command_list *out)
+					const struct raft_entry *entry, apr_pool_t *pool)
 {
-	uint64_t index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT |
-			 entry_index; /* of feeds: above all of the epoch before */
+	/* in feeds: above all of the epoch before */
+	uint64_t index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT | entry_index;
 	struct Nl__Operation *operation = (struct Nl__Operation *)core_unpack_message(
-	    out->pool, &nl__operation__descriptor, entry->len, entry->data);
+	    pool, &nl__operation__descriptor, entry->len, entry->data);
 	struct request_key request_key = request_key_unpack(operation ? operation->request_key : NULL);
+	struct apply_result result = { .status = PROPOSAL_REJECTED };
 	const struct idempotency_record *accepted;
-	uint32_t status = PROPOSAL_REJECTED;
 
 	enter_epoch(controller, shard, raft_epoch(entry->term));
-	if (operation && service_shard_state(controller, shard))
-		service_shard_state(controller, shard)->clock_ms += operation->group_clock_ms;
-	if (operation && shard == SHARD_CONTROL)
-		controller->config.table.clock =
-		    (struct group_moment){ operation->logged_at_ms > controller->config.table.clock.at_ms
-					       ? operation->logged_at_ms
-					       : controller->config.table.clock.at_ms,
-					   entry->term };
-	if (operation)
-		switch (operation->body_case) {
-		case NL__OPERATION__BODY_CHANGE:
-			if (shard == SHARD_CONTROL)
-				status = apply_change(controller, index, operation);
-			break;
-		case NL__OPERATION__BODY_RESERVE:
-			if (shard == SHARD_PURGE) {
-				apply_reservation(controller, operation->reserve);
-				status = PROPOSAL_DONE;
-			}
-			break;
-		case NL__OPERATION__BODY_VALUE:
-			if (shard == SHARD_PURGE) {
-				apply_value(controller, operation->value, now, out);
-				status = PROPOSAL_DONE;
-			}
-			break;
-		case NL__OPERATION__BODY_CLAIM:
-			if (service_shard_state(controller, shard))
-				status = apply_claim(service_shard_state(controller, shard), operation->claim,
-						     out->pool);
-			break;
-		case NL__OPERATION__BODY_ROLLED_OUT:
-			if (service_shard_state(controller, shard)) {
-				apply_rollout(controller, shard, index, operation->rolled_out);
-				status = PROPOSAL_DONE;
-			} else if (shard == SHARD_CONTROL) {
-				rollout_intent_logged(controller, operation->rolled_out->server, now);
-				status = PROPOSAL_DONE;
-			}
-			break;
-		case NL__OPERATION__BODY_TRIM:
-			if (shard != SHARD_PURGE)
-				trim_feed(shard == SHARD_CONTROL
-					      ? &controller->config.purge_feed
-					      : &service_shard_state(controller, shard)->purge_feed,
-					  operation->trim->feed);
-			if (operation->trim->purged_tick)
-				apply_compaction(controller, shard, operation->trim);
-			status = PROPOSAL_DONE;
-			break;
-		case NL__OPERATION__BODY_RETENTION_STEP:
-			if (shard == SHARD_CONTROL)
-				status = apply_purge_request(controller, index, operation);
-			break;
-		default:
-			break;
-		}
+	if (operation) {
+		advance_clocks(controller, shard, entry, operation);
+		apply_operation(controller, shard, index, operation, &result, pool);
+	}
 	accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key);
-	return (struct apply_result){ status,
-				      accepted ? accepted->version : controller->config.table.revision };
+	result.version = accepted ? accepted->version : controller->config.table.revision;
+	return result;
 }
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -7,6 +7,7 @@
 #include <string.h>
 
 #include "containers.h"
+#include "config_row.h"
 
 /* ---- reports ---------------------------------------------------------------------------------- */
 
--- a/tests/stored_folders.c
+++ b/tests/stored_folders.c
@@ -9,6 +9,7 @@
 #include <unistd.h>
 
 #include "stored_files.h"
+#include "config_row.h"
 
 const char stored_change[] =
     "{\"set\":["
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -8,6 +8,7 @@
 #include "router_fixture.h"
 #include "stored_folders.h"
 #include "config_table.h"
+#include "config_row.h"
 
 /* ---- rows ---- */
 
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -398,7 +398,7 @@
 			if (saved->entries[k].kind == RAFT_ENTRY_OPERATION &&
 			    saved->first_index + k > saved->snapshot_index)
 				(void)state_machine_apply(&world->controller, i, saved->first_index + k,
-							  &saved->entries[k], world->now, &world->out);
+							  &saved->entries[k], world->out.pool);
 		d = controller_state(&world->controller, i, pool, &n);
 		text = apr_pstrcat(
 		    pool, text, unpacked(state_root(i), d, n, apr_psprintf(pool, "shard %u", i), pool), NULL);
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -15,6 +15,8 @@
 #include "config_document.h"
 #include "containers.h"
 #include "sim.h"
+#include "config_check.h"
+#include "config_row.h"
 
 #define ROUTE(n, p, more)                                                                                                                   \
 	"{\"Name\":\"" n "\",\"HostName\":\"a.example\",\"PathPrefix\":\"" p                                                                \
@@ -70,7 +72,7 @@
 		return 0;
 	config_table_open(&t);
 	change.any_revision = change.replace_all = change.replace_keys = 1;
-	*why = config_table_check(&t, &change, p);
+	*why = config_check_change(&t, &change, p);
 	config_table_close(&t);
 	return !*why;
 }
@@ -373,7 +375,7 @@
 		assert_int_equal(doc(NULL, b, 0, &change, &why, p), 0);
 		change.any_revision = change.replace_all = change.replace_keys = 1;
 		t1 = ms_of();
-		assert_null(config_table_check(&table, &change, p));
+		assert_null(config_check_change(&table, &change, p));
 		t2 = ms_of();
 		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
 		t3 = ms_of();
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -14,6 +14,7 @@
 #include "containers.h"
 #include "retention.h"
 #include "sim.h"
+#include "config_check.h"
 
 enum { EPOCH = 1800000000 }; /* s; a day in 2027 */
 
@@ -420,7 +421,7 @@
 		row.interval = (char *)(uintptr_t)(good ? "" : bad[i].every);
 		row.calendar = (char *)(uintptr_t)(good ? "daily 02:30 Europe/London" : bad[i].at);
 		row.spread_ms = good ? 3600000 : bad[i].window;
-		why = config_table_check(&table, &change, pool);
+		why = config_check_change(&table, &change, pool);
 		if (!why)
 			why = retention_check_calendar(&calendar_icu, &change, EPOCH * 1000ll, pool);
 		if (good ? why != NULL : !why || !strstr(why, bad[i].why) || !strstr(why, "retention"))
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -15,6 +15,8 @@
 #include "raft.h"
 #include "purge.h"
 #include "config_table.h"
+#include "config_check.h"
+#include "config_row.h"
 
 enum { TICKS = 200 };
 
@@ -357,7 +359,7 @@
 		struct Nl__Change *change = config_change_parse(bad[i].body, pool, &why);
 
 		if (change)
-			why = config_table_check(&table, change, pool);
+			why = config_check_change(&table, change, pool);
 		if (!why || !strstr(why, bad[i].field))
 			fail_msg("%s: said \"%s\", which does not name %s", bad[i].body, why ? why : "",
 				 bad[i].field);
@@ -369,12 +371,12 @@
 		row.kind = NL__KIND__TENANT;
 		row.name = "a";
 		row.share = row.limit = 1;
-		row.zone = apr_palloc(pool, CONFIG_TABLE_MAX_CHANGE_BYTES + 1);
-		memset(row.zone, 'z', CONFIG_TABLE_MAX_CHANGE_BYTES);
-		row.zone[CONFIG_TABLE_MAX_CHANGE_BYTES] = 0;
+		row.zone = apr_palloc(pool, CONFIG_CHECK_MAX_CHANGE_BYTES + 1);
+		memset(row.zone, 'z', CONFIG_CHECK_MAX_CHANGE_BYTES);
+		row.zone[CONFIG_CHECK_MAX_CHANGE_BYTES] = 0;
 		change.set = rows;
 		change.n_set = 1;
-		assert_non_null(strstr(config_table_check(&table, &change, pool), "larger"));
+		assert_non_null(strstr(config_check_change(&table, &change, pool), "larger"));
 	}
 	{ /* a lane keeps its service: its ids are claimed in that service's part */
 		const char
@@ -383,12 +385,12 @@
 		struct Nl__Change *change =
 		    config_change_parse(apr_psprintf(pool, route, "s", 5), pool, &why);
 
-		assert_null(config_table_check(&table, change, pool));
+		assert_null(config_check_change(&table, change, pool));
 		assert_int_equal(config_table_apply(&table, change, NULL), PROPOSAL_DONE);
-		assert_null(config_table_check(
+		assert_null(config_check_change(
 		    &table, config_change_parse(apr_psprintf(pool, route, "s", 6), pool, &why), pool));
 		assert_non_null(strstr(
-		    config_table_check(
+		    config_check_change(
 			&table, config_change_parse(apr_psprintf(pool, route, "other", 5), pool, &why), pool),
 		    "service"));
 	}
--- a/tests/test_version_history.c
+++ b/tests/test_version_history.c
@@ -15,6 +15,7 @@
 #include "containers.h"
 #include "version_history.h"
 #include "config_table.h"
+#include "config_check.h"
 
 enum { BOUND_MS = 20000, TERM = 3, LEADER = 1 };
 
@@ -187,7 +188,7 @@
 	change.any_revision = 1;
 	change.deleted = removed;
 	change.n_deleted = 1;
-	assert_null(config_table_check(&config_table, &change, pool));
+	assert_null(config_check_change(&config_table, &change, pool));
 	service.kind = NL__KIND__SERVICE;
 	service.name = "pool";
 	service.model = "m";
@@ -196,7 +197,7 @@
 	add.set = added;
 	add.n_set = 1;
 	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
-	assert_string_equal(config_table_check(&config_table, &change, pool),
+	assert_string_equal(config_check_change(&config_table, &change, pool),
 			    "del model m: service pool has it");
 }
 
