--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -76,8 +76,8 @@
 
 	for (int i = 0; i < s->seed_count; i++)
 		seeds[i] = core_parse_addr(s->seeds[i]);
-	config_watch_set_seeds(&router->config_watch, seeds, s->seed_count);
-	router->bounds = s->bounds;
+	config_watch_set_seeds(&router->config.watch, seeds, s->seed_count);
+	router->config.bounds = s->bounds;
 }
 
 static int done(void *ctx)
@@ -126,9 +126,9 @@
 		    core_parse_addr(proc.settings.advertise ? proc.settings.advertise : proc.settings.listen),
 		    proc.settings.zone, seeds, proc.settings.seed_count, clock_ms());
 	if (proc.settings.extension)
-		c.bounds = proc.settings.bounds;
-	c.bounds.disabled_mechanisms = proc.settings.disabled_mechanisms;
-	c.bounds.experiments = proc.settings.experiments_allowed;
+		c.config.bounds = proc.settings.bounds;
+	c.config.bounds.disabled_mechanisms = proc.settings.disabled_mechanisms;
+	c.config.bounds.experiments = proc.settings.experiments_allowed;
 	if (!process_open(&proc))
 		goto end;
 	c.log = say;
--- a/emulator/scale_model.c
+++ b/emulator/scale_model.c
@@ -425,7 +425,7 @@
 
 static void reached(struct fleet *fleet, struct node *node)
 {
-	uint64_t now_at = node->router->config_watch.table.revision;
+	uint64_t now_at = node->router->config.watch.table.revision;
 
 	while ((uint64_t)arrlen(fleet->revision_reached) <= now_at)
 		arrput(fleet->revision_reached, ((typeof(*fleet->revision_reached)){ 0, 0 }));
@@ -442,7 +442,7 @@
 
 	router_step(node->router, input, fleet->now_ms, &node->commands);
 	node->tallies[slot].step_ns += (uint64_t)(cpu_ns() - t);
-	if (node->router->config_watch.table.revision != node->revision)
+	if (node->router->config.watch.table.revision != node->revision)
 		reached(fleet, node);
 	perform(fleet, node);
 }
@@ -533,12 +533,12 @@
 
 	if (command->args.call.stream) {
 		struct client_request *request =
-		    n->router && hmgeti(n->router->requests_by_token, input.token) >= 0
-			? hmget(n->router->requests_by_token, input.token)
+		    n->router && hmgeti(n->router->requests.by_token, input.token) >= 0
+			? hmget(n->router->requests.by_token, input.token)
 			: NULL;
 
 		say(n, SLOT_RUN, strlen(command->args.call.body));
-		sent(fleet, request ? request->token : 0);
+		sent(fleet, request ? request->client.token : 0);
 		if (!server) {
 			event(fleet, MODEL_DONE, n->index, input.token, fleet->now_ms + 1);
 			return;
@@ -901,7 +901,7 @@
 	if (n->is_router) {
 		n->router = malloc(sizeof *n->router);
 		router_open(n->router, id, n->addr, n->zone, seeds, 3, fleet->now_ms);
-		n->router->bounds = bounds;
+		n->router->config.bounds = bounds;
 	} else {
 		n->controller = malloc(sizeof *n->controller);
 		controller_open(n->controller, id, n->addr, n->zone, seeds, 3, 0, core_random(&fleet->rng),
@@ -1253,7 +1253,7 @@
 {
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++)
 		if (!fleet->nodes[i].router ||
-		    config_watch_age_ms(&fleet->nodes[i].router->config_watch, fleet->now_ms) >
+		    config_watch_age_ms(&fleet->nodes[i].router->config.watch, fleet->now_ms) >
 			CONFIG_WATCH_ADMIT_STALENESS_MS ||
 		    fleet->nodes[i].revision < fleet->revision ||
 		    !relay_is_current(&fleet->nodes[i].router->relay, fleet->now_ms))
@@ -1682,7 +1682,7 @@
 	    (double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
 	purge_view_clear(&view);
 	apr_pool_create(&pool, fleet->pool);
-	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config_watch.table, 0, &all, pool);
+	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config.watch.table, 0, &all, pool);
 	was = heap_bytes();
 	config_table_open(&tab);
 	all.full = 1;
--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -15,17 +15,17 @@
 	uint32_t serving = 0;
 	char text[100];
 
-	router_server_table_free(router->server_table);
-	router->server_table = servers;
+	router_server_table_free(router->config.server_table);
+	router->config.server_table = servers;
 	for (uint32_t i = 0; i < servers->server_count; i++)
 		serving += servers->servers[i].is_configured && !servers->servers[i].draining &&
 			   !servers->servers[i].is_store;
-	if (serving != router->serving_servers && router->log) {
+	if (serving != router->config.serving_servers && router->log) {
 		apr_snprintf(text, sizeof text, "Servers that stand: %u, before %u.", serving,
-			     router->serving_servers);
+			     router->config.serving_servers);
 		router->log(router->log_context, "ctr", text);
 	}
-	router->serving_servers = serving;
+	router->config.serving_servers = serving;
 }
 
 /* A newer table and a request of the own interface: its key ends it wherever it is; what was not sent ends
@@ -34,21 +34,21 @@
 static void recheck_claimed(struct router *router, struct client_request *request, int64_t now,
 			    struct command_list *out)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 	struct key_entry *keys = routes->keys;
-	ptrdiff_t key_index = request->key_digest ? shgeti(keys, request->key_digest) : -1;
+	ptrdiff_t key_index = request->client.key_digest ? shgeti(keys, request->client.key_digest) : -1;
 
-	if (request->key_digest && request->tenant_index != routes->anonymous_tenant &&
-	    (key_index < 0 || keys[key_index].value != request->tenant_index ||
-	     !routes->tenants[request->tenant_index].is_configured)) {
+	if (request->client.key_digest && request->route.tenant_index != routes->anonymous_tenant &&
+	    (key_index < 0 || keys[key_index].value != request->route.tenant_index ||
+	     !routes->tenants[request->route.tenant_index].is_configured)) {
 		router->stats.revoked++;
 		router_end_early(router, request, 401, "key: removed", now, out);
 	} else if (request->state == REQUEST_RUNNING) {
 		return;
-	} else if (!routes->routes[request->route_index].is_configured ||
-		   !routes->services[routes->routes[request->route_index].service_index].is_configured) {
+	} else if (!routes->routes[request->route.index].is_configured ||
+		   !routes->services[routes->routes[request->route.index].service_index].is_configured) {
 		router_end_early(router, request, 404, "lane: removed", now, out);
-	} else if (routes->routes[request->route_index].service_index != request->service_index) {
+	} else if (routes->routes[request->route.index].service_index != request->route.service_index) {
 		router_end_early(router, request, 503, "the lane has another service now", now, out);
 	}
 }
@@ -57,13 +57,13 @@
  * within its time, and is placed by the new table if its server gives it back. */
 static void replace_route_table(struct router *router, int64_t now, struct command_list *out)
 {
-	struct route_table *routes = router_route_table_new(router, now), *old = router->route_table;
+	struct route_table *routes = router_route_table_new(router, now), *old = router->config.route_table;
 
-	router->route_table = routes;
+	router->config.route_table = routes;
 	router_weights_log_targets(router, old, now);
 	replace_server_table(router, now);
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
-		struct client_request *request = router->requests[i];
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests.all[i];
 
 		if (!request->is_forwarded)
 			recheck_claimed(router, request, now, out);
@@ -85,9 +85,9 @@
 		const char *name;
 		uint64_t value;
 	} n[] = {
-		{ "edition", router->config_watch.table.revision },
+		{ "edition", router->config.watch.table.revision },
 		{ "horizon", router->relay.knowledge.horizon },
-		{ "kept", router->prefix_index.replica_count },
+		{ "kept", router->cache.index.replica_count },
 		{ "taken", router->stats.received },
 		{ "answered", router->stats.outcomes[REQUEST_ANSWERED] },
 		{ "refused", router->stats.outcomes[REQUEST_REFUSED] },
@@ -121,39 +121,41 @@
 		{ "begun_past_bound", router->stats.begun_past_bound },
 		{ "downstreams", (uint64_t)arrlen(router->relay.downstreams) },
 		{ "increments", router->relay.increments_sent },
-		{ "counters", router->config_watch.router_count },
+		{ "counters", router->config.watch.router_count },
 	};
 
 	for (size_t i = 0; i < sizeof n / sizeof *n; i++)
 		json_object_object_add(json, n[i].name, json_object_new_int64((int64_t)n[i].value));
-	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
-		waiting += router->queues[i].length;
+	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
+		waiting += router->queueing.queues[i].length;
 	json_object_object_add(
 	    json, "id", json_object_new_string(apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, router->id)));
 	json_object_object_add(json, "zone", json_object_new_string(router->zone_name));
 	json_object_object_add(json, "age_ms",
-			       json_object_new_int64(config_watch_age_ms(&router->config_watch, now)));
+			       json_object_new_int64(config_watch_age_ms(&router->config.watch, now)));
 	json_object_object_add(json, "current",
 			       json_object_new_boolean(relay_is_current(&router->relay, now)));
 	json_object_object_add(json, "running",
-			       json_object_new_int64(arrlen(router->requests) - (int64_t)waiting));
+			       json_object_new_int64(arrlen(router->requests.all) - (int64_t)waiting));
 	json_object_object_add(json, "waiting", json_object_new_int64(waiting));
-	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++) {
+	for (uint32_t i = 0; router->config.server_table && i < router->config.server_table->server_count;
+	     i++) {
 		struct json_object *x;
 
-		if (!router->server_table->servers[i].is_configured)
+		if (!router->config.server_table->servers[i].is_configured)
 			continue;
 		x = json_object_new_object();
-		json_object_object_add(x, "server", json_object_new_string(router->server_names.names[i]));
+		json_object_object_add(x, "server", json_object_new_string(router->names.servers.names[i]));
 		json_object_object_add(x, "standing",
 				       json_object_new_boolean(router_server_is_serving(router, i, now)));
-		json_object_object_add(x, "running", json_object_new_int(router->servers[i].running));
-		json_object_object_add(x, "slots", json_object_new_int(router->servers[i].slots));
+		json_object_object_add(x, "running", json_object_new_int(router->servers.states[i].running));
+		json_object_object_add(x, "slots", json_object_new_int(router->servers.states[i].slots));
 		json_object_object_add(
 		    x, "weights",
-		    json_object_new_string(router->servers[i].is_known
-					       ? router->weights_names.names[router->servers[i].weights]
-					       : ""));
+		    json_object_new_string(
+			router->servers.states[i].is_known
+			    ? router->names.weights.names[router->servers.states[i].weights]
+			    : ""));
 		json_object_array_add(a, x);
 	}
 	json_object_object_add(json, "servers", a);
@@ -166,14 +168,14 @@
 {
 	const char *csv = "lane,tenant,exchanges,tokens,reused,pieces,errors\n";
 
-	for (ptrdiff_t i = 0; i < hmlen(router->usage); i++) {
-		const struct usage_entry *router_use = &router->usage[i];
+	for (ptrdiff_t i = 0; i < hmlen(router->records.usage); i++) {
+		const struct usage_entry *router_use = &router->records.usage[i];
 
 		csv = apr_psprintf(pool,
 				   "%s%s,%s,%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT
 				   ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT "\n",
-				   csv, router->route_names.names[router_use->key >> 32],
-				   router->tenant_names.names[router_use->key & UINT32_MAX],
+				   csv, router->names.routes.names[router_use->key >> 32],
+				   router->names.tenants.names[router_use->key & UINT32_MAX],
 				   router_use->value.requests, router_use->value.tokens,
 				   router_use->value.reused, router_use->value.chunks,
 				   router_use->value.errors);
@@ -197,44 +199,45 @@
 
 /* How long a request with so many before it has yet to wait. One of another service than the head's may pass
  * it, as soon as it is sent, and is only taken to wait for as long as it has. */
-static double expected_wait_ms(const struct line *queue, const struct client_request *request,
+static double expected_wait_ms(const struct request_queue *queue, const struct client_request *request,
 			       uint32_t before, int64_t now)
 {
-	if (request->service_index == queue->head->service_index)
+	if (request->route.service_index == queue->head->route.service_index)
 		return router_expected_wait_ms(queue, before, now);
-	return (double)(now - (request->returned_at_ms ? request->returned_at_ms : request->received_at_ms));
+	return (double)(now - (request->queueing.returned_at_ms ? request->queueing.returned_at_ms
+								: request->client.received_at_ms));
 }
 
 /* What will not be sent in time is told so now, not at its limit. */
 static void end_hopeless(struct router *router, int64_t now, struct command_list *out)
 {
-	const struct server_table *servers = router->server_table;
+	const struct server_table *servers = router->config.server_table;
 
 	for (uint32_t server_index = 0; servers && server_index < servers->server_count; server_index++)
-		if (!router->server_table->servers[server_index].is_store &&
+		if (!router->config.server_table->servers[server_index].is_store &&
 		    router_server_is_serving(router, server_index, now))
-			router
-			    ->last_serving_at_ms[router->server_table->servers[server_index].service_index] =
-			    now;
-	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
-		struct line *queue = &router->queues[i];
+			router->servers.last_serving_at_ms[router->config.server_table->servers[server_index]
+							       .service_index] = now;
+	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
+		struct request_queue *queue = &router->queueing.queues[i];
 		struct client_request *next;
 		uint32_t before = 0;
 
 		for (struct client_request *request = queue->head; request; request = next) {
-			int none = now - router->last_serving_at_ms[request->service_index] >
+			int none = now - router->servers.last_serving_at_ms[request->route.service_index] >
 				   ROUTER_CONFIG_MAX_STALENESS_MS;
 			double wait = expected_wait_ms(queue, request, before, now);
 
-			next = request->next_in_queue;
-			if (request->has_begun &&
-			    now - request->returned_at_ms >
-				max_stream_silence_ms(&router->route_table->routes[request->route_index])) {
+			next = request->queueing.next_in_queue;
+			if (request->stream.has_begun &&
+			    now - request->queueing.returned_at_ms >
+				max_stream_silence_ms(
+				    &router->config.route_table->routes[request->route.index])) {
 				router_break_off(router, request, 502, "no server took the stream up in time",
 						 now, out);
 				continue;
 			}
-			if (!none && wait <= (double)(request->deadline_at_ms - now)) {
+			if (!none && wait <= (double)(request->client.deadline_at_ms - now)) {
 				before++;
 				continue;
 			}
@@ -250,12 +253,13 @@
 /* The process ends soon: what is still here is told so, rather than find its connection closed. */
 static void end_draining(struct router *router, int64_t now, struct command_list *out)
 {
-	if (!router->shutdown.run_deadline_at_ms || now < router->shutdown.send_deadline_at_ms)
+	if (!router->shutdown.deadlines.run_deadline_at_ms ||
+	    now < router->shutdown.deadlines.send_deadline_at_ms)
 		return;
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
-		struct client_request *request = router->requests[i];
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests.all[i];
 
-		if (request->state != REQUEST_RUNNING || now >= router->shutdown.run_deadline_at_ms)
+		if (request->state != REQUEST_RUNNING || now >= router->shutdown.deadlines.run_deadline_at_ms)
 			router_end_early(router, request, 503, "this counter is stopping", now, out);
 	}
 }
@@ -263,20 +267,20 @@
 static void tick(struct router *router, int64_t now, struct command_list *out)
 {
 	router_retention_tick(router, now);
-	router->config_watch.is_warm =
-	    !router->is_stopping && now - router->started_at_ms >= ROUTER_WARM_UP_MS;
-	config_watch_tick(&router->config_watch, router->relay.knowledge.horizon, now, out);
+	router->config.watch.is_warm =
+	    !router->shutdown.in_progress && now - router->clock.started_at_ms >= ROUTER_WARM_UP_MS;
+	config_watch_tick(&router->config.watch, router->relay.knowledge.horizon, now, out);
 	relay_set_upstreams(
-	    &router->relay, router->config_watch.upstream, (size_t)router->config_watch.upstream_count,
-	    config_watch_publisher_addr(&router->config_watch, router->relay.horizon_moved_at_ms, now), now);
+	    &router->relay, router->config.watch.upstream, (size_t)router->config.watch.upstream_count,
+	    config_watch_publisher_addr(&router->config.watch, router->relay.horizon_moved_at_ms, now), now);
 	router->relay.curiosity_disabled =
-	    !mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_CURIOSITY);
+	    !mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_CURIOSITY);
 	relay_tick(&router->relay, now, out);
-	if (router->bounds.discover_instances) {
+	if (router->config.bounds.discover_instances) {
 		router_load_tick(router, now, out);
 		router_feed_tick(router, now, out);
 	}
-	if (router->bounds.discover_instances)
+	if (router->config.bounds.discover_instances)
 		router_watch_caches(router, now, out);
 	else
 		router_poll_reports(router, now, out);
@@ -285,25 +289,25 @@
 	end_hopeless(router, now, out);
 	end_draining(router, now, out);
 	router_releases_tick(router, now, out);
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
-		struct client_request *request = router->requests[i];
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests.all[i];
 
-		if (now >= request->deadline_at_ms) {
+		if (now >= request->client.deadline_at_ms) {
 			router->stats.refused_deadline += request->state != REQUEST_RUNNING;
 			router_end_early(router, request, request->state == REQUEST_RUNNING ? 504 : 503,
 					 request->state == REQUEST_RUNNING ? "the limit passed"
 									   : "the limit passed in the line",
 					 now, out);
-		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed &&
-			   now - request->claim_started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
+		} else if (request->state == REQUEST_CLAIMING && !request->claim.confirmed &&
+			   now - request->claim.started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
 			router->stats.refused_early++;
 			router_refuse(router, request, 503,
 				      "the part of this service has no owner that answers",
 				      ROUTER_RETRY_AFTER_MIN_MS, now, out);
-		} else if (request->state == REQUEST_CLAIMING && !request->is_claimed &&
-			   now - request->claim_sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
+		} else if (request->state == REQUEST_CLAIMING && !request->claim.confirmed &&
+			   now - request->claim.sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 			/* the same claim again: a part takes it once however often it is asked */
-			router_claim_miss(router, request->service_index, request->claim_leader_addr);
+			router_claim_miss(router, request->route.service_index, request->claim.leader_addr);
 			router_claim_send(router, request, now, out);
 		}
 	}
@@ -315,16 +319,16 @@
 	int changed;
 
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
-	    (message->fleet_id && router->config_watch.fleet &&
-	     message->fleet_id != router->config_watch.fleet))
+	    (message->fleet_id && router->config.watch.fleet &&
+	     message->fleet_id != router->config.watch.fleet))
 		return;
 	switch (message->body_case) {
 	case NL__MSG__BODY_CONFIG_SYNC_REPLY:
 	case NL__MSG__BODY_LEADER_HINT:
-		changed = config_watch_receive(&router->config_watch, message, now, out);
+		changed = config_watch_receive(&router->config.watch, message, now, out);
 		if (changed & 1)
 			replace_route_table(router, now, out);
-		else if (changed && router->route_table)
+		else if (changed && router->config.route_table)
 			replace_server_table(router, now);
 		break;
 	case NL__MSG__BODY_KNOWLEDGE:
@@ -356,7 +360,7 @@
 		    MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
 
 		reply->token = message->config_sync->token;
-		reply->leader_hint = router->config_watch.leader_addr[SHARD_CONTROL];
+		reply->leader_hint = router->config.watch.leader_addr[SHARD_CONTROL];
 		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)
 		    ->config_sync_reply = reply;
 		break;
@@ -380,11 +384,11 @@
 {
 	if (now <= router_config_valid_until(router))
 		return;
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
-		if (outlives_config(router->requests[i]))
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
+		if (outlives_config(router->requests.all[i]))
 			continue;
 		router->stats.ended_without_config++;
-		router_end_early(router, router->requests[i], 503,
+		router_end_early(router, router->requests.all[i], 503,
 				 "this counter has been cut off: its configuration may be out of force", now,
 				 out);
 	}
@@ -400,13 +404,13 @@
 			    : 0;
 	struct client_request *request = call ? router_request_by_token(router, call) : NULL;
 
-	if (request && request->call_token == call)
-		request->has_begun = 1;
+	if (request && request->attempt.call_token == call)
+		request->stream.has_begun = 1;
 }
 
 int64_t router_config_valid_until(const struct router *router)
 {
-	return router->config_watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS;
+	return router->config.watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): one case for each event */
@@ -417,10 +421,10 @@
 
 	out->id = router->id;
 	out->addr = router->addr;
-	out->fleet = router->config_watch.fleet;
-	if (router->now && now - router->now > ROUTER_PAUSE_DETECTION_MS)
-		router->paused_at_ms = now;
-	router->now = now;
+	out->fleet = router->config.watch.fleet;
+	if (router->clock.now && now - router->clock.now > ROUTER_PAUSE_DETECTION_MS)
+		router->clock.paused_at_ms = now;
+	router->clock.now = now;
 	note_listener_began(router, event);
 	end_without_config(router, now, out);
 	switch (event->kind) {
@@ -437,7 +441,7 @@
 		break;
 	case ROUTER_EVENT_CLIENT_DISCONNECTED: /* the caller left */
 		request = router_request_by_token(router, event->u.client_disconnected.token);
-		if (!request || request->token != event->u.client_disconnected.token)
+		if (!request || request->client.token != event->u.client_disconnected.token)
 			break;
 		router_request_end(router, request,
 				   &(struct request_ending){ REQUEST_CLIENT_DISCONNECTED, 0, NULL, 0 }, now,
@@ -445,17 +449,18 @@
 		break;
 	case ROUTER_EVENT_STREAM_CHUNK:
 		request = router_request_by_token(router, event->u.stream_chunk.token);
-		if (request && request->call_token == event->u.stream_chunk.token)
+		if (request && request->attempt.call_token == event->u.stream_chunk.token)
 			router_on_stream_chunk(router, request, event->u.stream_chunk.text, now, out);
 		break;
 	case ROUTER_EVENT_CALL_ENDED:
 		request = router_request_by_token(router, event->u.call_ended.token);
-		if (request && request->call_token == event->u.call_ended.token)
+		if (request && request->attempt.call_token == event->u.call_ended.token)
 			router_on_done(router, request, &event->u.call_ended, now, out);
 		break;
 	case ROUTER_EVENT_REPORT_POLLED:
-		for (uint32_t s = 0; router->server_table && s < router->server_table->server_count; s++)
-			if (router->servers[s].poll_token == event->u.report_polled.token &&
+		for (uint32_t s = 0;
+		     router->config.server_table && s < router->config.server_table->server_count; s++)
+			if (router->servers.states[s].poll_token == event->u.report_polled.token &&
 			    event->u.report_polled.status == 200) {
 				router_on_report(router, s, event->u.report_polled.body, now);
 				router_relay_report(router, s, event->u.report_polled.body, out);
@@ -475,20 +480,20 @@
 				       router_error_body(out->pool, "path: no such call", "refused"));
 		break;
 	case ROUTER_EVENT_STOP:
-		router->is_stopping = 1;
-		router->shutdown = event->u.shutdown;
+		router->shutdown.in_progress = 1;
+		router->shutdown.deadlines = event->u.shutdown;
 		break;
 	case ROUTER_EVENT_FORWARDED_REQUEST:
 		router_admit_forwarded(router, event->u.forwarded_request, now, out);
 		break;
 	case ROUTER_EVENT_FORWARD_BEGAN:
 		request = router_request_by_token(router, event->u.forward_began.token);
-		if (request && request->call_token == event->u.forward_began.token)
+		if (request && request->attempt.call_token == event->u.forward_began.token)
 			router_on_began(router, request, event->u.forward_began.weights, now);
 		break;
 	case ROUTER_EVENT_FORWARD_ENDED:
 		request = router_request_by_token(router, event->u.forward_ended->token);
-		if (request && request->call_token == event->u.forward_ended->token)
+		if (request && request->attempt.call_token == event->u.forward_ended->token)
 			router_on_ended(router, request, event->u.forward_ended, now, out);
 		break;
 	case ROUTER_EVENT_CACHE_WATCHED:
@@ -497,7 +502,7 @@
 		break;
 	}
 	router_dispatch(router, now, out);
-	if (router->route_table &&
+	if (router->config.route_table &&
 	    (event->kind == ROUTER_EVENT_TICK || event->kind == ROUTER_EVENT_CLAIMED_REQUEST ||
 	     event->kind == ROUTER_EVENT_FORWARDED_REQUEST))
 		router_request_slots(router, now, out);
@@ -505,13 +510,14 @@
 
 int router_ready(const struct router *router, int64_t now)
 {
-	return !router->is_stopping && router->route_table && router->config_watch.table.revision &&
-	       config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
+	return !router->shutdown.in_progress && router->config.route_table &&
+	       router->config.watch.table.revision &&
+	       config_watch_age_ms(&router->config.watch, now) <= router_max_staleness_ms(router);
 }
 
 int router_idle(const struct router *router)
 {
-	return arrlen(router->requests) == 0 && arrlen(router->claim_releases) == 0;
+	return arrlen(router->requests.all) == 0 && arrlen(router->requests.claim_releases) == 0;
 }
 
 void router_open(struct router *router, uint64_t id, uint64_t addr, const char *zone, const uint64_t *seeds,
@@ -526,14 +532,14 @@
 		abort();
 	apr_pool_create(&router->pool, NULL);
 	apr_pool_create(&router->scratch_pool, router->pool);
-	router->bounds = bounds_default;
-	router->started_at_ms = now;
-	router->average_full_watch_bytes = ROUTER_FULL_WATCH_INITIAL_BYTES;
+	router->config.bounds = bounds_default;
+	router->clock.started_at_ms = now;
+	router->cache.average_full_watch_bytes = ROUTER_FULL_WATCH_INITIAL_BYTES;
 	router->zone_hash = core_hash_string(0, zone);
 	router_lookup_open(router);
-	config_watch_open(&router->config_watch, id, seeds, seed_count, now);
-	router->config_watch.zone = zone;
-	router->config_watch.is_router = 1;
+	config_watch_open(&router->config.watch, id, seeds, seed_count, now);
+	router->config.watch.zone = zone;
+	router->config.watch.is_router = 1;
 	relay_open(&router->relay, now);
 	router->relay.on_value = router_on_value;
 	router->relay.context = router;
@@ -542,37 +548,37 @@
 void router_close(struct router *router)
 {
 	router_requests_discard(router);
-	while (arrlen(router->claim_releases))
+	while (arrlen(router->requests.claim_releases))
 		router_release_end(router, 0);
-	arrfree(router->claim_releases);
+	arrfree(router->requests.claim_releases);
 	json_tokener_free(router->json_tokener);
-	router_route_table_free(router->route_table);
-	router_server_table_free(router->server_table);
+	router_route_table_free(router->config.route_table);
+	router_server_table_free(router->config.server_table);
 	router_load_clear(router);
 	router_feed_clear(router);
-	hmfree(router->queue_by_owner);
-	arrfree(router->retention_generations);
-	arrfree(router->remainders);
-	arrfree(router->cached_depth);
-	arrfree(router->server_hashes);
-	arrfree(router->decision_counts);
-	hmfree(router->server_by_hash);
-	router_names_clear(&router->route_names);
-	router_names_clear(&router->tenant_names);
-	router_names_clear(&router->service_names);
-	router_names_clear(&router->server_names);
-	router_names_clear(&router->weights_names);
-	prefix_index_clear(&router->prefix_index);
-	config_watch_close(&router->config_watch);
+	hmfree(router->queueing.by_owner);
+	arrfree(router->retention.generations);
+	arrfree(router->retention.remainders);
+	arrfree(router->servers.cached_depth);
+	arrfree(router->servers.hashes);
+	arrfree(router->records.decision_counts);
+	hmfree(router->servers.by_hash);
+	router_names_clear(&router->names.routes);
+	router_names_clear(&router->names.tenants);
+	router_names_clear(&router->names.services);
+	router_names_clear(&router->names.servers);
+	router_names_clear(&router->names.weights);
+	prefix_index_clear(&router->cache.index);
+	config_watch_close(&router->config.watch);
 	relay_close(&router->relay);
-	arrfree(router->servers);
-	arrfree(router->queues);
-	arrfree(router->requests);
-	arrfree(router->tenant_running);
-	arrfree(router->last_serving_at_ms);
-	arrfree(router->retry_budget);
-	hmfree(router->requests_by_token);
-	hmfree(router->link_observations);
-	hmfree(router->usage);
+	arrfree(router->servers.states);
+	arrfree(router->queueing.queues);
+	arrfree(router->requests.all);
+	arrfree(router->quota.tenant_running);
+	arrfree(router->servers.last_serving_at_ms);
+	arrfree(router->quota.retry_budget);
+	hmfree(router->requests.by_token);
+	hmfree(router->servers.links);
+	hmfree(router->records.usage);
 	apr_pool_destroy(router->pool);
 }
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -27,9 +27,9 @@
 			else if (!strcmp(name, "lane"))
 				*lane = apr_pstrdup(pool, json_object_get_string(val));
 			else if (!strcmp(name, "id"))
-				request->id = apr_pstrdup(pool, json_object_get_string(val));
+				request->client.request_id = apr_pstrdup(pool, json_object_get_string(val));
 			else
-				request->tail_text = apr_pstrdup(pool, json_object_get_string(val));
+				request->prompt.tail_text = apr_pstrdup(pool, json_object_get_string(val));
 		} else if (!strcmp(name, "limit_ms")) {
 			int64_t n = json_object_get_int64(val);
 
@@ -51,7 +51,7 @@
 				if (!json_object_is_type(v, json_type_string))
 					why = "parts: a list of strings";
 				else
-					request->block_text[request->block_count++] =
+					request->prompt.block_text[request->prompt.block_count++] =
 					    apr_pstrdup(pool, json_object_get_string(v));
 			}
 		} else {
@@ -62,10 +62,10 @@
 		goto end;
 	if (!*lane)
 		why = "lane: missing";
-	else if (!request->id || !request->id[0] || strlen(request->id) > 128 ||
-		 strpbrk(request->id, "\x1f\n"))
+	else if (!request->client.request_id || !request->client.request_id[0] ||
+		 strlen(request->client.request_id) > 128 || strpbrk(request->client.request_id, "\x1f\n"))
 		why = "id: 1 to 128 characters";
-	else if (!request->tail_text)
+	else if (!request->prompt.tail_text)
 		why = "tail: missing";
 end:
 	if (json)
@@ -81,30 +81,31 @@
 	struct request_ending ending = { REQUEST_REFUSED, 503,
 					 "this counter's configuration is not certain to be in force", 0 };
 
-	if (!router->is_stopping && router_config_in_force(router, now))
+	if (!router->shutdown.in_progress && router_config_in_force(router, now))
 		return 0;
-	if (router->is_stopping)
+	if (router->shutdown.in_progress)
 		ending.reason = "this counter is stopping";
 	router->stats.refused_stale++;
-	if (!router->bounds.discover_instances)
+	if (!router->config.bounds.discover_instances)
 		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
-	else if (now - router->started_at_ms < ROUTER_STARTUP_MS) /* one that has just begun knows how long
-								     its fleet takes to find its owners */
+	else if (now - router->clock.started_at_ms <
+		 ROUTER_STARTUP_MS) /* one that has just begun knows how long
+				 its fleet takes to find its owners */
 		ending.retry_after_ms = router_retry_fast_ms(
-		    router, (int)(ROUTER_STARTUP_MS - (now - router->started_at_ms) + 200));
+		    router, (int)(ROUTER_STARTUP_MS - (now - router->clock.started_at_ms) + 200));
 	else
 		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return 1;
 }
 
-static int refuse_if_queue_full(struct router *router, uint64_t token, const struct line *queue,
+static int refuse_if_queue_full(struct router *router, uint64_t token, const struct request_queue *queue,
 				uint32_t route_index, uint32_t service, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
-	int full = queue->length >= router->route_table->routes[route_index].queue_limit;
+	int full = queue->length >= router->config.route_table->routes[route_index].queue_limit;
 
-	if (!full && now - router->last_serving_at_ms[service] <= ROUTER_CONFIG_MAX_STALENESS_MS)
+	if (!full && now - router->servers.last_serving_at_ms[service] <= ROUTER_CONFIG_MAX_STALENESS_MS)
 		return 0;
 	router->stats.refused_queue_full += full;
 	router->stats.refused_early += !full;
@@ -128,7 +129,7 @@
 /* Into its line, and among all that are under way. */
 static void enqueue(struct router *router, struct client_request *request, int64_t now)
 {
-	request->route_revision = router->route_table->revision;
+	request->route.revision = router->config.route_table->revision;
 	router_queue_insert(router, request, now);
 	router_request_add(router, request);
 }
@@ -136,7 +137,7 @@
 void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body,
 			  int64_t now, struct command_list *out)
 {
-	struct route_table *routes = router->route_table;
+	struct route_table *routes = router->config.route_table;
 	struct key_entry *keys = routes ? routes->keys : NULL;
 	apr_pool_t *pool;
 	struct client_request *request;
@@ -144,7 +145,7 @@
 	int limit, route_index;
 	ptrdiff_t key_index;
 	uint64_t hash;
-	struct line *queue;
+	struct request_queue *queue;
 
 	router->stats.received++;
 	if (refuse_if_config_stale(router, token, now, out))
@@ -158,36 +159,36 @@
 	request = apr_pcalloc(pool, sizeof *request);
 	request->pool = pool;
 	reason = parse(router, request, body, &route_name, &limit, pool);
-	route_index = reason ? -1 : names_find(&router->route_names, route_name);
+	route_index = reason ? -1 : names_find(&router->names.routes, route_name);
 	if (reason || route_index < 0 || !routes->routes[route_index].is_configured ||
 	    !routes->services[routes->routes[route_index].service_index].is_configured) {
 		reject_new(router, token, reason ? 400 : 404, reason ? reason : "lane: unknown", out);
 		apr_pool_destroy(pool);
 		return;
 	}
-	request->route_index = (uint32_t)route_index;
-	request->tenant_index = keys[key_index].value;
-	request->service_index = routes->routes[route_index].service_index;
-	queue = router_queue_of(router, request->route_index, request->tenant_index);
-	if (refuse_if_queue_full(router, token, queue, request->route_index, request->service_index, now,
-				 out)) {
+	request->route.index = (uint32_t)route_index;
+	request->route.tenant_index = keys[key_index].value;
+	request->route.service_index = routes->routes[route_index].service_index;
+	queue = router_queue_of(router, request->route.index, request->route.tenant_index);
+	if (refuse_if_queue_full(router, token, queue, request->route.index, request->route.service_index,
+				 now, out)) {
 		apr_pool_destroy(pool);
 		return;
 	}
-	request->token = token;
-	request->key_digest = apr_pstrdup(pool, digest);
-	request->seq = ++router->last_sequence;
-	request->deadline_at_ms = now + limit;
-	request->received_at_ms = now;
-	request->server_index = -1;
-	request->avoided_server = UINT32_MAX;
-	hash = core_hash_string(0, router->service_names.names[request->service_index]);
-	for (int i = 0; i < request->block_count; i++) {
-		hash = core_hash_string(hash, request->block_text[i]);
-		request->block_hash[i] = hash;
-		request->block_tokens[i] = (uint32_t)(strlen(request->block_text[i]) + 3) / 4;
+	request->client.token = token;
+	request->client.key_digest = apr_pstrdup(pool, digest);
+	request->sequence = ++router->requests.last_sequence;
+	request->client.deadline_at_ms = now + limit;
+	request->client.received_at_ms = now;
+	request->attempt.server_index = -1;
+	request->retry.avoided_server = UINT32_MAX;
+	hash = core_hash_string(0, router->names.services.names[request->route.service_index]);
+	for (int i = 0; i < request->prompt.block_count; i++) {
+		hash = core_hash_string(hash, request->prompt.block_text[i]);
+		request->prompt.block_hash[i] = hash;
+		request->prompt.block_tokens[i] = (uint32_t)(strlen(request->prompt.block_text[i]) + 3) / 4;
 	}
-	request->tail_tokens = (uint32_t)(strlen(request->tail_text) + 3) / 4;
+	request->prompt.tail_tokens = (uint32_t)(strlen(request->prompt.tail_text) + 3) / 4;
 	enqueue(router, request, now);
 }
 
@@ -283,56 +284,58 @@
 static int change_service(struct router *router, struct client_request *request, uint32_t service,
 			  int64_t now, struct command_list *out)
 {
-	int paid = request->retry_reserved;
+	int paid = request->retry.budget_reserved;
 
 	if (paid)
-		router->retry_budget[request->service_index] += ROUTER_RETRY_COST_MILLI;
-	request->retry_reserved = 0;
-	request->service_index = service;
-	if (request->has_begun) { /* the other service knows nothing of this stream */
+		router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
+	request->retry.budget_reserved = 0;
+	request->route.service_index = service;
+	if (request->stream.has_begun) { /* the other service knows nothing of this stream */
 		router_break_off(router, request, 502, "the service of this stream is gone", now, out);
 		return 0;
 	}
-	if (paid && router->retry_budget[service] < ROUTER_RETRY_COST_MILLI) {
+	if (paid && router->quota.retry_budget[service] < ROUTER_RETRY_COST_MILLI) {
 		router_refuse(router, request, 503,
 			      "its service changed, and the budget for resends is spent",
 			      ROUTER_RETRY_FAST_MS, now, out);
 		return 0;
 	}
 	if (paid)
-		router->retry_budget[service] -= ROUTER_RETRY_COST_MILLI;
-	request->retry_reserved = paid;
+		router->quota.retry_budget[service] -= ROUTER_RETRY_COST_MILLI;
+	request->retry.budget_reserved = paid;
 	return 1;
 }
 
 int router_readmit(struct router *router, struct client_request *request, int64_t now,
 		   struct command_list *out)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 	const struct route_config *route;
 	struct admission admission;
 
-	if (request->route_revision == routes->revision)
+	if (request->route.revision == routes->revision)
 		return 1;
-	request->route_revision = routes->revision;
-	admission = admission_of(routes, request->host, request->path, request->key_digest, request->id);
+	request->route.revision = routes->revision;
+	admission = admission_of(routes, request->client.host, request->client.path,
+				 request->client.key_digest, request->client.request_id);
 	if (admission.status) {
 		router->stats.revoked += admission.status == 401;
 		router_end_early(router, request, admission.status, admission.reason, now, out);
 		return 0;
 	}
-	if (admission.route_index != request->route_index || admission.tenant_index != request->tenant_index)
+	if (admission.route_index != request->route.index ||
+	    admission.tenant_index != request->route.tenant_index)
 		router_queue_move(router, request, admission.route_index, admission.tenant_index, now);
 	route = &routes->routes[admission.route_index];
-	request->idempotent = request->idempotent && route->idempotent;
-	request->resumable = request->resumable && route->resumable;
-	if (request->may_have_run && !request->idempotent && !request->resumable) {
+	request->route.idempotent = request->route.idempotent && route->idempotent;
+	request->route.resumable = request->route.resumable && route->resumable;
+	if (request->retry.may_have_run && !request->route.idempotent && !request->route.resumable) {
 		router_break_off(router, request, 502,
 				 "the server's answer broke off, and it may not be sent again", now, out);
 		return 0;
 	}
-	if (routes->services[request->service_index].is_configured &&
-	    (request->has_begun || leads_to(route, request->service_index)))
+	if (routes->services[request->route.service_index].is_configured &&
+	    (request->stream.has_begun || leads_to(route, request->route.service_index)))
 		return 1;
 	return change_service(router, request, admission.service_index, now, out);
 }
@@ -347,31 +350,32 @@
 	apr_pool_create(&pool, router->pool);
 	x = apr_pcalloc(pool, sizeof *x);
 	x->pool = pool;
-	x->token = query->token;
-	x->key_digest = query->key_digest ? apr_pstrdup(pool, query->key_digest) : NULL;
-	x->host = apr_pstrdup(pool, query->host);
-	x->path = apr_pstrdup(pool, query->path);
-	x->id = apr_pstrdup(pool, query->id);
-	x->seq = ++router->last_sequence;
-	x->server_index = -1;
-	x->avoided_server = UINT32_MAX;
-	x->is_forwarded = x->is_claimed = 1; /* whoever calls vouches that the id is used once */
-	x->block_count = query->block_count < ROUTER_MAX_BLOCKS ? query->block_count : ROUTER_MAX_BLOCKS;
-	for (int i = 0; i < x->block_count; i++) {
-		x->block_hash[i] = query->blocks[i].hash;
-		x->block_tokens[i] = query->blocks[i].tokens;
+	x->client.token = query->token;
+	x->client.key_digest = query->key_digest ? apr_pstrdup(pool, query->key_digest) : NULL;
+	x->client.host = apr_pstrdup(pool, query->host);
+	x->client.path = apr_pstrdup(pool, query->path);
+	x->client.request_id = apr_pstrdup(pool, query->id);
+	x->sequence = ++router->requests.last_sequence;
+	x->attempt.server_index = -1;
+	x->retry.avoided_server = UINT32_MAX;
+	x->is_forwarded = x->claim.confirmed = 1; /* whoever calls vouches that the id is used once */
+	x->prompt.block_count =
+	    query->block_count < ROUTER_MAX_BLOCKS ? query->block_count : ROUTER_MAX_BLOCKS;
+	for (int i = 0; i < x->prompt.block_count; i++) {
+		x->prompt.block_hash[i] = query->blocks[i].hash;
+		x->prompt.block_tokens[i] = query->blocks[i].tokens;
 	}
-	shared = (uint32_t)router_tokens_of_blocks(x, x->block_count);
-	x->tail_tokens = query->input_tokens > shared ? query->input_tokens - shared : 0;
-	x->output_tokens = query->output_tokens;
-	x->total_tokens = shared + x->tail_tokens + x->output_tokens;
+	shared = (uint32_t)router_tokens_of_blocks(x, x->prompt.block_count);
+	x->prompt.tail_tokens = query->input_tokens > shared ? query->input_tokens - shared : 0;
+	x->prompt.output_tokens = query->output_tokens;
+	x->prompt.total_tokens = shared + x->prompt.tail_tokens + x->prompt.output_tokens;
 	return x;
 }
 
 void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now,
 			    struct command_list *out)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 	const struct route_config *route;
 	struct client_request *request;
 	struct admission admission;
@@ -390,16 +394,16 @@
 		return;
 	route = &routes->routes[admission.route_index];
 	request = request_new(router, query);
-	request->route_index = admission.route_index;
-	request->tenant_index = admission.tenant_index;
-	request->service_index = admission.service_index;
-	request->deadline_at_ms =
+	request->route.index = admission.route_index;
+	request->route.tenant_index = admission.tenant_index;
+	request->route.service_index = admission.service_index;
+	request->client.deadline_at_ms =
 	    now + (route->timeout_ms && (int)route->timeout_ms < query->limit_ms ? (int)route->timeout_ms
 										 : query->limit_ms);
-	request->received_at_ms = now;
-	request->idempotent = route->idempotent;
-	request->resumable = route->resumable;
-	request->max_attempts = route->max_attempts ? (int)route->max_attempts : 2;
+	request->client.received_at_ms = now;
+	request->route.idempotent = route->idempotent;
+	request->route.resumable = route->resumable;
+	request->retry.max_attempts = route->max_attempts ? (int)route->max_attempts : 2;
 	enqueue(router, request, now);
 	router_lookup_send(router, request, now, out);
 }
--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -19,7 +19,7 @@
 /* Bytes that the feed may send in a ms; 0: the link has no bound that we know. */
 static int64_t feed_bytes_per_ms(const struct router *router)
 {
-	return (int64_t)router->bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
+	return (int64_t)router->config.bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
 }
 
 /* A message of this size has been given to so many routers: no more before the link's share has carried it.
@@ -46,20 +46,20 @@
 
 void router_feed_clear(struct router *router)
 {
-	for (ptrdiff_t i = 0; i < arrlen(router->servers); i++)
-		pending_update_clear(&router->servers[i].pending_update);
+	for (ptrdiff_t i = 0; i < arrlen(router->servers.states); i++)
+		pending_update_clear(&router->servers.states[i].pending_update);
 	arrfree(router->feed.queue);
 }
 
 void router_feed_add(struct router *router, uint32_t server, const struct Nl__CacheUpdate *update)
 {
-	struct pending_cache_update *pending = &router->servers[server].pending_update;
-	int is_reset = update->events_lost || (router->servers[server].cache_epoch &&
-					       router->servers[server].cache_epoch != update->epoch);
+	struct pending_cache_update *pending = &router->servers.states[server].pending_update;
+	int is_reset = update->events_lost || (router->servers.states[server].cache_epoch &&
+					       router->servers.states[server].cache_epoch != update->epoch);
 
 	/* of a store each word goes on, for it says that the store is up */
 	if (!arrlen(router->relay.downstreams) ||
-	    (!update->n_events && !is_reset && !router->server_table->servers[server].is_store))
+	    (!update->n_events && !is_reset && !router->config.server_table->servers[server].is_store))
 		return;
 	if (is_reset) {
 		hmfree(pending->events);
@@ -90,12 +90,12 @@
 static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server,
 						      struct command_list *out)
 {
-	const struct pending_cache_update *pending = &router->servers[server].pending_update;
+	const struct pending_cache_update *pending = &router->servers.states[server].pending_update;
 	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
 	size_t n = (size_t)hmlen(pending->events);
 	int has_namespace_keys = 0;
 
-	update->server = apr_pstrdup(out->pool, router->server_names.names[server]);
+	update->server = apr_pstrdup(out->pool, router->names.servers.names[server]);
 	update->epoch = pending->epoch;
 	update->next_offset = pending->next_event;
 	update->events_lost = pending->is_reset;
@@ -130,12 +130,12 @@
 		uint32_t server = router->feed.queue[sent];
 		struct Nl__CacheUpdate *update;
 
-		if (router->server_table->servers[server].is_configured) {
+		if (router->config.server_table->servers[server].is_configured) {
 			update = pending_update_message(router, server, out);
 			bytes += (int64_t)nl__cache_update__get_packed_size(update);
 			all->updates[all->n_updates++] = update;
 		}
-		pending_update_clear(&router->servers[server].pending_update);
+		pending_update_clear(&router->servers.states[server].pending_update);
 	}
 	arrdeln(router->feed.queue, 0, sent);
 	if (!all->n_updates)
@@ -153,7 +153,7 @@
 static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
 						  struct command_list *out)
 {
-	const struct server_table *table = router->server_table;
+	const struct server_table *table = router->config.server_table;
 	struct Nl__CacheUpdateBatch *all =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 	struct Nl__CacheUpdate **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
@@ -161,23 +161,23 @@
 	all->updates = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->updates);
 	for (int fill = 0; fill < 2; fill++) { /* counted first, then put in */
 		for (ptrdiff_t i = begin; i < end; i++)
-			for (ptrdiff_t k = 0; k < arrlen(router->prefix_index.blocks[i].value); k++) {
-				uint32_t s = router->prefix_index.blocks[i].value[k].server_index;
+			for (ptrdiff_t k = 0; k < arrlen(router->cache.index.blocks[i].value); k++) {
+				uint32_t s = router->cache.index.blocks[i].value[k].server_index;
 
 				if (s >= table->server_count || !table->servers[s].is_configured ||
-				    !router->servers[s].cache_epoch)
+				    !router->servers.states[s].cache_epoch)
 					continue;
 				if (!update[s]) {
 					update[s] = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
 					update[s]->server =
-					    apr_pstrdup(out->pool, router->server_names.names[s]);
-					update[s]->epoch = router->servers[s].cache_epoch;
-					update[s]->next_offset = router->servers[s].next_cache_event;
+					    apr_pstrdup(out->pool, router->names.servers.names[s]);
+					update[s]->epoch = router->servers.states[s].cache_epoch;
+					update[s]->next_offset = router->servers.states[s].next_cache_event;
 					all->updates[all->n_updates++] = update[s];
 				}
 				if (fill)
 					update[s]->present[update[s]->n_present] =
-					    router->prefix_index.blocks[i].key;
+					    router->cache.index.blocks[i].key;
 				update[s]->n_present++;
 			}
 		for (size_t i = 0; !fill && i < all->n_updates; i++) {
@@ -196,7 +196,7 @@
 static void publish_index(struct router *router, struct relay_downstream *down, int64_t now,
 			  struct command_list *out)
 {
-	ptrdiff_t rows = hmlen(router->prefix_index.blocks), from;
+	ptrdiff_t rows = hmlen(router->cache.index.blocks), from;
 	struct Nl__CacheUpdateBatch *all;
 
 	if (!down->cache_feed_started || down->cache_feed_remaining > rows)
@@ -225,9 +225,9 @@
 {
 	struct relay_downstream *down;
 
-	if (!router->server_table || router->config_watch.upstream_count ||
+	if (!router->config.server_table || router->config.watch.upstream_count ||
 	    !arrlen(router->relay.downstreams) ||
-	    !mechanism_on(router->bounds.disabled_mechanisms,
+	    !mechanism_on(router->config.bounds.disabled_mechanisms,
 			  MECHANISM_CACHE_FEED)) { /* another is the head, or there is nobody to tell */
 		if (arrlen(router->feed.queue))
 			router_feed_clear(router);
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -13,11 +13,11 @@
 /* Names of weights come from reports too: a server may still have those from before. They are bounded. */
 static int weights_of(struct router *router, const char *name)
 {
-	int i = names_find(&router->weights_names, name);
+	int i = names_find(&router->names.weights, name);
 
-	return i >= 0 || strlen(name) > 128 || arrlen(router->weights_names.names) >= ROUTER_MAX_WEIGHTS_NAMES
+	return i >= 0 || strlen(name) > 128 || arrlen(router->names.weights.names) >= ROUTER_MAX_WEIGHTS_NAMES
 		   ? i
-		   : (int)names_id(&router->weights_names, name);
+		   : (int)names_id(&router->names.weights, name);
 }
 
 /* A report that cannot be read changes nothing, and is spoken of once. */
@@ -25,17 +25,17 @@
 {
 	char line[300];
 
-	if (!router->servers[server_index].unreadable_reports++ && router->log) {
+	if (!router->servers.states[server_index].unreadable_reports++ && router->log) {
 		apr_snprintf(line, sizeof line,
 			     "Step report: server %s: %s; it is passed over until it is mended.",
-			     router->server_names.names[server_index], reason);
+			     router->names.servers.names[server_index], reason);
 		router->log(router->log_context, "ctr", line);
 	}
 }
 
 void router_on_report(struct router *router, uint32_t server_index, const char *body, int64_t now)
 {
-	struct router_server_state *server = &router->servers[server_index];
+	struct router_server_state *server = &router->servers.states[server_index];
 	struct json_object *report = router_read_json(router, body), *blocks;
 	const char *service;
 	int weights = json_object_is_type(report, json_type_object)
@@ -66,19 +66,22 @@
 	}
 	server->report_serial = json_uint_member(report, "serial");
 	server->boot_id = json_uint_member(report, "boot");
-	service = router->service_names.names[router->server_table->servers[server_index].service_index];
+	service =
+	    router->names.services.names[router->config.server_table->servers[server_index].service_index];
 	server->purged_blocks = 0;
 	server->inventory_at_ms = now;
 	for (size_t i = 0; i < json_object_array_length(blocks) && i < ROUTER_MAX_REPORTED_BLOCKS; i++) {
 		struct json_object *json = json_object_array_get_idx(blocks, i);
-		int maker = names_find(&router->tenant_names, json_string_member(json, "m")),
+		int maker = names_find(&router->names.tenants, json_string_member(json, "m")),
 		    made_under = weights_of(router, json_string_member(json, "w"));
-		struct block_replica replica = { server_index,
-						 (uint32_t)maker,
-						 router->server_table->servers[server_index].service_index,
-						 (uint32_t)made_under,
-						 json_uint_member(json, "t"),
-						 server->poll_sequence };
+		struct block_replica replica = {
+			server_index,
+			(uint32_t)maker,
+			router->config.server_table->servers[server_index].service_index,
+			(uint32_t)made_under,
+			json_uint_member(json, "t"),
+			server->poll_sequence
+		};
 
 		if (maker < 0 || made_under < 0)
 			continue; /* of nobody that the table ever named here */
@@ -89,11 +92,11 @@
 			server->purged_blocks++;
 		else if (purge_view_allows(&router->relay.view, service, json_string_member(json, "w"),
 					   json_string_member(json, "m"),
-					   router->server_names.names[server_index], replica.stamp_tick))
-			prefix_index_put(&router->prefix_index,
+					   router->names.servers.names[server_index], replica.stamp_tick))
+			prefix_index_put(&router->cache.index,
 					 strtoull(json_string_member(json, "h"), NULL, 16), &replica);
 	}
-	prefix_index_remove_unreported(&router->prefix_index, server_index, server->poll_sequence);
+	prefix_index_remove_unreported(&router->cache.index, server_index, server->poll_sequence);
 end:
 	if (report)
 		json_object_put(report);
@@ -106,7 +109,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++) {
 		struct Nl__Report *report = MESSAGE_NEW(out, Nl__Report, NL__REPORT__INIT);
 
-		report->server = apr_pstrdup(out->pool, router->server_names.names[server_index]);
+		report->server = apr_pstrdup(out->pool, router->names.servers.names[server_index]);
 		report->body.len = strlen(body);
 		report->body.data = (uint8_t *)apr_pstrdup(out->pool, body);
 		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_REPORT)->report =
@@ -117,27 +120,27 @@
 void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now,
 			      struct command_list *out)
 {
-	int server_index = names_find(&router->server_names, report->server);
+	int server_index = names_find(&router->names.servers, report->server);
 
-	if (server_index < 0 || !router->server_table ||
-	    (uint32_t)server_index >= router->server_table->server_count ||
-	    !router->server_table->servers[server_index].is_configured)
+	if (server_index < 0 || !router->config.server_table ||
+	    (uint32_t)server_index >= router->config.server_table->server_count ||
+	    !router->config.server_table->servers[server_index].is_configured)
 		return;
-	router->servers[server_index].relayed_at_ms = now;
-	router->servers[server_index].poll_sequence++;
+	router->servers.states[server_index].relayed_at_ms = now;
+	router->servers.states[server_index].poll_sequence++;
 	router_on_report(router, (uint32_t)server_index,
 			 apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
 
 void router_poll_reports(struct router *router, int64_t now, struct command_list *out)
 {
-	const struct server_table *servers = router->server_table;
+	const struct server_table *servers = router->config.server_table;
 
 	for (uint32_t s = 0; servers && s < servers->server_count; s++) {
-		struct router_server_state *server = &router->servers[s];
+		struct router_server_state *server = &router->servers.states[s];
 		struct command *command;
 
-		if (!router->server_table->servers[s].is_configured ||
+		if (!router->config.server_table->servers[s].is_configured ||
 		    now - server->polled_at_ms < ROUTER_REPORT_POLL_INTERVAL_MS ||
 		    now - server->relayed_at_ms < ROUTER_RELAYED_REPORT_VALID_MS)
 			continue;
@@ -151,7 +154,8 @@
 		router->stats.report_polls++;
 		command = command_add(out, CMD_CALL);
 		command->args.call.token = server->poll_token;
-		command->args.call.addr = apr_pstrdup(out->pool, router->server_table->servers[s].addr);
+		command->args.call.addr =
+		    apr_pstrdup(out->pool, router->config.server_table->servers[s].addr);
 		command->args.call.path =
 		    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT,
 				 server->report_serial, server->boot_id);
@@ -177,17 +181,17 @@
 		return 0;
 	switch (purge->reason) {
 	case PURGE_WEIGHTS:
-		return !strcmp(router->service_names.names[replica->service_index], purge->service) &&
-		       !strcmp(router->weights_names.names[replica->weights_hash], purge->weights);
+		return !strcmp(router->names.services.names[replica->service_index], purge->service) &&
+		       !strcmp(router->names.weights.names[replica->weights_hash], purge->weights);
 	case PURGE_CONTEXT: /* what is forwarded is filed under another name from now on; its old names go as
 			       servers say */
-		return !router->bounds.discover_instances &&
+		return !router->config.bounds.discover_instances &&
 		       !router_retains(router, replica->service_index, replica->tenant_index, id,
 				       replica->stamp_tick);
 	case PURGE_TENANT:
-		return !strcmp(router->tenant_names.names[replica->tenant_index], purge->tenant);
+		return !strcmp(router->names.tenants.names[replica->tenant_index], purge->tenant);
 	default:
-		return !strcmp(router->server_names.names[replica->server_index], purge->server);
+		return !strcmp(router->names.servers.names[replica->server_index], purge->server);
 	}
 }
 
@@ -196,11 +200,11 @@
 	struct purge_match withdrawn = { ctx, value };
 
 	if (value->purge && value->purge->reason == PURGE_TENANT &&
-	    value->tick > withdrawn.router->isolation_tick)
-		withdrawn.router->isolation_tick = value->tick;
+	    value->tick > withdrawn.router->cache.isolation_tick)
+		withdrawn.router->cache.isolation_tick = value->tick;
 	if (value->purge && value->purge->reason == PURGE_CONTEXT)
-		router_on_context_purge(withdrawn.router, value, withdrawn.router->now);
-	prefix_index_remove_if(&withdrawn.router->prefix_index, is_purged, &withdrawn);
+		router_on_context_purge(withdrawn.router, value, withdrawn.router->clock.now);
+	prefix_index_remove_if(&withdrawn.router->cache.index, is_purged, &withdrawn);
 }
 
 /* ---- watches of kept parts ---------------------------------------------------------------------- */
@@ -210,24 +214,24 @@
  */
 static int max_full_watches(const struct router *router)
 {
-	int64_t room = (int64_t)router->bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
+	int64_t room = (int64_t)router->config.bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
 
-	if (!router->bounds.link_kbps)
+	if (!router->config.bounds.link_kbps)
 		return INT_MAX;
-	return 1 + (int)(room / (int64_t)(router->average_full_watch_bytes + 1));
+	return 1 + (int)(room / (int64_t)(router->cache.average_full_watch_bytes + 1));
 }
 
 static void watch_server(struct router *router, uint32_t server_index, int64_t now, struct command_list *out)
 {
-	struct router_server_state *server = &router->servers[server_index];
+	struct router_server_state *server = &router->servers.states[server_index];
 	struct command *command = command_add(out, CMD_WATCH_CACHE);
 
 	server->watch_token = router_token_new(router);
 	server->watched_at_ms = now;
 	router->stats.watches++;
 	command->args.watch_cache.token = server->watch_token;
-	command->args.watch_cache.addr = router->server_table->servers[server_index].packed_addr;
-	command->args.watch_cache.server = router->server_names.names[server_index];
+	command->args.watch_cache.addr = router->config.server_table->servers[server_index].packed_addr;
+	command->args.watch_cache.server = router->names.servers.names[server_index];
 	command->args.watch_cache.since = server->next_cache_event;
 	command->args.watch_cache.wait_ms = ROUTER_CACHE_WATCH_WAIT_MS;
 	command->args.watch_cache.full = server->watch_is_full =
@@ -237,16 +241,16 @@
 /* The head of a zone's relays watches each server for its zone; what it hears goes down the way purges go. */
 void router_watch_caches(struct router *router, int64_t now, struct command_list *out)
 {
-	const struct server_table *servers = router->server_table;
+	const struct server_table *servers = router->config.server_table;
 	int first = 0, most = max_full_watches(router);
 
-	if (!servers || router->is_stopping || router->config_watch.upstream_count ||
-	    config_watch_age_ms(&router->config_watch, now) > router_max_staleness_ms(router))
+	if (!servers || router->shutdown.in_progress || router->config.watch.upstream_count ||
+	    config_watch_age_ms(&router->config.watch, now) > router_max_staleness_ms(router))
 		return;
 	for (uint32_t s = 0; s < servers->server_count; s++)
-		first += router->servers[s].watch_token && !router->servers[s].next_cache_event;
+		first += router->servers.states[s].watch_token && !router->servers.states[s].next_cache_event;
 	for (uint32_t s = 0; s < servers->server_count; s++) {
-		const struct router_server_state *server = &router->servers[s];
+		const struct router_server_state *server = &router->servers.states[s];
 
 		if (!servers->servers[s].is_configured || servers->servers[s].draining ||
 		    server->watch_token || now - server->watched_at_ms < ROUTER_CACHE_WATCH_INTERVAL_MS ||
@@ -262,55 +266,59 @@
 {
 	double bytes = ROUTER_CACHE_EVENT_BYTES * (double)update->n_events;
 
-	router->average_full_watch_bytes += (bytes - router->average_full_watch_bytes) / 4;
+	router->cache.average_full_watch_bytes += (bytes - router->cache.average_full_watch_bytes) / 4;
 }
 
 static void block_added(struct router *router, uint32_t server, uint64_t key, uint64_t namespace_key)
 {
 	struct block_replica copy = { server,
 				      0,
-				      router->server_table->servers[server].service_index,
-				      router->servers[server].weights,
+				      router->config.server_table->servers[server].service_index,
+				      router->servers.states[server].weights,
 				      0,
 				      namespace_key };
 
 	router->stats.events++;
-	if (router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS)
-		prefix_index_put(&router->prefix_index, key, &copy);
+	if (router->cache.index.replica_count < ROUTER_MAX_INDEXED_REPLICAS)
+		prefix_index_put(&router->cache.index, key, &copy);
 }
 
 static void block_removed(struct router *router, uint32_t server, uint64_t key)
 {
 	router->stats.events++;
-	prefix_index_remove(&router->prefix_index, key, server);
+	prefix_index_remove(&router->cache.index, key, server);
 }
 
 /* Of one server: what it keeps now, and no longer. Events that were missed make all that is known of it
  * doubtful. */
 void router_on_cache_update(struct router *router, const struct Nl__CacheUpdate *update, int64_t now)
 {
-	int server_index = names_find(&router->server_names, update->server);
+	int server_index = names_find(&router->names.servers, update->server);
 	struct router_server_state *server;
 
-	if (server_index < 0 || !router->server_table ||
-	    (uint32_t)server_index >= router->server_table->server_count ||
-	    !router->server_table->servers[server_index].is_configured)
+	if (server_index < 0 || !router->config.server_table ||
+	    (uint32_t)server_index >= router->config.server_table->server_count ||
+	    !router->config.server_table->servers[server_index].is_configured)
 		return;
-	server = &router->servers[server_index];
+	server = &router->servers.states[server_index];
 	server->cache_update_at_ms = now;
 	if (update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch))
-		prefix_index_remove_unreported(&router->prefix_index, (uint32_t)server_index, UINT64_MAX);
+		prefix_index_remove_unreported(&router->cache.index, (uint32_t)server_index, UINT64_MAX);
 	server->cache_epoch = update->epoch;
 	if (!update->n_present || update->next_offset > server->next_cache_event)
 		server->next_cache_event = update->next_offset;
 	for (size_t i = 0;
-	     i < update->n_present && router->prefix_index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
+	     i < update->n_present && router->cache.index.replica_count < ROUTER_MAX_INDEXED_REPLICAS; i++) {
 		struct block_replica replica = {
-			(uint32_t)server_index, 0, router->server_table->servers[server_index].service_index,
-			server->weights,        0, 0
+			(uint32_t)server_index,
+			0,
+			router->config.server_table->servers[server_index].service_index,
+			server->weights,
+			0,
+			0
 		};
 
-		prefix_index_put(&router->prefix_index, update->present[i], &replica);
+		prefix_index_put(&router->cache.index, update->present[i], &replica);
 	}
 	for (size_t i = 0; i < update->n_events; i++) {
 		uint64_t key = router_block_key(core_hash_string(0, update->events[i]->cache_namespace),
@@ -333,8 +341,9 @@
 			     int status, int64_t now)
 {
 	for (uint32_t server_index = 0;
-	     router->server_table && server_index < router->server_table->server_count; server_index++) {
-		struct router_server_state *server = &router->servers[server_index];
+	     router->config.server_table && server_index < router->config.server_table->server_count;
+	     server_index++) {
+		struct router_server_state *server = &router->servers.states[server_index];
 
 		if (server->watch_token != token)
 			continue;
@@ -361,7 +370,7 @@
  * 16 routers */
 int router_scaled_interval_ms(const struct router *router, int ms)
 {
-	return router->config_watch.router_count <= 16   ? ms
-	       : router->config_watch.router_count >= 64 ? 4 * ms
-							 : ms * (int)router->config_watch.router_count / 16;
+	return router->config.watch.router_count <= 16   ? ms
+	       : router->config.watch.router_count >= 64 ? 4 * ms
+							 : ms * (int)router->config.watch.router_count / 16;
 }
--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -124,7 +124,7 @@
 uint64_t router_match_key(const char *host, const char *path, size_t path_length);
 struct server_table *router_server_table_new(struct router *router, int64_t now);
 void router_server_table_free(struct server_table *servers);
-void router_names_clear(struct row_index *names);
+void router_names_clear(struct name_table *names);
 void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant, uint32_t *share,
 		     uint32_t *limit);
 /* router_outcome.c */
@@ -181,9 +181,9 @@
 void router_claim_send(struct router *router, struct client_request *request, int64_t now,
 		       struct command_list *out);
 const char *router_error_body(apr_pool_t *pool, const char *reason, const char *outcome);
-double router_expected_wait_ms(const struct line *queue, uint32_t i, int64_t now);
+double router_expected_wait_ms(const struct request_queue *queue, uint32_t i, int64_t now);
 uint32_t router_reserved_slots(const struct router *router, const char *name);
-struct line *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant);
+struct request_queue *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant);
 int router_retry_fast_ms(struct router *router, int ms);
 int router_retry_after_ms(struct router *router, double ms);
 int router_max_staleness_ms(const struct router *router);
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -83,19 +83,19 @@
 
 	head(text, "decisions_total", "counter",
 	     "Sends to servers, by route and by why the server was chosen.");
-	for (ptrdiff_t l = 0; l < arrlen(router->decision_counts); l++)
-		for (int i = 0; router->decision_counts[l] && i < DECISION_REASONS; i++)
+	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
+		for (int i = 0; router->records.decision_counts[l] && i < DECISION_REASONS; i++)
 			line(text, "notchlug_decisions_total{route=\"%s\",reason=\"%s\"} %" PRIu64,
-			     label(router->route_names.names[l], route, sizeof route), reason_name[i],
-			     router->decision_counts[l]->decisions[i]);
+			     label(router->names.routes.names[l], route, sizeof route), reason_name[i],
+			     router->records.decision_counts[l]->decisions[i]);
 	head(text, "decision_facts_total", "counter",
 	     "Of those: to older weights, with an answered or a missed lookup, ended without a first piece.");
-	for (ptrdiff_t l = 0; l < arrlen(router->decision_counts); l++) {
-		const struct decision_counts *counts = router->decision_counts[l];
+	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
+		const struct decision_counts *counts = router->records.decision_counts[l];
 
 		if (!counts)
 			continue;
-		label(router->route_names.names[l], route, sizeof route);
+		label(router->names.routes.names[l], route, sizeof route);
 		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"older_weights\"} %" PRIu64,
 		     route, counts->older_weights);
 		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"looked_up\"} %" PRIu64, route,
@@ -108,12 +108,12 @@
 	head(
 	    text, "prompt_tokens_total", "counter",
 	    "Prompt tokens as decided: kept at the server, fetched, read there, and of those read the shared ones.");
-	for (ptrdiff_t l = 0; l < arrlen(router->decision_counts); l++) {
-		const struct decision_counts *counts = router->decision_counts[l];
+	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
+		const struct decision_counts *counts = router->records.decision_counts[l];
 
 		if (!counts)
 			continue;
-		label(router->route_names.names[l], route, sizeof route);
+		label(router->names.routes.names[l], route, sizeof route);
 		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"kept\"} %" PRIu64, route,
 		     counts->cached_tokens);
 		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"fetched\"} %" PRIu64, route,
@@ -144,12 +144,12 @@
 
 	for (size_t i = 0; i < sizeof histograms / sizeof *histograms; i++) {
 		head(text, histograms[i].name, "histogram", histograms[i].help);
-		for (ptrdiff_t l = 0; l < arrlen(router->decision_counts); l++)
-			if (router->decision_counts[l])
+		for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
+			if (router->records.decision_counts[l])
 				histogram(text, histograms[i].name,
-					  label(router->route_names.names[l], route, sizeof route),
-					  (const struct decision_histogram *)((const char *)
-										  router->decision_counts[l] +
+					  label(router->names.routes.names[l], route, sizeof route),
+					  (const struct decision_histogram *)((const char *)router->records
+										  .decision_counts[l] +
 									      histograms[i].offset));
 	}
 }
@@ -164,23 +164,24 @@
 {
 	uint32_t waiting = 0, sending = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
-		waiting += router->queues[i].length;
-	for (uint32_t s = 0; router->server_table && s < router->server_table->server_count; s++) {
-		sending += (uint32_t)router->servers[s].own_running;
+	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
+		waiting += router->queueing.queues[i].length;
+	for (uint32_t s = 0; router->config.server_table && s < router->config.server_table->server_count;
+	     s++) {
+		sending += (uint32_t)router->servers.states[s].own_running;
 	}
 	value(t, "waiting_requests", "gauge", "Requests that wait in this router.", waiting);
 	value(t, "running_requests", "gauge", "Requests that this router has at servers.", sending);
 	value(t, "index_copies", "gauge", "Copies of prompt parts in the index.",
-	      (double)router->prefix_index.replica_count);
+	      (double)router->cache.index.replica_count);
 	value(t, "index_untold_servers", "gauge", "Servers whose news this head of a zone has yet to tell.",
 	      (double)arrlen(router->feed.queue));
 	value(t, "purge_age_ms", "gauge", "Age of what is known of purges.",
 	      (double)(now - router->relay.known_at_ms));
 	value(t, "config_age_ms", "gauge", "Age of the configuration.",
-	      (double)config_watch_age_ms(&router->config_watch, now));
+	      (double)config_watch_age_ms(&router->config.watch, now));
 	value(t, "load_age_ms", "gauge", "Age of what is known of others' load.",
-	      (double)(now - router->others_load_at_ms));
+	      (double)(now - router->load.others_at_ms));
 	value(t, "lookup_ms", "gauge", "What a lookup of a prefix takes, smoothed.",
 	      router->lookup.round_trip_ms);
 	value(t, "lookups_missed_total", "counter", "Lookups that were not answered in time.",
@@ -193,7 +194,7 @@
 	head(t, "mechanism_on", "gauge", "Whether a mechanism is in use; an experiment may switch one off.");
 	for (int m = 0; m < MECHANISMS; m++)
 		line(t, "notchlug_mechanism_on{name=\"%s\"} %d", mechanism_info[m].name,
-		     mechanism_on(router->bounds.disabled_mechanisms, (enum mechanism)m));
+		     mechanism_on(router->config.bounds.disabled_mechanisms, (enum mechanism)m));
 }
 
 const char *router_metrics(const struct router *router, int64_t now, apr_pool_t *pool)
@@ -227,9 +228,9 @@
 /* Totals of one route since this process began, as words and numbers in turn. */
 static void log_route(struct router *router, ptrdiff_t route_index)
 {
-	const struct decision_counts *counts = router->decision_counts[route_index];
+	const struct decision_counts *counts = router->records.decision_counts[route_index];
 	char line[700];
-	int length = snprintf(line, sizeof line, "route %.60s", router->route_names.names[route_index]);
+	int length = snprintf(line, sizeof line, "route %.60s", router->names.routes.names[route_index]);
 
 	for (int i = 0; i < DECISION_REASONS; i++)
 		length += snprintf(line + length, sizeof line - (size_t)length, " %s %" PRIu64,
@@ -248,11 +249,11 @@
 
 void router_log_decisions(struct router *router, int64_t now)
 {
-	if (!router->bounds.experiments || !router->log ||
-	    now - router->decisions_logged_at_ms < ROUTER_DECISIONS_LOG_INTERVAL_MS)
+	if (!router->config.bounds.experiments || !router->log ||
+	    now - router->records.decisions_logged_at_ms < ROUTER_DECISIONS_LOG_INTERVAL_MS)
 		return;
-	router->decisions_logged_at_ms = now;
-	for (ptrdiff_t l = 0; l < arrlen(router->decision_counts); l++)
-		if (router->decision_counts[l])
+	router->records.decisions_logged_at_ms = now;
+	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
+		if (router->records.decision_counts[l])
 			log_route(router, l);
 }
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -20,16 +20,16 @@
 
 struct client_request *router_request_by_token(struct router *router, uint64_t token)
 {
-	ptrdiff_t i = router->requests_by_token ? hmgeti(router->requests_by_token, token) : -1;
+	ptrdiff_t i = router->requests.by_token ? hmgeti(router->requests.by_token, token) : -1;
 
-	return i < 0 ? NULL : router->requests_by_token[i].value;
+	return i < 0 ? NULL : router->requests.by_token[i].value;
 }
 
 void router_request_add(struct router *router, struct client_request *request)
 {
-	request->request_index = (int)arrlen(router->requests);
-	arrput(router->requests, request);
-	hmput(router->requests_by_token, request->token, request);
+	request->list_index = (int)arrlen(router->requests.all);
+	arrput(router->requests.all, request);
+	hmput(router->requests.by_token, request->client.token, request);
 }
 
 /* Take a request out of everything; what its client hears has been said before. */
@@ -39,37 +39,38 @@
 		router_queue_remove(router, request);
 	} else {
 		router_quota_release(router, request);
-		if (request->server_index >= 0) {
-			router->servers[request->server_index].own_running--;
-			router->servers[request->server_index].prefill_tokens -= request->prefill_tokens;
+		if (request->attempt.server_index >= 0) {
+			router->servers.states[request->attempt.server_index].own_running--;
+			router->servers.states[request->attempt.server_index].prefill_tokens -=
+			    request->attempt.prefill_tokens;
 			if (request->is_forwarded && request->state == REQUEST_RUNNING)
-				router->servers[request->server_index].resident_tokens -=
-				    request->uncached_tokens;
+				router->servers.states[request->attempt.server_index].resident_tokens -=
+				    request->attempt.uncached_tokens;
 		}
 	}
-	if (request->retry_reserved)
-		router->retry_budget[request->service_index] +=
+	if (request->retry.budget_reserved)
+		router->quota.retry_budget[request->route.service_index] +=
 		    ROUTER_RETRY_COST_MILLI; /* never sent again */
-	(void)hmdel(router->requests_by_token, request->token);
-	if (request->claim_token)
-		(void)hmdel(router->requests_by_token, request->claim_token);
-	if (request->call_token)
-		(void)hmdel(router->requests_by_token, request->call_token);
-	arrdelswap(router->requests, request->request_index);
-	if (request->request_index < arrlen(router->requests))
-		router->requests[request->request_index]->request_index = request->request_index;
+	(void)hmdel(router->requests.by_token, request->client.token);
+	if (request->claim.token)
+		(void)hmdel(router->requests.by_token, request->claim.token);
+	if (request->attempt.call_token)
+		(void)hmdel(router->requests.by_token, request->attempt.call_token);
+	arrdelswap(router->requests.all, request->list_index);
+	if (request->list_index < arrlen(router->requests.all))
+		router->requests.all[request->list_index]->list_index = request->list_index;
 	apr_pool_destroy(request->pool);
 }
 
 void router_requests_discard(struct router *router)
 {
-	while (arrlen(router->requests))
-		request_drop(router, router->requests[0]);
+	while (arrlen(router->requests.all))
+		request_drop(router, router->requests.all[0]);
 }
 
 int router_balanced(const struct router *router)
 {
-	uint64_t sum = (uint64_t)arrlen(router->requests);
+	uint64_t sum = (uint64_t)arrlen(router->requests.all);
 
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
 		sum += router->stats.outcomes[i];
@@ -79,7 +80,7 @@
 /* A server may have begun on it, or its client has a part of an answer: no promise holds any more. */
 static int may_have_run(const struct client_request *request)
 {
-	return request->state == REQUEST_RUNNING || request->has_begun || request->may_have_run;
+	return request->state == REQUEST_RUNNING || request->stream.has_begun || request->retry.may_have_run;
 }
 
 /* Statuses that promise that the request never ran and never will. */
@@ -116,17 +117,17 @@
 {
 	const char *body = router_error_body(out->pool, ending->reason, "unknown");
 
-	if (request->has_begun)
-		end_stream(request->token, body, 0, out);
+	if (request->stream.has_begun)
+		end_stream(request->client.token, body, 0, out);
 	else
-		command_answer(out, request->token,
+		command_answer(out, request->client.token,
 			       is_promise(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0, body);
 }
 
 static void cancel_call(const struct client_request *request, struct command_list *out)
 {
-	if (request->state == REQUEST_RUNNING && request->call_token)
-		command_add(out, CMD_CANCEL)->args.cancel.token = request->call_token;
+	if (request->state == REQUEST_RUNNING && request->attempt.call_token)
+		command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
 }
 
 void router_request_end(struct router *router, struct client_request *request,
@@ -137,19 +138,19 @@
 	if ((outcome == REQUEST_REFUSED || outcome == REQUEST_REJECTED) && may_have_run(request))
 		outcome = REQUEST_BROKEN_OFF;
 	/* the id may be used again, unless it is another asking's or may have run */
-	if (request->claim_token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED &&
+	if (request->claim.token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED &&
 	    !may_have_run(request))
 		router_claim_release(router, request, now, out);
 	switch (outcome) {
 	case REQUEST_ANSWERED: /* the text of a forwarded one has gone by the door */
 		if (!request->is_forwarded)
-			end_stream(request->token, ending->reason, 1, out);
+			end_stream(request->client.token, ending->reason, 1, out);
 		router_usage_of(router, request)->value.requests++;
-		router_usage_of(router, request)->value.chunks += request->next_chunk;
+		router_usage_of(router, request)->value.chunks += request->stream.next_chunk;
 		break;
 	case REQUEST_REFUSED:
 	case REQUEST_REJECTED:
-		send_refusal(request->token, ending, out);
+		send_refusal(request->client.token, ending, out);
 		break;
 	case REQUEST_BROKEN_OFF:
 		cancel_call(request, out);
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -17,17 +17,17 @@
 const char *router_cache_namespace(struct router *router, const struct client_request *request,
 				   uint32_t weights, apr_pool_t *pool)
 {
-	const struct route_table *routes = router->route_table;
-	uint32_t service = request->service_index, tenant = request->tenant_index;
-	const char *weights_name = router->weights_names.names[weights], *name;
+	const struct route_table *routes = router->config.route_table;
+	uint32_t service = request->route.service_index, tenant = request->route.tenant_index;
+	const char *weights_name = router->names.weights.names[weights], *name;
 	uint64_t namespace_key = router_namespace_key(router, request);
 	uint64_t cut = purge_view_tick(&router->relay.view, PURGE_WEIGHTS,
-				       router->service_names.names[service], weights_name);
-	uint64_t age = core_rendezvous_weight(routes->isolation_hash ^ router->isolation_tick, cut);
+				       router->names.services.names[service], weights_name);
+	uint64_t age = core_rendezvous_weight(routes->isolation_hash ^ router->cache.isolation_tick, cut);
 
 	name = apr_psprintf(pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name, age & 0xffffffff,
 			    routes->tenants[tenant].isolated ? "-" : "",
-			    routes->tenants[tenant].isolated ? router->tenant_names.names[tenant] : "");
+			    routes->tenants[tenant].isolated ? router->names.tenants.names[tenant] : "");
 	return namespace_key ? apr_psprintf(pool, "%s~%016" APR_UINT64_T_HEX_FMT, name, namespace_key) : name;
 }
 
@@ -39,26 +39,27 @@
 /* The part that a request shares with others: the last one is its own. */
 uint64_t router_home_block(const struct client_request *request)
 {
-	return request->block_count > 1 ? request->block_hash[request->block_count - 2]
-	       : request->block_count   ? request->block_hash[0]
-					: request->seq;
+	return request->prompt.block_count > 1 ? request->prompt.block_hash[request->prompt.block_count - 2]
+	       : request->prompt.block_count   ? request->prompt.block_hash[0]
+					       : request->sequence;
 }
 
 static int shared_block_count(const struct client_request *request)
 {
-	return request->block_count > 1 ? request->block_count - 1 : request->block_count;
+	return request->prompt.block_count > 1 ? request->prompt.block_count - 1
+					       : request->prompt.block_count;
 }
 
 /* The store that a prefix is left at, if any: of several always the same. -1: there is none. */
 int router_store_of(const struct router *router, const struct client_request *request)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 
-	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_OFFLOAD_STORE))
+	if (!mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_OFFLOAD_STORE))
 		return -1;
 	return routes->store_count ? routes->stores[core_rendezvous_weight(61, router_home_block(request)) %
 						    routes->store_count]
-				   : routes->services[request->service_index].store_server;
+				   : routes->services[request->route.service_index].store_server;
 }
 
 enum { ALTERNATIVES = 3 };
@@ -86,10 +87,10 @@
 static int is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
 		   int64_t now)
 {
-	const struct server_config *server = &router->server_table->servers[server_index];
+	const struct server_config *server = &router->config.server_table->servers[server_index];
 
 	return server->is_configured && !server->is_store &&
-	       server->service_index == request->service_index &&
+	       server->service_index == request->route.service_index &&
 	       !router_avoids_server(request, server_index, now) &&
 	       router_server_is_serving(router, server_index, now);
 }
@@ -101,29 +102,30 @@
  * weights go first, since what is read there is of use when the others have them too. -1: none stands. */
 static int home_server(struct router *router, const struct client_request *request, int64_t now)
 {
-	uint32_t newest = router->route_table->services[request->service_index].target_weights;
-	uint64_t block = mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_HOMES)
+	uint32_t newest = router->config.route_table->services[request->route.service_index].target_weights;
+	uint64_t block = mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_HOMES)
 			     ? router_home_block(request)
-			     : core_hash_string(67, request->id);
+			     : core_hash_string(67, request->client.request_id);
 	uint64_t first_weight = 0, best_weight = 0;
 	int home = -1, is_target = -1, best = -1;
 
-	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
-		const struct server_config *config = &router->server_table->servers[s];
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
+		const struct server_config *config = &router->config.server_table->servers[s];
 		uint64_t weight;
 		int on_target;
 
 		if (!config->is_configured || config->is_store || config->draining ||
-		    config->service_index != request->service_index || router_avoids_server(request, s, now))
+		    config->service_index != request->route.service_index ||
+		    router_avoids_server(request, s, now))
 			continue;
-		weight = core_rendezvous_weight(block, router->server_hashes[s]);
+		weight = core_rendezvous_weight(block, router->servers.hashes[s]);
 		if (best < 0 || weight > first_weight) {
 			best = (int)s;
 			first_weight = weight;
 		}
 		if (!router_server_is_serving(router, s, now))
 			continue;
-		on_target = router->servers[s].weights == newest;
+		on_target = router->servers.states[s].weights == newest;
 		if (home < 0 || on_target > is_target || (on_target == is_target && weight > best_weight)) {
 			home = (int)s;
 			is_target = on_target;
@@ -137,16 +139,16 @@
  * or more; if each took the idlest of all, they would take the same one together. */
 static void find_choices(const struct router *router, struct placement *placement)
 {
-	uint64_t top[ALTERNATIVES] = { 0 }, id = core_hash_string(53, placement->request->id);
+	uint64_t top[ALTERNATIVES] = { 0 }, id = core_hash_string(53, placement->request->client.request_id);
 
 	for (int k = 0; k < ALTERNATIVES; k++)
 		placement->alternatives[k] = -1;
-	for (uint32_t s = 0; s < router->server_table->server_count; s++) {
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		uint64_t w;
 
 		if (!is_open(router, placement->request, s, placement->now))
 			continue;
-		w = core_rendezvous_weight(id, router->server_hashes[s]);
+		w = core_rendezvous_weight(id, router->servers.hashes[s]);
 		for (int k = 0; k < ALTERNATIVES; k++)
 			if (placement->alternatives[k] < 0 || w > top[k]) {
 				for (int j = ALTERNATIVES - 1; j > k; j--) {
@@ -179,7 +181,7 @@
 
 static int is_candidate(const struct router *router, const struct placement *placement, uint32_t server_index)
 {
-	if (router->cached_depth[server_index] >= placement->shared_blocks ||
+	if (router->servers.cached_depth[server_index] >= placement->shared_blocks ||
 	    (int)server_index == placement->home_server)
 		return 1;
 	for (int k = 0; k < ALTERNATIVES; k++)
@@ -196,17 +198,19 @@
 {
 	int deep = -1;
 
-	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
-		const struct server_config *config = &router->server_table->servers[server_index];
+	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
+	     server_index++) {
+		const struct server_config *config = &router->config.server_table->servers[server_index];
 
-		if (!router->cached_depth[server_index] ||
-		    config->service_index != placement->request->service_index || config->is_store ||
-		    router->servers[server_index].weights != weights)
+		if (!router->servers.cached_depth[server_index] ||
+		    config->service_index != placement->request->route.service_index || config->is_store ||
+		    router->servers.states[server_index].weights != weights)
 			continue;
 		if (deep >= 0 &&
-		    (router->cached_depth[server_index] < router->cached_depth[deep] ||
-		     (router->cached_depth[server_index] == router->cached_depth[deep] &&
-		      router->servers[deep].own_running <= router->servers[server_index].own_running)))
+		    (router->servers.cached_depth[server_index] < router->servers.cached_depth[deep] ||
+		     (router->servers.cached_depth[server_index] == router->servers.cached_depth[deep] &&
+		      router->servers.states[deep].own_running <=
+			  router->servers.states[server_index].own_running)))
 			continue;
 		if (router_server_is_serving(router, server_index, placement->now))
 			deep = (int)server_index;
@@ -219,8 +223,8 @@
 static void find_sources(const struct router *router, struct placement *placement)
 {
 	int store_up = placement->store_server >= 0 &&
-		       (uint32_t)placement->store_server < router->server_table->server_count &&
-		       router->server_table->servers[placement->store_server].is_configured &&
+		       (uint32_t)placement->store_server < router->config.server_table->server_count &&
+		       router->config.server_table->servers[placement->store_server].is_configured &&
 		       router_server_is_serving(router, (uint32_t)placement->store_server, placement->now);
 
 	for (int k = 0; k < placement->generation_count; k++) {
@@ -228,10 +232,10 @@
 		int cached_at = deepest_cache_server(router, placement, generation->weights);
 
 		if (cached_at >= 0 &&
-		    (!store_up || router->cached_depth[cached_at] >= generation->store_depth ||
-		     router->cached_depth[cached_at] >= placement->shared_blocks)) {
+		    (!store_up || router->servers.cached_depth[cached_at] >= generation->store_depth ||
+		     router->servers.cached_depth[cached_at] >= placement->shared_blocks)) {
 			generation->fetch_source = cached_at;
-			generation->source_depth = router->cached_depth[cached_at];
+			generation->source_depth = router->servers.cached_depth[cached_at];
 		} else if (store_up && generation->store_depth) {
 			generation->fetch_source = placement->store_server;
 			generation->source_depth = generation->store_depth;
@@ -255,7 +259,8 @@
 			  double wait_ms)
 {
 	return placement->now + (int64_t)(2 * wait_ms) <
-	       router_weights_last_send(router, placement->request->service_index, weights, placement->now);
+	       router_weights_last_send(router, placement->request->route.service_index, weights,
+					placement->now);
 }
 
 /* Fetch what the server lacks of the prefix, where that is quicker than to read it. */
@@ -284,14 +289,14 @@
 {
 	const struct client_request *request = placement->request;
 	uint32_t server_index = (uint32_t)candidate->plan.server_index,
-		 weights = router->servers[server_index].weights;
+		 weights = router->servers.states[server_index].weights;
 	const struct generation *generation = generation_of(placement, weights);
 	int source = generation ? generation->fetch_source : -1,
 	    end = source >= 0 ? generation->source_depth : 0, cached_blocks = candidate->plan.cached_blocks;
 	int is_home = (int)server_index == placement->home_server;
 
 	if (source < 0 && placement->purge_view_current && !is_home &&
-	    router->servers[placement->home_server].weights == weights) {
+	    router->servers.states[placement->home_server].weights == weights) {
 		source = placement->home_server;
 		end = placement->shared_blocks; /* it has it, unless nobody asked there yet */
 	}
@@ -304,7 +309,7 @@
 		    placement->service->prefill_tokens_per_ms; /* others will have sent it here */
 	if (source >= 0 && source != (int)server_index && end > cached_blocks &&
 	    placement->service->link_bytes_per_ms &&
-	    mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_FETCH))
+	    mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_FETCH))
 		plan_fetch(router, placement, candidate, source, end);
 	candidate->plan.cost_ms =
 	    candidate->read_ms + router_load_ms(router, server_index, placement->service, placement->now);
@@ -328,14 +333,14 @@
 {
 	*placement = (struct placement){
 		.request = request,
-		.service = &router->route_table->services[request->service_index],
+		.service = &router->config.route_table->services[request->route.service_index],
 		.now = now,
 		.home_server = home_server(router, request, now),
 		.store_server = router_store_of(router, request),
 		.shared_blocks = shared_block_count(request),
 		.purge_view_current = relay_is_current(&router->relay, now),
-		.all_tokens =
-		    (double)(router_tokens_of_blocks(request, request->block_count) + request->tail_tokens),
+		.all_tokens = (double)(router_tokens_of_blocks(request, request->prompt.block_count) +
+				       request->prompt.tail_tokens),
 	};
 	if (placement->home_server < 0 || !placement->service->is_configured)
 		return 0;
@@ -368,9 +373,11 @@
 
 	if (!placement_begin(router, &placement, request, now))
 		return best;
-	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
+	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
+	     server_index++) {
 		struct candidate candidate = { .plan = { .server_index = (int)server_index,
-							 .cached_blocks = router->cached_depth[server_index],
+							 .cached_blocks =
+							     router->servers.cached_depth[server_index],
 							 .fetch_source = -1 } };
 
 		if (!is_open(router, request, server_index, now) ||
@@ -397,25 +404,25 @@
 {
 	int store = router_store_of(router, request), shared = shared_block_count(request);
 
-	if (store < 0 || (uint32_t)store >= router->server_table->server_count ||
-	    !router->server_table->servers[store].is_configured ||
+	if (store < 0 || (uint32_t)store >= router->config.server_table->server_count ||
+	    !router->config.server_table->servers[store].is_configured ||
 	    !router_server_is_serving(router, (uint32_t)store, now))
 		return 0;
 	if (router_link_wait_ms(router, (uint32_t)store, now) > ROUTER_OFFLOAD_MAX_LINK_WAIT_MS)
 		return 0;
 	/* its own part would go there too and push shared ones out: one that brings little of it will come */
-	if ((request->total_tokens - router_tokens_of_blocks(request, shared)) * 3ull >
+	if ((request->prompt.total_tokens - router_tokens_of_blocks(request, shared)) * 3ull >
 	    router_tokens_of_blocks(request, shared))
 		return 0;
 	for (int i = 0; i < shared; i++) {
 		struct block_replica *replica = prefix_index_find(
-		    &router->prefix_index, router_block_key(cache_namespace, request->block_hash[i]));
+		    &router->cache.index, router_block_key(cache_namespace, request->prompt.block_hash[i]));
 		int there = 0;
 
 		for (ptrdiff_t k = 0; k < arrlen(replica) && !there; k++)
 			there = replica[k].server_index == (uint32_t)store;
 		if (!there)
-			return router->server_table->servers[store].packed_addr;
+			return router->config.server_table->servers[store].packed_addr;
 	}
 	return 0;
 }
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -28,21 +28,23 @@
 {
 	int n = 0;
 
-	for (uint32_t server_index = 0; server_index < router->server_table->server_count; server_index++) {
-		const struct server_config *server = &router->server_table->servers[server_index];
+	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
+	     server_index++) {
+		const struct server_config *server = &router->config.server_table->servers[server_index];
 		int k = 0;
 
 		if (!server->is_configured || server->is_store ||
-		    server->service_index != request->service_index)
+		    server->service_index != request->route.service_index)
 			continue;
-		while (k < n && generations[k].weights != router->servers[server_index].weights)
+		while (k < n && generations[k].weights != router->servers.states[server_index].weights)
 			k++;
 		if (k < n || n == MAX_GENERATIONS)
 			continue;
 		generations[n++] = (struct generation){
-			.weights = router->servers[server_index].weights,
+			.weights = router->servers.states[server_index].weights,
 			.cache_namespace = core_hash_string(
-			    0, router_cache_namespace(router, request, router->servers[server_index].weights,
+			    0, router_cache_namespace(router, request,
+						      router->servers.states[server_index].weights,
 						      router->scratch_pool)),
 			.fetch_source = -1,
 		};
@@ -62,15 +64,16 @@
 
 	for (int i = 0; i < block_count; i++) {
 		struct block_replica *replica =
-		    prefix_index_find(&router->prefix_index, router_block_key(cache_namespace, blocks[i]));
+		    prefix_index_find(&router->cache.index, router_block_key(cache_namespace, blocks[i]));
 
 		for (ptrdiff_t k = 0; k < arrlen(replica); k++) {
 			uint32_t s = replica[k].server_index;
 
 			if ((int)s == store)
 				store_depth = store_depth == i ? i + 1 : store_depth;
-			else if (s < (uint32_t)arrlen(router->cached_depth) && router->cached_depth[s] == i)
-				router->cached_depth[s] = i + 1;
+			else if (s < (uint32_t)arrlen(router->servers.cached_depth) &&
+				 router->servers.cached_depth[s] == i)
+				router->servers.cached_depth[s] = i + 1;
 		}
 		if (!replica)
 			break;
@@ -80,11 +83,11 @@
 
 static void depths_clear(struct router *router)
 {
-	uint32_t n = router->server_table->server_count;
+	uint32_t n = router->config.server_table->server_count;
 
-	arrsetlen(router->cached_depth, n);
+	arrsetlen(router->servers.cached_depth, n);
 	if (n)
-		memset(router->cached_depth, 0, n * sizeof *router->cached_depth);
+		memset(router->servers.cached_depth, 0, n * sizeof *router->servers.cached_depth);
 }
 
 /* What an answer has said, as far as the servers it names still have the weights. */
@@ -93,16 +96,16 @@
 {
 	int store_depth = 0;
 
-	for (int i = 0; i < request->cached_prefix_count; i++) {
-		const struct cached_prefix *prefix_holder = &request->cached_prefixes[i];
+	for (int i = 0; i < request->lookup.prefix_count; i++) {
+		const struct cached_prefix *prefix_holder = &request->lookup.prefixes[i];
 
 		if (prefix_holder->cache_namespace != generation->cache_namespace ||
-		    prefix_holder->server_index >= router->server_table->server_count)
+		    prefix_holder->server_index >= router->config.server_table->server_count)
 			continue;
 		if ((int)prefix_holder->server_index == store)
 			store_depth = (int)prefix_holder->depth;
-		else if (router->servers[prefix_holder->server_index].weights == generation->weights)
-			router->cached_depth[prefix_holder->server_index] = (int)prefix_holder->depth;
+		else if (router->servers.states[prefix_holder->server_index].weights == generation->weights)
+			router->servers.cached_depth[prefix_holder->server_index] = (int)prefix_holder->depth;
 	}
 	return store_depth;
 }
@@ -111,17 +114,18 @@
 static int own_depths(struct router *router, const struct client_request *request,
 		      const struct generation *generation, int store)
 {
-	int *before = router->cached_depth, store_depth;
+	int *before = router->servers.cached_depth, store_depth;
 
-	router->cached_depth = NULL;
+	router->servers.cached_depth = NULL;
 	depths_clear(router);
-	store_depth = index_depths(router, generation->cache_namespace, request->block_hash,
-				   request->block_count, store);
-	for (ptrdiff_t s = 0; s < arrlen(router->cached_depth); s++)
-		if (router->cached_depth[s] && router->servers[s].weights == generation->weights)
-			before[s] = router->cached_depth[s];
-	arrfree(router->cached_depth);
-	router->cached_depth = before;
+	store_depth = index_depths(router, generation->cache_namespace, request->prompt.block_hash,
+				   request->prompt.block_count, store);
+	for (ptrdiff_t s = 0; s < arrlen(router->servers.cached_depth); s++)
+		if (router->servers.cached_depth[s] &&
+		    router->servers.states[s].weights == generation->weights)
+			before[s] = router->servers.cached_depth[s];
+	arrfree(router->servers.cached_depth);
+	router->servers.cached_depth = before;
 	return store_depth;
 }
 
@@ -132,7 +136,7 @@
 	for (int k = 0; k < generation_count; k++) {
 		struct generation *generation = &generations[k];
 
-		generation->store_depth = request->lookup_state == LOOKUP_ANSWERED
+		generation->store_depth = request->lookup.state == LOOKUP_ANSWERED
 					      ? answered_depths(router, request, generation, store)
 					      : own_depths(router, request, generation, store);
 	}
@@ -163,7 +167,7 @@
 
 	lookup->servers = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->servers);
 	for (int i = 0; i < count; i++)
-		lookup->servers[lookup->n_servers++] = router->server_hashes[server[i]];
+		lookup->servers[lookup->n_servers++] = router->servers.hashes[server[i]];
 }
 
 void router_lookup_send(struct router *router, struct client_request *request, int64_t now,
@@ -173,41 +177,43 @@
 	struct Nl__PrefixLookup *lookup;
 	int silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES, n;
 
-	if (!mechanism_on(router->bounds.disabled_mechanisms, MECHANISM_LOOKUP) ||
-	    !router->config_watch.upstream_count || !request->block_count || !router->server_table ||
-	    !relay_is_current(&router->relay, now) || (silent && now < router->lookup.next_probe_at_ms))
+	if (!mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_LOOKUP) ||
+	    !router->config.watch.upstream_count || !request->prompt.block_count ||
+	    !router->config.server_table || !relay_is_current(&router->relay, now) ||
+	    (silent && now < router->lookup.next_probe_at_ms))
 		return;
 	n = router_generations(router, request, generations);
 	if (!n)
 		return;
 	lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
-	lookup->token = request->seq;
+	lookup->token = request->sequence;
 	for (int k = 0; k < n; k++)
-		request->lookup_namespaces[k] = generations[k].cache_namespace;
-	request->lookup_namespace_count = n;
-	lookup->cache_namespaces = apr_pmemdup(out->pool, request->lookup_namespaces,
-					       (size_t)n * sizeof *request->lookup_namespaces);
+		request->lookup.namespaces[k] = generations[k].cache_namespace;
+	request->lookup.namespace_count = n;
+	lookup->cache_namespaces = apr_pmemdup(out->pool, request->lookup.namespaces,
+					       (size_t)n * sizeof *request->lookup.namespaces);
 	lookup->n_cache_namespaces = (size_t)n;
-	lookup->n_blocks =
-	    request->block_count < LOOKUP_MAX_BLOCKS ? (size_t)request->block_count : LOOKUP_MAX_BLOCKS;
+	lookup->n_blocks = request->prompt.block_count < LOOKUP_MAX_BLOCKS
+			       ? (size_t)request->prompt.block_count
+			       : LOOKUP_MAX_BLOCKS;
 	lookup->blocks =
-	    apr_pmemdup(out->pool, request->block_hash, lookup->n_blocks * sizeof *lookup->blocks);
+	    apr_pmemdup(out->pool, request->prompt.block_hash, lookup->n_blocks * sizeof *lookup->blocks);
 	request_load(router, request, lookup, now, out);
-	command_send(out, router->config_watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
+	command_send(out, router->config.watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
 	    lookup;
 	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
-	request->lookup_state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
-	request->lookup_sent_at_ms = now;
-	request->lookup_deadline_at_ms = silent ? 0 : now + lookup_wait(router);
+	request->lookup.state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
+	request->lookup.sent_at_ms = now;
+	request->lookup.deadline_at_ms = silent ? 0 : now + lookup_wait(router);
 }
 
 int router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
 {
-	if (request->lookup_state != LOOKUP_PENDING)
+	if (request->lookup.state != LOOKUP_PENDING)
 		return 0;
-	if (now < request->lookup_deadline_at_ms)
+	if (now < request->lookup.deadline_at_ms)
 		return 1;
-	request->lookup_state = LOOKUP_MISSED;
+	request->lookup.state = LOOKUP_MISSED;
 	router->lookup.consecutive_misses++;
 	router->stats.lookups_missed++;
 	return 0;
@@ -226,16 +232,16 @@
 	(void)index_depths(router, lookup->cache_namespaces[generation], lookup->blocks,
 			   (int)lookup->n_blocks, -1);
 	for (int depth = (int)lookup->n_blocks; depth > 0 && reply->n_matches < limit; depth--)
-		for (uint32_t s = 0; s < router->server_table->server_count && reply->n_matches < limit;
-		     s++) {
+		for (uint32_t s = 0;
+		     s < router->config.server_table->server_count && reply->n_matches < limit; s++) {
 			struct Nl__PrefixMatch *prefix_holder;
 
-			if (router->cached_depth[s] != depth ||
-			    !router->server_table->servers[s].is_configured)
+			if (router->servers.cached_depth[s] != depth ||
+			    !router->config.server_table->servers[s].is_configured)
 				continue;
 			prefix_holder = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
 			prefix_holder->generation = (uint32_t)generation;
-			prefix_holder->server = router->server_hashes[s];
+			prefix_holder->server = router->servers.hashes[s];
 			prefix_holder->block_count = (uint32_t)depth;
 			reply->matches[reply->n_matches++] = prefix_holder;
 		}
@@ -250,11 +256,11 @@
 	for (size_t i = 0; i < lookup->n_servers + reply->n_matches; i++) {
 		uint64_t hash = i < lookup->n_servers ? lookup->servers[i]
 						      : reply->matches[i - lookup->n_servers]->server;
-		ptrdiff_t at = hmgeti(router->server_by_hash, hash);
+		ptrdiff_t at = hmgeti(router->servers.by_hash, hash);
 		struct Nl__ServerLoad *load;
 		struct load_cell all;
 
-		if (at < 0 || !router_fleet_load(router, router->server_by_hash[at].value, &all))
+		if (at < 0 || !router_fleet_load(router, router->servers.by_hash[at].value, &all))
 			continue;
 		load = MESSAGE_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
@@ -270,7 +276,7 @@
 	const struct Nl__PrefixLookup *lookup = message->prefix_lookup;
 	struct Nl__PrefixLookupReply *reply;
 
-	if (!router->server_table || !lookup->n_blocks || lookup->n_blocks > LOOKUP_MAX_BLOCKS ||
+	if (!router->config.server_table || !lookup->n_blocks || lookup->n_blocks > LOOKUP_MAX_BLOCKS ||
 	    lookup->n_cache_namespaces > MAX_GENERATIONS || lookup->n_servers > MAX_CANDIDATES)
 		return;
 	reply = MESSAGE_NEW(out, Nl__PrefixLookupReply, NL__PREFIX_LOOKUP_REPLY__INIT);
@@ -286,9 +292,9 @@
 
 static struct client_request *request_by_seq(const struct router *router, uint64_t seq)
 {
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--)
-		if (router->requests[i]->seq == seq)
-			return router->requests[i];
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--)
+		if (router->requests.all[i]->sequence == seq)
+			return router->requests.all[i];
 	return NULL;
 }
 
@@ -296,20 +302,20 @@
 static void learn_cached_prefixes(struct router *router, struct client_request *request,
 				  const struct Nl__PrefixLookupReply *reply)
 {
-	request->cached_prefixes =
-	    apr_palloc(request->pool, (reply->n_matches + 1) * sizeof *request->cached_prefixes);
-	request->cached_prefix_count = 0;
+	request->lookup.prefixes =
+	    apr_palloc(request->pool, (reply->n_matches + 1) * sizeof *request->lookup.prefixes);
+	request->lookup.prefix_count = 0;
 	for (size_t i = 0; i < reply->n_matches; i++) {
 		const struct Nl__PrefixMatch *prefix_holder = reply->matches[i];
-		ptrdiff_t position = hmgeti(router->server_by_hash, prefix_holder->server);
+		ptrdiff_t position = hmgeti(router->servers.by_hash, prefix_holder->server);
 
-		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup_namespace_count ||
-		    prefix_holder->block_count > (uint32_t)request->block_count)
+		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup.namespace_count ||
+		    prefix_holder->block_count > (uint32_t)request->prompt.block_count)
 			continue;
-		request->cached_prefixes[request->cached_prefix_count++] =
-		    (struct cached_prefix){ router->server_by_hash[position].value,
+		request->lookup.prefixes[request->lookup.prefix_count++] =
+		    (struct cached_prefix){ router->servers.by_hash[position].value,
 					    prefix_holder->block_count,
-					    request->lookup_namespaces[prefix_holder->generation] };
+					    request->lookup.namespaces[prefix_holder->generation] };
 	}
 }
 
@@ -318,22 +324,22 @@
 	struct client_request *request = request_by_seq(router, reply->token);
 
 	router->lookup.consecutive_misses = 0;
-	if (!request || request->lookup_sent_at_ms == 0 || request->lookup_state == LOOKUP_ANSWERED ||
-	    !router->server_table)
+	if (!request || request->lookup.sent_at_ms == 0 || request->lookup.state == LOOKUP_ANSWERED ||
+	    !router->config.server_table)
 		return;
 	router->lookup.round_trip_ms +=
-	    ((double)(now - request->lookup_sent_at_ms) - router->lookup.round_trip_ms) / 8;
-	router->stats.lookups_used += request->lookup_state == LOOKUP_PENDING;
+	    ((double)(now - request->lookup.sent_at_ms) - router->lookup.round_trip_ms) / 8;
+	router->stats.lookups_used += request->lookup.state == LOOKUP_PENDING;
 	learn_cached_prefixes(router, request, reply);
 	for (size_t i = 0; i < reply->n_loads; i++) {
 		const struct Nl__ServerLoad *load = reply->loads[i];
-		ptrdiff_t at = hmgeti(router->server_by_hash, load->server);
+		ptrdiff_t at = hmgeti(router->servers.by_hash, load->server);
 
 		if (at >= 0)
-			router_load_learn(router, router->server_by_hash[at].value,
+			router_load_learn(router, router->servers.by_hash[at].value,
 					  &(struct load_cell){ load->prefill_tokens, load->running_requests,
 							       load->memory_tokens });
 	}
-	request->lookup_state = LOOKUP_ANSWERED;
-	router->next_dispatch_at_ms = 0;
+	request->lookup.state = LOOKUP_ANSWERED;
+	router->queueing.next_dispatch_at_ms = 0;
 }
--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -10,22 +10,23 @@
 /* Tokens of claims and calls; the shell numbers callers from 1 up, so ours keep the highest bit. */
 uint64_t router_token_new(struct router *router)
 {
-	return ++router->last_token | 1ull << 63;
+	return ++router->requests.last_token | 1ull << 63;
 }
 
-struct line *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant)
+struct request_queue *router_queue_of(struct router *router, uint32_t route_index, uint32_t tenant)
 {
-	struct line queue = { route_index, tenant, NULL, NULL, NULL, 0, 0, 0, 0, 0 };
+	struct request_queue queue = { route_index, tenant, NULL, NULL, NULL, 0, 0, 0, 0, 0 };
 
-	ptrdiff_t i = hmgeti(router->queue_by_owner, (uint64_t)route_index << 32 | tenant);
+	ptrdiff_t i = hmgeti(router->queueing.by_owner, (uint64_t)route_index << 32 | tenant);
 
 	if (i >= 0)
-		return &router->queues[router->queue_by_owner[i].value];
-	queue.name = apr_pstrcat(router->pool, router->route_names.names[route_index], "/",
-				 router->tenant_names.names[tenant], NULL);
-	hmput(router->queue_by_owner, (uint64_t)route_index << 32 | tenant, (uint32_t)arrlen(router->queues));
-	arrput(router->queues, queue);
-	return &arrlast(router->queues);
+		return &router->queueing.queues[router->queueing.by_owner[i].value];
+	queue.name = apr_pstrcat(router->pool, router->names.routes.names[route_index], "/",
+				 router->names.tenants.names[tenant], NULL);
+	hmput(router->queueing.by_owner, (uint64_t)route_index << 32 | tenant,
+	      (uint32_t)arrlen(router->queueing.queues));
+	arrput(router->queueing.queues, queue);
+	return &arrlast(router->queueing.queues);
 }
 
 const char *router_error_body(apr_pool_t *pool, const char *reason, const char *outcome)
@@ -42,7 +43,7 @@
 
 uint32_t router_shard_of(const struct router *router, uint32_t service)
 {
-	return core_shard_of(router->service_names.names[service], SHARD_SERVICES);
+	return core_shard_of(router->names.services.names[service], SHARD_SERVICES);
 }
 
 /* Ask the part's owner, as far as it is known; whom. */
@@ -50,13 +51,13 @@
 			  uint64_t seq, int release, uint64_t token, struct command_list *out)
 {
 	uint32_t shard = router_shard_of(router, service);
-	uint64_t leader_addr = config_watch_leader_addr(&router->config_watch, shard);
+	uint64_t leader_addr = config_watch_leader_addr(&router->config.watch, shard);
 	struct Nl__Propose *propose = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
 
 	propose->operation = MESSAGE_NEW(out, Nl__Operation, NL__OPERATION__INIT);
 	propose->operation->body_case = NL__OPERATION__BODY_CLAIM;
 	propose->operation->claim = MESSAGE_NEW(out, Nl__Claim, NL__CLAIM__INIT);
-	propose->operation->claim->tenant = apr_pstrdup(out->pool, router->tenant_names.names[tenant]);
+	propose->operation->claim->tenant = apr_pstrdup(out->pool, router->names.tenants.names[tenant]);
 	propose->operation->claim->id = apr_pstrdup(out->pool, id);
 	propose->operation->claim->router_id = router->id;
 	propose->operation->claim->seq = seq;
@@ -70,70 +71,75 @@
 /* Who was asked does not answer: ask another, unless that has been decided meanwhile. */
 void router_claim_miss(struct router *router, uint32_t service, uint64_t leader_addr)
 {
-	if (config_watch_leader_addr(&router->config_watch, router_shard_of(router, service)) == leader_addr)
-		config_watch_miss(&router->config_watch, router_shard_of(router, service));
+	if (config_watch_leader_addr(&router->config.watch, router_shard_of(router, service)) == leader_addr)
+		config_watch_miss(&router->config.watch, router_shard_of(router, service));
 }
 
 void router_claim_send(struct router *router, struct client_request *request, int64_t now,
 		       struct command_list *out)
 {
-	request->claim_sent_at_ms = now;
-	request->claim_leader_addr = claim_msg(router, request->service_index, request->tenant_index,
-					       request->id, request->seq, 0, request->claim_token, out);
+	request->claim.sent_at_ms = now;
+	request->claim.leader_addr =
+	    claim_msg(router, request->route.service_index, request->route.tenant_index,
+		      request->client.request_id, request->sequence, 0, request->claim.token, out);
 }
 
 /* The id may be used again: said until the part has heard it. */
 void router_claim_release(struct router *router, const struct client_request *request, int64_t now,
 			  struct command_list *out)
 {
-	struct claim_release router_release = {
-		router_token_new(router), request->seq,        0,   request->service_index,
-		request->tenant_index,    strdup(request->id), now, now + ROUTER_CLAIM_RELEASE_MAX_MS
-	};
+	struct claim_release router_release = { router_token_new(router),
+						request->sequence,
+						0,
+						request->route.service_index,
+						request->route.tenant_index,
+						strdup(request->client.request_id),
+						now,
+						now + ROUTER_CLAIM_RELEASE_MAX_MS };
 
 	router_release.leader_addr =
-	    claim_msg(router, router_release.service, router_release.tenant, router_release.id,
-		      router_release.seq, 1, router_release.token, out);
-	arrput(router->claim_releases, router_release);
+	    claim_msg(router, router_release.service_index, router_release.tenant_index, router_release.id,
+		      router_release.sequence, 1, router_release.token, out);
+	arrput(router->requests.claim_releases, router_release);
 }
 
 void router_release_end(struct router *router, ptrdiff_t i)
 {
-	free(router->claim_releases[i].id);
-	arrdelswap(router->claim_releases, i);
+	free(router->requests.claim_releases[i].id);
+	arrdelswap(router->requests.claim_releases, i);
 }
 
 void router_releases_tick(struct router *router, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(router->claim_releases) - 1; i >= 0; i--) {
-		struct claim_release *router_release = &router->claim_releases[i];
+	for (ptrdiff_t i = arrlen(router->requests.claim_releases) - 1; i >= 0; i--) {
+		struct claim_release *router_release = &router->requests.claim_releases[i];
 
 		if (now >= router_release->expires_at_ms) {
 			router_release_end(router, i);
 		} else if (now - router_release->sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 			router_release->sent_at_ms = now;
-			router_claim_miss(router, router_release->service, router_release->leader_addr);
-			router_release->leader_addr =
-			    claim_msg(router, router_release->service, router_release->tenant,
-				      router_release->id, router_release->seq, 1, router_release->token, out);
+			router_claim_miss(router, router_release->service_index, router_release->leader_addr);
+			router_release->leader_addr = claim_msg(
+			    router, router_release->service_index, router_release->tenant_index,
+			    router_release->id, router_release->sequence, 1, router_release->token, out);
 		}
 	}
 }
 
 struct usage_entry *router_usage_of(struct router *router, const struct client_request *request)
 {
-	uint64_t key = (uint64_t)request->route_index << 32 | request->tenant_index;
-	typeof(router->usage->value) zero = { 0, 0, 0, 0, 0 };
+	uint64_t key = (uint64_t)request->route.index << 32 | request->route.tenant_index;
+	typeof(router->records.usage->value) zero = { 0, 0, 0, 0, 0 };
 
-	if (hmgeti(router->usage, key) < 0)
-		hmput(router->usage, key, zero);
-	return hmgetp(router->usage, key);
+	if (hmgeti(router->records.usage, key) < 0)
+		hmput(router->records.usage, key, zero);
+	return hmgetp(router->records.usage, key);
 }
 
 /* When to come back for a reason that passes soon. */
 int router_retry_fast_ms(struct router *router, int ms)
 {
-	return ms + (int)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) %
+	return ms + (int)(core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws) %
 			  (uint64_t)(ms / 2 + 1));
 }
 
@@ -144,8 +150,9 @@
 			   : ms > ROUTER_RETRY_AFTER_MAX_MS ? ROUTER_RETRY_AFTER_MAX_MS
 							    : (int64_t)ms;
 
-	return (int)(least_ms + (int64_t)(core_rendezvous_weight(router->id, ++router->retry_jitter_draws) %
-					  (uint64_t)least_ms));
+	return (int)(least_ms +
+		     (int64_t)(core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws) %
+			       (uint64_t)least_ms));
 }
 
 struct json_object *router_read_json(struct router *router, const char *text)
@@ -160,7 +167,7 @@
 
 /* How long the exchange with i others before it in its line has yet to wait: what its line's heads usually
  * take, and for the next of them no less than the time for which it has already stood still. */
-double router_expected_wait_ms(const struct line *queue, uint32_t i, int64_t now)
+double router_expected_wait_ms(const struct request_queue *queue, uint32_t i, int64_t now)
 {
 	double still = (double)(now - queue->head_waiting_since_ms);
 
@@ -171,8 +178,8 @@
 /* Whether the configuration here is certain to be in force, or may be ridden on. */
 int router_config_in_force(const struct router *router, int64_t now)
 {
-	return router->route_table &&
-	       config_watch_age_ms(&router->config_watch, now) <= router_max_staleness_ms(router);
+	return router->config.route_table &&
+	       config_watch_age_ms(&router->config.watch, now) <= router_max_staleness_ms(router);
 }
 
 /* How long the configuration's owner may go unheard while new work is still taken. With servers from the
@@ -182,19 +189,20 @@
  * outlive its bound either: docs/design.md, Freshness. */
 int router_max_staleness_ms(const struct router *router)
 {
-	int key = router->bounds.revoke_ms - ROUTER_STALENESS_MARGIN_MS,
-	    calm = router->bounds.contact_ms - ROUTER_CONTACT_MARGIN_MS;
-	int drift = router->bounds.config_ms + router->bounds.drift_ms - ROUTER_STALENESS_MARGIN_MS;
+	int key = router->config.bounds.revoke_ms - ROUTER_STALENESS_MARGIN_MS,
+	    calm = router->config.bounds.contact_ms - ROUTER_CONTACT_MARGIN_MS;
+	int drift =
+	    router->config.bounds.config_ms + router->config.bounds.drift_ms - ROUTER_STALENESS_MARGIN_MS;
 
-	if (!router->bounds.discover_instances)
+	if (!router->config.bounds.discover_instances)
 		return CONFIG_WATCH_ADMIT_STALENESS_MS;
-	if (calm < router->bounds.config_ms - ROUTER_CONTACT_MARGIN_MS)
-		calm = router->bounds.config_ms - ROUTER_CONTACT_MARGIN_MS;
+	if (calm < router->config.bounds.config_ms - ROUTER_CONTACT_MARGIN_MS)
+		calm = router->config.bounds.config_ms - ROUTER_CONTACT_MARGIN_MS;
 	return key < calm && key < drift ? key : drift < calm ? drift : calm;
 }
 
 /* Which class a line goes in: its tenant's, where that has one, else its lane's. */
-static uint32_t priority_class_of(const struct route_table *routes, const struct line *queue)
+static uint32_t priority_class_of(const struct route_table *routes, const struct request_queue *queue)
 {
 	uint32_t priority_class = routes->tenants[queue->tenant_index].priority_class;
 
@@ -203,17 +211,18 @@
 
 /* A line that was empty starts where the others of its class are: the time for which it was empty counts
  * neither as a wait nor as turns that it has left to others. */
-static void queue_begins(struct router *router, struct line *queue, int64_t now)
+static void queue_begins(struct router *router, struct request_queue *queue, int64_t now)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 	uint64_t lowest_pass = UINT64_MAX;
 
 	queue->head_waiting_since_ms = now;
-	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++)
-		if (router->queues[i].length &&
-		    priority_class_of(routes, &router->queues[i]) == priority_class_of(routes, queue) &&
-		    router->queues[i].pass < lowest_pass)
-			lowest_pass = router->queues[i].pass;
+	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
+		if (router->queueing.queues[i].length &&
+		    priority_class_of(routes, &router->queueing.queues[i]) ==
+			priority_class_of(routes, queue) &&
+		    router->queueing.queues[i].pass < lowest_pass)
+			lowest_pass = router->queueing.queues[i].pass;
 	if (lowest_pass != UINT64_MAX && queue->pass < lowest_pass)
 		queue->pass = lowest_pass;
 }
@@ -221,36 +230,36 @@
 /* Behind all that were taken before it. */
 void router_queue_insert(struct router *router, struct client_request *x, int64_t now)
 {
-	struct line *queue = router_queue_of(router, x->route_index, x->tenant_index);
+	struct request_queue *queue = router_queue_of(router, x->route.index, x->route.tenant_index);
 	struct client_request **request = &queue->head;
 
 	if (!queue->length)
 		queue_begins(router, queue, now);
-	if (queue->tail && queue->tail->seq < x->seq)
-		request = &queue->tail->next_in_queue;
-	while (*request && (*request)->seq < x->seq)
-		request = &(*request)->next_in_queue;
+	if (queue->tail && queue->tail->sequence < x->sequence)
+		request = &queue->tail->queueing.next_in_queue;
+	while (*request && (*request)->sequence < x->sequence)
+		request = &(*request)->queueing.next_in_queue;
 	x->state = REQUEST_WAITING;
-	x->next_in_queue = *request;
+	x->queueing.next_in_queue = *request;
 	*request = x;
-	if (!x->next_in_queue)
+	if (!x->queueing.next_in_queue)
 		queue->tail = x;
 	queue->length++;
 }
 
 void router_queue_remove(struct router *router, struct client_request *x)
 {
-	struct line *queue = router_queue_of(router, x->route_index, x->tenant_index);
+	struct request_queue *queue = router_queue_of(router, x->route.index, x->route.tenant_index);
 	struct client_request **request = &queue->head, *before = NULL;
 
 	while (*request && *request != x) {
 		before = *request;
-		request = &(*request)->next_in_queue;
+		request = &(*request)->queueing.next_in_queue;
 	}
 	if (!*request)
 		return;
-	*request = x->next_in_queue;
-	x->next_in_queue = NULL;
+	*request = x->queueing.next_in_queue;
+	x->queueing.next_in_queue = NULL;
 	if (queue->tail == x)
 		queue->tail = before;
 	queue->length--;
@@ -260,26 +269,27 @@
  * line. */
 static void quota_acquire(struct router *router, struct client_request *request)
 {
-	router_queue_of(router, request->route_index, request->tenant_index)->running++;
-	router->tenant_running[request->tenant_index]++;
+	router_queue_of(router, request->route.index, request->route.tenant_index)->running++;
+	router->quota.tenant_running[request->route.tenant_index]++;
 }
 
 void router_quota_release(struct router *router, struct client_request *request)
 {
-	router_queue_of(router, request->route_index, request->tenant_index)->running--;
-	router->tenant_running[request->tenant_index]--;
+	router_queue_of(router, request->route.index, request->route.tenant_index)->running--;
+	router->quota.tenant_running[request->route.tenant_index]--;
 }
 
 /* To the head of its line: there is no place at a server just now. */
 void router_queue_return(struct router *router, struct client_request *request, int64_t now)
 {
-	struct line *queue = router_queue_of(router, request->route_index, request->tenant_index);
+	struct request_queue *queue =
+	    router_queue_of(router, request->route.index, request->route.tenant_index);
 
 	router_quota_release(router, request);
 	if (!queue->length)
 		queue_begins(router, queue, now);
 	request->state = REQUEST_WAITING;
-	request->next_in_queue = queue->head;
+	request->queueing.next_in_queue = queue->head;
 	queue->head = request;
 	if (!queue->tail)
 		queue->tail = request;
@@ -297,8 +307,8 @@
 	else
 		router_quota_release(router, request);
 	(void)router_queue_of(router, route_index, tenant_index);
-	request->route_index = route_index;
-	request->tenant_index = tenant_index;
+	request->route.index = route_index;
+	request->route.tenant_index = tenant_index;
 	if (waits)
 		router_queue_insert(router, request, now);
 	else
@@ -307,7 +317,7 @@
 
 uint32_t router_reserved_slots(const struct router *router, const char *name)
 {
-	struct config_watch_quota *h = router->config_watch.quotas;
+	struct config_watch_quota *h = router->config.watch.quotas;
 	ptrdiff_t i = shgeti(h, name);
 
 	return i < 0 ? 0 : h[i].value.reserved;
@@ -317,27 +327,28 @@
  * each time. */
 void router_request_slots(struct router *router, int64_t now, struct command_list *out)
 {
-	struct config_watch *watch = &router->config_watch;
+	struct config_watch *watch = &router->config.watch;
 	int lacks_slots = 0;
 
-	if (!router->route_table->has_limits)
+	if (!router->config.route_table->has_limits)
 		return;
 	for (ptrdiff_t i = 0; i < shlen(watch->quotas); i++)
 		watch->quotas[i].value.used = watch->quotas[i].value.requested = 0;
-	for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
-		const struct line *queue = &router->queues[i];
+	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
+		const struct request_queue *queue = &router->queueing.queues[i];
 		uint32_t share, limit;
 
 		if (!queue->length && !queue->running)
 			continue;
-		router_share_of(router->route_table, queue->route_index, queue->tenant_index, &share, &limit);
+		router_share_of(router->config.route_table, queue->route_index, queue->tenant_index, &share,
+				&limit);
 		for (int k = 0; k < 1 + (limit != UINT32_MAX); k++) {
 			typeof(watch->quotas->value) *entry;
 
-			if (!k && !router->route_table->tenants[queue->tenant_index].concurrency_limit)
+			if (!k && !router->config.route_table->tenants[queue->tenant_index].concurrency_limit)
 				continue;
 			entry = config_watch_quota(
-			    watch, k ? queue->name : router->tenant_names.names[queue->tenant_index]);
+			    watch, k ? queue->name : router->names.tenants.names[queue->tenant_index]);
 
 			entry->used += queue->running;
 			entry->requested += queue->running + queue->length;
@@ -350,29 +361,30 @@
 
 /* The first of a line that a server has room for. Behind a head that none has room for this may be one of
  * another service, or, where the head was given back and avoids the server that did, any. NULL: none. */
-static struct client_request *first_ready(struct router *router, const struct line *queue, int64_t now,
-					  struct plan *plan)
+static struct client_request *first_ready(struct router *router, const struct request_queue *queue,
+					  int64_t now, struct plan *plan)
 {
 	uint32_t full[QUEUE_SCAN_LIMIT];
-	int n = 0, scanned = 0, split = router->route_table->routes[queue->route_index].split_count > 0;
+	int n = 0, scanned = 0,
+	    split = router->config.route_table->routes[queue->route_index].split_count > 0;
 
 	for (struct client_request *request = queue->head; request && scanned < QUEUE_SCAN_LIMIT;
-	     request = request->next_in_queue, scanned++) {
+	     request = request->queueing.next_in_queue, scanned++) {
 		int known = 0;
 
 		for (int k = 0; k < n; k++)
-			known |= full[k] == request->service_index;
+			known |= full[k] == request->route.service_index;
 		if (known || router_lookup_waits(router, request, now))
 			continue;
 		*plan = request->is_forwarded ? router_placement_forwarded(router, request, now)
 					      : router_placement_claimed(router, request, now);
 		if (plan->server_index >= 0)
 			return request;
-		if (now < request->avoided_until_ms)
+		if (now < request->retry.avoided_until_ms)
 			continue; /* there may be room at the server that it avoids */
-		if (!split && !request->has_begun)
+		if (!split && !request->stream.has_begun)
 			return NULL; /* all behind it are of its service */
-		full[n++] = request->service_index;
+		full[n++] = request->route.service_index;
 	}
 	return NULL;
 }
@@ -381,20 +393,20 @@
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
 void router_dispatch(struct router *router, int64_t now, struct command_list *out)
 {
-	const struct route_table *routes = router->route_table;
+	const struct route_table *routes = router->config.route_table;
 
-	if (!router_config_in_force(router, now) || !router->server_table || !arrlen(router->requests) ||
-	    now < router->next_dispatch_at_ms)
+	if (!router_config_in_force(router, now) || !router->config.server_table ||
+	    !arrlen(router->requests.all) || now < router->queueing.next_dispatch_at_ms)
 		return;
 	for (;;) {
-		struct line *best = NULL;
+		struct request_queue *best = NULL;
 		int waits = 0;
 		struct plan best_plan = { .server_index = -1, .fetch_source = -1 };
 		struct client_request *request = NULL, *ready;
 		uint32_t share, limit;
 
-		for (ptrdiff_t i = 0; i < arrlen(router->queues); i++) {
-			struct line *queue = &router->queues[i];
+		for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
+			struct request_queue *queue = &router->queueing.queues[i];
 			struct plan plan;
 
 			if (!queue->length)
@@ -402,9 +414,9 @@
 			waits = 1;
 			router_share_of(routes, queue->route_index, queue->tenant_index, &share, &limit);
 			if ((routes->tenants[queue->tenant_index].concurrency_limit &&
-			     router->tenant_running[queue->tenant_index] >=
+			     router->quota.tenant_running[queue->tenant_index] >=
 				 router_reserved_slots(router,
-						       router->tenant_names.names[queue->tenant_index])) ||
+						       router->names.tenants.names[queue->tenant_index])) ||
 			    (limit != UINT32_MAX &&
 			     queue->running >= router_reserved_slots(router, queue->name)))
 				continue;
@@ -420,7 +432,7 @@
 			best_plan = plan;
 		}
 		if (!best) {
-			router->next_dispatch_at_ms =
+			router->queueing.next_dispatch_at_ms =
 			    waits
 				? now + ROUTER_DISPATCH_INTERVAL_MS
 				: 0; /* all that waits was weighed against all servers: not at every event */
@@ -436,23 +448,23 @@
 		router_share_of(routes, best->route_index, best->tenant_index, &share, &limit);
 		best->pass += 1000000 / (share ? share : 1);
 		request->state = REQUEST_CLAIMING;
-		request->server_index = best_plan.server_index;
-		router->servers[request->server_index]
+		request->attempt.server_index = best_plan.server_index;
+		router->servers.states[request->attempt.server_index]
 		    .own_running++; /* its place is held until its claim has been answered */
 		if (request->is_forwarded) {
-			request->priority = priority_class_of(routes, best);
-			request->server_index = -1;
-			router->servers[best_plan.server_index].own_running--;
+			request->route.priority = priority_class_of(routes, best);
+			request->attempt.server_index = -1;
+			router->servers.states[best_plan.server_index].own_running--;
 			router_forward(router, request, &best_plan, now, out);
 			continue;
 		}
-		if (request->is_claimed) {
+		if (request->claim.confirmed) {
 			router_send_claimed(router, request, now, out);
 			continue;
 		}
-		request->claim_token = router_token_new(router);
-		request->claim_started_at_ms = now;
-		hmput(router->requests_by_token, request->claim_token, request);
+		request->claim.token = router_token_new(router);
+		request->claim.started_at_ms = now;
+		hmput(router->requests.by_token, request->claim.token, request);
 		router_claim_send(router, request, now, out);
 	}
 }
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -8,7 +8,7 @@
 
 #include "containers.h"
 
-uint32_t names_id(struct row_index *names, const char *name)
+uint32_t names_id(struct name_table *names, const char *name)
 {
 	ptrdiff_t i;
 
@@ -22,7 +22,7 @@
 	return (uint32_t)arrlen(names->names) - 1;
 }
 
-int names_find(const struct row_index *names, const char *name)
+int names_find(const struct name_table *names, const char *name)
 {
 	struct name_entry *row = names->index;
 	ptrdiff_t i = row ? shgeti(row, name) : -1;
@@ -30,7 +30,7 @@
 	return i < 0 ? -1 : (int)row[i].value;
 }
 
-void router_names_clear(struct row_index *names)
+void router_names_clear(struct name_table *names)
 {
 	for (ptrdiff_t i = 0; i < arrlen(names->names); i++)
 		free(names->names[i]);
@@ -54,23 +54,23 @@
 {
 	switch (row->kind) {
 	case NL__KIND__ROUTE:
-		names_id(&router->route_names, row->name);
-		names_id(&router->service_names, row->service);
+		names_id(&router->names.routes, row->name);
+		names_id(&router->names.services, row->service);
 		for (size_t k = 0; k < row->n_split; k++)
-			names_id(&router->service_names, row->split[k]->service);
+			names_id(&router->names.services, row->split[k]->service);
 		break;
 	case NL__KIND__TENANT:
-		names_id(&router->tenant_names, row->name);
+		names_id(&router->names.tenants, row->name);
 		break;
 	case NL__KIND__KEY:
-		names_id(&router->tenant_names, row->tenant);
+		names_id(&router->names.tenants, row->tenant);
 		break;
 	case NL__KIND__SERVICE:
-		names_id(&router->service_names, row->name);
-		names_id(&router->weights_names, row->target_weights);
+		names_id(&router->names.services, row->name);
+		names_id(&router->names.weights, row->target_weights);
 		break;
 	case NL__KIND__MODEL:
-		names_id(&router->weights_names, row->target_weights);
+		names_id(&router->names.weights, row->target_weights);
 		break;
 	default:
 		break;
@@ -83,85 +83,92 @@
 	return core_hash(core_hash_string(17, host), path, path_length);
 }
 
-static void lane_row(struct router *c, struct route_table *routes, const struct Nl__Row *row)
+static void route_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
-	uint32_t route_index = names_id(&c->route_names, row->name), cumulative_weight = 0;
-	struct route_config *l = &routes->routes[route_index];
-	struct route_split *split = apr_palloc(routes->pool, (row->n_split + 1) * sizeof *split);
-
-	*l = (struct route_config){ 1,
-				    row->resumable,
-				    row->idempotent,
-				    row->client_deduplicates,
-				    row->key_optional,
-				    names_id(&c->service_names, row->service),
-				    row->priority,
-				    row->limit,
-				    row->latency_target_ms,
-				    row->max_gap_ms,
-				    row->timeout_ms,
-				    row->max_attempts,
-				    apr_pstrdup(routes->pool, row->host),
-				    apr_pstrdup(routes->pool, row->path),
-				    split,
-				    0 };
-	for (size_t k = 0; k < row->n_split; k++)
-		if (row->split[k]->weight)
-			split[l->split_count++] =
-			    (struct route_split){ names_id(&c->service_names, row->split[k]->service),
-						  cumulative_weight += row->split[k]->weight };
+	uint32_t route_index = names_id(&router->names.routes, row->name);
+	uint32_t cumulative_weight = 0;
+	struct route_config *route = &routes->routes[route_index];
+	struct route_split *splits = apr_palloc(routes->pool, (row->n_split + 1) * sizeof *splits);
+
+	*route = (struct route_config){
+		.is_configured = true,
+		.resumable = row->resumable,
+		.idempotent = row->idempotent,
+		.key_optional = row->key_optional,
+		.service_index = names_id(&router->names.services, row->service),
+		.priority = row->priority,
+		.queue_limit = row->limit,
+		.latency_target_ms = row->latency_target_ms,
+		.max_gap_ms = row->max_gap_ms,
+		.timeout_ms = row->timeout_ms,
+		.max_attempts = row->max_attempts,
+		.host = apr_pstrdup(routes->pool, row->host),
+		.path = apr_pstrdup(routes->pool, row->path),
+		.splits = splits,
+	};
+	for (size_t i = 0; i < row->n_split; i++) {
+		if (!row->split[i]->weight)
+			continue;
+		cumulative_weight += row->split[i]->weight;
+		splits[route->split_count++] = (struct route_split){
+			.service_index = names_id(&router->names.services, row->split[i]->service),
+			.cumulative_weight = cumulative_weight,
+		};
+	}
 	if (row->path[0])
 		hmput(routes->matches, router_match_key(row->host, row->path, strlen(row->path)),
 		      route_index);
 }
 
-static void service_row(struct router *c, struct route_table *routes, const struct Nl__Row *declared)
+static int store_index(struct router *router, const struct route_table *routes, const struct Nl__Row *row)
+{
+	return (int)names_id(&router->names.servers, apr_pstrcat(routes->pool, "store:", row->name, NULL));
+}
+
+static void service_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
-	const struct Nl__Row *row =
-	    declared->model[0] ? config_table_get(&c->config_watch.table, NL__KIND__MODEL, declared->model)
-			       : NULL;
-	uint32_t id = names_id(&c->service_names, declared->name),
-		 target = names_id(&c->weights_names, row ? row->target_weights : declared->target_weights);
-	struct service_config *config = &routes->services[id];
-
-	*config = (struct service_config){ 1,
-					   target,
-					   declared->prefill_tokens_per_ms,
-					   declared->kv_bytes_per_token,
-					   declared->link_bytes_per_ms,
-					   declared->store_bytes_per_ms,
-					   declared->slots,
-					   declared->max_watches,
-					   declared->max_connections,
-					   declared->capacity_tokens,
-					   -1,
-					   NULL };
-	if (row)
-		config->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &row->base);
-	if (declared->addr[0] && !declared->store_bytes_per_ms &&
-	    c->bounds.discover_instances) /* a store itself, not a service that has one */
-		routes->stores[routes->store_count++] = (int)names_id(
-		    &c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
-	if (declared->addr[0] && declared->store_bytes_per_ms)
-		config->store_server = (int)names_id(
-		    &c->server_names, apr_pstrcat(routes->pool, "store:", declared->name, NULL));
+	const struct Nl__Row *model =
+	    row->model[0] ? config_table_get(&router->config.watch.table, NL__KIND__MODEL, row->model) : NULL;
+	uint32_t service_index = names_id(&router->names.services, row->name);
+	struct service_config *service = &routes->services[service_index];
+
+	*service = (struct service_config){
+		.is_configured = true,
+		.target_weights =
+		    names_id(&router->names.weights, model ? model->target_weights : row->target_weights),
+		.prefill_tokens_per_ms = row->prefill_tokens_per_ms,
+		.kv_bytes_per_token = row->kv_bytes_per_token,
+		.link_bytes_per_ms = row->link_bytes_per_ms,
+		.store_bytes_per_ms = row->store_bytes_per_ms,
+		.max_connections = row->max_connections,
+		.capacity_tokens = row->capacity_tokens,
+		.store_server = -1,
+	};
+	if (model)
+		service->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &model->base);
+	if (!row->addr[0])
+		return;
+	if (row->store_bytes_per_ms)
+		service->store_server = store_index(router, routes, row);
+	else if (router->config.bounds.discover_instances) /* a store itself, not a service that has one */
+		routes->stores[routes->store_count++] = store_index(router, routes, row);
 }
 
 /* A service that is new, or back, has its time to be seen with servers, whenever one of it last stood. */
 static void services_return(struct router *router, const struct route_table *routes, int64_t now)
 {
-	const struct route_table *old = router->route_table;
+	const struct route_table *old = router->config.route_table;
 
 	for (uint32_t i = 0; i < routes->service_count; i++)
 		if (routes->services[i].is_configured &&
 		    !(old && i < old->service_count && old->services[i].is_configured))
-			router->last_serving_at_ms[i] = now;
+			router->servers.last_serving_at_ms[i] = now;
 }
 
 /* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
 struct route_table *router_route_table_new(struct router *router, int64_t now)
 {
-	const struct config_table *table = &router->config_watch.table;
+	const struct config_table *table = &router->config.watch.table;
 	apr_pool_t *pool;
 	struct route_table *routes;
 
@@ -171,10 +178,10 @@
 	routes->revision = table->revision;
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		route_table_names(router, table->rows[i].value.row);
-	routes->anonymous_tenant = names_id(&router->tenant_names, "");
-	routes->route_count = (uint32_t)arrlen(router->route_names.names);
-	routes->tenant_count = (uint32_t)arrlen(router->tenant_names.names);
-	routes->service_count = (uint32_t)arrlen(router->service_names.names);
+	routes->anonymous_tenant = names_id(&router->names.tenants, "");
+	routes->route_count = (uint32_t)arrlen(router->names.routes.names);
+	routes->tenant_count = (uint32_t)arrlen(router->names.tenants.names);
+	routes->service_count = (uint32_t)arrlen(router->names.services.names);
 	routes->routes = apr_pcalloc(pool, (routes->route_count + 1) * sizeof *routes->routes);
 	routes->tenants = apr_pcalloc(pool, (routes->tenant_count + 1) * sizeof *routes->tenants);
 	routes->services = apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->services);
@@ -187,10 +194,10 @@
 
 		switch (row->kind) {
 		case NL__KIND__ROUTE:
-			lane_row(router, routes, row);
+			route_row(router, routes, row);
 			break;
 		case NL__KIND__TENANT:
-			routes->tenants[names_id(&router->tenant_names, row->name)] =
+			routes->tenants[names_id(&router->names.tenants, row->name)] =
 			    (struct tenant_config){ 1, row->isolated, row->share, row->limit,
 						    row->priority_class };
 			routes->has_limits |= row->limit != 0;
@@ -199,7 +206,7 @@
 				    29, row->name); /* a sum: the order of rows does not matter */
 			break;
 		case NL__KIND__KEY:
-			shput(routes->keys, row->name, names_id(&router->tenant_names, row->tenant));
+			shput(routes->keys, row->name, names_id(&router->names.tenants, row->tenant));
 			routes->has_keys = 1;
 			break;
 		case NL__KIND__SERVICE:
@@ -219,9 +226,9 @@
 			slash = strchr(row->name, '/');
 			if (slash) {
 				int route_index =
-				    names_find(&router->route_names,
+				    names_find(&router->names.routes,
 					       apr_pstrmemdup(pool, row->name, (size_t)(slash - row->name)));
-				int tenant = names_find(&router->tenant_names, slash + 1);
+				int tenant = names_find(&router->names.tenants, slash + 1);
 				typeof(routes->shares->value) v = { row->share, row->limit };
 
 				if (route_index >= 0 && tenant >= 0)
@@ -233,13 +240,13 @@
 			break;
 		}
 	}
-	arrsetlen(router->retention_generations, 0);
-	while (arrlen(router->tenant_running) < (ptrdiff_t)routes->tenant_count)
-		arrput(router->tenant_running, 0);
-	while (arrlen(router->last_serving_at_ms) < (ptrdiff_t)routes->service_count)
-		arrput(router->last_serving_at_ms, now);
-	while (arrlen(router->retry_budget) < (ptrdiff_t)routes->service_count)
-		arrput(router->retry_budget, ROUTER_RETRY_COST_MILLI);
+	arrsetlen(router->retention.generations, 0);
+	while (arrlen(router->quota.tenant_running) < (ptrdiff_t)routes->tenant_count)
+		arrput(router->quota.tenant_running, 0);
+	while (arrlen(router->servers.last_serving_at_ms) < (ptrdiff_t)routes->service_count)
+		arrput(router->servers.last_serving_at_ms, now);
+	while (arrlen(router->quota.retry_budget) < (ptrdiff_t)routes->service_count)
+		arrput(router->quota.retry_budget, ROUTER_RETRY_COST_MILLI);
 	services_return(router, routes, now);
 	return routes;
 }
@@ -249,9 +256,9 @@
 			     const char *service, const char *addr, const char *zone, int draining,
 			     int is_store)
 {
-	int service_index = names_find(&router->service_names, service);
+	int service_index = names_find(&router->names.services, service);
 
-	if (service_index < 0 || (uint32_t)service_index >= router->route_table->service_count)
+	if (service_index < 0 || (uint32_t)service_index >= router->config.route_table->service_count)
 		return;
 	servers->servers[id] = (struct server_config){ 1,
 						       draining,
@@ -266,14 +273,14 @@
 static void server_table_instance(struct router *router, uint32_t server, const struct Nl__Instance *instance,
 				  int64_t now)
 {
-	struct router_server_state *state = &router->servers[server];
+	struct router_server_state *state = &router->servers.states[server];
 	int weights = instance->weights[0] && strlen(instance->weights) < 128
-			  ? (int)names_id(&router->weights_names, instance->weights)
+			  ? (int)names_id(&router->names.weights, instance->weights)
 			  : -1;
 
 	if (weights < 0 && !state->is_known)
 		state->weights =
-		    names_id(&router->weights_names, ""); /* not known: they count as the oldest */
+		    names_id(&router->names.weights, ""); /* not known: they count as the oldest */
 	if (weights >= 0 && (!state->is_known || state->listed_weights != (uint32_t)weights)) {
 		router_weights_learn(router, server, (uint32_t)weights);
 		state->listed_weights = (uint32_t)weights;
@@ -290,14 +297,14 @@
  * service's address. */
 static int store_row(const struct router *router, const struct Nl__Row *row)
 {
-	return row->addr[0] &&
-	       (router->route_table->store_count ? !row->store_bytes_per_ms : row->store_bytes_per_ms != 0);
+	return row->addr[0] && (router->config.route_table->store_count ? !row->store_bytes_per_ms
+									: row->store_bytes_per_ms != 0);
 }
 
 struct server_table *router_server_table_new(struct router *router, int64_t now)
 {
-	const struct config_table *table = &router->config_watch.table;
-	const struct instances *instances = &router->config_watch.instances;
+	const struct config_table *table = &router->config.watch.table;
+	const struct instances *instances = &router->config.watch.instances;
 	apr_pool_t *pool;
 	struct server_table *servers;
 
@@ -307,41 +314,41 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVER && !router->bounds.discover_instances)
-			names_id(&router->server_names, row->name);
+		if (row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances)
+			names_id(&router->names.servers, row->name);
 		else if (row->kind == NL__KIND__SERVICE && store_row(router, row))
-			names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL));
+			names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
 	}
-	for (ptrdiff_t i = 0; router->bounds.discover_instances && i < shlen(instances->rows); i++)
+	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
 		if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
-			names_id(&router->server_names, instances->rows[i].key);
-	servers->server_count = (uint32_t)arrlen(router->server_names.names);
+			names_id(&router->names.servers, instances->rows[i].key);
+	servers->server_count = (uint32_t)arrlen(router->names.servers.names);
 	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
-	while (arrlen(router->servers) < (ptrdiff_t)servers->server_count) {
+	while (arrlen(router->servers.states) < (ptrdiff_t)servers->server_count) {
 		struct router_server_state s;
 
 		memset(&s, 0, sizeof s);
-		arrput(router->server_hashes,
-		       core_hash_string(43, router->server_names.names[arrlen(router->servers)]));
-		hmput(router->server_by_hash, arrlast(router->server_hashes),
-		      (uint32_t)arrlen(router->servers));
-		arrput(router->servers, s);
+		arrput(router->servers.hashes,
+		       core_hash_string(43, router->names.servers.names[arrlen(router->servers.states)]));
+		hmput(router->servers.by_hash, arrlast(router->servers.hashes),
+		      (uint32_t)arrlen(router->servers.states));
+		arrput(router->servers.states, s);
 	}
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVER && !router->bounds.discover_instances)
-			server_table_put(router, servers, names_id(&router->server_names, row->name),
+		if (row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances)
+			server_table_put(router, servers, names_id(&router->names.servers, row->name),
 					 row->service, row->addr, row->zone, row->state != 0, 0);
 		else if (row->kind == NL__KIND__SERVICE && store_row(router, row))
 			server_table_put(
 			    router, servers,
-			    names_id(&router->server_names, apr_pstrcat(pool, "store:", row->name, NULL)),
+			    names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL)),
 			    row->name, row->addr, row->zone, 0, 1);
 	}
-	for (ptrdiff_t i = 0; router->bounds.discover_instances && i < shlen(instances->rows); i++) {
+	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++) {
 		const struct Nl__Instance *s = instances->rows[i].value.instance;
-		int id = names_find(&router->server_names, instances->rows[i].key);
+		int id = names_find(&router->names.servers, instances->rows[i].key);
 
 		if (id < 0 || s->state == INSTANCE_REMOVED)
 			continue;
@@ -349,9 +356,11 @@
 				 s->state != INSTANCE_SERVING, 0);
 		server_table_instance(router, (uint32_t)id, s, now);
 	}
-	for (uint32_t i = 0; router->server_table && i < router->server_table->server_count; i++)
-		if (router->server_table->servers[i].is_configured && !servers->servers[i].is_configured)
-			prefix_index_remove_unreported(&router->prefix_index, i,
+	for (uint32_t i = 0; router->config.server_table && i < router->config.server_table->server_count;
+	     i++)
+		if (router->config.server_table->servers[i].is_configured &&
+		    !servers->servers[i].is_configured)
+			prefix_index_remove_unreported(&router->cache.index, i,
 						       UINT64_MAX); /* that life is over, and what it kept */
 	return servers;
 }
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -15,21 +15,21 @@
 
 static uint64_t weights_number(const struct router *router, uint32_t weights)
 {
-	return strtoull(router->weights_names.names[weights], NULL, 10);
+	return strtoull(router->names.weights.names[weights], NULL, 10);
 }
 
 int64_t router_weights_end(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
 {
-	const struct Nl__Row *model = router->route_table->services[service].model_row;
+	const struct Nl__Row *model = router->config.route_table->services[service].model_row;
 	const struct Nl__TargetVersion *newer;
 	int64_t clock;
 
-	if (!model || weights == router->route_table->services[service].target_weights ||
+	if (!model || weights == router->config.route_table->services[service].target_weights ||
 	    !version_history_supersedes(model, weights_number(router, weights)))
 		return INT64_MAX;
 	newer = version_history_after(model, weights_number(router, weights));
-	clock = newer ? config_watch_clock_ms(&router->config_watch, newer->term, now) : 0;
-	return clock ? (int64_t)newer->targeted_at_ms + router->bounds.rollout_ms - clock + now
+	clock = newer ? config_watch_clock_ms(&router->config.watch, newer->term, now) : 0;
+	return clock ? (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock + now
 		     : INT64_MIN; /* not known: the oldest date possible counts */
 }
 
@@ -42,7 +42,7 @@
 
 static int64_t recall_at(const struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
+	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
 	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
 }
@@ -55,9 +55,9 @@
 /* Within one life a server's weights only rise, and what tells of them may be late. */
 void router_weights_learn(struct router *router, uint32_t server, uint32_t weights)
 {
-	struct router_server_state *state = &router->servers[server];
-	const char *known = router->weights_names.names[state->weights],
-		   *reported = router->weights_names.names[weights];
+	struct router_server_state *state = &router->servers.states[server];
+	const char *known = router->names.weights.names[state->weights],
+		   *reported = router->names.weights.names[weights];
 
 	if (state->is_known && is_number(known) && is_number(reported) &&
 	    weights_number(router, weights) < weights_number(router, state->weights))
@@ -67,8 +67,8 @@
 
 void router_weights_log_targets(struct router *router, const struct route_table *old, int64_t now)
 {
-	for (uint32_t i = 0; router->log && i < router->route_table->service_count; i++) {
-		const struct Nl__Row *model = router->route_table->services[i].model_row;
+	for (uint32_t i = 0; router->log && i < router->config.route_table->service_count; i++) {
+		const struct Nl__Row *model = router->config.route_table->services[i].model_row;
 		const struct Nl__Row *before =
 		    old && i < old->service_count ? old->services[i].model_row : NULL;
 		const struct Nl__TargetVersion *newest;
@@ -80,8 +80,8 @@
 		newest = model->target_versions[model->n_target_versions - 1];
 		snprintf(text, sizeof text,
 			 "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
-			 model->target_weights, router->service_names.names[i],
-			 config_watch_clock_ms(&router->config_watch, newest->term, now) -
+			 model->target_weights, router->names.services.names[i],
+			 config_watch_clock_ms(&router->config.watch, newest->term, now) -
 			     (int64_t)newest->targeted_at_ms,
 			 model->n_target_versions);
 		router->log(router->log_context, "weights", text);
@@ -96,21 +96,22 @@
 {
 	char line[400];
 
-	if (!router->log || (router->violation_logged_at_ms &&
-			     router->now - router->violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
+	if (!router->log ||
+	    (router->records.violation_logged_at_ms &&
+	     router->clock.now - router->records.violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
 		return;
-	router->violation_logged_at_ms = router->now;
+	router->records.violation_logged_at_ms = router->clock.now;
 	snprintf(line, sizeof line,
 		 "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
-		 router->weights_names.names[request->weights],
-		 router->service_names.names[request->service_index],
-		 router->server_names.names[request->server_index], late_ms);
+		 router->names.weights.names[request->attempt.weights],
+		 router->names.services.names[request->route.service_index],
+		 router->names.servers.names[request->attempt.server_index], late_ms);
 	router->log(router->log_context, "invariant", line);
 }
 
 void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
+	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
 	if (now <= end)
 		return;
@@ -121,12 +122,12 @@
 /* Whether this process has stood still since a moment: then what it hears may have happened long before. */
 static int paused_since(const struct router *router, int64_t time_ms)
 {
-	return router->paused_at_ms >= time_ms;
+	return router->clock.paused_at_ms >= time_ms;
 }
 
 void router_weights_check_begin(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->service_index, request->weights, now);
+	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
 	if (now - ROUTER_BEGIN_NOTICE_DELAY_MS <= end || end == INT64_MIN || paused_since(router, end))
 		return;
@@ -140,10 +141,11 @@
  * cancelled in time, and goes to another server if it may. */
 void router_weights_recall(struct router *router, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(router->requests) - 1; i >= 0; i--) {
-		struct client_request *request = router->requests[i];
+	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
+		struct client_request *request = router->requests.all[i];
 
-		if (!request->is_forwarded || request->state != REQUEST_RUNNING || request->first_chunk_at_ms)
+		if (!request->is_forwarded || request->state != REQUEST_RUNNING ||
+		    request->attempt.first_chunk_at_ms)
 			continue;
 		if (now < recall_at(router, request, now))
 			continue;
--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -477,9 +477,9 @@
 		route[k].latency_target_ms = (uint32_t)engines->settings.kind[k].latency_target_ms;
 		rows[1 + k] = &route[k];
 	}
-	config_watch_poll(&engines->nodes[i].router.config_watch, 0, engines->now, &engines->nodes[i].out);
+	config_watch_poll(&engines->nodes[i].router.config.watch, 0, engines->now, &engines->nodes[i].out);
 	command_list_clear(&engines->nodes[i].out);
-	reply.token = engines->nodes[i].router.config_watch.last_token;
+	reply.token = engines->nodes[i].router.config.watch.last_token;
 	reply.has_lease = reply.full = reply.instances_full = 1;
 	reply.fleet_id = 7;
 	reply.revision = reply.instances_stamp = engines->revision;
@@ -505,13 +505,13 @@
 	struct router *router = &engines->nodes[i].router;
 	int zone = zone_of(i);
 
-	router->config_watch.fetched_at_ms = engines->now;
+	router->config.watch.fetched_at_ms = engines->now;
 	router->relay.has_knowledge = 1;
 	router->relay.known_at_ms = engines->now;
-	router->config_watch.upstream_count = i != head_of(zone);
-	router->config_watch.upstream[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
-	router->config_watch.zone_head_count = i == head_of(zone);
-	router->config_watch.zone_heads[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
+	router->config.watch.upstream_count = i != head_of(zone);
+	router->config.watch.upstream[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
+	router->config.watch.zone_head_count = i == head_of(zone);
+	router->config.watch.zone_heads[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
 	if (i != head_of(zone))
 		return;
 	for (ptrdiff_t k = 0; k < arrlen(router->relay.downstreams); k++)
@@ -858,11 +858,11 @@
 		apr_pool_create(&engines->nodes[i].out.pool, engines->pool);
 		router_open(router, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)),
 			    &controller, 1, engines->now);
-		router->bounds.discover_instances = 1;
-		router->bounds.link_kbps = settings->link_kbps;
-		router->bounds.disabled_mechanisms = settings->mechanisms_off;
-		router->bounds.retry_budget_slack = 1000;
-		router->bounds.retry_budget_permille = 200;
+		router->config.bounds.discover_instances = 1;
+		router->config.bounds.link_kbps = settings->link_kbps;
+		router->config.bounds.disabled_mechanisms = settings->mechanisms_off;
+		router->config.bounds.retry_budget_slack = 1000;
+		router->config.bounds.retry_budget_permille = 200;
 	}
 	return engines;
 }
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -21,7 +21,7 @@
 	apr_pool_create(&solo->commands.pool, solo->p);
 	solo->now = 1000000;
 	router_open(&solo->router, id, id + 1000, "z1", &seed, 1, solo->now);
-	solo->router.bounds.discover_instances = 1;
+	solo->router.config.bounds.discover_instances = 1;
 }
 
 void router_fixture_close(struct solo *solo)
@@ -84,7 +84,7 @@
 	message.id = 1;
 	router_fixture_message(solo, &message);
 	command_list_clear(&solo->commands);
-	assert_non_null(solo->router.route_table);
+	assert_non_null(solo->router.config.route_table);
 }
 
 struct Nl__Row *new_row(apr_pool_t *pool, Nl__Kind kind, const char *name)
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -399,10 +399,10 @@
 
 	for (ptrdiff_t k = arrlen(sim->acks) - 1; node->router && k >= 0 && k > arrlen(sim->acks) - 20; k--)
 		if (sim->now - sim->acks[k].at > 2000 &&
-		    node->router->config_watch.table.revision < sim->acks[k].revision)
+		    node->router->config.watch.table.revision < sim->acks[k].revision)
 			sim_violation(
 			    sim, "counter %d serves with edition %llu, %lld ms after %llu was acknowledged",
-			    i, (unsigned long long)node->router->config_watch.table.revision,
+			    i, (unsigned long long)node->router->config.watch.table.revision,
 			    (long long)(sim->now - sim->acks[k].at),
 			    (unsigned long long)sim->acks[k].revision);
 }
@@ -426,26 +426,27 @@
 
 	if (!router_balanced(router))
 		sim_violation(sim, "counter %d has lost a request, or ended one twice", i);
-	for (ptrdiff_t k = 0; k < arrlen(router->requests); k++) {
-		const struct client_request *request = router->requests[k];
+	for (ptrdiff_t k = 0; k < arrlen(router->requests.all); k++) {
+		const struct client_request *request = router->requests.all[k];
 
 		waiting += request->state == REQUEST_WAITING;
 		running += request->state != REQUEST_WAITING;
-		placed += request->server_index >= 0;
-		tokens += 1 + (request->call_token != 0) + (request->claim_token != 0);
+		placed += request->attempt.server_index >= 0;
+		tokens += 1 + (request->attempt.call_token != 0) + (request->claim.token != 0);
 		if (request->is_forwarded && request->state == REQUEST_WAITING &&
-		    request->route_revision != router->route_table->revision)
-			sim_violation(sim, "counter %d holds %s by an old table", i, request->id);
+		    request->route.revision != router->config.route_table->revision)
+			sim_violation(sim, "counter %d holds %s by an old table", i,
+				      request->client.request_id);
 	}
-	for (ptrdiff_t k = 0; k < arrlen(router->queues); k++) {
-		in_lines += router->queues[k].length;
-		in_places += router->queues[k].running;
+	for (ptrdiff_t k = 0; k < arrlen(router->queueing.queues); k++) {
+		in_lines += router->queueing.queues[k].length;
+		in_places += router->queueing.queues[k].running;
 	}
-	for (ptrdiff_t k = 0; k < arrlen(router->servers); k++)
-		own += router->servers[k].own_running;
-	if (tokens != hmlen(router->requests_by_token))
+	for (ptrdiff_t k = 0; k < arrlen(router->servers.states); k++)
+		own += router->servers.states[k].own_running;
+	if (tokens != hmlen(router->requests.by_token))
 		sim_violation(sim, "counter %d finds requests by %ld tokens, not %ld", i,
-			      (long)hmlen(router->requests_by_token), tokens);
+			      (long)hmlen(router->requests.by_token), tokens);
 	if (in_lines != waiting || in_places != running || own != placed)
 		sim_violation(
 		    sim, "counter %d counts %ld in lines of %ld, %ld in places of %ld, %ld at servers of %ld",
@@ -459,7 +460,7 @@
 	check_requests(sim, i);
 
 	check_relay(sim, i, &node->router->relay);
-	check_revision(sim, i, node->router->config_watch.table.revision);
+	check_revision(sim, i, node->router->config.watch.table.revision);
 }
 
 static void check_node(struct sim *sim, int i)
@@ -1825,7 +1826,7 @@
 		node->id = core_random(&sim->rng);
 		node->router = malloc(sizeof *node->router);
 		router_open(node->router, node->id, node->addr, node->zone, seeds, nseeds, local(sim, node));
-		node->router->bounds = sim->bounds;
+		node->router->config.bounds = sim->bounds;
 		node->router->log = count_line;
 		node->router->log_context = sim;
 		apr_pool_destroy(pool);
@@ -2225,11 +2226,11 @@
 			while (servers < SIM_SERVERS && sim->servers[servers].used)
 				servers++;
 			if (!relay_is_current(&sim->nodes[i].router->relay, local(sim, &sim->nodes[i])) ||
-			    !sim->nodes[i].router->route_table ||
-			    sim->nodes[i].router->server_table->server_count < servers)
+			    !sim->nodes[i].router->config.route_table ||
+			    sim->nodes[i].router->config.server_table->server_count < servers)
 				return 0;
-			for (uint32_t k = 0; k < sim->nodes[i].router->server_table->server_count; k++)
-				if (!sim->nodes[i].router->servers[k].is_known)
+			for (uint32_t k = 0; k < sim->nodes[i].router->config.server_table->server_count; k++)
+				if (!sim->nodes[i].router->servers.states[k].is_known)
 					return 0;
 		}
 	return 1;
--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -1487,7 +1487,7 @@
 		struct router *c = sim->nodes[n].router;
 
 		if (!c || !router_ready(c, sim_local(sim, n)) ||
-		    c->serving_servers < (uint32_t)forwarding->server_count ||
+		    c->config.serving_servers < (uint32_t)forwarding->server_count ||
 		    !relay_is_current(&c->relay, sim_local(sim, n)))
 			return 0;
 	}
--- a/tests/test_cache_feed.c
+++ b/tests/test_cache_feed.c
@@ -82,7 +82,7 @@
 	row.target_weights = "w1";
 	row.prefill_tokens_per_ms = 20;
 	node_step(zone, i, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
-	reply.token = zone->node[i].router.config_watch.last_token;
+	reply.token = zone->node[i].router.config.watch.last_token;
 	reply.has_lease = reply.full = reply.instances_full = 1;
 	reply.fleet_id = 7;
 	reply.revision = reply.instances_stamp = 1;
@@ -113,8 +113,8 @@
 		apr_pool_create(&zone->node[i].out.pool, zone->pool);
 		router_open(&zone->node[i].router, (uint64_t)i + 1, (uint64_t)i + 1001, "z1", &controller, 1,
 			    zone->now);
-		zone->node[i].router.bounds.discover_instances = 1;
-		zone->node[i].router.bounds.link_kbps = link_kbps;
+		zone->node[i].router.config.bounds.discover_instances = 1;
+		zone->node[i].router.config.bounds.link_kbps = link_kbps;
 		node_table(zone, i);
 	}
 }
@@ -237,8 +237,8 @@
 	for (int64_t end = zone->now + ms; zone->now < end; zone->now += TICK_MS) {
 		zone_keeps_downstream(zone);
 		for (int i = 0; i <= FOLLOWERS; i++) {
-			zone->node[i].router.config_watch.fetched_at_ms = zone->now;
-			zone->node[i].router.config_watch.upstream_count = i > 0;
+			zone->node[i].router.config.watch.fetched_at_ms = zone->now;
+			zone->node[i].router.config.watch.upstream_count = i > 0;
 		}
 		node_step(zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 		head_performs(zone);
@@ -247,11 +247,11 @@
 
 static size_t copies_at(struct router *router, const char *server, uint64_t key)
 {
-	struct block_replica *replica = prefix_index_find(&router->prefix_index, key);
+	struct block_replica *replica = prefix_index_find(&router->cache.index, key);
 	size_t n = 0;
 
 	for (ptrdiff_t k = 0; k < arrlen(replica); k++)
-		n += !strcmp(router->server_names.names[replica[k].server_index], server);
+		n += !strcmp(router->names.servers.names[replica[k].server_index], server);
 	return n;
 }
 
@@ -259,13 +259,13 @@
 {
 	struct router *head = &zone->node[0].router, *other = &zone->node[follower].router;
 
-	assert_int_equal(other->prefix_index.replica_count, head->prefix_index.replica_count);
-	for (ptrdiff_t i = 0; i < hmlen(head->prefix_index.blocks); i++)
-		for (ptrdiff_t k = 0; k < arrlen(head->prefix_index.blocks[i].value); k++) {
-			const struct block_replica *replica = &head->prefix_index.blocks[i].value[k];
+	assert_int_equal(other->cache.index.replica_count, head->cache.index.replica_count);
+	for (ptrdiff_t i = 0; i < hmlen(head->cache.index.blocks); i++)
+		for (ptrdiff_t k = 0; k < arrlen(head->cache.index.blocks[i].value); k++) {
+			const struct block_replica *replica = &head->cache.index.blocks[i].value[k];
 
-			assert_int_equal(copies_at(other, head->server_names.names[replica->server_index],
-						   head->prefix_index.blocks[i].key),
+			assert_int_equal(copies_at(other, head->names.servers.names[replica->server_index],
+						   head->cache.index.blocks[i].key),
 					 1);
 		}
 }
@@ -286,7 +286,7 @@
 		zone_run(&zone, BUSY_MS / FOLLOWERS);
 		zone.busy = 0;
 		zone_run(&zone, QUIET_MS);
-		assert_true(zone.node[0].router.prefix_index.replica_count > 1000);
+		assert_true(zone.node[0].router.cache.index.replica_count > 1000);
 		for (int i = 1; i <= FOLLOWERS; i++)
 			assert_same_index(&zone, i);
 		zone_close(&zone);
@@ -334,26 +334,27 @@
 		    bound = link_kbps ? MOST_MS * link_kbps / 8 / (50 * ANSWER_EVENTS) : SERVERS;
 
 		zone_open(&zone, 3, link_kbps);
-		head->config_watch.upstream_count = 0;
+		head->config.watch.upstream_count = 0;
 		for (int64_t end = zone.now + WITHIN_MS; zone.now < end; zone.now += TICK_MS) {
-			head->config_watch.fetched_at_ms = zone.now;
+			head->config.watch.fetched_at_ms = zone.now;
 			node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 			open = 0;
 			for (int s = 0; s < SERVERS; s++)
-				open += head->servers[s].watch_token && !head->servers[s].next_cache_event;
+				open += head->servers.states[s].watch_token &&
+					!head->servers.states[s].next_cache_event;
 			most = open > most ? open : most;
 			for (int s = 0; s < SERVERS; s++) {
-				struct router_server_state *server = &head->servers[s];
+				struct router_server_state *server = &head->servers.states[s];
 
 				if (server->watch_token && zone.now - server->watched_at_ms >= ANSWER_MS)
 					answer_all(&zone, server->watch_token,
-						   atoi(head->server_names.names[s] + 2), ANSWER_EVENTS);
+						   atoi(head->names.servers.names[s] + 2), ANSWER_EVENTS);
 			}
 			command_list_clear(&zone.node[0].out);
 		}
 		assert_true(most <= (bound < 1 ? 1 : bound));
 		for (int s = 0; s < SERVERS; s++)
-			assert_true(head->servers[s].next_cache_event > 0);
+			assert_true(head->servers.states[s].next_cache_event > 0);
 		zone_close(&zone);
 	}
 }
@@ -383,8 +384,8 @@
 
 	(void)state;
 	zone_open(&zone, 5, 0);
-	zone.node[0].router.config_watch.upstream_count = 0;
-	zone.node[0].router.config_watch.fetched_at_ms = zone.now;
+	zone.node[0].router.config.watch.upstream_count = 0;
+	zone.node[0].router.config.watch.fetched_at_ms = zone.now;
 	node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 	assert_int_equal(watch_of(&zone.node[0], "i-3", &token), 1);
 	for (size_t i = 0; i < sizeof answers / sizeof *answers; i++) {
@@ -401,7 +402,7 @@
 		event.u.cache_watched.status = 200;
 		node_step(&zone, 0, &event);
 		zone.now += ROUTER_CACHE_WATCH_INTERVAL_MS + TICK_MS;
-		zone.node[0].router.config_watch.fetched_at_ms = zone.now;
+		zone.node[0].router.config.watch.fetched_at_ms = zone.now;
 		node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 		assert_int_equal(watch_of(&zone.node[0], "i-3", &token), answers[i].all_next);
 	}
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -297,7 +297,7 @@
 
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
 		if (sim->nodes[i].up && !strcmp(sim->nodes[i].zone, zone) &&
-		    !sim->nodes[i].router->config_watch.upstream_count) {
+		    !sim->nodes[i].router->config.watch.upstream_count) {
 			head = i;
 			heads++;
 		}
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -634,7 +634,7 @@
 /* Until when a configuration that was certain when a request was decided on may still send it. */
 static int64_t router_fresh_until(void)
 {
-	return w.ctr.config_watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS;
+	return w.ctr.config.watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS;
 }
 
 /* A request's path is on a wire: from here on it may run. */
@@ -668,7 +668,7 @@
 				    (unsigned long long)request->wires[i].conn);
 	if (net_sim_call_began_at() > router_fresh_until())
 		breach("request %d (%s) was sent by a configuration that is %lld ms old", no, request->path,
-		       (long long)(net_sim_call_began_at() - w.ctr.config_watch.fetched_at_ms));
+		       (long long)(net_sim_call_began_at() - w.ctr.config.watch.fetched_at_ms));
 	sum.wires++;
 	sum.again += arrlen(request->wires) > 0;
 	arrput(request->wires, wire);
@@ -1331,7 +1331,7 @@
 	reply.fleet_id = 7;
 	reply.router_count = 1;
 	reply.revision = reply.since_revision = reply.instances_stamp = 1;
-	if (!w.ctr.route_table) {
+	if (!w.ctr.config.route_table) {
 		reply.full = reply.instances_full = 1;
 		rows[0] = row(pool, NL__KIND__SERVICE, "pool");
 		rows[0]->target_weights = "w1";
@@ -1402,9 +1402,9 @@
 	apr_pool_create(&w.proc.pool, NULL);
 	apr_pool_create(&w.proc.commands.pool, w.proc.pool);
 	router_open(&w.ctr, 5, 1005, "z1", &leader, 1, net_sim_now());
-	w.ctr.bounds.discover_instances = 1;
-	w.ctr.bounds.retry_budget_permille = 1000;
-	w.ctr.bounds.retry_budget_slack = 60;
+	w.ctr.config.bounds.discover_instances = 1;
+	w.ctr.config.bounds.retry_budget_permille = 1000;
+	w.ctr.config.bounds.retry_budget_slack = 60;
 	w.platform.front_addr = "127.0.0.1:8080";
 	w.platform.readiness_addr = "127.0.0.1:8081";
 	w.proc.settings.extension = &w.platform;
@@ -1455,7 +1455,7 @@
 		if (ask && !w.calm && !random_below(1500))
 			w.owner_silent_until = net_sim_now() + (int64_t)random_below(6000);
 		for (int i = 0; i < CLIENTS; i++)
-			client_turn(&w.clients[i], ask && w.ctr.route_table);
+			client_turn(&w.clients[i], ask && w.ctr.config.route_table);
 		platform_edge.wait(&w.edge, 0);
 		if (net_sim_now() - tick >= TICK_MS) {
 			tick = net_sim_now();
@@ -1509,20 +1509,20 @@
 /* Once nothing is under way, nothing is counted as under way at any server. */
 static void check_books(void)
 {
-	if (arrlen(w.ctr.requests))
+	if (arrlen(w.ctr.requests.all))
 		return;
-	for (ptrdiff_t i = 0; i < arrlen(w.ctr.servers); i++) {
-		const struct router_server_state *server = &w.ctr.servers[i];
+	for (ptrdiff_t i = 0; i < arrlen(w.ctr.servers.states); i++) {
+		const struct router_server_state *server = &w.ctr.servers.states[i];
 
 		if (server->own_running || server->prefill_tokens || server->resident_tokens)
 			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i,
 			       server->own_running, server->prefill_tokens,
 			       (unsigned long long)server->resident_tokens);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(w.ctr.queues); i++)
-		if (w.ctr.queues[i].length || w.ctr.queues[i].running)
-			breach("a line of nobody has %u waiting and %u running", w.ctr.queues[i].length,
-			       w.ctr.queues[i].running);
+	for (ptrdiff_t i = 0; i < arrlen(w.ctr.queueing.queues); i++)
+		if (w.ctr.queueing.queues[i].length || w.ctr.queueing.queues[i].running)
+			breach("a line of nobody has %u waiting and %u running",
+			       w.ctr.queueing.queues[i].length, w.ctr.queueing.queues[i].running);
 }
 
 static void no_answer_goes_astray(void **state)
@@ -1572,7 +1572,7 @@
 	world_open(seed);
 	w.honest_ids = 0;
 	play(500, 0);
-	assert_non_null(w.ctr.route_table);
+	assert_non_null(w.ctr.config.route_table);
 }
 
 static void quiet_end(uint64_t seed)
@@ -1772,8 +1772,8 @@
 {
 	uint64_t seeds[2] = { LEADER_ADDR, LEADER_ADDR + random_below(2) };
 
-	config_watch_set_seeds(&w.ctr.config_watch, seeds, 1 + (int)random_below(2));
-	w.ctr.bounds.retry_budget_permille = 500 + (int)random_below(1000);
+	config_watch_set_seeds(&w.ctr.config.watch, seeds, 1 + (int)random_below(2));
+	w.ctr.config.bounds.retry_budget_permille = 500 + (int)random_below(1000);
 }
 
 static void play_planned(int64_t ms)
@@ -1882,7 +1882,7 @@
 			net_sim_write(conn[i], b, strlen(b), 0);
 		}
 		play(200, 0);
-		assert_int_equal(arrlen(w.ctr.requests), CROWD);
+		assert_int_equal(arrlen(w.ctr.requests.all), CROWD);
 		from = net_sim_now();
 		stop_begins(GRACE_MS);
 		while (!platform_edge.is_idle(&w.edge, net_sim_now()) &&
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -1095,13 +1095,13 @@
 
 		sim_deploy(&sim, 5, 3, 1, 6);
 		router = sim.nodes[SIM_CONTROLLERS].router;
-		tenants = arrlen(router->tenant_names.names);
+		tenants = arrlen(router->names.tenants.names);
 		for (int i = 0; i < 3; i++)
 			sim.servers[i].odd_report = odd;
 		load(&sim, &rng, 12000, 20, 1);
 		all_notified(&sim);
-		assert_int_equal(arrlen(router->tenant_names.names), tenants);
-		assert_true(arrlen(router->weights_names.names) <= ROUTER_MAX_WEIGHTS_NAMES);
+		assert_int_equal(arrlen(router->names.tenants.names), tenants);
+		assert_true(arrlen(router->names.weights.names) <= ROUTER_MAX_WEIGHTS_NAMES);
 		assert_int_equal(sim.n_odd, odd < 4 ? 3 : 0);
 		assert_int_equal(sim.n_unknown, 0);
 		assert_true(sim.n_complete > 400);
@@ -1126,11 +1126,11 @@
 	}
 	sim_run(&sim, 400, NULL);
 	assert_int_equal(sim.servers[0].running, 8);
-	assert_int_equal(arrlen(sim.nodes[SIM_CONTROLLERS].router->requests), 12);
+	assert_int_equal(arrlen(sim.nodes[SIM_CONTROLLERS].router->requests.all), 12);
 	sim_disconnect(&sim, "l0");
 	sim_disconnect(&sim, "l11");
 	sim_run(&sim, 5, NULL);
-	assert_int_equal(arrlen(sim.nodes[SIM_CONTROLLERS].router->requests), 10);
+	assert_int_equal(arrlen(sim.nodes[SIM_CONTROLLERS].router->requests.all), 10);
 	assert_int_equal(sim.n_sends, 8);
 	sim_stop(&sim, SIM_CONTROLLERS);
 	sim_run(&sim, 10, NULL);
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -76,14 +76,14 @@
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 
 	s->now += after_ms;
-	s->router.config_watch.fetched_at_ms = s->router.relay.known_at_ms = s->now;
+	s->router.config.watch.fetched_at_ms = s->router.relay.known_at_ms = s->now;
 	event.u.forward_began.token = call;
 	router_fixture_step(s, &event);
 }
 
 static const struct decision_counts *counts(const struct solo *s)
 {
-	return s->router.decision_counts[0];
+	return s->router.records.decision_counts[0];
 }
 
 /* The first send reads at the prefix's home; the next one finds it kept there. */
@@ -212,22 +212,22 @@
 	(void)state;
 	for (size_t k = 0; k < sizeof servers / sizeof *servers; k++) {
 		struct solo solo;
-		struct client_request request = { .block_count = 2,
-						  .total_tokens = SHARED + OWN,
-						  .id = "a",
-						  .server_index = -1,
-						  .avoided_server = UINT32_MAX,
+		struct client_request request = { .prompt.block_count = 2,
+						  .prompt.total_tokens = SHARED + OWN,
+						  .client.request_id = "a",
+						  .attempt.server_index = -1,
+						  .retry.avoided_server = UINT32_MAX,
 						  .is_forwarded = 1 };
 		clock_t from;
 		double us;
 		int found = 0;
 
 		open_before(&solo, servers[k], CAPACITY_TOKENS, "l1");
-		request.block_tokens[0] = SHARED;
-		request.block_tokens[1] = OWN;
+		request.prompt.block_tokens[0] = SHARED;
+		request.prompt.block_tokens[1] = OWN;
 		from = clock();
 		for (int i = 0; i < DECISIONS; i++) {
-			request.block_hash[0] = (uint64_t)i;
+			request.prompt.block_hash[0] = (uint64_t)i;
 			found +=
 			    router_placement_forwarded(&solo.router, &request, solo.now).server_index >= 0;
 		}
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -1437,7 +1437,7 @@
 	sim_run(&sim, 8000, NULL);
 	o = sim_leader(&sim, SHARD_CONTROL);
 	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
-	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config_watch, "t1")->requested = 1;
+	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config.watch, "t1")->requested = 1;
 	sim_run(&sim, 1000, NULL);
 	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
 	ok(&sim);
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -745,11 +745,11 @@
 			continue;
 		}
 		assert_non_null(request);
-		assert_string_equal(solo.router.route_names.names[request->route_index], expected);
+		assert_string_equal(solo.router.names.routes.names[request->route.index], expected);
 		found++;
 		router_fixture_disconnect(&solo);
 		if (k % 200 == 0) /* it must stay in touch with its table */
-			solo.router.config_watch.fetched_at_ms = solo.now;
+			solo.router.config.watch.fetched_at_ms = solo.now;
 	}
 	assert_true(found > 1000);
 	router_fixture_close(&solo);
@@ -788,14 +788,14 @@
 		uint32_t first;
 
 		snprintf(id, sizeof id, "id-%d", k);
-		first = router_fixture_submit(&solo, "h", "/x", id, &status)->service_index;
+		first = router_fixture_submit(&solo, "h", "/x", id, &status)->route.service_index;
 		router_fixture_disconnect(&solo);
 		if (k % 10 == 0) {
-			assert_int_equal(router_fixture_submit(&solo, "h", "/x", id, &status)->service_index,
-					 first);
+			assert_int_equal(
+			    router_fixture_submit(&solo, "h", "/x", id, &status)->route.service_index, first);
 			router_fixture_disconnect(&solo);
 		}
-		got[solo.router.service_names.names[first][1] - '0']++;
+		got[solo.router.names.services.names[first][1] - '0']++;
 	}
 	for (int i = 0; i < 4; i++)
 		assert_in_range(got[i], weight[i] * 100 - weight[i] * 10, weight[i] * 100 + weight[i] * 10);
@@ -831,21 +831,22 @@
 				int zone = i % ZONES, head = i < ZONES;
 				struct router *router = &solo[i].router;
 
-				router->config_watch.fetched_at_ms = solo[i].now;
+				router->config.watch.fetched_at_ms = solo[i].now;
 				router->zone_hash = (uint64_t)zone + 1;
-				router->config_watch.upstream_count = head ? 0 : 1;
-				router->config_watch.upstream[0] = (uint64_t)zone + 1001;
-				router->config_watch.zone_head_count = 0;
+				router->config.watch.upstream_count = head ? 0 : 1;
+				router->config.watch.upstream[0] = (uint64_t)zone + 1001;
+				router->config.watch.zone_head_count = 0;
 				for (int z = 0; z < ZONES && head; z++)
 					if (z != zone)
-						router->config_watch
-						    .zone_heads[router->config_watch.zone_head_count++] =
+						router->config.watch
+						    .zone_heads[router->config.watch.zone_head_count++] =
 						    (uint64_t)z + 1001;
 				if (!quiet && random_below(&d, 3) == 0) {
 					int k = (int)random_below(&d, SRV);
 
-					router->servers[k].own_running = (int)random_below(&d, 30);
-					router->servers[k].prefill_tokens = (uint32_t)random_below(&d, 20000);
+					router->servers.states[k].own_running = (int)random_below(&d, 30);
+					router->servers.states[k].prefill_tokens =
+					    (uint32_t)random_below(&d, 20000);
 				}
 				if (i == off && round > 150 &&
 				    round < 260) /* it falls silent for over the time for which words count */
@@ -872,26 +873,28 @@
 		}
 		for (int i = 0; i < N; i++)
 			for (int k = 0; k < SRV; k++) {
-				const char *name = solo[i].router.server_names.names[k];
+				const char *name = solo[i].router.names.servers.names[k];
 				uint32_t ahead = 0, running = 0;
 
 				for (int x = 0; x < N; x++) {
-					int at = names_find(&solo[x].router.server_names, name);
+					int at = names_find(&solo[x].router.names.servers, name);
 
-					ahead += x == i ? 0 : solo[x].router.servers[at].prefill_tokens;
+					ahead +=
+					    x == i ? 0 : solo[x].router.servers.states[at].prefill_tokens;
 					running +=
-					    x == i ? 0 : (uint32_t)solo[x].router.servers[at].own_running;
+					    x == i ? 0
+						   : (uint32_t)solo[x].router.servers.states[at].own_running;
 				}
-				if (solo[i].router.others_load[k].prefill_tokens != ahead ||
-				    solo[i].router.others_load[k].running != running)
+				if (solo[i].router.load.others[k].prefill_tokens != ahead ||
+				    solo[i].router.load.others[k].running != running)
 					fail_msg(
 					    "seed %d: counter %d thinks that others have %u tokens, %u requests at %s; they have %u, %u",
-					    (int)seed, i, solo[i].router.others_load[k].prefill_tokens,
-					    solo[i].router.others_load[k].running, name, ahead, running);
+					    (int)seed, i, solo[i].router.load.others[k].prefill_tokens,
+					    solo[i].router.load.others[k].running, name, ahead, running);
 			}
 		for (int i = 0; i < N; i++) {
 			for (int k = 0; k < SRV; k++)
-				solo[i].router.servers[k].own_running = 0;
+				solo[i].router.servers.states[k].own_running = 0;
 			router_fixture_close(&solo[i]);
 		}
 	}
@@ -924,12 +927,12 @@
 			int v = (int)random_below(&d, SRV), n = (int)random_below(&d, 6);
 			size_t all = 0;
 
-			k.server = solo.router.server_names.names[v];
+			k.server = solo.router.names.servers.names[v];
 			if (!random_below(&d, 40))
 				epoch[v]++;
 			k.events_lost = !random_below(&d, 40);
-			if (k.events_lost || (solo.router.servers[v].cache_epoch &&
-					      epoch[v] != solo.router.servers[v].cache_epoch))
+			if (k.events_lost || (solo.router.servers.states[v].cache_epoch &&
+					      epoch[v] != solo.router.servers.states[v].cache_epoch))
 				memset(have[v], 0, sizeof have[v]);
 			k.epoch = epoch[v];
 			k.next_offset = next[v] += (uint64_t)n;
@@ -953,12 +956,12 @@
 			message.cache_update_batch = &words;
 			router_fixture_message(&solo, &message);
 			command_list_clear(&solo.commands);
-			assert_int_equal(solo.router.servers[v].next_cache_event, next[v]);
+			assert_int_equal(solo.router.servers.states[v].next_cache_event, next[v]);
 			for (int x = 0; x < SRV; x++)
 				for (int h = 0; h < SHELVES; h++)
 					for (int i = 0; i < IDS; i++) {
 						struct block_replica *replica = prefix_index_find(
-						    &solo.router.prefix_index,
+						    &solo.router.cache.index,
 						    router_block_key(core_hash_string(0, h ? "w1-a" : "w1-b"),
 								     (uint64_t)i + 1));
 						int there = 0;
@@ -968,15 +971,15 @@
 						assert_int_equal(there, have[x][h][i]);
 						all += (size_t)there;
 					}
-			assert_int_equal(solo.router.prefix_index.replica_count, all);
+			assert_int_equal(solo.router.cache.index.replica_count, all);
 		}
 		instances[0]->state = INSTANCE_REMOVED; /* what a life kept goes with it */
 		instances[0]->stamp = 2;
 		router_fixture_table(&solo, rows, 1, instances, SRV, 2);
-		for (ptrdiff_t i = 0; i < hmlen(solo.router.prefix_index.blocks); i++)
-			for (ptrdiff_t q = 0; q < arrlen(solo.router.prefix_index.blocks[i].value); q++)
-				assert_int_not_equal(solo.router.prefix_index.blocks[i].value[q].server_index,
-						     names_find(&solo.router.server_names, "i-0"));
+		for (ptrdiff_t i = 0; i < hmlen(solo.router.cache.index.blocks); i++)
+			for (ptrdiff_t q = 0; q < arrlen(solo.router.cache.index.blocks[i].value); q++)
+				assert_int_not_equal(solo.router.cache.index.blocks[i].value[q].server_index,
+						     names_find(&solo.router.names.servers, "i-0"));
 		router_fixture_close(&solo);
 	}
 }
@@ -986,8 +989,8 @@
 	struct client_request request;
 
 	memset(&request, 0, sizeof request);
-	request.service_index = service;
-	request.tenant_index = tenant;
+	request.route.service_index = service;
+	request.route.tenant_index = tenant;
 	return router_cache_namespace(&solo->router, &request, weights, solo->p);
 }
 
@@ -1152,15 +1155,15 @@
 	assert_int_equal(status, 429);
 	assert_int_equal(answered.answers, 1);
 	assert_true(answered.retry_ms > 0);
-	assert_int_equal(arrlen(solo.router.requests), 1 + SLOTS);
-	solo.router.config_watch.fetched_at_ms = solo.now;
+	assert_int_equal(arrlen(solo.router.requests.all), 1 + SLOTS);
+	solo.router.config.watch.fetched_at_ms = solo.now;
 	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
 	answered = solo_told(&solo);
 	assert_int_equal(answered.answers + answered.ends, 0);
 	command_list_clear(&solo.commands);
 	router_fixture_tick(&solo, 25);
 	assert_true(router_fixture_last_call(&solo)); /* the next one's turn */
-	assert_int_equal(arrlen(solo.router.requests), SLOTS);
+	assert_int_equal(arrlen(solo.router.requests.all), SLOTS);
 	router_fixture_close(&solo);
 }
 
@@ -1182,7 +1185,7 @@
 	assert_true(call);
 	assert_non_null(router_fixture_submit(&solo, "h", "/x", "waits", &status));
 	solo.now += 1500; /* well within the bounds of before */
-	solo.router.bounds.revoke_ms = 1000;
+	solo.router.config.bounds.revoke_ms = 1000;
 	command_list_clear(&solo.commands);
 	router_fixture_tick(&solo, 25);
 	answered = solo_told(&solo);
@@ -1194,7 +1197,7 @@
 	assert_int_equal(answered.ends + answered.answers, 0);
 	assert_false(
 	    router_fixture_last_call(&solo)); /* there is a place, but the configuration is too old */
-	solo.router.config_watch.fetched_at_ms = solo.now; /* heard again */
+	solo.router.config.watch.fetched_at_ms = solo.now; /* heard again */
 	command_list_clear(&solo.commands);
 	router_fixture_tick(&solo, 25);
 	assert_true(router_fixture_last_call(&solo));
@@ -1233,12 +1236,12 @@
 		rows[2]->target_versions = target;
 		rows[2]->n_target_versions = 1;
 		router_fixture_table(&solo, rows, 3, &instance, 1, 2);
-		solo.now = (int64_t)named.targeted_at_ms + solo.router.bounds.rollout_ms -
+		solo.now = (int64_t)named.targeted_at_ms + solo.router.config.bounds.rollout_ms -
 			   ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
-		solo.router.config_watch.fetched_at_ms = solo.now;
+		solo.router.config.watch.fetched_at_ms = solo.now;
 		router_fixture_tick(&solo, 1);
 		if (busy)
-			solo.router.servers[0].prefill_tokens =
+			solo.router.servers.states[0].prefill_tokens =
 			    500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
 		assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
 		assert_int_equal(router_fixture_last_call(&solo) != 0, !busy);
@@ -1320,7 +1323,7 @@
 		instance = new_instance(solo.p, 1, "pool");
 		router_fixture_table(&solo, rows, 2, &instance, 1, 1);
 		assert_non_null(request = router_fixture_submit(&solo, "h", "/x", "id", &status));
-		request->attempt_id = "send";
+		request->attempt.id = "send";
 		event.u.stream_chunk.token = router_fixture_last_call(&solo);
 		event.u.stream_chunk.text = lines[i];
 		command_list_clear(&solo.commands);
@@ -1390,8 +1393,8 @@
 			continue;
 		call = solo->commands.commands[i].args.forward->call_token;
 		arrput(*running, call);
-		served[router_request_by_token(&solo->router, call)->route_index ==
-		       (uint32_t)names_find(&solo->router.route_names, "later")]++;
+		served[router_request_by_token(&solo->router, call)->route.index ==
+		       (uint32_t)names_find(&solo->router.names.routes, "later")]++;
 	}
 }
 
@@ -1462,11 +1465,11 @@
 	rows[2] = new_row(solo.p, NL__KIND__TENANT, "t1");
 	rows[1]->share = rows[2]->share = 1;
 	router_fixture_table(&solo, rows, 3, NULL, 0, 1);
-	w1 = names_id(&solo.router.weights_names, "w1");
-	w2 = names_id(&solo.router.weights_names, "w2");
-	t0 = names_id(&solo.router.tenant_names, "t0");
-	t1 = names_id(&solo.router.tenant_names, "t1");
-	pool = names_id(&solo.router.service_names, "pool");
+	w1 = names_id(&solo.router.names.weights, "w1");
+	w2 = names_id(&solo.router.names.weights, "w2");
+	t0 = names_id(&solo.router.names.tenants, "t0");
+	t1 = names_id(&solo.router.names.tenants, "t1");
+	pool = names_id(&solo.router.names.services, "pool");
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
 	assert_string_equal(was[0], cache_namespace_of(&solo, pool, w1, t1));
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w2, t0);
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -42,7 +42,7 @@
 {
 	struct sim_instance *listed = &sim->instance_list.instances[i];
 	const struct Nl__Instance *x =
-	    instances_get(&sim->nodes[node].router->config_watch.instances, listed->name);
+	    instances_get(&sim->nodes[node].router->config.watch.instances, listed->name);
 	int was = checker->state[node][i], is = !x ? -1 : (int)x->state;
 
 	/* state as judged: 0 never seen, 1 serving, 2 draining, 3 gone or forgotten after it */
@@ -261,7 +261,7 @@
 		assert_int_equal(sim.instance_list.n_commands, SERVERS);
 		for (int i = 0; i < SERVERS; i++) {
 			const struct Nl__Instance *listed =
-			    instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances,
+			    instances_get(&sim.nodes[SIM_CONTROLLERS].router->config.watch.instances,
 					  sim.instance_list.instances[i].name);
 
 			assert_non_null(listed);
@@ -501,7 +501,7 @@
 	assert_int_equal(sim.instance_list.n_load, 0);
 	for (int i = 0; i < SERVERS; i++) {
 		sim.instance_list.instances[i].fence = 0;
-		assert_int_equal(instances_get(&sim.nodes[SIM_CONTROLLERS].router->config_watch.instances,
+		assert_int_equal(instances_get(&sim.nodes[SIM_CONTROLLERS].router->config.watch.instances,
 					       sim.instance_list.instances[i].name)
 				     ->loading,
 				 0);
@@ -516,7 +516,7 @@
 
 static int knows(struct sim *sim, int node, uint64_t key)
 {
-	return arrlen(prefix_index_find(&sim->nodes[node].router->prefix_index, key)) == 1;
+	return arrlen(prefix_index_find(&sim->nodes[node].router->cache.index, key)) == 1;
 }
 
 /* A counter that comes back hears from its zone's head what is kept where, also what has not changed since.
@@ -563,13 +563,13 @@
 			sim_run(&sim, 50, NULL);
 			sim_start(&sim, n);
 			assert_true(sim_run(&sim, 5000, NULL));
-			if (!sim.nodes[n].router->config_watch.upstream_count)
+			if (!sim.nodes[n].router->config.watch.upstream_count)
 				break; /* it is a head now, and asks the servers themselves */
 			assert_true(knows(&sim, n, key));
 			assert_int_equal(
 			    sim.nodes[n]
-				.router
-				->servers[names_find(&sim.nodes[n].router->server_names, update.server)]
+				.router->servers
+				.states[names_find(&sim.nodes[n].router->names.servers, update.server)]
 				.next_cache_event,
 			    3);
 			learned++;
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -459,11 +459,11 @@
 		}
 		for (ptrdiff_t k = arrlen(world->acks) - 1; k >= 0 && k > arrlen(world->acks) - 30; k--)
 			if (world->s.now - world->acks[k].at > ROUTER_BOUND_MS &&
-			    node->router->config_watch.table.revision < world->acks[k].revision)
+			    node->router->config.watch.table.revision < world->acks[k].revision)
 				sim_violation(
 				    &world->s,
 				    "router %d takes requests with edition %llu, %lld ms after %llu was acknowledged",
-				    i, (unsigned long long)node->router->config_watch.table.revision,
+				    i, (unsigned long long)node->router->config.watch.table.revision,
 				    (long long)(world->s.now - world->acks[k].at),
 				    (unsigned long long)world->acks[k].revision);
 	}
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -118,7 +118,7 @@
 			led_at = sim->now;
 		for (int i = 0; i < ROUTERS; i++) {
 			const struct config_watch *watch =
-			    &sim->nodes[SIM_CONTROLLERS + i].router->config_watch;
+			    &sim->nodes[SIM_CONTROLLERS + i].router->config.watch;
 			int64_t fresh = watch->fetched_at_ms - sim->nodes[SIM_CONTROLLERS + i].clock_skew_ms;
 
 			if (sim->now - fresh > age[i])
