--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -304,7 +304,7 @@
 	event.u.claimed_request.key_digest = digest;
 	event.u.claimed_request.body = "{\"lane\":\"route\",\"id\":\"x\",\"tail\":\"t\"}";
 	router_fixture_step(&world.s, &event);
-	assert_int_equal(arrlen(world.s.router.requests), 1);
+	assert_int_equal(arrlen(world.s.router.requests.all), 1);
 	route->service = "new";
 	assert_int_equal(received_table(&world, 1), 503);
 	router_fixture_close(&world.s);
@@ -332,7 +332,7 @@
 		assert_non_null(ask(&world, "/x", 'a'));
 		world.rows--;
 		assert_int_equal(received_table(&world, 1), key ? 401 : 404);
-		assert_int_equal(arrlen(world.s.router.requests), 0);
+		assert_int_equal(arrlen(world.s.router.requests.all), 0);
 		router_fixture_close(&world.s);
 	}
 }
@@ -363,7 +363,7 @@
 	send_ends(&world, call, FORWARD_NOT_STARTED, 503, 0, NULL);
 	assert_int_equal(heard(&world.s, 6), 404);
 	assert_null(sent_to(&world.s));
-	assert_int_equal(arrlen(world.s.router.requests), 5);
+	assert_int_equal(arrlen(world.s.router.requests.all), 5);
 	router_fixture_close(&world.s);
 }
 
@@ -411,7 +411,7 @@
 	world.rows -= 2;
 	world_apply(&world);
 	for (int i = 0; i < 100; i++) {
-		world.s.router.config_watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 100);
 	}
 	world.rows += 2;
@@ -447,14 +447,14 @@
 	router_fixture_tick(&world.s, 100);
 	began(&world, first);
 	for (int i = 0; i < 700; i++) { /* over half of its time: the queue was empty meanwhile */
-		world.s.router.config_watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 	}
 	send_ends(&world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
 	assert_int_equal(heard(&world.s, 2), 0);
 	assert_null(sent_to(&world.s));
 	command_list_clear(&world.s.commands);
-	world.s.router.config_watch.fetched_at_ms = world.s.now;
+	world.s.router.config.watch.fetched_at_ms = world.s.now;
 	router_fixture_tick(&world.s, 50);
 	assert_int_equal(heard(&world.s, 2), 0);
 	send_ends(&world, first, FORWARD_COMPLETE, 200, 1, "9");
@@ -496,9 +496,9 @@
 		from = world.s.now;
 		while (!status && world.s.now - from < 20000) {
 			command_list_clear(&world.s.commands);
-			world.s.router.config_watch.fetched_at_ms = world.s.now;
-			world.s.router.servers[1].unavailable_until_ms =
-			    world.s.router.servers[0].unavailable_until_ms = world.s.now + 100;
+			world.s.router.config.watch.fetched_at_ms = world.s.now;
+			world.s.router.servers.states[1].unavailable_until_ms =
+			    world.s.router.servers.states[0].unavailable_until_ms = world.s.now + 100;
 			router_fixture_tick(&world.s, 50);
 			status = heard(&world.s, 2);
 		}
@@ -528,7 +528,7 @@
 	ask(&world, "/x", 0);
 	for (int i = 0; i < 20 && !(sent || status); i++) {
 		command_list_clear(&world.s.commands);
-		world.s.router.config_watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		sent = sent_to(&world.s) != NULL;
 		status = heard(&world.s, 1);
@@ -564,13 +564,13 @@
 
 static int is_for(const struct world *world, const struct client_request *request, const char *service)
 {
-	return !strcmp(world->s.router.service_names.names[request->service_index], service);
+	return !strcmp(world->s.router.names.services.names[request->route.service_index], service);
 }
 
 static void time_passes(struct world *world, int64_t ms)
 {
 	for (int64_t end = world->s.now + ms; world->s.now < end;) {
-		world->s.router.config_watch.fetched_at_ms = world->s.now;
+		world->s.router.config.watch.fetched_at_ms = world->s.now;
 		router_fixture_tick(&world->s, 50);
 	}
 }
@@ -578,10 +578,10 @@
 /* The one that runs ends; sends go out in the order in which they were asked. */
 static uint64_t one_ends(struct world *world, uint64_t last)
 {
-	for (ptrdiff_t k = 0; k < arrlen(world->s.router.requests); k++)
-		if (world->s.router.requests[k]->state == REQUEST_RUNNING) {
-			send_ends(world, world->s.router.requests[k]->call_token, FORWARD_COMPLETE, 200, 1,
-				  NULL);
+	for (ptrdiff_t k = 0; k < arrlen(world->s.router.requests.all); k++)
+		if (world->s.router.requests.all[k]->state == REQUEST_RUNNING) {
+			send_ends(world, world->s.router.requests.all[k]->attempt.call_token,
+				  FORWARD_COMPLETE, 200, 1, NULL);
 			break;
 		}
 	time_passes(world, 50);
@@ -610,10 +610,10 @@
 	assert_int_equal(sent, 3);
 	for (int i = 0; i < 20; i++)
 		last = one_ends(&world, last);
-	waiting = (int)arrlen(world.s.router.requests);
+	waiting = (int)arrlen(world.s.router.requests.all);
 	assert_in_range(waiting, 1, 9);
 	for (ptrdiff_t k = 0; k < waiting; k++)
-		assert_true(is_for(&world, world.s.router.requests[k], "down"));
+		assert_true(is_for(&world, world.s.router.requests.all[k], "down"));
 	for (int i = 0; i < 100; i++) {
 		command_list_clear(&world.s.commands);
 		time_passes(&world, 50);
@@ -642,7 +642,7 @@
 		assert_non_null(request = ask(&world, "/x", 0));
 	while (!is_for(&world, request, "up"));
 	assert_int_equal(request->state, REQUEST_WAITING);
-	request->deadline_at_ms = world.s.now + 2000;
+	request->client.deadline_at_ms = world.s.now + 2000;
 	command_list_clear(&world.s.commands);
 	time_passes(&world, 100);
 	assert_int_equal(heard(&world.s, world.s.token), 0);
@@ -689,16 +689,16 @@
 	request = ask(&world, "/x", 0);
 	assert_non_null(request);
 	call = router_fixture_last_call(&world.s);
-	request->has_begun = send_end->begun;
-	request->may_have_run = send_end->ran;
-	request->idempotent = send_end->repeatable;
-	request->resumable = send_end->resumable;
+	request->stream.has_begun = send_end->begun;
+	request->retry.may_have_run = send_end->ran;
+	request->route.idempotent = send_end->repeatable;
+	request->route.resumable = send_end->resumable;
 	if (send_end->spent == SPENT_ATTEMPTS)
-		request->max_attempts = 1;
+		request->retry.max_attempts = 1;
 	if (send_end->spent == SPENT_BUDGET)
-		world.s.router.retry_budget[request->service_index] = 0;
+		world.s.router.quota.retry_budget[request->route.service_index] = 0;
 	if (send_end->spent == SPENT_TIME)
-		request->deadline_at_ms = world.s.now + 10;
+		request->client.deadline_at_ms = world.s.now + 10;
 	send_ends(&world, call, send_end->how, send_end->how == FORWARD_NOT_STARTED ? 503 : 200,
 		  send_end->begun, send_end->since ? "3" : NULL);
 	if (heard(&world.s, 1) != expected(send_end))
@@ -708,7 +708,7 @@
 		    send_end->resumable, send_end->since, send_end->spent, heard(&world.s, 1),
 		    expected(send_end));
 	assert_int_equal(sent_to(&world.s) != NULL, expected(send_end) == ANSWER_RESENT);
-	assert_int_equal(arrlen(world.s.router.requests), expected(send_end) == ANSWER_RESENT);
+	assert_int_equal(arrlen(world.s.router.requests.all), expected(send_end) == ANSWER_RESENT);
 	assert_true(router_balanced(&world.s.router));
 	router_fixture_close(&world.s);
 }
@@ -757,13 +757,14 @@
 	router_fixture_step(&world.s, &event);
 	while (world.s.now < event.u.shutdown.run_deadline_at_ms + 200) {
 		command_list_clear(&world.s.commands);
-		world.s.router.config_watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		for (uint64_t i = 0; i < 3; i++)
 			if (heard(&world.s, i + 1))
 				answered[i] = heard(&world.s, i + 1);
 		if (world.s.now < event.u.shutdown.send_deadline_at_ms - 50)
-			assert_int_equal(arrlen(world.s.router.requests), 3); /* not sooner than it must */
+			assert_int_equal(arrlen(world.s.router.requests.all),
+					 3); /* not sooner than it must */
 	}
 	assert_int_equal(answered[0], -1);
 	assert_int_equal(answered[1], 502);
@@ -839,7 +840,7 @@
 	if (phase == PHASE_RESUMING)
 		send_ends(world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
 	if (phase != PHASE_WAITING)
-		world->s.router.servers[0].unavailable_until_ms =
+		world->s.router.servers.states[0].unavailable_until_ms =
 		    world->s.now + 100000; /* none takes it before the event is over */
 }
 
@@ -849,7 +850,7 @@
 
 	for (int64_t end = world->s.now + ms; world->s.now < end && !answered;) {
 		command_list_clear(&world->s.commands);
-		world->s.router.config_watch.fetched_at_ms = world->s.now;
+		world->s.router.config.watch.fetched_at_ms = world->s.now;
 		router_fixture_tick(&world->s, 50);
 		answered = heard(&world->s, 1);
 	}
@@ -884,7 +885,7 @@
 		world->servers = 0;
 		return received_table(world, 1) ? 1 : ticks_until_answered(world, 5000);
 	case EVENT_DEADLINE:
-		world->s.router.requests[0]->deadline_at_ms = world->s.now + 200;
+		world->s.router.requests.all[0]->client.deadline_at_ms = world->s.now + 200;
 		return ticks_until_answered(world, 300);
 	case EVENT_PROCESS_STOPS:
 		stop.u.shutdown.send_deadline_at_ms = world->s.now + 200;
@@ -919,7 +920,7 @@
 			if (answered != hears[event][phase])
 				fail_msg("event %d in phase %d: heard %d, not %d", event, phase, answered,
 					 hears[event][phase]);
-			assert_int_equal(arrlen(world.s.router.requests), answered == ANSWER_NONE);
+			assert_int_equal(arrlen(world.s.router.requests.all), answered == ANSWER_NONE);
 			assert_true(router_balanced(&world.s.router));
 			if (answered)
 				assert_int_equal(world.s.router.stats.outcomes[outcome_answered(answered)],
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -477,7 +477,7 @@
 static const char *cache_namespace(struct router *router, struct client_request *request, uint32_t weights,
 				   apr_pool_t *pool, const char *tenant)
 {
-	request->tenant_index = (uint32_t)names_find(&router->tenant_names, tenant);
+	request->route.tenant_index = (uint32_t)names_find(&router->names.tenants, tenant);
 	return router_cache_namespace(router, request, weights, pool);
 }
 
@@ -552,11 +552,11 @@
 	sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 	router = sim.nodes[SIM_CONTROLLERS].router;
 	memset(&request, 0, sizeof request);
-	request.route_index = (uint32_t)names_find(&router->route_names, "arrears");
-	request.service_index = (uint32_t)names_find(&router->service_names, "arrears");
-	request.block_count = 2;
-	request.block_hash[0] = 12345;
-	w = (uint32_t)names_find(&router->weights_names, "w1");
+	request.route.index = (uint32_t)names_find(&router->names.routes, "arrears");
+	request.route.service_index = (uint32_t)names_find(&router->names.services, "arrears");
+	request.prompt.block_count = 2;
+	request.prompt.block_hash[0] = 12345;
+	w = (uint32_t)names_find(&router->names.weights, "w1");
 	t1 = cache_namespace(router, &request, w, pool, "t1");
 	assert_string_equal(
 	    t1, cache_namespace(router, &request, w, pool,
@@ -598,29 +598,29 @@
 	again = cache_namespace(router, &request, w, pool, "t1");
 	assert_string_not_equal(again, t1);
 	/* slices end alike, so that what prompts share is shared again */
-	request.block_hash[0] = 12346;
+	request.prompt.block_hash[0] = 12346;
 	assert_string_equal(again, cache_namespace(router, &request, w, pool, "t1"));
 	ok(&sim);
 	/* the head of a zone sees in its index what servers still name of before, and nothing else, in a few
 	 * thousand rows a tick */
-	router->bounds.discover_instances = 1;
-	router->config_watch.upstream_count = 0;
+	router->config.bounds.discover_instances = 1;
+	router->config.watch.upstream_count = 0;
 	for (uint64_t i = 0; i < 5000; i++)
 		prefix_index_put(
-		    &router->prefix_index, 1000 + i,
+		    &router->cache.index, 1000 + i,
 		    &(struct block_replica){ (uint32_t)(i % 2), 0, 0, 0, 0,
 					     router_namespace_key_from_text(i % 1000 == 7 ? t1 : again) });
 	for (int i = 0; i < 200; i++)
 		router_retention_tick(router, sim.now + sim.nodes[SIM_CONTROLLERS].clock_skew_ms + 25 * i);
-	assert_true(router->config_watch.has_index);
-	for (ptrdiff_t i = 0; i < arrlen(router->config_watch.cache_remainders); i++) {
-		assert_true(router->config_watch.cache_remainders[i].block_count == 0 ||
-			    (router->config_watch.cache_remainders[i].block_count == 5 &&
-			     router->config_watch.cache_remainders[i].scope ==
+	assert_true(router->config.watch.has_index);
+	for (ptrdiff_t i = 0; i < arrlen(router->config.watch.cache_remainders); i++) {
+		assert_true(router->config.watch.cache_remainders[i].block_count == 0 ||
+			    (router->config.watch.cache_remainders[i].block_count == 5 &&
+			     router->config.watch.cache_remainders[i].scope ==
 				 router_namespace_key_from_text(t1) >> 32 &&
-			     router->config_watch.cache_remainders[i].purge_number ==
+			     router->config.watch.cache_remainders[i].purge_number ==
 				 (router_namespace_key_from_text(t1) & UINT32_MAX)));
-		old += router->config_watch.cache_remainders[i].block_count;
+		old += router->config.watch.cache_remainders[i].block_count;
 	}
 	assert_int_equal(old, 5);
 	sim_close(&sim);
@@ -686,7 +686,7 @@
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	sim_run(&sim, 3000, NULL);
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + 2; i++)
-		assert_int_equal(hmlen(sim.nodes[i].router->usage), 0);
+		assert_int_equal(hmlen(sim.nodes[i].router->records.usage), 0);
 	sim_run(&sim, 30000, NULL);
 	ok(&sim);
 	assert_true(disks_with(&sim, "secret-") >= 2); /* once still means once */
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -604,7 +604,7 @@
 
 	router_fixture_open(solo, 5);
 	instance = apr_palloc(solo->p, sizeof *instance * (size_t)servers);
-	solo->router.bounds.rollout_ms = SOLO_ROLL_MS;
+	solo->router.config.bounds.rollout_ms = SOLO_ROLL_MS;
 	row[0] = new_row(solo->p, NL__KIND__MODEL, "m");
 	row[0]->target_weights = apr_psprintf(solo->p, "%d", targets + 1);
 	row[0]->rolled_out = "1";
@@ -705,7 +705,7 @@
 			    "repeatable %d, new servers %d: recalled %d, cancelled %d; then 502 %d, 503 %d, sent %d; %d remain, "
 			    "sent past %d\n",
 			    repeatable, new_servers, (int)solo.router.stats.recalled, cancelled, broke,
-			    refused, sent, (int)arrlen(solo.router.requests),
+			    refused, sent, (int)arrlen(solo.router.requests.all),
 			    (int)solo.router.stats.sent_past_bound);
 			assert_int_equal(solo.router.stats.recalled, cancelled);
 			assert_int_equal(solo.router.stats.sent_past_bound, 0);
