--- a/lib/shell/server_calls.c
+++ b/lib/shell/server_calls.c
@@ -36,10 +36,10 @@
 	char *body, *received; /* got: stb_ds */
 	int is_stream, is_post, socket_count, socket_refused, too_late;
 	int64_t not_after_ms;
-	struct call *calls;
+	struct server_calls *calls;
 };
 
-struct call {
+struct server_calls {
 	struct ring *events, *commands;
 	CURLM *multi;
 	apr_thread_t *thread;
@@ -114,7 +114,7 @@
 	return n;
 }
 
-static void one_free(struct call *call, struct server_call *k)
+static void one_free(struct server_calls *call, struct server_call *k)
 {
 	curl_multi_remove_handle(call->multi, k->curl);
 	curl_easy_cleanup(k->curl);
@@ -144,7 +144,7 @@
 	return never;
 }
 
-static void report(struct call *c, uint64_t token, int stream, int status, int never, const char *body)
+static void report(struct server_calls *c, uint64_t token, int stream, int status, int never, const char *body)
 {
 	struct shell_event *event = shell_event_new(SHELL_EVENT_CALL_DONE);
 
@@ -156,7 +156,7 @@
 	ring_push(c->events, event, 1);
 }
 
-static void call_finished(struct call *call, CURL *curl, CURLcode result)
+static void call_finished(struct server_calls *call, CURL *curl, CURLcode result)
 {
 	struct server_call *one;
 	long status = 0;
@@ -177,7 +177,7 @@
 	one_free(call, one);
 }
 
-static void begin(struct call *c, struct order *order)
+static void begin(struct server_calls *c, struct order *order)
 {
 	struct server_call *k;
 
@@ -232,7 +232,7 @@
 
 static void *APR_THREAD_FUNC server_calls_thread(apr_thread_t *thread, void *arg)
 {
-	struct call *call = arg;
+	struct server_calls *call = arg;
 
 	(void)thread;
 	while (!call->stop) {
@@ -258,9 +258,9 @@
 	return NULL;
 }
 
-struct call *server_calls_open(struct ring *events, apr_pool_t *pool)
+struct server_calls *server_calls_open(struct ring *events, apr_pool_t *pool)
 {
-	struct call *call = apr_pcalloc(pool, sizeof *call);
+	struct server_calls *call = apr_pcalloc(pool, sizeof *call);
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	call->events = events;
@@ -274,13 +274,13 @@
 	return call;
 }
 
-static void send_command(struct call *call, struct order *order)
+static void send_command(struct server_calls *call, struct order *order)
 {
 	ring_push(call->commands, order, 1);
 	curl_multi_wakeup(call->multi);
 }
 
-void server_calls_start(struct call *call, uint64_t token, const char *addr, const char *path,
+void server_calls_start(struct server_calls *call, uint64_t token, const char *addr, const char *path,
 			const char *body, int timeout_ms, int is_stream, int64_t not_after_ms)
 {
 	struct order *order = calloc(1, sizeof *order);
@@ -297,7 +297,7 @@
 	send_command(call, order);
 }
 
-void server_calls_cancel(struct call *call, uint64_t token)
+void server_calls_cancel(struct server_calls *call, uint64_t token)
 {
 	struct order *order = calloc(1, sizeof *order);
 
@@ -308,7 +308,7 @@
 	send_command(call, order);
 }
 
-void server_calls_close(struct call *call)
+void server_calls_close(struct server_calls *call)
 {
 	apr_status_t st;
 	struct order *order;
--- a/lib/shell/transport.c
+++ b/lib/shell/transport.c
@@ -70,7 +70,7 @@
 	int unreachable_logged;   /* logged that it cannot be reached */
 };
 
-struct net {
+struct transport {
 	apr_pool_t *pool;
 	apr_socket_t *listen_socket;
 	apr_pollset_t *pollset;
@@ -84,14 +84,14 @@
 	} * peers;
 };
 
-static void pollset_remove(struct net *net, struct conn *conn)
+static void pollset_remove(struct transport *net, struct conn *conn)
 {
 	if (conn->in_pollset)
 		apr_pollset_remove(net->pollset, &conn->fd);
 	conn->in_pollset = 0;
 }
 
-static int list(struct net *net, struct conn *conn, apr_int16_t want)
+static int list(struct transport *net, struct conn *conn, apr_int16_t want)
 {
 	pollset_remove(net, conn);
 	memset(&conn->fd, 0, sizeof conn->fd);
@@ -115,21 +115,21 @@
 	return sa;
 }
 
-static void dial_close(struct net *net, struct dial *dial)
+static void dial_close(struct transport *net, struct dial *dial)
 {
 	apr_pollset_remove(net->pollset, &dial->poll_fd);
 	apr_socket_close(dial->socket);
 	apr_pool_destroy(dial->pool);
 }
 
-static void older_dials_close(struct net *net, struct conn *conn)
+static void older_dials_close(struct transport *net, struct conn *conn)
 {
 	for (ptrdiff_t i = 0; i < arrlen(conn->older_dials); i++)
 		dial_close(net, &conn->older_dials[i]);
 	arrfree(conn->older_dials);
 }
 
-static void outgoing_close(struct net *net, struct conn *conn)
+static void outgoing_close(struct transport *net, struct conn *conn)
 {
 	older_dials_close(net, conn);
 	pollset_remove(net, conn);
@@ -151,7 +151,7 @@
 		(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
-static void outgoing_dial(struct net *net, struct conn *conn)
+static void outgoing_dial(struct transport *net, struct conn *conn)
 {
 	apr_sockaddr_t *sa = sockaddr(conn->addr, conn->p);
 	apr_status_t st;
@@ -174,7 +174,7 @@
 	list(net, conn, APR_POLLOUT | APR_POLLIN);
 }
 
-static void outgoing_write(struct net *net, struct conn *conn)
+static void outgoing_write(struct transport *net, struct conn *conn)
 {
 	while (conn->sent_offset < (size_t)arrlen(conn->buffer)) {
 		apr_size_t len = (size_t)arrlen(conn->buffer) - conn->sent_offset;
@@ -198,7 +198,7 @@
 /* An answer to a dial may only be slow, behind a full link: the dial stays, and another goes out beside it,
  * for a machine that was dark is asked again by the kernel after a second at the soonest. What it was made
  * for is no longer worth sending. */
-static void dial_beside(struct net *net, struct conn *conn)
+static void dial_beside(struct transport *net, struct conn *conn)
 {
 	struct dial dial = { conn->p, conn->s, conn->fd, conn->dialled_at_ms };
 
@@ -216,7 +216,7 @@
 }
 
 /* The first answer to a dial: this connection is the one. */
-static void outgoing_connected(struct net *net, struct conn *conn)
+static void outgoing_connected(struct transport *net, struct conn *conn)
 {
 	int64_t allowed =
 	    TRANSPORT_UNACKED_MS + TRANSPORT_UNACKED_ROUND_TRIPS * (clock_ms() - conn->dialled_at_ms);
@@ -231,7 +231,7 @@
 	conn->unreachable_logged = 0;
 }
 
-static void outgoing_ready(struct net *net, struct conn *conn, apr_int16_t events)
+static void outgoing_ready(struct transport *net, struct conn *conn, apr_int16_t events)
 {
 	if (!conn->up && (events & (APR_POLLERR | APR_POLLHUP))) {
 		if (!conn->unreachable_logged)
@@ -261,7 +261,7 @@
 }
 
 /* An older dial has its answer: it takes the newest one's place, or is over. */
-static void older_dial_ready(struct net *net, struct conn *conn, const apr_socket_t *socket,
+static void older_dial_ready(struct transport *net, struct conn *conn, const apr_socket_t *socket,
 			     apr_int16_t events)
 {
 	ptrdiff_t i = 0;
@@ -289,7 +289,7 @@
 	outgoing_ready(net, conn, events);
 }
 
-static void outgoing_enqueue(struct net *net, struct outgoing_frame *net_bytes)
+static void outgoing_enqueue(struct transport *net, struct outgoing_frame *net_bytes)
 {
 	uint64_t key = net_bytes->addr | (net_bytes->is_bulk ? NET_BULK : 0);
 	struct conn *conn = hmget(net->peers, key);
@@ -327,7 +327,7 @@
 
 /* ---- incoming ---- */
 
-static void incoming_close(struct net *net, struct conn *conn)
+static void incoming_close(struct transport *net, struct conn *conn)
 {
 	pollset_remove(net, conn);
 	apr_socket_close(conn->s);
@@ -342,7 +342,7 @@
 }
 
 /* Frames that are whole become events; 0 when the peer's bytes make no sense. */
-static int incoming_parse_frames(struct net *net, struct conn *conn)
+static int incoming_parse_frames(struct transport *net, struct conn *conn)
 {
 	size_t at = 0;
 
@@ -374,7 +374,7 @@
 	return 1;
 }
 
-static void incoming_ready(struct net *net, struct conn *conn)
+static void incoming_ready(struct transport *net, struct conn *conn)
 {
 	for (int reads = 0; reads < TRANSPORT_MAX_READS; reads++) {
 		char b[65536];
@@ -401,7 +401,7 @@
 		incoming_close(net, conn);
 }
 
-static void incoming_accept(struct net *net)
+static void incoming_accept(struct transport *net)
 {
 	apr_pool_t *pool;
 	apr_socket_t *s;
@@ -425,7 +425,7 @@
 }
 
 /* Wait for sockets for a while, then take what is to be sent. */
-static void serve(struct net *n, int wait_ms)
+static void serve(struct transport *n, int wait_ms)
 {
 	const apr_pollfd_t *got = NULL;
 	apr_int32_t count = 0;
@@ -451,7 +451,7 @@
 	}
 }
 
-static int has_unsent(const struct net *net)
+static int has_unsent(const struct transport *net)
 {
 	for (ptrdiff_t i = 0; i < hmlen(net->peers); i++) {
 		const struct conn *conn = net->peers[i].value;
@@ -464,7 +464,7 @@
 
 static void *APR_THREAD_FUNC transport_thread(apr_thread_t *thread, void *arg)
 {
-	struct net *net = arg;
+	struct transport *net = arg;
 	int64_t end;
 
 	(void)thread;
@@ -477,9 +477,9 @@
 	return NULL;
 }
 
-struct net *transport_open(const char *addr, struct ring *events, apr_pool_t *pool)
+struct transport *transport_open(const char *addr, struct ring *events, apr_pool_t *pool)
 {
-	struct net *net = apr_pcalloc(pool, sizeof *net);
+	struct transport *net = apr_pcalloc(pool, sizeof *net);
 	uint64_t a = core_parse_addr(addr);
 	apr_sockaddr_t *sa = sockaddr(a, pool);
 	apr_pollfd_t fd;
@@ -528,7 +528,7 @@
 	}
 }
 
-void transport_send(struct net *net, uint64_t addr, const struct Nl__Msg *message)
+void transport_send(struct transport *net, uint64_t addr, const struct Nl__Msg *message)
 {
 	struct outgoing_frame *net_bytes = malloc(sizeof *net_bytes);
 	size_t len = nl__msg__get_packed_size(message);
@@ -549,7 +549,7 @@
 	apr_pollset_wakeup(net->pollset);
 }
 
-void transport_close(struct net *net)
+void transport_close(struct transport *net)
 {
 	apr_status_t st;
 	struct outgoing_frame *net_bytes;
--- a/tests/test_shell.c
+++ b/tests/test_shell.c
@@ -176,7 +176,7 @@
 {
 	apr_pool_t *pool;
 	struct ring *ring;
-	struct call *call;
+	struct server_calls *call;
 	struct fake fake = { 0 };
 	struct shell_event *event;
 	pthread_t t;
@@ -592,7 +592,7 @@
 	};
 	apr_pool_t *pool;
 	struct ring *ring;
-	struct net *a, *b;
+	struct transport *a, *b;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
@@ -677,7 +677,7 @@
 {
 	apr_pool_t *pool;
 	struct ring *ring;
-	struct net *net;
+	struct transport *net;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
@@ -733,7 +733,7 @@
 {
 	apr_pool_t *pool;
 	struct ring *ring;
-	struct net *a, *b;
+	struct transport *a, *b;
 	char at_a[40], at_b[40];
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__LeaderHint owner = NL__LEADER_HINT__INIT;
@@ -841,7 +841,7 @@
 	int listener, deaf, quick;
 	uint8_t frame[256];
 	char at[40], peer[40];
-	struct net *net;
+	struct transport *net;
 	struct ring *ring;
 	apr_pool_t *pool;
 
@@ -893,7 +893,7 @@
 	struct Nl__SnapshotChunk piece = NL__SNAPSHOT_CHUNK__INIT;
 	struct pollfd waiting = { -1, POLLIN, 0 };
 	char at[40], peer[40];
-	struct net *net;
+	struct transport *net;
 	struct ring *ring;
 	apr_pool_t *pool;
 
@@ -1142,7 +1142,7 @@
 	for (int round = 0; round < ROUNDS; round++) {
 		struct Nl__Msg message = NL__MSG__INIT;
 		struct Nl__LeaderHint leader = NL__LEADER_HINT__INIT;
-		struct net *from, *net;
+		struct transport *from, *net;
 		struct ring *ring, *unused;
 		struct shell_event *event;
 		char at_from[40], at_to[40], deaf[40];
