--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -11,14 +11,14 @@
 	MAX_LOST = 3        /* answers to one naming: what is acknowledged can still be so within AckMs */
 };
 
-struct want {
+struct queued_change {
 	enum change what;
 	int modify;
 };
-enum what { SENDS_CONFIG, SENDS_WEIGHTS, READS };
+enum submission_kind { SUBMIT_CONFIG, SUBMIT_WEIGHTS, SUBMIT_READ };
 struct submission {
 	struct operator* operator;
-	enum what what;
+	enum submission_kind what;
 	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost,
 	    loss_count;
 	int64_t base_version, version, started_at_ms, read_from;
@@ -34,7 +34,7 @@
 	struct json_object *current; /* acknowledged */
 	int64_t version, next_version;
 	struct submission **in_flight; /* stb arrays */
-	struct want *queue;
+	struct queued_change *queue;
 	int acked_count, keys, routes, weights_acked, read_done, closed;
 	char added[96], removed[96];
 	int splits;
@@ -43,15 +43,15 @@
 	char leader[64];            /* who acknowledged last */
 };
 
-static void attempt(void *ctx);
-static void next(struct operator* operator);
+static void send_attempt(void *ctx);
+static void send_next(struct operator* operator);
 
 static struct json_object *clone(struct json_object *json)
 {
 	return json_tokener_parse(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 }
 
-static struct json_object *member(struct json_object *json, const char *key)
+static struct json_object *json_member(struct json_object *json, const char *key)
 {
 	struct json_object *v = NULL;
 
@@ -61,17 +61,17 @@
 
 static const char *name_of(struct json_object *json)
 {
-	struct json_object *v = member(json, "Name");
+	struct json_object *v = json_member(json, "Name");
 
 	return v ? json_object_get_string(v) : "";
 }
 
-static void submission_free(struct submission *s)
+static void submission_free(struct submission *submission)
 {
-	json_object_put(s->document);
-	free(s->body);
-	free(s->path);
-	free(s);
+	json_object_put(submission->document);
+	free(submission->body);
+	free(submission->path);
+	free(submission);
 }
 
 static const char *pick_node(struct operator* operator, int other)
@@ -91,29 +91,29 @@
 	return "127.0.0.1:1";
 }
 
-static void over(struct submission *s)
+static void submission_over(struct submission *submission)
 {
-	struct operator* operator= s->operator;
+	struct operator* operator= submission->operator;
 
 	for (int i = 0; i < arrlen(operator->in_flight); i++)
-		if (operator->in_flight[i] == s) {
+		if (operator->in_flight[i] == submission) {
 			arrdel(operator->in_flight, i);
 			break;
 		}
-	submission_free(s);
+	submission_free(submission);
 	if (!operator->closed)
-		next(operator);
+		send_next(operator);
 }
 
-static void retry_later(struct submission *s)
+static void retry_later(struct submission *submission)
 {
-	s->redirects = 0;
-	snprintf(s->address, sizeof s->address, "%s", pick_node(s->operator, 1));
-	loop_after(s->operator->run->loop, ms_us(s->pause_ms), attempt, s);
-	s->pause_ms = s->pause_ms < 1000 ? s->pause_ms * 1.5 : 1000;
+	submission->redirects = 0;
+	snprintf(submission->address, sizeof submission->address, "%s", pick_node(submission->operator, 1));
+	loop_after(submission->operator->run->loop, ms_us(submission->pause_ms), send_attempt, submission);
+	submission->pause_ms = submission->pause_ms < 1000 ? submission->pause_ms * 1.5 : 1000;
 }
 
-static void answer(void *ctx, int status, const struct http_message *message)
+static void on_answer(void *ctx, int status, const struct http_message *message)
 {
 	struct submission *s = ctx;
 	struct operator* operator= s->operator;
@@ -125,7 +125,7 @@
 		run_log(run, "operator: %s %lld at %s: %d", s->path, (long long)s->version, s->address,
 			status);
 	if (operator->closed) {
-		over(s);
+		submission_over(s);
 		return;
 	}
 	if (s->is_lost) {
@@ -142,11 +142,11 @@
 			s->redirects++;
 			memcpy(s->address, p, n);
 			s->address[n] = 0;
-			attempt(s);
+			send_attempt(s);
 			return;
 		}
 	}
-	if (s->what == READS) {
+	if (s->what == SUBMIT_READ) {
 		if (status == 200) {
 			char *t = strndup(message->body ? message->body : "", message->body_length);
 
@@ -158,7 +158,7 @@
 			if (status != 200)
 				checker_record_read_back(run->checker, now, NULL);
 			operator->read_done = 1;
-			over(s);
+			submission_over(s);
 			return;
 		}
 		s->pause_ms = 200;
@@ -167,7 +167,7 @@
 	}
 	if (status >= 200 && status < 300) {
 		snprintf(operator->leader, sizeof operator->leader, "%s", s->address);
-		if (s->what == SENDS_WEIGHTS) {
+		if (s->what == SUBMIT_WEIGHTS) {
 			checker_record_target_version(run->checker, now, s->weights, 1);
 			operator->weights_acked = s->weights;
 			run_log(run, "weights %d are acknowledged after %lld ms", s->weights,
@@ -190,12 +190,12 @@
 						 s->removed);
 			}
 		}
-		over(s);
+		submission_over(s);
 		return;
 	}
 	if (status == 400 || status == 409 || status == 412 || status == 413 || status == 422 ||
 	    (status >= 400 && status < 500 && status != 408 && status != 429 && ++s->other_errors >= 3)) {
-		if (s->what == SENDS_WEIGHTS) { /* it goes on until it is taken */
+		if (s->what == SUBMIT_WEIGHTS) { /* it goes on until it is taken */
 			retry_later(s);
 			return;
 		}
@@ -206,7 +206,7 @@
 			run_log(run, "configuration %lld on %lld was refused with %d: %.120s",
 				(long long)s->version, (long long)s->base_version, status,
 				message && message->body ? message->body : "");
-		over(s);
+		submission_over(s);
 		return;
 	}
 	if (!status || status >= 500)
@@ -214,39 +214,39 @@
 	retry_later(s);
 }
 
-static void attempt(void *ctx)
+static void send_attempt(void *ctx)
 {
 	struct submission *s = ctx;
 	int wait = 1000 + (s->body ? (int)(strlen(s->body) / 200) : 0);
 
 	if (s->operator->closed) {
-		over(s);
+		submission_over(s);
 		return;
 	}
 	s->attempts++;
 	s->is_lost =
-	    s->what == SENDS_WEIGHTS && s->loss_count < MAX_LOST &&
+	    s->what == SUBMIT_WEIGHTS && s->loss_count < MAX_LOST &&
 	    s->operator->loss_ratio> 0 && emulator_random_unit(&s->operator->rng) < s->operator->loss_ratio;
 	s->loss_count += s->is_lost;
 	if (s->is_lost)
 		wait = 1 + (int)(emulator_random(&s->operator->rng) % LOST_AFTER_MS);
-	call_once(s->operator->run->loop, s->address, s->what == READS ? "GET" : "POST", s->path, s->fields,
-		  s->body, wait, answer, s);
+	http_call(s->operator->run->loop, s->address, s->what == SUBMIT_READ ? "GET" : "POST", s->path,
+		  s->fields, s->body, wait, on_answer, s);
 }
 
-static void submission_send(struct submission *s)
+static void operator_send(struct submission *submission)
 {
-	struct operator* operator= s->operator;
+	struct operator* operator= submission->operator;
 
-	s->started_at_ms = run_ms(operator->run);
-	s->pause_ms = 100;
-	snprintf(s->address, sizeof s->address, "%s", pick_node(operator, 0));
-	arrput(operator->in_flight, s);
-	attempt(s);
+	submission->started_at_ms = run_ms(operator->run);
+	submission->pause_ms = 100;
+	snprintf(submission->address, sizeof submission->address, "%s", pick_node(operator, 0));
+	arrput(operator->in_flight, submission);
+	send_attempt(submission);
 }
 
-static struct submission *submission(struct operator* operator, enum what what, const char *path,
-				     const char *body)
+static struct submission *new_submission(struct operator* operator, enum submission_kind what,
+					 const char *path, const char *body)
 {
 	struct submission *s = calloc(1, sizeof *s);
 
@@ -258,10 +258,11 @@
 }
 
 /* The whole configuration goes out, or what differs; invalid: known to be so. */
-static struct submission *config_submission(struct operator* operator, struct json_object * full,
-					    const char *text, const char *path, int64_t base, int invalid)
+static struct submission *operator_config_submission(struct operator* operator, struct json_object * full,
+						     const char *text, const char *path, int64_t base,
+						     int invalid)
 {
-	struct submission *s = submission(operator, SENDS_CONFIG, path, text);
+	struct submission *s = new_submission(operator, SUBMIT_CONFIG, path, text);
 	struct parsed_config *config =
 	    full ? parsed_config_read(json_object_to_json_string_ext(full, JSON_C_TO_STRING_PLAIN)) : NULL;
 
@@ -276,8 +277,8 @@
 
 /* ---- what it wants ---- */
 
-static struct json_object *route(struct operator* operator, const char * name, const char *prefix,
-				 const struct traffic_class *class)
+static struct json_object *make_route(struct operator* operator, const char * name, const char *prefix,
+				      const struct traffic_class *class)
 {
 	struct json_object *r = json_object_new_object();
 
@@ -297,7 +298,7 @@
 	return r;
 }
 
-static struct json_object *tenant(int i)
+static struct json_object *make_tenant(int i)
 {
 	struct json_object *t = json_object_new_object(), *k = json_object_new_array();
 	char b[48];
@@ -312,7 +313,7 @@
 	return t;
 }
 
-static struct json_object *first(struct operator* operator)
+static struct json_object *operator_first_config(struct operator* operator)
 {
 	struct run *run = operator->run;
 	struct json_object *j = json_object_new_object(), *a = json_object_new_array(), *s, *json, *ms, *m;
@@ -322,7 +323,7 @@
 	for (int i = 0; i < CLASS_COUNT; i++) {
 		snprintf(name, sizeof name, "r-%d", i);
 		json_object_array_add(
-		    a, route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
+		    a, make_route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
 	}
 	json_object_object_add(j, "RouteList", a);
 	a = json_object_new_array();
@@ -365,21 +366,22 @@
 	json_object_object_add(j, "Limits", s);
 	a = json_object_new_array();
 	for (int i = 0; i < run->sheet->tenants; i++)
-		json_object_array_add(a, tenant(i));
+		json_object_array_add(a, make_tenant(i));
 	json_object_object_add(j, "TenantList", a);
 	return j;
 }
 
 void operator_submit_first(struct operator* operator)
 {
-	struct json_object *json = first(operator);
+	struct json_object *json = operator_first_config(operator);
 	struct submission *s =
-	    config_submission(operator, json, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN),
-			      "/configuration/replace", 0, 0);
+	    operator_config_submission(operator, json,
+				       json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN),
+				       "/configuration/replace", 0, 0);
 
 	json_object_put(json);
 	operator->next_version = 5;
-	submission_send(s);
+	operator_send(s);
 }
 
 static int64_t next_version(struct operator* operator)
@@ -420,12 +422,12 @@
 }
 
 /* Changes a copy of what stands; the items touched go to up, the names removed to gone. */
-static struct json_object *changed(struct operator* operator, enum change what, struct submission **out,
-				   int modify)
+static struct json_object *operator_make_change(struct operator* operator, enum change what,
+						struct submission **out, int modify)
 {
 	struct run *run = operator->run;
-	struct json_object *json = clone(operator->current), *routes = member(json, "RouteList"),
-			   *tenants = member(json, "TenantList"), *x, *body, *up, *removal, *a;
+	struct json_object *json = clone(operator->current), *routes = json_member(json, "RouteList"),
+			   *tenants = json_member(json, "TenantList"), *x, *body, *up, *removal, *a;
 	char name[64], prefix[96], added[96] = "", removed[96] = "";
 	int i = (int)(emulator_random(&operator->rng) % CLASS_COUNT);
 	struct submission *s;
@@ -463,7 +465,7 @@
 		snprintf(name, sizeof name, "r-more-%d", operator->routes);
 		snprintf(prefix, sizeof prefix, "/more%d/", operator->routes++);
 		snprintf(added, sizeof added, "%s", prefix);
-		x = route(operator, name, prefix, &run->sheet->classes[2]);
+		x = make_route(operator, name, prefix, &run->sheet->classes[2]);
 		json_object_array_add(a, json_object_get(x));
 		put_item(routes, x);
 		json_object_object_add(up, "RouteList", a);
@@ -474,7 +476,7 @@
 			if (strncmp(name_of(x), "r-more-", 7))
 				continue;
 			snprintf(removed, sizeof removed, "%s",
-				 json_object_get_string(member(x, "PathPrefix")));
+				 json_object_get_string(json_member(x, "PathPrefix")));
 			json_object_array_add(a, json_object_new_string(name_of(x)));
 			json_object_array_del_idx(routes, k, 1);
 			break;
@@ -487,7 +489,7 @@
 
 		i = 2 + operator->keys %(run->sheet->tenants - 2);
 		x = json_object_array_get_idx(tenants, (size_t)i);
-		keys = member(x, "AccessKeys");
+		keys = json_member(x, "AccessKeys");
 		if (what == CHANGE_KEY_ON) {
 			snprintf(name, sizeof name, "key%02d-%d-abcdefgh", i, ++operator->keys);
 			json_object_array_add(keys, json_object_new_string(name));
@@ -502,7 +504,8 @@
 		i = 2 + (int)(emulator_random(&operator->rng) % (uint64_t)(run->sheet->tenants - 2));
 		x = json_object_array_get_idx(tenants, (size_t)i);
 		json_object_object_add(
-		    x, "Isolated", json_object_new_boolean(!json_object_get_boolean(member(x, "Isolated"))));
+		    x, "Isolated",
+		    json_object_new_boolean(!json_object_get_boolean(json_member(x, "Isolated"))));
 		json_object_array_add(a, json_object_get(x));
 		json_object_object_add(up, "TenantList", a);
 		break;
@@ -510,7 +513,7 @@
 		for (int k = 0; k < 200; k++) {
 			snprintf(name, sizeof name, "r-big-%d", k);
 			snprintf(prefix, sizeof prefix, "/big%d/", k);
-			x = route(operator, name, prefix, &run->sheet->classes[2]);
+			x = make_route(operator, name, prefix, &run->sheet->classes[2]);
 			json_object_array_add(a, json_object_get(x));
 			put_item(routes, x);
 		}
@@ -529,7 +532,7 @@
 	default: /* routes that nothing goes to */
 		snprintf(name, sizeof name, "r-idle-%d", operator->routes);
 		snprintf(prefix, sizeof prefix, "/idle%d/", operator->routes++);
-		x = route(operator, name, prefix, &run->sheet->classes[0]);
+		x = make_route(operator, name, prefix, &run->sheet->classes[0]);
 		json_object_array_add(a, json_object_get(x));
 		put_item(routes, x);
 		json_object_object_add(up, "RouteList", a);
@@ -537,10 +540,9 @@
 	}
 	json_object_object_add(body, "Upsert", up);
 	json_object_object_add(body, "Remove", removal);
-	s = config_submission(operator, json,
-			      json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
-			      modify ? "/configuration/modify" : "/configuration/replace", operator->version,
-			      0);
+	s = operator_config_submission(
+	    operator, json, json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
+	    modify ? "/configuration/modify" : "/configuration/replace", operator->version, 0);
 	snprintf(s->added, sizeof s->added, "%s", added);
 	snprintf(s->removed, sizeof s->removed, "%s", removed);
 	json_object_put(body);
@@ -548,25 +550,26 @@
 	return json;
 }
 
-static void next(struct operator* operator)
+static void send_next(struct operator* operator)
 {
 	struct submission *s;
-	struct want want;
+	struct queued_change queued;
 
 	if (!arrlen(operator->queue) || arrlen(operator->in_flight) || !operator->current)
 		return;
-	want = operator->queue[0];
+	queued = operator->queue[0];
 	arrdel(operator->queue, 0);
-	json_object_put(changed(operator, want.what, &s, want.modify));
-	submission_send(s);
+	json_object_put(operator_make_change(operator, queued.what, &s, queued.modify));
+	operator_send(s);
 }
 
 void operator_change(struct operator* operator, enum change what, int modify)
 {
-	struct want want = { what, modify }; /* made when its turn comes, on top of what stands then */
+	struct queued_change queued = { what,
+					modify }; /* made when its turn comes, on top of what stands then */
 
-	arrput(operator->queue, want);
-	next(operator);
+	arrput(operator->queue, queued);
+	send_next(operator);
 }
 
 void operator_race(struct operator* operator)
@@ -576,11 +579,12 @@
 	if (!operator->current)
 		return;
 	for (int i = 0; i < 2; i++) {
-		json_object_put(changed(operator, i ? CHANGE_TIMEOUT : CHANGE_ROUTE_ON, &s[i], i));
+		json_object_put(
+		    operator_make_change(operator, i ? CHANGE_TIMEOUT : CHANGE_ROUTE_ON, &s[i], i));
 		s[i]->is_unqueued = 1;
 	}
 	for (int i = 0; i < 2; i++)
-		submission_send(s[i]);
+		operator_send(s[i]);
 }
 
 void operator_invalid(struct operator* operator, enum invalid what)
@@ -593,8 +597,8 @@
 	if (!operator->current)
 		return;
 	json = clone(operator->current);
-	routes = member(json, "RouteList");
-	tenants = member(json, "TenantList");
+	routes = json_member(json, "RouteList");
+	tenants = json_member(json, "TenantList");
 	json_object_object_add(json, "ConfigVersion",
 			       json_object_new_int64(what == INVALID_OLD ? base : next_version(operator)));
 	x = json_object_array_get_idx(routes, 0);
@@ -605,8 +609,8 @@
 		break;
 	case INVALID_DUPLICATE_PREFIX:
 		json_object_array_add(routes,
-				      route(operator, "r-twin", operator->run->sheet->classes[0].prefix,
-					    &operator->run->sheet->classes[0]));
+				      make_route(operator, "r-twin", operator->run->sheet->classes[0].prefix,
+						 &operator->run->sheet->classes[0]));
 		break;
 	case INVALID_WEIGHT:
 		put_split(x, operator->run->sheet->service, operator->run->sheet->service, 0, 0);
@@ -615,9 +619,10 @@
 		json_object_object_add(x, "TimeoutMs", json_object_new_int(0));
 		break;
 	case INVALID_KEY:
-		json_object_array_add(member(json_object_array_get_idx(tenants, 0), "AccessKeys"),
-				      json_object_get(json_object_array_get_idx(
-					  member(json_object_array_get_idx(tenants, 1), "AccessKeys"), 0)));
+		json_object_array_add(
+		    json_member(json_object_array_get_idx(tenants, 0), "AccessKeys"),
+		    json_object_get(json_object_array_get_idx(
+			json_member(json_object_array_get_idx(tenants, 1), "AccessKeys"), 0)));
 		break;
 	default:
 		break;
@@ -625,12 +630,12 @@
 	text = strdup(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	if (what == INVALID_CUT)
 		text[strlen(text) / 2] = 0;
-	s = config_submission(operator, what == INVALID_CUT ? NULL : json, text, "/configuration/replace",
-			      base, 1);
+	s = operator_config_submission(operator, what == INVALID_CUT ? NULL : json, text,
+				       "/configuration/replace", base, 1);
 	s->is_unqueued = 1;
 	free(text);
 	json_object_put(json);
-	submission_send(s);
+	operator_send(s);
 }
 
 void operator_weights(struct operator* operator, int version)
@@ -640,18 +645,18 @@
 
 	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}", operator->run->sheet->model,
 		 version);
-	s = submission(operator, SENDS_WEIGHTS, "/version-put", b);
+	s = new_submission(operator, SUBMIT_WEIGHTS, "/version-put", b);
 	s->weights = version;
 	s->version = version;
 	if (version > operator->run->fleet.newest_version)
 		operator->run->fleet.newest_version = version;
 	checker_record_target_version(operator->run->checker, run_ms(operator->run), version, 0);
-	submission_send(s);
+	operator_send(s);
 }
 
 void operator_read_back(struct operator* operator)
 {
-	submission_send(submission(operator, READS, "/configuration/retrieve", NULL));
+	operator_send(new_submission(operator, SUBMIT_READ, "/configuration/retrieve", NULL));
 }
 
 int operator_idle(const struct operator* operator)
@@ -680,9 +685,9 @@
 }
 int operator_idle_timeout(const struct operator* operator)
 {
-	struct json_object *idle = operator->current
-				       ? member(member(operator->current, "Limits"), "IdleTimeoutMs")
-				       : NULL;
+	struct json_object *idle = operator->current ? json_member(json_member(operator->current, "Limits"),
+								   "IdleTimeoutMs")
+						     : NULL;
 
 	return idle ? json_object_get_int(idle) : 0;
 }
@@ -698,10 +703,10 @@
 
 const char *operator_second_key(const struct operator* operator)
 {
-	struct json_object *tenants = operator->current ? member(operator->current, "TenantList") : NULL;
+	struct json_object *tenants = operator->current ? json_member(operator->current, "TenantList") : NULL;
 
 	for (size_t i = 0; tenants && i < json_object_array_length(tenants); i++) {
-		struct json_object *keys = member(json_object_array_get_idx(tenants, i), "AccessKeys");
+		struct json_object *keys = json_member(json_object_array_get_idx(tenants, i), "AccessKeys");
 
 		if (json_object_array_length(keys) > 1)
 			return json_object_get_string(json_object_array_get_idx(keys, 1));
--- a/emulator/operator_history.c
+++ b/emulator/operator_history.c
@@ -24,7 +24,7 @@
 	return known->n;
 }
 
-static uint64_t version_of(const char *text)
+static uint64_t document_version(const char *text)
 {
 	struct json_object *parsed = json_tokener_parse(text ? text : ""), *version = NULL;
 	uint64_t n = 0;
@@ -70,7 +70,7 @@
 		ops[count++] = (struct linear_op){ .kind = LINEAR_READ,
 						   .called_at = reads[i].requested_at_ms,
 						   .returned_at = reads[i].answered_at_ms,
-						   .version = version_of(reads[i].text),
+						   .version = document_version(reads[i].text),
 						   .value = number_of(&known, reads[i].text) };
 	result = linear_check(ops, count, why, why_size);
 	for (size_t i = 0; i < known.n; i++)
--- a/emulator/parsed_config.c
+++ b/emulator/parsed_config.c
@@ -5,12 +5,12 @@
 #include "containers.h"
 #include "platform_emulator.h"
 
-static struct json_object *get(struct json_object *json, const char *k)
+static struct json_object *get(struct json_object *json, const char *key)
 {
 	struct json_object *v = NULL;
 
-	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, k, &v) ? v
-												     : NULL;
+	return json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, key, &v) ? v
+												       : NULL;
 }
 
 static void get_text(struct json_object *json, const char *key, char *to, size_t n)
--- a/emulator/planned_changes.c
+++ b/emulator/planned_changes.c
@@ -48,7 +48,7 @@
 	json_object_object_add(removed, list_name, names);
 }
 
-static int holds(struct json_object *list, const char *prefix)
+static int has_item(struct json_object *list, const char *prefix)
 {
 	for (size_t i = 0; i < json_object_array_length(list); i++)
 		if (!strncmp(name_of(json_object_array_get_idx(list, i)), prefix, strlen(prefix)))
@@ -102,7 +102,7 @@
 	struct json_object *tenants = list_of(config, "TenantList"), *tenant, *keys;
 	char text[64];
 
-	if (holds(tenants, guest)) {
+	if (has_item(tenants, guest)) {
 		remove_entry(config, removed, "TenantList", guest);
 		return;
 	}
@@ -128,7 +128,7 @@
 	upserted(upsert, "RouteList", route);
 }
 
-static void change_places(struct json_object *config, struct json_object *upsert, uint64_t index)
+static void change_max_connections(struct json_object *config, struct json_object *upsert, uint64_t index)
 {
 	struct json_object *service = json_object_array_get_idx(list_of(config, "ServiceList"), 0),
 			   *most = NULL;
@@ -163,7 +163,7 @@
 		change_attempts(config, upsert, index);
 		break;
 	case CHANGE_MAX_CONNECTIONS:
-		change_places(config, upsert, index);
+		change_max_connections(config, upsert, index);
 		break;
 	default:
 		break;
--- a/emulator/planned_day.c
+++ b/emulator/planned_day.c
@@ -237,7 +237,7 @@
 	day->next_release = run_ms(run) + RELEASE_PAUSE_MS;
 }
 
-static void name_weights(struct day *day)
+static void set_target_weights(struct day *day)
 {
 	struct run *run = day->run;
 
@@ -268,7 +268,7 @@
 		roll_on(run, &day.core);
 		reload_all(&day);
 		release_one(&day);
-		name_weights(&day);
+		set_target_weights(&day);
 		run_for(run, STEP_MS);
 	}
 	run_log(
--- a/emulator/platform_emulator.h
+++ b/emulator/platform_emulator.h
@@ -109,7 +109,7 @@
 		 int keep_alive);
 
 /* A plain call with its answer; fields as "Name: value\r\n". fn is called once; status 0: no clear answer. */
-void call_once(struct loop *loop, const char *addr, const char *method, const char *target,
+void http_call(struct loop *loop, const char *addr, const char *method, const char *target,
 	       const char *fields, const char *body, int ms,
 	       void (*callback)(void *ctx, int status, const struct http_message *m), void *context);
 
@@ -160,8 +160,8 @@
 };
 extern const struct timing_bounds default_timing_bounds;
 
-struct judge;
-struct breach {
+struct checker;
+struct violation {
 	char rule[16];
 	int64_t at_ms;
 	char text[240];
@@ -169,8 +169,8 @@
 enum { NO_MACHINE = -1 };
 
 /* Times are milliseconds of the run. Example: j = judge_open(&bounds_sheet); */
-struct judge *checker_open(const struct timing_bounds *bounds_set);
-void checker_close(struct judge *checker);
+struct checker *checker_open(const struct timing_bounds *bounds);
+void checker_close(struct checker *checker);
 
 enum attempt_kind { ATTEMPT_ONCE, ATTEMPT_RESUMABLE, ATTEMPT_IDEMPOTENT };
 struct attempt_record {
@@ -184,7 +184,7 @@
 	int64_t timeout_ms; /* ms it waits */
 	int class_id;
 };
-void checker_record_attempt(struct judge *checker, int64_t at_ms, const struct attempt_record *r);
+void checker_record_attempt(struct checker *checker, int64_t at_ms, const struct attempt_record *record);
 
 struct arrival_record {
 	const char *id, *method, *host, *path, *tenant, *service, *instance;
@@ -193,21 +193,21 @@
 	int last_event;
 };
 /* Returns the arrival's number, for what follows. Example: run = judge_arrive(j, t, &a); */
-int checker_record_arrival(struct judge *checker, int64_t at_ms, const struct arrival_record *r);
+int checker_record_arrival(struct checker *checker, int64_t at_ms, const struct arrival_record *record);
 struct reused_block {
 	int version;
 	const char *tenant;
 };
-void checker_record_start(struct judge *checker, int64_t at_ms, int run, int version,
+void checker_record_start(struct checker *checker, int64_t at_ms, int run, int version,
 			  const struct reused_block *record, int n);
 
 /* how: 1 the whole answer went out; 0 the server broke off; -1 its caller left. Example: judge_ran(j, t, run,
  * 1, 200, h, 12); */
-void checker_record_end(struct judge *checker, int64_t at_ms, int run, int how, int status, uint64_t body,
+void checker_record_end(struct checker *checker, int64_t at_ms, int run, int how, int status, uint64_t body,
 			int last_event);
-void checker_record_rejection(struct judge *checker, int run, int status);
+void checker_record_rejection(struct checker *checker, int run, int status);
 
-enum told {
+enum answer_outcome {
 	ANSWER_COMPLETE,
 	ANSWER_CUT_OFF,
 	ANSWER_NONE,
@@ -223,56 +223,56 @@
 	int status, seal_run;     /* run named by the seal, -1: none */
 	int is_own_answer;        /* the answer bears neither seal nor a server's id: the system's own */
 	int was_read;             /* the machine's process had read the whole request */
-	enum told outcome;
+	enum answer_outcome outcome;
 	uint64_t body;
 	const struct stream_event *events;
 	int event_count, is_stream; /* events: it was a stream of events */
 };
-void checker_record_answer(struct judge *checker, int64_t at_ms, const struct answer_record *answer);
+void checker_record_answer(struct checker *checker, int64_t at_ms, const struct answer_record *answer);
 
 enum config_outcome { CONFIG_OUTCOME_SENT, CONFIG_OUTCOME_ACKED, CONFIG_OUTCOME_REFUSED };
 /* Takes c over at CFG_SENT. invalid: it is known to be. Returns its number. Example: n = judge_cfg(j, t, cfg,
  * 5, 0); */
-int checker_record_config(struct judge *checker, int64_t at_ms, struct parsed_config *config, int64_t base,
+int checker_record_config(struct checker *checker, int64_t at_ms, struct parsed_config *config, int64_t base,
 			  int invalid);
-void checker_record_config_outcome(struct judge *checker, int64_t at_ms, int cfg,
+void checker_record_config_outcome(struct checker *checker, int64_t at_ms, int cfg,
 				   enum config_outcome outcome);
-void checker_record_read_back(struct judge *checker, int64_t at_ms,
+void checker_record_read_back(struct checker *checker, int64_t at_ms,
 			      const char *text); /* NULL: it did not come */
 
 enum listing_state { LISTED_READY, LISTED_DRAINING, LISTED_REMOVED };
-void checker_record_listing(struct judge *checker, int64_t at_ms, const char *instance,
+void checker_record_listing(struct checker *checker, int64_t at_ms, const char *instance,
 			    enum listing_state state);
 struct load_command_record {
 	const char *instance, *lease_owner;
 	int64_t fence;
 	int status, thawed;
 };
-void checker_record_load_command(struct judge *checker, int64_t at_ms,
+void checker_record_load_command(struct checker *checker, int64_t at_ms,
 				 const struct load_command_record *record);
-void checker_record_target_version(struct judge *checker, int64_t at_ms, int version, int acked);
+void checker_record_target_version(struct checker *checker, int64_t at_ms, int version, int acked);
 
-enum trouble { CALM, PLANNED, UNPLANNED };
+enum fault_cause { CALM, PLANNED, UNPLANNED };
 /* A machine's trouble begins or ends; life: a new life of its processes begins. */
-void checker_record_machine(struct judge *checker, int64_t at_ms, int machine, int core, enum trouble cause,
-			    int up);
+void checker_record_machine(struct checker *checker, int64_t at_ms, int machine, int core,
+			    enum fault_cause cause, int up);
 /* The process of a machine was sent SIGHUP. */
-void checker_record_reload(struct judge *checker, int64_t at_ms, int machine);
-void checker_record_unexpected_exit(struct judge *checker, int64_t at_ms, int machine);
-void checker_set_final_fault(struct judge *checker, int64_t fault, int64_t back);
-int checker_in_contact(const struct judge *checker, int machine, int64_t at_ms);
+void checker_record_reload(struct checker *checker, int64_t at_ms, int machine);
+void checker_record_unexpected_exit(struct checker *checker, int64_t at_ms, int machine);
+void checker_set_final_fault(struct checker *checker, int64_t fault, int64_t back);
+int checker_in_contact(const struct checker *checker, int machine, int64_t at_ms);
 
 /* Judge all that was seen; the breaches, an stb array owned by the judge. Example: n = judge_all(j, end, &b);
  */
-int checker_run(struct judge *checker, int64_t end, const struct breach **violation);
+int checker_run(struct checker *checker, int64_t end, const struct violation **violation);
 
 /* How many requests VERSION was judged on: at their beginning a newer naming had been acknowledged for longer
  * than the bound, over one settled stretch, and their sender was in touch. Example: if
  * (!judge_version_at_stake(j)) nothing_shown(); */
-int checker_version_rule_exercised(const struct judge *checker);
+int checker_version_rule_exercised(const struct checker *checker);
 
 /* What was seen of one try, in lines. Example: judge_story(j, "9c41d07be2a35f68", stdout); */
-void checker_print_attempt(const struct judge *checker, const char *id, FILE *out);
+void checker_print_attempt(const struct checker *checker, const char *id, FILE *out);
 
 /* ---- histogram: log-linear, 64 steps each power of two, so a value is known to 1 in 64 ---- */
 struct histogram {
@@ -301,7 +301,7 @@
 
 struct server_fleet {
 	struct loop *loop;
-	struct judge *checker;
+	struct checker *checker;
 	struct engine engine;
 	int64_t started_at_us; /* loop_us at which the run's time is 0 */
 	uint64_t rng;
--- a/emulator/platform_run.h
+++ b/emulator/platform_run.h
@@ -62,7 +62,7 @@
 struct quota;
 struct run {
 	struct loop *loop;
-	struct judge *checker;
+	struct checker *checker;
 	struct server_fleet fleet;
 	struct timing_bounds bounds;
 	const struct sheet *sheet;
@@ -93,8 +93,8 @@
 {
 	return (loop_us() - run->fleet.started_at_us) / 1000;
 }
-void run_log(struct run *r, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-void run_for(struct run *r, int64_t ms);
+void run_log(struct run *run, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void run_for(struct run *run, int64_t ms);
 
 /* Machines. Example: m = machine_add(r, 0, 2); machine_start(m); machine_kill(m); */
 struct machine *machine_add(struct run *run, int core, int zone);
@@ -121,7 +121,7 @@
 int disk_explains(const struct disk_stall *stalls, int n, int64_t at_ms, int64_t reach);
 /* Whether each of these breaches is of a rule that depends on time, and follows a stall of the disk by no
  * more than reach. */
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *violation, int breaches,
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation, int breaches,
 		      int64_t reach);
 
 /* Hold the processes of core machines and routers to the run's shares of a processor, until quota_release. A
@@ -215,7 +215,7 @@
 const char *operator_second_key(const struct operator* operator);
 
 /* Figures and the picture. */
-int report_write(struct run *run, const char *folder, const struct breach *violation, int n);
-void report_print(struct run *run, const struct breach *violation, int n);
+int report_write(struct run *run, const char *folder, const struct violation *violation, int n);
+void report_print(struct run *run, const struct violation *violation, int n);
 
 #endif
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -34,523 +34,523 @@
 	  } },
 };
 
-void run_log(struct run *r, const char *fmt, ...)
+void run_log(struct run *run, const char *fmt, ...)
 {
 	va_list ap;
 
-	fprintf(stderr, "notchlug-emulator: %7.3f ", (double)run_ms(r) / 1000);
+	fprintf(stderr, "notchlug-emulator: %7.3f ", (double)run_ms(run) / 1000);
 	va_start(ap, fmt);
 	vfprintf(stderr, fmt, ap);
 	va_end(ap);
 	fputc('\n', stderr);
 }
 
-void run_for(struct run *r, int64_t ms)
+void run_for(struct run *run, int64_t ms)
 {
-	int64_t until = run_ms(r) + ms;
+	int64_t until = run_ms(run) + ms;
 
-	while (run_ms(r) < until && !r->undecided_reason) {
-		int64_t remaining_ms = until - run_ms(r);
+	while (run_ms(run) < until && !run->undecided_reason) {
+		int64_t remaining_ms = until - run_ms(run);
 
-		loop_until(r->loop, ms_us((double)(remaining_ms < 20 ? remaining_ms : 20)), NULL, NULL);
-		machines_poll(r);
-		if (r->traffic_started_at_ms >= 0)
-			histogram_add(&r->figures.own_lag_ms, loop_max_lateness(r->loop) / 1000);
+		loop_until(run->loop, ms_us((double)(remaining_ms < 20 ? remaining_ms : 20)), NULL, NULL);
+		machines_poll(run);
+		if (run->traffic_started_at_ms >= 0)
+			histogram_add(&run->figures.own_lag_ms, loop_max_lateness(run->loop) / 1000);
 	}
 }
 
-static int wait_for(struct run *r, int64_t ms, int (*condition)(struct run *r))
+static int run_wait_for(struct run *run, int64_t ms, int (*condition)(struct run *r))
 {
-	int64_t until = run_ms(r) + ms;
+	int64_t until = run_ms(run) + ms;
 
-	while (!condition(r) && run_ms(r) < until)
-		run_for(r, 20);
-	return condition(r);
+	while (!condition(run) && run_ms(run) < until)
+		run_for(run, 20);
+	return condition(run);
 }
 
-static int has_idle_operator(struct run *r)
+static int run_operator_idle(struct run *run)
 {
-	return operator_idle(r->operator);
+	return operator_idle(run->operator);
 }
-static int read_back(struct run *r)
+static int has_read_back(struct run *run)
 {
-	return operator_read_done(r->operator);
+	return operator_read_done(run->operator);
 }
-static int clients_are_idle(struct run *r)
+static int clients_are_idle(struct run *run)
 {
-	return !clients_busy(r->clients);
+	return !clients_busy(run->clients);
 }
 
-static int ready(struct run *r)
+static int is_ready_for_traffic(struct run *run)
 {
-	int ok = operator_acked(r->operator) > 0;
+	int ok = operator_acked(run->operator) > 0;
 
-	for (int i = 0; i < r->machine_count; i++)
-		ok &=
-		    r->machines[i].is_core || (r->machines[i].in_rotation && !r->machines[i].probe_failures);
+	for (int i = 0; i < run->machine_count; i++)
+		ok &= run->machines[i].is_core ||
+		      (run->machines[i].in_rotation && !run->machines[i].probe_failures);
 	return ok;
 }
 
-static struct machine *nth_machine(struct run *r, int core, int n)
+static struct machine *nth_machine(struct run *run, int core, int n)
 {
-	for (int i = 0; i < r->machine_count; i++)
-		if (r->machines[i].is_core == core && !r->machines[i].removed && n-- == 0)
-			return &r->machines[i];
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core == core && !run->machines[i].removed && n-- == 0)
+			return &run->machines[i];
 	return NULL;
 }
 
-static int count(struct run *r, int core)
+static int machine_count_of(struct run *run, int core)
 {
 	int n = 0;
 
-	for (int i = 0; i < r->machine_count; i++)
-		n += r->machines[i].is_core == core && !r->machines[i].removed;
+	for (int i = 0; i < run->machine_count; i++)
+		n += run->machines[i].is_core == core && !run->machines[i].removed;
 	return n;
 }
 
 /* ---- scenarios ---- */
 
-static void sc_quiet(struct run *r)
+static void sc_quiet(struct run *run)
 {
-	run_for(r, r->small ? 6000 : 20000);
+	run_for(run, run->small ? 6000 : 20000);
 }
 
-static void sc_kill_edge(struct run *r)
+static void sc_kill_edge(struct run *run)
 {
-	struct machine *machine = nth_machine(r, 0, 0);
+	struct machine *machine = nth_machine(run, 0, 0);
 
-	run_for(r, 2000);
-	run_log(r, "fault: %s is killed", machine->name);
+	run_for(run, 2000);
+	run_log(run, "fault: %s is killed", machine->name);
 	machine_kill(machine);
-	run_for(r, 800);
+	run_for(run, 800);
 	machine_start(machine);
-	run_for(r, 4000);
-	if (!r->small)
+	run_for(run, 4000);
+	if (!run->small)
 		for (int i = 1; i < 4; i++) {
-			machine_kill(nth_machine(r, 0, i));
-			run_for(r, 1500);
-			machine_start(nth_machine(r, 0, i));
-			run_for(r, 1500);
+			machine_kill(nth_machine(run, 0, i));
+			run_for(run, 1500);
+			machine_start(nth_machine(run, 0, i));
+			run_for(run, 1500);
 		}
 }
 
-static void sc_kill_core(struct run *r)
+static void sc_kill_core(struct run *run)
 {
-	run_for(r, 1500);
-	for (int i = 0; i < (r->small ? 2 : count(r, 1)); i++) {
-		struct machine *machine = nth_machine(r, 1, i);
+	run_for(run, 1500);
+	for (int i = 0; i < (run->small ? 2 : machine_count_of(run, 1)); i++) {
+		struct machine *machine = nth_machine(run, 1, i);
 
-		run_log(r, "fault: %s is killed", machine->name);
+		run_log(run, "fault: %s is killed", machine->name);
 		machine_kill(machine);
-		operator_change(r->operator, CHANGE_SPLIT, 1);
-		run_for(r, 1500);
+		operator_change(run->operator, CHANGE_SPLIT, 1);
+		run_for(run, 1500);
 		machine_start(machine);
-		run_for(r, 4000);
+		run_for(run, 4000);
 	}
 }
 
-static void kill_everything(struct run *r, int closing)
+static void kill_everything(struct run *run, int closing)
 {
-	int64_t fault = run_ms(r);
+	int64_t fault = run_ms(run);
 
-	run_log(r, "fault: every process is killed");
-	for (int i = 0; i < r->machine_count; i++)
-		machine_kill(&r->machines[i]);
-	run_for(r, 700);
-	for (int i = 0; i < r->machine_count; i++)
-		machine_start(&r->machines[i]);
+	run_log(run, "fault: every process is killed");
+	for (int i = 0; i < run->machine_count; i++)
+		machine_kill(&run->machines[i]);
+	run_for(run, 700);
+	for (int i = 0; i < run->machine_count; i++)
+		machine_start(&run->machines[i]);
 	if (closing)
-		checker_set_final_fault(r->checker, fault, run_ms(r));
+		checker_set_final_fault(run->checker, fault, run_ms(run));
 }
 
-static void sc_kill_all(struct run *r)
+static void sc_kill_all(struct run *run)
 {
-	run_for(r, 2500);
-	operator_change(r->operator, CHANGE_TIMEOUT, 0);
-	wait_for(r, 4000, has_idle_operator);
-	kill_everything(r, 1);
-	run_for(r, r->bounds.recovery_ms + 3000);
+	run_for(run, 2500);
+	operator_change(run->operator, CHANGE_TIMEOUT, 0);
+	run_wait_for(run, 4000, run_operator_idle);
+	kill_everything(run, 1);
+	run_for(run, run->bounds.recovery_ms + 3000);
 }
 
-static void sc_freeze(struct run *r)
+static void sc_freeze(struct run *run)
 {
-	struct machine *machine[2] = { nth_machine(r, 0, 1), nth_machine(r, 1, 0) };
+	struct machine *machine[2] = { nth_machine(run, 0, 1), nth_machine(run, 1, 0) };
 
-	run_for(r, 1500);
+	run_for(run, 1500);
 	for (int i = 0; i < 2; i++) {
-		run_log(r, "fault: %s freezes", machine[i]->name);
+		run_log(run, "fault: %s freezes", machine[i]->name);
 		machine_freeze(machine[i], 1);
-		run_for(r, 2500);
+		run_for(run, 2500);
 		machine_freeze(machine[i], 0);
-		run_log(r, "%s wakes", machine[i]->name);
-		run_for(r, 3000);
+		run_log(run, "%s wakes", machine[i]->name);
+		run_for(run, 3000);
 	}
 }
 
-static int all_down(struct run *r)
+static int all_down(struct run *run)
 {
-	for (int i = 0; i < r->machine_count; i++)
-		if (r->machines[i].draining)
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].draining)
 			return 0;
 	return 1;
 }
 
-static void sc_term_roll(struct run *r)
+static void sc_term_roll(struct run *run)
 {
-	run_for(r, 3200); /* calm before it */
-	for (int i = 0; i < (r->small ? 4 : r->machine_count); i++) {
-		struct machine *machine = r->small ? nth_machine(r, i % 2, i / 2) : &r->machines[i];
+	run_for(run, 3200); /* calm before it */
+	for (int i = 0; i < (run->small ? 4 : run->machine_count); i++) {
+		struct machine *machine = run->small ? nth_machine(run, i % 2, i / 2) : &run->machines[i];
 
-		run_log(r, "planned: %s is stopped", machine->name);
+		run_log(run, "planned: %s is stopped", machine->name);
 		machine_term(machine);
-		wait_for(r, r->bounds.grace_ms + 1000, all_down);
-		run_for(r, 300);
+		run_wait_for(run, run->bounds.grace_ms + 1000, all_down);
+		run_for(run, 300);
 		machine_start(machine);
-		run_for(r, 4000);
+		run_for(run, 4000);
 	}
 }
 
-static void sc_config(struct run *r)
+static void sc_config(struct run *run)
 {
-	clients_probe(r->clients, 1);
+	clients_probe(run->clients, 1);
 	for (int i = 0; i < 2 * CHANGE_BIG; i++) {
 		enum change what = (enum change)(i % CHANGE_BIG);
 
-		run_for(r, 700);
+		run_for(run, 700);
 		if (what != CHANGE_KEY_OFF && what != CHANGE_IDLE)
-			operator_change(r->operator, what, i >= CHANGE_BIG);
+			operator_change(run->operator, what, i >= CHANGE_BIG);
 	}
-	run_for(r, 3000);
+	run_for(run, 3000);
 }
 
-static void sc_storm(struct run *r)
+static void sc_storm(struct run *run)
 {
-	run_for(r, 1500);
-	clients_probe(r->clients, 1);
+	run_for(run, 1500);
+	clients_probe(run->clients, 1);
 	for (int i = 0; i < 30; i++)
-		operator_change(r->operator, i % 3   ? CHANGE_TIMEOUT
-					     : i % 2 ? CHANGE_ROUTE_ON
-						     : CHANGE_ROUTE_OFF,
+		operator_change(run->operator, i % 3   ? CHANGE_TIMEOUT
+					       : i % 2 ? CHANGE_ROUTE_ON
+						       : CHANGE_ROUTE_OFF,
 				i % 2);
-	run_for(r, 6000);
+	run_for(run, 6000);
 }
 
-static void sc_race(struct run *r)
+static void sc_race(struct run *run)
 {
-	clients_probe(r->clients, 1);
+	clients_probe(run->clients, 1);
 	for (int i = 0; i < 5; i++) {
-		run_for(r, 1200);
-		wait_for(r, 4000, has_idle_operator);
-		operator_race(r->operator);
+		run_for(run, 1200);
+		run_wait_for(run, 4000, run_operator_idle);
+		operator_race(run->operator);
 	}
-	run_for(r, 3000);
+	run_for(run, 3000);
 }
 
-static void sc_bad(struct run *r)
+static void sc_bad(struct run *run)
 {
-	run_for(r, 1000);
+	run_for(run, 1000);
 	for (int i = 0; i < INVALID_COUNT; i++) {
-		operator_invalid(r->operator,(enum invalid) i);
-		run_for(r, 500);
-		operator_change(r->operator, CHANGE_SPLIT, 0);
-		wait_for(r, 4000, has_idle_operator);
+		operator_invalid(run->operator,(enum invalid) i);
+		run_for(run, 500);
+		operator_change(run->operator, CHANGE_SPLIT, 0);
+		run_wait_for(run, 4000, run_operator_idle);
 	}
-	run_for(r, 2500);
+	run_for(run, 2500);
 }
 
-static void sc_big(struct run *r)
+static void sc_big(struct run *run)
 {
-	run_for(r, 1500);
-	operator_change(r->operator, CHANGE_BIG, 0);
-	wait_for(r, 6000, has_idle_operator);
-	run_for(r, r->bounds.config_apply_ms + 300);
-	clients_extra(r->clients, 200);
-	run_for(r, 5000);
+	run_for(run, 1500);
+	operator_change(run->operator, CHANGE_BIG, 0);
+	run_wait_for(run, 6000, run_operator_idle);
+	run_for(run, run->bounds.config_apply_ms + 300);
+	clients_extra(run->clients, 200);
+	run_for(run, 5000);
 }
 
-static void sc_revoke(struct run *r)
+static void sc_revoke(struct run *run)
 {
 	char key[64];
 
-	run_for(r, 1500);
-	operator_change(r->operator, CHANGE_KEY_ON, 1);
-	wait_for(r, 5000, has_idle_operator);
-	run_for(r, r->bounds.config_apply_ms + 200);
-	operator_change(r->operator, CHANGE_KEY_OFF, 1);
-	wait_for(r, 5000, has_idle_operator);
-	run_for(r, 1000);
+	run_for(run, 1500);
+	operator_change(run->operator, CHANGE_KEY_ON, 1);
+	run_wait_for(run, 5000, run_operator_idle);
+	run_for(run, run->bounds.config_apply_ms + 200);
+	operator_change(run->operator, CHANGE_KEY_OFF, 1);
+	run_wait_for(run, 5000, run_operator_idle);
+	run_for(run, 1000);
 	snprintf(key, sizeof key, "key%02d-1-abcdefgh",
 		 3); /* its clients go on with the old key a while, as some do */
-	run_for(r, r->bounds.revoke_ms + 1500);
-	clients_keys(r->clients, 3, key);
-	run_for(r, 2000);
+	run_for(run, run->bounds.revoke_ms + 1500);
+	clients_keys(run->clients, 3, key);
+	run_for(run, 2000);
 }
 
-static int rolled(struct run *r)
+static int is_rolled_out(struct run *run)
 {
-	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		if (!r->fleet.servers[i]->is_store && r->fleet.servers[i]->state == STATE_UP &&
-		    r->fleet.servers[i]->version < r->fleet.newest_version)
+	for (int i = 0; i < arrlen(run->fleet.servers); i++)
+		if (!run->fleet.servers[i]->is_store && run->fleet.servers[i]->state == STATE_UP &&
+		    run->fleet.servers[i]->version < run->fleet.newest_version)
 			return 0;
 	return 1;
 }
 
-static void sc_roll_out(struct run *r)
+static void sc_roll_out(struct run *run)
 {
-	run_for(r, 2000);
-	operator_weights(r->operator, 2);
-	if (!wait_for(r, r->bounds.version_ms * r->slack, rolled))
-		run_log(r, "not every server has the new weights after VersionMs");
+	run_for(run, 2000);
+	operator_weights(run->operator, 2);
+	if (!run_wait_for(run, run->bounds.version_ms * run->slack, is_rolled_out))
+		run_log(run, "not every server has the new weights after VersionMs");
 	else
-		run_log(r, "all servers have the new weights");
-	run_for(r, 3000);
+		run_log(run, "all servers have the new weights");
+	run_for(run, 3000);
 }
 
-static void sc_release(struct run *r)
+static void sc_release(struct run *run)
 {
 	int n = 0;
 
-	run_for(r, 1500);
-	for (int i = 0; i < arrlen(r->fleet.servers); i++) {
-		struct server *server = r->fleet.servers[i];
+	run_for(run, 1500);
+	for (int i = 0; i < arrlen(run->fleet.servers); i++) {
+		struct server *server = run->fleet.servers[i];
 
-		if (server->is_store || n++ >= (r->small ? 2 : 6))
+		if (server->is_store || n++ >= (run->small ? 2 : 6))
 			continue;
-		run_log(r, "planned: server %s drains", server->address);
+		run_log(run, "planned: server %s drains", server->address);
 		server_drain(server);
-		run_for(r, r->bounds.drain_ms + r->fleet.engine.linger_ms + 2200);
+		run_for(run, run->bounds.drain_ms + run->fleet.engine.linger_ms + 2200);
 		server_up(server);
-		run_for(r, 1200);
+		run_for(run, 1200);
 	}
 }
 
-static void sc_crash(struct run *r)
+static void sc_crash(struct run *run)
 {
-	run_for(r, 1500);
-	for (int i = 0; i < (r->small ? 2 : 6); i++) {
-		struct server *server = r->fleet.servers[i];
+	run_for(run, 1500);
+	for (int i = 0; i < (run->small ? 2 : 6); i++) {
+		struct server *server = run->fleet.servers[i];
 
-		run_log(r, "fault: server %s crashes", server->address);
+		run_log(run, "fault: server %s crashes", server->address);
 		server_crash(server);
-		run_for(r, 1500);
+		run_for(run, 1500);
 		server_up(server);
-		run_for(r, 1500);
+		run_for(run, 1500);
 	}
-	run_log(r, "fault: server %s is lost for good", r->fleet.servers[2]->address);
-	server_crash(r->fleet.servers[2]);
-	run_for(r, 4000);
+	run_log(run, "fault: server %s is lost for good", run->fleet.servers[2]->address);
+	server_crash(run->fleet.servers[2]);
+	run_for(run, 4000);
 }
 
-static void set_fault_on_servers(struct run *r, const struct server_fault *fault)
+static void set_fault_on_servers(struct run *run, const struct server_fault *fault)
 {
-	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		if (!r->fleet.servers[i]->is_store)
-			r->fleet.servers[i]->fault = *fault;
+	for (int i = 0; i < arrlen(run->fleet.servers); i++)
+		if (!run->fleet.servers[i]->is_store)
+			run->fleet.servers[i]->fault = *fault;
 }
 
-static void sc_garble(struct run *r)
+static void sc_garble(struct run *run)
 {
 	struct server_fault fault = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 },
 			    none = { .close = 0.01 };
 
-	run_for(r, 1000);
-	run_log(r, "fault: servers break answers off, send garbage and surplus bytes");
-	set_fault_on_servers(r, &fault);
-	run_for(r, 6000);
-	set_fault_on_servers(r, &none);
-	run_for(r, 2000);
+	run_for(run, 1000);
+	run_log(run, "fault: servers break answers off, send garbage and surplus bytes");
+	set_fault_on_servers(run, &fault);
+	run_for(run, 6000);
+	set_fault_on_servers(run, &none);
+	run_for(run, 2000);
 }
 
-static void sc_lost_answer(struct run *r)
+static void sc_lost_answer(struct run *run)
 {
 	struct server_fault fault = { .close = 0.01, .lost = 0.08 }, none = { .close = 0.01 };
 
-	run_for(r, 1000);
-	run_log(r, "fault: servers run requests and lose the answers");
-	set_fault_on_servers(r, &fault);
-	run_for(r, 6000);
-	set_fault_on_servers(r, &none);
-	run_for(r, 2000);
+	run_for(run, 1000);
+	run_log(run, "fault: servers run requests and lose the answers");
+	set_fault_on_servers(run, &fault);
+	run_for(run, 6000);
+	set_fault_on_servers(run, &none);
+	run_for(run, 2000);
 }
 
-static void sc_grey(struct run *r)
+static void sc_grey(struct run *run)
 {
-	run_for(r, 1000);
-	run_log(r, "fault: server %s fails a third of its requests, and says it is well",
-		r->fleet.servers[0]->address);
-	r->fleet.servers[0]->fault.grey = 0.35;
-	run_for(r, 5000);
-	r->fleet.servers[0]->fault.grey = 0;
-	run_log(r, "fault: server %s says falsely that it is not well", r->fleet.servers[1]->address);
-	r->fleet.servers[1]->fault.false_health = 1;
-	run_for(r, 4000);
+	run_for(run, 1000);
+	run_log(run, "fault: server %s fails a third of its requests, and says it is well",
+		run->fleet.servers[0]->address);
+	run->fleet.servers[0]->fault.grey = 0.35;
+	run_for(run, 5000);
+	run->fleet.servers[0]->fault.grey = 0;
+	run_log(run, "fault: server %s says falsely that it is not well", run->fleet.servers[1]->address);
+	run->fleet.servers[1]->fault.false_health = 1;
+	run_for(run, 4000);
 }
 
-static void sc_silent_server(struct run *r)
+static void sc_silent_server(struct run *run)
 {
-	struct server *server = r->fleet.servers[0];
+	struct server *server = run->fleet.servers[0];
 
-	run_for(r, 1500);
-	run_log(r, "fault: server %s is silent", server->address);
+	run_for(run, 1500);
+	run_log(run, "fault: server %s is silent", server->address);
 	server_set_silent(server, 1);
-	run_for(r, 4000);
+	run_for(run, 4000);
 	server_set_silent(server, 0);
-	run_for(r, 3000);
+	run_for(run, 3000);
 }
 
 /* Now this one, now that one stands still for a moment, and several at once. */
-static void sc_stall(struct run *r)
+static void sc_stall(struct run *run)
 {
-	int n = (int)arrlen(r->fleet.servers) - 1;
+	int n = (int)arrlen(run->fleet.servers) - 1;
 
-	run_for(r, 1000);
+	run_for(run, 1000);
 	for (int i = 0; i < 12; i++) {
-		int from = (int)(emulator_random(&r->rng) % (uint64_t)n),
-		    many = 1 + (int)(emulator_random(&r->rng) % (uint64_t)n);
+		int from = (int)(emulator_random(&run->rng) % (uint64_t)n),
+		    many = 1 + (int)(emulator_random(&run->rng) % (uint64_t)n);
 
 		for (int k = 0; k < many; k++)
-			server_set_silent(r->fleet.servers[(from + k) % n], 1);
-		run_for(r, 200 + (int64_t)(emulator_random(&r->rng) % 1800));
+			server_set_silent(run->fleet.servers[(from + k) % n], 1);
+		run_for(run, 200 + (int64_t)(emulator_random(&run->rng) % 1800));
 		for (int k = 0; k < many; k++)
-			server_set_silent(r->fleet.servers[(from + k) % n], 0);
-		run_for(r, (int64_t)(emulator_random(&r->rng) % 800));
+			server_set_silent(run->fleet.servers[(from + k) % n], 0);
+		run_for(run, (int64_t)(emulator_random(&run->rng) % 800));
 	}
-	run_for(r, 2000);
+	run_for(run, 2000);
 }
 
 /* Edges are cut off from the core for longer than they ride, while servers are slow to begin and go on
  * without a caller: what was sent may run, so nobody may promise that it has not. */
-static void sc_blind(struct run *r)
+static void sc_blind(struct run *run)
 {
 	struct server_fault fault = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
-	double read = r->fleet.engine.prefill_tokens_per_ms;
-
-	run_for(r, 2000);
-	set_fault_on_servers(r, &fault);
-	r->fleet.engine.prefill_tokens_per_ms = 30;
-	run_log(r, "fault: the core freezes; servers are slow, and run what nobody waits for any more");
-	for (int i = 0; i < r->machine_count; i++)
-		if (r->machines[i].is_core)
-			machine_freeze(&r->machines[i], 1);
-	run_for(r, 6000);
-	for (int i = 0; i < r->machine_count; i++)
-		machine_freeze(&r->machines[i], 0);
-	r->fleet.engine.prefill_tokens_per_ms = read;
-	run_for(r, 12000);
-	set_fault_on_servers(r, &none);
+	double read = run->fleet.engine.prefill_tokens_per_ms;
+
+	run_for(run, 2000);
+	set_fault_on_servers(run, &fault);
+	run->fleet.engine.prefill_tokens_per_ms = 30;
+	run_log(run, "fault: the core freezes; servers are slow, and run what nobody waits for any more");
+	for (int i = 0; i < run->machine_count; i++)
+		if (run->machines[i].is_core)
+			machine_freeze(&run->machines[i], 1);
+	run_for(run, 6000);
+	for (int i = 0; i < run->machine_count; i++)
+		machine_freeze(&run->machines[i], 0);
+	run->fleet.engine.prefill_tokens_per_ms = read;
+	run_for(run, 12000);
+	set_fault_on_servers(run, &none);
 }
 
 /* The whole platform stands still, and with it every server, client and list. */
-static void sc_hiccup(struct run *r)
+static void sc_hiccup(struct run *run)
 {
-	run_for(r, 1000);
+	run_for(run, 1000);
 	for (int i = 0; i < 8; i++) {
-		usleep((useconds_t)(300 + emulator_random(&r->rng) % 1500) * 1000);
-		run_for(r, 300 + (int64_t)(emulator_random(&r->rng) % 1200));
+		usleep((useconds_t)(300 + emulator_random(&run->rng) % 1500) * 1000);
+		run_for(run, 300 + (int64_t)(emulator_random(&run->rng) % 1200));
 	}
-	run_for(r, 2000);
+	run_for(run, 2000);
 }
 
-static void sc_stutter(struct run *r)
+static void sc_stutter(struct run *run)
 {
-	run_for(r, 1000);
+	run_for(run, 1000);
 	for (int i = 0; i < 20; i++) {
-		int from = (int)(emulator_random(&r->rng) % (uint64_t)r->machine_count),
-		    many = 1 + (int)(emulator_random(&r->rng) % 3);
+		int from = (int)(emulator_random(&run->rng) % (uint64_t)run->machine_count),
+		    many = 1 + (int)(emulator_random(&run->rng) % 3);
 
 		for (int k = 0; k < many; k++)
-			machine_freeze(&r->machines[(from + k) % r->machine_count], 1);
-		run_for(r, 100 + (int64_t)(emulator_random(&r->rng) % 1400));
+			machine_freeze(&run->machines[(from + k) % run->machine_count], 1);
+		run_for(run, 100 + (int64_t)(emulator_random(&run->rng) % 1400));
 		for (int k = 0; k < many; k++)
-			machine_freeze(&r->machines[(from + k) % r->machine_count], 0);
-		run_for(r, (int64_t)(emulator_random(&r->rng) % 700));
+			machine_freeze(&run->machines[(from + k) % run->machine_count], 0);
+		run_for(run, (int64_t)(emulator_random(&run->rng) % 700));
 	}
-	run_for(r, 2000);
+	run_for(run, 2000);
 }
 
-static void sc_flap(struct run *r)
+static void sc_flap(struct run *run)
 {
-	run_for(r, 1000);
+	run_for(run, 1000);
 	for (int i = 0; i < 6; i++) {
-		server_crash(r->fleet.servers[0]);
-		run_for(r, 500);
-		server_up(r->fleet.servers[0]);
-		run_for(r, 700);
+		server_crash(run->fleet.servers[0]);
+		run_for(run, 500);
+		server_up(run->fleet.servers[0]);
+		run_for(run, 700);
 	}
-	run_for(r, 2000);
+	run_for(run, 2000);
 }
 
-static void sc_events_gap(struct run *r)
+static void sc_events_gap(struct run *run)
 {
-	run_for(r, 1500);
-	run_log(r, "fault: events come late, a few never come, and only a few stay");
-	r->fleet.engine.event_loss_ratio = 0.05;
-	r->fleet.engine.event_lag_ms = 1500;
-	r->fleet.engine.event_limit = 20;
-	run_for(r, 3000);
-	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		r->fleet.servers[i]->fault.events_lost = i % 2;
-	run_for(r, 2500);
-	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		r->fleet.servers[i]->fault.events_lost = 0;
-	r->fleet.engine.event_loss_ratio = 0;
-	r->fleet.engine.event_lag_ms = 80;
-	run_for(r, 2000);
+	run_for(run, 1500);
+	run_log(run, "fault: events come late, a few never come, and only a few stay");
+	run->fleet.engine.event_loss_ratio = 0.05;
+	run->fleet.engine.event_lag_ms = 1500;
+	run->fleet.engine.event_limit = 20;
+	run_for(run, 3000);
+	for (int i = 0; i < arrlen(run->fleet.servers); i++)
+		run->fleet.servers[i]->fault.events_lost = i % 2;
+	run_for(run, 2500);
+	for (int i = 0; i < arrlen(run->fleet.servers); i++)
+		run->fleet.servers[i]->fault.events_lost = 0;
+	run->fleet.engine.event_loss_ratio = 0;
+	run->fleet.engine.event_lag_ms = 80;
+	run_for(run, 2000);
 }
 
-static void sc_store_down(struct run *r)
+static void sc_store_down(struct run *run)
 {
-	struct server *server = arrlast(r->fleet.servers);
+	struct server *server = arrlast(run->fleet.servers);
 
-	run_for(r, 2000);
-	run_log(r, "fault: the store is down");
+	run_for(run, 2000);
+	run_log(run, "fault: the store is down");
 	server_crash(server);
-	run_for(r, 2500);
+	run_for(run, 2500);
 	server_up(server);
-	run_log(r, "the store is back, empty");
-	run_for(r, 3000);
+	run_log(run, "the store is back, empty");
+	run_for(run, 3000);
 }
 
-static void sc_wipe(struct run *r)
+static void sc_wipe(struct run *run)
 {
-	struct machine *m = nth_machine(r, 1, 1);
+	struct machine *m = nth_machine(run, 1, 1);
 
-	run_for(r, 1500);
-	operator_change(r->operator, CHANGE_TIMEOUT, 1);
-	wait_for(r, 4000, has_idle_operator);
-	run_log(r, "fault: %s loses its disk right after an acknowledgement", m->name);
+	run_for(run, 1500);
+	operator_change(run->operator, CHANGE_TIMEOUT, 1);
+	run_wait_for(run, 4000, run_operator_idle);
+	run_log(run, "fault: %s loses its disk right after an acknowledgement", m->name);
 	machine_kill(m);
 	while (!machine_down(m))
-		run_for(r, 10);
+		run_for(run, 10);
 	machine_wipe(m);
-	run_for(r, 800);
+	run_for(run, 800);
 	machine_start(m);
-	run_for(r, r->bounds.catch_up_ms + 1000);
-	operator_change(r->operator, CHANGE_SPLIT, 0);
-	wait_for(r, 5000, has_idle_operator);
-	run_for(r, 2000);
+	run_for(run, run->bounds.catch_up_ms + 1000);
+	operator_change(run->operator, CHANGE_SPLIT, 0);
+	run_wait_for(run, 5000, run_operator_idle);
+	run_for(run, 2000);
 }
 
-static void sc_replace(struct run *r)
+static void sc_replace(struct run *run)
 {
-	struct machine *machine = nth_machine(r, 1, 0), *n;
+	struct machine *machine = nth_machine(run, 1, 0), *n;
 	int zone = 0;
 
-	run_for(r, 1500);
-	while (zone < 3 && strcmp(machine->zone, r->sheet->zone[zone]))
+	run_for(run, 1500);
+	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]))
 		zone++;
-	run_log(r, "fault: %s goes for good and an empty machine comes at another address", machine->name);
+	run_log(run, "fault: %s goes for good and an empty machine comes at another address", machine->name);
 	machine_remove(machine);
-	run_for(r, 500);
-	n = machine_add(r, 1, zone);
+	run_for(run, 500);
+	n = machine_add(run, 1, zone);
 	machine_start(n);
-	run_for(r, 3000); /* SeedLagS */
+	run_for(run, 3000); /* SeedLagS */
 	machine->is_listed = 0;
 	n->is_listed = 1;
-	run_for(r, r->bounds.catch_up_ms);
-	operator_change(r->operator, CHANGE_SPLIT, 1);
-	wait_for(r, 5000, has_idle_operator);
-	run_for(r, 2000);
+	run_for(run, run->bounds.catch_up_ms);
+	operator_change(run->operator, CHANGE_SPLIT, 1);
+	run_wait_for(run, 5000, run_operator_idle);
+	run_for(run, 2000);
 }
 
 struct control_call {
@@ -569,62 +569,63 @@
 }
 
 /* A call of the product's own at one core machine after another, until one takes it. */
-static char *control_call(struct run *r, const char *method, const char *path, const char *body)
+static char *control_call(struct run *run, const char *method, const char *path, const char *body)
 {
-	for (int i = 0; i < 12 && !r->undecided_reason; i++) {
-		struct control_call c = { r, 0, 0, NULL };
+	for (int i = 0; i < 12 && !run->undecided_reason; i++) {
+		struct control_call c = { run, 0, 0, NULL };
 
-		call_once(r->loop, nth_machine(r, 1, i % count(r, 1))->control_address, method, path,
-			  body ? "Content-Type: application/json\r\n" : "", body, 6000, on_control_answer,
-			  &c);
+		http_call(run->loop, nth_machine(run, 1, i % machine_count_of(run, 1))->control_address,
+			  method, path, body ? "Content-Type: application/json\r\n" : "", body, 6000,
+			  on_control_answer, &c);
 		while (!c.answered)
-			run_for(r, 20);
+			run_for(run, 20);
 		if (c.status == 200)
 			return c.body ? c.body : strdup("");
-		run_log(r, "%s %s: %d %.200s", method, path, c.status, c.body ? c.body : "");
+		run_log(run, "%s %s: %d %.200s", method, path, c.status, c.body ? c.body : "");
 		free(c.body);
-		run_for(r, 500);
+		run_for(run, 500);
 	}
-	r->undecided_reason = "no core machine takes the call";
+	run->undecided_reason = "no core machine takes the call";
 	return strdup("");
 }
 
 /* Kept context is cleared on schedule and at once, over and again, as the decider dies and an edge stands
  * still. */
-static void sc_purge(struct run *r)
+static void sc_purge(struct run *run)
 {
-	struct machine *machine = nth_machine(r, 1, 0);
+	struct machine *machine = nth_machine(run, 1, 0);
 	int64_t sent;
 	char *s;
 
-	run_for(r, 4000);
+	run_for(run, 4000);
 	free(control_call(
-	    r, "POST", "/v1/change",
+	    run, "POST", "/v1/change",
 	    "{\"set\":[{\"kind\":\"retention\",\"name\":\"*\",\"every\":\"12s\",\"window\":4000}]}"));
-	run_for(r, 6000);
+	run_for(run, 6000);
 	sent = loop_us();
-	free(control_call(r, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"notchlug-emulator\"}"));
-	r->fleet.purge_requested_at_us = sent;
-	r->fleet.purge_due_at_us = loop_us() + ms_us(4000);
-	run_for(r, 5000);
-	if (!r->small) {
-		machine_freeze(nth_machine(r, 0, 1), 1);
+	free(control_call(run, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"notchlug-emulator\"}"));
+	run->fleet.purge_requested_at_us = sent;
+	run->fleet.purge_due_at_us = loop_us() + ms_us(4000);
+	run_for(run, 5000);
+	if (!run->small) {
+		machine_freeze(nth_machine(run, 0, 1), 1);
 		machine_kill(machine);
-		run_for(r, 1500);
-		machine_freeze(nth_machine(r, 0, 1), 0);
+		run_for(run, 1500);
+		machine_freeze(nth_machine(run, 0, 1), 0);
 		machine_start(machine);
 	}
-	run_for(r, 10000);
-	s = control_call(r, "GET", "/v1/retention.csv", NULL);
+	run_for(run, 10000);
+	s = control_call(run, "GET", "/v1/retention.csv", NULL);
 	printf("%s", s);
 	free(s);
 	printf("after the clearing servers used %llu parts of before and %llu others\n",
-	       (unsigned long long)r->fleet.old_blocks_used, (unsigned long long)r->fleet.new_blocks_used);
+	       (unsigned long long)run->fleet.old_blocks_used,
+	       (unsigned long long)run->fleet.new_blocks_used);
 }
 
 static const struct {
 	const char *name, *what;
-	void (*fn)(struct run *r);
+	void (*play)(struct run *r);
 	void (*prepare)(struct run *r); /* before the machines are made; NULL: nothing to do */
 } scenarios[] = {
 	{ "quiet", "no fault", sc_quiet, NULL },
@@ -666,94 +667,95 @@
 
 /* ---- one run ---- */
 
-static int set_up(struct run *r, const char *deployment)
+static int set_up(struct run *run, const char *deployment)
 {
-	int cores = r->cores ? r->cores : r->small ? 3 : 4, servers = r->small ? 4 : 18;
-	struct timing_bounds judged = r->bounds;
+	int cores = run->cores ? run->cores : run->small ? 3 : 4, servers = run->small ? 4 : 18;
+	struct timing_bounds judged = run->bounds;
 	char at[48];
 
-	if (r->slack > 1) { /* the daemons are told the sheet's; the judge is as patient as asked, but GraceS
-			       is the stand's own */
+	if (run->slack > 1) { /* the daemons are told the sheet's; the judge is as patient as asked, but
+			       GraceS is the stand's own */
 		int64_t *v[] = { &judged.ack_ms,          &judged.drain_ms,     &judged.config_apply_ms,
 				 &judged.revert_slack_ms, &judged.revoke_ms,    &judged.version_ms,
 				 &judged.recovery_ms,     &judged.loss_slack_ms };
 
 		for (size_t i = 0; i < sizeof v / sizeof *v; i++)
-			*v[i] *= r->slack;
+			*v[i] *= run->slack;
 	}
-	if (r->impossible) { /* nobody can keep these: whoever judges must say so */
+	if (run->impossible) { /* nobody can keep these: whoever judges must say so */
 		judged.config_apply_ms = judged.revert_slack_ms = -3000;
 		judged.ack_ms = judged.drain_ms = judged.revoke_ms = judged.version_ms = 0;
 		judged.retry_slack = -1000000;
 		judged.lease_ms = 1000000;
 	}
-	r->loop = loop_open();
-	r->fleet.loop = r->loop;
-	r->fleet.started_at_us = loop_us();
-	r->checker = checker_open(&judged);
-	r->fleet.checker = r->checker;
-	r->fleet.engine = default_engine;
-	r->fleet.engine.drain_ms = (int)r->bounds.drain_ms;
-	r->fleet.rng = r->seed * 7 + 1;
-	r->fleet.newest_version = 1;
-	r->fleet.thaw_ms = (int)r->bounds.thaw_slack_ms;
-	r->sheet = &deployments[!strcmp(deployment, "teduh")];
-	if (r->sheet == &deployments[1]) {
-		r->fleet.engine.kv_capacity_tokens = 319789;
-		r->fleet.engine.step_ms = 3.55;
-		r->fleet.engine.prefill_tokens_per_ms = 157;
-		r->fleet.engine.load_ms = 1100;
+	run->loop = loop_open();
+	run->fleet.loop = run->loop;
+	run->fleet.started_at_us = loop_us();
+	run->checker = checker_open(&judged);
+	run->fleet.checker = run->checker;
+	run->fleet.engine = default_engine;
+	run->fleet.engine.drain_ms = (int)run->bounds.drain_ms;
+	run->fleet.rng = run->seed * 7 + 1;
+	run->fleet.newest_version = 1;
+	run->fleet.thaw_ms = (int)run->bounds.thaw_slack_ms;
+	run->sheet = &deployments[!strcmp(deployment, "teduh")];
+	if (run->sheet == &deployments[1]) {
+		run->fleet.engine.kv_capacity_tokens = 319789;
+		run->fleet.engine.step_ms = 3.55;
+		run->fleet.engine.prefill_tokens_per_ms = 157;
+		run->fleet.engine.load_ms = 1100;
 	}
-	r->fleet.model = r->sheet->model;
-	r->rng = r->seed;
-	r->traffic_started_at_ms = -1;
-	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200,
+	run->fleet.model = run->sheet->model;
+	run->rng = run->seed;
+	run->traffic_started_at_ms = -1;
+	snprintf(run->address_prefix, sizeof run->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200,
 		 1 + getpid() % 250);
 	for (int i = 0; i < servers; i++) {
-		snprintf(at, sizeof at, "%s.%d:8080", r->address_prefix, 100 + i);
-		server_add(&r->fleet, at, r->sheet->zone[i % 4], r->sheet->service, 0);
+		snprintf(at, sizeof at, "%s.%d:8080", run->address_prefix, 100 + i);
+		server_add(&run->fleet, at, run->sheet->zone[i % 4], run->sheet->service, 0);
 	}
-	snprintf(at, sizeof at, "%s.250:8680", r->address_prefix);
-	server_add(&r->fleet, at, r->sheet->zone[1], r->sheet->store, 1);
-	for (int i = 0; i < arrlen(r->fleet.servers); i++)
-		server_up(r->fleet.servers[i]);
-	snprintf(r->list_address, sizeof r->list_address, "%s.251:8688", r->address_prefix);
-	if (!list_open(&r->fleet, &(struct list_settings){ r->list_address, 800, 5, 47, r->verbose > 1 }))
+	snprintf(at, sizeof at, "%s.250:8680", run->address_prefix);
+	server_add(&run->fleet, at, run->sheet->zone[1], run->sheet->store, 1);
+	for (int i = 0; i < arrlen(run->fleet.servers); i++)
+		server_up(run->fleet.servers[i]);
+	snprintf(run->list_address, sizeof run->list_address, "%s.251:8688", run->address_prefix);
+	if (!list_open(&run->fleet,
+		       &(struct list_settings){ run->list_address, 800, 5, 47, run->verbose > 1 }))
 		return 0;
 	for (int i = 0; i < cores; i++)
-		machine_add(r, 1, i % 4)->is_listed = 1;
-	for (int i = 0; i < r->edges; i++)
-		machine_add(r, 0, i % 4);
-	for (int i = 0; i < r->machine_count; i++)
-		machine_start(&r->machines[i]);
-	r->operator= operator_open(r);
-	r->clients = clients_open(r);
-	operator_submit_first(r->operator);
-	wait_for(r, 20000, ready);
-	for (int i = 0; i < r->machine_count && !r->undecided_reason; i++)
-		if (r->machines[i].unexpected_exits >= 3)
-			r->undecided_reason =
+		machine_add(run, 1, i % 4)->is_listed = 1;
+	for (int i = 0; i < run->edges; i++)
+		machine_add(run, 0, i % 4);
+	for (int i = 0; i < run->machine_count; i++)
+		machine_start(&run->machines[i]);
+	run->operator= operator_open(run);
+	run->clients = clients_open(run);
+	operator_submit_first(run->operator);
+	run_wait_for(run, 20000, is_ready_for_traffic);
+	for (int i = 0; i < run->machine_count && !run->undecided_reason; i++)
+		if (run->machines[i].unexpected_exits >= 3)
+			run->undecided_reason =
 			    "processes end by themselves at their start: do they know --platform?";
-	if (!r->undecided_reason && !operator_acked(r->operator))
-		r->undecided_reason = "no node took the first configuration within 20 s";
-	if (!r->undecided_reason && !ready(r))
-		run_log(r, "not every edge is ready 20 s after the start");
-	while (run_ms(r) < r->bounds.contact_ms + 1000 && !r->undecided_reason)
-		run_for(r, 20);
-	run_log(r, "traffic starts");
-	r->traffic_started_at_ms = run_ms(r);
-	return !r->undecided_reason;
+	if (!run->undecided_reason && !operator_acked(run->operator))
+		run->undecided_reason = "no node took the first configuration within 20 s";
+	if (!run->undecided_reason && !is_ready_for_traffic(run))
+		run_log(run, "not every edge is ready 20 s after the start");
+	while (run_ms(run) < run->bounds.contact_ms + 1000 && !run->undecided_reason)
+		run_for(run, 20);
+	run_log(run, "traffic starts");
+	run->traffic_started_at_ms = run_ms(run);
+	return !run->undecided_reason;
 }
 
 /* Whether this process, or one under test, was kept from a processor for longer than the run bears. */
-static int is_late(const struct run *r)
+static int is_late(const struct run *run)
 {
-	return histogram_quantile(&r->figures.own_lag_ms, 1) > r->max_lateness_ms * r->slack ||
-	       r->max_wait_ms > r->max_lateness_ms * r->slack;
+	return histogram_quantile(&run->figures.own_lag_ms, 1) > run->max_lateness_ms * run->slack ||
+	       run->max_wait_ms > run->max_lateness_ms * run->slack;
 }
 
 /* Whether a breach is among these that no delay explains. */
-static int has_timeless_violation(const struct breach *violation, int n)
+static int has_timeless_violation(const struct violation *violation, int n)
 {
 	static const char *const rules[] = { TIMELESS };
 
@@ -764,7 +766,7 @@
 	return 0;
 }
 
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct breach *violation, int breaches,
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation, int breaches,
 		      int64_t reach)
 {
 	for (int i = 0; i < breaches; i++)
@@ -774,12 +776,12 @@
 }
 
 /* The gate: at most 60% of the requests are refused or fail. */
-static int gate_broken(const struct run *r)
+static int gate_broken(const struct run *run)
 {
 	int completed = 0, requests = 0;
 
 	for (int i = 0; i < CLASS_COUNT; i++)
-		completed += r->figures.completed[i], requests += r->figures.requests[i];
+		completed += run->figures.completed[i], requests += run->figures.requests[i];
 	if (completed && completed * 10 >= requests * 4)
 		return 0;
 	printf("BREACH GATE     : %d of %d requests were served\n", completed, requests);
@@ -788,110 +790,110 @@
 
 /* A run under short bounds proves nothing if it was held up, if it never put VERSION to the test, or if too
  * little was served and nothing else is wrong: what the troubles leave to be served is not known. */
-static void timed_verdict(struct run *r, int broken, int gate, const struct breach *violation, int n)
+static void timed_verdict(struct run *run, int broken, int gate, const struct violation *violation, int n)
 {
-	int at_stake = checker_version_rule_exercised(r->checker);
-	int64_t longest = r->max_lateness_ms * r->slack;
+	int at_stake = checker_version_rule_exercised(run->checker);
+	int64_t longest = run->max_lateness_ms * run->slack;
 
 	printf(
 	    "VERSION was judged on %d requests; tries over kept connections to processes told to end: %d\n",
-	    at_stake, r->figures.draining_reuses);
+	    at_stake, run->figures.draining_reuses);
 	printf("a process under test waited for a processor at most %lld ms of a second\n",
-	       (long long)r->max_wait_ms);
+	       (long long)run->max_wait_ms);
 	if (!broken && gate)
-		r->undecided_reason = "too little was served";
+		run->undecided_reason = "too little was served";
 	else if (!broken && !at_stake)
-		r->undecided_reason = "no request began when the rule VERSION could have been broken";
-	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)r->max_sync_ms,
-	       r->stall_count, (long long)longest);
-	for (int i = 0; i < r->stall_count; i++)
-		printf("the disk stood still from %lld to %lld ms\n", (long long)r->stalls[i].from,
-		       (long long)r->stalls[i].to);
-	if (broken && !r->fleet.old_blocks_used &&
-	    disk_explains_all(r->stalls, r->stall_count, violation, n,
-			      r->bounds.version_ms + r->bounds.contact_ms))
-		r->undecided_reason =
+		run->undecided_reason = "no request began when the rule VERSION could have been broken";
+	printf("a small sync took at most %lld ms; %d took more than %lld ms\n", (long long)run->max_sync_ms,
+	       run->stall_count, (long long)longest);
+	for (int i = 0; i < run->stall_count; i++)
+		printf("the disk stood still from %lld to %lld ms\n", (long long)run->stalls[i].from,
+		       (long long)run->stalls[i].to);
+	if (broken && !run->fleet.old_blocks_used &&
+	    disk_explains_all(run->stalls, run->stall_count, violation, n,
+			      run->bounds.version_ms + run->bounds.contact_ms))
+		run->undecided_reason =
 		    "the disk stood still before each breach: what depends on time is nobody's fault here";
-	if (broken && is_late(r) && !has_timeless_violation(violation, n))
-		r->undecided_reason =
+	if (broken && is_late(run) && !has_timeless_violation(violation, n))
+		run->undecided_reason =
 		    "this process or one under test was held up: what depends on time is nobody's fault here";
 }
 
-static void start_quota_and_disk_watch(struct run *r)
+static void start_quota_and_disk_watch(struct run *run)
 {
-	if (r->core_share > 0 || r->router_share > 0)
-		quota_start(r);
-	if (r->max_lateness_ms)
-		r->disk_watch = disk_watch_open(r->folder, r->fleet.started_at_us,
-						r->max_lateness_ms * r->slack, fdatasync);
+	if (run->core_share > 0 || run->router_share > 0)
+		quota_start(run);
+	if (run->max_lateness_ms)
+		run->disk_watch = disk_watch_open(run->folder, run->fleet.started_at_us,
+						  run->max_lateness_ms * run->slack, fdatasync);
 }
 
-static void disk_watch_end(struct run *r)
+static void disk_watch_end(struct run *run)
 {
-	if (!r->disk_watch)
+	if (!run->disk_watch)
 		return;
-	r->stall_count = disk_watch_close(r->disk_watch, r->stalls, MAX_DISK_STALLS, &r->max_sync_ms);
-	r->disk_watch = NULL;
+	run->stall_count = disk_watch_close(run->disk_watch, run->stalls, MAX_DISK_STALLS, &run->max_sync_ms);
+	run->disk_watch = NULL;
 }
 
-static int one_run(struct run *r, const char *deployment, int scenario, const char *report)
+static int platform_run_scenario(struct run *run, const char *deployment, int scenario, const char *report)
 {
-	const struct breach *violation = NULL;
+	const struct violation *violation = NULL;
 	int n = 0, rc = 1, gate;
 
-	if (!set_up(r, deployment))
+	if (!set_up(run, deployment))
 		goto end;
-	start_quota_and_disk_watch(r);
-	clients_traffic(r->clients, 1);
-	scenarios[scenario].fn(r);
-	clients_traffic(r->clients, 0);
-	wait_for(r, 11000, clients_are_idle);
-	wait_for(r, 6000, has_idle_operator);
-	if (r->undecided_reason)
+	start_quota_and_disk_watch(run);
+	clients_traffic(run->clients, 1);
+	scenarios[scenario].play(run);
+	clients_traffic(run->clients, 0);
+	run_wait_for(run, 11000, clients_are_idle);
+	run_wait_for(run, 6000, run_operator_idle);
+	if (run->undecided_reason)
 		goto end;
-	operator_read_back(r->operator);
-	wait_for(r, 6 * r->bounds.contact_ms, read_back);
-	disk_watch_end(r);
-	n = checker_run(r->checker, run_ms(r), &violation);
-	report_print(r, violation, n);
-	if (report && !report_write(r, report, violation, n))
+	operator_read_back(run->operator);
+	run_wait_for(run, 6 * run->bounds.contact_ms, has_read_back);
+	disk_watch_end(run);
+	n = checker_run(run->checker, run_ms(run), &violation);
+	report_print(run, violation, n);
+	if (report && !report_write(run, report, violation, n))
 		goto end;
 	rc = n != 0;
-	if (r->fleet.old_blocks_used) {
+	if (run->fleet.old_blocks_used) {
 		printf("BREACH CLEARED  : %llu parts of before a clearing were used after it\n",
-		       (unsigned long long)r->fleet.old_blocks_used);
+		       (unsigned long long)run->fleet.old_blocks_used);
 		rc = 1;
 	}
-	gate = gate_broken(r);
-	if (r->max_lateness_ms)
-		timed_verdict(r, rc, gate, violation, n);
+	gate = gate_broken(run);
+	if (run->max_lateness_ms)
+		timed_verdict(run, rc, gate, violation, n);
 	rc |= gate;
 end:
-	if (r->undecided_reason) {
-		printf("UNDECIDED: %s\n", r->undecided_reason);
+	if (run->undecided_reason) {
+		printf("UNDECIDED: %s\n", run->undecided_reason);
 		rc = 3;
 	}
-	if (r->clients)
-		clients_close(r->clients);
-	if (r->operator)
-		operator_close(r->operator);
-	quota_release(r);
-	disk_watch_end(r);
-	machines_stop(r);
-	if (invariant_lines(r))
+	if (run->clients)
+		clients_close(run->clients);
+	if (run->operator)
+		operator_close(run->operator);
+	quota_release(run);
+	disk_watch_end(run);
+	machines_stop(run);
+	if (invariant_lines(run))
 		rc = 1;
-	if (r->fleet.list)
-		list_close(r->fleet.list);
-	servers_free(&r->fleet);
-	loop_close(r->loop);
-	checker_close(r->checker);
-	free(r->figures.seconds);
-	printf("%s %s seed %llu%s: %s; logs in %s\n", r->sheet->name, scenarios[scenario].name,
-	       (unsigned long long)r->seed, r->small ? " small" : "",
+	if (run->fleet.list)
+		list_close(run->fleet.list);
+	servers_free(&run->fleet);
+	loop_close(run->loop);
+	checker_close(run->checker);
+	free(run->figures.seconds);
+	printf("%s %s seed %llu%s: %s; logs in %s\n", run->sheet->name, scenarios[scenario].name,
+	       (unsigned long long)run->seed, run->small ? " small" : "",
 	       rc == 0   ? "no rule broken"
 	       : rc == 3 ? "undecided"
 			 : "RULES BROKEN",
-	       r->folder);
+	       run->folder);
 	return rc;
 }
 
@@ -901,7 +903,7 @@
 		fprintf(out, "  %-12s %s\n", scenarios[i].name, scenarios[i].what);
 }
 
-static int run(int argc, char **argv)
+static int run_command(int argc, char **argv)
 {
 	struct arg_str *name = arg_str1(NULL, NULL, "NAME", "the scenario"),
 		       *seed = arg_str0(NULL, "seed", "N", "a whole number"),
@@ -948,7 +950,7 @@
 		list_scenarios(stderr);
 		goto end;
 	}
-	if (!scenarios[k].fn) {
+	if (!scenarios[k].play) {
 		printf("%s: %s\n", scenarios[k].name, scenarios[k].what);
 		rc = 0;
 		goto end;
@@ -981,7 +983,8 @@
 		goto end;
 	}
 	signal(SIGPIPE, SIG_IGN);
-	rc = one_run(r, dep->count ? dep->sval[0] : "warisan", k, report->count ? report->sval[0] : NULL);
+	rc = platform_run_scenario(r, dep->count ? dep->sval[0] : "warisan", k,
+				   report->count ? report->sval[0] : NULL);
 end:
 	free(r);
 	arg_freetable(t, sizeof t / sizeof *t);
@@ -995,7 +998,7 @@
 		return 0;
 	}
 	if (argc >= 2 && !strcmp(argv[1], "run"))
-		return run(argc - 1, argv + 1);
+		return run_command(argc - 1, argv + 1);
 	fprintf(
 	    stderr,
 	    "Usage: notchlug-emulator platform list\n"
--- a/emulator/record_checker.c
+++ b/emulator/record_checker.c
@@ -71,8 +71,8 @@
 	char service[64], weights[64];
 };
 
-struct judge {
-	struct check_result *r;
+struct record_checker {
+	struct check_result *result;
 	int untimed;
 	struct row *rows;
 	struct request_row *requests;
@@ -93,13 +93,14 @@
 		int64_t at_ms;
 		int is_retry;
 	} * send_log; /* sends, in order of time */
-	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, back, longest_pause_ms;
+	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, last_complete_at_ms,
+	    longest_pause_ms;
 	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens,
 	    fetched_blocks;
 	int closed, finished, probe_count, server_record_count;
 };
 
-static void say(struct check_result *result, const char *fmt, ...)
+static void append_report(struct check_result *result, const char *fmt, ...)
 {
 	size_t n = strlen(result->text);
 	va_list ap;
@@ -110,7 +111,7 @@
 	va_end(ap);
 }
 
-static void breach(struct judge *checker, char rule, const char *fmt, ...)
+static void report_violation(struct record_checker *checker, char rule, const char *fmt, ...)
 {
 	char line[400];
 	va_list ap;
@@ -118,11 +119,11 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	if (++checker->r->violations <= 20)
-		say(checker->r, "BREACH %c: %s\n", rule, line);
+	if (++checker->result->violations <= 20)
+		append_report(checker->result, "BREACH %c: %s\n", rule, line);
 }
 
-static void undecided(struct judge *checker, const char *fmt, ...)
+static void undecided(struct record_checker *checker, const char *fmt, ...)
 {
 	char line[300];
 	va_list ap;
@@ -130,8 +131,8 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	checker->r->undecided = 1;
-	say(checker->r, "undecided: %s\n", line);
+	checker->result->undecided = 1;
+	append_report(checker->result, "undecided: %s\n", line);
 }
 
 /* ---- reading ---- */
@@ -157,7 +158,7 @@
 }
 
 /* Each record is one write, so a torn line is a hole: such a run is undecided. */
-static void read_file(struct judge *checker, const char *path, const char *name)
+static void read_file(struct record_checker *checker, const char *path, const char *name)
 {
 	FILE *out = fopen(path, "r");
 	char *line = NULL;
@@ -183,7 +184,7 @@
 		fclose(out);
 }
 
-static void read_folder(struct judge *checker, const char *folder)
+static void read_folder(struct record_checker *checker, const char *folder)
 {
 	DIR *d = opendir(folder);
 	struct dirent *dirent;
@@ -209,8 +210,8 @@
 	(shgeti(map, k) < 0 ? (void)shput(map, k, ((typeof((map)->value)){ 0 })) : (void)0, \
 	 &shgetp(map, k)->value)
 
-static typeof(((struct submission_row *)0)->value) *asking_of(struct judge *checker, const char *id,
-							      const char *web)
+static typeof(((struct submission_row *)0)->value) *submission_of(struct record_checker *checker,
+								  const char *id, const char *web)
 {
 	char key[300];
 
@@ -219,7 +220,8 @@
 }
 
 /* The counter that made a send, by the send's id; NULL when no probe ever saw it. */
-static typeof(((struct router_row *)0)->value) *router_of_send(struct judge *checker, const char *send_id)
+static typeof(((struct router_row *)0)->value) *router_of_send(struct record_checker *checker,
+							       const char *send_id)
 {
 	char id[17];
 
@@ -227,7 +229,7 @@
 	return shgeti(checker->routers, id) < 0 ? NULL : &shgetp(checker->routers, id)->value;
 }
 
-static int within(const struct span_row *map, const char *key, int64_t at_ms, int64_t after)
+static int is_within(const struct span_row *map, const char *key, int64_t at_ms, int64_t after)
 {
 	struct span_row *span_row = (struct span_row *)(uintptr_t)map;
 	ptrdiff_t i = shgeti(span_row, key);
@@ -238,11 +240,11 @@
 
 /* ---- A: once, and never after "refused". B, C: the whole answer, in order, of one run ---- */
 
-static void on_request_record(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void records_on_request(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	typeof(checker->requests->value) *k = ENTRY(checker->requests, json_member_string(json, "id"));
 	typeof(checker->submissions->value) *a =
-	    asking_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
+	    submission_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
 
 	k->send_count = 0; /* a caller's own asking anew is no resend */
 	k->requested_at_ms = at_ms;
@@ -251,9 +253,9 @@
 	a->refused_at_ms = 0;
 }
 
-static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms);
+static void check_revision_in_force(struct record_checker *checker, const char *send_id, int64_t at_ms);
 
-static void on_sent(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void records_on_send(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	const char *id = json_member_string(json, "id"), *sv = json_member_string(json, "server"),
 		   *x = json_member_string(json, "x");
@@ -266,74 +268,80 @@
 	checker->first_sends += k->send_count++ == 0;
 	arrput(checker->send_log, y);
 	if (!k->requested_at_ms)
-		breach(checker, 'A', "%s was sent, and nobody asked it", id);
+		report_violation(checker, 'A', "%s was sent, and nobody asked it", id);
 	if (!checker->untimed && s->drained_at_ms && !s->undrained_at_ms && at_ms - s->drained_at_ms > 3000)
-		breach(checker, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv,
-		       id, (long long)(at_ms - s->drained_at_ms));
+		report_violation(checker, 'F',
+				 "server %s was sent %s, %lld ms after its drain was acknowledged", sv, id,
+				 (long long)(at_ms - s->drained_at_ms));
 	check_revision_in_force(checker, x, at_ms);
 	if (json_member_int(json, "refused"))
 		return;
 	if (k->run_count++)
-		breach(checker, 'A', "%s ran twice: at %s and at %s", id, k->server, sv);
+		report_violation(checker, 'A', "%s ran twice: at %s and at %s", id, k->server, sv);
 	snprintf(k->server, sizeof k->server, "%s", sv);
 	if (c) {
-		typeof(checker->submissions->value) *a = asking_of(checker, id, c->address);
+		typeof(checker->submissions->value) *a = submission_of(checker, id, c->address);
 
 		if (a->refused_at_ms)
-			breach(checker, 'A', "%s ran %lld ms after its caller was told it was refused", id,
-			       (long long)(at_ms - a->refused_at_ms));
+			report_violation(checker, 'A',
+					 "%s ran %lld ms after its caller was told it was refused", id,
+					 (long long)(at_ms - a->refused_at_ms));
 		a->has_run = 1;
 	}
 }
 
-static void on_answer_record(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void records_on_answer(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	const char *id = json_member_string(json, "id"), *o = json_member_string(json, "outcome"),
 		   *x = json_member_string(json, "x");
 	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
-	typeof(checker->submissions->value) *a = asking_of(checker, id, json_member_string(json, "counter"));
+	typeof(checker->submissions->value) *a =
+	    submission_of(checker, id, json_member_string(json, "counter"));
 	char key[32];
 
 	k->answer_count++;
 	a->is_open = 0;
 	if (json_member_int(json, "bad"))
-		breach(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id,
-		       (long long)json_member_int(json, "bad"));
+		report_violation(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)",
+				 id, (long long)json_member_int(json, "bad"));
 	if (!strcmp(o, "whole")) {
 		checker->complete++;
 		/* back: answers to what was asked after the last fault; the pauses between them count as well
 		 */
 		if (checker->last_fault_at_ms && k->requested_at_ms >= checker->last_fault_at_ms) {
-			if (at_ms - (checker->back ? checker->back : checker->last_fault_at_ms) >
+			if (at_ms - (checker->last_complete_at_ms ? checker->last_complete_at_ms
+								  : checker->last_fault_at_ms) >
 			    checker->longest_pause_ms)
 				checker->longest_pause_ms =
-				    at_ms - (checker->back ? checker->back : checker->last_fault_at_ms);
-			checker->back = at_ms;
+				    at_ms - (checker->last_complete_at_ms ? checker->last_complete_at_ms
+									  : checker->last_fault_at_ms);
+			checker->last_complete_at_ms = at_ms;
 		}
 		if (shgeti(checker->piece_counts, x) < 0 ||
 		    shget(checker->piece_counts, x) != json_member_int(json, "pieces"))
-			breach(checker, 'B',
-			       "%s: told whole with %lld pieces, which is not the server's whole answer", id,
-			       (long long)json_member_int(json, "pieces"));
+			report_violation(
+			    checker, 'B',
+			    "%s: told whole with %lld pieces, which is not the server's whole answer", id,
+			    (long long)json_member_int(json, "pieces"));
 	} else if (!strcmp(o, "refused")) {
 		checker->refused++;
 		a->refused_at_ms = at_ms;
 		if (a->has_run)
-			breach(checker, 'A', "%s ran, and its caller was told it was refused", id);
+			report_violation(checker, 'A', "%s ran, and its caller was told it was refused", id);
 	} else {
 		checker->unknown++;
 	}
 	snprintf(key, sizeof key, "key-%lld", (long long)json_member_int(json, "tenant"));
 	if (!checker->untimed && json_member_int(json, "last") &&
-	    within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
-		breach(checker, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
-		       (long long)(json_member_int(json, "last") -
-				   shget(checker->removed_keys, key).started_at_ms));
+	    is_within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
+		report_violation(checker, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
+				 (long long)(json_member_int(json, "last") -
+					     shget(checker->removed_keys, key).started_at_ms));
 }
 
 /* ---- D: who sends has every edition that was acknowledged 2 s before ---- */
 
-static int64_t required_revision(const struct judge *checker, int64_t at_ms)
+static int64_t required_revision(const struct record_checker *checker, int64_t at_ms)
 {
 	int64_t need = 0;
 
@@ -344,14 +352,14 @@
 }
 
 /* A counter's edition at a send is at most what the next probe saw there. */
-static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms)
+static void check_revision_in_force(struct record_checker *checker, const char *send_id, int64_t at_ms)
 {
 	typeof(checker->routers->value) *c = router_of_send(checker, send_id);
 
 	for (ptrdiff_t i = 0; c && !checker->untimed && i < arrlen(c->probes); i++)
 		if (c->probes[i].requested_at_ms >= at_ms) {
 			if (c->probes[i].revision < required_revision(checker, at_ms))
-				breach(
+				report_violation(
 				    checker, 'D',
 				    "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before",
 				    c->address, send_id, (long long)c->probes[i].revision,
@@ -360,7 +368,7 @@
 		}
 }
 
-static void on_state(struct judge *checker, struct json_object *json)
+static void records_on_state(struct record_checker *checker, struct json_object *json)
 {
 	const char *web = json_member_string(json, "web");
 	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0
@@ -372,20 +380,20 @@
 		checker->horizon = json_member_int(json, "horizon");
 	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves
 				nothing */
-		breach(checker, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before,
-		       (long long)e);
+		report_violation(checker, 'D', "counter %s went back from edition %lld to %lld", web,
+				 (long long)before, (long long)e);
 	if (e > before)
 		shput(checker->revision_by_address, web, e);
 	if (!checker->untimed && json_member_int(json, "age_ms") < 1700 &&
 	    e < required_revision(checker, json_member_int(json, "asked")))
-		breach(checker, 'D',
-		       "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web,
-		       (long long)e, (long long)required_revision(checker, json_member_int(json, "asked")));
+		report_violation(
+		    checker, 'D', "counter %s takes exchanges under edition %lld, but %lld was acknowledged",
+		    web, (long long)e, (long long)required_revision(checker, json_member_int(json, "asked")));
 }
 
 /* ---- G: whose kept parts were used ---- */
 
-static void on_begin(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void records_on_begin(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	struct json_object *used = json_member(json, "used");
 	const char *id = json_member_string(json, "id"), *tn = json_member_string(json, "tenant"),
@@ -400,43 +408,44 @@
 		const char *m = json_member_string(u, "m");
 
 		if (strcmp(json_member_string(u, "w"), weights))
-			breach(checker, 'G', "%s under %s used a part made under %s", id, weights,
-			       json_member_string(u, "w"));
+			report_violation(checker, 'G', "%s under %s used a part made under %s", id, weights,
+					 json_member_string(u, "w"));
 		if (!checker->untimed && strcmp(m, tn) &&
-		    (within(checker->isolated_tenants, m, at_ms, 2000) ||
-		     within(checker->isolated_tenants, tn, at_ms, 2000)))
-			breach(checker, 'G', "%s of %s used a part made by %s, one of them walled off", id,
-			       tn, m);
+		    (is_within(checker->isolated_tenants, m, at_ms, 2000) ||
+		     is_within(checker->isolated_tenants, tn, at_ms, 2000)))
+			report_violation(checker, 'G',
+					 "%s of %s used a part made by %s, one of them walled off", id, tn,
+					 m);
 		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a
 		 * failover and the stale horizon */
 		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 &&
 		    !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
-			breach(checker, 'G',
-			       "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
-			       (long long)json_member_int(u, "ct"), sv);
+			report_violation(checker, 'G',
+					 "%s used a part made at tick %lld at %s, withdrawn with its drain",
+					 id, (long long)json_member_int(u, "ct"), sv);
 	}
 }
 
 /* ---- H, I: orders and weights ---- */
 
-static void on_order(struct judge *checker, struct json_object *j, int64_t at_ms)
+static void records_on_command(struct record_checker *checker, struct json_object *j, int64_t at_ms)
 {
 	const char *sv = json_member_string(j, "server");
 	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
 	if (s->commanded_at_ms && strcmp(s->rollout_leader, json_member_string(j, "giver")) &&
 	    at_ms - s->commanded_at_ms < 3000)
-		breach(checker, 'I', "server %s had orders of two givers %lld ms apart", sv,
-		       (long long)(at_ms - s->commanded_at_ms));
+		report_violation(checker, 'I', "server %s had orders of two givers %lld ms apart", sv,
+				 (long long)(at_ms - s->commanded_at_ms));
 	if (!json_member_int(j, "fenced") && json_member_int(j, "fence") < s->fence)
-		breach(checker, 'I', "server %s took an order with a lower fence", sv);
+		report_violation(checker, 'I', "server %s took an order with a lower fence", sv);
 	if (json_member_int(j, "fence") > s->fence)
 		s->fence = json_member_int(j, "fence");
 	snprintf(s->rollout_leader, sizeof s->rollout_leader, "%s", json_member_string(j, "giver"));
 	s->commanded_at_ms = at_ms;
 }
 
-static void on_loaded(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void records_on_loaded(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	typeof(checker->servers->value) *s = ENTRY(checker->servers, json_member_string(json, "server"));
 	typeof(*s->loads) l = { at_ms, "" };
@@ -447,7 +456,7 @@
 
 /* Weights that stayed named for 25 s are on every server of the service 25 s after the naming, or after the
  * server came up. A server says with "up" what it was started with. */
-static void check_target_weights(struct judge *checker, int64_t end)
+static void records_check_targets(struct record_checker *checker, int64_t end)
 {
 	for (ptrdiff_t i = 0; i < arrlen(checker->targets); i++) {
 		int64_t until = end;
@@ -472,19 +481,19 @@
 				    (s->up_at_ms > until || s->loads[q].loaded_at_ms >= s->up_at_ms))
 					on = s->loads[q].loaded_at_ms;
 			if (!on)
-				breach(checker, 'H', "weights %s never reached %s",
-				       checker->targets[i].weights, checker->servers[k].key);
+				report_violation(checker, 'H', "weights %s never reached %s",
+						 checker->targets[i].weights, checker->servers[k].key);
 			else if (on - from > 25000)
-				breach(checker, 'H', "weights %s reached %s only after %lld ms",
-				       checker->targets[i].weights, checker->servers[k].key,
-				       (long long)(on - from));
+				report_violation(checker, 'H', "weights %s reached %s only after %lld ms",
+						 checker->targets[i].weights, checker->servers[k].key,
+						 (long long)(on - from));
 		}
 	}
 }
 
 /* ---- J: resends in any ten seconds ---- */
 
-static void check_retries(struct judge *checker)
+static void records_check_retries(struct record_checker *checker)
 {
 	int64_t margin = 2 + 2 * shlen(checker->routers); /* each counter may have two saved up */
 
@@ -500,8 +509,8 @@
 			retries += checker->send_log[k].is_retry;
 		}
 		if (retries > (n - retries) / 5 + margin) {
-			breach(checker, 'J', "%lld resends for %lld sends within ten seconds",
-			       (long long)retries, (long long)(n - retries));
+			report_violation(checker, 'J', "%lld resends for %lld sends within ten seconds",
+					 (long long)retries, (long long)(n - retries));
 			return;
 		}
 	}
@@ -516,7 +525,7 @@
 
 /* A change whose outcome is not known may or may not show; an acknowledged one must, unless a later one hid
  * it. */
-static void on_change(struct judge *checker, struct json_object *change, int64_t revision)
+static void records_on_change(struct record_checker *checker, struct json_object *change, int64_t revision)
 {
 	static const char *const what[] = { "set", "del" };
 
@@ -549,7 +558,7 @@
 	return 1;
 }
 
-static void check_table(struct judge *checker, struct json_object *rows)
+static void records_check_table(struct record_checker *checker, struct json_object *rows)
 {
 	struct {
 		char *key;
@@ -575,8 +584,9 @@
 		for (ptrdiff_t q = 0; q < arrlen(k->possible) && !fits; q++)
 			fits = same_row(k->possible[q], at_end);
 		if (!fits)
-			breach(checker, 'K', "what edition %lld said of %s is not in the table at the end",
-			       (long long)k->revision, checker->table[i].key);
+			report_violation(checker, 'K',
+					 "what edition %lld said of %s is not in the table at the end",
+					 (long long)k->revision, checker->table[i].key);
 	}
 	shfree(have);
 }
@@ -584,33 +594,33 @@
 /* ---- the whole ---- */
 
 /* Told apart by what each changes; 0 for a kind that no judge knows. */
-static int take(struct judge *g, const struct row *r)
+static int apply_record(struct record_checker *checker, const struct row *row)
 {
-	struct json_object *json = r->json;
-	const char *ev = r->kind, *sv = json_member_string(json, "server");
-	int64_t t = r->at_ms;
+	struct json_object *json = row->json;
+	const char *ev = row->kind, *sv = json_member_string(json, "server");
+	int64_t t = row->at_ms;
 
 	if (!strcmp(ev, "ask")) {
-		on_request_record(g, json, t);
+		records_on_request(checker, json, t);
 	} else if (!strcmp(ev, "sent")) {
-		on_sent(g, json, t);
+		records_on_send(checker, json, t);
 	} else if (!strcmp(ev, "begin")) {
-		on_begin(g, json, t);
+		records_on_begin(checker, json, t);
 	} else if (!strcmp(ev, "end")) {
-		shput(g->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
+		shput(checker->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
 	} else if (!strcmp(ev, "told")) {
-		on_answer_record(g, json, t);
+		records_on_answer(checker, json, t);
 	} else if (!strcmp(ev, "state")) {
-		on_state(g, json);
+		records_on_state(checker, json);
 	} else if (!strcmp(ev, "order")) {
-		on_order(g, json, t);
+		records_on_command(checker, json, t);
 	} else if (!strcmp(ev, "up")) {
-		ENTRY(g->servers, sv)->up_at_ms = t;
-		on_loaded(g, json, t);
+		ENTRY(checker->servers, sv)->up_at_ms = t;
+		records_on_loaded(checker, json, t);
 	} else if (!strcmp(ev, "loaded")) {
-		on_loaded(g, json, t);
+		records_on_loaded(checker, json, t);
 	} else if (!strcmp(ev, "serves")) {
-		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
+		typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
 		snprintf(s->service, sizeof s->service, "%s", json_member_string(json, "service"));
 	} else if (!strcmp(ev, "named")) {
@@ -618,59 +628,59 @@
 
 		snprintf(n.service, sizeof n.service, "%s", json_member_string(json, "service"));
 		snprintf(n.weights, sizeof n.weights, "%s", json_member_string(json, "weights"));
-		arrput(g->targets, n);
+		arrput(checker->targets, n);
 	} else if (!strcmp(ev, "ack")) {
-		typeof(*g->acks) a = { json_member_int(json, "edition"), t };
+		typeof(*checker->acks) a = { json_member_int(json, "edition"), t };
 
-		arrput(g->acks, a);
-		if (a.revision > g->acked_revision)
-			g->acked_revision = a.revision;
-		on_change(g, json_member(json, "change"), a.revision);
+		arrput(checker->acks, a);
+		if (a.revision > checker->acked_revision)
+			checker->acked_revision = a.revision;
+		records_on_change(checker, json_member(json, "change"), a.revision);
 	} else if (!strcmp(ev, "tried")) {
-		on_change(g, json_member(json, "change"), 0);
+		records_on_change(checker, json_member(json, "change"), 0);
 	} else if (!strcmp(ev, "key-removed")) {
-		shput(g->removed_keys, json_member_string(json, "key"),
-		      ((typeof(g->removed_keys->value)){ t, 0 }));
+		shput(checker->removed_keys, json_member_string(json, "key"),
+		      ((typeof(checker->removed_keys->value)){ t, 0 }));
 	} else if (!strcmp(ev, "key-added")) {
-		if (shgeti(g->removed_keys, json_member_string(json, "key")) >= 0)
-			shgetp(g->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
+		if (shgeti(checker->removed_keys, json_member_string(json, "key")) >= 0)
+			shgetp(checker->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
 	} else if (!strcmp(ev, "wall")) { /* walled from the acknowledgement on, open from the asking on */
 		if (json_member_int(json, "walled"))
-			shput(g->isolated_tenants, json_member_string(json, "tenant"),
-			      ((typeof(g->isolated_tenants->value)){ t, 0 }));
-		else if (shgeti(g->isolated_tenants, json_member_string(json, "tenant")) >= 0)
-			shgetp(g->isolated_tenants, json_member_string(json, "tenant"))->value.ended_at_ms =
-			    t;
+			shput(checker->isolated_tenants, json_member_string(json, "tenant"),
+			      ((typeof(checker->isolated_tenants->value)){ t, 0 }));
+		else if (shgeti(checker->isolated_tenants, json_member_string(json, "tenant")) >= 0)
+			shgetp(checker->isolated_tenants, json_member_string(json, "tenant"))
+			    ->value.ended_at_ms = t;
 	} else if (!strcmp(ev, "drain-asked")) {
-		ENTRY(g->servers, sv)->drain_horizon = g->horizon;
+		ENTRY(checker->servers, sv)->drain_horizon = checker->horizon;
 	} else if (!strcmp(ev, "drained")) {
-		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
+		typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
 
 		s->drained_at_ms = t;
 		s->undrained_at_ms = 0;
 	} else if (!strcmp(ev, "undrained")) {
-		ENTRY(g->servers, sv)->undrained_at_ms = t;
+		ENTRY(checker->servers, sv)->undrained_at_ms = t;
 	} else if (!strcmp(ev, "fault")) {
-		g->last_fault_at_ms = t;
-		g->back = g->longest_pause_ms = 0;
+		checker->last_fault_at_ms = t;
+		checker->last_complete_at_ms = checker->longest_pause_ms = 0;
 	} else if (!strcmp(ev, "table")) {
-		g->final_revision = json_member_int(json, "edition");
-		check_table(g, json_member(json, "rows"));
+		checker->final_revision = json_member_int(json, "edition");
+		records_check_table(checker, json_member(json, "rows"));
 	} else if (!strcmp(ev, "tool-failed")) {
-		breach(g, '-', "%s", json_member_string(json, "what"));
+		report_violation(checker, '-', "%s", json_member_string(json, "what"));
 	} else if (!strcmp(ev, "missed")) {
-		undecided(g, "the fault did not bite: %s", json_member_string(json, "what"));
+		undecided(checker, "the fault did not bite: %s", json_member_string(json, "what"));
 	} else if (!strcmp(ev, "closed")) {
-		g->closed = 1;
+		checker->closed = 1;
 	} else if (!strcmp(ev, "finished")) {
-		g->finished = 1;
+		checker->finished = 1;
 	} else if (strcmp(ev, "unacknowledged")) {
 		return 0;
 	}
 	return 1;
 }
 
-static void judge_end(struct judge *checker)
+static void check_end(struct record_checker *checker)
 {
 	for (ptrdiff_t i = 0; i < shlen(checker->requests); i++)
 		if (checker->requests[i].value.requested_at_ms && !checker->requests[i].value.answer_count)
@@ -680,14 +690,15 @@
 		if (checker->servers[i].value.service[0] && !checker->servers[i].value.up_at_ms)
 			undecided(checker, "no records of server %s", checker->servers[i].key);
 	if (checker->final_revision >= 0 && checker->final_revision < checker->acked_revision)
-		breach(checker, 'K', "the acknowledged edition %lld is lost: the table ends at %lld",
-		       (long long)checker->acked_revision, (long long)checker->final_revision);
-	check_retries(checker);
+		report_violation(checker, 'K',
+				 "the acknowledged edition %lld is lost: the table ends at %lld",
+				 (long long)checker->acked_revision, (long long)checker->final_revision);
+	records_check_retries(checker);
 	if (!checker->untimed && arrlen(checker->rows))
-		check_target_weights(checker, arrlast(checker->rows).at_ms);
+		records_check_targets(checker, arrlast(checker->rows).at_ms);
 	if (!checker->untimed && checker->last_fault_at_ms &&
-	    (!checker->back || checker->longest_pause_ms > 12000))
-		breach(checker, 'L', "service was not back 12 s after the last fault");
+	    (!checker->last_complete_at_ms || checker->longest_pause_ms > 12000))
+		report_violation(checker, 'L', "service was not back 12 s after the last fault");
 	if (!checker->closed || !checker->finished || !checker->server_record_count ||
 	    !checker->probe_count || checker->final_revision < 0 || !checker->complete)
 		undecided(checker, "%s%s%s%s%s%s", checker->closed ? "" : "callers' records are not closed; ",
@@ -700,11 +711,11 @@
 
 int check_folder(const char *folder, int untimed, struct check_result *res)
 {
-	struct judge checker;
+	struct record_checker checker;
 
 	memset(res, 0, sizeof *res);
 	memset(&checker, 0, sizeof checker);
-	checker.r = res;
+	checker.result = res;
 	checker.untimed = untimed;
 	checker.final_revision = -1;
 	sh_new_strdup(checker.requests);
@@ -730,10 +741,11 @@
 			arrput(c->probes, p);
 		}
 	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
-		if (!take(&checker, &checker.rows[i]))
+		if (!apply_record(&checker, &checker.rows[i]))
 			undecided(&checker, "a record of an unknown kind: %s", checker.rows[i].kind);
-	judge_end(&checker);
-	say(res,
+	check_end(&checker);
+	append_report(
+	    res,
 	    "exchanges %lld, sends %lld, whole %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, read anew %lld (%.1f %%), parts fetched %lld",
 	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete,
 	    (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
@@ -742,9 +754,9 @@
 				  : 0.0,
 	    (long long)checker.fetched_blocks);
 	if (checker.last_fault_at_ms)
-		say(res, ", longest pause after the last fault %lld ms",
-		    (long long)(checker.back ? checker.longest_pause_ms : -1));
-	say(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
+		append_report(res, ", longest pause after the last fault %lld ms",
+			      (long long)(checker.last_complete_at_ms ? checker.longest_pause_ms : -1));
+	append_report(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
 	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
 		json_object_put(checker.rows[i].json);
 	for (ptrdiff_t i = 0; i < shlen(checker.routers); i++)
--- a/emulator/report.c
+++ b/emulator/report.c
@@ -7,7 +7,7 @@
 #include "containers.h"
 #include "platform_run.h"
 
-void report_print(struct run *run, const struct breach *violation, int n)
+void report_print(struct run *run, const struct violation *violation, int n)
 {
 	const struct figures *figures = &run->figures;
 	int printed = 0, same = 0;
@@ -76,19 +76,19 @@
 static void picture(struct run *run, FILE *out, int seconds)
 {
 	static const struct {
-		double q;
+		double quantile;
 		const char *colour, *name;
 	} line[] = { { 0.5, "#2a7", "p50" }, { 0.9, "#e90", "p90" }, { 0.99, "#c33", "p99" } };
-	const int w = 800, h = 320, left = 60, top = 20;
+	const int w = 800, h = 320, x_origin = 60, top = 20;
 
 	fprintf(
 	    out,
 	    "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\" font-family=\"sans-serif\" font-size=\"12\">\n",
-	    w + left + 80, h + top + 50);
+	    w + x_origin + 80, h + top + 50);
 	fprintf(
 	    out,
 	    "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n<text x=\"%d\" y=\"14\">first piece, ms, by the second it was asked in</text>\n",
-	    left);
+	    x_origin);
 	for (int d = 0; d <= 4; d++) {
 		int y = top + h - d * h / 4, ms = 1;
 
@@ -97,16 +97,17 @@
 		fprintf(
 		    out,
 		    "<line x1=\"%d\" x2=\"%d\" y1=\"%d\" y2=\"%d\" stroke=\"#ddd\"/><text x=\"8\" y=\"%d\">%d</text>\n",
-		    left, left + w, y, y, y + 4, ms);
+		    x_origin, x_origin + w, y, y, y + 4, ms);
 	}
 	for (int s = 0; s <= seconds; s += seconds > 30 ? 10 : 2)
-		fprintf(out, "<text x=\"%d\" y=\"%d\">%d s</text>\n", left + w * s / (seconds ? seconds : 1),
-			top + h + 20, s);
+		fprintf(out, "<text x=\"%d\" y=\"%d\">%d s</text>\n",
+			x_origin + w * s / (seconds ? seconds : 1), top + h + 20, s);
 	for (size_t k = 0; k < sizeof line / sizeof *line; k++) {
 		fprintf(out, "<polyline fill=\"none\" stroke=\"%s\" stroke-width=\"2\" points=\"",
 			line[k].colour);
 		for (int s = 0; s < seconds; s++) {
-			int64_t v = histogram_quantile(&run->figures.seconds[s].first_event, line[k].q);
+			int64_t v =
+			    histogram_quantile(&run->figures.seconds[s].first_event, line[k].quantile);
 			double decades = 0;
 
 			if (v < 0)
@@ -115,16 +116,16 @@
 				decades += 0.1;
 			if (decades > 4)
 				decades = 4;
-			fprintf(out, "%d,%d ", left + (2 * s + 1) * w / (2 * seconds),
+			fprintf(out, "%d,%d ", x_origin + (2 * s + 1) * w / (2 * seconds),
 				top + h - (int)(decades * h / 4));
 		}
-		fprintf(out, "\"/>\n<text x=\"%d\" y=\"%d\" fill=\"%s\">%s</text>\n", left + w + 10,
+		fprintf(out, "\"/>\n<text x=\"%d\" y=\"%d\" fill=\"%s\">%s</text>\n", x_origin + w + 10,
 			top + 20 + 20 * (int)k, line[k].colour, line[k].name);
 	}
 	fprintf(out, "</svg>\n");
 }
 
-int report_write(struct run *run, const char *folder, const struct breach *violation, int n)
+int report_write(struct run *run, const char *folder, const struct violation *violation, int n)
 {
 	int seconds = 0, ok = 0;
 	FILE *out;
--- a/emulator/scale_model.c
+++ b/emulator/scale_model.c
@@ -37,7 +37,7 @@
 	uint64_t sent, sent_bytes, received, received_bytes, step_ns, codec_ns;
 };
 
-struct node {
+struct model_node {
 	int index, is_router;
 	uint64_t addr, incarnation, revision;
 	char zone[16];
@@ -52,29 +52,29 @@
 	} * writes; /* stb_ds, oldest first */
 };
 
-struct block {
+struct model_block {
 	uint64_t hash, created_tick;
 	uint32_t maker, cache_namespace;
 };
-struct kept_event {
+struct cache_event {
 	uint64_t id;
 	uint32_t cache_namespace;
 	int removed;
 };
-struct watch {
+struct cache_watch {
 	int node, is_due;
-	uint64_t incarnation, token, since;
+	uint64_t incarnation, token, since_event;
 };
-struct server {
+struct model_server {
 	uint64_t address, serial;
 	int running, eviction_index;
 	char weights[64];
-	struct block *blocks; /* stb_ds */
-	char *report_text;    /* its whole report, until something changes */
+	struct model_block *blocks; /* stb_ds */
+	char *report_text;          /* its whole report, until something changes */
 	size_t report_length;
 	char name[16], zone[16], service[16];
-	struct kept_event *cache_events; /* stb_ds: all events of kept parts so far */
-	struct watch *watchers;          /* stb_ds: held */
+	struct cache_event *cache_events; /* stb_ds: all events of kept parts so far */
+	struct cache_watch *watchers;     /* stb_ds: held */
 };
 
 enum event_kind {
@@ -94,7 +94,7 @@
 	MODEL_REPORT_POLLED,
 	MODEL_LOAD_COMMANDED
 };
-struct ev {
+struct model_event {
 	int64_t at_ms;
 	uint64_t seq, incarnation, token;
 	enum event_kind kind;
@@ -103,40 +103,40 @@
 	uint8_t *data;
 };
 
-struct run {
+struct server_run {
 	int node_index, server, next_piece, is_over;
 	uint64_t incarnation, token;
 	char send_id[80];
 };
-struct ask {
+struct pending_request {
 	int64_t at_ms;
 	int node;
 	uint64_t blocks[3];
 };
-struct change {
+struct config_change {
 	uint64_t token, revision;
 	int64_t acked_at_ms;
 };
 
-struct fleet {
+struct model_fleet {
 	struct scale_model_settings settings;
 	int64_t now_ms, window_started_at_ms;
 	uint64_t rng, seq, token;
 	int node_count;
-	struct node *nodes;
-	struct server *servers;
-	struct ev *events; /* stb_ds heap */
-	struct run *runs;  /* stb_ds */
-	int *idle;         /* stb_ds: runs that are over */
+	struct model_node *nodes;
+	struct model_server *servers;
+	struct model_event *events; /* stb_ds heap */
+	struct server_run *runs;    /* stb_ds */
+	int *idle;                  /* stb_ds: runs that are over */
 	struct {
 		uint64_t key;
 		int value;
 	} * run_by_token; /* stb_ds: node and token of a send -> its run */
 	struct {
 		uint64_t key;
-		struct ask value;
-	} * pending_requests;   /* stb_ds: caller's token */
-	struct change *changes; /* stb_ds */
+		struct pending_request value;
+	} * pending_requests;          /* stb_ds: caller's token */
+	struct config_change *changes; /* stb_ds */
 	struct {
 		int nodes;
 		int64_t last_at_ms;
@@ -154,12 +154,12 @@
 	apr_pool_t *pool;
 };
 
-static int services_of(const struct scale_model_settings *settings)
+static int model_service_count(const struct scale_model_settings *settings)
 {
 	return settings->routes < settings->servers ? settings->routes : settings->servers;
 }
 
-static int64_t cpu_ns(void)
+static int64_t model_cpu_ns(void)
 {
 	struct timespec t;
 
@@ -174,38 +174,39 @@
 	return m.uordblks + m.hblkhd;
 }
 
-static uint64_t rnd(struct fleet *fleet, uint64_t n)
+static uint64_t model_random(struct model_fleet *fleet, uint64_t n)
 {
 	return n ? core_random(&fleet->rng) % n : 0;
 }
 
 /* ---- the queue of events ----------------------------------------------------- */
 
-static int before(const struct ev *a, const struct ev *b)
+static int event_before(const struct model_event *a, const struct model_event *b)
 {
 	return a->at_ms != b->at_ms ? a->at_ms < b->at_ms : a->seq < b->seq;
 }
 
-static void push(struct fleet *fleet, struct ev input)
+static void model_push_event(struct model_fleet *fleet, struct model_event input)
 {
 	ptrdiff_t i;
 
 	input.seq = ++fleet->seq;
 	arrput(fleet->events, input);
-	for (i = arrlen(fleet->events) - 1; i && before(&input, &fleet->events[(i - 1) / 2]); i = (i - 1) / 2)
+	for (i = arrlen(fleet->events) - 1; i && event_before(&input, &fleet->events[(i - 1) / 2]);
+	     i = (i - 1) / 2)
 		fleet->events[i] = fleet->events[(i - 1) / 2];
 	fleet->events[i] = input;
 }
 
-static struct ev pop(struct fleet *fleet)
+static struct model_event pop_event(struct model_fleet *fleet)
 {
-	struct ev top = fleet->events[0], input = arrpop(fleet->events);
+	struct model_event top = fleet->events[0], input = arrpop(fleet->events);
 	ptrdiff_t n = arrlen(fleet->events), i = 0, c;
 
 	for (; (c = 2 * i + 1) < n; i = c) {
-		if (c + 1 < n && before(&fleet->events[c + 1], &fleet->events[c]))
+		if (c + 1 < n && event_before(&fleet->events[c + 1], &fleet->events[c]))
 			c++;
-		if (!before(&fleet->events[c], &input))
+		if (!event_before(&fleet->events[c], &input))
 			break;
 		fleet->events[i] = fleet->events[c];
 	}
@@ -218,12 +219,12 @@
 
 enum { ADDRESS_CONTROLLER = 1, ADDRESS_ROUTER, ADDRESS_SERVER };
 
-static uint64_t address(int kind, int index)
+static uint64_t model_address(int kind, int index)
 {
 	return 127ull << 40 | (uint64_t)kind << 32 | (uint64_t)index << 16 | 7000;
 }
 
-static struct node *node_at(struct fleet *fleet, uint64_t address)
+static struct model_node *model_node_at(struct model_fleet *fleet, uint64_t address)
 {
 	int kind = (int)(address >> 32 & 255), no = (int)(address >> 16 & 65535);
 
@@ -234,7 +235,7 @@
 		   : NULL;
 }
 
-static struct server *server_at(struct fleet *fleet, uint64_t address)
+static struct model_server *model_server_at(struct model_fleet *fleet, uint64_t address)
 {
 	int no = (int)(address >> 16 & 65535);
 
@@ -243,40 +244,42 @@
 		   : NULL;
 }
 
-static int zone_of(const struct node *n)
+static int zone_of(const struct model_node *n)
 {
 	return atoi(n->zone + 1);
 }
 
 /* Three zones are a region: 1 to 3 ms inside a zone, 1 more between zones, 20 more between regions. */
-static int64_t way(struct fleet *fleet, const struct node *a, const struct node *b)
+static int64_t model_link_delay_ms(struct model_fleet *fleet, const struct model_node *a,
+				   const struct model_node *b)
 {
 	int x = zone_of(a), y = zone_of(b);
 
-	return a == b ? 0 : 1 + (int64_t)rnd(fleet, 3) + (x != y) + (x / 3 != y / 3 ? 20 : 0);
+	return a == b ? 0 : 1 + (int64_t)model_random(fleet, 3) + (x != y) + (x / 3 != y / 3 ? 20 : 0);
 }
 
 /* ---- servers ---------------------------------------------------------------------- */
 
-static void changed(struct server *server)
+static void server_changed(struct model_server *server)
 {
 	server->serial++;
 	free(server->report_text);
 	server->report_text = NULL;
 }
 
-static void event(struct fleet *f, enum event_kind kind, int node, uint64_t token, int64_t at)
+static void model_schedule(struct model_fleet *fleet, enum event_kind kind, int node, uint64_t token,
+			   int64_t at)
 {
-	struct ev input = { .at_ms = at,
-			    .kind = kind,
-			    .node = node,
-			    .incarnation = f->nodes[node].incarnation,
-			    .token = token };
+	struct model_event input = { .at_ms = at,
+				     .kind = kind,
+				     .node = node,
+				     .incarnation = fleet->nodes[node].incarnation,
+				     .token = token };
 
-	push(f, input);
+	model_push_event(fleet, input);
 }
 
-static uint32_t cache_namespace_of(struct fleet *fleet, const char *name)
+static uint32_t model_namespace_id(struct model_fleet *fleet, const char *name)
 {
 	ptrdiff_t i = shgeti(fleet->namespace_ids, name);
 
@@ -288,35 +291,36 @@
 }
 
 /* Whoever watches hears of it a little later, with what else comes until then. */
-static void notify_watchers(struct fleet *fleet, struct server *server, const struct block *block,
-			    int is_removed)
+static void model_notify_watchers(struct model_fleet *fleet, struct model_server *server,
+				  const struct model_block *block, int is_removed)
 {
-	struct kept_event kept_event = { block->hash, block->cache_namespace, is_removed };
+	struct cache_event cache_event = { block->hash, block->cache_namespace, is_removed };
 
 	if (!fleet->settings.use_instance_list)
 		return;
-	arrput(server->cache_events, kept_event);
+	arrput(server->cache_events, cache_event);
 	for (ptrdiff_t i = 0; i < arrlen(server->watchers); i++)
 		if (!server->watchers[i].is_due) {
 			server->watchers[i].is_due = 1;
-			push(fleet, (struct ev){ .at_ms = fleet->now_ms + EVENT_DELAY_MS,
-						 .kind = MODEL_WATCHED,
-						 .node = server->watchers[i].node,
-						 .incarnation = server->watchers[i].incarnation,
-						 .token = server->watchers[i].token,
-						 .server = (int)(server - fleet->servers) });
+			model_push_event(fleet,
+					 (struct model_event){ .at_ms = fleet->now_ms + EVENT_DELAY_MS,
+							       .kind = MODEL_WATCHED,
+							       .node = server->watchers[i].node,
+							       .incarnation = server->watchers[i].incarnation,
+							       .token = server->watchers[i].token,
+							       .server = (int)(server - fleet->servers) });
 		}
 }
 
-static void keep(struct fleet *f, struct server *server, uint64_t h, uint32_t maker, uint64_t t,
-		 uint32_t cache_namespace)
+static void model_cache_block(struct model_fleet *fleet, struct model_server *server, uint64_t hash,
+			      uint32_t maker, uint64_t tick, uint32_t cache_namespace)
 {
-	struct block block = { h, t, maker, cache_namespace };
-	ptrdiff_t most = (ptrdiff_t)(f->settings.cached_blocks / f->settings.servers);
+	struct model_block block = { hash, tick, maker, cache_namespace };
+	ptrdiff_t most = (ptrdiff_t)(fleet->settings.cached_blocks / fleet->settings.servers);
 
 	for (ptrdiff_t i = 0; i < arrlen(server->blocks) && i < 64;
 	     i++) /* the last few are looked at; a copy twice does no harm */
-		if (server->blocks[i].hash == h && server->blocks[i].maker == maker &&
+		if (server->blocks[i].hash == hash && server->blocks[i].maker == maker &&
 		    server->blocks[i].cache_namespace == cache_namespace)
 			return;
 	if (most < 4)
@@ -324,50 +328,51 @@
 	if (arrlen(server->blocks) < most) {
 		arrput(server->blocks, block);
 	} else {
-		notify_watchers(f, server, &server->blocks[server->eviction_index % most], 1);
+		model_notify_watchers(fleet, server, &server->blocks[server->eviction_index % most], 1);
 		server->blocks[server->eviction_index++ % most] = block;
 	}
-	notify_watchers(f, server, &block, 0);
-	changed(server);
+	model_notify_watchers(fleet, server, &block, 0);
+	server_changed(server);
 }
 
-static char *report(struct fleet *fleet, struct server *v, const char *path, size_t *len)
+static char *model_server_report(struct model_fleet *fleet, struct model_server *server, const char *path,
+				 size_t *len)
 {
 	const char *since = strstr(path, "since=");
 	char head[200];
 	size_t n, k;
-	int fresh = since && strtoull(since + 6, NULL, 10) == v->serial;
+	int fresh = since && strtoull(since + 6, NULL, 10) == server->serial;
 	char *d;
 
 	(void)fleet;
 	n = (size_t)snprintf(
 	    head, sizeof head,
 	    "{\"weights\":\"%s\",\"loading\":\"\",\"slots\":%d,\"running\":%d,\"serial\":%llu,\"boot\":1",
-	    v->weights, SLOTS_SERVER, v->running, (unsigned long long)v->serial);
-	if (!fresh && !v->report_text) {
-		v->report_text = malloc(64 + (size_t)arrlen(v->blocks) * 100);
-		k = (size_t)sprintf(v->report_text, ",\"parts\":[");
-		for (ptrdiff_t i = 0; i < arrlen(v->blocks); i++)
+	    server->weights, SLOTS_SERVER, server->running, (unsigned long long)server->serial);
+	if (!fresh && !server->report_text) {
+		server->report_text = malloc(64 + (size_t)arrlen(server->blocks) * 100);
+		k = (size_t)sprintf(server->report_text, ",\"parts\":[");
+		for (ptrdiff_t i = 0; i < arrlen(server->blocks); i++)
 			k += (size_t)sprintf(
-			    v->report_text + k,
+			    server->report_text + k,
 			    "%s{\"h\":\"%016llx\",\"w\":\"%s\",\"m\":\"t%u\",\"t\":%llu,\"n\":64}",
-			    i ? "," : "", (unsigned long long)v->blocks[i].hash, v->weights,
-			    v->blocks[i].maker, (unsigned long long)v->blocks[i].created_tick);
-		v->report_text[k++] = ']';
-		v->report_length = k;
+			    i ? "," : "", (unsigned long long)server->blocks[i].hash, server->weights,
+			    server->blocks[i].maker, (unsigned long long)server->blocks[i].created_tick);
+		server->report_text[k++] = ']';
+		server->report_length = k;
 	}
-	k = fresh ? 0 : v->report_length;
+	k = fresh ? 0 : server->report_length;
 	d = malloc(n + k + 2);
 	memcpy(d, head, n);
 	if (k)
-		memcpy(d + n, v->report_text, k);
+		memcpy(d + n, server->report_text, k);
 	d[n + k] = '}';
 	d[n + k + 1] = 0;
 	*len = n + k + 1;
 	return d;
 }
 
-static void start_run(struct fleet *fleet, const struct run *run, int64_t first)
+static void model_start_run(struct model_fleet *fleet, const struct server_run *run, int64_t first)
 {
 	int i;
 
@@ -379,23 +384,24 @@
 		i = (int)arrlen(fleet->runs) - 1;
 	}
 	hmput(fleet->run_by_token, core_rendezvous_weight((uint64_t)run->node_index, run->token), i);
-	event(fleet, MODEL_STREAM, run->node_index, (uint64_t)i, first);
+	model_schedule(fleet, MODEL_STREAM, run->node_index, (uint64_t)i, first);
 }
 
 /* A send reaches a server: what it names as reused is not looked up, all parts are kept there afterwards. */
-static void arrives(struct fleet *f, const struct ev *e)
-{
-	struct server *v = &f->servers[e->server];
-	struct json_object *j = json_tokener_parse((char *)e->data), *parts, *json;
-	struct run r = {
-		.node_index = e->node, .server = e->server, .incarnation = e->incarnation, .token = e->token
-	};
+static void model_receive_run(struct model_fleet *fleet, const struct model_event *event)
+{
+	struct model_server *v = &fleet->servers[event->server];
+	struct json_object *j = json_tokener_parse((char *)event->data), *parts, *json;
+	struct server_run r = { .node_index = event->node,
+				.server = event->server,
+				.incarnation = event->incarnation,
+				.token = event->token };
 	uint32_t maker = (uint32_t)atoi(json_string_member(j, "tenant") + 1);
 	uint64_t stamp = json_uint_member(j, "stamp");
 
 	snprintf(r.send_id, sizeof r.send_id, "%s", json_string_member(j, "x"));
 	if (v->running >= SLOTS_SERVER || strcmp(json_string_member(j, "weights"), v->weights)) {
-		event(f, MODEL_DONE, e->node, e->token, f->now_ms + 1);
+		model_schedule(fleet, MODEL_DONE, event->node, event->token, fleet->now_ms + 1);
 		json_object_put(j);
 		return;
 	}
@@ -403,14 +409,15 @@
 	if (json_object_object_get_ex(j, "parts", &parts))
 		for (size_t k = 0; k < json_object_array_length(parts); k++)
 			if (json_object_object_get_ex(json_object_array_get_idx(parts, k), "h", &json))
-				keep(f, v, strtoull(json_object_get_string(json), NULL, 16), maker, stamp, 0);
+				model_cache_block(fleet, v, strtoull(json_object_get_string(json), NULL, 16),
+						  maker, stamp, 0);
 	json_object_put(j);
-	start_run(f, &r, f->now_ms + 20);
+	model_start_run(fleet, &r, fleet->now_ms + 20);
 }
 
-static void run_end(struct fleet *fleet, int i)
+static void model_end_run(struct model_fleet *fleet, int i)
 {
-	struct run *run = &fleet->runs[i];
+	struct server_run *run = &fleet->runs[i];
 
 	if (run->is_over)
 		return;
@@ -421,9 +428,9 @@
 
 /* ---- steps, timed -------------------------------------------------------------------- */
 
-static void perform(struct fleet *f, struct node *n);
+static void perform_commands(struct model_fleet *fleet, struct model_node *n);
 
-static void reached(struct fleet *fleet, struct node *node)
+static void note_revision(struct model_fleet *fleet, struct model_node *node)
 {
 	uint64_t now_at = node->router->config_watch.table.revision;
 
@@ -436,35 +443,36 @@
 	}
 }
 
-static void router_do(struct fleet *fleet, struct node *node, int slot, const struct router_event *input)
+static void model_router_step(struct model_fleet *fleet, struct model_node *node, int slot,
+			      const struct router_event *input)
 {
-	int64_t t = cpu_ns();
+	int64_t t = model_cpu_ns();
 
 	router_step(node->router, input, fleet->now_ms, &node->commands);
-	node->tallies[slot].step_ns += (uint64_t)(cpu_ns() - t);
+	node->tallies[slot].step_ns += (uint64_t)(model_cpu_ns() - t);
 	if (node->router->config_watch.table.revision != node->revision)
-		reached(fleet, node);
-	perform(fleet, node);
+		note_revision(fleet, node);
+	perform_commands(fleet, node);
 }
 
-static void controller_do(struct fleet *fleet, struct node *node, int slot,
-			  const struct controller_event *input)
+static void model_controller_step(struct model_fleet *fleet, struct model_node *node, int slot,
+				  const struct controller_event *input)
 {
-	int64_t t = cpu_ns();
+	int64_t t = model_cpu_ns();
 
 	controller_step(node->controller, input, fleet->now_ms, &node->commands);
-	node->tallies[slot].step_ns += (uint64_t)(cpu_ns() - t);
+	node->tallies[slot].step_ns += (uint64_t)(model_cpu_ns() - t);
 	node->controller->identity.fleet_dirty = 0;
-	perform(fleet, node);
+	perform_commands(fleet, node);
 }
 
-static void hear(struct node *n, int slot, size_t bytes)
+static void model_count_received(struct model_node *n, int slot, size_t bytes)
 {
 	n->tallies[slot].received++;
 	n->tallies[slot].received_bytes += bytes;
 }
 
-static void say(struct node *n, int slot, size_t bytes)
+static void count_sent(struct model_node *n, int slot, size_t bytes)
 {
 	n->tallies[slot].sent++;
 	n->tallies[slot].sent_bytes += bytes;
@@ -475,19 +483,19 @@
 	return (int)message->body_case < OUTSIDE ? (int)message->body_case : 0;
 }
 
-static void send_msg(struct fleet *fleet, struct node *node, const struct command *command)
+static void send_msg(struct model_fleet *fleet, struct model_node *node, const struct command *command)
 {
-	struct node *to = node_at(fleet, command->args.send.addr);
-	struct ev input = { .kind = MODEL_MESSAGE };
+	struct model_node *to = model_node_at(fleet, command->args.send.addr);
+	struct model_event input = { .kind = MODEL_MESSAGE };
 	int slot = slot_of(command->args.send.msg);
-	int64_t t = cpu_ns();
+	int64_t t = model_cpu_ns();
 
 	input.length = nl__msg__get_packed_size(command->args.send.msg);
 	input.data = malloc(input.length + 1);
 	nl__msg__pack(command->args.send.msg, input.data);
 	if (to != node) { /* what is said to itself takes no wire */
-		node->tallies[slot].codec_ns += (uint64_t)(cpu_ns() - t);
-		say(node, slot, input.length + 4);
+		node->tallies[slot].codec_ns += (uint64_t)(model_cpu_ns() - t);
+		count_sent(node, slot, input.length + 4);
 	}
 	if (!to || !to->incarnation) {
 		free(input.data);
@@ -495,26 +503,27 @@
 	}
 	input.node = to->index;
 	input.incarnation = to->incarnation;
-	input.at_ms = fleet->now_ms + way(fleet, node, to);
-	push(fleet, input);
+	input.at_ms = fleet->now_ms + model_link_delay_ms(fleet, node, to);
+	model_push_event(fleet, input);
 }
 
-static void persist(struct fleet *fleet, struct node *node, const struct persist *w)
+static void perform_persist(struct model_fleet *fleet, struct model_node *node, const struct persist *write)
 {
-	typeof(*node->writes) x = { w->shard, w->seq };
+	typeof(*node->writes) x = { write->shard, write->seq };
 
 	arrput(node->writes, x);
 	node->sync_count++;
 	node->disk_bytes += 32;
-	for (size_t i = 0; i < w->entry_count; i++)
-		node->disk_bytes += w->entries[i].len + 32;
-	if (w->has_snapshot)
-		node->disk_bytes += w->data_len + w->members_len;
-	event(fleet, MODEL_SYNC, node->index, 0, fleet->now_ms + 2 + (int64_t)rnd(fleet, 3));
+	for (size_t i = 0; i < write->entry_count; i++)
+		node->disk_bytes += write->entries[i].len + 32;
+	if (write->has_snapshot)
+		node->disk_bytes += write->data_len + write->members_len;
+	model_schedule(fleet, MODEL_SYNC, node->index, 0,
+		       fleet->now_ms + 2 + (int64_t)model_random(fleet, 3));
 }
 
 /* When a request leaves for a server, after how long. */
-static void sent(struct fleet *fleet, uint64_t caller)
+static void count_dispatch(struct model_fleet *fleet, uint64_t caller)
 {
 	ptrdiff_t i = hmgeti(fleet->pending_requests, caller);
 	int64_t ms = i < 0 ? 0 : fleet->now_ms - fleet->pending_requests[i].value.at_ms;
@@ -524,12 +533,12 @@
 	fleet->max_send_ms = ms > fleet->max_send_ms ? ms : fleet->max_send_ms;
 }
 
-static void call(struct fleet *fleet, struct node *n, const struct command *command)
+static void perform_call(struct model_fleet *fleet, struct model_node *n, const struct command *command)
 {
-	struct server *server = server_at(fleet, core_parse_addr(command->args.call.addr));
-	struct ev input = { .node = n->index,
-			    .incarnation = n->incarnation,
-			    .token = command->args.call.token };
+	struct model_server *server = model_server_at(fleet, core_parse_addr(command->args.call.addr));
+	struct model_event input = { .node = n->index,
+				     .incarnation = n->incarnation,
+				     .token = command->args.call.token };
 
 	if (command->args.call.stream) {
 		struct client_request *request =
@@ -537,92 +546,97 @@
 			? hmget(n->router->requests_by_token, input.token)
 			: NULL;
 
-		say(n, SLOT_RUN, strlen(command->args.call.body));
-		sent(fleet, request ? request->token : 0);
+		count_sent(n, SLOT_RUN, strlen(command->args.call.body));
+		count_dispatch(fleet, request ? request->token : 0);
 		if (!server) {
-			event(fleet, MODEL_DONE, n->index, input.token, fleet->now_ms + 1);
+			model_schedule(fleet, MODEL_DONE, n->index, input.token, fleet->now_ms + 1);
 			return;
 		}
 		input.kind = MODEL_ARRIVE;
 		input.server = (int)(server - fleet->servers);
 		input.data = (uint8_t *)strdup(command->args.call.body);
-		input.at_ms = fleet->now_ms + 1 + (int64_t)rnd(fleet, 3);
-		push(fleet, input);
+		input.at_ms = fleet->now_ms + 1 + (int64_t)model_random(fleet, 3);
+		model_push_event(fleet, input);
 		return;
 	}
 	if (!strcmp(command->args.call.path, "/v1/order")) {
-		say(n, SLOT_LOAD_COMMAND, strlen(command->args.call.body));
+		count_sent(n, SLOT_LOAD_COMMAND, strlen(command->args.call.body));
 		return;
 	}
-	say(n, OUTSIDE + (n->router ? (int)ROUTER_EVENT_REPORT_POLLED : (int)CONTROLLER_CALL_RESULT),
-	    strlen(command->args.call.path));
+	count_sent(n, OUTSIDE + (n->router ? (int)ROUTER_EVENT_REPORT_POLLED : (int)CONTROLLER_CALL_RESULT),
+		   strlen(command->args.call.path));
 	if (!server)
 		return;
 	input.kind = MODEL_CALLED;
 	input.at_ms = fleet->now_ms + 2;
 	input.status = 200;
-	input.data = (uint8_t *)report(fleet, server, command->args.call.path, &input.length);
-	push(fleet, input);
+	input.data = (uint8_t *)model_server_report(fleet, server, command->args.call.path, &input.length);
+	model_push_event(fleet, input);
 }
 
 /* A request whose text stays at the door: of its send the core hears the first piece and the end. */
-static void forward(struct fleet *f, struct node *n, const struct forward_command *w)
-{
-	struct server *server = server_at(f, w->addr);
-	struct run run = { .node_index = n->index, .incarnation = n->incarnation, .token = w->call_token };
-	ptrdiff_t i = hmgeti(f->pending_requests, w->client_token);
+static void perform_forward(struct model_fleet *fleet, struct model_node *n,
+			    const struct forward_command *forward)
+{
+	struct model_server *server = model_server_at(fleet, forward->addr);
+	struct server_run run = { .node_index = n->index,
+				  .incarnation = n->incarnation,
+				  .token = forward->call_token };
+	ptrdiff_t i = hmgeti(fleet->pending_requests, forward->client_token);
 	uint32_t cache_namespace;
 
-	sent(f, w->client_token);
-	say(n, SLOT_RUN, 0);
+	count_dispatch(fleet, forward->client_token);
+	count_sent(n, SLOT_RUN, 0);
 	if (!server || server->running >= SLOTS_LISTED) {
-		event(f, MODEL_DONE, n->index, w->call_token, f->now_ms + 2);
+		model_schedule(fleet, MODEL_DONE, n->index, forward->call_token, fleet->now_ms + 2);
 		return;
 	}
-	run.server = (int)(server - f->servers);
+	run.server = (int)(server - fleet->servers);
 	server->running++;
-	cache_namespace = w->cache_namespace ? cache_namespace_of(f, w->cache_namespace) : 0;
+	cache_namespace = forward->cache_namespace ? model_namespace_id(fleet, forward->cache_namespace) : 0;
 	for (int k = 0; k < 3 && i >= 0; k++)
-		keep(f, server, f->pending_requests[i].value.blocks[k], 0, 0, cache_namespace);
-	snprintf(run.send_id, sizeof run.send_id, "%llu", (unsigned long long)w->client_token);
-	start_run(f, &run, f->now_ms + 20 + (int64_t)rnd(f, 3));
+		model_cache_block(fleet, server, fleet->pending_requests[i].value.blocks[k], 0, 0,
+				  cache_namespace);
+	snprintf(run.send_id, sizeof run.send_id, "%llu", (unsigned long long)forward->client_token);
+	model_start_run(fleet, &run, fleet->now_ms + 20 + (int64_t)model_random(fleet, 3));
 }
 
-static void watch(struct fleet *f, struct node *node, const struct command *c)
+static void perform_watch(struct model_fleet *fleet, struct model_node *node, const struct command *command)
 {
-	struct server *v = server_at(f, c->args.watch_cache.addr);
-	struct watch watcher = { node->index, 0, node->incarnation, c->args.watch_cache.token,
-				 c->args.watch_cache.since };
-	struct ev input = { .at_ms = f->now_ms + c->args.watch_cache.wait_ms,
-			    .kind = MODEL_WATCHED,
-			    .node = node->index,
-			    .incarnation = node->incarnation,
-			    .token = watcher.token };
+	struct model_server *v = model_server_at(fleet, command->args.watch_cache.addr);
+	struct cache_watch watcher = { node->index, 0, node->incarnation, command->args.watch_cache.token,
+				       command->args.watch_cache.since };
+	struct model_event input = { .at_ms = fleet->now_ms + command->args.watch_cache.wait_ms,
+				     .kind = MODEL_WATCHED,
+				     .node = node->index,
+				     .incarnation = node->incarnation,
+				     .token = watcher.token };
 
-	say(node, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 60);
+	count_sent(node, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 60);
 	if (!v)
 		return;
-	input.server = (int)(v - f->servers);
-	if (watcher.since < (uint64_t)arrlen(v->cache_events)) {
+	input.server = (int)(v - fleet->servers);
+	if (watcher.since_event < (uint64_t)arrlen(v->cache_events)) {
 		watcher.is_due = 1;
-		input.at_ms = f->now_ms + 2;
+		input.at_ms = fleet->now_ms + 2;
 	}
 	arrput(v->watchers, watcher);
-	push(f, input);
+	model_push_event(fleet, input);
 }
 
 /* A held watch is answered with all that came since. */
-static void watched(struct fleet *f, struct node *n, const struct ev *e)
+static void model_answer_watch(struct model_fleet *fleet, struct model_node *n,
+			       const struct model_event *wake_up)
 {
-	struct server *server = &f->servers[e->server];
+	struct model_server *server = &fleet->servers[wake_up->server];
 	struct router_event event = { .kind = ROUTER_EVENT_CACHE_WATCHED };
 	struct Nl__CacheUpdate k = NL__CACHE_UPDATE__INIT;
 	struct Nl__CacheEvent *cache_event, **pe;
-	struct watch watcher;
+	struct cache_watch watcher;
 	ptrdiff_t i = 0;
 
 	while (i < arrlen(server->watchers) &&
-	       (server->watchers[i].token != e->token || server->watchers[i].node != e->node))
+	       (server->watchers[i].token != wake_up->token || server->watchers[i].node != wake_up->node))
 		i++;
 	if (i == arrlen(server->watchers))
 		return; /* it was answered before */
@@ -633,15 +647,15 @@
 	k.server = server->name;
 	k.epoch = 1;
 	k.next_offset = (uint64_t)arrlen(server->cache_events);
-	k.n_events = (size_t)(k.next_offset - watcher.since);
+	k.n_events = (size_t)(k.next_offset - watcher.since_event);
 	k.events = pe = calloc(k.n_events + 1, sizeof *pe);
 	cache_event = calloc(k.n_events + 1, sizeof *cache_event);
 	for (size_t q = 0; q < k.n_events; q++) {
-		const struct kept_event *x = &server->cache_events[watcher.since + q];
+		const struct cache_event *x = &server->cache_events[watcher.since_event + q];
 
 		nl__cache_event__init(&cache_event[q]);
 		cache_event[q].evicted = x->removed;
-		cache_event[q].cache_namespace = f->namespace_names[x->cache_namespace];
+		cache_event[q].cache_namespace = fleet->namespace_names[x->cache_namespace];
 		cache_event[q].block_hash = x->id;
 		cache_event[q].tokens = 64;
 		pe[q] = &cache_event[q];
@@ -649,13 +663,14 @@
 	event.u.cache_watched.token = watcher.token;
 	event.u.cache_watched.update = &k;
 	event.u.cache_watched.status = 200;
-	hear(n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 120 + 45 * k.n_events); /* as text */
-	router_do(f, n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, &event);
+	model_count_received(n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 120 + 45 * k.n_events); /* as text */
+	model_router_step(fleet, n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, &event);
 	free(cache_event);
 	free(pe);
 }
 
-static void listed(struct fleet *fleet, struct node *node, const struct ev *input)
+static void model_deliver_list(struct model_fleet *fleet, struct model_node *node,
+			       const struct model_event *input)
 {
 	struct controller_event ev = { .kind = CONTROLLER_SERVERS_LISTED };
 	struct Nl__Instance *x = calloc((size_t)fleet->settings.servers, sizeof *x),
@@ -663,7 +678,7 @@
 	size_t bytes = 0;
 
 	for (int i = 0; i < fleet->settings.servers; i++) {
-		struct server *server = &fleet->servers[i];
+		struct model_server *server = &fleet->servers[i];
 
 		nl__instance__init(&x[i]);
 		x[i].server = server->name;
@@ -679,34 +694,34 @@
 	ev.payload.servers_listed.succeeded = 1;
 	ev.payload.servers_listed.instance_count = (size_t)fleet->settings.servers;
 	ev.payload.servers_listed.instances = instance;
-	hear(node, OUTSIDE + CONTROLLER_SERVERS_LISTED, bytes);
-	controller_do(fleet, node, OUTSIDE + CONTROLLER_SERVERS_LISTED, &ev);
+	model_count_received(node, OUTSIDE + CONTROLLER_SERVERS_LISTED, bytes);
+	model_controller_step(fleet, node, OUTSIDE + CONTROLLER_SERVERS_LISTED, &ev);
 	free(instance);
 	free(x);
 }
 
-static void answered(struct fleet *f, const struct command *command)
+static void perform_answer(struct model_fleet *fleet, const struct command *command)
 {
 	const char *b = command->args.answer.body ? command->args.answer.body : "";
-	ptrdiff_t i = hmgeti(f->pending_requests, command->args.answer.token);
+	ptrdiff_t i = hmgeti(fleet->pending_requests, command->args.answer.token);
 
 	if (i >= 0) {
-		f->refused += strstr(b, "\"refused\"") != NULL;
-		f->unknown += strstr(b, "\"refused\"") == NULL;
-		(void)hmdel(f->pending_requests, command->args.answer.token);
+		fleet->refused += strstr(b, "\"refused\"") != NULL;
+		fleet->unknown += strstr(b, "\"refused\"") == NULL;
+		(void)hmdel(fleet->pending_requests, command->args.answer.token);
 		return;
 	}
-	if (command->args.answer.token == f->operator_token)
-		f->operator_status = command->args.answer.status;
-	for (i = 0; i < arrlen(f->changes); i++)
-		if (f->changes[i].token == command->args.answer.token && command->args.answer.status == 200 &&
-		    !strncmp(b, "{\"edition\":", 11)) {
-			f->changes[i].revision = strtoull(b + 11, NULL, 10);
-			f->changes[i].acked_at_ms = f->now_ms;
+	if (command->args.answer.token == fleet->operator_token)
+		fleet->operator_status = command->args.answer.status;
+	for (i = 0; i < arrlen(fleet->changes); i++)
+		if (fleet->changes[i].token == command->args.answer.token &&
+		    command->args.answer.status == 200 && !strncmp(b, "{\"edition\":", 11)) {
+			fleet->changes[i].revision = strtoull(b + 11, NULL, 10);
+			fleet->changes[i].acked_at_ms = fleet->now_ms;
 		}
 }
 
-static void perform(struct fleet *f, struct node *n)
+static void perform_commands(struct model_fleet *fleet, struct model_node *n)
 {
 	for (ptrdiff_t k = 0; k < arrlen(n->commands.commands); k++) {
 		struct command *command = &n->commands.commands[k];
@@ -714,27 +729,30 @@
 
 		switch (command->kind) {
 		case CMD_SEND:
-			send_msg(f, n, command);
+			send_msg(fleet, n, command);
 			break;
 		case CMD_PERSIST:
-			persist(f, n, command->args.persist);
+			perform_persist(fleet, n, command->args.persist);
 			break;
 		case CMD_CALL:
-			call(f, n, command);
+			perform_call(fleet, n, command);
 			break;
 		case CMD_FORWARD:
-			forward(f, n, command->args.forward);
+			perform_forward(fleet, n, command->args.forward);
 			break;
 		case CMD_WATCH_CACHE:
-			watch(f, n, command);
+			perform_watch(fleet, n, command);
 			break;
 		case CMD_LIST_SERVERS:
-			say(n, OUTSIDE + CONTROLLER_SERVERS_LISTED, 100);
-			event(f, MODEL_LISTED, n->index, command->args.list_servers.token, f->now_ms + 20);
+			count_sent(n, OUTSIDE + CONTROLLER_SERVERS_LISTED, 100);
+			model_schedule(fleet, MODEL_LISTED, n->index, command->args.list_servers.token,
+				       fleet->now_ms + 20);
 			break;
 		case CMD_POLL_REPORT:
-			say(n, OUTSIDE + CONTROLLER_REPORT_POLLED, 100);
-			push(f, (struct ev){ .at_ms = f->now_ms + 4,
+			count_sent(n, OUTSIDE + CONTROLLER_REPORT_POLLED, 100);
+			model_push_event(fleet,
+					 (struct model_event){
+					     .at_ms = fleet->now_ms + 4,
 					     .kind = MODEL_REPORT_POLLED,
 					     .node = n->index,
 					     .incarnation = n->incarnation,
@@ -742,38 +760,38 @@
 					     .data = (uint8_t *)strdup(command->args.poll_report.server) });
 			break;
 		case CMD_LOAD_WEIGHTS: { /* weights are there at once */
-			struct server *server = server_at(f, command->args.load_weights.addr);
+			struct model_server *server = model_server_at(fleet, command->args.load_weights.addr);
 
-			say(n, OUTSIDE + CONTROLLER_LOAD_ANSWERED, 200);
+			count_sent(n, OUTSIDE + CONTROLLER_LOAD_ANSWERED, 200);
 			if (server)
 				apr_cpystrn(server->weights, command->args.load_weights.weights,
 					    sizeof server->weights);
-			event(f, MODEL_LOAD_COMMANDED, n->index, command->args.load_weights.token,
-			      f->now_ms + 4);
+			model_schedule(fleet, MODEL_LOAD_COMMANDED, n->index,
+				       command->args.load_weights.token, fleet->now_ms + 4);
 			break;
 		}
 		case CMD_ANSWER:
-			answered(f, command);
+			perform_answer(fleet, command);
 			break;
 		case CMD_STREAM_CHUNK:
 		case CMD_END_STREAM:
-			say(n, SLOT_OUT, command->args.stream_chunk.len);
-			i = hmgeti(f->pending_requests, command->args.stream_chunk.token);
+			count_sent(n, SLOT_OUT, command->args.stream_chunk.len);
+			i = hmgeti(fleet->pending_requests, command->args.stream_chunk.token);
 			if (i < 0)
 				break;
 			if (command->kind == CMD_END_STREAM) {
-				f->completed += command->args.stream_chunk.success != 0;
-				f->unknown += command->args.stream_chunk.success == 0;
-				(void)hmdel(f->pending_requests, command->args.stream_chunk.token);
+				fleet->completed += command->args.stream_chunk.success != 0;
+				fleet->unknown += command->args.stream_chunk.success == 0;
+				(void)hmdel(fleet->pending_requests, command->args.stream_chunk.token);
 			} else {
-				f->pieces++;
+				fleet->pieces++;
 			}
 			break;
 		case CMD_CANCEL:
-			i = hmgeti(f->run_by_token,
+			i = hmgeti(fleet->run_by_token,
 				   core_rendezvous_weight((uint64_t)n->index, command->args.cancel.token));
 			if (i >= 0)
-				run_end(f, f->run_by_token[i].value);
+				model_end_run(fleet, fleet->run_by_token[i].value);
 			break;
 		}
 	}
@@ -782,24 +800,25 @@
 
 /* ---- callers and operators ------------------------------------------------------------- */
 
-static const char *digest(char buf[65], int tenant)
+static const char *model_key_digest(char buf[65], int tenant)
 {
 	snprintf(buf, 65, "%064x", tenant + 1);
 	return buf;
 }
 
-static void ask(struct fleet *fleet)
+static void model_submit_request(struct model_fleet *fleet)
 {
-	struct node *n =
-	    &fleet->nodes[fleet->settings.controllers + (int)rnd(fleet, (uint64_t)fleet->settings.routers)];
-	int tenant = (int)rnd(fleet, (uint64_t)fleet->settings.tenants),
-	    route = (int)rnd(fleet, (uint64_t)fleet->settings.routes), matter = (int)rnd(fleet, 200);
-	struct ask a = { fleet->now_ms,
-			 n->index,
-			 { core_rendezvous_weight(1, (uint64_t)route),
-			   core_rendezvous_weight((uint64_t)route, (uint64_t)tenant),
-			   core_rendezvous_weight((uint64_t)tenant << 32 | (uint64_t)route,
-						  (uint64_t)matter) } };
+	struct model_node *n = &fleet->nodes[fleet->settings.controllers +
+					     (int)model_random(fleet, (uint64_t)fleet->settings.routers)];
+	int tenant = (int)model_random(fleet, (uint64_t)fleet->settings.tenants),
+	    route = (int)model_random(fleet, (uint64_t)fleet->settings.routes),
+	    matter = (int)model_random(fleet, 200);
+	struct pending_request a = { fleet->now_ms,
+				     n->index,
+				     { core_rendezvous_weight(1, (uint64_t)route),
+				       core_rendezvous_weight((uint64_t)route, (uint64_t)tenant),
+				       core_rendezvous_weight((uint64_t)tenant << 32 | (uint64_t)route,
+							      (uint64_t)matter) } };
 	struct router_event input = { .kind = ROUTER_EVENT_CLAIMED_REQUEST };
 	struct forwarded_request q;
 	char key[65], body[700], path[30], id[30];
@@ -810,7 +829,7 @@
 	fleet->token++;
 	hmput(fleet->pending_requests, fleet->token, a);
 	fleet->requests++;
-	(void)digest(key, tenant);
+	(void)model_key_digest(key, tenant);
 	snprintf(id, sizeof id, "x%llu", (unsigned long long)fleet->token);
 	if (fleet->settings.use_instance_list) {
 		memset(&q, 0, sizeof q);
@@ -829,7 +848,7 @@
 		input.kind = ROUTER_EVENT_FORWARDED_REQUEST;
 		input.u.forwarded_request = &q;
 		slot = OUTSIDE + ROUTER_EVENT_FORWARDED_REQUEST;
-		hear(n, slot, 500);
+		model_count_received(n, slot, 500);
 	} else {
 		snprintf(
 		    body, sizeof body,
@@ -838,63 +857,64 @@
 		input.u.claimed_request.token = fleet->token;
 		input.u.claimed_request.key_digest = key;
 		input.u.claimed_request.body = body;
-		hear(n, slot, strlen(body));
+		model_count_received(n, slot, strlen(body));
 	}
-	router_do(fleet, n, slot, &input);
+	model_router_step(fleet, n, slot, &input);
 }
 
-static uint64_t operate(struct fleet *fleet, const char *path, const char *body)
+static uint64_t model_operator_call(struct model_fleet *fleet, const char *path, const char *body)
 {
-	struct node *n = &fleet->nodes[(int)rnd(fleet, (uint64_t)fleet->settings.controllers)];
+	struct model_node *n = &fleet->nodes[(int)model_random(fleet, (uint64_t)fleet->settings.controllers)];
 	struct controller_event input = { .kind = CONTROLLER_API_CALL };
 
 	input.payload.api_call.token = ++fleet->token;
 	input.payload.api_call.method = "POST";
 	input.payload.api_call.path = path;
 	input.payload.api_call.body = body;
-	controller_do(fleet, n, OUTSIDE + CONTROLLER_API_CALL, &input);
+	model_controller_step(fleet, n, OUTSIDE + CONTROLLER_API_CALL, &input);
 	return input.payload.api_call.token;
 }
 
 /* Most changes are of a tenant's share; each eighth walls one off or in again, which is a purge as well. */
-static void change(struct fleet *f)
+static void model_change_config(struct model_fleet *fleet)
 {
-	struct change c = { 0, 0, 0 };
+	struct config_change c = { 0, 0, 0 };
 	char body[200];
-	int no = f->change_count++;
+	int no = fleet->change_count++;
 
 	snprintf(body, sizeof body,
 		 "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":%d,\"limit\":%d,\"walled\":%s}]}",
-		 no / 2 % f->settings.tenants, 1 + no % 7, f->settings.use_instance_list ? 0 : 100000,
+		 no / 2 % fleet->settings.tenants, 1 + no % 7, fleet->settings.use_instance_list ? 0 : 100000,
 		 no % 8 == 7 ? "true" : "false");
-	c.token = f->token + 1; /* the answer may come within the step */
-	arrput(f->changes, c);
-	operate(f, "/v1/change", body);
+	c.token = fleet->token + 1; /* the answer may come within the step */
+	arrput(fleet->changes, c);
+	model_operator_call(fleet, "/v1/change", body);
 }
 
-static void churn(struct fleet *fleet)
+static void model_churn_caches(struct model_fleet *fleet)
 {
 	int64_t one =
 	    fleet->settings.use_instance_list ? 2000 : 1000; /* one comes and another goes: two events */
 
 	for (fleet->churn_credit += fleet->settings.cache_events_per_second * 10; fleet->churn_credit >= one;
 	     fleet->churn_credit -= one) {
-		struct server *server = &fleet->servers[rnd(fleet, (uint64_t)fleet->settings.servers)];
+		struct model_server *server =
+		    &fleet->servers[model_random(fleet, (uint64_t)fleet->settings.servers)];
 
-		keep(fleet, server, core_random(&fleet->rng),
-		     (uint32_t)rnd(fleet, (uint64_t)fleet->settings.tenants), 0, 0);
+		model_cache_block(fleet, server, core_random(&fleet->rng),
+				  (uint32_t)model_random(fleet, (uint64_t)fleet->settings.tenants), 0, 0);
 	}
 }
 
 /* ---- nodes ----------------------------------------------------------------------------------- */
 
-static void begin(struct fleet *fleet, struct node *n)
+static void model_node_start(struct model_fleet *fleet, struct model_node *n)
 {
 	uint64_t seeds[3], id = core_random(&fleet->rng);
 	struct bounds bounds = bounds_default;
 
 	for (int k = 0; k < 3; k++)
-		seeds[k] = address(ADDRESS_CONTROLLER, k);
+		seeds[k] = model_address(ADDRESS_CONTROLLER, k);
 	n->incarnation = ++fleet->seq;
 	bounds.discover_instances = fleet->settings.use_instance_list;
 	bounds.list_calls_millihertz = fleet->settings.use_instance_list ? 2000 : 0;
@@ -908,10 +928,10 @@
 				NULL, fleet->now_ms);
 		n->controller->bounds = bounds;
 	}
-	event(fleet, MODEL_TICK, n->index, 0, fleet->now_ms + (int64_t)rnd(fleet, TICK_MS));
+	model_schedule(fleet, MODEL_TICK, n->index, 0, fleet->now_ms + (int64_t)model_random(fleet, TICK_MS));
 }
 
-static void end(struct node *node)
+static void model_node_stop(struct model_node *node)
 {
 	if (node->router) {
 		router_close(node->router);
@@ -927,36 +947,38 @@
 }
 
 /* A machine goes and another comes in its place; what it held is lost to its callers. */
-static void restart(struct fleet *f)
+static void model_replace_router(struct model_fleet *fleet)
 {
-	struct node *n = &f->nodes[f->settings.controllers + f->restart_count++ % f->settings.routers];
+	struct model_node *n =
+	    &fleet->nodes[fleet->settings.controllers + fleet->restart_count++ % fleet->settings.routers];
 
-	end(n);
-	for (ptrdiff_t i = hmlen(f->pending_requests) - 1; i >= 0; i--)
-		if (f->pending_requests[i].value.node == n->index) {
-			f->unknown++;
-			(void)hmdel(f->pending_requests, f->pending_requests[i].key);
+	model_node_stop(n);
+	for (ptrdiff_t i = hmlen(fleet->pending_requests) - 1; i >= 0; i--)
+		if (fleet->pending_requests[i].value.node == n->index) {
+			fleet->unknown++;
+			(void)hmdel(fleet->pending_requests, fleet->pending_requests[i].key);
 		}
-	begin(f, n);
+	model_node_start(fleet, n);
 }
 
 /* A message off the wire, or from itself. */
-static struct Nl__Msg *take(struct node *n, const struct ev *input, int *slot)
+static struct Nl__Msg *receive_message(struct model_node *n, const struct model_event *input, int *slot)
 {
-	int64_t t = cpu_ns();
+	int64_t t = model_cpu_ns();
 	struct Nl__Msg *message = nl__msg__unpack(NULL, input->length, input->data);
 
 	if (!message)
 		abort(); /* it was packed a moment ago */
 	*slot = slot_of(message);
 	if (message->addr != n->addr) {
-		n->tallies[*slot].codec_ns += (uint64_t)(cpu_ns() - t);
-		hear(n, *slot, input->length + 4);
+		n->tallies[*slot].codec_ns += (uint64_t)(model_cpu_ns() - t);
+		model_count_received(n, *slot, input->length + 4);
 	}
 	return message;
 }
 
-static void router_dispatch(struct fleet *fleet, struct node *node, struct ev *input)
+static void model_router_dispatch(struct model_fleet *fleet, struct model_node *node,
+				  struct model_event *input)
 {
 	struct router_event ev = { .kind = ROUTER_EVENT_TICK };
 	struct forward_result ended = { 0 };
@@ -965,7 +987,7 @@
 
 	switch (input->kind) {
 	case MODEL_MESSAGE:
-		message = take(node, input, &slot);
+		message = receive_message(node, input, &slot);
 		ev.kind = ROUTER_EVENT_MESSAGE;
 		ev.u.message = message;
 		break;
@@ -975,7 +997,7 @@
 		ev.u.report_polled.status = input->status;
 		ev.u.report_polled.body = (char *)input->data;
 		slot = OUTSIDE + ROUTER_EVENT_REPORT_POLLED;
-		hear(node, slot, input->length);
+		model_count_received(node, slot, input->length);
 		break;
 	case MODEL_DONE:
 		if (fleet->settings.use_instance_list) {
@@ -985,7 +1007,7 @@
 			ev.kind = ROUTER_EVENT_FORWARD_ENDED;
 			ev.u.forward_ended = &ended;
 			slot = OUTSIDE + ROUTER_EVENT_FORWARD_ENDED;
-			hear(node, slot, 0);
+			model_count_received(node, slot, 0);
 			break;
 		}
 		ev.kind = ROUTER_EVENT_CALL_ENDED;
@@ -994,17 +1016,18 @@
 		ev.u.call_ended.not_started = 1;
 		ev.u.call_ended.body = "";
 		slot = OUTSIDE + ROUTER_EVENT_CALL_ENDED;
-		hear(node, slot, 0);
+		model_count_received(node, slot, 0);
 		break;
 	default:
 		break;
 	}
-	router_do(fleet, node, slot, &ev);
+	model_router_step(fleet, node, slot, &ev);
 	if (message)
 		nl__msg__free_unpacked(message, NULL);
 }
 
-static void controller_dispatch(struct fleet *fleet, struct node *node, struct ev *input)
+static void model_controller_dispatch(struct model_fleet *fleet, struct model_node *node,
+				      struct model_event *input)
 {
 	struct controller_event ev = { .kind = CONTROLLER_TICK };
 	int slot = OUTSIDE + CONTROLLER_TICK;
@@ -1012,7 +1035,7 @@
 
 	switch (input->kind) {
 	case MODEL_MESSAGE:
-		message = take(node, input, &slot);
+		message = receive_message(node, input, &slot);
 		ev.kind = CONTROLLER_MESSAGE;
 		ev.payload.message = message;
 		break;
@@ -1022,7 +1045,7 @@
 		ev.payload.synced.sequence = node->writes[0].seq;
 		arrdel(node->writes, 0);
 		slot = OUTSIDE + CONTROLLER_SYNCED;
-		hear(node, slot, 0);
+		model_count_received(node, slot, 0);
 		break;
 	case MODEL_CALLED:
 		ev.kind = CONTROLLER_CALL_RESULT;
@@ -1030,7 +1053,7 @@
 		ev.payload.call_result.status = input->status;
 		ev.payload.call_result.body = (char *)input->data;
 		slot = OUTSIDE + CONTROLLER_CALL_RESULT;
-		hear(node, slot, input->length);
+		model_count_received(node, slot, input->length);
 		break;
 	case MODEL_REPORT_POLLED:
 		for (int i = 0; i < fleet->settings.servers; i++)
@@ -1040,29 +1063,29 @@
 		ev.payload.report_polled.token = input->token;
 		ev.payload.report_polled.status = 200;
 		slot = OUTSIDE + CONTROLLER_REPORT_POLLED;
-		hear(node, slot, 300);
+		model_count_received(node, slot, 300);
 		break;
 	case MODEL_LOAD_COMMANDED:
 		ev.kind = CONTROLLER_LOAD_ANSWERED;
 		ev.payload.load_answered.token = input->token;
 		ev.payload.load_answered.status = 200;
 		slot = OUTSIDE + CONTROLLER_LOAD_ANSWERED;
-		hear(node, slot, 100);
+		model_count_received(node, slot, 100);
 		break;
 	default:
 		break;
 	}
-	controller_do(fleet, node, slot, &ev);
+	model_controller_step(fleet, node, slot, &ev);
 	if (message)
 		nl__msg__free_unpacked(message, NULL);
 }
 
 /* The first piece has come, or the whole rest: pieces between them do not reach the core. */
-static void forwarded(struct fleet *f, int i)
+static void deliver_forwarded(struct model_fleet *fleet, int i)
 {
-	struct run *run = &f->runs[i];
-	struct node *node = &f->nodes[run->node_index];
-	struct server *server = &f->servers[run->server];
+	struct server_run *run = &fleet->runs[i];
+	struct model_node *node = &fleet->nodes[run->node_index];
+	struct model_server *server = &fleet->servers[run->server];
 	struct forward_result done = { .token = run->token,
 				       .end = FORWARD_COMPLETE,
 				       .status = 200,
@@ -1073,45 +1096,45 @@
 	int slot = OUTSIDE + ROUTER_EVENT_FORWARD_BEGAN;
 
 	if (!run->next_piece) {
-		run->next_piece = f->settings.pieces;
-		event(f, MODEL_STREAM, run->node_index, (uint64_t)i,
-		      f->now_ms + 15 * (int64_t)f->settings.pieces);
+		run->next_piece = fleet->settings.pieces;
+		model_schedule(fleet, MODEL_STREAM, run->node_index, (uint64_t)i,
+			       fleet->now_ms + 15 * (int64_t)fleet->settings.pieces);
 		input.u.forward_began.token = run->token;
 		input.u.forward_began.weights = server->weights;
 	} else {
 		uint64_t caller = strtoull(run->send_id, NULL, 10);
 
-		run_end(f, i);
-		arrput(f->idle, i);
-		done.chunks = (uint32_t)f->settings.pieces;
+		model_end_run(fleet, i);
+		arrput(fleet->idle, i);
+		done.chunks = (uint32_t)fleet->settings.pieces;
 		done.running = server->running;
 		input.kind = ROUTER_EVENT_FORWARD_ENDED;
 		input.u.forward_ended = &done;
 		slot = OUTSIDE + ROUTER_EVENT_FORWARD_ENDED;
-		f->pieces += (uint64_t)f->settings.pieces;
-		f->completed += hmgeti(f->pending_requests, caller) >= 0;
-		(void)hmdel(f->pending_requests, caller);
+		fleet->pieces += (uint64_t)fleet->settings.pieces;
+		fleet->completed += hmgeti(fleet->pending_requests, caller) >= 0;
+		(void)hmdel(fleet->pending_requests, caller);
 	}
-	hear(node, slot, 0);
-	router_do(f, node, slot, &input);
+	model_count_received(node, slot, 0);
+	model_router_step(fleet, node, slot, &input);
 }
 
-static void stream_piece(struct fleet *fleet, const struct ev *input)
+static void model_stream_piece(struct model_fleet *fleet, const struct model_event *input)
 {
 	int i = (int)input->token;
-	struct run *run = &fleet->runs[i];
-	struct node *node = &fleet->nodes[run->node_index];
+	struct server_run *run = &fleet->runs[i];
+	struct model_node *node = &fleet->nodes[run->node_index];
 	struct router_event ev = { .kind = ROUTER_EVENT_STREAM_CHUNK };
 	char line[200];
 	int last = run->next_piece == fleet->settings.pieces;
 
 	if (run->is_over || node->incarnation != run->incarnation) {
-		run_end(fleet, i);
+		model_end_run(fleet, i);
 		arrput(fleet->idle, i);
 		return;
 	}
 	if (fleet->settings.use_instance_list) {
-		forwarded(fleet, i);
+		deliver_forwarded(fleet, i);
 		return;
 	}
 	if (last)
@@ -1124,89 +1147,89 @@
 	ev.u.stream_chunk.text = line;
 	run->next_piece++;
 	if (last) {
-		run_end(fleet, i);
+		model_end_run(fleet, i);
 		arrput(fleet->idle, i);
 	} else {
-		event(fleet, MODEL_STREAM, run->node_index, input->token,
-		      fleet->now_ms + 10 + (int64_t)rnd(fleet, 10));
+		model_schedule(fleet, MODEL_STREAM, run->node_index, input->token,
+			       fleet->now_ms + 10 + (int64_t)model_random(fleet, 10));
 	}
-	hear(node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, strlen(line));
-	router_do(fleet, node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, &ev);
+	model_count_received(node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, strlen(line));
+	model_router_step(fleet, node, OUTSIDE + ROUTER_EVENT_STREAM_CHUNK, &ev);
 }
 
-static void again(struct fleet *f, const struct ev *input, int64_t in)
+static void repeat_event(struct model_fleet *fleet, const struct model_event *input, int64_t delay_ms)
 {
-	struct ev n = { .at_ms = f->now_ms + in,
-			.kind = input->kind,
-			.node = input->node,
-			.incarnation = input->incarnation };
+	struct model_event n = { .at_ms = fleet->now_ms + delay_ms,
+				 .kind = input->kind,
+				 .node = input->node,
+				 .incarnation = input->incarnation };
 
-	push(f, n);
+	model_push_event(fleet, n);
 }
 
-static void dispatch(struct fleet *fleet, struct ev *input)
+static void dispatch(struct model_fleet *fleet, struct model_event *input)
 {
-	struct node *node = &fleet->nodes[input->node];
+	struct model_node *node = &fleet->nodes[input->node];
 
 	switch (input->kind) {
 	case MODEL_ARRIVE:
-		arrives(fleet, input);
+		model_receive_run(fleet, input);
 		return;
 	case MODEL_STREAM:
-		stream_piece(fleet, input);
+		model_stream_piece(fleet, input);
 		return;
 	case MODEL_LOAD:
 		for (fleet->load_credit += fleet->settings.requests_per_second; fleet->load_credit >= 1000;
 		     fleet->load_credit -= 1000)
-			ask(fleet);
-		again(fleet, input, 1);
+			model_submit_request(fleet);
+		repeat_event(fleet, input, 1);
 		return;
 	case MODEL_CACHE_CHURN:
-		churn(fleet);
-		again(fleet, input, 10);
+		model_churn_caches(fleet);
+		repeat_event(fleet, input, 10);
 		return;
 	case MODEL_CONFIG_CHANGE:
-		change(fleet);
+		model_change_config(fleet);
 		if (fleet->change_count < fleet->settings.changes)
-			again(fleet, input, 1000 * fleet->settings.seconds / fleet->settings.changes);
+			repeat_event(fleet, input, 1000 * fleet->settings.seconds / fleet->settings.changes);
 		return;
 	case MODEL_RESTART:
-		restart(fleet);
+		model_replace_router(fleet);
 		if (fleet->restart_count < fleet->settings.restarts)
-			again(fleet, input, 1000 * fleet->settings.seconds / fleet->settings.restarts);
+			repeat_event(fleet, input, 1000 * fleet->settings.seconds / fleet->settings.restarts);
 		return;
 	default:
 		break;
 	}
 	if (input->kind == MODEL_WATCHED) {
-		watched(fleet, node, input);
+		model_answer_watch(fleet, node, input);
 		return;
 	}
 	if (input->incarnation != node->incarnation)
 		return;
 	if (input->kind == MODEL_TICK)
-		again(fleet, input, TICK_MS);
+		repeat_event(fleet, input, TICK_MS);
 	if (input->kind == MODEL_LISTED) {
-		listed(fleet, node, input);
+		model_deliver_list(fleet, node, input);
 		return;
 	}
 	if (node->router)
-		router_dispatch(fleet, node, input);
+		model_router_dispatch(fleet, node, input);
 	else
-		controller_dispatch(fleet, node, input);
+		model_controller_dispatch(fleet, node, input);
 }
 
-static int run_until(struct fleet *fleet, int64_t ms, int (*done)(struct fleet *))
+static int model_run_until(struct model_fleet *fleet, int64_t ms, int (*done)(struct model_fleet *))
 {
 	int64_t until = fleet->now_ms + ms;
 
 	while (arrlen(fleet->events) && fleet->events[0].at_ms <= until) {
-		struct ev input = pop(fleet);
+		struct model_event input = pop_event(fleet);
 		int64_t was = fleet->now_ms;
 
 		fleet->now_ms = input.at_ms;
 		if (done && was != fleet->now_ms && done(fleet)) {
-			push(fleet, input);
+			model_push_event(fleet, input);
 			return 1;
 		}
 		dispatch(fleet, &input);
@@ -1218,25 +1241,25 @@
 
 /* ---- the fleet -------------------------------------------------------------------------------- */
 
-static int web_done(struct fleet *fleet)
+static int web_done(struct model_fleet *fleet)
 {
 	return fleet->operator_status != 0;
 }
 
-static int operate_done(struct fleet *fleet, const char *path, const char *body)
+static int operate_done(struct model_fleet *fleet, const char *path, const char *body)
 {
 	for (int tries = 0; tries < 10; tries++) {
 		fleet->operator_status = 0;
 		fleet->operator_token = fleet->token + 1;
-		operate(fleet, path, body);
-		if (run_until(fleet, 12000, web_done) && fleet->operator_status == 200)
+		model_operator_call(fleet, path, body);
+		if (model_run_until(fleet, 12000, web_done) && fleet->operator_status == 200)
 			return 1;
-		run_until(fleet, 500, NULL);
+		model_run_until(fleet, 500, NULL);
 	}
 	return 0;
 }
 
-static int all_owned(struct fleet *fleet)
+static int all_owned(struct model_fleet *fleet)
 {
 	for (int p = 0; p < SHARD_COUNT; p++) {
 		int owned = 0;
@@ -1249,7 +1272,7 @@
 	return 1;
 }
 
-static int all_ready(struct fleet *fleet)
+static int all_ready(struct model_fleet *fleet)
 {
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++)
 		if (!fleet->nodes[i].router ||
@@ -1261,7 +1284,7 @@
 	return 1;
 }
 
-static int set_rows(struct fleet *fleet, char **rows, int from, int n)
+static int set_rows(struct model_fleet *fleet, char **rows, int from, int n)
 {
 	size_t k = 0, cap = 20;
 	char *body;
@@ -1279,11 +1302,11 @@
 	return ok;
 }
 
-static int config_table(struct fleet *fleet)
+static int config_table(struct model_fleet *fleet)
 {
 	const struct scale_model_settings *settings = &fleet->settings;
 	char **rows = NULL, hex[65];
-	int nsvc = services_of(settings), ok = 1;
+	int nsvc = model_service_count(settings), ok = 1;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, fleet->pool);
@@ -1322,7 +1345,7 @@
 		       apr_psprintf(pool, "{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":%d}",
 				    i, settings->use_instance_list ? 0 : 100000));
 		arrput(rows, apr_psprintf(pool, "{\"kind\":\"key\",\"name\":\"%s\",\"tenant\":\"t%d\"}",
-					  digest(hex, i), i));
+					  model_key_digest(hex, i), i));
 	}
 	for (int i = 0; i < settings->servers && !settings->use_instance_list; i++)
 		arrput(rows,
@@ -1343,7 +1366,7 @@
 	return settings->zones ? settings->zones : z < 3 ? 3 : z > 21 ? 21 : z;
 }
 
-static void fleet_make(struct fleet *fleet, const struct scale_model_settings *settings)
+static void model_fleet_make(struct model_fleet *fleet, const struct scale_model_settings *settings)
 {
 	int zones = zones_of(settings);
 
@@ -1352,54 +1375,56 @@
 	fleet->now_ms = START_MS;
 	apr_pool_create(&fleet->pool, NULL);
 	sh_new_strdup(fleet->namespace_ids);
-	(void)cache_namespace_of(fleet, "1-of-before");
+	(void)model_namespace_id(fleet, "1-of-before");
 	fleet->node_count = settings->controllers + settings->routers;
 	fleet->nodes = calloc((size_t)fleet->node_count, sizeof *fleet->nodes);
 	fleet->servers = calloc((size_t)settings->servers, sizeof *fleet->servers);
 	for (int i = 0; i < fleet->node_count; i++) {
-		struct node *node = &fleet->nodes[i];
+		struct model_node *node = &fleet->nodes[i];
 
 		node->index = i;
 		node->is_router = i >= settings->controllers;
-		node->addr = node->is_router ? address(ADDRESS_ROUTER, i - settings->controllers)
-					     : address(ADDRESS_CONTROLLER, i);
+		node->addr = node->is_router ? model_address(ADDRESS_ROUTER, i - settings->controllers)
+					     : model_address(ADDRESS_CONTROLLER, i);
 		snprintf(node->zone, sizeof node->zone, "z%d",
 			 (node->is_router ? i - settings->controllers : i) % zones);
 		apr_pool_create(&node->commands.pool, fleet->pool);
 	}
 	for (int i = 0; i < settings->servers; i++) {
-		struct server *server = &fleet->servers[i];
+		struct model_server *server = &fleet->servers[i];
 
-		server->address = address(ADDRESS_SERVER, i);
+		server->address = model_address(ADDRESS_SERVER, i);
 		server->serial = 1;
 		snprintf(server->weights, sizeof server->weights, settings->use_instance_list ? "1" : "w1");
 		snprintf(server->name, sizeof server->name, "s%d", i);
 		snprintf(server->zone, sizeof server->zone, "z%d", i % zones);
-		snprintf(server->service, sizeof server->service, "m%d", i % services_of(settings));
+		snprintf(server->service, sizeof server->service, "m%d", i % model_service_count(settings));
 		for (int64_t k = settings->cached_blocks * i / settings->servers;
 		     k < settings->cached_blocks * (i + 1) / settings->servers; k++) {
-			struct block block = { core_random(&fleet->rng), 0,
-					       (uint32_t)rnd(fleet, (uint64_t)settings->tenants), 0 };
+			struct model_block block = {
+				core_random(&fleet->rng), 0,
+				(uint32_t)model_random(fleet, (uint64_t)settings->tenants), 0
+			};
 
 			arrput(server->blocks, block);
-			notify_watchers(fleet, server, &block, 0);
+			model_notify_watchers(fleet, server, &block, 0);
 		}
 	}
 }
 
 /* Half a minute without load until all stands, then the load, then the window. */
-static int fleet_up(struct fleet *fleet, const char **why)
+static int model_fleet_start(struct model_fleet *fleet, const char **why)
 {
 	for (int i = 0; i < fleet->settings.controllers; i++)
-		begin(fleet, &fleet->nodes[i]);
-	run_until(fleet, 200, NULL);
+		model_node_start(fleet, &fleet->nodes[i]);
+	model_run_until(fleet, 200, NULL);
 	*why = "the fleet was not founded";
 	if (!operate_done(fleet, "/v1/found", "{}"))
 		return 0;
 	*why = "not every part came to have an owner";
-	if (!run_until(fleet, 20000, all_owned))
+	if (!model_run_until(fleet, 20000, all_owned))
 		return 0;
-	run_until(fleet, 3000, NULL); /* the others join */
+	model_run_until(fleet, 3000, NULL); /* the others join */
 	*why = "the table was not acknowledged";
 	if (!config_table(fleet))
 		return 0;
@@ -1407,19 +1432,19 @@
 		if (fleet->nodes[i].controller->config_watch.table.revision > fleet->revision)
 			fleet->revision = fleet->nodes[i].controller->config_watch.table.revision;
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++) {
-		begin(fleet, &fleet->nodes[i]);
+		model_node_start(fleet, &fleet->nodes[i]);
 		if (i % 16 == 15)
-			run_until(fleet, 25, NULL);
+			model_run_until(fleet, 25, NULL);
 	}
 	*why = "the counters do not become ready";
-	return run_until(fleet, 60000, all_ready);
+	return model_run_until(fleet, 60000, all_ready);
 }
 
-static void fleet_load(struct fleet *fleet)
+static void model_fleet_load(struct model_fleet *fleet)
 {
-	event(fleet, MODEL_CACHE_CHURN, 0, 0, fleet->now_ms);
-	event(fleet, MODEL_LOAD, 0, 0, fleet->now_ms);
-	run_until(fleet, 4000, NULL);
+	model_schedule(fleet, MODEL_CACHE_CHURN, 0, 0, fleet->now_ms);
+	model_schedule(fleet, MODEL_LOAD, 0, 0, fleet->now_ms);
+	model_run_until(fleet, 4000, NULL);
 	for (int i = 0; i < fleet->node_count; i++) {
 		memset(fleet->nodes[i].tallies, 0, sizeof fleet->nodes[i].tallies);
 		fleet->nodes[i].sync_count = fleet->nodes[i].disk_bytes = 0;
@@ -1429,17 +1454,17 @@
 	fleet->max_send_ms = 0;
 	fleet->window_started_at_ms = fleet->now_ms;
 	if (fleet->settings.changes)
-		event(fleet, MODEL_CONFIG_CHANGE, 0, 0, fleet->now_ms + 100);
+		model_schedule(fleet, MODEL_CONFIG_CHANGE, 0, 0, fleet->now_ms + 100);
 	if (fleet->settings.restarts)
-		event(fleet, MODEL_RESTART, 0, 0, fleet->now_ms + 200);
-	run_until(fleet, 1000 * (int64_t)fleet->settings.seconds, NULL);
+		model_schedule(fleet, MODEL_RESTART, 0, 0, fleet->now_ms + 200);
+	model_run_until(fleet, 1000 * (int64_t)fleet->settings.seconds, NULL);
 }
 
 /* ---- figures -------------------------------------------------------------------------------------- */
 
-static void row(struct scale_model_result *r, double average, double most, const char *fmt, ...)
+static void add_row(struct scale_model_result *result, double average, double most, const char *fmt, ...)
     __attribute__((format(printf, 4, 5)));
-static void row(struct scale_model_result *r, double average, double most, const char *fmt, ...)
+static void add_row(struct scale_model_result *result, double average, double most, const char *fmt, ...)
 {
 	struct scale_model_row hollow_row = { "", average, most };
 	va_list ap;
@@ -1448,7 +1473,7 @@
 	vsnprintf(hollow_row.key, sizeof hollow_row.key, fmt, ap);
 	va_end(ap);
 	if (most > 0)
-		arrput(r->rows, hollow_row);
+		arrput(result->rows, hollow_row);
 }
 
 static const char *slot_name(int slot, int is_router)
@@ -1489,7 +1514,7 @@
 enum role { ROLE_ROUTER, ROLE_RELAY, ROLE_CONTROLLER, ROLE_COUNT };
 static const char *const role_name[] = { "counter", "relay", "registrar" };
 
-static int has_role(const struct node *node, enum role role)
+static int has_role(const struct model_node *node, enum role role)
 {
 	return role == ROLE_CONTROLLER
 		   ? node->controller != NULL
@@ -1511,7 +1536,7 @@
 					   : (double)tally->codec_ns / 1000;
 }
 
-static void role_rows(struct fleet *fleet, struct scale_model_result *result, enum role role)
+static void model_role_rows(struct model_fleet *fleet, struct scale_model_result *result, enum role role)
 {
 	double n = 0;
 
@@ -1519,7 +1544,7 @@
 		n += has_role(&fleet->nodes[i], role);
 	if (n < 1)
 		return;
-	row(result, n, n, "%s.nodes", role_name[role]);
+	add_row(result, n, n, "%s.nodes", role_name[role]);
 	for (int m = 0; m < MEASURE_COUNT; m++) {
 		double ctl = 0, data = 0, ctl_most = 0, data_most = 0, s = fleet->settings.seconds;
 
@@ -1534,8 +1559,8 @@
 					sum += v;
 					most = v > most ? v : most;
 				}
-			row(result, sum / n / s, most / s, "%s.%s.%s", role_name[role], measure_name[m],
-			    slot_name(slot, role != ROLE_CONTROLLER));
+			add_row(result, sum / n / s, most / s, "%s.%s.%s", role_name[role], measure_name[m],
+				slot_name(slot, role != ROLE_CONTROLLER));
 		}
 		for (int i = 0; i < fleet->node_count; i++) {
 			double c = 0, d = 0;
@@ -1548,43 +1573,44 @@
 			ctl_most = c > ctl_most ? c : ctl_most;
 			data_most = d > data_most ? d : data_most;
 		}
-		row(result, ctl / n / s, ctl_most / s, "%s.%s.=control", role_name[role], measure_name[m]);
-		row(result, data / n / s, data_most / s, "%s.%s.=data", role_name[role], measure_name[m]);
+		add_row(result, ctl / n / s, ctl_most / s, "%s.%s.=control", role_name[role],
+			measure_name[m]);
+		add_row(result, data / n / s, data_most / s, "%s.%s.=data", role_name[role], measure_name[m]);
 	}
 }
 
-static void disk_rows(struct fleet *fleet, struct scale_model_result *result)
+static void model_disk_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	double syncs = 0, bytes = 0, syncs_most = 0, bytes_most = 0, n = fleet->settings.controllers,
 	       s = fleet->settings.seconds;
 
 	for (int i = 0; i < fleet->settings.controllers; i++) {
-		const struct node *node = &fleet->nodes[i];
+		const struct model_node *node = &fleet->nodes[i];
 
 		syncs += (double)node->sync_count;
 		bytes += (double)node->disk_bytes;
 		syncs_most = (double)node->sync_count > syncs_most ? (double)node->sync_count : syncs_most;
 		bytes_most = (double)node->disk_bytes > bytes_most ? (double)node->disk_bytes : bytes_most;
 	}
-	row(result, syncs / n / s, syncs_most / s, "registrar.disk.syncs");
-	row(result, bytes / n / s, bytes_most / s, "registrar.disk.bytes");
+	add_row(result, syncs / n / s, syncs_most / s, "registrar.disk.syncs");
+	add_row(result, bytes / n / s, bytes_most / s, "registrar.disk.bytes");
 }
 
-static void fleet_rows(struct fleet *fleet, struct scale_model_result *result)
+static void model_fleet_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	double sum = 0, most = 0;
 	int n = 0;
 
-	row(result, (double)fleet->requests, (double)fleet->requests, "fleet.asked");
-	row(result, (double)fleet->completed, (double)fleet->completed, "fleet.whole");
-	row(result, (double)fleet->refused, (double)fleet->refused, "fleet.refused");
-	row(result, (double)fleet->unknown, (double)fleet->unknown, "fleet.unknown");
-	row(result, (double)fleet->pieces, (double)fleet->pieces, "fleet.pieces");
+	add_row(result, (double)fleet->requests, (double)fleet->requests, "fleet.asked");
+	add_row(result, (double)fleet->completed, (double)fleet->completed, "fleet.whole");
+	add_row(result, (double)fleet->refused, (double)fleet->refused, "fleet.refused");
+	add_row(result, (double)fleet->unknown, (double)fleet->unknown, "fleet.unknown");
+	add_row(result, (double)fleet->pieces, (double)fleet->pieces, "fleet.pieces");
 	if (fleet->sends)
-		row(result, (double)fleet->send_ms / (double)fleet->sends, (double)fleet->max_send_ms,
-		    "fleet.send_ms");
+		add_row(result, (double)fleet->send_ms / (double)fleet->sends, (double)fleet->max_send_ms,
+			"fleet.send_ms");
 	for (ptrdiff_t i = 0; i < arrlen(fleet->changes); i++) {
-		const struct change *c = &fleet->changes[i];
+		const struct config_change *c = &fleet->changes[i];
 
 		if (!c->acked_at_ms || c->revision >= (uint64_t)arrlen(fleet->revision_reached) ||
 		    fleet->revision_reached[c->revision].nodes < fleet->settings.routers)
@@ -1594,9 +1620,9 @@
 		if ((double)(fleet->revision_reached[c->revision].last_at_ms - c->acked_at_ms) > most)
 			most = (double)(fleet->revision_reached[c->revision].last_at_ms - c->acked_at_ms);
 	}
-	row(result, n, n, "fleet.changes_in_force");
+	add_row(result, n, n, "fleet.changes_in_force");
 	if (n)
-		row(result, sum / n, most, "fleet.in_force_ms");
+		add_row(result, sum / n, most, "fleet.in_force_ms");
 }
 
 static double resident_bytes(void)
@@ -1613,7 +1639,7 @@
 }
 
 /* What each structure takes by itself, built through its own functions. */
-static void structure_rows(struct fleet *fleet, struct scale_model_result *result)
+static void model_structure_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	const struct scale_model_settings *settings = &fleet->settings;
 	int64_t n = settings->cached_blocks < 200000 ? settings->cached_blocks : 200000;
@@ -1621,15 +1647,15 @@
 	struct purge_view view = { 0 };
 	struct config_table tab;
 	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
-	enum { EVENTS = 100 }; /* of one message */
-	uint64_t keys[EVENTS];
+	enum { EVENTS_PER_MESSAGE = 100 }; /* of one message */
+	uint64_t keys[EVENTS_PER_MESSAGE];
 	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
 	struct Nl__CacheUpdateBatch batch = NL__CACHE_UPDATE_BATCH__INIT;
 	struct Nl__CacheUpdate *one = &update;
 	struct Nl__Msg message = NL__MSG__INIT;
 	apr_pool_t *pool;
 	size_t was = heap_bytes(), bytes;
-	int64_t t = cpu_ns();
+	int64_t t = model_cpu_ns();
 	uint8_t *d;
 
 	for (int64_t i = 0; i < n; i++) {
@@ -1639,31 +1665,33 @@
 		replica.tenant_index = (uint32_t)(i % settings->tenants);
 		prefix_index_put(&k, core_random(&fleet->rng), &replica);
 	}
-	t = cpu_ns() - t;
+	t = model_cpu_ns() - t;
 	if (n) {
-		row(result, (double)(heap_bytes() - was) / (double)n,
-		    (double)(heap_bytes() - was) / (double)n, "state.kept_part_bytes");
-		row(result, (double)t / (double)n, (double)t / (double)n, "state.kept_put_ns");
+		add_row(result, (double)(heap_bytes() - was) / (double)n,
+			(double)(heap_bytes() - was) / (double)n, "state.kept_part_bytes");
+		add_row(result, (double)t / (double)n, (double)t / (double)n, "state.kept_put_ns");
 	}
 	prefix_index_clear(&k);
-	for (int i = 0; i < EVENTS; i++)
+	for (int i = 0; i < EVENTS_PER_MESSAGE; i++)
 		keys[i] = core_random(&fleet->rng);
 	message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
 	message.cache_update_batch = &batch;
 	batch.n_updates = 1;
 	batch.updates = &one;
 	update.server = "s1000";
-	update.n_added = EVENTS;
+	update.n_added = EVENTS_PER_MESSAGE;
 	update.added = keys;
 	bytes = nl__msg__get_packed_size(&message);
 	d = malloc(bytes);
 	nl__msg__pack(&message, d);
-	t = cpu_ns();
-	for (int i = 0; i < EVENTS; i++)
+	t = model_cpu_ns();
+	for (int i = 0; i < EVENTS_PER_MESSAGE; i++)
 		nl__msg__free_unpacked(nl__msg__unpack(NULL, bytes, d), NULL);
-	row(result, (double)bytes / EVENTS, (double)bytes / EVENTS, "state.kept_event_bytes");
-	row(result, (double)(cpu_ns() - t) / EVENTS / EVENTS, (double)(cpu_ns() - t) / EVENTS / EVENTS,
-	    "state.kept_event_unpack_ns");
+	add_row(result, (double)bytes / EVENTS_PER_MESSAGE, (double)bytes / EVENTS_PER_MESSAGE,
+		"state.kept_event_bytes");
+	add_row(result, (double)(model_cpu_ns() - t) / EVENTS_PER_MESSAGE / EVENTS_PER_MESSAGE,
+		(double)(model_cpu_ns() - t) / EVENTS_PER_MESSAGE / EVENTS_PER_MESSAGE,
+		"state.kept_event_unpack_ns");
 	free(d);
 	was = heap_bytes();
 	for (int i = 0; i < settings->tenants; i++) {
@@ -1678,8 +1706,8 @@
 		value.purge = &purge;
 		purge_view_apply(&view, &value);
 	}
-	row(result, (double)(heap_bytes() - was) / settings->tenants,
-	    (double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
+	add_row(result, (double)(heap_bytes() - was) / settings->tenants,
+		(double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
 	purge_view_clear(&view);
 	apr_pool_create(&pool, fleet->pool);
 	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config_watch.table, 0, &all, pool);
@@ -1687,16 +1715,16 @@
 	config_table_open(&tab);
 	all.full = 1;
 	if (config_table_follow(&tab, &all) && all.n_set)
-		row(result, (double)(heap_bytes() - was) / (double)all.n_set,
-		    (double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
+		add_row(result, (double)(heap_bytes() - was) / (double)all.n_set,
+			(double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
 	config_table_close(&tab);
-	row(result, (double)protobuf_c_message_get_packed_size(&all.base),
-	    (double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
+	add_row(result, (double)protobuf_c_message_get_packed_size(&all.base),
+		(double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
 	apr_pool_destroy(pool);
 }
 
 /* Closing the roles one after the other says what each held. */
-static void memory_rows(struct fleet *fleet, struct scale_model_result *result)
+static void model_memory_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	double all = resident_bytes();
 	size_t was;
@@ -1704,21 +1732,21 @@
 	apr_allocator_max_free_set(apr_pool_allocator_get(apr_pool_parent_get(fleet->pool)), 1);
 	was = heap_bytes();
 	for (int i = fleet->settings.controllers; i < fleet->node_count; i++)
-		end(&fleet->nodes[i]);
-	row(result, (double)(was - heap_bytes()) / fleet->settings.routers,
-	    (double)(was - heap_bytes()) / fleet->settings.routers, "counter.memory.bytes");
+		model_node_stop(&fleet->nodes[i]);
+	add_row(result, (double)(was - heap_bytes()) / fleet->settings.routers,
+		(double)(was - heap_bytes()) / fleet->settings.routers, "counter.memory.bytes");
 	was = heap_bytes();
 	for (int i = 0; i < fleet->settings.controllers; i++)
-		end(&fleet->nodes[i]);
-	row(result, (double)(was - heap_bytes()) / fleet->settings.controllers,
-	    (double)(was - heap_bytes()) / fleet->settings.controllers, "registrar.memory.bytes");
-	row(result, all, all, "fleet.rss_bytes");
+		model_node_stop(&fleet->nodes[i]);
+	add_row(result, (double)(was - heap_bytes()) / fleet->settings.controllers,
+		(double)(was - heap_bytes()) / fleet->settings.controllers, "registrar.memory.bytes");
+	add_row(result, all, all, "fleet.rss_bytes");
 }
 
-static void fleet_free(struct fleet *fleet)
+static void model_fleet_free(struct model_fleet *fleet)
 {
 	for (int i = 0; i < fleet->node_count; i++) {
-		end(&fleet->nodes[i]);
+		model_node_stop(&fleet->nodes[i]);
 		arrfree(fleet->nodes[i].commands.commands);
 		arrfree(fleet->nodes[i].writes);
 	}
@@ -1749,23 +1777,23 @@
 int scale_model_run(const struct scale_model_settings *settings, struct scale_model_result *result,
 		    const char **why)
 {
-	struct fleet fleet;
+	struct model_fleet fleet;
 	int ok;
 
 	memset(&fleet, 0, sizeof fleet);
 	memset(result, 0, sizeof *result);
-	fleet_make(&fleet, settings);
-	ok = fleet_up(&fleet, why);
+	model_fleet_make(&fleet, settings);
+	ok = model_fleet_start(&fleet, why);
 	if (ok) {
-		fleet_load(&fleet);
+		model_fleet_load(&fleet);
 		for (int i = 0; i < ROLE_COUNT; i++)
-			role_rows(&fleet, result, (enum role)i);
-		disk_rows(&fleet, result);
-		fleet_rows(&fleet, result);
-		structure_rows(&fleet, result);
-		memory_rows(&fleet, result);
+			model_role_rows(&fleet, result, (enum role)i);
+		model_disk_rows(&fleet, result);
+		model_fleet_rows(&fleet, result);
+		model_structure_rows(&fleet, result);
+		model_memory_rows(&fleet, result);
 	}
-	fleet_free(&fleet);
+	model_fleet_free(&fleet);
 	return ok;
 }
 
@@ -1854,7 +1882,7 @@
 	return NULL;
 }
 
-static int number(const struct arg_str *arg_str, int64_t most, int64_t *v)
+static int parse_number(const struct arg_str *arg_str, int64_t most, int64_t *value)
 {
 	char *stop;
 	long long n;
@@ -1866,7 +1894,7 @@
 		fprintf(stderr, "notchlug-emulator: hollow: --%s: a whole number\n", arg_str->hdr.longopts);
 		return 0;
 	}
-	*v = n;
+	*value = n;
 	return 1;
 }
 
@@ -1896,20 +1924,20 @@
 		{ "seconds", "of virtual time", &settings.seconds, NULL },
 		{ "seed", "a whole number", NULL, (int64_t *)&settings.seed },
 	};
-	enum { N = sizeof in / sizeof *in };
-	struct arg_str *arg_str[N];
+	enum { OPTION_COUNT = sizeof in / sizeof *in };
+	struct arg_str *arg_str[OPTION_COUNT];
 	struct arg_lit *csv = arg_lit0(NULL, "csv", "as comma-separated values");
 	struct arg_end *stop = arg_end(5);
-	void *argtable[N + 2];
+	void *argtable[OPTION_COUNT + 2];
 	struct scale_model_result result = { NULL };
 	const char *why;
 	char buf[200];
 	int rc = 2;
 
-	for (int i = 0; i < N; i++)
+	for (int i = 0; i < OPTION_COUNT; i++)
 		argtable[i] = arg_str[i] = arg_str0(NULL, in[i].name, "N", in[i].what);
-	argtable[N] = csv;
-	argtable[N + 1] = stop;
+	argtable[OPTION_COUNT] = csv;
+	argtable[OPTION_COUNT + 1] = stop;
 	if (arg_parse(argc, argv, argtable)) {
 		arg_print_errors(stderr, stop, "notchlug-emulator: hollow");
 		fprintf(stderr, "Usage: notchlug-emulator hollow");
@@ -1917,10 +1945,10 @@
 		arg_print_glossary(stderr, argtable, "  %-16s %s\n");
 		goto end;
 	}
-	for (int i = 0; i < N; i++) {
+	for (int i = 0; i < OPTION_COUNT; i++) {
 		int64_t v = in[i].as_int ? *in[i].as_int : *in[i].as_int64;
 
-		if (!number(arg_str[i], in[i].as_int ? INT32_MAX : INT64_MAX, &v))
+		if (!parse_number(arg_str[i], in[i].as_int ? INT32_MAX : INT64_MAX, &v))
 			goto end;
 		if (in[i].as_int)
 			*in[i].as_int = (int)v;
@@ -1940,6 +1968,6 @@
 	scale_model_free(&result);
 	rc = 0;
 end:
-	arg_freetable(argtable, N + 2);
+	arg_freetable(argtable, OPTION_COUNT + 2);
 	return rc;
 }
