--- a/emulator/server_emulator.c
+++ b/emulator/server_emulator.c
@@ -14,7 +14,7 @@
 #include "containers.h"
 #include "test_fleet.h"
 
-struct copy {
+struct cached_copy {
 	char hash[20], weights[64], maker[64];
 	int64_t stamp;
 	int tokens;
@@ -22,25 +22,27 @@
 };
 
 static struct {
-	apr_thread_mutex_t *m;
-	struct record *rec;
+	apr_thread_mutex_t *mutex;
+	struct record *record;
 	char name[64], weights[64], loading[64], addr[64], store[64];
 	int64_t load_done;
-	int slots, running, prefill, kv, link, piece_ms, pieces, load_ms, cap;
-	uint64_t fence, serial, boot, used;
-	struct copy *kept; /* stb_ds */
-	int held;          /* tokens */
+	int slots, running, prefill_tokens_per_ms, kv_bytes_per_token, link_bytes_per_ms, piece_ms, pieces,
+	    load_ms, capacity_tokens;
+	uint64_t fence, serial, boot, use_counter;
+	struct cached_copy *blocks; /* stb_ds */
+	int held_tokens;            /* tokens */
 	int drop_reports, late_reports, refuse;
-	int slow_link, hang_fetch, liar; /* times slower; ms that a fetch from here hangs; see run_more */
-} sv;
+	int slow_link, hang_fetch,
+	    answer_fault; /* times slower; ms that a fetch from here hangs; see run_more */
+} emulated;
 
 static void lock(void)
 {
-	apr_thread_mutex_lock(sv.m);
+	apr_thread_mutex_lock(emulated.mutex);
 }
 static void unlock(void)
 {
-	apr_thread_mutex_unlock(sv.m);
+	apr_thread_mutex_unlock(emulated.mutex);
 }
 
 static struct json_object *record_new(const char *kind)
@@ -48,68 +50,69 @@
 	struct json_object *json = json_object_new_object();
 
 	json_object_object_add(json, "ev", json_object_new_string(kind));
-	json_object_object_add(json, "server", json_object_new_string(sv.name));
+	json_object_object_add(json, "server", json_object_new_string(emulated.name));
 	return json;
 }
 
 static void load_check(void)
 {
-	if (!sv.loading[0] || clock_ms() < sv.load_done)
+	if (!emulated.loading[0] || clock_ms() < emulated.load_done)
 		return;
-	memcpy(sv.weights, sv.loading, sizeof sv.weights);
-	sv.loading[0] = 0;
-	arrsetlen(sv.kept, 0); /* what other weights made is of no use here */
-	sv.held = 0;
-	sv.serial++;
+	memcpy(emulated.weights, emulated.loading, sizeof emulated.weights);
+	emulated.loading[0] = 0;
+	arrsetlen(emulated.blocks, 0); /* what other weights made is of no use here */
+	emulated.held_tokens = 0;
+	emulated.serial++;
 	struct json_object *json = record_new("loaded");
-	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
-	record_put(sv.rec, json);
+	json_object_object_add(json, "weights", json_object_new_string(emulated.weights));
+	record_put(emulated.record, json);
 }
 
-static struct copy *find_row(const char *h, const char *maker)
+static struct cached_copy *find_copy(const char *hash, const char *maker)
 {
-	for (ptrdiff_t i = 0; i < arrlen(sv.kept); i++)
-		if (!strcmp(sv.kept[i].hash, h) && !strcmp(sv.kept[i].maker, maker))
-			return &sv.kept[i];
+	for (ptrdiff_t i = 0; i < arrlen(emulated.blocks); i++)
+		if (!strcmp(emulated.blocks[i].hash, hash) && !strcmp(emulated.blocks[i].maker, maker))
+			return &emulated.blocks[i];
 	return NULL;
 }
 
-static void keep(const char *h, const char *weights, const char *m, int64_t t, int tokens)
+static void cache_block(const char *hash, const char *weights, const char *maker, int64_t stamp, int tokens)
 {
-	struct copy *c = find_row(h, m), n;
+	struct cached_copy *c = find_copy(hash, maker), n;
 
 	if (c) {
-		if (!strcmp(c->weights, weights) && c->stamp >= t) {
-			c->used = ++sv.used;
+		if (!strcmp(c->weights, weights) && c->stamp >= stamp) {
+			c->used = ++emulated.use_counter;
 			return;
 		}
-		sv.held -= c->tokens;
-		arrdel(sv.kept, c - sv.kept);
+		emulated.held_tokens -= c->tokens;
+		arrdel(emulated.blocks, c - emulated.blocks);
 	}
 	memset(&n, 0, sizeof n);
-	apr_cpystrn(n.hash, h, sizeof n.hash);
+	apr_cpystrn(n.hash, hash, sizeof n.hash);
 	apr_cpystrn(n.weights, weights, sizeof n.weights);
-	apr_cpystrn(n.maker, m, sizeof n.maker);
-	n.stamp = t;
+	apr_cpystrn(n.maker, maker, sizeof n.maker);
+	n.stamp = stamp;
 	n.tokens = tokens;
-	n.used = ++sv.used;
-	arrput(sv.kept, n);
-	sv.held += tokens;
-	sv.serial++;
-	while (sv.held > sv.cap && arrlen(sv.kept) > 1) { /* the least lately used goes */
+	n.used = ++emulated.use_counter;
+	arrput(emulated.blocks, n);
+	emulated.held_tokens += tokens;
+	emulated.serial++;
+	while (emulated.held_tokens > emulated.capacity_tokens &&
+	       arrlen(emulated.blocks) > 1) { /* the least lately used goes */
 		ptrdiff_t worst = 0;
 
-		for (ptrdiff_t i = 1; i < arrlen(sv.kept); i++)
-			if (sv.kept[i].used < sv.kept[worst].used)
+		for (ptrdiff_t i = 1; i < arrlen(emulated.blocks); i++)
+			if (emulated.blocks[i].used < emulated.blocks[worst].used)
 				worst = i;
-		sv.held -= sv.kept[worst].tokens;
-		arrdel(sv.kept, worst);
+		emulated.held_tokens -= emulated.blocks[worst].tokens;
+		arrdel(emulated.blocks, worst);
 	}
 }
 
 /* ---- a run ---- */
 
-struct run {
+struct answer_stream {
 	char send_id[80], *id;
 	struct json_object *body;
 	int pieces, next_piece, done, is_repeated;
@@ -122,12 +125,13 @@
 {
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i), *u;
-		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
+		struct cached_copy *replica =
+		    find_copy(json_member_string(json, "h"), json_member_string(json, "m"));
 
 		if (!replica || replica->stamp != json_member_int(json, "t") ||
 		    strcmp(replica->weights, weights))
 			break;
-		replica->used = ++sv.used;
+		replica->used = ++emulated.use_counter;
 		u = json_object_new_object();
 		json_object_object_add(u, "h", json_object_new_string(replica->hash));
 		json_object_object_add(u, "m", json_object_new_string(replica->maker));
@@ -141,24 +145,27 @@
 
 /* Fetch kept parts from a peer server or the store; what fails, or would take longer than the send allows, is
  * read from the prompt instead. */
-static int fetch(struct json_object *f, const char *weights, struct json_object *used, int have, int *ms)
+static int fetch(struct json_object *fetch_json, const char *weights, struct json_object *used, int have,
+		 int *ms)
 {
 	struct json_object *q, *got = NULL, *list;
 	char *body = NULL;
-	int64_t bytes = 0, from = clock_ms(), wait = json_member_int(f, "wait_ms"), transfer_ms;
+	int64_t bytes = 0, from = clock_ms(), wait = json_member_int(fetch_json, "wait_ms"), transfer_ms;
 
-	if (!f)
+	if (!fetch_json)
 		return have;
 	q = json_object_new_object();
 	json_object_object_add(q, "weights", json_object_new_string(weights));
-	json_object_object_add(q, "parts", json_object_get(json_member(f, "parts")));
-	if (http_call_blocking("POST", json_member_string(f, "from"), "/v1/fetch", NULL,
+	json_object_object_add(q, "parts", json_object_get(json_member(fetch_json, "parts")));
+	if (http_call_blocking("POST", json_member_string(fetch_json, "from"), "/v1/fetch", NULL,
 			       json_object_to_json_string(q), wait < 20 ? 20 : (int)wait, &body) == 200)
 		got = json_tokener_parse(body);
 	list = json_member(got, "parts");
 	for (size_t i = 0; list && i < json_object_array_length(list); i++)
-		bytes += json_member_int(json_object_array_get_idx(list, i), "n") * sv.kv;
-	transfer_ms = bytes / (sv.link ? sv.link : 1) * (sv.slow_link ? sv.slow_link : 1);
+		bytes +=
+		    json_member_int(json_object_array_get_idx(list, i), "n") * emulated.kv_bytes_per_token;
+	transfer_ms = bytes / (emulated.link_bytes_per_ms ? emulated.link_bytes_per_ms : 1) *
+		      (emulated.slow_link ? emulated.slow_link : 1);
 	if (transfer_ms > wait) { /* not through in time: what came is thrown away */
 		transfer_ms = wait;
 		list = NULL;
@@ -168,8 +175,8 @@
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i), *u = json_object_new_object();
 
-		keep(json_member_string(json, "h"), weights, json_member_string(json, "m"),
-		     json_member_int(json, "t"), (int)json_member_int(json, "n"));
+		cache_block(json_member_string(json, "h"), weights, json_member_string(json, "m"),
+			    json_member_int(json, "t"), (int)json_member_int(json, "n"));
 		json_object_object_add(u, "h", json_object_new_string(json_member_string(json, "h")));
 		json_object_object_add(u, "m", json_object_new_string(json_member_string(json, "m")));
 		json_object_object_add(u, "w", json_object_new_string(json_member_string(json, "w")));
@@ -189,11 +196,11 @@
 
 /* Faults of an answer, from its second piece on: 1 it is marked as another's, 2 a piece is left out, 3 it
  * breaks off, 4 a piece comes twice, 5 it says no more. */
-static int lie(struct run *run)
+static int apply_answer_fault(struct answer_stream *run)
 {
 	if (run->next_piece != 1)
 		return 0;
-	switch (sv.liar) {
+	switch (emulated.answer_fault) {
 	case 1:
 		run->send_id[0] = run->send_id[0] == '0' ? '1' : '0';
 		return 0;
@@ -215,18 +222,18 @@
 
 static ssize_t run_more(void *arg, uint64_t pos, char *to, size_t max)
 {
-	struct run *run = arg;
+	struct answer_stream *run = arg;
 	size_t n;
 
 	(void)pos;
 	if (run->at == run->line_length) {
 		if (run->done)
 			return MHD_CONTENT_READER_END_OF_STREAM;
-		if (lie(run))
+		if (apply_answer_fault(run))
 			return MHD_CONTENT_READER_END_WITH_ERROR;
 		if (run->next_piece < run->pieces) {
 			if (run->next_piece)
-				apr_sleep(sv.piece_ms * 1000);
+				apr_sleep(emulated.piece_ms * 1000);
 			run->line_length = (size_t)snprintf(
 			    run->line, sizeof run->line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d@%s\"}\n",
 			    run->send_id, run->next_piece, run->id, run->next_piece, run->send_id);
@@ -237,7 +244,7 @@
 			json_object_object_add(json, "x", json_object_new_string(run->send_id));
 			json_object_object_add(json, "id", json_object_new_string(run->id));
 			json_object_object_add(json, "n", json_object_new_int(run->pieces));
-			record_put(sv.rec, json);
+			record_put(emulated.record, json);
 			run->line_length = (size_t)snprintf(run->line, sizeof run->line,
 							    "{\"x\":\"%s\",\"n\":%d,\"end\":true",
 							    run->send_id, run->next_piece);
@@ -259,10 +266,10 @@
 
 static void run_free(void *arg)
 {
-	struct run *run = arg;
+	struct answer_stream *run = arg;
 
 	lock();
-	sv.running--;
+	emulated.running--;
 	unlock();
 	json_object_put(run->body);
 	free(run);
@@ -282,7 +289,7 @@
 {
 	struct json_object *j = json_tokener_parse(body), *rec, *used, *parts = json_member(j, "parts");
 	struct MHD_Response *resp;
-	struct run *run;
+	struct answer_stream *run;
 	enum MHD_Result rc;
 	int have, own, n = parts ? (int)json_object_array_length(parts) : 0, fresh = 0, tokens = 0;
 	const char *no = NULL;
@@ -292,25 +299,25 @@
 	rec = record_new("sent");
 	json_object_object_add(rec, "x", json_object_new_string(json_member_string(j, "x")));
 	json_object_object_add(rec, "id", json_object_new_string(json_member_string(j, "id")));
-	if (sv.running >= sv.slots || sv.refuse)
+	if (emulated.running >= emulated.slots || emulated.refuse)
 		no = "{\"began\":false,\"error\":\"no place\"}";
-	else if (sv.loading[0] || strcmp(sv.weights, json_member_string(j, "weights")))
+	else if (emulated.loading[0] || strcmp(emulated.weights, json_member_string(j, "weights")))
 		no = "{\"began\":false,\"error\":\"other weights\"}";
 	json_object_object_add(rec, "refused", json_object_new_boolean(no != NULL));
-	record_put(sv.rec, rec);
+	record_put(emulated.record, rec);
 	if (no || !j) {
 		unlock();
 		json_object_put(j);
 		return reply(connection, 503, no ? no : "{\"began\":false}");
 	}
-	sv.running++;
+	emulated.running++;
 	rec = record_new("begin");
 	used = json_object_new_array();
-	have = reuse_from(json_member(j, "reuse"), sv.weights, used, 0);
+	have = reuse_from(json_member(j, "reuse"), emulated.weights, used, 0);
 	json_object_object_add(rec, "x", json_object_new_string(json_member_string(j, "x")));
 	json_object_object_add(rec, "id", json_object_new_string(json_member_string(j, "id")));
 	json_object_object_add(rec, "tenant", json_object_new_string(json_member_string(j, "tenant")));
-	json_object_object_add(rec, "weights", json_object_new_string(sv.weights));
+	json_object_object_add(rec, "weights", json_object_new_string(emulated.weights));
 	json_object_object_add(rec, "stamp", json_object_new_int64(json_member_int(j, "stamp")));
 	json_object_object_add(rec, "t", json_object_new_int64(clock_ms()));
 	run = calloc(1, sizeof *run);
@@ -334,24 +341,26 @@
 		fresh += i >= have ? t : 0;
 	}
 	fresh += (int)(strlen(json_member_string(j, "tail")) + 3) / 4;
-	apr_sleep((apr_interval_time_t)fresh * 1000 / (sv.prefill ? sv.prefill : 1));
+	apr_sleep((apr_interval_time_t)fresh * 1000 /
+		  (emulated.prefill_tokens_per_ms ? emulated.prefill_tokens_per_ms : 1));
 	lock();
 	for (int i = have; i < n; i++) {
 		struct json_object *json = json_object_array_get_idx(parts, (size_t)i);
 
-		keep(json_member_string(json, "h"), json_member_string(j, "weights"),
-		     json_member_string(j, "tenant"), json_member_int(j, "stamp"),
-		     (int)(strlen(json_member_string(json, "text")) + 3) / 4);
+		cache_block(json_member_string(json, "h"), json_member_string(j, "weights"),
+			    json_member_string(j, "tenant"), json_member_int(j, "stamp"),
+			    (int)(strlen(json_member_string(json, "text")) + 3) / 4);
 	}
-	run->pieces = sv.pieces / 2 + (int)(core_hash_string(7, run->id) % (uint64_t)(sv.pieces + 1));
+	run->pieces =
+	    emulated.pieces / 2 + (int)(core_hash_string(7, run->id) % (uint64_t)(emulated.pieces + 1));
 	json_object_object_add(rec, "n", json_object_new_int(run->pieces));
 	json_object_object_add(rec, "tokens", json_object_new_int(tokens));
 	json_object_object_add(rec, "fresh", json_object_new_int(fresh));
 	json_object_object_add(rec, "fetched", json_object_new_int(have - own));
 	json_object_object_add(rec, "used", used);
-	record_put(sv.rec, rec);
+	record_put(emulated.record, rec);
 	unlock();
-	if (sv.store[0] && have < n) { /* the store gets what was read anew */
+	if (emulated.store[0] && have < n) { /* the store gets what was read anew */
 		struct json_object *q = json_object_new_object(), *a = json_object_new_array();
 
 		for (int i = have; i < n; i++) {
@@ -370,8 +379,8 @@
 			json_object_array_add(a, k);
 		}
 		json_object_object_add(q, "parts", a);
-		http_call_blocking("POST", sv.store, "/v1/keep", NULL, json_object_to_json_string(q), 300,
-				   NULL);
+		http_call_blocking("POST", emulated.store, "/v1/keep", NULL, json_object_to_json_string(q),
+				   300, NULL);
 		json_object_put(q);
 	}
 	resp = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 4096, run_more, run, run_free);
@@ -380,7 +389,7 @@
 	return rc;
 }
 
-static struct json_object *copy_json(const struct copy *replica)
+static struct json_object *copy_json(const struct cached_copy *replica)
 {
 	struct json_object *json = json_object_new_object();
 
@@ -402,23 +411,23 @@
 
 	lock();
 	load_check();
-	late = sv.late_reports;
-	if (sv.drop_reports) {
+	late = emulated.late_reports;
+	if (emulated.drop_reports) {
 		unlock();
 		return MHD_NO;
 	}
 	json = json_object_new_object();
-	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
-	json_object_object_add(json, "loading", json_object_new_string(sv.loading));
-	json_object_object_add(json, "slots", json_object_new_int(sv.slots));
-	json_object_object_add(json, "running", json_object_new_int(sv.running));
-	json_object_object_add(json, "serial", json_object_new_int64((int64_t)sv.serial));
-	json_object_object_add(json, "boot", json_object_new_int64((int64_t)sv.boot));
-	if (!since || !boot || strtoull(since, NULL, 10) != sv.serial ||
-	    strtoull(boot, NULL, 10) != sv.boot) {
+	json_object_object_add(json, "weights", json_object_new_string(emulated.weights));
+	json_object_object_add(json, "loading", json_object_new_string(emulated.loading));
+	json_object_object_add(json, "slots", json_object_new_int(emulated.slots));
+	json_object_object_add(json, "running", json_object_new_int(emulated.running));
+	json_object_object_add(json, "serial", json_object_new_int64((int64_t)emulated.serial));
+	json_object_object_add(json, "boot", json_object_new_int64((int64_t)emulated.boot));
+	if (!since || !boot || strtoull(since, NULL, 10) != emulated.serial ||
+	    strtoull(boot, NULL, 10) != emulated.boot) {
 		a = json_object_new_array();
-		for (ptrdiff_t i = 0; i < arrlen(sv.kept); i++)
-			json_object_array_add(a, copy_json(&sv.kept[i]));
+		for (ptrdiff_t i = 0; i < arrlen(emulated.blocks); i++)
+			json_object_array_add(a, copy_json(&emulated.blocks[i]));
 		json_object_object_add(json, "parts", a);
 	}
 	unlock();
@@ -438,27 +447,28 @@
 
 	lock();
 	load_check();
-	old = fence < sv.fence;
+	old = fence < emulated.fence;
 	json_object_object_add(rec, "giver", json_object_new_string(json_member_string(j, "giver")));
 	json_object_object_add(rec, "fence", json_object_new_int64((int64_t)fence));
 	json_object_object_add(rec, "load", json_object_new_string(json_member_string(j, "load")));
 	json_object_object_add(rec, "fenced", json_object_new_boolean(old));
-	record_put(sv.rec, rec);
+	record_put(emulated.record, rec);
 	if (!old) {
-		sv.fence = fence;
-		if (json_member_string(j, "load")[0] && strcmp(json_member_string(j, "load"), sv.weights)) {
-			apr_cpystrn(sv.loading, json_member_string(j, "load"), sizeof sv.loading);
-			sv.load_done = clock_ms() + sv.load_ms;
+		emulated.fence = fence;
+		if (json_member_string(j, "load")[0] &&
+		    strcmp(json_member_string(j, "load"), emulated.weights)) {
+			apr_cpystrn(emulated.loading, json_member_string(j, "load"), sizeof emulated.loading);
+			emulated.load_done = clock_ms() + emulated.load_ms;
 		}
 		for (size_t i = 0; json && i < json_object_array_length(json); i++) {
 			struct json_object *e = json_object_array_get_idx(json, i);
-			struct copy *replica =
-			    find_row(json_member_string(e, "h"), json_member_string(e, "m"));
+			struct cached_copy *replica =
+			    find_copy(json_member_string(e, "h"), json_member_string(e, "m"));
 
 			if (replica && replica->stamp == json_member_int(e, "t")) {
-				sv.held -= replica->tokens;
-				arrdel(sv.kept, replica - sv.kept);
-				sv.serial++;
+				emulated.held_tokens -= replica->tokens;
+				arrdel(emulated.blocks, replica - emulated.blocks);
+				emulated.serial++;
 			}
 		}
 	}
@@ -474,12 +484,13 @@
 	struct json_object *a = json_object_new_array();
 	enum MHD_Result rc;
 
-	if (sv.hang_fetch)
-		apr_sleep(sv.hang_fetch * 1000);
+	if (emulated.hang_fetch)
+		apr_sleep(emulated.hang_fetch * 1000);
 	lock();
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i);
-		struct copy *replica = find_row(json_member_string(json, "h"), json_member_string(json, "m"));
+		struct cached_copy *replica =
+		    find_copy(json_member_string(json, "h"), json_member_string(json, "m"));
 
 		if (!replica || replica->stamp != json_member_int(json, "t") ||
 		    strcmp(replica->weights, json_member_string(j, "weights")))
@@ -494,7 +505,7 @@
 	return rc;
 }
 
-static enum MHD_Result on_keep(struct MHD_Connection *connection, const char *body)
+static enum MHD_Result on_store(struct MHD_Connection *connection, const char *body)
 {
 	struct json_object *j = json_tokener_parse(body), *list = json_member(j, "parts");
 
@@ -502,9 +513,9 @@
 	for (size_t i = 0; list && i < json_object_array_length(list); i++) {
 		struct json_object *json = json_object_array_get_idx(list, i);
 
-		keep(json_member_string(json, "h"), json_member_string(json, "w"),
-		     json_member_string(json, "m"), json_member_int(json, "t"),
-		     (int)json_member_int(json, "n"));
+		cache_block(json_member_string(json, "h"), json_member_string(json, "w"),
+			    json_member_string(json, "m"), json_member_int(json, "t"),
+			    (int)json_member_int(json, "n"));
 	}
 	unlock();
 	json_object_put(j);
@@ -516,19 +527,20 @@
 	struct json_object *json = json_tokener_parse(body);
 
 	lock();
-	sv.drop_reports = (int)json_member_int(json, "drop_reports");
-	sv.late_reports = (int)json_member_int(json, "late_reports");
-	sv.refuse = (int)json_member_int(json, "refuse");
-	sv.slow_link = (int)json_member_int(json, "slow_link");
-	sv.hang_fetch = (int)json_member_int(json, "hang_fetch");
-	sv.liar = (int)json_member_int(json, "liar");
+	emulated.drop_reports = (int)json_member_int(json, "drop_reports");
+	emulated.late_reports = (int)json_member_int(json, "late_reports");
+	emulated.refuse = (int)json_member_int(json, "refuse");
+	emulated.slow_link = (int)json_member_int(json, "slow_link");
+	emulated.hang_fetch = (int)json_member_int(json, "hang_fetch");
+	emulated.answer_fault = (int)json_member_int(json, "liar");
 	unlock();
 	json_object_put(json);
 	return reply(connection, 200, "{}");
 }
 
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method,
-				  const char *version, const char *data, size_t *n, void **state)
+static enum MHD_Result on_request(void *arg, struct MHD_Connection *connection, const char *url,
+				  const char *method, const char *version, const char *data, size_t *n,
+				  void **state)
 {
 	char **body = *state;
 
@@ -545,17 +557,17 @@
 		return MHD_YES;
 	}
 	arrput(*body, 0);
-	return !strcmp(url, "/v1/run")      ? on_run(c, *body)
-	       : !strcmp(url, "/v1/report") ? on_report(c)
-	       : !strcmp(url, "/v1/order")  ? on_order(c, *body)
-	       : !strcmp(url, "/v1/fetch")  ? on_fetch(c, *body)
-	       : !strcmp(url, "/v1/keep")   ? on_keep(c, *body)
-	       : !strcmp(url, "/fault")     ? on_fault(c, *body)
-					    : reply(c, 404, "{}");
+	return !strcmp(url, "/v1/run")      ? on_run(connection, *body)
+	       : !strcmp(url, "/v1/report") ? on_report(connection)
+	       : !strcmp(url, "/v1/order")  ? on_order(connection, *body)
+	       : !strcmp(url, "/v1/fetch")  ? on_fetch(connection, *body)
+	       : !strcmp(url, "/v1/keep")   ? on_store(connection, *body)
+	       : !strcmp(url, "/fault")     ? on_fault(connection, *body)
+					    : reply(connection, 404, "{}");
 }
 
-static void on_end(void *arg, struct MHD_Connection *connection, void **state,
-		   enum MHD_RequestTerminationCode why)
+static void on_completed(void *arg, struct MHD_Connection *connection, void **state,
+			 enum MHD_RequestTerminationCode why)
 {
 	char **body = *state;
 
@@ -598,21 +610,21 @@
 		return 2;
 	}
 	apr_pool_create(&pool, NULL);
-	apr_thread_mutex_create(&sv.m, APR_THREAD_MUTEX_DEFAULT, pool);
-	apr_cpystrn(sv.name, name->sval[0], sizeof sv.name);
-	apr_cpystrn(sv.weights, weights->sval[0], sizeof sv.weights);
+	apr_thread_mutex_create(&emulated.mutex, APR_THREAD_MUTEX_DEFAULT, pool);
+	apr_cpystrn(emulated.name, name->sval[0], sizeof emulated.name);
+	apr_cpystrn(emulated.weights, weights->sval[0], sizeof emulated.weights);
 	if (store->count)
-		apr_cpystrn(sv.store, store->sval[0], sizeof sv.store);
-	sv.slots = slots->count ? slots->ival[0] : 8;
-	sv.prefill = prefill->count ? prefill->ival[0] : 20;
-	sv.piece_ms = piece->count ? piece->ival[0] : 4;
-	sv.pieces = pieces->count ? pieces->ival[0] : 10;
-	sv.load_ms = load->count ? load->ival[0] : 1500;
-	sv.cap = cap->count ? cap->ival[0] : 100000;
-	sv.link = link->count ? link->ival[0] : 100000;
-	sv.kv = arg_int->count ? arg_int->ival[0] : 1000;
-	sv.boot = process_random_id() >> 16;
-	sv.rec = record_open(rec->filename[0]);
+		apr_cpystrn(emulated.store, store->sval[0], sizeof emulated.store);
+	emulated.slots = slots->count ? slots->ival[0] : 8;
+	emulated.prefill_tokens_per_ms = prefill->count ? prefill->ival[0] : 20;
+	emulated.piece_ms = piece->count ? piece->ival[0] : 4;
+	emulated.pieces = pieces->count ? pieces->ival[0] : 10;
+	emulated.load_ms = load->count ? load->ival[0] : 1500;
+	emulated.capacity_tokens = cap->count ? cap->ival[0] : 100000;
+	emulated.link_bytes_per_ms = link->count ? link->ival[0] : 100000;
+	emulated.kv_bytes_per_token = arg_int->count ? arg_int->ival[0] : 1000;
+	emulated.boot = process_random_id() >> 16;
+	emulated.record = record_open(rec->filename[0]);
 	address = core_parse_addr(addr->sval[0]);
 	memset(&sa, 0, sizeof sa);
 	sa.sin_family = AF_INET;
@@ -624,13 +636,13 @@
 	sigaddset(&set, SIGINT);
 	sigprocmask(SIG_BLOCK, &set, NULL);
 	json = record_new("up");
-	json_object_object_add(json, "weights", json_object_new_string(sv.weights));
-	record_put(sv.rec, json);
-	mhd_daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0,
-				      NULL, NULL, on_request, NULL, MHD_OPTION_SOCK_ADDR, &sa,
-				      MHD_OPTION_NOTIFY_COMPLETED, on_end, NULL, MHD_OPTION_THREAD_STACK_SIZE,
-				      (size_t)256 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
-				      MHD_OPTION_CONNECTION_TIMEOUT, 30u, MHD_OPTION_END);
+	json_object_object_add(json, "weights", json_object_new_string(emulated.weights));
+	record_put(emulated.record, json);
+	mhd_daemon = MHD_start_daemon(
+	    MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_request, NULL,
+	    MHD_OPTION_SOCK_ADDR, &sa, MHD_OPTION_NOTIFY_COMPLETED, on_completed, NULL,
+	    MHD_OPTION_THREAD_STACK_SIZE, (size_t)256 << 10, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+	    MHD_OPTION_CONNECTION_TIMEOUT, 30u, MHD_OPTION_END);
 	if (!mhd_daemon) {
 		fprintf(stderr, "notchlug-emulator server: cannot listen at %s\n", addr->sval[0]);
 		return 1;
--- a/emulator/soak_test.c
+++ b/emulator/soak_test.c
@@ -88,7 +88,7 @@
 
 /* ---- drawing ---- */
 
-static int64_t between(struct soak_test *soak, int64_t least, int64_t most)
+static int64_t soak_between(struct soak_test *soak, int64_t least, int64_t most)
 {
 	return least + (int64_t)(emulator_random(&soak->rng) % (uint64_t)(most - least + 1));
 }
@@ -100,9 +100,9 @@
 	soak->rng = emulator_hash(seed, &index, sizeof index);
 }
 
-static int one_in(struct soak_test *soak, int64_t n)
+static int soak_one_in(struct soak_test *soak, int64_t n)
 {
-	return between(soak, 1, n) == 1;
+	return soak_between(soak, 1, n) == 1;
 }
 
 static void start_fault(struct soak_test *soak, int64_t ms, int (*over)(struct soak_test *, void *),
@@ -131,7 +131,7 @@
 		n += run->machines[i].is_core == core && is_healthy(&run->machines[i]);
 	if (!n)
 		return NULL;
-	chosen = (int)between(soak, 0, n - 1);
+	chosen = (int)soak_between(soak, 0, n - 1);
 	for (int i = 0; i < run->machine_count; i++)
 		if (run->machines[i].is_core == core && is_healthy(&run->machines[i]) && chosen-- == 0)
 			return &run->machines[i];
@@ -143,7 +143,7 @@
 {
 	const char *leader = operator_leader(soak->run->operator);
 
-	if (one_in(soak, 2))
+	if (soak_one_in(soak, 2))
 		for (int i = 0; i < soak->run->machine_count; i++)
 			if (is_healthy(&soak->run->machines[i]) &&
 			    !strcmp(soak->run->machines[i].control_address, leader))
@@ -175,19 +175,19 @@
 {
 	run_log(soak->run, "soak: %s is killed", machine->name);
 	machine_kill(machine);
-	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
+	start_fault(soak, soak_between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
 }
 
 static void stop_one(struct soak_test *soak, struct machine *machine)
 {
 	run_log(soak->run, "soak: %s is stopped", machine->name);
 	machine_term(machine);
-	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
+	start_fault(soak, soak_between(soak, 0, DOWN_MAX_MS), end_downtime, machine);
 }
 
 static void freeze_one(struct soak_test *soak, struct machine *machine)
 {
-	int64_t ms = between(soak, FREEZE_MIN_MS, soak->run->bounds.version_ms + 2000);
+	int64_t ms = soak_between(soak, FREEZE_MIN_MS, soak->run->bounds.version_ms + 2000);
 
 	run_log(soak->run, "soak: %s freezes for %lld ms", machine->name, (long long)ms);
 	machine_freeze(machine, 1);
@@ -217,11 +217,11 @@
 
 enum { ROUTERS_KILL, ROUTERS_STOP, ROUTERS_FREEZE, ROUTERS_HUP, ROUTERS_KILL_ALL, ROUTERS_KINDS };
 
-static void inject_router_fault(struct soak_test *soak, int kind)
+static void soak_inject_router_fault(struct soak_test *soak, int kind)
 {
 	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one,
 									      freeze_one };
-	int many = kind == ROUTERS_STOP ? 1 : (int)between(soak, 1, (soak->run->edges + 2) / 3);
+	int many = kind == ROUTERS_STOP ? 1 : (int)soak_between(soak, 1, (soak->run->edges + 2) / 3);
 
 	if (kind == ROUTERS_HUP) {
 		reload_all(soak);
@@ -268,7 +268,7 @@
 	run_log(run, "soak: %s goes for good and an empty machine comes at another address", machine->name);
 	machine_remove(machine);
 	soak->replacement = (struct replacement){ machine, machine_add(run, 1, zone_of(run, machine)) };
-	start_fault(soak, between(soak, 0, DOWN_MAX_MS), end_downtime, soak->replacement.new);
+	start_fault(soak, soak_between(soak, 0, DOWN_MAX_MS), end_downtime, soak->replacement.new);
 	start_fault(soak, SEED_LAG_MS, list_replacement, &soak->replacement);
 }
 
@@ -286,7 +286,7 @@
 {
 	run_log(soak->run, "soak: %s is killed and loses its disk", machine->name);
 	machine_kill(machine);
-	start_fault(soak, between(soak, 500, DOWN_MAX_MS), restart_empty, machine);
+	start_fault(soak, soak_between(soak, 500, DOWN_MAX_MS), restart_empty, machine);
 }
 
 /* The core bears the loss of one disk at a time (MachineLosses = 1). */
@@ -298,7 +298,7 @@
 	return 1;
 }
 
-static void name_weights(struct soak_test *soak)
+static void soak_set_target(struct soak_test *soak)
 {
 	if (operator_weights_acked(soak->run->operator) < soak->target_version)
 		return; /* one after another */
@@ -307,15 +307,15 @@
 
 enum { CORE_KILL, CORE_STOP, CORE_FREEZE, CORE_REPLACE, CORE_WIPE, CORE_KILL_ALL, CORE_STOP_ALL, CORE_KINDS };
 
-static void inject_core_fault(struct soak_test *soak, int kind)
+static void soak_inject_core_fault(struct soak_test *soak, int kind)
 {
 	static void (*const what[])(struct soak_test *, struct machine *) = { kill_one, stop_one, freeze_one,
 									      replace_one, wipe_one };
 	struct machine *machine;
 
-	if (one_in(soak, 2)) { /* while a naming is on its way */
-		name_weights(soak);
-		run_for(soak->run, between(soak, 0, 3));
+	if (soak_one_in(soak, 2)) { /* while a naming is on its way */
+		soak_set_target(soak);
+		run_for(soak->run, soak_between(soak, 0, 3));
 	}
 	if (kind == CORE_KILL_ALL || kind == CORE_STOP_ALL) {
 		for_each_healthy(soak, 1, kind == CORE_KILL_ALL ? kill_one : stop_one);
@@ -370,7 +370,7 @@
 {
 	static const char *const what[] = { "is slow",     "is silent",     "crashes",
 					    "is replaced", "takes no load", "loads slowly" };
-	int64_t ms = between(soak, 500, 2 * soak->run->bounds.version_ms);
+	int64_t ms = soak_between(soak, 500, 2 * soak->run->bounds.version_ms);
 
 	run_log(soak->run, "soak: server %s %s for %lld ms", server->address, what[kind], (long long)ms);
 	switch (kind) {
@@ -397,13 +397,13 @@
 		    server);
 }
 
-static void inject_server_faults(struct soak_test *soak, int kind)
+static void soak_inject_server_faults(struct soak_test *soak, int kind)
 {
 	struct server_fleet *fleet = &soak->run->fleet;
-	int servers = (int)arrlen(fleet->servers) - 1, many = (int)between(soak, 1, (servers + 1) / 2);
+	int servers = (int)arrlen(fleet->servers) - 1, many = (int)soak_between(soak, 1, (servers + 1) / 2);
 
 	while (many--) { /* the last one is the store */
-		struct server *server = fleet->servers[between(soak, 0, servers - 1)];
+		struct server *server = fleet->servers[soak_between(soak, 0, servers - 1)];
 
 		if (server->state == STATE_UP && !server->fault.is_silent && server->fault.slow <= 0)
 			inject_server_fault(soak, server, kind);
@@ -430,14 +430,14 @@
 
 enum { OTHERS_LOSE, OTHERS_LOAD, OTHERS_CHANGE, OTHERS_KINDS };
 
-static void inject_other_fault(struct soak_test *soak, int kind)
+static void soak_inject_other_fault(struct soak_test *soak, int kind)
 {
 	static const enum change changes[] = { CHANGE_SPLIT,    CHANGE_TIMEOUT,  CHANGE_ROUTE_ON,
 					       CHANGE_PRIORITY, CHANGE_ATTEMPTS, CHANGE_MOVE,
 					       CHANGE_TENANT,   CHANGE_ROUTE_OFF };
 	struct run *run = soak->run;
-	int64_t ms = between(soak, 500, run->bounds.version_ms);
-	int more = (int)between(soak, 2, 3);
+	int64_t ms = soak_between(soak, 500, run->bounds.version_ms);
+	int more = (int)soak_between(soak, 2, 3);
 
 	if (kind == OTHERS_LOSE) {
 		run_log(run, "soak: answers to namings are lost for %lld ms", (long long)ms);
@@ -450,8 +450,8 @@
 		start_fault(soak, ms, restore_load, run);
 	} else if (operator_idle(run->operator)) {
 		operator_change(run->operator,
-				changes[between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
-				(int)between(soak, 0, 1));
+				changes[soak_between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
+				(int)soak_between(soak, 0, 1));
 	}
 }
 
@@ -463,16 +463,16 @@
 		return;
 	draw_anew(soak, series->seed, series->injected_count++);
 	if (!series->remaining) {
-		series->remaining = (int)between(soak, 1, series->max_faults);
-		series->gap_ms = between(soak, series->max_gap_ms / 8, series->max_gap_ms);
+		series->remaining = (int)soak_between(soak, 1, series->max_faults);
+		series->gap_ms = soak_between(soak, series->max_gap_ms / 8, series->max_gap_ms);
 	}
-	if (one_in(soak, 2)) /* else the same again */
-		series->kind = (int)between(soak, 0, series->kind_count - 1);
+	if (soak_one_in(soak, 2)) /* else the same again */
+		series->kind = (int)soak_between(soak, 0, series->kind_count - 1);
 	series->inject(soak, series->kind);
 	series->remaining--;
-	series->next_at_ms =
-	    run_ms(soak->run) +
-	    (series->remaining ? series->gap_ms : between(soak, series->min_pause_ms, series->max_pause_ms));
+	series->next_at_ms = run_ms(soak->run) + (series->remaining ? series->gap_ms
+								    : soak_between(soak, series->min_pause_ms,
+										   series->max_pause_ms));
 }
 
 static void set_targets(struct soak_test *soak)
@@ -482,20 +482,20 @@
 	if (now < soak->next_target_at_ms)
 		return;
 	draw_anew(soak, soak->target_seed, soak->target_index++);
-	if (!soak->targets_remaining && one_in(soak, BURST_EVERY)) {
-		soak->targets_remaining = BURST_TARGETS_MIN + (int)between(soak, 0, BURST_TARGETS_EXTRA);
-		soak->target_gap_ms = between(soak, TARGET_GAP_MIN_MS, 2 * TARGET_GAP_MIN_MS);
+	if (!soak->targets_remaining && soak_one_in(soak, BURST_EVERY)) {
+		soak->targets_remaining = BURST_TARGETS_MIN + (int)soak_between(soak, 0, BURST_TARGETS_EXTRA);
+		soak->target_gap_ms = soak_between(soak, TARGET_GAP_MIN_MS, 2 * TARGET_GAP_MIN_MS);
 	} else if (!soak->targets_remaining) {
-		soak->targets_remaining = (int)between(soak, 1, 4);
-		soak->target_gap_ms = between(soak, TARGET_GAP_MIN_MS, TARGET_GAP_MAX_MS);
+		soak->targets_remaining = (int)soak_between(soak, 1, 4);
+		soak->target_gap_ms = soak_between(soak, TARGET_GAP_MIN_MS, TARGET_GAP_MAX_MS);
 		if (soak->target_gap_ms > longest)
 			soak->target_gap_ms = longest;
 	}
-	name_weights(soak);
+	soak_set_target(soak);
 	soak->targets_remaining--;
 	soak->next_target_at_ms = now + soak->target_gap_ms;
 	if (!soak->targets_remaining)
-		soak->next_target_at_ms += between(soak, 0, 2 * soak->run->bounds.version_ms);
+		soak->next_target_at_ms += soak_between(soak, 0, 2 * soak->run->bounds.version_ms);
 }
 
 static void end_faults(struct soak_test *soak, int all)
@@ -548,7 +548,7 @@
 
 /* ---- the run ---- */
 
-static void go_on(struct soak_test *soak, int64_t until, int inject)
+static void run_until_ms(struct soak_test *soak, int64_t until, int inject)
 {
 	while (run_ms(soak->run) < until && !soak->run->undecided_reason) {
 		end_faults(soak, 0);
@@ -567,7 +567,7 @@
 	struct soak_test draw = { .run = run, .rng = emulator_hash(run->seed, "soak sizes", 10) };
 	int crowded = !run->small && !run->edges && run->seed % CROWDED_EVERY == 0;
 
-	run->bounds.version_ms = between(&draw, VERSION_MIN_MS, VERSION_MAX_MS);
+	run->bounds.version_ms = soak_between(&draw, VERSION_MIN_MS, VERSION_MAX_MS);
 	run->bounds.contact_ms = CONTACT_MS;
 	run->bounds.drain_ms = DRAIN_MS;
 	run->bounds.lease_ms = LEASE_MS;
@@ -576,8 +576,8 @@
 		run->edges = CROWDED_ROUTERS;
 		run->cores = CROWDED_CORE;
 	} else if (!run->small) {
-		run->edges = run->edges ? run->edges : (int)between(&draw, 4, 12);
-		run->cores = (int)between(&draw, 3, 5);
+		run->edges = run->edges ? run->edges : (int)soak_between(&draw, 4, 12);
+		run->cores = (int)soak_between(&draw, 3, 5);
 	}
 }
 
@@ -606,26 +606,26 @@
 				  .target_version = 1 };
 
 	soak.ends_at_ms = start + length;
-	soak.series[SERIES_ROUTERS] = (struct fault_series){ .inject = inject_router_fault,
+	soak.series[SERIES_ROUTERS] = (struct fault_series){ .inject = soak_inject_router_fault,
 							     .kind_count = ROUTERS_KINDS,
 							     .max_faults = 4,
 							     .max_gap_ms = 4000,
 							     .max_pause_ms = bound,
 							     .min_pause_ms = 200 };
 	soak.series[SERIES_CORE] =
-	    (struct fault_series){ .inject = inject_core_fault,
+	    (struct fault_series){ .inject = soak_inject_core_fault,
 				   .kind_count = CORE_KINDS,
 				   .max_faults = 3,
 				   .max_gap_ms = 2000,
 				   .max_pause_ms = 4 * bound,
 				   .min_pause_ms = bound + 2 * run->bounds.contact_ms };
-	soak.series[SERIES_SERVERS] = (struct fault_series){ .inject = inject_server_faults,
+	soak.series[SERIES_SERVERS] = (struct fault_series){ .inject = soak_inject_server_faults,
 							     .kind_count = SERVER_KINDS,
 							     .max_faults = 3,
 							     .max_gap_ms = 3000,
 							     .max_pause_ms = bound,
 							     .min_pause_ms = 200 };
-	soak.series[SERIES_OTHERS] = (struct fault_series){ .inject = inject_other_fault,
+	soak.series[SERIES_OTHERS] = (struct fault_series){ .inject = soak_inject_other_fault,
 							    .kind_count = OTHERS_KINDS,
 							    .max_faults = 4,
 							    .max_gap_ms = 2000,
@@ -633,19 +633,20 @@
 							    .min_pause_ms = 200 };
 	for (int i = 0; i < SERIES_COUNT; i++)
 		soak.series[i].next_at_ms =
-		    start + (one_in(&soak, QUIET_SERIES_EVERY) ? length : between(&soak, 500, bound));
+		    start +
+		    (soak_one_in(&soak, QUIET_SERIES_EVERY) ? length : soak_between(&soak, 500, bound));
 	for (int i = 0; i < SERIES_COUNT; i++)
 		soak.series[i].seed = emulator_random(&soak.rng);
 	soak.target_seed = emulator_random(&soak.rng);
-	soak.next_target_at_ms = start + between(&soak, 0, 2000);
+	soak.next_target_at_ms = start + soak_between(&soak, 0, 2000);
 	clients_probe(run->clients, 1);
 	clients_long(run->clients, LONG_EVERY);
 	run->fleet.engine.load_ms = (int)(bound / LOAD_SHARE);
-	go_on(&soak, soak.ends_at_ms, 1);
+	run_until_ms(&soak, soak.ends_at_ms, 1);
 	for (int i = 0; i < arrlen(soak.active_faults); i++)
 		soak.active_faults[i].ends_at_ms = soak.ends_at_ms;
-	go_on(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms,
-	      0); /* VERSION is judged on what the troubles left */
+	run_until_ms(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms,
+		     0); /* VERSION is judged on what the troubles left */
 	log_summary(&soak);
 	arrfree(soak.active_faults);
 }
--- a/emulator/socket_unread.c
+++ b/emulator/socket_unread.c
@@ -55,16 +55,16 @@
 {
 	char reply[1024] __attribute__((aligned(8)));
 	const struct nlmsghdr *header = (const struct nlmsghdr *)(const void *)reply;
-	const struct inet_diag_msg *found =
+	const struct inet_diag_msg *socket_info =
 	    (const struct inet_diag_msg *)(const void *)(reply + NLMSG_HDRLEN);
 	ssize_t size;
 
 	if (diag_socket() < 0 || send(diag_socket(), request, sizeof *request, 0) < 0)
 		return NOT_KNOWN;
 	size = recv(diag_socket(), reply, sizeof reply, MSG_DONTWAIT);
-	if (size < (ssize_t)(NLMSG_HDRLEN + sizeof *found) || header->nlmsg_type != SOCK_DIAG_BY_FAMILY)
+	if (size < (ssize_t)(NLMSG_HDRLEN + sizeof *socket_info) || header->nlmsg_type != SOCK_DIAG_BY_FAMILY)
 		return NOT_KNOWN;
-	return (int)found->idiag_rqueue;
+	return (int)socket_info->idiag_rqueue;
 }
 
 int socket_unread(int fd)
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -44,7 +44,7 @@
 	.kind = ATTEMPT_RESUMABLE,
 };
 
-static int cfg_at(struct judge *checker, int64_t t, int64_t acked, int64_t base, const char *s)
+static int cfg_at(struct checker *checker, int64_t t, int64_t acked, int64_t base, const char *s)
 {
 	struct parsed_config *config = parsed_config_read(s);
 	int n = checker_record_config(checker, t, config, base, parsed_config_invalid(config, base) != NULL);
@@ -54,9 +54,9 @@
 	return n;
 }
 
-static struct judge *world(void)
+static struct checker *world(void)
 {
-	struct judge *checker = checker_open(&default_timing_bounds);
+	struct checker *checker = checker_open(&default_timing_bounds);
 
 	for (int i = 0; i < EDGES + CORES; i++)
 		checker_record_machine(checker, 0, i, i >= EDGES, CALM, 1);
@@ -65,7 +65,7 @@
 	return checker;
 }
 
-static int arrives(struct judge *j, int64_t t, const struct attempt_record *attempt, const char *service,
+static int arrives(struct checker *j, int64_t t, const struct attempt_record *attempt, const char *service,
 		   const char *instance)
 {
 	struct arrival_record a = { .id = attempt->id,
@@ -81,7 +81,7 @@
 	return checker_record_arrival(j, t, &a);
 }
 
-static int runs(struct judge *checker, int64_t t, const struct attempt_record *attempt, const char *service)
+static int runs(struct checker *checker, int64_t t, const struct attempt_record *attempt, const char *service)
 {
 	int run = arrives(checker, t, attempt, service, "i-1");
 
@@ -103,7 +103,7 @@
 }
 
 /* A try that is served whole: two pieces. */
-static int served(struct judge *checker, int64_t t, const struct attempt_record *attempt, const char *service)
+static int served(struct checker *checker, int64_t t, const struct attempt_record *attempt, const char *service)
 {
 	int run;
 	struct stream_event event[2];
@@ -119,7 +119,7 @@
 	return run;
 }
 
-static void answered(struct judge *checker, int64_t t, const struct attempt_record *attempt, int status,
+static void answered(struct checker *checker, int64_t t, const struct attempt_record *attempt, int status,
 		     int own)
 {
 	struct answer_record r = { .id = attempt->id,
@@ -141,7 +141,7 @@
 
 /* each: with bad set the rule is broken, without it the same story is mended */
 
-static void no_seal(struct judge *checker, int bad)
+static void no_seal(struct checker *checker, int bad)
 {
 	struct stream_event event[2];
 	struct answer_record r;
@@ -155,7 +155,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void other_answer(struct judge *checker, int bad)
+static void other_answer(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = has_quota_row("x2");
 	struct stream_event event[1];
@@ -174,7 +174,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void other_body(struct judge *checker, int bad)
+static void other_body(struct checker *checker, int bad)
 {
 	struct answer_record r;
 	int run;
@@ -188,7 +188,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void success_of_a_failure(struct judge *checker, int bad)
+static void success_of_a_failure(struct checker *checker, int bad)
 {
 	struct answer_record r;
 	int run;
@@ -203,7 +203,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void garbage(struct judge *checker, int bad)
+static void garbage(struct checker *checker, int bad)
 {
 	struct answer_record r;
 	int run;
@@ -217,7 +217,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void stray(struct judge *checker, int bad)
+static void stray(struct checker *checker, int bad)
 {
 	struct answer_record r = { .id = "x1", .outcome = ANSWER_UNSOLICITED };
 
@@ -226,7 +226,7 @@
 		checker_record_answer(checker, 5100, &r);
 }
 
-static void broke_but_whole(struct judge *checker, int bad)
+static void broke_but_whole(struct checker *checker, int bad)
 {
 	struct answer_record r;
 	int run;
@@ -240,7 +240,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void unasked(struct judge *checker, int bad)
+static void unasked(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = has_quota_row(bad ? "nobody" : "x1");
 
@@ -248,7 +248,7 @@
 	checker_record_end(checker, 5060, runs(checker, 5005, &attempt, "lm"), 1, 200, 0, 2);
 }
 
-static void changed_path(struct judge *checker, int bad)
+static void changed_path(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -258,7 +258,7 @@
 	runs(checker, 5005, &attempt, "lm");
 }
 
-static void changed_body(struct judge *checker, int bad)
+static void changed_body(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -267,7 +267,7 @@
 	runs(checker, 5005, &attempt, "lm");
 }
 
-static void other_tenant(struct judge *checker, int bad)
+static void other_tenant(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -276,7 +276,7 @@
 	runs(checker, 5005, &attempt, "lm");
 }
 
-static void twice(struct judge *checker, int bad)
+static void twice(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -286,7 +286,7 @@
 	runs(checker, 5105, &attempt, "lm");
 }
 
-static void refused(struct judge *checker, int bad)
+static void refused(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -299,7 +299,7 @@
 		arrives(checker, 5105, &attempt, "lm", "i-1");
 }
 
-static void denied(struct judge *checker, int bad)
+static void denied(struct checker *checker, int bad)
 {
 	for (int i = 0; i < 6; i++) {
 		struct attempt_record attempt = a_try;
@@ -312,13 +312,13 @@
 	}
 }
 
-static void route(struct judge *j, int bad)
+static void route(struct checker *j, int bad)
 {
 	checker_record_attempt(j, 5000, &a_try);
 	runs(j, 5005, &a_try, bad ? "lm2" : "lm");
 }
 
-static void unknown_key(struct judge *checker, int bad)
+static void unknown_key(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -327,13 +327,13 @@
 	runs(checker, 5005, &attempt, "lm");
 }
 
-static void old_version(struct judge *checker, int bad)
+static void old_version(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
 	served(checker, 5200 + 2000 + (bad ? 10 : -10), &a_try, "lm");
 }
 
-static void old_denial(struct judge *checker, int bad)
+static void old_denial(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -344,7 +344,7 @@
 	answered(checker, 7300, &attempt, 404, 1);
 }
 
-static void old_while_out_of_touch(struct judge *checker, int bad)
+static void old_while_out_of_touch(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5200, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
 	if (!bad) {
@@ -354,7 +354,7 @@
 	served(checker, 7300, &a_try, "lm");
 }
 
-static void goes_back(struct judge *checker, int bad)
+static void goes_back(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = has_quota_row("x2");
 
@@ -363,7 +363,7 @@
 	served(checker, bad ? 5325 + 260 : 5325 + 240, &attempt, "lm");
 }
 
-static void refused_in_force(struct judge *checker, int bad)
+static void refused_in_force(struct checker *checker, int bad)
 {
 	int n = cfg_at(checker, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm2"), TENANTS("\"k1\"", "false")));
 
@@ -371,7 +371,7 @@
 	served(checker, 8000, &a_try, bad ? "lm2" : "lm");
 }
 
-static void invalid_acked(struct judge *checker, int bad)
+static void invalid_acked(struct checker *checker, int bad)
 {
 	int n = cfg_at(checker, 5000, -1, 1,
 		       bad ? CFG("3", ROUTE("a", "/a/", "nowhere"), TENANTS("\"k1\"", "false"))
@@ -380,7 +380,7 @@
 	checker_record_config_outcome(checker, 5200, n, CONFIG_OUTCOME_ACKED);
 }
 
-static void both_acked(struct judge *checker, int bad)
+static void both_acked(struct checker *checker, int bad)
 {
 	int n;
 
@@ -389,7 +389,7 @@
 	checker_record_config_outcome(checker, 5100, n, bad ? CONFIG_OUTCOME_ACKED : CONFIG_OUTCOME_REFUSED);
 }
 
-static void read_old(struct judge *checker, int bad)
+static void read_old(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	checker_record_read_back(checker, 20000,
@@ -397,7 +397,7 @@
 }
 
 /* Its base was never in force. */
-static void built_on_nothing(struct judge *checker, int bad)
+static void built_on_nothing(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 	cfg_at(checker, 6000, 6100, bad ? 4 : 3,
@@ -405,7 +405,7 @@
 }
 
 /* It was acknowledged before the one that it builds on was sent. */
-static void acknowledged_too_early(struct judge *checker, int bad)
+static void acknowledged_too_early(struct checker *checker, int bad)
 {
 	int64_t first = bad ? 6000 : 5000, second = bad ? 5000 : 6000;
 
@@ -414,7 +414,7 @@
 	       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void read_other(struct judge *checker, int bad)
+static void read_other(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	checker_record_read_back(checker, 20000,
@@ -424,12 +424,12 @@
 					 CFG("3", ROUTE("b", "/c/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void read_nothing(struct judge *checker, int bad)
+static void read_nothing(struct checker *checker, int bad)
 {
 	checker_record_read_back(checker, 20000, bad ? NULL : FIRST);
 }
 
-static void lost_after_fault(struct judge *checker, int bad)
+static void lost_after_fault(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 	checker_set_final_fault(checker, 5200, 6000);
@@ -437,7 +437,7 @@
 				 bad ? FIRST : CFG("3", ROUTE("b", "/b/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void added_routes(struct judge *checker, int bad)
+static void added_routes(struct checker *checker, int bad)
 {
 	char *big = malloc(20000);
 	size_t n = (size_t)sprintf(big, "{\"ConfigVersion\":3,\"RouteList\":[" ROUTE("a", "/a/", "lm"));
@@ -467,7 +467,7 @@
 	}
 }
 
-static void revoked(struct judge *checker, int bad)
+static void revoked(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 5100, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k3\"", "false")));
 	checker_record_machine(checker, 5050, 0, 0, UNPLANNED,
@@ -476,21 +476,21 @@
 	served(checker, 5100 + 5000 + (bad ? 10 : -10), &a_try, "lm");
 }
 
-static void drain(struct judge *checker, int bad)
+static void drain(struct checker *checker, int bad)
 {
 	checker_record_listing(checker, 5000, "i-1", LISTED_DRAINING);
 	checker_record_attempt(checker, 7900, &a_try);
 	arrives(checker, 8000 + (bad ? 10 : -10), &a_try, "lm", "i-1");
 }
 
-static void drain_421(struct judge *checker, int bad)
+static void drain_421(struct checker *checker, int bad)
 {
 	checker_record_listing(checker, 5000, "i-1", LISTED_REMOVED);
 	checker_record_attempt(checker, 7900, &a_try);
 	checker_record_rejection(checker, arrives(checker, 8010, &a_try, "lm", "i-1"), bad ? 503 : 421);
 }
 
-static void lost(struct judge *checker, int bad)
+static void lost(struct checker *checker, int bad)
 {
 	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = ANSWER_CUT_OFF };
 
@@ -500,7 +500,7 @@
 	checker_record_answer(checker, 10300, &r);
 }
 
-static void lost_unread(struct judge *checker, int bad)
+static void lost_unread(struct checker *checker, int bad)
 {
 	struct answer_record r = {
 		.id = "x1", .seal_run = -1, .outcome = bad ? ANSWER_CUT_OFF : ANSWER_NONE
@@ -511,7 +511,7 @@
 	checker_record_answer(checker, 10300, &r);
 }
 
-static void lost_late_work(struct judge *checker, int bad)
+static void lost_late_work(struct checker *checker, int bad)
 {
 	struct answer_record r = { .id = "x1", .seal_run = -1, .outcome = ANSWER_CUT_OFF };
 	int run;
@@ -529,13 +529,13 @@
 
 enum { STOPPED_AT = 10100, RELOADED_AT = 12000, CFG_SENT_AT = 20000, CFG_ACKED_AT = 20100 };
 
-static void stops(struct judge *checker, int machine)
+static void stops(struct checker *checker, int machine)
 {
 	checker_record_machine(checker, STOPPED_AT, machine, machine >= EDGES, PLANNED, 0);
 }
 
 /* A reset without a byte of an answer; read: the machine's process had read the whole request. */
-static void is_reset(struct judge *checker, int64_t t, const char *id, int read)
+static void is_reset(struct checker *checker, int64_t t, const char *id, int read)
 {
 	struct answer_record r = { .id = id, .seal_run = -1, .outcome = ANSWER_NONE, .was_read = read };
 
@@ -543,20 +543,20 @@
 }
 
 /* Passed on to a server that is at work on it when the connection is reset. */
-static void reset_at_work(struct judge *checker, int64_t t, int64_t end)
+static void reset_at_work(struct checker *checker, int64_t t, int64_t end)
 {
 	checker_record_attempt(checker, t, &a_try);
 	runs(checker, t + 10, &a_try, "lm");
 	is_reset(checker, end, "x1", 1);
 }
 
-static void configured(struct judge *checker)
+static void configured(struct checker *checker)
 {
 	cfg_at(checker, CFG_SENT_AT, CFG_ACKED_AT, 1,
 	       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void lost_passed_on(struct judge *checker, int bad)
+static void lost_passed_on(struct checker *checker, int bad)
 {
 	stops(checker, 0);
 	if (bad)
@@ -566,21 +566,21 @@
 		served(checker, 10200, &a_try, "lm");
 }
 
-static void lost_after_slack(struct judge *checker, int bad)
+static void lost_after_slack(struct checker *checker, int bad)
 {
 	stops(checker, 0);
 	checker_record_attempt(checker, 10200, &a_try);
 	is_reset(checker, 10400 + bad, "x1", 1);
 }
 
-static void lost_read(struct judge *checker, int bad)
+static void lost_read(struct checker *checker, int bad)
 {
 	stops(checker, 0);
 	checker_record_attempt(checker, 10200, &a_try);
 	is_reset(checker, 10500, "x1", bad); /* unread bytes are no whole request */
 }
 
-static void lost_after_grace(struct judge *checker, int bad)
+static void lost_after_grace(struct checker *checker, int bad)
 {
 	int64_t end = STOPPED_AT + default_timing_bounds.grace_ms + 1000 + !bad;
 
@@ -589,20 +589,20 @@
 	is_reset(checker, end, "x1", 1);
 }
 
-static void lost_before_the_stop(struct judge *checker, int bad)
+static void lost_before_the_stop(struct checker *checker, int bad)
 {
 	checker_record_attempt(checker, STOPPED_AT - 500, &a_try);
 	stops(checker, 0);
 	is_reset(checker, STOPPED_AT - !bad, "x1", 1);
 }
 
-static void lost_beside_another_stop(struct judge *checker, int bad)
+static void lost_beside_another_stop(struct checker *checker, int bad)
 {
 	stops(checker, bad ? 0 : 1);
 	reset_at_work(checker, 10200, 10700);
 }
 
-static void lost_sent_after_reload(struct judge *checker, int bad)
+static void lost_sent_after_reload(struct checker *checker, int bad)
 {
 	int64_t t = RELOADED_AT + default_timing_bounds.config_apply_ms + !bad;
 
@@ -610,25 +610,25 @@
 	reset_at_work(checker, t, t + 300);
 }
 
-static void lost_cut_after_reload(struct judge *checker, int bad)
+static void lost_cut_after_reload(struct checker *checker, int bad)
 {
 	checker_record_reload(checker, RELOADED_AT, 0);
 	reset_at_work(checker, RELOADED_AT - 1000, RELOADED_AT + bad);
 }
 
-static void lost_beside_another_reload(struct judge *checker, int bad)
+static void lost_beside_another_reload(struct checker *checker, int bad)
 {
 	checker_record_reload(checker, RELOADED_AT, bad ? 0 : 1);
 	reset_at_work(checker, RELOADED_AT + 100, RELOADED_AT + 500);
 }
 
-static void lost_from_the_sending(struct judge *checker, int bad)
+static void lost_from_the_sending(struct checker *checker, int bad)
 {
 	configured(checker);
 	reset_at_work(checker, CFG_SENT_AT - 500, CFG_SENT_AT - !bad);
 }
 
-static void lost_after_the_acknowledgement(struct judge *checker, int bad)
+static void lost_after_the_acknowledgement(struct checker *checker, int bad)
 {
 	int64_t end = CFG_ACKED_AT + default_timing_bounds.config_apply_ms + 1000 + !bad;
 
@@ -637,7 +637,7 @@
 }
 
 /* One with no clear answer may be in force for the rest of the day; one that was refused never is. */
-static void lost_beside_a_refused_one(struct judge *checker, int bad)
+static void lost_beside_a_refused_one(struct checker *checker, int bad)
 {
 	int n = cfg_at(checker, CFG_SENT_AT, -1, 1,
 		       CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
@@ -647,7 +647,7 @@
 	reset_at_work(checker, 30000, 30500);
 }
 
-static void lost_beside_an_invalid_one(struct judge *checker, int bad)
+static void lost_beside_an_invalid_one(struct checker *checker, int bad)
 {
 	const char *service = bad ? CFG("5", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false"))
 				  : CFG("5", ROUTE("a", "/a/", "nowhere"), TENANTS("\"k1\"", "false"));
@@ -657,7 +657,7 @@
 }
 
 /* Beside the configuration 40 requests, of them 12 or 13 cut; at other times 10, of them 1 cut. */
-static void lost_over_three_times_as_often(struct judge *checker, int bad)
+static void lost_over_three_times_as_often(struct checker *checker, int bad)
 {
 	char id[20];
 
@@ -679,14 +679,14 @@
 	}
 }
 
-static void lost_before_seven_tenths(struct judge *checker, int bad)
+static void lost_before_seven_tenths(struct checker *checker, int bad)
 {
 	configured(checker);
 	reset_at_work(checker, CFG_SENT_AT - 5000, CFG_SENT_AT - 5000 + 5600 - bad); /* of 8000 */
 }
 
 /* Seven tenths of its time excuse nothing beside a SIGHUP. */
-static void lost_late_beside_reload(struct judge *checker, int bad)
+static void lost_late_beside_reload(struct checker *checker, int bad)
 {
 	configured(checker);
 	if (bad)
@@ -694,7 +694,7 @@
 	reset_at_work(checker, CFG_SENT_AT - 5000, CFG_SENT_AT + 600);
 }
 
-static void lost_in_calm(struct judge *checker, int bad)
+static void lost_in_calm(struct checker *checker, int bad)
 {
 	int64_t sent_at = 10200, from = sent_at - default_timing_bounds.contact_ms;
 
@@ -703,7 +703,7 @@
 	reset_at_work(checker, sent_at, sent_at + 500);
 }
 
-static void lost_in_a_calm_core(struct judge *checker, int bad)
+static void lost_in_a_calm_core(struct checker *checker, int bad)
 {
 	int64_t sent_at = 10200, from = sent_at - default_timing_bounds.contact_ms;
 
@@ -712,7 +712,7 @@
 	reset_at_work(checker, sent_at, sent_at + 500);
 }
 
-static void lost_not_broken_off(struct judge *checker, int bad)
+static void lost_not_broken_off(struct checker *checker, int bad)
 {
 	int run;
 
@@ -726,7 +726,7 @@
 
 /* A server broke off, another took the request on; only the last one counts, and not one that turned it away.
  */
-static void lost_at_a_second_server(struct judge *checker, int bad)
+static void lost_at_a_second_server(struct checker *checker, int bad)
 {
 	int run;
 
@@ -740,7 +740,7 @@
 	is_reset(checker, 10600, "x1", 1);
 }
 
-static void lost_before_the_deadline(struct judge *checker, int bad)
+static void lost_before_the_deadline(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try;
 
@@ -750,7 +750,7 @@
 	is_reset(checker, 11200 - bad, "x1", 1);
 }
 
-static void lost_before_the_timeout(struct judge *checker, int bad)
+static void lost_before_the_timeout(struct checker *checker, int bad)
 {
 	cfg_at(
 	    checker, 5000, 5100, 1,
@@ -764,19 +764,19 @@
 }
 
 /* The server is at work past GraceS; the request was sent 3 s after the SIGTERM at the latest, or later. */
-static void lost_sent_long_after_the_stop(struct judge *checker, int bad)
+static void lost_sent_long_after_the_stop(struct checker *checker, int bad)
 {
 	stops(checker, 0);
 	reset_at_work(checker, STOPPED_AT + 3000 + bad, STOPPED_AT + 7000);
 }
 
-static void lost_in_the_first_half(struct judge *checker, int bad)
+static void lost_in_the_first_half(struct checker *checker, int bad)
 {
 	stops(checker, 0);
 	reset_at_work(checker, STOPPED_AT + 100, STOPPED_AT + default_timing_bounds.grace_ms / 2 - bad);
 }
 
-static void lost_done_in_the_first_half(struct judge *checker, int bad)
+static void lost_done_in_the_first_half(struct checker *checker, int bad)
 {
 	int run;
 
@@ -787,7 +787,7 @@
 	is_reset(checker, STOPPED_AT + default_timing_bounds.grace_ms / 2 + 500, "x1", 1);
 }
 
-static void budget(struct judge *checker, int bad)
+static void budget(struct checker *checker, int bad)
 {
 	for (int i = 0; i < 100; i++) { /* 0.2 x 100 + 58 = 78 */
 		struct attempt_record attempt = a_try;
@@ -802,7 +802,7 @@
 	}
 }
 
-static void order_gap(struct judge *checker, int bad)
+static void order_gap(struct checker *checker, int bad)
 {
 	struct stream_event event[3];
 	struct answer_record r;
@@ -819,7 +819,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_double(struct judge *checker, int bad)
+static void order_double(struct checker *checker, int bad)
 {
 	struct stream_event event[3];
 	struct answer_record r;
@@ -834,7 +834,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_short(struct judge *checker, int bad)
+static void order_short(struct checker *checker, int bad)
 {
 	struct stream_event event[1];
 	struct answer_record r;
@@ -849,7 +849,7 @@
 	checker_record_answer(checker, 5070, &r);
 }
 
-static void order_joined(struct judge *checker, int bad)
+static void order_joined(struct checker *checker, int bad)
 {
 	struct attempt_record again = a_try;
 	struct stream_event event[2];
@@ -868,7 +868,7 @@
 	checker_record_answer(checker, 5170, &r);
 }
 
-static void order_joined_once(struct judge *checker, int bad)
+static void order_joined_once(struct checker *checker, int bad)
 {
 	struct attempt_record attempt = a_try, again;
 	struct stream_event event[2];
@@ -889,7 +889,7 @@
 	checker_record_answer(checker, 5170, &r);
 }
 
-static void orders(struct judge *checker, int64_t t, const char *holder, int64_t fence, int status,
+static void orders(struct checker *checker, int64_t t, const char *holder, int64_t fence, int status,
 		   int thawed)
 {
 	struct load_command_record r = {
@@ -899,26 +899,26 @@
 	checker_record_load_command(checker, t, &r);
 }
 
-static void one_fence(struct judge *checker, int bad)
+static void one_fence(struct checker *checker, int bad)
 {
 	orders(checker, 5000, "a", 4, 202, 0);
 	orders(checker, 9000, "b", bad ? 4 : 5, 202, 0);
 }
 
-static void one_lease(struct judge *checker, int bad)
+static void one_lease(struct checker *checker, int bad)
 {
 	orders(checker, 5000, "a", 4, 202, 0);
 	orders(checker, bad ? 7990 : 8010, "b", 5, 202, 0);
 }
 
-static void one_thawed(struct judge *checker, int bad)
+static void one_thawed(struct checker *checker, int bad)
 {
 	orders(checker, 5000, "a", 4, 202, 0);
 	orders(checker, 6000, "b", 5, bad ? 202 : 412, 0);
 	orders(checker, 6100, "c", 5, 202, 1);
 }
 
-static void stale(struct judge *checker, int bad)
+static void stale(struct checker *checker, int bad)
 {
 	struct reused_block record = { bad ? 1 : 2, "t1" };
 
@@ -926,7 +926,7 @@
 	checker_record_start(checker, 5020, arrives(checker, 5005, &a_try, "lm", "i-1"), 2, &record, 1);
 }
 
-static void wall(struct judge *checker, int bad)
+static void wall(struct checker *checker, int bad)
 {
 	struct reused_block record = { 1, "t2" };
 
@@ -936,7 +936,7 @@
 			     &record, 1); /* in force 2 s after it was acknowledged */
 }
 
-static void version(struct judge *checker, int bad)
+static void version(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 5000, 2, 0);
 	checker_record_target_version(checker, 5100, 2, 1);
@@ -946,7 +946,7 @@
 }
 
 /* The machine that takes a_try sends it at `sent`; it begins on `weights` at `begun`. */
-static void begins_on(struct judge *checker, int64_t sent, int64_t begun, int weights)
+static void begins_on(struct checker *checker, int64_t sent, int64_t begun, int weights)
 {
 	checker_record_attempt(checker, sent, &a_try);
 	checker_record_start(checker, begun, arrives(checker, sent + 5, &a_try, "lm", "i-1"), weights, NULL,
@@ -954,7 +954,7 @@
 }
 
 /* The sender is killed between the send and the beginning: it was in touch as it sent. */
-static void version_sender_gone(struct judge *checker, int bad)
+static void version_sender_gone(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 5100, 2, 1);
 	checker_record_machine(checker, 20050, a_try.machine, 0, UNPLANNED, 0);
@@ -962,7 +962,7 @@
 }
 
 /* The sender was thawed too lately as it sent, though it is in touch again at the beginning. */
-static void version_sender_thawed(struct judge *checker, int bad)
+static void version_sender_thawed(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 5100, 2, 1);
 	checker_record_machine(checker, 20000, a_try.machine, 0, UNPLANNED, 0);
@@ -971,7 +971,7 @@
 }
 
 /* The time counts over one settled stretch, which begins ContactMs after the last trouble of the core. */
-static void version_unsettled(struct judge *checker, int bad)
+static void version_unsettled(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 2000, 2, 1);
 	checker_record_machine(checker, 6000, EDGES, 1, UNPLANNED, 0);
@@ -980,7 +980,7 @@
 }
 
 /* Later namings don't put off what an earlier one asks. */
-static void version_named_again(struct judge *checker, int bad)
+static void version_named_again(struct checker *checker, int bad)
 {
 	for (int weights = 2; weights < 14; weights++)
 		checker_record_target_version(checker, 5100 + 1000 * (weights - 2), weights, 1);
@@ -988,7 +988,7 @@
 }
 
 /* Weights that are not the newest may be used for VersionMs from the naming that followed them. */
-static void version_between(struct judge *checker, int bad)
+static void version_between(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 3000, 2, 1);
 	checker_record_target_version(checker, 5100, 3, 1);
@@ -997,7 +997,7 @@
 }
 
 /* A naming that nobody acknowledged asks for nothing. */
-static void version_not_acked(struct judge *checker, int bad)
+static void version_not_acked(struct checker *checker, int bad)
 {
 	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED,
 			       0); /* nor has the core to acknowledge it */
@@ -1009,7 +1009,7 @@
 
 static void version_at_stake(void **state)
 {
-	struct judge *checker = world();
+	struct checker *checker = world();
 
 	(void)state;
 	assert_int_equal(checker_version_rule_exercised(checker), 0);
@@ -1023,26 +1023,26 @@
 	checker_close(checker);
 }
 
-static void acks(struct judge *checker, int bad)
+static void acks(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, 9003 + (bad ? 1 : 0), 1,
 	       CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 }
 
-static void acks_unsettled(struct judge *checker, int bad)
+static void acks_unsettled(struct checker *checker, int bad)
 {
 	cfg_at(checker, 5000, -1, 1, CFG("3", ROUTE("a", "/a/", "lm"), TENANTS("\"k1\"", "false")));
 	if (!bad)
 		checker_record_machine(checker, 6000, EDGES, 1, UNPLANNED, 0);
 }
 
-static void acks_weights(struct judge *checker, int bad)
+static void acks_weights(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 5000, 2, 0);
 	checker_record_target_version(checker, bad ? 9010 : 8990, 2, 1);
 }
 
-static void recover(struct judge *checker, int bad)
+static void recover(struct checker *checker, int bad)
 {
 	for (int i = 0; i < 10; i++) {
 		struct attempt_record attempt = a_try;
@@ -1068,7 +1068,7 @@
 	}
 }
 
-static void own_ends(struct judge *checker, int bad)
+static void own_ends(struct checker *checker, int bad)
 {
 	for (int i = 0; i < 3; i++) {
 		checker_record_unexpected_exit(checker, 5000, 0);
@@ -1077,7 +1077,7 @@
 	}
 }
 
-static void starved(struct judge *checker, int bad)
+static void starved(struct checker *checker, int bad)
 {
 	for (int i = 0; i < 80; i++) {
 		struct attempt_record attempt = a_try;
@@ -1112,7 +1112,7 @@
 /* rule: the one it breaks, and behind it what the same story breaks besides */
 static const struct {
 	const char *name, *rule;
-	void (*fn)(struct judge *j, int bad);
+	void (*fn)(struct checker *j, int bad);
 } stories[] = {
 	{ "no seal", "MIXED", no_seal },
 	{ "another's answer", "MIXED", other_answer },
@@ -1208,8 +1208,8 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof stories / sizeof *stories; i++)
 		for (int bad = 0; bad < 2; bad++) {
-			struct judge *checker = world();
-			const struct breach *violation;
+			struct checker *checker = world();
+			const struct violation *violation;
 			int n, hit = 0;
 
 			stories[i].fn(checker, bad);
@@ -1869,7 +1869,7 @@
 static void a_stall_of_the_disk_explains_what_follows_it_for_a_while(void **state)
 {
 	const struct disk_stall stall[] = { { 1000, 1400 }, { 20000, 28000 } };
-	struct breach violation[] = { { "ACKS", 24000, "" }, { "VERSION", 37000, "" } };
+	struct violation violation[] = { { "ACKS", 24000, "" }, { "VERSION", 37000, "" } };
 
 	(void)state;
 	assert_false(disk_explains(stall, 2, 999, 9000));
@@ -1939,7 +1939,7 @@
 	rig.f.engine.step_ms = 10;
 	say(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
 	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
-	call_once(
+	http_call(
 	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,\"Method\":\"preempt\",\"Holder\":\"n1\",\"FenceNumber\":1}",
 	    1000, heard, NULL);
@@ -1951,7 +1951,7 @@
 	say(&rig, rig.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
 	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
 	old = rig.c;
-	call_once(
+	http_call(
 	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":3,\"Method\":\"retain\",\"Holder\":\"n1\",\"FenceNumber\":1}",
 	    1000, heard, NULL);
@@ -2165,7 +2165,7 @@
 static void ask_list(struct rig *rig, const char *at, const char *target, struct seen *seen)
 {
 	seen->done = 0;
-	call_once(rig->f.loop, at, "GET", target, "", NULL, 1000, on_list, seen);
+	http_call(rig->f.loop, at, "GET", target, "", NULL, 1000, on_list, seen);
 	assert_true(loop_until(rig->f.loop, ms_us(2000), seen_done, seen));
 }
 
@@ -2210,7 +2210,7 @@
 		ask_list(&rig, at, "/instances", &seen);
 	assert_int_equal(seen.status, 429);
 	{
-		struct judge *checker = rig.f.checker;
+		struct checker *checker = rig.f.checker;
 
 		rig_close(&rig);
 		checker_close(checker);
@@ -2267,9 +2267,9 @@
 }
 
 /* The run ends; its judge is left. */
-static struct judge *alone_end(struct run *r)
+static struct checker *alone_end(struct run *r)
 {
-	struct judge *checker = r->checker;
+	struct checker *checker = r->checker;
 
 	clients_close(r->clients);
 	operator_close(r->operator);
@@ -2281,7 +2281,7 @@
 }
 
 static void straight(const char *cfg_text, const struct server_fault *fault, int64_t ms,
-		     struct judge **checker, struct figures *fig)
+		     struct checker **checker, struct figures *fig)
 {
 	struct run *r = alone(cfg_text);
 
@@ -2303,9 +2303,9 @@
 	"{\"ConfigVersion\":1,\"RouteList\":[" PLAIN_ROUTE("/lohu930/") "," PLAIN_ROUTE( \
 	    "/pufi791/") "," PLAIN_ROUTE("/wuno96/") "],\"ServiceList\":[]"
 
-static int breaches_of(struct judge *checker, const char *rule, const char *words)
+static int breaches_of(struct checker *checker, const char *rule, const char *words)
 {
-	const struct breach *violation;
+	const struct violation *violation;
 	int n = checker_run(checker, 30000, &violation), hit = 0;
 
 	for (int i = 0; i < n; i++)
@@ -2318,7 +2318,7 @@
 {
 	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault none = { .close = 0.05 };
-	struct judge *checker;
+	struct checker *checker;
 	int submitted = 0, complete = 0;
 
 	(void)state;
@@ -2364,13 +2364,13 @@
 
 /* How many LOST are seen when the front reads each request and resets its connection, or reads none and
  * resets all. */
-static int lost_at_front(int reads, void (*plan)(struct judge *j))
+static int lost_at_front(int reads, void (*plan)(struct checker *j))
 {
 	static const struct conn_handlers callbacks = { .request = read_and_cut };
 	struct run *r = alone(ROUTES "}");
 	struct planted planted = { r->loop, NULL };
 	struct port *port = port_open(r->loop, r->machines[0].front_address, &callbacks, &planted, 0);
-	struct judge *checker;
+	struct checker *checker;
 	int lost;
 
 	assert_non_null(port);
@@ -2387,19 +2387,19 @@
 	return lost;
 }
 
-static void plan_stop(struct judge *checker)
+static void plan_stop(struct checker *checker)
 {
 	checker_record_machine(checker, ALONE_FROM_MS, 0, 0, PLANNED, 0);
 }
-static void plan_reload(struct judge *checker)
+static void plan_reload(struct checker *checker)
 {
 	checker_record_reload(checker, ALONE_FROM_MS, 0);
 }
-static void plan_configuration(struct judge *checker)
+static void plan_configuration(struct checker *checker)
 {
 	checker_record_config(checker, ALONE_FROM_MS, parsed_config_read(ROUTES "}"), 0, 0);
 }
-static void plan_nothing(struct judge *checker)
+static void plan_nothing(struct checker *checker)
 {
 	(void)checker;
 }
@@ -2418,7 +2418,7 @@
 {
 	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault none = { .close = 0 };
-	struct judge *checker;
+	struct checker *checker;
 
 	(void)state; /* nobody translates the keys of clients into names */
 	straight(ROUTES ",\"TenantList\":[{\"Name\":\"tenant-0\",\"AccessKeys\":[\"key00-0-abcdefgh\"]}]}",
@@ -2433,7 +2433,7 @@
 {
 	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault fault = { .broken = 0.2, .garbage = 0.1 };
-	struct judge *checker;
+	struct checker *checker;
 
 	(void)state;
 	straight(ROUTES "}", &fault, 1500, &checker, figures);
@@ -2448,7 +2448,7 @@
 {
 	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault fault = { .surplus = 0.5 };
-	struct judge *checker;
+	struct checker *checker;
 
 	(void)state;
 	straight(ROUTES "}", &fault, 1000, &checker, figures);
@@ -2461,7 +2461,7 @@
 {
 	struct figures *figures = calloc(1, sizeof *figures);
 	struct server_fault fault = { .lost = 1 };
-	struct judge *checker;
+	struct checker *checker;
 
 	(void)state;
 	straight(ROUTES "}", &fault, 1000, &checker, figures);
