--- /dev/null
+++ b/emulator/event_loop_internal.h
@@ -0,0 +1,67 @@
+/* What the event loop and its HTTP connections share. One thread runs a loop; a connection or listener that
+ * was closed is freed by the next sweep, never within a handler, so that handlers may close what they are
+ * called for. */
+#ifndef NL_EVENT_LOOP_INTERNAL_H
+#define NL_EVENT_LOOP_INTERNAL_H
+
+#include "platform_emulator.h"
+
+struct timer {
+	int64_t due_at_us;
+	uint64_t id;
+	void (*callback)(void *ctx);
+	void *context;
+};
+
+struct fd_owner {
+	int kind; /* 1 port, 2 conn */
+};
+
+struct port {
+	struct fd_owner owner;
+	struct loop *loop;
+	int fd, max_connections, is_silent, idle_ms, connection_count, is_closed;
+	const struct conn_handlers *handlers;
+	void *context;
+};
+
+struct conn {
+	struct fd_owner owner;
+	struct loop *loop;
+	struct port *port; /* NULL: we call */
+	int fd, is_up, is_closed, awaits_answer, in_request, closing, is_silent, parsing, reset;
+	int64_t idle_since_us;
+	const struct conn_handlers *handlers;
+	void *context, *tag;
+	http_parser parser;
+	struct http_message message;
+	int value_next; /* the parser's last piece was a field's value */
+	int is_complete;
+	char *input, *output; /* stb arrays */
+	size_t out_offset;
+};
+
+struct loop {
+	int epoll_fd;
+	struct timer *timers; /* heap */
+	uint64_t last_timer_id;
+	struct conn **connections;
+	struct port **ports;
+	int64_t swept_at_us, max_lateness_us;
+};
+
+/* ---- http_conn.c ---- */
+
+/* Free what a message holds, and empty it. */
+void http_message_clear(struct http_message *message);
+
+/* Close a connection's socket; the connection itself is freed by the next sweep. */
+void conn_destroy(struct conn *conn, int reset);
+
+/* Accept all connections that wait at a listener. */
+void port_accept_all(struct port *port);
+
+/* Handle what epoll reports of a connection: it is up, it can be written, it can be read. */
+void conn_on_ready(struct conn *conn, uint32_t events);
+
+#endif
--- /dev/null
+++ b/emulator/soak_test_internal.h
@@ -0,0 +1,125 @@
+/* What the files of the soak test share. Faults of one subject come in series; several series run side by
+ * side. What a fault draws depends on its place in its series alone, so that a seed gives the same faults
+ * whatever the clock does. */
+#ifndef NL_SOAK_TEST_INTERNAL_H
+#define NL_SOAK_TEST_INTERNAL_H
+
+#include "platform_run.h"
+
+enum {
+	SMALL_SOAK_MS = 20000,
+	SOAK_MS = 45000,
+	STEP_MS = 10,
+	/* the run's bounds */
+	VERSION_MIN_MS = 5000,
+	VERSION_MAX_MS = 8000,
+	CONTACT_MS = 1500,
+	DRAIN_MS = 1500,
+	LEASE_MS = 1500,
+	CALM_CONTACTS = 3, /* beyond VersionMs, at the end */
+	LOAD_SHARE = 8,    /* a load takes so small a part of VersionMs */
+	/* how many machines */
+	CROWDED_EVERY = 5, /* of so many seeds one is crowded */
+	CROWDED_ROUTERS = 60,
+	CROWDED_CORE = 9,
+	/* troubles */
+	QUIET_SERIES_EVERY = 4, /* a subject has no trouble in one of so many runs */
+	LONG_EVERY = 40,        /* one of so many answers takes seconds */
+	BURST_EVERY = 2,        /* of so many series of namings one is a burst */
+	BURST_TARGETS_MIN = 9,
+	BURST_TARGETS_EXTRA = 12,
+	TARGET_GAP_MIN_MS = 500,
+	TARGET_GAP_MAX_MS = 30000,
+	SLOW_TIMES = 6,
+	LOAD_SLOW_TIMES = 10,
+	LOST_PERCENT = 60,
+	DOWN_MAX_MS = 3000,
+	FREEZE_MIN_MS = 200,
+	LOSS_PAUSE_MS = 15000, /* from one disk lost to the next */
+	/* how late the run may be itself */
+	SAMPLE_MS = 1000,
+	MAX_LATENESS_MS = 300
+};
+
+struct soak_test;
+
+/* A trouble that is under way. `over` ends it and says 1, or 0 when it has to be called again later. */
+struct episode {
+	int64_t ends_at_ms;
+	int (*end)(struct soak_test *soak_test, void *subject);
+	void *subject;
+};
+
+/* Troubles of one subject: in series with gaps, and pauses between the series. */
+struct fault_series {
+	void (*inject)(struct soak_test *soak_test, int kind);
+	int kind_count, max_faults;       /* kinds of trouble; troubles in a series */
+	int64_t max_gap_ms, max_pause_ms; /* the longest, in ms */
+	int64_t min_pause_ms;             /* the shortest pause */
+	uint64_t seed, injected_count;
+	int kind, remaining;        /* the kind that struck last; how many are still to come in the series */
+	int64_t gap_ms, next_at_ms; /* ms */
+};
+
+enum { SERIES_ROUTERS, SERIES_CORE, SERIES_SERVERS, SERIES_OTHERS, SERIES_COUNT };
+
+struct replacement {
+	struct machine *lost, *new;
+};
+
+struct soak_test {
+	struct run *run;
+	uint64_t rng, target_seed, target_index;
+	int64_t ends_at_ms;
+	struct fault_series series[SERIES_COUNT];
+	struct episode *active_faults; /* stb array */
+	struct replacement replacement;
+	int64_t next_disk_loss_at_ms, next_target_at_ms, target_gap_ms, next_sample_at_ms;
+	int target_version, targets_remaining, fault_count, overlap_count,
+	    load_factor; /* burst: so many times the load; 0: none */
+	struct {
+		int pid;
+		long long waited_ns; /* ns on a processor's queue, as the kernel counts them */
+	} sample[MAX_MACHINES];
+};
+
+enum { ROUTERS_KILL, ROUTERS_STOP, ROUTERS_FREEZE, ROUTERS_HUP, ROUTERS_KILL_ALL, ROUTERS_KINDS };
+
+enum { CORE_KILL, CORE_STOP, CORE_FREEZE, CORE_REPLACE, CORE_WIPE, CORE_KILL_ALL, CORE_STOP_ALL, CORE_KINDS };
+
+enum {
+	SERVER_SLOW,
+	SERVER_SILENT,
+	SERVER_CRASH,
+	SERVER_REPLACED,
+	SERVER_REFUSES,
+	SERVER_LOADS_SLOWLY,
+	SERVER_KINDS
+};
+
+enum { OTHERS_LOSE, OTHERS_LOAD, OTHERS_CHANGE, OTHERS_KINDS };
+
+/* ---- soak_faults.c ---- */
+
+/* A number from least to most, drawn from the soak test's seed. */
+int64_t soak_between(struct soak_test *soak, int64_t least, int64_t most);
+
+/* 1 in one of n draws. */
+int soak_one_in(struct soak_test *soak, int64_t n);
+
+/* A fault of one or more routers, by its kind. */
+void soak_inject_router_fault(struct soak_test *soak, int kind);
+
+/* Set the next version of the weights as the target, once the one before is acknowledged. */
+void soak_set_target(struct soak_test *soak);
+
+/* A fault of a core machine, by its kind. */
+void soak_inject_core_fault(struct soak_test *soak, int kind);
+
+/* A fault of one or more model servers, by its kind. */
+void soak_inject_server_faults(struct soak_test *soak, int kind);
+
+/* A fault of the operator's connections or the load, or a change. */
+void soak_inject_other_fault(struct soak_test *soak, int kind);
+
+#endif
