--- a/emulator/checker_answers.c
+++ b/emulator/checker_answers.c
@@ -130,69 +130,93 @@
 	return ok;
 }
 
-void rule_runs(struct checker *checker)
+/* What the configurations of a run say of a request that a server ran. */
+struct run_permission {
+	int any;       /* there is a configuration at all */
+	int has_route; /* one sends the request to this service */
+	int has_key;   /* one admits its key on its route */
+};
+
+static struct run_permission permission_of(const struct checker *checker, const struct arrival *arrival,
+					   const struct attempt *attempt)
 {
-	for (int i = 0; i < arrlen(checker->arrivals); i++) {
-		const struct arrival *arrival = &checker->arrivals[i];
-		const struct attempt *attempt =
-		    arrival->attempt >= 0 ? &checker->attempts[arrival->attempt] : NULL;
-		int route = 0, key = 0, is_known_key = 0, any = 0;
+	struct run_permission permission = { 0, 0, 0 };
 
-		if (arrival->started_at_ms < 0)
-			continue;
-		if (!attempt) {
-			checker_violation(checker, "UNASKED", arrival->started_at_ms,
-					  "a server ran %s, which no client sent", arrival->id);
+	for (int k = 0; k < arrlen(checker->configs); k++) {
+		const struct parsed_config *config = checker->configs[k].config;
+		const struct parsed_route *route =
+		    config ? parsed_config_match(config, attempt->host, attempt->path) : NULL;
+
+		permission.any |= config != NULL;
+		if (!route)
 			continue;
-		}
-		if (strcmp(arrival->method, attempt->method) || strcmp(arrival->path, attempt->path) ||
-		    arrival->body != attempt->body || strcmp(arrival->host, attempt->host))
-			checker_violation(checker, "UNASKED", arrival->started_at_ms,
-					  "try %s ran with another method, host, path or body", attempt->id);
-		for (int k = 0; k < arrlen(checker->configs); k++) {
-			const struct parsed_config *config = checker->configs[k].config;
-			const struct parsed_route *m =
-			    config ? parsed_config_match(config, attempt->host, attempt->path) : NULL;
-
-			any |= config != NULL;
-			if (!m)
-				continue;
-			for (int s = 0; s < m->service_count; s++)
-				route |= !strcmp(m->service[s], arrival->service) && m->weight[s] > 0;
-			key |= m->is_public || !arrlen(config->tenants) ||
-			       parsed_config_tenant_of_key(config, text(attempt->key));
-		}
-		if (any && !route)
-			checker_violation(checker, "ROUTE", arrival->started_at_ms,
-					  "service %s ran try %s, which no configuration sends there",
-					  arrival->service, attempt->id);
-		else if (any && !key)
-			checker_violation(checker, "ROUTE", arrival->started_at_ms,
-					  "try %s ran with a key that no configuration holds", attempt->id);
-		else if (any && arrival->tenant &&
-			 !key_belongs_to(checker, attempt->key, arrival->tenant, &is_known_key) &&
-			 is_known_key)
-			checker_violation(checker, "UNASKED", arrival->started_at_ms,
-					  "try %s ran as tenant %s, whose key it does not bear", attempt->id,
-					  arrival->tenant);
-		else if (any && !arrival->tenant && attempt->key &&
-			 !key_belongs_to(checker, attempt->key, "", &is_known_key) && is_known_key)
-			checker_violation(checker, "UNASKED", arrival->started_at_ms,
-					  "try %s ran without its tenant's name", attempt->id);
+		for (int s = 0; s < route->service_count; s++)
+			permission.has_route |=
+			    !strcmp(route->service[s], arrival->service) && route->weight[s] > 0;
+		permission.has_key |= route->is_public || !arrlen(config->tenants) ||
+				      parsed_config_tenant_of_key(config, text(attempt->key));
 	}
-	for (int i = 0; i < arrlen(checker->attempts); i++) {
-		const struct attempt *attempt = &checker->attempts[i];
-		int runs = 0;
+	return permission;
+}
 
-		for (int k = 0; k < arrlen(attempt->runs); k++)
-			runs += checker->arrivals[attempt->runs[k]].started_at_ms >= 0;
-		if (attempt->kind == ATTEMPT_ONCE && runs > 1)
-			checker_violation(checker, "TWICE", attempt->sent_at_ms, "try %s ran %d times",
-					  attempt->id, runs);
-		if (attempt->kind == ATTEMPT_ONCE && runs && attempt->is_answered &&
-		    (attempt->status == 429 || attempt->status == 503 || attempt->status == 408 ||
-		     attempt->status == 421))
-			checker_violation(checker, "REFUSED", attempt->answered_at_ms,
-					  "try %s was answered %d and ran", attempt->id, attempt->status);
+static void check_run(struct checker *checker, const struct arrival *arrival)
+{
+	const struct attempt *attempt = arrival->attempt >= 0 ? &checker->attempts[arrival->attempt] : NULL;
+	struct run_permission permission;
+	int is_known_key = 0;
+
+	if (arrival->started_at_ms < 0)
+		return;
+	if (!attempt) {
+		checker_violation(checker, "UNASKED", arrival->started_at_ms,
+				  "a server ran %s, which no client sent", arrival->id);
+		return;
 	}
+	if (strcmp(arrival->method, attempt->method) || strcmp(arrival->path, attempt->path) ||
+	    arrival->body != attempt->body || strcmp(arrival->host, attempt->host))
+		checker_violation(checker, "UNASKED", arrival->started_at_ms,
+				  "try %s ran with another method, host, path or body", attempt->id);
+	permission = permission_of(checker, arrival, attempt);
+	if (!permission.any)
+		return;
+	if (!permission.has_route)
+		checker_violation(checker, "ROUTE", arrival->started_at_ms,
+				  "service %s ran try %s, which no configuration sends there",
+				  arrival->service, attempt->id);
+	else if (!permission.has_key)
+		checker_violation(checker, "ROUTE", arrival->started_at_ms,
+				  "try %s ran with a key that no configuration holds", attempt->id);
+	else if (arrival->tenant && !key_belongs_to(checker, attempt->key, arrival->tenant, &is_known_key) &&
+		 is_known_key)
+		checker_violation(checker, "UNASKED", arrival->started_at_ms,
+				  "try %s ran as tenant %s, whose key it does not bear", attempt->id,
+				  arrival->tenant);
+	else if (!arrival->tenant && attempt->key &&
+		 !key_belongs_to(checker, attempt->key, "", &is_known_key) && is_known_key)
+		checker_violation(checker, "UNASKED", arrival->started_at_ms,
+				  "try %s ran without its tenant's name", attempt->id);
+}
+
+static void check_run_count(struct checker *checker, const struct attempt *attempt)
+{
+	int runs = 0;
+
+	for (int k = 0; k < arrlen(attempt->runs); k++)
+		runs += checker->arrivals[attempt->runs[k]].started_at_ms >= 0;
+	if (attempt->kind == ATTEMPT_ONCE && runs > 1)
+		checker_violation(checker, "TWICE", attempt->sent_at_ms, "try %s ran %d times", attempt->id,
+				  runs);
+	if (attempt->kind == ATTEMPT_ONCE && runs && attempt->is_answered &&
+	    (attempt->status == 429 || attempt->status == 503 || attempt->status == 408 ||
+	     attempt->status == 421))
+		checker_violation(checker, "REFUSED", attempt->answered_at_ms,
+				  "try %s was answered %d and ran", attempt->id, attempt->status);
+}
+
+void rule_runs(struct checker *checker)
+{
+	for (int i = 0; i < arrlen(checker->arrivals); i++)
+		check_run(checker, &checker->arrivals[i]);
+	for (int i = 0; i < arrlen(checker->attempts); i++)
+		check_run_count(checker, &checker->attempts[i]);
 }
--- a/emulator/checker_config.c
+++ b/emulator/checker_config.c
@@ -7,154 +7,219 @@
 #include "operator_history.h"
 #include "checker_internal.h"
 
-void rule_config(struct checker *checker)
+/* Requests that a stable core's machine denied though every configuration that may be in force admits them.
+ */
+struct denials {
+	int denied;
+	int answered; /* all requests with an answer, without probes */
+	int64_t last_at_ms;
+};
+
+static int is_denial(int status)
+{
+	return status == 401 || status == 403 || status == 404;
+}
+
+/* A run must be as a configuration in force has it, if the machine was in contact. */
+static void check_run_config(struct checker *checker, const struct attempt *attempt,
+			     const struct arrival *arrival, int in_contact, int64_t min_version)
+{
+	struct config_matches matches;
+
+	if (arrival->started_at_ms < 0)
+		return;
+	matches = match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms, min_version);
+	if (in_contact && checker_in_contact(checker, attempt->machine, arrival->started_at_ms) &&
+	    !matches.current && matches.older)
+		checker_violation(checker, "CONFIG", arrival->started_at_ms,
+				  "try %s ran at %s, as only a version before %lld has it", attempt->id,
+				  arrival->service, (long long)min_version);
+	else if (!matches.current && !matches.older && matches.invalid)
+		checker_violation(checker, "CONFIG", arrival->started_at_ms,
+				  "try %s ran at %s, as only a refused or invalid configuration has it",
+				  attempt->id, arrival->service);
+}
+
+/* An answer of the system's own that denies a request must be as a configuration in force has it. */
+static void check_own_answer(struct checker *checker, const struct attempt *attempt, int in_contact,
+			     int64_t min_version, struct denials *denials)
 {
-	int denied = 0, requests = 0;
-	int64_t last_denied = 0;
-	struct {
-		int64_t observed_at_ms, lowest_version;
-		int incarnation;
-	} *back = NULL;
+	struct config_matches matches;
+
+	if (!attempt->is_answered || !attempt->is_own_answer || attempt->status < 300 ||
+	    attempt->status >= 500 || attempt->status == 408 || attempt->status == 421 ||
+	    attempt->status == 429)
+		return;
+	matches =
+	    match_configs(checker, attempt, NULL, attempt->status, attempt->answered_at_ms, min_version);
+	if (!in_contact || !checker_in_contact(checker, attempt->machine, attempt->answered_at_ms))
+		return;
+	if (is_denial(attempt->status) && !matches.current && matches.older) {
+		checker_violation(checker, "CONFIG", attempt->answered_at_ms,
+				  "try %s was denied with %d, as only a version before %lld does",
+				  attempt->id, attempt->status, (long long)min_version);
+	} else if (matches.all && !attempt->is_probe && min_version >= 0) {
+		denials->denied++;
+		denials->last_at_ms = attempt->answered_at_ms;
+	}
+}
+
+static void check_versions_in_force(struct checker *checker)
+{
+	struct denials denials = { 0, 0, 0 };
 
 	for (int i = 0; i < arrlen(checker->attempts); i++) {
 		const struct attempt *attempt = &checker->attempts[i];
-		int touch = checker_in_contact(checker, attempt->machine, attempt->sent_at_ms);
-		int64_t from = min_version_at(
-		    checker, attempt->sent_at_ms,
-		    core_is_stable(checker, attempt->sent_at_ms) ? 0 : checker->bounds.drift_max_ms);
+		int in_contact = checker_in_contact(checker, attempt->machine, attempt->sent_at_ms);
+		int64_t slack =
+		    core_is_stable(checker, attempt->sent_at_ms) ? 0 : checker->bounds.drift_max_ms;
+		int64_t min_version = min_version_at(checker, attempt->sent_at_ms, slack);
 
-		requests += attempt->is_answered && !attempt->is_probe;
+		denials.answered += attempt->is_answered && !attempt->is_probe;
+		for (int k = 0; k < arrlen(attempt->runs); k++)
+			check_run_config(checker, attempt, &checker->arrivals[attempt->runs[k]], in_contact,
+					 min_version);
+		check_own_answer(checker, attempt, in_contact, min_version, &denials);
+	}
+	if (denials.denied > 5 + denials.answered / 500)
+		checker_violation(checker, "DENIED", denials.last_at_ms,
+				  "%d of %d proper requests were denied", denials.denied, denials.answered);
+}
+
+/* That an incarnation of a machine had at least a version, as a run shows. */
+struct version_evidence {
+	int64_t observed_at_ms;
+	int64_t lowest_version;
+	int incarnation;
+};
+
+/* All evidence of one machine, as an stb_ds array that replaces what evidence held. */
+static struct version_evidence *collect_evidence(const struct checker *checker, int machine,
+						 struct version_evidence *evidence)
+{
+	arrsetlen(evidence, 0);
+	for (int i = 0; i < arrlen(checker->attempts); i++) {
+		const struct attempt *attempt = &checker->attempts[i];
+
+		if (attempt->machine != machine)
+			continue;
 		for (int k = 0; k < arrlen(attempt->runs); k++) {
 			const struct arrival *arrival = &checker->arrivals[attempt->runs[k]];
-			struct config_matches span;
+			struct version_evidence seen;
+			struct config_matches matches;
 
 			if (arrival->started_at_ms < 0)
 				continue;
-			span = match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms,
-					     from);
-			if (touch && checker_in_contact(checker, attempt->machine, arrival->started_at_ms) &&
-			    !span.current && span.older)
-				checker_violation(checker, "CONFIG", arrival->started_at_ms,
-						  "try %s ran at %s, as only a version before %lld has it",
-						  attempt->id, arrival->service, (long long)from);
-			else if (!span.current && !span.older && span.invalid)
-				checker_violation(
-				    checker, "CONFIG", arrival->started_at_ms,
-				    "try %s ran at %s, as only a refused or invalid configuration has it",
-				    attempt->id, arrival->service);
-		}
-		if (attempt->is_answered && attempt->is_own_answer && attempt->status >= 300 &&
-		    attempt->status < 500 && attempt->status != 408 && attempt->status != 421 &&
-		    attempt->status != 429) {
-			struct config_matches span = match_configs(checker, attempt, NULL, attempt->status,
-								   attempt->answered_at_ms, from);
-
-			if (!touch || !checker_in_contact(checker, attempt->machine, attempt->answered_at_ms))
+			matches =
+			    match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms, -1);
+			if (matches.highest_version < 0)
 				continue;
-			if ((attempt->status == 401 || attempt->status == 403 || attempt->status == 404) &&
-			    !span.current && span.older) {
-				checker_violation(
-				    checker, "CONFIG", attempt->answered_at_ms,
-				    "try %s was denied with %d, as only a version before %lld does",
-				    attempt->id, attempt->status, (long long)from);
-			} else if (span.all && !attempt->is_probe && from >= 0) {
-				denied++;
-				last_denied = attempt->answered_at_ms;
-			}
+			seen.observed_at_ms = arrival->started_at_ms;
+			seen.lowest_version = matches.lowest_version;
+			seen.incarnation = incarnation_of(checker, machine, attempt->sent_at_ms);
+			arrput(evidence, seen);
 		}
 	}
-	if (denied > 5 + requests / 500)
-		checker_violation(checker, "DENIED", last_denied, "%d of %d proper requests were denied",
-				  denied, requests);
-	/* nobody goes back: what a life has shown holds */
-	for (int m = 0; m < 64; m++) {
-		arrsetlen(back, 0);
-		for (int i = 0; i < arrlen(checker->attempts); i++) {
-			const struct attempt *attempt = &checker->attempts[i];
+	return evidence;
+}
 
-			if (attempt->machine != m)
-				continue;
-			for (int k = 0; k < arrlen(attempt->runs); k++) {
-				const struct arrival *arrival = &checker->arrivals[attempt->runs[k]];
-				struct config_matches span;
+/* The newest version that the machine's incarnation had shown before an attempt was sent to it, or -1. */
+static int64_t version_shown(const struct checker *checker, const struct attempt *attempt,
+			     const struct version_evidence *evidence)
+{
+	int incarnation = incarnation_of(checker, attempt->machine, attempt->sent_at_ms);
+	int64_t newest = -1;
 
-				if (arrival->started_at_ms < 0)
-					continue;
-				span = match_configs(checker, attempt, arrival->service, 0,
-						     arrival->started_at_ms, -1);
-				if (span.highest_version < 0)
-					continue;
-				arrsetlen(back, arrlenu(back) + 1);
-				arrlast(back).observed_at_ms = arrival->started_at_ms;
-				arrlast(back).lowest_version = span.lowest_version;
-				arrlast(back).incarnation = incarnation_of(checker, m, attempt->sent_at_ms);
-			}
-		}
+	for (int k = 0; k < arrlen(evidence); k++)
+		if (evidence[k].incarnation == incarnation &&
+		    evidence[k].observed_at_ms + checker->bounds.revert_slack_ms < attempt->sent_at_ms &&
+		    evidence[k].lowest_version > newest)
+			newest = evidence[k].lowest_version;
+	return newest;
+}
+
+static void check_no_reversal(struct checker *checker, const struct attempt *attempt, int64_t shown_version)
+{
+	struct config_matches matches;
+
+	for (int k = 0; k < arrlen(attempt->runs); k++) {
+		const struct arrival *arrival = &checker->arrivals[attempt->runs[k]];
+
+		if (arrival->started_at_ms < 0)
+			continue;
+		matches = match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms, -1);
+		if (matches.highest_version >= 0 && matches.highest_version < shown_version)
+			checker_violation(checker, "CONFIG", arrival->started_at_ms,
+					  "machine %d went back behind %lld with try %s", attempt->machine,
+					  (long long)shown_version, attempt->id);
+	}
+	if (!attempt->is_own_answer || !is_denial(attempt->status))
+		return;
+	matches = match_configs(checker, attempt, NULL, attempt->status, attempt->answered_at_ms, -1);
+	if (matches.highest_version >= 0 && matches.highest_version < shown_version)
+		checker_violation(checker, "CONFIG", attempt->answered_at_ms,
+				  "machine %d went back behind %lld and denied try %s", attempt->machine,
+				  (long long)shown_version, attempt->id);
+}
+
+/* No machine goes back: what an incarnation has shown holds for it. */
+static void check_reversals(struct checker *checker)
+{
+	struct version_evidence *evidence = NULL;
+
+	for (int machine = 0; machine < 64; machine++) {
+		evidence = collect_evidence(checker, machine, evidence);
 		for (int i = 0; i < arrlen(checker->attempts); i++) {
 			const struct attempt *attempt = &checker->attempts[i];
-			int64_t most = -1;
-			int incarnation;
+			int64_t shown_version;
 
-			if (attempt->machine != m || !attempt->is_answered)
+			if (attempt->machine != machine || !attempt->is_answered)
 				continue;
-			incarnation = incarnation_of(checker, m, attempt->sent_at_ms);
-			for (int k = 0; k < arrlen(back); k++)
-				if (back[k].incarnation == incarnation &&
-				    back[k].observed_at_ms + checker->bounds.revert_slack_ms <
-					attempt->sent_at_ms &&
-				    back[k].lowest_version > most)
-					most = back[k].lowest_version;
-			if (most < 0)
-				continue;
-			for (int k = 0; k < arrlen(attempt->runs); k++) {
-				const struct arrival *arrival = &checker->arrivals[attempt->runs[k]];
-				struct config_matches span;
-
-				if (arrival->started_at_ms < 0)
-					continue;
-				span = match_configs(checker, attempt, arrival->service, 0,
-						     arrival->started_at_ms, -1);
-				if (span.highest_version >= 0 && span.highest_version < most)
-					checker_violation(checker, "CONFIG", arrival->started_at_ms,
-							  "machine %d went back behind %lld with try %s", m,
-							  (long long)most, attempt->id);
-			}
-			if (attempt->is_own_answer &&
-			    (attempt->status == 401 || attempt->status == 403 || attempt->status == 404)) {
-				struct config_matches span = match_configs(
-				    checker, attempt, NULL, attempt->status, attempt->answered_at_ms, -1);
-
-				if (span.highest_version >= 0 && span.highest_version < most)
-					checker_violation(
-					    checker, "CONFIG", attempt->answered_at_ms,
-					    "machine %d went back behind %lld and denied try %s", m,
-					    (long long)most, attempt->id);
-			}
+			shown_version = version_shown(checker, attempt, evidence);
+			if (shown_version >= 0)
+				check_no_reversal(checker, attempt, shown_version);
 		}
 	}
-	arrfree(back);
-	/* acknowledgements */
+	arrfree(evidence);
+}
+
+static const char *config_text(const struct submitted_config *config)
+{
+	return config->config ? text(config->config->text) : "";
+}
+
+/* No invalid configuration is acknowledged, nor two different ones on top of the same version. */
+static void check_acknowledged(struct checker *checker)
+{
 	for (int i = 0; i < arrlen(checker->configs); i++) {
-		const struct submitted_config *k = &checker->configs[i];
+		const struct submitted_config *config = &checker->configs[i];
 
-		if (k->is_invalid && k->acked_at_ms >= 0)
-			checker_violation(checker, "CONFIG", k->acked_at_ms,
+		if (config->is_invalid && config->acked_at_ms >= 0)
+			checker_violation(checker, "CONFIG", config->acked_at_ms,
 					  "an invalid configuration (%lld on %lld) was acknowledged",
-					  (long long)k->version, (long long)k->base_version);
-		for (int n = 0; n < i; n++)
-			if (k->acked_at_ms >= 0 && checker->configs[n].acked_at_ms >= 0 &&
-			    k->base_version == checker->configs[n].base_version &&
-			    (k->version != checker->configs[n].version ||
-			     strcmp(k->config ? text(k->config->text) : "",
-				    checker->configs[n].config ? text(checker->configs[n].config->text)
-							       : "")))
-				checker_violation(checker, "CONFIG", k->acked_at_ms,
+					  (long long)config->version, (long long)config->base_version);
+		for (int n = 0; n < i; n++) {
+			const struct submitted_config *earlier = &checker->configs[n];
+
+			if (config->acked_at_ms >= 0 && earlier->acked_at_ms >= 0 &&
+			    config->base_version == earlier->base_version &&
+			    (config->version != earlier->version ||
+			     strcmp(config_text(config), config_text(earlier))))
+				checker_violation(checker, "CONFIG", config->acked_at_ms,
 						  "%lld and %lld, both on top of %lld, were acknowledged",
-						  (long long)checker->configs[n].version,
-						  (long long)k->version, (long long)k->base_version);
+						  (long long)earlier->version, (long long)config->version,
+						  (long long)config->base_version);
+		}
 	}
 }
 
+void rule_config(struct checker *checker)
+{
+	check_versions_in_force(checker);
+	check_reversals(checker);
+	check_acknowledged(checker);
+}
+
 /* Routes added later are served like the first ones. */
 void rule_added(struct checker *checker)
 {
--- a/emulator/client_attempts.c
+++ b/emulator/client_attempts.c
@@ -66,24 +66,11 @@
 	client_start_attempt(subject, 1);
 }
 
-void client_attempt_over(struct client_attempt *attempt, enum answer_outcome how)
+/* Hand the answer of an attempt to the checker. */
+static void record_answer(const struct client_attempt *attempt, enum answer_outcome how, int64_t now)
 {
-	struct client_request *subject = attempt->request;
-	struct clients *clients = attempt->clients;
-	struct run *run = clients->run;
-	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
-	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
 	struct answer_record answer;
-	int is_refusal = attempt->status == 429 || attempt->status == 503 || attempt->status == 408 ||
-			 attempt->status == 421;
-	int final = attempt->status == 400 || attempt->status == 401 || attempt->status == 404 ||
-		    attempt->status == 413 || attempt->status == 431;
-	int complete = how == ANSWER_COMPLETE && attempt->status >= 200 && attempt->status < 300, retry;
-	struct pooled_conn *pooled = attempt->conn ? pooled_conn_of(subject->client, attempt->conn) : NULL;
 
-	if (attempt->done)
-		return;
-	attempt->done = 1;
 	memset(&answer, 0, sizeof answer);
 	answer.id = attempt->id;
 	answer.seal_id = attempt->seal_id[0] ? attempt->seal_id : NULL;
@@ -95,85 +82,167 @@
 	answer.is_stream = attempt->is_stream;
 	answer.events = attempt->events;
 	answer.event_count = (int)arrlen(attempt->events);
-	checker_record_answer(run->checker, now, &answer);
-	if (attempt->conn) {
-		if (how == ANSWER_COMPLETE && attempt->keep_alive && pooled) {
-			pooled->busy = 0;
-			pooled->idle_since_ms = now;
-			pooled->idle_until_ms =
-			    attempt->keep_alive_s > 0 ? now + attempt->keep_alive_s * 1000 - 300 : INT64_MAX;
-			conn_set_handlers(attempt->conn, &on_answer,
-					  clients); /* nothing is due: what comes now is surplus */
-			conn_set_tag(attempt->conn, NULL);
-		} else {
-			client_forget_connection(clients, attempt->conn);
-			conn_close(attempt->conn, how == ANSWER_ABANDONED);
-		}
+	checker_record_answer(attempt->clients->run->checker, now, &answer);
+}
+
+/* Put the attempt's connection back into its client's pool, or close it. */
+static void release_connection(struct client_attempt *attempt, enum answer_outcome how, int64_t now)
+{
+	struct clients *clients = attempt->clients;
+	struct pooled_conn *pooled =
+	    attempt->conn ? pooled_conn_of(attempt->request->client, attempt->conn) : NULL;
+
+	if (!attempt->conn)
+		return;
+	if (how != ANSWER_COMPLETE || !attempt->keep_alive || !pooled) {
+		client_forget_connection(clients, attempt->conn);
+		conn_close(attempt->conn, how == ANSWER_ABANDONED);
+		return;
+	}
+	pooled->busy = 0;
+	pooled->idle_since_ms = now;
+	pooled->idle_until_ms =
+	    attempt->keep_alive_s > 0 ? now + attempt->keep_alive_s * 1000 - 300 : INT64_MAX;
+	conn_set_handlers(attempt->conn, &on_answer, clients); /* nothing is due: what comes now is surplus */
+	conn_set_tag(attempt->conn, NULL);
+}
+
+/* A status that promises that the request was not executed. */
+static int is_refusal_status(int status)
+{
+	return status == 429 || status == 503 || status == 408 || status == 421;
+}
+
+/* A status that no further attempt changes. */
+static int is_final_status(int status)
+{
+	return status == 400 || status == 401 || status == 404 || status == 413 || status == 431;
+}
+
+static int is_success(const struct client_attempt *attempt, enum answer_outcome how)
+{
+	return how == ANSWER_COMPLETE && attempt->status >= 200 && attempt->status < 300;
+}
+
+/* Whether a client tries again after this attempt: it has time and attempts left, and the request either was
+ * not executed or may be executed twice. */
+static int may_retry(const struct client_attempt *attempt, enum answer_outcome how, int64_t remaining_ms)
+{
+	const struct client_request *request = attempt->request;
+	const struct run *run = attempt->clients->run;
+	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	int repeatable = is_repeatable(run, request);
+
+	if (request->attempts > class->retries || remaining_ms <= 50 || attempt->clients->closing)
+		return 0;
+	if (how == ANSWER_ABANDONED)
+		return repeatable;
+	if (is_success(attempt, how) || is_final_status(attempt->status))
+		return 0;
+	if (repeatable)
+		return 1;
+	if (how == ANSWER_NONE)
+		return !attempt->sent || attempt->is_new_connection; /* else it may have been read */
+	return is_refusal_status(attempt->status) && how == ANSWER_COMPLETE;
+}
+
+/* What a successful request earned: all of its value in time, more than half of the late share after an early
+ * refusal. */
+static double earned_value(const struct client_request *request, const struct traffic_class *class,
+			   int timely)
+{
+	if (!timely)
+		return request->value * class->late_value / class->value;
+	if (request->was_refused && request->refused_after_ms <= class->latency_target_ms / 4 &&
+	    request->attempts > 1)
+		return request->value * (1 + class->late_value / class->value) / 2;
+	return request->value;
+}
+
+static void count_success(struct run *run, const struct client_request *request)
+{
+	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	int64_t first = request->first_event_at_ms - request->created_at_ms;
+	int timely = request->first_event_at_ms && first <= class->latency_target_ms &&
+		     request->longest_gap_ms <= class->gap_target_ms && !request->transit_late;
+
+	run->figures.completed[request->class_id]++;
+	client_second_of(run, request->created_at_ms)->completed++;
+	run->figures.late[request->class_id] += !timely;
+	run->figures.value_earned += earned_value(request, class, timely);
+	histogram_add(&run->figures.longest_gap_ms[request->class_id], request->longest_gap_ms);
+}
+
+static void count_failure(struct run *run, const struct client_request *request, int is_refusal)
+{
+	if (is_refusal) {
+		client_second_of(run, request->created_at_ms)->refused++;
+		run->figures.refused++;
+	} else {
+		client_second_of(run, request->created_at_ms)->failed++;
 	}
-	if (run->verbose > 1 && !complete)
-		run_log(run, "client: try %s of %s at %s: %d, how %d, %lld ms, events %d", attempt->id,
-			class->name, run->machines[attempt->machine].name, attempt->status, (int)how,
-			(long long)(now - attempt->started_at_ms), (int)arrlen(attempt->events));
+}
+
+/* Wait as long as the answer asks, but at most a third of the time that is left, and try again. */
+static void schedule_retry(const struct client_attempt *attempt, int is_refusal, int64_t remaining_ms)
+{
+	struct clients *clients = attempt->clients;
+	double wait = is_refusal && attempt->retry_after > 0 ? attempt->retry_after * 1000 : 20;
+
+	if (wait > (double)remaining_ms / 3)
+		wait = (double)remaining_ms / 3;
+	arrput(clients->retrying, attempt->request);
+	loop_after(clients->run->loop, ms_us(wait), retry_now, attempt->request);
+}
+
+static void count_outcome(struct figures *figures, enum answer_outcome how)
+{
 	if (how == ANSWER_CUT_OFF || how == ANSWER_GARBLED)
-		run->figures.cut_off++;
+		figures->cut_off++;
 	if (how == ANSWER_NONE)
-		run->figures.no_answer++;
-	if (subject->is_probe) {
+		figures->no_answer++;
+}
+
+void client_attempt_over(struct client_attempt *attempt, enum answer_outcome how)
+{
+	struct client_request *request = attempt->request;
+	struct run *run = attempt->clients->run;
+	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	int64_t now = run_ms(run), remaining_ms = request->created_at_ms + class->deadline_ms - now;
+	int is_refusal = is_refusal_status(attempt->status), success = is_success(attempt, how), retry;
+
+	if (attempt->done)
+		return;
+	attempt->done = 1;
+	record_answer(attempt, how, now);
+	release_connection(attempt, how, now);
+	if (run->verbose > 1 && !success)
+		run_log(run, "client: attempt %s of %s at %s: %d, outcome %d, %lld ms, events %d",
+			attempt->id, class->name, run->machines[attempt->machine].name, attempt->status,
+			(int)how, (long long)(now - attempt->started_at_ms), (int)arrlen(attempt->events));
+	count_outcome(&run->figures, how);
+	if (request->is_probe) {
 		attempt_free(attempt);
-		free(subject);
+		free(request);
 		return;
 	}
 	if (arrlen(attempt->events))
-		subject->last_event_id = arrlast(attempt->events).id;
-	retry = !complete && !final && subject->attempts <= class->retries && remaining_ms > 50 &&
-		how != ANSWER_ABANDONED && !clients->closing;
-	if (how == ANSWER_ABANDONED && is_repeatable(run, subject) && subject->attempts <= class->retries &&
-	    remaining_ms > 50 && !clients->closing)
-		retry = 1;
-	if (is_refusal && how == ANSWER_COMPLETE && !subject->was_refused) {
-		subject->was_refused = 1;
-		subject->refused_after_ms = now - subject->created_at_ms;
-	}
-	if (retry && !(is_refusal && how == ANSWER_COMPLETE) && !is_repeatable(run, subject) &&
-	    how != ANSWER_NONE)
-		retry = 0;
-	if (retry && how == ANSWER_NONE && !is_repeatable(run, subject) && attempt->sent &&
-	    !attempt->is_new_connection)
-		retry = 0; /* it may have been read */
-	if (complete) {
-		int64_t gap_most = class->gap_target_ms,
-			first = subject->first_event_at_ms - subject->created_at_ms;
-		int timely = subject->first_event_at_ms && first <= class->latency_target_ms &&
-			     subject->longest_gap_ms <= gap_most && !subject->transit_late;
-
-		run->figures.completed[subject->class_id]++;
-		client_second_of(run, subject->created_at_ms)->completed++;
-		run->figures.late[subject->class_id] += !timely;
-		run->figures.value_earned +=
-		    !timely ? subject->value * class->late_value / class->value
-		    : subject->was_refused && subject->refused_after_ms <= class->latency_target_ms / 4 &&
-			    subject->attempts > 1
-			? subject->value * (1 + class->late_value / class->value) / 2
-			: subject->value;
-		histogram_add(&run->figures.longest_gap_ms[subject->class_id], subject->longest_gap_ms);
-	} else if (!retry) {
-		if (is_refusal)
-			client_second_of(run, subject->created_at_ms)->refused++, run->figures.refused++;
-		else
-			client_second_of(run, subject->created_at_ms)->failed++;
-	}
-	if (subject->avoid_count < 4)
-		subject->avoid[subject->avoid_count++] = attempt->machine;
-	if (retry) {
-		double wait = is_refusal && attempt->retry_after > 0 ? attempt->retry_after * 1000 : 20;
-
-		if (wait > (double)remaining_ms / 3)
-			wait = (double)remaining_ms / 3;
-		arrput(clients->retrying, subject);
-		loop_after(run->loop, ms_us(wait), retry_now, subject);
-	} else {
-		finish_request(subject);
+		request->last_event_id = arrlast(attempt->events).id;
+	retry = may_retry(attempt, how, remaining_ms);
+	if (is_refusal && how == ANSWER_COMPLETE && !request->was_refused) {
+		request->was_refused = 1;
+		request->refused_after_ms = now - request->created_at_ms;
 	}
+	if (success)
+		count_success(run, request);
+	else if (!retry)
+		count_failure(run, request, is_refusal);
+	if (request->avoid_count < 4)
+		request->avoid[request->avoid_count++] = attempt->machine;
+	if (retry)
+		schedule_retry(attempt, is_refusal, remaining_ms);
+	else
+		finish_request(request);
 	attempt_free(attempt);
 }
 
@@ -315,120 +384,165 @@
  * known. */
 static int64_t max_idle_ms(const struct run *run)
 {
-	int idle = run->operator? operator_idle_timeout(run->operator) : 0;
+	int idle = run->config_operator ? operator_idle_timeout(run->config_operator) : 0;
 
 	return idle ? idle * 4 / 5 : DEFAULT_IDLE_MS;
 }
 
-void client_start_attempt(struct client_request *subject, int fresh)
+static struct client_attempt *attempt_new(struct client_request *request, int machine, int64_t now)
 {
-	struct clients *clients = subject->clients;
+	struct clients *clients = request->clients;
 	struct run *run = clients->run;
-	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
-	struct client_attempt *attempt;
-	struct attempt_record t;
-	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
-	struct pooled_conn *pooled = NULL;
-	struct conn *conn;
-	char head[1400], resume_field[60] = "";
-	int machine =
-		subject->is_probe ? subject->avoid[0] : client_pick_edge(clients, subject->client, subject),
-	    chunked = (subject->output_tokens & 7) == 0;
-	size_t n = strlen(subject->body);
+	struct client_attempt *attempt = calloc(1, sizeof *attempt);
 
-	if (remaining_ms <= 0 || machine == NO_MACHINE || clients->closing) {
-		if (!subject->is_probe)
-			client_second_of(run, subject->created_at_ms)->failed++;
-		finish_request(subject);
-		return;
-	}
-	attempt = calloc(1, sizeof *attempt);
-	attempt->request = subject;
+	attempt->request = request;
 	attempt->clients = clients;
 	attempt->seal_run = -1;
 	attempt->is_own_answer = 1;
 	attempt->started_at_ms = attempt->last_received_at_ms = now;
-	attempt->deadline_at_ms = subject->created_at_ms + class->deadline_ms;
+	attempt->deadline_at_ms = request->created_at_ms + run->sheet->classes[request->class_id].deadline_ms;
 	attempt->machine = machine;
 	snprintf(attempt->id, sizeof attempt->id, "%016llx",
 		 (unsigned long long)emulator_hash(run->seed, &(uint64_t){ ++clients->last_id }, 8));
-	for (int i = arrlen(subject->client->connections) - 1; i >= 0 && !fresh;
-	     i--) { /* connections stay with their nodes */
-		struct pooled_conn *old = &subject->client->connections[i];
+	return attempt;
+}
+
+/* Close the client's connections that have been idle for too long. */
+static void close_idle_connections(struct run *run, struct client *client, int64_t now)
+{
+	for (int i = (int)arrlen(client->connections) - 1; i >= 0; i--) {
+		struct pooled_conn *old = &client->connections[i];
 
 		if (old->busy)
 			continue;
 		if (now > old->idle_until_ms || now > old->idle_since_ms + max_idle_ms(run)) {
 			conn_set_tag(old->conn, NULL);
 			conn_close(old->conn, 0);
-			arrdelswap(subject->client->connections, i);
+			arrdelswap(client->connections, i);
 		}
 	}
-	for (int i = 0; i < arrlen(subject->client->connections) && !fresh && !pooled; i++)
-		if (!subject->client->connections[i].busy)
-			pooled = &subject->client->connections[i];
-	if (pooled) {
+}
+
+/* Take an idle connection of the client for the attempt, with its machine; 0: there is none. */
+static int reuse_connection(struct client_attempt *attempt)
+{
+	struct client *client = attempt->request->client;
+	struct run *run = attempt->clients->run;
+
+	for (int i = 0; i < arrlen(client->connections); i++) {
+		struct pooled_conn *pooled = &client->connections[i];
+
+		if (pooled->busy)
+			continue;
 		pooled->busy = 1;
 		attempt->conn = pooled->conn;
 		attempt->machine = pooled->machine;
 		run->figures.draining_reuses += run->machines[attempt->machine].draining;
-		conn_set_handlers(attempt->conn, &on_answer, clients);
-	} else {
-		attempt->is_new_connection = 1;
-		attempt->conn =
-		    conn_connect(run->loop, run->machines[machine].front_address, &on_answer, clients);
-		if (attempt->conn) {
-			struct pooled_conn made = { attempt->conn, machine, 1, 0, 0 };
-
-			arrput(subject->client->connections, made);
-		}
+		conn_set_handlers(attempt->conn, &on_answer, attempt->clients);
+		return 1;
 	}
-	subject->attempts++;
-	run->figures.attempts++;
-	attempt->resumed_from = subject->last_event_id;
-	memset(&t, 0, sizeof t);
-	t.id = attempt->id;
-	t.subject = subject->path;
-	t.method = "POST";
-	t.host = subject->host;
-	t.path = subject->path;
-	t.key = subject->key;
-	t.body = emulator_hash(0, subject->body, n);
-	t.machine = attempt->machine;
-	t.kind = class->resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
-	t.last_event = subject->last_event_id;
-	t.is_probe = subject->is_probe;
-	t.expects_stream = 1;
-	t.timeout_ms = remaining_ms;
-	t.class_id = subject->class_id;
-	checker_record_attempt(run->checker, now, &t);
-	arrput(clients->in_flight, attempt);
-	if (!attempt->conn) {
-		client_attempt_over(attempt, ANSWER_NONE);
-		return;
+	return 0;
+}
+
+static void open_connection(struct client_attempt *attempt)
+{
+	struct run *run = attempt->clients->run;
+
+	attempt->is_new_connection = 1;
+	attempt->conn = conn_connect(run->loop, run->machines[attempt->machine].front_address, &on_answer,
+				     attempt->clients);
+	if (attempt->conn) {
+		struct pooled_conn made = { attempt->conn, attempt->machine, 1, 0, 0 };
+
+		arrput(attempt->request->client->connections, made);
 	}
-	conn = attempt->conn;
-	conn_set_tag(conn, attempt);
-	if (subject->last_event_id)
-		snprintf(resume_field, sizeof resume_field, "Last-Event-Id: %d\r\n", subject->last_event_id);
+}
+
+static void record_attempt(const struct client_attempt *attempt, int64_t now, int64_t remaining_ms)
+{
+	const struct client_request *request = attempt->request;
+	const struct run *run = attempt->clients->run;
+	struct attempt_record record;
+
+	memset(&record, 0, sizeof record);
+	record.id = attempt->id;
+	record.subject = request->path;
+	record.method = "POST";
+	record.host = request->host;
+	record.path = request->path;
+	record.key = request->key;
+	record.body = emulator_hash(0, request->body, strlen(request->body));
+	record.machine = attempt->machine;
+	record.kind = run->sheet->classes[request->class_id].resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
+	record.last_event = request->last_event_id;
+	record.is_probe = request->is_probe;
+	record.expects_stream = 1;
+	record.timeout_ms = remaining_ms;
+	record.class_id = request->class_id;
+	checker_record_attempt(run->checker, now, &record);
+}
+
+static void write_request(struct client_attempt *attempt, int64_t remaining_ms)
+{
+	const struct client_request *request = attempt->request;
+	struct conn *conn = attempt->conn;
+	size_t length = strlen(request->body);
+	char head[1400], resume_field[60] = "";
+
+	if (request->last_event_id)
+		snprintf(resume_field, sizeof resume_field, "Last-Event-Id: %d\r\n", request->last_event_id);
 	snprintf(
 	    head, sizeof head,
 	    "POST %s HTTP/1.1\r\nHost: %s\r\nX-Notchlug-Attempt-Id: %s\r\n%sX-Notchlug-Model-Name: %s\r\nX-Notchlug-Token-Count: %d,%d\r\n"
 	    "X-Notchlug-Prompt-Prefix: %s\r\nX-Notchlug-Deadline-Remaining: %lld\r\nX-Api-Key: %s\r\n",
-	    subject->path, subject->host, attempt->id, resume_field, run->sheet->model,
-	    subject->prompt_tokens, subject->output_tokens, subject->blocks_header, (long long)remaining_ms,
-	    subject->key);
+	    request->path, request->host, attempt->id, resume_field, attempt->clients->run->sheet->model,
+	    request->prompt_tokens, request->output_tokens, request->blocks_header, (long long)remaining_ms,
+	    request->key);
 	conn_expect(conn);
 	conn_write(conn, head, strlen(head));
-	if (chunked) {
-		conn_writef(conn, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", n / 2);
-		conn_write(conn, subject->body, n / 2);
-		conn_writef(conn, "\r\n%zx\r\n", n - n / 2);
-		conn_write(conn, subject->body + n / 2, n - n / 2);
+	if ((request->output_tokens & 7) == 0) {
+		conn_writef(conn, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", length / 2);
+		conn_write(conn, request->body, length / 2);
+		conn_writef(conn, "\r\n%zx\r\n", length - length / 2);
+		conn_write(conn, request->body + length / 2, length - length / 2);
 		conn_write(conn, "\r\n0\r\n\r\n", 7);
 	} else {
-		conn_writef(conn, "Content-Length: %zu\r\n\r\n", n);
-		conn_write(conn, subject->body, n);
+		conn_writef(conn, "Content-Length: %zu\r\n\r\n", length);
+		conn_write(conn, request->body, length);
+	}
+}
+
+void client_start_attempt(struct client_request *request, int fresh)
+{
+	struct clients *clients = request->clients;
+	struct run *run = clients->run;
+	struct client_attempt *attempt;
+	int64_t now = run_ms(run);
+	int64_t remaining_ms =
+	    request->created_at_ms + run->sheet->classes[request->class_id].deadline_ms - now;
+	int machine =
+	    request->is_probe ? request->avoid[0] : client_pick_edge(clients, request->client, request);
+
+	if (remaining_ms <= 0 || machine == NO_MACHINE || clients->closing) {
+		if (!request->is_probe)
+			client_second_of(run, request->created_at_ms)->failed++;
+		finish_request(request);
+		return;
+	}
+	attempt = attempt_new(request, machine, now);
+	if (!fresh)
+		close_idle_connections(run, request->client, now);
+	if (fresh || !reuse_connection(attempt))
+		open_connection(attempt);
+	request->attempts++;
+	run->figures.attempts++;
+	record_attempt(attempt, now, remaining_ms);
+	arrput(clients->in_flight, attempt);
+	if (!attempt->conn) {
+		client_attempt_over(attempt, ANSWER_NONE);
+		return;
 	}
+	conn_set_tag(attempt->conn, attempt);
+	write_request(attempt, remaining_ms);
 	attempt->sent = 1;
 }
--- a/emulator/clients.c
+++ b/emulator/clients.c
@@ -74,8 +74,8 @@
 	if (!clients->probing || clients->closing)
 		return;
 	for (int i = 0; i < run->machine_count; i++) {
-		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->operator)
-								: operator_removed(run->operator),
+		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->config_operator)
+								: operator_removed(run->config_operator),
 			   *key;
 		struct client_request *subject;
 
@@ -90,7 +90,7 @@
 		subject->avoid[0] = i;
 		subject->prompt_tokens = 40;
 		subject->output_tokens = clients->long_every ? LONG_PROBE : 1;
-		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->operator) : NULL;
+		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->config_operator) : NULL;
 		snprintf(subject->key, sizeof subject->key, "%s", key ? key : clients->keys[0]);
 		snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
 		snprintf(subject->path, sizeof subject->path, "%s%s", at ? at : "/never/", "p");
--- a/emulator/clients_internal.h
+++ b/emulator/clients_internal.h
@@ -41,7 +41,7 @@
 	struct clients *clients;
 	struct conn *conn;
 	int machine, is_new_connection, status, seal_run, is_own_answer, is_stream, sent, bytes, done,
-	    resumed_from, was_read;
+	    was_read;
 	int64_t started_at_ms, deadline_at_ms, last_received_at_ms;
 	char id[24], seal_id[40], *unparsed; /* stb array: what of a stream is not read yet */
 	double retry_after;
--- a/emulator/fleet_processes.c
+++ b/emulator/fleet_processes.c
@@ -54,70 +54,81 @@
 	return NULL;
 }
 
-void fleet_start_process(struct test_fleet *fleet, struct fleet_process *node, int full)
-{
-	char bin[800], rec[800], num[4][20];
-	char *a[64];
-	int k = 0;
-
-	if (node->kind == PROCESS_SERVER || node->kind == PROCESS_STORE) {
-		snprintf(bin, sizeof bin, "%s/notchlug-emulator", fleet->settings->program_folder);
-		snprintf(rec, sizeof rec, "%s/server-%s.rec", fleet->settings->folder, node->name);
-		snprintf(num[0], 20, "%d", fleet->prefill_tokens_per_ms);
-		snprintf(num[1], 20, "%d", fleet->link_bytes_per_ms);
-		snprintf(num[2], 20, "%d", fleet->kv_bytes_per_token);
-		snprintf(num[3], 20, "%d", fleet->load_ms);
-		a[k++] = bin;
-		a[k++] = "server";
-		a[k++] = "--addr";
-		a[k++] = node->web_address;
-		a[k++] = "--name";
-		a[k++] = node->name;
-		a[k++] = "--weights";
-		a[k++] = "w1";
-		a[k++] = "--record";
-		a[k++] = rec;
-		a[k++] = "--prefill";
-		a[k++] = num[0];
-		a[k++] = "--link";
-		a[k++] = num[1];
-		a[k++] = "--kv";
-		a[k++] = num[2];
-		a[k++] = "--load-ms";
-		a[k++] = num[3];
-		if (node->kind == PROCESS_STORE) {
-			a[k++] = "--cap";
-			a[k++] = "1000000";
-		} else {
-			a[k++] = "--store";
-			a[k++] = fleet_process_of(fleet, PROCESS_STORE, 0)->web_address;
-		}
-	} else {
-		snprintf(bin, sizeof bin, "%s/%s", fleet->settings->program_folder,
-			 node->kind == PROCESS_CONTROLLER ? "notchlug-controller" : "notchlug-router");
-		a[k++] = bin;
-		a[k++] = "--listen";
-		a[k++] = node->listen_address;
-		a[k++] = "--advertise";
-		a[k++] = node->advertised;
-		a[k++] = "--web";
-		a[k++] = node->web_address;
-		a[k++] = "--zone";
-		a[k++] = node->zone;
-		for (int i = 0; i < 3; i++) {
-			a[k++] = "--seed";
-			a[k++] = fleet->seeds[i];
-		}
-		if (node->kind == PROCESS_CONTROLLER) {
-			a[k++] = "--data";
-			a[k++] = node->data_folder;
-			a[k++] = "--fault";
-			a[k++] = node->fault_file;
-		}
+/* The arguments of one process; texts that are made for it live here until it was started. */
+struct arguments {
+	char *list[64];
+	int count;
+	char program[800];
+	char record[800];
+	char numbers[4][20];
+};
+
+static void add_option(struct arguments *arguments, const char *name, char *value)
+{
+	arguments->list[arguments->count++] = (char *)(uintptr_t)name;
+	arguments->list[arguments->count++] = value;
+}
+
+static void add_number(struct arguments *arguments, const char *name, char text[20], int number)
+{
+	snprintf(text, 20, "%d", number);
+	add_option(arguments, name, text);
+}
+
+static void server_arguments(const struct test_fleet *fleet, struct fleet_process *process,
+			     struct arguments *arguments, char *store_address)
+{
+	snprintf(arguments->program, sizeof arguments->program, "%s/notchlug-emulator",
+		 fleet->settings->program_folder);
+	snprintf(arguments->record, sizeof arguments->record, "%s/server-%s.rec", fleet->settings->folder,
+		 process->name);
+	arguments->list[arguments->count++] = arguments->program;
+	arguments->list[arguments->count++] = "server";
+	add_option(arguments, "--addr", process->web_address);
+	add_option(arguments, "--name", process->name);
+	add_option(arguments, "--weights", "w1");
+	add_option(arguments, "--record", arguments->record);
+	add_number(arguments, "--prefill", arguments->numbers[0], fleet->prefill_tokens_per_ms);
+	add_number(arguments, "--link", arguments->numbers[1], fleet->link_bytes_per_ms);
+	add_number(arguments, "--kv", arguments->numbers[2], fleet->kv_bytes_per_token);
+	add_number(arguments, "--load-ms", arguments->numbers[3], fleet->load_ms);
+	if (process->kind == PROCESS_STORE)
+		add_option(arguments, "--cap", "1000000");
+	else
+		add_option(arguments, "--store", store_address);
+}
+
+static void node_arguments(struct test_fleet *fleet, struct fleet_process *process,
+			   struct arguments *arguments)
+{
+	snprintf(arguments->program, sizeof arguments->program, "%s/%s", fleet->settings->program_folder,
+		 process->kind == PROCESS_CONTROLLER ? "notchlug-controller" : "notchlug-router");
+	arguments->list[arguments->count++] = arguments->program;
+	add_option(arguments, "--listen", process->listen_address);
+	add_option(arguments, "--advertise", process->advertised);
+	add_option(arguments, "--web", process->web_address);
+	add_option(arguments, "--zone", process->zone);
+	for (int i = 0; i < 3; i++)
+		add_option(arguments, "--seed", fleet->seeds[i]);
+	if (process->kind == PROCESS_CONTROLLER) {
+		add_option(arguments, "--data", process->data_folder);
+		add_option(arguments, "--fault", process->fault_file);
 	}
-	a[k] = NULL;
-	spawn(fleet, node, a, full);
-	node->frozen = 0;
+}
+
+void fleet_start_process(struct test_fleet *fleet, struct fleet_process *process, int full_disk)
+{
+	struct arguments arguments;
+
+	memset(&arguments, 0, sizeof arguments);
+	if (process->kind == PROCESS_SERVER || process->kind == PROCESS_STORE)
+		server_arguments(fleet, process, &arguments,
+				 fleet_process_of(fleet, PROCESS_STORE, 0)->web_address);
+	else
+		node_arguments(fleet, process, &arguments);
+	arguments.list[arguments.count] = NULL;
+	spawn(fleet, process, arguments.list, full_disk);
+	process->frozen = 0;
 }
 
 void fleet_end_process(struct fleet_process *node, int sig)
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -418,69 +418,80 @@
 	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "state", NULL);
 }
 
+static struct fleet_process *any_process(struct test_fleet *fleet, enum process_kind kind, int count)
+{
+	return fleet_process_of(fleet, kind, (int)(core_random(&fleet->rng) % (uint64_t)count));
+}
+
+static void kill_for(struct test_fleet *fleet, struct fleet_process *process, const char *what, int64_t ms)
+{
+	fleet_note_fault(fleet, what);
+	fleet_end_process(process, SIGKILL);
+	fleet_sleep_ms(ms);
+	fleet_restart_process(fleet, process);
+}
+
+static void freeze_for(struct test_fleet *fleet, struct fleet_process *process, const char *what, int64_t ms)
+{
+	fleet_note_fault(fleet, what);
+	fleet_freeze_process(process, 1);
+	fleet_sleep_ms(ms);
+	fleet_freeze_process(process, 0);
+}
+
+/* One of eight faults, of processes that are drawn. */
+static void any_fault(struct test_fleet *fleet)
+{
+	struct fleet_process *controller = any_process(fleet, PROCESS_CONTROLLER, fleet->controller_count);
+	struct fleet_process *router = any_process(fleet, PROCESS_ROUTER, fleet->router_count);
+	struct fleet_process *server = any_process(fleet, PROCESS_SERVER, fleet->server_count);
+	int tenant = (int)(core_random(&fleet->rng) % 8);
+
+	switch (core_random(&fleet->rng) % 8) {
+	case 0:
+		kill_for(fleet, controller, "a controller is killed", 3000);
+		break;
+	case 1:
+		kill_for(fleet, router, "a router is killed", 1000);
+		break;
+	case 2:
+		freeze_for(fleet, controller, "a controller freezes", 3000);
+		break;
+	case 3:
+		freeze_for(fleet, router, "a router freezes", 4000);
+		break;
+	case 4:
+		fleet_note_fault(fleet, "a controller is cut off");
+		fleet_isolate(fleet, controller);
+		fleet_sleep_ms(3000);
+		fleet_join_links(fleet);
+		break;
+	case 5:
+		kill_for(fleet, server, "a server is killed", 2000);
+		break;
+	case 6:
+		fleet_note_fault(fleet, "a disk stalls");
+		fleet_slow_disk(controller, 3000);
+		fleet_sleep_ms(3000);
+		unlink(controller->fault_file);
+		break;
+	default:
+		fleet_set_key(fleet, tenant, 0);
+		fleet_sleep_ms(1000);
+		fleet_set_key(fleet, tenant, 1);
+	}
+}
+
 /* Some days end with one more fault: a seeded mix, then the last. */
 static void sc_mixed(struct test_fleet *fleet)
 {
 	for (int k = 0; k < 8; k++) {
-		struct fleet_process *r =
-		    fleet_process_of(fleet, PROCESS_CONTROLLER,
-				     (int)(core_random(&fleet->rng) % (uint64_t)fleet->controller_count));
-		struct fleet_process *node = fleet_process_of(
-		    fleet, PROCESS_ROUTER, (int)(core_random(&fleet->rng) % (uint64_t)fleet->router_count));
-		struct fleet_process *s = fleet_process_of(
-		    fleet, PROCESS_SERVER, (int)(core_random(&fleet->rng) % (uint64_t)fleet->server_count));
-		int tn = (int)(core_random(&fleet->rng) % 8);
-
-		switch (core_random(&fleet->rng) % 8) {
-		case 0:
-			fleet_note_fault(fleet, "a registrar is killed");
-			fleet_end_process(r, SIGKILL);
-			fleet_sleep_ms(3000);
-			fleet_restart_process(fleet, r);
-			break;
-		case 1:
-			fleet_note_fault(fleet, "a counter is killed");
-			fleet_end_process(node, SIGKILL);
-			fleet_sleep_ms(1000);
-			fleet_restart_process(fleet, node);
-			break;
-		case 2:
-			fleet_note_fault(fleet, "a registrar freezes");
-			fleet_freeze_process(r, 1);
-			fleet_sleep_ms(3000);
-			fleet_freeze_process(r, 0);
-			break;
-		case 3:
-			fleet_note_fault(fleet, "a counter freezes");
-			fleet_freeze_process(node, 1);
-			fleet_sleep_ms(4000);
-			fleet_freeze_process(node, 0);
-			break;
-		case 4:
-			fleet_note_fault(fleet, "a registrar is cut off");
-			fleet_isolate(fleet, r);
-			fleet_sleep_ms(3000);
-			fleet_join_links(fleet);
-			break;
-		case 5:
-			fleet_note_fault(fleet, "a server is killed");
-			fleet_end_process(s, SIGKILL);
-			fleet_sleep_ms(2000);
-			fleet_restart_process(fleet, s);
-			break;
-		case 6:
-			fleet_note_fault(fleet, "a disk stalls");
-			fleet_slow_disk(r, 3000);
-			fleet_sleep_ms(3000);
-			unlink(r->fault_file);
-			break;
-		default:
-			fleet_set_key(fleet, tn, 0);
-			fleet_sleep_ms(1000);
-			fleet_set_key(fleet, tn, 1);
-		}
-		fleet_set_tenant(fleet, (int)(core_random(&fleet->rng) % 8),
-				 (int)(core_random(&fleet->rng) % 2));
+		int tenant, is_isolated;
+
+		any_fault(fleet);
+		is_isolated = (int)(core_random(&fleet->rng) % 2);
+		tenant = (int)(core_random(&fleet->rng) % 8);
+		fleet_set_tenant(fleet, tenant, is_isolated);
 		fleet_sleep_ms((int64_t)(core_random(&fleet->rng) % 2000));
 	}
 	sc_kill_leader(fleet);
--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -90,74 +90,100 @@
 	change->timer = loop_after(list->fleet->loop, ms_us(lag), apply_listing, change);
 }
 
+/* One call's share of the rate; 0: none is left. */
+static int take_rate_token(struct list *list)
+{
+	int64_t now = loop_us();
+
+	list->rate_tokens += list->settings.rate * (double)(now - list->tokens_updated_at_us) / 1e6;
+	list->tokens_updated_at_us = now;
+	if (list->rate_tokens > list->settings.rate)
+		list->rate_tokens = list->settings.rate;
+	return list->rate_tokens >= 1;
+}
+
+/* Whether a call's zone, as it stands in the target behind "Zone=", is this one; any is if it names none. */
+static int is_asked_zone(const char *asked, const char *zone)
+{
+	size_t length = strlen(zone);
+
+	return !asked || (!strncmp(asked, zone, length) && (!asked[length] || asked[length] == '&'));
+}
+
+static struct json_object *instance_json(const struct list *list, const struct server *server,
+					 const struct listed_server *listed)
+{
+	struct json_object *json = json_object_new_object(), *models = json_object_new_array(),
+			   *model = json_object_new_object();
+
+	json_object_object_add(model, "Name", json_object_new_string(list->fleet->model));
+	json_object_object_add(model, "ConfigVersion", json_object_new_int(listed->version));
+	json_object_object_add(model, "Adapters", json_object_new_array());
+	json_object_array_add(models, model);
+	json_object_object_add(json, "ServiceName", json_object_new_string(server->service));
+	json_object_object_add(json, "Address", json_object_new_string(server->address));
+	json_object_object_add(json, "Zone", json_object_new_string(server->zone));
+	json_object_object_add(json, "ConfigVersion", json_object_new_string("v1"));
+	json_object_object_add(json, "SlotCount", json_object_new_int(list->fleet->engine.slots));
+	json_object_object_add(
+	    json, "State", json_object_new_string(listed->state == STATE_DRAINING ? "draining" : "ready"));
+	json_object_object_add(json, "ColdLeftMs", json_object_new_int(0));
+	json_object_object_add(json, "Stage", json_object_new_string("combined"));
+	json_object_object_add(json, "Models", models);
+	json_object_object_add(json, "InstanceId", json_object_new_string(listed->instance));
+	return json;
+}
+
+/* A page of the list from a server's index on; zone NULL: of all zones. */
+static struct json_object *page_json(const struct list *list, const char *zone, int from)
+{
+	struct json_object *json = json_object_new_object(), *instances = json_object_new_array();
+	int count = 0, next = 0;
+	char token[32];
+
+	for (int i = from; i < arrlen(list->listed) && !next; i++) {
+		const struct server *server = list->fleet->servers[i];
+
+		if (!list->listed[i].is_listed || !is_asked_zone(zone, server->zone))
+			continue;
+		if (count == list->settings.page) {
+			next = i;
+			break;
+		}
+		count++;
+		json_object_array_add(instances, instance_json(list, server, &list->listed[i]));
+	}
+	json_object_object_add(json, "Instances", instances);
+	snprintf(token, sizeof token, "p-%d", next);
+	json_object_object_add(json, "NextToken", next ? json_object_new_string(token) : NULL);
+	return json;
+}
+
 static void on_request(void *ctx, struct conn *conn, struct http_message *message)
 {
 	struct list *list = ctx;
 	const char *zone = strstr(message->target, "Zone="), *page = strstr(message->target, "PageToken=p-");
-	int64_t now = loop_us();
-	int from = page ? atoi(page + 12) : 0, n = 0, next = 0;
-	struct json_object *j, *a;
-	const char *t;
-	char b[32];
+	int has_token;
+	struct json_object *json;
+	const char *text;
 
 	list->call_count++;
 	if (list->settings.verbose)
 		fprintf(stderr, "notchlug-emulator: list: %s\n", message->target);
-	list->rate_tokens += list->settings.rate * (double)(now - list->tokens_updated_at_us) / 1e6;
-	list->tokens_updated_at_us = now;
-	if (list->rate_tokens > list->settings.rate)
-		list->rate_tokens = list->settings.rate;
+	has_token = take_rate_token(list);
 	if (strcmp(message->method, "GET") || strncmp(message->target, "/instances", 10)) {
 		conn_answer(conn, 404, "", "", 0, 1);
 		return;
 	}
-	if (list->rate_tokens < 1) {
+	if (!has_token) {
 		conn_answer(conn, 429, "Retry-After: 0.2\r\n", "", 0, 1);
 		return;
 	}
 	list->rate_tokens--;
-	j = json_object_new_object();
-	a = json_object_new_array();
-	for (int i = from; i < arrlen(list->listed) && !next; i++) {
-		struct server *server = list->fleet->servers[i];
-		struct json_object *json, *ms, *md;
-
-		if (!list->listed[i].is_listed ||
-		    (zone && (strncmp(zone + 5, server->zone, strlen(server->zone)) ||
-			      (zone[5 + strlen(server->zone)] && zone[5 + strlen(server->zone)] != '&'))))
-			continue;
-		if (n == list->settings.page) {
-			next = i;
-			break;
-		}
-		n++;
-		json = json_object_new_object();
-		ms = json_object_new_array();
-		md = json_object_new_object();
-		json_object_object_add(md, "Name", json_object_new_string(list->fleet->model));
-		json_object_object_add(md, "ConfigVersion", json_object_new_int(list->listed[i].version));
-		json_object_object_add(md, "Adapters", json_object_new_array());
-		json_object_array_add(ms, md);
-		json_object_object_add(json, "ServiceName", json_object_new_string(server->service));
-		json_object_object_add(json, "Address", json_object_new_string(server->address));
-		json_object_object_add(json, "Zone", json_object_new_string(server->zone));
-		json_object_object_add(json, "ConfigVersion", json_object_new_string("v1"));
-		json_object_object_add(json, "SlotCount", json_object_new_int(list->fleet->engine.slots));
-		json_object_object_add(
-		    json, "State",
-		    json_object_new_string(list->listed[i].state == STATE_DRAINING ? "draining" : "ready"));
-		json_object_object_add(json, "ColdLeftMs", json_object_new_int(0));
-		json_object_object_add(json, "Stage", json_object_new_string("combined"));
-		json_object_object_add(json, "Models", ms);
-		json_object_object_add(json, "InstanceId", json_object_new_string(list->listed[i].instance));
-		json_object_array_add(a, json);
-	}
-	json_object_object_add(j, "Instances", a);
-	snprintf(b, sizeof b, "p-%d", next);
-	json_object_object_add(j, "NextToken", next ? json_object_new_string(b) : NULL);
-	t = json_object_to_json_string_ext(j, JSON_C_TO_STRING_PLAIN);
-	conn_answer(conn, 200, "Content-Type: application/json\r\n", t, strlen(t), 1);
-	json_object_put(j);
+	json = page_json(list, zone ? zone + 5 : NULL, page ? atoi(page + 12) : 0);
+	text = json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN);
+	conn_answer(conn, 200, "Content-Type: application/json\r\n", text, strlen(text), 1);
+	json_object_put(json);
 }
 
 struct list *list_open(struct server_fleet *settings, const struct list_settings *list_set)
--- a/emulator/load_clients.c
+++ b/emulator/load_clients.c
@@ -102,87 +102,128 @@
 	snprintf(to + k, n - k, "%llx", (unsigned long long)(seed & 0xffff));
 }
 
-static int send_request(struct load_clients *clients, const char *id, const char *router_address, int tenant,
-			int route, uint64_t pick, CURL *curl)
+/* The request's body: three blocks (the route's, the tenant's, one of the tenant's few topics) and a tail of
+ * its own. */
+static struct json_object *request_json(const struct load_clients *clients, const char *id, int tenant,
+					int route, uint64_t topic)
 {
-	struct json_object *json = json_object_new_object(), *a = json_object_new_array(), *rec;
-	struct answer_reader reading;
-	char text[8192], key[64], url[200], auth[100];
-	struct curl_slist *curl_slist;
-	long status = 0;
-	CURLcode rc;
-	size_t n = (size_t)clients->settings.block_tokens * 4 < sizeof text
-		       ? (size_t)clients->settings.block_tokens * 4
-		       : sizeof text;
-	const char *outcome;
+	const struct load_client_settings *settings = &clients->settings;
+	struct json_object *json = json_object_new_object(), *blocks = json_object_new_array();
+	char text[8192];
+	size_t size = (size_t)settings->block_tokens * 4;
 
-	memset(&reading, 0, sizeof reading);
-	reading.id = id;
-	json_object_object_add(json, "lane", json_object_new_string(clients->settings.route_names[route]));
+	if (size > sizeof text)
+		size = sizeof text;
+	json_object_object_add(json, "lane", json_object_new_string(settings->route_names[route]));
 	json_object_object_add(json, "id", json_object_new_string(id));
-	json_object_object_add(json, "limit_ms", json_object_new_int(clients->settings.limit_ms));
-	for (int d = 0; d < 3;
-	     d++) { /* the lane's part, the tenant's part, one of the tenant's few matters */
-		block_text(text, n, block_seed(clients->settings.seed, tenant, route, d, d == 2 ? pick : 0));
-		json_object_array_add(a, json_object_new_string(text));
+	json_object_object_add(json, "limit_ms", json_object_new_int(settings->limit_ms));
+	for (int depth = 0; depth < 3; depth++) {
+		block_text(text, size,
+			   block_seed(settings->seed, tenant, route, depth, depth == 2 ? topic : 0));
+		json_object_array_add(blocks, json_object_new_string(text));
 	}
-	json_object_object_add(json, "parts", a);
-	block_text(text, 200, core_hash_string(clients->settings.seed, id));
+	json_object_object_add(json, "parts", blocks);
+	block_text(text, 200, core_hash_string(settings->seed, id));
 	json_object_object_add(json, "tail", json_object_new_string(text));
-	snprintf(key, sizeof key, "key-%d", tenant);
-	rec = json_object_new_object();
-	json_object_object_add(rec, "ev", json_object_new_string("ask"));
-	json_object_object_add(rec, "id", json_object_new_string(id));
-	json_object_object_add(rec, "counter", json_object_new_string(router_address));
-	json_object_object_add(rec, "tenant", json_object_new_int(tenant));
-	json_object_object_add(rec, "lane", json_object_new_string(clients->settings.route_names[route]));
-	record_put(clients->record, rec);
+	return json;
+}
+
+static void record_request(const struct load_clients *clients, const char *id, const char *router_address,
+			   int tenant, int route)
+{
+	struct json_object *record = json_object_new_object();
+
+	json_object_object_add(record, "ev", json_object_new_string("ask"));
+	json_object_object_add(record, "id", json_object_new_string(id));
+	json_object_object_add(record, "counter", json_object_new_string(router_address));
+	json_object_object_add(record, "tenant", json_object_new_int(tenant));
+	json_object_object_add(record, "lane", json_object_new_string(clients->settings.route_names[route]));
+	record_put(clients->record, record);
+}
+
+/* Post a body and read the whole answer; the HTTP status in *status. */
+static CURLcode post(const struct load_clients *clients, const char *router_address, int tenant,
+		     struct json_object *json, CURL *curl, struct answer_reader *reader, long *status)
+{
+	char url[200], authorization[100];
+	struct curl_slist *headers;
+	CURLcode rc;
+
 	snprintf(url, sizeof url, "http://%s/v1/exchange", router_address);
-	snprintf(auth, sizeof auth, "Authorization: Bearer %s", key);
-	curl_slist = curl_slist_append(curl_slist_append(NULL, "Expect:"), auth);
+	snprintf(authorization, sizeof authorization, "Authorization: Bearer key-%d", tenant);
+	headers = curl_slist_append(curl_slist_append(NULL, "Expect:"), authorization);
 	curl_easy_reset(curl);
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
-	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, curl_slist);
+	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 	curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, 1000L);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)clients->settings.limit_ms + 5000);
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(curl, CURLOPT_WRITEDATA, &reading);
+	curl_easy_setopt(curl, CURLOPT_WRITEDATA, reader);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS,
 			 json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	rc = curl_easy_perform(curl);
-	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
-	if (reading.line_length) { /* a body without a last newline: a whole JSON answer */
-		reading.line[reading.line_length] = 0;
-		read_answer_line(&reading);
+	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, status);
+	if (reader->line_length) { /* a body without a last newline: a complete JSON answer */
+		reader->line[reader->line_length] = 0;
+		read_answer_line(reader);
 	}
-	curl_slist_free_all(curl_slist);
+	curl_slist_free_all(headers);
+	return rc;
+}
+
+/* The outcome's name in the records. */
+static const char *outcome_name(CURLcode rc, long status, const struct answer_reader *reader)
+{
+	if (rc == CURLE_OK && status == 200 && reader->end_count == 1 && !reader->error[0])
+		return "whole";
+	if (rc == CURLE_OK && !strcmp(reader->outcome, "refused"))
+		return "refused";
+	return rc == CURLE_COULDNT_CONNECT ? "unreached" : "unknown";
+}
+
+enum request_outcome { REQUEST_COMPLETED, REQUEST_NOT_RUN, REQUEST_UNCLEAR };
+
+/* Send one request and record it with its answer. topic: which of the tenant's topics it is about. */
+static enum request_outcome send_request(struct load_clients *clients, const char *id,
+					 const char *router_address, int tenant, int route, uint64_t topic,
+					 CURL *curl)
+{
+	struct json_object *json = request_json(clients, id, tenant, route, topic), *record;
+	struct answer_reader reader;
+	const char *outcome;
+	long status = 0;
+	CURLcode rc;
+
+	memset(&reader, 0, sizeof reader);
+	reader.id = id;
+	record_request(clients, id, router_address, tenant, route);
+	rc = post(clients, router_address, tenant, json, curl, &reader, &status);
 	json_object_put(json);
-	outcome = rc == CURLE_OK && status == 200 && reading.end_count == 1 && !reading.error[0] ? "whole"
-		  : rc == CURLE_OK && !strcmp(reading.outcome, "refused")                        ? "refused"
-		  : rc == CURLE_COULDNT_CONNECT                                                  ? "unreached"
-												 : "unknown";
-	rec = json_object_new_object();
-	json_object_object_add(rec, "ev", json_object_new_string("told"));
-	json_object_object_add(rec, "id", json_object_new_string(id));
-	json_object_object_add(rec, "counter", json_object_new_string(router_address));
-	json_object_object_add(rec, "tenant", json_object_new_int(tenant));
-	json_object_object_add(rec, "status", json_object_new_int((int)status));
-	json_object_object_add(rec, "outcome", json_object_new_string(outcome));
-	json_object_object_add(rec, "pieces", json_object_new_int(reading.next_piece));
-	json_object_object_add(rec, "x", json_object_new_string(reading.send_id));
-	json_object_object_add(rec, "bad", json_object_new_int(reading.bad));
-	json_object_object_add(rec, "last", json_object_new_int64(reading.last_piece_at_ms));
-	json_object_object_add(rec, "error", json_object_new_string(reading.error));
-	record_put(clients->record, rec);
-	if (!strcmp(outcome, "whole"))
+	outcome = outcome_name(rc, status, &reader);
+	record = json_object_new_object();
+	json_object_object_add(record, "ev", json_object_new_string("told"));
+	json_object_object_add(record, "id", json_object_new_string(id));
+	json_object_object_add(record, "counter", json_object_new_string(router_address));
+	json_object_object_add(record, "tenant", json_object_new_int(tenant));
+	json_object_object_add(record, "status", json_object_new_int((int)status));
+	json_object_object_add(record, "outcome", json_object_new_string(outcome));
+	json_object_object_add(record, "pieces", json_object_new_int(reader.next_piece));
+	json_object_object_add(record, "x", json_object_new_string(reader.send_id));
+	json_object_object_add(record, "bad", json_object_new_int(reader.bad));
+	json_object_object_add(record, "last", json_object_new_int64(reader.last_piece_at_ms));
+	json_object_object_add(record, "error", json_object_new_string(reader.error));
+	record_put(clients->record, record);
+	if (!strcmp(outcome, "whole")) {
 		__atomic_add_fetch(&clients->completed, 1, __ATOMIC_RELAXED);
-	return !strcmp(outcome, "whole")                                      ? 0
-	       : !strcmp(outcome, "refused") || !strcmp(outcome, "unreached") ? 1
-									      : 2;
+		return REQUEST_COMPLETED;
+	}
+	if (!strcmp(outcome, "refused") || !strcmp(outcome, "unreached"))
+		return REQUEST_NOT_RUN;
+	return REQUEST_UNCLEAR;
 }
 
 static void *APR_THREAD_FUNC load_client_main(apr_thread_t *thread, void *arg)
--- a/emulator/machines.c
+++ b/emulator/machines.c
@@ -58,20 +58,16 @@
 	return machine;
 }
 
-static void write_settings(struct machine *machine)
+static const char *yes_no(int value)
 {
-	struct run *run = machine->run;
-	const struct timing_bounds *bounds = &run->bounds;
-	char path[800];
+	return value ? "true" : "false";
+}
+
+static void write_identity(FILE *out, const struct machine *machine)
+{
+	const struct run *run = machine->run;
 	int seeds = 0;
-	FILE *out;
 
-	snprintf(path, sizeof path, "%s/boot.toml", machine->folder);
-	out = fopen(path, "w");
-	if (!out) {
-		fprintf(stderr, "notchlug-emulator: %s: %s\n", path, strerror(errno));
-		exit(1);
-	}
 	fprintf(
 	    out,
 	    "NodeName = \"%s\"\nRole = \"%s\"\nMachineClass = \"%s\"\nServedRoles = [\"%s\"]\nIpAddress = \"%s\"\nZone = \"%s\"\nRegion = \"%s\"\n",
@@ -84,16 +80,21 @@
 	fprintf(
 	    out,
 	    "]\nInitialStart = %s\nLossCounted = %s\nDiscoverySource = \"platform\"\nEntryType = \"vip\"\nBeatIntervalMs = 1200\n",
-	    machine->start_count || run->traffic_started_at_ms >= 0 ? "false" : "true",
-	    machine->is_core ? "true" : "false");
+	    yes_no(!machine->start_count && run->traffic_started_at_ms < 0), yes_no(machine->is_core));
 	fprintf(
 	    out,
 	    "ContractList = [\"base\",\"drain\",\"config\",\"cost\",\"retry\",\"recover\",\"kvcache\",\"stream\",\"engine\",\"tenants\"]\n");
 	if (machine->is_core)
 		fprintf(out, "DataPath = \"%s/data\"\n", machine->folder);
+}
+
+static void write_addresses(FILE *out, const struct machine *machine)
+{
+	const struct sheet *sheet = machine->run->sheet;
+
 	fprintf(out, "[Zones]\n");
 	for (int i = 0; i < 4; i++)
-		fprintf(out, "%s = \"%s\"\n", run->sheet->zone[i], run->sheet->region);
+		fprintf(out, "%s = \"%s\"\n", sheet->zone[i], sheet->region);
 	fprintf(out, "[ListenAddrs]\n");
 	if (machine->is_core)
 		fprintf(out, "ControlAddr = \"%s\"\n", machine->control_address);
@@ -104,6 +105,10 @@
 	    out,
 	    "[Limits]\nCpuQuota = 0.25\nCoreCount = 1\nMemoryMb = 260\nMaxFds = 4100\nLinkMbps = 1000.0\nDiskMb = %d\n",
 	    machine->is_core ? 128 : 0);
+}
+
+static void write_bounds(FILE *out, const struct timing_bounds *bounds)
+{
 	fprintf(
 	    out,
 	    "[Tolerance]\nMachineLosses = 1\nZones = 0\nRegionLosses = 0\n[TimingBounds]\nSeedLagS = 3\nAddressReuseS = 2\n");
@@ -122,10 +127,27 @@
 	    out,
 	    "RetryBudgetSlack = %lld\nRecoveryS = %lld\nTransitMs = %lld\nFenceChecked = %s\nLeaseMs = %lld\nThawSlackMs = %lld\nVersionMs = %lld\n",
 	    (long long)bounds->retry_slack, (long long)bounds->recovery_ms / 1000,
-	    (long long)bounds->transit_ms, bounds->fence_checked ? "true" : "false",
-	    (long long)bounds->lease_ms, (long long)bounds->thaw_slack_ms, (long long)bounds->version_ms);
+	    (long long)bounds->transit_ms, yes_no(bounds->fence_checked), (long long)bounds->lease_ms,
+	    (long long)bounds->thaw_slack_ms, (long long)bounds->version_ms);
+}
+
+/* Write the settings file of a machine, and make its folder for data. */
+static void write_settings(struct machine *machine)
+{
+	char path[800];
+	FILE *out;
+
+	snprintf(path, sizeof path, "%s/boot.toml", machine->folder);
+	out = fopen(path, "w");
+	if (!out) {
+		fprintf(stderr, "notchlug-emulator: %s: %s\n", path, strerror(errno));
+		exit(1);
+	}
+	write_identity(out, machine);
+	write_addresses(out, machine);
+	write_bounds(out, &machine->run->bounds);
 	fprintf(out, "[PlatformApi]\nAddress = \"%s\"\nRatePerS = 47.0\nDutyList = []\nMaxLagMs = 800\n",
-		run->list_address);
+		machine->run->list_address);
 	fclose(out);
 	snprintf(path, sizeof path, "%s/data", machine->folder);
 	if (machine->is_core)
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -1,334 +1,165 @@
-/* A model server's batch: works wait, move, are read and written by steps; loads of weights; what goes out to
- * callers. Requests put works in; a timer makes the steps. */
-#include <stdlib.h>
+/* A model server's batch: works wait, fetch blocks, are prefilled and decoded step by step; weights are
+ * loaded. Requests put works in; a timer makes the steps. Always: a work stands in the queue or in the batch,
+ * never in both, and what runs fits the server's KV capacity but for a single work. */
 #include <string.h>
 
 #include "containers.h"
 #include "model_server_internal.h"
 
-static void on_step(void *ctx);
-
-static void work_free(struct work *work)
-{
-	for (int i = 0; i < arrlen(work->names); i++)
-		free(work->names[i]);
-	arrfree(work->names);
-	arrfree(work->blocks);
-	arrfree(work->used_blocks);
-	free(work);
-}
-
-static void release(struct work *work)
-{
-	for (int i = 0; i < arrlen(work->blocks); i++)
-		if (work->blocks[i].is_hit) {
-			struct prompt_block *block = find_block(work->server, work->salt, work->blocks[i].id);
-
-			if (block && block->refs > 0)
-				block->refs--;
-			if (block)
-				block->used_at_us = loop_us();
-			work->blocks[i].is_hit = 0;
-		}
-}
+/* A model server's batch: works wait, move, are read and written by steps; loads of weights; what goes out to
+ * callers. Requests put works in; a timer makes the steps. */
+#include <stdlib.h>
 
-static void remove_entry(struct work ***list, struct work *work)
-{
-	for (int i = 0; i < arrlen(*list); i++)
-		if ((*list)[i] == work) {
-			arrdel(*list, i);
-			return;
-		}
-}
+static void on_step(void *ctx);
 
-void work_end(struct work *work, int how, int status)
+void resume_steps(struct server *server)
 {
-	struct server *server = work->server;
-
-	release(work);
-	remove_entry(&server->batch, work);
-	remove_entry(&server->queue, work);
-	if (work->conn)
-		conn_set_tag(work->conn, NULL);
-	if (server->fleet->checker)
-		checker_record_end(server->fleet->checker, fleet_ms(server->fleet), work->run_id, how, status,
-				   work->body, work->sent_id);
-	work_free(work);
+	if (!server->step_timer && server->state != STATE_DOWN && !server->fault.is_silent) {
+		server->next_step_at_us = loop_us();
+		server->step_timer = loop_after(server->fleet->loop, 0, on_step, server);
+	}
 }
 
-void response_fields(struct server *server, const char *id, char *buffer, size_t n)
+/* A part serves a request: after a clearing it is one that was read since. */
+static void count_block_use(struct server_fleet *settings, const struct prompt_block *block)
 {
-	snprintf(buffer, n, "%s%s%sX-Notchlug-Server-Load: %d,%d,%d\r\nX-Notchlug-Weight-Versions: %d\r\n%s",
-		 id ? "X-Notchlug-Attempt-Id: " : "", id ? id : "", id ? "\r\n" : "",
-		 (int)arrlen(server->batch), (int)arrlen(server->queue), server->fleet->engine.slots,
-		 server->version, server->fleet->engine.idle_ms >= 1000 ? "Keep-Alive: timeout=" : "");
-	if (server->fleet->engine.idle_ms >= 1000)
-		snprintf(buffer + strlen(buffer), n - strlen(buffer), "%d\r\n",
-			 server->fleet->engine.idle_ms / 1000);
+	if (!settings->purge_due_at_us || loop_us() < settings->purge_due_at_us)
+		return;
+	if (block->created_at_us < settings->purge_requested_at_us)
+		settings->old_blocks_used++;
+	else
+		settings->new_blocks_used++;
 }
 
-int keeps_connection(struct server *server)
+/* The work uses a block of this maker and version: the checker is told when it starts. */
+static void note_reuse(struct work *work, int version, const char *tenant)
 {
-	return server->state == STATE_UP && emulator_random_unit(&server->fleet->rng) >= server->fault.close;
-}
+	struct reused_block record;
 
-void reject_request(struct server *server, struct conn *conn, int run, const char *id, int status)
-{
-	char b[600];
-
-	server->fleet->rejected++;
-	response_fields(server, id, b, sizeof b);
-	snprintf(b + strlen(b), sizeof b - strlen(b), "X-Notchlug-Not-Executed: 1\r\n");
-	if (server->fleet->checker && run >= 0)
-		checker_record_rejection(server->fleet->checker, run, status);
-	conn_answer(conn, status, b, "", 0, keeps_connection(server));
+	record.version = version;
+	arrput(work->names, strdup(tenant));
+	record.tenant = arrlast(work->names);
+	arrput(work->used_blocks, record);
 }
 
-static void work_reject(struct work *work, int status)
+/* Use what the server itself has cached of the prompt; the index of the first block that is missing. */
+static int reuse_own_blocks(struct work *work)
 {
 	struct server *server = work->server;
-	struct conn *conn = work->conn;
-	int run = work->run_id;
-	char id[64];
-
-	snprintf(id, sizeof id, "%s", work->id);
-	release(work);
-	remove_entry(&server->batch, work);
-	remove_entry(&server->queue, work);
-	if (conn)
-		conn_set_tag(conn, NULL);
-	work_free(work);
-	if (conn)
-		reject_request(server, conn, run, id, status);
-	else if (server->fleet->checker && run >= 0)
-		checker_record_rejection(server->fleet->checker, run, status);
-}
+	int i = 0;
 
-static void send_head(struct work *work, int status)
-{
-	char b[600];
+	for (; i < arrlen(work->blocks); i++) {
+		struct prompt_block *block = find_block(server, work->salt, work->blocks[i].id);
 
-	if (work->head_sent)
-		return;
-	work->head_sent = 1;
-	work->announced_version = work->server->version;
-	response_fields(work->server, work->id, b, sizeof b);
-	if (!work->lose_answer)
-		conn_writef(
-		    work->conn,
-		    "HTTP/1.1 %d OK\r\n%sX-Notchlug-Server-Seal: %d.%08x\r\nContent-Type: text/event-stream\r\n"
-		    "Transfer-Encoding: chunked\r\n%s\r\n",
-		    status, b, work->run_id, (unsigned)work->seed,
-		    work->close ? "Connection: close\r\n" : "");
+		if (!block)
+			break;
+		block->refs++;
+		block->used_at_us = loop_us();
+		count_block_use(server->fleet, block);
+		work->blocks[i].is_hit = 1;
+		note_reuse(work, block->version, block->tenant);
+		work->remaining_tokens -=
+		    block->tokens < work->blocks[i].tokens ? block->tokens : work->blocks[i].tokens;
+		server->fleet->cached_tokens += (uint64_t)block->tokens;
+		if (block->tokens < work->blocks[i].tokens)
+			break;
+	}
+	return i;
 }
 
-/* 0: the work is over */
-static int send_event(struct work *work)
+/* How many complete blocks from the index on another server has, and their tokens in *moved. */
+static int count_blocks_at(struct server *from, const struct work *work, int first, int64_t *moved)
 {
-	char b[300], v[60] = "";
-	int n;
+	int n = 0;
 
-	send_head(work, 200);
-	if (work->announced_version != work->server->version) {
-		work->announced_version = work->server->version;
-		snprintf(v, sizeof v, "x-notchlug-weight-versions: %d\n", work->announced_version);
-	}
-	if (work->break_at && work->sent_id >= work->break_at) {
-		struct conn *conn = work->conn;
-		int reset = emulator_random_unit(&work->server->fleet->rng) < 0.5;
+	for (int k = first; k < arrlen(work->blocks); k++) {
+		struct prompt_block *block = find_block(from, work->salt, work->blocks[k].id);
 
-		work_end(work, 0, 200);
-		conn_close(conn, reset);
-		return 0;
+		if (!block || block->tokens < work->blocks[k].tokens)
+			break;
+		n++;
+		*moved += block->tokens;
 	}
-	work->sent_id++;
-	n = snprintf(b, sizeof b, "%sid: %d\ndata: %d %d %lld %08llx\n\n", v, work->sent_id, work->run_id,
-		     work->sent_id, (long long)loop_us(),
-		     (unsigned long long)(work->seed * (uint64_t)work->sent_id) & 0xffffffff);
-	if (!work->lose_answer)
-		conn_writef(work->conn, "%x\r\n%s\r\n", (unsigned)n, b);
-	return 1;
+	return n;
 }
 
-void send_surplus(struct server *server)
+static void copy_block(struct work *work, struct requested_block *requested, struct server *from, int64_t now)
 {
-	char f[600];
-
-	loop_cancel(server->fleet->loop, server->surplus_timer);
-	server->surplus_timer = 0;
-	conn_set_tag(server->surplus_conn, NULL);
-	response_fields(server, server->surplus_id, f, sizeof f);
-	conn_writef(server->surplus_conn, "HTTP/1.1 200 OK\r\n%sContent-Length: 4\r\n\r\nlate", f);
+	struct server *server = work->server;
+	struct prompt_block *block = find_block(from, work->salt, requested->id), *own;
+	int64_t created_at_us;
+	char tenant[48];
+	int version;
+
+	/* storing may move the array that block stands in */
+	snprintf(tenant, sizeof tenant, "%s", block->tenant);
+	version = block->version;
+	block->used_at_us = now;
+	count_block_use(server->fleet, block);
+	created_at_us = block->created_at_us;
+	own = find_block(server, work->salt, requested->id);
+	if (!own) {
+		own = store_block(server, work->salt, requested->id, requested->tokens, version, tenant);
+		own->created_at_us = created_at_us;
+	}
+	if (requested->is_hit)
+		return;
+	own->refs++;
+	requested->is_hit = 1;
+	note_reuse(work, version, tenant);
+	work->remaining_tokens -= requested->tokens;
 }
 
-static void on_surplus_timer(void *ctx)
+static struct server *server_by_address(const struct server_fleet *fleet, const char *address)
 {
-	struct server *server = ctx;
+	struct server *found = NULL;
 
-	server->surplus_timer = 0;
-	if (conn_is_alive(server->fleet->loop, server->surplus_conn) &&
-	    conn_tag(server->surplus_conn) == server)
-		send_surplus(server);
+	for (int k = 0; k < arrlen(fleet->servers); k++)
+		if (!strcmp(fleet->servers[k]->address, address))
+			found = fleet->servers[k];
+	return found;
 }
 
-static void work_complete(struct work *work)
+/* Fetch blocks from the index on from the server that the request names. The link carries one fetch after the
+ * other; one that would wait longer than two seconds is given up. */
+static void fetch_blocks(struct work *work, int first)
 {
-	struct server *server = work->server;
-	struct conn *conn = work->conn;
-	int close = work->close || !keeps_connection(server), surplus = work->surplus,
-	    lost = work->lose_answer, status = 200;
-	char f[700], body[80], id[64];
-
-	snprintf(id, sizeof id, "%s", work->id);
-	if (work->is_plain) {
-		status = work->grey ? 500 : 200;
-		response_fields(server, work->id, f, sizeof f);
-		snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n",
-			 work->run_id, (unsigned)work->seed);
-		snprintf(body, sizeof body, "%d %08x %d", work->run_id, (unsigned)work->seed, status);
-		work->body = emulator_hash(0, body, strlen(body));
-	}
-	{
-		int plain = work->is_plain;
-
-		if (!plain && !lost)
-			conn_write(conn, "0\r\n\r\n", 5);
-		work_end(work, lost ? 0 : 1, status);
-		if (lost && conn)
-			conn_close(conn, 0);
-		else if (lost)
-			;
-		else if (plain)
-			conn_answer(conn, status, f, body, strlen(body), !close);
-		else
-			conn_finish_response(conn, !close);
-	}
-	if (surplus && !lost && !close &&
-	    !server->surplus_timer) { /* bytes behind a whole answer, at once or a little later */
-		snprintf(server->surplus_id, sizeof server->surplus_id, "%s", id);
-		server->surplus_conn = conn;
-		if (emulator_random_unit(&server->fleet->rng) < 0.5) {
-			send_surplus(server);
-		} else { /* in the slot where the next one is due, if that comes sooner */
-			conn_set_tag(conn, server);
-			server->surplus_timer = loop_after(
-			    server->fleet->loop, ms_us(5 + 200 * emulator_random_unit(&server->fleet->rng)),
-			    on_surplus_timer, server);
-		}
-	}
-}
+	struct server *server = work->server, *from = server_by_address(server->fleet, work->source);
+	const struct engine *engine = &server->fleet->engine;
+	int64_t now = loop_us(), moved = 0;
+	int64_t wait = server->transfer_free_at_us > now ? server->transfer_free_at_us - now : 0;
+	double us;
+	int n;
 
-void resume_steps(struct server *server)
-{
-	if (!server->step_timer && server->state != STATE_DOWN && !server->fault.is_silent) {
-		server->next_step_at_us = loop_us();
-		server->step_timer = loop_after(server->fleet->loop, 0, on_step, server);
+	work->state = WORK_FETCHING;
+	if (!from || from->state == STATE_DOWN || from->fault.is_silent) {
+		work->transfer_done_at_us = now + ms_us(300);
+		return;
 	}
-}
-
-/* A part serves a request: after a clearing it is one that was read since. */
-static void count_block_use(struct server_fleet *settings, const struct prompt_block *block)
-{
-	if (!settings->purge_due_at_us || loop_us() < settings->purge_due_at_us)
+	n = count_blocks_at(from, work, first, &moved);
+	if (!n || wait > ms_us(2000)) {
+		work->transfer_done_at_us = now + ms_us(1);
 		return;
-	if (block->created_at_us < settings->purge_requested_at_us)
-		settings->old_blocks_used++;
-	else
-		settings->new_blocks_used++;
+	}
+	us = (double)moved * engine->kv_bytes_per_token * 8 / engine->link_mbps *
+	     (strcmp(from->zone, server->zone) ? 2 : 1);
+	work->transfer_done_at_us = now + wait + ms_us(engine->setup_ms) + (int64_t)us;
+	server->transfer_free_at_us = work->transfer_done_at_us;
+	for (int k = first; k < first + n; k++)
+		copy_block(work, &work->blocks[k], from, now);
+	server->fleet->fetched_tokens += (uint64_t)moved;
 }
 
-/* What it keeps of the prompt, and what another keeps beyond. */
+/* Use what the server has cached of the prompt, and fetch what its source has beyond that. */
 static void reuse_blocks(struct work *work)
 {
-	struct server *server = work->server, *from = NULL;
-	int64_t moved = 0;
-	int i = 0;
+	int missing;
 
 	work->remaining_tokens = work->prompt_tokens + work->generated_tokens;
-	for (; i < arrlen(work->blocks); i++) {
-		struct prompt_block *block = find_block(server, work->salt, work->blocks[i].id);
-		struct reused_block record;
-
-		if (!block)
-			break;
-		block->refs++;
-		block->used_at_us = loop_us();
-		count_block_use(server->fleet, block);
-		work->blocks[i].is_hit = 1;
-		record.version = block->version;
-		arrput(work->names, strdup(block->tenant));
-		record.tenant = arrlast(work->names);
-		arrput(work->used_blocks, record);
-		work->remaining_tokens -=
-		    block->tokens < work->blocks[i].tokens ? block->tokens : work->blocks[i].tokens;
-		server->fleet->cached_tokens += (uint64_t)block->tokens;
-		if (block->tokens < work->blocks[i].tokens)
-			break;
-	}
+	missing = reuse_own_blocks(work);
 	work->state = WORK_PREFILL;
-	if (work->source[0] && !work->has_started && i < arrlen(work->blocks)) {
-		int64_t now = loop_us(),
-			wait = server->transfer_free_at_us > now ? server->transfer_free_at_us - now : 0;
-		int n = 0;
-
-		for (int k = 0; k < arrlen(server->fleet->servers); k++)
-			if (!strcmp(server->fleet->servers[k]->address, work->source))
-				from = server->fleet->servers[k];
-		work->state = WORK_FETCHING;
-		if (!from || from->state == STATE_DOWN || from->fault.is_silent) {
-			work->transfer_done_at_us = now + ms_us(300);
-		} else {
-			for (int k = i; k < arrlen(work->blocks); k++) {
-				struct prompt_block *block = find_block(from, work->salt, work->blocks[k].id);
-
-				if (!block || block->tokens < work->blocks[k].tokens)
-					break;
-				n++;
-				moved += block->tokens;
-			}
-			if (!n || wait > ms_us(2000)) {
-				work->transfer_done_at_us = now + ms_us(1);
-			} else {
-				double us = (double)moved * server->fleet->engine.kv_bytes_per_token * 8 /
-					    server->fleet->engine.link_mbps *
-					    (strcmp(from->zone, server->zone) ? 2 : 1);
-
-				work->transfer_done_at_us =
-				    now + wait + ms_us(server->fleet->engine.setup_ms) + (int64_t)us;
-				server->transfer_free_at_us = work->transfer_done_at_us;
-				for (int k = i; k < i + n; k++) {
-					struct prompt_block *block = find_block(from, work->salt,
-										work->blocks[k].id),
-							    *own;
-					struct reused_block record;
-					int64_t born;
-					char tenant[48];
-
-					snprintf(tenant, sizeof tenant, "%s", block->tenant);
-					record.version = block->version;
-					block->used_at_us = now;
-					count_block_use(server->fleet, block);
-					born = block->created_at_us;
-					own = find_block(server, work->salt, work->blocks[k].id);
-					if (!own) {
-						own = store_block(server, work->salt, work->blocks[k].id,
-								  work->blocks[k].tokens, record.version,
-								  tenant);
-						own->created_at_us = born;
-					}
-					if (work->blocks[k].is_hit)
-						continue;
-					own->refs++;
-					work->blocks[k].is_hit = 1;
-					arrput(work->names, strdup(tenant));
-					record.tenant = arrlast(work->names);
-					arrput(work->used_blocks, record);
-					work->remaining_tokens -= work->blocks[k].tokens;
-				}
-				server->fleet->fetched_tokens += (uint64_t)moved;
-			}
-		}
-	}
+	if (work->source[0] && !work->has_started && missing < arrlen(work->blocks))
+		fetch_blocks(work, missing);
 	if (work->remaining_tokens < 1)
 		work->remaining_tokens = 1;
 }
@@ -338,8 +169,8 @@
 {
 	struct server *server = work->server;
 
-	release(work);
-	remove_entry(&server->batch, work);
+	work_release_blocks(work);
+	work_remove(&server->batch, work);
 	work->state = WORK_QUEUED;
 	arrins(server->queue, 0, work);
 }
@@ -381,7 +212,7 @@
 			preempt(x);
 			continue;
 		}
-		remove_entry(&server->queue, work);
+		work_remove(&server->queue, work);
 		arrput(server->batch, work);
 		reuse_blocks(work);
 	}
@@ -474,7 +305,7 @@
 	if (!work->is_plain && (work->generated_tokens == 1 ||
 				work->generated_tokens % server->fleet->engine.token_stride == 0 ||
 				work->generated_tokens >= work->output_tokens)) {
-		if (work->sent_id < work->last_id && !send_event(work))
+		if (work->sent_id < work->last_id && !work_send_event(work))
 			return;
 	}
 	if (work->generated_tokens >= work->output_tokens ||
@@ -519,21 +350,15 @@
 		       load_done, server);
 }
 
-/* One step of the batch: what the last one did comes out, and the next one begins. */
-static void on_step(void *ctx)
+/* What the last step did comes out: prompts that were read, tokens that were generated. */
+static void finish_step(struct server *server)
 {
-	struct server *server = ctx;
-	struct work **now = NULL;
-	int read = 0, busy = 0;
-	double ms;
+	struct work **batch = NULL; /* a work may end, and leave the batch, on the way */
 
-	server->step_timer = 0;
-	if (server->state == STATE_DOWN || server->fault.is_silent)
-		return;
 	for (int i = 0; i < arrlen(server->batch); i++)
-		arrput(now, server->batch[i]);
-	for (int i = 0; i < arrlen(now); i++) {
-		struct work *work = now[i];
+		arrput(batch, server->batch[i]);
+	for (int i = 0; i < arrlen(batch); i++) {
+		struct work *work = batch[i];
 
 		if (work->state == WORK_FETCHING && loop_us() >= work->transfer_done_at_us)
 			work->state = WORK_PREFILL;
@@ -546,83 +371,123 @@
 				one_token(work);
 			}
 		} else if (work->state == WORK_DECODE) {
-			if (server->load_timer && server->load_method != 2)
+			if (server->load_timer && server->load_method != LOAD_RETAIN)
 				continue;
 			one_token(work);
 		}
 	}
-	arrfree(now);
-	now = NULL;
+	arrfree(batch);
+}
+
+/* A work whose deadline has passed is answered with 504, or cut off if its answer has begun. */
+static void end_late_work(struct work *work)
+{
+	struct server *server = work->server;
+	struct conn *conn = work->conn;
+	int head_sent = work->head_sent;
+	char fields[700];
+
+	response_fields(server, work->id, fields, sizeof fields);
+	snprintf(fields + strlen(fields), sizeof fields - strlen(fields),
+		 "X-Notchlug-Server-Seal: %d.%08x\r\n", work->run_id, (unsigned)work->seed);
+	work->body = emulator_hash(0, "late", 4);
+	work_end(work, head_sent ? 0 : 1, 504);
+	if (conn && head_sent)
+		conn_close(conn, 0);
+	else if (conn)
+		conn_answer(conn, 504, fields, "late", 4, keeps_connection(server));
+}
+
+static void end_late_works(struct server *server)
+{
+	struct work **works = NULL;
+
 	for (int i = 0; i < arrlen(server->batch); i++)
-		arrput(now, server->batch[i]);
+		arrput(works, server->batch[i]);
 	for (int i = 0; i < arrlen(server->queue); i++)
-		arrput(now, server->queue[i]);
-	for (int i = 0; i < arrlen(now); i++) {
-		struct work *work = now[i];
-
-		if (loop_us() < work->deadline_us)
+		arrput(works, server->queue[i]);
+	for (int i = 0; i < arrlen(works); i++) {
+		if (loop_us() < works[i]->deadline_us)
 			continue;
-		if (!work->has_started) {
-			work_reject(work, 503);
-		} else {
-			struct conn *c = work->conn;
-			int head = work->head_sent;
-			char f[700];
-
-			response_fields(server, work->id, f, sizeof f);
-			snprintf(f + strlen(f), sizeof f - strlen(f), "X-Notchlug-Server-Seal: %d.%08x\r\n",
-				 work->run_id, (unsigned)work->seed);
-			work->body = emulator_hash(0, "late", 4);
-			work_end(work, head ? 0 : 1, 504);
-			if (!c)
-				;
-			else if (head)
-				conn_close(c, 0);
-			else
-				conn_answer(c, 504, f, "late", 4, keeps_connection(server));
-		}
+		if (works[i]->has_started)
+			end_late_work(works[i]);
+		else
+			work_reject(works[i], 503);
 	}
-	arrfree(now);
-	if (is_loading_weights(server)) {
-		for (int i = arrlen(server->queue) - 1; i >= 0;
-		     i--) /* what has begun and was put back ends first */
-			if (!server->queue[i]->has_started)
-				work_reject(server->queue[i], 503);
-		for (int i = arrlen(server->batch) - 1; i >= 0; i--)
-			if (!server->batch[i]->has_started)
-				work_reject(server->batch[i], 503);
-		if (!server->load_timer && server->load_method != 2)
-			admit(server);
-		if (!server->load_timer &&
-		    ((!arrlen(server->batch) && !arrlen(server->queue)) || server->load_method == 2))
-			load_begin(server);
-		if (server->load_timer && server->load_method == 2) {
-			server->step_timer = loop_after(server->fleet->loop, ms_us(20), on_step, server);
-			return;
-		}
-	} else {
+	arrfree(works);
+}
+
+/* While weights are to be loaded, only what has started goes on; then the load begins. 1: no step is made
+ * meanwhile. */
+static int go_on_loading(struct server *server)
+{
+	for (int i = (int)arrlen(server->queue) - 1; i >= 0; i--) /* what was preempted ends first */
+		if (!server->queue[i]->has_started)
+			work_reject(server->queue[i], 503);
+	for (int i = (int)arrlen(server->batch) - 1; i >= 0; i--)
+		if (!server->batch[i]->has_started)
+			work_reject(server->batch[i], 503);
+	if (!server->load_timer && server->load_method != LOAD_RETAIN)
 		admit(server);
-	}
-	while (used_tokens(server) > kv_capacity(server) && arrlen(server->batch) > 1)
-		preempt(least_urgent(server));
+	if (!server->load_timer &&
+	    ((!arrlen(server->batch) && !arrlen(server->queue)) || server->load_method == LOAD_RETAIN))
+		load_begin(server);
+	if (!server->load_timer || server->load_method != LOAD_RETAIN)
+		return 0;
+	server->step_timer = loop_after(server->fleet->loop, ms_us(20), on_step, server);
+	return 1;
+}
+
+/* Divide the next step's prompt tokens among the batch; how many there are. */
+static int plan_prefill(struct server *server)
+{
+	int read = 0;
+
 	for (int i = 0; i < arrlen(server->batch); i++) {
 		struct work *work = server->batch[i];
 		int n = server->fleet->engine.chunk_tokens - read;
 
-		busy++;
 		if (work->state != WORK_PREFILL || n <= 0)
 			continue;
 		work->step_read = work->remaining_tokens < n ? work->remaining_tokens : n;
 		read += work->step_read;
 	}
-	if (!busy && !arrlen(server->queue))
-		return;
-	ms = (server->fleet->engine.step_ms + server->fleet->engine.per_slot_ms * busy +
-	      read / server->fleet->engine.prefill_tokens_per_ms) *
-		 server->speed * (server->fault.slow > 0 ? server->fault.slow : 1) +
-	     server->stall_ms;
+	return read;
+}
+
+static double step_duration_ms(struct server *server, int read)
+{
+	const struct engine *engine = &server->fleet->engine;
+	double ms = (engine->step_ms + engine->per_slot_ms * (int)arrlen(server->batch) +
+		     read / engine->prefill_tokens_per_ms) *
+			server->speed * (server->fault.slow > 0 ? server->fault.slow : 1) +
+		    server->stall_ms;
+
 	server->stall_ms = 0;
-	server->next_step_at_us += ms_us(ms);
+	return ms;
+}
+
+/* One step of the batch: what the last one did comes out, and the next one begins. */
+static void on_step(void *ctx)
+{
+	struct server *server = ctx;
+	int read;
+
+	server->step_timer = 0;
+	if (server->state == STATE_DOWN || server->fault.is_silent)
+		return;
+	finish_step(server);
+	end_late_works(server);
+	if (!is_loading_weights(server))
+		admit(server);
+	else if (go_on_loading(server))
+		return;
+	while (used_tokens(server) > kv_capacity(server) && arrlen(server->batch) > 1)
+		preempt(least_urgent(server));
+	read = plan_prefill(server);
+	if (!arrlen(server->batch) && !arrlen(server->queue))
+		return;
+	server->next_step_at_us += ms_us(step_duration_ms(server, read));
 	if (server->next_step_at_us < loop_us() - ms_us(20))
 		server->next_step_at_us = loop_us() - ms_us(20); /* a late process does not hurry for ever */
 	server->step_timer = loop_after(
--- a/emulator/model_server_http.c
+++ b/emulator/model_server_http.c
@@ -29,44 +29,132 @@
 	return sum;
 }
 
+/* A request's header fields as far as they decide whether it is admitted. */
+struct token_counts {
+	int is_given; /* else it is a plain request */
+	int prompt;
+	int output;
+};
+
+static struct token_counts token_counts(const struct http_message *message)
+{
+	struct token_counts counts = { 0, 0, 1 };
+	const char *field = http_message_field(message, "X-Notchlug-Token-Count");
+
+	counts.is_given = field != NULL;
+	if (field)
+		sscanf(field, "%d,%d", &counts.prompt, &counts.output);
+	return counts;
+}
+
+/* 0: the request is admitted; else the status with which it is rejected. */
+static int rejection_status(const struct server *server, const struct http_message *message,
+			    const struct token_counts *counts)
+{
+	const struct engine *engine = &server->fleet->engine;
+	const char *instance = http_message_field(message, "X-Notchlug-Target-Instance");
+	const char *version = http_message_field(message, "X-Notchlug-Expected-Version");
+
+	if (instance && strcmp(instance, server->instance))
+		return 421;
+	if (version && atoi(version) != server->version)
+		return 421;
+	if (!http_message_field(message, "X-Notchlug-Attempt-Id"))
+		return 400;
+	if (counts->prompt + counts->output > engine->kv_capacity_tokens || is_loading_weights(server) ||
+	    arrlen(server->queue) >= engine->queue_limit)
+		return 503;
+	return 0;
+}
+
+/* Record a request's arrival; its number, or -1 without a checker. */
+static int record_arrival(const struct server *server, const struct http_message *message,
+			  struct arrival_record *arrival)
+{
+	const struct server_fleet *fleet = server->fleet;
+	const char *last_event = http_message_field(message, "Last-Event-Id");
+
+	memset(arrival, 0, sizeof *arrival);
+	arrival->id = http_message_field(message, "X-Notchlug-Attempt-Id");
+	arrival->method = message->method;
+	arrival->path = message->target;
+	arrival->host = http_message_field(message, "Host");
+	arrival->tenant = http_message_field(message, "X-Notchlug-Tenant-Id");
+	arrival->service = server->service;
+	arrival->instance = server->instance;
+	arrival->body = emulator_hash(0, message->body ? message->body : "", message->body_length);
+	arrival->server = server->index;
+	arrival->last_event = last_event ? atoi(last_event) : 0;
+	return fleet->checker ? checker_record_arrival(fleet->checker, fleet_ms(fleet), arrival) : -1;
+}
+
+static void copy_field(const struct http_message *message, const char *name, char *to, size_t size)
+{
+	const char *field = http_message_field(message, name);
+
+	if (field)
+		snprintf(to, size, "%s", field);
+}
+
+static void read_fields(struct work *work, const struct http_message *message)
+{
+	const char *priority = http_message_field(message, "X-Notchlug-Priority-Level");
+	const char *remaining = http_message_field(message, "X-Notchlug-Deadline-Remaining");
+	int sum;
+
+	copy_field(message, "X-Notchlug-Cache-Salt", work->salt, sizeof work->salt);
+	copy_field(message, "X-Notchlug-Kv-Source", work->source, sizeof work->source);
+	copy_field(message, "X-Notchlug-Kv-Sink", work->offload_target, sizeof work->offload_target);
+	work->priority = priority ? atoi(priority) : 5;
+	work->deadline_us = loop_us() + ms_us(remaining ? atof(remaining) : 60000);
+	sum = read_parts(work, http_message_field(message, "X-Notchlug-Prompt-Prefix"));
+	if (sum > work->prompt_tokens)
+		work->prompt_tokens = sum;
+}
+
+/* How long the answer gets depends on what was asked, so that another server takes it up in the same place.
+ */
+static void plan_answer(struct work *work, int output, int last_event)
+{
+	int stride = work->server->fleet->engine.token_stride;
+
+	if (work->is_plain) {
+		work->output_tokens = 1;
+		return;
+	}
+	work->output_tokens = output - (int)(work->seed % (uint64_t)(output / 2 + 1));
+	work->last_id = 1 + work->output_tokens / stride;
+	work->sent_id = last_event < work->last_id ? last_event : work->last_id;
+	work->generated_tokens = last_event ? last_event * stride : 0;
+	if (work->generated_tokens >= work->output_tokens)
+		work->generated_tokens = work->output_tokens - 1;
+}
+
+/* Draw which faults of the server this answer has; always as many draws. */
+static void draw_faults(struct work *work)
+{
+	const struct server_fault *fault = &work->server->fault;
+	uint64_t *rng = &work->server->fleet->rng;
+
+	work->close = !keeps_connection(work->server);
+	work->lose_answer = emulator_random_unit(rng) < fault->lost;
+	work->garbage = emulator_random_unit(rng) < fault->garbage;
+	work->surplus = emulator_random_unit(rng) < fault->surplus;
+	work->grey = emulator_random_unit(rng) < fault->grey;
+	if (emulator_random_unit(rng) < fault->broken && !work->is_plain && work->last_id > work->sent_id + 1)
+		work->break_at = work->sent_id + 1;
+}
+
 static void run_request(struct server *server, struct conn *conn, struct http_message *message)
 {
-	const char *id = http_message_field(message, "X-Notchlug-Attempt-Id"), *v,
-		   *host = http_message_field(message, "Host");
+	struct token_counts counts = token_counts(message);
 	struct arrival_record arrival;
+	int run = record_arrival(server, message, &arrival);
+	int status = rejection_status(server, message, &counts);
 	struct work *work;
-	int run = -1, away = 0, prompt = 0, out = 1, sum;
-	struct server_fleet *settings = server->fleet;
-
-	memset(&arrival, 0, sizeof arrival);
-	arrival.id = id;
-	arrival.method = message->method;
-	arrival.path = message->target;
-	arrival.host = host;
-	arrival.tenant = http_message_field(message, "X-Notchlug-Tenant-Id");
-	arrival.service = server->service;
-	arrival.instance = server->instance;
-	arrival.body = emulator_hash(0, message->body ? message->body : "", message->body_length);
-	arrival.server = server->index;
-	arrival.last_event = (v = http_message_field(message, "Last-Event-Id")) ? atoi(v) : 0;
-	if (settings->checker)
-		run = checker_record_arrival(settings->checker, fleet_ms(settings), &arrival);
-	v = http_message_field(message, "X-Notchlug-Target-Instance");
-	if (v && strcmp(v, server->instance))
-		away = 421;
-	v = http_message_field(message, "X-Notchlug-Expected-Version");
-	if (!away && v && atoi(v) != server->version)
-		away = 421;
-	if (!away && !id)
-		away = 400;
-	v = http_message_field(message, "X-Notchlug-Token-Count");
-	if (v)
-		sscanf(v, "%d,%d", &prompt, &out);
-	if (!away && (prompt + out > settings->engine.kv_capacity_tokens || is_loading_weights(server) ||
-		      arrlen(server->queue) >= settings->engine.queue_limit))
-		away = 503;
-	if (away) {
-		reject_request(server, conn, run, id, away);
+
+	if (status) {
+		reject_request(server, conn, run, arrival.id, status);
 		return;
 	}
 	work = calloc(1, sizeof *work);
@@ -74,45 +162,14 @@
 	work->conn = conn;
 	work->run_id = run;
 	work->queued_at_us = loop_us();
-	work->is_plain = !v;
-	work->prompt_tokens = prompt > 0 ? prompt : 1;
+	work->is_plain = !counts.is_given;
+	work->prompt_tokens = counts.prompt > 0 ? counts.prompt : 1;
 	work->seed = arrival.body;
-	snprintf(work->id, sizeof work->id, "%s", id);
+	snprintf(work->id, sizeof work->id, "%s", arrival.id);
 	snprintf(work->tenant, sizeof work->tenant, "%s", arrival.tenant ? arrival.tenant : "");
-	if ((v = http_message_field(message, "X-Notchlug-Cache-Salt")))
-		snprintf(work->salt, sizeof work->salt, "%s", v);
-	if ((v = http_message_field(message, "X-Notchlug-Kv-Source")))
-		snprintf(work->source, sizeof work->source, "%s", v);
-	if ((v = http_message_field(message, "X-Notchlug-Kv-Sink")))
-		snprintf(work->offload_target, sizeof work->offload_target, "%s", v);
-	v = http_message_field(message, "X-Notchlug-Priority-Level");
-	work->priority = v ? atoi(v) : 5;
-	v = http_message_field(message, "X-Notchlug-Deadline-Remaining");
-	work->deadline_us = loop_us() + ms_us(v ? atof(v) : 60000);
-	sum = read_parts(work, http_message_field(message, "X-Notchlug-Prompt-Prefix"));
-	if (sum > work->prompt_tokens)
-		work->prompt_tokens = sum;
-	if (work->is_plain) {
-		work->output_tokens = 1;
-	} else { /* how long an answer gets depends on what was asked, so that another server takes it up in
-		    the same place */
-		work->output_tokens = out - (int)(work->seed % (uint64_t)(out / 2 + 1));
-		work->last_id = 1 + work->output_tokens / settings->engine.token_stride;
-		work->first_id = work->sent_id =
-		    arrival.last_event < work->last_id ? arrival.last_event : work->last_id;
-		work->generated_tokens =
-		    arrival.last_event ? arrival.last_event * settings->engine.token_stride : 0;
-		if (work->generated_tokens >= work->output_tokens)
-			work->generated_tokens = work->output_tokens - 1;
-	}
-	work->close = !keeps_connection(server);
-	work->lose_answer = emulator_random_unit(&settings->rng) < server->fault.lost;
-	work->garbage = emulator_random_unit(&settings->rng) < server->fault.garbage;
-	work->surplus = emulator_random_unit(&settings->rng) < server->fault.surplus;
-	work->grey = emulator_random_unit(&settings->rng) < server->fault.grey;
-	if (emulator_random_unit(&settings->rng) < server->fault.broken && !work->is_plain &&
-	    work->last_id > work->sent_id + 1)
-		work->break_at = work->sent_id + 1;
+	read_fields(work, message);
+	plan_answer(work, counts.output, arrival.last_event);
+	draw_faults(work);
 	conn_set_tag(conn, work);
 	arrput(server->queue, work);
 	resume_steps(server);
@@ -170,85 +227,147 @@
 	json_answer(conn, 200, json, 1);
 }
 
-static void answer_load_command(struct server *server, struct conn *conn, struct http_message *message)
+/* A load command as it was read; texts are the JSON's. */
+struct load_command {
+	const char *operation;
+	const char *lease_owner; /* NULL: not given */
+	const char *model;
+	const char *method;
+	int64_t fence;
+	int64_t version;
+	int64_t expected_count;
+	int has_expected_count;
+};
+
+static const char *string_member(struct json_object *json, const char *name, const char *otherwise)
+{
+	struct json_object *value = NULL;
+
+	if (json_object_object_get_ex(json, name, &value) && json_object_is_type(value, json_type_string))
+		return json_object_get_string(value);
+	return otherwise;
+}
+
+static struct load_command read_load_command(struct json_object *json)
+{
+	struct load_command command = { "", NULL, "", "", -1, 0, 0, 0 };
+	struct json_object *value = NULL;
+
+	if (!json_object_is_type(json, json_type_object))
+		return command;
+	command.operation = string_member(json, "Operation", "");
+	command.lease_owner = string_member(json, "Holder", NULL);
+	command.model = string_member(json, "ModelName", "");
+	command.method = string_member(json, "Method", "");
+	if (json_object_object_get_ex(json, "FenceNumber", &value))
+		command.fence = json_object_get_int64(value);
+	if (json_object_object_get_ex(json, "ConfigVersion", &value))
+		command.version = json_object_get_int64(value);
+	command.has_expected_count = json_object_object_get_ex(json, "ExpectedCount", &value);
+	if (command.has_expected_count)
+		command.expected_count = json_object_get_int64(value);
+	return command;
+}
+
+static int is_valid_load_command(const struct server *server, const struct load_command *command)
+{
+	if (strcmp(command->operation, "ConfigVersion") || !command->lease_owner || command->fence < 0)
+		return 0;
+	if (strcmp(command->model, server->fleet->model))
+		return 0;
+	if (command->version < 1 || command->version > server->fleet->newest_version)
+		return 0;
+	return !strcmp(command->method, "hold") || !strcmp(command->method, "preempt") ||
+	       !strcmp(command->method, "retain");
+}
+
+/* The status of the answer; 0: no answer, and the command has no effect. */
+static int load_command_status(const struct server *server, const struct load_command *command,
+			       const char *instance)
+{
+	if (instance && strcmp(instance, server->instance))
+		return 421;
+	if (!is_valid_load_command(server, command))
+		return 400;
+	if (server->fleet->engine.fence_checked && command->fence < server->fence)
+		return 412;
+	if (command->has_expected_count && command->expected_count != server->call_seq)
+		return 409;
+	if (command->version == server->version && !is_loading_weights(server))
+		return 200;
+	if (is_loading_weights(server))
+		return command->version == server->loading_to ? 202 : 409;
+	return server->fault.refuses_loads ? 0 : 202;
+}
+
+/* Whether a command that arrives now may have been sent long ago: its sender was thawed lately, or the
+ * command lay unread while this server was silent. */
+static int may_be_old(const struct server *server)
 {
-	struct json_object *json = message->body ? json_tokener_parse(message->body) : NULL, *v = NULL;
-	const char *lease_owner = NULL, *op = "", *model = "", *method = "",
-		   *target = http_message_field(message, "X-Notchlug-Target-Instance");
-	int64_t fence = -1, version = 0;
-	struct load_command_record r;
-	int status;
-
-	if (json_object_is_type(json, json_type_object)) {
-		if (json_object_object_get_ex(json, "Operation", &v) &&
-		    json_object_is_type(v, json_type_string))
-			op = json_object_get_string(v);
-		if (json_object_object_get_ex(json, "Holder", &v) && json_object_is_type(v, json_type_string))
-			lease_owner = json_object_get_string(v);
-		if (json_object_object_get_ex(json, "ModelName", &v) &&
-		    json_object_is_type(v, json_type_string))
-			model = json_object_get_string(v);
-		if (json_object_object_get_ex(json, "Method", &v) && json_object_is_type(v, json_type_string))
-			method = json_object_get_string(v);
-		if (json_object_object_get_ex(json, "FenceNumber", &v))
-			fence = json_object_get_int64(v);
-		if (json_object_object_get_ex(json, "ConfigVersion", &v))
-			version = json_object_get_int64(v);
+	const struct server_fleet *fleet = server->fleet;
+	int64_t now = fleet_ms(fleet);
+
+	return (fleet->thawed_at_ms && now - fleet->thawed_at_ms < fleet->thaw_ms) ||
+	       (server->reading_resumed_at_ms && now - server->reading_resumed_at_ms < fleet->thaw_ms);
+}
+
+static void record_load_command(const struct server *server, const struct load_command *command, int status)
+{
+	struct load_command_record record;
+
+	if (!server->fleet->checker || status == 421 || status == 400)
+		return;
+	memset(&record, 0, sizeof record);
+	record.instance = server->instance;
+	record.lease_owner = command->lease_owner;
+	record.fence = command->fence;
+	record.status = status;
+	record.thawed = may_be_old(server);
+	checker_record_load_command(server->fleet->checker, fleet_ms(server->fleet), &record);
+}
+
+static void cut_off_batch(struct server *server)
+{
+	for (int i = (int)arrlen(server->batch) - 1; i >= 0; i--) {
+		struct work *work = server->batch[i];
+		struct conn *conn = work->conn;
+
+		if (!work->has_started)
+			continue;
+		work_end(work, 0, 200);
+		if (conn)
+			conn_close(conn, 1);
 	}
-	if (target && strcmp(target, server->instance))
-		status = 421;
-	else if (strcmp(op, "ConfigVersion") || !lease_owner || fence < 0 ||
-		 strcmp(model, server->fleet->model) || version < 1 ||
-		 version > server->fleet->newest_version ||
-		 (strcmp(method, "hold") && strcmp(method, "preempt") && strcmp(method, "retain")))
-		status = 400;
-	else if (server->fleet->engine.fence_checked && fence < server->fence)
-		status = 412;
-	else if (json_object_object_get_ex(json, "ExpectedCount", &v) &&
-		 json_object_get_int64(v) != server->call_seq)
-		status = 409;
-	else if (version == server->version && !is_loading_weights(server))
-		status = 200;
-	else if (is_loading_weights(server))
-		status = version == server->loading_to ? 202 : 409;
-	else if (server->fault.refuses_loads)
-		status = 0; /* no answer, and not taken */
+}
+
+static void accept_load_command(struct server *server, const struct load_command *command)
+{
+	server->call_seq++;
+	server->loading_to = (int)command->version;
+	if (!strcmp(command->method, "hold"))
+		server->load_method = LOAD_HOLD;
+	else if (!strcmp(command->method, "preempt"))
+		server->load_method = LOAD_PREEMPT;
 	else
-		status = 202;
-	if (server->fleet->checker && status != 421 && status != 400) {
-		memset(&r, 0, sizeof r);
-		r.instance = server->instance;
-		r.lease_owner = lease_owner;
-		r.fence = fence;
-		r.status = status;
-		/* its sender was thawed, or the order lay unread while this server was silent: it may have
-		 * been sent long ago */
-		r.thawed = (server->fleet->thawed_at_ms &&
-			    fleet_ms(server->fleet) - server->fleet->thawed_at_ms < server->fleet->thaw_ms) ||
-			   (server->reading_resumed_at_ms &&
-			    fleet_ms(server->fleet) - server->reading_resumed_at_ms < server->fleet->thaw_ms);
-		checker_record_load_command(server->fleet->checker, fleet_ms(server->fleet), &r);
-	}
+		server->load_method = LOAD_RETAIN;
+	if (server->load_method == LOAD_PREEMPT)
+		cut_off_batch(server);
+	resume_steps(server);
+}
+
+static void answer_load_command(struct server *server, struct conn *conn, struct http_message *message)
+{
+	struct json_object *json = message->body ? json_tokener_parse(message->body) : NULL;
+	struct load_command command = read_load_command(json);
+	int status =
+	    load_command_status(server, &command, http_message_field(message, "X-Notchlug-Target-Instance"));
+
+	record_load_command(server, &command, status);
 	server->fleet->load_commands++;
-	if ((status == 202 || status == 200) && fence > server->fence)
-		server->fence = fence;
-	if (status == 202 && !is_loading_weights(server)) {
-		server->call_seq++;
-		server->loading_to = (int)version;
-		server->load_method = !strcmp(method, "hold") ? 0 : !strcmp(method, "preempt") ? 1 : 2;
-		if (server->load_method == 1)
-			for (int i = arrlen(server->batch) - 1; i >= 0; i--) {
-				struct work *work = server->batch[i];
-				struct conn *work_conn = work->conn;
-
-				if (!work->has_started)
-					continue;
-				work_end(work, 0, 200);
-				if (work_conn)
-					conn_close(work_conn, 1);
-			}
-		resume_steps(server);
-	}
+	if ((status == 202 || status == 200) && command.fence > server->fence)
+		server->fence = command.fence;
+	if (status == 202 && !is_loading_weights(server))
+		accept_load_command(server, &command);
 	json_object_put(json);
 	if (!status)
 		conn_close(conn, 1);
--- a/emulator/model_server_internal.h
+++ b/emulator/model_server_internal.h
@@ -23,7 +23,7 @@
 	struct server *server;
 	struct conn *conn;
 	int run_id, priority, prompt_tokens, output_tokens, remaining_tokens, generated_tokens, has_started,
-	    first_id, sent_id, last_id, step_read, head_sent, version, announced_version, is_plain;
+	    sent_id, last_id, step_read, head_sent, version, announced_version, is_plain;
 	int break_at, lose_answer, grey, garbage, surplus, close;
 	int64_t queued_at_us, deadline_us, transfer_done_at_us;
 	enum work_state state;
@@ -79,4 +79,21 @@
 /* A connection is gone: its work ends, or goes on unheard. */
 void model_server_on_closed(void *ctx, struct conn *conn, enum conn_end how);
 
+/* ---- model_server_answers.c ---- */
+
+/* Give up the blocks that a work uses; they stay cached. */
+void work_release_blocks(struct work *work);
+
+/* Take a work out of a server's queue or batch, if it stands there. */
+void work_remove(struct work ***list, struct work *work);
+
+/* Answer that a work was not executed, and end it. */
+void work_reject(struct work *work, int status);
+
+/* 0: the work is over */
+int work_send_event(struct work *work);
+
+/* The answer is complete: end the work, with the faults that were drawn for it. */
+void work_complete(struct work *work);
+
 #endif
--- a/emulator/operator_documents.c
+++ b/emulator/operator_documents.c
@@ -25,19 +25,20 @@
 	return v ? json_object_get_string(v) : "";
 }
 
-static struct json_object *make_route(struct operator* operator, const char * name, const char *prefix,
-				      const struct traffic_class *class)
+static struct json_object *make_route(struct config_operator *config_operator, const char *name,
+				      const char *prefix, const struct traffic_class *class)
 {
 	struct json_object *r = json_object_new_object();
 
 	json_object_object_add(r, "Name", json_object_new_string(name));
-	json_object_object_add(r, "HostName", json_object_new_string(operator->run->sheet->host));
+	json_object_object_add(r, "HostName", json_object_new_string(config_operator->run->sheet->host));
 	json_object_object_add(r, "PathPrefix", json_object_new_string(prefix));
 	json_object_object_add(r, "RouteType", json_object_new_string("streaming"));
 	json_object_object_add(r, "TimeoutMs", json_object_new_int(class->deadline_ms));
 	json_object_object_add(r, "TargetMs", json_object_new_int(class->latency_target_ms));
 	json_object_object_add(r, "Priority", json_object_new_int(class->priority));
-	json_object_object_add(r, "ServiceName", json_object_new_string(operator->run->sheet->service));
+	json_object_object_add(r, "ServiceName",
+			       json_object_new_string(config_operator->run->sheet->service));
 	json_object_object_add(r, "MaxAttempts", json_object_new_int(class->attempts));
 	json_object_object_add(r, "PublicAccess", json_object_new_boolean(0));
 	json_object_object_add(r, "SessionAffinity", json_object_new_boolean(1));
@@ -61,17 +62,17 @@
 	return t;
 }
 
-struct json_object *operator_first_config(struct operator* operator)
+struct json_object *operator_first_config(struct config_operator *config_operator)
 {
-	struct run *run = operator->run;
+	struct run *run = config_operator->run;
 	struct json_object *j = json_object_new_object(), *a = json_object_new_array(), *s, *json, *ms, *m;
 	char name[48], at[48];
 
 	json_object_object_add(j, "ConfigVersion", json_object_new_int64(3));
 	for (int i = 0; i < CLASS_COUNT; i++) {
 		snprintf(name, sizeof name, "r-%d", i);
-		json_object_array_add(
-		    a, make_route(operator, name, run->sheet->classes[i].prefix, &run->sheet->classes[i]));
+		json_object_array_add(a, make_route(config_operator, name, run->sheet->classes[i].prefix,
+						    &run->sheet->classes[i]));
 	}
 	json_object_object_add(j, "RouteList", a);
 	a = json_object_new_array();
@@ -119,11 +120,13 @@
 	return j;
 }
 
-static int64_t draw_next_version(struct operator* operator)
+static int64_t draw_next_version(struct config_operator *config_operator)
 {
-	int64_t v = (operator->next_version > operator->version ? operator->next_version : operator->version) + 1 + (int64_t)(emulator_random(&operator->rng) % 3);
+	int64_t v = (config_operator->next_version > config_operator->version ? config_operator->next_version
+									      : config_operator->version) +
+		    1 + (int64_t)(emulator_random(&config_operator->rng) % 3);
 
-	operator->next_version = v;
+	config_operator->next_version = v;
 	return v;
 }
 
@@ -156,102 +159,178 @@
 	json_object_object_add(json, "TrafficSplit", list);
 }
 
-struct json_object *operator_make_change(struct operator* operator, enum change what, struct submission **out,
-					 int modify)
+/* A change that is being made: a copy of the current configuration, and what differs in it for a call to
+ * modify. */
+struct document_change {
+	struct json_object *config;
+	struct json_object *upsert;  /* lists of changed items, by the list's name */
+	struct json_object *removal; /* lists of removed names, by the list's name */
+	char added[96];              /* path prefix of a route that came, or empty */
+	char removed[96];            /* path prefix of a route that went, or empty */
+};
+
+static void upsert_item(struct document_change *change, const char *list_name, struct json_object *item)
 {
-	struct run *run = operator->run;
-	struct json_object *json = clone(operator->current), *routes = document_member(json, "RouteList"),
-			   *tenants = document_member(json, "TenantList"), *x, *body, *up, *removal, *a;
-	char name[64], prefix[96], added[96] = "", removed[96] = "";
-	int i = (int)(emulator_random(&operator->rng) % CLASS_COUNT);
-	struct submission *s;
+	struct json_object *items = json_object_new_array();
 
-	body = json_object_new_object();
-	up = json_object_new_object();
-	removal = json_object_new_object();
-	a = json_object_new_array();
-	json_object_object_add(json, "ConfigVersion", json_object_new_int64(draw_next_version(operator)));
-	json_object_object_add(body, "ConfigVersion", json_object_new_int64(operator->next_version));
+	json_object_array_add(items, json_object_get(item));
+	json_object_object_add(change->upsert, list_name, items);
+}
+
+static struct json_object *item_at(const struct document_change *change, const char *list_name, size_t index)
+{
+	return json_object_array_get_idx(document_member(change->config, list_name), index);
+}
+
+/* A route with this name and prefix comes, or is replaced. */
+static void put_route(struct config_operator *config_operator, struct document_change *change,
+		      const char *name, const char *prefix, const struct traffic_class *class)
+{
+	struct json_object *route = make_route(config_operator, name, prefix, class);
+
+	upsert_item(change, "RouteList", route);
+	put_item(document_member(change->config, "RouteList"), route);
+}
+
+static void change_split(struct config_operator *config_operator, struct document_change *change,
+			 enum change what, struct json_object *route)
+{
+	const char *service = config_operator->run->sheet->service;
+
+	if (what == CHANGE_SPLIT) {
+		put_split(route, service, service, 10 + config_operator->splits++ % 80, 10);
+	} else {
+		json_object_object_del(route, "TrafficSplit");
+		json_object_object_add(route, "ServiceName", json_object_new_string(service));
+	}
+	upsert_item(change, "RouteList", route);
+}
+
+static void change_timeout(struct config_operator *config_operator, struct document_change *change,
+			   struct json_object *route, const struct traffic_class *class)
+{
+	json_object_object_add(
+	    route, "TimeoutMs",
+	    json_object_new_int(class->deadline_ms +
+				10 * (int)(1 + emulator_random(&config_operator->rng) % 50)));
+	upsert_item(change, "RouteList", route);
+}
+
+static void add_route(struct config_operator *config_operator, struct document_change *change)
+{
+	char name[64];
+
+	snprintf(name, sizeof name, "r-more-%d", config_operator->routes);
+	snprintf(change->added, sizeof change->added, "/more%d/", config_operator->routes++);
+	put_route(config_operator, change, name, change->added, &config_operator->run->sheet->classes[2]);
+}
+
+/* The first route that add_route added goes. */
+static void remove_route(struct document_change *change)
+{
+	struct json_object *routes = document_member(change->config, "RouteList");
+	struct json_object *names = json_object_new_array();
+
+	for (size_t k = 0; k < json_object_array_length(routes); k++) {
+		struct json_object *route = json_object_array_get_idx(routes, k);
+
+		if (strncmp(name_of(route), "r-more-", 7))
+			continue;
+		snprintf(change->removed, sizeof change->removed, "%s",
+			 json_object_get_string(document_member(route, "PathPrefix")));
+		json_object_array_add(names, json_object_new_string(name_of(route)));
+		json_object_array_del_idx(routes, k, 1);
+		break;
+	}
+	json_object_object_add(change->removal, "RouteList", names);
+}
+
+static void change_key(struct config_operator *config_operator, struct document_change *change,
+		       enum change what)
+{
+	int i = 2 + config_operator->keys % (config_operator->run->sheet->tenants - 2);
+	struct json_object *tenant = item_at(change, "TenantList", (size_t)i);
+	struct json_object *keys = document_member(tenant, "AccessKeys");
+	char key[64];
+
+	if (what == CHANGE_KEY_ON) {
+		snprintf(key, sizeof key, "key%02d-%d-abcdefgh", i, ++config_operator->keys);
+		json_object_array_add(keys, json_object_new_string(key));
+	} else if (json_object_array_length(keys) > 1) {
+		json_object_array_del_idx(keys, 0, 1);
+	}
+	upsert_item(change, "TenantList", tenant);
+}
+
+static void change_isolation(struct config_operator *config_operator, struct document_change *change)
+{
+	uint64_t plain = (uint64_t)(config_operator->run->sheet->tenants - 2);
+	struct json_object *tenant =
+	    item_at(change, "TenantList", 2 + (size_t)(emulator_random(&config_operator->rng) % plain));
+	int is_isolated = json_object_get_boolean(document_member(tenant, "Isolated"));
+
+	json_object_object_add(tenant, "Isolated", json_object_new_boolean(!is_isolated));
+	upsert_item(change, "TenantList", tenant);
+}
+
+/* Two hundred routes come at once. */
+static void add_many_routes(struct config_operator *config_operator, struct document_change *change)
+{
+	struct json_object *items = json_object_new_array();
+	char name[64], prefix[96];
+
+	for (int k = 0; k < 200; k++) {
+		struct json_object *route;
+
+		snprintf(name, sizeof name, "r-big-%d", k);
+		snprintf(prefix, sizeof prefix, "/big%d/", k);
+		route = make_route(config_operator, name, prefix, &config_operator->run->sheet->classes[2]);
+		json_object_array_add(items, json_object_get(route));
+		put_item(document_member(change->config, "RouteList"), route);
+	}
+	json_object_object_add(change->upsert, "RouteList", items);
+}
+
+static void add_unused_route(struct config_operator *config_operator, struct document_change *change)
+{
+	char name[64], prefix[96];
+
+	snprintf(name, sizeof name, "r-idle-%d", config_operator->routes);
+	snprintf(prefix, sizeof prefix, "/idle%d/", config_operator->routes++);
+	put_route(config_operator, change, name, prefix, &config_operator->run->sheet->classes[0]);
+}
+
+static void make_change(struct config_operator *config_operator, struct document_change *change,
+			enum change what)
+{
+	size_t i = emulator_random(&config_operator->rng) % CLASS_COUNT;
+
+	json_object_object_add(change->config, "ConfigVersion",
+			       json_object_new_int64(draw_next_version(config_operator)));
 	switch (what) {
 	case CHANGE_SPLIT:
 	case CHANGE_MOVE:
-		x = json_object_array_get_idx(routes, (size_t)i);
-		if (what == CHANGE_SPLIT) {
-			put_split(x, run->sheet->service, run->sheet->service, 10 + operator->splits++ % 80,
-				  10);
-		} else {
-			json_object_object_del(x, "TrafficSplit");
-			json_object_object_add(x, "ServiceName", json_object_new_string(run->sheet->service));
-		}
-		json_object_array_add(a, json_object_get(x));
-		json_object_object_add(up, "RouteList", a);
+		change_split(config_operator, change, what, item_at(change, "RouteList", i));
 		break;
 	case CHANGE_TIMEOUT:
-		x = json_object_array_get_idx(routes, (size_t)i);
-		json_object_object_add(
-		    x, "TimeoutMs",
-		    json_object_new_int(run->sheet->classes[i].deadline_ms +
-					10 * (int)(1 + emulator_random(&operator->rng) % 50)));
-		json_object_array_add(a, json_object_get(x));
-		json_object_object_add(up, "RouteList", a);
+		change_timeout(config_operator, change, item_at(change, "RouteList", i),
+			       &config_operator->run->sheet->classes[i]);
 		break;
 	case CHANGE_ROUTE_ON:
-		snprintf(name, sizeof name, "r-more-%d", operator->routes);
-		snprintf(prefix, sizeof prefix, "/more%d/", operator->routes++);
-		snprintf(added, sizeof added, "%s", prefix);
-		x = make_route(operator, name, prefix, &run->sheet->classes[2]);
-		json_object_array_add(a, json_object_get(x));
-		put_item(routes, x);
-		json_object_object_add(up, "RouteList", a);
+		add_route(config_operator, change);
 		break;
 	case CHANGE_ROUTE_OFF:
-		for (size_t k = 0; k < json_object_array_length(routes); k++) {
-			x = json_object_array_get_idx(routes, k);
-			if (strncmp(name_of(x), "r-more-", 7))
-				continue;
-			snprintf(removed, sizeof removed, "%s",
-				 json_object_get_string(document_member(x, "PathPrefix")));
-			json_object_array_add(a, json_object_new_string(name_of(x)));
-			json_object_array_del_idx(routes, k, 1);
-			break;
-		}
-		json_object_object_add(removal, "RouteList", a);
+		remove_route(change);
 		break;
 	case CHANGE_KEY_ON:
-	case CHANGE_KEY_OFF: {
-		struct json_object *keys;
-
-		i = 2 + operator->keys %(run->sheet->tenants - 2);
-		x = json_object_array_get_idx(tenants, (size_t)i);
-		keys = document_member(x, "AccessKeys");
-		if (what == CHANGE_KEY_ON) {
-			snprintf(name, sizeof name, "key%02d-%d-abcdefgh", i, ++operator->keys);
-			json_object_array_add(keys, json_object_new_string(name));
-		} else if (json_object_array_length(keys) > 1) {
-			json_object_array_del_idx(keys, 0, 1);
-		}
-		json_object_array_add(a, json_object_get(x));
-		json_object_object_add(up, "TenantList", a);
+	case CHANGE_KEY_OFF:
+		change_key(config_operator, change, what);
 		break;
-	}
 	case CHANGE_ISOLATION:
-		i = 2 + (int)(emulator_random(&operator->rng) % (uint64_t)(run->sheet->tenants - 2));
-		x = json_object_array_get_idx(tenants, (size_t)i);
-		json_object_object_add(
-		    x, "Isolated",
-		    json_object_new_boolean(!json_object_get_boolean(document_member(x, "Isolated"))));
-		json_object_array_add(a, json_object_get(x));
-		json_object_object_add(up, "TenantList", a);
+		change_isolation(config_operator, change);
 		break;
 	case CHANGE_BIG:
-		for (int k = 0; k < 200; k++) {
-			snprintf(name, sizeof name, "r-big-%d", k);
-			snprintf(prefix, sizeof prefix, "/big%d/", k);
-			x = make_route(operator, name, prefix, &run->sheet->classes[2]);
-			json_object_array_add(a, json_object_get(x));
-			put_item(routes, x);
-		}
-		json_object_object_add(up, "RouteList", a);
+		add_many_routes(config_operator, change);
 		break;
 	case CHANGE_BIG_OFF:
 	case CHANGE_LIMITS:
@@ -260,44 +339,54 @@
 	case CHANGE_PRIORITY:
 	case CHANGE_ATTEMPTS:
 	case CHANGE_MAX_CONNECTIONS:
-		planned_change(json, up, removal, what, operator->change_index++);
-		json_object_put(a);
+		planned_change(change->config, change->upsert, change->removal, what,
+			       config_operator->change_index++);
 		break;
-	default: /* routes that nothing goes to */
-		snprintf(name, sizeof name, "r-idle-%d", operator->routes);
-		snprintf(prefix, sizeof prefix, "/idle%d/", operator->routes++);
-		x = make_route(operator, name, prefix, &run->sheet->classes[0]);
-		json_object_array_add(a, json_object_get(x));
-		put_item(routes, x);
-		json_object_object_add(up, "RouteList", a);
+	default:
+		add_unused_route(config_operator, change);
 		break;
 	}
-	json_object_object_add(body, "Upsert", up);
-	json_object_object_add(body, "Remove", removal);
-	s = operator_config_submission(
-	    operator, json, json_object_to_json_string_ext(modify ? body : json, JSON_C_TO_STRING_PLAIN),
-	    modify ? "/configuration/modify" : "/configuration/replace", operator->version, 0);
-	snprintf(s->added, sizeof s->added, "%s", added);
-	snprintf(s->removed, sizeof s->removed, "%s", removed);
+}
+
+struct json_object *operator_make_change(struct config_operator *config_operator, enum change what,
+					 struct submission **out, int modify)
+{
+	struct json_object *body = json_object_new_object();
+	struct document_change change;
+
+	memset(&change, 0, sizeof change);
+	change.config = clone(config_operator->current);
+	change.upsert = json_object_new_object();
+	change.removal = json_object_new_object();
+	make_change(config_operator, &change, what);
+	json_object_object_add(body, "ConfigVersion", json_object_new_int64(config_operator->next_version));
+	json_object_object_add(body, "Upsert", change.upsert);
+	json_object_object_add(body, "Remove", change.removal);
+	*out = operator_config_submission(
+	    config_operator, change.config,
+	    json_object_to_json_string_ext(modify ? body : change.config, JSON_C_TO_STRING_PLAIN),
+	    modify ? "/configuration/modify" : "/configuration/replace", config_operator->version, 0);
+	snprintf((*out)->added, sizeof(*out)->added, "%s", change.added);
+	snprintf((*out)->removed, sizeof(*out)->removed, "%s", change.removed);
 	json_object_put(body);
-	*out = s;
-	return json;
+	return change.config;
 }
 
-void operator_invalid(struct operator* operator, enum invalid what)
+void operator_invalid(struct config_operator *config_operator, enum invalid what)
 {
 	struct json_object *json, *routes, *tenants, *x;
 	struct submission *s;
-	int64_t base = operator->version;
+	int64_t base = config_operator->version;
 	char *text;
 
-	if (!operator->current)
+	if (!config_operator->current)
 		return;
-	json = clone(operator->current);
+	json = clone(config_operator->current);
 	routes = document_member(json, "RouteList");
 	tenants = document_member(json, "TenantList");
-	json_object_object_add(json, "ConfigVersion",
-			       json_object_new_int64(what == INVALID_OLD ? base : draw_next_version(operator)));
+	json_object_object_add(
+	    json, "ConfigVersion",
+	    json_object_new_int64(what == INVALID_OLD ? base : draw_next_version(config_operator)));
 	x = json_object_array_get_idx(routes, 0);
 	switch (what) {
 	case INVALID_SERVICE:
@@ -305,12 +394,13 @@
 		json_object_object_add(x, "ServiceName", json_object_new_string("nowhere"));
 		break;
 	case INVALID_DUPLICATE_PREFIX:
-		json_object_array_add(routes,
-				      make_route(operator, "r-twin", operator->run->sheet->classes[0].prefix,
-						 &operator->run->sheet->classes[0]));
+		json_object_array_add(routes, make_route(config_operator, "r-twin",
+							 config_operator->run->sheet->classes[0].prefix,
+							 &config_operator->run->sheet->classes[0]));
 		break;
 	case INVALID_WEIGHT:
-		put_split(x, operator->run->sheet->service, operator->run->sheet->service, 0, 0);
+		put_split(x, config_operator->run->sheet->service, config_operator->run->sheet->service, 0,
+			  0);
 		break;
 	case INVALID_TIMEOUT:
 		json_object_object_add(x, "TimeoutMs", json_object_new_int(0));
@@ -327,7 +417,7 @@
 	text = strdup(json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	if (what == INVALID_CUT)
 		text[strlen(text) / 2] = 0;
-	s = operator_config_submission(operator, what == INVALID_CUT ? NULL : json, text,
+	s = operator_config_submission(config_operator, what == INVALID_CUT ? NULL : json, text,
 				       "/configuration/replace", base, 1);
 	s->is_unqueued = 1;
 	free(text);
--- a/emulator/operator_internal.h
+++ b/emulator/operator_internal.h
@@ -13,7 +13,7 @@
 enum submission_kind { SUBMIT_CONFIG, SUBMIT_WEIGHTS, SUBMIT_READ };
 
 struct submission {
-	struct operator* operator;
+	struct config_operator *config_operator;
 	enum submission_kind what;
 	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost,
 	    loss_count;
@@ -24,8 +24,7 @@
 	double pause_ms;
 };
 
-struct operator
-{
+struct config_operator {
 	struct run *run;
 	struct json_object *current; /* acknowledged */
 	int64_t version, next_version;
@@ -50,17 +49,17 @@
 void operator_send(struct submission *submission);
 
 /* The whole configuration goes out, or what differs; invalid: known to be so. */
-struct submission *operator_config_submission(struct operator* operator, struct json_object * full,
-					      const char *text, const char *path, int64_t base, int invalid);
+struct submission *operator_config_submission(struct config_operator *config_operator,
+					      struct json_object *full, const char *text, const char *path,
+					      int64_t base, int invalid);
 
 /* ---- operator_documents.c ---- */
 
 /* The first configuration; the caller owns it. */
-struct json_object *operator_first_config(struct operator* operator);
-
+struct json_object *operator_first_config(struct config_operator *config_operator);
 
 /* Changes a copy of what stands; the items touched go to up, the names removed to gone. */
-struct json_object *operator_make_change(struct operator* operator, enum change what, struct submission **out,
-					 int modify);
+struct json_object *operator_make_change(struct config_operator *config_operator, enum change what,
+					 struct submission **out, int modify);
 
 #endif
--- a/emulator/planned_day.c
+++ b/emulator/planned_day.c
@@ -66,10 +66,10 @@
 	int64_t now = run_ms(run);
 	enum change what;
 
-	if (now < day->next_change || !operator_idle(run->operator))
+	if (now < day->next_change || !operator_idle(run->config_operator))
 		return;
 	what = changes[day->changes++ % (int)(sizeof changes / sizeof *changes)];
-	operator_change(run->operator, what, what != CHANGE_LIMITS && emulator_random(&day->rng) % 2);
+	operator_change(run->config_operator, what, what != CHANGE_LIMITS && emulator_random(&day->rng) % 2);
 	day->next_change = now + up_to(day, CHANGE_SPREAD_MS);
 }
 
@@ -241,9 +241,9 @@
 {
 	struct run *run = day->run;
 
-	if (run_ms(run) < day->next_weights || operator_weights_acked(run->operator) < day->weights)
+	if (run_ms(run) < day->next_weights || operator_weights_acked(run->config_operator) < day->weights)
 		return;
-	operator_weights(run->operator, ++ day->weights);
+	operator_weights(run->config_operator, ++day->weights);
 	run_log(run, "planned: weights %d are named", day->weights);
 	day->next_weights = run_ms(run) + WEIGHTS_EVERY_MS;
 }
--- a/emulator/platform_emulator.h
+++ b/emulator/platform_emulator.h
@@ -325,6 +325,8 @@
 	int tokens, version, refs;
 	int64_t used_at_us, created_at_us;
 }; /* born: when its text was read */
+/* What happens to work in progress while weights are loaded: it ends first, it is cut off, or it pauses. */
+enum load_method { LOAD_HOLD, LOAD_PREEMPT, LOAD_RETAIN };
 enum server_state { STATE_UP, STATE_DRAINING, STATE_DOWN };
 struct server {
 	struct server_fleet *fleet;
@@ -335,7 +337,7 @@
 	struct server_fault fault;
 	struct port *port;
 	int version, loading_to, call_seq;
-	int load_method; /* 0 hold, 1 preempt, 2 retain */
+	enum load_method load_method;
 	int64_t fence;
 	int64_t reading_resumed_at_ms; /* when it last began to read again after it was silent, in ms of the
 					  run; 0: never */
--- a/emulator/platform_run.c
+++ b/emulator/platform_run.c
@@ -61,12 +61,12 @@
 
 int run_operator_idle(struct run *run)
 {
-	return operator_idle(run->operator);
+	return operator_idle(run->config_operator);
 }
 
 static int has_read_back(struct run *run)
 {
-	return operator_read_done(run->operator);
+	return operator_read_done(run->config_operator);
 }
 
 static int clients_are_idle(struct run *run)
@@ -76,7 +76,7 @@
 
 static int is_ready_for_traffic(struct run *run)
 {
-	int ok = operator_acked(run->operator) > 0;
+	int ok = operator_acked(run->config_operator) > 0;
 
 	for (int i = 0; i < run->machine_count; i++)
 		ok &= run->machines[i].is_core ||
@@ -164,7 +164,7 @@
 		if (run->machines[i].unexpected_exits >= 3)
 			run->undecided_reason =
 			    "processes end by themselves at their start: do they know --platform?";
-	if (!run->undecided_reason && !operator_acked(run->operator))
+	if (!run->undecided_reason && !operator_acked(run->config_operator))
 		run->undecided_reason = "no node took the first configuration within 20 s";
 	if (!run->undecided_reason && !is_ready_for_traffic(run))
 		run_log(run, "not every edge is ready 20 s after the start");
@@ -190,9 +190,9 @@
 	if (!start_servers(run))
 		return 0;
 	start_machines(run);
-	run->operator= operator_open(run);
+	run->config_operator = operator_open(run);
 	run->clients = clients_open(run);
-	operator_submit_first(run->operator);
+	operator_submit_first(run->config_operator);
 	wait_until_ready(run);
 	run_log(run, "traffic starts");
 	run->traffic_started_at_ms = run_ms(run);
@@ -306,7 +306,7 @@
 	run_wait_for(run, 6000, run_operator_idle);
 	if (run->undecided_reason)
 		goto end;
-	operator_read_back(run->operator);
+	operator_read_back(run->config_operator);
 	run_wait_for(run, 6 * run->bounds.contact_ms, has_read_back);
 	disk_watch_end(run);
 	n = checker_run(run->checker, run_ms(run), &violation);
@@ -330,8 +330,8 @@
 	}
 	if (run->clients)
 		clients_close(run->clients);
-	if (run->operator)
-		operator_close(run->operator);
+	if (run->config_operator)
+		operator_close(run->config_operator);
 	quota_release(run);
 	disk_watch_end(run);
 	machines_stop(run);
--- a/emulator/platform_run.h
+++ b/emulator/platform_run.h
@@ -57,7 +57,7 @@
 struct disk_watch;
 
 /* ---- the run ---- */
-struct operator;
+struct config_operator;
 struct clients;
 struct quota;
 struct run {
@@ -75,7 +75,7 @@
 	int machine_count, nservers;
 	int64_t traffic_started_at_ms; /* ms of the run, -1: not yet */
 	struct clients *clients;
-	struct operator* operator;
+	struct config_operator *config_operator;
 	struct figures figures;
 	struct quota *quota;
 	uint64_t quota_timer;
@@ -154,11 +154,11 @@
 void clients_close(struct clients *clients);
 
 /* The operator. What it wants goes out one after another unless said otherwise. */
-struct operator* operator_open(struct run *run);
-void operator_close(struct operator* operator);
-void operator_submit_first(struct operator* operator);
-int operator_idle(const struct operator* operator);
-int operator_acked(const struct operator* operator); /* configurations so far */
+struct config_operator *operator_open(struct run *run);
+void operator_close(struct config_operator *config_operator);
+void operator_submit_first(struct config_operator *config_operator);
+int operator_idle(const struct config_operator *config_operator);
+int operator_acked(const struct config_operator *config_operator); /* configurations so far */
 enum change {
 	CHANGE_SPLIT,
 	CHANGE_MOVE,
@@ -179,15 +179,15 @@
 	CHANGE_MAX_CONNECTIONS, /* how many connections a server takes */
 	CHANGE_COUNT
 };
-void operator_change(struct operator* operator, enum change what, int modify);
+void operator_change(struct config_operator *config_operator, enum change what, int modify);
 /* Make one of the changes behind CHANGE_BIG in a whole configuration; what it touches goes into the lists of
  * a call to modify. The turn says which item it takes. Example: planned_change(config, upsert, removed,
  * CHANGE_TENANT, 3); */
 void planned_change(struct json_object *config, struct json_object *upsert, struct json_object *removed,
 		    enum change what, uint64_t index);
 /* IdleTimeoutMs of the configuration acknowledged last; 0: none. */
-int operator_idle_timeout(const struct operator* operator);
-void operator_race(struct operator* operator);
+int operator_idle_timeout(const struct config_operator *config_operator);
+void operator_race(struct config_operator *config_operator);
 enum invalid {
 	INVALID_CUT,
 	INVALID_SERVICE,
@@ -198,21 +198,21 @@
 	INVALID_KEY,
 	INVALID_COUNT
 };
-void operator_invalid(struct operator* operator, enum invalid what);
-void operator_weights(struct operator* operator, int version);
-int operator_weights_acked(const struct operator* operator);
+void operator_invalid(struct config_operator *config_operator, enum invalid what);
+void operator_weights(struct config_operator *config_operator, int version);
+int operator_weights_acked(const struct config_operator *config_operator);
 /* Of so many namings the answer is lost: the connection is closed within moments, and the naming is sent
  * again. */
-void operator_set_loss(struct operator* operator, double share);
+void operator_set_loss(struct config_operator *config_operator, double share);
 /* The address that acknowledged last; empty: none yet. */
-const char *operator_leader(const struct operator* operator);
-void operator_read_back(struct operator* operator);
-int operator_read_done(const struct operator* operator);
+const char *operator_leader(const struct config_operator *config_operator);
+void operator_read_back(struct config_operator *config_operator);
+int operator_read_done(const struct config_operator *config_operator);
 /* A route that came or went lately, for the probes; NULL: none. */
-const char *operator_added(const struct operator* operator);
-const char *operator_removed(const struct operator* operator);
+const char *operator_added(const struct config_operator *config_operator);
+const char *operator_removed(const struct config_operator *config_operator);
 /* A key that a tenant holds besides its first one; NULL: none. */
-const char *operator_second_key(const struct operator* operator);
+const char *operator_second_key(const struct config_operator *config_operator);
 
 /* Figures and the picture. */
 int report_write(struct run *run, const char *folder, const struct violation *violation, int n);
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -60,7 +60,7 @@
 
 		run_log(run, "fault: %s is killed", machine->name);
 		machine_kill(machine);
-		operator_change(run->operator, CHANGE_SPLIT, 1);
+		operator_change(run->config_operator, CHANGE_SPLIT, 1);
 		run_for(run, 1500);
 		machine_start(machine);
 		run_for(run, 4000);
@@ -84,7 +84,7 @@
 static void sc_kill_all(struct run *run)
 {
 	run_for(run, 2500);
-	operator_change(run->operator, CHANGE_TIMEOUT, 0);
+	operator_change(run->config_operator, CHANGE_TIMEOUT, 0);
 	run_wait_for(run, 4000, run_operator_idle);
 	kill_everything(run, 1);
 	run_for(run, run->bounds.recovery_ms + 3000);
@@ -136,7 +136,7 @@
 
 		run_for(run, 700);
 		if (what != CHANGE_KEY_OFF && what != CHANGE_IDLE)
-			operator_change(run->operator, what, i >= CHANGE_BIG);
+			operator_change(run->config_operator, what, i >= CHANGE_BIG);
 	}
 	run_for(run, 3000);
 }
@@ -146,9 +146,10 @@
 	run_for(run, 1500);
 	clients_probe(run->clients, 1);
 	for (int i = 0; i < 30; i++)
-		operator_change(run->operator, i % 3   ? CHANGE_TIMEOUT
-					       : i % 2 ? CHANGE_ROUTE_ON
-						       : CHANGE_ROUTE_OFF,
+		operator_change(run->config_operator,
+				i % 3   ? CHANGE_TIMEOUT
+				: i % 2 ? CHANGE_ROUTE_ON
+					: CHANGE_ROUTE_OFF,
 				i % 2);
 	run_for(run, 6000);
 }
@@ -159,7 +160,7 @@
 	for (int i = 0; i < 5; i++) {
 		run_for(run, 1200);
 		run_wait_for(run, 4000, run_operator_idle);
-		operator_race(run->operator);
+		operator_race(run->config_operator);
 	}
 	run_for(run, 3000);
 }
@@ -168,9 +169,9 @@
 {
 	run_for(run, 1000);
 	for (int i = 0; i < INVALID_COUNT; i++) {
-		operator_invalid(run->operator,(enum invalid) i);
+		operator_invalid(run->config_operator, (enum invalid)i);
 		run_for(run, 500);
-		operator_change(run->operator, CHANGE_SPLIT, 0);
+		operator_change(run->config_operator, CHANGE_SPLIT, 0);
 		run_wait_for(run, 4000, run_operator_idle);
 	}
 	run_for(run, 2500);
@@ -179,7 +180,7 @@
 static void sc_big(struct run *run)
 {
 	run_for(run, 1500);
-	operator_change(run->operator, CHANGE_BIG, 0);
+	operator_change(run->config_operator, CHANGE_BIG, 0);
 	run_wait_for(run, 6000, run_operator_idle);
 	run_for(run, run->bounds.config_apply_ms + 300);
 	clients_extra(run->clients, 200);
@@ -191,10 +192,10 @@
 	char key[64];
 
 	run_for(run, 1500);
-	operator_change(run->operator, CHANGE_KEY_ON, 1);
+	operator_change(run->config_operator, CHANGE_KEY_ON, 1);
 	run_wait_for(run, 5000, run_operator_idle);
 	run_for(run, run->bounds.config_apply_ms + 200);
-	operator_change(run->operator, CHANGE_KEY_OFF, 1);
+	operator_change(run->config_operator, CHANGE_KEY_OFF, 1);
 	run_wait_for(run, 5000, run_operator_idle);
 	run_for(run, 1000);
 	snprintf(key, sizeof key, "key%02d-1-abcdefgh",
@@ -216,7 +217,7 @@
 static void sc_roll_out(struct run *run)
 {
 	run_for(run, 2000);
-	operator_weights(run->operator, 2);
+	operator_weights(run->config_operator, 2);
 	if (!run_wait_for(run, run->bounds.version_ms * run->slack, is_rolled_out))
 		run_log(run, "not every server has the new weights after VersionMs");
 	else
@@ -434,7 +435,7 @@
 	struct machine *m = nth_machine(run, 1, 1);
 
 	run_for(run, 1500);
-	operator_change(run->operator, CHANGE_TIMEOUT, 1);
+	operator_change(run->config_operator, CHANGE_TIMEOUT, 1);
 	run_wait_for(run, 4000, run_operator_idle);
 	run_log(run, "fault: %s loses its disk right after an acknowledgement", m->name);
 	machine_kill(m);
@@ -444,7 +445,7 @@
 	run_for(run, 800);
 	machine_start(m);
 	run_for(run, run->bounds.catch_up_ms + 1000);
-	operator_change(run->operator, CHANGE_SPLIT, 0);
+	operator_change(run->config_operator, CHANGE_SPLIT, 0);
 	run_wait_for(run, 5000, run_operator_idle);
 	run_for(run, 2000);
 }
@@ -466,7 +467,7 @@
 	machine->is_listed = 0;
 	n->is_listed = 1;
 	run_for(run, run->bounds.catch_up_ms);
-	operator_change(run->operator, CHANGE_SPLIT, 1);
+	operator_change(run->config_operator, CHANGE_SPLIT, 1);
 	run_wait_for(run, 5000, run_operator_idle);
 	run_for(run, 2000);
 }
--- a/emulator/record_checker.c
+++ b/emulator/record_checker.c
@@ -118,90 +118,184 @@
 	qsort(checker->rows, (size_t)arrlen(checker->rows), sizeof *checker->rows, by_time);
 }
 
-/* Told apart by what each changes; 0 for a kind that no judge knows. */
+/* ---- records of the platform and the operators ---- */
+
+static void on_up(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	ENTRY(checker->servers, json_member_string(json, "server"))->up_at_ms = at_ms;
+	records_on_loaded(checker, json, at_ms);
+}
+
+static void on_serves(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	struct server_state *server = ENTRY(checker->servers, json_member_string(json, "server"));
+
+	(void)at_ms;
+	snprintf(server->service, sizeof server->service, "%s", json_member_string(json, "service"));
+}
+
+static void on_target(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	struct target_weights target = { at_ms, "", "" };
+
+	snprintf(target.service, sizeof target.service, "%s", json_member_string(json, "service"));
+	snprintf(target.weights, sizeof target.weights, "%s", json_member_string(json, "weights"));
+	arrput(checker->targets, target);
+}
+
+static void on_acknowledged(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	struct acknowledgement ack = { json_member_int(json, "edition"), at_ms };
+
+	arrput(checker->acks, ack);
+	if (ack.revision > checker->acked_revision)
+		checker->acked_revision = ack.revision;
+	records_on_change(checker, json_member(json, "change"), ack.revision);
+}
+
+static void on_unclear(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	records_on_change(checker, json_member(json, "change"), 0);
+}
+
+static void on_key_removed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	shput(checker->removed_keys, json_member_string(json, "key"), ((struct span){ at_ms, 0 }));
+}
+
+static void on_key_added(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	const char *key = json_member_string(json, "key");
+
+	if (shgeti(checker->removed_keys, key) >= 0)
+		shgetp(checker->removed_keys, key)->value.ended_at_ms = at_ms;
+}
+
+/* A tenant is isolated from the acknowledgement on, and no longer from the request to end it on. */
+static void on_isolation(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	const char *tenant = json_member_string(json, "tenant");
+
+	if (json_member_int(json, "walled"))
+		shput(checker->isolated_tenants, tenant, ((struct span){ at_ms, 0 }));
+	else if (shgeti(checker->isolated_tenants, tenant) >= 0)
+		shgetp(checker->isolated_tenants, tenant)->value.ended_at_ms = at_ms;
+}
+
+static void on_drain_requested(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	ENTRY(checker->servers, json_member_string(json, "server"))->drain_horizon = checker->horizon;
+}
+
+static void on_drained(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	struct server_state *server = ENTRY(checker->servers, json_member_string(json, "server"));
+
+	server->drained_at_ms = at_ms;
+	server->undrained_at_ms = 0;
+}
+
+static void on_undrained(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	ENTRY(checker->servers, json_member_string(json, "server"))->undrained_at_ms = at_ms;
+}
+
+static void on_fault(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)json;
+	checker->last_fault_at_ms = at_ms;
+	checker->last_complete_at_ms = checker->longest_pause_ms = 0;
+}
+
+static void on_final_table(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	checker->final_revision = json_member_int(json, "edition");
+	records_check_table(checker, json_member(json, "rows"));
+}
+
+static void on_tool_failed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	report_violation(checker, '-', "%s", json_member_string(json, "what"));
+}
+
+static void on_missed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	undecided(checker, "the fault did not bite: %s", json_member_string(json, "what"));
+}
+
+static void on_closed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)json;
+	(void)at_ms;
+	checker->closed = 1;
+}
+
+static void on_finished(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)json;
+	(void)at_ms;
+	checker->finished = 1;
+}
+
+static void on_end(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	shput(checker->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
+}
+
+static void on_unacknowledged(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)checker;
+	(void)json;
+	(void)at_ms;
+}
+
+/* Apply a record by its kind; 0 for a kind that no rule knows. */
 static int apply_record(struct record_checker *checker, const struct row *row)
 {
-	struct json_object *json = row->json;
-	const char *ev = row->kind, *sv = json_member_string(json, "server");
-	int64_t t = row->at_ms;
-
-	if (!strcmp(ev, "ask")) {
-		records_on_request(checker, json, t);
-	} else if (!strcmp(ev, "sent")) {
-		records_on_send(checker, json, t);
-	} else if (!strcmp(ev, "begin")) {
-		records_on_begin(checker, json, t);
-	} else if (!strcmp(ev, "end")) {
-		shput(checker->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
-	} else if (!strcmp(ev, "told")) {
-		records_on_answer(checker, json, t);
-	} else if (!strcmp(ev, "state")) {
-		records_on_state(checker, json);
-	} else if (!strcmp(ev, "order")) {
-		records_on_command(checker, json, t);
-	} else if (!strcmp(ev, "up")) {
-		ENTRY(checker->servers, sv)->up_at_ms = t;
-		records_on_loaded(checker, json, t);
-	} else if (!strcmp(ev, "loaded")) {
-		records_on_loaded(checker, json, t);
-	} else if (!strcmp(ev, "serves")) {
-		struct server_state *s = ENTRY(checker->servers, sv);
-
-		snprintf(s->service, sizeof s->service, "%s", json_member_string(json, "service"));
-	} else if (!strcmp(ev, "named")) {
-		struct target_weights n = { t, "", "" };
-
-		snprintf(n.service, sizeof n.service, "%s", json_member_string(json, "service"));
-		snprintf(n.weights, sizeof n.weights, "%s", json_member_string(json, "weights"));
-		arrput(checker->targets, n);
-	} else if (!strcmp(ev, "ack")) {
-		struct acknowledgement a = { json_member_int(json, "edition"), t };
-
-		arrput(checker->acks, a);
-		if (a.revision > checker->acked_revision)
-			checker->acked_revision = a.revision;
-		records_on_change(checker, json_member(json, "change"), a.revision);
-	} else if (!strcmp(ev, "tried")) {
-		records_on_change(checker, json_member(json, "change"), 0);
-	} else if (!strcmp(ev, "key-removed")) {
-		shput(checker->removed_keys, json_member_string(json, "key"), ((struct span){ t, 0 }));
-	} else if (!strcmp(ev, "key-added")) {
-		if (shgeti(checker->removed_keys, json_member_string(json, "key")) >= 0)
-			shgetp(checker->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
-	} else if (!strcmp(ev, "wall")) { /* walled from the acknowledgement on, open from the asking on */
-		if (json_member_int(json, "walled"))
-			shput(checker->isolated_tenants, json_member_string(json, "tenant"),
-			      ((struct span){ t, 0 }));
-		else if (shgeti(checker->isolated_tenants, json_member_string(json, "tenant")) >= 0)
-			shgetp(checker->isolated_tenants, json_member_string(json, "tenant"))
-			    ->value.ended_at_ms = t;
-	} else if (!strcmp(ev, "drain-asked")) {
-		ENTRY(checker->servers, sv)->drain_horizon = checker->horizon;
-	} else if (!strcmp(ev, "drained")) {
-		struct server_state *s = ENTRY(checker->servers, sv);
-
-		s->drained_at_ms = t;
-		s->undrained_at_ms = 0;
-	} else if (!strcmp(ev, "undrained")) {
-		ENTRY(checker->servers, sv)->undrained_at_ms = t;
-	} else if (!strcmp(ev, "fault")) {
-		checker->last_fault_at_ms = t;
-		checker->last_complete_at_ms = checker->longest_pause_ms = 0;
-	} else if (!strcmp(ev, "table")) {
-		checker->final_revision = json_member_int(json, "edition");
-		records_check_table(checker, json_member(json, "rows"));
-	} else if (!strcmp(ev, "tool-failed")) {
-		report_violation(checker, '-', "%s", json_member_string(json, "what"));
-	} else if (!strcmp(ev, "missed")) {
-		undecided(checker, "the fault did not bite: %s", json_member_string(json, "what"));
-	} else if (!strcmp(ev, "closed")) {
-		checker->closed = 1;
-	} else if (!strcmp(ev, "finished")) {
-		checker->finished = 1;
-	} else if (strcmp(ev, "unacknowledged")) {
-		return 0;
-	}
-	return 1;
+	static const struct {
+		const char *kind;
+		void (*apply)(struct record_checker *checker, struct json_object *json, int64_t at_ms);
+	} kinds[] = {
+		{ "ask", records_on_request },
+		{ "sent", records_on_send },
+		{ "begin", records_on_begin },
+		{ "end", on_end },
+		{ "told", records_on_answer },
+		{ "state", records_on_state },
+		{ "order", records_on_command },
+		{ "up", on_up },
+		{ "loaded", records_on_loaded },
+		{ "serves", on_serves },
+		{ "named", on_target },
+		{ "ack", on_acknowledged },
+		{ "tried", on_unclear },
+		{ "key-removed", on_key_removed },
+		{ "key-added", on_key_added },
+		{ "wall", on_isolation },
+		{ "drain-asked", on_drain_requested },
+		{ "drained", on_drained },
+		{ "undrained", on_undrained },
+		{ "fault", on_fault },
+		{ "table", on_final_table },
+		{ "tool-failed", on_tool_failed },
+		{ "missed", on_missed },
+		{ "closed", on_closed },
+		{ "finished", on_finished },
+		{ "unacknowledged", on_unacknowledged },
+	};
+
+	for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
+		if (!strcmp(row->kind, kinds[i].kind)) {
+			kinds[i].apply(checker, row->json, row->at_ms);
+			return 1;
+		}
+	return 0;
 }
 
 static void check_end(struct record_checker *checker)
@@ -233,73 +327,101 @@
 			  checker->complete ? "" : "not one whole answer");
 }
 
-int check_folder(const char *folder, int untimed, struct check_result *res)
+static void checker_open_maps(struct record_checker *checker)
+{
+	sh_new_strdup(checker->requests);
+	sh_new_strdup(checker->submissions);
+	sh_new_strdup(checker->routers);
+	sh_new_strdup(checker->servers);
+	sh_new_strdup(checker->removed_keys);
+	sh_new_strdup(checker->isolated_tenants);
+	sh_new_strdup(checker->table);
+	sh_new_strdup(checker->piece_counts);
+	sh_new_strdup(checker->revision_by_address);
+}
+
+static void checker_free(struct record_checker *checker)
+{
+	for (ptrdiff_t i = 0; i < arrlen(checker->rows); i++)
+		json_object_put(checker->rows[i].json);
+	for (ptrdiff_t i = 0; i < shlen(checker->routers); i++)
+		arrfree(checker->routers[i].value.probes);
+	for (ptrdiff_t i = 0; i < shlen(checker->servers); i++)
+		arrfree(checker->servers[i].value.loads);
+	for (ptrdiff_t i = 0; i < shlen(checker->table); i++)
+		arrfree(checker->table[i].value.possible);
+	arrfree(checker->rows);
+	arrfree(checker->acks);
+	arrfree(checker->targets);
+	arrfree(checker->send_log);
+	shfree(checker->requests);
+	shfree(checker->submissions);
+	shfree(checker->routers);
+	shfree(checker->servers);
+	shfree(checker->removed_keys);
+	shfree(checker->isolated_tenants);
+	shfree(checker->table);
+	shfree(checker->piece_counts);
+	shfree(checker->revision_by_address);
+}
+
+/* Collect all probes first: a send is judged by the probe that comes after it. */
+static void collect_probes(struct record_checker *checker)
+{
+	for (ptrdiff_t i = 0; i < arrlen(checker->rows); i++) {
+		struct json_object *json = checker->rows[i].json;
+		struct router_state *router;
+		struct router_probe probe;
+
+		if (strcmp(checker->rows[i].kind, "state") != 0)
+			continue;
+		router = ENTRY(checker->routers, json_member_string(json, "id"));
+		probe.requested_at_ms = json_member_int(json, "asked");
+		probe.revision = json_member_int(json, "edition");
+		snprintf(router->address, sizeof router->address, "%s", json_member_string(json, "web"));
+		arrput(router->probes, probe);
+	}
+}
+
+static void append_summary(const struct record_checker *checker, struct check_result *result)
+{
+	double prefilled_percent = checker->prompt_tokens ? 100.0 * (double)checker->prefilled_tokens /
+								(double)checker->prompt_tokens
+							  : 0.0;
+
+	append_report(
+	    result,
+	    "requests %lld, sends %lld, complete %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, prefilled %lld (%.1f %%), blocks fetched %lld",
+	    (long long)checker->first_sends, (long long)checker->sends, (long long)checker->complete,
+	    (long long)checker->refused, (long long)checker->unknown, checker->probe_count,
+	    (long long)checker->prompt_tokens, (long long)checker->prefilled_tokens, prefilled_percent,
+	    (long long)checker->fetched_blocks);
+	if (checker->last_fault_at_ms)
+		append_report(result, ", longest pause after the last fault %lld ms",
+			      (long long)(checker->last_complete_at_ms ? checker->longest_pause_ms : -1));
+	append_report(result, "\n%s\n",
+		      result->undecided    ? "undecided"
+		      : result->violations ? "FAILED"
+					   : "good");
+}
+
+int check_folder(const char *folder, int untimed, struct check_result *result)
 {
 	struct record_checker checker;
 
-	memset(res, 0, sizeof *res);
+	memset(result, 0, sizeof *result);
 	memset(&checker, 0, sizeof checker);
-	checker.result = res;
+	checker.result = result;
 	checker.untimed = untimed;
 	checker.final_revision = -1;
-	sh_new_strdup(checker.requests);
-	sh_new_strdup(checker.submissions);
-	sh_new_strdup(checker.routers);
-	sh_new_strdup(checker.servers);
-	sh_new_strdup(checker.removed_keys);
-	sh_new_strdup(checker.isolated_tenants);
-	sh_new_strdup(checker.table);
-	sh_new_strdup(checker.piece_counts);
-	sh_new_strdup(checker.revision_by_address);
+	checker_open_maps(&checker);
 	read_folder(&checker, folder);
-	for (ptrdiff_t i = 0; i < arrlen(checker.rows);
-	     i++) /* a send is judged by the probe that comes after it */
-		if (!strcmp(checker.rows[i].kind, "state")) {
-			struct json_object *json = checker.rows[i].json;
-			struct router_state *c = ENTRY(checker.routers, json_member_string(json, "id"));
-			struct router_probe p = { json_member_int(json, "asked"),
-						  json_member_int(json, "edition") };
-
-			snprintf(c->address, sizeof c->address, "%s", json_member_string(json, "web"));
-			arrput(c->probes, p);
-		}
+	collect_probes(&checker);
 	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
 		if (!apply_record(&checker, &checker.rows[i]))
 			undecided(&checker, "a record of an unknown kind: %s", checker.rows[i].kind);
 	check_end(&checker);
-	append_report(
-	    res,
-	    "exchanges %lld, sends %lld, whole %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, read anew %lld (%.1f %%), parts fetched %lld",
-	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete,
-	    (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
-	    (long long)checker.prompt_tokens, (long long)checker.prefilled_tokens,
-	    checker.prompt_tokens ? 100.0 * (double)checker.prefilled_tokens / (double)checker.prompt_tokens
-				  : 0.0,
-	    (long long)checker.fetched_blocks);
-	if (checker.last_fault_at_ms)
-		append_report(res, ", longest pause after the last fault %lld ms",
-			      (long long)(checker.last_complete_at_ms ? checker.longest_pause_ms : -1));
-	append_report(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
-	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
-		json_object_put(checker.rows[i].json);
-	for (ptrdiff_t i = 0; i < shlen(checker.routers); i++)
-		arrfree(checker.routers[i].value.probes);
-	for (ptrdiff_t i = 0; i < shlen(checker.servers); i++)
-		arrfree(checker.servers[i].value.loads);
-	for (ptrdiff_t i = 0; i < shlen(checker.table); i++)
-		arrfree(checker.table[i].value.possible);
-	arrfree(checker.rows);
-	arrfree(checker.acks);
-	arrfree(checker.targets);
-	arrfree(checker.send_log);
-	shfree(checker.requests);
-	shfree(checker.submissions);
-	shfree(checker.routers);
-	shfree(checker.servers);
-	shfree(checker.removed_keys);
-	shfree(checker.isolated_tenants);
-	shfree(checker.table);
-	shfree(checker.piece_counts);
-	shfree(checker.revision_by_address);
-	return !res->undecided && !res->violations;
+	append_summary(&checker, result);
+	checker_free(&checker);
+	return !result->undecided && !result->violations;
 }
--- a/emulator/record_checker_internal.h
+++ b/emulator/record_checker_internal.h
@@ -149,7 +149,7 @@
 void records_on_answer(struct record_checker *checker, struct json_object *json, int64_t at_ms);
 
 /* A probe of a router's state. */
-void records_on_state(struct record_checker *checker, struct json_object *json);
+void records_on_state(struct record_checker *checker, struct json_object *json, int64_t at_ms);
 
 /* A server begins a request. */
 void records_on_begin(struct record_checker *checker, struct json_object *json, int64_t at_ms);
--- a/emulator/record_checker_rules.c
+++ b/emulator/record_checker_rules.c
@@ -155,13 +155,14 @@
 		}
 }
 
-void records_on_state(struct record_checker *checker, struct json_object *json)
+void records_on_state(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
 	const char *web = json_member_string(json, "web");
 	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0
 								   ? 0
 								   : shget(checker->revision_by_address, web);
 
+	(void)at_ms;
 	checker->probe_count++;
 	if (json_member_int(json, "horizon") > checker->horizon)
 		checker->horizon = json_member_int(json, "horizon");
--- a/emulator/report.c
+++ b/emulator/report.c
@@ -36,7 +36,7 @@
 	    (unsigned long long)run->fleet.load_commands,
 	    (unsigned long long)(run->fleet.list ? list_calls(run->fleet.list) : 0));
 	printf("configurations acknowledged %d; a piece's way p50 %lld ms, p99 %lld ms\n",
-	       operator_acked(run->operator), (long long)histogram_quantile(&figures->transit_ms, 0.5),
+	       operator_acked(run->config_operator), (long long)histogram_quantile(&figures->transit_ms, 0.5),
 	       (long long)histogram_quantile(&figures->transit_ms, 0.99));
 	printf("this process was late by p50 %lld, p99 %lld, at most %lld ms%s\n",
 	       (long long)histogram_quantile(&figures->own_lag_ms, 0.5),
--- a/emulator/scale_model_measures.c
+++ b/emulator/scale_model_measures.c
@@ -193,39 +193,48 @@
 	return (double)res * (double)sysconf(_SC_PAGESIZE);
 }
 
-void model_structure_rows(struct model_fleet *fleet, struct scale_model_result *result)
+/* A figure of the fleet as a whole. */
+static void add_single(struct scale_model_result *result, double value, const char *key)
+{
+	add_row(result, value, value, "%s", key);
+}
+
+static void prefix_index_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	const struct scale_model_settings *settings = &fleet->settings;
 	int64_t n = settings->cached_blocks < 200000 ? settings->cached_blocks : 200000;
-	struct prefix_index k = { 0 };
-	struct purge_view view = { 0 };
-	struct config_table tab;
-	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
-	enum { EVENTS_PER_MESSAGE = 100 }; /* of one message */
-	uint64_t keys[EVENTS_PER_MESSAGE];
-	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
-	struct Nl__CacheUpdateBatch batch = NL__CACHE_UPDATE_BATCH__INIT;
-	struct Nl__CacheUpdate *one = &update;
-	struct Nl__Msg message = NL__MSG__INIT;
-	apr_pool_t *pool;
-	size_t was = heap_bytes(), bytes;
-	int64_t t = model_cpu_ns();
-	uint8_t *d;
+	struct prefix_index prefix_index = { 0 };
+	size_t before = heap_bytes();
+	int64_t ns = model_cpu_ns();
 
 	for (int64_t i = 0; i < n; i++) {
 		struct block_replica replica = { 0 };
 
 		replica.server_index = (uint32_t)(i % settings->servers);
 		replica.tenant_index = (uint32_t)(i % settings->tenants);
-		prefix_index_put(&k, core_random(&fleet->rng), &replica);
+		prefix_index_put(&prefix_index, core_random(&fleet->rng), &replica);
 	}
-	t = model_cpu_ns() - t;
+	ns = model_cpu_ns() - ns;
 	if (n) {
-		add_row(result, (double)(heap_bytes() - was) / (double)n,
-			(double)(heap_bytes() - was) / (double)n, "state.kept_part_bytes");
-		add_row(result, (double)t / (double)n, (double)t / (double)n, "state.kept_put_ns");
+		add_single(result, (double)(heap_bytes() - before) / (double)n, "state.kept_part_bytes");
+		add_single(result, (double)ns / (double)n, "state.kept_put_ns");
 	}
-	prefix_index_clear(&k);
+	prefix_index_clear(&prefix_index);
+}
+
+/* What a cache event takes on the wire, and to be unpacked, in a message of many. */
+static void cache_event_rows(struct model_fleet *fleet, struct scale_model_result *result)
+{
+	enum { EVENTS_PER_MESSAGE = 100 };
+	uint64_t keys[EVENTS_PER_MESSAGE];
+	struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT;
+	struct Nl__CacheUpdateBatch batch = NL__CACHE_UPDATE_BATCH__INIT;
+	struct Nl__CacheUpdate *one = &update;
+	struct Nl__Msg message = NL__MSG__INIT;
+	size_t bytes;
+	int64_t ns;
+	uint8_t *data;
+
 	for (int i = 0; i < EVENTS_PER_MESSAGE; i++)
 		keys[i] = core_random(&fleet->rng);
 	message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
@@ -236,19 +245,24 @@
 	update.n_added = EVENTS_PER_MESSAGE;
 	update.added = keys;
 	bytes = nl__msg__get_packed_size(&message);
-	d = malloc(bytes);
-	nl__msg__pack(&message, d);
-	t = model_cpu_ns();
+	data = malloc(bytes);
+	nl__msg__pack(&message, data);
+	ns = model_cpu_ns();
 	for (int i = 0; i < EVENTS_PER_MESSAGE; i++)
-		nl__msg__free_unpacked(nl__msg__unpack(NULL, bytes, d), NULL);
-	add_row(result, (double)bytes / EVENTS_PER_MESSAGE, (double)bytes / EVENTS_PER_MESSAGE,
-		"state.kept_event_bytes");
-	add_row(result, (double)(model_cpu_ns() - t) / EVENTS_PER_MESSAGE / EVENTS_PER_MESSAGE,
-		(double)(model_cpu_ns() - t) / EVENTS_PER_MESSAGE / EVENTS_PER_MESSAGE,
-		"state.kept_event_unpack_ns");
-	free(d);
-	was = heap_bytes();
-	for (int i = 0; i < settings->tenants; i++) {
+		nl__msg__free_unpacked(nl__msg__unpack(NULL, bytes, data), NULL);
+	ns = model_cpu_ns() - ns;
+	add_single(result, (double)bytes / EVENTS_PER_MESSAGE, "state.kept_event_bytes");
+	add_single(result, (double)ns / EVENTS_PER_MESSAGE / EVENTS_PER_MESSAGE,
+		   "state.kept_event_unpack_ns");
+	free(data);
+}
+
+static void purge_view_rows(struct model_fleet *fleet, struct scale_model_result *result)
+{
+	struct purge_view view = { 0 };
+	size_t before = heap_bytes();
+
+	for (int i = 0; i < fleet->settings.tenants; i++) {
 		struct Nl__Value value = NL__VALUE__INIT;
 		struct Nl__Purge purge = NL__PURGE__INIT;
 		char name[20];
@@ -260,23 +274,38 @@
 		value.purge = &purge;
 		purge_view_apply(&view, &value);
 	}
-	add_row(result, (double)(heap_bytes() - was) / settings->tenants,
-		(double)(heap_bytes() - was) / settings->tenants, "state.purge_subject_bytes");
+	add_single(result, (double)(heap_bytes() - before) / fleet->settings.tenants,
+		   "state.purge_subject_bytes");
 	purge_view_clear(&view);
+}
+
+static void config_table_rows(struct model_fleet *fleet, struct scale_model_result *result)
+{
+	struct config_table copy;
+	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
+	apr_pool_t *pool;
+	size_t before;
+
 	apr_pool_create(&pool, fleet->pool);
 	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config_watch.table, 0, &all, pool);
-	was = heap_bytes();
-	config_table_open(&tab);
+	before = heap_bytes();
+	config_table_open(&copy);
 	all.full = 1;
-	if (config_table_follow(&tab, &all) && all.n_set)
-		add_row(result, (double)(heap_bytes() - was) / (double)all.n_set,
-			(double)(heap_bytes() - was) / (double)all.n_set, "state.row_bytes");
-	config_table_close(&tab);
-	add_row(result, (double)protobuf_c_message_get_packed_size(&all.base),
-		(double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
+	if (config_table_follow(&copy, &all) && all.n_set)
+		add_single(result, (double)(heap_bytes() - before) / (double)all.n_set, "state.row_bytes");
+	config_table_close(&copy);
+	add_single(result, (double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
 	apr_pool_destroy(pool);
 }
 
+void model_structure_rows(struct model_fleet *fleet, struct scale_model_result *result)
+{
+	prefix_index_rows(fleet, result);
+	cache_event_rows(fleet, result);
+	purge_view_rows(fleet, result);
+	config_table_rows(fleet, result);
+}
+
 void model_memory_rows(struct model_fleet *fleet, struct scale_model_result *result)
 {
 	double all = resident_bytes();
--- a/emulator/scale_model_nodes.c
+++ b/emulator/scale_model_nodes.c
@@ -226,81 +226,105 @@
 		}
 }
 
-static void perform_commands(struct model_fleet *fleet, struct model_node *n)
+static void perform_poll(struct model_fleet *fleet, struct model_node *node, const struct command *command)
 {
-	for (ptrdiff_t k = 0; k < arrlen(n->commands.commands); k++) {
-		struct command *command = &n->commands.commands[k];
-		ptrdiff_t i;
+	struct model_event event = { .at_ms = fleet->now_ms + 4,
+				     .kind = MODEL_REPORT_POLLED,
+				     .node = node->index,
+				     .incarnation = node->incarnation,
+				     .token = command->args.poll_report.token,
+				     .data = (uint8_t *)strdup(command->args.poll_report.server) };
 
-		switch (command->kind) {
-		case CMD_SEND:
-			send_msg(fleet, n, command);
-			break;
-		case CMD_PERSIST:
-			perform_persist(fleet, n, command->args.persist);
-			break;
-		case CMD_CALL:
-			perform_call(fleet, n, command);
-			break;
-		case CMD_FORWARD:
-			perform_forward(fleet, n, command->args.forward);
-			break;
-		case CMD_WATCH_CACHE:
-			perform_watch(fleet, n, command);
-			break;
-		case CMD_LIST_SERVERS:
-			count_sent(n, OUTSIDE + CONTROLLER_SERVERS_LISTED, 100);
-			model_schedule(fleet, MODEL_LISTED, n->index, command->args.list_servers.token,
-				       fleet->now_ms + 20);
-			break;
-		case CMD_POLL_REPORT:
-			count_sent(n, OUTSIDE + CONTROLLER_REPORT_POLLED, 100);
-			model_push_event(fleet,
-					 (struct model_event){
-					     .at_ms = fleet->now_ms + 4,
-					     .kind = MODEL_REPORT_POLLED,
-					     .node = n->index,
-					     .incarnation = n->incarnation,
-					     .token = command->args.poll_report.token,
-					     .data = (uint8_t *)strdup(command->args.poll_report.server) });
-			break;
-		case CMD_LOAD_WEIGHTS: { /* weights are there at once */
-			struct model_server *server = model_server_at(fleet, command->args.load_weights.addr);
-
-			count_sent(n, OUTSIDE + CONTROLLER_LOAD_ANSWERED, 200);
-			if (server)
-				apr_cpystrn(server->weights, command->args.load_weights.weights,
-					    sizeof server->weights);
-			model_schedule(fleet, MODEL_LOAD_COMMANDED, n->index,
-				       command->args.load_weights.token, fleet->now_ms + 4);
-			break;
-		}
-		case CMD_ANSWER:
-			perform_answer(fleet, command);
-			break;
-		case CMD_STREAM_CHUNK:
-		case CMD_END_STREAM:
-			count_sent(n, SLOT_OUT, command->args.stream_chunk.len);
-			i = hmgeti(fleet->pending_requests, command->args.stream_chunk.token);
-			if (i < 0)
-				break;
-			if (command->kind == CMD_END_STREAM) {
-				fleet->completed += command->args.stream_chunk.success != 0;
-				fleet->unknown += command->args.stream_chunk.success == 0;
-				(void)hmdel(fleet->pending_requests, command->args.stream_chunk.token);
-			} else {
-				fleet->pieces++;
-			}
-			break;
-		case CMD_CANCEL:
-			i = hmgeti(fleet->run_by_token,
-				   core_rendezvous_weight((uint64_t)n->index, command->args.cancel.token));
-			if (i >= 0)
-				model_end_run(fleet, fleet->run_by_token[i].value);
-			break;
-		}
+	count_sent(node, OUTSIDE + CONTROLLER_REPORT_POLLED, 100);
+	model_push_event(fleet, event);
+}
+
+/* Weights are there at once. */
+static void perform_load(struct model_fleet *fleet, struct model_node *node, const struct command *command)
+{
+	struct model_server *server = model_server_at(fleet, command->args.load_weights.addr);
+
+	count_sent(node, OUTSIDE + CONTROLLER_LOAD_ANSWERED, 200);
+	if (server)
+		apr_cpystrn(server->weights, command->args.load_weights.weights, sizeof server->weights);
+	model_schedule(fleet, MODEL_LOAD_COMMANDED, node->index, command->args.load_weights.token,
+		       fleet->now_ms + 4);
+}
+
+/* A piece of an answer, or its end, leaves for the client. */
+static void perform_stream(struct model_fleet *fleet, struct model_node *node, const struct command *command)
+{
+	ptrdiff_t i;
+
+	count_sent(node, SLOT_OUT, command->args.stream_chunk.len);
+	i = hmgeti(fleet->pending_requests, command->args.stream_chunk.token);
+	if (i < 0)
+		return;
+	if (command->kind == CMD_END_STREAM) {
+		fleet->completed += command->args.stream_chunk.success != 0;
+		fleet->unknown += command->args.stream_chunk.success == 0;
+		(void)hmdel(fleet->pending_requests, command->args.stream_chunk.token);
+	} else {
+		fleet->pieces++;
 	}
-	command_list_clear(&n->commands);
+}
+
+static void perform_cancel(struct model_fleet *fleet, struct model_node *node, const struct command *command)
+{
+	ptrdiff_t i = hmgeti(fleet->run_by_token,
+			     core_rendezvous_weight((uint64_t)node->index, command->args.cancel.token));
+
+	if (i >= 0)
+		model_end_run(fleet, fleet->run_by_token[i].value);
+}
+
+static void perform_command(struct model_fleet *fleet, struct model_node *node, const struct command *command)
+{
+	switch (command->kind) {
+	case CMD_SEND:
+		send_msg(fleet, node, command);
+		break;
+	case CMD_PERSIST:
+		perform_persist(fleet, node, command->args.persist);
+		break;
+	case CMD_CALL:
+		perform_call(fleet, node, command);
+		break;
+	case CMD_FORWARD:
+		perform_forward(fleet, node, command->args.forward);
+		break;
+	case CMD_WATCH_CACHE:
+		perform_watch(fleet, node, command);
+		break;
+	case CMD_LIST_SERVERS:
+		count_sent(node, OUTSIDE + CONTROLLER_SERVERS_LISTED, 100);
+		model_schedule(fleet, MODEL_LISTED, node->index, command->args.list_servers.token,
+			       fleet->now_ms + 20);
+		break;
+	case CMD_POLL_REPORT:
+		perform_poll(fleet, node, command);
+		break;
+	case CMD_LOAD_WEIGHTS:
+		perform_load(fleet, node, command);
+		break;
+	case CMD_ANSWER:
+		perform_answer(fleet, command);
+		break;
+	case CMD_STREAM_CHUNK:
+	case CMD_END_STREAM:
+		perform_stream(fleet, node, command);
+		break;
+	case CMD_CANCEL:
+		perform_cancel(fleet, node, command);
+		break;
+	}
+}
+
+static void perform_commands(struct model_fleet *fleet, struct model_node *node)
+{
+	for (ptrdiff_t k = 0; k < arrlen(node->commands.commands); k++)
+		perform_command(fleet, node, &node->commands.commands[k]);
+	command_list_clear(&node->commands);
 }
 
 void model_node_start(struct model_fleet *fleet, struct model_node *n)
--- a/emulator/soak_faults.c
+++ b/emulator/soak_faults.c
@@ -58,7 +58,7 @@
 /* The core machine that acknowledged last, every other time; else any. */
 static struct machine *core_machine(struct soak_test *soak)
 {
-	const char *leader = operator_leader(soak->run->operator);
+	const char *leader = operator_leader(soak->run->config_operator);
 
 	if (soak_one_in(soak, 2))
 		for (int i = 0; i < soak->run->machine_count; i++)
@@ -211,9 +211,9 @@
 
 void soak_set_target(struct soak_test *soak)
 {
-	if (operator_weights_acked(soak->run->operator) < soak->target_version)
+	if (operator_weights_acked(soak->run->config_operator) < soak->target_version)
 		return; /* one after another */
-	operator_weights(soak->run->operator, ++ soak->target_version);
+	operator_weights(soak->run->config_operator, ++soak->target_version);
 }
 
 void soak_inject_core_fault(struct soak_test *soak, int kind)
@@ -334,15 +334,15 @@
 
 	if (kind == OTHERS_LOSE) {
 		run_log(run, "soak: answers to namings are lost for %lld ms", (long long)ms);
-		operator_set_loss(run->operator, LOST_PERCENT / 100.0);
-		start_fault(soak, ms, restore_answers, run->operator);
+		operator_set_loss(run->config_operator, LOST_PERCENT / 100.0);
+		start_fault(soak, ms, restore_answers, run->config_operator);
 	} else if (kind == OTHERS_LOAD && !soak->load_factor) {
 		soak->load_factor = more;
 		run_log(run, "soak: %d times the load for %lld ms", more, (long long)ms);
 		run->rate *= more;
 		start_fault(soak, ms, restore_load, run);
-	} else if (operator_idle(run->operator)) {
-		operator_change(run->operator,
+	} else if (operator_idle(run->config_operator)) {
+		operator_change(run->config_operator,
 				changes[soak_between(soak, 0, (int)(sizeof changes / sizeof *changes) - 1)],
 				(int)soak_between(soak, 0, 1));
 	}
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -2259,7 +2259,7 @@
 
 static void clients_for(struct run *r, int64_t ms)
 {
-	r->operator= operator_open(r);
+	r->config_operator= operator_open(r);
 	r->clients = clients_open(r);
 	clients_traffic(r->clients, 1);
 	loop_until(r->loop, ms_us((double)ms), NULL, NULL);
@@ -2272,7 +2272,7 @@
 	struct checker *checker = r->checker;
 
 	clients_close(r->clients);
-	operator_close(r->operator);
+	operator_close(r->config_operator);
 	servers_free(&r->fleet);
 	loop_close(r->loop);
 	free(r->figures.seconds);
