--- a/emulator/event_loop.c
+++ b/emulator/event_loop.c
@@ -1,64 +1,12 @@
-/* One loop: timers, listeners and HTTP connections both ways, read with http-parser. */
-#include <arpa/inet.h>
-#include <ctype.h>
-#include <errno.h>
-#include <fcntl.h>
-#include <netinet/in.h>
-#include <netinet/tcp.h>
-#include <stdarg.h>
+/* Event loop of the platform's emulator: timers in a heap, sockets by epoll, and the emulator's random
+ * numbers. */
 #include <stdlib.h>
-#include <string.h>
-#include <strings.h>
 #include <sys/epoll.h>
-#include <sys/socket.h>
 #include <time.h>
 #include <unistd.h>
 
 #include "containers.h"
-#include "platform_emulator.h"
-
-struct timer {
-	int64_t due_at_us;
-	uint64_t id;
-	void (*callback)(void *ctx);
-	void *context;
-};
-struct fd_owner {
-	int kind; /* 1 port, 2 conn */
-};
-
-struct port {
-	struct fd_owner owner;
-	struct loop *loop;
-	int fd, max_connections, is_silent, idle_ms, connection_count, is_closed;
-	const struct conn_handlers *handlers;
-	void *context;
-};
-
-struct conn {
-	struct fd_owner owner;
-	struct loop *loop;
-	struct port *port; /* NULL: we call */
-	int fd, up, dead, due, in_request, closing, is_silent, parsing, reset;
-	int64_t idle_since_us;
-	const struct conn_handlers *handlers;
-	void *context, *tag;
-	http_parser p;
-	struct http_message message;
-	int value_next; /* the parser's last piece was a field's value */
-	int is_complete;
-	char *in, *out; /* stb arrays */
-	size_t out_offset;
-};
-
-struct loop {
-	int epoll_fd;
-	struct timer *timers; /* heap */
-	uint64_t last_timer_id;
-	struct conn **connections;
-	struct port **ports;
-	int64_t swept_at_us, max_lateness_us;
-};
+#include "event_loop_internal.h"
 
 int64_t loop_us(void)
 {
@@ -92,21 +40,19 @@
 	return hash;
 }
 
-/* ---- timers ---- */
-
-static void swap(struct timer *a, struct timer *b)
+static void swap_timers(struct timer *a, struct timer *b)
 {
 	struct timer timer = *a;
 	*a = *b;
 	*b = timer;
 }
 
-static void sift(struct loop *loop, size_t i)
+static void sift_timer(struct loop *loop, size_t i)
 {
 	size_t n = arrlenu(loop->timers);
 
 	while (i && loop->timers[(i - 1) / 2].due_at_us > loop->timers[i].due_at_us) {
-		swap(&loop->timers[i], &loop->timers[(i - 1) / 2]);
+		swap_timers(&loop->timers[i], &loop->timers[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
 	for (;;) {
@@ -117,7 +63,7 @@
 				k = c;
 		if (k == i)
 			return;
-		swap(&loop->timers[i], &loop->timers[k]);
+		swap_timers(&loop->timers[i], &loop->timers[k]);
 		i = k;
 	}
 }
@@ -127,7 +73,7 @@
 	struct timer timer = { loop_us() + us, ++loop->last_timer_id, callback, context };
 
 	arrput(loop->timers, timer);
-	sift(loop, arrlenu(loop->timers) - 1);
+	sift_timer(loop, arrlenu(loop->timers) - 1);
 	return loop->last_timer_id;
 }
 
@@ -139,13 +85,13 @@
 	return late;
 }
 
-static struct timer take(struct loop *loop, size_t i)
+static struct timer pop_timer(struct loop *loop, size_t i)
 {
 	struct timer t = loop->timers[i], last = arrpop(loop->timers);
 
 	if (i < arrlenu(loop->timers)) {
 		loop->timers[i] = last;
-		sift(loop, i);
+		sift_timer(loop, i);
 	}
 	return t;
 }
@@ -154,535 +100,12 @@
 {
 	for (size_t i = 0; id && i < arrlenu(loop->timers); i++)
 		if (loop->timers[i].id == id) {
-			take(loop, i);
-			return;
-		}
-}
-
-/* ---- sockets ---- */
-
-static int address(const char *addr, struct sockaddr_in *socket_address)
-{
-	char ip[40];
-	const char *colon = strrchr(addr, ':');
-
-	memset(socket_address, 0, sizeof *socket_address);
-	socket_address->sin_family = AF_INET;
-	if (!colon || (size_t)(colon - addr) >= sizeof ip)
-		return 0;
-	memcpy(ip, addr, (size_t)(colon - addr));
-	ip[colon - addr] = 0;
-	socket_address->sin_port = htons((uint16_t)atoi(colon + 1));
-	return inet_pton(AF_INET, ip, &socket_address->sin_addr) == 1;
-}
-
-static void watch(struct conn *c)
-{
-	struct epoll_event input = { .data.ptr = c };
-
-	if (c->dead || c->fd < 0)
-		return;
-	if (!c->is_silent)
-		input.events = EPOLLIN | (!c->up || arrlenu(c->out) > c->out_offset ? EPOLLOUT : 0);
-	epoll_ctl(c->loop->epoll_fd, EPOLL_CTL_MOD, c->fd, &input);
-}
-
-static void http_message_clear(struct http_message *message)
-{
-	for (int i = 0; i < arrlen(message->fields); i++) {
-		free(message->fields[i].name);
-		free(message->fields[i].value);
-	}
-	arrfree(message->fields);
-	free(message->method);
-	free(message->target);
-	free(message->body);
-	memset(message, 0, sizeof *message);
-}
-
-const char *http_message_field(const struct http_message *message, const char *name)
-{
-	for (int i = 0; message && i < arrlen(message->fields); i++)
-		if (!strcasecmp(message->fields[i].name, name))
-			return message->fields[i].value;
-	return NULL;
-}
-
-/* Close a socket that the loop watches. To close it is not enough: a process that is being started holds a
- * copy of it for a moment, and as long epoll goes on to name it with a pointer that may have been freed. */
-static void stop_watching(struct loop *loop, int fd)
-{
-	epoll_ctl(loop->epoll_fd, EPOLL_CTL_DEL, fd, NULL);
-	close(fd);
-}
-
-static void conn_destroy(struct conn *conn, int reset)
-{
-	struct linger now = { 1, 0 };
-
-	if (conn->dead)
-		return;
-	conn->dead = 1;
-	if (conn->port)
-		conn->port->connection_count--;
-	if (reset && conn->fd >= 0)
-		setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-	if (conn->fd >= 0)
-		stop_watching(conn->loop, conn->fd);
-	conn->fd = -1;
-}
-
-void conn_close(struct conn *conn, int reset)
-{
-	if (!reset && conn->up && arrlenu(conn->out) > conn->out_offset) {
-		ssize_t n = send(conn->fd, conn->out + conn->out_offset,
-				 arrlenu(conn->out) - conn->out_offset, MSG_NOSIGNAL | MSG_DONTWAIT);
-
-		(void)n;
-	}
-	conn_destroy(conn, reset);
-}
-
-static void lost(struct conn *conn, enum conn_end how)
-{
-	if (conn->dead)
-		return;
-	conn_destroy(conn, how == CONN_BAD || how == CONN_SURPLUS);
-	if (conn->handlers->closed)
-		conn->handlers->closed(conn->context, conn, how);
-}
-
-/* ---- parsing ---- */
-
-static void append(char **text, const char *at, size_t n)
-{
-	size_t old = *text ? strlen(*text) : 0;
-
-	*text = realloc(*text, old + n + 1);
-	memcpy(*text + old, at, n);
-	(*text)[old + n] = 0;
-}
-
-static int on_begin(http_parser *parser)
-{
-	struct conn *conn = parser->data;
-
-	http_message_clear(&conn->message);
-	conn->value_next = 0;
-	conn->is_complete = 0;
-	return 0;
-}
-
-static int on_url(http_parser *parser, const char *at, size_t n)
-{
-	struct conn *conn = parser->data;
-
-	append(&conn->message.target, at, n);
-	return 0;
-}
-
-static int on_name(http_parser *parser, const char *at, size_t n)
-{
-	struct conn *conn = parser->data;
-	struct field field = { NULL, NULL };
-
-	if (!arrlen(conn->message.fields) || conn->value_next) {
-		field.value = strdup("");
-		arrput(conn->message.fields, field);
-	}
-	conn->value_next = 0;
-	append(&arrlast(conn->message.fields).name, at, n);
-	return 0;
-}
-
-static int on_value(http_parser *parser, const char *at, size_t n)
-{
-	struct conn *conn = parser->data;
-
-	conn->value_next = 1;
-	append(&arrlast(conn->message.fields).value, at, n);
-	return 0;
-}
-
-static int on_head(http_parser *parser)
-{
-	struct conn *c = parser->data;
-
-	c->message.status = parser->status_code;
-	c->message.keep_alive = http_should_keep_alive(parser);
-	if (c->port)
-		c->message.method = strdup(http_method_str((enum http_method)parser->method));
-	else if (c->handlers->head)
-		c->handlers->head(c->context, c, &c->message);
-	return c->dead ? -1 : 0;
-}
-
-static int on_data(http_parser *parser, const char *at, size_t n)
-{
-	struct conn *conn = parser->data;
-
-	conn->message.body = realloc(conn->message.body, conn->message.body_length + n + 1);
-	memcpy(conn->message.body + conn->message.body_length, at, n);
-	conn->message.body_length += n;
-	conn->message.body[conn->message.body_length] = 0;
-	if (!conn->port && conn->handlers->data)
-		conn->handlers->data(conn->context, conn, at, n);
-	return conn->dead ? -1 : 0;
-}
-
-static int on_whole(http_parser *parser)
-{
-	struct conn *conn = parser->data;
-
-	conn->message.keep_alive = http_should_keep_alive(parser);
-	conn->is_complete = 1;
-	http_parser_pause(parser, 1); /* one message at a time */
-	return 0;
-}
-
-static const http_parser_settings settings = {
-	.on_message_begin = on_begin,
-	.on_url = on_url,
-	.on_header_field = on_name,
-	.on_header_value = on_value,
-	.on_headers_complete = on_head,
-	.on_body = on_data,
-	.on_message_complete = on_whole,
-};
-
-static void restart(struct conn *conn)
-{
-	http_parser_init(&conn->p, conn->port ? HTTP_REQUEST : HTTP_RESPONSE);
-	conn->p.data = conn;
-}
-
-static void parse(struct conn *c, int eof)
-{
-	if (c->parsing)
-		return;
-	c->parsing = 1;
-	while (!c->dead && (arrlen(c->in) || eof)) {
-		size_t n, have = arrlenu(c->in);
-		enum http_errno err;
-
-		if (c->port ? c->in_request : !c->due) {
-			if (!c->port && have) {
-				lost(c, CONN_SURPLUS);
-			} else if (eof) {
-				lost(c, CONN_CLOSED);
-			}
-			break;
-		}
-		n = http_parser_execute(&c->p, &settings, c->in, have);
-		if (c->dead)
-			break;
-		err = HTTP_PARSER_ERRNO(&c->p);
-		if (have)
-			arrdeln(c->in, 0, (ptrdiff_t)(n < have ? n : have));
-		if (c->is_complete) {
-			int eof_ended = !have;
-
-			c->is_complete = 0;
-			restart(c);
-			if (c->port) {
-				c->in_request = 1;
-				c->handlers->request(c->context, c, &c->message);
-			} else {
-				c->due = 0;
-				c->idle_since_us = loop_us();
-				if (c->handlers->complete)
-					c->handlers->complete(c->context, c, &c->message);
-			}
-			if (eof_ended && !c->dead)
-				lost(c, CONN_CLOSED);
-			continue;
-		}
-		if (err != HPE_OK) {
-			lost(c, eof && !have ? CONN_CLOSED : CONN_BAD);
-			break;
-		}
-		if (eof) {
-			if (!have) {
-				lost(c, CONN_CLOSED);
-				break;
-			}
-			continue; /* once more, with nothing: the end of what is read until the end */
-		}
-	}
-	if (eof && !c->dead && c->port && c->in_request)
-		lost(c, CONN_CLOSED); /* its caller left */
-	c->parsing = 0;
-}
-
-void conn_finish_response(struct conn *conn, int keep_alive)
-{
-	if (conn->dead)
-		return;
-	conn->in_request = 0;
-	conn->idle_since_us = loop_us();
-	if (!keep_alive) {
-		conn->closing = 1;
-		if (arrlenu(conn->out) <= conn->out_offset) {
-			shutdown(conn->fd, SHUT_WR);
-			conn_destroy(conn, 0);
-		}
-		return;
-	}
-	parse(conn, 0);
-}
-
-void conn_expect(struct conn *conn)
-{
-	conn->due = 1;
-	conn->message.status = 0;
-}
-
-static void flush(struct conn *conn)
-{
-	while (!conn->dead && conn->up && !conn->is_silent && arrlenu(conn->out) > conn->out_offset) {
-		ssize_t n = send(conn->fd, conn->out + conn->out_offset,
-				 arrlenu(conn->out) - conn->out_offset, MSG_NOSIGNAL);
-
-		if (n < 0 && (errno == EAGAIN || errno == EINTR))
-			break;
-		if (n < 0) { /* never from within: whoever sends hears of it from the loop */
-			conn->reset |= errno == ECONNRESET;
-			shutdown(conn->fd, SHUT_RDWR);
-			conn->out_offset = arrlenu(conn->out);
-			break;
-		}
-		conn->out_offset += (size_t)n;
-	}
-	if (conn->dead)
-		return;
-	if (arrlenu(conn->out) <= conn->out_offset) {
-		if (conn->out)
-			arrsetlen(conn->out, 0);
-		conn->out_offset = 0;
-		if (conn->closing) {
-			conn_destroy(conn, 0);
-			return;
-		}
-	}
-	watch(conn);
-}
-
-void conn_write(struct conn *conn, const char *data, size_t n)
-{
-	if (conn->dead || !n)
-		return;
-	memcpy(arraddnptr(conn->out, n), data, n);
-	if (arrlenu(conn->out) - conn->out_offset == n)
-		flush(conn);
-}
-
-void conn_writef(struct conn *conn, const char *fmt, ...)
-{
-	char b[4096];
-	va_list ap;
-	int n;
-
-	va_start(ap, fmt);
-	n = vsnprintf(b, sizeof b, fmt, ap);
-	va_end(ap);
-	conn_write(conn, b, (size_t)n < sizeof b ? (size_t)n : sizeof b - 1);
-}
-
-void conn_set_handlers(struct conn *conn, const struct conn_handlers *callbacks, void *context)
-{
-	conn->handlers = callbacks;
-	conn->context = context;
-}
-
-int conn_read_by_peer(const struct conn *conn)
-{
-	return conn->up && !conn->dead && arrlenu(conn->out) == conn->out_offset &&
-	       socket_unread(conn->fd) == 0;
-}
-
-int conn_is_up(const struct conn *conn)
-{
-	return conn->up && !conn->dead;
-}
-
-int conn_is_alive(const struct loop *loop, const struct conn *conn)
-{
-	for (int i = 0; i < arrlen(loop->connections); i++)
-		if (loop->connections[i] == conn)
-			return !conn->dead;
-	return 0;
-}
-
-void *conn_tag(struct conn *conn)
-{
-	return conn->tag;
-}
-void conn_set_tag(struct conn *conn, void *tag)
-{
-	conn->tag = tag;
-}
-
-static struct conn *conn_new(struct loop *loop, int fd, struct port *port,
-			     const struct conn_handlers *callbacks, void *context)
-{
-	struct conn *conn = calloc(1, sizeof *conn);
-	struct epoll_event event = { .events = EPOLLIN | (port ? 0 : EPOLLOUT), .data.ptr = conn };
-	int one = 1;
-
-	conn->owner.kind = 2;
-	conn->loop = loop;
-	conn->fd = fd;
-	conn->port = port;
-	conn->handlers = callbacks;
-	conn->context = context;
-	conn->up = port != NULL;
-	conn->idle_since_us = loop_us();
-	restart(conn);
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, fd, &event);
-	arrput(loop->connections, conn);
-	return conn;
-}
-
-struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
-			  void *context)
-{
-	struct sockaddr_in socket_address;
-	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-
-	if (fd < 0)
-		return NULL;
-	if (!address(addr, &socket_address) ||
-	    (connect(fd, (struct sockaddr *)&socket_address, sizeof socket_address) < 0 &&
-	     errno != EINPROGRESS)) {
-		close(fd);
-		return NULL;
-	}
-	return conn_new(loop, fd, NULL, callbacks, context);
-}
-
-struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
-		       void *context, int max)
-{
-	struct sockaddr_in socket_address;
-	struct port *port;
-	struct epoll_event event = { .events = EPOLLIN };
-	int one = 1, fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-
-	if (fd < 0)
-		return NULL;
-	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-	if (!address(addr, &socket_address) ||
-	    bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) < 0 || listen(fd, 512) < 0) {
-		fprintf(stderr, "notchlug-emulator: listening at %s: %s\n", addr, strerror(errno));
-		close(fd);
-		return NULL;
-	}
-	port = calloc(1, sizeof *port);
-	port->owner.kind = 1;
-	port->loop = loop;
-	port->fd = fd;
-	port->max_connections = max;
-	port->handlers = callbacks;
-	port->context = context;
-	event.data.ptr = port;
-	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, fd, &event);
-	arrput(loop->ports, port);
-	return port;
-}
-
-int port_count(const struct port *port)
-{
-	return port->connection_count;
-}
-void port_set_idle_timeout(struct port *port, int ms)
-{
-	port->idle_ms = ms;
-}
-
-void port_close(struct port *port, int reset)
-{
-	if (!port || port->is_closed)
-		return;
-	port->is_closed = 1;
-	stop_watching(port->loop, port->fd);
-	for (int i = 0; i < arrlen(port->loop->connections); i++)
-		if (port->loop->connections[i]->port == port)
-			conn_destroy(port->loop->connections[i], reset);
-}
-
-void port_set_silent(struct port *port, int dark)
-{
-	struct epoll_event event = { .events = dark ? 0 : EPOLLIN, .data.ptr = port };
-
-	if (!port || port->is_closed)
-		return;
-	port->is_silent = dark;
-	epoll_ctl(port->loop->epoll_fd, EPOLL_CTL_MOD, port->fd, &event);
-	for (int i = 0; i < arrlen(port->loop->connections); i++)
-		if (port->loop->connections[i]->port == port) {
-			port->loop->connections[i]->is_silent = dark;
-			watch(port->loop->connections[i]);
-		}
-}
-
-static void accept_all(struct port *port)
-{
-	for (;;) {
-		int fd = accept4(port->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-
-		if (fd < 0)
-			return;
-		conn_new(port->loop, fd, port, port->handlers, port->context);
-		if (++port->connection_count > port->max_connections && port->max_connections)
-			conn_destroy(arrlast(port->loop->connections), 1);
-	}
-}
-
-static void ready(struct conn *c, uint32_t events)
-{
-	char b[65536];
-
-	if (c->dead || c->is_silent)
-		return;
-	if (!c->up) {
-		int err = 0;
-		socklen_t n = sizeof err;
-
-		if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP)))
-			return;
-		getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &err, &n);
-		if (err) {
-			lost(c, CONN_REFUSED);
+			pop_timer(loop, i);
 			return;
 		}
-		c->up = 1;
-	}
-	if (events & EPOLLOUT)
-		flush(c);
-	while (!c->dead && events & (EPOLLIN | EPOLLHUP | EPOLLERR)) {
-		ssize_t n = recv(c->fd, b, sizeof b, 0);
-
-		if (n < 0 && (errno == EAGAIN || errno == EINTR))
-			break;
-		if (n < 0) {
-			lost(c, CONN_RESET);
-			return;
-		}
-		if (n)
-			memcpy(arraddnptr(c->in, n), b, (size_t)n);
-		else if (c->reset)
-			lost(c, CONN_RESET);
-		parse(c, n == 0);
-		if (n == 0) {
-			if (!c->dead)
-				lost(c, CONN_CLOSED);
-			return;
-		}
-	}
 }
 
-static void sweep(struct loop *loop)
+static void loop_sweep(struct loop *loop)
 {
 	int64_t now = loop_us();
 
@@ -691,7 +114,7 @@
 		for (int i = 0; i < arrlen(loop->connections); i++) {
 			struct conn *conn = loop->connections[i];
 
-			if (!conn->dead && conn->port && conn->port->idle_ms && !conn->in_request &&
+			if (!conn->is_closed && conn->port && conn->port->idle_ms && !conn->in_request &&
 			    !conn->is_silent &&
 			    now - conn->idle_since_us > (int64_t)conn->port->idle_ms * 1000)
 				conn_destroy(conn, 0);
@@ -700,10 +123,10 @@
 	for (int i = arrlen(loop->connections) - 1; i >= 0; i--) {
 		struct conn *conn = loop->connections[i];
 
-		if (conn->dead && !conn->parsing) {
+		if (conn->is_closed && !conn->parsing) {
 			http_message_clear(&conn->message);
-			arrfree(conn->in);
-			arrfree(conn->out);
+			arrfree(conn->input);
+			arrfree(conn->output);
 			free(conn);
 			arrdelswap(loop->connections, i);
 		}
@@ -716,7 +139,7 @@
 	}
 }
 
-static void turn(struct loop *loop, int64_t until)
+static void loop_turn(struct loop *loop, int64_t until)
 {
 	struct epoll_event event[128];
 	int64_t now = loop_us(), at = until;
@@ -730,20 +153,20 @@
 
 		if (fd_owner->kind == 1) {
 			if (!((struct port *)fd_owner)->is_closed)
-				accept_all((struct port *)fd_owner);
+				port_accept_all((struct port *)fd_owner);
 		} else {
-			ready((struct conn *)fd_owner, event[i].events);
+			conn_on_ready((struct conn *)fd_owner, event[i].events);
 		}
 	}
 	now = loop_us();
 	while (arrlen(loop->timers) && loop->timers[0].due_at_us <= now) {
-		struct timer timer = take(loop, 0);
+		struct timer timer = pop_timer(loop, 0);
 
 		if (now - timer.due_at_us > loop->max_lateness_us)
 			loop->max_lateness_us = now - timer.due_at_us;
 		timer.callback(timer.context);
 	}
-	sweep(loop);
+	loop_sweep(loop);
 }
 
 int loop_until(struct loop *loop, int64_t us, int (*done)(void *ctx), void *context)
@@ -751,7 +174,7 @@
 	int64_t until = loop_us() + us;
 
 	do {
-		turn(loop, until);
+		loop_turn(loop, until);
 		if (done && done(context))
 			return 1;
 	} while (loop_us() < until);
@@ -772,92 +195,10 @@
 		port_close(loop->ports[i], 0);
 	for (int i = 0; i < arrlen(loop->connections); i++)
 		conn_destroy(loop->connections[i], 0);
-	sweep(loop);
+	loop_sweep(loop);
 	arrfree(loop->connections);
 	arrfree(loop->ports);
 	arrfree(loop->timers);
 	close(loop->epoll_fd);
 	free(loop);
 }
-
-/* ---- whole answers and plain calls ---- */
-
-void conn_answer(struct conn *conn, int status, const char *fields, const char *body, size_t n,
-		 int keep_alive)
-{
-	conn_writef(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %zu\r\n%s\r\n", status,
-		    http_status_str((enum http_status)status), fields, n,
-		    keep_alive ? "" : "Connection: close\r\n");
-	conn_write(conn, body, n);
-	conn_finish_response(conn, keep_alive);
-}
-
-struct single_call {
-	struct loop *loop;
-	struct conn *conn;
-	uint64_t timer;
-	void (*callback)(void *ctx, int status, const struct http_message *m);
-	void *context;
-};
-
-static void single_call_end(struct single_call *once, int status, const struct http_message *message)
-{
-	void (*callback)(void *, int, const struct http_message *) = once->callback;
-	void *ctx = once->context;
-
-	loop_cancel(once->loop, once->timer);
-	if (once->conn)
-		conn_close(once->conn, 0);
-	free(once);
-	callback(ctx, status, message);
-}
-
-static void single_call_complete(void *ctx, struct conn *conn, struct http_message *message)
-{
-	(void)conn;
-	single_call_end(ctx, message->status, message);
-}
-
-static void single_call_closed(void *ctx, struct conn *conn, enum conn_end how)
-{
-	struct single_call *once = ctx;
-
-	(void)conn, (void)how;
-	once->conn = NULL;
-	single_call_end(once, 0, NULL);
-}
-
-static void single_call_timeout(void *ctx)
-{
-	struct single_call *once = ctx;
-
-	once->timer = 0;
-	single_call_end(once, 0, NULL);
-}
-
-void call_once(struct loop *loop, const char *addr, const char *method, const char *target,
-	       const char *fields, const char *body, int ms,
-	       void (*callback)(void *ctx, int status, const struct http_message *m), void *context)
-{
-	static const struct conn_handlers callbacks = { .complete = single_call_complete,
-							.closed = single_call_closed };
-	struct single_call *once = calloc(1, sizeof *once);
-
-	once->loop = loop;
-	once->callback = callback;
-	once->context = context;
-	once->conn = conn_connect(loop, addr, &callbacks, once);
-	once->timer = loop_after(loop, once->conn ? ms_us(ms) : 0, single_call_timeout, once);
-	if (!once->conn)
-		return;
-	conn_expect(once->conn);
-	conn_writef(once->conn, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, addr);
-	conn_write(once->conn, fields, strlen(fields));
-	if (body) {
-		conn_writef(once->conn, "Content-Type: application/json\r\nContent-Length: %zu\r\n\r\n",
-			    strlen(body));
-		conn_write(once->conn, body, strlen(body));
-	} else {
-		conn_write(once->conn, "\r\n", 2);
-	}
-}
