--- a/lib/shell/storage_load.c
+++ b/lib/shell/storage_load.c
@@ -9,20 +9,13 @@
 #include "containers.h"
 #include "storage_internal.h"
 
-/* An entry of the log; the traversal of the file has no order, so its index goes along until they are sorted.
- */
-struct loaded_entry {
-	uint64_t index;
-	struct raft_entry entry;
-};
-
 /* One reading of a file. */
 struct loading {
 	struct storage *storage;
 	struct stored_state *found;
-	apr_pool_t *pool;                          /* of what goes to found */
-	const char *damaged_key;                   /* of the first damaged record; NULL: none */
-	struct loaded_entry *entries[SHARD_COUNT]; /* stb_ds */
+	apr_pool_t *pool;                        /* of what goes to found */
+	const char *damaged_key;                 /* of the first damaged record; NULL: none */
+	struct raft_entry *entries[SHARD_COUNT]; /* stb_ds; entry_index() of each until they are in order */
 	bool has_total;
 	struct storage_total total;   /* as the file says */
 	struct storage_total counted; /* as its records are */
@@ -67,20 +60,22 @@
 
 /* index_text: what follows the shard's number in the key, a slash and the index. */
 static bool load_entry(const struct loaded_record *record, const char *index_text,
-		       struct loaded_entry **entries)
+		       struct raft_entry **entries)
 {
-	struct loaded_entry loaded = { 0 };
+	struct raft_entry entry;
 	struct entry_header header;
+	uint64_t index;
 
 	if (record->size < sizeof header || *index_text != '/')
 		return false;
 	memcpy(&header, record->body, sizeof header);
-	loaded.index = strtoull(index_text + 1, NULL, 10);
-	loaded.entry.term = header.term;
-	loaded.entry.kind = (uint32_t)header.kind;
-	loaded.entry.len = record->size - sizeof header;
-	loaded.entry.data = record->body + sizeof header;
-	arrput(*entries, loaded);
+	index = strtoull(index_text + 1, NULL, 10);
+	entry.term = header.term;
+	entry.kind = (uint32_t)header.kind;
+	entry.len = record->size - sizeof header;
+	entry.data = record->body + sizeof header;
+	memcpy(record->body, &index, sizeof index); /* read back by entry_index */
+	arrput(*entries, entry);
 	return true;
 }
 
@@ -172,10 +167,21 @@
 	       loading->counted.checksum_sum == loading->total.checksum_sum;
 }
 
+/* The index of an entry that was loaded. The traversal of the file has no order; until the entries are
+ * sorted, each one's index stands in the place of its header, before its data, so that loading a log takes no
+ * more memory than the log. */
+static uint64_t entry_index(const struct raft_entry *entry)
+{
+	uint64_t index;
+
+	memcpy(&index, entry->data - sizeof(struct entry_header), sizeof index);
+	return index;
+}
+
 static int compare_index(const void *left, const void *right)
 {
-	uint64_t left_index = ((const struct loaded_entry *)left)->index;
-	uint64_t right_index = ((const struct loaded_entry *)right)->index;
+	uint64_t left_index = entry_index(left);
+	uint64_t right_index = entry_index(right);
 
 	if (left_index == right_index)
 		return 0;
@@ -184,7 +190,7 @@
 
 /* Puts a shard's entries into order. There must be no gap between them, nor between the snapshot and the
  * first. */
-static enum storage_error assemble_log(struct storage *storage, int shard, struct loaded_entry *entries,
+static enum storage_error assemble_log(struct storage *storage, int shard, struct raft_entry *entries,
 				       struct raft_saved *saved, uint64_t *missing_index, apr_pool_t *pool)
 {
 	size_t count = (size_t)arrlen(entries);
@@ -193,13 +199,13 @@
 	if (!count)
 		return STORAGE_OK;
 	qsort(entries, count, sizeof *entries, compare_index);
-	saved->first_index = entries[0].index;
+	saved->first_index = entry_index(&entries[0]);
 	saved->entries = apr_palloc(pool, count * sizeof *saved->entries);
 	for (size_t i = 0; i < count; i++) {
 		*missing_index = saved->first_index + i;
-		if (entries[i].index != *missing_index)
+		if (entry_index(&entries[i]) != *missing_index)
 			return STORAGE_ENTRY_MISSING;
-		saved->entries[i] = entries[i].entry;
+		saved->entries[i] = entries[i];
 	}
 	storage->first_entry[shard] = saved->first_index;
 	storage->last_entry[shard] = saved->first_index + count - 1;
