--- a/lib/control/calendar.h
+++ b/lib/control/calendar.h
@@ -5,7 +5,7 @@
 #ifndef NL_CALENDAR_H
 #define NL_CALENDAR_H
 
-#include "retention.h"
+#include "retention_schedule.h"
 
 /* Example: reg.calendar = &calendar_icu; due = calendar_icu.next("daily 02:30 Asia/Kuala_Lumpur", wall); */
 extern const struct controller_calendar calendar_icu;
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -7,6 +7,7 @@
 #include "leadership.h"
 #include "membership.h"
 #include "quota_shares.h"
+#include "retention_progress.h"
 #include "controller_private.h"
 
 /* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "containers.h"
-#include "retention.h"
+#include "retention_schedule.h"
 
 static const char *const kind_names[] = { "none",    "lane",      "tenant", "share", "key",      "server",
 					  "service", "registrar", "model",  "door",  "retention" };
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -6,6 +6,7 @@
 #include "containers.h"
 #include "leadership.h"
 #include "proposals.h"
+#include "retention_report.h"
 #include "controller_private.h"
 
 static const char *config_table_json(const struct config_table *table, apr_pool_t *pool)
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -1,275 +1,153 @@
 #include "retention.h"
 
-#include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
+#include <apr_strings.h>
+
 #include "containers.h"
-#include "leadership.h"
 #include "controller_private.h"
+#include "leadership.h"
+#include "retention_progress.h"
 
-/* ---- rows ------------------------------------------------------------------ */
-
-int64_t retention_parse_span(const char *text)
-{
-	static const struct {
-		char unit;
-		int64_t ms;
-	} units[] = {
-		{ 's', 1000 }, { 'm', 60000 }, { 'h', 3600000 }, { 'd', 86400000 }, { 'w', 604800000 }
-	};
-	size_t n = strspn(text, "0123456789");
-	int64_t value = n && n < 7 ? strtoll(text, NULL, 10) : 0;
+enum {
+	MAX_MISSED = 1000,         /* missed due times that are counted */
+	DUE_TIME_VALID_MS = 60000, /* how late a purge may be decided and still be spread from its due time */
+};
 
-	for (size_t i = 0; value && i < sizeof units / sizeof *units; i++)
-		if (text[n] == units[i].unit && !text[n + 1])
-			return value * units[i].ms;
-	return -1;
-}
+/* ---- the recorded state ---------------------------------------------------------------------------- */
 
-int retention_parse_scope(const char *scope, char lane[200], char tenant[200])
+static struct Nl__RetentionPlan *find_plan(const struct retention *retention, const char *scope)
 {
-	const char *slash = strchr(scope, '/');
-
-	if (strlen(scope) >= 200)
-		return 0;
-	if (!strcmp(scope, "*"))
-		scope = "*/*", slash = scope + 1;
-	if (!slash || slash == scope || !slash[1])
-		return 0;
-	memcpy(lane, scope, (size_t)(slash - scope));
-	lane[slash - scope] = 0;
-	memcpy(tenant, slash + 1, strlen(slash));
-	if (!strcmp(lane, "*"))
-		lane[0] = 0;
-	if (!strcmp(tenant, "*"))
-		tenant[0] = 0;
-	return 1;
-}
-
-uint64_t retention_namespace_hash(const char *lane, const char *tenant)
-{
-	return core_hash_string(core_hash_string(31, lane), tenant);
-}
-
-/* ms between two clearings of a row without calendar terms. */
-static int64_t period(const struct Nl__Row *row)
-{
-	return row->interval[0] ? retention_parse_span(row->interval)
-				: retention_parse_span(row->max_age) - row->spread_ms;
-}
-
-const char *retention_check_row(const struct Nl__Row *row)
-{
-	char lane[200], tenant[200];
-	int64_t keep_ms = row->max_age[0] ? retention_parse_span(row->max_age) : 0;
-
-	if (!retention_parse_scope(row->name, lane, tenant))
-		return "name: lane/tenant, with * for all; * alone for everything";
-	if (keep_ms < 0)
-		return "keep: a number and s, m, h, d or w, such as 90m or 7d";
-	if (row->interval[0] && row->calendar[0])
-		return "every: not beside at";
-	if (!keep_ms && !row->interval[0] && !row->calendar[0])
-		return "keep: missing, and neither every nor at";
-	if (row->interval[0] && retention_parse_span(row->interval) < 0)
-		return "every: a number and s, m, h, d or w, such as 6h";
-	if (keep_ms && keep_ms < (int64_t)row->spread_ms)
-		return "keep: shorter than window";
-	if (row->calendar[0])
-		return NULL; /* the calendar judges it */
-	if (period(row) < RETENTION_MIN_PERIOD_MS)
-		return row->interval[0] ? "every: shorter than a clearing takes (10s)"
-					: "keep: shorter than window and a clearing (10s)";
-	if ((int64_t)row->spread_ms > period(row))
-		return "window: longer than the time between two clearings";
-	if (keep_ms && row->interval[0] && keep_ms < period(row) + (int64_t)row->spread_ms)
-		return "keep: shorter than every and window together";
+	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
+		if (!strcmp(retention->plans[i]->scope, scope))
+			return retention->plans[i];
 	return NULL;
 }
 
-static int has_quota_row(const struct config_table *table, const struct Nl__Change *change, Nl__Kind k,
-			 const char *name)
-{
-	for (size_t i = 0; i < change->n_set; i++)
-		if (change->set[i]->kind == k && !strcmp(change->set[i]->name, name))
-			return 1;
-	for (size_t i = 0; i < change->n_deleted; i++)
-		if (change->deleted[i]->kind == k && !strcmp(change->deleted[i]->name, name))
-			return 0;
-	return !change->replace_all && config_table_get(table, k, name);
-}
-
-const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change,
-				   apr_pool_t *p)
+static struct Nl__RetentionPurge *find_purge(const struct retention *retention, uint64_t number)
 {
-	char lane[200], tenant[200];
-
-	for (size_t i = 0; i < change->n_set && shlen(table->rows); i++) {
-		const struct Nl__Row *row = change->set[i];
-
-		if (row->kind != NL__KIND__RETENTION || !retention_parse_scope(row->name, lane, tenant))
-			continue;
-		if (lane[0] && !has_quota_row(table, change, NL__KIND__ROUTE, lane))
-			return apr_psprintf(p, "retention %s: name: no lane %s", row->name, lane);
-		if (tenant[0] && !has_quota_row(table, change, NL__KIND__TENANT, tenant))
-			return apr_psprintf(p, "retention %s: name: no tenant %s", row->name, tenant);
-	}
+	for (ptrdiff_t i = arrlen(retention->purges) - 1; i >= 0; i--)
+		if (retention->purges[i]->purge_number == number)
+			return retention->purges[i];
 	return NULL;
 }
 
-/* The shortest and the longest time between two clearings in the next 800 days; 0 when fewer than two come.
- */
-static int gaps(const struct controller_calendar *cal, const char *text, int64_t wall, int64_t *least,
-		int64_t *most)
+/* A copy of a message on the heap; its ..._free_unpacked releases it. */
+static ProtobufCMessage *copy_message(const ProtobufCMessage *message)
 {
-	int64_t a = cal->next(text, wall), b;
-	int n = 0;
+	size_t size = protobuf_c_message_get_packed_size(message);
+	uint8_t *bytes = malloc(size + 1);
+	ProtobufCMessage *copy;
 
-	*least = INT64_MAX;
-	*most = 0;
-	while (a && a < wall + 800 * 86400000LL && (b = cal->next(text, a)) && n++ < 400) {
-		*least = b - a < *least ? b - a : *least;
-		*most = b - a > *most ? b - a : *most;
-		a = b;
-	}
-	return n;
+	if (!bytes)
+		abort();
+	protobuf_c_message_pack(message, bytes);
+	copy = protobuf_c_message_unpack(message->descriptor, NULL, size, bytes);
+	free(bytes);
+	if (!copy)
+		abort();
+	return copy;
 }
 
-const char *retention_check_calendar(const struct controller_calendar *calendar,
-				     const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *p)
+void retention_pack(const struct controller *controller, struct Nl__ControlState *state)
 {
-	for (size_t i = 0; i < change->n_set; i++) {
-		const struct Nl__Row *row = change->set[i];
-		int64_t shortest_ms, longest_ms, keep_ms;
-		const char *error = NULL;
+	const struct retention *retention = &controller->retention;
 
-		if (row->kind != NL__KIND__RETENTION)
-			continue;
-		if (wall_ms == INT64_MIN)
-			error = "the registrars' clocks are not heard: nothing can be planned";
-		else if (!row->calendar[0])
-			continue;
-		else if (!calendar)
-			error = "at: no calendar is known here";
-		else if ((error = calendar->check(row->calendar, p)))
-			error = apr_psprintf(p, "at: %s", error);
-		else if (!calendar->next(row->calendar, wall_ms))
-			error = "at: it never comes";
-		else if (gaps(calendar, row->calendar, wall_ms, &shortest_ms, &longest_ms) &&
-			 (int64_t)row->spread_ms > shortest_ms)
-			error = "window: longer than the time between two clearings";
-		else if (row->max_age[0] && (keep_ms = retention_parse_span(row->max_age)) >= 0 &&
-			 keep_ms < longest_ms + (int64_t)row->spread_ms)
-			error = apr_psprintf(p,
-					     "keep: two clearings may be %" APR_INT64_T_FMT
-					     " h apart, and window: keep is shorter",
-					     longest_ms / 3600000);
-		if (error)
-			return apr_psprintf(p, "retention %s: %s", row->name, error);
-	}
-	return NULL;
+	state->last_purge_number = retention->last_purge_number;
+	state->retention_purges = retention->purges;
+	state->n_retention_purges = (size_t)arrlen(retention->purges);
+	state->retention_plans = retention->plans;
+	state->n_retention_plans = (size_t)arrlen(retention->plans);
+	state->purged_tick = retention->purged_tick;
 }
 
-int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row,
-			   int64_t base_ms, int64_t from_ms)
+void retention_reset(struct controller *controller)
 {
-	int64_t period_ms;
-
-	if (row->calendar[0])
-		return calendar ? calendar->next(row->calendar, from_ms) : 0;
-	period_ms = period(row);
-	if (period_ms < RETENTION_MIN_PERIOD_MS)
-		return 0;
-	return base_ms > from_ms ? base_ms : base_ms + ((from_ms - base_ms) / period_ms + 1) * period_ms;
-}
-
-/* ---- the state that part 0 keeps -------------------------------------------- */
+	struct retention *retention = &controller->retention;
 
-static struct Nl__RetentionPlan *find_plan(const struct retention *retention, const char *scope)
-{
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
+		nl__retention_purge__free_unpacked(retention->purges[i], NULL);
 	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
-		if (!strcmp(retention->plans[i]->scope, scope))
-			return retention->plans[i];
-	return NULL;
+		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
+	arrfree(retention->purges);
+	arrfree(retention->plans);
+	retention_free_reports(retention);
+	memset(retention, 0, sizeof *retention);
 }
 
-static struct Nl__RetentionPurge *find_purge(const struct retention *retention, uint64_t number)
+void retention_load(struct controller *controller, const struct Nl__ControlState *state)
 {
-	for (ptrdiff_t i = arrlen(retention->purges) - 1; i >= 0; i--)
-		if (retention->purges[i]->purge_number == number)
-			return retention->purges[i];
-	return NULL;
+	struct retention *retention = &controller->retention;
+
+	retention_reset(controller);
+	if (!state)
+		return;
+	retention->last_purge_number = state->last_purge_number;
+	retention->purged_tick = state->purged_tick;
+	for (size_t i = 0; i < state->n_retention_purges; i++)
+		arrput(retention->purges,
+		       (struct Nl__RetentionPurge *)copy_message(&state->retention_purges[i]->base));
+	for (size_t i = 0; i < state->n_retention_plans; i++)
+		arrput(retention->plans,
+		       (struct Nl__RetentionPlan *)copy_message(&state->retention_plans[i]->base));
 }
 
-static ProtobufCMessage *keep(const ProtobufCMessage *m)
+/* ---- steps from the log ---------------------------------------------------------------------------- */
+
+/* How many values of the purge feed the log entry at index has made so far. */
+static uint32_t values_of_entry(const struct controller *controller, uint64_t index)
 {
-	size_t n = protobuf_c_message_get_packed_size(m);
-	uint8_t *d = malloc(n + 1);
-	ProtobufCMessage *c;
+	uint32_t count = 0;
 
-	if (!d)
-		abort();
-	protobuf_c_message_pack(m, d);
-	c = protobuf_c_message_unpack(m->descriptor, NULL, n, d);
-	free(d);
-	if (!c)
-		abort();
-	return c;
+	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1;
+	     i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
+		count++;
+	return count;
 }
 
-/* One slice of a clearing goes to the publisher. */
-static void emit(struct controller *controller, uint64_t index, struct Nl__RetentionPurge *purge_run)
+/* Append the next slice of a purge to the purge feed. */
+static void feed_slice(struct controller *controller, uint64_t index, struct Nl__RetentionPurge *purge)
 {
-	struct Nl__Purge p = NL__PURGE__INIT;
+	struct Nl__Purge content = NL__PURGE__INIT;
 	struct Nl__Value value = NL__VALUE__INIT;
 	const struct Nl__Row *row;
-	char lane[200] = "", tenant[200] = "";
-	uint32_t n = 0;
-
-	if (!purge_run->wide)
-		(void)retention_parse_scope(purge_run->scope, lane, tenant);
-	row = lane[0] ? config_table_get(&controller->config, NL__KIND__ROUTE, lane) : NULL;
-	p.reason = PURGE_CONTEXT;
-	p.route = lane;
-	p.tenant = tenant;
-	p.service = row ? row->service : (char *)"";
-	p.purge_number = purge_run->purge_number;
-	p.slice = purge_run->slices++;
-	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1;
-	     i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
-		n++;
+	char route[RETENTION_SCOPE_BYTES] = "", tenant[RETENTION_SCOPE_BYTES] = "";
+
+	if (!purge->wide)
+		(void)retention_parse_scope(purge->scope, route, tenant);
+	row = route[0] ? config_table_get(&controller->config, NL__KIND__ROUTE, route) : NULL;
+	content.reason = PURGE_CONTEXT;
+	content.route = route;
+	content.tenant = tenant;
+	content.service = row ? row->service : (char *)"";
+	content.purge_number = purge->purge_number;
+	content.slice = purge->slices++;
 	value.feed = SHARD_CONTROL;
-	value.index = index << 16 | n;
-	value.purge = &p;
+	value.index = index << 16 | values_of_entry(controller, index);
+	value.purge = &content;
 	arrput(controller->config_purge_feed, value_copy(&value));
 }
 
-static void begin(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *c,
-		  const char *by, uint32_t window, int wide)
+/* A new purge of a scope ends the one before it: the slices that are open go out at once. */
+static void end_open_purges(struct controller *controller, uint64_t index, const char *scope, int64_t wall_ms)
 {
 	struct retention *retention = &controller->retention;
-	struct Nl__RetentionPurge n = NL__RETENTION_PURGE__INIT;
-	char lane[200] = "", tenant[200] = "";
-
-	(void)retention_parse_scope(c->scope, lane, tenant);
-	for (ptrdiff_t i = 0; i < arrlen(retention->purges);
-	     i++) /* one of a scope at a time: the one before ends here */
-		if (!strcmp(retention->purges[i]->scope, c->scope) &&
-		    retention->purges[i]->slices < PURGE_SLICES) {
-			while (retention->purges[i]->slices < PURGE_SLICES)
-				emit(controller, index, retention->purges[i]);
-			retention->purges[i]->sliced_at_ms = c->wall_clock_ms;
-		}
-	n.purge_number = ++retention->last_purge_number;
-	n.scope = c->scope;
-	n.due_at_ms = c->due_at_ms;
-	n.decided_at_ms = c->wall_clock_ms;
-	n.requested_by = (char *)by;
-	n.missed = c->missed;
-	n.spread_ms = window;
-	n.wide = wide && (lane[0] || tenant[0]);
-	arrput(retention->purges, (struct Nl__RetentionPurge *)keep(&n.base));
+
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
+		struct Nl__RetentionPurge *purge = retention->purges[i];
+
+		if (strcmp(purge->scope, scope) || purge->slices >= PURGE_SLICES)
+			continue;
+		while (purge->slices < PURGE_SLICES)
+			feed_slice(controller, index, purge);
+		purge->sliced_at_ms = wall_ms;
+	}
+}
+
+/* Forget the oldest purges that are done, or the oldest of all, while there are too many. */
+static void drop_oldest_purges(struct retention *retention)
+{
 	while (arrlen(retention->purges) > RETENTION_MAX_PURGES) {
 		ptrdiff_t i = 0;
 
@@ -280,404 +158,375 @@
 	}
 }
 
-uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *clear)
+/* wide: the scope's own cache namespaces are not in use everywhere, so all of them are purged with it. */
+static void begin_purge(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step,
+			const char *requested_by, uint32_t spread_ms, int wide)
 {
 	struct retention *retention = &controller->retention;
-	struct Nl__RetentionPlan *plan = find_plan(retention, clear->scope);
-	struct Nl__RetentionPurge *purge = find_purge(retention, clear->purge_number);
-	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, clear->scope);
+	struct Nl__RetentionPurge purge = NL__RETENTION_PURGE__INIT;
+	char route[RETENTION_SCOPE_BYTES] = "", tenant[RETENTION_SCOPE_BYTES] = "";
+
+	(void)retention_parse_scope(step->scope, route, tenant);
+	end_open_purges(controller, index, step->scope, step->wall_clock_ms);
+	purge.purge_number = ++retention->last_purge_number;
+	purge.scope = step->scope;
+	purge.due_at_ms = step->due_at_ms;
+	purge.decided_at_ms = step->wall_clock_ms;
+	purge.requested_by = (char *)requested_by;
+	purge.missed = step->missed;
+	purge.spread_ms = spread_ms;
+	purge.wide = wide && (route[0] || tenant[0]);
+	arrput(retention->purges, (struct Nl__RetentionPurge *)copy_message(&purge.base));
+	drop_oldest_purges(retention);
+}
+
+static uint32_t apply_plan(struct controller *controller, const struct Nl__RetentionStep *step)
+{
+	struct Nl__RetentionPlan *plan = find_plan(&controller->retention, step->scope);
+
+	if (!plan || plan->due_at_ms || !step->next_due_at_ms)
+		return PROPOSAL_REJECTED;
+	plan->due_at_ms = step->next_due_at_ms;
+	plan->planned_at_ms = step->wall_clock_ms;
+	return PROPOSAL_DONE;
+}
 
-	switch (clear->step) {
+/* A due time is taken once, whoever decides it and however often: the entry that takes it sets the next one.
+ */
+static uint32_t apply_due(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step)
+{
+	struct Nl__RetentionPlan *plan = find_plan(&controller->retention, step->scope);
+	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, step->scope);
+
+	if (!plan || !row || plan->due_at_ms != step->due_at_ms || step->next_due_at_ms <= step->due_at_ms)
+		return PROPOSAL_REJECTED;
+	plan->due_at_ms = step->next_due_at_ms;
+	begin_purge(controller, index, step, "schedule", row->spread_ms, !plan->settled);
+	plan->settled |= step->wall_clock_ms - plan->planned_at_ms >= RETENTION_PROPAGATION_MS;
+	return PROPOSAL_DONE;
+}
+
+static uint32_t apply_now(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step)
+{
+	const struct Nl__RetentionPlan *plan = find_plan(&controller->retention, step->scope);
+
+	begin_purge(controller, index, step, step->requested_by, 0, !plan || !plan->settled);
+	return PROPOSAL_DONE;
+}
+
+static uint32_t apply_slice(struct controller *controller, uint64_t index,
+			    const struct Nl__RetentionStep *step)
+{
+	struct Nl__RetentionPurge *purge = find_purge(&controller->retention, step->purge_number);
+
+	if (!purge || purge->slices != step->slice || purge->slices >= PURGE_SLICES)
+		return PROPOSAL_REJECTED;
+	feed_slice(controller, index, purge);
+	purge->late |= step->late;
+	if (purge->slices == PURGE_SLICES)
+		purge->sliced_at_ms = step->wall_clock_ms;
+	return PROPOSAL_DONE;
+}
+
+static uint32_t apply_done(struct controller *controller, const struct Nl__RetentionStep *step)
+{
+	struct Nl__RetentionPurge *purge = find_purge(&controller->retention, step->purge_number);
+
+	if (!purge || purge->slices < PURGE_SLICES || purge->done_at_ms)
+		return PROPOSAL_REJECTED;
+	purge->done_at_ms = step->wall_clock_ms;
+	return PROPOSAL_DONE;
+}
+
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step)
+{
+	switch (step->step) {
 	case NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN:
-		if (!plan || plan->due_at_ms || !clear->next_due_at_ms)
-			return PROPOSAL_REJECTED;
-		plan->due_at_ms = clear->next_due_at_ms;
-		plan->planned_at_ms = clear->wall_clock_ms;
-		return PROPOSAL_DONE;
-	case NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE: /* a due time is taken once, whoever decides it and
-							     however often */
-		if (!plan || !row || plan->due_at_ms != clear->due_at_ms ||
-		    clear->next_due_at_ms <= clear->due_at_ms)
-			return PROPOSAL_REJECTED;
-		plan->due_at_ms = clear->next_due_at_ms;
-		begin(controller, index, clear, "schedule", row->spread_ms, !plan->settled);
-		plan->settled |= clear->wall_clock_ms - plan->planned_at_ms >= RETENTION_PROPAGATION_MS;
-		return PROPOSAL_DONE;
+		return apply_plan(controller, step);
+	case NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE:
+		return apply_due(controller, index, step);
 	case NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW:
-		begin(controller, index, clear, clear->requested_by, 0, !plan || !plan->settled);
-		return PROPOSAL_DONE;
+		return apply_now(controller, index, step);
 	case NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE:
-		if (!purge || purge->slices != clear->slice || purge->slices >= PURGE_SLICES)
-			return PROPOSAL_REJECTED;
-		emit(controller, index, purge);
-		purge->late |= clear->late;
-		if (purge->slices == PURGE_SLICES)
-			purge->sliced_at_ms = clear->wall_clock_ms;
-		return PROPOSAL_DONE;
+		return apply_slice(controller, index, step);
 	case NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE:
-		if (!purge || purge->slices < PURGE_SLICES || purge->done_at_ms)
-			return PROPOSAL_REJECTED;
-		purge->done_at_ms = clear->wall_clock_ms;
-		return PROPOSAL_DONE;
+		return apply_done(controller, step);
 	default:
 		return PROPOSAL_REJECTED;
 	}
 }
 
-static const char *setting_text(const struct Nl__Row *row, apr_pool_t *p)
+/* ---- plans follow the rows of the table -------------------------------------------------------------- */
+
+/* The row's setting as a plan keeps it, to tell an edited row from an unchanged one. */
+static const char *setting_text(const struct Nl__Row *row, apr_pool_t *pool)
 {
-	return apr_psprintf(p, "%s|%s|%s|%u", row->max_age, row->interval, row->calendar,
+	return apr_psprintf(pool, "%s|%s|%s|%u", row->max_age, row->interval, row->calendar,
 			    (unsigned)row->spread_ms);
 }
 
-void retention_on_config_change(struct controller *controller, uint64_t index)
+static int any_retention_row(const struct config_table *table)
 {
-	struct retention *retention = &controller->retention;
-	apr_pool_t *p;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		if (table->rows[i].value.row->kind == NL__KIND__RETENTION)
+			return 1;
+	return 0;
+}
 
-	if (!arrlen(retention->plans)) {
-		ptrdiff_t i = 0;
+/* A plan whose row was edited is planned anew; one whose row was removed ends with a last purge. */
+static void update_plans(struct controller *controller, uint64_t index, apr_pool_t *pool)
+{
+	struct retention *retention = &controller->retention;
 
-		while (i < shlen(controller->config.rows) &&
-		       controller->config.rows[i].value.row->kind != NL__KIND__RETENTION)
-			i++;
-		if (i == shlen(controller->config.rows))
-			return;
-	}
-	apr_pool_create(&p, NULL);
 	for (ptrdiff_t i = arrlen(retention->plans) - 1; i >= 0; i--) {
+		struct Nl__RetentionPlan *plan = retention->plans[i];
 		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, retention->plans[i]->scope);
+		    config_table_get(&controller->config, NL__KIND__RETENTION, plan->scope);
+		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
-		if (row && !strcmp(setting_text(row, p), retention->plans[i]->text))
+		if (row && !strcmp(setting_text(row, pool), plan->text))
 			continue;
-		if (row) { /* planned anew */
-			free(retention->plans[i]->text);
-			retention->plans[i]->text = strdup(setting_text(row, p));
-			retention->plans[i]->due_at_ms = 0;
+		if (row) {
+			free(plan->text);
+			plan->text = strdup(setting_text(row, pool));
+			plan->due_at_ms = 0;
 			continue;
 		}
-		/* what lies on its own cache namespaces must not be found again if the row comes back */
-		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
-
-		clear.scope = retention->plans[i]->scope;
-		clear.wall_clock_ms = clear.due_at_ms = retention->plans[i]->planned_at_ms;
-		begin(controller, index, &clear, "its row was taken out", 0, 0);
-		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
+		/* what lies in its own cache namespaces must not be found again if the row comes back */
+		step.scope = plan->scope;
+		step.wall_clock_ms = plan->planned_at_ms;
+		step.due_at_ms = plan->planned_at_ms;
+		begin_purge(controller, index, &step, "its row was taken out", 0, 0);
+		nl__retention_plan__free_unpacked(plan, NULL);
 		arrdel(retention->plans, i);
 	}
-	for (ptrdiff_t i = 0; i < shlen(controller->config.rows); i++) {
-		const struct Nl__Row *row = controller->config.rows[i].value.row;
-		struct Nl__RetentionPlan n = NL__RETENTION_PLAN__INIT;
-		ptrdiff_t k = arrlen(retention->plans);
-
-		if (row->kind != NL__KIND__RETENTION || find_plan(retention, row->name))
-			continue;
-		n.scope = row->name;
-		n.text = (char *)setting_text(row, p);
-		arrput(retention->plans, (struct Nl__RetentionPlan *)keep(&n.base));
-		for (; k && strcmp(retention->plans[k - 1]->scope, retention->plans[k]->scope) > 0;
-		     k--) { /* in order, so that equal states pack alike */
-			struct Nl__RetentionPlan *planned = retention->plans[k];
-
-			retention->plans[k] = retention->plans[k - 1];
-			retention->plans[k - 1] = planned;
-		}
-	}
-	apr_pool_destroy(p);
 }
 
-void retention_pack(const struct controller *controller, struct Nl__ControlState *state)
+/* In the order of scopes, so that equal states pack alike. */
+static void insert_plan(struct retention *retention, const struct Nl__Row *row, apr_pool_t *pool)
 {
-	state->last_purge_number = controller->retention.last_purge_number;
-	state->retention_purges = controller->retention.purges;
-	state->n_retention_purges = (size_t)arrlen(controller->retention.purges);
-	state->retention_plans = controller->retention.plans;
-	state->n_retention_plans = (size_t)arrlen(controller->retention.plans);
-	state->purged_tick = controller->retention.purged_tick;
+	struct Nl__RetentionPlan plan = NL__RETENTION_PLAN__INIT;
+	ptrdiff_t at = arrlen(retention->plans);
+
+	plan.scope = row->name;
+	plan.text = (char *)setting_text(row, pool);
+	while (at && strcmp(retention->plans[at - 1]->scope, row->name) > 0)
+		at--;
+	arrins(retention->plans, at, (struct Nl__RetentionPlan *)copy_message(&plan.base));
 }
 
-void retention_reset(struct controller *controller)
+void retention_on_config_change(struct controller *controller, uint64_t index)
 {
 	struct retention *retention = &controller->retention;
+	const struct config_table *table = &controller->config;
+	apr_pool_t *pool;
 
-	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
-		nl__retention_purge__free_unpacked(retention->purges[i], NULL);
-	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++)
-		nl__retention_plan__free_unpacked(retention->plans[i], NULL);
-	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++) {
-		for (ptrdiff_t k = 0; k < arrlen(retention->index_reports[i].remainders); k++)
-			free(retention->index_reports[i].remainders[k].server);
-		arrfree(retention->index_reports[i].remainders);
+	if (!arrlen(retention->plans) && !any_retention_row(table))
+		return;
+	apr_pool_create(&pool, NULL);
+	update_plans(controller, index, pool);
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (row->kind == NL__KIND__RETENTION && !find_plan(retention, row->name))
+			insert_plan(retention, row, pool);
 	}
-	arrfree(retention->purges);
-	arrfree(retention->plans);
-	arrfree(retention->index_reports);
-	memset(retention, 0, sizeof *retention);
+	apr_pool_destroy(pool);
 }
 
-void retention_load(struct controller *controller, const struct Nl__ControlState *state)
+/* ---- the agreed time ----------------------------------------------------------------------------------- */
+
+/* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
+static int64_t member_wall_clock(const struct controller *controller, uint64_t member_id, int64_t now)
 {
-	retention_reset(controller);
-	if (!state)
-		return;
-	controller->retention.last_purge_number = state->last_purge_number;
-	controller->retention.purged_tick = state->purged_tick;
-	for (size_t i = 0; i < state->n_retention_purges; i++)
-		arrput(controller->retention.purges,
-		       (struct Nl__RetentionPurge *)keep(&state->retention_purges[i]->base));
-	for (size_t i = 0; i < state->n_retention_plans; i++)
-		arrput(controller->retention.plans,
-		       (struct Nl__RetentionPlan *)keep(&state->retention_plans[i]->base));
-}
+	int64_t wall_ms = INT64_MIN;
 
-/* ---- the clocks --------------------------------------------------------------- */
+	if (member_id == controller->id)
+		return controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		const struct controller_node_status *node = &controller->node_statuses[i];
+
+		if (node->id == member_id && node->wall_clock_ms &&
+		    now - node->observed_at_ms <= CONTROLLER_NODE_LIVE_MS)
+			wall_ms = node->wall_clock_ms + (now - node->observed_at_ms);
+	}
+	return wall_ms;
+}
 
-/* More than half of part 0's voters say that it is this late, or later: one clock that jumps decides nothing.
- */
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
-	const struct raft *p = &controller->shards[SHARD_CONTROL];
-	int64_t clocks[RAFT_MAX_MEMBERS];
+	const struct raft *raft = &controller->shards[SHARD_CONTROL];
+	int64_t clocks[RAFT_MAX_MEMBERS]; /* latest first */
 	int n = 0;
 
-	for (int i = 0; i < p->member_count; i++) {
-		int64_t wall_ms = INT64_MIN;
-		int k = n;
+	for (int i = 0; i < raft->member_count; i++) {
+		int64_t wall_ms;
+		int at = n;
 
-		if (!p->members[i].voter)
+		if (!raft->members[i].voter)
 			continue;
-		if (p->members[i].id == controller->id)
-			wall_ms = controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
-		else
-			for (ptrdiff_t s = 0; s < arrlen(controller->node_statuses); s++)
-				if (controller->node_statuses[s].id == p->members[i].id &&
-				    controller->node_statuses[s].wall_clock_ms &&
-				    now - controller->node_statuses[s].observed_at_ms <=
-					CONTROLLER_NODE_LIVE_MS)
-					wall_ms = controller->node_statuses[s].wall_clock_ms +
-						  (now - controller->node_statuses[s].observed_at_ms);
-		for (; k && clocks[k - 1] < wall_ms; k--)
-			clocks[k] = clocks[k - 1];
-		clocks[k] = wall_ms;
+		wall_ms = member_wall_clock(controller, raft->members[i].id, now);
+		for (; at && clocks[at - 1] < wall_ms; at--)
+			clocks[at] = clocks[at - 1];
+		clocks[at] = wall_ms;
 		n++;
 	}
 	return n ? clocks[n / 2] : INT64_MIN;
 }
 
-/* ---- the owner decides ----------------------------------------------------------- */
+/* ---- the leader's decisions ---------------------------------------------------------------------------- */
 
-static uint64_t step(struct controller *controller, struct Nl__RetentionStep *c, int64_t now,
-		     struct command_list *out)
+/* Returns the index of the log entry; 0 when it could not be logged. */
+static uint64_t log_step(struct controller *controller, struct Nl__RetentionStep *step, int64_t now,
+			 struct command_list *out)
 {
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 
 	operation.body_case = NL__OPERATION__BODY_RETENTION_STEP;
-	operation.retention_step = c;
-	return controller->retention.logged_index =
-		   log_operation(controller, SHARD_CONTROL, &operation, now, out);
+	operation.retention_step = step;
+	controller->retention.logged_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
+	return controller->retention.logged_index;
 }
 
-/* A row without a due time gets one; one whose time has come is cleared, however many times were missed
- * since. */
-static int plan(struct controller *controller, int64_t wall, int64_t now, struct command_list *out)
+/* From when on a row without a due time counts its periods: from the last purge of its scope, so that a row
+ * that is edited again and again is not put off for ever. */
+static int64_t plan_base(const struct retention *retention, const char *scope, int64_t wall_ms)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
-		struct Nl__RetentionPlan *p = controller->retention.plans[i];
+	int64_t base_ms = wall_ms;
+
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
+		if (!strcmp(retention->purges[i]->scope, scope) &&
+		    retention->purges[i]->decided_at_ms < wall_ms)
+			base_ms = retention->purges[i]->decided_at_ms;
+	return base_ms;
+}
+
+/* Fill in the step that takes a due time, however many were missed since. */
+static void fill_due_step(const struct controller *controller, const struct Nl__RetentionPlan *plan,
+			  const struct Nl__Row *row, int64_t wall_ms, struct Nl__RetentionStep *step)
+{
+	int64_t next = plan->due_at_ms;
+
+	step->step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
+	step->due_at_ms = plan->due_at_ms;
+	step->next_due_at_ms = retention_next_due(controller->calendar, row, plan->due_at_ms, wall_ms);
+	while (step->missed < MAX_MISSED) {
+		next = retention_next_due(controller->calendar, row, next, next);
+		if (!next || next > wall_ms)
+			break;
+		step->missed++;
+	}
+}
+
+/* Log the next step of a plan: its first due time, or the purge that is due. Returns 1 when one was logged.
+ */
+static int log_next_due(struct controller *controller, int64_t wall_ms, int64_t now, struct command_list *out)
+{
+	const struct retention *retention = &controller->retention;
+
+	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++) {
+		const struct Nl__RetentionPlan *plan = retention->plans[i];
 		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, p->scope);
-		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
+		    config_table_get(&controller->config, NL__KIND__RETENTION, plan->scope);
+		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
-		if (!row || (p->due_at_ms && p->due_at_ms > wall))
+		if (!row || (plan->due_at_ms && plan->due_at_ms > wall_ms))
 			continue;
-		clear.scope = p->scope;
-		clear.wall_clock_ms = wall;
-		if (!p->due_at_ms) {
-			int64_t base = wall;
-
-			for (ptrdiff_t k = 0; k < arrlen(controller->retention.purges);
-			     k++) /* a row that is edited again and again is not put off for ever */
-				if (!strcmp(controller->retention.purges[k]->scope, p->scope) &&
-				    controller->retention.purges[k]->decided_at_ms < wall)
-					base = controller->retention.purges[k]->decided_at_ms;
-			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
-			clear.next_due_at_ms = retention_next_due(controller->calendar, row, base, wall);
+		step.scope = plan->scope;
+		step.wall_clock_ms = wall_ms;
+		if (plan->due_at_ms) {
+			fill_due_step(controller, plan, row, wall_ms, &step);
 		} else {
-			int64_t next = p->due_at_ms;
-
-			clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
-			clear.due_at_ms = p->due_at_ms;
-			clear.next_due_at_ms =
-			    retention_next_due(controller->calendar, row, p->due_at_ms, wall);
-			while (clear.missed < 1000 &&
-			       (next = retention_next_due(controller->calendar, row, next, next)) &&
-			       next <= wall)
-				clear.missed++;
-		}
-		if (clear.next_due_at_ms && step(controller, &clear, now, out)) {
-			if (clear.step == NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE)
-				log_line(
-				    controller, "retention", out->pool,
-				    "Context of %s is due for clearing; %u due times were missed before.",
-				    p->scope, (unsigned)clear.missed);
-			return 1;
+			step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
+			step.next_due_at_ms = retention_next_due(
+			    controller->calendar, row, plan_base(retention, plan->scope, wall_ms), wall_ms);
 		}
+		if (!step.next_due_at_ms || !log_step(controller, &step, now, out))
+			continue;
+		if (step.step == NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE)
+			log_line(controller, "retention", out->pool,
+				 "Purge of %s is due; due times missed before: %u.", plan->scope,
+				 (unsigned)step.missed);
+		return 1;
 	}
 	return 0;
 }
 
-static int calm(const struct controller *controller, int64_t now)
+/* Whether any router reports that its queues are strained. */
+static int routers_strained(const struct controller *controller, int64_t now)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
-		    controller->node_statuses[i].load_pressure > RETENTION_MAX_PRESSURE)
-			return 0;
-	return 1;
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		const struct controller_node_status *node = &controller->node_statuses[i];
+
+		if (node->is_router && now - node->observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
+		    node->load_pressure > RETENTION_MAX_PRESSURE)
+			return 1;
+	}
+	return 0;
 }
 
-/* The next slice of a clearing: at half its pace while callers are served in time, at its full pace whatever
- * they feel. */
+/* Log the next slice of a purge that is spread over time: in half of that time while routers are not
+ * strained, and by its end in any case. Returns 1 when one was logged. */
 static int log_next_slice(struct controller *controller, int64_t wall_ms, int64_t now,
 			  struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		struct Nl__RetentionPurge *purge = controller->retention.purges[i];
-		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
-		int64_t start_ms =
-		    purge->due_at_ms > purge->decided_at_ms - 60000 ? purge->due_at_ms : purge->decided_at_ms;
+		const struct Nl__RetentionPurge *purge = controller->retention.purges[i];
+		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
+		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - DUE_TIME_VALID_MS
+				       ? purge->due_at_ms
+				       : purge->decided_at_ms;
+		int intervals;
 
 		if (purge->slices >= PURGE_SLICES)
 			continue;
-		clear.late = purge->spread_ms && !calm(controller, now);
-		if (wall_ms < start_ms + (int64_t)purge->spread_ms * purge->slices /
-					     (clear.late ? PURGE_SLICES : 2 * PURGE_SLICES))
+		step.late = purge->spread_ms && routers_strained(controller, now);
+		intervals = step.late ? PURGE_SLICES : 2 * PURGE_SLICES;
+		if (wall_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / intervals)
 			continue;
-		clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE;
-		clear.purge_number = purge->purge_number;
-		clear.scope = purge->scope;
-		clear.slice = purge->slices;
-		clear.wall_clock_ms = wall_ms;
-		if (!step(controller, &clear, now, out))
+		step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE;
+		step.purge_number = purge->purge_number;
+		step.scope = purge->scope;
+		step.slice = purge->slices;
+		step.wall_clock_ms = wall_ms;
+		if (!log_step(controller, &step, now, out))
 			return 0;
-		if (clear.late)
+		if (step.late)
 			log_line(controller, "retention", out->pool,
-				 "Clearing %" APR_UINT64_T_FMT
-				 ": lines are long, but its window ends: slice %u goes on.",
-				 purge->purge_number, clear.slice);
+				 "Purge %" APR_UINT64_T_FMT
+				 ": slice %u goes on although routers are strained: its time ends.",
+				 purge->purge_number, step.slice);
 		return 1;
 	}
 	return 0;
 }
 
-/* The tick at which a slice of a clearing is in force, as far as it is known here; 0: not published yet. */
-static uint64_t slice_tick(const struct controller *controller, const struct Nl__RetentionPurge *purge_run,
-			   uint32_t slice)
+/* Log that a purge is done. Returns 1 when it was logged. */
+static int log_next_done(struct controller *controller, int64_t wall_ms, int64_t now,
+			 struct command_list *out)
 {
-	char lane[200] = "", tenant[200] = "";
-
-	if (!purge_run->wide)
-		(void)retention_parse_scope(purge_run->scope, lane, tenant);
-	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++) {
-		const struct Nl__Value *value = controller->relay.view.context_purges[i];
-
-		if (value->purge->slice == slice && value->purge->purge_number >= purge_run->purge_number &&
-		    !strcmp(value->purge->route, lane) && !strcmp(value->purge->tenant, tenant))
-			return value->tick;
-	}
-	return 0;
-}
-
-/* Whether a cache_namespace of this scope holds what such a clearing covers. */
-static int purge_covers(const struct controller *controller, const struct Nl__RetentionPurge *purge_run,
-			uint64_t scope)
-{
-	char lane[200] = "", tenant[200] = "", planned_lane[200], planned_tenant[200];
-
-	(void)retention_parse_scope(purge_run->scope, lane, tenant);
-	if (purge_run->wide || scope == RETENTION_ANY || (!lane[0] && !tenant[0]))
-		return 1;
-	for (ptrdiff_t i = 0; scope && i < arrlen(controller->retention.plans); i++)
-		if (retention_parse_scope(controller->retention.plans[i]->scope, planned_lane,
-					  planned_tenant) &&
-		    (uint32_t)retention_namespace_hash(planned_lane, planned_tenant) == scope)
-			return (!planned_lane[0] || !lane[0] || !strcmp(planned_lane, lane)) &&
-			       (!planned_tenant[0] || !tenant[0] || !strcmp(planned_tenant, tenant));
-	return scope == (uint32_t)retention_namespace_hash(lane, tenant);
-}
-
-/* What a clearing still waits for: texts are appended to a, if it is given. */
-static int list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge_run,
-			int64_t now, struct json_object *a, apr_pool_t *p)
-{
-	uint64_t tick = 0;
-	int n = 0, index_has_reported = 0;
-
-#define MISS(...)                                                                                       \
-	do {                                                                                            \
-		n++;                                                                                    \
-		if (a)                                                                                  \
-			json_object_array_add(a, json_object_new_string(apr_psprintf(p, __VA_ARGS__))); \
-	} while (0)
-	if (purge_run->slices < PURGE_SLICES)
-		MISS("%u of %u slices are not decided yet", PURGE_SLICES - (unsigned)purge_run->slices,
-		     (unsigned)PURGE_SLICES);
-	for (uint32_t k = 0; k < purge_run->slices; k++) {
-		uint64_t published_tick = slice_tick(controller, purge_run, k);
-
-		if (!published_tick)
-			MISS("slice %u is not published yet", (unsigned)k);
-		tick = published_tick > tick ? published_tick : tick;
-	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++)
-		if (controller->node_statuses[i].is_router &&
-		    now - controller->node_statuses[i].observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
-		    controller->node_statuses[i].horizon < tick)
-			MISS("counter %s has not heard of it yet; it routes cold",
-			     core_format_addr(p, controller->node_statuses[i].addr));
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
-		const struct retention_index_report *retention_said = &controller->retention.index_reports[i];
-
-		if (now - retention_said->received_at_ms > RETENTION_NODE_TIMEOUT_MS)
-			continue;
-		index_has_reported |= retention_said->horizon >= tick;
-		for (ptrdiff_t k = 0; k < arrlen(retention_said->remainders); k++)
-			if (retention_said->remainders[k].purge_number < purge_run->purge_number &&
-			    purge_covers(controller, purge_run, retention_said->remainders[k].scope))
-				MISS(retention_said->remainders[k].block_count
-					 ? "server %s still names %u parts, which nothing finds any more"
-					 : "server %s has not said since what it keeps",
-				     retention_said->remainders[k].server,
-				     (unsigned)retention_said->remainders[k].block_count);
-	}
-	if (!index_has_reported)
-		MISS("no holder of the index has looked since");
-#undef MISS
-	return n;
-}
+	struct retention *retention = &controller->retention;
 
-static int done(struct controller *r, int64_t wall, int64_t now, struct command_list *out)
-{
-	if (now - r->retention.checked_at_ms < RETENTION_CHECK_MS ||
-	    now - r->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
-		return 0; /* a new owner hears all nodes first */
-	r->retention.checked_at_ms = now;
-	for (ptrdiff_t i = 0; i < arrlen(r->retention.purges); i++) {
-		struct Nl__RetentionPurge *purge_run = r->retention.purges[i];
-		struct Nl__RetentionStep clear = NL__RETENTION_STEP__INIT;
+	if (now - retention->checked_at_ms < RETENTION_CHECK_MS ||
+	    now - controller->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
+		return 0; /* a new leader hears from all nodes first */
+	retention->checked_at_ms = now;
+	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
+		const struct Nl__RetentionPurge *purge = retention->purges[i];
+		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
-		if (purge_run->done_at_ms || purge_run->slices < PURGE_SLICES ||
-		    list_missing(r, purge_run, now, NULL, out->pool))
+		if (purge->done_at_ms || purge->slices < PURGE_SLICES ||
+		    retention_list_missing(controller, purge, now, NULL, out->pool))
 			continue;
-		clear.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE;
-		clear.purge_number = purge_run->purge_number;
-		clear.scope = purge_run->scope;
-		clear.wall_clock_ms = wall;
-		if (step(r, &clear, now, out)) {
-			log_line(r, "retention", out->pool,
-				 "Clearing %" APR_UINT64_T_FMT
-				 " of %s is done: nothing names what was kept before.",
-				 purge_run->purge_number, purge_run->scope);
+		step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE;
+		step.purge_number = purge->purge_number;
+		step.scope = purge->scope;
+		step.wall_clock_ms = wall_ms;
+		if (log_step(controller, &step, now, out)) {
+			log_line(controller, "retention", out->pool,
+				 "Purge %" APR_UINT64_T_FMT
+				 " of %s is done: no server names blocks of before.",
+				 purge->purge_number, purge->scope);
 			return 1;
 		}
 	}
@@ -686,179 +535,81 @@
 
 void retention_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
+	struct retention *retention = &controller->retention;
 	int64_t wall_ms;
 
-	if ((!arrlen(controller->retention.plans) && !arrlen(controller->retention.purges)) ||
+	if ((!arrlen(retention->plans) && !arrlen(retention->purges)) ||
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	if (now - controller->retention.polled_at_ms < RETENTION_POLL_MS ||
-	    controller->retention.logged_index > controller->shards[SHARD_CONTROL].applied_index)
+	if (now - retention->polled_at_ms < RETENTION_POLL_MS ||
+	    retention->logged_index > controller->shards[SHARD_CONTROL].applied_index)
 		return;
-	controller->retention.polled_at_ms = now;
+	retention->polled_at_ms = now;
 	wall_ms = retention_wall_clock(controller, now);
-	if (wall_ms != INT64_MIN &&
-	    (plan(controller, wall_ms, now, out) || log_next_slice(controller, wall_ms, now, out) ||
-	     done(controller, wall_ms, now, out)))
-		controller->retention.polled_at_ms =
-		    now - RETENTION_POLL_MS; /* the next step as soon as this one is applied */
-}
-
-void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now)
-{
-	const struct Nl__ConfigSync *sync = message->config_sync;
-	struct retention_index_report *report = NULL, new_report = { message->id, 0, 0, NULL };
-
-	for (ptrdiff_t i = arrlen(controller->retention.index_reports) - 1; i >= 0; i--)
-		if (now - controller->retention.index_reports[i].received_at_ms > 60000) {
-			for (ptrdiff_t k = 0; k < arrlen(controller->retention.index_reports[i].remainders);
-			     k++)
-				free(controller->retention.index_reports[i].remainders[k].server);
-			arrfree(controller->retention.index_reports[i].remainders);
-			arrdelswap(controller->retention.index_reports, i);
-		}
-	if (!sync->holds_index)
+	if (wall_ms == INT64_MIN)
 		return;
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports) && !report; i++)
-		if (controller->retention.index_reports[i].node_id == message->id)
-			report = &controller->retention.index_reports[i];
-	if (!report) {
-		arrput(controller->retention.index_reports, new_report);
-		report = &arrlast(controller->retention.index_reports);
-	}
-	for (ptrdiff_t k = 0; k < arrlen(report->remainders); k++)
-		free(report->remainders[k].server);
-	arrsetlen(report->remainders, 0);
-	for (size_t k = 0; k < sync->n_cache_remainders && k < RETENTION_MAX_REMAINDERS; k++) {
-		typeof(*report->remainders) remainder = { strdup(sync->cache_remainders[k]->server),
-							  sync->cache_remainders[k]->scope,
-							  sync->cache_remainders[k]->purge_number,
-							  sync->cache_remainders[k]->block_count };
-
-		arrput(report->remainders, remainder);
-	}
-	report->received_at_ms = now;
-	report->horizon = sync->horizon;
+	if (log_next_due(controller, wall_ms, now, out) || log_next_slice(controller, wall_ms, now, out) ||
+	    log_next_done(controller, wall_ms, now, out))
+		retention->polled_at_ms =
+		    now - RETENTION_POLL_MS; /* the next one as soon as this is applied */
 }
 
-/* ---- the disks --------------------------------------------------------------------- */
+/* ---- the logs on disk ---------------------------------------------------------------------------------- */
 
-void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out)
+/* The newest tick of a purge of context that is in force here; 0: none. */
+static uint64_t newest_purge_tick(const struct controller *controller)
 {
 	uint64_t tick = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++)
-		tick = controller->relay.view.context_purges[i]->tick > tick
-			   ? controller->relay.view.context_purges[i]->tick
-			   : tick;
-	for (uint32_t i = 0; tick && i < SHARD_COUNT; i++) {
-		struct controller_service_state *service = service_shard_state(controller, i);
-		uint64_t cleared = service              ? service->purged_tick
-				   : i == SHARD_CONTROL ? controller->retention.purged_tick
-							: controller->purge_state.purged_tick;
-		int compact = service && !service->is_compacted && service->purged_tick &&
-			      service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[i]) >
-				  service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
-		struct Nl__Operation operation = NL__OPERATION__INIT;
-		struct Nl__Trim trim = NL__TRIM__INIT;
-
-		if (!leads_shard(controller, i, now) ||
-		    now - controller->compaction_checked_at_ms[i] < RETENTION_TRIM_MS ||
-		    (tick <= cleared && !compact))
-			continue;
-		controller->compaction_checked_at_ms[i] = now;
-		trim.purged_tick = tick;
-		trim.compacted = compact;
-		operation.body_case = NL__OPERATION__BODY_TRIM;
-		operation.trim = &trim;
-		(void)log_operation(controller, i, &operation, now, out);
-	}
+		if (controller->relay.view.context_purges[i]->tick > tick)
+			tick = controller->relay.view.context_purges[i]->tick;
+	return tick;
 }
 
-/* ---- for operators ------------------------------------------------------------------- */
-
-static void add_number(struct json_object *json, const char *name, int64_t value)
-{
-	json_object_object_add(json, name, json_object_new_int64(value));
-}
-
-const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *p)
+/* Up to which tick a shard's log was trimmed. */
+static uint64_t trimmed_tick(struct controller *controller, uint32_t shard)
 {
-	struct json_object *json = json_object_new_object(), *a = json_object_new_array();
-	int is_leader = leads_shard(controller, SHARD_CONTROL, now);
-	const char *s;
+	const struct controller_service_state *service = service_shard_state(controller, shard);
 
-	json_object_object_add(json, "owner", json_object_new_boolean(is_leader));
-	json_object_object_add(
-	    json, "owner_addr",
-	    json_object_new_string(leader_hint(controller, SHARD_CONTROL, now)
-				       ? core_format_addr(p, leader_hint(controller, SHARD_CONTROL, now))
-				       : ""));
-	add_number(json, "wall",
-		   is_leader && retention_wall_clock(controller, now) != INT64_MIN
-		       ? retention_wall_clock(controller, now)
-		       : controller->wall_clock_ms);
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.plans); i++) {
-		struct json_object *x = json_object_new_object();
-
-		json_object_object_add(x, "scope",
-				       json_object_new_string(controller->retention.plans[i]->scope));
-		json_object_object_add(x, "setting",
-				       json_object_new_string(controller->retention.plans[i]->text));
-		add_number(x, "due", controller->retention.plans[i]->due_at_ms);
-		json_object_array_add(a, x);
-	}
-	json_object_object_add(json, "rows", a);
-	a = json_object_new_array();
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		const struct Nl__RetentionPurge *purge_run = controller->retention.purges[i];
-		struct json_object *x = json_object_new_object(), *m = json_object_new_array();
-
-		add_number(x, "number", (int64_t)purge_run->purge_number);
-		json_object_object_add(x, "scope", json_object_new_string(purge_run->scope));
-		json_object_object_add(x, "by", json_object_new_string(purge_run->requested_by));
-		add_number(x, "due", purge_run->due_at_ms);
-		add_number(x, "decided", purge_run->decided_at_ms);
-		add_number(x, "sliced", purge_run->sliced_at_ms);
-		add_number(x, "done", purge_run->done_at_ms);
-		add_number(x, "slices", purge_run->slices);
-		add_number(x, "missed", purge_run->missed);
-		json_object_object_add(x, "late", json_object_new_boolean(purge_run->late));
-		json_object_object_add(x, "wide", json_object_new_boolean(purge_run->wide));
-		if (is_leader && !purge_run->done_at_ms)
-			(void)list_missing(controller, purge_run, now, m, p);
-		json_object_object_add(x, "missing", m);
-		json_object_array_add(a, x);
-	}
-	json_object_object_add(json, "clearings", a);
-	s = apr_pstrdup(p, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
-	json_object_put(json);
-	return s;
+	if (service)
+		return service->purged_tick;
+	return shard == SHARD_CONTROL ? controller->retention.purged_tick
+				      : controller->purge_state.purged_tick;
 }
 
-static const char *when(int64_t ms, apr_pool_t *p)
+/* Whether a service shard's claims of before its last trim have run out, so that they can go from its disk.
+ */
+static int can_compact(struct controller *controller, uint32_t shard, int64_t now)
 {
-	apr_time_exp_t x;
+	const struct controller_service_state *service = service_shard_state(controller, shard);
 
-	if (!ms || apr_time_exp_gmt(&x, ms * 1000) != APR_SUCCESS)
-		return "";
-	return apr_psprintf(p, "%04d-%02d-%02dT%02d:%02d:%02dZ", x.tm_year + 1900, x.tm_mon + 1, x.tm_mday,
-			    x.tm_hour, x.tm_min, x.tm_sec);
+	if (!service || service->is_compacted || !service->purged_tick)
+		return 0;
+	return service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[shard]) >
+	       service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
 }
 
-const char *retention_csv(const struct controller *controller, apr_pool_t *p)
+void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out)
 {
-	const char *s =
-	    "number,scope,whole fleet,by,due,decided,unreachable,done,missed due times,window lapsed under load\n";
+	uint64_t tick = newest_purge_tick(controller);
 
-	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
-		const struct Nl__RetentionPurge *purge_run = controller->retention.purges[i];
-
-		s = apr_psprintf(p, "%s%" APR_UINT64_T_FMT ",%s,%s,%s,%s,%s,%s,%s,%u,%s\n", s,
-				 purge_run->purge_number, purge_run->scope, purge_run->wide ? "yes" : "no",
-				 purge_run->requested_by, when(purge_run->due_at_ms, p),
-				 when(purge_run->decided_at_ms, p), when(purge_run->sliced_at_ms, p),
-				 when(purge_run->done_at_ms, p), (unsigned)purge_run->missed,
-				 purge_run->late ? "yes" : "no");
+	if (!tick)
+		return;
+	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
+		struct Nl__Operation operation = NL__OPERATION__INIT;
+		struct Nl__Trim trim = NL__TRIM__INIT;
+		int compact = can_compact(controller, shard, now);
+
+		if (!leads_shard(controller, shard, now) ||
+		    now - controller->compaction_checked_at_ms[shard] < RETENTION_TRIM_MS ||
+		    (tick <= trimmed_tick(controller, shard) && !compact))
+			continue;
+		controller->compaction_checked_at_ms[shard] = now;
+		trim.purged_tick = tick;
+		trim.compacted = compact;
+		operation.body_case = NL__OPERATION__BODY_TRIM;
+		operation.trim = &trim;
+		(void)log_operation(controller, shard, &operation, now, out);
 	}
-	return s;
 }
--- a/lib/control/retention.h
+++ b/lib/control/retention.h
@@ -1,106 +1,84 @@
-/* retention: how long kept context stays, and its clearing on the users' schedule: decided by the owner of
- * part 0, logged, fed to the purge stream by slices, and said to be done when nothing names it any more.
+/* retention: purges of cached context on the operators' schedule, as the control shard decides and records
+ * them.
+ *
+ * Each decision is an entry of the control shard's log: a row gets its due time, a due purge begins, one of
+ * its slices goes to the purge stream, a purge is done. retention_apply applies them on every member, so the
+ * recorded state is alike everywhere and part of snapshots. The shard's leader proposes them in
+ * retention_tick, one at a time, by the time that a majority of the controllers' clocks agrees on.
+ *
+ * Always: a due time is taken once, as the entry that takes it names it and sets the next one; and at most
+ * one purge of a scope has slices open.
+ *
+ *   retention_schedule.c   rows, scopes and due times
+ *   retention.c            the recorded state, and the leader's decisions
+ *   retention_progress.c   what a purge still waits for
+ *   retention_report.c     what operators and auditors read
  * docs/retention.md says why. */
 #ifndef NL_RETENTION_H
 #define NL_RETENTION_H
 
 #include "core.h"
+#include "retention_schedule.h"
 
 struct controller;
-struct config_table;
+struct retention_index_report; /* retention_progress.h */
 
 enum {
-	RETENTION_POLL_MS = 200,         /* ms between the owner's looks at the schedule */
-	RETENTION_CHECK_MS = 500,        /* ms between its looks at what still names cleared parts */
-	RETENTION_MIN_PERIOD_MS = 10000, /* the shortest schedule: a clearing takes some seconds itself */
+	RETENTION_POLL_MS = 200,  /* between the leader's looks at the schedule */
+	RETENTION_CHECK_MS = 500, /* between its checks whether a purge is done */
 	RETENTION_PROPAGATION_MS =
-	    10000,                  /* ms after which a row is in force everywhere, whatever the clocks say */
-	RETENTION_MAX_PURGES = 512, /* clearings that are remembered for the report */
+	    10000,                  /* after which a row is in force everywhere, whatever the clocks say */
+	RETENTION_MAX_PURGES = 512, /* purges that are remembered for the report */
 	RETENTION_NODE_TIMEOUT_MS =
-	    6000, /* a node unheard for so long routes nothing any more: it has lost its configuration */
-	RETENTION_MAX_PRESSURE = 250,   /* per mille of load_pressure above which the next slice waits */
-	RETENTION_TRIM_MS = 20000,      /* ms between cuttings of a part's log */
-	RETENTION_MAX_REMAINDERS = 128, /* rows of what is left that a holder of the index says */
+	    6000, /* a node silent for so long has lost its configuration and routes nothing */
+	RETENTION_MAX_PRESSURE = 250,   /* load_pressure, per mille, above which the next slice waits */
+	RETENTION_TRIM_MS = 20000,      /* between two trims of a shard's log */
+	RETENTION_MAX_REMAINDERS = 128, /* remainders that one report of an index holder may list */
+	RETENTION_REPORT_TTL_MS = 60000 /* after which a report of an index holder is dropped */
 };
-#define RETENTION_ANY UINT64_MAX /* scope of what is left where it is not known by scopes */
 
-/* Schedules in calendar terms. Pure: times are ms since 1970. */
-struct controller_calendar {
-	/* NULL, or what is wrong. Example: if ((why = cal->check("daily 02:30 Asia/Kuala_Lumpur", pool)))
-	 * refuse(why); */
-	const char *(*check)(const char *text, apr_pool_t *p);
-	/* The first time after from; 0: none comes. Example: due = cal->next("mon 03:00 UTC", wall); */
-	int64_t (*next)(const char *text, int64_t from);
+#define RETENTION_ANY UINT64_MAX /* scope of a remainder whose holder does not know it by scopes */
+
+/* Part of the control shard's state. */
+struct retention {
+	/* replicated, and part of snapshots */
+	uint64_t last_purge_number;
+	struct Nl__RetentionPurge **purges; /* stb_ds, oldest first; owned */
+	struct Nl__RetentionPlan **plans;   /* stb_ds, by scope; owned */
+	uint64_t purged_tick; /* the control shard's log holds nothing that purges up to it cover */
+
+	/* the leader's own, lost with the leadership */
+	uint64_t logged_index; /* of its last step: the next one waits until this is applied */
+	int64_t polled_at_ms;
+	int64_t checked_at_ms;
+	struct retention_index_report *index_reports; /* stb_ds; owned */
 };
 
-/* What one holder of the index said last. */
-struct retention_index_report {
-	uint64_t node_id, horizon;
-	int64_t received_at_ms;
-	struct {
-		char *server;
-		uint64_t scope, purge_number;
-		uint32_t block_count;
-	} * remainders; /* stb_ds */
-};
-
-struct retention {                          /* a part of part 0's state */
-	uint64_t last_purge_number;         /* of the newest clearing */
-	struct Nl__RetentionPurge **purges; /* stb_ds, oldest first */
-	struct Nl__RetentionPlan **plans;   /* stb_ds, by scope */
-	uint64_t purged_tick;
-	/* the owner's soft state */
-	uint64_t logged_index; /* its last step: the next waits until it is applied */
-	int64_t polled_at_ms, checked_at_ms;
-	struct retention_index_report *index_reports; /* stb_ds */
-};
-
-/* "90m" and "7d" in ms; -1 when it is neither. Example: retention_span("6h") == 21600000 */
-int64_t retention_parse_span(const char *text);
-
-/* A row's scope, split: lane and tenant, "" for all. 0 when it is no scope. Example: retention_scope("*",
- * lane, tenant) */
-int retention_parse_scope(const char *scope, char lane[200], char tenant[200]);
-
-/* The hash by which a scope's own cache_namespace is known. Example: retention_hash("arrears", "") */
-uint64_t retention_namespace_hash(const char *lane, const char *tenant);
-
-/* What is wrong with a row by itself; with the lanes and tenants of the table. NULL: nothing. */
-const char *retention_check_row(const struct Nl__Row *row);
-const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change,
-				   apr_pool_t *p);
+/* Apply one step from the log; slices that it decides are appended to the purge feed, numbered from index.
+ * Returns PROPOSAL_DONE, or PROPOSAL_REJECTED when the step was overtaken. */
+uint32_t retention_apply(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step);
 
-/* The same against the calendar, at a time. Example: why = retention_check(cal, change, wall, pool); */
-const char *retention_check_calendar(const struct controller_calendar *calendar,
-				     const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *p);
-
-/* When a row's clearing comes after a time. Example: due = retention_next(cal, row, from, from); */
-int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row,
-			   int64_t base_ms, int64_t from_ms);
-
-/* Apply one step from the log; what it decides is appended to feed, numbered from index. */
-uint32_t retention_apply(struct controller *controller, uint64_t index,
-			 const struct Nl__RetentionStep *clear);
-
-/* After a change of the table: plans follow rows. */
+/* The table has changed by the log entry at index: plans follow its rows. A row that was removed is purged
+ * once more, so that nothing of before is found if it comes back. */
 void retention_on_config_change(struct controller *controller, uint64_t index);
 
-/* The owner's time passes; a word of a node. */
+/* Let the leader's time pass: it proposes the next step that is due, if any. Does nothing elsewhere. */
 void retention_tick(struct controller *controller, int64_t now, struct command_list *out);
-void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now);
 
-/* Cut the logs on the disks once something was cleared, in every part that is owned here. */
+/* Propose the trim of the logs of all shards that are led here, once a purge covers entries in them. */
 void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out);
 
-/* What the controllers' clocks agree that it is at the least; INT64_MIN: no majority is heard. */
+/* The time, ms since 1970, that a majority of the control shard's voters has reached: one clock that jumps
+ * decides nothing. INT64_MIN when no majority was heard lately. */
 int64_t retention_wall_clock(const struct controller *controller, int64_t now);
 
-/* For operators: rows, clearings, what is missing; and the auditors' report. */
-const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *p);
-const char *retention_csv(const struct controller *controller, apr_pool_t *p);
-
+/* Fill in the snapshot's fields; they point at the controller's state. */
 void retention_pack(const struct controller *controller, struct Nl__ControlState *state);
+
+/* Replace the state by a snapshot's; NULL: by the empty one. */
 void retention_load(struct controller *controller, const struct Nl__ControlState *state);
+
+/* Release all state and leave the empty one. */
 void retention_reset(struct controller *controller);
 
 #endif
--- /dev/null
+++ b/lib/control/retention_progress.c
@@ -0,0 +1,208 @@
+#include "retention_progress.h"
+
+#include <apr_strings.h>
+#include <stdarg.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "containers.h"
+#include "controller_private.h"
+
+/* ---- reports of the nodes that hold the prefix index --------------------------------------------- */
+
+static void free_remainders(struct retention_index_report *report)
+{
+	for (ptrdiff_t i = 0; i < arrlen(report->remainders); i++)
+		free(report->remainders[i].server);
+	arrsetlen(report->remainders, 0);
+}
+
+static void free_report(struct retention_index_report *report)
+{
+	free_remainders(report);
+	arrfree(report->remainders);
+}
+
+void retention_free_reports(struct retention *retention)
+{
+	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++)
+		free_report(&retention->index_reports[i]);
+	arrfree(retention->index_reports);
+}
+
+static struct retention_index_report *report_of(struct retention *retention, uint64_t node_id)
+{
+	struct retention_index_report empty = { .node_id = node_id };
+
+	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++)
+		if (retention->index_reports[i].node_id == node_id)
+			return &retention->index_reports[i];
+	arrput(retention->index_reports, empty);
+	return &arrlast(retention->index_reports);
+}
+
+void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now)
+{
+	const struct Nl__ConfigSync *sync = message->config_sync;
+	struct retention *retention = &controller->retention;
+	struct retention_index_report *report;
+
+	for (ptrdiff_t i = arrlen(retention->index_reports) - 1; i >= 0; i--)
+		if (now - retention->index_reports[i].received_at_ms > RETENTION_REPORT_TTL_MS) {
+			free_report(&retention->index_reports[i]);
+			arrdelswap(retention->index_reports, i);
+		}
+	if (!sync->holds_index)
+		return;
+	report = report_of(retention, message->id);
+	free_remainders(report);
+	for (size_t i = 0; i < sync->n_cache_remainders && i < RETENTION_MAX_REMAINDERS; i++) {
+		const struct Nl__CacheRemainder *listed = sync->cache_remainders[i];
+		struct retention_remainder remainder = { strdup(listed->server), listed->scope,
+							 listed->purge_number, listed->block_count };
+
+		arrput(report->remainders, remainder);
+	}
+	report->received_at_ms = now;
+	report->horizon = sync->horizon;
+}
+
+/* ---- what a purge covers, and since when ---------------------------------------------------------- */
+
+/* The tick at which a slice of a purge is in force, as far as it is known here; 0: not published yet. */
+static uint64_t slice_tick(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+			   uint32_t slice)
+{
+	char route[RETENTION_SCOPE_BYTES] = "", tenant[RETENTION_SCOPE_BYTES] = "";
+
+	if (!purge->wide)
+		(void)retention_parse_scope(purge->scope, route, tenant);
+	for (ptrdiff_t i = 0; i < arrlen(controller->relay.view.context_purges); i++) {
+		const struct Nl__Value *value = controller->relay.view.context_purges[i];
+
+		if (value->purge->slice == slice && value->purge->purge_number >= purge->purge_number &&
+		    !strcmp(value->purge->route, route) && !strcmp(value->purge->tenant, tenant))
+			return value->tick;
+	}
+	return 0;
+}
+
+/* Whether two parts of scopes, "" for all, have anything in common. */
+static int parts_overlap(const char *a, const char *b)
+{
+	return !a[0] || !b[0] || !strcmp(a, b);
+}
+
+/* Whether a cache_namespace of this scope may hold what a purge covers. */
+static int purge_covers(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+			uint64_t scope)
+{
+	char route[RETENTION_SCOPE_BYTES] = "", tenant[RETENTION_SCOPE_BYTES] = "";
+	char planned_route[RETENTION_SCOPE_BYTES], planned_tenant[RETENTION_SCOPE_BYTES];
+
+	(void)retention_parse_scope(purge->scope, route, tenant);
+	if (purge->wide || scope == RETENTION_ANY || (!route[0] && !tenant[0]))
+		return 1;
+	for (ptrdiff_t i = 0; scope && i < arrlen(controller->retention.plans); i++)
+		if (retention_parse_scope(controller->retention.plans[i]->scope, planned_route,
+					  planned_tenant) &&
+		    (uint32_t)retention_namespace_hash(planned_route, planned_tenant) == scope)
+			return parts_overlap(planned_route, route) && parts_overlap(planned_tenant, tenant);
+	return scope == (uint32_t)retention_namespace_hash(route, tenant);
+}
+
+/* ---- what is missing ------------------------------------------------------------------------------- */
+
+/* What a purge waits for: counted, and listed where somebody reads it. */
+struct missing {
+	int count;
+	struct json_object *texts; /* an array, or NULL */
+	apr_pool_t *pool;
+};
+
+__attribute__((format(printf, 2, 3))) static void add_missing(struct missing *missing, const char *format,
+							      ...)
+{
+	va_list arguments;
+
+	missing->count++;
+	if (!missing->texts)
+		return;
+	va_start(arguments, format);
+	json_object_array_add(missing->texts,
+			      json_object_new_string(apr_pvsprintf(missing->pool, format, arguments)));
+	va_end(arguments);
+}
+
+/* Slices that are not decided or not published; returns the newest tick of those that are published. */
+static uint64_t add_missing_slices(const struct controller *controller,
+				   const struct Nl__RetentionPurge *purge, struct missing *missing)
+{
+	uint64_t newest = 0;
+
+	if (purge->slices < PURGE_SLICES)
+		add_missing(missing, "%u of %u slices are not decided yet",
+			    PURGE_SLICES - (unsigned)purge->slices, (unsigned)PURGE_SLICES);
+	for (uint32_t slice = 0; slice < purge->slices; slice++) {
+		uint64_t tick = slice_tick(controller, purge, slice);
+
+		if (!tick)
+			add_missing(missing, "slice %u is not published yet", (unsigned)slice);
+		if (tick > newest)
+			newest = tick;
+	}
+	return newest;
+}
+
+/* Routers that still route and have not passed the tick. */
+static void add_missing_routers(const struct controller *controller, uint64_t tick, int64_t now,
+				struct missing *missing)
+{
+	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
+		const struct controller_node_status *node = &controller->node_statuses[i];
+
+		if (node->is_router && now - node->observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
+		    node->horizon < tick)
+			add_missing(missing, "counter %s has not heard of it yet; it routes cold",
+				    core_format_addr(missing->pool, node->addr));
+	}
+}
+
+/* Servers that name blocks of an older purge, as one holder of the index reports. */
+static void add_remainders(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+			   const struct retention_index_report *report, struct missing *missing)
+{
+	for (ptrdiff_t i = 0; i < arrlen(report->remainders); i++) {
+		const struct retention_remainder *remainder = &report->remainders[i];
+
+		if (remainder->purge_number >= purge->purge_number ||
+		    !purge_covers(controller, purge, remainder->scope))
+			continue;
+		if (remainder->block_count)
+			add_missing(missing, "server %s still names %u parts, which nothing finds any more",
+				    remainder->server, (unsigned)remainder->block_count);
+		else
+			add_missing(missing, "server %s has not said since what it keeps", remainder->server);
+	}
+}
+
+int retention_list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+			   int64_t now, struct json_object *texts, apr_pool_t *pool)
+{
+	struct missing missing = { 0, texts, pool };
+	uint64_t tick = add_missing_slices(controller, purge, &missing);
+	int any_report = 0; /* of a holder of the index that has passed the tick */
+
+	add_missing_routers(controller, tick, now, &missing);
+	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
+		const struct retention_index_report *report = &controller->retention.index_reports[i];
+
+		if (now - report->received_at_ms > RETENTION_NODE_TIMEOUT_MS)
+			continue;
+		any_report |= report->horizon >= tick;
+		add_remainders(controller, purge, report, &missing);
+	}
+	if (!any_report)
+		add_missing(&missing, "no holder of the index has looked since");
+	return missing.count;
+}
--- /dev/null
+++ b/lib/control/retention_schedule.c
@@ -0,0 +1,214 @@
+#include "retention_schedule.h"
+
+#include <apr_strings.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "config_table.h"
+#include "containers.h"
+
+enum {
+	GAPS_MAX = 400,      /* purges that are looked at for the time between two */
+	GAPS_MAX_DAYS = 800, /* days of them */
+	DAY_MS = 86400000,
+	HOUR_MS = 3600000
+};
+
+int64_t retention_parse_span(const char *text)
+{
+	static const struct {
+		char unit;
+		int64_t ms;
+	} units[] = {
+		{ 's', 1000 }, { 'm', 60000 }, { 'h', 3600000 }, { 'd', 86400000 }, { 'w', 604800000 }
+	};
+	size_t n = strspn(text, "0123456789");
+	int64_t value = n && n < 7 ? strtoll(text, NULL, 10) : 0;
+
+	for (size_t i = 0; value && i < sizeof units / sizeof *units; i++)
+		if (text[n] == units[i].unit && !text[n + 1])
+			return value * units[i].ms;
+	return -1;
+}
+
+int retention_parse_scope(const char *scope, char route[RETENTION_SCOPE_BYTES],
+			  char tenant[RETENTION_SCOPE_BYTES])
+{
+	const char *slash = strchr(scope, '/');
+
+	if (strlen(scope) >= RETENTION_SCOPE_BYTES)
+		return 0;
+	if (!strcmp(scope, "*")) {
+		scope = "*/*";
+		slash = scope + 1;
+	}
+	if (!slash || slash == scope || !slash[1])
+		return 0;
+	memcpy(route, scope, (size_t)(slash - scope));
+	route[slash - scope] = 0;
+	memcpy(tenant, slash + 1, strlen(slash));
+	if (!strcmp(route, "*"))
+		route[0] = 0;
+	if (!strcmp(tenant, "*"))
+		tenant[0] = 0;
+	return 1;
+}
+
+uint64_t retention_namespace_hash(const char *route, const char *tenant)
+{
+	return core_hash_string(core_hash_string(31, route), tenant);
+}
+
+/* ms between two purges of a row without calendar terms. */
+static int64_t row_period_ms(const struct Nl__Row *row)
+{
+	return row->interval[0] ? retention_parse_span(row->interval)
+				: retention_parse_span(row->max_age) - row->spread_ms;
+}
+
+const char *retention_check_row(const struct Nl__Row *row)
+{
+	char route[RETENTION_SCOPE_BYTES], tenant[RETENTION_SCOPE_BYTES];
+	int64_t max_age_ms = row->max_age[0] ? retention_parse_span(row->max_age) : 0;
+
+	if (!retention_parse_scope(row->name, route, tenant))
+		return "name: lane/tenant, with * for all; * alone for everything";
+	if (max_age_ms < 0)
+		return "keep: a number and s, m, h, d or w, such as 90m or 7d";
+	if (row->interval[0] && row->calendar[0])
+		return "every: not beside at";
+	if (!max_age_ms && !row->interval[0] && !row->calendar[0])
+		return "keep: missing, and neither every nor at";
+	if (row->interval[0] && retention_parse_span(row->interval) < 0)
+		return "every: a number and s, m, h, d or w, such as 6h";
+	if (max_age_ms && max_age_ms < (int64_t)row->spread_ms)
+		return "keep: shorter than window";
+	if (row->calendar[0])
+		return NULL; /* checked against the calendar when it is proposed */
+	if (row_period_ms(row) < RETENTION_MIN_PERIOD_MS)
+		return row->interval[0] ? "every: shorter than a clearing takes (10s)"
+					: "keep: shorter than window and a clearing (10s)";
+	if ((int64_t)row->spread_ms > row_period_ms(row))
+		return "window: longer than the time between two clearings";
+	if (max_age_ms && row->interval[0] && max_age_ms < row_period_ms(row) + (int64_t)row->spread_ms)
+		return "keep: shorter than every and window together";
+	return NULL;
+}
+
+/* Whether the table has a row after the change. */
+static int has_row_after(const struct config_table *table, const struct Nl__Change *change, Nl__Kind kind,
+			 const char *name)
+{
+	for (size_t i = 0; i < change->n_set; i++)
+		if (change->set[i]->kind == kind && !strcmp(change->set[i]->name, name))
+			return 1;
+	for (size_t i = 0; i < change->n_deleted; i++)
+		if (change->deleted[i]->kind == kind && !strcmp(change->deleted[i]->name, name))
+			return 0;
+	return !change->replace_all && config_table_get(table, kind, name);
+}
+
+const char *retention_check_scopes(const struct config_table *table, const struct Nl__Change *change,
+				   apr_pool_t *pool)
+{
+	char route[RETENTION_SCOPE_BYTES], tenant[RETENTION_SCOPE_BYTES];
+
+	for (size_t i = 0; i < change->n_set && shlen(table->rows); i++) {
+		const struct Nl__Row *row = change->set[i];
+
+		if (row->kind != NL__KIND__RETENTION || !retention_parse_scope(row->name, route, tenant))
+			continue;
+		if (route[0] && !has_row_after(table, change, NL__KIND__ROUTE, route))
+			return apr_psprintf(pool, "retention %s: name: no lane %s", row->name, route);
+		if (tenant[0] && !has_row_after(table, change, NL__KIND__TENANT, tenant))
+			return apr_psprintf(pool, "retention %s: name: no tenant %s", row->name, tenant);
+	}
+	return NULL;
+}
+
+/* The shortest and the longest time between two purges that come soon; returns 0 when fewer than two come. */
+static int purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t wall_ms,
+		      int64_t *shortest_ms, int64_t *longest_ms)
+{
+	int64_t due_at_ms = calendar->next(text, wall_ms);
+	int count = 0;
+
+	*shortest_ms = INT64_MAX;
+	*longest_ms = 0;
+	while (due_at_ms && due_at_ms < wall_ms + (int64_t)GAPS_MAX_DAYS * DAY_MS) {
+		int64_t next_ms = calendar->next(text, due_at_ms);
+		int64_t gap_ms = next_ms - due_at_ms;
+
+		if (!next_ms || count++ >= GAPS_MAX)
+			break;
+		if (gap_ms < *shortest_ms)
+			*shortest_ms = gap_ms;
+		if (gap_ms > *longest_ms)
+			*longest_ms = gap_ms;
+		due_at_ms = next_ms;
+	}
+	return count;
+}
+
+/* What is wrong with one row at a time; NULL: nothing. */
+static const char *check_row_at(const struct controller_calendar *calendar, const struct Nl__Row *row,
+				int64_t wall_ms, apr_pool_t *pool)
+{
+	int64_t shortest_ms;
+	int64_t longest_ms;
+	const char *error;
+
+	if (wall_ms == INT64_MIN)
+		return "the registrars' clocks are not heard: nothing can be planned";
+	if (!row->calendar[0])
+		return NULL;
+	if (!calendar)
+		return "at: no calendar is known here";
+	error = calendar->check(row->calendar, pool);
+	if (error)
+		return apr_psprintf(pool, "at: %s", error);
+	if (!calendar->next(row->calendar, wall_ms))
+		return "at: it never comes";
+	if (purge_gaps(calendar, row->calendar, wall_ms, &shortest_ms, &longest_ms) &&
+	    (int64_t)row->spread_ms > shortest_ms)
+		return "window: longer than the time between two clearings";
+	if (row->max_age[0]) {
+		int64_t max_age_ms = retention_parse_span(row->max_age);
+
+		if (max_age_ms >= 0 && max_age_ms < longest_ms + (int64_t)row->spread_ms)
+			return apr_psprintf(pool,
+					    "keep: two clearings may be %" APR_INT64_T_FMT
+					    " h apart, and window: keep is shorter",
+					    longest_ms / HOUR_MS);
+	}
+	return NULL;
+}
+
+const char *retention_check_calendar(const struct controller_calendar *calendar,
+				     const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *pool)
+{
+	for (size_t i = 0; i < change->n_set; i++) {
+		const struct Nl__Row *row = change->set[i];
+		const char *error;
+
+		if (row->kind != NL__KIND__RETENTION)
+			continue;
+		error = check_row_at(calendar, row, wall_ms, pool);
+		if (error)
+			return apr_psprintf(pool, "retention %s: %s", row->name, error);
+	}
+	return NULL;
+}
+
+int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row,
+			   int64_t base_ms, int64_t from_ms)
+{
+	int64_t period_ms;
+
+	if (row->calendar[0])
+		return calendar ? calendar->next(row->calendar, from_ms) : 0;
+	period_ms = row_period_ms(row);
+	if (period_ms < RETENTION_MIN_PERIOD_MS)
+		return 0;
+	return base_ms > from_ms ? base_ms : base_ms + ((from_ms - base_ms) / period_ms + 1) * period_ms;
+}
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -12,7 +12,7 @@
 #include "calendar.h"
 #include "router_internal.h"
 #include "containers.h"
-#include "retention.h"
+#include "retention_report.h"
 #include "sim.h"
 
 enum { EPOCH = 1800000000 }; /* s; a day in 2027 */
