--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -234,9 +234,9 @@
 	struct controller_done_operation {
 		uint64_t from, token;
 		uint32_t status;
-	} * done_operations;             /* stb_ds, oldest first */
-	struct orders accepted_requests; /* operators' orders that were accepted */
-	uint8_t *document;               /* the newest document, byte for byte */
+	} * done_operations;                      /* stb_ds, oldest first */
+	struct idempotency_log accepted_requests; /* operators' orders that were accepted */
+	uint8_t *document;                        /* the newest document, byte for byte */
 	size_t document_bytes;
 	uint64_t document_version;
 	struct controller_logged_call *logged_calls; /* stb_ds */
--- a/lib/control/idempotency.c
+++ b/lib/control/idempotency.c
@@ -5,7 +5,7 @@
 
 #include "containers.h"
 
-/* In front of the bytes of a key, so that no key's digest is that of a content: no call has this name. */
+/* Goes in front of the bytes of a key, so that no key has the digest of a content: no call has this name. */
 static const char key_prefix[] = "Idempotency-Key";
 
 int idempotency_key_is_valid(const char *key)
@@ -65,7 +65,8 @@
 	       !memcmp(a->content_digest, b->content_digest, REQUEST_DIGEST_BYTES);
 }
 
-const struct idempotency_record *idempotency_log_find(const struct orders *log, const struct request_key *key)
+const struct idempotency_record *idempotency_log_find(const struct idempotency_log *log,
+						      const struct request_key *key)
 {
 	if (!key->is_set)
 		return NULL;
@@ -75,22 +76,23 @@
 	return NULL;
 }
 
-int idempotency_log_may_have_evicted(const struct orders *log, enum request_series series,
+int idempotency_log_may_have_evicted(const struct idempotency_log *log, enum request_series series,
 				     uint64_t base_version)
 {
-	/* an order that built on base made a version above it; all that made one above forgotten are
-	 * remembered */
+	/* a request that built on a base made a version above it; all that made one above the evicted
+	 * versions are still recorded */
 	return base_version < log->forgotten_versions[series];
 }
 
-static void forget(struct orders *orders, const struct idempotency_record *old)
+/* Note how far back the log reaches once a record is evicted. */
+static void evict(struct idempotency_log *log, const struct idempotency_record *old)
 {
-	if (old->series < SERIES_COUNT && old->version > orders->forgotten_versions[old->series])
-		orders->forgotten_versions[old->series] = old->version;
+	if (old->series < SERIES_COUNT && old->version > log->forgotten_versions[old->series])
+		log->forgotten_versions[old->series] = old->version;
 }
 
-void idempotency_log_add(struct orders *log, const struct request_key *key, enum request_series series,
-			 uint64_t version)
+void idempotency_log_add(struct idempotency_log *log, const struct request_key *key,
+			 enum request_series series, uint64_t version)
 {
 	struct idempotency_record added = { *key, series, version };
 	size_t capacity = log->capacity ? log->capacity : IDEMPOTENCY_MAX_RECORDS;
@@ -101,7 +103,7 @@
 		arrput(log->records, added);
 		return;
 	}
-	forget(log, &log->records[log->oldest]);
+	evict(log, &log->records[log->oldest]);
 	log->records[log->oldest] = added;
 	log->oldest = (log->oldest + 1) % capacity;
 }
@@ -113,7 +115,8 @@
 	nl__request_key__init(message);
 	message->key_digest.data = (uint8_t *)(uintptr_t)key->key_digest;
 	message->content_digest.data = (uint8_t *)(uintptr_t)key->content_digest;
-	message->key_digest.len = message->content_digest.len = REQUEST_DIGEST_BYTES;
+	message->key_digest.len = REQUEST_DIGEST_BYTES;
+	message->content_digest.len = REQUEST_DIGEST_BYTES;
 	return message;
 }
 
@@ -130,11 +133,11 @@
 	return key;
 }
 
-void idempotency_log_pack(const struct orders *log, struct Nl__ControlState *state, apr_pool_t *pool)
+void idempotency_log_pack(const struct idempotency_log *log, struct Nl__ControlState *state, apr_pool_t *pool)
 {
 	size_t count = (size_t)arrlen(log->records);
 	struct Nl__IdempotencyRecord *records = apr_palloc(pool, (count + 1) * sizeof *records);
-	struct Nl__RequestKey *ids = apr_palloc(pool, (count + 1) * sizeof *ids);
+	struct Nl__RequestKey *keys = apr_palloc(pool, (count + 1) * sizeof *keys);
 
 	state->n_idempotency_records = count;
 	state->idempotency_records = apr_palloc(pool, (count + 1) * sizeof *state->idempotency_records);
@@ -142,7 +145,7 @@
 		const struct idempotency_record *record = &log->records[(log->oldest + i) % count];
 
 		nl__idempotency_record__init(&records[i]);
-		records[i].request_key = request_key_pack(&record->key, &ids[i]);
+		records[i].request_key = request_key_pack(&record->key, &keys[i]);
 		records[i].series = (uint32_t)record->series;
 		records[i].version = record->version;
 		state->idempotency_records[i] = &records[i];
@@ -151,7 +154,7 @@
 	state->forgotten_versions = (uint64_t *)(uintptr_t)log->forgotten_versions;
 }
 
-void idempotency_log_load(struct orders *log, const struct Nl__ControlState *state)
+void idempotency_log_load(struct idempotency_log *log, const struct Nl__ControlState *state)
 {
 	idempotency_log_reset(log);
 	if (!state)
@@ -169,7 +172,7 @@
 		log->forgotten_versions[i] = state->forgotten_versions[i];
 }
 
-void idempotency_log_reset(struct orders *log)
+void idempotency_log_reset(struct idempotency_log *log)
 {
 	arrfree(log->records);
 	log->oldest = 0;
--- a/lib/control/operator_api.h
+++ b/lib/control/operator_api.h
@@ -1,36 +1,43 @@
-/* The operators' own interface: reads of the table, the state and the retention, changes, purges.
- * operator_paths passes each call; what is to be logged goes out as a proposal to the leader.
- * Always: but for this node's own state, a read is answered with what a leader with a lease has said since
- * the call came. */
+/* operator_api: the operators' own interface: reads of the table and the retention, changes of the table,
+ * purges. operator_paths.c dispatches each call to it; what has to be logged goes out as a proposal to the
+ * leader.
+ *
+ * Always: a read is answered only with what a leader with a lease has confirmed since the call came, so it is
+ * never older than the call. A read that finds no leader in time is answered with 503. */
 #ifndef NL_OPERATOR_API_H
 #define NL_OPERATOR_API_H
 
 #include "controller.h"
 
-/* What this node knows, for whoever looks at this node. */
-void read_state(struct controller *controller, const struct controller_event *event, int64_t now,
-		struct command_list *out);
-
-/* Reads that wait for the leader's word. */
+/* Begin a read of the table: it is answered once config_watch has fetched it after the call. */
 void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
 		       struct command_list *out);
+
+/* Begin a read of the retention's progress, which the leader answers. */
 void read_retention(struct controller *controller, const struct controller_event *event, int64_t now,
 		    struct command_list *out);
+
+/* Begin a read of the auditors' report on purges, which the leader answers. */
 void read_retention_report(struct controller *controller, const struct controller_event *event, int64_t now,
 			   struct command_list *out);
 
-/* Another node passes a read on; the leader's answer to one of ours. */
+/* Another node forwards a read: answer it as the leader, or name the leader. */
 void on_read_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 		     struct command_list *out);
+
+/* The leader's answer to a read of this node; one that comes after the read's time-out is dropped. */
 void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now,
 		   struct command_list *out);
 
-/* Answer reads that have what they waited for, and those that wait for nobody. */
+/* Answer pending reads that are confirmed, send the others to the leader again, and reject those that have no
+ * leader or have timed out. */
 void reads_tick(struct controller *controller, int64_t now, struct command_list *out);
 
-/* Orders that are proposed to the leader. */
+/* Propose a change of the table; a request that is no change at all is rejected here. */
 void change_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
 			 struct command_list *out);
+
+/* Propose a purge of a scope's context, now. */
 void purge_context(struct controller *controller, const struct controller_event *event, int64_t now,
 		   struct command_list *out);
 
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -2,6 +2,7 @@
 
 #include "controller.h"
 #include "containers.h"
+#include "json_add.h"
 
 void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from)
 {
@@ -27,7 +28,7 @@
 	return open;
 }
 
-static uint64_t ended(const struct operator_calls *calls)
+static uint64_t ended_calls(const struct operator_calls *calls)
 {
 	return calls->answered + calls->rejected + calls->unknown + calls->disconnected;
 }
@@ -35,10 +36,10 @@
 int operator_calls_are_balanced(const struct controller *controller)
 {
 	return controller->operator_calls.read ==
-	       ended(&controller->operator_calls) + operator_calls_open(controller);
+	       ended_calls(&controller->operator_calls) + operator_calls_open(controller);
 }
 
-/* Drop what waits for this caller; whether anything did. A founding goes on, and its answer goes nowhere. */
+/* Drop what waits for this caller; returns whether anything did. A bootstrap goes on, without an answer. */
 static int forget_caller(struct controller *controller, uint64_t token)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
@@ -74,11 +75,11 @@
 	} counts[] = {
 		{ "read", calls->read },         { "answered", calls->answered },
 		{ "refused", calls->rejected },  { "unknown", calls->unknown },
-		{ "gone", calls->disconnected }, { "open", calls->read - ended(calls) },
+		{ "gone", calls->disconnected }, { "open", calls->read - ended_calls(calls) },
 	};
 	struct json_object *json = json_object_new_object();
 
 	for (size_t i = 0; i < sizeof counts / sizeof *counts; i++)
-		json_object_object_add(json, counts[i].name, json_object_new_int64((int64_t)counts[i].count));
+		json_add_number(json, counts[i].name, (int64_t)counts[i].count);
 	return json;
 }
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -27,8 +27,8 @@
 		reject_without_leader(token, out);
 }
 
-/* An order that was accepted is acknowledged again; one that is being logged is waited for. 1: it was such a
- * one. */
+/* A request that was accepted is acknowledged again; one that is being logged is waited for. Returns 1 for
+ * such a one, 0 for a new request. */
 static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key,
 			   int64_t now, struct command_list *out)
 {
@@ -38,7 +38,7 @@
 		if (repeated_request_status(accepted, key) == PROPOSAL_DONE)
 			command_answer(out, token, 200, 0, "{}");
 		else
-			command_answer(out, token, 422, 0, error_json(out->pool, ORDER_KEY_REUSED, 0));
+			command_answer(out, token, 422, 0, error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
 		return 1;
 	}
 	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
@@ -53,52 +53,61 @@
 	return 0;
 }
 
-/* A document that builds on another version is late, unless it may be an order that was accepted and is
- * forgotten. */
+/* A document that builds on another version conflicts, unless it may repeat one that was accepted and has
+ * been evicted from the idempotency log. */
 static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version,
 				    struct command_list *out)
 {
 	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
 		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS,
-			       error_json(out->pool, ORDER_FORGOTTEN, 0));
+			       error_json(out->pool, IDEMPOTENCY_OUTCOME_UNKNOWN, 0));
 	else
 		command_answer(out, token, 412, 0, error_json(out->pool, "another version is current", 0));
 }
 
+/* Read a document into a change; returns NULL, or what is wrong with it, in the pool. */
+static const char *parse_document(const struct controller *controller, const struct controller_event *event,
+				  struct Nl__Change *change, apr_pool_t *pool)
+{
+	const char *error = NULL;
+
+	if (!controller->codec)
+		return "document: none is taken here";
+	if (controller->codec->read((const char *)controller->document, controller->document_bytes,
+				    event->payload.document.body, event->payload.document.body_bytes,
+				    event->payload.document.is_patch, change, &error, pool))
+		return error ? error : "document: cannot be read";
+	if (change->document_version <= controller->document_version)
+		return "version: not above the current one";
+	change->any_revision = 1;
+	change->replace_all = 1;
+	change->replace_keys = 1;
+	change->document_base_version = event->payload.document.base_version;
+	return config_table_check(&controller->config, change, pool);
+}
+
 void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
 		  struct command_list *out)
 {
-	uint64_t token = event->payload.document.token, base_version = event->payload.document.base_version;
-	int patch = event->payload.document.is_patch;
-	const char *body = event->payload.document.body;
-	size_t body_bytes = event->payload.document.body_bytes;
+	uint64_t token = event->payload.document.token;
+	uint64_t base_version = event->payload.document.base_version;
 	struct Nl__Change change = NL__CHANGE__INIT;
-	const char *error = NULL;
+	const char *error;
 	struct request_key key;
 
 	if (event->payload.document.invalid) {
 		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.document.invalid, 0));
 		return;
 	}
-	request_key_init(&key, NULL, patch ? "patch" : "document", 1, base_version, body, body_bytes);
+	request_key_init(&key, NULL, event->payload.document.is_patch ? "patch" : "document", 1, base_version,
+			 event->payload.document.body, event->payload.document.body_bytes);
 	if (answer_repeated(controller, token, &key, now, out))
 		return;
 	if (base_version != controller->document_version) {
 		answer_version_conflict(controller, token, base_version, out);
 		return;
 	}
-	if (!controller->codec)
-		error = "document: none is taken here";
-	else if (controller->codec->read((const char *)controller->document, controller->document_bytes, body,
-					 body_bytes, patch, &change, &error, out->pool))
-		error = error ? error : "document: cannot be read";
-	else if (change.document_version <= controller->document_version)
-		error = "version: not above the current one";
-	else {
-		change.any_revision = change.replace_all = change.replace_keys = 1;
-		change.document_base_version = base_version;
-		error = config_table_check(&controller->config, &change, out->pool);
-	}
+	error = parse_document(controller, event, &change, out->pool);
 	if (error)
 		command_answer(out, token, 400, 0, error_json(out->pool, error, 0));
 	else
@@ -124,11 +133,12 @@
 	command->args.answer.len = controller->document_bytes;
 }
 
-void name_weights(struct controller *controller, const struct controller_event *event, int64_t now,
-		  struct command_list *out)
+void set_target_weights(struct controller *controller, const struct controller_event *event, int64_t now,
+			struct command_list *out)
 {
 	uint64_t token = event->payload.target.token;
-	const char *model = event->payload.target.model, *weights = event->payload.target.weights;
+	const char *model = event->payload.target.model;
+	const char *weights = event->payload.target.weights;
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
 	const struct request_key none = { 0 }; /* a number that only rises needs no record */
@@ -153,7 +163,7 @@
 	}
 	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
 	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->target_weights, NULL, 10) : 1))
-		command_answer(out, token, 200, 0, "{}"); /* committed, and perhaps overtaken, before */
+		command_answer(out, token, 200, 0, "{}"); /* committed before, or a later version was */
 	else
 		log_and_answer(controller, token, &change, &none, now, out);
 }
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -1,25 +1,29 @@
-/* The operators' documents: a whole configuration, or a patch, on top of the version that the operator has
- * read. The step passes calls that came through a platform's adapter. Always: only the configuration's leader
- * takes or reads one, a document is acknowledged once it is committed, and the same call again is answered as
- * before. */
+/* operator_documents: the operators' documents, which come through a platform's adapter: a complete
+ * configuration, or a patch on the version that the operator has read. operator_paths.c dispatches the calls
+ * and lets in only those at the control shard's leader.
+ *
+ * Always: a document is acknowledged once it is committed; the same call again is answered as before, also by
+ * a later leader (idempotency.h). */
 #ifndef NL_OPERATOR_DOCUMENTS_H
 #define NL_OPERATOR_DOCUMENTS_H
 
 #include "controller.h"
 
-/* A document, whole or a patch on the version base. */
+/* Log a document, or a patch on its base version. Answers 400 for an invalid one, 412 when another version is
+ * current, 504 when that cannot be told from a repeated request that was forgotten. */
 void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
 		  struct command_list *out);
 
-/* The newest document is wanted back. */
+/* Answer with the newest document, byte for byte as it was sent; 404 when there is none. */
 void read_document(struct controller *controller, const struct controller_event *event, int64_t now,
 		   struct command_list *out);
 
-/* Weights are named for a model. */
-void name_weights(struct controller *controller, const struct controller_event *event, int64_t now,
-		  struct command_list *out);
+/* Log the target weights of a model. Versions only rise: one that is not above the current is acknowledged
+ * without effect. */
+void set_target_weights(struct controller *controller, const struct controller_event *event, int64_t now,
+			struct command_list *out);
 
-/* Calls whose outcome has been open for too long are told so. */
+/* Answer logged calls that have timed out with 504: their outcome is unknown. */
 void expire_calls(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -7,16 +7,19 @@
 #include "leadership.h"
 #include "operator_api.h"
 #include "operator_documents.h"
+#include "operator_state.h"
 #include "recovery.h"
 #include "controller_private.h"
 
+/* One call: how it is recognised, what it needs, and who handles it. */
 struct operator_path {
 	enum controller_event_kind
-	    kind; /* CONTROLLER_WEB, or a call that an adapter passes on, whatever its path is called there */
-	const char *method, *path; /* of CONTROLLER_WEB */
+	    kind;           /* CONTROLLER_API_CALL, or the event that an adapter makes of its own path */
+	const char *method; /* of CONTROLLER_API_CALL; else NULL */
+	const char *path;   /* the same */
 	enum path_needs needs;
-	void (*handle)(struct controller *r, const struct controller_event *ev, int64_t now,
-		       struct command_list *o);
+	void (*handle)(struct controller *controller, const struct controller_event *event, int64_t now,
+		       struct command_list *out);
 };
 
 static const struct operator_path paths[] = {
@@ -31,7 +34,7 @@
 	{ CONTROLLER_API_CALL, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recover_groups },
 	{ CONTROLLER_PUT_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, put_document },
 	{ CONTROLLER_READ_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, read_document },
-	{ CONTROLLER_SET_TARGET_WEIGHTS, NULL, NULL, PATH_NEEDS_LEADERSHIP, name_weights },
+	{ CONTROLLER_SET_TARGET_WEIGHTS, NULL, NULL, PATH_NEEDS_LEADERSHIP, set_target_weights },
 };
 
 static uint64_t call_token(const struct controller_event *event)
@@ -61,7 +64,7 @@
 	return NULL;
 }
 
-/* Name the leader, as far as it is known here; else say when to come back. */
+/* Redirect to the leader, as far as it is known here; else reject with a time to retry. */
 static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now,
 			       struct command_list *out)
 {
@@ -81,8 +84,8 @@
 	command->args.answer.redirect_addr = leader;
 }
 
-/* What was answered since this command holds as long as the lease does: whoever writes it looks at the clock
- * once more. */
+/* The answers among the commands from a position on are valid until the lease ends: whoever writes them
+ * checks the clock again. */
 static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct command_list *out)
 {
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
@@ -95,10 +98,10 @@
 		      struct command_list *out)
 {
 	const struct operator_path *path = find_path(event);
-	ptrdiff_t answers = arrlen(out->commands);
+	ptrdiff_t first_command = arrlen(out->commands);
 
 	controller->operator_calls.read++;
-	if (!path) { /* whatever the log holds, there is no such path */
+	if (!path) { /* needs no leader: there is no such path, whatever the log holds */
 		command_answer(out, call_token(event), 404, 0,
 			       error_json(out->pool, "path: no such call", 0));
 		return;
@@ -115,7 +118,7 @@
 	case PATH_NEEDS_LEADERSHIP:
 		if (leads_shard(controller, SHARD_CONTROL, now)) {
 			path->handle(controller, event, now, out);
-			limit_to_lease(controller, answers, out);
+			limit_to_lease(controller, first_command, out);
 		} else {
 			redirect_to_leader(controller, call_token(event), now, out);
 		}
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -33,7 +33,7 @@
 			command_answer(out, controller->logged_calls[i].token, 200, 0, "{}");
 		else if (status == PROPOSAL_KEY_REUSED)
 			command_answer(out, controller->logged_calls[i].token, 422, 0,
-				       error_json(out->pool, ORDER_KEY_REUSED, 0));
+				       error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
 		else if (status == PROPOSAL_SUPERSEDED)
 			command_answer(out, controller->logged_calls[i].token, 412, 0,
 				       error_json(out->pool, "another version is current", 0));
@@ -53,7 +53,7 @@
 	case PROPOSAL_REJECTED:
 		return "already claimed";
 	case PROPOSAL_KEY_REUSED:
-		return ORDER_KEY_REUSED;
+		return IDEMPOTENCY_KEY_REUSED;
 	default:
 		return "";
 	}
@@ -133,7 +133,7 @@
 		why = "op: not one that this part takes";
 	else if ((accepted = idempotency_log_find(&controller->accepted_requests, &request_key))) {
 		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
-				  accepted->version, ORDER_KEY_REUSED, 0, out);
+				  accepted->version, IDEMPOTENCY_KEY_REUSED, 0, out);
 		return;
 	} else if (message->shard == SHARD_CONTROL &&
 		   (done =
@@ -307,7 +307,7 @@
 			int http_status = rejection_http_status(answer->status);
 
 			body = error_json(out->pool,
-					  answer->status == PROPOSAL_KEY_EXPIRED ? ORDER_FORGOTTEN
+					  answer->status == PROPOSAL_KEY_EXPIRED ? IDEMPOTENCY_OUTCOME_UNKNOWN
 										 : answer->reason,
 					  answer->revision);
 			if (http_status < 500)
--- a/lib/control/retention_report.c
+++ b/lib/control/retention_report.c
@@ -6,24 +6,10 @@
 
 #include "containers.h"
 #include "controller_private.h"
+#include "json_add.h"
 #include "leadership.h"
 #include "retention_progress.h"
 
-static void add_number(struct json_object *json, const char *name, int64_t value)
-{
-	json_object_object_add(json, name, json_object_new_int64(value));
-}
-
-static void add_text(struct json_object *json, const char *name, const char *value)
-{
-	json_object_object_add(json, name, json_object_new_string(value));
-}
-
-static void add_flag(struct json_object *json, const char *name, int value)
-{
-	json_object_object_add(json, name, json_object_new_boolean(value));
-}
-
 static struct json_object *plans_json(const struct retention *retention)
 {
 	struct json_object *rows = json_object_new_array();
@@ -32,9 +18,9 @@
 		const struct Nl__RetentionPlan *plan = retention->plans[i];
 		struct json_object *row = json_object_new_object();
 
-		add_text(row, "scope", plan->scope);
-		add_text(row, "setting", plan->text);
-		add_number(row, "due", plan->due_at_ms);
+		json_add_text(row, "scope", plan->scope);
+		json_add_text(row, "setting", plan->text);
+		json_add_number(row, "due", plan->due_at_ms);
 		json_object_array_add(rows, row);
 	}
 	return rows;
@@ -45,17 +31,17 @@
 {
 	struct json_object *json = json_object_new_object();
 
-	add_number(json, "number", (int64_t)purge->purge_number);
-	add_text(json, "scope", purge->scope);
-	add_text(json, "by", purge->requested_by);
-	add_number(json, "due", purge->due_at_ms);
-	add_number(json, "decided", purge->decided_at_ms);
-	add_number(json, "sliced", purge->sliced_at_ms);
-	add_number(json, "done", purge->done_at_ms);
-	add_number(json, "slices", purge->slices);
-	add_number(json, "missed", purge->missed);
-	add_flag(json, "late", purge->late);
-	add_flag(json, "wide", purge->wide);
+	json_add_number(json, "number", (int64_t)purge->purge_number);
+	json_add_text(json, "scope", purge->scope);
+	json_add_text(json, "by", purge->requested_by);
+	json_add_number(json, "due", purge->due_at_ms);
+	json_add_number(json, "decided", purge->decided_at_ms);
+	json_add_number(json, "sliced", purge->sliced_at_ms);
+	json_add_number(json, "done", purge->done_at_ms);
+	json_add_number(json, "slices", purge->slices);
+	json_add_number(json, "missed", purge->missed);
+	json_add_flag(json, "late", purge->late);
+	json_add_flag(json, "wide", purge->wide);
 	json_object_object_add(json, "missing", missing);
 	return json;
 }
@@ -76,9 +62,9 @@
 	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
 	const char *text;
 
-	add_flag(json, "owner", is_leader);
-	add_text(json, "owner_addr", leader ? core_format_addr(pool, leader) : "");
-	add_number(json, "wall", shown_wall_clock(controller, is_leader, now));
+	json_add_flag(json, "owner", is_leader);
+	json_add_text(json, "owner_addr", leader ? core_format_addr(pool, leader) : "");
+	json_add_number(json, "wall", shown_wall_clock(controller, is_leader, now));
 	json_object_object_add(json, "rows", plans_json(&controller->retention));
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
 		const struct Nl__RetentionPurge *purge = controller->retention.purges[i];
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -67,7 +67,7 @@
 
 static void the_record_is_bounded_and_knows_how_far_it_reaches(void **state)
 {
-	struct orders orders = { .capacity = 100 }, loaded = { .capacity = 100 };
+	struct idempotency_log orders = { .capacity = 100 }, loaded = { .capacity = 100 };
 	struct Nl__ControlState saved = NL__CONTROL_STATE__INIT;
 	struct request_key request_key;
 	apr_pool_t *pool;
@@ -83,7 +83,7 @@
 	idempotency_log_pack(&orders, &saved, pool);
 	idempotency_log_load(&loaded, &saved);
 	for (int round = 0; round < 2; round++) {
-		const struct orders *record = round ? &loaded : &orders;
+		const struct idempotency_log *record = round ? &loaded : &orders;
 
 		assert_int_equal(arrlen(record->records), 100);
 		for (uint64_t base = 0; base < 250; base++) {
@@ -121,7 +121,7 @@
 /* What the record adds to each snapshot, once it is full. */
 static void a_full_record_is_small(void **state)
 {
-	struct orders orders = { 0 };
+	struct idempotency_log orders = { 0 };
 	struct Nl__ControlState saved = NL__CONTROL_STATE__INIT;
 	apr_pool_t *pool;
 	size_t bytes;
