--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -7,33 +7,47 @@
 #include <unicode/ucal.h>
 #include <unicode/ustring.h>
 
-enum { DAYS = 366 * 9 }; /* 29 February comes within these */
-
+enum {
+	SEARCH_DAYS = 366 * 9, /* 29 February comes within these */
+	EVERY_WEEKDAY = 127,
+	TEXT_BYTES = 160,
+	ZONE_BYTES = 64
+};
+
+/* A schedule, parsed. */
 struct schedule {
-	int weekdays, day_of_month, month, hour, minute;
-	char zone[64];
-}; /* days: bits from Sunday; day and month: 0 for any */
-
-/* Two digits, or one. -1: not a number up to most. */
-static int number(const char *s, size_t n, int most)
+	int weekdays;     /* bits from Sunday */
+	int day_of_month; /* 0: any */
+	int month;        /* 0: any */
+	int hour;
+	int minute;
+	char zone[ZONE_BYTES];
+};
+
+/* ---- parsing --------------------------------------------------------------------------------------------
+ */
+
+/* A number of one or two digits; -1 when it is none, or above max. */
+static int parse_number(const char *text, size_t size, int max)
 {
-	int v = 0;
+	int value = 0;
 
-	if (!n || n > 2 || strspn(s, "0123456789") < n)
+	if (!size || size > 2 || strspn(text, "0123456789") < size)
 		return -1;
-	for (size_t i = 0; i < n; i++)
-		v = v * 10 + (s[i] - '0');
-	return v <= most ? v : -1;
+	for (size_t i = 0; i < size; i++)
+		value = value * 10 + (text[i] - '0');
+	return value <= max ? value : -1;
 }
 
+/* Weekdays such as "mon,thu". Returns NULL, or what is wrong. */
 static const char *parse_weekdays(const char *list, struct schedule *schedule)
 {
-	static const char *const name[] = { "sun", "mon", "tue", "wed", "thu", "fri", "sat" };
+	static const char *const names[] = { "sun", "mon", "tue", "wed", "thu", "fri", "sat" };
 
 	for (const char *cursor = list; *cursor; cursor += cursor[3] == ',' ? 4 : 3) {
 		int weekday = 0;
 
-		while (weekday < 7 && strncmp(cursor, name[weekday], 3))
+		while (weekday < 7 && strncmp(cursor, names[weekday], 3))
 			weekday++;
 		if (weekday == 7 || (cursor[3] && cursor[3] != ',') || (cursor[3] == ',' && !cursor[4]))
 			return "neither daily, monthly, yearly nor days such as mon,thu";
@@ -44,102 +58,147 @@
 	return NULL;
 }
 
+/* The date of a monthly schedule, "15", or of a yearly one, "12-31". Returns NULL, or what is wrong. */
+static const char *parse_date(const char *date, int is_yearly, struct schedule *schedule)
+{
+	const char *dash = date && is_yearly ? strchr(date, '-') : NULL;
+	const char *day;
+
+	if (!date || (is_yearly && !dash))
+		return "a day is missing: monthly 15, yearly 12-31";
+	day = dash ? dash + 1 : date;
+	schedule->weekdays = EVERY_WEEKDAY;
+	schedule->month = dash ? parse_number(date, (size_t)(dash - date), 12) : 0;
+	schedule->day_of_month = parse_number(day, strlen(day), 31);
+	if (schedule->day_of_month < 1 || schedule->month < 0 || (dash && schedule->month < 1))
+		return "no such day: it never comes";
+	return NULL;
+}
+
+/* The time of day, "02:30". Returns NULL, or what is wrong. */
+static const char *parse_clock(const char *clock, struct schedule *schedule)
+{
+	const char *colon = clock ? strchr(clock, ':') : NULL;
+
+	schedule->hour = colon ? parse_number(clock, (size_t)(colon - clock), 23) : -1;
+	schedule->minute = colon && strlen(colon + 1) == 2 ? parse_number(colon + 1, 2, 59) : -1;
+	if (schedule->hour < 0 || schedule->minute < 0)
+		return "the time of day is not as 02:30";
+	return NULL;
+}
+
 static int is_known_zone(const char *zone)
 {
-	UChar id[64], canonical[64];
+	UChar id[ZONE_BYTES], canonical[ZONE_BYTES];
 	UErrorCode status = U_ZERO_ERROR;
 
-	u_strFromUTF8(id, 64, NULL, zone, -1, &status);
-	ucal_getCanonicalTimeZoneID(id, -1, canonical, 64, NULL, &status);
+	u_strFromUTF8(id, ZONE_BYTES, NULL, zone, -1, &status);
+	ucal_getCanonicalTimeZoneID(id, -1, canonical, ZONE_BYTES, NULL, &status);
 	return U_SUCCESS(status);
 }
 
-static const char *parse(const char *text, struct schedule *s, apr_pool_t *pool)
+/* Returns NULL, or what is wrong; with a pool the text names an unknown zone. */
+static const char *parse_schedule(const char *text, struct schedule *schedule, apr_pool_t *pool)
 {
-	char copy[160], *word, *date = NULL, *clock, *colon, *save = NULL;
-	const char *bad;
+	char copy[TEXT_BYTES], *word, *save = NULL;
+	const char *error = NULL;
 
-	memset(s, 0, sizeof *s);
+	memset(schedule, 0, sizeof *schedule);
 	if (strlen(text) >= sizeof copy)
 		return "too long";
 	memcpy(copy, text, strlen(text) + 1);
 	word = apr_strtok(copy, " ", &save);
 	if (!word)
 		return "empty";
-	if (!strcmp(word, "monthly") || !strcmp(word, "yearly")) {
-		date = apr_strtok(NULL, " ", &save);
-		s->weekdays = 127;
-		colon = date && word[0] == 'y' ? strchr(date, '-') : NULL;
-		if (!date || (word[0] == 'y' && !colon))
-			return "a day is missing: monthly 15, yearly 12-31";
-		s->month = colon ? number(date, (size_t)(colon - date), 12) : 0;
-		s->day_of_month = number(colon ? colon + 1 : date, strlen(colon ? colon + 1 : date), 31);
-		if (s->day_of_month < 1 || s->month < 0 || (colon && s->month < 1))
-			return "no such day: it never comes";
-	} else if (!strcmp(word, "daily")) {
-		s->weekdays = 127;
-	} else if ((bad = parse_weekdays(word, s))) {
-		return bad;
-	}
-	clock = apr_strtok(NULL, " ", &save);
-	colon = clock ? strchr(clock, ':') : NULL;
-	s->hour = colon ? number(clock, (size_t)(colon - clock), 23) : -1;
-	s->minute = colon && strlen(colon + 1) == 2 ? number(colon + 1, 2, 59) : -1;
-	if (s->hour < 0 || s->minute < 0)
-		return "the time of day is not as 02:30";
+	if (!strcmp(word, "monthly") || !strcmp(word, "yearly"))
+		error = parse_date(apr_strtok(NULL, " ", &save), word[0] == 'y', schedule);
+	else if (!strcmp(word, "daily"))
+		schedule->weekdays = EVERY_WEEKDAY;
+	else
+		error = parse_weekdays(word, schedule);
+	if (!error)
+		error = parse_clock(apr_strtok(NULL, " ", &save), schedule);
+	if (error)
+		return error;
 	word = apr_strtok(NULL, " ", &save);
-	if (!word || strlen(word) >= sizeof s->zone)
+	if (!word || strlen(word) >= sizeof schedule->zone)
 		return "the time zone is missing";
 	if (apr_strtok(NULL, " ", &save))
 		return "words after the time zone";
-	memcpy(s->zone, word, strlen(word) + 1);
-	return is_known_zone(s->zone) ? NULL
-	       : pool                 ? apr_psprintf(pool, "no time zone %s", s->zone)
-				      : "no such time zone";
+	memcpy(schedule->zone, word, strlen(word) + 1);
+	if (is_known_zone(schedule->zone))
+		return NULL;
+	return pool ? apr_psprintf(pool, "no time zone %s", schedule->zone) : "no such time zone";
 }
 
-static int64_t next(const char *text, int64_t from)
+/* ---- due times ------------------------------------------------------------------------------------------
+ */
+
+/* Whether the calendar stands on a day of the schedule. */
+static int is_scheduled_day(UCalendar *calendar, const struct schedule *schedule, UErrorCode *status)
 {
-	struct schedule s;
-	UErrorCode st = U_ZERO_ERROR;
-	UChar zone[64];
-	UCalendar *c;
-	int64_t due = 0;
-	int y, m, d;
-
-	if (parse(text, &s, NULL))
+	int weekday = ucal_get(calendar, UCAL_DAY_OF_WEEK, status) - 1;
+
+	if (!(schedule->weekdays & 1 << weekday))
 		return 0;
-	u_strFromUTF8(zone, 64, NULL, s.zone, -1, &st);
-	c = ucal_open(zone, -1, "en_US", UCAL_GREGORIAN, &st);
-	if (U_FAILURE(st))
+	if (schedule->day_of_month && ucal_get(calendar, UCAL_DATE, status) != schedule->day_of_month)
 		return 0;
-	ucal_setAttribute(c, UCAL_SKIPPED_WALL_TIME, UCAL_WALLTIME_NEXT_VALID);
-	ucal_setAttribute(c, UCAL_REPEATED_WALL_TIME, UCAL_WALLTIME_FIRST);
-	ucal_setMillis(c, (UDate)from, &st);
-	y = ucal_get(c, UCAL_YEAR, &st);
-	m = ucal_get(c, UCAL_MONTH, &st);
-	d = ucal_get(c, UCAL_DATE, &st);
-	for (int i = 0; i < DAYS && !due && U_SUCCESS(st); i++) {
-		ucal_clear(c); /* noon is in every day, whatever its clock change */
-		ucal_setDateTime(c, y, m, d + i, 12, 0, 0, &st);
-		if (!(s.weekdays & 1 << (ucal_get(c, UCAL_DAY_OF_WEEK, &st) - 1)) ||
-		    (s.day_of_month && ucal_get(c, UCAL_DATE, &st) != s.day_of_month) ||
-		    (s.month && ucal_get(c, UCAL_MONTH, &st) + 1 != s.month))
+	return !schedule->month || ucal_get(calendar, UCAL_MONTH, status) + 1 == schedule->month;
+}
+
+/* The first time of the schedule after from_ms, by the calendar of its zone; 0: none comes. */
+static int64_t find_next(UCalendar *calendar, const struct schedule *schedule, int64_t from_ms,
+			 UErrorCode *status)
+{
+	int year, month, date;
+
+	ucal_setMillis(calendar, (UDate)from_ms, status);
+	year = ucal_get(calendar, UCAL_YEAR, status);
+	month = ucal_get(calendar, UCAL_MONTH, status);
+	date = ucal_get(calendar, UCAL_DATE, status);
+	for (int i = 0; i < SEARCH_DAYS && U_SUCCESS(*status); i++) {
+		int64_t due_at_ms;
+
+		ucal_clear(calendar); /* noon is in every day, whatever its clock change */
+		ucal_setDateTime(calendar, year, month, date + i, 12, 0, 0, status);
+		if (!is_scheduled_day(calendar, schedule, status))
 			continue;
-		ucal_clear(c);
-		ucal_setDateTime(c, y, m, d + i, s.hour, s.minute, 0, &st);
-		due = (int64_t)ucal_getMillis(c, &st);
-		due = due > from ? due : 0;
+		ucal_clear(calendar);
+		ucal_setDateTime(calendar, year, month, date + i, schedule->hour, schedule->minute, 0,
+				 status);
+		due_at_ms = (int64_t)ucal_getMillis(calendar, status);
+		if (due_at_ms > from_ms)
+			return due_at_ms;
 	}
-	ucal_close(c);
-	return U_SUCCESS(st) ? due : 0;
+	return 0;
+}
+
+static int64_t next(const char *text, int64_t from_ms)
+{
+	struct schedule schedule;
+	UErrorCode status = U_ZERO_ERROR;
+	UChar zone[ZONE_BYTES];
+	UCalendar *calendar;
+	int64_t due_at_ms;
+
+	if (parse_schedule(text, &schedule, NULL))
+		return 0;
+	u_strFromUTF8(zone, ZONE_BYTES, NULL, schedule.zone, -1, &status);
+	calendar = ucal_open(zone, -1, "en_US", UCAL_GREGORIAN, &status);
+	if (U_FAILURE(status))
+		return 0;
+	ucal_setAttribute(calendar, UCAL_SKIPPED_WALL_TIME, UCAL_WALLTIME_NEXT_VALID);
+	ucal_setAttribute(calendar, UCAL_REPEATED_WALL_TIME, UCAL_WALLTIME_FIRST);
+	due_at_ms = find_next(calendar, &schedule, from_ms, &status);
+	ucal_close(calendar);
+	return U_SUCCESS(status) ? due_at_ms : 0;
 }
 
 static const char *check(const char *text, apr_pool_t *pool)
 {
-	struct schedule s;
+	struct schedule schedule;
 
-	return parse(text, &s, pool);
+	return parse_schedule(text, &schedule, pool);
 }
 
 const struct controller_calendar calendar_icu = { check, next };
--- a/lib/control/calendar.h
+++ b/lib/control/calendar.h
@@ -1,13 +1,16 @@
-/* calendar: schedules in calendar terms with a time zone, by ICU. Pure: times come and go as ms since 1970.
+/* calendar: schedules in calendar terms with a time zone, evaluated by ICU. Controllers plan purges with it,
+ * notchlug-validate checks rows of kind retention with it; routers are built without.
  *   daily HH:MM ZONE        mon,thu HH:MM ZONE        monthly DAY HH:MM ZONE        yearly MM-DD HH:MM ZONE
- * A time that a clock change leaves out comes when the clock goes on after it; one that comes twice counts
- * once. */
+ *
+ * Pure: times are ms since 1970. A time that a clock change skips comes when the clock goes on after it; one
+ * that comes twice counts once. */
 #ifndef NL_CALENDAR_H
 #define NL_CALENDAR_H
 
 #include "retention_schedule.h"
 
-/* Example: reg.calendar = &calendar_icu; due = calendar_icu.next("daily 02:30 Asia/Kuala_Lumpur", wall); */
+/* The calendar of this library. Example: controller->calendar = &calendar_icu;
+ * due_at_ms = calendar_icu.next("daily 02:30 Asia/Kuala_Lumpur", wall_ms); */
 extern const struct controller_calendar calendar_icu;
 
 #endif
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -4,21 +4,28 @@
 #include <string.h>
 
 #include "containers.h"
+#include "json_add.h"
 
-static struct Nl__Instance *copy(const struct Nl__Instance *x)
+enum {
+	INSTANCES_STAMP_TERM_SHIFT = 24, /* a stamp's lower bits count changes, its upper ones are the term */
+	FLEET_SHARE_MS_MILLE = 3000000 /* over rate_mille: ms between polls at a third of the fleet's calls */
+};
+
+/* A copy on the heap; nl__instance__free_unpacked releases it. */
+static struct Nl__Instance *copy_instance(const struct Nl__Instance *instance)
 {
-	size_t n = nl__instance__get_packed_size(x);
-	uint8_t *d = malloc(n + 1);
-	struct Nl__Instance *instance;
+	size_t size = nl__instance__get_packed_size(instance);
+	uint8_t *bytes = malloc(size + 1);
+	struct Nl__Instance *copy;
 
-	if (!d)
+	if (!bytes)
 		abort();
-	nl__instance__pack(x, d);
-	instance = nl__instance__unpack(NULL, n, d);
-	free(d);
-	if (!instance)
+	nl__instance__pack(instance, bytes);
+	copy = nl__instance__unpack(NULL, size, bytes);
+	free(bytes);
+	if (!copy)
 		abort();
-	return instance;
+	return copy;
 }
 
 void instances_open(struct instances *instances)
@@ -36,28 +43,29 @@
 
 const struct Nl__Instance *instances_get(const struct instances *instances, const char *name)
 {
-	struct instances_row *instances_row = instances->rows;
-	ptrdiff_t i = shgeti(instances_row, name);
+	struct instances_row *rows = instances->rows; /* the macros set it, but only to what it is */
+	ptrdiff_t i = shgeti(rows, name);
 
-	return i < 0 ? NULL : instances_row[i].value.instance;
+	return i < 0 ? NULL : rows[i].value.instance;
 }
 
-/* Put a copy in place of what stands there. */
-static typeof(((struct instances_row *)0)->value) *put(struct instances *s, const struct Nl__Instance *x)
+/* Store a copy of an instance under its name; returns its entry, valid until the next change. */
+static struct instance_entry *store_instance(struct instances *instances, const struct Nl__Instance *instance)
 {
-	ptrdiff_t i = shgeti(s->rows, x->server);
-	struct Nl__Instance *instance = copy(x);
+	struct Nl__Instance *copy =
+	    copy_instance(instance); /* first: it may point into the one it replaces */
+	ptrdiff_t i = shgeti(instances->rows, copy->server);
 
 	if (i >= 0) {
-		nl__instance__free_unpacked(s->rows[i].value.instance, NULL);
-		s->rows[i].value.instance = instance;
+		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
+		instances->rows[i].value.instance = copy;
 	} else {
-		shput(s->rows, instance->server, ((typeof(s->rows->value)){ instance, 0, 0, 0, 0 }));
+		shput(instances->rows, copy->server, ((struct instance_entry){ .instance = copy }));
 	}
-	return &shgetp(s->rows, instance->server)->value; /* x may have stood on the old one */
+	return &shgetp(instances->rows, copy->server)->value;
 }
 
-static void forget(struct instances *instances, int64_t now)
+static void drop_old_tombstones(struct instances *instances, int64_t now)
 {
 	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0; i--) {
 		struct Nl__Instance *instance = instances->rows[i].value.instance;
@@ -72,7 +80,7 @@
 	}
 }
 
-/* ---- the owner's side ---------------------------------------------------------- */
+/* ---- the leader's side ------------------------------------------------------------------------------- */
 
 static void assign_stamp(struct instances *instances, struct Nl__Instance *instance, int64_t now)
 {
@@ -80,19 +88,22 @@
 	instances->changed_at_ms = now;
 }
 
-void instances_start_term(struct instances *s, const struct instances *followed, uint64_t term, int64_t now)
+void instances_start_term(struct instances *instances, const struct instances *followed, uint64_t term,
+			  int64_t now)
 {
-	instances_close(s);
-	instances_open(s);
-	s->term = term;
-	s->stamp = term << 24;
-	s->poll_not_before_ms = s->changed_at_ms = now;
+	instances_close(instances);
+	instances_open(instances);
+	instances->term = term;
+	instances->stamp = term << INSTANCES_STAMP_TERM_SHIFT;
+	instances->poll_not_before_ms = now;
+	instances->changed_at_ms = now;
 	for (ptrdiff_t i = 0; i < shlen(followed->rows); i++) {
-		typeof(followed->rows->value) *v = put(s, followed->rows[i].value.instance);
+		const struct instance_entry *source = &followed->rows[i].value;
+		struct instance_entry *entry = store_instance(instances, source->instance);
 
-		v->removed_at_ms = followed->rows[i].value.removed_at_ms;
-		v->has_ended = v->instance->state == INSTANCE_DRAINING;
-		v->instance->stamp = ++s->stamp;
+		entry->removed_at_ms = source->removed_at_ms;
+		entry->has_ended = entry->instance->state == INSTANCE_DRAINING;
+		entry->instance->stamp = ++instances->stamp;
 	}
 }
 
@@ -103,11 +114,11 @@
 				  ? INSTANCES_FAST_POLL_MS
 				  : INSTANCES_POLL_MS;
 
-	forget(instances, now);
+	drop_old_tombstones(instances, now);
 	if (rate_mille <= 0)
 		return;
-	if (interval_ms < 3000000 / rate_mille) /* at most a third of what the whole fleet may call */
-		interval_ms = 3000000 / rate_mille;
+	if (interval_ms < FLEET_SHARE_MS_MILLE / rate_mille)
+		interval_ms = FLEET_SHARE_MS_MILLE / rate_mille;
 	if ((instances->poll_token && now - instances->polled_at_ms < INSTANCES_POLL_TIMEOUT_MS) ||
 	    (instances->polled_at_ms && now - instances->polled_at_ms < interval_ms) ||
 	    now < instances->poll_not_before_ms)
@@ -117,7 +128,8 @@
 	command_add(out, CMD_LIST_SERVERS)->args.list_servers.token = token;
 }
 
-/* Time runs down by itself where it is known: only its beginning and its end are news. */
+/* Whether followers need to know. The warm-up time runs down by itself where it is known: only its beginning
+ * and its end are a change. */
 static int instances_differ(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
 	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) ||
@@ -125,81 +137,103 @@
 	       a->loading != b->loading || !a->warm_up_ms != !b->warm_up_ms;
 }
 
-static void merge_listed(struct instances *instances, const struct Nl__Instance *listed, int64_t now)
+static void add_listed(struct instances *instances, const struct Nl__Instance *listed, int64_t now)
 {
-	ptrdiff_t i = shgeti(instances->rows, listed->server);
+	struct Nl__Instance added = *listed;
+	struct instance_entry *entry;
+
+	added.loading = 0;
+	entry = store_instance(instances, &added);
+	entry->has_ended = added.state != INSTANCE_SERVING;
+	assign_stamp(instances, entry->instance, now);
+}
+
+/* The list names a server that is known already. */
+static void merge_listed(struct instances *instances, struct instance_entry *entry,
+			 const struct Nl__Instance *listed, int64_t now)
+{
+	const struct Nl__Instance *previous = entry->instance;
 	struct Nl__Instance merged = *listed;
-	const struct Nl__Instance *previous;
 
-	if (i < 0) {
-		merged.loading = 0;
-		assign_stamp(instances, put(instances, &merged)->instance, now);
-		instances->rows[shgeti(instances->rows, listed->server)].value.has_ended =
-		    merged.state != INSTANCE_SERVING;
-		return;
-	}
-	previous = instances->rows[i].value.instance;
-	instances->rows[i].value.missed_polls = 0;
+	entry->missed_polls = 0;
 	if (previous->state == INSTANCE_REMOVED &&
-	    (instances->rows[i].value.has_ended ||
-	     now - instances->rows[i].value.removed_at_ms < INSTANCES_RETURN_DELAY_MS))
+	    (entry->has_ended || now - entry->removed_at_ms < INSTANCES_RETURN_DELAY_MS))
 		return;
 	if (merged.state == INSTANCE_DRAINING)
-		instances->rows[i].value.has_ended = 1;
-	else if (instances->rows[i].value.has_ended)
+		entry->has_ended = 1;
+	else if (entry->has_ended)
 		merged.state = INSTANCE_DRAINING;
-	merged.loading = previous->loading; /* the list doesn't tell */
-	if (instances->polled_at_ms < instances->rows[i].value.report_valid_until_ms)
+	merged.loading = previous->loading; /* the list does not say */
+	if (instances->polled_at_ms < entry->report_valid_until_ms)
 		merged.weights = previous->weights;
 	if (instances_differ(previous, &merged))
-		assign_stamp(instances, put(instances, &merged)->instance, now);
+		assign_stamp(instances, store_instance(instances, &merged)->instance, now);
 }
 
-static void gone(struct instances *s, ptrdiff_t i, int64_t now)
+static void mark_removed(struct instances *instances, struct instance_entry *entry, int64_t now)
 {
-	s->rows[i].value.instance->state = INSTANCE_REMOVED;
-	s->rows[i].value.instance->loading = 0;
-	s->rows[i].value.removed_at_ms = now;
-	assign_stamp(s, s->rows[i].value.instance, now);
+	entry->instance->state = INSTANCE_REMOVED;
+	entry->instance->loading = 0;
+	entry->removed_at_ms = now;
+	assign_stamp(instances, entry->instance, now);
+}
+
+/* Remove servers that too many lists in a row lacked; returns whether any other is missing. */
+static int remove_missed(struct instances *instances, int64_t now)
+{
+	int any_missed = 0;
+
+	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
+		struct instance_entry *entry = &instances->rows[i].value;
+
+		if (entry->instance->state == INSTANCE_REMOVED)
+			continue;
+		if (entry->missed_polls >= INSTANCES_MAX_MISSED_POLLS)
+			mark_removed(instances, entry, now);
+		else if (entry->missed_polls)
+			any_missed = 1;
+	}
+	return any_missed;
 }
 
 void instances_on_list(struct instances *instances, uint64_t token, int succeeded,
 		       struct Nl__Instance *const *listed, size_t count, int64_t now)
 {
-	int any_missed = 0;
+	int any_missed;
 
 	if (!instances->term || !token || token != instances->poll_token)
 		return;
 	instances->poll_token = 0;
-	/* timed from the asking: what this process reads only after it stood still shows servers that may
-	 * have left since */
+	/* counted from the request: an answer that this process reads only after it stood still shows servers
+	 * that may have ended since */
 	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
 		succeeded = 0;
 	if (!succeeded) {
-		instances->changed_at_ms = now; /* again soon: a server may have begun to leave */
+		instances->changed_at_ms = now; /* poll again fast: a server may have begun to drain */
 		return;
 	}
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
 		instances->rows[i].value.missed_polls++;
-	for (size_t i = 0; i < count; i++)
-		if (listed[i]->server[0] && listed[i]->state <= INSTANCE_DRAINING)
-			merge_listed(instances, listed[i], now);
-	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
-		if (instances->rows[i].value.instance->state == INSTANCE_REMOVED)
+	for (size_t i = 0; i < count; i++) {
+		ptrdiff_t known;
+
+		if (!listed[i]->server[0] || listed[i]->state > INSTANCE_DRAINING)
 			continue;
-		if (instances->rows[i].value.missed_polls >= INSTANCES_MAX_MISSED_POLLS)
-			gone(instances, i, now);
-		else if (instances->rows[i].value.missed_polls)
-			any_missed = 1;
+		known = shgeti(instances->rows, listed[i]->server);
+		if (known < 0)
+			add_listed(instances, listed[i], now);
+		else
+			merge_listed(instances, &instances->rows[known].value, listed[i], now);
 	}
+	any_missed = remove_missed(instances, now);
 	if (any_missed)
-		instances->changed_at_ms = now; /* look again soon */
-	/* what this owner followed may be older than what others did: told once no server of it is in doubt
+		instances->changed_at_ms = now; /* poll again fast */
+	/* what this leader followed may be older than what others did: published once no server is in doubt
 	 */
 	if (!instances->is_publishable &&
 	    (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missed)) {
 		instances->is_publishable = 1;
-		instances->stamp++; /* an empty list is something to tell too */
+		instances->stamp++; /* an empty list is published too */
 	}
 }
 
@@ -207,16 +241,18 @@
 			   int64_t now)
 {
 	ptrdiff_t i = shgeti(instances->rows, name);
-	struct Nl__Instance instance;
+	struct instance_entry *entry;
+	struct Nl__Instance changed;
 
 	if (i < 0 || instances->rows[i].value.instance->state == INSTANCE_REMOVED)
 		return;
-	instance = *instances->rows[i].value.instance;
-	instance.weights = (char *)weights;
-	instance.loading = loading;
-	instances->rows[i].value.report_valid_until_ms = now + INSTANCES_REPORT_VALID_MS;
-	if (instances_differ(instances->rows[i].value.instance, &instance))
-		assign_stamp(instances, put(instances, &instance)->instance, now);
+	entry = &instances->rows[i].value;
+	changed = *entry->instance;
+	changed.weights = (char *)weights;
+	changed.loading = loading;
+	entry->report_valid_until_ms = now + INSTANCES_REPORT_VALID_MS;
+	if (instances_differ(entry->instance, &changed))
+		assign_stamp(instances, store_instance(instances, &changed)->instance, now);
 }
 
 void instances_mark_ended(struct instances *instances, const char *name, int64_t now)
@@ -227,17 +263,17 @@
 		return;
 	instances->rows[i].value.has_ended = 1;
 	if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
-		gone(instances, i, now);
+		mark_removed(instances, &instances->rows[i].value, now);
 }
 
 void instances_pack_since(const struct instances *instances, uint64_t known_stamp,
 			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
 	if (!instances->term || !instances->is_publishable)
-		return; /* what followers have is better than what this owner was told itself */
+		return; /* what followers have is newer than what this leader has fetched itself */
 	reply->instances_stamp = instances->stamp;
-	reply->instances_full = known_stamp >> 24 != instances->term || known_stamp > instances->stamp ||
-				known_stamp < instances->compacted_stamp;
+	reply->instances_full = known_stamp >> INSTANCES_STAMP_TERM_SHIFT != instances->term ||
+				known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
 	if (!reply->instances_full && known_stamp == instances->stamp)
 		return;
 	reply->instances = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instances);
@@ -247,67 +283,86 @@
 			    pool, &instances->rows[i].value.instance->base);
 }
 
-/* ---- a follower's side ----------------------------------------------------------- */
+/* ---- a follower's side ------------------------------------------------------------------------------- */
 
-int instances_apply_reply(struct instances *instances, const struct Nl__ConfigSyncReply *reply, int64_t now)
+static int is_in_reply(const struct Nl__ConfigSyncReply *reply, const char *server)
 {
-	int changed = 0;
+	for (size_t i = 0; i < reply->n_instances; i++)
+		if (!strcmp(reply->instances[i]->server, server))
+			return 1;
+	return 0;
+}
 
-	forget(instances, now);
-	if (reply->instances_stamp <= instances->stamp ||
-	    (!reply->instances_full && reply->instances_stamp >> 24 != instances->stamp >> 24))
-		return 0;
-	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0 && reply->instances_full; i--) {
-		int is_listed = 0;
+/* Drop servers that a full reply lacks; returns whether any was dropped. */
+static int drop_unlisted(struct instances *instances, const struct Nl__ConfigSyncReply *reply)
+{
+	int dropped = 0;
 
-		for (size_t k = 0; k < reply->n_instances && !is_listed; k++)
-			is_listed = !strcmp(reply->instances[k]->server, instances->rows[i].key);
-		if (is_listed)
+	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0; i--) {
+		if (is_in_reply(reply, instances->rows[i].key))
 			continue;
-		changed = 1;
+		dropped = 1;
 		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
 		(void)shdel(instances->rows, instances->rows[i].key);
 	}
-	for (size_t k = 0; k < reply->n_instances; k++) {
-		struct Nl__Instance received = *reply->instances[k];
+	return dropped;
+}
+
+int instances_apply_reply(struct instances *instances, const struct Nl__ConfigSyncReply *reply, int64_t now)
+{
+	int changed = 0;
+
+	drop_old_tombstones(instances, now);
+	if (reply->instances_stamp <= instances->stamp ||
+	    (!reply->instances_full && reply->instances_stamp >> INSTANCES_STAMP_TERM_SHIFT !=
+					   instances->stamp >> INSTANCES_STAMP_TERM_SHIFT))
+		return 0;
+	if (reply->instances_full)
+		changed = drop_unlisted(instances, reply);
+	for (size_t i = 0; i < reply->n_instances; i++) {
+		struct Nl__Instance received = *reply->instances[i];
 		const struct Nl__Instance *previous = instances_get(instances, received.server);
-		typeof(instances->rows->value) *v;
+		struct instance_entry *entry;
 
 		if (!received.server[0])
 			continue;
+		/* a new leader may know less than the one before */
 		if (previous && previous->state == INSTANCE_DRAINING && received.state == INSTANCE_SERVING)
-			received.state = INSTANCE_DRAINING; /* an owner that knows less than the one before */
+			received.state = INSTANCE_DRAINING;
 		changed |= !previous || instances_differ(previous, &received);
-		v = put(instances, &received);
-		if (received.state == INSTANCE_REMOVED && !v->removed_at_ms)
-			v->removed_at_ms = now;
+		entry = store_instance(instances, &received);
+		if (received.state == INSTANCE_REMOVED && !entry->removed_at_ms)
+			entry->removed_at_ms = now;
 		else if (received.state != INSTANCE_REMOVED)
-			v->removed_at_ms = 0;
+			entry->removed_at_ms = 0;
 	}
 	instances->stamp = reply->instances_stamp;
 	return changed;
 }
 
+static const char *state_text(uint32_t state)
+{
+	static const char *const texts[] = { "serving", "draining", "gone" };
+
+	return texts[state > INSTANCE_REMOVED ? INSTANCE_REMOVED : state];
+}
+
 struct json_object *instances_json(const struct instances *instances)
 {
-	static const char *const states[] = { "serving", "draining", "gone" };
-	struct json_object *a = json_object_new_array();
+	struct json_object *list = json_object_new_array();
 
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
 		const struct Nl__Instance *instance = instances->rows[i].value.instance;
 		struct json_object *json = json_object_new_object();
 
-		json_object_object_add(json, "server", json_object_new_string(instance->server));
-		json_object_object_add(json, "service", json_object_new_string(instance->service));
-		json_object_object_add(json, "addr", json_object_new_string(instance->addr));
-		json_object_object_add(json, "zone", json_object_new_string(instance->zone));
-		json_object_object_add(
-		    json, "state",
-		    json_object_new_string(
-			states[instance->state > INSTANCE_REMOVED ? INSTANCE_REMOVED : instance->state]));
-		json_object_object_add(json, "weights", json_object_new_string(instance->weights));
-		json_object_object_add(json, "loading", json_object_new_boolean(instance->loading));
-		json_object_array_add(a, json);
+		json_add_text(json, "server", instance->server);
+		json_add_text(json, "service", instance->service);
+		json_add_text(json, "addr", instance->addr);
+		json_add_text(json, "zone", instance->zone);
+		json_add_text(json, "state", state_text(instance->state));
+		json_add_text(json, "weights", instance->weights);
+		json_add_flag(json, "loading", instance->loading);
+		json_object_array_add(list, json);
 	}
-	return a;
+	return list;
 }
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -1,5 +1,12 @@
-/* instances: which servers the list shows. The configuration's owner looks; what it saw is soft state that
- * rides with the following. A name is one life of a server: once draining it never serves again. */
+/* instances: the servers that the platform lists, by name, with their state and weights.
+ *
+ * The control shard's leader polls the list and stamps each change; followers (other controllers and routers)
+ * fetch what is newer than the stamp they have with each configuration request. All of it is soft state. The
+ * leader's side is driven by rollout_instances.c, the followers' by config_watch.c.
+ *
+ * Always: a name is one incarnation of a server, so one that drains or has ended never serves again, whatever
+ * a later list says: lists may lag, and their pages shift between two calls. A stamp carries its term in the
+ * upper bits, so that stamps of different leaders are never compared by their counts. */
 #ifndef NL_INSTANCES_H
 #define NL_INSTANCES_H
 
@@ -7,82 +14,102 @@
 
 #include "core.h"
 
+/* Of struct Nl__Instance: its field state. */
 enum {
 	INSTANCE_SERVING = 0,
 	INSTANCE_DRAINING = 1,
 	INSTANCE_REMOVED = 2,
-	INSTANCES_TOMBSTONE_MS = 60000, /* ms for which a server that is gone is still told of */
-	INSTANCES_MAX_MISSED_POLLS =
-	    2, /* lists in a row that lack a server before it counts as gone: pages may shift between calls */
+};
+
+enum {
+	INSTANCES_TOMBSTONE_MS = 60000, /* for which a removed server is still published */
+	INSTANCES_MAX_MISSED_POLLS = 2, /* lists in a row without a server until it counts as removed */
 	INSTANCES_RETURN_DELAY_MS =
-	    2000, /* ms after which one that was missed by mistake may be back: a list that lags is older */
-	INSTANCES_REPORT_VALID_MS =
-	    2000, /* ms for which what a server said itself goes before a list that lags */
-	INSTANCES_FAST_POLL_MS = 400,
-	INSTANCES_POLL_MS = 800,           /* ms between looks at the list: after a change, else */
-	INSTANCES_RECENT_CHANGE_MS = 3000, /* ms for which a change counts as late */
-	INSTANCES_POLL_TIMEOUT_MS = 2000   /* ms after which a look at the list has got no answer */
+	    2000, /* after which one that was missed by mistake may be back: lists lag */
+	INSTANCES_REPORT_VALID_MS = 2000,  /* for which a server's own report goes before a list that lags */
+	INSTANCES_FAST_POLL_MS = 400,      /* between two polls, after a change or while servers load */
+	INSTANCES_POLL_MS = 800,           /* the same, else */
+	INSTANCES_RECENT_CHANGE_MS = 3000, /* for which polls are fast after a change */
+	INSTANCES_POLL_TIMEOUT_MS = 2000   /* after which a poll has failed */
+};
+
+/* What is known of one server. */
+struct instance_entry {
+	struct Nl__Instance *instance; /* owned */
+	int64_t removed_at_ms;         /* 0: it is not removed */
+	int64_t report_valid_until_ms; /* until then the list does not change its weights */
+	int missed_polls;              /* lists in a row that lacked it */
+	int has_ended;                 /* it drains or has ended, and never serves again */
 };
 
 struct instances_row {
-	char *key;
-	struct {
-		struct Nl__Instance *instance;
-		int64_t removed_at_ms, report_valid_until_ms;
-		int missed_polls, has_ended;
-	} value;
+	char *key; /* the server's name */
+	struct instance_entry value;
 };
 
+/* What one node knows; opened by instances_open. */
 struct instances {
-	struct instances_row *rows; /* stb_ds, by the server's name */
-	uint64_t stamp;             /* the newest */
+	struct instances_row *rows; /* stb_ds */
+	uint64_t stamp;             /* the newest; the term in the upper 40 bits */
 	uint64_t compacted_stamp;   /* tombstones up to this stamp are forgotten */
-	/* the owner's */
-	uint64_t term;                  /* 0: this is no owner's */
-	int poll_count, is_publishable; /* seen in this term; enough of them for followers to be told */
-	uint64_t poll_token;            /* the look at the list that is under way */
-	int64_t polled_at_ms, poll_not_before_ms, changed_at_ms;
+
+	/* the leader's */
+	uint64_t term;       /* 0: this node does not poll the list */
+	int poll_count;      /* lists received in this term */
+	int is_publishable;  /* no server is in doubt: followers may be told */
+	uint64_t poll_token; /* of the poll that is under way; 0: none */
+	int64_t polled_at_ms;
+	int64_t poll_not_before_ms;
+	int64_t changed_at_ms;
 };
 
+/* Begin with no servers. */
 void instances_open(struct instances *instances);
+
+/* Release all. */
 void instances_close(struct instances *instances);
 
-/* Begin an office with what was followed so far. Example: instances_begin(&r->instances, &r->f.instances,
- * term, now); */
-void instances_start_term(struct instances *s, const struct instances *followed, uint64_t term, int64_t now);
+/* Begin a term as the leader, with the servers that were followed so far.
+ * Example: instances_start_term(&controller->instances, &controller->config_watch.instances, term, now); */
+void instances_start_term(struct instances *instances, const struct instances *followed, uint64_t term,
+			  int64_t now);
 
-/* Look at the list when it is time; soon: more often. mille: calls a second for the whole fleet, in
- * thousandths. Example: instances_tick(&r->instances, loading, r->b.list_mille, ++r->token, now, o); */
+/* Poll the list when it is time, under this token. rate_mille: calls that the fleet may make, in thousandths
+ * a second; 0: there is no list. Example: instances_tick(&controller->instances, any_loading,
+ * bounds.list_rate_mille, token, now, out); */
 void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now,
 		    struct command_list *out);
 
-/* The answer to such a look: the whole list. Example: instances_listed(&r->instances, token, ok, v, n, now);
- */
+/* A poll has ended: with the complete list, or not succeeded. Answers to other tokens are ignored.
+ * Example: instances_on_list(&controller->instances, token, 1, listed, count, now); */
 void instances_on_list(struct instances *instances, uint64_t token, int succeeded,
 		       struct Nl__Instance *const *listed, size_t count, int64_t now);
 
-/* What a server itself said, or was told. Example: instances_set_weights(&r->instances, "i-7", "2", 0, now);
- */
+/* A server has reported its weights, or was commanded to load others (loading).
+ * Example: instances_set_weights(&controller->instances, "i-7", "2", 0, now); */
 void instances_set_weights(struct instances *instances, const char *name, const char *weights, int loading,
 			   int64_t now);
 
-/* A server's life has surely ended. Example: instances_end(&r->instances, "i-7", now); */
+/* A server's incarnation has surely ended. Example: instances_mark_ended(&instances, "i-7", now); */
 void instances_mark_ended(struct instances *instances, const char *name, int64_t now);
 
-/* Find one; NULL when it was never seen. Example: if ((x = instances_get(&f->instances, "i-7")) && !x->state)
- * send(x); */
+/* Find a server; NULL when it was never listed. Valid until the next change.
+ * Example: if ((instance = instances_get(&instances, "i-7")) && instance->state == INSTANCE_SERVING) use();
+ */
 const struct Nl__Instance *instances_get(const struct instances *instances, const char *name);
 
-/* Fill a reply with what is newer than the asker has, or all of it. Example: instances_since(&r->instances,
- * q->instances, a, pool); */
+/* Fill in a follower's reply, in the pool: what is newer than the stamp it knows, or all. Nothing while this
+ * node has nothing to publish.
+ * Example: instances_pack_since(&controller->instances, sync->instances_stamp, reply, pool); */
 void instances_pack_since(const struct instances *instances, uint64_t known_stamp,
 			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool);
 
-/* Take such a reply in; 1 when anything changed. Example: if (instances_follow(&f->instances, reply, now))
- * rebuild(); */
+/* Apply such a reply; returns 1 when anything changed that routing depends on.
+ * Example: if (instances_apply_reply(&watch->instances, reply, now)) rebuild(); */
 int instances_apply_reply(struct instances *instances, const struct Nl__ConfigSyncReply *reply, int64_t now);
 
-/* As JSON, for an operator. Example: json_object_object_add(j, "instances", instances_json(&s)); */
+/* As JSON for operators, owned by the caller.
+ * Example: json_object_object_add(json, "sights", instances_json(&instances)); */
 struct json_object *instances_json(const struct instances *instances);
 
 #endif
