--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -30,9 +30,10 @@
 
 static void begin_read(struct controller *controller, uint64_t call_token, Nl__ReadKind kind, int64_t now)
 {
-	struct controller_pending_read pending = { call_token, ++controller->last_token, kind, now, now };
+	struct controller_pending_read pending = { call_token, ++controller->identity.last_token, kind, now,
+						   now };
 
-	arrput(controller->pending_reads, pending);
+	arrput(controller->operators.pending_reads, pending);
 }
 
 void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -86,8 +87,8 @@
 void on_read_reply(struct controller *controller, const struct Nl__ReadReply *reply, int64_t now,
 		   struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->pending_reads); i++) {
-		const struct controller_pending_read *pending = &controller->pending_reads[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.pending_reads); i++) {
+		const struct controller_pending_read *pending = &controller->operators.pending_reads[i];
 
 		if (pending->token != reply->token ||
 		    now >= pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS)
@@ -96,7 +97,7 @@
 		    out, pending->call_token, 200,
 		    apr_pstrmemdup(out->pool, (const char *)reply->body.data, reply->body.len),
 		    pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
-		arrdel(controller->pending_reads, i);
+		arrdel(controller->operators.pending_reads, i);
 		return;
 	}
 }
@@ -122,8 +123,8 @@
 
 void reads_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->pending_reads) - 1; i >= 0; i--) {
-		struct controller_pending_read *pending = &controller->pending_reads[i];
+	for (ptrdiff_t i = arrlen(controller->operators.pending_reads) - 1; i >= 0; i--) {
+		struct controller_pending_read *pending = &controller->operators.pending_reads[i];
 		int is_current = pending->kind == NL__READ_KIND__READ_TABLE &&
 				 controller->config_watch.fetched_at_ms >= pending->requested_at_ms;
 
@@ -138,7 +139,7 @@
 		} else {
 			reject_without_leader(pending->call_token, out);
 		}
-		arrdel(controller->pending_reads, i);
+		arrdel(controller->operators.pending_reads, i);
 	}
 }
 
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -22,7 +22,7 @@
 	operation.request_key = request_key_pack(key, &packed_key);
 	waiting.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
 	if (waiting.log_index)
-		arrput(controller->logged_calls, waiting);
+		arrput(controller->operators.logged_calls, waiting);
 	else
 		reject_without_leader(token, out);
 }
@@ -32,7 +32,8 @@
 static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key,
 			   int64_t now, struct command_list *out)
 {
-	const struct idempotency_record *accepted = idempotency_log_find(&controller->accepted_requests, key);
+	const struct idempotency_record *accepted =
+	    idempotency_log_find(&controller->config.accepted_requests, key);
 
 	if (accepted) {
 		if (repeated_request_status(accepted, key) == PROPOSAL_DONE)
@@ -41,13 +42,14 @@
 			command_answer(out, token, 422, 0, error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
 		return 1;
 	}
-	for (ptrdiff_t i = 0; i < arrlen(controller->logged_calls); i++)
-		if (request_key_equal(&controller->logged_calls[i].request_key, key)) {
-			struct controller_logged_call waiting = { token,
-								  controller->logged_calls[i].log_index, *key,
-								  now + CONTROLLER_CALL_TIMEOUT_MS };
-
-			arrput(controller->logged_calls, waiting);
+	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
+		if (request_key_equal(&controller->operators.logged_calls[i].request_key, key)) {
+			struct controller_logged_call waiting = {
+				token, controller->operators.logged_calls[i].log_index, *key,
+				now + CONTROLLER_CALL_TIMEOUT_MS
+			};
+
+			arrput(controller->operators.logged_calls, waiting);
 			return 1;
 		}
 	return 0;
@@ -58,7 +60,8 @@
 static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version,
 				    struct command_list *out)
 {
-	if (idempotency_log_may_have_evicted(&controller->accepted_requests, SERIES_DOCUMENTS, base_version))
+	if (idempotency_log_may_have_evicted(&controller->config.accepted_requests, SERIES_DOCUMENTS,
+					     base_version))
 		command_answer(out, token, 504, CONTROLLER_CALL_TIMEOUT_MS,
 			       error_json(out->pool, IDEMPOTENCY_OUTCOME_UNKNOWN, 0));
 	else
@@ -71,19 +74,20 @@
 {
 	const char *error = NULL;
 
-	if (!controller->codec)
+	if (!controller->adapters.codec)
 		return "document: none is taken here";
-	if (controller->codec->read((const char *)controller->document, controller->document_bytes,
-				    event->payload.document.body, event->payload.document.body_bytes,
-				    event->payload.document.is_patch, change, &error, pool))
+	if (controller->adapters.codec->read((const char *)controller->config.document,
+					     controller->config.document_bytes, event->payload.document.body,
+					     event->payload.document.body_bytes,
+					     event->payload.document.is_patch, change, &error, pool))
 		return error ? error : "document: cannot be read";
-	if (change->document_version <= controller->document_version)
+	if (change->document_version <= controller->config.document_version)
 		return "version: not above the current one";
 	change->any_revision = 1;
 	change->replace_all = 1;
 	change->replace_keys = 1;
 	change->document_base_version = event->payload.document.base_version;
-	return config_table_check(&controller->config, change, pool);
+	return config_table_check(&controller->config.table, change, pool);
 }
 
 void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -103,7 +107,7 @@
 			 event->payload.document.body, event->payload.document.body_bytes);
 	if (answer_repeated(controller, token, &key, now, out))
 		return;
-	if (base_version != controller->document_version) {
+	if (base_version != controller->config.document_version) {
 		answer_version_conflict(controller, token, base_version, out);
 		return;
 	}
@@ -121,7 +125,7 @@
 	struct command *command;
 
 	(void)now;
-	if (!controller->document_version) {
+	if (!controller->config.document_version) {
 		command_answer(out, token, 404, 0, error_json(out->pool, "no document was taken yet", 0));
 		return;
 	}
@@ -129,8 +133,8 @@
 	command->args.answer.token = token;
 	command->args.answer.status = 200;
 	command->args.answer.body =
-	    apr_pmemdup(out->pool, controller->document, controller->document_bytes + 1);
-	command->args.answer.len = controller->document_bytes;
+	    apr_pmemdup(out->pool, controller->config.document, controller->config.document_bytes + 1);
+	command->args.answer.len = controller->config.document_bytes;
 }
 
 void set_target_weights(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -155,13 +159,13 @@
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	error = config_table_check(&controller->config, &change, out->pool);
+	error = config_table_check(&controller->config.table, &change, out->pool);
 	if (error || !weights[0]) {
 		command_answer(out, token, 400, 0,
 			       error_json(out->pool, error ? error : "weights: missing", 0));
 		return;
 	}
-	previous = config_table_get(&controller->config, NL__KIND__MODEL, model);
+	previous = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
 	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->target_weights, NULL, 10) : 1))
 		command_answer(out, token, 200, 0, "{}"); /* committed before, or a later version was */
 	else
@@ -170,10 +174,11 @@
 
 void expire_calls(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->logged_calls) - 1; i >= 0; i--)
-		if (now >= controller->logged_calls[i].deadline_at_ms) {
-			command_answer(out, controller->logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--)
+		if (now >= controller->operators.logged_calls[i].deadline_at_ms) {
+			command_answer(out, controller->operators.logged_calls[i].token, 504,
+				       CONTROLLER_RETRY_MS,
 				       error_json(out->pool, "outcome unknown: send it again", 0));
-			arrdel(controller->logged_calls, i);
+			arrdel(controller->operators.logged_calls, i);
 		}
 }
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -73,7 +73,7 @@
 
 	if (!leader && leader_reachable(controller, now))
 		leader = controller->config_watch.leader_addr[SHARD_CONTROL];
-	if (!leader || leader == controller->addr) {
+	if (!leader || leader == controller->identity.addr) {
 		reject_without_leader(token, out);
 		return;
 	}
@@ -91,7 +91,7 @@
 	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
 		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
 			out->commands[i].args.answer.not_after_ms =
-			    controller->shards[SHARD_CONTROL].lease_expires_at_ms;
+			    controller->shards[SHARD_CONTROL].lease.expires_at_ms;
 }
 
 void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -100,7 +100,7 @@
 	const struct operator_path *path = find_path(event);
 	ptrdiff_t first_command = arrlen(out->commands);
 
-	controller->operator_calls.read++;
+	controller->operators.calls.read++;
 	if (!path) { /* needs no leader: there is no such path, whatever the log holds */
 		command_answer(out, call_token(event), 404, 0,
 			       error_json(out->pool, "path: no such call", 0));
--- a/lib/control/operator_state.c
+++ b/lib/control/operator_state.c
@@ -16,10 +16,10 @@
 {
 	struct json_object *members = json_object_new_array();
 
-	for (int i = 0; i < raft->member_count; i++) {
-		const char *text = apr_psprintf(pool, "%s@%s%s", hex_id(raft->members[i].id, pool),
-						core_format_addr(pool, raft->members[i].addr),
-						raft->members[i].voter ? "" : " (not voting)");
+	for (int i = 0; i < raft->group.member_count; i++) {
+		const char *text = apr_psprintf(pool, "%s@%s%s", hex_id(raft->group.members[i].id, pool),
+						core_format_addr(pool, raft->group.members[i].addr),
+						raft->group.members[i].voter ? "" : " (not voting)");
 
 		json_object_array_add(members, json_object_new_string(text));
 	}
@@ -41,7 +41,7 @@
 		json_add_text(shard, "owner",
 			      raft->leader_addr ? core_format_addr(pool, raft->leader_addr) : "");
 		json_add_number(shard, "term", (int64_t)raft->term);
-		json_add_number(shard, "commit", (int64_t)raft->commit_index);
+		json_add_number(shard, "commit", (int64_t)raft->log.commit_index);
 		json_object_object_add(shard, "members", members_json(raft, pool));
 		json_object_array_add(shards, shard);
 	}
@@ -55,8 +55,8 @@
 
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return nodes;
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		const struct controller_node_status *status = &controller->node_statuses[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		const struct controller_node_status *status = &controller->membership.nodes[i];
 		struct json_object *node = json_object_new_object();
 
 		json_add_text(node, "addr", core_format_addr(pool, status->addr));
@@ -74,8 +74,8 @@
 {
 	struct json_object *servers = json_object_new_array();
 
-	for (ptrdiff_t i = 0; i < arrlen(controller->rollout_servers); i++) {
-		const struct controller_server *server = &controller->rollout_servers[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++) {
+		const struct controller_server *server = &controller->server_rollout.servers[i];
 		struct json_object *json;
 
 		if (!leads_shard(controller, core_shard_of(server->service, SHARD_SERVICES), now))
@@ -105,9 +105,9 @@
 	const char *text;
 
 	json_add_text(json, "scope", "this node alone");
-	json_add_text(json, "id", hex_id(controller->id, pool));
-	json_add_text(json, "addr", core_format_addr(pool, controller->addr));
-	json_add_text(json, "fleet", hex_id(controller->fleet, pool));
+	json_add_text(json, "id", hex_id(controller->identity.id, pool));
+	json_add_text(json, "addr", core_format_addr(pool, controller->identity.addr));
+	json_add_text(json, "fleet", hex_id(controller->identity.fleet, pool));
 	json_add_number(json, "edition", (int64_t)controller->config_watch.table.revision);
 	json_add_number(json, "age_ms", config_watch_age_ms(&controller->config_watch, now));
 	json_add_number(json, "horizon", (int64_t)controller->relay.knowledge.horizon);
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -100,8 +100,8 @@
 {
 	uint32_t count = 0;
 
-	for (ptrdiff_t i = arrlen(controller->config_purge_feed) - 1;
-	     i >= 0 && controller->config_purge_feed[i]->index >> 16 == index; i--)
+	for (ptrdiff_t i = arrlen(controller->config.purge_feed) - 1;
+	     i >= 0 && controller->config.purge_feed[i]->index >> 16 == index; i--)
 		count++;
 	return count;
 }
@@ -116,7 +116,7 @@
 
 	if (!purge->wide)
 		(void)retention_parse_scope(purge->scope, route, tenant);
-	row = route[0] ? config_table_get(&controller->config, NL__KIND__ROUTE, route) : NULL;
+	row = route[0] ? config_table_get(&controller->config.table, NL__KIND__ROUTE, route) : NULL;
 	content.reason = PURGE_CONTEXT;
 	content.route = route;
 	content.tenant = tenant;
@@ -126,7 +126,7 @@
 	value.feed = SHARD_CONTROL;
 	value.index = index << 16 | values_of_entry(controller, index);
 	value.purge = &content;
-	arrput(controller->config_purge_feed, value_copy(&value));
+	arrput(controller->config.purge_feed, value_copy(&value));
 }
 
 /* A new purge of a scope ends the one before it: the slices that are open go out at once. */
@@ -196,7 +196,8 @@
 static uint32_t apply_due(struct controller *controller, uint64_t index, const struct Nl__RetentionStep *step)
 {
 	struct Nl__RetentionPlan *plan = find_plan(&controller->retention, step->scope);
-	const struct Nl__Row *row = config_table_get(&controller->config, NL__KIND__RETENTION, step->scope);
+	const struct Nl__Row *row =
+	    config_table_get(&controller->config.table, NL__KIND__RETENTION, step->scope);
 
 	if (!plan || !row || plan->due_at_ms != step->due_at_ms || step->next_due_at_ms <= step->due_at_ms)
 		return PROPOSAL_REJECTED;
@@ -281,7 +282,7 @@
 	for (ptrdiff_t i = arrlen(retention->plans) - 1; i >= 0; i--) {
 		struct Nl__RetentionPlan *plan = retention->plans[i];
 		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, plan->scope);
+		    config_table_get(&controller->config.table, NL__KIND__RETENTION, plan->scope);
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
 		if (row && !strcmp(setting_text(row, pool), plan->text))
@@ -318,7 +319,7 @@
 void retention_on_config_change(struct controller *controller, uint64_t index)
 {
 	struct retention *retention = &controller->retention;
-	const struct config_table *table = &controller->config;
+	const struct config_table *table = &controller->config.table;
 	apr_pool_t *pool;
 
 	if (!arrlen(retention->plans) && !any_retention_row(table))
@@ -341,10 +342,10 @@
 {
 	int64_t wall_ms = INT64_MIN;
 
-	if (member_id == controller->id)
-		return controller->wall_clock_ms ? controller->wall_clock_ms : INT64_MIN;
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		const struct controller_node_status *node = &controller->node_statuses[i];
+	if (member_id == controller->identity.id)
+		return controller->clocks.wall_ms ? controller->clocks.wall_ms : INT64_MIN;
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->id == member_id && node->wall_clock_ms &&
 		    now - node->observed_at_ms <= CONTROLLER_NODE_LIVE_MS)
@@ -359,13 +360,13 @@
 	int64_t clocks[RAFT_MAX_MEMBERS]; /* latest first */
 	int n = 0;
 
-	for (int i = 0; i < raft->member_count; i++) {
+	for (int i = 0; i < raft->group.member_count; i++) {
 		int64_t wall_ms;
 		int at = n;
 
-		if (!raft->members[i].voter)
+		if (!raft->group.members[i].voter)
 			continue;
-		wall_ms = member_wall_clock(controller, raft->members[i].id, now);
+		wall_ms = member_wall_clock(controller, raft->group.members[i].id, now);
 		for (; at && clocks[at - 1] < wall_ms; at--)
 			clocks[at] = clocks[at - 1];
 		clocks[at] = wall_ms;
@@ -409,9 +410,10 @@
 
 	step->step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
 	step->due_at_ms = plan->due_at_ms;
-	step->next_due_at_ms = retention_next_due(controller->calendar, row, plan->due_at_ms, wall_ms);
+	step->next_due_at_ms =
+	    retention_next_due(controller->adapters.calendar, row, plan->due_at_ms, wall_ms);
 	while (step->missed < MAX_MISSED) {
-		next = retention_next_due(controller->calendar, row, next, next);
+		next = retention_next_due(controller->adapters.calendar, row, next, next);
 		if (!next || next > wall_ms)
 			break;
 		step->missed++;
@@ -427,7 +429,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(retention->plans); i++) {
 		const struct Nl__RetentionPlan *plan = retention->plans[i];
 		const struct Nl__Row *row =
-		    config_table_get(&controller->config, NL__KIND__RETENTION, plan->scope);
+		    config_table_get(&controller->config.table, NL__KIND__RETENTION, plan->scope);
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
 		if (!row || (plan->due_at_ms && plan->due_at_ms > wall_ms))
@@ -438,8 +440,9 @@
 			fill_due_step(controller, plan, row, wall_ms, &step);
 		} else {
 			step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
-			step.next_due_at_ms = retention_next_due(
-			    controller->calendar, row, plan_base(retention, plan->scope, wall_ms), wall_ms);
+			step.next_due_at_ms =
+			    retention_next_due(controller->adapters.calendar, row,
+					       plan_base(retention, plan->scope, wall_ms), wall_ms);
 		}
 		if (!step.next_due_at_ms || !log_step(controller, &step, now, out))
 			continue;
@@ -455,8 +458,8 @@
 /* Whether any router reports that its queues are strained. */
 static int routers_strained(const struct controller *controller, int64_t now)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		const struct controller_node_status *node = &controller->node_statuses[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->is_router && now - node->observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
 		    node->load_pressure > RETENTION_MAX_PRESSURE)
@@ -508,7 +511,7 @@
 	struct retention *retention = &controller->retention;
 
 	if (now - retention->checked_at_ms < RETENTION_CHECK_MS ||
-	    now - controller->leader_since_ms[SHARD_CONTROL] < RETENTION_NODE_TIMEOUT_MS)
+	    now - controller->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new leader hears from all nodes first */
 	retention->checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
@@ -542,7 +545,7 @@
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	if (now - retention->polled_at_ms < RETENTION_POLL_MS ||
-	    retention->logged_index > controller->shards[SHARD_CONTROL].applied_index)
+	    retention->logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	retention->polled_at_ms = now;
 	wall_ms = retention_wall_clock(controller, now);
@@ -586,7 +589,7 @@
 
 	if (!service || service->is_compacted || !service->purged_tick)
 		return 0;
-	return service->clock_ms + (uint64_t)(now - controller->clock_advanced_at_ms[shard]) >
+	return service->clock_ms + (uint64_t)(now - controller->leadership[shard].clock_advanced_at_ms) >
 	       service->purged_at_ms + CONTROLLER_CLAIM_TTL_MS;
 }
 
@@ -602,10 +605,10 @@
 		int compact = can_compact(controller, shard, now);
 
 		if (!leads_shard(controller, shard, now) ||
-		    now - controller->compaction_checked_at_ms[shard] < RETENTION_TRIM_MS ||
+		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_MS ||
 		    (tick <= trimmed_tick(controller, shard) && !compact))
 			continue;
-		controller->compaction_checked_at_ms[shard] = now;
+		controller->compaction[shard].checked_at_ms = now;
 		trim.purged_tick = tick;
 		trim.compacted = compact;
 		operation.body_case = NL__OPERATION__BODY_TRIM;
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -158,8 +158,8 @@
 static void add_missing_routers(const struct controller *controller, uint64_t tick, int64_t now,
 				struct missing *missing)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->node_statuses); i++) {
-		const struct controller_node_status *node = &controller->node_statuses[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
+		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->is_router && now - node->observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
 		    node->horizon < tick)
--- a/lib/control/retention_report.c
+++ b/lib/control/retention_report.c
@@ -51,7 +51,7 @@
 {
 	int64_t agreed = is_leader ? retention_wall_clock(controller, now) : INT64_MIN;
 
-	return agreed != INT64_MIN ? agreed : controller->wall_clock_ms;
+	return agreed != INT64_MIN ? agreed : controller->clocks.wall_ms;
 }
 
 const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *pool)
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -448,17 +448,17 @@
 		if (o < 0)
 			return 0;
 		p = &sim->nodes[o].controller->shards[i];
-		for (int k = 0; k < p->member_count; k++) {
+		for (int k = 0; k < p->group.member_count; k++) {
 			int up = 0;
 
 			for (int q = 0; q < SIM_CONTROLLERS; q++)
 				up |= sim->nodes[q].up && !sim->nodes[q].frozen &&
-				      sim->nodes[q].id == p->members[k].id;
-			if (!up || !p->members[k].voter)
+				      sim->nodes[q].id == p->group.members[k].id;
+			if (!up || !p->group.members[k].voter)
 				return 0;
 			v++;
 		}
-		if (v != copies || p->members_index > p->commit_index)
+		if (v != copies || p->group.members_index > p->log.commit_index)
 			return 0;
 	}
 	return 1;
@@ -472,11 +472,11 @@
 		if (sim->now - from > ms || !sim_run(sim, 25, NULL)) {
 			ok(sim);
 			for (uint32_t i = 0; i < SHARD_COUNT; i++)
-				print_message(
-				    "part %u: owner %d, members %d\n", i, sim_leader(sim, i),
-				    sim_leader(sim, i) < 0
-					? 0
-					: sim->nodes[sim_leader(sim, i)].controller->shards[i].member_count);
+				print_message("part %u: owner %d, members %d\n", i, sim_leader(sim, i),
+					      sim_leader(sim, i) < 0 ? 0
+								     : sim->nodes[sim_leader(sim, i)]
+									   .controller->shards[i]
+									   .group.member_count);
 			fail_msg("seed %llu: not whole at %d copies after %lld ms",
 				 (unsigned long long)sim->seed, copies, (long long)ms);
 		}
@@ -599,7 +599,8 @@
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	until_complete(&sim, 3, 15000);
 	for (int i = 0; i < 3; i++)
-		assert_int_equal(sim.nodes[i].controller->fleet, sim.nodes[1].controller->fleet);
+		assert_int_equal(sim.nodes[i].controller->identity.fleet,
+				 sim.nodes[1].controller->identity.fleet);
 	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
 	ok(&sim);
 	sim_close(&sim);
@@ -612,10 +613,10 @@
 	sim_add_controller(&sim, "z1", seeds, 3);
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	sim_run(&sim, 40000, NULL);
-	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
 	sim_add_controller(&sim, "z2", seeds, 3);
 	sim_run(&sim, 15000, NULL);
-	assert_int_equal(sim.nodes[0].controller->fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
 	sim_add_controller(&sim, "z3", seeds, 3);
 	until_complete(&sim, 3, 5000);
 	ok(&sim);
@@ -650,25 +651,25 @@
 	assert_int_equal(n, strlen(first));
 	assert_memory_equal(complete, first, n);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r2");
+	row = config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__ROUTE, "r2");
 	assert_non_null(row);
-	revision = sim.nodes[o].controller->config.revision;
+	revision = sim.nodes[o].controller->config.table.revision;
 	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
 	assert_int_equal(put_doc(&sim, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
-	assert_int_equal(sim.nodes[o].controller->config.revision, revision);
+	assert_int_equal(sim.nodes[o].controller->config.table.revision, revision);
 	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document
 	 */
 	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"),
 			 200);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.rows); i++) {
-		const struct Nl__Row *x = sim.nodes[o].controller->config.rows[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(sim.nodes[o].controller->config.table.rows); i++) {
+		const struct Nl__Row *x = sim.nodes[o].controller->config.table.rows[i].value.row;
 
 		if (x->kind != NL__KIND__CONTROLLER)
-			assert_true(sim.nodes[o].controller->config.rows[i].value.revision <= revision);
+			assert_true(sim.nodes[o].controller->config.table.rows[i].value.revision <= revision);
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
-	assert_true(sim.nodes[o].controller->config.revision > revision);
+	assert_true(sim.nodes[o].controller->config.table.revision > revision);
 	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new
 	 * ones stand everywhere */
 	assert_int_equal(finish(&sim, &name, 5000), 200);
@@ -683,12 +684,12 @@
 	    put_doc(&sim, 9, 0, DOC("12", ROUTE("r1", "/a/", "\"ServiceName\":\"s2\""), SERVICE("s2"), "")),
 	    200);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	row = config_table_get(&sim.nodes[o].controller->config, NL__KIND__MODEL, "daka");
+	row = config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__MODEL, "daka");
 	assert_string_equal(row->target_weights, "3");
 	assert_string_equal(row->rolled_out, "1");
-	assert_null(config_table_get(&sim.nodes[o].controller->config, NL__KIND__SERVICE, "s1"));
+	assert_null(config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__SERVICE, "s1"));
 	assert_string_equal(
-	    config_table_get(&sim.nodes[o].controller->config, NL__KIND__ROUTE, "r1")->service,
+	    config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__ROUTE, "r1")->service,
 	    "s2"); /* its lane moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
 	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
@@ -698,9 +699,9 @@
 	assert_int_equal(sim_answer(&sim, a)->status + sim_answer(&sim, b)->status, 612);
 	assert_int_equal(put_doc(&sim, 12, 0, DOC("13", "", SERVICE("s3"), "")), sim_answer(&sim, a)->status);
 	/* the same call twice at once is one */
-	a = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+	a = sim_send_document(&sim, o, sim.nodes[o].controller->config.document_version, 0,
 			      DOC("20", "", SERVICE("s5"), ""), NULL);
-	b = sim_send_document(&sim, o, sim.nodes[o].controller->document_version, 0,
+	b = sim_send_document(&sim, o, sim.nodes[o].controller->config.document_version, 0,
 			      DOC("20", "", SERVICE("s5"), ""), NULL);
 	assert_non_null(answer(&sim, a, 3000));
 	assert_non_null(answer(&sim, b, 3000));
@@ -995,8 +996,8 @@
 		assert_true(json_object_equal(j, doc_is));
 		json_object_put(j);
 		o = sim_leader(sim, SHARD_CONTROL);
-		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.rows); i++) {
-			Nl__Kind k = sim->nodes[o].controller->config.rows[i].value.row->kind;
+		for (ptrdiff_t i = 0; i < shlen(sim->nodes[o].controller->config.table.rows); i++) {
+			Nl__Kind k = sim->nodes[o].controller->config.table.rows[i].value.row->kind;
 
 			routes += k == NL__KIND__ROUTE;
 			tenants += k == NL__KIND__TENANT;
@@ -1012,7 +1013,7 @@
 			for (size_t k = 0; k < json_object_array_length(a); k++)
 				assert_string_equal(
 				    config_table_get(
-					&sim->nodes[o].controller->config, NL__KIND__KEY,
+					&sim->nodes[o].controller->config.table, NL__KIND__KEY,
 					doc_digest(json_object_get_string(json_object_array_get_idx(a, k)),
 						   hex))
 					->tenant,
@@ -1021,7 +1022,7 @@
 		assert_int_equal(keys, expected);
 		for (size_t i = 0; i < json_object_array_length(json); i++)
 			assert_int_equal(
-			    config_table_get(&sim->nodes[o].controller->config, NL__KIND__ROUTE,
+			    config_table_get(&sim->nodes[o].controller->config.table, NL__KIND__ROUTE,
 					     json_string_member(json_object_array_get_idx(json, i), "Name"))
 				->timeout_ms,
 			    json_uint_member(json_object_array_get_idx(json, i), "TimeoutMs"));
@@ -1046,19 +1047,20 @@
 		if (!sim->nodes[i].up)
 			continue;
 		if (sim->nodes[i].controller->config_watch.table.revision ==
-		    sim->nodes[o].controller->config.revision)
-			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.rows); k++) {
-				const struct Nl__Row *x = sim->nodes[o].controller->config.rows[k].value.row,
-						     *row = config_table_get(
-							 &sim->nodes[i].controller->config_watch.table,
-							 x->kind, x->name);
+		    sim->nodes[o].controller->config.table.revision)
+			for (ptrdiff_t k = 0; k < shlen(sim->nodes[o].controller->config.table.rows); k++) {
+				const struct Nl__Row
+				    *x = sim->nodes[o].controller->config.table.rows[k].value.row,
+				    *row = config_table_get(&sim->nodes[i].controller->config_watch.table,
+							    x->kind, x->name);
 
 				assert_non_null(row);
 				assert_int_equal(protobuf_c_message_get_packed_size(&x->base),
 						 protobuf_c_message_get_packed_size(&row->base));
 			}
-		if (raft->applied_index != sim->nodes[o].controller->shards[SHARD_CONTROL].applied_index ||
-		    !raft->member_count)
+		if (raft->log.applied_index !=
+			sim->nodes[o].controller->shards[SHARD_CONTROL].log.applied_index ||
+		    !raft->group.member_count)
 			continue;
 		b = controller_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
 		assert_int_equal(n, m);
@@ -1226,9 +1228,9 @@
 			old = strdup(b);
 	}
 	o = sim_leader(&sim, SHARD_CONTROL);
-	from = sim.nodes[o].controller->shards[SHARD_CONTROL].base_index;
+	from = sim.nodes[o].controller->shards[SHARD_CONTROL].log.base_index;
 	assert_true(from > 0);
-	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log) <
+	assert_true(arrlen(sim.nodes[o].controller->shards[SHARD_CONTROL].log.entries) <
 		    45);              /* 16 MB since the last snapshot, 8 MB kept behind it */
 	for (int i = 0; i < 4; i++) { /* each in turn comes back without its disk */
 		sim_crash(&sim, i, 1);
@@ -1258,10 +1260,10 @@
 
 		if (o < 0)
 			return 0;
-		for (int k = 0; k < sim->nodes[o].controller->shards[i].member_count; k++)
+		for (int k = 0; k < sim->nodes[o].controller->shards[i].group.member_count; k++)
 			for (int q = 0; q < n; q++)
-				z[q % 3] +=
-				    sim->nodes[q].id == sim->nodes[o].controller->shards[i].members[k].id;
+				z[q % 3] += sim->nodes[q].id ==
+					    sim->nodes[o].controller->shards[i].group.members[k].id;
 		if (z[0] > 2 || z[1] > 2 || z[2] > 2)
 			return 0;
 	}
@@ -1376,7 +1378,7 @@
 	sim_run(&sim, 8000, NULL);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) {
 		assert_true(sim_leader(&sim, i) >= 0);
-		assert_int_equal(sim.nodes[sim_leader(&sim, i)].controller->shards[i].member_count, 3);
+		assert_int_equal(sim.nodes[sim_leader(&sim, i)].controller->shards[i].group.member_count, 3);
 	}
 	sim_start(&sim, 1);
 	sim_start(&sim, 2);
@@ -1412,9 +1414,9 @@
 		const struct raft *p = &sim.nodes[sim_leader(&sim, i)].controller->shards[i];
 		int first_zone = 0;
 
-		for (int k = 0; k < p->member_count; k++)
+		for (int k = 0; k < p->group.member_count; k++)
 			for (int q = 0; q < 3; q++)
-				first_zone += sim.nodes[q].id == p->members[k].id;
+				first_zone += sim.nodes[q].id == p->group.members[k].id;
 		assert_true(first_zone <= 2);
 	}
 	ok(&sim);
@@ -1434,10 +1436,10 @@
 	sim_add_router(&sim, "z1");
 	sim_run(&sim, 8000, NULL);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
 	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config_watch, "t1")->requested = 1;
 	sim_run(&sim, 1000, NULL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quotas), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
 	ok(&sim);
 	sim_close(&sim);
 }
