--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -24,8 +24,7 @@
 	char zone[ZONE_BYTES];
 };
 
-/* ---- parsing --------------------------------------------------------------------------------------------
- */
+/* ---- parsing ---- */
 
 /* A number of one or two digits; -1 when it is none, or above max. */
 static int parse_number(const char *text, size_t size, int max)
@@ -131,8 +130,7 @@
 	return pool ? apr_psprintf(pool, "no time zone %s", schedule->zone) : "no such time zone";
 }
 
-/* ---- due times ------------------------------------------------------------------------------------------
- */
+/* ---- due times ---- */
 
 /* Whether the calendar stands on a day of the schedule. */
 static int is_scheduled_day(UCalendar *calendar, const struct schedule *schedule, UErrorCode *status)
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -80,7 +80,7 @@
 	}
 }
 
-/* ---- the leader's side ------------------------------------------------------------------------------- */
+/* ---- the leader's side ---- */
 
 static void assign_stamp(struct instances *instances, struct Nl__Instance *instance, int64_t now)
 {
@@ -283,7 +283,7 @@
 			    pool, &instances->rows[i].value.instance->base);
 }
 
-/* ---- a follower's side ------------------------------------------------------------------------------- */
+/* ---- a follower's side ---- */
 
 static int is_in_reply(const struct Nl__ConfigSyncReply *reply, const char *server)
 {
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -10,7 +10,7 @@
 #include "controller_private.h"
 #include "json_add.h"
 
-/* ---- reads that a leader with a lease confirms ------------------------------------------------------- */
+/* ---- reads that a leader with a lease confirms ---- */
 
 static const char *config_table_json(const struct config_table *table, apr_pool_t *pool)
 {
@@ -143,7 +143,7 @@
 	}
 }
 
-/* ---- requests that are proposed to the leader --------------------------------------------------------- */
+/* ---- requests that are proposed to the leader ---- */
 
 /* The key by which a request is recognised when it is sent again. Returns 0 when its idempotency key is
  * invalid; then it is answered. */
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -15,7 +15,7 @@
 	DUE_TIME_VALID_MS = 60000, /* how late a purge may be decided and still be spread from its due time */
 };
 
-/* ---- the recorded state ---------------------------------------------------------------------------- */
+/* ---- the recorded state ---- */
 
 static struct Nl__RetentionPlan *find_plan(const struct retention *retention, const char *scope)
 {
@@ -93,7 +93,7 @@
 		       (struct Nl__RetentionPlan *)copy_message(&state->retention_plans[i]->base));
 }
 
-/* ---- steps from the log ---------------------------------------------------------------------------- */
+/* ---- steps from the log ---- */
 
 /* How many values of the purge feed the log entry at index has made so far. */
 static uint32_t values_of_entry(const struct controller *controller, uint64_t index)
@@ -257,7 +257,7 @@
 	}
 }
 
-/* ---- plans follow the rows of the table -------------------------------------------------------------- */
+/* ---- plans follow the rows of the table ---- */
 
 /* The row's setting as a plan keeps it, to tell an edited row from an unchanged one. */
 static const char *setting_text(const struct Nl__Row *row, apr_pool_t *pool)
@@ -335,7 +335,7 @@
 	apr_pool_destroy(pool);
 }
 
-/* ---- the agreed time ----------------------------------------------------------------------------------- */
+/* ---- the agreed time ---- */
 
 /* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
 static int64_t member_wall_clock(const struct controller *controller, uint64_t member_id, int64_t now)
@@ -375,7 +375,7 @@
 	return n ? clocks[n / 2] : INT64_MIN;
 }
 
-/* ---- the leader's decisions ---------------------------------------------------------------------------- */
+/* ---- the leader's decisions ---- */
 
 /* Returns the index of the log entry; 0 when it could not be logged. */
 static uint64_t log_step(struct controller *controller, struct Nl__RetentionStep *step, int64_t now,
@@ -557,7 +557,7 @@
 		    now - RETENTION_POLL_MS; /* the next one as soon as this is applied */
 }
 
-/* ---- the logs on disk ---------------------------------------------------------------------------------- */
+/* ---- the logs on disk ---- */
 
 /* The newest tick of a purge of context that is in force here; 0: none. */
 static uint64_t newest_purge_tick(const struct controller *controller)
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -8,7 +8,7 @@
 #include "containers.h"
 #include "controller_private.h"
 
-/* ---- reports of the nodes that hold the prefix index --------------------------------------------- */
+/* ---- reports of the nodes that hold the prefix index ---- */
 
 static void free_remainders(struct retention_index_report *report)
 {
@@ -67,7 +67,7 @@
 	report->horizon = sync->horizon;
 }
 
-/* ---- what a purge covers, and since when ---------------------------------------------------------- */
+/* ---- what a purge covers, and since when ---- */
 
 /* The tick at which a slice of a purge is in force, as far as it is known here; 0: not published yet. */
 static uint64_t slice_tick(const struct controller *controller, const struct Nl__RetentionPurge *purge,
@@ -111,7 +111,7 @@
 	return scope == (uint32_t)retention_namespace_hash(route, tenant);
 }
 
-/* ---- what is missing ------------------------------------------------------------------------------- */
+/* ---- what is missing ---- */
 
 /* What a purge waits for: counted, and listed where somebody reads it. */
 struct missing {
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -7,8 +7,18 @@
 #include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
+#include "json_add.h"
 
-static struct controller_server *server_of(struct controller *controller, const char *name)
+enum {
+	CALL_TIMEOUT_MS = 400,    /* of a command or a poll */
+	SERVER_DEAD_MS = 10000,   /* without a report: the server loads the target weights when it is back */
+	FENCE_SEQUENCE_BITS = 20, /* a fence is the term, above the number of the command in it */
+	FENCE_SEQUENCE_MASK = (1 << FENCE_SEQUENCE_BITS) - 1
+};
+
+/* ---- commands and reports ---- */
+
+static struct controller_server *find_server(struct controller *controller, const char *name)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
 		if (!strcmp(controller->server_rollout.servers[i].name, name))
@@ -16,8 +26,21 @@
 	return NULL;
 }
 
-static void call(uint64_t token, const char *addr, const char *path, const char *body, int64_t not_after,
-		 struct command_list *out)
+static struct controller_server *add_server(struct controller *controller, const struct Nl__Row *row,
+					    int64_t now)
+{
+	struct controller_server server;
+
+	memset(&server, 0, sizeof server);
+	server.name = strdup(row->name);
+	server.service = strdup(row->service);
+	server.reported_at_ms = now;
+	arrput(controller->server_rollout.servers, server);
+	return &arrlast(controller->server_rollout.servers);
+}
+
+static void call_server(uint64_t token, const char *addr, const char *path, const char *body,
+			int64_t not_after_ms, struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_CALL);
 
@@ -25,148 +48,185 @@
 	command->args.call.addr = addr;
 	command->args.call.path = path;
 	command->args.call.body = body;
-	command->args.call.limit_ms = 400;
-	command->args.call.not_after_ms = not_after;
+	command->args.call.limit_ms = CALL_TIMEOUT_MS;
+	command->args.call.not_after_ms = not_after_ms;
 }
 
-/* An order: body fields, fenced by the part's term. The rollout's lease is checked again before it leaves. */
-static void order(struct controller *r, struct controller_server *server, uint32_t part, const char *addr,
-		  struct json_object *what, int64_t now, struct command_list *out)
+/* Send a command, which is released here, fenced by the shard's term. The lease is checked again before it
+ * leaves. */
+static void send_command(struct controller *controller, struct controller_server *server, uint32_t shard,
+			 const char *addr, struct json_object *command, int64_t now, struct command_list *out)
 {
-	uint64_t fence = r->shards[part].term << 20 | (++r->server_rollout.command_sequence & 0xfffff);
-
-	json_object_object_add(what, "fence", json_object_new_int64((int64_t)fence));
-	json_object_object_add(
-	    what, "giver",
-	    json_object_new_string(apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, r->identity.id)));
-	call(0, addr, "/v1/order",
-	     apr_pstrdup(out->pool, json_object_to_json_string_ext(what, JSON_C_TO_STRING_PLAIN)),
-	     r->shards[part].lease.expires_at_ms, out);
-	json_object_put(what);
+	uint32_t sequence = ++controller->server_rollout.command_sequence & FENCE_SEQUENCE_MASK;
+	uint64_t fence = controller->shards[shard].term << FENCE_SEQUENCE_BITS | sequence;
+	const char *body;
+
+	json_add_number(command, "fence", (int64_t)fence);
+	json_add_text(command, "giver",
+		      apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id));
+	body = apr_pstrdup(out->pool, json_object_to_json_string_ext(command, JSON_C_TO_STRING_PLAIN));
+	call_server(0, addr, "/v1/order", body, controller->shards[shard].lease.expires_at_ms, out);
+	json_object_put(command);
 	server->commanded_at_ms = now;
 }
 
+/* Whether a cached block that a server reports may stay: no purge covers it. */
+static int may_keep_block(const struct controller *controller, const struct controller_server *server,
+			  struct json_object *block)
+{
+	const struct purge_view *view = &controller->relay.view;
+	const char *maker = json_string_member(block, "m");
+	uint64_t stamp_tick = json_uint_member(block, "t");
+	uint64_t hash = strtoull(json_string_member(block, "h"), NULL, 16);
+
+	return purge_view_allows(view, server->service, json_string_member(block, "w"), maker, server->name,
+				 stamp_tick) &&
+	       purge_view_keeps_context(view, server->service, maker, hash, stamp_tick);
+}
+
+/* The server's blocks that it has to drop, an array that the caller releases. */
+static struct json_object *purged_blocks(const struct controller *controller,
+					 const struct controller_server *server, struct json_object *blocks)
+{
+	struct json_object *purged = json_object_new_array();
+
+	for (size_t i = 0; i < json_object_array_length(blocks); i++) {
+		struct json_object *block = json_object_array_get_idx(blocks, i);
+
+		if (!may_keep_block(controller, server, block))
+			json_object_array_add(purged, json_object_get(block));
+	}
+	return purged;
+}
+
+/* Whether commands may be sent to the servers of a shard: the commands of the leader before have ended. */
+static int may_command_shard(const struct controller *controller, uint32_t shard, int64_t now)
+{
+	return leads_shard(controller, shard, now) &&
+	       now - controller->leadership[shard].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS;
+}
+
+static void check_blocks(struct controller *controller, struct controller_server *server,
+			 const struct Nl__Row *row, struct json_object *blocks, int64_t now,
+			 struct command_list *out)
+{
+	uint32_t shard = core_shard_of(server->service, SHARD_SERVICES);
+	struct json_object *purged = purged_blocks(controller, server, blocks);
+
+	if (!json_object_array_length(purged)) {
+		/* the report shows it: purges are carried out up to the horizon at the poll */
+		server->purged_tick = server->requested_purge_tick;
+		json_object_put(purged);
+	} else if (may_command_shard(controller, shard, now) && relay_is_current(&controller->relay, now)) {
+		struct json_object *command = json_object_new_object();
+
+		json_object_object_add(command, "drop", purged);
+		send_command(controller, server, shard, row->addr, command, now, out);
+	} else {
+		json_object_put(purged);
+	}
+}
+
 void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body,
 		       int64_t now, struct command_list *out)
 {
-	struct json_object *json = json_tokener_parse(body), *parts, *drop;
+	struct json_object *json = json_tokener_parse(body);
 	const struct Nl__Row *row =
 	    config_table_get(&controller->config_watch.table, NL__KIND__SERVER, server->name);
-	uint32_t part = core_shard_of(server->service, SHARD_SERVICES);
-
-	if (!json_object_is_type(json, json_type_object) || !row)
-		goto end;
-	server->reported_at_ms = now;
-	apr_cpystrn(server->weights, json_string_member(json, "weights"), sizeof server->weights);
-	apr_cpystrn(server->loading, json_string_member(json, "loading"), sizeof server->loading);
-	if (!json_object_object_get_ex(json, "parts", &parts) || !json_object_is_type(parts, json_type_array))
-		goto end;
-	drop = json_object_new_array();
-	for (size_t i = 0; i < json_object_array_length(parts); i++) {
-		struct json_object *x = json_object_array_get_idx(parts, i);
-
-		if (!purge_view_allows(&controller->relay.view, server->service, json_string_member(x, "w"),
-				       json_string_member(x, "m"), server->name, json_uint_member(x, "t")) ||
-		    !purge_view_keeps_context(
-			&controller->relay.view, server->service, json_string_member(x, "m"),
-			strtoull(json_string_member(x, "h"), NULL, 16), json_uint_member(x, "t")))
-			json_object_array_add(drop, json_object_get(x));
-	}
-	if (!json_object_array_length(drop)) {
-		server->purged_tick = server->requested_purge_tick; /* the report shows it: carried out up to
-								       the horizon at the look */
-		json_object_put(drop);
-	} else if (leads_shard(controller, part, now) &&
-		   now - controller->leadership[part].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS &&
-		   relay_is_current(&controller->relay, now)) {
-		struct json_object *command = json_object_new_object();
+	struct json_object *blocks;
 
-		json_object_object_add(command, "drop", drop);
-		order(controller, server, part, row->addr, command, now, out);
-	} else {
-		json_object_put(drop);
+	if (json_object_is_type(json, json_type_object) && row) {
+		server->reported_at_ms = now;
+		apr_cpystrn(server->weights, json_string_member(json, "weights"), sizeof server->weights);
+		apr_cpystrn(server->loading, json_string_member(json, "loading"), sizeof server->loading);
+		if (json_object_object_get_ex(json, "parts", &blocks) &&
+		    json_object_is_type(blocks, json_type_array))
+			check_blocks(controller, server, row, blocks, now, out);
 	}
-end:
 	if (json)
 		json_object_put(json);
 }
 
-static void look_at(struct controller *controller, const struct Nl__Row *row, int64_t now,
-		    struct command_list *out)
+static void poll_server(struct controller *controller, const struct Nl__Row *row, int64_t now,
+			struct command_list *out)
 {
-	struct controller_server *s = server_of(controller, row->name);
-
-	if (!s) {
-		struct controller_server server;
+	struct controller_server *server = find_server(controller, row->name);
 
-		memset(&server, 0, sizeof server);
-		server.name = strdup(row->name);
-		server.service = strdup(row->service);
-		server.reported_at_ms = now;
-		arrput(controller->server_rollout.servers, server);
-		s = &arrlast(controller->server_rollout.servers);
-	}
-	if (now - s->polled_at_ms < CONTROLLER_REPORT_POLL_MS)
+	if (!server)
+		server = add_server(controller, row, now);
+	if (now - server->polled_at_ms < CONTROLLER_REPORT_POLL_MS)
 		return;
-	s->polled_at_ms = now;
-	s->call_token = ++controller->identity.last_token;
-	s->requested_purge_tick = controller->relay.knowledge.horizon;
-	call(s->call_token, apr_pstrdup(out->pool, row->addr), "/v1/report", NULL, now + 400, out);
+	server->polled_at_ms = now;
+	server->call_token = ++controller->identity.last_token;
+	server->requested_purge_tick = controller->relay.knowledge.horizon;
+	call_server(server->call_token, apr_pstrdup(out->pool, row->addr), "/v1/report", NULL,
+		    now + CALL_TIMEOUT_MS, out);
 }
 
-/* Whether every server of a service has had these weights, or it is not known here which ones they all had.
- */
+/* ---- target weights ---- */
+
+/* Whether every server of a service has had these weights, or it is not known here which ones they had. */
 static int is_rolled_out(struct controller *controller, const char *service_name, const char *weights)
 {
-	struct controller_service_state *shard =
+	struct controller_service_state *state =
 	    service_shard_state(controller, core_shard_of(service_name, SHARD_SERVICES));
-	ptrdiff_t i = shgeti(shard->rolled_out, service_name);
+	ptrdiff_t i = shgeti(state->rolled_out, service_name);
+
+	return i < 0 || !strcmp(state->rolled_out[i].value, weights);
+}
+
+/* What is known of the weights that a service's servers are to have. */
+typedef typeof(((struct controller_target_weights *)0)->value) rollout_target;
 
-	return i < 0 || !strcmp(shard->rolled_out[i].value, weights);
+/* Since when target weights have been set that not every server has. Weights that overtake others leave those
+ * servers no more time. */
+static int64_t incomplete_since(struct controller *controller, const char *service_name,
+				const rollout_target *previous, int64_t targeted_at_ms)
+{
+	if (previous && !is_rolled_out(controller, service_name, previous->weights))
+		return previous->incomplete_since_ms;
+	return targeted_at_ms;
 }
 
-/* Followed tables say what is named; not later than the last good asking that did not say so. A naming that
- * overtakes another one leaves that one's servers no more time. */
 void rollout_on_target_change(struct controller *controller, int64_t last_unchanged_ms)
 {
-	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
-		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
-		int64_t unrolled_since_ms;
+	const struct config_table *table = &controller->config_watch.table;
+
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+		const rollout_target *previous;
+		rollout_target target = { 0 };
 		ptrdiff_t k;
 
 		if (row->kind != NL__KIND__SERVICE)
 			continue;
 		k = shgeti(controller->server_rollout.targets, row->name);
-		if (k >= 0 &&
-		    !strcmp(controller->server_rollout.targets[k].value.weights, row->target_weights))
+		previous = k >= 0 ? &controller->server_rollout.targets[k].value : NULL;
+		if (previous && !strcmp(previous->weights, row->target_weights))
 			continue;
-		unrolled_since_ms =
-		    k >= 0 && !is_rolled_out(controller, row->name,
-					     controller->server_rollout.targets[k].value.weights)
-			? controller->server_rollout.targets[k].value.incomplete_since_ms
-			: last_unchanged_ms;
-		if (k >= 0)
-			free(controller->server_rollout.targets[k].value.weights);
-		shput(controller->server_rollout.targets, row->name,
-		      ((typeof(controller->server_rollout.targets->value)){
-			  strdup(row->target_weights), last_unchanged_ms, unrolled_since_ms, 0 }));
+		target.weights = strdup(row->target_weights);
+		target.targeted_at_ms = last_unchanged_ms;
+		target.incomplete_since_ms =
+		    incomplete_since(controller, row->name, previous, last_unchanged_ms);
+		if (previous)
+			free(previous->weights);
+		shput(controller->server_rollout.targets, row->name, target);
 	}
 }
 
-/* How many of n servers may have been told by now: a third at once, the next ones as the loading ends, or
- * when the bound asks for it. A rollout that took over has less time left and need not leave any for another.
- */
-static int max_commanded(const struct controller *controller, uint32_t part,
-			 typeof(((struct controller_target_weights *)0)->value) *target, int server_count,
-			 int64_t now)
+/* How many of the servers may have been commanded by now: a third at once, the next ones as loads end, or
+ * when the bound on the rollout's time asks for it. A leader that took over has less time left, and leaves
+ * none for another failover. */
+static int max_commanded(const struct controller *controller, uint32_t shard, rollout_target *target,
+			 int server_count, int64_t now)
 {
 	int64_t deadline_ms = target->incomplete_since_ms + CONTROLLER_LAST_LOAD_COMMAND_MS;
 	int third = (server_count + 2) / 3;
 
 	if (!target->rollout_started_at_ms ||
-	    target->rollout_started_at_ms < controller->leadership[part].since_ms)
+	    target->rollout_started_at_ms < controller->leadership[shard].since_ms)
 		target->rollout_started_at_ms = now;
-	if (controller->leadership[part].since_ms <= target->incomplete_since_ms)
+	if (controller->leadership[shard].since_ms <= target->incomplete_since_ms)
 		deadline_ms -= CONTROLLER_FAILOVER_MS;
 	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
 		return server_count;
@@ -174,103 +234,157 @@
 				  (deadline_ms - target->rollout_started_at_ms)));
 }
 
-/* One service's roll-out: a third of its servers at a time, the rest keep serving. */
-/* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-static void roll(struct controller *controller, const struct Nl__Row *service, uint32_t part, int64_t now,
-		 struct command_list *out)
+/* One service's rollout as it stands. */
+struct service_rollout {
+	const struct Nl__Row *service;
+	rollout_target *target;
+	int server_count; /* that report */
+	int updated;      /* have the target weights */
+	int loading;      /* load any, or were commanded to */
+};
+
+static int is_server_of(const struct Nl__Row *row, const struct Nl__Row *service)
 {
-	struct controller_service_state *c = service_shard_state(controller, part);
-	typeof(controller->server_rollout.targets->value) *m =
-	    &shgetp(controller->server_rollout.targets, service->name)->value;
-	int n = 0, loading = 0, on = 0, room, more;
-	ptrdiff_t was;
-
-	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
-		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
-		struct controller_server *server;
+	return row->kind == NL__KIND__SERVER && !strcmp(row->service, service->name) && !row->state;
+}
+
+static void count_servers(struct controller *controller, struct service_rollout *rollout, int64_t now)
+{
+	const struct config_table *table = &controller->config_watch.table;
 
-		if (row->kind != NL__KIND__SERVER || strcmp(row->service, service->name) || row->state)
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+		const struct controller_server *server;
+
+		if (!is_server_of(row, rollout->service))
 			continue;
-		server = server_of(controller, row->name);
-		if (!server || now - server->reported_at_ms > 10000)
-			continue; /* dead: it loads what is named when it is back */
-		n++;
-		if (!strcmp(server->weights, service->target_weights) && !server->loading[0])
-			on++;
-		else
-			loading += server->loading[0] || server->load_commanded_at_ms >= m->targeted_at_ms;
-	}
-	if (on < n) {
-		room = (n + 2) / 3 - loading;
-		more = max_commanded(controller, part, m, n, now) - on - loading;
-		if (room < more)
-			room = more;
-	} else {
-		room = 0;
+		server = find_server(controller, row->name);
+		if (!server || now - server->reported_at_ms > SERVER_DEAD_MS)
+			continue;
+		rollout->server_count++;
+		if (!strcmp(server->weights, rollout->service->target_weights) && !server->loading[0])
+			rollout->updated++;
+		else if (server->loading[0] ||
+			 server->load_commanded_at_ms >= rollout->target->targeted_at_ms)
+			rollout->loading++;
 	}
-	for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows) && on < n; i++) {
-		const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
+}
+
+/* Whether a server lacks the target weights and no command to load them is under way. */
+static int needs_command(const struct controller_server *server, const struct service_rollout *rollout,
+			 int64_t now)
+{
+	const char *weights = rollout->service->target_weights;
+
+	if (now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS ||
+	    !strcmp(server->weights, weights) || !strcmp(server->loading, weights) ||
+	    now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
+		return 0;
+	return server->load_commanded_at_ms < rollout->target->targeted_at_ms ||
+	       now - server->load_commanded_at_ms >= 2 * CONTROLLER_REPORT_POLL_MS;
+}
+
+static void command_load(struct controller *controller, struct controller_server *server,
+			 const struct Nl__Row *row, const char *weights, uint32_t shard, int64_t now,
+			 struct command_list *out)
+{
+	struct json_object *command = json_object_new_object();
+
+	json_add_text(command, "load", weights);
+	send_command(controller, server, shard, apr_pstrdup(out->pool, row->addr), command, now, out);
+	server->load_commanded_at_ms = now;
+	log_line(controller, "rollout", out->pool, "Server %s is commanded to load %s.", server->name,
+		 weights);
+}
+
+/* Command servers to load, while there are slots. */
+static void command_servers(struct controller *controller, const struct service_rollout *rollout, int slots,
+			    uint32_t shard, int64_t now, struct command_list *out)
+{
+	const struct config_table *table = &controller->config_watch.table;
+
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
 		struct controller_server *server;
-		struct json_object *what;
 
-		if (row->kind != NL__KIND__SERVER || strcmp(row->service, service->name) || row->state)
+		if (!is_server_of(row, rollout->service))
 			continue;
-		server = server_of(controller, row->name);
-		if (!server || now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS ||
-		    !strcmp(server->weights, service->target_weights) ||
-		    !strcmp(server->loading, service->target_weights) ||
-		    now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
+		server = find_server(controller, row->name);
+		if (!server || !needs_command(server, rollout, now))
 			continue;
-		if (server->load_commanded_at_ms >= m->targeted_at_ms &&
-		    now - server->load_commanded_at_ms < 2 * CONTROLLER_REPORT_POLL_MS)
-			continue; /* told just now */
-		/* one whose order was lost, or that loads what has been overtaken, is told in the place it
-		 * has */
-		if (server->load_commanded_at_ms < m->targeted_at_ms && !server->loading[0] && room-- <= 0)
+		/* one whose command was lost, or that loads weights that were overtaken, keeps its slot */
+		if (server->load_commanded_at_ms < rollout->target->targeted_at_ms && !server->loading[0] &&
+		    slots-- <= 0)
 			continue;
-		what = json_object_new_object();
-		json_object_object_add(what, "load", json_object_new_string(service->target_weights));
-		order(controller, server, part, apr_pstrdup(out->pool, row->addr), what, now, out);
-		server->load_commanded_at_ms = now;
-		log_line(controller, "order", out->pool, "Server %s is told to load %s.", server->name,
-			 service->target_weights);
+		command_load(controller, server, row, rollout->service->target_weights, shard, now, out);
+	}
+}
+
+static void log_rolled_out(struct controller *controller, const struct Nl__Row *service, uint32_t shard,
+			   int64_t now, struct command_list *out)
+{
+	struct Nl__Operation operation = NL__OPERATION__INIT;
+	struct Nl__RolledOut rolled_out = NL__ROLLED_OUT__INIT;
+
+	rolled_out.service = service->name;
+	rolled_out.weights = service->target_weights;
+	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
+	operation.rolled_out = &rolled_out;
+	if (arrlen(controller->shards[shard].disk.pending_syncs) == 0) /* it may be on its way already */
+		log_operation(controller, shard, &operation, now, out);
+}
+
+/* Go on with one service's rollout: a third of its servers at a time, the others keep serving. */
+static void roll_out_service(struct controller *controller, const struct Nl__Row *service, uint32_t shard,
+			     int64_t now, struct command_list *out)
+{
+	struct controller_service_state *state = service_shard_state(controller, shard);
+	struct service_rollout rollout = {
+		.service = service,
+		.target = &shgetp(controller->server_rollout.targets, service->name)->value,
+	};
+	ptrdiff_t completed;
+
+	count_servers(controller, &rollout, now);
+	if (rollout.updated < rollout.server_count) {
+		int slots = (rollout.server_count + 2) / 3 - rollout.loading;
+		int overdue = max_commanded(controller, shard, rollout.target, rollout.server_count, now) -
+			      rollout.updated - rollout.loading;
+
+		command_servers(controller, &rollout, slots < overdue ? overdue : slots, shard, now, out);
+		return;
 	}
-	was = shgeti(c->rolled_out, service->name);
-	if (n && on == n && (was < 0 || strcmp(c->rolled_out[was].value, service->target_weights))) {
-		struct Nl__Operation operation = NL__OPERATION__INIT;
-		struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
-
-		rolled.service = service->name;
-		rolled.weights = service->target_weights;
-		operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
-		operation.rolled_out = &rolled;
-		if (arrlen(controller->shards[part].disk.pending_syncs) ==
-		    0) /* nothing of ours is still on its way */
-			log_operation(controller, part, &operation, now, out);
+	completed = shgeti(state->rolled_out, service->name);
+	if (rollout.server_count &&
+	    (completed < 0 || strcmp(state->rolled_out[completed].value, service->target_weights)))
+		log_rolled_out(controller, service, shard, now, out);
+}
+
+static void tick_shard(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
+{
+	const struct config_table *table = &controller->config_watch.table;
+
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (row->kind == NL__KIND__SERVER && core_shard_of(row->service, SHARD_SERVICES) == shard)
+			poll_server(controller, row, now, out);
+	}
+	if (!may_command_shard(controller, shard, now))
+		return;
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (row->kind == NL__KIND__SERVICE && core_shard_of(row->name, SHARD_SERVICES) == shard)
+			roll_out_service(controller, row, shard, now, out);
 	}
 }
 
 void rollout_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (uint32_t part = SHARD_SERVICE; part < SHARD_COUNT; part++) {
-		if (!leads_shard(controller, part, now) ||
-		    config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
-			continue;
-		for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
-			const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
-
-			if (row->kind == NL__KIND__SERVER &&
-			    core_shard_of(row->service, SHARD_SERVICES) == part)
-				look_at(controller, row, now, out);
-		}
-		if (now - controller->leadership[part].since_ms < CONTROLLER_ROLLOUT_HOLD_OFF_MS)
-			continue; /* the last rollout's orders must have had time to end */
-		for (ptrdiff_t i = 0; i < shlen(controller->config_watch.table.rows); i++) {
-			const struct Nl__Row *row = controller->config_watch.table.rows[i].value.row;
-
-			if (row->kind == NL__KIND__SERVICE &&
-			    core_shard_of(row->name, SHARD_SERVICES) == part)
-				roll(controller, row, part, now, out);
-		}
-	}
+	if (config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
+		return;
+	for (uint32_t shard = SHARD_SERVICE; shard < SHARD_COUNT; shard++)
+		if (leads_shard(controller, shard, now))
+			tick_shard(controller, shard, now, out);
 }
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -1,7 +1,11 @@
-/* rollout: orders to servers: named weights are rolled out, kept parts that a purge covers are dropped.
- *   rollout.c             servers that are rows of the table
- *   rollout_instances.c   servers of the platform's list
- *   rollout_pace.c        how many of those load at once, and by when */
+/* rollout: the control shard's and the service shards' leaders command servers to load the target weights, a
+ * few at a time, so that the others keep serving; and to drop cached blocks that a purge covers. rollout.c
+ * servers that are rows of the table, over the product's own interface rollout_instances.c   servers of the
+ * platform's list rollout_pace.c        how many of those load at once, and by when
+ *
+ * Always: a command is fenced by the leader's term, leaves only under its lease, and none is sent before
+ * those of the leader before have ended. A command to a listed server is logged before it leaves, so whoever
+ * takes over knows which servers may have had one lately. */
 #ifndef NL_ROLLOUT_H
 #define NL_ROLLOUT_H
 
@@ -10,98 +14,121 @@
 struct controller;
 struct controller_server;
 
+/* Of rollout_instances.c and rollout_pace.c. */
 enum {
-	ROLLOUT_POLL_MS = 200,        /* ms between looks at a server that should soon have loaded */
-	ROLLOUT_PLANNED_PERCENT = 90, /* per cent of the bound in which all is planned to be done */
-	ROLLOUT_REPORT_LAG_MS =
-	    700, /* ms after which a server's report cannot be older than what it was told */
-	ROLLOUT_REPLY_TIMEOUT_MS = 1000,    /* ms after which an order or a look has got no answer */
-	ROLLOUT_DEADLINE_PERCENT = 95,      /* per cent of the bound after which all that are left are told */
-	ROLLOUT_REJECTED_BACKOFF_MS = 2000, /* ms before one that refuses an order gets another */
-	ROLLOUT_STALL_DIVISOR =
-	    4, /* a server that loads for this part of the bound, a quarter, counts as stalled */
-	ROLLOUT_NOTICE_DIVISOR =
-	    8, /* of a load, an eighth: before it, routers are told to send the server nothing more */
-	ROLLOUT_NOTICE_MAX_MS = 500,   /* ms of that notice at the most; less than ROLLOUT_INTENT_MS */
-	ROLLOUT_INTENT_MS = 1000,      /* ms after an order was logged in which it may leave */
-	ROLLOUT_LEASE_MARGIN_MS = 100, /* ms before the lease's end after which no order leaves */
-	ROLLOUT_LEASE_SLACK_MS = 300   /* ms beyond the lease for the last rollout's orders to have ended */
+	ROLLOUT_POLL_MS = 200,              /* between polls of a server that should soon have loaded */
+	ROLLOUT_PLANNED_PERCENT = 90,       /* of the bound: in it all loads are planned to be done */
+	ROLLOUT_REPORT_LAG_MS = 700,        /* after which a server's report cannot be older than a command */
+	ROLLOUT_REPLY_TIMEOUT_MS = 1000,    /* after which a command or a poll has got no answer */
+	ROLLOUT_DEADLINE_PERCENT = 95,      /* of the bound: after it all that are left are commanded */
+	ROLLOUT_REJECTED_BACKOFF_MS = 2000, /* before a server that rejects a command gets another */
+	ROLLOUT_STALL_DIVISOR = 4,   /* of the bound: a server that loads for longer counts as stalled */
+	ROLLOUT_NOTICE_DIVISOR = 8,  /* of a load: so long before it, routers send the server nothing more */
+	ROLLOUT_NOTICE_MAX_MS = 500, /* of that notice; less than ROLLOUT_INTENT_MS */
+	ROLLOUT_INTENT_MS = 1000,    /* after a command was logged, in which it may leave */
+	ROLLOUT_LEASE_MARGIN_MS = 100, /* before the lease's end: no command leaves in it */
+	ROLLOUT_LEASE_SLACK_MS = 300   /* beyond the lease, for the last leader's commands to have ended */
 };
 
-/* What is known of an order to a server: nothing is under way; routers have notice that it will be given; it
- * is being logged; it has left; whether it was taken is not known; the server loads. */
+/* What is known of a command to a listed server. */
 enum rollout_load_state {
-	ROLLOUT_IDLE,
-	ROLLOUT_NOTICE,
-	ROLLOUT_INTENDED,
-	ROLLOUT_COMMANDED,
-	ROLLOUT_UNCONFIRMED,
-	ROLLOUT_LOADING
+	ROLLOUT_IDLE,        /* nothing is under way */
+	ROLLOUT_NOTICE,      /* routers have notice that a command will come */
+	ROLLOUT_INTENDED,    /* it is being logged */
+	ROLLOUT_COMMANDED,   /* it has left */
+	ROLLOUT_UNCONFIRMED, /* whether it was taken is not known */
+	ROLLOUT_LOADING      /* the server loads */
 };
 
-/* A listed server that is ordered, or looked at, until it has what is named. */
+/* A listed server that is commanded, or polled, until it has the target weights. */
 struct rollout_server {
-	char *name, *target_weights; /* weights: what it was ordered to load */
+	char *name;           /* owned */
+	char *target_weights; /* that it was commanded to load; owned */
 	enum rollout_load_state state;
-	uint64_t command_token, poll_token; /* of what is under way */
-	int64_t commanded_at_ms, polled_at_ms, retry_at_ms;
-	int max_concurrent_loads; /* how many were under way at the most meanwhile, itself counted */
+	uint64_t command_token;  /* of the command under way; 0: none */
+	uint64_t poll_token;     /* of the poll under way; 0: none */
+	int64_t commanded_at_ms; /* when its state last advanced; 0: by a leader before */
+	int64_t polled_at_ms;
+	int64_t retry_at_ms;      /* no command before */
+	int max_concurrent_loads; /* at the most while it loaded, itself counted */
 };
 
-/* A model's roll-out: when its end was logged last; since when servers load without a pause; how many load at
- * once, at first and now; how long a load takes then, and with more at once; whether more were too many. */
+/* What is learnt of a model's loads. */
 struct rollout_model {
-	char *key;
+	char *key; /* the model's name */
 	struct rollout_pace {
-		int64_t completion_logged_at_ms, loading_since_ms;
-		int base_concurrency, concurrency, base_load_ms, extra_load_ms, extra_samples, is_saturated;
+		int64_t completion_logged_at_ms; /* when the end of its rollout was logged last */
+		int64_t loading_since_ms;        /* since when servers load without a pause */
+		int base_concurrency;            /* how many load at once at first; 0: not known yet */
+		int concurrency;                 /* how many load at once now */
+		int base_load_ms;                /* how long a load takes at base_concurrency; 0: not known */
+		int extra_load_ms;               /* how long with more at once; 0: not known */
+		int extra_samples;               /* loads with more at once so far */
+		int is_saturated;                /* more at once were too many */
 	} value;
 };
 
+/* When a command to a server was logged, as it was applied here. */
+struct rollout_intent_logged {
+	char *key; /* the server's name */
+	int64_t value;
+};
+
+/* The rollout to listed servers, on the control shard's leader; part of struct controller. */
 struct rollout {
-	struct rollout_server *servers; /* stb_ds */
-	struct rollout_model *models;   /* stb_ds */
-	uint64_t term, command_seq;     /* of the leadership; orders given in it */
-	struct rollout_intent_logged {
-		char *key;
-		int64_t value;
-	} * intents;              /* stb_ds: when orders to a server that were logged were applied here */
-	int64_t unknown_until_ms; /* what was logged before is not known here */
-	int64_t term_started_at_ms,
-	    takeover_wait_ms; /* of the leadership; how long what a leader before ordered must be over */
-	int is_fenced;        /* a server has seen a higher fence */
-	uint64_t done_stamp, done_revision; /* of what was seen and named when nothing was left to do */
+	struct rollout_server *servers;        /* stb_ds */
+	struct rollout_model *models;          /* stb_ds, by name */
+	uint64_t term;                         /* of the leadership */
+	uint64_t command_seq;                  /* commands in it */
+	struct rollout_intent_logged *intents; /* stb_ds, by server; kept on followers too */
+	int64_t unknown_until_ms;              /* commands that were logged before are not known here */
+	int64_t term_started_at_ms;
+	int64_t takeover_wait_ms; /* after an intent, for the command of the leader before to have ended */
+	int is_fenced;            /* a server has seen a higher fence: no more commands in this term */
+	uint64_t done_stamp;      /* of the instances when nothing was left to do */
+	uint64_t done_revision;   /* of the table at that time */
 };
 
-/* Look at the servers of the table, and order what is due. Example: rollout_tick(r, now, o); */
+/* Poll the servers of the table, and command those that are due, for each service shard that is led here.
+ * Example: rollout_tick(controller, now, out); */
 void rollout_tick(struct controller *controller, int64_t now, struct command_list *out);
 
-/* The followed table has changed; before: when the last good asking was that did not say so.
- * Example: rollout_on_versions(r, before); */
+/* The followed table has changed: note new target weights of services. They were set after last_unchanged_ms,
+ * when the table was last confirmed to be the one before.
+ * Example: rollout_on_target_change(controller, last_unchanged_ms); */
 void rollout_on_target_change(struct controller *controller, int64_t last_unchanged_ms);
 
-/* A server's report. Example: rollout_report(r, &r->server[i], body, now, o); */
+/* A server of the table has reported its weights and cached blocks, as JSON: command it to drop those that a
+ * purge covers. Example: rollout_on_report(controller, server, body, now, out); */
 void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body,
 		       int64_t now, struct command_list *out);
 
-/* Leadership of the control group begins; what the leader before left under way is looked at. Example:
- * rollout_start(r, now); */
+/* Leadership of the control shard begins: servers that load already are polled.
+ * Example: rollout_start_term(controller, now); */
 void rollout_start_term(struct controller *controller, int64_t now);
 
-/* Roll named weights out to the listed servers. Example: rollout_instances(r, now, o); */
+/* Go on with the rollout to the listed servers, on the control shard's leader.
+ * Example: rollout_instances_tick(controller, now, out); */
 void rollout_instances_tick(struct controller *controller, int64_t now, struct command_list *out);
 
-/* Answers to an order and to a look. Example: rollout_on_ordered(r, token, 202, 0, now, o); */
+/* A listed server has answered a command, by its HTTP status; 0: no answer; never_sent: it surely did not
+ * arrive. Example: rollout_on_command_reply(controller, token, 202, 0, now, out); */
 void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent,
 			      int64_t now, struct command_list *out);
+
+/* A listed server has answered a poll: its weights, and whether it loads.
+ * Example: rollout_on_poll_reply(controller, token, 200, "3", 0, now); */
 void rollout_on_poll_reply(struct controller *controller, uint64_t token, int status, const char *weights,
 			   int loading, int64_t now);
 
-/* An order to a server that was logged is applied: from now on it may leave. Example: rollout_order_logged(r,
- * "i-7", now); */
+/* A command to a listed server that was logged is applied: from now on it may leave.
+ * Example: rollout_intent_logged(controller, "i-7", now); */
 void rollout_intent_logged(struct controller *controller, const char *server, int64_t now);
 
+/* Begin with nothing known of earlier commands. */
 void rollout_open(struct rollout *rollout, int64_t now);
+
+/* Release all. */
 void rollout_close(struct rollout *rollout);
 
 #endif
--- /dev/null
+++ b/lib/control/rollout_command.c
@@ -0,0 +1,356 @@
+#include "rollout_command.h"
+
+#include <apr_strings.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "containers.h"
+#include "controller_private.h"
+#include "leadership.h"
+#include "mechanism.h"
+#include "rollout_pace.h"
+
+enum {
+	FENCE_SEQUENCE_BITS = 20, /* a fence is the term, above the number of the command in it */
+	FENCE_SEQUENCE_MASK = (1 << FENCE_SEQUENCE_BITS) - 1,
+	INTENT_TTL_MS = 60000,       /* for which an intent is remembered */
+	NEVER_SENT_BACKOFF_MS = 100, /* before a command that never left is sent again */
+};
+
+/* ---- records of servers ---- */
+
+void rollout_server_free(struct rollout_server *server)
+{
+	free(server->name);
+	free(server->target_weights);
+}
+
+struct rollout_server *rollout_server_find(const struct rollout *rollout, const char *name)
+{
+	for (ptrdiff_t i = 0; i < arrlen(rollout->servers); i++)
+		if (!strcmp(rollout->servers[i].name, name))
+			return &rollout->servers[i];
+	return NULL;
+}
+
+struct rollout_server *rollout_server_get(struct rollout *rollout, const char *name)
+{
+	struct rollout_server server, *s = rollout_server_find(rollout, name);
+
+	if (s)
+		return s;
+	memset(&server, 0, sizeof server);
+	server.name = strdup(name);
+	server.target_weights = strdup("");
+	arrput(rollout->servers, server);
+	return &arrlast(rollout->servers);
+}
+
+/* ---- weights ---- */
+
+static int is_digits(const char *text)
+{
+	return *text && strspn(text, "0123456789") == strlen(text);
+}
+
+int rollout_has_weights(const char *weights, const char *target_weights)
+{
+	if (!strcmp(weights, target_weights))
+		return 1;
+	if (!is_digits(weights) || !is_digits(target_weights))
+		return 0;
+	return strlen(weights) != strlen(target_weights) ? strlen(weights) > strlen(target_weights)
+							 : strcmp(weights, target_weights) > 0;
+}
+
+const char *rollout_instance_model(const struct controller *controller, const struct Nl__Instance *instance)
+{
+	const struct Nl__Row *service =
+	    instance->state == INSTANCE_SERVING
+		? config_table_get(&controller->config.table, NL__KIND__SERVICE, instance->service)
+		: NULL;
+
+	return service && service->model[0] ? service->model : NULL;
+}
+
+/* ---- from the intent to the command ---- */
+
+void rollout_intent_logged(struct controller *controller, const char *server, int64_t now)
+{
+	for (ptrdiff_t i = shlen(controller->rollout.intents) - 1; i >= 0; i--)
+		if (now - controller->rollout.intents[i].value > INTENT_TTL_MS)
+			(void)shdel(controller->rollout.intents, controller->rollout.intents[i].key);
+	shput(controller->rollout.intents, server, now);
+}
+
+int64_t rollout_commands_allowed_from(const struct rollout *rollout, const char *name)
+{
+	struct rollout_intent_logged *intents = rollout->intents;
+	ptrdiff_t i = shgeti(intents, name);
+	int64_t intended_at_ms = rollout->unknown_until_ms; /* at the latest */
+
+	if (i >= 0 && intents[i].value > intended_at_ms)
+		intended_at_ms = intents[i].value;
+	if (intended_at_ms > rollout->term_started_at_ms)
+		return 0;
+	return intended_at_ms + ROLLOUT_INTENT_MS + rollout->takeover_wait_ms;
+}
+
+int64_t rollout_commanded_since(const struct controller *controller, const struct rollout_server *server)
+{
+	return server->commanded_at_ms ? server->commanded_at_ms : controller->rollout.term_started_at_ms;
+}
+
+/* Publish to routers whether to count on a server; its weights stay what they are. */
+static void publish_loading(struct controller *controller, const struct rollout_server *server, int loading,
+			    int64_t now)
+{
+	const struct Nl__Instance *instance = instances_get(&controller->instances, server->name);
+	char *weights = instance ? strdup(instance->weights) : NULL;
+
+	if (weights)
+		instances_set_weights(&controller->instances, server->name, weights, loading, now);
+	free(weights);
+}
+
+static void set_target(struct rollout_server *server, const char *weights)
+{
+	free(server->target_weights);
+	server->target_weights = strdup(weights);
+}
+
+static void log_intent(struct controller *controller, struct rollout_server *server, const char *model,
+		       const char *weights, int64_t now, struct command_list *out)
+{
+	struct Nl__Operation operation = NL__OPERATION__INIT;
+	struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
+
+	rolled.service = (char *)model;
+	rolled.weights = (char *)weights;
+	rolled.server = server->name;
+	rolled.fence = controller->rollout.term << FENCE_SEQUENCE_BITS |
+		       (controller->rollout.command_seq & FENCE_SEQUENCE_MASK);
+	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
+	operation.rolled_out = &rolled;
+	if (!log_operation(controller, SHARD_CONTROL, &operation, now, out))
+		return;
+	server->state = ROLLOUT_INTENDED;
+	server->commanded_at_ms = now;
+	server->max_concurrent_loads = 1;
+	set_target(server, weights);
+	publish_loading(controller, server, 1, now); /* routers learn of it while the log is written */
+}
+
+void rollout_begin_command(struct controller *controller, struct rollout_server *server,
+			   const struct Nl__Row *model, const struct Nl__Instance *instance, int64_t now,
+			   struct command_list *out)
+{
+	if (!rollout_notice_ms(controller, model->name,
+			       rollout_due_at_ms(controller, model, instance->weights), now)) {
+		log_intent(controller, server, model->name, model->target_weights, now, out);
+		return;
+	}
+	server->state = ROLLOUT_NOTICE;
+	server->commanded_at_ms = now;
+	server->max_concurrent_loads = 1;
+	publish_loading(controller, server, 1, now);
+}
+
+/* Weights that became the target while the log was written are loaded at once. What runs at the server goes
+ * on under the new weights: to wait for its end would keep the server from all others for as long as its
+ * longest answer takes. */
+static void send_load_command(struct controller *controller, struct rollout_server *server,
+			      const struct Nl__Instance *instance, const char *model,
+			      const char *target_weights, int64_t intended_at_ms, int64_t now,
+			      struct command_list *out)
+{
+	int64_t not_after_ms =
+	    controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS;
+	struct command *command;
+
+	if (not_after_ms > intended_at_ms + ROLLOUT_INTENT_MS)
+		not_after_ms = intended_at_ms + ROLLOUT_INTENT_MS;
+	if (now >= not_after_ms || controller->rollout.is_fenced) {
+		server->state = ROLLOUT_IDLE;
+		publish_loading(controller, server, 0, now);
+		return;
+	}
+	set_target(server, target_weights);
+	server->state = ROLLOUT_COMMANDED;
+	server->command_token = ++controller->identity.last_token;
+	server->commanded_at_ms = now;
+	command = command_add(out, CMD_LOAD_WEIGHTS);
+	command->args.load_weights.token = server->command_token;
+	command->args.load_weights.addr = core_parse_addr(instance->addr);
+	command->args.load_weights.fencing_token = controller->rollout.term << FENCE_SEQUENCE_BITS |
+						   (++controller->rollout.command_seq & FENCE_SEQUENCE_MASK);
+	command->args.load_weights.server = apr_pstrdup(out->pool, instance->server);
+	command->args.load_weights.model = apr_pstrdup(out->pool, model);
+	command->args.load_weights.weights = apr_pstrdup(out->pool, server->target_weights);
+	command->args.load_weights.lease_holder =
+	    apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
+	command->args.load_weights.not_after_ms = not_after_ms;
+	command->args.load_weights.during_requests =
+	    mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN);
+	log_line(controller, "rollout", out->pool, "Server %s, on %s, is commanded to load %s of %s.",
+		 instance->server, instance->weights, server->target_weights, model);
+	/* instance may be another copy after this */
+	instances_set_weights(&controller->instances, server->name, instance->weights, 1, now);
+}
+
+/* ---- from the command to the end of the load ---- */
+
+static void poll_report(struct controller *controller, struct rollout_server *server,
+			const struct Nl__Instance *instance, const char *model, int64_t now,
+			struct command_list *out)
+{
+	ptrdiff_t k = shgeti(controller->rollout.models, model);
+	int load_ms = k < 0 ? 0 : controller->rollout.models[k].value.base_load_ms;
+	int64_t since_poll_ms = now - server->polled_at_ms;
+	struct command *command;
+
+	if (since_poll_ms < ROLLOUT_POLL_MS || now - server->commanded_at_ms < load_ms * 4 / 5 ||
+	    (server->poll_token && since_poll_ms < ROLLOUT_REPLY_TIMEOUT_MS))
+		return;
+	server->poll_token = ++controller->identity.last_token;
+	server->polled_at_ms = now;
+	command = command_add(out, CMD_POLL_REPORT);
+	command->args.poll_report.token = server->poll_token;
+	command->args.poll_report.addr = core_parse_addr(instance->addr);
+	command->args.poll_report.server = apr_pstrdup(out->pool, instance->server);
+	command->args.poll_report.model = apr_pstrdup(out->pool, model);
+	command->args.poll_report.not_after_ms = now + ROLLOUT_REPLY_TIMEOUT_MS;
+}
+
+void rollout_follow_up(struct controller *controller, struct rollout_server *server,
+		       const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
+		       struct command_list *out)
+{
+	if (server->state == ROLLOUT_NOTICE) {
+		if (now - server->commanded_at_ms >=
+		    rollout_notice_ms(controller, model->name,
+				      rollout_due_at_ms(controller, model, instance->weights), now))
+			log_intent(controller, server, model->name, model->target_weights, now, out);
+		return;
+	}
+	if (server->state == ROLLOUT_INTENDED) {
+		ptrdiff_t k = shgeti(controller->rollout.intents, server->name);
+
+		if (k >= 0 && controller->rollout.intents[k].value >= server->commanded_at_ms) {
+			send_load_command(controller, server, instance, model->name, model->target_weights,
+					  controller->rollout.intents[k].value, now, out);
+		} else if (now - server->commanded_at_ms > ROLLOUT_INTENT_MS) {
+			server->state = ROLLOUT_IDLE; /* the log stands still */
+			publish_loading(controller, server, 0, now);
+		}
+		return;
+	}
+	if (server->state == ROLLOUT_COMMANDED && now - server->commanded_at_ms >= ROLLOUT_REPLY_TIMEOUT_MS)
+		server->state = ROLLOUT_UNCONFIRMED;
+	if (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED) {
+		if (rollout_has_weights(instance->weights, model->target_weights)) { /* the list says so */
+			server->state = ROLLOUT_IDLE;
+			instances_set_weights(&controller->instances, server->name, instance->weights, 0,
+					      now);
+		} else if (now >= server->commanded_at_ms + ROLLOUT_POLL_MS) {
+			poll_report(controller, server, instance, model->name, now, out);
+		}
+	}
+}
+
+/* A command has got no clear answer, or was rejected with another status than those that say more. */
+static void on_unclear_reply(struct controller *controller, struct rollout_server *server,
+			     const struct Nl__Instance *instance, int status, int never_sent, int64_t now,
+			     struct command_list *out)
+{
+	if (never_sent) {
+		server->state = ROLLOUT_IDLE;
+		server->retry_at_ms = now + NEVER_SENT_BACKOFF_MS;
+		instances_set_weights(&controller->instances, server->name, instance->weights, 0, now);
+		return;
+	}
+	server->state = ROLLOUT_UNCONFIRMED;
+	server->retry_at_ms = now + (status ? ROLLOUT_REJECTED_BACKOFF_MS : 0);
+	if (status)
+		log_line(controller, "rollout", out->pool, "Server %s answers a load command with %d.",
+			 server->name, status);
+}
+
+void rollout_on_command_reply(struct controller *controller, uint64_t token, int status, int never_sent,
+			      int64_t now, struct command_list *out)
+{
+	struct rollout_server *server = NULL;
+	const struct Nl__Instance *instance;
+
+	for (ptrdiff_t i = 0; i < arrlen(controller->rollout.servers) && token; i++)
+		if (controller->rollout.servers[i].command_token == token)
+			server = &controller->rollout.servers[i];
+	instance = server ? instances_get(&controller->instances, server->name) : NULL;
+	if (!instance)
+		return;
+	server->command_token = 0;
+	switch (status) {
+	case 200:
+		server->state = ROLLOUT_IDLE;
+		instances_set_weights(&controller->instances, server->name, server->target_weights, 0, now);
+		break;
+	case 202:
+		server->state = ROLLOUT_LOADING;
+		break;
+	case 412:
+		if (!controller->rollout.is_fenced)
+			log_line(controller, "rollout", out->pool,
+				 "Server %s has seen a higher fence; no load commands until the next term.",
+				 server->name);
+		controller->rollout.is_fenced = 1;
+		server->state = ROLLOUT_UNCONFIRMED;
+		break;
+	case 421:
+		instances_mark_ended(&controller->instances, server->name, now);
+		break;
+	case 409: /* it loads other weights: commanded again when a poll shows that it is done */
+		server->state = ROLLOUT_UNCONFIRMED;
+		break;
+	default:
+		on_unclear_reply(controller, server, instance, status, never_sent, now, out);
+		break;
+	}
+}
+
+void rollout_on_poll_reply(struct controller *controller, uint64_t token, int status, const char *weights,
+			   int loading, int64_t now)
+{
+	struct rollout_server *server = NULL;
+	const struct Nl__Instance *instance;
+	const char *model;
+	ptrdiff_t k;
+
+	for (ptrdiff_t i = 0; i < arrlen(controller->rollout.servers) && token; i++)
+		if (controller->rollout.servers[i].poll_token == token)
+			server = &controller->rollout.servers[i];
+	instance = server ? instances_get(&controller->instances, server->name) : NULL;
+	model = instance ? rollout_instance_model(controller, instance) : NULL;
+	if (!model)
+		return;
+	server->poll_token = 0;
+	if (status == 421) {
+		instances_mark_ended(&controller->instances, server->name, now);
+		return;
+	}
+	k = shgeti(controller->rollout.models, model);
+	if (status != 200 || !weights || k < 0 ||
+	    (server->state != ROLLOUT_LOADING && server->state != ROLLOUT_UNCONFIRMED))
+		return;
+	if (loading) {
+		server->state = ROLLOUT_LOADING;
+		instances_set_weights(&controller->instances, server->name, weights, 1, now);
+		return;
+	}
+	if (!rollout_has_weights(weights, server->target_weights) &&
+	    server->polled_at_ms < rollout_commanded_since(controller, server) + ROLLOUT_REPORT_LAG_MS)
+		return; /* the report may be older than the command */
+	if (!strcmp(weights, server->target_weights))
+		rollout_pace_learn(controller, server, model, now);
+	server->state = ROLLOUT_IDLE;
+	instances_set_weights(&controller->instances, server->name, weights, 0, now);
+}
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -32,6 +32,7 @@
 	}
 }
 
+/* How long one load takes; a tenth of the bound until it is known. */
 static int64_t load_duration_ms_of(const struct controller *controller, const struct rollout_pace *pace)
 {
 	return pace->base_load_ms ? pace->base_load_ms : controller->bounds.rollout_ms / 10;
@@ -39,11 +40,17 @@
 
 static int64_t notice_ms_of(const struct controller *controller, const struct rollout_pace *pace)
 {
-	int64_t ms = load_duration_ms_of(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
+	int64_t notice_ms = load_duration_ms_of(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
 
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN))
 		return 0;
-	return ms < ROLLOUT_NOTICE_MAX_MS ? ms : ROLLOUT_NOTICE_MAX_MS;
+	return notice_ms < ROLLOUT_NOTICE_MAX_MS ? notice_ms : ROLLOUT_NOTICE_MAX_MS;
+}
+
+/* What is left of the bound after so many per cent of it. */
+static int64_t reserve_ms_after(const struct controller *controller, int percent)
+{
+	return (int64_t)controller->bounds.rollout_ms * (100 - percent) / 100;
 }
 
 int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t due_at_ms,
@@ -53,12 +60,12 @@
 	ptrdiff_t k = shgeti(models, model);
 	struct rollout_pace none = { 0 };
 	const struct rollout_pace *pace = k >= 0 ? &models[k].value : &none;
-	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
+	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 
-	return due_at_ms == INT64_MIN ||
-		       now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms
-		   ? 0
-		   : notice_ms_of(controller, pace);
+	if (due_at_ms == INT64_MIN ||
+	    now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms)
+		return 0;
+	return notice_ms_of(controller, pace);
 }
 
 int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model,
@@ -67,17 +74,18 @@
 	const struct Nl__TargetVersion *next_version =
 	    version_history_after(model, strtoull(weights, NULL, 10));
 
-	return next_version ? (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms -
-				  controller->clocks.group_offset_ms
-			    : INT64_MIN;
+	if (!next_version)
+		return INT64_MIN;
+	return (int64_t)next_version->targeted_at_ms + controller->bounds.rollout_ms -
+	       controller->clocks.group_offset_ms;
 }
 
-/* How many servers have to load at once so that each has loaded in the time that is planned for. due: when
- * those are due that are yet to be told, soonest first. *urgent: for how many of them that time is over. */
+/* How many servers have to load at once so that each has loaded in the planned time. due_at_ms: of those that
+ * are yet to be commanded, soonest first. *urgent: for how many of them that time is over. */
 static int needed_concurrency(const struct controller *controller, const int64_t *due_at_ms, int loading,
 			      int64_t load_duration_ms, int64_t now, int *urgent)
 {
-	int64_t reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_PLANNED_PERCENT) / 100;
+	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 	int needed = 0;
 
 	*urgent = 0;
@@ -93,39 +101,43 @@
 	return needed;
 }
 
+/* Some servers are urgent: all of them at once, or while more at once don't help, or have not shown that they
+ * do, a few more, which keep as busy as all would. */
+static int urgent_concurrency(const struct controller *controller, const struct rollout_pace *pace,
+			      int urgent, const int64_t *due_at_ms, int loading, int64_t now)
+{
+	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_DEADLINE_PERCENT);
+	int more_helps =
+	    !pace->is_saturated && (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
+	int all = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
+
+	if (more_helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms)
+		return all;
+	return all <= 2 * pace->base_concurrency ? all : 2 * pace->base_concurrency;
+}
+
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
 			const int64_t *due_at_ms, int loading, int64_t now)
 {
-	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace),
-		reserve_ms = (int64_t)controller->bounds.rollout_ms * (100 - ROLLOUT_DEADLINE_PERCENT) / 100;
+	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace);
 	int urgent, needed;
 
-	if (!pace->base_concurrency)
-		pace->base_concurrency = pace->concurrency =
-		    (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
-	needed = needed_concurrency(controller, due_at_ms, loading, load_duration_ms, now, &urgent);
-	if (urgent) {
-		int helps = !pace->is_saturated &&
-			    (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
-		int concurrency = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
-
-		/* while more don't help, or have not shown that they do, a few more keep as busy as all */
-		return helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms ||
-			       concurrency <= 2 * pace->base_concurrency
-			   ? concurrency
-			   : 2 * pace->base_concurrency;
+	if (!pace->base_concurrency) {
+		pace->base_concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
+		pace->concurrency = pace->base_concurrency;
 	}
+	needed = needed_concurrency(controller, due_at_ms, loading, load_duration_ms, now, &urgent);
+	if (urgent)
+		return urgent_concurrency(controller, pace, urgent, due_at_ms, loading, now);
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
 	if (!loading)
 		pace->loading_since_ms = now;
-	if (pace->is_saturated ||
-	    (!pace->base_load_ms &&
-	     now - pace->loading_since_ms < 2 * load_duration_ms)) /* the first ones show how long it takes */
+	if (pace->is_saturated)
 		return pace->concurrency;
-	if (needed > 2 * pace->base_concurrency &&
-	    pace->extra_samples <
-		2 * pace->base_concurrency) /* not further before it has shown that it helps */
-		needed = 2 * pace->base_concurrency;
+	if (!pace->base_load_ms && now - pace->loading_since_ms < 2 * load_duration_ms)
+		return pace->concurrency; /* the first ones show how long it takes */
+	if (needed > 2 * pace->base_concurrency && pace->extra_samples < 2 * pace->base_concurrency)
+		needed = 2 * pace->base_concurrency; /* not further before it has shown that it helps */
 	return needed > pace->concurrency ? needed : pace->concurrency;
 }
