--- a/emulator/clients.c
+++ b/emulator/clients.c
@@ -1,577 +1,13 @@
-/* The entry and the clients: connections go to the edges of a zone by hash; requests come as the sheet has
- * them, try again as told, and every answer is checked. */
+/* The clients: requests arrive at the rates of the deployment's sheet, exponentially spaced; probes of routes
+ * and keys; the clients' time-outs. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "containers.h"
-#include "platform_run.h"
+#include "clients_internal.h"
 
-enum {
-	TIMES_AS_LONG = 20, /* the answers of some requests on a planned day */
-	LONG_PROBE =
-	    200, /* tokens: such a probe is under way for a second or more, while its route or key goes */
-	DEFAULT_IDLE_MS = 10000 /* how long a connection may rest before any configuration is known */
-};
-
-struct pooled_conn {
-	struct conn *conn;
-	int machine, busy;
-	int64_t idle_until_ms, idle_since_ms;
-};
-struct client {
-	int zone, tenant;
-	uint64_t hash;
-	struct pooled_conn *connections; /* stb array */
-};
-
-struct subject { /* what a client wants, over all its tries */
-	struct clients *clients;
-	struct client *client;
-	int class_id, attempts, prompt_tokens, output_tokens, last_event_id, is_done, extra, is_probe,
-	    was_refused, avoid[4], avoid_count;
-	int64_t created_at_ms, first_event_at_ms, last_event_at_ms, longest_gap_ms, refused_after_ms;
-	double value, size;
-	char path[160], blocks_header[200], body[600], key[64], host[80];
-	int transit_late;
-};
-
-struct attempt {
-	struct subject *request;
-	struct clients *clients;
-	struct conn *conn;
-	int machine, is_new_connection, status, seal_run, is_own_answer, is_stream, sent, bytes, done,
-	    resumed_from, was_read;
-	int64_t started_at_ms, deadline_at_ms, last_received_at_ms;
-	char id[24], seal_id[40], *unparsed; /* stb array: what of a stream is not read yet */
-	double retry_after;
-	int keep_alive, keep_alive_s;
-	struct stream_event *events;
-};
-
-struct clients {
-	struct run *run;
-	struct client *client; /* stb arrays */
-	struct attempt **in_flight;
-	struct subject **retrying;
-	uint64_t poll_timer, probes_timer, ready_timer, last_id;
-	double arrival_credit[CLASS_COUNT];
-	int64_t last_poll_at_ms;
-	int traffic_on, extra_routes, probing, long_every, closing, requests;
-	char keys[16][64];
-};
-
-static const struct conn_handlers on_answer;
-
-static void start_attempt(struct subject *subject, int fresh);
-static void finish_request(struct subject *subject);
-
-/* ---- the entry ---- */
-
-struct probe {
-	struct run *run;
-	int machine;
-};
-
-static void on_readiness(void *ctx, int status, const struct http_message *message)
-{
-	struct probe *probe = ctx;
-	struct machine *machine = &probe->run->machines[probe->machine];
-
-	(void)message;
-	if (status == 200) {
-		if (!machine->in_rotation && probe->run->verbose)
-			run_log(probe->run, "%s is ready", machine->name);
-		machine->probe_failures = 0;
-		machine->in_rotation = !machine->removed;
-	} else if (++machine->probe_failures >= 2) {
-		if (machine->in_rotation && probe->run->verbose)
-			run_log(probe->run, "%s is out: not ready (%d)", machine->name, status);
-		machine->in_rotation = 0;
-	}
-	free(probe);
-}
-
-static void poll_readiness(void *ctx)
-{
-	struct clients *clients = ctx;
-	struct run *run = clients->run;
-
-	clients->ready_timer = loop_after(run->loop, ms_us(1000), poll_readiness, clients);
-	for (int i = 0; i < run->machine_count; i++) {
-		struct probe *probe;
-
-		if (run->machines[i].is_core || run->machines[i].removed)
-			continue;
-		probe = calloc(1, sizeof *probe);
-		probe->run = run;
-		probe->machine = i;
-		call_once(run->loop, run->machines[i].readiness_address, "GET", "/readiness", "", NULL, 900,
-			  on_readiness, probe);
-	}
-}
-
-static int pick_edge(struct clients *clients, const struct client *who, const struct subject *subject)
-{
-	struct run *run = clients->run;
-
-	for (int z = 0; z < 4; z++) { /* its own zone first, then the next ones */
-		const char *zone = run->sheet->zone[(who->zone + z) % 4];
-		int in[MAX_MACHINES], all[MAX_MACHINES], nin = 0, nall = 0, n, *from;
-
-		for (int i = 0; i < run->machine_count; i++) {
-			if (run->machines[i].is_core || run->machines[i].removed ||
-			    strcmp(run->machines[i].zone, zone))
-				continue;
-			all[nall++] = i;
-			if (run->machines[i].in_rotation)
-				in[nin++] = i;
-		}
-		if (!nin)
-			continue;
-		from = nin * 2 < nall ? all : in;
-		n = nin * 2 < nall ? nall : nin;
-		for (int k = 0; k < n; k++) { /* further tries meet other nodes */
-			int m = from[(who->hash + (uint64_t)subject->attempts + (uint64_t)k) % (uint64_t)n],
-			    met = 0;
-
-			for (int x = 0; x < subject->avoid_count; x++)
-				met |= subject->avoid[x] == m;
-			if (!met)
-				return m;
-		}
-		if (z == 3 || n > 1 || !subject->avoid_count)
-			return from[(who->hash + (uint64_t)subject->attempts) % (uint64_t)n];
-	}
-	for (int i = 0; i < run->machine_count; i++) /* nobody is in: whoever there is */
-		if (!run->machines[i].is_core && !run->machines[i].removed)
-			return i;
-	return NO_MACHINE;
-}
-
-/* ---- tries ---- */
-
-static void forget_connection(struct clients *clients, const struct conn *conn)
-{
-	for (int i = 0; i < arrlen(clients->client); i++)
-		for (int k = arrlen(clients->client[i].connections) - 1; k >= 0; k--)
-			if (clients->client[i].connections[k].conn == conn)
-				arrdelswap(clients->client[i].connections, k);
-}
-
-static struct pooled_conn *pooled_conn_of(struct client *who, const struct conn *conn)
-{
-	for (int k = 0; k < arrlen(who->connections); k++)
-		if (who->connections[k].conn == conn)
-			return &who->connections[k];
-	return NULL;
-}
-
-static struct second *second_of(struct run *run, int64_t at_ms)
-{
-	int64_t s = (at_ms - run->traffic_started_at_ms) / 1000;
-
-	return &run->figures.seconds[s < 0 ? 0 : s >= MAX_SECONDS ? MAX_SECONDS - 1 : s];
-}
-
-static void attempt_free(struct attempt *attempt)
-{
-	for (int i = 0; i < arrlen(attempt->clients->in_flight); i++)
-		if (attempt->clients->in_flight[i] == attempt) {
-			arrdelswap(attempt->clients->in_flight, i);
-			break;
-		}
-	arrfree(attempt->unparsed);
-	arrfree(attempt->events);
-	free(attempt);
-}
-
-static int repeatable(const struct run *run, const struct subject *subject)
-{
-	return run->sheet->classes[subject->class_id].resumable;
-}
-
-static void later(void *ctx)
-{
-	struct subject *subject = ctx;
-
-	for (int i = 0; i < arrlen(subject->clients->retrying); i++)
-		if (subject->clients->retrying[i] == subject) {
-			arrdelswap(subject->clients->retrying, i);
-			break;
-		}
-	start_attempt(subject, 1);
-}
-
-/* A try is over; what now? */
-static void attempt_over(struct attempt *attempt, enum told how)
-{
-	struct subject *subject = attempt->request;
-	struct clients *clients = attempt->clients;
-	struct run *run = clients->run;
-	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
-	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
-	struct answer_record answer;
-	int promise = attempt->status == 429 || attempt->status == 503 || attempt->status == 408 ||
-		      attempt->status == 421;
-	int final = attempt->status == 400 || attempt->status == 401 || attempt->status == 404 ||
-		    attempt->status == 413 || attempt->status == 431;
-	int complete = how == ANSWER_COMPLETE && attempt->status >= 200 && attempt->status < 300, retry;
-	struct pooled_conn *kept_conn = attempt->conn ? pooled_conn_of(subject->client, attempt->conn) : NULL;
-
-	if (attempt->done)
-		return;
-	attempt->done = 1;
-	memset(&answer, 0, sizeof answer);
-	answer.id = attempt->id;
-	answer.seal_id = attempt->seal_id[0] ? attempt->seal_id : NULL;
-	answer.status = attempt->status;
-	answer.seal_run = attempt->seal_run;
-	answer.is_own_answer = attempt->is_own_answer;
-	answer.was_read = attempt->was_read;
-	answer.outcome = how;
-	answer.is_stream = attempt->is_stream;
-	answer.events = attempt->events;
-	answer.event_count = (int)arrlen(attempt->events);
-	checker_record_answer(run->checker, now, &answer);
-	if (attempt->conn) {
-		if (how == ANSWER_COMPLETE && attempt->keep_alive && kept_conn) {
-			kept_conn->busy = 0;
-			kept_conn->idle_since_ms = now;
-			kept_conn->idle_until_ms =
-			    attempt->keep_alive_s > 0 ? now + attempt->keep_alive_s * 1000 - 300 : INT64_MAX;
-			conn_set_handlers(attempt->conn, &on_answer,
-					  clients); /* nothing is due: what comes now is surplus */
-			conn_set_tag(attempt->conn, NULL);
-		} else {
-			forget_connection(clients, attempt->conn);
-			conn_close(attempt->conn, how == ANSWER_ABANDONED);
-		}
-	}
-	if (run->verbose > 1 && !complete)
-		run_log(run, "client: try %s of %s at %s: %d, how %d, %lld ms, events %d", attempt->id,
-			class->name, run->machines[attempt->machine].name, attempt->status, (int)how,
-			(long long)(now - attempt->started_at_ms), (int)arrlen(attempt->events));
-	if (how == ANSWER_CUT_OFF || how == ANSWER_GARBLED)
-		run->figures.cut_off++;
-	if (how == ANSWER_NONE)
-		run->figures.no_answer++;
-	if (subject->is_probe) {
-		attempt_free(attempt);
-		free(subject);
-		return;
-	}
-	if (arrlen(attempt->events))
-		subject->last_event_id = arrlast(attempt->events).id;
-	retry = !complete && !final && subject->attempts <= class->retries && remaining_ms > 50 &&
-		how != ANSWER_ABANDONED && !clients->closing;
-	if (how == ANSWER_ABANDONED && repeatable(run, subject) && subject->attempts <= class->retries &&
-	    remaining_ms > 50 && !clients->closing)
-		retry = 1;
-	if (promise && how == ANSWER_COMPLETE && !subject->was_refused) {
-		subject->was_refused = 1;
-		subject->refused_after_ms = now - subject->created_at_ms;
-	}
-	if (retry && !(promise && how == ANSWER_COMPLETE) && !repeatable(run, subject) && how != ANSWER_NONE)
-		retry = 0;
-	if (retry && how == ANSWER_NONE && !repeatable(run, subject) && attempt->sent &&
-	    !attempt->is_new_connection)
-		retry = 0; /* it may have been read */
-	if (complete) {
-		int64_t gap_most = class->gap_target_ms,
-			first = subject->first_event_at_ms - subject->created_at_ms;
-		int timely = subject->first_event_at_ms && first <= class->latency_target_ms &&
-			     subject->longest_gap_ms <= gap_most && !subject->transit_late;
-
-		run->figures.completed[subject->class_id]++;
-		second_of(run, subject->created_at_ms)->completed++;
-		run->figures.late[subject->class_id] += !timely;
-		run->figures.value_earned +=
-		    !timely ? subject->value * class->late_value / class->value
-		    : subject->was_refused && subject->refused_after_ms <= class->latency_target_ms / 4 &&
-			    subject->attempts > 1
-			? subject->value * (1 + class->late_value / class->value) / 2
-			: subject->value;
-		histogram_add(&run->figures.longest_gap_ms[subject->class_id], subject->longest_gap_ms);
-	} else if (!retry) {
-		if (promise)
-			second_of(run, subject->created_at_ms)->refused++, run->figures.refused++;
-		else
-			second_of(run, subject->created_at_ms)->failed++;
-	}
-	if (subject->avoid_count < 4)
-		subject->avoid[subject->avoid_count++] = attempt->machine;
-	if (retry) {
-		double wait = promise && attempt->retry_after > 0 ? attempt->retry_after * 1000 : 20;
-
-		if (wait > (double)remaining_ms / 3)
-			wait = (double)remaining_ms / 3;
-		arrput(clients->retrying, subject);
-		loop_after(run->loop, ms_us(wait), later, subject);
-	} else {
-		finish_request(subject);
-	}
-	attempt_free(attempt);
-}
-
-static void finish_request(struct subject *subject)
-{
-	free(subject);
-}
-
-static void on_event(struct attempt *attempt, char *text)
-{
-	struct subject *subject = attempt->request;
-	struct run *run = attempt->clients->run;
-	int64_t now = run_ms(run);
-	struct stream_event event = { -1, -1 };
-	long long made = 0;
-
-	for (char *line = strtok(text, "\n"); line; line = strtok(NULL, "\n")) {
-		int k;
-
-		if (!strncmp(line, "id:", 3))
-			event.id = atoi(line + 3);
-		else if (!strncmp(line, "data:", 5))
-			sscanf(line + 5, "%d %d %lld", &event.run_id, &k, &made);
-	}
-	arrput(attempt->events, event);
-	if (!subject->first_event_at_ms) {
-		subject->first_event_at_ms = now;
-		if (!subject->is_probe) {
-			histogram_add(&run->figures.first_event_ms[subject->class_id],
-				      now - subject->created_at_ms);
-			histogram_add(&second_of(run, subject->created_at_ms)->first_event,
-				      now - subject->created_at_ms);
-		}
-	} else if (now - subject->last_event_at_ms > subject->longest_gap_ms) {
-		subject->longest_gap_ms = now - subject->last_event_at_ms;
-	}
-	subject->last_event_at_ms = now;
-	if (made) {
-		int64_t late = (loop_us() - made) / 1000;
-
-		histogram_add(&run->figures.transit_ms, late);
-		subject->transit_late |= late > run->bounds.transit_ms;
-	}
-}
-
-static void on_head(void *ctx, struct conn *c, struct http_message *message)
-{
-	struct attempt *attempt = conn_tag(c);
-	const char *v;
-
-	(void)ctx;
-	if (!attempt)
-		return;
-	attempt->last_received_at_ms = run_ms(attempt->clients->run);
-	attempt->status = message->status;
-	attempt->keep_alive = message->keep_alive;
-	v = http_message_field(message, "X-Notchlug-Server-Seal");
-	attempt->seal_run = v ? atoi(v) : -1;
-	attempt->is_own_answer = !v && !http_message_field(message, "X-Notchlug-Not-Executed");
-	v = http_message_field(message, "X-Notchlug-Attempt-Id");
-	snprintf(attempt->seal_id, sizeof attempt->seal_id, "%s", v ? v : "");
-	v = http_message_field(message, "Content-Type");
-	attempt->is_stream = v && !strncmp(v, "text/event-stream", 17);
-	v = http_message_field(message, "Retry-After");
-	attempt->retry_after = v ? atof(v) : 0;
-	v = http_message_field(message, "Keep-Alive");
-	v = v ? strstr(v, "timeout=") : NULL;
-	attempt->keep_alive_s = v ? atoi(v + 8) : 0;
-}
-
-static void on_data(void *ctx, struct conn *conn, const char *d, size_t n)
-{
-	struct attempt *attempt = conn_tag(conn);
-
-	(void)ctx;
-	if (!attempt)
-		return;
-	attempt->last_received_at_ms = run_ms(attempt->clients->run);
-	if (!attempt->is_stream)
-		return;
-	memcpy(arraddnptr(attempt->unparsed, n), d, n);
-	for (;;) {
-		size_t k, len = arrlenu(attempt->unparsed);
-		char *one;
-
-		for (k = 0;
-		     k + 1 < len && !(attempt->unparsed[k] == '\n' && attempt->unparsed[k + 1] == '\n'); k++)
-			;
-		if (k + 1 >= len)
-			return;
-		one = strndup(attempt->unparsed, k);
-		arrdeln(attempt->unparsed, 0, k + 2);
-		on_event(attempt, one);
-		free(one);
-	}
-}
-
-static void on_whole(void *ctx, struct conn *conn, struct http_message *message)
-{
-	struct attempt *attempt = conn_tag(conn);
-
-	(void)ctx;
-	if (!attempt)
-		return;
-	attempt->keep_alive = message->keep_alive;
-	if (attempt->clients->run->verbose > 1 && attempt->status >= 300)
-		run_log(attempt->clients->run, "client: %s got %d: %.200s", attempt->id, attempt->status,
-			message->body ? message->body : "");
-	attempt_over(attempt, ANSWER_COMPLETE);
-}
-
-static void on_gone(void *ctx, struct conn *c, enum conn_end how)
-{
-	struct clients *all = ctx;
-	struct attempt *attempt = conn_tag(c);
-
-	if (!attempt) { /* an idle one */
-		forget_connection(all, c);
-		if (how == CONN_SURPLUS) {
-			struct answer_record answer = { .outcome = ANSWER_UNSOLICITED };
-
-			all->run->figures.unsolicited++;
-			checker_record_answer(all->run->checker, run_ms(all->run), &answer);
-		}
-		return;
-	}
-	forget_connection(all, c);
-	attempt->conn = NULL;
-	attempt_over(attempt, how == CONN_BAD                         ? ANSWER_GARBLED
-			      : attempt->status || how == CONN_CLOSED ? ANSWER_CUT_OFF
-								      : ANSWER_NONE);
-}
-
-static const struct conn_handlers on_answer = {
-	.head = on_head, .data = on_data, .complete = on_whole, .closed = on_gone
-};
-
-/* How long a connection may have rested that is taken up again: four fifths of IdleTimeoutMs, where that is
- * known. */
-static int64_t max_idle_ms(const struct run *run)
-{
-	int idle = run->operator? operator_idle_timeout(run->operator) : 0;
-
-	return idle ? idle * 4 / 5 : DEFAULT_IDLE_MS;
-}
-
-static void start_attempt(struct subject *subject, int fresh)
-{
-	struct clients *clients = subject->clients;
-	struct run *run = clients->run;
-	const struct traffic_class *class = &run->sheet->classes[subject->class_id];
-	struct attempt *attempt;
-	struct attempt_record t;
-	int64_t now = run_ms(run), remaining_ms = subject->created_at_ms + class->deadline_ms - now;
-	struct pooled_conn *pooled = NULL;
-	struct conn *conn;
-	char head[1400], resume_field[60] = "";
-	int machine = subject->is_probe ? subject->avoid[0] : pick_edge(clients, subject->client, subject),
-	    chunked = (subject->output_tokens & 7) == 0;
-	size_t n = strlen(subject->body);
-
-	if (remaining_ms <= 0 || machine == NO_MACHINE || clients->closing) {
-		if (!subject->is_probe)
-			second_of(run, subject->created_at_ms)->failed++;
-		finish_request(subject);
-		return;
-	}
-	attempt = calloc(1, sizeof *attempt);
-	attempt->request = subject;
-	attempt->clients = clients;
-	attempt->seal_run = -1;
-	attempt->is_own_answer = 1;
-	attempt->started_at_ms = attempt->last_received_at_ms = now;
-	attempt->deadline_at_ms = subject->created_at_ms + class->deadline_ms;
-	attempt->machine = machine;
-	snprintf(attempt->id, sizeof attempt->id, "%016llx",
-		 (unsigned long long)emulator_hash(run->seed, &(uint64_t){ ++clients->last_id }, 8));
-	for (int i = arrlen(subject->client->connections) - 1; i >= 0 && !fresh;
-	     i--) { /* connections stay with their nodes */
-		struct pooled_conn *old = &subject->client->connections[i];
-
-		if (old->busy)
-			continue;
-		if (now > old->idle_until_ms || now > old->idle_since_ms + max_idle_ms(run)) {
-			conn_set_tag(old->conn, NULL);
-			conn_close(old->conn, 0);
-			arrdelswap(subject->client->connections, i);
-		}
-	}
-	for (int i = 0; i < arrlen(subject->client->connections) && !fresh && !pooled; i++)
-		if (!subject->client->connections[i].busy)
-			pooled = &subject->client->connections[i];
-	if (pooled) {
-		pooled->busy = 1;
-		attempt->conn = pooled->conn;
-		attempt->machine = pooled->machine;
-		run->figures.draining_reuses += run->machines[attempt->machine].draining;
-		conn_set_handlers(attempt->conn, &on_answer, clients);
-	} else {
-		attempt->is_new_connection = 1;
-		attempt->conn =
-		    conn_connect(run->loop, run->machines[machine].front_address, &on_answer, clients);
-		if (attempt->conn) {
-			struct pooled_conn made = { attempt->conn, machine, 1, 0, 0 };
-
-			arrput(subject->client->connections, made);
-		}
-	}
-	subject->attempts++;
-	run->figures.attempts++;
-	attempt->resumed_from = subject->last_event_id;
-	memset(&t, 0, sizeof t);
-	t.id = attempt->id;
-	t.subject = subject->path;
-	t.method = "POST";
-	t.host = subject->host;
-	t.path = subject->path;
-	t.key = subject->key;
-	t.body = emulator_hash(0, subject->body, n);
-	t.machine = attempt->machine;
-	t.kind = class->resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
-	t.last_event = subject->last_event_id;
-	t.is_probe = subject->is_probe;
-	t.expects_stream = 1;
-	t.timeout_ms = remaining_ms;
-	t.class_id = subject->class_id;
-	checker_record_attempt(run->checker, now, &t);
-	arrput(clients->in_flight, attempt);
-	if (!attempt->conn) {
-		attempt_over(attempt, ANSWER_NONE);
-		return;
-	}
-	conn = attempt->conn;
-	conn_set_tag(conn, attempt);
-	if (subject->last_event_id)
-		snprintf(resume_field, sizeof resume_field, "Last-Event-Id: %d\r\n", subject->last_event_id);
-	snprintf(
-	    head, sizeof head,
-	    "POST %s HTTP/1.1\r\nHost: %s\r\nX-Notchlug-Attempt-Id: %s\r\n%sX-Notchlug-Model-Name: %s\r\nX-Notchlug-Token-Count: %d,%d\r\n"
-	    "X-Notchlug-Prompt-Prefix: %s\r\nX-Notchlug-Deadline-Remaining: %lld\r\nX-Api-Key: %s\r\n",
-	    subject->path, subject->host, attempt->id, resume_field, run->sheet->model,
-	    subject->prompt_tokens, subject->output_tokens, subject->blocks_header, (long long)remaining_ms,
-	    subject->key);
-	conn_expect(conn);
-	conn_write(conn, head, strlen(head));
-	if (chunked) {
-		conn_writef(conn, "Transfer-Encoding: chunked\r\n\r\n%zx\r\n", n / 2);
-		conn_write(conn, subject->body, n / 2);
-		conn_writef(conn, "\r\n%zx\r\n", n - n / 2);
-		conn_write(conn, subject->body + n / 2, n - n / 2);
-		conn_write(conn, "\r\n0\r\n\r\n", 7);
-	} else {
-		conn_writef(conn, "Content-Length: %zu\r\n\r\n", n);
-		conn_write(conn, subject->body, n);
-	}
-	attempt->sent = 1;
-}
-
-/* ---- arrivals ---- */
-
-static int spread(uint64_t *rng, int average) /* most are smaller, some a few times as large */
+static int draw_size(uint64_t *rng, int average) /* most are smaller, some a few times as large */
 {
 	double x = emulator_random_unit(rng), y = emulator_random_unit(rng);
 	double v = average * (0.3 + 1.0 * x * y * 2.8);
@@ -579,11 +15,11 @@
 	return v < 1 ? 1 : (int)v;
 }
 
-static void want(struct clients *clients, int cls)
+static void create_request(struct clients *clients, int cls)
 {
 	struct run *run = clients->run;
 	const struct traffic_class *class = &run->sheet->classes[cls];
-	struct subject *subject = calloc(1, sizeof *subject);
+	struct client_request *subject = calloc(1, sizeof *subject);
 	uint64_t thing = emulator_random(&run->rng) % (uint64_t) class->topic_count, seed;
 	int own, shared;
 	size_t n;
@@ -593,9 +29,9 @@
 	subject->created_at_ms = run_ms(run);
 	subject->client = &clients->client[emulator_random(&run->rng) % arrlenu(clients->client)];
 	seed = thing * 31 + (uint64_t)cls;
-	shared = spread(&seed, class->shared_tokens);
-	own = spread(&run->rng, class->own_tokens);
-	subject->output_tokens = spread(&run->rng, class->output_tokens);
+	shared = draw_size(&seed, class->shared_tokens);
+	own = draw_size(&run->rng, class->own_tokens);
+	subject->output_tokens = draw_size(&run->rng, class->output_tokens);
 	if (clients->long_every && clients->requests % clients->long_every == 0)
 		subject->output_tokens *= TIMES_AS_LONG;
 	subject->prompt_tokens = shared + own;
@@ -624,8 +60,8 @@
 	run->figures.value_offered += subject->value;
 	run->figures.requests[cls]++;
 	clients->requests++;
-	second_of(run, subject->created_at_ms)->requests++;
-	start_attempt(subject, 0);
+	client_second_of(run, subject->created_at_ms)->requests++;
+	client_start_attempt(subject, 0);
 }
 
 /* Straight to each edge, on what came or went lately or never was: which configuration is in force there? */
@@ -638,10 +74,10 @@
 	if (!clients->probing || clients->closing)
 		return;
 	for (int i = 0; i < run->machine_count; i++) {
-		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->operator)
-								: operator_removed(run->operator),
+		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->config_operator)
+								: operator_removed(run->config_operator),
 			   *key;
-		struct subject *subject;
+		struct client_request *subject;
 
 		if (run->machines[i].is_core || run->machines[i].removed || !run->machines[i].in_rotation)
 			continue;
@@ -654,7 +90,7 @@
 		subject->avoid[0] = i;
 		subject->prompt_tokens = 40;
 		subject->output_tokens = clients->long_every ? LONG_PROBE : 1;
-		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->operator) : NULL;
+		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->config_operator) : NULL;
 		snprintf(subject->key, sizeof subject->key, "%s", key ? key : clients->keys[0]);
 		snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
 		snprintf(subject->path, sizeof subject->path, "%s%s", at ? at : "/never/", "p");
@@ -662,28 +98,28 @@
 			 (unsigned long long)(emulator_random(&run->rng) & 0xffffffff));
 		snprintf(subject->body, sizeof subject->body, "probe");
 		run->figures.probes++;
-		start_attempt(subject, 1);
+		client_start_attempt(subject, 1);
 	}
 }
 
-static void look(void *ctx)
+static void poll_clients(void *ctx)
 {
 	struct clients *c = ctx;
 	struct run *r = c->run;
 	int64_t now = run_ms(r), span = now - c->last_poll_at_ms;
 
 	c->last_poll_at_ms = now;
-	c->poll_timer = loop_after(r->loop, ms_us(5), look, c);
+	c->poll_timer = loop_after(r->loop, ms_us(5), poll_clients, c);
 	for (int i = 0; i < CLASS_COUNT && c->traffic_on; i++) {
 		c->arrival_credit[i] +=
 		    r->sheet->classes[i].requests_per_second * r->rate * (double)span / 1000;
 		while (c->arrival_credit[i] > 0) {
 			c->arrival_credit[i] += log(1 - emulator_random_unit(&r->rng)); /* exponential gaps */
-			want(c, i);
+			create_request(c, i);
 		}
 	}
 	for (int i = arrlen(c->in_flight) - 1; i >= 0; i--) {
-		struct attempt *attempt = c->in_flight[i];
+		struct client_attempt *attempt = c->in_flight[i];
 		const struct traffic_class *k = &r->sheet->classes[attempt->request->class_id];
 		int64_t silence = 2000;
 
@@ -695,16 +131,16 @@
 			silence = 8 * k->gap_target_ms;
 		if (now >= attempt->deadline_at_ms || now - attempt->last_received_at_ms > silence) {
 			r->figures.abandoned++;
-			attempt_over(attempt, ANSWER_ABANDONED);
+			client_attempt_over(attempt, ANSWER_ABANDONED);
 		} else if (attempt->conn && !conn_is_up(attempt->conn) &&
 			   now - attempt->started_at_ms > 1000) {
 			struct conn *x = attempt->conn;
 
-			forget_connection(c, x);
+			client_forget_connection(c, x);
 			conn_set_tag(x, NULL);
 			conn_close(x, 1);
 			attempt->conn = NULL;
-			attempt_over(attempt, ANSWER_NONE);
+			client_attempt_over(attempt, ANSWER_NONE);
 		}
 		if (i > arrlen(c->in_flight))
 			i = (int)arrlen(c->in_flight);
@@ -729,8 +165,8 @@
 	}
 	run->figures.seconds = calloc(MAX_SECONDS, sizeof *run->figures.seconds);
 	clients->last_poll_at_ms = run_ms(run);
-	look(clients);
-	poll_readiness(clients);
+	poll_clients(clients);
+	client_poll_readiness(clients);
 	probe_all(clients);
 	return clients;
 }
@@ -745,18 +181,22 @@
 {
 	return (int)arrlen(clients->in_flight) + (int)arrlen(clients->retrying);
 }
+
 void clients_extra(struct clients *clients, int routes)
 {
 	clients->extra_routes = routes;
 }
+
 void clients_long(struct clients *clients, int every)
 {
 	clients->long_every = every;
 }
+
 void clients_probe(struct clients *clients, int on)
 {
 	clients->probing = on;
 }
+
 void clients_keys(struct clients *clients, int tenant, const char *key)
 {
 	snprintf(clients->keys[tenant], sizeof clients->keys[tenant], "%s", key);
@@ -769,7 +209,7 @@
 	clients->traffic_on = 0;
 	clients->closing = 1;
 	while (arrlen(clients->in_flight))
-		attempt_over(clients->in_flight[0], ANSWER_ABANDONED);
+		client_attempt_over(clients->in_flight[0], ANSWER_ABANDONED);
 	loop_cancel(run->loop, clients->poll_timer);
 	loop_cancel(run->loop, clients->probes_timer);
 	loop_cancel(run->loop, clients->ready_timer);
--- a/emulator/record_checker.c
+++ b/emulator/record_checker.c
@@ -1,105 +1,22 @@
-/* The checker: judges each "must never happen" of the brief from the records alone.
- * Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never good.
- */
+/* The checker of records: judges each "must never happen" of docs/failures.md from the records of a run
+ * alone. Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never
+ * good. */
 #include <dirent.h>
 #include <stdarg.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "containers.h"
-#include "test_fleet.h"
+#include "record_checker_internal.h"
+
+/* The checker: judges each "must never happen" of the brief from the records alone.
+ * Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never good.
+ */
+#include <dirent.h>
 
 /* A breach is named by its letter in docs/failures.md. */
 
-struct row {
-	int64_t at_ms;
-	struct json_object *json;
-	const char *kind;
-};
-
-struct request_row { /* what is known of one id */
-	char *key;
-	struct {
-		int run_count, send_count, answer_count;
-		int64_t requested_at_ms;
-		char server[64];
-	} value;
-};
-struct submission_row { /* of one id at one counter: "ID COUNTER" */
-	char *key;
-	struct {
-		int64_t refused_at_ms;
-		int is_open, has_run;
-	} value;
-};
-struct router_row { /* by the id that it has for one life: where it is, and its editions as probed */
-	char *key;
-	struct {
-		char address[64];
-		struct {
-			int64_t requested_at_ms, revision;
-		} * probes;
-	} value;
-};
-struct server_row {
-	char *key;
-	struct {
-		int64_t drained_at_ms, undrained_at_ms, drain_horizon, up_at_ms, loaded_at, commanded_at_ms,
-		    fence;
-		char weights[64], rollout_leader[32], service[64];
-		struct {
-			int64_t loaded_at_ms;
-			char weights[64];
-		} * loads;
-	} value;
-};
-struct span_row {
-	char *key;
-	struct {
-		int64_t started_at_ms, ended_at_ms;
-	} value;
-}; /* to: 0 while it lasts */
-struct config_table_row {
-	char *key;
-	struct {
-		struct json_object *acknowledged, **possible;
-		int64_t revision;
-	} value;
-};
-struct target_weights {
-	int64_t set_at_ms;
-	char service[64], weights[64];
-};
-
-struct judge {
-	struct check_result *r;
-	int untimed;
-	struct row *rows;
-	struct request_row *requests;
-	struct submission_row *submissions;
-	struct router_row *routers;
-	struct server_row *servers;
-	struct span_row *removed_keys, *isolated_tenants;
-	struct config_table_row *table;
-	struct {
-		char *key;
-		int64_t value;
-	} * piece_counts, *revision_by_address;
-	struct target_weights *targets;
-	struct {
-		int64_t revision, at_ms;
-	} * acks;
-	struct {
-		int64_t at_ms;
-		int is_retry;
-	} * send_log; /* sends, in order of time */
-	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, back, longest_pause_ms;
-	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens,
-	    fetched_blocks;
-	int closed, finished, probe_count, server_record_count;
-};
-
-static void say(struct check_result *result, const char *fmt, ...)
+static void append_report(struct check_result *result, const char *fmt, ...)
 {
 	size_t n = strlen(result->text);
 	va_list ap;
@@ -110,7 +27,7 @@
 	va_end(ap);
 }
 
-static void breach(struct judge *checker, char rule, const char *fmt, ...)
+void report_violation(struct record_checker *checker, char rule, const char *fmt, ...)
 {
 	char line[400];
 	va_list ap;
@@ -118,11 +35,11 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	if (++checker->r->violations <= 20)
-		say(checker->r, "BREACH %c: %s\n", rule, line);
+	if (++checker->result->violations <= 20)
+		append_report(checker->result, "BREACH %c: %s\n", rule, line);
 }
 
-static void undecided(struct judge *checker, const char *fmt, ...)
+static void undecided(struct record_checker *checker, const char *fmt, ...)
 {
 	char line[300];
 	va_list ap;
@@ -130,12 +47,10 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof line, fmt, ap);
 	va_end(ap);
-	checker->r->undecided = 1;
-	say(checker->r, "undecided: %s\n", line);
+	checker->result->undecided = 1;
+	append_report(checker->result, "undecided: %s\n", line);
 }
 
-/* ---- reading ---- */
-
 /* Within one millisecond: an asking, then what servers did, then what the caller was told. */
 static int record_order(const char *kind)
 {
@@ -157,7 +72,7 @@
 }
 
 /* Each record is one write, so a torn line is a hole: such a run is undecided. */
-static void read_file(struct judge *checker, const char *path, const char *name)
+static void read_file(struct record_checker *checker, const char *path, const char *name)
 {
 	FILE *out = fopen(path, "r");
 	char *line = NULL;
@@ -183,7 +98,7 @@
 		fclose(out);
 }
 
-static void read_folder(struct judge *checker, const char *folder)
+static void read_folder(struct record_checker *checker, const char *folder)
 {
 	DIR *d = opendir(folder);
 	struct dirent *dirent;
@@ -203,474 +118,187 @@
 	qsort(checker->rows, (size_t)arrlen(checker->rows), sizeof *checker->rows, by_time);
 }
 
-/* ---- one entry of each map, made when it is new ---- */
+/* ---- records of the platform and the operators ---- */
 
-#define ENTRY(map, k)                                                                       \
-	(shgeti(map, k) < 0 ? (void)shput(map, k, ((typeof((map)->value)){ 0 })) : (void)0, \
-	 &shgetp(map, k)->value)
-
-static typeof(((struct submission_row *)0)->value) *asking_of(struct judge *checker, const char *id,
-							      const char *web)
+static void on_up(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	char key[300];
-
-	snprintf(key, sizeof key, "%s %s", id, web);
-	return ENTRY(checker->submissions, key);
+	ENTRY(checker->servers, json_member_string(json, "server"))->up_at_ms = at_ms;
+	records_on_loaded(checker, json, at_ms);
 }
 
-/* The counter that made a send, by the send's id; NULL when no probe ever saw it. */
-static typeof(((struct router_row *)0)->value) *router_of_send(struct judge *checker, const char *send_id)
+static void on_serves(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	char id[17];
+	struct server_state *server = ENTRY(checker->servers, json_member_string(json, "server"));
 
-	snprintf(id, sizeof id, "%s", send_id);
-	return shgeti(checker->routers, id) < 0 ? NULL : &shgetp(checker->routers, id)->value;
+	(void)at_ms;
+	snprintf(server->service, sizeof server->service, "%s", json_member_string(json, "service"));
 }
 
-static int within(const struct span_row *map, const char *key, int64_t at_ms, int64_t after)
+static void on_target(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	struct span_row *span_row = (struct span_row *)(uintptr_t)map;
-	ptrdiff_t i = shgeti(span_row, key);
+	struct target_weights target = { at_ms, "", "" };
 
-	return i >= 0 && span_row[i].value.started_at_ms && at_ms - span_row[i].value.started_at_ms > after &&
-	       (!span_row[i].value.ended_at_ms || at_ms < span_row[i].value.ended_at_ms);
+	snprintf(target.service, sizeof target.service, "%s", json_member_string(json, "service"));
+	snprintf(target.weights, sizeof target.weights, "%s", json_member_string(json, "weights"));
+	arrput(checker->targets, target);
 }
 
-/* ---- A: once, and never after "refused". B, C: the whole answer, in order, of one run ---- */
-
-static void on_request_record(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void on_acknowledged(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	typeof(checker->requests->value) *k = ENTRY(checker->requests, json_member_string(json, "id"));
-	typeof(checker->submissions->value) *a =
-	    asking_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
+	struct acknowledgement ack = { json_member_int(json, "edition"), at_ms };
 
-	k->send_count = 0; /* a caller's own asking anew is no resend */
-	k->requested_at_ms = at_ms;
-	a->is_open = 1;
-	a->has_run = 0;
-	a->refused_at_ms = 0;
+	arrput(checker->acks, ack);
+	if (ack.revision > checker->acked_revision)
+		checker->acked_revision = ack.revision;
+	records_on_change(checker, json_member(json, "change"), ack.revision);
 }
 
-static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms);
-
-static void on_sent(struct judge *checker, struct json_object *json, int64_t at_ms)
+static void on_unclear(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	const char *id = json_member_string(json, "id"), *sv = json_member_string(json, "server"),
-		   *x = json_member_string(json, "x");
-	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
-	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
-	typeof(checker->routers->value) *c = router_of_send(checker, x);
-	typeof(*checker->send_log) y = { at_ms, k->send_count > 0 };
-
-	checker->sends++;
-	checker->first_sends += k->send_count++ == 0;
-	arrput(checker->send_log, y);
-	if (!k->requested_at_ms)
-		breach(checker, 'A', "%s was sent, and nobody asked it", id);
-	if (!checker->untimed && s->drained_at_ms && !s->undrained_at_ms && at_ms - s->drained_at_ms > 3000)
-		breach(checker, 'F', "server %s was sent %s, %lld ms after its drain was acknowledged", sv,
-		       id, (long long)(at_ms - s->drained_at_ms));
-	check_revision_in_force(checker, x, at_ms);
-	if (json_member_int(json, "refused"))
-		return;
-	if (k->run_count++)
-		breach(checker, 'A', "%s ran twice: at %s and at %s", id, k->server, sv);
-	snprintf(k->server, sizeof k->server, "%s", sv);
-	if (c) {
-		typeof(checker->submissions->value) *a = asking_of(checker, id, c->address);
-
-		if (a->refused_at_ms)
-			breach(checker, 'A', "%s ran %lld ms after its caller was told it was refused", id,
-			       (long long)(at_ms - a->refused_at_ms));
-		a->has_run = 1;
-	}
+	(void)at_ms;
+	records_on_change(checker, json_member(json, "change"), 0);
 }
 
-static void on_answer_record(struct judge *checker, struct json_object *json, int64_t at_ms)
-{
-	const char *id = json_member_string(json, "id"), *o = json_member_string(json, "outcome"),
-		   *x = json_member_string(json, "x");
-	typeof(checker->requests->value) *k = ENTRY(checker->requests, id);
-	typeof(checker->submissions->value) *a = asking_of(checker, id, json_member_string(json, "counter"));
-	char key[32];
-
-	k->answer_count++;
-	a->is_open = 0;
-	if (json_member_int(json, "bad"))
-		breach(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)", id,
-		       (long long)json_member_int(json, "bad"));
-	if (!strcmp(o, "whole")) {
-		checker->complete++;
-		/* back: answers to what was asked after the last fault; the pauses between them count as well
-		 */
-		if (checker->last_fault_at_ms && k->requested_at_ms >= checker->last_fault_at_ms) {
-			if (at_ms - (checker->back ? checker->back : checker->last_fault_at_ms) >
-			    checker->longest_pause_ms)
-				checker->longest_pause_ms =
-				    at_ms - (checker->back ? checker->back : checker->last_fault_at_ms);
-			checker->back = at_ms;
-		}
-		if (shgeti(checker->piece_counts, x) < 0 ||
-		    shget(checker->piece_counts, x) != json_member_int(json, "pieces"))
-			breach(checker, 'B',
-			       "%s: told whole with %lld pieces, which is not the server's whole answer", id,
-			       (long long)json_member_int(json, "pieces"));
-	} else if (!strcmp(o, "refused")) {
-		checker->refused++;
-		a->refused_at_ms = at_ms;
-		if (a->has_run)
-			breach(checker, 'A', "%s ran, and its caller was told it was refused", id);
-	} else {
-		checker->unknown++;
-	}
-	snprintf(key, sizeof key, "key-%lld", (long long)json_member_int(json, "tenant"));
-	if (!checker->untimed && json_member_int(json, "last") &&
-	    within(checker->removed_keys, key, json_member_int(json, "last"), 5000))
-		breach(checker, 'E', "%s heard a piece with %s, removed %lld ms before", id, key,
-		       (long long)(json_member_int(json, "last") -
-				   shget(checker->removed_keys, key).started_at_ms));
+static void on_key_removed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	shput(checker->removed_keys, json_member_string(json, "key"), ((struct span){ at_ms, 0 }));
 }
 
-/* ---- D: who sends has every edition that was acknowledged 2 s before ---- */
-
-static int64_t required_revision(const struct judge *checker, int64_t at_ms)
+static void on_key_added(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	int64_t need = 0;
+	const char *key = json_member_string(json, "key");
 
-	for (ptrdiff_t i = 0; i < arrlen(checker->acks) && checker->acks[i].at_ms < at_ms - 2000; i++)
-		if (checker->acks[i].revision > need)
-			need = checker->acks[i].revision;
-	return need;
+	if (shgeti(checker->removed_keys, key) >= 0)
+		shgetp(checker->removed_keys, key)->value.ended_at_ms = at_ms;
 }
 
-/* A counter's edition at a send is at most what the next probe saw there. */
-static void check_revision_in_force(struct judge *checker, const char *send_id, int64_t at_ms)
+/* A tenant is isolated from the acknowledgement on, and no longer from the request to end it on. */
+static void on_isolation(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	typeof(checker->routers->value) *c = router_of_send(checker, send_id);
+	const char *tenant = json_member_string(json, "tenant");
 
-	for (ptrdiff_t i = 0; c && !checker->untimed && i < arrlen(c->probes); i++)
-		if (c->probes[i].requested_at_ms >= at_ms) {
-			if (c->probes[i].revision < required_revision(checker, at_ms))
-				breach(
-				    checker, 'D',
-				    "counter %s sent %s under edition %lld; %lld was acknowledged 2 s before",
-				    c->address, send_id, (long long)c->probes[i].revision,
-				    (long long)required_revision(checker, at_ms));
-			return;
-		}
+	if (json_member_int(json, "walled"))
+		shput(checker->isolated_tenants, tenant, ((struct span){ at_ms, 0 }));
+	else if (shgeti(checker->isolated_tenants, tenant) >= 0)
+		shgetp(checker->isolated_tenants, tenant)->value.ended_at_ms = at_ms;
 }
 
-static void on_state(struct judge *checker, struct json_object *json)
-{
-	const char *web = json_member_string(json, "web");
-	int64_t e = json_member_int(json, "edition"), before = shgeti(checker->revision_by_address, web) < 0
-								   ? 0
-								   : shget(checker->revision_by_address, web);
-
-	checker->probe_count++;
-	if (json_member_int(json, "horizon") > checker->horizon)
-		checker->horizon = json_member_int(json, "horizon");
-	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves
-				nothing */
-		breach(checker, 'D', "counter %s went back from edition %lld to %lld", web, (long long)before,
-		       (long long)e);
-	if (e > before)
-		shput(checker->revision_by_address, web, e);
-	if (!checker->untimed && json_member_int(json, "age_ms") < 1700 &&
-	    e < required_revision(checker, json_member_int(json, "asked")))
-		breach(checker, 'D',
-		       "counter %s takes exchanges under edition %lld, but %lld was acknowledged", web,
-		       (long long)e, (long long)required_revision(checker, json_member_int(json, "asked")));
-}
-
-/* ---- G: whose kept parts were used ---- */
-
-static void on_begin(struct judge *checker, struct json_object *json, int64_t at_ms)
-{
-	struct json_object *used = json_member(json, "used");
-	const char *id = json_member_string(json, "id"), *tn = json_member_string(json, "tenant"),
-		   *weights = json_member_string(json, "weights"), *sv = json_member_string(json, "server");
-	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
-
-	checker->prefilled_tokens += json_member_int(json, "fresh");
-	checker->prompt_tokens += json_member_int(json, "tokens");
-	checker->fetched_blocks += json_member_int(json, "fetched");
-	for (size_t n = 0; used && n < json_object_array_length(used); n++) {
-		struct json_object *u = json_object_array_get_idx(used, n);
-		const char *m = json_member_string(u, "m");
-
-		if (strcmp(json_member_string(u, "w"), weights))
-			breach(checker, 'G', "%s under %s used a part made under %s", id, weights,
-			       json_member_string(u, "w"));
-		if (!checker->untimed && strcmp(m, tn) &&
-		    (within(checker->isolated_tenants, m, at_ms, 2000) ||
-		     within(checker->isolated_tenants, tn, at_ms, 2000)))
-			breach(checker, 'G', "%s of %s used a part made by %s, one of them walled off", id,
-			       tn, m);
-		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a
-		 * failover and the stale horizon */
-		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 &&
-		    !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
-			breach(checker, 'G',
-			       "%s used a part made at tick %lld at %s, withdrawn with its drain", id,
-			       (long long)json_member_int(u, "ct"), sv);
-	}
-}
-
-/* ---- H, I: orders and weights ---- */
-
-static void on_order(struct judge *checker, struct json_object *j, int64_t at_ms)
-{
-	const char *sv = json_member_string(j, "server");
-	typeof(checker->servers->value) *s = ENTRY(checker->servers, sv);
-
-	if (s->commanded_at_ms && strcmp(s->rollout_leader, json_member_string(j, "giver")) &&
-	    at_ms - s->commanded_at_ms < 3000)
-		breach(checker, 'I', "server %s had orders of two givers %lld ms apart", sv,
-		       (long long)(at_ms - s->commanded_at_ms));
-	if (!json_member_int(j, "fenced") && json_member_int(j, "fence") < s->fence)
-		breach(checker, 'I', "server %s took an order with a lower fence", sv);
-	if (json_member_int(j, "fence") > s->fence)
-		s->fence = json_member_int(j, "fence");
-	snprintf(s->rollout_leader, sizeof s->rollout_leader, "%s", json_member_string(j, "giver"));
-	s->commanded_at_ms = at_ms;
-}
-
-static void on_loaded(struct judge *checker, struct json_object *json, int64_t at_ms)
-{
-	typeof(checker->servers->value) *s = ENTRY(checker->servers, json_member_string(json, "server"));
-	typeof(*s->loads) l = { at_ms, "" };
-
-	snprintf(l.weights, sizeof l.weights, "%s", json_member_string(json, "weights"));
-	arrput(s->loads, l);
-}
-
-/* Weights that stayed named for 25 s are on every server of the service 25 s after the naming, or after the
- * server came up. A server says with "up" what it was started with. */
-static void check_target_weights(struct judge *checker, int64_t end)
-{
-	for (ptrdiff_t i = 0; i < arrlen(checker->targets); i++) {
-		int64_t until = end;
-
-		for (ptrdiff_t k = i + 1; k < arrlen(checker->targets); k++)
-			if (!strcmp(checker->targets[k].service, checker->targets[i].service)) {
-				until = checker->targets[k].set_at_ms;
-				break;
-			}
-		for (ptrdiff_t k = 0; k < shlen(checker->servers); k++) {
-			typeof(checker->servers->value) *s = &checker->servers[k].value;
-			int64_t from = s->up_at_ms > checker->targets[i].set_at_ms && s->up_at_ms < until
-					   ? s->up_at_ms
-					   : checker->targets[i].set_at_ms,
-				on = 0;
-
-			if (strcmp(s->service, checker->targets[i].service) || until - from < 25000)
-				continue;
-			for (ptrdiff_t q = 0; q < arrlen(s->loads); q++)
-				if (!strcmp(s->loads[q].weights, checker->targets[i].weights) &&
-				    s->loads[q].loaded_at_ms <= until &&
-				    (s->up_at_ms > until || s->loads[q].loaded_at_ms >= s->up_at_ms))
-					on = s->loads[q].loaded_at_ms;
-			if (!on)
-				breach(checker, 'H', "weights %s never reached %s",
-				       checker->targets[i].weights, checker->servers[k].key);
-			else if (on - from > 25000)
-				breach(checker, 'H', "weights %s reached %s only after %lld ms",
-				       checker->targets[i].weights, checker->servers[k].key,
-				       (long long)(on - from));
-		}
-	}
+static void on_drain_requested(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	ENTRY(checker->servers, json_member_string(json, "server"))->drain_horizon = checker->horizon;
 }
 
-/* ---- J: resends in any ten seconds ---- */
-
-static void check_retries(struct judge *checker)
+static void on_drained(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	int64_t margin = 2 + 2 * shlen(checker->routers); /* each counter may have two saved up */
-
-	for (ptrdiff_t i = 0; i < arrlen(checker->send_log); i++) {
-		int64_t n = 0, retries = 0;
+	struct server_state *server = ENTRY(checker->servers, json_member_string(json, "server"));
 
-		if (i && checker->send_log[i].at_ms / 500 == checker->send_log[i - 1].at_ms / 500)
-			continue;
-		for (ptrdiff_t k = i; k < arrlen(checker->send_log) &&
-				      checker->send_log[k].at_ms < checker->send_log[i].at_ms + 10000;
-		     k++) {
-			n++;
-			retries += checker->send_log[k].is_retry;
-		}
-		if (retries > (n - retries) / 5 + margin) {
-			breach(checker, 'J', "%lld resends for %lld sends within ten seconds",
-			       (long long)retries, (long long)(n - retries));
-			return;
-		}
-	}
+	server->drained_at_ms = at_ms;
+	server->undrained_at_ms = 0;
 }
 
-/* ---- K: the table that was acknowledged is the table at the end ---- */
+static void on_undrained(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	ENTRY(checker->servers, json_member_string(json, "server"))->undrained_at_ms = at_ms;
+}
 
-static void row_key(struct json_object *row, char *key, size_t n)
+static void on_fault(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	snprintf(key, n, "%s %s", json_member_string(row, "kind"), json_member_string(row, "name"));
+	(void)json;
+	checker->last_fault_at_ms = at_ms;
+	checker->last_complete_at_ms = checker->longest_pause_ms = 0;
 }
 
-/* A change whose outcome is not known may or may not show; an acknowledged one must, unless a later one hid
- * it. */
-static void on_change(struct judge *checker, struct json_object *change, int64_t revision)
+static void on_final_table(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	static const char *const what[] = { "set", "del" };
+	(void)at_ms;
+	checker->final_revision = json_member_int(json, "edition");
+	records_check_table(checker, json_member(json, "rows"));
+}
 
-	for (int w = 0; w < 2; w++) {
-		struct json_object *list = json_member(change, what[w]);
+static void on_tool_failed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	report_violation(checker, '-', "%s", json_member_string(json, "what"));
+}
 
-		for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-			struct json_object *row = json_object_array_get_idx(list, i);
-			typeof(checker->table->value) *k;
-			char key[300];
+static void on_missed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)at_ms;
+	undecided(checker, "the fault did not bite: %s", json_member_string(json, "what"));
+}
 
-			row_key(row, key, sizeof key);
-			k = ENTRY(checker->table, key);
-			if (!revision) {
-				arrput(k->possible, w ? NULL : row);
-			} else if (revision > k->revision) {
-				k->revision = revision;
-				k->acknowledged = w ? NULL : row;
-			}
-		}
-	}
+static void on_closed(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)json;
+	(void)at_ms;
+	checker->closed = 1;
 }
 
-static int same_row(struct json_object *expected, struct json_object *have)
+static void on_finished(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	if (!expected || !have)
-		return !expected && !have;
-	json_object_object_foreach(expected, name,
-				   json) if (!json_object_equal(json, json_member(have, name))) return 0;
-	return 1;
+	(void)json;
+	(void)at_ms;
+	checker->finished = 1;
 }
 
-static void check_table(struct judge *checker, struct json_object *rows)
+static void on_end(struct record_checker *checker, struct json_object *json, int64_t at_ms)
 {
-	struct {
-		char *key;
-		struct json_object *value;
-	} *have = NULL;
+	(void)at_ms;
+	shput(checker->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
+}
 
-	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *row = json_object_array_get_idx(rows, i);
-		char key[300];
+static void on_unacknowledged(struct record_checker *checker, struct json_object *json, int64_t at_ms)
+{
+	(void)checker;
+	(void)json;
+	(void)at_ms;
+}
 
-		row_key(row, key, sizeof key);
-		if (!have)
-			sh_new_strdup(have);
-		shput(have, key, row);
-	}
-	for (ptrdiff_t i = 0; i < shlen(checker->table); i++) {
-		typeof(checker->table->value) *k = &checker->table[i].value;
-		struct json_object *at_end = have && shgeti(have, checker->table[i].key) >= 0
-						 ? shget(have, checker->table[i].key)
-						 : NULL;
-		int fits = !k->revision || same_row(k->acknowledged, at_end);
-
-		for (ptrdiff_t q = 0; q < arrlen(k->possible) && !fits; q++)
-			fits = same_row(k->possible[q], at_end);
-		if (!fits)
-			breach(checker, 'K', "what edition %lld said of %s is not in the table at the end",
-			       (long long)k->revision, checker->table[i].key);
-	}
-	shfree(have);
-}
-
-/* ---- the whole ---- */
-
-/* Told apart by what each changes; 0 for a kind that no judge knows. */
-static int take(struct judge *g, const struct row *r)
-{
-	struct json_object *json = r->json;
-	const char *ev = r->kind, *sv = json_member_string(json, "server");
-	int64_t t = r->at_ms;
-
-	if (!strcmp(ev, "ask")) {
-		on_request_record(g, json, t);
-	} else if (!strcmp(ev, "sent")) {
-		on_sent(g, json, t);
-	} else if (!strcmp(ev, "begin")) {
-		on_begin(g, json, t);
-	} else if (!strcmp(ev, "end")) {
-		shput(g->piece_counts, json_member_string(json, "x"), json_member_int(json, "n"));
-	} else if (!strcmp(ev, "told")) {
-		on_answer_record(g, json, t);
-	} else if (!strcmp(ev, "state")) {
-		on_state(g, json);
-	} else if (!strcmp(ev, "order")) {
-		on_order(g, json, t);
-	} else if (!strcmp(ev, "up")) {
-		ENTRY(g->servers, sv)->up_at_ms = t;
-		on_loaded(g, json, t);
-	} else if (!strcmp(ev, "loaded")) {
-		on_loaded(g, json, t);
-	} else if (!strcmp(ev, "serves")) {
-		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
-
-		snprintf(s->service, sizeof s->service, "%s", json_member_string(json, "service"));
-	} else if (!strcmp(ev, "named")) {
-		struct target_weights n = { t, "", "" };
-
-		snprintf(n.service, sizeof n.service, "%s", json_member_string(json, "service"));
-		snprintf(n.weights, sizeof n.weights, "%s", json_member_string(json, "weights"));
-		arrput(g->targets, n);
-	} else if (!strcmp(ev, "ack")) {
-		typeof(*g->acks) a = { json_member_int(json, "edition"), t };
-
-		arrput(g->acks, a);
-		if (a.revision > g->acked_revision)
-			g->acked_revision = a.revision;
-		on_change(g, json_member(json, "change"), a.revision);
-	} else if (!strcmp(ev, "tried")) {
-		on_change(g, json_member(json, "change"), 0);
-	} else if (!strcmp(ev, "key-removed")) {
-		shput(g->removed_keys, json_member_string(json, "key"),
-		      ((typeof(g->removed_keys->value)){ t, 0 }));
-	} else if (!strcmp(ev, "key-added")) {
-		if (shgeti(g->removed_keys, json_member_string(json, "key")) >= 0)
-			shgetp(g->removed_keys, json_member_string(json, "key"))->value.ended_at_ms = t;
-	} else if (!strcmp(ev, "wall")) { /* walled from the acknowledgement on, open from the asking on */
-		if (json_member_int(json, "walled"))
-			shput(g->isolated_tenants, json_member_string(json, "tenant"),
-			      ((typeof(g->isolated_tenants->value)){ t, 0 }));
-		else if (shgeti(g->isolated_tenants, json_member_string(json, "tenant")) >= 0)
-			shgetp(g->isolated_tenants, json_member_string(json, "tenant"))->value.ended_at_ms =
-			    t;
-	} else if (!strcmp(ev, "drain-asked")) {
-		ENTRY(g->servers, sv)->drain_horizon = g->horizon;
-	} else if (!strcmp(ev, "drained")) {
-		typeof(g->servers->value) *s = ENTRY(g->servers, sv);
-
-		s->drained_at_ms = t;
-		s->undrained_at_ms = 0;
-	} else if (!strcmp(ev, "undrained")) {
-		ENTRY(g->servers, sv)->undrained_at_ms = t;
-	} else if (!strcmp(ev, "fault")) {
-		g->last_fault_at_ms = t;
-		g->back = g->longest_pause_ms = 0;
-	} else if (!strcmp(ev, "table")) {
-		g->final_revision = json_member_int(json, "edition");
-		check_table(g, json_member(json, "rows"));
-	} else if (!strcmp(ev, "tool-failed")) {
-		breach(g, '-', "%s", json_member_string(json, "what"));
-	} else if (!strcmp(ev, "missed")) {
-		undecided(g, "the fault did not bite: %s", json_member_string(json, "what"));
-	} else if (!strcmp(ev, "closed")) {
-		g->closed = 1;
-	} else if (!strcmp(ev, "finished")) {
-		g->finished = 1;
-	} else if (strcmp(ev, "unacknowledged")) {
-		return 0;
-	}
-	return 1;
+/* Apply a record by its kind; 0 for a kind that no rule knows. */
+static int apply_record(struct record_checker *checker, const struct row *row)
+{
+	static const struct {
+		const char *kind;
+		void (*apply)(struct record_checker *checker, struct json_object *json, int64_t at_ms);
+	} kinds[] = {
+		{ "ask", records_on_request },
+		{ "sent", records_on_send },
+		{ "begin", records_on_begin },
+		{ "end", on_end },
+		{ "told", records_on_answer },
+		{ "state", records_on_state },
+		{ "order", records_on_command },
+		{ "up", on_up },
+		{ "loaded", records_on_loaded },
+		{ "serves", on_serves },
+		{ "named", on_target },
+		{ "ack", on_acknowledged },
+		{ "tried", on_unclear },
+		{ "key-removed", on_key_removed },
+		{ "key-added", on_key_added },
+		{ "wall", on_isolation },
+		{ "drain-asked", on_drain_requested },
+		{ "drained", on_drained },
+		{ "undrained", on_undrained },
+		{ "fault", on_fault },
+		{ "table", on_final_table },
+		{ "tool-failed", on_tool_failed },
+		{ "missed", on_missed },
+		{ "closed", on_closed },
+		{ "finished", on_finished },
+		{ "unacknowledged", on_unacknowledged },
+	};
+
+	for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
+		if (!strcmp(row->kind, kinds[i].kind)) {
+			kinds[i].apply(checker, row->json, row->at_ms);
+			return 1;
+		}
+	return 0;
 }
 
-static void judge_end(struct judge *checker)
+static void check_end(struct record_checker *checker)
 {
 	for (ptrdiff_t i = 0; i < shlen(checker->requests); i++)
 		if (checker->requests[i].value.requested_at_ms && !checker->requests[i].value.answer_count)
@@ -680,14 +308,15 @@
 		if (checker->servers[i].value.service[0] && !checker->servers[i].value.up_at_ms)
 			undecided(checker, "no records of server %s", checker->servers[i].key);
 	if (checker->final_revision >= 0 && checker->final_revision < checker->acked_revision)
-		breach(checker, 'K', "the acknowledged edition %lld is lost: the table ends at %lld",
-		       (long long)checker->acked_revision, (long long)checker->final_revision);
-	check_retries(checker);
+		report_violation(checker, 'K',
+				 "the acknowledged edition %lld is lost: the table ends at %lld",
+				 (long long)checker->acked_revision, (long long)checker->final_revision);
+	records_check_retries(checker);
 	if (!checker->untimed && arrlen(checker->rows))
-		check_target_weights(checker, arrlast(checker->rows).at_ms);
+		records_check_targets(checker, arrlast(checker->rows).at_ms);
 	if (!checker->untimed && checker->last_fault_at_ms &&
-	    (!checker->back || checker->longest_pause_ms > 12000))
-		breach(checker, 'L', "service was not back 12 s after the last fault");
+	    (!checker->last_complete_at_ms || checker->longest_pause_ms > 12000))
+		report_violation(checker, 'L', "service was not back 12 s after the last fault");
 	if (!checker->closed || !checker->finished || !checker->server_record_count ||
 	    !checker->probe_count || checker->final_revision < 0 || !checker->complete)
 		undecided(checker, "%s%s%s%s%s%s", checker->closed ? "" : "callers' records are not closed; ",
@@ -698,73 +327,101 @@
 			  checker->complete ? "" : "not one whole answer");
 }
 
-int check_folder(const char *folder, int untimed, struct check_result *res)
+static void checker_open_maps(struct record_checker *checker)
+{
+	sh_new_strdup(checker->requests);
+	sh_new_strdup(checker->submissions);
+	sh_new_strdup(checker->routers);
+	sh_new_strdup(checker->servers);
+	sh_new_strdup(checker->removed_keys);
+	sh_new_strdup(checker->isolated_tenants);
+	sh_new_strdup(checker->table);
+	sh_new_strdup(checker->piece_counts);
+	sh_new_strdup(checker->revision_by_address);
+}
+
+static void checker_free(struct record_checker *checker)
 {
-	struct judge checker;
+	for (ptrdiff_t i = 0; i < arrlen(checker->rows); i++)
+		json_object_put(checker->rows[i].json);
+	for (ptrdiff_t i = 0; i < shlen(checker->routers); i++)
+		arrfree(checker->routers[i].value.probes);
+	for (ptrdiff_t i = 0; i < shlen(checker->servers); i++)
+		arrfree(checker->servers[i].value.loads);
+	for (ptrdiff_t i = 0; i < shlen(checker->table); i++)
+		arrfree(checker->table[i].value.possible);
+	arrfree(checker->rows);
+	arrfree(checker->acks);
+	arrfree(checker->targets);
+	arrfree(checker->send_log);
+	shfree(checker->requests);
+	shfree(checker->submissions);
+	shfree(checker->routers);
+	shfree(checker->servers);
+	shfree(checker->removed_keys);
+	shfree(checker->isolated_tenants);
+	shfree(checker->table);
+	shfree(checker->piece_counts);
+	shfree(checker->revision_by_address);
+}
 
-	memset(res, 0, sizeof *res);
+/* Collect all probes first: a send is judged by the probe that comes after it. */
+static void collect_probes(struct record_checker *checker)
+{
+	for (ptrdiff_t i = 0; i < arrlen(checker->rows); i++) {
+		struct json_object *json = checker->rows[i].json;
+		struct router_state *router;
+		struct router_probe probe;
+
+		if (strcmp(checker->rows[i].kind, "state") != 0)
+			continue;
+		router = ENTRY(checker->routers, json_member_string(json, "id"));
+		probe.requested_at_ms = json_member_int(json, "asked");
+		probe.revision = json_member_int(json, "edition");
+		snprintf(router->address, sizeof router->address, "%s", json_member_string(json, "web"));
+		arrput(router->probes, probe);
+	}
+}
+
+static void append_summary(const struct record_checker *checker, struct check_result *result)
+{
+	double prefilled_percent = checker->prompt_tokens ? 100.0 * (double)checker->prefilled_tokens /
+								(double)checker->prompt_tokens
+							  : 0.0;
+
+	append_report(
+	    result,
+	    "requests %lld, sends %lld, complete %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, prefilled %lld (%.1f %%), blocks fetched %lld",
+	    (long long)checker->first_sends, (long long)checker->sends, (long long)checker->complete,
+	    (long long)checker->refused, (long long)checker->unknown, checker->probe_count,
+	    (long long)checker->prompt_tokens, (long long)checker->prefilled_tokens, prefilled_percent,
+	    (long long)checker->fetched_blocks);
+	if (checker->last_fault_at_ms)
+		append_report(result, ", longest pause after the last fault %lld ms",
+			      (long long)(checker->last_complete_at_ms ? checker->longest_pause_ms : -1));
+	append_report(result, "\n%s\n",
+		      result->undecided    ? "undecided"
+		      : result->violations ? "FAILED"
+					   : "good");
+}
+
+int check_folder(const char *folder, int untimed, struct check_result *result)
+{
+	struct record_checker checker;
+
+	memset(result, 0, sizeof *result);
 	memset(&checker, 0, sizeof checker);
-	checker.r = res;
+	checker.result = result;
 	checker.untimed = untimed;
 	checker.final_revision = -1;
-	sh_new_strdup(checker.requests);
-	sh_new_strdup(checker.submissions);
-	sh_new_strdup(checker.routers);
-	sh_new_strdup(checker.servers);
-	sh_new_strdup(checker.removed_keys);
-	sh_new_strdup(checker.isolated_tenants);
-	sh_new_strdup(checker.table);
-	sh_new_strdup(checker.piece_counts);
-	sh_new_strdup(checker.revision_by_address);
+	checker_open_maps(&checker);
 	read_folder(&checker, folder);
-	for (ptrdiff_t i = 0; i < arrlen(checker.rows);
-	     i++) /* a send is judged by the probe that comes after it */
-		if (!strcmp(checker.rows[i].kind, "state")) {
-			struct json_object *json = checker.rows[i].json;
-			typeof(checker.routers->value) *c =
-			    ENTRY(checker.routers, json_member_string(json, "id"));
-			typeof(*c->probes) p = { json_member_int(json, "asked"),
-						 json_member_int(json, "edition") };
-
-			snprintf(c->address, sizeof c->address, "%s", json_member_string(json, "web"));
-			arrput(c->probes, p);
-		}
+	collect_probes(&checker);
 	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
-		if (!take(&checker, &checker.rows[i]))
+		if (!apply_record(&checker, &checker.rows[i]))
 			undecided(&checker, "a record of an unknown kind: %s", checker.rows[i].kind);
-	judge_end(&checker);
-	say(res,
-	    "exchanges %lld, sends %lld, whole %lld, refused %lld, unknown %lld, probes %d, prompt tokens %lld, read anew %lld (%.1f %%), parts fetched %lld",
-	    (long long)checker.first_sends, (long long)checker.sends, (long long)checker.complete,
-	    (long long)checker.refused, (long long)checker.unknown, checker.probe_count,
-	    (long long)checker.prompt_tokens, (long long)checker.prefilled_tokens,
-	    checker.prompt_tokens ? 100.0 * (double)checker.prefilled_tokens / (double)checker.prompt_tokens
-				  : 0.0,
-	    (long long)checker.fetched_blocks);
-	if (checker.last_fault_at_ms)
-		say(res, ", longest pause after the last fault %lld ms",
-		    (long long)(checker.back ? checker.longest_pause_ms : -1));
-	say(res, "\n%s\n", res->undecided ? "undecided" : res->violations ? "FAILED" : "good");
-	for (ptrdiff_t i = 0; i < arrlen(checker.rows); i++)
-		json_object_put(checker.rows[i].json);
-	for (ptrdiff_t i = 0; i < shlen(checker.routers); i++)
-		arrfree(checker.routers[i].value.probes);
-	for (ptrdiff_t i = 0; i < shlen(checker.servers); i++)
-		arrfree(checker.servers[i].value.loads);
-	for (ptrdiff_t i = 0; i < shlen(checker.table); i++)
-		arrfree(checker.table[i].value.possible);
-	arrfree(checker.rows);
-	arrfree(checker.acks);
-	arrfree(checker.targets);
-	arrfree(checker.send_log);
-	shfree(checker.requests);
-	shfree(checker.submissions);
-	shfree(checker.routers);
-	shfree(checker.servers);
-	shfree(checker.removed_keys);
-	shfree(checker.isolated_tenants);
-	shfree(checker.table);
-	shfree(checker.piece_counts);
-	shfree(checker.revision_by_address);
-	return !res->undecided && !res->violations;
+	check_end(&checker);
+	append_summary(&checker, result);
+	checker_free(&checker);
+	return !result->undecided && !result->violations;
 }
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -8,6 +8,7 @@
 #include "proposals.h"
 #include "retention_report.h"
 #include "controller_private.h"
+#include "config_row.h"
 #include "json_add.h"
 
 /* ---- reads that a leader with a lease confirms ---- */
--- a/lib/control/operator_api.h
+++ b/lib/control/operator_api.h
@@ -7,7 +7,8 @@
 #ifndef NL_OPERATOR_API_H
 #define NL_OPERATOR_API_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* Begin a read of the table: it is answered once config_watch has fetched it after the call. */
 void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -1,6 +1,6 @@
 #include "operator_calls.h"
 
-#include "controller.h"
+#include "controller_state.h"
 #include "containers.h"
 #include "json_add.h"
 
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -8,6 +8,7 @@
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
+#include "config_check.h"
 
 /* Log a change and answer when it is committed. */
 static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change,
@@ -87,7 +88,7 @@
 	change->replace_all = 1;
 	change->replace_keys = 1;
 	change->document_base_version = event->payload.document.base_version;
-	return config_table_check(&controller->config.table, change, pool);
+	return config_check_change(&controller->config.table, change, pool);
 }
 
 void put_document(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -159,7 +160,7 @@
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 1;
-	error = config_table_check(&controller->config.table, &change, out->pool);
+	error = config_check_change(&controller->config.table, &change, out->pool);
 	if (error || !weights[0]) {
 		command_answer(out, token, 400, 0,
 			       error_json(out->pool, error ? error : "weights: missing", 0));
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -7,7 +7,8 @@
 #ifndef NL_OPERATOR_DOCUMENTS_H
 #define NL_OPERATOR_DOCUMENTS_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* Log a document, or a patch on its base version. Answers 400 for an invalid one, 412 when another version is
  * current, 504 when that cannot be told from a repeated request that was forgotten. */
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -7,6 +7,7 @@
 #include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
+#include "config_row.h"
 #include "json_add.h"
 
 enum {
