--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -40,7 +40,7 @@
 	GRACE_MS = 7300,       /* of a planned stop, as settings.c leaves it of 8 s */
 	SHORT_GRACE_MS = 4000, /* less than a head may take */
 	LOSS_SLACK_MS = 200,   /* a request that ends sooner, and was passed on to nobody, is not lost */
-	STOP_LAST_MS = 300,    /* before the end of a stop: EDGE_LAST */
+	STOP_LAST_MS = 300,    /* before the end of a stop: FINAL_ANSWERS_MS of edge.c */
 	DISCONNECTED_MS = 50   /* for which the loop runs on once a process has stopped: PROC_LEAVE */
 };
 
