--- a/lib/control/config_check.c
+++ b/lib/control/config_check.c
@@ -5,7 +5,7 @@
 
 #include "config_row.h"
 #include "containers.h"
-#include "retention.h"
+#include "retention_schedule.h"
 
 static int is_name(const char *text)
 {
--- a/lib/control/proposal_status.c
+++ b/lib/control/proposal_status.c
@@ -10,7 +10,7 @@
 	case PROPOSAL_REJECTED:
 		return "already claimed";
 	case PROPOSAL_KEY_REUSED:
-		return ORDER_KEY_REUSED;
+		return IDEMPOTENCY_KEY_REUSED;
 	default:
 		return "";
 	}
