--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -13,7 +13,7 @@
 #include "config_watch.h"
 #include "idempotency.h"
 #include "operator_calls.h"
-#include "purge.h"
+#include "purge_relay.h"
 #include "raft.h"
 #include "retention.h"
 #include "rollout.h"
--- a/lib/core/prefix_index.h
+++ b/lib/core/prefix_index.h
@@ -4,7 +4,6 @@
 #define NL_PREFIX_INDEX_H
 
 #include "core.h"
-#include "purge.h"
 
 struct block_replica {
 	uint32_t server_index, tenant_index, service_index; /* dense indices */
--- /dev/null
+++ b/lib/core/purge_relay.c
@@ -0,0 +1,347 @@
+/* Called by the router, the controller's publisher and their clients; calls tick_knowledge.c, purge_view.c
+ * and core. */
+#include "purge_relay.h"
+
+#include <string.h>
+
+#include "containers.h"
+
+enum { MAX_WANTED = 8 }; /* ranges in one curiosity message */
+
+void relay_open(struct relay *relay, int64_t now)
+{
+	memset(relay, 0, sizeof *relay);
+	relay->opened_at_ms = relay->upstream_tried_at_ms = now;
+	relay->horizon_moved_at_ms = relay->known_at_ms =
+	    now - PURGE_MAX_STALENESS_MS - 1; /* nothing is current before the first knowledge */
+}
+
+void relay_close(struct relay *relay)
+{
+	knowledge_clear(&relay->knowledge);
+	purge_view_clear(&relay->view);
+	arrfree(relay->downstreams);
+	arrfree(relay->upstreams);
+}
+
+void relay_set_upstreams(struct relay *relay, const uint64_t *upstreams, size_t count, uint64_t log_addr,
+			 int64_t now)
+{
+	size_t new_count = count + (log_addr != 0);
+	int same = (size_t)arrlen(relay->upstreams) == new_count;
+
+	for (size_t i = 0; same && i < new_count; i++)
+		same = relay->upstreams[i] == (i < count ? upstreams[i] : log_addr);
+	if (same)
+		return;
+	arrsetlen(relay->upstreams, 0);
+	for (size_t i = 0; i < count; i++)
+		arrput(relay->upstreams, upstreams[i]);
+	if (log_addr)
+		arrput(relay->upstreams, log_addr);
+	relay->upstream_position = 0;
+	relay->upstream_tried_at_ms = now;
+	relay->requested_at_ms = 0; /* contact the new upstream at once */
+}
+
+uint64_t relay_acknowledged_tick(const struct relay *relay)
+{
+	uint64_t tick = relay->knowledge.horizon;
+
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++)
+		if (relay->downstreams[i].acknowledged_tick < tick)
+			tick = relay->downstreams[i].acknowledged_tick;
+	return tick;
+}
+
+int relay_is_current(const struct relay *relay, int64_t now)
+{
+	return relay->has_knowledge && now - relay->known_at_ms < PURGE_MAX_STALENESS_MS;
+}
+
+/* How old our knowledge is, as messages carry it. */
+static uint32_t knowledge_age_ms(const struct relay *relay, int64_t now)
+{
+	int64_t ms = now - relay->known_at_ms;
+
+	if (ms < 0)
+		return 0;
+	return ms > INT32_MAX ? INT32_MAX : (uint32_t)ms;
+}
+
+/* Send each downstream what is known of a range. */
+static void send_increments(struct relay *relay, uint64_t first, uint64_t last, int64_t now,
+			    struct command_list *out)
+{
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++) {
+		const struct relay_downstream *downstream = &relay->downstreams[i];
+		struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+
+		if (!knowledge_append(&relay->knowledge, first, last, knowledge, out) ||
+		    !knowledge->n_increments)
+			continue;
+		knowledge->age_ms = knowledge_age_ms(relay, now);
+		knowledge->request_clock_ms = downstream->request_clock_ms;
+		command_send(out, downstream->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge =
+		    knowledge;
+		relay->increments_sent += knowledge->n_increments;
+	}
+}
+
+/* A lower bound, on our clock, of when the content of a message was true: it was sent after our request, and
+ * was age_ms old then. A message that lay in a buffer while a link was down or this process was frozen still
+ * names an earlier request, and proves nothing newer. 0: it names no request of ours. */
+static int64_t known_as_of(int64_t request_clock_ms, uint32_t age_ms, int64_t now)
+{
+	return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0;
+}
+
+/* Add a range and its value; 1 when any tick was new. horizon_moved_at_ms: when the sender's horizon moved,
+ * if messages took no time; known_at_ms: the same, counted from our request. */
+static int learn_range(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value,
+		       int64_t horizon_moved_at_ms, int64_t known_at_ms)
+{
+	uint64_t old_horizon = relay->knowledge.horizon;
+	int is_new;
+
+	if (value) {
+		purge_view_apply(&relay->view, value);
+		if (relay->on_value)
+			relay->on_value(relay->context, value);
+	}
+	is_new = knowledge_add(&relay->knowledge, first, last, value);
+	if (relay->knowledge.horizon > old_horizon) {
+		if (horizon_moved_at_ms > relay->horizon_moved_at_ms)
+			relay->horizon_moved_at_ms = horizon_moved_at_ms;
+		if (known_at_ms > relay->known_at_ms)
+			relay->known_at_ms = known_at_ms;
+		relay->has_knowledge = true;
+	}
+	return is_new;
+}
+
+void relay_publish(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value,
+		   int64_t now, struct command_list *out)
+{
+	if (learn_range(relay, first, last, value, now, now))
+		send_increments(relay, first, last, now, out);
+}
+
+static int is_valid(const struct Nl__Increment *increment)
+{
+	const struct Nl__Value *value = increment->value;
+
+	if (increment->first > increment->last)
+		return 0;
+	return !value || (value->purge && value->tick >= increment->first && value->tick <= increment->last);
+}
+
+static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now,
+			 struct command_list *out)
+{
+	int64_t known_at_ms = known_as_of(knowledge->request_clock_ms, knowledge->age_ms, now);
+
+	for (size_t i = 0; i < knowledge->n_increments; i++) {
+		const struct Nl__Increment *increment = knowledge->increments[i];
+
+		if (!is_valid(increment))
+			continue;
+		if (learn_range(relay, increment->first, increment->last, increment->value,
+				now - knowledge->age_ms, known_at_ms))
+			send_increments(relay, increment->first, increment->last, now, out);
+	}
+}
+
+static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnapshot *snapshot, int64_t now,
+			      struct command_list *out)
+{
+	for (size_t i = 0; i < snapshot->n_latest; i++)
+		if (snapshot->latest[i]->purge) {
+			purge_view_apply(&relay->view, snapshot->latest[i]);
+			if (relay->on_value)
+				relay->on_value(relay->context, snapshot->latest[i]);
+		}
+	if (snapshot->upto_tick <= relay->knowledge.horizon)
+		return;
+	learn_range(relay, relay->knowledge.horizon + 1, snapshot->upto_tick, NULL, now - snapshot->age_ms,
+		    known_as_of(snapshot->request_clock_ms, snapshot->age_ms, now));
+	/* the values themselves are not held here: downstreams need a snapshot as well */
+	knowledge_release(&relay->knowledge, snapshot->upto_tick);
+	send_increments(relay, snapshot->upto_tick + 1, knowledge_reach(&relay->knowledge), now, out);
+}
+
+static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms,
+				int64_t now, struct command_list *out)
+{
+	struct Nl__PurgeSnapshot *snapshot = MESSAGE_NEW(out, Nl__PurgeSnapshot, NL__PURGE_SNAPSHOT__INIT);
+
+	snapshot->upto_tick = relay->knowledge.horizon;
+	snapshot->age_ms = knowledge_age_ms(relay, now);
+	snapshot->request_clock_ms = request_clock_ms;
+	snapshot->latest =
+	    apr_palloc(out->pool, ((size_t)hmlen(relay->view.subjects) + 1) * sizeof *snapshot->latest);
+	for (ptrdiff_t i = 0; i < hmlen(relay->view.subjects); i++)
+		snapshot->latest[snapshot->n_latest++] =
+		    (struct Nl__Value *)core_copy_message(out->pool, &relay->view.subjects[i].value->base);
+	command_send(out, downstream_addr, SHARD_PURGE, NL__MSG__BODY_PURGE_SNAPSHOT)->purge_snapshot =
+	    snapshot;
+}
+
+/* Curiosity goes upstream: what is acknowledged, and with wants_ranges the unknown ticks: the gaps, and all
+ * above what is known. */
+static void send_curiosity(struct relay *relay, int wants_ranges, int64_t now, struct command_list *out)
+{
+	struct tick_range gap[MAX_WANTED];
+	size_t upstream_count = (size_t)arrlen(relay->upstreams);
+	struct Nl__Curiosity *curiosity;
+	uint64_t upstream;
+	int gap_count;
+
+	if (relay->is_publisher || !upstream_count)
+		return;
+	wants_ranges = wants_ranges && !relay->curiosity_disabled;
+	gap_count = wants_ranges ? knowledge_gaps(&relay->knowledge, gap, MAX_WANTED) : 0;
+	curiosity = MESSAGE_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
+	curiosity->acknowledged_tick = relay_acknowledged_tick(relay);
+	curiosity->highest_tick = knowledge_reach(&relay->knowledge);
+	curiosity->needs_snapshot = !relay->has_knowledge;
+	curiosity->request_clock_ms = now;
+	curiosity->wanted = apr_palloc(out->pool, MAX_WANTED * sizeof *curiosity->wanted);
+	if (wants_ranges && gap_count < MAX_WANTED)
+		gap[gap_count++] = (struct tick_range){ curiosity->highest_tick + 1, UINT64_MAX };
+	for (int i = 0; i < gap_count; i++) {
+		curiosity->wanted[i] = MESSAGE_NEW(out, Nl__TickRange, NL__TICK_RANGE__INIT);
+		curiosity->wanted[i]->first = gap[i].first;
+		curiosity->wanted[i]->last = gap[i].last;
+		curiosity->n_wanted++;
+	}
+	relay->requested_at_ms = now;
+	upstream = relay->upstreams[relay->upstream_position % upstream_count];
+	command_send(out, upstream, SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = curiosity;
+}
+
+static struct relay_downstream *find_downstream(struct relay *relay, uint64_t id)
+{
+	for (ptrdiff_t i = 0; i < arrlen(relay->downstreams); i++)
+		if (relay->downstreams[i].id == id)
+			return &relay->downstreams[i];
+	return NULL;
+}
+
+/* Remember what a downstream says of itself; one that is new is added. */
+static void note_downstream(struct relay *relay, const struct Nl__Msg *message, int64_t now)
+{
+	const struct Nl__Curiosity *curiosity = message->curiosity;
+	struct relay_downstream *downstream = find_downstream(relay, message->id);
+
+	if (!downstream) {
+		struct relay_downstream added = { .id = message->id };
+
+		arrput(relay->downstreams, added);
+		downstream = &arrlast(relay->downstreams);
+	}
+	downstream->last_contact_at_ms = now;
+	downstream->request_clock_ms = curiosity->request_clock_ms;
+	downstream->addr = message->addr;
+	if (curiosity->acknowledged_tick > downstream->acknowledged_tick)
+		downstream->acknowledged_tick = curiosity->acknowledged_tick;
+}
+
+/* Answer what is known of the wanted ranges; a snapshot where they reach below what is held. 1 when anything
+ * was answered, or all that is wanted is known. */
+static int answer_wanted(struct relay *relay, const struct Nl__Msg *message, int64_t now,
+			 struct command_list *out)
+{
+	const struct Nl__Curiosity *curiosity = message->curiosity;
+	struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
+	uint64_t reach = knowledge_reach(&relay->knowledge);
+	int has_unknown = 0, complete = 1;
+
+	for (size_t i = 0; i < curiosity->n_wanted; i++) {
+		const struct Nl__TickRange *wanted = curiosity->wanted[i];
+		uint64_t last = wanted->last < reach ? wanted->last : reach;
+
+		if (wanted->first <= last)
+			complete &= knowledge_append(&relay->knowledge, wanted->first, last, knowledge, out);
+		has_unknown |= wanted->last > relay->knowledge.horizon;
+	}
+	if (!complete) {
+		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
+	} else if (knowledge->n_increments) {
+		knowledge->age_ms = knowledge_age_ms(relay, now);
+		knowledge->request_clock_ms = curiosity->request_clock_ms;
+		command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = knowledge;
+	}
+	return !has_unknown || knowledge->n_increments;
+}
+
+static void on_curiosity(struct relay *relay, const struct Nl__Msg *message, int64_t now,
+			 struct command_list *out)
+{
+	const struct Nl__Curiosity *curiosity = message->curiosity;
+
+	if (!relay->has_knowledge)
+		return;
+	note_downstream(relay, message, now);
+	if (curiosity->needs_snapshot || curiosity->acknowledged_tick < relay->knowledge.released) {
+		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
+		return;
+	}
+	/* pass the request further up, unless one was sent lately */
+	if (!answer_wanted(relay, message, now, out) && now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+		send_curiosity(relay, 1, now, out);
+}
+
+void relay_receive(struct relay *relay, const struct Nl__Msg *message, int64_t now, struct command_list *out)
+{
+	switch (message->body_case) {
+	case NL__MSG__BODY_KNOWLEDGE:
+		relay->received_at_ms = now;
+		if (!relay->is_publisher && relay->has_knowledge)
+			on_knowledge(relay, message->knowledge, now, out);
+		break;
+	case NL__MSG__BODY_PURGE_SNAPSHOT:
+		relay->received_at_ms = now;
+		if (!relay->is_publisher)
+			on_purge_snapshot(relay, message->purge_snapshot, now, out);
+		break;
+	case NL__MSG__BODY_CURIOSITY:
+		on_curiosity(relay, message, now, out);
+		break;
+	default:
+		break;
+	}
+}
+
+/* No progress for a stall period: the next upstream, at last the log. */
+static void try_next_upstream(struct relay *relay, int64_t now)
+{
+	if (!arrlen(relay->upstreams) || now - relay->horizon_moved_at_ms < 2 * PURGE_STALL_MS ||
+	    now - relay->upstream_tried_at_ms < PURGE_STALL_MS)
+		return;
+	relay->upstream_position = (relay->upstream_position + 1) % (size_t)arrlen(relay->upstreams);
+	relay->upstream_tried_at_ms = now;
+	relay->requested_at_ms = 0;
+}
+
+void relay_tick(struct relay *relay, int64_t now, struct command_list *out)
+{
+	struct tick_range gap[1];
+	int wants_ranges;
+
+	for (ptrdiff_t i = arrlen(relay->downstreams) - 1; i >= 0; i--)
+		if (now - relay->downstreams[i].last_contact_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
+			arrdel(relay->downstreams,
+			       (size_t)i); /* its lease has expired: it will need a snapshot */
+	/* a new node does not know its downstreams yet: nothing is released before all had time to send a
+	 * message */
+	if (now - relay->opened_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
+		knowledge_release(&relay->knowledge, relay_acknowledged_tick(relay));
+	if (relay->is_publisher)
+		return;
+	wants_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
+		       knowledge_gaps(&relay->knowledge, gap, 1);
+	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+		send_curiosity(relay, wants_ranges, now, out);
+	try_next_upstream(relay, now);
+}
--- a/lib/data/router.h
+++ b/lib/data/router.h
@@ -9,7 +9,7 @@
 #include "config_watch.h"
 #include "mechanism.h"
 #include "prefix_index.h"
-#include "purge.h"
+#include "purge_relay.h"
 #include "router_event.h"
 #include "router_limits.h"
 #include "router_request.h"
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -13,7 +13,7 @@
 #include "containers.h"
 #include "prefix_index.h"
 #include "raft.h"
-#include "purge.h"
+#include "purge_relay.h"
 #include "config_table.h"
 #include "config_check.h"
 #include "config_row.h"
