--- a/lib/core/prefix_index.c
+++ b/lib/core/prefix_index.c
@@ -4,14 +4,14 @@
 
 #include "containers.h"
 
-void prefix_index_put(struct prefix_index *k, uint64_t hash, const struct block_replica *replica)
+void prefix_index_put(struct prefix_index *index, uint64_t block_hash, const struct block_replica *replica)
 {
-	struct prefix_index_row *row = hmgetp_null(k->blocks, hash);
-	struct block_replica *v = NULL;
+	struct prefix_index_row *row = hmgetp_null(index->blocks, block_hash);
+	struct block_replica *none = NULL;
 
 	if (!row) {
-		hmput(k->blocks, hash, v);
-		row = hmgetp(k->blocks, hash);
+		hmput(index->blocks, block_hash, none);
+		row = hmgetp(index->blocks, block_hash);
 	}
 	for (ptrdiff_t i = 0; i < arrlen(row->value); i++)
 		if (row->value[i].server_index == replica->server_index &&
@@ -20,78 +20,82 @@
 			return;
 		}
 	arrput(row->value, *replica);
-	k->replica_count++;
+	index->replica_count++;
 }
 
-struct block_replica *prefix_index_find(struct prefix_index *k, uint64_t hash)
+struct block_replica *prefix_index_find(struct prefix_index *index, uint64_t block_hash)
 {
-	struct prefix_index_row *row = k->blocks ? hmgetp_null(k->blocks, hash) : NULL;
+	struct prefix_index_row *row = index->blocks ? hmgetp_null(index->blocks, block_hash) : NULL;
 
 	return row ? row->value : NULL;
 }
 
-void prefix_index_remove_if(struct prefix_index *k,
+static void remove_if_empty(struct prefix_index *index, struct prefix_index_row *row)
+{
+	uint64_t key = row->key;
+
+	if (arrlen(row->value))
+		return;
+	arrfree(row->value);
+	(void)hmdel(index->blocks, key);
+}
+
+void prefix_index_remove_if(struct prefix_index *index,
 			    int (*matches)(const void *, uint64_t, const struct block_replica *),
-			    const void *ctx)
+			    const void *context)
 {
-	for (ptrdiff_t i = hmlen(k->blocks) - 1; i >= 0; i--) {
-		struct prefix_index_row *row = &k->blocks[i];
+	for (ptrdiff_t i = hmlen(index->blocks) - 1; i >= 0; i--) {
+		struct prefix_index_row *row = &index->blocks[i];
 
 		for (ptrdiff_t j = arrlen(row->value) - 1; j >= 0; j--)
-			if (matches(ctx, row->key, &row->value[j])) {
+			if (matches(context, row->key, &row->value[j])) {
 				arrdelswap(row->value, j);
-				k->replica_count--;
+				index->replica_count--;
 			}
-		if (!arrlen(row->value)) {
-			uint64_t key = row->key;
-
-			arrfree(row->value);
-			(void)hmdel(k->blocks, key);
-		}
+		remove_if_empty(index, row);
 	}
 }
 
-void prefix_index_remove(struct prefix_index *k, uint64_t hash, uint32_t server_index)
+void prefix_index_remove(struct prefix_index *index, uint64_t block_hash, uint32_t server_index)
 {
-	struct prefix_index_row *row = k->blocks ? hmgetp_null(k->blocks, hash) : NULL;
+	struct prefix_index_row *row = index->blocks ? hmgetp_null(index->blocks, block_hash) : NULL;
 
 	if (!row)
 		return;
 	for (ptrdiff_t i = arrlen(row->value) - 1; i >= 0; i--)
 		if (row->value[i].server_index == server_index) {
 			arrdelswap(row->value, i);
-			k->replica_count--;
+			index->replica_count--;
 		}
-	if (!arrlen(row->value)) {
-		arrfree(row->value);
-		(void)hmdel(k->blocks, hash);
-	}
+	remove_if_empty(index, row);
 }
 
-struct sweep {
+/* What prefix_index_remove_unreported looks for. */
+struct unreported {
 	uint32_t server_index;
 	uint64_t report_number;
 };
 
-static int is_unreported(const void *ctx, uint64_t block_hash, const struct block_replica *replica)
+static int is_unreported(const void *context, uint64_t block_hash, const struct block_replica *replica)
 {
-	const struct sweep *sweep = ctx;
+	const struct unreported *wanted = context;
 
 	(void)block_hash;
-	return replica->server_index == sweep->server_index && replica->report_number < sweep->report_number;
+	return replica->server_index == wanted->server_index &&
+	       replica->report_number < wanted->report_number;
 }
 
-void prefix_index_remove_unreported(struct prefix_index *k, uint32_t server_index, uint64_t report_number)
+void prefix_index_remove_unreported(struct prefix_index *index, uint32_t server_index, uint64_t report_number)
 {
-	struct sweep sweep = { server_index, report_number };
+	struct unreported wanted = { server_index, report_number };
 
-	prefix_index_remove_if(k, is_unreported, &sweep);
+	prefix_index_remove_if(index, is_unreported, &wanted);
 }
 
-void prefix_index_clear(struct prefix_index *k)
+void prefix_index_clear(struct prefix_index *index)
 {
-	for (ptrdiff_t i = 0; i < hmlen(k->blocks); i++)
-		arrfree(k->blocks[i].value);
-	hmfree(k->blocks);
-	k->replica_count = 0;
+	for (ptrdiff_t i = 0; i < hmlen(index->blocks); i++)
+		arrfree(index->blocks[i].value);
+	hmfree(index->blocks);
+	index->replica_count = 0;
 }
--- a/lib/core/prefix_index.h
+++ b/lib/core/prefix_index.h
@@ -1,44 +1,59 @@
-/* kept: the index of kept prompt parts: which server keeps which part, made by whom, under which
- * weights, and at which horizon tick its maker's send was stamped. */
+/* prefix_index: which servers cache which prefix blocks. A block is named by the hash of the prompt up to its
+ * end; a replica is one server's copy of it, made by requests of one tenant, and stamped with the purge tick
+ * that the router knew when it sent them (purge_view.h decides by the stamp whether it may be used). Always:
+ * a block has at most one replica for each server and tenant, and no row is empty. Used by the router's
+ * placement. */
 #ifndef NL_PREFIX_INDEX_H
 #define NL_PREFIX_INDEX_H
 
 #include "core.h"
 
+/* One server's copy of a block. Indices are dense, and the owner's. */
 struct block_replica {
-	uint32_t server_index, tenant_index, service_index; /* dense indices */
-	uint64_t weights_hash;                              /* hash of the name */
-	uint64_t stamp_tick;
-	uint64_t report_number; /* the report that last named it; of forwarded sends the generation of its
-				   cache_namespace */
+	uint32_t server_index;
+	uint32_t tenant_index; /* whose request made it */
+	uint32_t service_index;
+	uint64_t weights_hash;  /* of the name of the weights that computed it */
+	uint64_t stamp_tick;    /* purge tick that the router knew */
+	uint64_t report_number; /* last report that named it; with forwarded requests the generation of its
+				   cache namespace */
 };
 
+/* One block. */
 struct prefix_index_row {
-	uint64_t key;
-	struct block_replica *value;
+	uint64_t key;                /* block hash */
+	struct block_replica *value; /* stb_ds array */
 };
 
+/* Zeroed: empty. Released by prefix_index_clear. */
 struct prefix_index {
-	struct prefix_index_row *blocks; /* stb_ds map: part hash -> stb_ds array of copies */
+	struct prefix_index_row *blocks; /* stb_ds map */
 	size_t replica_count;
 };
 
-/* Put one copy in; the same (server, maker) replaces. Example: kept_put(&k, hash, &copy); */
-void prefix_index_put(struct prefix_index *k, uint64_t hash, const struct block_replica *replica);
+/* Add one replica; an earlier one of the same server and tenant is replaced.
+ * Example: prefix_index_put(&index, block_hash, &replica); */
+void prefix_index_put(struct prefix_index *index, uint64_t block_hash, const struct block_replica *replica);
 
-/* Drop the copies that one server has of a part. Example: kept_lose(&k, hash, 3); */
-void prefix_index_remove(struct prefix_index *k, uint64_t hash, uint32_t server_index);
+/* Remove the replicas that one server has of a block. Example: prefix_index_remove(&index, block_hash, 3); */
+void prefix_index_remove(struct prefix_index *index, uint64_t block_hash, uint32_t server_index);
 
-/* Drop the copies of a server that its report number seen did not name. Example: kept_sweep(&k, 3, 17); */
-void prefix_index_remove_unreported(struct prefix_index *k, uint32_t server_index, uint64_t report_number);
+/* Remove the replicas of a server that were last named before a report. Example:
+ * prefix_index_remove_unreported(&index, 3, 17); */
+void prefix_index_remove_unreported(struct prefix_index *index, uint32_t server_index,
+				    uint64_t report_number);
 
-/* The copies of a part, as a stb_ds array, or NULL. Example: arrlen(kept_get(&k, h)) */
-struct block_replica *prefix_index_find(struct prefix_index *k, uint64_t hash);
+/* The replicas of a block, as an stb_ds array that stays the index's, or NULL; valid until the index changes.
+ * Example: arrlen(prefix_index_find(&index, block_hash)) */
+struct block_replica *prefix_index_find(struct prefix_index *index, uint64_t block_hash);
 
-/* Drop all copies for which gone says so. Example: kept_drop(&k, matches, purge); */
-void prefix_index_remove_if(struct prefix_index *k,
-			    int (*matches)(const void *ctx, uint64_t id, const struct block_replica *c),
-			    const void *ctx);
-void prefix_index_clear(struct prefix_index *k);
+/* Remove all replicas that match. Example: prefix_index_remove_if(&index, is_purged, purge); */
+void prefix_index_remove_if(struct prefix_index *index,
+			    int (*matches)(const void *context, uint64_t block_hash,
+					   const struct block_replica *replica),
+			    const void *context);
+
+/* Remove everything and free its memory. */
+void prefix_index_clear(struct prefix_index *index);
 
 #endif
