--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "containers.h"
-#include "purge_relay.h"
+#include "purge.h"
 
 const char *config_row_key(char buffer[CONFIG_ROW_KEY_BYTES], Nl__Kind kind, const char *name)
 {
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -275,7 +275,7 @@
 	on_leadership_lost(controller, shard, now, out);
 	apply_committed(controller, shard, now, out);
 	on_leadership_gained(controller, shard, now, out);
-	if (raft_wants_snapshot(raft))
+	if (raft_needs_snapshot(raft))
 		snapshot_create(controller, shard, out);
 }
 
--- a/lib/core/bounds.h
+++ b/lib/core/bounds.h
@@ -5,6 +5,7 @@
 
 #include <stdint.h>
 
+/* Set once at the start, and again when the settings are read anew. */
 struct bounds {
 	int config_ms;   /* a change of configuration is in force everywhere */
 	int revoke_ms;   /* a removed key is rejected everywhere */
--- a/lib/core/commands.h
+++ b/lib/core/commands.h
@@ -12,6 +12,7 @@
 
 #define CORE_PROTOCOL_VERSION 1u
 
+/* What a command asks of the shell. */
 enum command_kind {
 	CMD_SEND,         /* send a message to a peer */
 	CMD_PERSIST,      /* write and sync one shard's state; answered by an event once that is done */
--- a/lib/core/purge_relay.c
+++ b/lib/core/purge_relay.c
@@ -187,9 +187,9 @@
 	    snapshot;
 }
 
-/* Curiosity goes upstream: what is acknowledged, and with wants_ranges the unknown ticks: the gaps, and all
- * above what is known. */
-static void send_curiosity(struct relay *relay, int wants_ranges, int64_t now, struct command_list *out)
+/* Curiosity goes upstream: what is acknowledged, and with requests_ranges the unknown ticks: the gaps, and
+ * all above what is known. */
+static void send_curiosity(struct relay *relay, int requests_ranges, int64_t now, struct command_list *out)
 {
 	struct tick_range gap[MAX_WANTED];
 	size_t upstream_count = (size_t)arrlen(relay->upstreams);
@@ -199,15 +199,15 @@
 
 	if (relay->is_publisher || !upstream_count)
 		return;
-	wants_ranges = wants_ranges && !relay->curiosity_disabled;
-	gap_count = wants_ranges ? knowledge_gaps(&relay->knowledge, gap, MAX_WANTED) : 0;
+	requests_ranges = requests_ranges && !relay->curiosity_disabled;
+	gap_count = requests_ranges ? knowledge_gaps(&relay->knowledge, gap, MAX_WANTED) : 0;
 	curiosity = MESSAGE_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
 	curiosity->acknowledged_tick = relay_acknowledged_tick(relay);
 	curiosity->highest_tick = knowledge_reach(&relay->knowledge);
 	curiosity->needs_snapshot = !relay->has_knowledge;
 	curiosity->request_clock_ms = now;
 	curiosity->wanted = apr_palloc(out->pool, MAX_WANTED * sizeof *curiosity->wanted);
-	if (wants_ranges && gap_count < MAX_WANTED)
+	if (requests_ranges && gap_count < MAX_WANTED)
 		gap[gap_count++] = (struct tick_range){ curiosity->highest_tick + 1, UINT64_MAX };
 	for (int i = 0; i < gap_count; i++) {
 		curiosity->wanted[i] = MESSAGE_NEW(out, Nl__TickRange, NL__TICK_RANGE__INIT);
@@ -327,7 +327,7 @@
 void relay_tick(struct relay *relay, int64_t now, struct command_list *out)
 {
 	struct tick_range gap[1];
-	int wants_ranges;
+	int requests_ranges;
 
 	for (ptrdiff_t i = arrlen(relay->downstreams) - 1; i >= 0; i--)
 		if (now - relay->downstreams[i].last_contact_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
@@ -339,9 +339,9 @@
 		knowledge_release(&relay->knowledge, relay_acknowledged_tick(relay));
 	if (relay->is_publisher)
 		return;
-	wants_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
-		       knowledge_gaps(&relay->knowledge, gap, 1);
+	requests_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
+			  knowledge_gaps(&relay->knowledge, gap, 1);
 	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
-		send_curiosity(relay, wants_ranges, now, out);
+		send_curiosity(relay, requests_ranges, now, out);
 	try_next_upstream(relay, now);
 }
--- a/lib/core/purge_view.h
+++ b/lib/core/purge_view.h
@@ -6,6 +6,7 @@
 
 #include "purge.h"
 
+/* One subject. */
 struct purge_view_row {
 	uint64_t key; /* purge_subject */
 	struct Nl__Value *value;
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -10,6 +10,7 @@
 
 #include "core.h"
 
+/* What a member does in its term. */
 enum raft_role { RAFT_FOLLOWER, RAFT_PRE_CANDIDATE, RAFT_CANDIDATE, RAFT_LEADER };
 
 /* Lease, elections, heartbeats. */
@@ -351,9 +352,9 @@
  * Example: if (raft_has_lease(&raft, now)) answer(); */
 int raft_has_lease(const struct raft *raft, int64_t now);
 
-/* Whether the log has grown enough for a snapshot. Example: if (raft_wants_snapshot(&raft))
+/* Whether the log has grown enough for a snapshot. Example: if (raft_needs_snapshot(&raft))
  * raft_snapshot(&raft, data, size); */
-int raft_wants_snapshot(const struct raft *raft);
+int raft_needs_snapshot(const struct raft *raft);
 
 /* Take over a snapshot of the state machine as of the applied index; data is copied, and the log behind it is
  * shortened. */
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -45,6 +45,8 @@
 
 /* The member with this identity, or NULL. Valid until members change. */
 const struct raft_member *raft_find_const_member(const struct raft *raft, uint64_t id);
+
+/* The same, for changing it. */
 struct raft_member *raft_find_member(struct raft *raft, uint64_t id);
 
 /* How many members vote. */
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -83,7 +83,7 @@
 	return 0;
 }
 
-static int is_named(const uint64_t *lost, int count, uint64_t id)
+static int is_listed(const uint64_t *lost, int count, uint64_t id)
 {
 	for (int i = 0; i < count; i++)
 		if (lost[i] == id)
@@ -97,19 +97,19 @@
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
-		int named = is_named(lost, count, member->id);
+		int is_lost = is_listed(lost, count, member->id);
 
 		if (!member->voter)
 			continue;
 		voters++;
-		remaining += !named;
-		voting |= member->id == raft->id && !named;
-		if (named && member->id != raft->id && member->last_message_at_ms &&
+		remaining += !is_lost;
+		voting |= member->id == raft->id && !is_lost;
+		if (is_lost && member->id != raft->id && member->last_message_at_ms &&
 		    now - member->last_message_at_ms < RAFT_ABSENT_MS)
 			return RAFT_RECOVERY_MEMBER_ANSWERS;
-		if (!named && (member->vote.last_term > raft_last_term(raft) ||
-			       (member->vote.last_term == raft_last_term(raft) &&
-				member->vote.last_index > raft_last_index(raft))))
+		if (!is_lost && (member->vote.last_term > raft_last_term(raft) ||
+				 (member->vote.last_term == raft_last_term(raft) &&
+				  member->vote.last_index > raft_last_index(raft))))
 			return RAFT_RECOVERY_OTHER_IS_NEWER;
 	}
 	if (!voting || raft->fenced)
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -140,10 +140,10 @@
  * back-off. */
 static void resend_after_timeout(const struct raft *raft, struct raft_progress *progress, int64_t now)
 {
-	int64_t carried_ms = (int64_t)(bytes_under_way(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
+	int64_t transmission_ms = (int64_t)(bytes_under_way(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
 
 	if (progress->next_index == progress->unacked_index ||
-	    now - progress->advanced_at_ms < progress->resend_ms + carried_ms)
+	    now - progress->advanced_at_ms < progress->resend_ms + transmission_ms)
 		return;
 	progress->next_index = progress->unacked_index;
 	progress->advanced_at_ms = now;
@@ -189,7 +189,7 @@
 }
 
 /* Whether the log holds the entry before the appended ones. A dropped or committed entry is the leader's. */
-static int holds_previous(const struct raft *raft, const struct Nl__Append *append)
+static int has_previous(const struct raft *raft, const struct Nl__Append *append)
 {
 	uint64_t prev = append->prev_index;
 
@@ -212,7 +212,7 @@
 
 /* Append what is missing; entries that conflict with the leader's are truncated first. Committed entries
  * never differ. */
-static void take_over_entries(struct raft *raft, const struct Nl__Append *append)
+static void append_missing(struct raft *raft, const struct Nl__Append *append)
 {
 	uint64_t prev = append->prev_index;
 	uint64_t skip = raft->log.commit_index > prev ? raft->log.commit_index - prev : 0;
@@ -244,11 +244,11 @@
 		return;
 	}
 	note_release(raft, append);
-	if (!holds_previous(raft, append)) {
+	if (!has_previous(raft, append)) {
 		reject_append(raft, message, out);
 		return;
 	}
-	take_over_entries(raft, append);
+	append_missing(raft, append);
 	if (end > raft->log.matched_index)
 		raft->log.matched_index = end;
 	committed =
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -124,15 +124,15 @@
 
 struct raft_stored_snapshot *raft_find_snapshot(struct raft *raft, uint64_t index)
 {
-	struct raft_stored_snapshot *found = NULL;
+	struct raft_stored_snapshot *snapshot = NULL;
 
 	if (index && index == raft->snapshots.newest.index)
-		found = &raft->snapshots.newest;
+		snapshot = &raft->snapshots.newest;
 	else if (index && index == raft->snapshots.previous.index)
-		found = &raft->snapshots.previous;
-	if (found && !found->has_digest)
-		compute_digest(found);
-	return found;
+		snapshot = &raft->snapshots.previous;
+	if (snapshot && !snapshot->has_digest)
+		compute_digest(snapshot);
+	return snapshot;
 }
 
 /* ---- the state machine's own snapshots ---- */
@@ -150,7 +150,7 @@
 	return 0;
 }
 
-int raft_wants_snapshot(const struct raft *raft)
+int raft_needs_snapshot(const struct raft *raft)
 {
 	size_t snapshot_bytes = raft->snapshots.newest.data_len;
 	size_t log_bytes =
--- a/lib/core/raft_snapshot_send.c
+++ b/lib/core/raft_snapshot_send.c
@@ -80,11 +80,11 @@
 /* Without progress for a while: what is under way is taken for lost. */
 static void resend_after_timeout(struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	int64_t carried_ms =
+	int64_t transmission_ms =
 	    (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
 
 	if (transfer->sent_bytes == transfer->acked_bytes ||
-	    now - transfer->advanced_at_ms < transfer->resend_ms + carried_ms)
+	    now - transfer->advanced_at_ms < transfer->resend_ms + transmission_ms)
 		return;
 	transfer->sent_bytes = transfer->acked_bytes;
 	transfer->advanced_at_ms = now;
--- a/tests/raft_world.c
+++ b/tests/raft_world.c
@@ -348,7 +348,7 @@
 	}
 	while ((entry = raft_next_committed(&machine->raft, &index)))
 		state_apply(world, machine, entry);
-	if (raft_wants_snapshot(&machine->raft)) {
+	if (raft_needs_snapshot(&machine->raft)) {
 		size_t len;
 		uint8_t *d = state_pack(&machine->state, &len);
 
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -78,7 +78,7 @@
 		solo->acked = version_of(entry->data, entry->len);
 		memcpy(solo->document, entry->data, entry->len);
 	}
-	if (raft_wants_snapshot(&solo->raft))
+	if (raft_needs_snapshot(&solo->raft))
 		raft_snapshot(&solo->raft, solo->document, solo->len);
 	perform(solo);
 }
