--- a/tests/explore.c
+++ b/tests/explore.c
@@ -18,7 +18,8 @@
 };
 
 /* Every random number of the replicated log is 0: the order of ticks, which is chosen, decides who is first.
- * Only the number of a life has to differ, and leaves no rest against the spans that it is cut to. */
+ * Only the incarnation has to differ, and leaves no remainder modulo the spans that random delays are drawn
+ * from. */
 enum { RANDOM_SPAN = 2100 };
 
 struct explore_world explore_world;
@@ -62,9 +63,9 @@
 static struct blob *blobs;   /* stb_ds */
 static uint32_t *blob_slots; /* number of the blob plus one */
 
-uint32_t explore_intern(const void *d, size_t n)
+uint32_t explore_intern(const void *data, size_t n)
 {
-	uint64_t hash = XXH3_64bits(d, n);
+	uint64_t hash = XXH3_64bits(data, n);
 	size_t slot = hash % (2 * MAX_BLOBS);
 	struct blob blob = { n, hash, NULL };
 
@@ -76,7 +77,7 @@
 	for (; blob_slots[slot]; slot = (slot + 1) % (2 * MAX_BLOBS)) {
 		const struct blob *other = &blobs[blob_slots[slot] - 1];
 
-		if (other->hash == hash && other->len == n && !memcmp(other->data, d, n))
+		if (other->hash == hash && other->len == n && !memcmp(other->data, data, n))
 			return blob_slots[slot] - 1;
 	}
 	if (arrlen(blobs) == MAX_BLOBS) {
@@ -87,7 +88,7 @@
 	if (!blob.data)
 		abort();
 	if (n)
-		memcpy(blob.data, d, n);
+		memcpy(blob.data, data, n);
 	arrput(blobs, blob);
 	blob_slots[slot] = (uint32_t)arrlen(blobs);
 	return blob_slots[slot] - 1;
@@ -111,7 +112,7 @@
 {
 	struct disk_write write;
 
-	if (replica->n_writes == EXPLORE_WRITES) {
+	if (replica->write_count == EXPLORE_WRITES) {
 		fprintf(stderr, "explore: too many writes wait for the disk\n");
 		abort();
 	}
@@ -135,13 +136,13 @@
 		    (struct explore_disk_entry){ persist->entries[i].term, persist->entries[i].kind,
 						 explore_intern(persist->entries[i].data,
 								persist->entries[i].len) };
-	replica->writes[replica->n_writes++] = explore_intern(
+	replica->writes[replica->write_count++] = explore_intern(
 	    &write, offsetof(struct disk_write, entries) + write.entry_count * sizeof *write.entries);
 }
 
 static void disk_cut(struct explore_disk *disk, uint64_t from)
 {
-	while (disk->entry_count && disk->first + disk->entry_count - 1 >= from)
+	while (disk->entry_count && disk->first_index + disk->entry_count - 1 >= from)
 		memset(&disk->entries[--disk->entry_count], 0, sizeof *disk->entries);
 }
 
@@ -149,14 +150,14 @@
 {
 	uint32_t gone = 0;
 
-	while (gone < disk->entry_count && disk->first + gone <= up_to)
+	while (gone < disk->entry_count && disk->first_index + gone <= up_to)
 		gone++;
 	disk->entry_count -= gone;
 	memmove(disk->entries, disk->entries + gone, disk->entry_count * sizeof *disk->entries);
 	memset(disk->entries + disk->entry_count, 0, gone * sizeof *disk->entries);
-	disk->first += gone;
+	disk->first_index += gone;
 	if (!disk->entry_count)
-		disk->first = up_to + 1;
+		disk->first_index = up_to + 1;
 }
 
 /* The oldest write reaches the disk; its number. */
@@ -168,8 +169,8 @@
 	const struct disk_write *write =
 	    (const struct disk_write *)(const void *)explore_blob(replica->writes[0], &n);
 
-	memmove(replica->writes, replica->writes + 1, --replica->n_writes * sizeof *replica->writes);
-	replica->writes[replica->n_writes] = 0;
+	memmove(replica->writes, replica->writes + 1, --replica->write_count * sizeof *replica->writes);
+	replica->writes[replica->write_count] = 0;
 	disk->term = write->term;
 	disk->vote = write->vote;
 	if (write->cut)
@@ -177,14 +178,14 @@
 	if (write->snapshot) {
 		disk->members = write->members;
 		disk->data = write->data;
-		disk->base = write->base;
-		disk->base_term = write->base_term;
+		disk->snapshot_index = write->base;
+		disk->snapshot_term = write->base_term;
 		disk_drop(disk, write->drop);
 	}
 	for (uint32_t i = 0; i < write->entry_count; i++) {
 		disk_cut(disk, write->first + i);
 		if (!disk->entry_count)
-			disk->first = write->first + i;
+			disk->first_index = write->first + i;
 		disk->entries[disk->entry_count++] = write->entries[i];
 	}
 	check_disk(node);
@@ -195,7 +196,7 @@
 
 int explore_node_at(uint64_t addr)
 {
-	return addr >= FIRST_ADDR && addr < FIRST_ADDR + (uint64_t)explore_world.nodes
+	return addr >= FIRST_ADDR && addr < FIRST_ADDR + (uint64_t)explore_world.node_count
 		   ? (int)(addr - FIRST_ADDR)
 		   : -1;
 }
@@ -205,8 +206,8 @@
 	struct explore_world *world = &explore_world;
 
 	memmove(world->messages + at, world->messages + at + 1,
-		(--world->n_messages - at) * sizeof *world->messages);
-	memset(&world->messages[world->n_messages], 0, sizeof *world->messages);
+		(--world->message_count - at) * sizeof *world->messages);
+	memset(&world->messages[world->message_count], 0, sizeof *world->messages);
 }
 
 /* The same message twice in flight is one: a second delivery is a duplicate. */
@@ -222,19 +223,19 @@
 		return;
 	message.to = (uint8_t)to;
 	message.blob = explore_intern(bytes, nl__msg__pack(cmd->args.send.msg, bytes));
-	for (uint32_t i = 0; i < world->n_messages; i++)
+	for (uint32_t i = 0; i < world->message_count; i++)
 		if (!memcmp(&world->messages[i], &message, sizeof message))
 			return;
-	if (world->n_messages == EXPLORE_IN_FLIGHT)
+	if (world->message_count == EXPLORE_IN_FLIGHT)
 		remove_message(0); /* the oldest is lost */
-	world->messages[world->n_messages++] = message;
+	world->messages[world->message_count++] = message;
 }
 
 static int find_message(const struct choice *choice)
 {
 	uint32_t nth = 0;
 
-	for (uint32_t i = 0; i < explore_world.n_messages; i++)
+	for (uint32_t i = 0; i < explore_world.message_count; i++)
 		if (explore_world.messages[i].to == choice->node &&
 		    explore_world.messages[i].from == choice->from && nth++ == choice->arg)
 			return (int)i;
@@ -347,18 +348,18 @@
 	const struct explore_disk *disk = &replica->disk;
 	struct raft_saved saved = { .term = disk->term,
 				    .vote = disk->vote,
-				    .snapshot_index = disk->base,
-				    .snapshot_term = disk->base_term };
+				    .snapshot_index = disk->snapshot_index,
+				    .snapshot_term = disk->snapshot_term };
 
-	if (disk->base) {
+	if (disk->snapshot_index) {
 		saved.members = explore_blob(disk->members, &saved.members_len);
 		saved.data = explore_blob(disk->data, &saved.data_len);
 	}
-	saved.first_index = disk->first;
+	saved.first_index = disk->first_index;
 	saved.entries = saved_entries(disk);
 	saved.entry_count = disk->entry_count;
-	replica->up = 1;
-	replica->commit = replica->leads = replica->members_index = 0;
+	replica->is_up = 1;
+	replica->commit = replica->led_term = replica->members_index = 0;
 	replica->member_count = 0;
 	memset(&replica->machine, 0, sizeof replica->machine);
 	explore_heap_reset(&heaps[node]);
@@ -377,7 +378,7 @@
 		explore_heap_reset(&heaps[i]);
 		rafts[i] = NULL;
 	}
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		open_replica(i);
 }
 
@@ -403,10 +404,10 @@
 
 	for (int i = 0; i < written; i++)
 		(void)disk_write_one(node);
-	replica->n_writes = 0;
+	replica->write_count = 0;
 	memset(replica->writes, 0, sizeof replica->writes);
 	memset(&replica->machine, 0, sizeof replica->machine);
-	replica->up = 0;
+	replica->is_up = 0;
 	explore_heap_reset(&heaps[node]);
 	rafts[node] = NULL;
 	rehash(node);
@@ -417,11 +418,11 @@
 	struct explore_replica *replica = &explore_world.replica[node];
 
 	memset(&replica->disk, 0, sizeof replica->disk);
-	replica->identity = ++explore_world.identities;
+	replica->identity = ++explore_world.identity_count;
 	open_replica(node);
 }
 
-/* A member that is to stop and may is gone for good; another machine may come up in its place. */
+/* A draining member that may stop ends for good; another machine may come up in its place. */
 static void end_replica(int node)
 {
 	struct explore_replica *replica = &explore_world.replica[node];
@@ -429,14 +430,14 @@
 	explore_world.history.ended[replica->identity] = 1;
 	crash(node, 0);
 	memset(&replica->disk, 0, sizeof replica->disk);
-	replica->identity = ++explore_world.identities;
+	replica->identity = ++explore_world.identity_count;
 	rehash(node);
 	check_ended();
 }
 
 static void propose(int node)
 {
-	uint32_t operation = ++explore_world.operations;
+	uint32_t operation = ++explore_world.operation_count;
 
 	(void)step_begin(node);
 	(void)raft_propose(rafts[node], (const uint8_t *)&operation, OPERATION_BYTES, explore_world.now);
@@ -460,8 +461,8 @@
 	int n = 0;
 
 	memset(live, 0, sizeof live);
-	for (int i = 0; i < explore_world.nodes; i++) {
-		if (only_up && !explore_world.replica[i].up)
+	for (int i = 0; i < explore_world.node_count; i++) {
+		if (only_up && !explore_world.replica[i].is_up)
 			continue;
 		live[n].id = explore_world.replica[i].identity;
 		live[n++].addr = FIRST_ADDR + (uint64_t)i;
@@ -474,7 +475,7 @@
 static void wait_ms(int ms)
 {
 	explore_world.now += ms;
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		rehash(i);
 	check_leases();
 }
@@ -488,7 +489,7 @@
 	for (int i = 0; i < raft->group.member_count; i++)
 		voter |= raft->group.members[i].id == raft->id && raft->group.members[i].voter;
 	return voter && raft->drain.requested && raft_may_stop(raft, explore_world.now) &&
-	       explore_world.identities + 1 < EXPLORE_IDENTITIES;
+	       explore_world.identity_count + 1 < EXPLORE_IDENTITIES;
 }
 
 static int possible(const struct choice *choice)
@@ -497,19 +498,19 @@
 
 	if (choice->kind == CHOICE_WAIT)
 		return 1;
-	if (choice->node >= explore_world.nodes)
+	if (choice->node >= explore_world.node_count)
 		return 0;
 	switch (choice->kind) {
 	case CHOICE_DROP:
 		return find_message(choice) >= 0;
 	case CHOICE_RESTART:
-		return !replica->up;
+		return !replica->is_up;
 	case CHOICE_WIPE:
-		return !replica->up && explore_world.identities + 1 < EXPLORE_IDENTITIES;
+		return !replica->is_up && explore_world.identity_count + 1 < EXPLORE_IDENTITIES;
 	default:
 		break;
 	}
-	if (!replica->up)
+	if (!replica->is_up)
 		return 0;
 	switch (choice->kind) {
 	case CHOICE_DELIVER:
@@ -518,9 +519,9 @@
 	case CHOICE_END:
 		return may_end(choice->node);
 	case CHOICE_SYNC:
-		return replica->n_writes > 0;
+		return replica->write_count > 0;
 	case CHOICE_CRASH:
-		return choice->arg <= replica->n_writes;
+		return choice->arg <= replica->write_count;
 	case CHOICE_COMPACT:
 		return rafts[choice->node]->log.applied_index > rafts[choice->node]->snapshots.newest.index;
 	case CHOICE_PROPOSE:
@@ -623,8 +624,8 @@
 	perform(&choice);
 	if (explore_world.budget[choice.kind] && explore_world.budget[choice.kind] != EXPLORE_UNLIMITED)
 		explore_world.budget[choice.kind]--;
-	if (explore_world.rare && is_rare(choice.kind))
-		explore_world.rare--;
+	if (explore_world.rare_budget && is_rare(choice.kind))
+		explore_world.rare_budget--;
 	return 1;
 }
 
@@ -642,7 +643,7 @@
 {
 	struct choice choice = { (uint8_t)kind, (uint8_t)node, (uint8_t)from, (uint16_t)arg };
 
-	if (is_rare(kind) && !explore_world.rare)
+	if (is_rare(kind) && !explore_world.rare_budget)
 		return;
 	if (list->count < list->limit && explore_world.budget[kind] && possible(&choice))
 		list->choices[list->count++] = choice;
@@ -650,8 +651,8 @@
 
 static void add_deliveries(struct choice_list *list)
 {
-	for (int to = 0; to < explore_world.nodes; to++)
-		for (int from = 0; from < explore_world.nodes; from++)
+	for (int to = 0; to < explore_world.node_count; to++)
+		for (int from = 0; from < explore_world.node_count; from++)
 			for (int nth = 0; find_message(&(struct choice){ 0, (uint8_t)to, (uint8_t)from,
 									 (uint16_t)nth }) >= 0;
 			     nth++) {
@@ -667,12 +668,12 @@
 	if (explore_exhausted())
 		return 0;
 	add_deliveries(&list);
-	for (int node = 0; node < explore_world.nodes; node++) {
+	for (int node = 0; node < explore_world.node_count; node++) {
 		for (int kind = CHOICE_SYNC; kind < CHOICE_KINDS; kind++)
 			if (kind != CHOICE_WAIT)
 				add(&list, kind, node, 0, 0);
-		if (explore_world.replica[node].n_writes)
-			add(&list, CHOICE_CRASH, node, 0, explore_world.replica[node].n_writes);
+		if (explore_world.replica[node].write_count)
+			add(&list, CHOICE_CRASH, node, 0, explore_world.replica[node].write_count);
 		add(&list, CHOICE_RECONFIGURE, node, 0, 1);
 	}
 	for (size_t i = 0; i < sizeof waits / sizeof *waits; i++)
@@ -682,14 +683,14 @@
 
 int explore_exhausted(void)
 {
-	for (int i = 0; i < explore_world.nodes; i++) {
+	for (int i = 0; i < explore_world.node_count; i++) {
 		const struct raft *raft = rafts[i];
 
 		if (raft &&
 		    (raft->term + 4 >= EXPLORE_TERMS ||
 		     raft->log.base_index + (uint64_t)arrlen(raft->log.entries) + 4 >= EXPLORE_ENTRIES))
 			return 1;
-		if (explore_world.replica[i].n_writes + 2 >= EXPLORE_WRITES ||
+		if (explore_world.replica[i].write_count + 2 >= EXPLORE_WRITES ||
 		    explore_world.replica[i].incarnations > 200)
 			return 1;
 	}
@@ -699,13 +700,13 @@
 uint64_t explore_hash(void)
 {
 	struct explore_world *world = &explore_world;
-	uint64_t sum =
-	    XXH3_64bits(&world->history, sizeof world->history) ^
-	    XXH3_64bits_withSeed(world->budget, sizeof world->budget, world->operations * 256u + world->rare);
+	uint64_t sum = XXH3_64bits(&world->history, sizeof world->history) ^
+		       XXH3_64bits_withSeed(world->budget, sizeof world->budget,
+					    world->operation_count * 256u + world->rare_budget);
 
-	for (uint32_t i = 0; i < world->n_messages; i++)
+	for (uint32_t i = 0; i < world->message_count; i++)
 		sum += XXH3_64bits(&world->messages[i], sizeof *world->messages);
-	for (int i = 0; i < world->nodes; i++)
+	for (int i = 0; i < world->node_count; i++)
 		sum = (sum ^ world->replica[i].hash) * 0x9e3779b97f4a7c15ull;
 	return sum;
 }
@@ -723,7 +724,7 @@
 {
 	saved->world = explore_world;
 	memcpy(saved->rafts, rafts, sizeof rafts);
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		explore_heap_copy(&saved->heaps[i], &heaps[i]);
 }
 
@@ -731,7 +732,7 @@
 {
 	explore_world = saved->world;
 	memcpy(rafts, saved->rafts, sizeof rafts);
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		explore_heap_copy(&heaps[i], &saved->heaps[i]);
 }
 
--- a/tests/explore_check.c
+++ b/tests/explore_check.c
@@ -31,21 +31,21 @@
 
 static uint64_t disk_last(const struct explore_disk *disk)
 {
-	return disk->entry_count ? disk->first + disk->entry_count - 1 : disk->base;
+	return disk->entry_count ? disk->first_index + disk->entry_count - 1 : disk->snapshot_index;
 }
 
 /* Whether a disk holds the entry that was committed at an index, in its log or its snapshot. */
 static int disk_holds(const struct explore_disk *disk, uint64_t index)
 {
-	if (index <= disk->base)
+	if (index <= disk->snapshot_index)
 		return 1;
-	return disk->entry_count && index >= disk->first && index <= disk_last(disk) &&
-	       disk->entries[index - disk->first].term == explore_world.history.committed[index].term;
+	return disk->entry_count && index >= disk->first_index && index <= disk_last(disk) &&
+	       disk->entries[index - disk->first_index].term == explore_world.history.committed[index].term;
 }
 
 static struct explore_replica *replica_of(uint64_t identity)
 {
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		if (explore_world.replica[i].identity == identity)
 			return &explore_world.replica[i];
 	return NULL;
@@ -104,11 +104,12 @@
 	if (reply->match_index > disk_last(disk))
 		check_fail(ACKNOWLEDGED_IS_ON_DISK, "replica %d acknowledges %d, its disk has %d",
 			   replica->identity, (int)reply->match_index, (int)disk_last(disk));
-	for (uint64_t i = 1; i <= reply->match_index && i <= disk->base; i++)
+	for (uint64_t i = 1; i <= reply->match_index && i <= disk->snapshot_index; i++)
 		history->acknowledged[replica->identity][i] = (uint8_t)history->committed[i].term;
-	for (uint64_t i = disk->first; disk->entry_count && i <= reply->match_index && i <= disk_last(disk);
-	     i++)
-		history->acknowledged[replica->identity][i] = (uint8_t)disk->entries[i - disk->first].term;
+	for (uint64_t i = disk->first_index;
+	     disk->entry_count && i <= reply->match_index && i <= disk_last(disk); i++)
+		history->acknowledged[replica->identity][i] =
+		    (uint8_t)disk->entries[i - disk->first_index].term;
 }
 
 void check_message(int node, const struct command *cmd)
@@ -188,7 +189,7 @@
 }
 
 /* Whether a member has the entry that was committed at an index. One that has lost its disk counts as long as
- * it is a member; one that was let go does not. */
+ * it is a member; one that was released does not. */
 static int member_holds(const struct raft_member *member, uint64_t index)
 {
 	const struct explore_history *history = &explore_world.history;
@@ -379,7 +380,8 @@
 	return majority_holds(&voters, without, index);
 }
 
-/* Those that were let go are not needed: a majority of the group holds all that is committed without them. */
+/* Those that were released are not needed: a majority of the group holds all that is committed without them.
+ */
 void check_ended(void)
 {
 	if (!is_held_without(0, explore_world.history.commit))
@@ -387,7 +389,7 @@
 			   (int)explore_world.history.commit);
 }
 
-/* How many stand in one set and not in the other. */
+/* How many are in one set and not in the other. */
 static int voters_differ(const struct voters *a, const struct voters *b)
 {
 	int common = 0;
@@ -430,8 +432,8 @@
 			   explore_world.replica[node].identity);
 }
 
-/* Never fewer members than the minimum. A lost voter may go before its successor, which is a learner then,
- * has its vote. */
+/* Never fewer members than the minimum. A lost voter may be removed before its successor, which is a learner
+ * then, has its vote. */
 static void check_voters(int node)
 {
 	const struct raft *raft = explore_raft(node);
@@ -477,7 +479,7 @@
 	return 0;
 }
 
-/* One that may leave takes no copy along that is needed: a majority of the group has all that it knows as
+/* One that may stop takes no copy along that is needed: a majority of the group has all that it knows as
  * committed without it. The group is as its newest committed membership says, of which the leaving one may
  * not have heard. */
 static void check_leaving(int node)
@@ -506,17 +508,17 @@
 			   (int)replica->commit, (int)raft->log.commit_index);
 	if (raft->role == RAFT_LEADER && raft->log.commit_index > replica->commit &&
 	    raft->log.commit_index > raft->log.base_index &&
-	    entry_at(raft, raft->log.commit_index)->term != raft->term && raft->term == replica->leads)
+	    entry_at(raft, raft->log.commit_index)->term != raft->term && raft->term == replica->led_term)
 		check_fail(LEADER_COMMITS_ITS_TERM, "leader %d of term %d commits up to %d, of term %d",
 			   replica->identity, (int)raft->term, (int)raft->log.commit_index,
 			   (int)entry_at(raft, raft->log.commit_index)->term);
 	replica->commit = raft->log.commit_index;
-	replica->leads = raft->role == RAFT_LEADER ? raft->term : 0;
+	replica->led_term = raft->role == RAFT_LEADER ? raft->term : 0;
 	note_committed(node);
 	check_machine(node);
 	if (raft->role == RAFT_LEADER)
 		check_leader(node);
-	for (int i = 0; i < explore_world.nodes; i++)
+	for (int i = 0; i < explore_world.node_count; i++)
 		if (i != node && explore_raft(i))
 			check_logs(node, i);
 	check_changes(node);
@@ -529,7 +531,7 @@
 {
 	int holder = -1;
 
-	for (int i = 0; i < explore_world.nodes; i++) {
+	for (int i = 0; i < explore_world.node_count; i++) {
 		const struct raft *raft = explore_raft(i);
 
 		if (!raft || !raft_has_lease(raft, explore_world.now))
--- a/tests/explore_heap.c
+++ b/tests/explore_heap.c
@@ -176,7 +176,7 @@
 }
 
 /* A pointer to a block, or to the first element of an stb_ds array in one. */
-static void config_watch_pointer(const unsigned char *p, int depth)
+static void scan_pointer(const unsigned char *p, int depth)
 {
 	const unsigned char *start = p - sizeof(stbds_array_header);
 
@@ -212,7 +212,7 @@
 
 	for (size_t i = 0; i < n; i++) {
 		if (words[i] - low < hashing.heap->used && words[i] % 8 == 0)
-			config_watch_pointer((const unsigned char *)(uintptr_t)words[i], depth + 1);
+			scan_pointer((const unsigned char *)(uintptr_t)words[i], depth + 1);
 		else if (words[i] - oldest < 2 * TIME_WINDOW_MS)
 			emit(relative(words[i]));
 		else
@@ -225,6 +225,6 @@
 	hashing.heap = heap;
 	hashing.now = now;
 	hashing.word_count = 0;
-	config_watch_pointer(root, 0);
+	scan_pointer(root, 0);
 	return XXH3_64bits(hashing.words, hashing.word_count * sizeof *hashing.words);
 }
--- a/tests/explore_scenes.c
+++ b/tests/explore_scenes.c
@@ -18,14 +18,14 @@
 	return explore_do((struct choice){ (uint8_t)kind, (uint8_t)node, (uint8_t)from, (uint16_t)arg });
 }
 
-static int settle_once(int nodes)
+static int deliver_and_sync_once(int nodes)
 {
-	for (int to = 0; to < explore_world.nodes; to++) {
+	for (int to = 0; to < explore_world.node_count; to++) {
 		if (!in_set(nodes, to))
 			continue;
 		if (do_one(CHOICE_SYNC, to, 0, 0))
 			return 1;
-		for (int from = 0; from < explore_world.nodes; from++)
+		for (int from = 0; from < explore_world.node_count; from++)
 			if (in_set(nodes, from) && do_one(CHOICE_DELIVER, to, from, 0))
 				return 1;
 	}
@@ -35,13 +35,13 @@
 /* Deliver and sync everything within a set of replicas until nothing is left. */
 static void settle(int nodes)
 {
-	for (int i = 0; i < SETTLE_STEPS && settle_once(nodes); i++)
+	for (int i = 0; i < SETTLE_STEPS && deliver_and_sync_once(nodes); i++)
 		;
 }
 
 static void lose_messages(void)
 {
-	while (explore_world.n_messages)
+	while (explore_world.message_count)
 		(void)do_one(CHOICE_DROP, explore_world.messages[0].to, explore_world.messages[0].from, 0);
 }
 
@@ -62,7 +62,7 @@
 	return explore_raft(node) && raft_has_lease(explore_raft(node), explore_world.now);
 }
 
-/* Only node's clock runs out, and only `nodes` hear each other. */
+/* Only node's election timer expires, and only `nodes` receive each other's messages. */
 static void elect(int node, int nodes)
 {
 	for (int i = 0; i < ELECTION_ROUNDS && !leads(node); i++)
@@ -90,11 +90,11 @@
 
 	memset(world, 0, sizeof *world);
 	world->now = EXPLORE_EPOCH_MS;
-	world->nodes = (uint8_t)nodes;
-	world->voters = (uint8_t)voters;
+	world->node_count = (uint8_t)nodes;
+	world->voter_count = (uint8_t)voters;
 	explore_violation = INVARIANT_NONE;
 	for (int i = 0; i < nodes; i++)
-		world->replica[i].identity = ++world->identities;
+		world->replica[i].identity = ++world->identity_count;
 	explore_open_all();
 	explore_bootstrap(voters);
 }
@@ -177,7 +177,7 @@
 	settle(3);
 	wait_for(RAFT_HEARTBEAT_MS);
 	(void)do_one(CHOICE_TICK, 0, 0, 0);
-	(void)do_one(CHOICE_DELIVER, 2, 0, 0); /* the follower says how far it is */
+	(void)do_one(CHOICE_DELIVER, 2, 0, 0); /* the follower answers how far its log is */
 	(void)do_one(CHOICE_DELIVER, 0, 2, 0);
 }
 
@@ -208,7 +208,7 @@
 	for (int i = 0; i < ELECTION_ROUNDS && explore_raft(1)->role != RAFT_LEADER; i++) {
 		wait_for(RAFT_HEARTBEAT_MS);
 		(void)do_one(CHOICE_TICK, 1, 0, 0);
-		while (explore_raft(1)->role != RAFT_LEADER && settle_once(6))
+		while (explore_raft(1)->role != RAFT_LEADER && deliver_and_sync_once(6))
 			;
 	}
 	(void)do_one(CHOICE_SYNC, 1, 0, 0); /* the new leader's first entry, on its disk alone */
@@ -256,7 +256,7 @@
 	       do_one(CHOICE_SYNC, 2, 0, 0))
 		;
 	(void)do_one(CHOICE_DELIVER, 1, 0,
-		     0); /* the first entry alone is committed, and the follower has not heard of it */
+		     0); /* the first entry alone is committed, and the follower does not know of it */
 	(void)do_one(CHOICE_SYNC, 1, 0, 0);
 	(void)do_one(CHOICE_DELIVER, 0, 1, 0);
 	(void)do_one(CHOICE_COMPACT, 0, 0, 0);
@@ -272,7 +272,7 @@
 	[SCENE_CHANGE] = { "CHANGE", scene_change },
 	[SCENE_REJOINED] = { "REJOINED", scene_rejoined },
 	[SCENE_LEARNER] = { "LEARNER", scene_learner },
-	[SCENE_ALL_FELL] = { "ALL_FELL", scene_all_fell },
+	[SCENE_ALL_RESTARTED] = { "ALL_FELL", scene_all_fell },
 	[SCENE_SNAPSHOT] = { "SNAPSHOT", scene_snapshot },
 	[SCENE_FOUR] = { "FOUR", scene_four },
 	[SCENE_REPLACED] = { "REPLACED", scene_replaced },
@@ -313,5 +313,5 @@
 {
 	scenes[scene].prepare();
 	memcpy(explore_world.budget, budgets, sizeof budgets);
-	explore_world.rare = RARE;
+	explore_world.rare_budget = RARE;
 }
--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -43,7 +43,7 @@
 
 /* ---- the states seen --------------------------------------------------- */
 
-/* For each state the most choices that were still left when it was reached. */
+/* For each state the most choices that remained when it was reached. */
 struct seen {
 	uint64_t *key;
 	uint8_t *remaining;
@@ -78,7 +78,7 @@
 	seen->n = 0;
 }
 
-/* Whether a state has to be explored with so many choices left. */
+/* Whether a state has to be explored with so many remaining choices. */
 static int visited_add(struct seen *seen, uint64_t key, int remaining)
 {
 	uint64_t at;
@@ -173,7 +173,7 @@
 /* How replicas and links behave for a while. */
 struct episode {
 	int remaining;
-	uint8_t cell[EXPLORE_NODES]; /* replicas hear only those in the same cell */
+	uint8_t cell[EXPLORE_NODES]; /* replicas receive only from those in the same cell */
 	uint8_t frozen[EXPLORE_NODES];
 	int in_order;
 	uint16_t weight[CHOICE_KINDS], total;
@@ -201,7 +201,7 @@
 
 static void choose_links(struct episode *episode, uint64_t *state)
 {
-	int nodes = explore_world.nodes, alone = below(state, nodes);
+	int nodes = explore_world.node_count, alone = below(state, nodes);
 
 	switch (below(state, 6)) {
 	case 0:
@@ -243,19 +243,19 @@
 
 static int awake(const struct episode *episode, int node)
 {
-	return explore_world.replica[node].up && !episode->frozen[node];
+	return explore_world.replica[node].is_up && !episode->frozen[node];
 }
 
 static struct choice choose_delivery(const struct episode *episode, uint64_t *state, int kind)
 {
 	const struct explore_world *world = &explore_world;
 	struct choice choice = { CHOICE_KINDS, 0, 0, 0 };
-	uint32_t from = world->n_messages ? (uint32_t)below(state, (int)world->n_messages) : 0;
+	uint32_t from = world->message_count ? (uint32_t)below(state, (int)world->message_count) : 0;
 
 	if (episode->in_order)
 		from = 0;
-	for (uint32_t k = 0; k < world->n_messages; k++) {
-		const struct explore_message *message = &world->messages[(from + k) % world->n_messages];
+	for (uint32_t k = 0; k < world->message_count; k++) {
+		const struct explore_message *message = &world->messages[(from + k) % world->message_count];
 
 		if (!awake(episode, message->to) ||
 		    episode->cell[message->from] != episode->cell[message->to])
@@ -282,7 +282,7 @@
 static struct choice choose(const struct episode *episode, uint64_t *state)
 {
 	static const uint16_t waits[] = { 10, 50, 150, 150, 150, 150, 300, 450, 600, 700, 1600 };
-	int kind = choose_kind(episode, state), node = below(state, explore_world.nodes);
+	int kind = choose_kind(episode, state), node = below(state, explore_world.node_count);
 	struct choice choice = { (uint8_t)kind, (uint8_t)node, 0, 0 };
 
 	switch (kind) {
@@ -360,7 +360,7 @@
 	return shorter;
 }
 
-/* Without what comes after the breach, and without what was not possible anyway. */
+/* Without what comes after the violation, and without what was not possible anyway. */
 static void keep_possible(struct explore_path *path)
 {
 	size_t kept = 0;
@@ -389,9 +389,8 @@
 {
 	(void)explore_replay(path->scene, path->choices, path->choice_count);
 	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
-	fprintf(
-	    file,
-	    "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	fprintf(file,
+		"static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
 	for (size_t i = 0; i < path->choice_count; i++)
 		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
 			path->choices[i].node, path->choices[i].from, path->choices[i].arg);
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -95,7 +95,7 @@
 		leader->live[i] = (struct raft_member){ .id = (uint64_t)i + 1,
 							.addr = 101 + (uint64_t)i,
 							.zone = 1 + (uint64_t)i };
-	leader->live_count = voters + 1; /* one more stands by */
+	leader->live_count = voters + 1; /* one more can join */
 	raft_open(&leader->raft, 0, 1, 5, NULL, leader->now);
 	leader->raft.group.replicas = voters;
 	leader->raft.group.member_lost_ms = 2400;
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -1,4 +1,4 @@
-/* A raft leader alone, whose members' answers a test gives by hand. */
+/* raft_leader: a raft leader alone; the test itself sends its members' answers. */
 #ifndef NL_RAFT_LEADER_H
 #define NL_RAFT_LEADER_H
 
@@ -15,13 +15,13 @@
 /* An empty message of a kind. */
 struct Nl__Msg leader_message(int body);
 
-/* Its disk takes all that it has written. */
+/* All that it has written is synced. */
 void leader_sync_disk(struct leader *leader);
 
 /* It receives a message of a member. */
 void leader_receive(struct leader *leader, uint64_t from, struct Nl__Msg *message);
 
-/* A member grants its vote, or says with pre that it would. */
+/* A member grants its vote, or with pre its pre-vote. */
 void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int pre);
 
 /* A member answers the newest heartbeat: it has synced all up to match. */
@@ -30,10 +30,10 @@
 /* The index of its newest entry. */
 uint64_t leader_last_index(const struct leader *leader);
 
-/* Time passes; the members in the mask answer each heartbeat, and hold all that there is. */
+/* Time passes; the members in the mask answer each heartbeat, and have synced the whole log. */
 void leader_run_heartbeats(struct leader *leader, int64_t ms, unsigned answering);
 
-/* Member 1 leads a group of so many voters; one more controller stands by. */
+/* Member 1 leads a group of so many voters; one more controller can join. */
 void leader_begin(struct leader *leader, int voters);
 
 /* Free all memory. */
--- a/tests/test_explore.c
+++ b/tests/test_explore.c
@@ -478,7 +478,8 @@
 	};
 
 	(void)state;
-	assert_int_equal(explore_replay(SCENE_ALL_FELL, path, sizeof path / sizeof *path), INVARIANT_NONE);
+	assert_int_equal(explore_replay(SCENE_ALL_RESTARTED, path, sizeof path / sizeof *path),
+			 INVARIANT_NONE);
 }
 
 /* Not a fault: the leader committed by members that it had just put in force, and led no more when one ended.
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -77,58 +77,60 @@
 	return (x > y) - (x < y);
 }
 
-static void open_group(struct world *world, const struct setting *setting, uint64_t seed)
+static void open_group(struct raft_world *world, const struct setting *setting, uint64_t seed)
 {
 	world_open_with(world, seed, DOCUMENT_BYTES, setting->voters);
 	world->delay_ms = world->jitter_ms = 0;
 	world->delay_us = setting->delay_us;
 	world->disk_ms = setting->sync_ms;
 	world->tick_ms = PROCESS_TICK_MS;
-	for (int i = 0; i < world->machines; i++)
-		world->machine[i].tick_phase = (int)(core_random(&world->rng) % PROCESS_TICK_MS);
+	for (int i = 0; i < world->machine_count; i++)
+		world->machines[i].tick_phase = (int)(core_random(&world->random_state) % PROCESS_TICK_MS);
 }
 
 /* One ms under load. */
-static void pass_ms(struct world *world, const struct setting *setting)
+static void pass_ms(struct raft_world *world, const struct setting *setting)
 {
-	if (setting->proposals && core_random(&world->rng) % 1000 < (uint64_t)setting->proposals)
+	if (setting->proposals && core_random(&world->random_state) % 1000 < (uint64_t)setting->proposals)
 		(void)world_log(world);
 	(void)world_run(world, 1, NULL);
 }
 
-static void pass(struct world *world, const struct setting *setting, int64_t ms)
+static void pass(struct raft_world *world, const struct setting *setting, int64_t ms)
 {
 	for (int64_t end = world->now + ms; world->now < end;)
 		pass_ms(world, setting);
 }
 
 /* Whether a machine other than one holds a lease and has applied all that is committed. */
-static int has_successor(const struct world *world, int old)
+static int has_successor(const struct raft_world *world, int old)
 {
 	int leader = world_leader(world);
 
 	return leader >= 0 && leader != old &&
-	       world->machine[leader].raft.log.applied_index == world->machine[leader].raft.log.commit_index;
+	       world->machines[leader].raft.log.applied_index ==
+		   world->machines[leader].raft.log.commit_index;
 }
 
 /* The leader is told to stop; ms until another one has taken over. */
-static int64_t planned_stop(struct world *world, const struct setting *setting)
+static int64_t planned_stop(struct raft_world *world, const struct setting *setting)
 {
 	int old = world_leader(world);
 	int64_t from = world->now;
 
-	raft_drain(&world->machine[old].raft, world->now);
+	raft_drain(&world->machines[old].raft, world->now);
 	while (!has_successor(world, old) && world->now - from < LIMIT_MS)
 		pass_ms(world, setting);
 	return world->now - from;
 }
 
-static int another(struct world *world, int than)
+static int another(struct raft_world *world, int than)
 {
-	return (than + 1 + (int)(core_random(&world->rng) % (uint64_t)(world->voters - 1))) % world->voters;
+	return (than + 1 + (int)(core_random(&world->random_state) % (uint64_t)(world->voter_count - 1))) %
+	       world->voter_count;
 }
 
-static void bring_fault(struct world *world, const struct setting *setting)
+static void bring_fault(struct raft_world *world, const struct setting *setting)
 {
 	int other = another(world, world_leader(world));
 
@@ -137,17 +139,17 @@
 		world->jitter_ms = JITTER_MS;
 		break;
 	case SLOW_DISK:
-		world->machine[other].slow_disk_ms = SLOW_DISK_MS;
+		world->machines[other].slow_disk_ms = SLOW_DISK_MS;
 		break;
 	case LOSSY:
-		world->loss = 10;
+		world->loss_permille = 10;
 		break;
 	case AWAY:
 	case RETURNED:
 		world_crash(world, other, 0);
 		break;
 	case STOPPED:
-		raft_drain(&world->machine[other].raft, world->now);
+		raft_drain(&world->machines[other].raft, world->now);
 		break;
 	default:
 		break;
@@ -165,11 +167,11 @@
 
 static int64_t gap_of(const struct setting *setting, uint64_t seed)
 {
-	struct world world;
+	struct raft_world world;
 	int64_t gap;
 
 	open_group(&world, setting, seed);
-	pass(&world, setting, CALM_MS + (int64_t)(core_random(&world.rng) % 200));
+	pass(&world, setting, CALM_MS + (int64_t)(core_random(&world.random_state) % 200));
 	assert_true(world_leader(&world) >= 0);
 	bring_fault(&world, setting);
 	gap = planned_stop(&world, setting);
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -419,18 +419,18 @@
 	{ NL__MSG__BODY_PROBE_REPLY, BOTH, "a probe's reply of a far index", probe_reply_index_far },
 };
 
-static int follower_of(const struct world *world, int leader)
+static int follower_of(const struct raft_world *world, int leader)
 {
 	for (int i = 0; i < RAFT_MIN_VOTERS; i++)
-		if (i != leader && world->machine[i].raft.leader_id == world->machine[leader].id)
+		if (i != leader && world->machines[i].raft.leader_id == world->machines[leader].id)
 			return i;
 	return -1;
 }
 
-static void drops(struct world *world, int target, uint64_t from, int body, void (*spoil)(struct sample *),
-		  const char *what)
+static void drops(struct raft_world *world, int target, uint64_t from, int body,
+		  void (*spoil)(struct sample *), const char *what)
 {
-	struct world_machine *machine = &world->machine[target];
+	struct world_machine *machine = &world->machines[target];
 	uint64_t before = image(&machine->raft);
 	struct sample sample;
 
@@ -446,7 +446,7 @@
 
 static void what_no_member_sends_changes_nothing(void **state)
 {
-	struct world world;
+	struct raft_world world;
 	int leader, follower;
 
 	(void)state;
@@ -458,10 +458,10 @@
 	assert_true(leader >= 0 && follower >= 0);
 	for (size_t i = 0; i < sizeof absurd / sizeof *absurd; i++) {
 		if (absurd[i].target != LEADER)
-			drops(&world, follower, world.machine[leader].id, absurd[i].body, absurd[i].spoil,
+			drops(&world, follower, world.machines[leader].id, absurd[i].body, absurd[i].spoil,
 			      absurd[i].what);
 		if (absurd[i].target != FOLLOWER)
-			drops(&world, leader, world.machine[follower].id, absurd[i].body, absurd[i].spoil,
+			drops(&world, leader, world.machines[follower].id, absurd[i].body, absurd[i].spoil,
 			      absurd[i].what);
 	}
 	/* the group goes on as if nothing had been */
@@ -472,7 +472,7 @@
 /* The digest is right, but no group can be what the snapshot says. */
 static void a_snapshot_of_impossible_members_is_not_installed(void **state)
 {
-	struct world world;
+	struct raft_world world;
 	struct sample sample;
 	struct world_machine *machine;
 	struct sha256_ctx sum;
@@ -483,8 +483,8 @@
 	world_open(&world, 1, 1000);
 	assert_true(world_change(&world, 5, 5000));
 	leader = world_leader(&world);
-	machine = &world.machine[follower_of(&world, leader)];
-	sample_open(&sample, NL__MSG__BODY_SNAPSHOT_CHUNK, &machine->raft, world.machine[leader].id);
+	machine = &world.machines[follower_of(&world, leader)];
+	sample_open(&sample, NL__MSG__BODY_SNAPSHOT_CHUNK, &machine->raft, world.machines[leader].id);
 	sample.piece.members_len = sample.piece.total_bytes = pack_members(sample.members, 3, 0, 0);
 	sample.piece.data.data = sample.members;
 	sample.piece.data.len = sample.piece.total_bytes;
@@ -545,14 +545,14 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world world;
+		struct raft_world world;
 		uint64_t rng = seed;
 
 		world_open(&world, seed, 1000);
 		(void)world_change(&world, 10, 5000);
 		for (int i = 0; i < 3000; i++) {
 			int target = (int)(core_random(&rng) % RAFT_MIN_VOTERS);
-			struct world_machine *machine = &world.machine[target];
+			struct world_machine *machine = &world.machines[target];
 			struct sample sample;
 			uint8_t d[4096];
 			struct Nl__Msg *msg;
@@ -588,7 +588,7 @@
 
 static struct world_packet *recorded; /* stb_ds */
 
-static int record(struct world *world, int from, int to, struct Nl__Msg *message)
+static int record(struct raft_world *world, int from, int to, struct Nl__Msg *message)
 {
 	struct world_packet packet = { 0, from, to, 0, nl__msg__get_packed_size(message), NULL };
 
@@ -609,7 +609,7 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world world;
+		struct raft_world world;
 		uint64_t rng = seed * 31;
 
 		world_open(&world, seed, 2000);
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -672,7 +672,7 @@
 
 /* ---- groups under virtual time ---- */
 
-static void ok(const struct world *world)
+static void ok(const struct raft_world *world)
 {
 	if (world->violation[0])
 		fail_msg("%s", world->violation);
@@ -683,7 +683,7 @@
 	return getenv(name) ? strtoull(getenv(name), NULL, 10) : otherwise;
 }
 
-static void catch_up(struct world *world, int64_t *worst, const char *after)
+static void catch_up(struct raft_world *world, int64_t *worst, const char *after)
 {
 	int64_t ms = world_catch_up(world, WORLD_CATCH_UP_MS);
 
@@ -698,18 +698,18 @@
 
 /* One fault after the other, each at a random moment under changes: a member restarted, wiped, cut off, the
  * leader too. */
-static void faults(struct world *world, uint64_t changes, int64_t *worst)
+static void faults(struct raft_world *world, uint64_t changes, int64_t *worst)
 {
 	uint64_t rng = world->seed;
 
-	while (world->changes < changes && !world->violation[0]) {
+	while (world->acked_count < changes && !world->violation[0]) {
 		int victim = (int)(core_random(&rng) % WORLD_MACHINES), kind = (int)(core_random(&rng) % 4);
 		uint64_t meanwhile = core_random(&rng) % 40;
 
 		assert_true(world_change(world, 1 + core_random(&rng) % 60, 60000) || world->violation[0]);
 		ok(world);
 		if (kind == 3) {
-			world->machine[victim].is_cut_off = 1;
+			world->machines[victim].is_cut_off = 1;
 		} else {
 			world_crash(world, victim, kind == 2);
 			if (kind == 1) /* at once */
@@ -717,13 +717,13 @@
 		}
 		assert_true(world_change(world, meanwhile, 60000) || world->violation[0]);
 		ok(world);
-		world->machine[victim].is_cut_off = 0;
+		world->machines[victim].is_cut_off = 0;
 		world_start(world, victim);
 		catch_up(world, worst, kind == 3 ? "a cut" : kind == 2 ? "a wipe" : "a restart");
 	}
 }
 
-static void bounded(const struct world *world)
+static void bounded(const struct raft_world *world)
 {
 	/* log until a snapshot is due, and behind it; two snapshots */
 	size_t log = 2 * RAFT_SNAPSHOT_LOG_BYTES + 2 * world->document_len,
@@ -751,7 +751,7 @@
 		size_t memory = 0, disk = 0;
 
 		for (uint64_t seed = first; seed < first + seeds; seed++) {
-			struct world world;
+			struct raft_world world;
 
 			world_open(&world, seed, run[i].len);
 			world.pause_ms = run[i].pause_ms;
@@ -780,7 +780,7 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world world;
+		struct raft_world world;
 		uint64_t rng = seed * 7919;
 
 		world_open(&world, seed, 200 * KB);
@@ -788,10 +788,10 @@
 			int a = (int)(core_random(&rng) % WORLD_MACHINES),
 			    b = (int)(core_random(&rng) % WORLD_MACHINES);
 
-			world.loss = (int)(core_random(&rng) % 100);
-			world.repeat = (int)(core_random(&rng) % 100);
+			world.loss_permille = (int)(core_random(&rng) % 100);
+			world.repeat_permille = (int)(core_random(&rng) % 100);
 			world.jitter_ms = (int)(core_random(&rng) % 80);
-			world.reorder = 1;
+			world.reorders_bulk = 1;
 			world.disk_ms = 1 + (int)(core_random(&rng) % 60);
 			world.bytes_per_ms = 1250 + core_random(&rng) % 50000; /* from 10 Mbit/s */
 			(void)world_change(&world, core_random(&rng) % 40, 4000);
@@ -807,7 +807,7 @@
 			world_start(&world, b);
 			ok(&world);
 		}
-		world.loss = world.repeat = world.reorder = 0;
+		world.loss_permille = world.repeat_permille = world.reorders_bulk = 0;
 		world.jitter_ms = 1;
 		world.disk_ms = 4;
 		world.bytes_per_ms = 125000;
@@ -833,7 +833,7 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof size / sizeof *size; i++) {
 		for (int slow = 0; slow < 2; slow++) {
-			struct world world;
+			struct raft_world world;
 			int64_t ms;
 			uint64_t needed;
 
@@ -851,7 +851,7 @@
 			assert_true(world_change(&world, 1, 60000) || world.violation[0]);
 			for (int k = 0; k < WORLD_MACHINES; k++)
 				world_start(&world, k);
-			world.messages = world.pieces = world.piece_bytes = world.append_bytes = 0;
+			world.message_count = world.chunk_count = world.chunk_bytes = world.append_bytes = 0;
 			world.peak_memory = world.peak_disk = world.peak_in_flight = 0;
 			ms = world_catch_up(&world, 4 * WORLD_CATCH_UP_MS);
 			ok(&world);
@@ -860,8 +860,8 @@
 			    "%zu KB, %s: whole after %lld ms; %llu messages, %llu pieces (one snapshot has %llu) of %llu KB, "
 			    "entries %llu KB; at most %zu KB in a member, %zu KB on a disk, %zu KB under way\n",
 			    size[i] / KB, slow ? "100 Mbit/s" : "1 Gbit/s", (long long)ms,
-			    (unsigned long long)world.messages, (unsigned long long)world.pieces,
-			    (unsigned long long)needed, (unsigned long long)world.piece_bytes / KB,
+			    (unsigned long long)world.message_count, (unsigned long long)world.chunk_count,
+			    (unsigned long long)needed, (unsigned long long)world.chunk_bytes / KB,
 			    (unsigned long long)world.append_bytes / KB, world.peak_memory / KB,
 			    world.peak_disk / KB, world.peak_in_flight / KB);
 			assert_true(ms >= 0 && ms <= WORLD_CATCH_UP_MS);
@@ -881,7 +881,7 @@
 
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
-		struct world world;
+		struct raft_world world;
 		int victim = (int)(seed % 3), leader;
 
 		world_open(&world, seed, 4 * KB);
