--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -25,7 +25,7 @@
 	ROUTER_ADDR = 1001
 };
 
-/* A prompt part at a server, under the name that it was filed by. */
+/* A prompt block at a server, under the name that it was filed by. */
 struct part {
 	uint64_t key, id;
 	char name[64];
--- a/tests/engine_sim.h
+++ b/tests/engine_sim.h
@@ -1,6 +1,6 @@
 /* engine_sim: routers of some zones before servers that read prompts, keep parts, load weights and forget.
  * The routers are the real ones; who is head of a zone, the table and the list of servers are given to them,
- * and messages between them, events of kept parts and servers' answers take their time. It counts what
+ * and messages between them, cache events and servers' answers take their time. It counts what
  * policies decide on: first pieces, and shared tokens read again. */
 #ifndef NL_ENGINE_SIM_H
 #define NL_ENGINE_SIM_H
@@ -23,7 +23,7 @@
 	int prefill_tokens_per_ms;    /* tokens that a server reads in a ms */
 	uint32_t capacity_tokens;     /* tokens that a server keeps, what runs included */
 	int link_kbps;                /* of a router's own link, as it is told */
-	int event_lag_ms, event_loss; /* of events of kept parts; per mille that never come */
+	int event_lag_ms, event_loss; /* of cache events; per mille that never come */
 	int load_ms;                  /* for which new weights load */
 	int loads_under_requests;     /* they load under running requests */
 	int max_loads;                /* servers that load together */
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -18,7 +18,7 @@
 };
 
 /* Every random number of the replicated log is 0: the order of ticks, which is chosen, decides who is first.
- * Only the number of a life has to differ, and leaves no rest against the spans that it is cut to. */
+ * Only the number of an incarnation has to differ, and leaves no rest against the spans that it is cut to. */
 enum { RANDOM_SPAN = 2100 };
 
 struct explore_world explore_world;
--- a/tests/explore.h
+++ b/tests/explore.h
@@ -75,7 +75,7 @@
 	uint8_t up, identity, incarnations, n_writes;
 	uint8_t member_count;            /* of the membership that it knew after its last step */
 	uint32_t writes[EXPLORE_WRITES]; /* blobs, oldest first; not synced */
-	uint64_t commit;                 /* highest of this life */
+	uint64_t commit;                 /* highest of this incarnation */
 	uint64_t leads;                  /* term that it led after its last step; 0: none */
 	uint64_t members_index;          /* of the membership that it knew after its last step */
 	uint64_t hash;
@@ -142,7 +142,7 @@
 
 /* Prepared states to explore from. */
 enum explore_scene {
-	SCENE_EMPTY,      /* three replicas, just founded */
+	SCENE_EMPTY,      /* three replicas, just bootstrapped */
 	SCENE_LEASE,      /* a leader with a lease, a follower that lags */
 	SCENE_NEW_LEADER, /* just after the leader changed; the old one knows nothing of it, and its entries
 			     are in flight */
@@ -163,7 +163,7 @@
 	SCENES
 };
 
-/* The world, and the first breach since the scene began. */
+/* The world, and the first violation since the scene began. */
 extern struct explore_world explore_world;
 extern enum explore_invariant explore_violation;
 extern char explore_violation_text[256];
@@ -192,7 +192,7 @@
 
 struct raft *explore_raft(int node);
 
-/* For scenes: open all replicas with empty disks; make the first few the founding members. */
+/* For scenes: open all replicas with empty disks; make the first few the bootstrap members. */
 void explore_open_all(void);
 void explore_bootstrap(int voters);
 
--- a/tests/explore_check.h
+++ b/tests/explore_check.h
@@ -5,7 +5,7 @@
 
 #include "explore.h"
 
-/* Note a breach, unless one is noted already. Example: check_fail(LOGS_MATCH, "entry %d", 3); */
+/* Note a violation, unless one is noted already. Example: check_fail(LOGS_MATCH, "entry %d", 3); */
 void check_fail(enum explore_invariant invariant, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
--- a/tests/explore_search.h
+++ b/tests/explore_search.h
@@ -29,7 +29,7 @@
 void explore_random(enum explore_scene scene, uint64_t seed, int choices, struct explore_path *path,
 		    struct explore_stats *stats);
 
-/* Leave out of a path what its breach does not need. Example: explore_minimize(&path); */
+/* Leave out of a path what its violation does not need. Example: explore_minimize(&path); */
 void explore_minimize(struct explore_path *path);
 
 /* Print a path as a C test. Example: explore_print(&path, stdout); */
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -1,7 +1,7 @@
 /* Figures of the fleet in virtual time: messages, syncs, lags. Not a test; docs/measurements.md says how it
- * is run. measure counts          messages and syncs per change, purge and exchange measure failover N times
- * until a change is acknowledged after the owner is lost, over N seeds measure bounds N        drains,
- * removed keys and roll-outs as distributions over N seeds measure load N          N exchanges, for callgrind
+ * is run. measure counts          messages and syncs per change, purge and request measure failover N times
+ * until a change is acknowledged after the leader is lost, over N seeds measure bounds N        drains,
+ * removed keys and roll-outs as distributions over N seeds measure load N          N requests, for callgrind
  * with --toggle-collect=router_step */
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/raft_world.h
+++ b/tests/raft_world.h
@@ -1,6 +1,6 @@
 /* raft_world: one raft group on a few machines under seeded virtual time, with documents as its operations.
  * Links have delay, bandwidth, loss, repetition and reordering; disks take time and forget what was not
- * synced. Safety is checked after every step; the first breach is kept in bad. */
+ * synced. Safety is checked after every step; the first violation is kept in `violation`. */
 #ifndef NL_RAFT_WORLD_H
 #define NL_RAFT_WORLD_H
 
@@ -49,7 +49,7 @@
 	struct world_disk disk;
 	struct world_write *writes; /* stb_ds, oldest first */
 	struct world_state state;
-	uint64_t commit;                          /* highest seen in this life */
+	uint64_t commit;                          /* highest seen in this incarnation */
 	int64_t bulk_free_at;                     /* its link, for what is large */
 	int64_t bulk_arrival[WORLD_MAX_MACHINES]; /* newest of what is large, by receiver */
 };
@@ -89,7 +89,7 @@
 	int (*filter)(struct world *w, int from, int to, struct Nl__Msg *m);
 };
 
-/* A founded group of three on four machines, with a leader. Example: world_open(&w, 1, 300 << 10); */
+/* A bootstrapped group of three on four machines, with a leader. Example: world_open(&w, 1, 300 << 10); */
 void world_open(struct world *world, uint64_t seed, size_t document_len);
 
 /* The same with so many voters, and one machine more. Example: world_open_with(&w, 1, 300, 5); */
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -1,5 +1,4 @@
-/* One router by itself, without a fleet: a test gives it a table, requests and what servers answer, and reads
- * its commands. */
+/* router_fixture: see router_fixture.h. */
 #include "router_fixture.h"
 
 #include <setjmp.h>
@@ -12,37 +11,37 @@
 
 #include "containers.h"
 
-void router_fixture_open(struct solo *solo, uint64_t id)
+void router_fixture_open(struct router_fixture *fixture, uint64_t id)
 {
 	uint64_t seed = 1;
 
-	memset(solo, 0, sizeof *solo);
-	apr_pool_create(&solo->p, NULL);
-	apr_pool_create(&solo->commands.pool, solo->p);
-	solo->now = 1000000;
-	router_open(&solo->router, id, id + 1000, "z1", &seed, 1, solo->now);
-	solo->router.bounds.discover_instances = 1;
+	memset(fixture, 0, sizeof *fixture);
+	apr_pool_create(&fixture->p, NULL);
+	apr_pool_create(&fixture->commands.pool, fixture->p);
+	fixture->now = 1000000;
+	router_open(&fixture->router, id, id + 1000, "z1", &seed, 1, fixture->now);
+	fixture->router.bounds.discover_instances = 1;
 }
 
-void router_fixture_close(struct solo *solo)
+void router_fixture_close(struct router_fixture *fixture)
 {
-	router_close(&solo->router);
-	arrfree(solo->commands.commands);
-	apr_pool_destroy(solo->p);
+	router_close(&fixture->router);
+	arrfree(fixture->commands.commands);
+	apr_pool_destroy(fixture->p);
 }
 
-void router_fixture_step(struct solo *solo, const struct router_event *event)
+void router_fixture_step(struct router_fixture *fixture, const struct router_event *event)
 {
-	router_step(&solo->router, event, solo->now, &solo->commands);
+	router_step(&fixture->router, event, fixture->now, &fixture->commands);
 }
 
-void router_fixture_tick(struct solo *solo, int64_t ms)
+void router_fixture_tick(struct router_fixture *fixture, int64_t ms)
 {
-	solo->now += ms;
-	router_fixture_step(solo, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
+	fixture->now += ms;
+	router_fixture_step(fixture, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 }
 
-void router_fixture_message(struct solo *solo, struct Nl__Msg *message)
+void router_fixture_message(struct router_fixture *fixture, struct Nl__Msg *message)
 {
 	struct router_event event;
 
@@ -50,22 +49,21 @@
 	event.kind = ROUTER_EVENT_MESSAGE;
 	event.u.message = message;
 	message->protocol_version = CORE_PROTOCOL_VERSION;
-	router_fixture_step(solo, &event);
+	router_fixture_step(fixture, &event);
 }
 
-/* A whole table, and the servers of a list. */
-void router_fixture_table(struct solo *solo, struct Nl__Row **rows, size_t n, struct Nl__Instance **instances,
-			  size_t nsight, uint64_t revision)
+void router_fixture_table(struct router_fixture *fixture, struct Nl__Row **rows, size_t n,
+			  struct Nl__Instance **instances, size_t nsight, uint64_t revision)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
-	command_list_clear(&solo->commands);
-	router_fixture_tick(solo, 300);
-	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-		if (solo->commands.commands[i].kind == CMD_SEND &&
-		    solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
-			reply.token = solo->commands.commands[i].args.send.msg->config_sync->token;
+	command_list_clear(&fixture->commands);
+	router_fixture_tick(fixture, 300);
+	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++)
+		if (fixture->commands.commands[i].kind == CMD_SEND &&
+		    fixture->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
+			reply.token = fixture->commands.commands[i].args.send.msg->config_sync->token;
 	assert_true(reply.token);
 	reply.has_lease = reply.full = reply.instances_full = 1;
 	reply.fleet_id = 7;
@@ -76,15 +74,15 @@
 	reply.n_instances = nsight;
 	reply.instances_stamp = revision;
 	reply.router_count = 1;
-	reply.group_clock_ms = (uint64_t)solo->now; /* the control group's clock is the router's own */
+	reply.group_clock_ms = (uint64_t)fixture->now; /* the control group's clock is the router's own */
 	reply.clock_term = 1;
 	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
 	message.config_sync_reply = &reply;
 	message.addr = 1;
 	message.id = 1;
-	router_fixture_message(solo, &message);
-	command_list_clear(&solo->commands);
-	assert_non_null(solo->router.route_table);
+	router_fixture_message(fixture, &message);
+	command_list_clear(&fixture->commands);
+	assert_non_null(fixture->router.route_table);
 }
 
 struct Nl__Row *new_row(apr_pool_t *pool, Nl__Kind kind, const char *name)
@@ -121,60 +119,58 @@
 	return instance;
 }
 
-/* Ask; the exchange as it waits, or NULL with its status. */
-struct client_request *router_fixture_submit(struct solo *solo, const char *host, const char *path,
-					     const char *id, int *status)
+struct client_request *router_fixture_submit(struct router_fixture *fixture, const char *host,
+					     const char *path, const char *id, int *status)
 {
 	struct forwarded_request query;
 	struct router_event event;
 
 	memset(&query, 0, sizeof query);
 	memset(&event, 0, sizeof event);
-	query.token = ++solo->token;
+	query.token = ++fixture->token;
 	query.host = host;
 	query.path = path;
 	query.id = id;
 	query.limit_ms = 60000;
 	event.kind = ROUTER_EVENT_FORWARDED_REQUEST;
 	event.u.forwarded_request = &query;
-	command_list_clear(&solo->commands);
-	router_fixture_step(solo, &event);
+	command_list_clear(&fixture->commands);
+	router_fixture_step(fixture, &event);
 	*status = 0;
-	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-		if (solo->commands.commands[i].kind == CMD_ANSWER &&
-		    solo->commands.commands[i].args.answer.token == query.token)
-			*status = solo->commands.commands[i].args.answer.status;
-	return router_request_by_token(&solo->router, query.token);
+	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++)
+		if (fixture->commands.commands[i].kind == CMD_ANSWER &&
+		    fixture->commands.commands[i].args.answer.token == query.token)
+			*status = fixture->commands.commands[i].args.answer.status;
+	return router_request_by_token(&fixture->router, query.token);
 }
 
-void router_fixture_disconnect(struct solo *solo)
+void router_fixture_disconnect(struct router_fixture *fixture)
 {
 	struct router_event event;
 
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-	event.u.client_disconnected.token = solo->token;
-	router_fixture_step(solo, &event);
+	event.u.client_disconnected.token = fixture->token;
+	router_fixture_step(fixture, &event);
 }
 
-/* How a send of the newest request ends; its call, or 0 when it was not sent. */
-uint64_t router_fixture_last_call(struct solo *solo)
+uint64_t router_fixture_last_call(struct router_fixture *fixture)
 {
-	for (ptrdiff_t i = arrlen(solo->commands.commands) - 1; i >= 0; i--)
-		if (solo->commands.commands[i].kind == CMD_FORWARD)
-			return solo->commands.commands[i].args.forward->call_token;
+	for (ptrdiff_t i = arrlen(fixture->commands.commands) - 1; i >= 0; i--)
+		if (fixture->commands.commands[i].kind == CMD_FORWARD)
+			return fixture->commands.commands[i].args.forward->call_token;
 	return 0;
 }
 
-void router_fixture_end_call(struct solo *solo, uint64_t call, enum forward_end how, int status)
+void router_fixture_end_call(struct router_fixture *fixture, uint64_t call, enum forward_end how, int status)
 {
 	struct forward_result ended = { .token = call, .end = how, .status = status };
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
 	event.u.forward_ended = &ended;
-	command_list_clear(&solo->commands);
-	router_fixture_step(solo, &event);
+	command_list_clear(&fixture->commands);
+	router_fixture_step(fixture, &event);
 	for (int i = 0; how != FORWARD_COMPLETE && i < 4;
-	     i++) /* it may wait in its line before it is sent again */
-		router_fixture_tick(solo, 60);
+	     i++) /* it may wait in its queue before it is sent again */
+		router_fixture_tick(fixture, 60);
 }
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -96,7 +96,7 @@
     "{\"kind\":\"key\",\"name\":\"0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef\",\"tenant\":\"tenant\"}]}";
 
 struct talk {
-	struct solo s;
+	struct router_fixture s;
 	const char *text;
 	apr_pool_t *pool;
 	uint64_t call; /* of the newest request to a server */
--- a/tests/test_check.c
+++ b/tests/test_check.c
@@ -1,4 +1,5 @@
-/* The judge judged: for each letter, records that breach it are caught, and the same records mended pass. */
+/* The checker judged: for each letter, records that violation it are caught, and the same records fixed pass.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +13,7 @@
 
 #include "test_fleet.h"
 
-/* A good run, in lines "FILE JSON". Counter c (id 00000000000000aa) at web C; server s1 of service a. */
+/* A good run, in lines "FILE JSON". Router c (id 00000000000000aa) at web C; server s1 of service a. */
 static const char *const good[] = {
 	"callers {\"t\":1000,\"ev\":\"ask\",\"id\":\"x1\",\"counter\":\"C\",\"tenant\":1}",
 	"server-s1 {\"t\":10,\"ev\":\"up\",\"server\":\"s1\",\"weights\":\"w1\"}",
@@ -41,7 +42,7 @@
 	fclose(f);
 }
 
-/* Judge the good run without its line "drop", with more lines, in the order given or the other way round. */
+/* Judge the good run without its queue "drop", with more lines, in the order given or the other way round. */
 static int judge(struct check_result *res, int drop, const char *const *more, int backwards)
 {
 	char folder[] = "/tmp/notchlug-check-XXXXXX", cmd[100];
@@ -97,7 +98,7 @@
 	"platform {\"t\":" t ",\"ev\":\"ack\",\"edition\":" e ",\"change\":{\"set\":[" row "]}}"
 #define X "00000000000000aa-2-1"
 
-/* Each pair: lines that breach a letter, and the same ones mended. */
+/* Each pair: lines that violation a letter, and the same ones fixed. */
 static const struct {
 	char letter;
 	int drop;
@@ -147,7 +148,7 @@
 	{ 'D',
 	  -1,
 	  { ACK("2000", "6", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}"), ASK("4000", "x2"),
-	    SENT("4100", "s1", X, "x2", "true"), /* sends under an old edition */
+	    SENT("4100", "s1", X, "x2", "true"), /* sends under an old revision */
 	    TOLD("4200", "x2", "refused", ""), STATE("4200", "5", "9000"),
 	    "platform {\"t\":60000,\"ev\":\"table\",\"edition\":6,\"rows\":[{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}]}" },
 	  { ACK("2000", "6", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":2}"), ASK("3900", "x2"),
@@ -188,7 +189,7 @@
 	{ 'G',
 	  -1,
 	  { "platform {\"t\":2000,\"ev\":\"wall\",\"tenant\":\"tenant-1\",\"walled\":1}",
-	    BEGIN("4100", "{\"w\":\"w1\",\"m\":\"tenant-2\"}") }, /* the asker is walled */
+	    BEGIN("4100", "{\"w\":\"w1\",\"m\":\"tenant-2\"}") }, /* the asker is isolated */
 	  { "platform {\"t\":2000,\"ev\":\"wall\",\"tenant\":\"tenant-1\",\"walled\":1}",
 	    "platform {\"t\":4000,\"ev\":\"wall\",\"tenant\":\"tenant-1\",\"walled\":0}",
 	    BEGIN("4100", "{\"w\":\"w1\",\"m\":\"tenant-2\"}") } },
@@ -237,7 +238,7 @@
 	{ 'K',
 	  -1,
 	  { ACK("2000", "6", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":3}") },
-	  { ACK("2000", "4", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":3}") } }, /* the edition */
+	  { ACK("2000", "4", "{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":3}") } }, /* the revision */
 	{ 'K',
 	  -1,
 	  { ACK("2000", "5", "{\"kind\":\"tenant\",\"name\":\"t2\",\"share\":3}") }, /* the rows */
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -38,8 +38,8 @@
 	struct config_watch watch;
 	struct config_table leader;
 	struct envelope *mail;            /* stb_ds */
-	uint32_t share[REVISIONS][NAMES]; /* by edition; 0: no such row */
-	int64_t changed_at[REVISIONS];    /* when the leader took that edition */
+	uint32_t share[REVISIONS][NAMES]; /* by revision; 0: no such row */
+	int64_t changed_at[REVISIONS];    /* when the leader took that revision */
 	uint64_t rng, requests_to_others;
 	apr_pool_t *pool;
 	struct command_list out;
@@ -171,7 +171,7 @@
 	}
 }
 
-/* What is here is the leader's table as it was at that edition, and nothing that was in force before the
+/* What is here is the leader's table as it was at that revision, and nothing that was in force before the
  * asking is missing. */
 static void check_sound(const struct world *world)
 {
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -30,9 +30,9 @@
 	TICK_MS = 25,
 	LOAD_MS = 4000,
 	DRAIN_MS = 13000,
-	LEADER_ADDR = 1, /* the address that the core's owner answers at */
+	LEADER_ADDR = 1, /* the address that the core's leader answers at */
 	SEND_GRACE_MS = 200,
-	DEADLINE_SLACK_MS = 100,      /* between a client's byte and the door's clock */
+	DEADLINE_SLACK_MS = 100,      /* between a client's byte and the front end's clock */
 	KEEP_ALIVE_DEFAULT_MS = 4300, /* a connection whose server tells no time rests for less */
 	KEEP_MARGIN_MS = 300,
 	SEED_RUNS = 200,
@@ -162,10 +162,10 @@
 	struct run *runs;         /* stb_ds */
 	struct server_conn **server_conns;
 	struct client clients[CLIENTS];
-	uint64_t *config_watch_tokens; /* stb_ds: askings that the owner has not answered */
+	uint64_t *config_watch_tokens; /* stb_ds: requests that the leader has not answered */
 	uint64_t edition;
 	int64_t owner_silent_until, started, frozen_ms;
-	int calm;   /* no server breaks off, nobody freezes, the owner always answers: only planned work is
+	int calm;   /* no server breaks off, nobody freezes, the leader always answers: only planned work is
 		       about */
 	int closed; /* the process has ended */
 	int honest_ids;   /* ids are used again, and servers send no surplus */
@@ -674,7 +674,7 @@
 	arrput(request->wires, wire);
 }
 
-/* What the door must add, take away and leave alone. */
+/* What the front end must add, take away and leave alone. */
 static void check_fields(const struct server_conn *conn, const struct request *request, size_t head_len)
 {
 	char v[200], expected[40];
@@ -1315,7 +1315,7 @@
 	return listed;
 }
 
-/* The owner's word, whole the first time. */
+/* The leader's word, whole the first time. */
 static void leader_answers(uint64_t token)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
@@ -1698,8 +1698,8 @@
 	}
 }
 
-/* The readiness door follows the configuration: ready while it is certain to be in force, not while its owner
- * is silent. */
+/* The readiness door follows the configuration: ready while it is certain to be in force, not while its
+ * leader is silent. */
 static int readiness(void)
 {
 	static const char ask[] = "GET /readiness HTTP/1.1\r\n\r\n";
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -112,7 +112,7 @@
 		assert_non_null(
 		    config_table_get(&sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table,
 				     NL__KIND__TENANT, "rumah"));
-		/* the group mends itself with the fourth controller, then the lost one comes back */
+		/* the group fixes itself with the fourth controller, then the lost one comes back */
 		sim_run(&sim, 15000, NULL);
 		ok(&sim);
 		sim_start(&sim, victim);
@@ -173,7 +173,7 @@
 	return 1;
 }
 
-/* Who fell together owes no promise to an owner that fell too: every part is owned well before a lease would
+/* Who fell together owes no promise to a leader that fell too: every part is owned well before a lease would
  * have ended. */
 static void who_fell_together_wait_for_nobody(void **state)
 {
@@ -274,8 +274,8 @@
 		      (long long)worst);
 }
 
-/* One member and the owner do not hear each other, and it asks for votes; the other, who does, keeps its
- * promise, also when it falls and is back at once: never two has_lease owners. */
+/* One member and the leader do not hear each other, and it asks for votes; the other, who does, keeps its
+ * promise, also when it falls and is back at once: never two has_lease leaders. */
 static void promises_outlast_a_restart(void **state)
 {
 	(void)state;
@@ -312,7 +312,7 @@
 	}
 }
 
-/* A part's second snapshot and its third stand on the members of the first: all lose power after them, and
+/* A shard's second snapshot and its third stand on the members of the first: all lose power after them, and
  * the groups are what they were. */
 static void later_snapshots_keep_the_members(void **state)
 {
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -1,4 +1,4 @@
-/* The whole fleet under seeded virtual time: callers, counters, controllers, servers, and every fault. */
+/* The whole fleet under seeded virtual time: callers, routers, controllers, servers, and every fault. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -36,9 +36,9 @@
 
 static const char *const lanes[] = { "arrears", "repairs", "sorting" };
 
-/* Callers ask for a while: every gap ms one exchange at a random counter that is up. Refused and unknown
+/* Callers ask for a while: every gap ms one request at a random router that is up. Refused and unknown
  * ones are sometimes asked again under the same id. */
-static int matters = 3; /* of a tenant in a lane */
+static int matters = 3; /* of a tenant in a route */
 
 static void load(struct sim *sim, uint64_t *rng, int64_t ms, int gap, int routers)
 {
@@ -79,8 +79,8 @@
 				 sim->requests[i].id);
 }
 
-/* Resends in any ten seconds over all counters: a fifth of the first sends, and two saved up at each life of
- * a counter. */
+/* Resends in any ten seconds over all routers: a fifth of the first sends, and two saved up at each life of
+ * a router. */
 static void budget_kept(struct sim *sim, int lives)
 {
 	ptrdiff_t from = 0;
@@ -161,8 +161,8 @@
 		must_change(&sim, body, 12000);
 		sim.servers[0].departed = sim.now;
 		load(&sim, &rng, 5000, 20, 3);
-		/* remove the key of t2, with a counter cut off and another frozen meanwhile */
-		/* the first hears all controllers but the configuration's owner: it could claim and send, but
+		/* remove the key of t2, with a router cut off and another frozen meanwhile */
+		/* the first hears all controllers but the control leader: it could claim and send, but
 		 * not know */
 		rollout = sim_leader(&sim, SHARD_CONTROL);
 		sim.link_cut[rollout][SIM_CONTROLLERS] = 1;
@@ -200,7 +200,7 @@
 		/* back to the old weights: nothing made under them before may come back to life; t1 let back
 		 * in */
 		sim.isolation[1].isolated =
-		    0; /* from the asking on: a counter may know before the operator does */
+		    0; /* from the request on: a router may know before the operator does */
 		must_change(
 		    &sim,
 		    "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w1\",\"prefill\":20,\"kv_bytes\":400,\"link\":100000},"
@@ -351,8 +351,8 @@
 }
 
 /* New weights for one service of six servers that load for 1 to 8 s, under load: its rollout dies at any
- * moment of the roll-out, or a server dies and is back, or both, or another naming overtakes. All have them
- * within 25 s. */
+ * moment of the roll-out, or a server dies and is back, or both, or another target version overtakes. All
+ * have them within 25 s. */
 static void weights_reach_every_server(void **state)
 {
 	static const char *const names[] = { "nothing fails", "the giver dies", "a server dies and is back",
@@ -435,8 +435,8 @@
 	}
 }
 
-/* Weights that are named every three seconds: each naming overtakes the one before, and leaves the servers
- * that have not been told of that one no more time. None keeps the first weights beyond 25 s. */
+/* Weights that are named every three seconds: each target version overtakes the one before, and leaves the
+ * servers that have not been told of that one no more time. None keeps the first weights beyond 25 s. */
 static void target_versions_that_overtake_delay_nothing(void **state)
 {
 	uint64_t first, seeds = seeds_of(10, &first);
@@ -471,10 +471,10 @@
 	}
 }
 
-/* Walls both ways, roll-outs there and back and drains while parts are fetched between servers and from a
+/* Isolation both ways, roll-outs there and back and drains while parts are fetched between servers and from a
  * store that keeps all it ever got; the store goes down and is back empty, links between servers are slow or
- * hang in a fetch, reports are lost or late. No part of other weights, of a walled tenant or withdrawn at a
- * known tick is ever used. */
+ * hang in a fetch, reports are lost or late. No part of other weights, of an isolated tenant or withdrawn at
+ * a known tick is ever used. */
 static void fetches_stay_within_isolation(void **state)
 {
 	uint64_t first, seeds = seeds_of(10, &first), fetched = 0, vain = 0;
@@ -495,10 +495,10 @@
 			    l = (int)(core_random(&rng) % 3);
 
 			switch (k ? core_random(&rng) % 9 : 99) {
-			case 0: /* a wall goes up, or comes down */
+			case 0: /* isolation goes up, or comes down */
 				on = !sim.isolation[t].isolated;
 				sim.isolation[t].isolated =
-				    0; /* walled from the acknowledgement on, open from the asking on */
+				    0; /* isolated from the acknowledgement on, open from the request on */
 				snprintf(
 				    body, sizeof body,
 				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"t%d\",\"share\":1,\"limit\":100,\"walled\":%s}]}",
@@ -656,7 +656,7 @@
 		for (int i = 0; i < 4; i++)
 			sim_crash(sim, i, 0);
 		break;
-	case LOSE_ZONE: /* all that stands in one zone: a controller, counters, servers */
+	case LOSE_ZONE: /* all that stands in one zone: a controller, routers, servers */
 		sim_crash(sim, r, 0);
 		for (int i = SIM_CONTROLLERS; i < SIM_NODES; i++)
 			if (sim->nodes[i].used && !strcmp(sim->nodes[i].zone, sim->nodes[r].zone))
@@ -710,7 +710,7 @@
 				sim_crash(sim, leader, 0);
 		}
 		break;
-	case LOSE_NOTHING_LARGE_TABLE: /* four thousand rows at once, and the owner dies */
+	case LOSE_NOTHING_LARGE_TABLE: /* four thousand rows at once, and the leader dies */
 		body = malloc(4000 * 100);
 		k = (size_t)sprintf(body, "{\"set\":[");
 		for (int i = 0; i < 4000; i++)
@@ -752,8 +752,8 @@
 	return i;
 }
 
-/* Each fault of the brief, healed as it would be; then one more that is not: the configuration's owner dies
- * for good. Time until a change is acknowledged, and until every lane is answered whole at every counter. */
+/* Each fault of the brief, healed as it would be; then one more that is not: the control leader dies
+ * for good. Time until a change is acknowledged, and until every route is answered whole at every router. */
 static void each_fault_and_one_more(void **state)
 {
 	static const char *const names[] = { "owner killed",
@@ -791,7 +791,7 @@
 			bring_about(&sim, fault, &rng);
 			load(&sim, &rng, 3000 + (int64_t)(core_random(&rng) % 5000), 30, 3);
 			mend(&sim);
-			load(&sim, &rng, 15000, 30, 3); /* long enough for a group to mend itself */
+			load(&sim, &rng, 15000, 30, 3); /* long enough for a group to fix itself */
 			leader = sim_leader(&sim, SHARD_CONTROL);
 			if (leader < 0)
 				fail_msg("seed %llu, %s: no owner 15 s after it was mended",
@@ -914,7 +914,7 @@
 	sim_close(&sim);
 }
 
-/* A key is removed while its counter is cut off, hears all but the owner, is frozen, or frozen and then cut
+/* A key is removed while its router is cut off, hears all but the leader, is frozen, or frozen and then cut
  * off: nothing is heard with it 5 s after the acknowledgement, and what runs ends as an error. */
 static void cut_off_routers_end_their_streams(void **state)
 {
@@ -963,9 +963,9 @@
 }
 
 /* Races round the claim, with loss and links that reorder: at any moment between asking, claim, answer and
- * send the caller leaves, the counter dies or freezes, the part's owner changes, or the same id is asked at
- * another counter, or at the same. Nothing runs twice, nor after it was refused; and an id that was refused,
- * or that its caller left before it was sent, may be used again (unless the counter has died since, and with
+ * send the caller leaves, the router dies or freezes, the shard's leader changes, or the same id is asked at
+ * another router, or at the same. Nothing runs twice, nor after it was refused; and an id that was refused,
+ * or that its caller left before it was sent, may be used again (unless the router has died since, and with
  * it its word). */
 static void claims_race(void **state)
 {
@@ -1054,7 +1054,7 @@
 	assert_int_equal(claimed, 0);
 }
 
-/* The configuration's owner dies: what runs and what waits rides it out, at every counter. */
+/* The control leader dies: what runs and what waits rides it out, at every router. */
 static void streams_outlive_a_failover(void **state)
 {
 	uint64_t first, seeds = seeds_of(24, &first);
@@ -1109,7 +1109,7 @@
 	}
 }
 
-/* A caller that leaves stops its exchange, running or waiting; a counter that is told to stop ends what it
+/* A caller that leaves stops its request, running or waiting; a router that is told to stop ends what it
  * has. */
 static void leaving_and_stopping(void **state)
 {
@@ -1155,7 +1155,7 @@
 
 	(void)state;
 	sim_deploy(&sim, 6, 3, 1, 3);
-	/* one service, all lanes on it, so that they compete */
+	/* one service, all routes on it, so that they compete */
 	must_change(
 	    &sim,
 	    "{\"set\":[{\"kind\":\"lane\",\"name\":\"first\",\"service\":\"arrears\",\"prio\":0,\"limit\":60},"
@@ -1190,7 +1190,7 @@
 	sim_close(&sim);
 }
 
-/* Held times of what was refused, from the asking on; each was told when to come back, and not all the same.
+/* Held times of what was refused, from the request on; each was told when to come back, and not all the same.
  */
 static int64_t *held(struct sim *sim, ptrdiff_t from)
 {
@@ -1285,8 +1285,8 @@
 	}
 }
 
-/* A limit holds over the fleet, whatever counters its callers use, while counters die, freeze and are cut
- * off, the configuration's owner changes and the table lowers the limit; and it is used: by one counter alone
+/* A limit holds over the fleet, whatever routers its callers use, while routers die, freeze and are cut
+ * off, the control leader changes and the table lowers the limit; and it is used: by one router alone
  * too. */
 static void limits_hold_fleet_wide(void **state)
 {
@@ -1309,7 +1309,7 @@
 		for (int i = 0; i < 9; i++)
 			sim.servers[i].slow = 60;
 		sim.tenant_limits[1] = limit;
-		/* all callers at one counter, then at all of them */
+		/* all callers at one router, then at all of them */
 		for (int phase = 0; phase < 2; phase++) {
 			int64_t from = sim.now;
 			uint64_t before = sim.n_complete;
@@ -1475,7 +1475,7 @@
 	sim_close(&sim);
 }
 
-/* The relays' work at three sizes of fleet: the publisher speaks to a few, whatever the number of counters.
+/* The relays' work at three sizes of fleet: the publisher speaks to a few, whatever the number of routers.
  */
 static void relays_spare_the_publisher(void **state)
 {
@@ -1507,7 +1507,7 @@
 			      (double)looks / 10 / 3);
 		assert_true(looks <=
 			    10 * 3 *
-				9); /* two a second for each zone's relay, whatever the number of counters */
+				9); /* two a second for each zone's relay, whatever the number of routers */
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + size[k]; i++)
 			if (sim.nodes[i].router->relay.knowledge.horizon < worst)
 				worst = sim.nodes[i].router->relay.knowledge.horizon;
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -25,53 +25,53 @@
 	DECISIONS = 2000
 };
 
-/* A router of its own zone, with so many servers of one service and one lane. */
-static void open_before(struct solo *solo, int servers, uint64_t capacity, const char *route)
+/* A router of its own zone, with so many servers of one service and one route. */
+static void open_before(struct router_fixture *fixture, int servers, uint64_t capacity, const char *route)
 {
 	struct Nl__Row *service, *row, *rows[2];
 	struct Nl__Instance **instances;
 
-	router_fixture_open(solo, 5);
-	service = new_service(solo->p, "pool");
+	router_fixture_open(fixture, 5);
+	service = new_service(fixture->p, "pool");
 	service->prefill_tokens_per_ms = PREFILL;
 	service->capacity_tokens = capacity;
 	service->link_bytes_per_ms = 10 * PREFILL;
 	service->kv_bytes_per_token = 1;
-	row = new_row(solo->p, NL__KIND__ROUTE, route);
+	row = new_row(fixture->p, NL__KIND__ROUTE, route);
 	row->service = "pool";
 	row->host = "h";
 	row->path = "/x/";
 	row->limit = 100;
 	rows[0] = service;
 	rows[1] = row;
-	instances = apr_palloc(solo->p, (size_t)servers * sizeof *instances);
+	instances = apr_palloc(fixture->p, (size_t)servers * sizeof *instances);
 	for (int i = 0; i < servers; i++)
-		instances[i] = new_instance(solo->p, i, "pool");
-	router_fixture_table(solo, rows, 2, instances, (size_t)servers, 1);
-	solo->router.relay.has_knowledge = 1;
-	solo->router.relay.known_at_ms = solo->now;
+		instances[i] = new_instance(fixture->p, i, "pool");
+	router_fixture_table(fixture, rows, 2, instances, (size_t)servers, 1);
+	fixture->router.relay.has_knowledge = 1;
+	fixture->router.relay.known_at_ms = fixture->now;
 }
 
 /* Ask for a prompt of a shared part and one of its own; the send's call, 0 when none left. */
-static uint64_t ask(struct solo *solo, uint64_t shared, const char *id)
+static uint64_t ask(struct router_fixture *fixture, uint64_t shared, const char *id)
 {
 	struct forwarded_request a = {
-		.token = ++solo->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000
+		.token = ++fixture->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000
 	};
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
 
 	a.block_count = 2;
 	a.blocks[0] = (struct request_block){ shared, SHARED };
-	a.blocks[1] = (struct request_block){ 1000000 + solo->token, OWN };
+	a.blocks[1] = (struct request_block){ 1000000 + fixture->token, OWN };
 	a.input_tokens = SHARED + OWN;
 	a.output_tokens = 10;
 	input.u.forwarded_request = &a;
-	command_list_clear(&solo->commands);
-	router_fixture_step(solo, &input);
-	return router_fixture_last_call(solo);
+	command_list_clear(&fixture->commands);
+	router_fixture_step(fixture, &input);
+	return router_fixture_last_call(fixture);
 }
 
-static void begin(struct solo *s, uint64_t call, int after_ms)
+static void begin(struct router_fixture *s, uint64_t call, int after_ms)
 {
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 
@@ -81,7 +81,7 @@
 	router_fixture_step(s, &event);
 }
 
-static const struct decision_counts *counts(const struct solo *s)
+static const struct decision_counts *counts(const struct router_fixture *s)
 {
 	return s->router.decision_counts[0];
 }
@@ -89,45 +89,45 @@
 /* The first send reads at the prefix's home; the next one finds it kept there. */
 static void reasons_are_recorded(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	uint64_t call;
 
 	(void)state;
-	open_before(&solo, 6, CAPACITY_TOKENS, "l1");
-	call = ask(&solo, 7, "a");
+	open_before(&fixture, 6, CAPACITY_TOKENS, "l1");
+	call = ask(&fixture, 7, "a");
 	assert_true(call);
-	assert_int_equal(counts(&solo)->decisions[DECISION_HOME], 1);
-	assert_int_equal(counts(&solo)->shared_prefill_tokens, SHARED);
-	begin(&solo, call, 90);
-	assert_int_equal(counts(&solo)->first_chunk_ms.sum_ms, 90);
-	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
-	call = ask(&solo, 7, "b");
-	assert_int_equal(counts(&solo)->decisions[DECISION_CACHED], 1);
-	assert_int_equal(counts(&solo)->cached_tokens, SHARED);
-	assert_int_equal(counts(&solo)->prefill_tokens, SHARED + 2 * OWN);
-	router_fixture_end_call(&solo, call, FORWARD_BROKEN_OFF, 0);
-	assert_int_equal(counts(&solo)->no_first_chunk, 1);
-	router_fixture_close(&solo);
+	assert_int_equal(counts(&fixture)->decisions[DECISION_HOME], 1);
+	assert_int_equal(counts(&fixture)->shared_prefill_tokens, SHARED);
+	begin(&fixture, call, 90);
+	assert_int_equal(counts(&fixture)->first_chunk_ms.sum_ms, 90);
+	router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
+	call = ask(&fixture, 7, "b");
+	assert_int_equal(counts(&fixture)->decisions[DECISION_CACHED], 1);
+	assert_int_equal(counts(&fixture)->cached_tokens, SHARED);
+	assert_int_equal(counts(&fixture)->prefill_tokens, SHARED + 2 * OWN);
+	router_fixture_end_call(&fixture, call, FORWARD_BROKEN_OFF, 0);
+	assert_int_equal(counts(&fixture)->no_first_chunk, 1);
+	router_fixture_close(&fixture);
 }
 
 /* One server, no store, and memory for less than one prompt: it is served, one at a time. */
 static void the_smallest_deployment_is_served(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	uint64_t first;
 
 	(void)state;
-	open_before(&solo, 1, 10, "l1");
-	first = ask(&solo, 7, "a");
+	open_before(&fixture, 1, 10, "l1");
+	first = ask(&fixture, 7, "a");
 	assert_true(first);
-	assert_int_equal(counts(&solo)->decisions[DECISION_ONLY], 1);
-	assert_int_equal(ask(&solo, 7, "b"), 0); /* it waits: there is no room beside the first */
-	begin(&solo, first, 50);
-	router_fixture_end_call(&solo, first, FORWARD_COMPLETE, 200);
-	for (int i = 0; i < 4 && !router_fixture_last_call(&solo); i++)
-		router_fixture_tick(&solo, 25);
-	assert_true(router_fixture_last_call(&solo));
-	router_fixture_close(&solo);
+	assert_int_equal(counts(&fixture)->decisions[DECISION_ONLY], 1);
+	assert_int_equal(ask(&fixture, 7, "b"), 0); /* it waits: there is no room beside the first */
+	begin(&fixture, first, 50);
+	router_fixture_end_call(&fixture, first, FORWARD_COMPLETE, 200);
+	for (int i = 0; i < 4 && !router_fixture_last_call(&fixture); i++)
+		router_fixture_tick(&fixture, 25);
+	assert_true(router_fixture_last_call(&fixture));
+	router_fixture_close(&fixture);
 }
 
 static int is_value(const char *s)
@@ -166,20 +166,20 @@
 /* Every line is one of the text format, whatever a route is called. */
 static void metrics_are_in_the_text_format(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	const char *text;
 	char *line;
 	int samples = 0;
 
 	(void)state;
-	open_before(&solo, 3, CAPACITY_TOKENS, "a \"lane\" of \\ ours");
-	assert_true(ask(&solo, 7, "a"));
-	text = router_metrics(&solo.router, solo.now, solo.p);
+	open_before(&fixture, 3, CAPACITY_TOKENS, "a \"lane\" of \\ ours");
+	assert_true(ask(&fixture, 7, "a"));
+	text = router_metrics(&fixture.router, fixture.now, fixture.p);
 	assert_non_null(strstr(
 	    text, "notchlug_decisions_total{route=\"a \\\"lane\\\" of \\\\ ours\",reason=\"home\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_mechanism_on{name=\"fetch\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_queue_ms_bucket"));
-	for (line = apr_pstrdup(solo.p, text); line && *line;
+	for (line = apr_pstrdup(fixture.p, text); line && *line;
 	     line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
 		if (*line == '#')
 			continue;
@@ -188,7 +188,7 @@
 		samples++;
 	}
 	assert_true(samples > 50);
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
 static void mechanisms_have_names(void **state)
@@ -211,7 +211,7 @@
 
 	(void)state;
 	for (size_t k = 0; k < sizeof servers / sizeof *servers; k++) {
-		struct solo solo;
+		struct router_fixture fixture;
 		struct client_request request = { .block_count = 2,
 						  .total_tokens = SHARED + OWN,
 						  .id = "a",
@@ -222,20 +222,21 @@
 		double us;
 		int found = 0;
 
-		open_before(&solo, servers[k], CAPACITY_TOKENS, "l1");
+		open_before(&fixture, servers[k], CAPACITY_TOKENS, "l1");
 		request.block_tokens[0] = SHARED;
 		request.block_tokens[1] = OWN;
 		from = clock();
 		for (int i = 0; i < DECISIONS; i++) {
 			request.block_hash[0] = (uint64_t)i;
 			found +=
-			    router_placement_forwarded(&solo.router, &request, solo.now).server_index >= 0;
+			    router_placement_forwarded(&fixture.router, &request, fixture.now).server_index >=
+			    0;
 		}
 		us = (double)(clock() - from) * 1e6 / CLOCKS_PER_SEC / DECISIONS;
 		print_message("%d servers: %.1f us a decision\n", servers[k], us);
 		assert_int_equal(found, DECISIONS);
 		assert_true(us < 20000);
-		router_fixture_close(&solo);
+		router_fixture_close(&fixture);
 	}
 }
 
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -417,7 +417,7 @@
 	return sim_answer(s, t);
 }
 
-/* n controllers over a few zones, founded by the settings of the first. */
+/* n controllers over a few zones, bootstrapped by the settings of the first. */
 static void fleet(struct sim *sim, uint64_t seed, int n, int zones, int copies)
 {
 	uint64_t seeds[3];
@@ -657,7 +657,8 @@
 	assert_int_equal(put_doc(&sim, 7, 0, DOC("7", "", SERVICE("s1"), "")), 400); /* not above */
 	assert_int_equal(put_doc(&sim, 7, 0, "{\"ConfigVersion\":8,\"RouteList\":["), 400);
 	assert_int_equal(sim.nodes[o].controller->config.table.revision, revision);
-	/* a patch; rows that it leaves alone keep their edition; keys, walls and services follow the document
+	/* a patch; rows that it leaves alone keep their revision; keys, isolation and services follow the
+	 * document
 	 */
 	assert_int_equal(put_doc(&sim, 7, 1, "{\"ConfigVersion\":9,\"Remove\":{\"TenantList\":[\"t2\"]}}"),
 			 200);
@@ -670,8 +671,8 @@
 		assert_false(x->kind == NL__KIND__KEY && !strcmp(x->tenant, "t2"));
 	}
 	assert_true(sim.nodes[o].controller->config.table.revision > revision);
-	/* naming: rises, is answered again, outlives documents; what stood before is withdrawn once the new
-	 * ones stand everywhere */
+	/* target version: rises, is answered again, outlives documents; what stood before is withdrawn once
+	 * the new ones stand everywhere */
 	assert_int_equal(finish(&sim, &name, 5000), 200);
 	assert_int_equal(finish(&sim, &name, 5000), 200);
 	name.weights = "2";
@@ -690,7 +691,7 @@
 	assert_null(config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__SERVICE, "s1"));
 	assert_string_equal(
 	    config_table_get(&sim.nodes[o].controller->config.table, NL__KIND__ROUTE, "r1")->service,
-	    "s2"); /* its lane moved, since it is vouched for */
+	    "s2"); /* its route moved, since it is vouched for */
 	/* two on one base at the same moment: the log's order decides */
 	a = sim_send_document(&sim, o, 12, 0, DOC("13", "", SERVICE("s3"), ""), NULL);
 	b = sim_send_document(&sim, o, 12, 0, DOC("14", "", SERVICE("s4"), ""), NULL);
@@ -1029,7 +1030,7 @@
 	}
 }
 
-/* Followers have the rows that the owner has, and members of a part the same state. */
+/* Followers have the rows that the leader has, and members of a part the same state. */
 static void rows_alike(struct sim *sim)
 {
 	apr_pool_t *p;
@@ -1126,7 +1127,7 @@
 						  : call->base; /* each call's own, but sometimes not above */
 				call->body = gen(&sim, call->version, call->patch);
 				no_empty_keys(call->body);
-				if (!rnd(&sim, 3)) { /* it goes to the owner, which dies before or after
+				if (!rnd(&sim, 3)) { /* it goes to the leader, which dies before or after
 							logging it */
 					int o = sim_leader(&sim, SHARD_CONTROL);
 
@@ -1444,8 +1445,8 @@
 	sim_close(&sim);
 }
 
-/* Weights that a model's servers all had are withdrawn once others stand everywhere; naming alone withdraws
- * nothing. */
+/* Weights that a model's servers all had are withdrawn once others stand everywhere; target version alone
+ * withdraws nothing. */
 static void weights_are_withdrawn_when_rolled_out(void **state)
 {
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -1,5 +1,5 @@
-/* The stand-in of the users' platform, tried by itself: the judge catches a breach of each rule and lets its
- * mended twin pass; servers, store and list speak as the pages say. */
+/* The platform emulator, tried by itself: the checker catches a violation of each rule and lets its
+ * fixed twin pass; servers, store and list speak as the pages say. */
 #include <sched.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 #include "containers.h"
 #include "platform_run.h"
 
-/* ---- the judge ---- */
+/* ---- the checker ---- */
 
 enum { EDGES = 3, CORES = 3 };
 #define ROUTE(name, prefix, service)                                                    \
@@ -139,7 +139,7 @@
 	return attempt;
 }
 
-/* each: with bad set the rule is broken, without it the same story is mended */
+/* each: with bad set the rule is broken, without it the same story is fixed */
 
 static void no_seal(struct judge *checker, int bad)
 {
@@ -525,7 +525,7 @@
 			      &r); /* in the second half of GraceS; excused while its server still works */
 }
 
-/* ---- LOST, clause by clause: bad breaks the rule, the mended twin is just inside it ---- */
+/* ---- LOST, clause by clause: bad breaks the rule, the fixed twin is just inside it ---- */
 
 enum { STOPPED_AT = 10100, RELOADED_AT = 12000, CFG_SENT_AT = 20000, CFG_ACKED_AT = 20100 };
 
@@ -970,7 +970,7 @@
 	begins_on(checker, 24000 + (bad ? 1 : -10), 24500, 1);
 }
 
-/* The time counts over one settled stretch, which begins ContactMs after the last trouble of the core. */
+/* The time counts over one settled stretch, which begins ContactMs after the last fault of the core. */
 static void version_unsettled(struct judge *checker, int bad)
 {
 	checker_record_target_version(checker, 2000, 2, 1);
@@ -979,7 +979,7 @@
 	begins_on(checker, 24900, 25000 + (bad ? 10 : -10), 1);
 }
 
-/* Later namings don't put off what an earlier one asks. */
+/* Later target versions don't put off what an earlier one asks. */
 static void version_named_again(struct judge *checker, int bad)
 {
 	for (int weights = 2; weights < 14; weights++)
@@ -987,7 +987,7 @@
 	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 1);
 }
 
-/* Weights that are not the newest may be used for VersionMs from the naming that followed them. */
+/* Weights that are not the newest may be used for VersionMs from the target version that followed them. */
 static void version_between(struct judge *checker, int bad)
 {
 	checker_record_target_version(checker, 3000, 2, 1);
@@ -996,7 +996,7 @@
 	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 2);
 }
 
-/* A naming that nobody acknowledged asks for nothing. */
+/* A new target version that nobody acknowledged asks for nothing. */
 static void version_not_acked(struct judge *checker, int bad)
 {
 	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED,
@@ -2266,7 +2266,7 @@
 	clients_traffic(r->clients, 0);
 }
 
-/* The run ends; its judge is left. */
+/* The run ends; its checker is left. */
 static struct judge *alone_end(struct run *r)
 {
 	struct judge *checker = r->checker;
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -1,5 +1,5 @@
-/* Forwarded exchanges: whole fleets with doors, callers and servers that keep parts, under seeded virtual
- * time and trouble. */
+/* Forwarded requests: whole fleets with front ends, callers and servers that keep parts, under seeded virtual
+ * time and fault. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -60,7 +60,7 @@
 
 /* ---- whole fleets ------------------------------------------------------------------------- */
 
-/* Calm times: everything is served, kept parts are used again, nothing runs twice. */
+/* Calm times: everything is served, cached blocks are used again, nothing runs twice. */
 static void calm(void **state)
 {
 	(void)state;
@@ -176,7 +176,7 @@
 			config.key[k] = -1;
 	}
 	(void)sim_forward_change(forwarding,
-				 config); /* in times of trouble it may fail, and be in force all the same */
+				 config); /* in times of fault it may fail, and be in force all the same */
 	if (forwarding->sim.violation[0])
 		fail_msg("%s", forwarding->sim.violation);
 }
@@ -327,7 +327,7 @@
 	return first;
 }
 
-/* All servers refuse at once, again and again: what went back to its line is not sent again on a credit that
+/* All servers refuse at once, again and again: what went back to its queue is not sent again on a credit that
  * is spent. */
 static void many_are_requeued(void **state)
 {
@@ -371,8 +371,9 @@
 	assert_true(all > 10 * seeds(4));
 }
 
-/* A counter is cut off while slow servers work for it: what may have run is never told that it has not; and
- * with its keys it takes nothing more in time, nor does a door that was frozen send what was decided before.
+/* A router is cut off while slow servers work for it: what may have run is never told that it has not; and
+ * with its keys it takes nothing more in time, nor does a front end that was frozen send what was decided
+ * before.
  */
 static void a_router_is_partitioned(void **state)
 {
@@ -409,7 +410,7 @@
 	}
 }
 
-/* What a door has been told to send when its process is frozen does not leave after the thaw. */
+/* What a front end has been told to send when its process is frozen does not leave after the thaw. */
 static void a_front_end_thaws(void **state)
 {
 	struct sim_forward forwarding;
@@ -502,7 +503,7 @@
 	forwarding->sim.instance_list.slots = 2;
 }
 
-/* Servers have few places: among what waits at a counter, urgent lanes go first, and within a line the first.
+/* Servers have few places: among what waits at a router, urgent routes go first, and within a line the first.
  */
 static void urgent_routes_go_first(void **state)
 {
@@ -574,7 +575,7 @@
 	done(&forwarding);
 }
 
-/* Tenants are walled off and let in again while their parts are kept everywhere. */
+/* Tenants are isolated and let in again while their parts are kept everywhere. */
 static void isolation_changes(void **state)
 {
 	(void)state;
@@ -662,9 +663,9 @@
 	}
 }
 
-/* ---- a counter by itself --------------------------------------------------------------------- */
+/* ---- a router by itself --------------------------------------------------------------------- */
 
-/* The plain matcher: look at every lane. */
+/* The plain matcher: look at every route. */
 static const char *plain_route(struct Nl__Row **rows, size_t n, const char *host, const char *path)
 {
 	const char *best = NULL;
@@ -682,11 +683,11 @@
 	return best;
 }
 
-/* 20,000 lanes: the longest prefix of whole segments wins, at its own host only. */
+/* 20,000 routes: the longest prefix of whole segments wins, at its own host only. */
 static void routes_are_found_by_the_longest_prefix(void **state)
 {
 	enum { N = 20000 };
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row **rows;
 	struct {
 		char *key;
@@ -697,21 +698,23 @@
 	int found = 0, status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	rows = apr_palloc(solo.p, (N + 1) * sizeof *rows);
-	rows[n++] = new_service(solo.p, "pool");
+	router_fixture_open(&fixture, 5);
+	rows = apr_palloc(fixture.p, (N + 1) * sizeof *rows);
+	rows[n++] = new_service(fixture.p, "pool");
 	sh_new_strdup(seen);
 	while (n <= N) {
-		struct Nl__Row *row = new_row(solo.p, NL__KIND__ROUTE, apr_psprintf(solo.p, "l%d", (int)n));
+		struct Nl__Row *row =
+		    new_row(fixture.p, NL__KIND__ROUTE, apr_psprintf(fixture.p, "l%d", (int)n));
 		int deep = (int)random_below(&d, 6);
 		char *key;
 
 		row->path = "/";
 		for (int i = 0; i < deep; i++)
-			row->path = apr_psprintf(solo.p, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3),
-						 (int)random_below(&d, i ? 3 : 12));
-		row->host = apr_psprintf(solo.p, "h%d.example", (int)random_below(&d, 12));
-		key = apr_pstrcat(solo.p, row->host, row->path, NULL);
+			row->path =
+			    apr_psprintf(fixture.p, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3),
+					 (int)random_below(&d, i ? 3 : 12));
+		row->host = apr_psprintf(fixture.p, "h%d.example", (int)random_below(&d, 12));
+		key = apr_pstrcat(fixture.p, row->host, row->path, NULL);
 		if (shgeti(seen, key) >= 0)
 			continue;
 		shput(seen, key, 1);
@@ -721,7 +724,7 @@
 		rows[n++] = row;
 	}
 	shfree(seen);
-	router_fixture_table(&solo, rows, n, NULL, 0, 1);
+	router_fixture_table(&fixture, rows, n, NULL, 0, 1);
 	for (int k = 0; k < 3000; k++) {
 		char host[32], path[200];
 		size_t at = (size_t)snprintf(path, sizeof path, "/");
@@ -738,27 +741,27 @@
 		if (!random_below(&d, 4))
 			snprintf(path + at, sizeof path - at, "?q=/a1/b2/");
 		expected = plain_route(rows, n, host, path);
-		request = router_fixture_submit(&solo, host, path, "id", &status);
+		request = router_fixture_submit(&fixture, host, path, "id", &status);
 		if (!expected) {
 			assert_null(request);
 			assert_int_equal(status, 404);
 			continue;
 		}
 		assert_non_null(request);
-		assert_string_equal(solo.router.route_names.names[request->route_index], expected);
+		assert_string_equal(fixture.router.route_names.names[request->route_index], expected);
 		found++;
-		router_fixture_disconnect(&solo);
+		router_fixture_disconnect(&fixture);
 		if (k % 200 == 0) /* it must stay in touch with its table */
-			solo.router.config_watch.fetched_at_ms = solo.now;
+			fixture.router.config_watch.fetched_at_ms = fixture.now;
 	}
 	assert_true(found > 1000);
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
 /* A split goes by its weights; the same id always goes the same way; weight 0 gets nothing. */
 static void a_split_goes_by_weights(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row *rows[6], *route;
 	struct Nl__RouteSplit part[4], *list[4];
 	static const char *const names[] = { "s0", "s1", "s2", "s3" };
@@ -766,15 +769,15 @@
 	int got[4] = { 0, 0, 0, 0 }, status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
+	router_fixture_open(&fixture, 5);
 	for (int i = 0; i < 4; i++) {
-		rows[i] = new_service(solo.p, names[i]);
+		rows[i] = new_service(fixture.p, names[i]);
 		nl__route_split__init(&part[i]);
 		part[i].service = (char *)(uintptr_t)names[i];
 		part[i].weight = (uint32_t)weight[i];
 		list[i] = &part[i];
 	}
-	rows[4] = route = new_row(solo.p, NL__KIND__ROUTE, "l");
+	rows[4] = route = new_row(fixture.p, NL__KIND__ROUTE, "l");
 	route->service = "s0";
 	route->host = "h";
 	route->path = "/";
@@ -782,27 +785,27 @@
 	route->key_optional = 1;
 	route->split = list;
 	route->n_split = 4;
-	router_fixture_table(&solo, rows, 5, NULL, 0, 1);
+	router_fixture_table(&fixture, rows, 5, NULL, 0, 1);
 	for (int k = 0; k < 10000; k++) {
 		char id[20];
 		uint32_t first;
 
 		snprintf(id, sizeof id, "id-%d", k);
-		first = router_fixture_submit(&solo, "h", "/x", id, &status)->service_index;
-		router_fixture_disconnect(&solo);
+		first = router_fixture_submit(&fixture, "h", "/x", id, &status)->service_index;
+		router_fixture_disconnect(&fixture);
 		if (k % 10 == 0) {
-			assert_int_equal(router_fixture_submit(&solo, "h", "/x", id, &status)->service_index,
-					 first);
-			router_fixture_disconnect(&solo);
+			assert_int_equal(
+			    router_fixture_submit(&fixture, "h", "/x", id, &status)->service_index, first);
+			router_fixture_disconnect(&fixture);
 		}
-		got[solo.router.service_names.names[first][1] - '0']++;
+		got[fixture.router.service_names.names[first][1] - '0']++;
 	}
 	for (int i = 0; i < 4; i++)
 		assert_in_range(got[i], weight[i] * 100 - weight[i] * 10, weight[i] * 100 + weight[i] * 10);
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
-/* Words of load between 9 counters in 3 zones, some lost: once words arrive again, each knows what all others
+/* Words of load between 9 routers in 3 zones, some lost: once words arrive again, each knows what all others
  * have. */
 static void loads_add_up(void **state)
 {
@@ -810,28 +813,28 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(20); seed++) {
-		struct solo solo[N];
+		struct router_fixture fixture[N];
 		struct Nl__Row *rows[1];
 		struct Nl__Instance *instances[SRV];
 		uint64_t d = seed * 13;
 		int loss = seed % 3 == 0 ? 300 : seed % 3 == 1 ? 50 : 0, off = (int)random_below(&d, N);
 
 		for (int i = 0; i < N; i++) {
-			router_fixture_open(&solo[i], (uint64_t)i + 1);
-			rows[0] = new_service(solo[i].p, "pool");
+			router_fixture_open(&fixture[i], (uint64_t)i + 1);
+			rows[0] = new_service(fixture[i].p, "pool");
 			for (int k = 0; k < SRV; k++)
-				instances[k] = new_instance(solo[i].p, (k + i) % SRV,
+				instances[k] = new_instance(fixture[i].p, (k + i) % SRV,
 							    "pool"); /* each knows them by other numbers */
-			router_fixture_table(&solo[i], rows, 1, instances, SRV, 1);
+			router_fixture_table(&fixture[i], rows, 1, instances, SRV, 1);
 		}
 		for (int round = 0; round < 400; round++) {
 			int quiet = round >= 300, lose = quiet ? 0 : loss;
 
 			for (int i = 0; i < N; i++) {
 				int zone = i % ZONES, head = i < ZONES;
-				struct router *router = &solo[i].router;
+				struct router *router = &fixture[i].router;
 
-				router->config_watch.fetched_at_ms = solo[i].now;
+				router->config_watch.fetched_at_ms = fixture[i].now;
 				router->zone_hash = (uint64_t)zone + 1;
 				router->config_watch.upstream_count = head ? 0 : 1;
 				router->config_watch.upstream[0] = (uint64_t)zone + 1001;
@@ -850,13 +853,13 @@
 				if (i == off && round > 150 &&
 				    round < 260) /* it falls silent for over the time for which words count */
 					continue;
-				router_fixture_tick(&solo[i], 25);
+				router_fixture_tick(&fixture[i], 25);
 				if (i == off && round == 260)
-					solo[i].now = solo[(i + 1) % N].now;
+					fixture[i].now = fixture[(i + 1) % N].now;
 			}
 			for (int i = 0; i < N; i++) {
-				for (ptrdiff_t k = 0; k < arrlen(solo[i].commands.commands); k++) {
-					struct command *command = &solo[i].commands.commands[k];
+				for (ptrdiff_t k = 0; k < arrlen(fixture[i].commands.commands); k++) {
+					struct command *command = &fixture[i].commands.commands[k];
 					int to = (int)command->args.send.addr - 1001;
 
 					if (command->kind != CMD_SEND ||
@@ -865,57 +868,58 @@
 						continue;
 					command->args.send.msg->id = (uint64_t)i + 1;
 					command->args.send.msg->addr = (uint64_t)i + 1001;
-					router_fixture_message(&solo[to], command->args.send.msg);
+					router_fixture_message(&fixture[to], command->args.send.msg);
 				}
-				command_list_clear(&solo[i].commands);
+				command_list_clear(&fixture[i].commands);
 			}
 		}
 		for (int i = 0; i < N; i++)
 			for (int k = 0; k < SRV; k++) {
-				const char *name = solo[i].router.server_names.names[k];
+				const char *name = fixture[i].router.server_names.names[k];
 				uint32_t ahead = 0, running = 0;
 
 				for (int x = 0; x < N; x++) {
-					int at = names_find(&solo[x].router.server_names, name);
+					int at = names_find(&fixture[x].router.server_names, name);
 
-					ahead += x == i ? 0 : solo[x].router.servers[at].prefill_tokens;
+					ahead += x == i ? 0 : fixture[x].router.servers[at].prefill_tokens;
 					running +=
-					    x == i ? 0 : (uint32_t)solo[x].router.servers[at].own_running;
+					    x == i ? 0 : (uint32_t)fixture[x].router.servers[at].own_running;
 				}
-				if (solo[i].router.others_load[k].prefill_tokens != ahead ||
-				    solo[i].router.others_load[k].running != running)
+				if (fixture[i].router.others_load[k].prefill_tokens != ahead ||
+				    fixture[i].router.others_load[k].running != running)
 					fail_msg(
 					    "seed %d: counter %d thinks that others have %u tokens, %u requests at %s; they have %u, %u",
-					    (int)seed, i, solo[i].router.others_load[k].prefill_tokens,
-					    solo[i].router.others_load[k].running, name, ahead, running);
+					    (int)seed, i, fixture[i].router.others_load[k].prefill_tokens,
+					    fixture[i].router.others_load[k].running, name, ahead, running);
 			}
 		for (int i = 0; i < N; i++) {
 			for (int k = 0; k < SRV; k++)
-				solo[i].router.servers[k].own_running = 0;
-			router_fixture_close(&solo[i]);
+				fixture[i].router.servers[k].own_running = 0;
+			router_fixture_close(&fixture[i]);
 		}
 	}
 }
 
-/* The index follows events: added, gone, a gap, a new epoch, a life that ends; against a plain list. */
+/* The index follows events: added, gone, a gap, a new epoch, an incarnation that ends; against a plain list.
+ */
 static void the_prefix_index_follows_events(void **state)
 {
 	enum { SRV = 3, IDS = 40, SHELVES = 2 };
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(10); seed++) {
-		struct solo solo;
+		struct router_fixture fixture;
 		struct Nl__Row *rows[1];
 		struct Nl__Instance *instances[SRV];
 		uint64_t d = seed * 7, epoch[SRV] = { 1, 1, 1 }, next[SRV] = { 1, 1, 1 };
 		int have[SRV][SHELVES][IDS];
 
 		memset(have, 0, sizeof have);
-		router_fixture_open(&solo, 5);
-		rows[0] = new_service(solo.p, "pool");
+		router_fixture_open(&fixture, 5);
+		rows[0] = new_service(fixture.p, "pool");
 		for (int k = 0; k < SRV; k++)
-			instances[k] = new_instance(solo.p, k, "pool");
-		router_fixture_table(&solo, rows, 1, instances, SRV, 1);
+			instances[k] = new_instance(fixture.p, k, "pool");
+		router_fixture_table(&fixture, rows, 1, instances, SRV, 1);
 		for (int round = 0; round < 600; round++) {
 			struct Nl__Msg message = NL__MSG__INIT;
 			struct Nl__CacheUpdateBatch words = NL__CACHE_UPDATE_BATCH__INIT;
@@ -924,12 +928,12 @@
 			int v = (int)random_below(&d, SRV), n = (int)random_below(&d, 6);
 			size_t all = 0;
 
-			k.server = solo.router.server_names.names[v];
+			k.server = fixture.router.server_names.names[v];
 			if (!random_below(&d, 40))
 				epoch[v]++;
 			k.events_lost = !random_below(&d, 40);
-			if (k.events_lost || (solo.router.servers[v].cache_epoch &&
-					      epoch[v] != solo.router.servers[v].cache_epoch))
+			if (k.events_lost || (fixture.router.servers[v].cache_epoch &&
+					      epoch[v] != fixture.router.servers[v].cache_epoch))
 				memset(have[v], 0, sizeof have[v]);
 			k.epoch = epoch[v];
 			k.next_offset = next[v] += (uint64_t)n;
@@ -951,14 +955,14 @@
 			words.n_updates = 1;
 			message.body_case = NL__MSG__BODY_CACHE_UPDATE_BATCH;
 			message.cache_update_batch = &words;
-			router_fixture_message(&solo, &message);
-			command_list_clear(&solo.commands);
-			assert_int_equal(solo.router.servers[v].next_cache_event, next[v]);
+			router_fixture_message(&fixture, &message);
+			command_list_clear(&fixture.commands);
+			assert_int_equal(fixture.router.servers[v].next_cache_event, next[v]);
 			for (int x = 0; x < SRV; x++)
 				for (int h = 0; h < SHELVES; h++)
 					for (int i = 0; i < IDS; i++) {
 						struct block_replica *replica = prefix_index_find(
-						    &solo.router.prefix_index,
+						    &fixture.router.prefix_index,
 						    router_block_key(core_hash_string(0, h ? "w1-a" : "w1-b"),
 								     (uint64_t)i + 1));
 						int there = 0;
@@ -968,46 +972,48 @@
 						assert_int_equal(there, have[x][h][i]);
 						all += (size_t)there;
 					}
-			assert_int_equal(solo.router.prefix_index.replica_count, all);
+			assert_int_equal(fixture.router.prefix_index.replica_count, all);
 		}
-		instances[0]->state = INSTANCE_REMOVED; /* what a life kept goes with it */
+		instances[0]->state = INSTANCE_REMOVED; /* what an incarnation kept goes with it */
 		instances[0]->stamp = 2;
-		router_fixture_table(&solo, rows, 1, instances, SRV, 2);
-		for (ptrdiff_t i = 0; i < hmlen(solo.router.prefix_index.blocks); i++)
-			for (ptrdiff_t q = 0; q < arrlen(solo.router.prefix_index.blocks[i].value); q++)
-				assert_int_not_equal(solo.router.prefix_index.blocks[i].value[q].server_index,
-						     names_find(&solo.router.server_names, "i-0"));
-		router_fixture_close(&solo);
+		router_fixture_table(&fixture, rows, 1, instances, SRV, 2);
+		for (ptrdiff_t i = 0; i < hmlen(fixture.router.prefix_index.blocks); i++)
+			for (ptrdiff_t q = 0; q < arrlen(fixture.router.prefix_index.blocks[i].value); q++)
+				assert_int_not_equal(
+				    fixture.router.prefix_index.blocks[i].value[q].server_index,
+				    names_find(&fixture.router.server_names, "i-0"));
+		router_fixture_close(&fixture);
 	}
 }
 
-static const char *cache_namespace_of(struct solo *solo, uint32_t service, uint32_t weights, uint32_t tenant)
+static const char *cache_namespace_of(struct router_fixture *fixture, uint32_t service, uint32_t weights,
+				      uint32_t tenant)
 {
 	struct client_request request;
 
 	memset(&request, 0, sizeof request);
 	request.service_index = service;
 	request.tenant_index = tenant;
-	return router_cache_namespace(&solo->router, &request, weights, solo->p);
+	return router_cache_namespace(&fixture->router, &request, weights, fixture->p);
 }
 
 /* One open route to one service with one server, and no bound but its slots. */
-static void solo_one_server(struct solo *solo, uint32_t slots)
+static void fixture_one_server(struct router_fixture *fixture, uint32_t slots)
 {
 	struct Nl__Row *rows[2];
 	struct Nl__Instance *instance;
 
-	rows[0] = new_service(solo->p, "pool");
+	rows[0] = new_service(fixture->p, "pool");
 	rows[0]->slots = slots;
-	rows[1] = new_row(solo->p, NL__KIND__ROUTE, "l");
+	rows[1] = new_row(fixture->p, NL__KIND__ROUTE, "l");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
 	rows[1]->limit = 10;
 	rows[1]->key_optional = 1;
-	instance = new_instance(solo->p, 1, "pool");
+	instance = new_instance(fixture->p, 1, "pool");
 	instance->slots = slots;
-	router_fixture_table(solo, rows, 2, &instance, 1, 1);
+	router_fixture_table(fixture, rows, 2, &instance, 1, 1);
 }
 
 /* What a step has told callers: ends of streams, answers, calls given up. */
@@ -1015,12 +1021,12 @@
 	int ends, answers, cancels, status, retry_ms;
 };
 
-static struct told solo_told(const struct solo *solo)
+static struct told fixture_told(const struct router_fixture *fixture)
 {
 	struct told answered = { 0, 0, 0, 0, 0 };
 
-	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++) {
-		const struct command *command = &solo->commands.commands[i];
+	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++) {
+		const struct command *command = &fixture->commands.commands[i];
 
 		answered.ends += command->kind == CMD_END_STREAM;
 		answered.answers += command->kind == CMD_ANSWER;
@@ -1039,7 +1045,7 @@
 static void a_router_out_of_touch_learns_of_a_stream(void **state)
 {
 	for (int how = 0; how < 2; how++) {
-		struct solo solo;
+		struct router_fixture fixture;
 		struct router_event event;
 		struct forward_result ended;
 		struct told answered;
@@ -1047,13 +1053,13 @@
 		int status;
 
 		(void)state;
-		router_fixture_open(&solo, 5);
-		solo_one_server(&solo, 8);
-		assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
-		call = router_fixture_last_call(&solo);
+		router_fixture_open(&fixture, 5);
+		fixture_one_server(&fixture, 8);
+		assert_non_null(router_fixture_submit(&fixture, "h", "/x", "id", &status));
+		call = router_fixture_last_call(&fixture);
 		assert_true(call);
-		command_list_clear(&solo.commands);
-		solo.now += ROUTER_CONFIG_MAX_STALENESS_MS + 1000;
+		command_list_clear(&fixture.commands);
+		fixture.now += ROUTER_CONFIG_MAX_STALENESS_MS + 1000;
 		memset(&event, 0, sizeof event);
 		memset(&ended, 0, sizeof ended);
 		if (how) {
@@ -1067,18 +1073,18 @@
 			event.kind = ROUTER_EVENT_FORWARD_BEGAN;
 			event.u.forward_began.token = call;
 		}
-		router_fixture_step(&solo, &event);
-		answered = solo_told(&solo);
+		router_fixture_step(&fixture, &event);
+		answered = fixture_told(&fixture);
 		assert_int_equal(answered.ends, how);
 		assert_int_equal(answered.answers, 0);
 		assert_int_equal(answered.cancels, 0);
 		if (!how) {
-			router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
-			answered = solo_told(&solo);
+			router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
+			answered = fixture_told(&fixture);
 			assert_int_equal(answered.ends + answered.answers, 0);
 		}
-		assert_true(router_idle(&solo.router));
-		router_fixture_close(&solo);
+		assert_true(router_idle(&fixture.router));
+		router_fixture_close(&fixture);
 	}
 }
 
@@ -1087,81 +1093,81 @@
  * refused at once. */
 static void what_is_sent_outlives_the_configuration(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct told answered;
 	struct client_request *waits;
 	uint64_t call, submitted = 0;
 	int status, ticks = 0;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	solo_one_server(&solo, 1);
-	assert_non_null(router_fixture_submit(&solo, "h", "/x", "sent", &status));
-	call = router_fixture_last_call(&solo);
+	router_fixture_open(&fixture, 5);
+	fixture_one_server(&fixture, 1);
+	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "sent", &status));
+	call = router_fixture_last_call(&fixture);
 	assert_true(call);
-	waits = router_fixture_submit(&solo, "h", "/x", "waits", &status);
+	waits = router_fixture_submit(&fixture, "h", "/x", "waits", &status);
 	assert_non_null(waits);
-	assert_false(router_fixture_last_call(&solo));
+	assert_false(router_fixture_last_call(&fixture));
 	memset(&answered, 0, sizeof answered);
 	for (; ticks < 20000 / 25 && !answered.answers; ticks++) {
-		command_list_clear(&solo.commands);
-		router_fixture_tick(&solo, 25);
-		answered = solo_told(&solo);
+		command_list_clear(&fixture.commands);
+		router_fixture_tick(&fixture, 25);
+		answered = fixture_told(&fixture);
 		assert_int_equal(answered.ends + answered.cancels, 0);
 	}
 	assert_true(ticks * 25 <= ROUTER_CONFIG_MAX_STALENESS_MS + 50);
 	assert_int_equal(answered.answers, 1);
 	assert_int_equal(answered.status, 503);
 	assert_true(answered.retry_ms > 0);
-	assert_null(router_fixture_submit(&solo, "h", "/x", "late", &status));
+	assert_null(router_fixture_submit(&fixture, "h", "/x", "late", &status));
 	assert_int_equal(status, 503);
 	for (; submitted < 40000; submitted += 25) { /* its own limit is 60 s */
-		command_list_clear(&solo.commands);
-		router_fixture_tick(&solo, 25);
-		answered = solo_told(&solo);
+		command_list_clear(&fixture.commands);
+		router_fixture_tick(&fixture, 25);
+		answered = fixture_told(&fixture);
 		assert_int_equal(answered.ends + answered.cancels + answered.answers, 0);
 	}
-	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
-	answered = solo_told(&solo);
+	router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
+	answered = fixture_told(&fixture);
 	assert_int_equal(answered.ends + answered.answers, 0);
-	assert_true(router_idle(&solo.router));
-	router_fixture_close(&solo);
+	assert_true(router_idle(&fixture.router));
+	router_fixture_close(&fixture);
 }
 
 /* A full queue refuses the newest with a time to come back; what waits and what is sent goes on. */
 static void a_full_queue_refuses_the_newest(void **state)
 {
 	enum { SLOTS = 10 }; /* of the route's queue */
-	struct solo solo;
+	struct router_fixture fixture;
 	struct told answered;
 	uint64_t call;
 	int status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	solo_one_server(&solo, 1);
-	assert_non_null(router_fixture_submit(&solo, "h", "/x", "sent", &status));
-	call = router_fixture_last_call(&solo);
+	router_fixture_open(&fixture, 5);
+	fixture_one_server(&fixture, 1);
+	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "sent", &status));
+	call = router_fixture_last_call(&fixture);
 	assert_true(call);
 	for (int i = 0; i < SLOTS; i++) {
-		assert_non_null(router_fixture_submit(&solo, "h", "/x", "waits", &status));
+		assert_non_null(router_fixture_submit(&fixture, "h", "/x", "waits", &status));
 		assert_int_equal(status, 0);
 	}
-	assert_null(router_fixture_submit(&solo, "h", "/x", "late", &status));
-	answered = solo_told(&solo);
+	assert_null(router_fixture_submit(&fixture, "h", "/x", "late", &status));
+	answered = fixture_told(&fixture);
 	assert_int_equal(status, 429);
 	assert_int_equal(answered.answers, 1);
 	assert_true(answered.retry_ms > 0);
-	assert_int_equal(arrlen(solo.router.requests), 1 + SLOTS);
-	solo.router.config_watch.fetched_at_ms = solo.now;
-	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
-	answered = solo_told(&solo);
+	assert_int_equal(arrlen(fixture.router.requests), 1 + SLOTS);
+	fixture.router.config_watch.fetched_at_ms = fixture.now;
+	router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
+	answered = fixture_told(&fixture);
 	assert_int_equal(answered.answers + answered.ends, 0);
-	command_list_clear(&solo.commands);
-	router_fixture_tick(&solo, 25);
-	assert_true(router_fixture_last_call(&solo)); /* the next one's turn */
-	assert_int_equal(arrlen(solo.router.requests), SLOTS);
-	router_fixture_close(&solo);
+	command_list_clear(&fixture.commands);
+	router_fixture_tick(&fixture, 25);
+	assert_true(router_fixture_last_call(&fixture)); /* the next one's turn */
+	assert_int_equal(arrlen(fixture.router.requests), SLOTS);
+	router_fixture_close(&fixture);
 }
 
 /* Settings that are read anew bring a shorter bound for removed keys: it holds from the next step on. What is
@@ -1169,36 +1175,36 @@
  * comes is refused. */
 static void new_bounds_hold_from_the_next_step(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct told answered;
 	uint64_t call;
 	int status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	solo_one_server(&solo, 1);
-	assert_non_null(router_fixture_submit(&solo, "h", "/x", "sent", &status));
-	call = router_fixture_last_call(&solo);
+	router_fixture_open(&fixture, 5);
+	fixture_one_server(&fixture, 1);
+	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "sent", &status));
+	call = router_fixture_last_call(&fixture);
 	assert_true(call);
-	assert_non_null(router_fixture_submit(&solo, "h", "/x", "waits", &status));
-	solo.now += 1500; /* well within the bounds of before */
-	solo.router.bounds.revoke_ms = 1000;
-	command_list_clear(&solo.commands);
-	router_fixture_tick(&solo, 25);
-	answered = solo_told(&solo);
+	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "waits", &status));
+	fixture.now += 1500; /* well within the bounds of before */
+	fixture.router.bounds.revoke_ms = 1000;
+	command_list_clear(&fixture.commands);
+	router_fixture_tick(&fixture, 25);
+	answered = fixture_told(&fixture);
 	assert_int_equal(answered.ends + answered.cancels + answered.answers, 0);
-	assert_null(router_fixture_submit(&solo, "h", "/x", "late", &status));
+	assert_null(router_fixture_submit(&fixture, "h", "/x", "late", &status));
 	assert_int_equal(status, 503);
-	router_fixture_end_call(&solo, call, FORWARD_COMPLETE, 200);
-	answered = solo_told(&solo);
+	router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
+	answered = fixture_told(&fixture);
 	assert_int_equal(answered.ends + answered.answers, 0);
 	assert_false(
-	    router_fixture_last_call(&solo)); /* there is a place, but the configuration is too old */
-	solo.router.config_watch.fetched_at_ms = solo.now; /* heard again */
-	command_list_clear(&solo.commands);
-	router_fixture_tick(&solo, 25);
-	assert_true(router_fixture_last_call(&solo));
-	router_fixture_close(&solo);
+	    router_fixture_last_call(&fixture)); /* there is a place, but the configuration is too old */
+	fixture.router.config_watch.fetched_at_ms = fixture.now; /* heard again */
+	command_list_clear(&fixture.commands);
+	router_fixture_tick(&fixture, 25);
+	assert_true(router_fixture_last_call(&fixture));
+	router_fixture_close(&fixture);
 }
 
 /* Newer weights are due soon, and a server still has older ones: what begins there at once may go, what would
@@ -1206,89 +1212,91 @@
 static void older_weights_get_nothing_that_would_wait(void **state)
 {
 	for (int busy = 0; busy < 2; busy++) {
-		struct solo solo;
+		struct router_fixture fixture;
 		struct Nl__Row *rows[3];
 		struct Nl__TargetVersion named = NL__TARGET_VERSION__INIT, *target[1] = { &named };
 		struct Nl__Instance *instance;
 		int status;
 
 		(void)state;
-		router_fixture_open(&solo, 5);
-		rows[0] = new_service(solo.p, "pool");
+		router_fixture_open(&fixture, 5);
+		rows[0] = new_service(fixture.p, "pool");
 		rows[0]->model = "m";
-		rows[1] = new_row(solo.p, NL__KIND__ROUTE, "l");
+		rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "l");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
 		rows[1]->key_optional = 1;
-		rows[2] = new_row(solo.p, NL__KIND__MODEL, "m");
+		rows[2] = new_row(fixture.p, NL__KIND__MODEL, "m");
 		rows[2]->target_weights = "1";
-		instance = new_instance(solo.p, 1, "pool");
+		instance = new_instance(fixture.p, 1, "pool");
 		instance->weights = "1";
-		router_fixture_table(&solo, rows, 3, &instance, 1, 1);
+		router_fixture_table(&fixture, rows, 3, &instance, 1, 1);
 		rows[2]->target_weights = "2";
 		named.weights = 2;
-		named.targeted_at_ms = (uint64_t)solo.now;
+		named.targeted_at_ms = (uint64_t)fixture.now;
 		rows[2]->target_versions = target;
 		rows[2]->n_target_versions = 1;
-		router_fixture_table(&solo, rows, 3, &instance, 1, 2);
-		solo.now = (int64_t)named.targeted_at_ms + solo.router.bounds.rollout_ms -
-			   ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
-		solo.router.config_watch.fetched_at_ms = solo.now;
-		router_fixture_tick(&solo, 1);
+		router_fixture_table(&fixture, rows, 3, &instance, 1, 2);
+		fixture.now = (int64_t)named.targeted_at_ms + fixture.router.bounds.rollout_ms -
+			      ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
+		fixture.router.config_watch.fetched_at_ms = fixture.now;
+		router_fixture_tick(&fixture, 1);
 		if (busy)
-			solo.router.servers[0].prefill_tokens =
+			fixture.router.servers[0].prefill_tokens =
 			    500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
-		assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
-		assert_int_equal(router_fixture_last_call(&solo) != 0, !busy);
-		router_fixture_close(&solo);
+		assert_non_null(router_fixture_submit(&fixture, "h", "/x", "id", &status));
+		assert_int_equal(router_fixture_last_call(&fixture) != 0, !busy);
+		router_fixture_close(&fixture);
 	}
 }
 
 /* What one service's requests have earned for resends is not another's to spend. */
 static void each_service_has_its_own_budget(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row *rows[4];
 	struct Nl__Instance *instances[4];
 	int status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
+	router_fixture_open(&fixture, 5);
 	for (int i = 0; i < 2; i++) {
-		rows[i] = new_service(solo.p, i ? "idle" : "busy");
-		rows[2 + i] = new_row(solo.p, NL__KIND__ROUTE, i ? "l-idle" : "l-busy");
+		rows[i] = new_service(fixture.p, i ? "idle" : "busy");
+		rows[2 + i] = new_row(fixture.p, NL__KIND__ROUTE, i ? "l-idle" : "l-busy");
 		rows[2 + i]->service = rows[i]->name;
 		rows[2 + i]->host = i ? "idle" : "busy";
 		rows[2 + i]->path = "/";
 		rows[2 + i]->limit = 10;
 		rows[2 + i]->key_optional = 1;
 		rows[2 + i]->max_attempts = 4;
-		instances[2 * i] = new_instance(solo.p, 1 + 2 * i, rows[i]->name);
-		instances[2 * i + 1] = new_instance(solo.p, 2 + 2 * i, rows[i]->name);
+		instances[2 * i] = new_instance(fixture.p, 1 + 2 * i, rows[i]->name);
+		instances[2 * i + 1] = new_instance(fixture.p, 2 + 2 * i, rows[i]->name);
 	}
-	router_fixture_table(&solo, rows, 4, instances, 4, 1);
+	router_fixture_table(&fixture, rows, 4, instances, 4, 1);
 	for (int i = 0; i < 30; i++) {
-		assert_non_null(router_fixture_submit(&solo, "busy", "/x", "id", &status));
-		router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_COMPLETE, 200);
+		assert_non_null(router_fixture_submit(&fixture, "busy", "/x", "id", &status));
+		router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_COMPLETE, 200);
 	}
 	for (int i = 0; i < 2; i++) {
-		assert_non_null(router_fixture_submit(&solo, i ? "idle" : "busy", "/x", "id", &status));
-		router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_NOT_STARTED, 503);
-		assert_true(router_fixture_last_call(&solo)); /* a first resend is free to each */
-		router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_NOT_STARTED, 503);
+		assert_non_null(router_fixture_submit(&fixture, i ? "idle" : "busy", "/x", "id", &status));
+		router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_NOT_STARTED,
+					503);
+		assert_true(router_fixture_last_call(&fixture)); /* a first resend is free to each */
+		router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_NOT_STARTED,
+					503);
 		if (i) {
-			assert_false(router_fixture_last_call(&solo));
+			assert_false(router_fixture_last_call(&fixture));
 			continue;
 		}
-		assert_true(router_fixture_last_call(&solo));
-		router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_COMPLETE, 200);
+		assert_true(router_fixture_last_call(&fixture));
+		router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_COMPLETE, 200);
 	}
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
-/* Lines of a server's stream that are none of this send's end its exchange, whatever stands in them. */
+/* Lines of a server's stream that are none of this send's end its request, whatever stands in them. */
 static void odd_lines_end_a_request(void **state)
 {
 	static const char *const lines[] = { "{\"x\":null,\"n\":0}",
@@ -1302,45 +1310,45 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof lines / sizeof *lines; i++) {
-		struct solo solo;
+		struct router_fixture fixture;
 		struct Nl__Row *rows[2];
 		struct Nl__Instance *instance;
 		struct router_event event = { .kind = ROUTER_EVENT_STREAM_CHUNK };
 		struct client_request *request;
 		int status;
 
-		router_fixture_open(&solo, 5);
-		rows[0] = new_service(solo.p, "pool");
-		rows[1] = new_row(solo.p, NL__KIND__ROUTE, "lane");
+		router_fixture_open(&fixture, 5);
+		rows[0] = new_service(fixture.p, "pool");
+		rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "lane");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
 		rows[1]->key_optional = 1;
-		instance = new_instance(solo.p, 1, "pool");
-		router_fixture_table(&solo, rows, 2, &instance, 1, 1);
-		assert_non_null(request = router_fixture_submit(&solo, "h", "/x", "id", &status));
+		instance = new_instance(fixture.p, 1, "pool");
+		router_fixture_table(&fixture, rows, 2, &instance, 1, 1);
+		assert_non_null(request = router_fixture_submit(&fixture, "h", "/x", "id", &status));
 		request->attempt_id = "send";
-		event.u.stream_chunk.token = router_fixture_last_call(&solo);
+		event.u.stream_chunk.token = router_fixture_last_call(&fixture);
 		event.u.stream_chunk.text = lines[i];
-		command_list_clear(&solo.commands);
-		router_fixture_step(&solo, &event);
-		assert_null(router_request_by_token(&solo.router, solo.token));
+		command_list_clear(&fixture.commands);
+		router_fixture_step(&fixture, &event);
+		assert_null(router_request_by_token(&fixture.router, fixture.token));
 		assert_int_equal(
-		    arrlen(solo.commands.commands)
-			? solo.commands.commands[arrlen(solo.commands.commands) - 1].args.answer.status
+		    arrlen(fixture.commands.commands)
+			? fixture.commands.commands[arrlen(fixture.commands.commands) - 1].args.answer.status
 			: 0,
 		    502);
-		router_fixture_close(&solo);
+		router_fixture_close(&fixture);
 	}
 }
 
 /* The cache_namespace that the newest send names. */
-static const char *solo_cache_namespace(const struct solo *solo)
+static const char *fixture_cache_namespace(const struct router_fixture *fixture)
 {
-	for (ptrdiff_t i = arrlen(solo->commands.commands) - 1; i >= 0; i--)
-		if (solo->commands.commands[i].kind == CMD_FORWARD)
-			return solo->commands.commands[i].args.forward->cache_namespace;
+	for (ptrdiff_t i = arrlen(fixture->commands.commands) - 1; i >= 0; i--)
+		if (fixture->commands.commands[i].kind == CMD_FORWARD)
+			return fixture->commands.commands[i].args.forward->cache_namespace;
 	return NULL;
 }
 
@@ -1348,16 +1356,16 @@
  * one of a request: what the first left there may have been withdrawn meanwhile. */
 static void a_cold_namespace_is_of_one_send(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row *rows[2];
 	struct Nl__Instance *instances[2];
 	char *first;
 	int status;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	rows[0] = new_service(solo.p, "pool");
-	rows[1] = new_row(solo.p, NL__KIND__ROUTE, "lane");
+	router_fixture_open(&fixture, 5);
+	rows[0] = new_service(fixture.p, "pool");
+	rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "lane");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
@@ -1365,115 +1373,115 @@
 	rows[1]->key_optional = rows[1]->idempotent = 1;
 	rows[1]->max_attempts = 3;
 	for (int i = 0; i < 2; i++)
-		instances[i] = new_instance(solo.p, 1 + i, "pool");
-	router_fixture_table(&solo, rows, 2, instances, 2, 1);
+		instances[i] = new_instance(fixture.p, 1 + i, "pool");
+	router_fixture_table(&fixture, rows, 2, instances, 2, 1);
 	assert_false(
-	    relay_is_current(&solo.router.relay, solo.now)); /* nothing has been heard of withdrawals */
-	assert_non_null(router_fixture_submit(&solo, "h", "/x", "id", &status));
-	assert_non_null(solo_cache_namespace(&solo));
-	first = apr_pstrdup(solo.p, solo_cache_namespace(&solo));
-	router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_BROKEN_OFF, 0);
-	assert_true(router_fixture_last_call(&solo));
+	    relay_is_current(&fixture.router.relay, fixture.now)); /* nothing has been heard of withdrawals */
+	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "id", &status));
+	assert_non_null(fixture_cache_namespace(&fixture));
+	first = apr_pstrdup(fixture.p, fixture_cache_namespace(&fixture));
+	router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_BROKEN_OFF, 0);
+	assert_true(router_fixture_last_call(&fixture));
 	assert_int_equal(strncmp(first, "cold-", 5), 0);
-	assert_int_equal(strncmp(solo_cache_namespace(&solo), "cold-", 5), 0);
-	assert_string_not_equal(first, solo_cache_namespace(&solo));
-	router_fixture_close(&solo);
+	assert_int_equal(strncmp(fixture_cache_namespace(&fixture), "cold-", 5), 0);
+	assert_string_not_equal(first, fixture_cache_namespace(&fixture));
+	router_fixture_close(&fixture);
 }
 
-/* What the last step sent, and on which of two lanes. */
-static void solo_note_sends(struct solo *solo, uint64_t **running, int served[2])
+/* What the last step sent, and on which of two routes. */
+static void fixture_note_sends(struct router_fixture *fixture, uint64_t **running, int served[2])
 {
-	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++) {
+	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++) {
 		uint64_t call;
 
-		if (solo->commands.commands[i].kind != CMD_FORWARD)
+		if (fixture->commands.commands[i].kind != CMD_FORWARD)
 			continue;
-		call = solo->commands.commands[i].args.forward->call_token;
+		call = fixture->commands.commands[i].args.forward->call_token;
 		arrput(*running, call);
-		served[router_request_by_token(&solo->router, call)->route_index ==
-		       (uint32_t)names_find(&solo->router.route_names, "later")]++;
+		served[router_request_by_token(&fixture->router, call)->route_index ==
+		       (uint32_t)names_find(&fixture->router.route_names, "later")]++;
 	}
 }
 
-/* A lane that a later edition brings gets its turns like those that were there before, and takes none from
+/* A route that a later revision brings gets its turns like those that were there before, and takes none from
  * them. */
 static void routes_added_later_take_turns(void **state)
 {
 	enum { ROUNDS = 200 };
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row *rows[3];
 	struct Nl__Instance *instance;
 	uint64_t *running = NULL;
 	int status, served[2] = { 0, 0 };
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	rows[0] = new_service(solo.p, "pool");
+	router_fixture_open(&fixture, 5);
+	rows[0] = new_service(fixture.p, "pool");
 	for (int i = 0; i < 2; i++) {
-		rows[1 + i] = new_row(solo.p, NL__KIND__ROUTE, i ? "later" : "first");
+		rows[1 + i] = new_row(fixture.p, NL__KIND__ROUTE, i ? "later" : "first");
 		rows[1 + i]->service = "pool";
 		rows[1 + i]->host = i ? "later" : "first";
 		rows[1 + i]->path = "/";
 		rows[1 + i]->limit = ROUNDS;
 		rows[1 + i]->key_optional = 1;
 	}
-	instance = new_instance(solo.p, 1, "pool");
+	instance = new_instance(fixture.p, 1, "pool");
 	instance->slots = 2;
-	router_fixture_table(&solo, rows, 2, &instance, 1, 1);
-	for (int i = 0; i < 100; i++) { /* the first lane has had its turns for a while */
-		assert_non_null(router_fixture_submit(&solo, "first", "/x", "id", &status));
-		router_fixture_end_call(&solo, router_fixture_last_call(&solo), FORWARD_COMPLETE, 200);
+	router_fixture_table(&fixture, rows, 2, &instance, 1, 1);
+	for (int i = 0; i < 100; i++) { /* the first route has had its turns for a while */
+		assert_non_null(router_fixture_submit(&fixture, "first", "/x", "id", &status));
+		router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_COMPLETE, 200);
 	}
 	for (int i = 0; i < 10; i++) { /* and some of its requests wait */
-		assert_non_null(router_fixture_submit(&solo, "first", "/x", "id", &status));
-		solo_note_sends(&solo, &running, served);
+		assert_non_null(router_fixture_submit(&fixture, "first", "/x", "id", &status));
+		fixture_note_sends(&fixture, &running, served);
 	}
-	router_fixture_table(&solo, rows, 3, &instance, 1, 2);
+	router_fixture_table(&fixture, rows, 3, &instance, 1, 2);
 	for (int round = 0; round < ROUNDS; round++) { /* two come, one goes */
-		solo.now += 11;
+		fixture.now += 11;
 		for (int i = 0; i < 2; i++) {
 			assert_non_null(
-			    router_fixture_submit(&solo, i ? "later" : "first", "/x", "id", &status));
-			solo_note_sends(&solo, &running, served);
+			    router_fixture_submit(&fixture, i ? "later" : "first", "/x", "id", &status));
+			fixture_note_sends(&fixture, &running, served);
 		}
-		router_fixture_end_call(&solo, running[0], FORWARD_COMPLETE, 200);
+		router_fixture_end_call(&fixture, running[0], FORWARD_COMPLETE, 200);
 		arrdel(running, 0);
-		solo_note_sends(&solo, &running, served);
+		fixture_note_sends(&fixture, &running, served);
 	}
 	assert_in_range(served[0] + served[1], ROUNDS, ROUNDS + 20);
 	assert_in_range(served[1], served[0] * 3 / 4, served[0] * 4 / 3 + 1);
 	arrfree(running);
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
 /* The name under which parts are filed changes with all that decides who may use them. */
 static void a_namespace_names_who_may_use_it(void **state)
 {
-	struct solo solo;
+	struct router_fixture fixture;
 	struct Nl__Row *rows[4];
 	char *was[8];
 	int n = 0;
 	uint32_t w1, w2, t0, t1, pool;
 
 	(void)state;
-	router_fixture_open(&solo, 5);
-	rows[0] = new_service(solo.p, "pool");
-	rows[1] = new_row(solo.p, NL__KIND__TENANT, "t0");
-	rows[2] = new_row(solo.p, NL__KIND__TENANT, "t1");
+	router_fixture_open(&fixture, 5);
+	rows[0] = new_service(fixture.p, "pool");
+	rows[1] = new_row(fixture.p, NL__KIND__TENANT, "t0");
+	rows[2] = new_row(fixture.p, NL__KIND__TENANT, "t1");
 	rows[1]->share = rows[2]->share = 1;
-	router_fixture_table(&solo, rows, 3, NULL, 0, 1);
-	w1 = names_id(&solo.router.weights_names, "w1");
-	w2 = names_id(&solo.router.weights_names, "w2");
-	t0 = names_id(&solo.router.tenant_names, "t0");
-	t1 = names_id(&solo.router.tenant_names, "t1");
-	pool = names_id(&solo.router.service_names, "pool");
-	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
-	assert_string_equal(was[0], cache_namespace_of(&solo, pool, w1, t1));
-	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w2, t0);
+	router_fixture_table(&fixture, rows, 3, NULL, 0, 1);
+	w1 = names_id(&fixture.router.weights_names, "w1");
+	w2 = names_id(&fixture.router.weights_names, "w2");
+	t0 = names_id(&fixture.router.tenant_names, "t0");
+	t1 = names_id(&fixture.router.tenant_names, "t1");
+	pool = names_id(&fixture.router.service_names, "pool");
+	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t0);
+	assert_string_equal(was[0], cache_namespace_of(&fixture, pool, w1, t1));
+	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w2, t0);
 	rows[2]->isolated = 1;
-	router_fixture_table(&solo, rows, 3, NULL, 0, 2);
-	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
-	was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t1);
+	router_fixture_table(&fixture, rows, 3, NULL, 0, 2);
+	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t0);
+	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t1);
 	for (int k = 0; k < 2; k++) {
 		struct Nl__Value value = NL__VALUE__INIT;
 		struct Nl__Purge purge = NL__PURGE__INIT;
@@ -1484,19 +1492,19 @@
 		purge.service = "pool";
 		purge.weights = "w1";
 		purge.tenant = "t1";
-		purge_view_apply(&solo.router.relay.view, &value);
-		router_on_value(&solo.router, &value);
-		was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t0);
-		was[n++] = (char *)(uintptr_t)cache_namespace_of(&solo, pool, w1, t1);
+		purge_view_apply(&fixture.router.relay.view, &value);
+		router_on_value(&fixture.router, &value);
+		was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t0);
+		was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t1);
 	}
 	for (int i = 0; i < n; i++)
 		for (int k = 0; k < i; k++)
 			assert_string_not_equal(was[i], was[k]);
-	router_fixture_close(&solo);
+	router_fixture_close(&fixture);
 }
 
 /* Servers go dark and the list does not say so yet: a request that did not reach one goes to the next, also
- * where one try may go to one server only, and it draws on no budget. */
+ * where one attempt may go to one server only, and it draws on no budget. */
 static void a_server_that_is_not_reached_costs_no_attempt(void **state)
 {
 	(void)state;
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -16,7 +16,7 @@
 	SHORT_GAP_MS = 60, /* a handover and nothing else */
 	LONG_GAP_MS =
 	    200, /* where messages are late or lost, or the successor may have been told to stop too */
-	PROCESS_TICK_MS = 25, /* as the registrar's process ticks */
+	PROCESS_TICK_MS = 25, /* as the controller's process ticks */
 	PROPOSALS_A_SECOND = 400,
 	DOCUMENT_BYTES = 300,
 	CALM_MS = 1500,
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -209,7 +209,7 @@
 	struct known *known;       /* stb_ds: by version */
 	struct accepted *accepted; /* stb_ds */
 	int64_t fault_at, heal_at;
-	int broken;                /* the node in trouble; -1: none */
+	int broken;                /* the node in fault; -1: none */
 	int64_t stop_requested_at; /* when it was told to stop; 0: it was not, or has ended */
 	int64_t *calls_ms;         /* stb_ds: of each planned stop, until no call was open any more */
 	uint64_t refused, unknown, resent, repeated, faults, snapshots, reads;
@@ -612,7 +612,7 @@
 	memcpy(operator->key, world->accepted[at].key, sizeof operator->key);
 }
 
-/* ---- trouble ---- */
+/* ---- fault ---- */
 
 static void snapshot_somewhere(struct world *world)
 {
@@ -1088,7 +1088,7 @@
 	assert_int_equal(call(&world, "/v1/change", tenant_change, "", &web), 200);
 	first = edition(web);
 	assert_int_equal(call(&world, "/v1/change", tenant_change, "", &web),
-			 200); /* was: 409, edition overtaken */
+			 200); /* was: 409, revision overtaken */
 	assert_int_equal(edition(web), first);
 	assert_int_equal(call(&world, "/v1/change", other_change, "", &web), 409);
 	/* without a base it is recognised by its key alone */
@@ -1223,7 +1223,7 @@
 	close_world(&world);
 }
 
-/* Clearing has no base: with a key it is decided once. */
+/* Purging has no base: with a key it is decided once. */
 static void a_purge_with_a_key_is_decided_once(void **state)
 {
 	static struct world world;
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -27,14 +27,14 @@
 	return core_random(s) % n;
 }
 
-/* ---- the judge ------------------------------------------------------------------ */
+/* ---- the checker ------------------------------------------------------------------ */
 
-/* What a counter knew of each server, and since when it has been in touch. */
+/* What a router knew of each server, and since when it has been in touch. */
 struct judge {
 	int state[SIM_NODES][256];
 	uint64_t incarnations[SIM_NODES];
 	int64_t in_touch_since[SIM_NODES]; /* in touch since */
-	int64_t last_core_fault_at;        /* last trouble of the core, or of the list */
+	int64_t last_core_fault_at;        /* last fault of the core, or of the list */
 	int64_t drained_worst;
 };
 
@@ -197,7 +197,7 @@
 			assert_int_equal(checker->state[n][i], 1);
 }
 
-/* How long after the naming the last server had the weights; -1: one hasn't. */
+/* How long after the target version the last server had the weights; -1: one hasn't. */
 static int64_t all_have(struct sim *sim, const char *weights, int64_t targeted_at)
 {
 	int64_t last = 0;
@@ -512,14 +512,14 @@
 	sim_close(&sim);
 }
 
-/* ---- kept parts ------------------------------------------------------------------------ */
+/* ---- cached blocks ------------------------------------------------------------------------ */
 
 static int knows(struct sim *sim, int node, uint64_t key)
 {
 	return arrlen(prefix_index_find(&sim->nodes[node].router->prefix_index, key)) == 1;
 }
 
-/* A counter that comes back hears from its zone's head what is kept where, also what has not changed since.
+/* A router that comes back hears from its zone's head what is kept where, also what has not changed since.
  */
 static void a_router_that_is_back_learns_the_prefix_index(void **state)
 {
@@ -665,7 +665,7 @@
 	show(&w, listed, 3, 14000, &out);
 	assert_int_equal(instances_get(&w, "b")->state, INSTANCE_REMOVED);
 
-	/* another owner, which knows less: whole, but what drains goes on draining */
+	/* another leader, which knows less: whole, but what drains goes on draining */
 	instances_start_term(&u, &instances, 4, 14000);
 	instances_close(&u);
 	instances_open(&u);
@@ -678,7 +678,7 @@
 	assert_true(b.instances_full);
 	assert_true(instances_apply_reply(&instances, &b, 15000));
 	assert_int_equal(instances_get(&instances, "c")->state, INSTANCE_DRAINING);
-	/* and the owner before, which does not know yet that it is none, is heard no more */
+	/* and the leader before, which does not know yet that it is none, is heard no more */
 	nl__config_sync_reply__init(&b);
 	instances_pack_since(&w, 0, &b, pool);
 	assert_false(instances_apply_reply(&instances, &b, 15100));
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -1,6 +1,6 @@
 /* Controllers that are cut off, frozen or slowed for twenty seconds, while operators call every one of them
- * and routers follow the configuration. A judge checks each answer against what was acknowledged and what was
- * in force. */
+ * and routers follow the configuration. A checker compares each answer against what was acknowledged and what
+ * was in force. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -145,8 +145,8 @@
 	const char *method = "GET", *path = "/v1/table";
 
 	switch (call->kind) {
-	case CALL_CHANGE: /* a lane of the service that was acknowledged last: who has not heard of it must
-			     not judge this */
+	case CALL_CHANGE: /* a route of the service that was acknowledged last: who has not heard of it must
+			     not checker this */
 		method = "POST";
 		path = "/v1/change";
 		world->next_name++;
@@ -222,7 +222,7 @@
 	arrput(world->open, call);
 }
 
-/* ---- the judge ------------------------------------------------------------------- */
+/* ---- the checker ------------------------------------------------------------------- */
 
 static void breach(struct world *world, const struct call *call, const struct sim_operator_answer *web,
 		   const char *what)
@@ -251,7 +251,7 @@
 	return at ? strtoull(at + strlen(key), NULL, 10) : 0;
 }
 
-/* The highest clearing that an answer names. */
+/* The highest purge that an answer names. */
 static uint64_t newest_clearing(const char *body, enum call_kind kind)
 {
 	uint64_t newest = 0, n;
@@ -546,7 +546,7 @@
 	return rows[random_below(world, sizeof rows / sizeof *rows)];
 }
 
-/* Operators call every controller, the one in trouble most of all. */
+/* Operators call every controller, the one in fault most of all. */
 static void operate(struct world *world, int64_t ms, int fault, int pause_ms)
 {
 	int64_t next = 0;
--- a/tests/test_notchlugctl.c
+++ b/tests/test_notchlugctl.c
@@ -1,4 +1,5 @@
-/* clerk against a controller whose answers are lost: one order, one key, until there is a clear answer. */
+/* notchlugctl against a controller whose answers are lost: one order, one key, until there is a clear answer.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -83,7 +84,7 @@
 	return NULL;
 }
 
-/* Run clerk once; its exit code, and what it printed. */
+/* Run notchlugctl once; its exit code, and what it printed. */
 static int run_notchlugctl(const char *arguments, char *output, size_t size)
 {
 	char command[600];
@@ -156,7 +157,7 @@
 	assert_int_equal(
 	    against(&r, script + 3, "--at %s --key earlier-1 key add t secret", output, sizeof output), 0);
 	assert_string_equal(row_key(&r, 0, again), "earlier-1");
-	/* clearing too */
+	/* purge too */
 	assert_int_equal(against(&r, script, "--at %s clear all", output, sizeof output), 0);
 	assert_int_equal(r.calls, 4);
 	assert_string_equal(row_key(&r, 3, again), row_key(&r, 0, first));
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -299,7 +299,7 @@
 	return sim->now - from;
 }
 
-/* Founding waits for seeds that do not answer; a stop ends it at once, in words. */
+/* Bootstrap waits for seeds that do not answer; a stop ends it at once, in words. */
 static void a_bootstrap_ends_with_the_stop(void **state)
 {
 	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"),
@@ -320,7 +320,7 @@
 	sim_close(&sim);
 }
 
-/* Once seeds may have begun, the outcome of a founding is open, and they are still told of each other. */
+/* Once seeds may have begun, the outcome of a bootstrap is open, and they are still told of each other. */
 static void a_bootstrap_that_has_begun_is_unknown(void **state)
 {
 	uint64_t seeds[3] = { core_parse_addr("127.0.1.1:7000"), core_parse_addr("127.0.1.2:7000"),
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,4 @@
-/* The platform's settings and doors, on files and loopback sockets with ports given by the kernel. */
+/* The platform's settings and front ends, on files and loopback sockets with ports given by the kernel. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -530,7 +530,7 @@
 	apr_pool_destroy(desk->p.pool);
 }
 
-/* Runs the door until text ends a whole answer with a length, or the connection closes. */
+/* Runs the front end until text ends a whole answer with a length, or the connection closes. */
 static void hear(struct desk *desk, int fd, char *to, size_t size)
 {
 	int64_t end = clock_ms() + LIMIT;
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -89,7 +89,7 @@
 /* What a mechanism is worth: the same days with it and without it. */
 struct comparison {
 	double large[2], small[2],
-	    again[2];                   /* in aim, in aim, read again: with, without; sums over the seeds */
+	    again[2]; /* within target, within target, read again: with, without; sums over the seeds */
 	int small_p90[2], large_p90[2]; /* the largest of the seeds, in ms */
 };
 
--- a/tests/test_purge_freshness.c
+++ b/tests/test_purge_freshness.c
@@ -1,4 +1,4 @@
-/* Routers that stand still, or are cut off, while context is cleared: what they hear late of purges must not
+/* Routers that stand still, or are cut off, while context is purged: what they hear late of purges must not
  * look like news. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -52,7 +52,7 @@
 }
 
 /* A router stands still while its neighbours' messages lie at its door, and goes on once all context was
- * cleared. Its publisher is still cut off: what it reads first is the old knowledge, which must not look like
+ * purged. Its publisher is still cut off: what it reads first is the old knowledge, which must not look like
  * news. */
 static void old_knowledge_is_not_fresh(void **state)
 {
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -19,7 +19,7 @@
 
 /* A table under construction, and the servers of its list. */
 struct world {
-	struct solo s;
+	struct router_fixture s;
 	struct Nl__Row *row[ROWS];
 	struct Nl__Instance *server[SERVERS_MOST];
 	size_t rows, servers;
@@ -77,12 +77,12 @@
 }
 
 /* The answer that a caller got in the last step; 0: none, -1: its stream was broken off. */
-static int heard(const struct solo *solo, uint64_t token)
+static int heard(const struct router_fixture *fixture, uint64_t token)
 {
 	int status = 0, ends = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++) {
-		const struct command *command = &solo->commands.commands[i];
+	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++) {
+		const struct command *command = &fixture->commands.commands[i];
 
 		if (command->kind == CMD_ANSWER && command->args.answer.token == token) {
 			status = command->args.answer.status;
@@ -146,11 +146,11 @@
 }
 
 /* The server that the newest send went to, or NULL. */
-static const char *sent_to(const struct solo *solo)
+static const char *sent_to(const struct router_fixture *fixture)
 {
-	for (ptrdiff_t i = arrlen(solo->commands.commands) - 1; i >= 0; i--)
-		if (solo->commands.commands[i].kind == CMD_FORWARD)
-			return solo->commands.commands[i].args.forward->server;
+	for (ptrdiff_t i = arrlen(fixture->commands.commands) - 1; i >= 0; i--)
+		if (fixture->commands.commands[i].kind == CMD_FORWARD)
+			return fixture->commands.commands[i].args.forward->server;
 	return NULL;
 }
 
@@ -281,7 +281,7 @@
 	router_fixture_close(&world.s);
 }
 
-/* On the product's own interface a claim binds a request to its service's owner: it is refused, and comes
+/* On the product's own interface a claim binds a request to its service's leader: it is refused, and comes
  * back. */
 static void a_waiting_claim_comes_back_for_its_routes_new_service(void **state)
 {
@@ -538,7 +538,7 @@
 	router_fixture_close(&world.s);
 }
 
-/* A lane whose requests go to a service with one server of few places, and to one without any. */
+/* A route whose requests go to a service with one server of few places, and to one without any. */
 static void split_open(struct world *world, int slots)
 {
 	struct Nl__Row *route;
@@ -593,7 +593,7 @@
 	return last;
 }
 
-/* Half of a lane's requests are for a service without a server: the others pass them, in order. */
+/* Half of a route's requests are for a service without a server: the others pass them, in order. */
 static void a_split_is_not_held_up_by_one_service(void **state)
 {
 	struct world world = { 0 };
@@ -969,7 +969,7 @@
 static void route_changes(struct sim_forward_config *config, int route, uint64_t *d)
 {
 	switch (random_below(d, 4)) {
-	case 0: /* the lane goes, or is back; the streams' and the first one stay */
+	case 0: /* the route goes, or is back; the streams' and the first one stay */
 		if (route == SIM_FORWARD_DEEP || route == SIM_FORWARD_IDEM)
 			config->service[route] = config->service[route] < 0 ? (int)random_below(d, 2) : -1;
 		break;
@@ -1006,7 +1006,7 @@
 	}
 }
 
-/* No lane leads to a service without a row. */
+/* No route leads to a service without a row. */
 static void heed_removed(struct sim_forward_config *config)
 {
 	for (int l = 0; l < SIM_FORWARD_ROUTES && config->removed[1]; l++) {
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -1,4 +1,4 @@
-/* Clearing of kept context: on schedule and at once, under faults and clocks that jump; judged by what
+/* Purging of cached context: on schedule and at once, under faults and clocks that jump; judged by what
  * servers used. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -60,7 +60,7 @@
 	ok(sim);
 }
 
-/* Each was told something, and none ran twice: the simulator judges that at every send. */
+/* Each was told something, and none ran twice: the simulator checks that at every send. */
 static void all_notified(struct sim *sim)
 {
 	sim_run(sim, 9000, NULL);
@@ -71,7 +71,7 @@
 				 sim->requests[i].id);
 }
 
-/* The records of clearings, as the controller that knows most has them. */
+/* The records of purges of context, as the controller that knows most has them. */
 static const struct retention *records(struct sim *sim)
 {
 	const struct retention *best = NULL;
@@ -84,7 +84,7 @@
 	return best;
 }
 
-/* No due time of a scope is cleared twice, and none is passed over: each record takes up where the last one
+/* No due time of a scope is purged twice, and none is passed over: each record takes up where the last one
  * ended. */
 static void each_due_once(struct sim *sim, const char *scope, int64_t every, int least)
 {
@@ -172,8 +172,8 @@
 	sim_close(&sim);
 }
 
-/* Whom the judge holds a clearing against: what was kept before its time must not be used once its slices are
- * in force everywhere: the purge's two seconds, and what a send may be on its way. */
+/* Whom the checker holds a purge of context against: what was kept before its time must not be used once its
+ * slices are in force everywhere: the purge's two seconds, and what a send may be on its way. */
 enum { GRACE = 5000 };
 
 /* The newest tick that a part made until now may bear. */
@@ -188,8 +188,8 @@
 	return h;
 }
 
-/* Nothing that servers used for a run after a clearing was made before it: the simulator's own judge looks at
- * every reuse and fetch against the clearings in s->clear. */
+/* Nothing that servers used for a run after a purge of context was made before it: the simulator's own
+ * checker looks at every reuse and fetch against the purges of context in s->clear. */
 static void judge(struct sim *sim, const char *tenant, const char *service, uint64_t made)
 {
 	struct sim_purge sim_clear = { "", "", made, 0 };
@@ -200,7 +200,7 @@
 	arrput(sim->purges, sim_clear);
 }
 
-/* The first owner's clock, and others', jump about at the due moment; the machines fall, freeze, and lose
+/* The first leader's clock, and others', jump about at the due moment; the machines fall, freeze, and lose
  * their disks. */
 static void each_due_purge_runs_once(void **state)
 {
@@ -284,7 +284,7 @@
 	}
 }
 
-/* A tenant is cleared while others go on, with the faults that a fleet has; what it had is used for nobody.
+/* A tenant is purged while others go on, with the faults that a fleet has; what it had is used for nobody.
  */
 static void nothing_old_is_used(void **state)
 {
@@ -303,9 +303,9 @@
 		must_change(&sim, "{\"set\":[{\"kind\":\"retention\",\"name\":\"*/t2\",\"every\":\"1d\"}]}",
 			    12000);
 		load(&sim, &rng, 12000, 15, 3);
-		for (int i = 0; i < 6; i++) /* counters must not rely on servers' dropping */
+		for (int i = 0; i < 6; i++) /* routers must not rely on servers' dropping */
 			sim.servers[i].hoard = 1;
-		switch (seed % 6) { /* what goes wrong as the clearing runs */
+		switch (seed % 6) { /* what goes wrong as the purge runs */
 		case 0:
 			sim_freeze(&sim, SIM_CONTROLLERS, 1);
 			break;
@@ -321,7 +321,7 @@
 		case 4:
 			sim.servers[1].up = 0;
 			break; /* and comes back with what it had */
-		default:       /* a wall and a roll-out at the same time */
+		default:       /* isolation and a roll-out at the same time */
 			snprintf(
 			    body, sizeof body,
 			    "{\"set\":[{\"kind\":\"service\",\"name\":\"repairs\",\"weights\":\"w2\",\"prefill\":20,\"kv_bytes\":400,\"link\":100000},"
@@ -495,7 +495,7 @@
 	return found;
 }
 
-/* Done is said of no clearing that a counter has not heard, or after which a server has not said what it
+/* Done is said of no purge that a router has not heard, or after which a server has not said what it
  * keeps. */
 static void done_waits_for_all(void **state)
 {
@@ -505,7 +505,7 @@
 	(void)state;
 	sim_deploy(&sim, 41, 4, 3, 6);
 	sim.wall_clock_epoch_ms = EPOCH * 1000ll;
-	load(&sim, &rng, 9000, 20, 3); /* and the owner has been in office for long */
+	load(&sim, &rng, 9000, 20, 3); /* and the leader has been in office for long */
 	sim.servers[2].mute = 1;
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	load(&sim, &rng, 9000, 20, 3);
@@ -535,7 +535,7 @@
 	sim_close(&sim);
 }
 
-/* Where a forwarded send is filed: by its scope, its slice and the clearings that cover them. */
+/* Where a forwarded send is filed: by its scope, its slice and the purges of context that cover them. */
 static void namespaces_follow_purges(void **state)
 {
 	struct sim sim;
@@ -566,7 +566,7 @@
 	sim_run(&sim, 1000, NULL);
 	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t1"), t1);
 	assert_string_equal(cache_namespace(router, &request, w, pool, "t2"), t1);
-	/* the first clearing of a row takes the common cache namespaces along: what t1 left there before is
+	/* the first purge of a row takes the common cache namespaces along: what t1 left there before is
 	 * found by nobody */
 	while (!records(&sim)->last_purge_number)
 		load(&sim, &rng, 500, 50, 1);
@@ -580,7 +580,7 @@
 	load(&sim, &rng, 2000, 50, 1);
 	assert_string_not_equal(cache_namespace(router, &request, w, pool, "t1"), t1);
 	assert_string_equal(cache_namespace(router, &request, w, pool, "t2"), t2);
-	/* of a lane: what the tenant of a row has there goes too, what it has elsewhere stays */
+	/* of a route: what the tenant of a row has there goes too, what it has elsewhere stays */
 	t1 = cache_namespace(router, &request, w, pool, "t1");
 	assert_true(clear_now(&sim, "arrears/t1", 9000) > 0);
 	sim_run(&sim, 2000, NULL);
@@ -660,8 +660,8 @@
 	return n;
 }
 
-/* Ids that were claimed before a clearing are on no disk once their claims have run out, though nobody asks
- * any more; no line of a log tells of content; usage that names who was cleared is gone. */
+/* Ids that were claimed before a purge of context are on no disk once their claims have run out, though
+ * nobody asks any more; no line of a log tells of content; usage that names who was purged is gone. */
 static void disks_and_logs_keep_nothing(void **state)
 {
 	struct sim sim;
@@ -698,8 +698,8 @@
 	sim_close(&sim);
 }
 
-/* A window spreads a clearing: its slices come at half its pace while lines are short, and all are in force
- * at its end even where they are long, which is said. */
+/* A window spreads a purge of context: its slices come at half its pace while lines are short, and all are in
+ * force at its end even where they are long, which is said. */
 static void windows_spread_and_end(void **state)
 {
 	(void)state;
@@ -752,8 +752,8 @@
 	return ms;
 }
 
-/* The same day with and without clearings: each is answered once, and 90 in 100 wait for their first piece no
- * longer, those that read a slice anew no longer than such a reading takes. */
+/* The same day with and without purges of context: each is answered once, and 90 in 100 wait for their first
+ * piece no longer, those that read a slice anew no longer than such a reading takes. */
 static void first_pieces_come_in_time(void **state)
 {
 	int64_t most[2][2];
--- a/tests/test_scale_model.c
+++ b/tests/test_scale_model.c
@@ -1,4 +1,4 @@
-/* The hollow fleet: it serves, its figures add up, and sizes that do not fit are refused before anything is
+/* The scale model: it serves, its figures add up, and sizes that do not fit are refused before anything is
  * made. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -39,14 +39,14 @@
 		fail_msg("%s", why);
 	assert_int_equal(scale_model_get(&result, "fleet.asked"),
 			 settings.requests_per_second * settings.seconds);
-	/* a counter is replaced once: what it held is unknown to its callers, all else is answered whole */
+	/* a router is replaced once: what it held is unknown to its callers, all else is answered whole */
 	assert_true(scale_model_get(&result, "fleet.whole") >= 0.7 * scale_model_get(&result, "fleet.asked"));
 	assert_true(scale_model_get(&result, "fleet.unknown") <
 		    0.1 * scale_model_get(&result, "fleet.asked"));
 	assert_int_equal(scale_model_get(&result, "fleet.changes_in_force"), settings.changes);
 	assert_true(scale_model_get(&result, "fleet.in_force_ms") <= 3000);
 	assert_int_equal(scale_model_get(&result, "counter.nodes"), settings.routers);
-	/* each counter asks what is in force four times a second, and is answered as often */
+	/* each router asks what is in force four times a second, and is answered as often */
 	assert_true(scale_model_get(&result, "counter.sent.config_sync") >= 3.7);
 	assert_true(scale_model_get(&result, "counter.heard.config_sync_reply") >= 3.5);
 	/* what is sent is heard: only controllers ask and answer in rounds */
@@ -55,7 +55,7 @@
 			   scale_model_get(&result, "registrar.heard.append"), 1);
 	assert_true(scale_model_get(&result, "registrar.disk.bytes") > 0);
 	assert_true(scale_model_get(&result, "counter.cpu_us.=control") > 0);
-	/* kept parts become known by events, or by reports; the list is looked at, or it is not there */
+	/* cached blocks become known by events, or by reports; the list is looked at, or it is not there */
 	assert_int_equal(scale_model_get(&result, "counter.heard.watched") > 0, listed);
 	assert_int_equal(scale_model_get(&result, "registrar.heard.listed") > 0, listed);
 	assert_int_equal(scale_model_get(&result, "counter.heard.look") > 0, !listed);
--- a/tests/test_shell.c
+++ b/tests/test_shell.c
@@ -393,7 +393,7 @@
 	return found;
 }
 
-/* What a clearing took away is in no freed page either, and all else is still there. */
+/* What a purge of context took away is in no freed page either, and all else is still there. */
 static void purged_entries_leave_no_trace(void **state)
 {
 	apr_pool_t *pool;
@@ -588,7 +588,7 @@
 		{ 9, "\x00\x00\x00\x05"
 		     "\xff\xff\xff\xff\xff" }, /* no message */
 		{ 6, "\x00\x00\x00\x02"
-		     "\x08\x63" }, /* of another edition of the language */
+		     "\x08\x63" }, /* of another version of the protocol */
 	};
 	apr_pool_t *pool;
 	struct ring *ring;
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -648,7 +648,7 @@
 }
 
 /* A member that was in the group before is added again: it is asked where it stands, and a word of it that
- * crosses the question must not end the asking. */
+ * crosses the question must not end the request. */
 static void a_reply_that_crosses_a_query_answers_nothing(void **state)
 {
 	struct member member;
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -27,7 +27,7 @@
 }
 
 /* One controller's group of one: raft, its folder, and the newest document as its state. */
-struct solo {
+struct store_fixture {
 	apr_pool_t *pool;
 	char folder[64];
 	struct ring *ring;
@@ -60,7 +60,7 @@
 	return version;
 }
 
-static void perform(struct solo *s)
+static void perform(struct store_fixture *s)
 {
 	raft_flush(&s->raft, s->now, &s->out);
 	for (ptrdiff_t i = 0; i < arrlen(s->out.commands); i++)
@@ -69,35 +69,35 @@
 	command_list_clear(&s->out);
 }
 
-static void apply(struct solo *solo)
+static void apply(struct store_fixture *fixture)
 {
 	const struct raft_entry *entry;
 	uint64_t index;
 
-	while ((entry = raft_next_committed(&solo->raft, &index))) {
-		solo->acked = version_of(entry->data, entry->len);
-		memcpy(solo->document, entry->data, entry->len);
+	while ((entry = raft_next_committed(&fixture->raft, &index))) {
+		fixture->acked = version_of(entry->data, entry->len);
+		memcpy(fixture->document, entry->data, entry->len);
 	}
-	if (raft_wants_snapshot(&solo->raft))
-		raft_snapshot(&solo->raft, solo->document, solo->len);
-	perform(solo);
+	if (raft_wants_snapshot(&fixture->raft))
+		raft_snapshot(&fixture->raft, fixture->document, fixture->len);
+	perform(fixture);
 }
 
 /* Wait for one sync; 0 when there is none within ms. */
-static int take_sync(struct solo *solo, int ms)
+static int take_sync(struct store_fixture *fixture, int ms)
 {
-	struct shell_event *event = ring_pop(solo->ring, ms);
+	struct shell_event *event = ring_pop(fixture->ring, ms);
 
 	if (!event)
 		return 0;
 	assert_int_equal(event->kind, SHELL_EVENT_SYNCED);
-	raft_synced(&solo->raft, event->sequence, solo->now, &solo->out);
+	raft_synced(&fixture->raft, event->sequence, fixture->now, &fixture->out);
 	shell_event_free(event);
-	apply(solo);
+	apply(fixture);
 	return 1;
 }
 
-static int settle(struct solo *s)
+static int settle(struct store_fixture *s)
 {
 	while (s->raft.disk.synced_seq < s->raft.disk.requested_seq)
 		if (!take_sync(s, LIMIT_MS))
@@ -105,16 +105,17 @@
 	return 1;
 }
 
-static const char *open_folder(struct solo *solo)
+static const char *open_folder(struct store_fixture *fixture)
 {
 	const char *why = NULL;
 
-	solo->store = storage_open(solo->folder, NULL, solo->ring, &solo->found, &why, solo->pool);
+	fixture->store =
+	    storage_open(fixture->folder, NULL, fixture->ring, &fixture->found, &why, fixture->pool);
 	return why;
 }
 
 /* A leader with a lease: of a new folder, or of what a folder holds. */
-static void begin(struct solo *s)
+static void begin(struct store_fixture *s)
 {
 	struct raft_member self = { .id = 1, .addr = 101, .voter = 1 };
 	const struct raft_saved *saved = s->found.shards[SHARD].term ? &s->found.shards[SHARD] : NULL;
@@ -133,58 +134,58 @@
 	assert_true(raft_has_lease(&s->raft, s->now));
 }
 
-static void router_fixture_open(struct solo *solo, size_t len)
+static void store_fixture_open(struct store_fixture *fixture, size_t len)
 {
-	memset(solo, 0, sizeof *solo);
-	apr_pool_create(&solo->pool, NULL);
-	apr_pool_create(&solo->out.pool, NULL);
-	strcpy(solo->folder, "/tmp/notchlug-store-XXXXXX");
-	assert_non_null(mkdtemp(solo->folder));
-	ring_open(&solo->ring, 64, solo->pool);
-	solo->out.id = 1;
-	solo->out.addr = 101;
-	solo->now = 100000;
-	solo->len = len;
-	solo->document = calloc(1, len);
-	assert_null(open_folder(solo));
+	memset(fixture, 0, sizeof *fixture);
+	apr_pool_create(&fixture->pool, NULL);
+	apr_pool_create(&fixture->out.pool, NULL);
+	strcpy(fixture->folder, "/tmp/notchlug-store-XXXXXX");
+	assert_non_null(mkdtemp(fixture->folder));
+	ring_open(&fixture->ring, 64, fixture->pool);
+	fixture->out.id = 1;
+	fixture->out.addr = 101;
+	fixture->now = 100000;
+	fixture->len = len;
+	fixture->document = calloc(1, len);
+	assert_null(open_folder(fixture));
 }
 
-static void router_fixture_close(struct solo *solo)
+static void store_fixture_close(struct store_fixture *fixture)
 {
 	char path[100];
 
-	storage_close(solo->store);
-	raft_close(&solo->raft);
-	free(solo->document);
-	arrfree(solo->out.commands);
-	apr_pool_destroy(solo->out.pool);
-	apr_pool_destroy(solo->pool);
-	snprintf(path, sizeof path, "%s/registrar.tdb", solo->folder);
+	storage_close(fixture->store);
+	raft_close(&fixture->raft);
+	free(fixture->document);
+	arrfree(fixture->out.commands);
+	apr_pool_destroy(fixture->out.pool);
+	apr_pool_destroy(fixture->pool);
+	snprintf(path, sizeof path, "%s/registrar.tdb", fixture->folder);
 	unlink(path);
-	snprintf(path, sizeof path, "%s/lock", solo->folder);
+	snprintf(path, sizeof path, "%s/lock", fixture->folder);
 	unlink(path);
-	rmdir(solo->folder);
+	rmdir(fixture->folder);
 }
 
 /* Log the next document; its sync is not waited for. */
-static void propose(struct solo *solo, uint64_t version)
+static void propose(struct store_fixture *fixture, uint64_t version)
 {
-	uint8_t *packed = malloc(solo->len);
+	uint8_t *packed = malloc(fixture->len);
 
-	fill(packed, solo->len, version);
-	solo->now += 20;
-	raft_tick(&solo->raft, solo->now, &solo->out);
-	assert_true(raft_propose(&solo->raft, packed, solo->len, solo->now) > 0);
+	fill(packed, fixture->len, version);
+	fixture->now += 20;
+	raft_tick(&fixture->raft, fixture->now, &fixture->out);
+	assert_true(raft_propose(&fixture->raft, packed, fixture->len, fixture->now) > 0);
 	free(packed);
-	perform(solo);
+	perform(fixture);
 }
 
-static size_t file_size(const struct solo *solo)
+static size_t file_size(const struct store_fixture *fixture)
 {
 	char path[100];
 	struct stat file_stat;
 
-	snprintf(path, sizeof path, "%s/registrar.tdb", solo->folder);
+	snprintf(path, sizeof path, "%s/registrar.tdb", fixture->folder);
 	return stat(path, &file_stat) ? 0 : (size_t)file_stat.st_size;
 }
 
@@ -198,19 +199,19 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof run / sizeof *run; i++) {
 		uint64_t changes = env("NL_CHANGES", run[i].changes), snapshots = 0, last = 0;
-		struct solo solo;
+		struct store_fixture fixture;
 		struct rusage use;
 		size_t peak = 0;
 
-		router_fixture_open(&solo, run[i].len);
-		begin(&solo);
+		store_fixture_open(&fixture, run[i].len);
+		begin(&fixture);
 		for (uint64_t v = 1; v <= changes; v++) {
-			propose(&solo, v);
-			assert_true(settle(&solo));
-			assert_int_equal(solo.acked, v);
-			peak = file_size(&solo) > peak ? file_size(&solo) : peak;
-			snapshots += solo.raft.snapshots.newest.index != last;
-			last = solo.raft.snapshots.newest.index;
+			propose(&fixture, v);
+			assert_true(settle(&fixture));
+			assert_int_equal(fixture.acked, v);
+			peak = file_size(&fixture) > peak ? file_size(&fixture) : peak;
+			snapshots += fixture.raft.snapshots.newest.index != last;
+			last = fixture.raft.snapshots.newest.index;
 		}
 		getrusage(RUSAGE_SELF, &use);
 		print_message(
@@ -218,15 +219,15 @@
 		    run[i].len / KB, (unsigned long long)changes, (unsigned long long)snapshots, peak / KB,
 		    use.ru_maxrss);
 		assert_true(peak < 100 * MB);
-		router_fixture_close(&solo);
+		store_fixture_close(&fixture);
 	}
 }
 
 /* What a folder gives back: the snapshot, the entries behind it without a gap, and nothing that was
  * acknowledged is missing. */
-static void assert_holds(struct solo *solo, uint64_t acked)
+static void assert_holds(struct store_fixture *fixture, uint64_t acked)
 {
-	const struct raft_saved *saved = &solo->found.shards[SHARD];
+	const struct raft_saved *saved = &fixture->found.shards[SHARD];
 	uint64_t newest = 0;
 
 	assert_true(saved->term > 0);
@@ -250,56 +251,57 @@
  * there is room the same writes go on. */
 static void a_disk_that_fills_up_in_a_snapshot_loses_nothing(void **state)
 {
-	struct solo solo;
+	struct store_fixture fixture;
 	struct rlimit was, full;
 	uint64_t v = 0, acked;
 
 	(void)state;
 	signal(SIGXFSZ, SIG_IGN);
 	assert_return_code(getrlimit(RLIMIT_FSIZE, &was), 0);
-	router_fixture_open(&solo, 1 * MB);
-	begin(&solo);
-	while (solo.raft.log.applied_bytes + solo.len < RAFT_SNAPSHOT_LOG_BYTES) {
-		propose(&solo, ++v);
-		assert_true(settle(&solo));
+	store_fixture_open(&fixture, 1 * MB);
+	begin(&fixture);
+	while (fixture.raft.log.applied_bytes + fixture.len < RAFT_SNAPSHOT_LOG_BYTES) {
+		propose(&fixture, ++v);
+		assert_true(settle(&fixture));
 	}
-	propose(&solo, ++v); /* with this one a snapshot is due */
+	propose(&fixture, ++v); /* with this one a snapshot is due */
 	full = was;
-	full.rlim_cur = file_size(&solo);
-	while (solo.raft.snapshots.newest.index == 0) /* its entry is synced, and the snapshot asked for */
-		assert_true(take_sync(&solo, LIMIT_MS));
+	full.rlim_cur = file_size(&fixture);
+	while (fixture.raft.snapshots.newest.index == 0) /* its entry is synced, and the snapshot asked for */
+		assert_true(take_sync(&fixture, LIMIT_MS));
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &full), 0);
-	acked = solo.acked;
-	while (solo.raft.disk.synced_seq < solo.raft.disk.requested_seq &&
-	       storage_refused_count(solo.store) < 2) /* or it came before the disk was full */
-		(void)take_sync(&solo, 20);
-	for (int i = 0; storage_refused_count(solo.store) < 2; i++) { /* more, until nothing fits */
-		if (solo.raft.disk.synced_seq == solo.raft.disk.requested_seq)
-			propose(&solo, ++v);
-		(void)take_sync(&solo, 20);
-		acked = solo.acked;
+	acked = fixture.acked;
+	while (fixture.raft.disk.synced_seq < fixture.raft.disk.requested_seq &&
+	       storage_refused_count(fixture.store) < 2) /* or it came before the disk was full */
+		(void)take_sync(&fixture, 20);
+	for (int i = 0; storage_refused_count(fixture.store) < 2; i++) { /* more, until nothing fits */
+		if (fixture.raft.disk.synced_seq == fixture.raft.disk.requested_seq)
+			propose(&fixture, ++v);
+		(void)take_sync(&fixture, 20);
+		acked = fixture.acked;
 		assert_true(i < 1000);
 	}
-	storage_close(solo.store); /* the fall */
+	storage_close(fixture.store); /* the fall */
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &was), 0);
-	while (take_sync(&solo, 0))
+	while (take_sync(&fixture, 0))
 		;
-	raft_close(&solo.raft);
-	assert_null(open_folder(&solo));
-	assert_holds(&solo, acked);
-	begin(&solo);
-	propose(&solo, v + 1);
-	assert_true(settle(&solo));
-	assert_int_equal(solo.acked, v + 1);
-	router_fixture_close(&solo);
+	raft_close(&fixture.raft);
+	assert_null(open_folder(&fixture));
+	assert_holds(&fixture, acked);
+	begin(&fixture);
+	propose(&fixture, v + 1);
+	assert_true(settle(&fixture));
+	assert_int_equal(fixture.acked, v + 1);
+	store_fixture_close(&fixture);
 }
 
 /* In a process of its own: documents without end; each acknowledgement goes through the pipe. */
-static void write_until_killed(struct solo *solo, uint64_t from, int to_parent)
+static void write_until_killed(struct store_fixture *fixture, uint64_t from, int to_parent)
 {
 	for (uint64_t v = from;; v++) {
-		propose(solo, v);
-		if (!settle(solo) || write(to_parent, &solo->acked, sizeof solo->acked) != sizeof solo->acked)
+		propose(fixture, v);
+		if (!settle(fixture) ||
+		    write(to_parent, &fixture->acked, sizeof fixture->acked) != sizeof fixture->acked)
 			_exit(1);
 	}
 }
@@ -313,10 +315,10 @@
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
 		uint64_t rng = seed, acked = 0, kills = 3;
-		struct solo solo;
+		struct store_fixture fixture;
 
-		router_fixture_open(&solo, 700 * KB);
-		storage_close(solo.store);
+		store_fixture_open(&fixture, 700 * KB);
+		storage_close(fixture.store);
 		while (kills--) {
 			uint64_t until = acked + 1 + core_random(&rng) % 8, more = core_random(&rng) % 3000;
 			int pipe_ends[2], status;
@@ -325,10 +327,11 @@
 			assert_return_code(pipe(pipe_ends), errno);
 			child = fork();
 			if (!child) {
-				if (open_folder(&solo))
+				if (open_folder(&fixture))
 					_exit(2);
-				begin(&solo);
-				write_until_killed(&solo, solo.raft.log.applied_index ? solo.acked + 1 : 1,
+				begin(&fixture);
+				write_until_killed(&fixture,
+						   fixture.raft.log.applied_index ? fixture.acked + 1 : 1,
 						   pipe_ends[1]);
 			}
 			close(pipe_ends[1]);
@@ -345,12 +348,12 @@
 			close(pipe_ends[0]);
 			waitpid(child, &status, 0);
 			assert_true(WIFSIGNALED(status));
-			assert_null(open_folder(&solo));
-			assert_holds(&solo, acked);
-			storage_close(solo.store);
+			assert_null(open_folder(&fixture));
+			assert_holds(&fixture, acked);
+			storage_close(fixture.store);
 		}
-		assert_null(open_folder(&solo));
-		router_fixture_close(&solo);
+		assert_null(open_folder(&fixture));
+		store_fixture_close(&fixture);
 	}
 }
 
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -260,7 +260,7 @@
 	}
 }
 
-/* A follower that takes changes, or the whole after falling behind, ends with the owner's table. */
+/* A follower that takes changes, or the whole after falling behind, ends with the leader's table. */
 static void table_followers_end_alike(void **state)
 {
 	apr_pool_t *pool;
@@ -376,7 +376,7 @@
 		change.n_set = 1;
 		assert_non_null(strstr(config_table_check(&table, &change, pool), "larger"));
 	}
-	{ /* a lane keeps its service: its ids are claimed in that service's part */
+	{ /* a route keeps its service: its ids are claimed in that service's shard */
 		const char
 		    *why = NULL,
 		    *route = "{\"set\":[{\"kind\":\"lane\",\"name\":\"a\",\"service\":\"%s\",\"limit\":%d}]}";
@@ -557,7 +557,7 @@
 	assert_true(i > 0);
 	raft_flush(&bench.p, bench.now, &bench.o);
 	receive_ack(&bench, 2, i);
-	assert_true(bench.p.log.commit_index < i); /* one member and an unsynced owner are no majority */
+	assert_true(bench.p.log.commit_index < i); /* one member and an unsynced leader are no majority */
 	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
 	assert_int_equal(bench.p.log.commit_index, i);
 	/* its disk stalls: it gives up, and says so */
@@ -643,7 +643,7 @@
 	assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	bench_close(&bench);
 
-	/* an owner, a later term, or later members that we do not know: the promise is waited out */
+	/* a leader, a later term, or later members that we do not know: the promise is waited out */
 	for (int k = 0; k < 3; k++) {
 		bench_return(&bench);
 		incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->incarnation;
@@ -659,7 +659,7 @@
 		bench_close(&bench);
 	}
 
-	/* an owner heard since: its lease holds, whatever the others said before */
+	/* a leader heard since: its lease holds, whatever the others said before */
 	bench_return(&bench);
 	incarnation = said(&bench, NL__MSG__BODY_PROBE)->probe->incarnation;
 	receive_idle(&bench, 2, incarnation, 0, 3, 1);
--- a/tests/test_version_history.c
+++ b/tests/test_version_history.c
@@ -1,5 +1,5 @@
-/* Dates of namings in a model's row, and the control group's clock as a node reckons it by its leader's
- * answers. */
+/* Dates of target versions in a model's row, and the control group's clock as a node reckons it by its
+ * leader's answers. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -68,7 +68,7 @@
 	return target ? target->targeted_at_ms : 0;
 }
 
-/* Weights are dated by the first naming that is newer than they are, whatever was named since. */
+/* Weights are dated by the first target version that is newer than they are, whatever was named since. */
 static void older_weights_have_the_first_newer_date(void **state)
 {
 	const struct Nl__Row *model;
@@ -86,7 +86,7 @@
 	assert_int_equal(version_history_after(model, 1)->term, TERM);
 }
 
-/* A naming that is sent again, an older one, and the end of a roll-out date nothing anew. */
+/* A new target version that is sent again, an older one, and the end of a roll-out date nothing anew. */
 static void what_names_nothing_newer_dates_nothing(void **state)
 {
 	const struct Nl__Row *model;
@@ -102,8 +102,8 @@
 	assert_int_equal(date_after(model, 1), 1000);
 }
 
-/* Of namings whose bound has passed the newest is kept: it forbids all that is older, and what came before it
- * is no longer needed. */
+/* Of target versions whose bound has passed the newest is kept: it forbids all that is older, and what came
+ * before it is no longer needed. */
 static void the_newest_passed_date_is_kept(void **state)
 {
 	const struct Nl__Row *model;
@@ -116,8 +116,8 @@
 	}
 }
 
-/* More namings within the bound than are kept: a date is only ever too early, and by less than a share of the
- * bound. */
+/* More target versions within the bound than are kept: a date is only ever too early, and by less than a
+ * share of the bound. */
 static void merged_dates_are_too_early_and_not_by_much(void **state)
 {
 	const struct Nl__Row *model = NULL;
@@ -161,7 +161,7 @@
 	config_table_close(&follower);
 }
 
-/* A row that an older edition of the program left has no dates: they count as not known. */
+/* A row that an older revision of the program left has no dates: they count as not known. */
 static void a_row_without_dates_tells_none(void **state)
 {
 	struct Nl__Row row = NL__ROW__INIT;
--- a/tests/test_weights_bound.c
+++ b/tests/test_weights_bound.c
@@ -24,7 +24,7 @@
 	LOAD_MS = 900,         /* of one load; ROLL_MS / 10 where capacity is measured */
 	REQUEST_MS = 10,       /* between callers */
 	BUSY_REQUEST_MS = 6,   /* the same where they keep most of the servers' places busy */
-	SETTLE_MS = 2000,      /* of load before the first naming */
+	SETTLE_MS = 2000,      /* of load before the first target version */
 	DRAIN_MS = 6500,       /* after which every request has its end */
 	BEYOND_MS = 4000,      /* past a bound: for how long late beginnings are looked for */
 	SAMPLE_MS = 100,       /* between looks at the servers' weights */
@@ -32,7 +32,7 @@
 	FLEET_SERVERS = 18,    /* of a fleet whose capacity is measured */
 	FREEZE_FROM_MS = 2300, /* before the bound: from when on routers are frozen over a send, */
 	FREEZE_UPTO_MS = 1500, /* and when they are at the latest, if none is decided on any more */
-	TARGETS_MS = 30000     /* for which namings follow each other */
+	TARGETS_MS = 30000     /* for which target versions follow each other */
 };
 
 static uint64_t seeds(uint64_t n)
@@ -143,9 +143,9 @@
 	sim_start(&f->sim, node);
 }
 
-/* ---- what routers know of namings ------------------------------------------------------------ */
+/* ---- what routers know of target versions ------------------------------------------------------------ */
 
-/* Two namings a second, 30 of them: the oldest is not forgotten over the newer ones. */
+/* Two target versions a second, 30 of them: the oldest is not forgotten over the newer ones. */
 static void many_target_versions_within_the_bound(void **state)
 {
 	(void)state;
@@ -180,7 +180,8 @@
 	}
 }
 
-/* A router begins right after a second naming: what it finds named is the second, what is due is the first.
+/* A router begins right after a second target version: what it finds named is the second, what is due is the
+ * first.
  */
 static void a_router_begins_between_two_target_versions(void **state)
 {
@@ -198,7 +199,8 @@
 	}
 }
 
-/* A router is cut off, or frozen, over two namings and hears of both at once: the first one's date counts. */
+/* A router is cut off, or frozen, over two target versions and hears of both at once: the first one's date
+ * counts. */
 static void a_router_skips_a_target_version(void **state)
 {
 	(void)state;
@@ -277,7 +279,8 @@
 }
 
 /* Routers decide, stand still before a request leaves, and go on past the bound. They are not in touch then,
- * so the judge says nothing; all the same nothing that was decided on earlier leaves for the old weights. */
+ * so the checker says nothing; all the same nothing that was decided on earlier leaves for the old weights.
+ */
 static void a_frozen_router_sends_nothing_after_the_bound(void **state)
 {
 	(void)state;
@@ -349,8 +352,8 @@
 			 (unsigned long long)forwarding->sim.seed, older, all, weights);
 }
 
-/* Controllers fall during a roll-out, before a second naming or without one; all come back at once, or a
- * leader later. The first naming's bound holds, for servers and routers. */
+/* Controllers fall during a roll-out, before a second target version or without one; all come back at once,
+ * or a leader later. The first target version's bound holds, for servers and routers. */
 static void controllers_fall(uint64_t seed, int64_t fall_ms, int everyone, int named_again)
 {
 	struct sim_forward *forwarding = open_fleet(seed, MANY_SERVERS, many_servers);
@@ -381,7 +384,8 @@
 	close_fleet(forwarding);
 }
 
-/* The leader dies between two namings; another one finishes the roll-out by the bound of the first. */
+/* The leader dies between two target versions; another one finishes the roll-out by the bound of the first.
+ */
 static void a_leader_dies_during_a_roll_out(void **state)
 {
 	(void)state;
@@ -389,7 +393,7 @@
 		controllers_fall(seed, 2500, 0, 1);
 }
 
-/* The leader dies in a roll-out of one naming: whoever takes over goes on by its date. */
+/* The leader dies in a roll-out of one target version: whoever takes over goes on by its date. */
 static void a_leader_dies_after_one_target_version(void **state)
 {
 	(void)state;
@@ -397,7 +401,7 @@
 		controllers_fall(seed, 4000, 0, 0);
 }
 
-/* All controllers are restarted at once between two namings. */
+/* All controllers are restarted at once between two target versions. */
 static void all_controllers_restart_during_a_roll_out(void **state)
 {
 	(void)state;
@@ -458,11 +462,11 @@
 struct span {
 	double share;         /* of requests served whole */
 	int worst, all;       /* servers behind at the worst moment, of how many */
-	int64_t behind_since; /* when first more than a third of them were behind, after the first naming; -1:
-				 never */
+	int64_t behind_since; /* when first more than a third of them were behind, after the first target
+				 version; -1: never */
 };
 
-/* A calm fleet for a while, with a naming every so many ms; 0: none. */
+/* A calm fleet for a while, with a new target version every so many ms; 0: none. */
 static struct span play_targets(uint64_t seed, int64_t every_ms)
 {
 	struct sim_forward *forwarding = open_fleet(seed, FLEET_SERVERS, few_at_once);
@@ -496,8 +500,8 @@
 	return span;
 }
 
-/* A naming every 1 to 3 s, and no trouble: nothing begins late, no more than a third of the servers may not
- * be sent to, and nearly as much is served as without namings. */
+/* A new target version every 1 to 3 s, and no fault: nothing begins late, no more than a third of the servers
+ * may not be sent to, and nearly as much is served as without target versions. */
 static void target_versions_every_few_seconds_leave_no_server_behind(void **state)
 {
 	int failed = 0;
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -1,5 +1,5 @@
-/* Review of the dates of namings (incident 17): what was found to fail. Whole fleets on the simulator, single
- * routers, and the parts by themselves. */
+/* Review of the dates of target versions (incident 17): what was found to fail. Whole fleets on the
+ * simulator, single routers, and the parts by themselves. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -207,8 +207,8 @@
 	forwarding->sim.instance_list.slots = 3;
 }
 
-/* The share of requests that is served whole in the roll-out of a second naming; one server may refuse, or be
- * off with its address still on the list. */
+/* The share of requests that is served whole in the roll-out of a second target version; one server may
+ * refuse, or be off with its address still on the list. */
 static double served_in_second_target(uint64_t seed, int refuses)
 {
 	struct sim_forward *forwarding = open_fleet(seed, busy_fleet);
@@ -274,8 +274,8 @@
 	}
 }
 
-/* Some servers refuse; the others get two namings, 3 s apart, within the bound of each, and both models are
- * rolled out. */
+/* Some servers refuse; the others get two target versions, 3 s apart, within the bound of each, and both
+ * models are rolled out. */
 static void healthy_servers_are_not_starved(void **state)
 {
 	(void)state;
@@ -343,8 +343,8 @@
 }
 
 /* After a minute in which nothing was logged all controllers restart, and weights are named. Routers that
- * lived on, and one that begins after the naming, use the server with the older weights for most of the
- * bound, and not beyond it. */
+ * lived on, and one that begins after the target version, use the server with the older weights for most of
+ * the bound, and not beyond it. */
 static void all_controllers_restart_after_idle_time(void **state)
 {
 	(void)state;
@@ -396,8 +396,8 @@
 	return row;
 }
 
-/* A row from a snapshot that was made before namings were dated: 5 is named, since when is not known. A
- * naming of 6 gives weights 4, which 5 superseded long ago, no new date. */
+/* A row from a snapshot that was made before target versions were dated: 5 is named, since when is not known.
+ * A setting of 6 gives weights 4, which 5 superseded long ago, no new date. */
 static void a_target_version_after_undated_ones_revives_no_older_weights(void **state)
 {
 	struct Nl__Row before = make_model_row("5"), row = make_model_row("6");
@@ -415,8 +415,8 @@
 
 enum { SEQUENCES = 2000, TARGETS_OF_A_SEQUENCE = 200, GAP_MOST_MS = 400, PRUNE_MS = 20000 };
 
-/* Namings at random moments, more than are kept: weights are never dated later than the naming that
- * superseded them, unless both dates are past the bound; and the list rises. */
+/* Target versions at random moments, more than are kept: weights are never dated later than the target
+ * version that superseded them, unless both dates are past the bound; and the list rises. */
 static void no_date_is_later_than_its_target_version(void **state)
 {
 	uint64_t rng = 7;
@@ -576,8 +576,8 @@
 	return leader;
 }
 
-/* "Never behind": while answers come each second, no naming looks younger than it is by as much as sends end
- * early. */
+/* "Never behind": while answers come each second, no target version looks younger than it is by as much as
+ * sends end early. */
 static void the_clock_that_is_reckoned_does_not_fall_behind(void **state)
 {
 	int64_t drift = behind_after(24, DRIFT_PER_MILLION, 0), pause = behind_after(1, 0, PAUSE_MS);
@@ -592,26 +592,26 @@
 
 /* ---- one router ------------------------------------------------------------------------------- */
 
-enum { STORM = 300, SOLO_ROLL_MS = 20000 };
+enum { STORM = 300, FIXTURE_ROLL_MS = 20000 };
 
-/* A router with servers on weights 1, but for the last few, which have the newest; one naming a ms, the first
- * at a moment. */
-static void open_solo(struct solo *solo, int servers, int new_servers, int targets, int64_t at,
+/* A router with servers on weights 1, but for the last few, which have the newest; one target version a ms,
+ * the first at a moment. */
+static void open_lone_router(struct router_fixture *fixture, int servers, int new_servers, int targets, int64_t at,
 		      int repeatable, int attempts)
 {
 	struct Nl__Row *row[3];
 	struct Nl__Instance **instance;
 
-	router_fixture_open(solo, 5);
-	instance = apr_palloc(solo->p, sizeof *instance * (size_t)servers);
-	solo->router.bounds.rollout_ms = SOLO_ROLL_MS;
-	row[0] = new_row(solo->p, NL__KIND__MODEL, "m");
-	row[0]->target_weights = apr_psprintf(solo->p, "%d", targets + 1);
+	router_fixture_open(fixture, 5);
+	instance = apr_palloc(fixture->p, sizeof *instance * (size_t)servers);
+	fixture->router.bounds.rollout_ms = FIXTURE_ROLL_MS;
+	row[0] = new_row(fixture->p, NL__KIND__MODEL, "m");
+	row[0]->target_weights = apr_psprintf(fixture->p, "%d", targets + 1);
 	row[0]->rolled_out = "1";
 	row[0]->target_versions =
-	    apr_palloc(solo->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
+	    apr_palloc(fixture->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
 	for (int i = 0; i < targets; i++) {
-		struct Nl__TargetVersion *naming = apr_palloc(solo->p, sizeof *naming);
+		struct Nl__TargetVersion *naming = apr_palloc(fixture->p, sizeof *naming);
 
 		nl__target_version__init(naming);
 		naming->weights = (uint64_t)(i + 2);
@@ -619,9 +619,9 @@
 		naming->term = 1;
 		row[0]->target_versions[row[0]->n_target_versions++] = naming;
 	}
-	row[1] = new_service(solo->p, "pool");
+	row[1] = new_service(fixture->p, "pool");
 	row[1]->model = "m";
-	row[2] = new_row(solo->p, NL__KIND__ROUTE, "route");
+	row[2] = new_row(fixture->p, NL__KIND__ROUTE, "route");
 	row[2]->service = "pool";
 	row[2]->host = "h";
 	row[2]->path = "/";
@@ -630,38 +630,39 @@
 	row[2]->key_optional = 1;
 	row[2]->idempotent = repeatable;
 	for (int i = 0; i < servers; i++) {
-		instance[i] = new_instance(solo->p, i, "pool");
+		instance[i] = new_instance(fixture->p, i, "pool");
 		instance[i]->weights = i < servers - new_servers ? "1" : row[0]->target_weights;
 	}
-	router_fixture_table(solo, row, 3, instance, (size_t)servers, 1);
+	router_fixture_table(fixture, row, 3, instance, (size_t)servers, 1);
 }
 
 /* Let time pass in small steps, with answers of the leader, so that the configuration stays fresh. */
-static void solo_wait(struct solo *solo, int64_t upto)
+static void fixture_wait(struct router_fixture *fixture, int64_t upto)
 {
-	while (solo->now < upto) {
+	while (fixture->now < upto) {
 		struct Nl__Msg message = NL__MSG__INIT;
 		struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
-		command_list_clear(&solo->commands);
-		router_fixture_tick(solo, 10);
-		for (ptrdiff_t i = 0; i < arrlen(solo->commands.commands); i++)
-			if (solo->commands.commands[i].kind == CMD_SEND &&
-			    solo->commands.commands[i].args.send.msg->body_case == NL__MSG__BODY_CONFIG_SYNC)
-				reply.token = solo->commands.commands[i].args.send.msg->config_sync->token;
+		command_list_clear(&fixture->commands);
+		router_fixture_tick(fixture, 10);
+		for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++)
+			if (fixture->commands.commands[i].kind == CMD_SEND &&
+			    fixture->commands.commands[i].args.send.msg->body_case ==
+				NL__MSG__BODY_CONFIG_SYNC)
+				reply.token = fixture->commands.commands[i].args.send.msg->config_sync->token;
 		if (!reply.token)
 			continue;
 		reply.has_lease = 1;
 		reply.fleet_id = 7;
 		reply.revision = reply.since_revision = reply.instances_stamp = 1;
 		reply.router_count = 1;
-		reply.group_clock_ms = (uint64_t)solo->now;
+		reply.group_clock_ms = (uint64_t)fixture->now;
 		reply.clock_term = 1;
 		message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
 		message.config_sync_reply = &reply;
 		message.addr = message.id = 1;
 		message.protocol_version = CORE_PROTOCOL_VERSION;
-		router_fixture_message(solo, &message);
+		router_fixture_message(fixture, &message);
 	}
 }
 
@@ -672,25 +673,25 @@
 	(void)state;
 	for (int repeatable = 0; repeatable < 2; repeatable++)
 		for (int new_servers = 0; new_servers < 4; new_servers += 3) {
-			struct solo solo = { 0 };
+			struct router_fixture fixture = { 0 };
 			int refused = 0, broke = 0, sent = 0, cancelled = 0;
 			int64_t targeted_at, end;
 
-			open_solo(&solo, 12, new_servers, 1, 1000000, repeatable, 3);
+			open_lone_router(&fixture, 12, new_servers, 1, 1000000, repeatable, 3);
 			targeted_at = 1000000;
-			end = targeted_at + SOLO_ROLL_MS;
-			solo_wait(&solo, end - ROUTER_ROLLOUT_SEND_MARGIN_MS - 300);
+			end = targeted_at + FIXTURE_ROLL_MS;
+			fixture_wait(&fixture, end - ROUTER_ROLLOUT_SEND_MARGIN_MS - 300);
 			for (int i = 0; i < STORM; i++) {
 				int status;
 
-				(void)router_fixture_submit(&solo, "h", "/x",
-							    apr_psprintf(solo.p, "id-%d", i), &status);
+				(void)router_fixture_submit(&fixture, "h", "/x",
+							    apr_psprintf(fixture.p, "id-%d", i), &status);
 			}
-			while (solo.now < end + 100) {
-				command_list_clear(&solo.commands);
-				router_fixture_tick(&solo, 10);
-				for (ptrdiff_t i = 0; i < arrlen(solo.commands.commands); i++) {
-					const struct command *command = &solo.commands.commands[i];
+			while (fixture.now < end + 100) {
+				command_list_clear(&fixture.commands);
+				router_fixture_tick(&fixture, 10);
+				for (ptrdiff_t i = 0; i < arrlen(fixture.commands.commands); i++) {
+					const struct command *command = &fixture.commands.commands[i];
 
 					refused +=
 					    command->kind == CMD_ANSWER && command->args.answer.status == 503;
@@ -699,19 +700,19 @@
 					cancelled += command->kind == CMD_CANCEL;
 					sent += command->kind == CMD_FORWARD;
 				}
-				assert_true(router_balanced(&solo.router));
+				assert_true(router_balanced(&fixture.router));
 			}
 			print_message(
 			    "repeatable %d, new servers %d: recalled %d, cancelled %d; then 502 %d, 503 %d, sent %d; %d remain, "
 			    "sent past %d\n",
-			    repeatable, new_servers, (int)solo.router.stats.recalled, cancelled, broke,
-			    refused, sent, (int)arrlen(solo.router.requests),
-			    (int)solo.router.stats.sent_past_bound);
-			assert_int_equal(solo.router.stats.recalled, cancelled);
-			assert_int_equal(solo.router.stats.sent_past_bound, 0);
+			    repeatable, new_servers, (int)fixture.router.stats.recalled, cancelled, broke,
+			    refused, sent, (int)arrlen(fixture.router.requests),
+			    (int)fixture.router.stats.sent_past_bound);
+			assert_int_equal(fixture.router.stats.recalled, cancelled);
+			assert_int_equal(fixture.router.stats.sent_past_bound, 0);
 			if (!repeatable)
 				assert_int_equal(sent, 0);
-			router_fixture_close(&solo);
+			router_fixture_close(&fixture);
 		}
 }
 
