--- a/tests/explore.h
+++ b/tests/explore.h
@@ -215,7 +215,7 @@
 
 struct raft *explore_raft(int node);
 
-/* For scenes: open all replicas with empty disks; make the first few the founding members. */
+/* For scenes: open all replicas with empty disks; make the first few the bootstrap members. */
 void explore_open_all(void);
 void explore_bootstrap(int voters);
 
