--- a/emulator/checker.c
+++ b/emulator/checker.c
@@ -1,7 +1,6 @@
-/* The judge: every rule by its name, from what servers, clients, the operator and the list saw. All is kept
- * and judged at the end, for some rules look forward. Where the pages leave room, the stricter reading is
- * taken, but for those that need the sender of a connection: on loopback the machine that took the client's
- * try stands for it. */
+/* Records of the checker, and its run over all rules. Where the pages leave room, the stricter reading is
+ * taken, but for rules that need the sender of a connection: on loopback the machine that took the client's
+ * attempt counts as the sender. */
 #include <stdarg.h>
 #include <stdlib.h>
 #include <string.h>
--- a/emulator/checker_config.c
+++ b/emulator/checker_config.c
@@ -1,5 +1,6 @@
 /* Rules about configurations and keys: which version a request was handled by, what was acknowledged, read
  * back or revoked. */
+#include <json-c/json.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -363,7 +364,7 @@
 			continue;
 		most = checker->bounds.ack_ms + 3 * arrlen(k->config->routes);
 		for (int n = 0; n < arrlen(checker->configs);
-		     n++) /* on top of what is no longer current it wins nothing */
+		     n++) /* on top of what is no longer current it need not be acknowledged */
 			if (n != i && checker->configs[n].acked_at_ms >= 0 &&
 			    checker->configs[n].acked_at_ms <= k->sent_at_ms + most &&
 			    checker->configs[n].version > newest &&
--- a/emulator/checker_lost.c
+++ b/emulator/checker_lost.c
@@ -19,17 +19,20 @@
 
 /* A stretch of time, both ends included. */
 struct period {
-	int64_t from, to;
+	int64_t from;
+	int64_t to;
 };
 
 /* Requests of one machine that ended in some times, and how many of them were cut. */
 struct share {
-	int64_t ended, cut;
+	int64_t ended;
+	int64_t cut;
 };
 
 /* The rates of one machine. */
 struct machine_shares {
-	struct share beside_configuration, otherwise;
+	struct share beside_configuration;
+	struct share otherwise;
 };
 
 static int64_t at_most(int64_t a, int64_t b)
@@ -85,7 +88,7 @@
 	return at_most(attempt->timeout_ms, route_timeout(checker, attempt));
 }
 
-/* The arrival at the server that had the request last, leaving out those that turned it away. */
+/* The arrival at the server that had the request last, leaving out those that rejected it. */
 static const struct arrival *last_accepted(const struct checker *checker, const struct attempt *attempt)
 {
 	for (int i = (int)arrlen(attempt->runs) - 1; i >= 0; i--)
--- a/emulator/checker_servers.c
+++ b/emulator/checker_servers.c
@@ -1,4 +1,5 @@
-/* Rules about model servers: drained ones, the order-rollout's fence, memory of other weights or tenants. */
+/* Rules about model servers: draining, the fence of load commands, reuse of blocks of other weights or
+ * tenants, versions. */
 #include <string.h>
 
 #include "containers.h"
@@ -110,8 +111,8 @@
 	}
 }
 
-/* For how long, until t, a version newer than this one has been acknowledged over one stretch with a settled
- * core; -1: none has been, or the core is not settled. */
+/* For how long, until a time, a version newer than this one has been acknowledged over one stretch with a
+ * stable core; -1: none has been, or the core is not stable. */
 static int64_t superseded_for(const struct checker *checker, int version, int64_t at_ms)
 {
 	int64_t acked_at_ms = -1, from = stable_since(checker, at_ms);
@@ -126,7 +127,7 @@
 	return at_ms - (from > acked_at_ms ? from : acked_at_ms);
 }
 
-/* Whether the rule asks anything of a run: the machine that sent it was in touch as it did. */
+/* Whether the rule judges a run: the machine that sent it was in contact as it did. */
 static int version_applies(const struct checker *checker, const struct arrival *arrival)
 {
 	return arrival->started_at_ms >= 0 && arrival->attempt >= 0 &&
@@ -154,8 +155,7 @@
 {
 	int n = 0;
 
-	for (int i = 0; i < arrlen(checker->arrivals);
-	     i++) /* version 1 is nobody's newer one: any naming supersedes it */
+	for (int i = 0; i < arrlen(checker->arrivals); i++) /* any target supersedes version 1 */
 		n += version_applies(checker, &checker->arrivals[i]) &&
 		     superseded_for(checker, 1, checker->arrivals[i].started_at_ms) >
 			 checker->bounds.version_ms;
--- a/emulator/checker_service.c
+++ b/emulator/checker_service.c
@@ -1,4 +1,5 @@
-/* Rules about service as a whole: the budget of resends, recovery, own ends, fairness. */
+/* Rules about service as a whole: the budget of retries, recovery, processes that end by themselves,
+ * fairness. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/emulator/checker_state.c
+++ b/emulator/checker_state.c
@@ -1,5 +1,5 @@
-/* What the judge's rules ask of the records: who was in touch when, and what each configuration allows.
- * It keeps nothing; the rules call it. */
+/* What the checker's rules ask of the records: which machine was in contact when, and what each configuration
+ * allows. It keeps no state; the rules call it. */
 #include <string.h>
 
 #include "containers.h"
--- a/emulator/client_attempts.c
+++ b/emulator/client_attempts.c
@@ -6,8 +6,6 @@
 #include "containers.h"
 #include "clients_internal.h"
 
-/* The entry and the clients: connections go to the edges of a zone by hash; requests come as the sheet has
- * them, try again as told, and every answer is checked. */
 #include <math.h>
 
 static const struct conn_handlers on_answer;
@@ -359,7 +357,7 @@
 	struct clients *all = ctx;
 	struct client_attempt *attempt = conn_tag(conn);
 
-	if (!attempt) { /* an idle one */
+	if (!attempt) { /* an idle connection */
 		client_forget_connection(all, conn);
 		if (how == CONN_SURPLUS) {
 			struct answer_record answer = { .outcome = ANSWER_UNSOLICITED };
@@ -380,8 +378,8 @@
 	.head = on_head, .data = on_data, .complete = on_complete, .closed = on_closed
 };
 
-/* How long a connection may have rested that is taken up again: four fifths of IdleTimeoutMs, where that is
- * known. */
+/* How long a connection may have been idle that is reused: four fifths of IdleTimeoutMs, where that is known.
+ */
 static int64_t max_idle_ms(const struct run *run)
 {
 	int idle = run->config_operator ? operator_idle_timeout(run->config_operator) : 0;
--- a/emulator/client_entry.c
+++ b/emulator/client_entry.c
@@ -68,7 +68,7 @@
 			continue;
 		from = nin * 2 < nall ? all : in;
 		n = nin * 2 < nall ? nall : nin;
-		for (int k = 0; k < n; k++) { /* further tries meet other nodes */
+		for (int k = 0; k < n; k++) { /* further attempts go to other machines */
 			int m = from[(who->hash + (uint64_t)subject->attempts + (uint64_t)k) % (uint64_t)n],
 			    met = 0;
 
@@ -80,7 +80,7 @@
 		if (z == 3 || n > 1 || !subject->avoid_count)
 			return from[(who->hash + (uint64_t)subject->attempts) % (uint64_t)n];
 	}
-	for (int i = 0; i < run->machine_count; i++) /* nobody is in: whoever there is */
+	for (int i = 0; i < run->machine_count; i++) /* none is in rotation: any that is there */
 		if (!run->machines[i].is_core && !run->machines[i].removed)
 			return i;
 	return NO_MACHINE;
--- a/emulator/clients.c
+++ b/emulator/clients.c
@@ -64,7 +64,8 @@
 	client_start_attempt(subject, 0);
 }
 
-/* Straight to each edge, on what came or went lately or never was: which configuration is in force there? */
+/* Probe each edge directly, on routes that came or went lately or never were: which configuration is in force
+ * there? */
 static void probe_all(void *ctx)
 {
 	struct clients *clients = ctx;
--- a/emulator/clients_internal.h
+++ b/emulator/clients_internal.h
@@ -13,51 +13,98 @@
 	DEFAULT_IDLE_MS = 10000 /* how long a connection may rest before any configuration is known */
 };
 
+/* A connection that a client has open to a machine; idle ones wait for its next request. */
 struct pooled_conn {
 	struct conn *conn;
-	int machine, busy;
-	int64_t idle_until_ms, idle_since_ms;
+	int machine;
+	int busy;
+	int64_t idle_until_ms;
+	int64_t idle_since_ms;
 };
 
+/* A client: its zone, its tenant and its connections. */
 struct client {
-	int zone, tenant;
+	int zone;
+	int tenant;
 	uint64_t hash;
 	struct pooled_conn *connections; /* stb array */
 };
 
-struct client_request { /* what a client wants, over all its tries */
+struct client_request { /* what a client wants, over all its attempts */
 	struct clients *clients;
 	struct client *client;
-	int class_id, attempts, prompt_tokens, output_tokens, last_event_id, is_done, extra, is_probe,
-	    was_refused, avoid[4], avoid_count;
-	int64_t created_at_ms, first_event_at_ms, last_event_at_ms, longest_gap_ms, refused_after_ms;
-	double value, size;
-	char path[160], blocks_header[200], body[600], key[64], host[80];
+	int class_id;
+	int attempts;
+	int prompt_tokens;
+	int output_tokens;
+	int last_event_id;
+	int is_done;
+	int extra;
+	int is_probe;
+	int was_refused;
+	int avoid[4];
+	int avoid_count;
+	int64_t created_at_ms;
+	int64_t first_event_at_ms;
+	int64_t last_event_at_ms;
+	int64_t longest_gap_ms;
+	int64_t refused_after_ms;
+	double value;
+	double size;
+	char path[160];
+	char blocks_header[200];
+	char body[600];
+	char key[64];
+	char host[80];
 	int transit_late;
 };
 
+/* One attempt of a request, over one connection; freed when it is over. */
 struct client_attempt {
 	struct client_request *request;
 	struct clients *clients;
 	struct conn *conn;
-	int machine, is_new_connection, status, seal_run, is_own_answer, is_stream, sent, bytes, done,
-	    was_read;
-	int64_t started_at_ms, deadline_at_ms, last_received_at_ms;
-	char id[24], seal_id[40], *unparsed; /* stb array: what of a stream is not read yet */
+	int machine;
+	int is_new_connection;
+	int status;
+	int seal_run;
+	int is_own_answer;
+	int is_stream;
+	int sent;
+	int bytes;
+	int done;
+	int was_read;
+	int64_t started_at_ms;
+	int64_t deadline_at_ms;
+	int64_t last_received_at_ms;
+	/* stb array: what of a stream is not read yet */
+	char id[24];
+	char seal_id[40];
+	char *unparsed;
 	double retry_after;
-	int keep_alive, keep_alive_s;
+	int keep_alive;
+	int keep_alive_s;
 	struct stream_event *events;
 };
 
+/* All clients of a run, and the entry before the routers. */
 struct clients {
 	struct run *run;
 	struct client *client; /* stb arrays */
 	struct client_attempt **in_flight;
 	struct client_request **retrying;
-	uint64_t poll_timer, probes_timer, ready_timer, last_id;
+	uint64_t poll_timer;
+	uint64_t probes_timer;
+	uint64_t ready_timer;
+	uint64_t last_id;
 	double arrival_credit[CLASS_COUNT];
 	int64_t last_poll_at_ms;
-	int traffic_on, extra_routes, probing, long_every, closing, requests;
+	int traffic_on;
+	int extra_routes;
+	int probing;
+	int long_every;
+	int closing;
+	int requests;
 	char keys[16][64];
 };
 
@@ -78,7 +125,7 @@
 /* Figures of the second in which something happened. */
 struct second *client_second_of(struct run *run, int64_t at_ms);
 
-/* A try is over; what now? */
+/* An attempt is over: record it, and retry or finish its request. */
 void client_attempt_over(struct client_attempt *attempt, enum answer_outcome how);
 
 /* Send a request; fresh: over a new connection. Ends the request when no time is left or no router is there.
--- a/emulator/cpu_quota.c
+++ b/emulator/cpu_quota.c
@@ -1,6 +1,6 @@
 /* Slow processors without isolation: each process under test is held to a share of one processor, as a
- * scheduler with bandwidth control would hold it. What a process has used is read from its own clock; it
- * stands still (SIGSTOP) while it has used more than its share and goes on (SIGCONT) once that has grown
+ * scheduler with bandwidth control would hold it. What a process has used is read from its own clock; it is
+ * stopped (SIGSTOP) while it has used more than its share, and goes on (SIGCONT) once its share has grown
  * again. */
 #include <signal.h>
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 #include "platform_run.h"
 
 enum {
-	POLL_US = 5000,     /* how often each process is looked at */
+	POLL_US = 5000,     /* how often each process is sampled */
 	PERIOD_US = 100000, /* what is not used within a period is lost */
 	MICROSECONDS = 1000000
 };
--- a/emulator/disk_watch.c
+++ b/emulator/disk_watch.c
@@ -1,7 +1,7 @@
-/* Whether the machine's disk stood still during a run. A controller acknowledges nothing before a majority
- * has synced it, so while no file on the disk can be synced, no fleet can acknowledge anything. A thread of
- * its own overwrites one small record and syncs it, again and again; what it asks of the disk is so little
- * that only the disk itself makes it long. */
+/* Whether the machine's disk stalled during a run. A controller acknowledges nothing before a majority has
+ * synced it, so while no file on the disk can be synced, no fleet can acknowledge anything. A thread of its
+ * own overwrites one small record and syncs it, again and again; so little is written that only the disk
+ * itself can make it slow. The thread alone writes struct disk_watch until it has been joined. */
 #include <fcntl.h>
 #include <pthread.h>
 #include <stdatomic.h>
@@ -16,9 +16,12 @@
 
 struct disk_watch {
 	pthread_t thread;
-	int fd, stall_count;
+	int fd;
+	int stall_count;
 	int (*sync)(int fd);
-	int64_t start_us, stall_min_ms, max_ms;
+	int64_t start_us;
+	int64_t stall_min_ms;
+	int64_t max_ms;
 	struct disk_stall stalls[MAX_DISK_STALLS];
 	atomic_int stop;
 };
@@ -33,7 +36,7 @@
 	if (to - from > disk_watch->max_ms)
 		disk_watch->max_ms = to - from;
 	if (to - from > disk_watch->stall_min_ms &&
-	    disk_watch->stall_count < MAX_DISK_STALLS) /* what isn't noted excuses nothing */
+	    disk_watch->stall_count < MAX_DISK_STALLS) /* what is not recorded excuses nothing */
 		disk_watch->stalls[disk_watch->stall_count++] = (struct disk_stall){ from, to };
 }
 
--- a/emulator/event_loop_internal.h
+++ b/emulator/event_loop_internal.h
@@ -6,6 +6,7 @@
 
 #include "platform_emulator.h"
 
+/* A pending call. */
 struct timer {
 	int64_t due_at_us;
 	uint64_t id;
@@ -13,41 +14,62 @@
 	void *context;
 };
 
+/* What an epoll event points to: the first member of ports and connections. */
 struct fd_owner {
 	int kind; /* 1 port, 2 conn */
 };
 
+/* A listener. */
 struct port {
 	struct fd_owner owner;
 	struct loop *loop;
-	int fd, max_connections, is_silent, idle_ms, connection_count, is_closed;
+	int fd;
+	int max_connections;
+	int is_silent;
+	int idle_ms;
+	int connection_count;
+	int is_closed;
 	const struct conn_handlers *handlers;
 	void *context;
 };
 
+/* A connection: one that a listener accepted, or one that we opened (port NULL). */
 struct conn {
 	struct fd_owner owner;
 	struct loop *loop;
 	struct port *port; /* NULL: we call */
-	int fd, is_up, is_closed, awaits_answer, in_request, closing, is_silent, parsing, reset;
+	int fd;
+	int is_up;
+	int is_closed;
+	int awaits_answer;
+	int in_request;
+	int closing;
+	int is_silent;
+	int parsing;
+	int reset;
 	int64_t idle_since_us;
 	const struct conn_handlers *handlers;
-	void *context, *tag;
+	void *context;
+	void *tag;
 	http_parser parser;
 	struct http_message message;
 	int value_next; /* the parser's last piece was a field's value */
 	int is_complete;
-	char *input, *output; /* stb arrays */
+	/* stb arrays */
+	char *input;
+	char *output;
 	size_t out_offset;
 };
 
+/* A loop with its timers, listeners and connections. */
 struct loop {
 	int epoll_fd;
 	struct timer *timers; /* heap */
 	uint64_t last_timer_id;
 	struct conn **connections;
 	struct port **ports;
-	int64_t swept_at_us, max_lateness_us;
+	int64_t swept_at_us;
+	int64_t max_lateness_us;
 };
 
 /* ---- http_conn.c ---- */
--- a/emulator/fleet_internal.h
+++ b/emulator/fleet_internal.h
@@ -8,29 +8,52 @@
 
 #include "test_fleet.h"
 
+/* What a process of the test fleet is. */
 enum process_kind { PROCESS_CONTROLLER, PROCESS_ROUTER, PROCESS_SERVER, PROCESS_STORE };
 
 enum { MAX_PROCESSES = 64 };
 
+/* A process of the test fleet, and where it is found; pid 0: it does not run. */
 struct fleet_process {
 	enum process_kind kind;
-	int index, pid, frozen;
-	char name[40], advertised[40], listen_address[40], web_address[40], zone[8], data_folder[700],
-	    fault_file[700], service[32];
+	int index;
+	int pid;
+	int frozen;
+	char name[40];
+	char advertised[40];
+	char listen_address[40];
+	char web_address[40];
+	char zone[8];
+	char data_folder[700];
+	char fault_file[700];
+	char service[32];
 };
 
+/* A run of the test fleet. */
 struct test_fleet {
 	const struct run_settings *settings;
 	struct fleet_process nodes[MAX_PROCESSES];
-	int node_count, controller_count, router_count, server_count, stop;
-	char address_prefix[20], seeds[3][40];
+	int node_count;
+	int controller_count;
+	int router_count;
+	int server_count;
+	int stop;
+	char address_prefix[20];
+	char seeds[3][40];
 	struct links *links;
-	struct record *record, *probe_record;
+	struct record *record;
+	struct record *probe_record;
 	pthread_t probe_thread;
 	pthread_mutex_t mutex;
 	uint64_t rng;
-	const char *routes[3], *services[3];
-	int rate, prefill_tokens_per_ms, link_bytes_per_ms, kv_bytes_per_token, added_delay_ms, load_ms;
+	const char *routes[3];
+	const char *services[3];
+	int rate;
+	int prefill_tokens_per_ms;
+	int link_bytes_per_ms;
+	int kv_bytes_per_token;
+	int added_delay_ms;
+	int load_ms;
 	char weights[3][20];
 	struct load_clients *load_clients;
 	const char *router_addresses[16];
@@ -75,7 +98,8 @@
 
 /* ---- fleet_operations.c ---- */
 
-/* Through any controller that is up; the status of the answer, and its edition noted when acknowledged. */
+/* Change the configuration through any controller that is up. Returns the answer's status; the change is
+ * recorded, and its revision written to *revision (NULL: not wanted) if it was acknowledged. */
 int fleet_change(struct test_fleet *fleet, const char *body, int64_t *revision);
 
 /* Change the configuration; a change that is not acknowledged is recorded. */
@@ -104,7 +128,7 @@
 
 /* ---- fleet_processes.c ---- */
 
-/* Processor time so far of all counters and controllers that live, in ms. */
+/* Processor time so far of all processes of a kind that run, in ms. */
 int64_t fleet_cpu_ms(struct test_fleet *fleet, enum process_kind kind);
 
 /* Start a process again with its disk as it is. */
@@ -116,7 +140,7 @@
 /* Let each sync of a controller take so many ms longer, until its fault file is removed. */
 void fleet_slow_disk(struct fleet_process *node, int ms);
 
-/* A fault that did not bite proves nothing: the run is then undecided. */
+/* A process's log must hold this message, else the fault had no effect, and the run is undecided. */
 void fleet_require_log(struct test_fleet *fleet, struct fleet_process *node, const char *message);
 
 /* Cut all links from and to a process. */
@@ -143,19 +167,20 @@
 /* The store goes down and comes back empty; reports are lost and late. */
 void fleet_scenario_store(struct test_fleet *fleet);
 
-/* Servers whose answers are not their own, or not whole: two of them, one kind of lie after the other. */
+/* Two servers whose answers are another request's, or incomplete, by one kind of fault after the other. */
 void fleet_scenario_liars(struct test_fleet *fleet);
 
-/* Links between servers: two hundred times slower, then hanging in the middle of fetches; walls go up
- * meanwhile. */
+/* Links between servers are two hundred times slower, then hang in the middle of fetches; tenants are
+ * isolated meanwhile. */
 void fleet_scenario_links(struct test_fleet *fleet);
 
-/* Ten times the callers for a while, and servers that refuse in the middle of it. */
+/* Ten times the load for a while, and servers that refuse in the middle of it. */
 void fleet_scenario_overload(struct test_fleet *fleet);
 
 /* ---- fleet_operations.c ---- */
 
-/* One call of an operators' tool; its end must be as expected. */
+/* Call an operators' tool with arguments up to a NULL, its output into a file; an exit code other than the
+ * expected one is recorded as a failure. */
 void fleet_run_tool(struct test_fleet *fleet, int expected_code, const char *name, const char *out, ...);
 
 /* Write a small text file. */
--- a/emulator/fleet_operations.c
+++ b/emulator/fleet_operations.c
@@ -36,7 +36,7 @@
 {
 	int st = 0;
 
-	for (int round = 0; round < 60; round++) { /* 12 s: a refusal for want of a leader comes at once */
+	for (int round = 0; round < 60; round++) { /* 12 s: without a leader the refusal comes at once */
 		struct fleet_process *node =
 		    fleet_process_of(fleet, PROCESS_CONTROLLER,
 				     (int)(core_random(&fleet->rng) % (uint64_t)fleet->controller_count));
@@ -126,7 +126,8 @@
 	    i, i < 2 ? 10 : 2, isolated ? "true" : "false");
 	if (isolated)
 		fleet_must_change(fleet, b);
-	json = fleet_event("wall"); /* walled from the acknowledgement on, open from the asking on */
+	json = fleet_event(
+	    "wall"); /* isolated from the acknowledgement on, and no longer from the request to end it on */
 	json_object_object_add(json, "tenant", json_object_new_string(name));
 	json_object_object_add(json, "walled", json_object_new_int(isolated));
 	record_put(fleet->record, json);
--- a/emulator/fleet_processes.c
+++ b/emulator/fleet_processes.c
@@ -11,6 +11,7 @@
 #include <unistd.h>
 
 #include "fleet_internal.h"
+#include "program_names.h"
 
 void fleet_sleep_ms(int64_t ms)
 {
@@ -101,8 +102,13 @@
 static void node_arguments(struct test_fleet *fleet, struct fleet_process *process,
 			   struct arguments *arguments)
 {
-	snprintf(arguments->program, sizeof arguments->program, "%s/%s", fleet->settings->program_folder,
-		 process->kind == PROCESS_CONTROLLER ? "notchlug-controller" : "notchlug-router");
+	const struct run_settings *settings = fleet->settings;
+	const char *folder = settings->old_program_folder && process->index % 2 ? settings->old_program_folder
+										: settings->program_folder;
+	const struct program_names *names = program_names_in(folder);
+
+	snprintf(arguments->program, sizeof arguments->program, "%s/%s", folder,
+		 process->kind == PROCESS_CONTROLLER ? names->controller : names->router);
 	arguments->list[arguments->count++] = arguments->program;
 	add_option(arguments, "--listen", process->listen_address);
 	add_option(arguments, "--advertise", process->advertised);
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -10,8 +10,6 @@
 
 #include "fleet_internal.h"
 
-/* Scenarios: a whole fleet of real processes on loopback addresses of its own, under load, with faults.
- * The rehearsal is the one program that starts processes; it ends only those, by their ids. */
 #include <apr_strings.h>
 
 static void sc_steady(struct test_fleet *fleet)
@@ -102,7 +100,7 @@
 	fleet->controller_count++;
 	fleet_sleep_ms(14000);
 	fleet_set_tenant(fleet, 6, 1);
-	/* and then another: the group has mended itself meanwhile */
+	/* and then another: the group has replaced the lost one meanwhile */
 	node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 	fleet_note_fault(fleet, "the next owner is killed too");
 	fleet_end_process(node, SIGKILL);
@@ -198,8 +196,8 @@
 	fleet_sleep_ms(2000);
 }
 
-/* All seed machines are exchanged, one by one, for empty ones at other addresses; then a counter starts that
- * only knows new ones, and the owner dies. */
+/* All seed machines are replaced, one by one, by empty ones at other addresses; then a router starts that
+ * only knows the new ones, and the leader is killed. */
 static void sc_seeds(struct test_fleet *fleet)
 {
 	char path[800];
@@ -217,8 +215,8 @@
 		fleet_start_process(fleet, m, 0);
 		fleet->controller_count++;
 		fleet_set_tenant(fleet, 5, i & 1);
-		fleet_sleep_ms(14000); /* the groups mend themselves: six seconds until the dead one is given
-				    up, then copies */
+		fleet_sleep_ms(14000); /* the groups replace it: six seconds until the lost one is given up,
+					  then copies */
 	}
 	fleet_note_fault(fleet, "a counter starts that only knows the new seeds");
 	fleet_end_process(node, SIGKILL);
@@ -231,8 +229,8 @@
 	fleet_sleep_ms(8000);
 }
 
-/* A controller's file is torn while it is down: it is refused with a word, moved away, and the machine joins
- * as a new one. */
+/* A controller's file is torn while it is down: it refuses the file and says so; the file is moved away, and
+ * the machine joins as a new one. */
 static void sc_torn(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
@@ -269,7 +267,7 @@
 	fleet_sleep_ms(8000);
 }
 
-/* All that stands in one zone is gone at once, and stays away. */
+/* All machines of one zone are gone at once, and stay away. */
 static void sc_zone(struct test_fleet *fleet)
 {
 	fleet_note_fault(fleet, "all machines of a zone are gone");
@@ -317,7 +315,7 @@
 		pthread_create(&t[i], NULL, storm_thread, fleet);
 	for (int i = 0; i < 4; i++)
 		pthread_join(t[i], NULL);
-	for (int i = 0; i < 5; i++) { /* two operators race from the same edition */
+	for (int i = 0; i < 5; i++) { /* two operators race from the same revision */
 		int64_t e = 0;
 		char b[200];
 		int st;
@@ -363,7 +361,7 @@
 	fleet_sleep_ms(3000);
 }
 
-/* The operators' tools against a fleet: what they say by their ends. */
+/* The operators' tools against a fleet, by their exit codes. */
 static void sc_tools(struct test_fleet *fleet)
 {
 	char *at = fleet_process_of(fleet, PROCESS_CONTROLLER, 1)->web_address,
@@ -391,7 +389,7 @@
 	    json_tokener_parse("{\"set\":[{\"kind\":\"tenant\",\"name\":\"tenant-7\",\"share\":3}]}"));
 	record_put(fleet->record, json);
 	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", cell, NULL);
-	/* the sheet is of an earlier edition now, and says otherwise of tenant-7 */
+	/* the sheet is of an earlier revision now, and differs on tenant-7 */
 	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, sheet, NULL);
 	fleet_run_tool(fleet, 4, "notchlugctl", out, "--at", at, "apply", sheet, NULL);
 	fleet_write_file(
--- a/emulator/fleet_server_scenarios.c
+++ b/emulator/fleet_server_scenarios.c
@@ -43,7 +43,7 @@
 	fleet_restart_process(
 	    fleet, fleet_process_of(fleet, PROCESS_SERVER, 3)); /* comes back with the old weights */
 	fleet_sleep_ms(23000);
-	fleet_set_target_weights(fleet, 0, "w3"); /* a second one overtakes */
+	fleet_set_target_weights(fleet, 0, "w3"); /* a second target overtakes the first */
 	fleet_sleep_ms(1000);
 	fleet_set_target_weights(fleet, 0, "w4");
 	fleet_sleep_ms(26000);
--- a/emulator/histogram.c
+++ b/emulator/histogram.c
@@ -1,4 +1,4 @@
-/* A histogram of durations with buckets that widen: counts in, quantiles out. */
+/* Histogram of durations: values up to 127 have a bucket each; beyond, each power of two has 64. */
 #include "platform_emulator.h"
 
 static int bucket(int64_t value)
--- a/emulator/http_conn.c
+++ b/emulator/http_conn.c
@@ -15,7 +15,6 @@
 #include "containers.h"
 #include "event_loop_internal.h"
 
-/* One loop: timers, listeners and HTTP connections both ways, read with http-parser. */
 #include <arpa/inet.h>
 
 static int parse_address(const char *addr, struct sockaddr_in *socket_address)
@@ -266,7 +265,7 @@
 		}
 	}
 	if (eof && !conn->is_closed && conn->port && conn->in_request)
-		conn_lost(conn, CONN_CLOSED); /* its caller left */
+		conn_lost(conn, CONN_CLOSED); /* its caller disconnected */
 	conn->parsing = 0;
 }
 
@@ -302,7 +301,7 @@
 
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			break;
-		if (n < 0) { /* never from within: whoever sends hears of it from the loop */
+		if (n < 0) { /* handlers are not called from within a write: the loop reports it */
 			conn->reset |= errno == ECONNRESET;
 			shutdown(conn->fd, SHUT_RDWR);
 			conn->out_offset = arrlenu(conn->output);
--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -6,7 +6,8 @@
 #include "platform_emulator.h"
 
 struct listed_server {
-	int is_listed, version;
+	int is_listed;
+	int version;
 	enum server_state state;
 	char instance[32];
 	int64_t removed_at;
@@ -79,8 +80,8 @@
 	snprintf(change->listing.instance, sizeof change->listing.instance, "%s", server->instance);
 	lag = list->settings.lag_ms * (0.3 + 0.7 * emulator_random_unit(&list->fleet->rng));
 	if (server->state == STATE_DOWN && was == STATE_UP)
-		lag += CRASHED_STAYS_MS;                             /* nobody has told the list */
-	for (int i = arrlen(list->pending_changes) - 1; i >= 0; i--) /* what comes later is shown later */
+		lag += CRASHED_STAYS_MS; /* the list learns of a crash by a time-out alone */
+	for (int i = arrlen(list->pending_changes) - 1; i >= 0; i--) /* what changes later shows later */
 		if (list->pending_changes[i]->server == server && server->state != STATE_DOWN) {
 			loop_cancel(list->fleet->loop, list->pending_changes[i]->timer);
 			free(list->pending_changes[i]);
--- a/emulator/linear.c
+++ b/emulator/linear.c
@@ -10,7 +10,8 @@
 
 /* What the register holds after some order of operations. */
 struct register_state {
-	uint64_t version, value;
+	uint64_t version;
+	uint64_t value;
 };
 
 /* A request or an answer, in a list by time. Both are taken out while their operation is ordered. */
@@ -18,7 +19,8 @@
 	size_t op;
 	int is_answer;
 	int64_t at;
-	struct event *previous, *next;
+	struct event *previous;
+	struct event *next;
 };
 
 /* A configuration that was visited: the set of ordered operations follows as a bitmap. */
@@ -36,17 +38,22 @@
 
 struct search {
 	const struct linear_op *ops;
-	size_t operation_count, bitmap_length, open; /* open: answered operations that are not ordered yet */
-	struct event *events;                        /* 0: the list's head; then two for each operation */
-	struct event **answer;                       /* by operation; NULL if the outcome is unknown */
-	uint64_t *ordered;                           /* bitmap */
+	/* open: answered operations that are not ordered yet */
+	size_t operation_count;
+	size_t bitmap_length;
+	size_t open;
+	struct event *events;  /* 0: the list's head; then two for each operation */
+	struct event **answer; /* by operation; NULL if the outcome is unknown */
+	uint64_t *ordered;     /* bitmap */
 	struct register_state state;
 	struct step *steps; /* stb_ds */
 	struct {
 		uint64_t key;
 		struct configuration *value;
-	} * visited;           /* stb_ds, by hash */
-	size_t longest, stuck; /* the longest order found; the operation whose answer ended it */
+	} * visited; /* stb_ds, by hash */
+	/* the longest order found; the operation whose answer ended it */
+	size_t longest;
+	size_t stuck;
 };
 
 void linear_print(const struct linear_op *operation, char *to, size_t size)
--- a/emulator/linear.h
+++ b/emulator/linear.h
@@ -1,4 +1,4 @@
-/* linear: a linearizability checker for histories of one versioned register.
+/* A linearizability checker for histories of one versioned register.
  *
  * The register holds a value under a version number. Clients read it, or replace it by a compare-and-set that
  * names the version it builds on. A history lists every operation with the time of its first request and of
@@ -15,28 +15,32 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* What an operation does. */
 enum linear_kind { LINEAR_READ, LINEAR_WRITE };
 
+/* How an operation ended for its client. */
 enum linear_outcome {
 	LINEAR_OK,      /* acknowledged, or read */
 	LINEAR_REFUSED, /* a clear answer that it has not taken effect and never will */
 	LINEAR_UNKNOWN  /* no clear answer: it may take effect at any time after its request, or never */
 };
 
+/* What a history is found to be. */
 enum linear_result { LINEAR_SATISFIED, LINEAR_BROKEN, LINEAR_UNDECIDED };
 
 /* As a write's base: it replaces whatever version is there. As a write's version: nobody has learnt which one
  * it made. */
 #define LINEAR_ANY UINT64_MAX
 
+/* An operation; times are of any clock that all of a history share. */
 struct linear_op {
 	enum linear_kind kind;
 	enum linear_outcome outcome;
-	int64_t called_at, returned_at; /* the first request, the final answer; returned has no meaning if the
-					   outcome is unknown */
-	uint64_t base_version;          /* a write: the version it builds on */
-	uint64_t version;               /* a write: the version it makes; a read: the version it returned */
-	uint64_t value;                 /* of the content, unlike for unlike content */
+	int64_t called_at;     /* the first request */
+	int64_t returned_at;   /* the final answer; no meaning if the outcome is unknown */
+	uint64_t base_version; /* a write: the version it builds on */
+	uint64_t version;      /* a write: the version it makes; a read: the version it returned */
+	uint64_t value;        /* of the content, unlike for unlike content */
 };
 
 /* The search ends undecided after so many steps. */
@@ -44,7 +48,7 @@
 
 /* Check a history of n operations on a register that holds version 0 and value 0 at first. If it is broken,
  * why names the operation that fits nowhere behind the longest order that was found. Example: if
- * (linear_check(ops, n, why, sizeof why) != LINEAR_HOLDS) fail_msg("%s", why); */
+ * (linear_check(ops, n, why, sizeof why) != LINEAR_SATISFIED) fail_msg("%s", why); */
 enum linear_result linear_check(const struct linear_op *ops, size_t n, char *why, size_t why_size);
 
 /* One operation as text, for messages. Example: linear_print(&op, buf, sizeof buf); */
--- a/emulator/links.c
+++ b/emulator/links.c
@@ -1,4 +1,6 @@
-/* Links: each peer is advertised at its link, which passes frames on by rule. */
+/* Links between peers: each node is advertised at the address of its link, which passes frames on to where
+ * the node listens, delayed or cut by rules. The mutex guards the rules; links are added before the nodes
+ * start. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/in.h>
@@ -13,18 +15,23 @@
 #include "test_fleet.h"
 
 struct rule {
-	uint64_t from, to;
-	int cut, delay;
+	uint64_t from;
+	uint64_t to;
+	int cut;
+	int delay;
 };
 struct link {
 	struct links *links;
-	uint64_t at, real;
+	uint64_t at;
+	uint64_t real;
 	int fd;
 };
 struct links {
 	pthread_mutex_t mutex;
 	struct rule rules[64];
-	int rule_count, stop, link_count;
+	int rule_count;
+	int stop;
+	int link_count;
 	struct link entries[64];
 };
 struct link_connection {
@@ -72,7 +79,7 @@
 	return cut;
 }
 
-/* A frame on its way: links delay each one by itself, however many are on their way at once. */
+/* A frame that is delayed: each one by itself, however many are under way at once. */
 struct delayed_frame {
 	int64_t due_at_ms;
 	size_t length;
--- a/emulator/load_clients.c
+++ b/emulator/load_clients.c
@@ -1,6 +1,7 @@
-/* Callers: they ask at a steady rate, read every piece, and record what they were told.
- * What was refused is asked again under the same id elsewhere, now and then; so is what ended unknown:
- * the fleet must refuse that second asking or run it only if it never ran. */
+/* Clients of the test fleet: threads that send requests at a steady rate, read every piece, and record the
+ * answers. What was refused or ended unclear is sent again under the same id to another router, now and then:
+ * the fleet must refuse the second one, or run it only if the first never ran. The mutex guards next_request.
+ */
 #include <apr_thread_proc.h>
 #include <curl/curl.h>
 #include <stdlib.h>
@@ -22,11 +23,18 @@
 
 struct answer_reader {
 	const char *id;
-	char line[4096], send_id[80], piece_send_id[80]; /* mark: the run that the pieces say they are of */
+	/* the run that the pieces say they are of */
+	char line[4096];
+	char send_id[80];
+	char piece_send_id[80];
 	size_t line_length;
-	int next_piece, end_count, bad, pieces;
+	int next_piece;
+	int end_count;
+	int bad;
+	int pieces;
 	int64_t last_piece_at_ms;
-	char error[200], outcome[32];
+	char error[200];
+	char outcome[32];
 };
 
 static void read_answer_line(struct answer_reader *reading)
@@ -90,7 +98,7 @@
 	       (depth ? (uint64_t)tenant * 31 + pick : 0);
 }
 
-/* A part's text: the same words for the same seed. */
+/* A block's text: the same words for the same seed. */
 static void block_text(char *to, size_t n, uint64_t seed)
 {
 	static const char *const w[] = { "register ", "parcel ",  "lineage ", "certificate ",
@@ -251,7 +259,7 @@
 		tenant = core_random(&rng) % 2
 			     ? (int)(core_random(&rng) % 2)
 			     : (int)(core_random(&rng) %
-				     (uint64_t)clients->settings.tenant_count); /* a few large ones */
+				     (uint64_t)clients->settings.tenant_count); /* a few tenants are large */
 		route = (int)(core_random(&rng) % (uint64_t)clients->settings.route_count);
 		snprintf(id, sizeof id, "x%llu-%llu", (unsigned long long)clients->settings.seed,
 			 (unsigned long long)k);
--- a/emulator/machines.c
+++ b/emulator/machines.c
@@ -1,5 +1,6 @@
 /* The machines under test: each a process with a settings file of its own at an address of its own. The
- * rehearsal is the one program that starts processes; it ends only those, by their ids. */
+ * emulator is the one program that starts processes; it ends only those, by their ids. Every start and end
+ * goes to the checker. */
 #include <dirent.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -13,6 +14,7 @@
 
 #include "containers.h"
 #include "platform_run.h"
+#include "program_names.h"
 
 enum {
 	FRONT_PORT = 8689,
@@ -54,10 +56,16 @@
 	snprintf(machine->control_address, sizeof machine->control_address, "%s.%d:%d", base,
 		 10 + machine->index, CONTROL_PORT);
 	machine->in_rotation = !core;
+	machine->runs_old = run->old_program_folder[0] && (run->all_start_old || machine->index % 2);
 	mkdir(machine->folder, 0700);
 	return machine;
 }
 
+static const char *program_folder(const struct machine *machine)
+{
+	return machine->runs_old ? machine->run->old_program_folder : machine->run->program_folder;
+}
+
 static const char *yes_no(int value)
 {
 	return value ? "true" : "false";
@@ -66,13 +74,15 @@
 static void write_identity(FILE *out, const struct machine *machine)
 {
 	const struct run *run = machine->run;
+	const struct program_names *names = program_names_in(program_folder(machine));
 	int seeds = 0;
 
 	fprintf(
 	    out,
 	    "NodeName = \"%s\"\nRole = \"%s\"\nMachineClass = \"%s\"\nServedRoles = [\"%s\"]\nIpAddress = \"%s\"\nZone = \"%s\"\nRegion = \"%s\"\n",
-	    machine->name, machine->is_core ? "controller" : "router", machine->is_core ? "core" : "edge",
-	    machine->is_core ? "control" : "edge", machine->ip, machine->zone, run->sheet->region);
+	    machine->name, machine->is_core ? names->controller_role : names->router_role,
+	    machine->is_core ? "core" : "edge", machine->is_core ? "control" : "edge", machine->ip,
+	    machine->zone, run->sheet->region);
 	fprintf(out, "InternalPorts = [%d,%d]\nSeedNodes = [", INTERNAL_PORT_FIRST, INTERNAL_PORT_LAST);
 	for (int i = 0; i < run->machine_count && seeds < 3; i++)
 		if (run->machines[i].is_core && run->machines[i].is_listed)
@@ -161,11 +171,12 @@
 	char *argv[] = { bin, "--platform", NULL };
 	char *env[] = { conf, "PATH=/usr/bin:/bin", home, "LANG=C.UTF-8", NULL, NULL };
 	const char *san = getenv("ASAN_OPTIONS");
+	const struct program_names *names;
 	char pass[300];
 	int pid, fd;
 
 	if (machine->pid && machine->is_killed)
-		machine->start_when_dead = 1; /* once the old one is quite gone */
+		machine->start_when_dead = 1; /* once the killed one is gone */
 	if (machine->pid || machine->removed)
 		return;
 	machine->start_when_dead = 0;
@@ -173,8 +184,9 @@
 	machine->start_count++;
 	machine->draining = machine->is_frozen = 0;
 	machine->quota_remaining_us = machine->quota_used_us = machine->is_throttled = 0;
-	snprintf(bin, sizeof bin, "%s/%s", run->program_folder,
-		 machine->is_core ? "notchlug-controller" : "notchlug-router");
+	names = program_names_in(program_folder(machine));
+	snprintf(bin, sizeof bin, "%s/%s", program_folder(machine),
+		 machine->is_core ? names->controller : names->router);
 	snprintf(conf, sizeof conf, "NOTCHLUG_CONFIG=%s/boot.toml", machine->folder);
 	snprintf(home, sizeof home, "HOME=%s", machine->folder);
 	snprintf(log, sizeof log, "%s/%s.log", run->folder, machine->name);
--- a/emulator/main.c
+++ b/emulator/main.c
@@ -1,4 +1,4 @@
-/* rehearsal: runs a local fleet, stand-ins and faults, and judges what happened. */
+/* notchlug-emulator: runs a local fleet with emulated surroundings and faults, and judges what happened. */
 #include <apr_general.h>
 #include <argtable2.h>
 #include <curl/curl.h>
@@ -17,6 +17,7 @@
 	fprintf(
 	    out,
 	    "Usage: notchlug-emulator run NAME [--seed N] [--deployment warisan|rumah-teduh] [--small] [--untimed] [--folder F]\n"
+	    "                                  [--old-build DIR]\n"
 	    "       notchlug-emulator up [--small] [--folder F]        a fleet to try things on\n"
 	    "       notchlug-emulator check FOLDER                     judge the records of a run\n"
 	    "       notchlug-emulator list                             the scenarios\n"
@@ -32,12 +33,14 @@
 	struct arg_str *seed = arg_str0(NULL, "seed", "N", "a whole number"),
 		       *dep = arg_str0(NULL, "deployment", "NAME", "whose shape");
 	struct arg_str *folder = arg_str0(NULL, "folder", "F", "where records go; must not exist");
+	struct arg_str *old_build =
+	    arg_str0(NULL, "old-build", "DIR", "programs of an older build, for every other node");
 	struct arg_lit *small = arg_lit0(NULL, "small", "3 counters and 6 servers instead of 9 and 18");
 	struct arg_lit *untimed =
 	    arg_lit0(NULL, "untimed", "do not judge bounds in seconds: the machine's speed is not known");
 	struct arg_end *end = arg_end(5);
-	void *with[] = { name, seed, dep, folder, small, untimed, end },
-	     *without[] = { seed, dep, folder, small, untimed, end };
+	void *with[] = { name, seed, dep, folder, old_build, small, untimed, end },
+	     *without[] = { seed, dep, folder, old_build, small, untimed, end };
 	struct run_settings s;
 	char self[600], *stop = "";
 	ssize_t n;
@@ -53,6 +56,7 @@
 	s.name = fixed ? fixed : name->sval[0];
 	s.seed = seed->count ? strtoull(seed->sval[0], &stop, 10) : 1;
 	s.deployment = dep->count ? dep->sval[0] : "warisan";
+	s.old_program_folder = old_build->count ? old_build->sval[0] : NULL;
 	s.small = small->count;
 	s.untimed = untimed->count;
 	if (*stop || !s.seed) {
--- a/emulator/model_server.c
+++ b/emulator/model_server.c
@@ -1,5 +1,6 @@
-/* Model servers and the store: their lives, from the start over drains, freezes and crashes to the end. The
- * other files of the name hold what a server keeps, its batch, and what it is asked. */
+/* Model servers and the store: their incarnations, from the start over drains, silence and crashes to the
+ * end. model_server_cache has their blocks, _batch their steps, _answers what goes out, _http what comes in.
+ */
 #include <stdlib.h>
 #include <string.h>
 
--- a/emulator/model_server_answers.c
+++ b/emulator/model_server_answers.c
@@ -1,5 +1,5 @@
 /* Answers of a model server: header fields, events of a stream, rejections, surplus bytes after an answer,
- * and the end of a work. Every end is told to the checker. */
+ * and the end of a work. Every end is recorded with the checker. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -201,7 +201,7 @@
 			conn_finish_response(conn, !close);
 	}
 	if (surplus && !lost && !close &&
-	    !server->surplus_timer) { /* bytes behind a whole answer, at once or a little later */
+	    !server->surplus_timer) { /* bytes behind a complete answer, at once or a little later */
 		snprintf(server->surplus_id, sizeof server->surplus_id, "%s", id);
 		server->surplus_conn = conn;
 		if (emulator_random_unit(&server->fleet->rng) < 0.5) {
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -6,8 +6,6 @@
 #include "containers.h"
 #include "model_server_internal.h"
 
-/* A model server's batch: works wait, move, are read and written by steps; loads of weights; what goes out to
- * callers. Requests put works in; a timer makes the steps. */
 #include <stdlib.h>
 
 static void on_step(void *ctx);
@@ -20,7 +18,7 @@
 	}
 }
 
-/* A part serves a request: after a clearing it is one that was read since. */
+/* Count a block's use after a purge: it must have been read since. */
 static void count_block_use(struct server_fleet *settings, const struct prompt_block *block)
 {
 	if (!settings->purge_due_at_us || loop_us() < settings->purge_due_at_us)
@@ -31,7 +29,7 @@
 		settings->new_blocks_used++;
 }
 
-/* The work uses a block of this maker and version: the checker is told when it starts. */
+/* The work uses a block of this tenant and version; it is recorded when the work starts. */
 static void note_reuse(struct work *work, int version, const char *tenant)
 {
 	struct reused_block record;
@@ -164,7 +162,7 @@
 		work->remaining_tokens = 1;
 }
 
-/* Out of the batch again, in the middle of its stream too. */
+/* Put a work back into the queue, even in the middle of its stream. */
 static void preempt(struct work *work)
 {
 	struct server *server = work->server;
@@ -218,7 +216,7 @@
 	}
 }
 
-/* The prompt is read: what is new is kept from now on, and goes to the store if that is wanted. */
+/* The prompt is read: new blocks are cached, and offloaded to the store if the request names one. */
 static void prefill_done(struct work *work)
 {
 	struct server *server = work->server, *to = NULL;
@@ -489,7 +487,8 @@
 		return;
 	server->next_step_at_us += ms_us(step_duration_ms(server, read));
 	if (server->next_step_at_us < loop_us() - ms_us(20))
-		server->next_step_at_us = loop_us() - ms_us(20); /* a late process does not hurry for ever */
+		server->next_step_at_us =
+		    loop_us() - ms_us(20); /* a late process does not catch up without end */
 	server->step_timer = loop_after(
 	    server->fleet->loop,
 	    server->next_step_at_us > loop_us() ? server->next_step_at_us - loop_us() : 0, on_step, server);
--- a/emulator/model_server_cache.c
+++ b/emulator/model_server_cache.c
@@ -1,6 +1,5 @@
-/* What a model server or the store keeps: prompt parts by salt and id, their room, and the events that tell
- * of them. The batch and the requests call it. Always: what runs and what is kept fit into the server's room.
- */
+/* Cached blocks of a model server or the store, by salt and id, and the events that report them. The batch
+ * and the requests call it. Always: what runs and what is cached fit into the server's KV capacity. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -86,7 +85,8 @@
 			return 0;
 		cut = (int)((over + server->fleet->engine.block_tokens - 1) /
 			    server->fleet->engine.block_tokens *
-			    server->fleet->engine.block_tokens); /* memory goes by blocks, from the end */
+			    server->fleet->engine
+				.block_tokens); /* memory is freed in units of blocks, from the end */
 		if (cut > server->blocks[k].tokens)
 			cut = server->blocks[k].tokens;
 		server->blocks[k].tokens -= cut;
--- a/emulator/model_server_http.c
+++ b/emulator/model_server_http.c
@@ -1,5 +1,5 @@
-/* What a model server is asked: runs, health, reports, orders, events of kept parts, and connections that go.
- */
+/* HTTP calls of a model server: requests, health, reports, load commands, cache events, and connections that
+ * close. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -408,7 +408,7 @@
 static int visible(const struct server *server, int64_t since)
 {
 	if (since > server->last_event)
-		return 1; /* from another life */
+		return 1; /* of an earlier incarnation */
 	for (int i = arrlen(server->events) - 1; i >= 0 && server->events[i].number > since; i--)
 		if (server->events[i].visible_at_us <= loop_us())
 			return 1;
@@ -520,7 +520,7 @@
 		run_request(server, conn, message);
 }
 
-/* Most drop a request when its connection closes; some go on. */
+/* The caller of a work has disconnected. Most works end then; some go on without an answer. */
 static void caller_disconnected(struct work *work)
 {
 	if (emulator_random_unit(&work->server->fleet->rng) >= work->server->fault.stubborn) {
--- a/emulator/model_server_internal.h
+++ b/emulator/model_server_internal.h
@@ -1,82 +1,116 @@
 /* What the files of a model server share. A work is one request from its arrival to its end; it stands in the
- * server's wait or run, never in both. */
+ * server's queue or batch, never in both. */
 #ifndef NL_MODEL_SERVER_INTERNAL_H
 #define NL_MODEL_SERVER_INTERNAL_H
 
 #include "platform_emulator.h"
 
+/* A cache event: a block was cached (+) or shrank to so many tokens (-). */
 struct kv_event {
-	int64_t number, visible_at_us;
-	char sign, salt[48], id[24];
+	int64_t number;
+	int64_t visible_at_us;
+	char sign;
+	char salt[48];
+	char id[24];
 	int tokens;
 };
+/* A call that waits for cache events behind a number, until a time. */
 struct watcher {
 	struct conn *conn;
-	int64_t since, until;
+	int64_t since;
+	int64_t until;
 };
+/* A block of a request's prompt; is_hit: the work holds a reference to the cached one. */
 struct requested_block {
 	char id[24];
-	int tokens, is_hit;
+	int tokens;
+	int is_hit;
 };
+/* What a work waits for. */
 enum work_state { WORK_QUEUED, WORK_FETCHING, WORK_PREFILL, WORK_DECODE };
+/* One request at a server, from its arrival to its end. */
 struct work {
 	struct server *server;
 	struct conn *conn;
-	int run_id, priority, prompt_tokens, output_tokens, remaining_tokens, generated_tokens, has_started,
-	    sent_id, last_id, step_read, head_sent, version, announced_version, is_plain;
-	int break_at, lose_answer, grey, garbage, surplus, close;
-	int64_t queued_at_us, deadline_us, transfer_done_at_us;
+	int run_id;
+	int priority;
+	int prompt_tokens;
+	int output_tokens;
+	int remaining_tokens;
+	int generated_tokens;
+	int has_started;
+	int sent_id;
+	int last_id;
+	int step_read;
+	int head_sent;
+	int version;
+	int announced_version;
+	int is_plain;
+	int break_at;
+	int lose_answer;
+	int grey;
+	int garbage;
+	int surplus;
+	int close;
+	int64_t queued_at_us;
+	int64_t deadline_us;
+	int64_t transfer_done_at_us;
 	enum work_state state;
-	char id[64], salt[48], tenant[48], offload_target[40], source[40];
-	uint64_t seed, body;
+	char id[64];
+	char salt[48];
+	char tenant[48];
+	char offload_target[40];
+	char source[40];
+	uint64_t seed;
+	uint64_t body;
 	struct requested_block *blocks; /* stb arrays */
 	struct reused_block *used_blocks;
 	char **names;
 };
 
-/* New weights are being loaded, or are about to be. */
+/* Whether new weights are being loaded, or are about to be. */
 static inline int is_loading_weights(const struct server *server)
 {
 	return server->loading_to != 0;
 }
 
-/* stand_server_cache */
-/* A kept part by salt and id, or NULL. */
+/* ---- model_server_cache.c ---- */
+/* A cached block by salt and id, or NULL. */
 struct prompt_block *find_block(struct server *server, const char *salt, const char *id);
-/* Tokens held by what runs and by the parts it uses. */
+/* Tokens of what runs and of the blocks that it uses. */
 int64_t used_tokens(const struct server *server);
-/* Tokens that fit in all. */
+/* Tokens that fit in all: the KV capacity. */
 int64_t kv_capacity(const struct server *server);
-/* Let go of the longest unused until so many tokens more fit; 0 when they never will. */
+/* Evict the least recently used blocks until so many tokens more fit; 0 when they never will. */
 int reserve_capacity(struct server *server, int64_t need);
-/* Keep a part, or renew one that is kept; room must have been made. */
+/* Cache a block, or renew one; capacity must have been reserved. The pointer holds until the next call. */
 struct prompt_block *store_block(struct server *server, const char *salt, const char *id, int tokens,
 				 int version, const char *tenant);
-/* Drop all kept parts; tell: with an event each. */
+/* Drop all blocks; emit_events: with an event each. */
 void drop_all_blocks(struct server *server, int emit_events);
 
-/* stand_server_batch */
-/* End a work; how is as judge_ran has it. The connection is the caller's to end. */
+/* ---- model_server_batch.c, model_server_answers.c ---- */
+/* End a work and free it; how is as checker_record_end has it. The connection is the caller's to end. */
 void work_end(struct work *work, int how, int status);
 /* The header fields that every answer of this server bears, for a request id or NULL. */
 void response_fields(struct server *server, const char *id, char *buffer, size_t n);
-/* Whether the connection stays open behind this answer. */
+/* Whether the connection stays open behind this answer, drawn by the server's fault. */
 int keeps_connection(struct server *server);
 /* Answer that this request was not executed. */
 void reject_request(struct server *server, struct conn *conn, int run, const char *id, int status);
-/* Send bytes behind an answer that was whole. */
+/* Send bytes behind an answer that was complete. */
 void send_surplus(struct server *server);
 /* Begin steps again after the batch was empty. */
 void resume_steps(struct server *server);
 
-/* stand_server_http */
-/* Take the figures that the next reports show; a timer calls it. */
+/* ---- model_server_http.c ---- */
+/* Sample the figures that later reports show; a timer calls it. */
 void sample_report(void *ctx);
-/* Answer those who wait for events that can be seen by now. */
+/* Answer watchers of cache events that show by now, or whose time is over; a timer calls it. */
 void answer_watchers(void *ctx);
-/* A whole request has arrived. */
+/* Handler: a complete request has arrived. */
 void model_server_on_request(void *ctx, struct conn *conn, struct http_message *message);
-/* A connection is gone: its work ends, or goes on unheard. */
+/* Handler: a connection has closed; its work ends, or goes on without an answer. */
 void model_server_on_closed(void *ctx, struct conn *conn, enum conn_end how);
 
 /* ---- model_server_answers.c ---- */
@@ -90,7 +124,7 @@
 /* Answer that a work was not executed, and end it. */
 void work_reject(struct work *work, int status);
 
-/* 0: the work is over */
+/* Send the next event of a work's stream; 0: the work is over. */
 int work_send_event(struct work *work);
 
 /* The answer is complete: end the work, with the faults that were drawn for it. */
--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -6,13 +6,11 @@
 #include "containers.h"
 #include "operator_internal.h"
 
-/* The operator: sends configurations and names weights as the pages tell, races, errs, and reads back at the
- * end. */
 #include <stdlib.h>
 
 enum {
 	LOST_AFTER_MS = 30, /* a connection whose answer is lost is closed by then */
-	MAX_LOST = 3        /* answers to one naming: what is acknowledged can still be so within AckMs */
+	MAX_LOST = 3        /* to one target: what is acknowledged can still be so within AckMs */
 };
 
 static void send_attempt(void *ctx);
@@ -296,8 +294,9 @@
 
 void operator_change(struct config_operator *config_operator, enum change what, int modify)
 {
-	struct queued_change queued = { what,
-					modify }; /* made when its turn comes, on top of what stands then */
+	struct queued_change queued = {
+		what, modify
+	}; /* made when its turn comes, on top of what is current then */
 
 	arrput(config_operator->queue, queued);
 	send_next(config_operator);
@@ -415,7 +414,6 @@
 	return config_operator;
 }
 
-/* What is under way ends by itself within its second. */
 void operator_close(struct config_operator *config_operator)
 {
 	int64_t until = run_ms(config_operator->run) + 5000;
--- a/emulator/operator_internal.h
+++ b/emulator/operator_internal.h
@@ -5,37 +5,64 @@
 
 #include "platform_run.h"
 
+/* A change that waits for its turn. */
 struct queued_change {
 	enum change what;
 	int modify;
 };
 
+/* What a submission is about. */
 enum submission_kind { SUBMIT_CONFIG, SUBMIT_WEIGHTS, SUBMIT_READ };
 
+/* One call with all its attempts. */
 struct submission {
 	struct config_operator *config_operator;
 	enum submission_kind what;
-	int config_index, redirects, attempts, other_errors, is_unclear, is_unqueued, weights, is_lost,
-	    loss_count;
-	int64_t base_version, version, started_at_ms, read_from;
-	char *body, *path, fields[120], address[64];
+	int config_index;
+	int redirects;
+	int attempts;
+	int other_errors;
+	int is_unclear;
+	int is_unqueued;
+	int weights;
+	int is_lost;
+	int loss_count;
+	int64_t base_version;
+	int64_t version;
+	int64_t started_at_ms;
+	int64_t read_from;
+	char *body;
+	char *path;
+	char fields[120];
+	char address[64];
 	struct json_object *document; /* what stands once it is taken; NULL: nothing valid */
-	char added[96], removed[96];
+	char added[96];
+	char removed[96];
 	double pause_ms;
 };
 
+/* The operator: the current configuration, and what is under way. */
 struct config_operator {
 	struct run *run;
 	struct json_object *current; /* acknowledged */
-	int64_t version, next_version;
+	int64_t version;
+	int64_t next_version;
 	struct submission **in_flight; /* stb arrays */
 	struct queued_change *queue;
-	int acked_count, keys, routes, weights_acked, read_done, closed;
-	char added[96], removed[96];
+	int acked_count;
+	int keys;
+	int routes;
+	int weights_acked;
+	int read_done;
+	int closed;
+	char added[96];
+	char removed[96];
 	int splits;
-	uint64_t rng, change_index; /* what it changes; which of the planned changes comes next */
-	double loss_ratio;          /* the share of answers to namings that are lost on their way */
-	char leader[64];            /* who acknowledged last */
+	/* what it changes; which of the planned changes comes next */
+	uint64_t rng;
+	uint64_t change_index;
+	double loss_ratio; /* share of answers to target submissions that are lost */
+	char leader[64];   /* who acknowledged last */
 };
 
 /* ---- operator_documents.c ---- */
@@ -48,7 +75,8 @@
 /* Send a submission for the first time; it frees itself when it is over. */
 void operator_send(struct submission *submission);
 
-/* The whole configuration goes out, or what differs; invalid: known to be so. */
+/* A submission of a configuration, in full or as what differs; invalid: it is known to be. NULL full: it
+ * cannot be parsed. */
 struct submission *operator_config_submission(struct config_operator *config_operator,
 					      struct json_object *full, const char *text, const char *path,
 					      int64_t base, int invalid);
@@ -58,7 +86,8 @@
 /* The first configuration; the caller owns it. */
 struct json_object *operator_first_config(struct config_operator *config_operator);
 
-/* Changes a copy of what stands; the items touched go to up, the names removed to gone. */
+/* Make a change of the current configuration, as a submission in *out. Returns the changed configuration; the
+ * caller owns it. */
 struct json_object *operator_make_change(struct config_operator *config_operator, enum change what,
 					 struct submission **out, int modify);
 
--- a/emulator/parsed_config.c
+++ b/emulator/parsed_config.c
@@ -1,4 +1,4 @@
-/* Configurations as the pages write them, and when they are invalid. */
+/* Parser of configurations, and the reasons for which one is invalid. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/emulator/planned_changes.c
+++ b/emulator/planned_changes.c
@@ -1,5 +1,6 @@
-/* Changes of a configuration that a planned day is full of, beyond those that stand_operator makes itself.
- * Each one turns a whole configuration into the next one and names what it touched, for a call to modify. */
+/* Changes of a configuration that a planned day is full of, beyond those that operator_documents makes
+ * itself. Each one turns a full configuration into the next one and lists what it touched, for a call to
+ * modify. */
 #include <json-c/json.h>
 #include <string.h>
 
@@ -31,7 +32,7 @@
 	json_object_object_add(upsert, list, items);
 }
 
-/* Take all items whose name begins so out of a list; their names go into the list of what is removed. */
+/* Remove all items whose name begins so from a list; their names go into the list of what is removed. */
 static void remove_entry(struct json_object *config, struct json_object *removed, const char *list_name,
 			 const char *prefix)
 {
--- a/emulator/planned_day.c
+++ b/emulator/planned_day.c
@@ -1,7 +1,6 @@
 /* A long day of planned work and nothing else: configurations change without a pause, machines are stopped in
- * turn and come back or are replaced, all are told to read their settings again, servers are released and new
- * weights are named. What is done, in which order, follows from the seed; only the moments follow the clock.
- */
+ * turn and come back or are replaced, all are sent SIGHUP, servers are released and weights get new targets.
+ * What is done, in which order, follows from the seed; only the moments follow the clock. */
 #include <stdio.h>
 #include <string.h>
 
@@ -32,19 +31,28 @@
 /* Machines of one kind, stopped one after another. */
 struct roll {
 	enum roll_state state;
-	int core, next_index;
-	int64_t next_at_ms;      /* what comes next, comes then */
+	int core;
+	int next_index;
+	int64_t next_at_ms;      /* of the next step */
 	struct machine *machine; /* the one that is stopped */
 	int64_t listed_at;       /* the list of core machines shows what is below from then on */
-	struct machine *unlisted, *newly_listed;
+	struct machine *unlisted;
+	struct machine *newly_listed;
 };
 
 struct day {
 	struct run *run;
 	uint64_t rng;
-	int changes, released, weights, new_servers;
-	int64_t next_change, next_reload, next_release, next_weights;
-	struct roll routers, core;
+	int changes;
+	int released;
+	int weights;
+	int new_servers;
+	int64_t next_change;
+	int64_t next_reload;
+	int64_t next_release;
+	int64_t next_weights;
+	struct roll routers;
+	struct roll core;
 };
 
 static int64_t up_to(struct day *day, int64_t most)
@@ -84,7 +92,7 @@
 	return zone;
 }
 
-/* The next machine in turn that is not gone and serves; NULL: not now. */
+/* The next machine in turn that is not removed and serves; NULL: not now. */
 static struct machine *next_machine(struct run *run, const struct roll *roll)
 {
 	int present = 0, wanted;
@@ -124,7 +132,7 @@
 	roll->state = ROLL_STOPS;
 }
 
-/* A new machine in the place of one that is gone. Callers of the core learn of it when SeedLagS is over. */
+/* A new machine in the place of a removed one. Callers of the core learn of it when SeedLagS is over. */
 static struct machine *successor(struct run *run, struct roll *roll)
 {
 	struct machine *machine = machine_add(run, roll->core, zone_number(run, roll->machine));
@@ -216,7 +224,7 @@
 	return NULL;
 }
 
-/* A server drains and ends; another has come up at a new address before it. */
+/* A server drains and ends; another one has come up at a new address before that. */
 static void release_one(struct day *day)
 {
 	struct run *run = day->run;
--- a/emulator/platform_cli.c
+++ b/emulator/platform_cli.c
@@ -23,6 +23,7 @@
 	struct arg_str *seed;
 	struct arg_str *deployment;
 	struct arg_str *program_folder;
+	struct arg_str *old_program_folder;
 	struct arg_str *report;
 	struct arg_str *folder;
 	struct arg_str *rate;
@@ -44,6 +45,8 @@
 		.seed = arg_str0(NULL, "seed", "N", "a whole number"),
 		.deployment = arg_str0(NULL, "deployment", "NAME", "warisan or teduh"),
 		.program_folder = arg_str0(NULL, "bin", "DIR", "where the programs are"),
+		.old_program_folder =
+		    arg_str0(NULL, "old-build", "DIR", "programs of an older build, for every other machine"),
 		.report = arg_str0(NULL, "report", "DIR", "tables and a picture"),
 		.folder = arg_str0(NULL, "folder", "DIR", "logs and disks; must not exist"),
 		.rate = arg_str0(NULL, "rate", "X", "traffic, as a share of the sheet's"),
@@ -95,6 +98,9 @@
 	run->bounds = default_timing_bounds;
 	run->rate = share_of(options->rate, run->small ? 0.22 : 1); /* as much for each server */
 	run->slack = number_of(options->slack, 1);
+	if (options->old_program_folder->count)
+		snprintf(run->old_program_folder, sizeof run->old_program_folder, "%s",
+			 options->old_program_folder->sval[0]);
 }
 
 /* Where programs are found, and where logs and disks go; 0: the folder cannot be made. */
@@ -149,6 +155,10 @@
 	apply_options(run, options);
 	if (scenario->prepare)
 		scenario->prepare(run);
+	if (run->undecided_reason) {
+		fprintf(stderr, "notchlug-emulator: %s: %s\n", scenario->name, run->undecided_reason);
+		goto end;
+	}
 	if (!run->edges)
 		run->edges = run->small ? 3 : 9;
 	if (!set_folders(run, options, scenario->name))
@@ -163,12 +173,23 @@
 static int run_command(int argc, char **argv)
 {
 	struct run_options options = make_options();
-	void *table[] = {
-		options.name,         options.seed,       options.deployment, options.program_folder,
-		options.report,       options.folder,     options.rate,       options.core_share,
-		options.router_share, options.length,     options.edges,      options.slack,
-		options.small,        options.impossible, options.verbose,    options.end
-	};
+	void *table[] = { options.name,
+			  options.old_program_folder,
+			  options.seed,
+			  options.deployment,
+			  options.program_folder,
+			  options.report,
+			  options.folder,
+			  options.rate,
+			  options.core_share,
+			  options.router_share,
+			  options.length,
+			  options.edges,
+			  options.slack,
+			  options.small,
+			  options.impossible,
+			  options.verbose,
+			  options.end };
 	int rc = 2;
 
 	if (arg_parse(argc, argv, table)) {
@@ -194,6 +215,7 @@
 	    stderr,
 	    "Usage: notchlug-emulator platform list\n"
 	    "       notchlug-emulator platform run NAME [--seed N] [--deployment warisan|teduh] [--small] [--rate X] [--slack N] [--bin DIR]\n"
+	    "                              [--old-build DIR]\n"
 	    "                              [--folder DIR] [--report DIR] [--length S] [--edges N]\n"
 	    "                              [--core-share X] [--router-share X] [--impossible] [-v]\n");
 	return 2;
--- a/emulator/platform_internal.h
+++ b/emulator/platform_internal.h
@@ -10,7 +10,8 @@
 	const char *name;
 	const char *what; /* one line for lists */
 	void (*play)(struct run *run);
-	void (*prepare)(struct run *run); /* before the machines are made; NULL: nothing to do */
+	void (*prepare)(struct run *run); /* before the machines are made, may set undecided_reason; NULL:
+					     nothing to do */
 };
 
 /* ---- platform_run.c ---- */
@@ -26,6 +27,25 @@
 int platform_run_scenario(struct run *run, const char *deployment, const struct platform_scenario *scenario,
 			  const char *report);
 
+/* ---- version_scenarios.c ---- */
+
+/* Half of the machines run an older build; needs --old-build. */
+void mixed_versions_prepare(struct run *run);
+/* Half of the machines run an older build, while configurations change and machines of both builds are
+ * stopped. */
+void mixed_versions(struct run *run);
+
+/* All machines go over from an older build, one by one, each on its disk; needs --old-build. */
+void upgrade_prepare(struct run *run);
+/* All machines go over from an older build, one by one, each on its disk; then all start from their disks
+ * alone. */
+void upgrade(struct run *run);
+
+/* ---- platform_scenarios.c ---- */
+
+/* Kill every process at once and start all again; is_final: the rules about recovery are judged from here. */
+void run_kill_everything(struct run *run, int is_final);
+
 /* All scenarios; the last entry has no name. */
 extern const struct platform_scenario platform_scenarios[];
 
--- a/emulator/platform_run.c
+++ b/emulator/platform_run.c
@@ -7,7 +7,8 @@
 #include "containers.h"
 #include "platform_internal.h"
 
-/* From the system's page: two deployments. The same weights of requests, at their rates. */
+/* Two deployments of the platform's pages: their classes of requests with sizes, targets, rates and values.
+ */
 const struct sheet deployments[2] = {
 	{ .name = "warisan", .host = "ficu95.example", .service = "lm-registry", .store = "clerk-desk", .model = "daka510000",
 	  .zone = { "shah-alam-a", "petaling-b", "cyberjaya-c", "putrajaya-d" }, .region = "my-central", .tenants = 8,
@@ -199,14 +200,14 @@
 	return !run->undecided_reason;
 }
 
-/* Whether this process, or one under test, was kept from a processor for longer than the run bears. */
+/* Whether this process, or one under test, waited for a processor for longer than the run bears. */
 static int is_late(const struct run *run)
 {
 	return histogram_quantile(&run->figures.own_lag_ms, 1) > run->max_lateness_ms * run->slack ||
 	       run->max_wait_ms > run->max_lateness_ms * run->slack;
 }
 
-/* Whether a breach is among these that no delay explains. */
+/* Whether a violation that no delay explains is among these. */
 static int has_timeless_violation(const struct violation *violation, int n)
 {
 	/* rules that no delay excuses */
@@ -243,7 +244,7 @@
 }
 
 /* A run under short bounds proves nothing if it was held up, if it never put VERSION to the test, or if too
- * little was served and nothing else is wrong: what the troubles leave to be served is not known. */
+ * little was served and nothing else is wrong: how much the faults leave to be served is not known. */
 static void timed_verdict(struct run *run, int broken, int gate, const struct violation *violation, int n)
 {
 	int at_stake = checker_version_rule_exercised(run->checker);
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -8,7 +8,6 @@
 #include "containers.h"
 #include "platform_internal.h"
 
-/* Scenarios on the stand-in of the users' platform: rehearsal platform list | run NAME. */
 #include <argtable2.h>
 
 static struct machine *nth_machine(struct run *run, int core, int n)
@@ -67,7 +66,7 @@
 	}
 }
 
-static void kill_everything(struct run *run, int closing)
+void run_kill_everything(struct run *run, int is_final)
 {
 	int64_t fault = run_ms(run);
 
@@ -77,7 +76,7 @@
 	run_for(run, 700);
 	for (int i = 0; i < run->machine_count; i++)
 		machine_start(&run->machines[i]);
-	if (closing)
+	if (is_final)
 		checker_set_final_fault(run->checker, fault, run_ms(run));
 }
 
@@ -86,7 +85,7 @@
 	run_for(run, 2500);
 	operator_change(run->config_operator, CHANGE_TIMEOUT, 0);
 	run_wait_for(run, 4000, run_operator_idle);
-	kill_everything(run, 1);
+	run_kill_everything(run, 1);
 	run_for(run, run->bounds.recovery_ms + 3000);
 }
 
@@ -317,7 +316,7 @@
 	run_for(run, 3000);
 }
 
-/* Now this one, now that one stands still for a moment, and several at once. */
+/* Servers are silent for a moment by turns, and several at once. */
 static void sc_stall(struct run *run)
 {
 	int n = (int)arrlen(run->fleet.servers) - 1;
@@ -337,8 +336,8 @@
 	run_for(run, 2000);
 }
 
-/* Edges are cut off from the core for longer than they ride, while servers are slow to begin and go on
- * without a caller: what was sent may run, so nobody may promise that it has not. */
+/* Edges are cut off from the core beyond their staleness bound, while servers are slow to begin and go on
+ * without a caller: what was sent may run, so no answer may promise that it has not. */
 static void sc_blind(struct run *run)
 {
 	struct server_fault fault = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
@@ -474,7 +473,8 @@
 
 struct control_call {
 	struct run *run;
-	int status, answered;
+	int status;
+	int answered;
 	char *body;
 };
 
@@ -487,7 +487,8 @@
 	c->body = message && message->body ? strndup(message->body, message->body_length) : NULL;
 }
 
-/* A call of the product's own at one core machine after another, until one takes it. */
+/* Call the product's own interface at one core machine after another, until one answers with 200. The caller
+ * frees the body. */
 static char *control_call(struct run *run, const char *method, const char *path, const char *body)
 {
 	for (int i = 0; i < 12 && !run->undecided_reason; i++) {
@@ -508,8 +509,8 @@
 	return strdup("");
 }
 
-/* Kept context is cleared on schedule and at once, over and again, as the decider dies and an edge stands
- * still. */
+/* Cached context is purged on schedule and on demand, several times, while the leader is killed and an edge
+ * freezes. */
 static void sc_purge(struct run *run)
 {
 	struct machine *machine = nth_machine(run, 1, 0);
@@ -576,6 +577,10 @@
 	{ "planned-core", "the whole core is stopped and started under changes", planned_core_stop, NULL },
 	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak_test,
 	  soak_test_prepare },
+	{ "mixed-versions", "half of the machines run an older build (--old-build), under changes",
+	  mixed_versions, mixed_versions_prepare },
+	{ "upgrade", "all go over from an older build (--old-build), one by one, on their disks", upgrade,
+	  upgrade_prepare },
 	{ "cut", "skipped: the links of processes on one machine cannot be cut without tools for isolation",
 	  NULL, NULL },
 	{ NULL, NULL, NULL, NULL },
--- a/emulator/record_checker.c
+++ b/emulator/record_checker.c
@@ -9,13 +9,8 @@
 #include "containers.h"
 #include "record_checker_internal.h"
 
-/* The checker: judges each "must never happen" of the brief from the records alone.
- * Records: callers.rec, platform.rec, probes.rec, server-*.rec. What is incomplete is undecided, never good.
- */
 #include <dirent.h>
 
-/* A breach is named by its letter in docs/failures.md. */
-
 static void append_report(struct check_result *result, const char *fmt, ...)
 {
 	size_t n = strlen(result->text);
@@ -51,7 +46,7 @@
 	append_report(checker->result, "undecided: %s\n", line);
 }
 
-/* Within one millisecond: an asking, then what servers did, then what the caller was told. */
+/* Within one millisecond: a request, then what servers did, then the client's answer. */
 static int record_order(const char *kind)
 {
 	static const char *const order[] = { "ask", "sent", "begin", "end" };
--- a/emulator/record_checker_internal.h
+++ b/emulator/record_checker_internal.h
@@ -7,6 +7,7 @@
 #include "containers.h"
 #include "test_fleet.h"
 
+/* A record; kind is owned by its JSON. */
 struct row {
 	int64_t at_ms;
 	struct json_object *json;
@@ -15,11 +16,14 @@
 
 /* What is known of one request, by its id. */
 struct request_state {
-	int run_count, send_count, answer_count;
+	int run_count;
+	int send_count;
+	int answer_count;
 	int64_t requested_at_ms;
 	char server[64];
 };
 
+/* Map entry: requests by id. */
 struct request_row {
 	char *key;
 	struct request_state value;
@@ -28,16 +32,20 @@
 /* One request at one router, by "ID ROUTER": a client may send it to several. */
 struct submission_state {
 	int64_t refused_at_ms;
-	int is_open, has_run;
+	int is_open;
+	int has_run;
 };
 
+/* Map entry: requests at one router, by "ID ROUTER". */
 struct submission_row {
 	char *key;
 	struct submission_state value;
 };
 
+/* A router's revision as a probe saw it. */
 struct router_probe {
-	int64_t requested_at_ms, revision;
+	int64_t requested_at_ms;
+	int64_t revision;
 };
 
 /* One incarnation of a router, by its id: its address, and its revision at each probe. */
@@ -46,11 +54,13 @@
 	struct router_probe *probes; /* stb_ds */
 };
 
+/* Map entry: routers by the id of their incarnation. */
 struct router_row {
 	char *key;
 	struct router_state value;
 };
 
+/* Weights that a server has loaded. */
 struct completed_load {
 	int64_t loaded_at_ms;
 	char weights[64];
@@ -58,11 +68,19 @@
 
 /* A server by its name; times are 0 until it happened. */
 struct server_state {
-	int64_t drained_at_ms, undrained_at_ms, drain_horizon, up_at_ms, commanded_at_ms, fence;
-	char weights[64], rollout_leader[32], service[64];
+	int64_t drained_at_ms;
+	int64_t undrained_at_ms;
+	int64_t drain_horizon;
+	int64_t up_at_ms;
+	int64_t commanded_at_ms;
+	int64_t fence;
+	char weights[64];
+	char rollout_leader[32];
+	char service[64];
 	struct completed_load *loads; /* stb_ds */
 };
 
+/* Map entry: servers by name. */
 struct server_row {
 	char *key;
 	struct server_state value;
@@ -70,9 +88,11 @@
 
 /* A span of time, by a key or a tenant; ended_at_ms is 0 while it lasts. */
 struct span {
-	int64_t started_at_ms, ended_at_ms;
+	int64_t started_at_ms;
+	int64_t ended_at_ms;
 };
 
+/* Map entry: spans by key or tenant. */
 struct span_row {
 	char *key;
 	struct span value;
@@ -81,29 +101,37 @@
 /* A row of the configuration table, by "KIND NAME": its newest acknowledged value, and values that it may
  * have instead. */
 struct table_row_state {
-	struct json_object *acknowledged, **possible;
+	struct json_object *acknowledged;
+	struct json_object **possible;
 	int64_t revision;
 };
 
+/* Map entry: rows of the configuration table by "KIND NAME". */
 struct config_table_row {
 	char *key;
 	struct table_row_state value;
 };
 
+/* The weights that a service has to run from a time on. */
 struct target_weights {
 	int64_t set_at_ms;
-	char service[64], weights[64];
+	char service[64];
+	char weights[64];
 };
 
+/* An acknowledged change of the configuration. */
 struct acknowledgement {
-	int64_t revision, at_ms;
+	int64_t revision;
+	int64_t at_ms;
 };
 
+/* A request sent to a server; is_retry: not the first one by a router. */
 struct logged_send {
 	int64_t at_ms;
 	int is_retry;
 };
 
+/* All that the records have shown so far. */
 struct record_checker {
 	struct check_result *result;
 	int untimed;
@@ -112,7 +140,8 @@
 	struct submission_row *submissions;
 	struct router_row *routers;
 	struct server_row *servers;
-	struct span_row *removed_keys, *isolated_tenants;
+	struct span_row *removed_keys;
+	struct span_row *isolated_tenants;
 	struct config_table_row *table;
 	struct {
 		char *key;
@@ -121,11 +150,24 @@
 	struct target_weights *targets;
 	struct acknowledgement *acks; /* stb_ds */
 	struct logged_send *send_log; /* stb_ds, in order of time */
-	int64_t acked_revision, final_revision, horizon, last_fault_at_ms, last_complete_at_ms,
-	    longest_pause_ms;
-	int64_t sends, first_sends, complete, refused, unknown, prefilled_tokens, prompt_tokens,
-	    fetched_blocks;
-	int closed, finished, probe_count, server_record_count;
+	int64_t acked_revision;
+	int64_t final_revision;
+	int64_t horizon;
+	int64_t last_fault_at_ms;
+	int64_t last_complete_at_ms;
+	int64_t longest_pause_ms;
+	int64_t sends;
+	int64_t first_sends;
+	int64_t complete;
+	int64_t refused;
+	int64_t unknown;
+	int64_t prefilled_tokens;
+	int64_t prompt_tokens;
+	int64_t fetched_blocks;
+	int closed;
+	int finished;
+	int probe_count;
+	int server_record_count;
 };
 
 #define ENTRY(map, k)                                                                       \
--- a/emulator/record_checker_rules.c
+++ b/emulator/record_checker_rules.c
@@ -12,7 +12,7 @@
 	return ENTRY(checker->submissions, key);
 }
 
-/* The counter that made a send, by the send's id; NULL when no probe ever saw it. */
+/* The router that made a send, by the send's id; NULL when no probe ever saw it. */
 static struct router_state *router_of_send(struct record_checker *checker, const char *send_id)
 {
 	char id[17];
@@ -36,7 +36,7 @@
 	struct submission_state *a =
 	    submission_of(checker, json_member_string(json, "id"), json_member_string(json, "counter"));
 
-	k->send_count = 0; /* a caller's own asking anew is no resend */
+	k->send_count = 0; /* a client's own new attempt is no retry of the router's */
 	k->requested_at_ms = at_ms;
 	a->is_open = 1;
 	a->has_run = 0;
@@ -95,8 +95,7 @@
 				 id, (long long)json_member_int(json, "bad"));
 	if (!strcmp(o, "whole")) {
 		checker->complete++;
-		/* back: answers to what was asked after the last fault; the pauses between them count as well
-		 */
+		/* answers to requests sent after the last fault; the pauses between them count as well */
 		if (checker->last_fault_at_ms && k->requested_at_ms >= checker->last_fault_at_ms) {
 			if (at_ms - (checker->last_complete_at_ms ? checker->last_complete_at_ms
 								  : checker->last_fault_at_ms) >
@@ -138,7 +137,7 @@
 	return need;
 }
 
-/* A counter's edition at a send is at most what the next probe saw there. */
+/* A router's revision at a send is at most what the next probe saw there. */
 static void check_revision_in_force(struct record_checker *checker, const char *send_id, int64_t at_ms)
 {
 	struct router_state *c = router_of_send(checker, send_id);
@@ -166,7 +165,7 @@
 	checker->probe_count++;
 	if (json_member_int(json, "horizon") > checker->horizon)
 		checker->horizon = json_member_int(json, "horizon");
-	if (e && e < before) /* across its restarts as well; a counter that knows none yet says 0 and serves
+	if (e && e < before) /* across its restarts as well; a router that has none yet reports 0 and serves
 				nothing */
 		report_violation(checker, 'D', "counter %s went back from edition %lld to %lld", web,
 				 (long long)before, (long long)e);
@@ -202,7 +201,7 @@
 			report_violation(checker, 'G',
 					 "%s of %s used a part made by %s, one of them walled off", id, tn,
 					 m);
-		/* a horizon read before the drain was asked for lies below its purge's tick; 7 s are a
+		/* a horizon read before the drain was requested lies below its purge's tick; 7 s are a
 		 * failover and the stale horizon */
 		if (!checker->untimed && s->drained_at_ms && at_ms - s->drained_at_ms > 7000 &&
 		    !json_member_int(u, "from") && json_member_int(u, "ct") <= s->drain_horizon)
@@ -275,7 +274,7 @@
 
 void records_check_retries(struct record_checker *checker)
 {
-	int64_t margin = 2 + 2 * shlen(checker->routers); /* each counter may have two saved up */
+	int64_t margin = 2 + 2 * shlen(checker->routers); /* each router may have two saved up */
 
 	for (ptrdiff_t i = 0; i < arrlen(checker->send_log); i++) {
 		int64_t n = 0, retries = 0;
--- a/emulator/report.c
+++ b/emulator/report.c
@@ -1,4 +1,4 @@
-/* What a run came to: text, tables and a picture. */
+/* Reports of a run: text, tables and a picture. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
--- a/emulator/scale_model_internal.h
+++ b/emulator/scale_model_internal.h
@@ -25,20 +25,30 @@
 	SLOT_COUNT
 };
 
-/* What was counted in the window under one kind: of message by its place in the body, from OUTSIDE on of
- * event. */
+/* What was counted in the window under one slot: a kind of message by its field number, from OUTSIDE on a
+ * kind of event. */
 struct tally {
-	uint64_t sent, sent_bytes, received, received_bytes, step_ns, codec_ns;
+	uint64_t sent;
+	uint64_t sent_bytes;
+	uint64_t received;
+	uint64_t received_bytes;
+	uint64_t step_ns;
+	uint64_t codec_ns;
 };
 
+/* A router or a controller; incarnation 0: it does not run. */
 struct model_node {
-	int index, is_router;
-	uint64_t addr, incarnation, revision;
+	int index;
+	int is_router;
+	uint64_t addr;
+	uint64_t incarnation;
+	uint64_t revision;
 	char zone[16];
 	struct router *router;
 	struct controller *controller;
 	struct command_list commands;
-	uint64_t sync_count, disk_bytes;
+	uint64_t sync_count;
+	uint64_t disk_bytes;
 	struct tally tallies[SLOT_COUNT];
 	struct {
 		uint32_t shard;
@@ -46,34 +56,48 @@
 	} * writes; /* stb_ds, oldest first */
 };
 
+/* A cached block of a server. */
 struct model_block {
-	uint64_t hash, created_tick;
-	uint32_t maker, cache_namespace;
+	uint64_t hash;
+	uint64_t created_tick;
+	uint32_t maker;
+	uint32_t cache_namespace;
 };
 
+/* A block that a server cached, or evicted. */
 struct cache_event {
 	uint64_t id;
 	uint32_t cache_namespace;
 	int removed;
 };
 
+/* A router's watch of a server's cache events, from one event on. */
 struct cache_watch {
-	int node, is_due;
-	uint64_t incarnation, token, since_event;
+	int node;
+	int is_due;
+	uint64_t incarnation;
+	uint64_t token;
+	uint64_t since_event;
 };
 
+/* A modelled server. */
 struct model_server {
-	uint64_t address, serial;
-	int running, eviction_index;
+	uint64_t address;
+	uint64_t serial;
+	int running;
+	int eviction_index;
 	char weights[64];
 	struct model_block *blocks; /* stb_ds */
-	char *report_text;          /* its whole report, until something changes */
+	char *report_text;          /* its full report, until something changes */
 	size_t report_length;
-	char name[16], zone[16], service[16];
-	struct cache_event *cache_events; /* stb_ds: all events of kept parts so far */
-	struct cache_watch *watchers;     /* stb_ds: held */
+	char name[16];
+	char zone[16];
+	char service[16];
+	struct cache_event *cache_events; /* stb_ds: all cache events so far */
+	struct cache_watch *watchers;     /* stb_ds: pending */
 };
 
+/* What happens at an event's time. */
 enum event_kind {
 	MODEL_TICK,
 	MODEL_MESSAGE,
@@ -92,36 +116,53 @@
 	MODEL_LOAD_COMMANDED
 };
 
+/* An event; what its fields mean depends on its kind. */
 struct model_event {
 	int64_t at_ms;
-	uint64_t seq, incarnation, token;
+	uint64_t seq;
+	uint64_t incarnation;
+	uint64_t token;
 	enum event_kind kind;
-	int node, server, status;
+	int node;
+	int server;
+	int status;
 	size_t length;
 	uint8_t *data;
 };
 
+/* A request that runs at a server. */
 struct server_run {
-	int node_index, server, next_piece, is_over;
-	uint64_t incarnation, token;
+	int node_index;
+	int server;
+	int next_piece;
+	int is_over;
+	uint64_t incarnation;
+	uint64_t token;
 	char send_id[80];
 };
 
+/* A client's request without an answer yet. */
 struct pending_request {
 	int64_t at_ms;
 	int node;
 	uint64_t blocks[3];
 };
 
+/* A change of the configuration, and its acknowledgement. */
 struct config_change {
-	uint64_t token, revision;
+	uint64_t token;
+	uint64_t revision;
 	int64_t acked_at_ms;
 };
 
+/* The fleet with its virtual time and its counts. */
 struct model_fleet {
 	struct scale_model_settings settings;
-	int64_t now_ms, window_started_at_ms;
-	uint64_t rng, seq, token;
+	int64_t now_ms;
+	int64_t window_started_at_ms;
+	uint64_t rng;
+	uint64_t seq;
+	uint64_t token;
 	int node_count;
 	struct model_node *nodes;
 	struct model_server *servers;
@@ -135,27 +176,40 @@
 	struct {
 		uint64_t key;
 		struct pending_request value;
-	} * pending_requests;          /* stb_ds: caller's token */
+	} * pending_requests;          /* stb_ds: by the client's token */
 	struct config_change *changes; /* stb_ds */
 	struct {
 		int nodes;
 		int64_t last_at_ms;
-	} * revision_reached; /* stb_ds, by edition: counters that have it, and when the last came to */
-	uint64_t revision, operator_token;
-	int operator_status, change_count, restart_count;
-	int64_t load_credit, churn_credit;
-	uint64_t requests, completed, refused, unknown, sends, pieces, send_ms, first_ms, first_n;
+	} * revision_reached; /* stb_ds, by revision: routers that have it, and when the last one got it */
+	uint64_t revision;
+	uint64_t operator_token;
+	int operator_status;
+	int change_count;
+	int restart_count;
+	int64_t load_credit;
+	int64_t churn_credit;
+	uint64_t requests;
+	uint64_t completed;
+	uint64_t refused;
+	uint64_t unknown;
+	uint64_t sends;
+	uint64_t pieces;
+	uint64_t send_ms;
+	uint64_t first_ms;
+	uint64_t first_n;
 	int64_t max_send_ms;
 	struct {
 		char *key;
 		uint32_t value;
-	} * namespace_ids;      /* stb_ds: under which name parts are kept */
+	} * namespace_ids;      /* stb_ds: numbers of cache namespaces */
 	char **namespace_names; /* stb_ds */
 	apr_pool_t *pool;
 };
 
 enum { ADDRESS_CONTROLLER = 1, ADDRESS_ROUTER, ADDRESS_SERVER };
 
+/* Roles that are measured; a relay is a router that passes configurations on. */
 enum role { ROLE_ROUTER, ROLE_RELAY, ROLE_CONTROLLER, ROLE_COUNT };
 
 /* ---- scale_model_servers.c ---- */
@@ -195,7 +249,7 @@
 /* The number of a cache namespace; a name that is new gets the next one. */
 uint32_t model_namespace_id(struct model_fleet *fleet, const char *name);
 
-/* Whoever watches hears of it a little later, with what else comes until then. */
+/* Wake the watchers of a server's cache events a little later, for all events until then. */
 void model_notify_watchers(struct model_fleet *fleet, struct model_server *server,
 			   const struct model_block *block, int is_removed);
 
@@ -210,7 +264,8 @@
 /* Start a request at a server: its first piece comes at first_ms. */
 void model_start_run(struct model_fleet *fleet, const struct server_run *run, int64_t first);
 
-/* A send reaches a server: what it names as reused is not looked up, all parts are kept there afterwards. */
+/* A send reaches a server: what it names as reused is not looked up; all its blocks are cached there
+ * afterwards. */
 void model_receive_run(struct model_fleet *fleet, const struct model_event *event);
 
 /* End a run, once: its server has a slot more. */
@@ -231,7 +286,7 @@
 
 /* ---- scale_model_servers.c ---- */
 
-/* A held watch is answered with all that came since. */
+/* Answer a pending watch with all events since. */
 void model_answer_watch(struct model_fleet *fleet, struct model_node *n, const struct model_event *wake_up);
 
 /* The list of servers arrives at a controller. */
@@ -248,7 +303,7 @@
 /* An operator posts body to a controller drawn by chance; returns the call's token. */
 uint64_t model_operator_call(struct model_fleet *fleet, const char *path, const char *body);
 
-/* Most changes are of a tenant's share; each eighth walls one off or in again, which is a purge as well. */
+/* Most changes are of a tenant's share; each eighth isolates one, or no longer, which is a purge as well. */
 void model_change_config(struct model_fleet *fleet);
 
 /* Ten milliseconds of blocks that servers cache and evict by themselves. */
@@ -264,7 +319,7 @@
 
 /* ---- scale_model_load.c ---- */
 
-/* A machine goes and another comes in its place; what it held is lost to its callers. */
+/* A router goes and another comes in its place; its pending requests are lost to their clients. */
 void model_replace_router(struct model_fleet *fleet);
 
 /* ---- scale_model_nodes.c ---- */
@@ -290,7 +345,7 @@
 /* Make the fleet's nodes and servers; nothing runs yet. */
 void model_fleet_make(struct model_fleet *fleet, const struct scale_model_settings *settings);
 
-/* Half a minute without load until all stands, then the load, then the window. */
+/* Bring the fleet up without load; 0: *why says at which step it stopped. */
 int model_fleet_start(struct model_fleet *fleet, const char **why);
 
 /* Apply load, then measure for the length of the window. */
@@ -310,7 +365,7 @@
 /* What each structure takes by itself, built through its own functions. */
 void model_structure_rows(struct model_fleet *fleet, struct scale_model_result *result);
 
-/* Closing the roles one after the other says what each held. */
+/* Memory by role: what is freed as its nodes are closed. */
 void model_memory_rows(struct model_fleet *fleet, struct scale_model_result *result);
 
 /* ---- scale_model_fleet.c ---- */
--- a/emulator/scale_model_measures.c
+++ b/emulator/scale_model_measures.c
@@ -54,7 +54,7 @@
 											: "event";
 }
 
-/* What callers' own bytes cost is not control. */
+/* Whether a slot counts the clients' own bytes, which are data and not control. */
 static int is_data(int slot, int is_router)
 {
 	int k = slot - OUTSIDE;
--- a/emulator/scale_model_nodes.c
+++ b/emulator/scale_model_nodes.c
@@ -74,7 +74,7 @@
 	input.length = nl__msg__get_packed_size(command->args.send.msg);
 	input.data = malloc(input.length + 1);
 	nl__msg__pack(command->args.send.msg, input.data);
-	if (to != node) { /* what is said to itself takes no wire */
+	if (to != node) { /* a message to itself takes no wire */
 		node->tallies[slot].codec_ns += (uint64_t)(model_cpu_ns() - t);
 		count_sent(node, slot, input.length + 4);
 	}
@@ -103,7 +103,7 @@
 		       fleet->now_ms + 2 + (int64_t)model_random(fleet, 3));
 }
 
-/* When a request leaves for a server, after how long. */
+/* Count how long a request waited before it was sent to a server. */
 static void count_dispatch(struct model_fleet *fleet, uint64_t caller)
 {
 	ptrdiff_t i = hmgeti(fleet->pending_requests, caller);
@@ -155,7 +155,7 @@
 	model_push_event(fleet, input);
 }
 
-/* A request whose text stays at the door: of its send the core hears the first piece and the end. */
+/* A request whose text stays outside the core: of its send the core gets the first piece and the end. */
 static void perform_forward(struct model_fleet *fleet, struct model_node *n,
 			    const struct forward_command *forward)
 {
--- a/emulator/scale_model_servers.c
+++ b/emulator/scale_model_servers.c
@@ -58,7 +58,7 @@
 	ptrdiff_t most = (ptrdiff_t)(fleet->settings.cached_blocks / fleet->settings.servers);
 
 	for (ptrdiff_t i = 0; i < arrlen(server->blocks) && i < 64;
-	     i++) /* the last few are looked at; a copy twice does no harm */
+	     i++) /* only the first few are compared; a second copy does no harm */
 		if (server->blocks[i].hash == hash && server->blocks[i].maker == maker &&
 		    server->blocks[i].cache_namespace == cache_namespace)
 			return;
@@ -237,7 +237,7 @@
 	free(x);
 }
 
-/* The first piece has come, or the whole rest: pieces between them do not reach the core. */
+/* The first piece has come, or all the rest: pieces between them do not reach the core. */
 static void deliver_forwarded(struct model_fleet *fleet, int i)
 {
 	struct server_run *run = &fleet->runs[i];
--- a/emulator/server_emulator.c
+++ b/emulator/server_emulator.c
@@ -15,8 +15,6 @@
 #include "containers.h"
 #include "server_emulator_internal.h"
 
-/* A stand-in for a language server, and for the store of kept parts. It is honest: it keeps what it read,
- * reuses only the very copies that a send names and it still has, and records every run. */
 #include <apr_general.h>
 
 struct emulated_server emulated;
--- a/emulator/server_emulator_cache.c
+++ b/emulator/server_emulator_cache.c
@@ -74,7 +74,7 @@
 	emulated.held_tokens += tokens;
 	emulated.serial++;
 	while (emulated.held_tokens > emulated.capacity_tokens &&
-	       arrlen(emulated.blocks) > 1) { /* the least lately used goes */
+	       arrlen(emulated.blocks) > 1) { /* the least recently used one goes */
 		ptrdiff_t worst = 0;
 
 		for (ptrdiff_t i = 1; i < arrlen(emulated.blocks); i++)
@@ -144,7 +144,7 @@
 		json_object_object_add(u, "w", json_object_new_string(json_member_string(json, "w")));
 		json_object_object_add(u, "ct", json_object_new_int64(json_member_int(json, "t")));
 		json_object_object_add(u, "from",
-				       json_object_new_int(1)); /* fetched: kept elsewhere till now */
+				       json_object_new_int(1)); /* fetched: cached elsewhere till now */
 		json_object_array_add(used, u);
 		have++;
 	}
--- a/emulator/server_emulator_run.c
+++ b/emulator/server_emulator_run.c
@@ -9,16 +9,23 @@
 #include "server_emulator_internal.h"
 
 struct answer_stream {
-	char send_id[80], *id;
+	char send_id[80];
+	char *id;
 	struct json_object *body;
-	int pieces, next_piece, done, is_repeated;
-	int fetch_ms, fetched; /* -1: there was nothing to fetch */
+	int pieces;
+	int next_piece;
+	int done;
+	int is_repeated;
+	/* fetch_ms is -1 if there was nothing to fetch */
+	int fetch_ms;
+	int fetched;
 	char line[512];
-	size_t line_length, at;
+	size_t line_length;
+	size_t at;
 };
 
-/* Faults of an answer, from its second piece on: 1 it is marked as another's, 2 a piece is left out, 3 it
- * breaks off, 4 a piece comes twice, 5 it says no more. */
+/* Apply the answer fault at the second piece: 1 it is marked as another's, 2 a piece is left out, 3 it breaks
+ * off, 4 a piece comes twice, 5 it falls silent. 1: the answer ends here. */
 static int apply_answer_fault(struct answer_stream *run)
 {
 	if (run->next_piece != 1)
--- a/emulator/soak_faults.c
+++ b/emulator/soak_faults.c
@@ -6,10 +6,6 @@
 #include "containers.h"
 #include "soak_test_internal.h"
 
-/* A soak: weights are named in series while troubles of routers, core machines, model servers, the operator's
- * connections and the load come in series of their own, so that several overlap at most moments. What is
- * done, to whom, for how long follows from the seed; only the moments follow the clock. The run's bounds are
- * short, so that several pass within it. */
 #include <stdlib.h>
 
 int64_t soak_between(struct soak_test *soak, int64_t least, int64_t most)
@@ -38,7 +34,7 @@
 	       !machine->is_frozen;
 }
 
-/* One of the machines of a kind that have no trouble now; NULL: there is none. */
+/* One of the machines of a kind that have no fault now; NULL: there is none. */
 static struct machine *any_healthy(struct soak_test *soak, int core)
 {
 	struct run *run = soak->run;
@@ -222,7 +218,7 @@
 									      replace_one, wipe_one };
 	struct machine *machine;
 
-	if (soak_one_in(soak, 2)) { /* while a naming is on its way */
+	if (soak_one_in(soak, 2)) { /* while a target is on its way */
 		soak_set_target(soak);
 		run_for(soak->run, soak_between(soak, 0, 3));
 	}
--- a/emulator/soak_test.c
+++ b/emulator/soak_test.c
@@ -4,7 +4,7 @@
 #include "containers.h"
 #include "soak_test_internal.h"
 
-/* What one strike or naming draws depends on its place in its series alone, not on what the clock did to
+/* What one fault or target draws depends on its place in its series alone, not on what the clock did to
  * others. */
 static void draw_anew(struct soak_test *soak, uint64_t seed, uint64_t index)
 {
@@ -196,7 +196,7 @@
 	for (int i = 0; i < arrlen(soak.active_faults); i++)
 		soak.active_faults[i].ends_at_ms = soak.ends_at_ms;
 	run_until_ms(&soak, soak.ends_at_ms + bound + CALM_CONTACTS * run->bounds.contact_ms,
-		     0); /* VERSION is judged on what the troubles left */
+		     0); /* VERSION is judged on what the faults left */
 	log_summary(&soak);
 	arrfree(soak.active_faults);
 }
--- a/emulator/soak_test_internal.h
+++ b/emulator/soak_test_internal.h
@@ -22,10 +22,10 @@
 	CROWDED_EVERY = 5, /* of so many seeds one is crowded */
 	CROWDED_ROUTERS = 60,
 	CROWDED_CORE = 9,
-	/* troubles */
-	QUIET_SERIES_EVERY = 4, /* a subject has no trouble in one of so many runs */
+	/* faults */
+	QUIET_SERIES_EVERY = 4, /* a subject has no fault in one of so many runs */
 	LONG_EVERY = 40,        /* one of so many answers takes seconds */
-	BURST_EVERY = 2,        /* of so many series of namings one is a burst */
+	BURST_EVERY = 2,        /* of so many series of targets one is a burst */
 	BURST_TARGETS_MIN = 9,
 	BURST_TARGETS_EXTRA = 12,
 	TARGET_GAP_MIN_MS = 500,
@@ -43,40 +43,61 @@
 
 struct soak_test;
 
-/* A trouble that is under way. `over` ends it and says 1, or 0 when it has to be called again later. */
+/* A fault that is under way. `end` ends it and returns 1, or 0 when it has to be called again later. */
 struct episode {
 	int64_t ends_at_ms;
 	int (*end)(struct soak_test *soak_test, void *subject);
 	void *subject;
 };
 
-/* Troubles of one subject: in series with gaps, and pauses between the series. */
+/* Faults of one subject: in series with gaps, and pauses between the series. */
 struct fault_series {
 	void (*inject)(struct soak_test *soak_test, int kind);
-	int kind_count, max_faults;       /* kinds of trouble; troubles in a series */
-	int64_t max_gap_ms, max_pause_ms; /* the longest, in ms */
-	int64_t min_pause_ms;             /* the shortest pause */
-	uint64_t seed, injected_count;
-	int kind, remaining;        /* the kind that struck last; how many are still to come in the series */
-	int64_t gap_ms, next_at_ms; /* ms */
+	/* kinds of faults; faults in a series */
+	int kind_count;
+	int max_faults;
+	/* the longest, in ms */
+	int64_t max_gap_ms;
+	int64_t max_pause_ms;
+	int64_t min_pause_ms; /* the shortest pause */
+	uint64_t seed;
+	uint64_t injected_count;
+	/* the kind of the last fault; how many are still to come in the series */
+	int kind;
+	int remaining;
+	/* ms */
+	int64_t gap_ms;
+	int64_t next_at_ms;
 };
 
 enum { SERIES_ROUTERS, SERIES_CORE, SERIES_SERVERS, SERIES_OTHERS, SERIES_COUNT };
 
+/* A core machine that is lost for good, and the one in its place. */
 struct replacement {
-	struct machine *lost, *new;
+	struct machine *lost;
+	struct machine *new;
 };
 
+/* A soak test that runs. */
 struct soak_test {
 	struct run *run;
-	uint64_t rng, target_seed, target_index;
+	uint64_t rng;
+	uint64_t target_seed;
+	uint64_t target_index;
 	int64_t ends_at_ms;
 	struct fault_series series[SERIES_COUNT];
 	struct episode *active_faults; /* stb array */
 	struct replacement replacement;
-	int64_t next_disk_loss_at_ms, next_target_at_ms, target_gap_ms, next_sample_at_ms;
-	int target_version, targets_remaining, fault_count, overlap_count,
-	    load_factor; /* burst: so many times the load; 0: none */
+	int64_t next_disk_loss_at_ms;
+	int64_t next_target_at_ms;
+	int64_t target_gap_ms;
+	int64_t next_sample_at_ms;
+	/* so many times the load; 0: no burst */
+	int target_version;
+	int targets_remaining;
+	int fault_count;
+	int overlap_count;
+	int load_factor;
 	struct {
 		int pid;
 		long long waited_ns; /* ns on a processor's queue, as the kernel counts them */
--- a/emulator/test_fleet.c
+++ b/emulator/test_fleet.c
@@ -37,7 +37,7 @@
 	line[n] = '\n';
 	if (write(record->fd, line, n + 1) != (ssize_t)(n + 1)) {
 		fprintf(stderr, "notchlug-emulator: a record could not be written: %s\n", strerror(errno));
-		exit(1); /* a run with holes in its records judges nothing */
+		exit(1); /* a run with holes in its records proves nothing */
 	}
 	free(line);
 	json_object_put(json);
