--- a/emulator/checker.c
+++ b/emulator/checker.c
@@ -217,20 +217,20 @@
 	return (int)arrlen(checker->configs) - 1;
 }
 
-void checker_record_config_outcome(struct checker *checker, int64_t at_ms, int cfg,
+void checker_record_config_outcome(struct checker *checker, int64_t at_ms, int config,
 				   enum config_outcome outcome)
 {
-	if (outcome == CONFIG_OUTCOME_ACKED && checker->configs[cfg].acked_at_ms < 0)
-		checker->configs[cfg].acked_at_ms = at_ms;
-	else if (outcome == CONFIG_OUTCOME_REFUSED && checker->configs[cfg].refused_at_ms < 0)
-		checker->configs[cfg].refused_at_ms = at_ms;
+	if (outcome == CONFIG_OUTCOME_ACKED && checker->configs[config].acked_at_ms < 0)
+		checker->configs[config].acked_at_ms = at_ms;
+	else if (outcome == CONFIG_OUTCOME_REFUSED && checker->configs[config].refused_at_ms < 0)
+		checker->configs[config].refused_at_ms = at_ms;
 }
 
 void checker_record_read_back(struct checker *checker, int64_t at_ms, const char *string)
 {
-	struct read_back_event read_ev = { at_ms, copy_string(string) };
+	struct read_back_event event = { at_ms, copy_string(string) };
 
-	arrput(checker->read_backs, read_ev);
+	arrput(checker->read_backs, event);
 }
 
 void checker_record_listing(struct checker *checker, int64_t at_ms, const char *instance,
@@ -244,14 +244,14 @@
 void checker_record_load_command(struct checker *checker, int64_t at_ms,
 				 const struct load_command_record *record)
 {
-	struct load_command_event order_ev = { at_ms,
-					       record->fence,
-					       copy_string(record->instance),
-					       copy_string(text(record->lease_owner)),
-					       record->status,
-					       record->thawed };
-
-	arrput(checker->load_commands, order_ev);
+	struct load_command_event event = { at_ms,
+					    record->fence,
+					    copy_string(record->instance),
+					    copy_string(text(record->lease_owner)),
+					    record->status,
+					    record->thawed };
+
+	arrput(checker->load_commands, event);
 }
 
 void checker_record_target_version(struct checker *checker, int64_t at_ms, int version, int acked)
@@ -271,9 +271,9 @@
 
 void checker_record_reload(struct checker *checker, int64_t at_ms, int machine)
 {
-	struct reload_event reload_ev = { at_ms, machine };
+	struct reload_event event = { at_ms, machine };
 
-	arrput(checker->reloads, reload_ev);
+	arrput(checker->reloads, event);
 }
 
 void checker_record_unexpected_exit(struct checker *checker, int64_t at_ms, int machine)
--- a/emulator/checker_answers.c
+++ b/emulator/checker_answers.c
@@ -119,13 +119,13 @@
 	int ok = 0;
 
 	for (int i = 0; i < arrlen(checker->configs); i++) {
-		const struct parsed_tenant *cfg_tenant =
+		const struct parsed_tenant *tenant_of_key =
 		    checker->configs[i].config
 			? parsed_config_tenant_of_key(checker->configs[i].config, text(key))
 			: NULL;
 
-		*is_known_key |= cfg_tenant != NULL;
-		ok |= cfg_tenant && !strcmp(cfg_tenant->name, text(tenant));
+		*is_known_key |= tenant_of_key != NULL;
+		ok |= tenant_of_key && !strcmp(tenant_of_key->name, text(tenant));
 	}
 	return ok;
 }
--- a/emulator/checker_lost.c
+++ b/emulator/checker_lost.c
@@ -155,12 +155,12 @@
 static int64_t reload_of(const struct checker *checker, const struct attempt *attempt)
 {
 	for (int i = 0; i < arrlen(checker->reloads); i++) {
-		const struct reload_event *reload_ev = &checker->reloads[i];
+		const struct reload_event *event = &checker->reloads[i];
 
-		if (reload_ev->machine == attempt->machine &&
-		    attempt->sent_at_ms <= reload_ev->at_ms + checker->bounds.config_apply_ms &&
-		    attempt->answered_at_ms > reload_ev->at_ms)
-			return reload_ev->at_ms;
+		if (event->machine == attempt->machine &&
+		    attempt->sent_at_ms <= event->at_ms + checker->bounds.config_apply_ms &&
+		    attempt->answered_at_ms > event->at_ms)
+			return event->at_ms;
 	}
 	return -1;
 }
--- a/emulator/checker_service.c
+++ b/emulator/checker_service.c
@@ -143,17 +143,17 @@
 		    attempt->outcome == ANSWER_ABANDONED)
 			continue;
 		for (int k = 0; k < arrlen(checker->configs); k++) {
-			const struct parsed_tenant *cfg_tenant =
+			const struct parsed_tenant *tenant_of_key =
 			    checker->configs[k].config
 				? parsed_config_tenant_of_key(checker->configs[k].config, attempt->key)
 				: NULL;
 
 			tally++;
-			if (!cfg_tenant || !config_is_valid(&checker->configs[k])) {
+			if (!tenant_of_key || !config_is_valid(&checker->configs[k])) {
 				tenant = NULL;
 				break; /* only keys that were there all along */
 			}
-			tenant = cfg_tenant->name;
+			tenant = tenant_of_key->name;
 		}
 		if (!tally || !tenant)
 			continue;
--- a/emulator/checker_state.c
+++ b/emulator/checker_state.c
@@ -117,7 +117,7 @@
 struct config_matches match_configs(const struct checker *checker, const struct attempt *attempt,
 				    const char *service, int status, int64_t observed_at_ms, int64_t from)
 {
-	struct config_matches span = { 0, 0, 0, 0, 1, INT64_MAX, -1 };
+	struct config_matches matches = { 0, 0, 0, 0, 1, INT64_MAX, -1 };
 
 	for (int i = 0; i < arrlen(checker->configs); i++) {
 		const struct submitted_config *config = &checker->configs[i];
@@ -127,21 +127,21 @@
 			continue;
 		d = denial_status(config->config, attempt, service);
 		same = service ? !d : d == status || (d && status == 403);
-		span.any |= same;
+		matches.any |= same;
 		if (!config_is_valid(config)) {
-			span.invalid |= same;
+			matches.invalid |= same;
 			continue;
 		}
 		if (config->version >= from) {
-			span.current |= same;
-			span.all &= !d;
+			matches.current |= same;
+			matches.all &= !d;
 		} else {
-			span.older |= same;
+			matches.older |= same;
 		}
-		if (same && config->version < span.lowest_version)
-			span.lowest_version = config->version;
-		if (same && config->version > span.highest_version)
-			span.highest_version = config->version;
+		if (same && config->version < matches.lowest_version)
+			matches.lowest_version = config->version;
+		if (same && config->version > matches.highest_version)
+			matches.highest_version = config->version;
 	}
-	return span;
+	return matches;
 }
--- a/emulator/client_attempts.c
+++ b/emulator/client_attempts.c
@@ -10,7 +10,7 @@
 
 static const struct conn_handlers on_answer;
 
-static void finish_request(struct client_request *subject);
+static void finish_request(struct client_request *request);
 
 void client_forget_connection(struct clients *clients, const struct conn *conn)
 {
@@ -47,21 +47,21 @@
 	free(attempt);
 }
 
-static int is_repeatable(const struct run *run, const struct client_request *subject)
+static int is_repeatable(const struct run *run, const struct client_request *request)
 {
-	return run->sheet->classes[subject->class_id].resumable;
+	return run->sheet->classes[request->class_id].resumable;
 }
 
 static void retry_now(void *ctx)
 {
-	struct client_request *subject = ctx;
+	struct client_request *request = ctx;
 
-	for (int i = 0; i < arrlen(subject->clients->retrying); i++)
-		if (subject->clients->retrying[i] == subject) {
-			arrdelswap(subject->clients->retrying, i);
+	for (int i = 0; i < arrlen(request->clients->retrying); i++)
+		if (request->clients->retrying[i] == request) {
+			arrdelswap(request->clients->retrying, i);
 			break;
 		}
-	client_start_attempt(subject, 1);
+	client_start_attempt(request, 1);
 }
 
 /* Hand the answer of an attempt to the checker. */
@@ -244,14 +244,14 @@
 	attempt_free(attempt);
 }
 
-static void finish_request(struct client_request *subject)
+static void finish_request(struct client_request *request)
 {
-	free(subject);
+	free(request);
 }
 
 static void on_event(struct client_attempt *attempt, char *text)
 {
-	struct client_request *subject = attempt->request;
+	struct client_request *request = attempt->request;
 	struct run *run = attempt->clients->run;
 	int64_t now = run_ms(run);
 	struct stream_event event = { -1, -1 };
@@ -266,23 +266,23 @@
 			sscanf(line + 5, "%d %d %lld", &event.run_id, &k, &made);
 	}
 	arrput(attempt->events, event);
-	if (!subject->first_event_at_ms) {
-		subject->first_event_at_ms = now;
-		if (!subject->is_probe) {
-			histogram_add(&run->figures.first_event_ms[subject->class_id],
-				      now - subject->created_at_ms);
-			histogram_add(&client_second_of(run, subject->created_at_ms)->first_event,
-				      now - subject->created_at_ms);
+	if (!request->first_event_at_ms) {
+		request->first_event_at_ms = now;
+		if (!request->is_probe) {
+			histogram_add(&run->figures.first_event_ms[request->class_id],
+				      now - request->created_at_ms);
+			histogram_add(&client_second_of(run, request->created_at_ms)->first_event,
+				      now - request->created_at_ms);
 		}
-	} else if (now - subject->last_event_at_ms > subject->longest_gap_ms) {
-		subject->longest_gap_ms = now - subject->last_event_at_ms;
+	} else if (now - request->last_event_at_ms > request->longest_gap_ms) {
+		request->longest_gap_ms = now - request->last_event_at_ms;
 	}
-	subject->last_event_at_ms = now;
+	request->last_event_at_ms = now;
 	if (made) {
 		int64_t late = (loop_us() - made) / 1000;
 
 		histogram_add(&run->figures.transit_ms, late);
-		subject->transit_late |= late > run->bounds.transit_ms;
+		request->transit_late |= late > run->bounds.transit_ms;
 	}
 }
 
@@ -400,8 +400,9 @@
 	attempt->started_at_ms = attempt->last_received_at_ms = now;
 	attempt->deadline_at_ms = request->created_at_ms + run->sheet->classes[request->class_id].deadline_ms;
 	attempt->machine = machine;
+	clients->last_id++;
 	snprintf(attempt->id, sizeof attempt->id, "%016llx",
-		 (unsigned long long)emulator_hash(run->seed, &(uint64_t){ ++clients->last_id }, 8));
+		 (unsigned long long)emulator_hash(run->seed, &clients->last_id, sizeof clients->last_id));
 	return attempt;
 }
 
--- a/emulator/client_entry.c
+++ b/emulator/client_entry.c
@@ -48,7 +48,7 @@
 	}
 }
 
-int client_pick_edge(struct clients *clients, const struct client *who, const struct client_request *subject)
+int client_pick_edge(struct clients *clients, const struct client *who, const struct client_request *request)
 {
 	struct run *run = clients->run;
 
@@ -69,16 +69,16 @@
 		from = nin * 2 < nall ? all : in;
 		n = nin * 2 < nall ? nall : nin;
 		for (int k = 0; k < n; k++) { /* further attempts go to other machines */
-			int m = from[(who->hash + (uint64_t)subject->attempts + (uint64_t)k) % (uint64_t)n],
+			int m = from[(who->hash + (uint64_t)request->attempts + (uint64_t)k) % (uint64_t)n],
 			    met = 0;
 
-			for (int x = 0; x < subject->avoid_count; x++)
-				met |= subject->avoid[x] == m;
+			for (int x = 0; x < request->avoid_count; x++)
+				met |= request->avoid[x] == m;
 			if (!met)
 				return m;
 		}
-		if (z == 3 || n > 1 || !subject->avoid_count)
-			return from[(who->hash + (uint64_t)subject->attempts) % (uint64_t)n];
+		if (z == 3 || n > 1 || !request->avoid_count)
+			return from[(who->hash + (uint64_t)request->attempts) % (uint64_t)n];
 	}
 	for (int i = 0; i < run->machine_count; i++) /* none is in rotation: any that is there */
 		if (!run->machines[i].is_core && !run->machines[i].removed)
--- a/emulator/clients.c
+++ b/emulator/clients.c
@@ -19,49 +19,49 @@
 {
 	struct run *run = clients->run;
 	const struct traffic_class *class = &run->sheet->classes[cls];
-	struct client_request *subject = calloc(1, sizeof *subject);
+	struct client_request *request = calloc(1, sizeof *request);
 	uint64_t thing = emulator_random(&run->rng) % (uint64_t) class->topic_count, seed;
 	int own, shared;
 	size_t n;
 
-	subject->clients = clients;
-	subject->class_id = cls;
-	subject->created_at_ms = run_ms(run);
-	subject->client = &clients->client[emulator_random(&run->rng) % arrlenu(clients->client)];
+	request->clients = clients;
+	request->class_id = cls;
+	request->created_at_ms = run_ms(run);
+	request->client = &clients->client[emulator_random(&run->rng) % arrlenu(clients->client)];
 	seed = thing * 31 + (uint64_t)cls;
 	shared = draw_size(&seed, class->shared_tokens);
 	own = draw_size(&run->rng, class->own_tokens);
-	subject->output_tokens = draw_size(&run->rng, class->output_tokens);
+	request->output_tokens = draw_size(&run->rng, class->output_tokens);
 	if (clients->long_every && clients->requests % clients->long_every == 0)
-		subject->output_tokens *= TIMES_AS_LONG;
-	subject->prompt_tokens = shared + own;
-	snprintf(subject->key, sizeof subject->key, "%s", clients->keys[subject->client->tenant]);
-	snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
+		request->output_tokens *= TIMES_AS_LONG;
+	request->prompt_tokens = shared + own;
+	snprintf(request->key, sizeof request->key, "%s", clients->keys[request->client->tenant]);
+	snprintf(request->host, sizeof request->host, "%s", run->sheet->host);
 	if (clients->extra_routes && emulator_random(&run->rng) % 3 == 0)
-		snprintf(subject->path, sizeof subject->path, "/big%d/%llx",
+		snprintf(request->path, sizeof request->path, "/big%d/%llx",
 			 (int)(emulator_random(&run->rng) % (uint64_t)clients->extra_routes),
 			 (unsigned long long)(emulator_random(&run->rng) & 0xffff));
 	else
-		snprintf(subject->path, sizeof subject->path, "%s%llx", class->prefix,
+		snprintf(request->path, sizeof request->path, "%s%llx", class->prefix,
 			 (unsigned long long)(emulator_random(&run->rng) & 0xffff));
-	snprintf(subject->blocks_header, sizeof subject->blocks_header, "%08llx:%d,%08llx:%d,%08llx:%d",
+	snprintf(request->blocks_header, sizeof request->blocks_header, "%08llx:%d,%08llx:%d,%08llx:%d",
 		 (unsigned long long)(emulator_hash(1, &cls, sizeof cls) & 0xffffffff), shared / 4 + 1,
 		 (unsigned long long)(emulator_hash(2, &seed, 8) & 0xffffffff), shared - shared / 4,
 		 (unsigned long long)(emulator_random(&run->rng) & 0xffffffff), own);
-	subject->prompt_tokens = shared + 1 + own;
+	request->prompt_tokens = shared + 1 + own;
 	n = 80 + emulator_random(&run->rng) % 400;
 	for (size_t i = 0; i < n; i++)
-		subject->body[i] = (char)('a' + emulator_random(&run->rng) % 26);
-	subject->size = (subject->prompt_tokens + 10.0 * subject->output_tokens) /
+		request->body[i] = (char)('a' + emulator_random(&run->rng) % 26);
+	request->size = (request->prompt_tokens + 10.0 * request->output_tokens) /
 			(class->shared_tokens + class->own_tokens + 10.0 * class->output_tokens);
-	subject->value = class->value * (0.3 + 0.7 * subject->size);
-	if (subject->value > 4 * class->value)
-		subject->value = 4 * class->value;
-	run->figures.value_offered += subject->value;
+	request->value = class->value * (0.3 + 0.7 * request->size);
+	if (request->value > 4 * class->value)
+		request->value = 4 * class->value;
+	run->figures.value_offered += request->value;
 	run->figures.requests[cls]++;
 	clients->requests++;
-	client_second_of(run, subject->created_at_ms)->requests++;
-	client_start_attempt(subject, 0);
+	client_second_of(run, request->created_at_ms)->requests++;
+	client_start_attempt(request, 0);
 }
 
 /* Probe each edge directly, on routes that came or went lately or never were: which configuration is in force
@@ -78,28 +78,28 @@
 		const char *at = emulator_random(&run->rng) % 2 ? operator_added(run->config_operator)
 								: operator_removed(run->config_operator),
 			   *key;
-		struct client_request *subject;
+		struct client_request *request;
 
 		if (run->machines[i].is_core || run->machines[i].removed || !run->machines[i].in_rotation)
 			continue;
-		subject = calloc(1, sizeof *subject);
-		subject->clients = clients;
-		subject->class_id = 2;
-		subject->created_at_ms = run_ms(run);
-		subject->client = &clients->client[0];
-		subject->is_probe = 1;
-		subject->avoid[0] = i;
-		subject->prompt_tokens = 40;
-		subject->output_tokens = clients->long_every ? LONG_PROBE : 1;
+		request = calloc(1, sizeof *request);
+		request->clients = clients;
+		request->class_id = 2;
+		request->created_at_ms = run_ms(run);
+		request->client = &clients->client[0];
+		request->is_probe = 1;
+		request->avoid[0] = i;
+		request->prompt_tokens = 40;
+		request->output_tokens = clients->long_every ? LONG_PROBE : 1;
 		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->config_operator) : NULL;
-		snprintf(subject->key, sizeof subject->key, "%s", key ? key : clients->keys[0]);
-		snprintf(subject->host, sizeof subject->host, "%s", run->sheet->host);
-		snprintf(subject->path, sizeof subject->path, "%s%s", at ? at : "/never/", "p");
-		snprintf(subject->blocks_header, sizeof subject->blocks_header, "%08llx:40",
+		snprintf(request->key, sizeof request->key, "%s", key ? key : clients->keys[0]);
+		snprintf(request->host, sizeof request->host, "%s", run->sheet->host);
+		snprintf(request->path, sizeof request->path, "%s%s", at ? at : "/never/", "p");
+		snprintf(request->blocks_header, sizeof request->blocks_header, "%08llx:40",
 			 (unsigned long long)(emulator_random(&run->rng) & 0xffffffff));
-		snprintf(subject->body, sizeof subject->body, "probe");
+		snprintf(request->body, sizeof request->body, "probe");
 		run->figures.probes++;
-		client_start_attempt(subject, 1);
+		client_start_attempt(request, 1);
 	}
 }
 
--- a/emulator/clients_internal.h
+++ b/emulator/clients_internal.h
@@ -30,33 +30,33 @@
 	struct pooled_conn *connections; /* stb array */
 };
 
-struct client_request { /* what a client wants, over all its attempts */
+/* What a client wants, over all its attempts; freed when it is over. */
+struct client_request {
 	struct clients *clients;
 	struct client *client;
 	int class_id;
 	int attempts;
 	int prompt_tokens;
-	int output_tokens;
-	int last_event_id;
-	int is_done;
+	int output_tokens; /* that the client asks for */
+	int last_event_id; /* of the stream so far; 0: none */
 	int extra;
-	int is_probe;
+	int is_probe; /* of a route or key that came or went */
 	int was_refused;
-	int avoid[4];
+	int avoid[4]; /* machines of earlier attempts; a probe: the one to ask */
 	int avoid_count;
 	int64_t created_at_ms;
 	int64_t first_event_at_ms;
 	int64_t last_event_at_ms;
 	int64_t longest_gap_ms;
-	int64_t refused_after_ms;
-	double value;
+	int64_t refused_after_ms; /* when it was refused first */
+	double value;             /* if it is served in time */
 	double size;
 	char path[160];
-	char blocks_header[200];
+	char blocks_header[200]; /* blocks of the prompt, as the header field has them */
 	char body[600];
 	char key[64];
 	char host[80];
-	int transit_late;
+	int transit_late; /* an event was under way for too long */
 };
 
 /* One attempt of a request, over one connection; freed when it is over. */
@@ -67,45 +67,43 @@
 	int machine;
 	int is_new_connection;
 	int status;
-	int seal_run;
-	int is_own_answer;
+	int seal_run;      /* run named by the server's seal; -1: none */
+	int is_own_answer; /* the answer bears no seal: the system's own */
 	int is_stream;
-	int sent;
-	int bytes;
+	int sent; /* written in full */
 	int done;
-	int was_read;
+	int was_read; /* the machine's process has read the request */
 	int64_t started_at_ms;
-	int64_t deadline_at_ms;
+	int64_t deadline_at_ms; /* of the request */
 	int64_t last_received_at_ms;
-	/* stb array: what of a stream is not read yet */
 	char id[24];
 	char seal_id[40];
-	char *unparsed;
-	double retry_after;
+	char *unparsed;     /* stb_ds: what of a stream is not parsed yet */
+	double retry_after; /* s, as the answer asks */
 	int keep_alive;
-	int keep_alive_s;
-	struct stream_event *events;
+	int keep_alive_s;            /* as the answer says; 0: it does not */
+	struct stream_event *events; /* stb_ds */
 };
 
 /* All clients of a run, and the entry before the routers. */
 struct clients {
 	struct run *run;
-	struct client *client; /* stb arrays */
-	struct client_attempt **in_flight;
-	struct client_request **retrying;
+	struct client *client;             /* stb_ds */
+	struct client_attempt **in_flight; /* stb_ds */
+	struct client_request **retrying;  /* stb_ds: requests that wait for their next attempt */
 	uint64_t poll_timer;
 	uint64_t probes_timer;
 	uint64_t ready_timer;
-	uint64_t last_id;
-	double arrival_credit[CLASS_COUNT];
+	uint64_t last_id;                   /* of an attempt */
+	double arrival_credit[CLASS_COUNT]; /* requests that are due, by class */
 	int64_t last_poll_at_ms;
 	int traffic_on;
 	int extra_routes;
 	int probing;
-	int long_every;
+	int long_every; /* of so many requests one has a long answer; 0: none */
 	int closing;
-	int requests;
-	char keys[16][64];
+	int requests;      /* so far */
+	char keys[16][64]; /* by tenant */
 };
 
 /* ---- client_entry.c ---- */
@@ -115,7 +113,7 @@
 
 /* The router for a client's next attempt: its own zone first, then the next ones; NO_MACHINE if there is
  * none. */
-int client_pick_edge(struct clients *clients, const struct client *who, const struct client_request *subject);
+int client_pick_edge(struct clients *clients, const struct client *who, const struct client_request *request);
 
 /* ---- client_attempts.c ---- */
 
@@ -130,6 +128,6 @@
 
 /* Send a request; fresh: over a new connection. Ends the request when no time is left or no router is there.
  */
-void client_start_attempt(struct client_request *subject, int fresh);
+void client_start_attempt(struct client_request *request, int fresh);
 
 #endif
--- a/emulator/event_loop.h
+++ b/emulator/event_loop.h
@@ -93,7 +93,7 @@
 
 /* Listen at "IP:PORT"; connections beyond max (0: no limit) are reset. NULL when the address cannot be
  * listened at, which is printed. Example: port = port_open(loop, "127.9.0.1:80", &handlers, server, 0); */
-struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *handlers,
 		       void *context, int max);
 
 /* Close a listener and its connections, with a reset or in order. */
@@ -111,7 +111,7 @@
 /* Begin to connect to "IP:PORT"; what is written meanwhile is sent later. NULL: it could not even begin.
  * Example: conn = conn_connect(loop, "127.9.0.1:80", &handlers, call); conn_expect(conn); conn_write(conn,
  * text, n); */
-struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *handlers,
 			  void *context);
 
 /* Send bytes, now or as soon as the other end reads. */
@@ -130,7 +130,7 @@
 void conn_close(struct conn *conn, int reset);
 
 /* Other handlers, from now on. */
-void conn_set_handlers(struct conn *conn, const struct conn_handlers *callbacks, void *context);
+void conn_set_handlers(struct conn *conn, const struct conn_handlers *handlers, void *context);
 
 /* Whether it is connected and not closed. */
 int conn_is_up(const struct conn *conn);
--- a/emulator/event_loop_internal.h
+++ b/emulator/event_loop_internal.h
@@ -41,24 +41,23 @@
 	int fd;
 	int is_up;
 	int is_closed;
-	int awaits_answer;
-	int in_request;
-	int closing;
+	int awaits_answer; /* calling side: an answer is due */
+	int in_request;    /* serving side: a request is being handled */
+	int closing;       /* close once all is written */
 	int is_silent;
 	int parsing;
-	int reset;
+	int reset; /* a write has failed with a reset */
 	int64_t idle_since_us;
 	const struct conn_handlers *handlers;
 	void *context;
 	void *tag;
 	http_parser parser;
 	struct http_message message;
-	int value_next; /* the parser's last piece was a field's value */
-	int is_complete;
-	/* stb arrays */
-	char *input;
-	char *output;
-	size_t out_offset;
+	int value_next;    /* the parser's last piece was a field's value */
+	int is_complete;   /* the parser has read a message to its end */
+	char *input;       /* stb_ds: not parsed yet */
+	char *output;      /* stb_ds: not written yet, from out_offset on */
+	size_t out_offset; /* of output: written so far */
 };
 
 /* A loop with its timers, listeners and connections. */
@@ -66,8 +65,8 @@
 	int epoll_fd;
 	struct timer *timers; /* heap */
 	uint64_t last_timer_id;
-	struct conn **connections;
-	struct port **ports;
+	struct conn **connections; /* stb_ds; owned */
+	struct port **ports;       /* stb_ds; owned */
 	int64_t swept_at_us;
 	int64_t max_lateness_us;
 };
--- a/emulator/fleet_internal.h
+++ b/emulator/fleet_internal.h
@@ -16,17 +16,17 @@
 /* A process of the test fleet, and where it is found; pid 0: it does not run. */
 struct fleet_process {
 	enum process_kind kind;
-	int index;
+	int index; /* among processes of its kind */
 	int pid;
 	int frozen;
 	char name[40];
-	char advertised[40];
+	char advertised[40]; /* where its link listens */
 	char listen_address[40];
 	char web_address[40];
 	char zone[8];
 	char data_folder[700];
-	char fault_file[700];
-	char service[32];
+	char fault_file[700]; /* of a controller: ms that each sync takes longer */
+	char service[32];     /* of a server */
 };
 
 /* A run of the test fleet. */
@@ -37,24 +37,23 @@
 	int controller_count;
 	int router_count;
 	int server_count;
-	int stop;
+	int stop; /* the probing thread ends */
 	char address_prefix[20];
 	char seeds[3][40];
 	struct links *links;
 	struct record *record;
 	struct record *probe_record;
 	pthread_t probe_thread;
-	pthread_mutex_t mutex;
 	uint64_t rng;
 	const char *routes[3];
-	const char *services[3];
-	int rate;
+	const char *services[3]; /* by route */
+	int rate;                /* requests a second */
 	int prefill_tokens_per_ms;
 	int link_bytes_per_ms;
 	int kv_bytes_per_token;
-	int added_delay_ms;
+	int added_delay_ms; /* of all links */
 	int load_ms;
-	char weights[3][20];
+	char weights[3][20]; /* target, by service */
 	struct load_clients *load_clients;
 	const char *router_addresses[16];
 };
--- a/emulator/fleet_run.c
+++ b/emulator/fleet_run.c
@@ -163,20 +163,20 @@
 static void load_on(struct test_fleet *fleet)
 {
 	static char path[700];
-	struct load_client_settings callers_set = { fleet->router_addresses,
-						    fleet->router_count,
-						    fleet->routes,
-						    3,
-						    8,
-						    fleet->rate,
-						    96,
-						    10000,
-						    400,
-						    fleet->settings->seed,
-						    path };
+	struct load_client_settings settings = { fleet->router_addresses,
+						 fleet->router_count,
+						 fleet->routes,
+						 3,
+						 8,
+						 fleet->rate,
+						 96,
+						 10000,
+						 400,
+						 fleet->settings->seed,
+						 path };
 
 	snprintf(path, sizeof path, "%s/callers.rec", fleet->settings->folder);
-	fleet->load_clients = load_clients_start(&callers_set);
+	fleet->load_clients = load_clients_start(&settings);
 	pthread_create(&fleet->probe_thread, NULL, fleet_probe_thread, fleet);
 }
 
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -246,7 +246,8 @@
 	fd = open(path, O_RDWR);
 	if (fd < 0 || fstat(fd, &file_stat) || ftruncate(fd, file_stat.st_size / 3))
 		fleet_note(fleet, "missed", "what", "the file could not be torn");
-	close(fd);
+	if (fd >= 0)
+		close(fd);
 	fleet_restart_process(fleet, node);
 	for (int i = 0; i < 100 && was != node->pid; i++) {
 		fleet_sleep_ms(100);
@@ -373,47 +374,49 @@
 	snprintf(old, sizeof old, "%s/old.json", fleet->settings->folder);
 	snprintf(bad, sizeof bad, "%s/bad.json", fleet->settings->folder);
 	snprintf(out, sizeof out, "%s/out.txt", fleet->settings->folder);
-	fleet_run_tool(fleet, 0, "notchlugctl", sheet, "--at", at, "show", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "compare", sheet, NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", sheet, "--at", at, "show", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "compare", sheet, (char *)NULL);
 	text = file_read(out);
 	if (!text || strcmp(text, "nothing to change\n"))
 		fleet_note(fleet, "tool-failed", "what",
 			   "a sheet that was just shown differs from the table");
 	free(text);
 	fleet_run_tool(fleet, 0, "notchlug-validate", out, "--at", at, "--counter", router_address, sheet,
-		       NULL);
+		       (char *)NULL);
 	snprintf(cell, sizeof cell, "share=%d", 3);
 	json = fleet_event("tried");
 	json_object_object_add(
 	    json, "change",
 	    json_tokener_parse("{\"set\":[{\"kind\":\"tenant\",\"name\":\"tenant-7\",\"share\":3}]}"));
 	record_put(fleet->record, json);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", cell, NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", cell,
+		       (char *)NULL);
 	/* the sheet is of an earlier revision now, and differs on tenant-7 */
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, sheet, NULL);
-	fleet_run_tool(fleet, 4, "notchlugctl", out, "--at", at, "apply", sheet, NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, sheet, (char *)NULL);
+	fleet_run_tool(fleet, 4, "notchlugctl", out, "--at", at, "apply", sheet, (char *)NULL);
 	fleet_write_file(
 	    old,
 	    "{\"expect\":1,\"set\":[{\"kind\":\"tenant\",\"name\":\"tenant-6\",\"share\":2,\"limit\":9}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, old, NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, old, (char *)NULL);
 	fleet_write_file(
 	    bad, "{\"set\":[{\"kind\":\"lane\",\"name\":\"new\",\"service\":\"nowhere\",\"limit\":5}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, "--json", bad, NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, "--json", bad, (char *)NULL);
 	text = file_read(out);
 	if (!text || !strstr(text, "nowhere"))
 		fleet_note(fleet, "tool-failed", "what", "examiner does not name the unknown service");
 	free(text);
 	fleet_write_file(bad, "{\"del\":[{\"kind\":\"tenant\",\"name\":\"tenant-5\"}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, bad, NULL);
-	fleet_run_tool(fleet, 3, "notchlug-validate", out, "--at", "127.0.0.1:1", sheet, NULL);
-	fleet_run_tool(fleet, 3, "notchlugctl", out, "--at", "127.0.0.1:1", "show", NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, bad, (char *)NULL);
+	fleet_run_tool(fleet, 3, "notchlug-validate", out, "--at", "127.0.0.1:1", sheet, (char *)NULL);
+	fleet_run_tool(fleet, 3, "notchlugctl", out, "--at", "127.0.0.1:1", "show", (char *)NULL);
 	fleet_run_tool(fleet, 1, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", "share=0",
-		       NULL);
-	fleet_run_tool(fleet, 2, "notchlugctl", out, "--at", at, "no-such-command", NULL);
-	fleet_run_tool(fleet, 2, "notchlug-validate", out, "--at", at, "/nonexistent", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "add", "tenant-1", "another", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "remove", "another", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "state", NULL);
+		       (char *)NULL);
+	fleet_run_tool(fleet, 2, "notchlugctl", out, "--at", at, "no-such-command", (char *)NULL);
+	fleet_run_tool(fleet, 2, "notchlug-validate", out, "--at", at, "/nonexistent", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "add", "tenant-1", "another",
+		       (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "remove", "another", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "state", (char *)NULL);
 }
 
 static struct fleet_process *any_process(struct test_fleet *fleet, enum process_kind kind, int count)
--- a/emulator/fleet_server_scenarios.c
+++ b/emulator/fleet_server_scenarios.c
@@ -113,21 +113,21 @@
 void fleet_scenario_overload(struct test_fleet *fleet)
 {
 	char path[700];
-	struct load_client_settings callers_set = { fleet->router_addresses,
-						    fleet->router_count,
-						    fleet->routes,
-						    3,
-						    8,
-						    fleet->rate * 10,
-						    256,
-						    3000,
-						    400,
-						    fleet->settings->seed + 1000,
-						    path };
+	struct load_client_settings settings = { fleet->router_addresses,
+						 fleet->router_count,
+						 fleet->routes,
+						 3,
+						 8,
+						 fleet->rate * 10,
+						 256,
+						 3000,
+						 400,
+						 fleet->settings->seed + 1000,
+						 path };
 	struct load_clients *more;
 
 	snprintf(path, sizeof path, "%s/more.rec", fleet->settings->folder);
-	more = load_clients_start(&callers_set);
+	more = load_clients_start(&settings);
 	fleet_sleep_ms(5000);
 	fleet_note_fault(fleet, "a third of the servers refuse under overload");
 	for (int i = 0; i < fleet->server_count; i += 3)
--- a/emulator/http_call.c
+++ b/emulator/http_call.c
@@ -62,14 +62,14 @@
 	       const char *fields, const char *body, int ms,
 	       void (*callback)(void *ctx, int status, const struct http_message *m), void *context)
 {
-	static const struct conn_handlers callbacks = { .complete = single_call_complete,
-							.closed = single_call_closed };
+	static const struct conn_handlers handlers = { .complete = single_call_complete,
+						       .closed = single_call_closed };
 	struct single_call *once = calloc(1, sizeof *once);
 
 	once->loop = loop;
 	once->callback = callback;
 	once->context = context;
-	once->conn = conn_connect(loop, addr, &callbacks, once);
+	once->conn = conn_connect(loop, addr, &handlers, once);
 	once->timer = loop_after(loop, once->conn ? ms_us(ms) : 0, single_call_timeout, once);
 	if (!once->conn)
 		return;
--- a/emulator/http_conn.c
+++ b/emulator/http_conn.c
@@ -344,9 +344,9 @@
 	conn_write(conn, b, (size_t)n < sizeof b ? (size_t)n : sizeof b - 1);
 }
 
-void conn_set_handlers(struct conn *conn, const struct conn_handlers *callbacks, void *context)
+void conn_set_handlers(struct conn *conn, const struct conn_handlers *handlers, void *context)
 {
-	conn->handlers = callbacks;
+	conn->handlers = handlers;
 	conn->context = context;
 }
 
@@ -380,7 +380,7 @@
 }
 
 static struct conn *conn_new(struct loop *loop, int fd, struct port *port,
-			     const struct conn_handlers *callbacks, void *context)
+			     const struct conn_handlers *handlers, void *context)
 {
 	struct conn *conn = calloc(1, sizeof *conn);
 	struct epoll_event event = { .events = EPOLLIN | (port ? 0 : EPOLLOUT), .data.ptr = conn };
@@ -390,7 +390,7 @@
 	conn->loop = loop;
 	conn->fd = fd;
 	conn->port = port;
-	conn->handlers = callbacks;
+	conn->handlers = handlers;
 	conn->context = context;
 	conn->is_up = port != NULL;
 	conn->idle_since_us = loop_us();
@@ -401,7 +401,7 @@
 	return conn;
 }
 
-struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+struct conn *conn_connect(struct loop *loop, const char *addr, const struct conn_handlers *handlers,
 			  void *context)
 {
 	struct sockaddr_in socket_address;
@@ -415,10 +415,10 @@
 		close(fd);
 		return NULL;
 	}
-	return conn_new(loop, fd, NULL, callbacks, context);
+	return conn_new(loop, fd, NULL, handlers, context);
 }
 
-struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *callbacks,
+struct port *port_open(struct loop *loop, const char *addr, const struct conn_handlers *handlers,
 		       void *context, int max)
 {
 	struct sockaddr_in socket_address;
@@ -440,7 +440,7 @@
 	port->loop = loop;
 	port->fd = fd;
 	port->max_connections = max;
-	port->handlers = callbacks;
+	port->handlers = handlers;
 	port->context = context;
 	event.data.ptr = port;
 	epoll_ctl(loop->epoll_fd, EPOLL_CTL_ADD, fd, &event);
@@ -469,17 +469,17 @@
 			conn_destroy(port->loop->connections[i], reset);
 }
 
-void port_set_silent(struct port *port, int dark)
+void port_set_silent(struct port *port, int is_silent)
 {
-	struct epoll_event event = { .events = dark ? 0 : EPOLLIN, .data.ptr = port };
+	struct epoll_event event = { .events = is_silent ? 0 : EPOLLIN, .data.ptr = port };
 
 	if (!port || port->is_closed)
 		return;
-	port->is_silent = dark;
+	port->is_silent = is_silent;
 	epoll_ctl(port->loop->epoll_fd, EPOLL_CTL_MOD, port->fd, &event);
 	for (int i = 0; i < arrlen(port->loop->connections); i++)
 		if (port->loop->connections[i]->port == port) {
-			port->loop->connections[i]->is_silent = dark;
+			port->loop->connections[i]->is_silent = is_silent;
 			conn_update_events(port->loop->connections[i]);
 		}
 }
--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -10,7 +10,6 @@
 	int version;
 	enum server_state state;
 	char instance[32];
-	int64_t removed_at;
 };
 struct listing_change {
 	struct list *list;
@@ -187,23 +186,23 @@
 	json_object_put(json);
 }
 
-struct list *list_open(struct server_fleet *settings, const struct list_settings *list_set)
+struct list *list_open(struct server_fleet *fleet, const struct list_settings *settings)
 {
-	static const struct conn_handlers callbacks = { .request = on_request };
+	static const struct conn_handlers handlers = { .request = on_request };
 	struct list *list = calloc(1, sizeof *list);
 
-	list->fleet = settings;
-	list->settings = *list_set;
-	list->rate_tokens = list_set->rate;
+	list->fleet = fleet;
+	list->settings = *settings;
+	list->rate_tokens = settings->rate;
 	list->tokens_updated_at_us = loop_us();
-	list->port = port_open(settings->loop, list_set->addr, &callbacks, list, 0);
+	list->port = port_open(fleet->loop, settings->addr, &handlers, list, 0);
 	if (!list->port) {
 		free(list);
 		return NULL;
 	}
-	settings->list = list;
-	for (int i = 0; i < arrlen(settings->servers); i++)
-		list_server_changed(list, settings->servers[i]);
+	fleet->list = list;
+	for (int i = 0; i < arrlen(fleet->servers); i++)
+		list_server_changed(list, fleet->servers[i]);
 	return list;
 }
 
--- a/emulator/load_clients.c
+++ b/emulator/load_clients.c
@@ -281,18 +281,18 @@
 	return NULL;
 }
 
-struct load_clients *load_clients_start(const struct load_client_settings *callers_set)
+struct load_clients *load_clients_start(const struct load_client_settings *settings)
 {
 	struct load_clients *clients = calloc(1, sizeof *clients);
 
-	clients->settings = *callers_set;
-	clients->record = record_open(callers_set->record_path);
+	clients->settings = *settings;
+	clients->record = record_open(settings->record_path);
 	apr_pool_create(&clients->pool, NULL);
 	apr_thread_mutex_create(&clients->mutex, APR_THREAD_MUTEX_DEFAULT, clients->pool);
 	clients->started_at_ms = clock_ms();
 	clients->threads =
-	    apr_pcalloc(clients->pool, (size_t)callers_set->thread_count * sizeof *clients->threads);
-	for (int i = 0; i < callers_set->thread_count; i++)
+	    apr_pcalloc(clients->pool, (size_t)settings->thread_count * sizeof *clients->threads);
+	for (int i = 0; i < settings->thread_count; i++)
 		apr_thread_create(&clients->threads[i], NULL, load_client_main, clients, clients->pool);
 	return clients;
 }
--- a/emulator/model_server.c
+++ b/emulator/model_server.c
@@ -34,39 +34,39 @@
 	.setup_ms = 5,
 };
 
-int64_t fleet_ms(const struct server_fleet *settings)
+int64_t fleet_ms(const struct server_fleet *fleet)
 {
-	return (loop_us() - settings->started_at_us) / 1000;
+	return (loop_us() - fleet->started_at_us) / 1000;
 }
 
-struct server *server_add(struct server_fleet *settings, const char *addr, const char *zone,
-			  const char *service, int is_store)
+struct server *server_add(struct server_fleet *fleet, const char *addr, const char *zone, const char *service,
+			  int is_store)
 {
 	struct server *server = calloc(1, sizeof *server);
 	static const double speeds[] = { 1.0, 1.0, 1.3 };
 
-	server->fleet = settings;
-	server->index = (int)arrlen(settings->servers);
+	server->fleet = fleet;
+	server->index = (int)arrlen(fleet->servers);
 	server->is_store = is_store;
 	server->speed = speeds[server->index % 3];
 	server->state = STATE_DOWN;
-	server->version = settings->newest_version;
+	server->version = fleet->newest_version;
 	server->fault.close = 0.01;
 	snprintf(server->address, sizeof server->address, "%s", addr);
 	snprintf(server->zone, sizeof server->zone, "%s", zone);
 	snprintf(server->service, sizeof server->service, "%s", service);
-	arrput(settings->servers, server);
+	arrput(fleet->servers, server);
 	return server;
 }
 
 void server_up(struct server *server)
 {
-	static const struct conn_handlers callbacks = { .request = model_server_on_request,
-							.closed = model_server_on_closed };
+	static const struct conn_handlers handlers = { .request = model_server_on_request,
+						       .closed = model_server_on_closed };
 
 	if (server->state != STATE_DOWN)
 		return;
-	server->port = port_open(server->fleet->loop, server->address, &callbacks, server,
+	server->port = port_open(server->fleet->loop, server->address, &handlers, server,
 				 server->is_store ? 0 : server->fleet->engine.max_conns);
 	if (!server->port)
 		return;
@@ -123,13 +123,13 @@
 	end_incarnation(server, 1);
 }
 
-void server_set_silent(struct server *server, int dark)
+void server_set_silent(struct server *server, int is_silent)
 {
 	if (server->state == STATE_DOWN)
 		return;
-	server->fault.is_silent = dark;
-	port_set_silent(server->port, dark);
-	if (dark) {
+	server->fault.is_silent = is_silent;
+	port_set_silent(server->port, is_silent);
+	if (is_silent) {
 		loop_cancel(server->fleet->loop, server->step_timer);
 		server->step_timer = 0;
 	} else {
@@ -159,17 +159,17 @@
 	    drained, server);
 }
 
-void servers_free(struct server_fleet *settings)
+void servers_free(struct server_fleet *fleet)
 {
-	struct list *list = settings->list;
+	struct list *list = fleet->list;
 
-	settings->list = NULL;
-	for (int i = 0; i < arrlen(settings->servers); i++) {
-		end_incarnation(settings->servers[i], 0);
-		arrfree(settings->servers[i]->batch);
-		arrfree(settings->servers[i]->queue);
-		free(settings->servers[i]);
+	fleet->list = NULL;
+	for (int i = 0; i < arrlen(fleet->servers); i++) {
+		end_incarnation(fleet->servers[i], 0);
+		arrfree(fleet->servers[i]->batch);
+		arrfree(fleet->servers[i]->queue);
+		free(fleet->servers[i]);
 	}
-	arrfree(settings->servers);
-	settings->list = list;
+	arrfree(fleet->servers);
+	fleet->list = list;
 }
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -19,14 +19,14 @@
 }
 
 /* Count a block's use after a purge: it must have been read since. */
-static void count_block_use(struct server_fleet *settings, const struct prompt_block *block)
+static void count_block_use(struct server_fleet *fleet, const struct prompt_block *block)
 {
-	if (!settings->purge_due_at_us || loop_us() < settings->purge_due_at_us)
+	if (!fleet->purge_due_at_us || loop_us() < fleet->purge_due_at_us)
 		return;
-	if (block->created_at_us < settings->purge_requested_at_us)
-		settings->old_blocks_used++;
+	if (block->created_at_us < fleet->purge_requested_at_us)
+		fleet->old_blocks_used++;
 	else
-		settings->new_blocks_used++;
+		fleet->new_blocks_used++;
 }
 
 /* The work uses a block of this tenant and version; it is recorded when the work starts. */
--- a/emulator/model_server_internal.h
+++ b/emulator/model_server_internal.h
@@ -17,8 +17,8 @@
 /* A call that waits for cache events behind a number, until a time. */
 struct watcher {
 	struct conn *conn;
-	int64_t since;
-	int64_t until;
+	int64_t since; /* number of the last event that it has */
+	int64_t until; /* loop_us */
 };
 /* A block of a request's prompt; is_hit: the work holds a reference to the cached one. */
 struct requested_block {
@@ -31,41 +31,41 @@
 /* One request at a server, from its arrival to its end. */
 struct work {
 	struct server *server;
-	struct conn *conn;
-	int run_id;
-	int priority;
-	int prompt_tokens;
+	struct conn *conn; /* NULL: its caller has disconnected */
+	int run_id;        /* of the checker; -1: none */
+	int priority;      /* 0 is the most urgent */
+	int prompt_tokens; /* of the whole prompt */
 	int output_tokens;
-	int remaining_tokens;
-	int generated_tokens;
+	int remaining_tokens; /* of the prompt, still to be prefilled */
+	int generated_tokens; /* of the answer */
 	int has_started;
-	int sent_id;
-	int last_id;
-	int step_read;
+	int sent_id;   /* last event sent */
+	int last_id;   /* last event of the answer */
+	int step_read; /* prompt tokens of the current step */
 	int head_sent;
-	int version;
-	int announced_version;
-	int is_plain;
-	int break_at;
-	int lose_answer;
-	int grey;
-	int garbage;
-	int surplus;
-	int close;
+	int version;           /* of the weights that it started on */
+	int announced_version; /* of the weights, as its stream said last */
+	int is_plain;          /* its answer is one piece and no stream */
+	int break_at;          /* it breaks off behind this event; 0: it does not */
+	int lose_answer;       /* it runs, and nothing is sent */
+	int grey;              /* it fails with 500 */
+	int garbage;           /* bytes that are no HTTP */
+	int surplus;           /* bytes follow the answer */
+	int close;             /* the connection closes behind the answer */
 	int64_t queued_at_us;
 	int64_t deadline_us;
-	int64_t transfer_done_at_us;
+	int64_t transfer_done_at_us; /* of its fetch */
 	enum work_state state;
 	char id[64];
 	char salt[48];
 	char tenant[48];
-	char offload_target[40];
-	char source[40];
-	uint64_t seed;
-	uint64_t body;
-	struct requested_block *blocks; /* stb arrays */
-	struct reused_block *used_blocks;
-	char **names;
+	char offload_target[40];          /* address of the store that gets new blocks */
+	char source[40];                  /* address of the server to fetch blocks from */
+	uint64_t seed;                    /* hash of the request */
+	uint64_t body;                    /* hash of the answer */
+	struct requested_block *blocks;   /* stb_ds */
+	struct reused_block *used_blocks; /* stb_ds; their tenants are in names */
+	char **names;                     /* stb_ds; owned */
 };
 
 /* Whether new weights are being loaded, or are about to be. */
--- a/emulator/operator_internal.h
+++ b/emulator/operator_internal.h
@@ -18,51 +18,49 @@
 struct submission {
 	struct config_operator *config_operator;
 	enum submission_kind what;
-	int config_index;
-	int redirects;
+	int config_index; /* number of the configuration at the checker */
+	int redirects;    /* followed in this attempt */
 	int attempts;
-	int other_errors;
-	int is_unclear;
-	int is_unqueued;
-	int weights;
-	int is_lost;
-	int loss_count;
+	int other_errors; /* answers that are neither clear nor unclear */
+	int is_unclear;   /* an attempt may have been accepted */
+	int is_unqueued;  /* sent beside the queue */
+	int weights;      /* version of the weights */
+	int is_lost;      /* the answer of this attempt is lost */
+	int loss_count;   /* answers lost so far */
 	int64_t base_version;
 	int64_t version;
 	int64_t started_at_ms;
-	int64_t read_from;
-	char *body;
-	char *path;
+	char *body; /* owned; NULL: none */
+	char *path; /* owned */
 	char fields[120];
-	char address[64];
-	struct json_object *document; /* what stands once it is taken; NULL: nothing valid */
-	char added[96];
-	char removed[96];
-	double pause_ms;
+	char address[64];             /* of the next attempt */
+	struct json_object *document; /* current once it is acknowledged; NULL: nothing valid */
+	char added[96];               /* path prefix of a route that it adds */
+	char removed[96];             /* path prefix of a route that it removes */
+	double pause_ms;              /* before the next attempt */
 };
 
 /* The operator: the current configuration, and what is under way. */
 struct config_operator {
 	struct run *run;
-	struct json_object *current; /* acknowledged */
-	int64_t version;
-	int64_t next_version;
-	struct submission **in_flight; /* stb arrays */
-	struct queued_change *queue;
+	struct json_object *current;   /* acknowledged */
+	int64_t version;               /* of the current configuration */
+	int64_t next_version;          /* that was drawn last */
+	struct submission **in_flight; /* stb_ds */
+	struct queued_change *queue;   /* stb_ds */
 	int acked_count;
-	int keys;
-	int routes;
-	int weights_acked;
+	int keys;          /* added so far */
+	int routes;        /* added so far */
+	int weights_acked; /* version */
 	int read_done;
 	int closed;
 	char added[96];
 	char removed[96];
-	int splits;
-	/* what it changes; which of the planned changes comes next */
-	uint64_t rng;
-	uint64_t change_index;
-	double loss_ratio; /* share of answers to target submissions that are lost */
-	char leader[64];   /* who acknowledged last */
+	int splits;            /* so far */
+	uint64_t rng;          /* draws what changes */
+	uint64_t change_index; /* of the next planned change */
+	double loss_ratio;     /* share of answers to target submissions that are lost */
+	char leader[64];       /* who acknowledged last */
 };
 
 /* ---- operator_documents.c ---- */
--- a/emulator/platform_run.c
+++ b/emulator/platform_run.c
@@ -221,13 +221,13 @@
 	return 0;
 }
 
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation, int breaches,
-		      int64_t reach)
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation,
+		      int violation_count, int64_t reach)
 {
-	for (int i = 0; i < breaches; i++)
+	for (int i = 0; i < violation_count; i++)
 		if (!disk_explains(stalls, n, violation[i].at_ms, reach))
 			return 0;
-	return breaches > 0 && !has_timeless_violation(violation, breaches);
+	return violation_count > 0 && !has_timeless_violation(violation, violation_count);
 }
 
 /* The gate: at most 60% of the requests are refused or fail. */
--- a/emulator/platform_run.h
+++ b/emulator/platform_run.h
@@ -237,8 +237,8 @@
 
 /* Whether each of these violations is of a rule that depends on time, and follows a stall of the disk by no
  * more than reach ms. */
-int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation, int breaches,
-		      int64_t reach);
+int disk_explains_all(const struct disk_stall *stalls, int n, const struct violation *violation,
+		      int violation_count, int64_t reach);
 
 /* Hold the processes of core machines and edges to the run's shares of a processor, until quota_release. A
  * share of 0 holds nothing back. */
--- a/emulator/record_checker_internal.h
+++ b/emulator/record_checker_internal.h
@@ -32,7 +32,6 @@
 /* One request at one router, by "ID ROUTER": a client may send it to several. */
 struct submission_state {
 	int64_t refused_at_ms;
-	int is_open;
 	int has_run;
 };
 
--- a/emulator/record_checker_rules.c
+++ b/emulator/record_checker_rules.c
@@ -38,7 +38,6 @@
 
 	k->send_count = 0; /* a client's own new attempt is no retry of the router's */
 	k->requested_at_ms = at_ms;
-	a->is_open = 1;
 	a->has_run = 0;
 	a->refused_at_ms = 0;
 }
@@ -89,7 +88,6 @@
 	char key[32];
 
 	k->answer_count++;
-	a->is_open = 0;
 	if (json_member_int(json, "bad"))
 		report_violation(checker, 'C', "%s: pieces skipped, repeated, spliced or another's (%lld)",
 				 id, (long long)json_member_int(json, "bad"));
--- a/emulator/scale_model_fleet.c
+++ b/emulator/scale_model_fleet.c
@@ -217,7 +217,6 @@
 	fleet->requests = fleet->completed = fleet->refused = fleet->unknown = fleet->sends = fleet->pieces =
 	    fleet->send_ms = 0;
 	fleet->max_send_ms = 0;
-	fleet->window_started_at_ms = fleet->now_ms;
 	if (fleet->settings.changes)
 		model_schedule(fleet, MODEL_CONFIG_CHANGE, 0, 0, fleet->now_ms + 100);
 	if (fleet->settings.restarts)
--- a/emulator/scale_model_internal.h
+++ b/emulator/scale_model_internal.h
@@ -159,7 +159,6 @@
 struct model_fleet {
 	struct scale_model_settings settings;
 	int64_t now_ms;
-	int64_t window_started_at_ms;
 	uint64_t rng;
 	uint64_t seq;
 	uint64_t token;
@@ -196,8 +195,6 @@
 	uint64_t sends;
 	uint64_t pieces;
 	uint64_t send_ms;
-	uint64_t first_ms;
-	uint64_t first_n;
 	int64_t max_send_ms;
 	struct {
 		char *key;
--- a/emulator/scale_model_measures.c
+++ b/emulator/scale_model_measures.c
@@ -21,14 +21,14 @@
 
 static void add_row(struct scale_model_result *result, double average, double most, const char *fmt, ...)
 {
-	struct scale_model_row hollow_row = { "", average, most };
+	struct scale_model_row row = { "", average, most };
 	va_list ap;
 
 	va_start(ap, fmt);
-	vsnprintf(hollow_row.key, sizeof hollow_row.key, fmt, ap);
+	vsnprintf(row.key, sizeof row.key, fmt, ap);
 	va_end(ap);
 	if (most > 0)
-		arrput(result->rows, hollow_row);
+		arrput(result->rows, row);
 }
 
 static const char *slot_name(int slot, int is_router)
--- a/emulator/server_emulator.c
+++ b/emulator/server_emulator.c
@@ -69,18 +69,18 @@
 static enum MHD_Result on_order(struct MHD_Connection *connection, const char *body)
 {
 	struct json_object *j = json_tokener_parse(body), *json = json_member(j, "drop"),
-			   *rec = emulated_record("order");
+			   *record = emulated_record("order");
 	uint64_t fence = (uint64_t)json_member_int(j, "fence");
 	int old;
 
 	emulated_lock();
 	emulated_load_check();
 	old = fence < emulated.fence;
-	json_object_object_add(rec, "giver", json_object_new_string(json_member_string(j, "giver")));
-	json_object_object_add(rec, "fence", json_object_new_int64((int64_t)fence));
-	json_object_object_add(rec, "load", json_object_new_string(json_member_string(j, "load")));
-	json_object_object_add(rec, "fenced", json_object_new_boolean(old));
-	record_put(emulated.record, rec);
+	json_object_object_add(record, "giver", json_object_new_string(json_member_string(j, "giver")));
+	json_object_object_add(record, "fence", json_object_new_int64((int64_t)fence));
+	json_object_object_add(record, "load", json_object_new_string(json_member_string(j, "load")));
+	json_object_object_add(record, "fenced", json_object_new_boolean(old));
+	record_put(emulated.record, record);
 	if (!old) {
 		emulated.fence = fence;
 		if (json_member_string(j, "load")[0] &&
--- a/emulator/soak_test_internal.h
+++ b/emulator/soak_test_internal.h
@@ -53,19 +53,15 @@
 /* Faults of one subject: in series with gaps, and pauses between the series. */
 struct fault_series {
 	void (*inject)(struct soak_test *soak_test, int kind);
-	/* kinds of faults; faults in a series */
 	int kind_count;
-	int max_faults;
-	/* the longest, in ms */
-	int64_t max_gap_ms;
-	int64_t max_pause_ms;
-	int64_t min_pause_ms; /* the shortest pause */
+	int max_faults;       /* in a series */
+	int64_t max_gap_ms;   /* between faults of a series */
+	int64_t max_pause_ms; /* between series */
+	int64_t min_pause_ms; /* between series */
 	uint64_t seed;
 	uint64_t injected_count;
-	/* the kind of the last fault; how many are still to come in the series */
-	int kind;
-	int remaining;
-	/* ms */
+	int kind;      /* of the last fault */
+	int remaining; /* faults of the current series */
 	int64_t gap_ms;
 	int64_t next_at_ms;
 };
@@ -92,12 +88,11 @@
 	int64_t next_target_at_ms;
 	int64_t target_gap_ms;
 	int64_t next_sample_at_ms;
-	/* so many times the load; 0: no burst */
-	int target_version;
-	int targets_remaining;
+	int target_version;    /* of the weights */
+	int targets_remaining; /* in the series */
 	int fault_count;
-	int overlap_count;
-	int load_factor;
+	int overlap_count; /* faults that began beside others */
+	int load_factor;   /* so many times the load; 0: no burst */
 	struct {
 		int pid;
 		long long waited_ns; /* ns on a processor's queue, as the kernel counts them */
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -1,5 +1,6 @@
 /* The stand-in of the users' platform, tried by itself: the judge catches a breach of each rule and lets its
  * mended twin pass; servers, store and list speak as the pages say. */
+#include <fcntl.h>
 #include <sched.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,6 +14,7 @@
 
 #include "containers.h"
 #include "platform_run.h"
+#include "program_names.h"
 
 /* ---- the judge ---- */
 
@@ -103,7 +105,8 @@
 }
 
 /* A try that is served whole: two pieces. */
-static int served(struct checker *checker, int64_t t, const struct attempt_record *attempt, const char *service)
+static int served(struct checker *checker, int64_t t, const struct attempt_record *attempt,
+		  const char *service)
 {
 	int run;
 	struct stream_event event[2];
@@ -2259,7 +2262,7 @@
 
 static void clients_for(struct run *r, int64_t ms)
 {
-	r->config_operator= operator_open(r);
+	r->config_operator = operator_open(r);
 	r->clients = clients_open(r);
 	clients_traffic(r->clients, 1);
 	loop_until(r->loop, ms_us((double)ms), NULL, NULL);
@@ -2473,6 +2476,39 @@
 	free(figures);
 }
 
+static void put_program(const char *folder, const char *name)
+{
+	char path[700];
+	int fd;
+
+	snprintf(path, sizeof path, "%s/%s", folder, name);
+	fd = open(path, O_WRONLY | O_CREAT, 0700);
+	assert_true(fd >= 0);
+	close(fd);
+}
+
+/* A build folder's programs are found by the names that its version gives them; today's come first. */
+static void older_builds_are_found_by_their_names(void **state)
+{
+	char folder[] = "/tmp/emulator-XXXXXX", path[700];
+
+	(void)state;
+	assert_non_null(mkdtemp(folder));
+	assert_string_equal(program_names_in(folder)->controller, "notchlug-controller");
+	put_program(folder, "registrar");
+	assert_string_equal(program_names_in(folder)->controller, "registrar");
+	assert_string_equal(program_names_in(folder)->router, "counter");
+	assert_string_equal(program_names_in(folder)->router_role, "counter");
+	put_program(folder, "notchlug-controller");
+	assert_string_equal(program_names_in(folder)->router, "notchlug-router");
+	assert_string_equal(program_names_in(folder)->controller_role, "controller");
+	snprintf(path, sizeof path, "%s/registrar", folder);
+	unlink(path);
+	snprintf(path, sizeof path, "%s/notchlug-controller", folder);
+	unlink(path);
+	rmdir(folder);
+}
+
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
@@ -2506,6 +2542,7 @@
 		cmocka_unit_test(cut_streams_are_resumed_without_a_violation),
 		cmocka_unit_test(surplus_bytes_that_reach_a_client_are_seen),
 		cmocka_unit_test(an_answer_lost_after_its_run_is_not_run_again_where_it_may_not),
+		cmocka_unit_test(older_builds_are_found_by_their_names),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
