--- a/emulator/checker_config.c
+++ b/emulator/checker_config.c
@@ -106,7 +106,7 @@
 			continue;
 		for (int k = 0; k < arrlen(attempt->runs); k++) {
 			const struct arrival *arrival = &checker->arrivals[attempt->runs[k]];
-			struct version_evidence seen;
+			struct version_evidence proof;
 			struct config_matches matches;
 
 			if (arrival->started_at_ms < 0)
@@ -115,18 +115,18 @@
 			    match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms, -1);
 			if (matches.highest_version < 0)
 				continue;
-			seen.observed_at_ms = arrival->started_at_ms;
-			seen.lowest_version = matches.lowest_version;
-			seen.incarnation = incarnation_of(checker, machine, attempt->sent_at_ms);
-			arrput(evidence, seen);
+			proof.observed_at_ms = arrival->started_at_ms;
+			proof.lowest_version = matches.lowest_version;
+			proof.incarnation = incarnation_of(checker, machine, attempt->sent_at_ms);
+			arrput(evidence, proof);
 		}
 	}
 	return evidence;
 }
 
 /* The newest version that the machine's incarnation had shown before an attempt was sent to it, or -1. */
-static int64_t version_shown(const struct checker *checker, const struct attempt *attempt,
-			     const struct version_evidence *evidence)
+static int64_t version_proven(const struct checker *checker, const struct attempt *attempt,
+			      const struct version_evidence *evidence)
 {
 	int incarnation = incarnation_of(checker, attempt->machine, attempt->sent_at_ms);
 	int64_t newest = -1;
@@ -139,7 +139,7 @@
 	return newest;
 }
 
-static void check_no_reversal(struct checker *checker, const struct attempt *attempt, int64_t shown_version)
+static void check_no_reversal(struct checker *checker, const struct attempt *attempt, int64_t proven_version)
 {
 	struct config_matches matches;
 
@@ -149,18 +149,18 @@
 		if (arrival->started_at_ms < 0)
 			continue;
 		matches = match_configs(checker, attempt, arrival->service, 0, arrival->started_at_ms, -1);
-		if (matches.highest_version >= 0 && matches.highest_version < shown_version)
+		if (matches.highest_version >= 0 && matches.highest_version < proven_version)
 			checker_violation(checker, "CONFIG", arrival->started_at_ms,
 					  "machine %d went back behind %lld with try %s", attempt->machine,
-					  (long long)shown_version, attempt->id);
+					  (long long)proven_version, attempt->id);
 	}
 	if (!attempt->is_own_answer || !is_denial(attempt->status))
 		return;
 	matches = match_configs(checker, attempt, NULL, attempt->status, attempt->answered_at_ms, -1);
-	if (matches.highest_version >= 0 && matches.highest_version < shown_version)
+	if (matches.highest_version >= 0 && matches.highest_version < proven_version)
 		checker_violation(checker, "CONFIG", attempt->answered_at_ms,
 				  "machine %d went back behind %lld and denied try %s", attempt->machine,
-				  (long long)shown_version, attempt->id);
+				  (long long)proven_version, attempt->id);
 }
 
 /* No machine goes back: what an incarnation has shown holds for it. */
@@ -172,13 +172,13 @@
 		evidence = collect_evidence(checker, machine, evidence);
 		for (int i = 0; i < arrlen(checker->attempts); i++) {
 			const struct attempt *attempt = &checker->attempts[i];
-			int64_t shown_version;
+			int64_t proven_version;
 
 			if (attempt->machine != machine || !attempt->is_answered)
 				continue;
-			shown_version = version_shown(checker, attempt, evidence);
-			if (shown_version >= 0)
-				check_no_reversal(checker, attempt, shown_version);
+			proven_version = version_proven(checker, attempt, evidence);
+			if (proven_version >= 0)
+				check_no_reversal(checker, attempt, proven_version);
 		}
 	}
 	arrfree(evidence);
--- a/emulator/event_loop.c
+++ b/emulator/event_loop.c
@@ -139,7 +139,7 @@
 	}
 }
 
-static void loop_turn(struct loop *loop, int64_t until)
+static void loop_iterate(struct loop *loop, int64_t until)
 {
 	struct epoll_event event[128];
 	int64_t now = loop_us(), at = until;
@@ -174,7 +174,7 @@
 	int64_t until = loop_us() + us;
 
 	do {
-		loop_turn(loop, until);
+		loop_iterate(loop, until);
 		if (done && done(context))
 			return 1;
 	} while (loop_us() < until);
--- a/emulator/fleet_operations.c
+++ b/emulator/fleet_operations.c
@@ -224,7 +224,7 @@
 			return o;
 		fleet_sleep_ms(50);
 	}
-	fprintf(stderr, "notchlug-emulator: part %d finds no owner\n", part);
+	fprintf(stderr, "notchlug-emulator: shard %d has no leader\n", part);
 	return 0;
 }
 
--- a/emulator/fleet_processes.c
+++ b/emulator/fleet_processes.c
@@ -151,7 +151,7 @@
 
 struct fleet_process *fleet_add_process(struct test_fleet *fleet, enum process_kind kind, int i)
 {
-	static const char *const names[] = { "registrar", "counter", "server", "store" };
+	static const char *const names[] = { "controller", "router", "server", "store" };
 	static const int from[] = { 1, 20, 60, 59 };
 	struct fleet_process *n = &fleet->nodes[fleet->node_count++];
 
--- a/emulator/fleet_run.c
+++ b/emulator/fleet_run.c
@@ -230,7 +230,7 @@
 	signal(SIGTERM, on_int);
 	printf("The fleet is up. Callers call %s (keys key-0 to key-7), operators %s.\n",
 	       fleet->router_addresses[0], fleet_process_of(fleet, PROCESS_CONTROLLER, 0)->web_address);
-	printf("Try: clerk --at %s show\nCtrl-C ends it.\n",
+	printf("Try: notchlugctl --at %s show\nCtrl-C ends it.\n",
 	       fleet_process_of(fleet, PROCESS_CONTROLLER, 0)->web_address);
 	fflush(stdout);
 	while (!stop_up)
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -22,7 +22,7 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "the registrar that owns the configuration is killed");
+	fleet_note_fault(fleet, "the controller that owns the configuration is killed");
 	fleet_end_process(node, SIGKILL);
 	fleet_set_tenant(fleet, 5, 0);
 	fleet_sleep_ms(8000);
@@ -45,7 +45,7 @@
 
 static void sc_kill_many(struct test_fleet *fleet)
 {
-	fleet_note_fault(fleet, "all registrars and a third of the counters are killed at once");
+	fleet_note_fault(fleet, "all controllers and a third of the routers are killed at once");
 	for (int i = 0; i < fleet->controller_count; i++)
 		fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, i), SIGKILL);
 	for (int i = 0; i < fleet->router_count / 3; i++)
@@ -66,7 +66,7 @@
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, 0),
 			     *c2 = fleet_process_of(fleet, PROCESS_ROUTER, 1);
 
-	fleet_note_fault(fleet, "the configuration's owner and two counters freeze");
+	fleet_note_fault(fleet, "the configuration's leader and two routers freeze");
 	fleet_freeze_process(r, 1);
 	fleet_freeze_process(node, 1);
 	fleet_freeze_process(c2, 1);
@@ -88,7 +88,7 @@
 	char cmd[800];
 
 	fleet_set_tenant(fleet, 5, 0);
-	fleet_note_fault(fleet, "a registrar loses power and disk; an empty machine comes at a new address");
+	fleet_note_fault(fleet, "a controller loses power and disk; an empty machine comes at a new address");
 	fleet_end_process(node, SIGKILL);
 	snprintf(cmd, sizeof cmd, "%s/registrar.tdb", node->data_folder);
 	unlink(cmd);
@@ -102,7 +102,7 @@
 	fleet_set_tenant(fleet, 6, 1);
 	/* and then another: the group has replaced the lost one meanwhile */
 	node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
-	fleet_note_fault(fleet, "the next owner is killed too");
+	fleet_note_fault(fleet, "the next leader is killed too");
 	fleet_end_process(node, SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(12000);
@@ -113,7 +113,7 @@
 	struct fleet_process *n = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)),
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, fleet->router_count - 1);
 
-	fleet_note_fault(fleet, "the configuration's owner and a counter are cut off");
+	fleet_note_fault(fleet, "the configuration's leader and a router are cut off");
 	fleet_isolate(fleet, n);
 	fleet_isolate(fleet, node);
 	fleet_set_tenant(fleet, 5, 1);
@@ -121,7 +121,7 @@
 	fleet_sleep_ms(8000);
 	fleet_join_links(fleet);
 	fleet_sleep_ms(4000);
-	fleet_note_fault(fleet, "what a registrar says is lost, what it hears is not");
+	fleet_note_fault(fleet, "what a controller says is lost, what it hears is not");
 	n = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 	links_rule(fleet->links, n->advertised, "", 1, 0);
 	fleet_set_tenant(fleet, 5, 0);
@@ -140,12 +140,12 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "the owner's disk stalls for 8 s");
+	fleet_note_fault(fleet, "the leader's disk stalls for 8 s");
 	fleet_slow_disk(node, 8000);
 	fleet_set_tenant(fleet, 5, 1);
 	fleet_sleep_ms(8000);
 	if (fleet_leader_of(fleet, 0) == node->index)
-		fleet_note(fleet, "missed", "what", "the owner with the stalled disk stays owner");
+		fleet_note(fleet, "missed", "what", "the leader with the stalled disk stays leader");
 	unlink(node->fault_file);
 	fleet_sleep_ms(3000);
 	fleet_note_fault(fleet, "all disks are 150 ms slower");
@@ -162,7 +162,7 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "a registrar's disk is full");
+	fleet_note_fault(fleet, "a controller's disk is full");
 	fleet_end_process(node, SIGKILL);
 	fleet_start_process(fleet, node, 1);
 	for (int i = 0; i < 6; i++) {
@@ -218,12 +218,12 @@
 		fleet_sleep_ms(14000); /* the groups replace it: six seconds until the lost one is given up,
 					  then copies */
 	}
-	fleet_note_fault(fleet, "a counter starts that only knows the new seeds");
+	fleet_note_fault(fleet, "a router starts that only knows the new seeds");
 	fleet_end_process(node, SIGKILL);
 	fleet_restart_process(fleet, node);
 	fleet_set_tenant(fleet, 6, 1);
 	fleet_sleep_ms(4000);
-	fleet_note_fault(fleet, "and the owner is killed");
+	fleet_note_fault(fleet, "and the leader is killed");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(8000);
@@ -239,7 +239,7 @@
 	int fd, was = 0;
 
 	fleet_set_tenant(fleet, 5, 1);
-	fleet_note_fault(fleet, "a registrar loses power, and its file is torn");
+	fleet_note_fault(fleet, "a controller loses power, and its file is torn");
 	fleet_end_process(node, SIGKILL);
 	snprintf(path, sizeof path, "%s/registrar.tdb", node->data_folder);
 	snprintf(away, sizeof away, "%s.torn", path);
@@ -254,7 +254,7 @@
 		was = waitpid(node->pid, NULL, WNOHANG);
 	}
 	if (was != node->pid)
-		fleet_note(fleet, "missed", "what", "a registrar starts with a torn file");
+		fleet_note(fleet, "missed", "what", "a controller starts with a torn file");
 	else
 		node->pid = 0;
 	fleet_require_log(fleet, node, "tep check");
@@ -262,7 +262,7 @@
 	fleet_restart_process(fleet, node);
 	fleet_set_tenant(fleet, 6, 1);
 	fleet_sleep_ms(14000);
-	fleet_note_fault(fleet, "the owner is killed");
+	fleet_note_fault(fleet, "the leader is killed");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(8000);
@@ -280,7 +280,7 @@
 	fleet_set_tenant(fleet, 5, 1);
 	fleet_set_key(fleet, 7, 0);
 	fleet_sleep_ms(14000);
-	fleet_note_fault(fleet, "and then a registrar elsewhere");
+	fleet_note_fault(fleet, "and then a controller elsewhere");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 5, 0);
 	fleet_set_key(fleet, 7, 1);
@@ -353,7 +353,7 @@
 	fleet_must_change(fleet, b);
 	free(b);
 	fleet_sleep_ms(3000);
-	fleet_note_fault(fleet, "and its owner is killed after it");
+	fleet_note_fault(fleet, "and its leader is killed after it");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_sleep_ms(12000);
 	for (int i = 0; i < fleet->controller_count; i++)
@@ -403,7 +403,8 @@
 	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, "--json", bad, (char *)NULL);
 	text = file_read(out);
 	if (!text || !strstr(text, "nowhere"))
-		fleet_note(fleet, "tool-failed", "what", "examiner does not name the unknown service");
+		fleet_note(fleet, "tool-failed", "what",
+			   "notchlug-validate does not name the unknown service");
 	free(text);
 	fleet_write_file(bad, "{\"del\":[{\"kind\":\"tenant\",\"name\":\"tenant-5\"}]}");
 	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, bad, (char *)NULL);
@@ -500,10 +501,10 @@
 
 const struct fleet_scenario fleet_scenarios[] = {
 	{ "steady", "load without faults", sc_steady },
-	{ "kill-owner", "the configuration's owner is killed under load", sc_kill_leader },
+	{ "kill-owner", "the configuration's leader is killed under load", sc_kill_leader },
 	{ "kill-publisher", "the purge stream's publisher is killed between two purges", sc_kill_publisher },
-	{ "kill-many", "all registrars and a third of the counters are killed at once", sc_kill_many },
-	{ "freeze", "an owner and counters freeze and wake", sc_freeze },
+	{ "kill-many", "all controllers and a third of the routers are killed at once", sc_kill_many },
+	{ "freeze", "a leader and routers freeze and wake", sc_freeze },
 	{ "wipe", "a disk is lost, an empty machine comes at a new address, then one more dies", sc_wipe },
 	{ "cut", "nodes cut off, one-way loss, slow links", sc_cut },
 	{ "disk-stall", "disks stall and are slow", sc_disk_stall },
@@ -512,19 +513,19 @@
 	  fleet_scenario_servers },
 	{ "roll-out", "new weights, deaths during the roll-out, a second one overtaking",
 	  fleet_scenario_rollout },
-	{ "wall", "a tenant is walled off and let back while its streams run", sc_isolation },
-	{ "revoke", "a key is removed while its callers go on", sc_revoke },
+	{ "wall", "a tenant is isolated and let back while its streams run", sc_isolation },
+	{ "revoke", "a key is removed while its clients go on", sc_revoke },
 	{ "store", "the store goes down and comes back empty; reports lost and late", fleet_scenario_store },
 	{ "liars", "servers that answer with another's pieces, skip, repeat, break off or fall silent",
 	  fleet_scenario_liars },
 	{ "links", "links between servers slow down and hang in the middle of fetches",
 	  fleet_scenario_links },
-	{ "seeds", "the seed machines are exchanged one by one, then the owner dies", sc_seeds },
-	{ "torn", "a registrar's file is torn; it joins anew, then the owner dies", sc_torn },
+	{ "seeds", "the seed machines are exchanged one by one, then the leader dies", sc_seeds },
+	{ "torn", "a controller's file is torn; it joins anew, then the leader dies", sc_torn },
 	{ "zone", "all machines of one zone are gone at once, then one more", sc_zone },
-	{ "overload", "ten times the callers, and servers that refuse meanwhile", fleet_scenario_overload },
+	{ "overload", "ten times the clients, and servers that refuse meanwhile", fleet_scenario_overload },
 	{ "storm", "a storm of configurations, and racing operators", sc_storm },
-	{ "large", "a very large configuration, then its owner dies", sc_large },
+	{ "large", "a very large configuration, then its leader dies", sc_large },
 	{ "tools", "the operators' tools against a fleet", sc_tools },
 	{ "mixed", "a seeded mix, then one more fault", sc_mixed },
 	{ NULL, NULL, NULL },
--- a/emulator/fleet_server_scenarios.c
+++ b/emulator/fleet_server_scenarios.c
@@ -77,7 +77,7 @@
 	char b[40];
 
 	for (int lie = 1; lie <= 5; lie++) {
-		fleet_note_fault(fleet, lie == 1   ? "servers answer with another's mark"
+		fleet_note_fault(fleet, lie == 1   ? "servers answer with another's id"
 					: lie == 2 ? "servers leave pieces out"
 					: lie == 3 ? "servers break off"
 					: lie == 4 ? "servers repeat pieces"
--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -91,7 +91,7 @@
 }
 
 /* One call's share of the rate; 0: none is left. */
-static int take_rate_token(struct list *list)
+static int refill_rate_tokens(struct list *list)
 {
 	int64_t now = loop_us();
 
@@ -103,11 +103,12 @@
 }
 
 /* Whether a call's zone, as it stands in the target behind "Zone=", is this one; any is if it names none. */
-static int is_asked_zone(const char *asked, const char *zone)
+static int is_requested_zone(const char *requested, const char *zone)
 {
 	size_t length = strlen(zone);
 
-	return !asked || (!strncmp(asked, zone, length) && (!asked[length] || asked[length] == '&'));
+	return !requested ||
+	       (!strncmp(requested, zone, length) && (!requested[length] || requested[length] == '&'));
 }
 
 static struct json_object *instance_json(const struct list *list, const struct server *server,
@@ -144,7 +145,7 @@
 	for (int i = from; i < arrlen(list->listed) && !next; i++) {
 		const struct server *server = list->fleet->servers[i];
 
-		if (!list->listed[i].is_listed || !is_asked_zone(zone, server->zone))
+		if (!list->listed[i].is_listed || !is_requested_zone(zone, server->zone))
 			continue;
 		if (count == list->settings.page) {
 			next = i;
@@ -170,7 +171,7 @@
 	list->call_count++;
 	if (list->settings.verbose)
 		fprintf(stderr, "notchlug-emulator: list: %s\n", message->target);
-	has_token = take_rate_token(list);
+	has_token = refill_rate_tokens(list);
 	if (strcmp(message->method, "GET") || strncmp(message->target, "/instances", 10)) {
 		conn_answer(conn, 404, "", "", 0, 1);
 		return;
--- a/emulator/linear.c
+++ b/emulator/linear.c
@@ -102,9 +102,9 @@
 /* ---- events by time ---- */
 
 /* Requests go before answers of the same instant: they count as overlapping. */
-static int earlier(const void *left, const void *right)
+static int earlier(const void *first, const void *second)
 {
-	const struct event *a = *(struct event *const *)left, *b = *(struct event *const *)right;
+	const struct event *a = *(struct event *const *)first, *b = *(struct event *const *)second;
 
 	if (a->at != b->at)
 		return a->at < b->at ? -1 : 1;
--- a/emulator/main.c
+++ b/emulator/main.c
@@ -35,7 +35,7 @@
 	struct arg_str *folder = arg_str0(NULL, "folder", "F", "where records go; must not exist");
 	struct arg_str *old_build =
 	    arg_str0(NULL, "old-build", "DIR", "programs of an older build, for every other node");
-	struct arg_lit *small = arg_lit0(NULL, "small", "3 counters and 6 servers instead of 9 and 18");
+	struct arg_lit *small = arg_lit0(NULL, "small", "3 routers and 6 servers instead of 9 and 18");
 	struct arg_lit *untimed =
 	    arg_lit0(NULL, "untimed", "do not judge bounds in seconds: the machine's speed is not known");
 	struct arg_end *end = arg_end(5);
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -110,12 +110,12 @@
 
 static struct server *server_by_address(const struct server_fleet *fleet, const char *address)
 {
-	struct server *found = NULL;
+	struct server *match = NULL;
 
 	for (int k = 0; k < arrlen(fleet->servers); k++)
 		if (!strcmp(fleet->servers[k]->address, address))
-			found = fleet->servers[k];
-	return found;
+			match = fleet->servers[k];
+	return match;
 }
 
 /* Fetch blocks from the index on from the server that the request names. The link carries one fetch after the
--- a/emulator/model_server_http.c
+++ b/emulator/model_server_http.c
@@ -31,7 +31,7 @@
 
 /* A request's header fields as far as they decide whether it is admitted. */
 struct token_counts {
-	int is_given; /* else it is a plain request */
+	int is_present; /* else it is a plain request */
 	int prompt;
 	int output;
 };
@@ -41,7 +41,7 @@
 	struct token_counts counts = { 0, 0, 1 };
 	const char *field = http_message_field(message, "X-Notchlug-Token-Count");
 
-	counts.is_given = field != NULL;
+	counts.is_present = field != NULL;
 	if (field)
 		sscanf(field, "%d,%d", &counts.prompt, &counts.output);
 	return counts;
@@ -162,7 +162,7 @@
 	work->conn = conn;
 	work->run_id = run;
 	work->queued_at_us = loop_us();
-	work->is_plain = !counts.is_given;
+	work->is_plain = !counts.is_present;
 	work->prompt_tokens = counts.prompt > 0 ? counts.prompt : 1;
 	work->seed = arrival.body;
 	snprintf(work->id, sizeof work->id, "%s", arrival.id);
--- a/emulator/server_emulator.c
+++ b/emulator/server_emulator.c
@@ -94,7 +94,7 @@
 			    emulated_find_block(json_member_string(e, "h"), json_member_string(e, "m"));
 
 			if (replica && replica->stamp == json_member_int(e, "t")) {
-				emulated.held_tokens -= replica->tokens;
+				emulated.cached_tokens -= replica->tokens;
 				arrdel(emulated.blocks, replica - emulated.blocks);
 				emulated.serial++;
 			}
--- a/emulator/server_emulator_cache.c
+++ b/emulator/server_emulator_cache.c
@@ -36,7 +36,7 @@
 	memcpy(emulated.weights, emulated.loading, sizeof emulated.weights);
 	emulated.loading[0] = 0;
 	arrsetlen(emulated.blocks, 0); /* what other weights made is of no use here */
-	emulated.held_tokens = 0;
+	emulated.cached_tokens = 0;
 	emulated.serial++;
 	struct json_object *json = emulated_record("loaded");
 	json_object_object_add(json, "weights", json_object_new_string(emulated.weights));
@@ -57,10 +57,10 @@
 
 	if (c) {
 		if (!strcmp(c->weights, weights) && c->stamp >= stamp) {
-			c->used = ++emulated.use_counter;
+			c->used = ++emulated.use_sequence;
 			return;
 		}
-		emulated.held_tokens -= c->tokens;
+		emulated.cached_tokens -= c->tokens;
 		arrdel(emulated.blocks, c - emulated.blocks);
 	}
 	memset(&n, 0, sizeof n);
@@ -69,18 +69,18 @@
 	apr_cpystrn(n.maker, maker, sizeof n.maker);
 	n.stamp = stamp;
 	n.tokens = tokens;
-	n.used = ++emulated.use_counter;
+	n.used = ++emulated.use_sequence;
 	arrput(emulated.blocks, n);
-	emulated.held_tokens += tokens;
+	emulated.cached_tokens += tokens;
 	emulated.serial++;
-	while (emulated.held_tokens > emulated.capacity_tokens &&
+	while (emulated.cached_tokens > emulated.capacity_tokens &&
 	       arrlen(emulated.blocks) > 1) { /* the least recently used one goes */
 		ptrdiff_t worst = 0;
 
 		for (ptrdiff_t i = 1; i < arrlen(emulated.blocks); i++)
 			if (emulated.blocks[i].used < emulated.blocks[worst].used)
 				worst = i;
-		emulated.held_tokens -= emulated.blocks[worst].tokens;
+		emulated.cached_tokens -= emulated.blocks[worst].tokens;
 		arrdel(emulated.blocks, worst);
 	}
 }
@@ -95,7 +95,7 @@
 		if (!replica || replica->stamp != json_member_int(json, "t") ||
 		    strcmp(replica->weights, weights))
 			break;
-		replica->used = ++emulated.use_counter;
+		replica->used = ++emulated.use_sequence;
 		u = json_object_new_object();
 		json_object_object_add(u, "h", json_object_new_string(replica->hash));
 		json_object_object_add(u, "m", json_object_new_string(replica->maker));
--- a/emulator/server_emulator_internal.h
+++ b/emulator/server_emulator_internal.h
@@ -39,9 +39,9 @@
 	uint64_t fence;  /* highest one of a load command */
 	uint64_t serial; /* counts changes of what reports say */
 	uint64_t boot;
-	uint64_t use_counter;
+	uint64_t use_sequence;
 	struct cached_copy *blocks; /* stb_ds */
-	int held_tokens;            /* of all blocks */
+	int cached_tokens;          /* of all blocks */
 	/* faults, set by POST /fault */
 	int drop_reports;
 	int late_reports; /* ms */
--- a/emulator/version_scenarios.c
+++ b/emulator/version_scenarios.c
@@ -16,7 +16,7 @@
 	DISTURB_EVERY_MS = 6000, /* from one machine that stops to the next */
 	DOWN_MS = 1200,          /* how long it stays down */
 	EDGE_READY_MS = 6000,    /* a started edge is ready by then */
-	SETTLE_MS = 4000
+	CALM_MS = 4000
 };
 
 /* What both scenarios keep: the stream of changes, and which build acknowledged them. */
@@ -24,7 +24,7 @@
 	struct run *run;
 	int64_t next_change_at_ms;
 	int changes;
-	int acks_seen;
+	int acks_counted;
 	int acks_by_old;
 	int acks_by_new;
 };
@@ -52,10 +52,10 @@
 	const struct machine *leader = last_leader(versions->run);
 
 	if (leader && leader->runs_old)
-		versions->acks_by_old += acked - versions->acks_seen;
+		versions->acks_by_old += acked - versions->acks_counted;
 	else if (leader)
-		versions->acks_by_new += acked - versions->acks_seen;
-	versions->acks_seen = acked;
+		versions->acks_by_new += acked - versions->acks_counted;
+	versions->acks_counted = acked;
 }
 
 /* Submit the next change once the last one is acknowledged; configurations go out in full and as
@@ -104,33 +104,33 @@
 
 /* The machine to stop next: the leader, while its build has acknowledged more than the other; else an edge,
  * by turns of either build. */
-static struct machine *next_to_stop(const struct version_run *versions, int turn)
+static struct machine *next_to_stop(const struct version_run *versions, int round)
 {
 	struct run *run = versions->run;
 	struct machine *leader = last_leader(run);
-	int want_old = turn / 2 % 2;
+	int of_old_build = round / 2 % 2;
 
-	if (turn % 2 == 0 && leader && leader->pid &&
+	if (round % 2 == 0 && leader && leader->pid &&
 	    (leader->runs_old ? versions->acks_by_old >= versions->acks_by_new
 			      : versions->acks_by_new >= versions->acks_by_old))
 		return leader;
 	for (int i = 0; i < run->machine_count; i++)
 		if (!run->machines[i].is_core && run->machines[i].pid &&
-		    run->machines[i].runs_old == want_old)
+		    run->machines[i].runs_old == of_old_build)
 			return &run->machines[i];
 	return NULL;
 }
 
-static void stop_and_start(struct version_run *versions, int turn)
+static void stop_and_start(struct version_run *versions, int round)
 {
 	struct run *run = versions->run;
-	struct machine *machine = next_to_stop(versions, turn);
+	struct machine *machine = next_to_stop(versions, round);
 
 	if (!machine)
 		return;
 	run_log(run, "%s (%s build) is %s", machine->name, machine->runs_old ? "old" : "new",
-		turn % 4 < 2 ? "killed" : "stopped");
-	if (turn % 4 < 2)
+		round % 4 < 2 ? "killed" : "stopped");
+	if (round % 4 < 2)
 		machine_kill(machine);
 	else
 		machine_term(machine);
@@ -156,13 +156,13 @@
 		old += run->machines[i].runs_old;
 	run_log(run, "%d of %d machines run the old build", old, run->machine_count);
 	start_traffic_of(run);
-	for (int turn = 0; run_ms(run) < end && !run->undecided_reason; turn++) {
+	for (int round = 0; run_ms(run) < end && !run->undecided_reason; round++) {
 		go_on_for(&versions, DISTURB_EVERY_MS);
-		if (turn == 1)
+		if (round == 1)
 			set_weights(run, 2);
-		stop_and_start(&versions, turn);
+		stop_and_start(&versions, round);
 	}
-	go_on_for(&versions, SETTLE_MS);
+	go_on_for(&versions, CALM_MS);
 	run_log(run, "configurations acknowledged: %d by the old build, %d by the new one",
 		versions.acks_by_old, versions.acks_by_new);
 	if (!versions.acks_by_old || !versions.acks_by_new)
@@ -228,11 +228,11 @@
 	struct version_run versions = { .run = run };
 
 	start_traffic_of(run);
-	go_on_for(&versions, SETTLE_MS);
+	go_on_for(&versions, CALM_MS);
 	set_weights(run, 2);
 	upgrade_all(&versions);
 	set_weights(run, 3);
-	go_on_for(&versions, SETTLE_MS);
+	go_on_for(&versions, CALM_MS);
 	run_wait_for(run, run->bounds.ack_ms * run->slack, run_operator_idle);
 	count_acks(&versions);
 	run_log(run, "configurations acknowledged: %d by the old build, %d by the new one",
