--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -6,10 +6,10 @@
 #include "platform_emulator.h"
 
 struct listed_server {
-	int is_listed, version;
+	int is_listed;
+	int version;
 	enum server_state state;
 	char instance[32];
-	int64_t removed_at;
 };
 struct listing_change {
 	struct list *list;
@@ -79,8 +79,8 @@
 	snprintf(change->listing.instance, sizeof change->listing.instance, "%s", server->instance);
 	lag = list->settings.lag_ms * (0.3 + 0.7 * emulator_random_unit(&list->fleet->rng));
 	if (server->state == STATE_DOWN && was == STATE_UP)
-		lag += CRASHED_STAYS_MS;                             /* nobody has told the list */
-	for (int i = arrlen(list->pending_changes) - 1; i >= 0; i--) /* what comes later is shown later */
+		lag += CRASHED_STAYS_MS; /* the list learns of a crash by a time-out alone */
+	for (int i = arrlen(list->pending_changes) - 1; i >= 0; i--) /* what changes later shows later */
 		if (list->pending_changes[i]->server == server && server->state != STATE_DOWN) {
 			loop_cancel(list->fleet->loop, list->pending_changes[i]->timer);
 			free(list->pending_changes[i]);
@@ -91,7 +91,7 @@
 }
 
 /* One call's share of the rate; 0: none is left. */
-static int take_rate_token(struct list *list)
+static int refill_rate_tokens(struct list *list)
 {
 	int64_t now = loop_us();
 
@@ -103,11 +103,12 @@
 }
 
 /* Whether a call's zone, as it stands in the target behind "Zone=", is this one; any is if it names none. */
-static int is_asked_zone(const char *asked, const char *zone)
+static int is_requested_zone(const char *requested, const char *zone)
 {
 	size_t length = strlen(zone);
 
-	return !asked || (!strncmp(asked, zone, length) && (!asked[length] || asked[length] == '&'));
+	return !requested ||
+	       (!strncmp(requested, zone, length) && (!requested[length] || requested[length] == '&'));
 }
 
 static struct json_object *instance_json(const struct list *list, const struct server *server,
@@ -144,7 +145,7 @@
 	for (int i = from; i < arrlen(list->listed) && !next; i++) {
 		const struct server *server = list->fleet->servers[i];
 
-		if (!list->listed[i].is_listed || !is_asked_zone(zone, server->zone))
+		if (!list->listed[i].is_listed || !is_requested_zone(zone, server->zone))
 			continue;
 		if (count == list->settings.page) {
 			next = i;
@@ -170,7 +171,7 @@
 	list->call_count++;
 	if (list->settings.verbose)
 		fprintf(stderr, "notchlug-emulator: list: %s\n", message->target);
-	has_token = take_rate_token(list);
+	has_token = refill_rate_tokens(list);
 	if (strcmp(message->method, "GET") || strncmp(message->target, "/instances", 10)) {
 		conn_answer(conn, 404, "", "", 0, 1);
 		return;
@@ -186,23 +187,23 @@
 	json_object_put(json);
 }
 
-struct list *list_open(struct server_fleet *settings, const struct list_settings *list_set)
+struct list *list_open(struct server_fleet *fleet, const struct list_settings *settings)
 {
-	static const struct conn_handlers callbacks = { .request = on_request };
+	static const struct conn_handlers handlers = { .request = on_request };
 	struct list *list = calloc(1, sizeof *list);
 
-	list->fleet = settings;
-	list->settings = *list_set;
-	list->rate_tokens = list_set->rate;
+	list->fleet = fleet;
+	list->settings = *settings;
+	list->rate_tokens = settings->rate;
 	list->tokens_updated_at_us = loop_us();
-	list->port = port_open(settings->loop, list_set->addr, &callbacks, list, 0);
+	list->port = port_open(fleet->loop, settings->addr, &handlers, list, 0);
 	if (!list->port) {
 		free(list);
 		return NULL;
 	}
-	settings->list = list;
-	for (int i = 0; i < arrlen(settings->servers); i++)
-		list_server_changed(list, settings->servers[i]);
+	fleet->list = list;
+	for (int i = 0; i < arrlen(fleet->servers); i++)
+		list_server_changed(list, fleet->servers[i]);
 	return list;
 }
 
--- a/emulator/model_server_http.c
+++ b/emulator/model_server_http.c
@@ -1,5 +1,5 @@
-/* What a model server is asked: runs, health, reports, orders, events of kept parts, and connections that go.
- */
+/* HTTP calls of a model server: requests, health, reports, load commands, cache events, and connections that
+ * close. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -31,7 +31,7 @@
 
 /* A request's header fields as far as they decide whether it is admitted. */
 struct token_counts {
-	int is_given; /* else it is a plain request */
+	int is_present; /* else it is a plain request */
 	int prompt;
 	int output;
 };
@@ -41,7 +41,7 @@
 	struct token_counts counts = { 0, 0, 1 };
 	const char *field = http_message_field(message, "X-Notchlug-Token-Count");
 
-	counts.is_given = field != NULL;
+	counts.is_present = field != NULL;
 	if (field)
 		sscanf(field, "%d,%d", &counts.prompt, &counts.output);
 	return counts;
@@ -162,7 +162,7 @@
 	work->conn = conn;
 	work->run_id = run;
 	work->queued_at_us = loop_us();
-	work->is_plain = !counts.is_given;
+	work->is_plain = !counts.is_present;
 	work->prompt_tokens = counts.prompt > 0 ? counts.prompt : 1;
 	work->seed = arrival.body;
 	snprintf(work->id, sizeof work->id, "%s", arrival.id);
@@ -408,7 +408,7 @@
 static int visible(const struct server *server, int64_t since)
 {
 	if (since > server->last_event)
-		return 1; /* from another life */
+		return 1; /* of an earlier incarnation */
 	for (int i = arrlen(server->events) - 1; i >= 0 && server->events[i].number > since; i--)
 		if (server->events[i].visible_at_us <= loop_us())
 			return 1;
@@ -520,7 +520,7 @@
 		run_request(server, conn, message);
 }
 
-/* Most drop a request when its connection closes; some go on. */
+/* The caller of a work has disconnected. Most works end then; some go on without an answer. */
 static void caller_disconnected(struct work *work)
 {
 	if (emulator_random_unit(&work->server->fleet->rng) >= work->server->fault.stubborn) {
