--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -7,7 +7,12 @@
 #include "containers.h"
 #include "controller_private.h"
 
-enum { BOOTSTRAP_RETRY_MS = 1000 };
+enum {
+	BOOTSTRAP_RETRY_MS = 1000,    /* before an operator's call may come again */
+	BOOTSTRAP_POLL_MS = 200,      /* between messages to the seeds */
+	BOOTSTRAP_CALL_MS = 10000,    /* within which an operator's call ends */
+	BOOTSTRAP_SETTINGS_MS = 30000 /* by then all seeds have answered, or were replaced */
+};
 
 static int is_empty(const struct controller *controller)
 {
@@ -21,51 +26,51 @@
 static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members,
 			   int64_t now, struct command_list *out)
 {
-	struct raft_member member[RAFT_MAX_MEMBERS];
+	struct raft_member started[RAFT_MAX_MEMBERS];
 	int member_count = 0, is_member = 0;
 
 	for (size_t i = 0; i < members->n_members && member_count < RAFT_MAX_MEMBERS; i++) {
-		memset(&member[member_count], 0, sizeof member[member_count]);
-		member[member_count].id = members->members[i]->id;
-		member[member_count].addr = members->members[i]->addr;
-		member[member_count].voter = 1;
-		is_member |= member[member_count++].id == controller->identity.id;
+		memset(&started[member_count], 0, sizeof started[member_count]);
+		started[member_count].id = members->members[i]->id;
+		started[member_count].addr = members->members[i]->addr;
+		started[member_count].voter = 1;
+		is_member |= started[member_count++].id == controller->identity.id;
 	}
 	if (!is_member || !is_empty(controller))
 		return;
 	controller->identity.fleet = controller->config_watch.fleet = fleet;
-	controller->identity.fleet_dirty = 1;
+	controller->identity.fleet_dirty = true;
 	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_bootstrap(&controller->shards[i], member, member_count, now, out);
-	log_line(controller, "found", out->pool,
-		 "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet,
+		raft_bootstrap(&controller->shards[i], started, member_count, now, out);
+	log_line(controller, "bootstrap", out->pool,
+		 "Fleet %016" APR_UINT64_T_HEX_FMT " is bootstrapped with %d controllers.", fleet,
 		 member_count);
 }
 
 void on_bootstrap_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			  struct command_list *out)
 {
-	const struct Nl__Bootstrap *q = message->bootstrap;
-	struct Nl__Bootstrap *found;
-
-	if (q->is_query || q->members) {
-		if (q->members && q->fleet_id)
-			bootstrap_here(controller, q->fleet_id, q->members, now, out);
-		found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
-		found->is_empty = is_empty(controller);
-		found->fleet_id = controller->identity.fleet;
-		found->token = q->token;
-		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = found;
+	const struct Nl__Bootstrap *received = message->bootstrap;
+	struct Nl__Bootstrap *answer;
+
+	if (received->is_query || received->members) {
+		if (received->members && received->fleet_id)
+			bootstrap_here(controller, received->fleet_id, received->members, now, out);
+		answer = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
+		answer->is_empty = is_empty(controller);
+		answer->fleet_id = controller->identity.fleet;
+		answer->token = received->token;
+		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = answer;
 		return;
 	}
-	for (int i = 0; i < controller->identity.seed_count &&
-			(controller->bootstrap.call_token || controller->bootstrap.by_settings);
-	     i++)
+	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
+		return;
+	for (int i = 0; i < controller->identity.seed_count; i++)
 		if (controller->identity.seeds[i] == message->addr) {
 			controller->bootstrap.seeds[i].id = message->id;
-			controller->bootstrap.seeds[i].is_empty = q->is_empty;
-			controller->bootstrap.seeds[i].fleet = q->fleet_id;
+			controller->bootstrap.seeds[i].is_empty = received->is_empty;
+			controller->bootstrap.seeds[i].fleet = received->fleet_id;
 		}
 }
 
@@ -74,17 +79,19 @@
 	if (controller->bootstrap.members)
 		nl__members__free_unpacked(controller->bootstrap.members, NULL);
 	memset(&controller->bootstrap, 0, sizeof controller->bootstrap);
-	controller->bootstrap.deadline_at_ms = now + 10000;
+	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_CALL_MS;
 }
 
 void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
 		     struct command_list *out)
 {
-	const char *why = controller->identity.fleet        ? "found: this registrar belongs to a fleet"
-			  : controller->identity.seed_count ? NULL
-							    : "found: no seeds are set";
+	const char *why = NULL;
 
-	if (why) { /* so it is for good, whatever others do */
+	if (controller->identity.fleet)
+		why = "found: this registrar belongs to a fleet";
+	else if (!controller->identity.seed_count)
+		why = "found: no seeds are set";
+	if (why) { /* for good, whatever others do */
 		command_answer(out, event->payload.api_call.token, 409, 0, error_json(out->pool, why, 0));
 		return;
 	}
@@ -103,9 +110,8 @@
 	    !controller->identity.seed_count || !is_empty(controller))
 		return;
 	bootstrap_begin(controller, now);
-	controller->bootstrap.by_settings = 1;
-	controller->bootstrap.deadline_at_ms =
-	    now + 30000; /* by then its seeds have answered, or were replaced */
+	controller->bootstrap.by_settings = true;
+	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_SETTINGS_MS;
 }
 
 static void bootstrap_end(struct controller *controller, int status, const char *body,
@@ -115,11 +121,11 @@
 		command_answer(out, controller->bootstrap.call_token, status,
 			       status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
 	controller->bootstrap.call_token = 0;
-	controller->bootstrap.by_settings = 0;
+	controller->bootstrap.by_settings = false;
 }
 
-/* Definite is only a seed's word that it belongs to a fleet. Once the members were named, some may have taken
- * them. */
+/* Only a seed that says that it belongs to a fleet makes the failure definite. Once the members were sent,
+ * some seeds may have started with them. */
 static void bootstrap_fail(struct controller *controller, int all_answered, struct command_list *out)
 {
 	if (controller->bootstrap.members)
@@ -147,76 +153,101 @@
 	if (!controller->bootstrap.call_token)
 		return;
 	bootstrap_fail(controller, 0, out);
-	controller->bootstrap.by_settings =
-	    may_have_started; /* seeds that have begun are still told of the others */
+	/* seeds that have started are still sent the members */
+	controller->bootstrap.by_settings = may_have_started;
+}
+
+/* Whether the bootstrap has failed. answered_count, empty_count: how many seeds have answered, and are empty.
+ * One that the settings asked for goes on until all seeds have answered. */
+static bool has_failed(const struct controller *controller, int answered_count, int empty_count, int64_t now)
+{
+	const struct controller_bootstrap *bootstrap = &controller->bootstrap;
+	bool is_late = now > bootstrap->deadline_at_ms;
+
+	if (bootstrap->by_settings)
+		return (!bootstrap->members &&
+			(empty_count < answered_count || controller->identity.fleet)) ||
+		       (controller->identity.fleet && is_late);
+	return is_late || (!bootstrap->members && answered_count == controller->identity.seed_count &&
+			   empty_count < answered_count);
+}
+
+/* All seeds are empty: they are the members, of a new fleet. */
+static void choose_members(struct controller *controller)
+{
+	const struct controller_identity *identity = &controller->identity;
+	struct controller_bootstrap *bootstrap = &controller->bootstrap;
+	struct Nl__Members *members = malloc(sizeof *members);
+
+	if (!members)
+		abort();
+	nl__members__init(members);
+	bootstrap->proposed_fleet = core_random(&controller->identity.rng) | 1;
+	members->members = calloc((size_t)identity->seed_count, sizeof *members->members);
+	for (int i = 0; i < identity->seed_count; i++) {
+		struct Nl__Member *member = malloc(sizeof *member);
+
+		if (!member || !members->members)
+			abort();
+		nl__member__init(member);
+		member->id = bootstrap->seeds[i].id;
+		member->addr = identity->seeds[i];
+		member->voter = 1;
+		members->members[members->n_members++] = member;
+	}
+	bootstrap->members = members;
+}
+
+/* Ask all seeds whether they are empty, and send them the members once these are chosen. */
+static void query_seeds(const struct controller *controller, struct command_list *out)
+{
+	const struct controller_bootstrap *bootstrap = &controller->bootstrap;
+
+	for (int i = 0; i < controller->identity.seed_count; i++) {
+		struct Nl__Bootstrap *query = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
+
+		query->is_query = 1;
+		if (bootstrap->members) {
+			query->fleet_id = bootstrap->proposed_fleet;
+			query->members =
+			    (struct Nl__Members *)core_copy_message(out->pool, &bootstrap->members->base);
+		}
+		command_send(out, controller->identity.seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap =
+		    query;
+	}
 }
 
 void bootstrap_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
+	struct controller_bootstrap *bootstrap = &controller->bootstrap;
+	int seed_count = controller->identity.seed_count;
 	int answered_count = 0, empty_count = 0, started_count = 0;
 
-	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
+	if (!bootstrap->call_token && !bootstrap->by_settings)
 		return;
-	if (now < controller->bootstrap.retry_at_ms &&
-	    !(controller->bootstrap.by_settings && controller->identity.fleet &&
-	      !controller->bootstrap.members))
+	if (now < bootstrap->retry_at_ms &&
+	    !(bootstrap->by_settings && controller->identity.fleet && !bootstrap->members))
 		return;
-	controller->bootstrap.retry_at_ms = now + 200;
-	for (int i = 0; i < controller->identity.seed_count; i++) {
-		answered_count += controller->bootstrap.seeds[i].id != 0;
-		empty_count += controller->bootstrap.seeds[i].id && controller->bootstrap.seeds[i].is_empty &&
-			       !controller->bootstrap.seeds[i].fleet;
-		started_count += controller->bootstrap.seeds[i].fleet &&
-				 controller->bootstrap.seeds[i].fleet == controller->bootstrap.proposed_fleet;
+	bootstrap->retry_at_ms = now + BOOTSTRAP_POLL_MS;
+	for (int i = 0; i < seed_count; i++) {
+		answered_count += bootstrap->seeds[i].id != 0;
+		empty_count +=
+		    bootstrap->seeds[i].id && bootstrap->seeds[i].is_empty && !bootstrap->seeds[i].fleet;
+		started_count +=
+		    bootstrap->seeds[i].fleet && bootstrap->seeds[i].fleet == bootstrap->proposed_fleet;
 	}
-	if (controller->identity.seed_count && started_count == controller->identity.seed_count) {
+	if (seed_count && started_count == seed_count) {
 		bootstrap_end(controller, 200,
 			      apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}",
 					   controller->identity.fleet),
 			      out);
 		return;
 	}
-	if (controller->bootstrap.by_settings
-		? (!controller->bootstrap.members &&
-		   (empty_count < answered_count || controller->identity.fleet)) ||
-		      (controller->identity.fleet && now > controller->bootstrap.deadline_at_ms)
-		: now > controller->bootstrap.deadline_at_ms ||
-		      (!controller->bootstrap.members && answered_count == controller->identity.seed_count &&
-		       empty_count < answered_count)) {
-		bootstrap_fail(controller, answered_count == controller->identity.seed_count, out);
+	if (has_failed(controller, answered_count, empty_count, now)) {
+		bootstrap_fail(controller, answered_count == seed_count, out);
 		return;
 	}
-	if (!controller->bootstrap.members && answered_count == controller->identity.seed_count) {
-		controller->bootstrap.members = malloc(sizeof *controller->bootstrap.members);
-		if (!controller->bootstrap.members)
-			abort();
-		nl__members__init(controller->bootstrap.members);
-		controller->bootstrap.proposed_fleet = core_random(&controller->identity.rng) | 1;
-		controller->bootstrap.members->members = calloc(
-		    (size_t)controller->identity.seed_count, sizeof *controller->bootstrap.members->members);
-		for (int i = 0; i < controller->identity.seed_count; i++) {
-			struct Nl__Member *member = malloc(sizeof *member);
-
-			if (!member || !controller->bootstrap.members->members)
-				abort();
-			nl__member__init(member);
-			member->id = controller->bootstrap.seeds[i].id;
-			member->addr = controller->identity.seeds[i];
-			member->voter = 1;
-			controller->bootstrap.members->members[controller->bootstrap.members->n_members++] =
-			    member;
-		}
-	}
-	for (int i = 0; i < controller->identity.seed_count; i++) {
-		struct Nl__Bootstrap *found = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
-
-		found->is_query = 1;
-		if (controller->bootstrap.members) {
-			found->fleet_id = controller->bootstrap.proposed_fleet;
-			found->members = (struct Nl__Members *)core_copy_message(
-			    out->pool, &controller->bootstrap.members->base);
-		}
-		command_send(out, controller->identity.seeds[i], 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap =
-		    found;
-	}
+	if (!bootstrap->members && answered_count == seed_count)
+		choose_members(controller);
+	query_seeds(controller, out);
 }
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -113,6 +113,14 @@
 	return 0;
 }
 
+/* Whether routers may hold slots that the last leader granted and this one has not heard of. A fleet's first
+ * entry is its members, the second its first leader's: before it nobody granted any. */
+static bool is_new_leader(const struct controller *controller, int64_t now)
+{
+	return now - controller->leadership[SHARD_CONTROL].since_ms < CONTROLLER_QUOTA_LEASE_MS &&
+	       controller->shards[SHARD_CONTROL].log.term_start_index > 2;
+}
+
 void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
@@ -157,6 +165,8 @@
 	if (sync->is_router && !reply->n_upstreams)
 		add_zone_heads(controller, node.zone, reply, now, out);
 	if (!is_late)
-		quota_shares_update(controller, message->id, sync, reply->router_count, reply, now, out);
+		quota_shares_update(&controller->quota, &controller->config.table,
+				    is_new_leader(controller, now), message->id, sync, reply->router_count,
+				    reply, now, out);
 	add_controllers(controller, reply, now, out);
 }
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -30,7 +30,7 @@
 	if (controller->drop_log.logged && now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
 	log_line(controller, "raft", out->pool,
-		 "A message of kind %d of %s is dropped: %s; %" APR_UINT64_T_FMT " since the last such line.",
+		 "Message dropped: kind %d from %s: %s; %" APR_UINT64_T_FMT " since the last such line.",
 		 (int)message->body_case, core_format_addr(out->pool, message->addr), why,
 		 controller->drop_log.dropped - controller->drop_log.logged);
 	controller->drop_log.logged = controller->drop_log.dropped;
@@ -46,9 +46,9 @@
 	if (!controller->identity.fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
 	if (message->fleet_id != controller->identity.fleet)
-		why = "it names no fleet";
+		why = "not of this fleet";
 	else if (message->shard >= SHARD_COUNT)
-		why = "there is no such shard";
+		why = "no such shard";
 	else if ((fault = raft_receive(&controller->shards[message->shard], message, now, out)))
 		why = raft_fault_strerror(fault);
 	if (why)
@@ -63,8 +63,7 @@
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
 	    (message->fleet_id && controller->identity.fleet &&
 	     message->fleet_id != controller->identity.fleet)) {
-		log_dropped(controller, message, "it is of another fleet or edition of the protocol", now,
-			    out);
+		log_dropped(controller, message, "of another fleet or protocol version", now, out);
 		return;
 	}
 	switch (message->body_case) {
@@ -268,8 +267,11 @@
 
 	if (raft->snapshots.to_load) {
 		snapshot_load(controller, shard, out->pool);
-		if (shard == SHARD_CONTROL) /* load commands that were logged before are in no snapshot */
+		if (shard == SHARD_CONTROL) {
+			quota_shares_forget_table(&controller->quota);
+			/* load commands that were logged before are in no snapshot */
 			controller->rollout.unknown_until_ms = now;
+		}
 		raft->snapshots.to_load = 0;
 	}
 	on_leadership_lost(controller, shard, now, out);
@@ -325,7 +327,7 @@
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		raft_open(&controller->shards[i], i, id, seed, saved ? saved[i] : NULL, now);
 	sh_new_strdup(controller->server_rollout.targets);
-	sh_new_strdup(controller->quota.limits);
+	quota_shares_open(&controller->quota);
 	config_watch_open(&controller->config_watch, id, seeds, controller->identity.seed_count, now);
 	controller->config_watch.fleet = fleet;
 	controller->config_watch.zone = zone;
@@ -366,9 +368,7 @@
 	for (ptrdiff_t i = 0; i < shlen(controller->server_rollout.targets); i++)
 		free(controller->server_rollout.targets[i].value.weights);
 	shfree(controller->server_rollout.targets);
-	quota_shares_clear(controller);
-	shfree(controller->quota.limits);
-	arrfree(controller->quota.reserve_limits);
+	quota_shares_close(&controller->quota);
 	arrfree(controller->proposals.received);
 	arrfree(controller->proposals.own);
 	arrfree(controller->membership.nodes);
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -18,12 +18,12 @@
 		controller->leadership[shard].term = raft->term;
 		controller->leadership[shard].since_ms = controller->leadership[shard].clock_advanced_at_ms =
 		    now;
-		log_line(controller, "part", out->pool,
-			 "Part %u is owned here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
+		log_line(controller, "shard", out->pool,
+			 "Shard %u is led here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
 			group_clock_lead(controller, now);
 			arrsetlen(controller->membership.nodes, 0);
-			quota_shares_clear(controller);
+			quota_shares_clear(&controller->quota);
 			rollout_start_term(controller, now);
 			controller->retention.logged_index = 0;
 		}
@@ -41,7 +41,7 @@
 		if (raft->role != RAFT_LEADER) {
 			controller->relay.is_publisher = 0;
 			arrsetlen(controller->relay.upstreams, 0);
-			log_line(controller, "purge", out->pool, "The publisher's licence is lost here.");
+			log_line(controller, "purge", out->pool, "The publisher's lease is lost here.");
 		}
 	}
 	for (ptrdiff_t k = arrlen(controller->operators.logged_calls) - 1;
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -10,8 +10,8 @@
 #include "state_machine.h"
 #include "config_check.h"
 
-void reply_to_proposal(uint64_t addr, uint64_t token, uint32_t status, uint64_t version, const char *why,
-		       uint64_t hint, struct command_list *out)
+void reply_to_proposal(uint64_t addr, uint64_t token, enum proposal_status status, uint64_t version,
+		       const char *why, uint64_t hint, struct command_list *out)
 {
 	struct Nl__ProposeReply *answer = MESSAGE_NEW(out, Nl__ProposeReply, NL__PROPOSE_REPLY__INIT);
 
@@ -48,40 +48,74 @@
 void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index,
 		      struct apply_result applied, struct command_list *out)
 {
+	struct controller_pending_entry *received = controller->proposals.received;
+
 	if (shard == SHARD_CONTROL)
 		answer_operator_calls(controller, index, applied.status, out);
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.received); i++)
-		if (controller->proposals.received[i].shard == shard &&
-		    controller->proposals.received[i].log_index == index) {
-			reply_to_proposal(controller->proposals.received[i].proposer_addr,
-					  controller->proposals.received[i].token, applied.status,
+	for (ptrdiff_t i = 0; i < arrlen(received); i++)
+		if (received[i].shard == shard && received[i].log_index == index) {
+			reply_to_proposal(received[i].proposer_addr, received[i].token, applied.status,
 					  applied.version, proposal_status_strerror(applied.status), 0, out);
 			arrdel(controller->proposals.received, i);
 			return;
 		}
 }
 
-/* An operator wants a scope cleared now; the time is the owner's, since nothing is planned by it. */
-static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *clear,
+/* Whether a retention purge that an operator wants now can be logged, and the time to log it with: no
+ * schedule depends on it, so the leader's own clock does where no majority was heard. NULL, or what is wrong.
+ */
+static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *step,
 				       int64_t now, apr_pool_t *pool)
 {
 	int64_t wall_clock_ms = retention_wall_clock(controller, now);
 	char route[200], tenant[200];
 
-	if (!retention_parse_scope(clear->scope, route, tenant))
+	if (!retention_parse_scope(step->scope, route, tenant))
 		return "scope: lane/tenant, with * for all; * alone for everything";
 	if (route[0] && !config_table_get(&controller->config.table, NL__KIND__ROUTE, route))
 		return apr_psprintf(pool, "scope: no lane %s", route);
 	if (tenant[0] && !config_table_get(&controller->config.table, NL__KIND__TENANT, tenant))
 		return apr_psprintf(pool, "scope: no tenant %s", tenant);
-	clear->wall_clock_ms = clear->due_at_ms =
-	    wall_clock_ms == INT64_MIN ? controller->clocks.wall_ms : wall_clock_ms;
+	if (wall_clock_ms == INT64_MIN)
+		wall_clock_ms = controller->clocks.wall_ms;
+	step->wall_clock_ms = step->due_at_ms = wall_clock_ms;
 	return NULL;
 }
 
-/* A change that builds on an older edition is late, unless it may be an order that was accepted and is
+/* Whether nodes may propose this operation to this shard. */
+static bool is_expected(const struct Nl__Msg *message)
+{
+	const struct Nl__Operation *operation = message->propose->operation;
+
+	if (message->shard == SHARD_PURGE)
+		return false;
+	if (message->shard != SHARD_CONTROL)
+		return operation->body_case == NL__OPERATION__BODY_CLAIM;
+	if (operation->body_case == NL__OPERATION__BODY_CHANGE)
+		return true;
+	return operation->body_case == NL__OPERATION__BODY_RETENTION_STEP &&
+	       operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW;
+}
+
+/* Whether an operation of the control shard can be applied as the state is. NULL, or what is wrong. */
+static const char *check_operation(const struct controller *controller, struct Nl__Operation *operation,
+				   int64_t now, apr_pool_t *pool)
+{
+	const char *fault;
+
+	if (operation->body_case == NL__OPERATION__BODY_RETENTION_STEP)
+		return check_purge_request(controller, operation->retention_step, now, pool);
+	fault = config_check_change(&controller->config.table, operation->change, pool);
+	if (fault)
+		return fault;
+	return retention_check_calendar(controller->adapters.calendar, operation->change,
+					retention_wall_clock(controller, now), pool);
+}
+
+/* A change that builds on an older revision is late, unless it may be a request that was accepted and is
  * forgotten. */
-static uint32_t superseded_status(const struct controller *controller, const struct Nl__Change *change)
+static enum proposal_status superseded_status(const struct controller *controller,
+					      const struct Nl__Change *change)
 {
 	return idempotency_log_may_have_evicted(&controller->config.accepted_requests, SERIES_CHANGES,
 						change->expected_revision)
@@ -89,74 +123,79 @@
 		   : PROPOSAL_SUPERSEDED;
 }
 
+static bool is_superseded(const struct config_table *table, const struct Nl__Operation *operation)
+{
+	return operation->body_case == NL__OPERATION__BODY_CHANGE && table->revision &&
+	       !operation->change->any_revision &&
+	       operation->change->expected_revision < table->operator_revision;
+}
+
+/* Answer a proposal whose outcome is known already: accepted before, applied before, or built on an old
+ * revision. */
+static bool answer_known(const struct controller *controller, const struct Nl__Msg *message,
+			 struct command_list *out)
+{
+	const struct Nl__Propose *q = message->propose;
+	const struct config_table *table = &controller->config.table;
+	struct request_key request_key = request_key_unpack(q->operation->request_key);
+	const struct idempotency_record *accepted;
+	const struct controller_done_operation *done;
+
+	if ((accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key))) {
+		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
+				  accepted->version, ORDER_KEY_REUSED, 0, out);
+		return true;
+	}
+	if (message->shard != SHARD_CONTROL)
+		return false;
+	done = find_done_operation(controller, q->operation->requester_id, q->operation->token);
+	if (done) {
+		reply_to_proposal(message->addr, q->token, done->status, table->revision, "edition overtaken",
+				  0, out);
+		return true;
+	}
+	if (is_superseded(table, q->operation)) {
+		reply_to_proposal(message->addr, q->token,
+				  superseded_status(controller, q->operation->change), table->revision,
+				  "edition overtaken", 0, out);
+		return true;
+	}
+	return false;
+}
+
 void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 		 struct command_list *out)
 {
 	const struct Nl__Propose *q = message->propose;
-	struct controller_pending_entry controller_wait = { message->shard, 0, message->addr, q->token };
-	const char *why = NULL;
-	const struct controller_done_operation *done;
-	const struct idempotency_record *accepted;
-	struct request_key request_key = request_key_unpack(q->operation ? q->operation->request_key : NULL);
-	int is_expected;
+	struct controller_pending_entry entry = { message->shard, 0, message->addr, q->token };
+	const char *fault = NULL;
 
 	if (message->shard >= SHARD_COUNT || !q->operation)
 		return;
-	is_expected =
-	    message->shard == SHARD_CONTROL
-		? q->operation->body_case == NL__OPERATION__BODY_CHANGE ||
-		      (q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP &&
-		       q->operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW)
-	    : service_shard_state(controller, message->shard)
-		? q->operation->body_case == NL__OPERATION__BODY_CLAIM
-		: 0;
 	if (!leads_shard(controller, message->shard, now)) {
 		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
 		return;
 	}
-	if (!is_expected)
-		why = "op: not one that this part takes";
-	else if ((accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key))) {
-		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
-				  accepted->version, ORDER_KEY_REUSED, 0, out);
-		return;
-	} else if (message->shard == SHARD_CONTROL &&
-		   (done =
-			find_done_operation(controller, q->operation->requester_id, q->operation->token))) {
-		reply_to_proposal(message->addr, q->token, done->status, controller->config.table.revision,
-				  "edition overtaken", 0, out);
-		return;
-	} else if (message->shard == SHARD_CONTROL &&
-		   q->operation->body_case == NL__OPERATION__BODY_RETENTION_STEP) {
-		why = check_purge_request(controller, q->operation->retention_step, now, out->pool);
-	} else if (message->shard == SHARD_CONTROL && controller->config.table.revision &&
-		   !q->operation->change->any_revision &&
-		   q->operation->change->expected_revision < controller->config.table.operator_revision) {
-		reply_to_proposal(message->addr, q->token,
-				  superseded_status(controller, q->operation->change),
-				  controller->config.table.revision, "edition overtaken", 0, out);
+	if (!is_expected(message))
+		fault = "op: not one that this part takes";
+	else if (answer_known(controller, message, out))
 		return;
-	} else if (message->shard == SHARD_CONTROL) {
-		why = config_check_change(&controller->config.table, q->operation->change, out->pool);
-		if (!why)
-			why = retention_check_calendar(controller->adapters.calendar, q->operation->change,
-						       retention_wall_clock(controller, now), out->pool);
-	}
-	if (why) {
+	else if (message->shard == SHARD_CONTROL)
+		fault = check_operation(controller, q->operation, now, out->pool);
+	if (fault) {
 		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED,
-				  controller->config.table.revision, why, 0, out);
+				  controller->config.table.revision, fault, 0, out);
 		return;
 	}
-	controller_wait.log_index = log_operation(controller, message->shard, q->operation, now, out);
-	if (controller_wait.log_index)
-		arrput(controller->proposals.received, controller_wait);
+	entry.log_index = log_operation(controller, message->shard, q->operation, now, out);
+	if (entry.log_index)
+		arrput(controller->proposals.received, entry);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
 		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
 }
 
-/* A proposal of this node's own, or of an operator calling here. */
 void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op,
 	     uint64_t call_token, int64_t now)
 {
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -84,8 +84,9 @@
 		recovered += done;
 		if (done)
 			log_line(controller, "recovery", out->pool,
-				 "Shard %d goes on with this copy alone, in epoch %" APR_UINT64_T_FMT ".", i,
-				 raft_epoch(raft->term));
+				 "Shard %d is recovered from this replica alone, in epoch %" APR_UINT64_T_FMT
+				 ".",
+				 i, raft_epoch(raft->term));
 		json_object_array_add(shards, shard_json(raft, verdict, done, now, out->pool));
 	}
 	json_object_object_add(answer, "recovered", json_object_new_int(recovered));
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -1,21 +1,24 @@
-/* Snapshots of the replicated state: packed for the log, loaded whole in place of what was there.
- * The step takes one when a part's log has grown, and loads one that another member sent or the disk held.
- * Always: equal states pack to equal bytes, and loading leaves nothing of the state before. */
+/* snapshot: the replicated state of a shard, packed for its log, and loaded whole in place of what was there.
+ *
+ * The step creates one when a shard's log has grown, and loads one that another member sent or the disk held.
+ *
+ * Always: equal states pack to equal bytes, since maps are packed in the order of their keys; and loading
+ * leaves nothing of the state before. */
 #ifndef NL_SNAPSHOT_H
 #define NL_SNAPSHOT_H
 
 #include "controller_state.h"
 
-/* Free a list of purge values. */
-void free_values(struct Nl__Value ***value);
+/* Release a list of purge values (stb_ds); *values is NULL after it. */
+void free_values(struct Nl__Value ***values);
 
-/* Empty a service part's state. */
+/* Release a service shard's state and leave the empty one. */
 void reset_service_state(struct controller_service_state *service);
 
-/* Replace a part's state by the snapshot that its log holds. */
+/* Replace a shard's state by the snapshot that its log holds; by the empty one where that can't be read. */
 void snapshot_load(struct controller *controller, uint32_t shard, apr_pool_t *pool);
 
-/* Hand the part's log a snapshot of what is applied now. */
+/* Hand the shard's log a snapshot of what is applied now. */
 void snapshot_create(struct controller *controller, uint32_t shard, struct command_list *out);
 
 /* The state of a shard as a snapshot holds it, packed, in the pool; for checks as well.
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -175,7 +175,7 @@
 static enum proposal_status apply_claim(struct controller_service_state *service,
 					const struct Nl__Claim *claim, apr_pool_t *pool)
 {
-	char *key = apr_pstrcat(pool, claim->tenant, "\x1f", claim->id, NULL);
+	char *key = apr_pstrcat(pool, claim->tenant, CLAIM_KEY_SEPARATOR, claim->id, NULL);
 	ptrdiff_t i = shgeti(service->claims, key);
 	int is_own;
 
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -11,6 +11,9 @@
 
 #include "controller_state.h"
 
+/* Between tenant and id in the key of a claim. */
+#define CLAIM_KEY_SEPARATOR "\x1f"
+
 /* What came of an entry. */
 struct apply_result {
 	enum proposal_status status;
