--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -233,7 +233,7 @@
 	struct config_table table;
 	struct Nl__Value **purge_feed; /* stb_ds: decisions for the publisher, oldest first */
 	struct controller_done_operation *done_operations; /* stb_ds, oldest first */
-	struct orders accepted_requests;                   /* operators' requests that were accepted */
+	struct idempotency_log accepted_requests;          /* operators' requests that were accepted */
 	uint8_t *document;                                 /* the newest document, byte for byte; malloc'd */
 	size_t document_bytes;
 	uint64_t document_version;
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -12,7 +12,7 @@
 #include "calendar.h"
 #include "router_internal.h"
 #include "containers.h"
-#include "retention.h"
+#include "retention_report.h"
 #include "sim.h"
 #include "config_check.h"
 
