--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -18,6 +18,7 @@
 #include "purge_publisher.h"
 #include "quota_shares.h"
 #include "controller_private.h"
+#include "retention.h"
 #include "snapshot.h"
 #include "state_machine.h"
 
@@ -341,7 +342,7 @@
 	config_table_close(&controller->config.table);
 	instances_close(&controller->instances);
 	rollout_close(&controller->rollout);
-	retention_reset(controller);
+	retention_reset(&controller->retention);
 	free_values(&controller->config.purge_feed);
 	arrfree(controller->config.done_operations);
 	idempotency_log_reset(&controller->config.accepted_requests);
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -18,6 +18,8 @@
 #include "bootstrap.h"
 #include "controller_event.h"
 #include "controller_state.h"
+#include "operator_calls.h"
+#include "rollout.h"
 #include "snapshot.h"
 
 /* Begin. seeds: addresses, CONTROLLER_MAX_SEEDS at the most; fleet 0: none yet; seed: of the random numbers;
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -12,11 +12,10 @@
 #include "config_table.h"
 #include "config_watch.h"
 #include "idempotency.h"
-#include "operator_calls.h"
 #include "purge.h"
 #include "raft.h"
-#include "retention.h"
-#include "rollout.h"
+#include "retention_state.h"
+#include "rollout_state.h"
 
 struct controller_codec;
 
@@ -252,6 +251,15 @@
 	int64_t checked_at_ms; /* when the leader last logged a trim for it */
 };
 
+/* What became of the operators' calls that were read, counted since the start. Owned by operator_calls.c. */
+struct operator_calls {
+	uint64_t read;
+	uint64_t answered;     /* with the leader's confirmation, or redirected to the leader */
+	uint64_t rejected;     /* 503: nothing was logged */
+	uint64_t unknown;      /* 504: it may be sent again */
+	uint64_t disconnected; /* the caller closed its connection before */
+};
+
 /* Operators' calls that came here and are not answered yet. */
 struct controller_operators {
 	struct operator_calls calls;                   /* counters */
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -7,6 +7,7 @@
 #include "purge_publisher.h"
 #include "quota_shares.h"
 #include "controller_private.h"
+#include "rollout.h"
 
 /* Taking office comes after all that is committed has been applied, leaving it before. */
 void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now,
--- a/lib/control/operator_calls.h
+++ b/lib/control/operator_calls.h
@@ -11,20 +11,8 @@
 #define NL_OPERATOR_CALLS_H
 
 #include <json-c/json.h>
-#include <stddef.h>
-#include <stdint.h>
-
-struct controller;
-struct command_list;
-
-/* Counts since the start; part of struct controller. */
-struct operator_calls {
-	uint64_t read;
-	uint64_t answered;     /* with the leader's confirmation, or redirected to the leader */
-	uint64_t rejected;     /* 503: nothing was logged */
-	uint64_t unknown;      /* 504: it may be sent again */
-	uint64_t disconnected; /* the caller closed its connection before */
-};
+
+#include "controller_state.h"
 
 /* Count the answers among the commands from a position on.
  * Example: operator_calls_count(&controller->operator_calls, out, from); */
--- a/lib/control/operator_state.c
+++ b/lib/control/operator_state.c
@@ -4,6 +4,7 @@
 
 #include "containers.h"
 #include "controller_private.h"
+#include "operator_calls.h"
 #include "json_add.h"
 #include "leadership.h"
 
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -7,6 +7,7 @@
 #include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
+#include "retention.h"
 #include "state_machine.h"
 #include "config_check.h"
 
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -10,26 +10,6 @@
 
 /* ---- reports of the nodes that hold the prefix index ---- */
 
-static void free_remainders(struct retention_index_report *report)
-{
-	for (ptrdiff_t i = 0; i < arrlen(report->remainders); i++)
-		free(report->remainders[i].server);
-	arrsetlen(report->remainders, 0);
-}
-
-static void free_report(struct retention_index_report *report)
-{
-	free_remainders(report);
-	arrfree(report->remainders);
-}
-
-void retention_free_reports(struct retention *retention)
-{
-	for (ptrdiff_t i = 0; i < arrlen(retention->index_reports); i++)
-		free_report(&retention->index_reports[i]);
-	arrfree(retention->index_reports);
-}
-
 static struct retention_index_report *report_of(struct retention *retention, uint64_t node_id)
 {
 	struct retention_index_report empty = { .node_id = node_id };
@@ -49,13 +29,13 @@
 
 	for (ptrdiff_t i = arrlen(retention->index_reports) - 1; i >= 0; i--)
 		if (now - retention->index_reports[i].received_at_ms > RETENTION_REPORT_TTL_MS) {
-			free_report(&retention->index_reports[i]);
+			retention_free_report(&retention->index_reports[i]);
 			arrdelswap(retention->index_reports, i);
 		}
 	if (!sync->holds_index)
 		return;
 	report = report_of(retention, message->id);
-	free_remainders(report);
+	retention_clear_remainders(report);
 	for (size_t i = 0; i < sync->n_cache_remainders && i < RETENTION_MAX_REMAINDERS; i++) {
 		const struct Nl__CacheRemainder *listed = sync->cache_remainders[i];
 		struct retention_remainder remainder = { strdup(listed->server), listed->scope,
--- a/lib/control/retention_progress.h
+++ b/lib/control/retention_progress.h
@@ -9,30 +9,13 @@
 
 #include <json-c/json.h>
 
-#include "retention.h"
+#include "retention_state.h"
 
-/* Blocks that a server still names under an older purge number. */
-struct retention_remainder {
-	char *server;   /* owned */
-	uint64_t scope; /* namespace hash, or RETENTION_ANY */
-	uint64_t purge_number;
-	uint32_t block_count; /* 0: the server has not reported since */
-};
-
-/* The last report of one node that holds the prefix index. */
-struct retention_index_report {
-	uint64_t node_id;
-	uint64_t horizon; /* ticks that the node has passed */
-	int64_t received_at_ms;
-	struct retention_remainder *remainders; /* stb_ds; owned */
-};
+struct controller;
 
 /* A node's configuration request has come: record what its index still names, and drop old reports. */
 void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now);
 
-/* Release all reports. */
-void retention_free_reports(struct retention *retention);
-
 /* How many things a purge still waits for; 0: it is done. Their texts are appended to the JSON array missing,
  * unless that is NULL. */
 int retention_list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge,
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -5,6 +5,7 @@
 #include <string.h>
 
 #include "containers.h"
+#include "rollout.h"
 #include "controller_private.h"
 #include "leadership.h"
 #include "mechanism.h"
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 
 #include "containers.h"
+#include "rollout.h"
 #include "mechanism.h"
 #include "version_history.h"
 
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -47,7 +47,7 @@
 	state.document.len = controller->config.document_bytes;
 	state.document_version = controller->config.document_version;
 	idempotency_log_pack(&controller->config.accepted_requests, &state, pool);
-	retention_pack(controller, &state);
+	retention_pack(&controller->retention, &state);
 	return core_pack_message(pool, &state.base, size);
 }
 
@@ -168,7 +168,7 @@
 	free_values(&config->purge_feed);
 	arrsetlen(config->done_operations, 0);
 	idempotency_log_load(&config->accepted_requests, state);
-	retention_load(controller, state);
+	retention_load(&controller->retention, state);
 	store_document(controller, state ? state->document.data : NULL, state ? state->document.len : 0,
 		       state ? state->document_version : 0);
 	if (!state)
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -134,7 +134,8 @@
 	}
 	arrfree(purges);
 	if (status == PROPOSAL_DONE)
-		retention_on_config_change(controller, index);
+		retention_on_config_change(&controller->retention, &config->table, &config->purge_feed,
+					   index);
 	return status;
 }
 
@@ -145,7 +146,8 @@
 
 	if (applied_before(controller, operation, &status))
 		return status;
-	status = (enum proposal_status)retention_apply(controller, index, operation->retention_step);
+	status = retention_apply(&controller->retention, &controller->config.table,
+				 &controller->config.purge_feed, index, operation->retention_step);
 	remember_operation(controller, operation, status, SERIES_UNVERSIONED,
 			   controller->config.table.revision);
 	return status;
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -822,7 +822,10 @@
 	clear.scope = plan->scope;
 	clear.due_at_ms = plan->due_at_ms - 3600000;
 	clear.next_due_at_ms = plan->due_at_ms + 3600000;
-	assert_int_equal(retention_apply(sim.nodes[at].controller, 1, &clear), PROPOSAL_REJECTED);
+	assert_int_equal(retention_apply(&sim.nodes[at].controller->retention,
+					 &sim.nodes[at].controller->config.table,
+					 &sim.nodes[at].controller->config.purge_feed, 1, &clear),
+			 PROPOSAL_REJECTED);
 	ok(&sim);
 	sim_close(&sim);
 }
