--- a/tests/test_notchlugctl.c
+++ b/tests/test_notchlugctl.c
@@ -91,7 +91,7 @@
 	FILE *file;
 	int status;
 
-	snprintf(command, sizeof command, "%s %s 2>&1", NOTCHLUGCTL, arguments);
+	snprintf(command, sizeof command, "%s 2>&1 %s", NOTCHLUGCTL, arguments);
 	file = popen(command, "r");
 	assert_non_null(file);
 	n = fread(output, 1, size - 1, file);
@@ -236,6 +236,97 @@
 	assert_int_equal(r.calls, 1);
 }
 
+#define OLD_NOUN " is the old name of "
+
+/* How often a text stands in another one. */
+static int occurrences(const char *text, const char *part)
+{
+	int n = 0;
+
+	for (const char *at = strstr(text, part); at; at = strstr(at + 1, part))
+		n++;
+	return n;
+}
+
+/* The standard nouns name the kinds that the table and the interface have under other names. */
+static void standard_nouns_name_the_stored_kinds(void **state)
+{
+	static const char *const script[] = { ANSWER("200 OK", "{\"edition\":4}"), NULL };
+	static const struct {
+		const char *noun, *stored;
+	} cases[] = { { "route", "lane" },
+		      { "controller", "registrar" },
+		      { "listener", "door" },
+		      { "tenant", "tenant" },
+		      { "server", "server" } };
+	static struct registrar r;
+	char output[1000], arguments[100], row[100];
+
+	(void)state;
+	for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
+		snprintf(arguments, sizeof arguments, "--at %%s del %s x", cases[i].noun);
+		assert_int_equal(against(&r, script, arguments, output, sizeof output), 0);
+		snprintf(row, sizeof row, "{\"kind\":\"%s\",\"name\":\"x\"}", cases[i].stored);
+		assert_non_null(strstr(r.request[0], row));
+		assert_null(strstr(output, OLD_NOUN));
+	}
+}
+
+/* A table in which each kind with an old noun has a row. */
+#define TABLE                                                                              \
+	"{\"edition\":3,\"rows\":[{\"kind\":\"lane\",\"name\":\"r1\",\"service\":\"s1\"}," \
+	"{\"kind\":\"tenant\",\"name\":\"t1\",\"share\":1},"                               \
+	"{\"kind\":\"registrar\",\"name\":\"c1\",\"addr\":\"127.0.0.1:1\",\"zone\":\"z1\"}]}"
+
+/* Old nouns do what they did, and say once, on the standard error, that they are old. */
+static void old_nouns_work_and_say_once_that_they_are_old(void **state)
+{
+	static const char *const script[] = { ANSWER("200 OK", TABLE), ANSWER("200 OK", "{\"edition\":4}"),
+					      NULL };
+	static const struct {
+		const char *old, *noun;
+	} cases[] = { { "lane", "route" }, { "registrar", "controller" }, { "door", "listener" } };
+	static struct registrar r;
+	char output[1000], arguments[100], text[100];
+
+	(void)state;
+	for (size_t i = 0; i < sizeof cases / sizeof *cases; i++) {
+		snprintf(arguments, sizeof arguments, "--at %%s set %s x zone=z2", cases[i].old);
+		assert_int_equal(against(&r, script, arguments, output, sizeof output), 0);
+		assert_int_equal(r.calls, 2);
+		snprintf(text, sizeof text, "\"kind\":\"%s\",\"name\":\"x\"", cases[i].old);
+		assert_non_null(strstr(r.request[1], text));
+		snprintf(text, sizeof text, "notchlugctl: %s" OLD_NOUN "%s", cases[i].old, cases[i].noun);
+		assert_int_equal(occurrences(output, text), 1);
+		assert_int_equal(occurrences(output, OLD_NOUN), 1);
+		assert_non_null(strstr(output, "edition 4"));
+		/* not on the standard output, which others read */
+		snprintf(arguments, sizeof arguments, "--at %%s del %s x 2>/dev/null", cases[i].old);
+		assert_int_equal(against(&r, script + 1, arguments, output, sizeof output), 0);
+		assert_int_equal(occurrences(output, OLD_NOUN), 0);
+		assert_string_equal(output, "edition 4\n");
+	}
+}
+
+/* Rows are shown by either noun, and alike. */
+static void a_kind_is_shown_by_either_noun(void **state)
+{
+	static const char *const script[] = { ANSWER("200 OK", TABLE), NULL };
+	static struct registrar r;
+	char by_noun[1000], by_old_noun[1000];
+
+	(void)state;
+	assert_int_equal(against(&r, script, "--at %s show route", by_noun, sizeof by_noun), 0);
+	assert_non_null(strstr(by_noun, "r1"));
+	assert_null(strstr(by_noun, "t1"));
+	assert_null(strstr(by_noun, OLD_NOUN));
+	assert_int_equal(
+	    against(&r, script, "--at %s show lane 2>/dev/null", by_old_noun, sizeof by_old_noun), 0);
+	assert_string_equal(by_old_noun, by_noun);
+	assert_int_equal(run_notchlugctl("show no-such-kind", by_noun, sizeof by_noun), 2);
+	assert_non_null(strstr(by_noun, "no such kind; there are route, tenant"));
+}
+
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
@@ -244,6 +335,9 @@
 		cmocka_unit_test(the_next_controller_is_called),
 		cmocka_unit_test(a_read_is_made_again),
 		cmocka_unit_test(a_refused_read_ends),
+		cmocka_unit_test(standard_nouns_name_the_stored_kinds),
+		cmocka_unit_test(old_nouns_work_and_say_once_that_they_are_old),
+		cmocka_unit_test(a_kind_is_shown_by_either_noun),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
