--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -4,11 +4,11 @@
 #include <stdlib.h>
 #include <string.h>
 
+#include "config_check.h"
 #include "containers.h"
 #include "leadership.h"
 #include "controller_private.h"
 #include "state_machine.h"
-#include "config_check.h"
 
 /* Log a change and answer when it is committed. */
 static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change,
