--- a/bin/notchlug_controller.c
+++ b/bin/notchlug_controller.c
@@ -1,4 +1,6 @@
-/* controller: a machine of the core, with a disk. */
+/* notchlug-controller: a controller of the fleet. The process turns what its shell hears into events of the
+ * controller (lib/control), which answers with commands; with a platform's settings, platform/control.c is
+ * its front end. Its identity and the shards' logs are on its disk; an empty disk is a new identity. */
 #include <apr_general.h>
 #include <string.h>
 
@@ -9,172 +11,201 @@
 #include "controller.h"
 #include "shell.h"
 
-struct registrar {
-	struct controller r;
-	struct process p;
-	struct control door;
+enum { EVENT_RING_SIZE = 65536, MAX_SEEDS = 8 };
+
+/* The program's parts; there is one. */
+struct program {
+	struct controller controller;
+	struct process process;
+	struct control front_end; /* with a platform's settings */
 };
 
-static void stepped(void *ctx, const struct controller_event *event, int64_t now, struct command_list *out)
+static void step_controller(void *context, const struct controller_event *event, int64_t now,
+			    struct command_list *commands)
 {
-	struct registrar *controller = ctx;
-
-	controller->r.clocks.wall_ms = clock_wall_ms();
-	controller_step(&controller->r, event, now, out);
-	if (controller->r.identity.fleet_dirty) { /* on the disk before anything said under it */
-		controller->r.identity.fleet_dirty = 0;
-		if (!storage_write_identity(controller->p.storage, controller->r.identity.id,
-					    controller->r.identity.fleet))
-			log_write(
-			    LOG_ERROR, "storage",
-			    "Step identity: the disk refuses; this controller may be taken for a new one.");
+	struct program *program = context;
+	struct controller *controller = &program->controller;
+
+	controller->clocks.wall_ms = clock_wall_ms();
+	controller_step(controller, event, now, commands);
+	if (!controller->identity.fleet_dirty)
+		return;
+	/* on the disk before anything that was said under it leaves */
+	controller->identity.fleet_dirty = 0;
+	if (!storage_write_identity(program->process.storage, controller->identity.id,
+				    controller->identity.fleet))
+		log_write(LOG_ERROR, "storage",
+			  "Step identity: the disk refuses; this controller may be taken for a new one.");
+}
+
+/* Returns 0 when the controller has no such event. */
+static int translate(const struct shell_event *event, struct controller_event *controller_event)
+{
+	switch (event->kind) {
+	case SHELL_EVENT_MESSAGE:
+		controller_event->kind = CONTROLLER_MESSAGE;
+		controller_event->payload.message = event->message;
+		return 1;
+	case SHELL_EVENT_SYNCED:
+		controller_event->kind = CONTROLLER_SYNCED;
+		controller_event->payload.synced.shard = event->shard;
+		controller_event->payload.synced.sequence = event->sequence;
+		return 1;
+	case SHELL_EVENT_REQUEST:
+		controller_event->kind = CONTROLLER_API_CALL;
+		controller_event->payload.api_call.token = event->token;
+		controller_event->payload.api_call.method = event->method;
+		controller_event->payload.api_call.path = event->path;
+		controller_event->payload.api_call.body = event->body;
+		controller_event->payload.api_call.idempotency_key = event->idempotency_key;
+		return 1;
+	case SHELL_EVENT_CALL_DONE:
+		controller_event->kind = CONTROLLER_CALL_RESULT;
+		controller_event->payload.call_result.token = event->token;
+		controller_event->payload.call_result.status = event->status;
+		controller_event->payload.call_result.body = event->body;
+		return 1;
+	case SHELL_EVENT_DISCONNECTED:
+		controller_event->kind = CONTROLLER_CALLER_DISCONNECTED;
+		controller_event->payload.disconnected.token = event->token;
+		return 1;
+	case SHELL_EVENT_STOP:
+		controller_event->kind = CONTROLLER_STOP;
+		return 1;
+	default:
+		return 0;
 	}
 }
 
-static void step(void *ctx, const struct shell_event *event, int64_t now, struct command_list *out)
+/* event NULL: time passes. */
+static void step(void *context, const struct shell_event *event, int64_t now, struct command_list *commands)
 {
-	struct controller_event ev;
-
-	memset(&ev, 0, sizeof ev);
-	if (!event) {
-		ev.kind = CONTROLLER_TICK;
-	} else
-		switch (event->kind) {
-		case SHELL_EVENT_MESSAGE:
-			ev.kind = CONTROLLER_MESSAGE;
-			ev.payload.message = event->message;
-			break;
-		case SHELL_EVENT_SYNCED:
-			ev.kind = CONTROLLER_SYNCED;
-			ev.payload.synced.shard = event->shard;
-			ev.payload.synced.sequence = event->sequence;
-			break;
-		case SHELL_EVENT_REQUEST:
-			ev.kind = CONTROLLER_API_CALL;
-			ev.payload.api_call.token = event->token;
-			ev.payload.api_call.method = event->method;
-			ev.payload.api_call.path = event->path;
-			ev.payload.api_call.body = event->body;
-			ev.payload.api_call.idempotency_key = event->idempotency_key;
-			break;
-		case SHELL_EVENT_CALL_DONE:
-			ev.kind = CONTROLLER_CALL_RESULT;
-			ev.payload.call_result.token = event->token;
-			ev.payload.call_result.status = event->status;
-			ev.payload.call_result.body = event->body;
-			break;
-		case SHELL_EVENT_DISCONNECTED:
-			ev.kind = CONTROLLER_CALLER_DISCONNECTED;
-			ev.payload.disconnected.token = event->token;
-			break;
-		case SHELL_EVENT_STOP:
-			ev.kind = CONTROLLER_STOP;
-			break;
-		default:
-			return;
-		}
-	stepped(ctx, &ev, now, out);
+	struct controller_event controller_event;
+
+	memset(&controller_event, 0, sizeof controller_event);
+	controller_event.kind = CONTROLLER_TICK;
+	if (!event || translate(event, &controller_event))
+		step_controller(context, &controller_event, now, commands);
 }
 
-static void changed(void *ctx, const struct settings *s)
+/* Read the addresses of the seeds; returns how many there are. */
+static int parse_seeds(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
 {
-	struct registrar *controller = ctx;
-	uint64_t seeds[8];
-
-	for (int i = 0; i < s->seed_count; i++)
-		seeds[i] = core_parse_addr(s->seeds[i]);
-	config_watch_set_seeds(&controller->r.config_watch, seeds, s->seed_count);
-	controller->r.bounds = s->bounds;
-	controller->door.list_addr = ((const struct platform *)s->extension)->list_addr;
+	for (int i = 0; i < settings->seed_count; i++)
+		seeds[i] = core_parse_addr(settings->seeds[i]);
+	return settings->seed_count;
 }
 
-static int done(void *ctx)
+static void settings_changed(void *context, const struct settings *settings)
 {
-	const struct registrar *controller = ctx;
+	struct program *program = context;
+	uint64_t seeds[MAX_SEEDS];
+	int seed_count = parse_seeds(settings, seeds);
 
-	return controller_stopped(&controller->r, clock_ms());
+	config_watch_set_seeds(&program->controller.config_watch, seeds, seed_count);
+	program->controller.bounds = settings->bounds;
+	program->front_end.list_addr = ((const struct platform *)settings->extension)->list_addr;
 }
 
-static void say(void *ctx, const char *prefix, const char *line)
+static int is_idle(void *context)
 {
-	(void)ctx;
+	const struct program *program = context;
+
+	return controller_stopped(&program->controller, clock_ms());
+}
+
+static void write_log(void *context, const char *prefix, const char *line)
+{
+	(void)context;
 	log_write(LOG_INFO, prefix, "%s", line);
 }
 
-/* What the settings say, and what only the platform's do. */
-static void take_settings(struct registrar *controller)
+/* Open the storage; a new disk gets an identity. Returns 0 on an error, which is logged. */
+static int open_storage(struct process *process, struct stored_state *stored)
 {
-	const struct settings *set = &controller->p.settings;
+	struct storage_failure failure;
 
-	controller->r.adapters.log = say;
-	controller->r.adapters.calendar = &calendar_icu;
-	controller->r.bounds.disabled_mechanisms = set->disabled_mechanisms;
-	if (!set->extension)
+	process->storage = storage_open(process->settings.data, process->settings.fault, process->events,
+					stored, &failure, process->pool);
+	if (!process->storage) {
+		log_write(LOG_ERROR, "storage", "%s.", storage_strerror(&failure, process->pool));
+		return 0;
+	}
+	if (stored->node_id)
+		return 1;
+	stored->node_id = process_random_id();
+	if (!storage_write_identity(process->storage, stored->node_id, 0)) {
+		log_write(LOG_ERROR, "storage", "Step identity: the disk refuses.");
+		return 0;
+	}
+	return 1;
+}
+
+/* The platform's front end is the process's. */
+static void use_front_end(struct program *program, const struct platform *platform)
+{
+	program->front_end.step = step_controller;
+	program->front_end.ctx = program;
+	program->front_end.list_addr = platform->list_addr;
+	program->process.front_end = &platform_control;
+	program->process.front_end_context = &program->front_end;
+}
+
+static void open_controller(struct program *program, const struct stored_state *stored)
+{
+	const struct settings *settings = &program->process.settings;
+	struct controller *controller = &program->controller;
+	const char *address = settings->advertise ? settings->advertise : settings->listen;
+	uint64_t seeds[MAX_SEEDS];
+	int seed_count = parse_seeds(settings, seeds);
+
+	controller_open(controller, stored->node_id, core_parse_addr(address), settings->zone, seeds,
+			seed_count, stored->fleet_id, process_random_id(), stored->shard_pointers,
+			clock_ms());
+	controller->adapters.log = write_log;
+	controller->adapters.calendar = &calendar_icu;
+	controller->bounds.disabled_mechanisms = settings->disabled_mechanisms;
+	if (!settings->extension)
 		return;
-	controller->r.adapters.codec = &platform_codec;
-	controller->r.bounds = set->bounds;
-	if (set->may_bootstrap && set->seed_count && !strcmp(set->seeds[0], set->listen))
-		controller_bootstrap(&controller->r, clock_ms());
+	controller->adapters.codec = &platform_codec;
+	controller->bounds = settings->bounds;
+	if (settings->may_bootstrap && seed_count && !strcmp(settings->seeds[0], settings->listen))
+		controller_bootstrap(controller, clock_ms());
 }
 
 int main(int argc, char **argv)
 {
-	static struct registrar controller;
-	struct process *proc = &controller.p;
-	struct process_handlers d = { &controller, step, done, NULL, changed };
-	struct stored_state f;
-	uint64_t seeds[8];
-	struct storage_failure failure;
+	static struct program program;
+	struct process *process = &program.process;
+	struct process_handlers handlers = { &program, step, is_idle, NULL, settings_changed };
+	const struct platform *platform;
+	struct stored_state stored;
 	int rc;
 
 	process_ignore_hangup();
 	apr_initialize();
-	apr_pool_create(&proc->pool, NULL);
+	apr_pool_create(&process->pool, NULL);
 	log_open("notchlug-controller");
-	proc->settings.read_external = platform_settings;
-	rc = settings_read(&proc->settings, "notchlug-controller", 1, argc, argv, proc->pool);
+	process->settings.read_external = platform_settings;
+	rc = settings_read(&process->settings, "notchlug-controller", 1, argc, argv, process->pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	for (int i = 0; i < proc->settings.seed_count; i++)
-		seeds[i] = core_parse_addr(proc->settings.seeds[i]);
-	ring_open(&proc->events, 65536, proc->pool);
-	proc->storage =
-	    storage_open(proc->settings.data, proc->settings.fault, proc->events, &f, &failure, proc->pool);
-	if (!proc->storage) {
-		log_write(LOG_ERROR, "storage", "%s.", storage_strerror(&failure, proc->pool));
+	platform = process->settings.extension;
+	ring_open(&process->events, EVENT_RING_SIZE, process->pool);
+	if (!open_storage(process, &stored))
 		goto end;
-	}
-	if (!f.node_id) { /* an empty disk is a new identity */
-		f.node_id = process_random_id();
-		if (!storage_write_identity(proc->storage, f.node_id, 0)) {
-			log_write(LOG_ERROR, "storage", "Step identity: the disk refuses.");
-			goto end;
-		}
-	}
-	if (proc->settings.extension) { /* another language than the product's own */
-		controller.door.step = stepped;
-		controller.door.ctx = &controller;
-		controller.door.list_addr = ((struct platform *)proc->settings.extension)->list_addr;
-		proc->front_end = &platform_control;
-		proc->front_end_context = &controller.door;
-	}
-	controller_open(
-	    &controller.r, f.node_id,
-	    core_parse_addr(proc->settings.advertise ? proc->settings.advertise : proc->settings.listen),
-	    proc->settings.zone, seeds, proc->settings.seed_count, f.fleet_id, process_random_id(),
-	    f.shard_pointers, clock_ms());
-	take_settings(&controller);
-	if (!process_open(proc))
+	if (platform)
+		use_front_end(&program, platform);
+	open_controller(&program, &stored);
+	if (!process_open(process))
 		goto end;
-	log_write(LOG_INFO, "registrar", "Serves operators at %s in zone %s.",
-		  proc->settings.extension ? ((struct platform *)proc->settings.extension)->control_addr
-					   : proc->settings.web,
-		  proc->settings.zone);
-	rc = process_run(proc, &d);
-	controller_close(&controller.r);
+	log_write(LOG_INFO, "controller", "Serves operators at %s in zone %s.",
+		  platform ? platform->control_addr : process->settings.web, process->settings.zone);
+	rc = process_run(process, &handlers);
+	controller_close(&program.controller);
 end:
-	apr_pool_destroy(proc->pool);
+	apr_pool_destroy(process->pool);
 	apr_terminate();
 	return rc;
 }
--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -1,4 +1,6 @@
-/* counter: an edge of the fleet. */
+/* notchlug-router: a router of the fleet. The process turns what its shell hears into events of the router
+ * (lib/data), which answers with commands; with a platform's settings, platform/edge.c is its front end. It
+ * keeps nothing on disk. */
 #include <apr_general.h>
 #include <string.h>
 
@@ -7,139 +9,172 @@
 #include "platform.h"
 #include "shell.h"
 
-enum { LAST_ANSWERS_MS = 300 }; /* before the end of a planned stop: for the last answers to leave */
+enum {
+	FINAL_ANSWERS_MS = 300, /* before the end of a planned stop: for the last answers to leave */
+	MAX_SEEDS = 8
+};
 
-static void step(void *ctx, const struct shell_event *event, int64_t now, struct command_list *out)
+/* A request at the product's own interface. */
+static void request_event(const struct shell_event *event, struct router_event *router_event)
 {
-	struct router *c = ctx;
-	struct router_event ev;
-
-	memset(&ev, 0, sizeof ev);
-	if (!event) {
-		ev.kind = ROUTER_EVENT_TICK;
-	} else
-		switch (event->kind) {
-		case SHELL_EVENT_MESSAGE:
-			ev.kind = ROUTER_EVENT_MESSAGE;
-			ev.u.message = event->message;
-			break;
-		case SHELL_EVENT_REQUEST:
-			if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
-				ev.kind = ROUTER_EVENT_CLAIMED_REQUEST;
-				ev.u.claimed_request.token = event->token;
-				ev.u.claimed_request.key_digest = event->key_digest;
-				ev.u.claimed_request.body = event->body;
-			} else {
-				ev.kind = ROUTER_EVENT_HTTP_GET;
-				ev.u.http_get.token = event->token;
-				ev.u.http_get.path = event->path;
-			}
-			break;
-		case SHELL_EVENT_DISCONNECTED:
-			ev.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-			ev.u.client_disconnected.token = event->token;
-			break;
-		case SHELL_EVENT_CHUNK:
-			ev.kind = ROUTER_EVENT_STREAM_CHUNK;
-			ev.u.stream_chunk.token = event->token;
-			ev.u.stream_chunk.text = event->body;
-			break;
-		case SHELL_EVENT_CALL_DONE:
-			if (event->is_stream) {
-				ev.kind = ROUTER_EVENT_CALL_ENDED;
-				ev.u.call_ended.token = event->token;
-				ev.u.call_ended.status = event->status;
-				ev.u.call_ended.not_started = event->never_sent;
-				ev.u.call_ended.body = event->body;
-			} else {
-				ev.kind = ROUTER_EVENT_REPORT_POLLED;
-				ev.u.report_polled.token = event->token;
-				ev.u.report_polled.status = event->status;
-				ev.u.report_polled.body = event->body;
-			}
-			break;
-		case SHELL_EVENT_STOP:
-			ev.kind = ROUTER_EVENT_STOP;
-			ev.u.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
-			ev.u.shutdown.run_deadline_at_ms = event->deadline_ms - LAST_ANSWERS_MS;
-			break;
-		default:
-			return;
-		}
-	router_step(c, &ev, now, out);
+	if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
+		router_event->kind = ROUTER_EVENT_CLAIMED_REQUEST;
+		router_event->u.claimed_request.token = event->token;
+		router_event->u.claimed_request.key_digest = event->key_digest;
+		router_event->u.claimed_request.body = event->body;
+	} else {
+		router_event->kind = ROUTER_EVENT_HTTP_GET;
+		router_event->u.http_get.token = event->token;
+		router_event->u.http_get.path = event->path;
+	}
 }
 
-static void changed(void *ctx, const struct settings *s)
+/* A call to a server has ended: a stream is a request's, others poll reports. */
+static void call_event(const struct shell_event *event, struct router_event *router_event)
 {
-	struct router *router = ctx;
-	uint64_t seeds[8];
+	if (event->is_stream) {
+		router_event->kind = ROUTER_EVENT_CALL_ENDED;
+		router_event->u.call_ended.token = event->token;
+		router_event->u.call_ended.status = event->status;
+		router_event->u.call_ended.not_started = event->never_sent;
+		router_event->u.call_ended.body = event->body;
+	} else {
+		router_event->kind = ROUTER_EVENT_REPORT_POLLED;
+		router_event->u.report_polled.token = event->token;
+		router_event->u.report_polled.status = event->status;
+		router_event->u.report_polled.body = event->body;
+	}
+}
 
-	for (int i = 0; i < s->seed_count; i++)
-		seeds[i] = core_parse_addr(s->seeds[i]);
-	config_watch_set_seeds(&router->config.watch, seeds, s->seed_count);
-	router->config.bounds = s->bounds;
+/* Returns 0 when the router has no such event. */
+static int translate(const struct shell_event *event, int64_t now, struct router_event *router_event)
+{
+	switch (event->kind) {
+	case SHELL_EVENT_MESSAGE:
+		router_event->kind = ROUTER_EVENT_MESSAGE;
+		router_event->u.message = event->message;
+		return 1;
+	case SHELL_EVENT_REQUEST:
+		request_event(event, router_event);
+		return 1;
+	case SHELL_EVENT_DISCONNECTED:
+		router_event->kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
+		router_event->u.client_disconnected.token = event->token;
+		return 1;
+	case SHELL_EVENT_CHUNK:
+		router_event->kind = ROUTER_EVENT_STREAM_CHUNK;
+		router_event->u.stream_chunk.token = event->token;
+		router_event->u.stream_chunk.text = event->body;
+		return 1;
+	case SHELL_EVENT_CALL_DONE:
+		call_event(event, router_event);
+		return 1;
+	case SHELL_EVENT_STOP:
+		router_event->kind = ROUTER_EVENT_STOP;
+		router_event->u.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
+		router_event->u.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_ANSWERS_MS;
+		return 1;
+	default:
+		return 0;
+	}
 }
 
-static int done(void *ctx)
+/* event NULL: time passes. */
+static void step(void *context, const struct shell_event *event, int64_t now, struct command_list *commands)
 {
-	return router_idle(ctx);
+	struct router *router = context;
+	struct router_event router_event;
+
+	memset(&router_event, 0, sizeof router_event);
+	router_event.kind = ROUTER_EVENT_TICK;
+	if (!event || translate(event, now, &router_event))
+		router_step(router, &router_event, now, commands);
 }
-static int64_t good(void *ctx)
+
+/* Read the addresses of the seeds; returns how many there are. */
+static int parse_seeds(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
 {
-	return router_config_valid_until(ctx);
+	for (int i = 0; i < settings->seed_count; i++)
+		seeds[i] = core_parse_addr(settings->seeds[i]);
+	return settings->seed_count;
+}
+
+static void settings_changed(void *context, const struct settings *settings)
+{
+	struct router *router = context;
+	uint64_t seeds[MAX_SEEDS];
+	int seed_count = parse_seeds(settings, seeds);
+
+	config_watch_set_seeds(&router->config.watch, seeds, seed_count);
+	router->config.bounds = settings->bounds;
 }
 
-static void say(void *ctx, const char *prefix, const char *line)
+static int is_idle(void *context)
 {
-	(void)ctx;
+	return router_idle(context);
+}
+
+static int64_t streams_valid_until(void *context)
+{
+	return router_config_valid_until(context);
+}
+
+static void write_log(void *context, const char *prefix, const char *line)
+{
+	(void)context;
 	log_write(LOG_INFO, prefix, "%s", line);
 }
 
+static void open_router(struct router *router, const struct settings *settings)
+{
+	uint64_t seeds[MAX_SEEDS];
+	int seed_count = parse_seeds(settings, seeds);
+	const char *address = settings->advertise ? settings->advertise : settings->listen;
+
+	router_open(router, process_random_id(), core_parse_addr(address), settings->zone, seeds, seed_count,
+		    clock_ms());
+	if (settings->extension)
+		router->config.bounds = settings->bounds;
+	router->config.bounds.disabled_mechanisms = settings->disabled_mechanisms;
+	router->config.bounds.experiments = settings->experiments_allowed;
+}
+
 int main(int argc, char **argv)
 {
-	struct process proc;
-	struct router c;
+	struct process process;
+	struct router router;
 	struct edge edge;
-	struct process_handlers d = { &c, step, done, good, changed };
-	uint64_t seeds[8];
+	struct process_handlers handlers = { &router, step, is_idle, streams_valid_until, settings_changed };
+	const struct platform *platform;
 	int rc;
 
 	process_ignore_hangup();
-	memset(&proc, 0, sizeof proc);
+	memset(&process, 0, sizeof process);
 	apr_initialize();
-	apr_pool_create(&proc.pool, NULL);
+	apr_pool_create(&process.pool, NULL);
 	log_open("notchlug-router");
-	proc.settings.read_external = platform_settings;
-	rc = settings_read(&proc.settings, "notchlug-router", 0, argc, argv, proc.pool);
+	process.settings.read_external = platform_settings;
+	rc = settings_read(&process.settings, "notchlug-router", 0, argc, argv, process.pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	for (int i = 0; i < proc.settings.seed_count; i++)
-		seeds[i] = core_parse_addr(proc.settings.seeds[i]);
+	platform = process.settings.extension;
 	memset(&edge, 0, sizeof edge);
-	edge.router = &c;
-	if (proc.settings.extension) { /* another language than the product's own */
-		proc.front_end = &platform_edge;
-		proc.front_end_context = &edge;
+	edge.router = &router;
+	if (platform) {
+		process.front_end = &platform_edge;
+		process.front_end_context = &edge;
 	}
-	router_open(&c, process_random_id(),
-		    core_parse_addr(proc.settings.advertise ? proc.settings.advertise : proc.settings.listen),
-		    proc.settings.zone, seeds, proc.settings.seed_count, clock_ms());
-	if (proc.settings.extension)
-		c.config.bounds = proc.settings.bounds;
-	c.config.bounds.disabled_mechanisms = proc.settings.disabled_mechanisms;
-	c.config.bounds.experiments = proc.settings.experiments_allowed;
-	if (!process_open(&proc))
+	open_router(&router, &process.settings);
+	if (!process_open(&process))
 		goto end;
-	c.log = say;
-	log_write(LOG_INFO, "counter", "Serves callers at %s in zone %s.",
-		  proc.settings.extension ? ((struct platform *)proc.settings.extension)->front_addr
-					  : proc.settings.web,
-		  proc.settings.zone);
-	rc = process_run(&proc, &d);
-	router_close(&c);
+	router.log = write_log;
+	log_write(LOG_INFO, "router", "Serves clients at %s in zone %s.",
+		  platform ? platform->front_addr : process.settings.web, process.settings.zone);
+	rc = process_run(&process, &handlers);
+	router_close(&router);
 end:
-	apr_pool_destroy(proc.pool);
+	apr_pool_destroy(process.pool);
 	apr_terminate();
 	return rc;
 }
--- a/bin/notchlug_validate.c
+++ b/bin/notchlug_validate.c
@@ -1,4 +1,7 @@
-/* notchlug-validate: checks a proposed table against the fleet as it is, before anybody applies it. */
+/* notchlug-validate: checks a proposed change of the table, or a table in its text form, against the fleet as
+ * it is, before anybody applies it. It reads a controller's table and, if it is given one, a router's state;
+ * it changes nothing. Faults would be rejected, or cut somebody off; warnings work, and may not be what was
+ * meant. */
 #include <apr_general.h>
 #include <apr_strings.h>
 #include <argtable2.h>
@@ -15,40 +18,50 @@
 #include "config_check.h"
 #include "config_row.h"
 
-enum { GOOD = 0, FAULTS = 1, USAGE = 2, UNREACHABLE = 3 };
+enum { GOOD = 0, FAULTS = 1, USAGE = 2, UNREACHABLE = 3 }; /* exit codes */
+enum { READ_TIMEOUT_MS = 7000 };
 
+/* One validation. */
 struct validation {
 	apr_pool_t *pool;
-	struct json_object *findings;                     /* list of {"grade","row","why"} */
-	struct json_object *current_rows, *proposed_rows; /* rows before and after */
-	struct json_object *servers;                      /* as a counter reports them */
-	int faults, warnings;
+	struct json_object *findings;      /* list of {"grade","row","why"}; owned */
+	struct json_object *current_rows;  /* borrowed from the table that was read */
+	struct json_object *proposed_rows; /* as they would be; owned */
+	struct json_object *servers;       /* as a router reports them; NULL: none was asked */
+	int faults;
+	int warnings;
 };
 
-static void say(struct validation *x, int fault, const char *row, const char *why)
+static void add_finding(struct validation *check, const char *grade, const char *label, const char *why)
 {
-	struct json_object *json = json_object_new_object();
+	struct json_object *finding = json_object_new_object();
 
-	json_object_object_add(json, "grade", json_object_new_string(fault ? "fault" : "warning"));
-	json_object_object_add(json, "row", json_object_new_string(row));
-	json_object_object_add(json, "why", json_object_new_string(why));
-	json_object_array_add(x->findings, json);
-	x->faults += fault;
-	x->warnings += !fault;
+	json_object_object_add(finding, "grade", json_object_new_string(grade));
+	json_object_object_add(finding, "row", json_object_new_string(label));
+	json_object_object_add(finding, "why", json_object_new_string(why));
+	json_object_array_add(check->findings, finding);
 }
 
-/* What a change would do, neither fault nor warning. */
-static void note(struct validation *check, const char *row, const char *why)
+static void add_fault(struct validation *check, const char *label, const char *why)
 {
-	struct json_object *json = json_object_new_object();
+	add_finding(check, "fault", label, why);
+	check->faults++;
+}
+
+static void add_warning(struct validation *check, const char *label, const char *why)
+{
+	add_finding(check, "warning", label, why);
+	check->warnings++;
+}
 
-	json_object_object_add(json, "grade", json_object_new_string("note"));
-	json_object_object_add(json, "row", json_object_new_string(row));
-	json_object_object_add(json, "why", json_object_new_string(why));
-	json_object_array_add(check->findings, json);
+/* What a change would do, neither fault nor warning. */
+static void add_note(struct validation *check, const char *label, const char *why)
+{
+	add_finding(check, "note", label, why);
 }
 
-static struct json_object *row(struct json_object *rows, const char *kind, const char *name)
+/* The row of a kind and name, borrowed; NULL: there is none. */
+static struct json_object *find_row(struct json_object *rows, const char *kind, const char *name)
 {
 	for (size_t i = 0; i < json_object_array_length(rows); i++) {
 		struct json_object *r = json_object_array_get_idx(rows, i);
@@ -60,7 +73,8 @@
 	return NULL;
 }
 
-static int count(struct json_object *rows, const char *kind, const char *column, const char *value)
+/* How many rows of a kind have this value in a column, without those that drain. */
+static int count_rows(struct json_object *rows, const char *kind, const char *column, const char *value)
 {
 	int n = 0;
 
@@ -74,7 +88,7 @@
 	return n;
 }
 
-/* Places that the service's servers report, and whether any has these weights. */
+/* Slots that the service's servers report, and whether any has these weights. */
 static int reported_slots(struct validation *check, const char *service, const char *weights,
 			  int *weights_reported)
 {
@@ -83,8 +97,8 @@
 	*weights_reported = 0;
 	for (size_t i = 0; check->servers && i < json_object_array_length(check->servers); i++) {
 		struct json_object *s = json_object_array_get_idx(check->servers, i),
-				   *json =
-				       row(check->proposed_rows, "server", json_member_string(s, "server"));
+				   *json = find_row(check->proposed_rows, "server",
+						    json_member_string(s, "server"));
 
 		if (!json || strcmp(json_member_string(json, "service"), service))
 			continue;
@@ -94,7 +108,7 @@
 	return n;
 }
 
-/* What a retention row clears, and when for the first time. */
+/* What a retention row purges, and when for the first time. */
 static void check_retention(struct validation *check, struct json_object *json, struct json_object *was,
 			    const char *label)
 {
@@ -110,91 +124,118 @@
 	change.set = rows;
 	change.n_set = 1;
 	if (!rows[0] || retention_check_row(rows[0]))
-		return; /* said already */
+		return; /* found before, with the change as a whole */
 	(void)retention_parse_scope(rows[0]->name, lane, tenant);
-	if (lane[0] && !row(check->proposed_rows, "lane", lane))
-		say(check, 1, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
-	if (tenant[0] && !row(check->proposed_rows, "tenant", tenant))
-		say(check, 1, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
+	if (lane[0] && !find_row(check->proposed_rows, "lane", lane))
+		add_fault(check, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
+	if (tenant[0] && !find_row(check->proposed_rows, "tenant", tenant))
+		add_fault(check, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
 	if ((why = retention_check_calendar(&calendar_icu, &change, wall, check->pool))) {
-		say(check, 1, label, why);
+		add_fault(check, label, why);
 		return;
 	}
 	due = retention_next_due(&calendar_icu, rows[0], wall, wall);
 	if ((was && json_object_equal(json, was)) || !due || apr_time_exp_gmt(&e, due * 1000) != APR_SUCCESS)
 		return;
-	note(check, label,
-	     apr_psprintf(
-		 check->pool,
-		 "would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s",
-		 rows[0]->name, e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min,
-		 (unsigned)(rows[0]->spread_ms / 1000),
-		 !was && (lane[0] || tenant[0])
-		     ? "; that first time with all common context, where its own lies among the others'"
-		     : ""));
+	add_note(
+	    check, label,
+	    apr_psprintf(
+		check->pool,
+		"would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s",
+		rows[0]->name, e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min,
+		(unsigned)(rows[0]->spread_ms / 1000),
+		!was && (lane[0] || tenant[0])
+		    ? "; that first time with all common context, where its own lies among the others'"
+		    : ""));
+}
+
+/* A row that names a service or a tenant names one that there will be. */
+static void check_reference(struct validation *check, struct json_object *row, const char *kind,
+			    const char *label)
+{
+	const char *name = json_member_string(row, kind);
+
+	if (!find_row(check->proposed_rows, kind, name))
+		add_fault(check, label, apr_psprintf(check->pool, "%s %s is not in the table", kind, name));
 }
 
-static void check_row(struct validation *check, struct json_object *r)
+static void check_route(struct validation *check, struct json_object *row, struct json_object *previous,
+			const char *label)
 {
-	const char *kind = json_member_string(r, "kind"), *name = json_member_string(r, "name"),
-		   *label = apr_pstrcat(check->pool, kind, " ", name, NULL), *slash;
-	struct json_object *was = row(check->current_rows, kind, name);
-	int known, n;
-
-	if (!strcmp(kind, "lane") || !strcmp(kind, "server")) {
-		if (!row(check->proposed_rows, "service", json_member_string(r, "service")))
-			say(check, 1, label,
-			    apr_psprintf(check->pool, "service %s is not in the table",
-					 json_member_string(r, "service")));
-		if (was && !strcmp(kind, "lane") &&
-		    strcmp(json_member_string(was, "service"), json_member_string(r, "service")))
-			say(check, 1, label, "a lane cannot change its service; make a new lane");
-	} else if (!strcmp(kind, "retention")) {
-		check_retention(check, r, was, label);
-	} else if (!strcmp(kind, "key")) {
-		if (!row(check->proposed_rows, "tenant", json_member_string(r, "tenant")))
-			say(check, 1, label,
-			    apr_psprintf(check->pool, "tenant %s is not in the table",
-					 json_member_string(r, "tenant")));
-	} else if (!strcmp(kind, "service")) {
-		n = reported_slots(check, name, json_member_string(r, "weights"), &known);
-		if (!count(check->proposed_rows, "server", "service", name))
-			say(check, 1, label, "no server serves it: its lanes would be cut off");
-		else if (check->servers && !n)
-			say(check, 0, label, "none of its servers reports");
-		if (was && strcmp(json_member_string(was, "weights"), json_member_string(r, "weights")) &&
-		    check->servers && !known)
-			say(check, 0, label,
+	check_reference(check, row, "service", label);
+	if (previous && strcmp(json_member_string(previous, "service"), json_member_string(row, "service")))
+		add_fault(check, label, "a lane cannot change its service; make a new lane");
+}
+
+static void check_service(struct validation *check, struct json_object *row, struct json_object *previous,
+			  const char *label)
+{
+	const char *name = json_member_string(row, "name");
+	const char *weights = json_member_string(row, "weights");
+	int weights_reported;
+	int slots = reported_slots(check, name, weights, &weights_reported);
+
+	if (!count_rows(check->proposed_rows, "server", "service", name))
+		add_fault(check, label, "no server serves it: its lanes would be cut off");
+	else if (check->servers && !slots)
+		add_warning(check, label, "none of its servers reports");
+	if (previous && strcmp(json_member_string(previous, "weights"), weights) && check->servers &&
+	    !weights_reported)
+		add_warning(check, label,
 			    apr_psprintf(check->pool,
 					 "weights %s are not loaded anywhere yet: a roll-out begins",
-					 json_member_string(r, "weights")));
-	} else if (!strcmp(kind, "share")) {
-		const char *lane, *tenant;
-		struct json_object *json, *t;
-
-		slash = strchr(name, '/');
-		lane = slash ? apr_pstrmemdup(check->pool, name, (size_t)(slash - name)) : "";
-		tenant = slash ? slash + 1 : "";
-		json = row(check->proposed_rows, "lane", lane);
-		t = row(check->proposed_rows, "tenant", tenant);
-		if (!json)
-			say(check, 1, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
-		if (!t)
-			say(check, 1, label,
-			    apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
-		if (json && (n = reported_slots(check, json_member_string(json, "service"), "", &known)) &&
-		    json_member_int(r, "limit") > n)
-			say(check, 0, label,
+					 weights));
+}
+
+static void check_share(struct validation *check, struct json_object *row, const char *label)
+{
+	const char *name = json_member_string(row, "name");
+	const char *slash = strchr(name, '/');
+	const char *route = slash ? apr_pstrmemdup(check->pool, name, (size_t)(slash - name)) : "";
+	const char *tenant = slash ? slash + 1 : "";
+	struct json_object *route_row = find_row(check->proposed_rows, "lane", route);
+	struct json_object *tenant_row = find_row(check->proposed_rows, "tenant", tenant);
+	int64_t limit = json_member_int(row, "limit");
+	int weights_reported, slots = 0;
+
+	if (!route_row)
+		add_fault(check, label, apr_psprintf(check->pool, "lane %s is not in the table", route));
+	if (!tenant_row)
+		add_fault(check, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
+	if (route_row)
+		slots =
+		    reported_slots(check, json_member_string(route_row, "service"), "", &weights_reported);
+	if (slots && limit > slots)
+		add_warning(check, label,
 			    apr_psprintf(check->pool,
 					 "limit %" APR_INT64_T_FMT
 					 " is above the %d places that the lane's servers report",
-					 json_member_int(r, "limit"), n));
-		if (t && json_member_int(r, "limit") > json_member_int(t, "limit"))
-			say(check, 0, label, "limit is above the tenant's own: it never bites");
-	}
+					 limit, slots));
+	if (tenant_row && limit > json_member_int(tenant_row, "limit"))
+		add_warning(check, label, "limit is above the tenant's own: it never bites");
 }
 
-/* Shares add up when every tenant of a lane has one, or none has: a mixture weighs two scales against each
+static void check_row(struct validation *check, struct json_object *row)
+{
+	const char *kind = json_member_string(row, "kind"), *name = json_member_string(row, "name");
+	const char *label = apr_pstrcat(check->pool, kind, " ", name, NULL);
+	struct json_object *previous = find_row(check->current_rows, kind, name);
+
+	if (!strcmp(kind, "lane"))
+		check_route(check, row, previous, label);
+	else if (!strcmp(kind, "server"))
+		check_reference(check, row, "service", label);
+	else if (!strcmp(kind, "retention"))
+		check_retention(check, row, previous, label);
+	else if (!strcmp(kind, "key"))
+		check_reference(check, row, "tenant", label);
+	else if (!strcmp(kind, "service"))
+		check_service(check, row, previous, label);
+	else if (!strcmp(kind, "share"))
+		check_share(check, row, label);
+}
+
+/* Shares add up when every tenant of a route has one, or none has: a mixture weighs two scales against each
  * other. */
 static void check_shares(struct validation *check)
 {
@@ -210,9 +251,9 @@
 
 			if (strcmp(json_member_string(t, "kind"), "tenant"))
 				continue;
-			s = row(check->proposed_rows, "share",
-				apr_pstrcat(check->pool, json_member_string(json, "name"), "/",
-					    json_member_string(t, "name"), NULL));
+			s = find_row(check->proposed_rows, "share",
+				     apr_pstrcat(check->pool, json_member_string(json, "name"), "/",
+						 json_member_string(t, "name"), NULL));
 			with += s != NULL;
 			without += s == NULL;
 			sum += json_member_int(s ? s : t, "share");
@@ -221,19 +262,20 @@
 				    : least;
 		}
 		if (with && without)
-			say(check, 0,
-			    apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
+			add_warning(
+			    check, apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
 			    apr_psprintf(
 				check->pool,
 				"shares do not add up: %d tenants have one in this lane, %d fall back to their general one",
 				with, without));
 		if (sum && least * 200 < sum)
-			say(check, 0,
-			    apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
-			    "a tenant's share is under half a percent of the sum");
+			add_warning(check,
+				    apr_pstrcat(check->pool, "lane ", json_member_string(json, "name"), NULL),
+				    "a tenant's share is under half a percent of the sum");
 	}
 }
 
+/* Rows that go, and whom that cuts off. */
 static void check_removals(struct validation *check)
 {
 	for (size_t i = 0; i < json_object_array_length(check->current_rows); i++) {
@@ -241,15 +283,15 @@
 		const char *kind = json_member_string(json, "kind"), *name = json_member_string(json, "name"),
 			   *label = apr_pstrcat(check->pool, kind, " ", name, NULL);
 
-		if (!strcmp(kind, "tenant") && !row(check->proposed_rows, "tenant", name) &&
-		    count(check->current_rows, "key", "tenant", name))
-			say(check, 1, label, "would be cut off: it has keys and its row goes");
-		if (!strcmp(kind, "tenant") && row(check->proposed_rows, "tenant", name) &&
-		    count(check->current_rows, "key", "tenant", name) &&
-		    !count(check->proposed_rows, "key", "tenant", name))
-			say(check, 1, label, "would be cut off: its last key goes");
-		if (!strcmp(kind, "lane") && !row(check->proposed_rows, "lane", name))
-			say(check, 0, label, "goes: what waits in it is refused");
+		if (!strcmp(kind, "tenant") && !find_row(check->proposed_rows, "tenant", name) &&
+		    count_rows(check->current_rows, "key", "tenant", name))
+			add_fault(check, label, "would be cut off: it has keys and its row goes");
+		if (!strcmp(kind, "tenant") && find_row(check->proposed_rows, "tenant", name) &&
+		    count_rows(check->current_rows, "key", "tenant", name) &&
+		    !count_rows(check->proposed_rows, "key", "tenant", name))
+			add_fault(check, label, "would be cut off: its last key goes");
+		if (!strcmp(kind, "lane") && !find_row(check->proposed_rows, "lane", name))
+			add_warning(check, label, "goes: what waits in it is refused");
 	}
 }
 
@@ -262,8 +304,10 @@
 	for (size_t i = 0; i < json_object_array_length(check->current_rows); i++) {
 		struct json_object *json = json_object_array_get_idx(check->current_rows, i);
 
-		if ((set && row(set, json_member_string(json, "kind"), json_member_string(json, "name"))) ||
-		    (del && row(del, json_member_string(json, "kind"), json_member_string(json, "name"))))
+		if ((set &&
+		     find_row(set, json_member_string(json, "kind"), json_member_string(json, "name"))) ||
+		    (del &&
+		     find_row(del, json_member_string(json, "kind"), json_member_string(json, "name"))))
 			continue;
 		json_object_array_add(check->proposed_rows, json_object_get(json));
 	}
@@ -272,151 +316,244 @@
 				      json_object_get(json_object_array_get_idx(set, i)));
 }
 
+/* A reading of a node, released by the caller; NULL: nobody answers. */
 static struct json_object *get(const char *addr, const char *path)
 {
 	char *body = NULL;
-	struct json_object *json = http_call_blocking("GET", addr, path, NULL, NULL, 7000, &body) == 200
-				       ? json_tokener_parse(body)
-				       : NULL;
+	struct json_object *json =
+	    http_call_blocking("GET", addr, path, NULL, NULL, READ_TIMEOUT_MS, &body) == 200
+		? json_tokener_parse(body)
+		: NULL;
 
 	free(body);
 	return json;
 }
 
-/* NOLINTNEXTLINE(readability-function-size): the command line, option by option */
-int main(int argc, char **argv)
+/* ---- the command line ---- */
+
+/* Which controller and router are asked, about which file. */
+struct options {
+	const char *controller_addr;
+	const char *router_addr; /* NULL: no router is asked */
+	const char *path;
+	int as_json;
+};
+
+/* What is read from the fleet and the file; all owned. */
+struct input {
+	struct json_object *table;
+	struct json_object *state; /* of a router; NULL: none was asked */
+	struct json_object *change;
+};
+
+static void free_input(struct input *input)
 {
-	struct arg_str *arg_str = arg_str0(NULL, "at", "IP:PORT", "a registrar's web address"),
-		       *ctr = arg_str0(NULL, "counter", "IP:PORT",
-				       "a counter's web address: what servers report");
-	struct arg_lit *json = arg_lit0(NULL, "json", "findings as JSON"),
-		       *help = arg_lit0("h", "help", "say how it is called");
-	struct arg_lit *version = arg_lit0(NULL, "version", "say the version");
-	struct arg_file *file =
-	    arg_file0(NULL, NULL, "FILE", "a sheet, or a change as JSON; - is standard input");
-	struct arg_end *end = arg_end(5);
-	void *t[] = { arg_str, ctr, json, help, version, file, end };
-	struct validation check;
-	struct json_object *table = NULL, *state = NULL, *change = NULL, *sheet;
-	const char *why = NULL, *reg = "127.0.0.1:8000";
-	struct Nl__Change *c;
-	struct config_table empty;
-	char *text = NULL;
-	int rc = USAGE, bad;
+	if (input->change)
+		json_object_put(input->change);
+	if (input->state)
+		json_object_put(input->state);
+	if (input->table)
+		json_object_put(input->table);
+}
 
-	memset(&check, 0, sizeof check);
-	apr_initialize();
-	apr_pool_create(&check.pool, NULL);
-	curl_global_init(CURL_GLOBAL_DEFAULT);
-	bad = arg_parse(argc, argv, t);
-	if (help->count) {
-		printf("Usage: notchlug-validate");
-		arg_print_syntax(stdout, t, "\n");
-		arg_print_glossary(stdout, t, "  %-24s %s\n");
-		printf("Ends with 0 good, 1 faults found, 2 wrong call, 3 the fleet cannot be reached.\n");
-		rc = GOOD;
-		goto end;
+/* Returns 0, or an exit code after the message. */
+static int read_fleet(const struct options *options, struct input *input)
+{
+	input->table = get(options->controller_addr, "/v1/table");
+	if (!input->table) {
+		fprintf(stderr, "notchlug-validate: step table, at %s: nobody answers\n",
+			options->controller_addr);
+		return UNREACHABLE;
 	}
-	if (version->count) {
-		printf("notchlug-validate (notchlug) %s\n", NL_VERSION);
-		rc = GOOD;
-		goto end;
+	if (!options->router_addr)
+		return 0;
+	input->state = get(options->router_addr, "/v1/state");
+	if (!input->state) {
+		fprintf(stderr, "notchlug-validate: step state, at %s: nobody answers\n",
+			options->router_addr);
+		return UNREACHABLE;
 	}
-	if (bad || !file->count) {
-		arg_print_errors(stderr, end, "notchlug-validate");
-		fprintf(stderr, "notchlug-validate: give a FILE; see --help\n");
-		goto end;
+	return 0;
+}
+
+/* The change in a text: as JSON, or what a text form of the table would change. Returns NULL, or what is
+ * wrong. */
+static const char *parse_change(const char *text, struct input *input, apr_pool_t *pool)
+{
+	const char *why = NULL;
+	struct json_object *proposed;
+
+	if (text[strspn(text, " \t\r\n")] == '{') {
+		input->change = json_tokener_parse(text);
+		return input->change ? NULL : "not JSON";
 	}
-	if (arg_str->count)
-		reg = arg_str->sval[0];
-	text = file_read(file->filename[0]);
+	proposed = config_text_parse(text, pool, &why);
+	if (!proposed)
+		return why;
+	input->change = config_text_diff(input->table, proposed);
+	json_object_put(proposed);
+	return why;
+}
+
+/* Returns 0, or an exit code after the message. */
+static int read_input(const struct options *options, struct input *input, apr_pool_t *pool)
+{
+	char *text = file_read(options->path);
+	const char *why;
+	int rc;
+
 	if (!text) {
-		fprintf(stderr, "notchlug-validate: %s: cannot be read\n", file->filename[0]);
-		goto end;
+		fprintf(stderr, "notchlug-validate: %s: cannot be read\n", options->path);
+		return USAGE;
 	}
-	table = get(reg, "/v1/table");
-	if (!table) {
-		fprintf(stderr, "notchlug-validate: step table, at %s: nobody answers\n", reg);
-		rc = UNREACHABLE;
-		goto end;
+	rc = read_fleet(options, input);
+	if (rc) {
+		free(text);
+		return rc;
 	}
-	if (ctr->count && !(state = get(ctr->sval[0], "/v1/state"))) {
-		fprintf(stderr, "notchlug-validate: step state, at %s: nobody answers\n", ctr->sval[0]);
-		rc = UNREACHABLE;
-		goto end;
+	why = parse_change(text, input, pool);
+	free(text);
+	if (!why)
+		return 0;
+	fprintf(stderr, "notchlug-validate: %s: %s\n", options->path, why);
+	return USAGE;
+}
+
+static int has_rows(struct json_object *change, const char *what)
+{
+	struct json_object *rows = json_member(change, what);
+
+	return rows && json_object_array_length(rows);
+}
+
+/* The change by itself, as the controllers check it. */
+static void check_change(struct validation *check, struct json_object *change)
+{
+	struct config_table empty;
+	struct Nl__Change *parsed;
+	const char *why = NULL;
+
+	if (!has_rows(change, "set") && !has_rows(change, "del"))
+		return;
+	parsed = config_change_parse(json_object_to_json_string(change), check->pool, &why);
+	config_table_open(&empty);
+	if (parsed) {
+		parsed->n_deleted =
+		    0; /* whether rows to be removed exist is checked against the real table */
+		why = config_check_change(&empty, parsed, check->pool);
 	}
-	if (text[strspn(text, " \t\r\n")] == '{') {
-		change = json_tokener_parse(text);
-		if (!change)
-			why = "not JSON";
-	} else if ((sheet = config_text_parse(text, check.pool, &why))) {
-		change = config_text_diff(table, sheet);
-		json_object_put(sheet);
+	if (why)
+		add_fault(check, "change", why);
+	config_table_close(&empty);
+}
+
+/* As the controllers decide it: an operator's change since then supersedes this one. */
+static void check_revision(struct validation *check, struct json_object *change, struct json_object *table)
+{
+	int64_t expected = json_member_int(change, "expect"), changed = json_member_int(table, "plan");
+
+	if (json_member(change, "expect") && expected < changed)
+		add_fault(
+		    check, "change",
+		    apr_psprintf(check->pool,
+				 "edition %" APR_INT64_T_FMT
+				 " is overtaken: operators changed the table in edition %" APR_INT64_T_FMT,
+				 expected, changed));
+}
+
+static void print_findings(const struct validation *check)
+{
+	for (size_t i = 0; i < json_object_array_length(check->findings); i++) {
+		struct json_object *finding = json_object_array_get_idx(check->findings, i);
+
+		printf("%s: %s: %s\n", json_member_string(finding, "grade"),
+		       json_member_string(finding, "row"), json_member_string(finding, "why"));
 	}
-	if (why) {
-		fprintf(stderr, "notchlug-validate: %s: %s\n", file->filename[0], why);
-		goto end;
+	printf("%d faults, %d warnings\n", check->faults, check->warnings);
+}
+
+static void print_findings_json(const struct validation *check)
+{
+	struct json_object *json = json_object_new_object();
+
+	json_object_object_add(json, "good", json_object_new_boolean(!check->faults));
+	json_object_object_add(json, "findings", json_object_get(check->findings));
+	printf("%s\n", json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
+	json_object_put(json);
+}
+
+/* Returns the exit code. */
+static int validate(const struct options *options, apr_pool_t *pool)
+{
+	struct validation check = { .pool = pool };
+	struct input input = { NULL, NULL, NULL };
+	int rc = read_input(options, &input, pool);
+
+	if (rc) {
+		free_input(&input);
+		return rc;
 	}
 	check.findings = json_object_new_array();
-	check.current_rows = json_member(table, "rows");
-	check.servers = json_member(state, "servers");
-	if ((json_member(change, "set") && json_object_array_length(json_member(change, "set"))) ||
-	    (json_member(change, "del") && json_object_array_length(json_member(change, "del")))) {
-		c = config_change_parse(json_object_to_json_string(change), check.pool, &why);
-		config_table_open(&empty);
-		if (c) {
-			c->n_deleted =
-			    0; /* whether rows to take out exist is judged against the real table */
-			why = config_check_change(&empty, c, check.pool);
-		}
-		if (why)
-			say(&check, 1, "change", why);
-		config_table_close(&empty);
-	}
-	/* as the controllers judge it: an operator's change since then overtakes */
-	if (json_member(change, "expect") &&
-	    json_member_int(change, "expect") < json_member_int(table, "plan"))
-		say(&check, 1, "change",
-		    apr_psprintf(check.pool,
-				 "edition %" APR_INT64_T_FMT
-				 " is overtaken: operators changed the table in edition %" APR_INT64_T_FMT,
-				 json_member_int(change, "expect"), json_member_int(table, "plan")));
-	overlay_change(&check, change);
+	check.current_rows = json_member(input.table, "rows");
+	check.servers = json_member(input.state, "servers");
+	check_change(&check, input.change);
+	check_revision(&check, input.change, input.table);
+	overlay_change(&check, input.change);
 	for (size_t i = 0; i < json_object_array_length(check.proposed_rows); i++)
 		check_row(&check, json_object_array_get_idx(check.proposed_rows, i));
 	check_shares(&check);
 	check_removals(&check);
-	rc = check.faults ? FAULTS : GOOD;
-	if (json->count) {
-		struct json_object *o = json_object_new_object();
-
-		json_object_object_add(o, "good", json_object_new_boolean(!check.faults));
-		json_object_object_add(o, "findings", json_object_get(check.findings));
-		printf("%s\n", json_object_to_json_string_ext(o, JSON_C_TO_STRING_PLAIN));
-		json_object_put(o);
+	if (options->as_json)
+		print_findings_json(&check);
+	else
+		print_findings(&check);
+	json_object_put(check.findings);
+	json_object_put(check.proposed_rows);
+	free_input(&input);
+	return check.faults ? FAULTS : GOOD;
+}
+
+int main(int argc, char **argv)
+{
+	struct arg_str *at = arg_str0(NULL, "at", "IP:PORT", "a controller's web address");
+	struct arg_str *router =
+	    arg_str0(NULL, "counter", "IP:PORT", "a router's web address: what servers report");
+	struct arg_lit *json = arg_lit0(NULL, "json", "findings as JSON");
+	struct arg_lit *help = arg_lit0("h", "help", "say how it is called");
+	struct arg_lit *version = arg_lit0(NULL, "version", "say the version");
+	struct arg_file *file =
+	    arg_file0(NULL, NULL, "FILE", "a sheet, or a change as JSON; - is standard input");
+	struct arg_end *end = arg_end(5);
+	void *table[] = { at, router, json, help, version, file, end };
+	apr_pool_t *pool;
+	int rc = GOOD, errors;
+
+	apr_initialize();
+	apr_pool_create(&pool, NULL);
+	curl_global_init(CURL_GLOBAL_DEFAULT);
+	errors = arg_parse(argc, argv, table);
+	if (help->count) {
+		printf("Usage: notchlug-validate");
+		arg_print_syntax(stdout, table, "\n");
+		arg_print_glossary(stdout, table, "  %-24s %s\n");
+		printf("Ends with 0 good, 1 faults found, 2 wrong call, 3 the fleet cannot be reached.\n");
+	} else if (version->count) {
+		printf("notchlug-validate (notchlug) %s\n", NL_VERSION);
+	} else if (errors || !file->count) {
+		arg_print_errors(stderr, end, "notchlug-validate");
+		fprintf(stderr, "notchlug-validate: give a FILE; see --help\n");
+		rc = USAGE;
 	} else {
-		for (size_t i = 0; i < json_object_array_length(check.findings); i++) {
-			struct json_object *f = json_object_array_get_idx(check.findings, i);
+		const struct options options = { .controller_addr =
+						     at->count ? at->sval[0] : "127.0.0.1:8000",
+						 .router_addr = router->count ? router->sval[0] : NULL,
+						 .path = file->filename[0],
+						 .as_json = json->count };
 
-			printf("%s: %s: %s\n", json_member_string(f, "grade"), json_member_string(f, "row"),
-			       json_member_string(f, "why"));
-		}
-		printf("%d faults, %d warnings\n", check.faults, check.warnings);
+		rc = validate(&options, pool);
 	}
-end:
-	free(text);
-	if (check.findings)
-		json_object_put(check.findings);
-	if (check.proposed_rows)
-		json_object_put(check.proposed_rows);
-	if (change)
-		json_object_put(change);
-	if (state)
-		json_object_put(state);
-	if (table)
-		json_object_put(table);
-	arg_freetable(t, sizeof t / sizeof *t);
-	apr_pool_destroy(check.pool);
+	arg_freetable(table, sizeof table / sizeof *table);
+	apr_pool_destroy(pool);
 	apr_terminate();
 	return rc;
 }
