--- a/lib/core/commands.h
+++ b/lib/core/commands.h
@@ -180,9 +180,10 @@
 
 /* Allocate and initialise a message struct in the step's pool.
  * Example: struct Nl__Append *append = MESSAGE_NEW(out, Nl__Append, NL__APPEND__INIT); */
-/* NOLINTNEXTLINE(bugprone-macro-parentheses): init is a list in braces */
+/* NOLINTBEGIN(bugprone-macro-parentheses): init is a list in braces */
 #define MESSAGE_NEW(out, type, init) \
 	((struct type *)command_list_alloc((out), sizeof(struct type), &(struct type)init))
+/* NOLINTEND(bugprone-macro-parentheses) */
 
 /* A copy of init, in the step's pool. */
 void *command_list_alloc(struct command_list *out, size_t size, const void *init);
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -533,29 +533,45 @@
 	}
 }
 
+static void perform_on_message(const struct choice *choice)
+{
+	int at = find_message(choice);
+	uint32_t blob = explore_world.messages[at].blob;
+
+	if (choice->kind != CHOICE_DUPLICATE)
+		remove_message((uint32_t)at);
+	if (choice->kind != CHOICE_DROP)
+		deliver(choice->node, blob);
+}
+
+static void sync_oldest(int node)
+{
+	uint64_t seq = disk_write_one(node);
+
+	raft_synced(rafts[node], seq, explore_world.now, step_begin(node));
+	step_end(node);
+}
+
+static void drain(int node)
+{
+	(void)step_begin(node);
+	raft_drain(rafts[node], explore_world.now);
+	step_end(node);
+}
+
 static void perform(const struct choice *choice)
 {
-	int node = choice->node, at;
-	uint32_t blob;
+	int node = choice->node;
 
 	switch (choice->kind) {
 	case CHOICE_DELIVER:
 	case CHOICE_DUPLICATE:
 	case CHOICE_DROP:
-		at = find_message(choice);
-		blob = explore_world.messages[at].blob;
-		if (choice->kind != CHOICE_DUPLICATE)
-			remove_message((uint32_t)at);
-		if (choice->kind != CHOICE_DROP)
-			deliver(node, blob);
+		perform_on_message(choice);
 		break;
-	case CHOICE_SYNC: {
-		uint64_t seq = disk_write_one(node);
-
-		raft_synced(rafts[node], seq, explore_world.now, step_begin(node));
-		step_end(node);
+	case CHOICE_SYNC:
+		sync_oldest(node);
 		break;
-	}
 	case CHOICE_TICK:
 		raft_tick(rafts[node], explore_world.now, step_begin(node));
 		step_end(node);
@@ -582,9 +598,7 @@
 		reconfigure(node, choice->arg);
 		break;
 	case CHOICE_DRAIN:
-		(void)step_begin(node);
-		raft_drain(rafts[node], explore_world.now);
-		step_end(node);
+		drain(node);
 		break;
 	case CHOICE_END:
 		end_replica(node);
--- a/tests/explore_heap.c
+++ b/tests/explore_heap.c
@@ -31,12 +31,12 @@
 
 void *__real_malloc(size_t n);
 void *__real_calloc(size_t n, size_t size);
-void *__real_realloc(void *p, size_t n);
-void __real_free(void *p);
+void *__real_realloc(void *pointer, size_t n);
+void __real_free(void *pointer);
 void *__wrap_malloc(size_t n);
 void *__wrap_calloc(size_t n, size_t size);
-void *__wrap_realloc(void *p, size_t n);
-void __wrap_free(void *p);
+void *__wrap_realloc(void *pointer, size_t n);
+void __wrap_free(void *pointer);
 
 void explore_heap_select(struct explore_heap *heap)
 {
@@ -59,10 +59,10 @@
 	return (struct block *)(uintptr_t)(heap->bytes + offset);
 }
 
-static int contains(const struct explore_heap *heap, const void *p)
+static int contains(const struct explore_heap *heap, const void *pointer)
 {
-	return heap && (const unsigned char *)p >= heap->bytes &&
-	       (const unsigned char *)p < heap->bytes + heap->used;
+	return heap && (const unsigned char *)pointer >= heap->bytes &&
+	       (const unsigned char *)pointer < heap->bytes + heap->used;
 }
 
 static void *block_take(struct block *block, size_t n)
@@ -96,9 +96,9 @@
 	return block_take(block, n);
 }
 
-static struct block *block_of(void *p)
+static struct block *block_of(void *pointer)
 {
-	struct block *block = (struct block *)p - 1;
+	struct block *block = (struct block *)pointer - 1;
 
 	if (block->tag != TAG_LIVE) {
 		fprintf(stderr, "explore: a block is freed twice or was never allocated\n");
@@ -117,31 +117,31 @@
 	return selected ? heap_alloc(selected, n * size) : __real_calloc(n, size);
 }
 
-void __wrap_free(void *p)
+void __wrap_free(void *pointer)
 {
-	if (!contains(selected, p)) {
-		__real_free(p);
+	if (!contains(selected, pointer)) {
+		__real_free(pointer);
 		return;
 	}
-	block_of(p)->tag = TAG_FREE;
+	block_of(pointer)->tag = TAG_FREE;
 }
 
-void *__wrap_realloc(void *p, size_t n)
+void *__wrap_realloc(void *pointer, size_t n)
 {
 	struct block *block;
 	void *fresh;
 
-	if (!selected || (p && !contains(selected, p)))
-		return __real_realloc(p, n);
-	if (!p)
+	if (!selected || (pointer && !contains(selected, pointer)))
+		return __real_realloc(pointer, n);
+	if (!pointer)
 		return heap_alloc(selected, n);
-	block = block_of(p);
+	block = block_of(pointer);
 	if (n <= block->capacity) {
 		block->requested = (uint32_t)n;
-		return p;
+		return pointer;
 	}
 	fresh = heap_alloc(selected, n);
-	memcpy(fresh, p, block->requested);
+	memcpy(fresh, pointer, block->requested);
 	block->tag = TAG_FREE;
 	return fresh;
 }
@@ -168,32 +168,32 @@
 
 static void scan(const uint64_t *words, size_t n, int depth);
 
-static int is_live(const struct explore_heap *heap, const unsigned char *p)
+static int is_live(const struct explore_heap *heap, const unsigned char *pointer)
 {
-	const struct block *block = (const struct block *)(const void *)p - 1;
+	const struct block *block = (const struct block *)(const void *)pointer - 1;
 
-	return p >= heap->bytes + sizeof *block && block->tag == TAG_LIVE;
+	return pointer >= heap->bytes + sizeof *block && block->tag == TAG_LIVE;
 }
 
 /* A pointer to a block, or to the first element of an stb_ds array in one. */
-static void scan_pointer(const unsigned char *p, int depth)
+static void scan_pointer(const unsigned char *pointer, int depth)
 {
-	const unsigned char *start = p - sizeof(stbds_array_header);
+	const unsigned char *start = pointer - sizeof(stbds_array_header);
 
 	if (depth > MAX_POINTER_DEPTH)
 		return;
-	if (is_live(hashing.heap, p)) {
-		size_t bytes = ((const struct block *)(const void *)p - 1)->requested;
+	if (is_live(hashing.heap, pointer)) {
+		size_t bytes = ((const struct block *)(const void *)pointer - 1)->requested;
 
 		emit(bytes);
-		scan((const uint64_t *)(const void *)p, (bytes + 7) / 8, depth);
+		scan((const uint64_t *)(const void *)pointer, (bytes + 7) / 8, depth);
 	} else if (start > hashing.heap->bytes && is_live(hashing.heap, start)) {
 		const stbds_array_header *array = (const stbds_array_header *)(const void *)start;
 		size_t bytes = ((const struct block *)(const void *)start - 1)->requested - sizeof *array;
 
 		emit(array->length);
 		if (array->capacity)
-			scan((const uint64_t *)(const void *)p,
+			scan((const uint64_t *)(const void *)pointer,
 			     (bytes / array->capacity * array->length + 7) / 8, depth);
 	}
 }
