--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -37,7 +37,7 @@
 	controller->identity.fleet_dirty = 1;
 	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_bootstrap(&controller->shards[i], member, member_count, now, out);
+		raft_bootstrap(&controller->shards[i], member, member_count, now);
 	log_line(controller, "found", out->pool,
 		 "The fleet %016" APR_UINT64_T_HEX_FMT " is founded with %d registrars.", fleet,
 		 member_count);
--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -215,13 +215,11 @@
 	memset(raft, 0, sizeof *raft);
 }
 
-void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now,
-		    struct command_list *out)
+void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now)
 {
 	size_t len;
 	uint8_t *packed;
 
-	(void)out;
 	if (raft_last_index(raft) || raft->term || raft->group.member_count)
 		return;
 	packed = raft_pack_members(raft, members, count, &len);
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -319,9 +319,8 @@
 void raft_close(struct raft *raft);
 
 /* Make these the members of an empty replica with an empty log; one that holds anything is left as it is.
- * Example: raft_bootstrap(&raft, members, 3, now, out); */
-void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now,
-		    struct command_list *out);
+ * Example: raft_bootstrap(&raft, members, 3, now); */
+void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now);
 
 /* Let time pass: heartbeats, lease, elections. Call at least every RAFT_PROBE_MS. Example: raft_tick(&raft,
  * now, out); */
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -393,7 +393,8 @@
 		members[i].voter = 1;
 	}
 	for (int i = 0; i < voters; i++) {
-		raft_bootstrap(rafts[i], members, voters, explore_world.now, step_begin(i));
+		(void)step_begin(i);
+		raft_bootstrap(rafts[i], members, voters, explore_world.now);
 		step_end(i);
 	}
 }
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -99,7 +99,7 @@
 	raft_open(&leader->raft, 0, 1, 5, NULL, leader->now);
 	leader->raft.group.replicas = voters;
 	leader->raft.group.member_lost_ms = 2400;
-	raft_bootstrap(&leader->raft, members, voters, leader->now, &leader->out);
+	raft_bootstrap(&leader->raft, members, voters, leader->now);
 	leader_sync_disk(leader);
 	leader->now += 5000;
 	raft_tick(&leader->raft, leader->now, &leader->out);
--- a/tests/raft_world.c
+++ b/tests/raft_world.c
@@ -667,7 +667,7 @@
 		apr_pool_create(&machine->out.pool, NULL);
 		open_machine(world, machine);
 		if (i < voters)
-			raft_bootstrap(&machine->raft, founders, voters, world->now, &machine->out);
+			raft_bootstrap(&machine->raft, founders, voters, world->now);
 		finish_step(world, i);
 	}
 	if (!world_run(world, 5000, has_leader))
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -37,7 +37,7 @@
 	member->out.addr = 101;
 	member->now = 100000;
 	raft_open(&member->raft, 0, 1, 5, NULL, member->now);
-	raft_bootstrap(&member->raft, group, 3, member->now, &member->out);
+	raft_bootstrap(&member->raft, group, 3, member->now);
 	raft_flush(&member->raft, member->now, &member->out);
 	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
 	command_list_clear(&member->out);
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -122,7 +122,7 @@
 	s->now += 5000;
 	raft_open(&s->raft, SHARD, 1, 7, saved, s->now);
 	if (!saved)
-		raft_bootstrap(&s->raft, &self, 1, s->now, &s->out);
+		raft_bootstrap(&s->raft, &self, 1, s->now);
 	s->raft.snapshots.to_load = 0;
 	for (int i = 0; i < 200 && !raft_has_lease(&s->raft, s->now); i++) {
 		s->now += 20;
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -418,7 +418,7 @@
 	bench->o.addr = 101;
 	bench->now = 100000;
 	raft_open(&bench->p, 0, 1, 5, NULL, bench->now);
-	raft_bootstrap(&bench->p, member, 3, bench->now, &bench->o);
+	raft_bootstrap(&bench->p, member, 3, bench->now);
 	raft_flush(&bench->p, bench->now, &bench->o);
 	raft_synced(&bench->p, bench->p.disk.requested_seq, bench->now, &bench->o);
 	command_list_clear(&bench->o);
