--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -1,8 +1,8 @@
 /* raft: one replicated state machine (a shard of the control state): log, elections, leader lease, snapshots,
  * membership. After Ongaro and Ousterhout, with pre-vote, leader leases, and single-member changes
- * (docs/consistency.md says what differs). Pure: events in, commands out; no socket, file or clock. The
- * leader may act or answer only while raft_has_lease holds. All times are milliseconds of the process's own
- * monotonic clock. */
+ * (docs/consistency.md says what holds, and why). Pure: events in, commands out; no socket, file or clock.
+ * The leader may act or answer only while raft_has_lease holds. All times are milliseconds of the process's
+ * own monotonic clock. */
 #ifndef NL_RAFT_H
 #define NL_RAFT_H
 
