--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -389,14 +389,15 @@
 {
 	(void)explore_replay(path->scene, path->choices, path->choice_count);
 	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
-	fprintf(file,
-		"static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	fprintf(
+	    file,
+	    "static void path_breaks_nothing(void **state)\n{\n\tstatic const struct choice path[] = {\n");
 	for (size_t i = 0; i < path->choice_count; i++)
-		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
+		fprintf(file, "\t\t{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
 			path->choices[i].node, path->choices[i].from, path->choices[i].arg);
-	fprintf(file, "	};\n\n	(void)state;\n");
+	fprintf(file, "\t};\n\n\t(void)state;\n");
 	fprintf(
 	    file,
-	    "	assert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
+	    "\tassert_int_equal(explore_replay(SCENE_%s, path, sizeof path / sizeof *path), INVARIANT_NONE);\n}\n",
 	    explore_scene_name(path->scene));
 }
