--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -85,7 +85,7 @@
 };
 
 /* Who has read a prefix under a name, and when it was last used anywhere. */
-struct seen {
+struct prefix_use {
 	uint64_t key;
 	int64_t value;
 };
@@ -116,11 +116,11 @@
 	int target_weights;
 	struct node nodes[ENGINE_ROUTERS];
 	struct engine engines[ENGINE_SERVERS];
-	struct happening *happenings; /* stb_ds */
-	struct watch *watches;        /* stb_ds */
-	struct asked *requests;       /* stb_ds */
-	struct asked *calls;          /* stb_ds: router << 48 | call: of what is under way */
-	struct seen *prefix_uses;     /* stb_ds */
+	struct happening *happenings;   /* stb_ds */
+	struct watch *watches;          /* stb_ds */
+	struct asked *requests;         /* stb_ds */
+	struct asked *calls;            /* stb_ds: router << 48 | call: of what is under way */
+	struct prefix_use *prefix_uses; /* stb_ds */
 	struct engine_counts counts[ENGINE_KINDS];
 	double due_at[ENGINE_KINDS];
 	uint64_t prefilled_tokens, prefilled_again_tokens;
--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -44,63 +44,63 @@
 /* ---- the states seen --------------------------------------------------- */
 
 /* For each state the most choices that remained when it was reached. */
-struct seen {
+struct visited_states {
 	uint64_t *key;
 	uint8_t *remaining;
 	uint64_t mask, n;
 };
 
-static struct seen *visited_new(int bits)
+static struct visited_states *visited_new(int bits)
 {
-	struct seen *seen = malloc(sizeof *seen);
+	struct visited_states *visited = malloc(sizeof *visited);
 
-	if (!seen)
+	if (!visited)
 		abort();
-	seen->mask = ((uint64_t)1 << bits) - 1;
-	seen->n = 0;
-	seen->key = calloc(seen->mask + 1, sizeof *seen->key);
-	seen->remaining = calloc(seen->mask + 1, 1);
-	if (!seen->key || !seen->remaining)
+	visited->mask = ((uint64_t)1 << bits) - 1;
+	visited->n = 0;
+	visited->key = calloc(visited->mask + 1, sizeof *visited->key);
+	visited->remaining = calloc(visited->mask + 1, 1);
+	if (!visited->key || !visited->remaining)
 		abort();
-	return seen;
+	return visited;
 }
 
-static void visited_free(struct seen *seen)
+static void visited_free(struct visited_states *visited)
 {
-	free(seen->key);
-	free(seen->remaining);
-	free(seen);
+	free(visited->key);
+	free(visited->remaining);
+	free(visited);
 }
 
-static void visited_clear(struct seen *seen)
+static void visited_clear(struct visited_states *visited)
 {
-	memset(seen->key, 0, (seen->mask + 1) * sizeof *seen->key);
-	seen->n = 0;
+	memset(visited->key, 0, (visited->mask + 1) * sizeof *visited->key);
+	visited->n = 0;
 }
 
 /* Whether a state has to be explored with so many remaining choices. */
-static int visited_add(struct seen *seen, uint64_t key, int remaining)
+static int visited_add(struct visited_states *visited, uint64_t key, int remaining)
 {
 	uint64_t at;
 
 	key += !key;
-	for (at = key & seen->mask; seen->key[at]; at = (at + 1) & seen->mask)
-		if (seen->key[at] == key) {
-			if (seen->remaining[at] >= remaining)
+	for (at = key & visited->mask; visited->key[at]; at = (at + 1) & visited->mask)
+		if (visited->key[at] == key) {
+			if (visited->remaining[at] >= remaining)
 				return 0;
-			seen->remaining[at] = (uint8_t)remaining;
+			visited->remaining[at] = (uint8_t)remaining;
 			return 1;
 		}
-	seen->key[at] = key;
-	seen->remaining[at] = (uint8_t)remaining;
-	seen->n++;
+	visited->key[at] = key;
+	visited->remaining[at] = (uint8_t)remaining;
+	visited->n++;
 	return 1;
 }
 
 /* ---- all orders ------------------------------------------------------------ */
 
 struct search {
-	struct seen *visited;
+	struct visited_states *visited;
 	uint64_t max_states, steps;
 	int cut; /* some state was not explored for want of depth */
 	int over;
@@ -389,8 +389,9 @@
 {
 	(void)explore_replay(path->scene, path->choices, path->choice_count);
 	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
-	fprintf(file,
-		"static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	fprintf(
+	    file,
+	    "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
 	for (size_t i = 0; i < path->choice_count; i++)
 		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
 			path->choices[i].node, path->choices[i].from, path->choices[i].arg);
--- a/tests/test_check.c
+++ b/tests/test_check.c
@@ -43,7 +43,7 @@
 }
 
 /* Judge the good run without its queue "drop", with more lines, in the order given or the other way round. */
-static int judge(struct check_result *res, int drop, const char *const *more, int backwards)
+static int run_checker(struct check_result *res, int drop, const char *const *more, int backwards)
 {
 	char folder[] = "/tmp/notchlug-check-XXXXXX", cmd[100];
 	int rc, n = (int)(sizeof good / sizeof *good);
@@ -71,9 +71,9 @@
 	struct check_result result;
 
 	(void)state;
-	if (!judge(&result, -1, NULL, 0))
+	if (!run_checker(&result, -1, NULL, 0))
 		fail_msg("%s", result.text);
-	if (!judge(&result, -1, NULL, 1)) /* in whatever order the lines stand */
+	if (!run_checker(&result, -1, NULL, 1)) /* in whatever order the lines stand */
 		fail_msg("%s", result.text);
 }
 
@@ -268,10 +268,10 @@
 		char expected[20];
 
 		snprintf(expected, sizeof expected, "BREACH %c", cases[i].letter);
-		if (judge(&result, cases[i].drop, cases[i].bad, 0) || !result.violations ||
+		if (run_checker(&result, cases[i].drop, cases[i].bad, 0) || !result.violations ||
 		    !strstr(result.text, expected))
 			fail_msg("case %d: no %s in: %s", (int)i, expected, result.text);
-		(void)judge(&result, cases[i].drop, cases[i].mended, 0);
+		(void)run_checker(&result, cases[i].drop, cases[i].mended, 0);
 		if (result.violations)
 			fail_msg("case %d, mended: %s", (int)i, result.text);
 	}
@@ -309,7 +309,7 @@
 			line[n] = text[n];
 			n++;
 		}
-		assert_int_equal(judge(&result, -1, line, 0), !burst);
+		assert_int_equal(run_checker(&result, -1, line, 0), !burst);
 		assert_true(!burst == !strstr(result.text, "BREACH J"));
 	}
 }
@@ -332,12 +332,12 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof more / sizeof *more; i++) {
-		assert_false(judge(&result, -1, more[i], 0));
+		assert_false(run_checker(&result, -1, more[i], 0));
 		if (!result.undecided || result.violations)
 			fail_msg("hole %d: %s", (int)i, result.text);
 	}
 	for (size_t i = 0; i < sizeof needed / sizeof *needed; i++) {
-		assert_false(judge(&result, needed[i], NULL, 0));
+		assert_false(run_checker(&result, needed[i], NULL, 0));
 		if (!result.undecided)
 			fail_msg("without line %d: %s", needed[i], result.text);
 	}
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -816,14 +816,14 @@
 	char *body;
 	struct json_object *j;
 };
-struct seen {
+struct read_document {
 	uint64_t version, floor;
 	char *body;
 	size_t n;
 };
 struct model {
 	struct step *v;
-	struct seen *r;
+	struct read_document *r;
 	uint64_t acked;
 }; /* stb_ds */
 
@@ -905,7 +905,7 @@
 }
 
 /* What was taken forms one chain, each link on the one before; all that was said fits it. */
-static void judge(struct sim *sim, struct model *model)
+static void check_against_model(struct sim *sim, struct model *model)
 {
 	uint64_t at = 0;
 	struct json_object *doc_is = NULL;
@@ -1146,8 +1146,8 @@
 			if (go_on(&sim, &rd) && rd.status == 200) {
 				const struct sim_operator_answer *web = sim_answer(&sim, rd.token);
 				struct json_object *json = json_tokener_parse(web->full_body);
-				struct seen x = { json_uint_member(json, "ConfigVersion"), floor,
-						  web->full_body, web->full_body_len };
+				struct read_document x = { json_uint_member(json, "ConfigVersion"), floor,
+							   web->full_body, web->full_body_len };
 
 				known = x.version;
 				arrput(model.r, x);
@@ -1187,7 +1187,7 @@
 		sim.loss_per_mille = 0;
 		until_complete(&sim, 3, 20000);
 		sim_run(&sim, 1000, NULL);
-		judge(&sim, &model);
+		check_against_model(&sim, &model);
 		rows_alike(&sim);
 		ok(&sim);
 		for (ptrdiff_t i = 0; i < arrlen(model.v); i++) {
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -91,8 +91,8 @@
 	return run;
 }
 
-static struct answer_record told(const struct attempt_record *x, int run, const struct stream_event *event,
-				 int n)
+static struct answer_record answer_of(const struct attempt_record *x, int run,
+				      const struct stream_event *event, int n)
 {
 	return (struct answer_record){ .id = x->id,
 				       .seal_id = x->id,
@@ -117,7 +117,7 @@
 	checker_record_end(checker, t + 60, run, 1, 200, 0, 2);
 	event[0] = (struct stream_event){ 1, run };
 	event[1] = (struct stream_event){ 2, run };
-	r = told(attempt, run, event, 2);
+	r = answer_of(attempt, run, event, 2);
 	checker_record_answer(checker, t + 70, &r);
 	return run;
 }
@@ -154,7 +154,7 @@
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, 1, 200, 0, 2);
 	event[0] = (struct stream_event){ 1, run }, event[1] = (struct stream_event){ 2, run };
-	r = told(&a_try, bad ? -1 : run, event, 2);
+	r = answer_of(&a_try, bad ? -1 : run, event, 2);
 	checker_record_answer(checker, 5070, &r);
 }
 
@@ -172,7 +172,7 @@
 	checker_record_end(checker, 5060, run[0], 1, 200, 0, 1);
 	checker_record_end(checker, 5060, run[1], 1, 200, 0, 1);
 	event[0] = (struct stream_event){ 1, run[bad] };
-	r = told(&a_try, run[bad], event, 1);
+	r = answer_of(&a_try, run[bad], event, 1);
 	r.seal_id = bad ? "x2" : "x1";
 	checker_record_answer(checker, 5070, &r);
 }
@@ -185,7 +185,7 @@
 	checker_record_attempt(checker, 5000, &a_try);
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, 1, 200, 99, 0);
-	r = told(&a_try, run, NULL, 0);
+	r = answer_of(&a_try, run, NULL, 0);
 	r.is_stream = 0;
 	r.body = bad ? 98 : 99;
 	checker_record_answer(checker, 5070, &r);
@@ -199,7 +199,7 @@
 	checker_record_attempt(checker, 5000, &a_try);
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, 1, 500, 99, 0);
-	r = told(&a_try, run, NULL, 0);
+	r = answer_of(&a_try, run, NULL, 0);
 	r.is_stream = 0;
 	r.body = 99;
 	r.status = bad ? 200 : 500;
@@ -214,7 +214,7 @@
 	checker_record_attempt(checker, 5000, &a_try);
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, bad ? 1 : 0, 200, 0, 1); /* 0: the server broke off itself */
-	r = told(&a_try, run, NULL, 0);
+	r = answer_of(&a_try, run, NULL, 0);
 	r.status = 0;
 	r.outcome = ANSWER_GARBLED;
 	checker_record_answer(checker, 5070, &r);
@@ -237,7 +237,7 @@
 	checker_record_attempt(checker, 5000, &a_try);
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, 0, 200, 99, 0);
-	r = told(&a_try, run, NULL, 0);
+	r = answer_of(&a_try, run, NULL, 0);
 	r.is_stream = 0;
 	r.outcome = bad ? ANSWER_COMPLETE : ANSWER_CUT_OFF;
 	checker_record_answer(checker, 5070, &r);
@@ -818,7 +818,7 @@
 		event[i] = (struct stream_event){ i + 1, run };
 	if (bad)
 		event[1] = event[2];
-	r = told(&a_try, run, event, 3 - bad);
+	r = answer_of(&a_try, run, event, 3 - bad);
 	checker_record_answer(checker, 5070, &r);
 }
 
@@ -833,7 +833,7 @@
 	checker_record_end(checker, 5060, run, 1, 200, 0, 2);
 	event[0] = event[1] = (struct stream_event){ 1, run };
 	event[2] = (struct stream_event){ 2, run };
-	r = told(&a_try, run, event + !bad, 2 + bad);
+	r = answer_of(&a_try, run, event + !bad, 2 + bad);
 	checker_record_answer(checker, 5070, &r);
 }
 
@@ -847,7 +847,7 @@
 	run = runs(checker, 5005, &a_try, "lm");
 	checker_record_end(checker, 5060, run, 0, 200, 0, 1);
 	event[0] = (struct stream_event){ 1, run };
-	r = told(&a_try, run, event, 1);
+	r = answer_of(&a_try, run, event, 1);
 	r.outcome = bad ? ANSWER_COMPLETE : ANSWER_CUT_OFF;
 	checker_record_answer(checker, 5070, &r);
 }
@@ -867,7 +867,7 @@
 	checker_record_end(checker, 5160, run[1], 1, 200, 0, 2);
 	event[0] = (struct stream_event){ 1, run[0] };
 	event[1] = (struct stream_event){ 2, run[1] };
-	r = told(&a_try, run[0], event, 2);
+	r = answer_of(&a_try, run[0], event, 2);
 	checker_record_answer(checker, 5170, &r);
 }
 
@@ -888,7 +888,7 @@
 	checker_record_end(checker, 5160, run[1], 1, 200, 0, 2);
 	event[0] = (struct stream_event){ 1, run[0] };
 	event[1] = (struct stream_event){ 2, run[1] };
-	r = told(&attempt, run[0], event, 2);
+	r = answer_of(&attempt, run[0], event, 2);
 	checker_record_answer(checker, 5170, &r);
 }
 
@@ -1101,7 +1101,7 @@
 						    .body = attempt.body };
 			int run = checker_record_arrival(checker, 5005 + i, &a);
 			struct stream_event event[1] = { { 1, run } };
-			struct answer_record r = told(&attempt, run, event, 1);
+			struct answer_record r = answer_of(&attempt, run, event, 1);
 
 			checker_record_start(checker, 5010 + i, run, 1, NULL, 0);
 			checker_record_end(checker, 5060 + i, run, 1, 200, 0, 1);
@@ -1453,8 +1453,8 @@
 };
 
 /* One call on the rig's connection (a new one if there is none); waits for its end. */
-static void say(struct rig *rig, const char *at, const char *method, const char *target, const char *fields,
-		const char *body)
+static void send_request(struct rig *rig, const char *at, const char *method, const char *target,
+			 const char *fields, const char *body)
 {
 	answer_clear(rig);
 	if (!rig->c)
@@ -1469,7 +1469,7 @@
 static void ask(struct rig *rig, const char *at, const char *method, const char *target, const char *fields,
 		const char *body)
 {
-	say(rig, at, method, target, fields, body);
+	send_request(rig, at, method, target, fields, body);
 	if (!loop_until(rig->f.loop, ms_us(5000), settled, rig))
 		fail_msg("%s %s at %s: nothing came", method, target, at);
 }
@@ -1699,7 +1699,7 @@
 	rig_open(&rig);
 	rig.f.engine.in_flight = 2;
 	for (int i = 0; i < 2; i++) {
-		say(&rig, rig.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
+		send_request(&rig, rig.at[0], "GET", "/kv-events?SinceTime=0", "Wait-Ms: 1000\r\n", NULL);
 		rig.held = i + 1;
 		assert_true(loop_until(rig.f.loop, ms_us(3000), are_held, &rig));
 		conn[i] = rig.c;
@@ -1918,7 +1918,7 @@
 	free(run);
 }
 
-static void heard(void *ctx, int status, const struct http_message *message)
+static void on_outcome(void *ctx, int status, const struct http_message *message)
 {
 	(void)ctx, (void)message;
 	assert_int_equal(status, 202);
@@ -1940,24 +1940,24 @@
 	rig_open(&rig);
 	rig.f.newest_version = 3;
 	rig.f.engine.step_ms = 10;
-	say(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
+	send_request(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
 	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
 	http_call(
 	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":2,\"Method\":\"preempt\",\"Holder\":\"n1\",\"FenceNumber\":1}",
-	    1000, heard, NULL);
+	    1000, on_outcome, NULL);
 	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
 	assert_int_equal(rig.removed, 1 + CONN_RESET);
 	rig.f.newest_version = 2;
 	assert_true(loop_until(rig.f.loop, ms_us(3000), loaded, &rig));
 	rig.f.newest_version = 3;
-	say(&rig, rig.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
+	send_request(&rig, rig.at[0], "POST", "/x", GEN("t2", "30", "aa:30"), "1");
 	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
 	old = rig.c;
 	http_call(
 	    rig.f.loop, rig.at[0], "POST", "/order", "",
 	    "{\"Operation\":\"ConfigVersion\",\"ModelName\":\"m1\",\"ConfigVersion\":3,\"Method\":\"retain\",\"Holder\":\"n1\",\"FenceNumber\":1}",
-	    1000, heard, NULL);
+	    1000, on_outcome, NULL);
 	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
 	assert_true(rig.done && rig.c == old);
 	assert_non_null(strstr(rig.body, "\n\nx-notchlug-weight-versions: 3\nid: "));
@@ -1974,7 +1974,7 @@
 	rig_open(&rig);
 	rig.f.engine.slots = 1;
 	rig.f.engine.step_ms = 20;
-	say(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
+	send_request(&rig, rig.at[0], "POST", "/x", GEN("t1", "30", "aa:30"), "1");
 	assert_true(loop_until(rig.f.loop, ms_us(3000), taken, &rig));
 	held = rig.c;
 	conn_set_handlers(held, &(const struct conn_handlers){ .closed = NULL }, NULL);
@@ -2054,7 +2054,7 @@
 	assert_true(rig.done && !rig.keep);
 	hang_up(&rig);
 	server_set_silent(rig.a, 1);
-	say(&rig, rig.at[0], "POST", "/x", GEN("t7", "30", "aa:30"), "1");
+	send_request(&rig, rig.at[0], "POST", "/x", GEN("t7", "30", "aa:30"), "1");
 	assert_false(loop_until(rig.f.loop, ms_us(150), settled, &rig));
 	server_set_silent(rig.a, 0);
 	assert_true(loop_until(rig.f.loop, ms_us(3000), settled, &rig));
@@ -2092,7 +2092,7 @@
 	rig_close(&rig);
 }
 
-struct seen {
+struct list_page {
 	int status, n;
 	char next[20], first[32], state[16];
 	int done, draining;
@@ -2137,7 +2137,7 @@
 
 static void on_list(void *ctx, int status, const struct http_message *message)
 {
-	struct seen *seen = ctx;
+	struct list_page *seen = ctx;
 	struct json_object *json, *a, *v = NULL;
 
 	seen->done = 1;
@@ -2162,10 +2162,10 @@
 
 static int seen_done(void *ctx)
 {
-	return ((struct seen *)ctx)->done;
+	return ((struct list_page *)ctx)->done;
 }
 
-static void ask_list(struct rig *rig, const char *at, const char *target, struct seen *seen)
+static void ask_list(struct rig *rig, const char *at, const char *target, struct list_page *seen)
 {
 	seen->done = 0;
 	http_call(rig->f.loop, at, "GET", target, "", NULL, 1000, on_list, seen);
@@ -2175,7 +2175,7 @@
 static void the_list_lags_comes_in_pages_and_has_a_rate(void **state)
 {
 	struct rig rig;
-	struct seen seen;
+	struct list_page seen;
 	char at[40], old[32], target[60];
 
 	(void)state;
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -29,7 +29,7 @@
 };
 
 /* What else is the matter while the leader is told to stop. */
-enum trouble {
+enum fault_kind {
 	NO_FAULT,
 	JITTER,    /* messages take up to JITTER_MS longer */
 	SLOW_DISK, /* one of the other voters syncs slowly */
@@ -53,7 +53,7 @@
 /* A group and what it runs on. */
 struct setting {
 	int voters, sync_ms, delay_us, proposals;
-	enum trouble fault;
+	enum fault_kind fault;
 };
 
 static int seeds_or(int n)
@@ -225,7 +225,7 @@
 	for (int fault = 0; fault < FAULT_KINDS; fault++)
 		for (int k = 0; k < 16; k++) {
 			struct setting setting = { voters[k >> 3], syncs[k >> 2 & 1], delays[k >> 1 & 1],
-						   loads[k & 1], (enum trouble)fault };
+						   loads[k & 1], (enum fault_kind)fault };
 
 			late += measure(&setting);
 		}
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -165,7 +165,7 @@
 };
 
 enum interface { DOCUMENTS, TABLE };
-enum trouble { FAULTS, PLANNED_STOPS };
+enum fault_plan { FAULTS, PLANNED_STOPS };
 
 /* One sending of an order or a reading. */
 struct copy {
@@ -200,7 +200,7 @@
 struct world {
 	struct sim s;
 	enum interface interface;
-	enum trouble fault;
+	enum fault_plan fault;
 	int controllers;
 	uint64_t rng, values, newest;
 	struct operator writer[WRITERS], reader[READERS], repeater[REPEATERS];
@@ -265,7 +265,7 @@
 			 (long long)ms);
 }
 
-static void found(struct world *w, uint64_t seed, enum interface interface, enum trouble fault)
+static void found(struct world *w, uint64_t seed, enum interface interface, enum fault_plan fault)
 {
 	uint64_t seeds[3];
 	char text[32];
@@ -720,7 +720,7 @@
 		snapshot_somewhere(world);
 }
 
-static void trouble(struct world *world, int64_t end)
+static void step_faults(struct world *world, int64_t end)
 {
 	if (world->fault == PLANNED_STOPS) {
 		planned_stops(world, end);
@@ -749,7 +749,7 @@
 	return !world->repeater[0].busy && !world->repeater[1].busy;
 }
 
-static void look(struct world *world, int more)
+static void observe(struct world *world, int more)
 {
 	for (int i = 0; i < WRITERS; i++) {
 		attend(world, &world->writer[i]);
@@ -780,8 +780,8 @@
 			fail_msg("seed %llu: an order finds no end", (unsigned long long)world->s.seed);
 		if (!sim_run(&world->s, POLL_MS, NULL))
 			break;
-		trouble(world, end);
-		look(world, world->s.now < end);
+		step_faults(world, end);
+		observe(world, world->s.now < end);
 	}
 	intact(world);
 	while (world->stop_requested_at && sim_run(&world->s, POLL_MS, NULL))
@@ -876,7 +876,7 @@
 		}
 }
 
-static void judge(struct world *world)
+static void check_world(struct world *world)
 {
 	char why[400];
 
@@ -940,7 +940,7 @@
 	    (long long)ms[n / 2], (long long)ms[(n - 1) * 99 / 100], (long long)ms[n - 1]);
 }
 
-static void operators_at_once(enum interface interface, enum trouble fault, const char *name,
+static void operators_at_once(enum interface interface, enum fault_plan fault, const char *name,
 			      uint64_t seeds_wanted, int64_t run_ms)
 {
 	uint64_t seeds = getenv("NL_SEEDS") ? strtoull(getenv("NL_SEEDS"), NULL, 10) : seeds_wanted,
@@ -954,10 +954,10 @@
 		found(&world, seed, interface, fault);
 		operate(&world, run_ms);
 		read_back(&world);
-		judge(&world);
+		check_world(&world);
 		repeat_all(&world);
 		read_back(&world); /* repeated orders changed nothing */
-		judge(&world);
+		check_world(&world);
 		replicas_agree(&world);
 		intact(&world);
 		orders += world.values;
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -30,7 +30,7 @@
 /* ---- the checker ------------------------------------------------------------------ */
 
 /* What a router knew of each server, and since when it has been in touch. */
-struct judge {
+struct instance_checker {
 	int state[SIM_NODES][256];
 	uint64_t incarnations[SIM_NODES];
 	int64_t in_touch_since[SIM_NODES]; /* in touch since */
@@ -38,7 +38,7 @@
 	int64_t drained_worst;
 };
 
-static void check_one(struct sim *sim, struct judge *checker, int node, int i)
+static void check_one(struct sim *sim, struct instance_checker *checker, int node, int i)
 {
 	struct sim_instance *listed = &sim->instance_list.instances[i];
 	const struct Nl__Instance *x =
@@ -82,7 +82,7 @@
 	checker->state[node][i] = is;
 }
 
-static void judge(struct sim *sim, struct judge *j)
+static void check_all(struct sim *sim, struct instance_checker *j)
 {
 	for (int n = SIM_CONTROLLERS; n < SIM_NODES; n++) {
 		if (!sim->nodes[n].used)
@@ -126,12 +126,12 @@
 				      sim->instance_list.instances[i].weights);
 }
 
-static void go(struct sim *sim, struct judge *checker, int64_t ms)
+static void go(struct sim *sim, struct instance_checker *checker, int64_t ms)
 {
 	for (int64_t end = sim->now + ms; sim->now < end;) {
 		if (!sim_run(sim, STEP, NULL))
 			fail_msg("%s", sim->violation);
-		judge(sim, checker);
+		check_all(sim, checker);
 		check_rolled_out(sim);
 		if (sim->violation[0])
 			fail_msg("%s", sim->violation);
@@ -165,7 +165,7 @@
 
 static const char *zones[] = { "z1", "z2", "z3", "z4" };
 
-static void fleet(struct sim *sim, struct judge *checker, uint64_t seed, int roll_ms, int load_ms)
+static void fleet(struct sim *sim, struct instance_checker *checker, uint64_t seed, int roll_ms, int load_ms)
 {
 	uint64_t at[3];
 
@@ -235,7 +235,7 @@
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(8); seed++) {
 		struct sim sim;
-		struct judge checker;
+		struct instance_checker checker;
 		int64_t targeted_at, last;
 
 		fleet(&sim, &checker, seed, site[seed % 2].roll, site[seed % 2].load);
@@ -277,7 +277,7 @@
 static void more_at_once_where_it_helps(void **state)
 {
 	struct sim sim;
-	struct judge checker;
+	struct instance_checker checker;
 	int64_t targeted_at, last;
 
 	(void)state;
@@ -298,7 +298,7 @@
 static void a_busy_server_is_commanded_later(void **state)
 {
 	struct sim sim;
-	struct judge checker;
+	struct instance_checker checker;
 	int64_t targeted_at;
 
 	(void)state;
@@ -326,7 +326,7 @@
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(24); seed++) {
 		struct sim sim;
-		struct judge checker;
+		struct instance_checker checker;
 		uint64_t d = seed * 31;
 		int64_t targeted_at, last;
 		int at, how = (int)(seed % 5); /* 4: from the other controllers alone */
@@ -377,7 +377,7 @@
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(8); seed++) {
 		struct sim sim;
-		struct judge checker;
+		struct instance_checker checker;
 		uint64_t d = seed * 77;
 		int64_t targeted_at;
 
@@ -409,7 +409,7 @@
 	(void)state;
 	for (uint64_t seed = 1; seed <= seeds(16); seed++) {
 		struct sim sim;
-		struct judge checker;
+		struct instance_checker checker;
 		uint64_t d = seed * 131;
 		int down = -1, held = -1, cut = -1;
 
@@ -485,7 +485,7 @@
 static void a_higher_fence_bars(void **state)
 {
 	struct sim sim;
-	struct judge checker;
+	struct instance_checker checker;
 	uint64_t orders;
 
 	(void)state;
@@ -528,7 +528,7 @@
 	(void)state;
 	for (uint64_t seed = 1; seed <= 24; seed++) {
 		struct sim sim;
-		struct judge checker;
+		struct instance_checker checker;
 		struct Nl__CacheEvent cache_event = NL__CACHE_EVENT__INIT, *pe = &cache_event;
 		struct Nl__CacheUpdate update = NL__CACHE_UPDATE__INIT, *pk = &update;
 		struct Nl__CacheUpdateBatch all = NL__CACHE_UPDATE_BATCH__INIT;
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -477,7 +477,7 @@
 		arrput(world->seen, document_seen);
 }
 
-static void look(struct world *world)
+static void observe(struct world *world)
 {
 	if (!sim_run(&world->s, POLL_MS, NULL))
 		intact(world);
@@ -516,7 +516,7 @@
 	controller_bootstrap(world->s.nodes[0].controller, sim_local(&world->s, 0));
 	for (int64_t end = world->s.now + 20000;
 	     world->s.now < end && sim_leader(&world->s, SHARD_CONTROL) < 0;)
-		look(world);
+		observe(world);
 	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
 	world->s.answer_delay_ms = (int)random_below(world, 3) * 20;
 }
@@ -561,7 +561,7 @@
 				send_call(world, any_kind(world), node);
 			next = world->s.now + 1 + (int64_t)random_below(world, 2 * (uint64_t)pause_ms);
 		}
-		look(world);
+		observe(world);
 	}
 }
 
@@ -596,7 +596,7 @@
 	world->s.answer_delay_ms = 0;
 	world->s.loss_per_mille = 0;
 	for (int64_t end = world->s.now + OPEN_OUTCOME_MS + 200; world->s.now < end && arrlen(world->open);)
-		look(world);
+		observe(world);
 	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
 		if (!router_ready(world->s.nodes[i].router, sim_local(&world->s, i)))
@@ -622,7 +622,7 @@
 
 /* ---- tests -------------------------------------------------------------------------- */
 
-enum trouble {
+enum fault_kind {
 	FAULT_CUT_BOTH,
 	FAULT_CUT_SENDING,
 	FAULT_CUT_RECEIVING,
@@ -642,7 +642,7 @@
 			    (int64_t)random_below(world, 7200000) - 3600000;
 }
 
-static void isolate(struct world *world, int node, enum trouble fault)
+static void isolate(struct world *world, int node, enum fault_kind fault)
 {
 	int all = SIM_CONTROLLERS + ROUTERS;
 
@@ -689,7 +689,7 @@
 	}
 }
 
-static void run_fault(struct world *world, enum trouble fault, int node)
+static void run_fault(struct world *world, enum fault_kind fault, int node)
 {
 	step_clocks(world);
 	isolate(world, node, fault);
@@ -716,7 +716,7 @@
 	(void)state;
 	for (uint64_t seed = first; seed < first + seeds; seed++) {
 		struct world world;
-		enum trouble fault = (enum trouble)(seed / 2 % FAULT_KINDS);
+		enum fault_kind fault = (enum fault_kind)(seed / 2 % FAULT_KINDS);
 		int node;
 
 		open_world(&world, seed);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -907,7 +907,7 @@
 	desk_close(&desk);
 }
 
-static void look(struct desk *desk, const char *model)
+static void poll_report(struct desk *desk, const char *model)
 {
 	struct command *c;
 
@@ -946,7 +946,7 @@
 
 	desk_open(&desk, *state);
 	for (size_t i = 0; i < sizeof c / sizeof *c; i++) {
-		look(&desk, c[i].model);
+		poll_report(&desk, c[i].model);
 		serve(&desk, reply(*state, c[i].status, c[i].body), q, sizeof q);
 		assert_int_equal(strncmp(q, "GET /report HTTP/1.1\r\n", 22), 0);
 		assert_non_null(strcasestr(q, "\r\nX-Notchlug-Target-Instance: i-1\r\n"));
@@ -1126,7 +1126,7 @@
 	return 1;
 }
 
-static void told(void *ctx, const struct settings *s)
+static void on_settings(void *ctx, const struct settings *s)
 {
 	struct running *r = ctx;
 
@@ -1136,7 +1136,7 @@
 static void *runs(void *arg)
 {
 	struct running *running = arg;
-	const struct process_handlers duty = { running, quiet, nothing, NULL, told };
+	const struct process_handlers duty = { running, quiet, nothing, NULL, on_settings };
 
 	running->rc = process_run(&running->d.p, &duty);
 	return NULL;
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -77,7 +77,7 @@
 }
 
 /* The answer that a caller got in the last step; 0: none, -1: its stream was broken off. */
-static int heard(const struct router_fixture *fixture, uint64_t token)
+static int answered_status(const struct router_fixture *fixture, uint64_t token)
 {
 	int status = 0, ends = 0;
 
@@ -182,7 +182,7 @@
 	message.config_sync_reply = &reply;
 	message.addr = message.id = 1;
 	router_fixture_message(&world->s, &message);
-	return heard(&world->s, token);
+	return answered_status(&world->s, token);
 }
 
 /* ---- a new route table over requests that wait ------------------------------------------------- */
@@ -361,7 +361,7 @@
 	world.rows -= 2;
 	assert_int_equal(received_table(&world, 6), 0);
 	send_ends(&world, call, FORWARD_NOT_STARTED, 503, 0, NULL);
-	assert_int_equal(heard(&world.s, 6), 404);
+	assert_int_equal(answered_status(&world.s, 6), 404);
 	assert_null(sent_to(&world.s));
 	assert_int_equal(arrlen(world.s.router.requests.all), 5);
 	router_fixture_close(&world.s);
@@ -391,7 +391,7 @@
 		assert_int_equal(received_table(&world, 1), 0);
 		send_ends(&world, call, FORWARD_NOT_STARTED, 503, 0, NULL);
 	}
-	assert_int_equal(heard(&world.s, 1), 401);
+	assert_int_equal(answered_status(&world.s, 1), 401);
 	assert_null(sent_to(&world.s));
 	router_fixture_close(&world.s);
 }
@@ -451,12 +451,12 @@
 		router_fixture_tick(&world.s, 50);
 	}
 	send_ends(&world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
-	assert_int_equal(heard(&world.s, 2), 0);
+	assert_int_equal(answered_status(&world.s, 2), 0);
 	assert_null(sent_to(&world.s));
 	command_list_clear(&world.s.commands);
 	world.s.router.config.watch.fetched_at_ms = world.s.now;
 	router_fixture_tick(&world.s, 50);
-	assert_int_equal(heard(&world.s, 2), 0);
+	assert_int_equal(answered_status(&world.s, 2), 0);
 	send_ends(&world, first, FORWARD_COMPLETE, 200, 1, "9");
 	router_fixture_tick(&world.s, 20);
 	assert_non_null(sent_to(&world.s));
@@ -500,7 +500,7 @@
 			world.s.router.servers.states[1].unavailable_until_ms =
 			    world.s.router.servers.states[0].unavailable_until_ms = world.s.now + 100;
 			router_fixture_tick(&world.s, 50);
-			status = heard(&world.s, 2);
+			status = answered_status(&world.s, 2);
 		}
 		assert_int_equal(status, -1);
 		assert_in_range(world.s.now - from, patience / 2, patience - 200);
@@ -531,7 +531,7 @@
 		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		sent = sent_to(&world.s) != NULL;
-		status = heard(&world.s, 1);
+		status = answered_status(&world.s, 1);
 	}
 	assert_true(sent || status == 503);
 	assert_true(world.s.now - from <= 500);
@@ -618,7 +618,7 @@
 		command_list_clear(&world.s.commands);
 		time_passes(&world, 50);
 		for (uint64_t k = 1; k <= 12; k++)
-			answered += heard(&world.s, k) == 503;
+			answered += answered_status(&world.s, k) == 503;
 	}
 	assert_int_equal(answered, waiting);
 	router_fixture_close(&world.s);
@@ -645,7 +645,7 @@
 	request->client.deadline_at_ms = world.s.now + 2000;
 	command_list_clear(&world.s.commands);
 	time_passes(&world, 100);
-	assert_int_equal(heard(&world.s, world.s.token), 0);
+	assert_int_equal(answered_status(&world.s, world.s.token), 0);
 	assert_ptr_equal(router_request_by_token(&world.s.router, world.s.token), request);
 	router_fixture_close(&world.s);
 }
@@ -701,11 +701,11 @@
 		request->client.deadline_at_ms = world.s.now + 10;
 	send_ends(&world, call, send_end->how, send_end->how == FORWARD_NOT_STARTED ? 503 : 200,
 		  send_end->begun, send_end->since ? "3" : NULL);
-	if (heard(&world.s, 1) != expected(send_end))
+	if (answered_status(&world.s, 1) != expected(send_end))
 		fail_msg(
 		    "how %d begun %d ran %d repeatable %d resumable %d since %d spent %d: heard %d, not %d",
 		    (int)send_end->how, send_end->begun, send_end->ran, send_end->repeatable,
-		    send_end->resumable, send_end->since, send_end->spent, heard(&world.s, 1),
+		    send_end->resumable, send_end->since, send_end->spent, answered_status(&world.s, 1),
 		    expected(send_end));
 	assert_int_equal(sent_to(&world.s) != NULL, expected(send_end) == ANSWER_RESENT);
 	assert_int_equal(arrlen(world.s.router.requests.all), expected(send_end) == ANSWER_RESENT);
@@ -760,8 +760,8 @@
 		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		for (uint64_t i = 0; i < 3; i++)
-			if (heard(&world.s, i + 1))
-				answered[i] = heard(&world.s, i + 1);
+			if (answered_status(&world.s, i + 1))
+				answered[i] = answered_status(&world.s, i + 1);
 		if (world.s.now < event.u.shutdown.send_deadline_at_ms - 50)
 			assert_int_equal(arrlen(world.s.router.requests.all),
 					 3); /* not sooner than it must */
@@ -852,7 +852,7 @@
 		command_list_clear(&world->s.commands);
 		world->s.router.config.watch.fetched_at_ms = world->s.now;
 		router_fixture_tick(&world->s, 50);
-		answered = heard(&world->s, 1);
+		answered = answered_status(&world->s, 1);
 	}
 	return answered;
 }
@@ -895,7 +895,7 @@
 	default:
 		command_list_clear(&world->s.commands);
 		router_fixture_disconnect(&world->s);
-		return heard(&world->s, 1) ? 1 : ANSWER_CLIENT_DISCONNECTED;
+		return answered_status(&world->s, 1) ? 1 : ANSWER_CLIENT_DISCONNECTED;
 	}
 }
 
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -191,7 +191,7 @@
 
 /* Nothing that servers used for a run after a purge of context was made before it: the simulator's own
  * checker looks at every reuse and fetch against the purges of context in s->clear. */
-static void judge(struct sim *sim, const char *tenant, const char *service, uint64_t made)
+static void expect_nothing_older(struct sim *sim, const char *tenant, const char *service, uint64_t made)
 {
 	struct sim_purge sim_clear = { "", "", made, 0 };
 
@@ -332,12 +332,12 @@
 		made = horizon_now(&sim);
 		if (!clear_now(&sim, seed % 2 ? "*/t2" : "arrears/*", 9000))
 			fail_msg("seed %llu: no clearing is taken", (unsigned long long)seed);
-		judge(&sim, seed % 2 ? "t2" : "", seed % 2 ? "" : "arrears", made);
+		expect_nothing_older(&sim, seed % 2 ? "t2" : "", seed % 2 ? "" : "arrears", made);
 		load(&sim, &rng, 6000, 15, 3);
 		made = horizon_now(&sim);
 		if (!clear_now(&sim, "*", 9000))
 			fail_msg("seed %llu: no second clearing is taken", (unsigned long long)seed);
-		judge(&sim, "", "", made);
+		expect_nothing_older(&sim, "", "", made);
 		load(&sim, &rng, 4000, 15, 3);
 		for (int i = 0; i < SIM_CONTROLLERS + 3; i++)
 			if (sim.nodes[i].used && !sim.nodes[i].up)
