--- a/tests/explore_search.c
+++ b/tests/explore_search.c
@@ -389,9 +389,8 @@
 {
 	(void)explore_replay(path->scene, path->choices, path->choice_count);
 	fprintf(file, "/* %s: %s */\n", invariant_names[explore_violation], explore_violation_text);
-	fprintf(
-	    file,
-	    "static void path_breaks_nothing(void **state)\n{\n	static const struct choice path[] = {\n");
+	fprintf(file, "static void path_breaks_nothing(void **state)\n{\n");
+	fprintf(file, "\tstatic const struct choice path[] = {\n");
 	for (size_t i = 0; i < path->choice_count; i++)
 		fprintf(file, "		{ %s, %d, %d, %d },\n", kind_names[path->choices[i].kind],
 			path->choices[i].node, path->choices[i].from, path->choices[i].arg);
