--- a/tests/net_sim.h
+++ b/tests/net_sim.h
@@ -13,7 +13,7 @@
 
 enum sim_connect { SIM_ACCEPT, SIM_REFUSE, SIM_IGNORE };
 
-/* How the product left its side of a connection. */
+/* The state in which the product left its side of a connection. */
 enum sim_close_state { SIM_OPEN, SIM_HALF_CLOSED, SIM_CLOSED, SIM_RESET };
 
 struct net_sim_hooks {
@@ -24,36 +24,37 @@
 	void (*accepted)(void *ctx, struct sim_conn *c, const char *d, size_t n);
 };
 
-/* Begin: an empty network. Example: net_sim_open(seed, &hooks); */
+/* Begin with an empty network; end. */
 void net_sim_open(uint64_t seed, const struct net_sim_hooks *hooks);
 void net_sim_close(void);
 
-/* The virtual clock, which clock_ms returns. Example: net_sim_advance(5); */
+/* The virtual clock in ms, which clock_ms returns; move it on. */
 int64_t net_sim_now(void);
 void net_sim_advance(int64_t ms);
 
-/* In the next send or recv, jump by so many ms: the process was frozen there. peek: in the next look at a
- * connection's bytes, which comes just before a request leaves. */
+/* In the next send or recv the clock jumps by so many ms, as if the process had been frozen there. peek: in
+ * the next recv that only looks at a connection's bytes, which comes just before a request leaves. */
 void net_sim_freeze(int64_t ms, int peek);
 
 /* A client connects to the product's port; NULL when nobody listens. */
 struct sim_conn *net_sim_connect(int port);
 
-/* Towards the product, arriving ms from now and never before what was said earlier. Nothing arrives after an
- * end. */
+/* Towards the product, arriving in so many ms and never before what was written earlier: bytes, a half close,
+ * a reset. Nothing arrives after the last two. */
 void net_sim_write(struct sim_conn *conn, const char *d, size_t n, int64_t in_ms);
 void net_sim_end(struct sim_conn *conn, int64_t in_ms);
 void net_sim_reset(struct sim_conn *conn, int64_t in_ms);
 
-/* The far end has forgotten the connection without a word. What is sent to it is answered by a reset after so
- * many ms; below 0: by silence. */
+/* The far end has forgotten the connection without a segment. What is sent to it is answered by a reset after
+ * so many ms; below 0: by nothing. */
 void net_sim_forget(struct sim_conn *conn, int64_t reset_ms);
 
-/* Bytes that the far end takes before it has read them. */
+/* Bytes that the far end accepts before it has read them. */
 void net_sim_window(struct sim_conn *conn, size_t n);
 
-/* Read what the product has sent. Example: n = net_sim_hear(c, to, sizeof to); */
+/* Read what the product has sent, `cap` bytes at the most; returns how many. */
 size_t net_sim_read(struct sim_conn *conn, char *to, size_t cap);
+
 enum sim_close_state net_sim_close_state(const struct sim_conn *conn);
 
 /* Whether bytes, an end or a reset had arrived at the product, unread, when it made the system call under
@@ -64,7 +65,7 @@
 /* Bytes that the product has read on a connection, ever. */
 size_t net_sim_bytes_read(const struct sim_conn *conn);
 
-/* A number of the connection that is never used again, and room for the test's own data. */
+/* A number of the connection that is never used again, and a pointer of the test's own. */
 uint64_t net_sim_id(const struct sim_conn *conn);
 void net_sim_set_tag(struct sim_conn *conn, void *tag);
 void *net_sim_get_tag(const struct sim_conn *conn);
