--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -21,47 +21,47 @@
 		switch (event->kind) {
 		case SHELL_EVENT_MESSAGE:
 			ev.kind = ROUTER_EVENT_MESSAGE;
-			ev.u.message = event->message;
+			ev.args.message = event->message;
 			break;
 		case SHELL_EVENT_REQUEST:
 			if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
 				ev.kind = ROUTER_EVENT_CLAIMED_REQUEST;
-				ev.u.claimed_request.token = event->token;
-				ev.u.claimed_request.key_digest = event->key_digest;
-				ev.u.claimed_request.body = event->body;
+				ev.args.claimed_request.token = event->token;
+				ev.args.claimed_request.key_digest = event->key_digest;
+				ev.args.claimed_request.body = event->body;
 			} else {
 				ev.kind = ROUTER_EVENT_HTTP_GET;
-				ev.u.http_get.token = event->token;
-				ev.u.http_get.path = event->path;
+				ev.args.http_get.token = event->token;
+				ev.args.http_get.path = event->path;
 			}
 			break;
 		case SHELL_EVENT_DISCONNECTED:
 			ev.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-			ev.u.client_disconnected.token = event->token;
+			ev.args.client_disconnected.token = event->token;
 			break;
 		case SHELL_EVENT_CHUNK:
 			ev.kind = ROUTER_EVENT_STREAM_CHUNK;
-			ev.u.stream_chunk.token = event->token;
-			ev.u.stream_chunk.text = event->body;
+			ev.args.stream_chunk.token = event->token;
+			ev.args.stream_chunk.text = event->body;
 			break;
 		case SHELL_EVENT_CALL_DONE:
 			if (event->is_stream) {
 				ev.kind = ROUTER_EVENT_CALL_ENDED;
-				ev.u.call_ended.token = event->token;
-				ev.u.call_ended.status = event->status;
-				ev.u.call_ended.not_started = event->never_sent;
-				ev.u.call_ended.body = event->body;
+				ev.args.call_ended.token = event->token;
+				ev.args.call_ended.status = event->status;
+				ev.args.call_ended.not_started = event->never_sent;
+				ev.args.call_ended.body = event->body;
 			} else {
 				ev.kind = ROUTER_EVENT_REPORT_POLLED;
-				ev.u.report_polled.token = event->token;
-				ev.u.report_polled.status = event->status;
-				ev.u.report_polled.body = event->body;
+				ev.args.report_polled.token = event->token;
+				ev.args.report_polled.status = event->status;
+				ev.args.report_polled.body = event->body;
 			}
 			break;
 		case SHELL_EVENT_STOP:
 			ev.kind = ROUTER_EVENT_STOP;
-			ev.u.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
-			ev.u.shutdown.run_deadline_at_ms = event->deadline_ms - LAST_ANSWERS_MS;
+			ev.args.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
+			ev.args.shutdown.run_deadline_at_ms = event->deadline_ms - LAST_ANSWERS_MS;
 			break;
 		default:
 			return;
--- a/emulator/scale_model_load.c
+++ b/emulator/scale_model_load.c
@@ -51,7 +51,7 @@
 		for (int i = 0; i < 3; i++)
 			q.blocks[i] = (struct request_block){ a.blocks[i], 1000 };
 		input.kind = ROUTER_EVENT_FORWARDED_REQUEST;
-		input.u.forwarded_request = &q;
+		input.args.forwarded_request = &q;
 		slot = OUTSIDE + ROUTER_EVENT_FORWARDED_REQUEST;
 		model_count_received(n, slot, 500);
 	} else {
@@ -59,9 +59,9 @@
 		    body, sizeof body,
 		    "{\"lane\":\"l%d\",\"id\":\"%s\",\"limit_ms\":20000,\"parts\":[\"the part of all of lane %d, quite long as such parts are\",\"the part of tenant %d\",\"matter %d of that tenant, with what was written about it and the rules that apply to it\"],\"tail\":\"what is asked\"}",
 		    route, id, route, tenant, matter);
-		input.u.claimed_request.token = fleet->token;
-		input.u.claimed_request.key_digest = key;
-		input.u.claimed_request.body = body;
+		input.args.claimed_request.token = fleet->token;
+		input.args.claimed_request.key_digest = key;
+		input.args.claimed_request.body = body;
 		model_count_received(n, slot, strlen(body));
 	}
 	model_router_step(fleet, n, slot, &input);
--- a/emulator/scale_model_nodes.c
+++ b/emulator/scale_model_nodes.c
@@ -392,13 +392,13 @@
 	case MODEL_MESSAGE:
 		message = receive_message(node, input, &slot);
 		ev.kind = ROUTER_EVENT_MESSAGE;
-		ev.u.message = message;
+		ev.args.message = message;
 		break;
 	case MODEL_CALLED:
 		ev.kind = ROUTER_EVENT_REPORT_POLLED;
-		ev.u.report_polled.token = input->token;
-		ev.u.report_polled.status = input->status;
-		ev.u.report_polled.body = (char *)input->data;
+		ev.args.report_polled.token = input->token;
+		ev.args.report_polled.status = input->status;
+		ev.args.report_polled.body = (char *)input->data;
 		slot = OUTSIDE + ROUTER_EVENT_REPORT_POLLED;
 		model_count_received(node, slot, input->length);
 		break;
@@ -408,16 +408,16 @@
 			ended.end = FORWARD_NOT_STARTED;
 			ended.status = 503;
 			ev.kind = ROUTER_EVENT_FORWARD_ENDED;
-			ev.u.forward_ended = &ended;
+			ev.args.forward_ended = &ended;
 			slot = OUTSIDE + ROUTER_EVENT_FORWARD_ENDED;
 			model_count_received(node, slot, 0);
 			break;
 		}
 		ev.kind = ROUTER_EVENT_CALL_ENDED;
-		ev.u.call_ended.token = input->token;
-		ev.u.call_ended.status = 503;
-		ev.u.call_ended.not_started = 1;
-		ev.u.call_ended.body = "";
+		ev.args.call_ended.token = input->token;
+		ev.args.call_ended.status = 503;
+		ev.args.call_ended.not_started = 1;
+		ev.args.call_ended.body = "";
 		slot = OUTSIDE + ROUTER_EVENT_CALL_ENDED;
 		model_count_received(node, slot, 0);
 		break;
--- a/emulator/scale_model_servers.c
+++ b/emulator/scale_model_servers.c
@@ -198,9 +198,9 @@
 		cache_event[q].tokens = 64;
 		pe[q] = &cache_event[q];
 	}
-	event.u.cache_watched.token = watcher.token;
-	event.u.cache_watched.update = &k;
-	event.u.cache_watched.status = 200;
+	event.args.cache_watched.token = watcher.token;
+	event.args.cache_watched.update = &k;
+	event.args.cache_watched.status = 200;
 	model_count_received(n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, 120 + 45 * k.n_events); /* as text */
 	model_router_step(fleet, n, OUTSIDE + ROUTER_EVENT_CACHE_WATCHED, &event);
 	free(cache_event);
@@ -256,8 +256,8 @@
 		run->next_piece = fleet->settings.pieces;
 		model_schedule(fleet, MODEL_STREAM, run->node_index, (uint64_t)i,
 			       fleet->now_ms + 15 * (int64_t)fleet->settings.pieces);
-		input.u.forward_began.token = run->token;
-		input.u.forward_began.weights = server->weights;
+		input.args.forward_began.token = run->token;
+		input.args.forward_began.weights = server->weights;
 	} else {
 		uint64_t caller = strtoull(run->send_id, NULL, 10);
 
@@ -266,7 +266,7 @@
 		done.chunks = (uint32_t)fleet->settings.pieces;
 		done.running = server->running;
 		input.kind = ROUTER_EVENT_FORWARD_ENDED;
-		input.u.forward_ended = &done;
+		input.args.forward_ended = &done;
 		slot = OUTSIDE + ROUTER_EVENT_FORWARD_ENDED;
 		fleet->pieces += (uint64_t)fleet->settings.pieces;
 		fleet->completed += hmgeti(fleet->pending_requests, caller) >= 0;
@@ -300,8 +300,8 @@
 	else
 		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"a word \"}", run->send_id,
 			 run->next_piece);
-	ev.u.stream_chunk.token = run->token;
-	ev.u.stream_chunk.text = line;
+	ev.args.stream_chunk.token = run->token;
+	ev.args.stream_chunk.text = line;
 	run->next_piece++;
 	if (last) {
 		model_end_run(fleet, i);
--- a/lib/data/router.h
+++ b/lib/data/router.h
@@ -198,6 +198,7 @@
 	struct shutdown_deadlines deadlines;
 };
 
+/* A router. Owned by its process; only router_step and the functions of lib/data change it. */
 struct router {
 	uint64_t id;
 	uint64_t addr;
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -1,5 +1,7 @@
-/* router_admission: which route, tenant and service a request has by the table in force; taking requests, and
- * what is refused before it waits. A newer table judges what waits once more by the same rule. */
+/* router_admission: which route, tenant and service a request has by the route table in force, and what is
+ * declined before it waits: unknown keys and routes, stale configuration, full queues, services without a
+ * server. A newer route table places what waits once more by the same rule. Invariant: a request is queued
+ * only while the configuration is in force. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -7,106 +9,49 @@
 
 #include "containers.h"
 
-static const char *parse(struct router *c, struct client_request *request, const char *body,
-			 const char **lane, int *limit, apr_pool_t *pool)
-{
-	struct json_object *json = router_read_json(c, body), *v;
-	const char *why = NULL;
-
-	*limit = ROUTER_TIMEOUT_DEFAULT_MS;
-	*lane = NULL;
-	if (!json_object_is_type(json, json_type_object)) {
-		why = "body: not a JSON object";
-		goto end;
-	}
-	json_object_object_foreach(json, name, val)
-	{
-		if (!strcmp(name, "lane") || !strcmp(name, "id") || !strcmp(name, "tail")) {
-			if (!json_object_is_type(val, json_type_string))
-				why = apr_psprintf(pool, "%s: not a string", name);
-			else if (!strcmp(name, "lane"))
-				*lane = apr_pstrdup(pool, json_object_get_string(val));
-			else if (!strcmp(name, "id"))
-				request->client.request_id = apr_pstrdup(pool, json_object_get_string(val));
-			else
-				request->prompt.tail_text = apr_pstrdup(pool, json_object_get_string(val));
-		} else if (!strcmp(name, "limit_ms")) {
-			int64_t n = json_object_get_int64(val);
-
-			if (!json_object_is_type(val, json_type_int) || n < ROUTER_TIMEOUT_MIN_MS ||
-			    n > ROUTER_TIMEOUT_MAX_MS)
-				why = apr_psprintf(pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS,
-						   ROUTER_TIMEOUT_MAX_MS);
-			else
-				*limit = (int)n;
-		} else if (!strcmp(name, "parts")) {
-			if (!json_object_is_type(val, json_type_array) ||
-			    json_object_array_length(val) > ROUTER_MAX_BLOCKS) {
-				why = apr_psprintf(pool, "parts: a list of at most %d strings",
-						   ROUTER_MAX_BLOCKS);
-				continue;
-			}
-			for (size_t i = 0; i < json_object_array_length(val); i++) {
-				v = json_object_array_get_idx(val, i);
-				if (!json_object_is_type(v, json_type_string))
-					why = "parts: a list of strings";
-				else
-					request->prompt.block_text[request->prompt.block_count++] =
-					    apr_pstrdup(pool, json_object_get_string(v));
-			}
-		} else {
-			why = apr_psprintf(pool, "%s: no such field", name);
-		}
-	}
-	if (why)
-		goto end;
-	if (!*lane)
-		why = "lane: missing";
-	else if (!request->client.request_id || !request->client.request_id[0] ||
-		 strlen(request->client.request_id) > 128 || strpbrk(request->client.request_id, "\x1f\n"))
-		why = "id: 1 to 128 characters";
-	else if (!request->prompt.tail_text)
-		why = "tail: missing";
-end:
-	if (json)
-		json_object_put(json);
-	return why;
-}
+enum {
+	MAX_REQUEST_ID = 128, /* bytes */
+	DEFAULT_MAX_ATTEMPTS = 2,
+	BYTES_PER_TOKEN = 4,   /* of text, estimated */
+	STARTUP_RETRY_MS = 200 /* added to the rest of a start-up */
+};
 
 const char router_no_server[] = "no server of this service stands";
 
-static int refuse_if_config_stale(struct router *router, uint64_t token, int64_t now,
-				  struct command_list *out)
+/* ---- what is declined ------------------------------------------------------------------------ */
+
+static bool declined_as_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503,
 					 "this counter's configuration is not certain to be in force", 0 };
+	int64_t age_ms = now - router->clock.started_at_ms;
 
 	if (!router->shutdown.in_progress && router_config_in_force(router, now))
-		return 0;
+		return false;
 	if (router->shutdown.in_progress)
 		ending.reason = "this counter is stopping";
 	router->stats.refused_stale++;
 	if (!router->config.bounds.discover_instances)
 		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
-	else if (now - router->clock.started_at_ms <
-		 ROUTER_STARTUP_MS) /* one that has just begun knows how long
-				 its fleet takes to find its owners */
-		ending.retry_after_ms = router_retry_fast_ms(
-		    router, (int)(ROUTER_STARTUP_MS - (now - router->clock.started_at_ms) + 200));
+	else if (age_ms < ROUTER_STARTUP_MS) /* a router that has just started knows how long its fleet takes
+						to elect its leaders */
+		ending.retry_after_ms =
+		    router_retry_fast_ms(router, (int)(ROUTER_STARTUP_MS - age_ms + STARTUP_RETRY_MS));
 	else
 		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
-	return 1;
+	return true;
 }
 
-static int refuse_if_queue_full(struct router *router, uint64_t token, const struct request_queue *queue,
-				uint32_t route_index, uint32_t service, int64_t now, struct command_list *out)
+static bool declined_as_full(struct router *router, uint64_t token, const struct request_queue *queue,
+			     uint32_t service_index, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
-	int full = queue->length >= router->config.route_table->routes[route_index].queue_limit;
+	bool full = queue->length >= router->config.route_table->routes[queue->route_index].queue_limit;
 
-	if (!full && now - router->servers.last_serving_at_ms[service] <= ROUTER_CONFIG_MAX_STALENESS_MS)
-		return 0;
+	if (!full &&
+	    now - router->servers.last_serving_at_ms[service_index] <= ROUTER_CONFIG_MAX_STALENESS_MS)
+		return false;
 	router->stats.refused_queue_full += full;
 	router->stats.refused_early += !full;
 	if (full) {
@@ -117,7 +62,7 @@
 	    router_retry_after_ms(router, full ? router_expected_wait_ms(queue, queue->length / 2, now)
 					       : ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
-	return 1;
+	return true;
 }
 
 static void reject_new(struct router *router, uint64_t token, int status, const char *reason,
@@ -126,7 +71,7 @@
 	router_decline(router, token, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, out);
 }
 
-/* Into its line, and among all that are under way. */
+/* Into its queue, and into the router's table. */
 static void enqueue(struct router *router, struct client_request *request, int64_t now)
 {
 	request->route.revision = router->config.route_table->revision;
@@ -134,132 +79,291 @@
 	router_request_add(router, request);
 }
 
-void router_admit_claimed(struct router *router, uint64_t token, const char *digest, const char *body,
-			  int64_t now, struct command_list *out)
+/* A request with nothing of its own yet; it owns its pool. */
+static struct client_request *request_new(struct router *router, uint64_t token, const char *key_digest)
 {
-	struct route_table *routes = router->config.route_table;
-	struct key_entry *keys = routes ? routes->keys : NULL;
 	apr_pool_t *pool;
 	struct client_request *request;
-	const char *route_name, *reason;
-	int limit, route_index;
-	ptrdiff_t key_index;
-	uint64_t hash;
-	struct request_queue *queue;
 
-	router->stats.received++;
-	if (refuse_if_config_stale(router, token, now, out))
-		return;
-	key_index = keys ? shgeti(keys, digest) : -1;
-	if (key_index < 0 || !routes->tenants[keys[key_index].value].is_configured) {
-		reject_new(router, token, 401, "key: unknown", out);
-		return;
-	}
 	apr_pool_create(&pool, router->pool);
 	request = apr_pcalloc(pool, sizeof *request);
 	request->pool = pool;
-	reason = parse(router, request, body, &route_name, &limit, pool);
-	route_index = reason ? -1 : names_find(&router->names.routes, route_name);
-	if (reason || route_index < 0 || !routes->routes[route_index].is_configured ||
-	    !routes->services[routes->routes[route_index].service_index].is_configured) {
-		reject_new(router, token, reason ? 400 : 404, reason ? reason : "lane: unknown", out);
-		apr_pool_destroy(pool);
-		return;
+	request->client.token = token;
+	request->client.key_digest = key_digest ? apr_pstrdup(pool, key_digest) : NULL;
+	request->attempt.server_index = -1;
+	request->retry.avoided_server = UINT32_MAX;
+	return request;
+}
+
+/* ---- the product's own interface ------------------------------------------------------------- */
+
+/* A request's body as it is read. Texts live in the request's pool. */
+struct request_body {
+	const char *route_name;
+	int limit_ms;
+};
+
+/* The parse functions return what is wrong, or NULL. */
+static const char *parse_text(struct client_request *request, struct request_body *body, const char *name,
+			      struct json_object *value)
+{
+	const char *text;
+
+	if (!json_object_is_type(value, json_type_string))
+		return apr_psprintf(request->pool, "%s: not a string", name);
+	text = apr_pstrdup(request->pool, json_object_get_string(value));
+	if (!strcmp(name, "lane"))
+		body->route_name = text;
+	else if (!strcmp(name, "id"))
+		request->client.request_id = (char *)text;
+	else
+		request->prompt.tail_text = (char *)text;
+	return NULL;
+}
+
+static const char *parse_limit(struct client_request *request, struct request_body *body,
+			       struct json_object *value)
+{
+	int64_t limit_ms = json_object_get_int64(value);
+
+	if (!json_object_is_type(value, json_type_int) || limit_ms < ROUTER_TIMEOUT_MIN_MS ||
+	    limit_ms > ROUTER_TIMEOUT_MAX_MS)
+		return apr_psprintf(request->pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS,
+				    ROUTER_TIMEOUT_MAX_MS);
+	body->limit_ms = (int)limit_ms;
+	return NULL;
+}
+
+static const char *parse_blocks(struct client_request *request, struct json_object *value)
+{
+	struct request_prompt *prompt = &request->prompt;
+	const char *reason = NULL;
+
+	if (!json_object_is_type(value, json_type_array) ||
+	    json_object_array_length(value) > ROUTER_MAX_BLOCKS)
+		return apr_psprintf(request->pool, "parts: a list of at most %d strings", ROUTER_MAX_BLOCKS);
+	for (size_t i = 0; i < json_object_array_length(value); i++) {
+		struct json_object *text = json_object_array_get_idx(value, i);
+
+		if (!json_object_is_type(text, json_type_string))
+			reason = "parts: a list of strings";
+		else
+			prompt->block_text[prompt->block_count++] =
+			    apr_pstrdup(request->pool, json_object_get_string(text));
 	}
-	request->route.index = (uint32_t)route_index;
-	request->route.tenant_index = keys[key_index].value;
-	request->route.service_index = routes->routes[route_index].service_index;
-	queue = router_queue_of(router, request->route.index, request->route.tenant_index);
-	if (refuse_if_queue_full(router, token, queue, request->route.index, request->route.service_index,
-				 now, out)) {
-		apr_pool_destroy(pool);
-		return;
+	return reason;
+}
+
+static const char *parse_member(struct client_request *request, struct request_body *body, const char *name,
+				struct json_object *value)
+{
+	if (!strcmp(name, "lane") || !strcmp(name, "id") || !strcmp(name, "tail"))
+		return parse_text(request, body, name, value);
+	if (!strcmp(name, "limit_ms"))
+		return parse_limit(request, body, value);
+	if (!strcmp(name, "parts"))
+		return parse_blocks(request, value);
+	return apr_psprintf(request->pool, "%s: no such field", name);
+}
+
+/* What is wrong with a body whose members are each right; NULL: nothing. */
+static const char *check_body(const struct client_request *request, const struct request_body *body)
+{
+	const char *id = request->client.request_id;
+
+	if (!body->route_name)
+		return "lane: missing";
+	if (!id || !id[0] || strlen(id) > MAX_REQUEST_ID || strpbrk(id, "\x1f\n"))
+		return "id: 1 to 128 characters";
+	return request->prompt.tail_text ? NULL : "tail: missing";
+}
+
+/* Reads a body into a request; returns what is wrong with it, of several members the last, or NULL. */
+static const char *parse_body(struct router *router, struct client_request *request, const char *text,
+			      struct request_body *body)
+{
+	struct json_object *json = router_read_json(router, text);
+	const char *reason = NULL;
+
+	*body = (struct request_body){ .limit_ms = ROUTER_TIMEOUT_DEFAULT_MS };
+	if (json_object_is_type(json, json_type_object)) {
+		json_object_object_foreach(json, name, value)
+		{
+			const char *wrong = parse_member(request, body, name, value);
+
+			if (wrong)
+				reason = wrong;
+		}
+		if (!reason)
+			reason = check_body(request, body);
+	} else {
+		reason = "body: not a JSON object";
 	}
-	request->client.token = token;
-	request->client.key_digest = apr_pstrdup(pool, digest);
+	if (json)
+		json_object_put(json);
+	return reason;
+}
+
+static uint32_t estimated_tokens(const char *text)
+{
+	return (uint32_t)(strlen(text) + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
+}
+
+/* Each block's hash covers the blocks before it, and the service. */
+static void hash_prompt(struct request_prompt *prompt, const char *service)
+{
+	uint64_t hash = core_hash_string(0, service);
+
+	for (int i = 0; i < prompt->block_count; i++) {
+		hash = core_hash_string(hash, prompt->block_text[i]);
+		prompt->block_hash[i] = hash;
+		prompt->block_tokens[i] = estimated_tokens(prompt->block_text[i]);
+	}
+	prompt->tail_tokens = estimated_tokens(prompt->tail_text);
+}
+
+/* The tenant whose key this is; -1: none. */
+static int tenant_of_key(const struct route_table *routes, const char *key_digest)
+{
+	struct key_entry *keys = routes ? routes->keys : NULL;
+	ptrdiff_t key_index = keys ? shgeti(keys, key_digest) : -1;
+
+	if (key_index < 0 || !routes->tenants[keys[key_index].value].is_configured)
+		return -1;
+	return (int)keys[key_index].value;
+}
+
+/* The route of this name, if it and its service are configured; -1: none. */
+static int route_of_name(const struct router *router, const char *name)
+{
+	const struct route_table *routes = router->config.route_table;
+	int route_index = names_find(&router->names.routes, name);
+
+	if (route_index < 0 || !routes->routes[route_index].is_configured)
+		return -1;
+	return routes->services[routes->routes[route_index].service_index].is_configured ? route_index : -1;
+}
+
+/* Reads and places a new request. false: it is declined. */
+static bool admit(struct router *router, struct client_request *request, const char *text, int64_t now,
+		  struct command_list *out)
+{
+	struct request_body body;
+	const char *reason = parse_body(router, request, text, &body);
+	int route_index = reason ? -1 : route_of_name(router, body.route_name);
+
+	if (route_index < 0) {
+		reject_new(router, request->client.token, reason ? 400 : 404,
+			   reason ? reason : "lane: unknown", out);
+		return false;
+	}
+	request->route.index = (uint32_t)route_index;
+	request->route.service_index = router->config.route_table->routes[route_index].service_index;
+	if (declined_as_full(router, request->client.token,
+			     router_queue_of(router, request->route.index, request->route.tenant_index),
+			     request->route.service_index, now, out))
+		return false;
 	request->sequence = ++router->requests.last_sequence;
-	request->client.deadline_at_ms = now + limit;
+	request->client.deadline_at_ms = now + body.limit_ms;
 	request->client.received_at_ms = now;
-	request->attempt.server_index = -1;
-	request->retry.avoided_server = UINT32_MAX;
-	hash = core_hash_string(0, router->names.services.names[request->route.service_index]);
-	for (int i = 0; i < request->prompt.block_count; i++) {
-		hash = core_hash_string(hash, request->prompt.block_text[i]);
-		request->prompt.block_hash[i] = hash;
-		request->prompt.block_tokens[i] = (uint32_t)(strlen(request->prompt.block_text[i]) + 3) / 4;
+	hash_prompt(&request->prompt, router->names.services.names[request->route.service_index]);
+	return true;
+}
+
+void router_admit_claimed(struct router *router, uint64_t token, const char *key_digest, const char *body,
+			  int64_t now, struct command_list *out)
+{
+	struct client_request *request;
+	int tenant_index;
+
+	router->stats.received++;
+	if (declined_as_stale(router, token, now, out))
+		return;
+	tenant_index = tenant_of_key(router->config.route_table, key_digest);
+	if (tenant_index < 0) {
+		reject_new(router, token, 401, "key: unknown", out);
+		return;
 	}
-	request->prompt.tail_tokens = (uint32_t)(strlen(request->prompt.tail_text) + 3) / 4;
-	enqueue(router, request, now);
+	request = request_new(router, token, key_digest);
+	request->route.tenant_index = (uint32_t)tenant_index;
+	if (admit(router, request, body, now, out))
+		enqueue(router, request, now);
+	else
+		apr_pool_destroy(request->pool);
 }
 
-/* Which lane an exchange is on: the longest path prefix of its host. -1: none. */
+/* ---- forwarded requests ---------------------------------------------------------------------- */
+
+/* The route of a host and path: the one with the longest path prefix. -1: none. */
 static int route_at(const struct route_table *routes, const char *host, const char *path)
 {
-	struct route_match *bk_place = routes->matches;
+	struct route_match *matches = routes->matches;
 	size_t n = strcspn(path, "?#");
 
-	for (; bk_place && n; n--) {
+	for (; matches && n; n--) {
 		ptrdiff_t i;
 		const struct route_config *route;
 
 		if (path[n - 1] != '/')
 			continue;
-		i = hmgeti(bk_place, router_match_key(host, path, n));
+		i = hmgeti(matches, router_match_key(host, path, n));
 		if (i < 0)
 			continue;
-		route = &routes->routes[bk_place[i].value];
+		route = &routes->routes[matches[i].value];
 		if (route->is_configured && !strcmp(route->host, host) && strlen(route->path) == n &&
 		    !strncmp(route->path, path, n))
-			return (int)bk_place[i].value;
+			return (int)matches[i].value;
 	}
 	return -1;
 }
 
-/* By the split's weights; the same id always goes the same way. */
+/* By the split's weights; the same id always goes to the same service. */
 static uint32_t service_at(const struct route_config *route, const char *id)
 {
-	uint32_t position, k = 0;
+	uint32_t position, i = 0;
 
 	if (!route->split_count)
 		return route->service_index;
 	position =
 	    (uint32_t)(core_hash_string(31, id) % route->splits[route->split_count - 1].cumulative_weight);
-	while (route->splits[k].cumulative_weight <= position)
-		k++;
-	return route->splits[k].service_index;
+	while (route->splits[i].cumulative_weight <= position)
+		i++;
+	return route->splits[i].service_index;
 }
 
-/* Whether a lane still leads to a service, whatever part of its requests. */
-static int leads_to(const struct route_config *route, uint32_t service)
+/* Whether a route still leads to a service, with any weight. */
+static bool leads_to(const struct route_config *route, uint32_t service_index)
 {
 	if (!route->split_count)
-		return route->service_index == service;
-	for (uint32_t k = 0; k < route->split_count; k++)
-		if (route->splits[k].service_index == service)
-			return 1;
-	return 0;
+		return route->service_index == service_index;
+	for (uint32_t i = 0; i < route->split_count; i++)
+		if (route->splits[i].service_index == service_index)
+			return true;
+	return false;
 }
 
-/* Where a request goes by a table, or the status that says why nowhere. */
+/* Where a request goes by a route table, or the status that says why nowhere. */
 struct admission {
-	int status;
+	int status; /* 0: it is admitted */
 	const char *reason;
-	uint32_t route_index, tenant_index, service_index;
+	uint32_t route_index;
+	uint32_t tenant_index;
+	uint32_t service_index;
 };
 
-/* Whose a request is; 0: it may not be anybody's. */
-static int tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest,
-		     uint32_t *tenant)
+/* Whose a request is. false: it needs a key, and has none that is known. */
+static bool tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest,
+		      uint32_t *tenant_index)
 {
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index = digest && routes->has_keys ? shgeti(keys, digest) : -1;
 
-	*tenant = routes->anonymous_tenant;
+	*tenant_index = routes->anonymous_tenant;
 	if (key_index >= 0 && routes->tenants[keys[key_index].value].is_configured)
-		*tenant = keys[key_index].value;
+		*tenant_index = keys[key_index].value;
 	else if (routes->has_keys && !route->key_optional)
-		return 0;
-	return 1;
+		return false;
+	return true;
 }
 
 static struct admission admission_of(const struct route_table *routes, const char *host, const char *path,
@@ -279,49 +383,49 @@
 	return admission;
 }
 
-/* Another service serves it from now on; what was set aside for another send there is set aside here. 0: that
- * ended it. */
-static int change_service(struct router *router, struct client_request *request, uint32_t service,
-			  int64_t now, struct command_list *out)
+/* Another service serves the request from now on; a retry that was reserved with the old one is reserved with
+ * the new one. false: that ended the request. */
+static bool change_service(struct router *router, struct client_request *request, uint32_t service_index,
+			   int64_t now, struct command_list *out)
 {
-	int paid = request->retry.budget_reserved;
+	bool reserved = request->retry.budget_reserved;
 
-	if (paid)
+	if (reserved)
 		router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
-	request->retry.budget_reserved = 0;
-	request->route.service_index = service;
+	request->retry.budget_reserved = false;
+	request->route.service_index = service_index;
 	if (request->stream.has_begun) { /* the other service knows nothing of this stream */
 		router_break_off(router, request, 502, "the service of this stream is gone", now, out);
-		return 0;
+		return false;
 	}
-	if (paid && router->quota.retry_budget[service] < ROUTER_RETRY_COST_MILLI) {
+	if (reserved && router->quota.retry_budget[service_index] < ROUTER_RETRY_COST_MILLI) {
 		router_refuse(router, request, 503,
 			      "its service changed, and the budget for resends is spent",
 			      ROUTER_RETRY_FAST_MS, now, out);
-		return 0;
+		return false;
 	}
-	if (paid)
-		router->quota.retry_budget[service] -= ROUTER_RETRY_COST_MILLI;
-	request->retry.budget_reserved = paid;
-	return 1;
+	if (reserved)
+		router->quota.retry_budget[service_index] -= ROUTER_RETRY_COST_MILLI;
+	request->retry.budget_reserved = reserved;
+	return true;
 }
 
-int router_readmit(struct router *router, struct client_request *request, int64_t now,
-		   struct command_list *out)
+bool router_readmit(struct router *router, struct client_request *request, int64_t now,
+		    struct command_list *out)
 {
 	const struct route_table *routes = router->config.route_table;
 	const struct route_config *route;
 	struct admission admission;
 
 	if (request->route.revision == routes->revision)
-		return 1;
+		return true;
 	request->route.revision = routes->revision;
 	admission = admission_of(routes, request->client.host, request->client.path,
 				 request->client.key_digest, request->client.request_id);
 	if (admission.status) {
 		router->stats.revoked += admission.status == 401;
 		router_end_early(router, request, admission.status, admission.reason, now, out);
-		return 0;
+		return false;
 	}
 	if (admission.route_index != request->route.index ||
 	    admission.tenant_index != request->route.tenant_index)
@@ -332,78 +436,73 @@
 	if (request->retry.may_have_run && !request->route.idempotent && !request->route.resumable) {
 		router_break_off(router, request, 502,
 				 "the server's answer broke off, and it may not be sent again", now, out);
-		return 0;
+		return false;
 	}
 	if (routes->services[request->route.service_index].is_configured &&
 	    (request->stream.has_begun || leads_to(route, request->route.service_index)))
-		return 1;
+		return true;
 	return change_service(router, request, admission.service_index, now, out);
 }
 
-/* Text of the caller's own memory, for as long as the request lives. */
-static struct client_request *request_new(struct router *router, const struct forwarded_request *query)
+/* Copies of the front end's texts and of the prompt's blocks. */
+static struct client_request *forwarded_new(struct router *router, const struct forwarded_request *incoming)
 {
-	apr_pool_t *pool;
-	struct client_request *x;
-	uint32_t shared;
+	struct client_request *request = request_new(router, incoming->token, incoming->key_digest);
+	struct request_prompt *prompt = &request->prompt;
+	uint32_t in_blocks;
 
-	apr_pool_create(&pool, router->pool);
-	x = apr_pcalloc(pool, sizeof *x);
-	x->pool = pool;
-	x->client.token = query->token;
-	x->client.key_digest = query->key_digest ? apr_pstrdup(pool, query->key_digest) : NULL;
-	x->client.host = apr_pstrdup(pool, query->host);
-	x->client.path = apr_pstrdup(pool, query->path);
-	x->client.request_id = apr_pstrdup(pool, query->id);
-	x->sequence = ++router->requests.last_sequence;
-	x->attempt.server_index = -1;
-	x->retry.avoided_server = UINT32_MAX;
-	x->is_forwarded = x->claim.confirmed = 1; /* whoever calls vouches that the id is used once */
-	x->prompt.block_count =
-	    query->block_count < ROUTER_MAX_BLOCKS ? query->block_count : ROUTER_MAX_BLOCKS;
-	for (int i = 0; i < x->prompt.block_count; i++) {
-		x->prompt.block_hash[i] = query->blocks[i].hash;
-		x->prompt.block_tokens[i] = query->blocks[i].tokens;
+	request->is_forwarded = true;
+	request->claim.confirmed = true; /* who sends it vouches that the id is used once */
+	request->sequence = ++router->requests.last_sequence;
+	request->client.host = apr_pstrdup(request->pool, incoming->host);
+	request->client.path = apr_pstrdup(request->pool, incoming->path);
+	request->client.request_id = apr_pstrdup(request->pool, incoming->id);
+	prompt->block_count =
+	    incoming->block_count < ROUTER_MAX_BLOCKS ? incoming->block_count : ROUTER_MAX_BLOCKS;
+	for (int i = 0; i < prompt->block_count; i++) {
+		prompt->block_hash[i] = incoming->blocks[i].hash;
+		prompt->block_tokens[i] = incoming->blocks[i].tokens;
 	}
-	shared = (uint32_t)router_tokens_of_blocks(x, x->prompt.block_count);
-	x->prompt.tail_tokens = query->input_tokens > shared ? query->input_tokens - shared : 0;
-	x->prompt.output_tokens = query->output_tokens;
-	x->prompt.total_tokens = shared + x->prompt.tail_tokens + x->prompt.output_tokens;
-	return x;
+	in_blocks = (uint32_t)router_tokens_of_blocks(request, prompt->block_count);
+	prompt->tail_tokens = incoming->input_tokens > in_blocks ? incoming->input_tokens - in_blocks : 0;
+	prompt->output_tokens = incoming->output_tokens;
+	prompt->total_tokens = in_blocks + prompt->tail_tokens + prompt->output_tokens;
+	return request;
 }
 
-void router_admit_forwarded(struct router *router, const struct forwarded_request *query, int64_t now,
+void router_admit_forwarded(struct router *router, const struct forwarded_request *incoming, int64_t now,
 			    struct command_list *out)
 {
 	const struct route_table *routes = router->config.route_table;
 	const struct route_config *route;
 	struct client_request *request;
 	struct admission admission;
+	int limit_ms = incoming->limit_ms;
 
 	router->stats.received++;
-	if (refuse_if_config_stale(router, query->token, now, out))
+	if (declined_as_stale(router, incoming->token, now, out))
 		return;
-	admission = admission_of(routes, query->host, query->path, query->key_digest, query->id);
+	admission = admission_of(routes, incoming->host, incoming->path, incoming->key_digest, incoming->id);
 	if (admission.status) {
-		reject_new(router, query->token, admission.status, admission.reason, out);
+		reject_new(router, incoming->token, admission.status, admission.reason, out);
 		return;
 	}
-	if (refuse_if_queue_full(router, query->token,
-				 router_queue_of(router, admission.route_index, admission.tenant_index),
-				 admission.route_index, admission.service_index, now, out))
+	if (declined_as_full(router, incoming->token,
+			     router_queue_of(router, admission.route_index, admission.tenant_index),
+			     admission.service_index, now, out))
 		return;
 	route = &routes->routes[admission.route_index];
-	request = request_new(router, query);
+	if (route->timeout_ms && (int)route->timeout_ms < limit_ms)
+		limit_ms = (int)route->timeout_ms;
+	request = forwarded_new(router, incoming);
+	request->client.deadline_at_ms = now + limit_ms;
+	request->client.received_at_ms = now;
 	request->route.index = admission.route_index;
 	request->route.tenant_index = admission.tenant_index;
 	request->route.service_index = admission.service_index;
-	request->client.deadline_at_ms =
-	    now + (route->timeout_ms && (int)route->timeout_ms < query->limit_ms ? (int)route->timeout_ms
-										 : query->limit_ms);
-	request->client.received_at_ms = now;
 	request->route.idempotent = route->idempotent;
 	request->route.resumable = route->resumable;
-	request->retry.max_attempts = route->max_attempts ? (int)route->max_attempts : 2;
+	request->retry.max_attempts = route->max_attempts ? (int)route->max_attempts : DEFAULT_MAX_ATTEMPTS;
 	enqueue(router, request, now);
 	router_lookup_send(router, request, now, out);
 }
--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -1,7 +1,7 @@
-/* router_kept_feed: what the head of a zone tells its downstream routers of the prompt parts that servers
- * keep. The head alone watches servers; each of their events would be sent on once for each router of the
- * zone, so the head's own link is the bound. Events wait here, the newest of each part in place of older
- * ones, and leave as fast as a share of the link carries them: what callers and the configuration send shares
+/* router_cache_feed: what the head of a zone sends its downstream routers of the prompt blocks that servers
+ * cache. The head alone watches servers; each of their events would be sent on once for each router of the
+ * zone, so the head's own link is the bound. Events wait here, the newest of each block in place of older
+ * ones, and leave as fast as a share of the link carries them: what clients and the configuration send shares
  * that link and must not wait behind them. */
 #include "router_internal.h"
 
@@ -16,19 +16,18 @@
 	FEED_INDEX_ROWS = 2048   /* rows of the index in one message to a router that is new */
 };
 
-/* Bytes that the feed may send in a ms; 0: the link has no bound that we know. */
+/* Bytes that the feed may send in a ms; 0: the link has no known bound. */
 static int64_t feed_bytes_per_ms(const struct router *router)
 {
 	return (int64_t)router->config.bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
 }
 
-/* A message of this size has been given to so many routers: no more before the link's share has carried it.
- */
-static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *message, ptrdiff_t routers,
+/* A message has been sent to so many routers: no more before the link's share has carried it. */
+static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *batch, ptrdiff_t routers,
 		       int64_t now)
 {
 	int64_t rate = feed_bytes_per_ms(router),
-		bytes = (int64_t)nl__cache_update_batch__get_packed_size(message) * routers;
+		bytes = (int64_t)nl__cache_update_batch__get_packed_size(batch) * routers;
 
 	if (router->feed.link_free_at_ms < now)
 		router->feed.link_free_at_ms = now;
@@ -36,12 +35,12 @@
 		router->feed.link_free_at_ms += bytes / rate;
 }
 
-/* ---- what waits ---------------------------------------------------------------------------------------- */
+/* ---- events that wait ------------------------------------------------------------------------ */
 
-static void pending_update_clear(struct pending_cache_update *update)
+static void pending_update_clear(struct pending_cache_update *pending)
 {
-	hmfree(update->events);
-	memset(update, 0, sizeof *update);
+	hmfree(pending->events);
+	memset(pending, 0, sizeof *pending);
 }
 
 void router_feed_clear(struct router *router)
@@ -51,51 +50,50 @@
 	arrfree(router->feed.queue);
 }
 
-void router_feed_add(struct router *router, uint32_t server, const struct Nl__CacheUpdate *update)
+static void add_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
 {
-	struct pending_cache_update *pending = &router->servers.states[server].pending_update;
-	int is_reset = update->events_lost || (router->servers.states[server].cache_epoch &&
-					       router->servers.states[server].cache_epoch != update->epoch);
+	uint64_t key = router_block_key(core_hash_string(0, event->cache_namespace), event->block_hash);
+	typeof(pending->events->value) value = { router_namespace_key_from_text(event->cache_namespace),
+						 event->evicted };
 
-	/* of a store each word goes on, for it says that the store is up */
-	if (!arrlen(router->relay.downstreams) ||
-	    (!update->n_events && !is_reset && !router->config.server_table->servers[server].is_store))
+	hmput(pending->events, key, value);
+}
+
+void router_feed_add(struct router *router, uint32_t server_index, const struct Nl__CacheUpdate *update)
+{
+	struct router_server_state *server = &router->servers.states[server_index];
+	struct pending_cache_update *pending = &server->pending_update;
+	bool is_reset = update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch);
+	bool is_store = server_config_of(router, server_index)->is_store;
+
+	/* of a store each update goes on, for it shows that the store is up */
+	if (!arrlen(router->relay.downstreams) || (!update->n_events && !is_reset && !is_store))
 		return;
 	if (is_reset) {
 		hmfree(pending->events);
-		pending->is_reset = 1;
+		pending->is_reset = true;
 	}
 	pending->epoch = update->epoch;
 	pending->next_event = update->next_offset;
-	for (size_t i = 0; i < update->n_events; i++) {
-		const struct Nl__CacheEvent *cache_event = update->events[i];
-		typeof(pending->events->value) event = {
-			router_namespace_key_from_text(cache_event->cache_namespace), cache_event->evicted
-		};
-
-		hmput(pending->events,
-		      router_block_key(core_hash_string(0, cache_event->cache_namespace),
-				       cache_event->block_hash),
-		      event);
-	}
+	for (size_t i = 0; i < update->n_events; i++)
+		add_event(pending, update->events[i]);
 	if (!pending->is_queued)
-		arrput(router->feed.queue, server);
-	pending->is_queued = 1;
+		arrput(router->feed.queue, server_index);
+	pending->is_queued = true;
 }
 
-/* ---- to all downstream routers ---------------------------------------------------------------------------
- */
+/* ---- to all downstream routers --------------------------------------------------------------- */
 
-/* The waiting events of one server as they are sent: keys alone, which is all that the index asks for. */
-static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server,
+/* The waiting events of one server as they are sent: keys alone, which is all that the index needs. */
+static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server_index,
 						      struct command_list *out)
 {
-	const struct pending_cache_update *pending = &router->servers.states[server].pending_update;
+	const struct pending_cache_update *pending = &router->servers.states[server_index].pending_update;
 	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
 	size_t n = (size_t)hmlen(pending->events);
-	int has_namespace_keys = 0;
+	bool has_namespace_keys = false;
 
-	update->server = apr_pstrdup(out->pool, router->names.servers.names[server]);
+	update->server = apr_pstrdup(out->pool, router->names.servers.names[server_index]);
 	update->epoch = pending->epoch;
 	update->next_offset = pending->next_event;
 	update->events_lost = pending->is_reset;
@@ -115,101 +113,125 @@
 	return update;
 }
 
-/* The servers that have waited longest, as many as one message may take. */
+/* Of the servers that have waited longest, as many as one message may take. */
 static void publish_updates(struct router *router, int64_t now, struct command_list *out)
 {
-	ptrdiff_t routers = arrlen(router->relay.downstreams);
+	ptrdiff_t routers = arrlen(router->relay.downstreams), sent = 0;
 	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
-	struct Nl__CacheUpdateBatch *all =
+	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
-	ptrdiff_t sent = 0;
 
-	all->updates =
+	batch->updates =
 	    apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
 	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
-		uint32_t server = router->feed.queue[sent];
-		struct Nl__CacheUpdate *update;
+		uint32_t server_index = router->feed.queue[sent];
+
+		if (server_config_of(router, server_index)->is_configured) {
+			struct Nl__CacheUpdate *update = pending_update_message(router, server_index, out);
 
-		if (router->config.server_table->servers[server].is_configured) {
-			update = pending_update_message(router, server, out);
 			bytes += (int64_t)nl__cache_update__get_packed_size(update);
-			all->updates[all->n_updates++] = update;
+			batch->updates[batch->n_updates++] = update;
 		}
-		pending_update_clear(&router->servers.states[server].pending_update);
+		pending_update_clear(&router->servers.states[server_index].pending_update);
 	}
 	arrdeln(router->feed.queue, 0, sent);
-	if (!all->n_updates)
+	if (!batch->n_updates)
 		return;
 	for (ptrdiff_t i = 0; i < routers; i++)
 		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)
-		    ->cache_update_batch = all;
-	feed_spent(router, all, routers, now);
+		    ->cache_update_batch = batch;
+	feed_spent(router, batch, routers, now);
 }
 
-/* ---- to one that is new
- * ------------------------------------------------------------------------------------ */
+/* ---- to a router that is new ----------------------------------------------------------------- */
 
-/* Rows [from, to) of the index as messages, one a server. */
+/* A stretch of the index on its way into one message. */
+struct index_excerpt {
+	struct Nl__CacheUpdateBatch *batch;
+	struct Nl__CacheUpdate **by_server; /* NULL: none yet */
+};
+
+/* The update of a server in the message; made where it is new. */
+static struct Nl__CacheUpdate *update_of(const struct router *router, struct index_excerpt *excerpt,
+					 uint32_t server_index, struct command_list *out)
+{
+	struct Nl__CacheUpdate *update = excerpt->by_server[server_index];
+
+	if (update)
+		return update;
+	update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
+	update->server = apr_pstrdup(out->pool, router->names.servers.names[server_index]);
+	update->epoch = router->servers.states[server_index].cache_epoch;
+	update->next_offset = router->servers.states[server_index].next_cache_event;
+	excerpt->by_server[server_index] = update;
+	excerpt->batch->updates[excerpt->batch->n_updates++] = update;
+	return update;
+}
+
+/* Counts the replicas of one row into the updates of their servers, or puts them there. */
+static void add_index_row(const struct router *router, struct index_excerpt *excerpt,
+			  const struct prefix_index_row *row, bool fill, struct command_list *out)
+{
+	for (ptrdiff_t i = 0; i < arrlen(row->value); i++) {
+		uint32_t s = row->value[i].server_index;
+		struct Nl__CacheUpdate *update;
+
+		if (s >= router->config.server_table->server_count ||
+		    !server_config_of(router, s)->is_configured || !router->servers.states[s].cache_epoch)
+			continue;
+		update = update_of(router, excerpt, s, out);
+		if (fill)
+			update->present[update->n_present] = row->key;
+		update->n_present++;
+	}
+}
+
+/* Rows [begin, end) of the index as messages, one for each server. */
 static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
 						  struct command_list *out)
 {
-	const struct server_table *table = router->config.server_table;
-	struct Nl__CacheUpdateBatch *all =
+	uint32_t servers = router->config.server_table->server_count;
+	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
-	struct Nl__CacheUpdate **update = apr_pcalloc(out->pool, (table->server_count + 1) * sizeof *update);
-
-	all->updates = apr_palloc(out->pool, (table->server_count + 1) * sizeof *all->updates);
-	for (int fill = 0; fill < 2; fill++) { /* counted first, then put in */
-		for (ptrdiff_t i = begin; i < end; i++)
-			for (ptrdiff_t k = 0; k < arrlen(router->cache.index.blocks[i].value); k++) {
-				uint32_t s = router->cache.index.blocks[i].value[k].server_index;
-
-				if (s >= table->server_count || !table->servers[s].is_configured ||
-				    !router->servers.states[s].cache_epoch)
-					continue;
-				if (!update[s]) {
-					update[s] = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
-					update[s]->server =
-					    apr_pstrdup(out->pool, router->names.servers.names[s]);
-					update[s]->epoch = router->servers.states[s].cache_epoch;
-					update[s]->next_offset = router->servers.states[s].next_cache_event;
-					all->updates[all->n_updates++] = update[s];
-				}
-				if (fill)
-					update[s]->present[update[s]->n_present] =
-					    router->cache.index.blocks[i].key;
-				update[s]->n_present++;
-			}
-		for (size_t i = 0; !fill && i < all->n_updates; i++) {
-			all->updates[i]->present = apr_palloc(
-			    out->pool, all->updates[i]->n_present * sizeof *all->updates[i]->present);
-			all->updates[i]->n_present = 0;
-		}
+	struct index_excerpt excerpt = { batch,
+					 apr_pcalloc(out->pool, (servers + 1) * sizeof *excerpt.by_server) };
+
+	batch->updates = apr_palloc(out->pool, (servers + 1) * sizeof *batch->updates);
+	for (ptrdiff_t i = begin; i < end; i++)
+		add_index_row(router, &excerpt, &router->cache.index.blocks[i], false, out);
+	for (size_t i = 0; i < batch->n_updates; i++) {
+		struct Nl__CacheUpdate *update = batch->updates[i];
+
+		update->present = apr_palloc(out->pool, update->n_present * sizeof *update->present);
+		update->n_present = 0;
 	}
-	return all;
+	for (ptrdiff_t i = begin; i < end; i++)
+		add_index_row(router, &excerpt, &router->cache.index.blocks[i], true, out);
+	return batch;
 }
 
-/* A router that is new in the zone, or back, hears only what changes from then on; so it is told once all
- * that is known to be kept, or it would have prompts read again that lie ready. It adds this to what it knows
- * itself. The index is gone through from its end: what a deletion moves meanwhile is told twice rather than
- * never. */
-static void publish_index(struct router *router, struct relay_downstream *down, int64_t now,
+/* A router that is new in the zone, or back, hears only what changes from then on; so it is sent once all
+ * that is known to be cached, or prompts would be prefilled again that are cached. It adds this to what it
+ * knows itself. The index is gone through from its end: what a deletion moves meanwhile is sent twice rather
+ * than never. */
+static void publish_index(struct router *router, struct relay_downstream *downstream, int64_t now,
 			  struct command_list *out)
 {
 	ptrdiff_t rows = hmlen(router->cache.index.blocks), from;
-	struct Nl__CacheUpdateBatch *all;
-
-	if (!down->cache_feed_started || down->cache_feed_remaining > rows)
-		down->cache_feed_remaining = rows;
-	down->cache_feed_started = 1;
-	from =
-	    down->cache_feed_remaining > FEED_INDEX_ROWS ? down->cache_feed_remaining - FEED_INDEX_ROWS : 0;
-	all = index_message(router, from, down->cache_feed_remaining, out);
-	down->cache_feed_remaining = from;
-	if (!all->n_updates)
+	struct Nl__CacheUpdateBatch *batch;
+
+	if (!downstream->cache_feed_started || downstream->cache_feed_remaining > rows)
+		downstream->cache_feed_remaining = rows;
+	downstream->cache_feed_started = 1;
+	from = downstream->cache_feed_remaining > FEED_INDEX_ROWS
+		   ? downstream->cache_feed_remaining - FEED_INDEX_ROWS
+		   : 0;
+	batch = index_message(router, from, downstream->cache_feed_remaining, out);
+	downstream->cache_feed_remaining = from;
+	if (!batch->n_updates)
 		return;
-	command_send(out, down->addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = all;
-	feed_spent(router, all, 1, now);
+	command_send(out, downstream->addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = batch;
+	feed_spent(router, batch, 1, now);
 }
 
 static struct relay_downstream *next_without_index(struct router *router)
@@ -221,14 +243,18 @@
 	return NULL;
 }
 
+/* Whether this router is the head of a zone with others in it. */
+static bool feeds_zone(const struct router *router)
+{
+	return router->config.server_table && !router->config.watch.upstream_count &&
+	       arrlen(router->relay.downstreams) && mechanism_in_use(router, MECHANISM_CACHE_FEED);
+}
+
 void router_feed_tick(struct router *router, int64_t now, struct command_list *out)
 {
-	struct relay_downstream *down;
+	struct relay_downstream *downstream;
 
-	if (!router->config.server_table || router->config.watch.upstream_count ||
-	    !arrlen(router->relay.downstreams) ||
-	    !mechanism_on(router->config.bounds.disabled_mechanisms,
-			  MECHANISM_CACHE_FEED)) { /* another is the head, or there is nobody to tell */
+	if (!feeds_zone(router)) {
 		if (arrlen(router->feed.queue))
 			router_feed_clear(router);
 		return;
@@ -240,7 +266,9 @@
 		router_scaled_interval_ms(router, ROUTER_CACHE_FEED_INTERVAL_MS)) {
 		router->feed.sent_at_ms = now;
 		publish_updates(router, now, out);
-	} else if ((down = next_without_index(router))) {
-		publish_index(router, down, now, out);
+		return;
 	}
+	downstream = next_without_index(router);
+	if (downstream)
+		publish_index(router, downstream, now, out);
 }
--- /dev/null
+++ b/lib/data/router_claims.c
@@ -0,0 +1,198 @@
+/* router_claims: claims of the product's own interface. Before a request of it is sent to a server, its
+ * tenant and id are claimed with the shard of its service, so that no other router runs the same id. A claim
+ * of what surely never ran is released. Claims and releases are proposed again until a leader answers: each
+ * shard records a claim once, however often it is proposed. */
+#include "router_internal.h"
+
+#include <apr_strings.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "containers.h"
+
+enum {
+	REDIRECTED_CLAIM_DELAY_MS = 20, /* until a claim is proposed to the leader that was hinted at */
+	REDIRECTED_RELEASE_DELAY_MS = 50,
+	UNKNOWN_OUTCOME_DELAY_MS = 50 /* until the same claim is proposed again */
+};
+
+/* What a claim says, or its release. */
+struct claim_proposal {
+	uint32_t service_index;
+	uint32_t tenant_index;
+	const char *id;
+	uint64_t sequence;
+	uint64_t token;
+	bool release;
+};
+
+static uint32_t shard_of(const struct router *router, uint32_t service_index)
+{
+	return core_shard_of(router->names.services.names[service_index], SHARD_SERVICES);
+}
+
+/* Proposes to the shard's leader, as far as it is known; returns its address. */
+static uint64_t propose(struct router *router, const struct claim_proposal *proposal,
+			struct command_list *out)
+{
+	uint32_t shard = shard_of(router, proposal->service_index);
+	uint64_t leader_addr = config_watch_leader_addr(&router->config.watch, shard);
+	struct Nl__Propose *message = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+	struct Nl__Claim *claim = MESSAGE_NEW(out, Nl__Claim, NL__CLAIM__INIT);
+
+	claim->tenant = apr_pstrdup(out->pool, router->names.tenants.names[proposal->tenant_index]);
+	claim->id = apr_pstrdup(out->pool, proposal->id);
+	claim->router_id = router->id;
+	claim->seq = proposal->sequence;
+	claim->release = proposal->release;
+	message->operation = MESSAGE_NEW(out, Nl__Operation, NL__OPERATION__INIT);
+	message->operation->body_case = NL__OPERATION__BODY_CLAIM;
+	message->operation->claim = claim;
+	message->token = proposal->token;
+	router->stats.claims++;
+	command_send(out, leader_addr, shard, NL__MSG__BODY_PROPOSE)->propose = message;
+	return leader_addr;
+}
+
+void router_claim_miss(struct router *router, uint32_t service_index, uint64_t leader_addr)
+{
+	if (config_watch_leader_addr(&router->config.watch, shard_of(router, service_index)) == leader_addr)
+		config_watch_miss(&router->config.watch, shard_of(router, service_index));
+}
+
+void router_claim_send(struct router *router, struct client_request *request, int64_t now,
+		       struct command_list *out)
+{
+	struct claim_proposal proposal = {
+		.service_index = request->route.service_index,
+		.tenant_index = request->route.tenant_index,
+		.id = request->client.request_id,
+		.sequence = request->sequence,
+		.token = request->claim.token,
+	};
+
+	request->claim.sent_at_ms = now;
+	request->claim.leader_addr = propose(router, &proposal, out);
+}
+
+/* ---- releases -------------------------------------------------------------------------------- */
+
+static void propose_release(struct router *router, struct claim_release *release, int64_t now,
+			    struct command_list *out)
+{
+	struct claim_proposal proposal = {
+		.service_index = release->service_index,
+		.tenant_index = release->tenant_index,
+		.id = release->id,
+		.sequence = release->sequence,
+		.token = release->token,
+		.release = true,
+	};
+
+	release->sent_at_ms = now;
+	release->leader_addr = propose(router, &proposal, out);
+}
+
+void router_claim_release(struct router *router, const struct client_request *request, int64_t now,
+			  struct command_list *out)
+{
+	struct claim_release release = {
+		.token = router_token_new(router),
+		.sequence = request->sequence,
+		.service_index = request->route.service_index,
+		.tenant_index = request->route.tenant_index,
+		.id = strdup(request->client.request_id),
+		.expires_at_ms = now + ROUTER_CLAIM_RELEASE_MAX_MS,
+	};
+
+	propose_release(router, &release, now, out);
+	arrput(router->requests.claim_releases, release);
+}
+
+void router_release_end(struct router *router, ptrdiff_t i)
+{
+	free(router->requests.claim_releases[i].id);
+	arrdelswap(router->requests.claim_releases, i);
+}
+
+void router_releases_tick(struct router *router, int64_t now, struct command_list *out)
+{
+	for (ptrdiff_t i = arrlen(router->requests.claim_releases) - 1; i >= 0; i--) {
+		struct claim_release *release = &router->requests.claim_releases[i];
+
+		if (now >= release->expires_at_ms) {
+			router_release_end(router, i);
+		} else if (now - release->sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
+			router_claim_miss(router, release->service_index, release->leader_addr);
+			propose_release(router, release, now, out);
+		}
+	}
+}
+
+/* ---- answers --------------------------------------------------------------------------------- */
+
+/* Who was asked does not lead, and may know who does. A late answer about another guess changes nothing. */
+static void claim_hint(struct router *router, uint32_t service_index, uint64_t requested_addr, uint64_t from,
+		       uint64_t hint)
+{
+	uint32_t shard = shard_of(router, service_index);
+
+	if (requested_addr == from &&
+	    config_watch_leader_addr(&router->config.watch, shard) == requested_addr)
+		config_watch_hint(&router->config.watch, shard, hint == from ? 0 : hint);
+}
+
+static void on_release_reply(struct router *router, ptrdiff_t i, const struct Nl__ProposeReply *reply,
+			     uint64_t from, int64_t now)
+{
+	struct claim_release *release = &router->requests.claim_releases[i];
+
+	if (reply->status == PROPOSAL_NOT_LEADER) {
+		claim_hint(router, release->service_index, release->leader_addr, from, reply->leader_hint);
+		release->sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_RELEASE_DELAY_MS;
+		release->leader_addr = 0;
+	} else if (reply->status != PROPOSAL_OUTCOME_UNKNOWN) {
+		router_release_end(router, i);
+	}
+}
+
+static void on_claim_reply(struct router *router, struct client_request *request,
+			   const struct Nl__ProposeReply *reply, uint64_t from, int64_t now,
+			   struct command_list *out)
+{
+	switch (reply->status) {
+	case PROPOSAL_DONE:
+		request->claim.confirmed = true;
+		config_watch_hint(&router->config.watch, shard_of(router, request->route.service_index),
+				  from); /* who answers leads */
+		router_send(router, request, now, out);
+		break;
+	case PROPOSAL_NOT_LEADER:
+		claim_hint(router, request->route.service_index, request->claim.leader_addr, from,
+			   reply->leader_hint);
+		request->claim.leader_addr = 0; /* it did answer */
+		request->claim.sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_CLAIM_DELAY_MS;
+		break;
+	case PROPOSAL_OUTCOME_UNKNOWN:
+		request->claim.sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + UNKNOWN_OUTCOME_DELAY_MS;
+		break;
+	default:
+		router_reject(router, request, 409, "id: claimed by an earlier asking", now, out);
+	}
+}
+
+void router_on_propose_reply(struct router *router, const struct Nl__ProposeReply *reply, uint64_t from,
+			     int64_t now, struct command_list *out)
+{
+	struct client_request *request = router_request_by_token(router, reply->token);
+
+	for (ptrdiff_t i = 0; i < arrlen(router->requests.claim_releases); i++)
+		if (router->requests.claim_releases[i].token == reply->token) {
+			on_release_reply(router, i, reply, from, now);
+			return;
+		}
+	if (!request || request->state != REQUEST_CLAIMING || request->claim.token != reply->token ||
+	    request->claim.confirmed)
+		return;
+	on_claim_reply(router, request, reply, from, now, out);
+}
--- a/lib/data/router_decision.c
+++ b/lib/data/router_decision.c
@@ -1,10 +1,11 @@
+/* router_decision: see router_decision.h. */
 #include "router_decision.h"
 
 const int decision_bucket_ms[DECISION_BUCKETS] = {
 	5, 10, 25, 50, 100, 200, 400, 700, 1000, 2000, 4000, 8000
 };
 
-void decision_observe(struct decision_histogram *decision_histogram, int64_t ms)
+void decision_observe(struct decision_histogram *histogram, int64_t ms)
 {
 	int i = 0;
 
@@ -12,14 +13,14 @@
 		ms = 0;
 	while (i < DECISION_BUCKETS && ms > decision_bucket_ms[i])
 		i++;
-	decision_histogram->counts[i]++;
-	decision_histogram->sum_ms += (uint64_t)ms;
+	histogram->counts[i]++;
+	histogram->sum_ms += (uint64_t)ms;
 }
 
 void decision_count(struct decision_counts *counts, const struct decision *decision, int64_t queue_ms)
 {
 	counts->decisions[decision->reason]++;
-	counts->older_weights += decision->uses_older_weights != 0;
+	counts->older_weights += decision->uses_older_weights;
 	counts->cached_tokens += decision->cached_tokens;
 	counts->fetched_tokens += decision->fetched_tokens;
 	counts->prefill_tokens += decision->prefill_tokens;
@@ -28,17 +29,17 @@
 	decision_observe(&counts->expected_ms, decision->expected_ms);
 }
 
-void decision_began(struct decision_counts *counts, struct decision *decision, int64_t first_ms)
+void decision_began(struct decision_counts *counts, struct decision *decision, int64_t first_chunk_ms)
 {
-	if (!decision->awaiting_first_piece)
+	if (!decision->awaiting_first_chunk)
 		return;
-	decision->awaiting_first_piece = 0;
-	decision_observe(&counts->first_chunk_ms, first_ms);
-	decision_observe(&counts->unexpected_ms, first_ms - decision->expected_ms);
+	decision->awaiting_first_chunk = false;
+	decision_observe(&counts->first_chunk_ms, first_chunk_ms);
+	decision_observe(&counts->unexpected_ms, first_chunk_ms - decision->expected_ms);
 }
 
 void decision_ended(struct decision_counts *counts, struct decision *decision)
 {
-	counts->no_first_chunk += decision->awaiting_first_piece != 0;
-	decision->awaiting_first_piece = 0;
+	counts->no_first_chunk += decision->awaiting_first_chunk;
+	decision->awaiting_first_chunk = false;
 }
--- a/lib/data/router_event.h
+++ b/lib/data/router_event.h
@@ -12,6 +12,7 @@
 struct Nl__CacheUpdate;
 struct Nl__Msg;
 
+/* What has happened. */
 enum router_event_kind {
 	ROUTER_EVENT_TICK,
 	ROUTER_EVENT_MESSAGE,             /* from another process of the fleet */
@@ -79,6 +80,7 @@
 	int wrong_incarnation; /* the address answers for another server, or with other weights */
 };
 
+/* One event; the member of its kind is set. Owned by the caller, as is all that it points to. */
 struct router_event {
 	enum router_event_kind kind;
 	union {
@@ -123,7 +125,7 @@
 			const struct Nl__CacheUpdate *update;
 			int status;
 		} cache_watched;
-	} u;
+	} args;
 };
 
 #endif
--- a/lib/data/router_limits.h
+++ b/lib/data/router_limits.h
@@ -17,13 +17,13 @@
 /* Configuration: how long an unconfirmed one is acted on, and how that bound is derived from the
  * deployment's. */
 enum {
-	ROUTER_CONFIG_MAX_STALENESS_MS =
-	    CONFIG_WATCH_MAX_STALENESS_MS, /* beyond it everything that waits here ends */
-	ROUTER_STALENESS_MARGIN_MS =
-	    500, /* kept between the staleness bound and the strictest bound of a deployment */
+	/* Beyond it everything that waits here ends */
+	ROUTER_CONFIG_MAX_STALENESS_MS = CONFIG_WATCH_MAX_STALENESS_MS,
+	/* Kept between the staleness bound and the strictest bound of a deployment */
+	ROUTER_STALENESS_MARGIN_MS = 500,
 	ROUTER_CONTACT_MARGIN_MS = 150, /* kept below the bounds on contact and on configuration */
-	ROUTER_SEND_LATENESS_MS =
-	    200,                   /* a send may leave this process so much later than that bound allows */
+	/* A send may leave this process so much later than that bound allows */
+	ROUTER_SEND_LATENESS_MS = 200,
 	ROUTER_WARM_UP_MS = 10000, /* after a start: other routers prefer another upstream */
 	ROUTER_STARTUP_MS = 1300   /* from a fleet's start until configuration is in force */
 };
@@ -42,13 +42,13 @@
 	ROUTER_CACHE_WATCH_WAIT_MS = 1000,    /* a server holds an idle watch open for so long */
 	ROUTER_CACHE_WATCH_INTERVAL_MS = 300, /* between two watches of one server */
 	ROUTER_FULL_WATCH_LINK_MS = 150,      /* of the router's link that full answers may take at once */
-	ROUTER_FULL_WATCH_INITIAL_BYTES =
-	    65536,                     /* assumed size of a full answer until some have been measured */
-	ROUTER_CACHE_EVENT_BYTES = 50, /* size of one event in a server's answer */
+	/* Assumed size of a full answer until some have been measured */
+	ROUTER_FULL_WATCH_INITIAL_BYTES = 65536,
+	ROUTER_CACHE_EVENT_BYTES = 50,         /* size of one event in a server's answer */
 	ROUTER_MAX_INDEXED_REPLICAS = 1000000, /* block replicas that the prefix index holds */
 	ROUTER_CACHE_FEED_INTERVAL_MS = 75,    /* between cache updates to the zone */
-	ROUTER_STORE_SILENCE_MAX_MS =
-	    3500 /* an offload store counts as up for so long after its last update */
+	/* An offload store counts as up for so long after its last update */
+	ROUTER_STORE_SILENCE_MAX_MS = 3500
 };
 
 /* Claims, which make a request of the own interface run at most once. */
@@ -60,14 +60,14 @@
 
 /* Retries and answers that ask clients to come back. */
 enum {
-	ROUTER_RETRY_COST_MILLI =
-	    1000, /* thousandths of a retry that one retry takes from its service's budget */
+	/* Thousandths of a retry that one retry takes from its service's budget */
+	ROUTER_RETRY_COST_MILLI = 1000,
 	ROUTER_RETRY_EARNED_PER_SEND_MILLI = 200, /* that a first send adds to it */
 	ROUTER_RETRY_BUDGET_MAX_MILLI = 2000,     /* that can be saved up */
 	ROUTER_RETRY_MIN_REMAINING_MS = 50,       /* before its deadline, for a request to be sent again */
-	ROUTER_MAX_UNREACHABLE_SENDS =
-	    4,                        /* sends of one request to servers that did not accept a connection */
-	ROUTER_AVOID_SERVER_MS = 300, /* a request avoids the server that returned it for so long */
+	/* Sends of one request to servers that did not accept a connection */
+	ROUTER_MAX_UNREACHABLE_SENDS = 4,
+	ROUTER_AVOID_SERVER_MS = 300,         /* a request avoids the server that returned it for so long */
 	ROUTER_UNREACHABLE_BACKOFF_MS = 1000, /* after a failed connection */
 	ROUTER_FULL_SERVER_BACKOFF_MS = 150,  /* after a server said that it is full or loading */
 	ROUTER_RETRY_FAST_MS = 60,            /* retry-after where a single server rejected the request */
@@ -90,12 +90,12 @@
 	ROUTER_FAILURE_HALF_LIFE_MS = 3000,
 	ROUTER_FAILURE_COST_MS = 1500, /* of a server all of whose recent sends broke off */
 	ROUTER_OTHERS_LOAD_HALF_LIFE_MS = 1000,
-	ROUTER_UNCACHED_SERVER_COST_MS =
-	    40, /* of a server without the prefix: what it caches evicts other prefixes there */
+	/* Of a server without the prefix: what it caches evicts other prefixes there */
+	ROUTER_UNCACHED_SERVER_COST_MS = 40,
 	ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS = 12,
 	ROUTER_MAX_PREFILL_WAIT_MS = 800, /* of prefill ahead of a send at its server */
-	ROUTER_MAX_RESIDENT_PERCENT =
-	    80, /* of a server's memory for running requests; the rest is for cached blocks */
+	/* Of a server's memory for running requests; the rest is for cached blocks */
+	ROUTER_MAX_RESIDENT_PERCENT = 80,
 	ROUTER_ASSUMED_REQUEST_TOKENS = 5000 /* of other routers' requests whose size is not known */
 };
 #define ROUTER_STEP_MS 0.4 /* that each running request adds to another one's decode step */
@@ -121,8 +121,8 @@
 /* Rollouts of weights: margins before the bound after which nothing may begin on older weights. */
 enum {
 	ROUTER_ROLLOUT_SEND_MARGIN_MS = 1500, /* nothing more is sent to older weights */
-	ROUTER_ROLLOUT_DEADLINE_MARGIN_MS =
-	    4000, /* from here on the bound is the deadline of sends to older weights */
+	/* From here on the bound is the deadline of sends to older weights */
+	ROUTER_ROLLOUT_DEADLINE_MARGIN_MS = 4000,
 	ROUTER_ROLLOUT_RECALL_MARGIN_MS = 300, /* what has not begun is recalled */
 	ROUTER_BEGIN_NOTICE_DELAY_MS = 250     /* that the notice of a request's begin may take to arrive */
 };
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -1,7 +1,8 @@
-/* router_load: what all routers have under way at each server. A router alone sees only its own sends, so
- * several would queue behind each other at one server while others idle. Its word goes to the head of its
- * zone, sums go between heads, and the sum of all comes back: three hops, some 50 ms old, and a cost that
- * does not grow with the square of routers. Soft state: a lost word is mended by the next whole one. */
+/* router_load: what all routers have under way at each server. A router alone knows only its own sends, so
+ * several would queue behind each other at one server while others idle. Each router publishes its load to
+ * the head of its zone, heads publish sums to each other, and the sum of all comes back to the zone: three
+ * hops, some 50 ms old, and a cost that does not grow with the square of routers. Soft state: a lost message
+ * is repaired by the next full one. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -9,65 +10,102 @@
 
 #include "containers.h"
 
-enum { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
+/* What a message of load is about; on the wire. */
+enum load_scope { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
-static void resize_cells(struct load_cell **load, uint32_t count)
+enum { FLEET_SMALL = 16 }; /* routers up to which full messages are sent twice as often */
+
+/* A message to some routers, and what they were last sent. */
+struct publication {
+	const uint64_t *addrs;
+	int addr_count;
+	enum load_scope scope;
+	const struct load_cell *cells; /* by server */
+	struct load_cell **last_sent;  /* stb_ds, by server */
+	bool full;                     /* else only what has changed since */
+};
+
+static void resize_cells(struct load_cell **cells, uint32_t count)
 {
 	struct load_cell zero = { 0, 0, 0 };
 
-	while (arrlen(*load) < (ptrdiff_t)count)
-		arrput(*load, zero);
+	while (arrlen(*cells) < (ptrdiff_t)count)
+		arrput(*cells, zero);
+}
+
+static void add_load(struct load_cell *sum, const struct load_cell *cell)
+{
+	sum->prefill_tokens += cell->prefill_tokens;
+	sum->running += cell->running;
+	sum->resident_tokens += cell->resident_tokens;
 }
 
-static void add(struct load_cell *load, const struct load_cell *v)
+static uint32_t less(uint32_t all, uint32_t own)
 {
-	load->prefill_tokens += v->prefill_tokens;
-	load->running += v->running;
-	load->resident_tokens += v->resident_tokens;
+	return all > own ? all - own : 0;
 }
 
 /* What all have, less what this router knows that the head counts as its own. */
-static struct load_cell others_share(const struct load_cell *all, const struct load_cell *mine)
+static struct load_cell others_share(const struct load_cell *all, const struct load_cell *own)
 {
 	return (struct load_cell){
-		all->prefill_tokens > mine->prefill_tokens ? all->prefill_tokens - mine->prefill_tokens : 0,
-		all->running > mine->running ? all->running - mine->running : 0,
-		all->resident_tokens > mine->resident_tokens ? all->resident_tokens - mine->resident_tokens
-							     : 0,
+		less(all->prefill_tokens, own->prefill_tokens),
+		less(all->running, own->running),
+		less(all->resident_tokens, own->resident_tokens),
 	};
 }
 
-/* Say what has changed since the last word, or all that is not nothing; nothing is said when nothing has. */
-static void say(struct router *c, const uint64_t *to, int n, int of, const struct load_cell *v,
-		struct load_cell **told, int whole, struct command_list *out)
+/* What this router has under way at a server. */
+static struct load_cell own_load(const struct router *router, uint32_t server_index)
+{
+	const struct router_server_state *server = &router->servers.states[server_index];
+
+	return (struct load_cell){ server->prefill_tokens, (uint32_t)server->own_running,
+				   (uint32_t)server->resident_tokens };
+}
+
+/* ---- publishing ------------------------------------------------------------------------------ */
+
+/* Whether a publication has a row for a server: of a full one where there is load, else where it has
+ * changed. */
+static bool has_row(const struct publication *publication, uint32_t server_index)
+{
+	const struct load_cell *cell = &publication->cells[server_index];
+
+	if (publication->full)
+		return cell->prefill_tokens || cell->running;
+	return memcmp(cell, &(*publication->last_sent)[server_index], sizeof *cell) != 0;
+}
+
+/* Nothing is sent where nothing has changed. */
+static void publish(struct router *router, const struct publication *publication, struct command_list *out)
 {
-	uint32_t servers = c->config.server_table->server_count;
-	struct Nl__Load *load;
+	uint32_t servers = router->config.server_table->server_count;
+	struct Nl__Load *load = MESSAGE_NEW(out, Nl__Load, NL__LOAD__INIT);
 
-	resize_cells(told, servers);
-	load = MESSAGE_NEW(out, Nl__Load, NL__LOAD__INIT);
-	load->origin = (uint32_t)of;
-	load->zone = c->zone_hash;
-	load->full = whole;
+	resize_cells(publication->last_sent, servers);
+	load->origin = (uint32_t)publication->scope;
+	load->zone = router->zone_hash;
+	load->full = publication->full;
 	load->rows = apr_palloc(out->pool, (servers + 1) * sizeof *load->rows);
 	for (uint32_t s = 0; s < servers; s++) {
-		struct Nl__LoadRow *x;
+		struct Nl__LoadRow *row;
 
-		if (whole ? !v[s].prefill_tokens && !v[s].running : !memcmp(&v[s], &(*told)[s], sizeof v[s]))
+		if (!has_row(publication, s))
 			continue;
-		x = MESSAGE_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
-		x->server = apr_pstrdup(out->pool, c->names.servers.names[s]);
-		x->prefill_tokens = v[s].prefill_tokens;
-		x->running_requests = v[s].running;
-		x->memory_tokens = v[s].resident_tokens;
-		load->rows[load->n_rows++] = x;
+		row = MESSAGE_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
+		row->server = apr_pstrdup(out->pool, router->names.servers.names[s]);
+		row->prefill_tokens = publication->cells[s].prefill_tokens;
+		row->running_requests = publication->cells[s].running;
+		row->memory_tokens = publication->cells[s].resident_tokens;
+		load->rows[load->n_rows++] = row;
 	}
 	if (servers)
-		memcpy(*told, v, servers * sizeof *v);
-	if (!whole && !load->n_rows)
+		memcpy(*publication->last_sent, publication->cells, servers * sizeof *publication->cells);
+	if (!publication->full && !load->n_rows)
 		return;
-	for (int i = 0; i < n; i++)
-		command_send(out, to[i], 0, NL__MSG__BODY_LOAD)->load = load;
+	for (int i = 0; i < publication->addr_count; i++)
+		command_send(out, publication->addrs[i], 0, NL__MSG__BODY_LOAD)->load = load;
 }
 
 static struct load_cell *zero_cells(const struct router *router, struct command_list *out)
@@ -76,9 +114,9 @@
 			   (router->config.server_table->server_count + 1) * sizeof(struct load_cell));
 }
 
-/* How long after its last word a router says what has changed: soon where a send left or began, so that the
- * head of its zone, which others ask, knows; else as rarely as words are said that all hear. Heads are few,
- * and tell each other soon. */
+/* How long after its last message a router sends what has changed: soon where a send left or began, so that
+ * the head of its zone, which others ask, knows; else as rarely as messages are sent to all. Heads are few,
+ * and publish to each other soon. */
 static int load_interval_ms(const struct router *router)
 {
 	int rarely = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
@@ -90,129 +128,200 @@
 		   : rarely;
 }
 
+static void drop_silent_sources(struct router *router, int64_t now)
+{
+	for (ptrdiff_t i = arrlen(router->load.sources) - 1; i >= 0; i--)
+		if (now - router->load.sources[i].received_at_ms > ROUTER_LOAD_VALID_MS) {
+			arrfree(router->load.sources[i].cells);
+			arrdelswap(router->load.sources, i);
+		}
+}
+
+/* Load of the zone and of the fleet, from what sources have published; load.others becomes what other routers
+ * have. */
+static void sum_load(struct router *router, const struct load_cell *own, struct load_cell *zone,
+		     struct load_cell *all)
+{
+	uint32_t servers = router->config.server_table->server_count;
+
+	resize_cells(&router->load.others, servers);
+	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++) {
+		const struct load_source *source = &router->load.sources[i];
+
+		for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < (ptrdiff_t)servers; s++)
+			if (source->scope != LOAD_SCOPE_FLEET)
+				add_load(source->scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s],
+					 &source->cells[s]);
+	}
+	for (uint32_t s = 0; s < servers; s++) {
+		router->load.others[s] = zone[s];
+		add_load(&router->load.others[s], &all[s]);
+		add_load(&zone[s], &own[s]);
+		add_load(&all[s], &zone[s]);
+	}
+}
+
+static void publish_to_head(struct router *router, const struct load_cell *own, bool full,
+			    struct command_list *out)
+{
+	struct publication publication = {
+		.addrs = router->config.watch.upstream,
+		.addr_count = 1,
+		.scope = LOAD_SCOPE_ROUTER,
+		.cells = own,
+		.last_sent = &router->load.sent_to_head,
+		.full = full,
+	};
+
+	publish(router, &publication, out);
+}
+
+static void publish_to_heads(struct router *router, const struct load_cell *zone, bool full,
+			     struct command_list *out)
+{
+	struct publication publication = {
+		.addrs = router->config.watch.zone_heads,
+		.addr_count = router->config.watch.zone_head_count,
+		.scope = LOAD_SCOPE_ZONE,
+		.cells = zone,
+		.last_sent = &router->load.sent_to_heads,
+		.full = full,
+	};
+
+	if (publication.addr_count)
+		publish(router, &publication, out);
+}
+
+static void publish_to_zone(struct router *router, const struct load_cell *all, bool full,
+			    struct command_list *out)
+{
+	uint64_t *addrs = apr_palloc(out->pool, ((size_t)arrlen(router->load.sources) + 1) * sizeof *addrs);
+	struct publication publication = {
+		.addrs = addrs,
+		.scope = LOAD_SCOPE_FLEET,
+		.cells = all,
+		.last_sent = &router->load.sent_to_zone,
+		.full = full,
+	};
+
+	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++)
+		if (router->load.sources[i].scope == LOAD_SCOPE_ROUTER)
+			addrs[publication.addr_count++] = router->load.sources[i].addr;
+	if (publication.addr_count)
+		publish(router, &publication, out);
+}
+
 void router_load_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	struct load_cell *own, *zone, *all;
-	uint64_t *down;
-	int full, n = 0;
+	bool full;
 
 	if (!router->config.server_table || now - router->load.sent_at_ms < load_interval_ms(router))
 		return;
 	router->load.sent_at_ms = now;
-	router->load.changed = 0;
+	router->load.changed = false;
 	full = now - router->load.full_sent_at_ms >=
-	       (router->config.watch.router_count > 16 ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
+	       (router->config.watch.router_count > FLEET_SMALL ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
 	if (full)
 		router->load.full_sent_at_ms = now;
-	for (ptrdiff_t i = arrlen(router->load.sources) - 1; i >= 0; i--)
-		if (now - router->load.sources[i].received_at_ms > ROUTER_LOAD_VALID_MS) {
-			arrfree(router->load.sources[i].cells);
-			arrdelswap(router->load.sources, i);
-		}
+	drop_silent_sources(router, now);
 	own = zero_cells(router, out);
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
-		own[s] = (struct load_cell){ router->servers.states[s].prefill_tokens,
-					     (uint32_t)router->servers.states[s].own_running,
-					     (uint32_t)router->servers.states[s].resident_tokens };
-	if (router->config.watch.upstream_count) { /* not the head: what others have is what the head says of
-						      all, less what it knows to be ours */
-		say(router, router->config.watch.upstream, 1, LOAD_SCOPE_ROUTER, own,
-		    &router->load.sent_to_head, full, out);
+		own[s] = own_load(router, s);
+	if (router->config.watch
+		.upstream_count) { /* what others have is what the head publishes, less this router's own */
+		publish_to_head(router, own, full, out);
 		return;
 	}
 	zone = zero_cells(router, out);
 	all = zero_cells(router, out);
-	resize_cells(&router->load.others, router->config.server_table->server_count);
-	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++)
-		for (ptrdiff_t s = 0; s < arrlen(router->load.sources[i].cells) &&
-				      s < (ptrdiff_t)router->config.server_table->server_count;
-		     s++)
-			if (router->load.sources[i].scope != LOAD_SCOPE_FLEET)
-				add(router->load.sources[i].scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s],
-				    &router->load.sources[i].cells[s]);
-	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
-		router->load.others[s] = zone[s];
-		add(&router->load.others[s], &all[s]);
-		add(&zone[s], &own[s]);
-		add(&all[s], &zone[s]);
-	}
+	sum_load(router, own, zone, all);
 	router->load.others_at_ms = now;
-	if (router->config.watch.zone_head_count)
-		say(router, router->config.watch.zone_heads, router->config.watch.zone_head_count,
-		    LOAD_SCOPE_ZONE, zone, &router->load.sent_to_heads, full, out);
+	publish_to_heads(router, zone, full, out);
 	if (!full &&
 	    now - router->load.zone_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
 		return;
 	router->load.zone_sent_at_ms = now;
-	down = apr_palloc(out->pool, ((size_t)arrlen(router->load.sources) + 1) * sizeof *down);
-	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++)
-		if (router->load.sources[i].scope == LOAD_SCOPE_ROUTER)
-			down[n++] = router->load.sources[i].addr;
-	if (n)
-		say(router, down, n, LOAD_SCOPE_FLEET, all, &router->load.sent_to_zone, full, out);
+	publish_to_zone(router, all, full, out);
 }
 
-void router_on_load(struct router *router, uint64_t id, uint64_t addr, const struct Nl__Load *load,
-		    int64_t now)
+/* ---- receiving ------------------------------------------------------------------------------- */
+
+/* The source that is this router; made where it is new. */
+static struct load_source *source_of(struct router *router, uint64_t router_id)
 {
-	struct load_source *load_from = NULL, zero = { id, (int)load->origin, now, addr, NULL };
+	struct load_source source = { .router_id = router_id };
 
-	if (!router->config.server_table || load->origin > LOAD_SCOPE_FLEET || id == router->id)
-		return;
-	for (ptrdiff_t i = 0; i < arrlen(router->load.sources) && !load_from; i++)
-		if (router->load.sources[i].router_id == id)
-			load_from = &router->load.sources[i];
-	if (!load_from) {
-		arrput(router->load.sources, zero);
-		load_from = &arrlast(router->load.sources);
-	}
-	if (load_from->scope != (int)load->origin || load->full)
-		arrsetlen(load_from->cells, 0);
-	load_from->scope = (int)load->origin;
-	load_from->received_at_ms = now;
-	load_from->addr = addr;
-	resize_cells(&load_from->cells, router->config.server_table->server_count);
-	if (load->full && arrlen(load_from->cells))
-		memset(load_from->cells, 0, (size_t)arrlen(load_from->cells) * sizeof *load_from->cells);
+	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++)
+		if (router->load.sources[i].router_id == router_id)
+			return &router->load.sources[i];
+	source.scope = -1;
+	arrput(router->load.sources, source);
+	return &arrlast(router->load.sources);
+}
+
+static void apply_rows(struct router *router, struct load_source *source, const struct Nl__Load *load)
+{
+	if (source->scope != (int)load->origin || load->full)
+		arrsetlen(source->cells, 0);
+	resize_cells(&source->cells, router->config.server_table->server_count);
+	if (load->full && arrlen(source->cells))
+		memset(source->cells, 0, (size_t)arrlen(source->cells) * sizeof *source->cells);
 	for (size_t i = 0; i < load->n_rows; i++) {
-		int server_index = names_find(&router->names.servers, load->rows[i]->server);
+		const struct Nl__LoadRow *row = load->rows[i];
+		int s = names_find(&router->names.servers, row->server);
 
-		if (server_index >= 0 && server_index < arrlen(load_from->cells))
-			load_from->cells[server_index] = (struct load_cell){ load->rows[i]->prefill_tokens,
-									     load->rows[i]->running_requests,
-									     load->rows[i]->memory_tokens };
+		if (s >= 0 && s < arrlen(source->cells))
+			source->cells[s] = (struct load_cell){ row->prefill_tokens, row->running_requests,
+							       row->memory_tokens };
 	}
-	if (load->origin != LOAD_SCOPE_FLEET)
-		return;
-	resize_cells(&router->load.others, router->config.server_table->server_count);
-	resize_cells(&router->load.sent_to_head, router->config.server_table->server_count);
-	for (ptrdiff_t server_index = 0;
-	     server_index < arrlen(load_from->cells) && server_index < arrlen(router->load.others);
-	     server_index++)
-		router->load.others[server_index] =
-		    others_share(&load_from->cells[server_index], &router->load.sent_to_head[server_index]);
+}
+
+/* The head of the zone has published what all have. */
+static void learn_fleet(struct router *router, const struct load_source *source, int64_t now)
+{
+	uint32_t servers = router->config.server_table->server_count;
+
+	resize_cells(&router->load.others, servers);
+	resize_cells(&router->load.sent_to_head, servers);
+	for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < arrlen(router->load.others); s++)
+		router->load.others[s] = others_share(&source->cells[s], &router->load.sent_to_head[s]);
 	router->load.others_at_ms = now;
 }
 
-int router_fleet_load(const struct router *router, uint32_t server, struct load_cell *all)
+void router_on_load(struct router *router, uint64_t router_id, uint64_t addr, const struct Nl__Load *load,
+		    int64_t now)
+{
+	struct load_source *source;
+
+	if (!router->config.server_table || load->origin > LOAD_SCOPE_FLEET || router_id == router->id)
+		return;
+	source = source_of(router, router_id);
+	apply_rows(router, source, load);
+	source->scope = (int)load->origin;
+	source->received_at_ms = now;
+	source->addr = addr;
+	if (load->origin == LOAD_SCOPE_FLEET)
+		learn_fleet(router, source, now);
+}
+
+bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *all)
 {
-	if (!mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_SHARED_LOAD) ||
-	    server >= (uint32_t)arrlen(router->load.others) ||
-	    server >= (uint32_t)arrlen(router->servers.states))
-		return 0;
-	*all = (struct load_cell){ router->servers.states[server].prefill_tokens,
-				   (uint32_t)router->servers.states[server].own_running,
-				   (uint32_t)router->servers.states[server].resident_tokens };
-	add(all, &router->load.others[server]);
-	return 1;
+	if (!mechanism_in_use(router, MECHANISM_SHARED_LOAD) ||
+	    server_index >= (uint32_t)arrlen(router->load.others) ||
+	    server_index >= (uint32_t)arrlen(router->servers.states))
+		return false;
+	*all = own_load(router, server_index);
+	add_load(all, &router->load.others[server_index]);
+	return true;
 }
 
-void router_load_learn(struct router *router, uint32_t server, const struct load_cell *all)
+void router_load_learn(struct router *router, uint32_t server_index, const struct load_cell *all)
 {
-	if (server >= (uint32_t)arrlen(router->load.others) ||
-	    server >= (uint32_t)arrlen(router->load.sent_to_head))
+	if (server_index >= (uint32_t)arrlen(router->load.others) ||
+	    server_index >= (uint32_t)arrlen(router->load.sent_to_head))
 		return;
-	router->load.others[server] = others_share(all, &router->load.sent_to_head[server]);
+	router->load.others[server_index] = others_share(all, &router->load.sent_to_head[server_index]);
 }
 
 void router_load_clear(struct router *router)
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -1,10 +1,13 @@
-/* router_metrics: what a router counts, in the Prometheus text format. Written by hand: a library's registry
- * would hold every series twice, and memory at routers is dear, while the format is a line a value. */
+/* router_metrics: what a router counts, in the Prometheus text format, and sums of decisions in an
+ * experiment's log. Written by hand: a library's registry would hold every series twice, and memory at
+ * routers is scarce, while the format is a line a value. Names, labels and help texts are an interface for
+ * operators and keep their form; tests/plot_decisions reads the log. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <inttypes.h>
 #include <stdarg.h>
+#include <stddef.h>
 #include <stdio.h>
 #include <string.h>
 
@@ -14,118 +17,163 @@
 static const char *const outcome_name[REQUEST_OUTCOMES] = { "answered", "refused", "rejected", "broken_off",
 							    "client_gone" };
 
+enum {
+	MAX_LINE = 400, /* bytes; a longer one is cut */
+	MAX_LABEL = 200,
+	MAX_LOG_LINE = 700
+};
+
+/* ---- text ------------------------------------------------------------------------------------ */
+
 /* Text that grows. */
-struct text {
+struct text_buffer {
 	char *data; /* stb_ds */
 };
 
-static void __attribute__((format(printf, 2, 3))) line(struct text *text, const char *format, ...)
+static void __attribute__((format(printf, 2, 3))) add_line(struct text_buffer *text, const char *format, ...)
 {
-	char s[400];
+	char line[MAX_LINE];
 	va_list args;
 	int n;
 
 	va_start(args, format);
-	n = vsnprintf(s, sizeof s, format, args);
+	n = vsnprintf(line, sizeof line, format, args);
 	va_end(args);
 	if (n < 0)
 		return;
-	if (n >= (int)sizeof s - 1)
-		n = (int)sizeof s - 2;
-	s[n++] = '\n';
-	memcpy(arraddnptr(text->data, (size_t)n), s, (size_t)n);
+	if (n >= (int)sizeof line - 1)
+		n = (int)sizeof line - 2;
+	line[n++] = '\n';
+	memcpy(arraddnptr(text->data, (size_t)n), line, (size_t)n);
 }
 
-static void head(struct text *text, const char *name, const char *kind, const char *help)
+static void add_head(struct text_buffer *text, const char *name, const char *kind, const char *help)
 {
-	line(text, "# HELP notchlug_%s %s", name, help);
-	line(text, "# TYPE notchlug_%s %s", name, kind);
+	add_line(text, "# HELP notchlug_%s %s", name, help);
+	add_line(text, "# TYPE notchlug_%s %s", name, kind);
+}
+
+static void add_value(struct text_buffer *text, const char *name, const char *kind, const char *help,
+		      double value)
+{
+	add_head(text, name, kind, help);
+	add_line(text, "notchlug_%s %.10g", name, value);
 }
 
 /* A label's value may hold anything; the format escapes three characters. */
-static const char *label(const char *value, char *to, size_t size)
+static const char *label(const char *value, char *escaped, size_t size)
 {
 	size_t n = 0;
 
 	for (; *value && n + 3 < size; value++) {
 		if (*value == '"' || *value == '\\' || *value == '\n')
-			to[n++] = '\\';
-		to[n] = *value;
+			escaped[n++] = '\\';
+		escaped[n] = *value;
 		if (*value == '\n')
-			to[n] = 'n';
+			escaped[n] = 'n';
 		n++;
 	}
-	to[n] = 0;
-	return to;
+	escaped[n] = 0;
+	return escaped;
 }
 
-static void histogram(struct text *text, const char *name, const char *route,
-		      const struct decision_histogram *decision_histogram)
+static void add_histogram(struct text_buffer *text, const char *name, const char *route,
+			  const struct decision_histogram *histogram)
 {
 	uint64_t total = 0;
 
 	for (int i = 0; i <= DECISION_BUCKETS; i++) {
-		total += decision_histogram->counts[i];
+		total += histogram->counts[i];
 		if (i < DECISION_BUCKETS)
-			line(text, "notchlug_%s_bucket{route=\"%s\",le=\"%d\"} %" PRIu64, name, route,
-			     decision_bucket_ms[i], total);
+			add_line(text, "notchlug_%s_bucket{route=\"%s\",le=\"%d\"} %" PRIu64, name, route,
+				 decision_bucket_ms[i], total);
 		else
-			line(text, "notchlug_%s_bucket{route=\"%s\",le=\"+Inf\"} %" PRIu64, name, route,
-			     total);
+			add_line(text, "notchlug_%s_bucket{route=\"%s\",le=\"+Inf\"} %" PRIu64, name, route,
+				 total);
 	}
-	line(text, "notchlug_%s_sum{route=\"%s\"} %" PRIu64, name, route, decision_histogram->sum_ms);
-	line(text, "notchlug_%s_count{route=\"%s\"} %" PRIu64, name, route, total);
+	add_line(text, "notchlug_%s_sum{route=\"%s\"} %" PRIu64, name, route, histogram->sum_ms);
+	add_line(text, "notchlug_%s_count{route=\"%s\"} %" PRIu64, name, route, total);
 }
 
-static void decisions(struct text *text, const struct router *router)
+/* ---- decisions ------------------------------------------------------------------------------- */
+
+struct decision_counts *router_decision_counts_of(struct router *router, const struct client_request *request)
 {
-	char route[200];
+	struct decision_counts **counts;
 
-	head(text, "decisions_total", "counter",
-	     "Sends to servers, by route and by why the server was chosen.");
-	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
-		for (int i = 0; router->records.decision_counts[l] && i < DECISION_REASONS; i++)
-			line(text, "notchlug_decisions_total{route=\"%s\",reason=\"%s\"} %" PRIu64,
-			     label(router->names.routes.names[l], route, sizeof route), reason_name[i],
-			     router->records.decision_counts[l]->decisions[i]);
-	head(text, "decision_facts_total", "counter",
-	     "Of those: to older weights, with an answered or a missed lookup, ended without a first piece.");
+	while (arrlen(router->records.decision_counts) <= (ptrdiff_t)request->route.index)
+		arrput(router->records.decision_counts, NULL);
+	counts = &router->records.decision_counts[request->route.index];
+	if (!*counts)
+		*counts = apr_pcalloc(router->pool, sizeof **counts);
+	return *counts;
+}
+
+static void add_reasons(struct text_buffer *text, const struct router *router)
+{
+	char route[MAX_LABEL];
+
+	add_head(text, "decisions_total", "counter",
+		 "Sends to servers, by route and by why the server was chosen.");
+	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
+		const struct decision_counts *counts = router->records.decision_counts[l];
+
+		for (int i = 0; counts && i < DECISION_REASONS; i++)
+			add_line(text, "notchlug_decisions_total{route=\"%s\",reason=\"%s\"} %" PRIu64,
+				 label(router->names.routes.names[l], route, sizeof route), reason_name[i],
+				 counts->decisions[i]);
+	}
+}
+
+static void add_facts(struct text_buffer *text, const struct router *router)
+{
+	char route[MAX_LABEL];
+
+	add_head(
+	    text, "decision_facts_total", "counter",
+	    "Of those: to older weights, with an answered or a missed lookup, ended without a first piece.");
 	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
 		const struct decision_counts *counts = router->records.decision_counts[l];
 
 		if (!counts)
 			continue;
 		label(router->names.routes.names[l], route, sizeof route);
-		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"older_weights\"} %" PRIu64,
-		     route, counts->older_weights);
-		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"looked_up\"} %" PRIu64, route,
-		     counts->lookups_answered);
-		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"lookup_missed\"} %" PRIu64,
-		     route, counts->lookups_missed);
-		line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"no_first_piece\"} %" PRIu64,
-		     route, counts->no_first_chunk);
+		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"older_weights\"} %" PRIu64,
+			 route, counts->older_weights);
+		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"looked_up\"} %" PRIu64,
+			 route, counts->lookups_answered);
+		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"lookup_missed\"} %" PRIu64,
+			 route, counts->lookups_missed);
+		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"no_first_piece\"} %" PRIu64,
+			 route, counts->no_first_chunk);
 	}
-	head(
-	    text, "prompt_tokens_total", "counter",
-	    "Prompt tokens as decided: kept at the server, fetched, read there, and of those read the shared ones.");
+}
+
+static void add_tokens(struct text_buffer *text, const struct router *router)
+{
+	char route[MAX_LABEL];
+
+	add_head(text, "prompt_tokens_total", "counter",
+		 "Prompt tokens as decided: kept at the server, fetched, read there, and of those read the "
+		 "shared ones.");
 	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
 		const struct decision_counts *counts = router->records.decision_counts[l];
 
 		if (!counts)
 			continue;
 		label(router->names.routes.names[l], route, sizeof route);
-		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"kept\"} %" PRIu64, route,
-		     counts->cached_tokens);
-		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"fetched\"} %" PRIu64, route,
-		     counts->fetched_tokens);
-		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"read\"} %" PRIu64, route,
-		     counts->prefill_tokens);
-		line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"shared_read\"} %" PRIu64, route,
-		     counts->shared_prefill_tokens);
+		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"kept\"} %" PRIu64, route,
+			 counts->cached_tokens);
+		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"fetched\"} %" PRIu64, route,
+			 counts->fetched_tokens);
+		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"read\"} %" PRIu64, route,
+			 counts->prefill_tokens);
+		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"shared_read\"} %" PRIu64,
+			 route, counts->shared_prefill_tokens);
 	}
 }
 
-static void times(struct text *text, const struct router *router)
+static void add_times(struct text_buffer *text, const struct router *router)
 {
 	static const struct {
 		const char *name, *help;
@@ -140,88 +188,100 @@
 		{ "unexpected_ms", "What of that was beyond what was expected.",
 		  offsetof(struct decision_counts, unexpected_ms) },
 	};
-	char route[200];
+	char route[MAX_LABEL];
 
 	for (size_t i = 0; i < sizeof histograms / sizeof *histograms; i++) {
-		head(text, histograms[i].name, "histogram", histograms[i].help);
-		for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
-			if (router->records.decision_counts[l])
-				histogram(text, histograms[i].name,
-					  label(router->names.routes.names[l], route, sizeof route),
-					  (const struct decision_histogram *)((const char *)router->records
-										  .decision_counts[l] +
-									      histograms[i].offset));
+		add_head(text, histograms[i].name, "histogram", histograms[i].help);
+		for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
+			const char *counts = (const char *)router->records.decision_counts[l];
+
+			if (counts)
+				add_histogram(
+				    text, histograms[i].name,
+				    label(router->names.routes.names[l], route, sizeof route),
+				    (const struct decision_histogram *)(counts + histograms[i].offset));
+		}
 	}
 }
 
-static void value(struct text *text, const char *name, const char *kind, const char *help, double v)
-{
-	head(text, name, kind, help);
-	line(text, "notchlug_%s %.10g", name, v);
-}
+/* ---- state ----------------------------------------------------------------------------------- */
 
-static void state(struct text *t, const struct router *router, int64_t now)
+static void add_requests(struct text_buffer *text, const struct router *router)
 {
-	uint32_t waiting = 0, sending = 0;
+	uint32_t waiting = 0, running = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
 		waiting += router->queueing.queues[i].length;
 	for (uint32_t s = 0; router->config.server_table && s < router->config.server_table->server_count;
-	     s++) {
-		sending += (uint32_t)router->servers.states[s].own_running;
-	}
-	value(t, "waiting_requests", "gauge", "Requests that wait in this router.", waiting);
-	value(t, "running_requests", "gauge", "Requests that this router has at servers.", sending);
-	value(t, "index_copies", "gauge", "Copies of prompt parts in the index.",
-	      (double)router->cache.index.replica_count);
-	value(t, "index_untold_servers", "gauge", "Servers whose news this head of a zone has yet to tell.",
-	      (double)arrlen(router->feed.queue));
-	value(t, "purge_age_ms", "gauge", "Age of what is known of purges.",
-	      (double)(now - router->relay.known_at_ms));
-	value(t, "config_age_ms", "gauge", "Age of the configuration.",
-	      (double)config_watch_age_ms(&router->config.watch, now));
-	value(t, "load_age_ms", "gauge", "Age of what is known of others' load.",
-	      (double)(now - router->load.others_at_ms));
-	value(t, "lookup_ms", "gauge", "What a lookup of a prefix takes, smoothed.",
-	      router->lookup.round_trip_ms);
-	value(t, "lookups_missed_total", "counter", "Lookups that were not answered in time.",
-	      (double)router->stats.lookups_missed);
-	value(t, "lookups_served_total", "counter", "Lookups that this router answered for others.",
-	      (double)router->stats.lookups_answered);
-	value(t, "resends_total", "counter", "Requests sent once more.", (double)router->stats.resends);
-	value(t, "recalled_total", "counter", "Sends taken back before their weights' bound.",
-	      (double)router->stats.recalled);
-	head(t, "mechanism_on", "gauge", "Whether a mechanism is in use; an experiment may switch one off.");
+	     s++)
+		running += (uint32_t)router->servers.states[s].own_running;
+	add_value(text, "waiting_requests", "gauge", "Requests that wait in this router.", waiting);
+	add_value(text, "running_requests", "gauge", "Requests that this router has at servers.", running);
+}
+
+static void add_state(struct text_buffer *text, const struct router *router, int64_t now)
+{
+	add_requests(text, router);
+	add_value(text, "index_copies", "gauge", "Copies of prompt parts in the index.",
+		  (double)router->cache.index.replica_count);
+	add_value(text, "index_untold_servers", "gauge",
+		  "Servers whose news this head of a zone has yet to tell.",
+		  (double)arrlen(router->feed.queue));
+	add_value(text, "purge_age_ms", "gauge", "Age of what is known of purges.",
+		  (double)(now - router->relay.known_at_ms));
+	add_value(text, "config_age_ms", "gauge", "Age of the configuration.",
+		  (double)config_watch_age_ms(&router->config.watch, now));
+	add_value(text, "load_age_ms", "gauge", "Age of what is known of others' load.",
+		  (double)(now - router->load.others_at_ms));
+	add_value(text, "lookup_ms", "gauge", "What a lookup of a prefix takes, smoothed.",
+		  router->lookup.round_trip_ms);
+	add_value(text, "lookups_missed_total", "counter", "Lookups that were not answered in time.",
+		  (double)router->stats.lookups_missed);
+	add_value(text, "lookups_served_total", "counter", "Lookups that this router answered for others.",
+		  (double)router->stats.lookups_answered);
+	add_value(text, "resends_total", "counter", "Requests sent once more.",
+		  (double)router->stats.resends);
+	add_value(text, "recalled_total", "counter", "Sends taken back before their weights' bound.",
+		  (double)router->stats.recalled);
+}
+
+static void add_mechanisms(struct text_buffer *text, const struct router *router)
+{
+	add_head(text, "mechanism_on", "gauge",
+		 "Whether a mechanism is in use; an experiment may switch one off.");
 	for (int m = 0; m < MECHANISMS; m++)
-		line(t, "notchlug_mechanism_on{name=\"%s\"} %d", mechanism_info[m].name,
-		     mechanism_on(router->config.bounds.disabled_mechanisms, (enum mechanism)m));
+		add_line(text, "notchlug_mechanism_on{name=\"%s\"} %d", mechanism_info[m].name,
+			 mechanism_in_use(router, (enum mechanism)m));
 }
 
 const char *router_metrics(const struct router *router, int64_t now, apr_pool_t *pool)
 {
-	struct text text = { NULL };
-	const char *s;
+	struct text_buffer text = { NULL };
+	const char *copy;
 
-	head(&text, "requests_total", "counter", "Requests that ended, by outcome.");
+	add_head(&text, "requests_total", "counter", "Requests that ended, by outcome.");
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
-		line(&text, "notchlug_requests_total{outcome=\"%s\"} %" PRIu64, outcome_name[i],
-		     router->stats.outcomes[i]);
-	state(&text, router, now);
-	decisions(&text, router);
-	times(&text, router);
-	s = apr_pstrmemdup(pool, text.data, (size_t)arrlen(text.data));
+		add_line(&text, "notchlug_requests_total{outcome=\"%s\"} %" PRIu64, outcome_name[i],
+			 router->stats.outcomes[i]);
+	add_state(&text, router, now);
+	add_mechanisms(&text, router);
+	add_reasons(&text, router);
+	add_facts(&text, router);
+	add_tokens(&text, router);
+	add_times(&text, router);
+	copy = apr_pstrmemdup(pool, text.data, (size_t)arrlen(text.data));
 	arrfree(text.data);
-	return s;
+	return copy;
 }
 
-/* ---- the log of an experiment ------------------------------------------------------------------------ */
+/* ---- the log of an experiment ---------------------------------------------------------------- */
 
-static uint64_t observed(const struct decision_histogram *decision_histogram)
+static uint64_t observed(const struct decision_histogram *histogram)
 {
 	uint64_t count = 0;
 
 	for (int i = 0; i <= DECISION_BUCKETS; i++)
-		count += decision_histogram->counts[i];
+		count += histogram->counts[i];
 	return count;
 }
 
@@ -229,7 +289,7 @@
 static void log_route(struct router *router, ptrdiff_t route_index)
 {
 	const struct decision_counts *counts = router->records.decision_counts[route_index];
-	char line[700];
+	char line[MAX_LOG_LINE];
 	int length = snprintf(line, sizeof line, "route %.60s", router->names.routes.names[route_index]);
 
 	for (int i = 0; i < DECISION_REASONS; i++)
--- /dev/null
+++ b/lib/data/router_namespace.c
@@ -0,0 +1,53 @@
+/* router_namespace: cache namespaces, the names under which servers cache the blocks of forwarded requests. A
+ * name says all that decides who may use a block again: the weights, the isolation of tenants, and the purges
+ * that the purge view knows of. So a server finds no block that was made with other weights or for an
+ * isolated tenant, whatever it caches; and a purge that is known here makes what was cached before it
+ * unreachable from here. */
+#include "router_internal.h"
+
+#include <apr_strings.h>
+#include <stdlib.h>
+#include <string.h>
+
+enum { NAMESPACE_KEY_TEXT = 17 }; /* '~' and 16 digits at a name's end */
+
+/* A scope with a retention row of its own has namespaces of its own, and every purge that covers a
+ * namespace's slice renames it. */
+const char *router_cache_namespace(struct router *router, const struct client_request *request,
+				   uint32_t weights, apr_pool_t *pool)
+{
+	const struct route_table *routes = router->config.route_table;
+	uint32_t service = request->route.service_index, tenant = request->route.tenant_index;
+	const char *weights_name = router->names.weights.names[weights], *name;
+	uint64_t namespace_key = router_namespace_key(router, request);
+	uint64_t cut = purge_view_tick(&router->relay.view, PURGE_WEIGHTS,
+				       router->names.services.names[service], weights_name);
+	uint64_t age = core_rendezvous_weight(routes->isolation_hash ^ router->cache.isolation_tick, cut);
+
+	name = apr_psprintf(pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name, age & 0xffffffff,
+			    routes->tenants[tenant].isolated ? "-" : "",
+			    routes->tenants[tenant].isolated ? router->names.tenants.names[tenant] : "");
+	return namespace_key ? apr_psprintf(pool, "%s~%016" APR_UINT64_T_HEX_FMT, name, namespace_key) : name;
+}
+
+uint64_t router_block_key(uint64_t cache_namespace, uint64_t block_hash)
+{
+	return core_rendezvous_weight(cache_namespace, block_hash);
+}
+
+uint64_t router_namespace_key(struct router *router, const struct client_request *request)
+{
+	int scope =
+	    router_scope(router->config.route_table, request->route.index, request->route.tenant_index);
+	uint64_t hash = scope < 0 ? 0 : router->config.route_table->scopes[scope].hash;
+
+	return hash << 32 |
+	       (router_generation(router, scope, PURGE_SLICE(router_home_block(request))) & UINT32_MAX);
+}
+
+uint64_t router_namespace_key_from_text(const char *cache_namespace)
+{
+	const char *mark = strrchr(cache_namespace, '~');
+
+	return mark && strlen(mark) == NAMESPACE_KEY_TEXT ? strtoull(mark + 1, NULL, 16) : 0;
+}
--- /dev/null
+++ b/lib/data/router_placement.c
@@ -0,0 +1,54 @@
+/* router_placement: what choosing a server goes by for requests of either interface: which servers accept
+ * requests, and measures of a prompt. router_placement_claimed.c and router_placement_forwarded.c choose. */
+#include "router_internal.h"
+
+bool router_server_is_serving(const struct router *router, uint32_t server_index, int64_t now)
+{
+	const struct server_config *config = server_config_of(router, server_index);
+	const struct router_server_state *server = &router->servers.states[server_index];
+	bool discovered = router->config.bounds.discover_instances;
+
+	if (!config->is_configured || config->draining || server->is_loading ||
+	    now < server->unavailable_until_ms)
+		return false;
+	if (!server->is_known && !(config->is_store && discovered))
+		return false;
+	if (!discovered)
+		return now - server->reported_at_ms < ROUTER_REPORT_VALID_MS;
+	if (config->is_store)
+		return now - server->cache_update_at_ms < ROUTER_STORE_SILENCE_MAX_MS;
+	return now < router_weights_last_send(router, config->service_index, server->weights, now);
+}
+
+/* For a moment, so that another server may have it. */
+bool router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now)
+{
+	return server_index == request->retry.avoided_server && now < request->retry.avoided_until_ms;
+}
+
+uint64_t router_tokens_of_blocks(const struct client_request *request, int block_count)
+{
+	uint64_t tokens = 0;
+
+	for (int i = 0; i < block_count; i++)
+		tokens += request->prompt.block_tokens[i];
+	return tokens;
+}
+
+uint64_t router_prompt_tokens(const struct client_request *request)
+{
+	return router_tokens_of_blocks(request, request->prompt.block_count) + request->prompt.tail_tokens;
+}
+
+int router_shared_blocks(const struct client_request *request)
+{
+	return request->prompt.block_count > 1 ? request->prompt.block_count - 1
+					       : request->prompt.block_count;
+}
+
+uint64_t router_home_block(const struct client_request *request)
+{
+	int shared = router_shared_blocks(request);
+
+	return shared ? request->prompt.block_hash[shared - 1] : request->sequence;
+}
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -1,191 +1,210 @@
-/* router_assign: which server a request of the product's own interface goes to, what it reuses there, and
- * what it fetches from where. router_placement has the same for forwarded requests. */
+/* router_placement_claimed: which server a request of the product's own interface goes to, which cached
+ * blocks it reuses there, and what it fetches from where: prefill that is saved is weighed against load, and
+ * a fetch against prefill. router_placement_forwarded.c does the same for forwarded requests. */
 #include "router_internal.h"
 
-#include <apr_strings.h>
-#include <stdlib.h>
-#include <string.h>
-
 #include "containers.h"
 
-int router_server_is_serving(const struct router *router, uint32_t server_index, int64_t now)
-{
-	const struct server_config *config = &router->config.server_table->servers[server_index];
-	const struct router_server_state *server = &router->servers.states[server_index];
+enum { SHORT_FETCH_MS = 20 }; /* too short to tell a slow link from a process that was not scheduled */
 
-	if (!config->is_configured || config->draining ||
-	    (!server->is_known && !(config->is_store && router->config.bounds.discover_instances)) ||
-	    server->is_loading || now < server->unavailable_until_ms)
-		return 0;
-	if (!router->config.bounds.discover_instances)
-		return now - server->reported_at_ms < ROUTER_REPORT_VALID_MS;
-	if (config->is_store)
-		return now - server->cache_update_at_ms < ROUTER_STORE_SILENCE_MAX_MS;
-	return now < router_weights_last_send(router, config->service_index, server->weights, now);
+/* Whether one tenant may use what was cached for another. */
+static bool may_share(const struct route_table *routes, uint32_t owner, uint32_t user)
+{
+	if (owner == user)
+		return true;
+	return !routes->tenants[owner].isolated && !routes->tenants[user].isolated &&
+	       routes->tenants[owner].is_configured;
 }
 
 const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request,
-						  uint64_t hash, uint32_t server, uint32_t weights)
+						  uint64_t block_hash, uint32_t server_index,
+						  uint32_t weights)
 {
 	const struct route_table *routes = router->config.route_table;
-	struct block_replica *replica = prefix_index_find(&router->cache.index, hash);
+	uint32_t service_index = request->route.service_index;
+	struct block_replica *replicas = prefix_index_find(&router->cache.index, block_hash);
+
+	for (ptrdiff_t i = 0; i < arrlen(replicas); i++) {
+		const struct block_replica *replica = &replicas[i];
 
-	for (ptrdiff_t i = 0; i < arrlen(replica); i++) {
-		if (replica[i].server_index != server || replica[i].weights_hash != weights ||
-		    replica[i].tenant_index >= routes->tenant_count)
+		if (replica->server_index != server_index || replica->weights_hash != weights ||
+		    replica->tenant_index >= routes->tenant_count)
 			continue;
-		if (replica[i].tenant_index != request->route.tenant_index &&
-		    (routes->tenants[replica[i].tenant_index].isolated ||
-		     routes->tenants[request->route.tenant_index].isolated ||
-		     !routes->tenants[replica[i].tenant_index].is_configured))
+		if (!may_share(routes, replica->tenant_index, request->route.tenant_index))
 			continue;
-		if (purge_view_allows(&router->relay.view,
-				      router->names.services.names[request->route.service_index],
+		if (purge_view_allows(&router->relay.view, router->names.services.names[service_index],
 				      router->names.weights.names[weights],
-				      router->names.tenants.names[replica[i].tenant_index],
-				      router->names.servers.names[server], replica[i].stamp_tick) &&
-		    router_retains(router, request->route.service_index, replica[i].tenant_index, hash,
-				   replica[i].stamp_tick))
-			return &replica[i];
+				      router->names.tenants.names[replica->tenant_index],
+				      router->names.servers.names[server_index], replica->stamp_tick) &&
+		    router_retains(router, service_index, replica->tenant_index, block_hash,
+				   replica->stamp_tick))
+			return replica;
 	}
 	return NULL;
 }
 
-/* How many leading parts a server keeps in a form this exchange may use. */
-static int prefix(struct router *router, const struct client_request *request, uint32_t server,
-		  uint32_t weights)
+/* How many leading blocks of a prompt a server caches that the request may use. */
+static int cached_prefix_blocks(struct router *router, const struct client_request *request,
+				uint32_t server_index, uint32_t weights)
 {
 	int n = 0;
 
 	while (n < request->prompt.block_count &&
-	       router_usable_replica(router, request, request->prompt.block_hash[n], server, weights))
+	       router_usable_replica(router, request, request->prompt.block_hash[n], server_index, weights))
 		n++;
 	return n;
 }
 
-uint64_t router_tokens_of_blocks(const struct client_request *request, int block_count)
+/* ---- links ----------------------------------------------------------------------------------- */
+
+/* How much slower than configured the link between two servers was observed to be, which fades; at least
+ * 1. */
+static double link_slowdown(struct router *router, uint32_t source, uint32_t target, int64_t now)
 {
-	uint64_t tokens = 0;
+	ptrdiff_t i = hmgeti(router->servers.links, (uint64_t)source << 32 | target);
+	int64_t age_ms = i < 0 ? 0 : now - router->servers.links[i].value.observed_at_ms;
+	double slowdown = i < 0 ? 1 : router->servers.links[i].value.slowdown;
 
-	for (int i = 0; i < block_count; i++)
-		tokens += request->prompt.block_tokens[i];
-	return tokens;
+	for (; age_ms >= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS && slowdown > 1;
+	     age_ms -= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS)
+		slowdown /= 2;
+	return slowdown < 1 ? 1 : slowdown;
 }
 
-/* The server that has just given a request back is passed over for a moment: another one may have it. */
-int router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now)
+void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms,
+			 int fetched_blocks, int64_t now)
 {
-	return server_index == request->retry.avoided_server && now < request->retry.avoided_until_ms;
+	const struct request_attempt *attempt = &request->attempt;
+	uint64_t link = (uint64_t)attempt->fetch_source << 32 | (uint32_t)attempt->server_index;
+	double slowdown = ROUTER_LINK_SLOWDOWN_MAX;
+
+	if (fetched_blocks && took_ms > 0)
+		slowdown = (double)took_ms / (attempt->expected_fetch_ms ? attempt->expected_fetch_ms : 1);
+	if (took_ms <= SHORT_FETCH_MS && fetched_blocks)
+		slowdown = 1;
+	if (slowdown > ROUTER_LINK_SLOWDOWN_MAX)
+		slowdown = ROUTER_LINK_SLOWDOWN_MAX;
+	hmput(router->servers.links, link, ((typeof(router->servers.links->value)){ slowdown, now }));
 }
 
+/* ---- the choice ------------------------------------------------------------------------------ */
+
 static int running_count(const struct router_server_state *server)
 {
 	return server->others_running + server->own_running;
 }
 
-/* How much slower than the table says the link between two servers was seen to be; forgotten by and by. */
-double router_link_slowness(struct router *router, uint32_t source, uint32_t target, int64_t now)
+static double queueing_ms(const struct router_server_state *server)
 {
-	ptrdiff_t i = hmgeti(router->servers.links, (uint64_t)source << 32 | target);
-	double slow = i < 0 ? 1 : router->servers.links[i].value.slowdown;
+	return server->average_run_ms * running_count(server) / server->slots;
+}
 
-	for (int64_t age_ms = i < 0 ? 0 : now - router->servers.links[i].value.observed_at_ms;
-	     age_ms >= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS && slow > 1;
-	     age_ms -= ROUTER_LINK_SLOWDOWN_HALF_LIFE_MS)
-		slow /= 2;
-	return slow < 1 ? 1 : slow;
+static bool is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
+		    int64_t now)
+{
+	const struct server_config *config = server_config_of(router, server_index);
+	const struct router_server_state *server = &router->servers.states[server_index];
+
+	return !config->is_store && config->service_index == request->route.service_index &&
+	       !router_avoids_server(request, server_index, now) &&
+	       router_server_is_serving(router, server_index, now) && running_count(server) < server->slots;
 }
 
-/* An answer says what its fetch took and brought. One that brought nothing was waited for in vain. */
-void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms,
-			 int fetched_blocks, int64_t now)
+/* Whether a peer server or the store may give blocks to a server. */
+static bool is_source(const struct router *router, const struct client_request *request, uint32_t source,
+		      uint32_t server_index, int64_t now)
 {
-	double slowdown =
-	    fetched_blocks && took_ms > 0
-		? (double)took_ms /
-		      (request->attempt.expected_fetch_ms ? request->attempt.expected_fetch_ms : 1)
-		: ROUTER_LINK_SLOWDOWN_MAX;
-
-	if (took_ms <= 20 &&
-	    fetched_blocks) /* too short to tell a link from a process that was not scheduled */
-		slowdown = 1;
-	if (slowdown > ROUTER_LINK_SLOWDOWN_MAX)
-		slowdown = ROUTER_LINK_SLOWDOWN_MAX;
-	hmput(router->servers.links,
-	      (uint64_t)request->attempt.fetch_source << 32 | (uint32_t)request->attempt.server_index,
-	      ((typeof(router->servers.links->value)){ slowdown, now }));
+	const struct server_config *config = server_config_of(router, source);
+
+	if (source == server_index || config->service_index != request->route.service_index)
+		return false;
+	if (!config->is_store &&
+	    router->servers.states[source].weights != router->servers.states[server_index].weights)
+		return false;
+	return router_server_is_serving(router, source, now);
+}
+
+/* Puts the best fetch into a plan, where one is quicker than prefill. */
+static void plan_fetch(struct router *router, const struct client_request *request, struct plan *plan,
+		       double prefill_ms, int64_t now)
+{
+	const struct service_config *service =
+	    &router->config.route_table->services[request->route.service_index];
+	uint32_t server_index = (uint32_t)plan->server_index;
+	const struct router_server_state *server = &router->servers.states[server_index];
+
+	for (uint32_t source = 0; source < router->config.server_table->server_count; source++) {
+		bool is_store = server_config_of(router, source)->is_store;
+		double speed = is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms, saved,
+		       fetch_ms, cost_ms;
+		int blocks;
+
+		if (!speed || !is_source(router, request, source, server_index, now))
+			continue;
+		blocks = cached_prefix_blocks(router, request, source, server->weights);
+		if (blocks <= plan->cached_blocks)
+			continue;
+		saved = (double)(router_tokens_of_blocks(request, blocks) -
+				 router_tokens_of_blocks(request, plan->cached_blocks));
+		fetch_ms = saved * service->kv_bytes_per_token / speed;
+		cost_ms = fetch_ms * link_slowdown(router, source, server_index, now);
+		saved /= service->prefill_tokens_per_ms;
+		if (cost_ms < saved && prefill_ms - saved + cost_ms < plan->cost_ms - queueing_ms(server)) {
+			plan->cost_ms = prefill_ms - saved + cost_ms + queueing_ms(server);
+			plan->fetch_source = (int)source;
+			plan->fetch_end = blocks;
+			plan->fetch_ms = fetch_ms;
+		}
+	}
+}
+
+/* What it costs to send a request to a server. */
+static struct plan weigh(struct router *router, const struct client_request *request, uint32_t server_index,
+			 int64_t now)
+{
+	const struct service_config *service =
+	    &router->config.route_table->services[request->route.service_index];
+	const struct router_server_state *server = &router->servers.states[server_index];
+	struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
+	bool may_reuse = relay_is_current(&router->relay, now);
+	double prefill_ms = 0;
+
+	if (may_reuse)
+		plan.cached_blocks = cached_prefix_blocks(router, request, server_index, server->weights);
+	if (!router->naive_placement)
+		prefill_ms = (double)(router_prompt_tokens(request) -
+				      router_tokens_of_blocks(request, plan.cached_blocks)) /
+			     service->prefill_tokens_per_ms;
+	plan.cost_ms = prefill_ms + queueing_ms(server);
+	if (may_reuse && !router->naive_placement && plan.cached_blocks < request->prompt.block_count)
+		plan_fetch(router, request, &plan, prefill_ms, now);
+	return plan;
+}
+
+/* Of equal costs the one that rendezvous hashing prefers, so that routers spread. */
+static bool is_better(const struct router *router, const struct client_request *request,
+		      const struct plan *plan, const struct plan *best)
+{
+	uint64_t key = request->sequence ^ router->id;
+
+	if (best->server_index < 0 || plan->cost_ms < best->cost_ms)
+		return true;
+	return plan->cost_ms == best->cost_ms &&
+	       core_rendezvous_weight(key, (uint64_t)plan->server_index) >
+		   core_rendezvous_weight(key, (uint64_t)best->server_index);
 }
 
-/* Prefill saved against load and lines; a fetch where the link beats the prefill. */
 struct plan router_placement_claimed(struct router *router, const struct client_request *request, int64_t now)
 {
-	const struct route_table *routes = router->config.route_table;
-	const struct service_config *service = &routes->services[request->route.service_index];
 	struct plan best = { .server_index = -1, .fetch_source = -1 };
-	int current = relay_is_current(&router->relay, now);
-	uint64_t all =
-	    router_tokens_of_blocks(request, request->prompt.block_count) + request->prompt.tail_tokens;
-
-	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
-	     server_index++) {
-		struct router_server_state *server = &router->servers.states[server_index];
-		struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
-		double prefill;
-
-		if (router->config.server_table->servers[server_index].is_store ||
-		    router->config.server_table->servers[server_index].service_index !=
-			request->route.service_index ||
-		    router_avoids_server(request, server_index, now) ||
-		    !router_server_is_serving(router, server_index, now) ||
-		    running_count(server) >= server->slots)
+
+	for (uint32_t i = 0; i < router->config.server_table->server_count; i++) {
+		struct plan plan;
+
+		if (!is_open(router, request, i, now))
 			continue;
-		if (current)
-			plan.cached_blocks = prefix(router, request, server_index, server->weights);
-		prefill = router->naive_placement
-			      ? 0
-			      : (double)(all - router_tokens_of_blocks(request, plan.cached_blocks)) /
-				    service->prefill_tokens_per_ms;
-		plan.cost_ms = prefill + server->average_run_ms * running_count(server) / server->slots;
-		for (uint32_t source = 0; current && !router->naive_placement &&
-					  plan.cached_blocks < request->prompt.block_count &&
-					  source < router->config.server_table->server_count;
-		     source++) { /* a peer server or the store */
-			double speed = router->config.server_table->servers[source].is_store
-					   ? service->store_bytes_per_ms
-					   : service->link_bytes_per_ms,
-			       save, cost, fetch;
-			int n;
-
-			if (source == server_index ||
-			    router->config.server_table->servers[source].service_index !=
-				request->route.service_index ||
-			    !speed ||
-			    (!router->config.server_table->servers[source].is_store &&
-			     router->servers.states[source].weights != server->weights) ||
-			    !router_server_is_serving(router, source, now))
-				continue;
-			n = prefix(router, request, source, server->weights);
-			if (n <= plan.cached_blocks)
-				continue;
-			save = (double)(router_tokens_of_blocks(request, n) -
-					router_tokens_of_blocks(request, plan.cached_blocks));
-			fetch = save * service->kv_bytes_per_token / speed;
-			cost = fetch * router_link_slowness(router, source, server_index, now);
-			save /= service->prefill_tokens_per_ms;
-			if (cost < save && prefill - save + cost < plan.cost_ms - server->average_run_ms *
-										      running_count(server) /
-										      server->slots) {
-				plan.cost_ms = prefill - save + cost +
-					       server->average_run_ms * running_count(server) / server->slots;
-				plan.fetch_source = (int)source;
-				plan.fetch_end = n;
-				plan.fetch_ms = fetch;
-			}
-		}
-		if (best.server_index < 0 || plan.cost_ms < best.cost_ms ||
-		    (plan.cost_ms == best.cost_ms &&
-		     core_rendezvous_weight(request->sequence ^ router->id, server_index) >
-			 core_rendezvous_weight(request->sequence ^ router->id, (uint64_t)best.server_index)))
+		plan = weigh(router, request, i, now);
+		if (is_better(router, request, &plan, &best))
 			best = plan;
 	}
 	return best;
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -1,165 +1,151 @@
-/* router_placement: which server a forwarded request goes to, and what is fetched from where.
- * It goes where its prefix is kept, or to the prefix's home; elsewhere only where the wait there is so long
- * that it pays to move the prefix, and then with a fetch. Reading again what is kept somewhere is the dearest
- * of all. */
+/* router_placement_forwarded: which server a forwarded request goes to, and what is fetched from where. It
+ * goes where its prefix is cached, or to the prefix's home, which rendezvous hashing (Thaler and Ravishankar
+ * 1998) names; elsewhere only where the wait there is so long that moving the prefix pays, and then with a
+ * fetch. Prefill of what is cached somewhere is the most expensive. */
 #include "router_internal.h"
 
-#include <apr_strings.h>
-#include <string.h>
-
 #include "containers.h"
 
-/* The name under which kept parts are filed at servers. It says all that decides who may use them again: the
- * weights, the walls, and the purges that the view knows of. So a server finds no part that was made under
- * other weights or behind a wall, whatever it keeps; and a purge that is known here makes what was filed
- * before it unreachable from here. A scope with a retention row of its own has cache namespaces of its own,
- * and every clearing that covers a cache_namespace's slice gives it a new name. */
-const char *router_cache_namespace(struct router *router, const struct client_request *request,
-				   uint32_t weights, apr_pool_t *pool)
-{
-	const struct route_table *routes = router->config.route_table;
-	uint32_t service = request->route.service_index, tenant = request->route.tenant_index;
-	const char *weights_name = router->names.weights.names[weights], *name;
-	uint64_t namespace_key = router_namespace_key(router, request);
-	uint64_t cut = purge_view_tick(&router->relay.view, PURGE_WEIGHTS,
-				       router->names.services.names[service], weights_name);
-	uint64_t age = core_rendezvous_weight(routes->isolation_hash ^ router->cache.isolation_tick, cut);
-
-	name = apr_psprintf(pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name, age & 0xffffffff,
-			    routes->tenants[tenant].isolated ? "-" : "",
-			    routes->tenants[tenant].isolated ? router->names.tenants.names[tenant] : "");
-	return namespace_key ? apr_psprintf(pool, "%s~%016" APR_UINT64_T_HEX_FMT, name, namespace_key) : name;
-}
-
-uint64_t router_block_key(uint64_t cache_namespace, uint64_t id)
-{
-	return core_rendezvous_weight(cache_namespace, id);
-}
-
-/* The part that a request shares with others: the last one is its own. */
-uint64_t router_home_block(const struct client_request *request)
-{
-	return request->prompt.block_count > 1 ? request->prompt.block_hash[request->prompt.block_count - 2]
-	       : request->prompt.block_count   ? request->prompt.block_hash[0]
-					       : request->sequence;
-}
-
-static int shared_block_count(const struct client_request *request)
-{
-	return request->prompt.block_count > 1 ? request->prompt.block_count - 1
-					       : request->prompt.block_count;
-}
-
-/* The store that a prefix is left at, if any: of several always the same. -1: there is none. */
-int router_store_of(const struct router *router, const struct client_request *request)
-{
-	const struct route_table *routes = router->config.route_table;
-
-	if (!mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_OFFLOAD_STORE))
-		return -1;
-	return routes->store_count ? routes->stores[core_rendezvous_weight(61, router_home_block(request)) %
-						    routes->store_count]
-				   : routes->services[request->route.service_index].store_server;
-}
+enum {
+	ALTERNATIVES = 3, /* other servers that are weighed */
+	HOME_HASH_SEED = 67,
+	STORE_HASH_SEED = 61,
+	ALTERNATIVES_HASH_SEED = 53,
+	OFFLOAD_MIN_SHARED_RATIO = 3 /* shared tokens to the request's own, below which it is not offloaded */
+};
 
-enum { ALTERNATIVES = 3 };
+#define HOME_EXPECTED_SHARE \
+	0.7 /* of a prefix that others will have sent to its home by the time it is prefilled there */
 
 /* What one decision goes by. */
 struct placement {
 	const struct client_request *request;
 	const struct service_config *service;
 	int64_t now;
-	int home_server, store_server;  /* servers; -1: none */
-	int alternatives[ALTERNATIVES]; /* other servers that are weighed */
-	int shared_blocks;              /* leading parts that others have too */
-	int purge_view_current;         /* the purge view is: parts may be reused */
+	int home_server; /* -1: none */
+	int store_server;
+	int alternatives[ALTERNATIVES];
+	int shared_blocks;       /* leading blocks that other requests have too */
+	bool purge_view_current; /* cached blocks may be reused */
 	double all_tokens;
 	struct generation generations[MAX_GENERATIONS];
 	int generation_count;
 };
 
-/* A server that it may go to. Times in ms. */
+/* A server that the request may go to. */
 struct candidate {
 	struct plan plan;
-	double read_ms;
+	double prefill_ms; /* with its fetch */
 };
 
-static int is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
-		   int64_t now)
+int router_store_of(const struct router *router, const struct client_request *request)
+{
+	const struct route_table *routes = router->config.route_table;
+
+	if (!mechanism_in_use(router, MECHANISM_OFFLOAD_STORE))
+		return -1;
+	if (!routes->store_count)
+		return routes->services[request->route.service_index].store_server;
+	return routes->stores[core_rendezvous_weight(STORE_HASH_SEED, router_home_block(request)) %
+			      routes->store_count];
+}
+
+static bool is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
+		    int64_t now)
 {
-	const struct server_config *server = &router->config.server_table->servers[server_index];
+	const struct server_config *config = server_config_of(router, server_index);
 
-	return server->is_configured && !server->is_store &&
-	       server->service_index == request->route.service_index &&
+	return config->is_configured && !config->is_store &&
+	       config->service_index == request->route.service_index &&
 	       !router_avoids_server(request, server_index, now) &&
 	       router_server_is_serving(router, server_index, now);
 }
 
-/* ---- candidates ------------------------------------------------------------------------------------ */
+/* ---- candidates ------------------------------------------------------------------------------ */
+
+/* The hash that names a request's home. */
+static uint64_t home_key(const struct router *router, const struct client_request *request)
+{
+	if (mechanism_in_use(router, MECHANISM_HOMES))
+		return router_home_block(request);
+	return core_hash_string(HOME_HASH_SEED, request->client.request_id);
+}
+
+/* Whether a server may be a request's home, were it serving. */
+static bool may_be_home(const struct router *router, const struct client_request *request,
+			uint32_t server_index, int64_t now)
+{
+	const struct server_config *config = server_config_of(router, server_index);
+
+	return config->is_configured && !config->is_store && !config->draining &&
+	       config->service_index == request->route.service_index &&
+	       !router_avoids_server(request, server_index, now);
+}
 
-/* The server that rendezvous hashing names for a prefix, so that all routers name the same. While it does not
- * stand, the next in an order that does not change while others load, fall or rise; those with the newest
- * weights go first, since what is read there is of use when the others have them too. -1: none stands. */
+/* The server that rendezvous hashing names for a prefix, so that all routers name the same. While it does
+ * not serve, the next in an order that does not change while others load, fail or return; those with the
+ * target weights go first, since what is prefilled there is of use when the others have them too. -1: none
+ * serves. */
 static int home_server(struct router *router, const struct client_request *request, int64_t now)
 {
-	uint32_t newest = router->config.route_table->services[request->route.service_index].target_weights;
-	uint64_t block = mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_HOMES)
-			     ? router_home_block(request)
-			     : core_hash_string(67, request->client.request_id);
-	uint64_t first_weight = 0, best_weight = 0;
-	int home = -1, is_target = -1, best = -1;
+	uint32_t target = router->config.route_table->services[request->route.service_index].target_weights;
+	uint64_t key = home_key(router, request), first_weight = 0, best_weight = 0;
+	int home = -1, home_on_target = -1, first = -1;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
-		const struct server_config *config = &router->config.server_table->servers[s];
 		uint64_t weight;
 		int on_target;
 
-		if (!config->is_configured || config->is_store || config->draining ||
-		    config->service_index != request->route.service_index ||
-		    router_avoids_server(request, s, now))
+		if (!may_be_home(router, request, s, now))
 			continue;
-		weight = core_rendezvous_weight(block, router->servers.hashes[s]);
-		if (best < 0 || weight > first_weight) {
-			best = (int)s;
+		weight = core_rendezvous_weight(key, router->servers.hashes[s]);
+		if (first < 0 || weight > first_weight) {
+			first = (int)s;
 			first_weight = weight;
 		}
 		if (!router_server_is_serving(router, s, now))
 			continue;
-		on_target = router->servers.states[s].weights == newest;
-		if (home < 0 || on_target > is_target || (on_target == is_target && weight > best_weight)) {
+		on_target = router->servers.states[s].weights == target;
+		if (home < 0 || on_target > home_on_target ||
+		    (on_target == home_on_target && weight > best_weight)) {
 			home = (int)s;
-			is_target = on_target;
+			home_on_target = on_target;
 			best_weight = weight;
 		}
 	}
-	return best >= 0 && router_server_is_serving(router, (uint32_t)best, now) ? best : home;
+	return first >= 0 && router_server_is_serving(router, (uint32_t)first, now) ? first : home;
 }
 
-/* Where else it may go: a few that the request's own id names. All routers see the same load, some 50 ms old
- * or more; if each took the idlest of all, they would take the same one together. */
-static void find_choices(const struct router *router, struct placement *placement)
+/* Puts a server into the alternatives, which are in descending order of weight. */
+static void insert_alternative(struct placement *placement, uint64_t *weights, uint32_t server_index,
+			       uint64_t weight)
 {
-	uint64_t top[ALTERNATIVES] = { 0 }, id = core_hash_string(53, placement->request->client.request_id);
+	for (int k = 0; k < ALTERNATIVES; k++) {
+		if (placement->alternatives[k] >= 0 && weight <= weights[k])
+			continue;
+		for (int j = ALTERNATIVES - 1; j > k; j--) {
+			placement->alternatives[j] = placement->alternatives[j - 1];
+			weights[j] = weights[j - 1];
+		}
+		placement->alternatives[k] = (int)server_index;
+		weights[k] = weight;
+		return;
+	}
+}
+
+/* Where else it may go: a few that the request's own id names. All routers know the same load, some 50 ms old
+ * or more; if each took the least loaded of all servers, they would take the same one together. */
+static void find_alternatives(const struct router *router, struct placement *placement)
+{
+	uint64_t weights[ALTERNATIVES] = { 0 },
+		 id = core_hash_string(ALTERNATIVES_HASH_SEED, placement->request->client.request_id);
 
 	for (int k = 0; k < ALTERNATIVES; k++)
 		placement->alternatives[k] = -1;
-	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
-		uint64_t w;
-
-		if (!is_open(router, placement->request, s, placement->now))
-			continue;
-		w = core_rendezvous_weight(id, router->servers.hashes[s]);
-		for (int k = 0; k < ALTERNATIVES; k++)
-			if (placement->alternatives[k] < 0 || w > top[k]) {
-				for (int j = ALTERNATIVES - 1; j > k; j--) {
-					placement->alternatives[j] = placement->alternatives[j - 1];
-					top[j] = top[j - 1];
-				}
-				placement->alternatives[k] = (int)s;
-				top[k] = w;
-				break;
-			}
-	}
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
+		if (is_open(router, placement->request, s, placement->now))
+			insert_alternative(placement, weights, s,
+					   core_rendezvous_weight(id, router->servers.hashes[s]));
 }
 
 int router_candidates(struct router *router, const struct client_request *request, uint32_t *server_indices,
@@ -172,70 +158,82 @@
 
 	if (placement.home_server >= 0)
 		server_indices[n++] = (uint32_t)placement.home_server;
-	find_choices(router, &placement);
+	find_alternatives(router, &placement);
 	for (int k = 0; k < ALTERNATIVES && n < MAX_CANDIDATES; k++)
 		if (placement.alternatives[k] >= 0 && placement.alternatives[k] != placement.home_server)
 			server_indices[n++] = (uint32_t)placement.alternatives[k];
 	return n;
 }
 
-static int is_candidate(const struct router *router, const struct placement *placement, uint32_t server_index)
+static bool is_candidate(const struct router *router, const struct placement *placement,
+			 uint32_t server_index)
 {
 	if (router->servers.cached_depth[server_index] >= placement->shared_blocks ||
 	    (int)server_index == placement->home_server)
-		return 1;
+		return true;
 	for (int k = 0; k < ALTERNATIVES; k++)
 		if (placement->alternatives[k] == (int)server_index)
-			return 1;
-	return 0;
+			return true;
+	return false;
 }
 
-/* ---- what is kept where ---------------------------------------------------------------------------- */
+/* ---- what is cached where -------------------------------------------------------------------- */
 
-/* The deepest holder of the prefix among servers with these weights. -1: nobody is known to keep any. */
+/* Whether a server gives more of a prefix than another: it caches more blocks, or as many and has fewer own
+ * sends. */
+static bool gives_more(const struct router *router, uint32_t server_index, int other)
+{
+	int depth = router->servers.cached_depth[server_index];
+
+	if (other < 0 || depth > router->servers.cached_depth[other])
+		return true;
+	return depth == router->servers.cached_depth[other] &&
+	       router->servers.states[server_index].own_running < router->servers.states[other].own_running;
+}
+
+/* The server with these weights that caches most of the prefix. -1: none is known to cache any. */
 static int deepest_cache_server(const struct router *router, const struct placement *placement,
 				uint32_t weights)
 {
-	int deep = -1;
+	int deepest = -1;
 
-	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
-	     server_index++) {
-		const struct server_config *config = &router->config.server_table->servers[server_index];
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
+		const struct server_config *config = server_config_of(router, s);
 
-		if (!router->servers.cached_depth[server_index] ||
+		if (!router->servers.cached_depth[s] ||
 		    config->service_index != placement->request->route.service_index || config->is_store ||
-		    router->servers.states[server_index].weights != weights)
-			continue;
-		if (deep >= 0 &&
-		    (router->servers.cached_depth[server_index] < router->servers.cached_depth[deep] ||
-		     (router->servers.cached_depth[server_index] == router->servers.cached_depth[deep] &&
-		      router->servers.states[deep].own_running <=
-			  router->servers.states[server_index].own_running)))
+		    router->servers.states[s].weights != weights)
 			continue;
-		if (router_server_is_serving(router, server_index, placement->now))
-			deep = (int)server_index;
+		if (gives_more(router, s, deepest) && router_server_is_serving(router, s, placement->now))
+			deepest = (int)s;
 	}
-	return deep;
+	return deepest;
+}
+
+static bool store_is_up(const struct router *router, const struct placement *placement)
+{
+	int store = placement->store_server;
+
+	return store >= 0 && (uint32_t)store < router->config.server_table->server_count &&
+	       server_config_of(router, (uint32_t)store)->is_configured &&
+	       router_server_is_serving(router, (uint32_t)store, placement->now);
 }
 
-/* Of each generation the server to fetch from: servers' links are many, the store's is one, so it is asked
- * for what none keeps. */
+/* Of each generation the server to fetch from: servers have many links and the store one, so the store gives
+ * only what no server caches. */
 static void find_sources(const struct router *router, struct placement *placement)
 {
-	int store_up = placement->store_server >= 0 &&
-		       (uint32_t)placement->store_server < router->config.server_table->server_count &&
-		       router->config.server_table->servers[placement->store_server].is_configured &&
-		       router_server_is_serving(router, (uint32_t)placement->store_server, placement->now);
+	bool store_up = store_is_up(router, placement);
 
 	for (int k = 0; k < placement->generation_count; k++) {
 		struct generation *generation = &placement->generations[k];
-		int cached_at = deepest_cache_server(router, placement, generation->weights);
+		int server = deepest_cache_server(router, placement, generation->weights);
+		int depth = server >= 0 ? router->servers.cached_depth[server] : 0;
 
-		if (cached_at >= 0 &&
-		    (!store_up || router->servers.cached_depth[cached_at] >= generation->store_depth ||
-		     router->servers.cached_depth[cached_at] >= placement->shared_blocks)) {
-			generation->fetch_source = cached_at;
-			generation->source_depth = router->servers.cached_depth[cached_at];
+		if (server >= 0 &&
+		    (!store_up || depth >= generation->store_depth || depth >= placement->shared_blocks)) {
+			generation->fetch_source = server;
+			generation->source_depth = depth;
 		} else if (store_up && generation->store_depth) {
 			generation->fetch_source = placement->store_server;
 			generation->source_depth = generation->store_depth;
@@ -251,85 +249,111 @@
 	return NULL;
 }
 
-/* ---- cost ------------------------------------------------------------------------------------------ */
+/* ---- cost ------------------------------------------------------------------------------------ */
 
 /* What goes to a server with older weights has to begin there before newer ones are due: in twice the time
- * that it is reckoned to wait, as the load that is known is older than the load it will meet. */
-static int begins_in_time(const struct router *router, const struct placement *placement, uint32_t weights,
-			  double wait_ms)
+ * that it is expected to wait, as the load that is known is older than the load it will meet. */
+static bool begins_in_time(const struct router *router, const struct placement *placement, uint32_t weights,
+			   double wait_ms)
 {
-	return placement->now + (int64_t)(2 * wait_ms) <
-	       router_weights_last_send(router, placement->request->route.service_index, weights,
-					placement->now);
+	int64_t last_send = router_weights_last_send(router, placement->request->route.service_index, weights,
+						     placement->now);
+
+	return placement->now + (int64_t)(2 * wait_ms) < last_send;
 }
 
-/* Fetch what the server lacks of the prefix, where that is quicker than to read it. */
+/* Fetches what the server lacks of the prefix, where that is worth it. */
 static void plan_fetch(struct router *router, const struct placement *placement, struct candidate *candidate,
 		       int source, int end)
 {
 	const struct client_request *request = placement->request;
 	uint32_t server_index = (uint32_t)candidate->plan.server_index;
-	double more = (double)(router_tokens_of_blocks(request, end) -
-			       router_tokens_of_blocks(request, candidate->plan.cached_blocks));
-	double move = router_transfer_ms(router, (uint32_t)source, server_index, more, placement->service);
-	double ms =
-	    move + ROUTER_FETCH_OVERHEAD_MS + router_link_wait_ms(router, (uint32_t)source, placement->now);
+	double tokens = (double)(router_tokens_of_blocks(request, end) -
+				 router_tokens_of_blocks(request, candidate->plan.cached_blocks));
+	double transfer_ms =
+	    router_transfer_ms(router, (uint32_t)source, server_index, tokens, placement->service);
+	double ms = transfer_ms + ROUTER_FETCH_OVERHEAD_MS +
+		    router_link_wait_ms(router, (uint32_t)source, placement->now);
 
 	if (ms >= ROUTER_FETCH_MAX_MS)
 		return;
 	candidate->plan.fetch_source = source;
 	candidate->plan.fetch_end = end;
 	candidate->plan.fetch_ms = ms;
-	candidate->plan.transfer_ms = move;
-	candidate->read_ms += ms - more / placement->service->prefill_tokens_per_ms;
+	candidate->plan.transfer_ms = transfer_ms;
+	candidate->prefill_ms += ms - tokens / placement->service->prefill_tokens_per_ms;
 }
 
-/* What it costs to go to a server. 0: it cannot begin there in time. */
-static int weigh(struct router *router, const struct placement *placement, struct candidate *candidate)
+/* Where a server may fetch from: its generation's source; else the home, which caches the prefix unless
+ * nobody has used it yet. */
+static int source_for(const struct router *router, const struct placement *placement, uint32_t server_index,
+		      int *end)
 {
-	const struct client_request *request = placement->request;
-	uint32_t server_index = (uint32_t)candidate->plan.server_index,
-		 weights = router->servers.states[server_index].weights;
+	uint32_t weights = router->servers.states[server_index].weights;
 	const struct generation *generation = generation_of(placement, weights);
-	int source = generation ? generation->fetch_source : -1,
-	    end = source >= 0 ? generation->source_depth : 0, cached_blocks = candidate->plan.cached_blocks;
-	int is_home = (int)server_index == placement->home_server;
-
-	if (source < 0 && placement->purge_view_current && !is_home &&
-	    router->servers.states[placement->home_server].weights == weights) {
-		source = placement->home_server;
-		end = placement->shared_blocks; /* it has it, unless nobody asked there yet */
+	bool is_home = (int)server_index == placement->home_server;
+
+	*end = 0;
+	if (generation && generation->fetch_source >= 0) {
+		*end = generation->source_depth;
+		return generation->fetch_source;
 	}
-	candidate->read_ms =
-	    (placement->all_tokens - (double)router_tokens_of_blocks(request, cached_blocks)) /
-	    placement->service->prefill_tokens_per_ms;
-	if (!cached_blocks && is_home && source < 0)
-		candidate->read_ms -=
-		    0.7 * (double)router_tokens_of_blocks(request, placement->shared_blocks) /
-		    placement->service->prefill_tokens_per_ms; /* others will have sent it here */
-	if (source >= 0 && source != (int)server_index && end > cached_blocks &&
-	    placement->service->link_bytes_per_ms &&
-	    mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_FETCH))
+	if (!placement->purge_view_current || is_home ||
+	    router->servers.states[placement->home_server].weights != weights)
+		return -1;
+	*end = placement->shared_blocks;
+	return placement->home_server;
+}
+
+/* A server that takes in a prefix evicts others there: what prefill away from the home, or from where it is
+ * cached, costs besides. */
+static double eviction_ms(const struct placement *placement, const struct candidate *candidate, int source)
+{
+	const struct client_request *request = placement->request;
+	int server = candidate->plan.server_index, cached = candidate->plan.cached_blocks;
+	bool is_home = server == placement->home_server,
+	     from_peer = source >= 0 && source != placement->store_server && source != server;
+	uint64_t lacking;
+
+	if (cached >= placement->shared_blocks || (is_home && !from_peer))
+		return 0;
+	lacking = router_tokens_of_blocks(request, placement->shared_blocks) -
+		  router_tokens_of_blocks(request, cached);
+	return ROUTER_UNCACHED_SERVER_COST_MS +
+	       ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)lacking / 1000;
+}
+
+/* What it costs to go to a server. false: it cannot begin there in time. */
+static bool weigh(struct router *router, const struct placement *placement, struct candidate *candidate)
+{
+	const struct client_request *request = placement->request;
+	const struct service_config *service = placement->service;
+	uint32_t server_index = (uint32_t)candidate->plan.server_index;
+	int cached = candidate->plan.cached_blocks, end;
+	int source = source_for(router, placement, server_index, &end);
+
+	candidate->prefill_ms = (placement->all_tokens - (double)router_tokens_of_blocks(request, cached)) /
+				service->prefill_tokens_per_ms;
+	if (!cached && (int)server_index == placement->home_server && source < 0)
+		candidate->prefill_ms -= HOME_EXPECTED_SHARE *
+					 (double)router_tokens_of_blocks(request, placement->shared_blocks) /
+					 service->prefill_tokens_per_ms;
+	if (source >= 0 && source != (int)server_index && end > cached && service->link_bytes_per_ms &&
+	    mechanism_in_use(router, MECHANISM_FETCH))
 		plan_fetch(router, placement, candidate, source, end);
 	candidate->plan.cost_ms =
-	    candidate->read_ms + router_load_ms(router, server_index, placement->service, placement->now);
-	if (!begins_in_time(router, placement, weights, candidate->plan.cost_ms))
-		return 0;
-	if (cached_blocks < placement->shared_blocks &&
-	    (!is_home || (source >= 0 && source != placement->store_server && source != (int)server_index)))
-		candidate->plan.cost_ms +=
-		    ROUTER_UNCACHED_SERVER_COST_MS +
-		    ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS *
-			(double)(router_tokens_of_blocks(request, placement->shared_blocks) -
-				 router_tokens_of_blocks(request, cached_blocks)) /
-			1000;
-	return 1;
+	    candidate->prefill_ms + router_load_ms(router, server_index, service, placement->now);
+	if (!begins_in_time(router, placement, router->servers.states[server_index].weights,
+			    candidate->plan.cost_ms))
+		return false;
+	candidate->plan.cost_ms += eviction_ms(placement, candidate, source);
+	return true;
 }
 
-/* ---- the decision ---------------------------------------------------------------------------------- */
+/* ---- the decision ---------------------------------------------------------------------------- */
 
-static int placement_begin(struct router *router, struct placement *placement,
-			   const struct client_request *request, int64_t now)
+static bool placement_begin(struct router *router, struct placement *placement,
+			    const struct client_request *request, int64_t now)
 {
 	*placement = (struct placement){
 		.request = request,
@@ -337,20 +361,19 @@
 		.now = now,
 		.home_server = home_server(router, request, now),
 		.store_server = router_store_of(router, request),
-		.shared_blocks = shared_block_count(request),
+		.shared_blocks = router_shared_blocks(request),
 		.purge_view_current = relay_is_current(&router->relay, now),
-		.all_tokens = (double)(router_tokens_of_blocks(request, request->prompt.block_count) +
-				       request->prompt.tail_tokens),
+		.all_tokens = (double)router_prompt_tokens(request),
 	};
 	if (placement->home_server < 0 || !placement->service->is_configured)
-		return 0;
+		return false;
 	if (placement->purge_view_current)
 		placement->generation_count = router_generations(router, request, placement->generations);
 	router_prefix_depths(router, request, placement->generations, placement->generation_count,
 			     placement->store_server);
 	find_sources(router, placement);
-	find_choices(router, placement);
-	return 1;
+	find_alternatives(router, placement);
+	return true;
 }
 
 static enum decision_reason reason_of(const struct placement *placement, const struct plan *plan)
@@ -373,17 +396,16 @@
 
 	if (!placement_begin(router, &placement, request, now))
 		return best;
-	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
-	     server_index++) {
-		struct candidate candidate = { .plan = { .server_index = (int)server_index,
-							 .cached_blocks =
-							     router->servers.cached_depth[server_index],
-							 .fetch_source = -1 } };
-
-		if (!is_open(router, request, server_index, now) ||
-		    !is_candidate(router, &placement, server_index) ||
-		    !router_fits_server(router, request, server_index, candidate.plan.cached_blocks,
-					placement.service, now))
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
+		struct candidate candidate = {
+			.plan = { .server_index = (int)s,
+				  .cached_blocks = router->servers.cached_depth[s],
+				  .fetch_source = -1 },
+		};
+
+		if (!is_open(router, request, s, now) || !is_candidate(router, &placement, s) ||
+		    !router_fits_server(router, request, s, candidate.plan.cached_blocks, placement.service,
+					now))
 			continue;
 		if (!weigh(router, &placement, &candidate))
 			continue;
@@ -397,32 +419,44 @@
 	return best;
 }
 
-/* The store, where the prefix is to be left once it is read there: it is up and not known to have it. 0: not.
- */
+/* ---- the offload store ----------------------------------------------------------------------- */
+
+static bool store_caches(struct router *router, uint64_t block_key, uint32_t store)
+{
+	struct block_replica *replicas = prefix_index_find(&router->cache.index, block_key);
+
+	for (ptrdiff_t i = 0; i < arrlen(replicas); i++)
+		if (replicas[i].server_index == store)
+			return true;
+	return false;
+}
+
+/* A request's own blocks would be offloaded too and evict shared ones: one that adds few of its own will
+ * come. */
+static bool pays_to_offload(const struct client_request *request, int shared)
+{
+	uint64_t shared_tokens = router_tokens_of_blocks(request, shared);
+
+	return (request->prompt.total_tokens - shared_tokens) * OFFLOAD_MIN_SHARED_RATIO <= shared_tokens;
+}
+
 uint64_t router_offload_target(struct router *router, const struct client_request *request,
 			       uint64_t cache_namespace, int64_t now)
 {
-	int store = router_store_of(router, request), shared = shared_block_count(request);
+	struct placement placement = { .request = request,
+				       .now = now,
+				       .store_server = router_store_of(router, request) };
+	int shared = router_shared_blocks(request);
+	uint32_t store = (uint32_t)placement.store_server;
 
-	if (store < 0 || (uint32_t)store >= router->config.server_table->server_count ||
-	    !router->config.server_table->servers[store].is_configured ||
-	    !router_server_is_serving(router, (uint32_t)store, now))
+	if (!store_is_up(router, &placement) ||
+	    router_link_wait_ms(router, store, now) > ROUTER_OFFLOAD_MAX_LINK_WAIT_MS)
 		return 0;
-	if (router_link_wait_ms(router, (uint32_t)store, now) > ROUTER_OFFLOAD_MAX_LINK_WAIT_MS)
+	if (!pays_to_offload(request, shared))
 		return 0;
-	/* its own part would go there too and push shared ones out: one that brings little of it will come */
-	if ((request->prompt.total_tokens - router_tokens_of_blocks(request, shared)) * 3ull >
-	    router_tokens_of_blocks(request, shared))
-		return 0;
-	for (int i = 0; i < shared; i++) {
-		struct block_replica *replica = prefix_index_find(
-		    &router->cache.index, router_block_key(cache_namespace, request->prompt.block_hash[i]));
-		int there = 0;
-
-		for (ptrdiff_t k = 0; k < arrlen(replica) && !there; k++)
-			there = replica[k].server_index == (uint32_t)store;
-		if (!there)
-			return router->config.server_table->servers[store].packed_addr;
-	}
+	for (int i = 0; i < shared; i++)
+		if (!store_caches(router, router_block_key(cache_namespace, request->prompt.block_hash[i]),
+				  store))
+			return server_config_of(router, store)->packed_addr;
 	return 0;
 }
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -1,8 +1,8 @@
-/* router_prefix: which servers keep how much of a request's prompt, by the weights that they have. The head
- * of a zone hears what servers keep first and most; so a router asks it for the prefix of each request that
- * it takes (the paper's curiosity, sent to the nearest holder), and waits a few ms for the answer. Where none
- * comes in time it goes by its own index, which the head feeds. A question and its answer are some hundred
- * bytes, whatever the number of servers, routers and parts. */
+/* router_prefix_lookup: which servers cache how much of a request's prompt, by the weights that they have.
+ * The head of a zone hears first and most of what servers cache; so a router asks it for the prefix of each
+ * request that it admits (the paper's curiosity, sent to the nearest holder), and waits a few ms for the
+ * answer. Where none comes in time it uses its own index, which the head feeds. A lookup and its reply are
+ * some hundred bytes, whatever the number of servers, routers and blocks. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,41 +11,39 @@
 #include "containers.h"
 
 enum {
-	LOOKUP_INITIAL_ROUND_TRIP_MS = 6, /* what an answer is taken to need until some have come */
-	LOOKUP_WAIT_ROUND_TRIPS = 3,      /* of what answers took lately, a request waits for its own */
-	LOOKUP_MIN_WAIT_MS = 10,          /* and not for less: a tick may be between */
-	LOOKUP_MAX_WAIT_MS = 45,          /* nor for more: what an answer saves is not worth a longer wait */
-	LOOKUP_MAX_MISSES = 3, /* questions in a row without an answer after which none is waited for */
-	LOOKUP_PROBE_INTERVAL_MS = 400, /* until the next question to a head that does not answer */
-	LOOKUP_MAX_SERVERS = 6,         /* that an answer names for one generation */
-	LOOKUP_MAX_BLOCKS = 16          /* of a prompt that are asked for */
+	LOOKUP_INITIAL_ROUND_TRIP_MS = 6, /* assumed until some replies have come */
+	LOOKUP_WAIT_ROUND_TRIPS = 3,      /* for which a request waits for its reply */
+	LOOKUP_MIN_WAIT_MS = 10,          /* a tick may come between */
+	LOOKUP_MAX_WAIT_MS = 45,          /* what a reply saves is not worth a longer wait */
+	LOOKUP_MAX_MISSES = 3,            /* in a row, after which replies are not waited for */
+	LOOKUP_PROBE_INTERVAL_MS = 400,   /* between lookups while the head does not reply */
+	LOOKUP_MAX_SERVERS = 6,           /* that a reply names for one generation */
+	LOOKUP_MAX_BLOCKS = 16            /* of a prompt that are looked up */
 };
 
-/* ---- generations ----------------------------------------------------------------------------------- */
+/* ---- generations ----------------------------------------------------------------------------- */
 
 int router_generations(struct router *router, const struct client_request *request,
 		       struct generation *generations)
 {
 	int n = 0;
 
-	for (uint32_t server_index = 0; server_index < router->config.server_table->server_count;
-	     server_index++) {
-		const struct server_config *server = &router->config.server_table->servers[server_index];
+	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
+		const struct server_config *config = server_config_of(router, s);
+		uint32_t weights = router->servers.states[s].weights;
 		int k = 0;
 
-		if (!server->is_configured || server->is_store ||
-		    server->service_index != request->route.service_index)
+		if (!config->is_configured || config->is_store ||
+		    config->service_index != request->route.service_index)
 			continue;
-		while (k < n && generations[k].weights != router->servers.states[server_index].weights)
+		while (k < n && generations[k].weights != weights)
 			k++;
 		if (k < n || n == MAX_GENERATIONS)
 			continue;
 		generations[n++] = (struct generation){
-			.weights = router->servers.states[server_index].weights,
+			.weights = weights,
 			.cache_namespace = core_hash_string(
-			    0, router_cache_namespace(router, request,
-						      router->servers.states[server_index].weights,
-						      router->scratch_pool)),
+			    0, router_cache_namespace(router, request, weights, router->scratch_pool)),
 			.fetch_source = -1,
 		};
 	}
@@ -53,29 +51,29 @@
 	return n;
 }
 
-/* ---- the index here -------------------------------------------------------------------------------- */
+/* ---- this router's index --------------------------------------------------------------------- */
 
-/* How many of n leading parts each server keeps on this cache namespace, into c->depth, where it is larger;
- * the store's is returned. */
+/* Raises servers.cached_depth to how many of the leading blocks each server caches under this namespace;
+ * returns the store's. */
 static int index_depths(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
 			int block_count, int store)
 {
+	int *depth = router->servers.cached_depth;
 	int store_depth = 0;
 
 	for (int i = 0; i < block_count; i++) {
-		struct block_replica *replica =
+		struct block_replica *replicas =
 		    prefix_index_find(&router->cache.index, router_block_key(cache_namespace, blocks[i]));
 
-		for (ptrdiff_t k = 0; k < arrlen(replica); k++) {
-			uint32_t s = replica[k].server_index;
+		for (ptrdiff_t k = 0; k < arrlen(replicas); k++) {
+			uint32_t s = replicas[k].server_index;
 
 			if ((int)s == store)
 				store_depth = store_depth == i ? i + 1 : store_depth;
-			else if (s < (uint32_t)arrlen(router->servers.cached_depth) &&
-				 router->servers.cached_depth[s] == i)
-				router->servers.cached_depth[s] = i + 1;
+			else if (s < (uint32_t)arrlen(depth) && depth[s] == i)
+				depth[s] = i + 1;
 		}
-		if (!replica)
+		if (!replicas)
 			break;
 	}
 	return store_depth;
@@ -90,27 +88,27 @@
 		memset(router->servers.cached_depth, 0, n * sizeof *router->servers.cached_depth);
 }
 
-/* What an answer has said, as far as the servers it names still have the weights. */
+/* What a reply has said, as far as the servers it names still have the weights; returns the store's depth. */
 static int answered_depths(struct router *router, const struct client_request *request,
 			   const struct generation *generation, int store)
 {
 	int store_depth = 0;
 
 	for (int i = 0; i < request->lookup.prefix_count; i++) {
-		const struct cached_prefix *prefix_holder = &request->lookup.prefixes[i];
+		const struct cached_prefix *prefix = &request->lookup.prefixes[i];
 
-		if (prefix_holder->cache_namespace != generation->cache_namespace ||
-		    prefix_holder->server_index >= router->config.server_table->server_count)
+		if (prefix->cache_namespace != generation->cache_namespace ||
+		    prefix->server_index >= router->config.server_table->server_count)
 			continue;
-		if ((int)prefix_holder->server_index == store)
-			store_depth = (int)prefix_holder->depth;
-		else if (router->servers.states[prefix_holder->server_index].weights == generation->weights)
-			router->servers.cached_depth[prefix_holder->server_index] = (int)prefix_holder->depth;
+		if ((int)prefix->server_index == store)
+			store_depth = (int)prefix->depth;
+		else if (router->servers.states[prefix->server_index].weights == generation->weights)
+			router->servers.cached_depth[prefix->server_index] = (int)prefix->depth;
 	}
 	return store_depth;
 }
 
-/* What this router's own index says of servers with these weights. */
+/* What this router's own index says of servers with these weights; returns the store's depth. */
 static int own_depths(struct router *router, const struct client_request *request,
 		      const struct generation *generation, int store)
 {
@@ -132,25 +130,26 @@
 void router_prefix_depths(struct router *router, const struct client_request *request,
 			  struct generation *generations, int generation_count, int store)
 {
+	bool answered = request->lookup.state == LOOKUP_ANSWERED;
+
 	depths_clear(router);
 	for (int k = 0; k < generation_count; k++) {
 		struct generation *generation = &generations[k];
 
-		generation->store_depth = request->lookup.state == LOOKUP_ANSWERED
-					      ? answered_depths(router, request, generation, store)
-					      : own_depths(router, request, generation, store);
+		generation->store_depth = answered ? answered_depths(router, request, generation, store)
+						   : own_depths(router, request, generation, store);
 	}
 }
 
-/* ---- asking ---------------------------------------------------------------------------------------- */
+/* ---- asking ---------------------------------------------------------------------------------- */
 
-static int lookup_wait(const struct router *router)
+static int lookup_wait_ms(const struct router *router)
 {
 	int ms = (int)(LOOKUP_WAIT_ROUND_TRIPS * router->lookup.round_trip_ms);
 
-	return ms < LOOKUP_MIN_WAIT_MS   ? LOOKUP_MIN_WAIT_MS
-	       : ms > LOOKUP_MAX_WAIT_MS ? LOOKUP_MAX_WAIT_MS
-					 : ms;
+	if (ms < LOOKUP_MIN_WAIT_MS)
+		return LOOKUP_MIN_WAIT_MS;
+	return ms > LOOKUP_MAX_WAIT_MS ? LOOKUP_MAX_WAIT_MS : ms;
 }
 
 void router_lookup_open(struct router *router)
@@ -158,109 +157,129 @@
 	router->lookup.round_trip_ms = LOOKUP_INITIAL_ROUND_TRIP_MS;
 }
 
-/* The load of the servers that it may go to is asked for too: what the head tells all of them is older. */
+/* The load of the servers that it may go to is asked for too: what the head publishes to all routers is
+ * older. */
 static void request_load(struct router *router, const struct client_request *request,
 			 struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
 {
-	uint32_t server[MAX_CANDIDATES];
-	int count = router_candidates(router, request, server, now);
+	uint32_t server_indices[MAX_CANDIDATES];
+	int count = router_candidates(router, request, server_indices, now);
 
 	lookup->servers = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->servers);
 	for (int i = 0; i < count; i++)
-		lookup->servers[lookup->n_servers++] = router->servers.hashes[server[i]];
+		lookup->servers[lookup->n_servers++] = router->servers.hashes[server_indices[i]];
+}
+
+/* Whether there is a head to ask for a request's prefix. head_is_silent: it has not replied lately. */
+static bool may_query_head(const struct router *router, const struct client_request *request,
+			   bool head_is_silent, int64_t now)
+{
+	if (!mechanism_in_use(router, MECHANISM_LOOKUP) || !router->config.watch.upstream_count ||
+	    !request->prompt.block_count)
+		return false;
+	if (!router->config.server_table || !relay_is_current(&router->relay, now))
+		return false;
+	return !head_is_silent || now >= router->lookup.next_probe_at_ms;
+}
+
+/* The message for a request's blocks under these namespaces. */
+static struct Nl__PrefixLookup *lookup_message(const struct client_request *request, struct command_list *out)
+{
+	struct Nl__PrefixLookup *lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
+	const uint64_t *namespaces = request->lookup.namespaces;
+	int blocks =
+	    request->prompt.block_count < LOOKUP_MAX_BLOCKS ? request->prompt.block_count : LOOKUP_MAX_BLOCKS;
+
+	lookup->token = request->sequence;
+	lookup->n_cache_namespaces = (size_t)request->lookup.namespace_count;
+	lookup->cache_namespaces =
+	    apr_pmemdup(out->pool, namespaces, lookup->n_cache_namespaces * sizeof *namespaces);
+	lookup->n_blocks = (size_t)blocks;
+	lookup->blocks =
+	    apr_pmemdup(out->pool, request->prompt.block_hash, lookup->n_blocks * sizeof *lookup->blocks);
+	return lookup;
 }
 
 void router_lookup_send(struct router *router, struct client_request *request, int64_t now,
 			struct command_list *out)
 {
+	bool silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES;
 	struct generation generations[MAX_GENERATIONS];
 	struct Nl__PrefixLookup *lookup;
-	int silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES, n;
+	int n;
 
-	if (!mechanism_on(router->config.bounds.disabled_mechanisms, MECHANISM_LOOKUP) ||
-	    !router->config.watch.upstream_count || !request->prompt.block_count ||
-	    !router->config.server_table || !relay_is_current(&router->relay, now) ||
-	    (silent && now < router->lookup.next_probe_at_ms))
+	if (!may_query_head(router, request, silent, now))
 		return;
 	n = router_generations(router, request, generations);
 	if (!n)
 		return;
-	lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
-	lookup->token = request->sequence;
 	for (int k = 0; k < n; k++)
 		request->lookup.namespaces[k] = generations[k].cache_namespace;
 	request->lookup.namespace_count = n;
-	lookup->cache_namespaces = apr_pmemdup(out->pool, request->lookup.namespaces,
-					       (size_t)n * sizeof *request->lookup.namespaces);
-	lookup->n_cache_namespaces = (size_t)n;
-	lookup->n_blocks = request->prompt.block_count < LOOKUP_MAX_BLOCKS
-			       ? (size_t)request->prompt.block_count
-			       : LOOKUP_MAX_BLOCKS;
-	lookup->blocks =
-	    apr_pmemdup(out->pool, request->prompt.block_hash, lookup->n_blocks * sizeof *lookup->blocks);
+	lookup = lookup_message(request, out);
 	request_load(router, request, lookup, now, out);
 	command_send(out, router->config.watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
 	    lookup;
 	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
 	request->lookup.state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
 	request->lookup.sent_at_ms = now;
-	request->lookup.deadline_at_ms = silent ? 0 : now + lookup_wait(router);
+	request->lookup.deadline_at_ms = silent ? 0 : now + lookup_wait_ms(router);
 }
 
-int router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
+bool router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
 {
 	if (request->lookup.state != LOOKUP_PENDING)
-		return 0;
+		return false;
 	if (now < request->lookup.deadline_at_ms)
-		return 1;
+		return true;
 	request->lookup.state = LOOKUP_MISSED;
 	router->lookup.consecutive_misses++;
 	router->stats.lookups_missed++;
-	return 0;
+	return false;
 }
 
-/* ---- answering ------------------------------------------------------------------------------------- */
+/* ---- replying -------------------------------------------------------------------------------- */
 
-/* The deepest holders of one generation, and the stores that keep any. */
-static void answer_cached_prefixes(struct router *router, const struct Nl__PrefixLookup *lookup,
-				   size_t generation, struct Nl__PrefixLookupReply *reply,
-				   struct command_list *out)
+/* The servers that cache most of the prefix, of one generation; stores too. */
+static void answer_matches(struct router *router, const struct Nl__PrefixLookup *lookup, size_t generation,
+			   struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
+	uint32_t servers = router->config.server_table->server_count;
 	size_t limit = reply->n_matches + LOOKUP_MAX_SERVERS;
 
 	depths_clear(router);
 	(void)index_depths(router, lookup->cache_namespaces[generation], lookup->blocks,
 			   (int)lookup->n_blocks, -1);
 	for (int depth = (int)lookup->n_blocks; depth > 0 && reply->n_matches < limit; depth--)
-		for (uint32_t s = 0;
-		     s < router->config.server_table->server_count && reply->n_matches < limit; s++) {
-			struct Nl__PrefixMatch *prefix_holder;
+		for (uint32_t s = 0; s < servers && reply->n_matches < limit; s++) {
+			struct Nl__PrefixMatch *match;
 
 			if (router->servers.cached_depth[s] != depth ||
-			    !router->config.server_table->servers[s].is_configured)
+			    !server_config_of(router, s)->is_configured)
 				continue;
-			prefix_holder = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
-			prefix_holder->generation = (uint32_t)generation;
-			prefix_holder->server = router->servers.hashes[s];
-			prefix_holder->block_count = (uint32_t)depth;
-			reply->matches[reply->n_matches++] = prefix_holder;
+			match = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
+			match->generation = (uint32_t)generation;
+			match->server = router->servers.hashes[s];
+			match->block_count = (uint32_t)depth;
+			reply->matches[reply->n_matches++] = match;
 		}
 }
 
-/* The load of the servers that were asked for, and of the holders that are named. */
+/* The load of the servers that were asked for, and of those that are named. */
 static void answer_load(struct router *router, const struct Nl__PrefixLookup *lookup,
 			struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
-	reply->loads =
-	    apr_palloc(out->pool, (lookup->n_servers + reply->n_matches + 1) * sizeof *reply->loads);
-	for (size_t i = 0; i < lookup->n_servers + reply->n_matches; i++) {
+	size_t count = lookup->n_servers + reply->n_matches;
+
+	reply->loads = apr_palloc(out->pool, (count + 1) * sizeof *reply->loads);
+	for (size_t i = 0; i < count; i++) {
 		uint64_t hash = i < lookup->n_servers ? lookup->servers[i]
 						      : reply->matches[i - lookup->n_servers]->server;
-		ptrdiff_t at = hmgeti(router->servers.by_hash, hash);
+		ptrdiff_t position = hmgeti(router->servers.by_hash, hash);
 		struct Nl__ServerLoad *load;
 		struct load_cell all;
 
-		if (at < 0 || !router_fleet_load(router, router->servers.by_hash[at].value, &all))
+		if (position < 0 || !router_fleet_load(router, router->servers.by_hash[position].value, &all))
 			continue;
 		load = MESSAGE_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
@@ -284,62 +303,63 @@
 	reply->matches = apr_palloc(out->pool, (lookup->n_cache_namespaces * LOOKUP_MAX_SERVERS + 1) *
 						   sizeof *reply->matches);
 	for (size_t k = 0; k < lookup->n_cache_namespaces; k++)
-		answer_cached_prefixes(router, lookup, k, reply, out);
+		answer_matches(router, lookup, k, reply, out);
 	answer_load(router, lookup, reply, out);
 	router->stats.lookups_answered++;
 	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_LOOKUP_REPLY)->prefix_lookup_reply = reply;
 }
 
-static struct client_request *request_by_seq(const struct router *router, uint64_t seq)
-{
-	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--)
-		if (router->requests.all[i]->sequence == seq)
-			return router->requests.all[i];
-	return NULL;
-}
+/* ---- the reply ------------------------------------------------------------------------------- */
 
-/* The servers that an answer names, as this router numbers them. */
-static void learn_cached_prefixes(struct router *router, struct client_request *request,
-				  const struct Nl__PrefixLookupReply *reply)
+/* The servers that a reply names, by this router's indices. */
+static void learn_matches(struct router *router, struct client_request *request,
+			  const struct Nl__PrefixLookupReply *reply)
 {
-	request->lookup.prefixes =
-	    apr_palloc(request->pool, (reply->n_matches + 1) * sizeof *request->lookup.prefixes);
-	request->lookup.prefix_count = 0;
+	struct request_lookup *lookup = &request->lookup;
+
+	lookup->prefixes = apr_palloc(request->pool, (reply->n_matches + 1) * sizeof *lookup->prefixes);
+	lookup->prefix_count = 0;
 	for (size_t i = 0; i < reply->n_matches; i++) {
-		const struct Nl__PrefixMatch *prefix_holder = reply->matches[i];
-		ptrdiff_t position = hmgeti(router->servers.by_hash, prefix_holder->server);
+		const struct Nl__PrefixMatch *match = reply->matches[i];
+		ptrdiff_t position = hmgeti(router->servers.by_hash, match->server);
 
-		if (position < 0 || prefix_holder->generation >= (uint32_t)request->lookup.namespace_count ||
-		    prefix_holder->block_count > (uint32_t)request->prompt.block_count)
+		if (position < 0 || match->generation >= (uint32_t)lookup->namespace_count ||
+		    match->block_count > (uint32_t)request->prompt.block_count)
 			continue;
-		request->lookup.prefixes[request->lookup.prefix_count++] =
-		    (struct cached_prefix){ router->servers.by_hash[position].value,
-					    prefix_holder->block_count,
-					    request->lookup.namespaces[prefix_holder->generation] };
+		lookup->prefixes[lookup->prefix_count++] = (struct cached_prefix){
+			.server_index = router->servers.by_hash[position].value,
+			.depth = match->block_count,
+			.cache_namespace = lookup->namespaces[match->generation],
+		};
+	}
+}
+
+static void learn_loads(struct router *router, const struct Nl__PrefixLookupReply *reply)
+{
+	for (size_t i = 0; i < reply->n_loads; i++) {
+		const struct Nl__ServerLoad *load = reply->loads[i];
+		struct load_cell all = { load->prefill_tokens, load->running_requests, load->memory_tokens };
+		ptrdiff_t position = hmgeti(router->servers.by_hash, load->server);
+
+		if (position >= 0)
+			router_load_learn(router, router->servers.by_hash[position].value, &all);
 	}
 }
 
 void router_on_prefix_reply(struct router *router, const struct Nl__PrefixLookupReply *reply, int64_t now)
 {
-	struct client_request *request = request_by_seq(router, reply->token);
+	struct client_request *request = router_request_by_sequence(router, reply->token);
+	double round_trip_ms;
 
 	router->lookup.consecutive_misses = 0;
 	if (!request || request->lookup.sent_at_ms == 0 || request->lookup.state == LOOKUP_ANSWERED ||
 	    !router->config.server_table)
 		return;
-	router->lookup.round_trip_ms +=
-	    ((double)(now - request->lookup.sent_at_ms) - router->lookup.round_trip_ms) / 8;
+	round_trip_ms = (double)(now - request->lookup.sent_at_ms);
+	router->lookup.round_trip_ms += (round_trip_ms - router->lookup.round_trip_ms) / 8;
 	router->stats.lookups_used += request->lookup.state == LOOKUP_PENDING;
-	learn_cached_prefixes(router, request, reply);
-	for (size_t i = 0; i < reply->n_loads; i++) {
-		const struct Nl__ServerLoad *load = reply->loads[i];
-		ptrdiff_t at = hmgeti(router->servers.by_hash, load->server);
-
-		if (at >= 0)
-			router_load_learn(router, router->servers.by_hash[at].value,
-					  &(struct load_cell){ load->prefill_tokens, load->running_requests,
-							       load->memory_tokens });
-	}
+	learn_matches(router, request, reply);
+	learn_loads(router, reply);
 	request->lookup.state = LOOKUP_ANSWERED;
 	router->queueing.next_dispatch_at_ms = 0;
 }
--- /dev/null
+++ b/lib/data/router_purge.c
@@ -0,0 +1,47 @@
+/* router_purge: what purges withdraw from the prefix index as they arrive with the purge stream. Blocks that
+ * were cached before the purge's tick are dropped; what was cached later, under the purged state, stays. */
+#include "router_internal.h"
+
+#include <string.h>
+
+struct purge_match {
+	struct router *router;
+	const struct Nl__Value *value;
+};
+
+static int is_purged(const void *context, uint64_t block_hash, const struct block_replica *replica)
+{
+	const struct purge_match *match = context;
+	const struct Nl__Purge *purge = match->value->purge;
+	const struct router *router = match->router;
+
+	if (replica->stamp_tick >= match->value->tick)
+		return 0;
+	switch (purge->reason) {
+	case PURGE_WEIGHTS:
+		return !strcmp(router->names.services.names[replica->service_index], purge->service) &&
+		       !strcmp(router->names.weights.names[replica->weights_hash], purge->weights);
+	case PURGE_CONTEXT: /* of forwarded requests the namespace has another name from now on; the old ones
+			       go as servers say */
+		return !router->config.bounds.discover_instances &&
+		       !router_retains(router, replica->service_index, replica->tenant_index, block_hash,
+				       replica->stamp_tick);
+	case PURGE_TENANT:
+		return !strcmp(router->names.tenants.names[replica->tenant_index], purge->tenant);
+	default:
+		return !strcmp(router->names.servers.names[replica->server_index], purge->server);
+	}
+}
+
+void router_on_value(void *context, const struct Nl__Value *value)
+{
+	struct router *router = context;
+	struct purge_match match = { router, value };
+
+	if (value->purge && value->purge->reason == PURGE_TENANT &&
+	    value->tick > router->cache.isolation_tick)
+		router->cache.isolation_tick = value->tick;
+	if (value->purge && value->purge->reason == PURGE_CONTEXT)
+		router_on_context_purge(router, value, router->clock.now);
+	prefix_index_remove_if(&router->cache.index, is_purged, &match);
+}
--- a/lib/data/router_request.h
+++ b/lib/data/router_request.h
@@ -14,6 +14,7 @@
 /* Generations of weights that servers of one service may have at once, as far as they are told apart. */
 enum { MAX_GENERATIONS = 4 };
 
+/* Where a request is on its way. */
 enum request_state {
 	REQUEST_WAITING,  /* in its queue */
 	REQUEST_CLAIMING, /* out of its queue: its claim is being written, or it is between two sends */
@@ -32,6 +33,7 @@
 	REQUEST_OUTCOMES
 };
 
+/* A prefix lookup, as one request sees it. */
 enum lookup_state {
 	LOOKUP_NONE,    /* nobody was asked, or the answer is not waited for */
 	LOOKUP_PENDING, /* the request waits for the answer */
@@ -145,6 +147,7 @@
 	int prefix_count;
 };
 
+/* A request under way. */
 struct client_request {
 	enum request_state state;
 	bool is_forwarded; /* else it is of the product's own interface */
--- /dev/null
+++ b/lib/data/router_retry.c
@@ -0,0 +1,125 @@
+/* router_retry: whether a request whose send did not end completely goes to another server, and what clients
+ * are told of when to come back. Each service has a retry budget: first sends add to it, a retry takes from
+ * it, so that retries stay a bounded share of the traffic while servers fail. Invariant: a retry is taken
+ * from the budget when it is decided on, and put back if it is never sent. */
+#include "router_internal.h"
+
+#include "containers.h"
+
+int router_retry_fast_ms(struct router *router, int ms)
+{
+	uint64_t draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
+
+	return ms + (int)(draw % (uint64_t)(ms / 2 + 1));
+}
+
+int router_retry_after_ms(struct router *router, double ms)
+{
+	uint64_t draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
+	int64_t least_ms = (int64_t)ms;
+
+	if (ms < ROUTER_RETRY_AFTER_MIN_MS)
+		least_ms = ROUTER_RETRY_AFTER_MIN_MS;
+	else if (ms > ROUTER_RETRY_AFTER_MAX_MS)
+		least_ms = ROUTER_RETRY_AFTER_MAX_MS;
+	return (int)(least_ms + (int64_t)(draw % (uint64_t)least_ms));
+}
+
+/* ---- the budget ------------------------------------------------------------------------------ */
+
+/* Retries that may be saved up: a router's part of what the fleet may retry at once beside its share of the
+ * traffic. */
+static int64_t budget_cap(const struct router *router)
+{
+	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
+
+	if (!router->config.bounds.discover_instances)
+		return ROUTER_RETRY_BUDGET_MAX_MILLI;
+	return 1000 + (int64_t)router->config.bounds.retry_budget_slack * 600 / routers;
+}
+
+void router_retry_earn(struct router *router, uint32_t service_index)
+{
+	int64_t *budget = &router->quota.retry_budget[service_index];
+	int64_t cap = budget_cap(router);
+
+	*budget += router->config.bounds.discover_instances
+		       ? router->config.bounds.retry_budget_permille * 3 / 4
+		       : ROUTER_RETRY_EARNED_PER_SEND_MILLI;
+	if (*budget > cap)
+		*budget = cap;
+}
+
+/* Reserved at once: the request may wait in its queue, and others be decided on meanwhile. */
+static void reserve_retry(struct router *router, struct client_request *request)
+{
+	request->retry.budget_reserved = request->retry.attempt_count > 0;
+	if (request->retry.budget_reserved)
+		router->quota.retry_budget[request->route.service_index] -= ROUTER_RETRY_COST_MILLI;
+	router->stats.resends++;
+	router->stats.resumed += request->stream.has_begun != 0;
+}
+
+/* ---- another send ---------------------------------------------------------------------------- */
+
+void router_release_server(struct router *router, struct client_request *request, int64_t now)
+{
+	struct router_server_state *server = &router->servers.states[request->attempt.server_index];
+
+	server->own_running--;
+	if (request->is_forwarded) {
+		server->prefill_tokens -= request->attempt.prefill_tokens;
+		server->resident_tokens -= request->attempt.uncached_tokens;
+		request->attempt.prefill_tokens = 0;
+	}
+	request->retry.avoided_server = (uint32_t)request->attempt.server_index;
+	request->retry.avoided_until_ms = now + ROUTER_AVOID_SERVER_MS;
+	request->queueing.returned_at_ms = now;
+	request->attempt.server_index = -1;
+	request->state = REQUEST_CLAIMING;
+}
+
+/* Whether a request may be sent again at all after a send that may have run. A stream that the client has a
+ * part of continues only behind an event whose id is known. */
+static bool may_repeat(const struct client_request *request)
+{
+	if (request->stream.has_begun)
+		return request->route.resumable && request->stream.last_event_id;
+	return request->route.idempotent || request->route.resumable;
+}
+
+/* Whether another server may have it: within its own bounds and its service's budget. */
+static bool may_retry(const struct router *router, const struct client_request *request, int64_t now)
+{
+	return request->retry.attempt_count < request->retry.max_attempts &&
+	       request->retry.unreachable_count < ROUTER_MAX_UNREACHABLE_SENDS &&
+	       (!request->retry.attempt_count ||
+		router->quota.retry_budget[request->route.service_index] >= ROUTER_RETRY_COST_MILLI) &&
+	       now + ROUTER_RETRY_MIN_REMAINING_MS < request->client.deadline_at_ms;
+}
+
+void router_retry_or_end(struct router *router, struct client_request *request, bool not_started, int64_t now,
+			 struct command_list *out)
+{
+	router_release_server(router, request, now);
+	if (!not_started && !may_repeat(request)) {
+		router_break_off(router, request, 502, "the server's answer broke off", now, out);
+	} else if (!may_retry(router, request, now)) {
+		router_refuse(router, request, 503, "the server did not take it, and it may go to no other",
+			      ROUTER_RETRY_FAST_MS, now, out);
+	} else {
+		reserve_retry(router, request);
+		if (router_readmit(router, request, now, out))
+			router_send(router, request, now, out);
+	}
+}
+
+void router_recall(struct router *router, struct client_request *request, int64_t now,
+		   struct command_list *out)
+{
+	command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
+	(void)hmdel(router->requests.by_token, request->attempt.call_token);
+	request->attempt.call_token = 0;
+	request->retry.may_have_run = true; /* it may have begun just now */
+	router_retry_or_end(router, request, false, now, out);
+}
--- a/lib/data/router_route_table.h
+++ b/lib/data/router_route_table.h
@@ -11,6 +11,7 @@
 
 struct Nl__Row;
 
+/* A name and its index. */
 struct name_entry {
 	char *key;
 	uint32_t value; /* its index */
@@ -34,6 +35,7 @@
 	uint32_t cumulative_weight; /* of the services up to and with this one */
 };
 
+/* A route: requests to a host and path, and the service that they go to. Times of 0 are not set. */
 struct route_config {
 	bool is_configured;
 	bool resumable;    /* a broken stream may continue behind its last event */
@@ -52,6 +54,7 @@
 	uint32_t split_count;
 };
 
+/* A tenant, whose requests share quota and cached blocks. */
 struct tenant_config {
 	bool is_configured;
 	bool isolated; /* its cached blocks are its alone */
@@ -60,6 +63,7 @@
 	uint32_t priority_class; /* class + 1; 0: its routes' */
 };
 
+/* A service: servers that run the same model, and their speeds, which placement reckons with. */
 struct service_config {
 	bool is_configured;
 	uint32_t target_weights; /* index of the newest weights that its servers are to run */
@@ -115,11 +119,13 @@
 	uint64_t hash;
 };
 
+/* A client's key. */
 struct key_entry {
 	char *key;      /* digest of a client's key */
 	uint32_t value; /* tenant index */
 };
 
+/* One revision of the configuration. */
 struct route_table {
 	uint64_t revision;
 	apr_pool_t *pool;            /* owns the table */
--- /dev/null
+++ b/lib/data/router_server_table.c
@@ -0,0 +1,174 @@
+/* router_server_table: builds the server table: servers of the configuration or of the endpoint list,
+ * whichever the deployment has, and the offload stores of services. A server that is gone from the table has
+ * lost what it cached. */
+#include "router_internal.h"
+
+#include <apr_strings.h>
+#include <string.h>
+
+#include "containers.h"
+
+enum {
+	SERVER_HASH_SEED = 43,
+	MAX_WEIGHTS_NAME = 128, /* bytes, its end included */
+	MAX_WARM_UP_MS = 2000   /* for which a new server is left alone */
+};
+
+void router_server_table_free(struct server_table *servers)
+{
+	if (servers)
+		apr_pool_destroy(servers->pool);
+}
+
+/* Whether a service's row stands for a store: where stores have rows of their own those do, else each
+ * service's address. */
+static bool store_row(const struct router *router, const struct Nl__Row *row)
+{
+	if (row->kind != NL__KIND__SERVICE || !row->addr[0])
+		return false;
+	return router->config.route_table->store_count ? !row->store_bytes_per_ms
+						       : row->store_bytes_per_ms != 0;
+}
+
+static bool server_row(const struct router *router, const struct Nl__Row *row)
+{
+	return row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances;
+}
+
+static uint32_t store_index(struct router *router, const struct Nl__Row *row, apr_pool_t *pool)
+{
+	return names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
+}
+
+/* All servers get their index before the table is sized. */
+static void add_names(struct router *router, apr_pool_t *pool)
+{
+	const struct config_table *table = &router->config.watch.table;
+	const struct instances *instances = &router->config.watch.instances;
+
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
+		const struct Nl__Row *row = table->rows[i].value.row;
+
+		if (server_row(router, row))
+			names_id(&router->names.servers, row->name);
+		else if (store_row(router, row))
+			store_index(router, row, pool);
+	}
+	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
+		if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
+			names_id(&router->names.servers, instances->rows[i].key);
+}
+
+/* The router's arrays by server get places for what is new. */
+static void grow_arrays(struct router *router, uint32_t server_count)
+{
+	while (arrlen(router->servers.states) < (ptrdiff_t)server_count) {
+		uint32_t server_index = (uint32_t)arrlen(router->servers.states);
+		uint64_t hash = core_hash_string(SERVER_HASH_SEED, router->names.servers.names[server_index]);
+		struct router_server_state state;
+
+		memset(&state, 0, sizeof state);
+		arrput(router->servers.hashes, hash);
+		hmput(router->servers.by_hash, hash, server_index);
+		arrput(router->servers.states, state);
+	}
+}
+
+/* A service that is not in the route table has no place in its arrays: its servers do not count. */
+static void server_table_put(struct router *router, struct server_table *servers, uint32_t server_index,
+			     const char *service, struct server_config config)
+{
+	int service_index = names_find(&router->names.services, service);
+
+	if (service_index < 0 || (uint32_t)service_index >= router->config.route_table->service_count)
+		return;
+	config.is_configured = true;
+	config.service_index = (uint32_t)service_index;
+	config.packed_addr = core_parse_addr(config.addr);
+	config.addr = apr_pstrdup(servers->pool, config.addr);
+	servers->servers[server_index] = config;
+}
+
+static void put_row(struct router *router, struct server_table *servers, const struct Nl__Row *row)
+{
+	struct server_config config = { .addr = row->addr, .zone_hash = core_hash_string(0, row->zone) };
+
+	if (server_row(router, row)) {
+		config.draining = row->state != 0;
+		server_table_put(router, servers, names_id(&router->names.servers, row->name), row->service,
+				 config);
+	} else if (store_row(router, row)) {
+		config.is_store = true;
+		server_table_put(router, servers, store_index(router, row, servers->pool), row->name, config);
+	}
+}
+
+/* What the endpoint list says of a server; what the server itself said since goes first. */
+static void learn_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
+			   int64_t now)
+{
+	struct router_server_state *server = &router->servers.states[server_index];
+	int weights = -1;
+
+	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME)
+		weights = (int)names_id(&router->names.weights, instance->weights);
+	if (weights < 0 && !server->is_known)
+		server->weights =
+		    names_id(&router->names.weights, ""); /* not known: they count as the oldest */
+	if (weights >= 0 && (!server->is_known || server->listed_weights != (uint32_t)weights)) {
+		router_weights_learn(router, server_index, (uint32_t)weights);
+		server->listed_weights = (uint32_t)weights;
+	}
+	if (!server->is_known)
+		server->unavailable_until_ms =
+		    now + (instance->warm_up_ms > MAX_WARM_UP_MS ? MAX_WARM_UP_MS : instance->warm_up_ms);
+	server->is_known = true;
+	server->is_loading = instance->loading;
+	server->slots = instance->slots ? (int)instance->slots : 1;
+}
+
+static void put_instance(struct router *router, struct server_table *servers, const char *name,
+			 const struct Nl__Instance *instance, int64_t now)
+{
+	struct server_config config = { .addr = instance->addr,
+					.zone_hash = core_hash_string(0, instance->zone) };
+	int server_index = names_find(&router->names.servers, name);
+
+	if (server_index < 0 || instance->state == INSTANCE_REMOVED)
+		return;
+	config.draining = instance->state != INSTANCE_SERVING;
+	server_table_put(router, servers, (uint32_t)server_index, instance->service, config);
+	learn_instance(router, (uint32_t)server_index, instance, now);
+}
+
+/* That incarnation is over, and with it what the server cached. */
+static void forget_removed(struct router *router, const struct server_table *servers)
+{
+	const struct server_table *old = router->config.server_table;
+
+	for (uint32_t i = 0; old && i < old->server_count; i++)
+		if (old->servers[i].is_configured && !servers->servers[i].is_configured)
+			prefix_index_remove_unreported(&router->cache.index, i, UINT64_MAX);
+}
+
+struct server_table *router_server_table_new(struct router *router, int64_t now)
+{
+	const struct config_table *table = &router->config.watch.table;
+	const struct instances *instances = &router->config.watch.instances;
+	apr_pool_t *pool;
+	struct server_table *servers;
+
+	apr_pool_create(&pool, router->pool);
+	servers = apr_pcalloc(pool, sizeof *servers);
+	servers->pool = pool;
+	add_names(router, pool);
+	servers->server_count = (uint32_t)arrlen(router->names.servers.names);
+	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
+	grow_arrays(router, servers->server_count);
+	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
+		put_row(router, servers, table->rows[i].value.row);
+	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
+		put_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
+	forget_removed(router, servers);
+	return servers;
+}
