--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -1,7 +1,7 @@
 /* router_weights: until when servers with older weights may be sent requests, and what is done about a send
- * that has not begun by then. Newer weights that were named are on every server within a bound
- * (bounds.roll_ms); no request may begin on older ones after it. The date of each naming comes with the
- * configuration, on the control group's clock (lib/control/version_history.h). Always: no send leaves, and
+ * that has not begun by then. New target weights are on every server within the rollout bound
+ * (bounds.rollout_ms); no request may begin on older ones after it. The date of each target comes with the
+ * configuration, on the control group's clock (lib/control/version_history.h). Invariant: no send leaves, and
  * none is known to begin, on weights past their bound. What breaks this is counted and logged. */
 #include "router_internal.h"
 
@@ -13,29 +13,34 @@
 #include "containers.h"
 #include "version_history.h"
 
+enum { MAX_WEIGHTS_NAME = 128 }; /* bytes that a report's name may have */
+
 static uint64_t weights_number(const struct router *router, uint32_t weights)
 {
 	return strtoull(router->names.weights.names[weights], NULL, 10);
 }
 
-int64_t router_weights_end(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
+int64_t router_weights_end(const struct router *router, uint32_t service_index, uint32_t weights, int64_t now)
 {
-	const struct Nl__Row *model = router->config.route_table->services[service].model_row;
+	const struct service_config *service = &router->config.route_table->services[service_index];
+	const struct Nl__Row *model = service->model_row;
 	const struct Nl__TargetVersion *newer;
 	int64_t clock;
 
-	if (!model || weights == router->config.route_table->services[service].target_weights ||
+	if (!model || weights == service->target_weights ||
 	    !version_history_supersedes(model, weights_number(router, weights)))
 		return INT64_MAX;
 	newer = version_history_after(model, weights_number(router, weights));
 	clock = newer ? config_watch_clock_ms(&router->config.watch, newer->term, now) : 0;
-	return clock ? (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock + now
-		     : INT64_MIN; /* not known: the oldest date possible counts */
+	if (!clock)
+		return INT64_MIN; /* not known: the oldest date possible counts */
+	return (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock + now;
 }
 
-int64_t router_weights_last_send(const struct router *router, uint32_t service, uint32_t weights, int64_t now)
+int64_t router_weights_last_send(const struct router *router, uint32_t service_index, uint32_t weights,
+				 int64_t now)
 {
-	int64_t end = router_weights_end(router, service, weights, now);
+	int64_t end = router_weights_end(router, service_index, weights, now);
 
 	return end == INT64_MAX || end == INT64_MIN ? end : end - ROUTER_ROLLOUT_SEND_MARGIN_MS;
 }
@@ -47,22 +52,36 @@
 	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
 }
 
-static int is_number(const char *name)
+/* ---- weights of servers ---------------------------------------------------------------------- */
+
+static bool is_number(const char *name)
 {
 	return *name && strspn(name, "0123456789") == strlen(name);
 }
 
-/* Within one life a server's weights only rise, and what tells of them may be late. */
-void router_weights_learn(struct router *router, uint32_t server, uint32_t weights)
+/* Within one incarnation a server's weights only rise, and what tells of them may be late. */
+void router_weights_learn(struct router *router, uint32_t server_index, uint32_t weights)
 {
-	struct router_server_state *state = &router->servers.states[server];
-	const char *known = router->names.weights.names[state->weights],
+	struct router_server_state *server = &router->servers.states[server_index];
+	const char *known = router->names.weights.names[server->weights],
 		   *reported = router->names.weights.names[weights];
 
-	if (state->is_known && is_number(known) && is_number(reported) &&
-	    weights_number(router, weights) < weights_number(router, state->weights))
+	if (server->is_known && is_number(known) && is_number(reported) &&
+	    weights_number(router, weights) < weights_number(router, server->weights))
 		return;
-	state->weights = weights;
+	server->weights = weights;
+}
+
+/* A server may still have weights from before this router knew any. Names from reports are bounded in number
+ * and length. */
+int router_weights_index(struct router *router, const char *name)
+{
+	int index = names_find(&router->names.weights, name);
+
+	if (index >= 0 || strlen(name) > MAX_WEIGHTS_NAME ||
+	    arrlen(router->names.weights.names) >= ROUTER_MAX_WEIGHTS_NAMES)
+		return index;
+	return (int)names_id(&router->names.weights, name);
 }
 
 void router_weights_log_targets(struct router *router, const struct route_table *old, int64_t now)
@@ -72,41 +91,42 @@
 		const struct Nl__Row *before =
 		    old && i < old->service_count ? old->services[i].model_row : NULL;
 		const struct Nl__TargetVersion *newest;
+		int64_t age_ms;
 		char text[200];
 
 		if (!model || !model->n_target_versions ||
 		    (before && !strcmp(before->target_weights, model->target_weights)))
 			continue;
 		newest = model->target_versions[model->n_target_versions - 1];
-		snprintf(text, sizeof text,
-			 "Weights %.30s of %.60s were named %" PRId64 " ms ago; %zu namings have dates.",
-			 model->target_weights, router->names.services.names[i],
-			 config_watch_clock_ms(&router->config.watch, newest->term, now) -
-			     (int64_t)newest->targeted_at_ms,
-			 model->n_target_versions);
+		age_ms = config_watch_clock_ms(&router->config.watch, newest->term, now) -
+			 (int64_t)newest->targeted_at_ms;
+		snprintf(
+		    text, sizeof text,
+		    "Target weights %.30s of service %.60s: set %" PRId64 " ms ago, %zu versions have dates.",
+		    model->target_weights, router->names.services.names[i], age_ms, model->n_target_versions);
 		router->log(router->log_context, "weights", text);
 	}
 }
 
-/* ---- the invariant ---------------------------------------------------------------------------- */
+/* ---- the invariant --------------------------------------------------------------------------- */
 
 /* All are counted, and one a second is logged. */
 static void log_violation(struct router *router, const char *what, const struct client_request *request,
 			  int64_t late_ms)
 {
-	char line[400];
+	int64_t *logged_at_ms = &router->records.violation_logged_at_ms;
+	char text[400];
 
 	if (!router->log ||
-	    (router->records.violation_logged_at_ms &&
-	     router->clock.now - router->records.violation_logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
+	    (*logged_at_ms && router->clock.now - *logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
 		return;
-	router->records.violation_logged_at_ms = router->clock.now;
-	snprintf(line, sizeof line,
+	*logged_at_ms = router->clock.now;
+	snprintf(text, sizeof text,
 		 "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
 		 router->names.weights.names[request->attempt.weights],
 		 router->names.services.names[request->route.service_index],
 		 router->names.servers.names[request->attempt.server_index], late_ms);
-	router->log(router->log_context, "invariant", line);
+	router->log(router->log_context, "invariant", text);
 }
 
 void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now)
@@ -119,8 +139,9 @@
 	log_violation(router, "is sent", request, end == INT64_MIN ? 0 : now - end);
 }
 
-/* Whether this process has stood still since a moment: then what it hears may have happened long before. */
-static int paused_since(const struct router *router, int64_t time_ms)
+/* Whether this process was not scheduled at some time since: then what it learns now may have happened long
+ * before. */
+static bool paused_since(const struct router *router, int64_t time_ms)
 {
 	return router->clock.paused_at_ms >= time_ms;
 }
@@ -135,9 +156,7 @@
 	log_violation(router, "begins", request, now - end);
 }
 
-/* ---- taking back ------------------------------------------------------------------------------ */
-
-/* A send that waits at its server for longer than was reckoned must not begin after its weights' bound. It is
+/* A send that waits at its server for longer than was expected must not begin after its weights' bound. It is
  * cancelled in time, and goes to another server if it may. */
 void router_weights_recall(struct router *router, int64_t now, struct command_list *out)
 {
--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -494,7 +494,7 @@
 	msg.protocol_version = CORE_PROTOCOL_VERSION;
 	msg.config_sync_reply = &reply;
 	msg.addr = msg.id = 1;
-	event.u.message = &msg;
+	event.args.message = &msg;
 	node_step(engines, i, &event);
 	apr_pool_destroy(pool);
 }
@@ -564,7 +564,7 @@
 	a.host = "h";
 	a.path = apr_psprintf(w->pool, "/%d/", kind);
 	a.id = apr_psprintf(w->pool, "r%llu", (unsigned long long)a.token);
-	input.u.forwarded_request = &a;
+	input.args.forwarded_request = &a;
 	hmput(w->requests, at_router(router, a.token), submitted);
 	w->counts[kind].requests++;
 	node_step(w, router, &input);
@@ -699,9 +699,9 @@
 		update.events[update.n_events++] = cache_event;
 		update.next_offset = engine->event[i].no;
 	}
-	event.u.cache_watched.token = watch->token;
-	event.u.cache_watched.update = &update;
-	event.u.cache_watched.status = 200;
+	event.args.cache_watched.token = watch->token;
+	event.args.cache_watched.update = &update;
+	event.args.cache_watched.status = 200;
 	if (!engines->nodes[watch->router].silent)
 		node_step(engines, watch->router, &event);
 	apr_pool_destroy(pool);
@@ -751,7 +751,7 @@
 		n->first_ms += ms;
 		arrput(n->first, ms);
 	}
-	event.u.forward_began.token = happening->call;
+	event.args.forward_began.token = happening->call;
 	node_step(w, happening->router, &event);
 }
 
@@ -768,7 +768,7 @@
 	if (at >= 0 && happening->how == FORWARD_COMPLETE)
 		engines->counts[engines->calls[at].value.kind].ended++;
 	(void)hmdel(engines->calls, at_router(happening->router, happening->call));
-	event.u.forward_ended = &e;
+	event.args.forward_ended = &e;
 	node_step(engines, happening->router, &event);
 }
 
@@ -787,7 +787,7 @@
 		ended(engines, happening);
 		break;
 	case HAPPENS_MESSAGE:
-		event.u.message = happening->message;
+		event.args.message = happening->message;
 		node_step(engines, happening->router, &event);
 		nl__msg__free_unpacked(happening->message, NULL);
 		break;
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -47,7 +47,7 @@
 
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_MESSAGE;
-	event.u.message = message;
+	event.args.message = message;
 	message->protocol_version = CORE_PROTOCOL_VERSION;
 	router_fixture_step(fixture, &event);
 }
@@ -133,7 +133,7 @@
 	query.id = id;
 	query.limit_ms = 60000;
 	event.kind = ROUTER_EVENT_FORWARDED_REQUEST;
-	event.u.forwarded_request = &query;
+	event.args.forwarded_request = &query;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &event);
 	*status = 0;
@@ -150,7 +150,7 @@
 
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-	event.u.client_disconnected.token = fixture->token;
+	event.args.client_disconnected.token = fixture->token;
 	router_fixture_step(fixture, &event);
 }
 
@@ -167,7 +167,7 @@
 	struct forward_result ended = { .token = call, .end = how, .status = status };
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
-	event.u.forward_ended = &ended;
+	event.args.forward_ended = &ended;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &event);
 	for (int i = 0; how != FORWARD_COMPLETE && i < 4;
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1035,8 +1035,8 @@
 	}
 	memset(&ev, 0, sizeof ev);
 	ev.kind = ROUTER_EVENT_STREAM_CHUNK;
-	ev.u.stream_chunk.token = run->token;
-	ev.u.stream_chunk.text = line;
+	ev.args.stream_chunk.token = run->token;
+	ev.args.stream_chunk.text = line;
 	if (run->next < run->pieces)
 		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d\"}", run->request_id,
 			 run->next, run->id, run->next);
@@ -1539,24 +1539,24 @@
 		if (!message)
 			return;
 		ev.kind = ROUTER_EVENT_MESSAGE;
-		ev.u.message = message;
+		ev.args.message = message;
 		break;
 	case SIM_CALLED:
 		ev.kind = ROUTER_EVENT_REPORT_POLLED;
-		ev.u.report_polled.token = input->token;
-		ev.u.report_polled.status = input->status;
-		ev.u.report_polled.body = (const char *)input->data;
+		ev.args.report_polled.token = input->token;
+		ev.args.report_polled.status = input->status;
+		ev.args.report_polled.body = (const char *)input->data;
 		break;
 	case SIM_BROKE:
 		ev.kind = ROUTER_EVENT_CALL_ENDED;
-		ev.u.call_ended.token = input->token;
-		ev.u.call_ended.status = input->status;
-		ev.u.call_ended.not_started = input->step;
-		ev.u.call_ended.body = "";
+		ev.args.call_ended.token = input->token;
+		ev.args.call_ended.status = input->status;
+		ev.args.call_ended.not_started = input->step;
+		ev.args.call_ended.body = "";
 		break;
 	case SIM_DISCONNECT:
 		ev.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-		ev.u.client_disconnected.token = input->token;
+		ev.args.client_disconnected.token = input->token;
 		break;
 	case SIM_STOP:
 		ev.kind = ROUTER_EVENT_STOP;
@@ -1566,9 +1566,9 @@
 		if (!request)
 			return;
 		ev.kind = ROUTER_EVENT_CLAIMED_REQUEST;
-		ev.u.claimed_request.token = input->token;
-		ev.u.claimed_request.key_digest = request->key;
-		ev.u.claimed_request.body = (const char *)input->data;
+		ev.args.claimed_request.token = input->token;
+		ev.args.claimed_request.key_digest = request->key;
+		ev.args.claimed_request.body = (const char *)input->data;
 		break;
 	default:
 		return;
@@ -1806,7 +1806,7 @@
 static void count_line(void *ctx, const char *prefix, const char *line)
 {
 	(void)prefix;
-	((struct sim *)ctx)->n_odd += strstr(line, "Step report") != NULL;
+	((struct sim *)ctx)->n_odd += strstr(line, "Unreadable report") != NULL;
 }
 
 static void node_begin(struct sim *sim, int i, const uint64_t *seeds, int nseeds)
--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -415,7 +415,7 @@
 	e.weights = call->run_weights ? weights : NULL;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_FORWARD_ENDED;
-	event.u.forward_ended = &e;
+	event.args.forward_ended = &e;
 	if (how == FORWARD_BROKEN_OFF && call->request >= 0)
 		forwarding->requests[call->request].broke = 1;
 	forwarding->n_not_run += how == FORWARD_NOT_STARTED;
@@ -753,12 +753,12 @@
 		call->began_reported = 1;
 		memset(&ev, 0, sizeof ev);
 		ev.kind = ROUTER_EVENT_FORWARD_BEGAN;
-		ev.u.forward_began.token = call->token;
+		ev.args.forward_began.token = call->token;
 		{
 			char weights[24];
 
 			snprintf(weights, sizeof weights, "%d", call->run_weights);
-			ev.u.forward_began.weights = weights;
+			ev.args.forward_began.weights = weights;
 			sim_router_step(&forwarding->sim, node, &ev);
 		}
 		return;
@@ -907,9 +907,9 @@
 	k.n_events = (size_t)n;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_CACHE_WATCHED;
-	event.u.cache_watched.token = call->token;
-	event.u.cache_watched.update = status == 200 ? &k : NULL;
-	event.u.cache_watched.status = status;
+	event.args.cache_watched.token = call->token;
+	event.args.cache_watched.update = status == 200 ? &k : NULL;
+	event.args.cache_watched.status = status;
 	{
 		char name[32];
 
@@ -1092,7 +1092,7 @@
 		    (struct request_block){ block_id(forwarding, request, k), (uint32_t)block_tokens(k) };
 	memset(&ev, 0, sizeof ev);
 	ev.kind = ROUTER_EVENT_FORWARDED_REQUEST;
-	ev.u.forwarded_request = &query;
+	ev.args.forwarded_request = &query;
 	request->reached_router = 1;
 	sim_router_step(&forwarding->sim, request->node, &ev);
 }
@@ -1118,7 +1118,7 @@
 		return;
 	memset(&input, 0, sizeof input);
 	input.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-	input.u.client_disconnected.token = token;
+	input.args.client_disconnected.token = token;
 	sim_router_step(&forwarding->sim, node, &input);
 }
 
@@ -1140,7 +1140,7 @@
 	told(forwarding, request, SIM_FORWARD_LOST, 0);
 	memset(&input, 0, sizeof input);
 	input.kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-	input.u.client_disconnected.token = token;
+	input.args.client_disconnected.token = token;
 	sim_router_step(&forwarding->sim, request->node, &input);
 }
 
@@ -1415,8 +1415,8 @@
 
 	forwarding->stops_at[node] = forwarding->sim.now + grace_ms;
 	forwarding->grace_ms[node] = grace_ms;
-	input.u.shutdown.send_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms / 2;
-	input.u.shutdown.run_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms - 300;
+	input.args.shutdown.send_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms / 2;
+	input.args.shutdown.run_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms - 300;
 	sim_router_step(&forwarding->sim, node, &input);
 }
 
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -160,9 +160,9 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_CLAIMED_REQUEST };
 
-	event.u.claimed_request.token = ++talk->s.token;
-	event.u.claimed_request.key_digest = key;
-	event.u.claimed_request.body = body;
+	event.args.claimed_request.token = ++talk->s.token;
+	event.args.claimed_request.key_digest = key;
+	event.args.claimed_request.body = body;
 	talk->text = apr_pstrcat(talk->pool, talk->text, "exchange: ", body, "\n", NULL);
 	do_event(talk, &event);
 }
@@ -171,8 +171,8 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_STREAM_CHUNK };
 
-	event.u.stream_chunk.token = talk->call;
-	event.u.stream_chunk.text = line;
+	event.args.stream_chunk.token = talk->call;
+	event.args.stream_chunk.text = line;
 	talk->text = apr_pstrcat(talk->pool, talk->text, "line: ", line, "\n", NULL);
 	do_event(talk, &event);
 }
@@ -181,10 +181,10 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_CALL_ENDED };
 
-	event.u.call_ended.token = talk->call;
-	event.u.call_ended.status = status;
-	event.u.call_ended.not_started = never;
-	event.u.call_ended.body = "";
+	event.args.call_ended.token = talk->call;
+	event.args.call_ended.status = status;
+	event.args.call_ended.not_started = never;
+	event.args.call_ended.body = "";
 	talk->text = apr_psprintf(talk->pool, "%sserver ends: %d, never %d\n", talk->text, status, never);
 	do_event(talk, &event);
 }
@@ -193,8 +193,8 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_HTTP_GET };
 
-	event.u.http_get.token = ++t->s.token;
-	event.u.http_get.path = path;
+	event.args.http_get.token = ++t->s.token;
+	event.args.http_get.path = path;
 	t->text = apr_pstrcat(t->pool, t->text, "GET ", path, "\n", NULL);
 	do_event(t, &event);
 }
--- a/tests/test_cache_feed.c
+++ b/tests/test_cache_feed.c
@@ -61,7 +61,7 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
-	event.u.message = message;
+	event.args.message = message;
 	message->protocol_version = CORE_PROTOCOL_VERSION;
 	node_step(zone, i, &event);
 }
@@ -163,9 +163,9 @@
 		update.events[update.n_events] =
 		    event_new(pool, cache_namespace, 1 + random_below(zone, BLOCKS), !random_below(zone, 3));
 	}
-	event.u.cache_watched.token = token;
-	event.u.cache_watched.update = &update;
-	event.u.cache_watched.status = 200;
+	event.args.cache_watched.token = token;
+	event.args.cache_watched.update = &update;
+	event.args.cache_watched.status = 200;
 	node_step(zone, 0, &event);
 }
 
@@ -183,9 +183,9 @@
 	update.events = apr_palloc(pool, events * sizeof *update.events);
 	for (; update.n_events < events; update.n_events++)
 		update.events[update.n_events] = event_new(pool, "w1-a", 1 + random_below(zone, BLOCKS), 0);
-	event.u.cache_watched.token = token;
-	event.u.cache_watched.update = &update;
-	event.u.cache_watched.status = 200;
+	event.args.cache_watched.token = token;
+	event.args.cache_watched.update = &update;
+	event.args.cache_watched.status = 200;
 	node_step(zone, 0, &event);
 	apr_pool_destroy(pool);
 }
@@ -397,9 +397,9 @@
 		update.epoch = 1;
 		update.next_offset = i + 1;
 		update.events_lost = answers[i].lost;
-		event.u.cache_watched.token = token;
-		event.u.cache_watched.update = &update;
-		event.u.cache_watched.status = 200;
+		event.args.cache_watched.token = token;
+		event.args.cache_watched.update = &update;
+		event.args.cache_watched.status = 200;
 		node_step(&zone, 0, &event);
 		zone.now += ROUTER_CACHE_WATCH_INTERVAL_MS + TICK_MS;
 		zone.node[0].router.config.watch.fetched_at_ms = zone.now;
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -1371,7 +1371,7 @@
 	message.addr = message.id = LEADER_ADDR;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_MESSAGE;
-	event.u.message = &message;
+	event.args.message = &message;
 	core_step(&event);
 	apr_pool_destroy(pool);
 }
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -65,7 +65,7 @@
 	a.blocks[1] = (struct request_block){ 1000000 + fixture->token, OWN };
 	a.input_tokens = SHARED + OWN;
 	a.output_tokens = 10;
-	input.u.forwarded_request = &a;
+	input.args.forwarded_request = &a;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &input);
 	return router_fixture_last_call(fixture);
@@ -77,7 +77,7 @@
 
 	s->now += after_ms;
 	s->router.config.watch.fetched_at_ms = s->router.relay.known_at_ms = s->now;
-	event.u.forward_began.token = call;
+	event.args.forward_began.token = call;
 	router_fixture_step(s, &event);
 }
 
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -795,7 +795,8 @@
 		router_fixture_disconnect(&fixture);
 		if (k % 10 == 0) {
 			assert_int_equal(
-			    router_fixture_submit(&fixture, "h", "/x", id, &status)->route.service_index, first);
+			    router_fixture_submit(&fixture, "h", "/x", id, &status)->route.service_index,
+			    first);
 			router_fixture_disconnect(&fixture);
 		}
 		got[fixture.router.names.services.names[first][1] - '0']++;
@@ -885,8 +886,9 @@
 					ahead +=
 					    x == i ? 0 : fixture[x].router.servers.states[at].prefill_tokens;
 					running +=
-					    x == i ? 0
-						   : (uint32_t)fixture[x].router.servers.states[at].own_running;
+					    x == i
+						? 0
+						: (uint32_t)fixture[x].router.servers.states[at].own_running;
 				}
 				if (fixture[i].router.load.others[k].prefill_tokens != ahead ||
 				    fixture[i].router.load.others[k].running != running)
@@ -982,8 +984,9 @@
 		router_fixture_table(&fixture, rows, 1, instances, SRV, 2);
 		for (ptrdiff_t i = 0; i < hmlen(fixture.router.cache.index.blocks); i++)
 			for (ptrdiff_t q = 0; q < arrlen(fixture.router.cache.index.blocks[i].value); q++)
-				assert_int_not_equal(fixture.router.cache.index.blocks[i].value[q].server_index,
-						     names_find(&fixture.router.names.servers, "i-0"));
+				assert_int_not_equal(
+				    fixture.router.cache.index.blocks[i].value[q].server_index,
+				    names_find(&fixture.router.names.servers, "i-0"));
 		router_fixture_close(&fixture);
 	}
 }
@@ -1070,10 +1073,10 @@
 			ended.status = 200;
 			ended.has_begun = 1;
 			event.kind = ROUTER_EVENT_FORWARD_ENDED;
-			event.u.forward_ended = &ended;
+			event.args.forward_ended = &ended;
 		} else {
 			event.kind = ROUTER_EVENT_FORWARD_BEGAN;
-			event.u.forward_began.token = call;
+			event.args.forward_began.token = call;
 		}
 		router_fixture_step(&fixture, &event);
 		answered = fixture_told(&fixture);
@@ -1242,7 +1245,7 @@
 		rows[2]->n_target_versions = 1;
 		router_fixture_table(&fixture, rows, 3, &instance, 1, 2);
 		fixture.now = (int64_t)named.targeted_at_ms + fixture.router.config.bounds.rollout_ms -
-			   ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
+			      ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
 		fixture.router.config.watch.fetched_at_ms = fixture.now;
 		router_fixture_tick(&fixture, 1);
 		if (busy)
@@ -1331,8 +1334,8 @@
 		router_fixture_table(&fixture, rows, 2, &instance, 1, 1);
 		assert_non_null(request = router_fixture_submit(&fixture, "h", "/x", "id", &status));
 		request->attempt.id = "send";
-		event.u.stream_chunk.token = router_fixture_last_call(&fixture);
-		event.u.stream_chunk.text = lines[i];
+		event.args.stream_chunk.token = router_fixture_last_call(&fixture);
+		event.args.stream_chunk.text = lines[i];
 		command_list_clear(&fixture.commands);
 		router_fixture_step(&fixture, &event);
 		assert_null(router_request_by_token(&fixture.router, fixture.token));
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -552,7 +552,7 @@
 		for (int n = SIM_CONTROLLERS; n < SIM_CONTROLLERS + ROUTERS; n++) { /* what all have heard */
 			struct router_event event = { .kind = ROUTER_EVENT_MESSAGE };
 
-			event.u.message = &message;
+			event.args.message = &message;
 			router_step(sim.nodes[n].router, &event, sim.now + sim.nodes[n].clock_skew_ms,
 				    &sim.nodes[n].commands);
 			command_list_clear(&sim.nodes[n].commands);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -116,7 +116,7 @@
 	a.input_tokens = 2000;
 	a.output_tokens = 100;
 	input.kind = ROUTER_EVENT_FORWARDED_REQUEST;
-	input.u.forwarded_request = &a;
+	input.args.forwarded_request = &a;
 	command_list_clear(&w->s.commands);
 	router_fixture_step(&w->s, &input);
 	return router_request_by_token(&w->s.router, a.token);
@@ -131,7 +131,7 @@
 	};
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
-	event.u.forward_ended = &ended;
+	event.args.forward_ended = &ended;
 	command_list_clear(&world->s.commands);
 	router_fixture_step(&world->s, &event);
 }
@@ -140,7 +140,7 @@
 {
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
 
-	event.u.forward_began.token = call;
+	event.args.forward_began.token = call;
 	command_list_clear(&w->s.commands);
 	router_fixture_step(&w->s, &event);
 }
@@ -300,9 +300,9 @@
 	world_apply(&world);
 	memset(digest, 'a', 64);
 	digest[64] = 0;
-	event.u.claimed_request.token = 1;
-	event.u.claimed_request.key_digest = digest;
-	event.u.claimed_request.body = "{\"lane\":\"route\",\"id\":\"x\",\"tail\":\"t\"}";
+	event.args.claimed_request.token = 1;
+	event.args.claimed_request.key_digest = digest;
+	event.args.claimed_request.body = "{\"lane\":\"route\",\"id\":\"x\",\"tail\":\"t\"}";
 	router_fixture_step(&world.s, &event);
 	assert_int_equal(arrlen(world.s.router.requests.all), 1);
 	route->service = "new";
@@ -752,17 +752,17 @@
 		assert_non_null(ask(&world, "/x", 0));
 	assert_int_equal(router_request_by_token(&world.s.router, 2)->state, REQUEST_RUNNING);
 	assert_int_equal(router_request_by_token(&world.s.router, 3)->state, REQUEST_WAITING);
-	event.u.shutdown.send_deadline_at_ms = world.s.now + 2000;
-	event.u.shutdown.run_deadline_at_ms = world.s.now + 2700;
+	event.args.shutdown.send_deadline_at_ms = world.s.now + 2000;
+	event.args.shutdown.run_deadline_at_ms = world.s.now + 2700;
 	router_fixture_step(&world.s, &event);
-	while (world.s.now < event.u.shutdown.run_deadline_at_ms + 200) {
+	while (world.s.now < event.args.shutdown.run_deadline_at_ms + 200) {
 		command_list_clear(&world.s.commands);
 		world.s.router.config.watch.fetched_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		for (uint64_t i = 0; i < 3; i++)
 			if (heard(&world.s, i + 1))
 				answered[i] = heard(&world.s, i + 1);
-		if (world.s.now < event.u.shutdown.send_deadline_at_ms - 50)
+		if (world.s.now < event.args.shutdown.send_deadline_at_ms - 50)
 			assert_int_equal(arrlen(world.s.router.requests.all),
 					 3); /* not sooner than it must */
 	}
@@ -888,8 +888,8 @@
 		world->s.router.requests.all[0]->client.deadline_at_ms = world->s.now + 200;
 		return ticks_until_answered(world, 300);
 	case EVENT_PROCESS_STOPS:
-		stop.u.shutdown.send_deadline_at_ms = world->s.now + 200;
-		stop.u.shutdown.run_deadline_at_ms = world->s.now + 900;
+		stop.args.shutdown.send_deadline_at_ms = world->s.now + 200;
+		stop.args.shutdown.run_deadline_at_ms = world->s.now + 900;
 		router_fixture_step(&world->s, &stop);
 		return ticks_until_answered(world, 1100);
 	default:
