--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -1,539 +1,301 @@
-/* proc: settings, and the loop that every daemon runs: events to the owner of its state, commands performed.
- */
-#include <apr_file_info.h>
-#include <apr_strings.h>
-#include <argtable2.h>
-#include <errno.h>
-#include <fcntl.h>
-#include <json-c/json.h>
-#include <signal.h>
-#include <stdio.h>
-#include <stdlib.h>
+/* process: the main loop of a program; see process.h.
+ * One thread owns the state. It takes events from the ring one by one, steps the core with each, and performs
+ * the commands of a step before the next one. */
+#include "process.h"
+
 #include <string.h>
 #include <sys/random.h>
-#include <unistd.h>
 
+#include "api_server.h"
+#include "clock.h"
+#include "core.h"
 #include "containers.h"
+#include "log.h"
 #include "mechanism.h"
-#include "shell.h"
-
-#ifndef NL_VERSION
-#define NL_VERSION "0.1.0"
-#endif
+#include "process_internal.h"
+#include "ring.h"
+#include "server_calls.h"
+#include "shell_event.h"
+#include "storage.h"
+#include "transport.h"
 
 enum {
-	PROCESS_TICK_MS = 25,
-	PROCESS_SCAN_MS = 250,
-	PROCESS_DRAIN_MS = 30000,
-	PROCESS_RING_CAPACITY = 65536,
-	PROCESS_EVENT_BATCH = 64,
-	PROCESS_SETTINGS_POLL_MS = 1000,
-	PROCESS_FLUSH_MS = 50
+	TICK_MS = 25,
+	SCAN_MS = 250,            /* between looks for disconnected clients */
+	DEFAULT_GRACE_MS = 30000, /* for a planned stop */
+	EVENT_RING_CAPACITY = 65536,
+	MAX_EVENT_BATCH = 64, /* events between looks at the clock */
+	FLUSH_MS = 50         /* at the end, for answers given last to leave */
+};
+
+/* The state of the loop itself. */
+struct loop {
+	struct process *process;
+	const struct process_handlers *handlers;
+	struct settings_watch watch;
+	int64_t last_tick_ms;
+	int64_t last_scan_ms;
+	bool events_pending; /* the last batch was full */
 };
 
 uint64_t process_random_id(void)
 {
-	uint64_t v = 0;
+	uint64_t value = 0;
 
-	while (getrandom(&v, sizeof v, 0) != sizeof v)
+	while (getrandom(&value, sizeof value, 0) != sizeof value)
 		;
-	return v | 1;
+	return value | 1;
 }
 
-static volatile sig_atomic_t got_signal, got_hangup;
+/* ---- opening ---- */
 
-static void on_signal(int sig)
+static void log_disabled_mechanisms(const struct settings *settings)
 {
-	if (sig == SIGHUP)
-		got_hangup = 1;
-	else
-		got_signal = sig;
+	for (int i = 0; i < MECHANISMS; i++)
+		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)i))
+			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[i].name,
+				  mechanism_info[i].description);
 }
 
-void process_ignore_hangup(void)
+static int open_front_end(struct process *process)
 {
-	struct sigaction sa;
-
-	memset(&sa, 0, sizeof sa);
-	sa.sa_handler = SIG_IGN;
-	sigaction(SIGHUP, &sa, NULL);
+	if (!process->front_end->open(process->front_end_context, process))
+		return 0;
+	ring_on_push(process->events, process->front_end->wake, process->front_end_context);
+	return 1;
 }
 
-static void install_signal_handlers(const struct settings *settings)
+static int open_own_interface(struct process *process)
 {
-	struct sigaction sa;
-
-	memset(&sa, 0, sizeof sa);
-	sa.sa_handler = on_signal;
-	sigaction(SIGTERM, &sa, NULL);
-	sigaction(SIGINT, &sa, NULL);
-	if (!settings->read_external)
-		sa.sa_handler = SIG_DFL;
-	sigaction(SIGHUP, &sa, NULL);
-	sa.sa_handler = SIG_IGN;
-	sigaction(SIGPIPE, &sa, NULL);
+	process->api_server = api_server_open(process->settings.web, process->events, process->pool);
+	if (!process->api_server)
+		return 0;
+	process->server_calls = server_calls_open(process->events, process->pool);
+	return process->server_calls != NULL;
 }
 
-/* ---- settings ---- */
+int process_open(struct process *process)
+{
+	const struct settings *settings = &process->settings;
+
+	log_disabled_mechanisms(settings);
+	process_install_signal_handlers(settings);
+	if (!process->events)
+		ring_open(&process->events, EVENT_RING_CAPACITY, process->pool);
+	process->address = core_parse_addr(settings->advertise ? settings->advertise : settings->listen);
+	apr_pool_create(&process->commands.pool, NULL);
+	process->transport = transport_open(settings->listen, process->events, process->pool);
+	if (!process->transport)
+		return 0;
+	return process->front_end ? open_front_end(process) : open_own_interface(process);
+}
 
-static const char *const settings_keys = "listen, advertise, web, zone, seeds, data, fault";
+/* ---- commands ---- */
 
-static int settings_error(const char *program, const char *file, const char *key, const char *range)
+static void perform(struct process *process, struct command *command)
 {
-	fprintf(stderr, "%s: %s: %s: %s\n", program, file, key, range);
-	return 2;
+	switch (command->kind) {
+	case CMD_SEND:
+		transport_send(process->transport, command->args.send.addr, command->args.send.msg);
+		break;
+	case CMD_PERSIST:
+		storage_write(process->storage, command->args.persist);
+		break;
+	case CMD_ANSWER:
+		api_server_respond(process->api_server, command->args.answer.token,
+				   command->args.answer.status, command->args.answer.retry_ms,
+				   command->args.answer.body, command->args.answer.not_after_ms);
+		break;
+	case CMD_STREAM_CHUNK:
+		api_server_stream(process->api_server, command->args.stream_chunk.token,
+				  command->args.stream_chunk.body, command->args.stream_chunk.len, 0, 1);
+		break;
+	case CMD_END_STREAM:
+		api_server_stream(process->api_server, command->args.stream_chunk.token,
+				  command->args.stream_chunk.body, command->args.stream_chunk.len, 1,
+				  command->args.stream_chunk.success);
+		break;
+	case CMD_CALL:
+		server_calls_start(process->server_calls, command->args.call.token, command->args.call.addr,
+				   command->args.call.path, command->args.call.body,
+				   command->args.call.limit_ms, command->args.call.stream,
+				   command->args.call.not_after_ms);
+		break;
+	case CMD_CANCEL:
+		server_calls_cancel(process->server_calls, command->args.cancel.token);
+		break;
+	case CMD_FORWARD:
+	case CMD_LIST_SERVERS:
+	case CMD_POLL_REPORT:
+	case CMD_LOAD_WEIGHTS:
+	case CMD_WATCH_CACHE:
+		break; /* only front ends have them */
+	}
 }
 
-static int settings_read_file(struct settings *settings, const char *program, apr_pool_t *p)
+void process_perform(struct process *process)
 {
-	struct json_object *json = json_object_from_file(settings->file);
-	int rc = -1;
+	for (ptrdiff_t i = 0; i < arrlen(process->commands.commands); i++) {
+		struct command *command = &process->commands.commands[i];
 
-	if (!json_object_is_type(json, json_type_object)) {
-		rc = settings_error(program, settings->file, "file", "not readable as a JSON object");
-		goto end;
-	}
-	json_object_object_foreach(json, key, value)
-	{
-		const struct {
-			const char *name;
-			const char **target;
-		} strings[] = {
-			{ "listen", &settings->listen }, { "advertise", &settings->advertise },
-			{ "web", &settings->web },       { "zone", &settings->zone },
-			{ "data", &settings->data },     { "fault", &settings->fault },
-		};
-		int known = 0;
-
-		for (size_t i = 0; i < sizeof strings / sizeof *strings; i++)
-			if (!strcmp(key, strings[i].name)) {
-				known = 1;
-				if (!json_object_is_type(value, json_type_string)) {
-					rc = settings_error(program, settings->file, key, "a string");
-					goto end;
-				}
-				if (!*strings[i].target)
-					*strings[i].target = apr_pstrdup(p, json_object_get_string(value));
-			}
-		if (!strcmp(key, "seeds")) {
-			known = 1;
-			if (!json_object_is_type(value, json_type_array) ||
-			    json_object_array_length(value) > 8) {
-				rc = settings_error(program, settings->file, key,
-						    "a list of 1 to 8 addresses ip:port");
-				goto end;
-			}
-			if (!settings->seed_count)
-				for (size_t i = 0; i < json_object_array_length(value); i++)
-					settings->seeds[settings->seed_count++] = apr_pstrdup(
-					    p, json_object_get_string(json_object_array_get_idx(value, i)));
-		}
-		if (!known) {
-			rc = settings_error(program, settings->file, key,
-					    apr_psprintf(p, "no such key; known: %s", settings_keys));
-			goto end;
-		}
+		if (process->front_end && process->front_end->perform(process->front_end_context, command))
+			continue;
+		perform(process, command);
 	}
-end:
-	if (json)
-		json_object_put(json);
-	return rc;
+	command_list_clear(&process->commands);
 }
 
-static int settings_check(const struct settings *settings, const char *program, int has_storage)
+/* ---- the loop ---- */
+
+static void step(struct loop *loop, const struct shell_event *event, int64_t now)
 {
-	const char *file = settings->file ? settings->file : "flags";
-	const struct {
-		const char *name, *value;
-		int required;
-	} addresses[] = {
-		{ "listen", settings->listen, 1 },
-		{ "web", settings->web, 1 },
-		{ "advertise", settings->advertise, 0 },
-	};
-
-	for (size_t i = 0; i < sizeof addresses / sizeof *addresses; i++)
-		if (addresses[i].value ? !core_parse_addr(addresses[i].value) ||
-					     !(core_parse_addr(addresses[i].value) & 65535)
-				       : addresses[i].required)
-			return settings_error(program, file, addresses[i].name,
-					      "an address ip:port with a port of 1 to 65535");
-	if (!settings->zone || !settings->zone[0] || strlen(settings->zone) > 60)
-		return settings_error(program, file, "zone", "a name of 1 to 60 characters");
-	if (!settings->seed_count)
-		return settings_error(program, file, "seeds", "1 to 8 addresses ip:port of other processes");
-	for (int i = 0; i < settings->seed_count; i++)
-		if (!core_parse_addr(settings->seeds[i]))
-			return settings_error(program, file, "seeds",
-					      "1 to 8 addresses ip:port of other processes");
-	if (has_storage && (!settings->data || !settings->data[0]))
-		return settings_error(program, file, "data",
-				      "the folder that this registrar keeps its files in");
-	return -1;
+	loop->handlers->step(loop->handlers->context, event, now, &loop->process->commands);
+	process_perform(loop->process);
 }
 
-/* Where metrics are told, and the mechanisms that are off: only an experiment may switch one off. */
-static int settings_read_experiment(struct settings *settings, const char *program,
-				    const struct arg_int *metrics, const struct arg_lit *experiments,
-				    const struct arg_str *without)
+static void begin_stop(struct loop *loop, int64_t now)
 {
-	settings->experiments_allowed = experiments->count;
-	settings->metrics_port = metrics->count ? metrics->ival[0] : 0;
-	if (metrics->count && (settings->metrics_port < 1 || settings->metrics_port > 65535))
-		return settings_error(program, "flags", "metrics", "a port of 1 to 65535");
-	if (without->count && !experiments->count)
-		return settings_error(program, "flags", "without", "only with --experiments");
-	for (int i = 0; i < without->count; i++) {
-		int mechanism = mechanism_find(without->sval[i]);
-
-		if (mechanism < 0) {
-			fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program,
-				without->sval[i]);
-			for (int k = 0; k < MECHANISMS; k++)
-				fprintf(stderr, " %s", mechanism_info[k].name);
-			fprintf(stderr, "\n");
-			return 2;
-		}
-		settings->disabled_mechanisms |= UINT32_C(1) << mechanism;
+	struct process *process = loop->process;
+	struct shell_event stop = { .kind = SHELL_EVENT_STOP };
+
+	log_write(LOG_INFO, "process", "Shutting down: requests in flight end first.");
+	process->stopping = 1;
+	process->stop_deadline_ms =
+	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_GRACE_MS);
+	stop.deadline_ms = process->stop_deadline_ms;
+	if (process->front_end) {
+		process->front_end->stop(process->front_end_context, now);
+		process_perform(process);
+	} else {
+		step(loop, &stop, now);
 	}
-	return -1;
 }
 
-/* NOLINTNEXTLINE(readability-function-size): a flat list of settings */
-int settings_read(struct settings *settings, const char *program, int has_storage, int argc, char **argv,
-		  apr_pool_t *p)
+static bool is_stopped(const struct loop *loop, int64_t now)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how it is called"),
-		       *version = arg_lit0(NULL, "version", "say the version");
-	struct arg_lit *check = arg_lit0(NULL, "check", "check the settings and end; no socket opens");
-	struct arg_lit *other = arg_lit0(
-	    NULL, "platform",
-	    "take all settings from where the platform keeps them; with --check, --metrics, --experiments and --without alone");
-	struct arg_file *file = arg_file0("s", "settings", "FILE", "JSON settings; flags go first");
-	struct arg_str *listen = arg_str0("l", "listen", "IP:PORT", "where colleagues reach this process");
-	struct arg_str *advertise =
-	    arg_str0(NULL, "advertise", "IP:PORT", "the address told to colleagues, if another");
-	struct arg_str *web =
-	    arg_str0("w", "web", "IP:PORT",
-		     has_storage ? "where operators and the platform call" : "where callers call");
-	struct arg_str *zone = arg_str0("z", "zone", "NAME", "the zone of this machine");
-	struct arg_str *seed = arg_strn(NULL, "seed", "IP:PORT", 0, 8, "another process; give three");
-	struct arg_str *data =
-	    arg_str0("d", "data", "FOLDER", has_storage ? "the data folder" : "unused here");
-	struct arg_int *metrics = arg_int0(NULL, "metrics", "PORT", "tell metrics there, as GET /metrics");
-	struct arg_lit *experiments = arg_lit0(NULL, "experiments", "allow --without");
-	struct arg_str *without =
-	    arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "an experiment: switch a mechanism off");
-	struct arg_str *fault =
-	    arg_str0(NULL, "fault", "FILE", "rehearsals only: a file with the ms that each sync is slower");
-	struct arg_end *end = arg_end(10);
-	void *arguments[] = { help, version, check, other,   file,        listen,  advertise, web,
-			      zone, seed,    data,  metrics, experiments, without, fault,     end };
-	int (*read_external)(struct settings *, const char *, int, apr_pool_t *) = settings->read_external;
-	int rc = -1, bad;
-
-	memset(settings, 0, sizeof *settings);
-	if (arg_nullcheck(arguments))
-		return 1;
-	bad = arg_parse(argc, argv, arguments);
-	if (help->count) {
-		printf("Usage: %s", program);
-		arg_print_syntax(stdout, arguments, "\n");
-		arg_print_glossary(stdout, arguments, "  %-26s %s\n");
-		rc = 0;
-	} else if (version->count) {
-		printf("%s (notchlug) %s\n", program, NL_VERSION);
-		rc = 0;
-	} else if (bad) {
-		arg_print_errors(stderr, end, program);
-		rc = 2;
-	}
-	if (rc < 0)
-		rc = settings_read_experiment(settings, program, metrics, experiments, without);
-	if (rc >= 0)
-		goto end;
-	if (other->count) {
-		if (!read_external || listen->count + advertise->count + web->count + zone->count +
-					  seed->count + data->count + fault->count + file->count) {
-			rc = settings_error(
-			    program, "flags", "platform",
-			    read_external
-				? "no other flag but --check, --metrics, --experiments and --without with it"
-				: "not known by this program");
-			goto end;
-		}
-		if ((rc = read_external(settings, program, has_storage, p)) >= 0) {
-			fprintf(stderr, "%s: %s\n", program, settings->error_text);
-			goto end;
-		}
-		settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
-		settings->bounds.experiments = settings->experiments_allowed;
-		settings->check_only = check->count;
-		settings->read_external = read_external;
-		goto check;
+	const struct process *process = loop->process;
+
+	if (!process->stopping)
+		return false;
+	if (loop->handlers->is_idle(loop->handlers->context) &&
+	    (!process->front_end || process->front_end->is_idle(process->front_end_context, now)))
+		return true;
+	return now >= process->stop_deadline_ms;
+}
+
+/* What is due by the clock. */
+static void run_timers(struct loop *loop, int64_t now)
+{
+	struct process *process = loop->process;
+	const struct process_handlers *handlers = loop->handlers;
+
+	if (now - loop->last_tick_ms >= TICK_MS) {
+		loop->last_tick_ms = now;
+		step(loop, NULL, now);
+		if (handlers->streams_valid_until && !process->front_end)
+			api_server_valid_until(process->api_server,
+					       handlers->streams_valid_until(handlers->context));
 	}
-	settings->bounds = bounds_default;
-	settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
-	settings->bounds.experiments = settings->experiments_allowed;
-#define TAKE(a) ((a)->count ? apr_pstrdup(p, (a)->sval[0]) : NULL)
-	settings->listen = TAKE(listen);
-	settings->advertise = TAKE(advertise);
-	settings->web = TAKE(web);
-	settings->zone = TAKE(zone);
-	settings->data = TAKE(data);
-	settings->fault = TAKE(fault);
-#undef TAKE
-	for (int i = 0; i < seed->count && i < 8; i++)
-		settings->seeds[settings->seed_count++] = apr_pstrdup(p, seed->sval[i]);
-	settings->check_only = check->count;
-	settings->file = file->count ? apr_pstrdup(p, file->filename[0]) : NULL;
-	if (settings->file)
-		rc = settings_read_file(settings, program, p);
-check:
-	if (rc < 0)
-		rc = settings_check(settings, program, has_storage);
-	if (rc < 0 && settings->check_only) {
-		printf("%s: the settings are good\n", program);
-		rc = 0;
+	if (!process->front_end && now - loop->last_scan_ms >= SCAN_MS) {
+		loop->last_scan_ms = now;
+		api_server_scan(process->api_server);
 	}
-	if (rc < 0 && settings->read_external)
-		install_signal_handlers(settings); /* the platform may signal at once */
-end:
-	arg_freetable(arguments, sizeof arguments / sizeof *arguments);
-	return rc;
 }
 
-/* ---- the loop ---- */
-
-/* Settings of another form may change at any time, with a signal or without. A file that is torn or bad
- * changes nothing, is said once, and is read again until it is good. */
-struct watch {
-	int64_t next_poll_at_ms;
-	apr_time_t mtime;
-	apr_ino_t inode;
-	apr_off_t size;
-	int retry_due;
-	char last_error[500];
-};
+/* The next event, waited for until the next tick. A front end waits for its sockets meanwhile; it isn't woken
+ * by what stands in the ring already, so it doesn't wait then. */
+static struct shell_event *next_event(const struct loop *loop, int64_t now)
+{
+	const struct process *process = loop->process;
+	int64_t next_tick_ms = loop->last_tick_ms + TICK_MS;
+	int wait_ms = next_tick_ms > now ? (int)(next_tick_ms - now) : 0;
+
+	if (!process->front_end)
+		return ring_pop(process->events, wait_ms);
+	process->front_end->wait(process->front_end_context, loop->events_pending ? 0 : wait_ms);
+	return ring_pop(process->events, 0);
+}
 
-static int watch_file_changed(struct watch *watch, const char *file, apr_pool_t *p)
+static void handle_event(struct loop *loop, struct shell_event *event)
 {
-	apr_finfo_t info;
-	int changed;
-
-	memset(&info, 0, sizeof info);
-	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, p) != APR_SUCCESS &&
-	    !info.valid)
-		return watch->retry_due = 1; /* gone for a moment, or for good: the reading says so */
-	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
-	watch->mtime = info.mtime;
-	watch->inode = info.inode;
-	watch->size = info.size;
-	return changed;
+	step(loop, event, clock_ms());
+	shell_event_free(event);
 }
 
-static void poll_settings(struct process *p, struct watch *watch, const struct process_handlers *duty,
-			  int64_t now)
+static void handle_events(struct loop *loop, int64_t now)
 {
-	struct settings settings;
-	apr_pool_t *scratch;
-	int changed;
+	struct shell_event *event = next_event(loop, now);
 
-	if (!p->settings.read_external || (now < watch->next_poll_at_ms && !got_hangup))
-		return;
-	apr_pool_create(&scratch, p->pool);
-	changed = watch_file_changed(watch, p->settings.file, scratch);
-	if (!watch->next_poll_at_ms) /* the first look: they were read a moment ago */
-		changed = 0;
-	watch->next_poll_at_ms = now + PROCESS_SETTINGS_POLL_MS;
-	if (got_hangup || changed || watch->retry_due) {
-		memset(&settings, 0, sizeof settings);
-		if (p->settings.read_external(&settings, "", p->storage != NULL, scratch) >= 0) {
-			watch->retry_due = 1;
-			if (strncmp(watch->last_error, settings.error_text, sizeof watch->last_error - 1))
-				log_write(LOG_WARN, "proc", "Settings stay as they were. %s.",
-					  settings.error_text);
-			apr_cpystrn(watch->last_error, settings.error_text, sizeof watch->last_error);
-		} else {
-			watch->retry_due = 0;
-			watch->last_error[0] = 0;
-			log_write(LOG_INFO, "proc", "Settings are read anew%s.",
-				  got_hangup ? ", as asked by SIGHUP" : "");
-			settings.bounds.disabled_mechanisms = p->settings.disabled_mechanisms;
-			settings.bounds.experiments = p->settings.experiments_allowed;
-			p->settings.bounds = settings.bounds;
-			p->settings.grace_ms = settings.grace_ms;
-			if (duty->settings_changed)
-				duty->settings_changed(duty->context, &settings);
-		}
-		got_hangup = 0;
+	for (int i = 0; event && i < MAX_EVENT_BATCH; i++) {
+		handle_event(loop, event);
+		event = ring_pop(loop->process->events, 0);
 	}
-	apr_pool_destroy(scratch);
+	loop->events_pending = event != NULL;
+	if (event) /* popped already */
+		handle_event(loop, event);
 }
 
-static void log_experiment(const struct settings *settings)
-{
-	for (int mechanism = 0; mechanism < MECHANISMS; mechanism++)
-		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)mechanism))
-			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[mechanism].name,
-				  mechanism_info[mechanism].description);
-}
+/* ---- the end ---- */
 
-int process_open(struct process *p)
+/* Answers that were just given leave. */
+static void flush(const struct process *process)
 {
-	log_experiment(&p->settings);
-	install_signal_handlers(&p->settings);
-	if (!p->events)
-		ring_open(&p->events, PROCESS_RING_CAPACITY, p->pool);
-	p->address = core_parse_addr(p->settings.advertise ? p->settings.advertise : p->settings.listen);
-	apr_pool_create(&p->commands.pool, NULL);
-	if (p->front_end) {
-		p->transport = transport_open(p->settings.listen, p->events, p->pool);
-		if (!p->transport || !p->front_end->open(p->front_end_context, p))
-			return 0;
-		ring_on_push(p->events, p->front_end->wake, p->front_end_context);
-		return 1;
+	int64_t now = clock_ms();
+	int64_t end_ms = now + FLUSH_MS;
+
+	if (!process->front_end) {
+		apr_sleep(apr_time_from_msec(FLUSH_MS));
+		return;
 	}
-	return (p->transport = transport_open(p->settings.listen, p->events, p->pool)) &&
-	       (p->api_server = api_server_open(p->settings.web, p->events, p->pool)) &&
-	       (p->server_calls = server_calls_open(p->events, p->pool));
+	for (; now < end_ms; now = clock_ms())
+		process->front_end->wait(process->front_end_context, (int)(end_ms - now));
 }
 
-void process_perform(struct process *p)
+static void discard_events(struct process *process)
 {
-	for (ptrdiff_t i = 0; i < arrlen(p->commands.commands); i++) {
-		struct command *command = &p->commands.commands[i];
+	struct shell_event *event;
 
-		if (p->front_end && p->front_end->perform(p->front_end_context, command))
-			continue;
-		switch (command->kind) {
-		case CMD_SEND:
-			transport_send(p->transport, command->args.send.addr, command->args.send.msg);
-			break;
-		case CMD_PERSIST:
-			storage_write(p->storage, command->args.persist);
-			break;
-		case CMD_ANSWER:
-			api_server_respond(p->api_server, command->args.answer.token,
-					   command->args.answer.status, command->args.answer.retry_ms,
-					   command->args.answer.body, command->args.answer.not_after_ms);
-			break;
-		case CMD_STREAM_CHUNK:
-			api_server_stream(p->api_server, command->args.stream_chunk.token,
-					  command->args.stream_chunk.body, command->args.stream_chunk.len, 0,
-					  1);
-			break;
-		case CMD_END_STREAM:
-			api_server_stream(p->api_server, command->args.stream_chunk.token,
-					  command->args.stream_chunk.body, command->args.stream_chunk.len, 1,
-					  command->args.stream_chunk.success);
-			break;
-		case CMD_CALL:
-			server_calls_start(p->server_calls, command->args.call.token, command->args.call.addr,
-					   command->args.call.path, command->args.call.body,
-					   command->args.call.limit_ms, command->args.call.stream,
-					   command->args.call.not_after_ms);
-			break;
-		case CMD_CANCEL:
-			server_calls_cancel(p->server_calls, command->args.cancel.token);
-			break;
-		case CMD_FORWARD:
-		case CMD_LIST_SERVERS:
-		case CMD_POLL_REPORT:
-		case CMD_LOAD_WEIGHTS:
-		case CMD_WATCH_CACHE:
-			break; /* only doors of other languages have them */
-		}
+	while ((event = ring_pop(process->events, 0)))
+		shell_event_free(event);
+}
+
+/* The core handles nothing more: its ring is kept empty so that no thread waits to push while it's joined. */
+static void close_all(struct process *process)
+{
+	if (process->front_end) {
+		ring_on_push(process->events, NULL, NULL);
+		process->front_end->close(process->front_end_context);
+	} else {
+		api_server_close(process->api_server);
 	}
-	command_list_clear(&p->commands);
+	discard_events(process);
+	if (!process->front_end)
+		server_calls_close(process->server_calls);
+	transport_close(process->transport);
+	if (process->storage)
+		storage_close(process->storage);
+	discard_events(process);
+	arrfree(process->commands.commands);
+	apr_pool_destroy(process->commands.pool);
 }
 
-/* NOLINTNEXTLINE(readability-function-size): to be cut, issue 18 */
-int process_run(struct process *p, const struct process_handlers *duty)
+int process_run(struct process *process, const struct process_handlers *handlers)
 {
-	int64_t tick = 0, scan = 0, now;
-	struct watch watch = { 0 };
-	struct shell_event *event;
-	int full = 0;
+	struct loop loop = { .process = process, .handlers = handlers };
 
 	for (;;) {
-		now = clock_ms();
-		poll_settings(p, &watch, duty, now);
-		if (got_signal && !p->stopping) {
-			struct shell_event stop = { .kind = SHELL_EVENT_STOP };
-
-			log_write(LOG_INFO, "proc", "Stops: what is under way is ended first.");
-			p->stopping = 1;
-			p->stop_deadline_ms = stop.deadline_ms =
-			    now + (p->settings.grace_ms ? p->settings.grace_ms : PROCESS_DRAIN_MS);
-			if (p->front_end)
-				p->front_end->stop(p->front_end_context, now);
-			else
-				duty->step(duty->context, &stop, now, &p->commands);
-			process_perform(p);
-		}
-		if (p->stopping && ((duty->is_idle(duty->context) &&
-				     (!p->front_end || p->front_end->is_idle(p->front_end_context, now))) ||
-				    now >= p->stop_deadline_ms))
+		int64_t now = clock_ms();
+
+		settings_watch_poll(&loop.watch, process, handlers, now);
+		if (process_stop_requested() && !process->stopping)
+			begin_stop(&loop, now);
+		if (is_stopped(&loop, now))
 			break;
-		if (now - tick >= PROCESS_TICK_MS) {
-			tick = now;
-			duty->step(duty->context, NULL, now, &p->commands);
-			process_perform(p);
-			if (duty->streams_valid_until && !p->front_end)
-				api_server_valid_until(p->api_server,
-						       duty->streams_valid_until(duty->context));
-		}
-		if (!p->front_end && now - scan >= PROCESS_SCAN_MS) {
-			scan = now;
-			api_server_scan(p->api_server);
-		}
-		if (p->front_end) /* what stands in the ring already wakes nobody */
-			p->front_end->wait(p->front_end_context,
-					   (int)(!full && tick + PROCESS_TICK_MS - now > 0
-						     ? tick + PROCESS_TICK_MS - now
-						     : 0));
-		event = ring_pop(p->events, p->front_end ? 0
-							 : (int)(tick + PROCESS_TICK_MS - now > 0
-								     ? tick + PROCESS_TICK_MS - now
-								     : 0));
-		for (int i = 0; event && i < PROCESS_EVENT_BATCH; i++) {
-			duty->step(duty->context, event, clock_ms(), &p->commands);
-			process_perform(p);
-			shell_event_free(event);
-			event = ring_pop(p->events, 0);
-		}
-		full = event != NULL;
-		if (event) { /* the batch is full: this one still counts */
-			duty->step(duty->context, event, clock_ms(), &p->commands);
-			process_perform(p);
-			shell_event_free(event);
-		}
-	}
-	now = clock_ms();
-	if (!p->front_end) /* answers that were just given leave */
-		apr_sleep(PROCESS_FLUSH_MS * 1000);
-	else
-		for (int64_t end = now + PROCESS_FLUSH_MS; now < end; now = clock_ms())
-			p->front_end->wait(p->front_end_context, (int)(end - now));
-	/* the core takes nothing more: keep the line to it empty so that no thread waits at it */
-	if (p->front_end) {
-		ring_on_push(p->events, NULL, NULL);
-		p->front_end->close(p->front_end_context);
-	} else {
-		api_server_close(p->api_server);
+		run_timers(&loop, now);
+		handle_events(&loop, now);
 	}
-	while ((event = ring_pop(p->events, 0)))
-		shell_event_free(event);
-	if (!p->front_end)
-		server_calls_close(p->server_calls);
-	transport_close(p->transport);
-	if (p->storage)
-		storage_close(p->storage);
-	while ((event = ring_pop(p->events, 0)))
-		shell_event_free(event);
-	arrfree(p->commands.commands);
-	apr_pool_destroy(p->commands.pool);
-	log_write(LOG_INFO, "proc", "Ended.");
+	flush(process);
+	close_all(process);
+	log_write(LOG_INFO, "process", "Ended.");
 	return 0;
 }
