--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -1,429 +1,531 @@
-/* web: callers and operators over HTTP/1.1, by libmicrohttpd. A connection waits suspended until the core
- * has something to say; a stream is fed from a bounded buffer and ends with a broken chunk on a fault. */
-#include <apr_strings.h>
-#include <arpa/inet.h>
+/* api_server: the product's own HTTP interface, by libmicrohttpd; see api_server.h.
+ * A connection is suspended until the owner of the state has something for it. A stream is fed from a bounded
+ * buffer, and one that ends early ends with a broken chunk, so that it never looks complete. */
+#include "api_server.h"
+
 #include <errno.h>
 #include <microhttpd.h>
 #include <netinet/in.h>
 #include <nettle/sha2.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <apr_thread_mutex.h>
+#include <apr_time.h>
+
+#include "clock.h"
+#include "core.h"
 #include "containers.h"
-#include "shell.h"
+#include "log.h"
+#include "ring.h"
+#include "shell_event.h"
 
 enum {
-	API_SERVER_MAX_STREAM_BYTES = 8 << 20,
-	API_SERVER_RETRY_MS = 200,
-	API_SERVER_CLOSE_MS = 1000, /* at the end, for callers to take what is said to them */
-	API_SERVER_CLOSE_POLL_MS = 2
+	MAX_STREAM_BYTES = 8 << 20, /* that a client has not read yet */
+	STREAM_BLOCK_BYTES = 16384,
+	RETRY_MS = 200,
+	BUSY_RETRY_MS = 1000,
+	CLOSE_MS = 1000, /* at the end, for clients to read what they are sent */
+	CLOSE_POLL_MS = 2,
+	CONNECTION_LIMIT = 20000,
+	CONNECTION_MEMORY_BYTES = 64 << 10
 };
 
-struct conn {
+/* A request on its connection. */
+struct api_request {
 	uint64_t token;
-	struct MHD_Connection *mhd_connection;
-	char *body; /* stb_ds: received */
-	int too_large, delivered, suspended, responded;
-	int status, retry_after_ms;
-	int64_t not_after_ms; /* once it is past, a whole answer is not said any more; 0: never */
-	char *response;       /* a whole answer */
-	int streaming, ended, ended_well;
-	char *buffer; /* stb_ds: stream bytes to go */
+	struct MHD_Connection *connection;
+	bool suspended; /* libmicrohttpd waits for us */
+
+	/* the request */
+	char *body; /* stb_ds: received so far */
+	bool too_large;
+	bool delivered; /* it was read whole, and has gone to the event ring or was rejected */
+
+	/* a complete answer */
+	char *response; /* from malloc; NULL: none yet */
+	int status;
+	int retry_after_ms;
+	int64_t not_after_ms; /* past it the answer isn't sent any more; 0: no bound */
+	bool responded;       /* the answer, or the stream, has been given to libmicrohttpd */
+
+	/* a streamed answer */
+	bool streaming;
+	bool ended;
+	bool is_complete; /* it has ended as it should */
+	char *buffer;     /* stb_ds: bytes to send */
 	size_t sent_offset;
-	int mid_line; /* what went last did not end a line */
+	bool mid_line; /* the last byte sent did not end a line */
 };
 
+struct request_entry {
+	uint64_t key; /* token */
+	struct api_request *value;
+};
+
+/* mutex protects all that changes, requests included: libmicrohttpd's thread reads what the owner of the
+ * state writes. */
 struct api_server {
 	struct MHD_Daemon *daemon;
 	struct ring *events;
 	apr_thread_mutex_t *mutex;
 	uint64_t last_token;
-	struct {
-		uint64_t key;
-		struct conn *value;
-	} * connections;
-	int closing;
-	int64_t streams_valid_until_ms; /* streams go no further after it */
+	struct request_entry *requests; /* stb_ds */
+	bool closing;
+	int64_t streams_valid_until_ms; /* 0: for ever */
+};
+
+/* What a streamed answer is read from; freed by libmicrohttpd. */
+struct stream_source {
+	struct api_server *server;
+	uint64_t token;
 };
 
-static void resume_connection(struct conn *conn)
+/* ---- answers ---- */
+
+static void resume(struct api_request *request)
 {
-	if (conn->suspended) {
-		conn->suspended = 0;
-		MHD_resume_connection(conn->mhd_connection);
-	}
+	if (!request->suspended)
+		return;
+	request->suspended = false;
+	MHD_resume_connection(request->connection);
 }
 
-/* What held for a time that is over is not said: this process may have stood still since. */
-static void drop_if_late(struct conn *conn)
+static void suspend(struct api_request *request)
 {
-	if (!conn->not_after_ms || clock_ms() <= conn->not_after_ms)
+	request->suspended = true;
+	MHD_suspend_connection(request->connection);
+}
+
+static void set_response(struct api_request *request, int status, int retry_after_ms, const char *body)
+{
+	request->status = status;
+	request->retry_after_ms = retry_after_ms;
+	request->response = strdup(body);
+}
+
+/* An answer that was true for a time that is over isn't sent: this process may have stood still since. */
+static void replace_late_response(struct api_request *request)
+{
+	if (!request->not_after_ms || clock_ms() <= request->not_after_ms)
 		return;
-	free(conn->response);
-	conn->response = strdup("{\"error\":\"the answer came too late to be certain\"}");
-	conn->status = 503;
-	conn->retry_after_ms = API_SERVER_RETRY_MS;
+	free(request->response);
+	set_response(request, 503, RETRY_MS, "{\"error\":\"the answer came too late to be certain\"}");
 }
 
-static enum MHD_Result send_response(struct conn *conn)
+static enum MHD_Result send_response(struct api_request *request)
 {
-	struct MHD_Response *mhd_response =
-	    MHD_create_response_from_buffer(strlen(conn->response), conn->response, MHD_RESPMEM_MUST_COPY);
-	enum MHD_Result rc;
-	char num[32];
-
-	MHD_add_response_header(mhd_response, "Content-Type",
-				conn->response[0] == '{' ? "application/json" : "text/csv");
-	if (conn->retry_after_ms) {
-		snprintf(num, sizeof num, "%d", (conn->retry_after_ms + 999) / 1000);
-		MHD_add_response_header(mhd_response, "Retry-After", num);
-		snprintf(num, sizeof num, "%d", conn->retry_after_ms);
-		MHD_add_response_header(mhd_response, "Retry-After-Ms", num);
+	struct MHD_Response *response = MHD_create_response_from_buffer(
+	    strlen(request->response), request->response, MHD_RESPMEM_MUST_COPY);
+	enum MHD_Result result;
+	char number[32];
+
+	MHD_add_response_header(response, "Content-Type",
+				request->response[0] == '{' ? "application/json" : "text/csv");
+	if (request->retry_after_ms) {
+		snprintf(number, sizeof number, "%d", (request->retry_after_ms + 999) / 1000);
+		MHD_add_response_header(response, "Retry-After", number);
+		snprintf(number, sizeof number, "%d", request->retry_after_ms);
+		MHD_add_response_header(response, "Retry-After-Ms", number);
 	}
-	rc = MHD_queue_response(conn->mhd_connection, (unsigned)conn->status, mhd_response);
-	MHD_destroy_response(mhd_response);
-	return rc;
+	result = MHD_queue_response(request->connection, (unsigned)request->status, response);
+	MHD_destroy_response(response);
+	return result;
 }
 
-static ssize_t stream_read(void *arg, uint64_t pos, char *buffer, size_t capacity)
+/* ---- streams ---- */
+
+static size_t stream_unsent(const struct api_request *request)
 {
-	struct {
-		struct api_server *server;
-		uint64_t token;
-	} *source = arg;
-	struct conn *conn;
-	ssize_t n = 0;
-
-	(void)pos;
-	apr_thread_mutex_lock(source->server->mutex);
-	conn = hmget(source->server->connections, source->token);
-	if (!conn ||
-	    (source->server->streams_valid_until_ms && clock_ms() > source->server->streams_valid_until_ms)) {
-		n = MHD_CONTENT_READER_END_WITH_ERROR;
-	} else if (conn->sent_offset < (size_t)arrlen(conn->buffer)) {
-		n = (ssize_t)((size_t)arrlen(conn->buffer) - conn->sent_offset);
-		if ((size_t)n > capacity)
-			n = (ssize_t)capacity;
-		memcpy(buffer, conn->buffer + conn->sent_offset, (size_t)n);
-		conn->sent_offset += (size_t)n;
-		conn->mid_line = buffer[n - 1] != '\n';
-		if (conn->sent_offset == (size_t)arrlen(conn->buffer)) {
-			arrsetlen(conn->buffer, 0);
-			conn->sent_offset = 0;
-		}
-	} else if (conn->ended) {
-		n = conn->ended_well ? MHD_CONTENT_READER_END_OF_STREAM : MHD_CONTENT_READER_END_WITH_ERROR;
-	} else if (!source->server->closing) {
-		conn->suspended = 1;
-		MHD_suspend_connection(conn->mhd_connection);
-	} else {
-		n = MHD_CONTENT_READER_END_WITH_ERROR;
+	return (size_t)arrlen(request->buffer) - request->sent_offset;
+}
+
+static ssize_t stream_copy(struct api_request *request, char *to, size_t capacity)
+{
+	size_t size = stream_unsent(request);
+
+	if (size > capacity)
+		size = capacity;
+	memcpy(to, request->buffer + request->sent_offset, size);
+	request->sent_offset += size;
+	request->mid_line = to[size - 1] != '\n';
+	if (!stream_unsent(request)) {
+		arrsetlen(request->buffer, 0);
+		request->sent_offset = 0;
 	}
+	return (ssize_t)size;
+}
+
+/* Bytes of a stream, its end, or 0 after suspending the connection until there are some. */
+static ssize_t stream_next(struct api_server *server, struct api_request *request, char *to, size_t capacity)
+{
+	if (!request || (server->streams_valid_until_ms && clock_ms() > server->streams_valid_until_ms))
+		return MHD_CONTENT_READER_END_WITH_ERROR;
+	if (stream_unsent(request))
+		return stream_copy(request, to, capacity);
+	if (request->ended)
+		return request->is_complete ? MHD_CONTENT_READER_END_OF_STREAM
+					    : MHD_CONTENT_READER_END_WITH_ERROR;
+	if (server->closing)
+		return MHD_CONTENT_READER_END_WITH_ERROR;
+	suspend(request);
+	return 0;
+}
+
+static ssize_t stream_read(void *argument, uint64_t position, char *to, size_t capacity)
+{
+	struct stream_source *source = argument;
+	ssize_t size;
+
+	(void)position;
+	apr_thread_mutex_lock(source->server->mutex);
+	size = stream_next(source->server, hmget(source->server->requests, source->token), to, capacity);
 	apr_thread_mutex_unlock(source->server->mutex);
-	return n;
+	return size;
 }
 
-static enum MHD_Result send_stream(struct api_server *web, struct conn *conn)
+static enum MHD_Result send_stream(struct api_server *server, struct api_request *request)
 {
-	struct {
-		struct api_server *server;
-		uint64_t token;
-	} *source = malloc(sizeof *source);
-	struct MHD_Response *mhd_response;
-	enum MHD_Result rc;
+	struct stream_source *source = malloc(sizeof *source);
+	struct MHD_Response *response;
+	enum MHD_Result result;
 
 	if (!source)
 		return MHD_NO;
-	source->server = web;
-	source->token = conn->token;
-	mhd_response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, 16384, stream_read, source, free);
-	MHD_add_response_header(mhd_response, "Content-Type", "application/x-ndjson");
-	rc = MHD_queue_response(conn->mhd_connection, 200, mhd_response);
-	MHD_destroy_response(mhd_response);
-	return rc;
+	source->server = server;
+	source->token = request->token;
+	response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, stream_read,
+						     source, free);
+	MHD_add_response_header(response, "Content-Type", "application/x-ndjson");
+	result = MHD_queue_response(request->connection, 200, response);
+	MHD_destroy_response(response);
+	return result;
 }
 
-/* A key never goes further than here: what the table and the core hold is its digest. */
-static char *digest(const char *auth)
+/* What the client hasn't read yet of a stream that broke, beyond the line begun, isn't passed on. */
+static void stream_truncate(struct api_request *request)
 {
-	struct sha256_ctx sha256_ctx;
-	uint8_t d[SHA256_DIGEST_SIZE];
+	size_t size = request->sent_offset;
+
+	while (request->mid_line && size < (size_t)arrlen(request->buffer) && request->buffer[size++] != '\n')
+		;
+	if (size < (size_t)arrlen(request->buffer))
+		arrsetlen(request->buffer, size);
+}
+
+/* ---- requests ---- */
+
+/* An API key never goes further than here: the configuration and the core hold its digest. */
+static char *key_digest(const char *authorization)
+{
+	static const char scheme[] = "Bearer ";
+	uint8_t digest[SHA256_DIGEST_SIZE];
 	char *hex = calloc(1, 2 * SHA256_DIGEST_SIZE + 1);
+	struct sha256_ctx context;
+	const char *key;
 
 	if (!hex)
 		abort();
-	if (!auth || strncmp(auth, "Bearer ", 7))
+	if (!authorization || strncmp(authorization, scheme, sizeof scheme - 1) != 0)
 		return hex;
-	sha256_init(&sha256_ctx);
-	sha256_update(&sha256_ctx, strlen(auth + 7), (const uint8_t *)auth + 7);
-	sha256_digest(&sha256_ctx, sizeof d, d);
-	for (size_t i = 0; i < sizeof d; i++)
-		snprintf(hex + 2 * i, 3, "%02x", d[i]);
+	key = authorization + sizeof scheme - 1;
+	sha256_init(&context);
+	sha256_update(&context, strlen(key), (const uint8_t *)key);
+	sha256_digest(&context, sizeof digest, digest);
+	for (size_t i = 0; i < sizeof digest; i++)
+		snprintf(hex + 2 * i, 3, "%02x", digest[i]);
 	return hex;
 }
 
-/* NOLINTNEXTLINE(readability-function-size): one check after the other of a request */
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url, const char *method,
-				  const char *version, const char *data, size_t *n, void **state)
+static void request_begin(struct api_server *server, struct MHD_Connection *connection, void **state)
+{
+	struct api_request *request = calloc(1, sizeof *request);
+
+	if (!request)
+		abort();
+	request->connection = connection;
+	request->token = ++server->last_token;
+	hmput(server->requests, request->token, request);
+	*state = request;
+}
+
+static void request_append_body(struct api_request *request, const char *data, size_t size)
+{
+	if ((size_t)arrlen(request->body) + size > API_SERVER_MAX_BODY_BYTES)
+		request->too_large = true;
+	else
+		memcpy(arraddnptr(request->body, size), data, size);
+}
+
+static struct shell_event *request_event(struct api_request *request, const char *url, const char *method)
+{
+	struct shell_event *event = shell_event_new(SHELL_EVENT_REQUEST);
+	const char *authorization =
+	    MHD_lookup_connection_value(request->connection, MHD_HEADER_KIND, "Authorization");
+	const char *idempotency_key =
+	    MHD_lookup_connection_value(request->connection, MHD_HEADER_KIND, "Idempotency-Key");
+
+	event->token = request->token;
+	event->method = strdup(method);
+	event->path = strdup(url);
+	event->key_digest = key_digest(authorization);
+	arrput(request->body, 0);
+	event->body = strdup(request->body);
+	if (idempotency_key)
+		event->idempotency_key = strdup(idempotency_key);
+	return event;
+}
+
+/* A request that was read whole goes to the owner of the state, and its connection is suspended; or it is
+ * rejected. */
+static void request_deliver(struct api_server *server, struct api_request *request, const char *url,
+			    const char *method)
 {
-	struct api_server *web = arg;
-	struct conn *conn = *state;
 	struct shell_event *event;
-	const char *key;
-	enum MHD_Result rc = MHD_YES;
 
-	(void)version;
-	apr_thread_mutex_lock(web->mutex);
-	if (!conn) {
-		conn = calloc(1, sizeof *conn);
-		if (!conn)
-			abort();
-		conn->mhd_connection = c;
-		conn->token = ++web->last_token;
-		hmput(web->connections, conn->token, conn);
-		*state = conn;
-		goto end;
+	request->delivered = true;
+	if (server->closing) {
+		set_response(request, 503, RETRY_MS, "{\"error\":\"stopping\",\"outcome\":\"refused\"}");
+		return;
 	}
-	if (*n) {
-		if ((size_t)arrlen(conn->body) + *n > API_SERVER_MAX_BODY_BYTES)
-			conn->too_large = 1;
-		else
-			memcpy(arraddnptr(conn->body, *n), data, *n);
-		*n = 0;
-		goto end;
+	if (request->too_large) {
+		set_response(request, 400, 0, "{\"error\":\"body: too large\",\"outcome\":\"refused\"}");
+		return;
 	}
-	if (!conn->delivered) {
-		conn->delivered = 1;
-		if (web->closing) {
-			conn->status = 503;
-			conn->retry_after_ms = API_SERVER_RETRY_MS;
-			conn->response = strdup("{\"error\":\"stopping\",\"outcome\":\"refused\"}");
-		} else if (conn->too_large) {
-			conn->status = 400;
-			conn->response = strdup("{\"error\":\"body: too large\",\"outcome\":\"refused\"}");
-		} else {
-			event = shell_event_new(SHELL_EVENT_REQUEST);
-			event->token = conn->token;
-			event->method = strdup(method);
-			event->path = strdup(url);
-			event->key_digest =
-			    digest(MHD_lookup_connection_value(c, MHD_HEADER_KIND, "Authorization"));
-			arrput(conn->body, 0);
-			event->body = strdup(conn->body);
-			if ((key = MHD_lookup_connection_value(c, MHD_HEADER_KIND, "Idempotency-Key")))
-				event->idempotency_key = strdup(key);
-			if (ring_push(web->events, event, 0)) {
-				conn->suspended = 1;
-				MHD_suspend_connection(c);
-				goto end;
-			}
-			shell_event_free(event);
-			conn->status = 503;
-			conn->retry_after_ms = 1000;
-			conn->response = strdup("{\"error\":\"too busy\",\"outcome\":\"refused\"}");
-		}
+	event = request_event(request, url, method);
+	if (ring_push(server->events, event, 0)) {
+		suspend(request);
+		return;
+	}
+	shell_event_free(event);
+	set_response(request, 503, BUSY_RETRY_MS, "{\"error\":\"too busy\",\"outcome\":\"refused\"}");
+}
+
+/* Gives the answer to libmicrohttpd if there is one. */
+static enum MHD_Result request_respond(struct api_server *server, struct api_request *request)
+{
+	if (request->suspended || request->responded || (!request->response && !request->streaming))
+		return MHD_YES;
+	request->responded = true;
+	if (request->streaming)
+		return send_stream(server, request);
+	replace_late_response(request);
+	return send_response(request);
+}
+
+/* libmicrohttpd calls it when a head was read, for each piece of the body, at the body's end, and after each
+ * resume. */
+static enum MHD_Result on_request(void *argument, struct MHD_Connection *connection, const char *url,
+				  const char *method, const char *version, const char *data, size_t *size,
+				  void **state)
+{
+	struct api_server *server = argument;
+	struct api_request *request = *state;
+	enum MHD_Result result = MHD_YES;
+
+	(void)version;
+	apr_thread_mutex_lock(server->mutex);
+	if (!request) {
+		request_begin(server, connection, state);
+	} else if (*size) {
+		request_append_body(request, data, *size);
+		*size = 0;
+	} else {
+		if (!request->delivered)
+			request_deliver(server, request, url, method);
+		result = request_respond(server, request);
 	}
-	if (conn->responded || (!conn->response && !conn->streaming))
-		goto end;
-	conn->responded = 1;
-	if (!conn->streaming)
-		drop_if_late(conn);
-	rc = conn->streaming ? send_stream(web, conn) : send_response(conn);
-end:
-	apr_thread_mutex_unlock(web->mutex);
-	return rc;
+	apr_thread_mutex_unlock(server->mutex);
+	return result;
+}
+
+/* Reports a client that left before its answer. Whether the event ring took it; if not, the request runs to
+ * its time-out. */
+static bool push_disconnected(struct api_server *server, uint64_t token)
+{
+	struct shell_event *event = shell_event_new(SHELL_EVENT_DISCONNECTED);
+
+	event->token = token;
+	if (ring_push(server->events, event, 0))
+		return true;
+	shell_event_free(event);
+	return false;
 }
 
-static void on_end(void *arg, struct MHD_Connection *connection, void **state,
-		   enum MHD_RequestTerminationCode why)
+static void on_end(void *argument, struct MHD_Connection *connection, void **state,
+		   enum MHD_RequestTerminationCode code)
 {
-	struct api_server *web = arg;
-	struct conn *conn = *state;
-	int open;
+	struct api_server *server = argument;
+	struct api_request *request = *state;
+	bool open;
 
 	(void)connection;
-	if (!conn)
+	if (!request)
 		return;
-	apr_thread_mutex_lock(web->mutex);
-	open = conn->delivered && !conn->response && !conn->ended;
-	(void)hmdel(web->connections, conn->token);
-	apr_thread_mutex_unlock(web->mutex);
-	if (open && why != MHD_REQUEST_TERMINATED_COMPLETED_OK && !web->closing) {
-		struct shell_event *event = shell_event_new(SHELL_EVENT_DISCONNECTED);
-
-		event->token = conn->token;
-		if (!ring_push(web->events, event, 0)) /* the exchange then runs to its limit */
-			shell_event_free(event);
-	}
-	arrfree(conn->body);
-	arrfree(conn->buffer);
-	free(conn->response);
-	free(conn);
+	apr_thread_mutex_lock(server->mutex);
+	open = request->delivered && !request->response && !request->ended;
+	(void)hmdel(server->requests, request->token);
+	apr_thread_mutex_unlock(server->mutex);
+	if (open && code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !server->closing)
+		(void)push_disconnected(server, request->token);
+	arrfree(request->body);
+	arrfree(request->buffer);
+	free(request->response);
+	free(request);
 	*state = NULL;
 }
 
+/* ---- what the owner of the state calls ---- */
+
 struct api_server *api_server_open(const char *addr, struct ring *events, apr_pool_t *pool)
 {
-	struct api_server *web = apr_pcalloc(pool, sizeof *web);
-	uint64_t a = core_parse_addr(addr);
-	struct sockaddr_in address;
-
-	memset(&address, 0, sizeof address);
-	address.sin_family = AF_INET;
-	address.sin_port = htons((uint16_t)(a & 65535));
-	address.sin_addr.s_addr = htonl((uint32_t)(a >> 16));
-	web->events = events;
-	apr_thread_mutex_create(&web->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
-	web->daemon = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL,
-				       NULL, on_request, web, MHD_OPTION_SOCK_ADDR, &address,
-				       MHD_OPTION_NOTIFY_COMPLETED, on_end, web, MHD_OPTION_CONNECTION_LIMIT,
-				       20000u, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)64 << 10,
-				       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
-	if (!web->daemon) {
-		log_write(LOG_ERROR, "web", "Cannot listen at %s: %s.", addr, strerror(errno));
+	struct api_server *server = apr_pcalloc(pool, sizeof *server);
+	uint64_t parsed = core_parse_addr(addr);
+	struct sockaddr_in address = { .sin_family = AF_INET,
+				       .sin_port = htons((uint16_t)(parsed & 65535)),
+				       .sin_addr.s_addr = htonl((uint32_t)(parsed >> 16)) };
+
+	server->events = events;
+	apr_thread_mutex_create(&server->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
+	server->daemon = MHD_start_daemon(
+	    MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, server,
+	    MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_end, server,
+	    MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTION_LIMIT, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+	    (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
+	if (!server->daemon) {
+		log_write(LOG_ERROR, "api_server", "Cannot listen at %s: %s.", addr, strerror(errno));
 		return NULL;
 	}
-	return web;
+	return server;
 }
 
-void api_server_respond(struct api_server *web, uint64_t token, int status, int retry_after_ms,
+void api_server_respond(struct api_server *server, uint64_t token, int status, int retry_after_ms,
 			const char *body, int64_t not_after_ms)
 {
-	struct conn *conn;
-
-	apr_thread_mutex_lock(web->mutex);
-	conn = hmget(web->connections, token);
-	if (conn && !conn->response && !conn->streaming) {
-		conn->status = status;
-		conn->retry_after_ms = retry_after_ms;
-		conn->not_after_ms = not_after_ms;
-		conn->response = strdup(body);
-		resume_connection(conn);
+	struct api_request *request;
+
+	apr_thread_mutex_lock(server->mutex);
+	request = hmget(server->requests, token);
+	if (request && !request->response && !request->streaming) {
+		set_response(request, status, retry_after_ms, body);
+		request->not_after_ms = not_after_ms;
+		resume(request);
 	}
-	apr_thread_mutex_unlock(web->mutex);
+	apr_thread_mutex_unlock(server->mutex);
 }
 
-static void stream_truncate(struct conn *conn)
+void api_server_valid_until(struct api_server *server, int64_t valid_until_ms)
 {
-	size_t n = conn->sent_offset;
-
-	while (conn->mid_line && n < (size_t)arrlen(conn->buffer) && conn->buffer[n++] != '\n')
-		;
-	if (n < (size_t)arrlen(conn->buffer))
-		arrsetlen(conn->buffer, n);
+	apr_thread_mutex_lock(server->mutex);
+	server->streams_valid_until_ms = valid_until_ms;
+	apr_thread_mutex_unlock(server->mutex);
 }
 
-void api_server_valid_until(struct api_server *web, int64_t valid_until_ms)
+static void stream_append(struct api_request *request, const char *data, size_t size, bool is_last,
+			  bool is_complete)
 {
-	apr_thread_mutex_lock(web->mutex);
-	web->streams_valid_until_ms = valid_until_ms;
-	apr_thread_mutex_unlock(web->mutex);
+	request->streaming = true;
+	if (is_last && !is_complete)
+		stream_truncate(request);
+	if ((size_t)arrlen(request->buffer) + size > MAX_STREAM_BYTES) { /* a client that doesn't read */
+		is_last = true;
+		is_complete = false;
+	} else if (size) {
+		memcpy(arraddnptr(request->buffer, size), data, size);
+	}
+	if (is_last && !is_complete && size)
+		arrput(request->buffer, '\n');
+	request->ended = is_last;
+	request->is_complete = is_complete;
+	resume(request);
 }
 
-void api_server_stream(struct api_server *web, uint64_t token, const char *data, size_t size, int is_last,
+void api_server_stream(struct api_server *server, uint64_t token, const char *data, size_t size, int is_last,
 		       int is_complete)
 {
-	struct conn *conn;
-
-	apr_thread_mutex_lock(web->mutex);
-	conn = hmget(web->connections, token);
-	if (conn && !conn->response && !conn->ended) {
-		conn->streaming = 1;
-		if (is_last && !is_complete) /* broken: what its caller has not read yet, beyond the line
-						begun, is not passed on */
-			stream_truncate(conn);
-		if ((size_t)arrlen(conn->buffer) + size >
-		    API_SERVER_MAX_STREAM_BYTES) { /* a caller that does not read */
-			is_last = 1;
-			is_complete = 0;
-		} else if (size) {
-			memcpy(arraddnptr(conn->buffer, size), data, size);
-		}
-		if (is_last && !is_complete && size)
-			arrput(conn->buffer, '\n');
-		conn->ended = is_last;
-		conn->ended_well = is_complete;
-		resume_connection(conn);
-	}
-	apr_thread_mutex_unlock(web->mutex);
+	struct api_request *request;
+
+	apr_thread_mutex_lock(server->mutex);
+	request = hmget(server->requests, token);
+	if (request && !request->response && !request->ended)
+		stream_append(request, data, size, is_last, is_complete);
+	apr_thread_mutex_unlock(server->mutex);
 }
 
-void api_server_scan(struct api_server *web)
+/* A suspended connection isn't polled: only a look at its socket shows that it has ended. */
+static bool has_disconnected(const struct api_request *request)
 {
-	apr_thread_mutex_lock(web->mutex);
-	for (ptrdiff_t i = 0; i < hmlen(web->connections); i++) {
-		struct conn *conn = web->connections[i].value;
-		const union MHD_ConnectionInfo *info;
-		struct shell_event *event;
-		char b;
-
-		if (!conn->suspended || conn->response || conn->ended)
-			continue;
-		info = MHD_get_connection_info(conn->mhd_connection, MHD_CONNECTION_INFO_CONNECTION_FD);
-		if (!info || recv(info->connect_fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) != 0)
+	const union MHD_ConnectionInfo *info =
+	    MHD_get_connection_info(request->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
+	char byte;
+
+	return info && recv(info->connect_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
+}
+
+void api_server_scan(struct api_server *server)
+{
+	apr_thread_mutex_lock(server->mutex);
+	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
+		struct api_request *request = server->requests[i].value;
+
+		if (!request->suspended || request->response || request->ended || !has_disconnected(request))
 			continue;
-		event = shell_event_new(SHELL_EVENT_DISCONNECTED);
-		event->token = conn->token;
-		if (!ring_push(web->events, event, 0)) {
-			shell_event_free(event);
+		if (!push_disconnected(server, request->token))
 			continue;
-		}
-		conn->ended = 1;
-		if (!conn->streaming) {
-			conn->status = 499;
-			conn->response = strdup("{\"error\":\"the caller left\"}");
-		}
-		resume_connection(conn);
+		request->ended = true;
+		if (!request->streaming)
+			set_response(request, 499, request->retry_after_ms,
+				     "{\"error\":\"the caller left\"}");
+		resume(request);
 	}
-	apr_thread_mutex_unlock(web->mutex);
+	apr_thread_mutex_unlock(server->mutex);
 }
 
-/* Callers whose request was read whole, and who have not taken the end of its answer. */
-static int undelivered_responses(struct api_server *web)
+/* Requests that were read whole and whose answers have not been read to the end. */
+static int open_requests(struct api_server *server)
 {
-	int n = 0;
+	int count = 0;
 
-	apr_thread_mutex_lock(web->mutex);
-	for (ptrdiff_t i = 0; i < hmlen(web->connections); i++)
-		n += web->connections[i].value->delivered;
-	apr_thread_mutex_unlock(web->mutex);
-	return n;
+	apr_thread_mutex_lock(server->mutex);
+	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++)
+		count += server->requests[i].value->delivered;
+	apr_thread_mutex_unlock(server->mutex);
+	return count;
 }
 
-/* Whoever was read and not answered is told that the outcome is open: the core may have passed it on. */
-static void end_open_requests(struct api_server *web)
+/* The outcome of an unanswered request is unknown: the core may have forwarded it. */
+static void end_requests(struct api_server *server)
 {
-	apr_thread_mutex_lock(web->mutex);
-	web->closing = 1;
-	for (ptrdiff_t i = 0; i < hmlen(web->connections); i++) {
-		struct conn *conn = web->connections[i].value;
+	apr_thread_mutex_lock(server->mutex);
+	server->closing = true;
+	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
+		struct api_request *request = server->requests[i].value;
 
-		if (!conn->delivered)
+		if (!request->delivered)
 			continue;
-		conn->ended = 1;
-		if (!conn->response && !conn->streaming) {
-			conn->status = 504;
-			conn->retry_after_ms = API_SERVER_RETRY_MS;
-			conn->response = strdup("{\"error\":\"stopping\",\"outcome\":\"unknown\"}");
-		}
-		resume_connection(conn);
+		request->ended = true;
+		if (!request->response && !request->streaming)
+			set_response(request, 504, RETRY_MS,
+				     "{\"error\":\"stopping\",\"outcome\":\"unknown\"}");
+		resume(request);
 	}
-	apr_thread_mutex_unlock(web->mutex);
+	apr_thread_mutex_unlock(server->mutex);
 }
 
-void api_server_close(struct api_server *web)
+void api_server_close(struct api_server *server)
 {
-	MHD_socket listener = MHD_quiesce_daemon(web->daemon); /* no new connections */
-	int64_t end = clock_ms() + API_SERVER_CLOSE_MS;
+	MHD_socket listener = MHD_quiesce_daemon(server->daemon); /* no new connections */
+	int64_t end_ms = clock_ms() + CLOSE_MS;
 
-	end_open_requests(web);
-	while (undelivered_responses(web) && clock_ms() < end)
-		apr_sleep(apr_time_from_msec(API_SERVER_CLOSE_POLL_MS));
-	MHD_stop_daemon(web->daemon);
+	end_requests(server);
+	while (open_requests(server) && clock_ms() < end_ms)
+		apr_sleep(apr_time_from_msec(CLOSE_POLL_MS));
+	MHD_stop_daemon(server->daemon);
 	if (listener != MHD_INVALID_SOCKET)
 		close(listener);
-	hmfree(web->connections);
+	hmfree(server->requests);
 }
--- a/lib/shell/server_calls.c
+++ b/lib/shell/server_calls.c
@@ -1,334 +1,398 @@
-/* call: calls to language servers, by libcurl's multi handle in a thread of its own.
- * A POST must not go out twice. libcurl sends a request again by itself when a kept connection turns out
- * dead; so every POST has a connection of its own (fresh, never kept), and the guard lets a call open one
- * socket only. Reports are GETs and may share connections. */
-#include <apr_strings.h>
+/* server_calls: calls to model servers, by libcurl's multi handle in a thread of its own; see server_calls.h.
+ * libcurl sends a request again by itself when a kept connection turns out dead. So each POST has a
+ * connection of its own (fresh, never kept), and open_socket lets it open only one. Reports are GETs and may
+ * share connections. */
+#include "server_calls.h"
+
 #include <curl/curl.h>
 #include <json-c/json.h>
 #include <stdatomic.h>
+#include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
+#include <apr_thread_proc.h>
+
+#include "clock.h"
 #include "containers.h"
-#include "shell.h"
+#include "log.h"
+#include "ring.h"
+#include "shell_event.h"
 
 enum {
-	SERVER_CALL_MAX_LINE_BYTES = 1 << 20,
-	SERVER_CALL_MAX_BODY_BYTES = 16 << 20,
-	SERVER_CALL_CONNECT_TIMEOUT_MS = 800
+	MAX_LINE_BYTES = 1 << 20,  /* of a streamed answer */
+	MAX_BODY_BYTES = 16 << 20, /* of a complete answer */
+	CONNECT_TIMEOUT_MS = 800,
+	POLL_MS = 200,
+	MAX_QUEUED_COMMANDS = 16384
 };
 
-struct order {
-	int cancel;
+/* A call to begin or to cancel, on its way to the thread, which frees it. */
+struct call_command {
+	bool is_cancel;
 	uint64_t token;
-	char *url, *body;
-	int timeout_ms, is_stream;
+	char *url;  /* owned, from malloc */
+	char *body; /* owned, from malloc; NULL: a GET */
+	int timeout_ms;
+	bool is_stream;
 	int64_t not_after_ms;
 };
 
+/* A call under way. */
 struct server_call {
-	uint64_t token;
+	struct server_calls *calls;
+	uint64_t token; /* 0: nobody waits for the result */
 	CURL *curl;
 	struct curl_slist *headers;
-	char *body, *received; /* got: stb_ds */
-	int is_stream, is_post, socket_count, socket_refused, too_late;
+	char *body;     /* owned, from malloc; NULL: a GET */
+	char *received; /* stb_ds: the answer, or the part of a stream that isn't a whole line yet */
 	int64_t not_after_ms;
-	struct server_calls *calls;
+	int socket_count;
+	bool socket_refused; /* libcurl wanted to send a POST again */
+	bool too_late;       /* it was aborted before a byte had left */
+	bool is_stream;
+	bool is_post;
+};
+
+struct call_entry {
+	uint64_t key; /* token */
+	struct server_call *value;
 };
 
+/* The thread owns all but the rings and stop. */
 struct server_calls {
-	struct ring *events, *commands;
-	CURLM *multi;
+	struct ring *events;
+	struct ring *commands; /* of struct call_command: to the thread */
+	CURLM *multi;          /* other threads only wake it */
 	apr_thread_t *thread;
-	atomic_int stop;
-	struct {
-		uint64_t key;
-		struct server_call *value;
-	} * by_token;
-	struct server_call **anonymous; /* stb_ds: calls whose answer nobody waits for */
+	atomic_bool stop;
+	struct call_entry *by_token;    /* stb_ds */
+	struct server_call **anonymous; /* stb_ds: calls without a token */
 };
 
-static curl_socket_t open_only_socket(void *arg, curlsocktype purpose, struct curl_sockaddr *address)
+/* ---- what libcurl calls back ---- */
+
+static curl_socket_t open_socket(void *argument, curlsocktype purpose, struct curl_sockaddr *address)
 {
-	struct server_call *one = arg;
+	struct server_call *call = argument;
 
 	(void)purpose;
-	if (one->is_post && one->socket_count++) {
-		one->socket_refused = 1;
+	if (call->is_post && call->socket_count++) {
+		call->socket_refused = true;
 		return CURL_SOCKET_BAD;
 	}
 	return socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
 }
 
-/* The connection is up and nothing has gone out on it: the last look at the clock. The process may have
- * frozen between deciding and connecting. */
-static int before_sending(void *arg, char *to, char *from, int to_port, int from_port)
+/* The connection is up and no byte has left: the last look at the clock. The process may have stood still
+ * between the decision and the connection. */
+static int before_sending(void *argument, char *remote_ip, char *local_ip, int remote_port, int local_port)
 {
-	struct server_call *one = arg;
-
-	(void)to;
-	(void)from;
-	(void)to_port;
-	(void)from_port;
-	one->too_late = clock_ms() > one->not_after_ms;
-	return one->too_late ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
+	struct server_call *call = argument;
+
+	(void)remote_ip;
+	(void)local_ip;
+	(void)remote_port;
+	(void)local_port;
+	call->too_late = clock_ms() > call->not_after_ms;
+	return call->too_late ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
-static void piece(struct server_call *one, const char *d, size_t n)
+static void push_chunk(struct server_call *call, const char *line, size_t size)
 {
 	struct shell_event *event = shell_event_new(SHELL_EVENT_CHUNK);
 
-	event->token = one->token;
-	event->body = malloc(n + 1);
+	event->token = call->token;
+	event->body = malloc(size + 1);
 	if (!event->body)
 		abort();
-	memcpy(event->body, d, n);
-	event->body[n] = 0;
-	ring_push(one->calls->events, event, 1);
+	memcpy(event->body, line, size);
+	event->body[size] = 0;
+	ring_push(call->calls->events, event, 1);
 }
 
-static size_t on_body(char *d, size_t one, size_t n, void *arg)
+/* Complete lines of a stream go on; the rest stays in received. */
+static void push_lines(struct server_call *call)
 {
-	struct server_call *k = arg;
+	size_t line_start = 0;
+
+	for (size_t i = 0; i < (size_t)arrlen(call->received); i++)
+		if (call->received[i] == '\n') {
+			push_chunk(call, call->received + line_start, i - line_start);
+			line_start = i + 1;
+		}
+	if (line_start)
+		arrdeln(call->received, 0, line_start);
+}
+
+static size_t on_body(char *data, size_t item_size, size_t item_count, void *argument)
+{
+	struct server_call *call = argument;
+	size_t size = item_size * item_count;
+	size_t most = call->is_stream ? MAX_LINE_BYTES : MAX_BODY_BYTES;
 	long status = 0;
-	size_t from = 0;
 
-	n *= one;
-	if ((size_t)arrlen(k->received) + n >
-	    (k->is_stream ? SERVER_CALL_MAX_LINE_BYTES : SERVER_CALL_MAX_BODY_BYTES))
+	if ((size_t)arrlen(call->received) + size > most)
 		return 0;
-	memcpy(arraddnptr(k->received, n), d, n);
-	curl_easy_getinfo(k->curl, CURLINFO_RESPONSE_CODE, &status);
-	if (!k->is_stream || status != 200)
-		return n;
-	for (size_t i = 0; i < (size_t)arrlen(k->received); i++)
-		if (k->received[i] == '\n') {
-			piece(k, k->received + from, i - from);
-			from = i + 1;
-		}
-	if (from)
-		arrdeln(k->received, 0, from);
-	return n;
+	memcpy(arraddnptr(call->received, size), data, size);
+	curl_easy_getinfo(call->curl, CURLINFO_RESPONSE_CODE, &status);
+	if (call->is_stream && status == 200)
+		push_lines(call);
+	return size;
 }
 
-static void one_free(struct server_calls *call, struct server_call *k)
+/* ---- the end of a call ---- */
+
+static void call_free(struct server_calls *calls, struct server_call *call)
 {
-	curl_multi_remove_handle(call->multi, k->curl);
-	curl_easy_cleanup(k->curl);
-	curl_slist_free_all(k->headers);
-	if (k->token)
-		(void)hmdel(call->by_token, k->token);
-	for (ptrdiff_t i = 0; i < arrlen(call->anonymous); i++)
-		if (call->anonymous[i] == k) {
-			arrdelswap(call->anonymous, i);
+	curl_multi_remove_handle(calls->multi, call->curl);
+	curl_easy_cleanup(call->curl);
+	curl_slist_free_all(call->headers);
+	if (call->token)
+		(void)hmdel(calls->by_token, call->token);
+	for (ptrdiff_t i = 0; i < arrlen(calls->anonymous); i++)
+		if (calls->anonymous[i] == call) {
+			arrdelswap(calls->anonymous, i);
 			break;
 		}
-	arrfree(k->received);
-	free(k->body);
-	free(k);
+	arrfree(call->received);
+	free(call->body);
+	free(call);
 }
 
-/* The server itself says that it never began. */
-static int says_never_started(const char *body)
+/* The server itself says in its answer that it didn't begin. */
+static bool says_never_started(const char *body)
 {
-	struct json_object *json = json_tokener_parse(body), *v;
-	int never = json_object_is_type(json, json_type_object) &&
-		    json_object_object_get_ex(json, "began", &v) &&
-		    json_object_is_type(v, json_type_boolean) && !json_object_get_boolean(v);
+	struct json_object *json = json_tokener_parse(body);
+	struct json_object *began = NULL;
+	bool never = json_object_is_type(json, json_type_object) &&
+		     json_object_object_get_ex(json, "began", &began) &&
+		     json_object_is_type(began, json_type_boolean) && !json_object_get_boolean(began);
 
 	if (json)
 		json_object_put(json);
 	return never;
 }
 
-static void report(struct server_calls *c, uint64_t token, int stream, int status, int never, const char *body)
+static void report_end(struct server_calls *calls, uint64_t token, bool is_stream, int status,
+		       bool never_sent, const char *body)
 {
 	struct shell_event *event = shell_event_new(SHELL_EVENT_CALL_DONE);
 
 	event->token = token;
-	event->is_stream = stream;
+	event->is_stream = is_stream;
 	event->status = status;
-	event->never_sent = never;
+	event->never_sent = never_sent;
 	event->body = strdup(body);
-	ring_push(c->events, event, 1);
+	ring_push(calls->events, event, 1);
 }
 
-static void call_finished(struct server_calls *call, CURL *curl, CURLcode result)
+/* It certainly wasn't begun: no connection was ever up, or it was too late to use it, so no byte left; or the
+ * server says so. */
+static bool was_never_sent(const struct server_call *call, CURLcode result, long status)
 {
-	struct server_call *one;
+	curl_off_t connect_time = 0;
+
+	curl_easy_getinfo(call->curl, CURLINFO_CONNECT_TIME_T, &connect_time);
+	return (connect_time == 0 && !call->socket_refused) || call->too_late ||
+	       (result == CURLE_OK && status >= 400 && says_never_started(call->received));
+}
+
+static void call_finished(struct server_calls *calls, CURL *curl, CURLcode result)
+{
+	struct server_call *call;
 	long status = 0;
-	curl_off_t connected = 0;
-	int never;
 
-	curl_easy_getinfo(curl, CURLINFO_PRIVATE, (char **)&one);
+	curl_easy_getinfo(curl, CURLINFO_PRIVATE, (char **)&call);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
-	curl_easy_getinfo(curl, CURLINFO_CONNECT_TIME_T, &connected);
-	arrput(one->received, 0);
-	/* no connection was ever up, or it was too late to use it, so no byte left; or the server says so in
-	 * so many words */
-	never = (connected == 0 && !one->socket_refused) || one->too_late ||
-		(result == CURLE_OK && status >= 400 && says_never_started(one->received));
-	if (one->token)
-		report(call, one->token, one->is_stream, result == CURLE_OK ? (int)status : 0, never,
-		       one->received);
-	one_free(call, one);
+	arrput(call->received, 0);
+	if (call->token)
+		report_end(calls, call->token, call->is_stream, result == CURLE_OK ? (int)status : 0,
+			   was_never_sent(call, result, status), call->received);
+	call_free(calls, call);
 }
 
-static void begin(struct server_calls *c, struct order *order)
-{
-	struct server_call *k;
+/* ---- the start of a call ---- */
 
-	if (clock_ms() > order->not_after_ms) { /* decided too long ago: never sent */
-		if (order->token)
-			report(c, order->token, order->is_stream, 0, 1, "");
-		free(order->body);
-		free(order->url);
+static void set_options(struct server_call *call, const struct call_command *command)
+{
+	CURL *curl = call->curl;
+
+	curl_easy_setopt(curl, CURLOPT_URL, command->url);
+	curl_easy_setopt(curl, CURLOPT_PRIVATE, call);
+	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
+	curl_easy_setopt(curl, CURLOPT_PROXY, "");
+	curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEDATA, call);
+	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)command->timeout_ms);
+	curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_TIMEOUT_MS);
+	curl_easy_setopt(curl, CURLOPT_OPENSOCKETFUNCTION, open_socket);
+	curl_easy_setopt(curl, CURLOPT_OPENSOCKETDATA, call);
+	curl_easy_setopt(curl, CURLOPT_PREREQFUNCTION, before_sending);
+	curl_easy_setopt(curl, CURLOPT_PREREQDATA, call);
+	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
+	if (!call->is_post)
 		return;
-	}
-	k = calloc(1, sizeof *k);
-	if (!k)
+	call->headers =
+	    curl_slist_append(curl_slist_append(NULL, "Content-Type: application/json"), "Expect:");
+	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, call->headers);
+	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, call->body);
+	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
+	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
+}
+
+/* Begins the command's call, which takes its body over. */
+static void call_begin(struct server_calls *calls, struct call_command *command)
+{
+	struct server_call *call = calloc(1, sizeof *call);
+
+	if (!call)
 		abort();
-	k->calls = c;
-	k->token = order->token;
-	k->is_stream = order->is_stream;
-	k->body = order->body;
-	k->is_post = order->body != NULL;
-	k->not_after_ms = order->not_after_ms;
-	k->curl = curl_easy_init();
-	if (!k->curl)
+	call->calls = calls;
+	call->token = command->token;
+	call->is_stream = command->is_stream;
+	call->body = command->body;
+	call->is_post = command->body != NULL;
+	call->not_after_ms = command->not_after_ms;
+	command->body = NULL;
+	call->curl = curl_easy_init();
+	if (!call->curl)
 		abort();
-	curl_easy_setopt(k->curl, CURLOPT_URL, order->url);
-	curl_easy_setopt(k->curl, CURLOPT_PRIVATE, k);
-	curl_easy_setopt(k->curl, CURLOPT_NOSIGNAL, 1L);
-	curl_easy_setopt(k->curl, CURLOPT_PROXY, "");
-	curl_easy_setopt(k->curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(k->curl, CURLOPT_WRITEFUNCTION, on_body);
-	curl_easy_setopt(k->curl, CURLOPT_WRITEDATA, k);
-	curl_easy_setopt(k->curl, CURLOPT_TIMEOUT_MS, (long)order->timeout_ms);
-	curl_easy_setopt(k->curl, CURLOPT_CONNECTTIMEOUT_MS, (long)SERVER_CALL_CONNECT_TIMEOUT_MS);
-	curl_easy_setopt(k->curl, CURLOPT_OPENSOCKETFUNCTION, open_only_socket);
-	curl_easy_setopt(k->curl, CURLOPT_OPENSOCKETDATA, k);
-	curl_easy_setopt(k->curl, CURLOPT_PREREQFUNCTION, before_sending);
-	curl_easy_setopt(k->curl, CURLOPT_PREREQDATA, k);
-	curl_easy_setopt(k->curl, CURLOPT_TCP_NODELAY, 1L);
-	if (k->is_post) {
-		k->headers =
-		    curl_slist_append(curl_slist_append(NULL, "Content-Type: application/json"), "Expect:");
-		curl_easy_setopt(k->curl, CURLOPT_HTTPHEADER, k->headers);
-		curl_easy_setopt(k->curl, CURLOPT_POSTFIELDS, k->body);
-		curl_easy_setopt(k->curl, CURLOPT_FRESH_CONNECT, 1L);
-		curl_easy_setopt(k->curl, CURLOPT_FORBID_REUSE, 1L);
-	}
-	free(order->url);
-	if (k->token)
-		hmput(c->by_token, k->token, k);
+	set_options(call, command);
+	if (call->token)
+		hmput(calls->by_token, call->token, call);
 	else
-		arrput(c->anonymous, k);
-	curl_multi_add_handle(c->multi, k->curl);
+		arrput(calls->anonymous, call);
+	curl_multi_add_handle(calls->multi, call->curl);
+}
+
+static void command_free(struct call_command *command)
+{
+	free(command->url);
+	free(command->body);
+	free(command);
 }
 
-static void *APR_THREAD_FUNC server_calls_thread(apr_thread_t *thread, void *arg)
+static void run_command(struct server_calls *calls, struct call_command *command)
 {
-	struct server_calls *call = arg;
+	if (command->is_cancel) {
+		struct server_call *call = hmget(calls->by_token, command->token);
+
+		if (call)
+			call_free(calls, call);
+		return;
+	}
+	if (clock_ms() > command->not_after_ms) { /* decided too long ago */
+		if (command->token)
+			report_end(calls, command->token, command->is_stream, 0, true, "");
+		return;
+	}
+	call_begin(calls, command);
+}
+
+/* ---- the thread ---- */
+
+static void *APR_THREAD_FUNC calls_thread(apr_thread_t *thread, void *argument)
+{
+	struct server_calls *calls = argument;
 
 	(void)thread;
-	while (!call->stop) {
-		struct order *order;
-		struct CURLMsg *curlmsg;
-		int running, remaining;
-
-		while ((order = ring_pop(call->commands, 0))) {
-			struct server_call *one = order->cancel ? hmget(call->by_token, order->token) : NULL;
-
-			if (one)
-				one_free(call, one);
-			else if (!order->cancel)
-				begin(call, order);
-			free(order);
+	while (!calls->stop) {
+		struct call_command *command;
+		struct CURLMsg *message;
+		int running;
+		int remaining;
+
+		while ((command = ring_pop(calls->commands, 0))) {
+			run_command(calls, command);
+			command_free(command);
 		}
-		curl_multi_perform(call->multi, &running);
-		while ((curlmsg = curl_multi_info_read(call->multi, &remaining)))
-			if (curlmsg->msg == CURLMSG_DONE)
-				call_finished(call, curlmsg->easy_handle, curlmsg->data.result);
-		curl_multi_poll(call->multi, NULL, 0, 200, NULL);
+		curl_multi_perform(calls->multi, &running);
+		while ((message = curl_multi_info_read(calls->multi, &remaining)))
+			if (message->msg == CURLMSG_DONE)
+				call_finished(calls, message->easy_handle, message->data.result);
+		curl_multi_poll(calls->multi, NULL, 0, POLL_MS, NULL);
 	}
 	return NULL;
 }
 
 struct server_calls *server_calls_open(struct ring *events, apr_pool_t *pool)
 {
-	struct server_calls *call = apr_pcalloc(pool, sizeof *call);
+	struct server_calls *calls = apr_pcalloc(pool, sizeof *calls);
 
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	call->events = events;
-	ring_open(&call->commands, 16384, pool);
-	call->multi = curl_multi_init();
-	if (!call->multi ||
-	    apr_thread_create(&call->thread, NULL, server_calls_thread, call, pool) != APR_SUCCESS) {
-		log_write(LOG_ERROR, "call", "Step start: no thread for the servers' calls.");
+	calls->events = events;
+	ring_open(&calls->commands, MAX_QUEUED_COMMANDS, pool);
+	calls->multi = curl_multi_init();
+	if (!calls->multi ||
+	    apr_thread_create(&calls->thread, NULL, calls_thread, calls, pool) != APR_SUCCESS) {
+		log_write(LOG_ERROR, "server_calls", "Cannot start the thread for calls to servers.");
 		return NULL;
 	}
-	return call;
+	return calls;
 }
 
-static void send_command(struct server_calls *call, struct order *order)
+static void send_command(struct server_calls *calls, struct call_command *command)
 {
-	ring_push(call->commands, order, 1);
-	curl_multi_wakeup(call->multi);
+	ring_push(calls->commands, command, 1);
+	curl_multi_wakeup(calls->multi);
 }
 
-void server_calls_start(struct server_calls *call, uint64_t token, const char *addr, const char *path,
-			const char *body, int timeout_ms, int is_stream, int64_t not_after_ms)
+static struct call_command *command_new(uint64_t token)
 {
-	struct order *order = calloc(1, sizeof *order);
-	size_t url_size = strlen(addr) + strlen(path) + 8;
+	struct call_command *command = calloc(1, sizeof *command);
 
-	if (!order || !(order->url = malloc(url_size)))
+	if (!command)
 		abort();
-	snprintf(order->url, url_size, "http://%s%s", addr, path);
-	order->token = token;
-	order->body = body ? strdup(body) : NULL;
-	order->timeout_ms = timeout_ms > 0 ? timeout_ms : 1;
-	order->is_stream = is_stream;
-	order->not_after_ms = not_after_ms;
-	send_command(call, order);
+	command->token = token;
+	return command;
 }
 
-void server_calls_cancel(struct server_calls *call, uint64_t token)
+void server_calls_start(struct server_calls *calls, uint64_t token, const char *addr, const char *path,
+			const char *body, int timeout_ms, int is_stream, int64_t not_after_ms)
 {
-	struct order *order = calloc(1, sizeof *order);
+	struct call_command *command = command_new(token);
+	size_t url_size = sizeof "http://" + strlen(addr) + strlen(path);
 
-	if (!order)
+	command->url = malloc(url_size);
+	if (!command->url)
 		abort();
-	order->cancel = 1;
-	order->token = token;
-	send_command(call, order);
+	snprintf(command->url, url_size, "http://%s%s", addr, path);
+	command->body = body ? strdup(body) : NULL;
+	command->timeout_ms = timeout_ms > 0 ? timeout_ms : 1;
+	command->is_stream = is_stream;
+	command->not_after_ms = not_after_ms;
+	send_command(calls, command);
 }
 
-void server_calls_close(struct server_calls *call)
+void server_calls_cancel(struct server_calls *calls, uint64_t token)
 {
-	apr_status_t st;
-	struct order *order;
-
-	call->stop = 1;
-	curl_multi_wakeup(call->multi);
-	apr_thread_join(&st, call->thread);
-	while ((order = ring_pop(call->commands, 0))) {
-		free(order->url);
-		free(order->body);
-		free(order);
-	}
-	while (hmlen(call->by_token))
-		one_free(call,
-			 call->by_token[0]
-			     .value); /* NOLINT(clang-analyzer-unix.Malloc): one_free takes it out of by */
-	while (arrlen(call->anonymous))
-		one_free(call, call->anonymous[0]);
-	hmfree(call->by_token);
-	arrfree(call->anonymous);
-	curl_multi_cleanup(call->multi);
+	struct call_command *command = command_new(token);
+
+	command->is_cancel = true;
+	send_command(calls, command);
+}
+
+void server_calls_close(struct server_calls *calls)
+{
+	struct call_command *command;
+	apr_status_t status;
+
+	calls->stop = true;
+	curl_multi_wakeup(calls->multi);
+	apr_thread_join(&status, calls->thread);
+	while ((command = ring_pop(calls->commands, 0)))
+		command_free(command);
+	while (hmlen(calls->by_token))
+		call_free(calls, calls->by_token[0].value); /* NOLINT(clang-analyzer-unix.Malloc): call_free
+							       takes it out of by_token */
+	while (arrlen(calls->anonymous))
+		call_free(calls, calls->anonymous[0]);
+	hmfree(calls->by_token);
+	arrfree(calls->anonymous);
+	curl_multi_cleanup(calls->multi);
 	curl_global_cleanup();
 }
