--- a/lib/shell/http_buffer.c
+++ b/lib/shell/http_buffer.c
@@ -1,4 +1,5 @@
-/* http_buffer: bytes to come and to go. Blocks of the usual size are kept for the next. */
+/* http_buffer: bytes that were read, or are to be written. Blocks of the first size are kept for the next
+ * buffer. */
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -1,4 +1,6 @@
-/* http_client: calls to servers, each sent once, and the connections that are kept between them. */
+/* http_client: calls to servers, and the idle connections that are kept between them.
+ * A call moves to another connection only while no byte of it has left; afterwards it ends with what was
+ * read. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -22,12 +24,13 @@
 }
 
 /* A connection to a peer: a kept one, or one that is still to be opened, or NULL beyond the bound. */
-static struct conn *peer_acquire_connection(struct http *http, struct peer *peer, int fresh, int64_t now)
+static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer, int fresh,
+						       int64_t now)
 {
-	struct conn *conn;
+	struct http_connection *conn;
 
 	while (!fresh && (conn = peer->first_idle)) {
-		if (conn->due > now) {
+		if (conn->due_at_ms > now) {
 			http_idle_remove(conn);
 			conn->state = CONN_QUEUED;
 			return conn;
@@ -52,7 +55,7 @@
 }
 
 /* How long a connection is kept: the server must not close it just as we use it. */
-static int64_t keep_alive_ms(const struct head *hd)
+static int64_t keep_alive_ms(const struct http_head *hd)
 {
 	int64_t margin = (int64_t)hd->keep_alive_s * 250;
 
@@ -60,7 +63,7 @@
 				    : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
-static void client_make_idle(struct conn *conn)
+static void client_make_idle(struct http_connection *conn)
 {
 	struct peer *peer = conn->client.peer;
 
@@ -76,19 +79,19 @@
 	else
 		peer->last_idle = conn;
 	peer->first_idle = conn;
-	http_buffer_free(conn->http, &conn->in);
+	http_buffer_free(conn->http, &conn->input);
 	http_timer_set(conn, conn->client.reusable_until_ms);
 }
 
 /* The call is over. keep: its connection may serve another. */
-void http_client_end(struct conn *conn, enum http_call_result result, int reusable)
+void http_client_end(struct http_connection *conn, enum http_call_result result, int reusable)
 {
 	struct http *http = conn->http;
 	uint64_t token = conn->client.token;
 	int status = conn->head.status;
 
 	(void)hmdel(http->calls, token);
-	http_buffer_free(http, &conn->out);
+	http_buffer_free(http, &conn->output);
 	if (reusable)
 		client_make_idle(conn);
 	else
@@ -98,7 +101,7 @@
 				  result == HTTP_CALL_NOT_SENT ? 0 : status);
 }
 
-static void client_broken(struct conn *conn)
+static void client_broken(struct http_connection *conn)
 {
 	http_client_end(conn, conn->client.sent ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0);
 }
@@ -108,7 +111,7 @@
 	return left < right ? left : right;
 }
 
-static void client_connect(struct conn *conn)
+static void client_connect(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	struct sockaddr_in address = http_socket_address(conn->client.peer->addr);
@@ -133,11 +136,11 @@
 }
 
 /* Put the call on another connection: nothing of it went out on this one. */
-static struct conn *client_move_call(struct conn *conn)
+static struct http_connection *client_move_call(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	struct peer *peer = conn->client.peer;
-	struct conn *n;
+	struct http_connection *n;
 
 	peer->open_connections++;
 	http_conn_close(conn, 0);
@@ -149,8 +152,8 @@
 		http->callbacks.call_done(http->callbacks.context, conn->client.token, HTTP_CALL_NOT_SENT, 0);
 		return NULL;
 	}
-	n->out = conn->out;
-	conn->out = (struct buffer){ 0 };
+	n->output = conn->output;
+	conn->output = (struct buffer){ 0 };
 	n->client.token = conn->client.token;
 	n->client.not_after_ms = conn->client.not_after_ms;
 	n->client.deadline_ms = conn->client.deadline_ms;
@@ -158,15 +161,15 @@
 	n->client.new_connection = conn->client.new_connection;
 	n->client.is_head = conn->client.is_head;
 	n->client.sent = 0;
-	n->due = NO_TIME;
+	n->due_at_ms = NO_TIME;
 	hmput(http->calls, n->client.token, n);
 	return n;
 }
 
 /* Send what is left of the request. Returns 0 when the first send failed with nothing written. */
-static int client_send(struct conn *conn)
+static int client_send(struct http_connection *conn)
 {
-	size_t off = conn->out.offset;
+	size_t off = conn->output.offset;
 	int lost, all = http_conn_send(conn, &lost);
 
 	if (lost) {
@@ -174,11 +177,11 @@
 			return 0;
 		/* an answer may have come all the same; what is read says so */
 		conn->client.request_cut = 1;
-		http_buffer_free(conn->http, &conn->out);
+		http_buffer_free(conn->http, &conn->output);
 		http_conn_watch(conn, HTTP_READ_EVENTS);
 		return 1;
 	}
-	conn->client.sent |= all || conn->out.offset > off;
+	conn->client.sent |= all || conn->output.offset > off;
 	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
 	http_timer_set(
 	    conn,
@@ -188,14 +191,14 @@
 	return 1;
 }
 
-static int too_late(const struct conn *conn)
+static int too_late(const struct http_connection *conn)
 {
 	int64_t now = clock_ms(); /* anew: the process may just have woken from a freeze */
 
 	return now > conn->client.not_after_ms || now >= conn->client.deadline_ms;
 }
 
-void http_client_start(struct conn *conn)
+void http_client_start(struct http_connection *conn)
 {
 	while (conn && conn->state == CONN_QUEUED) {
 		if (conn->fd >= 0) {
@@ -218,7 +221,7 @@
 		}
 		conn->state = CONN_AWAITING_HEAD;
 		conn->scan_offset = 0;
-		conn->head = (struct head){ .keep_alive_s = -1 };
+		conn->head = (struct http_head){ .keep_alive_s = -1 };
 		if (client_send(conn)) {
 			conn->http->counters.connections_reused++;
 			return;
@@ -227,10 +230,10 @@
 	}
 }
 
-static int client_parse(struct conn *conn, const char *data, size_t size);
+static int client_parse(struct http_connection *conn, const char *data, size_t size);
 
 /* An answer to another request is over; what stands behind it, or is to come, is the next one. */
-static int client_next_response(struct conn *conn, const char *behind, size_t size)
+static int client_next_response(struct http_connection *conn, const char *behind, size_t size)
 {
 	char *copy = NULL;
 	int over;
@@ -246,29 +249,29 @@
 			abort();
 		memcpy(copy, behind, size);
 	}
-	http_buffer_free(conn->http, &conn->in);
+	http_buffer_free(conn->http, &conn->input);
 	conn->state = CONN_AWAITING_HEAD;
 	conn->scan_offset = 0;
-	conn->head = (struct head){ .keep_alive_s = -1 };
+	conn->head = (struct http_head){ .keep_alive_s = -1 };
 	over = size ? client_parse(conn, copy, size) : 0;
 	free(copy);
 	return over;
 }
 
 /* Whole, with surplus bytes behind it or not. */
-static int client_response_complete(struct conn *conn, const char *behind, size_t surplus)
+static int client_response_complete(struct http_connection *conn, const char *behind, size_t surplus)
 {
 	if (conn->client.skipping)
 		return client_next_response(conn, behind, surplus);
 	/* the server counts from when it answered: after a freeze that may be long ago */
 	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
 	http_client_end(conn, HTTP_CALL_COMPLETE,
-			!surplus && !conn->client.skipped_count && !conn->head.close && !conn->out.len &&
+			!surplus && !conn->client.skipped_count && !conn->head.close && !conn->output.len &&
 			    !conn->client.request_cut);
 	return 1;
 }
 
-static void client_pass_body(struct conn *conn, const char *data, size_t size)
+static void client_pass_body(struct http_connection *conn, const char *data, size_t size)
 {
 	if (size && !conn->client.skipping)
 		conn->http->callbacks.response_body(conn->http->callbacks.context, conn->client.token, data,
@@ -276,7 +279,7 @@
 }
 
 /* Bytes of the body. Returns 1 when the call is over. */
-static int client_read_body(struct conn *conn, const char *data, size_t size)
+static int client_read_body(struct http_connection *conn, const char *data, size_t size)
 {
 	const char *span = NULL;
 	size_t span_size;
@@ -287,7 +290,7 @@
 		span_size = size < conn->body_remaining ? size : (size_t)conn->body_remaining;
 		conn->body_remaining -= span_size;
 		client_pass_body(conn, data, span_size);
-		if (conn->dead)
+		if (conn->closed)
 			return 1;
 		return conn->body_remaining
 			   ? 0
@@ -299,7 +302,7 @@
 				return 1;
 			}
 			client_pass_body(conn, span, span_size);
-			if (conn->dead)
+			if (conn->closed)
 				return 1;
 			data += consumed;
 			size -= (size_t)consumed;
@@ -307,13 +310,13 @@
 		return conn->chunks.state == CHUNK_DONE ? client_response_complete(conn, data, size) : 0;
 	case BODY_UNTIL_EOF:
 		client_pass_body(conn, data, size);
-		return conn->dead;
+		return conn->closed;
 	default:
 		return client_response_complete(conn, data, size);
 	}
 }
 
-static int client_parse(struct conn *conn, const char *data, size_t size)
+static int client_parse(struct http_connection *conn, const char *data, size_t size)
 {
 	struct http *http = conn->http;
 	size_t from = 0;
@@ -321,10 +324,10 @@
 
 	if (conn->state == CONN_READING_RESPONSE)
 		return client_read_body(conn, data, size);
-	http_buffer_append(http, &conn->in, data, size);
+	http_buffer_append(http, &conn->input, data, size);
 	for (;;) {
 		end = http_head_end(conn, from);
-		if (end < 0 || (end ? (size_t)end : conn->in.len) - from > MAX_RESPONSE_HEAD_BYTES ||
+		if (end < 0 || (end ? (size_t)end : conn->input.len) - from > MAX_RESPONSE_HEAD_BYTES ||
 		    (end && !http_head_read(conn, from, (size_t)end, 0)) ||
 		    (end && conn->head.status == 101)) {
 			client_broken(conn);
@@ -332,8 +335,8 @@
 		}
 		if (!end) {
 			if (from) {
-				memmove(conn->in.data, conn->in.data + from, conn->in.len - from);
-				conn->in.len -= from;
+				memmove(conn->input.data, conn->input.data + from, conn->input.len - from);
+				conn->input.len -= from;
 				conn->scan_offset -= from;
 			}
 			return 0;
@@ -343,7 +346,7 @@
 			break;
 	}
 	conn->body_remaining = conn->head.length;
-	conn->chunks = (struct chunks){ 0 };
+	conn->chunks = (struct chunk_parser){ 0 };
 	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 ||
 						conn->head.status == 304 ||
 						(conn->head.has_length && !conn->body_remaining)
@@ -356,12 +359,12 @@
 	http->callback_made = 1;
 	http->callbacks.response_head(http->callbacks.context, conn->client.token, conn->head.status,
 				      conn->fields, conn->field_count);
-	if (conn->dead)
+	if (conn->closed)
 		return 1;
-	return client_read_body(conn, conn->in.data + from, conn->in.len - from);
+	return client_read_body(conn, conn->input.data + from, conn->input.len - from);
 }
 
-static void client_eof(struct conn *conn)
+static void client_eof(struct http_connection *conn)
 {
 	if (conn->state == CONN_READING_RESPONSE && conn->client.response_framing == BODY_UNTIL_EOF &&
 	    conn->head.close && !conn->client.skipping)
@@ -370,7 +373,7 @@
 		client_broken(conn);
 }
 
-static void client_read(struct conn *conn, uint32_t events)
+static void client_read(struct http_connection *conn, uint32_t events)
 {
 	struct http *http = conn->http;
 	ssize_t n;
@@ -393,7 +396,7 @@
 	} while (events & EPOLLRDHUP);
 }
 
-void http_client_event(struct conn *conn, uint32_t events)
+void http_client_event(struct http_connection *conn, uint32_t events)
 {
 	switch (conn->state) {
 	case CONN_CONNECTING:
@@ -404,7 +407,7 @@
 		}
 		conn->state = CONN_AWAITING_HEAD;
 		conn->scan_offset = 0;
-		conn->head = (struct head){ .keep_alive_s = -1 };
+		conn->head = (struct http_head){ .keep_alive_s = -1 };
 		if (!client_send(conn))
 			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
@@ -427,7 +430,7 @@
 	}
 }
 
-void http_client_timeout(struct conn *conn)
+void http_client_timeout(struct http_connection *conn)
 {
 	if (conn->state == CONN_IDLE)
 		http_conn_close(conn, 0);
@@ -444,7 +447,7 @@
 		     const struct http_client_request *output)
 {
 	int64_t now = clock_ms();
-	struct conn *conn;
+	struct http_connection *conn;
 	int i;
 
 	if (hmgeti(http->calls, token) >= 0) {
@@ -456,7 +459,7 @@
 		conn = http_conn_new(http, CONN_CLIENT, -1);
 		conn->state = CONN_FAILED;
 	}
-	conn->due = NO_TIME;
+	conn->due_at_ms = NO_TIME;
 	conn->client.token = token;
 	conn->client.sent = 0;
 	conn->client.new_connection = output->new_connection;
@@ -470,26 +473,26 @@
 	http_conn_queue(conn);
 	if (conn->state == CONN_FAILED)
 		return;
-	http_buffer_append_clean(http, &conn->out, output->method);
-	http_buffer_append(http, &conn->out, " ", 1);
-	http_buffer_append_clean(http, &conn->out, output->target);
-	http_buffer_append(http, &conn->out, " HTTP/1.1\r\n", 11);
+	http_buffer_append_clean(http, &conn->output, output->method);
+	http_buffer_append(http, &conn->output, " ", 1);
+	http_buffer_append_clean(http, &conn->output, output->target);
+	http_buffer_append(http, &conn->output, " HTTP/1.1\r\n", 11);
 	for (i = 0; i < output->field_count; i++)
 		if (!http_is_framing_field(output->fields[i].name) || strlen(output->fields[i].name) == 10)
-			http_buffer_append_field(http, &conn->out, &output->fields[i]);
+			http_buffer_append_field(http, &conn->output, &output->fields[i]);
 	if (output->body || method_has_body(output->method)) {
-		http_buffer_append_text(http, &conn->out, "Content-Length: ");
-		http_buffer_append_number(http, &conn->out, output->body_bytes, 10);
-		http_buffer_append(http, &conn->out, "\r\n", 2);
+		http_buffer_append_text(http, &conn->output, "Content-Length: ");
+		http_buffer_append_number(http, &conn->output, output->body_bytes, 10);
+		http_buffer_append(http, &conn->output, "\r\n", 2);
 	}
-	http_buffer_append(http, &conn->out, "\r\n", 2);
+	http_buffer_append(http, &conn->output, "\r\n", 2);
 	if (output->body)
-		http_buffer_append(http, &conn->out, output->body, output->body_bytes);
+		http_buffer_append(http, &conn->output, output->body, output->body_bytes);
 }
 
 void http_call_cancel(struct http *http, uint64_t token)
 {
-	struct conn *conn = hmget(http->calls, token);
+	struct http_connection *conn = hmget(http->calls, token);
 
 	if (!conn)
 		return;
@@ -499,7 +502,7 @@
 
 void http_call_skip_response(struct http *http, uint64_t token)
 {
-	struct conn *conn = hmget(http->calls, token);
+	struct http_connection *conn = hmget(http->calls, token);
 
 	if (conn)
 		conn->client.skipping = 1;
@@ -507,7 +510,7 @@
 
 int http_call_is_sent(struct http *http, uint64_t token)
 {
-	struct conn *conn = hmget(http->calls, token);
+	struct http_connection *conn = hmget(http->calls, token);
 
 	return conn && conn->client.sent;
 }
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -1,4 +1,5 @@
-/* http_conn: connections, the times at which something is due for them, their sockets. */
+/* http_connection: connections, their timers and their sockets. A closed connection is freed at the end of
+ * the turn, so that events and lists that name it stay valid until then. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/tcp.h>
@@ -12,7 +13,7 @@
 
 /* ---- times: a heap whose keys may be early, so that moving a time on costs nothing ---- */
 
-static void timer_set_index(struct http *http, int index, struct conn *conn)
+static void timer_set_index(struct http *http, int index, struct http_connection *conn)
 {
 	http->timer_heap[index] = conn;
 	conn->heap_index = index;
@@ -20,7 +21,7 @@
 
 static void timer_up(struct http *http, int index)
 {
-	struct conn *conn = http->timer_heap[index];
+	struct http_connection *conn = http->timer_heap[index];
 
 	for (; index && http->timer_heap[(index - 1) / 2]->heap_key_ms > conn->heap_key_ms;
 	     index = (index - 1) / 2)
@@ -30,7 +31,7 @@
 
 void http_timer_down(struct http *http, int index)
 {
-	struct conn *conn = http->timer_heap[index];
+	struct http_connection *conn = http->timer_heap[index];
 	int n = (int)arrlen(http->timer_heap), j;
 
 	while ((j = 2 * index + 1) < n) {
@@ -44,9 +45,9 @@
 	timer_set_index(http, index, conn);
 }
 
-void http_timer_remove(struct http *http, struct conn *conn)
+void http_timer_remove(struct http *http, struct http_connection *conn)
 {
-	struct conn *l;
+	struct http_connection *l;
 	int i = conn->heap_index;
 
 	if (i < 0)
@@ -61,9 +62,9 @@
 	http_timer_down(http, l->heap_index);
 }
 
-void http_timer_set(struct conn *conn, int64_t due_at_ms)
+void http_timer_set(struct http_connection *conn, int64_t due_at_ms)
 {
-	conn->due = due_at_ms;
+	conn->due_at_ms = due_at_ms;
 	if (due_at_ms >= conn->heap_key_ms)
 		return;
 	conn->heap_key_ms = due_at_ms;
@@ -76,9 +77,9 @@
 
 /* ---- connections ---- */
 
-struct conn *http_conn_new(struct http *http, enum conn_kind kind, int fd)
+struct http_connection *http_conn_new(struct http *http, enum conn_kind kind, int fd)
 {
-	struct conn *conn = http->spare_connections;
+	struct http_connection *conn = http->spare_connections;
 	struct http_field *field = NULL;
 	int fcap = 0;
 
@@ -95,12 +96,12 @@
 	conn->fd = fd;
 	conn->fields = field;
 	conn->field_capacity = fcap;
-	conn->due = conn->heap_key_ms = NO_TIME;
+	conn->due_at_ms = conn->heap_key_ms = NO_TIME;
 	conn->heap_index = -1;
 	return conn;
 }
 
-void http_conn_watch(struct conn *conn, uint32_t mask)
+void http_conn_watch(struct http_connection *conn, uint32_t mask)
 {
 	struct epoll_event event = { .events = mask, .data.ptr = conn };
 
@@ -110,15 +111,15 @@
 	conn->event_mask = mask;
 }
 
-void http_conn_queue(struct conn *conn)
+void http_conn_queue(struct http_connection *conn)
 {
-	if (conn->queued || conn->dead)
+	if (conn->queued || conn->closed)
 		return;
 	conn->queued = 1;
 	arrput(conn->http->queued, conn);
 }
 
-void http_idle_remove(struct conn *conn)
+void http_idle_remove(struct http_connection *conn)
 {
 	struct peer *peer = conn->client.peer;
 
@@ -143,24 +144,24 @@
 
 /* Would an ordinary end of this connection make an answer look whole that is not? So it is where the end of
  * the connection is the end of the answer. */
-static int close_misleads(const struct conn *conn)
+static int close_misleads(const struct http_connection *conn)
 {
-	if (conn->kind != CONN_SERVER || !conn->s.response_begun ||
-	    conn->s.response_framing != BODY_UNTIL_EOF || conn->s.no_body)
+	if (conn->kind != CONN_SERVER || !conn->server.response_begun ||
+	    conn->server.response_framing != BODY_UNTIL_EOF || conn->server.no_body)
 		return 0;
 	return conn->state == CONN_HANDLING ||
-	       (conn->state == CONN_SENDING_RESPONSE && conn->out.len > conn->out.offset);
+	       (conn->state == CONN_SENDING_RESPONSE && conn->output.len > conn->output.offset);
 }
 
 /* Its memory lives on to the end of the turn. */
-void http_conn_close(struct conn *conn, int reset)
+void http_conn_close(struct http_connection *conn, int reset)
 {
 	struct linger linger = { 1, 0 };
 	struct http *http = conn->http;
 
-	if (conn->dead)
+	if (conn->closed)
 		return;
-	conn->dead = 1;
+	conn->closed = 1;
 	if (conn->fd >= 0) {
 		if (reset || close_misleads(conn))
 			setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
@@ -178,18 +179,18 @@
 		http_peer_release(http, conn->client.peer);
 		conn->client.peer = NULL;
 	}
-	arrput(http->dead, conn);
+	arrput(http->closed, conn);
 }
 
-static void conn_free(struct http *http, struct conn *conn)
+static void conn_free(struct http *http, struct http_connection *conn)
 {
 	if (conn->kind == CONN_SERVER) {
-		http_buffer_free(http, &conn->s.early);
-		http->slots[conn->s.slot] = NULL;
-		arrput(http->free_slots, conn->s.slot);
+		http_buffer_free(http, &conn->server.early);
+		http->slots[conn->server.slot] = NULL;
+		arrput(http->free_slots, conn->server.slot);
 	}
-	http_buffer_free(http, &conn->in);
-	http_buffer_free(http, &conn->out);
+	http_buffer_free(http, &conn->input);
+	http_buffer_free(http, &conn->output);
 	conn->client.next = http->spare_connections;
 	http->spare_connections = conn;
 }
@@ -198,12 +199,12 @@
 {
 	ptrdiff_t i, n = 0;
 
-	for (i = 0; i < arrlen(http->dead); i++)
-		if (http->dead[i]->queued)
-			http->dead[n++] = http->dead[i];
+	for (i = 0; i < arrlen(http->closed); i++)
+		if (http->closed[i]->queued)
+			http->closed[n++] = http->closed[i];
 		else
-			conn_free(http, http->dead[i]);
-	arrsetlen(http->dead, n);
+			conn_free(http, http->closed[i]);
+	arrsetlen(http->closed, n);
 }
 
 void http_socket_options(int fd)
@@ -236,25 +237,25 @@
 }
 
 /* Returns 0 when not all could be sent, or the connection is lost. */
-int http_conn_send(struct conn *conn, int *lost)
+int http_conn_send(struct http_connection *conn, int *lost)
 {
-	size_t n = conn->out.len - conn->out.offset;
+	size_t n = conn->output.len - conn->output.offset;
 	ssize_t k;
 
 	*lost = 0;
 	if (!n)
 		return 1;
 	do
-		k = send(conn->fd, conn->out.data + conn->out.offset, n, MSG_NOSIGNAL);
+		k = send(conn->fd, conn->output.data + conn->output.offset, n, MSG_NOSIGNAL);
 	while (k < 0 && errno == EINTR);
 	if (k < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
 		*lost = 1;
 		return 0;
 	}
 	if (k > 0)
-		conn->out.offset += (size_t)k;
+		conn->output.offset += (size_t)k;
 	if (k > 0 && (size_t)k == n) {
-		http_buffer_free(conn->http, &conn->out);
+		http_buffer_free(conn->http, &conn->output);
 		return 1;
 	}
 	return 0;
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -1,6 +1,6 @@
-/* http_end: how a client's connection ends, and what became of each request that was read whole.
- * Every end of a client's connection goes through this file. An answer that was given whole is never followed
- * by a close over unread bytes, for the kernel answers those with a reset, which may overtake the answer. */
+/* http_disconnect: how a client's connection ends, and what became of each request that was read whole.
+ * Every end of a client's connection goes through this file. A complete answer is never followed by a close
+ * over unread bytes, for the kernel answers those with a reset, which may overtake the answer. */
 #include <errno.h>
 #include <sys/socket.h>
 
@@ -11,28 +11,28 @@
 	    16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */
 };
 
-void http_server_count_outcome(struct conn *conn, enum http_outcome outcome)
+void http_server_count_outcome(struct http_connection *conn, enum http_outcome outcome)
 {
-	if (!conn->s.outcome_pending)
+	if (!conn->server.outcome_pending)
 		return;
-	conn->s.outcome_pending = 0;
+	conn->server.outcome_pending = 0;
 	conn->http->counters.outcomes[outcome]++;
 }
 
-void http_server_abort(struct conn *conn, enum http_outcome outcome)
+void http_server_abort(struct http_connection *conn, enum http_outcome outcome)
 {
 	http_server_count_outcome(conn, outcome);
 	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_LATE);
 }
 
 /* Has the client said that nothing more will come, and has nothing come? */
-static int client_is_done(const struct conn *conn)
+static int client_is_done(const struct http_connection *conn)
 {
-	return conn->head.close && !conn->s.linger && conn->in.len <= conn->s.parse_offset &&
-	       !conn->s.early.len;
+	return conn->head.close && !conn->server.linger && conn->input.len <= conn->server.parse_offset &&
+	       !conn->server.early.len;
 }
 
-void http_server_linger(struct conn *conn)
+void http_server_linger(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 
@@ -43,14 +43,14 @@
 	http->busy_count--;
 	shutdown(conn->fd, SHUT_WR);
 	conn->state = CONN_LINGERING;
-	http_buffer_free(http, &conn->in);
-	http_buffer_free(http, &conn->s.early);
+	http_buffer_free(http, &conn->input);
+	http_buffer_free(http, &conn->server.early);
 	http_conn_watch(conn, HTTP_READ_EVENTS);
 	http_timer_set(conn, http->now_ms + LINGER_MS);
 }
 
 /* Read and forget. How many bytes; 0 when the other side has ended, -1 when nothing is there. */
-static ssize_t drain(struct conn *conn)
+static ssize_t drain(struct http_connection *conn)
 {
 	ssize_t n = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
 
@@ -59,13 +59,13 @@
 	return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? -1 : 0;
 }
 
-void http_server_linger_read(struct conn *conn)
+void http_server_linger_read(struct http_connection *conn)
 {
 	if (!drain(conn))
 		http_conn_close(conn, 0);
 }
 
-void http_server_stop(struct conn *conn)
+void http_server_stop(struct http_connection *conn)
 {
 	int lost, sent = conn->state != CONN_LINGERING && http_conn_send(conn, &lost), reads = 0;
 	int answered = conn->state == CONN_LINGERING || (conn->state == CONN_SENDING_RESPONSE && sent);
@@ -74,7 +74,8 @@
 		http_server_abort(conn, HTTP_OUTCOME_CLOSED);
 		return;
 	}
-	http_server_count_outcome(conn, conn->s.is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
+	http_server_count_outcome(conn,
+				  conn->server.is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
 	shutdown(conn->fd, SHUT_WR);
 	while (reads++ < STOP_READS && drain(conn) > 0)
 		;
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -1,8 +1,10 @@
-/* http_internal: what the files of the HTTP loop share. Not for others.
- *   http_buffer  bytes to come and to go      http_parse   heads and chunks
- *   http_conn    connections and their times  http_server  clients that are answered
- *   http_door    listeners, how they are left  http_end     how a client's connection ends
- *   http_client  calls and kept connections   http         the loop */
+/* http_internal: what the files of the HTTP loop share. Not for other modules.
+ *   http_loop        the loop, opening and closing       http_listener    listeners, accepting, draining
+ *   http_connection  connections, their timers, sockets  http_server      clients that are answered
+ *   http_buffer      bytes read and to be written        http_disconnect  how a client's connection ends
+ *   http_parse       heads and chunks                    http_client      calls, idle connections to servers
+ * The thread that runs the loop owns everything here; only http_wake is called by others, and touches wake_fd
+ * and woken alone. */
 #ifndef NL_HTTP_INTERNAL_H
 #define NL_HTTP_INTERNAL_H
 
@@ -14,7 +16,7 @@
 #include "http.h"
 
 enum {
-	BUFFER_BLOCK_BYTES = 4096, /* what a buffer begins with; such blocks are kept for the next */
+	BUFFER_BLOCK_BYTES = 4096, /* a buffer's first size; such blocks are kept for the next */
 	MAX_SPARE_BLOCKS = 256,
 	SCRATCH_BYTES = 65536,
 	EVENTS = 256,
@@ -22,9 +24,9 @@
 	MAX_RESPONSE_HEAD_BYTES = 65536,
 	MAX_CHUNK_LINE_BYTES = 4096,
 	MAX_TRAILER_BYTES = 16384,
-	LINGER_MS = 2000,          /* for a caller to take an answer after which we close */
-	DRAIN_IDLE_MS = 200,       /* at a door that leaves, for a request that was on its way when the answer
-				      before it ended */
+	LINGER_MS = 2000,          /* for a client to read an answer after which we close */
+	DRAIN_IDLE_MS = 200,       /* at a draining listener, for a request that was sent before the answer
+				      to the one before it had arrived */
 	ACCEPT_BACKLOG = 1024,     /* connections that the kernel keeps until they are accepted */
 	MAX_SKIPPED_RESPONSES = 4, /* answers to other requests that a call passes over on its connection */
 	DEFAULT_KEEP_ALIVE_MS = 4000,
@@ -36,11 +38,15 @@
 #define NO_TIME INT64_MAX
 #define HTTP_READ_EVENTS ((uint32_t)(EPOLLIN | EPOLLRDHUP))
 
+/* Bytes: those from offset to len are still to be handled. */
 struct buffer {
 	char *data;
-	size_t offset, len, capacity;
+	size_t offset;
+	size_t len; /* bytes in use, those before offset included */
+	size_t capacity;
 };
 
+/* What the next byte of a chunked body belongs to (RFC 9112, 7.1). */
 enum chunk_state {
 	CHUNK_SIZE,
 	CHUNK_EXTENSION,
@@ -48,142 +54,210 @@
 	CHUNK_DATA,
 	CHUNK_DATA_CR,
 	CHUNK_DATA_LF,
-	CHUNK_TRAILER_START,
+	CHUNK_TRAILER_START, /* a trailer's first byte, or the CR of the last line */
 	CHUNK_TRAILER,
 	CHUNK_TRAILER_LF,
 	CHUNK_END_LF,
 	CHUNK_DONE
 };
-struct chunks {
+
+struct chunk_parser {
 	enum chunk_state state;
-	int digit_count;
-	uint64_t remaining;
-	unsigned line_bytes, trailer_bytes;
+	int digit_count;        /* of the chunk's size so far */
+	uint64_t remaining;     /* bytes of the chunk */
+	unsigned line_bytes;    /* of the extension */
+	unsigned trailer_bytes; /* of all trailers */
+};
+
+/* What a head says of the connection and of the body. */
+struct http_head {
+	int minor_version; /* of HTTP/1 */
+	int status;        /* of an answer */
+	int keep_alive_s;  /* Keep-Alive: timeout; -1: not given */
+	int close;         /* the connection ends with this message */
+	int chunked;
+	int has_length;
+	int expects_continue;
+	int host_count;
+	int malformed;   /* its fields contradict each other */
+	uint64_t length; /* Content-Length */
 };
 
-/* what a head says of the connection and of the body */
-struct head {
-	int minor_version, status, keep_alive_s, whole;
-	int close, chunked, has_length, expects_continue, host_count, malformed;
-	uint64_t length;
+enum conn_kind {
+	CONN_LISTENER,
+	CONN_SERVER, /* we are the server: a client's connection */
+	CONN_CLIENT  /* we are the client: a connection to a server */
 };
 
-enum conn_kind { CONN_LISTENER, CONN_SERVER, CONN_CLIENT };
 enum conn_state {
+	/* a listener */
 	CONN_LISTENING,
-	CONN_ACCEPT_PAUSED,
+	CONN_ACCEPT_PAUSED, /* descriptors have run out */
+	/* a client's connection */
 	CONN_READING_HEAD,
 	CONN_READING_BODY,
-	CONN_HANDLING,
-	CONN_SENDING_RESPONSE,
-	CONN_LINGERING, /* server: BUSY while the answer is not finished, DONE till it is sent */
-	CONN_FAILED,
-	CONN_QUEUED,
+	CONN_HANDLING,         /* the request was delivered, and its answer isn't finished */
+	CONN_SENDING_RESPONSE, /* the answer is finished, and not all sent */
+	CONN_LINGERING,        /* our side has ended; theirs is read until it ends too */
+	/* a connection to a server */
+	CONN_FAILED, /* there is none: the call ends at the end of the turn */
+	CONN_QUEUED, /* the call begins at the end of the turn */
 	CONN_CONNECTING,
 	CONN_AWAITING_HEAD,
-	CONN_READING_RESPONSE,
-	CONN_IDLE /* client: REST is the answer's body */
+	CONN_READING_RESPONSE, /* the answer's body */
+	CONN_IDLE              /* kept for the next call */
 };
 
-enum framing { BODY_NONE, BODY_LENGTH, BODY_CHUNKED, BODY_UNTIL_EOF };
+/* How the end of a body is known. */
+enum body_framing { BODY_NONE, BODY_LENGTH, BODY_CHUNKED, BODY_UNTIL_EOF };
 
-struct conn;
+struct http_connection;
+
+/* A server's address and the connections to it; freed when there are none and no bound. */
 struct peer {
 	uint64_t addr;
-	int open_connections, max_connections;
-	unsigned epoch;
-	struct conn *first_idle, *last_idle; /* kept */
+	int open_connections;
+	int max_connections;                /* 0: no bound */
+	unsigned epoch;                     /* a connection of an earlier epoch isn't used again */
+	struct http_connection *first_idle; /* used last */
+	struct http_connection *last_idle;
 };
 
+/* A client's connection. */
 struct server_side {
-	struct conn *listener;
-	uint32_t slot;
-	uint64_t token;
+	struct http_connection *listener;
+	uint32_t slot;  /* its place in http.slots; part of its tokens */
+	uint64_t token; /* of the request; 0: none was delivered yet */
 	struct http_request request;
-	struct buffer early;
-	size_t max_body_bytes;                        /* the limit in force when the body began */
-	size_t parse_offset, body_offset, body_bytes; /* next raw byte; the body's place in the buffer */
+	struct buffer early; /* bytes that came while the request was answered */
+
+	/* reading; offsets are in the input buffer */
+	size_t max_body_bytes; /* the limit in force when the body began */
+	size_t parse_offset;   /* the next byte to read */
+	size_t body_offset;
+	size_t body_bytes;
 	size_t target_offset;
 	const char *method;
-	int head_begun, closing, linger, response_begun, no_body;
-	enum framing response_framing;
-	int outcome_pending;      /* a request was read whole, and its outcome is not counted yet */
-	int is_rejection;         /* its answer says when to come back */
-	int64_t wait_began_at_ms; /* when the wait under way began, which the door's limits bound */
-	uint64_t unsent_bytes; /* of a finished answer, when that wait began; UINT64_MAX: not looked at yet */
-	uint64_t remaining_bytes;     /* of the answer's length */
-	int64_t response_deadline_ms; /* no answer begins to leave after it; 0: whenever */
+	int head_begun;
+
+	/* the answer */
+	int response_begun;
+	int no_body;
+	enum body_framing response_framing;
+	uint64_t remaining_bytes;     /* of its Content-Length */
+	int64_t response_deadline_ms; /* it doesn't begin to leave past it; 0: no bound */
+	int is_rejection;             /* it says when to come back */
+	int outcome_pending;          /* a request was read whole, and its outcome isn't counted yet */
+
+	/* the connection */
+	int closing;              /* it ends after this answer */
+	int linger;               /* and lingers then, whatever the client has said */
+	int64_t wait_began_at_ms; /* when the wait began that the listener's limits bound */
+	uint64_t unsent_bytes;    /* of a finished answer, when that wait began; UINT64_MAX: not read yet */
 };
 
+/* A connection to a server. */
 struct client_side {
 	struct peer *peer;
 	unsigned peer_epoch;
 	uint64_t token;
-	int64_t not_after_ms, deadline_ms, reusable_until_ms; /* until: a kept one may be used */
-	int connect_timeout_ms, new_connection, is_head, sent, request_cut;
-	int skipping;      /* the answer being read belongs to another request: nothing of it is passed on */
-	int skipped_count; /* such answers on this connection */
-	struct conn *next, *prev;
-	enum framing response_framing;
+	int64_t not_after_ms;      /* no byte of the request leaves past it */
+	int64_t deadline_ms;       /* of the whole call */
+	int64_t reusable_until_ms; /* of an idle connection */
+	int connect_timeout_ms;
+	int new_connection; /* no idle connection may be used */
+	int is_head;        /* a HEAD: its answer has no body */
+	int sent;           /* a byte of the request has left */
+	int request_cut; /* the server closed before it had the whole request; an answer may come all the same
+			  */
+	int skipping;    /* the answer being read belongs to another request: nothing of it is passed on */
+	int skipped_count;            /* such answers on this connection */
+	struct http_connection *next; /* in the peer's list of idle ones, and in http.spare_connections */
+	struct http_connection *prev;
+	enum body_framing response_framing;
 };
 
 struct listener {
-	int listener_id, port, draining, accept_burst, options_checked, options_inherited;
-	int sweep_due; /* idle connections are closed once what has come was read */
-	uint64_t last_turn;
+	int listener_id; /* the caller's */
+	int port;
+	int draining;
+	int accept_burst;      /* connections to accept in a turn */
+	int options_checked;   /* options_inherited is known */
+	int options_inherited; /* accepted sockets have the listener's options */
+	int sweep_due;         /* idle connections are closed once what has come was read */
+	uint64_t last_turn;    /* in which it accepted */
 	struct http_limits limits;
 };
 
-struct conn {
+struct http_connection {
 	struct http *http;
-	int fd;
+	int fd; /* -1: none */
 	enum conn_kind kind;
 	enum conn_state state;
-	uint32_t event_mask;
-	int dead, queued;
-	int64_t due, heap_key_ms; /* when something is to be done; what the heap believes, never later */
-	int heap_index;
-	struct buffer in, out;
-	size_t scan_offset;      /* of a head: lines before it are exact */
-	uint64_t body_remaining; /* of the body being read */
-	struct chunks chunks;
-	struct head head;
-	struct http_field *fields;
-	int field_count, field_capacity;
-	union {
+	uint32_t event_mask; /* that epoll waits for; 0: not registered */
+	int closed;          /* freed at the end of the turn */
+	int queued;          /* in http.queued */
+	int64_t due_at_ms;   /* when its timer runs out; NO_TIME: never */
+	int64_t heap_key_ms; /* its key in the timer heap: never later than due_at_ms */
+	int heap_index;      /* -1: not in the heap */
+	struct buffer input;
+	struct buffer output;
+	size_t scan_offset;      /* of a head: the lines before it are exact */
+	uint64_t body_remaining; /* of the body being read, by its length */
+	struct chunk_parser chunks;
+	struct http_head head;
+	struct http_field *fields; /* of the head; kept when the struct is used again */
+	int field_count;
+	int field_capacity;
+	union { /* by kind */
 		struct listener listener;
-		struct server_side s;
+		struct server_side server;
 		struct client_side client;
 	};
 };
 
 struct call_entry {
-	uint64_t key;
-	struct conn *value;
+	uint64_t key; /* token */
+	struct http_connection *value;
 };
+
 struct peer_entry {
-	uint64_t key;
+	uint64_t key; /* address */
 	struct peer *value;
 };
 
 struct http {
 	struct http_callbacks callbacks;
-	int epoll_fd, wake_fd, woken;
+	int epoll_fd;
+	int wake_fd; /* an eventfd */
+	int woken;   /* atomic: a wake is on its way */
+
+	/* the turn */
 	int64_t now_ms;
 	int64_t polled_at_ms;        /* when the newest events were asked for */
-	int64_t previous_poll_at_ms; /* when the loop looked for events the time before: what comes now
-					arrived later */
-	uint64_t turn, serial;
-	int callback_made; /* callbacks were made before the wait of this turn */
-	int busy_count;
-	int sweep_count; /* doors that wait for theirs */
-	struct conn **listeners, **slots, **queued, **running, **dead, **timer_heap;
+	int64_t previous_poll_at_ms; /* the time before: what is read now arrived later */
+	uint64_t turn;
+	uint64_t serial;   /* of the last token */
+	int callback_made; /* before the wait of this turn */
+	int busy_count;    /* clients that are being answered */
+	int sweep_count;   /* listeners with sweep_due */
+
+	/* connections; all arrays are of stb_ds */
+	struct http_connection **listeners;
+	struct http_connection **slots; /* clients', by slot; NULL: free */
 	uint32_t *free_slots;
-	struct conn *spare_connections; /* chain through k.next */
-	char *spare_blocks[MAX_SPARE_BLOCKS];
-	int spare_block_count;
+	struct http_connection **queued;  /* for the end of the turn */
+	struct http_connection **running; /* those of them that have their turn */
+	struct http_connection **closed;  /* to be freed */
+	struct http_connection **timer_heap;
 	struct call_entry *calls;
 	struct peer_entry *peers;
+
+	/* memory for the next ones */
+	struct http_connection *spare_connections; /* chain through client.next */
+	char *spare_blocks[MAX_SPARE_BLOCKS];
+	int spare_block_count;
+
 	struct http_counters counters;
 	struct epoll_event events[EVENTS];
 	char scratch[SCRATCH_BYTES];
@@ -193,47 +267,56 @@
 
 void http_buffer_free(struct http *http, struct buffer *buffer);
 
-/* Room for n more bytes at the end; the buffer may move. */
+/* Make room for size more bytes at the end, which the caller writes and adds to len. The buffer may move. */
 char *http_buffer_reserve(struct http *http, struct buffer *buffer, size_t size);
 void http_buffer_append(struct http *http, struct buffer *buffer, const char *data, size_t size);
 void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text);
 void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base);
 
-/* Text without line breaks, which would begin another field. */
+/* Text, its line breaks replaced by spaces: they would begin another field. */
 void http_buffer_append_clean(struct http *http, struct buffer *buffer, const char *text);
 
-/* A line of a head; line breaks inside it become blanks. */
+/* A field's line, without line breaks inside it. */
 void http_buffer_append_field(struct http *http, struct buffer *buffer, const struct http_field *field);
 
-/* Is it a field by which a message is framed, which are written here alone? */
+/* Whether a field says how a message is framed; the loop alone writes those. */
 int http_is_framing_field(const char *name);
 
 /* ---- http_connection.c ---- */
 
-struct conn *http_conn_new(struct http *http, enum conn_kind kind, int fd);
+/* A connection with everything zero; spare ones are used again. Never NULL. */
+struct http_connection *http_conn_new(struct http *http, enum conn_kind kind, int fd);
 
-/* Wait for these events. */
-void http_conn_watch(struct conn *conn, uint32_t mask);
+/* Have epoll wait for these events. */
+void http_conn_watch(struct http_connection *conn, uint32_t mask);
 
-/* What has been written goes out, and what is begun begins, at the end of the turn. */
-void http_conn_queue(struct conn *conn);
+/* At the end of the turn, send what was written, or begin the call. */
+void http_conn_queue(struct http_connection *conn);
 
 /* Close, with a reset if need be. The struct lives on to the end of the turn. */
-void http_conn_close(struct conn *conn, int reset);
+void http_conn_close(struct http_connection *conn, int reset);
+
+/* Free the connections that were closed in this turn. */
 void http_conn_reap(struct http *http);
 
-/* Send what is to go out. 0 when not all could be sent, or the connection is lost. */
-int http_conn_send(struct conn *conn, int *lost);
+/* Send the output. 0 when not all could be sent, or the connection is lost. */
+int http_conn_send(struct http_connection *conn, int *lost);
 
-/* Take a connection out of its peer's pool; forget a peer that has none and no bound. */
-void http_idle_remove(struct conn *conn);
+/* Take a connection out of its peer's list of idle ones. */
+void http_idle_remove(struct http_connection *conn);
+
+/* Free a peer that has no connection and no bound. */
 void http_peer_release(struct http *http, struct peer *peer);
 
-void http_timer_set(struct conn *conn, int64_t due_at_ms);
-void http_timer_remove(struct http *http, struct conn *conn);
+/* Timers: a heap whose keys may be early, so that moving a time on costs nothing. */
+void http_timer_set(struct http_connection *conn, int64_t due_at_ms);
+void http_timer_remove(struct http *http, struct http_connection *conn);
 void http_timer_down(struct http *http, int index);
 
+/* No delay, and time-outs for bytes that aren't acknowledged. */
 void http_socket_options(int fd);
+
+/* Whether an accepted socket has its listener's options, as on Linux. */
 int http_socket_inherits(int fd);
 struct sockaddr_in http_socket_address(uint64_t address);
 
@@ -243,66 +326,68 @@
 extern unsigned char http_token_char[256];
 void http_parse_init(void);
 
-/* Where the head that begins at from ends; 0 when more is to come; -1 when a line does not end in CRLF. */
-ssize_t http_head_end(struct conn *conn, size_t from);
+/* The end of the head that begins at offset from of the input; 0 when more is to come; -1 when a line doesn't
+ * end in CRLF. */
+ssize_t http_head_end(struct http_connection *conn, size_t from);
 
-/* Read the whole head at in[from, to); 0 when it is bad. Fields are offsets until http_head_fix_fields. */
-int http_head_read(struct conn *conn, size_t from, size_t end, int request);
-void http_head_resolve_fields(struct conn *conn);
+/* Parse the complete head at [from, end) of the input; 0 when it's malformed. Its fields are offsets until
+ * http_head_resolve_fields, which is called once the input no longer moves. */
+int http_head_read(struct http_connection *conn, size_t from, size_t end, int request);
+void http_head_resolve_fields(struct http_connection *conn);
 
-/* Take bytes up to the end of a span of data, *d and *dn. How many, or -1 for bad framing. */
-ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data,
+/* Parse bytes up to the end of a span of data, which is set if there is one. Returns how many, or -1 for bad
+ * framing. */
+ssize_t http_chunk_step(struct chunk_parser *chunks, const char *input, size_t size, const char **data,
 			size_t *data_size);
 
 /* ---- http_server.c ---- */
 
-void http_server_event(struct conn *conn, uint32_t events);
-void http_server_flush(struct conn *conn);
-void http_server_timeout(struct conn *conn);
+void http_server_event(struct http_connection *conn, uint32_t events);
+void http_server_flush(struct http_connection *conn);
+void http_server_timeout(struct http_connection *conn);
 
-/* Read what has come of a request. Returns whether anything has that lets it go on: a head has its time as a
- * whole. */
-int http_server_progressed(struct conn *conn);
+/* Read what has come of a request. Returns whether it has moved on: a head has one time-out as a whole. */
+int http_server_progressed(struct http_connection *conn);
 
-/* Wait for a request, from now on. */
-void http_server_idle(struct conn *conn);
+/* Begin to wait for a request. */
+void http_server_idle(struct http_connection *conn);
 
-/* Answer what cannot be served, or not read to its end; nothing of it is delivered. retry_ms: when to come
- * back; 0: not said. */
-void http_server_reject(struct conn *conn, int status, int retry_after_ms);
+/* Answer a request that can't be served or read to its end; nothing of it is delivered. retry_after_ms: 0, or
+ * when the client should come back. */
+void http_server_reject(struct http_connection *conn, int status, int retry_after_ms);
 
 /* ---- http_disconnect.c ---- */
 
-/* The request's outcome, counted once. */
-void http_server_count_outcome(struct conn *conn, enum http_outcome outcome);
+/* Count the request's outcome, once. */
+void http_server_count_outcome(struct http_connection *conn, enum http_outcome outcome);
 
 /* Close before the answer has left: at once, and with a reset where an ordinary end could look whole. */
-void http_server_abort(struct conn *conn, enum http_outcome outcome);
+void http_server_abort(struct http_connection *conn, enum http_outcome outcome);
 
-/* Close behind a whole answer, so that it arrives: our side ends, and theirs is read until it ends too, for
- * LINGER_MS. */
-void http_server_linger(struct conn *conn);
+/* Close behind a complete answer, so that it arrives: our side ends, and theirs is read until it ends too,
+ * for LINGER_MS. */
+void http_server_linger(struct http_connection *conn);
 
 /* Read and forget what comes on a connection that lingers; close it once its other side has ended. */
-void http_server_linger_read(struct conn *conn);
+void http_server_linger_read(struct http_connection *conn);
 
 /* The loop is closed: send what the kernel takes, and close. */
-void http_server_stop(struct conn *conn);
+void http_server_stop(struct http_connection *conn);
 
 /* ---- http_listener.c ---- */
 
-void http_listener_accept(struct conn *conn);
+void http_listener_accept(struct http_connection *conn);
 
-/* Close the connections of doors that asked for it, if they are idle and nothing has come on them. */
+/* Close the connections of listeners with sweep_due, if they are idle and nothing has come on them. */
 void http_listener_sweep(struct http *http);
 
 /* ---- http_client.c ---- */
 
-void http_client_start(struct conn *conn);
-void http_client_event(struct conn *conn, uint32_t events);
-void http_client_timeout(struct conn *conn);
+void http_client_start(struct http_connection *conn);
+void http_client_event(struct http_connection *conn, uint32_t events);
+void http_client_timeout(struct http_connection *conn);
 
-/* The call is over. keep: its connection may serve another. */
-void http_client_end(struct conn *conn, enum http_call_result result, int reusable);
+/* End a call. reusable: its connection may serve another. */
+void http_client_end(struct http_connection *conn, enum http_call_result result, int reusable);
 
 #endif
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -1,4 +1,4 @@
-/* http_door: listeners, the connections that they accept, and how they are left. */
+/* http_listener: listeners, the connections that they accept, draining. */
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -10,14 +10,14 @@
 
 enum { MAX_ACCEPT_BURST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
 
-static void pause_accepting(struct conn *conn)
+static void pause_accepting(struct http_connection *conn)
 {
 	conn->state = CONN_ACCEPT_PAUSED;
 	http_conn_watch(conn, EPOLLRDHUP);
 	http_timer_set(conn, conn->http->now_ms + ACCEPT_PAUSE_MS);
 }
 
-static uint32_t slot_allocate(struct http *http, struct conn *conn)
+static uint32_t slot_allocate(struct http *http, struct http_connection *conn)
 {
 	uint32_t slot;
 
@@ -32,12 +32,12 @@
 }
 
 /* Returns 0 when there is none, or no descriptor for it. */
-static int accept_one(struct conn *l)
+static int accept_one(struct http_connection *l)
 {
 	struct http *http = l->http;
 	struct listener *listener = &l->listener;
 	int fd = accept4(l->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-	struct conn *conn;
+	struct http_connection *conn;
 
 	if (fd < 0) {
 		if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
@@ -52,14 +52,14 @@
 		http_socket_options(fd);
 	http->counters.accepted++;
 	conn = http_conn_new(http, CONN_SERVER, fd);
-	conn->s.listener = l;
-	conn->s.slot = slot_allocate(http, conn);
+	conn->server.listener = l;
+	conn->server.slot = slot_allocate(http, conn);
 	http_conn_watch(conn, HTTP_READ_EVENTS);
 	http_server_idle(conn);
 	return 1;
 }
 
-void http_listener_accept(struct conn *conn)
+void http_listener_accept(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	struct listener *listener = &conn->listener;
@@ -80,7 +80,7 @@
 	uint64_t a = core_parse_addr(addr);
 	struct sockaddr_in socket_address = http_socket_address(a);
 	socklen_t n = sizeof socket_address;
-	struct conn *conn;
+	struct http_connection *conn;
 	int fd, on = 1;
 
 	if (!a) {
@@ -120,7 +120,7 @@
 	return 0;
 }
 
-void http_limits(struct http *http, int listener_id, const struct http_limits *limits)
+void http_set_limits(struct http *http, int listener_id, const struct http_limits *limits)
 {
 	ptrdiff_t i;
 
@@ -129,10 +129,10 @@
 			http->listeners[i]->listener.limits = *limits;
 }
 
-static int is_incomplete(const struct conn *conn, int listener_id)
+static int is_incomplete(const struct http_connection *conn, int listener_id)
 {
-	return conn && !conn->dead && conn->s.listener->listener.listener_id == listener_id &&
-	       (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->in.len));
+	return conn && !conn->closed && conn->server.listener->listener.listener_id == listener_id &&
+	       (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->input.len));
 }
 
 int http_incomplete_count(const struct http *http, int listener_id)
@@ -156,7 +156,7 @@
 
 /* ---- leaving ---- */
 
-static void schedule_sweep(struct http *http, struct conn *conn)
+static void schedule_sweep(struct http *http, struct http_connection *conn)
 {
 	http->sweep_count += !conn->listener.sweep_due;
 	conn->listener.sweep_due = 1;
@@ -164,10 +164,10 @@
 
 /* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never
  * served. */
-static int may_close_unread(const struct conn *conn)
+static int may_close_unread(const struct http_connection *conn)
 {
-	return conn->state == CONN_READING_HEAD && !conn->in.len &&
-	       (conn->s.listener->listener.draining || !conn->s.token);
+	return conn->state == CONN_READING_HEAD && !conn->input.len &&
+	       (conn->server.listener->listener.draining || !conn->server.token);
 }
 
 void http_listener_sweep(struct http *http)
@@ -177,10 +177,10 @@
 	if (!http->sweep_count)
 		return;
 	for (i = 0; i < arrlen(http->slots); i++) {
-		struct conn *conn = http->slots[i];
+		struct http_connection *conn = http->slots[i];
 
-		if (conn && !conn->dead && conn->s.listener->listener.sweep_due && may_close_unread(conn) &&
-		    !http_server_progressed(conn))
+		if (conn && !conn->closed && conn->server.listener->listener.sweep_due &&
+		    may_close_unread(conn) && !http_server_progressed(conn))
 			http_conn_close(conn, 0);
 	}
 	for (i = 0; i < arrlen(http->listeners); i++)
@@ -193,7 +193,7 @@
 	ptrdiff_t i;
 
 	for (i = 0; i < arrlen(http->listeners); i++) {
-		struct conn *conn = http->listeners[i];
+		struct http_connection *conn = http->listeners[i];
 		int accepted = 0;
 
 		if (conn->listener.listener_id != listener_id || conn->fd < 0)
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -1,5 +1,5 @@
-/* http: see http.h. One epoll, level-triggered: a connection is registered once, and asks for room to write
- * only after a short write. What is written during a turn goes out at its end in one send. */
+/* http_loop: the loop; see http.h. One epoll, level-triggered: a connection is registered once, and asks for
+ * room to write only after a short write. What is written during a turn goes out at its end in one send. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 static void run_queued(struct http *http)
 {
-	struct conn **connections = http->queued;
+	struct http_connection **connections = http->queued;
 	ptrdiff_t i;
 
 	if (!arrlen(connections))
@@ -22,10 +22,10 @@
 	http->queued = http->running;
 	http->running = connections;
 	for (i = 0; i < arrlen(connections); i++) {
-		struct conn *conn = connections[i];
+		struct http_connection *conn = connections[i];
 
 		conn->queued = 0;
-		if (conn->dead)
+		if (conn->closed)
 			continue;
 		if (conn->kind == CONN_SERVER)
 			http_server_flush(conn);
@@ -40,19 +40,19 @@
 static void run_timers(struct http *http)
 {
 	while (arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms <= http->now_ms) {
-		struct conn *conn = http->timer_heap[0];
+		struct http_connection *conn = http->timer_heap[0];
 
-		if (conn->due > http->now_ms) {
-			if (conn->due == NO_TIME) {
+		if (conn->due_at_ms > http->now_ms) {
+			if (conn->due_at_ms == NO_TIME) {
 				http_timer_remove(http, conn);
 			} else {
-				conn->heap_key_ms = conn->due;
+				conn->heap_key_ms = conn->due_at_ms;
 				http_timer_down(http, 0);
 			}
 			continue;
 		}
 		http_timer_remove(http, conn);
-		conn->due = NO_TIME;
+		conn->due_at_ms = NO_TIME;
 		if (conn->kind == CONN_SERVER) {
 			http_server_timeout(conn);
 		} else if (conn->kind == CONN_CLIENT) {
@@ -88,7 +88,7 @@
 	n = epoll_wait(http->epoll_fd, http->events, EVENTS, timeout_ms);
 	http->now_ms = http->polled_at_ms = clock_ms();
 	for (i = 0; i < n; i++) {
-		struct conn *conn = http->events[i].data.ptr;
+		struct http_connection *conn = http->events[i].data.ptr;
 		uint32_t events = http->events[i].events;
 
 		if (!conn) {
@@ -99,7 +99,7 @@
 			    __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
 			continue;
 		}
-		if (conn->dead || conn->fd < 0)
+		if (conn->closed || conn->fd < 0)
 			continue;
 		if (conn->kind == CONN_SERVER)
 			http_server_event(conn, events);
@@ -150,7 +150,7 @@
 	ptrdiff_t i;
 
 	for (i = 0; i < arrlen(http->slots); i++)
-		if (http->slots[i] && !http->slots[i]->dead)
+		if (http->slots[i] && !http->slots[i]->closed)
 			http_server_stop(http->slots[i]);
 	for (i = 0; i < hmlen(http->calls); i++)
 		http_conn_close(http->calls[i].value, 0);
@@ -174,7 +174,7 @@
 		free(http->listeners[i]);
 	}
 	while (http->spare_connections) {
-		struct conn *conn = http->spare_connections;
+		struct http_connection *conn = http->spare_connections;
 
 		http->spare_connections = conn->client.next;
 		free(conn->fields);
@@ -187,7 +187,7 @@
 	arrfree(http->free_slots);
 	arrfree(http->queued);
 	arrfree(http->running);
-	arrfree(http->dead);
+	arrfree(http->closed);
 	arrfree(http->timer_heap);
 	hmfree(http->calls);
 	hmfree(http->peers);
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -1,5 +1,6 @@
-/* http_parse: heads go through http-parser once they are whole and their lines are exact. Bodies are counted
- * here, because http-parser as it is packaged forgives chunks that do not end where they say. */
+/* http_parse: heads and chunks. A complete head goes through http-parser once its lines are known to be
+ * exact. Chunks are parsed here, because http-parser as it is packaged accepts chunks that do not end where
+ * they say. */
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
@@ -21,15 +22,14 @@
 
 unsigned char http_token_char[256];
 
-/* Where the head that begins at from ends; 0 when more is to come; -1 when a line does not end in CRLF. */
-ssize_t http_head_end(struct conn *conn, size_t from)
+ssize_t http_head_end(struct http_connection *conn, size_t from)
 {
-	const char *d = conn->in.data, *nl;
+	const char *d = conn->input.data, *nl;
 
 	if (conn->scan_offset < from)
 		conn->scan_offset = from;
-	while (conn->scan_offset < conn->in.len &&
-	       (nl = memchr(d + conn->scan_offset, '\n', conn->in.len - conn->scan_offset))) {
+	while (conn->scan_offset < conn->input.len &&
+	       (nl = memchr(d + conn->scan_offset, '\n', conn->input.len - conn->scan_offset))) {
 		size_t i = (size_t)(nl - d);
 
 		if (i == from || d[i - 1] != '\r')
@@ -38,7 +38,7 @@
 		if (i >= from + 2 && d[i - 2] == '\n')
 			return (ssize_t)(i + 1);
 	}
-	conn->scan_offset = conn->in.len;
+	conn->scan_offset = conn->input.len;
 	return 0;
 }
 
@@ -90,7 +90,7 @@
 }
 
 struct reading {
-	struct conn *c;
+	struct http_connection *c;
 	char *name_end, *value_end;
 	int values, ended;
 };
@@ -104,17 +104,17 @@
 	reading->name_end = reading->value_end = NULL;
 }
 
-static const char *as_offset(struct conn *conn, const char *position)
+static const char *as_offset(struct http_connection *conn, const char *position)
 {
-	return (const char *)(uintptr_t)(position - conn->in.data);
+	return (const char *)(uintptr_t)(position - conn->input.data);
 }
 
 static int on_url(http_parser *parser, const char *at, size_t n)
 {
 	struct reading *reading = parser->data;
 
-	reading->c->s.target_offset = (size_t)(at - reading->c->in.data);
-	reading->name_end = reading->c->in.data + reading->c->s.target_offset +
+	reading->c->server.target_offset = (size_t)(at - reading->c->input.data);
+	reading->name_end = reading->c->input.data + reading->c->server.target_offset +
 			    n; /* the blank behind it, which has been read when the next comes */
 	return 0;
 }
@@ -122,7 +122,7 @@
 static int on_field(http_parser *parser, const char *text, size_t size)
 {
 	struct reading *reading = parser->data;
-	struct conn *conn = reading->c;
+	struct http_connection *conn = reading->c;
 
 	terminate(reading);
 	if (reading->values != conn->field_count)
@@ -136,7 +136,7 @@
 	/* offsets, until the buffer moves no more; an empty value is the end of its name */
 	conn->fields[conn->field_count++] =
 	    (struct http_field){ as_offset(conn, text), as_offset(conn, text + size) };
-	reading->name_end = conn->in.data + (text - conn->in.data) + size;
+	reading->name_end = conn->input.data + (text - conn->input.data) + size;
 	return 0;
 }
 
@@ -189,7 +189,7 @@
 	return -1;
 }
 
-static void note(struct head *head, const char *name, size_t nn, const char *v, size_t n)
+static void note(struct http_head *head, const char *name, size_t nn, const char *v, size_t n)
 {
 	switch (nn) {
 	case 4:
@@ -223,17 +223,18 @@
 static int on_value(http_parser *parser, const char *at, size_t n)
 {
 	struct reading *reading = parser->data;
-	struct conn *conn = reading->c;
+	struct http_connection *conn = reading->c;
 	size_t name = (size_t)(uintptr_t)conn->fields[conn->field_count - 1].name;
 
 	if (++reading->values != conn->field_count)
 		return -1;
 	while (n && (at[n - 1] == ' ' || at[n - 1] == '\t'))
 		n--;
-	note(&conn->head, conn->in.data + name, (size_t)(reading->name_end - conn->in.data) - name, at, n);
+	note(&conn->head, conn->input.data + name, (size_t)(reading->name_end - conn->input.data) - name, at,
+	     n);
 	if (n) {
 		conn->fields[conn->field_count - 1].value = as_offset(conn, at);
-		reading->value_end = conn->in.data + (at - conn->in.data) + n;
+		reading->value_end = conn->input.data + (at - conn->input.data) + n;
 	}
 	return 0;
 }
@@ -247,8 +248,7 @@
 	return 1; /* its body is not http-parser's */
 }
 
-/* Read the whole head at in[from, to). Fields are offsets into the buffer afterwards. */
-int http_head_read(struct conn *conn, size_t from, size_t end, int request)
+int http_head_read(struct http_connection *conn, size_t from, size_t end, int request)
 {
 	static const http_parser_settings set = { .on_url = on_url,
 						  .on_header_field = on_field,
@@ -258,12 +258,12 @@
 	http_parser parser;
 
 	conn->field_count = 0;
-	conn->head = (struct head){ .keep_alive_s = -1 };
-	if (!are_lines_exact(conn->in.data + from, conn->in.data + end, request))
+	conn->head = (struct http_head){ .keep_alive_s = -1 };
+	if (!are_lines_exact(conn->input.data + from, conn->input.data + end, request))
 		return 0;
 	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
 	parser.data = &reading;
-	http_parser_execute(&parser, &set, conn->in.data + from, end - from);
+	http_parser_execute(&parser, &set, conn->input.data + from, end - from);
 	if (!reading.ended || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.malformed ||
 	    (conn->head.chunked && conn->head.has_length) || parser.http_major != 1 ||
 	    (conn->head.chunked && !parser.http_minor))
@@ -272,115 +272,122 @@
 	conn->head.close |= !parser.http_minor;
 	conn->head.status = (int)parser.status_code;
 	if (request) {
-		conn->s.method = http_method_str((enum http_method)parser.method);
+		conn->server.method = http_method_str((enum http_method)parser.method);
 		return conn->head.host_count <= 1 && parser.method != HTTP_CONNECT;
 	}
 	return 1;
 }
 
 /* From here on the buffer does not move. */
-void http_head_resolve_fields(struct conn *conn)
+void http_head_resolve_fields(struct http_connection *conn)
 {
 	int i;
 
 	for (i = 0; i < conn->field_count; i++)
-		conn->fields[i] = (struct http_field){ conn->in.data + (uintptr_t)conn->fields[i].name,
-						       conn->in.data + (uintptr_t)conn->fields[i].value };
+		conn->fields[i] = (struct http_field){ conn->input.data + (uintptr_t)conn->fields[i].name,
+						       conn->input.data + (uintptr_t)conn->fields[i].value };
 }
 
 /* ---- chunks ---- */
 
+enum { MAX_SIZE_DIGITS = 15 };
+
 static int hex_digit(char character)
 {
-	return character >= '0' && character <= '9'                 ? character - '0'
-	       : (character | 32) >= 'a' && (character | 32) <= 'f' ? (character | 32) - 'a' + 10
-								    : -1;
+	char lower = (char)(character | 32);
+
+	if (character >= '0' && character <= '9')
+		return character - '0';
+	if (lower >= 'a' && lower <= 'f')
+		return lower - 'a' + 10;
+	return -1;
+}
+
+static int is_control(char c)
+{
+	return ((unsigned char)c < 32 && c != '\t') || c == 127;
 }
 
-/* Takes bytes up to the end of a span of data, *d and *dn. Returns how many, or -1 for bad framing. */
-/* NOLINTNEXTLINE(readability-function-size): one case for each state of the parser */
-ssize_t http_chunk_step(struct chunks *chunks, const char *input, size_t size, const char **data,
+/* A byte that must be this one, and leads to the next state. */
+static int expect(struct chunk_parser *chunks, char c, char expected, enum chunk_state next)
+{
+	if (c != expected)
+		return 0;
+	chunks->state = next;
+	return 1;
+}
+
+static int size_byte(struct chunk_parser *chunks, char c)
+{
+	int digit = hex_digit(c);
+
+	if (digit >= 0) {
+		chunks->remaining = chunks->remaining * 16 + (uint64_t)digit;
+		return ++chunks->digit_count <= MAX_SIZE_DIGITS;
+	}
+	chunks->line_bytes = 0;
+	if (!chunks->digit_count)
+		return 0;
+	return expect(chunks, c, '\r', CHUNK_SIZE_LF) || expect(chunks, c, ';', CHUNK_EXTENSION);
+}
+
+static int trailer_start_byte(struct chunk_parser *chunks, char c)
+{
+	if (expect(chunks, c, '\r', CHUNK_END_LF))
+		return 1;
+	chunks->state = CHUNK_TRAILER;
+	return http_token_char[(unsigned char)c];
+}
+
+/* One byte of the framing; 0 when it's wrong there. */
+static int framing_byte(struct chunk_parser *chunks, char c)
+{
+	switch (chunks->state) {
+	case CHUNK_SIZE:
+		return size_byte(chunks, c);
+	case CHUNK_EXTENSION:
+		return expect(chunks, c, '\r', CHUNK_SIZE_LF) ||
+		       (!is_control(c) && ++chunks->line_bytes <= MAX_CHUNK_LINE_BYTES);
+	case CHUNK_SIZE_LF:
+		return expect(chunks, c, '\n', chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START);
+	case CHUNK_DATA_CR:
+		return expect(chunks, c, '\r', CHUNK_DATA_LF);
+	case CHUNK_DATA_LF:
+		chunks->digit_count = 0;
+		return expect(chunks, c, '\n', CHUNK_SIZE);
+	case CHUNK_TRAILER_START:
+		return trailer_start_byte(chunks, c);
+	case CHUNK_TRAILER:
+		return expect(chunks, c, '\r', CHUNK_TRAILER_LF) ||
+		       (!is_control(c) && ++chunks->trailer_bytes <= MAX_TRAILER_BYTES);
+	case CHUNK_TRAILER_LF:
+		return expect(chunks, c, '\n', CHUNK_TRAILER_START);
+	case CHUNK_END_LF:
+		return expect(chunks, c, '\n', CHUNK_DONE);
+	case CHUNK_DATA:
+	case CHUNK_DONE:
+		break;
+	}
+	return 0;
+}
+
+ssize_t http_chunk_step(struct chunk_parser *chunks, const char *input, size_t size, const char **data,
 			size_t *data_size)
 {
 	size_t i;
-	int digit;
 
 	*data_size = 0;
 	for (i = 0; i < size && chunks->state != CHUNK_DONE; i++) {
-		char c = input[i];
-
-		switch (chunks->state) {
-		case CHUNK_SIZE:
-			if ((digit = hex_digit(c)) >= 0) {
-				if (++chunks->digit_count > 15)
-					return -1;
-				chunks->remaining = chunks->remaining * 16 + (uint64_t)digit;
-			} else if (chunks->digit_count && (c == '\r' || c == ';')) {
-				chunks->state = c == '\r' ? CHUNK_SIZE_LF : CHUNK_EXTENSION;
-				chunks->line_bytes = 0;
-			} else {
-				return -1;
-			}
-			break;
-		case CHUNK_EXTENSION:
-			if (c == '\r')
-				chunks->state = CHUNK_SIZE_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 ||
-				 ++chunks->line_bytes > MAX_CHUNK_LINE_BYTES)
-				return -1;
-			break;
-		case CHUNK_SIZE_LF:
-			if (c != '\n')
-				return -1;
-			chunks->state = chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START;
-			break;
-		case CHUNK_DATA:
+		if (chunks->state == CHUNK_DATA) {
 			*data = input + i;
 			*data_size = size - i < chunks->remaining ? size - i : (size_t)chunks->remaining;
 			chunks->remaining -= *data_size;
 			if (!chunks->remaining)
 				chunks->state = CHUNK_DATA_CR;
 			return (ssize_t)(i + *data_size);
-		case CHUNK_DATA_CR:
-			if (c != '\r')
-				return -1;
-			chunks->state = CHUNK_DATA_LF;
-			break;
-		case CHUNK_DATA_LF:
-			if (c != '\n')
-				return -1;
-			chunks->state = CHUNK_SIZE;
-			chunks->digit_count = 0;
-			break;
-		case CHUNK_TRAILER_START: /* of a trailer, or the end */
-			if (c == '\r') {
-				chunks->state = CHUNK_END_LF;
-				break;
-			}
-			if (!http_token_char[(unsigned char)c])
-				return -1;
-			chunks->state = CHUNK_TRAILER;
-			break;
-		case CHUNK_TRAILER:
-			if (c == '\r')
-				chunks->state = CHUNK_TRAILER_LF;
-			else if (((unsigned char)c < 32 && c != '\t') || c == 127 ||
-				 ++chunks->trailer_bytes > MAX_TRAILER_BYTES)
-				return -1;
-			break;
-		case CHUNK_TRAILER_LF:
-			if (c != '\n')
-				return -1;
-			chunks->state = CHUNK_TRAILER_START;
-			break;
-		case CHUNK_END_LF:
-			if (c != '\n')
-				return -1;
-			chunks->state = CHUNK_DONE;
-			break;
-		case CHUNK_DONE:
-			break;
 		}
+		if (!framing_byte(chunks, input[i]))
+			return -1;
 	}
 	return (ssize_t)i;
 }
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -1,4 +1,4 @@
-/* http_server: clients that connect to a door, one request at a time on a connection, and their answers. */
+/* http_server: requests of clients, one at a time on a connection, and their answers. */
 #include <errno.h>
 #include <linux/sockios.h>
 #include <stdio.h>
@@ -12,12 +12,13 @@
 #include "http_internal.h"
 #include "shell.h"
 
-static struct conn *find_by_token(struct http *http, uint64_t token)
+static struct http_connection *find_by_token(struct http *http, uint64_t token)
 {
 	size_t index = token & ((1u << SLOT_BITS) - 1);
-	struct conn *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
+	struct http_connection *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
-	return conn && !conn->dead && conn->state == CONN_HANDLING && conn->s.token == token ? conn : NULL;
+	return conn && !conn->closed && conn->state == CONN_HANDLING && conn->server.token == token ? conn
+												    : NULL;
 }
 
 static void append_status_line(struct http *http, struct buffer *buffer, int status)
@@ -32,20 +33,21 @@
 }
 
 /* For how long the wait under way may last. */
-static int wait_ms(const struct conn *conn)
+static int wait_ms(const struct http_connection *conn)
 {
-	const struct listener *listener = &conn->s.listener->listener;
+	const struct listener *listener = &conn->server.listener->listener;
 
 	switch (conn->state) {
 	case CONN_READING_HEAD:
-		if (conn->s.head_begun)
+		if (conn->server.head_begun)
 			return listener->limits.head_timeout_ms;
-		return listener->draining && conn->s.token && listener->limits.idle_timeout_ms > DRAIN_IDLE_MS
+		return listener->draining && conn->server.token &&
+			       listener->limits.idle_timeout_ms > DRAIN_IDLE_MS
 			   ? DRAIN_IDLE_MS
 			   : listener->limits.idle_timeout_ms;
 	case CONN_SENDING_RESPONSE:
-		return conn->s.outcome_pending ? listener->limits.idle_timeout_ms
-					       : LINGER_MS; /* of a refusal: its request was not read */
+		return conn->server.outcome_pending ? listener->limits.idle_timeout_ms
+						    : LINGER_MS; /* of a refusal: its request was not read */
 	case CONN_LINGERING:
 		return LINGER_MS;
 	default:
@@ -53,34 +55,34 @@
 	}
 }
 
-static void begin_wait(struct conn *conn)
+static void begin_wait(struct http_connection *conn)
 {
-	conn->s.wait_began_at_ms = conn->http->now_ms;
-	http_timer_set(conn, conn->s.wait_began_at_ms + wait_ms(conn));
+	conn->server.wait_began_at_ms = conn->http->now_ms;
+	http_timer_set(conn, conn->server.wait_began_at_ms + wait_ms(conn));
 }
 
-void http_server_reject(struct conn *conn, int status, int retry_after_ms)
+void http_server_reject(struct http_connection *conn, int status, int retry_after_ms)
 {
 	struct http *http = conn->http;
 	char retry_after[48];
 
 	http->counters.bad_requests++;
 	http->busy_count++;
-	append_status_line(http, &conn->out, status);
+	append_status_line(http, &conn->output, status);
 	if (retry_after_ms > 0) {
 		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000,
 			 retry_after_ms % 1000);
-		http_buffer_append_text(http, &conn->out, retry_after);
+		http_buffer_append_text(http, &conn->output, retry_after);
 	}
-	http_buffer_append_text(http, &conn->out, "Content-Length: 0\r\nConnection: close\r\n\r\n");
+	http_buffer_append_text(http, &conn->output, "Content-Length: 0\r\nConnection: close\r\n\r\n");
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->s.closing = conn->s.linger = 1;
-	conn->in.len = 0;
+	conn->server.closing = conn->server.linger = 1;
+	conn->input.len = 0;
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
 
-static void server_lost(struct conn *conn)
+static void server_lost(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	int waits = conn->state == CONN_HANDLING;
@@ -89,48 +91,49 @@
 	if (!waits)
 		return;
 	http->callback_made = 1;
-	http->callbacks.disconnected(http->callbacks.context, conn->s.token);
+	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
 }
 
-static void server_deliver_request(struct conn *conn)
+static void server_deliver_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 
 	http_head_resolve_fields(conn);
 	side->token = ++http->serial << SLOT_BITS | side->slot;
-	side->request = (struct http_request){ side->token,
-					       side->listener->listener.listener_id,
-					       side->method,
-					       conn->in.data + side->target_offset,
-					       conn->fields,
-					       conn->field_count,
-					       conn->head.has_length || conn->head.chunked
-						   ? side->body_bytes ? conn->in.data + side->body_offset : ""
-						   : NULL,
-					       side->body_bytes,
-					       http->now_ms };
+	side->request =
+	    (struct http_request){ side->token,
+				   side->listener->listener.listener_id,
+				   side->method,
+				   conn->input.data + side->target_offset,
+				   conn->fields,
+				   conn->field_count,
+				   conn->head.has_length || conn->head.chunked
+				       ? side->body_bytes ? conn->input.data + side->body_offset : ""
+				       : NULL,
+				   side->body_bytes,
+				   http->now_ms };
 	side->response_begun = side->no_body = side->is_rejection = 0;
 	side->outcome_pending = 1;
 	side->response_deadline_ms = 0;
 	side->closing = conn->head.close;
 	conn->state = CONN_HANDLING;
-	conn->due = NO_TIME;
+	conn->due_at_ms = NO_TIME;
 	http->busy_count++;
 	http->counters.requests++;
 	http->callback_made = 1;
 	http->callbacks.request(http->callbacks.context, &side->request);
 }
 
-static int server_body(struct conn *conn)
+static int server_body(struct http_connection *conn)
 {
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 	const char *d = NULL;
 	size_t dn, n;
 	ssize_t k;
 
 	if (!conn->head.chunked) {
-		n = conn->in.len - side->parse_offset;
+		n = conn->input.len - side->parse_offset;
 		if (n > conn->body_remaining)
 			n = (size_t)conn->body_remaining;
 		side->parse_offset += n;
@@ -138,9 +141,9 @@
 		conn->body_remaining -= n;
 		return !conn->body_remaining;
 	}
-	while (side->parse_offset < conn->in.len && conn->chunks.state != CHUNK_DONE) {
-		if ((k = http_chunk_step(&conn->chunks, conn->in.data + side->parse_offset,
-					 conn->in.len - side->parse_offset, &d, &dn)) < 0) {
+	while (side->parse_offset < conn->input.len && conn->chunks.state != CHUNK_DONE) {
+		if ((k = http_chunk_step(&conn->chunks, conn->input.data + side->parse_offset,
+					 conn->input.len - side->parse_offset, &d, &dn)) < 0) {
 			http_server_reject(conn, 400, 0);
 			return 0;
 		}
@@ -151,30 +154,30 @@
 			return 0;
 		}
 		if (dn)
-			memmove(conn->in.data + side->body_offset + side->body_bytes, d, dn);
+			memmove(conn->input.data + side->body_offset + side->body_bytes, d, dn);
 		side->body_bytes += dn;
 		side->parse_offset += (size_t)k;
 	}
 	if (conn->chunks.state == CHUNK_DONE)
 		return 1;
 	/* what was framing makes room for what is to come */
-	conn->in.len = side->parse_offset = side->body_offset + side->body_bytes;
+	conn->input.len = side->parse_offset = side->body_offset + side->body_bytes;
 	return 0;
 }
 
-static void server_parse(struct conn *conn)
+static void server_parse(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 	const struct http_limits *lim = &side->listener->listener.limits;
 	ssize_t end;
 
 	if (conn->state == CONN_READING_HEAD) {
-		while (conn->in.len - side->parse_offset >= 2 &&
-		       !memcmp(conn->in.data + side->parse_offset, "\r\n", 2))
+		while (conn->input.len - side->parse_offset >= 2 &&
+		       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
 			side->parse_offset += 2; /* blank lines before a request */
-		if (conn->in.len == side->parse_offset) {
-			conn->in.len = side->parse_offset = conn->scan_offset = 0;
+		if (conn->input.len == side->parse_offset) {
+			conn->input.len = side->parse_offset = conn->scan_offset = 0;
 			return;
 		}
 		end = http_head_end(conn, side->parse_offset);
@@ -182,12 +185,12 @@
 			http_server_reject(conn, 400, 0);
 			return;
 		}
-		if ((end ? (size_t)end : conn->in.len) - side->parse_offset > lim->head_bytes) {
+		if ((end ? (size_t)end : conn->input.len) - side->parse_offset > lim->head_bytes) {
 			http_server_reject(conn, 431, 0);
 			return;
 		}
 		if (!end) {
-			if (conn->due == NO_TIME || !side->head_begun) {
+			if (conn->due_at_ms == NO_TIME || !side->head_begun) {
 				side->head_begun = 1;
 				begin_wait(conn);
 			}
@@ -205,15 +208,15 @@
 		side->body_bytes = 0;
 		side->max_body_bytes = lim->body_bytes;
 		conn->body_remaining = conn->head.length;
-		conn->chunks = (struct chunks){ 0 };
+		conn->chunks = (struct chunk_parser){ 0 };
 		conn->state = CONN_READING_BODY;
-		if (conn->body_remaining > conn->in.len - side->parse_offset)
-			http_buffer_reserve(http, &conn->in,
+		if (conn->body_remaining > conn->input.len - side->parse_offset)
+			http_buffer_reserve(http, &conn->input,
 					    (size_t)conn->body_remaining -
-						(conn->in.len - side->parse_offset));
+						(conn->input.len - side->parse_offset));
 		if (conn->head.expects_continue && conn->head.minor_version &&
-		    (conn->head.chunked || conn->body_remaining) && conn->in.len == side->parse_offset) {
-			http_buffer_append_text(http, &conn->out, "HTTP/1.1 100 Continue\r\n\r\n");
+		    (conn->head.chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
+			http_buffer_append_text(http, &conn->output, "HTTP/1.1 100 Continue\r\n\r\n");
 			http_conn_queue(conn);
 		}
 	}
@@ -225,21 +228,21 @@
 		begin_wait(conn);
 }
 
-void http_server_idle(struct conn *conn)
+void http_server_idle(struct http_connection *conn)
 {
 	conn->state = CONN_READING_HEAD;
-	conn->s.head_begun = 0;
-	conn->s.parse_offset = conn->scan_offset = 0;
+	conn->server.head_begun = 0;
+	conn->server.parse_offset = conn->scan_offset = 0;
 	begin_wait(conn);
 }
 
 /* The answer is out. A connection that has not said that it closes waits for the next request, also while the
  * door leaves: one may be on its way, and closing over it would be a reset that may overtake the answer. */
-static void server_next_request(struct conn *conn)
+static void server_next_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct server_side *side = &conn->s;
-	size_t rest = conn->in.len > side->parse_offset ? conn->in.len - side->parse_offset : 0;
+	struct server_side *side = &conn->server;
+	size_t rest = conn->input.len > side->parse_offset ? conn->input.len - side->parse_offset : 0;
 
 	http_server_count_outcome(conn, side->is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
 	if (side->closing) {
@@ -247,31 +250,31 @@
 		return;
 	}
 	if (rest)
-		memmove(conn->in.data, conn->in.data + side->parse_offset, rest);
-	conn->in.len = rest;
+		memmove(conn->input.data, conn->input.data + side->parse_offset, rest);
+	conn->input.len = rest;
 	if (side->early.len) {
-		http_buffer_append(http, &conn->in, side->early.data, side->early.len);
+		http_buffer_append(http, &conn->input, side->early.data, side->early.len);
 		http_buffer_free(http, &side->early);
 		if (!(conn->event_mask & EPOLLIN))
 			http_conn_watch(conn, HTTP_READ_EVENTS);
 	}
 	http->busy_count--;
 	http_server_idle(conn);
-	if (conn->in.len)
+	if (conn->input.len)
 		server_parse(conn);
 	else
-		http_buffer_free(http, &conn->in);
+		http_buffer_free(http, &conn->input);
 }
 
 /* Nothing of an answer has left, and its time is over: this process may have stood still since it was given.
  */
-static int response_is_late(const struct conn *conn)
+static int response_is_late(const struct http_connection *conn)
 {
-	return conn->s.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE && conn->out.len &&
-	       !conn->out.offset && clock_ms() > conn->s.response_deadline_ms;
+	return conn->server.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE &&
+	       conn->output.len && !conn->output.offset && clock_ms() > conn->server.response_deadline_ms;
 }
 
-void http_server_flush(struct conn *conn)
+void http_server_flush(struct http_connection *conn)
 {
 	int lost;
 
@@ -297,10 +300,10 @@
 /* Bytes behind the request that is being answered: they are read now, so that the answer need not be the
  * last. Not by way of the scratch buffer, which may hold the piece of a server's answer that is being passed
  * on. */
-static void server_read_early(struct conn *conn)
+static void server_read_early(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct buffer *early = &conn->s.early;
+	struct buffer *early = &conn->server.early;
 	ssize_t n =
 	    recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
@@ -311,10 +314,10 @@
 }
 
 /* Returns how many bytes have come. */
-static ssize_t server_read(struct conn *conn)
+static ssize_t server_read(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 	ssize_t n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
@@ -326,7 +329,7 @@
 	switch (conn->state) {
 	case CONN_READING_HEAD:
 	case CONN_READING_BODY:
-		http_buffer_append(http, &conn->in, http->scratch, (size_t)n);
+		http_buffer_append(http, &conn->input, http->scratch, (size_t)n);
 		server_parse(conn);
 		break;
 	case CONN_HANDLING:
@@ -345,16 +348,16 @@
 
 /* The client's half has ended behind an answer that was given whole: it takes the rest of it, and asks for
  * nothing more. */
-static void half_closed(struct conn *conn)
+static void half_closed(struct http_connection *conn)
 {
-	conn->s.closing = conn->s.linger = 1;
+	conn->server.closing = conn->server.linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
 /* A client that ends its half before it has an answer counts as gone. HTTP/1.1 leaves open what such an end
  * means; a full close looks the same until something is sent, and a server must not work on for a client that
  * has left. */
-void http_server_event(struct conn *conn, uint32_t events)
+void http_server_event(struct http_connection *conn, uint32_t events)
 {
 	if (conn->state == CONN_LINGERING) {
 		http_server_linger_read(conn);
@@ -367,7 +370,7 @@
 	}
 	if (events & EPOLLOUT)
 		http_server_flush(conn);
-	if (conn->dead)
+	if (conn->closed)
 		return;
 	if ((events & EPOLLRDHUP) && conn->state == CONN_SENDING_RESPONSE)
 		half_closed(conn);
@@ -376,50 +379,50 @@
 }
 
 /* Bytes may have come since the loop looked: this process may have stood still. */
-int http_server_progressed(struct conn *conn)
+int http_server_progressed(struct http_connection *conn)
 {
-	int in_head = conn->state == CONN_READING_HEAD && conn->s.head_begun;
+	int in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
 	ssize_t n = server_read(conn);
 
-	return conn->dead || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
+	return conn->closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
 	       (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
 }
 
 /* Bytes of the answer that the client's machine has not acknowledged. */
-static uint64_t unsent_bytes(const struct conn *conn)
+static uint64_t unsent_bytes(const struct http_connection *conn)
 {
 	int kernel = 0;
 
 	if (ioctl(conn->fd, SIOCOUTQ, &kernel) || kernel < 0)
 		kernel = 0;
-	return conn->out.len - conn->out.offset + (uint64_t)kernel;
+	return conn->output.len - conn->output.offset + (uint64_t)kernel;
 }
 
 /* A slow link may need many times the idle time for one answer. */
-static int response_progressed(struct conn *conn)
+static int response_progressed(struct http_connection *conn)
 {
 	uint64_t unsent;
 
 	http_server_flush(conn);
-	if (conn->dead || conn->state != CONN_SENDING_RESPONSE)
+	if (conn->closed || conn->state != CONN_SENDING_RESPONSE)
 		return 1;
 	unsent = unsent_bytes(conn);
-	if (unsent >= conn->s.unsent_bytes)
+	if (unsent >= conn->server.unsent_bytes)
 		return 0;
-	conn->s.unsent_bytes = unsent;
+	conn->server.unsent_bytes = unsent;
 	begin_wait(conn);
 	return 1;
 }
 
-void http_server_timeout(struct conn *conn)
+void http_server_timeout(struct http_connection *conn)
 {
-	int64_t due = conn->s.wait_began_at_ms + wait_ms(conn);
+	int64_t due = conn->server.wait_began_at_ms + wait_ms(conn);
 
 	if (conn->state == CONN_HANDLING)
 		return;
 	if (conn->state == CONN_LINGERING) {
 		http_server_linger_read(conn);
-		if (!conn->dead)
+		if (!conn->closed)
 			http_conn_close(conn, 0);
 	} else if (due > conn->http->now_ms) { /* a longer time has come into force */
 		http_timer_set(conn, due);
@@ -431,15 +434,15 @@
 
 /* Does the answer say that the connection closes, because the door leaves? It does not when bytes of another
  * request have come: that one is served too. */
-static int closes_with_response(struct conn *conn)
+static int closes_with_response(struct http_connection *conn)
 {
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 
 	if (!side->listener->listener.draining || side->closing)
 		return 0;
-	if (conn->in.len <= side->parse_offset && !side->early.len && (conn->event_mask & EPOLLIN))
+	if (conn->input.len <= side->parse_offset && !side->early.len && (conn->event_mask & EPOLLIN))
 		server_read_early(conn);
-	return conn->in.len <= side->parse_offset && !side->early.len;
+	return conn->input.len <= side->parse_offset && !side->early.len;
 }
 
 static int has_retry_after(int status, const struct http_field *fields, int field_count)
@@ -449,17 +452,17 @@
 }
 
 /* Head of an answer. Length below 0: as the version allows. */
-static void append_response_head(struct conn *conn, int status, const struct http_field *fields,
+static void append_response_head(struct http_connection *conn, int status, const struct http_field *fields,
 				 int field_count, int64_t length)
 {
 	struct http *http = conn->http;
-	struct server_side *side = &conn->s;
+	struct server_side *side = &conn->server;
 	int i, has_no_body = status == 204 || status == 304 || (status >= 100 && status < 200);
 
-	append_status_line(http, &conn->out, status);
+	append_status_line(http, &conn->output, status);
 	for (i = 0; i < field_count; i++)
 		if (!http_is_framing_field(fields[i].name))
-			http_buffer_append_field(http, &conn->out, &fields[i]);
+			http_buffer_append_field(http, &conn->output, &fields[i]);
 	side->response_begun = 1;
 	side->no_body = has_no_body || !strcmp(side->method, "HEAD");
 	side->is_rejection = has_retry_after(status, fields, field_count);
@@ -472,111 +475,111 @@
 	if (has_no_body) {
 		side->response_framing = BODY_NONE;
 	} else if (side->response_framing == BODY_LENGTH) {
-		http_buffer_append_text(http, &conn->out, "Content-Length: ");
-		http_buffer_append_number(http, &conn->out, (uint64_t)length, 10);
-		http_buffer_append(http, &conn->out, "\r\n", 2);
+		http_buffer_append_text(http, &conn->output, "Content-Length: ");
+		http_buffer_append_number(http, &conn->output, (uint64_t)length, 10);
+		http_buffer_append(http, &conn->output, "\r\n", 2);
 	} else if (side->response_framing == BODY_CHUNKED) {
-		http_buffer_append_text(http, &conn->out, "Transfer-Encoding: chunked\r\n");
+		http_buffer_append_text(http, &conn->output, "Transfer-Encoding: chunked\r\n");
 	}
 	if (side->closing)
-		http_buffer_append_text(http, &conn->out, "Connection: close\r\n");
-	http_buffer_append(http, &conn->out, "\r\n", 2);
+		http_buffer_append_text(http, &conn->output, "Connection: close\r\n");
+	http_buffer_append(http, &conn->output, "\r\n", 2);
 	http_conn_queue(conn);
 }
 
-static void response_complete(struct conn *conn)
+static void response_complete(struct http_connection *conn)
 {
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->s.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an answer
-					      costs no system call more */
+	conn->server.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an
+					      answer costs no system call more */
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
 
 const struct http_request *http_request_find(struct http *http, uint64_t token)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	return conn ? &conn->s.request : NULL;
+	return conn ? &conn->server.request : NULL;
 }
 
 void http_respond(struct http *http, uint64_t token, int status, const struct http_field *fields,
 		  int field_count, const char *body, size_t body_bytes)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || conn->s.response_begun)
+	if (!conn || conn->server.response_begun)
 		return;
 	append_response_head(conn, status, fields, field_count, (int64_t)body_bytes);
-	if (!conn->s.no_body)
-		http_buffer_append(http, &conn->out, body, body_bytes);
+	if (!conn->server.no_body)
+		http_buffer_append(http, &conn->output, body, body_bytes);
 	response_complete(conn);
 }
 
 void http_response_set_deadline(struct http *http, uint64_t token, int64_t deadline_ms)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->s.response_begun)
-		conn->s.response_deadline_ms = deadline_ms;
+	if (conn && !conn->server.response_begun)
+		conn->server.response_deadline_ms = deadline_ms;
 }
 
 void http_response_begin(struct http *http, uint64_t token, int status, const struct http_field *fields,
 			 int field_count, int64_t length)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->s.response_begun)
+	if (conn && !conn->server.response_begun)
 		append_response_head(conn, status, fields, field_count, length);
 }
 
 void http_response_write(struct http *http, uint64_t token, const char *data, size_t size)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || !conn->s.response_begun || conn->s.no_body || !size)
+	if (!conn || !conn->server.response_begun || conn->server.no_body || !size)
 		return;
-	switch (conn->s.response_framing) {
+	switch (conn->server.response_framing) {
 	case BODY_LENGTH:
-		if (size > conn->s.remaining_bytes) {
+		if (size > conn->server.remaining_bytes) {
 			log_write(LOG_ERROR, "http", "An answer is longer than it said; it is broken off.");
 			http_response_abort(http, token);
 			return;
 		}
-		conn->s.remaining_bytes -= size;
-		http_buffer_append(http, &conn->out, data, size);
+		conn->server.remaining_bytes -= size;
+		http_buffer_append(http, &conn->output, data, size);
 		break;
 	case BODY_CHUNKED:
-		http_buffer_append_number(http, &conn->out, size, 16);
-		http_buffer_append(http, &conn->out, "\r\n", 2);
-		http_buffer_append(http, &conn->out, data, size);
-		http_buffer_append(http, &conn->out, "\r\n", 2);
+		http_buffer_append_number(http, &conn->output, size, 16);
+		http_buffer_append(http, &conn->output, "\r\n", 2);
+		http_buffer_append(http, &conn->output, data, size);
+		http_buffer_append(http, &conn->output, "\r\n", 2);
 		break;
 	default:
-		http_buffer_append(http, &conn->out, data, size);
+		http_buffer_append(http, &conn->output, data, size);
 	}
 	http_conn_queue(conn);
 }
 
 void http_response_finish(struct http *http, uint64_t token)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
 	if (!conn)
 		return;
-	if (!conn->s.response_begun ||
-	    (conn->s.response_framing == BODY_LENGTH && conn->s.remaining_bytes && !conn->s.no_body)) {
+	if (!conn->server.response_begun || (conn->server.response_framing == BODY_LENGTH &&
+					     conn->server.remaining_bytes && !conn->server.no_body)) {
 		http_response_abort(http, token);
 		return;
 	}
-	if (conn->s.response_framing == BODY_CHUNKED && !conn->s.no_body)
-		http_buffer_append(http, &conn->out, "0\r\n\r\n", 5);
+	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.no_body)
+		http_buffer_append(http, &conn->output, "0\r\n\r\n", 5);
 	response_complete(conn);
 }
 
 void http_response_abort(struct http *http, uint64_t token)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
 	if (conn)
 		http_server_abort(conn, HTTP_OUTCOME_ABORTED);
@@ -584,9 +587,9 @@
 
 size_t http_response_backlog(struct http *http, uint64_t token)
 {
-	struct conn *conn = find_by_token(http, token);
+	struct http_connection *conn = find_by_token(http, token);
 
-	return conn ? conn->out.len - conn->out.offset : 0;
+	return conn ? conn->output.len - conn->output.offset : 0;
 }
 
 int http_busy_count(const struct http *http)
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -1764,7 +1764,7 @@
 	struct http_limits limits = { 16384 + random_below(16384), 65536 + random_below(65536),
 				      100 + (int)random_below(3000), 100 + (int)random_below(5000) };
 
-	http_limits(w.edge.http, 1, &limits);
+	http_set_limits(w.edge.http, 1, &limits);
 }
 
 /* Settings are read anew, as notchlug_router.c takes them over. */
--- a/tests/test_http_drain.c
+++ b/tests/test_http_drain.c
@@ -186,7 +186,7 @@
 	char b[1];
 
 	(void)state;
-	http_limits(h, 1, &brief);
+	http_set_limits(h, 1, &brief);
 	idle = http_fixture_dial(h);
 	head = http_fixture_dial(h);
 	body = http_fixture_dial(h);
@@ -194,7 +194,7 @@
 	http_fixture_write(body, "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
 	for (int i = 0; i < 10; i++)
 		http_wait(h, 5);
-	http_limits(h, 1, &http_fixture_limits);
+	http_set_limits(h, 1, &http_fixture_limits);
 	http_fixture_clock.moved_ms += 4000;
 	for (int i = 0; i < 5; i++)
 		http_wait(h, 0);
@@ -224,7 +224,7 @@
 	recorder.answer = 1;
 	http_fixture_write(fd, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
 	UNTIL(h, http_incomplete_count(h, 1) == 1);
-	http_limits(h, 1, &small);
+	http_set_limits(h, 1, &small);
 	http_fixture_write(fd, "3\r\ndef\r\n0\r\n\r\n");
 	http_fixture_expect(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef");
 	http_fixture_write(fd,
@@ -278,7 +278,7 @@
 	size_t expected;
 
 	(void)state;
-	http_limits(h, 1, &brief);
+	http_set_limits(h, 1, &brief);
 	fd = http_fixture_dial(h);
 	expected = give_large(&recorder, fd);
 	assert_int_equal(read_slowly(h, fd, expected, 900, &how), expected);
@@ -286,7 +286,7 @@
 	close(fd);
 	http_fixture_close(&recorder);
 	h = http_fixture_open(&recorder);
-	http_limits(h, 1, &brief);
+	http_set_limits(h, 1, &brief);
 	fd = http_fixture_dial(h);
 	expected = give_large(&recorder, fd);
 	http_wait(h, 0);
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -304,7 +304,7 @@
 	fd = http_fixture_dial(h);
 	http_fixture_write(fd, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n");
 	http_fixture_expect_end(h, fd, big);
-	http_limits(h, 1, &small);
+	http_set_limits(h, 1, &small);
 	fd = http_fixture_dial(h);
 	http_fixture_write(
 	    fd,
