--- a/emulator/checker.h
+++ b/emulator/checker.h
@@ -6,6 +6,7 @@
 #ifndef NL_CHECKER_H
 #define NL_CHECKER_H
 
+#include <stdbool.h>
 #include <stdint.h>
 #include <stdio.h>
 
@@ -73,7 +74,7 @@
 	int machine;   /* that takes it; NO_MACHINE: none */
 	enum attempt_kind kind;
 	int last_event; /* resumed behind this event; 0: from the start */
-	int is_probe;   /* asks for what may not be there: earns nothing and is never denied wrongly */
+	bool is_probe;  /* asks for what may not be there: earns nothing and is never denied wrongly */
 	int expects_stream;
 	int64_t timeout_ms;
 	int class_id;
@@ -140,14 +141,14 @@
 	const char *id;      /* the attempt's */
 	const char *seal_id; /* the attempt's id in the answer; NULL: none */
 	int status;
-	int seal_run;      /* run named by the server's seal; -1: none */
-	int is_own_answer; /* it bears neither seal nor a server's id: the system's own */
-	int was_read;      /* the machine's process had read the whole request */
+	int seal_run;       /* run named by the server's seal; -1: none */
+	bool is_own_answer; /* it bears neither seal nor a server's id: the system's own */
+	bool was_read;      /* the machine's process had read the whole request */
 	enum answer_outcome outcome;
 	uint64_t body; /* its hash */
 	const struct stream_event *events;
 	int event_count;
-	int is_stream;
+	bool is_stream;
 };
 
 /* An attempt ends for its client. Texts and events are copied. */
@@ -189,7 +190,7 @@
 	const char *lease_owner;
 	int64_t fence;
 	int status;
-	int thawed; /* it may have been sent long ago */
+	bool thawed; /* it may have been sent long ago */
 };
 
 /* A server got a load command. Texts are copied. */
--- a/emulator/checker_answers.c
+++ b/emulator/checker_answers.c
@@ -1,4 +1,5 @@
 /* Rules about single requests: MIXED, ORDER, UNASKED, ROUTE, TWICE and REFUSED. */
+#include <stdbool.h>
 #include <string.h>
 
 #include "containers.h"
@@ -132,9 +133,9 @@
 
 /* What the configurations of a run say of a request that a server ran. */
 struct run_permission {
-	int any;       /* there is a configuration at all */
-	int has_route; /* one sends the request to this service */
-	int has_key;   /* one admits its key on its route */
+	int any;        /* there is a configuration at all */
+	bool has_route; /* one sends the request to this service */
+	bool has_key;   /* one admits its key on its route */
 };
 
 static struct run_permission permission_of(const struct checker *checker, const struct arrival *arrival,
--- a/emulator/checker_config.c
+++ b/emulator/checker_config.c
@@ -231,6 +231,8 @@
 	for (int i = 0; i < arrlen(checker->configs) && !first; i++)
 		if (config_is_valid(&checker->configs[i]))
 			first = checker->configs[i].config;
+	if (!first)
+		return;
 	for (int i = 0; i < arrlen(checker->configs); i++)
 		if (config_is_valid(&checker->configs[i]) && checker->configs[i].config != first)
 			added =
--- a/emulator/checker_internal.h
+++ b/emulator/checker_internal.h
@@ -4,6 +4,8 @@
 #ifndef NL_CHECKER_INTERNAL_H
 #define NL_CHECKER_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "checker.h"
 
 /* A block that a run reused: the weights' version, and its tenant as an index of tenant_names. */
@@ -34,7 +36,7 @@
 	int status;     /* of the answer */
 	int last_sent_event;
 	int attempt; /* index; -1: nobody sent it */
-	int has_ended;
+	bool has_ended;
 	struct used_block *used_blocks; /* stb_ds */
 };
 
@@ -52,16 +54,16 @@
 	uint64_t body;
 	uint64_t answer_body;
 	int machine;
-	int is_probe;
+	bool is_probe;
 	int expects_stream;
 	int last_event;
 	int class_id;
-	int is_answered;
+	bool is_answered;
 	int status;
 	int seal_run; /* index of arrivals; -1: none */
-	int is_own_answer;
-	int is_stream;
-	int was_read; /* the machine's process had read the whole request */
+	bool is_own_answer;
+	bool is_stream;
+	bool was_read; /* the machine's process had read the whole request */
 	int64_t timeout_ms;
 	enum attempt_kind kind;
 	enum answer_outcome outcome;
@@ -77,14 +79,14 @@
 	int64_t sent_at_ms;
 	int64_t acked_at_ms;
 	int64_t refused_at_ms;
-	int is_invalid;
+	bool is_invalid;
 };
 
 /* A machine went down, came up or was removed. */
 struct machine_event {
 	int64_t at_ms;
 	int machine;
-	int is_core;
+	bool is_core;
 	int up; /* 0 down, 1 up, -1 removed */
 	enum fault_cause cause;
 };
@@ -109,14 +111,14 @@
 	char *instance;
 	char *lease_owner;
 	int status;
-	int thawed; /* it may have been sent long ago */
+	bool thawed; /* it may have been sent long ago */
 };
 
 /* The operator set a target version, or was acknowledged. */
 struct target_version_event {
 	int64_t at_ms;
 	int version;
-	int is_acked;
+	bool is_acked;
 };
 
 /* The configuration as it was read back. */
--- a/emulator/client_attempts.c
+++ b/emulator/client_attempts.c
@@ -1,13 +1,12 @@
 /* Attempts of the clients: sending a request over a pooled or a new connection, reading its answer, and
  * deciding whether it is tried again. Every answer goes to the checker. */
+#include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "containers.h"
 #include "clients_internal.h"
 
-#include <math.h>
-
 static const struct conn_handlers on_answer;
 
 static void finish_request(struct client_request *request);
--- a/emulator/clients_internal.h
+++ b/emulator/clients_internal.h
@@ -4,6 +4,8 @@
 #ifndef NL_CLIENTS_INTERNAL_H
 #define NL_CLIENTS_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "platform_run.h"
 
 enum {
@@ -40,8 +42,8 @@
 	int output_tokens; /* that the client asks for */
 	int last_event_id; /* of the stream so far; 0: none */
 	int extra;
-	int is_probe; /* of a route or key that came or went */
-	int was_refused;
+	bool is_probe; /* of a route or key that came or went */
+	bool was_refused;
 	int avoid[4]; /* machines of earlier attempts; a probe: the one to ask */
 	int avoid_count;
 	int64_t created_at_ms;
@@ -65,14 +67,14 @@
 	struct clients *clients;
 	struct conn *conn;
 	int machine;
-	int is_new_connection;
+	bool is_new_connection;
 	int status;
-	int seal_run;      /* run named by the server's seal; -1: none */
-	int is_own_answer; /* the answer bears no seal: the system's own */
-	int is_stream;
+	int seal_run;       /* run named by the server's seal; -1: none */
+	bool is_own_answer; /* the answer bears no seal: the system's own */
+	bool is_stream;
 	int sent; /* written in full */
 	int done;
-	int was_read; /* the machine's process has read the request */
+	bool was_read; /* the machine's process has read the request */
 	int64_t started_at_ms;
 	int64_t deadline_at_ms; /* of the request */
 	int64_t last_received_at_ms;
--- a/emulator/event_loop_internal.h
+++ b/emulator/event_loop_internal.h
@@ -4,6 +4,8 @@
 #ifndef NL_EVENT_LOOP_INTERNAL_H
 #define NL_EVENT_LOOP_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "platform_emulator.h"
 
 /* A pending call. */
@@ -25,10 +27,10 @@
 	struct loop *loop;
 	int fd;
 	int max_connections;
-	int is_silent;
+	bool is_silent;
 	int idle_ms;
 	int connection_count;
-	int is_closed;
+	bool is_closed;
 	const struct conn_handlers *handlers;
 	void *context;
 };
@@ -39,12 +41,12 @@
 	struct loop *loop;
 	struct port *port; /* NULL: we call */
 	int fd;
-	int is_up;
-	int is_closed;
+	bool is_up;
+	bool is_closed;
 	int awaits_answer; /* calling side: an answer is due */
 	int in_request;    /* serving side: a request is being handled */
 	int closing;       /* close once all is written */
-	int is_silent;
+	bool is_silent;
 	int parsing;
 	int reset; /* a write has failed with a reset */
 	int64_t idle_since_us;
@@ -54,7 +56,7 @@
 	http_parser parser;
 	struct http_message message;
 	int value_next;    /* the parser's last piece was a field's value */
-	int is_complete;   /* the parser has read a message to its end */
+	bool is_complete;  /* the parser has read a message to its end */
 	char *input;       /* stb_ds: not parsed yet */
 	char *output;      /* stb_ds: not written yet, from out_offset on */
 	size_t out_offset; /* of output: written so far */
--- a/emulator/fleet_internal.h
+++ b/emulator/fleet_internal.h
@@ -4,6 +4,7 @@
 #ifndef NL_FLEET_INTERNAL_H
 #define NL_FLEET_INTERNAL_H
 
+#include <stdbool.h>
 #include <pthread.h>
 
 #include "test_fleet.h"
@@ -18,7 +19,7 @@
 	enum process_kind kind;
 	int index; /* among processes of its kind */
 	int pid;
-	int frozen;
+	bool frozen;
 	char name[40];
 	char advertised[40]; /* where its link listens */
 	char listen_address[40];
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -1,4 +1,5 @@
 /* Scenarios of the test fleet: faults under load, by name. */
+#include <apr_strings.h>
 #include <fcntl.h>
 #include <pthread.h>
 #include <signal.h>
@@ -10,8 +11,6 @@
 
 #include "fleet_internal.h"
 
-#include <apr_strings.h>
-
 static void sc_steady(struct test_fleet *fleet)
 {
 	(void)fleet;
--- a/emulator/http_conn.c
+++ b/emulator/http_conn.c
@@ -15,8 +15,6 @@
 #include "containers.h"
 #include "event_loop_internal.h"
 
-#include <arpa/inet.h>
-
 static int parse_address(const char *addr, struct sockaddr_in *socket_address)
 {
 	char ip[40];
--- a/emulator/instance_list.c
+++ b/emulator/instance_list.c
@@ -1,4 +1,5 @@
 /* The list of servers: lags, comes in pages, answers so many calls a second. */
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,7 +7,7 @@
 #include "platform_emulator.h"
 
 struct listed_server {
-	int is_listed;
+	bool is_listed;
 	int version;
 	enum server_state state;
 	char instance[32];
--- a/emulator/linear.c
+++ b/emulator/linear.c
@@ -1,5 +1,7 @@
+/* The search for a linearization; linear.h says what is searched for, and by which method. */
 #include "linear.h"
 
+#include <stdbool.h>
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,7 +19,7 @@
 /* A request or an answer, in a list by time. Both are taken out while their operation is ordered. */
 struct event {
 	size_t op;
-	int is_answer;
+	bool is_answer;
 	int64_t at;
 	struct event *previous;
 	struct event *next;
--- a/emulator/model_server.h
+++ b/emulator/model_server.h
@@ -6,6 +6,7 @@
 #ifndef NL_MODEL_SERVER_H
 #define NL_MODEL_SERVER_H
 
+#include <stdbool.h>
 #include <stdint.h>
 
 #include "checker.h"
@@ -54,7 +55,7 @@
 	double slow;     /* a step takes so many times as long; 0: as long as it should */
 	double load_slow;
 	int false_health; /* health says the opposite */
-	int is_silent;    /* reads and answers nothing */
+	bool is_silent;   /* reads and answers nothing */
 	int events_lost;  /* no cache event shows */
 	int refuses_loads;
 };
@@ -118,7 +119,7 @@
 struct server {
 	struct server_fleet *fleet;
 	int index; /* in the fleet */
-	int is_store;
+	bool is_store;
 	char address[40]; /* "IP:PORT" */
 	char zone[32];
 	char service[48];
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -1,13 +1,12 @@
 /* A model server's batch: works wait, fetch blocks, are prefilled and decoded step by step; weights are
  * loaded. Requests put works in; a timer makes the steps. Always: a work stands in the queue or in the batch,
  * never in both, and what runs fits the server's KV capacity but for a single work. */
+#include <stdlib.h>
 #include <string.h>
 
 #include "containers.h"
 #include "model_server_internal.h"
 
-#include <stdlib.h>
-
 static void on_step(void *ctx);
 
 void resume_steps(struct server *server)
--- a/emulator/model_server_http.c
+++ b/emulator/model_server_http.c
@@ -1,5 +1,6 @@
 /* HTTP calls of a model server: requests, health, reports, load commands, cache events, and connections that
  * close. */
+#include <stdbool.h>
 #include <stdlib.h>
 #include <string.h>
 
@@ -31,7 +32,7 @@
 
 /* A request's header fields as far as they decide whether it is admitted. */
 struct token_counts {
-	int is_present; /* else it is a plain request */
+	bool is_present; /* else it is a plain request */
 	int prompt;
 	int output;
 };
@@ -236,7 +237,7 @@
 	int64_t fence;
 	int64_t version;
 	int64_t expected_count;
-	int has_expected_count;
+	bool has_expected_count;
 };
 
 static const char *string_member(struct json_object *json, const char *name, const char *otherwise)
--- a/emulator/model_server_internal.h
+++ b/emulator/model_server_internal.h
@@ -3,6 +3,8 @@
 #ifndef NL_MODEL_SERVER_INTERNAL_H
 #define NL_MODEL_SERVER_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "platform_emulator.h"
 
 /* A cache event: a block was cached (+) or shrank to so many tokens (-). */
@@ -24,7 +26,7 @@
 struct requested_block {
 	char id[24];
 	int tokens;
-	int is_hit;
+	bool is_hit;
 };
 /* What a work waits for. */
 enum work_state { WORK_QUEUED, WORK_FETCHING, WORK_PREFILL, WORK_DECODE };
@@ -38,14 +40,14 @@
 	int output_tokens;
 	int remaining_tokens; /* of the prompt, still to be prefilled */
 	int generated_tokens; /* of the answer */
-	int has_started;
+	bool has_started;
 	int sent_id;   /* last event sent */
 	int last_id;   /* last event of the answer */
 	int step_read; /* prompt tokens of the current step */
 	int head_sent;
 	int version;           /* of the weights that it started on */
 	int announced_version; /* of the weights, as its stream said last */
-	int is_plain;          /* its answer is one piece and no stream */
+	bool is_plain;         /* its answer is one piece and no stream */
 	int break_at;          /* it breaks off behind this event; 0: it does not */
 	int lose_answer;       /* it runs, and nothing is sent */
 	int grey;              /* it fails with 500 */
--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -6,8 +6,6 @@
 #include "containers.h"
 #include "operator_internal.h"
 
-#include <stdlib.h>
-
 enum {
 	LOST_AFTER_MS = 30, /* a connection whose answer is lost is closed by then */
 	MAX_LOST = 3        /* to one target: what is acknowledged can still be so within AckMs */
--- a/emulator/operator_history.c
+++ b/emulator/operator_history.c
@@ -1,3 +1,5 @@
+/* The operator's history as operations on one versioned register, for the checker of linearizability. Texts
+ * that mean the same JSON are one value. */
 #include "operator_history.h"
 
 #include <json-c/json.h>
--- a/emulator/operator_internal.h
+++ b/emulator/operator_internal.h
@@ -3,6 +3,8 @@
 #ifndef NL_OPERATOR_INTERNAL_H
 #define NL_OPERATOR_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "platform_run.h"
 
 /* A change that waits for its turn. */
@@ -22,10 +24,10 @@
 	int redirects;    /* followed in this attempt */
 	int attempts;
 	int other_errors; /* answers that are neither clear nor unclear */
-	int is_unclear;   /* an attempt may have been accepted */
-	int is_unqueued;  /* sent beside the queue */
+	bool is_unclear;  /* an attempt may have been accepted */
+	bool is_unqueued; /* sent beside the queue */
 	int weights;      /* version of the weights */
-	int is_lost;      /* the answer of this attempt is lost */
+	bool is_lost;     /* the answer of this attempt is lost */
 	int loss_count;   /* answers lost so far */
 	int64_t base_version;
 	int64_t version;
--- a/emulator/parsed_config.h
+++ b/emulator/parsed_config.h
@@ -3,6 +3,7 @@
 #ifndef NL_PARSED_CONFIG_H
 #define NL_PARSED_CONFIG_H
 
+#include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
@@ -20,7 +21,7 @@
 	int target_ms;
 	int priority;
 	int max_attempts;
-	int is_public; /* no key is needed */
+	bool is_public; /* no key is needed */
 	int resumable;
 	int gap_target_ms;
 };
--- a/emulator/platform_run.h
+++ b/emulator/platform_run.h
@@ -4,6 +4,8 @@
 #ifndef NL_PLATFORM_RUN_H
 #define NL_PLATFORM_RUN_H
 
+#include <stdbool.h>
+
 #include "platform_emulator.h"
 
 enum { SEED_LAG_MS = 3000, MAX_MACHINES = 80, CLASS_COUNT = 3, MAX_SECONDS = 600, MAX_DISK_STALLS = 256 };
@@ -52,24 +54,24 @@
 struct machine {
 	struct run *run;
 	int index;
-	int is_core; /* runs a controller; else an edge with a router */
-	int pid;     /* 0: no process */
-	int is_frozen;
+	bool is_core; /* runs a controller; else an edge with a router */
+	int pid;      /* 0: no process */
+	bool is_frozen;
 	int removed; /* for good */
 	int start_count;
-	int draining;        /* was sent SIGTERM */
-	int is_killed;       /* was sent SIGKILL, and has not been waited for */
+	bool draining;       /* was sent SIGTERM */
+	bool is_killed;      /* was sent SIGKILL, and has not been waited for */
 	int start_when_dead; /* start again once the killed process is gone */
-	int in_rotation;     /* the entry sends clients to it */
+	bool in_rotation;    /* the entry sends clients to it */
 	int probe_failures;  /* of its readiness, in a row */
 	int unexpected_exits;
-	int is_listed;   /* core machines: the operator and new machines know it */
-	int runs_old;    /* the programs of run->old_program_folder */
-	int is_retiring; /* it does not come back once it has ended */
+	bool is_listed;   /* core machines: the operator and new machines know it */
+	bool runs_old;    /* the programs of run->old_program_folder */
+	bool is_retiring; /* it does not come back once it has ended */
 	int64_t drain_deadline_ms;
 	int64_t quota_remaining_us; /* of processor time */
 	int64_t quota_used_us;      /* processor time at the last sample */
-	int is_throttled;
+	bool is_throttled;
 	char name[64];
 	char ip[32];
 	char zone[40];
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -1,5 +1,6 @@
 /* Scenarios on the platform's emulator, by name: each brings about faults or planned work for some seconds.
  */
+#include <argtable2.h>
 #include <signal.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,8 +9,6 @@
 #include "containers.h"
 #include "platform_internal.h"
 
-#include <argtable2.h>
-
 static struct machine *nth_machine(struct run *run, int core, int n)
 {
 	for (int i = 0; i < run->machine_count; i++)
--- a/emulator/record_checker.c
+++ b/emulator/record_checker.c
@@ -9,8 +9,6 @@
 #include "containers.h"
 #include "record_checker_internal.h"
 
-#include <dirent.h>
-
 static void append_report(struct check_result *result, const char *fmt, ...)
 {
 	size_t n = strlen(result->text);
--- a/emulator/record_checker_internal.h
+++ b/emulator/record_checker_internal.h
@@ -4,6 +4,8 @@
 #ifndef NL_RECORD_CHECKER_INTERNAL_H
 #define NL_RECORD_CHECKER_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "containers.h"
 #include "test_fleet.h"
 
@@ -32,7 +34,7 @@
 /* One request at one router, by "ID ROUTER": a client may send it to several. */
 struct submission_state {
 	int64_t refused_at_ms;
-	int has_run;
+	bool has_run;
 };
 
 /* Map entry: requests at one router, by "ID ROUTER". */
@@ -127,7 +129,7 @@
 /* A request sent to a server; is_retry: not the first one by a router. */
 struct logged_send {
 	int64_t at_ms;
-	int is_retry;
+	bool is_retry;
 };
 
 /* All that the records have shown so far. */
--- a/emulator/scale_model.c
+++ b/emulator/scale_model.c
@@ -6,7 +6,16 @@
 #include "scale_model_internal.h"
 
 const struct scale_model_settings scale_model_defaults = {
-	9, 4, 18, 4, 12, 0, 10, 0, 0, 8, 1, 180, 0, 0, 1, 0
+	.routers = 9,
+	.controllers = 4,
+	.servers = 18,
+	.tenants = 4,
+	.routes = 12,
+	.seconds = 10,
+	.pieces = 8,
+	.use_instance_list = 1,
+	.cached_blocks = 180,
+	.seed = 1,
 };
 
 int scale_model_run(const struct scale_model_settings *settings, struct scale_model_result *result,
--- a/emulator/scale_model_internal.h
+++ b/emulator/scale_model_internal.h
@@ -5,6 +5,8 @@
 #ifndef NL_SCALE_MODEL_INTERNAL_H
 #define NL_SCALE_MODEL_INTERNAL_H
 
+#include <stdbool.h>
+
 #include "scale_model.h"
 
 #include "controller.h"
@@ -39,7 +41,7 @@
 /* A router or a controller; incarnation 0: it does not run. */
 struct model_node {
 	int index;
-	int is_router;
+	bool is_router;
 	uint64_t addr;
 	uint64_t incarnation;
 	uint64_t revision;
@@ -74,7 +76,7 @@
 /* A router's watch of a server's cache events, from one event on. */
 struct cache_watch {
 	int node;
-	int is_due;
+	bool is_due;
 	uint64_t incarnation;
 	uint64_t token;
 	uint64_t since_event;
@@ -135,7 +137,7 @@
 	int node_index;
 	int server;
 	int next_piece;
-	int is_over;
+	bool is_over;
 	uint64_t incarnation;
 	uint64_t token;
 	char send_id[80];
--- a/emulator/server_emulator.c
+++ b/emulator/server_emulator.c
@@ -15,8 +15,6 @@
 #include "containers.h"
 #include "server_emulator_internal.h"
 
-#include <apr_general.h>
-
 struct emulated_server emulated;
 
 enum MHD_Result emulated_reply(struct MHD_Connection *connection, unsigned status, const char *body)
--- a/emulator/server_emulator_run.c
+++ b/emulator/server_emulator_run.c
@@ -1,5 +1,6 @@
 /* Runs of an emulated server: admission, reuse and prefill, and the answer in pieces. Every run is recorded
  * for the checker. */
+#include <stdbool.h>
 #include <apr_general.h>
 #include <microhttpd.h>
 #include <stdlib.h>
@@ -15,7 +16,7 @@
 	int pieces;
 	int next_piece;
 	int done;
-	int is_repeated;
+	bool is_repeated;
 	/* fetch_ms is -1 if there was nothing to fetch */
 	int fetch_ms;
 	int fetched;
@@ -40,7 +41,9 @@
 	case 3:
 		return 1;
 	case 4:
-		run->next_piece -= !run->is_repeated++;
+		if (!run->is_repeated)
+			run->next_piece--;
+		run->is_repeated = true;
 		return 0;
 	case 5:
 		apr_sleep(30 * 1000 * 1000);
--- a/emulator/soak_faults.c
+++ b/emulator/soak_faults.c
@@ -1,13 +1,12 @@
 /* Faults of the soak test: of routers, core machines, model servers, the operator's connections and the load.
  * Each one that lasts is ended by the soak test when its time is over. */
+#include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
 
 #include "containers.h"
 #include "soak_test_internal.h"
 
-#include <stdlib.h>
-
 int64_t soak_between(struct soak_test *soak, int64_t least, int64_t most)
 {
 	return least + (int64_t)(emulator_random(&soak->rng) % (uint64_t)(most - least + 1));
--- a/emulator/soak_test.c
+++ b/emulator/soak_test.c
@@ -1,3 +1,7 @@
+/* The soak test: targets of the weights are set in series while faults of routers, core machines, model
+ * servers, the operator's connections and the load come in series of their own, so that several overlap at
+ * most moments. What is done, to whom and for how long follows from the seed; only the moments follow the
+ * clock. The run's bounds are short, so that several pass within it. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/emulator/test_fleet.c
+++ b/emulator/test_fleet.c
@@ -1,3 +1,4 @@
+/* Files of records: each record is one line in one write, so that a torn line shows. */
 #include "test_fleet.h"
 
 #include <errno.h>
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -2250,7 +2250,8 @@
 	snprintf(r->machines[0].readiness_address, sizeof r->machines[0].readiness_address, "%s.100:8080",
 		 r->address_prefix);
 	snprintf(r->machines[0].zone, sizeof r->machines[0].zone, "%s", r->sheet->zone[0]);
-	r->machines[0].in_rotation = r->machine_count = 1;
+	r->machine_count = 1;
+	r->machines[0].in_rotation = 1;
 	checker_record_machine(r->checker, 0, 0, 0, CALM, 1);
 	checker_record_machine(r->checker, 0, 1, 1, CALM, 1);
 	config = parsed_config_read(cfg_text);
