--- a/emulator/client_attempts.c
+++ b/emulator/client_attempts.c
@@ -48,7 +48,7 @@
 
 static int is_repeatable(const struct run *run, const struct client_request *request)
 {
-	return run->sheet->classes[request->class_id].resumable;
+	return run->deployment->classes[request->class_id].resumable;
 }
 
 static void retry_now(void *ctx)
@@ -127,7 +127,7 @@
 {
 	const struct client_request *request = attempt->request;
 	const struct run *run = attempt->clients->run;
-	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	const struct traffic_class *class = &run->deployment->classes[request->class_id];
 	int repeatable = is_repeatable(run, request);
 
 	if (request->attempts > class->retries || remaining_ms <= 50 || attempt->clients->closing)
@@ -158,7 +158,7 @@
 
 static void count_success(struct run *run, const struct client_request *request)
 {
-	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	const struct traffic_class *class = &run->deployment->classes[request->class_id];
 	int64_t first = request->first_event_at_ms - request->created_at_ms;
 	int timely = request->first_event_at_ms && first <= class->latency_target_ms &&
 		     request->longest_gap_ms <= class->gap_target_ms && !request->transit_late;
@@ -204,7 +204,7 @@
 {
 	struct client_request *request = attempt->request;
 	struct run *run = attempt->clients->run;
-	const struct traffic_class *class = &run->sheet->classes[request->class_id];
+	const struct traffic_class *class = &run->deployment->classes[request->class_id];
 	int64_t now = run_ms(run), remaining_ms = request->created_at_ms + class->deadline_ms - now;
 	int is_refusal = is_refusal_status(attempt->status), success = is_success(attempt, how), retry;
 
@@ -397,7 +397,8 @@
 	attempt->seal_run = -1;
 	attempt->is_own_answer = 1;
 	attempt->started_at_ms = attempt->last_received_at_ms = now;
-	attempt->deadline_at_ms = request->created_at_ms + run->sheet->classes[request->class_id].deadline_ms;
+	attempt->deadline_at_ms =
+	    request->created_at_ms + run->deployment->classes[request->class_id].deadline_ms;
 	attempt->machine = machine;
 	clients->last_id++;
 	snprintf(attempt->id, sizeof attempt->id, "%016llx",
@@ -471,7 +472,8 @@
 	record.key = request->key;
 	record.body = emulator_hash(0, request->body, strlen(request->body));
 	record.machine = attempt->machine;
-	record.kind = run->sheet->classes[request->class_id].resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
+	record.kind =
+	    run->deployment->classes[request->class_id].resumable ? ATTEMPT_RESUMABLE : ATTEMPT_ONCE;
 	record.last_event = request->last_event_id;
 	record.is_probe = request->is_probe;
 	record.expects_stream = 1;
@@ -493,7 +495,7 @@
 	    head, sizeof head,
 	    "POST %s HTTP/1.1\r\nHost: %s\r\nX-Notchlug-Attempt-Id: %s\r\n%sX-Notchlug-Model-Name: %s\r\nX-Notchlug-Token-Count: %d,%d\r\n"
 	    "X-Notchlug-Prompt-Prefix: %s\r\nX-Notchlug-Deadline-Remaining: %lld\r\nX-Api-Key: %s\r\n",
-	    request->path, request->host, attempt->id, resume_field, attempt->clients->run->sheet->model,
+	    request->path, request->host, attempt->id, resume_field, attempt->clients->run->deployment->model,
 	    request->prompt_tokens, request->output_tokens, request->blocks_header, (long long)remaining_ms,
 	    request->key);
 	conn_expect(conn);
@@ -517,7 +519,7 @@
 	struct client_attempt *attempt;
 	int64_t now = run_ms(run);
 	int64_t remaining_ms =
-	    request->created_at_ms + run->sheet->classes[request->class_id].deadline_ms - now;
+	    request->created_at_ms + run->deployment->classes[request->class_id].deadline_ms - now;
 	int machine =
 	    request->is_probe ? request->avoid[0] : client_pick_edge(clients, request->client, request);
 
--- a/emulator/client_entry.c
+++ b/emulator/client_entry.c
@@ -53,7 +53,7 @@
 	struct run *run = clients->run;
 
 	for (int z = 0; z < 4; z++) { /* its own zone first, then the next ones */
-		const char *zone = run->sheet->zone[(who->zone + z) % 4];
+		const char *zone = run->deployment->zone[(who->zone + z) % 4];
 		int in[MAX_MACHINES], all[MAX_MACHINES], nin = 0, nall = 0, n, *from;
 
 		for (int i = 0; i < run->machine_count; i++) {
--- a/emulator/clients.c
+++ b/emulator/clients.c
@@ -18,7 +18,7 @@
 static void create_request(struct clients *clients, int cls)
 {
 	struct run *run = clients->run;
-	const struct traffic_class *class = &run->sheet->classes[cls];
+	const struct traffic_class *class = &run->deployment->classes[cls];
 	struct client_request *request = calloc(1, sizeof *request);
 	uint64_t thing = emulator_random(&run->rng) % (uint64_t) class->topic_count, seed;
 	int own, shared;
@@ -36,7 +36,7 @@
 		request->output_tokens *= TIMES_AS_LONG;
 	request->prompt_tokens = shared + own;
 	snprintf(request->key, sizeof request->key, "%s", clients->keys[request->client->tenant]);
-	snprintf(request->host, sizeof request->host, "%s", run->sheet->host);
+	snprintf(request->host, sizeof request->host, "%s", run->deployment->host);
 	if (clients->extra_routes && emulator_random(&run->rng) % 3 == 0)
 		snprintf(request->path, sizeof request->path, "/big%d/%llx",
 			 (int)(emulator_random(&run->rng) % (uint64_t)clients->extra_routes),
@@ -93,7 +93,7 @@
 		request->output_tokens = clients->long_every ? LONG_PROBE : 1;
 		key = emulator_random(&run->rng) % 2 ? operator_second_key(run->config_operator) : NULL;
 		snprintf(request->key, sizeof request->key, "%s", key ? key : clients->keys[0]);
-		snprintf(request->host, sizeof request->host, "%s", run->sheet->host);
+		snprintf(request->host, sizeof request->host, "%s", run->deployment->host);
 		snprintf(request->path, sizeof request->path, "%s%s", at ? at : "/never/", "p");
 		snprintf(request->blocks_header, sizeof request->blocks_header, "%08llx:40",
 			 (unsigned long long)(emulator_random(&run->rng) & 0xffffffff));
@@ -113,7 +113,7 @@
 	c->poll_timer = loop_after(r->loop, ms_us(5), poll_clients, c);
 	for (int i = 0; i < CLASS_COUNT && c->traffic_on; i++) {
 		c->arrival_credit[i] +=
-		    r->sheet->classes[i].requests_per_second * r->rate * (double)span / 1000;
+		    r->deployment->classes[i].requests_per_second * r->rate * (double)span / 1000;
 		while (c->arrival_credit[i] > 0) {
 			c->arrival_credit[i] += log(1 - emulator_random_unit(&r->rng)); /* exponential gaps */
 			create_request(c, i);
@@ -121,7 +121,7 @@
 	}
 	for (int i = arrlen(c->in_flight) - 1; i >= 0; i--) {
 		struct client_attempt *attempt = c->in_flight[i];
-		const struct traffic_class *k = &r->sheet->classes[attempt->request->class_id];
+		const struct traffic_class *k = &r->deployment->classes[attempt->request->class_id];
 		int64_t silence = 2000;
 
 		if (attempt->conn && !attempt->was_read)
@@ -153,14 +153,14 @@
 	struct clients *clients = calloc(1, sizeof *clients);
 
 	clients->run = run;
-	for (int i = 0; i < run->sheet->tenants; i++)
+	for (int i = 0; i < run->deployment->tenants; i++)
 		snprintf(clients->keys[i], sizeof clients->keys[i], "key%02d-0-abcdefgh", i);
 	for (int i = 0; i < 48; i++) {
 		struct client client;
 
 		memset(&client, 0, sizeof client);
 		client.zone = i % 4;
-		client.tenant = i % 3 ? i % run->sheet->tenants : i % 2; /* a few tenants are large */
+		client.tenant = i % 3 ? i % run->deployment->tenants : i % 2; /* a few tenants are large */
 		client.hash = emulator_hash(run->seed, &i, sizeof i) >> 7;
 		arrput(clients->client, client);
 	}
--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -11,13 +11,13 @@
 
 #include "fleet_internal.h"
 
-static void sc_steady(struct test_fleet *fleet)
+static void scenario_steady(struct test_fleet *fleet)
 {
 	(void)fleet;
 	fleet_sleep_ms(10000);
 }
 
-static void sc_kill_leader(struct test_fleet *fleet)
+static void scenario_kill_leader(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
@@ -29,7 +29,7 @@
 	fleet_sleep_ms(4000);
 }
 
-static void sc_kill_publisher(struct test_fleet *fleet)
+static void scenario_kill_publisher(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 1));
 
@@ -42,7 +42,7 @@
 	fleet_sleep_ms(4000);
 }
 
-static void sc_kill_many(struct test_fleet *fleet)
+static void scenario_kill_many(struct test_fleet *fleet)
 {
 	fleet_note_fault(fleet, "all controllers and a third of the routers are killed at once");
 	for (int i = 0; i < fleet->controller_count; i++)
@@ -59,7 +59,7 @@
 	fleet_sleep_ms(2000);
 }
 
-static void sc_freeze(struct test_fleet *fleet)
+static void scenario_freeze(struct test_fleet *fleet)
 {
 	struct fleet_process *r = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)),
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, 0),
@@ -80,7 +80,7 @@
 	fleet_sleep_ms(1000);
 }
 
-static void sc_wipe(struct test_fleet *fleet)
+static void scenario_wipe(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)),
 			     *m;
@@ -107,7 +107,7 @@
 	fleet_sleep_ms(12000);
 }
 
-static void sc_cut(struct test_fleet *fleet)
+static void scenario_cut(struct test_fleet *fleet)
 {
 	struct fleet_process *n = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)),
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, fleet->router_count - 1);
@@ -135,7 +135,7 @@
 	fleet_set_key(fleet, 7, 1);
 }
 
-static void sc_disk_stall(struct test_fleet *fleet)
+static void scenario_disk_stall(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
@@ -157,7 +157,7 @@
 	fleet_sleep_ms(2000);
 }
 
-static void sc_disk_full(struct test_fleet *fleet)
+static void scenario_disk_full(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
@@ -175,7 +175,7 @@
 	fleet_sleep_ms(6000);
 }
 
-static void sc_isolation(struct test_fleet *fleet)
+static void scenario_isolation(struct test_fleet *fleet)
 {
 	fleet_sleep_ms(2000);
 	for (int k = 0; k < 3; k++) {
@@ -186,7 +186,7 @@
 	}
 }
 
-static void sc_revoke(struct test_fleet *fleet)
+static void scenario_revoke(struct test_fleet *fleet)
 {
 	fleet_sleep_ms(2000);
 	fleet_set_key(fleet, 0, 0);
@@ -197,7 +197,7 @@
 
 /* All seed machines are replaced, one by one, by empty ones at other addresses; then a router starts that
  * only knows the new ones, and the leader is killed. */
-static void sc_seeds(struct test_fleet *fleet)
+static void scenario_seeds(struct test_fleet *fleet)
 {
 	char path[800];
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_ROUTER, 0);
@@ -230,7 +230,7 @@
 
 /* A controller's file is torn while it is down: it refuses the file and says so; the file is moved away, and
  * the machine joins as a new one. */
-static void sc_torn(struct test_fleet *fleet)
+static void scenario_torn(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 	char path[800], away[900];
@@ -268,7 +268,7 @@
 }
 
 /* All machines of one zone are gone at once, and stay away. */
-static void sc_zone(struct test_fleet *fleet)
+static void scenario_zone(struct test_fleet *fleet)
 {
 	fleet_note_fault(fleet, "all machines of a zone are gone");
 	for (int i = 0; i < fleet->node_count; i++)
@@ -305,7 +305,7 @@
 	return NULL;
 }
 
-static void sc_storm(struct test_fleet *fleet)
+static void scenario_storm(struct test_fleet *fleet)
 {
 	pthread_t t[4];
 	int won = 0, lost = 0;
@@ -338,7 +338,7 @@
 	fleet_sleep_ms(3000);
 }
 
-static void sc_large(struct test_fleet *fleet)
+static void scenario_large(struct test_fleet *fleet)
 {
 	char *b = malloc(4 << 20);
 	size_t k = (size_t)snprintf(b, 100, "{\"set\":[");
@@ -362,7 +362,7 @@
 }
 
 /* The operators' tools against a fleet, by their exit codes. */
-static void sc_tools(struct test_fleet *fleet)
+static void scenario_tools(struct test_fleet *fleet)
 {
 	char *at = fleet_process_of(fleet, PROCESS_CONTROLLER, 1)->web_address,
 	     *router_address = fleet_process_of(fleet, PROCESS_ROUTER, 0)->web_address, sheet[700], bad[700],
@@ -484,7 +484,7 @@
 }
 
 /* Some days end with one more fault: a seeded mix, then the last. */
-static void sc_mixed(struct test_fleet *fleet)
+static void scenario_mixed(struct test_fleet *fleet)
 {
 	for (int k = 0; k < 8; k++) {
 		int tenant, is_isolated;
@@ -495,37 +495,39 @@
 		fleet_set_tenant(fleet, tenant, is_isolated);
 		fleet_sleep_ms((int64_t)(core_random(&fleet->rng) % 2000));
 	}
-	sc_kill_leader(fleet);
+	scenario_kill_leader(fleet);
 }
 
 const struct fleet_scenario fleet_scenarios[] = {
-	{ "steady", "load without faults", sc_steady },
-	{ "kill-owner", "the configuration's leader is killed under load", sc_kill_leader },
-	{ "kill-publisher", "the purge stream's publisher is killed between two purges", sc_kill_publisher },
-	{ "kill-many", "all controllers and a third of the routers are killed at once", sc_kill_many },
-	{ "freeze", "a leader and routers freeze and wake", sc_freeze },
-	{ "wipe", "a disk is lost, an empty machine comes at a new address, then one more dies", sc_wipe },
-	{ "cut", "nodes cut off, one-way loss, slow links", sc_cut },
-	{ "disk-stall", "disks stall and are slow", sc_disk_stall },
-	{ "disk-full", "a disk is full", sc_disk_full },
+	{ "steady", "load without faults", scenario_steady },
+	{ "kill-owner", "the configuration's leader is killed under load", scenario_kill_leader },
+	{ "kill-publisher", "the purge stream's publisher is killed between two purges",
+	  scenario_kill_publisher },
+	{ "kill-many", "all controllers and a third of the routers are killed at once", scenario_kill_many },
+	{ "freeze", "a leader and routers freeze and wake", scenario_freeze },
+	{ "wipe", "a disk is lost, an empty machine comes at a new address, then one more dies",
+	  scenario_wipe },
+	{ "cut", "nodes cut off, one-way loss, slow links", scenario_cut },
+	{ "disk-stall", "disks stall and are slow", scenario_disk_stall },
+	{ "disk-full", "a disk is full", scenario_disk_full },
 	{ "servers", "servers crash, are drained, and a service is replaced one by one",
 	  fleet_scenario_servers },
 	{ "roll-out", "new weights, deaths during the roll-out, a second one overtaking",
 	  fleet_scenario_rollout },
-	{ "wall", "a tenant is isolated and let back while its streams run", sc_isolation },
-	{ "revoke", "a key is removed while its clients go on", sc_revoke },
+	{ "wall", "a tenant is isolated and let back while its streams run", scenario_isolation },
+	{ "revoke", "a key is removed while its clients go on", scenario_revoke },
 	{ "store", "the store goes down and comes back empty; reports lost and late", fleet_scenario_store },
 	{ "liars", "servers that answer with another's pieces, skip, repeat, break off or fall silent",
 	  fleet_scenario_liars },
 	{ "links", "links between servers slow down and hang in the middle of fetches",
 	  fleet_scenario_links },
-	{ "seeds", "the seed machines are exchanged one by one, then the leader dies", sc_seeds },
-	{ "torn", "a controller's file is torn; it joins anew, then the leader dies", sc_torn },
-	{ "zone", "all machines of one zone are gone at once, then one more", sc_zone },
+	{ "seeds", "the seed machines are exchanged one by one, then the leader dies", scenario_seeds },
+	{ "torn", "a controller's file is torn; it joins anew, then the leader dies", scenario_torn },
+	{ "zone", "all machines of one zone are gone at once, then one more", scenario_zone },
 	{ "overload", "ten times the clients, and servers that refuse meanwhile", fleet_scenario_overload },
-	{ "storm", "a storm of configurations, and racing operators", sc_storm },
-	{ "large", "a very large configuration, then its leader dies", sc_large },
-	{ "tools", "the operators' tools against a fleet", sc_tools },
-	{ "mixed", "a seeded mix, then one more fault", sc_mixed },
+	{ "storm", "a storm of configurations, and racing operators", scenario_storm },
+	{ "large", "a very large configuration, then its leader dies", scenario_large },
+	{ "tools", "the operators' tools against a fleet", scenario_tools },
+	{ "mixed", "a seeded mix, then one more fault", scenario_mixed },
 	{ NULL, NULL, NULL },
 };
--- a/emulator/machines.c
+++ b/emulator/machines.c
@@ -39,16 +39,16 @@
 	machine = &run->machines[run->machine_count];
 	for (int i = 0; i < run->machine_count; i++)
 		n += run->machines[i].is_core == core &&
-		     !strcmp(run->machines[i].zone, run->sheet->zone[zone]);
+		     !strcmp(run->machines[i].zone, run->deployment->zone[zone]);
 	machine->run = run;
 	machine->index = run->machine_count++;
 	machine->is_core = core;
-	snprintf(machine->zone, sizeof machine->zone, "%s", run->sheet->zone[zone]);
+	snprintf(machine->zone, sizeof machine->zone, "%s", run->deployment->zone[zone]);
 	snprintf(machine->name, sizeof machine->name, "%s-%s-%d", core ? "core" : "edge",
-		 run->sheet->zone[zone], n + 1);
+		 run->deployment->zone[zone], n + 1);
 	snprintf(machine->ip, sizeof machine->ip, "%s.%d", base, 10 + machine->index);
 	snprintf(machine->folder, sizeof machine->folder, "%s/%s-%s-%d", folder, core ? "core" : "edge",
-		 run->sheet->zone[zone], n + 1);
+		 run->deployment->zone[zone], n + 1);
 	snprintf(machine->front_address, sizeof machine->front_address, "%s.%d:%d", base, 10 + machine->index,
 		 FRONT_PORT);
 	snprintf(machine->readiness_address, sizeof machine->readiness_address, "%s.%d:%d", base,
@@ -82,7 +82,7 @@
 	    "NodeName = \"%s\"\nRole = \"%s\"\nMachineClass = \"%s\"\nServedRoles = [\"%s\"]\nIpAddress = \"%s\"\nZone = \"%s\"\nRegion = \"%s\"\n",
 	    machine->name, machine->is_core ? names->controller_role : names->router_role,
 	    machine->is_core ? "core" : "edge", machine->is_core ? "control" : "edge", machine->ip,
-	    machine->zone, run->sheet->region);
+	    machine->zone, run->deployment->region);
 	fprintf(out, "InternalPorts = [%d,%d]\nSeedNodes = [", INTERNAL_PORT_FIRST, INTERNAL_PORT_LAST);
 	for (int i = 0; i < run->machine_count && seeds < 3; i++)
 		if (run->machines[i].is_core && run->machines[i].is_listed)
@@ -100,11 +100,11 @@
 
 static void write_addresses(FILE *out, const struct machine *machine)
 {
-	const struct sheet *sheet = machine->run->sheet;
+	const struct deployment *deployment = machine->run->deployment;
 
 	fprintf(out, "[Zones]\n");
 	for (int i = 0; i < 4; i++)
-		fprintf(out, "%s = \"%s\"\n", sheet->zone[i], sheet->region);
+		fprintf(out, "%s = \"%s\"\n", deployment->zone[i], deployment->region);
 	fprintf(out, "[ListenAddrs]\n");
 	if (machine->is_core)
 		fprintf(out, "ControlAddr = \"%s\"\n", machine->control_address);
--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -321,7 +321,7 @@
 	struct submission *s;
 
 	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}",
-		 config_operator->run->sheet->model, version);
+		 config_operator->run->deployment->model, version);
 	s = new_submission(config_operator, SUBMIT_WEIGHTS, "/version-put", b);
 	s->weights = version;
 	s->version = version;
--- a/emulator/operator_documents.c
+++ b/emulator/operator_documents.c
@@ -31,14 +31,14 @@
 	struct json_object *r = json_object_new_object();
 
 	json_object_object_add(r, "Name", json_object_new_string(name));
-	json_object_object_add(r, "HostName", json_object_new_string(config_operator->run->sheet->host));
+	json_object_object_add(r, "HostName", json_object_new_string(config_operator->run->deployment->host));
 	json_object_object_add(r, "PathPrefix", json_object_new_string(prefix));
 	json_object_object_add(r, "RouteType", json_object_new_string("streaming"));
 	json_object_object_add(r, "TimeoutMs", json_object_new_int(class->deadline_ms));
 	json_object_object_add(r, "TargetMs", json_object_new_int(class->latency_target_ms));
 	json_object_object_add(r, "Priority", json_object_new_int(class->priority));
 	json_object_object_add(r, "ServiceName",
-			       json_object_new_string(config_operator->run->sheet->service));
+			       json_object_new_string(config_operator->run->deployment->service));
 	json_object_object_add(r, "MaxAttempts", json_object_new_int(class->attempts));
 	json_object_object_add(r, "PublicAccess", json_object_new_boolean(0));
 	json_object_object_add(r, "SessionAffinity", json_object_new_boolean(1));
@@ -71,13 +71,13 @@
 	json_object_object_add(j, "ConfigVersion", json_object_new_int64(3));
 	for (int i = 0; i < CLASS_COUNT; i++) {
 		snprintf(name, sizeof name, "r-%d", i);
-		json_object_array_add(a, make_route(config_operator, name, run->sheet->classes[i].prefix,
-						    &run->sheet->classes[i]));
+		json_object_array_add(a, make_route(config_operator, name, run->deployment->classes[i].prefix,
+						    &run->deployment->classes[i]));
 	}
 	json_object_object_add(j, "RouteList", a);
 	a = json_object_new_array();
 	s = json_object_new_object();
-	json_object_object_add(s, "Name", json_object_new_string(run->sheet->service));
+	json_object_object_add(s, "Name", json_object_new_string(run->deployment->service));
 	json_object_object_add(s, "HealthPath", json_object_new_string("/health"));
 	json_object_object_add(s, "MaxConnections", json_object_new_int(run->fleet.engine.max_conns));
 	json_object_object_add(s, "Protocol", json_object_new_string("h1"));
@@ -92,16 +92,16 @@
 	json_object_object_add(json, "MaxInFlight", json_object_new_int(run->fleet.engine.in_flight));
 	ms = json_object_new_array();
 	m = json_object_new_object();
-	json_object_object_add(m, "Name", json_object_new_string(run->sheet->model));
+	json_object_object_add(m, "Name", json_object_new_string(run->deployment->model));
 	json_object_array_add(ms, m);
 	json_object_object_add(json, "Models", ms);
 	json_object_object_add(s, "EngineType", json);
 	json_object_array_add(a, s);
 	s = json_object_new_object();
 	snprintf(at, sizeof at, "%s.250:8680", run->address_prefix);
-	json_object_object_add(s, "Name", json_object_new_string(run->sheet->store));
+	json_object_object_add(s, "Name", json_object_new_string(run->deployment->store));
 	json_object_object_add(s, "KvStoreAddress", json_object_new_string(at));
-	json_object_object_add(s, "Zone", json_object_new_string(run->sheet->zone[1]));
+	json_object_object_add(s, "Zone", json_object_new_string(run->deployment->zone[1]));
 	json_object_object_add(s, "KvCapacity", json_object_new_int(3999450));
 	json_object_object_add(s, "LinkMbps", json_object_new_double(98000));
 	json_object_object_add(s, "MaxInFlight", json_object_new_int(run->fleet.engine.in_flight));
@@ -114,7 +114,7 @@
 	json_object_object_add(s, "IdleTimeoutMs", json_object_new_int(15000));
 	json_object_object_add(j, "Limits", s);
 	a = json_object_new_array();
-	for (int i = 0; i < run->sheet->tenants; i++)
+	for (int i = 0; i < run->deployment->tenants; i++)
 		json_object_array_add(a, make_tenant(i));
 	json_object_object_add(j, "TenantList", a);
 	return j;
@@ -195,7 +195,7 @@
 static void change_split(struct config_operator *config_operator, struct document_change *change,
 			 enum change what, struct json_object *route)
 {
-	const char *service = config_operator->run->sheet->service;
+	const char *service = config_operator->run->deployment->service;
 
 	if (what == CHANGE_SPLIT) {
 		put_split(route, service, service, 10 + config_operator->splits++ % 80, 10);
@@ -222,7 +222,8 @@
 
 	snprintf(name, sizeof name, "r-more-%d", config_operator->routes);
 	snprintf(change->added, sizeof change->added, "/more%d/", config_operator->routes++);
-	put_route(config_operator, change, name, change->added, &config_operator->run->sheet->classes[2]);
+	put_route(config_operator, change, name, change->added,
+		  &config_operator->run->deployment->classes[2]);
 }
 
 /* The first route that add_route added goes. */
@@ -248,7 +249,7 @@
 static void change_key(struct config_operator *config_operator, struct document_change *change,
 		       enum change what)
 {
-	int i = 2 + config_operator->keys % (config_operator->run->sheet->tenants - 2);
+	int i = 2 + config_operator->keys % (config_operator->run->deployment->tenants - 2);
 	struct json_object *tenant = item_at(change, "TenantList", (size_t)i);
 	struct json_object *keys = document_member(tenant, "AccessKeys");
 	char key[64];
@@ -264,7 +265,7 @@
 
 static void change_isolation(struct config_operator *config_operator, struct document_change *change)
 {
-	uint64_t plain = (uint64_t)(config_operator->run->sheet->tenants - 2);
+	uint64_t plain = (uint64_t)(config_operator->run->deployment->tenants - 2);
 	struct json_object *tenant =
 	    item_at(change, "TenantList", 2 + (size_t)(emulator_random(&config_operator->rng) % plain));
 	int is_isolated = json_object_get_boolean(document_member(tenant, "Isolated"));
@@ -284,7 +285,8 @@
 
 		snprintf(name, sizeof name, "r-big-%d", k);
 		snprintf(prefix, sizeof prefix, "/big%d/", k);
-		route = make_route(config_operator, name, prefix, &config_operator->run->sheet->classes[2]);
+		route =
+		    make_route(config_operator, name, prefix, &config_operator->run->deployment->classes[2]);
 		json_object_array_add(items, json_object_get(route));
 		put_item(document_member(change->config, "RouteList"), route);
 	}
@@ -297,7 +299,7 @@
 
 	snprintf(name, sizeof name, "r-idle-%d", config_operator->routes);
 	snprintf(prefix, sizeof prefix, "/idle%d/", config_operator->routes++);
-	put_route(config_operator, change, name, prefix, &config_operator->run->sheet->classes[0]);
+	put_route(config_operator, change, name, prefix, &config_operator->run->deployment->classes[0]);
 }
 
 static void make_change(struct config_operator *config_operator, struct document_change *change,
@@ -314,7 +316,7 @@
 		break;
 	case CHANGE_TIMEOUT:
 		change_timeout(config_operator, change, item_at(change, "RouteList", i),
-			       &config_operator->run->sheet->classes[i]);
+			       &config_operator->run->deployment->classes[i]);
 		break;
 	case CHANGE_ROUTE_ON:
 		add_route(config_operator, change);
@@ -395,12 +397,12 @@
 		break;
 	case INVALID_DUPLICATE_PREFIX:
 		json_object_array_add(routes, make_route(config_operator, "r-twin",
-							 config_operator->run->sheet->classes[0].prefix,
-							 &config_operator->run->sheet->classes[0]));
+							 config_operator->run->deployment->classes[0].prefix,
+							 &config_operator->run->deployment->classes[0]));
 		break;
 	case INVALID_WEIGHT:
-		put_split(x, config_operator->run->sheet->service, config_operator->run->sheet->service, 0,
-			  0);
+		put_split(x, config_operator->run->deployment->service,
+			  config_operator->run->deployment->service, 0, 0);
 		break;
 	case INVALID_TIMEOUT:
 		json_object_object_add(x, "TimeoutMs", json_object_new_int(0));
--- a/emulator/planned_day.c
+++ b/emulator/planned_day.c
@@ -87,7 +87,7 @@
 {
 	int zone = 0;
 
-	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]) != 0)
+	while (zone < 3 && strcmp(machine->zone, run->deployment->zone[zone]) != 0)
 		zone++;
 	return zone;
 }
--- a/emulator/platform_run.c
+++ b/emulator/platform_run.c
@@ -9,7 +9,7 @@
 
 /* Two deployments of the platform's pages: their classes of requests with sizes, targets, rates and values.
  */
-const struct sheet deployments[2] = {
+const struct deployment deployments[2] = {
 	{ .name = "warisan", .host = "ficu95.example", .service = "lm-registry", .store = "clerk-desk", .model = "daka510000",
 	  .zone = { "shah-alam-a", "petaling-b", "cyberjaya-c", "putrajaya-d" }, .region = "my-central", .tenants = 8,
 	  .classes = {
@@ -115,14 +115,14 @@
 	run->fleet.rng = run->seed * 7 + 1;
 	run->fleet.newest_version = 1;
 	run->fleet.thaw_ms = (int)run->bounds.thaw_slack_ms;
-	run->sheet = &deployments[!strcmp(deployment, "teduh")];
-	if (run->sheet == &deployments[1]) {
+	run->deployment = &deployments[!strcmp(deployment, "teduh")];
+	if (run->deployment == &deployments[1]) {
 		engine->kv_capacity_tokens = 319789;
 		engine->step_ms = 3.55;
 		engine->prefill_tokens_per_ms = 157;
 		engine->load_ms = 1100;
 	}
-	run->fleet.model = run->sheet->model;
+	run->fleet.model = run->deployment->model;
 }
 
 /* Model servers, the store and the list; 0: an address cannot be listened at. */
@@ -133,10 +133,10 @@
 
 	for (int i = 0; i < servers; i++) {
 		snprintf(address, sizeof address, "%s.%d:8080", run->address_prefix, 100 + i);
-		server_add(&run->fleet, address, run->sheet->zone[i % 4], run->sheet->service, 0);
+		server_add(&run->fleet, address, run->deployment->zone[i % 4], run->deployment->service, 0);
 	}
 	snprintf(address, sizeof address, "%s.250:8680", run->address_prefix);
-	server_add(&run->fleet, address, run->sheet->zone[1], run->sheet->store, 1);
+	server_add(&run->fleet, address, run->deployment->zone[1], run->deployment->store, 1);
 	for (int i = 0; i < arrlen(run->fleet.servers); i++)
 		server_up(run->fleet.servers[i]);
 	snprintf(run->list_address, sizeof run->list_address, "%s.251:8688", run->address_prefix);
@@ -344,7 +344,7 @@
 	loop_close(run->loop);
 	checker_close(run->checker);
 	free(run->figures.seconds);
-	printf("%s %s seed %llu%s: %s; logs in %s\n", run->sheet->name, scenario->name,
+	printf("%s %s seed %llu%s: %s; logs in %s\n", run->deployment->name, scenario->name,
 	       (unsigned long long)run->seed, run->small ? " small" : "",
 	       rc == 0   ? "no rule broken"
 	       : rc == 3 ? "undecided"
--- a/emulator/platform_run.h
+++ b/emulator/platform_run.h
@@ -10,7 +10,7 @@
 
 enum { SEED_LAG_MS = 3000, MAX_MACHINES = 80, CLASS_COUNT = 3, MAX_SECONDS = 600, MAX_DISK_STALLS = 256 };
 
-/* ---- the sheet of a deployment ---- */
+/* ---- deployments ---- */
 
 /* One class of requests; sizes are means. */
 struct traffic_class {
@@ -33,7 +33,7 @@
 };
 
 /* A deployment of the platform's pages. */
-struct sheet {
+struct deployment {
 	const char *name;
 	const char *host;
 	const char *service;
@@ -46,7 +46,7 @@
 };
 
 /* Warisan and Teduh. */
-extern const struct sheet deployments[2];
+extern const struct deployment deployments[2];
 
 /* ---- machines ---- */
 
@@ -136,7 +136,7 @@
 	struct checker *checker;
 	struct server_fleet fleet;
 	struct timing_bounds bounds; /* what the machines are told */
-	const struct sheet *sheet;
+	const struct deployment *deployment;
 	uint64_t rng;
 	uint64_t seed;
 	int small;
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -26,12 +26,12 @@
 	return n;
 }
 
-static void sc_quiet(struct run *run)
+static void scenario_quiet(struct run *run)
 {
 	run_for(run, run->small ? 6000 : 20000);
 }
 
-static void sc_kill_edge(struct run *run)
+static void scenario_kill_edge(struct run *run)
 {
 	struct machine *machine = nth_machine(run, 0, 0);
 
@@ -50,7 +50,7 @@
 		}
 }
 
-static void sc_kill_core(struct run *run)
+static void scenario_kill_core(struct run *run)
 {
 	run_for(run, 1500);
 	for (int i = 0; i < (run->small ? 2 : machine_count_of(run, 1)); i++) {
@@ -79,7 +79,7 @@
 		checker_set_final_fault(run->checker, fault, run_ms(run));
 }
 
-static void sc_kill_all(struct run *run)
+static void scenario_kill_all(struct run *run)
 {
 	run_for(run, 2500);
 	operator_change(run->config_operator, CHANGE_TIMEOUT, 0);
@@ -88,7 +88,7 @@
 	run_for(run, run->bounds.recovery_ms + 3000);
 }
 
-static void sc_freeze(struct run *run)
+static void scenario_freeze(struct run *run)
 {
 	struct machine *machine[2] = { nth_machine(run, 0, 1), nth_machine(run, 1, 0) };
 
@@ -111,7 +111,7 @@
 	return 1;
 }
 
-static void sc_term_roll(struct run *run)
+static void scenario_term_roll(struct run *run)
 {
 	run_for(run, 3200); /* calm before it */
 	for (int i = 0; i < (run->small ? 4 : run->machine_count); i++) {
@@ -126,7 +126,7 @@
 	}
 }
 
-static void sc_config(struct run *run)
+static void scenario_config(struct run *run)
 {
 	clients_probe(run->clients, 1);
 	for (int i = 0; i < 2 * CHANGE_BIG; i++) {
@@ -139,7 +139,7 @@
 	run_for(run, 3000);
 }
 
-static void sc_storm(struct run *run)
+static void scenario_storm(struct run *run)
 {
 	run_for(run, 1500);
 	clients_probe(run->clients, 1);
@@ -152,7 +152,7 @@
 	run_for(run, 6000);
 }
 
-static void sc_race(struct run *run)
+static void scenario_race(struct run *run)
 {
 	clients_probe(run->clients, 1);
 	for (int i = 0; i < 5; i++) {
@@ -163,7 +163,7 @@
 	run_for(run, 3000);
 }
 
-static void sc_bad(struct run *run)
+static void scenario_bad(struct run *run)
 {
 	run_for(run, 1000);
 	for (int i = 0; i < INVALID_COUNT; i++) {
@@ -175,7 +175,7 @@
 	run_for(run, 2500);
 }
 
-static void sc_big(struct run *run)
+static void scenario_big(struct run *run)
 {
 	run_for(run, 1500);
 	operator_change(run->config_operator, CHANGE_BIG, 0);
@@ -185,7 +185,7 @@
 	run_for(run, 5000);
 }
 
-static void sc_revoke(struct run *run)
+static void scenario_revoke(struct run *run)
 {
 	char key[64];
 
@@ -212,7 +212,7 @@
 	return 1;
 }
 
-static void sc_roll_out(struct run *run)
+static void scenario_roll_out(struct run *run)
 {
 	run_for(run, 2000);
 	operator_weights(run->config_operator, 2);
@@ -223,7 +223,7 @@
 	run_for(run, 3000);
 }
 
-static void sc_release(struct run *run)
+static void scenario_release(struct run *run)
 {
 	int n = 0;
 
@@ -241,7 +241,7 @@
 	}
 }
 
-static void sc_crash(struct run *run)
+static void scenario_crash(struct run *run)
 {
 	run_for(run, 1500);
 	for (int i = 0; i < (run->small ? 2 : 6); i++) {
@@ -265,7 +265,7 @@
 			run->fleet.servers[i]->fault = *fault;
 }
 
-static void sc_garble(struct run *run)
+static void scenario_garble(struct run *run)
 {
 	struct server_fault fault = { .close = 0.05, .broken = 0.05, .garbage = 0.03, .surplus = 0.1 },
 			    none = { .close = 0.01 };
@@ -278,7 +278,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_lost_answer(struct run *run)
+static void scenario_lost_answer(struct run *run)
 {
 	struct server_fault fault = { .close = 0.01, .lost = 0.08 }, none = { .close = 0.01 };
 
@@ -290,7 +290,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_grey(struct run *run)
+static void scenario_grey(struct run *run)
 {
 	run_for(run, 1000);
 	run_log(run, "fault: server %s fails a third of its requests, and says it is well",
@@ -303,7 +303,7 @@
 	run_for(run, 4000);
 }
 
-static void sc_silent_server(struct run *run)
+static void scenario_silent_server(struct run *run)
 {
 	struct server *server = run->fleet.servers[0];
 
@@ -316,7 +316,7 @@
 }
 
 /* Servers are silent for a moment by turns, and several at once. */
-static void sc_stall(struct run *run)
+static void scenario_stall(struct run *run)
 {
 	int n = (int)arrlen(run->fleet.servers) - 1;
 
@@ -337,7 +337,7 @@
 
 /* Edges are cut off from the core beyond their staleness bound, while servers are slow to begin and go on
  * without a caller: what was sent may run, so no answer may promise that it has not. */
-static void sc_blind(struct run *run)
+static void scenario_blind(struct run *run)
 {
 	struct server_fault fault = { .close = 0.01, .stubborn = 1 }, none = { .close = 0.01 };
 	double read = run->fleet.engine.prefill_tokens_per_ms;
@@ -358,7 +358,7 @@
 }
 
 /* The whole platform stands still, and with it every server, client and list. */
-static void sc_hiccup(struct run *run)
+static void scenario_hiccup(struct run *run)
 {
 	run_for(run, 1000);
 	for (int i = 0; i < 8; i++) {
@@ -368,7 +368,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_stutter(struct run *run)
+static void scenario_stutter(struct run *run)
 {
 	run_for(run, 1000);
 	for (int i = 0; i < 20; i++) {
@@ -385,7 +385,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_flap(struct run *run)
+static void scenario_flap(struct run *run)
 {
 	run_for(run, 1000);
 	for (int i = 0; i < 6; i++) {
@@ -397,7 +397,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_events_gap(struct run *run)
+static void scenario_events_gap(struct run *run)
 {
 	run_for(run, 1500);
 	run_log(run, "fault: events come late, a few never come, and only a few stay");
@@ -415,7 +415,7 @@
 	run_for(run, 2000);
 }
 
-static void sc_store_down(struct run *run)
+static void scenario_store_down(struct run *run)
 {
 	struct server *server = arrlast(run->fleet.servers);
 
@@ -428,7 +428,7 @@
 	run_for(run, 3000);
 }
 
-static void sc_wipe(struct run *run)
+static void scenario_wipe(struct run *run)
 {
 	struct machine *m = nth_machine(run, 1, 1);
 
@@ -448,13 +448,13 @@
 	run_for(run, 2000);
 }
 
-static void sc_replace(struct run *run)
+static void scenario_replace(struct run *run)
 {
 	struct machine *machine = nth_machine(run, 1, 0), *n;
 	int zone = 0;
 
 	run_for(run, 1500);
-	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]))
+	while (zone < 3 && strcmp(machine->zone, run->deployment->zone[zone]))
 		zone++;
 	run_log(run, "fault: %s goes for good and an empty machine comes at another address", machine->name);
 	machine_remove(machine);
@@ -510,7 +510,7 @@
 
 /* Cached context is purged on schedule and on demand, several times, while the leader is killed and an edge
  * freezes. */
-static void sc_purge(struct run *run)
+static void scenario_purge(struct run *run)
 {
 	struct machine *machine = nth_machine(run, 1, 0);
 	int64_t sent;
@@ -543,35 +543,37 @@
 }
 
 const struct platform_scenario platform_scenarios[] = {
-	{ "quiet", "no fault", sc_quiet, NULL },
-	{ "kill-edge", "edges are killed and come back", sc_kill_edge, NULL },
-	{ "kill-core", "core machines are killed one after another, under changes", sc_kill_core, NULL },
-	{ "kill-all", "every process is killed at once, right after an acknowledgement", sc_kill_all, NULL },
-	{ "freeze", "an edge and a core machine freeze and wake", sc_freeze, NULL },
-	{ "term-roll", "machines are stopped and started in turn", sc_term_roll, NULL },
-	{ "config", "configurations change, in whole and in part", sc_config, NULL },
-	{ "storm", "thirty changes one right after another", sc_storm, NULL },
-	{ "race", "two operators on top of the same version", sc_race, NULL },
-	{ "bad", "invalid configurations between proper ones", sc_bad, NULL },
-	{ "big", "two hundred more routes, all used", sc_big, NULL },
-	{ "revoke", "a key is taken away from clients that go on using it", sc_revoke, NULL },
-	{ "roll-out", "new weights", sc_roll_out, NULL },
-	{ "release", "servers drain, end and come back as new ones", sc_release, NULL },
-	{ "crash", "servers crash, come back, and one is lost", sc_crash, NULL },
-	{ "garble", "broken answers, garbage, bytes behind whole answers", sc_garble, NULL },
-	{ "lost-answer", "requests run, their answers never come", sc_lost_answer, NULL },
-	{ "grey", "a server fails a third of its requests; health lies", sc_grey, NULL },
-	{ "dark", "a server falls silent", sc_silent_server, NULL },
-	{ "stall", "servers stand still for moments, several at once", sc_stall, NULL },
-	{ "blind", "edges are cut off from the core while servers are slow to begin", sc_blind, NULL },
-	{ "hiccup", "the whole platform stands still for moments", sc_hiccup, NULL },
-	{ "stutter", "machines freeze for moments, several at once", sc_stutter, NULL },
-	{ "flap", "a server goes and comes", sc_flap, NULL },
-	{ "events-gap", "events of kept parts are late and lost", sc_events_gap, NULL },
-	{ "store-down", "the store goes and comes back empty", sc_store_down, NULL },
-	{ "wipe", "a core machine loses its disk after an acknowledgement", sc_wipe, NULL },
-	{ "replace", "a core machine is replaced at another address", sc_replace, NULL },
-	{ "clear", "kept context is cleared, on schedule and at once", sc_purge, NULL },
+	{ "quiet", "no fault", scenario_quiet, NULL },
+	{ "kill-edge", "edges are killed and come back", scenario_kill_edge, NULL },
+	{ "kill-core", "core machines are killed one after another, under changes", scenario_kill_core,
+	  NULL },
+	{ "kill-all", "every process is killed at once, right after an acknowledgement", scenario_kill_all,
+	  NULL },
+	{ "freeze", "an edge and a core machine freeze and wake", scenario_freeze, NULL },
+	{ "term-roll", "machines are stopped and started in turn", scenario_term_roll, NULL },
+	{ "config", "configurations change, in whole and in part", scenario_config, NULL },
+	{ "storm", "thirty changes one right after another", scenario_storm, NULL },
+	{ "race", "two operators on top of the same version", scenario_race, NULL },
+	{ "bad", "invalid configurations between proper ones", scenario_bad, NULL },
+	{ "big", "two hundred more routes, all used", scenario_big, NULL },
+	{ "revoke", "a key is taken away from clients that go on using it", scenario_revoke, NULL },
+	{ "roll-out", "new weights", scenario_roll_out, NULL },
+	{ "release", "servers drain, end and come back as new ones", scenario_release, NULL },
+	{ "crash", "servers crash, come back, and one is lost", scenario_crash, NULL },
+	{ "garble", "broken answers, garbage, bytes behind whole answers", scenario_garble, NULL },
+	{ "lost-answer", "requests run, their answers never come", scenario_lost_answer, NULL },
+	{ "grey", "a server fails a third of its requests; health lies", scenario_grey, NULL },
+	{ "dark", "a server falls silent", scenario_silent_server, NULL },
+	{ "stall", "servers stand still for moments, several at once", scenario_stall, NULL },
+	{ "blind", "edges are cut off from the core while servers are slow to begin", scenario_blind, NULL },
+	{ "hiccup", "the whole platform stands still for moments", scenario_hiccup, NULL },
+	{ "stutter", "machines freeze for moments, several at once", scenario_stutter, NULL },
+	{ "flap", "a server goes and comes", scenario_flap, NULL },
+	{ "events-gap", "events of kept parts are late and lost", scenario_events_gap, NULL },
+	{ "store-down", "the store goes and comes back empty", scenario_store_down, NULL },
+	{ "wipe", "a core machine loses its disk after an acknowledgement", scenario_wipe, NULL },
+	{ "replace", "a core machine is replaced at another address", scenario_replace, NULL },
+	{ "clear", "kept context is cleared, on schedule and at once", scenario_purge, NULL },
 	{ "planned", "a long day of planned work: changes, stops, reloads, releases", planned_day, NULL },
 	{ "planned-core", "the whole core is stopped and started under changes", planned_core_stop, NULL },
 	{ "soak", "troubles of all kinds that overlap, while weights are named in series", soak_test,
--- a/emulator/report.c
+++ b/emulator/report.c
@@ -15,7 +15,7 @@
 	printf("%-16s %7s %7s %6s %9s %9s %9s %9s %9s\n", "requests", "asked", "whole", "late", "first p50",
 	       "p90", "p99", "pause p99", "most");
 	for (int i = 0; i < CLASS_COUNT; i++)
-		printf("%-16s %7d %7d %6d %9lld %9lld %9lld %9lld %9lld\n", run->sheet->classes[i].name,
+		printf("%-16s %7d %7d %6d %9lld %9lld %9lld %9lld %9lld\n", run->deployment->classes[i].name,
 		       figures->requests[i], figures->completed[i], figures->late[i],
 		       (long long)histogram_quantile(&figures->first_event_ms[i], 0.5),
 		       (long long)histogram_quantile(&figures->first_event_ms[i], 0.9),
@@ -153,7 +153,7 @@
 		goto end;
 	fprintf(out, "kind,asked,whole,late,first_p50_ms,first_p99_ms,pause_p99_ms\n");
 	for (int i = 0; i < CLASS_COUNT; i++)
-		fprintf(out, "%s,%d,%d,%d,%lld,%lld,%lld\n", run->sheet->classes[i].name,
+		fprintf(out, "%s,%d,%d,%d,%lld,%lld,%lld\n", run->deployment->classes[i].name,
 			run->figures.requests[i], run->figures.completed[i], run->figures.late[i],
 			(long long)histogram_quantile(&run->figures.first_event_ms[i], 0.5),
 			(long long)histogram_quantile(&run->figures.first_event_ms[i], 0.99),
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -2235,21 +2235,21 @@
 	r->fleet.started_at_us = loop_us() - ms_us(ALONE_FROM_MS);
 	r->bounds = default_timing_bounds;
 	r->checker = r->fleet.checker = checker_open(&r->bounds);
-	r->sheet = &deployments[0];
+	r->deployment = &deployments[0];
 	r->rng = r->seed = 3;
 	r->rate = 0.5;
 	r->fleet.engine = default_engine;
 	r->fleet.engine.prefill_tokens_per_ms = 5000; /* one server stands for all of them */
 	r->fleet.rng = 4;
 	r->fleet.newest_version = 1;
-	r->fleet.model = r->sheet->model;
+	r->fleet.model = r->deployment->model;
 	snprintf(r->address_prefix, sizeof r->address_prefix, "127.%d.%d", 16 + (getpid() / 250) % 200,
 		 1 + getpid() % 250);
 	snprintf(r->machines[0].front_address, sizeof r->machines[0].front_address, "%s.100:8080",
 		 r->address_prefix);
 	snprintf(r->machines[0].readiness_address, sizeof r->machines[0].readiness_address, "%s.100:8080",
 		 r->address_prefix);
-	snprintf(r->machines[0].zone, sizeof r->machines[0].zone, "%s", r->sheet->zone[0]);
+	snprintf(r->machines[0].zone, sizeof r->machines[0].zone, "%s", r->deployment->zone[0]);
 	r->machine_count = 1;
 	r->machines[0].in_rotation = 1;
 	checker_record_machine(r->checker, 0, 0, 0, CALM, 1);
@@ -2289,7 +2289,8 @@
 {
 	struct run *r = alone(cfg_text);
 
-	server_add(&r->fleet, r->machines[0].front_address, r->sheet->zone[0], r->sheet->service, 0);
+	server_add(&r->fleet, r->machines[0].front_address, r->deployment->zone[0], r->deployment->service,
+		   0);
 	server_up(r->fleet.servers[0]);
 	r->fleet.servers[0]->fault = *fault;
 	clients_for(r, ms);
