--- a/emulator/soak_faults.c
+++ b/emulator/soak_faults.c
@@ -1,13 +1,12 @@
 /* Faults of the soak test: of routers, core machines, model servers, the operator's connections and the load.
  * Each one that lasts is ended by the soak test when its time is over. */
+#include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
 
 #include "containers.h"
 #include "soak_test_internal.h"
 
-#include <stdlib.h>
-
 int64_t soak_between(struct soak_test *soak, int64_t least, int64_t most)
 {
 	return least + (int64_t)(emulator_random(&soak->rng) % (uint64_t)(most - least + 1));
@@ -162,7 +161,7 @@
 {
 	int zone = 0;
 
-	while (zone < 3 && strcmp(machine->zone, run->sheet->zone[zone]) != 0)
+	while (zone < 3 && strcmp(machine->zone, run->deployment->zone[zone]) != 0)
 		zone++;
 	return zone;
 }
