--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -7,7 +7,7 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-/* What becomes of a request that arrives now. */
+/* What becomes of a configuration request that arrives now. */
 enum handling { HANDLE_ANSWER, HANDLE_DEFER, HANDLE_FORWARD };
 
 static uint64_t known_leader(const struct controller *controller, int64_t now)
@@ -23,8 +23,8 @@
 
 	if (leads_shard(controller, SHARD_CONTROL, now))
 		return HANDLE_ANSWER;
-	if (group->role ==
-	    RAFT_LEADER) /* one that was in office in this term has lost its lease: there may be another */
+	/* one that led in this term has lost its lease: there may be another leader */
+	if (group->role == RAFT_LEADER)
 		return controller->leadership[SHARD_CONTROL].term == group->term ? HANDLE_ANSWER
 										 : HANDLE_DEFER;
 	if (!controller->stopping)
@@ -32,31 +32,31 @@
 	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
 
-static void forward_request(const struct controller *r, const struct Nl__Msg *m, int64_t now,
+static void forward_request(const struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_SEND);
 
-	command->args.send.addr = known_leader(r, now);
+	command->args.send.addr = known_leader(controller, now);
 	command->args.send.msg = (struct Nl__Msg *)core_copy_message(
-	    out->pool, &m->base); /* with the asker's address: it is answered there */
+	    out->pool, &message->base); /* with the requester's address: the reply goes there */
 }
 
-static void defer_request(struct controller *controller, const struct Nl__Msg *m, int64_t now)
+static void defer_request(struct controller *controller, const struct Nl__Msg *message, int64_t now)
 {
 	struct controller_deferred_request deferred = { NULL, now + CONFIG_HANDOVER_DEFER_MS };
-	size_t n = nl__msg__get_packed_size(m);
+	size_t n = nl__msg__get_packed_size(message);
 	uint8_t *packed = malloc(n + 1);
 
 	if (!packed)
 		abort();
-	nl__msg__pack(m, packed);
+	nl__msg__pack(message, packed);
 	deferred.request = nl__msg__unpack(NULL, n, packed);
 	free(packed);
 	if (!deferred.request)
 		abort();
 	for (ptrdiff_t i = 0; i < arrlen(controller->handover.deferred); i++)
-		if (controller->handover.deferred[i].request->id == m->id) {
+		if (controller->handover.deferred[i].request->id == message->id) {
 			nl__msg__free_unpacked(controller->handover.deferred[i].request, NULL);
 			controller->handover.deferred[i].request =
 			    deferred.request; /* by when the first was to be answered stays */
@@ -80,7 +80,7 @@
 	}
 }
 
-/* Everybody who asked lately learns whom to ask from now on. */
+/* Tell everybody who sent a request lately where to send the next one. */
 static void announce_successor(struct controller *controller, uint64_t successor, int64_t now,
 			       struct command_list *out)
 {
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -11,16 +11,16 @@
 #include "controller_private.h"
 
 /* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
- * before one that has just begun, which knows nothing yet that it could pass on; among those that are alike
- * rendezvous ranks them. */
-static int is_upstream(const struct controller_node_status *s, const struct controller_node_status *node)
+ * before one that has just begun, which knows nothing yet that it could pass on; others are ranked by
+ * rendezvous hashing. */
+static int is_upstream(const struct controller_node_status *node, const struct controller_node_status *of)
 {
-	if (s->is_warm != node->is_warm)
-		return s->is_warm;
-	return core_rendezvous_weight(s->zone, s->id) > core_rendezvous_weight(s->zone, node->id);
+	if (node->is_warm != of->is_warm)
+		return node->is_warm;
+	return core_rendezvous_weight(node->zone, node->id) > core_rendezvous_weight(node->zone, of->id);
 }
 
-/* The head of each zone but one's own: the router that is upstream of all others heard lately. */
+/* The head of each other zone: the live router that is upstream of all others there. */
 static void add_zone_heads(const struct controller *controller, uint64_t zone,
 			   struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
@@ -46,7 +46,7 @@
 	arrfree(heads);
 }
 
-/* The best two of the routers upstream of this one in its zone. */
+/* The best two routers upstream of this one in its zone. */
 static void add_upstream(const struct controller *controller, const struct controller_node_status *me,
 			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
@@ -89,8 +89,8 @@
 		}
 }
 
-/* Keep what a node says of itself, and forget who has been silent for long. 1 when a later request of its was
- * here before: what this one says of places no longer holds. */
+/* Note a node's status, and forget nodes that have been silent for long. Returns 1 when a later request of
+ * the node has come before: what this one says of quota slots does not hold any more. */
 static int update_node_status(struct controller *controller, const struct controller_node_status *node,
 			      int64_t now)
 {
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -34,7 +34,7 @@
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
 		watch->candidates[watch->candidate_count++] = seeds[i];
 	watch->seed_count = watch->candidate_count;
-	for (int i = 0; i < old_count; i++) { /* who was known stays so until the next answer */
+	for (int i = 0; i < old_count; i++) { /* who was known stays so until the next reply */
 		int known = 0;
 
 		for (int k = 0; k < watch->candidate_count; k++)
@@ -85,7 +85,7 @@
 	sync->applied_token = watch->applied_token;
 }
 
-/* An older answer that comes late may say more than was given since. */
+/* A late reply to an older request may grant more than was granted since. */
 static void apply_quotas(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
 	if (reply->token <= watch->applied_token)
@@ -96,9 +96,9 @@
 		    reply->quota_grants[i]->reserved_slots;
 }
 
-/* The leader's clock was at most what the answer says when it was asked for, and has reached that when it
- * comes. Of one leader's answers the quickest tells best; one that shows the reckoning to be behind, as the
- * two clocks drift, begins it anew. */
+/* The leader's clock was at most what the reply says when the request was sent, and has reached that when the
+ * reply comes. Of one leader's replies the quickest tells best; one that shows the reckoning to be behind, as
+ * the two clocks drift, begins it anew. */
 static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
 			int64_t requested_at_ms, int64_t now)
 {
@@ -115,7 +115,7 @@
 			return;
 		}
 	if (reply->clock_term < watch->group_clock[0].term)
-		return; /* of a leader that has been followed by another since */
+		return; /* another leader has followed that one */
 	memmove(&watch->group_clock[1], &watch->group_clock[0],
 		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
 	watch->group_clock[0].term = reply->clock_term;
@@ -219,8 +219,8 @@
 		    new_request(watch, horizon, now, out);
 }
 
-/* The owner is silent, or nobody's guess is right: a few at once, in turn, so that a new owner is found as
- * soon as there is one. Only a has_lease one answers with more than a hint. */
+/* The leader is silent, or the guess is wrong: a few candidates at once, in turn, so that a new leader is
+ * found as soon as there is one. Only one with a lease replies with more than a hint. */
 static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now,
 			    struct command_list *out)
 {
@@ -241,15 +241,15 @@
 					       (watch->candidate_count ? watch->candidate_count : 1);
 }
 
-/* How much later than usual an answer may come before it counts as missing: the last one's time on its way,
- * within a bound. */
+/* How much later than usual a reply may come before it counts as missing: the last round trip, within a
+ * bound. */
 static int64_t slow_link_ms(const struct config_watch *watch)
 {
 	return watch->round_trip_ms < CONFIG_WATCH_SLOW_LINK_MS ? watch->round_trip_ms
 								: CONFIG_WATCH_SLOW_LINK_MS;
 }
 
-/* An old answer is no reason to ask others: the leader is in reach, and its answers are long on their way. */
+/* A reply to an old request is no reason to ask others: the leader is in reach, over a slow link. */
 static int leader_timed_out(const struct config_watch *watch, int64_t now)
 {
 	return now - watch->leader_contact_at_ms > CONFIG_WATCH_LEADER_TIMEOUT_MS + slow_link_ms(watch);
@@ -291,10 +291,9 @@
 	}
 }
 
-/* Several requests are under way at once where the way is long, and each answer names what has changed since
- * its own request: an answer may be overtaken by a newer one. It changes nothing then, but proves as well
- * that what is here was in force when it was asked for. A leader that has less than was here already proves
- * nothing. */
+/* Several requests are in flight at once over a slow link, and each reply names what has changed since its
+ * own request: a reply may be overtaken by a newer one. It changes nothing then, but proves as well that what
+ * is here was in force when it was requested. A leader that has less than was here already proves nothing. */
 static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
 		       const struct config_watch_request *sent)
 {
@@ -321,7 +320,7 @@
 		return 0;
 	watch->replied_at_ms = now;
 	if (!reply->has_lease) {
-		if (reply->token == watch->last_token) { /* only the newest asking moves the guess */
+		if (reply->token == watch->last_token) { /* only the newest request moves the guess */
 			config_watch_hint(watch, SHARD_CONTROL,
 					  reply->leader_hint == message->addr ? 0 : reply->leader_hint);
 			if (reply->leader_hint && reply->leader_hint != message->addr &&
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -1,5 +1,5 @@
-/* What every module of a controller uses: its log line, a service part's state by its number, the body of a
- * refusal. All modules of lib/control that work on struct controller include this; it calls none of them. */
+/* controller_private: what the modules that work on a controller share: log lines, a service shard's state by
+ * its number, bodies of rejections. It keeps nothing. */
 #ifndef NL_CONTROLLER_PRIVATE_H
 #define NL_CONTROLLER_PRIVATE_H
 
@@ -7,8 +7,8 @@
 
 #include "controller_state.h"
 
-/* Write one log line under a prefix. Example: log_line(r, "purge", o->p, "The publisher begins at %d.",
- * tick); */
+/* Write one log line under a prefix; the text is formatted in the pool.
+ * Example: log_line(controller, "purge", out->pool, "The publisher begins at %d.", tick); */
 static inline void log_line(struct controller *controller, const char *prefix, apr_pool_t *pool,
 			    const char *format, ...)
 {
@@ -22,22 +22,23 @@
 	va_end(arguments);
 }
 
-/* A service part's state; NULL: this part is none. */
+/* A service shard's state; NULL: this shard is no service shard. */
 __attribute__((nonnull)) static inline struct controller_service_state *
-service_shard_state(struct controller *controller, uint32_t part)
+service_shard_state(struct controller *controller, uint32_t shard)
 {
-	return part >= SHARD_SERVICE && part < SHARD_COUNT ? &controller->service_states[part - SHARD_SERVICE]
-							   : NULL;
+	return shard >= SHARD_SERVICE && shard < SHARD_COUNT
+		   ? &controller->service_states[shard - SHARD_SERVICE]
+		   : NULL;
 }
 
-/* The JSON body that says why a call was refused; an edition of 0 is left out. Example: error_json(o->p,
- * "path: no such call", 0) */
+/* The JSON body that says why a call was rejected, in the pool; a revision of 0 is left out.
+ * Example: error_json(out->pool, "path: no such call", 0) */
 const char *error_json(apr_pool_t *pool, const char *why, uint64_t revision);
 
-/* No leader is known: whatever this call asked for was not logged. */
+/* Answer a call: no leader is known, nothing was logged. */
 void reject_without_leader(uint64_t token, struct command_list *out);
 
-/* This controller is to stop and begins nothing any more: nothing was logged. */
+/* Answer a call: this controller is to stop, nothing was logged. */
 void reject_while_stopping(uint64_t token, struct command_list *out);
 
 #endif
--- a/lib/control/group_clock.c
+++ b/lib/control/group_clock.c
@@ -1,6 +1,6 @@
 #include "group_clock.h"
 
-enum { FIRST_MOMENT = 1 }; /* 0 means that a moment is not known */
+enum { FIRST_MOMENT = 1 }; /* 0: a moment is not known */
 
 void group_clock_lead(struct controller *controller, int64_t now)
 {
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -2,7 +2,7 @@
 
 #include "group_clock.h"
 
-/* Twice the bound: a node that has just been given a longer one may still need the dates in between. */
+/* Twice the bound: a node whose bound has just been raised may still need the dates in between. */
 static void date_operation(const struct controller *controller, struct Nl__Operation *operation, int64_t now)
 {
 	operation->logged_at_ms = group_clock_now(controller, now);
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -9,7 +9,6 @@
 #include "controller_private.h"
 #include "rollout.h"
 
-/* Taking office comes after all that is committed has been applied, leaving it before. */
 void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now,
 			  struct command_list *out)
 {
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -26,19 +26,19 @@
 	const struct Nl__Row *row;
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
-	struct Nl__Row me = NL__ROW__INIT, *set[1] = { &me };
+	struct Nl__Row own = NL__ROW__INIT, *set[1] = { &own };
 
 	if (now - controller->membership.registered_at_ms < 1000 ||
 	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
 		return;
 	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
 	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
-	me.kind = NL__KIND__CONTROLLER;
-	me.name = name;
-	me.id = controller->identity.id;
-	me.addr = (char *)core_format_addr(out->pool, controller->identity.addr);
-	me.zone = (char *)controller->identity.zone;
-	if (row && !strcmp(row->addr, me.addr) && !strcmp(row->zone, me.zone))
+	own.kind = NL__KIND__CONTROLLER;
+	own.name = name;
+	own.id = controller->identity.id;
+	own.addr = (char *)core_format_addr(out->pool, controller->identity.addr);
+	own.zone = (char *)controller->identity.zone;
+	if (row && !strcmp(row->addr, own.addr) && !strcmp(row->zone, own.zone))
 		return;
 	controller->membership.registered_at_ms = now;
 	change.any_revision = 1;
@@ -49,7 +49,7 @@
 	propose(controller, SHARD_CONTROL, &operation, 0, now);
 }
 
-/* Leaders change the membership of their groups towards what the bounds ask for. */
+/* Change the members of groups that are led here towards what the bounds ask for. */
 static void reconfigure_groups(struct controller *controller, int64_t now)
 {
 	struct raft_member live[CONFIG_WATCH_MAX_CONTROLLERS];
@@ -83,8 +83,8 @@
 	return 0;
 }
 
-/* Where a silent controller stood, a new one with an empty disk may stand whose seeds are all as new: it is
- * told whom to ask. */
+/* At the address of a silent controller a new one may run, with an empty disk, whose seeds are all new as
+ * well: it is told where the fleet is. */
 static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
 	if (now - controller->membership.announced_at_ms < CONTROLLER_ANNOUNCE_MS)
@@ -104,7 +104,7 @@
 	}
 }
 
-/* The configuration's owner takes controllers that are long gone out of the table, one at a time. */
+/* Delete the row of a controller that was never seen in this term, one at a time. */
 static void remove_expired_controllers(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
--- a/lib/control/version_history.c
+++ b/lib/control/version_history.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { FIRST_WEIGHTS = 1 }; /* which stand everywhere before any are named */
+enum { FIRST_WEIGHTS = 1 }; /* which all servers have before any are set */
 
 uint64_t version_history_newest(const struct Nl__Row *model)
 {
@@ -60,7 +60,7 @@
 		history_add(list, version->weights,
 			    (struct group_moment){ version->targeted_at_ms, version->term });
 	}
-	if (newest > older && !list->count && older > FIRST_WEIGHTS) /* named before dates were kept */
+	if (newest > older && !list->count && older > FIRST_WEIGHTS) /* set before dates were kept */
 		history_add(list, older, (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
 	if (newest > older)
 		history_add(list, newest, now);
