--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -13,11 +13,11 @@
 /* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
  * before one that has just begun, which knows nothing yet that it could pass on; others are ranked by
  * rendezvous hashing. */
-static int is_upstream(const struct controller_node_status *node, const struct controller_node_status *of)
+static int is_upstream(const struct controller_node_status *node, const struct controller_node_status *other)
 {
-	if (node->is_warm != of->is_warm)
+	if (node->is_warm != other->is_warm)
 		return node->is_warm;
-	return core_rendezvous_weight(node->zone, node->id) > core_rendezvous_weight(node->zone, of->id);
+	return core_rendezvous_weight(node->zone, node->id) > core_rendezvous_weight(node->zone, other->id);
 }
 
 /* The head of each other zone: the live router that is upstream of all others there. */
@@ -47,7 +47,7 @@
 }
 
 /* The best two routers upstream of this one in its zone. */
-static void add_upstream(const struct controller *controller, const struct controller_node_status *me,
+static void add_upstream(const struct controller *controller, const struct controller_node_status *own,
 			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	enum { MAX_UPSTREAM = 2 };
@@ -59,9 +59,9 @@
 		for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 			const struct controller_node_status *node = &controller->membership.nodes[i];
 
-			if (!node->is_router || node->zone != me->zone ||
+			if (!node->is_router || node->zone != own->zone ||
 			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
-			    !is_upstream(node, me))
+			    !is_upstream(node, own))
 				continue;
 			if (reply->n_upstreams && node->addr == reply->upstreams[0])
 				continue;
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -24,15 +24,15 @@
 	return index;
 }
 
-static struct Nl__Row *row_copy(const struct Nl__Row *r)
+static struct Nl__Row *row_copy(const struct Nl__Row *original)
 {
-	size_t size = nl__row__get_packed_size(r);
+	size_t size = nl__row__get_packed_size(original);
 	uint8_t *packed = malloc(size + 1);
 	struct Nl__Row *row;
 
 	if (!packed)
 		abort();
-	nl__row__pack(r, packed);
+	nl__row__pack(original, packed);
 	row = nl__row__unpack(NULL, size, packed);
 	free(packed);
 	if (!row)
@@ -107,8 +107,8 @@
 	arrput(*feed, purge);
 }
 
-/* A model's weights have reached every server: what stood before them, and what was named in between, is
- * withdrawn. */
+/* A model's weights have reached every server: what was complete before them, and the versions in between,
+ * are purged. */
 static void purge_model(const struct config_table *table, const struct Nl__Row *was,
 			const struct Nl__Row *row, struct Nl__Purge ***feed)
 {
@@ -131,7 +131,8 @@
 		}
 }
 
-/* What a row's change withdraws. */
+/* What a row's change purges: blocks that were computed under weights, isolation or servers that are no more.
+ * row NULL: it is deleted; feed NULL: nobody wants to know. */
 static void decide_purges(const struct config_table *table, const struct Nl__Row *was,
 			  const struct Nl__Row *row, struct Nl__Purge ***feed)
 {
@@ -154,18 +155,18 @@
 	return strtoull(first, NULL, 10) >= strtoull(second, NULL, 10) ? first : second;
 }
 
-/* Weights of a model only rise; what a change leaves empty stays. Before any are named, the first stand
- * everywhere. */
+/* Weights of a model only rise; what a change leaves empty stays. Before any are set, all servers have the
+ * first. */
 static struct Nl__Row *make_model_row(const struct config_table *table, const struct Nl__Row *was,
-				      const struct Nl__Row *r, uint64_t bound_passed)
+				      const struct Nl__Row *changed, uint64_t bound_passed_at_ms)
 {
-	struct Nl__Row m = *r;
+	struct Nl__Row row = *changed;
 	struct version_history versions;
 
-	m.target_weights = (char *)higher_number(r->target_weights, was ? was->target_weights : "1");
-	m.rolled_out = (char *)higher_number(r->rolled_out, was ? was->rolled_out : "1");
-	version_history_update(&versions, was, &m, table->clock, bound_passed);
-	return row_copy(&m);
+	row.target_weights = (char *)higher_number(changed->target_weights, was ? was->target_weights : "1");
+	row.rolled_out = (char *)higher_number(changed->rolled_out, was ? was->rolled_out : "1");
+	version_history_update(&versions, was, &row, table->clock, bound_passed_at_ms);
+	return row_copy(&row);
 }
 
 static int rows_equal(const struct Nl__Row *a, const struct Nl__Row *b)
@@ -187,7 +188,7 @@
 	return same;
 }
 
-/* Put a row, which the table owns from now on, in the place of its namesake. */
+/* Put a row, which the table owns from now on, in the place of the one with its key. */
 static void row_put(struct config_table *table, struct Nl__Row *row, uint64_t revision,
 		    struct Nl__Purge ***feed)
 {
@@ -206,8 +207,8 @@
 	      ((typeof(table->rows->value)){ row, revision }));
 }
 
-/* One row of a change. In a whole document an equal row keeps its edition, so that followers get only what
- * changed. */
+/* One row of a change. When a change replaces all rows, an equal row keeps its revision, so that copies get
+ * only what has changed. */
 static void row_set(struct config_table *table, const struct Nl__Row *row, const struct Nl__Change *change,
 		    struct Nl__Purge ***feed)
 {
--- a/lib/control/config_table.h
+++ b/lib/control/config_table.h
@@ -35,6 +35,7 @@
 	uint64_t revision; /* in which it was deleted */
 };
 
+/* The table. */
 struct config_table {
 	uint64_t revision;
 	uint64_t operator_revision;    /* of the last change of operators' rows: expected revisions are held
@@ -51,8 +52,10 @@
 	const struct Nl__Row *value;
 };
 
-/* An empty table, and the end of one with all its rows. */
+/* Begin with an empty table. */
 void config_table_open(struct config_table *table);
+
+/* Release a table with all its rows. */
 void config_table_close(struct config_table *table);
 
 /* Apply a checked change. Purges that it decides on are appended to *feed (stb_ds, owned by the caller),
--- a/lib/control/config_text.c
+++ b/lib/control/config_text.c
@@ -83,16 +83,66 @@
 	return json_object_new_string(text);
 }
 
+/* The columns that a text has, in its order. */
+struct text_header {
+	const char *names[COLUMN_COUNT];
+	int count;
+};
+
+/* Split off the first cell of a line; what follows it, or NULL, is left in *line. */
+static char *next_cell(char **line)
+{
+	char *cell = *line, *tab = strchr(cell, '\t');
+
+	if (tab)
+		*tab++ = 0;
+	*line = tab;
+	return cell;
+}
+
+/* Read the line that names the columns; 0 with *why when one is not known. */
+static int parse_header(struct text_header *header, char *line, int line_number, apr_pool_t *pool,
+			const char **why)
+{
+	while (line && header->count < COLUMN_COUNT) {
+		const char *cell = next_cell(&line);
+
+		for (int i = 0; i < COLUMN_COUNT; i++)
+			if (!strcmp(columns[i], cell))
+				header->names[header->count] = columns[i];
+		if (!header->names[header->count]) {
+			*why = apr_psprintf(pool, "line %d: column %s: unknown", line_number, cell);
+			return 0;
+		}
+		header->count++;
+	}
+	return 1;
+}
+
+/* Read a line's cells into a row; empty cells are left out. 0 when it has more cells than there are columns.
+ */
+static int parse_cells(struct json_object *row, const struct text_header *header, char *line)
+{
+	for (int i = 0; line && i < header->count; i++) {
+		const char *cell = next_cell(&line);
+
+		if (cell[0])
+			json_object_object_add(row, header->names[i],
+					       config_text_cell(header->names[i], cell));
+	}
+	return !line;
+}
+
 struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **why)
 {
 	struct json_object *json = json_object_new_object(), *rows = json_object_new_array();
-	char *copy = apr_pstrdup(pool, text), *line, *save = NULL;
-	const char *header[COLUMN_COUNT] = { 0 };
-	int header_count = 0, line_number = 0;
+	char *copy = apr_pstrdup(pool, text), *save = NULL;
+	struct text_header header = { { 0 }, 0 };
+	int line_number = 0;
 
 	json_object_object_add(json, "rows", rows);
-	for (line = apr_strtok(copy, "\n", &save); line; line = apr_strtok(NULL, "\n", &save)) {
-		struct json_object *r;
+	for (char *line = apr_strtok(copy, "\n", &save); line; line = apr_strtok(NULL, "\n", &save)) {
+		struct json_object *row;
 		size_t length = strlen(line);
 
 		line_number++;
@@ -105,41 +155,19 @@
 		}
 		if (!line[0] || line[0] == '#')
 			continue;
-		if (!header_count) {
-			for (char *c = line; c && header_count < COLUMN_COUNT; header_count++) {
-				char *tab = strchr(c, '\t');
-
-				if (tab)
-					*tab++ = 0;
-				for (int k = 0; k < COLUMN_COUNT; k++)
-					if (!strcmp(columns[k], c))
-						header[header_count] = columns[k];
-				if (!header[header_count]) {
-					*why =
-					    apr_psprintf(pool, "line %d: column %s: unknown", line_number, c);
-					goto bad;
-				}
-				c = tab;
-			}
+		if (!header.count) {
+			if (!parse_header(&header, line, line_number, pool, why))
+				goto bad;
 			continue;
 		}
-		r = json_object_new_object();
-		json_object_array_add(rows, r);
-		for (int k = 0; line && k < header_count; k++) {
-			char *tab = strchr(line, '\t');
-
-			if (tab)
-				*tab++ = 0;
-			if (line[0])
-				json_object_object_add(r, header[k], config_text_cell(header[k], line));
-			line = tab;
-		}
-		if (line) {
+		row = json_object_new_object();
+		json_object_array_add(rows, row);
+		if (!parse_cells(row, &header, line)) {
 			*why = apr_psprintf(pool, "line %d: more cells than columns", line_number);
 			goto bad;
 		}
 	}
-	if (header_count)
+	if (header.count)
 		return json;
 	*why = "no line names the columns";
 bad:
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -68,19 +68,19 @@
 	sync->quota_grants =
 	    apr_palloc(out->pool, ((size_t)shlen(watch->quotas) + 1) * sizeof *sync->quota_grants);
 	for (ptrdiff_t i = shlen(watch->quotas) - 1; i >= 0; i--) {
-		struct Nl__QuotaGrant *hold;
+		struct Nl__QuotaGrant *grant;
 
 		if (!watch->quotas[i].value.reserved && !watch->quotas[i].value.used &&
 		    !watch->quotas[i].value.requested) {
 			(void)shdel(watch->quotas, watch->quotas[i].key);
 			continue;
 		}
-		hold = MESSAGE_NEW(out, Nl__QuotaGrant, NL__QUOTA_GRANT__INIT);
-		hold->name = apr_pstrdup(out->pool, watch->quotas[i].key);
-		hold->reserved_slots = watch->quotas[i].value.reserved;
-		hold->used_slots = watch->quotas[i].value.used;
-		hold->requested_slots = watch->quotas[i].value.requested;
-		sync->quota_grants[sync->n_quota_grants++] = hold;
+		grant = MESSAGE_NEW(out, Nl__QuotaGrant, NL__QUOTA_GRANT__INIT);
+		grant->name = apr_pstrdup(out->pool, watch->quotas[i].key);
+		grant->reserved_slots = watch->quotas[i].value.reserved;
+		grant->used_slots = watch->quotas[i].value.used;
+		grant->requested_slots = watch->quotas[i].value.requested;
+		sync->quota_grants[sync->n_quota_grants++] = grant;
 	}
 	sync->applied_token = watch->applied_token;
 }
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -54,6 +54,7 @@
 	int64_t offset_ms; /* that leader's clock less this node's; not too small */
 };
 
+/* One node's copy, and what it needs to keep it up to date. */
 struct config_watch {
 	/* the configuration, and what goes with it in replies */
 	struct config_table table;
@@ -109,6 +110,8 @@
  */
 void config_watch_open(struct config_watch *watch, uint64_t node_id, const uint64_t *seeds, int seed_count,
 		       int64_t now);
+
+/* Release all that it holds. */
 void config_watch_close(struct config_watch *watch);
 
 /* Replace the seeds; controllers that are known otherwise stay known. */
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -56,42 +56,47 @@
 		log_dropped(controller, message, why, now, out);
 }
 
-static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
-		       struct command_list *out)
+/* A reply or a hint for this node's own copy of the configuration. */
+static void on_config_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			    struct command_list *out)
 {
-	int64_t fetched_before_ms;
+	int64_t fetched_before_ms = controller->config_watch.fetched_at_ms;
 
-	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
-	    (message->fleet_id && controller->identity.fleet &&
-	     message->fleet_id != controller->identity.fleet)) {
-		log_dropped(controller, message, "of another fleet or protocol version", now, out);
+	if (config_watch_receive(&controller->config_watch, message, now, out))
+		rollout_on_target_change(controller, fetched_before_ms);
+	if (!controller->identity.fleet && controller->config_watch.fleet) {
+		controller->identity.fleet = controller->config_watch.fleet;
+		controller->identity.fleet_dirty = true;
+	}
+}
+
+/* A relay asks the publisher; where there is none here, it is told who leads. */
+static void on_curiosity(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			 struct command_list *out)
+{
+	struct Nl__LeaderHint *hint;
+
+	if (controller->relay.is_publisher && leads_shard(controller, SHARD_PURGE, now)) {
+		relay_receive(&controller->relay, message, now, out);
 		return;
 	}
+	hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+	hint->leader_id = leader_hint(controller, SHARD_PURGE, now);
+	command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
+}
+
+/* A message of the services; one of a kind that controllers do not take is ignored. */
+static void on_service_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			       struct command_list *out)
+{
 	switch (message->body_case) {
-	case NL__MSG__BODY_VOTE_REQUEST:
-	case NL__MSG__BODY_VOTE_REPLY:
-	case NL__MSG__BODY_APPEND:
-	case NL__MSG__BODY_APPEND_REPLY:
-	case NL__MSG__BODY_SNAPSHOT_CHUNK:
-	case NL__MSG__BODY_SNAPSHOT_REPLY:
-	case NL__MSG__BODY_STEP_DOWN:
-	case NL__MSG__BODY_PROBE:
-	case NL__MSG__BODY_PROBE_REPLY:
-		on_raft_message(controller, message, now, out);
-		break;
 	case NL__MSG__BODY_CONFIG_SYNC:
 		if (!config_handover_intercept(controller, message, now, out))
 			on_config_sync_request(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_CONFIG_SYNC_REPLY:
 	case NL__MSG__BODY_LEADER_HINT:
-		fetched_before_ms = controller->config_watch.fetched_at_ms;
-		if (config_watch_receive(&controller->config_watch, message, now, out))
-			rollout_on_target_change(controller, fetched_before_ms);
-		if (!controller->identity.fleet && controller->config_watch.fleet) {
-			controller->identity.fleet = controller->config_watch.fleet;
-			controller->identity.fleet_dirty = 1;
-		}
+		on_config_reply(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_PROPOSE:
 		on_proposal(controller, message, now, out);
@@ -112,16 +117,8 @@
 		on_feed_reply(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_CURIOSITY:
-		if (!controller->relay.is_publisher || !leads_shard(controller, SHARD_PURGE, now)) {
-			struct Nl__LeaderHint *owner =
-			    MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-
-			owner->leader_id = leader_hint(controller, SHARD_PURGE, now);
-			command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)
-			    ->leader_hint = owner;
-			break;
-		}
-		/* fall through */
+		on_curiosity(controller, message, now, out);
+		break;
 	case NL__MSG__BODY_KNOWLEDGE:
 	case NL__MSG__BODY_PURGE_SNAPSHOT:
 		relay_receive(&controller->relay, message, now, out);
@@ -134,6 +131,33 @@
 	}
 }
 
+static void on_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out)
+{
+	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
+	    (message->fleet_id && controller->identity.fleet &&
+	     message->fleet_id != controller->identity.fleet)) {
+		log_dropped(controller, message, "of another fleet or protocol version", now, out);
+		return;
+	}
+	switch (message->body_case) {
+	case NL__MSG__BODY_VOTE_REQUEST:
+	case NL__MSG__BODY_VOTE_REPLY:
+	case NL__MSG__BODY_APPEND:
+	case NL__MSG__BODY_APPEND_REPLY:
+	case NL__MSG__BODY_SNAPSHOT_CHUNK:
+	case NL__MSG__BODY_SNAPSHOT_REPLY:
+	case NL__MSG__BODY_STEP_DOWN:
+	case NL__MSG__BODY_PROBE:
+	case NL__MSG__BODY_PROBE_REPLY:
+		on_raft_message(controller, message, now, out);
+		break;
+	default:
+		on_service_message(controller, message, now, out);
+		break;
+	}
+}
+
 static void tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
--- a/lib/control/controller_event.h
+++ b/lib/control/controller_event.h
@@ -10,6 +10,7 @@
 
 #include "core.h"
 
+/* Which member of the payload is valid. */
 enum controller_event_kind {
 	CONTROLLER_TICK,               /* time has passed */
 	CONTROLLER_MESSAGE,            /* from another node */
@@ -26,6 +27,7 @@
 	CONTROLLER_CALLER_DISCONNECTED /* the operator who made a call has disconnected */
 };
 
+/* An event. */
 struct controller_event {
 	enum controller_event_kind kind;
 	union {
--- a/lib/control/proposal_status.h
+++ b/lib/control/proposal_status.h
@@ -5,6 +5,7 @@
 #ifndef NL_PROPOSAL_STATUS_H
 #define NL_PROPOSAL_STATUS_H
 
+/* What became of a proposal. */
 enum proposal_status {
 	PROPOSAL_DONE = 0,       /* applied, or it was before */
 	PROPOSAL_NOT_LEADER = 1, /* surely not logged: ask the leader that the answer names */
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -6,12 +6,12 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-static struct Nl__Value **copy_values(struct Nl__Value *const *v, size_t n, apr_pool_t *pool)
+static struct Nl__Value **copy_values(struct Nl__Value *const *values, size_t n, apr_pool_t *pool)
 {
 	struct Nl__Value **value = apr_palloc(pool, (n + 1) * sizeof *value);
 
 	for (size_t i = 0; i < n; i++)
-		value[i] = (struct Nl__Value *)core_copy_message(pool, &v[i]->base);
+		value[i] = (struct Nl__Value *)core_copy_message(pool, &values[i]->base);
 	return value;
 }
 
@@ -165,7 +165,7 @@
 		controller->publisher.feed_polled_at_ms = now;
 		controller->publisher.feed_round++;
 		for (uint32_t i = 0; i < SHARD_COUNT; i++) {
-			struct Nl__FeedRequest *feed_ask;
+			struct Nl__FeedRequest *request;
 
 			if (i == SHARD_PURGE)
 				continue;
@@ -176,15 +176,15 @@
 				config_watch_miss(
 				    &controller->config_watch,
 				    i); /* no word for a while: try another controller, then heed its hint */
-			feed_ask = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
-			feed_ask->have_index = controller->purge_state.published_index[i];
-			feed_ask->round = controller->publisher.feed_round;
+			request = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
+			request->have_index = controller->purge_state.published_index[i];
+			request->round = controller->publisher.feed_round;
 			command_send(out,
 				     leads_shard(controller, i, now)
 					 ? out->addr
 					 : config_watch_leader_addr(&controller->config_watch, i),
 				     i, NL__MSG__BODY_FEED_REQUEST)
-			    ->feed_request = feed_ask;
+			    ->feed_request = request;
 		}
 	}
 	if (controller->purge_state.ceiling < controller->publisher.tick + PURGE_RESERVED_TICKS / 2 &&
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -130,27 +130,28 @@
 }
 
 /* A limit under which the router holds, uses or requests slots. */
-static void answer_grant(const struct share_request *request, const struct Nl__QuotaGrant *held)
+static void answer_grant(const struct share_request *request, const struct Nl__QuotaGrant *current)
 {
-	const struct Nl__Row *row = find_limit_row(request->table, held->name);
+	const struct Nl__Row *row = find_limit_row(request->table, current->name);
 	uint32_t limit = row ? row->limit : 0, granted;
-	uint32_t in_use = held->reserved_slots > held->used_slots ? held->reserved_slots : held->used_slots;
+	uint32_t in_use =
+	    current->reserved_slots > current->used_slots ? current->reserved_slots : current->used_slots;
 	struct controller_quota_share *share;
 
 	if (row && !limit) /* nobody needs slots */
 		return;
-	share = find_share(request->quota, held->name, request->router_id, in_use, request->now);
+	share = find_share(request->quota, current->name, request->router_id, in_use, request->now);
 	/* it has received the newest reply */
 	if (request->sync->applied_token >= share->reply_token || in_use > share->reserved)
 		share->reserved = in_use;
-	share->requested = held->requested_slots;
+	share->requested = current->requested_slots;
 	share->updated_at_ms = request->now;
-	granted = share_of(request, share, held->name, limit);
-	if (request->is_new_leader && granted > held->reserved_slots)
-		granted = held->reserved_slots < limit ? held->reserved_slots : limit;
-	if (granted || held->used_slots)
+	granted = share_of(request, share, current->name, limit);
+	if (request->is_new_leader && granted > current->reserved_slots)
+		granted = current->reserved_slots < limit ? current->reserved_slots : limit;
+	if (granted || current->used_slots)
 		share->last_granted_at_ms = request->now;
-	reply_share(request, share, held->name, granted);
+	reply_share(request, share, current->name, granted);
 }
 
 static bool names_limit(const struct Nl__ConfigSync *sync, const char *name)
--- a/lib/control/quota_shares.h
+++ b/lib/control/quota_shares.h
@@ -13,8 +13,10 @@
 
 #include "controller_state.h"
 
-/* Begin, and end. */
+/* Begin with no shares. */
 void quota_shares_open(struct controller_quota_shares *quota);
+
+/* Release all shares. */
 void quota_shares_close(struct controller_quota_shares *quota);
 
 /* Forget who holds what: a new leader learns it from the routers. */
