--- a/emulator/fleet_scenarios.c
+++ b/emulator/fleet_scenarios.c
@@ -10,8 +10,6 @@
 
 #include "fleet_internal.h"
 
-/* Scenarios: a whole fleet of real processes on loopback addresses of its own, under load, with faults.
- * The rehearsal is the one program that starts processes; it ends only those, by their ids. */
 #include <apr_strings.h>
 
 static void sc_steady(struct test_fleet *fleet)
@@ -24,7 +22,7 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "the registrar that owns the configuration is killed");
+	fleet_note_fault(fleet, "the controller that owns the configuration is killed");
 	fleet_end_process(node, SIGKILL);
 	fleet_set_tenant(fleet, 5, 0);
 	fleet_sleep_ms(8000);
@@ -47,7 +45,7 @@
 
 static void sc_kill_many(struct test_fleet *fleet)
 {
-	fleet_note_fault(fleet, "all registrars and a third of the counters are killed at once");
+	fleet_note_fault(fleet, "all controllers and a third of the routers are killed at once");
 	for (int i = 0; i < fleet->controller_count; i++)
 		fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, i), SIGKILL);
 	for (int i = 0; i < fleet->router_count / 3; i++)
@@ -68,7 +66,7 @@
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, 0),
 			     *c2 = fleet_process_of(fleet, PROCESS_ROUTER, 1);
 
-	fleet_note_fault(fleet, "the configuration's owner and two counters freeze");
+	fleet_note_fault(fleet, "the configuration's leader and two routers freeze");
 	fleet_freeze_process(r, 1);
 	fleet_freeze_process(node, 1);
 	fleet_freeze_process(c2, 1);
@@ -90,7 +88,7 @@
 	char cmd[800];
 
 	fleet_set_tenant(fleet, 5, 0);
-	fleet_note_fault(fleet, "a registrar loses power and disk; an empty machine comes at a new address");
+	fleet_note_fault(fleet, "a controller loses power and disk; an empty machine comes at a new address");
 	fleet_end_process(node, SIGKILL);
 	snprintf(cmd, sizeof cmd, "%s/registrar.tdb", node->data_folder);
 	unlink(cmd);
@@ -102,9 +100,9 @@
 	fleet->controller_count++;
 	fleet_sleep_ms(14000);
 	fleet_set_tenant(fleet, 6, 1);
-	/* and then another: the group has mended itself meanwhile */
+	/* and then another: the group has replaced the lost one meanwhile */
 	node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
-	fleet_note_fault(fleet, "the next owner is killed too");
+	fleet_note_fault(fleet, "the next leader is killed too");
 	fleet_end_process(node, SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(12000);
@@ -115,7 +113,7 @@
 	struct fleet_process *n = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)),
 			     *node = fleet_process_of(fleet, PROCESS_ROUTER, fleet->router_count - 1);
 
-	fleet_note_fault(fleet, "the configuration's owner and a counter are cut off");
+	fleet_note_fault(fleet, "the configuration's leader and a router are cut off");
 	fleet_isolate(fleet, n);
 	fleet_isolate(fleet, node);
 	fleet_set_tenant(fleet, 5, 1);
@@ -123,7 +121,7 @@
 	fleet_sleep_ms(8000);
 	fleet_join_links(fleet);
 	fleet_sleep_ms(4000);
-	fleet_note_fault(fleet, "what a registrar says is lost, what it hears is not");
+	fleet_note_fault(fleet, "what a controller says is lost, what it hears is not");
 	n = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 	links_rule(fleet->links, n->advertised, "", 1, 0);
 	fleet_set_tenant(fleet, 5, 0);
@@ -142,12 +140,12 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "the owner's disk stalls for 8 s");
+	fleet_note_fault(fleet, "the leader's disk stalls for 8 s");
 	fleet_slow_disk(node, 8000);
 	fleet_set_tenant(fleet, 5, 1);
 	fleet_sleep_ms(8000);
 	if (fleet_leader_of(fleet, 0) == node->index)
-		fleet_note(fleet, "missed", "what", "the owner with the stalled disk stays owner");
+		fleet_note(fleet, "missed", "what", "the leader with the stalled disk stays leader");
 	unlink(node->fault_file);
 	fleet_sleep_ms(3000);
 	fleet_note_fault(fleet, "all disks are 150 ms slower");
@@ -164,7 +162,7 @@
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
 
-	fleet_note_fault(fleet, "a registrar's disk is full");
+	fleet_note_fault(fleet, "a controller's disk is full");
 	fleet_end_process(node, SIGKILL);
 	fleet_start_process(fleet, node, 1);
 	for (int i = 0; i < 6; i++) {
@@ -198,8 +196,8 @@
 	fleet_sleep_ms(2000);
 }
 
-/* All seed machines are exchanged, one by one, for empty ones at other addresses; then a counter starts that
- * only knows new ones, and the owner dies. */
+/* All seed machines are replaced, one by one, by empty ones at other addresses; then a router starts that
+ * only knows the new ones, and the leader is killed. */
 static void sc_seeds(struct test_fleet *fleet)
 {
 	char path[800];
@@ -217,22 +215,22 @@
 		fleet_start_process(fleet, m, 0);
 		fleet->controller_count++;
 		fleet_set_tenant(fleet, 5, i & 1);
-		fleet_sleep_ms(14000); /* the groups mend themselves: six seconds until the dead one is given
-				    up, then copies */
+		fleet_sleep_ms(14000); /* the groups replace it: six seconds until the lost one is given up,
+					  then copies */
 	}
-	fleet_note_fault(fleet, "a counter starts that only knows the new seeds");
+	fleet_note_fault(fleet, "a router starts that only knows the new seeds");
 	fleet_end_process(node, SIGKILL);
 	fleet_restart_process(fleet, node);
 	fleet_set_tenant(fleet, 6, 1);
 	fleet_sleep_ms(4000);
-	fleet_note_fault(fleet, "and the owner is killed");
+	fleet_note_fault(fleet, "and the leader is killed");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(8000);
 }
 
-/* A controller's file is torn while it is down: it is refused with a word, moved away, and the machine joins
- * as a new one. */
+/* A controller's file is torn while it is down: it refuses the file and says so; the file is moved away, and
+ * the machine joins as a new one. */
 static void sc_torn(struct test_fleet *fleet)
 {
 	struct fleet_process *node = fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0));
@@ -241,21 +239,22 @@
 	int fd, was = 0;
 
 	fleet_set_tenant(fleet, 5, 1);
-	fleet_note_fault(fleet, "a registrar loses power, and its file is torn");
+	fleet_note_fault(fleet, "a controller loses power, and its file is torn");
 	fleet_end_process(node, SIGKILL);
 	snprintf(path, sizeof path, "%s/registrar.tdb", node->data_folder);
 	snprintf(away, sizeof away, "%s.torn", path);
 	fd = open(path, O_RDWR);
 	if (fd < 0 || fstat(fd, &file_stat) || ftruncate(fd, file_stat.st_size / 3))
 		fleet_note(fleet, "missed", "what", "the file could not be torn");
-	close(fd);
+	if (fd >= 0)
+		close(fd);
 	fleet_restart_process(fleet, node);
 	for (int i = 0; i < 100 && was != node->pid; i++) {
 		fleet_sleep_ms(100);
 		was = waitpid(node->pid, NULL, WNOHANG);
 	}
 	if (was != node->pid)
-		fleet_note(fleet, "missed", "what", "a registrar starts with a torn file");
+		fleet_note(fleet, "missed", "what", "a controller starts with a torn file");
 	else
 		node->pid = 0;
 	fleet_require_log(fleet, node, "tep check");
@@ -263,13 +262,13 @@
 	fleet_restart_process(fleet, node);
 	fleet_set_tenant(fleet, 6, 1);
 	fleet_sleep_ms(14000);
-	fleet_note_fault(fleet, "the owner is killed");
+	fleet_note_fault(fleet, "the leader is killed");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 6, 0);
 	fleet_sleep_ms(8000);
 }
 
-/* All that stands in one zone is gone at once, and stays away. */
+/* All machines of one zone are gone at once, and stay away. */
 static void sc_zone(struct test_fleet *fleet)
 {
 	fleet_note_fault(fleet, "all machines of a zone are gone");
@@ -281,7 +280,7 @@
 	fleet_set_tenant(fleet, 5, 1);
 	fleet_set_key(fleet, 7, 0);
 	fleet_sleep_ms(14000);
-	fleet_note_fault(fleet, "and then a registrar elsewhere");
+	fleet_note_fault(fleet, "and then a controller elsewhere");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_set_tenant(fleet, 5, 0);
 	fleet_set_key(fleet, 7, 1);
@@ -317,7 +316,7 @@
 		pthread_create(&t[i], NULL, storm_thread, fleet);
 	for (int i = 0; i < 4; i++)
 		pthread_join(t[i], NULL);
-	for (int i = 0; i < 5; i++) { /* two operators race from the same edition */
+	for (int i = 0; i < 5; i++) { /* two operators race from the same revision */
 		int64_t e = 0;
 		char b[200];
 		int st;
@@ -354,7 +353,7 @@
 	fleet_must_change(fleet, b);
 	free(b);
 	fleet_sleep_ms(3000);
-	fleet_note_fault(fleet, "and its owner is killed after it");
+	fleet_note_fault(fleet, "and its leader is killed after it");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER, fleet_wait_leader(fleet, 0)), SIGKILL);
 	fleet_sleep_ms(12000);
 	for (int i = 0; i < fleet->controller_count; i++)
@@ -363,7 +362,7 @@
 	fleet_sleep_ms(3000);
 }
 
-/* The operators' tools against a fleet: what they say by their ends. */
+/* The operators' tools against a fleet, by their exit codes. */
 static void sc_tools(struct test_fleet *fleet)
 {
 	char *at = fleet_process_of(fleet, PROCESS_CONTROLLER, 1)->web_address,
@@ -375,47 +374,50 @@
 	snprintf(old, sizeof old, "%s/old.json", fleet->settings->folder);
 	snprintf(bad, sizeof bad, "%s/bad.json", fleet->settings->folder);
 	snprintf(out, sizeof out, "%s/out.txt", fleet->settings->folder);
-	fleet_run_tool(fleet, 0, "notchlugctl", sheet, "--at", at, "show", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "compare", sheet, NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", sheet, "--at", at, "show", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "compare", sheet, (char *)NULL);
 	text = file_read(out);
 	if (!text || strcmp(text, "nothing to change\n"))
 		fleet_note(fleet, "tool-failed", "what",
 			   "a sheet that was just shown differs from the table");
 	free(text);
 	fleet_run_tool(fleet, 0, "notchlug-validate", out, "--at", at, "--counter", router_address, sheet,
-		       NULL);
+		       (char *)NULL);
 	snprintf(cell, sizeof cell, "share=%d", 3);
 	json = fleet_event("tried");
 	json_object_object_add(
 	    json, "change",
 	    json_tokener_parse("{\"set\":[{\"kind\":\"tenant\",\"name\":\"tenant-7\",\"share\":3}]}"));
 	record_put(fleet->record, json);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", cell, NULL);
-	/* the sheet is of an earlier edition now, and says otherwise of tenant-7 */
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, sheet, NULL);
-	fleet_run_tool(fleet, 4, "notchlugctl", out, "--at", at, "apply", sheet, NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", cell,
+		       (char *)NULL);
+	/* the sheet is of an earlier revision now, and differs on tenant-7 */
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, sheet, (char *)NULL);
+	fleet_run_tool(fleet, 4, "notchlugctl", out, "--at", at, "apply", sheet, (char *)NULL);
 	fleet_write_file(
 	    old,
 	    "{\"expect\":1,\"set\":[{\"kind\":\"tenant\",\"name\":\"tenant-6\",\"share\":2,\"limit\":9}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, old, NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, old, (char *)NULL);
 	fleet_write_file(
 	    bad, "{\"set\":[{\"kind\":\"lane\",\"name\":\"new\",\"service\":\"nowhere\",\"limit\":5}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, "--json", bad, NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, "--json", bad, (char *)NULL);
 	text = file_read(out);
 	if (!text || !strstr(text, "nowhere"))
-		fleet_note(fleet, "tool-failed", "what", "examiner does not name the unknown service");
+		fleet_note(fleet, "tool-failed", "what",
+			   "notchlug-validate does not name the unknown service");
 	free(text);
 	fleet_write_file(bad, "{\"del\":[{\"kind\":\"tenant\",\"name\":\"tenant-5\"}]}");
-	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, bad, NULL);
-	fleet_run_tool(fleet, 3, "notchlug-validate", out, "--at", "127.0.0.1:1", sheet, NULL);
-	fleet_run_tool(fleet, 3, "notchlugctl", out, "--at", "127.0.0.1:1", "show", NULL);
+	fleet_run_tool(fleet, 1, "notchlug-validate", out, "--at", at, bad, (char *)NULL);
+	fleet_run_tool(fleet, 3, "notchlug-validate", out, "--at", "127.0.0.1:1", sheet, (char *)NULL);
+	fleet_run_tool(fleet, 3, "notchlugctl", out, "--at", "127.0.0.1:1", "show", (char *)NULL);
 	fleet_run_tool(fleet, 1, "notchlugctl", out, "--at", at, "set", "tenant", "tenant-7", "share=0",
-		       NULL);
-	fleet_run_tool(fleet, 2, "notchlugctl", out, "--at", at, "no-such-command", NULL);
-	fleet_run_tool(fleet, 2, "notchlug-validate", out, "--at", at, "/nonexistent", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "add", "tenant-1", "another", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "remove", "another", NULL);
-	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "state", NULL);
+		       (char *)NULL);
+	fleet_run_tool(fleet, 2, "notchlugctl", out, "--at", at, "no-such-command", (char *)NULL);
+	fleet_run_tool(fleet, 2, "notchlug-validate", out, "--at", at, "/nonexistent", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "add", "tenant-1", "another",
+		       (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "key", "remove", "another", (char *)NULL);
+	fleet_run_tool(fleet, 0, "notchlugctl", out, "--at", at, "state", (char *)NULL);
 }
 
 static struct fleet_process *any_process(struct test_fleet *fleet, enum process_kind kind, int count)
@@ -499,10 +501,10 @@
 
 const struct fleet_scenario fleet_scenarios[] = {
 	{ "steady", "load without faults", sc_steady },
-	{ "kill-owner", "the configuration's owner is killed under load", sc_kill_leader },
+	{ "kill-owner", "the configuration's leader is killed under load", sc_kill_leader },
 	{ "kill-publisher", "the purge stream's publisher is killed between two purges", sc_kill_publisher },
-	{ "kill-many", "all registrars and a third of the counters are killed at once", sc_kill_many },
-	{ "freeze", "an owner and counters freeze and wake", sc_freeze },
+	{ "kill-many", "all controllers and a third of the routers are killed at once", sc_kill_many },
+	{ "freeze", "a leader and routers freeze and wake", sc_freeze },
 	{ "wipe", "a disk is lost, an empty machine comes at a new address, then one more dies", sc_wipe },
 	{ "cut", "nodes cut off, one-way loss, slow links", sc_cut },
 	{ "disk-stall", "disks stall and are slow", sc_disk_stall },
@@ -511,19 +513,19 @@
 	  fleet_scenario_servers },
 	{ "roll-out", "new weights, deaths during the roll-out, a second one overtaking",
 	  fleet_scenario_rollout },
-	{ "wall", "a tenant is walled off and let back while its streams run", sc_isolation },
-	{ "revoke", "a key is removed while its callers go on", sc_revoke },
+	{ "wall", "a tenant is isolated and let back while its streams run", sc_isolation },
+	{ "revoke", "a key is removed while its clients go on", sc_revoke },
 	{ "store", "the store goes down and comes back empty; reports lost and late", fleet_scenario_store },
 	{ "liars", "servers that answer with another's pieces, skip, repeat, break off or fall silent",
 	  fleet_scenario_liars },
 	{ "links", "links between servers slow down and hang in the middle of fetches",
 	  fleet_scenario_links },
-	{ "seeds", "the seed machines are exchanged one by one, then the owner dies", sc_seeds },
-	{ "torn", "a registrar's file is torn; it joins anew, then the owner dies", sc_torn },
+	{ "seeds", "the seed machines are exchanged one by one, then the leader dies", sc_seeds },
+	{ "torn", "a controller's file is torn; it joins anew, then the leader dies", sc_torn },
 	{ "zone", "all machines of one zone are gone at once, then one more", sc_zone },
-	{ "overload", "ten times the callers, and servers that refuse meanwhile", fleet_scenario_overload },
+	{ "overload", "ten times the clients, and servers that refuse meanwhile", fleet_scenario_overload },
 	{ "storm", "a storm of configurations, and racing operators", sc_storm },
-	{ "large", "a very large configuration, then its owner dies", sc_large },
+	{ "large", "a very large configuration, then its leader dies", sc_large },
 	{ "tools", "the operators' tools against a fleet", sc_tools },
 	{ "mixed", "a seeded mix, then one more fault", sc_mixed },
 	{ NULL, NULL, NULL },
--- a/emulator/fleet_server_scenarios.c
+++ b/emulator/fleet_server_scenarios.c
@@ -43,7 +43,7 @@
 	fleet_restart_process(
 	    fleet, fleet_process_of(fleet, PROCESS_SERVER, 3)); /* comes back with the old weights */
 	fleet_sleep_ms(23000);
-	fleet_set_target_weights(fleet, 0, "w3"); /* a second one overtakes */
+	fleet_set_target_weights(fleet, 0, "w3"); /* a second target overtakes the first */
 	fleet_sleep_ms(1000);
 	fleet_set_target_weights(fleet, 0, "w4");
 	fleet_sleep_ms(26000);
@@ -77,7 +77,7 @@
 	char b[40];
 
 	for (int lie = 1; lie <= 5; lie++) {
-		fleet_note_fault(fleet, lie == 1   ? "servers answer with another's mark"
+		fleet_note_fault(fleet, lie == 1   ? "servers answer with another's id"
 					: lie == 2 ? "servers leave pieces out"
 					: lie == 3 ? "servers break off"
 					: lie == 4 ? "servers repeat pieces"
@@ -113,21 +113,21 @@
 void fleet_scenario_overload(struct test_fleet *fleet)
 {
 	char path[700];
-	struct load_client_settings callers_set = { fleet->router_addresses,
-						    fleet->router_count,
-						    fleet->routes,
-						    3,
-						    8,
-						    fleet->rate * 10,
-						    256,
-						    3000,
-						    400,
-						    fleet->settings->seed + 1000,
-						    path };
+	struct load_client_settings settings = { fleet->router_addresses,
+						 fleet->router_count,
+						 fleet->routes,
+						 3,
+						 8,
+						 fleet->rate * 10,
+						 256,
+						 3000,
+						 400,
+						 fleet->settings->seed + 1000,
+						 path };
 	struct load_clients *more;
 
 	snprintf(path, sizeof path, "%s/more.rec", fleet->settings->folder);
-	more = load_clients_start(&callers_set);
+	more = load_clients_start(&settings);
 	fleet_sleep_ms(5000);
 	fleet_note_fault(fleet, "a third of the servers refuse under overload");
 	for (int i = 0; i < fleet->server_count; i += 3)
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -12,7 +12,7 @@
 #include "config_table.h"
 #include "config_watch.h"
 #include "idempotency.h"
-#include "purge.h"
+#include "purge_relay.h"
 #include "raft.h"
 #include "retention_state.h"
 #include "rollout_state.h"
--- a/tests/test_emulator.c
+++ b/tests/test_emulator.c
@@ -1,5 +1,6 @@
-/* The stand-in of the users' platform, tried by itself: the judge catches a breach of each rule and lets its
- * mended twin pass; servers, store and list speak as the pages say. */
+/* The platform emulator, tried by itself: the checker catches a violation of each rule and lets its
+ * fixed twin pass; servers, store and list speak as the pages say. */
+#include <fcntl.h>
 #include <sched.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,8 +14,9 @@
 
 #include "containers.h"
 #include "platform_run.h"
+#include "program_names.h"
 
-/* ---- the judge ---- */
+/* ---- the checker ---- */
 
 enum { EDGES = 3, CORES = 3 };
 #define ROUTE(name, prefix, service)                                                    \
@@ -103,7 +105,8 @@
 }
 
 /* A try that is served whole: two pieces. */
-static int served(struct checker *checker, int64_t t, const struct attempt_record *attempt, const char *service)
+static int served(struct checker *checker, int64_t t, const struct attempt_record *attempt,
+		  const char *service)
 {
 	int run;
 	struct stream_event event[2];
@@ -139,7 +142,7 @@
 	return attempt;
 }
 
-/* each: with bad set the rule is broken, without it the same story is mended */
+/* each: with bad set the rule is broken, without it the same story is fixed */
 
 static void no_seal(struct checker *checker, int bad)
 {
@@ -525,7 +528,7 @@
 			      &r); /* in the second half of GraceS; excused while its server still works */
 }
 
-/* ---- LOST, clause by clause: bad breaks the rule, the mended twin is just inside it ---- */
+/* ---- LOST, clause by clause: bad breaks the rule, the fixed twin is just inside it ---- */
 
 enum { STOPPED_AT = 10100, RELOADED_AT = 12000, CFG_SENT_AT = 20000, CFG_ACKED_AT = 20100 };
 
@@ -970,7 +973,7 @@
 	begins_on(checker, 24000 + (bad ? 1 : -10), 24500, 1);
 }
 
-/* The time counts over one settled stretch, which begins ContactMs after the last trouble of the core. */
+/* The time counts over one settled stretch, which begins ContactMs after the last fault of the core. */
 static void version_unsettled(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 2000, 2, 1);
@@ -979,7 +982,7 @@
 	begins_on(checker, 24900, 25000 + (bad ? 10 : -10), 1);
 }
 
-/* Later namings don't put off what an earlier one asks. */
+/* Later target versions don't put off what an earlier one asks. */
 static void version_named_again(struct checker *checker, int bad)
 {
 	for (int weights = 2; weights < 14; weights++)
@@ -987,7 +990,7 @@
 	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 1);
 }
 
-/* Weights that are not the newest may be used for VersionMs from the naming that followed them. */
+/* Weights that are not the newest may be used for VersionMs from the target version that followed them. */
 static void version_between(struct checker *checker, int bad)
 {
 	checker_record_target_version(checker, 3000, 2, 1);
@@ -996,7 +999,7 @@
 	begins_on(checker, 20000, 20100 + (bad ? 10 : -10), 2);
 }
 
-/* A naming that nobody acknowledged asks for nothing. */
+/* A new target version that nobody acknowledged asks for nothing. */
 static void version_not_acked(struct checker *checker, int bad)
 {
 	checker_record_machine(checker, 5050, EDGES, 1, UNPLANNED,
@@ -2259,14 +2262,14 @@
 
 static void clients_for(struct run *r, int64_t ms)
 {
-	r->config_operator= operator_open(r);
+	r->config_operator = operator_open(r);
 	r->clients = clients_open(r);
 	clients_traffic(r->clients, 1);
 	loop_until(r->loop, ms_us((double)ms), NULL, NULL);
 	clients_traffic(r->clients, 0);
 }
 
-/* The run ends; its judge is left. */
+/* The run ends; its checker is left. */
 static struct checker *alone_end(struct run *r)
 {
 	struct checker *checker = r->checker;
@@ -2473,6 +2476,39 @@
 	free(figures);
 }
 
+static void put_program(const char *folder, const char *name)
+{
+	char path[700];
+	int fd;
+
+	snprintf(path, sizeof path, "%s/%s", folder, name);
+	fd = open(path, O_WRONLY | O_CREAT, 0700);
+	assert_true(fd >= 0);
+	close(fd);
+}
+
+/* A build folder's programs are found by the names that its version gives them; today's come first. */
+static void older_builds_are_found_by_their_names(void **state)
+{
+	char folder[] = "/tmp/emulator-XXXXXX", path[700];
+
+	(void)state;
+	assert_non_null(mkdtemp(folder));
+	assert_string_equal(program_names_in(folder)->controller, "notchlug-controller");
+	put_program(folder, "registrar");
+	assert_string_equal(program_names_in(folder)->controller, "registrar");
+	assert_string_equal(program_names_in(folder)->router, "counter");
+	assert_string_equal(program_names_in(folder)->router_role, "counter");
+	put_program(folder, "notchlug-controller");
+	assert_string_equal(program_names_in(folder)->router, "notchlug-router");
+	assert_string_equal(program_names_in(folder)->controller_role, "controller");
+	snprintf(path, sizeof path, "%s/registrar", folder);
+	unlink(path);
+	snprintf(path, sizeof path, "%s/notchlug-controller", folder);
+	unlink(path);
+	rmdir(folder);
+}
+
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
@@ -2506,6 +2542,7 @@
 		cmocka_unit_test(cut_streams_are_resumed_without_a_violation),
 		cmocka_unit_test(surplus_bytes_that_reach_a_client_are_seen),
 		cmocka_unit_test(an_answer_lost_after_its_run_is_not_run_again_where_it_may_not),
+		cmocka_unit_test(older_builds_are_found_by_their_names),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
