--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -281,6 +281,8 @@
 						  out);
 		if (applied.commanded_server)
 			rollout_intent_logged(controller, applied.commanded_server, now);
+		if (shard == SHARD_CONTROL)
+			answer_logged_calls(controller, index, applied.status, out);
 		answer_proposers(controller, shard, index, applied, out);
 	}
 }
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -3,6 +3,7 @@
 #include "containers.h"
 #include "group_clock.h"
 #include "leadership.h"
+#include "operator_documents.h"
 #include "proposals.h"
 #include "purge_publisher.h"
 #include "quota_shares.h"
@@ -32,31 +33,38 @@
 	}
 }
 
+/* Between leases nothing is declared; a leader that holds its term goes on after the next lease begins. */
+static void stop_publisher(struct controller *controller, struct command_list *out)
+{
+	controller->relay.is_publisher = 0;
+	arrsetlen(controller->relay.upstreams, 0);
+	log_line(controller, "purge", out->pool, "The publisher's lease is lost here.");
+}
+
+/* Others' proposals that are logged here: whether they are committed is the next leader's to know. */
+static void abandon_received_proposals(struct controller *controller, uint32_t shard,
+				       struct command_list *out)
+{
+	for (ptrdiff_t i = arrlen(controller->proposals.received) - 1; i >= 0; i--) {
+		const struct controller_pending_entry *entry = &controller->proposals.received[i];
+
+		if (entry->shard != shard)
+			continue;
+		reply_to_proposal(entry->proposer_addr, entry->token, PROPOSAL_OUTCOME_UNKNOWN, 0,
+				  "ownership lost: outcome unknown", 0, out);
+		arrdel(controller->proposals.received, i);
+	}
+}
+
 void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
 {
 	struct raft *raft = &controller->shards[shard];
 
-	if (shard == SHARD_PURGE && controller->relay.is_publisher && !raft_has_lease(raft, now)) {
-		/* between leases nothing is declared; as owner of the same term it goes on after the next */
-		if (raft->role != RAFT_LEADER) {
-			controller->relay.is_publisher = 0;
-			arrsetlen(controller->relay.upstreams, 0);
-			log_line(controller, "purge", out->pool, "The publisher's lease is lost here.");
-		}
-	}
-	for (ptrdiff_t k = arrlen(controller->operators.logged_calls) - 1;
-	     k >= 0 && shard == SHARD_CONTROL && raft->role != RAFT_LEADER; k--) {
-		command_answer(out, controller->operators.logged_calls[k].token, 504, CONTROLLER_RETRY_MS,
-			       error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
-		arrdel(controller->operators.logged_calls, k);
-	}
-	if (raft->role != RAFT_LEADER)
-		for (ptrdiff_t k = arrlen(controller->proposals.received) - 1; k >= 0; k--)
-			if (controller->proposals.received[k].shard == shard) {
-				reply_to_proposal(controller->proposals.received[k].proposer_addr,
-						  controller->proposals.received[k].token,
-						  PROPOSAL_OUTCOME_UNKNOWN, 0,
-						  "ownership lost: outcome unknown", 0, out);
-				arrdel(controller->proposals.received, k);
-			}
+	if (raft->role == RAFT_LEADER)
+		return;
+	if (shard == SHARD_PURGE && controller->relay.is_publisher && !raft_has_lease(raft, now))
+		stop_publisher(controller, out);
+	if (shard == SHARD_CONTROL)
+		abandon_logged_calls(controller, out);
+	abandon_received_proposals(controller, shard, out);
 }
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -173,6 +173,37 @@
 		log_and_answer(controller, token, &change, &none, now, out);
 }
 
+void answer_logged_calls(struct controller *controller, uint64_t index, enum proposal_status status,
+			 struct command_list *out)
+{
+	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
+		uint64_t token = controller->operators.logged_calls[i].token;
+
+		if (controller->operators.logged_calls[i].log_index != index)
+			continue;
+		if (status == PROPOSAL_DONE)
+			command_answer(out, token, 200, 0, "{}");
+		else if (status == PROPOSAL_KEY_REUSED)
+			command_answer(out, token, 422, 0, error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
+		else if (status == PROPOSAL_SUPERSEDED)
+			command_answer(out, token, 412, 0,
+				       error_json(out->pool, "another version is current", 0));
+		else
+			command_answer(out, token, 400, 0,
+				       error_json(out->pool, "version: not above the current one", 0));
+		arrdel(controller->operators.logged_calls, i);
+	}
+}
+
+void abandon_logged_calls(struct controller *controller, struct command_list *out)
+{
+	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
+		command_answer(out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+			       error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
+		arrdel(controller->operators.logged_calls, i);
+	}
+}
+
 void expire_calls(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--)
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -24,6 +24,13 @@
 void set_target_weights(struct controller *controller, const struct controller_event *event, int64_t now,
 			struct command_list *out);
 
+/* The entry at index of the control shard is applied: answer the calls that were logged with it. */
+void answer_logged_calls(struct controller *controller, uint64_t index, enum proposal_status status,
+			 struct command_list *out);
+
+/* This node does not lead the control shard any more: answer all logged calls with 504. */
+void abandon_logged_calls(struct controller *controller, struct command_list *out);
+
 /* Answer logged calls that have timed out with 504: their outcome is unknown. */
 void expire_calls(struct controller *controller, int64_t now, struct command_list *out);
 
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -24,35 +24,11 @@
 	command_send(out, addr, 0, NL__MSG__BODY_PROPOSE_REPLY)->propose_reply = answer;
 }
 
-/* Operators' calls that wait for this entry. */
-static void answer_operator_calls(struct controller *controller, uint64_t index, uint32_t status,
-				  struct command_list *out)
-{
-	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
-		if (controller->operators.logged_calls[i].log_index != index)
-			continue;
-		if (status == PROPOSAL_DONE)
-			command_answer(out, controller->operators.logged_calls[i].token, 200, 0, "{}");
-		else if (status == PROPOSAL_KEY_REUSED)
-			command_answer(out, controller->operators.logged_calls[i].token, 422, 0,
-				       error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
-		else if (status == PROPOSAL_SUPERSEDED)
-			command_answer(out, controller->operators.logged_calls[i].token, 412, 0,
-				       error_json(out->pool, "another version is current", 0));
-		else
-			command_answer(out, controller->operators.logged_calls[i].token, 400, 0,
-				       error_json(out->pool, "version: not above the current one", 0));
-		arrdel(controller->operators.logged_calls, i);
-	}
-}
-
 void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index,
 		      struct apply_result applied, struct command_list *out)
 {
 	struct controller_pending_entry *received = controller->proposals.received;
 
-	if (shard == SHARD_CONTROL)
-		answer_operator_calls(controller, index, applied.status, out);
 	for (ptrdiff_t i = 0; i < arrlen(received); i++)
 		if (received[i].shard == shard && received[i].log_index == index) {
 			reply_to_proposal(received[i].proposer_addr, received[i].token, applied.status,
