--- a/bin/notchlugctl.c
+++ b/bin/notchlugctl.c
@@ -76,124 +76,124 @@
 
 /* ---- the command line ---- */
 
-/* Commands get the words behind their name, as many as the table allows. */
+/* Commands get the arguments behind their name, as many as the table allows. */
 
-static int run_found(int count, char **words)
+static int run_found(int count, char **args)
 {
 	(void)count;
-	(void)words;
+	(void)args;
 	return bootstrap();
 }
 
-static int run_clear(int count, char **words)
+static int run_clear(int count, char **args)
 {
 	(void)count;
-	return purge(words[0]);
+	return purge(args[0]);
 }
 
-static int run_retention(int count, char **words)
+static int run_retention(int count, char **args)
 {
-	if (count && strcmp(words[0], "--report"))
+	if (count && strcmp(args[0], "--report"))
 		return usage(stderr);
 	return show_retention(count);
 }
 
-static int run_state(int count, char **words)
+static int run_state(int count, char **args)
 {
 	(void)count;
-	(void)words;
+	(void)args;
 	return print_state();
 }
 
-static int run_metrics(int count, char **words)
+static int run_metrics(int count, char **args)
 {
 	(void)count;
-	(void)words;
+	(void)args;
 	return print_metrics();
 }
 
-static int run_show(int count, char **words)
+static int run_show(int count, char **args)
 {
-	const char *kind = count ? stored_kind(words[0]) : NULL;
+	const char *kind = count ? stored_kind(args[0]) : NULL;
 
 	if (kind && config_kind_parse(kind) == NL__KIND__NONE) {
 		fprintf(
 		    stderr,
 		    "notchlugctl: %s: no such kind; there are route, tenant, share, key, server, service, model, "
 		    "controller, listener, retention\n",
-		    words[0]);
+		    args[0]);
 		return USAGE;
 	}
 	return print_table(kind);
 }
 
-static int run_set(int count, char **words)
+static int run_set(int count, char **args)
 {
-	return set_cells(stored_kind(words[0]), words[1], count - 2, words + 2);
+	return set_cells(stored_kind(args[0]), args[1], count - 2, args + 2);
 }
 
-static int run_del(int count, char **words)
+static int run_del(int count, char **args)
 {
 	(void)count;
-	return send_change(change_of("del", row_new(stored_kind(words[0]), words[1]), NULL));
+	return send_change(change_of("del", row_new(stored_kind(args[0]), args[1]), NULL));
 }
 
-static int run_compare(int count, char **words)
+static int run_compare(int count, char **args)
 {
 	(void)count;
-	return compare_sheet(words[0], 0);
+	return compare_sheet(args[0], 0);
 }
 
-static int run_apply(int count, char **words)
+static int run_apply(int count, char **args)
 {
 	(void)count;
-	return compare_sheet(words[0], 1);
+	return compare_sheet(args[0], 1);
 }
 
-static int run_key(int count, char **words)
+static int run_key(int count, char **args)
 {
 	char hex[65];
 	struct json_object *row;
 
-	if (count == 3 && !strcmp(words[0], "add")) {
-		row = row_new("key", digest_hex(words[2], hex));
-		json_object_object_add(row, "tenant", json_object_new_string(words[1]));
+	if (count == 3 && !strcmp(args[0], "add")) {
+		row = row_new("key", digest_hex(args[2], hex));
+		json_object_object_add(row, "tenant", json_object_new_string(args[1]));
 		return send_change(change_of("set", row, NULL));
 	}
-	if (count == 2 && !strcmp(words[0], "remove"))
-		return send_change(change_of("del", row_new("key", digest_hex(words[1], hex)), NULL));
+	if (count == 2 && !strcmp(args[0], "remove"))
+		return send_change(change_of("del", row_new("key", digest_hex(args[1], hex)), NULL));
 	return usage(stderr);
 }
 
-static int run_drain(int count, char **words)
+static int run_drain(int count, char **args)
 {
 	char cell[] = "state=draining", *cells[] = { cell };
 
 	(void)count;
-	return set_cells("server", words[0], 1, cells);
+	return set_cells("server", args[0], 1, cells);
 }
 
-static int run_serve(int count, char **words)
+static int run_serve(int count, char **args)
 {
 	char cell[] = "state=serving", *cells[] = { cell };
 
 	(void)count;
-	return set_cells("server", words[0], 1, cells);
+	return set_cells("server", args[0], 1, cells);
 }
 
-static int run_weights(int count, char **words)
+static int run_weights(int count, char **args)
 {
-	char *cells[] = { apr_pstrcat(pool, "weights=", words[1], NULL) };
+	char *cells[] = { apr_pstrcat(pool, "weights=", args[1], NULL) };
 
 	(void)count;
-	return set_cells("service", words[0], 1, cells);
+	return set_cells("service", args[0], 1, cells);
 }
 
 static const struct cli_command {
 	const char *name;
-	int min_words; /* behind the name */
-	int max_words;
-	int (*run)(int count, char **words); /* returns the exit code */
+	int min_args; /* arguments behind the name */
+	int max_args;
+	int (*run)(int count, char **args); /* returns the exit code */
 } commands[] = {
 	{ "found", 0, 0, run_found },     { "recover", 0, INT_MAX, recover },
 	{ "clear", 1, 1, run_clear },     { "retention", 0, 1, run_retention },
@@ -205,21 +205,21 @@
 	{ "weights", 2, 2, run_weights },
 };
 
-static int run_command(int count, char **words)
+static int run_command(int count, char **args)
 {
 	for (size_t i = 0; count && i < sizeof commands / sizeof *commands; i++)
-		if (!strcmp(words[0], commands[i].name) && count > commands[i].min_words &&
-		    count - 1 <= commands[i].max_words)
-			return commands[i].run(count - 1, words + 1);
+		if (!strcmp(args[0], commands[i].name) && count > commands[i].min_args &&
+		    count - 1 <= commands[i].max_args)
+			return commands[i].run(count - 1, args + 1);
 	return usage(stderr);
 }
 
 /* Everything behind the options. */
-static int run(int count, char **words)
+static int run(int count, char **args)
 {
-	if (count == 1 && (!strcmp(words[0], "--help") || !strcmp(words[0], "-h")))
+	if (count == 1 && (!strcmp(args[0], "--help") || !strcmp(args[0], "-h")))
 		return usage(stdout);
-	if (count == 1 && !strcmp(words[0], "--version"))
+	if (count == 1 && !strcmp(args[0], "--version"))
 		return printf("notchlugctl (notchlug) %s\n", NL_VERSION) < 0;
 	if (!parse_controllers(controller_addr)) {
 		fprintf(stderr, "notchlugctl: --at: up to eight addresses ip:port, with commas between\n");
@@ -229,7 +229,7 @@
 		fprintf(stderr, "notchlugctl: --key: 1 to 128 visible ASCII characters\n");
 		return USAGE;
 	}
-	return run_command(count, words);
+	return run_command(count, args);
 }
 
 int main(int argc, char **argv)
--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -99,32 +99,32 @@
 /* Returns NULL, or what is wrong; with a pool the text names an unknown zone. */
 static const char *parse_schedule(const char *text, struct schedule *schedule, apr_pool_t *pool)
 {
-	char copy[TEXT_BYTES], *word, *save = NULL;
+	char copy[TEXT_BYTES], *token, *save = NULL;
 	const char *error = NULL;
 
 	memset(schedule, 0, sizeof *schedule);
 	if (strlen(text) >= sizeof copy)
 		return "too long";
 	memcpy(copy, text, strlen(text) + 1);
-	word = apr_strtok(copy, " ", &save);
-	if (!word)
+	token = apr_strtok(copy, " ", &save);
+	if (!token)
 		return "empty";
-	if (!strcmp(word, "monthly") || !strcmp(word, "yearly"))
-		error = parse_date(apr_strtok(NULL, " ", &save), word[0] == 'y', schedule);
-	else if (!strcmp(word, "daily"))
+	if (!strcmp(token, "monthly") || !strcmp(token, "yearly"))
+		error = parse_date(apr_strtok(NULL, " ", &save), token[0] == 'y', schedule);
+	else if (!strcmp(token, "daily"))
 		schedule->weekdays = EVERY_WEEKDAY;
 	else
-		error = parse_weekdays(word, schedule);
+		error = parse_weekdays(token, schedule);
 	if (!error)
 		error = parse_clock(apr_strtok(NULL, " ", &save), schedule);
 	if (error)
 		return error;
-	word = apr_strtok(NULL, " ", &save);
-	if (!word || strlen(word) >= sizeof schedule->zone)
+	token = apr_strtok(NULL, " ", &save);
+	if (!token || strlen(token) >= sizeof schedule->zone)
 		return "the time zone is missing";
 	if (apr_strtok(NULL, " ", &save))
 		return "words after the time zone";
-	memcpy(schedule->zone, word, strlen(word) + 1);
+	memcpy(schedule->zone, token, strlen(token) + 1);
 	if (is_known_zone(schedule->zone))
 		return NULL;
 	return pool ? apr_psprintf(pool, "no time zone %s", schedule->zone) : "no such time zone";
--- a/lib/control/calendar.h
+++ b/lib/control/calendar.h
@@ -10,7 +10,7 @@
 #include "retention_schedule.h"
 
 /* The calendar of this library. Example: controller->calendar = &calendar_icu;
- * due_at_ms = calendar_icu.next("daily 02:30 Asia/Kuala_Lumpur", wall_ms); */
+ * due_at_ms = calendar_icu.next("daily 02:30 Asia/Kuala_Lumpur", unix_ms); */
 extern const struct controller_calendar calendar_icu;
 
 #endif
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -42,6 +42,7 @@
 	int has_ended;                 /* it drains or has ended, and never serves again */
 };
 
+/* Of the stb_ds map. */
 struct instances_row {
 	char *key; /* the server's name */
 	struct instance_entry value;
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -130,7 +130,7 @@
 }
 
 /* A new purge of a scope ends the one before it: the slices that are open go out at once. */
-static void end_open_purges(struct controller *controller, uint64_t index, const char *scope, int64_t wall_ms)
+static void end_open_purges(struct controller *controller, uint64_t index, const char *scope, int64_t unix_ms)
 {
 	struct retention *retention = &controller->retention;
 
@@ -141,7 +141,7 @@
 			continue;
 		while (purge->slices < PURGE_SLICES)
 			feed_slice(controller, index, purge);
-		purge->sliced_at_ms = wall_ms;
+		purge->sliced_at_ms = unix_ms;
 	}
 }
 
@@ -340,7 +340,7 @@
 /* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
 static int64_t member_wall_clock(const struct controller *controller, uint64_t member_id, int64_t now)
 {
-	int64_t wall_ms = INT64_MIN;
+	int64_t unix_ms = INT64_MIN;
 
 	if (member_id == controller->identity.id)
 		return controller->clocks.wall_ms ? controller->clocks.wall_ms : INT64_MIN;
@@ -349,9 +349,9 @@
 
 		if (node->id == member_id && node->wall_clock_ms &&
 		    now - node->observed_at_ms <= CONTROLLER_NODE_LIVE_MS)
-			wall_ms = node->wall_clock_ms + (now - node->observed_at_ms);
+			unix_ms = node->wall_clock_ms + (now - node->observed_at_ms);
 	}
-	return wall_ms;
+	return unix_ms;
 }
 
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
@@ -361,15 +361,15 @@
 	int n = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
-		int64_t wall_ms;
+		int64_t unix_ms;
 		int at = n;
 
 		if (!raft->group.members[i].voter)
 			continue;
-		wall_ms = member_wall_clock(controller, raft->group.members[i].id, now);
-		for (; at && clocks[at - 1] < wall_ms; at--)
+		unix_ms = member_wall_clock(controller, raft->group.members[i].id, now);
+		for (; at && clocks[at - 1] < unix_ms; at--)
 			clocks[at] = clocks[at - 1];
-		clocks[at] = wall_ms;
+		clocks[at] = unix_ms;
 		n++;
 	}
 	return n ? clocks[n / 2] : INT64_MIN;
@@ -391,30 +391,30 @@
 
 /* From when on a row without a due time counts its periods: from the last purge of its scope, so that a row
  * that is edited again and again is not put off for ever. */
-static int64_t plan_base(const struct retention *retention, const char *scope, int64_t wall_ms)
+static int64_t plan_base(const struct retention *retention, const char *scope, int64_t unix_ms)
 {
-	int64_t base_ms = wall_ms;
+	int64_t base_ms = unix_ms;
 
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++)
 		if (!strcmp(retention->purges[i]->scope, scope) &&
-		    retention->purges[i]->decided_at_ms < wall_ms)
+		    retention->purges[i]->decided_at_ms < unix_ms)
 			base_ms = retention->purges[i]->decided_at_ms;
 	return base_ms;
 }
 
 /* Fill in the step that takes a due time, however many were missed since. */
 static void fill_due_step(const struct controller *controller, const struct Nl__RetentionPlan *plan,
-			  const struct Nl__Row *row, int64_t wall_ms, struct Nl__RetentionStep *step)
+			  const struct Nl__Row *row, int64_t unix_ms, struct Nl__RetentionStep *step)
 {
 	int64_t next = plan->due_at_ms;
 
 	step->step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE;
 	step->due_at_ms = plan->due_at_ms;
 	step->next_due_at_ms =
-	    retention_next_due(controller->adapters.calendar, row, plan->due_at_ms, wall_ms);
+	    retention_next_due(controller->adapters.calendar, row, plan->due_at_ms, unix_ms);
 	while (step->missed < MAX_MISSED) {
 		next = retention_next_due(controller->adapters.calendar, row, next, next);
-		if (!next || next > wall_ms)
+		if (!next || next > unix_ms)
 			break;
 		step->missed++;
 	}
@@ -422,7 +422,7 @@
 
 /* Log the next step of a plan: its first due time, or the purge that is due. Returns 1 when one was logged.
  */
-static int log_next_due(struct controller *controller, int64_t wall_ms, int64_t now, struct command_list *out)
+static int log_next_due(struct controller *controller, int64_t unix_ms, int64_t now, struct command_list *out)
 {
 	const struct retention *retention = &controller->retention;
 
@@ -432,17 +432,17 @@
 		    config_table_get(&controller->config.table, NL__KIND__RETENTION, plan->scope);
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
 
-		if (!row || (plan->due_at_ms && plan->due_at_ms > wall_ms))
+		if (!row || (plan->due_at_ms && plan->due_at_ms > unix_ms))
 			continue;
 		step.scope = plan->scope;
-		step.wall_clock_ms = wall_ms;
+		step.wall_clock_ms = unix_ms;
 		if (plan->due_at_ms) {
-			fill_due_step(controller, plan, row, wall_ms, &step);
+			fill_due_step(controller, plan, row, unix_ms, &step);
 		} else {
 			step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
 			step.next_due_at_ms =
 			    retention_next_due(controller->adapters.calendar, row,
-					       plan_base(retention, plan->scope, wall_ms), wall_ms);
+					       plan_base(retention, plan->scope, unix_ms), unix_ms);
 		}
 		if (!step.next_due_at_ms || !log_step(controller, &step, now, out))
 			continue;
@@ -470,7 +470,7 @@
 
 /* Log the next slice of a purge that is spread over time: in half of that time while routers are not
  * strained, and by its end in any case. Returns 1 when one was logged. */
-static int log_next_slice(struct controller *controller, int64_t wall_ms, int64_t now,
+static int log_next_slice(struct controller *controller, int64_t unix_ms, int64_t now,
 			  struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
@@ -485,13 +485,13 @@
 			continue;
 		step.late = purge->spread_ms && routers_strained(controller, now);
 		intervals = step.late ? PURGE_SLICES : 2 * PURGE_SLICES;
-		if (wall_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / intervals)
+		if (unix_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / intervals)
 			continue;
 		step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_SLICE;
 		step.purge_number = purge->purge_number;
 		step.scope = purge->scope;
 		step.slice = purge->slices;
-		step.wall_clock_ms = wall_ms;
+		step.wall_clock_ms = unix_ms;
 		if (!log_step(controller, &step, now, out))
 			return 0;
 		if (step.late)
@@ -505,7 +505,7 @@
 }
 
 /* Log that a purge is done. Returns 1 when it was logged. */
-static int log_next_done(struct controller *controller, int64_t wall_ms, int64_t now,
+static int log_next_done(struct controller *controller, int64_t unix_ms, int64_t now,
 			 struct command_list *out)
 {
 	struct retention *retention = &controller->retention;
@@ -524,7 +524,7 @@
 		step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_DONE;
 		step.purge_number = purge->purge_number;
 		step.scope = purge->scope;
-		step.wall_clock_ms = wall_ms;
+		step.wall_clock_ms = unix_ms;
 		if (log_step(controller, &step, now, out)) {
 			log_line(controller, "retention", out->pool,
 				 "Purge %" APR_UINT64_T_FMT
@@ -539,7 +539,7 @@
 void retention_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	struct retention *retention = &controller->retention;
-	int64_t wall_ms;
+	int64_t unix_ms;
 
 	if ((!arrlen(retention->plans) && !arrlen(retention->purges)) ||
 	    !leads_shard(controller, SHARD_CONTROL, now))
@@ -548,11 +548,11 @@
 	    retention->logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	retention->polled_at_ms = now;
-	wall_ms = retention_wall_clock(controller, now);
-	if (wall_ms == INT64_MIN)
+	unix_ms = retention_wall_clock(controller, now);
+	if (unix_ms == INT64_MIN)
 		return;
-	if (log_next_due(controller, wall_ms, now, out) || log_next_slice(controller, wall_ms, now, out) ||
-	    log_next_done(controller, wall_ms, now, out))
+	if (log_next_due(controller, unix_ms, now, out) || log_next_slice(controller, unix_ms, now, out) ||
+	    log_next_done(controller, unix_ms, now, out))
 		retention->polled_at_ms =
 		    now - RETENTION_POLL_MS; /* the next one as soon as this is applied */
 }
--- a/lib/control/retention_schedule.c
+++ b/lib/control/retention_schedule.c
@@ -127,15 +127,15 @@
 }
 
 /* The shortest and the longest time between two purges that come soon; returns 0 when fewer than two come. */
-static int purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t wall_ms,
+static int purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t unix_ms,
 		      int64_t *shortest_ms, int64_t *longest_ms)
 {
-	int64_t due_at_ms = calendar->next(text, wall_ms);
+	int64_t due_at_ms = calendar->next(text, unix_ms);
 	int count = 0;
 
 	*shortest_ms = INT64_MAX;
 	*longest_ms = 0;
-	while (due_at_ms && due_at_ms < wall_ms + (int64_t)GAPS_MAX_DAYS * DAY_MS) {
+	while (due_at_ms && due_at_ms < unix_ms + (int64_t)GAPS_MAX_DAYS * DAY_MS) {
 		int64_t next_ms = calendar->next(text, due_at_ms);
 		int64_t gap_ms = next_ms - due_at_ms;
 
@@ -152,13 +152,13 @@
 
 /* What is wrong with one row at a time; NULL: nothing. */
 static const char *check_row_at(const struct controller_calendar *calendar, const struct Nl__Row *row,
-				int64_t wall_ms, apr_pool_t *pool)
+				int64_t unix_ms, apr_pool_t *pool)
 {
 	int64_t shortest_ms;
 	int64_t longest_ms;
 	const char *error;
 
-	if (wall_ms == INT64_MIN)
+	if (unix_ms == INT64_MIN)
 		return "the registrars' clocks are not heard: nothing can be planned";
 	if (!row->calendar[0])
 		return NULL;
@@ -167,9 +167,9 @@
 	error = calendar->check(row->calendar, pool);
 	if (error)
 		return apr_psprintf(pool, "at: %s", error);
-	if (!calendar->next(row->calendar, wall_ms))
+	if (!calendar->next(row->calendar, unix_ms))
 		return "at: it never comes";
-	if (purge_gaps(calendar, row->calendar, wall_ms, &shortest_ms, &longest_ms) &&
+	if (purge_gaps(calendar, row->calendar, unix_ms, &shortest_ms, &longest_ms) &&
 	    (int64_t)row->spread_ms > shortest_ms)
 		return "window: longer than the time between two clearings";
 	if (row->max_age[0]) {
@@ -185,7 +185,7 @@
 }
 
 const char *retention_check_calendar(const struct controller_calendar *calendar,
-				     const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *pool)
+				     const struct Nl__Change *change, int64_t unix_ms, apr_pool_t *pool)
 {
 	for (size_t i = 0; i < change->n_set; i++) {
 		const struct Nl__Row *row = change->set[i];
@@ -193,7 +193,7 @@
 
 		if (row->kind != NL__KIND__RETENTION)
 			continue;
-		error = check_row_at(calendar, row, wall_ms, pool);
+		error = check_row_at(calendar, row, unix_ms, pool);
 		if (error)
 			return apr_psprintf(pool, "retention %s: %s", row->name, error);
 	}
--- a/lib/control/retention_schedule.h
+++ b/lib/control/retention_schedule.h
@@ -24,7 +24,7 @@
 	 * Example: if ((error = calendar->check("daily 02:30 Asia/Kuala_Lumpur", pool))) reject(error); */
 	const char *(*check)(const char *text, apr_pool_t *pool);
 	/* The first time that the schedule names after from_ms; 0 when none comes.
-	 * Example: due_at_ms = calendar->next("mon 03:00 UTC", wall_ms); */
+	 * Example: due_at_ms = calendar->next("mon 03:00 UTC", unix_ms); */
 	int64_t (*next)(const char *text, int64_t from_ms);
 };
 
@@ -50,14 +50,14 @@
 				   apr_pool_t *pool);
 
 /* What is wrong with a change's rows at a time: dates that never come, and spans that do not fit the time
- * between two purges. wall_ms INT64_MIN: the time is not known, and no row can be planned. calendar may be
+ * between two purges. unix_ms INT64_MIN: the time is not known, and no row can be planned. calendar may be
  * NULL: then rows with calendar terms are rejected. Returns NULL, or a text in the pool.
- * Example: error = retention_check_calendar(&calendar_icu, change, wall_ms, pool); */
+ * Example: error = retention_check_calendar(&calendar_icu, change, unix_ms, pool); */
 const char *retention_check_calendar(const struct controller_calendar *calendar,
-				     const struct Nl__Change *change, int64_t wall_ms, apr_pool_t *pool);
+				     const struct Nl__Change *change, int64_t unix_ms, apr_pool_t *pool);
 
 /* When a row's purge is due after from_ms; 0 when none comes. A row without calendar terms counts its periods
- * from base_ms. Example: due_at_ms = retention_next_due(calendar, row, wall_ms, wall_ms); */
+ * from base_ms. Example: due_at_ms = retention_next_due(calendar, row, unix_ms, unix_ms); */
 int64_t retention_next_due(const struct controller_calendar *calendar, const struct Nl__Row *row,
 			   int64_t base_ms, int64_t from_ms);
 
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -188,7 +188,7 @@
 }
 
 /* A model's servers as a rollout finds them. */
-struct servers_found {
+struct rollout_survey {
 	int total;
 	int updated;
 	int busy;                   /* take one of the slots to load at once */
@@ -197,10 +197,10 @@
 	int64_t *due_at_ms;         /* stb_ds: of those that may be commanded now, soonest first */
 };
 
-static struct servers_found find_servers(struct controller *controller, const struct Nl__Row *model,
-					 int64_t now, struct command_list *out)
+static struct rollout_survey find_servers(struct controller *controller, const struct Nl__Row *model,
+					  int64_t now, struct command_list *out)
 {
-	struct servers_found found = { 0 };
+	struct rollout_survey survey = { 0 };
 
 	for (ptrdiff_t i = 0; i < shlen(controller->instances.rows); i++) {
 		const struct Nl__Instance *instance = controller->instances.rows[i].value.instance;
@@ -216,44 +216,45 @@
 			rollout_follow_up(controller, server, instance, model, now, out);
 		instance = controller->instances.rows[i].value.instance;
 		is_unavailable = server && server->state != ROLLOUT_IDLE;
-		found.total++;
-		found.busy += holds_slot(controller, server, now);
-		found.loading += may_be_loading(server) && holds_slot(controller, server, now);
+		survey.total++;
+		survey.busy += holds_slot(controller, server, now);
+		survey.loading += may_be_loading(server) && holds_slot(controller, server, now);
 		if (!is_unavailable && rollout_has_weights(instance->weights, model->target_weights))
-			found.updated++;
+			survey.updated++;
 		else if (may_be_commanded(controller, instance, now))
-			arrput(found.due_at_ms, rollout_due_at_ms(controller, model, instance->weights));
-		zone = zone_servers_of(&found.zones, instance->zone, out->pool);
+			arrput(survey.due_at_ms, rollout_due_at_ms(controller, model, instance->weights));
+		zone = zone_servers_of(&survey.zones, instance->zone, out->pool);
 		zone->total++;
 		zone->unavailable += is_unavailable;
 	}
-	if (found.due_at_ms)
-		qsort(found.due_at_ms, (size_t)arrlen(found.due_at_ms), sizeof *found.due_at_ms,
+	if (survey.due_at_ms)
+		qsort(survey.due_at_ms, (size_t)arrlen(survey.due_at_ms), sizeof *survey.due_at_ms,
 		      compare_due_times);
-	return found;
+	return survey;
 }
 
 /* Command as many servers as there are slots for. */
 static void command_servers(struct controller *controller, const struct Nl__Row *model,
-			    struct servers_found *found, int64_t now, struct command_list *out)
+			    struct rollout_survey *survey, int64_t now, struct command_list *out)
 {
 	struct rollout_pace *pace = &shgetp(controller->rollout.models, model->name)->value;
-	int slots = rollout_concurrency(controller, pace, found->total, found->due_at_ms, found->busy, now) -
-		    found->busy;
+	int slots =
+	    rollout_concurrency(controller, pace, survey->total, survey->due_at_ms, survey->busy, now) -
+	    survey->busy;
 
 	if (controller->rollout.is_fenced ||
 	    now >= controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS)
 		return;
 	while (slots-- > 0) {
 		const struct Nl__Instance *next =
-		    next_to_command(controller, model, &found->zones, now, out->pool);
+		    next_to_command(controller, model, &survey->zones, now, out->pool);
 
 		if (!next)
 			break;
-		zone_servers_of(&found->zones, next->zone, out->pool)->unavailable++;
+		zone_servers_of(&survey->zones, next->zone, out->pool)->unavailable++;
 		rollout_begin_command(controller, rollout_server_get(&controller->rollout, next->server),
 				      model, next, now, out);
-		found->busy++;
+		survey->busy++;
 	}
 }
 
@@ -261,23 +262,23 @@
 static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now,
 			  struct command_list *out)
 {
-	struct servers_found found = find_servers(controller, model, now, out);
-	int complete = found.updated == found.total;
+	struct rollout_survey survey = find_servers(controller, model, now, out);
+	int complete = survey.updated == survey.total;
 
-	if (found.total && complete && strcmp(model->rolled_out, model->target_weights))
+	if (survey.total && complete && strcmp(model->rolled_out, model->target_weights))
 		log_rolled_out(controller, &shgetp(controller->rollout.models, model->name)->value, model,
 			       now, out);
 	if (!complete)
-		command_servers(controller, model, &found, now, out);
+		command_servers(controller, model, &survey, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->rollout.servers); i++) {
 		struct rollout_server *server = &controller->rollout.servers[i];
 
-		if (may_be_loading(server) && server->max_concurrent_loads < found.loading)
-			server->max_concurrent_loads = found.loading;
+		if (may_be_loading(server) && server->max_concurrent_loads < survey.loading)
+			server->max_concurrent_loads = survey.loading;
 	}
-	arrfree(found.zones);
-	arrfree(found.due_at_ms);
-	return !found.total || (complete && !strcmp(model->rolled_out, model->target_weights));
+	arrfree(survey.zones);
+	arrfree(survey.due_at_ms);
+	return !survey.total || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
 /* Drop what is recorded of servers that serve no more; returns whether any command is under way. */
