--- a/bin/notchlug_validate.c
+++ b/bin/notchlug_validate.c
@@ -116,7 +116,7 @@
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row *rows[1];
 	const char *why = NULL;
-	char lane[200], tenant[200];
+	char route[RETENTION_SCOPE_BYTES], tenant[RETENTION_SCOPE_BYTES];
 	apr_time_exp_t e;
 	int64_t due;
 
@@ -124,10 +124,10 @@
 	change.set = rows;
 	change.n_set = 1;
 	if (!rows[0] || retention_check_row(rows[0]))
-		return; /* found before, with the change as a whole */
-	(void)retention_parse_scope(rows[0]->name, lane, tenant);
-	if (lane[0] && !find_row(check->proposed_rows, "lane", lane))
-		add_fault(check, label, apr_psprintf(check->pool, "lane %s is not in the table", lane));
+		return; /* found before, by check_change */
+	(void)retention_parse_scope(rows[0]->name, route, tenant);
+	if (route[0] && !find_row(check->proposed_rows, "lane", route))
+		add_fault(check, label, apr_psprintf(check->pool, "lane %s is not in the table", route));
 	if (tenant[0] && !find_row(check->proposed_rows, "tenant", tenant))
 		add_fault(check, label, apr_psprintf(check->pool, "tenant %s is not in the table", tenant));
 	if ((why = retention_check_calendar(&calendar_icu, &change, wall, check->pool))) {
@@ -144,7 +144,7 @@
 		"would clear the context of %s first at %04d-%02d-%02d %02d:%02d UTC, spread over %u s%s",
 		rows[0]->name, e.tm_year + 1900, e.tm_mon + 1, e.tm_mday, e.tm_hour, e.tm_min,
 		(unsigned)(rows[0]->spread_ms / 1000),
-		!was && (lane[0] || tenant[0])
+		!was && (route[0] || tenant[0])
 		    ? "; that first time with all common context, where its own lies among the others'"
 		    : ""));
 }
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -57,7 +57,7 @@
 	/* the leader's */
 	uint64_t term;       /* 0: this node does not poll the list */
 	int poll_count;      /* lists received in this term */
-	int is_publishable;  /* no server is in doubt: followers may be told */
+	int is_publishable;  /* no server is in doubt: followers may be sent the list */
 	uint64_t poll_token; /* of the poll that is under way; 0: none */
 	int64_t polled_at_ms;
 	int64_t poll_not_before_ms;
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -80,7 +80,7 @@
 	struct rollout_model *models;          /* stb_ds, by name */
 	uint64_t term;                         /* of the leadership */
 	uint64_t command_seq;                  /* commands in it */
-	struct rollout_intent_logged *intents; /* stb_ds, by server; kept on followers too */
+	struct rollout_intent_logged *intents; /* stb_ds, by server; on followers too */
 	int64_t unknown_until_ms;              /* commands that were logged before are not known here */
 	int64_t term_started_at_ms;
 	int64_t takeover_wait_ms; /* after an intent, for the command of the leader before to have ended */
