--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -6,7 +6,6 @@
 #include <errno.h>
 #include <microhttpd.h>
 #include <netinet/in.h>
-#include <nettle/sha2.h>
 #include <stdbool.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -20,6 +19,7 @@
 #include "clock.h"
 #include "core.h"
 #include "containers.h"
+#include "key_digest.h"
 #include "log.h"
 #include "ring.h"
 #include "shell_event.h"
@@ -220,24 +220,15 @@
 /* ---- requests ---- */
 
 /* An API key never goes further than here: the configuration and the core hold its digest. */
-static char *key_digest(const char *authorization)
+static char *authorization_digest(const char *authorization)
 {
 	static const char scheme[] = "Bearer ";
-	uint8_t digest[SHA256_DIGEST_SIZE];
-	char *hex = calloc(1, 2 * SHA256_DIGEST_SIZE + 1);
-	struct sha256_ctx context;
-	const char *key;
+	char *hex = calloc(1, KEY_DIGEST_BYTES);
 
 	if (!hex)
 		abort();
-	if (!authorization || strncmp(authorization, scheme, sizeof scheme - 1) != 0)
-		return hex;
-	key = authorization + sizeof scheme - 1;
-	sha256_init(&context);
-	sha256_update(&context, strlen(key), (const uint8_t *)key);
-	sha256_digest(&context, sizeof digest, digest);
-	for (size_t i = 0; i < sizeof digest; i++)
-		snprintf(hex + 2 * i, 3, "%02x", digest[i]);
+	if (authorization && strncmp(authorization, scheme, sizeof scheme - 1) == 0)
+		digest_hex(authorization + sizeof scheme - 1, hex);
 	return hex;
 }
 
@@ -272,7 +263,7 @@
 	event->token = request->token;
 	event->method = strdup(method);
 	event->path = strdup(url);
-	event->key_digest = key_digest(authorization);
+	event->key_digest = authorization_digest(authorization);
 	arrput(request->body, 0);
 	event->body = strdup(request->body);
 	if (idempotency_key)
--- a/lib/shell/http.h
+++ b/lib/shell/http.h
@@ -15,6 +15,7 @@
 /* A loop with its listeners and connections. */
 struct http;
 
+/* A header field; both texts end with a zero. */
 struct http_field {
 	const char *name;
 	const char *value;
@@ -198,6 +199,8 @@
 	uint64_t bad_requests;                 /* rejected by the loop itself */
 	uint64_t outcomes[HTTP_OUTCOME_COUNT]; /* of requests */
 };
+
+/* The counters so far. */
 struct http_counters http_counters_read(const struct http *http);
 
 /* Requests that were read whole and have no outcome yet. */
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -59,8 +59,9 @@
 {
 	int64_t margin = (int64_t)hd->keep_alive_s * 250;
 
-	return hd->keep_alive_s < 0 ? DEFAULT_KEEP_ALIVE_MS
-				    : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
+	if (hd->keep_alive_s < 0)
+		return DEFAULT_KEEP_ALIVE_MS;
+	return (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
 static void client_make_idle(struct http_connection *conn)
@@ -83,7 +84,6 @@
 	http_timer_set(conn, conn->client.reusable_until_ms);
 }
 
-/* The call is over. keep: its connection may serve another. */
 void http_client_end(struct http_connection *conn, enum http_call_result result, int reusable)
 {
 	struct http *http = conn->http;
@@ -111,6 +111,14 @@
 	return left < right ? left : right;
 }
 
+/* When the request must have left. */
+static int64_t sending_deadline_ms(const struct http_connection *conn)
+{
+	int64_t not_after_ms = conn->client.not_after_ms;
+
+	return earlier(not_after_ms == NO_TIME ? NO_TIME : not_after_ms + 1, conn->client.deadline_ms);
+}
+
 static void client_connect(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -128,11 +136,8 @@
 	}
 	conn->state = CONN_CONNECTING;
 	http_conn_watch(conn, HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(
-	    conn,
-	    earlier(earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
-			    conn->client.deadline_ms),
-		    http->now_ms + conn->client.connect_timeout_ms));
+	http_timer_set(conn,
+		       earlier(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
 }
 
 /* Put the call on another connection: nothing of it went out on this one. */
@@ -183,11 +188,7 @@
 	}
 	conn->client.sent |= all || conn->output.offset > off;
 	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(
-	    conn,
-	    all ? conn->client.deadline_ms
-		: earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
-			  conn->client.deadline_ms));
+	http_timer_set(conn, all ? conn->client.deadline_ms : sending_deadline_ms(conn));
 	return 1;
 }
 
@@ -292,9 +293,9 @@
 		client_pass_body(conn, data, span_size);
 		if (conn->closed)
 			return 1;
-		return conn->body_remaining
-			   ? 0
-			   : client_response_complete(conn, data + span_size, size - span_size);
+		if (conn->body_remaining)
+			return 0;
+		return client_response_complete(conn, data + span_size, size - span_size);
 	case BODY_CHUNKED:
 		while (size && conn->chunks.state != CHUNK_DONE) {
 			if ((consumed = http_chunk_step(&conn->chunks, data, size, &span, &span_size)) < 0) {
@@ -316,6 +317,19 @@
 	}
 }
 
+/* How the body behind the head that was read is framed (RFC 9112, 6.3). */
+static enum body_framing response_framing(const struct http_connection *conn)
+{
+	const struct http_head *head = &conn->head;
+
+	if (conn->client.is_head || head->status == 204 || head->status == 304 ||
+	    (head->has_length && !head->length))
+		return BODY_NONE;
+	if (head->chunked)
+		return BODY_CHUNKED;
+	return head->has_length ? BODY_LENGTH : BODY_UNTIL_EOF;
+}
+
 static int client_parse(struct http_connection *conn, const char *data, size_t size)
 {
 	struct http *http = conn->http;
@@ -347,13 +361,7 @@
 	}
 	conn->body_remaining = conn->head.length;
 	conn->chunks = (struct chunk_parser){ 0 };
-	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 ||
-						conn->head.status == 304 ||
-						(conn->head.has_length && !conn->body_remaining)
-					    ? BODY_NONE
-					: conn->head.chunked    ? BODY_CHUNKED
-					: conn->head.has_length ? BODY_LENGTH
-								: BODY_UNTIL_EOF;
+	conn->client.response_framing = response_framing(conn);
 	conn->state = CONN_READING_RESPONSE;
 	http_head_resolve_fields(conn);
 	http->callback_made = 1;
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -61,6 +61,7 @@
 	CHUNK_DONE
 };
 
+/* Where in a chunked body the parser is. */
 struct chunk_parser {
 	enum chunk_state state;
 	int digit_count;        /* of the chunk's size so far */
@@ -83,12 +84,14 @@
 	uint64_t length; /* Content-Length */
 };
 
+/* What a connection is to us. */
 enum conn_kind {
 	CONN_LISTENER,
 	CONN_SERVER, /* we are the server: a client's connection */
 	CONN_CLIENT  /* we are the client: a connection to a server */
 };
 
+/* What a connection does; which states it may have depends on its kind. */
 enum conn_state {
 	/* a listener */
 	CONN_LISTENING,
@@ -177,6 +180,7 @@
 	enum body_framing response_framing;
 };
 
+/* A listening socket. Its struct outlives the socket, for its connections refer to it. */
 struct listener {
 	int listener_id; /* the caller's */
 	int port;
@@ -189,6 +193,7 @@
 	struct http_limits limits;
 };
 
+/* A connection or listener. Spare ones are used again, so that a request costs no allocation. */
 struct http_connection {
 	struct http *http;
 	int fd; /* -1: none */
@@ -216,6 +221,7 @@
 	};
 };
 
+/* Maps of stb_ds. */
 struct call_entry {
 	uint64_t key; /* token */
 	struct http_connection *value;
@@ -265,10 +271,13 @@
 
 /* ---- http_buffer.c ---- */
 
+/* Empty a buffer and give its memory back. */
 void http_buffer_free(struct http *http, struct buffer *buffer);
 
 /* Make room for size more bytes at the end, which the caller writes and adds to len. The buffer may move. */
 char *http_buffer_reserve(struct http *http, struct buffer *buffer, size_t size);
+
+/* Append bytes, a string, or a number in base 10 or 16. */
 void http_buffer_append(struct http *http, struct buffer *buffer, const char *data, size_t size);
 void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text);
 void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base);
@@ -318,12 +327,16 @@
 
 /* Whether an accepted socket has its listener's options, as on Linux. */
 int http_socket_inherits(int fd);
+
+/* The socket address of an address as core_parse_addr gives it. */
 struct sockaddr_in http_socket_address(uint64_t address);
 
 /* ---- http_parse.c ---- */
 
 /* Characters that a token may hold; filled by http_parse_init. */
 extern unsigned char http_token_char[256];
+
+/* Fill http_token_char; before any other function of http_parse. */
 void http_parse_init(void);
 
 /* The end of the head that begins at offset from of the input; 0 when more is to come; -1 when a line doesn't
@@ -333,6 +346,8 @@
 /* Parse the complete head at [from, end) of the input; 0 when it's malformed. Its fields are offsets until
  * http_head_resolve_fields, which is called once the input no longer moves. */
 int http_head_read(struct http_connection *conn, size_t from, size_t end, int request);
+
+/* Turn the offsets of the fields into pointers. */
 void http_head_resolve_fields(struct http_connection *conn);
 
 /* Parse bytes up to the end of a span of data, which is set if there is one. Returns how many, or -1 for bad
@@ -342,6 +357,7 @@
 
 /* ---- http_server.c ---- */
 
+/* A client's connection: epoll has events, output is to be sent, its timer has run out. */
 void http_server_event(struct http_connection *conn, uint32_t events);
 void http_server_flush(struct http_connection *conn);
 void http_server_timeout(struct http_connection *conn);
@@ -376,6 +392,7 @@
 
 /* ---- http_listener.c ---- */
 
+/* Accept connections: one, or more where more wait turn after turn. */
 void http_listener_accept(struct http_connection *conn);
 
 /* Close the connections of listeners with sweep_due, if they are idle and nothing has come on them. */
@@ -383,6 +400,7 @@
 
 /* ---- http_client.c ---- */
 
+/* A connection to a server: begin the call, epoll has events, its timer has run out. */
 void http_client_start(struct http_connection *conn);
 void http_client_event(struct http_connection *conn, uint32_t events);
 void http_client_timeout(struct http_connection *conn);
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -66,10 +66,12 @@
 	int i;
 
 	/* one a turn, and more only when more wait turn after turn */
-	listener->accept_burst =
-	    listener->last_turn + 1 == http->turn
-		? listener->accept_burst < MAX_ACCEPT_BURST ? listener->accept_burst * 2 : MAX_ACCEPT_BURST
-		: 1;
+	if (listener->last_turn + 1 != http->turn)
+		listener->accept_burst = 1;
+	else if (listener->accept_burst < MAX_ACCEPT_BURST)
+		listener->accept_burst *= 2;
+	else
+		listener->accept_burst = MAX_ACCEPT_BURST;
 	listener->last_turn = http->turn;
 	for (i = 0; i < listener->accept_burst && accept_one(conn); i++)
 		;
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -17,8 +17,9 @@
 	size_t index = token & ((1u << SLOT_BITS) - 1);
 	struct http_connection *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
-	return conn && !conn->closed && conn->state == CONN_HANDLING && conn->server.token == token ? conn
-												    : NULL;
+	if (!conn || conn->closed || conn->state != CONN_HANDLING || conn->server.token != token)
+		return NULL;
+	return conn;
 }
 
 static void append_status_line(struct http *http, struct buffer *buffer, int status)
@@ -41,13 +42,14 @@
 	case CONN_READING_HEAD:
 		if (conn->server.head_begun)
 			return listener->limits.head_timeout_ms;
-		return listener->draining && conn->server.token &&
-			       listener->limits.idle_timeout_ms > DRAIN_IDLE_MS
-			   ? DRAIN_IDLE_MS
-			   : listener->limits.idle_timeout_ms;
+		if (listener->draining && conn->server.token &&
+		    listener->limits.idle_timeout_ms > DRAIN_IDLE_MS)
+			return DRAIN_IDLE_MS;
+		return listener->limits.idle_timeout_ms;
 	case CONN_SENDING_RESPONSE:
-		return conn->server.outcome_pending ? listener->limits.idle_timeout_ms
-						    : LINGER_MS; /* of a refusal: its request was not read */
+		if (conn->server.outcome_pending)
+			return listener->limits.idle_timeout_ms;
+		return LINGER_MS; /* of a rejection: its request was not read */
 	case CONN_LINGERING:
 		return LINGER_MS;
 	default:
@@ -94,6 +96,14 @@
 	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
 }
 
+/* NULL: the request has none, which differs from one of length 0. */
+static const char *request_body(const struct http_connection *conn)
+{
+	if (!conn->head.has_length && !conn->head.chunked)
+		return NULL;
+	return conn->server.body_bytes ? conn->input.data + conn->server.body_offset : "";
+}
+
 static void server_deliver_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -101,18 +111,15 @@
 
 	http_head_resolve_fields(conn);
 	side->token = ++http->serial << SLOT_BITS | side->slot;
-	side->request =
-	    (struct http_request){ side->token,
-				   side->listener->listener.listener_id,
-				   side->method,
-				   conn->input.data + side->target_offset,
-				   conn->fields,
-				   conn->field_count,
-				   conn->head.has_length || conn->head.chunked
-				       ? side->body_bytes ? conn->input.data + side->body_offset : ""
-				       : NULL,
-				   side->body_bytes,
-				   http->now_ms };
+	side->request = (struct http_request){ .token = side->token,
+					       .listener_id = side->listener->listener.listener_id,
+					       .method = side->method,
+					       .target = conn->input.data + side->target_offset,
+					       .fields = conn->fields,
+					       .field_count = conn->field_count,
+					       .body = request_body(conn),
+					       .body_bytes = side->body_bytes,
+					       .received_at_ms = http->now_ms };
 	side->response_begun = side->no_body = side->is_rejection = 0;
 	side->outcome_pending = 1;
 	side->response_deadline_ms = 0;
@@ -165,61 +172,69 @@
 	return 0;
 }
 
-static void server_parse(struct http_connection *conn)
+/* A complete head was read: the body begins. */
+static void server_begin_body(struct http_connection *conn, size_t head_end)
+{
+	struct server_side *side = &conn->server;
+
+	side->parse_offset = side->body_offset = head_end;
+	side->body_bytes = 0;
+	side->max_body_bytes = side->listener->listener.limits.body_bytes;
+	conn->body_remaining = conn->head.length;
+	conn->chunks = (struct chunk_parser){ 0 };
+	conn->state = CONN_READING_BODY;
+	if (conn->body_remaining > conn->input.len - side->parse_offset)
+		http_buffer_reserve(conn->http, &conn->input,
+				    (size_t)conn->body_remaining - (conn->input.len - side->parse_offset));
+	if (conn->head.expects_continue && conn->head.minor_version &&
+	    (conn->head.chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
+		http_buffer_append_text(conn->http, &conn->output, "HTTP/1.1 100 Continue\r\n\r\n");
+		http_conn_queue(conn);
+	}
+}
+
+/* Part of a head has come; the first such begins its time-out. */
+static void server_await_head(struct http_connection *conn)
+{
+	if (conn->due_at_ms != NO_TIME && conn->server.head_begun)
+		return;
+	conn->server.head_begun = 1;
+	begin_wait(conn);
+}
+
+/* Reads a head, if it's complete; one that can't be served is rejected. */
+static void server_parse_head(struct http_connection *conn)
 {
-	struct http *http = conn->http;
 	struct server_side *side = &conn->server;
-	const struct http_limits *lim = &side->listener->listener.limits;
+	const struct http_limits *limits = &side->listener->listener.limits;
 	ssize_t end;
 
-	if (conn->state == CONN_READING_HEAD) {
-		while (conn->input.len - side->parse_offset >= 2 &&
-		       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
-			side->parse_offset += 2; /* blank lines before a request */
-		if (conn->input.len == side->parse_offset) {
-			conn->input.len = side->parse_offset = conn->scan_offset = 0;
-			return;
-		}
-		end = http_head_end(conn, side->parse_offset);
-		if (end < 0) {
-			http_server_reject(conn, 400, 0);
-			return;
-		}
-		if ((end ? (size_t)end : conn->input.len) - side->parse_offset > lim->head_bytes) {
-			http_server_reject(conn, 431, 0);
-			return;
-		}
-		if (!end) {
-			if (conn->due_at_ms == NO_TIME || !side->head_begun) {
-				side->head_begun = 1;
-				begin_wait(conn);
-			}
-			return;
-		}
-		if (!http_head_read(conn, side->parse_offset, (size_t)end, 1)) {
-			http_server_reject(conn, 400, 0);
-			return;
-		}
-		if (conn->head.has_length && conn->head.length > lim->body_bytes) {
-			http_server_reject(conn, 413, 0);
-			return;
-		}
-		side->parse_offset = side->body_offset = (size_t)end;
-		side->body_bytes = 0;
-		side->max_body_bytes = lim->body_bytes;
-		conn->body_remaining = conn->head.length;
-		conn->chunks = (struct chunk_parser){ 0 };
-		conn->state = CONN_READING_BODY;
-		if (conn->body_remaining > conn->input.len - side->parse_offset)
-			http_buffer_reserve(http, &conn->input,
-					    (size_t)conn->body_remaining -
-						(conn->input.len - side->parse_offset));
-		if (conn->head.expects_continue && conn->head.minor_version &&
-		    (conn->head.chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
-			http_buffer_append_text(http, &conn->output, "HTTP/1.1 100 Continue\r\n\r\n");
-			http_conn_queue(conn);
-		}
+	while (conn->input.len - side->parse_offset >= 2 &&
+	       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
+		side->parse_offset += 2; /* blank lines before a request */
+	if (conn->input.len == side->parse_offset) {
+		conn->input.len = side->parse_offset = conn->scan_offset = 0;
+		return;
 	}
+	end = http_head_end(conn, side->parse_offset);
+	if (end < 0)
+		http_server_reject(conn, 400, 0);
+	else if ((end ? (size_t)end : conn->input.len) - side->parse_offset > limits->head_bytes)
+		http_server_reject(conn, 431, 0);
+	else if (!end)
+		server_await_head(conn);
+	else if (!http_head_read(conn, side->parse_offset, (size_t)end, 1))
+		http_server_reject(conn, 400, 0);
+	else if (conn->head.has_length && conn->head.length > limits->body_bytes)
+		http_server_reject(conn, 413, 0);
+	else
+		server_begin_body(conn, (size_t)end);
+}
+
+static void server_parse(struct http_connection *conn)
+{
+	if (conn->state == CONN_READING_HEAD)
+		server_parse_head(conn);
 	if (conn->state != CONN_READING_BODY)
 		return;
 	if (server_body(conn))
@@ -414,6 +429,12 @@
 	return 1;
 }
 
+static int has_progressed(struct http_connection *conn)
+{
+	return conn->state == CONN_SENDING_RESPONSE ? response_progressed(conn)
+						    : http_server_progressed(conn);
+}
+
 void http_server_timeout(struct http_connection *conn)
 {
 	int64_t due = conn->server.wait_began_at_ms + wait_ms(conn);
@@ -426,14 +447,13 @@
 			http_conn_close(conn, 0);
 	} else if (due > conn->http->now_ms) { /* a longer time has come into force */
 		http_timer_set(conn, due);
-	} else if (conn->state == CONN_SENDING_RESPONSE ? !response_progressed(conn)
-							: !http_server_progressed(conn)) {
+	} else if (!has_progressed(conn)) {
 		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
 }
 
-/* Does the answer say that the connection closes, because the door leaves? It does not when bytes of another
- * request have come: that one is served too. */
+/* Whether the answer says that the connection closes, because its listener drains. It doesn't when bytes of
+ * another request have come: that one is served too. */
 static int closes_with_response(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
@@ -469,12 +489,13 @@
 	if (closes_with_response(conn))
 		side->closing = side->linger = 1;
 	side->remaining_bytes = length < 0 ? 0 : (uint64_t)length;
-	side->response_framing = length >= 0                ? BODY_LENGTH
-				 : conn->head.minor_version ? BODY_CHUNKED
-							    : BODY_UNTIL_EOF;
-	if (has_no_body) {
+	if (has_no_body)
 		side->response_framing = BODY_NONE;
-	} else if (side->response_framing == BODY_LENGTH) {
+	else if (length >= 0)
+		side->response_framing = BODY_LENGTH;
+	else
+		side->response_framing = conn->head.minor_version ? BODY_CHUNKED : BODY_UNTIL_EOF;
+	if (side->response_framing == BODY_LENGTH) {
 		http_buffer_append_text(http, &conn->output, "Content-Length: ");
 		http_buffer_append_number(http, &conn->output, (uint64_t)length, 10);
 		http_buffer_append(http, &conn->output, "\r\n", 2);
