--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -108,7 +108,8 @@
 	request->response = strdup(body);
 }
 
-/* An answer that was true for a time that is over isn't sent: this process may have stood still since. */
+/* An answer that was true for a time that is over isn't sent: this process may have been suspended
+ * since. */
 static void replace_late_response(struct api_request *request)
 {
 	if (!request->not_after_ms || clock_ms() <= request->not_after_ms)
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -6,9 +6,10 @@
 #include <string.h>
 #include <sys/socket.h>
 
+#include "clock.h"
 #include "containers.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 static struct peer *peer_find_or_add(struct http *http, uint64_t addr)
 {
@@ -23,7 +24,7 @@
 	return peer;
 }
 
-/* A connection to a peer: a kept one, or one that is still to be opened, or NULL beyond the bound. */
+/* A connection to a peer: an idle one, or one that is still to be opened, or NULL beyond the bound. */
 static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer, int fresh,
 						       int64_t now)
 {
@@ -54,7 +55,7 @@
 	return conn;
 }
 
-/* How long a connection is kept: the server must not close it just as we use it. */
+/* How long an idle connection may be used: the server must not close it just as we do. */
 static int64_t keep_alive_ms(const struct http_head *hd)
 {
 	int64_t margin = (int64_t)hd->keep_alive_s * 250;
@@ -140,7 +141,7 @@
 		       earlier(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
 }
 
-/* Put the call on another connection: nothing of it went out on this one. */
+/* Move the call to another connection: no byte of it was sent on this one. */
 static struct http_connection *client_move_call(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -171,7 +172,7 @@
 	return n;
 }
 
-/* Send what is left of the request. Returns 0 when the first send failed with nothing written. */
+/* Send the rest of the request. Returns 0 when the first send failed with nothing written. */
 static int client_send(struct http_connection *conn)
 {
 	size_t off = conn->output.offset;
@@ -180,7 +181,7 @@
 	if (lost) {
 		if (!conn->client.sent)
 			return 0;
-		/* an answer may have come all the same; what is read says so */
+		/* an answer may have come all the same; reading shows it */
 		conn->client.request_cut = 1;
 		http_buffer_free(conn->http, &conn->output);
 		http_conn_watch(conn, HTTP_READ_EVENTS);
@@ -194,7 +195,7 @@
 
 static int too_late(const struct http_connection *conn)
 {
-	int64_t now = clock_ms(); /* anew: the process may just have woken from a freeze */
+	int64_t now = clock_ms(); /* not http->now_ms: the process may have been suspended since */
 
 	return now > conn->client.not_after_ms || now >= conn->client.deadline_ms;
 }
@@ -233,7 +234,7 @@
 
 static int client_parse(struct http_connection *conn, const char *data, size_t size);
 
-/* An answer to another request is over; what stands behind it, or is to come, is the next one. */
+/* An answer to another request is over; the bytes behind it, or still to come, are the next one. */
 static int client_next_response(struct http_connection *conn, const char *behind, size_t size)
 {
 	char *copy = NULL;
@@ -244,7 +245,7 @@
 		client_broken(conn);
 		return 1;
 	}
-	if (size) { /* it may stand in the buffer that is emptied here */
+	if (size) { /* it may be in the buffer that is emptied here */
 		copy = malloc(size);
 		if (!copy)
 			abort();
@@ -259,7 +260,7 @@
 	return over;
 }
 
-/* Whole, with surplus bytes behind it or not. */
+/* The answer is complete; surplus bytes behind it end the connection. */
 static int client_response_complete(struct http_connection *conn, const char *behind, size_t surplus)
 {
 	if (conn->client.skipping)
@@ -434,7 +435,7 @@
 		http_conn_close(conn, 0);
 		return;
 	default:
-		return; /* its start looks for itself */
+		return; /* its start checks by itself */
 	}
 }
 
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -11,7 +11,7 @@
 #include "containers.h"
 #include "http_internal.h"
 
-/* ---- times: a heap whose keys may be early, so that moving a time on costs nothing ---- */
+/* ---- timers ---- */
 
 static void timer_set_index(struct http *http, int index, struct http_connection *conn)
 {
@@ -142,7 +142,7 @@
 	free(peer);
 }
 
-/* Would an ordinary end of this connection make an answer look whole that is not? So it is where the end of
+/* Whether an ordinary end of this connection would make an incomplete answer look complete: where the end of
  * the connection is the end of the answer. */
 static int close_misleads(const struct http_connection *conn)
 {
@@ -153,7 +153,6 @@
 	       (conn->state == CONN_SENDING_RESPONSE && conn->output.len > conn->output.offset);
 }
 
-/* Its memory lives on to the end of the turn. */
 void http_conn_close(struct http_connection *conn, int reset)
 {
 	struct linger linger = { 1, 0 };
@@ -227,7 +226,6 @@
 	return !getsockopt(fd, level, name, &v, &n) && (expected ? v == expected : v > 0);
 }
 
-/* Whether a listener hands its options on to its connections, as Linux does. */
 int http_socket_inherits(int fd)
 {
 	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) &&
@@ -236,7 +234,6 @@
 	       option_is(fd, IPPROTO_TCP, TCP_KEEPCNT, 3) && option_is(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
 }
 
-/* Returns 0 when not all could be sent, or the connection is lost. */
 int http_conn_send(struct http_connection *conn, int *lost)
 {
 	size_t n = conn->output.len - conn->output.offset;
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -25,7 +25,7 @@
 	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_LATE);
 }
 
-/* Has the client said that nothing more will come, and has nothing come? */
+/* Whether the client has said that it sends nothing more, and has sent nothing more. */
 static int client_is_done(const struct http_connection *conn)
 {
 	return conn->head.close && !conn->server.linger && conn->input.len <= conn->server.parse_offset &&
@@ -49,7 +49,7 @@
 	http_timer_set(conn, http->now_ms + LINGER_MS);
 }
 
-/* Read and forget. How many bytes; 0 when the other side has ended, -1 when nothing is there. */
+/* Read and discard. Returns how many bytes; 0 when the other side has ended, -1 when there are none. */
 static ssize_t drain(struct http_connection *conn)
 {
 	ssize_t n = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -5,8 +5,9 @@
 #include <unistd.h>
 
 #include "containers.h"
+#include "core.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 enum { MAX_ACCEPT_BURST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
 
@@ -31,7 +32,7 @@
 	return slot;
 }
 
-/* Returns 0 when there is none, or no descriptor for it. */
+/* Returns 0 when there is no connection to accept, or no descriptor for it. */
 static int accept_one(struct http_connection *l)
 {
 	struct http *http = l->http;
@@ -156,7 +157,7 @@
 			http_server_reject(http->slots[i], 503, retry_after_ms);
 }
 
-/* ---- leaving ---- */
+/* ---- draining ---- */
 
 static void schedule_sweep(struct http *http, struct http_connection *conn)
 {
@@ -164,8 +165,7 @@
 	conn->listener.sweep_due = 1;
 }
 
-/* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never
- * served. */
+/* Nothing of a request was read, and none is awaited: the listener drains, or the client never sent one. */
 static int may_close_unread(const struct http_connection *conn)
 {
 	return conn->state == CONN_READING_HEAD && !conn->input.len &&
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -1,5 +1,5 @@
-/* http_loop: the loop; see http.h. One epoll, level-triggered: a connection is registered once, and asks for
- * room to write only after a short write. What is written during a turn goes out at its end in one send. */
+/* http_loop: the loop; see http.h. One epoll, level-triggered: a connection is registered once, and polls
+ * for writing only after a short write. What is written during a turn is sent at its end in one call. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,9 +7,10 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
+#include "clock.h"
 #include "containers.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 static void run_queued(struct http *http)
 {
@@ -94,9 +95,8 @@
 		if (!conn) {
 			if (read(http->wake_fd, &count, sizeof count) < 0)
 				continue;
-			__atomic_store_n(
-			    &http->woken, 0,
-			    __ATOMIC_SEQ_CST); /* before the owner looks at what it was woken for */
+			__atomic_store_n(&http->woken, 0,
+					 __ATOMIC_SEQ_CST); /* before the owner reads what it was woken for */
 			continue;
 		}
 		if (conn->closed || conn->fd < 0)
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -50,7 +50,7 @@
 	return 1;
 }
 
-/* First line: VERB SP target SP HTTP/1.x, or HTTP/1.x SP ddd [SP reason] */
+/* First line: METHOD SP target SP HTTP/1.x, or HTTP/1.x SP ddd [SP reason] */
 static int is_start_line(const char *line, const char *end, int request)
 {
 	const char *cursor;
@@ -70,7 +70,8 @@
 	       (cursor[8] == '0' || cursor[8] == '1');
 }
 
-/* http-parser forgives folded lines, blanks before a colon and more; whoever reads the same bytes may not. */
+/* http-parser accepts folded lines, blanks before a colon and more; the server that reads the same bytes may
+ * read them differently (request smuggling). */
 static int are_lines_exact(const char *line, const char *end, int request)
 {
 	const char *nl = memchr(line, '\n', (size_t)(end - line));
@@ -278,7 +279,6 @@
 	return 1;
 }
 
-/* From here on the buffer does not move. */
 void http_head_resolve_fields(struct http_connection *conn)
 {
 	int i;
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -8,9 +8,10 @@
 
 #include <http_parser.h>
 
+#include "clock.h"
 #include "containers.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 static struct http_connection *find_by_token(struct http *http, uint64_t token)
 {
@@ -251,8 +252,9 @@
 	begin_wait(conn);
 }
 
-/* The answer is out. A connection that has not said that it closes waits for the next request, also while the
- * door leaves: one may be on its way, and closing over it would be a reset that may overtake the answer. */
+/* The answer was sent. A connection whose answer didn't say that it closes waits for the next request, also
+ * while the listener drains: one may be on its way, and closing over it would be a reset that may overtake
+ * the answer. */
 static void server_next_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -281,7 +283,7 @@
 		http_buffer_free(http, &conn->input);
 }
 
-/* Nothing of an answer has left, and its time is over: this process may have stood still since it was given.
+/* Nothing of an answer has been sent, and its deadline is past: this process may have been suspended since.
  */
 static int response_is_late(const struct http_connection *conn)
 {
@@ -312,9 +314,8 @@
 		server_next_request(conn);
 }
 
-/* Bytes behind the request that is being answered: they are read now, so that the answer need not be the
- * last. Not by way of the scratch buffer, which may hold the piece of a server's answer that is being passed
- * on. */
+/* Reads bytes behind the request that is being answered, so that the answer need not be the last. Not through
+ * the scratch buffer, which may hold a piece of a server's answer that is being forwarded. */
 static void server_read_early(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -361,17 +362,17 @@
 	return n;
 }
 
-/* The client's half has ended behind an answer that was given whole: it takes the rest of it, and asks for
- * nothing more. */
+/* The client has ended its half after its answer was finished: it reads the rest, and sends no more requests.
+ */
 static void half_closed(struct http_connection *conn)
 {
 	conn->server.closing = conn->server.linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
-/* A client that ends its half before it has an answer counts as gone. HTTP/1.1 leaves open what such an end
- * means; a full close looks the same until something is sent, and a server must not work on for a client that
- * has left. */
+/* A client that ends its half before it has an answer counts as disconnected. HTTP/1.1 leaves open what such
+ * an end means; a full close looks the same until something is sent, and a server must not work on for a
+ * client that has disconnected. */
 void http_server_event(struct http_connection *conn, uint32_t events)
 {
 	if (conn->state == CONN_LINGERING) {
@@ -393,7 +394,7 @@
 		server_read(conn);
 }
 
-/* Bytes may have come since the loop looked: this process may have stood still. */
+/* Bytes may have come since the last poll: this process may have been suspended. */
 int http_server_progressed(struct http_connection *conn)
 {
 	int in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
--- a/lib/shell/settings.h
+++ b/lib/shell/settings.h
@@ -1,4 +1,4 @@
-/* settings: what a program is told at its start, by flags, by a JSON file or by a platform. */
+/* settings: the configuration of a program, by flags, by a JSON file or by a platform. */
 #ifndef NL_SETTINGS_H
 #define NL_SETTINGS_H
 
