--- a/emulator/event_loop.c
+++ b/emulator/event_loop.c
@@ -51,7 +51,7 @@
 {
 	size_t n = arrlenu(loop->timers);
 
-	while (i && loop->timers[(i - 1) / 2].due_at_us > loop->timers[i].due_at_us) {
+	while (i && loop->timers[(i - 1) / 2].expires_at_us > loop->timers[i].expires_at_us) {
 		swap_timers(&loop->timers[i], &loop->timers[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
@@ -59,7 +59,7 @@
 		size_t k = i;
 
 		for (size_t c = 2 * i + 1; c <= 2 * i + 2 && c < n; c++)
-			if (loop->timers[c].due_at_us < loop->timers[k].due_at_us)
+			if (loop->timers[c].expires_at_us < loop->timers[k].expires_at_us)
 				k = c;
 		if (k == i)
 			return;
@@ -145,8 +145,8 @@
 	int64_t now = loop_us(), at = until;
 	int n;
 
-	if (arrlen(loop->timers) && loop->timers[0].due_at_us < at)
-		at = loop->timers[0].due_at_us;
+	if (arrlen(loop->timers) && loop->timers[0].expires_at_us < at)
+		at = loop->timers[0].expires_at_us;
 	n = epoll_wait(loop->epoll_fd, event, 128, at <= now ? 0 : (int)((at - now + 999) / 1000));
 	for (int i = 0; i < n; i++) {
 		struct fd_owner *fd_owner = event[i].data.ptr;
@@ -159,11 +159,11 @@
 		}
 	}
 	now = loop_us();
-	while (arrlen(loop->timers) && loop->timers[0].due_at_us <= now) {
+	while (arrlen(loop->timers) && loop->timers[0].expires_at_us <= now) {
 		struct timer timer = pop_timer(loop, 0);
 
-		if (now - timer.due_at_us > loop->max_lateness_us)
-			loop->max_lateness_us = now - timer.due_at_us;
+		if (now - timer.expires_at_us > loop->max_lateness_us)
+			loop->max_lateness_us = now - timer.expires_at_us;
 		timer.callback(timer.context);
 	}
 	loop_sweep(loop);
--- a/emulator/event_loop_internal.h
+++ b/emulator/event_loop_internal.h
@@ -10,7 +10,7 @@
 
 /* A pending call. */
 struct timer {
-	int64_t due_at_us;
+	int64_t expires_at_us;
 	uint64_t id;
 	void (*callback)(void *ctx);
 	void *context;
--- a/emulator/links.c
+++ b/emulator/links.c
@@ -81,7 +81,7 @@
 
 /* A frame that is delayed: each one by itself, however many are under way at once. */
 struct delayed_frame {
-	int64_t due_at_ms;
+	int64_t deliver_at_ms;
 	size_t length;
 	struct delayed_frame *next;
 	uint8_t data[];
@@ -114,7 +114,7 @@
 		return message != NULL;
 	}
 	(*frame)->length = n + 4;
-	(*frame)->due_at_ms = clock_ms() + delay;
+	(*frame)->deliver_at_ms = clock_ms() + delay;
 	return 1;
 }
 
@@ -147,18 +147,18 @@
 
 	while (open) {
 		struct pollfd poll_fd = { way->fd, POLLIN, 0 };
-		int64_t wait = head ? head->due_at_ms - clock_ms() : -1;
+		int64_t wait = head ? head->deliver_at_ms - clock_ms() : -1;
 
 		if (poll(&poll_fd, 1, head && wait < 0 ? 0 : (int)wait) > 0) {
 			open = frame_in(way, &frame);
-			if (frame && tail && frame->due_at_ms < tail->due_at_ms)
-				frame->due_at_ms = tail->due_at_ms; /* in order */
+			if (frame && tail && frame->deliver_at_ms < tail->deliver_at_ms)
+				frame->deliver_at_ms = tail->deliver_at_ms; /* in order */
 			if (frame) {
 				*(head ? &tail->next : &head) = frame;
 				tail = frame;
 			}
 		}
-		while (open && head && head->due_at_ms <= clock_ms()) {
+		while (open && head && head->deliver_at_ms <= clock_ms()) {
 			frame = head;
 			head = frame->next;
 			if (!head)
--- a/emulator/load_clients.c
+++ b/emulator/load_clients.c
@@ -242,16 +242,16 @@
 	(void)thread;
 	for (;;) {
 		uint64_t k, rng;
-		int64_t due_at_ms;
+		int64_t send_at_ms;
 		int tenant, route, rc;
 		char id[64];
 
 		apr_thread_mutex_lock(clients->mutex);
 		k = clients->next_request++;
 		apr_thread_mutex_unlock(clients->mutex);
-		due_at_ms = clients->started_at_ms +
-			    (int64_t)(k * 1000 / (uint64_t)clients->settings.requests_per_second);
-		while (!clients->stop && clock_ms() < due_at_ms)
+		send_at_ms = clients->started_at_ms +
+			     (int64_t)(k * 1000 / (uint64_t)clients->settings.requests_per_second);
+		while (!clients->stop && clock_ms() < send_at_ms)
 			apr_sleep(2000);
 		if (clients->stop)
 			break;
--- a/emulator/model_server.h
+++ b/emulator/model_server.h
@@ -75,7 +75,7 @@
 	int thaw_ms;
 	int64_t thawed_at_ms;          /* a machine was thawed last, in ms of the run; 0: never */
 	int64_t purge_requested_at_us; /* blocks from before must not be used after the purge is due */
-	int64_t purge_due_at_us;       /* 0: nothing was purged */
+	int64_t next_purge_at_us;      /* 0: nothing was purged */
 	uint64_t old_blocks_used;      /* uses after a purge of blocks from before it */
 	uint64_t new_blocks_used;
 	uint64_t prefilled_tokens;
--- a/emulator/model_server_batch.c
+++ b/emulator/model_server_batch.c
@@ -20,7 +20,7 @@
 /* Count a block's use after a purge: it must have been read since. */
 static void count_block_use(struct server_fleet *fleet, const struct prompt_block *block)
 {
-	if (!fleet->purge_due_at_us || loop_us() < fleet->purge_due_at_us)
+	if (!fleet->next_purge_at_us || loop_us() < fleet->next_purge_at_us)
 		return;
 	if (block->created_at_us < fleet->purge_requested_at_us)
 		fleet->old_blocks_used++;
--- a/emulator/platform_scenarios.c
+++ b/emulator/platform_scenarios.c
@@ -524,7 +524,7 @@
 	sent = loop_us();
 	free(control_call(run, "POST", "/v1/clear", "{\"scope\":\"*\",\"by\":\"notchlug-emulator\"}"));
 	run->fleet.purge_requested_at_us = sent;
-	run->fleet.purge_due_at_us = loop_us() + ms_us(4000);
+	run->fleet.next_purge_at_us = loop_us() + ms_us(4000);
 	run_for(run, 5000);
 	if (!run->small) {
 		machine_freeze(nth_machine(run, 0, 1), 1);
--- a/emulator/scale_model_internal.h
+++ b/emulator/scale_model_internal.h
@@ -76,7 +76,7 @@
 /* A router's watch of a server's cache events, from one event on. */
 struct cache_watch {
 	int node;
-	bool is_due;
+	bool is_expired;
 	uint64_t incarnation;
 	uint64_t token;
 	uint64_t since_event;
--- a/emulator/scale_model_nodes.c
+++ b/emulator/scale_model_nodes.c
@@ -198,7 +198,7 @@
 		return;
 	input.server = (int)(v - fleet->servers);
 	if (watcher.since_event < (uint64_t)arrlen(v->cache_events)) {
-		watcher.is_due = 1;
+		watcher.is_expired = 1;
 		input.at_ms = fleet->now_ms + 2;
 	}
 	arrput(v->watchers, watcher);
--- a/emulator/scale_model_servers.c
+++ b/emulator/scale_model_servers.c
@@ -39,8 +39,8 @@
 		return;
 	arrput(server->cache_events, cache_event);
 	for (ptrdiff_t i = 0; i < arrlen(server->watchers); i++)
-		if (!server->watchers[i].is_due) {
-			server->watchers[i].is_due = 1;
+		if (!server->watchers[i].is_expired) {
+			server->watchers[i].is_expired = 1;
 			model_push_event(fleet,
 					 (struct model_event){ .at_ms = fleet->now_ms + EVENT_DELAY_MS,
 							       .kind = MODEL_WATCHED,
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -90,7 +90,7 @@
 		if (now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-		hint->leader_id = successor;
+		hint->leader_addr = successor;
 		command_send(out, controller->membership.nodes[i].addr, SHARD_CONTROL,
 			     NL__MSG__BODY_LEADER_HINT)
 		    ->leader_hint = hint;
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -310,7 +310,7 @@
 	struct config_watch_request sent;
 
 	if (message->body_case == NL__MSG__BODY_LEADER_HINT) {
-		config_watch_hint(watch, message->shard, message->leader_hint->leader_id);
+		config_watch_hint(watch, message->shard, message->leader_hint->leader_addr);
 		return 0;
 	}
 	if (message->body_case != NL__MSG__BODY_CONFIG_SYNC_REPLY)
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -81,7 +81,7 @@
 		return;
 	}
 	hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-	hint->leader_id = leader_hint(controller, SHARD_PURGE, now);
+	hint->leader_addr = leader_hint(controller, SHARD_PURGE, now);
 	command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
 }
 
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -98,7 +98,7 @@
 		    !core_parse_addr(row->addr))
 			continue;
 		owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-		owner->leader_id = out->addr;
+		owner->leader_addr = out->addr;
 		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)
 		    ->leader_hint = owner;
 	}
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -67,7 +67,7 @@
 
 	if (!leads_shard(controller, SHARD_CONTROL, now)) {
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-		hint->leader_id = leader_hint(controller, SHARD_CONTROL, now);
+		hint->leader_addr = leader_hint(controller, SHARD_CONTROL, now);
 		command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)->leader_hint =
 		    hint;
 		return;
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -34,7 +34,7 @@
 	if (!leads_shard(controller, message->shard, now)) {
 		struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
-		owner->leader_id = leader_hint(controller, message->shard, now);
+		owner->leader_addr = leader_hint(controller, message->shard, now);
 		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint =
 		    owner;
 		return;
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -147,7 +147,7 @@
 			   struct command_list *out)
 {
 	if (!rollout_notice_ms(controller, model->name,
-			       rollout_due_at_ms(controller, model, instance->weights), now)) {
+			       rollout_deadline_ms(controller, model, instance->weights), now)) {
 		log_intent(controller, server, model->name, model->target_weights, now, out);
 		return;
 	}
@@ -230,7 +230,7 @@
 	if (server->state == ROLLOUT_NOTICE) {
 		if (now - server->commanded_at_ms >=
 		    rollout_notice_ms(controller, model->name,
-				      rollout_due_at_ms(controller, model, instance->weights), now))
+				      rollout_deadline_ms(controller, model, instance->weights), now))
 			log_intent(controller, server, model->name, model->target_weights, now, out);
 		return;
 	}
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -134,11 +134,11 @@
 
 /* Whether a candidate goes before the best so far: due sooner, or in a zone with a smaller share unavailable.
  */
-static int is_better(int64_t due_at_ms, const struct zone_servers *zone, int64_t best_due_at_ms,
+static int is_better(int64_t deadline_ms, const struct zone_servers *zone, int64_t best_deadline_ms,
 		     const struct zone_servers *best_zone)
 {
-	if (due_at_ms != best_due_at_ms)
-		return due_at_ms < best_due_at_ms;
+	if (deadline_ms != best_deadline_ms)
+		return deadline_ms < best_deadline_ms;
 	return zone->unavailable * best_zone->total < best_zone->unavailable * zone->total;
 }
 
@@ -147,26 +147,26 @@
 						  struct zone_servers **zones, int64_t now, apr_pool_t *pool)
 {
 	const struct Nl__Instance *best = NULL;
-	int64_t best_due_at_ms = INT64_MAX;
+	int64_t best_deadline_ms = INT64_MAX;
 	struct zone_servers best_zone = { 0 };
 
 	for (ptrdiff_t i = 0; i < shlen(controller->instances.rows); i++) {
 		const struct Nl__Instance *instance = controller->instances.rows[i].value.instance;
 		const char *name = rollout_instance_model(controller, instance);
 		struct zone_servers zone;
-		int64_t due_at_ms;
+		int64_t deadline_ms;
 
 		if (!name || strcmp(name, model->name) ||
 		    rollout_has_weights(instance->weights, model->target_weights))
 			continue;
-		due_at_ms = rollout_due_at_ms(controller, model, instance->weights);
+		deadline_ms = rollout_deadline_ms(controller, model, instance->weights);
 		zone = *zone_servers_of(zones, instance->zone, pool);
-		if (best && !is_better(due_at_ms, &zone, best_due_at_ms, &best_zone))
+		if (best && !is_better(deadline_ms, &zone, best_deadline_ms, &best_zone))
 			continue;
 		if (!may_be_commanded(controller, instance, now))
 			continue;
 		best = instance;
-		best_due_at_ms = due_at_ms;
+		best_deadline_ms = deadline_ms;
 		best_zone = zone;
 	}
 	return best;
@@ -194,7 +194,7 @@
 	int busy;                   /* take one of the slots to load at once */
 	int loading;                /* of those, are known to load, or may: one yet to answer may reject */
 	struct zone_servers *zones; /* stb_ds */
-	int64_t *due_at_ms;         /* stb_ds: of those that may be commanded now, soonest first */
+	int64_t *deadline_ms;       /* stb_ds: of those that may be commanded now, soonest first */
 };
 
 static struct rollout_survey find_servers(struct controller *controller, const struct Nl__Row *model,
@@ -222,13 +222,13 @@
 		if (!is_unavailable && rollout_has_weights(instance->weights, model->target_weights))
 			survey.updated++;
 		else if (may_be_commanded(controller, instance, now))
-			arrput(survey.due_at_ms, rollout_due_at_ms(controller, model, instance->weights));
+			arrput(survey.deadline_ms, rollout_deadline_ms(controller, model, instance->weights));
 		zone = zone_servers_of(&survey.zones, instance->zone, out->pool);
 		zone->total++;
 		zone->unavailable += is_unavailable;
 	}
-	if (survey.due_at_ms)
-		qsort(survey.due_at_ms, (size_t)arrlen(survey.due_at_ms), sizeof *survey.due_at_ms,
+	if (survey.deadline_ms)
+		qsort(survey.deadline_ms, (size_t)arrlen(survey.deadline_ms), sizeof *survey.deadline_ms,
 		      compare_due_times);
 	return survey;
 }
@@ -239,7 +239,7 @@
 {
 	struct rollout_pace *pace = &shgetp(controller->rollout.models, model->name)->value;
 	int slots =
-	    rollout_concurrency(controller, pace, survey->total, survey->due_at_ms, survey->busy, now) -
+	    rollout_concurrency(controller, pace, survey->total, survey->deadline_ms, survey->busy, now) -
 	    survey->busy;
 
 	if (controller->rollout.is_fenced ||
@@ -277,7 +277,7 @@
 			server->max_concurrent_loads = survey.loading;
 	}
 	arrfree(survey.zones);
-	arrfree(survey.due_at_ms);
+	arrfree(survey.deadline_ms);
 	return !survey.total || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -54,7 +54,7 @@
 	return (int64_t)controller->bounds.rollout_ms * (100 - percent) / 100;
 }
 
-int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t due_at_ms,
+int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t deadline_ms,
 			  int64_t now)
 {
 	struct rollout_model *models = controller->rollout.models;
@@ -63,14 +63,14 @@
 	const struct rollout_pace *pace = k >= 0 ? &models[k].value : &none;
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 
-	if (due_at_ms == INT64_MIN ||
-	    now + 2 * load_duration_ms_of(controller, pace) > due_at_ms - reserve_ms)
+	if (deadline_ms == INT64_MIN ||
+	    now + 2 * load_duration_ms_of(controller, pace) > deadline_ms - reserve_ms)
 		return 0;
 	return notice_ms_of(controller, pace);
 }
 
-int64_t rollout_due_at_ms(const struct controller *controller, const struct Nl__Row *model,
-			  const char *weights)
+int64_t rollout_deadline_ms(const struct controller *controller, const struct Nl__Row *model,
+			    const char *weights)
 {
 	const struct Nl__TargetVersion *next_version =
 	    version_history_after(model, strtoull(weights, NULL, 10));
@@ -83,16 +83,16 @@
 
 /* How many servers have to load at once so that each has loaded in the planned time. due_at_ms: of those that
  * are yet to be commanded, soonest first. *urgent: for how many of them that time is over. */
-static int needed_concurrency(const struct controller *controller, const int64_t *due_at_ms, int loading,
+static int needed_concurrency(const struct controller *controller, const int64_t *deadline_ms, int loading,
 			      int64_t load_duration_ms, int64_t now, int *urgent)
 {
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 	int needed = 0;
 
 	*urgent = 0;
-	for (int i = 0; i < arrlen(due_at_ms); i++) {
+	for (int i = 0; i < arrlen(deadline_ms); i++) {
 		int64_t loads_before = i + 1 + loading / 2; /* those under way have begun some time ago */
-		int64_t remaining_ms = due_at_ms[i] == INT64_MIN ? 0 : due_at_ms[i] - reserve_ms - now;
+		int64_t remaining_ms = deadline_ms[i] == INT64_MIN ? 0 : deadline_ms[i] - reserve_ms - now;
 
 		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
 			(*urgent)++;
@@ -105,20 +105,20 @@
 /* Some servers are urgent: all of them at once, or while more at once don't help, or have not shown that they
  * do, a few more, which keep as busy as all would. */
 static int urgent_concurrency(const struct controller *controller, const struct rollout_pace *pace,
-			      int urgent, const int64_t *due_at_ms, int loading, int64_t now)
+			      int urgent, const int64_t *deadline_ms, int loading, int64_t now)
 {
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_DEADLINE_PERCENT);
 	int more_helps =
 	    !pace->is_saturated && (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
 	int all = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
 
-	if (more_helps || due_at_ms[0] == INT64_MIN || now >= due_at_ms[0] - reserve_ms)
+	if (more_helps || deadline_ms[0] == INT64_MIN || now >= deadline_ms[0] - reserve_ms)
 		return all;
 	return all <= 2 * pace->base_concurrency ? all : 2 * pace->base_concurrency;
 }
 
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
-			const int64_t *due_at_ms, int loading, int64_t now)
+			const int64_t *deadline_ms, int loading, int64_t now)
 {
 	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace);
 	int urgent, needed;
@@ -127,9 +127,9 @@
 		pace->base_concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
 		pace->concurrency = pace->base_concurrency;
 	}
-	needed = needed_concurrency(controller, due_at_ms, loading, load_duration_ms, now, &urgent);
+	needed = needed_concurrency(controller, deadline_ms, loading, load_duration_ms, now, &urgent);
 	if (urgent)
-		return urgent_concurrency(controller, pace, urgent, due_at_ms, loading, now);
+		return urgent_concurrency(controller, pace, urgent, deadline_ms, loading, now);
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
 	if (!loading)
--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -113,7 +113,7 @@
 	if (raft->election.vote_barrier_unknown && now < raft->election.vote_barrier_until_ms &&
 	    now >= raft->election.probe_at_ms)
 		raft_send_probes(raft, now, out);
-	if (now < raft->election.due_at_ms || now < raft->election.vote_barrier_until_ms ||
+	if (now < raft->election.timeout_at_ms || now < raft->election.vote_barrier_until_ms ||
 	    raft_sync_stalled(raft, now))
 		return;
 	if (!self || !self->voter)
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -220,7 +220,7 @@
 
 /* Election timer and vote barrier. Owned by raft_election.c. */
 struct raft_election {
-	int64_t due_at_ms;             /* no leader by then: request votes */
+	int64_t timeout_at_ms;         /* no leader by then: request votes */
 	int64_t vote_barrier_until_ms; /* no vote is granted before: an earlier leader's lease may stand */
 	bool vote_barrier_unknown;     /* the barrier may protect a lease from before our restart */
 	int64_t probe_at_ms;           /* next probe by which that is found out */
--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -20,7 +20,7 @@
 
 void raft_reset_election_timer(struct raft *raft, int64_t now)
 {
-	raft->election.due_at_ms =
+	raft->election.timeout_at_ms =
 	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
 }
 
@@ -28,7 +28,7 @@
  * sync the vote. */
 void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now)
 {
-	raft->election.due_at_ms =
+	raft->election.timeout_at_ms =
 	    now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
 }
 
@@ -363,7 +363,7 @@
 			return;
 	raft->election.vote_barrier_unknown = false;
 	raft->election.vote_barrier_until_ms = 0;
-	raft->election.due_at_ms =
+	raft->election.timeout_at_ms =
 	    now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
 	    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
 }
@@ -390,9 +390,10 @@
 		become_candidate(raft, out, now);
 		return;
 	}
-	raft->election.due_at_ms = now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
+	raft->election.timeout_at_ms =
+	    now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
 	if (message->step_down->successor_id)
-		raft->election.due_at_ms += STEP_DOWN_SPREAD_MS;
+		raft->election.timeout_at_ms += STEP_DOWN_SPREAD_MS;
 }
 
 void raft_step_down(struct raft *raft, int64_t now, struct command_list *out)
@@ -403,7 +404,7 @@
 		return;
 	successor = raft_successor(raft, now);
 	raft_become_follower(raft, raft->term, now); /* the lease ends before the step-down is announced */
-	raft->election.due_at_ms += RAFT_ELECTION_MS;
+	raft->election.timeout_at_ms += RAFT_ELECTION_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 		struct Nl__StepDown *message;
@@ -430,7 +431,8 @@
 
 void raft_begin_first_election(struct raft *raft, int64_t now)
 {
-	raft->election.due_at_ms = now + (int64_t)(core_random(&raft->random_state) % BOOTSTRAP_SPREAD_MS);
+	raft->election.timeout_at_ms =
+	    now + (int64_t)(core_random(&raft->random_state) % BOOTSTRAP_SPREAD_MS);
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.vote_barrier_unknown = false;
 }
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -143,7 +143,7 @@
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.vote_barrier_unknown = false;
 	raft->removed = false;
-	raft->election.due_at_ms = now;
+	raft->election.timeout_at_ms = now;
 	return verdict;
 }
 
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -31,7 +31,7 @@
 	struct http_connection *conn;
 
 	while (!fresh && (conn = peer->first_idle)) {
-		if (conn->due_at_ms > now) {
+		if (conn->timeout_at_ms > now) {
 			http_idle_remove(conn);
 			conn->state = CONN_QUEUED;
 			return conn;
@@ -167,7 +167,7 @@
 	n->client.new_connection = conn->client.new_connection;
 	n->client.is_head = conn->client.is_head;
 	n->client.sent = 0;
-	n->due_at_ms = NO_TIME;
+	n->timeout_at_ms = NO_TIME;
 	hmput(http->calls, n->client.token, n);
 	return n;
 }
@@ -468,7 +468,7 @@
 		conn = http_conn_new(http, CONN_CLIENT, -1);
 		conn->state = CONN_FAILED;
 	}
-	conn->due_at_ms = NO_TIME;
+	conn->timeout_at_ms = NO_TIME;
 	conn->client.token = token;
 	conn->client.sent = 0;
 	conn->client.new_connection = output->new_connection;
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -62,12 +62,12 @@
 	http_timer_down(http, l->heap_index);
 }
 
-void http_timer_set(struct http_connection *conn, int64_t due_at_ms)
+void http_timer_set(struct http_connection *conn, int64_t timeout_at_ms)
 {
-	conn->due_at_ms = due_at_ms;
-	if (due_at_ms >= conn->heap_key_ms)
+	conn->timeout_at_ms = timeout_at_ms;
+	if (timeout_at_ms >= conn->heap_key_ms)
 		return;
-	conn->heap_key_ms = due_at_ms;
+	conn->heap_key_ms = timeout_at_ms;
 	if (conn->heap_index < 0) {
 		conn->heap_index = (int)arrlen(conn->http->timer_heap);
 		arrput(conn->http->timer_heap, conn);
@@ -96,7 +96,7 @@
 	conn->fd = fd;
 	conn->fields = field;
 	conn->field_capacity = fcap;
-	conn->due_at_ms = conn->heap_key_ms = NO_TIME;
+	conn->timeout_at_ms = conn->heap_key_ms = NO_TIME;
 	conn->heap_index = -1;
 	return conn;
 }
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -199,12 +199,12 @@
 	int fd; /* -1: none */
 	enum conn_kind kind;
 	enum conn_state state;
-	uint32_t event_mask; /* that epoll waits for; 0: not registered */
-	int closed;          /* freed at the end of the turn */
-	int queued;          /* in http.queued */
-	int64_t due_at_ms;   /* when its timer runs out; NO_TIME: never */
-	int64_t heap_key_ms; /* its key in the timer heap: never later than due_at_ms */
-	int heap_index;      /* -1: not in the heap */
+	uint32_t event_mask;   /* that epoll waits for; 0: not registered */
+	int closed;            /* freed at the end of the turn */
+	int queued;            /* in http.queued */
+	int64_t timeout_at_ms; /* when its timer runs out; NO_TIME: never */
+	int64_t heap_key_ms;   /* its key in the timer heap: never later than due_at_ms */
+	int heap_index;        /* -1: not in the heap */
 	struct buffer input;
 	struct buffer output;
 	size_t scan_offset;      /* of a head: the lines before it are exact */
@@ -318,7 +318,7 @@
 void http_peer_release(struct http *http, struct peer *peer);
 
 /* Timers: a heap whose keys may be early, so that moving a time on costs nothing. */
-void http_timer_set(struct http_connection *conn, int64_t due_at_ms);
+void http_timer_set(struct http_connection *conn, int64_t timeout_at_ms);
 void http_timer_remove(struct http *http, struct http_connection *conn);
 void http_timer_down(struct http *http, int index);
 
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -43,17 +43,17 @@
 	while (arrlen(http->timer_heap) && http->timer_heap[0]->heap_key_ms <= http->now_ms) {
 		struct http_connection *conn = http->timer_heap[0];
 
-		if (conn->due_at_ms > http->now_ms) {
-			if (conn->due_at_ms == NO_TIME) {
+		if (conn->timeout_at_ms > http->now_ms) {
+			if (conn->timeout_at_ms == NO_TIME) {
 				http_timer_remove(http, conn);
 			} else {
-				conn->heap_key_ms = conn->due_at_ms;
+				conn->heap_key_ms = conn->timeout_at_ms;
 				http_timer_down(http, 0);
 			}
 			continue;
 		}
 		http_timer_remove(http, conn);
-		conn->due_at_ms = NO_TIME;
+		conn->timeout_at_ms = NO_TIME;
 		if (conn->kind == CONN_SERVER) {
 			http_server_timeout(conn);
 		} else if (conn->kind == CONN_CLIENT) {
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -126,7 +126,7 @@
 	side->response_deadline_ms = 0;
 	side->closing = conn->head.close;
 	conn->state = CONN_HANDLING;
-	conn->due_at_ms = NO_TIME;
+	conn->timeout_at_ms = NO_TIME;
 	http->busy_count++;
 	http->counters.requests++;
 	http->callback_made = 1;
@@ -197,7 +197,7 @@
 /* Part of a head has come; the first such begins its time-out. */
 static void server_await_head(struct http_connection *conn)
 {
-	if (conn->due_at_ms != NO_TIME && conn->server.head_begun)
+	if (conn->timeout_at_ms != NO_TIME && conn->server.head_begun)
 		return;
 	conn->server.head_begun = 1;
 	begin_wait(conn);
@@ -438,7 +438,7 @@
 
 void http_server_timeout(struct http_connection *conn)
 {
-	int64_t due = conn->server.wait_began_at_ms + wait_ms(conn);
+	int64_t timeout_at_ms = conn->server.wait_began_at_ms + wait_ms(conn);
 
 	if (conn->state == CONN_HANDLING)
 		return;
@@ -446,8 +446,8 @@
 		http_server_linger_read(conn);
 		if (!conn->closed)
 			http_conn_close(conn, 0);
-	} else if (due > conn->http->now_ms) { /* a longer time has come into force */
-		http_timer_set(conn, due);
+	} else if (timeout_at_ms > conn->http->now_ms) { /* a longer time has come into force */
+		http_timer_set(conn, timeout_at_ms);
 	} else if (!has_progressed(conn)) {
 		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
--- a/lib/shell/process_internal.h
+++ b/lib/shell/process_internal.h
@@ -33,7 +33,7 @@
 	apr_time_t mtime;        /* of the file, as are inode and size */
 	apr_ino_t inode;
 	apr_off_t size;
-	bool retry_due;       /* it could not be read the last time */
+	bool retry_pending;   /* it could not be read the last time */
 	char last_error[500]; /* that was logged; empty: none */
 };
 
--- a/lib/shell/settings_watch.c
+++ b/lib/shell/settings_watch.c
@@ -18,7 +18,7 @@
 	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, scratch) !=
 		APR_SUCCESS &&
 	    !info.valid) {
-		watch->retry_due = true; /* it's missing for a moment, or for good: reading it tells */
+		watch->retry_pending = true; /* it's missing for a moment, or for good: reading it tells */
 		return true;
 	}
 	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
@@ -30,7 +30,7 @@
 
 static void log_error_once(struct settings_watch *watch, const char *error_text)
 {
-	watch->retry_due = true;
+	watch->retry_pending = true;
 	if (strncmp(watch->last_error, error_text, sizeof watch->last_error - 1) != 0)
 		log_write(LOG_WARN, "process", "Settings unchanged: %s.", error_text);
 	apr_cpystrn(watch->last_error, error_text, sizeof watch->last_error);
@@ -46,7 +46,7 @@
 		log_error_once(watch, settings.error_text);
 		return;
 	}
-	watch->retry_due = false;
+	watch->retry_pending = false;
 	watch->last_error[0] = 0;
 	log_write(LOG_INFO, "process", "Settings reloaded%s.", process_hangup_received() ? " on SIGHUP" : "");
 	settings.bounds.disabled_mechanisms = process->settings.disabled_mechanisms;
@@ -70,7 +70,7 @@
 	if (!watch->next_poll_at_ms) /* the first poll: they were read a moment ago */
 		changed = false;
 	watch->next_poll_at_ms = now + POLL_MS;
-	if (process_hangup_received() || changed || watch->retry_due) {
+	if (process_hangup_received() || changed || watch->retry_pending) {
 		read_again(watch, process, handlers, scratch);
 		process_clear_hangup();
 	}
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -95,12 +95,12 @@
 	passes_check = tdb_check(storage->database, NULL, NULL) == 0;
 	if (!storage_load(storage, passes_check, found, failure, pool))
 		return failure->error;
-	storage->rewrite_due = !passes_check && !storage_file_rewrite(storage);
+	storage->rewrite_pending = !passes_check && !storage_file_rewrite(storage);
 	if (!passes_check)
 		log_write(
 		    LOG_WARN, "storage",
 		    "%s was torn outside its records by a loss of power; the records %s.", storage->path,
-		    storage->rewrite_due ? "will be rewritten before the next write" : "were rewritten");
+		    storage->rewrite_pending ? "will be rewritten before the next write" : "were rewritten");
 	storage_folder_sync(storage->folder); /* the file's name must last too */
 	return STORAGE_OK;
 }
--- a/lib/shell/storage_file.c
+++ b/lib/shell/storage_file.c
@@ -117,16 +117,16 @@
 
 /* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not
  * allow that yet. */
-static bool rewrite_if_due(struct storage *storage)
+static bool rewrite_if_pending(struct storage *storage)
 {
-	storage->rewrite_due = storage->rewrite_due && !storage_file_rewrite(storage);
-	return !storage->rewrite_due;
+	storage->rewrite_pending = storage->rewrite_pending && !storage_file_rewrite(storage);
+	return !storage->rewrite_pending;
 }
 
 bool storage_transaction_begin(struct storage *storage)
 {
-	return (!storage->transaction_failed || storage_file_reopen(storage)) && rewrite_if_due(storage) &&
-	       tdb_transaction_start(storage->database) == 0;
+	return (!storage->transaction_failed || storage_file_reopen(storage)) &&
+	       rewrite_if_pending(storage) && tdb_transaction_start(storage->database) == 0;
 }
 
 /* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at
--- a/lib/shell/storage_internal.h
+++ b/lib/shell/storage_internal.h
@@ -77,8 +77,8 @@
 	uint64_t last_entry[SHARD_COUNT];  /* highest index stored */
 	int library_faults;                /* that TDB has logged */
 	bool transaction_failed;           /* since the file was opened: what it holds is not known */
-	bool rewrite_due;                  /* the file is torn outside its records and takes no transaction */
-	bool scrub_due; /* deleted records must not stay in freed pages; the writer thread's alone */
+	bool rewrite_pending;              /* the file is torn outside its records and takes no transaction */
+	bool scrub_pending; /* deleted records must not stay in freed pages; the writer thread's alone */
 	apr_thread_mutex_t *mutex;
 
 	struct ring *events; /* where SHELL_EVENT_SYNCED goes */
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -186,7 +186,7 @@
 	apr_thread_mutex_lock(storage->mutex);
 	rewritten = storage_file_rewrite(storage);
 	apr_thread_mutex_unlock(storage->mutex);
-	storage->scrub_due = !rewritten;
+	storage->scrub_pending = !rewritten;
 	if (!rewritten)
 		log_write(
 		    LOG_ERROR, "storage",
@@ -266,8 +266,8 @@
 		inject_sync_delay(storage);
 		refused = write_batch_until_synced(storage, jobs, count);
 		for (size_t i = 0; i < count; i++)
-			storage->scrub_due |= jobs[i]->write.scrub;
-		if (storage->scrub_due && !storage->stop)
+			storage->scrub_pending |= jobs[i]->write.scrub;
+		if (storage->scrub_pending && !storage->stop)
 			scrub(storage);
 		if (refused && !storage->stop)
 			log_write(LOG_INFO, "storage", "Disk accepts writes again.");
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -296,7 +296,7 @@
 
 			/* just before the deaf one asks */
 			while (sim.now < end &&
-			       n->controller->shards[SHARD_CONTROL].election.due_at_ms >
+			       n->controller->shards[SHARD_CONTROL].election.timeout_at_ms >
 				   sim.now + n->clock_skew_ms + 5 + (int64_t)(core_random(&rng) % 20))
 				sim_run(&sim, 1, NULL);
 			sim_crash(&sim, b, 0);
