--- a/lib/control/config_row.h
+++ b/lib/control/config_row.h
@@ -32,9 +32,10 @@
  * pool. NULL with what is wrong in *why. Example: change = config_change_parse(body, pool, &why); */
 struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **why);
 
-/* A string or number member of a JSON object; "" or 0 when it is not there. The string is the object's.
- * Example: json_uint_member(report, "slots") */
+/* A string member of a JSON object, the object's; "" when it is not there or no string. */
 const char *json_string_member(struct json_object *json, const char *name);
+
+/* A number member of a JSON object; 0 when it is not there. Example: json_uint_member(report, "slots") */
 uint64_t json_uint_member(struct json_object *json, const char *name);
 
 #endif
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -13,7 +13,7 @@
 	instances_open(&watch->instances);
 	sh_new_strdup(watch->quotas);
 	watch->node_id = watch->rng = node_id;
-	watch->zone = watch->web = "";
+	watch->zone = "";
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
 		watch->candidates[watch->candidate_count++] = seeds[i];
 	watch->seed_count = watch->candidate_count;
@@ -190,7 +190,6 @@
 	sync->incarnation = watch->node_id;
 	sync->token = ++watch->last_token;
 	sync->zone = (char *)watch->zone;
-	sync->http_addr = (char *)watch->web;
 	sync->is_router = watch->is_router;
 	sync->horizon = horizon;
 	sync->wall_clock_ms = watch->wall_clock_ms;
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -66,7 +66,6 @@
 	/* what this node reports of itself */
 	uint64_t node_id;
 	const char *zone;
-	const char *web; /* never set: the message keeps the field */
 	bool is_router;
 	bool has_index;         /* it holds the prefix index */
 	bool is_warm;           /* a router: in service for a while */
--- a/lib/control/controller_event.h
+++ b/lib/control/controller_event.h
@@ -91,9 +91,9 @@
 
 /* The language that operators' documents are written in; the platform's adapter implements it. */
 struct controller_codec {
-	/* Make a change out of a document, or out of an old one and a patch: rows that replace all earlier ones,
-	 * keys too, and the new document as bytes. Returns 0, or another number with *why saying what is wrong
-	 * and naming the item. Pure; results live in the pool. */
+	/* Make a change out of a document, or out of an old one and a patch: rows that replace all earlier
+	 * ones, keys too, and the new document as bytes. Returns 0, or another number with *why saying what
+	 * is wrong and naming the item. Pure; results live in the pool. */
 	int (*read)(const char *old, size_t old_bytes, const char *body, size_t body_bytes, int is_patch,
 		    struct Nl__Change *change, const char **why, apr_pool_t *pool);
 };
