--- a/emulator/operator.c
+++ b/emulator/operator.c
@@ -6,8 +6,6 @@
 #include "containers.h"
 #include "operator_internal.h"
 
-#include <stdlib.h>
-
 enum {
 	LOST_AFTER_MS = 30, /* a connection whose answer is lost is closed by then */
 	MAX_LOST = 3        /* to one target: what is acknowledged can still be so within AckMs */
@@ -323,7 +321,7 @@
 	struct submission *s;
 
 	snprintf(b, sizeof b, "{\"ModelName\":\"%s\",\"ConfigVersion\":%d}",
-		 config_operator->run->sheet->model, version);
+		 config_operator->run->deployment->model, version);
 	s = new_submission(config_operator, SUBMIT_WEIGHTS, "/version-put", b);
 	s->weights = version;
 	s->version = version;
--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -42,7 +42,7 @@
 	controller->identity.fleet_dirty = true;
 	out->fleet = fleet;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_bootstrap(&controller->shards[i], started, member_count, now, out);
+		raft_bootstrap(&controller->shards[i], started, member_count, now);
 	log_line(controller, "bootstrap", out->pool,
 		 "Fleet %016" APR_UINT64_T_HEX_FMT " is bootstrapped with %d controllers.", fleet,
 		 member_count);
