--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -62,16 +62,16 @@
 	sim_push(&forwarding->sim, input);
 }
 
-/* ---- the judge: what may be in force ------------------------------------------------------ */
+/* ---- the checker: what may be in force ------------------------------------------------------ */
 
-/* A counter that has been in touch all the while from some ms before a moment. */
+/* A router that has been in touch all the while from some ms before a moment. */
 static int in_touch(const struct sim_forward *forwarding, int node, int64_t from)
 {
 	return forwarding->last_fault_at[node] <= from - forwarding->sim.bounds.contact_ms &&
 	       forwarding->last_core_fault_at <= from - forwarding->sim.bounds.contact_ms;
 }
 
-/* Since when the core counts as settled, as the stand's judge has it: a majority is up, and nothing has
+/* Since when the core counts as settled, as the emulator's checker has it: a majority is up, and nothing has
  * changed for contact_ms. INT64_MAX: it does not. */
 static int64_t core_settled_since(const struct sim_forward *forwarding)
 {
@@ -127,7 +127,7 @@
 	return least;
 }
 
-/* A server may be at work for longer than a counter that stops can wait: counted from half of its grace on.
+/* A server may be at work for longer than a router that stops can wait: counted from half of its grace on.
  */
 static int outlasts_grace(const struct sim_forward *forwarding, const struct sim_forward_request *request)
 {
@@ -198,12 +198,12 @@
 	return w;
 }
 
-/* Whether a tenant is surely walled off for what was asked then: in every version that may be in force. */
+/* Whether a tenant is surely isolated for what was asked then: in every version that may be in force. */
 static int walled(const struct sim_forward *forwarding, int node, int64_t submitted, int tenant)
 {
 	ptrdiff_t from = 0;
 
-	/* also a counter that is not in touch sends by nothing older than what it rides on */
+	/* also a router that is not in touch sends by nothing older than what it goes on */
 	for (ptrdiff_t k = arrlen(forwarding->configs) - 1; k > 0 && !from; k--)
 		if (forwarding->configs[k].acked_at < submitted - forwarding->sim.bounds.revoke_ms - 500)
 			from = k;
@@ -373,7 +373,7 @@
 	return core_hash_string(5, text);
 }
 
-/* ---- what comes back to a door --------------------------------------------------------------- */
+/* ---- what comes back to a front end --------------------------------------------------------------- */
 
 static void end_run(struct sim_forward *forwarding, struct sim_forward_call *call)
 {
@@ -427,7 +427,7 @@
 static void told(struct sim_forward *forwarding, struct sim_forward_request *r, int how, int status)
 {
 	if (r->outcome == SIM_FORWARD_LOST)
-		return; /* it left by itself, while its counter was frozen: it hears nothing more */
+		return; /* it left by itself, while its router was frozen: it hears nothing more */
 	if (r->outcome != SIM_FORWARD_OPEN)
 		sim_violation(&forwarding->sim, "ENDS: %s has a second end, %d after %d", r->id, how,
 			      r->outcome);
@@ -439,7 +439,7 @@
 	forwarding->n_cut += how == SIM_FORWARD_CUT;
 }
 
-/* A counter ends what it holds, once: not what has ended, nor what nobody asked. */
+/* A router ends what it holds, once: not what has ended, nor what nobody asked. */
 static void judge_end(struct sim_forward *forwarding, int node, uint64_t token)
 {
 	for (ptrdiff_t i = arrlen(forwarding->requests) - 1; i >= 0; i--)
@@ -720,7 +720,8 @@
 	if (call->fate == FATE_SILENT)
 		return; /* nothing comes any more; the run takes its place until it is given up */
 	if (call->fate == FATE_HARD ||
-	    call->fate == FATE_BARE) { /* as the door does: an answer that would promise too much is none */
+	    call->fate ==
+		FATE_BARE) { /* as the front end does: an answer that would promise too much is none */
 		if (call->joined || call->repeatable || call->fate == FATE_BARE) {
 			ended(forwarding, at, FORWARD_BROKEN_OFF, call->fate == FATE_HARD ? 500 : 503, 0);
 			return;
@@ -770,7 +771,8 @@
 	ended(forwarding, at, FORWARD_COMPLETE, 200, 0);
 }
 
-/* ---- the door's commands --------------------------------------------------------------------------- */
+/* ---- the front end's commands ---------------------------------------------------------------------------
+ */
 
 static void start_forward(struct sim_forward *forwarding, int node, const struct forward_command *forward)
 {
@@ -1159,7 +1161,7 @@
 	forwarding->core_up = up;
 }
 
-/* Where each counter and the core stand. */
+/* Where each router and the core stand. */
 static void mark(struct sim_forward *forwarding)
 {
 	int core = 0;
