--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -109,7 +109,8 @@
 {
 	struct storage_failure failure;
 
-	fixture->store = storage_open(fixture->folder, NULL, fixture->ring, &fixture->found, &failure, fixture->pool);
+	fixture->store =
+	    storage_open(fixture->folder, NULL, fixture->ring, &fixture->found, &failure, fixture->pool);
 	return fixture->store ? NULL : storage_strerror(&failure, fixture->pool);
 }
 
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -596,8 +596,8 @@
 
 /* A router with servers on weights 1, but for the last few, which have the newest; one target version a ms,
  * the first at a moment. */
-static void open_lone_router(struct router_fixture *fixture, int servers, int new_servers, int targets, int64_t at,
-		      int repeatable, int attempts)
+static void open_lone_router(struct router_fixture *fixture, int servers, int new_servers, int targets,
+			     int64_t at, int repeatable, int attempts)
 {
 	struct Nl__Row *row[3];
 	struct Nl__Instance **instance;
