--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -19,13 +19,13 @@
 {
 	if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
 		router_event->kind = ROUTER_EVENT_CLAIMED_REQUEST;
-		router_event->u.claimed_request.token = event->token;
-		router_event->u.claimed_request.key_digest = event->key_digest;
-		router_event->u.claimed_request.body = event->body;
+		router_event->args.claimed_request.token = event->token;
+		router_event->args.claimed_request.key_digest = event->key_digest;
+		router_event->args.claimed_request.body = event->body;
 	} else {
 		router_event->kind = ROUTER_EVENT_HTTP_GET;
-		router_event->u.http_get.token = event->token;
-		router_event->u.http_get.path = event->path;
+		router_event->args.http_get.token = event->token;
+		router_event->args.http_get.path = event->path;
 	}
 }
 
@@ -34,15 +34,15 @@
 {
 	if (event->is_stream) {
 		router_event->kind = ROUTER_EVENT_CALL_ENDED;
-		router_event->u.call_ended.token = event->token;
-		router_event->u.call_ended.status = event->status;
-		router_event->u.call_ended.not_started = event->never_sent;
-		router_event->u.call_ended.body = event->body;
+		router_event->args.call_ended.token = event->token;
+		router_event->args.call_ended.status = event->status;
+		router_event->args.call_ended.not_started = event->never_sent;
+		router_event->args.call_ended.body = event->body;
 	} else {
 		router_event->kind = ROUTER_EVENT_REPORT_POLLED;
-		router_event->u.report_polled.token = event->token;
-		router_event->u.report_polled.status = event->status;
-		router_event->u.report_polled.body = event->body;
+		router_event->args.report_polled.token = event->token;
+		router_event->args.report_polled.status = event->status;
+		router_event->args.report_polled.body = event->body;
 	}
 }
 
@@ -52,27 +52,27 @@
 	switch (event->kind) {
 	case SHELL_EVENT_MESSAGE:
 		router_event->kind = ROUTER_EVENT_MESSAGE;
-		router_event->u.message = event->message;
+		router_event->args.message = event->message;
 		return 1;
 	case SHELL_EVENT_REQUEST:
 		request_event(event, router_event);
 		return 1;
 	case SHELL_EVENT_DISCONNECTED:
 		router_event->kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
-		router_event->u.client_disconnected.token = event->token;
+		router_event->args.client_disconnected.token = event->token;
 		return 1;
 	case SHELL_EVENT_CHUNK:
 		router_event->kind = ROUTER_EVENT_STREAM_CHUNK;
-		router_event->u.stream_chunk.token = event->token;
-		router_event->u.stream_chunk.text = event->body;
+		router_event->args.stream_chunk.token = event->token;
+		router_event->args.stream_chunk.text = event->body;
 		return 1;
 	case SHELL_EVENT_CALL_DONE:
 		call_event(event, router_event);
 		return 1;
 	case SHELL_EVENT_STOP:
 		router_event->kind = ROUTER_EVENT_STOP;
-		router_event->u.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
-		router_event->u.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_ANSWERS_MS;
+		router_event->args.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
+		router_event->args.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_ANSWERS_MS;
 		return 1;
 	default:
 		return 0;
--- a/lib/control/operator_state.h
+++ b/lib/control/operator_state.h
@@ -4,7 +4,8 @@
 #ifndef NL_OPERATOR_STATE_H
 #define NL_OPERATOR_STATE_H
 
-#include "controller.h"
+#include "controller_event.h"
+#include "controller_state.h"
 
 /* Answer a read of this node's state. */
 void read_state(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/rollout_command.h
+++ b/lib/control/rollout_command.h
@@ -6,7 +6,7 @@
 #ifndef NL_ROLLOUT_COMMAND_H
 #define NL_ROLLOUT_COMMAND_H
 
-#include "controller.h"
+#include "controller_state.h"
 
 /* Release what a server's record owns. */
 void rollout_server_free(struct rollout_server *server);
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -1,8 +1,8 @@
 /* raft: one replicated state machine (a shard of the control state): log, elections, leader lease, snapshots,
  * membership. After Ongaro and Ousterhout, with pre-vote, leader leases, and single-member changes
- * (docs/consistency.md says what differs). Pure: events in, commands out; no socket, file or clock. The
- * leader may act or answer only while raft_has_lease holds. All times are milliseconds of the process's own
- * monotonic clock. */
+ * (docs/consistency.md says what holds, and why). Pure: events in, commands out; no socket, file or clock.
+ * The leader may act or answer only while raft_has_lease holds. All times are milliseconds of the process's
+ * own monotonic clock. */
 #ifndef NL_RAFT_H
 #define NL_RAFT_H
 
@@ -319,9 +319,8 @@
 void raft_close(struct raft *raft);
 
 /* Make these the members of an empty replica with an empty log; one that holds anything is left as it is.
- * Example: raft_bootstrap(&raft, members, 3, now, out); */
-void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now,
-		    struct command_list *out);
+ * Example: raft_bootstrap(&raft, members, 3, now); */
+void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now);
 
 /* Let time pass: heartbeats, lease, elections. Call at least every RAFT_PROBE_MS. Example: raft_tick(&raft,
  * now, out); */
