--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -11,10 +11,8 @@
 #include "json_add.h"
 
 enum {
-	CALL_TIMEOUT_MS = 400,    /* of a command or a poll */
-	SERVER_DEAD_MS = 10000,   /* without a report: the server loads the target weights when it is back */
-	FENCE_SEQUENCE_BITS = 20, /* a fence is the term, above the number of the command in it */
-	FENCE_SEQUENCE_MASK = (1 << FENCE_SEQUENCE_BITS) - 1
+	CALL_TIMEOUT_MS = 400,  /* of a command or a poll */
+	SERVER_DEAD_MS = 10000, /* without a report: the server loads the target weights when it is back */
 };
 
 /* ---- commands and reports ---- */
@@ -58,8 +56,8 @@
 static void send_command(struct controller *controller, struct controller_server *server, uint32_t shard,
 			 const char *addr, struct json_object *command, int64_t now, struct command_list *out)
 {
-	uint32_t sequence = ++controller->server_rollout.command_sequence & FENCE_SEQUENCE_MASK;
-	uint64_t fence = controller->shards[shard].term << FENCE_SEQUENCE_BITS | sequence;
+	uint32_t sequence = ++controller->server_rollout.command_sequence & ROLLOUT_FENCE_SEQUENCE_MASK;
+	uint64_t fence = controller->shards[shard].term << ROLLOUT_FENCE_SEQUENCE_BITS | sequence;
 	const char *body;
 
 	json_add_number(command, "fence", (int64_t)fence);
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -15,6 +15,12 @@
 struct controller;
 struct controller_server;
 
+/* A fence is the leader's term, above the number of the command in that term. */
+enum {
+	ROLLOUT_FENCE_SEQUENCE_BITS = 20,
+	ROLLOUT_FENCE_SEQUENCE_MASK = (1 << ROLLOUT_FENCE_SEQUENCE_BITS) - 1
+};
+
 /* Of rollout_instances.c and rollout_pace.c. */
 enum {
 	ROLLOUT_POLL_MS = 200,              /* between polls of a server that should soon have loaded */
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -12,8 +12,6 @@
 #include "rollout_pace.h"
 
 enum {
-	FENCE_SEQUENCE_BITS = 20, /* a fence is the term, above the number of the command in it */
-	FENCE_SEQUENCE_MASK = (1 << FENCE_SEQUENCE_BITS) - 1,
 	INTENT_TTL_MS = 60000,       /* for which an intent is remembered */
 	NEVER_SENT_BACKOFF_MS = 100, /* before a command that never left is sent again */
 };
@@ -129,8 +127,8 @@
 	rolled.service = (char *)model;
 	rolled.weights = (char *)weights;
 	rolled.server = server->name;
-	rolled.fence = controller->rollout.term << FENCE_SEQUENCE_BITS |
-		       (controller->rollout.command_seq & FENCE_SEQUENCE_MASK);
+	rolled.fence = controller->rollout.term << ROLLOUT_FENCE_SEQUENCE_BITS |
+		       (controller->rollout.command_seq & ROLLOUT_FENCE_SEQUENCE_MASK);
 	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 	operation.rolled_out = &rolled;
 	if (!log_operation(controller, SHARD_CONTROL, &operation, now, out))
@@ -183,8 +181,9 @@
 	command = command_add(out, CMD_LOAD_WEIGHTS);
 	command->args.load_weights.token = server->command_token;
 	command->args.load_weights.addr = core_parse_addr(instance->addr);
-	command->args.load_weights.fencing_token = controller->rollout.term << FENCE_SEQUENCE_BITS |
-						   (++controller->rollout.command_seq & FENCE_SEQUENCE_MASK);
+	command->args.load_weights.fencing_token =
+	    controller->rollout.term << ROLLOUT_FENCE_SEQUENCE_BITS |
+	    (++controller->rollout.command_seq & ROLLOUT_FENCE_SEQUENCE_MASK);
 	command->args.load_weights.server = apr_pstrdup(out->pool, instance->server);
 	command->args.load_weights.model = apr_pstrdup(out->pool, model);
 	command->args.load_weights.weights = apr_pstrdup(out->pool, server->target_weights);
