--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -6,9 +6,10 @@
 #include <string.h>
 #include <sys/socket.h>
 
+#include "clock.h"
 #include "containers.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 static struct peer *peer_find_or_add(struct http *http, uint64_t addr)
 {
@@ -23,7 +24,7 @@
 	return peer;
 }
 
-/* A connection to a peer: a kept one, or one that is still to be opened, or NULL beyond the bound. */
+/* A connection to a peer: an idle one, or one that is still to be opened, or NULL beyond the bound. */
 static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer, int fresh,
 						       int64_t now)
 {
@@ -54,13 +55,14 @@
 	return conn;
 }
 
-/* How long a connection is kept: the server must not close it just as we use it. */
+/* How long an idle connection may be used: the server must not close it just as we do. */
 static int64_t keep_alive_ms(const struct http_head *hd)
 {
 	int64_t margin = (int64_t)hd->keep_alive_s * 250;
 
-	return hd->keep_alive_s < 0 ? DEFAULT_KEEP_ALIVE_MS
-				    : (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
+	if (hd->keep_alive_s < 0)
+		return DEFAULT_KEEP_ALIVE_MS;
+	return (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
 static void client_make_idle(struct http_connection *conn)
@@ -83,7 +85,6 @@
 	http_timer_set(conn, conn->client.reusable_until_ms);
 }
 
-/* The call is over. keep: its connection may serve another. */
 void http_client_end(struct http_connection *conn, enum http_call_result result, int reusable)
 {
 	struct http *http = conn->http;
@@ -111,6 +112,14 @@
 	return left < right ? left : right;
 }
 
+/* When the request must have left. */
+static int64_t sending_deadline_ms(const struct http_connection *conn)
+{
+	int64_t not_after_ms = conn->client.not_after_ms;
+
+	return earlier(not_after_ms == NO_TIME ? NO_TIME : not_after_ms + 1, conn->client.deadline_ms);
+}
+
 static void client_connect(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -128,14 +137,11 @@
 	}
 	conn->state = CONN_CONNECTING;
 	http_conn_watch(conn, HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(
-	    conn,
-	    earlier(earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
-			    conn->client.deadline_ms),
-		    http->now_ms + conn->client.connect_timeout_ms));
+	http_timer_set(conn,
+		       earlier(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
 }
 
-/* Put the call on another connection: nothing of it went out on this one. */
+/* Move the call to another connection: no byte of it was sent on this one. */
 static struct http_connection *client_move_call(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -166,7 +172,7 @@
 	return n;
 }
 
-/* Send what is left of the request. Returns 0 when the first send failed with nothing written. */
+/* Send the rest of the request. Returns 0 when the first send failed with nothing written. */
 static int client_send(struct http_connection *conn)
 {
 	size_t off = conn->output.offset;
@@ -175,7 +181,7 @@
 	if (lost) {
 		if (!conn->client.sent)
 			return 0;
-		/* an answer may have come all the same; what is read says so */
+		/* an answer may have come all the same; reading shows it */
 		conn->client.request_cut = 1;
 		http_buffer_free(conn->http, &conn->output);
 		http_conn_watch(conn, HTTP_READ_EVENTS);
@@ -183,17 +189,13 @@
 	}
 	conn->client.sent |= all || conn->output.offset > off;
 	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(
-	    conn,
-	    all ? conn->client.deadline_ms
-		: earlier(conn->client.not_after_ms == NO_TIME ? NO_TIME : conn->client.not_after_ms + 1,
-			  conn->client.deadline_ms));
+	http_timer_set(conn, all ? conn->client.deadline_ms : sending_deadline_ms(conn));
 	return 1;
 }
 
 static int too_late(const struct http_connection *conn)
 {
-	int64_t now = clock_ms(); /* anew: the process may just have woken from a freeze */
+	int64_t now = clock_ms(); /* not http->now_ms: the process may have been suspended since */
 
 	return now > conn->client.not_after_ms || now >= conn->client.deadline_ms;
 }
@@ -232,7 +234,7 @@
 
 static int client_parse(struct http_connection *conn, const char *data, size_t size);
 
-/* An answer to another request is over; what stands behind it, or is to come, is the next one. */
+/* An answer to another request is over; the bytes behind it, or still to come, are the next one. */
 static int client_next_response(struct http_connection *conn, const char *behind, size_t size)
 {
 	char *copy = NULL;
@@ -243,7 +245,7 @@
 		client_broken(conn);
 		return 1;
 	}
-	if (size) { /* it may stand in the buffer that is emptied here */
+	if (size) { /* it may be in the buffer that is emptied here */
 		copy = malloc(size);
 		if (!copy)
 			abort();
@@ -258,7 +260,7 @@
 	return over;
 }
 
-/* Whole, with surplus bytes behind it or not. */
+/* The answer is complete; surplus bytes behind it end the connection. */
 static int client_response_complete(struct http_connection *conn, const char *behind, size_t surplus)
 {
 	if (conn->client.skipping)
@@ -292,9 +294,9 @@
 		client_pass_body(conn, data, span_size);
 		if (conn->closed)
 			return 1;
-		return conn->body_remaining
-			   ? 0
-			   : client_response_complete(conn, data + span_size, size - span_size);
+		if (conn->body_remaining)
+			return 0;
+		return client_response_complete(conn, data + span_size, size - span_size);
 	case BODY_CHUNKED:
 		while (size && conn->chunks.state != CHUNK_DONE) {
 			if ((consumed = http_chunk_step(&conn->chunks, data, size, &span, &span_size)) < 0) {
@@ -316,6 +318,19 @@
 	}
 }
 
+/* How the body behind the head that was read is framed (RFC 9112, 6.3). */
+static enum body_framing response_framing(const struct http_connection *conn)
+{
+	const struct http_head *head = &conn->head;
+
+	if (conn->client.is_head || head->status == 204 || head->status == 304 ||
+	    (head->has_length && !head->length))
+		return BODY_NONE;
+	if (head->chunked)
+		return BODY_CHUNKED;
+	return head->has_length ? BODY_LENGTH : BODY_UNTIL_EOF;
+}
+
 static int client_parse(struct http_connection *conn, const char *data, size_t size)
 {
 	struct http *http = conn->http;
@@ -347,13 +362,7 @@
 	}
 	conn->body_remaining = conn->head.length;
 	conn->chunks = (struct chunk_parser){ 0 };
-	conn->client.response_framing = conn->client.is_head || conn->head.status == 204 ||
-						conn->head.status == 304 ||
-						(conn->head.has_length && !conn->body_remaining)
-					    ? BODY_NONE
-					: conn->head.chunked    ? BODY_CHUNKED
-					: conn->head.has_length ? BODY_LENGTH
-								: BODY_UNTIL_EOF;
+	conn->client.response_framing = response_framing(conn);
 	conn->state = CONN_READING_RESPONSE;
 	http_head_resolve_fields(conn);
 	http->callback_made = 1;
@@ -426,7 +435,7 @@
 		http_conn_close(conn, 0);
 		return;
 	default:
-		return; /* its start looks for itself */
+		return; /* its start checks by itself */
 	}
 }
 
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -5,8 +5,9 @@
 #include <unistd.h>
 
 #include "containers.h"
+#include "core.h"
 #include "http_internal.h"
-#include "shell.h"
+#include "log.h"
 
 enum { MAX_ACCEPT_BURST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
 
@@ -31,7 +32,7 @@
 	return slot;
 }
 
-/* Returns 0 when there is none, or no descriptor for it. */
+/* Returns 0 when there is no connection to accept, or no descriptor for it. */
 static int accept_one(struct http_connection *l)
 {
 	struct http *http = l->http;
@@ -66,10 +67,12 @@
 	int i;
 
 	/* one a turn, and more only when more wait turn after turn */
-	listener->accept_burst =
-	    listener->last_turn + 1 == http->turn
-		? listener->accept_burst < MAX_ACCEPT_BURST ? listener->accept_burst * 2 : MAX_ACCEPT_BURST
-		: 1;
+	if (listener->last_turn + 1 != http->turn)
+		listener->accept_burst = 1;
+	else if (listener->accept_burst < MAX_ACCEPT_BURST)
+		listener->accept_burst *= 2;
+	else
+		listener->accept_burst = MAX_ACCEPT_BURST;
 	listener->last_turn = http->turn;
 	for (i = 0; i < listener->accept_burst && accept_one(conn); i++)
 		;
@@ -154,7 +157,7 @@
 			http_server_reject(http->slots[i], 503, retry_after_ms);
 }
 
-/* ---- leaving ---- */
+/* ---- draining ---- */
 
 static void schedule_sweep(struct http *http, struct http_connection *conn)
 {
@@ -162,8 +165,7 @@
 	conn->listener.sweep_due = 1;
 }
 
-/* Nothing of a request was read, and none is awaited: at a door that leaves, or of a client that was never
- * served. */
+/* Nothing of a request was read, and none is awaited: the listener drains, or the client never sent one. */
 static int may_close_unread(const struct http_connection *conn)
 {
 	return conn->state == CONN_READING_HEAD && !conn->input.len &&
