--- a/lib/control/retention_state.c
+++ b/lib/control/retention_state.c
@@ -145,7 +145,7 @@
 }
 
 /* A new purge of a scope ends the one before it: the slices that are open go out at once. */
-static void end_open_purges(const struct entry_context *context, const char *scope, int64_t wall_ms)
+static void end_open_purges(const struct entry_context *context, const char *scope, int64_t unix_ms)
 {
 	struct retention *retention = context->retention;
 
@@ -156,7 +156,7 @@
 			continue;
 		while (purge->slices < PURGE_SLICES)
 			feed_slice(context, purge);
-		purge->sliced_at_ms = wall_ms;
+		purge->sliced_at_ms = unix_ms;
 	}
 }
 
