--- a/emulator/load_clients.c
+++ b/emulator/load_clients.c
@@ -184,13 +184,13 @@
 }
 
 /* The outcome's name in the records. */
-static const char *outcome_name(CURLcode rc, long status, const struct answer_reader *reader)
+static const char *outcome_name(CURLcode result, long status, const struct answer_reader *reader)
 {
-	if (rc == CURLE_OK && status == 200 && reader->end_count == 1 && !reader->error[0])
+	if (result == CURLE_OK && status == 200 && reader->end_count == 1 && !reader->error[0])
 		return "whole";
-	if (rc == CURLE_OK && !strcmp(reader->outcome, "refused"))
+	if (result == CURLE_OK && !strcmp(reader->outcome, "refused"))
 		return "refused";
-	return rc == CURLE_COULDNT_CONNECT ? "unreached" : "unknown";
+	return result == CURLE_COULDNT_CONNECT ? "unreached" : "unknown";
 }
 
 enum request_outcome { REQUEST_COMPLETED, REQUEST_NOT_RUN, REQUEST_UNCLEAR };
--- a/lib/core/prefix_index.h
+++ b/lib/core/prefix_index.h
@@ -13,7 +13,7 @@
 	uint32_t server_index;
 	uint32_t tenant_index; /* whose request made it */
 	uint32_t service_index;
-	uint64_t weights_hash;  /* of the name of the weights that computed it */
+	uint64_t weights_index; /* of the weights that computed it, among the names that the router knows */
 	uint64_t stamp_tick;    /* purge tick that the router knew */
 	uint64_t report_number; /* last report that named it; with forwarded requests the generation of its
 				   cache namespace */
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -27,7 +27,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(replicas); i++) {
 		const struct block_replica *replica = &replicas[i];
 
-		if (replica->server_index != server_index || replica->weights_hash != weights ||
+		if (replica->server_index != server_index || replica->weights_index != weights ||
 		    replica->tenant_index >= routes->tenant_count)
 			continue;
 		if (!may_share(routes, replica->tenant_index, request->route.tenant_index))
--- a/lib/data/router_purge.c
+++ b/lib/data/router_purge.c
@@ -20,7 +20,7 @@
 	switch (purge->reason) {
 	case PURGE_WEIGHTS:
 		return !strcmp(router->names.services.names[replica->service_index], purge->service) &&
-		       !strcmp(router->names.weights.names[replica->weights_hash], purge->weights);
+		       !strcmp(router->names.weights.names[replica->weights_index], purge->weights);
 	case PURGE_CONTEXT: /* of forwarded requests the namespace has another name from now on; the old ones
 			       go as servers say */
 		return !router->config.bounds.discover_instances &&
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -56,13 +56,13 @@
 }
 
 /* How long an idle connection may be used: the server must not close it just as we do. */
-static int64_t keep_alive_ms(const struct http_head *hd)
+static int64_t keep_alive_ms(const struct http_head *head)
 {
-	int64_t margin = (int64_t)hd->keep_alive_s * 250;
+	int64_t margin = (int64_t)head->keep_alive_s * 250;
 
-	if (hd->keep_alive_s < 0)
+	if (head->keep_alive_s < 0)
 		return DEFAULT_KEEP_ALIVE_MS;
-	return (int64_t)hd->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
+	return (int64_t)head->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
 }
 
 static void client_make_idle(struct http_connection *conn)
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -33,16 +33,16 @@
 }
 
 /* Returns 0 when there is no connection to accept, or no descriptor for it. */
-static int accept_one(struct http_connection *l)
+static int accept_one(struct http_connection *listening)
 {
-	struct http *http = l->http;
-	struct listener *listener = &l->listener;
-	int fd = accept4(l->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+	struct http *http = listening->http;
+	struct listener *listener = &listening->listener;
+	int fd = accept4(listening->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 	struct http_connection *conn;
 
 	if (fd < 0) {
 		if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
-			pause_accepting(l);
+			pause_accepting(listening);
 		return 0;
 	}
 	if (!listener->options_checked) {
@@ -53,7 +53,7 @@
 		http_socket_options(fd);
 	http->counters.accepted++;
 	conn = http_conn_new(http, CONN_SERVER, fd);
-	conn->server.listener = l;
+	conn->server.listener = listening;
 	conn->server.slot = slot_allocate(http, conn);
 	http_conn_watch(conn, HTTP_READ_EVENTS);
 	http_server_idle(conn);
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -160,15 +160,15 @@
 	return 0;
 }
 
-static int number(const char *v, size_t n, uint64_t *to)
+static int number(const char *value, size_t n, uint64_t *to)
 {
 	uint64_t x = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (v[i] < '0' || v[i] > '9')
+		if (value[i] < '0' || value[i] > '9')
 			return 0;
-		x = x * 10 + (uint64_t)(v[i] - '0');
+		x = x * 10 + (uint64_t)(value[i] - '0');
 	}
 	*to = x;
 	return n > 0 && n <= 15;
@@ -190,32 +190,32 @@
 	return -1;
 }
 
-static void note(struct http_head *head, const char *name, size_t nn, const char *v, size_t n)
+static void note(struct http_head *head, const char *name, size_t name_length, const char *value, size_t n)
 {
-	switch (nn) {
+	switch (name_length) {
 	case 4:
 		head->host_count += !strncasecmp(name, "host", 4);
 		break;
 	case 6:
 		head->expects_continue |=
-		    !strncasecmp(name, "expect", 6) && list_has_token(v, n, "100-continue");
+		    !strncasecmp(name, "expect", 6) && list_has_token(value, n, "100-continue");
 		break;
 	case 10:
 		if (!strncasecmp(name, "connection", 10))
-			head->close |= list_has_token(v, n, "close");
+			head->close |= list_has_token(value, n, "close");
 		else if (!strncasecmp(name, "keep-alive", 10))
-			head->keep_alive_s = keep_alive_seconds(v, n);
+			head->keep_alive_s = keep_alive_seconds(value, n);
 		break;
 	case 14:
 		if (strncasecmp(name, "content-length", 14))
 			break;
-		head->malformed |= head->has_length || !number(v, n, &head->length);
+		head->malformed |= head->has_length || !number(value, n, &head->length);
 		head->has_length = 1;
 		break;
 	case 17:
 		if (strncasecmp(name, "transfer-encoding", 17))
 			break;
-		head->malformed |= head->chunked || n != 7 || strncasecmp(v, "chunked", 7);
+		head->malformed |= head->chunked || n != 7 || strncasecmp(value, "chunked", 7);
 		head->chunked = 1;
 		break;
 	}
@@ -303,23 +303,23 @@
 	return -1;
 }
 
-static int is_control(char c)
+static int is_control(char byte)
 {
-	return ((unsigned char)c < 32 && c != '\t') || c == 127;
+	return ((unsigned char)byte < 32 && byte != '\t') || byte == 127;
 }
 
 /* A byte that must be this one, and leads to the next state. */
-static int expect(struct chunk_parser *chunks, char c, char expected, enum chunk_state next)
+static int expect(struct chunk_parser *chunks, char byte, char expected, enum chunk_state next)
 {
-	if (c != expected)
+	if (byte != expected)
 		return 0;
 	chunks->state = next;
 	return 1;
 }
 
-static int size_byte(struct chunk_parser *chunks, char c)
+static int size_byte(struct chunk_parser *chunks, char byte)
 {
-	int digit = hex_digit(c);
+	int digit = hex_digit(byte);
 
 	if (digit >= 0) {
 		chunks->remaining = chunks->remaining * 16 + (uint64_t)digit;
@@ -328,42 +328,42 @@
 	chunks->line_bytes = 0;
 	if (!chunks->digit_count)
 		return 0;
-	return expect(chunks, c, '\r', CHUNK_SIZE_LF) || expect(chunks, c, ';', CHUNK_EXTENSION);
+	return expect(chunks, byte, '\r', CHUNK_SIZE_LF) || expect(chunks, byte, ';', CHUNK_EXTENSION);
 }
 
-static int trailer_start_byte(struct chunk_parser *chunks, char c)
+static int trailer_start_byte(struct chunk_parser *chunks, char byte)
 {
-	if (expect(chunks, c, '\r', CHUNK_END_LF))
+	if (expect(chunks, byte, '\r', CHUNK_END_LF))
 		return 1;
 	chunks->state = CHUNK_TRAILER;
-	return http_token_char[(unsigned char)c];
+	return http_token_char[(unsigned char)byte];
 }
 
 /* One byte of the framing; 0 when it's wrong there. */
-static int framing_byte(struct chunk_parser *chunks, char c)
+static int framing_byte(struct chunk_parser *chunks, char byte)
 {
 	switch (chunks->state) {
 	case CHUNK_SIZE:
-		return size_byte(chunks, c);
+		return size_byte(chunks, byte);
 	case CHUNK_EXTENSION:
-		return expect(chunks, c, '\r', CHUNK_SIZE_LF) ||
-		       (!is_control(c) && ++chunks->line_bytes <= MAX_CHUNK_LINE_BYTES);
+		return expect(chunks, byte, '\r', CHUNK_SIZE_LF) ||
+		       (!is_control(byte) && ++chunks->line_bytes <= MAX_CHUNK_LINE_BYTES);
 	case CHUNK_SIZE_LF:
-		return expect(chunks, c, '\n', chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START);
+		return expect(chunks, byte, '\n', chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START);
 	case CHUNK_DATA_CR:
-		return expect(chunks, c, '\r', CHUNK_DATA_LF);
+		return expect(chunks, byte, '\r', CHUNK_DATA_LF);
 	case CHUNK_DATA_LF:
 		chunks->digit_count = 0;
-		return expect(chunks, c, '\n', CHUNK_SIZE);
+		return expect(chunks, byte, '\n', CHUNK_SIZE);
 	case CHUNK_TRAILER_START:
-		return trailer_start_byte(chunks, c);
+		return trailer_start_byte(chunks, byte);
 	case CHUNK_TRAILER:
-		return expect(chunks, c, '\r', CHUNK_TRAILER_LF) ||
-		       (!is_control(c) && ++chunks->trailer_bytes <= MAX_TRAILER_BYTES);
+		return expect(chunks, byte, '\r', CHUNK_TRAILER_LF) ||
+		       (!is_control(byte) && ++chunks->trailer_bytes <= MAX_TRAILER_BYTES);
 	case CHUNK_TRAILER_LF:
-		return expect(chunks, c, '\n', CHUNK_TRAILER_START);
+		return expect(chunks, byte, '\n', CHUNK_TRAILER_START);
 	case CHUNK_END_LF:
-		return expect(chunks, c, '\n', CHUNK_DONE);
+		return expect(chunks, byte, '\n', CHUNK_DONE);
 	case CHUNK_DATA:
 	case CHUNK_DONE:
 		break;
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -47,14 +47,14 @@
 		memcpy(d + i, &version, sizeof version);
 }
 
-static uint64_t version_of(const uint8_t *d, size_t len)
+static uint64_t version_of(const uint8_t *document, size_t len)
 {
 	uint64_t version, other;
 
 	assert_true(len >= sizeof version);
-	memcpy(&version, d, sizeof version);
+	memcpy(&version, document, sizeof version);
 	for (size_t i = 0; i + sizeof version <= len; i += sizeof version) {
-		memcpy(&other, d + i, sizeof other);
+		memcpy(&other, document + i, sizeof other);
 		assert_true(other == version);
 	}
 	return version;
