--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -212,6 +212,7 @@
 	arrfree(raft->log.entries);
 	arrfree(raft->disk.pending_syncs);
 	raft_free_snapshots(raft);
+	raft_drop_incoming(raft);
 	memset(raft, 0, sizeof *raft);
 }
 
