--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -18,15 +18,15 @@
 
 /* Whether an append or a snapshot chunk is meant for another identity: one that was at our address before its
  * disk was lost. What the leader sends to that one would undo what it sends to us. */
-static bool is_for_another(const struct raft *raft, const struct Nl__Msg *message)
+static bool is_for_another_identity(const struct raft *raft, const struct Nl__Msg *message)
 {
-	uint64_t to = 0;
+	uint64_t recipient_id = 0;
 
 	if (message->body_case == NL__MSG__BODY_APPEND)
-		to = message->append->recipient_id;
+		recipient_id = message->append->recipient_id;
 	else if (message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK)
-		to = message->snapshot_chunk->recipient_id;
-	return to && to != raft->id;
+		recipient_id = message->snapshot_chunk->recipient_id;
+	return recipient_id && recipient_id != raft->id;
 }
 
 enum raft_fault raft_receive(struct raft *raft, const struct Nl__Msg *message, int64_t now,
@@ -37,7 +37,7 @@
 
 	if (fault)
 		return fault;
-	if (is_for_another(raft, message))
+	if (is_for_another_identity(raft, message))
 		return RAFT_FAULT_NONE;
 	if (sender)
 		sender->last_message_at_ms = now;
@@ -83,38 +83,39 @@
 
 static void tick_leader(struct raft *raft, int64_t now, struct command_list *out)
 {
-	if (raft_sync_stalled(raft, now)) {
+	if (raft_is_sync_stalled(raft, now)) {
 		raft_step_down(raft, now, out);
 		return;
 	}
-	if (now > raft->lease.expires_at_ms && now - raft->lease.quorum_requested_at_ms > RAFT_LEASE_MS) {
+	if (now > raft->lease.expires_at_ms && now - raft->lease.quorum_wait_started_at_ms > RAFT_LEASE_MS) {
 		raft_become_follower(raft, raft->term, now);
 		return;
 	}
 	if (now < raft->lease.expires_at_ms)
-		raft->lease.quorum_requested_at_ms = now;
-	raft_count_remaining(raft, now);
-	if (raft->drain.requested && raft_hand_over(raft, now, out))
+		raft->lease.quorum_wait_started_at_ms = now;
+	raft_update_remaining_majority(raft, now);
+	if (raft->drain.requested && raft_hand_over_leadership(raft, now, out))
 		return;
-	if (now - raft->lease.heartbeat_at_ms >= RAFT_HEARTBEAT_MS) {
-		raft->lease.heartbeat_at_ms = now;
-		raft->lease.heartbeat_sent_at_ms[++raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUNDS] = now;
+	if (now - raft->lease.last_heartbeat_at_ms >= RAFT_HEARTBEAT_MS) {
+		raft->lease.last_heartbeat_at_ms = now;
+		raft->lease
+		    .heartbeat_sent_at_ms[++raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUND_HISTORY] = now;
 		raft_replicate(raft, 1, now, out);
 		raft_advance_commit(raft);
 	}
 }
 
-static void tick_follower(struct raft *raft, int64_t now, struct command_list *out)
+static void tick_non_leader(struct raft *raft, int64_t now, struct command_list *out)
 {
 	const struct raft_member *self = raft_find_member(raft, raft->id);
 
 	if (raft->fenced)
 		return;
 	if (raft->election.vote_barrier_unknown && now < raft->election.vote_barrier_until_ms &&
-	    now >= raft->election.probe_at_ms)
+	    now >= raft->election.next_probe_at_ms)
 		raft_send_probes(raft, now, out);
 	if (now < raft->election.timeout_at_ms || now < raft->election.vote_barrier_until_ms ||
-	    raft_sync_stalled(raft, now))
+	    raft_is_sync_stalled(raft, now))
 		return;
 	if (!self || !self->voter)
 		return;
@@ -123,7 +124,7 @@
 		raft_retry_election_after(raft, RAFT_ELECTION_RETRY_MS, now);
 		return;
 	}
-	raft_run_for_election(raft, now, out);
+	raft_start_election(raft, now, out);
 }
 
 void raft_tick(struct raft *raft, int64_t now, struct command_list *out)
@@ -131,17 +132,18 @@
 	if (raft->role == RAFT_LEADER)
 		tick_leader(raft, now, out);
 	else
-		tick_follower(raft, now, out);
+		tick_non_leader(raft, now, out);
 }
 
 void raft_synced(struct raft *raft, uint64_t seq, int64_t now, struct command_list *out)
 {
-	if (!raft_note_synced(raft, seq))
+	if (!raft_complete_syncs(raft, seq))
 		return;
 	if (raft->disk.pending_vote.active && raft->disk.pending_vote.sync_seq <= seq) {
 		raft->disk.pending_vote.active = false;
 		if (raft->disk.pending_vote.term == raft->term)
-			raft_send_vote(raft, raft->disk.pending_vote.candidate_addr, raft->term, 1, 0, out);
+			raft_send_vote_reply(raft, raft->disk.pending_vote.candidate_addr, raft->term, 1, 0,
+					     out);
 	}
 	if (raft->role == RAFT_CANDIDATE)
 		raft_count_votes(raft, now, out);
@@ -165,12 +167,12 @@
 	if (raft->role == RAFT_LEADER)
 		raft_replicate(raft, 0, now, out);
 	raft_release_previous(raft);
-	raft_write_dirty(raft, now, out);
+	raft_request_sync(raft, now, out);
 }
 
 /* ---- begin and end ---- */
 
-static void load_log(struct raft *raft, const struct raft_saved *saved)
+static void load_saved_log(struct raft *raft, const struct raft_saved *saved)
 {
 	raft->log.base_index = saved->snapshot_index;
 	raft->log.base_term = saved->snapshot_term;
@@ -195,13 +197,13 @@
 	raft->random_state = seed ^ core_rendezvous_weight(shard, id);
 	raft->group.replicas = RAFT_MIN_VOTERS;
 	raft->group.member_lost_ms = RAFT_MEMBER_LOST_MS;
-	raft_begin_elections(raft, now);
+	raft_init_elections(raft, now);
 	raft_load_snapshot(raft, saved);
 	if (!saved)
 		return;
 	raft->term = saved->term;
 	raft->vote = saved->vote;
-	load_log(raft, saved);
+	load_saved_log(raft, saved);
 	raft_reload_members(raft);
 }
 
@@ -228,5 +230,5 @@
 	raft_append_entry(raft, 1, RAFT_ENTRY_MEMBERS, packed, len);
 	raft_set_members(raft, packed, len, 1);
 	free(packed);
-	raft_begin_first_election(raft, now);
+	raft_schedule_first_election(raft, now);
 }
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -21,11 +21,11 @@
 	RAFT_HEARTBEAT_MS = 150,    /* between heartbeat rounds */
 	RAFT_ELECTION_MS = 700,     /* election timeout, plus up to half as much again */
 	RAFT_ELECTION_RETRY_MS =
-	    300,            /* a candidate without a majority tries again after this, plus up to as much */
-	RAFT_PROBE_MS = 50, /* between probes of a restarted member for an earlier leader */
-	RAFT_ELECTION_STAGGER_MS = 50, /* no leader: members request votes so long after one another */
-	RAFT_SYNC_STALL_MS = 600,      /* a leader whose own sync takes longer steps down */
-	RAFT_HEARTBEAT_ROUNDS = 64     /* rounds whose sending times are remembered */
+	    300, /* a candidate without a majority tries again after this, plus up to as much */
+	RAFT_PROBE_INTERVAL_MS = 50,      /* between probes of a restarted member for an earlier leader */
+	RAFT_ELECTION_STAGGER_MS = 50,    /* no leader: members request votes so long after one another */
+	RAFT_SYNC_STALL_MS = 600,         /* a leader whose own sync takes longer steps down */
+	RAFT_HEARTBEAT_ROUND_HISTORY = 64 /* rounds whose sending times are remembered */
 };
 
 /* Membership and epochs. */
@@ -35,9 +35,9 @@
 	RAFT_MEMBER_LOST_MS =
 	    6000, /* a silent member is replaced after this, unless the group has another bound */
 	RAFT_MAX_MEMBERS = 8,
-	RAFT_MAX_FENCED = 24,  /* identities of older epochs that are remembered */
-	RAFT_EPOCH_SHIFT = 26, /* position of the epoch in a term, in bits */
-	RAFT_ABSENT_MS = 3000  /* recovery: a member without a message for so long may be named as lost */
+	RAFT_MAX_FENCED_IDS = 24, /* identities of older epochs that are remembered */
+	RAFT_EPOCH_SHIFT = 26,    /* position of the epoch in a term, in bits */
+	RAFT_ABSENT_MS = 3000     /* recovery: a member without a message for so long may be named as lost */
 };
 
 /* Log and snapshots. */
@@ -110,30 +110,30 @@
 /* Leader: how far a member's log has come. Reset at the beginning of each term. Owned by raft_replication.c.
  */
 struct raft_progress {
-	uint64_t next_index;      /* next entry to send */
-	uint64_t match_index;     /* newest entry that the member has synced and that is known to be ours */
-	uint64_t unacked_index;   /* entries from here to next_index are under way */
-	uint64_t acked_round;     /* newest heartbeat round that it has answered */
-	int64_t last_reply_at_ms; /* last answer to an append or a snapshot chunk */
-	int64_t advanced_at_ms;   /* last entry acknowledged, or last resend */
-	int64_t resend_ms;        /* without progress for so long, what is under way is sent again */
-	bool probing;             /* next_index is a guess: no entries go out before the member agrees */
+	uint64_t next_index;    /* next entry to send */
+	uint64_t match_index;   /* newest entry that the member has synced and that is known to be ours */
+	uint64_t unacked_index; /* entries from here to next_index are under way */
+	uint64_t acked_heartbeat_round; /* newest heartbeat round that it has answered */
+	int64_t last_reply_at_ms;       /* last answer to an append or a snapshot chunk */
+	int64_t advanced_at_ms;         /* last entry acknowledged, or last resend */
+	int64_t resend_ms;              /* without progress for so long, what is under way is sent again */
+	bool probing; /* next_index is a guess: no entries go out before the member agrees */
 };
 
 /* What is known of a member's part in elections. Owned by raft_election.c. */
 struct raft_member_vote {
-	bool granted;        /* its vote, or pre-vote, for our current candidacy */
-	bool not_leader;     /* has answered since our restart that it does not lead */
-	uint64_t last_index; /* newest entry that it last requested votes with, */
-	uint64_t last_term;  /* and that entry's term */
+	bool granted;           /* its vote, or pre-vote, for our current candidacy */
+	bool denied_leadership; /* has answered since our restart that it does not lead */
+	uint64_t last_index;    /* newest entry that it last requested votes with, */
+	uint64_t last_term;     /* and that entry's term */
 };
 
 /* Leader: a member's planned stop. Owned by raft_drain.c. */
 struct raft_member_drain {
-	bool requested; /* it is to stop, and is not counted where the others suffice */
-	uint64_t index; /* newest entry when it announced its stop: all others must have synced it before it
-			   is released */
-	uint64_t release_round; /* newest heartbeat round that carried its release; 0: none */
+	bool requested;          /* it is to stop, and is not counted where the others suffice */
+	uint64_t required_index; /* newest entry when it announced its stop: all others must have synced it
+			   before it is released */
+	uint64_t release_round;  /* newest heartbeat round that carried its release; 0: none */
 };
 
 /* One member of the group. */
@@ -152,7 +152,7 @@
 /* Whether a member that is to stop may do so. */
 enum raft_release {
 	RAFT_NOT_RELEASED,
-	RAFT_RELEASED_LATER, /* once its successor has had time to be elected */
+	RAFT_RELEASED_AFTER_ELECTION, /* once its successor has had time to be elected */
 	RAFT_RELEASED
 };
 
@@ -179,14 +179,14 @@
 
 /* What has been stored, and what still has to be. Owned by raft_disk.c. */
 struct raft_disk {
-	bool dirty;             /* the next raft_flush writes: term and vote at least */
-	uint64_t dirty_from;    /* entries from this index on are written too; 0: none */
-	uint64_t truncate_from; /* stored entries from this index on are dropped first; 0: none */
-	uint64_t requested_seq; /* of the newest sync that was requested */
-	uint64_t synced_seq;    /* of the newest sync that was reported as done */
-	uint64_t synced_index;  /* newest entry that is on the disk */
-	uint64_t self_vote_seq; /* candidate: the sync after which its own vote counts; 0: it has not voted
-				   for itself */
+	bool dirty;                  /* the next raft_flush writes: term and vote at least */
+	uint64_t dirty_from_index;   /* entries from this index on are written too; 0: none */
+	uint64_t truncate_from;      /* stored entries from this index on are dropped first; 0: none */
+	uint64_t requested_seq;      /* of the newest sync that was requested */
+	uint64_t synced_seq;         /* of the newest sync that was reported as done */
+	uint64_t synced_index;       /* newest entry that is on the disk */
+	uint64_t self_vote_sync_seq; /* candidate: the sync after which its own vote counts; 0: it has not
+				   voted for itself */
 	struct raft_pending_sync *pending_syncs; /* stb_ds, oldest first */
 	struct {
 		bool active;
@@ -210,11 +210,11 @@
 struct raft_group {
 	struct raft_member members[RAFT_MAX_MEMBERS];
 	int member_count;
-	uint64_t members_index; /* of the log entry, or snapshot, that names them */
-	int replicas;           /* how many voters are wanted */
-	int64_t member_lost_ms; /* silent for so long, a member counts as lost */
-	uint64_t
-	    fenced_ids[RAFT_MAX_FENCED]; /* identities of older epochs, which the group does not take back */
+	uint64_t members_index;                   /* of the log entry, or snapshot, that names them */
+	int replicas;                             /* how many voters are wanted */
+	int64_t member_lost_ms;                   /* silent for so long, a member counts as lost */
+	uint64_t fenced_ids[RAFT_MAX_FENCED_IDS]; /* identities of older epochs, which the group does not take
+						     back */
 	int fenced_count;
 };
 
@@ -223,21 +223,21 @@
 	int64_t timeout_at_ms;         /* no leader by then: request votes */
 	int64_t vote_barrier_until_ms; /* no vote is granted before: an earlier leader's lease may stand */
 	bool vote_barrier_unknown;     /* the barrier may protect a lease from before our restart */
-	int64_t probe_at_ms;           /* next probe by which that is found out */
+	int64_t next_probe_at_ms;      /* next probe by which that is found out */
 	uint64_t
 	    incarnation; /* of this process, chosen at random; tells answers to our probes from older ones */
-	uint64_t stepped_down_term; /* newest term whose leader has announced that it stepped down */
-	uint64_t won_count;         /* elections won, for metrics */
+	uint64_t stepped_down_term;   /* newest term whose leader has announced that it stepped down */
+	uint64_t elections_won_count; /* elections won, for metrics */
 };
 
 /* Leader: its lease and the heartbeat rounds by which a majority renews it. Owned by raft_replication.c. */
 struct raft_lease {
-	int64_t expires_at_ms;          /* 0: none */
-	int64_t heartbeat_at_ms;        /* last heartbeat round */
-	int64_t quorum_requested_at_ms; /* last moment at which the lease stood, or votes were requested */
+	int64_t expires_at_ms;             /* 0: none */
+	int64_t last_heartbeat_at_ms;      /* last heartbeat round */
+	int64_t quorum_wait_started_at_ms; /* last moment at which the lease stood, or votes were requested */
 	uint64_t heartbeat_round; /* the current one; of a member: the newest one that it has answered */
-	int64_t
-	    heartbeat_sent_at_ms[RAFT_HEARTBEAT_ROUNDS]; /* of round r at r modulo RAFT_HEARTBEAT_ROUNDS */
+	int64_t heartbeat_sent_at_ms[RAFT_HEARTBEAT_ROUND_HISTORY]; /* of round r at r modulo
+								       RAFT_HEARTBEAT_ROUND_HISTORY */
 };
 
 /* This member's own planned stop, and the leader's count of those who stay. Owned by raft_drain.c and
@@ -246,8 +246,8 @@
 	bool requested;            /* it requests no votes and takes no proposals */
 	enum raft_release release; /* whether it may stop */
 	uint64_t release_round;    /* newest heartbeat round that carried the answer */
-	int64_t
-	    deadline_ms; /* leader: it steps down at the latest; afterwards: its successor has been elected */
+	int64_t deadline_at_ms;    /* leader: it steps down at the latest; afterwards: its successor has been
+				      elected */
 	bool has_remaining_majority; /* leader: voters that answer and do not stop are a majority by
 					themselves */
 };
@@ -322,8 +322,8 @@
  * Example: raft_bootstrap(&raft, members, 3, now); */
 void raft_bootstrap(struct raft *raft, const struct raft_member *members, int count, int64_t now);
 
-/* Let time pass: heartbeats, lease, elections. Call at least every RAFT_PROBE_MS. Example: raft_tick(&raft,
- * now, out); */
+/* Let time pass: heartbeats, lease, elections. Call at least every RAFT_PROBE_INTERVAL_MS. Example:
+ * raft_tick(&raft, now, out); */
 void raft_tick(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Handle a message of another member. A message with a fault is dropped and changes nothing.
--- a/lib/core/raft_disk.c
+++ b/lib/core/raft_disk.c
@@ -7,29 +7,30 @@
 #include "containers.h"
 #include "raft_internal.h"
 
-bool raft_sync_stalled(const struct raft *raft, int64_t now)
+bool raft_is_sync_stalled(const struct raft *raft, int64_t now)
 {
 	return arrlen(raft->disk.pending_syncs) &&
 	       now - raft->disk.pending_syncs[0].started_at_ms > RAFT_SYNC_STALL_MS;
 }
 
-static void add_entries(const struct raft *raft, struct persist *record, apr_pool_t *pool)
+static void add_dirty_entries(const struct raft *raft, struct persist *record, apr_pool_t *pool)
 {
-	uint64_t first = raft->disk.dirty_from, last = raft_last_index(raft);
+	uint64_t first_index = raft->disk.dirty_from_index, last_index = raft_last_index(raft);
 
-	if (!first || first > last)
+	if (!first_index || first_index > last_index)
 		return;
-	record->entry_count = (size_t)(last - first + 1);
+	record->entry_count = (size_t)(last_index - first_index + 1);
 	record->entries = apr_palloc(pool, record->entry_count * sizeof *record->entries);
 	for (size_t i = 0; i < record->entry_count; i++) {
-		const struct raft_entry *entry = raft_entry_at(raft, first + i);
+		const struct raft_entry *entry = raft_entry_at(raft, first_index + i);
 
-		record->entries[i] = (struct persist_entry){ first + i, entry->term, entry->kind, entry->len,
-							     apr_pmemdup(pool, entry->data, entry->len + 1) };
+		record->entries[i] =
+		    (struct persist_entry){ first_index + i, entry->term, entry->kind, entry->len,
+					    apr_pmemdup(pool, entry->data, entry->len + 1) };
 	}
 }
 
-static void add_snapshot(const struct raft *raft, struct persist *record, apr_pool_t *pool)
+static void add_dirty_snapshot(const struct raft *raft, struct persist *record, apr_pool_t *pool)
 {
 	const struct raft_stored_snapshot *snapshot = &raft->snapshots.newest;
 
@@ -46,10 +47,10 @@
 	record->data_len = snapshot->data_len;
 }
 
-void raft_write_dirty(struct raft *raft, int64_t now, struct command_list *out)
+void raft_request_sync(struct raft *raft, int64_t now, struct command_list *out)
 {
 	struct persist *record;
-	struct raft_pending_sync sync;
+	struct raft_pending_sync pending_sync;
 
 	if (!raft->disk.dirty)
 		return;
@@ -59,26 +60,26 @@
 	record->term = raft->term;
 	record->vote = raft->vote;
 	record->truncate_from = raft->disk.truncate_from;
-	add_entries(raft, record, out->pool);
-	add_snapshot(raft, record, out->pool);
-	sync = (struct raft_pending_sync){ raft->disk.requested_seq, raft_last_index(raft), now };
-	arrput(raft->disk.pending_syncs, sync);
+	add_dirty_entries(raft, record, out->pool);
+	add_dirty_snapshot(raft, record, out->pool);
+	pending_sync = (struct raft_pending_sync){ raft->disk.requested_seq, raft_last_index(raft), now };
+	arrput(raft->disk.pending_syncs, pending_sync);
 	raft->disk.dirty = raft->snapshots.dirty = raft->snapshots.drop_tail = false;
-	raft->disk.dirty_from = raft->disk.truncate_from = 0;
+	raft->disk.dirty_from_index = raft->disk.truncate_from = 0;
 	command_add(out, CMD_PERSIST)->args.persist = record;
 }
 
-int raft_note_synced(struct raft *raft, uint64_t seq)
+int raft_complete_syncs(struct raft *raft, uint64_t seq)
 {
-	uint64_t last_index = raft->disk.synced_index;
+	uint64_t synced_index = raft->disk.synced_index;
 
 	if (seq <= raft->disk.synced_seq)
 		return 0;
 	raft->disk.synced_seq = seq;
 	while (arrlen(raft->disk.pending_syncs) && raft->disk.pending_syncs[0].seq <= seq) {
-		last_index = raft->disk.pending_syncs[0].last_index;
+		synced_index = raft->disk.pending_syncs[0].last_index;
 		arrdel(raft->disk.pending_syncs, 0);
 	}
-	raft->disk.synced_index = last_index;
+	raft->disk.synced_index = synced_index;
 	return 1;
 }
--- a/lib/core/raft_drain.c
+++ b/lib/core/raft_drain.c
@@ -4,7 +4,7 @@
  * raft_election.c, raft_transfer.c and raft_replication.c; calls raft_members.c and raft_log.c. */
 #include "raft_internal.h"
 
-uint64_t raft_synced_by(const struct raft *raft, const struct raft_member *member)
+uint64_t raft_member_synced_index(const struct raft *raft, const struct raft_member *member)
 {
 	return member->id == raft->id ? raft->disk.synced_index : member->progress.match_index;
 }
@@ -23,7 +23,8 @@
  * acknowledgements may be older than its stop. */
 static bool may_have_stopped(const struct raft_member *member)
 {
-	return member->drain.release_round && member->progress.acked_round <= member->drain.release_round;
+	return member->drain.release_round &&
+	       member->progress.acked_heartbeat_round <= member->drain.release_round;
 }
 
 bool raft_others_have_synced(const struct raft *raft, uint64_t id, uint64_t index)
@@ -31,34 +32,34 @@
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 
-		if (member->voter && member->id != id && raft_synced_by(raft, member) < index)
+		if (member->voter && member->id != id && raft_member_synced_index(raft, member) < index)
 			return false;
 	}
 	return true;
 }
 
-void raft_note_draining(struct raft *raft, struct raft_member *member, int draining)
+void raft_set_member_draining(struct raft *raft, struct raft_member *member, int draining)
 {
 	if (draining && !member->drain.requested) {
-		member->drain.index = raft_last_index(raft);
+		member->drain.required_index = raft_last_index(raft);
 		raft->drain.has_remaining_majority = false; /* until it is counted again */
 	}
 	member->drain.requested = draining;
 }
 
-void raft_note_commit(struct raft *raft)
+void raft_update_drain_requirements(struct raft *raft)
 {
 	if (raft->drain.has_remaining_majority)
 		return;
 	for (int i = 0; i < raft->group.member_count; i++) {
 		struct raft_member *member = &raft->group.members[i];
 
-		if (member->drain.requested && member->drain.index < raft->log.commit_index)
-			member->drain.index = raft->log.commit_index;
+		if (member->drain.requested && member->drain.required_index < raft->log.commit_index)
+			member->drain.required_index = raft->log.commit_index;
 	}
 }
 
-void raft_count_remaining(struct raft *raft, int64_t now)
+void raft_update_remaining_majority(struct raft *raft, int64_t now)
 {
 	int remaining = 0;
 
@@ -67,20 +68,21 @@
 
 		remaining += member->voter && !is_draining(raft, member) && !may_have_stopped(member) &&
 			     is_responsive(raft, member, now) &&
-			     raft_synced_by(raft, member) >= raft->log.term_start_index;
+			     raft_member_synced_index(raft, member) >= raft->log.term_start_index;
 	}
 	raft->drain.has_remaining_majority = remaining > raft_voter_count(raft) / 2;
 }
 
-uint64_t raft_counted_index(const struct raft *raft, const struct raft_member *member)
+uint64_t raft_index_counted_for_commit(const struct raft *raft, const struct raft_member *member)
 {
 	if (may_have_stopped(member))
 		return 0;
-	return raft->drain.has_remaining_majority && is_draining(raft, member) ? 0
-									       : raft_synced_by(raft, member);
+	return raft->drain.has_remaining_majority && is_draining(raft, member)
+		   ? 0
+		   : raft_member_synced_index(raft, member);
 }
 
-bool raft_is_expendable(const struct raft *raft, uint64_t id, uint64_t index)
+bool raft_is_copy_redundant(const struct raft *raft, uint64_t id, uint64_t index)
 {
 	return raft->drain.has_remaining_majority && raft->group.members_index <= raft->log.commit_index &&
 	       raft_others_have_synced(raft, id, index);
@@ -88,12 +90,13 @@
 
 bool raft_is_released(const struct raft *raft, const struct raft_member *member)
 {
-	return member->drain.requested && raft_is_expendable(raft, member->id, member->drain.index);
+	return member->drain.requested &&
+	       raft_is_copy_redundant(raft, member->id, member->drain.required_index);
 }
 
-uint64_t raft_successor(const struct raft *raft, int64_t now)
+uint64_t raft_find_successor(const struct raft *raft, int64_t now)
 {
-	const struct raft_member *best = NULL;
+	const struct raft_member *successor = NULL;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
@@ -101,11 +104,11 @@
 		if (!member->voter || member->id == raft->id || member->drain.requested ||
 		    !is_responsive(raft, member, now))
 			continue;
-		if (!best || member->progress.match_index > best->progress.match_index ||
-		    (member->progress.match_index == best->progress.match_index &&
+		if (!successor || member->progress.match_index > successor->progress.match_index ||
+		    (member->progress.match_index == successor->progress.match_index &&
 		     core_rendezvous_weight(raft->shard, member->id) >
-			 core_rendezvous_weight(raft->shard, best->id)))
-			best = member;
+			 core_rendezvous_weight(raft->shard, successor->id)))
+			successor = member;
 	}
-	return best ? best->id : 0;
+	return successor ? successor->id : 0;
 }
--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -11,9 +11,9 @@
 enum {
 	/* after a leader stepped down, voters other than its successor wait so long, and up to as much more
 	 */
-	STEP_DOWN_SPREAD_MS = 50,
-	BOOTSTRAP_SPREAD_MS = 300, /* the first election of a new group comes within so long */
-	ROUND_NOT_SENT_MS =
+	STEP_DOWN_ELECTION_DELAY_MS = 50,
+	FIRST_ELECTION_MAX_DELAY_MS = 300, /* the first election of a new group comes within so long */
+	UNSENT_ROUND_AGE_MS =
 	    1000 *
 	    RAFT_LEASE_MS /* age of heartbeat rounds of earlier terms: answers to them grant no lease */
 };
@@ -26,10 +26,10 @@
 
 /* There is no leader to wait for, so the next attempt may come sooner; but a slow disk must have had time to
  * sync the vote. */
-void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now)
+void raft_retry_election_after(struct raft *raft, int64_t wait_ms, int64_t now)
 {
 	raft->election.timeout_at_ms =
-	    now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
+	    now + wait_ms + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
 }
 
 void raft_become_follower(struct raft *raft, uint64_t term, int64_t now)
@@ -48,7 +48,7 @@
 		raft->leader_id = raft->leader_addr = 0;
 	raft->role = RAFT_FOLLOWER;
 	raft->lease.expires_at_ms = 0;
-	raft->disk.self_vote_seq = 0;
+	raft->disk.self_vote_sync_seq = 0;
 	raft_reset_election_timer(raft, now);
 }
 
@@ -75,7 +75,7 @@
 
 /* ---- candidates and their votes ---- */
 
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out)
+void raft_request_votes(struct raft *raft, int is_pre_vote, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < raft->group.member_count; i++) {
 		struct raft_member *member = &raft->group.members[i];
@@ -85,35 +85,35 @@
 		if (member->id == raft->id || !member->voter)
 			continue;
 		request = MESSAGE_NEW(out, Nl__VoteRequest, NL__VOTE_REQUEST__INIT);
-		request->term = pre ? raft->term + 1 : raft->term;
+		request->term = is_pre_vote ? raft->term + 1 : raft->term;
 		request->last_index = raft_last_index(raft);
 		request->last_term = raft_last_term(raft);
-		request->is_pre_vote = pre;
+		request->is_pre_vote = is_pre_vote;
 		request->stepped_down_term = raft->election.stepped_down_term;
 		command_send(out, member->addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)->vote_request =
 		    request;
 	}
-	raft->lease.quorum_requested_at_ms = now;
+	raft->lease.quorum_wait_started_at_ms = now;
 }
 
 /* The first entry of the term carries the first heartbeat round: one answer of a majority commits it and
  * grants the lease. */
-static void begin_round(struct raft *raft, int64_t now)
+static void begin_first_heartbeat_round(struct raft *raft, int64_t now)
 {
 	raft->lease.heartbeat_round = 1;
-	raft->lease.heartbeat_at_ms = now;
-	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUNDS] = now;
+	raft->lease.last_heartbeat_at_ms = now;
+	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUND_HISTORY] = now;
 }
 
 /* Forget what an earlier term knew of a member's log. One that failed together with the last leader has been
  * silent since then: half of the bound for lost members counts as over. */
-static void reset_member(struct raft *raft, struct raft_member *member, int64_t now)
+static void reset_member_progress(struct raft *raft, struct raft_member *member, int64_t now)
 {
-	uint64_t next = raft_last_index(raft) + 1;
+	uint64_t next_index = raft_last_index(raft) + 1;
 
 	member->progress = (struct raft_progress){
-		.next_index = next,
-		.unacked_index = next,
+		.next_index = next_index,
+		.unacked_index = next_index,
 		.last_reply_at_ms = now - raft->group.member_lost_ms / 2,
 		.advanced_at_ms = now,
 		.resend_ms = RAFT_RESEND_MS,
@@ -129,16 +129,16 @@
 	raft->leader_id = raft->id;
 	raft->leader_addr = out->addr;
 	raft->lease.expires_at_ms = 0;
-	raft->lease.quorum_requested_at_ms = now;
+	raft->lease.quorum_wait_started_at_ms = now;
 	raft->drain.has_remaining_majority = false;
 	for (int i = 0; i < raft->group.member_count; i++)
-		reset_member(raft, &raft->group.members[i], now);
-	for (int i = 0; i < RAFT_HEARTBEAT_ROUNDS; i++)
-		raft->lease.heartbeat_sent_at_ms[i] = now - ROUND_NOT_SENT_MS;
+		reset_member_progress(raft, &raft->group.members[i], now);
+	for (int i = 0; i < RAFT_HEARTBEAT_ROUND_HISTORY; i++)
+		raft->lease.heartbeat_sent_at_ms[i] = now - UNSENT_ROUND_AGE_MS;
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_NOOP, NULL, 0);
 	raft->log.term_start_index = raft_last_index(raft);
-	raft->election.won_count++;
-	begin_round(raft, now);
+	raft->election.elections_won_count++;
+	begin_first_heartbeat_round(raft, now);
 }
 
 static void become_candidate(struct raft *raft, struct command_list *out, int64_t now)
@@ -150,7 +150,7 @@
 	raft->lease.heartbeat_round = raft->drain.release_round = 0;
 	raft->leader_id = raft->leader_addr = 0;
 	raft_mark_dirty(raft, 0);
-	raft->disk.self_vote_seq =
+	raft->disk.self_vote_sync_seq =
 	    raft->disk.requested_seq + 1; /* the sync that this step's flush will request */
 	raft_request_votes(raft, 0, now, out);
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
@@ -160,18 +160,19 @@
 static bool has_granted(const struct raft *raft, const struct raft_member *member)
 {
 	if (member->id == raft->id)
-		return raft->role == RAFT_PRE_CANDIDATE || raft->disk.synced_seq >= raft->disk.self_vote_seq;
+		return raft->role == RAFT_PRE_CANDIDATE ||
+		       raft->disk.synced_seq >= raft->disk.self_vote_sync_seq;
 	return member->vote.granted;
 }
 
 void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	int granted = 0;
+	int granted_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++)
 		if (raft->group.members[i].voter)
-			granted += has_granted(raft, &raft->group.members[i]);
-	if (granted <= raft_voter_count(raft) / 2)
+			granted_count += has_granted(raft, &raft->group.members[i]);
+	if (granted_count <= raft_voter_count(raft) / 2)
 		return;
 	if (raft->role == RAFT_PRE_CANDIDATE)
 		become_candidate(raft, out, now);
@@ -179,7 +180,7 @@
 		become_leader(raft, now, out);
 }
 
-void raft_run_for_election(struct raft *raft, int64_t now, struct command_list *out)
+void raft_start_election(struct raft *raft, int64_t now, struct command_list *out)
 {
 	raft->role = RAFT_PRE_CANDIDATE;
 	raft->leader_id = raft->leader_addr = 0;
@@ -193,7 +194,7 @@
 /* The leader of a term has dropped its lease. Where this member knows of no later term, its vote barrier
  * protects that leader or an earlier one, whose lease was over before that one led: no lease is left to
  * protect. */
-static void note_stepped_down(struct raft *raft, uint64_t term)
+static void end_vote_barrier_after_step_down(struct raft *raft, uint64_t term)
 {
 	if (!term || term < raft->term)
 		return;
@@ -227,33 +228,34 @@
 			  struct command_list *out)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
-	int newer = is_up_to_date(raft, request);
-	int free_to, pre_granted;
+	int log_up_to_date = is_up_to_date(raft, request);
+	int may_vote, grants_pre_vote;
 
 	if (raft_has_lease(raft, now) && raft->group.members_index <= raft->log.commit_index &&
 	    !raft_find_member(raft, message->id)) {
 		raft_send_removed(raft, message->addr, out);
 		return;
 	}
-	note_stepped_down(raft, request->stepped_down_term);
-	free_to = now >= raft->election.vote_barrier_until_ms && !raft_has_lease(raft, now);
-	if (request->is_pre_vote || !free_to || request->term < raft->term) {
-		pre_granted = request->is_pre_vote && newer && free_to;
-		raft_send_vote(raft, message->addr, pre_granted ? request->term : raft->term,
-			       pre_granted && request->term > raft->term, request->is_pre_vote, out);
+	end_vote_barrier_after_step_down(raft, request->stepped_down_term);
+	may_vote = now >= raft->election.vote_barrier_until_ms && !raft_has_lease(raft, now);
+	if (request->is_pre_vote || !may_vote || request->term < raft->term) {
+		grants_pre_vote = request->is_pre_vote && log_up_to_date && may_vote;
+		raft_send_vote_reply(raft, message->addr, grants_pre_vote ? request->term : raft->term,
+				     grants_pre_vote && request->term > raft->term, request->is_pre_vote,
+				     out);
 		return;
 	}
 	if (request->term > raft->term)
 		raft_become_follower(raft, request->term, now);
-	if (!newer || (raft->vote && raft->vote != message->id)) {
-		raft_send_vote(raft, message->addr, raft->term, 0, 0, out);
+	if (!log_up_to_date || (raft->vote && raft->vote != message->id)) {
+		raft_send_vote_reply(raft, message->addr, raft->term, 0, 0, out);
 		return;
 	}
 	grant_vote(raft, message, now);
 }
 
 /* Whether a granted vote is for our current candidacy, or pre-vote for the one that would follow. */
-static int counts_now(const struct raft *raft, const struct Nl__VoteReply *reply)
+static int is_for_current_candidacy(const struct raft *raft, const struct Nl__VoteReply *reply)
 {
 	if (reply->is_pre_vote)
 		return raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1;
@@ -277,7 +279,7 @@
 	}
 	if (!member || !reply->granted)
 		return;
-	if (!counts_now(raft, reply))
+	if (!is_for_current_candidacy(raft, reply))
 		return;
 	member->vote.granted = true;
 	raft_count_votes(raft, now, out);
@@ -294,12 +296,12 @@
 
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	raft->election.probe_at_ms = now + RAFT_PROBE_MS;
+	raft->election.next_probe_at_ms = now + RAFT_PROBE_INTERVAL_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 		struct Nl__Probe *probe;
 
-		if (member->id == raft->id || member->vote.not_leader)
+		if (member->id == raft->id || member->vote.denied_leadership)
 			continue;
 		probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
 		probe->incarnation = raft->election.incarnation;
@@ -323,21 +325,21 @@
 
 /* How many voters rank before this one in its shard: those that restarted together request votes one after
  * another. */
-static int voters_ahead(const struct raft *raft)
+static int count_voters_ranked_first(const struct raft *raft)
 {
 	uint64_t own_weight = core_rendezvous_weight(raft->id, raft->shard);
-	int n = 0;
+	int count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 
-		n += member->voter && core_rendezvous_weight(member->id, raft->shard) > own_weight;
+		count += member->voter && core_rendezvous_weight(member->id, raft->shard) > own_weight;
 	}
-	return n;
+	return count;
 }
 
 /* Whether a member's answer shows that there may be a leader which this one does not know. */
-static bool may_hide_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
+static bool may_have_unknown_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
 {
 	uint64_t term = raft_last_term(raft);
 
@@ -353,27 +355,27 @@
 	if (!raft->election.vote_barrier_unknown || reply->incarnation != raft->election.incarnation ||
 	    !member)
 		return;
-	if (may_hide_leader(raft, reply)) {
+	if (may_have_unknown_leader(raft, reply)) {
 		raft->election.vote_barrier_unknown = false; /* the vote barrier is waited out */
 		return;
 	}
-	member->vote.not_leader = true;
+	member->vote.denied_leadership = true;
 	for (int i = 0; i < raft->group.member_count; i++)
-		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.not_leader)
+		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.denied_leadership)
 			return;
 	raft->election.vote_barrier_unknown = false;
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.timeout_at_ms =
-	    now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
+	    now + RAFT_ELECTION_STAGGER_MS * (1 + count_voters_ranked_first(raft)) +
 	    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
 }
 
-static bool may_run_for_election(struct raft *raft, int64_t now)
+static bool may_start_election(struct raft *raft, int64_t now)
 {
 	const struct raft_member *self = raft_find_member(raft, raft->id);
 
 	return self && self->voter && !raft->drain.requested && !raft->fenced &&
-	       !raft_sync_stalled(raft, now);
+	       !raft_is_sync_stalled(raft, now);
 }
 
 /* The leader ended its lease before it announced that it steps down: its followers need not wait for it. The
@@ -385,15 +387,15 @@
 	if (message->step_down->term != raft->term || raft->leader_id != message->id ||
 	    raft->role != RAFT_FOLLOWER)
 		return;
-	note_stepped_down(raft, raft->term);
-	if (message->step_down->successor_id == raft->id && may_run_for_election(raft, now)) {
+	end_vote_barrier_after_step_down(raft, raft->term);
+	if (message->step_down->successor_id == raft->id && may_start_election(raft, now)) {
 		become_candidate(raft, out, now);
 		return;
 	}
 	raft->election.timeout_at_ms =
-	    now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
+	    now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_ELECTION_DELAY_MS);
 	if (message->step_down->successor_id)
-		raft->election.timeout_at_ms += STEP_DOWN_SPREAD_MS;
+		raft->election.timeout_at_ms += STEP_DOWN_ELECTION_DELAY_MS;
 }
 
 void raft_step_down(struct raft *raft, int64_t now, struct command_list *out)
@@ -402,7 +404,7 @@
 
 	if (raft->role != RAFT_LEADER)
 		return;
-	successor = raft_successor(raft, now);
+	successor = raft_find_successor(raft, now);
 	raft_become_follower(raft, raft->term, now); /* the lease ends before the step-down is announced */
 	raft->election.timeout_at_ms += RAFT_ELECTION_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
@@ -420,19 +422,19 @@
 
 /* ---- begin ---- */
 
-void raft_begin_elections(struct raft *raft, int64_t now)
+void raft_init_elections(struct raft *raft, int64_t now)
 {
 	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
 	raft->election.vote_barrier_unknown = true;
 	raft->election.incarnation = core_random(&raft->random_state);
-	raft->election.probe_at_ms = now;
+	raft->election.next_probe_at_ms = now;
 	raft_reset_election_timer(raft, now);
 }
 
-void raft_begin_first_election(struct raft *raft, int64_t now)
+void raft_schedule_first_election(struct raft *raft, int64_t now)
 {
 	raft->election.timeout_at_ms =
-	    now + (int64_t)(core_random(&raft->random_state) % BOOTSTRAP_SPREAD_MS);
+	    now + (int64_t)(core_random(&raft->random_state) % FIRST_ELECTION_MAX_DELAY_MS);
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.vote_barrier_unknown = false;
 }
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -28,13 +28,13 @@
 uint8_t *raft_copy_bytes(const uint8_t *data, size_t size);
 
 /* Something has to be synced: entries from an index on, or with 0 the term and vote alone. */
-void raft_mark_dirty(struct raft *raft, uint64_t from);
+void raft_mark_dirty(struct raft *raft, uint64_t from_index);
 
 /* Append one entry; it is synced by the next raft_flush. */
 void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size);
 
 /* Drop the entries from an index on; they conflict with the leader's log. */
-void raft_truncate_from(struct raft *raft, uint64_t from);
+void raft_truncate_from(struct raft *raft, uint64_t from_index);
 
 /* Drop the entries up to an index, which a snapshot stands for. */
 void raft_drop_until(struct raft *raft, uint64_t index);
@@ -67,7 +67,8 @@
 bool raft_members_valid(const uint8_t *packed, size_t size);
 
 /* Members packed as a log entry holds them; the caller frees the result. */
-uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *member, int count, size_t *len);
+uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *members, int count,
+			   size_t *len);
 
 /* Remember an identity of an older epoch; the next members entry carries it. */
 void raft_add_fenced(struct raft *raft, uint64_t id);
@@ -78,26 +79,26 @@
 /* ---- the disk (raft_disk.c) ---- */
 
 /* Whether the oldest sync under way has taken longer than RAFT_SYNC_STALL_MS. */
-bool raft_sync_stalled(const struct raft *raft, int64_t now);
+bool raft_is_sync_stalled(const struct raft *raft, int64_t now);
 
 /* Request a sync of what has become dirty, if anything has. */
-void raft_write_dirty(struct raft *raft, int64_t now, struct command_list *out);
+void raft_request_sync(struct raft *raft, int64_t now, struct command_list *out);
 
 /* All syncs up to seq are done; 0 when that was known. */
-int raft_note_synced(struct raft *raft, uint64_t seq);
+int raft_complete_syncs(struct raft *raft, uint64_t seq);
 
 /* ---- answers that several modules send (raft_messages.c) ---- */
 
 /* Answer a request for votes. */
-void raft_send_vote(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted, int pre,
-		    struct command_list *out);
+void raft_send_vote_reply(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted,
+			  int is_pre_vote, struct command_list *out);
 
 /* Tell one that it is no member any more, or that its copy is of an older epoch. */
 void raft_send_removed(struct raft *raft, uint64_t addr, struct command_list *out);
 
 /* Tell the leader up to which index this member has synced the leader's log. */
-void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match,
-			    uint64_t round, struct command_list *out);
+void raft_send_append_reply(struct raft *raft, uint64_t leader_addr, int success, uint64_t match_index,
+			    uint64_t heartbeat_round, struct command_list *out);
 
 /* ---- protocol checks (raft_validate.c) ---- */
 
@@ -107,36 +108,36 @@
 /* ---- planned stops, counted by the leader (raft_drain.c) ---- */
 
 /* The newest entry that a member is known to have synced. */
-uint64_t raft_synced_by(const struct raft *raft, const struct raft_member *member);
+uint64_t raft_member_synced_index(const struct raft *raft, const struct raft_member *member);
 
 /* Whether every voter but `id` has synced an index. */
 bool raft_others_have_synced(const struct raft *raft, uint64_t id, uint64_t index);
 
 /* A member has announced whether it is to stop. */
-void raft_note_draining(struct raft *raft, struct raft_member *member, int draining);
+void raft_set_member_draining(struct raft *raft, struct raft_member *member, int draining);
 
 /* A commit without a majority of staying members rests on the copies of draining ones; they are kept until
  * all others have it. */
-void raft_note_commit(struct raft *raft);
+void raft_update_drain_requirements(struct raft *raft);
 
 /* Count whether those who stay, and have synced an entry of this term, are a majority by themselves. */
-void raft_count_remaining(struct raft *raft, int64_t now);
+void raft_update_remaining_majority(struct raft *raft, int64_t now);
 
 /* The index up to which a voter counts towards commits: 0 for one that drains where the others suffice, or
  * that may have stopped. */
-uint64_t raft_counted_index(const struct raft *raft, const struct raft_member *member);
+uint64_t raft_index_counted_for_commit(const struct raft *raft, const struct raft_member *member);
 
 /* Whether a draining voter's copy up to an index is needed by nobody: by members that are committed, the
  * voters that stay are a majority by themselves, and all others hold what it holds. Draining voters do not
  * vouch for each other, even where all of them are: one of them may crash, come back to stay, and find itself
  * without a majority. */
-bool raft_is_expendable(const struct raft *raft, uint64_t id, uint64_t index);
+bool raft_is_copy_redundant(const struct raft *raft, uint64_t id, uint64_t index);
 
 /* Whether a draining member may stop. */
 bool raft_is_released(const struct raft *raft, const struct raft_member *member);
 
 /* The most caught-up voter that answers and stays; 0 for none. */
-uint64_t raft_successor(const struct raft *raft, int64_t now);
+uint64_t raft_find_successor(const struct raft *raft, int64_t now);
 
 /* ---- elections (raft_election.c) ---- */
 
@@ -144,16 +145,16 @@
 void raft_reset_election_timer(struct raft *raft, int64_t now);
 
 /* Request votes again after `wait` ms and a random part of RAFT_ELECTION_RETRY_MS. */
-void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now);
+void raft_retry_election_after(struct raft *raft, int64_t wait_ms, int64_t now);
 
 /* Follow: of a later term when `term` is one. Ends a lease at once. */
 void raft_become_follower(struct raft *raft, uint64_t term, int64_t now);
 
 /* Request all votes, or with `pre` pre-votes. */
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out);
+void raft_request_votes(struct raft *raft, int is_pre_vote, int64_t now, struct command_list *out);
 
 /* Begin a candidacy with a pre-vote: whether a majority would elect this member. */
-void raft_run_for_election(struct raft *raft, int64_t now, struct command_list *out);
+void raft_start_election(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Become candidate or leader once a majority has granted. */
 void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out);
@@ -183,10 +184,10 @@
 bool raft_accept_leader(struct raft *raft, const struct Nl__Msg *message, uint64_t term, int64_t now);
 
 /* After a (re)start: a vote barrier, since a vote may have been given before, and the election timer. */
-void raft_begin_elections(struct raft *raft, int64_t now);
+void raft_init_elections(struct raft *raft, int64_t now);
 
 /* A new group: no vote was ever given, and there is no leader to wait for. */
-void raft_begin_first_election(struct raft *raft, int64_t now);
+void raft_schedule_first_election(struct raft *raft, int64_t now);
 
 /* ---- snapshots that are kept (raft_snapshot.c) ---- */
 
@@ -236,7 +237,7 @@
 /* ---- this member's own stop (raft_transfer.c) ---- */
 
 /* A draining leader steps down once its successor has caught up, or after a while; 1 when it has. */
-int raft_hand_over(struct raft *raft, int64_t now, struct command_list *out);
+int raft_hand_over_leadership(struct raft *raft, int64_t now, struct command_list *out);
 
 /* ---- epochs (raft_recovery.c) ---- */
 
@@ -251,7 +252,7 @@
 void raft_advance_commit(struct raft *raft);
 
 /* Leader: send appends to members that lack entries, or with `all` a heartbeat to each. */
-void raft_replicate(struct raft *raft, int all, int64_t now, struct command_list *out);
+void raft_replicate(struct raft *raft, int with_heartbeat, int64_t now, struct command_list *out);
 
 /* Entries or a heartbeat of the leader. */
 void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out);
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -48,11 +48,11 @@
 	return copy;
 }
 
-void raft_mark_dirty(struct raft *raft, uint64_t from)
+void raft_mark_dirty(struct raft *raft, uint64_t from_index)
 {
 	raft->disk.dirty = true;
-	if (from && (!raft->disk.dirty_from || from < raft->disk.dirty_from))
-		raft->disk.dirty_from = from;
+	if (from_index && (!raft->disk.dirty_from_index || from_index < raft->disk.dirty_from_index))
+		raft->disk.dirty_from_index = from_index;
 }
 
 void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size)
@@ -63,21 +63,21 @@
 	raft_mark_dirty(raft, raft_last_index(raft));
 }
 
-void raft_truncate_from(struct raft *raft, uint64_t from)
+void raft_truncate_from(struct raft *raft, uint64_t from_index)
 {
-	for (uint64_t i = from; i <= raft_last_index(raft); i++)
+	for (uint64_t i = from_index; i <= raft_last_index(raft); i++)
 		free(raft_entry_at(raft, i)->data);
-	arrsetlen(raft->log.entries, (size_t)(from - raft->log.base_index - 1));
-	if (!raft->disk.truncate_from || from < raft->disk.truncate_from)
-		raft->disk.truncate_from = from;
+	arrsetlen(raft->log.entries, (size_t)(from_index - raft->log.base_index - 1));
+	if (!raft->disk.truncate_from || from_index < raft->disk.truncate_from)
+		raft->disk.truncate_from = from_index;
 	raft_mark_dirty(raft, 0);
-	if (raft->disk.dirty_from > raft_last_index(raft))
-		raft->disk.dirty_from = 0;
-	if (raft->disk.synced_index >= from)
-		raft->disk.synced_index = from - 1;
+	if (raft->disk.dirty_from_index > raft_last_index(raft))
+		raft->disk.dirty_from_index = 0;
+	if (raft->disk.synced_index >= from_index)
+		raft->disk.synced_index = from_index - 1;
 	for (ptrdiff_t i = 0; i < arrlen(raft->disk.pending_syncs); i++)
-		if (raft->disk.pending_syncs[i].last_index >= from)
-			raft->disk.pending_syncs[i].last_index = from - 1;
+		if (raft->disk.pending_syncs[i].last_index >= from_index)
+			raft->disk.pending_syncs[i].last_index = from_index - 1;
 }
 
 void raft_drop_until(struct raft *raft, uint64_t index)
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -21,16 +21,16 @@
 
 int raft_voter_count(const struct raft *raft)
 {
-	int n = 0;
+	int count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++)
-		n += raft->group.members[i].voter;
-	return n;
+		count += raft->group.members[i].voter;
+	return count;
 }
 
 void raft_add_fenced(struct raft *raft, uint64_t id)
 {
-	if (raft_is_fenced(raft, id) || raft->group.fenced_count == RAFT_MAX_FENCED)
+	if (raft_is_fenced(raft, id) || raft->group.fenced_count == RAFT_MAX_FENCED_IDS)
 		return;
 	raft->group.fenced_ids[raft->group.fenced_count++] = id;
 }
@@ -46,10 +46,10 @@
 /* A member of which nothing is known yet. */
 static struct raft_member new_member(const struct raft *raft)
 {
-	uint64_t next = raft_last_index(raft) + 1;
+	uint64_t next_index = raft_last_index(raft) + 1;
 
-	return (struct raft_member){ .progress = { .next_index = next,
-						   .unacked_index = next,
+	return (struct raft_member){ .progress = { .next_index = next_index,
+						   .unacked_index = next_index,
 						   .resend_ms = RAFT_RESEND_MS,
 						   .probing = true } };
 }
@@ -57,10 +57,10 @@
 void raft_set_members(struct raft *raft, const uint8_t *packed, size_t size, uint64_t index)
 {
 	struct Nl__Members *members = nl__members__unpack(NULL, size, packed);
-	struct raft_member old[RAFT_MAX_MEMBERS];
+	struct raft_member old_members[RAFT_MAX_MEMBERS];
 	int old_count = raft->group.member_count;
 
-	memcpy(old, raft->group.members, sizeof old);
+	memcpy(old_members, raft->group.members, sizeof old_members);
 	raft->group.member_count = 0;
 	raft->group.members_index = index;
 	raft->drain.has_remaining_majority = false; /* until it is counted among these */
@@ -70,8 +70,8 @@
 
 		*member = new_member(raft);
 		for (int k = 0; k < old_count; k++)
-			if (old[k].id == members->members[i]->id)
-				*member = old[k];
+			if (old_members[k].id == members->members[i]->id)
+				*member = old_members[k];
 		member->id = members->members[i]->id;
 		member->addr = members->members[i]->addr;
 		member->voter = members->members[i]->voter;
@@ -122,28 +122,28 @@
 	return valid && voters;
 }
 
-uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *member, int count, size_t *len)
+uint8_t *raft_pack_members(const struct raft *raft, const struct raft_member *members, int count, size_t *len)
 {
-	struct Nl__Members members = NL__MEMBERS__INIT;
-	struct Nl__Member records[RAFT_MAX_MEMBERS], *pointers[RAFT_MAX_MEMBERS];
+	struct Nl__Members message = NL__MEMBERS__INIT;
+	struct Nl__Member member_messages[RAFT_MAX_MEMBERS], *member_pointers[RAFT_MAX_MEMBERS];
 	uint8_t *packed;
 
 	for (int i = 0; i < count; i++) {
-		nl__member__init(&records[i]);
-		records[i].id = member[i].id;
-		records[i].addr = member[i].addr;
-		records[i].voter = member[i].voter;
-		pointers[i] = &records[i];
+		nl__member__init(&member_messages[i]);
+		member_messages[i].id = members[i].id;
+		member_messages[i].addr = members[i].addr;
+		member_messages[i].voter = members[i].voter;
+		member_pointers[i] = &member_messages[i];
 	}
-	members.n_members = (size_t)count;
-	members.members = pointers;
-	members.n_fenced = (size_t)raft->group.fenced_count;
-	members.fenced = (uint64_t *)raft->group.fenced_ids;
-	*len = nl__members__get_packed_size(&members);
+	message.n_members = (size_t)count;
+	message.members = member_pointers;
+	message.n_fenced = (size_t)raft->group.fenced_count;
+	message.fenced = (uint64_t *)raft->group.fenced_ids;
+	*len = nl__members__get_packed_size(&message);
 	packed = raft_copy_bytes(NULL, 0);
 	packed = realloc(packed, *len + 1);
 	if (!packed)
 		abort();
-	nl__members__pack(&members, packed);
+	nl__members__pack(&message, packed);
 	return packed;
 }
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -16,22 +16,22 @@
 }
 
 /* Leader: the lease lasts from the moment at which a round was sent that a majority has answered. */
-static void extend_lease(struct raft *raft, uint64_t answered_round)
+static void extend_lease(struct raft *raft, uint64_t majority_round)
 {
-	int64_t until;
+	int64_t expires_at_ms;
 
-	if (!answered_round || raft->lease.heartbeat_round - answered_round >= RAFT_HEARTBEAT_ROUNDS)
+	if (!majority_round || raft->lease.heartbeat_round - majority_round >= RAFT_HEARTBEAT_ROUND_HISTORY)
 		return;
-	until = raft->lease.heartbeat_sent_at_ms[answered_round % RAFT_HEARTBEAT_ROUNDS] + RAFT_LEASE_MS -
-		RAFT_LEASE_MARGIN_MS;
-	if (until > raft->lease.expires_at_ms)
-		raft->lease.expires_at_ms = until;
+	expires_at_ms = raft->lease.heartbeat_sent_at_ms[majority_round % RAFT_HEARTBEAT_ROUND_HISTORY] +
+			RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS;
+	if (expires_at_ms > raft->lease.expires_at_ms)
+		raft->lease.expires_at_ms = expires_at_ms;
 }
 
 void raft_advance_commit(struct raft *raft)
 {
-	uint64_t match[RAFT_MAX_MEMBERS], round[RAFT_MAX_MEMBERS];
-	uint64_t majority_match;
+	uint64_t counted_indices[RAFT_MAX_MEMBERS], acked_rounds[RAFT_MAX_MEMBERS];
+	uint64_t majority_index;
 	int voters = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
@@ -39,27 +39,27 @@
 
 		if (!member->voter)
 			continue;
-		match[voters] = raft_counted_index(raft, member);
-		round[voters] =
-		    member->id == raft->id ? raft->lease.heartbeat_round : member->progress.acked_round;
+		counted_indices[voters] = raft_index_counted_for_commit(raft, member);
+		acked_rounds[voters] = member->id == raft->id ? raft->lease.heartbeat_round
+							      : member->progress.acked_heartbeat_round;
 		voters++;
 	}
 	if (!voters)
 		return;
-	qsort(match, (size_t)voters, sizeof *match, compare_descending);
-	qsort(round, (size_t)voters, sizeof *round, compare_descending);
-	majority_match = match[voters / 2];
-	if (majority_match > raft->log.commit_index && raft_term_at(raft, majority_match) == raft->term) {
-		raft->log.commit_index = majority_match;
-		raft_note_commit(raft);
+	qsort(counted_indices, (size_t)voters, sizeof *counted_indices, compare_descending);
+	qsort(acked_rounds, (size_t)voters, sizeof *acked_rounds, compare_descending);
+	majority_index = counted_indices[voters / 2];
+	if (majority_index > raft->log.commit_index && raft_term_at(raft, majority_index) == raft->term) {
+		raft->log.commit_index = majority_index;
+		raft_update_drain_requirements(raft);
 	}
-	extend_lease(raft, round[voters / 2]);
+	extend_lease(raft, acked_rounds[voters / 2]);
 }
 
 /* ---- leader: what is sent ---- */
 
 /* The number of bytes of entries under way to a member, counted no further than the window. */
-static size_t bytes_under_way(const struct raft *raft, const struct raft_progress *progress)
+static size_t bytes_in_flight(const struct raft *raft, const struct raft_progress *progress)
 {
 	size_t bytes = 0;
 
@@ -72,15 +72,15 @@
 	return bytes;
 }
 
-static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev,
+static struct Nl__Append *new_append(struct raft *raft, struct raft_member *member, uint64_t prev_index,
 				     struct command_list *out)
 {
 	struct Nl__Append *append = MESSAGE_NEW(out, Nl__Append, NL__APPEND__INIT);
 
 	append->term = raft->term;
 	append->recipient_id = member->id;
-	append->prev_index = prev;
-	append->prev_term = raft_term_at(raft, prev);
+	append->prev_index = prev_index;
+	append->prev_term = raft_term_at(raft, prev_index);
 	append->commit_index = raft->log.commit_index;
 	append->round = raft->lease.heartbeat_round;
 	append->released = raft_is_released(raft, member);
@@ -94,10 +94,11 @@
  * never waits for entries or chunks, nor can it arrive too early for them. */
 static void send_heartbeat(struct raft *raft, struct raft_member *member, struct command_list *out)
 {
-	uint64_t prev =
+	uint64_t prev_index =
 	    member->progress.probing ? member->progress.next_index - 1 : member->progress.match_index;
 
-	(void)new_append(raft, member, prev > raft->log.base_index ? prev : raft->log.base_index, out);
+	(void)new_append(raft, member, prev_index > raft->log.base_index ? prev_index : raft->log.base_index,
+			 out);
 }
 
 static struct Nl__Entry *pack_entry(const struct raft_entry *entry, struct command_list *out)
@@ -116,22 +117,23 @@
 static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
 	struct raft_progress *progress = &member->progress;
-	size_t bytes = bytes_under_way(raft, progress),
-	       n = (size_t)(raft_last_index(raft) + 1 - progress->next_index);
-	int idle = progress->next_index == progress->unacked_index;
+	size_t in_flight_bytes = bytes_in_flight(raft, progress),
+	       entry_count = (size_t)(raft_last_index(raft) + 1 - progress->next_index);
+	int none_in_flight = progress->next_index == progress->unacked_index;
 	struct Nl__Append *append;
 
-	if (!n || (!idle && bytes >= RAFT_APPEND_WINDOW_BYTES))
+	if (!entry_count || (!none_in_flight && in_flight_bytes >= RAFT_APPEND_WINDOW_BYTES))
 		return;
-	if (idle)
+	if (none_in_flight)
 		progress->advanced_at_ms = now;
-	n = n > RAFT_APPEND_MAX_ENTRIES ? RAFT_APPEND_MAX_ENTRIES : n;
+	entry_count = entry_count > RAFT_APPEND_MAX_ENTRIES ? RAFT_APPEND_MAX_ENTRIES : entry_count;
 	append = new_append(raft, member, progress->next_index - 1, out);
-	append->entries = apr_palloc(out->pool, n * sizeof *append->entries);
-	while (append->n_entries < n && (!append->n_entries || bytes < RAFT_APPEND_WINDOW_BYTES)) {
+	append->entries = apr_palloc(out->pool, entry_count * sizeof *append->entries);
+	while (append->n_entries < entry_count &&
+	       (!append->n_entries || in_flight_bytes < RAFT_APPEND_WINDOW_BYTES)) {
 		const struct raft_entry *entry = raft_entry_at(raft, progress->next_index++);
 
-		bytes += entry->len;
+		in_flight_bytes += entry->len;
 		append->entries[append->n_entries++] = pack_entry(entry, out);
 	}
 }
@@ -140,7 +142,7 @@
  * back-off. */
 static void resend_after_timeout(const struct raft *raft, struct raft_progress *progress, int64_t now)
 {
-	int64_t transmission_ms = (int64_t)(bytes_under_way(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
+	int64_t transmission_ms = (int64_t)(bytes_in_flight(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
 
 	if (progress->next_index == progress->unacked_index ||
 	    now - progress->advanced_at_ms < progress->resend_ms + transmission_ms)
@@ -151,7 +153,8 @@
 	    progress->resend_ms * 2 < RAFT_RESEND_MAX_MS ? progress->resend_ms * 2 : RAFT_RESEND_MAX_MS;
 }
 
-static void send_missing(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
+static void send_entries_or_snapshot(struct raft *raft, struct raft_member *member, int64_t now,
+				     struct command_list *out)
 {
 	if (member->progress.probing && member->progress.next_index > raft->log.base_index)
 		return;
@@ -162,16 +165,16 @@
 		send_entries(raft, member, now, out);
 }
 
-void raft_replicate(struct raft *raft, int all, int64_t now, struct command_list *out)
+void raft_replicate(struct raft *raft, int with_heartbeat, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < raft->group.member_count; i++) {
 		struct raft_member *member = &raft->group.members[i];
 
 		if (member->id == raft->id)
 			continue;
-		if (all)
+		if (with_heartbeat)
 			send_heartbeat(raft, member, out);
-		send_missing(raft, member, now, out);
+		send_entries_or_snapshot(raft, member, now, out);
 	}
 }
 
@@ -180,7 +183,7 @@
 /* Whether this member may stop is as the newest round says: entries may arrive later than heartbeats that
  * were sent after them. The answer carries the round, by which the leader knows that this member has been
  * told. */
-static void note_release(struct raft *raft, const struct Nl__Append *append)
+static void update_release(struct raft *raft, const struct Nl__Append *append)
 {
 	if (append->round < raft->drain.release_round)
 		return;
@@ -189,37 +192,38 @@
 }
 
 /* Whether the log holds the entry before the appended ones. A dropped or committed entry is the leader's. */
-static bool has_previous(const struct raft *raft, const struct Nl__Append *append)
+static bool has_previous_entry(const struct raft *raft, const struct Nl__Append *append)
 {
-	uint64_t prev = append->prev_index;
+	uint64_t prev_index = append->prev_index;
 
-	if (prev > raft_last_index(raft))
+	if (prev_index > raft_last_index(raft))
 		return false;
-	return prev < raft->log.base_index || prev <= raft->log.commit_index ||
-	       raft_term_at(raft, prev) == append->prev_term;
+	return prev_index < raft->log.base_index || prev_index <= raft->log.commit_index ||
+	       raft_term_at(raft, prev_index) == append->prev_term;
 }
 
 /* Tell the leader where to try next. */
 static void reject_append(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
-	uint64_t prev = message->append->prev_index, last = raft_last_index(raft);
-	uint64_t hint = prev > last ? last : prev - 1;
+	uint64_t prev_index = message->append->prev_index, last_index = raft_last_index(raft);
+	uint64_t hint_index = prev_index > last_index ? last_index : prev_index - 1;
 
-	if (hint < raft->log.commit_index)
-		hint = raft->log.commit_index;
-	raft_send_append_reply(raft, message->addr, 0, hint, message->append->round, out);
+	if (hint_index < raft->log.commit_index)
+		hint_index = raft->log.commit_index;
+	raft_send_append_reply(raft, message->addr, 0, hint_index, message->append->round, out);
 }
 
 /* Append what is missing; entries that conflict with the leader's are truncated first. Committed entries
  * never differ. */
-static void append_missing(struct raft *raft, const struct Nl__Append *append)
+static void append_missing_entries(struct raft *raft, const struct Nl__Append *append)
 {
-	uint64_t prev = append->prev_index;
-	uint64_t skip = raft->log.commit_index > prev ? raft->log.commit_index - prev : 0;
+	uint64_t prev_index = append->prev_index;
+	uint64_t committed_count =
+	    raft->log.commit_index > prev_index ? raft->log.commit_index - prev_index : 0;
 
-	for (size_t k = skip; k < append->n_entries; k++) {
-		const struct Nl__Entry *entry = append->entries[k];
-		uint64_t index = prev + k + 1;
+	for (size_t position = committed_count; position < append->n_entries; position++) {
+		const struct Nl__Entry *entry = append->entries[position];
+		uint64_t index = prev_index + position + 1;
 
 		if (index <= raft_last_index(raft) && raft_term_at(raft, index) == entry->term)
 			continue;
@@ -237,24 +241,24 @@
 void raft_on_append(struct raft *raft, const struct Nl__Msg *message, int64_t now, struct command_list *out)
 {
 	const struct Nl__Append *append = message->append;
-	uint64_t end = append->prev_index + append->n_entries, committed;
+	uint64_t append_end_index = append->prev_index + append->n_entries, new_commit_index;
 
 	if (!raft_accept_leader(raft, message, append->term, now)) {
 		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
 		return;
 	}
-	note_release(raft, append);
-	if (!has_previous(raft, append)) {
+	update_release(raft, append);
+	if (!has_previous_entry(raft, append)) {
 		reject_append(raft, message, out);
 		return;
 	}
-	append_missing(raft, append);
-	if (end > raft->log.matched_index)
-		raft->log.matched_index = end;
-	committed =
+	append_missing_entries(raft, append);
+	if (append_end_index > raft->log.matched_index)
+		raft->log.matched_index = append_end_index;
+	new_commit_index =
 	    append->commit_index < raft->log.matched_index ? append->commit_index : raft->log.matched_index;
-	if (committed > raft->log.commit_index)
-		raft->log.commit_index = committed;
+	if (new_commit_index > raft->log.commit_index)
+		raft->log.commit_index = new_commit_index;
 	if (raft->disk.dirty && append->round == raft->lease.heartbeat_round)
 		return; /* nothing new to answer before the sync, and then raft_synced answers */
 	if (append->round > raft->lease.heartbeat_round)
@@ -267,15 +271,16 @@
 
 /* The member's log is ours up to matched, and synced up to match. The reply may be to an earlier append than
  * the one that probed for the member's position, so what is sent next begins behind what it acknowledges. */
-static void on_accepted(struct raft_progress *progress, uint64_t match, uint64_t matched, int64_t now)
+static void handle_accepted_append(struct raft_progress *progress, uint64_t match_index,
+				   uint64_t matched_index, int64_t now)
 {
-	uint64_t known = matched > match ? matched : match;
+	uint64_t acknowledged_index = matched_index > match_index ? matched_index : match_index;
 
-	if (progress->probing && known + 1 < progress->next_index)
-		progress->next_index = progress->unacked_index = known + 1;
+	if (progress->probing && acknowledged_index + 1 < progress->next_index)
+		progress->next_index = progress->unacked_index = acknowledged_index + 1;
 	progress->probing = false;
-	if (match > progress->match_index) {
-		progress->match_index = match;
+	if (match_index > progress->match_index) {
+		progress->match_index = match_index;
 		progress->advanced_at_ms = now;
 		progress->resend_ms = RAFT_RESEND_MS;
 	}
@@ -287,13 +292,13 @@
 
 /* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A
  * hint below the base calls for a snapshot, whose replies say more than further appends would. */
-static void on_rejected(struct raft *raft, struct raft_member *member, uint64_t hint,
-			struct command_list *out)
+static void handle_rejected_append(struct raft *raft, struct raft_member *member, uint64_t hint_index,
+				   struct command_list *out)
 {
 	struct raft_progress *progress = &member->progress;
 
 	progress->next_index = progress->unacked_index =
-	    (hint > progress->match_index ? hint : progress->match_index) + 1;
+	    (hint_index > progress->match_index ? hint_index : progress->match_index) + 1;
 	if (progress->next_index <= raft->log.base_index)
 		return;
 	progress->probing = true;
@@ -317,13 +322,13 @@
 		return;
 	}
 	member->progress.last_reply_at_ms = now;
-	raft_note_draining(raft, member, reply->draining);
-	if (reply->round > member->progress.acked_round)
-		member->progress.acked_round = reply->round;
+	raft_set_member_draining(raft, member, reply->draining);
+	if (reply->round > member->progress.acked_heartbeat_round)
+		member->progress.acked_heartbeat_round = reply->round;
 	if (reply->success)
-		on_accepted(&member->progress, reply->match_index, reply->matched_index, now);
+		handle_accepted_append(&member->progress, reply->match_index, reply->matched_index, now);
 	else
-		on_rejected(raft, member, reply->match_index, out);
+		handle_rejected_append(raft, member, reply->match_index, out);
 	if (member->progress.next_index > raft->log.base_index && member->transfer.index)
 		raft_end_transfer(raft, member);
 	raft_advance_commit(raft);
--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -6,24 +6,25 @@
 #include "raft_internal.h"
 
 enum {
-	HANDOVER_MS = 1000
+	HANDOVER_TIMEOUT_MS = 1000
 }; /* a draining leader waits so long for a successor to catch up, and then for its election */
 
-int raft_hand_over(struct raft *raft, int64_t now, struct command_list *out)
+int raft_hand_over_leadership(struct raft *raft, int64_t now, struct command_list *out)
 {
-	const struct raft_member *successor = raft_find_member(raft, raft_successor(raft, now));
-	uint64_t last = raft_last_index(raft);
-	int ready;
+	const struct raft_member *successor = raft_find_member(raft, raft_find_successor(raft, now));
+	uint64_t last_index = raft_last_index(raft);
+	int may_step_down;
 
 	if (successor)
-		ready = successor->progress.match_index >= last;
+		may_step_down = successor->progress.match_index >= last_index;
 	else
-		ready = raft_others_have_synced(raft, raft->id, last);
-	if (!ready && now < raft->drain.deadline_ms)
+		may_step_down = raft_others_have_synced(raft, raft->id, last_index);
+	if (!may_step_down && now < raft->drain.deadline_at_ms)
 		return 0;
-	raft->drain.release =
-	    raft_is_expendable(raft, raft->id, last) ? RAFT_RELEASED_LATER : RAFT_NOT_RELEASED;
-	raft->drain.deadline_ms = now + HANDOVER_MS;
+	raft->drain.release = raft_is_copy_redundant(raft, raft->id, last_index)
+				  ? RAFT_RELEASED_AFTER_ELECTION
+				  : RAFT_NOT_RELEASED;
+	raft->drain.deadline_at_ms = now + HANDOVER_TIMEOUT_MS;
 	raft_step_down(raft, now, out);
 	return 1;
 }
@@ -34,7 +35,7 @@
 		return;
 	raft->drain.requested = true;
 	raft->drain.release = RAFT_NOT_RELEASED;
-	raft->drain.deadline_ms = now + HANDOVER_MS;
+	raft->drain.deadline_at_ms = now + HANDOVER_TIMEOUT_MS;
 }
 
 bool raft_may_stop(const struct raft *raft, int64_t now)
@@ -46,5 +47,5 @@
 	if (!self || !self->voter || raft->removed || raft->fenced)
 		return true;
 	return raft->drain.release == RAFT_RELEASED ||
-	       (raft->drain.release == RAFT_RELEASED_LATER && now >= raft->drain.deadline_ms);
+	       (raft->drain.release == RAFT_RELEASED_AFTER_ELECTION && now >= raft->drain.deadline_at_ms);
 }
