--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -1,13 +1,13 @@
-/* One replicated state machine: begin and end, time, messages, disk syncs, proposals. Pure: events in,
- * commands out. The top of the raft modules: it calls all of the others, and none of them calls it. Daemons,
- * simulator and model checker run these functions alike.
+/* The interface of one replicated state machine: start and end, ticks, messages, completed syncs and
+ * proposals. It is pure: it takes events and returns commands. The daemons, the simulator and the model
+ * checker run the same functions.
  *
- * The modules call downwards only:
+ * Layers of the modules; each calls only modules below its own:
  *   raft.c                              events and their order within a step
  *   raft_replication, raft_reconfigure  appends, commit index, lease; changes of membership
- *   raft_snapshot, _transfer, _recovery snapshots and their transfer; planned stops; lost majorities
+ *   raft_snapshot, _transfer, _recovery snapshots and their transfer; planned stops; recovery
  *   raft_election                       roles, votes, vote barrier, election timer
- *   raft_drain                          which members may stop
+ *   raft_drain                          which draining members may stop
  *   raft_members, _disk, _messages, _validate
  *   raft_log                            entries and terms */
 #include <stdlib.h>
@@ -16,8 +16,9 @@
 #include "containers.h"
 #include "raft_internal.h"
 
-/* Whether an append or a snapshot chunk is meant for another identity: one that was at our address before its
- * disk was lost. What the leader sends to that one would undo what it sends to us. */
+/* Whether an append or a snapshot chunk is addressed to another identity, which had our address before its
+ * disk was lost. The leader tracks both identities separately, so messages to the old one would undo the
+ * effects of messages to us. */
 static bool is_for_another_identity(const struct raft *raft, const struct Nl__Msg *message)
 {
 	uint64_t recipient_id = 0;
@@ -119,7 +120,7 @@
 		return;
 	if (!self || !self->voter)
 		return;
-	if (raft->drain.requested) { /* the answers only tell it whether it was removed */
+	if (raft->drain.requested) { /* the replies only show whether this member was removed */
 		raft_request_votes(raft, 1, now, out);
 		raft_retry_election_after(raft, RAFT_ELECTION_RETRY_MS, now);
 		return;
@@ -170,7 +171,7 @@
 	raft_request_sync(raft, now, out);
 }
 
-/* ---- begin and end ---- */
+/* ---- start and end ---- */
 
 static void load_saved_log(struct raft *raft, const struct raft_saved *saved)
 {
@@ -226,7 +227,7 @@
 	if (raft_last_index(raft) || raft->term || raft->group.member_count)
 		return;
 	packed = raft_pack_members(raft, members, count, &len);
-	raft->term = 1; /* entry 1 of term 1 is the same on every founding member */
+	raft->term = 1; /* entry 1, of term 1, is identical on all founding members */
 	raft_append_entry(raft, 1, RAFT_ENTRY_MEMBERS, packed, len);
 	raft_set_members(raft, packed, len, 1);
 	free(packed);
--- a/lib/core/raft_disk.c
+++ b/lib/core/raft_disk.c
@@ -1,7 +1,7 @@
-/* What a replica has on its disk, and what is on its way there: the record that the next sync writes, and the
- * syncs that have not been reported as done. The disk itself is the caller's (CMD_PERSIST, answered by
- * raft_synced). Syncs are done in the order in which they are requested. An entry counts as stored only once
- * its sync is done. Called by raft.c and, for raft_sync_stalled, raft_election.c; calls raft_log.c only. */
+/* Storage of a replica: the record that the next sync writes, and the syncs that have not been reported as
+ * done. The caller writes the disk: CMD_PERSIST requests a sync, and raft_synced reports that it is done.
+ * Invariants: syncs are done in the order in which they are requested; an entry counts as stored only once
+ * its sync is done. */
 #include <apr_strings.h>
 
 #include "containers.h"
--- a/lib/core/raft_drain.c
+++ b/lib/core/raft_drain.c
@@ -1,7 +1,6 @@
-/* Members that are to stop, as the leader counts them. A member whose stop is planned is told that it may go
- * (released) once its copy is needed by nobody; until then it keeps voting and storing. Always: a committed
- * entry is stored by a majority that does not rest on members that may have stopped. Called by
- * raft_election.c, raft_transfer.c and raft_replication.c; calls raft_members.c and raft_log.c. */
+/* Leader: planned stops of members. The leader releases a draining member once no other member needs its copy
+ * of the log; until then the draining member continues to vote and to store entries. Invariant: a committed
+ * entry is stored by a majority that does not include members which may have stopped. */
 #include "raft_internal.h"
 
 uint64_t raft_member_synced_index(const struct raft *raft, const struct raft_member *member)
@@ -19,8 +18,8 @@
 	return member->id == raft->id || now - member->progress.last_reply_at_ms <= RAFT_LEASE_MS;
 }
 
-/* Whether a member was told that it may stop, and has not answered a later heartbeat round since. Its
- * acknowledgements may be older than its stop. */
+/* Whether a member has been released and has not answered a later heartbeat round since. Such a member may
+ * have stopped after it sent the acknowledgements that have been received. */
 static bool may_have_stopped(const struct raft_member *member)
 {
 	return member->drain.release_round &&
@@ -42,7 +41,7 @@
 {
 	if (draining && !member->drain.requested) {
 		member->drain.required_index = raft_last_index(raft);
-		raft->drain.has_remaining_majority = false; /* until it is counted again */
+		raft->drain.has_remaining_majority = false; /* until it is recomputed */
 	}
 	member->drain.requested = draining;
 }
--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -1,21 +1,20 @@
-/* Elections and leadership: roles, votes, the election timer, the leader lease's vote barrier, and the probes
- * by which a restarted member learns that no lease rests on a vote barrier from before its restart. Always: a
- * vote is sent only once it is synced; nobody grants a vote while its vote barrier stands, so no two leaders
- * hold a lease at once. Called by raft_snapshot.c, raft_replication.c, raft_transfer.c, raft_recovery.c,
- * raft_reconfigure.c and raft.c; calls raft_drain.c, raft_members.c, raft_disk.c, raft_messages.c and
- * raft_log.c. */
+/* Elections and leadership: roles, votes, the election timer, the vote barrier that protects the leader
+ * lease, and the probes with which a restarted member finds out whether a lease may still rely on a vote
+ * barrier from before the restart. Invariants: a vote is sent only after it has been synced; a member grants
+ * no vote before its vote barrier ends, so two leaders never hold a lease at the same time. See Ongaro's
+ * dissertation (2014), 4.2.3, 6.4.1 and 9.6, and Raft (Ongaro and Ousterhout, 2014), 5.2 and 5.4. */
 #include <string.h>
 
 #include "raft_internal.h"
 
 enum {
-	/* after a leader stepped down, voters other than its successor wait so long, and up to as much more
-	 */
+	/* after a leader has stepped down, its followers start an election within this time; if the leader
+	 * named a successor, the other voters wait this time in addition */
 	STEP_DOWN_ELECTION_DELAY_MS = 50,
-	FIRST_ELECTION_MAX_DELAY_MS = 300, /* the first election of a new group comes within so long */
-	UNSENT_ROUND_AGE_MS =
-	    1000 *
-	    RAFT_LEASE_MS /* age of heartbeat rounds of earlier terms: answers to them grant no lease */
+	/* the first election of a new group starts within this time */
+	FIRST_ELECTION_MAX_DELAY_MS = 300,
+	/* age recorded for rounds that were not sent in this term: replies to them extend no lease */
+	UNSENT_ROUND_AGE_MS = 1000 * RAFT_LEASE_MS
 };
 
 void raft_reset_election_timer(struct raft *raft, int64_t now)
@@ -24,8 +23,8 @@
 	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
 }
 
-/* There is no leader to wait for, so the next attempt may come sooner; but a slow disk must have had time to
- * sync the vote. */
+/* No leader is known, so the next election may start sooner than after a full election timeout. The caller
+ * includes in wait_ms the time that a slow disk needs to sync a vote. */
 void raft_retry_election_after(struct raft *raft, int64_t wait_ms, int64_t now)
 {
 	raft->election.timeout_at_ms =
@@ -40,8 +39,8 @@
 		raft_mark_dirty(raft, 0);
 		raft->leader_id = raft->leader_addr = 0;
 		raft->log.matched_index = raft->log.commit_index;
-		raft->lease.heartbeat_round = raft->drain.release_round =
-		    0; /* rounds are counted within a term */
+		/* heartbeat rounds are numbered within a term */
+		raft->lease.heartbeat_round = raft->drain.release_round = 0;
 		raft->drain.release = RAFT_NOT_RELEASED;
 	}
 	if (raft->role == RAFT_LEADER)
@@ -96,8 +95,8 @@
 	raft->lease.quorum_wait_started_at_ms = now;
 }
 
-/* The first entry of the term carries the first heartbeat round: one answer of a majority commits it and
- * grants the lease. */
+/* The first entry of the term is sent with the first heartbeat round, so that one reply from a majority both
+ * commits the entry and grants the lease. */
 static void begin_first_heartbeat_round(struct raft *raft, int64_t now)
 {
 	raft->lease.heartbeat_round = 1;
@@ -105,8 +104,8 @@
 	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUND_HISTORY] = now;
 }
 
-/* Forget what an earlier term knew of a member's log. One that failed together with the last leader has been
- * silent since then: half of the bound for lost members counts as over. */
+/* Reset the replication state of a member at the beginning of a term. A member that failed together with the
+ * last leader has sent no reply since then, so half of member_lost_ms counts as elapsed. */
 static void reset_member_progress(struct raft *raft, struct raft_member *member, int64_t now)
 {
 	uint64_t next_index = raft_last_index(raft) + 1;
@@ -150,13 +149,13 @@
 	raft->lease.heartbeat_round = raft->drain.release_round = 0;
 	raft->leader_id = raft->leader_addr = 0;
 	raft_mark_dirty(raft, 0);
-	raft->disk.self_vote_sync_seq =
-	    raft->disk.requested_seq + 1; /* the sync that this step's flush will request */
+	/* the flush at the end of this step requests this sync */
+	raft->disk.self_vote_sync_seq = raft->disk.requested_seq + 1;
 	raft_request_votes(raft, 0, now, out);
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
 }
 
-/* Whether a voter has granted; our own vote counts once it is synced. */
+/* Whether a voter has granted its vote or pre-vote. Our own vote counts once it is synced. */
 static bool has_granted(const struct raft *raft, const struct raft_member *member)
 {
 	if (member->id == raft->id)
@@ -191,9 +190,9 @@
 
 /* ---- voters ---- */
 
-/* The leader of a term has dropped its lease. Where this member knows of no later term, its vote barrier
- * protects that leader or an earlier one, whose lease was over before that one led: no lease is left to
- * protect. */
+/* The leader of a term has stepped down, so its lease has ended. If this member knows no later term, its vote
+ * barrier protects either that leader or an earlier one, whose lease ended before that leader was elected. In
+ * both cases no lease is left to protect, and the barrier ends. */
 static void end_vote_barrier_after_step_down(struct raft *raft, uint64_t term)
 {
 	if (!term || term < raft->term)
@@ -203,7 +202,7 @@
 	raft->election.vote_barrier_unknown = false;
 }
 
-/* Whether a candidate's log is at least as new as ours. */
+/* Whether a candidate's log is at least as up-to-date as ours (Raft paper, 5.4.1). */
 static bool is_up_to_date(const struct raft *raft, const struct Nl__VoteRequest *request)
 {
 	uint64_t last_term = raft_last_term(raft);
@@ -212,7 +211,7 @@
 	       (request->last_term == last_term && request->last_index >= raft_last_index(raft));
 }
 
-/* Grant the vote of this term; it is sent once it is synced. */
+/* Grant the vote of this term. The reply is sent once the vote is synced (raft_synced). */
 static void grant_vote(struct raft *raft, const struct Nl__Msg *message, int64_t now)
 {
 	raft->vote = message->id;
@@ -254,7 +253,8 @@
 	grant_vote(raft, message, now);
 }
 
-/* Whether a granted vote is for our current candidacy, or pre-vote for the one that would follow. */
+/* Whether a granted vote is for our current candidacy, or a granted pre-vote is for the candidacy that would
+ * follow. */
 static int is_for_current_candidacy(const struct raft *raft, const struct Nl__VoteReply *reply)
 {
 	if (reply->is_pre_vote)
@@ -287,12 +287,12 @@
 
 /* ---- after a restart ----
  *
- * A restarted member waits until every vote barrier that it may have set before is over. Where the whole
- * group restarted, that would be a wait for a leader that is gone too. So it probes every member that it
- * knows; once all of them have answered, to this incarnation, that they do not lead, nobody holds a lease
- * that rests on its earlier vote barrier. A leader that it does not know can exist only if some member that
- * it does know took part in a change of members, and so has a log of a later term, or a later members entry:
- * then it waits. */
+ * A restarted member waits until any vote barrier that it may have set before the restart has ended. When all
+ * members of the group have restarted, this wait would protect a leader that no longer leads. The member
+ * therefore probes all members that it knows. Once all of them have replied to this incarnation that they do
+ * not lead, no lease relies on its earlier vote barrier, and the barrier ends. A leader that the member does
+ * not know can exist only if a member that it knows took part in a change of membership, and therefore has a
+ * log of a later term, or a later members entry. In that case the barrier is waited out. */
 
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
@@ -314,7 +314,7 @@
 	struct Nl__ProbeReply *reply;
 
 	if (!raft_find_member(raft, raft->id))
-		return; /* one that was removed may not know of the group's leader any more */
+		return; /* a removed member may not know the group's current leader */
 	reply = MESSAGE_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
 	reply->incarnation = message->probe->incarnation;
 	reply->is_leader = raft->role == RAFT_LEADER;
@@ -323,8 +323,8 @@
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_PROBE_REPLY)->probe_reply = reply;
 }
 
-/* How many voters rank before this one in its shard: those that restarted together request votes one after
- * another. */
+/* The number of voters that rendezvous hashing ranks before this one in its shard. Voters that restarted
+ * together start their elections one after another, in this order. */
 static int count_voters_ranked_first(const struct raft *raft)
 {
 	uint64_t own_weight = core_rendezvous_weight(raft->id, raft->shard);
@@ -338,7 +338,7 @@
 	return count;
 }
 
-/* Whether a member's answer shows that there may be a leader which this one does not know. */
+/* Whether a reply shows that its sender leads, or that a leader may exist which this member does not know. */
 static bool may_have_unknown_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
 {
 	uint64_t term = raft_last_term(raft);
@@ -356,7 +356,8 @@
 	    !member)
 		return;
 	if (may_have_unknown_leader(raft, reply)) {
-		raft->election.vote_barrier_unknown = false; /* the vote barrier is waited out */
+		/* no more probes are sent: the vote barrier is waited out */
+		raft->election.vote_barrier_unknown = false;
 		return;
 	}
 	member->vote.denied_leadership = true;
@@ -378,9 +379,9 @@
 	       !raft_is_sync_stalled(raft, now);
 }
 
-/* The leader ended its lease before it announced that it steps down: its followers need not wait for it. The
- * successor that it names runs for election at once, without a pre-vote; its request tells the others of the
- * step-down if they have not heard. */
+/* The leader ended its lease before it announced its step-down, so its followers need not wait for the lease.
+ * The successor named in the announcement starts an election at once, without a pre-vote. Its vote requests
+ * contain the term of the step-down, for members that have not received the announcement. */
 void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 		       struct command_list *out)
 {
@@ -420,7 +421,7 @@
 	}
 }
 
-/* ---- begin ---- */
+/* ---- start ---- */
 
 void raft_init_elections(struct raft *raft, int64_t now)
 {
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -1,6 +1,6 @@
-/* The replicated log in memory: entries behind the snapshot base, their terms, and which of them have yet to
- * be written. Lowest of the raft modules: it calls none of the others, and all of them call it. Indices are
- * dense: entries[0] is entry base_index + 1. An entry at or below the commit index is never truncated. */
+/* The replicated log in memory: the entries after the base index, their terms, and which of them have yet to
+ * be written to the disk. This is the lowest of the raft modules. Invariants: indices are dense, so
+ * entries[0] has the index base_index + 1; an entry at or below the commit index is never truncated. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -1,6 +1,6 @@
-/* The members in force: those of the newest members entry of the log, else of the snapshot, committed or not;
- * and the identities of older epochs that the group does not take back. Called by all raft modules above the
- * log; calls raft_log.c only. */
+/* The members in force, and the fenced identities of older epochs, which the group does not admit again. In
+ * force is the newest members entry of the log, whether it is committed or not; if the log has none, the
+ * members of the newest snapshot are in force. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -43,7 +43,7 @@
 	return false;
 }
 
-/* A member of which nothing is known yet. */
+/* The initial state of a member: the end of its log is unknown, and is probed for. */
 static struct raft_member new_member(const struct raft *raft)
 {
 	uint64_t next_index = raft_last_index(raft) + 1;
@@ -63,7 +63,7 @@
 	memcpy(old_members, raft->group.members, sizeof old_members);
 	raft->group.member_count = 0;
 	raft->group.members_index = index;
-	raft->drain.has_remaining_majority = false; /* until it is counted among these */
+	raft->drain.has_remaining_majority = false; /* until it is recomputed for these members */
 	for (size_t i = 0; members && i < members->n_members && raft->group.member_count < RAFT_MAX_MEMBERS;
 	     i++) {
 		struct raft_member *member = &raft->group.members[raft->group.member_count++];
--- a/lib/core/raft_messages.c
+++ b/lib/core/raft_messages.c
@@ -1,6 +1,5 @@
-/* Answers that more than one of the raft modules sends. Each adds one message to the step's commands and
- * changes nothing else. Called by raft_election.c, raft_snapshot.c, raft_replication.c, raft_recovery.c and
- * raft.c; calls none of them. */
+/* Replies that several raft modules send. Each function adds one message to the commands of the step and
+ * changes nothing else. */
 #include "raft_internal.h"
 
 void raft_send_vote_reply(struct raft *raft, uint64_t candidate_addr, uint64_t term, int granted,
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -1,8 +1,7 @@
-/* Replication: append messages and their replies, the commit index, and the renewal of the leader lease.
- * Always: an entry is committed once a majority of voters has synced it and it, or a later one, is of the
- * leader's own term; a lease is counted from the moment at which its heartbeat round was sent, not from its
- * answer. Called by raft.c for messages, ticks and syncs; calls raft_snapshot.c, raft_election.c,
- * raft_drain.c, raft_members.c, raft_messages.c and raft_log.c. */
+/* Replication: append messages and their replies, the commit index, and the renewal of the leader lease
+ * (Raft, Ongaro and Ousterhout, 2014, 5.3 and 5.4.2). Invariants: an entry is committed once a majority of
+ * voters has synced it and it, or a later entry that they have also synced, is of the leader's own term; a
+ * lease lasts from the time at which its heartbeat round was sent, not from the time of the replies. */
 #include <apr_strings.h>
 #include <stdlib.h>
 
@@ -15,7 +14,8 @@
 	return (x < y) - (x > y);
 }
 
-/* Leader: the lease lasts from the moment at which a round was sent that a majority has answered. */
+/* Leader: extend the lease by a heartbeat round that a majority has answered. The lease lasts from the time
+ * at which the round was sent. */
 static void extend_lease(struct raft *raft, uint64_t majority_round)
 {
 	int64_t expires_at_ms;
@@ -56,9 +56,9 @@
 	extend_lease(raft, acked_rounds[voters / 2]);
 }
 
-/* ---- leader: what is sent ---- */
+/* ---- leader: sending ---- */
 
-/* The number of bytes of entries under way to a member, counted no further than the window. */
+/* Size of the entries in flight to a member. Counting ends once the window is full. */
 static size_t bytes_in_flight(const struct raft *raft, const struct raft_progress *progress)
 {
 	size_t bytes = 0;
@@ -90,8 +90,9 @@
 	return append;
 }
 
-/* An append without entries, at an index that the member is known to hold, or at the one that is guessed. It
- * never waits for entries or chunks, nor can it arrive too early for them. */
+/* Send an append without entries. Its previous index is one that the member is known to hold, or while
+ * probing the one that is guessed. A heartbeat therefore neither waits for entries or chunks in flight, nor
+ * is it rejected when it arrives before them. */
 static void send_heartbeat(struct raft *raft, struct raft_member *member, struct command_list *out)
 {
 	uint64_t prev_index =
@@ -112,8 +113,7 @@
 	return packed;
 }
 
-/* Entries from next_index on: as many as the window has capacity for, and one at least when none is under
- * way. */
+/* Send entries from next_index on, as many as the window allows, and at least one when none is in flight. */
 static void send_entries(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
 {
 	struct raft_progress *progress = &member->progress;
@@ -138,8 +138,8 @@
 	}
 }
 
-/* Without progress for a while, entries under way are taken for lost, and are sent again with growing
- * back-off. */
+/* Without progress for the resend time, entries in flight are considered lost. They are sent again, and the
+ * resend time is doubled, up to RAFT_RESEND_MAX_MS. */
 static void resend_after_timeout(const struct raft *raft, struct raft_progress *progress, int64_t now)
 {
 	int64_t transmission_ms = (int64_t)(bytes_in_flight(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
@@ -178,11 +178,11 @@
 	}
 }
 
-/* ---- member: what is received ---- */
+/* ---- member: receiving ---- */
 
-/* Whether this member may stop is as the newest round says: entries may arrive later than heartbeats that
- * were sent after them. The answer carries the round, by which the leader knows that this member has been
- * told. */
+/* Update whether this member may stop, unless a newer heartbeat round has set it already: entries may arrive
+ * after heartbeats that were sent later. The reply contains the round, which shows the leader that this
+ * member has received its release. */
 static void update_release(struct raft *raft, const struct Nl__Append *append)
 {
 	if (append->round < raft->drain.release_round)
@@ -191,7 +191,8 @@
 	raft->drain.release = append->released ? RAFT_RELEASED : RAFT_NOT_RELEASED;
 }
 
-/* Whether the log holds the entry before the appended ones. A dropped or committed entry is the leader's. */
+/* Whether the log holds the entry before the appended ones. Entries that were dropped or are committed match
+ * the leader's log. */
 static bool has_previous_entry(const struct raft *raft, const struct Nl__Append *append)
 {
 	uint64_t prev_index = append->prev_index;
@@ -202,7 +203,7 @@
 	       raft_term_at(raft, prev_index) == append->prev_term;
 }
 
-/* Tell the leader where to try next. */
+/* Reject an append; the reply contains the index after which the leader is to retry. */
 static void reject_append(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
 	uint64_t prev_index = message->append->prev_index, last_index = raft_last_index(raft);
@@ -213,8 +214,8 @@
 	raft_send_append_reply(raft, message->addr, 0, hint_index, message->append->round, out);
 }
 
-/* Append what is missing; entries that conflict with the leader's are truncated first. Committed entries
- * never differ. */
+/* Append the entries that the log lacks; entries that conflict with the leader's are truncated first.
+ * Committed entries never conflict, and are skipped. */
 static void append_missing_entries(struct raft *raft, const struct Nl__Append *append)
 {
 	uint64_t prev_index = append->prev_index;
@@ -260,17 +261,18 @@
 	if (new_commit_index > raft->log.commit_index)
 		raft->log.commit_index = new_commit_index;
 	if (raft->disk.dirty && append->round == raft->lease.heartbeat_round)
-		return; /* nothing new to answer before the sync, and then raft_synced answers */
+		return; /* the reply is sent by raft_synced; before the sync it would report nothing new */
+	/* the round is never lowered: entries may arrive after heartbeats that were sent later */
 	if (append->round > raft->lease.heartbeat_round)
-		raft->lease.heartbeat_round =
-		    append->round; /* entries may arrive later than heartbeats that were sent after them */
+		raft->lease.heartbeat_round = append->round;
 	raft_send_append_reply(raft, message->addr, 1, raft_synced_match(raft), append->round, out);
 }
 
-/* ---- leader: what is answered ---- */
+/* ---- leader: replies ---- */
 
-/* The member's log is ours up to matched, and synced up to match. The reply may be to an earlier append than
- * the one that probed for the member's position, so what is sent next begins behind what it acknowledges. */
+/* The member's log matches ours up to matched_index, and is synced up to match_index. The reply may belong to
+ * an earlier append than the one that probed for the end of the member's log, so the next entries start after
+ * the newest one that this reply acknowledges. */
 static void handle_accepted_append(struct raft_progress *progress, uint64_t match_index,
 				   uint64_t matched_index, int64_t now)
 {
@@ -290,8 +292,10 @@
 		progress->next_index = progress->unacked_index;
 }
 
-/* The member's log does not reach or match: it is asked again at its hint, without entries until it agrees. A
- * hint below the base calls for a snapshot, whose replies say more than further appends would. */
+/* The member's log ends before the previous index of the append, or conflicts there. The next append probes
+ * at the hint of the member; no entries are sent until the member accepts one. If the hint is below the base
+ * of our log, the member needs a snapshot instead, and replies to its chunks report the member's position
+ * more precisely than further appends would. */
 static void handle_rejected_append(struct raft *raft, struct raft_member *member, uint64_t hint_index,
 				   struct command_list *out)
 {
--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -1,13 +1,11 @@
-/* A planned stop of this member. If it leads, it hands its leadership to the most caught-up voter that stays.
- * It may stop once a leader says that the voters that stay are a majority and that every other voter has
- * synced all that its own copy could be needed for (raft_drain.c); until then it stays up to the end of its
- * grace. Called by raft.c for ticks and by the control plane; calls raft_election.c, raft_drain.c and
- * raft_members.c. */
+/* The planned stop of this member. A leader first hands its leadership over to the most caught-up voter that
+ * does not drain. The member may stop once a leader has released it: the remaining voters are then a
+ * majority, and every other voter has synced all entries for which this member's copy could be needed
+ * (raft_drain.c). Without a release, the process stops at the end of its grace period. */
 #include "raft_internal.h"
 
-enum {
-	HANDOVER_TIMEOUT_MS = 1000
-}; /* a draining leader waits so long for a successor to catch up, and then for its election */
+/* A draining leader waits this time for a successor to catch up, and the same time for its election. */
+enum { HANDOVER_TIMEOUT_MS = 1000 };
 
 int raft_hand_over_leadership(struct raft *raft, int64_t now, struct command_list *out)
 {
