--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -137,7 +137,7 @@
  * crash, be restarted without draining, and then find the group without a majority. */
 bool raft_is_copy_redundant(const struct raft *raft, uint64_t id, uint64_t index);
 
-/* Whether a draining member may stop. */
+/* Leader: whether a member may stop: it drains, and its copy is redundant up to its required index. */
 bool raft_is_released(const struct raft *raft, const struct raft_member *member);
 
 /* The identity of the most caught-up voter that is responsive and does not drain; 0: there is none. */
@@ -258,8 +258,8 @@
 
 /* ---- replication (raft_replication.c) ---- */
 
-/* Leader: advance the commit index to the newest entry that a majority has synced, and extend the lease by
- * the newest heartbeat round that a majority has answered. */
+/* Leader: advance the commit index to the newest entry that a majority has synced, if that entry is of the
+ * current term, and extend the lease by the newest heartbeat round that a majority has answered. */
 void raft_advance_commit(struct raft *raft);
 
 /* Leader: send the entries or snapshot chunks that members lack, and, if with_heartbeat is set, a heartbeat
