--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -1,21 +1,20 @@
-/* Elections and leadership: roles, votes, the election timer, the leader lease's vote barrier, and the probes
- * by which a restarted member learns that no lease rests on a vote barrier from before its restart. Always: a
- * vote is sent only once it is synced; nobody grants a vote while its vote barrier stands, so no two leaders
- * hold a lease at once. Called by raft_snapshot.c, raft_replication.c, raft_transfer.c, raft_recovery.c,
- * raft_reconfigure.c and raft.c; calls raft_drain.c, raft_members.c, raft_disk.c, raft_messages.c and
- * raft_log.c. */
+/* Elections and leadership: roles, votes, the election timer, the vote barrier that protects the leader
+ * lease, and the probes with which a restarted member finds out whether a lease may still rely on a vote
+ * barrier from before the restart. Invariants: a vote is sent only after it has been synced; a member grants
+ * no vote before its vote barrier ends, so two leaders never hold a lease at the same time. See Ongaro's
+ * dissertation (2014), 4.2.3, 6.4.1 and 9.6, and Raft (Ongaro and Ousterhout, 2014), 5.2 and 5.4. */
 #include <string.h>
 
 #include "raft_internal.h"
 
 enum {
-	/* after a leader stepped down, voters other than its successor wait so long, and up to as much more
-	 */
-	STEP_DOWN_SPREAD_MS = 50,
-	BOOTSTRAP_SPREAD_MS = 300, /* the first election of a new group comes within so long */
-	ROUND_NOT_SENT_MS =
-	    1000 *
-	    RAFT_LEASE_MS /* age of heartbeat rounds of earlier terms: answers to them grant no lease */
+	/* after a leader has stepped down, its followers start an election within this time; if the leader
+	 * named a successor, the other voters wait this time in addition */
+	STEP_DOWN_ELECTION_DELAY_MS = 50,
+	/* the first election of a new group starts within this time */
+	FIRST_ELECTION_MAX_DELAY_MS = 300,
+	/* age recorded for rounds that were not sent in this term: replies to them extend no lease */
+	UNSENT_ROUND_AGE_MS = 1000 * RAFT_LEASE_MS
 };
 
 void raft_reset_election_timer(struct raft *raft, int64_t now)
@@ -24,12 +23,12 @@
 	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
 }
 
-/* There is no leader to wait for, so the next attempt may come sooner; but a slow disk must have had time to
- * sync the vote. */
-void raft_retry_election_after(struct raft *raft, int64_t wait, int64_t now)
+/* No leader is known, so the next election may start sooner than after a full election timeout. The caller
+ * includes in wait_ms the time that a slow disk needs to sync a vote. */
+void raft_retry_election_after(struct raft *raft, int64_t wait_ms, int64_t now)
 {
 	raft->election.timeout_at_ms =
-	    now + wait + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
+	    now + wait_ms + (int64_t)(core_random(&raft->random_state) % RAFT_ELECTION_RETRY_MS);
 }
 
 void raft_become_follower(struct raft *raft, uint64_t term, int64_t now)
@@ -40,15 +39,15 @@
 		raft_mark_dirty(raft, 0);
 		raft->leader_id = raft->leader_addr = 0;
 		raft->log.matched_index = raft->log.commit_index;
-		raft->lease.heartbeat_round = raft->drain.release_round =
-		    0; /* rounds are counted within a term */
+		/* heartbeat rounds are numbered within a term */
+		raft->lease.heartbeat_round = raft->drain.release_round = 0;
 		raft->drain.release = RAFT_NOT_RELEASED;
 	}
 	if (raft->role == RAFT_LEADER)
 		raft->leader_id = raft->leader_addr = 0;
 	raft->role = RAFT_FOLLOWER;
 	raft->lease.expires_at_ms = 0;
-	raft->disk.self_vote_seq = 0;
+	raft->disk.self_vote_sync_seq = 0;
 	raft_reset_election_timer(raft, now);
 }
 
@@ -75,7 +74,7 @@
 
 /* ---- candidates and their votes ---- */
 
-void raft_request_votes(struct raft *raft, int pre, int64_t now, struct command_list *out)
+void raft_request_votes(struct raft *raft, int is_pre_vote, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < raft->group.member_count; i++) {
 		struct raft_member *member = &raft->group.members[i];
@@ -85,35 +84,35 @@
 		if (member->id == raft->id || !member->voter)
 			continue;
 		request = MESSAGE_NEW(out, Nl__VoteRequest, NL__VOTE_REQUEST__INIT);
-		request->term = pre ? raft->term + 1 : raft->term;
+		request->term = is_pre_vote ? raft->term + 1 : raft->term;
 		request->last_index = raft_last_index(raft);
 		request->last_term = raft_last_term(raft);
-		request->is_pre_vote = pre;
+		request->is_pre_vote = is_pre_vote;
 		request->stepped_down_term = raft->election.stepped_down_term;
 		command_send(out, member->addr, raft->shard, NL__MSG__BODY_VOTE_REQUEST)->vote_request =
 		    request;
 	}
-	raft->lease.quorum_requested_at_ms = now;
+	raft->lease.quorum_wait_started_at_ms = now;
 }
 
-/* The first entry of the term carries the first heartbeat round: one answer of a majority commits it and
- * grants the lease. */
-static void begin_round(struct raft *raft, int64_t now)
+/* The first entry of the term is sent with the first heartbeat round, so that one reply from a majority both
+ * commits the entry and grants the lease. */
+static void begin_first_heartbeat_round(struct raft *raft, int64_t now)
 {
 	raft->lease.heartbeat_round = 1;
-	raft->lease.heartbeat_at_ms = now;
-	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUNDS] = now;
+	raft->lease.last_heartbeat_at_ms = now;
+	raft->lease.heartbeat_sent_at_ms[raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUND_HISTORY] = now;
 }
 
-/* Forget what an earlier term knew of a member's log. One that failed together with the last leader has been
- * silent since then: half of the bound for lost members counts as over. */
-static void reset_member(struct raft *raft, struct raft_member *member, int64_t now)
+/* Reset the replication state of a member at the beginning of a term. A member that failed together with the
+ * last leader has sent no reply since then, so half of member_lost_ms counts as elapsed. */
+static void reset_member_progress(struct raft *raft, struct raft_member *member, int64_t now)
 {
-	uint64_t next = raft_last_index(raft) + 1;
+	uint64_t next_index = raft_last_index(raft) + 1;
 
 	member->progress = (struct raft_progress){
-		.next_index = next,
-		.unacked_index = next,
+		.next_index = next_index,
+		.unacked_index = next_index,
 		.last_reply_at_ms = now - raft->group.member_lost_ms / 2,
 		.advanced_at_ms = now,
 		.resend_ms = RAFT_RESEND_MS,
@@ -129,16 +128,16 @@
 	raft->leader_id = raft->id;
 	raft->leader_addr = out->addr;
 	raft->lease.expires_at_ms = 0;
-	raft->lease.quorum_requested_at_ms = now;
+	raft->lease.quorum_wait_started_at_ms = now;
 	raft->drain.has_remaining_majority = false;
 	for (int i = 0; i < raft->group.member_count; i++)
-		reset_member(raft, &raft->group.members[i], now);
-	for (int i = 0; i < RAFT_HEARTBEAT_ROUNDS; i++)
-		raft->lease.heartbeat_sent_at_ms[i] = now - ROUND_NOT_SENT_MS;
+		reset_member_progress(raft, &raft->group.members[i], now);
+	for (int i = 0; i < RAFT_HEARTBEAT_ROUND_HISTORY; i++)
+		raft->lease.heartbeat_sent_at_ms[i] = now - UNSENT_ROUND_AGE_MS;
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_NOOP, NULL, 0);
 	raft->log.term_start_index = raft_last_index(raft);
-	raft->election.won_count++;
-	begin_round(raft, now);
+	raft->election.elections_won_count++;
+	begin_first_heartbeat_round(raft, now);
 }
 
 static void become_candidate(struct raft *raft, struct command_list *out, int64_t now)
@@ -150,28 +149,29 @@
 	raft->lease.heartbeat_round = raft->drain.release_round = 0;
 	raft->leader_id = raft->leader_addr = 0;
 	raft_mark_dirty(raft, 0);
-	raft->disk.self_vote_seq =
-	    raft->disk.requested_seq + 1; /* the sync that this step's flush will request */
+	/* the flush at the end of this step requests this sync */
+	raft->disk.self_vote_sync_seq = raft->disk.requested_seq + 1;
 	raft_request_votes(raft, 0, now, out);
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
 }
 
-/* Whether a voter has granted; our own vote counts once it is synced. */
+/* Whether a voter has granted its vote or pre-vote. Our own vote counts once it is synced. */
 static bool has_granted(const struct raft *raft, const struct raft_member *member)
 {
 	if (member->id == raft->id)
-		return raft->role == RAFT_PRE_CANDIDATE || raft->disk.synced_seq >= raft->disk.self_vote_seq;
+		return raft->role == RAFT_PRE_CANDIDATE ||
+		       raft->disk.synced_seq >= raft->disk.self_vote_sync_seq;
 	return member->vote.granted;
 }
 
 void raft_count_votes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	int granted = 0;
+	int granted_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++)
 		if (raft->group.members[i].voter)
-			granted += has_granted(raft, &raft->group.members[i]);
-	if (granted <= raft_voter_count(raft) / 2)
+			granted_count += has_granted(raft, &raft->group.members[i]);
+	if (granted_count <= raft_voter_count(raft) / 2)
 		return;
 	if (raft->role == RAFT_PRE_CANDIDATE)
 		become_candidate(raft, out, now);
@@ -179,7 +179,7 @@
 		become_leader(raft, now, out);
 }
 
-void raft_run_for_election(struct raft *raft, int64_t now, struct command_list *out)
+void raft_start_election(struct raft *raft, int64_t now, struct command_list *out)
 {
 	raft->role = RAFT_PRE_CANDIDATE;
 	raft->leader_id = raft->leader_addr = 0;
@@ -190,10 +190,10 @@
 
 /* ---- voters ---- */
 
-/* The leader of a term has dropped its lease. Where this member knows of no later term, its vote barrier
- * protects that leader or an earlier one, whose lease was over before that one led: no lease is left to
- * protect. */
-static void note_stepped_down(struct raft *raft, uint64_t term)
+/* The leader of a term has stepped down, so its lease has ended. If this member knows no later term, its vote
+ * barrier protects either that leader or an earlier one, whose lease ended before that leader was elected. In
+ * both cases no lease is left to protect, and the barrier ends. */
+static void end_vote_barrier_after_step_down(struct raft *raft, uint64_t term)
 {
 	if (!term || term < raft->term)
 		return;
@@ -202,7 +202,7 @@
 	raft->election.vote_barrier_unknown = false;
 }
 
-/* Whether a candidate's log is at least as new as ours. */
+/* Whether a candidate's log is at least as up-to-date as ours (Raft paper, 5.4.1). */
 static bool is_up_to_date(const struct raft *raft, const struct Nl__VoteRequest *request)
 {
 	uint64_t last_term = raft_last_term(raft);
@@ -211,7 +211,7 @@
 	       (request->last_term == last_term && request->last_index >= raft_last_index(raft));
 }
 
-/* Grant the vote of this term; it is sent once it is synced. */
+/* Grant the vote of this term. The reply is sent once the vote is synced (raft_synced). */
 static void grant_vote(struct raft *raft, const struct Nl__Msg *message, int64_t now)
 {
 	raft->vote = message->id;
@@ -227,33 +227,35 @@
 			  struct command_list *out)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
-	int newer = is_up_to_date(raft, request);
-	int free_to, pre_granted;
+	int log_up_to_date = is_up_to_date(raft, request);
+	int may_vote, grants_pre_vote;
 
 	if (raft_has_lease(raft, now) && raft->group.members_index <= raft->log.commit_index &&
 	    !raft_find_member(raft, message->id)) {
 		raft_send_removed(raft, message->addr, out);
 		return;
 	}
-	note_stepped_down(raft, request->stepped_down_term);
-	free_to = now >= raft->election.vote_barrier_until_ms && !raft_has_lease(raft, now);
-	if (request->is_pre_vote || !free_to || request->term < raft->term) {
-		pre_granted = request->is_pre_vote && newer && free_to;
-		raft_send_vote(raft, message->addr, pre_granted ? request->term : raft->term,
-			       pre_granted && request->term > raft->term, request->is_pre_vote, out);
+	end_vote_barrier_after_step_down(raft, request->stepped_down_term);
+	may_vote = now >= raft->election.vote_barrier_until_ms && !raft_has_lease(raft, now);
+	if (request->is_pre_vote || !may_vote || request->term < raft->term) {
+		grants_pre_vote = request->is_pre_vote && log_up_to_date && may_vote;
+		raft_send_vote_reply(raft, message->addr, grants_pre_vote ? request->term : raft->term,
+				     grants_pre_vote && request->term > raft->term, request->is_pre_vote,
+				     out);
 		return;
 	}
 	if (request->term > raft->term)
 		raft_become_follower(raft, request->term, now);
-	if (!newer || (raft->vote && raft->vote != message->id)) {
-		raft_send_vote(raft, message->addr, raft->term, 0, 0, out);
+	if (!log_up_to_date || (raft->vote && raft->vote != message->id)) {
+		raft_send_vote_reply(raft, message->addr, raft->term, 0, 0, out);
 		return;
 	}
 	grant_vote(raft, message, now);
 }
 
-/* Whether a granted vote is for our current candidacy, or pre-vote for the one that would follow. */
-static int counts_now(const struct raft *raft, const struct Nl__VoteReply *reply)
+/* Whether a granted vote is for our current candidacy, or a granted pre-vote is for the candidacy that would
+ * follow. */
+static int is_for_current_candidacy(const struct raft *raft, const struct Nl__VoteReply *reply)
 {
 	if (reply->is_pre_vote)
 		return raft->role == RAFT_PRE_CANDIDATE && reply->term == raft->term + 1;
@@ -277,7 +279,7 @@
 	}
 	if (!member || !reply->granted)
 		return;
-	if (!counts_now(raft, reply))
+	if (!is_for_current_candidacy(raft, reply))
 		return;
 	member->vote.granted = true;
 	raft_count_votes(raft, now, out);
@@ -285,21 +287,21 @@
 
 /* ---- after a restart ----
  *
- * A restarted member waits until every vote barrier that it may have set before is over. Where the whole
- * group restarted, that would be a wait for a leader that is gone too. So it probes every member that it
- * knows; once all of them have answered, to this incarnation, that they do not lead, nobody holds a lease
- * that rests on its earlier vote barrier. A leader that it does not know can exist only if some member that
- * it does know took part in a change of members, and so has a log of a later term, or a later members entry:
- * then it waits. */
+ * A restarted member waits until any vote barrier that it may have set before the restart has ended. When all
+ * members of the group have restarted, this wait would protect a leader that no longer leads. The member
+ * therefore probes all members that it knows. Once all of them have replied to this incarnation that they do
+ * not lead, no lease relies on its earlier vote barrier, and the barrier ends. A leader that the member does
+ * not know can exist only if a member that it knows took part in a change of membership, and therefore has a
+ * log of a later term, or a later members entry. In that case the barrier is waited out. */
 
 void raft_send_probes(struct raft *raft, int64_t now, struct command_list *out)
 {
-	raft->election.probe_at_ms = now + RAFT_PROBE_MS;
+	raft->election.next_probe_at_ms = now + RAFT_PROBE_INTERVAL_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 		struct Nl__Probe *probe;
 
-		if (member->id == raft->id || member->vote.not_leader)
+		if (member->id == raft->id || member->vote.denied_leadership)
 			continue;
 		probe = MESSAGE_NEW(out, Nl__Probe, NL__PROBE__INIT);
 		probe->incarnation = raft->election.incarnation;
@@ -312,7 +314,7 @@
 	struct Nl__ProbeReply *reply;
 
 	if (!raft_find_member(raft, raft->id))
-		return; /* one that was removed may not know of the group's leader any more */
+		return; /* a removed member may not know the group's current leader */
 	reply = MESSAGE_NEW(out, Nl__ProbeReply, NL__PROBE_REPLY__INIT);
 	reply->incarnation = message->probe->incarnation;
 	reply->is_leader = raft->role == RAFT_LEADER;
@@ -321,23 +323,23 @@
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_PROBE_REPLY)->probe_reply = reply;
 }
 
-/* How many voters rank before this one in its shard: those that restarted together request votes one after
- * another. */
-static int voters_ahead(const struct raft *raft)
+/* The number of voters that rendezvous hashing ranks before this one in its shard. Voters that restarted
+ * together start their elections one after another, in this order. */
+static int count_voters_ranked_first(const struct raft *raft)
 {
 	uint64_t own_weight = core_rendezvous_weight(raft->id, raft->shard);
-	int n = 0;
+	int count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 
-		n += member->voter && core_rendezvous_weight(member->id, raft->shard) > own_weight;
+		count += member->voter && core_rendezvous_weight(member->id, raft->shard) > own_weight;
 	}
-	return n;
+	return count;
 }
 
-/* Whether a member's answer shows that there may be a leader which this one does not know. */
-static bool may_hide_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
+/* Whether a reply shows that its sender leads, or that a leader may exist which this member does not know. */
+static bool may_have_unknown_leader(const struct raft *raft, const struct Nl__ProbeReply *reply)
 {
 	uint64_t term = raft_last_term(raft);
 
@@ -353,47 +355,48 @@
 	if (!raft->election.vote_barrier_unknown || reply->incarnation != raft->election.incarnation ||
 	    !member)
 		return;
-	if (may_hide_leader(raft, reply)) {
-		raft->election.vote_barrier_unknown = false; /* the vote barrier is waited out */
+	if (may_have_unknown_leader(raft, reply)) {
+		/* no more probes are sent: the vote barrier is waited out */
+		raft->election.vote_barrier_unknown = false;
 		return;
 	}
-	member->vote.not_leader = true;
+	member->vote.denied_leadership = true;
 	for (int i = 0; i < raft->group.member_count; i++)
-		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.not_leader)
+		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.denied_leadership)
 			return;
 	raft->election.vote_barrier_unknown = false;
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.timeout_at_ms =
-	    now + RAFT_ELECTION_STAGGER_MS * (1 + voters_ahead(raft)) +
+	    now + RAFT_ELECTION_STAGGER_MS * (1 + count_voters_ranked_first(raft)) +
 	    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_STAGGER_MS / 2));
 }
 
-static bool may_run_for_election(struct raft *raft, int64_t now)
+static bool may_start_election(struct raft *raft, int64_t now)
 {
 	const struct raft_member *self = raft_find_member(raft, raft->id);
 
 	return self && self->voter && !raft->drain.requested && !raft->fenced &&
-	       !raft_sync_stalled(raft, now);
+	       !raft_is_sync_stalled(raft, now);
 }
 
-/* The leader ended its lease before it announced that it steps down: its followers need not wait for it. The
- * successor that it names runs for election at once, without a pre-vote; its request tells the others of the
- * step-down if they have not heard. */
+/* The leader ended its lease before it announced its step-down, so its followers need not wait for the lease.
+ * The successor named in the announcement starts an election at once, without a pre-vote. Its vote requests
+ * contain the term of the step-down, for members that have not received the announcement. */
 void raft_on_step_down(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 		       struct command_list *out)
 {
 	if (message->step_down->term != raft->term || raft->leader_id != message->id ||
 	    raft->role != RAFT_FOLLOWER)
 		return;
-	note_stepped_down(raft, raft->term);
-	if (message->step_down->successor_id == raft->id && may_run_for_election(raft, now)) {
+	end_vote_barrier_after_step_down(raft, raft->term);
+	if (message->step_down->successor_id == raft->id && may_start_election(raft, now)) {
 		become_candidate(raft, out, now);
 		return;
 	}
 	raft->election.timeout_at_ms =
-	    now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_SPREAD_MS);
+	    now + (int64_t)(core_random(&raft->random_state) % STEP_DOWN_ELECTION_DELAY_MS);
 	if (message->step_down->successor_id)
-		raft->election.timeout_at_ms += STEP_DOWN_SPREAD_MS;
+		raft->election.timeout_at_ms += STEP_DOWN_ELECTION_DELAY_MS;
 }
 
 void raft_step_down(struct raft *raft, int64_t now, struct command_list *out)
@@ -402,7 +405,7 @@
 
 	if (raft->role != RAFT_LEADER)
 		return;
-	successor = raft_successor(raft, now);
+	successor = raft_find_successor(raft, now);
 	raft_become_follower(raft, raft->term, now); /* the lease ends before the step-down is announced */
 	raft->election.timeout_at_ms += RAFT_ELECTION_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
@@ -418,21 +421,21 @@
 	}
 }
 
-/* ---- begin ---- */
+/* ---- start ---- */
 
-void raft_begin_elections(struct raft *raft, int64_t now)
+void raft_init_elections(struct raft *raft, int64_t now)
 {
 	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
 	raft->election.vote_barrier_unknown = true;
 	raft->election.incarnation = core_random(&raft->random_state);
-	raft->election.probe_at_ms = now;
+	raft->election.next_probe_at_ms = now;
 	raft_reset_election_timer(raft, now);
 }
 
-void raft_begin_first_election(struct raft *raft, int64_t now)
+void raft_schedule_first_election(struct raft *raft, int64_t now)
 {
 	raft->election.timeout_at_ms =
-	    now + (int64_t)(core_random(&raft->random_state) % BOOTSTRAP_SPREAD_MS);
+	    now + (int64_t)(core_random(&raft->random_state) % FIRST_ELECTION_MAX_DELAY_MS);
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.vote_barrier_unknown = false;
 }
--- a/lib/core/raft_transfer.c
+++ b/lib/core/raft_transfer.c
@@ -1,29 +1,28 @@
-/* A planned stop of this member. If it leads, it hands its leadership to the most caught-up voter that stays.
- * It may stop once a leader says that the voters that stay are a majority and that every other voter has
- * synced all that its own copy could be needed for (raft_drain.c); until then it stays up to the end of its
- * grace. Called by raft.c for ticks and by the control plane; calls raft_election.c, raft_drain.c and
- * raft_members.c. */
+/* The planned stop of this member. A leader first hands its leadership over to the most caught-up voter that
+ * does not drain. The member may stop once a leader has released it: the remaining voters are then a
+ * majority, and every other voter has synced all entries for which this member's copy could be needed
+ * (raft_drain.c). Without a release, the process stops at the end of its grace period. */
 #include "raft_internal.h"
 
-enum {
-	HANDOVER_MS = 1000
-}; /* a draining leader waits so long for a successor to catch up, and then for its election */
+/* A draining leader waits this time for a successor to catch up, and the same time for its election. */
+enum { HANDOVER_TIMEOUT_MS = 1000 };
 
-int raft_hand_over(struct raft *raft, int64_t now, struct command_list *out)
+int raft_hand_over_leadership(struct raft *raft, int64_t now, struct command_list *out)
 {
-	const struct raft_member *successor = raft_find_member(raft, raft_successor(raft, now));
-	uint64_t last = raft_last_index(raft);
-	int ready;
+	const struct raft_member *successor = raft_find_member(raft, raft_find_successor(raft, now));
+	uint64_t last_index = raft_last_index(raft);
+	int may_step_down;
 
 	if (successor)
-		ready = successor->progress.match_index >= last;
+		may_step_down = successor->progress.match_index >= last_index;
 	else
-		ready = raft_others_have_synced(raft, raft->id, last);
-	if (!ready && now < raft->drain.deadline_ms)
+		may_step_down = raft_others_have_synced(raft, raft->id, last_index);
+	if (!may_step_down && now < raft->drain.deadline_at_ms)
 		return 0;
-	raft->drain.release =
-	    raft_is_expendable(raft, raft->id, last) ? RAFT_RELEASED_LATER : RAFT_NOT_RELEASED;
-	raft->drain.deadline_ms = now + HANDOVER_MS;
+	raft->drain.release = raft_is_copy_redundant(raft, raft->id, last_index)
+				  ? RAFT_RELEASED_AFTER_ELECTION
+				  : RAFT_NOT_RELEASED;
+	raft->drain.deadline_at_ms = now + HANDOVER_TIMEOUT_MS;
 	raft_step_down(raft, now, out);
 	return 1;
 }
@@ -34,7 +33,7 @@
 		return;
 	raft->drain.requested = true;
 	raft->drain.release = RAFT_NOT_RELEASED;
-	raft->drain.deadline_ms = now + HANDOVER_MS;
+	raft->drain.deadline_at_ms = now + HANDOVER_TIMEOUT_MS;
 }
 
 bool raft_may_stop(const struct raft *raft, int64_t now)
@@ -46,5 +45,5 @@
 	if (!self || !self->voter || raft->removed || raft->fenced)
 		return true;
 	return raft->drain.release == RAFT_RELEASED ||
-	       (raft->drain.release == RAFT_RELEASED_LATER && now >= raft->drain.deadline_ms);
+	       (raft->drain.release == RAFT_RELEASED_AFTER_ELECTION && now >= raft->drain.deadline_at_ms);
 }
