--- a/lib/control/config_check.c
+++ b/lib/control/config_check.c
@@ -7,7 +7,7 @@
 #include "containers.h"
 #include "retention_schedule.h"
 
-static bool is_name(const char *text)
+static bool is_valid_name(const char *text)
 {
 	size_t length = strlen(text);
 
@@ -32,7 +32,7 @@
 }
 
 /* Weights of a model are numbered upwards from 1. */
-static bool is_weights_number(const char *text)
+static bool is_weights_version(const char *text)
 {
 	return strlen(text) > 0 && strlen(text) < 19 && text[0] != '0' &&
 	       strspn(text, "0123456789") == strlen(text);
@@ -47,7 +47,7 @@
 	if (row->n_split > CONFIG_CHECK_MAX_SPLITS)
 		return "split: more than 64 services";
 	for (size_t i = 0; i < row->n_split; i++) {
-		if (!is_name(row->split[i]->service))
+		if (!is_valid_name(row->split[i]->service))
 			return "split: a service is missing";
 		total_weight += row->split[i]->weight;
 	}
@@ -56,11 +56,11 @@
 
 static const char *check_route(const struct Nl__Row *row)
 {
-	const char *fault = check_split(row);
+	const char *error = check_split(row);
 
-	if (fault)
-		return fault;
-	if (!is_name(row->service))
+	if (error)
+		return error;
+	if (!is_valid_name(row->service))
 		return "service: missing";
 	if (row->priority > 9)
 		return "prio: 0 to 9";
@@ -93,7 +93,7 @@
 
 static const char *check_key(const struct Nl__Row *row)
 {
-	if (!is_name(row->tenant))
+	if (!is_valid_name(row->tenant))
 		return "tenant: missing";
 	if (strlen(row->name) != 64)
 		return "name: a digest of 64 hex digits";
@@ -104,7 +104,7 @@
 {
 	if (!core_parse_addr(row->addr))
 		return "addr: not ip:port";
-	if (!is_name(row->service))
+	if (!is_valid_name(row->service))
 		return "service: missing";
 	if (row->state > 1)
 		return "state: serving or draining";
@@ -113,9 +113,9 @@
 
 static const char *check_service(const struct Nl__Row *row)
 {
-	if (row->model[0] && !is_name(row->model))
+	if (row->model[0] && !is_valid_name(row->model))
 		return "model: letters, digits, . _ / - or *";
-	if ((row->target_weights[0] || !row->model[0]) && !is_name(row->target_weights))
+	if ((row->target_weights[0] || !row->model[0]) && !is_valid_name(row->target_weights))
 		return "weights: missing, and no model";
 	if (row->prefill_tokens_per_ms < 1 || row->prefill_tokens_per_ms > 100000)
 		return "prefill: 1 to 100000 tokens per ms";
@@ -132,9 +132,9 @@
 
 static const char *check_model(const struct Nl__Row *row)
 {
-	if (row->target_weights[0] && !is_weights_number(row->target_weights))
+	if (row->target_weights[0] && !is_weights_version(row->target_weights))
 		return "weights: a number from 1";
-	if (row->rolled_out[0] && !is_weights_number(row->rolled_out))
+	if (row->rolled_out[0] && !is_weights_version(row->rolled_out))
 		return "rolled: a number from 1";
 	if (!row->target_weights[0] && !row->rolled_out[0])
 		return "weights: missing";
@@ -173,47 +173,48 @@
 
 static const char *check_row(const struct Nl__Row *row, apr_pool_t *pool)
 {
-	const char *fault;
+	const char *error;
 
 	if (!config_kind_is_valid(row->kind))
 		return CONFIG_KIND_UNKNOWN;
-	if (!is_name(row->name))
+	if (!is_valid_name(row->name))
 		return apr_psprintf(pool, "%s: name: 1 to 199 letters, digits, . _ / - or *",
 				    config_kind_name(row->kind));
-	fault = check_columns(row);
-	return fault ? apr_psprintf(pool, "%s %s: %s", config_kind_name(row->kind), row->name, fault) : NULL;
+	error = check_columns(row);
+	return error ? apr_psprintf(pool, "%s %s: %s", config_kind_name(row->kind), row->name, error) : NULL;
 }
 
 /* A change, and the rows before and after it, while they are checked together. */
 struct consistency_check {
 	const struct Nl__Change *change;
-	struct config_table_row *before;           /* the table's */
-	struct config_row_index *set;              /* by key */
-	struct config_row_index *deleted;          /* by key */
-	struct config_row_index *by_host_and_path; /* routes after the change */
+	struct config_table_row *rows_before_change;      /* the table's */
+	struct config_row_index *set_by_key;              /* by key */
+	struct config_row_index *deleted_by_key;          /* by key */
+	struct config_row_index *routes_by_host_and_path; /* routes after the change */
 };
 
 /* Whether a row of the table is still there after the change, as it was. */
-static int row_stays(const struct consistency_check *check, const char *key)
+static int is_row_unchanged(const struct consistency_check *check, const char *key)
 {
-	struct config_row_index *set = check->set, *deleted = check->deleted;
+	struct config_row_index *set_by_key = check->set_by_key, *deleted_by_key = check->deleted_by_key;
 
-	return !check->change->replace_all && shgeti(set, key) < 0 && shgeti(deleted, key) < 0;
+	return !check->change->replace_all && shgeti(set_by_key, key) < 0 && shgeti(deleted_by_key, key) < 0;
 }
 
 /* Splits lead to services that there are after the change. */
 static const char *check_split_services(const struct consistency_check *check, const struct Nl__Row *route,
 					apr_pool_t *pool)
 {
-	struct config_row_index *set = check->set;
-	struct config_table_row *before = check->before;
+	struct config_row_index *set_by_key = check->set_by_key;
+	struct config_table_row *rows_before_change = check->rows_before_change;
 	char buffer[CONFIG_ROW_KEY_BYTES];
 
 	for (size_t i = 0; i < route->n_split; i++) {
 		const char *service = route->split[i]->service;
 		const char *key = config_row_key(buffer, NL__KIND__SERVICE, service);
 
-		if (shgeti(set, key) < 0 && (!row_stays(check, key) || shgeti(before, key) < 0))
+		if (shgeti(set_by_key, key) < 0 &&
+		    (!is_row_unchanged(check, key) || shgeti(rows_before_change, key) < 0))
 			return apr_psprintf(pool, "lane %s: split: no service %s", route->name, service);
 	}
 	return NULL;
@@ -229,11 +230,11 @@
 	if (!route->path[0])
 		return NULL;
 	host_and_path = apr_pstrcat(pool, route->host, "\t", route->path, NULL);
-	duplicate = shgeti(check->by_host_and_path, host_and_path);
+	duplicate = shgeti(check->routes_by_host_and_path, host_and_path);
 	if (duplicate >= 0)
 		return apr_psprintf(pool, "lane %s: host and path: those of lane %s", route->name,
-				    check->by_host_and_path[duplicate].value->name);
-	shput(check->by_host_and_path, host_and_path, route);
+				    check->routes_by_host_and_path[duplicate].value->name);
+	shput(check->routes_by_host_and_path, host_and_path, route);
 	return NULL;
 }
 
@@ -242,81 +243,82 @@
 {
 	const struct Nl__Change *change = check->change;
 	char key[CONFIG_ROW_KEY_BYTES];
-	const char *fault = NULL;
+	const char *error = NULL;
 
-	for (ptrdiff_t i = 0; i < shlen(check->before) && !fault; i++) {
-		const struct Nl__Row *row = check->before[i].value.row;
+	for (ptrdiff_t i = 0; i < shlen(check->rows_before_change) && !error; i++) {
+		const struct Nl__Row *row = check->rows_before_change[i].value.row;
 
-		if (row->kind == NL__KIND__ROUTE && row_stays(check, check->before[i].key))
-			fault = check_host_and_path(check, row, pool);
+		if (row->kind == NL__KIND__ROUTE && is_row_unchanged(check, check->rows_before_change[i].key))
+			error = check_host_and_path(check, row, pool);
 	}
-	for (size_t i = 0; i < change->n_set && !fault; i++) {
+	for (size_t i = 0; i < change->n_set && !error; i++) {
 		const struct Nl__Row *row = change->set[i];
 
 		if (row->kind != NL__KIND__ROUTE ||
-		    shget(check->set, config_row_key(key, row->kind, row->name)) != row)
+		    shget(check->set_by_key, config_row_key(key, row->kind, row->name)) != row)
 			continue;
-		fault = check_split_services(check, row, pool);
-		if (!fault)
-			fault = check_host_and_path(check, row, pool);
+		error = check_split_services(check, row, pool);
+		if (!error)
+			error = check_host_and_path(check, row, pool);
 	}
-	return fault;
+	return error;
 }
 
 /* What only holds between rows: host and path lead to one route, and splits to services that there are. */
 static const char *check_consistency(const struct config_table *table, const struct Nl__Change *change,
 				     apr_pool_t *pool)
 {
-	struct consistency_check check = { .change = change, .before = table->rows };
-	const char *fault = NULL;
-	int needed = change->replace_all;
+	struct consistency_check check = { .change = change, .rows_before_change = table->rows };
+	const char *error = NULL;
+	int is_needed = change->replace_all;
 
 	for (size_t i = 0; i < change->n_set; i++)
-		needed |= change->set[i]->kind == NL__KIND__ROUTE &&
-			  (change->set[i]->path[0] || change->set[i]->n_split);
-	if (!needed)
+		is_needed |= change->set[i]->kind == NL__KIND__ROUTE &&
+			     (change->set[i]->path[0] || change->set[i]->n_split);
+	if (!is_needed)
 		return NULL;
-	check.set = config_row_index(change->set, change->n_set);
-	check.deleted = config_row_index(change->deleted, change->n_deleted);
-	sh_new_arena(check.by_host_and_path);
-	fault = check_routes(&check, pool);
-	shfree(check.by_host_and_path);
-	shfree(check.set);
-	shfree(check.deleted);
-	return fault;
+	check.set_by_key = config_row_index(change->set, change->n_set);
+	check.deleted_by_key = config_row_index(change->deleted, change->n_deleted);
+	sh_new_arena(check.routes_by_host_and_path);
+	error = check_routes(&check, pool);
+	shfree(check.routes_by_host_and_path);
+	shfree(check.set_by_key);
+	shfree(check.deleted_by_key);
+	return error;
 }
 
 /* With a model's row the dates would go by which servers with older weights get no more requests. */
-static const char *check_model_removed(const struct config_table *table, const struct Nl__Row *removed,
-				       apr_pool_t *pool)
+static const char *check_model_unused(const struct config_table *table, const struct Nl__Row *model,
+				      apr_pool_t *pool)
 {
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
-		const struct Nl__Row *row = table->rows[i].value.row;
+		const struct Nl__Row *service = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVICE && !strcmp(row->model, removed->name))
-			return apr_psprintf(pool, "del model %s: service %s has it", removed->name,
-					    row->name);
+		if (service->kind == NL__KIND__SERVICE && !strcmp(service->model, model->name))
+			return apr_psprintf(pool, "del model %s: service %s has it", model->name,
+					    service->name);
 	}
 	return NULL;
 }
 
 /* A claim is logged in the shard of its route's service, so a route whose requests are claimed keeps it. */
-static const char *check_service_unchanged(const struct config_table *table, const struct Nl__Row *row,
-					   apr_pool_t *pool)
+static const char *check_route_keeps_service(const struct config_table *table, const struct Nl__Row *new_row,
+					     apr_pool_t *pool)
 {
-	const struct Nl__Row *old =
-	    row->kind == NL__KIND__ROUTE ? config_table_get(table, NL__KIND__ROUTE, row->name) : NULL;
+	const struct Nl__Row *old_route =
+	    new_row->kind == NL__KIND__ROUTE ? config_table_get(table, NL__KIND__ROUTE, new_row->name) : NULL;
 
-	if (old && strcmp(old->service, row->service) &&
-	    !(old->client_deduplicates && row->client_deduplicates))
-		return apr_psprintf(pool, "lane %s: service: cannot change; make a new lane", old->name);
+	if (old_route && strcmp(old_route->service, new_row->service) &&
+	    !(old_route->client_deduplicates && new_row->client_deduplicates))
+		return apr_psprintf(pool, "lane %s: service: cannot change; make a new lane",
+				    old_route->name);
 	return NULL;
 }
 
-static const char *check_deleted(const struct config_table *table, const struct Nl__Change *change,
-				 apr_pool_t *pool)
+static const char *check_deleted_rows(const struct config_table *table, const struct Nl__Change *change,
+				      apr_pool_t *pool)
 {
-	const char *fault;
+	const char *error;
 
 	for (size_t i = 0; i < change->n_deleted; i++) {
 		const struct Nl__Row *row = change->deleted[i];
@@ -327,27 +329,27 @@
 	}
 	for (size_t i = 0; i < change->n_deleted; i++)
 		if (change->deleted[i]->kind == NL__KIND__MODEL &&
-		    (fault = check_model_removed(table, change->deleted[i], pool)))
-			return fault;
+		    (error = check_model_unused(table, change->deleted[i], pool)))
+			return error;
 	return NULL;
 }
 
 const char *config_check_change(const struct config_table *table, const struct Nl__Change *change,
 				apr_pool_t *pool)
 {
-	const char *fault = NULL;
+	const char *error = NULL;
 
 	if (protobuf_c_message_get_packed_size(&change->base) > CONFIG_CHECK_MAX_CHANGE_BYTES)
 		return apr_psprintf(pool, "change: larger than %d bytes", CONFIG_CHECK_MAX_CHANGE_BYTES);
-	for (size_t i = 0; i < change->n_set && !fault; i++)
-		fault = check_row(change->set[i], pool);
-	for (size_t i = 0; i < change->n_set && !fault; i++)
-		fault = check_service_unchanged(table, change->set[i], pool);
-	if (!fault)
-		fault = check_deleted(table, change, pool);
-	if (!fault)
-		fault = retention_check_scopes(table, change, pool);
-	if (!fault)
-		fault = check_consistency(table, change, pool);
-	return fault;
+	for (size_t i = 0; i < change->n_set && !error; i++)
+		error = check_row(change->set[i], pool);
+	for (size_t i = 0; i < change->n_set && !error; i++)
+		error = check_route_keeps_service(table, change->set[i], pool);
+	if (!error)
+		error = check_deleted_rows(table, change, pool);
+	if (!error)
+		error = retention_check_scopes(table, change, pool);
+	if (!error)
+		error = check_consistency(table, change, pool);
+	return error;
 }
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -8,28 +8,28 @@
 #include "controller_private.h"
 
 /* What becomes of a configuration request that arrives now. */
-enum handling { HANDLE_ANSWER, HANDLE_DEFER, HANDLE_FORWARD };
+enum request_handling { HANDLE_ANSWER, HANDLE_DEFER, HANDLE_FORWARD };
 
-static uint64_t known_leader(const struct controller *controller, int64_t now)
+static uint64_t other_leader_addr(const struct controller *controller, int64_t now)
 {
-	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
+	uint64_t leader_addr = leader_hint(controller, SHARD_CONTROL, now);
 
-	return leader == controller->identity.addr ? 0 : leader;
+	return leader_addr == controller->identity.addr ? 0 : leader_addr;
 }
 
-static enum handling handling_now(const struct controller *controller, int64_t now)
+static enum request_handling current_handling(const struct controller *controller, int64_t now)
 {
-	const struct raft *group = &controller->shards[SHARD_CONTROL];
+	const struct raft *raft = &controller->shards[SHARD_CONTROL];
 
 	if (leads_shard(controller, SHARD_CONTROL, now))
 		return HANDLE_ANSWER;
 	/* one that led in this term has lost its lease: there may be another leader */
-	if (group->role == RAFT_LEADER)
-		return controller->leadership[SHARD_CONTROL].term == group->term ? HANDLE_ANSWER
-										 : HANDLE_DEFER;
+	if (raft->role == RAFT_LEADER)
+		return controller->leadership[SHARD_CONTROL].term == raft->term ? HANDLE_ANSWER
+										: HANDLE_DEFER;
 	if (!controller->stopping)
 		return HANDLE_ANSWER;
-	return known_leader(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
+	return other_leader_addr(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
 
 static void forward_request(const struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -37,7 +37,7 @@
 {
 	struct command *command = command_add(out, CMD_SEND);
 
-	command->args.send.addr = known_leader(controller, now);
+	command->args.send.addr = other_leader_addr(controller, now);
 	command->args.send.msg = (struct Nl__Msg *)core_copy_message(
 	    out->pool, &message->base); /* with the requester's address: the reply goes there */
 }
@@ -45,13 +45,13 @@
 static void defer_request(struct controller *controller, const struct Nl__Msg *message, int64_t now)
 {
 	struct controller_deferred_request deferred = { NULL, now + CONFIG_HANDOVER_DEFER_MS };
-	size_t n = nl__msg__get_packed_size(message);
-	uint8_t *packed = malloc(n + 1);
+	size_t packed_bytes = nl__msg__get_packed_size(message);
+	uint8_t *packed = malloc(packed_bytes + 1);
 
 	if (!packed)
 		abort();
 	nl__msg__pack(message, packed);
-	deferred.request = nl__msg__unpack(NULL, n, packed);
+	deferred.request = nl__msg__unpack(NULL, packed_bytes, packed);
 	free(packed);
 	if (!deferred.request)
 		abort();
@@ -68,7 +68,7 @@
 bool config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			       struct command_list *out)
 {
-	switch (handling_now(controller, now)) {
+	switch (current_handling(controller, now)) {
 	case HANDLE_DEFER:
 		defer_request(controller, message, now);
 		return true;
@@ -81,7 +81,7 @@
 }
 
 /* Tell everybody who sent a request lately where to send the next one. */
-static void announce_successor(struct controller *controller, uint64_t successor, int64_t now,
+static void announce_successor(struct controller *controller, uint64_t successor_addr, int64_t now,
 			       struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
@@ -90,7 +90,7 @@
 		if (now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-		hint->leader_addr = successor;
+		hint->leader_addr = successor_addr;
 		command_send(out, controller->membership.nodes[i].addr, SHARD_CONTROL,
 			     NL__MSG__BODY_LEADER_HINT)
 		    ->leader_hint = hint;
@@ -100,10 +100,10 @@
 
 void config_handover_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	enum handling handling = handling_now(controller, now);
+	enum request_handling handling = current_handling(controller, now);
 
 	if (handling == HANDLE_FORWARD)
-		announce_successor(controller, known_leader(controller, now), now, out);
+		announce_successor(controller, other_leader_addr(controller, now), now, out);
 	for (ptrdiff_t i = arrlen(controller->handover.deferred) - 1; i >= 0; i--) {
 		struct Nl__Msg *request = controller->handover.deferred[i].request;
 
--- a/lib/control/config_row.c
+++ b/lib/control/config_row.c
@@ -27,7 +27,7 @@
 }
 
 /* How a column's value is kept in struct Nl__Row, and which JSON type it has. */
-enum column_kind {
+enum column_type {
 	COLUMN_STRING,
 	COLUMN_UINT32,
 	COLUMN_UINT64,
@@ -39,63 +39,65 @@
 
 struct row_column {
 	const char *name; /* in JSON and in the text form */
-	enum column_kind kind;
-	size_t offset;  /* of the field in struct Nl__Row */
-	unsigned kinds; /* of rows that have it: one bit each */
+	enum column_type type;
+	size_t offset;      /* of the field in struct Nl__Row */
+	unsigned row_kinds; /* of rows that have it: one bit each */
 };
-#define ON(k) (1u << NL__KIND__##k)
-#define AT(f) offsetof(struct Nl__Row, f)
+#define KIND_BIT(k) (1u << NL__KIND__##k)
+#define FIELD_OFFSET(f) offsetof(struct Nl__Row, f)
 
 /* Names of columns are the operators' interface and keep the words of its pages. */
 static const struct row_column row_columns[] = {
-	{ "name", COLUMN_STRING, AT(name), ~0u },
-	{ "service", COLUMN_STRING, AT(service), ON(ROUTE) | ON(SERVER) },
-	{ "tenant", COLUMN_STRING, AT(tenant), ON(KEY) },
-	{ "addr", COLUMN_STRING, AT(addr), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
-	{ "zone", COLUMN_STRING, AT(zone), ON(SERVER) | ON(CONTROLLER) | ON(SERVICE) },
-	{ "weights", COLUMN_STRING, AT(target_weights), ON(SERVICE) | ON(MODEL) },
-	{ "prio", COLUMN_UINT32, AT(priority), ON(ROUTE) },
-	{ "share", COLUMN_UINT32, AT(share), ON(TENANT) | ON(SHARE) },
-	{ "limit", COLUMN_UINT32, AT(limit), ON(ROUTE) | ON(TENANT) | ON(SHARE) },
-	{ "walled", COLUMN_BOOL, AT(isolated), ON(TENANT) },
-	{ "state", COLUMN_STATE, AT(state), ON(SERVER) },
-	{ "id", COLUMN_HEX, AT(id), ON(CONTROLLER) },
-	{ "prefill", COLUMN_UINT32, AT(prefill_tokens_per_ms), ON(SERVICE) },
-	{ "kv_bytes", COLUMN_UINT32, AT(kv_bytes_per_token), ON(SERVICE) },
-	{ "link", COLUMN_UINT32, AT(link_bytes_per_ms), ON(SERVICE) },
-	{ "store", COLUMN_UINT32, AT(store_bytes_per_ms), ON(SERVICE) },
-	{ "host", COLUMN_STRING, AT(host), ON(ROUTE) },
-	{ "path", COLUMN_STRING, AT(path), ON(ROUTE) },
-	{ "split", COLUMN_SPLIT, AT(split), ON(ROUTE) },
-	{ "aim", COLUMN_UINT32, AT(latency_target_ms), ON(ROUTE) },
-	{ "pause", COLUMN_UINT32, AT(max_gap_ms), ON(ROUTE) },
-	{ "timeout", COLUMN_UINT32, AT(timeout_ms), ON(ROUTE) },
-	{ "attempts", COLUMN_UINT32, AT(max_attempts), ON(ROUTE) },
-	{ "resumable", COLUMN_BOOL, AT(resumable), ON(ROUTE) },
-	{ "repeatable", COLUMN_BOOL, AT(idempotent), ON(ROUTE) },
-	{ "vouched", COLUMN_BOOL, AT(client_deduplicates), ON(ROUTE) },
-	{ "open", COLUMN_BOOL, AT(key_optional), ON(ROUTE) },
-	{ "model", COLUMN_STRING, AT(model), ON(SERVICE) },
-	{ "slots", COLUMN_UINT32, AT(slots), ON(SERVICE) },
-	{ "conns", COLUMN_UINT32, AT(max_connections), ON(SERVICE) },
-	{ "watches", COLUMN_UINT32, AT(max_watches), ON(SERVICE) },
-	{ "room", COLUMN_UINT64, AT(capacity_tokens), ON(SERVICE) },
-	{ "rank", COLUMN_UINT32, AT(priority_class), ON(TENANT) },
-	{ "rolled", COLUMN_STRING, AT(rolled_out), ON(MODEL) },
-	{ "health", COLUMN_STRING, AT(health_path), ON(SERVICE) },
-	{ "head_bytes", COLUMN_UINT32, AT(max_head_bytes), ON(LISTENER) },
-	{ "body_bytes", COLUMN_UINT32, AT(max_body_bytes), ON(LISTENER) },
-	{ "head_ms", COLUMN_UINT32, AT(head_timeout_ms), ON(LISTENER) },
-	{ "idle_ms", COLUMN_UINT32, AT(idle_timeout_ms), ON(LISTENER) },
-	{ "keep", COLUMN_STRING, AT(max_age), ON(RETENTION) },
-	{ "every", COLUMN_STRING, AT(interval), ON(RETENTION) },
-	{ "at", COLUMN_STRING, AT(calendar), ON(RETENTION) },
-	{ "window", COLUMN_UINT32, AT(spread_ms), ON(RETENTION) },
+	{ "name", COLUMN_STRING, FIELD_OFFSET(name), ~0u },
+	{ "service", COLUMN_STRING, FIELD_OFFSET(service), KIND_BIT(ROUTE) | KIND_BIT(SERVER) },
+	{ "tenant", COLUMN_STRING, FIELD_OFFSET(tenant), KIND_BIT(KEY) },
+	{ "addr", COLUMN_STRING, FIELD_OFFSET(addr),
+	  KIND_BIT(SERVER) | KIND_BIT(CONTROLLER) | KIND_BIT(SERVICE) },
+	{ "zone", COLUMN_STRING, FIELD_OFFSET(zone),
+	  KIND_BIT(SERVER) | KIND_BIT(CONTROLLER) | KIND_BIT(SERVICE) },
+	{ "weights", COLUMN_STRING, FIELD_OFFSET(target_weights), KIND_BIT(SERVICE) | KIND_BIT(MODEL) },
+	{ "prio", COLUMN_UINT32, FIELD_OFFSET(priority), KIND_BIT(ROUTE) },
+	{ "share", COLUMN_UINT32, FIELD_OFFSET(share), KIND_BIT(TENANT) | KIND_BIT(SHARE) },
+	{ "limit", COLUMN_UINT32, FIELD_OFFSET(limit), KIND_BIT(ROUTE) | KIND_BIT(TENANT) | KIND_BIT(SHARE) },
+	{ "walled", COLUMN_BOOL, FIELD_OFFSET(isolated), KIND_BIT(TENANT) },
+	{ "state", COLUMN_STATE, FIELD_OFFSET(state), KIND_BIT(SERVER) },
+	{ "id", COLUMN_HEX, FIELD_OFFSET(id), KIND_BIT(CONTROLLER) },
+	{ "prefill", COLUMN_UINT32, FIELD_OFFSET(prefill_tokens_per_ms), KIND_BIT(SERVICE) },
+	{ "kv_bytes", COLUMN_UINT32, FIELD_OFFSET(kv_bytes_per_token), KIND_BIT(SERVICE) },
+	{ "link", COLUMN_UINT32, FIELD_OFFSET(link_bytes_per_ms), KIND_BIT(SERVICE) },
+	{ "store", COLUMN_UINT32, FIELD_OFFSET(store_bytes_per_ms), KIND_BIT(SERVICE) },
+	{ "host", COLUMN_STRING, FIELD_OFFSET(host), KIND_BIT(ROUTE) },
+	{ "path", COLUMN_STRING, FIELD_OFFSET(path), KIND_BIT(ROUTE) },
+	{ "split", COLUMN_SPLIT, FIELD_OFFSET(split), KIND_BIT(ROUTE) },
+	{ "aim", COLUMN_UINT32, FIELD_OFFSET(latency_target_ms), KIND_BIT(ROUTE) },
+	{ "pause", COLUMN_UINT32, FIELD_OFFSET(max_gap_ms), KIND_BIT(ROUTE) },
+	{ "timeout", COLUMN_UINT32, FIELD_OFFSET(timeout_ms), KIND_BIT(ROUTE) },
+	{ "attempts", COLUMN_UINT32, FIELD_OFFSET(max_attempts), KIND_BIT(ROUTE) },
+	{ "resumable", COLUMN_BOOL, FIELD_OFFSET(resumable), KIND_BIT(ROUTE) },
+	{ "repeatable", COLUMN_BOOL, FIELD_OFFSET(idempotent), KIND_BIT(ROUTE) },
+	{ "vouched", COLUMN_BOOL, FIELD_OFFSET(client_deduplicates), KIND_BIT(ROUTE) },
+	{ "open", COLUMN_BOOL, FIELD_OFFSET(key_optional), KIND_BIT(ROUTE) },
+	{ "model", COLUMN_STRING, FIELD_OFFSET(model), KIND_BIT(SERVICE) },
+	{ "slots", COLUMN_UINT32, FIELD_OFFSET(slots), KIND_BIT(SERVICE) },
+	{ "conns", COLUMN_UINT32, FIELD_OFFSET(max_connections), KIND_BIT(SERVICE) },
+	{ "watches", COLUMN_UINT32, FIELD_OFFSET(max_watches), KIND_BIT(SERVICE) },
+	{ "room", COLUMN_UINT64, FIELD_OFFSET(capacity_tokens), KIND_BIT(SERVICE) },
+	{ "rank", COLUMN_UINT32, FIELD_OFFSET(priority_class), KIND_BIT(TENANT) },
+	{ "rolled", COLUMN_STRING, FIELD_OFFSET(rolled_out), KIND_BIT(MODEL) },
+	{ "health", COLUMN_STRING, FIELD_OFFSET(health_path), KIND_BIT(SERVICE) },
+	{ "head_bytes", COLUMN_UINT32, FIELD_OFFSET(max_head_bytes), KIND_BIT(LISTENER) },
+	{ "body_bytes", COLUMN_UINT32, FIELD_OFFSET(max_body_bytes), KIND_BIT(LISTENER) },
+	{ "head_ms", COLUMN_UINT32, FIELD_OFFSET(head_timeout_ms), KIND_BIT(LISTENER) },
+	{ "idle_ms", COLUMN_UINT32, FIELD_OFFSET(idle_timeout_ms), KIND_BIT(LISTENER) },
+	{ "keep", COLUMN_STRING, FIELD_OFFSET(max_age), KIND_BIT(RETENTION) },
+	{ "every", COLUMN_STRING, FIELD_OFFSET(interval), KIND_BIT(RETENTION) },
+	{ "at", COLUMN_STRING, FIELD_OFFSET(calendar), KIND_BIT(RETENTION) },
+	{ "window", COLUMN_UINT32, FIELD_OFFSET(spread_ms), KIND_BIT(RETENTION) },
 };
 enum { ROW_COLUMN_COUNT = sizeof row_columns / sizeof *row_columns };
 
 /* Services and weights as one text: "a:90,b:10". */
-static char *split_text(const struct Nl__Row *row)
+static char *format_split(const struct Nl__Row *row)
 {
 	size_t capacity = 1, used = 0;
 	char *text;
@@ -112,41 +114,41 @@
 	return text;
 }
 
-static int split_parse(struct Nl__Row *row, const char *text, apr_pool_t *pool)
+static int parse_split_text(struct Nl__Row *row, const char *text, apr_pool_t *pool)
 {
 	char *copy = apr_pstrdup(pool, text), *save = NULL;
-	size_t share_count = 1;
+	size_t max_entry_count = 1;
 
-	for (const char *c = text; *c; c++)
-		share_count += *c == ',';
-	row->split = apr_palloc(pool, (share_count + 1) * sizeof *row->split);
+	for (const char *character = text; *character; character++)
+		max_entry_count += *character == ',';
+	row->split = apr_palloc(pool, (max_entry_count + 1) * sizeof *row->split);
 	row->n_split = 0;
-	for (char *item = apr_strtok(copy, ",", &save); item; item = apr_strtok(NULL, ",", &save)) {
+	for (char *entry = apr_strtok(copy, ",", &save); entry; entry = apr_strtok(NULL, ",", &save)) {
 		struct Nl__RouteSplit *split = apr_palloc(pool, sizeof *split);
-		char *colon = strrchr(item, ':'), *end = colon;
+		char *colon = strrchr(entry, ':'), *end = colon;
 		unsigned long long weight;
 
-		if (!colon || colon == item || colon[1] < '0' || colon[1] > '9')
+		if (!colon || colon == entry || colon[1] < '0' || colon[1] > '9')
 			return 0;
 		weight = strtoull(colon + 1, &end, 10);
 		if (*end || weight > 1000000)
 			return 0;
 		*colon = 0;
 		nl__route_split__init(split);
-		split->service = item;
+		split->service = entry;
 		split->weight = (uint32_t)weight;
 		row->split[row->n_split++] = split;
 	}
 	return 1;
 }
 
-static struct json_object *field_json(const struct Nl__Row *row, const struct row_column *column)
+static struct json_object *field_to_json(const struct Nl__Row *row, const struct row_column *column)
 {
 	const void *field = (const char *)row + column->offset;
 	struct json_object *json;
 	char hex[20], *text;
 
-	switch (column->kind) {
+	switch (column->type) {
 	case COLUMN_STRING:
 		return json_object_new_string(*(char *const *)field);
 	case COLUMN_UINT32:
@@ -154,7 +156,7 @@
 	case COLUMN_UINT64:
 		return json_object_new_uint64(*(const uint64_t *)field);
 	case COLUMN_SPLIT:
-		text = split_text(row);
+		text = format_split(row);
 		json = json_object_new_string(text);
 		free(text);
 		return json;
@@ -175,22 +177,23 @@
 
 	json_object_object_add(json, "kind", json_object_new_string(config_kind_name(row->kind)));
 	for (int i = 0; i < ROW_COLUMN_COUNT; i++)
-		if (row_columns[i].kinds & 1u << row->kind)
-			json_object_object_add(json, row_columns[i].name, field_json(row, &row_columns[i]));
+		if (row_columns[i].row_kinds & 1u << row->kind)
+			json_object_object_add(json, row_columns[i].name,
+					       field_to_json(row, &row_columns[i]));
 	return json;
 }
 
-static const struct row_column *find_column(Nl__Kind kind, const char *name)
+static const struct row_column *find_column(Nl__Kind row_kind, const char *name)
 {
 	for (int i = 0; i < ROW_COLUMN_COUNT; i++)
-		if (!strcmp(row_columns[i].name, name) && (row_columns[i].kinds & 1u << kind))
+		if (!strcmp(row_columns[i].name, name) && (row_columns[i].row_kinds & 1u << row_kind))
 			return &row_columns[i];
 	return NULL;
 }
 
-static bool has_type_of_column(struct json_object *value, enum column_kind kind)
+static bool is_value_of_type(struct json_object *value, enum column_type type)
 {
-	switch (kind) {
+	switch (type) {
 	case COLUMN_UINT64:
 		return json_object_is_type(value, json_type_int) && json_object_get_int64(value) >= 0;
 	case COLUMN_UINT32:
@@ -216,7 +219,7 @@
 {
 	void *field = (char *)row + column->offset;
 
-	switch (column->kind) {
+	switch (column->type) {
 	case COLUMN_STRING:
 		*(char **)field = apr_pstrdup(pool, json_object_get_string(value));
 		break;
@@ -227,7 +230,7 @@
 		*(uint64_t *)field = json_object_get_uint64(value);
 		break;
 	case COLUMN_SPLIT:
-		return split_parse(row, json_object_get_string(value), pool);
+		return parse_split_text(row, json_object_get_string(value), pool);
 	case COLUMN_BOOL:
 		*(protobuf_c_boolean *)field = json_object_get_boolean(value);
 		break;
@@ -241,7 +244,7 @@
 	return 1;
 }
 
-struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **why)
+struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **error)
 {
 	struct Nl__Row *row = apr_palloc(pool, sizeof *row);
 	struct json_object *kind;
@@ -249,7 +252,7 @@
 	nl__row__init(row);
 	if (!json_object_is_type(json, json_type_object) || !json_object_object_get_ex(json, "kind", &kind) ||
 	    (row->kind = config_kind_parse(json_object_get_string(kind))) == NL__KIND__NONE) {
-		*why = CONFIG_KIND_UNKNOWN;
+		*error = CONFIG_KIND_UNKNOWN;
 		return NULL;
 	}
 	json_object_object_foreach(json, name, value)
@@ -260,55 +263,56 @@
 			continue;
 		column = find_column(row->kind, name);
 		if (!column) {
-			*why = apr_psprintf(pool, "%s: %s: no such field", config_kind_name(row->kind), name);
+			*error =
+			    apr_psprintf(pool, "%s: %s: no such field", config_kind_name(row->kind), name);
 			return NULL;
 		}
-		if (!has_type_of_column(value, column->kind)) {
-			*why = apr_psprintf(pool, "%s: %s: wrong type or range", config_kind_name(row->kind),
-					    name);
+		if (!is_value_of_type(value, column->type)) {
+			*error = apr_psprintf(pool, "%s: %s: wrong type or range",
+					      config_kind_name(row->kind), name);
 			return NULL;
 		}
 		if (!set_field(row, column, value, pool)) {
-			*why = apr_psprintf(pool, "%s: split: not as service:weight,service:weight",
-					    config_kind_name(row->kind));
+			*error = apr_psprintf(pool, "%s: split: not as service:weight,service:weight",
+					      config_kind_name(row->kind));
 			return NULL;
 		}
 	}
 	return row;
 }
 
-static int rows_parse(struct json_object *json, const char *name, size_t *count, struct Nl__Row ***rows,
-		      apr_pool_t *pool, const char **why)
+static int parse_rows(struct json_object *json, const char *name, size_t *count, struct Nl__Row ***rows,
+		      apr_pool_t *pool, const char **error)
 {
 	struct json_object *list;
 
 	if (!json_object_object_get_ex(json, name, &list))
 		return 1;
 	if (!json_object_is_type(list, json_type_array)) {
-		*why = apr_psprintf(pool, "%s: not a list", name);
+		*error = apr_psprintf(pool, "%s: not a list", name);
 		return 0;
 	}
 	*count = json_object_array_length(list);
 	*rows = apr_palloc(pool, (*count + 1) * sizeof **rows);
 	for (size_t i = 0; i < *count; i++) {
-		(*rows)[i] = config_row_parse(json_object_array_get_idx(list, i), pool, why);
+		(*rows)[i] = config_row_parse(json_object_array_get_idx(list, i), pool, error);
 		if (!(*rows)[i]) {
-			*why = apr_psprintf(pool, "%s[%d]: %s", name, (int)i, *why);
+			*error = apr_psprintf(pool, "%s[%d]: %s", name, (int)i, *error);
 			return 0;
 		}
 	}
 	return 1;
 }
 
-struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **why)
+struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **error)
 {
-	struct json_object *json = json_tokener_parse(body), *v;
+	struct json_object *json = json_tokener_parse(body), *member;
 	struct Nl__Change *change = apr_palloc(pool, sizeof *change);
 
 	nl__change__init(change);
-	*why = NULL;
+	*error = NULL;
 	if (!json_object_is_type(json, json_type_object)) {
-		*why = "body: not a JSON object";
+		*error = "body: not a JSON object";
 		goto end;
 	}
 	json_object_object_foreach(json, name, x)
@@ -316,44 +320,44 @@
 		(void)x;
 		if (strcmp(name, "expect") && strcmp(name, "whole") && strcmp(name, "set") &&
 		    strcmp(name, "del")) {
-			*why = apr_psprintf(pool, "%s: no such field", name);
+			*error = apr_psprintf(pool, "%s: no such field", name);
 			goto end;
 		}
 	}
-	if (json_object_object_get_ex(json, "expect", &v)) {
-		if (!json_object_is_type(v, json_type_int) || json_object_get_int64(v) < 0) {
-			*why = "expect: not an edition";
+	if (json_object_object_get_ex(json, "expect", &member)) {
+		if (!json_object_is_type(member, json_type_int) || json_object_get_int64(member) < 0) {
+			*error = "expect: not an edition";
 			goto end;
 		}
-		change->expected_revision = json_object_get_uint64(v);
+		change->expected_revision = json_object_get_uint64(member);
 	} else {
 		change->any_revision = 1;
 	}
-	if (json_object_object_get_ex(json, "whole", &v))
-		change->replace_all = json_object_get_boolean(v);
-	if (!rows_parse(json, "set", &change->n_set, &change->set, pool, why) ||
-	    !rows_parse(json, "del", &change->n_deleted, &change->deleted, pool, why))
+	if (json_object_object_get_ex(json, "whole", &member))
+		change->replace_all = json_object_get_boolean(member);
+	if (!parse_rows(json, "set", &change->n_set, &change->set, pool, error) ||
+	    !parse_rows(json, "del", &change->n_deleted, &change->deleted, pool, error))
 		goto end;
 	if (!change->n_set && !change->n_deleted && !change->replace_all)
-		*why = "set: nothing to change";
+		*error = "set: nothing to change";
 end:
 	if (json)
 		json_object_put(json);
-	return *why ? NULL : change;
+	return *error ? NULL : change;
 }
 
 const char *json_string_member(struct json_object *json, const char *name)
 {
-	struct json_object *v;
+	struct json_object *member;
 
-	return json_object_object_get_ex(json, name, &v) && json_object_is_type(v, json_type_string)
-		   ? json_object_get_string(v)
+	return json_object_object_get_ex(json, name, &member) && json_object_is_type(member, json_type_string)
+		   ? json_object_get_string(member)
 		   : "";
 }
 
 uint64_t json_uint_member(struct json_object *json, const char *name)
 {
-	struct json_object *v;
+	struct json_object *member;
 
-	return json_object_object_get_ex(json, name, &v) ? json_object_get_uint64(v) : 0;
+	return json_object_object_get_ex(json, name, &member) ? json_object_get_uint64(member) : 0;
 }
--- a/lib/control/config_row.h
+++ b/lib/control/config_row.h
@@ -24,14 +24,14 @@
 
 /* A row from its JSON, in the pool; NULL with the field and what is wrong with it in *why (in the pool).
  * Values are not checked here beyond their types: config_check does. */
-struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **why);
+struct Nl__Row *config_row_parse(struct json_object *json, apr_pool_t *pool, const char **error);
 
 /* A row as JSON with all columns of its kind; the caller owns it. */
 struct json_object *config_row_json(const struct Nl__Row *row);
 
 /* A change from the body of a call: {"expect":7,"set":[...],"del":[{"kind","name"}],"whole":false}; in the
  * pool. NULL with what is wrong in *why. Example: change = config_change_parse(body, pool, &why); */
-struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **why);
+struct Nl__Change *config_change_parse(const char *body, apr_pool_t *pool, const char **error);
 
 /* A string member of a JSON object, the object's; "" when it is not there or no string. */
 const char *json_string_member(struct json_object *json, const char *name);
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -47,8 +47,8 @@
 }
 
 /* The best two routers upstream of this one in its zone. */
-static void add_upstream(const struct controller *controller, const struct controller_node_status *own,
-			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
+static void add_upstreams(const struct controller *controller, const struct controller_node_status *requester,
+			  struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	enum { MAX_UPSTREAM = 2 };
 
@@ -59,9 +59,9 @@
 		for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 			const struct controller_node_status *node = &controller->membership.nodes[i];
 
-			if (!node->is_router || node->zone != own->zone ||
+			if (!node->is_router || node->zone != requester->zone ||
 			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
-			    !is_upstream(node, own))
+			    !is_upstream(node, requester))
 				continue;
 			if (reply->n_upstreams && node->addr == reply->upstreams[0])
 				continue;
@@ -99,16 +99,16 @@
 		    now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
 			arrdelswap(controller->membership.nodes, i);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
-		struct controller_node_status *known = &controller->membership.nodes[i];
-		int is_late = node->token < known->token;
+		struct controller_node_status *recorded = &controller->membership.nodes[i];
+		int is_outdated = node->token < recorded->token;
 
-		if (known->id != node->id)
+		if (recorded->id != node->id)
 			continue;
-		if (is_late)
-			known->observed_at_ms = now;
+		if (is_outdated)
+			recorded->observed_at_ms = now;
 		else
-			*known = *node;
-		return is_late;
+			*recorded = *node;
+		return is_outdated;
 	}
 	arrput(controller->membership.nodes, *node);
 	return 0;
@@ -139,7 +139,7 @@
 					       sync->token,
 					       sync->wall_clock_ms,
 					       sync->load_permille };
-	int is_late;
+	int is_outdated;
 
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply =
 	    reply;
@@ -151,14 +151,14 @@
 		reply->leader_hint = controller->config_watch.leader_addr[SHARD_CONTROL];
 	if (!reply->has_lease)
 		return;
-	is_late = update_node_status(controller, &node, now);
+	is_outdated = update_node_status(controller, &node, now);
 	retention_on_report(controller, message, now);
 	reply->group_clock_ms = group_clock_now(controller, now);
 	reply->clock_term = controller->shards[SHARD_CONTROL].term;
 	config_table_since(&controller->config.table, sync->have_revision, reply, out->pool);
 	instances_pack_since(&controller->instances, sync->instances_stamp, reply, out->pool);
 	if (sync->is_router)
-		add_upstream(controller, &node, reply, now, out);
+		add_upstreams(controller, &node, reply, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		reply->router_count +=
 		    controller->membership.nodes[i].is_router &&
@@ -167,7 +167,7 @@
 		add_zone_heads(controller, node.zone, reply, now, out);
 		reply->publisher = leader_hint(controller, SHARD_PURGE, now);
 	}
-	if (!is_late)
+	if (!is_outdated)
 		quota_shares_update(&controller->quota, &controller->config.table,
 				    is_new_leader(controller, now), message->id, sync, reply->router_count,
 				    reply, now, out);
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -25,16 +25,16 @@
 	return index;
 }
 
-static struct Nl__Row *row_copy(const struct Nl__Row *original)
+static struct Nl__Row *copy_row(const struct Nl__Row *original)
 {
-	size_t size = nl__row__get_packed_size(original);
-	uint8_t *packed = malloc(size + 1);
+	size_t packed_bytes = nl__row__get_packed_size(original);
+	uint8_t *packed = malloc(packed_bytes + 1);
 	struct Nl__Row *row;
 
 	if (!packed)
 		abort();
 	nl__row__pack(original, packed);
-	row = nl__row__unpack(NULL, size, packed);
+	row = nl__row__unpack(NULL, packed_bytes, packed);
 	free(packed);
 	if (!row)
 		abort();
@@ -80,75 +80,76 @@
 
 /* Whether a change that replaces all rows replaces those of this kind. Servers, controllers and models have
  * calls of their own, and retention has too. */
-static bool is_replaced(const struct Nl__Change *change, Nl__Kind kind)
+static bool replaces_kind(const struct Nl__Change *change, Nl__Kind kind)
 {
 	return (is_operator_kind(kind) && kind != NL__KIND__RETENTION) ||
 	       (change->replace_keys && kind == NL__KIND__KEY);
 }
 
-static void append_purge(struct Nl__Purge ***feed, uint32_t reason, const char *service, const char *weights,
-			 const char *tenant, const char *server)
+static void append_purge(struct Nl__Purge ***purges, uint32_t reason, const char *service,
+			 const char *weights, const char *tenant, const char *server)
 {
-	struct Nl__Purge p = NL__PURGE__INIT, *purge;
-	size_t size;
+	struct Nl__Purge fields = NL__PURGE__INIT, *purge;
+	size_t packed_bytes;
 	uint8_t *packed;
 
-	p.reason = reason;
-	p.service = (char *)service;
-	p.weights = (char *)weights;
-	p.tenant = (char *)tenant;
-	p.server = (char *)server;
-	size = nl__purge__get_packed_size(&p);
-	packed = malloc(size + 1);
+	fields.reason = reason;
+	fields.service = (char *)service;
+	fields.weights = (char *)weights;
+	fields.tenant = (char *)tenant;
+	fields.server = (char *)server;
+	packed_bytes = nl__purge__get_packed_size(&fields);
+	packed = malloc(packed_bytes + 1);
 	if (!packed)
 		abort();
-	nl__purge__pack(&p, packed);
-	purge = nl__purge__unpack(NULL, size, packed);
+	nl__purge__pack(&fields, packed);
+	purge = nl__purge__unpack(NULL, packed_bytes, packed);
 	free(packed);
-	arrput(*feed, purge);
+	arrput(*purges, purge);
 }
 
 /* A model's weights have reached every server: what was complete before them, and the versions in between,
  * are purged. */
-static void purge_model(const struct config_table *table, const struct Nl__Row *was,
-			const struct Nl__Row *row, struct Nl__Purge ***feed)
+static void append_model_purges(const struct config_table *table, const struct Nl__Row *old_row,
+				const struct Nl__Row *new_row, struct Nl__Purge ***purges)
 {
-	uint64_t replaced_weights = strtoull(was->rolled_out, NULL, 10),
-		 current_weights = row ? strtoull(row->rolled_out, NULL, 10) : replaced_weights + 1;
+	uint64_t version = strtoull(old_row->rolled_out, NULL, 10),
+		 end_version = new_row ? strtoull(new_row->rolled_out, NULL, 10) : version + 1;
 
-	if (!replaced_weights || replaced_weights >= current_weights)
+	if (!version || version >= end_version)
 		return;
-	if (current_weights - replaced_weights > CONFIG_TABLE_MAX_SKIPPED_WEIGHTS)
-		current_weights = replaced_weights + CONFIG_TABLE_MAX_SKIPPED_WEIGHTS;
-	for (; replaced_weights < current_weights; replaced_weights++)
+	if (end_version - version > CONFIG_TABLE_MAX_PURGED_VERSIONS)
+		end_version = version + CONFIG_TABLE_MAX_PURGED_VERSIONS;
+	for (; version < end_version; version++)
 		for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
-			const struct Nl__Row *r = table->rows[i].value.row;
-			char buf[24];
+			const struct Nl__Row *service = table->rows[i].value.row;
+			char version_text[24];
 
-			if (r->kind != NL__KIND__SERVICE || strcmp(r->model, was->name))
+			if (service->kind != NL__KIND__SERVICE || strcmp(service->model, old_row->name))
 				continue;
-			apr_snprintf(buf, sizeof buf, "%" APR_UINT64_T_FMT, (apr_uint64_t)replaced_weights);
-			append_purge(feed, PURGE_WEIGHTS, r->name, buf, "", "");
+			apr_snprintf(version_text, sizeof version_text, "%" APR_UINT64_T_FMT,
+				     (apr_uint64_t)version);
+			append_purge(purges, PURGE_WEIGHTS, service->name, version_text, "", "");
 		}
 }
 
 /* What a row's change purges: blocks that were computed under weights, isolation or servers that are no more.
  * row NULL: it is deleted; feed NULL: nobody wants to know. */
-static void decide_purges(const struct config_table *table, const struct Nl__Row *was,
-			  const struct Nl__Row *row, struct Nl__Purge ***feed)
+static void append_row_purges(const struct config_table *table, const struct Nl__Row *old_row,
+			      const struct Nl__Row *new_row, struct Nl__Purge ***purges)
 {
-	if (!feed || !was)
+	if (!purges || !old_row)
 		return;
-	if (was->kind == NL__KIND__SERVICE && was->target_weights[0] &&
-	    (!row || strcmp(was->target_weights, row->target_weights)))
-		append_purge(feed, PURGE_WEIGHTS, was->name, was->target_weights, "", "");
-	if (was->kind == NL__KIND__TENANT && (!row || was->isolated != row->isolated))
-		append_purge(feed, PURGE_TENANT, "", "", was->name, "");
-	if (was->kind == NL__KIND__SERVER && was->state == 0 &&
-	    (!row || row->state || strcmp(was->addr, row->addr)))
-		append_purge(feed, PURGE_SERVER, "", "", "", was->name);
-	if (was->kind == NL__KIND__MODEL && row)
-		purge_model(table, was, row, feed);
+	if (old_row->kind == NL__KIND__SERVICE && old_row->target_weights[0] &&
+	    (!new_row || strcmp(old_row->target_weights, new_row->target_weights)))
+		append_purge(purges, PURGE_WEIGHTS, old_row->name, old_row->target_weights, "", "");
+	if (old_row->kind == NL__KIND__TENANT && (!new_row || old_row->isolated != new_row->isolated))
+		append_purge(purges, PURGE_TENANT, "", "", old_row->name, "");
+	if (old_row->kind == NL__KIND__SERVER && old_row->state == 0 &&
+	    (!new_row || new_row->state || strcmp(old_row->addr, new_row->addr)))
+		append_purge(purges, PURGE_SERVER, "", "", "", old_row->name);
+	if (old_row->kind == NL__KIND__MODEL && new_row)
+		append_model_purges(table, old_row, new_row, purges);
 }
 
 static const char *higher_number(const char *first, const char *second)
@@ -158,47 +159,48 @@
 
 /* Weights of a model only rise; what a change leaves empty stays. Before any are set, all servers have the
  * first. */
-static struct Nl__Row *make_model_row(const struct config_table *table, const struct Nl__Row *was,
-				      const struct Nl__Row *changed, uint64_t bound_passed_at_ms)
+static struct Nl__Row *make_model_row(const struct config_table *table, const struct Nl__Row *old_row,
+				      const struct Nl__Row *changed_row, uint64_t bound_passed_at_ms)
 {
-	struct Nl__Row row = *changed;
+	struct Nl__Row row = *changed_row;
 	struct version_history versions;
 
-	row.target_weights = (char *)higher_number(changed->target_weights, was ? was->target_weights : "1");
-	row.rolled_out = (char *)higher_number(changed->rolled_out, was ? was->rolled_out : "1");
-	version_history_update(&versions, was, &row, table->clock, bound_passed_at_ms);
-	return row_copy(&row);
+	row.target_weights =
+	    (char *)higher_number(changed_row->target_weights, old_row ? old_row->target_weights : "1");
+	row.rolled_out = (char *)higher_number(changed_row->rolled_out, old_row ? old_row->rolled_out : "1");
+	version_history_update(&versions, old_row, &row, table->clock, bound_passed_at_ms);
+	return copy_row(&row);
 }
 
 static int rows_equal(const struct Nl__Row *a, const struct Nl__Row *b)
 {
-	size_t size = nl__row__get_packed_size(a);
+	size_t packed_bytes = nl__row__get_packed_size(a);
 	uint8_t *first_packed, *second_packed;
-	int same = 0;
+	int are_equal = 0;
 
-	if (size != nl__row__get_packed_size(b))
+	if (packed_bytes != nl__row__get_packed_size(b))
 		return 0;
-	first_packed = malloc(2 * size + 1);
+	first_packed = malloc(2 * packed_bytes + 1);
 	if (!first_packed)
 		abort();
-	second_packed = first_packed + size;
+	second_packed = first_packed + packed_bytes;
 	nl__row__pack(a, first_packed);
 	nl__row__pack(b, second_packed);
-	same = !memcmp(first_packed, second_packed, size);
+	are_equal = !memcmp(first_packed, second_packed, packed_bytes);
 	free(first_packed);
-	return same;
+	return are_equal;
 }
 
 /* Put a row, which the table owns from now on, in the place of the one with its key. */
-static void row_put(struct config_table *table, struct Nl__Row *row, uint64_t revision,
-		    struct Nl__Purge ***feed)
+static void upsert_row(struct config_table *table, struct Nl__Row *row, uint64_t revision,
+		       struct Nl__Purge ***purges)
 {
 	ptrdiff_t i = find_row(table, row->kind, row->name);
 	struct Nl__Row *old = i >= 0 ? table->rows[i].value.row : NULL;
 	char key[CONFIG_ROW_KEY_BYTES];
 
 	if (old) {
-		decide_purges(table, old, row, feed);
+		append_row_purges(table, old, row, purges);
 		table->rows[i].value.row = row;
 		table->rows[i].value.revision = revision;
 		nl__row__free_unpacked(old, NULL);
@@ -210,33 +212,33 @@
 
 /* One row of a change. When a change replaces all rows, an equal row keeps its revision, so that copies get
  * only what has changed. */
-static void row_set(struct config_table *table, const struct Nl__Row *row, const struct Nl__Change *change,
-		    struct Nl__Purge ***feed)
+static void apply_row(struct config_table *table, const struct Nl__Row *row, const struct Nl__Change *change,
+		      struct Nl__Purge ***purges)
 {
 	const struct Nl__Row *old = config_table_get(table, row->kind, row->name);
 
 	if (old && change->replace_all && rows_equal(old, row))
 		return;
-	row_put(table,
-		row->kind == NL__KIND__MODEL ? make_model_row(table, old, row, change->bound_passed_at_ms)
-					     : row_copy(row),
-		table->revision, feed);
+	upsert_row(table,
+		   row->kind == NL__KIND__MODEL ? make_model_row(table, old, row, change->bound_passed_at_ms)
+						: copy_row(row),
+		   table->revision, purges);
 }
 
-static void row_delete(struct config_table *table, const char *key, uint64_t revision,
-		       struct Nl__Purge ***feed)
+static void delete_row(struct config_table *table, const char *key, uint64_t revision,
+		       struct Nl__Purge ***purges)
 {
 	ptrdiff_t i = shgeti(table->rows, key);
-	struct config_tombstone tomb;
+	struct config_tombstone tombstone;
 	struct Nl__Row *row;
 
 	if (i < 0)
 		return;
 	row = table->rows[i].value.row;
-	decide_purges(table, row, NULL, feed);
-	tomb.key = strdup(key);
-	tomb.revision = revision;
-	arrput(table->tombstones, tomb);
+	append_row_purges(table, row, NULL, purges);
+	tombstone.key = strdup(key);
+	tombstone.revision = revision;
+	arrput(table->tombstones, tombstone);
 	(void)shdel(table->rows, key);
 	nl__row__free_unpacked(row, NULL);
 	while (arrlen(table->tombstones) > CONFIG_TABLE_MAX_TOMBSTONES) {
@@ -264,40 +266,40 @@
 
 /* Delete the rows that a change which replaces all of them does not set. */
 static void delete_replaced_rows(struct config_table *table, const struct Nl__Change *change,
-				 struct Nl__Purge ***feed)
+				 struct Nl__Purge ***purges)
 {
-	struct config_row_index *set = config_row_index(change->set, change->n_set);
-	char **removed = NULL;
+	struct config_row_index *set_by_key = config_row_index(change->set, change->n_set);
+	char **removed_keys = NULL;
 
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
-		if (is_replaced(change, table->rows[i].value.row->kind) &&
-		    shgeti(set, table->rows[i].key) < 0)
-			arrput(removed, strdup(table->rows[i].key));
+		if (replaces_kind(change, table->rows[i].value.row->kind) &&
+		    shgeti(set_by_key, table->rows[i].key) < 0)
+			arrput(removed_keys, strdup(table->rows[i].key));
 	/* the map's own order is another after a snapshot, and what follows must be the same on every replica
 	 */
-	if (removed)
-		qsort(removed, (size_t)arrlen(removed), sizeof *removed, compare_keys);
-	for (ptrdiff_t i = 0; i < arrlen(removed); i++) {
-		row_delete(table, removed[i], table->revision, feed);
-		free(removed[i]);
+	if (removed_keys)
+		qsort(removed_keys, (size_t)arrlen(removed_keys), sizeof *removed_keys, compare_keys);
+	for (ptrdiff_t i = 0; i < arrlen(removed_keys); i++) {
+		delete_row(table, removed_keys[i], table->revision, purges);
+		free(removed_keys[i]);
 	}
-	arrfree(removed);
-	shfree(set);
+	arrfree(removed_keys);
+	shfree(set_by_key);
 }
 
 static int changes_operator_rows(const struct Nl__Change *change)
 {
-	int changes = change->replace_all;
+	int has_operator_row = change->replace_all;
 
 	for (size_t i = 0; i < change->n_set; i++)
-		changes |= is_operator_kind(change->set[i]->kind);
+		has_operator_row |= is_operator_kind(change->set[i]->kind);
 	for (size_t i = 0; i < change->n_deleted; i++)
-		changes |= is_operator_kind(change->deleted[i]->kind);
-	return changes;
+		has_operator_row |= is_operator_kind(change->deleted[i]->kind);
+	return has_operator_row;
 }
 
 enum proposal_status config_table_apply(struct config_table *table, const struct Nl__Change *change,
-					struct Nl__Purge ***feed)
+					struct Nl__Purge ***purges)
 {
 	char key[CONFIG_ROW_KEY_BYTES];
 
@@ -308,19 +310,19 @@
 	if (changes_operator_rows(change))
 		table->operator_revision = table->revision;
 	if (change->replace_all)
-		delete_replaced_rows(table, change, feed);
+		delete_replaced_rows(table, change, purges);
 	for (size_t i = 0; i < change->n_deleted; i++)
-		row_delete(table, config_row_key(key, change->deleted[i]->kind, change->deleted[i]->name),
-			   table->revision, feed);
+		delete_row(table, config_row_key(key, change->deleted[i]->kind, change->deleted[i]->name),
+			   table->revision, purges);
 	for (size_t i = 0; i < change->n_set; i++)
-		row_set(table, change->set[i], change, feed);
+		apply_row(table, change->set[i], change, purges);
 	return PROPOSAL_DONE;
 }
 
 void config_table_since(const struct config_table *table, uint64_t base_revision,
 			struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
-	size_t changed = 0, row_count = (size_t)shlen(table->rows);
+	size_t changed_count = 0, row_count = (size_t)shlen(table->rows);
 
 	reply->full =
 	    base_revision < table->floor_revision || base_revision > table->revision || !base_revision;
@@ -331,18 +333,18 @@
 	reply->set = apr_palloc(pool, (row_count + 1) * sizeof *reply->set);
 	for (size_t i = 0; i < row_count; i++)
 		if (reply->full || table->rows[i].value.revision > base_revision)
-			reply->set[changed++] =
+			reply->set[changed_count++] =
 			    (struct Nl__Row *)core_copy_message(pool, &table->rows[i].value.row->base);
-	reply->n_set = changed;
+	reply->n_set = changed_count;
 	if (reply->full)
 		return;
 	reply->deleted = apr_palloc(pool, ((size_t)arrlen(table->tombstones) + 1) * sizeof *reply->deleted);
 	for (ptrdiff_t i = 0; i < arrlen(table->tombstones); i++) {
-		struct config_table_row *h = table->rows;
+		struct config_table_row *rows = table->rows;
 		struct Nl__Row *row;
 
 		if (table->tombstones[i].revision <= base_revision ||
-		    shgeti(h, table->tombstones[i].key) >= 0)
+		    shgeti(rows, table->tombstones[i].key) >= 0)
 			continue;
 		row = apr_palloc(pool, sizeof *row);
 		nl__row__init(row);
@@ -365,10 +367,10 @@
 		config_table_open(table);
 	}
 	for (size_t i = 0; i < reply->n_deleted; i++)
-		row_delete(table, config_row_key(key, reply->deleted[i]->kind, reply->deleted[i]->name),
+		delete_row(table, config_row_key(key, reply->deleted[i]->kind, reply->deleted[i]->name),
 			   reply->revision, NULL);
 	for (size_t i = 0; i < reply->n_set; i++)
-		row_put(table, row_copy(reply->set[i]), reply->revision, NULL); /* as the leader has it */
+		upsert_row(table, copy_row(reply->set[i]), reply->revision, NULL); /* as the leader has it */
 	table->revision = reply->revision;
 	return true;
 }
--- a/lib/control/config_table.h
+++ b/lib/control/config_table.h
@@ -18,7 +18,7 @@
 
 enum {
 	CONFIG_TABLE_MAX_TOMBSTONES = 512,
-	CONFIG_TABLE_MAX_SKIPPED_WEIGHTS = 64, /* versions that one rollout of a model purges at the most */
+	CONFIG_TABLE_MAX_PURGED_VERSIONS = 64, /* versions that one rollout of a model purges at the most */
 	CONFIG_ROW_KEY_BYTES = 300             /* of a row's key with its terminating zero */
 };
 
@@ -64,7 +64,7 @@
  * without an index; NULL: they are not wanted. Returns PROPOSAL_DONE, or PROPOSAL_SUPERSEDED with nothing
  * changed. Example: status = config_table_apply(&table, change, &feed); */
 enum proposal_status config_table_apply(struct config_table *table, const struct Nl__Change *change,
-					struct Nl__Purge ***feed);
+					struct Nl__Purge ***purges);
 
 /* Fill a reply with what has changed since a revision, or with all rows where that is not known any more; 0:
  * all. Results live in the pool. Example: config_table_since(&table, 7, reply, pool); */
--- a/lib/control/config_text.c
+++ b/lib/control/config_text.c
@@ -17,9 +17,9 @@
 
 static const char *member_text(struct json_object *json, const char *name)
 {
-	struct json_object *v;
+	struct json_object *member;
 
-	return json_object_object_get_ex(json, name, &v) ? json_object_get_string(v) : "";
+	return json_object_object_get_ex(json, name, &member) ? json_object_get_string(member) : "";
 }
 
 static bool is_operator_kind_name(const char *kind)
@@ -27,7 +27,7 @@
 	return strcmp(kind, "key") && strcmp(kind, "registrar");
 }
 
-static struct json_object *rows_of(struct json_object *json)
+static struct json_object *rows_member(struct json_object *json)
 {
 	struct json_object *rows = NULL;
 
@@ -36,31 +36,31 @@
 
 const char *config_text_print(struct json_object *table, const char *kind, apr_pool_t *pool)
 {
-	struct json_object *rows = rows_of(table);
+	struct json_object *rows = rows_member(table);
 	size_t row_count = rows ? json_object_array_length(rows) : 0, capacity = 1024, used = 0;
-	char *out;
+	char *text;
 
 	for (size_t i = 0; i < row_count; i++)
 		for (int c = 0; c < COLUMN_COUNT; c++)
 			capacity += strlen(member_text(json_object_array_get_idx(rows, i), columns[c])) + 1;
-	out = apr_palloc(pool, capacity);
+	text = apr_palloc(pool, capacity);
 
-	used += (size_t)apr_snprintf(out, capacity, "# edition %s\n", member_text(table, "edition"));
+	used += (size_t)apr_snprintf(text, capacity, "# edition %s\n", member_text(table, "edition"));
 	for (int c = 0; c < COLUMN_COUNT; c++)
-		used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "", columns[c]);
-	used += (size_t)apr_snprintf(out + used, capacity - used, "\n");
+		used += (size_t)apr_snprintf(text + used, capacity - used, "%s%s", c ? "\t" : "", columns[c]);
+	used += (size_t)apr_snprintf(text + used, capacity - used, "\n");
 	for (size_t i = 0; i < row_count; i++) {
-		struct json_object *json = json_object_array_get_idx(rows, i);
+		struct json_object *row = json_object_array_get_idx(rows, i);
 
-		if (kind ? strcmp(member_text(json, "kind"), kind)
-			 : !is_operator_kind_name(member_text(json, "kind")))
+		if (kind ? strcmp(member_text(row, "kind"), kind)
+			 : !is_operator_kind_name(member_text(row, "kind")))
 			continue;
 		for (int c = 0; c < COLUMN_COUNT; c++)
-			used += (size_t)apr_snprintf(out + used, capacity - used, "%s%s", c ? "\t" : "",
-						     member_text(json, columns[c]));
-		used += (size_t)apr_snprintf(out + used, capacity - used, "\n");
+			used += (size_t)apr_snprintf(text + used, capacity - used, "%s%s", c ? "\t" : "",
+						     member_text(row, columns[c]));
+		used += (size_t)apr_snprintf(text + used, capacity - used, "\n");
 	}
-	return out;
+	return text;
 }
 
 struct json_object *config_text_cell(const char *column, const char *text)
@@ -103,7 +103,7 @@
 
 /* Read the line that names the columns; 0 with *why when one is not known. */
 static int parse_header(struct text_header *header, char *line, int line_number, apr_pool_t *pool,
-			const char **why)
+			const char **error)
 {
 	while (line && header->count < COLUMN_COUNT) {
 		const char *cell = next_cell(&line);
@@ -112,7 +112,7 @@
 			if (!strcmp(columns[i], cell))
 				header->names[header->count] = columns[i];
 		if (!header->names[header->count]) {
-			*why = apr_psprintf(pool, "line %d: column %s: unknown", line_number, cell);
+			*error = apr_psprintf(pool, "line %d: column %s: unknown", line_number, cell);
 			return 0;
 		}
 		header->count++;
@@ -134,7 +134,7 @@
 	return !line;
 }
 
-struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **why)
+struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **error)
 {
 	struct json_object *json = json_object_new_object(), *rows = json_object_new_array();
 	char *copy = apr_pstrdup(pool, text), *save = NULL;
@@ -157,38 +157,38 @@
 		if (!line[0] || line[0] == '#')
 			continue;
 		if (!header.count) {
-			if (!parse_header(&header, line, line_number, pool, why))
+			if (!parse_header(&header, line, line_number, pool, error))
 				goto bad;
 			continue;
 		}
 		row = json_object_new_object();
 		json_object_array_add(rows, row);
 		if (!parse_cells(row, &header, line)) {
-			*why = apr_psprintf(pool, "line %d: more cells than columns", line_number);
+			*error = apr_psprintf(pool, "line %d: more cells than columns", line_number);
 			goto bad;
 		}
 	}
 	if (header.count)
 		return json;
-	*why = "no line names the columns";
+	*error = "no line names the columns";
 bad:
 	json_object_put(json);
 	return NULL;
 }
 
-static struct json_object *find_row(struct json_object *rows, struct json_object *like)
+static struct json_object *find_row(struct json_object *rows, struct json_object *row)
 {
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *json = json_object_array_get_idx(rows, i);
+		struct json_object *candidate_row = json_object_array_get_idx(rows, i);
 
-		if (!strcmp(member_text(json, "kind"), member_text(like, "kind")) &&
-		    !strcmp(member_text(json, "name"), member_text(like, "name")))
-			return json;
+		if (!strcmp(member_text(candidate_row, "kind"), member_text(row, "kind")) &&
+		    !strcmp(member_text(candidate_row, "name"), member_text(row, "name")))
+			return candidate_row;
 	}
 	return NULL;
 }
 
-static bool has_kind(struct json_object *rows, const char *kind)
+static bool has_row_of_kind(struct json_object *rows, const char *kind)
 {
 	for (size_t i = 0; rows && i < json_object_array_length(rows); i++)
 		if (!strcmp(member_text(json_object_array_get_idx(rows, i), "kind"), kind))
@@ -197,7 +197,7 @@
 }
 
 /* Alike: every column either has is the same; an empty cell is a column left out. */
-static int rows_alike(struct json_object *a, struct json_object *b)
+static int rows_are_equal(struct json_object *a, struct json_object *b)
 {
 	for (int c = 0; c < COLUMN_COUNT; c++)
 		if (strcmp(member_text(a, columns[c]), member_text(b, columns[c])))
@@ -207,31 +207,32 @@
 
 struct json_object *config_text_diff(struct json_object *table, struct json_object *text_rows)
 {
-	struct json_object *old = rows_of(table), *rows = rows_of(text_rows), *j = json_object_new_object(),
-			   *e;
-	struct json_object *set = json_object_new_array(), *del = json_object_new_array();
-
-	if (json_object_object_get_ex(text_rows, "edition", &e) ||
-	    json_object_object_get_ex(table, "edition", &e))
-		json_object_object_add(j, "expect", json_object_get(e));
-	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *r = json_object_array_get_idx(rows, i), *was = find_row(old, r);
-
-		if (!was || !rows_alike(was, r))
-			json_object_array_add(set, json_object_get(r));
+	struct json_object *old_rows = rows_member(table), *new_rows = rows_member(text_rows),
+			   *change = json_object_new_object(), *edition;
+	struct json_object *set = json_object_new_array(), *deleted = json_object_new_array();
+
+	if (json_object_object_get_ex(text_rows, "edition", &edition) ||
+	    json_object_object_get_ex(table, "edition", &edition))
+		json_object_object_add(change, "expect", json_object_get(edition));
+	for (size_t i = 0; new_rows && i < json_object_array_length(new_rows); i++) {
+		struct json_object *row = json_object_array_get_idx(new_rows, i),
+				   *old_row = find_row(old_rows, row);
+
+		if (!old_row || !rows_are_equal(old_row, row))
+			json_object_array_add(set, json_object_get(row));
 	}
-	for (size_t i = 0; old && i < json_object_array_length(old); i++) {
-		struct json_object *r = json_object_array_get_idx(old, i), *json;
+	for (size_t i = 0; old_rows && i < json_object_array_length(old_rows); i++) {
+		struct json_object *row = json_object_array_get_idx(old_rows, i), *deleted_row;
 
-		if (!is_operator_kind_name(member_text(r, "kind")) ||
-		    !has_kind(rows, member_text(r, "kind")) || find_row(rows, r))
+		if (!is_operator_kind_name(member_text(row, "kind")) ||
+		    !has_row_of_kind(new_rows, member_text(row, "kind")) || find_row(new_rows, row))
 			continue;
-		json = json_object_new_object();
-		json_object_object_add(json, "kind", json_object_new_string(member_text(r, "kind")));
-		json_object_object_add(json, "name", json_object_new_string(member_text(r, "name")));
-		json_object_array_add(del, json);
+		deleted_row = json_object_new_object();
+		json_object_object_add(deleted_row, "kind", json_object_new_string(member_text(row, "kind")));
+		json_object_object_add(deleted_row, "name", json_object_new_string(member_text(row, "name")));
+		json_object_array_add(deleted, deleted_row);
 	}
-	json_object_object_add(j, "set", set);
-	json_object_object_add(j, "del", del);
-	return j;
+	json_object_object_add(change, "set", set);
+	json_object_object_add(change, "del", deleted);
+	return change;
 }
--- a/lib/control/config_text.h
+++ b/lib/control/config_text.h
@@ -19,7 +19,7 @@
 
 /* A text as {"edition":..,"rows":[..]}, owned by the caller; NULL with the line and what is wrong in *why.
  * Example: table = config_text_parse(text, pool, &why); */
-struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **why);
+struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **error);
 
 /* A cell's text as the JSON value that its column has, owned by the caller. Example:
  * config_text_cell("limit", "5") */
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -15,36 +15,37 @@
 	watch->node_id = watch->rng = node_id;
 	watch->zone = "";
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
-		watch->candidates[watch->candidate_count++] = seeds[i];
-	watch->seed_count = watch->candidate_count;
+		watch->controller_addrs[watch->controller_count++] = seeds[i];
+	watch->seed_count = watch->controller_count;
 	watch->fetched_at_ms = watch->leader_contact_at_ms = now - 1000000;
-	watch->replied_at_ms = now;
+	watch->last_reply_at_ms = now;
 	watch->requested_at_ms = now - CONFIG_WATCH_POLL_MS;
-	for (int i = 0; i < SHARD_COUNT && watch->candidate_count; i++)
-		watch->next_candidate[i] = (int)(core_random(&watch->rng) % (uint64_t)watch->candidate_count);
+	for (int i = 0; i < SHARD_COUNT && watch->controller_count; i++)
+		watch->next_controller[i] =
+		    (int)(core_random(&watch->rng) % (uint64_t)watch->controller_count);
 }
 
 void config_watch_set_seeds(struct config_watch *watch, const uint64_t *seeds, int seed_count)
 {
-	uint64_t old[CONFIG_WATCH_MAX_CONTROLLERS];
-	int old_count = watch->candidate_count;
+	uint64_t previous_addrs[CONFIG_WATCH_MAX_CONTROLLERS];
+	int previous_count = watch->controller_count;
 
-	memcpy(old, watch->candidates, sizeof old);
-	watch->candidate_count = 0;
+	memcpy(previous_addrs, watch->controller_addrs, sizeof previous_addrs);
+	watch->controller_count = 0;
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
-		watch->candidates[watch->candidate_count++] = seeds[i];
-	watch->seed_count = watch->candidate_count;
-	for (int i = 0; i < old_count; i++) { /* who was known stays so until the next reply */
-		int known = 0;
-
-		for (int k = 0; k < watch->candidate_count; k++)
-			known |= watch->candidates[k] == old[i];
-		if (!known && watch->candidate_count < CONFIG_WATCH_MAX_CONTROLLERS)
-			watch->candidates[watch->candidate_count++] = old[i];
+		watch->controller_addrs[watch->controller_count++] = seeds[i];
+	watch->seed_count = watch->controller_count;
+	for (int i = 0; i < previous_count; i++) { /* who was known stays so until the next reply */
+		int is_listed = 0;
+
+		for (int k = 0; k < watch->controller_count; k++)
+			is_listed |= watch->controller_addrs[k] == previous_addrs[i];
+		if (!is_listed && watch->controller_count < CONFIG_WATCH_MAX_CONTROLLERS)
+			watch->controller_addrs[watch->controller_count++] = previous_addrs[i];
 	}
 	for (int i = 0; i < SHARD_COUNT; i++)
-		watch->next_candidate[i] =
-		    watch->candidate_count ? watch->next_candidate[i] % watch->candidate_count : 0;
+		watch->next_controller[i] =
+		    watch->controller_count ? watch->next_controller[i] % watch->controller_count : 0;
 }
 
 void config_watch_close(struct config_watch *watch)
@@ -102,16 +103,16 @@
 static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
 			int64_t requested_at_ms, int64_t now)
 {
-	int64_t offset_ms = (int64_t)reply->group_clock_ms - requested_at_ms,
-		reached_offset_ms = (int64_t)reply->group_clock_ms - now;
+	int64_t max_offset_ms = (int64_t)reply->group_clock_ms - requested_at_ms,
+		min_offset_ms = (int64_t)reply->group_clock_ms - now;
 
 	if (!reply->group_clock_ms || !reply->clock_term)
 		return;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 		if (watch->group_clock[i].term == reply->clock_term) {
-			if (offset_ms < watch->group_clock[i].offset_ms ||
-			    reached_offset_ms > watch->group_clock[i].offset_ms)
-				watch->group_clock[i].offset_ms = offset_ms;
+			if (max_offset_ms < watch->group_clock[i].offset_ms ||
+			    min_offset_ms > watch->group_clock[i].offset_ms)
+				watch->group_clock[i].offset_ms = max_offset_ms;
 			return;
 		}
 	if (reply->clock_term < watch->group_clock[0].term)
@@ -119,19 +120,19 @@
 	memmove(&watch->group_clock[1], &watch->group_clock[0],
 		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
 	watch->group_clock[0].term = reply->clock_term;
-	watch->group_clock[0].offset_ms = offset_ms;
+	watch->group_clock[0].offset_ms = max_offset_ms;
 }
 
 int64_t config_watch_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now)
 {
-	int known = 0;
+	int clock_index = 0;
 
 	if (!watch->group_clock[0].term)
 		return 0;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
 		if (term && watch->group_clock[i].term == term)
-			known = i;
-	return now + watch->group_clock[known].offset_ms;
+			clock_index = i;
+	return now + watch->group_clock[clock_index].offset_ms;
 }
 
 int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now)
@@ -144,15 +145,15 @@
 	if (shard >= SHARD_COUNT)
 		return 0;
 	return watch->leader_addr[shard] ? watch->leader_addr[shard]
-	       : watch->candidate_count
-		   ? watch->candidates[watch->next_candidate[shard] % watch->candidate_count]
+	       : watch->controller_count
+		   ? watch->controller_addrs[watch->next_controller[shard] % watch->controller_count]
 		   : 0;
 }
 
 void config_watch_miss(struct config_watch *watch, uint32_t shard)
 {
 	watch->leader_addr[shard] = 0;
-	watch->next_candidate[shard]++;
+	watch->next_controller[shard]++;
 }
 
 uint64_t config_watch_publisher_addr(struct config_watch *watch, int64_t progressed_at_ms, int64_t now)
@@ -180,8 +181,8 @@
 	return &watch->in_flight[token % CONFIG_WATCH_MAX_IN_FLIGHT];
 }
 
-static struct Nl__ConfigSync *new_request(struct config_watch *watch, uint64_t horizon, int64_t now,
-					  struct command_list *out)
+static struct Nl__ConfigSync *prepare_request(struct config_watch *watch, uint64_t horizon, int64_t now,
+					      struct command_list *out)
 {
 	struct Nl__ConfigSync *sync = MESSAGE_NEW(out, Nl__ConfigSync, NL__CONFIG_SYNC__INIT);
 
@@ -215,78 +216,82 @@
 
 	if (leader_addr)
 		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync =
-		    new_request(watch, horizon, now, out);
+		    prepare_request(watch, horizon, now, out);
 }
 
 /* The leader is silent, or the guess is wrong: a few candidates at once, in turn, so that a new leader is
  * found as soon as there is one. Only one with a lease replies with more than a hint. */
-static void poll_candidates(struct config_watch *watch, uint64_t horizon, int64_t now,
-			    struct command_list *out)
+static void poll_controllers(struct config_watch *watch, uint64_t horizon, int64_t now,
+			     struct command_list *out)
 {
-	struct Nl__ConfigSync *sync = new_request(watch, horizon, now, out);
-	uint64_t first = watch->leader_addr[SHARD_CONTROL];
-
-	if (first)
-		command_send(out, first, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
-	for (int i = 0; i < CONFIG_WATCH_FANOUT && i < watch->candidate_count; i++) {
-		uint64_t candidate =
-		    watch->candidates[(watch->next_candidate[SHARD_CONTROL] + i) % watch->candidate_count];
-
-		if (candidate != first)
-			command_send(out, candidate, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync =
-			    sync;
+	struct Nl__ConfigSync *sync = prepare_request(watch, horizon, now, out);
+	uint64_t leader_addr = watch->leader_addr[SHARD_CONTROL];
+
+	if (leader_addr)
+		command_send(out, leader_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)->config_sync = sync;
+	for (int i = 0; i < CONFIG_WATCH_PARALLEL_POLLS && i < watch->controller_count; i++) {
+		uint64_t controller_addr =
+		    watch->controller_addrs[(watch->next_controller[SHARD_CONTROL] + i) %
+					    watch->controller_count];
+
+		if (controller_addr != leader_addr)
+			command_send(out, controller_addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC)
+			    ->config_sync = sync;
 	}
-	watch->next_candidate[SHARD_CONTROL] = (watch->next_candidate[SHARD_CONTROL] + CONFIG_WATCH_FANOUT) %
-					       (watch->candidate_count ? watch->candidate_count : 1);
+	watch->next_controller[SHARD_CONTROL] =
+	    (watch->next_controller[SHARD_CONTROL] + CONFIG_WATCH_PARALLEL_POLLS) %
+	    (watch->controller_count ? watch->controller_count : 1);
 }
 
 /* How much later than usual a reply may come before it counts as missing: the last round trip, within a
  * bound. */
-static int64_t slow_link_ms(const struct config_watch *watch)
+static int64_t round_trip_allowance_ms(const struct config_watch *watch)
 {
-	return watch->round_trip_ms < CONFIG_WATCH_SLOW_LINK_MS ? watch->round_trip_ms
-								: CONFIG_WATCH_SLOW_LINK_MS;
+	return watch->round_trip_ms < CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS
+		   ? watch->round_trip_ms
+		   : CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS;
 }
 
 /* A reply to an old request is no reason to ask others: the leader is in reach, over a slow link. */
-static int leader_timed_out(const struct config_watch *watch, int64_t now)
+static int is_leader_timed_out(const struct config_watch *watch, int64_t now)
 {
-	return now - watch->leader_contact_at_ms > CONFIG_WATCH_LEADER_TIMEOUT_MS + slow_link_ms(watch);
+	return now - watch->leader_contact_at_ms >
+	       CONFIG_WATCH_LEADER_TIMEOUT_MS + round_trip_allowance_ms(watch);
 }
 
 void config_watch_tick(struct config_watch *watch, uint64_t horizon, int64_t now, struct command_list *out)
 {
-	int leader_lost = leader_timed_out(watch, now);
+	int is_leader_lost = is_leader_timed_out(watch, now);
 
-	if (now - watch->requested_at_ms < (leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
+	if (now - watch->requested_at_ms < (is_leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
 		return;
-	if (now - watch->replied_at_ms >
-	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + slow_link_ms(watch)) {
+	if (now - watch->last_reply_at_ms >
+	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + round_trip_allowance_ms(watch)) {
 		config_watch_miss(watch, SHARD_CONTROL);
-		watch->replied_at_ms = now - CONFIG_WATCH_POLL_MS; /* the next one gets its time too */
+		watch->last_reply_at_ms = now - CONFIG_WATCH_POLL_MS; /* the next one gets its time too */
 	}
-	if (leader_lost)
-		poll_candidates(watch, horizon, now, out);
+	if (is_leader_lost)
+		poll_controllers(watch, horizon, now, out);
 	else
 		config_watch_poll(watch, horizon, now, out);
 }
 
 static void apply_controllers(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
-	watch->candidate_count = watch->seed_count;
+	watch->controller_count = watch->seed_count;
 	watch->live_count = 0;
 	for (size_t i = 0; i < reply->n_controllers; i++) {
 		const struct Nl__Member *member = reply->controllers[i];
-		int known = 0;
+		int is_listed = 0;
 
 		if (watch->live_count < CONFIG_WATCH_MAX_CONTROLLERS) {
 			watch->live_addr[watch->live_count] = member->addr;
 			watch->live_id[watch->live_count++] = member->id;
 		}
-		for (int k = 0; k < watch->candidate_count; k++)
-			known |= watch->candidates[k] == member->addr;
-		if (!known && watch->candidate_count < CONFIG_WATCH_MAX_CONTROLLERS)
-			watch->candidates[watch->candidate_count++] = member->addr;
+		for (int k = 0; k < watch->controller_count; k++)
+			is_listed |= watch->controller_addrs[k] == member->addr;
+		if (!is_listed && watch->controller_count < CONFIG_WATCH_MAX_CONTROLLERS)
+			watch->controller_addrs[watch->controller_count++] = member->addr;
 	}
 }
 
@@ -294,10 +299,10 @@
  * own request: a reply may be overtaken by a newer one. It changes nothing then, but proves as well that what
  * is here was in force when it was requested. A leader that has less than was here already proves nothing. */
 static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
-		       const struct config_watch_request *sent)
+		       const struct config_watch_request *request)
 {
 	if (reply->revision < watch->table.revision)
-		return reply->revision >= sent->base_revision;
+		return reply->revision >= request->base_revision;
 	return config_table_follow(&watch->table, reply);
 }
 
@@ -306,7 +311,7 @@
 {
 	const struct Nl__ConfigSyncReply *reply = message->config_sync_reply;
 	uint64_t revision_before = watch->table.revision;
-	struct config_watch_request sent;
+	struct config_watch_request request;
 
 	if (message->body_case == NL__MSG__BODY_LEADER_HINT) {
 		config_watch_hint(watch, message->shard, message->leader_hint->leader_addr);
@@ -314,10 +319,10 @@
 	}
 	if (message->body_case != NL__MSG__BODY_CONFIG_SYNC_REPLY)
 		return 0;
-	sent = *in_flight_slot(watch, reply->token);
-	if (sent.token != reply->token)
+	request = *in_flight_slot(watch, reply->token);
+	if (request.token != reply->token)
 		return 0;
-	watch->replied_at_ms = now;
+	watch->last_reply_at_ms = now;
 	if (!reply->has_lease) {
 		if (reply->token == watch->last_token) { /* only the newest request moves the guess */
 			config_watch_hint(watch, SHARD_CONTROL,
@@ -332,14 +337,14 @@
 		return 0;
 	watch->leader_addr[SHARD_CONTROL] = message->addr;
 	watch->leader_contact_at_ms = now;
-	watch->round_trip_ms = now - sent.requested_at_ms;
-	apply_clock(watch, reply, sent.requested_at_ms, now);
-	if (!apply_table(watch, reply, &sent))
+	watch->round_trip_ms = now - request.requested_at_ms;
+	apply_clock(watch, reply, request.requested_at_ms, now);
+	if (!apply_table(watch, reply, &request))
 		return 0;
 	watch->fleet = reply->fleet_id;
 	apply_quotas(watch, reply);
-	if (sent.requested_at_ms > watch->fetched_at_ms)
-		watch->fetched_at_ms = sent.requested_at_ms;
+	if (request.requested_at_ms > watch->fetched_at_ms)
+		watch->fetched_at_ms = request.requested_at_ms;
 	watch->upstream_count = 0;
 	for (size_t i = 0; i < reply->n_upstreams && i < 8; i++)
 		watch->upstream[watch->upstream_count++] = reply->upstreams[i];
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -15,8 +15,8 @@
 #include "config_table.h"
 
 enum {
-	CONFIG_WATCH_POLL_MS = 250, /* between requests */
-	CONFIG_WATCH_FANOUT = 3,    /* controllers that are asked at once while the leader is silent */
+	CONFIG_WATCH_POLL_MS = 250,      /* between requests */
+	CONFIG_WATCH_PARALLEL_POLLS = 3, /* controllers that are asked at once while the leader is silent */
 	CONFIG_WATCH_REPLY_TIMEOUT_MS = 300, /* without a reply, before another controller is asked */
 	/* without a leader's reply, after which none is in reach */
 	CONFIG_WATCH_LEADER_TIMEOUT_MS = CONFIG_WATCH_POLL_MS + CONFIG_WATCH_REPLY_TIMEOUT_MS,
@@ -25,8 +25,9 @@
 	CONFIG_WATCH_MAX_STALENESS_MS = 4500,    /* beyond it all that is held ends: keys, slots, requests */
 	CONFIG_WATCH_PUBLISHER_TIMEOUT_MS = 500, /* for which a publisher that does not reply is asked */
 	CONFIG_WATCH_MAX_CONTROLLERS = 32,
-	CONFIG_WATCH_SLOW_LINK_MS = 1000, /* of a round trip that are granted to a slow link at the most */
-	CONFIG_WATCH_MAX_CLOCKS = 8,      /* leaders of the control group whose clocks are remembered */
+	CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS =
+	    1000,                    /* of a round trip that are granted to a slow link at the most */
+	CONFIG_WATCH_MAX_CLOCKS = 8, /* leaders of the control group whose clocks are remembered */
 	CONFIG_WATCH_MAX_IN_FLIGHT =
 	    64 /* requests whose replies are accepted; a slow link carries several at once */
 };
@@ -75,11 +76,11 @@
 	    *cache_remainders; /* stb_ds: blocks that servers still name of before a purge */
 
 	/* whom to ask */
-	uint64_t candidates[CONFIG_WATCH_MAX_CONTROLLERS]; /* addresses: seeds, then controllers */
-	int candidate_count;
+	uint64_t controller_addrs[CONFIG_WATCH_MAX_CONTROLLERS]; /* addresses: seeds, then controllers */
+	int controller_count;
 	int seed_count;
-	int next_candidate[SHARD_COUNT]; /* each shard goes round by itself: together they would skip some for
-					    ever */
+	int next_controller[SHARD_COUNT];  /* each shard goes round by itself: together they would skip some
+					     for  ever */
 	uint64_t leader_addr[SHARD_COUNT]; /* best guess of each shard's leader; 0: none */
 	uint64_t rng;
 
@@ -101,7 +102,7 @@
 	int64_t leader_contact_at_ms;    /* when the newest reply of a leader with a lease came */
 	int64_t round_trip_ms;           /* how long that reply took, from its request */
 	int64_t requested_at_ms;         /* the newest request */
-	int64_t replied_at_ms;           /* the newest reply of anybody */
+	int64_t last_reply_at_ms;        /* the newest reply of anybody */
 	int64_t publisher_retried_at_ms; /* when another publisher was last tried */
 };
 
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -29,7 +29,8 @@
 	return text;
 }
 
-static void begin_read(struct controller *controller, uint64_t call_token, Nl__ReadKind kind, int64_t now)
+static void add_pending_read(struct controller *controller, uint64_t call_token, Nl__ReadKind kind,
+			     int64_t now)
 {
 	struct controller_pending_read pending = { call_token, ++controller->identity.last_token, kind, now,
 						   now };
@@ -40,7 +41,7 @@
 void read_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
 		       struct command_list *out)
 {
-	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_TABLE, now);
+	add_pending_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_TABLE, now);
 	config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 }
 
@@ -48,14 +49,15 @@
 		    struct command_list *out)
 {
 	(void)out;
-	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION, now);
+	add_pending_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION, now);
 }
 
 void read_retention_report(struct controller *controller, const struct controller_event *event, int64_t now,
 			   struct command_list *out)
 {
 	(void)out;
-	begin_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION_REPORT, now);
+	add_pending_read(controller, event->payload.api_call.token, NL__READ_KIND__READ_RETENTION_REPORT,
+			 now);
 }
 
 void on_read_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
@@ -63,7 +65,7 @@
 {
 	struct Nl__ReadReply *reply;
 	struct Nl__LeaderHint *hint;
-	const char *body;
+	const char *response_body;
 
 	if (!leads_shard(controller, SHARD_CONTROL, now)) {
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
@@ -73,15 +75,15 @@
 		return;
 	}
 	if (message->read->kind == NL__READ_KIND__READ_RETENTION)
-		body = retention_json(controller, now, out->pool);
+		response_body = retention_json(controller, now, out->pool);
 	else if (message->read->kind == NL__READ_KIND__READ_RETENTION_REPORT)
-		body = retention_csv(controller, out->pool);
+		response_body = retention_csv(controller, out->pool);
 	else
 		return;
 	reply = MESSAGE_NEW(out, Nl__ReadReply, NL__READ_REPLY__INIT);
 	reply->token = message->read->token;
-	reply->body.data = (uint8_t *)(uintptr_t)body;
-	reply->body.len = strlen(body);
+	reply->body.data = (uint8_t *)(uintptr_t)response_body;
+	reply->body.len = strlen(response_body);
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_READ_REPLY)->read_reply = reply;
 }
 
@@ -104,22 +106,22 @@
 }
 
 /* Send a read to the leader, as far as it is known, and again after a while. */
-static void query_leader(struct controller *controller, struct controller_pending_read *pending, int64_t now,
-			 struct command_list *out)
+static void send_read_to_leader(struct controller *controller, struct controller_pending_read *pending,
+				int64_t now, struct command_list *out)
 {
-	struct Nl__Read *query;
+	struct Nl__Read *request;
 
 	if (pending->kind == NL__READ_KIND__READ_TABLE) /* the table comes with config_watch */
 		return;
 	if (now < pending->retry_at_ms)
 		return;
 	pending->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS / 4;
-	query = MESSAGE_NEW(out, Nl__Read, NL__READ__INIT);
-	query->token = pending->token;
-	query->kind = pending->kind;
+	request = MESSAGE_NEW(out, Nl__Read, NL__READ__INIT);
+	request->token = pending->token;
+	request->kind = pending->kind;
 	command_send(out, config_watch_leader_addr(&controller->config_watch, SHARD_CONTROL), SHARD_CONTROL,
 		     NL__MSG__BODY_READ)
-	    ->read = query;
+	    ->read = request;
 }
 
 void reads_tick(struct controller *controller, int64_t now, struct command_list *out)
@@ -135,7 +137,7 @@
 					     pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
 		} else if (leader_reachable(controller, now) &&
 			   now < pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS) {
-			query_leader(controller, pending, now, out);
+			send_read_to_leader(controller, pending, now, out);
 			continue;
 		} else {
 			reject_without_leader(pending->call_token, out);
@@ -148,7 +150,7 @@
 
 /* The key by which a request is recognised when it is sent again. Returns 0 when its idempotency key is
  * invalid; then it is answered. */
-static int identify_request(const struct controller_event *event, int has_base, uint64_t base_version,
+static int make_request_key(const struct controller_event *event, int has_base_version, uint64_t base_version,
 			    struct request_key *key, struct command_list *out)
 {
 	const char *idempotency_key = event->payload.api_call.idempotency_key;
@@ -159,8 +161,8 @@
 			       error_json(out->pool, IDEMPOTENCY_KEY_INVALID, 0));
 		return 0;
 	}
-	request_key_init(key, idempotency_key, event->payload.api_call.path, has_base, base_version, body,
-			 strlen(body));
+	request_key_init(key, idempotency_key, event->payload.api_call.path, has_base_version, base_version,
+			 body, strlen(body));
 	return 1;
 }
 
@@ -178,7 +180,7 @@
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, error, 0));
 		return;
 	}
-	if (!identify_request(event, !operation.change->any_revision, operation.change->expected_revision,
+	if (!make_request_key(event, !operation.change->any_revision, operation.change->expected_revision,
 			      &key, out))
 		return;
 	operation.request_key = request_key_pack(&key, &packed_key);
@@ -205,7 +207,7 @@
 		command_answer(
 		    out, event->payload.api_call.token, 400, 0,
 		    error_json(out->pool, "by: up to 100 characters without commas and quotes", 0));
-	} else if (identify_request(event, 0, 0, &key, out)) {
+	} else if (make_request_key(event, 0, 0, &key, out)) {
 		operation.request_key = request_key_pack(&key, &packed_key);
 		propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
 	}
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -4,9 +4,10 @@
 #include "containers.h"
 #include "json_add.h"
 
-void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from)
+void operator_calls_count(struct operator_calls *calls, const struct command_list *out,
+			  ptrdiff_t first_command)
 {
-	for (ptrdiff_t i = from; i < arrlen(out->commands); i++) {
+	for (ptrdiff_t i = first_command; i < arrlen(out->commands); i++) {
 		if (out->commands[i].kind != CMD_ANSWER)
 			continue;
 		if (out->commands[i].args.answer.status < 500)
@@ -20,13 +21,13 @@
 
 uint64_t operator_calls_open(const struct controller *controller)
 {
-	uint64_t open = arrlenu(controller->operators.logged_calls) +
-			arrlenu(controller->operators.pending_reads) +
-			(controller->bootstrap.call_token != 0);
+	uint64_t open_count = arrlenu(controller->operators.logged_calls) +
+			      arrlenu(controller->operators.pending_reads) +
+			      (controller->bootstrap.call_token != 0);
 
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++)
-		open += controller->proposals.own[i].call_token != 0;
-	return open;
+		open_count += controller->proposals.own[i].call_token != 0;
+	return open_count;
 }
 
 static uint64_t ended_calls(const struct operator_calls *calls)
@@ -41,7 +42,7 @@
 }
 
 /* Drop what waits for this caller; returns whether anything did. A bootstrap goes on, without an answer. */
-static int forget_caller(struct controller *controller, uint64_t token)
+static int drop_call(struct controller *controller, uint64_t token)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
 		if (controller->operators.logged_calls[i].token == token) {
@@ -63,7 +64,7 @@
 
 void operator_calls_disconnected(struct controller *controller, uint64_t token)
 {
-	if (token && forget_caller(controller, token))
+	if (token && drop_call(controller, token))
 		controller->operators.calls.disconnected++;
 }
 
--- a/lib/control/operator_calls.h
+++ b/lib/control/operator_calls.h
@@ -17,7 +17,8 @@
 
 /* Count the answers among the commands from a position on.
  * Example: operator_calls_count(&controller->operator_calls, out, from); */
-void operator_calls_count(struct operator_calls *calls, const struct command_list *out, ptrdiff_t from);
+void operator_calls_count(struct operator_calls *calls, const struct command_list *out,
+			  ptrdiff_t first_command);
 
 /* How many calls wait for an answer. Example: if (operator_calls_open(controller)) wait(); */
 uint64_t operator_calls_open(const struct controller *controller);
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -11,27 +11,27 @@
 #include "state_machine.h"
 
 /* Log a change and answer when it is committed. */
-static void log_and_answer(struct controller *controller, uint64_t token, struct Nl__Change *change,
-			   const struct request_key *key, int64_t now, struct command_list *out)
+static void log_change_for_call(struct controller *controller, uint64_t token, struct Nl__Change *change,
+				const struct request_key *key, int64_t now, struct command_list *out)
 {
-	struct controller_logged_call waiting = { token, 0, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
+	struct controller_logged_call logged_call = { token, 0, *key, now + CONTROLLER_CALL_TIMEOUT_MS };
 	struct Nl__RequestKey packed_key = NL__REQUEST_KEY__INIT;
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 
 	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = change;
 	operation.request_key = request_key_pack(key, &packed_key);
-	waiting.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
-	if (waiting.log_index)
-		arrput(controller->operators.logged_calls, waiting);
+	logged_call.log_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
+	if (logged_call.log_index)
+		arrput(controller->operators.logged_calls, logged_call);
 	else
 		reject_without_leader(token, out);
 }
 
 /* A request that was accepted is acknowledged again; one that is being logged is waited for. Returns 1 for
  * such a one, 0 for a new request. */
-static int answer_repeated(struct controller *controller, uint64_t token, const struct request_key *key,
-			   int64_t now, struct command_list *out)
+static int answer_repeated_request(struct controller *controller, uint64_t token,
+				   const struct request_key *key, int64_t now, struct command_list *out)
 {
 	const struct idempotency_record *accepted =
 	    idempotency_log_find(&controller->config.accepted_requests, key);
@@ -45,12 +45,12 @@
 	}
 	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
 		if (request_key_equal(&controller->operators.logged_calls[i].request_key, key)) {
-			struct controller_logged_call waiting = {
+			struct controller_logged_call logged_call = {
 				token, controller->operators.logged_calls[i].log_index, *key,
 				now + CONTROLLER_CALL_TIMEOUT_MS
 			};
 
-			arrput(controller->operators.logged_calls, waiting);
+			arrput(controller->operators.logged_calls, logged_call);
 			return 1;
 		}
 	return 0;
@@ -106,7 +106,7 @@
 	}
 	request_key_init(&key, NULL, event->payload.document.is_patch ? "patch" : "document", 1, base_version,
 			 event->payload.document.body, event->payload.document.body_bytes);
-	if (answer_repeated(controller, token, &key, now, out))
+	if (answer_repeated_request(controller, token, &key, now, out))
 		return;
 	if (base_version != controller->config.document_version) {
 		answer_version_conflict(controller, token, base_version, out);
@@ -116,7 +116,7 @@
 	if (error)
 		command_answer(out, token, 400, 0, error_json(out->pool, error, 0));
 	else
-		log_and_answer(controller, token, &change, &key, now, out);
+		log_change_for_call(controller, token, &change, &key, now, out);
 }
 
 void read_document(struct controller *controller, const struct controller_event *event, int64_t now,
@@ -146,8 +146,8 @@
 	const char *weights = event->payload.target.weights;
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
-	const struct request_key none = { 0 }; /* a number that only rises needs no record */
-	const struct Nl__Row *previous;
+	const struct request_key no_request_key = { 0 }; /* a number that only rises needs no record */
+	const struct Nl__Row *current_row;
 	const char *error;
 
 	if (event->payload.target.invalid) {
@@ -166,11 +166,12 @@
 			       error_json(out->pool, error ? error : "weights: missing", 0));
 		return;
 	}
-	previous = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
-	if (strtoull(weights, NULL, 10) <= (previous ? strtoull(previous->target_weights, NULL, 10) : 1))
+	current_row = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
+	if (strtoull(weights, NULL, 10) <=
+	    (current_row ? strtoull(current_row->target_weights, NULL, 10) : 1))
 		command_answer(out, token, 200, 0, "{}"); /* committed before, or a later version was */
 	else
-		log_and_answer(controller, token, &change, &none, now, out);
+		log_change_for_call(controller, token, &change, &no_request_key, now, out);
 }
 
 void answer_logged_calls(struct controller *controller, uint64_t index, enum proposal_status status,
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -24,12 +24,12 @@
 
 static const struct operator_path paths[] = {
 	{ CONTROLLER_API_CALL, "GET", "/v1/state", PATH_NEEDS_LOCAL_STATE, read_state },
-	{ CONTROLLER_API_CALL, "GET", "/v1/table", PATH_NEEDS_LEADER_IN_REACH, read_config_table },
-	{ CONTROLLER_API_CALL, "GET", "/v1/retention", PATH_NEEDS_LEADER_IN_REACH, read_retention },
-	{ CONTROLLER_API_CALL, "GET", "/v1/retention.csv", PATH_NEEDS_LEADER_IN_REACH,
+	{ CONTROLLER_API_CALL, "GET", "/v1/table", PATH_NEEDS_REACHABLE_LEADER, read_config_table },
+	{ CONTROLLER_API_CALL, "GET", "/v1/retention", PATH_NEEDS_REACHABLE_LEADER, read_retention },
+	{ CONTROLLER_API_CALL, "GET", "/v1/retention.csv", PATH_NEEDS_REACHABLE_LEADER,
 	  read_retention_report },
-	{ CONTROLLER_API_CALL, "POST", "/v1/change", PATH_NEEDS_LEADER_IN_REACH, change_config_table },
-	{ CONTROLLER_API_CALL, "POST", "/v1/clear", PATH_NEEDS_LEADER_IN_REACH, purge_context },
+	{ CONTROLLER_API_CALL, "POST", "/v1/change", PATH_NEEDS_REACHABLE_LEADER, change_config_table },
+	{ CONTROLLER_API_CALL, "POST", "/v1/clear", PATH_NEEDS_REACHABLE_LEADER, purge_context },
 	{ CONTROLLER_API_CALL, "POST", "/v1/found", PATH_NEEDS_SEEDS, bootstrap_fleet },
 	{ CONTROLLER_API_CALL, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recover_groups },
 	{ CONTROLLER_PUT_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, put_document },
@@ -68,12 +68,12 @@
 static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now,
 			       struct command_list *out)
 {
-	uint64_t leader = leader_hint(controller, SHARD_CONTROL, now);
+	uint64_t leader_addr = leader_hint(controller, SHARD_CONTROL, now);
 	struct command *command;
 
-	if (!leader && leader_reachable(controller, now))
-		leader = controller->config_watch.leader_addr[SHARD_CONTROL];
-	if (!leader || leader == controller->identity.addr) {
+	if (!leader_addr && leader_reachable(controller, now))
+		leader_addr = controller->config_watch.leader_addr[SHARD_CONTROL];
+	if (!leader_addr || leader_addr == controller->identity.addr) {
 		reject_without_leader(token, out);
 		return;
 	}
@@ -81,14 +81,15 @@
 	command->args.answer.token = token;
 	command->args.answer.status = 307;
 	command->args.answer.body = "";
-	command->args.answer.redirect_addr = leader;
+	command->args.answer.redirect_addr = leader_addr;
 }
 
 /* The answers among the commands from a position on are valid until the lease ends: whoever writes them
  * checks the clock again. */
-static void limit_to_lease(const struct controller *controller, ptrdiff_t from, struct command_list *out)
+static void limit_answers_to_lease(const struct controller *controller, ptrdiff_t first_command,
+				   struct command_list *out)
 {
-	for (ptrdiff_t i = from; i < arrlen(out->commands); i++)
+	for (ptrdiff_t i = first_command; i < arrlen(out->commands); i++)
 		if (out->commands[i].kind == CMD_ANSWER && out->commands[i].args.answer.status < 500)
 			out->commands[i].args.answer.not_after_ms =
 			    controller->shards[SHARD_CONTROL].lease.expires_at_ms;
@@ -118,12 +119,12 @@
 	case PATH_NEEDS_LEADERSHIP:
 		if (leads_shard(controller, SHARD_CONTROL, now)) {
 			path->handle(controller, event, now, out);
-			limit_to_lease(controller, first_command, out);
+			limit_answers_to_lease(controller, first_command, out);
 		} else {
 			redirect_to_leader(controller, call_token(event), now, out);
 		}
 		break;
-	case PATH_NEEDS_LEADER_IN_REACH:
+	case PATH_NEEDS_REACHABLE_LEADER:
 		if (leader_reachable(controller, now))
 			path->handle(controller, event, now, out);
 		else
--- a/lib/control/operator_paths.h
+++ b/lib/control/operator_paths.h
@@ -12,10 +12,10 @@
 
 /* What an answer rests on. */
 enum path_needs {
-	PATH_NEEDS_LOCAL_STATE,    /* this node alone; the answer says so */
-	PATH_NEEDS_SEEDS,          /* the answers of every seed: there is no log yet */
-	PATH_NEEDS_LEADERSHIP,     /* this node leads; others name the leader */
-	PATH_NEEDS_LEADER_IN_REACH /* the leader's confirmation, for which this node asks */
+	PATH_NEEDS_LOCAL_STATE,     /* this node alone; the answer says so */
+	PATH_NEEDS_SEEDS,           /* the answers of every seed: there is no log yet */
+	PATH_NEEDS_LEADERSHIP,      /* this node leads; others name the leader */
+	PATH_NEEDS_REACHABLE_LEADER /* the leader's confirmation, for which this node asks */
 };
 
 /* Dispatch an operator's call: an event of kind CONTROLLER_API_CALL, CONTROLLER_PUT_DOCUMENT,
--- a/lib/control/operator_state.c
+++ b/lib/control/operator_state.c
@@ -93,7 +93,7 @@
 }
 
 /* The instances that this node discovers as the leader, or else those that it follows. */
-static const struct instances *known_instances(const struct controller *controller, int64_t now)
+static const struct instances *current_instances(const struct controller *controller, int64_t now)
 {
 	if (leads_shard(controller, SHARD_CONTROL, now) && controller->instances.is_publishable)
 		return &controller->instances;
@@ -118,7 +118,7 @@
 	json_object_object_add(json, "servers", servers_json(controller, now));
 	json_object_object_add(json, "operator_calls", operator_calls_json(controller));
 	if (controller->bounds.discover_instances)
-		json_object_object_add(json, "sights", instances_json(known_instances(controller, now)));
+		json_object_object_add(json, "sights", instances_json(current_instances(controller, now)));
 	text = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	json_object_put(json);
 	return text;
