--- a/lib/control/config_check.c
+++ b/lib/control/config_check.c
@@ -15,7 +15,8 @@
 	       strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._/-*") == length;
 }
 
-/* Printable and without blanks, so that it fits a cell of the text form. */
+/* Returns whether a text is printable and without blanks, so that it fits a cell of the tab-separated text
+ * form (config_text). */
 static bool is_cell_text(const char *text, size_t max_length)
 {
 	size_t length = 0;
@@ -31,7 +32,7 @@
 	return is_cell_text(text, 1000) && text[0] == '/' && text[strlen(text) - 1] == '/';
 }
 
-/* Weights of a model are numbered upwards from 1. */
+/* Versions of a model's weights are numbered upwards from 1. */
 static bool is_weights_version(const char *text)
 {
 	return strlen(text) > 0 && strlen(text) < 19 && text[0] != '0' &&
@@ -48,7 +49,7 @@
 		return "split: more than 64 services";
 	for (size_t i = 0; i < row->n_split; i++) {
 		if (!is_valid_name(row->split[i]->service))
-			return "split: a service is missing";
+			return "split: a service name is missing or invalid";
 		total_weight += row->split[i]->weight;
 	}
 	return total_weight ? NULL : "split: the weights add up to 0";
@@ -61,42 +62,42 @@
 	if (error)
 		return error;
 	if (!is_valid_name(row->service))
-		return "service: missing";
+		return "service: missing or not a valid name";
 	if (row->priority > 9)
-		return "prio: 0 to 9";
+		return "prio: must be 0 to 9";
 	if (row->limit < 1 || row->limit > 100000)
-		return "limit: 1 to 100000 places in the line";
+		return "limit: must be 1 to 100000 queued requests";
 	if ((row->host[0] || row->path[0]) && !is_cell_text(row->host, 255))
-		return "host: 1 to 255 characters without blanks, where there is a path";
+		return "host: must be 1 to 255 characters without blanks when a path is set";
 	if (row->host[0] && !is_path_prefix(row->path))
-		return "path: begins and ends with a slash";
+		return "path: must begin and end with a slash, up to 1000 characters without blanks";
 	if (row->timeout_ms > 3600000)
-		return "timeout: up to 3600000 ms";
+		return "timeout: must be at most 3600000 ms";
 	if (row->max_attempts > 100)
-		return "attempts: up to 100";
+		return "attempts: must be at most 100";
 	return NULL;
 }
 
-/* A tenant, or a tenant's share of a route. */
+/* Check the columns of a tenant row, or of a share row: a tenant's share of a route. */
 static const char *check_tenant(const struct Nl__Row *row)
 {
 	if (row->share < 1 || row->share > 1000)
-		return "share: 1 to 1000";
+		return "share: must be 1 to 1000";
 	if (row->limit > 100000)
-		return "limit: up to 100000 running at once; 0 for no limit";
+		return "limit: must be at most 100000 requests running at once; 0 sets no limit";
 	if (row->priority_class > 10)
-		return "rank: 1 to 10; 0 for none";
+		return "rank: must be 1 to 10; 0 sets no priority class";
 	if (row->kind == NL__KIND__SHARE && !strchr(row->name, '/'))
-		return "name: lane/tenant";
+		return "name: must be lane/tenant";
 	return NULL;
 }
 
 static const char *check_key(const struct Nl__Row *row)
 {
 	if (!is_valid_name(row->tenant))
-		return "tenant: missing";
+		return "tenant: missing or not a valid name";
 	if (strlen(row->name) != 64)
-		return "name: a digest of 64 hex digits";
+		return "name: must be a digest of 64 hex digits";
 	return NULL;
 }
 
@@ -105,26 +106,26 @@
 	if (!core_parse_addr(row->addr))
 		return "addr: not ip:port";
 	if (!is_valid_name(row->service))
-		return "service: missing";
+		return "service: missing or not a valid name";
 	if (row->state > 1)
-		return "state: serving or draining";
+		return "state: must be serving or draining";
 	return NULL;
 }
 
 static const char *check_service(const struct Nl__Row *row)
 {
 	if (row->model[0] && !is_valid_name(row->model))
-		return "model: letters, digits, . _ / - or *";
+		return "model: must be 1 to 199 letters, digits, . _ / - or *";
 	if ((row->target_weights[0] || !row->model[0]) && !is_valid_name(row->target_weights))
-		return "weights: missing, and no model";
+		return "weights: must be a valid name, or empty when model is set";
 	if (row->prefill_tokens_per_ms < 1 || row->prefill_tokens_per_ms > 100000)
-		return "prefill: 1 to 100000 tokens per ms";
+		return "prefill: must be 1 to 100000 tokens per ms";
 	if (row->kv_bytes_per_token < 1)
-		return "kv_bytes: 1 or more";
+		return "kv_bytes: must be at least 1 byte per token";
 	if (row->link_bytes_per_ms < 1)
-		return "link: 1 or more bytes per ms";
+		return "link: must be at least 1 byte per ms";
 	if (row->health_path[0] && (!is_cell_text(row->health_path, 1000) || row->health_path[0] != '/'))
-		return "health: a path";
+		return "health: must be a path that begins with a slash, up to 1000 characters without blanks";
 	if (row->addr[0] && !core_parse_addr(row->addr))
 		return "addr: not ip:port";
 	return NULL;
@@ -133,17 +134,17 @@
 static const char *check_model(const struct Nl__Row *row)
 {
 	if (row->target_weights[0] && !is_weights_version(row->target_weights))
-		return "weights: a number from 1";
+		return "weights: must be a version number from 1, with up to 18 digits";
 	if (row->rolled_out[0] && !is_weights_version(row->rolled_out))
-		return "rolled: a number from 1";
+		return "rolled: must be a version number from 1, with up to 18 digits";
 	if (!row->target_weights[0] && !row->rolled_out[0])
-		return "weights: missing";
+		return "weights: missing, and rolled is not set";
 	return NULL;
 }
 
 static const char *check_controller(const struct Nl__Row *row)
 {
-	return !core_parse_addr(row->addr) || !row->id ? "addr: not ip:port" : NULL;
+	return !core_parse_addr(row->addr) || !row->id ? "addr: not ip:port, or id is 0" : NULL;
 }
 
 static const char *check_columns(const struct Nl__Row *row)
@@ -178,22 +179,22 @@
 	if (!config_kind_is_valid(row->kind))
 		return CONFIG_KIND_UNKNOWN;
 	if (!is_valid_name(row->name))
-		return apr_psprintf(pool, "%s: name: 1 to 199 letters, digits, . _ / - or *",
+		return apr_psprintf(pool, "%s: name: must be 1 to 199 letters, digits, . _ / - or *",
 				    config_kind_name(row->kind));
 	error = check_columns(row);
 	return error ? apr_psprintf(pool, "%s %s: %s", config_kind_name(row->kind), row->name, error) : NULL;
 }
 
-/* A change, and the rows before and after it, while they are checked together. */
+/* A change and the rows before and after it, for the constraints that hold between rows. */
 struct consistency_check {
 	const struct Nl__Change *change;
-	struct config_table_row *rows_before_change;      /* the table's */
-	struct config_row_index *set_by_key;              /* by key */
-	struct config_row_index *deleted_by_key;          /* by key */
-	struct config_row_index *routes_by_host_and_path; /* routes after the change */
+	struct config_table_row *rows_before_change;      /* rows of the table, borrowed */
+	struct config_row_index *set_by_key;              /* rows that the change sets */
+	struct config_row_index *deleted_by_key;          /* rows that the change deletes */
+	struct config_row_index *routes_by_host_and_path; /* routes of the table after the change */
 };
 
-/* Whether a row of the table is still there after the change, as it was. */
+/* Returns whether the change keeps a row of the table, with its contents. */
 static int is_row_unchanged(const struct consistency_check *check, const char *key)
 {
 	struct config_row_index *set_by_key = check->set_by_key, *deleted_by_key = check->deleted_by_key;
@@ -201,7 +202,7 @@
 	return !check->change->replace_all && shgeti(set_by_key, key) < 0 && shgeti(deleted_by_key, key) < 0;
 }
 
-/* Splits lead to services that there are after the change. */
+/* Check that each service in a route's split exists after the change. */
 static const char *check_split_services(const struct consistency_check *check, const struct Nl__Row *route,
 					apr_pool_t *pool)
 {
@@ -215,12 +216,13 @@
 
 		if (shgeti(set_by_key, key) < 0 &&
 		    (!is_row_unchanged(check, key) || shgeti(rows_before_change, key) < 0))
-			return apr_psprintf(pool, "lane %s: split: no service %s", route->name, service);
+			return apr_psprintf(pool, "lane %s: split: service %s does not exist", route->name,
+					    service);
 	}
 	return NULL;
 }
 
-/* Host and path lead to one route. */
+/* Check that no other route has the same host and path. */
 static const char *check_host_and_path(struct consistency_check *check, const struct Nl__Row *route,
 				       apr_pool_t *pool)
 {
@@ -232,13 +234,14 @@
 	host_and_path = apr_pstrcat(pool, route->host, "\t", route->path, NULL);
 	duplicate = shgeti(check->routes_by_host_and_path, host_and_path);
 	if (duplicate >= 0)
-		return apr_psprintf(pool, "lane %s: host and path: those of lane %s", route->name,
+		return apr_psprintf(pool, "lane %s: host and path: already used by lane %s", route->name,
 				    check->routes_by_host_and_path[duplicate].value->name);
 	shput(check->routes_by_host_and_path, host_and_path, route);
 	return NULL;
 }
 
-/* Routes that stay first, then those of the change; of a row that is set twice the last one counts. */
+/* Check first the routes that the change keeps, then those that it sets. If a change sets a row twice, the
+ * last one is applied. */
 static const char *check_routes(struct consistency_check *check, apr_pool_t *pool)
 {
 	const struct Nl__Change *change = check->change;
@@ -264,7 +267,8 @@
 	return error;
 }
 
-/* What only holds between rows: host and path lead to one route, and splits to services that there are. */
+/* Check the constraints between rows: each host and path belongs to one route, and each service in a split
+ * exists. */
 static const char *check_consistency(const struct config_table *table, const struct Nl__Change *change,
 				     apr_pool_t *pool)
 {
@@ -287,7 +291,8 @@
 	return error;
 }
 
-/* With a model's row the dates would go by which servers with older weights get no more requests. */
+/* Check that no service uses a deleted model. The model's row holds the dates of its target versions, by
+ * which servers with older weights stop receiving requests; deleting the row would lose them. */
 static const char *check_model_unused(const struct config_table *table, const struct Nl__Row *model,
 				      apr_pool_t *pool)
 {
@@ -295,13 +300,14 @@
 		const struct Nl__Row *service = table->rows[i].value.row;
 
 		if (service->kind == NL__KIND__SERVICE && !strcmp(service->model, model->name))
-			return apr_psprintf(pool, "del model %s: service %s has it", model->name,
+			return apr_psprintf(pool, "del model %s: service %s still uses it", model->name,
 					    service->name);
 	}
 	return NULL;
 }
 
-/* A claim is logged in the shard of its route's service, so a route whose requests are claimed keeps it. */
+/* Check that a route whose requests are claimed keeps its service: claims of request ids are logged in the
+ * shard of the route's service. */
 static const char *check_route_keeps_service(const struct config_table *table, const struct Nl__Row *new_row,
 					     apr_pool_t *pool)
 {
--- a/lib/control/config_check.h
+++ b/lib/control/config_check.h
@@ -1,21 +1,22 @@
-/* config_check: whether a change of the configuration may be logged.
+/* config_check: checks whether a change of the configuration may be logged.
  *
- * The control shard's leader checks each change against its table before it logs it, so that every entry of
- * the log can be applied; notchlug-validate checks documents the same way, against an empty table. Pure.
- * Texts that say what is wrong are the operators' interface. */
+ * The control shard's leader checks each change against its table before it logs the change, so that every
+ * log entry can be applied. notchlug-validate checks documents in the same way, against an empty table. The
+ * functions are pure. Operators read the error texts. */
 #ifndef NL_CONFIG_CHECK_H
 #define NL_CONFIG_CHECK_H
 
 #include "config_table.h"
 
 enum {
-	CONFIG_CHECK_MAX_CHANGE_BYTES = 24 << 20, /* of a change as it is logged */
-	CONFIG_CHECK_MAX_SPLITS = 64              /* services of one route */
+	CONFIG_CHECK_MAX_CHANGE_BYTES = 24 << 20, /* packed size of a change */
+	CONFIG_CHECK_MAX_SPLITS = 64              /* services in the split of one route */
 };
 
-/* Check a change: each row by itself, then what holds between rows once the change is applied to the table.
- * Returns NULL when it may be logged, else what is wrong, naming the row (in the pool, or static).
- * Example: if ((fault = config_check_change(&table, change, pool))) reject(fault); */
+/* Check a change: first each row by itself, then the constraints between rows as they will be once the change
+ * is applied to the table. Returns NULL if the change may be logged, else an error text that names the row;
+ * the text is static or allocated in the pool.
+ * Example: if ((error = config_check_change(&table, change, pool))) reject(error); */
 const char *config_check_change(const struct config_table *table, const struct Nl__Change *change,
 				apr_pool_t *pool);
 
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -7,7 +7,7 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-/* What becomes of a configuration request that arrives now. */
+/* How a configuration request is handled in the current state of leadership. */
 enum request_handling { HANDLE_ANSWER, HANDLE_DEFER, HANDLE_FORWARD };
 
 static uint64_t other_leader_addr(const struct controller *controller, int64_t now)
@@ -23,7 +23,8 @@
 
 	if (leads_shard(controller, SHARD_CONTROL, now))
 		return HANDLE_ANSWER;
-	/* one that led in this term has lost its lease: there may be another leader */
+	/* a leader that has already led in this term, but does not now, has lost its lease: another leader
+	 * may have been elected, so the request is answered with a hint */
 	if (raft->role == RAFT_LEADER)
 		return controller->leadership[SHARD_CONTROL].term == raft->term ? HANDLE_ANSWER
 										: HANDLE_DEFER;
@@ -39,7 +40,8 @@
 
 	command->args.send.addr = other_leader_addr(controller, now);
 	command->args.send.msg = (struct Nl__Msg *)core_copy_message(
-	    out->pool, &message->base); /* with the requester's address: the reply goes there */
+	    out->pool,
+	    &message->base); /* the copy keeps the requester's address, to which the new leader replies */
 }
 
 static void defer_request(struct controller *controller, const struct Nl__Msg *message, int64_t now)
@@ -59,7 +61,8 @@
 		if (controller->handover.deferred[i].request->id == message->id) {
 			nl__msg__free_unpacked(controller->handover.deferred[i].request, NULL);
 			controller->handover.deferred[i].request =
-			    deferred.request; /* by when the first was to be answered stays */
+			    deferred
+				.request; /* the deadline of the requester's first deferred request stays */
 			return;
 		}
 	arrput(controller->handover.deferred, deferred);
@@ -80,7 +83,8 @@
 	}
 }
 
-/* Tell everybody who sent a request lately where to send the next one. */
+/* Send a leader hint with the successor's address to every node that has sent a request within
+ * CONTROLLER_NODE_LIVE_MS. */
 static void announce_successor(struct controller *controller, uint64_t successor_addr, int64_t now,
 			       struct command_list *out)
 {
--- a/lib/control/config_handover.h
+++ b/lib/control/config_handover.h
@@ -1,27 +1,30 @@
-/* config_handover: configuration requests that arrive while the control shard's leadership changes hands.
+/* config_handover: handles configuration requests that arrive while the leadership of the control shard
+ * changes.
  *
- * A router whose request arrives between two leaders would be told "not the leader" and come again an
- * interval later; its configuration ages meanwhile. So a leader that is elected but does not lead yet defers
- * requests until it does, and a controller that is told to stop defers them until it knows its successor,
- * forwards them, and names the successor to everybody who sent one lately. The reply goes from the successor
- * straight to the requester. The step passes every request here first, and calls the tick once a step.
+ * A router whose request arrives between two leaders would receive the reply "not the leader" and retry one
+ * polling interval later, while its configuration becomes stale. Therefore a controller that is elected, but
+ * may not act as leader yet, defers requests until it may. A controller that is stopping defers requests
+ * until its successor is known; it then forwards them and sends a leader hint with the successor's address to
+ * every node that sent a request lately. The successor sends its reply directly to the requester.
+ * controller_step passes every configuration request to this module first, and calls the tick once a step.
  *
- * Always: one request of each requester is deferred, for CONFIG_HANDOVER_DEFER_MS at most; then it is
- * answered as any other. */
+ * Invariant: at most one request of each requester is deferred, for CONFIG_HANDOVER_DEFER_MS at most; after
+ * that it is answered like any other request. */
 #ifndef NL_CONFIG_HANDOVER_H
 #define NL_CONFIG_HANDOVER_H
 
 #include "controller_state.h"
 
-enum { CONFIG_HANDOVER_DEFER_MS = 250 }; /* as long as the requester would wait before it retries */
+enum { CONFIG_HANDOVER_DEFER_MS = 250 }; /* the requester's own retry interval, CONFIG_WATCH_POLL_MS */
 
-/* A configuration request has come. Returns 1 when it is deferred or was forwarded, 0 when it is to be
- * answered now. Example: if (!config_handover_intercept(controller, message, now, out))
+/* Defer or forward a configuration request if leadership is changing. Returns true if the request was
+ * deferred or forwarded, false if the caller has to answer it now.
+ * Example: if (!config_handover_intercept(controller, message, now, out))
  *                  on_config_sync_request(controller, message, now, out); */
 bool config_handover_intercept(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			       struct command_list *out);
 
-/* Answer or forward deferred requests as far as that is possible by now. */
+/* Answer or forward the deferred requests that no longer have to wait. */
 void config_handover_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Release all deferred requests. */
--- a/lib/control/config_row.c
+++ b/lib/control/config_row.c
@@ -26,27 +26,27 @@
 	return NL__KIND__NONE;
 }
 
-/* How a column's value is kept in struct Nl__Row, and which JSON type it has. */
+/* The type of a column's field in struct Nl__Row and of its JSON value. */
 enum column_type {
 	COLUMN_STRING,
 	COLUMN_UINT32,
 	COLUMN_UINT64,
 	COLUMN_BOOL,
 	COLUMN_STATE, /* "serving" or "draining" */
-	COLUMN_HEX,   /* a 64 bit id as 16 hex digits */
+	COLUMN_HEX,   /* a 64-bit id as 16 hex digits */
 	COLUMN_SPLIT  /* "service:weight,service:weight" */
 };
 
 struct row_column {
-	const char *name; /* in JSON and in the text form */
+	const char *name; /* in JSON and in the tab-separated text form */
 	enum column_type type;
-	size_t offset;      /* of the field in struct Nl__Row */
-	unsigned row_kinds; /* of rows that have it: one bit each */
+	size_t offset;      /* offset of the field in struct Nl__Row */
+	unsigned row_kinds; /* bit mask of the row kinds that have the column, by KIND_BIT */
 };
 #define KIND_BIT(k) (1u << NL__KIND__##k)
 #define FIELD_OFFSET(f) offsetof(struct Nl__Row, f)
 
-/* Names of columns are the operators' interface and keep the words of its pages. */
+/* The names of columns belong to the operators' interface, so they differ from the names of fields. */
 static const struct row_column row_columns[] = {
 	{ "name", COLUMN_STRING, FIELD_OFFSET(name), ~0u },
 	{ "service", COLUMN_STRING, FIELD_OFFSET(service), KIND_BIT(ROUTE) | KIND_BIT(SERVER) },
@@ -96,7 +96,7 @@
 };
 enum { ROW_COLUMN_COUNT = sizeof row_columns / sizeof *row_columns };
 
-/* Services and weights as one text: "a:90,b:10". */
+/* Format a route's services and their weights as one text, such as "a:90,b:10". The caller frees it. */
 static char *format_split(const struct Nl__Row *row)
 {
 	size_t capacity = 1, used = 0;
@@ -213,7 +213,7 @@
 	return !strcmp(text, "draining") ? 1 : 2;
 }
 
-/* Set a row's field from a value of the column's type; 0 when a split cannot be read. */
+/* Set a row's field from a JSON value of the column's type. Returns 0 if a split cannot be parsed. */
 static int set_field(struct Nl__Row *row, const struct row_column *column, struct json_object *value,
 		     apr_pool_t *pool)
 {
@@ -326,7 +326,7 @@
 	}
 	if (json_object_object_get_ex(json, "expect", &member)) {
 		if (!json_object_is_type(member, json_type_int) || json_object_get_int64(member) < 0) {
-			*error = "expect: not an edition";
+			*error = "expect: must be an edition, a number from 0";
 			goto end;
 		}
 		change->expected_revision = json_object_get_uint64(member);
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -10,9 +10,9 @@
 #include "retention_progress.h"
 #include "controller_private.h"
 
-/* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
- * before one that has just begun, which knows nothing yet that it could pass on; others are ranked by
- * rendezvous hashing. */
+/* Returns whether a router is upstream of another router of its zone. A router that has been in service for a
+ * while ranks before one that has just started, which has nothing to relay yet. Otherwise routers are ranked
+ * by rendezvous hashing. */
 static bool is_upstream(const struct controller_node_status *node, const struct controller_node_status *other)
 {
 	if (node->is_warm != other->is_warm)
@@ -20,7 +20,8 @@
 	return core_rendezvous_weight(node->zone, node->id) > core_rendezvous_weight(node->zone, other->id);
 }
 
-/* The head of each other zone: the live router that is upstream of all others there. */
+/* Add the head of each other zone to the reply: the live router that is upstream of all others in that zone.
+ */
 static void add_zone_heads(const struct controller *controller, uint64_t zone,
 			   struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
@@ -46,7 +47,7 @@
 	arrfree(heads);
 }
 
-/* The best two routers upstream of this one in its zone. */
+/* Add to the reply the two highest ranked live routers that are upstream of the requester in its zone. */
 static void add_upstreams(const struct controller *controller, const struct controller_node_status *requester,
 			  struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
@@ -89,8 +90,9 @@
 		}
 }
 
-/* Note a node's status, and forget nodes that have been silent for long. Returns 1 when a later request of
- * the node has come before: what this one says of quota slots does not hold any more. */
+/* Record a node's status, and remove nodes that have sent no request for CONTROLLER_NODE_FORGET_MS. Returns 1
+ * if a newer request of the node has been received before this one: the quota slots that this request reports
+ * are then outdated. */
 static int update_node_status(struct controller *controller, const struct controller_node_status *node,
 			      int64_t now)
 {
@@ -114,8 +116,9 @@
 	return 0;
 }
 
-/* Whether routers may hold slots that the last leader granted and this one has not heard of. A fleet's first
- * entry is its members, the second its first leader's: before it nobody granted any. */
+/* Returns whether routers may hold quota slots that a previous leader granted and that have not been reported
+ * to this one. The first log entry of a fleet holds its members, the second one begins the term of its first
+ * leader; before that no leader could have granted slots. */
 static bool is_new_leader(const struct controller *controller, int64_t now)
 {
 	return now - controller->leadership[SHARD_CONTROL].since_ms < CONTROLLER_QUOTA_LEASE_MS &&
--- a/lib/control/config_sync.h
+++ b/lib/control/config_sync.h
@@ -1,16 +1,17 @@
-/* config_sync: the leader's side of keeping copies of the configuration: each node requests in turn what has
- * changed, and learns of its peers on the way.
+/* config_sync: replies to the nodes' requests for changes of the configuration.
  *
- * The step passes each node's request. A reply holds the changes of the table and of the instances, the
- * control group's clock, live controllers, a router's upstreams and zone heads, and its quota shares.
+ * Each node polls the leader (config_watch). A reply holds the changes of the table and of the server
+ * instances since the node's revisions, the control group's clock, the live controllers, and for a router its
+ * upstreams, zone heads and quota shares.
  *
- * Always: only a leader with a lease replies with content; others name the leader as far as they know it. */
+ * Invariant: only a leader with a lease replies with content; other controllers reply with a leader hint
+ * alone. */
 #ifndef NL_CONFIG_SYNC_H
 #define NL_CONFIG_SYNC_H
 
 #include "controller_state.h"
 
-/* A node requests what has changed since its revision: note its status, and reply. */
+/* Handle a node's request for the changes since its revision: record the node's status and reply. */
 void on_config_sync_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out);
 
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -78,8 +78,8 @@
 	       kind == NL__KIND__SERVICE || kind == NL__KIND__LISTENER || kind == NL__KIND__RETENTION;
 }
 
-/* Whether a change that replaces all rows replaces those of this kind. Servers, controllers and models have
- * calls of their own, and retention has too. */
+/* Returns whether a change with replace_all replaces the rows of a kind. Servers, controllers, models and
+ * retention are changed by requests of their own. */
 static bool replaces_kind(const struct Nl__Change *change, Nl__Kind kind)
 {
 	return (is_operator_kind(kind) && kind != NL__KIND__RETENTION) ||
@@ -108,8 +108,8 @@
 	arrput(*purges, purge);
 }
 
-/* A model's weights have reached every server: what was complete before them, and the versions in between,
- * are purged. */
+/* Append purges of the blocks of older versions, once a model's newer weights are rolled out to every server:
+ * of the version that was rolled out before and of the versions in between. */
 static void append_model_purges(const struct config_table *table, const struct Nl__Row *old_row,
 				const struct Nl__Row *new_row, struct Nl__Purge ***purges)
 {
@@ -133,8 +133,9 @@
 		}
 }
 
-/* What a row's change purges: blocks that were computed under weights, isolation or servers that are no more.
- * row NULL: it is deleted; feed NULL: nobody wants to know. */
+/* Append the purges that the change of a row requires: of cached blocks that were computed under weights,
+ * isolation or servers that the change replaces or removes. new_row is NULL if the row is deleted; purges is
+ * NULL if the caller does not need them. */
 static void append_row_purges(const struct config_table *table, const struct Nl__Row *old_row,
 			      const struct Nl__Row *new_row, struct Nl__Purge ***purges)
 {
@@ -157,8 +158,8 @@
 	return strtoull(first, NULL, 10) >= strtoull(second, NULL, 10) ? first : second;
 }
 
-/* Weights of a model only rise; what a change leaves empty stays. Before any are set, all servers have the
- * first. */
+/* Make the new row of a model. The versions in the row never decrease; a version that the change leaves empty
+ * stays as it was. Until a version is set, all servers have version 1. */
 static struct Nl__Row *make_model_row(const struct config_table *table, const struct Nl__Row *old_row,
 				      const struct Nl__Row *changed_row, uint64_t bound_passed_at_ms)
 {
@@ -191,7 +192,7 @@
 	return are_equal;
 }
 
-/* Put a row, which the table owns from now on, in the place of the one with its key. */
+/* Insert a row, or replace the row with the same key. The table takes ownership of the row. */
 static void upsert_row(struct config_table *table, struct Nl__Row *row, uint64_t revision,
 		       struct Nl__Purge ***purges)
 {
@@ -210,8 +211,8 @@
 	      ((typeof(table->rows->value)){ row, revision }));
 }
 
-/* One row of a change. When a change replaces all rows, an equal row keeps its revision, so that copies get
- * only what has changed. */
+/* Apply one row that a change sets. If the change replaces all rows, an equal row keeps its revision, so that
+ * copies receive only the rows that differ. */
 static void apply_row(struct config_table *table, const struct Nl__Row *row, const struct Nl__Change *change,
 		      struct Nl__Purge ***purges)
 {
@@ -264,7 +265,7 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Delete the rows that a change which replaces all of them does not set. */
+/* Delete the rows that a change with replace_all replaces but does not set. */
 static void delete_replaced_rows(struct config_table *table, const struct Nl__Change *change,
 				 struct Nl__Purge ***purges)
 {
@@ -275,8 +276,8 @@
 		if (replaces_kind(change, table->rows[i].value.row->kind) &&
 		    shgeti(set_by_key, table->rows[i].key) < 0)
 			arrput(removed_keys, strdup(table->rows[i].key));
-	/* the map's own order is another after a snapshot, and what follows must be the same on every replica
-	 */
+	/* the order of the map differs after a snapshot was loaded, but every replica must delete rows and
+	 * append purges in the same order */
 	if (removed_keys)
 		qsort(removed_keys, (size_t)arrlen(removed_keys), sizeof *removed_keys, compare_keys);
 	for (ptrdiff_t i = 0; i < arrlen(removed_keys); i++) {
@@ -370,7 +371,8 @@
 		delete_row(table, config_row_key(key, reply->deleted[i]->kind, reply->deleted[i]->name),
 			   reply->revision, NULL);
 	for (size_t i = 0; i < reply->n_set; i++)
-		upsert_row(table, copy_row(reply->set[i]), reply->revision, NULL); /* as the leader has it */
+		upsert_row(table, copy_row(reply->set[i]), reply->revision,
+			   NULL); /* the leader's row, unchanged */
 	table->revision = reply->revision;
 	return true;
 }
--- a/lib/control/config_text.c
+++ b/lib/control/config_text.c
@@ -84,13 +84,13 @@
 	return json_object_new_string(text);
 }
 
-/* The columns that a text has, in its order. */
+/* The columns of a text, in the order of its header line. */
 struct text_header {
 	const char *names[COLUMN_COUNT];
 	int count;
 };
 
-/* Split off the first cell of a line; what follows it, or NULL, is left in *line. */
+/* Split off the first cell of a line. *line is set to the rest after the tab, or to NULL if there is none. */
 static char *next_cell(char **line)
 {
 	char *cell = *line, *tab = strchr(cell, '\t');
@@ -101,7 +101,7 @@
 	return cell;
 }
 
-/* Read the line that names the columns; 0 with *why when one is not known. */
+/* Parse the header line, which names the columns. Returns 0 and sets *error if a column is unknown. */
 static int parse_header(struct text_header *header, char *line, int line_number, apr_pool_t *pool,
 			const char **error)
 {
@@ -112,7 +112,7 @@
 			if (!strcmp(columns[i], cell))
 				header->names[header->count] = columns[i];
 		if (!header->names[header->count]) {
-			*error = apr_psprintf(pool, "line %d: column %s: unknown", line_number, cell);
+			*error = apr_psprintf(pool, "line %d: unknown column %s", line_number, cell);
 			return 0;
 		}
 		header->count++;
@@ -120,8 +120,8 @@
 	return 1;
 }
 
-/* Read a line's cells into a row; empty cells are left out. 0 when it has more cells than there are columns.
- */
+/* Parse the cells of a line into a row; empty cells are left out. Returns 0 if the line has more cells than
+ * the header has columns. */
 static int parse_cells(struct json_object *row, const struct text_header *header, char *line)
 {
 	for (int i = 0; line && i < header->count; i++) {
@@ -170,7 +170,7 @@
 	}
 	if (header.count)
 		return json;
-	*error = "no line names the columns";
+	*error = "no header line with column names";
 bad:
 	json_object_put(json);
 	return NULL;
@@ -196,7 +196,7 @@
 	return false;
 }
 
-/* Alike: every column either has is the same; an empty cell is a column left out. */
+/* Returns whether two rows have the same value in every column; an empty cell equals a missing column. */
 static int rows_are_equal(struct json_object *a, struct json_object *b)
 {
 	for (int c = 0; c < COLUMN_COUNT; c++)
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -35,7 +35,8 @@
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
 		watch->controller_addrs[watch->controller_count++] = seeds[i];
 	watch->seed_count = watch->controller_count;
-	for (int i = 0; i < previous_count; i++) { /* who was known stays so until the next reply */
+	for (int i = 0; i < previous_count;
+	     i++) { /* controllers that were listed stay listed until the next reply */
 		int is_listed = 0;
 
 		for (int k = 0; k < watch->controller_count; k++)
@@ -86,7 +87,8 @@
 	sync->applied_token = watch->applied_token;
 }
 
-/* A late reply to an older request may grant more than was granted since. */
+/* Apply the quota slots of a reply. A reply to an older request is ignored: it may grant more slots than
+ * later replies did. */
 static void apply_quotas(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
 	if (reply->token <= watch->applied_token)
@@ -97,9 +99,11 @@
 		    reply->quota_grants[i]->reserved_slots;
 }
 
-/* The leader's clock was at most what the reply says when the request was sent, and has reached that when the
- * reply comes. Of one leader's replies the quickest tells best; one that shows the reckoning to be behind, as
- * the two clocks drift, begins it anew. */
+/* Update the estimate of the leader's clock offset. The leader reads its clock between request and reply:
+ * when the request was sent, its clock showed at most the value in the reply, and when the reply arrives, at
+ * least that value. So each reply gives an upper and a lower bound. Of the replies of one leader the smallest
+ * upper bound is kept; if a later lower bound is above it, because the two clocks drift, the estimate
+ * restarts from that reply. */
 static void apply_clock(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
 			int64_t requested_at_ms, int64_t now)
 {
@@ -116,7 +120,7 @@
 			return;
 		}
 	if (reply->clock_term < watch->group_clock[0].term)
-		return; /* another leader has followed that one */
+		return; /* the reply is from a leader older than the newest one */
 	memmove(&watch->group_clock[1], &watch->group_clock[0],
 		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
 	watch->group_clock[0].term = reply->clock_term;
@@ -219,8 +223,9 @@
 		    prepare_request(watch, horizon, now, out);
 }
 
-/* The leader is silent, or the guess is wrong: a few candidates at once, in turn, so that a new leader is
- * found as soon as there is one. Only one with a lease replies with more than a hint. */
+/* Poll several controllers at once, in rotation, because the leader does not reply or the guess is wrong. A
+ * new leader is thus found as soon as it is elected. Only a controller with a lease replies with more than a
+ * hint. */
 static void poll_controllers(struct config_watch *watch, uint64_t horizon, int64_t now,
 			     struct command_list *out)
 {
@@ -243,8 +248,7 @@
 	    (watch->controller_count ? watch->controller_count : 1);
 }
 
-/* How much later than usual a reply may come before it counts as missing: the last round trip, within a
- * bound. */
+/* Get the time by which time-outs are extended for a slow link: the last round trip, with an upper bound. */
 static int64_t round_trip_allowance_ms(const struct config_watch *watch)
 {
 	return watch->round_trip_ms < CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS
@@ -252,7 +256,8 @@
 		   : CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS;
 }
 
-/* A reply to an old request is no reason to ask others: the leader is in reach, over a slow link. */
+/* Returns whether the leader counts as unreachable. This goes by the arrival of its replies, also of those to
+ * old requests: a leader that replies late is reachable over a slow link. */
 static int is_leader_timed_out(const struct config_watch *watch, int64_t now)
 {
 	return now - watch->leader_contact_at_ms >
@@ -268,7 +273,8 @@
 	if (now - watch->last_reply_at_ms >
 	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + round_trip_allowance_ms(watch)) {
 		config_watch_miss(watch, SHARD_CONTROL);
-		watch->last_reply_at_ms = now - CONFIG_WATCH_POLL_MS; /* the next one gets its time too */
+		watch->last_reply_at_ms =
+		    now - CONFIG_WATCH_POLL_MS; /* the next controller gets its full reply time-out, too */
 	}
 	if (is_leader_lost)
 		poll_controllers(watch, horizon, now, out);
@@ -295,9 +301,11 @@
 	}
 }
 
-/* Several requests are in flight at once over a slow link, and each reply names what has changed since its
- * own request: a reply may be overtaken by a newer one. It changes nothing then, but proves as well that what
- * is here was in force when it was requested. A leader that has less than was here already proves nothing. */
+/* Apply the table of a reply. Returns whether the reply confirms that the local table was in force when the
+ * request was sent. Over a slow link several requests are in flight at once, and each reply holds the changes
+ * since the revision of its own request, so a reply may arrive after a newer one. It then changes nothing,
+ * but confirms the local table all the same. A reply with a revision older than the local table had when the
+ * request was sent confirms nothing. */
 static int apply_table(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply,
 		       const struct config_watch_request *request)
 {
@@ -324,7 +332,8 @@
 		return 0;
 	watch->last_reply_at_ms = now;
 	if (!reply->has_lease) {
-		if (reply->token == watch->last_token) { /* only the newest request moves the guess */
+		if (reply->token ==
+		    watch->last_token) { /* only a reply to the newest request changes the guess */
 			config_watch_hint(watch, SHARD_CONTROL,
 					  reply->leader_hint == message->addr ? 0 : reply->leader_hint);
 			if (reply->leader_hint && reply->leader_hint != message->addr &&
@@ -354,7 +363,7 @@
 	     watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads);
 	     i++)
 		watch->zone_heads[watch->zone_head_count++] = reply->zone_heads[i];
-	/* a publisher that has ended can't name its successor */
+	/* a publisher that has stopped cannot name its successor, so the leader names the current one */
 	if (reply->publisher)
 		config_watch_hint(watch, SHARD_PURGE, reply->publisher);
 	watch->router_count = reply->router_count;
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -105,13 +105,13 @@
 	}
 }
 
-/* Send a read to the leader, as far as it is known, and again after a while. */
+/* Send a read to the leader, or to the controller that is tried next, and again after the retry interval. */
 static void send_read_to_leader(struct controller *controller, struct controller_pending_read *pending,
 				int64_t now, struct command_list *out)
 {
 	struct Nl__Read *request;
 
-	if (pending->kind == NL__READ_KIND__READ_TABLE) /* the table comes with config_watch */
+	if (pending->kind == NL__READ_KIND__READ_TABLE) /* config_watch fetches the table */
 		return;
 	if (now < pending->retry_at_ms)
 		return;
@@ -148,8 +148,8 @@
 
 /* ---- requests that are proposed to the leader ---- */
 
-/* The key by which a request is recognised when it is sent again. Returns 0 when its idempotency key is
- * invalid; then it is answered. */
+/* Make the key by which a repeated request is recognised. Returns 0 if the idempotency key is invalid; the
+ * request has then been answered with 400. */
 static int make_request_key(const struct controller_event *event, int has_base_version, uint64_t base_version,
 			    struct request_key *key, struct command_list *out)
 {
@@ -176,7 +176,8 @@
 
 	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = config_change_parse(event->payload.api_call.body, out->pool, &error);
-	if (error) { /* no change at all, whatever the table holds: the leader decides about the rest */
+	if (error) { /* invalid whatever the table holds; the leader checks a valid change against its table
+		      */
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, error, 0));
 		return;
 	}
@@ -206,7 +207,10 @@
 	if (strpbrk(step.requested_by, ",\"\r\n") || strlen(step.requested_by) > 100) {
 		command_answer(
 		    out, event->payload.api_call.token, 400, 0,
-		    error_json(out->pool, "by: up to 100 characters without commas and quotes", 0));
+		    error_json(
+			out->pool,
+			"by: must be at most 100 characters without commas, double quotes and line breaks",
+			0));
 	} else if (make_request_key(event, 0, 0, &key, out)) {
 		operation.request_key = request_key_pack(&key, &packed_key);
 		propose(controller, SHARD_CONTROL, &operation, event->payload.api_call.token, now);
--- a/lib/control/operator_calls.c
+++ b/lib/control/operator_calls.c
@@ -41,7 +41,9 @@
 	       ended_calls(&controller->operators.calls) + operator_calls_open(controller);
 }
 
-/* Drop what waits for this caller; returns whether anything did. A bootstrap goes on, without an answer. */
+/* Drop the pending read or logged call with a token, or make its proposal go on without a call to answer.
+ * Returns whether one was found. A bootstrap is not looked for: it goes on, and its call stays open until it
+ * is answered. */
 static int drop_call(struct controller *controller, uint64_t token)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->operators.logged_calls); i++)
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -10,7 +10,7 @@
 #include "controller_private.h"
 #include "state_machine.h"
 
-/* Log a change and answer when it is committed. */
+/* Log a change; the call is answered once the change is committed. */
 static void log_change_for_call(struct controller *controller, uint64_t token, struct Nl__Change *change,
 				const struct request_key *key, int64_t now, struct command_list *out)
 {
@@ -28,8 +28,8 @@
 		reject_without_leader(token, out);
 }
 
-/* A request that was accepted is acknowledged again; one that is being logged is waited for. Returns 1 for
- * such a one, 0 for a new request. */
+/* Handle a repeated request: if it was accepted, it is acknowledged again; if it is logged but not committed
+ * yet, the call waits for the same log entry. Returns 1 for a repeated request, 0 for a new one. */
 static int answer_repeated_request(struct controller *controller, uint64_t token,
 				   const struct request_key *key, int64_t now, struct command_list *out)
 {
@@ -56,8 +56,8 @@
 	return 0;
 }
 
-/* A document that builds on another version conflicts, unless it may repeat one that was accepted and has
- * been evicted from the idempotency log. */
+/* Answer a document whose base version is not the current version: with 412, or with 504 if it may repeat a
+ * document that was accepted and has been evicted from the idempotency log. */
 static void answer_version_conflict(struct controller *controller, uint64_t token, uint64_t base_version,
 				    struct command_list *out)
 {
@@ -69,21 +69,21 @@
 		command_answer(out, token, 412, 0, error_json(out->pool, "another version is current", 0));
 }
 
-/* Read a document into a change; returns NULL, or what is wrong with it, in the pool. */
+/* Parse a document into a change. Returns NULL, or an error text in the pool. */
 static const char *parse_document(const struct controller *controller, const struct controller_event *event,
 				  struct Nl__Change *change, apr_pool_t *pool)
 {
 	const char *error = NULL;
 
 	if (!controller->adapters.codec)
-		return "document: none is taken here";
+		return "document: this controller accepts no documents";
 	if (controller->adapters.codec->read((const char *)controller->config.document,
 					     controller->config.document_bytes, event->payload.document.body,
 					     event->payload.document.body_bytes,
 					     event->payload.document.is_patch, change, &error, pool))
-		return error ? error : "document: cannot be read";
+		return error ? error : "document: cannot be parsed";
 	if (change->document_version <= controller->config.document_version)
-		return "version: not above the current one";
+		return "version: must be higher than the current one";
 	change->any_revision = 1;
 	change->replace_all = 1;
 	change->replace_keys = 1;
@@ -127,7 +127,8 @@
 
 	(void)now;
 	if (!controller->config.document_version) {
-		command_answer(out, token, 404, 0, error_json(out->pool, "no document was taken yet", 0));
+		command_answer(out, token, 404, 0,
+			       error_json(out->pool, "no document has been committed yet", 0));
 		return;
 	}
 	command = command_add(out, CMD_ANSWER);
@@ -146,7 +147,9 @@
 	const char *weights = event->payload.target.weights;
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
-	const struct request_key no_request_key = { 0 }; /* a number that only rises needs no record */
+	const struct request_key no_request_key = {
+		0
+	}; /* versions never decrease, so a repeated request has no further effect and needs no record */
 	const struct Nl__Row *current_row;
 	const char *error;
 
@@ -169,7 +172,8 @@
 	current_row = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
 	if (strtoull(weights, NULL, 10) <=
 	    (current_row ? strtoull(current_row->target_weights, NULL, 10) : 1))
-		command_answer(out, token, 200, 0, "{}"); /* committed before, or a later version was */
+		command_answer(out, token, 200, 0,
+			       "{}"); /* this version or a later one was committed before */
 	else
 		log_change_for_call(controller, token, &change, &no_request_key, now, out);
 }
@@ -190,8 +194,9 @@
 			command_answer(out, token, 412, 0,
 				       error_json(out->pool, "another version is current", 0));
 		else
-			command_answer(out, token, 400, 0,
-				       error_json(out->pool, "version: not above the current one", 0));
+			command_answer(
+			    out, token, 400, 0,
+			    error_json(out->pool, "version: must be higher than the current one", 0));
 		arrdel(controller->operators.logged_calls, i);
 	}
 }
@@ -199,8 +204,9 @@
 void abandon_logged_calls(struct controller *controller, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
-		command_answer(out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
-			       error_json(out->pool, "leadership lost: outcome unknown, send it again", 0));
+		command_answer(
+		    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+		    error_json(out->pool, "leadership lost: outcome unknown, send the request again", 0));
 		arrdel(controller->operators.logged_calls, i);
 	}
 }
@@ -209,9 +215,10 @@
 {
 	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--)
 		if (now >= controller->operators.logged_calls[i].deadline_at_ms) {
-			command_answer(out, controller->operators.logged_calls[i].token, 504,
-				       CONTROLLER_RETRY_MS,
-				       error_json(out->pool, "outcome unknown: send it again", 0));
+			command_answer(
+			    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+			    error_json(out->pool,
+				       "not committed in time: outcome unknown, send the request again", 0));
 			arrdel(controller->operators.logged_calls, i);
 		}
 }
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -11,12 +11,12 @@
 #include "recovery.h"
 #include "controller_private.h"
 
-/* One call: how it is recognised, what it needs, and who handles it. */
+/* One kind of call: how it is recognised, what it requires and which function handles it. */
 struct operator_path {
-	enum controller_event_kind
-	    kind;           /* CONTROLLER_API_CALL, or the event that an adapter makes of its own path */
-	const char *method; /* of CONTROLLER_API_CALL; else NULL */
-	const char *path;   /* the same */
+	enum controller_event_kind kind; /* CONTROLLER_API_CALL, or the event that a platform's adapter
+					    creates for a path of its own */
+	const char *method;              /* HTTP method if kind is CONTROLLER_API_CALL, else NULL */
+	const char *path;                /* HTTP path if kind is CONTROLLER_API_CALL, else NULL */
 	enum path_needs needs;
 	void (*handle)(struct controller *controller, const struct controller_event *event, int64_t now,
 		       struct command_list *out);
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-/* Redirect to the leader, as far as it is known here; else reject with a time to retry. */
+/* Redirect a call to the leader; if none is known, reject the call with a time to retry. */
 static void redirect_to_leader(struct controller *controller, uint64_t token, int64_t now,
 			       struct command_list *out)
 {
@@ -84,8 +84,8 @@
 	command->args.answer.redirect_addr = leader_addr;
 }
 
-/* The answers among the commands from a position on are valid until the lease ends: whoever writes them
- * checks the clock again. */
+/* Limit the validity of the answers among the commands from first_command on to the leader's lease. The
+ * writer of an answer checks the clock again. */
 static void limit_answers_to_lease(const struct controller *controller, ptrdiff_t first_command,
 				   struct command_list *out)
 {
@@ -102,7 +102,7 @@
 	ptrdiff_t first_command = arrlen(out->commands);
 
 	controller->operators.calls.read++;
-	if (!path) { /* needs no leader: there is no such path, whatever the log holds */
+	if (!path) { /* no leader is needed: the path does not exist whatever the log holds */
 		command_answer(out, call_token(event), 404, 0,
 			       error_json(out->pool, "path: no such call", 0));
 		return;
--- a/lib/control/operator_paths.h
+++ b/lib/control/operator_paths.h
@@ -1,24 +1,25 @@
-/* operator_paths: which calls operators may make, and what each needs before it is answered. One table holds
- * them all, those that come through a platform's adapter too; the controller's step passes each call.
+/* operator_paths: dispatches the operators' calls and checks the requirement of each call before it is
+ * handled. One table lists all calls, including those that arrive through a platform's adapter.
  *
- * Always: a definite answer (2xx or 4xx) that depends on the log comes from a leader that holds a lease and
- * has applied its log; every other node redirects, or rejects with 503 and a time to retry, at once. An
- * answer of the leader is valid until its lease ends, and is handed to the writer with that time. */
+ * Invariants: a definite answer (2xx or 4xx) that depends on the log comes from a leader that holds a lease
+ * and has applied its log; every other node immediately redirects the call, or rejects it with 503 and a time
+ * to retry. An answer of the leader is valid until its lease ends; the answer command carries that time as
+ * not_after_ms. */
 #ifndef NL_OPERATOR_PATHS_H
 #define NL_OPERATOR_PATHS_H
 
 #include "controller_event.h"
 #include "controller_state.h"
 
-/* What an answer rests on. */
+/* What a call requires before it can be answered. */
 enum path_needs {
-	PATH_NEEDS_LOCAL_STATE,     /* this node alone; the answer says so */
-	PATH_NEEDS_SEEDS,           /* the answers of every seed: there is no log yet */
-	PATH_NEEDS_LEADERSHIP,      /* this node leads; others name the leader */
-	PATH_NEEDS_REACHABLE_LEADER /* the leader's confirmation, for which this node asks */
+	PATH_NEEDS_LOCAL_STATE,     /* only the state of this node; the answer says so */
+	PATH_NEEDS_SEEDS,           /* the answers of all seeds: there is no log before the bootstrap */
+	PATH_NEEDS_LEADERSHIP,      /* leadership of the control shard; other nodes redirect to the leader */
+	PATH_NEEDS_REACHABLE_LEADER /* a reachable leader, from which this node requests confirmation */
 };
 
-/* Dispatch an operator's call: an event of kind CONTROLLER_API_CALL, CONTROLLER_PUT_DOCUMENT,
+/* Dispatch an operator's call, which is an event of kind CONTROLLER_API_CALL, CONTROLLER_PUT_DOCUMENT,
  * CONTROLLER_READ_DOCUMENT or CONTROLLER_SET_TARGET_WEIGHTS. */
 void on_operator_call(struct controller *controller, const struct controller_event *event, int64_t now,
 		      struct command_list *out);
--- a/lib/control/operator_state.c
+++ b/lib/control/operator_state.c
@@ -49,7 +49,7 @@
 	return shards;
 }
 
-/* Nodes that report to the control shard's leader; empty elsewhere. */
+/* List the nodes that report to the control shard's leader; the list is empty on other controllers. */
 static struct json_object *nodes_json(const struct controller *controller, int64_t now, apr_pool_t *pool)
 {
 	struct json_object *nodes = json_object_new_array();
@@ -70,7 +70,7 @@
 	return nodes;
 }
 
-/* Servers of the services whose shards are led here. */
+/* List the servers of the services whose shards this node leads. */
 static struct json_object *servers_json(const struct controller *controller, int64_t now)
 {
 	struct json_object *servers = json_object_new_array();
@@ -92,7 +92,7 @@
 	return servers;
 }
 
-/* The instances that this node discovers as the leader, or else those that it follows. */
+/* Get the server instances: those that this node discovers as the leader, else its copy of the leader's. */
 static const struct instances *current_instances(const struct controller *controller, int64_t now)
 {
 	if (leads_shard(controller, SHARD_CONTROL, now) && controller->instances.is_publishable)
--- a/lib/control/operator_state.h
+++ b/lib/control/operator_state.h
@@ -1,6 +1,6 @@
-/* operator_state: GET /v1/state, what this node knows by itself, for whoever looks at this node. It answers
- * at any time, also without a leader, and says that it speaks for this node alone. Names of members are part
- * of the operators' interface. */
+/* operator_state: answers GET /v1/state with the state of this node. It is available at any time, also
+ * without a leader; the answer's scope member says that it describes this node alone. Names of members belong
+ * to the operators' interface. */
 #ifndef NL_OPERATOR_STATE_H
 #define NL_OPERATOR_STATE_H
 
--- a/tests/test_version_history.c
+++ b/tests/test_version_history.c
@@ -198,7 +198,7 @@
 	add.n_set = 1;
 	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
 	assert_string_equal(config_check_change(&config_table, &change, pool),
-			    "del model m: service pool has it");
+			    "del model m: service pool still uses it");
 }
 
 /* ---- the clock --------------------------------------------------------------------------------- */
