--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -39,9 +39,8 @@
 	struct command *command = command_add(out, CMD_SEND);
 
 	command->args.send.addr = other_leader_addr(controller, now);
-	command->args.send.msg = (struct Nl__Msg *)core_copy_message(
-	    out->pool,
-	    &message->base); /* the copy keeps the requester's address, to which the new leader replies */
+	/* the copy keeps the requester's address, to which the new leader replies */
+	command->args.send.msg = (struct Nl__Msg *)core_copy_message(out->pool, &message->base);
 }
 
 static void defer_request(struct controller *controller, const struct Nl__Msg *message, int64_t now)
@@ -60,9 +59,8 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->handover.deferred); i++)
 		if (controller->handover.deferred[i].request->id == message->id) {
 			nl__msg__free_unpacked(controller->handover.deferred[i].request, NULL);
-			controller->handover.deferred[i].request =
-			    deferred
-				.request; /* the deadline of the requester's first deferred request stays */
+			/* the deadline of the first deferred request stays */
+			controller->handover.deferred[i].request = deferred.request;
 			return;
 		}
 	arrput(controller->handover.deferred, deferred);
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -370,9 +370,9 @@
 	for (size_t i = 0; i < reply->n_deleted; i++)
 		delete_row(table, config_row_key(key, reply->deleted[i]->kind, reply->deleted[i]->name),
 			   reply->revision, NULL);
+	/* the leader's rows are stored unchanged; it has already applied make_model_row to them */
 	for (size_t i = 0; i < reply->n_set; i++)
-		upsert_row(table, copy_row(reply->set[i]), reply->revision,
-			   NULL); /* the leader's row, unchanged */
+		upsert_row(table, copy_row(reply->set[i]), reply->revision, NULL);
 	table->revision = reply->revision;
 	return true;
 }
--- a/lib/control/config_table.h
+++ b/lib/control/config_table.h
@@ -41,12 +41,11 @@
 
 struct config_table {
 	uint64_t revision;
-	uint64_t operator_revision; /* revision of the last change of operators' rows, with which expected
-				       revisions are compared; only members of the control shard keep it */
-	uint64_t floor_revision;    /* tombstones up to this revision have been removed */
-	struct group_moment
-	    clock; /* group clock of the newest operation; other nodes' copies do not have it */
-	struct config_table_row *rows;       /* stb_ds string map */
+	uint64_t operator_revision;    /* revision of the last change of operators' rows, with which expected
+					  revisions are compared; only members of the control shard keep it */
+	uint64_t floor_revision;       /* tombstones up to this revision have been removed */
+	struct group_moment clock;     /* group clock of the newest operation; not set in copies */
+	struct config_table_row *rows; /* stb_ds string map */
 	struct config_tombstone *tombstones; /* stb_ds, oldest first */
 };
 
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -35,8 +35,8 @@
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
 		watch->controller_addrs[watch->controller_count++] = seeds[i];
 	watch->seed_count = watch->controller_count;
-	for (int i = 0; i < previous_count;
-	     i++) { /* controllers that were listed stay listed until the next reply */
+	/* controllers that were listed stay listed until the next reply */
+	for (int i = 0; i < previous_count; i++) {
 		int is_listed = 0;
 
 		for (int k = 0; k < watch->controller_count; k++)
@@ -223,9 +223,9 @@
 		    prepare_request(watch, horizon, now, out);
 }
 
-/* Poll several controllers at once, in rotation, because the leader does not reply or the guess is wrong. A
- * new leader is thus found as soon as it is elected. Only a controller with a lease replies with more than a
- * hint. */
+/* Poll several controllers at once, in rotation, because the leader does not reply or the guess of the leader
+ * is wrong. A new leader is thus found soon after its election. Only a controller with a lease replies with
+ * more than a hint. */
 static void poll_controllers(struct config_watch *watch, uint64_t horizon, int64_t now,
 			     struct command_list *out)
 {
@@ -256,8 +256,8 @@
 		   : CONFIG_WATCH_MAX_ROUND_TRIP_ALLOWANCE_MS;
 }
 
-/* Returns whether the leader counts as unreachable. This goes by the arrival of its replies, also of those to
- * old requests: a leader that replies late is reachable over a slow link. */
+/* Returns whether the leader counts as unreachable. Replies to old requests count as contact, too: a leader
+ * that replies late is reachable over a slow link, and other controllers need not be polled. */
 static int is_leader_timed_out(const struct config_watch *watch, int64_t now)
 {
 	return now - watch->leader_contact_at_ms >
@@ -273,8 +273,8 @@
 	if (now - watch->last_reply_at_ms >
 	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + round_trip_allowance_ms(watch)) {
 		config_watch_miss(watch, SHARD_CONTROL);
-		watch->last_reply_at_ms =
-		    now - CONFIG_WATCH_POLL_MS; /* the next controller gets its full reply time-out, too */
+		/* the next controller gets its full reply time-out, too */
+		watch->last_reply_at_ms = now - CONFIG_WATCH_POLL_MS;
 	}
 	if (is_leader_lost)
 		poll_controllers(watch, horizon, now, out);
@@ -332,8 +332,8 @@
 		return 0;
 	watch->last_reply_at_ms = now;
 	if (!reply->has_lease) {
-		if (reply->token ==
-		    watch->last_token) { /* only a reply to the newest request changes the guess */
+		/* only a reply to the newest request changes the guess of the leader */
+		if (reply->token == watch->last_token) {
 			config_watch_hint(watch, SHARD_CONTROL,
 					  reply->leader_hint == message->addr ? 0 : reply->leader_hint);
 			if (reply->leader_hint && reply->leader_hint != message->addr &&
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -66,8 +66,8 @@
 struct config_watch {
 	/* the configuration and the other contents of the leader's replies */
 	struct config_table table;
-	struct instances
-	    instances; /* server instances that the leader observes; removed ones are kept for a while */
+	struct instances instances; /* server instances that the leader observes; removed ones are kept for a
+				       while */
 	struct config_watch_quota *quotas; /* stb_ds string map; a router sets used and requested */
 	uint64_t applied_token;            /* token of the newest reply whose quota slots are in force */
 	uint64_t fleet;                    /* fleet id; 0 until a leader has replied */
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -176,8 +176,7 @@
 
 	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = config_change_parse(event->payload.api_call.body, out->pool, &error);
-	if (error) { /* invalid whatever the table holds; the leader checks a valid change against its table
-		      */
+	if (error) { /* invalid whatever the table holds; the leader checks the rest */
 		command_answer(out, event->payload.api_call.token, 400, 0, error_json(out->pool, error, 0));
 		return;
 	}
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -147,9 +147,8 @@
 	const char *weights = event->payload.target.weights;
 	struct Nl__Change change = NL__CHANGE__INIT;
 	struct Nl__Row row = NL__ROW__INIT, *set[1] = { &row };
-	const struct request_key no_request_key = {
-		0
-	}; /* versions never decrease, so a repeated request has no further effect and needs no record */
+	/* versions never decrease, so a repeated request has no further effect and needs no record */
+	const struct request_key no_request_key = { 0 };
 	const struct Nl__Row *current_row;
 	const char *error;
 
@@ -172,8 +171,7 @@
 	current_row = config_table_get(&controller->config.table, NL__KIND__MODEL, model);
 	if (strtoull(weights, NULL, 10) <=
 	    (current_row ? strtoull(current_row->target_weights, NULL, 10) : 1))
-		command_answer(out, token, 200, 0,
-			       "{}"); /* this version or a later one was committed before */
+		command_answer(out, token, 200, 0, "{}"); /* this or a later version was committed before */
 	else
 		log_change_for_call(controller, token, &change, &no_request_key, now, out);
 }
