--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -10,9 +10,9 @@
 #include "retention_progress.h"
 #include "controller_private.h"
 
-/* Which of two routers of a zone is upstream of the other: one that has been in service for a while goes
- * before one that has just begun, which knows nothing yet that it could pass on; others are ranked by
- * rendezvous hashing. */
+/* Returns whether a router is upstream of another router of its zone. A router that has been in service for a
+ * while ranks before one that has just started, which has nothing to relay yet. Otherwise routers are ranked
+ * by rendezvous hashing. */
 static bool is_upstream(const struct controller_node_status *node, const struct controller_node_status *other)
 {
 	if (node->is_warm != other->is_warm)
@@ -20,7 +20,8 @@
 	return core_rendezvous_weight(node->zone, node->id) > core_rendezvous_weight(node->zone, other->id);
 }
 
-/* The head of each other zone: the live router that is upstream of all others there. */
+/* Add the head of each other zone to the reply: the live router that is upstream of all others in that zone.
+ */
 static void add_zone_heads(const struct controller *controller, uint64_t zone,
 			   struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
@@ -46,9 +47,9 @@
 	arrfree(heads);
 }
 
-/* The best two routers upstream of this one in its zone. */
-static void add_upstream(const struct controller *controller, const struct controller_node_status *own,
-			 struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
+/* Add to the reply the two highest ranked live routers that are upstream of the requester in its zone. */
+static void add_upstreams(const struct controller *controller, const struct controller_node_status *requester,
+			  struct Nl__ConfigSyncReply *reply, int64_t now, struct command_list *out)
 {
 	enum { MAX_UPSTREAM = 2 };
 
@@ -59,9 +60,9 @@
 		for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 			const struct controller_node_status *node = &controller->membership.nodes[i];
 
-			if (!node->is_router || node->zone != own->zone ||
+			if (!node->is_router || node->zone != requester->zone ||
 			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
-			    !is_upstream(node, own))
+			    !is_upstream(node, requester))
 				continue;
 			if (reply->n_upstreams && node->addr == reply->upstreams[0])
 				continue;
@@ -89,8 +90,9 @@
 		}
 }
 
-/* Note a node's status, and forget nodes that have been silent for long. Returns 1 when a later request of
- * the node has come before: what this one says of quota slots does not hold any more. */
+/* Record a node's status, and remove nodes that have sent no request for CONTROLLER_NODE_FORGET_MS. Returns 1
+ * if a newer request of the node has been received before this one: the quota slots that this request reports
+ * are then outdated. */
 static int update_node_status(struct controller *controller, const struct controller_node_status *node,
 			      int64_t now)
 {
@@ -99,23 +101,24 @@
 		    now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
 			arrdelswap(controller->membership.nodes, i);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
-		struct controller_node_status *known = &controller->membership.nodes[i];
-		int is_late = node->token < known->token;
+		struct controller_node_status *recorded = &controller->membership.nodes[i];
+		int is_outdated = node->token < recorded->token;
 
-		if (known->id != node->id)
+		if (recorded->id != node->id)
 			continue;
-		if (is_late)
-			known->observed_at_ms = now;
+		if (is_outdated)
+			recorded->observed_at_ms = now;
 		else
-			*known = *node;
-		return is_late;
+			*recorded = *node;
+		return is_outdated;
 	}
 	arrput(controller->membership.nodes, *node);
 	return 0;
 }
 
-/* Whether routers may hold slots that the last leader granted and this one has not heard of. A fleet's first
- * entry is its members, the second its first leader's: before it nobody granted any. */
+/* Returns whether routers may hold quota slots that a previous leader granted and that have not been reported
+ * to this one. The first log entry of a fleet holds its members, the second one begins the term of its first
+ * leader; before that no leader could have granted slots. */
 static bool is_new_leader(const struct controller *controller, int64_t now)
 {
 	return now - controller->leadership[SHARD_CONTROL].since_ms < CONTROLLER_QUOTA_LEASE_MS &&
@@ -139,7 +142,7 @@
 					       sync->token,
 					       sync->wall_clock_ms,
 					       sync->load_permille };
-	int is_late;
+	int is_outdated;
 
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply =
 	    reply;
@@ -151,14 +154,14 @@
 		reply->leader_hint = controller->config_watch.leader_addr[SHARD_CONTROL];
 	if (!reply->has_lease)
 		return;
-	is_late = update_node_status(controller, &node, now);
+	is_outdated = update_node_status(controller, &node, now);
 	retention_on_report(controller, message, now);
 	reply->group_clock_ms = group_clock_now(controller, now);
 	reply->clock_term = controller->shards[SHARD_CONTROL].term;
 	config_table_since(&controller->config.table, sync->have_revision, reply, out->pool);
 	instances_pack_since(&controller->instances, sync->instances_stamp, reply, out->pool);
 	if (sync->is_router)
-		add_upstream(controller, &node, reply, now, out);
+		add_upstreams(controller, &node, reply, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		reply->router_count +=
 		    controller->membership.nodes[i].is_router &&
@@ -167,7 +170,7 @@
 		add_zone_heads(controller, node.zone, reply, now, out);
 		reply->publisher = leader_hint(controller, SHARD_PURGE, now);
 	}
-	if (!is_late)
+	if (!is_outdated)
 		quota_shares_update(&controller->quota, &controller->config.table,
 				    is_new_leader(controller, now), message->id, sync, reply->router_count,
 				    reply, now, out);
