--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -8,13 +8,13 @@
 #include "controller_private.h"
 
 enum {
-	BOOTSTRAP_RETRY_MS = 1000,    /* before an operator's call may come again */
-	BOOTSTRAP_POLL_MS = 200,      /* between messages to the seeds */
-	BOOTSTRAP_CALL_MS = 10000,    /* within which an operator's call ends */
-	BOOTSTRAP_SETTINGS_MS = 30000 /* by then all seeds have answered, or were replaced */
+	BOOTSTRAP_RETRY_MS = 1000,            /* before an operator's call may come again */
+	BOOTSTRAP_QUERY_INTERVAL_MS = 200,    /* between messages to the seeds */
+	BOOTSTRAP_CALL_TIMEOUT_MS = 10000,    /* within which an operator's call ends */
+	BOOTSTRAP_SETTINGS_TIMEOUT_MS = 30000 /* by then all seeds have answered, or were replaced */
 };
 
-static bool is_empty(const struct controller *controller)
+static bool is_controller_empty(const struct controller *controller)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
 		if (controller->shards[i].term || controller->shards[i].group.member_count ||
@@ -23,28 +23,28 @@
 	return !controller->identity.fleet;
 }
 
-static void bootstrap_here(struct controller *controller, uint64_t fleet, const struct Nl__Members *members,
-			   int64_t now, struct command_list *out)
+static void start_as_first_member(struct controller *controller, uint64_t fleet_id,
+				  const struct Nl__Members *members, int64_t now, struct command_list *out)
 {
-	struct raft_member started[RAFT_MAX_MEMBERS];
+	struct raft_member first_members[RAFT_MAX_MEMBERS];
 	int member_count = 0, is_member = 0;
 
 	for (size_t i = 0; i < members->n_members && member_count < RAFT_MAX_MEMBERS; i++) {
-		memset(&started[member_count], 0, sizeof started[member_count]);
-		started[member_count].id = members->members[i]->id;
-		started[member_count].addr = members->members[i]->addr;
-		started[member_count].voter = 1;
-		is_member |= started[member_count++].id == controller->identity.id;
+		memset(&first_members[member_count], 0, sizeof first_members[member_count]);
+		first_members[member_count].id = members->members[i]->id;
+		first_members[member_count].addr = members->members[i]->addr;
+		first_members[member_count].voter = 1;
+		is_member |= first_members[member_count++].id == controller->identity.id;
 	}
-	if (!is_member || !is_empty(controller))
+	if (!is_member || !is_controller_empty(controller))
 		return;
-	controller->identity.fleet = controller->config_watch.fleet = fleet;
+	controller->identity.fleet = controller->config_watch.fleet = fleet_id;
 	controller->identity.fleet_dirty = true;
-	out->fleet = fleet;
+	out->fleet = fleet_id;
 	for (int i = 0; i < SHARD_COUNT; i++)
-		raft_bootstrap(&controller->shards[i], started, member_count, now);
+		raft_bootstrap(&controller->shards[i], first_members, member_count, now);
 	log_line(controller, "bootstrap", out->pool,
-		 "Fleet %016" APR_UINT64_T_HEX_FMT " is bootstrapped with %d controllers.", fleet,
+		 "Fleet %016" APR_UINT64_T_HEX_FMT " is bootstrapped with %d controllers.", fleet_id,
 		 member_count);
 }
 
@@ -56,9 +56,9 @@
 
 	if (received->is_query || received->members) {
 		if (received->members && received->fleet_id)
-			bootstrap_here(controller, received->fleet_id, received->members, now, out);
+			start_as_first_member(controller, received->fleet_id, received->members, now, out);
 		answer = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
-		answer->is_empty = is_empty(controller);
+		answer->is_empty = is_controller_empty(controller);
 		answer->fleet_id = controller->identity.fleet;
 		answer->token = received->token;
 		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = answer;
@@ -70,29 +70,30 @@
 		if (controller->identity.seeds[i] == message->addr) {
 			controller->bootstrap.seeds[i].id = message->id;
 			controller->bootstrap.seeds[i].is_empty = received->is_empty;
-			controller->bootstrap.seeds[i].fleet = received->fleet_id;
+			controller->bootstrap.seeds[i].fleet_id = received->fleet_id;
 		}
 }
 
-static void bootstrap_begin(struct controller *controller, int64_t now)
+static void bootstrap_reset(struct controller *controller, int64_t now)
 {
 	if (controller->bootstrap.members)
 		nl__members__free_unpacked(controller->bootstrap.members, NULL);
 	memset(&controller->bootstrap, 0, sizeof controller->bootstrap);
-	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_CALL_MS;
+	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_CALL_TIMEOUT_MS;
 }
 
 void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
 		     struct command_list *out)
 {
-	const char *why = NULL;
+	const char *rejection = NULL;
 
 	if (controller->identity.fleet)
-		why = "found: this registrar belongs to a fleet";
+		rejection = "found: this registrar belongs to a fleet";
 	else if (!controller->identity.seed_count)
-		why = "found: no seeds are set";
-	if (why) { /* for good, whatever others do */
-		command_answer(out, event->payload.api_call.token, 409, 0, error_json(out->pool, why, 0));
+		rejection = "found: no seeds are set";
+	if (rejection) { /* for good, whatever others do */
+		command_answer(out, event->payload.api_call.token, 409, 0,
+			       error_json(out->pool, rejection, 0));
 		return;
 	}
 	if (controller->bootstrap.call_token || controller->bootstrap.by_settings) {
@@ -100,21 +101,21 @@
 			       error_json(out->pool, "found: already under way", 0));
 		return;
 	}
-	bootstrap_begin(controller, now);
+	bootstrap_reset(controller, now);
 	controller->bootstrap.call_token = event->payload.api_call.token;
 }
 
 void controller_bootstrap(struct controller *controller, int64_t now)
 {
 	if (controller->bootstrap.call_token || controller->bootstrap.by_settings ||
-	    !controller->identity.seed_count || !is_empty(controller))
+	    !controller->identity.seed_count || !is_controller_empty(controller))
 		return;
-	bootstrap_begin(controller, now);
+	bootstrap_reset(controller, now);
 	controller->bootstrap.by_settings = true;
-	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_SETTINGS_MS;
+	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_SETTINGS_TIMEOUT_MS;
 }
 
-static void bootstrap_end(struct controller *controller, int status, const char *body,
+static void end_bootstrap(struct controller *controller, int status, const char *body,
 			  struct command_list *out)
 {
 	if (controller->bootstrap.call_token)
@@ -126,20 +127,20 @@
 
 /* Only a seed that says that it belongs to a fleet makes the failure definite. Once the members were sent,
  * some seeds may have started with them. */
-static void bootstrap_fail(struct controller *controller, int all_answered, struct command_list *out)
+static void fail_bootstrap(struct controller *controller, int all_answered, struct command_list *out)
 {
 	if (controller->bootstrap.members)
-		bootstrap_end(controller, 504,
+		end_bootstrap(controller, 504,
 			      error_json(out->pool,
 					 "found: not every seed answers, and some may have begun: ask again",
 					 0),
 			      out);
 	else if (!all_answered)
-		bootstrap_end(controller, 503,
+		end_bootstrap(controller, 503,
 			      error_json(out->pool, "found: not every seed answers; nothing was founded", 0),
 			      out);
 	else
-		bootstrap_end(
+		end_bootstrap(
 		    controller, 409,
 		    error_json(out->pool,
 			       "found: a seed already belongs to a fleet; start the others and they join", 0),
@@ -152,28 +153,30 @@
 
 	if (!controller->bootstrap.call_token)
 		return;
-	bootstrap_fail(controller, 0, out);
+	fail_bootstrap(controller, 0, out);
 	/* seeds that have started are still sent the members */
 	controller->bootstrap.by_settings = may_have_started;
 }
 
 /* Whether the bootstrap has failed. answered_count, empty_count: how many seeds have answered, and are empty.
  * One that the settings asked for goes on until all seeds have answered. */
-static bool has_failed(const struct controller *controller, int answered_count, int empty_count, int64_t now)
+static bool has_bootstrap_failed(const struct controller *controller, int answered_count, int empty_count,
+				 int64_t now)
 {
 	const struct controller_bootstrap *bootstrap = &controller->bootstrap;
-	bool is_late = now > bootstrap->deadline_at_ms;
+	bool is_past_deadline = now > bootstrap->deadline_at_ms;
 
 	if (bootstrap->by_settings)
 		return (!bootstrap->members &&
 			(empty_count < answered_count || controller->identity.fleet)) ||
-		       (controller->identity.fleet && is_late);
-	return is_late || (!bootstrap->members && answered_count == controller->identity.seed_count &&
-			   empty_count < answered_count);
+		       (controller->identity.fleet && is_past_deadline);
+	return is_past_deadline ||
+	       (!bootstrap->members && answered_count == controller->identity.seed_count &&
+		empty_count < answered_count);
 }
 
 /* All seeds are empty: they are the members, of a new fleet. */
-static void choose_members(struct controller *controller)
+static void choose_first_members(struct controller *controller)
 {
 	const struct controller_identity *identity = &controller->identity;
 	struct controller_bootstrap *bootstrap = &controller->bootstrap;
@@ -182,7 +185,7 @@
 	if (!members)
 		abort();
 	nl__members__init(members);
-	bootstrap->proposed_fleet = core_random(&controller->identity.rng) | 1;
+	bootstrap->proposed_fleet_id = core_random(&controller->identity.rng) | 1;
 	members->members = calloc((size_t)identity->seed_count, sizeof *members->members);
 	for (int i = 0; i < identity->seed_count; i++) {
 		struct Nl__Member *member = malloc(sizeof *member);
@@ -208,7 +211,7 @@
 
 		query->is_query = 1;
 		if (bootstrap->members) {
-			query->fleet_id = bootstrap->proposed_fleet;
+			query->fleet_id = bootstrap->proposed_fleet_id;
 			query->members =
 			    (struct Nl__Members *)core_copy_message(out->pool, &bootstrap->members->base);
 		}
@@ -228,26 +231,26 @@
 	if (now < bootstrap->retry_at_ms &&
 	    !(bootstrap->by_settings && controller->identity.fleet && !bootstrap->members))
 		return;
-	bootstrap->retry_at_ms = now + BOOTSTRAP_POLL_MS;
+	bootstrap->retry_at_ms = now + BOOTSTRAP_QUERY_INTERVAL_MS;
 	for (int i = 0; i < seed_count; i++) {
 		answered_count += bootstrap->seeds[i].id != 0;
 		empty_count +=
-		    bootstrap->seeds[i].id && bootstrap->seeds[i].is_empty && !bootstrap->seeds[i].fleet;
-		started_count +=
-		    bootstrap->seeds[i].fleet && bootstrap->seeds[i].fleet == bootstrap->proposed_fleet;
+		    bootstrap->seeds[i].id && bootstrap->seeds[i].is_empty && !bootstrap->seeds[i].fleet_id;
+		started_count += bootstrap->seeds[i].fleet_id &&
+				 bootstrap->seeds[i].fleet_id == bootstrap->proposed_fleet_id;
 	}
 	if (seed_count && started_count == seed_count) {
-		bootstrap_end(controller, 200,
+		end_bootstrap(controller, 200,
 			      apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}",
 					   controller->identity.fleet),
 			      out);
 		return;
 	}
-	if (has_failed(controller, answered_count, empty_count, now)) {
-		bootstrap_fail(controller, answered_count == seed_count, out);
+	if (has_bootstrap_failed(controller, answered_count, empty_count, now)) {
+		fail_bootstrap(controller, answered_count == seed_count, out);
 		return;
 	}
 	if (!bootstrap->members && answered_count == seed_count)
-		choose_members(controller);
+		choose_first_members(controller);
 	query_seeds(controller, out);
 }
--- a/lib/control/completed_proposals.h
+++ b/lib/control/completed_proposals.h
@@ -30,23 +30,23 @@
 /* A proposal that was applied, and what came of it. */
 struct completed_proposal {
 	uint64_t proposer_id;
-	uint64_t run; /* 0: not named */
+	uint64_t incarnation; /* 0: not named */
 	uint64_t token;
 	enum proposal_status status;
 };
 
 /* A run of a process that proposes. */
-struct proposer_run {
+struct proposer_incarnation {
 	uint64_t proposer_id;
-	uint64_t run;
+	uint64_t incarnation;
 	uint64_t oldest_open_token; /* the highest that it has named */
 };
 
 /* Part of the control shard's state; begins zeroed. */
 struct completed_proposals {
-	struct completed_proposal *proposals; /* stb_ds, oldest first */
-	struct proposer_run *runs;            /* stb_ds: the one longest without a proposal first */
-	size_t without_run;                   /* of proposals */
+	struct completed_proposal *proposals;      /* stb_ds, oldest first */
+	struct proposer_incarnation *incarnations; /* stb_ds: the one longest without a proposal first */
+	size_t without_run;                        /* of proposals */
 };
 
 /* Whether this proposal was applied before, or is a late copy of one that is not open any more; *status is
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -24,17 +24,18 @@
 
 /* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that
  * counts them. */
-static void log_dropped(struct controller *controller, const struct Nl__Msg *message, const char *why,
-			int64_t now, struct command_list *out)
+static void log_dropped_message(struct controller *controller, const struct Nl__Msg *message,
+				const char *reason, int64_t now, struct command_list *out)
 {
-	controller->drop_log.dropped++;
-	if (controller->drop_log.logged && now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
+	controller->drop_log.dropped_count++;
+	if (controller->drop_log.logged_count &&
+	    now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
 	log_line(controller, "raft", out->pool,
 		 "Message dropped: kind %d from %s: %s; %" APR_UINT64_T_FMT " since the last such line.",
-		 (int)message->body_case, core_format_addr(out->pool, message->addr), why,
-		 controller->drop_log.dropped - controller->drop_log.logged);
-	controller->drop_log.logged = controller->drop_log.dropped;
+		 (int)message->body_case, core_format_addr(out->pool, message->addr), reason,
+		 controller->drop_log.dropped_count - controller->drop_log.logged_count);
+	controller->drop_log.logged_count = controller->drop_log.dropped_count;
 	controller->drop_log.logged_at_ms = now;
 }
 
@@ -42,28 +43,28 @@
 			    struct command_list *out)
 {
 	enum raft_fault fault;
-	const char *why = NULL;
+	const char *drop_reason = NULL;
 
 	if (!controller->identity.fleet)
 		return; /* an empty machine is spoken to before it knows its fleet */
 	if (message->fleet_id != controller->identity.fleet)
-		why = "not of this fleet";
+		drop_reason = "not of this fleet";
 	else if (message->shard >= SHARD_COUNT)
-		why = "no such shard";
+		drop_reason = "no such shard";
 	else if ((fault = raft_receive(&controller->shards[message->shard], message, now, out)))
-		why = raft_fault_strerror(fault);
-	if (why)
-		log_dropped(controller, message, why, now, out);
+		drop_reason = raft_fault_strerror(fault);
+	if (drop_reason)
+		log_dropped_message(controller, message, drop_reason, now, out);
 }
 
 /* A reply or a hint for this node's own copy of the configuration. */
 static void on_config_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
-	int64_t fetched_before_ms = controller->config_watch.fetched_at_ms;
+	int64_t previous_fetched_at_ms = controller->config_watch.fetched_at_ms;
 
 	if (config_watch_receive(&controller->config_watch, message, now, out))
-		rollout_on_target_change(controller, fetched_before_ms);
+		rollout_on_target_change(controller, previous_fetched_at_ms);
 	if (!controller->identity.fleet && controller->config_watch.fleet) {
 		controller->identity.fleet = controller->config_watch.fleet;
 		controller->identity.fleet_dirty = true;
@@ -137,7 +138,7 @@
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
 	    (message->fleet_id && controller->identity.fleet &&
 	     message->fleet_id != controller->identity.fleet)) {
-		log_dropped(controller, message, "of another fleet or protocol version", now, out);
+		log_dropped_message(controller, message, "of another fleet or protocol version", now, out);
 		return;
 	}
 	switch (message->body_case) {
@@ -158,7 +159,7 @@
 	}
 }
 
-static void tick(struct controller *controller, int64_t now, struct command_list *out)
+static void controller_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
 		if (controller->identity.fleet)
@@ -187,18 +188,19 @@
 }
 
 /* Retention purged what a shard had logged before: nothing older than a new snapshot stays on the disk. */
-static void compact_logs(struct controller *controller, struct command_list *out)
+static void compact_purged_logs(struct controller *controller, struct command_list *out)
 {
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
-		if (controller->compaction[i].snapshot_needed && !controller->shards[i].snapshots.to_load) {
+		if (controller->compaction[i].is_snapshot_needed &&
+		    !controller->shards[i].snapshots.to_load) {
 			controller->shards[i].snapshots.drop_tail = 1;
-			controller->compaction[i].snapshot_needed = false;
+			controller->compaction[i].is_snapshot_needed = false;
 			snapshot_create(controller, i, out);
 		}
 }
 
-static void on_call_result(struct controller *controller, uint64_t token, int status, const char *body,
-			   int64_t now, struct command_list *out)
+static void on_server_report(struct controller *controller, uint64_t token, int status, const char *body,
+			     int64_t now, struct command_list *out)
 {
 	if (!token || status != 200)
 		return;
@@ -220,7 +222,7 @@
 {
 	switch (event->kind) {
 	case CONTROLLER_TICK:
-		tick(controller, now, out);
+		controller_tick(controller, now, out);
 		break;
 	case CONTROLLER_MESSAGE:
 		on_message(controller, event->payload.message, now, out);
@@ -239,8 +241,9 @@
 		operator_calls_disconnected(controller, event->payload.disconnected.token);
 		break;
 	case CONTROLLER_CALL_RESULT:
-		on_call_result(controller, event->payload.call_result.token,
-			       event->payload.call_result.status, event->payload.call_result.body, now, out);
+		on_server_report(controller, event->payload.call_result.token,
+				 event->payload.call_result.status, event->payload.call_result.body, now,
+				 out);
 		break;
 	case CONTROLLER_SERVERS_LISTED:
 		instances_on_list(&controller->instances, event->payload.servers_listed.token,
@@ -267,8 +270,8 @@
 }
 
 /* Apply what is committed, and pass on to the services what follows from each entry. */
-static void apply_committed(struct controller *controller, uint32_t shard, int64_t now,
-			    struct command_list *out)
+static void apply_committed_entries(struct controller *controller, uint32_t shard, int64_t now,
+				    struct command_list *out)
 {
 	const struct raft_entry *entry;
 	uint64_t index;
@@ -283,7 +286,7 @@
 			rollout_intent_logged(controller, applied.commanded_server, now);
 		if (shard == SHARD_CONTROL)
 			answer_logged_calls(controller, index, applied.status, out);
-		answer_proposers(controller, shard, index, applied, out);
+		answer_proposer(controller, shard, index, applied, out);
 	}
 }
 
@@ -295,14 +298,14 @@
 	if (raft->snapshots.to_load) {
 		snapshot_load(controller, shard, out->pool);
 		if (shard == SHARD_CONTROL) {
-			quota_shares_forget_table(&controller->quota);
+			quota_shares_invalidate_table(&controller->quota);
 			/* load commands that were logged before are in no snapshot */
 			controller->rollout.unknown_until_ms = now;
 		}
 		raft->snapshots.to_load = 0;
 	}
 	on_leadership_lost(controller, shard, now, out);
-	apply_committed(controller, shard, now, out);
+	apply_committed_entries(controller, shard, now, out);
 	on_leadership_gained(controller, shard, now, out);
 	if (raft_needs_snapshot(raft))
 		snapshot_create(controller, shard, out);
@@ -317,7 +320,7 @@
 	out->addr = controller->identity.addr;
 	out->fleet = controller->identity.fleet;
 	controller->config_watch.wall_clock_ms = controller->clocks.wall_ms;
-	compact_logs(controller, out);
+	compact_purged_logs(controller, out);
 	on_event(controller, event, now, out);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		advance_shard(controller, i, now, out);
@@ -370,13 +373,13 @@
 	instances_close(&controller->instances);
 	rollout_close(&controller->rollout);
 	retention_reset(&controller->retention);
-	free_values(&controller->config.purge_feed);
+	free_purge_values(&controller->config.purge_feed);
 	completed_proposals_reset(&controller->config.completed_proposals);
 	idempotency_log_reset(&controller->config.accepted_requests);
 	arrfree(controller->operators.logged_calls);
 	config_handover_clear(controller);
 	free(controller->config.document);
-	free_values(&controller->purge_state.values);
+	free_purge_values(&controller->purge_state.values);
 	purge_view_clear(&controller->purge_state.last_view);
 	for (int i = 0; i < SHARD_SERVICES; i++) {
 		reset_service_state(&controller->service_states[i]);
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -1,17 +1,21 @@
-/* controller: the control plane of the fleet as one pure step over its state.
+/* controller: the control plane of the fleet, as one pure step function over the state of one controller.
  *
- * The layers of lib/control, from below; LAYERS.md lists each module, and tests/check_layers refuses a way
- * upwards: 1 data          the configuration's rows, versions of weights, instances, keys of requests; the
- * controller's state 2 state machine what committed entries do to the replicated state, and its snapshots 3
- * replication   following the configuration, the control group's clock, who leads a shard 4 services      one
- * piece of state each: proposals, membership, configuration sync, quota shares, the purge publisher,
- * retention, rollouts, bootstrap, recovery 5 operators     calls of operators, answered from the services 6
- * step          this module and leadership_change: the only ones that wire services to each other
+ * A controller is a member of the Raft groups that replicate the shards, or an empty node that waits to
+ * become one. The caller passes each event to controller_step and executes the commands that it returns; the
+ * controller has no other effect. It is pure: each step is given the time, and random numbers are generated
+ * from the seed. Only one thread may use a controller at a time.
  *
- * A controller is a member of the groups that replicate the shards, or waits to become one. The daemon, the
- * simulator and the tests call controller_step with each event; all that it does to the world is the list of
- * commands. Pure: time comes in with each step, random numbers from the seed. Not for several threads at
- * once. */
+ * The modules of lib/control form six layers, from the lowest to the highest. LAYERS.md lists the modules of
+ * each layer, and tests/check_layers rejects a dependency on a higher layer:
+ *   1. data           rows of the configuration, weight versions, server instances, idempotency keys
+ *   2. state          the controller's records; how committed log entries change the replicated state;
+ * snapshots
+ *   3. leadership     the control group's clock; whether this node leads a shard
+ *   4. services       proposals, membership, configuration sync, quota shares, the purge publisher,
+ * retention, rollouts, bootstrap and recovery, each with its own record
+ *   5. operators      operators' calls, answered from the services
+ *   6. step           this module and leadership_change, the only modules that connect services with each
+ *                     other */
 #ifndef NL_CONTROLLER_H
 #define NL_CONTROLLER_H
 
@@ -22,23 +26,24 @@
 #include "rollout.h"
 #include "snapshot.h"
 
-/* Begin. seeds: addresses, CONTROLLER_MAX_SEEDS at the most; fleet 0: none yet; seed: of the random numbers;
- * saved[i]: what the disk holds of shard i, may be NULL. zone stays the caller's and has to outlive the
+/* Initialise a controller. seeds: addresses, at most CONTROLLER_MAX_SEEDS, further ones are ignored. fleet:
+ * identity of the fleet, 0: the controller belongs to none yet. seed: initial state of the random numbers.
+ * saved[i]: the stored state of shard i; saved may be NULL. zone is not copied and has to outlive the
  * controller. Example: controller_open(&controller, id, addr, "z1", seeds, 3, fleet, seed, saved, now); */
 void controller_open(struct controller *controller, uint64_t id, uint64_t addr, const char *zone,
 		     const uint64_t *seeds, int seed_count, uint64_t fleet, uint64_t seed,
 		     const struct raft_saved *const *saved, int64_t now);
 
-/* Release all that it holds. */
+/* Release all memory of the controller. */
 void controller_close(struct controller *controller);
 
-/* One step; now: monotonic ms. Commands are appended to out and live in its pool.
+/* Process one event. now: monotonic ms. The resulting commands are appended to out and allocated in its pool.
  * Example: controller_step(&controller, &(struct controller_event){ .kind = CONTROLLER_TICK }, now, &out); */
 void controller_step(struct controller *controller, const struct controller_event *event, int64_t now,
 		     struct command_list *out);
 
-/* After CONTROLLER_STOP: whether nothing more needs this controller and all that operators called for is
- * answered, so that its process may end before the time for a graceful shutdown is over. Example: return
+/* Whether the process may end, after CONTROLLER_STOP and before the time limit of a graceful shutdown: no
+ * Raft group needs this controller any more, and all operators' calls have been answered. Example: return
  * controller_stopped(&controller, now); */
 bool controller_stopped(const struct controller *controller, int64_t now);
 
--- a/lib/control/controller_private.c
+++ b/lib/control/controller_private.c
@@ -1,11 +1,11 @@
 #include "controller_private.h"
 
-const char *error_json(apr_pool_t *pool, const char *why, uint64_t revision)
+const char *error_json(apr_pool_t *pool, const char *reason, uint64_t revision)
 {
 	struct json_object *json = json_object_new_object();
 	const char *text;
 
-	json_object_object_add(json, "error", json_object_new_string(why));
+	json_object_object_add(json, "error", json_object_new_string(reason));
 	if (revision)
 		json_object_object_add(json, "edition", json_object_new_int64((int64_t)revision));
 	text = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
--- a/lib/control/controller_private.h
+++ b/lib/control/controller_private.h
@@ -1,5 +1,5 @@
-/* controller_private: what the modules that work on a controller share: log lines, a service shard's state by
- * its number, bodies of rejections. It keeps nothing. */
+/* controller_private: helper functions of the modules of lib/control: log lines, lookup of a service shard's
+ * state, and answers that reject a call. The module has no state. */
 #ifndef NL_CONTROLLER_PRIVATE_H
 #define NL_CONTROLLER_PRIVATE_H
 
@@ -7,8 +7,8 @@
 
 #include "controller_state.h"
 
-/* Write one log line under a prefix; the text is formatted in the pool.
- * Example: log_line(controller, "purge", out->pool, "The publisher begins at %d.", tick); */
+/* Write one log line with a prefix. The text is formatted in the pool.
+ * Example: log_line(controller, "purge", out->pool, "publisher started, tick %d", tick); */
 static inline void log_line(struct controller *controller, const char *prefix, apr_pool_t *pool,
 			    const char *format, ...)
 {
@@ -22,7 +22,7 @@
 	va_end(arguments);
 }
 
-/* A service shard's state; NULL: this shard is no service shard. */
+/* Return the state of a service shard, or NULL if the shard is not a service shard. */
 __attribute__((nonnull)) static inline struct controller_service_state *
 service_shard_state(struct controller *controller, uint32_t shard)
 {
@@ -31,14 +31,15 @@
 		   : NULL;
 }
 
-/* The JSON body that says why a call was rejected, in the pool; a revision of 0 is left out.
+/* Return the JSON body of a rejection with its reason and the table's revision, allocated in the pool. A
+ * revision of 0 is omitted.
  * Example: error_json(out->pool, "path: no such call", 0) */
-const char *error_json(apr_pool_t *pool, const char *why, uint64_t revision);
+const char *error_json(apr_pool_t *pool, const char *reason, uint64_t revision);
 
-/* Answer a call: no leader is known, nothing was logged. */
+/* Answer a call with 503: the control shard's leader is unreachable and nothing was logged. */
 void reject_without_leader(uint64_t token, struct command_list *out);
 
-/* Answer a call: this controller is to stop, nothing was logged. */
+/* Answer a call with 503: this controller is shutting down and nothing was logged. */
 void reject_while_stopping(uint64_t token, struct command_list *out);
 
 #endif
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -1,9 +1,9 @@
-/* controller_state: what a controller knows and keeps, as records by concern.
+/* controller_state: the state of a controller, grouped into records by concern.
  *
- * Each record names its owner: the module that writes it. Others read it, or ask its owner. Replicated
- * records are written as log entries are applied and when a snapshot is loaded, by nobody else. Soft state is
- * lost at a restart and learnt again. Memory that a record points to is the controller's, and ends with
- * controller_close. */
+ * The comment of each record names its owner: the only module that writes the record. Other modules read it
+ * or call the owner. Replicated records change only when a committed log entry is applied and when a snapshot
+ * is loaded. Soft state is lost at a restart and rebuilt from messages. The controller owns all memory that a
+ * record points to; controller_close releases it. */
 #ifndef NL_CONTROLLER_STATE_H
 #define NL_CONTROLLER_STATE_H
 
@@ -22,333 +22,357 @@
 
 enum {
 	CONTROLLER_MAX_SEEDS = 8,
-	CONTROLLER_NODE_LIVE_MS = 3000,    /* after its last request, for which a node counts as live */
-	CONTROLLER_NODE_FORGET_MS = 60000, /* after its last request, when it is forgotten */
+	CONTROLLER_NODE_LIVE_MS = 3000,    /* a node is live for this long after its last request */
+	CONTROLLER_NODE_FORGET_MS = 60000, /* a node's record is removed this long after its last request */
 	CONTROLLER_ROLLOUT_HOLD_OFF_MS =
-	    4000, /* a new leader's rollout waits for so long before its first command */
-	CONTROLLER_REPORT_POLL_MS = 500, /* between polls of a server's report */
-	/* All servers have new weights 25 s after the weights were set. The last load command leaves early
-	 * enough for a load of 8 s; the first rollout is done early enough for another one to take over:
-	 * lease, election, hold-off. */
+	    4000, /* delay between the start of a leadership and the first load command of its rollouts */
+	CONTROLLER_REPORT_POLL_MS = 500, /* interval between status requests to one server */
+	/* Bound: all servers run new weights 25 s after the weights were set. The last load command is sent
+	 * early enough for a load that takes 8 s. A rollout in the leadership in which the weights were set
+	 * ends CONTROLLER_FAILOVER_MS earlier, so that a new leader can still take over: the lease has to
+	 * expire, the election has to end and the new leader's hold-off has to pass. */
 	CONTROLLER_LAST_LOAD_COMMAND_MS = 16000,
 	CONTROLLER_FAILOVER_MS = 7500,
-	/* after a router's last request, for which its quota shares are its own */
+	/* a router's quota shares are reserved for it for this long after its last request */
 	CONTROLLER_QUOTA_LEASE_MS = CONFIG_WATCH_MAX_STALENESS_MS + 300,
-	CONTROLLER_MAX_RESERVE_LIMITS = 64, /* limits up to which every router holds a reserve of each */
-	CONTROLLER_RETRY_MS = 200,          /* before a call that found no leader may come again */
-	CONTROLLER_CALL_TIMEOUT_MS = 5000,  /* before an operator's call is answered as unknown */
-	CONTROLLER_CLAIM_TTL_MS = 720000, /* of the shard's own clock: the longest time-out and two minutes */
-	CONTROLLER_PROPOSAL_RETRY_MS = 400,     /* before a proposal without an answer is sent again */
-	CONTROLLER_PROPOSAL_RETRY_FAST_MS = 50, /* the same where the answer named another leader */
-	CONTROLLER_PURGE_BATCH = 128,           /* purges logged together */
-	CONTROLLER_RECONFIGURE_MS = 50,         /* between steps of changing the membership of groups */
-	CONTROLLER_ANNOUNCE_MS = 500,           /* between announcements to addresses of silent controllers */
-	CONTROLLER_RECOVERY_SKIP = 1 << 20,     /* revisions and ticks that a recovery skips */
-	CONTROLLER_EPOCH_SHIFT = 40,            /* of the epoch in the index of a feed's value */
-	CONTROLLER_FORGET_CONTROLLERS_MS = 60000, /* of leadership, before silent controllers are removed */
-	CONTROLLER_DROP_LOG_MS = 1000,            /* between log lines on messages that break the protocol */
-	CONTROLLER_FEED_POLL_MS = 100             /* between the publisher's requests to the feeds */
-};
-
-/* An operator's document or target weights that are logged here: answered once they are committed. */
+	CONTROLLER_MAX_RESERVED_LIMITS =
+	    64, /* with more limits than this, routers hold no reserved slots ahead of demand */
+	CONTROLLER_RETRY_MS =
+	    200, /* delay that a caller is told to wait before it repeats a call that failed */
+	CONTROLLER_CALL_TIMEOUT_MS =
+	    5000, /* an operator's call without an outcome by then is answered "outcome unknown" */
+	CONTROLLER_CLAIM_TTL_MS = 720000, /* a claim expires after this time on the shard's clock: the longest
+					     request timeout plus two minutes */
+	CONTROLLER_PROPOSAL_RETRY_MS = 400, /* a proposal without a reply is sent again after this time */
+	CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS =
+	    50, /* a proposal is sent again this long after a reply that the leader has changed */
+	CONTROLLER_PURGE_BATCH = 128, /* the publisher logs at most this many purges in one batch */
+	CONTROLLER_RECONFIGURE_INTERVAL_MS = 50, /* interval between reconfigurations of the Raft groups */
+	CONTROLLER_ANNOUNCE_INTERVAL_MS =
+	    500, /* interval between announcements of the fleet to the addresses of silent controllers */
+	CONTROLLER_RECOVERY_SKIP = 1 << 20, /* number of revisions and of ticks that a recovery skips */
+	CONTROLLER_EPOCH_SHIFT_BITS = 40,   /* position of the epoch in the index of a purge feed value */
+	CONTROLLER_REMOVE_ABSENT_CONTROLLERS_MS =
+	    60000, /* time since the start of a leadership after which its leader removes controllers that it
+		      has not received a request from */
+	CONTROLLER_DROP_LOG_MS = 1000, /* interval between log lines about dropped messages */
+	CONTROLLER_FEED_POLL_MS = 100  /* interval between the publisher's requests to the purge feeds */
+};
+
+/* An operator's call that set a document or target weights, logged by this node as leader. It is answered
+ * when its log entry is committed. */
 struct controller_logged_call {
 	uint64_t token;
 	uint64_t log_index;
 	struct request_key request_key;
-	int64_t deadline_at_ms; /* when it is answered though its outcome is open */
+	int64_t deadline_at_ms; /* without a commit by then, the call is answered "outcome unknown" */
 };
 
-/* Another node's proposal that is logged here and not yet committed. */
+/* Another node's proposal that this node has logged as leader and that is not yet committed. */
 struct controller_pending_entry {
 	uint32_t shard;
 	uint64_t log_index;
 	uint64_t proposer_addr;
-	uint64_t token; /* the proposer's */
+	uint64_t token; /* the proposer's token of the proposal */
 };
 
-/* A proposal of this node's own, sent to the leader until it is answered. */
+/* A proposal made by this node. It is sent to the leader again and again until its outcome is received. */
 struct controller_proposal {
-	uint64_t token;      /* the same in every copy: it is applied once */
-	uint64_t call_token; /* the operator's call that it is made for; 0: this node's own */
+	uint64_t token;      /* the same in every copy that is sent, so that the proposal is applied once */
+	uint64_t call_token; /* operator's call that the proposal is made for; 0: made by this node itself */
 	uint32_t shard;
-	struct Nl__Operation *operation; /* malloc'd */
+	struct Nl__Operation *operation; /* allocated with malloc */
 	int64_t deadline_at_ms;
 	int64_t retry_at_ms;
 	int send_count;
-	int denied_count;  /* copies surely not logged; as long as it equals send_count, none was */
-	int refused_count; /* copies that were refused before they were logged */
+	int denied_count; /* copies that certainly were not logged; equal to send_count: no copy was logged */
+	int refused_count; /* copies that a leader rejected before logging them */
 };
 
-/* An operator's read that waits for the leader's answer. */
+/* An operator's read that waits for the reply of the control shard's leader. */
 struct controller_pending_read {
-	uint64_t call_token; /* the operator's call */
-	uint64_t token;      /* of the request to the leader */
+	uint64_t call_token; /* identifies the operator's call */
+	uint64_t token;      /* identifies the read request to the leader */
 	Nl__ReadKind kind;
 	int64_t requested_at_ms;
 	int64_t retry_at_ms;
 };
 
-/* A config watch request that waits for the next leader. */
+/* A node's request for the configuration, kept until a new leader is elected. */
 struct controller_deferred_request {
-	struct Nl__Msg *request; /* malloc'd */
+	struct Nl__Msg *request; /* allocated with malloc */
 	int64_t deadline_at_ms;
 };
 
-/* What a node reported of itself in its last request for the configuration. */
+/* A node's status, as reported in its last request for the configuration. */
 struct controller_node_status {
 	uint64_t id;
 	uint64_t addr;
-	uint64_t zone; /* hash of its name */
-	int64_t observed_at_ms;
+	uint64_t zone;          /* hash of the zone's name */
+	int64_t observed_at_ms; /* when the request was received */
 	bool is_router;
-	bool is_warm; /* a router: in service for a while */
-	uint64_t revision;
-	uint64_t horizon; /* purge ticks that it has passed */
-	uint64_t token;   /* of that request */
-	int64_t wall_clock_ms;
+	bool is_warm;      /* a router that has been in service for a while: preferred as the upstream of its
+			      zone's routers */
+	uint64_t revision; /* of the configuration that the node holds */
+	uint64_t horizon;  /* the node has carried out all purges up to this tick */
+	uint64_t token;    /* identifies the request */
+	int64_t wall_clock_ms;  /* a controller's wall clock; 0: not reported */
 	uint32_t load_pressure; /* per mille */
 };
 
-/* What one router holds, or may still believe to hold, under a limit. */
+/* The slots under one limit that a router holds, or may still hold because its next report has not arrived.
+ */
 struct controller_quota_share {
 	uint64_t router_id;
-	uint64_t reply_token; /* of the newest reply that granted any */
-	uint32_t reserved;    /* slots */
-	uint32_t requested;   /* slots */
-	int64_t updated_at_ms;
-	int64_t last_granted_at_ms; /* when it last had any */
+	uint64_t granting_reply_token; /* token of the newest reply that granted slots to the router */
+	uint32_t reserved_slots;       /* slots that count as held by the router */
+	uint32_t requested_slots;      /* slots that the router requested in its last report */
+	int64_t updated_at_ms;         /* when the router's last report was received */
+	int64_t last_granted_at_ms;    /* when the router was last granted slots or used some */
 };
 
-/* A limit's shares. */
+/* All routers' shares of one limit. */
 struct controller_quota {
-	char *key;
-	struct controller_quota_share *value; /* stb_ds */
+	char *key;                            /* the limit's name: "tenant" or "route/tenant" */
+	struct controller_quota_share *value; /* stb_ds, one share for each router */
 };
 
-/* A claim of a request's id, under the tenant and the id. */
+/* A router's claim of a request id. Keyed by the tenant and the request id. */
 struct controller_claim {
 	char *key;
 	struct {
-		uint64_t claimed_by;    /* a router */
-		uint64_t sequence;      /* of its claims */
-		uint64_t claimed_at_ms; /* on the shard's own clock */
-		bool returned;          /* released; remembered, since the claim may still be on its way */
+		uint64_t router_id;      /* router that made the claim */
+		uint64_t claim_sequence; /* the router's number of the claim */
+		uint64_t claimed_at_ms;  /* on the shard's own clock */
+		bool is_released; /* kept after the release, because a copy of the claim may still arrive */
 	} value;
 };
 
-/* Weights that are fully rolled out, by service. */
+/* Weights that all servers of a service run. Keyed by the service's name. */
 struct controller_rolled_out {
 	char *key;
 	char *value;
 };
 
-/* Applied state of a service shard. Written by state_machine.c and snapshot.c. */
+/* Applied state of a service shard, equal on all members. Owned by state_machine.c and snapshot.c. */
 struct controller_service_state {
-	uint64_t clock_ms;               /* the shard's own: it stands still without a leader */
+	uint64_t clock_ms; /* the shard's own clock; it advances only while the shard has a leader */
 	struct controller_claim *claims; /* stb_ds string map */
-	struct Nl__Value **purge_feed;   /* stb_ds: decisions for the publisher, oldest first */
-	uint64_t purged_tick;            /* the newest retention purge after which its log was trimmed */
-	uint64_t purged_at_ms;           /* when that was, on the shard's own clock */
-	bool is_compacted;               /* no claim from before it is left */
+	struct Nl__Value **purge_feed;   /* stb_ds: purges for the publisher, oldest first */
+	uint64_t purged_tick; /* tick of the newest retention purge after which the shard's log was trimmed */
+	uint64_t purged_at_ms; /* time of that trim on the shard's own clock */
+	bool is_compacted;     /* all claims made before that trim have expired and are no longer stored */
 	struct controller_rolled_out *rolled_out; /* stb_ds string map */
 };
 
-/* Applied state of the purge shard. Written by state_machine.c and snapshot.c. */
+/* Applied state of the purge shard, equal on all members. Owned by state_machine.c and snapshot.c. */
 struct controller_purge_state {
-	uint64_t ceiling;                      /* no tick above it may be declared */
-	uint64_t released;                     /* ticks up to it need not be kept */
-	struct Nl__Value **values;             /* stb_ds: logged values above released, by tick */
-	struct purge_view last_view;           /* the newest purge of each subject */
-	uint64_t published_index[SHARD_COUNT]; /* of each feed: the highest index logged */
-	uint64_t purged_tick; /* the newest retention purge after which its log was trimmed */
+	uint64_t ceiling;            /* the publisher may declare ticks up to this one */
+	uint64_t released;           /* values up to this tick are no longer needed, and are not stored */
+	struct Nl__Value **values;   /* stb_ds: logged values of later ticks than released, ordered by tick */
+	struct purge_view last_view; /* newest purge of each subject */
+	uint64_t
+	    published_index[SHARD_COUNT]; /* highest index that has been logged of each shard's purge feed */
+	uint64_t purged_tick; /* tick of the newest retention purge after which the shard's log was trimmed */
 };
 
-/* The weights that a service should have, as this node learnt of them. */
+/* A service's target weights and the progress of their rollout, as observed by this node. Keyed by the
+ * service's name. */
 struct controller_target_weights {
 	char *key;
 	struct {
 		char *weights;
-		int64_t targeted_at_ms;        /* not later than when they were set */
-		int64_t incomplete_since_ms;   /* since when not every server has what is set */
-		int64_t rollout_started_at_ms; /* 0: not in this leadership */
+		int64_t targeted_at_ms; /* when the weights were set, or somewhat earlier: a lower bound */
+		int64_t incomplete_since_ms;   /* since when some server has not run the target weights */
+		int64_t rollout_started_at_ms; /* 0: not started in the current leadership */
 	} value;
 };
 
-/* A server as the rollout sees it. */
+/* A server of the configuration table, as observed by the rollout. */
 struct controller_server {
 	char *name;
 	char *service;
-	uint64_t call_token; /* of the newest poll */
-	int64_t polled_at_ms;
-	int64_t reported_at_ms;
-	int64_t commanded_at_ms;
-	int64_t load_commanded_at_ms;
-	char weights[200];
-	char loading[200];             /* "" when it loads none */
-	uint64_t purged_tick;          /* every purge up to this tick is carried out */
-	uint64_t requested_purge_tick; /* the horizon at the newest poll */
-};
-
-/* Who this process is in the fleet, and how it makes numbers that nobody else has. Written at the start and
- * by the bootstrap. */
+	uint64_t call_token;           /* identifies the newest status request */
+	int64_t polled_at_ms;          /* when the newest status request was sent */
+	int64_t reported_at_ms;        /* when the newest status report was received */
+	int64_t commanded_at_ms;       /* when the newest command of any kind was sent */
+	int64_t load_commanded_at_ms;  /* when the newest load command was sent */
+	char weights[200];             /* weights that the server runs, from its newest report */
+	char loading[200];             /* weights that the server is loading; "": none */
+	uint64_t purged_tick;          /* the server has carried out all purges up to this tick */
+	uint64_t requested_purge_tick; /* purge horizon when the newest status request was sent */
+};
+
+/* The controller's identity in the fleet and its sources of unique numbers. Owned by controller.c, which sets
+ * the record at the start; bootstrap.c sets the fleet. */
 struct controller_identity {
-	uint64_t id;
-	uint64_t addr;
-	uint64_t fleet;   /* 0: none yet */
-	bool fleet_dirty; /* the shell has to store the fleet */
+	uint64_t id;      /* of this controller, unique in the fleet */
+	uint64_t addr;    /* of this controller */
+	uint64_t fleet;   /* identity of the fleet; 0: this controller belongs to none yet */
+	bool fleet_dirty; /* the fleet has changed and the process has to store it */
 	const char *zone;
-	uint64_t seeds[CONTROLLER_MAX_SEEDS]; /* addresses */
+	uint64_t seeds[CONTROLLER_MAX_SEEDS]; /* addresses of the seeds */
 	int seed_count;
-	uint64_t rng;        /* state of the random numbers */
-	uint64_t run;        /* names this run of the process: random, not 0 */
-	uint64_t last_token; /* the newest token that was given out; the first one is random */
+	uint64_t rng;        /* state of the random number generator */
+	uint64_t run;        /* incarnation of this process: random, not 0 */
+	uint64_t last_token; /* newest token in use; the first is random, so that tokens differ from an
+				earlier incarnation's */
 };
 
-/* What the process lends to the controller: functions that belong to other libraries. Set once before the
- * first step. */
+/* Functions of other libraries that the process provides to the controller. Set once, before the first step.
+ */
 struct controller_adapters {
-	const struct controller_codec *codec;       /* of documents; NULL: none are taken */
-	const struct controller_calendar *calendar; /* NULL: no schedules in calendar terms */
+	const struct controller_codec *codec; /* parses operators' documents; NULL: documents are rejected */
+	const struct controller_calendar
+	    *calendar; /* evaluates calendar schedules; NULL: calendar schedules are rejected */
 	void (*log)(void *ctx, const char *prefix, const char *line);
 	void *log_context;
 };
 
-/* Clocks other than the monotonic one that each step is given. */
+/* Clocks in addition to the monotonic time that is passed to each step. */
 struct controller_clocks {
-	int64_t group_offset_ms; /* the control group's clock less this machine's, while it leads:
-				    group_clock.h */
-	int64_t wall_ms;         /* this machine's, since 1970; set by whoever steps; 0: no schedule runs */
+	int64_t group_offset_ms; /* valid while this node leads the control shard: the control group's clock
+				    (group_clock.h) minus this machine's monotonic clock */
+	int64_t wall_ms; /* this machine's wall clock in ms since 1970, set by the caller of controller_step;
+			    0: not known, and no schedule runs */
 };
 
-/* Applied state of the control shard but for retention: equal on all members. Written by state_machine.c and
- * snapshot.c. */
+/* Applied state of the control shard, without the state of retention; equal on all members. Owned by
+ * state_machine.c and snapshot.c. */
 struct controller_config {
 	struct config_table table;
-	struct Nl__Value **purge_feed; /* stb_ds: decisions for the publisher, oldest first */
+	struct Nl__Value **purge_feed; /* stb_ds: purges for the publisher, oldest first */
 	struct completed_proposals completed_proposals;
-	struct idempotency_log accepted_requests; /* operators' requests that were accepted */
-	uint8_t *document;                        /* the newest document, byte for byte; malloc'd */
+	struct idempotency_log accepted_requests; /* operators' requests that took effect */
+	uint8_t *document; /* the newest document, byte for byte; allocated with malloc */
 	size_t document_bytes;
 	uint64_t document_version;
 };
 
-/* This node's leadership of one shard. Written by leadership_change.c; the clock by leadership.c. */
+/* This node's leadership of one shard. Owned by leadership_change.c; leadership.c also writes
+ * clock_advanced_at_ms. */
 struct controller_leadership {
-	uint64_t term;                /* in which it last began to lead */
-	int64_t since_ms;             /* when it began to lead in that term */
-	int64_t clock_advanced_at_ms; /* up to when the shard's own clock is counted in its log */
+	uint64_t term;                /* newest term in which this node began to lead the shard */
+	int64_t since_ms;             /* when its leadership in that term began */
+	int64_t clock_advanced_at_ms; /* the shard's clock as logged includes the time up to this moment */
 };
 
 /* Compaction of one shard's log after a retention purge. */
 struct controller_compaction {
-	bool snapshot_needed;  /* nothing older than the next snapshot may stay on the disk */
-	int64_t checked_at_ms; /* when the leader last logged a trim for it */
+	bool is_snapshot_needed; /* the next snapshot has to replace all earlier log entries and snapshots on
+				    the disk */
+	int64_t checked_at_ms;   /* when the leader last logged a trim for the compaction */
 };
 
-/* What became of the operators' calls that were read, counted since the start. Owned by operator_calls.c. */
+/* Operators' calls by outcome, counted since the start of the process. Owned by operator_calls.c. */
 struct operator_calls {
-	uint64_t read;
-	uint64_t answered;     /* with the leader's confirmation, or redirected to the leader */
-	uint64_t rejected;     /* 503: nothing was logged */
-	uint64_t unknown;      /* 504: it may be sent again */
-	uint64_t disconnected; /* the caller closed its connection before */
+	uint64_t read;         /* calls that were received */
+	uint64_t answered;     /* calls answered with the leader's confirmation or redirected to the leader */
+	uint64_t rejected;     /* calls answered 503: nothing was logged */
+	uint64_t unknown;      /* calls answered 504: the outcome is unknown and the caller may repeat them */
+	uint64_t disconnected; /* calls whose caller closed its connection before the answer */
 };
 
-/* Operators' calls that came here and are not answered yet. */
+/* Operators' calls that this controller has received and not yet answered. */
 struct controller_operators {
-	struct operator_calls calls;                   /* counters */
-	struct controller_logged_call *logged_calls;   /* stb_ds: wait for a commit */
-	struct controller_pending_read *pending_reads; /* stb_ds: wait for the leader's answer */
+	struct operator_calls calls; /* calls by outcome */
+	struct controller_logged_call
+	    *logged_calls; /* stb_ds: calls that wait for their log entry to be committed */
+	struct controller_pending_read *pending_reads; /* stb_ds: reads that wait for the leader's reply */
 };
 
 /* Proposals in flight. Owned by proposals.c. */
 struct controller_proposals {
-	struct controller_proposal *own; /* stb_ds: this node's, until they are answered */
-	struct controller_pending_entry
-	    *received; /* stb_ds: other nodes', logged here and not yet committed */
+	struct controller_proposal *own; /* stb_ds: proposals made by this node that have no outcome yet */
+	struct controller_pending_entry *received; /* stb_ds: other nodes' proposals that this node has logged
+						      and that are not yet committed */
 };
 
-/* Which nodes there are, as the configuration's leader sees them, and when the membership was last looked
- * after. Owned by membership.c; the nodes are written by config_sync.c. */
+/* The nodes of the fleet as observed by the control shard's leader, and the times of periodic membership
+ * work. Owned by membership.c; config_sync.c writes the nodes. */
 struct controller_membership {
-	struct controller_node_status *nodes; /* stb_ds */
-	int64_t reconfigured_at_ms;           /* last step of changing the groups' members */
-	int64_t announced_at_ms;  /* last time that silent controllers were told where the fleet is */
-	int64_t registered_at_ms; /* last proposal of this node's own row */
+	struct controller_node_status *nodes; /* stb_ds, one for each node */
+	int64_t reconfigured_at_ms;           /* when the members of the Raft groups were last reconfigured */
+	int64_t
+	    announced_at_ms; /* when the fleet was last announced to the addresses of silent controllers */
+	int64_t registered_at_ms; /* when this node last proposed its own row of the configuration table */
 };
 
-/* Requests that wait for a change of leaders. Owned by config_handover.c. */
+/* Requests that are kept while the leadership of the control shard changes. Owned by config_handover.c. */
 struct controller_handover {
-	struct controller_deferred_request *deferred; /* stb_ds: one for each asker */
+	struct controller_deferred_request *deferred; /* stb_ds: at most one for each requesting node */
 };
 
-/* The fleet-wide limits as the configuration's leader shares them out: soft state. Owned by quota_shares.c.
- */
+/* The fleet-wide limits and the share of each router, on the control shard's leader: soft state. Owned by
+ * quota_shares.c. */
 struct controller_quota_shares {
-	struct controller_quota *limits; /* stb_ds string map, by "tenant" or "route/tenant" */
-	char **reserve_limits; /* stb_ds: limits of which every router is given some slots ahead; names are
-				  the table's */
-	uint64_t reserve_limits_revision; /* of the table that reserve_limits was made from */
+	struct controller_quota *limits; /* stb_ds string map, keyed by "tenant" or "route/tenant" */
+	char **reserved_limits; /* stb_ds: names of the limits under which each router holds slots ahead of
+				   demand; the strings belong to the configuration table */
+	uint64_t reserved_limits_revision; /* revision of the table that reserved_limits was computed from */
 };
 
-/* The rollout of weights to servers that speak the product's own interface. Owned by rollout.c. */
+/* The rollout of weights to the servers of the configuration table, which have this project's own HTTP
+ * interface. Owned by rollout.c. */
 struct controller_server_rollout {
 	struct controller_server *servers;         /* stb_ds */
 	struct controller_target_weights *targets; /* stb_ds string map, by service */
-	uint32_t command_sequence;                 /* lower bits of the newest command's fence */
+	uint32_t command_sequence;                 /* lower bits of the fence of the newest load command */
 };
 
-/* The publisher of the purge stream while it runs here: soft state. Owned by purge_publisher.c; the tick
- * moves when a value is applied as well. */
+/* The publisher of the purge stream, which runs on the purge shard's leader: soft state. Owned by
+ * purge_publisher.c. The tick also advances when a value is applied. */
 struct controller_publisher {
-	uint64_t tick;                 /* highest tick declared */
-	int64_t tick_declared_at_ms;   /* when silence was last declared */
-	uint64_t pending_tick;         /* of the newest value that is being logged */
-	uint64_t reserved_for_ceiling; /* the ceiling above which the newest reservation was logged */
-	uint64_t feed_round;           /* of the newest request to the feeds */
-	int64_t feed_polled_at_ms;     /* when that round began */
-	uint64_t feed_complete_round[SHARD_COUNT]; /* round in which each feed had nothing more */
+	uint64_t tick;               /* highest tick that has been declared */
+	int64_t tick_declared_at_ms; /* when silence was last declared */
+	uint64_t pending_tick;       /* tick of the newest value that has been proposed to the log */
+	uint64_t
+	    reserved_for_ceiling;  /* value of the ceiling when the newest reservation of ticks was logged */
+	uint64_t feed_round;       /* number of the newest round of requests to the purge feeds */
+	int64_t feed_polled_at_ms; /* when the newest round of requests began */
+	uint64_t feed_complete_round[SHARD_COUNT]; /* newest round in which each feed had no further values */
 };
 
-/* A bootstrap that this node has begun. Owned by bootstrap.c. */
+/* A bootstrap that this node coordinates. Owned by bootstrap.c. */
 struct controller_bootstrap {
-	uint64_t call_token;     /* the operator's call that asked for it; 0: none */
-	bool by_settings;        /* the settings asked for it */
-	uint64_t proposed_fleet; /* 0 until the members are chosen */
+	uint64_t call_token;        /* operator's call that requested the bootstrap; 0: none */
+	bool by_settings;           /* the bootstrap was requested by the settings */
+	uint64_t proposed_fleet_id; /* identity of the new fleet; 0: the members are not yet chosen */
 	int64_t deadline_at_ms;
-	int64_t retry_at_ms;
+	int64_t retry_at_ms; /* when the seeds are queried next */
 	struct {
-		uint64_t id; /* 0: no answer yet */
-		uint64_t fleet;
-		bool is_empty;
-	} seeds[CONTROLLER_MAX_SEEDS]; /* answers, in the order of the identity's seeds */
-	struct Nl__Members *members;   /* malloc'd; NULL until all seeds have answered */
+		uint64_t id;       /* identity of the seed; 0: it has not answered */
+		uint64_t fleet_id; /* fleet that the seed belongs to; 0: none */
+		bool is_empty;     /* the seed has never been a member of a group and belongs to no fleet */
+	} seeds[CONTROLLER_MAX_SEEDS]; /* the seeds' answers, in the order of identity.seeds */
+	struct Nl__Members *members;   /* first members of the fleet, allocated with malloc; NULL until all
+					  seeds have answered */
 };
 
-/* Log lines on messages that break the protocol. Owned by controller.c. */
+/* Rate limit of the log lines about dropped messages. Owned by controller.c. */
 struct controller_drop_log {
-	int64_t logged_at_ms; /* the last line */
-	uint64_t dropped;     /* messages so far */
-	uint64_t logged;      /* how many of them lines have reported */
+	int64_t logged_at_ms;   /* when the last line was logged */
+	uint64_t dropped_count; /* messages dropped since the start */
+	uint64_t logged_count;  /* dropped messages that have been reported in log lines */
 };
 
-/* A controller. Each record has one owner; the step wires them. */
+/* A controller. Each record has one owner; controller_step connects the owners. */
 struct controller {
 	struct controller_identity identity;
 	struct controller_adapters adapters;
 	struct controller_clocks clocks;
-	struct bounds bounds; /* bounds_default until they are set */
-	bool stopping;        /* told to stop: begins nothing any more */
+	struct bounds bounds; /* the deployment's bounds; bounds_default until they are set */
+	bool stopping;        /* CONTROLLER_STOP was received: no new work is begun */
 
-	/* replication */
+	/* replicated logs */
 	struct raft shards[SHARD_COUNT];
 	struct controller_leadership leadership[SHARD_COUNT];
 	struct controller_compaction compaction[SHARD_COUNT];
-	uint64_t epoch[SHARD_COUNT]; /* of the newest operation applied */
+	uint64_t epoch[SHARD_COUNT]; /* epoch of the newest operation that was applied */
 
 	/* applied state */
 	struct controller_config config;
-	struct retention retention; /* its leader's part is soft */
+	struct retention retention; /* the fields that only the leader uses are soft state */
 	struct controller_purge_state purge_state;
 	struct controller_service_state service_states[SHARD_SERVICES];
 
@@ -357,7 +381,8 @@
 	struct controller_membership membership;
 	struct controller_handover handover;
 	struct controller_quota_shares quota;
-	struct instances instances; /* servers, as the configuration's leader observes them itself */
+	struct instances
+	    instances; /* servers on the endpoint list, as observed by the control shard's leader */
 	struct rollout rollout;
 	struct controller_server_rollout server_rollout;
 	struct controller_publisher publisher;
--- a/lib/control/group_clock.c
+++ b/lib/control/group_clock.c
@@ -1,15 +1,15 @@
 #include "group_clock.h"
 
-enum { FIRST_MOMENT = 1 }; /* 0: a moment is not known */
+enum { FIRST_CLOCK_MS = 1 }; /* 0: a moment is not known */
 
-void group_clock_lead(struct controller *controller, int64_t now)
+void group_clock_start_term(struct controller *controller, int64_t now)
 {
 	int64_t logged_ms = (int64_t)controller->config.table.clock.at_ms,
 		received_ms = config_watch_clock_ms(&controller->config_watch, 0, now);
 	int64_t clock_ms = logged_ms > received_ms ? logged_ms : received_ms;
 
-	if (clock_ms < FIRST_MOMENT)
-		clock_ms = FIRST_MOMENT;
+	if (clock_ms < FIRST_CLOCK_MS)
+		clock_ms = FIRST_CLOCK_MS;
 	controller->clocks.group_offset_ms = clock_ms - now;
 }
 
@@ -18,7 +18,7 @@
 	return (uint64_t)(now + controller->clocks.group_offset_ms);
 }
 
-uint64_t group_clock_before(const struct controller *controller, int64_t span_ms, int64_t now)
+uint64_t group_clock_earlier(const struct controller *controller, int64_t span_ms, int64_t now)
 {
 	int64_t clock_ms = (int64_t)group_clock_now(controller, now);
 
--- a/lib/control/group_clock.h
+++ b/lib/control/group_clock.h
@@ -16,13 +16,13 @@
 
 /* Leadership of the control group begins; all that was committed before has been applied.
  * Example: group_clock_lead(controller, now); */
-void group_clock_lead(struct controller *controller, int64_t now);
+void group_clock_start_term(struct controller *controller, int64_t now);
 
 /* The clock, on its leader. Example: operation->logged_at_ms = group_clock_now(controller, now); */
 uint64_t group_clock_now(const struct controller *controller, int64_t now);
 
 /* The clock span_ms ago; 0 if it had not begun.
  * Example: passed_at_ms = group_clock_before(controller, bounds.rollout_ms, now); */
-uint64_t group_clock_before(const struct controller *controller, int64_t span_ms, int64_t now);
+uint64_t group_clock_earlier(const struct controller *controller, int64_t span_ms, int64_t now);
 
 #endif
--- a/lib/control/idempotency.c
+++ b/lib/control/idempotency.c
@@ -6,7 +6,7 @@
 #include "containers.h"
 
 /* Goes in front of the bytes of a key, so that no key has the digest of a content: no call has this name. */
-static const char key_prefix[] = "Idempotency-Key";
+static const char digested_key_prefix[] = "Idempotency-Key";
 
 bool idempotency_key_is_valid(const char *key)
 {
@@ -40,7 +40,7 @@
 	struct sha256_ctx context;
 
 	sha256_init(&context);
-	sha256_update(&context, sizeof key_prefix, (const uint8_t *)key_prefix);
+	sha256_update(&context, sizeof digested_key_prefix, (const uint8_t *)digested_key_prefix);
 	sha256_update(&context, strlen(key), (const uint8_t *)key);
 	sha256_digest(&context, REQUEST_DIGEST_BYTES, digest);
 }
@@ -85,10 +85,10 @@
 }
 
 /* Note how far back the log reaches once a record is evicted. */
-static void evict(struct idempotency_log *log, const struct idempotency_record *old)
+static void note_evicted_version(struct idempotency_log *log, const struct idempotency_record *evicted)
 {
-	if (old->series < SERIES_COUNT && old->version > log->forgotten_versions[old->series])
-		log->forgotten_versions[old->series] = old->version;
+	if (evicted->series < SERIES_COUNT && evicted->version > log->forgotten_versions[evicted->series])
+		log->forgotten_versions[evicted->series] = evicted->version;
 }
 
 void idempotency_log_add(struct idempotency_log *log, const struct request_key *key,
@@ -103,7 +103,7 @@
 		arrput(log->records, added);
 		return;
 	}
-	evict(log, &log->records[log->oldest]);
+	note_evicted_version(log, &log->records[log->oldest]);
 	log->records[log->oldest] = added;
 	log->oldest = (log->oldest + 1) % capacity;
 }
@@ -160,13 +160,13 @@
 	if (!state)
 		return;
 	for (size_t i = 0; i < state->n_idempotency_records; i++) {
-		const struct Nl__IdempotencyRecord *record = state->idempotency_records[i];
-		struct request_key key = request_key_unpack(record->request_key);
+		const struct Nl__IdempotencyRecord *saved = state->idempotency_records[i];
+		struct request_key key = request_key_unpack(saved->request_key);
 
 		idempotency_log_add(log, &key,
-				    record->series < SERIES_COUNT ? (enum request_series)record->series
-								  : SERIES_UNVERSIONED,
-				    record->version);
+				    saved->series < SERIES_COUNT ? (enum request_series)saved->series
+								 : SERIES_UNVERSIONED,
+				    saved->version);
 	}
 	for (size_t i = 0; i < state->n_forgotten_versions && i < SERIES_COUNT; i++)
 		log->forgotten_versions[i] = state->forgotten_versions[i];
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -3,18 +3,18 @@
 #include "group_clock.h"
 
 /* Twice the bound: a node whose bound has just been raised may still need the dates in between. */
-static void date_operation(const struct controller *controller, struct Nl__Operation *operation, int64_t now)
+static void stamp_operation(const struct controller *controller, struct Nl__Operation *operation, int64_t now)
 {
 	operation->logged_at_ms = group_clock_now(controller, now);
 	if (operation->body_case == NL__OPERATION__BODY_CHANGE)
 		operation->change->bound_passed_at_ms =
-		    group_clock_before(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
+		    group_clock_earlier(controller, 2 * (int64_t)controller->bounds.rollout_ms, now);
 }
 
 uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation,
 		       int64_t now, struct command_list *out)
 {
-	size_t size;
+	size_t packed_bytes;
 	uint8_t *packed;
 
 	if (!leads_shard(controller, shard, now))
@@ -22,7 +22,7 @@
 	operation->group_clock_ms = (uint64_t)(now - controller->leadership[shard].clock_advanced_at_ms);
 	controller->leadership[shard].clock_advanced_at_ms = now;
 	if (shard == SHARD_CONTROL)
-		date_operation(controller, operation, now);
-	packed = core_pack_message(out->pool, &operation->base, &size);
-	return raft_propose(&controller->shards[shard], packed, size, now);
+		stamp_operation(controller, operation, now);
+	packed = core_pack_message(out->pool, &operation->base, &packed_bytes);
+	return raft_propose(&controller->shards[shard], packed, packed_bytes, now);
 }
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -22,7 +22,7 @@
 		log_line(controller, "shard", out->pool,
 			 "Shard %u is led here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
-			group_clock_lead(controller, now);
+			group_clock_start_term(controller, now);
 			arrsetlen(controller->membership.nodes, 0);
 			quota_shares_clear(&controller->quota);
 			rollout_start_term(controller, now);
@@ -34,7 +34,7 @@
 }
 
 /* Between leases nothing is declared; a leader that holds its term goes on after the next lease begins. */
-static void stop_publisher(struct controller *controller, struct command_list *out)
+static void deactivate_publisher(struct controller *controller, struct command_list *out)
 {
 	controller->relay.is_publisher = 0;
 	arrsetlen(controller->relay.upstreams, 0);
@@ -63,7 +63,7 @@
 	if (raft->role == RAFT_LEADER)
 		return;
 	if (shard == SHARD_PURGE && controller->relay.is_publisher && !raft_has_lease(raft, now))
-		stop_publisher(controller, out);
+		deactivate_publisher(controller, out);
 	if (shard == SHARD_CONTROL)
 		abandon_logged_calls(controller, out);
 	abandon_received_proposals(controller, shard, out);
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -22,27 +22,27 @@
 
 void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	char name[20];
+	char row_name[20];
 	const struct Nl__Row *row;
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
-	struct Nl__Row own = NL__ROW__INIT, *set[1] = { &own };
+	struct Nl__Row own_row = NL__ROW__INIT, *changed_rows[1] = { &own_row };
 
 	if (now - controller->membership.registered_at_ms < 1000 ||
 	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
 		return;
-	apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
-	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
-	own.kind = NL__KIND__CONTROLLER;
-	own.name = name;
-	own.id = controller->identity.id;
-	own.addr = (char *)core_format_addr(out->pool, controller->identity.addr);
-	own.zone = (char *)controller->identity.zone;
-	if (row && !strcmp(row->addr, own.addr) && !strcmp(row->zone, own.zone))
+	apr_snprintf(row_name, sizeof row_name, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
+	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, row_name);
+	own_row.kind = NL__KIND__CONTROLLER;
+	own_row.name = row_name;
+	own_row.id = controller->identity.id;
+	own_row.addr = (char *)core_format_addr(out->pool, controller->identity.addr);
+	own_row.zone = (char *)controller->identity.zone;
+	if (row && !strcmp(row->addr, own_row.addr) && !strcmp(row->zone, own_row.zone))
 		return;
 	controller->membership.registered_at_ms = now;
 	change.any_revision = 1;
-	change.set = set;
+	change.set = changed_rows;
 	change.n_set = 1;
 	operation.body_case = NL__OPERATION__BODY_CHANGE;
 	operation.change = &change;
@@ -54,15 +54,15 @@
 {
 	struct raft_member live[CONFIG_WATCH_MAX_CONTROLLERS];
 	const struct Nl__Row *row;
-	char name[20];
+	char row_name[20];
 	int live_count = 0;
 
 	memset(live, 0, sizeof live);
 	for (; live_count < controller->config_watch.live_count; live_count++) {
 		live[live_count].id = controller->config_watch.live_id[live_count];
 		live[live_count].addr = controller->config_watch.live_addr[live_count];
-		apr_snprintf(name, sizeof name, "%016" APR_UINT64_T_HEX_FMT, live[live_count].id);
-		row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, name);
+		apr_snprintf(row_name, sizeof row_name, "%016" APR_UINT64_T_HEX_FMT, live[live_count].id);
+		row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, row_name);
 		live[live_count].zone = row ? core_hash_string(0, row->zone) : 0;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
@@ -75,7 +75,7 @@
 	}
 }
 
-static int contacted_lately(const struct controller *controller, uint64_t node_id, int64_t now)
+static int has_recent_contact(const struct controller *controller, uint64_t node_id, int64_t now)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		if (controller->membership.nodes[i].id == node_id)
@@ -87,38 +87,38 @@
  * well: it is told where the fleet is. */
 static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
-	if (now - controller->membership.announced_at_ms < CONTROLLER_ANNOUNCE_MS)
+	if (now - controller->membership.announced_at_ms < CONTROLLER_ANNOUNCE_INTERVAL_MS)
 		return;
 	controller->membership.announced_at_ms = now;
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
 		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
-		struct Nl__LeaderHint *owner;
+		struct Nl__LeaderHint *hint;
 
-		if (row->kind != NL__KIND__CONTROLLER || contacted_lately(controller, row->id, now) ||
+		if (row->kind != NL__KIND__CONTROLLER || has_recent_contact(controller, row->id, now) ||
 		    !core_parse_addr(row->addr))
 			continue;
-		owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
-		owner->leader_addr = out->addr;
+		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		hint->leader_addr = out->addr;
 		command_send(out, core_parse_addr(row->addr), SHARD_CONTROL, NL__MSG__BODY_LEADER_HINT)
-		    ->leader_hint = owner;
+		    ->leader_hint = hint;
 	}
 }
 
 /* Delete the row of a controller that was never seen in this term, one at a time. */
-static void remove_expired_controllers(struct controller *controller, int64_t now, struct command_list *out)
+static void remove_one_absent_controller(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
-		struct Nl__Row *old = controller->config.table.rows[i].value.row, *del[1] = { old };
+		struct Nl__Row *row = controller->config.table.rows[i].value.row, *deleted_rows[1] = { row };
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Change change = NL__CHANGE__INIT;
-		int is_known = old->kind != NL__KIND__CONTROLLER;
+		int is_kept = row->kind != NL__KIND__CONTROLLER;
 
-		for (ptrdiff_t k = 0; k < arrlen(controller->membership.nodes) && !is_known; k++)
-			is_known = controller->membership.nodes[k].id == old->id;
-		if (is_known)
+		for (ptrdiff_t k = 0; k < arrlen(controller->membership.nodes) && !is_kept; k++)
+			is_kept = controller->membership.nodes[k].id == row->id;
+		if (is_kept)
 			continue;
 		change.any_revision = 1;
-		change.deleted = del;
+		change.deleted = deleted_rows;
 		change.n_deleted = 1;
 		operation.body_case = NL__OPERATION__BODY_CHANGE;
 		operation.change = &change;
@@ -129,7 +129,7 @@
 
 void membership_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	if (now - controller->membership.reconfigured_at_ms < CONTROLLER_RECONFIGURE_MS ||
+	if (now - controller->membership.reconfigured_at_ms < CONTROLLER_RECONFIGURE_INTERVAL_MS ||
 	    config_watch_age_ms(&controller->config_watch, now) > CONFIG_WATCH_ADMIT_STALENESS_MS)
 		return;
 	controller->membership.reconfigured_at_ms = now;
@@ -137,6 +137,6 @@
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	announce_fleet(controller, now, out);
-	if (now - controller->leadership[SHARD_CONTROL].since_ms >= CONTROLLER_FORGET_CONTROLLERS_MS)
-		remove_expired_controllers(controller, now, out);
+	if (now - controller->leadership[SHARD_CONTROL].since_ms >= CONTROLLER_REMOVE_ABSENT_CONTROLLERS_MS)
+		remove_one_absent_controller(controller, now, out);
 }
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -12,20 +12,20 @@
 #include "config_check.h"
 
 void reply_to_proposal(uint64_t addr, uint64_t token, enum proposal_status status, uint64_t version,
-		       const char *why, uint64_t hint, struct command_list *out)
+		       const char *reason, uint64_t leader_hint_addr, struct command_list *out)
 {
-	struct Nl__ProposeReply *answer = MESSAGE_NEW(out, Nl__ProposeReply, NL__PROPOSE_REPLY__INIT);
+	struct Nl__ProposeReply *reply = MESSAGE_NEW(out, Nl__ProposeReply, NL__PROPOSE_REPLY__INIT);
 
-	answer->token = token;
-	answer->status = status;
-	answer->reason = (char *)why;
-	answer->revision = version;
-	answer->leader_hint = hint;
-	command_send(out, addr, 0, NL__MSG__BODY_PROPOSE_REPLY)->propose_reply = answer;
+	reply->token = token;
+	reply->status = status;
+	reply->reason = (char *)reason;
+	reply->revision = version;
+	reply->leader_hint = leader_hint_addr;
+	command_send(out, addr, 0, NL__MSG__BODY_PROPOSE_REPLY)->propose_reply = reply;
 }
 
-void answer_proposers(struct controller *controller, uint32_t shard, uint64_t index,
-		      struct apply_result applied, struct command_list *out)
+void answer_proposer(struct controller *controller, uint32_t shard, uint64_t index,
+		     struct apply_result applied, struct command_list *out)
 {
 	struct controller_pending_entry *received = controller->proposals.received;
 
@@ -60,7 +60,7 @@
 }
 
 /* Whether nodes may propose this operation to this shard. */
-static bool is_expected(const struct Nl__Msg *message)
+static bool is_proposable_by_nodes(const struct Nl__Msg *message)
 {
 	const struct Nl__Operation *operation = message->propose->operation;
 
@@ -75,8 +75,8 @@
 }
 
 /* Whether an operation of the control shard can be applied as the state is. NULL, or what is wrong. */
-static const char *check_operation(const struct controller *controller, struct Nl__Operation *operation,
-				   int64_t now, apr_pool_t *pool)
+static const char *check_control_operation(const struct controller *controller,
+					   struct Nl__Operation *operation, int64_t now, apr_pool_t *pool)
 {
 	const char *fault;
 
@@ -109,30 +109,31 @@
 
 /* Answer a proposal whose outcome is known already: accepted before, applied before, or built on an old
  * revision. */
-static bool answer_known(const struct controller *controller, const struct Nl__Msg *message,
-			 struct command_list *out)
+static bool answer_if_decided(const struct controller *controller, const struct Nl__Msg *message,
+			      struct command_list *out)
 {
-	const struct Nl__Propose *q = message->propose;
+	const struct Nl__Propose *request = message->propose;
 	const struct config_table *table = &controller->config.table;
-	struct request_key request_key = request_key_unpack(q->operation->request_key);
+	struct request_key request_key = request_key_unpack(request->operation->request_key);
 	const struct idempotency_record *accepted;
 	enum proposal_status status;
 
 	if ((accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key))) {
-		reply_to_proposal(message->addr, q->token, repeated_request_status(accepted, &request_key),
-				  accepted->version, IDEMPOTENCY_KEY_REUSED, 0, out);
+		reply_to_proposal(message->addr, request->token,
+				  repeated_request_status(accepted, &request_key), accepted->version,
+				  IDEMPOTENCY_KEY_REUSED, 0, out);
 		return true;
 	}
 	if (message->shard != SHARD_CONTROL)
 		return false;
-	if (completed_proposals_find(&controller->config.completed_proposals, q->operation, &status)) {
-		reply_to_proposal(message->addr, q->token, status, table->revision, "edition overtaken", 0,
-				  out);
+	if (completed_proposals_find(&controller->config.completed_proposals, request->operation, &status)) {
+		reply_to_proposal(message->addr, request->token, status, table->revision, "edition overtaken",
+				  0, out);
 		return true;
 	}
-	if (is_superseded(table, q->operation)) {
-		reply_to_proposal(message->addr, q->token,
-				  superseded_status(controller, q->operation->change), table->revision,
+	if (is_superseded(table, request->operation)) {
+		reply_to_proposal(message->addr, request->token,
+				  superseded_status(controller, request->operation->change), table->revision,
 				  "edition overtaken", 0, out);
 		return true;
 	}
@@ -142,37 +143,37 @@
 void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 		 struct command_list *out)
 {
-	const struct Nl__Propose *q = message->propose;
-	struct controller_pending_entry entry = { message->shard, 0, message->addr, q->token };
-	const char *fault = NULL;
+	const struct Nl__Propose *request = message->propose;
+	struct controller_pending_entry pending = { message->shard, 0, message->addr, request->token };
+	const char *rejection = NULL;
 
-	if (message->shard >= SHARD_COUNT || !q->operation)
+	if (message->shard >= SHARD_COUNT || !request->operation)
 		return;
 	if (!leads_shard(controller, message->shard, now)) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
+		reply_to_proposal(message->addr, request->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
 		return;
 	}
-	if (!is_expected(message))
-		fault = "op: not one that this part takes";
-	else if (answer_known(controller, message, out))
+	if (!is_proposable_by_nodes(message))
+		rejection = "op: not one that this part takes";
+	else if (answer_if_decided(controller, message, out))
 		return;
 	else if (message->shard == SHARD_CONTROL)
-		fault = check_operation(controller, q->operation, now, out->pool);
-	if (fault) {
-		reply_to_proposal(message->addr, q->token, PROPOSAL_REJECTED,
-				  controller->config.table.revision, fault, 0, out);
+		rejection = check_control_operation(controller, request->operation, now, out->pool);
+	if (rejection) {
+		reply_to_proposal(message->addr, request->token, PROPOSAL_REJECTED,
+				  controller->config.table.revision, rejection, 0, out);
 		return;
 	}
-	entry.log_index = log_operation(controller, message->shard, q->operation, now, out);
-	if (entry.log_index)
-		arrput(controller->proposals.received, entry);
+	pending.log_index = log_operation(controller, message->shard, request->operation, now, out);
+	if (pending.log_index)
+		arrput(controller->proposals.received, pending);
 	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
-		reply_to_proposal(message->addr, q->token, PROPOSAL_NOT_LEADER, 0, "",
+		reply_to_proposal(message->addr, request->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
 }
 
-void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *op,
+void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *operation,
 	     uint64_t call_token, int64_t now)
 {
 	struct controller_proposal proposal = { ++controller->identity.last_token,
@@ -184,13 +185,13 @@
 						0,
 						0,
 						0 };
-	size_t size = nl__operation__get_packed_size(op);
-	uint8_t *packed = malloc(size + 1);
+	size_t packed_bytes = nl__operation__get_packed_size(operation);
+	uint8_t *packed = malloc(packed_bytes + 1);
 
 	if (!packed)
 		abort();
-	nl__operation__pack(op, packed);
-	proposal.operation = nl__operation__unpack(NULL, size, packed);
+	nl__operation__pack(operation, packed);
+	proposal.operation = nl__operation__unpack(NULL, packed_bytes, packed);
 	free(packed);
 	if (!proposal.operation)
 		abort();
@@ -200,7 +201,7 @@
 	arrput(controller->proposals.own, proposal);
 }
 
-static void end_proposal(struct controller *controller, ptrdiff_t i)
+static void remove_proposal(struct controller *controller, ptrdiff_t i)
 {
 	nl__operation__free_unpacked(controller->proposals.own[i].operation, NULL);
 	arrdel(controller->proposals.own, i);
@@ -209,8 +210,8 @@
 /* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader
  * is in reach; what may have been waits for its outcome, up to its time. A controller that is to stop looks
  * for no leader any more: there nothing waits without one. */
-static int proposal_expired(const struct controller *controller, const struct controller_proposal *proposal,
-			    int64_t now, struct command_list *out)
+static int expire_proposal(const struct controller *controller, const struct controller_proposal *proposal,
+			   int64_t now, struct command_list *out)
 {
 	int may_be_logged = proposal->send_count > proposal->denied_count;
 
@@ -230,24 +231,24 @@
 {
 	for (ptrdiff_t i = arrlen(controller->proposals.own) - 1; i >= 0; i--) {
 		struct controller_proposal *proposal = &controller->proposals.own[i];
-		struct Nl__Propose *q;
+		struct Nl__Propose *request;
 
-		if (proposal_expired(controller, proposal, now, out)) {
-			end_proposal(controller, i);
+		if (expire_proposal(controller, proposal, now, out)) {
+			remove_proposal(controller, i);
 			continue;
 		}
 		if (now < proposal->retry_at_ms || !leader_reachable(controller, now))
 			continue;
 		proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS;
 		proposal->send_count++;
-		q = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
-		q->token = proposal->token;
+		request = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
+		request->token = proposal->token;
 		proposal->operation->oldest_open_token = controller->proposals.own[0].token;
-		q->operation =
+		request->operation =
 		    (struct Nl__Operation *)core_copy_message(out->pool, &proposal->operation->base);
 		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard),
 			     proposal->shard, NL__MSG__BODY_PROPOSE)
-		    ->propose = q;
+		    ->propose = request;
 	}
 }
 
@@ -268,7 +269,7 @@
 
 /* A copy was refused as the table stood. While another may still be on its way, it may be accepted as the
  * table stands then: nothing is said before that one is answered too, and no more are sent. */
-static int another_copy_in_flight(struct controller_proposal *proposal)
+static int wait_for_other_copies(struct controller_proposal *proposal)
 {
 	proposal->refused_count++;
 	if (proposal->refused_count >= proposal->send_count - proposal->denied_count)
@@ -277,42 +278,43 @@
 	return 1;
 }
 
-void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *answer, int64_t now,
+void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *reply, int64_t now,
 		       struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++) {
 		struct controller_proposal *proposal = &controller->proposals.own[i];
 		const char *body;
 
-		if (proposal->token != answer->token)
+		if (proposal->token != reply->token)
 			continue;
-		if (answer->status == PROPOSAL_NOT_LEADER) { /* surely not logged there */
+		if (reply->status == PROPOSAL_NOT_LEADER) { /* surely not logged there */
 			proposal->denied_count++;
-			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS; /* the one named */
-			config_watch_hint(&controller->config_watch, proposal->shard, answer->leader_hint);
+			proposal->retry_at_ms =
+			    now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS; /* the one named */
+			config_watch_hint(&controller->config_watch, proposal->shard, reply->leader_hint);
 			return;
 		}
-		if (answer->status == PROPOSAL_REJECTED && another_copy_in_flight(proposal))
+		if (reply->status == PROPOSAL_REJECTED && wait_for_other_copies(proposal))
 			return;
-		if (answer->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the
+		if (reply->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the
 								     next leader will tell */
-			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_FAST_MS;
+			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS;
 			return;
 		}
-		if (answer->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
+		if (reply->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
 			return; /* said long ago, and read only now: no more than that it may have been logged
 				   is certain */
-		if (proposal->call_token && answer->status == PROPOSAL_DONE) {
+		if (proposal->call_token && reply->status == PROPOSAL_DONE) {
 			body =
-			    apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", answer->revision);
+			    apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", reply->revision);
 			command_answer(out, proposal->call_token, 200, 0, body);
 		} else if (proposal->call_token) {
-			int http_status = rejection_http_status(answer->status);
+			int http_status = rejection_http_status(reply->status);
 
 			body = error_json(out->pool,
-					  answer->status == PROPOSAL_KEY_EXPIRED ? IDEMPOTENCY_OUTCOME_UNKNOWN
-										 : answer->reason,
-					  answer->revision);
+					  reply->status == PROPOSAL_KEY_EXPIRED ? IDEMPOTENCY_OUTCOME_UNKNOWN
+										: reply->reason,
+					  reply->revision);
 			if (http_status < 500)
 				command_answer_until(out, proposal->call_token, http_status, body,
 						     proposal->deadline_at_ms);
@@ -320,7 +322,7 @@
 				command_answer(out, proposal->call_token, http_status, CONTROLLER_RETRY_MS,
 					       body);
 		}
-		end_proposal(controller, i);
+		remove_proposal(controller, i);
 		config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 		return;
 	}
--- a/lib/control/quota_shares.h
+++ b/lib/control/quota_shares.h
@@ -23,7 +23,7 @@
 void quota_shares_clear(struct controller_quota_shares *quota);
 
 /* The table is to be replaced as a whole: nothing of it is referred to any more. */
-void quota_shares_forget_table(struct controller_quota_shares *quota);
+void quota_shares_invalidate_table(struct controller_quota_shares *quota);
 
 /* Take in what a router holds, uses and requests under its limits (sync), and add what it gets to the reply.
  * is_new_leader: not all that the last leader granted is known yet. router_count: how many routers are live.
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -7,24 +7,25 @@
 #include "containers.h"
 #include "controller_private.h"
 
-enum { MAX_LOST = RAFT_MAX_MEMBERS };
+enum { RECOVERY_MAX_LOST_CONTROLLERS = RAFT_MAX_MEMBERS };
 
 /* The identities that the call names as lost for good; -1 when they cannot be read. */
-static int read_lost(const char *body, uint64_t lost[MAX_LOST])
+static int parse_lost_ids(const char *body, uint64_t lost_ids[RECOVERY_MAX_LOST_CONTROLLERS])
 {
-	struct json_object *call = json_tokener_parse(body), *list;
-	int count = -1;
+	struct json_object *request = json_tokener_parse(body), *lost_list;
+	int lost_count = -1;
 
-	if (call && json_object_is_type(call, json_type_object) &&
-	    json_object_object_get_ex(call, "lost", &list) && json_object_is_type(list, json_type_array) &&
-	    json_object_array_length(list) <= MAX_LOST) {
-		count = 0;
-		for (size_t i = 0; i < json_object_array_length(list); i++)
-			lost[count++] =
-			    strtoull(json_object_get_string(json_object_array_get_idx(list, i)), NULL, 16);
+	if (request && json_object_is_type(request, json_type_object) &&
+	    json_object_object_get_ex(request, "lost", &lost_list) &&
+	    json_object_is_type(lost_list, json_type_array) &&
+	    json_object_array_length(lost_list) <= RECOVERY_MAX_LOST_CONTROLLERS) {
+		lost_count = 0;
+		for (size_t i = 0; i < json_object_array_length(lost_list); i++)
+			lost_ids[lost_count++] = strtoull(
+			    json_object_get_string(json_object_array_get_idx(lost_list, i)), NULL, 16);
 	}
-	json_object_put(call);
-	return count;
+	json_object_put(request);
+	return lost_count;
 }
 
 static struct json_object *member_json(const struct raft *raft, const struct raft_member *member, int64_t now,
@@ -43,14 +44,14 @@
 	return json;
 }
 
-static struct json_object *shard_json(const struct raft *raft, enum raft_recovery verdict, int recovered,
+static struct json_object *shard_json(const struct raft *raft, enum raft_recovery recovery, int is_recovered,
 				      int64_t now, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_new_object(), *members = json_object_new_array();
 
 	json_object_object_add(json, "shard", json_object_new_int64(raft->shard));
-	json_object_object_add(json, "recovered", json_object_new_boolean(recovered));
-	json_object_object_add(json, "why", json_object_new_string(raft_recovery_strerror(verdict)));
+	json_object_object_add(json, "recovered", json_object_new_boolean(is_recovered));
+	json_object_object_add(json, "why", json_object_new_string(raft_recovery_strerror(recovery)));
 	json_object_object_add(
 	    json, "kept_up_to",
 	    json_object_new_uint64(raft->log.base_index + (uint64_t)arrlen(raft->log.entries)));
@@ -64,11 +65,11 @@
 void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
 		    struct command_list *out)
 {
-	uint64_t lost[MAX_LOST];
-	int count = read_lost(event->payload.api_call.body, lost), recovered = 0;
+	uint64_t lost_ids[RECOVERY_MAX_LOST_CONTROLLERS];
+	int lost_count = parse_lost_ids(event->payload.api_call.body, lost_ids), recovered_count = 0;
 	struct json_object *answer, *shards;
 
-	if (count < 0) {
+	if (lost_count < 0) {
 		command_answer(out, event->payload.api_call.token, 400, 0,
 			       error_json(out->pool, "lost: a list of up to 8 identities of registrars", 0));
 		return;
@@ -77,27 +78,27 @@
 	shards = json_object_new_array();
 	for (int i = 0; i < SHARD_COUNT; i++) {
 		struct raft *raft = &controller->shards[i];
-		enum raft_recovery verdict =
-		    count ? raft_recover(raft, lost, count, now) : raft_can_recover(raft, lost, count, now);
-		int done = count && verdict == RAFT_RECOVERY_POSSIBLE;
+		enum raft_recovery recovery = lost_count ? raft_recover(raft, lost_ids, lost_count, now)
+							 : raft_can_recover(raft, lost_ids, lost_count, now);
+		int is_recovered = lost_count && recovery == RAFT_RECOVERY_POSSIBLE;
 
-		recovered += done;
-		if (done)
+		recovered_count += is_recovered;
+		if (is_recovered)
 			log_line(controller, "recovery", out->pool,
 				 "Shard %d is recovered from this replica alone, in epoch %" APR_UINT64_T_FMT
 				 ".",
 				 i, raft_epoch(raft->term));
-		json_object_array_add(shards, shard_json(raft, verdict, done, now, out->pool));
+		json_object_array_add(shards, shard_json(raft, recovery, is_recovered, now, out->pool));
 	}
-	json_object_object_add(answer, "recovered", json_object_new_int(recovered));
+	json_object_object_add(answer, "recovered", json_object_new_int(recovered_count));
 	json_object_object_add(
 	    answer, "lost",
-	    json_object_new_string(recovered ? "what only the lost registrars held: orders, claims "
-					       "and purges that were acknowledged last may be missing"
-					     : "nothing"));
+	    json_object_new_string(recovered_count ? "what only the lost registrars held: orders, claims "
+						     "and purges that were acknowledged last may be missing"
+						   : "nothing"));
 	json_object_object_add(answer, "shards", shards);
 	command_answer(
-	    out, event->payload.api_call.token, recovered ? 200 : 409, 0,
+	    out, event->payload.api_call.token, recovered_count ? 200 : 409, 0,
 	    apr_pstrdup(out->pool, json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(answer);
 }
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -13,25 +13,25 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-static uint8_t *pack_control_state(const struct controller *controller, apr_pool_t *pool, size_t *size)
+static uint8_t *pack_control_state(const struct controller *controller, apr_pool_t *pool, size_t *size_bytes)
 {
 	struct Nl__ControlState state = NL__CONTROL_STATE__INIT;
-	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
-	struct config_table_row *row = controller->config.table.rows;
-	char **key = apr_palloc(pool, ((size_t)shlen(row) + 1) * sizeof *key);
+	struct Nl__ConfigSyncReply all_rows = NL__CONFIG_SYNC_REPLY__INIT;
+	struct config_table_row *rows = controller->config.table.rows;
+	char **sorted_keys = apr_palloc(pool, ((size_t)shlen(rows) + 1) * sizeof *sorted_keys);
 
-	config_table_since(&controller->config.table, 0, &all, pool);
+	config_table_since(&controller->config.table, 0, &all_rows, pool);
 	state.fleet_id = controller->identity.fleet;
 	state.revision = controller->config.table.revision;
 	state.operator_revision = controller->config.table.operator_revision;
 	state.group_clock_ms = controller->config.table.clock.at_ms;
-	state.rows = all.set;
-	state.n_rows = all.n_set;
+	state.rows = all_rows.set;
+	state.n_rows = all_rows.n_set;
 	for (size_t i = 0; i < state.n_rows; i++) /* in order, so that equal states pack alike */
-		key[i] = row[i].key;
-	qsort(key, state.n_rows, sizeof *key, compare_keys);
+		sorted_keys[i] = rows[i].key;
+	qsort(sorted_keys, state.n_rows, sizeof *sorted_keys, compare_keys);
 	for (size_t i = 0; i < state.n_rows; i++)
-		state.rows[i] = shget(row, key[i]).row;
+		state.rows[i] = shget(rows, sorted_keys[i]).row;
 	state.feed = controller->config.purge_feed;
 	state.n_feed = (size_t)arrlen(controller->config.purge_feed);
 	completed_proposals_pack(&controller->config.completed_proposals, &state, pool);
@@ -40,11 +40,11 @@
 	state.document_version = controller->config.document_version;
 	idempotency_log_pack(&controller->config.accepted_requests, &state, pool);
 	retention_pack(&controller->retention, &state);
-	return core_pack_message(pool, &state.base, size);
+	return core_pack_message(pool, &state.base, size_bytes);
 }
 
 static uint8_t *pack_purge_state(const struct controller_purge_state *purge_state, apr_pool_t *pool,
-				 size_t *size)
+				 size_t *size_bytes)
 {
 	struct Nl__PurgeState state = NL__PURGE_STATE__INIT;
 	struct Nl__FeedOffset offsets[SHARD_COUNT], *offset_pointers[SHARD_COUNT];
@@ -71,16 +71,16 @@
 	}
 	state.feed_offsets = offset_pointers;
 	state.n_feed_offsets = SHARD_COUNT;
-	return core_pack_message(pool, &state.base, size);
+	return core_pack_message(pool, &state.base, size_bytes);
 }
 
 static uint8_t *pack_service_state(const struct controller_service_state *service, apr_pool_t *pool,
-				   size_t *size)
+				   size_t *size_bytes)
 {
 	struct Nl__ServiceState state = NL__SERVICE_STATE__INIT;
 	struct controller_claim *claims = service->claims;
-	char **key = apr_palloc(pool, ((size_t)shlen(claims) + 1) * sizeof *key);
-	size_t live = 0;
+	char **sorted_keys = apr_palloc(pool, ((size_t)shlen(claims) + 1) * sizeof *sorted_keys);
+	size_t unexpired_count = 0;
 
 	state.clock = service->clock_ms;
 	state.purged_tick = service->purged_tick;
@@ -89,19 +89,19 @@
 	state.claims = apr_palloc(pool, ((size_t)shlen(claims) + 1) * sizeof *state.claims);
 	for (ptrdiff_t i = 0; i < shlen(claims); i++)
 		if (claims[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS >= service->clock_ms)
-			key[live++] = claims[i].key;
-	qsort(key, live, sizeof *key, compare_keys);
-	for (size_t i = 0; i < live; i++) {
+			sorted_keys[unexpired_count++] = claims[i].key;
+	qsort(sorted_keys, unexpired_count, sizeof *sorted_keys, compare_keys);
+	for (size_t i = 0; i < unexpired_count; i++) {
 		struct Nl__ClaimRecord *record = apr_palloc(pool, sizeof *record);
-		char *separator = strstr(key[i], CLAIM_KEY_SEPARATOR);
+		char *separator = strstr(sorted_keys[i], CLAIM_KEY_SEPARATOR);
 
 		nl__claim_record__init(record);
-		record->tenant = apr_pstrmemdup(pool, key[i], (size_t)(separator - key[i]));
+		record->tenant = apr_pstrmemdup(pool, sorted_keys[i], (size_t)(separator - sorted_keys[i]));
 		record->id = separator + 1;
-		record->router_id = shget(claims, key[i]).claimed_by;
-		record->seq = shget(claims, key[i]).sequence;
-		record->claimed_at = shget(claims, key[i]).claimed_at_ms;
-		record->returned = shget(claims, key[i]).returned;
+		record->router_id = shget(claims, sorted_keys[i]).router_id;
+		record->seq = shget(claims, sorted_keys[i]).claim_sequence;
+		record->claimed_at = shget(claims, sorted_keys[i]).claimed_at_ms;
+		record->returned = shget(claims, sorted_keys[i]).is_released;
 		state.claims[state.n_claims++] = record;
 	}
 	state.feed = service->purge_feed;
@@ -119,19 +119,20 @@
 			state.rolled_out[k] = state.rolled_out[k - 1];
 		state.rolled_out[k] = rolled_out;
 	}
-	return core_pack_message(pool, &state.base, size);
+	return core_pack_message(pool, &state.base, size_bytes);
 }
 
-uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool, size_t *size)
+uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
+			  size_t *size_bytes)
 {
 	if (shard == SHARD_CONTROL)
-		return pack_control_state(controller, pool, size);
+		return pack_control_state(controller, pool, size_bytes);
 	if (shard == SHARD_PURGE)
-		return pack_purge_state(&controller->purge_state, pool, size);
-	return pack_service_state(&controller->service_states[shard - SHARD_SERVICE], pool, size);
+		return pack_purge_state(&controller->purge_state, pool, size_bytes);
+	return pack_service_state(&controller->service_states[shard - SHARD_SERVICE], pool, size_bytes);
 }
 
-void free_values(struct Nl__Value ***values)
+void free_purge_values(struct Nl__Value ***values)
 {
 	for (ptrdiff_t i = 0; i < arrlen(*values); i++)
 		value_free((*values)[i]);
@@ -141,7 +142,7 @@
 void reset_service_state(struct controller_service_state *service)
 {
 	shfree(service->claims);
-	free_values(&service->purge_feed);
+	free_purge_values(&service->purge_feed);
 	for (ptrdiff_t i = 0; i < shlen(service->rolled_out); i++)
 		free(service->rolled_out[i].value);
 	shfree(service->rolled_out);
@@ -153,11 +154,11 @@
 static void load_control_state(struct controller *controller, const struct Nl__ControlState *state)
 {
 	struct controller_config *config = &controller->config;
-	struct Nl__ConfigSyncReply all = NL__CONFIG_SYNC_REPLY__INIT;
+	struct Nl__ConfigSyncReply all_rows = NL__CONFIG_SYNC_REPLY__INIT;
 
 	config_table_close(&config->table);
 	config_table_open(&config->table);
-	free_values(&config->purge_feed);
+	free_purge_values(&config->purge_feed);
 	completed_proposals_load(&config->completed_proposals, state);
 	idempotency_log_load(&config->accepted_requests, state);
 	retention_load(&controller->retention, state);
@@ -165,11 +166,11 @@
 		       state ? state->document_version : 0);
 	if (!state)
 		return;
-	all.full = 1;
-	all.revision = state->revision;
-	all.set = state->rows;
-	all.n_set = state->n_rows;
-	(void)config_table_follow(&config->table, &all);
+	all_rows.full = 1;
+	all_rows.revision = state->revision;
+	all_rows.set = state->rows;
+	all_rows.n_set = state->n_rows;
+	(void)config_table_follow(&config->table, &all_rows);
 	config->table.operator_revision = state->operator_revision;
 	config->table.clock.at_ms = state->group_clock_ms;
 	config->table.floor_revision = state->revision;
@@ -179,7 +180,7 @@
 
 static void load_purge_state(struct controller_purge_state *purge_state, const struct Nl__PurgeState *state)
 {
-	free_values(&purge_state->values);
+	free_purge_values(&purge_state->values);
 	purge_view_clear(&purge_state->last_view);
 	memset(purge_state, 0, sizeof *purge_state);
 	if (!state)
@@ -221,8 +222,9 @@
 		      strdup(state->rolled_out[i]->weights));
 }
 
-static ProtobufCMessage *unpack_newest(const struct raft *raft, const ProtobufCMessageDescriptor *descriptor,
-				       apr_pool_t *pool)
+static ProtobufCMessage *unpack_newest_snapshot(const struct raft *raft,
+						const ProtobufCMessageDescriptor *descriptor,
+						apr_pool_t *pool)
 {
 	return core_unpack_message(pool, descriptor, raft->snapshots.newest.data_len,
 				   raft->snapshots.newest.data);
@@ -234,25 +236,25 @@
 
 	controller->epoch[shard] = raft_epoch(raft->snapshots.newest.term);
 	if (shard == SHARD_CONTROL)
-		load_control_state(controller, (struct Nl__ControlState *)unpack_newest(
+		load_control_state(controller, (struct Nl__ControlState *)unpack_newest_snapshot(
 						   raft, &nl__control_state__descriptor, pool));
 	else if (shard == SHARD_PURGE)
-		load_purge_state(&controller->purge_state, (struct Nl__PurgeState *)unpack_newest(
+		load_purge_state(&controller->purge_state, (struct Nl__PurgeState *)unpack_newest_snapshot(
 							       raft, &nl__purge_state__descriptor, pool));
 	else
-		load_service_state(
-		    service_shard_state(controller, shard),
-		    (struct Nl__ServiceState *)unpack_newest(raft, &nl__service_state__descriptor, pool),
-		    pool);
+		load_service_state(service_shard_state(controller, shard),
+				   (struct Nl__ServiceState *)unpack_newest_snapshot(
+				       raft, &nl__service_state__descriptor, pool),
+				   pool);
 }
 
 void snapshot_create(struct controller *controller, uint32_t shard, struct command_list *out)
 {
-	size_t size;
+	size_t size_bytes;
 	uint8_t *packed;
 
 	if (service_shard_state(controller, shard))
 		expire_claims(service_shard_state(controller, shard));
-	packed = controller_state(controller, shard, out->pool, &size);
-	raft_snapshot(&controller->shards[shard], packed, size);
+	packed = controller_state(controller, shard, out->pool, &size_bytes);
+	raft_snapshot(&controller->shards[shard], packed, size_bytes);
 }
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -10,7 +10,7 @@
 #include "controller_state.h"
 
 /* Release a list of purge values (stb_ds); *values is NULL after it. */
-void free_values(struct Nl__Value ***values);
+void free_purge_values(struct Nl__Value ***values);
 
 /* Release a service shard's state and leave the empty one. */
 void reset_service_state(struct controller_service_state *service);
@@ -24,6 +24,6 @@
 /* The state of a shard as a snapshot holds it, packed, in the pool; for checks as well.
  * Example: data = controller_state(controller, shard, pool, &size); */
 uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
-			  size_t *size);
+			  size_t *size_bytes);
 
 #endif
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -7,24 +7,25 @@
 #include "containers.h"
 #include "controller_private.h"
 
-static void append_to_feed(struct Nl__Value ***feed, uint32_t shard, uint64_t index, struct Nl__Purge *purge)
+static void append_purge_to_feed(struct Nl__Value ***feed, uint32_t shard, uint64_t feed_index,
+				 struct Nl__Purge *purge)
 {
 	struct Nl__Value value = NL__VALUE__INIT;
 
 	value.feed = shard;
-	value.index = index;
+	value.index = feed_index;
 	value.purge = purge;
 	arrput(*feed, value_copy(&value));
 }
 
-static void trim_feed(struct Nl__Value ***feed, uint64_t up_to)
+static void trim_purge_feed(struct Nl__Value ***feed, uint64_t up_to_index)
 {
-	size_t n = 0;
+	size_t trimmed_count = 0;
 
-	while (n < (size_t)arrlen(*feed) && (*feed)[n]->index <= up_to)
-		value_free((*feed)[n++]);
-	if (n)
-		arrdeln(*feed, 0, n);
+	while (trimmed_count < (size_t)arrlen(*feed) && (*feed)[trimmed_count]->index <= up_to_index)
+		value_free((*feed)[trimmed_count++]);
+	if (trimmed_count)
+		arrdeln(*feed, 0, trimmed_count);
 }
 
 enum proposal_status repeated_request_status(const struct idempotency_record *accepted,
@@ -33,23 +34,23 @@
 	return request_key_equal(&accepted->key, request_key) ? PROPOSAL_DONE : PROPOSAL_KEY_REUSED;
 }
 
-void store_document(struct controller *controller, const uint8_t *data, size_t size, uint64_t version)
+void store_document(struct controller *controller, const uint8_t *data, size_t size_bytes, uint64_t version)
 {
 	free(controller->config.document);
-	controller->config.document = malloc(size + 1);
+	controller->config.document = malloc(size_bytes + 1);
 	if (!controller->config.document)
 		abort();
-	if (size)
-		memcpy(controller->config.document, data, size);
-	controller->config.document[size] = 0;
-	controller->config.document_bytes = size;
+	if (size_bytes)
+		memcpy(controller->config.document, data, size_bytes);
+	controller->config.document[size_bytes] = 0;
+	controller->config.document_bytes = size_bytes;
 	controller->config.document_version = version;
 }
 
 /* Whether an operation was applied before, and what came of it then. A proposer sends one again while its
  * answer is lost, and an operator sends a request again: it is applied once. */
-static bool applied_before(const struct controller *controller, const struct Nl__Operation *operation,
-			   enum proposal_status *status)
+static bool find_earlier_outcome(const struct controller *controller, const struct Nl__Operation *operation,
+				 enum proposal_status *status)
 {
 	struct request_key request_key = request_key_unpack(operation->request_key);
 	const struct idempotency_record *accepted =
@@ -65,8 +66,8 @@
 }
 
 /* Remember what came of an operation, so that it is applied once. */
-static void remember_operation(struct controller *controller, const struct Nl__Operation *operation,
-			       enum proposal_status status, enum request_series series, uint64_t version)
+static void record_outcome(struct controller *controller, const struct Nl__Operation *operation,
+			   enum proposal_status status, enum request_series series, uint64_t version)
 {
 	struct request_key request_key = request_key_unpack(operation->request_key);
 
@@ -92,50 +93,50 @@
 	return PROPOSAL_DONE;
 }
 
-static enum proposal_status apply_change(struct controller *controller, uint64_t index,
+static enum proposal_status apply_change(struct controller *controller, uint64_t feed_index,
 					 const struct Nl__Operation *operation)
 {
 	struct controller_config *config = &controller->config;
-	struct Nl__Purge **purges = NULL;
+	struct Nl__Purge **decided_purges = NULL;
 	enum proposal_status status;
 
-	if (applied_before(controller, operation, &status))
+	if (find_earlier_outcome(controller, operation, &status))
 		return status;
 	if (operation->change->document_version) {
-		status = apply_document(controller, operation->change, &purges);
-		remember_operation(controller, operation, status, SERIES_DOCUMENTS, config->document_version);
+		status = apply_document(controller, operation->change, &decided_purges);
+		record_outcome(controller, operation, status, SERIES_DOCUMENTS, config->document_version);
 	} else {
-		status = config_table_apply(&config->table, operation->change, &purges);
-		remember_operation(controller, operation, status, SERIES_CHANGES, config->table.revision);
+		status = config_table_apply(&config->table, operation->change, &decided_purges);
+		record_outcome(controller, operation, status, SERIES_CHANGES, config->table.revision);
 	}
-	for (ptrdiff_t i = 0; i < arrlen(purges); i++) {
-		append_to_feed(&config->purge_feed, SHARD_CONTROL, index << 16 | (uint64_t)i, purges[i]);
-		nl__purge__free_unpacked(purges[i], NULL);
+	for (ptrdiff_t i = 0; i < arrlen(decided_purges); i++) {
+		append_purge_to_feed(&config->purge_feed, SHARD_CONTROL, feed_index << 16 | (uint64_t)i,
+				     decided_purges[i]);
+		nl__purge__free_unpacked(decided_purges[i], NULL);
 	}
-	arrfree(purges);
+	arrfree(decided_purges);
 	if (status == PROPOSAL_DONE)
 		retention_on_config_change(&controller->retention, &config->table, &config->purge_feed,
-					   index);
+					   feed_index);
 	return status;
 }
 
-static enum proposal_status apply_retention_step(struct controller *controller, uint64_t index,
+static enum proposal_status apply_retention_step(struct controller *controller, uint64_t feed_index,
 						 const struct Nl__Operation *operation)
 {
 	enum proposal_status status;
 
-	if (applied_before(controller, operation, &status))
+	if (find_earlier_outcome(controller, operation, &status))
 		return status;
 	status = retention_apply(&controller->retention, &controller->config.table,
-				 &controller->config.purge_feed, index, operation->retention_step);
-	remember_operation(controller, operation, status, SERIES_UNVERSIONED,
-			   controller->config.table.revision);
+				 &controller->config.purge_feed, feed_index, operation->retention_step);
+	record_outcome(controller, operation, status, SERIES_UNVERSIONED, controller->config.table.revision);
 	return status;
 }
 
 /* After a retention purge, what a shard logged before it goes from its disks; and again when no claim from
  * before it is left. */
-static void apply_compaction(struct controller *controller, uint32_t shard, const struct Nl__Trim *trim)
+static void apply_purge_compaction(struct controller *controller, uint32_t shard, const struct Nl__Trim *trim)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
 	uint64_t *purged_tick = service                  ? &service->purged_tick
@@ -151,33 +152,35 @@
 		service->is_compacted = true;
 	}
 	*purged_tick = trim->purged_tick > *purged_tick ? trim->purged_tick : *purged_tick;
-	controller->compaction[shard].snapshot_needed = true;
+	controller->compaction[shard].is_snapshot_needed = true;
 }
 
 static enum proposal_status apply_claim(struct controller_service_state *service,
 					const struct Nl__Claim *claim, apr_pool_t *pool)
 {
 	char *key = apr_pstrcat(pool, claim->tenant, CLAIM_KEY_SEPARATOR, claim->id, NULL);
-	ptrdiff_t i = shgeti(service->claims, key);
-	int is_own;
+	ptrdiff_t found = shgeti(service->claims, key);
+	int is_same_claim;
 
-	if (i >= 0 && service->claims[i].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS < service->clock_ms) {
+	if (found >= 0 &&
+	    service->claims[found].value.claimed_at_ms + CONTROLLER_CLAIM_TTL_MS < service->clock_ms) {
 		(void)shdel(service->claims, key);
-		i = -1;
+		found = -1;
 	}
-	is_own = i >= 0 && service->claims[i].value.claimed_by == claim->router_id &&
-		 service->claims[i].value.sequence == claim->seq;
+	is_same_claim = found >= 0 && service->claims[found].value.router_id == claim->router_id &&
+			service->claims[found].value.claim_sequence == claim->seq;
 	/* a release is remembered, since the claim itself may still be on its way, here or once more */
 	if (claim->release) {
-		if (i < 0 || is_own)
+		if (found < 0 || is_same_claim)
 			shput(service->claims, key,
 			      ((typeof(service->claims->value)){ claim->router_id, claim->seq,
 								 service->clock_ms, 1 }));
 		return PROPOSAL_DONE;
 	}
-	if (is_own ? service->claims[i].value.returned : i >= 0 && !service->claims[i].value.returned)
+	if (is_same_claim ? service->claims[found].value.is_released
+			  : found >= 0 && !service->claims[found].value.is_released)
 		return PROPOSAL_REJECTED;
-	if (!is_own)
+	if (!is_same_claim)
 		shput(
 		    service->claims, key,
 		    ((typeof(service->claims->value)){ claim->router_id, claim->seq, service->clock_ms, 0 }));
@@ -191,27 +194,27 @@
 			(void)shdel(service->claims, service->claims[i].key);
 }
 
-static void apply_rollout(struct controller_service_state *service, uint32_t shard, uint64_t index,
-			  const struct Nl__RolledOut *rolled)
+static void apply_rolled_out_weights(struct controller_service_state *service, uint32_t shard,
+				     uint64_t feed_index, const struct Nl__RolledOut *rolled_out)
 {
-	ptrdiff_t i = shgeti(service->rolled_out, rolled->service);
-	char *weights = strdup(rolled->weights);
+	ptrdiff_t found = shgeti(service->rolled_out, rolled_out->service);
+	char *weights = strdup(rolled_out->weights);
 
-	if (i >= 0 && strcmp(service->rolled_out[i].value, rolled->weights)) {
+	if (found >= 0 && strcmp(service->rolled_out[found].value, rolled_out->weights)) {
 		struct Nl__Purge purge = NL__PURGE__INIT;
 
 		purge.reason = PURGE_WEIGHTS;
-		purge.service = rolled->service;
-		purge.weights = service->rolled_out[i].value;
-		append_to_feed(&service->purge_feed, shard, index << 16, &purge);
+		purge.service = rolled_out->service;
+		purge.weights = service->rolled_out[found].value;
+		append_purge_to_feed(&service->purge_feed, shard, feed_index << 16, &purge);
 	}
-	if (i >= 0)
-		free(service->rolled_out[i].value);
-	shput(service->rolled_out, rolled->service, weights);
+	if (found >= 0)
+		free(service->rolled_out[found].value);
+	shput(service->rolled_out, rolled_out->service, weights);
 }
 
 /* A value of the purge stream; true when it is new, and not one that its feed has given before. */
-static bool apply_value(struct controller_purge_state *state, const struct Nl__Value *value)
+static bool apply_purge_value(struct controller_purge_state *state, const struct Nl__Value *value)
 {
 	if (value->feed >= SHARD_COUNT || value->index <= state->published_index[value->feed] ||
 	    !value->purge)
@@ -222,16 +225,17 @@
 	return true;
 }
 
-static void apply_reservation(struct controller_purge_state *state, const struct Nl__Reserve *reserve)
+static void apply_tick_reservation(struct controller_purge_state *state, const struct Nl__Reserve *reserve)
 {
-	size_t n = 0;
+	size_t released_count = 0;
 
 	if (reserve->ceiling > state->ceiling)
 		state->ceiling = reserve->ceiling;
-	while (n < (size_t)arrlen(state->values) && state->values[n]->tick <= reserve->released)
-		value_free(state->values[n++]);
-	if (n)
-		arrdeln(state->values, 0, n);
+	while (released_count < (size_t)arrlen(state->values) &&
+	       state->values[released_count]->tick <= reserve->released)
+		value_free(state->values[released_count++]);
+	if (released_count)
+		arrdeln(state->values, 0, released_count);
 	if (reserve->released > state->released)
 		state->released = reserve->released;
 }
@@ -253,8 +257,8 @@
 }
 
 /* The clocks that operations carry: a service shard's own, and the control group's. */
-static void advance_clocks(struct controller *controller, uint32_t shard, const struct raft_entry *entry,
-			   const struct Nl__Operation *operation)
+static void advance_replicated_clocks(struct controller *controller, uint32_t shard,
+				      const struct raft_entry *entry, const struct Nl__Operation *operation)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
 	struct group_moment *clock = &controller->config.table.clock;
@@ -268,23 +272,23 @@
 	}
 }
 
-static void apply_control(struct controller *controller, uint64_t index,
-			  const struct Nl__Operation *operation, struct apply_result *result)
+static void apply_control_operation(struct controller *controller, uint64_t feed_index,
+				    const struct Nl__Operation *operation, struct apply_result *result)
 {
 	completed_proposals_note_open(&controller->config.completed_proposals, operation);
 	switch (operation->body_case) {
 	case NL__OPERATION__BODY_CHANGE:
-		result->status = apply_change(controller, index, operation);
+		result->status = apply_change(controller, feed_index, operation);
 		break;
 	case NL__OPERATION__BODY_RETENTION_STEP:
-		result->status = apply_retention_step(controller, index, operation);
+		result->status = apply_retention_step(controller, feed_index, operation);
 		break;
 	case NL__OPERATION__BODY_ROLLED_OUT:
 		result->commanded_server = operation->rolled_out->server;
 		result->status = PROPOSAL_DONE;
 		break;
 	case NL__OPERATION__BODY_TRIM:
-		trim_feed(&controller->config.purge_feed, operation->trim->feed);
+		trim_purge_feed(&controller->config.purge_feed, operation->trim->feed);
 		result->status = PROPOSAL_DONE;
 		break;
 	default:
@@ -292,16 +296,16 @@
 	}
 }
 
-static void apply_purge(struct controller *controller, const struct Nl__Operation *operation,
-			struct apply_result *result)
+static void apply_purge_operation(struct controller *controller, const struct Nl__Operation *operation,
+				  struct apply_result *result)
 {
 	switch (operation->body_case) {
 	case NL__OPERATION__BODY_RESERVE:
-		apply_reservation(&controller->purge_state, operation->reserve);
+		apply_tick_reservation(&controller->purge_state, operation->reserve);
 		result->status = PROPOSAL_DONE;
 		break;
 	case NL__OPERATION__BODY_VALUE:
-		result->value_is_new = apply_value(&controller->purge_state, operation->value);
+		result->value_is_new = apply_purge_value(&controller->purge_state, operation->value);
 		result->logged_value = operation->value;
 		result->status = PROPOSAL_DONE;
 		break;
@@ -313,20 +317,20 @@
 	}
 }
 
-static void apply_service(struct controller_service_state *service, uint32_t shard, uint64_t index,
-			  const struct Nl__Operation *operation, struct apply_result *result,
-			  apr_pool_t *pool)
+static void apply_service_operation(struct controller_service_state *service, uint32_t shard,
+				    uint64_t feed_index, const struct Nl__Operation *operation,
+				    struct apply_result *result, apr_pool_t *pool)
 {
 	switch (operation->body_case) {
 	case NL__OPERATION__BODY_CLAIM:
 		result->status = apply_claim(service, operation->claim, pool);
 		break;
 	case NL__OPERATION__BODY_ROLLED_OUT:
-		apply_rollout(service, shard, index, operation->rolled_out);
+		apply_rolled_out_weights(service, shard, feed_index, operation->rolled_out);
 		result->status = PROPOSAL_DONE;
 		break;
 	case NL__OPERATION__BODY_TRIM:
-		trim_feed(&service->purge_feed, operation->trim->feed);
+		trim_purge_feed(&service->purge_feed, operation->trim->feed);
 		result->status = PROPOSAL_DONE;
 		break;
 	default:
@@ -334,27 +338,27 @@
 	}
 }
 
-static void apply_operation(struct controller *controller, uint32_t shard, uint64_t index,
+static void apply_operation(struct controller *controller, uint32_t shard, uint64_t feed_index,
 			    const struct Nl__Operation *operation, struct apply_result *result,
 			    apr_pool_t *pool)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
 
 	if (service)
-		apply_service(service, shard, index, operation, result, pool);
+		apply_service_operation(service, shard, feed_index, operation, result, pool);
 	else if (shard == SHARD_CONTROL)
-		apply_control(controller, index, operation, result);
+		apply_control_operation(controller, feed_index, operation, result);
 	else
-		apply_purge(controller, operation, result);
+		apply_purge_operation(controller, operation, result);
 	if (operation->body_case == NL__OPERATION__BODY_TRIM && operation->trim->purged_tick)
-		apply_compaction(controller, shard, operation->trim);
+		apply_purge_compaction(controller, shard, operation->trim);
 }
 
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index,
 					const struct raft_entry *entry, apr_pool_t *pool)
 {
 	/* in feeds: above all of the epoch before */
-	uint64_t index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT | entry_index;
+	uint64_t feed_index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT_BITS | entry_index;
 	struct Nl__Operation *operation = (struct Nl__Operation *)core_unpack_message(
 	    pool, &nl__operation__descriptor, entry->len, entry->data);
 	struct request_key request_key = request_key_unpack(operation ? operation->request_key : NULL);
@@ -363,8 +367,8 @@
 
 	enter_epoch(controller, shard, raft_epoch(entry->term));
 	if (operation) {
-		advance_clocks(controller, shard, entry, operation);
-		apply_operation(controller, shard, index, operation, &result, pool);
+		advance_replicated_clocks(controller, shard, entry, operation);
+		apply_operation(controller, shard, feed_index, operation, &result, pool);
 	}
 	accepted = idempotency_log_find(&controller->config.accepted_requests, &request_key);
 	result.version = accepted ? accepted->version : controller->config.table.revision;
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -36,7 +36,7 @@
 					     const struct request_key *request_key);
 
 /* Keep a copy of the newest document, byte for byte. data may be NULL where size is 0. */
-void store_document(struct controller *controller, const uint8_t *data, size_t size, uint64_t version);
+void store_document(struct controller *controller, const uint8_t *data, size_t size_bytes, uint64_t version);
 
 /* Drop claims past their time. They count as absent before, so that no member need do it at the same entry.
  */
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -199,14 +199,14 @@
 		apply_proposal(&completed, proposal(9, 0, run, 0));
 		assert_true(is_known(&completed, 1, run, 1000 - run) && is_known(&completed, 9, 0, run));
 	}
-	assert_int_equal(arrlen(completed.runs), COMPLETED_MAX_RUNS);
+	assert_int_equal(arrlen(completed.incarnations), COMPLETED_MAX_RUNS);
 	assert_int_equal(arrlen(completed.proposals), COMPLETED_MAX_RUNS + COMPLETED_MAX_WITHOUT_RUN);
 	completed_proposals_pack(&completed, &saved, pool);
 	completed_proposals_load(&loaded, &saved);
 	assert_int_equal(loaded.without_run, COMPLETED_MAX_WITHOUT_RUN);
 	assert_int_equal(arrlen(loaded.proposals), arrlen(completed.proposals));
 	completed_proposals_load(&loaded, NULL);
-	assert_int_equal(arrlen(loaded.proposals) + arrlen(loaded.runs), 0);
+	assert_int_equal(arrlen(loaded.proposals) + arrlen(loaded.incarnations), 0);
 	completed_proposals_reset(&completed);
 	apr_pool_destroy(pool);
 }
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -670,13 +670,13 @@
 		    struct command_list *out)
 {
 	struct controller_event event = { .kind = CONTROLLER_MESSAGE };
-	uint64_t before = image_of_all(controller), dropped = controller->drop_log.dropped;
+	uint64_t before = image_of_all(controller), dropped = controller->drop_log.dropped_count;
 
 	event.payload.message = message;
 	controller->drop_log.logged_at_ms = now - 10 * CONTROLLER_DROP_LOG_MS;
 	log_lines = 0;
 	controller_step(controller, &event, now, out);
-	assert_int_equal(controller->drop_log.dropped, dropped + 1);
+	assert_int_equal(controller->drop_log.dropped_count, dropped + 1);
 	assert_int_equal(log_lines, 1);
 	assert_true(image_of_all(controller) == before);
 	command_list_clear(out);
