--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -8,10 +8,11 @@
 #include "controller_private.h"
 
 enum {
-	BOOTSTRAP_RETRY_MS = 1000,            /* before an operator's call may come again */
-	BOOTSTRAP_QUERY_INTERVAL_MS = 200,    /* between messages to the seeds */
-	BOOTSTRAP_CALL_TIMEOUT_MS = 10000,    /* within which an operator's call ends */
-	BOOTSTRAP_SETTINGS_TIMEOUT_MS = 30000 /* by then all seeds have answered, or were replaced */
+	BOOTSTRAP_RETRY_MS = 1000,            /* delay that a rejected caller is told to wait */
+	BOOTSTRAP_QUERY_INTERVAL_MS = 200,    /* interval between queries to the seeds */
+	BOOTSTRAP_CALL_TIMEOUT_MS = 10000,    /* an operator's call is answered within this time */
+	BOOTSTRAP_SETTINGS_TIMEOUT_MS = 30000 /* this node stops sending the members after this time: by then
+						 all seeds have started or were replaced */
 };
 
 static bool is_controller_empty(const struct controller *controller)
@@ -44,7 +45,7 @@
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_bootstrap(&controller->shards[i], first_members, member_count, now);
 	log_line(controller, "bootstrap", out->pool,
-		 "Fleet %016" APR_UINT64_T_HEX_FMT " is bootstrapped with %d controllers.", fleet_id,
+		 "fleet bootstrapped, id %016" APR_UINT64_T_HEX_FMT ", controllers %d", fleet_id,
 		 member_count);
 }
 
@@ -90,15 +91,16 @@
 	if (controller->identity.fleet)
 		rejection = "found: this registrar belongs to a fleet";
 	else if (!controller->identity.seed_count)
-		rejection = "found: no seeds are set";
-	if (rejection) { /* for good, whatever others do */
+		rejection = "found: the settings of this registrar name no seeds";
+	if (rejection) { /* a definite rejection: it does not depend on the other seeds */
 		command_answer(out, event->payload.api_call.token, 409, 0,
 			       error_json(out->pool, rejection, 0));
 		return;
 	}
 	if (controller->bootstrap.call_token || controller->bootstrap.by_settings) {
-		command_answer(out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS,
-			       error_json(out->pool, "found: already under way", 0));
+		command_answer(
+		    out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS,
+		    error_json(out->pool, "found: a bootstrap is already in progress, retry later", 0));
 		return;
 	}
 	bootstrap_reset(controller, now);
@@ -125,25 +127,29 @@
 	controller->bootstrap.by_settings = false;
 }
 
-/* Only a seed that says that it belongs to a fleet makes the failure definite. Once the members were sent,
- * some seeds may have started with them. */
+/* End a bootstrap that has failed. The failure is definite (409) only if a seed has answered that it belongs
+ * to a fleet. Once the members have been sent, some seeds may have started with them (504). */
 static void fail_bootstrap(struct controller *controller, int all_answered, struct command_list *out)
 {
 	if (controller->bootstrap.members)
-		end_bootstrap(controller, 504,
-			      error_json(out->pool,
-					 "found: not every seed answers, and some may have begun: ask again",
-					 0),
-			      out);
+		end_bootstrap(
+		    controller, 504,
+		    error_json(
+			out->pool,
+			"found: not all seeds have answered, and some may have started: outcome unknown, retry",
+			0),
+		    out);
 	else if (!all_answered)
-		end_bootstrap(controller, 503,
-			      error_json(out->pool, "found: not every seed answers; nothing was founded", 0),
-			      out);
+		end_bootstrap(
+		    controller, 503,
+		    error_json(out->pool, "found: not all seeds have answered; nothing was started", 0), out);
 	else
 		end_bootstrap(
 		    controller, 409,
-		    error_json(out->pool,
-			       "found: a seed already belongs to a fleet; start the others and they join", 0),
+		    error_json(
+			out->pool,
+			"found: a seed already belongs to a fleet; start the other seeds, and they will join it",
+			0),
 		    out);
 }
 
@@ -154,12 +160,12 @@
 	if (!controller->bootstrap.call_token)
 		return;
 	fail_bootstrap(controller, 0, out);
-	/* seeds that have started are still sent the members */
+	/* some seeds may have started: the members are still sent to the others */
 	controller->bootstrap.by_settings = may_have_started;
 }
 
-/* Whether the bootstrap has failed. answered_count, empty_count: how many seeds have answered, and are empty.
- * One that the settings asked for goes on until all seeds have answered. */
+/* Whether the bootstrap has failed. answered_count: number of seeds that have answered. empty_count: number
+ * of these that are empty. A bootstrap by the settings has no time limit until all seeds have answered. */
 static bool has_bootstrap_failed(const struct controller *controller, int answered_count, int empty_count,
 				 int64_t now)
 {
@@ -175,7 +181,8 @@
 		empty_count < answered_count);
 }
 
-/* All seeds are empty: they are the members, of a new fleet. */
+/* Choose the identity of the new fleet and its first members, after all seeds have answered that they are
+ * empty: all seeds become members. */
 static void choose_first_members(struct controller *controller)
 {
 	const struct controller_identity *identity = &controller->identity;
@@ -201,7 +208,7 @@
 	bootstrap->members = members;
 }
 
-/* Ask all seeds whether they are empty, and send them the members once these are chosen. */
+/* Query all seeds whether they are empty; once the members are chosen, the query contains them. */
 static void query_seeds(const struct controller *controller, struct command_list *out)
 {
 	const struct controller_bootstrap *bootstrap = &controller->bootstrap;
--- a/lib/control/completed_proposals.c
+++ b/lib/control/completed_proposals.c
@@ -37,7 +37,7 @@
 	return true;
 }
 
-/* Drop the outcome of a run's proposals below this token. */
+/* Remove the outcomes of all proposals of an incarnation with tokens below this one. */
 static void drop_outcomes_below(struct completed_proposals *completed, uint64_t proposer_id,
 				uint64_t incarnation, uint64_t token)
 {
@@ -54,7 +54,8 @@
 		arrsetlen(completed->proposals, (size_t)kept_count);
 }
 
-/* Forget the run that has proposed nothing for longest: the process has ended, or stands still. */
+/* Remove the incarnation that has proposed nothing for the longest time: its process has ended or is
+ * suspended. */
 static void evict_oldest_incarnation(struct completed_proposals *completed)
 {
 	struct proposer_incarnation oldest = completed->incarnations[0];
--- a/lib/control/completed_proposals.h
+++ b/lib/control/completed_proposals.h
@@ -1,14 +1,15 @@
-/* completed_proposals: the replicated record of proposals that were applied.
+/* completed_proposals: the replicated record of applied proposals and their outcomes.
  *
- * A proposer sends a proposal again while its answer is lost, so that an entry may be logged twice. Each is
- * applied once: the record tells a copy from a new one. As in the client sessions of Raft (Ongaro's
- * dissertation, 6.3), a proposal names the run of the process that made it and the oldest of that run's
- * proposals that is still open. What is older has its answer, or was given up: its outcome is dropped, and a
- * copy that comes yet is not applied. So the record is as long as the proposals that are open, and no number
- * of others pushes one out.
+ * A proposer sends a proposal again until it receives a reply, so a proposal may be logged more than once. It
+ * is applied once: the record tells a further copy from a new proposal. As in the client sessions of Raft
+ * (Ongaro's dissertation, 6.3), a proposal contains the incarnation of its proposer, that is the run of the
+ * process, and the oldest proposal of this incarnation that is still open. Older proposals have been answered
+ * or given up: their outcomes are removed from the record, and late copies of them are not applied. The
+ * record thus holds only the outcomes of open proposals, and an outcome is not evicted however many other
+ * proposals follow.
  *
- * state_machine.c writes it as entries are applied; proposals.c reads it. Always: it changes by entries of
- * the control shard's log alone, and is part of snapshots, so every replica decides alike. */
+ * Always: the record changes only when an entry of the control shard's log is applied, and it is stored in
+ * snapshots, so that all replicas decide alike. Owned by state_machine.c. */
 #ifndef NL_COMPLETED_PROPOSALS_H
 #define NL_COMPLETED_PROPOSALS_H
 
@@ -21,57 +22,59 @@
 #include "proposal_status.h"
 
 enum {
-	COMPLETED_MAX_RUNS =
-	    256, /* runs that are remembered: the one longest without a proposal goes first */
-	COMPLETED_MAX_WITHOUT_RUN =
-	    256 /* proposals of proposers that name no run, as earlier versions: the last ones */
+	COMPLETED_MAX_RUNS = 256,       /* incarnations that are recorded; the one without a proposal for the
+					   longest time is evicted first */
+	COMPLETED_MAX_WITHOUT_RUN = 256 /* recorded proposals without an incarnation, as earlier versions send
+					   them; the oldest is evicted first */
 };
 
-/* A proposal that was applied, and what came of it. */
+/* A proposal that was applied, and its outcome. */
 struct completed_proposal {
 	uint64_t proposer_id;
-	uint64_t incarnation; /* 0: not named */
+	uint64_t incarnation; /* of the proposer; 0: the proposal has none */
 	uint64_t token;
 	enum proposal_status status;
 };
 
-/* A run of a process that proposes. */
+/* One incarnation of a proposer. */
 struct proposer_incarnation {
 	uint64_t proposer_id;
 	uint64_t incarnation;
-	uint64_t oldest_open_token; /* the highest that it has named */
+	uint64_t oldest_open_token; /* the highest value received from this incarnation */
 };
 
-/* Part of the control shard's state; begins zeroed. */
+/* The record; belongs to the control shard's state. Zeroed memory is the empty record. */
 struct completed_proposals {
-	struct completed_proposal *proposals;      /* stb_ds, oldest first */
-	struct proposer_incarnation *incarnations; /* stb_ds: the one longest without a proposal first */
-	size_t without_run;                        /* of proposals */
+	struct completed_proposal *proposals; /* stb_ds, oldest first */
+	struct proposer_incarnation
+	    *incarnations;  /* stb_ds, ordered by the newest proposal, the oldest first */
+	size_t without_run; /* number of proposals without an incarnation */
 };
 
-/* Whether this proposal was applied before, or is a late copy of one that is not open any more; *status is
- * then what its proposer is answered. Example: if (completed_proposals_find(&completed, operation, &status))
- * return status; */
+/* Whether this proposal was applied before or is a late copy of one that is no longer open; *status is then
+ * the status for its proposer. Example: if (completed_proposals_find(&completed, operation, &status)) return
+ * status; */
 bool completed_proposals_find(const struct completed_proposals *completed,
 			      const struct Nl__Operation *operation, enum proposal_status *status);
 
-/* Note which proposals of a run are still open, and drop the outcome of the others. Only while an entry is
- * applied. */
+/* Record the oldest open proposal of the operation's proposer and remove the outcomes of older ones. May be
+ * called only while a log entry is applied. */
 void completed_proposals_note_open(struct completed_proposals *completed,
 				   const struct Nl__Operation *operation);
 
-/* Record what came of a proposal; one without a proposer is passed over. Only while an entry is applied. */
+/* Record the outcome of a proposal; an operation without a proposer is ignored. May be called only while a
+ * log entry is applied. */
 void completed_proposals_add(struct completed_proposals *completed, const struct Nl__Operation *operation,
 			     enum proposal_status status);
 
-/* Fill in the snapshot's fields, from the pool. */
+/* Pack the record into a snapshot's message; memory is allocated from the pool. */
 void completed_proposals_pack(const struct completed_proposals *completed, struct Nl__ControlState *state,
 			      apr_pool_t *pool);
 
-/* Replace the record by a snapshot's; NULL: by the empty one. */
+/* Replace the record by the one in a snapshot; state NULL: by the empty record. */
 void completed_proposals_load(struct completed_proposals *completed, const struct Nl__ControlState *state);
 
-/* Release all. */
+/* Release all memory and leave the empty record. */
 void completed_proposals_reset(struct completed_proposals *completed);
 
 #endif
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -22,8 +22,8 @@
 #include "snapshot.h"
 #include "state_machine.h"
 
-/* A message that breaks the protocol was dropped: one log line, and under a flood of them one a second that
- * counts them. */
+/* Count a dropped message and log it. At most one line is logged in CONTROLLER_DROP_LOG_MS; it includes the
+ * number of messages dropped since the line before. */
 static void log_dropped_message(struct controller *controller, const struct Nl__Msg *message,
 				const char *reason, int64_t now, struct command_list *out)
 {
@@ -32,7 +32,8 @@
 	    now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
 		return;
 	log_line(controller, "raft", out->pool,
-		 "Message dropped: kind %d from %s: %s; %" APR_UINT64_T_FMT " since the last such line.",
+		 "message dropped, kind %d, from %s: %s; %" APR_UINT64_T_FMT
+		 " messages dropped since the last such line",
 		 (int)message->body_case, core_format_addr(out->pool, message->addr), reason,
 		 controller->drop_log.dropped_count - controller->drop_log.logged_count);
 	controller->drop_log.logged_count = controller->drop_log.dropped_count;
@@ -46,18 +47,20 @@
 	const char *drop_reason = NULL;
 
 	if (!controller->identity.fleet)
-		return; /* an empty machine is spoken to before it knows its fleet */
+		return; /* no fault: a new member receives messages of its groups before it has learnt its
+			   fleet */
 	if (message->fleet_id != controller->identity.fleet)
-		drop_reason = "not of this fleet";
+		drop_reason = "fleet id missing or different";
 	else if (message->shard >= SHARD_COUNT)
-		drop_reason = "no such shard";
+		drop_reason = "unknown shard number";
 	else if ((fault = raft_receive(&controller->shards[message->shard], message, now, out)))
 		drop_reason = raft_fault_strerror(fault);
 	if (drop_reason)
 		log_dropped_message(controller, message, drop_reason, now, out);
 }
 
-/* A reply or a hint for this node's own copy of the configuration. */
+/* Update this node's copy of the configuration from a leader's reply or a leader hint. A node without a fleet
+ * adopts the fleet of the reply. */
 static void on_config_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
@@ -71,7 +74,8 @@
 	}
 }
 
-/* A relay asks the publisher; where there is none here, it is told who leads. */
+/* A relay requests purge values. The publisher answers; another controller replies with the address of the
+ * purge shard's leader. */
 static void on_curiosity(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			 struct command_list *out)
 {
@@ -86,7 +90,7 @@
 	command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint;
 }
 
-/* A message of the services; one of a kind that controllers do not take is ignored. */
+/* Pass a message to the service that handles its kind. Kinds that controllers do not handle are ignored. */
 static void on_service_message(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			       struct command_list *out)
 {
@@ -138,7 +142,7 @@
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
 	    (message->fleet_id && controller->identity.fleet &&
 	     message->fleet_id != controller->identity.fleet)) {
-		log_dropped_message(controller, message, "of another fleet or protocol version", now, out);
+		log_dropped_message(controller, message, "fleet id or protocol version differs", now, out);
 		return;
 	}
 	switch (message->body_case) {
@@ -165,7 +169,7 @@
 		if (controller->identity.fleet)
 			raft_tick(&controller->shards[i], now, out);
 	bootstrap_tick(controller, now, out);
-	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a member knows its leader best */
+	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a group member's own view of the leader is the newest */
 		if (leader_hint(controller, i, now))
 			controller->config_watch.leader_addr[i] = leader_hint(controller, i, now);
 	if (controller->stopping)
@@ -187,7 +191,8 @@
 	retention_trim_logs(controller, now, out);
 }
 
-/* Retention purged what a shard had logged before: nothing older than a new snapshot stays on the disk. */
+/* After a retention purge, replace the log and the snapshots of the shard on the disk by a new snapshot, so
+ * that the purged data is no longer stored. */
 static void compact_purged_logs(struct controller *controller, struct command_list *out)
 {
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
@@ -269,7 +274,7 @@
 	}
 }
 
-/* Apply what is committed, and pass on to the services what follows from each entry. */
+/* Apply the committed log entries of a shard and notify the services that each entry concerns. */
 static void apply_committed_entries(struct controller *controller, uint32_t shard, int64_t now,
 				    struct command_list *out)
 {
@@ -299,7 +304,7 @@
 		snapshot_load(controller, shard, out->pool);
 		if (shard == SHARD_CONTROL) {
 			quota_shares_invalidate_table(&controller->quota);
-			/* load commands that were logged before are in no snapshot */
+			/* snapshots do not contain load commands: those logged before are unknown here */
 			controller->rollout.unknown_until_ms = now;
 		}
 		raft->snapshots.to_load = 0;
@@ -343,8 +348,8 @@
 	controller->identity.zone = zone;
 	controller->identity.fleet = fleet;
 	controller->identity.rng = seed;
-	controller->identity.last_token =
-	    core_random(&controller->identity.rng) >> 2; /* never one of this controller's life before */
+	controller->identity.last_token = core_random(&controller->identity.rng) >>
+					  2; /* differs from all tokens of an earlier incarnation */
 	controller->identity.run = controller->identity.last_token + 1;
 	controller->identity.seed_count =
 	    seed_count > CONTROLLER_MAX_SEEDS ? CONTROLLER_MAX_SEEDS : seed_count;
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -8,11 +8,11 @@
  * The modules of lib/control form six layers, from the lowest to the highest. LAYERS.md lists the modules of
  * each layer, and tests/check_layers rejects a dependency on a higher layer:
  *   1. data           rows of the configuration, weight versions, server instances, idempotency keys
- *   2. state          the controller's records; how committed log entries change the replicated state;
- * snapshots
+ *   2. state          the controller's records; how log entries change the replicated state;
+ *                     snapshots
  *   3. leadership     the control group's clock; whether this node leads a shard
  *   4. services       proposals, membership, configuration sync, quota shares, the purge publisher,
- * retention, rollouts, bootstrap and recovery, each with its own record
+ *                     retention, rollouts, bootstrap and recovery; each has its own record
  *   5. operators      operators' calls, answered from the services
  *   6. step           this module and leadership_change, the only modules that connect services with each
  *                     other */
--- a/lib/control/controller_event.h
+++ b/lib/control/controller_event.h
@@ -97,9 +97,9 @@
 /* Parser of the format of operators' documents, implemented by the platform's adapter. */
 struct controller_codec {
 	/* Convert a document, or a patch of the old document, to a change. The change holds the rows that
-	 * replace all earlier rows, API keys included, and the bytes of the new document. Returns 0, or
-	 * another number and in *why the fault and the item that has it. Has no side effects; results are
-	 * allocated in the pool. */
+	 * replace all earlier rows, including the rows of API keys, and the bytes of the new document.
+	 * Returns 0, or another number and in *why the fault and the item that has it. Has no side effects;
+	 * results are allocated in the pool. */
 	int (*read)(const char *old, size_t old_bytes, const char *body, size_t body_bytes, int is_patch,
 		    struct Nl__Change *change, const char **why, apr_pool_t *pool);
 };
--- a/lib/control/controller_private.c
+++ b/lib/control/controller_private.c
@@ -17,11 +17,13 @@
 {
 	command_answer(
 	    out, token, 503, CONTROLLER_RETRY_MS,
-	    error_json(out->pool, "no leader of the configuration is in reach: nothing was logged", 0));
+	    error_json(out->pool, "leader of the control shard unreachable: nothing was logged, retry", 0));
 }
 
 void reject_while_stopping(uint64_t token, struct command_list *out)
 {
-	command_answer(out, token, 503, CONTROLLER_RETRY_MS,
-		       error_json(out->pool, "this controller stops: nothing was logged, call another", 0));
+	command_answer(
+	    out, token, 503, CONTROLLER_RETRY_MS,
+	    error_json(out->pool,
+		       "this controller is shutting down: nothing was logged, call another controller", 0));
 }
--- a/lib/control/idempotency.c
+++ b/lib/control/idempotency.c
@@ -5,7 +5,8 @@
 
 #include "containers.h"
 
-/* Goes in front of the bytes of a key, so that no key has the digest of a content: no call has this name. */
+/* Prefix of the digested bytes of an idempotency key. No call has this path, so the digest of a key never
+ * equals the digest of a content. */
 static const char digested_key_prefix[] = "Idempotency-Key";
 
 bool idempotency_key_is_valid(const char *key)
@@ -79,12 +80,12 @@
 bool idempotency_log_may_have_evicted(const struct idempotency_log *log, enum request_series series,
 				      uint64_t base_version)
 {
-	/* a request that built on a base made a version above it; all that made one above the evicted
-	 * versions are still recorded */
+	/* An accepted request made a higher version than its base version. Requests that made higher versions
+	 * than the evicted ones are still recorded. */
 	return base_version < log->forgotten_versions[series];
 }
 
-/* Note how far back the log reaches once a record is evicted. */
+/* Update the highest evicted version of the record's series. */
 static void note_evicted_version(struct idempotency_log *log, const struct idempotency_record *evicted)
 {
 	if (evicted->series < SERIES_COUNT && evicted->version > log->forgotten_versions[evicted->series])
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -38,9 +38,9 @@
 		}
 }
 
-/* Whether a retention purge that an operator wants now can be logged, and the time to log it with: no
- * schedule depends on it, so the leader's own clock does where no majority was heard. NULL, or what is wrong.
- */
+/* Check a retention purge that an operator has requested to run now, and set the wall-clock time that it is
+ * logged with. Without clock reports from a majority of controllers the leader's own clock is used, because
+ * no schedule depends on this time. Returns NULL, or why the request is rejected. */
 static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *step,
 				       int64_t now, apr_pool_t *pool)
 {
@@ -48,7 +48,7 @@
 	char route[200], tenant[200];
 
 	if (!retention_parse_scope(step->scope, route, tenant))
-		return "scope: lane/tenant, with * for all; * alone for everything";
+		return "scope: must be lane/tenant, with * for all lanes or all tenants, or * alone for everything";
 	if (route[0] && !config_table_get(&controller->config.table, NL__KIND__ROUTE, route))
 		return apr_psprintf(pool, "scope: no lane %s", route);
 	if (tenant[0] && !config_table_get(&controller->config.table, NL__KIND__TENANT, tenant))
@@ -59,7 +59,7 @@
 	return NULL;
 }
 
-/* Whether nodes may propose this operation to this shard. */
+/* Whether other nodes may propose this kind of operation to the message's shard. */
 static bool is_proposable_by_nodes(const struct Nl__Msg *message)
 {
 	const struct Nl__Operation *operation = message->propose->operation;
@@ -74,7 +74,7 @@
 	       operation->retention_step->step == NL__RETENTION_STEP_KIND__RETENTION_STEP_NOW;
 }
 
-/* Whether an operation of the control shard can be applied as the state is. NULL, or what is wrong. */
+/* Check an operation of the control shard against the current state. Returns NULL, or why it is rejected. */
 static const char *check_control_operation(const struct controller *controller,
 					   struct Nl__Operation *operation, int64_t now, apr_pool_t *pool)
 {
@@ -89,8 +89,8 @@
 					retention_wall_clock(controller, now), pool);
 }
 
-/* A change that builds on an older revision is late, unless it may be a request that was accepted and is
- * forgotten. */
+/* Return the status of a change that is based on an old revision: superseded, or PROPOSAL_KEY_EXPIRED if it
+ * may be a repeated request whose record has been evicted. */
 static enum proposal_status superseded_status(const struct controller *controller,
 					      const struct Nl__Change *change)
 {
@@ -107,8 +107,8 @@
 	       operation->change->expected_revision < table->operator_revision;
 }
 
-/* Answer a proposal whose outcome is known already: accepted before, applied before, or built on an old
- * revision. */
+/* Reply to a proposal whose outcome is already determined: its request was accepted before, it was applied
+ * before, or it is based on an old revision. Returns whether a reply was sent. */
 static bool answer_if_decided(const struct controller *controller, const struct Nl__Msg *message,
 			      struct command_list *out)
 {
@@ -155,7 +155,7 @@
 		return;
 	}
 	if (!is_proposable_by_nodes(message))
-		rejection = "op: not one that this part takes";
+		rejection = "op: this shard does not accept this kind of operation from nodes";
 	else if (answer_if_decided(controller, message, out))
 		return;
 	else if (message->shard == SHARD_CONTROL)
@@ -168,7 +168,8 @@
 	pending.log_index = log_operation(controller, message->shard, request->operation, now, out);
 	if (pending.log_index)
 		arrput(controller->proposals.received, pending);
-	else /* it leads and is to stop: surely not logged here, and its successor is not known yet */
+	else /* this leader is shutting down: the proposal was certainly not logged, and the next leader is
+		not known yet */
 		reply_to_proposal(message->addr, request->token, PROPOSAL_NOT_LEADER, 0, "",
 				  leader_hint(controller, message->shard, now), out);
 }
@@ -207,9 +208,10 @@
 	arrdel(controller->proposals.own, i);
 }
 
-/* Whether a proposal is over without an outcome. What surely was not logged is answered as soon as no leader
- * is in reach; what may have been waits for its outcome, up to its time. A controller that is to stop looks
- * for no leader any more: there nothing waits without one. */
+/* Whether a proposal has expired without an outcome; its caller is then answered. A proposal that certainly
+ * was not logged expires as soon as the leader is unreachable. One that may have been logged waits for its
+ * outcome until its deadline. A controller that is shutting down does not search for a new leader, so there
+ * both expire when the leader is unreachable. */
 static int expire_proposal(const struct controller *controller, const struct controller_proposal *proposal,
 			   int64_t now, struct command_list *out)
 {
@@ -221,7 +223,10 @@
 	if (proposal->call_token && may_be_logged)
 		command_answer(
 		    out, proposal->call_token, 504, CONTROLLER_RETRY_MS,
-		    error_json(out->pool, "outcome unknown: read the table before trying again", 0));
+		    error_json(
+			out->pool,
+			"outcome unknown: the change may have been logged; read the table before you retry",
+			0));
 	else if (proposal->call_token)
 		reject_without_leader(proposal->call_token, out);
 	return 1;
@@ -252,7 +257,7 @@
 	}
 }
 
-/* The status of an order that was not accepted. */
+/* Return the HTTP status of an operator's call whose proposal was not applied. */
 static int rejection_http_status(uint32_t status)
 {
 	switch (status) {
@@ -267,8 +272,9 @@
 	}
 }
 
-/* A copy was refused as the table stood. While another may still be on its way, it may be accepted as the
- * table stands then: nothing is said before that one is answered too, and no more are sent. */
+/* Count a copy of the proposal that was rejected against the table of that moment. Another copy that is still
+ * in flight may be accepted against a later table. While there is one, returns true: the caller is not
+ * answered yet, and no further copies are sent. */
 static int wait_for_other_copies(struct controller_proposal *proposal)
 {
 	proposal->refused_count++;
@@ -287,23 +293,24 @@
 
 		if (proposal->token != reply->token)
 			continue;
-		if (reply->status == PROPOSAL_NOT_LEADER) { /* surely not logged there */
+		if (reply->status == PROPOSAL_NOT_LEADER) { /* this copy was certainly not logged */
 			proposal->denied_count++;
 			proposal->retry_at_ms =
-			    now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS; /* the one named */
+			    now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS; /* now to the leader that the reply
+									    names */
 			config_watch_hint(&controller->config_watch, proposal->shard, reply->leader_hint);
 			return;
 		}
 		if (reply->status == PROPOSAL_REJECTED && wait_for_other_copies(proposal))
 			return;
-		if (reply->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: its end is unknown, and the
-								     next leader will tell */
+		if (reply->status == PROPOSAL_OUTCOME_UNKNOWN) { /* stays open: it is sent again, and the next
+								    leader replies with the outcome */
 			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS;
 			return;
 		}
 		if (reply->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
-			return; /* said long ago, and read only now: no more than that it may have been logged
-				   is certain */
+			return; /* A late reply may describe an old state: all that is certain is that the
+				   proposal may have been logged. */
 		if (proposal->call_token && reply->status == PROPOSAL_DONE) {
 			body =
 			    apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", reply->revision);
--- a/lib/control/proposals.h
+++ b/lib/control/proposals.h
@@ -1,37 +1,39 @@
-/* proposals: operations on their way into the replicated logs. This node's own go to the leader until they
- * are answered; a leader checks, logs and answers those of others.
+/* proposals: operations that are proposed to the replicated logs and do not have an outcome yet.
  *
- * The step passes messages and the time; operators' calls and the membership propose here.
+ * A node sends its own proposals to the leader of the shard until it receives their outcome. A leader checks
+ * other nodes' proposals, logs them, and replies when they are committed.
  *
- * Always: a proposal keeps its token in every copy, so it is applied once however often it is sent; and a
- * leader says that one is done only after the commit. */
+ * Always: all copies of a proposal have the same token, so that it is applied once. A leader reports a
+ * proposal as done only after its log entry was committed. */
 #ifndef NL_PROPOSALS_H
 #define NL_PROPOSALS_H
 
 #include "state_machine.h"
 
-/* Answer a proposal: what became of it, the revision or version that it made, why it was not applied, and who
- * leads where this node does not (hint; 0: not known). */
+/* Send the reply to a proposal. version: revision or version that the proposal made. reason: why it was not
+ * applied. leader_hint_addr: address of the shard's leader if that is another node; 0: not known. */
 void reply_to_proposal(uint64_t addr, uint64_t token, enum proposal_status status, uint64_t version,
 		       const char *reason, uint64_t leader_hint_addr, struct command_list *out);
 
-/* Answer whoever waits for the entry at index, which was just applied. */
+/* Reply to the proposer of the log entry at index, which has just been applied; without a waiting proposer,
+ * nothing is sent. */
 void answer_proposer(struct controller *controller, uint32_t shard, uint64_t index,
 		     struct apply_result applied, struct command_list *out);
 
-/* Another node's proposal has come: check, log and later answer it, or answer it at once. */
+/* Handle another node's proposal. A valid one is logged and answered after its commit; others are answered
+ * immediately. */
 void on_proposal(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 		 struct command_list *out);
 
-/* Propose an operation to the shard's leader, on behalf of an operator's call, or with call_token 0 of this
- * node itself. The operation is copied. */
+/* Propose an operation to the shard's leader. call_token: operator's call that the proposal is made for; 0:
+ * made by this node itself. The operation is copied. */
 void propose(struct controller *controller, uint32_t shard, const struct Nl__Operation *operation,
 	     uint64_t call_token, int64_t now);
 
-/* Send open proposals again, and end those past their time. */
+/* Send this node's proposals that are due, and remove those that have expired. */
 void proposals_tick(struct controller *controller, int64_t now, struct command_list *out);
 
-/* The answer to one of this node's own proposals has come. */
+/* Handle the reply to one of this node's own proposals. */
 void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *reply, int64_t now,
 		       struct command_list *out);
 
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -9,7 +9,8 @@
 
 enum { RECOVERY_MAX_LOST_CONTROLLERS = RAFT_MAX_MEMBERS };
 
-/* The identities that the call names as lost for good; -1 when they cannot be read. */
+/* Parse the identities of permanently lost controllers in the body. Returns their number, or -1 if the body
+ * is invalid. */
 static int parse_lost_ids(const char *body, uint64_t lost_ids[RECOVERY_MAX_LOST_CONTROLLERS])
 {
 	struct json_object *request = json_tokener_parse(body), *lost_list;
@@ -84,17 +85,17 @@
 
 		recovered_count += is_recovered;
 		if (is_recovered)
-			log_line(controller, "recovery", out->pool,
-				 "Shard %d is recovered from this replica alone, in epoch %" APR_UINT64_T_FMT
-				 ".",
-				 i, raft_epoch(raft->term));
+			log_line(
+			    controller, "recovery", out->pool,
+			    "shard recovered from this replica alone, shard %d, epoch %" APR_UINT64_T_FMT, i,
+			    raft_epoch(raft->term));
 		json_object_array_add(shards, shard_json(raft, recovery, is_recovered, now, out->pool));
 	}
 	json_object_object_add(answer, "recovered", json_object_new_int(recovered_count));
 	json_object_object_add(
 	    answer, "lost",
-	    json_object_new_string(recovered_count ? "what only the lost registrars held: orders, claims "
-						     "and purges that were acknowledged last may be missing"
+	    json_object_new_string(recovered_count ? "changes, claims and purges that were acknowledged last "
+						     "may be missing: only the lost registrars stored them"
 						   : "nothing"));
 	json_object_object_add(answer, "shards", shards);
 	command_answer(
--- a/lib/control/recovery.h
+++ b/lib/control/recovery.h
@@ -1,18 +1,18 @@
-/* recovery: an operator's call after the loss of a majority: groups of which this controller is the last
- * voter go on with its replica alone.
+/* recovery: restores groups that have lost the majority of their voters, by an operator's call (POST
+ * /v1/recover). A group whose last remaining voter is this controller continues with the replica of this
+ * controller alone.
  *
- * Called for POST /v1/recover.
- *
- * Always: nothing happens unless the operator names who is lost, and never while a majority lives. */
+ * Always: a group is recovered only if the operator names the lost controllers, and never while a majority of
+ * its voters is alive. */
 #ifndef NL_RECOVERY_H
 #define NL_RECOVERY_H
 
 #include "controller_event.h"
 #include "controller_state.h"
 
-/* POST /v1/recover: {"lost":["00112233445566aa", ...]} names controllers that are lost for good. The answer
- * says for each group whether it goes on here, and why not; with an empty list nothing is done, and the
- * members are listed. Example: recover_groups(controller, event, now, out); */
+/* Handle POST /v1/recover. The body {"lost":["00112233445566aa", ...]} names the controllers that are lost
+ * permanently. For each group, the answer reports whether it was recovered here, the reason if not, and its
+ * members. With an empty list no group is recovered. Example: recover_groups(controller, event, now, out); */
 void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
 		    struct command_list *out);
 
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -27,7 +27,8 @@
 	state.group_clock_ms = controller->config.table.clock.at_ms;
 	state.rows = all_rows.set;
 	state.n_rows = all_rows.n_set;
-	for (size_t i = 0; i < state.n_rows; i++) /* in order, so that equal states pack alike */
+	for (size_t i = 0; i < state.n_rows;
+	     i++) /* in the order of the keys, so that equal states are packed into equal bytes */
 		sorted_keys[i] = rows[i].key;
 	qsort(sorted_keys, state.n_rows, sizeof *sorted_keys, compare_keys);
 	for (size_t i = 0; i < state.n_rows; i++)
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -47,8 +47,8 @@
 	controller->config.document_version = version;
 }
 
-/* Whether an operation was applied before, and what came of it then. A proposer sends one again while its
- * answer is lost, and an operator sends a request again: it is applied once. */
+/* Whether an operation has been applied before; *status is then its outcome. Proposers send a proposal again
+ * until they receive a reply, and operators repeat requests; each operation is applied only once. */
 static bool find_earlier_outcome(const struct controller *controller, const struct Nl__Operation *operation,
 				 enum proposal_status *status)
 {
@@ -65,7 +65,7 @@
 	return false;
 }
 
-/* Remember what came of an operation, so that it is applied once. */
+/* Record the outcome of an operation, so that copies of it are not applied again. */
 static void record_outcome(struct controller *controller, const struct Nl__Operation *operation,
 			   enum proposal_status status, enum request_series series, uint64_t version)
 {
@@ -76,7 +76,8 @@
 	completed_proposals_add(&controller->config.completed_proposals, operation, status);
 }
 
-/* Documents are accepted in the log's order: one that builds on another version is late. */
+/* Documents are accepted in the order of the log: one that is based on another version than the current one
+ * is superseded. */
 static enum proposal_status apply_document(struct controller *controller, const struct Nl__Change *change,
 					   struct Nl__Purge ***feed)
 {
@@ -134,8 +135,8 @@
 	return status;
 }
 
-/* After a retention purge, what a shard logged before it goes from its disks; and again when no claim from
- * before it is left. */
+/* After a retention purge, the next snapshot replaces everything that the shard logged before the purge. For
+ * a service shard this is repeated once all claims from before the purge have expired. */
 static void apply_purge_compaction(struct controller *controller, uint32_t shard, const struct Nl__Trim *trim)
 {
 	struct controller_service_state *service = service_shard_state(controller, shard);
@@ -169,7 +170,8 @@
 	}
 	is_same_claim = found >= 0 && service->claims[found].value.router_id == claim->router_id &&
 			service->claims[found].value.claim_sequence == claim->seq;
-	/* a release is remembered, since the claim itself may still be on its way, here or once more */
+	/* A release is recorded even without its claim: the claim itself may arrive later, first or as a
+	 * further copy. */
 	if (claim->release) {
 		if (found < 0 || is_same_claim)
 			shput(service->claims, key,
@@ -213,7 +215,8 @@
 	shput(service->rolled_out, rolled_out->service, weights);
 }
 
-/* A value of the purge stream; true when it is new, and not one that its feed has given before. */
+/* Store a value of the purge stream. Returns false for a value that was logged before or that has no purge.
+ */
 static bool apply_purge_value(struct controller_purge_state *state, const struct Nl__Value *value)
 {
 	if (value->feed >= SHARD_COUNT || value->index <= state->published_index[value->feed] ||
@@ -240,14 +243,14 @@
 		state->released = reserve->released;
 }
 
-/* The first operation after a recovery: numbers that the lost members may have given out are not given out
- * again. */
+/* Process the start of an epoch, at the first operation after a recovery. Skips the revisions and ticks that
+ * the lost members may have issued, so that none is issued twice. */
 static void enter_epoch(struct controller *controller, uint32_t shard, uint64_t epoch)
 {
 	if (epoch <= controller->epoch[shard])
 		return;
 	controller->epoch[shard] = epoch;
-	if (shard == SHARD_CONTROL) { /* every node takes the table whole */
+	if (shard == SHARD_CONTROL) { /* every node fetches the complete table */
 		controller->config.table.revision += CONTROLLER_RECOVERY_SKIP;
 		controller->config.table.floor_revision = controller->config.table.operator_revision =
 		    controller->config.table.revision;
@@ -256,7 +259,8 @@
 		controller->purge_state.ceiling += CONTROLLER_RECOVERY_SKIP;
 }
 
-/* The clocks that operations carry: a service shard's own, and the control group's. */
+/* Advance the replicated clock that the operation carries: a service shard's own clock, or the control
+ * group's. */
 static void advance_replicated_clocks(struct controller *controller, uint32_t shard,
 				      const struct raft_entry *entry, const struct Nl__Operation *operation)
 {
@@ -357,7 +361,7 @@
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index,
 					const struct raft_entry *entry, apr_pool_t *pool)
 {
-	/* in feeds: above all of the epoch before */
+	/* index in purge feeds: greater than all indices of earlier epochs */
 	uint64_t feed_index = raft_epoch(entry->term) << CONTROLLER_EPOCH_SHIFT_BITS | entry_index;
 	struct Nl__Operation *operation = (struct Nl__Operation *)core_unpack_message(
 	    pool, &nl__operation__descriptor, entry->len, entry->data);
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -1,28 +1,29 @@
-/* state_machine: what each committed entry of a shard's log does to the state that is replicated: the
- * configuration, retention, claims, rollouts of services, and the purge stream.
+/* state_machine: applies the committed log entries of the shards to the replicated state: the configuration,
+ * retention, claims, rolled-out weights of services, and the purge stream.
  *
- * The step applies every committed entry once, in the log's order, on every member. The result says what else
- * follows from the entry; the step passes that on to the services that it concerns.
+ * Every member applies each committed entry of a shard once, in the order of the log. The result of an entry
+ * tells the step which services have to be notified.
  *
- * Always: the state after an entry depends on the entries alone, never on the time or on who leads, so that
- * all members hold the same; and an entry that was logged twice counts once. */
+ * Always: the state after an entry depends only on the entries of the log, not on the time or on the leader,
+ * so that all members have equal states. An operation that was logged twice takes effect once. */
 #ifndef NL_STATE_MACHINE_H
 #define NL_STATE_MACHINE_H
 
 #include "controller_state.h"
 
-/* Between tenant and id in the key of a claim. */
+/* Separates the tenant and the request id in the key of a claim. */
 #define CLAIM_KEY_SEPARATOR "\x1f"
 
-/* What came of an entry. */
+/* Result of applying one log entry. */
 struct apply_result {
 	enum proposal_status status;
-	uint64_t version; /* to acknowledge: of a request that was accepted before, the one that it made then;
-			     else the table's revision */
+	uint64_t version; /* version to acknowledge: of a repeated request, the version that the first copy
+			     made; otherwise the table's revision */
 	const struct Nl__Value
-	    *logged_value;            /* a value of the purge stream is logged; NULL: none. In the pool */
-	bool value_is_new;            /* its feed has not given it before */
-	const char *commanded_server; /* a load command to this server is logged; NULL: none. In the pool */
+	    *logged_value; /* value of the purge stream in the entry, allocated in the pool; NULL: none */
+	bool value_is_new; /* the value was not logged before */
+	const char *commanded_server; /* server whose load command is in the entry, allocated in the pool;
+					 NULL: none */
 };
 
 /* Apply one committed entry of a shard.
@@ -30,16 +31,16 @@
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index,
 					const struct raft_entry *entry, apr_pool_t *pool);
 
-/* What a request is answered whose key or content was accepted before: PROPOSAL_DONE again, or
- * PROPOSAL_KEY_REUSED when the content is another. */
+/* Return the status of a request whose key has been accepted before: PROPOSAL_DONE if the accepted request is
+ * the same, PROPOSAL_KEY_REUSED if its content differs. */
 enum proposal_status repeated_request_status(const struct idempotency_record *accepted,
 					     const struct request_key *request_key);
 
-/* Keep a copy of the newest document, byte for byte. data may be NULL where size is 0. */
+/* Store a copy of the newest document, byte for byte. data may be NULL if size_bytes is 0. */
 void store_document(struct controller *controller, const uint8_t *data, size_t size_bytes, uint64_t version);
 
-/* Drop claims past their time. They count as absent before, so that no member need do it at the same entry.
- */
+/* Remove expired claims to free memory. An expired claim is treated as absent even while it is stored, so
+ * members may call this at different log entries and still have equal states. */
 void expire_claims(struct controller_service_state *service);
 
 #endif
