--- a/lib/control/group_clock.c
+++ b/lib/control/group_clock.c
@@ -1,6 +1,6 @@
 #include "group_clock.h"
 
-enum { FIRST_CLOCK_MS = 1 }; /* 0: a moment is not known */
+enum { FIRST_CLOCK_MS = 1 }; /* first value of the clock, because 0 stands for an unknown moment */
 
 void group_clock_start_term(struct controller *controller, int64_t now)
 {
--- a/lib/control/leadership.c
+++ b/lib/control/leadership.c
@@ -2,7 +2,8 @@
 
 #include "group_clock.h"
 
-/* Twice the bound: a node whose bound has just been raised may still need the dates in between. */
+/* Stamp an operation of the control shard with the control group's clock. bound_passed_at_ms is twice the
+ * rollout bound ago, because a node whose bound has just been raised may still need the times in between. */
 static void stamp_operation(const struct controller *controller, struct Nl__Operation *operation, int64_t now)
 {
 	operation->logged_at_ms = group_clock_now(controller, now);
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -1,24 +1,25 @@
-/* leadership: whether this node leads a shard, and the leader's way into the shard's log.
+/* leadership: whether this node leads a shard, and how a leader logs an operation of the shard.
  *
- * Every module that proposes or answers as a leader asks here first. It writes the record of leadership's
- * clock alone; terms begin in leadership_change.
+ * A module checks here before it proposes or answers as a leader. Of the leadership records, this module
+ * writes only clock_advanced_at_ms; leadership_change writes the rest.
  *
- * Always: nothing is logged or answered as a leader without a lease, nor before all that was committed
- * earlier is applied. */
+ * Always: nothing is logged or answered as a leader without a lease, nor before all entries that were
+ * committed earlier have been applied. */
 #ifndef NL_LEADERSHIP_H
 #define NL_LEADERSHIP_H
 
 #include "controller_state.h"
 
-/* Whether this node leads a shard: it holds the lease, and all that was committed before is applied here. */
+/* Whether this node leads a shard: it holds the lease and has applied all entries that were committed in
+ * earlier terms. */
 static inline int leads_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	return raft_has_lease(&controller->shards[shard], now) &&
 	       controller->leadership[shard].term == controller->shards[shard].term;
 }
 
-/* The address of a shard's leader as far as this member knows it within its vote barrier; 0: not known. An
- * older hint could send others to a leader that is gone. */
+/* Return the address of a shard's leader; 0: not known. It is known to a member only until its vote barrier
+ * ends: an older address may be that of a controller that no longer leads. */
 static inline uint64_t leader_hint(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	const struct raft *raft = &controller->shards[shard];
@@ -27,16 +28,16 @@
 										       : 0;
 }
 
-/* Whether the control shard's leader replied so lately that a request to it makes sense. */
+/* Whether the control shard's leader is this node, or has replied within CONFIG_WATCH_LEADER_TIMEOUT_MS. */
 static inline int leader_reachable(const struct controller *controller, int64_t now)
 {
 	return leads_shard(controller, SHARD_CONTROL, now) ||
 	       config_watch_age_ms(&controller->config_watch, now) <= CONFIG_WATCH_LEADER_TIMEOUT_MS;
 }
 
-/* Log an operation of a shard, dated by the shard's own clock and the control group's. Returns its log index,
- * or 0 when this node does not lead the shard. Example: index = log_operation(controller, SHARD_CONTROL,
- * &operation, now, out); */
+/* Propose an operation to a shard's log, stamped with the shard's own clock and the control group's clock.
+ * Returns its log index, or 0 if it was not logged, for example because this node does not lead the shard.
+ * Example: index = log_operation(controller, SHARD_CONTROL, &operation, now, out); */
 uint64_t log_operation(struct controller *controller, uint32_t shard, struct Nl__Operation *operation,
 		       int64_t now, struct command_list *out);
 
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -20,7 +20,7 @@
 		controller->leadership[shard].since_ms = controller->leadership[shard].clock_advanced_at_ms =
 		    now;
 		log_line(controller, "shard", out->pool,
-			 "Shard %u is led here from term %" APR_UINT64_T_FMT ".", shard, raft->term);
+			 "leadership gained, shard %u, term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
 			group_clock_start_term(controller, now);
 			arrsetlen(controller->membership.nodes, 0);
@@ -33,15 +33,16 @@
 	}
 }
 
-/* Between leases nothing is declared; a leader that holds its term goes on after the next lease begins. */
+/* Stop the publisher: without a lease, no ticks are declared. */
 static void deactivate_publisher(struct controller *controller, struct command_list *out)
 {
 	controller->relay.is_publisher = 0;
 	arrsetlen(controller->relay.upstreams, 0);
-	log_line(controller, "purge", out->pool, "The publisher's lease is lost here.");
+	log_line(controller, "purge", out->pool, "publisher stopped: lease of the purge shard lost");
 }
 
-/* Others' proposals that are logged here: whether they are committed is the next leader's to know. */
+/* Reply "outcome unknown" to other nodes' proposals that this node has logged: whether they are committed is
+ * decided under the next leader. */
 static void abandon_received_proposals(struct controller *controller, uint32_t shard,
 				       struct command_list *out)
 {
@@ -51,7 +52,7 @@
 		if (entry->shard != shard)
 			continue;
 		reply_to_proposal(entry->proposer_addr, entry->token, PROPOSAL_OUTCOME_UNKNOWN, 0,
-				  "ownership lost: outcome unknown", 0, out);
+				  "leadership lost: outcome unknown", 0, out);
 		arrdel(controller->proposals.received, i);
 	}
 }
--- a/lib/control/leadership_change.h
+++ b/lib/control/leadership_change.h
@@ -1,20 +1,20 @@
-/* leadership_change: what begins and ends with leadership of a shard: the publisher, rollouts, quota shares,
- * and answers that are waited for.
+/* leadership_change: starts and ends the work that only a shard's leader does: the publisher, rollouts, quota
+ * shares, and the answers of proposals that it has logged.
  *
- * A part of the step, which calls it for each shard.
+ * It belongs to the step, which calls it for each shard.
  *
- * Always: leadership begins after all that is committed has been applied, and ends before the next entry is;
- * whoever waits for an answer then is told that the outcome is unknown. */
+ * Always: leadership begins after all committed entries have been applied, and ends before the next entry is
+ * applied. Calls and proposals that wait for a commit when it ends are answered "outcome unknown". */
 #ifndef NL_LEADERSHIP_CHANGE_H
 #define NL_LEADERSHIP_CHANGE_H
 
 #include "controller_state.h"
 
-/* Begin to lead a shard if its lease is held and this term has not begun here yet. */
+/* Begin the leadership of a shard if this node holds the lease and has not yet begun it in this term. */
 void on_leadership_gained(struct controller *controller, uint32_t shard, int64_t now,
 			  struct command_list *out);
 
-/* End what only a leader does, and answer whoever waits, if this node does not lead the shard. */
+/* If this node does not lead the shard, end the leader's work and answer the waiting calls and proposals. */
 void on_leadership_lost(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -49,7 +49,7 @@
 	propose(controller, SHARD_CONTROL, &operation, 0, now);
 }
 
-/* Change the members of groups that are led here towards what the bounds ask for. */
+/* Reconfigure the groups that this node leads, towards the number of replicas that the bounds require. */
 static void reconfigure_groups(struct controller *controller, int64_t now)
 {
 	struct raft_member live[CONFIG_WATCH_MAX_CONTROLLERS];
@@ -83,8 +83,8 @@
 	return 0;
 }
 
-/* At the address of a silent controller a new one may run, with an empty disk, whose seeds are all new as
- * well: it is told where the fleet is. */
+/* Send a leader hint to the address of each silent controller. A new controller with an empty disk may run
+ * there; if its seeds are new as well, it cannot find the fleet without the hint. */
 static void announce_fleet(struct controller *controller, int64_t now, struct command_list *out)
 {
 	if (now - controller->membership.announced_at_ms < CONTROLLER_ANNOUNCE_INTERVAL_MS)
@@ -104,7 +104,8 @@
 	}
 }
 
-/* Delete the row of a controller that was never seen in this term, one at a time. */
+/* Delete the row of one controller from which this leader has not received a request; at most one at a time.
+ */
 static void remove_one_absent_controller(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -5,29 +5,29 @@
 
 #include "containers.h"
 
-/* One router's request for shares while it is answered. */
+/* A router's request for shares, and the context in which it is answered. */
 struct share_request {
 	struct controller_quota_shares *quota;
 	const struct config_table *table;
 	bool is_new_leader;
 	uint64_t router_id;
 	const struct Nl__ConfigSync *sync;
-	uint32_t router_count; /* 1 at least */
+	uint32_t router_count; /* live routers; at least 1 */
 	struct Nl__ConfigSyncReply *reply;
 	int64_t now;
 	struct command_list *out;
 };
 
-/* The row that limits "tenant" or "route/tenant"; NULL: there is none. */
+/* Return the row of the limit named "tenant" or "route/tenant", or NULL. */
 static const struct Nl__Row *find_limit_row(const struct config_table *table, const char *limit_name)
 {
 	return config_table_get(table, strchr(limit_name, '/') ? NL__KIND__SHARE : NL__KIND__TENANT,
 				limit_name);
 }
 
-/* What the router may use. Never more than the limit less all that others hold or may believe to hold. What
- * is requested beyond the limit is shared out evenly; the odd slots go to those that have gone without for
- * longest. */
+/* Return the number of slots that the router may use: never more than the limit minus all slots that other
+ * routers hold or may still hold. If the requests exceed the limit, it is divided evenly; the remaining slots
+ * go to the routers that have been without slots for the longest time. */
 static uint32_t compute_share(const struct controller_quota_share *shares,
 			      const struct controller_quota_share *own, const char *limit_name,
 			      uint32_t limit_slots, uint32_t reserve_slots, int64_t now)
@@ -59,14 +59,14 @@
 		wanted_slots = own->requested_slots < even_slots ? own->requested_slots : even_slots;
 	}
 	if (wanted_slots <= own->reserved_slots || others_reserved_slots + wanted_slots <= limit_slots)
-		return wanted_slots; /* less than it has: always; more: as far as others leave it */
+		return wanted_slots; /* a decrease is always possible, an increase only within the limit */
 	if (others_reserved_slots + own->reserved_slots < limit_slots)
 		return (uint32_t)(limit_slots - others_reserved_slots);
 	return own->reserved_slots < limit_slots ? own->reserved_slots : limit_slots;
 }
 
-/* The router's share of a limit, made with what it says is in use when it is new; lapsed shares of others go.
- */
+/* Return the router's share of a limit. A new share starts with the slots that the router reports as in use.
+ * Expired shares of all routers are removed. */
 static struct controller_quota_share *find_or_add_share(struct controller_quota_shares *quota,
 							const char *limit_name, uint64_t router_id,
 							uint32_t in_use_slots, int64_t now)
@@ -91,7 +91,7 @@
 	return &shares[found];
 }
 
-/* Grant slots, and count them as held until the router is known to have returned them. */
+/* Add a grant to the reply. The slots count as held until the router reports that it has returned them. */
 static void add_grant_to_reply(const struct share_request *request, struct controller_quota_share *share,
 			       const char *limit_name, uint32_t granted_slots)
 {
@@ -105,8 +105,9 @@
 	request->reply->quota_grants[request->reply->n_quota_grants++] = grant;
 }
 
-/* Where a table has few limits, routers hold some slots of each ahead: after a failover they have some at
- * once. */
+/* Recompute which limits have reserves, after a change of the table. If the table has at most
+ * CONTROLLER_MAX_RESERVED_LIMITS limits, each router holds some slots of each limit ahead of demand, so that
+ * it has slots immediately after a failover. */
 static void update_reserved_limits(struct controller_quota_shares *quota, const struct config_table *table)
 {
 	if (quota->reserved_limits_revision == table->revision)
@@ -136,7 +137,7 @@
 			     request->now);
 }
 
-/* A limit under which the router holds, uses or requests slots. */
+/* Add the grant for a limit under which the router holds, uses or requests slots. */
 static void answer_named_limit(const struct share_request *request, const struct Nl__QuotaGrant *reported)
 {
 	const struct Nl__Row *row = find_limit_row(request->table, reported->name);
@@ -145,11 +146,11 @@
 	    reported->reserved_slots > reported->used_slots ? reported->reserved_slots : reported->used_slots;
 	struct controller_quota_share *share;
 
-	if (row && !limit_slots) /* nobody needs slots */
+	if (row && !limit_slots) /* the row sets no limit: requests need no slots */
 		return;
 	share =
 	    find_or_add_share(request->quota, reported->name, request->router_id, in_use_slots, request->now);
-	/* it has received the newest reply */
+	/* the router has received the newest reply: its report replaces the slots that were counted */
 	if (request->sync->applied_token >= share->granting_reply_token ||
 	    in_use_slots > share->reserved_slots)
 		share->reserved_slots = in_use_slots;
@@ -172,7 +173,7 @@
 	return false;
 }
 
-/* A limit that the router does not name, of which it gets a reserve. */
+/* Add the grant of a reserve for a limit that the router's request does not contain. */
 static void answer_reserved_limit(const struct share_request *request, const char *limit_name)
 {
 	const struct Nl__Row *row = find_limit_row(request->table, limit_name);
--- a/lib/control/quota_shares.h
+++ b/lib/control/quota_shares.h
@@ -1,32 +1,33 @@
-/* quota_shares: the fleet-wide limits, shared out: how many requests under each limit a router may run at
- * once.
+/* quota_shares: divides the fleet-wide limits among the routers: how many requests under each limit a router
+ * may run at once.
  *
- * The configuration's leader keeps what each router holds and requests, in memory alone; config_sync calls it
- * with each router's request. Shares are leases: a router that is silent for CONTROLLER_QUOTA_LEASE_MS has
- * lost its own.
+ * The control shard's leader records which slots each router holds and requests, in memory only. config_sync
+ * calls this module with each router's request for the configuration. Shares are leases: a router that has
+ * sent no request for CONTROLLER_QUOTA_LEASE_MS has lost its shares.
  *
- * Always: what routers hold, or may still believe to hold, is never more than the limit. A reply is counted
- * as held from when it is sent until the router's next request shows otherwise; and a new leader, which has
- * not heard from all routers yet, grants nothing more at first. */
+ * Always: the slots that routers hold, or may still hold, never exceed the limit. The slots that a reply
+ * grants count as held from when the reply is sent until the router's next request reports otherwise. A new
+ * leader has not yet received requests from all routers, so at first it grants no additional slots. */
 #ifndef NL_QUOTA_SHARES_H
 #define NL_QUOTA_SHARES_H
 
 #include "controller_state.h"
 
-/* Begin with no shares. */
+/* Initialise an empty record without shares. */
 void quota_shares_open(struct controller_quota_shares *quota);
 
 /* Release all shares. */
 void quota_shares_close(struct controller_quota_shares *quota);
 
-/* Forget who holds what: a new leader learns it from the routers. */
+/* Remove all shares at the start of a leadership; the routers' requests report what they hold. */
 void quota_shares_clear(struct controller_quota_shares *quota);
 
-/* The table is to be replaced as a whole: nothing of it is referred to any more. */
+/* Drop all references into the configuration table, before the table is replaced. */
 void quota_shares_invalidate_table(struct controller_quota_shares *quota);
 
-/* Take in what a router holds, uses and requests under its limits (sync), and add what it gets to the reply.
- * is_new_leader: not all that the last leader granted is known yet. router_count: how many routers are live.
+/* Process the slots that a router holds, uses and requests under its limits (sync), and add its grants to the
+ * reply. is_new_leader: slots that the last leader granted may not all have been reported yet. router_count:
+ * number of live routers.
  * Example: quota_shares_update(&quota, &table, is_new_leader, router_id, sync, count, reply, now, out); */
 void quota_shares_update(struct controller_quota_shares *quota, const struct config_table *table,
 			 bool is_new_leader, uint64_t router_id, const struct Nl__ConfigSync *sync,
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -85,10 +85,10 @@
 
 		recovered_count += is_recovered;
 		if (is_recovered)
-			log_line(
-			    controller, "recovery", out->pool,
-			    "shard recovered from this replica alone, shard %d, epoch %" APR_UINT64_T_FMT, i,
-			    raft_epoch(raft->term));
+			log_line(controller, "recovery", out->pool,
+				 "shard recovered from this replica alone, shard %d, epoch %" APR_UINT64_T_FMT
+				 ".",
+				 i, raft_epoch(raft->term));
 		json_object_array_add(shards, shard_json(raft, recovery, is_recovered, now, out->pool));
 	}
 	json_object_object_add(answer, "recovered", json_object_new_int(recovered_count));
