--- a/lib/control/controller_event.h
+++ b/lib/control/controller_event.h
@@ -18,7 +18,7 @@
 	CONTROLLER_SYNCED,             /* writes of a shard have been synced to the disk */
 	CONTROLLER_API_CALL,           /* an operator's call of this project's own HTTP interface */
 	CONTROLLER_CALL_RESULT,        /* a server has answered a call, or the call has failed */
-	CONTROLLER_STOP,               /* shut down gracefully */
+	CONTROLLER_STOP,               /* the process has to shut down gracefully */
 	CONTROLLER_PUT_DOCUMENT,       /* an operator's call that sets the configuration document */
 	CONTROLLER_READ_DOCUMENT,      /* an operator's call that reads the newest document */
 	CONTROLLER_SET_TARGET_WEIGHTS, /* an operator's call that sets the target weights of a model */
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -127,7 +127,7 @@
 	uint64_t granting_reply_token; /* token of the newest reply that granted slots to the router */
 	uint32_t reserved_slots;       /* slots that count as held by the router */
 	uint32_t requested_slots;      /* slots that the router requested in its last report */
-	int64_t updated_at_ms;         /* when the router's last report was received */
+	int64_t updated_at_ms;         /* when the router's last request was received */
 	int64_t last_granted_at_ms;    /* when the router was last granted slots or used some */
 };
 
@@ -281,7 +281,7 @@
 	struct controller_pending_read *pending_reads; /* stb_ds: reads that wait for the leader's reply */
 };
 
-/* Proposals in flight. Owned by proposals.c. */
+/* Proposals that have no outcome yet. Owned by proposals.c. */
 struct controller_proposals {
 	struct controller_proposal *own; /* stb_ds: proposals made by this node that have no outcome yet */
 	struct controller_pending_entry *received; /* stb_ds: other nodes' proposals that this node has logged
@@ -315,7 +315,7 @@
 /* The rollout of weights to the servers of the configuration table, which have this project's own HTTP
  * interface. Owned by rollout.c. */
 struct controller_server_rollout {
-	struct controller_server *servers;         /* stb_ds */
+	struct controller_server *servers;         /* stb_ds, one for each server of the table */
 	struct controller_target_weights *targets; /* stb_ds string map, by service */
 	uint32_t command_sequence;                 /* lower bits of the fence of the newest load command */
 };
@@ -324,7 +324,7 @@
  * purge_publisher.c. The tick also advances when a value is applied. */
 struct controller_publisher {
 	uint64_t tick;               /* highest tick that has been declared */
-	int64_t tick_declared_at_ms; /* when silence was last declared */
+	int64_t tick_declared_at_ms; /* when the publisher last declared silence (ticks without a purge) */
 	uint64_t pending_tick;       /* tick of the newest value that has been proposed to the log */
 	uint64_t
 	    reserved_for_ceiling;  /* value of the ceiling when the newest reservation of ticks was logged */
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -33,7 +33,8 @@
 	}
 }
 
-/* Stop the publisher: without a lease, no ticks are declared. */
+/* Stop the publisher after this node has lost the leadership: without a lease, no ticks are declared. A
+ * leader whose lease is renewed within its term continues to publish, without a stop. */
 static void deactivate_publisher(struct controller *controller, struct command_list *out)
 {
 	controller->relay.is_publisher = 0;
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -59,7 +59,8 @@
 		wanted_slots = own->requested_slots < even_slots ? own->requested_slots : even_slots;
 	}
 	if (wanted_slots <= own->reserved_slots || others_reserved_slots + wanted_slots <= limit_slots)
-		return wanted_slots; /* a decrease is always possible, an increase only within the limit */
+		return wanted_slots; /* a decrease is always possible, an increase only as far as other
+					routers leave slots */
 	if (others_reserved_slots + own->reserved_slots < limit_slots)
 		return (uint32_t)(limit_slots - others_reserved_slots);
 	return own->reserved_slots < limit_slots ? own->reserved_slots : limit_slots;
@@ -128,13 +129,13 @@
 }
 
 static uint32_t compute_router_share(const struct share_request *request,
-				     const struct controller_quota_share *share, const char *name,
-				     uint32_t limit)
+				     const struct controller_quota_share *share, const char *limit_name,
+				     uint32_t limit_slots)
 {
 	struct controller_quota *limits = request->quota->limits;
 
-	return compute_share(shget(limits, name), share, name, limit, limit / request->router_count / 4,
-			     request->now);
+	return compute_share(shget(limits, limit_name), share, limit_name, limit_slots,
+			     limit_slots / request->router_count / 4, request->now);
 }
 
 /* Add the grant for a limit under which the router holds, uses or requests slots. */
