--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -8,7 +8,7 @@
 #include "controller_private.h"
 
 enum {
-	BOOTSTRAP_RETRY_MS = 1000,            /* delay that a rejected caller is told to wait */
+	BOOTSTRAP_RETRY_MS = 1000, /* sent to a rejected caller: delay before it may repeat the call */
 	BOOTSTRAP_QUERY_INTERVAL_MS = 200,    /* interval between queries to the seeds */
 	BOOTSTRAP_CALL_TIMEOUT_MS = 10000,    /* an operator's call is answered within this time */
 	BOOTSTRAP_SETTINGS_TIMEOUT_MS = 30000 /* this node stops sending the members after this time: by then
--- a/lib/control/completed_proposals.h
+++ b/lib/control/completed_proposals.h
@@ -1,11 +1,11 @@
 /* completed_proposals: the replicated record of applied proposals and their outcomes.
  *
  * A proposer sends a proposal again until it receives a reply, so a proposal may be logged more than once. It
- * is applied once: the record tells a further copy from a new proposal. As in the client sessions of Raft
- * (Ongaro's dissertation, 6.3), a proposal contains the incarnation of its proposer, that is the run of the
- * process, and the oldest proposal of this incarnation that is still open. Older proposals have been answered
- * or given up: their outcomes are removed from the record, and late copies of them are not applied. The
- * record thus holds only the outcomes of open proposals, and an outcome is not evicted however many other
+ * is applied once: the record distinguishes a further copy from a new proposal. As in the client sessions of
+ * Raft (Ongaro's dissertation, 6.3), a proposal contains the incarnation of its proposer, that is the run of
+ * the process, and the oldest proposal of this incarnation that is still open. Older proposals have been
+ * answered or given up: their outcomes are removed from the record, and late copies of them are not applied.
+ * The record thus holds only the outcomes of open proposals, and an outcome is not evicted however many other
  * proposals follow.
  *
  * Always: the record changes only when an entry of the control shard's log is applied, and it is stored in
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -47,8 +47,8 @@
 	const char *drop_reason = NULL;
 
 	if (!controller->identity.fleet)
-		return; /* no fault: a new member receives messages of its groups before it has learnt its
-			   fleet */
+		return; /* no fault: a new member receives messages of its groups before it has received the
+			   identity of its fleet */
 	if (message->fleet_id != controller->identity.fleet)
 		drop_reason = "fleet id missing or different";
 	else if (message->shard >= SHARD_COUNT)
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -38,7 +38,7 @@
 	CONTROLLER_MAX_RESERVED_LIMITS =
 	    64, /* with more limits than this, routers hold no reserved slots ahead of demand */
 	CONTROLLER_RETRY_MS =
-	    200, /* delay that a caller is told to wait before it repeats a call that failed */
+	    200, /* sent to the caller of a failed call: delay before it may repeat the call */
 	CONTROLLER_CALL_TIMEOUT_MS =
 	    5000, /* an operator's call without an outcome by then is answered "outcome unknown" */
 	CONTROLLER_CLAIM_TTL_MS = 720000, /* a claim expires after this time on the shard's clock: the longest
--- a/lib/control/group_clock.h
+++ b/lib/control/group_clock.h
@@ -1,4 +1,4 @@
-/* group_clock: the control group's clock in ms, which stamps events for the whole fleet.
+/* group_clock: the control group's clock in ms, with which events are stamped on all nodes of the fleet.
  *
  * The control shard's leader advances it by its own monotonic clock and stamps each operation that it logs
  * with it. The clock thus continues through snapshots, new leaders and restarts. Every other node computes it
--- a/lib/control/idempotency.h
+++ b/lib/control/idempotency.h
@@ -1,8 +1,8 @@
 /* idempotency: the replicated log of operators' requests that took effect.
  *
- * An operator who has not received an answer sends the same request again, to any controller. The log tells a
- * repeated request from a new one: for each request that was accepted recently it records a key, a digest of
- * the content, and the version that the request made.
+ * An operator who has not received an answer sends the same request again, to any controller. The log
+ * distinguishes a repeated request from a new one: for each request that was accepted recently it records a
+ * key, a digest of the content, and the version that the request made.
  *
  * Always: the log changes only when an entry of the control shard's log is applied, and it is stored in
  * snapshots, so that all replicas decide alike, whichever of them leads. Its size is bounded. It records
--- a/lib/control/membership.h
+++ b/lib/control/membership.h
@@ -10,9 +10,10 @@
 #include "controller_state.h"
 
 /* Return the time in ms for which a controller counts as live after its last request; only live controllers
- * may join a group. A silent member is removed from its group after three times as long, and a learner that
- * replaces it is prepared after twice as long. The rest of the deployment's catch-up bound is reserved for
- * the change of membership itself. Example: if (now - node->observed_at_ms < live_window_ms(controller))
+ * may join a group. It is a fifth of the deployment's bound for catching up, and at most
+ * CONTROLLER_NODE_LIVE_MS. A silent member is removed from its group after three fifths of the bound, and a
+ * learner that replaces it is prepared after two thirds of that. The rest of the bound is reserved for the
+ * change of membership itself. Example: if (now - node->observed_at_ms < live_window_ms(controller))
  * add_candidate(node); */
 int64_t live_window_ms(const struct controller *controller);
 
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -1,8 +1,8 @@
 /* state_machine: applies the committed log entries of the shards to the replicated state: the configuration,
  * retention, claims, rolled-out weights of services, and the purge stream.
  *
- * Every member applies each committed entry of a shard once, in the order of the log. The result of an entry
- * tells the step which services have to be notified.
+ * Every member applies each committed entry of a shard once, in the order of the log. From the result of an
+ * entry, the step determines which services have to be notified.
  *
  * Always: the state after an entry depends only on the entries of the log, not on the time or on the leader,
  * so that all members have equal states. An operation that was logged twice takes effect once. */
