--- a/lib/control/idempotency.c
+++ b/lib/control/idempotency.c
@@ -5,8 +5,9 @@
 
 #include "containers.h"
 
-/* Goes in front of the bytes of a key, so that no key has the digest of a content: no call has this name. */
-static const char key_prefix[] = "Idempotency-Key";
+/* Prefix of the digested bytes of an idempotency key. No call has this path, so the digest of a key never
+ * equals the digest of a content. */
+static const char digested_key_prefix[] = "Idempotency-Key";
 
 bool idempotency_key_is_valid(const char *key)
 {
@@ -40,7 +41,7 @@
 	struct sha256_ctx context;
 
 	sha256_init(&context);
-	sha256_update(&context, sizeof key_prefix, (const uint8_t *)key_prefix);
+	sha256_update(&context, sizeof digested_key_prefix, (const uint8_t *)digested_key_prefix);
 	sha256_update(&context, strlen(key), (const uint8_t *)key);
 	sha256_digest(&context, REQUEST_DIGEST_BYTES, digest);
 }
@@ -79,16 +80,16 @@
 bool idempotency_log_may_have_evicted(const struct idempotency_log *log, enum request_series series,
 				      uint64_t base_version)
 {
-	/* a request that built on a base made a version above it; all that made one above the evicted
-	 * versions are still recorded */
+	/* An accepted request made a higher version than its base version. Requests that made higher versions
+	 * than the evicted ones are still recorded. */
 	return base_version < log->forgotten_versions[series];
 }
 
-/* Note how far back the log reaches once a record is evicted. */
-static void evict(struct idempotency_log *log, const struct idempotency_record *old)
+/* Update the highest evicted version of the record's series. */
+static void note_evicted_version(struct idempotency_log *log, const struct idempotency_record *evicted)
 {
-	if (old->series < SERIES_COUNT && old->version > log->forgotten_versions[old->series])
-		log->forgotten_versions[old->series] = old->version;
+	if (evicted->series < SERIES_COUNT && evicted->version > log->forgotten_versions[evicted->series])
+		log->forgotten_versions[evicted->series] = evicted->version;
 }
 
 void idempotency_log_add(struct idempotency_log *log, const struct request_key *key,
@@ -103,7 +104,7 @@
 		arrput(log->records, added);
 		return;
 	}
-	evict(log, &log->records[log->oldest]);
+	note_evicted_version(log, &log->records[log->oldest]);
 	log->records[log->oldest] = added;
 	log->oldest = (log->oldest + 1) % capacity;
 }
@@ -160,13 +161,13 @@
 	if (!state)
 		return;
 	for (size_t i = 0; i < state->n_idempotency_records; i++) {
-		const struct Nl__IdempotencyRecord *record = state->idempotency_records[i];
-		struct request_key key = request_key_unpack(record->request_key);
+		const struct Nl__IdempotencyRecord *saved = state->idempotency_records[i];
+		struct request_key key = request_key_unpack(saved->request_key);
 
 		idempotency_log_add(log, &key,
-				    record->series < SERIES_COUNT ? (enum request_series)record->series
-								  : SERIES_UNVERSIONED,
-				    record->version);
+				    saved->series < SERIES_COUNT ? (enum request_series)saved->series
+								 : SERIES_UNVERSIONED,
+				    saved->version);
 	}
 	for (size_t i = 0; i < state->n_forgotten_versions && i < SERIES_COUNT; i++)
 		log->forgotten_versions[i] = state->forgotten_versions[i];
