--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -8,10 +8,10 @@
 #include <unicode/ustring.h>
 
 enum {
-	SEARCH_DAYS = 366 * 9, /* 29 February comes within these */
+	MAX_SEARCH_DAYS = 366 * 9, /* 29 February comes within these */
 	EVERY_WEEKDAY = 127,
-	TEXT_BYTES = 160,
-	ZONE_BYTES = 64
+	MAX_SCHEDULE_BYTES = 160,
+	MAX_ZONE_BYTES = 64
 };
 
 /* A schedule, parsed. */
@@ -21,7 +21,7 @@
 	int month;        /* 0: any */
 	int hour;
 	int minute;
-	char zone[ZONE_BYTES];
+	char zone[MAX_ZONE_BYTES];
 };
 
 /* ---- parsing ---- */
@@ -75,11 +75,11 @@
 }
 
 /* The time of day, "02:30". Returns NULL, or what is wrong. */
-static const char *parse_clock(const char *clock, struct schedule *schedule)
+static const char *parse_time_of_day(const char *time_of_day, struct schedule *schedule)
 {
-	const char *colon = clock ? strchr(clock, ':') : NULL;
+	const char *colon = time_of_day ? strchr(time_of_day, ':') : NULL;
 
-	schedule->hour = colon ? parse_number(clock, (size_t)(colon - clock), 23) : -1;
+	schedule->hour = colon ? parse_number(time_of_day, (size_t)(colon - time_of_day), 23) : -1;
 	schedule->minute = colon && strlen(colon + 1) == 2 ? parse_number(colon + 1, 2, 59) : -1;
 	if (schedule->hour < 0 || schedule->minute < 0)
 		return "the time of day is not as 02:30";
@@ -88,18 +88,18 @@
 
 static bool is_known_zone(const char *zone)
 {
-	UChar id[ZONE_BYTES], canonical[ZONE_BYTES];
+	UChar id[MAX_ZONE_BYTES], canonical[MAX_ZONE_BYTES];
 	UErrorCode status = U_ZERO_ERROR;
 
-	u_strFromUTF8(id, ZONE_BYTES, NULL, zone, -1, &status);
-	ucal_getCanonicalTimeZoneID(id, -1, canonical, ZONE_BYTES, NULL, &status);
+	u_strFromUTF8(id, MAX_ZONE_BYTES, NULL, zone, -1, &status);
+	ucal_getCanonicalTimeZoneID(id, -1, canonical, MAX_ZONE_BYTES, NULL, &status);
 	return U_SUCCESS(status);
 }
 
 /* Returns NULL, or what is wrong; with a pool the text names an unknown zone. */
 static const char *parse_schedule(const char *text, struct schedule *schedule, apr_pool_t *pool)
 {
-	char copy[TEXT_BYTES], *token, *save = NULL;
+	char copy[MAX_SCHEDULE_BYTES], *token, *save = NULL;
 	const char *error = NULL;
 
 	memset(schedule, 0, sizeof *schedule);
@@ -116,7 +116,7 @@
 	else
 		error = parse_weekdays(token, schedule);
 	if (!error)
-		error = parse_clock(apr_strtok(NULL, " ", &save), schedule);
+		error = parse_time_of_day(apr_strtok(NULL, " ", &save), schedule);
 	if (error)
 		return error;
 	token = apr_strtok(NULL, " ", &save);
@@ -145,8 +145,8 @@
 }
 
 /* The first time of the schedule after from_ms, by the calendar of its zone; 0: none comes. */
-static int64_t find_next(UCalendar *calendar, const struct schedule *schedule, int64_t from_ms,
-			 UErrorCode *status)
+static int64_t find_next_due(UCalendar *calendar, const struct schedule *schedule, int64_t from_ms,
+			     UErrorCode *status)
 {
 	int year, month, date;
 
@@ -154,7 +154,7 @@
 	year = ucal_get(calendar, UCAL_YEAR, status);
 	month = ucal_get(calendar, UCAL_MONTH, status);
 	date = ucal_get(calendar, UCAL_DATE, status);
-	for (int i = 0; i < SEARCH_DAYS && U_SUCCESS(*status); i++) {
+	for (int i = 0; i < MAX_SEARCH_DAYS && U_SUCCESS(*status); i++) {
 		int64_t due_at_ms;
 
 		ucal_clear(calendar); /* noon is in every day, whatever its clock change */
@@ -171,32 +171,32 @@
 	return 0;
 }
 
-static int64_t next(const char *text, int64_t from_ms)
+static int64_t next_due_at_ms(const char *text, int64_t from_ms)
 {
 	struct schedule schedule;
 	UErrorCode status = U_ZERO_ERROR;
-	UChar zone[ZONE_BYTES];
+	UChar zone[MAX_ZONE_BYTES];
 	UCalendar *calendar;
 	int64_t due_at_ms;
 
 	if (parse_schedule(text, &schedule, NULL))
 		return 0;
-	u_strFromUTF8(zone, ZONE_BYTES, NULL, schedule.zone, -1, &status);
+	u_strFromUTF8(zone, MAX_ZONE_BYTES, NULL, schedule.zone, -1, &status);
 	calendar = ucal_open(zone, -1, "en_US", UCAL_GREGORIAN, &status);
 	if (U_FAILURE(status))
 		return 0;
 	ucal_setAttribute(calendar, UCAL_SKIPPED_WALL_TIME, UCAL_WALLTIME_NEXT_VALID);
 	ucal_setAttribute(calendar, UCAL_REPEATED_WALL_TIME, UCAL_WALLTIME_FIRST);
-	due_at_ms = find_next(calendar, &schedule, from_ms, &status);
+	due_at_ms = find_next_due(calendar, &schedule, from_ms, &status);
 	ucal_close(calendar);
 	return U_SUCCESS(status) ? due_at_ms : 0;
 }
 
-static const char *check(const char *text, apr_pool_t *pool)
+static const char *check_schedule(const char *text, apr_pool_t *pool)
 {
 	struct schedule schedule;
 
 	return parse_schedule(text, &schedule, pool);
 }
 
-const struct controller_calendar calendar_icu = { check, next };
+const struct controller_calendar calendar_icu = { check_schedule, next_due_at_ms };
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -9,7 +9,8 @@
 
 enum {
 	INSTANCES_STAMP_TERM_SHIFT = 24, /* a stamp's lower bits count changes, its upper ones are the term */
-	FLEET_SHARE_MS_MILLE = 3000000 /* over rate_mille: ms between polls at a third of the fleet's calls */
+	FLEET_SHARE_MS_MILLIHERTZ =
+	    3000000 /* over rate_mille: ms between polls at a third of the fleet's calls */
 };
 
 /* A copy on the heap; nl__instance__free_unpacked releases it. */
@@ -86,20 +87,20 @@
 static void assign_stamp(struct instances *instances, struct Nl__Instance *instance, int64_t now)
 {
 	instance->stamp = ++instances->stamp;
-	instances->changed_at_ms = now;
+	instances->last_changed_at_ms = now;
 }
 
-void instances_start_term(struct instances *instances, const struct instances *followed, uint64_t term,
-			  int64_t now)
+void instances_start_term(struct instances *instances, const struct instances *followed_instances,
+			  uint64_t term, int64_t now)
 {
 	instances_close(instances);
 	instances_open(instances);
 	instances->term = term;
 	instances->stamp = term << INSTANCES_STAMP_TERM_SHIFT;
 	instances->poll_not_before_ms = now;
-	instances->changed_at_ms = now;
-	for (ptrdiff_t i = 0; i < shlen(followed->rows); i++) {
-		const struct instance_entry *source = &followed->rows[i].value;
+	instances->last_changed_at_ms = now;
+	for (ptrdiff_t i = 0; i < shlen(followed_instances->rows); i++) {
+		const struct instance_entry *source = &followed_instances->rows[i].value;
 		struct instance_entry *entry = store_instance(instances, source->instance);
 
 		entry->removed_at_ms = source->removed_at_ms;
@@ -108,18 +109,18 @@
 	}
 }
 
-void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now,
-		    struct command_list *out)
+void instances_tick(struct instances *instances, int is_fast_poll, int list_calls_millihertz, uint64_t token,
+		    int64_t now, struct command_list *out)
 {
-	int64_t interval_ms = poll_fast || now - instances->changed_at_ms < INSTANCES_RECENT_CHANGE_MS
+	int64_t interval_ms = is_fast_poll || now - instances->last_changed_at_ms < INSTANCES_RECENT_CHANGE_MS
 				  ? INSTANCES_FAST_POLL_MS
 				  : INSTANCES_POLL_MS;
 
 	drop_old_tombstones(instances, now);
-	if (rate_mille <= 0)
+	if (list_calls_millihertz <= 0)
 		return;
-	if (interval_ms < FLEET_SHARE_MS_MILLE / rate_mille)
-		interval_ms = FLEET_SHARE_MS_MILLE / rate_mille;
+	if (interval_ms < FLEET_SHARE_MS_MILLIHERTZ / list_calls_millihertz)
+		interval_ms = FLEET_SHARE_MS_MILLIHERTZ / list_calls_millihertz;
 	if ((instances->poll_token && now - instances->polled_at_ms < INSTANCES_POLL_TIMEOUT_MS) ||
 	    (instances->polled_at_ms && now - instances->polled_at_ms < interval_ms) ||
 	    now < instances->poll_not_before_ms)
@@ -131,7 +132,7 @@
 
 /* Whether followers need to know. The warm-up time runs down by itself where it is known: only its beginning
  * and its end are a change. */
-static int instances_differ(const struct Nl__Instance *a, const struct Nl__Instance *b)
+static int differs_for_routing(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
 	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) ||
 	       a->slots != b->slots || a->state != b->state || strcmp(a->weights, b->weights) ||
@@ -156,9 +157,9 @@
 	const struct Nl__Instance *previous = entry->instance;
 	struct Nl__Instance merged = *listed;
 
-	entry->missed_polls = 0;
+	entry->missed_poll_count = 0;
 	if (previous->state == INSTANCE_REMOVED &&
-	    (entry->has_ended || now - entry->removed_at_ms < INSTANCES_RETURN_DELAY_MS))
+	    (entry->has_ended || now - entry->removed_at_ms < INSTANCES_REJOIN_DELAY_MS))
 		return;
 	if (merged.state == INSTANCE_DRAINING)
 		entry->has_ended = 1;
@@ -167,7 +168,7 @@
 	merged.loading = previous->loading; /* the list does not say */
 	if (instances->polled_at_ms < entry->report_valid_until_ms)
 		merged.weights = previous->weights;
-	if (instances_differ(previous, &merged))
+	if (differs_for_routing(previous, &merged))
 		assign_stamp(instances, store_instance(instances, &merged)->instance, now);
 }
 
@@ -180,27 +181,27 @@
 }
 
 /* Remove servers that too many lists in a row lacked; returns whether any other is missing. */
-static int remove_missed(struct instances *instances, int64_t now)
+static int remove_missing(struct instances *instances, int64_t now)
 {
-	int any_missed = 0;
+	int any_missing = 0;
 
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++) {
 		struct instance_entry *entry = &instances->rows[i].value;
 
 		if (entry->instance->state == INSTANCE_REMOVED)
 			continue;
-		if (entry->missed_polls >= INSTANCES_MAX_MISSED_POLLS)
+		if (entry->missed_poll_count >= INSTANCES_MAX_MISSED_POLLS)
 			mark_removed(instances, entry, now);
-		else if (entry->missed_polls)
-			any_missed = 1;
+		else if (entry->missed_poll_count)
+			any_missing = 1;
 	}
-	return any_missed;
+	return any_missing;
 }
 
 void instances_on_list(struct instances *instances, uint64_t token, int succeeded,
 		       struct Nl__Instance *const *listed, size_t count, int64_t now)
 {
-	int any_missed;
+	int any_missing;
 
 	if (!instances->term || !token || token != instances->poll_token)
 		return;
@@ -210,11 +211,11 @@
 	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
 		succeeded = 0;
 	if (!succeeded) {
-		instances->changed_at_ms = now; /* poll again fast: a server may have begun to drain */
+		instances->last_changed_at_ms = now; /* poll again fast: a server may have begun to drain */
 		return;
 	}
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
-		instances->rows[i].value.missed_polls++;
+		instances->rows[i].value.missed_poll_count++;
 	for (size_t i = 0; i < count; i++) {
 		ptrdiff_t known;
 
@@ -226,13 +227,13 @@
 		else
 			merge_listed(instances, &instances->rows[known].value, listed[i], now);
 	}
-	any_missed = remove_missed(instances, now);
-	if (any_missed)
-		instances->changed_at_ms = now; /* poll again fast */
+	any_missing = remove_missing(instances, now);
+	if (any_missing)
+		instances->last_changed_at_ms = now; /* poll again fast */
 	/* what this leader followed may be older than what others did: published once no server is in doubt
 	 */
 	if (!instances->is_publishable &&
-	    (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missed)) {
+	    (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missing)) {
 		instances->is_publishable = 1;
 		instances->stamp++; /* an empty list is published too */
 	}
@@ -252,7 +253,7 @@
 	changed.weights = (char *)weights;
 	changed.loading = loading;
 	entry->report_valid_until_ms = now + INSTANCES_REPORT_VALID_MS;
-	if (instances_differ(entry->instance, &changed))
+	if (differs_for_routing(entry->instance, &changed))
 		assign_stamp(instances, store_instance(instances, &changed)->instance, now);
 }
 
@@ -297,21 +298,21 @@
 /* Drop servers that a full reply lacks; returns whether any was dropped. */
 static int drop_unlisted(struct instances *instances, const struct Nl__ConfigSyncReply *reply)
 {
-	int dropped = 0;
+	int any_dropped = 0;
 
 	for (ptrdiff_t i = shlen(instances->rows) - 1; i >= 0; i--) {
 		if (is_in_reply(reply, instances->rows[i].key))
 			continue;
-		dropped = 1;
+		any_dropped = 1;
 		nl__instance__free_unpacked(instances->rows[i].value.instance, NULL);
 		(void)shdel(instances->rows, instances->rows[i].key);
 	}
-	return dropped;
+	return any_dropped;
 }
 
 int instances_apply_reply(struct instances *instances, const struct Nl__ConfigSyncReply *reply, int64_t now)
 {
-	int changed = 0;
+	int any_changed = 0;
 
 	drop_old_tombstones(instances, now);
 	if (reply->instances_stamp <= instances->stamp ||
@@ -319,7 +320,7 @@
 					   instances->stamp >> INSTANCES_STAMP_TERM_SHIFT))
 		return 0;
 	if (reply->instances_full)
-		changed = drop_unlisted(instances, reply);
+		any_changed = drop_unlisted(instances, reply);
 	for (size_t i = 0; i < reply->n_instances; i++) {
 		struct Nl__Instance received = *reply->instances[i];
 		const struct Nl__Instance *previous = instances_get(instances, received.server);
@@ -330,7 +331,7 @@
 		/* a new leader may know less than the one before */
 		if (previous && previous->state == INSTANCE_DRAINING && received.state == INSTANCE_SERVING)
 			received.state = INSTANCE_DRAINING;
-		changed |= !previous || instances_differ(previous, &received);
+		any_changed |= !previous || differs_for_routing(previous, &received);
 		entry = store_instance(instances, &received);
 		if (received.state == INSTANCE_REMOVED && !entry->removed_at_ms)
 			entry->removed_at_ms = now;
@@ -338,7 +339,7 @@
 			entry->removed_at_ms = 0;
 	}
 	instances->stamp = reply->instances_stamp;
-	return changed;
+	return any_changed;
 }
 
 static const char *state_text(uint32_t state)
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -24,7 +24,7 @@
 enum {
 	INSTANCES_TOMBSTONE_MS = 60000, /* for which a removed server is still published */
 	INSTANCES_MAX_MISSED_POLLS = 2, /* lists in a row without a server until it counts as removed */
-	INSTANCES_RETURN_DELAY_MS =
+	INSTANCES_REJOIN_DELAY_MS =
 	    2000, /* after which one that was missed by mistake may be back: lists lag */
 	INSTANCES_REPORT_VALID_MS = 2000,  /* for which a server's own report goes before a list that lags */
 	INSTANCES_FAST_POLL_MS = 400,      /* between two polls, after a change or while servers load */
@@ -38,7 +38,7 @@
 	struct Nl__Instance *instance; /* owned */
 	int64_t removed_at_ms;         /* 0: it is not removed */
 	int64_t report_valid_until_ms; /* until then the list does not change its weights */
-	int missed_polls;              /* lists in a row that lacked it */
+	int missed_poll_count;         /* lists in a row that lacked it */
 	int has_ended;                 /* it drains or has ended, and never serves again */
 };
 
@@ -61,7 +61,7 @@
 	uint64_t poll_token; /* of the poll that is under way; 0: none */
 	int64_t polled_at_ms;
 	int64_t poll_not_before_ms;
-	int64_t changed_at_ms;
+	int64_t last_changed_at_ms;
 };
 
 /* Begin with no servers. */
@@ -72,14 +72,14 @@
 
 /* Begin a term as the leader, with the servers that were followed so far.
  * Example: instances_start_term(&controller->instances, &controller->config_watch.instances, term, now); */
-void instances_start_term(struct instances *instances, const struct instances *followed, uint64_t term,
-			  int64_t now);
+void instances_start_term(struct instances *instances, const struct instances *followed_instances,
+			  uint64_t term, int64_t now);
 
 /* Poll the list when it is time, under this token. rate_mille: calls that the fleet may make, in thousandths
  * a second; 0: there is no list. Example: instances_tick(&controller->instances, any_loading,
  * bounds.list_rate_mille, token, now, out); */
-void instances_tick(struct instances *instances, int poll_fast, int rate_mille, uint64_t token, int64_t now,
-		    struct command_list *out);
+void instances_tick(struct instances *instances, int is_fast_poll, int list_calls_millihertz, uint64_t token,
+		    int64_t now, struct command_list *out);
 
 /* A poll has ended: with the complete list, or not succeeded. Answers to other tokens are ignored.
  * Example: instances_on_list(&controller->instances, token, 1, listed, count, now); */
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -6,16 +6,16 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-static struct Nl__Value **copy_values(struct Nl__Value *const *values, size_t n, apr_pool_t *pool)
+static struct Nl__Value **copy_values(struct Nl__Value *const *values, size_t count, apr_pool_t *pool)
 {
-	struct Nl__Value **value = apr_palloc(pool, (n + 1) * sizeof *value);
+	struct Nl__Value **copies = apr_palloc(pool, (count + 1) * sizeof *copies);
 
-	for (size_t i = 0; i < n; i++)
-		value[i] = (struct Nl__Value *)core_copy_message(pool, &values[i]->base);
-	return value;
+	for (size_t i = 0; i < count; i++)
+		copies[i] = (struct Nl__Value *)core_copy_message(pool, &values[i]->base);
+	return copies;
 }
 
-static struct Nl__Value **find_feed(struct controller *controller, uint32_t shard)
+static struct Nl__Value **find_purge_feed(struct controller *controller, uint32_t shard)
 {
 	return shard == SHARD_CONTROL                   ? controller->config.purge_feed
 	       : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed
@@ -26,31 +26,31 @@
 		     struct command_list *out)
 {
 	struct Nl__FeedReply *feed_reply;
-	struct Nl__Value **value;
-	size_t acknowledged = 0, released = 0;
+	struct Nl__Value **feed_values;
+	size_t acknowledged_count = 0, released_count = 0;
 
 	if (message->shard >= SHARD_COUNT || message->shard == SHARD_PURGE)
 		return;
 	if (!leads_shard(controller, message->shard, now)) {
-		struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		struct Nl__LeaderHint *hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
-		owner->leader_addr = leader_hint(controller, message->shard, now);
+		hint->leader_addr = leader_hint(controller, message->shard, now);
 		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint =
-		    owner;
+		    hint;
 		return;
 	}
 	feed_reply = MESSAGE_NEW(out, Nl__FeedReply, NL__FEED_REPLY__INIT);
 	feed_reply->round = message->feed_request->round;
-	value = find_feed(controller, message->shard);
-	while (acknowledged < (size_t)arrlen(value) &&
-	       value[acknowledged]->index <= message->feed_request->have_index)
-		acknowledged++;
-	released = acknowledged;
-	feed_reply->n_values = (size_t)arrlen(value) - acknowledged;
-	feed_reply->values =
-	    copy_values(value ? value + acknowledged : NULL, feed_reply->n_values, out->pool);
+	feed_values = find_purge_feed(controller, message->shard);
+	while (acknowledged_count < (size_t)arrlen(feed_values) &&
+	       feed_values[acknowledged_count]->index <= message->feed_request->have_index)
+		acknowledged_count++;
+	released_count = acknowledged_count;
+	feed_reply->n_values = (size_t)arrlen(feed_values) - acknowledged_count;
+	feed_reply->values = copy_values(feed_values ? feed_values + acknowledged_count : NULL,
+					 feed_reply->n_values, out->pool);
 	command_send(out, message->addr, message->shard, NL__MSG__BODY_FEED_REPLY)->feed_reply = feed_reply;
-	if (released > 64) {
+	if (released_count > 64) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
 
@@ -65,33 +65,34 @@
 		   struct command_list *out)
 {
 	const struct Nl__FeedReply *feed_reply = message->feed_reply;
-	int proposed = 0;
+	int proposed_count = 0;
 
 	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT ||
 	    !leads_shard(controller, SHARD_PURGE, now))
 		return;
 	config_watch_hint(&controller->config_watch, message->shard, message->addr);
 	/* one batch at a time; what does not fit, the feed will say again */
-	for (size_t i = 0; i < feed_reply->n_values &&
-			   (proposed || controller->publisher.pending_tick <= controller->publisher.tick);
+	for (size_t i = 0;
+	     i < feed_reply->n_values &&
+	     (proposed_count || controller->publisher.pending_tick <= controller->publisher.tick);
 	     i++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
-		uint64_t next =
-		    (proposed ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
+		uint64_t next_tick =
+		    (proposed_count ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
 
 		if (!feed_reply->values[i]->purge ||
 		    feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
 			continue;
-		if (next > controller->purge_state.ceiling || proposed == CONTROLLER_PURGE_BATCH)
+		if (next_tick > controller->purge_state.ceiling || proposed_count == CONTROLLER_PURGE_BATCH)
 			break;
 		feed_reply->values[i]->feed = message->shard;
-		feed_reply->values[i]->tick = next;
+		feed_reply->values[i]->tick = next_tick;
 		operation.body_case = NL__OPERATION__BODY_VALUE;
 		operation.value = feed_reply->values[i];
 		if (!log_operation(controller, SHARD_PURGE, &operation, now, out))
 			break;
-		controller->publisher.pending_tick = next;
-		proposed++;
+		controller->publisher.pending_tick = next_tick;
+		proposed_count++;
 	}
 	if (controller->publisher.pending_tick > controller->publisher.tick)
 		return; /* this feed has not said all yet */
@@ -159,7 +160,7 @@
 
 void publisher_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	int all_complete = 1;
+	int all_feeds_complete = 1;
 
 	if (now - controller->publisher.feed_polled_at_ms >= CONTROLLER_FEED_POLL_MS) {
 		controller->publisher.feed_polled_at_ms = now;
@@ -195,9 +196,9 @@
 	    controller->publisher.tick >= controller->purge_state.ceiling)
 		return;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* silence waits for every feed */
-		all_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
-							controller->publisher.feed_round;
-	if (!all_complete)
+		all_feeds_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
+							      controller->publisher.feed_round;
+	if (!all_feeds_complete)
 		return;
 	controller->publisher.tick_declared_at_ms = now;
 	controller->publisher.tick++;
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -11,14 +11,15 @@
 #include "retention_progress.h"
 
 enum {
-	MAX_MISSED = 1000,         /* missed due times that are counted */
-	DUE_TIME_VALID_MS = 60000, /* how late a purge may be decided and still be spread from its due time */
+	MAX_MISSED_COUNT = 1000, /* missed due times that are counted */
+	MAX_DECISION_DELAY_MS =
+	    60000, /* how late a purge may be decided and still be spread from its due time */
 };
 
 /* ---- the agreed time ---- */
 
 /* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
-static int64_t member_wall_clock(const struct controller *controller, uint64_t member_id, int64_t now)
+static int64_t voter_wall_clock_ms(const struct controller *controller, uint64_t member_id, int64_t now)
 {
 	int64_t unix_ms = INT64_MIN;
 
@@ -37,22 +38,22 @@
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
-	int64_t clocks[RAFT_MAX_MEMBERS]; /* latest first */
-	int n = 0;
+	int64_t unix_ms_by_voter[RAFT_MAX_MEMBERS]; /* latest first */
+	int voter_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		int64_t unix_ms;
-		int at = n;
+		int at = voter_count;
 
 		if (!raft->group.members[i].voter)
 			continue;
-		unix_ms = member_wall_clock(controller, raft->group.members[i].id, now);
-		for (; at && clocks[at - 1] < unix_ms; at--)
-			clocks[at] = clocks[at - 1];
-		clocks[at] = unix_ms;
-		n++;
+		unix_ms = voter_wall_clock_ms(controller, raft->group.members[i].id, now);
+		for (; at && unix_ms_by_voter[at - 1] < unix_ms; at--)
+			unix_ms_by_voter[at] = unix_ms_by_voter[at - 1];
+		unix_ms_by_voter[at] = unix_ms;
+		voter_count++;
 	}
-	return n ? clocks[n / 2] : INT64_MIN;
+	return voter_count ? unix_ms_by_voter[voter_count / 2] : INT64_MIN;
 }
 
 /* ---- the leader's decisions ---- */
@@ -71,7 +72,7 @@
 
 /* From when on a row without a due time counts its periods: from the last purge of its scope, so that a row
  * that is edited again and again is not put off for ever. */
-static int64_t plan_base(const struct retention *retention, const char *scope, int64_t unix_ms)
+static int64_t period_base_ms(const struct retention *retention, const char *scope, int64_t unix_ms)
 {
 	int64_t base_ms = unix_ms;
 
@@ -92,7 +93,7 @@
 	step->due_at_ms = plan->due_at_ms;
 	step->next_due_at_ms =
 	    retention_next_due(controller->adapters.calendar, row, plan->due_at_ms, unix_ms);
-	while (step->missed < MAX_MISSED) {
+	while (step->missed < MAX_MISSED_COUNT) {
 		next = retention_next_due(controller->adapters.calendar, row, next, next);
 		if (!next || next > unix_ms)
 			break;
@@ -122,7 +123,7 @@
 			step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
 			step.next_due_at_ms =
 			    retention_next_due(controller->adapters.calendar, row,
-					       plan_base(retention, plan->scope, unix_ms), unix_ms);
+					       period_base_ms(retention, plan->scope, unix_ms), unix_ms);
 		}
 		if (!step.next_due_at_ms || !log_step(controller, &step, now, out))
 			continue;
@@ -136,13 +137,13 @@
 }
 
 /* Whether any router reports that its queues are strained. */
-static int routers_strained(const struct controller *controller, int64_t now)
+static int any_router_under_pressure(const struct controller *controller, int64_t now)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->is_router && now - node->observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
-		    node->load_pressure > RETENTION_MAX_PRESSURE)
+		    node->load_pressure > RETENTION_MAX_LOAD_PRESSURE_PERMILLE)
 			return 1;
 	}
 	return 0;
@@ -156,14 +157,14 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
 		const struct Nl__RetentionPurge *purge = controller->retention.purges[i];
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
-		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - DUE_TIME_VALID_MS
+		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - MAX_DECISION_DELAY_MS
 				       ? purge->due_at_ms
 				       : purge->decided_at_ms;
 		int intervals;
 
 		if (purge->slices >= PURGE_SLICES)
 			continue;
-		step.late = purge->spread_ms && routers_strained(controller, now);
+		step.late = purge->spread_ms && any_router_under_pressure(controller, now);
 		intervals = step.late ? PURGE_SLICES : 2 * PURGE_SLICES;
 		if (unix_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / intervals)
 			continue;
@@ -190,10 +191,10 @@
 {
 	struct retention *retention = &controller->retention;
 
-	if (now - retention->checked_at_ms < RETENTION_CHECK_MS ||
+	if (now - retention->done_checked_at_ms < RETENTION_DONE_CHECK_INTERVAL_MS ||
 	    now - controller->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new leader hears from all nodes first */
-	retention->checked_at_ms = now;
+	retention->done_checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
 		const struct Nl__RetentionPurge *purge = retention->purges[i];
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
@@ -224,7 +225,7 @@
 	if ((!arrlen(retention->plans) && !arrlen(retention->purges)) ||
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	if (now - retention->polled_at_ms < RETENTION_POLL_MS ||
+	if (now - retention->polled_at_ms < RETENTION_POLL_INTERVAL_MS ||
 	    retention->logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	retention->polled_at_ms = now;
@@ -234,7 +235,7 @@
 	if (log_next_due(controller, unix_ms, now, out) || log_next_slice(controller, unix_ms, now, out) ||
 	    log_next_done(controller, unix_ms, now, out))
 		retention->polled_at_ms =
-		    now - RETENTION_POLL_MS; /* the next one as soon as this is applied */
+		    now - RETENTION_POLL_INTERVAL_MS; /* the next one as soon as this is applied */
 }
 
 /* ---- the logs on disk ---- */
@@ -263,7 +264,7 @@
 
 /* Whether a service shard's claims of before its last trim have run out, so that they can go from its disk.
  */
-static bool can_compact(struct controller *controller, uint32_t shard, int64_t now)
+static bool may_compact_claims(struct controller *controller, uint32_t shard, int64_t now)
 {
 	const struct controller_service_state *service = service_shard_state(controller, shard);
 
@@ -282,10 +283,10 @@
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
-		int compact = can_compact(controller, shard, now);
+		int compact = may_compact_claims(controller, shard, now);
 
 		if (!leads_shard(controller, shard, now) ||
-		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_MS ||
+		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_INTERVAL_MS ||
 		    (tick <= trimmed_tick(controller, shard) && !compact))
 			continue;
 		controller->compaction[shard].checked_at_ms = now;
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -10,7 +10,7 @@
 
 /* ---- reports of the nodes that hold the prefix index ---- */
 
-static struct retention_index_report *report_of(struct retention *retention, uint64_t node_id)
+static struct retention_index_report *find_or_add_report(struct retention *retention, uint64_t node_id)
 {
 	struct retention_index_report empty = { .node_id = node_id };
 
@@ -34,7 +34,7 @@
 		}
 	if (!sync->holds_index)
 		return;
-	report = report_of(retention, message->id);
+	report = find_or_add_report(retention, message->id);
 	retention_clear_remainders(report);
 	for (size_t i = 0; i < sync->n_cache_remainders && i < RETENTION_MAX_REMAINDERS; i++) {
 		const struct Nl__CacheRemainder *listed = sync->cache_remainders[i];
@@ -68,14 +68,14 @@
 }
 
 /* Whether two parts of scopes, "" for all, have anything in common. */
-static int parts_overlap(const char *a, const char *b)
+static int scope_names_overlap(const char *a, const char *b)
 {
 	return !a[0] || !b[0] || !strcmp(a, b);
 }
 
 /* Whether a cache_namespace of this scope may hold what a purge covers. */
-static int purge_covers(const struct controller *controller, const struct Nl__RetentionPurge *purge,
-			uint64_t scope)
+static int purge_covers_scope(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+			      uint64_t scope)
 {
 	char route[RETENTION_SCOPE_BYTES] = "", tenant[RETENTION_SCOPE_BYTES] = "";
 	char planned_route[RETENTION_SCOPE_BYTES], planned_tenant[RETENTION_SCOPE_BYTES];
@@ -87,21 +87,22 @@
 		if (retention_parse_scope(controller->retention.plans[i]->scope, planned_route,
 					  planned_tenant) &&
 		    (uint32_t)retention_namespace_hash(planned_route, planned_tenant) == scope)
-			return parts_overlap(planned_route, route) && parts_overlap(planned_tenant, tenant);
+			return scope_names_overlap(planned_route, route) &&
+			       scope_names_overlap(planned_tenant, tenant);
 	return scope == (uint32_t)retention_namespace_hash(route, tenant);
 }
 
 /* ---- what is missing ---- */
 
 /* What a purge waits for: counted, and listed where somebody reads it. */
-struct missing {
+struct missing_conditions {
 	int count;
 	struct json_object *texts; /* an array, or NULL */
 	apr_pool_t *pool;
 };
 
-__attribute__((format(printf, 2, 3))) static void add_missing(struct missing *missing, const char *format,
-							      ...)
+__attribute__((format(printf, 2, 3))) static void add_missing_condition(struct missing_conditions *missing,
+									const char *format, ...)
 {
 	va_list arguments;
 
@@ -116,18 +117,18 @@
 
 /* Slices that are not decided or not published; returns the newest tick of those that are published. */
 static uint64_t add_missing_slices(const struct controller *controller,
-				   const struct Nl__RetentionPurge *purge, struct missing *missing)
+				   const struct Nl__RetentionPurge *purge, struct missing_conditions *missing)
 {
 	uint64_t newest = 0;
 
 	if (purge->slices < PURGE_SLICES)
-		add_missing(missing, "%u of %u slices are not decided yet",
-			    PURGE_SLICES - (unsigned)purge->slices, (unsigned)PURGE_SLICES);
+		add_missing_condition(missing, "%u of %u slices are not decided yet",
+				      PURGE_SLICES - (unsigned)purge->slices, (unsigned)PURGE_SLICES);
 	for (uint32_t slice = 0; slice < purge->slices; slice++) {
 		uint64_t tick = slice_tick(controller, purge, slice);
 
 		if (!tick)
-			add_missing(missing, "slice %u is not published yet", (unsigned)slice);
+			add_missing_condition(missing, "slice %u is not published yet", (unsigned)slice);
 		if (tick > newest)
 			newest = tick;
 	}
@@ -136,42 +137,45 @@
 
 /* Routers that still route and have not passed the tick. */
 static void add_missing_routers(const struct controller *controller, uint64_t tick, int64_t now,
-				struct missing *missing)
+				struct missing_conditions *missing)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->is_router && now - node->observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
 		    node->horizon < tick)
-			add_missing(missing, "counter %s has not heard of it yet; it routes cold",
-				    core_format_addr(missing->pool, node->addr));
+			add_missing_condition(missing, "counter %s has not heard of it yet; it routes cold",
+					      core_format_addr(missing->pool, node->addr));
 	}
 }
 
 /* Servers that name blocks of an older purge, as one holder of the index reports. */
-static void add_remainders(const struct controller *controller, const struct Nl__RetentionPurge *purge,
-			   const struct retention_index_report *report, struct missing *missing)
+static void add_missing_servers(const struct controller *controller, const struct Nl__RetentionPurge *purge,
+				const struct retention_index_report *report,
+				struct missing_conditions *missing)
 {
 	for (ptrdiff_t i = 0; i < arrlen(report->remainders); i++) {
 		const struct retention_remainder *remainder = &report->remainders[i];
 
 		if (remainder->purge_number >= purge->purge_number ||
-		    !purge_covers(controller, purge, remainder->scope))
+		    !purge_covers_scope(controller, purge, remainder->scope))
 			continue;
 		if (remainder->block_count)
-			add_missing(missing, "server %s still names %u parts, which nothing finds any more",
-				    remainder->server, (unsigned)remainder->block_count);
+			add_missing_condition(missing,
+					      "server %s still names %u parts, which nothing finds any more",
+					      remainder->server, (unsigned)remainder->block_count);
 		else
-			add_missing(missing, "server %s has not said since what it keeps", remainder->server);
+			add_missing_condition(missing, "server %s has not said since what it keeps",
+					      remainder->server);
 	}
 }
 
 int retention_list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge,
-			   int64_t now, struct json_object *texts, apr_pool_t *pool)
+			   int64_t now, struct json_object *missing_texts, apr_pool_t *pool)
 {
-	struct missing missing = { 0, texts, pool };
+	struct missing_conditions missing = { 0, missing_texts, pool };
 	uint64_t tick = add_missing_slices(controller, purge, &missing);
-	int any_report = 0; /* of a holder of the index that has passed the tick */
+	int any_current_report = 0; /* of a holder of the index that has passed the tick */
 
 	add_missing_routers(controller, tick, now, &missing);
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
@@ -179,10 +183,10 @@
 
 		if (now - report->received_at_ms > RETENTION_NODE_TIMEOUT_MS)
 			continue;
-		any_report |= report->horizon >= tick;
-		add_remainders(controller, purge, report, &missing);
+		any_current_report |= report->horizon >= tick;
+		add_missing_servers(controller, purge, report, &missing);
 	}
-	if (!any_report)
-		add_missing(&missing, "no holder of the index has looked since");
+	if (!any_current_report)
+		add_missing_condition(&missing, "no holder of the index has looked since");
 	return missing.count;
 }
--- a/lib/control/retention_schedule.c
+++ b/lib/control/retention_schedule.c
@@ -9,8 +9,8 @@
 #include "containers.h"
 
 enum {
-	GAPS_MAX = 400,      /* purges that are looked at for the time between two */
-	GAPS_MAX_DAYS = 800, /* days of them */
+	MAX_GAP_COUNT = 400, /* purges that are looked at for the time between two */
+	MAX_GAP_DAYS = 800,  /* days of them */
 	DAY_MS = 86400000,
 	HOUR_MS = 3600000
 };
@@ -128,19 +128,19 @@
 }
 
 /* The shortest and the longest time between two purges that come soon; returns 0 when fewer than two come. */
-static int purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t unix_ms,
-		      int64_t *shortest_ms, int64_t *longest_ms)
+static int find_purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t unix_ms,
+			   int64_t *shortest_ms, int64_t *longest_ms)
 {
 	int64_t due_at_ms = calendar->next(text, unix_ms);
 	int count = 0;
 
 	*shortest_ms = INT64_MAX;
 	*longest_ms = 0;
-	while (due_at_ms && due_at_ms < unix_ms + (int64_t)GAPS_MAX_DAYS * DAY_MS) {
+	while (due_at_ms && due_at_ms < unix_ms + (int64_t)MAX_GAP_DAYS * DAY_MS) {
 		int64_t next_ms = calendar->next(text, due_at_ms);
 		int64_t gap_ms = next_ms - due_at_ms;
 
-		if (!next_ms || count++ >= GAPS_MAX)
+		if (!next_ms || count++ >= MAX_GAP_COUNT)
 			break;
 		if (gap_ms < *shortest_ms)
 			*shortest_ms = gap_ms;
@@ -170,7 +170,7 @@
 		return apr_psprintf(pool, "at: %s", error);
 	if (!calendar->next(row->calendar, unix_ms))
 		return "at: it never comes";
-	if (purge_gaps(calendar, row->calendar, unix_ms, &shortest_ms, &longest_ms) &&
+	if (find_purge_gaps(calendar, row->calendar, unix_ms, &shortest_ms, &longest_ms) &&
 	    (int64_t)row->spread_ms > shortest_ms)
 		return "window: longer than the time between two clearings";
 	if (row->max_age[0]) {
--- a/lib/control/retention_state.c
+++ b/lib/control/retention_state.c
@@ -107,22 +107,22 @@
 	struct retention *retention;
 	const struct config_table *table;
 	struct Nl__Value ***feed; /* purge feed that slices are appended to */
-	uint64_t index;           /* of the entry: slices are numbered from it */
+	uint64_t log_index;       /* of the entry: slices are numbered from it */
 };
 
 /* How many values of the purge feed the log entry at index has made so far. */
-static uint32_t values_of_entry(const struct entry_context *context)
+static uint32_t count_entry_values(const struct entry_context *context)
 {
 	uint32_t count = 0;
 
 	for (ptrdiff_t i = arrlen(*context->feed) - 1;
-	     i >= 0 && (*context->feed)[i]->index >> 16 == context->index; i--)
+	     i >= 0 && (*context->feed)[i]->index >> 16 == context->log_index; i--)
 		count++;
 	return count;
 }
 
 /* Append the next slice of a purge to the purge feed. */
-static void feed_slice(const struct entry_context *context, struct Nl__RetentionPurge *purge)
+static void append_slice(const struct entry_context *context, struct Nl__RetentionPurge *purge)
 {
 	struct Nl__Purge content = NL__PURGE__INIT;
 	struct Nl__Value value = NL__VALUE__INIT;
@@ -139,7 +139,7 @@
 	content.purge_number = purge->purge_number;
 	content.slice = purge->slices++;
 	value.feed = SHARD_CONTROL;
-	value.index = context->index << 16 | values_of_entry(context);
+	value.index = context->log_index << 16 | count_entry_values(context);
 	value.purge = &content;
 	arrput(*context->feed, value_copy(&value));
 }
@@ -155,7 +155,7 @@
 		if (strcmp(purge->scope, scope) || purge->slices >= PURGE_SLICES)
 			continue;
 		while (purge->slices < PURGE_SLICES)
-			feed_slice(context, purge);
+			append_slice(context, purge);
 		purge->sliced_at_ms = unix_ms;
 	}
 }
@@ -239,7 +239,7 @@
 
 	if (!purge || purge->slices != step->slice || purge->slices >= PURGE_SLICES)
 		return PROPOSAL_REJECTED;
-	feed_slice(context, purge);
+	append_slice(context, purge);
 	purge->late |= step->late;
 	if (purge->slices == PURGE_SLICES)
 		purge->sliced_at_ms = step->wall_clock_ms;
@@ -288,7 +288,7 @@
 			    (unsigned)row->spread_ms);
 }
 
-static int any_retention_row(const struct config_table *table)
+static int has_retention_row(const struct config_table *table)
 {
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		if (table->rows[i].value.row->kind == NL__KIND__RETENTION)
@@ -344,7 +344,7 @@
 	struct entry_context entry = { retention, table, feed, index }, *context = &entry;
 	apr_pool_t *pool;
 
-	if (!arrlen(retention->plans) && !any_retention_row(table))
+	if (!arrlen(retention->plans) && !has_retention_row(table))
 		return;
 	apr_pool_create(&pool, NULL);
 	update_plans(context, pool);
--- a/lib/control/retention_state.h
+++ b/lib/control/retention_state.h
@@ -14,17 +14,18 @@
 #include "retention_schedule.h"
 
 enum {
-	RETENTION_POLL_MS = 200,  /* between the leader's looks at the schedule */
-	RETENTION_CHECK_MS = 500, /* between its checks whether a purge is done */
+	RETENTION_POLL_INTERVAL_MS = 200,       /* between the leader's looks at the schedule */
+	RETENTION_DONE_CHECK_INTERVAL_MS = 500, /* between its checks whether a purge is done */
 	RETENTION_PROPAGATION_MS =
 	    10000,                  /* after which a row is in force everywhere, whatever the clocks say */
 	RETENTION_MAX_PURGES = 512, /* purges that are remembered for the report */
 	RETENTION_NODE_TIMEOUT_MS =
 	    6000, /* a node silent for so long has lost its configuration and routes nothing */
-	RETENTION_MAX_PRESSURE = 250,   /* load_pressure, per mille, above which the next slice waits */
-	RETENTION_TRIM_MS = 20000,      /* between two trims of a shard's log */
-	RETENTION_MAX_REMAINDERS = 128, /* remainders that one report of an index holder may list */
-	RETENTION_REPORT_TTL_MS = 60000 /* after which a report of an index holder is dropped */
+	RETENTION_MAX_LOAD_PRESSURE_PERMILLE =
+	    250,                            /* load_pressure, per mille, above which the next slice waits */
+	RETENTION_TRIM_INTERVAL_MS = 20000, /* between two trims of a shard's log */
+	RETENTION_MAX_REMAINDERS = 128,     /* remainders that one report of an index holder may list */
+	RETENTION_REPORT_TTL_MS = 60000     /* after which a report of an index holder is dropped */
 };
 
 #define RETENTION_ANY UINT64_MAX /* scope of a remainder whose holder does not know it by scopes */
@@ -56,7 +57,7 @@
 	/* the leader's own, lost with the leadership */
 	uint64_t logged_index; /* of its last step: the next one waits until this is applied */
 	int64_t polled_at_ms;
-	int64_t checked_at_ms;
+	int64_t done_checked_at_ms;
 	struct retention_index_report *index_reports; /* stb_ds; owned */
 };
 
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -11,8 +11,9 @@
 #include "json_add.h"
 
 enum {
-	CALL_TIMEOUT_MS = 400,  /* of a command or a poll */
-	SERVER_DEAD_MS = 10000, /* without a report: the server loads the target weights when it is back */
+	CALL_TIMEOUT_MS = 400, /* of a command or a poll */
+	SERVER_REPORT_TIMEOUT_MS =
+	    10000, /* without a report: the server loads the target weights when it is back */
 };
 
 /* ---- commands and reports ---- */
@@ -84,8 +85,9 @@
 }
 
 /* The server's blocks that it has to drop, an array that the caller releases. */
-static struct json_object *purged_blocks(const struct controller *controller,
-					 const struct controller_server *server, struct json_object *blocks)
+static struct json_object *find_purged_blocks(const struct controller *controller,
+					      const struct controller_server *server,
+					      struct json_object *blocks)
 {
 	struct json_object *purged = json_object_new_array();
 
@@ -105,12 +107,12 @@
 	       now - controller->leadership[shard].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS;
 }
 
-static void check_blocks(struct controller *controller, struct controller_server *server,
-			 const struct Nl__Row *row, struct json_object *blocks, int64_t now,
-			 struct command_list *out)
+static void check_reported_blocks(struct controller *controller, struct controller_server *server,
+				  const struct Nl__Row *row, struct json_object *blocks, int64_t now,
+				  struct command_list *out)
 {
 	uint32_t shard = core_shard_of(server->service, SHARD_SERVICES);
-	struct json_object *purged = purged_blocks(controller, server, blocks);
+	struct json_object *purged = find_purged_blocks(controller, server, blocks);
 
 	if (!json_object_array_length(purged)) {
 		/* the report shows it: purges are carried out up to the horizon at the poll */
@@ -140,7 +142,7 @@
 		apr_cpystrn(server->loading, json_string_member(json, "loading"), sizeof server->loading);
 		if (json_object_object_get_ex(json, "parts", &blocks) &&
 		    json_object_is_type(blocks, json_type_array))
-			check_blocks(controller, server, row, blocks, now, out);
+			check_reported_blocks(controller, server, row, blocks, now, out);
 	}
 	if (json)
 		json_object_put(json);
@@ -179,8 +181,8 @@
 
 /* Since when target weights have been set that not every server has. Weights that overtake others leave those
  * servers no more time. */
-static int64_t incomplete_since(struct controller *controller, const char *service_name,
-				const rollout_target *previous, int64_t targeted_at_ms)
+static int64_t target_incomplete_since_ms(struct controller *controller, const char *service_name,
+					  const rollout_target *previous, int64_t targeted_at_ms)
 {
 	if (previous && !is_rolled_out(controller, service_name, previous->weights))
 		return previous->incomplete_since_ms;
@@ -206,7 +208,7 @@
 		target.weights = strdup(row->target_weights);
 		target.targeted_at_ms = last_unchanged_ms;
 		target.incomplete_since_ms =
-		    incomplete_since(controller, row->name, previous, last_unchanged_ms);
+		    target_incomplete_since_ms(controller, row->name, previous, last_unchanged_ms);
 		if (previous)
 			free(previous->weights);
 		shput(controller->server_rollout.targets, row->name, target);
@@ -216,11 +218,11 @@
 /* How many of the servers may have been commanded by now: a third at once, the next ones as loads end, or
  * when the bound on the rollout's time asks for it. A leader that took over has less time left, and leaves
  * none for another failover. */
-static int max_commanded(const struct controller *controller, uint32_t shard, rollout_target *target,
-			 int server_count, int64_t now)
+static int max_commanded_servers(const struct controller *controller, uint32_t shard, rollout_target *target,
+				 int server_count, int64_t now)
 {
 	int64_t deadline_ms = target->incomplete_since_ms + CONTROLLER_LAST_LOAD_COMMAND_MS;
-	int third = (server_count + 2) / 3;
+	int servers_per_wave = (server_count + 2) / 3;
 
 	if (!target->rollout_started_at_ms ||
 	    target->rollout_started_at_ms < controller->leadership[shard].since_ms)
@@ -229,17 +231,17 @@
 		deadline_ms -= CONTROLLER_FAILOVER_MS;
 	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
 		return server_count;
-	return third * (1 + (int)(2 * (now - target->rollout_started_at_ms) /
-				  (deadline_ms - target->rollout_started_at_ms)));
+	return servers_per_wave * (1 + (int)(2 * (now - target->rollout_started_at_ms) /
+					     (deadline_ms - target->rollout_started_at_ms)));
 }
 
 /* One service's rollout as it stands. */
 struct service_rollout {
 	const struct Nl__Row *service;
 	rollout_target *target;
-	int server_count; /* that report */
-	int updated;      /* have the target weights */
-	int loading;      /* load any, or were commanded to */
+	int server_count;  /* that report */
+	int updated_count; /* have the target weights */
+	int loading_count; /* load any, or were commanded to */
 };
 
 static bool is_server_of(const struct Nl__Row *row, const struct Nl__Row *service)
@@ -258,20 +260,20 @@
 		if (!is_server_of(row, rollout->service))
 			continue;
 		server = find_server(controller, row->name);
-		if (!server || now - server->reported_at_ms > SERVER_DEAD_MS)
+		if (!server || now - server->reported_at_ms > SERVER_REPORT_TIMEOUT_MS)
 			continue;
 		rollout->server_count++;
 		if (!strcmp(server->weights, rollout->service->target_weights) && !server->loading[0])
-			rollout->updated++;
+			rollout->updated_count++;
 		else if (server->loading[0] ||
 			 server->load_commanded_at_ms >= rollout->target->targeted_at_ms)
-			rollout->loading++;
+			rollout->loading_count++;
 	}
 }
 
 /* Whether a server lacks the target weights and no command to load them is under way. */
-static int needs_command(const struct controller_server *server, const struct service_rollout *rollout,
-			 int64_t now)
+static int needs_load_command(const struct controller_server *server, const struct service_rollout *rollout,
+			      int64_t now)
 {
 	const char *weights = rollout->service->target_weights;
 
@@ -309,7 +311,7 @@
 		if (!is_server_of(row, rollout->service))
 			continue;
 		server = find_server(controller, row->name);
-		if (!server || !needs_command(server, rollout, now))
+		if (!server || !needs_load_command(server, rollout, now))
 			continue;
 		/* one whose command was lost, or that loads weights that were overtaken, keeps its slot */
 		if (server->load_commanded_at_ms < rollout->target->targeted_at_ms && !server->loading[0] &&
@@ -345,12 +347,14 @@
 	ptrdiff_t completed;
 
 	count_servers(controller, &rollout, now);
-	if (rollout.updated < rollout.server_count) {
-		int slots = (rollout.server_count + 2) / 3 - rollout.loading;
-		int overdue = max_commanded(controller, shard, rollout.target, rollout.server_count, now) -
-			      rollout.updated - rollout.loading;
-
-		command_servers(controller, &rollout, slots < overdue ? overdue : slots, shard, now, out);
+	if (rollout.updated_count < rollout.server_count) {
+		int slots = (rollout.server_count + 2) / 3 - rollout.loading_count;
+		int slots_by_deadline =
+		    max_commanded_servers(controller, shard, rollout.target, rollout.server_count, now) -
+		    rollout.updated_count - rollout.loading_count;
+
+		command_servers(controller, &rollout, slots < slots_by_deadline ? slots_by_deadline : slots,
+				shard, now, out);
 		return;
 	}
 	completed = shgeti(state->rolled_out, service->name);
@@ -359,7 +363,8 @@
 		log_rolled_out(controller, service, shard, now, out);
 }
 
-static void tick_shard(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
+static void tick_service_shard(struct controller *controller, uint32_t shard, int64_t now,
+			       struct command_list *out)
 {
 	const struct config_table *table = &controller->config_watch.table;
 
@@ -385,5 +390,5 @@
 		return;
 	for (uint32_t shard = SHARD_SERVICE; shard < SHARD_COUNT; shard++)
 		if (leads_shard(controller, shard, now))
-			tick_shard(controller, shard, now, out);
+			tick_service_shard(controller, shard, now, out);
 }
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -23,18 +23,18 @@
 
 /* Of rollout_instances.c and rollout_pace.c. */
 enum {
-	ROLLOUT_POLL_MS = 200,              /* between polls of a server that should soon have loaded */
+	ROLLOUT_POLL_INTERVAL_MS = 200,     /* between polls of a server that should soon have loaded */
 	ROLLOUT_PLANNED_PERCENT = 90,       /* of the bound: in it all loads are planned to be done */
-	ROLLOUT_REPORT_LAG_MS = 700,        /* after which a server's report cannot be older than a command */
+	ROLLOUT_MAX_REPORT_LAG_MS = 700,    /* after which a server's report cannot be older than a command */
 	ROLLOUT_REPLY_TIMEOUT_MS = 1000,    /* after which a command or a poll has got no answer */
-	ROLLOUT_DEADLINE_PERCENT = 95,      /* of the bound: after it all that are left are commanded */
+	ROLLOUT_COMMAND_ALL_PERCENT = 95,   /* of the bound: after it all that are left are commanded */
 	ROLLOUT_REJECTED_BACKOFF_MS = 2000, /* before a server that rejects a command gets another */
 	ROLLOUT_STALL_DIVISOR = 4,   /* of the bound: a server that loads for longer counts as stalled */
 	ROLLOUT_NOTICE_DIVISOR = 8,  /* of a load: so long before it, routers send the server nothing more */
 	ROLLOUT_NOTICE_MAX_MS = 500, /* of that notice; less than ROLLOUT_INTENT_MS */
-	ROLLOUT_INTENT_MS = 1000,    /* after a command was logged, in which it may leave */
-	ROLLOUT_LEASE_MARGIN_MS = 100, /* before the lease's end: no command leaves in it */
-	ROLLOUT_LEASE_SLACK_MS = 300   /* beyond the lease, for the last leader's commands to have ended */
+	ROLLOUT_INTENT_VALID_MS = 1000,  /* after a command was logged, in which it may leave */
+	ROLLOUT_LEASE_MARGIN_MS = 100,   /* before the lease's end: no command leaves in it */
+	ROLLOUT_TAKEOVER_MARGIN_MS = 300 /* beyond the lease, for the last leader's commands to have ended */
 };
 
 /* Poll the servers of the table, and command those that are due, for each service shard that is led here.
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -82,20 +82,20 @@
 	shput(controller->rollout.intents, server, now);
 }
 
-int64_t rollout_commands_allowed_from(const struct rollout *rollout, const char *name)
+int64_t rollout_command_not_before_ms(const struct rollout *rollout, const char *name)
 {
-	struct rollout_intent_logged *intents = rollout->intents;
+	struct rollout_intent *intents = rollout->intents;
 	ptrdiff_t i = shgeti(intents, name);
-	int64_t intended_at_ms = rollout->unknown_until_ms; /* at the latest */
+	int64_t intent_logged_at_ms = rollout->unknown_until_ms; /* at the latest */
 
-	if (i >= 0 && intents[i].value > intended_at_ms)
-		intended_at_ms = intents[i].value;
-	if (intended_at_ms > rollout->term_started_at_ms)
+	if (i >= 0 && intents[i].value > intent_logged_at_ms)
+		intent_logged_at_ms = intents[i].value;
+	if (intent_logged_at_ms > rollout->term_started_at_ms)
 		return 0;
-	return intended_at_ms + ROLLOUT_INTENT_MS + rollout->takeover_wait_ms;
+	return intent_logged_at_ms + ROLLOUT_INTENT_VALID_MS + rollout->takeover_wait_ms;
 }
 
-int64_t rollout_commanded_since(const struct controller *controller, const struct rollout_server *server)
+int64_t rollout_last_commanded_at_ms(const struct controller *controller, const struct rollout_server *server)
 {
 	return server->commanded_at_ms ? server->commanded_at_ms : controller->rollout.term_started_at_ms;
 }
@@ -112,7 +112,7 @@
 	free(weights);
 }
 
-static void set_target(struct rollout_server *server, const char *weights)
+static void set_target_weights(struct rollout_server *server, const char *weights)
 {
 	free(server->target_weights);
 	server->target_weights = strdup(weights);
@@ -136,7 +136,7 @@
 	server->state = ROLLOUT_INTENDED;
 	server->commanded_at_ms = now;
 	server->max_concurrent_loads = 1;
-	set_target(server, weights);
+	set_target_weights(server, weights);
 	publish_loading(controller, server, 1, now); /* routers learn of it while the log is written */
 }
 
@@ -160,21 +160,21 @@
  * longest answer takes. */
 static void send_load_command(struct controller *controller, struct rollout_server *server,
 			      const struct Nl__Instance *instance, const char *model,
-			      const char *target_weights, int64_t intended_at_ms, int64_t now,
+			      const char *target_weights, int64_t intent_logged_at_ms, int64_t now,
 			      struct command_list *out)
 {
 	int64_t not_after_ms =
 	    controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS;
 	struct command *command;
 
-	if (not_after_ms > intended_at_ms + ROLLOUT_INTENT_MS)
-		not_after_ms = intended_at_ms + ROLLOUT_INTENT_MS;
+	if (not_after_ms > intent_logged_at_ms + ROLLOUT_INTENT_VALID_MS)
+		not_after_ms = intent_logged_at_ms + ROLLOUT_INTENT_VALID_MS;
 	if (now >= not_after_ms || controller->rollout.is_fenced) {
 		server->state = ROLLOUT_IDLE;
 		publish_loading(controller, server, 0, now);
 		return;
 	}
-	set_target(server, target_weights);
+	set_target_weights(server, target_weights);
 	server->state = ROLLOUT_COMMANDED;
 	server->command_token = ++controller->identity.last_token;
 	server->commanded_at_ms = now;
@@ -200,16 +200,16 @@
 
 /* ---- from the command to the end of the load ---- */
 
-static void poll_report(struct controller *controller, struct rollout_server *server,
-			const struct Nl__Instance *instance, const char *model, int64_t now,
-			struct command_list *out)
+static void send_report_poll(struct controller *controller, struct rollout_server *server,
+			     const struct Nl__Instance *instance, const char *model, int64_t now,
+			     struct command_list *out)
 {
 	ptrdiff_t k = shgeti(controller->rollout.models, model);
 	int load_ms = k < 0 ? 0 : controller->rollout.models[k].value.base_load_ms;
 	int64_t since_poll_ms = now - server->polled_at_ms;
 	struct command *command;
 
-	if (since_poll_ms < ROLLOUT_POLL_MS || now - server->commanded_at_ms < load_ms * 4 / 5 ||
+	if (since_poll_ms < ROLLOUT_POLL_INTERVAL_MS || now - server->commanded_at_ms < load_ms * 4 / 5 ||
 	    (server->poll_token && since_poll_ms < ROLLOUT_REPLY_TIMEOUT_MS))
 		return;
 	server->poll_token = ++controller->identity.last_token;
@@ -222,9 +222,9 @@
 	command->args.poll_report.not_after_ms = now + ROLLOUT_REPLY_TIMEOUT_MS;
 }
 
-void rollout_follow_up(struct controller *controller, struct rollout_server *server,
-		       const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
-		       struct command_list *out)
+void rollout_advance_server(struct controller *controller, struct rollout_server *server,
+			    const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
+			    struct command_list *out)
 {
 	if (server->state == ROLLOUT_NOTICE) {
 		if (now - server->commanded_at_ms >=
@@ -239,7 +239,7 @@
 		if (k >= 0 && controller->rollout.intents[k].value >= server->commanded_at_ms) {
 			send_load_command(controller, server, instance, model->name, model->target_weights,
 					  controller->rollout.intents[k].value, now, out);
-		} else if (now - server->commanded_at_ms > ROLLOUT_INTENT_MS) {
+		} else if (now - server->commanded_at_ms > ROLLOUT_INTENT_VALID_MS) {
 			server->state = ROLLOUT_IDLE; /* the log stands still */
 			publish_loading(controller, server, 0, now);
 		}
@@ -252,16 +252,16 @@
 			server->state = ROLLOUT_IDLE;
 			instances_set_weights(&controller->instances, server->name, instance->weights, 0,
 					      now);
-		} else if (now >= server->commanded_at_ms + ROLLOUT_POLL_MS) {
-			poll_report(controller, server, instance, model->name, now, out);
+		} else if (now >= server->commanded_at_ms + ROLLOUT_POLL_INTERVAL_MS) {
+			send_report_poll(controller, server, instance, model->name, now, out);
 		}
 	}
 }
 
 /* A command has got no clear answer, or was rejected with another status than those that say more. */
-static void on_unclear_reply(struct controller *controller, struct rollout_server *server,
-			     const struct Nl__Instance *instance, int status, int never_sent, int64_t now,
-			     struct command_list *out)
+static void on_inconclusive_reply(struct controller *controller, struct rollout_server *server,
+				  const struct Nl__Instance *instance, int status, int never_sent,
+				  int64_t now, struct command_list *out)
 {
 	if (never_sent) {
 		server->state = ROLLOUT_IDLE;
@@ -312,7 +312,7 @@
 		server->state = ROLLOUT_UNCONFIRMED;
 		break;
 	default:
-		on_unclear_reply(controller, server, instance, status, never_sent, now, out);
+		on_inconclusive_reply(controller, server, instance, status, never_sent, now, out);
 		break;
 	}
 }
@@ -347,10 +347,11 @@
 		return;
 	}
 	if (!rollout_has_weights(weights, server->target_weights) &&
-	    server->polled_at_ms < rollout_commanded_since(controller, server) + ROLLOUT_REPORT_LAG_MS)
+	    server->polled_at_ms <
+		rollout_last_commanded_at_ms(controller, server) + ROLLOUT_MAX_REPORT_LAG_MS)
 		return; /* the report may be older than the command */
 	if (!strcmp(weights, server->target_weights))
-		rollout_pace_learn(controller, server, model, now);
+		rollout_pace_observe_load(controller, server, model, now);
 	server->state = ROLLOUT_IDLE;
 	instances_set_weights(&controller->instances, server->name, weights, 0, now);
 }
--- a/lib/control/rollout_command.h
+++ b/lib/control/rollout_command.h
@@ -26,11 +26,12 @@
 /* From when on a server may be commanded: a leader before may have commanded it at the latest then. Every
  * intent is logged first, so whoever takes over knows which servers may have had a command lately, and the
  * others need not wait. */
-int64_t rollout_commands_allowed_from(const struct rollout *rollout, const char *name);
+int64_t rollout_command_not_before_ms(const struct rollout *rollout, const char *name);
 
 /* When a server was commanded, at the latest: one that a leader before commanded loads since before this
  * term. */
-int64_t rollout_commanded_since(const struct controller *controller, const struct rollout_server *server);
+int64_t rollout_last_commanded_at_ms(const struct controller *controller,
+				     const struct rollout_server *server);
 
 /* Begin: routers send the server nothing more from now on, where there is time for that; then the command is
  * logged and leaves. A leader that is lost meanwhile leaves nothing behind: its successor publishes what it
@@ -40,8 +41,8 @@
 			   struct command_list *out);
 
 /* Go on with a server that was commanded, or may have been. */
-void rollout_follow_up(struct controller *controller, struct rollout_server *server,
-		       const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
-		       struct command_list *out);
+void rollout_advance_server(struct controller *controller, struct rollout_server *server,
+			    const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
+			    struct command_list *out);
 
 #endif
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -42,7 +42,7 @@
 	if (rollout->term && term == rollout->term + 1)
 		rollout->takeover_wait_ms = 0;
 	else
-		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_LEASE_SLACK_MS;
+		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_TAKEOVER_MARGIN_MS;
 	rollout->term_started_at_ms = now;
 	rollout->term = term;
 	rollout->command_seq = 0;
@@ -58,7 +58,7 @@
 }
 
 /* What is learnt of a model's loads is recorded from its first target weights on. */
-static void add_models(struct controller *controller)
+static void add_model_paces(struct controller *controller)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
 		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
@@ -69,7 +69,7 @@
 	}
 }
 
-static int compare_due_times(const void *a, const void *b)
+static int compare_deadlines(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
 
@@ -79,11 +79,11 @@
 /* A zone's servers of one model. */
 struct zone_servers {
 	const char *zone;
-	int total;
-	int unavailable; /* load, or are about to */
+	int server_count;
+	int unavailable_count; /* load, or are about to */
 };
 
-static struct zone_servers *zone_servers_of(struct zone_servers **zones, const char *zone, apr_pool_t *pool)
+static struct zone_servers *find_or_add_zone(struct zone_servers **zones, const char *zone, apr_pool_t *pool)
 {
 	struct zone_servers added = { 0 };
 
@@ -129,22 +129,24 @@
 	const struct rollout_server *server = rollout_server_find(&controller->rollout, instance->server);
 
 	return !(server && (server->state != ROLLOUT_IDLE || now < server->retry_at_ms)) &&
-	       now >= rollout_commands_allowed_from(&controller->rollout, instance->server);
+	       now >= rollout_command_not_before_ms(&controller->rollout, instance->server);
 }
 
 /* Whether a candidate goes before the best so far: due sooner, or in a zone with a smaller share unavailable.
  */
-static bool is_better(int64_t deadline_ms, const struct zone_servers *zone, int64_t best_deadline_ms,
-		      const struct zone_servers *best_zone)
+static bool is_preferred_candidate(int64_t deadline_ms, const struct zone_servers *zone,
+				   int64_t best_deadline_ms, const struct zone_servers *best_zone)
 {
 	if (deadline_ms != best_deadline_ms)
 		return deadline_ms < best_deadline_ms;
-	return zone->unavailable * best_zone->total < best_zone->unavailable * zone->total;
+	return zone->unavailable_count * best_zone->server_count <
+	       best_zone->unavailable_count * zone->server_count;
 }
 
 /* The server to be commanded next; NULL: none. */
-static const struct Nl__Instance *next_to_command(struct controller *controller, const struct Nl__Row *model,
-						  struct zone_servers **zones, int64_t now, apr_pool_t *pool)
+static const struct Nl__Instance *choose_next_server(struct controller *controller,
+						     const struct Nl__Row *model, struct zone_servers **zones,
+						     int64_t now, apr_pool_t *pool)
 {
 	const struct Nl__Instance *best = NULL;
 	int64_t best_deadline_ms = INT64_MAX;
@@ -160,8 +162,8 @@
 		    rollout_has_weights(instance->weights, model->target_weights))
 			continue;
 		deadline_ms = rollout_deadline_ms(controller, model, instance->weights);
-		zone = *zone_servers_of(zones, instance->zone, pool);
-		if (best && !is_better(deadline_ms, &zone, best_deadline_ms, &best_zone))
+		zone = *find_or_add_zone(zones, instance->zone, pool);
+		if (best && !is_preferred_candidate(deadline_ms, &zone, best_deadline_ms, &best_zone))
 			continue;
 		if (!may_be_commanded(controller, instance, now))
 			continue;
@@ -173,12 +175,13 @@
 }
 
 /* A server that does not come to an end, or has rejected, takes no slot from others. */
-static int holds_slot(const struct controller *controller, const struct rollout_server *server, int64_t now)
+static int occupies_load_slot(const struct controller *controller, const struct rollout_server *server,
+			      int64_t now)
 {
 	int is_rejected = server && server->state == ROLLOUT_UNCONFIRMED && now < server->retry_at_ms;
 
 	return server && server->state != ROLLOUT_IDLE && !is_rejected &&
-	       now - rollout_commanded_since(controller, server) <
+	       now - rollout_last_commanded_at_ms(controller, server) <
 		   controller->bounds.rollout_ms / ROLLOUT_STALL_DIVISOR;
 }
 
@@ -189,16 +192,16 @@
 
 /* A model's servers as a rollout finds them. */
 struct rollout_survey {
-	int total;
-	int updated;
-	int busy;                   /* take one of the slots to load at once */
-	int loading;                /* of those, are known to load, or may: one yet to answer may reject */
+	int server_count;
+	int updated_count;
+	int occupied_slot_count;    /* take one of the slots to load at once */
+	int loading_count;          /* of those, are known to load, or may: one yet to answer may reject */
 	struct zone_servers *zones; /* stb_ds */
-	int64_t *deadline_ms;       /* stb_ds: of those that may be commanded now, soonest first */
+	int64_t *deadlines_ms;      /* stb_ds: of those that may be commanded now, soonest first */
 };
 
-static struct rollout_survey find_servers(struct controller *controller, const struct Nl__Row *model,
-					  int64_t now, struct command_list *out)
+static struct rollout_survey survey_servers(struct controller *controller, const struct Nl__Row *model,
+					    int64_t now, struct command_list *out)
 {
 	struct rollout_survey survey = { 0 };
 
@@ -213,23 +216,24 @@
 			continue;
 		server = rollout_server_find(&controller->rollout, instance->server);
 		if (server)
-			rollout_follow_up(controller, server, instance, model, now, out);
+			rollout_advance_server(controller, server, instance, model, now, out);
 		instance = controller->instances.rows[i].value.instance;
 		is_unavailable = server && server->state != ROLLOUT_IDLE;
-		survey.total++;
-		survey.busy += holds_slot(controller, server, now);
-		survey.loading += may_be_loading(server) && holds_slot(controller, server, now);
+		survey.server_count++;
+		survey.occupied_slot_count += occupies_load_slot(controller, server, now);
+		survey.loading_count += may_be_loading(server) && occupies_load_slot(controller, server, now);
 		if (!is_unavailable && rollout_has_weights(instance->weights, model->target_weights))
-			survey.updated++;
+			survey.updated_count++;
 		else if (may_be_commanded(controller, instance, now))
-			arrput(survey.deadline_ms, rollout_deadline_ms(controller, model, instance->weights));
-		zone = zone_servers_of(&survey.zones, instance->zone, out->pool);
-		zone->total++;
-		zone->unavailable += is_unavailable;
+			arrput(survey.deadlines_ms,
+			       rollout_deadline_ms(controller, model, instance->weights));
+		zone = find_or_add_zone(&survey.zones, instance->zone, out->pool);
+		zone->server_count++;
+		zone->unavailable_count += is_unavailable;
 	}
-	if (survey.deadline_ms)
-		qsort(survey.deadline_ms, (size_t)arrlen(survey.deadline_ms), sizeof *survey.deadline_ms,
-		      compare_due_times);
+	if (survey.deadlines_ms)
+		qsort(survey.deadlines_ms, (size_t)arrlen(survey.deadlines_ms), sizeof *survey.deadlines_ms,
+		      compare_deadlines);
 	return survey;
 }
 
@@ -238,23 +242,23 @@
 			    struct rollout_survey *survey, int64_t now, struct command_list *out)
 {
 	struct rollout_pace *pace = &shgetp(controller->rollout.models, model->name)->value;
-	int slots =
-	    rollout_concurrency(controller, pace, survey->total, survey->deadline_ms, survey->busy, now) -
-	    survey->busy;
+	int slots = rollout_concurrency(controller, pace, survey->server_count, survey->deadlines_ms,
+					survey->occupied_slot_count, now) -
+		    survey->occupied_slot_count;
 
 	if (controller->rollout.is_fenced ||
 	    now >= controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS)
 		return;
 	while (slots-- > 0) {
 		const struct Nl__Instance *next =
-		    next_to_command(controller, model, &survey->zones, now, out->pool);
+		    choose_next_server(controller, model, &survey->zones, now, out->pool);
 
 		if (!next)
 			break;
-		zone_servers_of(&survey->zones, next->zone, out->pool)->unavailable++;
+		find_or_add_zone(&survey->zones, next->zone, out->pool)->unavailable_count++;
 		rollout_begin_command(controller, rollout_server_get(&controller->rollout, next->server),
 				      model, next, now, out);
-		survey->busy++;
+		survey->occupied_slot_count++;
 	}
 }
 
@@ -262,10 +266,10 @@
 static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now,
 			  struct command_list *out)
 {
-	struct rollout_survey survey = find_servers(controller, model, now, out);
-	int complete = survey.updated == survey.total;
+	struct rollout_survey survey = survey_servers(controller, model, now, out);
+	int complete = survey.updated_count == survey.server_count;
 
-	if (survey.total && complete && strcmp(model->rolled_out, model->target_weights))
+	if (survey.server_count && complete && strcmp(model->rolled_out, model->target_weights))
 		log_rolled_out(controller, &shgetp(controller->rollout.models, model->name)->value, model,
 			       now, out);
 	if (!complete)
@@ -273,56 +277,57 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->rollout.servers); i++) {
 		struct rollout_server *server = &controller->rollout.servers[i];
 
-		if (may_be_loading(server) && server->max_concurrent_loads < survey.loading)
-			server->max_concurrent_loads = survey.loading;
+		if (may_be_loading(server) && server->max_concurrent_loads < survey.loading_count)
+			server->max_concurrent_loads = survey.loading_count;
 	}
 	arrfree(survey.zones);
-	arrfree(survey.deadline_ms);
-	return !survey.total || (complete && !strcmp(model->rolled_out, model->target_weights));
+	arrfree(survey.deadlines_ms);
+	return !survey.server_count || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
 /* Drop what is recorded of servers that serve no more; returns whether any command is under way. */
 static int drop_ended_servers(struct controller *controller)
 {
 	struct rollout *rollout = &controller->rollout;
-	int any_busy = 0;
+	int any_command_active = 0;
 
 	for (ptrdiff_t i = arrlen(rollout->servers) - 1; i >= 0; i--) {
 		const struct Nl__Instance *instance =
 		    instances_get(&controller->instances, rollout->servers[i].name);
 
 		if (instance && instance->state == INSTANCE_SERVING) {
-			any_busy |= rollout->servers[i].state != ROLLOUT_IDLE;
+			any_command_active |= rollout->servers[i].state != ROLLOUT_IDLE;
 			continue;
 		}
 		rollout_server_free(&rollout->servers[i]);
 		arrdelswap(rollout->servers, i);
 	}
-	return any_busy;
+	return any_command_active;
 }
 
 void rollout_instances_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	struct rollout *rollout = &controller->rollout;
 	const struct config_table *table = &controller->config.table;
-	int any_busy, all_done = 1;
+	int any_command_active, all_complete = 1;
 
 	if (!controller->bounds.discover_instances)
 		return;
-	add_models(controller);
+	add_model_paces(controller);
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	any_busy = drop_ended_servers(controller);
-	instances_tick(&controller->instances, any_busy, controller->bounds.list_calls_millihertz,
+	any_command_active = drop_ended_servers(controller);
+	instances_tick(&controller->instances, any_command_active, controller->bounds.list_calls_millihertz,
 		       ++controller->identity.last_token, now, out);
 	if (!controller->instances.is_publishable ||
-	    (rollout->done_stamp == controller->instances.stamp && rollout->done_revision == table->revision))
+	    (rollout->completed_stamp == controller->instances.stamp &&
+	     rollout->completed_revision == table->revision))
 		return;
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		if (table->rows[i].value.row->kind == NL__KIND__MODEL)
-			all_done &= roll_out_model(controller, table->rows[i].value.row, now, out);
-	if (all_done) { /* until an instance or the table changes */
-		rollout->done_stamp = controller->instances.stamp;
-		rollout->done_revision = table->revision;
+			all_complete &= roll_out_model(controller, table->rows[i].value.row, now, out);
+	if (all_complete) { /* until an instance or the table changes */
+		rollout->completed_stamp = controller->instances.stamp;
+		rollout->completed_revision = table->revision;
 	}
 }
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -7,8 +7,8 @@
 #include "mechanism.h"
 #include "version_history.h"
 
-void rollout_pace_learn(struct controller *controller, const struct rollout_server *server, const char *model,
-			int64_t now)
+void rollout_pace_observe_load(struct controller *controller, const struct rollout_server *server,
+			       const char *model, int64_t now)
 {
 	struct rollout_pace *pace;
 	int duration_ms = (int)(now - server->commanded_at_ms);
@@ -23,25 +23,25 @@
 		return;
 	}
 	pace->extra_load_ms = pace->extra_load_ms ? (pace->extra_load_ms + duration_ms) / 2 : duration_ms;
-	pace->extra_samples++;
+	pace->extra_load_count++;
 	if (pace->base_load_ms && pace->extra_load_ms > pace->base_load_ms + pace->base_load_ms / 4) {
 		pace->is_saturated = 1;
 		pace->concurrency = pace->base_concurrency;
-	} else if (!pace->is_saturated && pace->extra_samples % (2 * pace->concurrency) == 0 &&
+	} else if (!pace->is_saturated && pace->extra_load_count % (2 * pace->concurrency) == 0 &&
 		   server->max_concurrent_loads >= pace->concurrency) {
 		pace->concurrency++;
 	}
 }
 
 /* How long one load takes; a tenth of the bound until it is known. */
-static int64_t load_duration_ms_of(const struct controller *controller, const struct rollout_pace *pace)
+static int64_t expected_load_ms(const struct controller *controller, const struct rollout_pace *pace)
 {
 	return pace->base_load_ms ? pace->base_load_ms : controller->bounds.rollout_ms / 10;
 }
 
-static int64_t notice_ms_of(const struct controller *controller, const struct rollout_pace *pace)
+static int64_t planned_notice_ms(const struct controller *controller, const struct rollout_pace *pace)
 {
-	int64_t notice_ms = load_duration_ms_of(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
+	int64_t notice_ms = expected_load_ms(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
 
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN))
 		return 0;
@@ -64,9 +64,9 @@
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 
 	if (deadline_ms == INT64_MIN ||
-	    now + 2 * load_duration_ms_of(controller, pace) > deadline_ms - reserve_ms)
+	    now + 2 * expected_load_ms(controller, pace) > deadline_ms - reserve_ms)
 		return 0;
-	return notice_ms_of(controller, pace);
+	return planned_notice_ms(controller, pace);
 }
 
 int64_t rollout_deadline_ms(const struct controller *controller, const struct Nl__Row *model,
@@ -83,21 +83,23 @@
 
 /* How many servers have to load at once so that each has loaded in the planned time. due_at_ms: of those that
  * are yet to be commanded, soonest first. *urgent: for how many of them that time is over. */
-static int needed_concurrency(const struct controller *controller, const int64_t *deadline_ms, int loading,
-			      int64_t load_duration_ms, int64_t now, int *urgent)
+static int needed_concurrency(const struct controller *controller, const int64_t *deadlines_ms,
+			      int loading_count, int64_t load_duration_ms, int64_t now, int *urgent_count)
 {
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 	int needed = 0;
 
-	*urgent = 0;
-	for (int i = 0; i < arrlen(deadline_ms); i++) {
-		int64_t loads_before = i + 1 + loading / 2; /* those under way have begun some time ago */
-		int64_t remaining_ms = deadline_ms[i] == INT64_MIN ? 0 : deadline_ms[i] - reserve_ms - now;
+	*urgent_count = 0;
+	for (int i = 0; i < arrlen(deadlines_ms); i++) {
+		int64_t loads_until_done =
+		    i + 1 + loading_count / 2; /* those under way have begun some time ago */
+		int64_t remaining_ms = deadlines_ms[i] == INT64_MIN ? 0 : deadlines_ms[i] - reserve_ms - now;
 
 		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
-			(*urgent)++;
-		else if ((loads_before * load_duration_ms + remaining_ms - 1) / remaining_ms > needed)
-			needed = (int)((loads_before * load_duration_ms + remaining_ms - 1) / remaining_ms);
+			(*urgent_count)++;
+		else if ((loads_until_done * load_duration_ms + remaining_ms - 1) / remaining_ms > needed)
+			needed =
+			    (int)((loads_until_done * load_duration_ms + remaining_ms - 1) / remaining_ms);
 	}
 	return needed;
 }
@@ -105,40 +107,43 @@
 /* Some servers are urgent: all of them at once, or while more at once don't help, or have not shown that they
  * do, a few more, which keep as busy as all would. */
 static int urgent_concurrency(const struct controller *controller, const struct rollout_pace *pace,
-			      int urgent, const int64_t *deadline_ms, int loading, int64_t now)
+			      int urgent_count, const int64_t *deadlines_ms, int loading_count, int64_t now)
 {
-	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_DEADLINE_PERCENT);
-	int more_helps =
-	    !pace->is_saturated && (!pace->base_load_ms || pace->extra_samples >= 2 * pace->base_concurrency);
-	int all = urgent + loading > pace->concurrency ? urgent + loading : pace->concurrency;
-
-	if (more_helps || deadline_ms[0] == INT64_MIN || now >= deadline_ms[0] - reserve_ms)
-		return all;
-	return all <= 2 * pace->base_concurrency ? all : 2 * pace->base_concurrency;
+	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_COMMAND_ALL_PERCENT);
+	int extra_concurrency_helps =
+	    !pace->is_saturated &&
+	    (!pace->base_load_ms || pace->extra_load_count >= 2 * pace->base_concurrency);
+	int full_concurrency = urgent_count + loading_count > pace->concurrency ? urgent_count + loading_count
+										: pace->concurrency;
+
+	if (extra_concurrency_helps || deadlines_ms[0] == INT64_MIN || now >= deadlines_ms[0] - reserve_ms)
+		return full_concurrency;
+	return full_concurrency <= 2 * pace->base_concurrency ? full_concurrency : 2 * pace->base_concurrency;
 }
 
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
-			const int64_t *deadline_ms, int loading, int64_t now)
+			const int64_t *deadlines_ms, int loading_count, int64_t now)
 {
-	int64_t load_duration_ms = load_duration_ms_of(controller, pace) + notice_ms_of(controller, pace);
-	int urgent, needed;
+	int64_t load_duration_ms = expected_load_ms(controller, pace) + planned_notice_ms(controller, pace);
+	int urgent_count, needed;
 
 	if (!pace->base_concurrency) {
 		pace->base_concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
 		pace->concurrency = pace->base_concurrency;
 	}
-	needed = needed_concurrency(controller, deadline_ms, loading, load_duration_ms, now, &urgent);
-	if (urgent)
-		return urgent_concurrency(controller, pace, urgent, deadline_ms, loading, now);
+	needed =
+	    needed_concurrency(controller, deadlines_ms, loading_count, load_duration_ms, now, &urgent_count);
+	if (urgent_count)
+		return urgent_concurrency(controller, pace, urgent_count, deadlines_ms, loading_count, now);
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
-	if (!loading)
+	if (!loading_count)
 		pace->loading_since_ms = now;
 	if (pace->is_saturated)
 		return pace->concurrency;
 	if (!pace->base_load_ms && now - pace->loading_since_ms < 2 * load_duration_ms)
 		return pace->concurrency; /* the first ones show how long it takes */
-	if (needed > 2 * pace->base_concurrency && pace->extra_samples < 2 * pace->base_concurrency)
+	if (needed > 2 * pace->base_concurrency && pace->extra_load_count < 2 * pace->base_concurrency)
 		needed = 2 * pace->base_concurrency; /* not further before it has shown that it helps */
 	return needed > pace->concurrency ? needed : pace->concurrency;
 }
--- a/lib/control/rollout_pace.h
+++ b/lib/control/rollout_pace.h
@@ -8,8 +8,8 @@
 
 /* A server's load has ended: learn how long one takes, and whether more at once than at first make it longer.
  * Example: rollout_pace_learn(controller, server, "lm", now); */
-void rollout_pace_learn(struct controller *controller, const struct rollout_server *server, const char *model,
-			int64_t now);
+void rollout_pace_observe_load(struct controller *controller, const struct rollout_server *server,
+			       const char *model, int64_t now);
 
 /* How long before its load a server is sent nothing more, so that most of what runs there has ended by then,
  * and routers know. 0 where it has to have loaded soon. Example: if (now - since_ms <
@@ -27,6 +27,6 @@
  * (stb_ds): when those are due that are yet to be commanded, soonest first; loading: how many load now.
  * Example: slots = rollout_concurrency(controller, pace, server_count, due_at_ms, loading, now) - loading; */
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
-			const int64_t *deadline_ms, int loading, int64_t now);
+			const int64_t *deadlines_ms, int loading_count, int64_t now);
 
 #endif
--- a/lib/control/rollout_state.h
+++ b/lib/control/rollout_state.h
@@ -39,30 +39,30 @@
 		int concurrency;                 /* how many load at once now */
 		int base_load_ms;                /* how long a load takes at base_concurrency; 0: not known */
 		int extra_load_ms;               /* how long with more at once; 0: not known */
-		int extra_samples;               /* loads with more at once so far */
+		int extra_load_count;            /* loads with more at once so far */
 		int is_saturated;                /* more at once were too many */
 	} value;
 };
 
 /* When a command to a server was logged, as it was applied here. */
-struct rollout_intent_logged {
+struct rollout_intent {
 	char *key; /* the server's name */
 	int64_t value;
 };
 
 /* The rollout to listed servers, on the control shard's leader; part of struct controller. */
 struct rollout {
-	struct rollout_server *servers;        /* stb_ds */
-	struct rollout_model *models;          /* stb_ds, by name */
-	uint64_t term;                         /* of the leadership */
-	uint64_t command_seq;                  /* commands in it */
-	struct rollout_intent_logged *intents; /* stb_ds, by server; on followers too */
-	int64_t unknown_until_ms;              /* commands that were logged before are not known here */
+	struct rollout_server *servers; /* stb_ds */
+	struct rollout_model *models;   /* stb_ds, by name */
+	uint64_t term;                  /* of the leadership */
+	uint64_t command_seq;           /* commands in it */
+	struct rollout_intent *intents; /* stb_ds, by server; on followers too */
+	int64_t unknown_until_ms;       /* commands that were logged before are not known here */
 	int64_t term_started_at_ms;
-	int64_t takeover_wait_ms; /* after an intent, for the command of the leader before to have ended */
-	int is_fenced;            /* a server has seen a higher fence: no more commands in this term */
-	uint64_t done_stamp;      /* of the instances when nothing was left to do */
-	uint64_t done_revision;   /* of the table at that time */
+	int64_t takeover_wait_ms;    /* after an intent, for the command of the leader before to have ended */
+	int is_fenced;               /* a server has seen a higher fence: no more commands in this term */
+	uint64_t completed_stamp;    /* of the instances when nothing was left to do */
+	uint64_t completed_revision; /* of the table at that time */
 };
 
 #endif
--- a/lib/control/version_history.c
+++ b/lib/control/version_history.c
@@ -11,65 +11,69 @@
 	return strtoull(model->target_weights, NULL, 10);
 }
 
-static void history_add(struct version_history *list, uint64_t weights, struct group_moment moment)
+static void history_add(struct version_history *history, uint64_t weights, struct group_moment targeted_at)
 {
-	struct Nl__TargetVersion *version = &list->versions[list->count];
+	struct Nl__TargetVersion *version = &history->versions[history->count];
 
 	nl__target_version__init(version);
 	version->weights = weights;
-	version->targeted_at_ms = moment.at_ms;
-	version->term = moment.term;
-	list->entries[list->count++] = version;
+	version->targeted_at_ms = targeted_at.at_ms;
+	version->term = targeted_at.term;
+	history->entries[history->count++] = version;
 }
 
-static void history_remove(struct version_history *list, size_t i)
+static void history_remove(struct version_history *history, size_t i)
 {
-	list->count--;
-	memmove(&list->versions[i], &list->versions[i + 1], (list->count - i) * sizeof list->versions[i]);
+	history->count--;
+	memmove(&history->versions[i], &history->versions[i + 1],
+		(history->count - i) * sizeof history->versions[i]);
 }
 
 /* Weights older than the second entry's are forbidden by it, once its bound has passed as well. */
-static void drop_passed(struct version_history *list, uint64_t bound_passed)
+static void drop_expired_versions(struct version_history *history, uint64_t bound_passed_at_ms)
 {
-	while (list->count > 1 && list->versions[1].targeted_at_ms <= bound_passed)
-		history_remove(list, 0);
+	while (history->count > 1 && history->versions[1].targeted_at_ms <= bound_passed_at_ms)
+		history_remove(history, 0);
 }
 
-static void merge_closest(struct version_history *list)
+static void merge_closest_versions(struct version_history *history)
 {
 	size_t closest = 0;
 
-	for (size_t i = 1; i + 1 < list->count; i++)
-		if (list->versions[i + 1].targeted_at_ms - list->versions[i].targeted_at_ms <
-		    list->versions[closest + 1].targeted_at_ms - list->versions[closest].targeted_at_ms)
+	for (size_t i = 1; i + 1 < history->count; i++)
+		if (history->versions[i + 1].targeted_at_ms - history->versions[i].targeted_at_ms <
+		    history->versions[closest + 1].targeted_at_ms - history->versions[closest].targeted_at_ms)
 			closest = i;
-	list->versions[closest + 1].targeted_at_ms = list->versions[closest].targeted_at_ms;
-	list->versions[closest + 1].term = list->versions[closest].term;
-	history_remove(list, closest);
+	history->versions[closest + 1].targeted_at_ms = history->versions[closest].targeted_at_ms;
+	history->versions[closest + 1].term = history->versions[closest].term;
+	history_remove(history, closest);
 }
 
-void version_history_update(struct version_history *list, const struct Nl__Row *before, struct Nl__Row *row,
-			    struct group_moment now, uint64_t bound_passed)
+void version_history_update(struct version_history *history, const struct Nl__Row *previous_row,
+			    struct Nl__Row *row, struct group_moment now, uint64_t bound_passed_at_ms)
 {
-	uint64_t newest = version_history_newest(row),
-		 older = before ? version_history_newest(before) : FIRST_WEIGHTS;
+	uint64_t newest_weights = version_history_newest(row),
+		 previous_weights = previous_row ? version_history_newest(previous_row) : FIRST_WEIGHTS;
 
-	list->count = 0;
-	for (size_t i = 0; before && i < before->n_target_versions && i < VERSION_HISTORY_MAX; i++) {
-		const struct Nl__TargetVersion *version = before->target_versions[i];
+	history->count = 0;
+	for (size_t i = 0; previous_row && i < previous_row->n_target_versions && i < VERSION_HISTORY_MAX;
+	     i++) {
+		const struct Nl__TargetVersion *version = previous_row->target_versions[i];
 
-		history_add(list, version->weights,
+		history_add(history, version->weights,
 			    (struct group_moment){ version->targeted_at_ms, version->term });
 	}
-	if (newest > older && !list->count && older > FIRST_WEIGHTS) /* set before dates were kept */
-		history_add(list, older, (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
-	if (newest > older)
-		history_add(list, newest, now);
-	drop_passed(list, bound_passed);
-	if (list->count > VERSION_HISTORY_MAX)
-		merge_closest(list);
-	row->target_versions = list->entries;
-	row->n_target_versions = list->count;
+	if (newest_weights > previous_weights && !history->count &&
+	    previous_weights > FIRST_WEIGHTS) /* set before dates were kept */
+		history_add(history, previous_weights,
+			    (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
+	if (newest_weights > previous_weights)
+		history_add(history, newest_weights, now);
+	drop_expired_versions(history, bound_passed_at_ms);
+	if (history->count > VERSION_HISTORY_MAX)
+		merge_closest_versions(history);
+	row->target_versions = history->entries;
+	row->n_target_versions = history->count;
 }
 
 bool version_history_supersedes(const struct Nl__Row *model, uint64_t weights)
--- a/lib/control/version_history.h
+++ b/lib/control/version_history.h
@@ -37,8 +37,8 @@
  * it forbids all older weights. Beyond VERSION_HISTORY_MAX the two that lie closest together become one, with
  * the newer weights and the earlier date. Example: version_history_update(&list, before, &row, table->clock,
  * change->bound_passed_at_ms); */
-void version_history_update(struct version_history *list, const struct Nl__Row *before, struct Nl__Row *row,
-			    struct group_moment now, uint64_t bound_passed);
+void version_history_update(struct version_history *history, const struct Nl__Row *previous_row,
+			    struct Nl__Row *row, struct group_moment now, uint64_t bound_passed_at_ms);
 
 /* Whether newer weights than these have been set. Example: if (!version_history_supersedes(model, 3))
  * send(server); */
