--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -8,15 +8,16 @@
 #include <unicode/ustring.h>
 
 enum {
-	MAX_SEARCH_DAYS = 366 * 9, /* 29 February comes within these */
+	MAX_SEARCH_DAYS =
+	    366 * 9, /* includes a 29 February, also across a century year that is no leap year */
 	EVERY_WEEKDAY = 127,
 	MAX_SCHEDULE_BYTES = 160,
 	MAX_ZONE_BYTES = 64
 };
 
-/* A schedule, parsed. */
+/* A parsed schedule. */
 struct schedule {
-	int weekdays;     /* bits from Sunday */
+	int weekdays;     /* bit set; bit 0 is Sunday */
 	int day_of_month; /* 0: any */
 	int month;        /* 0: any */
 	int hour;
@@ -26,7 +27,8 @@
 
 /* ---- parsing ---- */
 
-/* A number of one or two digits; -1 when it is none, or above max. */
+/* Parse a number of one or two digits. Returns -1 when the text is no such number, or the number is above
+ * max. */
 static int parse_number(const char *text, size_t size, int max)
 {
 	int value = 0;
@@ -38,7 +40,7 @@
 	return value <= max ? value : -1;
 }
 
-/* Weekdays such as "mon,thu". Returns NULL, or what is wrong. */
+/* Parse weekdays such as "mon,thu". Returns NULL, or an error text. */
 static const char *parse_weekdays(const char *list, struct schedule *schedule)
 {
 	static const char *const names[] = { "sun", "mon", "tue", "wed", "thu", "fri", "sat" };
@@ -49,32 +51,33 @@
 		while (weekday < 7 && strncmp(cursor, names[weekday], 3))
 			weekday++;
 		if (weekday == 7 || (cursor[3] && cursor[3] != ',') || (cursor[3] == ',' && !cursor[4]))
-			return "neither daily, monthly, yearly nor days such as mon,thu";
+			return "the first word is neither daily, monthly, yearly nor a list of days such as mon,thu";
 		if (schedule->weekdays & 1 << weekday)
-			return "a day is named twice: it overlaps itself";
+			return "a weekday is given twice, so the schedule overlaps itself";
 		schedule->weekdays |= 1 << weekday;
 	}
 	return NULL;
 }
 
-/* The date of a monthly schedule, "15", or of a yearly one, "12-31". Returns NULL, or what is wrong. */
+/* Parse the date of a monthly schedule, such as "15", or of a yearly one, such as "12-31". Returns NULL, or
+ * an error text. */
 static const char *parse_date(const char *date, int is_yearly, struct schedule *schedule)
 {
 	const char *dash = date && is_yearly ? strchr(date, '-') : NULL;
 	const char *day;
 
 	if (!date || (is_yearly && !dash))
-		return "a day is missing: monthly 15, yearly 12-31";
+		return "the day is missing; expected for example monthly 15 or yearly 12-31";
 	day = dash ? dash + 1 : date;
 	schedule->weekdays = EVERY_WEEKDAY;
 	schedule->month = dash ? parse_number(date, (size_t)(dash - date), 12) : 0;
 	schedule->day_of_month = parse_number(day, strlen(day), 31);
 	if (schedule->day_of_month < 1 || schedule->month < 0 || (dash && schedule->month < 1))
-		return "no such day: it never comes";
+		return "the day does not exist, so the schedule never occurs";
 	return NULL;
 }
 
-/* The time of day, "02:30". Returns NULL, or what is wrong. */
+/* Parse a time of day such as "02:30". Returns NULL, or an error text. */
 static const char *parse_time_of_day(const char *time_of_day, struct schedule *schedule)
 {
 	const char *colon = time_of_day ? strchr(time_of_day, ':') : NULL;
@@ -82,7 +85,7 @@
 	schedule->hour = colon ? parse_number(time_of_day, (size_t)(colon - time_of_day), 23) : -1;
 	schedule->minute = colon && strlen(colon + 1) == 2 ? parse_number(colon + 1, 2, 59) : -1;
 	if (schedule->hour < 0 || schedule->minute < 0)
-		return "the time of day is not as 02:30";
+		return "the time of day is missing or not of the form 02:30";
 	return NULL;
 }
 
@@ -96,7 +99,8 @@
 	return U_SUCCESS(status);
 }
 
-/* Returns NULL, or what is wrong; with a pool the text names an unknown zone. */
+/* Parse a schedule. Returns NULL, or an error text; with a pool, the text contains the name of an unknown
+ * time zone. */
 static const char *parse_schedule(const char *text, struct schedule *schedule, apr_pool_t *pool)
 {
 	char copy[MAX_SCHEDULE_BYTES], *token, *save = NULL;
@@ -104,7 +108,7 @@
 
 	memset(schedule, 0, sizeof *schedule);
 	if (strlen(text) >= sizeof copy)
-		return "too long";
+		return "the schedule is too long";
 	memcpy(copy, text, strlen(text) + 1);
 	token = apr_strtok(copy, " ", &save);
 	if (!token)
@@ -123,16 +127,17 @@
 	if (!token || strlen(token) >= sizeof schedule->zone)
 		return "the time zone is missing";
 	if (apr_strtok(NULL, " ", &save))
-		return "words after the time zone";
+		return "unexpected words after the time zone";
 	memcpy(schedule->zone, token, strlen(token) + 1);
 	if (is_known_zone(schedule->zone))
 		return NULL;
-	return pool ? apr_psprintf(pool, "no time zone %s", schedule->zone) : "no such time zone";
+	return pool ? apr_psprintf(pool, "there is no time zone %s", schedule->zone)
+		    : "the time zone does not exist";
 }
 
 /* ---- due times ---- */
 
-/* Whether the calendar stands on a day of the schedule. */
+/* Whether the calendar is set to a day of the schedule. */
 static bool is_scheduled_day(UCalendar *calendar, const struct schedule *schedule, UErrorCode *status)
 {
 	int weekday = ucal_get(calendar, UCAL_DAY_OF_WEEK, status) - 1;
@@ -144,7 +149,8 @@
 	return !schedule->month || ucal_get(calendar, UCAL_MONTH, status) + 1 == schedule->month;
 }
 
-/* The first time of the schedule after from_ms, by the calendar of its zone; 0: none comes. */
+/* The first time of the schedule after from_ms, by a calendar of the schedule's time zone; 0: there is none.
+ */
 static int64_t find_next_due(UCalendar *calendar, const struct schedule *schedule, int64_t from_ms,
 			     UErrorCode *status)
 {
@@ -157,7 +163,7 @@
 	for (int i = 0; i < MAX_SEARCH_DAYS && U_SUCCESS(*status); i++) {
 		int64_t due_at_ms;
 
-		ucal_clear(calendar); /* noon is in every day, whatever its clock change */
+		ucal_clear(calendar); /* noon exists on every day, also on one with a clock change */
 		ucal_setDateTime(calendar, year, month, date + i, 12, 0, 0, status);
 		if (!is_scheduled_day(calendar, schedule, status))
 			continue;
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -8,9 +8,9 @@
 #include "json_add.h"
 
 enum {
-	INSTANCES_STAMP_TERM_SHIFT = 24, /* a stamp's lower bits count changes, its upper ones are the term */
-	FLEET_SHARE_MS_MILLIHERTZ =
-	    3000000 /* over rate_mille: ms between polls at a third of the fleet's calls */
+	INSTANCES_STAMP_TERM_SHIFT = 24, /* lower bits of a stamp count changes, upper bits hold the term */
+	FLEET_SHARE_MS_MILLIHERTZ = 3000000 /* divided by list_calls_millihertz: the poll interval in ms that
+					       uses a third of the calls allowed to the fleet */
 };
 
 /* A copy on the heap; nl__instance__free_unpacked releases it. */
@@ -45,7 +45,7 @@
 
 const struct Nl__Instance *instances_get(const struct instances *instances, const char *name)
 {
-	struct instances_row *rows = instances->rows; /* the macros set it, but only to what it is */
+	struct instances_row *rows = instances->rows; /* shgeti assigns to its argument */
 	ptrdiff_t i = shgeti(rows, name);
 
 	return i < 0 ? NULL : rows[i].value.instance;
@@ -55,7 +55,7 @@
 static struct instance_entry *store_instance(struct instances *instances, const struct Nl__Instance *instance)
 {
 	struct Nl__Instance *copy =
-	    copy_instance(instance); /* first: it may point into the one it replaces */
+	    copy_instance(instance); /* copied first: instance may point into the entry that is replaced */
 	ptrdiff_t i = shgeti(instances->rows, copy->server);
 
 	if (i >= 0) {
@@ -82,7 +82,7 @@
 	}
 }
 
-/* ---- the leader's side ---- */
+/* ---- leader ---- */
 
 static void assign_stamp(struct instances *instances, struct Nl__Instance *instance, int64_t now)
 {
@@ -130,8 +130,8 @@
 	command_add(out, CMD_LIST_SERVERS)->args.list_servers.token = token;
 }
 
-/* Whether followers need to know. The warm-up time runs down by itself where it is known: only its beginning
- * and its end are a change. */
+/* Whether two states of a server differ for routing, so that followers need the change. The remaining warm-up
+ * time is counted down by each node itself, so only its start and its end are changes. */
 static int differs_for_routing(const struct Nl__Instance *a, const struct Nl__Instance *b)
 {
 	return strcmp(a->service, b->service) || strcmp(a->addr, b->addr) || strcmp(a->zone, b->zone) ||
@@ -150,7 +150,7 @@
 	assign_stamp(instances, entry->instance, now);
 }
 
-/* The list names a server that is known already. */
+/* Merge the list's state of a server into its existing entry. */
 static void merge_listed(struct instances *instances, struct instance_entry *entry,
 			 const struct Nl__Instance *listed, int64_t now)
 {
@@ -165,7 +165,7 @@
 		entry->has_ended = 1;
 	else if (entry->has_ended)
 		merged.state = INSTANCE_DRAINING;
-	merged.loading = previous->loading; /* the list does not say */
+	merged.loading = previous->loading; /* not part of the list */
 	if (instances->polled_at_ms < entry->report_valid_until_ms)
 		merged.weights = previous->weights;
 	if (differs_for_routing(previous, &merged))
@@ -180,7 +180,8 @@
 	assign_stamp(instances, entry->instance, now);
 }
 
-/* Remove servers that too many lists in a row lacked; returns whether any other is missing. */
+/* Remove the servers that were missing from INSTANCES_MAX_MISSED_POLLS consecutive lists. Returns whether any
+ * other server was missing from the newest list. */
 static int remove_missing(struct instances *instances, int64_t now)
 {
 	int any_missing = 0;
@@ -206,12 +207,13 @@
 	if (!instances->term || !token || token != instances->poll_token)
 		return;
 	instances->poll_token = 0;
-	/* counted from the request: an answer that this process reads only after it stood still shows servers
-	 * that may have ended since */
+	/* Time-out counted from the request: if this process was suspended before it read the reply, servers
+	 * in it may have ended since. */
 	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
 		succeeded = 0;
 	if (!succeeded) {
-		instances->last_changed_at_ms = now; /* poll again fast: a server may have begun to drain */
+		instances->last_changed_at_ms =
+		    now; /* use the fast poll interval: a server may have begun to drain */
 		return;
 	}
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
@@ -229,13 +231,13 @@
 	}
 	any_missing = remove_missing(instances, now);
 	if (any_missing)
-		instances->last_changed_at_ms = now; /* poll again fast */
-	/* what this leader followed may be older than what others did: published once no server is in doubt
-	 */
+		instances->last_changed_at_ms = now; /* use the fast poll interval */
+	/* The servers that this leader received as a follower may be older than those of other nodes. The
+	 * list is published once no server's removal is undecided. */
 	if (!instances->is_publishable &&
 	    (++instances->poll_count >= INSTANCES_MAX_MISSED_POLLS || !any_missing)) {
 		instances->is_publishable = 1;
-		instances->stamp++; /* an empty list is published too */
+		instances->stamp++; /* a new stamp, so that an empty list is published too */
 	}
 }
 
@@ -272,7 +274,7 @@
 			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
 	if (!instances->term || !instances->is_publishable)
-		return; /* what followers have is newer than what this leader has fetched itself */
+		return; /* followers may have newer state than this leader has fetched itself */
 	reply->instances_stamp = instances->stamp;
 	reply->instances_full = known_stamp >> INSTANCES_STAMP_TERM_SHIFT != instances->term ||
 				known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
@@ -285,7 +287,7 @@
 			    pool, &instances->rows[i].value.instance->base);
 }
 
-/* ---- a follower's side ---- */
+/* ---- follower ---- */
 
 static bool is_in_reply(const struct Nl__ConfigSyncReply *reply, const char *server)
 {
@@ -295,7 +297,7 @@
 	return false;
 }
 
-/* Drop servers that a full reply lacks; returns whether any was dropped. */
+/* Drop the servers that are missing from a full reply. Returns whether any was dropped. */
 static int drop_unlisted(struct instances *instances, const struct Nl__ConfigSyncReply *reply)
 {
 	int any_dropped = 0;
@@ -328,7 +330,7 @@
 
 		if (!received.server[0])
 			continue;
-		/* a new leader may know less than the one before */
+		/* a new leader may not have received yet that the server drains */
 		if (previous && previous->state == INSTANCE_DRAINING && received.state == INSTANCE_SERVING)
 			received.state = INSTANCE_DRAINING;
 		any_changed |= !previous || differs_for_routing(previous, &received);
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -71,7 +71,7 @@
 	    !leads_shard(controller, SHARD_PURGE, now))
 		return;
 	config_watch_hint(&controller->config_watch, message->shard, message->addr);
-	/* one batch at a time; what does not fit, the feed will say again */
+	/* One batch is logged at a time; the feed sends the remaining values again in its next reply. */
 	for (size_t i = 0;
 	     i < feed_reply->n_values &&
 	     (proposed_count || controller->publisher.pending_tick <= controller->publisher.tick);
@@ -95,7 +95,7 @@
 		proposed_count++;
 	}
 	if (controller->publisher.pending_tick > controller->publisher.tick)
-		return; /* this feed has not said all yet */
+		return; /* values are still being logged, and this feed may hold more */
 	if (feed_reply->round > controller->publisher.feed_complete_round[message->shard])
 		controller->publisher.feed_complete_round[message->shard] = feed_reply->round;
 }
@@ -107,12 +107,12 @@
 
 	if (!controller->relay.is_publisher || value->tick <= publisher->tick)
 		return;
-	/* the value, and silence before it */
+	/* publish the value, and silence for the ticks before it */
 	relay_publish(&controller->relay, publisher->tick + 1, value->tick, is_new ? value : NULL, now, out);
 	publisher->tick = value->tick;
 	if (publisher->pending_tick > publisher->tick || publisher->tick >= controller->purge_state.ceiling)
 		return;
-	/* and one tick of silence after the last that was pending */
+	/* after the last pending value, declare one tick of silence */
 	publisher->tick++;
 	relay_publish(&controller->relay, publisher->tick, publisher->tick, NULL, now, out);
 }
@@ -146,7 +146,8 @@
 			      controller->purge_state.values[i], now, out);
 	controller->publisher.tick = controller->purge_state.ceiling;
 	if (raft_epoch(controller->shards[SHARD_PURGE].term) >
-	    controller->epoch[SHARD_PURGE]) /* the ceiling rises with the first operation */
+	    controller->epoch[SHARD_PURGE]) /* the state's ceiling is raised with the first operation of the
+					       new epoch */
 		controller->publisher.tick += CONTROLLER_RECOVERY_SKIP;
 	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.tick, NULL, now, out);
 	controller->publisher.pending_tick = 0;
@@ -176,7 +177,8 @@
 			    controller->publisher.feed_round % 5 == 0)
 				config_watch_miss(
 				    &controller->config_watch,
-				    i); /* no word for a while: try another controller, then heed its hint */
+				    i); /* no reply in recent rounds: request from another controller, which
+					 may reply with a hint to the leader */
 			request = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			request->have_index = controller->purge_state.published_index[i];
 			request->round = controller->publisher.feed_round;
@@ -195,7 +197,7 @@
 	    controller->publisher.pending_tick > controller->publisher.tick ||
 	    controller->publisher.tick >= controller->purge_state.ceiling)
 		return;
-	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* silence waits for every feed */
+	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a tick is silent only if every feed was empty */
 		all_feeds_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
 							      controller->publisher.feed_round;
 	if (!all_feeds_complete)
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -11,14 +11,15 @@
 #include "retention_progress.h"
 
 enum {
-	MAX_MISSED_COUNT = 1000, /* missed due times that are counted */
-	MAX_DECISION_DELAY_MS =
-	    60000, /* how late a purge may be decided and still be spread from its due time */
+	MAX_MISSED_COUNT = 1000,       /* missed due times are counted up to this number */
+	MAX_DECISION_DELAY_MS = 60000, /* the slices of a purge that is decided later than this after its due
+					  time are spread over the time from the decision on */
 };
 
-/* ---- the agreed time ---- */
+/* ---- wall clock of the majority ---- */
 
-/* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
+/* The wall clock of a voter, extrapolated from its last report; INT64_MIN when it has not reported recently.
+ */
 static int64_t voter_wall_clock_ms(const struct controller *controller, uint64_t member_id, int64_t now)
 {
 	int64_t unix_ms = INT64_MIN;
@@ -38,7 +39,7 @@
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
-	int64_t unix_ms_by_voter[RAFT_MAX_MEMBERS]; /* latest first */
+	int64_t sorted_unix_ms[RAFT_MAX_MEMBERS]; /* sorted, latest first */
 	int voter_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
@@ -48,17 +49,17 @@
 		if (!raft->group.members[i].voter)
 			continue;
 		unix_ms = voter_wall_clock_ms(controller, raft->group.members[i].id, now);
-		for (; at && unix_ms_by_voter[at - 1] < unix_ms; at--)
-			unix_ms_by_voter[at] = unix_ms_by_voter[at - 1];
-		unix_ms_by_voter[at] = unix_ms;
+		for (; at && sorted_unix_ms[at - 1] < unix_ms; at--)
+			sorted_unix_ms[at] = sorted_unix_ms[at - 1];
+		sorted_unix_ms[at] = unix_ms;
 		voter_count++;
 	}
-	return voter_count ? unix_ms_by_voter[voter_count / 2] : INT64_MIN;
+	return voter_count ? sorted_unix_ms[voter_count / 2] : INT64_MIN;
 }
 
 /* ---- the leader's decisions ---- */
 
-/* Returns the index of the log entry; 0 when it could not be logged. */
+/* Log a step. Returns the index of the log entry; 0 when it could not be logged. */
 static uint64_t log_step(struct controller *controller, struct Nl__RetentionStep *step, int64_t now,
 			 struct command_list *out)
 {
@@ -70,8 +71,8 @@
 	return controller->retention.logged_index;
 }
 
-/* From when on a row without a due time counts its periods: from the last purge of its scope, so that a row
- * that is edited again and again is not put off for ever. */
+/* The time from which the periods of a row without a due time are counted: the last purge of its scope, so
+ * that repeated edits of the row do not postpone its purge indefinitely; unix_ms when there was no purge. */
 static int64_t period_base_ms(const struct retention *retention, const char *scope, int64_t unix_ms)
 {
 	int64_t base_ms = unix_ms;
@@ -83,7 +84,8 @@
 	return base_ms;
 }
 
-/* Fill in the step that takes a due time, however many were missed since. */
+/* Fill in the step that begins the purge of a plan's due time. One step covers all due times missed since
+ * then. */
 static void fill_due_step(const struct controller *controller, const struct Nl__RetentionPlan *plan,
 			  const struct Nl__Row *row, int64_t unix_ms, struct Nl__RetentionStep *step)
 {
@@ -101,8 +103,8 @@
 	}
 }
 
-/* Log the next step of a plan: its first due time, or the purge that is due. Returns 1 when one was logged.
- */
+/* Log the next step of one plan: setting its first due time, or beginning the purge that is due. Returns 1
+ * when a step was logged. */
 static int log_next_due(struct controller *controller, int64_t unix_ms, int64_t now, struct command_list *out)
 {
 	const struct retention *retention = &controller->retention;
@@ -129,14 +131,14 @@
 			continue;
 		if (step.step == NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE)
 			log_line(controller, "retention", out->pool,
-				 "Purge of %s is due; due times missed before: %u.", plan->scope,
+				 "purge is due, scope %s, due times missed before %u", plan->scope,
 				 (unsigned)step.missed);
 		return 1;
 	}
 	return 0;
 }
 
-/* Whether any router reports that its queues are strained. */
+/* Whether any router reports a load pressure above the limit for spread purges. */
 static int any_router_under_pressure(const struct controller *controller, int64_t now)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
@@ -149,8 +151,8 @@
 	return 0;
 }
 
-/* Log the next slice of a purge that is spread over time: in half of that time while routers are not
- * strained, and by its end in any case. Returns 1 when one was logged. */
+/* Log the next slice that is due. A purge's slices are spread evenly over half of its spread time while no
+ * router is under pressure, and over all of its spread time otherwise. Returns 1 when a slice was logged. */
 static int log_next_slice(struct controller *controller, int64_t unix_ms, int64_t now,
 			  struct command_list *out)
 {
@@ -176,16 +178,17 @@
 		if (!log_step(controller, &step, now, out))
 			return 0;
 		if (step.late)
-			log_line(controller, "retention", out->pool,
-				 "Purge %" APR_UINT64_T_FMT
-				 ": slice %u goes on although routers are strained: its time ends.",
-				 purge->purge_number, step.slice);
+			log_line(
+			    controller, "retention", out->pool,
+			    "purge %" APR_UINT64_T_FMT
+			    ": slice %u is published despite high router load, since the purge has to end in its window",
+			    purge->purge_number, step.slice);
 		return 1;
 	}
 	return 0;
 }
 
-/* Log that a purge is done. Returns 1 when it was logged. */
+/* Log the completion of the next purge that is done. Returns 1 when one was logged. */
 static int log_next_done(struct controller *controller, int64_t unix_ms, int64_t now,
 			 struct command_list *out)
 {
@@ -193,7 +196,7 @@
 
 	if (now - retention->done_checked_at_ms < RETENTION_DONE_CHECK_INTERVAL_MS ||
 	    now - controller->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
-		return 0; /* a new leader hears from all nodes first */
+		return 0; /* a new leader first needs a report from each node */
 	retention->done_checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
 		const struct Nl__RetentionPurge *purge = retention->purges[i];
@@ -208,8 +211,8 @@
 		step.wall_clock_ms = unix_ms;
 		if (log_step(controller, &step, now, out)) {
 			log_line(controller, "retention", out->pool,
-				 "Purge %" APR_UINT64_T_FMT
-				 " of %s is done: no server names blocks of before.",
+				 "purge %" APR_UINT64_T_FMT
+				 " of scope %s is done: no server reports cached blocks from before it",
 				 purge->purge_number, purge->scope);
 			return 1;
 		}
@@ -235,12 +238,13 @@
 	if (log_next_due(controller, unix_ms, now, out) || log_next_slice(controller, unix_ms, now, out) ||
 	    log_next_done(controller, unix_ms, now, out))
 		retention->polled_at_ms =
-		    now - RETENTION_POLL_INTERVAL_MS; /* the next one as soon as this is applied */
+		    now -
+		    RETENTION_POLL_INTERVAL_MS; /* propose the next step as soon as this one is applied */
 }
 
-/* ---- the logs on disk ---- */
+/* ---- trimming of the logs on disk ---- */
 
-/* The newest tick of a purge of context that is in force here; 0: none. */
+/* The newest tick of the context purges that are in force on this node; 0: none. */
 static uint64_t newest_purge_tick(const struct controller *controller)
 {
 	uint64_t tick = 0;
@@ -251,7 +255,7 @@
 	return tick;
 }
 
-/* Up to which tick a shard's log was trimmed. */
+/* The tick up to which purges have led to a trim of a shard's log. */
 static uint64_t trimmed_tick(struct controller *controller, uint32_t shard)
 {
 	const struct controller_service_state *service = service_shard_state(controller, shard);
@@ -262,8 +266,8 @@
 				      : controller->purge_state.purged_tick;
 }
 
-/* Whether a service shard's claims of before its last trim have run out, so that they can go from its disk.
- */
+/* Whether all claims from before a service shard's last trim have expired and are still on its disk, so that
+ * they can be removed. */
 static bool may_compact_claims(struct controller *controller, uint32_t shard, int64_t now)
 {
 	const struct controller_service_state *service = service_shard_state(controller, shard);
--- a/lib/control/retention.h
+++ b/lib/control/retention.h
@@ -1,20 +1,20 @@
-/* retention: purges of cached context on the operators' schedule, as the control shard decides and records
- * them.
+/* retention: purges of cached context on the operators' schedule, decided and recorded by the control shard.
  *
- * Each decision is an entry of the control shard's log: a row gets its due time, a due purge begins, one of
- * its slices goes to the purge stream, a purge is done. retention_apply applies them on every member, so the
- * recorded state is alike everywhere and part of snapshots. The shard's leader proposes them in
- * retention_tick, one at a time, by the time that a majority of the controllers' clocks agrees on.
+ * Each decision is an entry of the control shard's log: a retention row is given its first due time, a due
+ * purge begins, one of the purge's slices is added to the purge stream, or a purge is recorded as done.
+ * retention_apply applies the entries on every member, so the recorded state is the same on all of them and
+ * is included in snapshots. The shard's leader proposes the decisions in retention_tick, one at a time, by
+ * the time that a majority of the voters' clocks has reached.
  *
- * Always: a due time is taken once, as the entry that takes it names it and sets the next one; and at most
- * one purge of a scope has slices open.
+ * Invariants: a due time leads to one purge only, because the log entry that begins the purge names the due
+ * time and sets the next one. At most one purge of a scope has unpublished slices.
  *
  *   retention_schedule.c   rows, scopes and due times
- *   retention_state.c      the recorded state, and what the log's entries do to it
+ *   retention_state.c      the recorded state, and how log entries change it
  *   retention.c            the leader's decisions
- *   retention_progress.c   what a purge still waits for
- *   retention_report.c     what operators and auditors read
- * docs/retention.md says why. */
+ *   retention_progress.c   the conditions that a purge still waits for
+ *   retention_report.c     reports for operators and auditors
+ * The design is explained in docs/retention.md. */
 #ifndef NL_RETENTION_H
 #define NL_RETENTION_H
 
@@ -23,14 +23,15 @@
 
 struct controller;
 
-/* Let the leader's time pass: it proposes the next step that is due, if any. Does nothing elsewhere. */
+/* Propose the next step that is due, if any. Does nothing unless this node leads the control shard. */
 void retention_tick(struct controller *controller, int64_t now, struct command_list *out);
 
-/* Propose the trim of the logs of all shards that are led here, once a purge covers entries in them. */
+/* For each shard that this node leads, propose to trim its log when a purge covers entries in it, and to
+ * compact the claims from before the last trim when they have expired. */
 void retention_trim_logs(struct controller *controller, int64_t now, struct command_list *out);
 
-/* The time, ms since 1970, that a majority of the control shard's voters has reached: one clock that jumps
- * decides nothing. INT64_MIN when no majority was heard lately. */
+/* The time in ms since 1970 that a majority of the control shard's voters has reached, so that a jump of a
+ * single clock has no effect. INT64_MIN when no majority has reported its clock recently. */
 int64_t retention_wall_clock(const struct controller *controller, int64_t now);
 
 #endif
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -47,9 +47,10 @@
 	report->horizon = sync->horizon;
 }
 
-/* ---- what a purge covers, and since when ---- */
+/* ---- scope and ticks of a purge ---- */
 
-/* The tick at which a slice of a purge is in force, as far as it is known here; 0: not published yet. */
+/* The tick at which a slice of a purge, or of a later purge of the same scope, came into force on this node;
+ * 0: not published yet. */
 static uint64_t slice_tick(const struct controller *controller, const struct Nl__RetentionPurge *purge,
 			   uint32_t slice)
 {
@@ -67,13 +68,13 @@
 	return 0;
 }
 
-/* Whether two parts of scopes, "" for all, have anything in common. */
+/* Whether two routes or two tenants of scopes, "" for all, overlap. */
 static int scope_names_overlap(const char *a, const char *b)
 {
 	return !a[0] || !b[0] || !strcmp(a, b);
 }
 
-/* Whether a cache_namespace of this scope may hold what a purge covers. */
+/* Whether the cache namespace of this scope hash may hold blocks that a purge covers. */
 static int purge_covers_scope(const struct controller *controller, const struct Nl__RetentionPurge *purge,
 			      uint64_t scope)
 {
@@ -92,12 +93,12 @@
 	return scope == (uint32_t)retention_namespace_hash(route, tenant);
 }
 
-/* ---- what is missing ---- */
+/* ---- conditions that a purge waits for ---- */
 
-/* What a purge waits for: counted, and listed where somebody reads it. */
+/* The conditions that a purge still waits for. */
 struct missing_conditions {
 	int count;
-	struct json_object *texts; /* an array, or NULL */
+	struct json_object *texts; /* JSON array of one text per condition, or NULL: only counted */
 	apr_pool_t *pool;
 };
 
@@ -115,7 +116,7 @@
 	va_end(arguments);
 }
 
-/* Slices that are not decided or not published; returns the newest tick of those that are published. */
+/* Add the slices that are not decided or not published. Returns the newest tick of the published ones. */
 static uint64_t add_missing_slices(const struct controller *controller,
 				   const struct Nl__RetentionPurge *purge, struct missing_conditions *missing)
 {
@@ -135,7 +136,7 @@
 	return newest;
 }
 
-/* Routers that still route and have not passed the tick. */
+/* Add the routers that still route requests and have not passed the tick. */
 static void add_missing_routers(const struct controller *controller, uint64_t tick, int64_t now,
 				struct missing_conditions *missing)
 {
@@ -144,12 +145,14 @@
 
 		if (node->is_router && now - node->observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
 		    node->horizon < tick)
-			add_missing_condition(missing, "counter %s has not heard of it yet; it routes cold",
-					      core_format_addr(missing->pool, node->addr));
+			add_missing_condition(
+			    missing,
+			    "router %s has not received the purge yet and routes without cached prefixes",
+			    core_format_addr(missing->pool, node->addr));
 	}
 }
 
-/* Servers that name blocks of an older purge, as one holder of the index reports. */
+/* Add the servers that still hold blocks of an older purge according to the report of one index holder. */
 static void add_missing_servers(const struct controller *controller, const struct Nl__RetentionPurge *purge,
 				const struct retention_index_report *report,
 				struct missing_conditions *missing)
@@ -161,11 +164,13 @@
 		    !purge_covers_scope(controller, purge, remainder->scope))
 			continue;
 		if (remainder->block_count)
-			add_missing_condition(missing,
-					      "server %s still names %u parts, which nothing finds any more",
-					      remainder->server, (unsigned)remainder->block_count);
+			add_missing_condition(
+			    missing,
+			    "server %s still reports %u purged blocks, which no request can use any more",
+			    remainder->server, (unsigned)remainder->block_count);
 		else
-			add_missing_condition(missing, "server %s has not said since what it keeps",
+			add_missing_condition(missing,
+					      "server %s has not reported its cached blocks since the purge",
 					      remainder->server);
 	}
 }
@@ -175,7 +180,7 @@
 {
 	struct missing_conditions missing = { 0, missing_texts, pool };
 	uint64_t tick = add_missing_slices(controller, purge, &missing);
-	int any_current_report = 0; /* of a holder of the index that has passed the tick */
+	int any_current_report = 0; /* whether an index holder that has passed the tick has reported */
 
 	add_missing_routers(controller, tick, now, &missing);
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.index_reports); i++) {
--- a/lib/control/retention_progress.h
+++ b/lib/control/retention_progress.h
@@ -1,9 +1,10 @@
-/* retention_progress: how far a purge has come, as the control shard's leader can see it.
+/* retention_progress: determines on the control shard's leader whether a purge is done, and which conditions
+ * it still waits for.
  *
- * A purge is done when its slices are decided and published, every router that still routes has passed the
- * newest of their ticks, and the nodes that hold the prefix index, having passed it too, name no block
- * replica of an older purge. Nodes report with each configuration request; the reports are soft state of the
- * leader. retention.c asks before it logs that a purge is done, retention_report.c lists what is missing. */
+ * A purge is done when all its slices are decided and published, every router that still routes requests has
+ * passed the newest tick of these slices, at least one node that holds the prefix index has passed that tick
+ * too, and no such node reports a block replica of an older purge. Nodes report with each configuration
+ * request. The reports are soft state of the leader. */
 #ifndef NL_RETENTION_PROGRESS_H
 #define NL_RETENTION_PROGRESS_H
 
@@ -13,11 +14,12 @@
 
 struct controller;
 
-/* A node's configuration request has come: record what its index still names, and drop old reports. */
+/* Process a node's configuration request: record the remainders that its prefix index reports, and drop
+ * reports that are too old. */
 void retention_on_report(struct controller *controller, const struct Nl__Msg *message, int64_t now);
 
-/* How many things a purge still waits for; 0: it is done. Their texts are appended to the JSON array missing,
- * unless that is NULL. */
+/* The number of conditions that a purge still waits for; 0: it is done. A text for each is appended to the
+ * JSON array missing_texts, unless that is NULL. */
 int retention_list_missing(const struct controller *controller, const struct Nl__RetentionPurge *purge,
 			   int64_t now, struct json_object *missing, apr_pool_t *pool);
 
--- a/lib/control/retention_report.c
+++ b/lib/control/retention_report.c
@@ -26,7 +26,7 @@
 	return rows;
 }
 
-/* missing: an array that becomes the object's. */
+/* A purge as JSON, which takes ownership of the array missing. */
 static struct json_object *purge_json(const struct Nl__RetentionPurge *purge, struct json_object *missing)
 {
 	struct json_object *json = json_object_new_object();
@@ -46,7 +46,8 @@
 	return json;
 }
 
-/* The agreed time at the leader; elsewhere, or where it is not known, this machine's. */
+/* The wall clock of the majority on the leader; this machine's wall clock on other nodes, or when no majority
+ * has reported its clock. */
 static int64_t shown_wall_clock(const struct controller *controller, int is_leader, int64_t now)
 {
 	int64_t agreed = is_leader ? retention_wall_clock(controller, now) : INT64_MIN;
--- a/lib/control/retention_schedule.c
+++ b/lib/control/retention_schedule.c
@@ -9,8 +9,8 @@
 #include "containers.h"
 
 enum {
-	MAX_GAP_COUNT = 400, /* purges that are looked at for the time between two */
-	MAX_GAP_DAYS = 800,  /* days of them */
+	MAX_GAP_COUNT = 400, /* purges examined for the time between two */
+	MAX_GAP_DAYS = 800,  /* days from now on in which purges are examined */
 	DAY_MS = 86400000,
 	HOUR_MS = 3600000
 };
@@ -60,7 +60,7 @@
 	return core_hash_string(core_hash_string(31, route), tenant);
 }
 
-/* ms between two purges of a row without calendar terms. */
+/* The time between two purges of a row without calendar terms. */
 static int64_t row_period_ms(const struct Nl__Row *row)
 {
 	return row->interval[0] ? retention_parse_span(row->interval)
@@ -73,30 +73,30 @@
 	int64_t max_age_ms = row->max_age[0] ? retention_parse_span(row->max_age) : 0;
 
 	if (!retention_parse_scope(row->name, route, tenant))
-		return "name: lane/tenant, with * for all; * alone for everything";
+		return "name: expected lane/tenant, with * for all lanes or tenants, or * alone for everything";
 	if (max_age_ms < 0)
-		return "keep: a number and s, m, h, d or w, such as 90m or 7d";
+		return "keep: expected a number followed by s, m, h, d or w, such as 90m or 7d";
 	if (row->interval[0] && row->calendar[0])
-		return "every: not beside at";
+		return "every: cannot be combined with at";
 	if (!max_age_ms && !row->interval[0] && !row->calendar[0])
-		return "keep: missing, and neither every nor at";
+		return "keep: missing; at least one of keep, every and at is required";
 	if (row->interval[0] && retention_parse_span(row->interval) < 0)
-		return "every: a number and s, m, h, d or w, such as 6h";
+		return "every: expected a number followed by s, m, h, d or w, such as 6h";
 	if (max_age_ms && max_age_ms < (int64_t)row->spread_ms)
 		return "keep: shorter than window";
 	if (row->calendar[0])
-		return NULL; /* checked against the calendar when it is proposed */
+		return NULL; /* checked against the calendar when the change is proposed */
 	if (row_period_ms(row) < RETENTION_MIN_PERIOD_MS)
-		return row->interval[0] ? "every: shorter than a clearing takes (10s)"
-					: "keep: shorter than window and a clearing (10s)";
+		return row->interval[0] ? "every: shorter than the duration of a clearing (10s)"
+					: "keep: shorter than window plus the duration of a clearing (10s)";
 	if ((int64_t)row->spread_ms > row_period_ms(row))
 		return "window: longer than the time between two clearings";
 	if (max_age_ms && row->interval[0] && max_age_ms < row_period_ms(row) + (int64_t)row->spread_ms)
-		return "keep: shorter than every and window together";
+		return "keep: shorter than every plus window";
 	return NULL;
 }
 
-/* Whether the table has a row after the change. */
+/* Whether the table has a row after the change has been applied. */
 static bool has_row_after(const struct config_table *table, const struct Nl__Change *change, Nl__Kind kind,
 			  const char *name)
 {
@@ -127,7 +127,8 @@
 	return NULL;
 }
 
-/* The shortest and the longest time between two purges that come soon; returns 0 when fewer than two come. */
+/* Find the shortest and the longest time between two consecutive purges of the next MAX_GAP_DAYS days,
+ * looking at MAX_GAP_COUNT purges at most. Returns 0 when fewer than two purges are scheduled. */
 static int find_purge_gaps(const struct controller_calendar *calendar, const char *text, int64_t unix_ms,
 			   int64_t *shortest_ms, int64_t *longest_ms)
 {
@@ -151,7 +152,7 @@
 	return count;
 }
 
-/* What is wrong with one row at a time; NULL: nothing. */
+/* Check one row against the calendar from unix_ms on. Returns NULL, or an error text. */
 static const char *check_row_at(const struct controller_calendar *calendar, const struct Nl__Row *row,
 				int64_t unix_ms, apr_pool_t *pool)
 {
@@ -160,16 +161,16 @@
 	const char *error;
 
 	if (unix_ms == INT64_MIN)
-		return "the registrars' clocks are not heard: nothing can be planned";
+		return "the time is unknown, since no majority of the controllers has reported its clock recently";
 	if (!row->calendar[0])
 		return NULL;
 	if (!calendar)
-		return "at: no calendar is known here";
+		return "at: no calendar is available in this process";
 	error = calendar->check(row->calendar, pool);
 	if (error)
 		return apr_psprintf(pool, "at: %s", error);
 	if (!calendar->next(row->calendar, unix_ms))
-		return "at: it never comes";
+		return "at: the schedule never occurs";
 	if (find_purge_gaps(calendar, row->calendar, unix_ms, &shortest_ms, &longest_ms) &&
 	    (int64_t)row->spread_ms > shortest_ms)
 		return "window: longer than the time between two clearings";
@@ -177,10 +178,11 @@
 		int64_t max_age_ms = retention_parse_span(row->max_age);
 
 		if (max_age_ms >= 0 && max_age_ms < longest_ms + (int64_t)row->spread_ms)
-			return apr_psprintf(pool,
-					    "keep: two clearings may be %" APR_INT64_T_FMT
-					    " h apart, and window: keep is shorter",
-					    longest_ms / HOUR_MS);
+			return apr_psprintf(
+			    pool,
+			    "keep: shorter than the longest time between two clearings (%" APR_INT64_T_FMT
+			    " h) plus window",
+			    longest_ms / HOUR_MS);
 	}
 	return NULL;
 }
--- a/lib/control/retention_state.c
+++ b/lib/control/retention_state.c
@@ -46,7 +46,7 @@
 	return NULL;
 }
 
-/* A copy of a message on the heap; its ..._free_unpacked releases it. */
+/* A copy of a message on the heap; released by the free_unpacked function of its type. */
 static ProtobufCMessage *copy_message(const ProtobufCMessage *message)
 {
 	size_t size = protobuf_c_message_get_packed_size(message);
@@ -100,17 +100,17 @@
 		       (struct Nl__RetentionPlan *)copy_message(&state->retention_plans[i]->base));
 }
 
-/* ---- steps from the log ---- */
+/* ---- applying steps from the log ---- */
 
-/* A log entry while it is applied. */
+/* A log entry that is being applied. */
 struct entry_context {
 	struct retention *retention;
 	const struct config_table *table;
 	struct Nl__Value ***feed; /* purge feed that slices are appended to */
-	uint64_t log_index;       /* of the entry: slices are numbered from it */
+	uint64_t log_index;       /* of the log entry; slices are numbered from it */
 };
 
-/* How many values of the purge feed the log entry at index has made so far. */
+/* The number of values that the log entry has appended to the purge feed so far. */
 static uint32_t count_entry_values(const struct entry_context *context)
 {
 	uint32_t count = 0;
@@ -144,7 +144,7 @@
 	arrput(*context->feed, value_copy(&value));
 }
 
-/* A new purge of a scope ends the one before it: the slices that are open go out at once. */
+/* End the earlier purges of a scope before a new one begins, by appending their remaining slices at once. */
 static void end_open_purges(const struct entry_context *context, const char *scope, int64_t unix_ms)
 {
 	struct retention *retention = context->retention;
@@ -160,7 +160,8 @@
 	}
 }
 
-/* Forget the oldest purges that are done, or the oldest of all, while there are too many. */
+/* While more than RETENTION_MAX_PURGES are recorded, drop the oldest one that is done, or else the newest
+ * one. */
 static void drop_oldest_purges(struct retention *retention)
 {
 	while (arrlen(retention->purges) > RETENTION_MAX_PURGES) {
@@ -173,7 +174,8 @@
 	}
 }
 
-/* wide: the scope's own cache namespaces are not in use everywhere, so all of them are purged with it. */
+/* Begin a purge of the step's scope. wide: the scope's own cache namespace is not in force on all nodes yet,
+ * so the purge covers all cache namespaces. */
 static void begin_purge(const struct entry_context *context, const struct Nl__RetentionStep *step,
 			const char *requested_by, uint32_t spread_ms, int wide)
 {
@@ -207,8 +209,8 @@
 	return PROPOSAL_DONE;
 }
 
-/* A due time is taken once, whoever decides it and however often: the entry that takes it sets the next one.
- */
+/* Begin the purge of a due time. The same entry sets the next due time, so a due time leads to one purge
+ * only, even if several leaders propose it or one leader proposes it repeatedly. */
 static enum proposal_status apply_due(const struct entry_context *context,
 				      const struct Nl__RetentionStep *step)
 {
@@ -279,9 +281,9 @@
 	}
 }
 
-/* ---- plans follow the rows of the table ---- */
+/* ---- updating the plans from the table's rows ---- */
 
-/* The row's setting as a plan keeps it, to tell an edited row from an unchanged one. */
+/* The settings of a row as one text. A plan stores it, so that an edit of its row can be detected. */
 static const char *setting_text(const struct Nl__Row *row, apr_pool_t *pool)
 {
 	return apr_psprintf(pool, "%s|%s|%s|%u", row->max_age, row->interval, row->calendar,
@@ -296,7 +298,8 @@
 	return 0;
 }
 
-/* A plan whose row was edited is planned anew; one whose row was removed ends with a last purge. */
+/* Reset the plans whose rows were edited. Begin a last purge for the plans whose rows were removed, and
+ * remove these plans. */
 static void update_plans(const struct entry_context *context, apr_pool_t *pool)
 {
 	struct retention *retention = context->retention;
@@ -315,7 +318,8 @@
 			plan->due_at_ms = 0;
 			continue;
 		}
-		/* what lies in its own cache namespaces must not be found again if the row comes back */
+		/* blocks in the scope's own cache namespace must not be found again if the row is added again
+		 */
 		step.scope = plan->scope;
 		step.wall_clock_ms = plan->planned_at_ms;
 		step.due_at_ms = plan->planned_at_ms;
@@ -325,7 +329,7 @@
 	}
 }
 
-/* In the order of scopes, so that equal states pack alike. */
+/* Insert a plan in the order of scopes, so that equal states are packed into equal bytes. */
 static void insert_plan(struct retention *retention, const struct Nl__Row *row, apr_pool_t *pool)
 {
 	struct Nl__RetentionPlan plan = NL__RETENTION_PLAN__INIT;
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -11,12 +11,13 @@
 #include "json_add.h"
 
 enum {
-	CALL_TIMEOUT_MS = 400, /* of a command or a poll */
+	CALL_TIMEOUT_MS = 400, /* a command or a poll without a reply for this long has failed */
 	SERVER_REPORT_TIMEOUT_MS =
-	    10000, /* without a report: the server loads the target weights when it is back */
+	    10000, /* a server without a report for this long does not hold up the
+					   rollout; it loads the target weights when it reports again */
 };
 
-/* ---- commands and reports ---- */
+/* ---- sending commands, receiving reports ---- */
 
 static struct controller_server *find_server(struct controller *controller, const char *name)
 {
@@ -52,8 +53,8 @@
 	command->args.call.not_after_ms = not_after_ms;
 }
 
-/* Send a command, which is released here, fenced by the shard's term. The lease is checked again before it
- * leaves. */
+/* Send a command with a fencing token made from the shard's term, and release the command's JSON. The lease
+ * is checked again when the command is sent: not_after_ms is the lease's end. */
 static void send_command(struct controller *controller, struct controller_server *server, uint32_t shard,
 			 const char *addr, struct json_object *command, int64_t now, struct command_list *out)
 {
@@ -70,7 +71,7 @@
 	server->commanded_at_ms = now;
 }
 
-/* Whether a cached block that a server reports may stay: no purge covers it. */
+/* Whether a server may keep a cached block that it has reported, because no purge covers the block. */
 static bool may_keep_block(const struct controller *controller, const struct controller_server *server,
 			   struct json_object *block)
 {
@@ -84,7 +85,7 @@
 	       purge_view_keeps_context(view, server->service, maker, hash, stamp_tick);
 }
 
-/* The server's blocks that it has to drop, an array that the caller releases. */
+/* The reported blocks that the server has to drop, as an array that the caller releases. */
 static struct json_object *find_purged_blocks(const struct controller *controller,
 					      const struct controller_server *server,
 					      struct json_object *blocks)
@@ -100,7 +101,8 @@
 	return purged;
 }
 
-/* Whether commands may be sent to the servers of a shard: the commands of the leader before have ended. */
+/* Whether this node may send commands to the servers of a shard: it leads the shard, and the commands of
+ * earlier leaders have expired. */
 static bool may_command_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	return leads_shard(controller, shard, now) &&
@@ -115,7 +117,8 @@
 	struct json_object *purged = find_purged_blocks(controller, server, blocks);
 
 	if (!json_object_array_length(purged)) {
-		/* the report shows it: purges are carried out up to the horizon at the poll */
+		/* the report holds no purged block, so the server has carried out all purges up to the
+		 * horizon that was current when the report was requested */
 		server->purged_tick = server->requested_purge_tick;
 		json_object_put(purged);
 	} else if (may_command_shard(controller, shard, now) && relay_is_current(&controller->relay, now)) {
@@ -164,9 +167,10 @@
 		    now + CALL_TIMEOUT_MS, out);
 }
 
-/* ---- target weights ---- */
+/* ---- target versions ---- */
 
-/* Whether every server of a service has had these weights, or it is not known here which ones they had. */
+/* Whether the rollout of these weights to all servers of a service is recorded as complete. Also true when no
+ * completed rollout is recorded for the service. */
 static bool is_rolled_out(struct controller *controller, const char *service_name, const char *weights)
 {
 	struct controller_service_state *state =
@@ -176,11 +180,13 @@
 	return i < 0 || !strcmp(state->rolled_out[i].value, weights);
 }
 
-/* What is known of the weights that a service's servers are to have. */
+/* The target version of a service and the times of its rollout. */
 typedef typeof(((struct controller_target_weights *)0)->value) rollout_target;
 
-/* Since when target weights have been set that not every server has. Weights that overtake others leave those
- * servers no more time. */
+/* Since when the service has had a target version that not every server has loaded. If a new target version
+ * is set during an unfinished rollout, the time of the unfinished one counts, so that the servers do not get
+ * more time.
+ */
 static int64_t target_incomplete_since_ms(struct controller *controller, const char *service_name,
 					  const rollout_target *previous, int64_t targeted_at_ms)
 {
@@ -215,9 +221,10 @@
 	}
 }
 
-/* How many of the servers may have been commanded by now: a third at once, the next ones as loads end, or
- * when the bound on the rollout's time asks for it. A leader that took over has less time left, and leaves
- * none for another failover. */
+/* How many of a service's servers should have been commanded by now, by the deadline alone: a third at the
+ * start, another third halfway to the deadline for the last load command, and all of them at that deadline. A
+ * leader that led before the target was set plans for one failover, by an earlier deadline; a leader that
+ * took over the rollout has less time left and plans for none. */
 static int max_commanded_servers(const struct controller *controller, uint32_t shard, rollout_target *target,
 				 int server_count, int64_t now)
 {
@@ -235,13 +242,13 @@
 					     (deadline_ms - target->rollout_started_at_ms)));
 }
 
-/* One service's rollout as it stands. */
+/* Progress of one service's rollout. */
 struct service_rollout {
 	const struct Nl__Row *service;
 	rollout_target *target;
-	int server_count;  /* that report */
-	int updated_count; /* have the target weights */
-	int loading_count; /* load any, or were commanded to */
+	int server_count;  /* servers that have reported recently */
+	int updated_count; /* servers with the target weights that are loading nothing */
+	int loading_count; /* servers that are loading any weights or were commanded to load the target */
 };
 
 static bool is_server_of(const struct Nl__Row *row, const struct Nl__Row *service)
@@ -271,7 +278,8 @@
 	}
 }
 
-/* Whether a server lacks the target weights and no command to load them is under way. */
+/* Whether a load command is due to a server: its report is recent, it neither has nor loads the target
+ * weights, and no command was sent recently. */
 static int needs_load_command(const struct controller_server *server, const struct service_rollout *rollout,
 			      int64_t now)
 {
@@ -294,11 +302,12 @@
 	json_add_text(command, "load", weights);
 	send_command(controller, server, shard, apr_pstrdup(out->pool, row->addr), command, now, out);
 	server->load_commanded_at_ms = now;
-	log_line(controller, "rollout", out->pool, "Server %s is commanded to load %s.", server->name,
-		 weights);
+	log_line(controller, "rollout", out->pool, "load command sent to table server %s, weights %s",
+		 server->name, weights);
 }
 
-/* Command servers to load, while there are slots. */
+/* Send the load commands that are due. At most slots of them go to servers that have not been commanded to
+ * load this target before. */
 static void command_servers(struct controller *controller, const struct service_rollout *rollout, int slots,
 			    uint32_t shard, int64_t now, struct command_list *out)
 {
@@ -313,7 +322,8 @@
 		server = find_server(controller, row->name);
 		if (!server || !needs_load_command(server, rollout, now))
 			continue;
-		/* one whose command was lost, or that loads weights that were overtaken, keeps its slot */
+		/* a server whose command was lost, or that is loading a superseded version, needs no new slot
+		 */
 		if (server->load_commanded_at_ms < rollout->target->targeted_at_ms && !server->loading[0] &&
 		    slots-- <= 0)
 			continue;
@@ -331,11 +341,13 @@
 	rolled_out.weights = service->target_weights;
 	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 	operation.rolled_out = &rolled_out;
-	if (arrlen(controller->shards[shard].disk.pending_syncs) == 0) /* it may be on its way already */
+	if (arrlen(controller->shards[shard].disk.pending_syncs) ==
+	    0) /* an earlier proposal may be unwritten yet */
 		log_operation(controller, shard, &operation, now, out);
 }
 
-/* Go on with one service's rollout: a third of its servers at a time, the others keep serving. */
+/* Advance one service's rollout. A third of its servers load at a time while the others keep serving; more of
+ * them when the deadline requires it. */
 static void roll_out_service(struct controller *controller, const struct Nl__Row *service, uint32_t shard,
 			     int64_t now, struct command_list *out)
 {
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -12,8 +12,8 @@
 #include "rollout_pace.h"
 
 enum {
-	INTENT_TTL_MS = 60000,       /* for which an intent is remembered */
-	NEVER_SENT_BACKOFF_MS = 100, /* before a command that never left is sent again */
+	INTENT_TTL_MS = 60000,       /* how long a logged intent is kept */
+	NEVER_SENT_BACKOFF_MS = 100, /* wait after a command that did not reach the server */
 };
 
 /* ---- records of servers ---- */
@@ -72,7 +72,7 @@
 	return service && service->model[0] ? service->model : NULL;
 }
 
-/* ---- from the intent to the command ---- */
+/* ---- from the notice to the load command ---- */
 
 void rollout_intent_logged(struct controller *controller, const char *server, int64_t now)
 {
@@ -86,7 +86,7 @@
 {
 	struct rollout_intent *intents = rollout->intents;
 	ptrdiff_t i = shgeti(intents, name);
-	int64_t intent_logged_at_ms = rollout->unknown_until_ms; /* at the latest */
+	int64_t intent_logged_at_ms = rollout->unknown_until_ms; /* the latest possible time */
 
 	if (i >= 0 && intents[i].value > intent_logged_at_ms)
 		intent_logged_at_ms = intents[i].value;
@@ -100,7 +100,7 @@
 	return server->commanded_at_ms ? server->commanded_at_ms : controller->rollout.term_started_at_ms;
 }
 
-/* Publish to routers whether to count on a server; its weights stay what they are. */
+/* Publish to routers whether a server is loading, with its weights unchanged. */
 static void publish_loading(struct controller *controller, const struct rollout_server *server, int loading,
 			    int64_t now)
 {
@@ -137,7 +137,7 @@
 	server->commanded_at_ms = now;
 	server->max_concurrent_loads = 1;
 	set_target_weights(server, weights);
-	publish_loading(controller, server, 1, now); /* routers learn of it while the log is written */
+	publish_loading(controller, server, 1, now); /* routers receive it while the entry is being written */
 }
 
 void rollout_begin_command(struct controller *controller, struct rollout_server *server,
@@ -155,9 +155,9 @@
 	publish_loading(controller, server, 1, now);
 }
 
-/* Weights that became the target while the log was written are loaded at once. What runs at the server goes
- * on under the new weights: to wait for its end would keep the server from all others for as long as its
- * longest answer takes. */
+/* Send the load command for the current target version, which may be newer than the one in the logged intent.
+ * Requests that are running on the server continue under the new weights: waiting for them to end would keep
+ * the server from taking other requests for the duration of its longest answer. */
 static void send_load_command(struct controller *controller, struct rollout_server *server,
 			      const struct Nl__Instance *instance, const char *model,
 			      const char *target_weights, int64_t intent_logged_at_ms, int64_t now,
@@ -192,13 +192,14 @@
 	command->args.load_weights.not_after_ms = not_after_ms;
 	command->args.load_weights.during_requests =
 	    mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN);
-	log_line(controller, "rollout", out->pool, "Server %s, on %s, is commanded to load %s of %s.",
+	log_line(controller, "rollout", out->pool,
+		 "load command sent to listed server %s, current weights %s, target weights %s, model %s",
 		 instance->server, instance->weights, server->target_weights, model);
-	/* instance may be another copy after this */
+	/* this may replace the copy that instance points to */
 	instances_set_weights(&controller->instances, server->name, instance->weights, 1, now);
 }
 
-/* ---- from the command to the end of the load ---- */
+/* ---- from the load command to the end of the load ---- */
 
 static void send_report_poll(struct controller *controller, struct rollout_server *server,
 			     const struct Nl__Instance *instance, const char *model, int64_t now,
@@ -240,7 +241,7 @@
 			send_load_command(controller, server, instance, model->name, model->target_weights,
 					  controller->rollout.intents[k].value, now, out);
 		} else if (now - server->commanded_at_ms > ROLLOUT_INTENT_VALID_MS) {
-			server->state = ROLLOUT_IDLE; /* the log stands still */
+			server->state = ROLLOUT_IDLE; /* the entry was not committed in time */
 			publish_loading(controller, server, 0, now);
 		}
 		return;
@@ -248,7 +249,8 @@
 	if (server->state == ROLLOUT_COMMANDED && now - server->commanded_at_ms >= ROLLOUT_REPLY_TIMEOUT_MS)
 		server->state = ROLLOUT_UNCONFIRMED;
 	if (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED) {
-		if (rollout_has_weights(instance->weights, model->target_weights)) { /* the list says so */
+		if (rollout_has_weights(instance->weights,
+					model->target_weights)) { /* shown by the endpoint list */
 			server->state = ROLLOUT_IDLE;
 			instances_set_weights(&controller->instances, server->name, instance->weights, 0,
 					      now);
@@ -258,7 +260,7 @@
 	}
 }
 
-/* A command has got no clear answer, or was rejected with another status than those that say more. */
+/* Handle a load command that got no reply, or a status that does not show whether the server accepted it. */
 static void on_inconclusive_reply(struct controller *controller, struct rollout_server *server,
 				  const struct Nl__Instance *instance, int status, int never_sent,
 				  int64_t now, struct command_list *out)
@@ -272,7 +274,8 @@
 	server->state = ROLLOUT_UNCONFIRMED;
 	server->retry_at_ms = now + (status ? ROLLOUT_REJECTED_BACKOFF_MS : 0);
 	if (status)
-		log_line(controller, "rollout", out->pool, "Server %s answers a load command with %d.",
+		log_line(controller, "rollout", out->pool,
+			 "load command answered with an unexpected status, server %s, HTTP status %d",
 			 server->name, status);
 }
 
@@ -299,16 +302,17 @@
 		break;
 	case 412:
 		if (!controller->rollout.is_fenced)
-			log_line(controller, "rollout", out->pool,
-				 "Server %s has seen a higher fence; no load commands until the next term.",
-				 server->name);
+			log_line(
+			    controller, "rollout", out->pool,
+			    "server %s rejected a load command with an outdated fencing token; no load commands are sent for the rest of this term",
+			    server->name);
 		controller->rollout.is_fenced = 1;
 		server->state = ROLLOUT_UNCONFIRMED;
 		break;
 	case 421:
 		instances_mark_ended(&controller->instances, server->name, now);
 		break;
-	case 409: /* it loads other weights: commanded again when a poll shows that it is done */
+	case 409: /* loading other weights: commanded again after a poll shows that this has ended */
 		server->state = ROLLOUT_UNCONFIRMED;
 		break;
 	default:
@@ -349,7 +353,7 @@
 	if (!rollout_has_weights(weights, server->target_weights) &&
 	    server->polled_at_ms <
 		rollout_last_commanded_at_ms(controller, server) + ROLLOUT_MAX_REPORT_LAG_MS)
-		return; /* the report may be older than the command */
+		return; /* the report may predate the command */
 	if (!strcmp(weights, server->target_weights))
 		rollout_pace_observe_load(controller, server, model, now);
 	server->state = ROLLOUT_IDLE;
--- a/lib/control/rollout_command.h
+++ b/lib/control/rollout_command.h
@@ -1,46 +1,52 @@
-/* rollout_command: one listed server's way to new weights: routers get notice, the command is logged, it
- * leaves, the server is polled until it has loaded. rollout_instances.c chooses the servers and begins;
- * answers come through rollout_on_command_reply and rollout_on_poll_reply (rollout.h).
+/* rollout_command: the load command to one listed server, a server of the platform's endpoint list. Routers
+ * are notified, the intent to send the command is logged, the command is sent, and the server is polled until
+ * it has loaded the weights. Replies arrive through rollout_on_command_reply and rollout_on_poll_reply
+ * (rollout.h).
  *
- * Always: no command leaves before its intent is applied here, nor after ROLLOUT_INTENT_MS or the lease. */
+ * Invariants: a command is not sent before the log entry of its intent has been applied on this node, nor
+ * later than ROLLOUT_INTENT_VALID_MS after that, nor after the leader's lease. */
 #ifndef NL_ROLLOUT_COMMAND_H
 #define NL_ROLLOUT_COMMAND_H
 
 #include "controller_state.h"
 
-/* Release what a server's record owns. */
+/* Release the memory that a server's record owns. */
 void rollout_server_free(struct rollout_server *server);
 
-/* The record of a server; NULL when nothing is recorded. Valid until the next is added. */
+/* Find the record of a server; NULL when there is none. The pointer is valid until the next record is added.
+ */
 struct rollout_server *rollout_server_find(const struct rollout *rollout, const char *name);
 
-/* The same, added when there is none. */
+/* Find the record of a server, adding an idle one when there is none. The pointer is valid until the next
+ * record is added. */
 struct rollout_server *rollout_server_get(struct rollout *rollout, const char *name);
 
-/* Whether weights are the target's, or newer: a server may have those before the target is known here. */
+/* Whether a version of weights is the target version or a newer one. A server may have a newer version before
+ * this node has received it as the target. */
 bool rollout_has_weights(const char *weights, const char *target_weights);
 
-/* The model of a server's service; NULL when it serves none, or does not serve. */
+/* The name of the model of a server's service; NULL when the service has no model or the server is not
+ * serving. */
 const char *rollout_instance_model(const struct controller *controller, const struct Nl__Instance *instance);
 
-/* From when on a server may be commanded: a leader before may have commanded it at the latest then. Every
- * intent is logged first, so whoever takes over knows which servers may have had a command lately, and the
- * others need not wait. */
+/* The earliest time at which a server may be commanded in this term, so that any command of an earlier leader
+ * to it has expired by then; 0 when no wait is needed. Every intent is logged before its command is sent, so
+ * only servers with a recent intent have to wait after a change of leader. */
 int64_t rollout_command_not_before_ms(const struct rollout *rollout, const char *name);
 
-/* When a server was commanded, at the latest: one that a leader before commanded loads since before this
- * term. */
+/* The latest time at which a server can have been commanded. A server that an earlier leader commanded was
+ * commanded before the start of this term. */
 int64_t rollout_last_commanded_at_ms(const struct controller *controller,
 				     const struct rollout_server *server);
 
-/* Begin: routers send the server nothing more from now on, where there is time for that; then the command is
- * logged and leaves. A leader that is lost meanwhile leaves nothing behind: its successor publishes what it
- * observes. */
+/* Begin the load command to a server. If time allows, routers are first notified to send no more requests to
+ * the server; after that the intent is logged and the command is sent. The notice needs no clean-up if this
+ * leader fails, since the next leader publishes the state that it observes itself. */
 void rollout_begin_command(struct controller *controller, struct rollout_server *server,
 			   const struct Nl__Row *model, const struct Nl__Instance *instance, int64_t now,
 			   struct command_list *out);
 
-/* Go on with a server that was commanded, or may have been. */
+/* Advance the load command of a server according to the state of its record. */
 void rollout_advance_server(struct controller *controller, struct rollout_server *server,
 			    const struct Nl__Instance *instance, const struct Nl__Row *model, int64_t now,
 			    struct command_list *out);
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -1,6 +1,6 @@
-/* rollout_instances: the target weights of models are rolled out to the servers of the platform's list. Every
- * command is logged before it leaves, so that a leader that takes over knows which servers may have had one
- * lately. */
+/* rollout_instances: rolls out the target versions of models' weights to the servers of the platform's
+ * endpoint list. On each tick the control shard's leader polls the list, advances the commands in progress,
+ * and chooses the servers to command next. */
 #include "rollout.h"
 
 #include <apr_strings.h>
@@ -14,7 +14,7 @@
 #include "rollout_command.h"
 #include "rollout_pace.h"
 
-enum { COMPLETION_RETRY_MS = 1000 }; /* before the end of a rollout is logged again */
+enum { COMPLETION_RETRY_MS = 1000 }; /* wait before the completion of a rollout is logged again */
 
 void rollout_open(struct rollout *rollout, int64_t now)
 {
@@ -38,7 +38,7 @@
 	struct rollout *rollout = &controller->rollout;
 	uint64_t term = controller->shards[SHARD_CONTROL].term;
 
-	/* nobody else sent commands in between if the terms follow each other */
+	/* if this node led the term just before, no other leader can have sent commands in between */
 	if (rollout->term && term == rollout->term + 1)
 		rollout->takeover_wait_ms = 0;
 	else
@@ -57,7 +57,7 @@
 			    ROLLOUT_UNCONFIRMED;
 }
 
-/* What is learnt of a model's loads is recorded from its first target weights on. */
+/* Add the pace record of each model in the table that has none. */
 static void add_model_paces(struct controller *controller)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
@@ -76,11 +76,11 @@
 	return (x > y) - (x < y);
 }
 
-/* A zone's servers of one model. */
+/* The servers of one model in one zone. */
 struct zone_servers {
 	const char *zone;
 	int server_count;
-	int unavailable_count; /* load, or are about to */
+	int unavailable_count; /* servers with a load command in progress */
 };
 
 static struct zone_servers *find_or_add_zone(struct zone_servers **zones, const char *zone, apr_pool_t *pool)
@@ -103,8 +103,8 @@
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
 
-	/* an entry in the log behind the row as it is here would be undone; and this may be on its way
-	 * already */
+	/* The entry sets the complete row: it would revert a change of the row that is logged but not yet
+	 * applied here. An earlier proposal may also still be in progress. */
 	if (raft->log.applied_index != raft->log.base_index + (uint64_t)arrlen(raft->log.entries) ||
 	    now - pace->completion_logged_at_ms < COMPLETION_RETRY_MS)
 		return;
@@ -116,13 +116,14 @@
 	operation.change = &change;
 	if (log_operation(controller, SHARD_CONTROL, &operation, now, out)) {
 		pace->completion_logged_at_ms = now;
-		log_line(controller, "rollout", out->pool, "Every server has %s of %s.",
+		log_line(controller, "rollout", out->pool,
+			 "rollout complete on all listed servers, weights %s, model %s",
 			 model->target_weights, model->name);
 	}
 }
 
-/* Whether a server may be commanded now: nothing is under way there, and no leader before may have commanded
- * it lately. */
+/* Whether a server may be commanded now: it has no command in progress and no backoff, and any command of an
+ * earlier leader has expired. */
 static bool may_be_commanded(const struct controller *controller, const struct Nl__Instance *instance,
 			     int64_t now)
 {
@@ -132,8 +133,8 @@
 	       now >= rollout_command_not_before_ms(&controller->rollout, instance->server);
 }
 
-/* Whether a candidate goes before the best so far: due sooner, or in a zone with a smaller share unavailable.
- */
+/* Whether a candidate is preferred to the best one so far: its deadline is earlier, or the deadlines are
+ * equal and a smaller share of its zone's servers is unavailable. */
 static bool is_preferred_candidate(int64_t deadline_ms, const struct zone_servers *zone,
 				   int64_t best_deadline_ms, const struct zone_servers *best_zone)
 {
@@ -143,7 +144,7 @@
 	       best_zone->unavailable_count * zone->server_count;
 }
 
-/* The server to be commanded next; NULL: none. */
+/* Choose the server to be commanded next; NULL: none. */
 static const struct Nl__Instance *choose_next_server(struct controller *controller,
 						     const struct Nl__Row *model, struct zone_servers **zones,
 						     int64_t now, apr_pool_t *pool)
@@ -174,7 +175,8 @@
 	return best;
 }
 
-/* A server that does not come to an end, or has rejected, takes no slot from others. */
+/* Whether a server occupies one of the slots for concurrent loads. A server whose load has stalled, or that
+ * has rejected its command, does not. */
 static int occupies_load_slot(const struct controller *controller, const struct rollout_server *server,
 			      int64_t now)
 {
@@ -190,14 +192,15 @@
 	return server && (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED);
 }
 
-/* A model's servers as a rollout finds them. */
+/* State of a model's servers at one tick of its rollout. */
 struct rollout_survey {
 	int server_count;
 	int updated_count;
-	int occupied_slot_count;    /* take one of the slots to load at once */
-	int loading_count;          /* of those, are known to load, or may: one yet to answer may reject */
+	int occupied_slot_count;    /* servers that occupy a slot for concurrent loads */
+	int loading_count;          /* servers among them that are or may be loading; not those whose
+				       reply is still outstanding, since they may reject */
 	struct zone_servers *zones; /* stb_ds */
-	int64_t *deadlines_ms;      /* stb_ds: of those that may be commanded now, soonest first */
+	int64_t *deadlines_ms;      /* stb_ds: of the servers that may be commanded now, soonest first */
 };
 
 static struct rollout_survey survey_servers(struct controller *controller, const struct Nl__Row *model,
@@ -237,7 +240,7 @@
 	return survey;
 }
 
-/* Command as many servers as there are slots for. */
+/* Begin load commands to as many servers as there are free slots. */
 static void command_servers(struct controller *controller, const struct Nl__Row *model,
 			    struct rollout_survey *survey, int64_t now, struct command_list *out)
 {
@@ -262,7 +265,7 @@
 	}
 }
 
-/* Go on with a model's rollout; returns 1 when nothing is left to do. */
+/* Advance a model's rollout. Returns 1 when it is complete and its completion is recorded. */
 static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now,
 			  struct command_list *out)
 {
@@ -285,7 +288,7 @@
 	return !survey.server_count || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
-/* Drop what is recorded of servers that serve no more; returns whether any command is under way. */
+/* Drop the records of servers that no longer serve. Returns whether any command is in progress. */
 static int drop_ended_servers(struct controller *controller)
 {
 	struct rollout *rollout = &controller->rollout;
@@ -326,7 +329,7 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		if (table->rows[i].value.row->kind == NL__KIND__MODEL)
 			all_complete &= roll_out_model(controller, table->rows[i].value.row, now, out);
-	if (all_complete) { /* until an instance or the table changes */
+	if (all_complete) { /* skip the models until an instance or the table changes */
 		rollout->completed_stamp = controller->instances.stamp;
 		rollout->completed_revision = table->revision;
 	}
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -33,7 +33,8 @@
 	}
 }
 
-/* How long one load takes; a tenth of the bound until it is known. */
+/* The expected duration of a load: as measured, or a tenth of the bound on the rollout before any
+ * measurement. */
 static int64_t expected_load_ms(const struct controller *controller, const struct rollout_pace *pace)
 {
 	return pace->base_load_ms ? pace->base_load_ms : controller->bounds.rollout_ms / 10;
@@ -48,7 +49,7 @@
 	return notice_ms < ROLLOUT_NOTICE_MAX_MS ? notice_ms : ROLLOUT_NOTICE_MAX_MS;
 }
 
-/* What is left of the bound after so many per cent of it. */
+/* The time that remains of the bound on the rollout after the given share of it has passed. */
 static int64_t reserve_ms_after(const struct controller *controller, int percent)
 {
 	return (int64_t)controller->bounds.rollout_ms * (100 - percent) / 100;
@@ -81,8 +82,9 @@
 	       controller->clocks.group_offset_ms;
 }
 
-/* How many servers have to load at once so that each has loaded in the planned time. due_at_ms: of those that
- * are yet to be commanded, soonest first. *urgent: for how many of them that time is over. */
+/* How many servers have to load concurrently so that each has loaded within the planned share of the bound.
+ * deadlines_ms holds the deadlines of the servers that may still be commanded, soonest first. *urgent_count
+ * is set to the number of those that cannot finish within the planned share any more. */
 static int needed_concurrency(const struct controller *controller, const int64_t *deadlines_ms,
 			      int loading_count, int64_t load_duration_ms, int64_t now, int *urgent_count)
 {
@@ -92,7 +94,7 @@
 	*urgent_count = 0;
 	for (int i = 0; i < arrlen(deadlines_ms); i++) {
 		int64_t loads_until_done =
-		    i + 1 + loading_count / 2; /* those under way have begun some time ago */
+		    i + 1 + loading_count / 2; /* loads in progress are half done on average */
 		int64_t remaining_ms = deadlines_ms[i] == INT64_MIN ? 0 : deadlines_ms[i] - reserve_ms - now;
 
 		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
@@ -104,8 +106,9 @@
 	return needed;
 }
 
-/* Some servers are urgent: all of them at once, or while more at once don't help, or have not shown that they
- * do, a few more, which keep as busy as all would. */
+/* The concurrency while some servers are urgent: all of them at once if higher concurrency has been measured
+ * to help, if nothing has been measured at all, or if the final deadline is near. Otherwise at most twice the
+ * base concurrency, which gives the same load throughput as commanding all of them. */
 static int urgent_concurrency(const struct controller *controller, const struct rollout_pace *pace,
 			      int urgent_count, const int64_t *deadlines_ms, int loading_count, int64_t now)
 {
@@ -142,8 +145,8 @@
 	if (pace->is_saturated)
 		return pace->concurrency;
 	if (!pace->base_load_ms && now - pace->loading_since_ms < 2 * load_duration_ms)
-		return pace->concurrency; /* the first ones show how long it takes */
+		return pace->concurrency; /* wait until the first loads have been measured */
 	if (needed > 2 * pace->base_concurrency && pace->extra_load_count < 2 * pace->base_concurrency)
-		needed = 2 * pace->base_concurrency; /* not further before it has shown that it helps */
+		needed = 2 * pace->base_concurrency; /* limited until measurements show that more helps */
 	return needed > pace->concurrency ? needed : pace->concurrency;
 }
--- a/lib/control/rollout_state.h
+++ b/lib/control/rollout_state.h
@@ -1,68 +1,71 @@
-/* rollout_state: what the rollout to listed servers keeps. Soft state of the control shard's leader, but for
- * the logged intents, which all members keep. Owned by the rollout's modules; here so that a controller can
- * hold it. */
+/* rollout_state: the state of the rollout to listed servers, which are the servers of the platform's endpoint
+ * list.
+ *
+ * It is soft state of the control shard's leader, except for the logged intents, which all members of the
+ * shard keep. The rollout modules write it; controller.c sets unknown_until_ms. */
 #ifndef NL_ROLLOUT_STATE_H
 #define NL_ROLLOUT_STATE_H
 
 #include <stdint.h>
 
-/* What is known of a command to a listed server. */
+/* Progress of the load command to one listed server. */
 enum rollout_load_state {
-	ROLLOUT_IDLE,        /* nothing is under way */
-	ROLLOUT_NOTICE,      /* routers have notice that a command will come */
-	ROLLOUT_INTENDED,    /* it is being logged */
-	ROLLOUT_COMMANDED,   /* it has left */
-	ROLLOUT_UNCONFIRMED, /* whether it was taken is not known */
-	ROLLOUT_LOADING      /* the server loads */
+	ROLLOUT_IDLE,        /* no command is in progress */
+	ROLLOUT_NOTICE,      /* routers have been notified that a command will follow */
+	ROLLOUT_INTENDED,    /* the command is being logged */
+	ROLLOUT_COMMANDED,   /* the command was sent, and no reply has arrived */
+	ROLLOUT_UNCONFIRMED, /* it is unknown whether the server accepted the command */
+	ROLLOUT_LOADING      /* the server is loading the weights */
 };
 
-/* A listed server that is commanded, or polled, until it has the target weights. */
+/* A listed server that is being commanded or polled until it has the target version. */
 struct rollout_server {
 	char *name;           /* owned */
-	char *target_weights; /* that it was commanded to load; owned */
+	char *target_weights; /* version that it was last commanded to load; owned */
 	enum rollout_load_state state;
-	uint64_t command_token;  /* of the command under way; 0: none */
-	uint64_t poll_token;     /* of the poll under way; 0: none */
-	int64_t commanded_at_ms; /* when its state last advanced; 0: by a leader before */
+	uint64_t command_token;  /* identifies the load command in flight; 0: none */
+	uint64_t poll_token;     /* identifies the poll in flight; 0: none */
+	int64_t commanded_at_ms; /* when its state last advanced; 0: under an earlier leader */
 	int64_t polled_at_ms;
-	int64_t retry_at_ms;      /* no command before */
-	int max_concurrent_loads; /* at the most while it loaded, itself counted */
+	int64_t retry_at_ms;      /* no command is sent before this time */
+	int max_concurrent_loads; /* most servers that loaded at the same time as this one, including it */
 };
 
-/* What is learnt of a model's loads. */
+/* Observed durations of a model's loads, and the concurrency derived from them. */
 struct rollout_model {
 	char *key; /* the model's name */
 	struct rollout_pace {
-		int64_t completion_logged_at_ms; /* when the end of its rollout was logged last */
-		int64_t loading_since_ms;        /* since when servers load without a pause */
-		int base_concurrency;            /* how many load at once at first; 0: not known yet */
-		int concurrency;                 /* how many load at once now */
-		int base_load_ms;                /* how long a load takes at base_concurrency; 0: not known */
-		int extra_load_ms;               /* how long with more at once; 0: not known */
-		int extra_load_count;            /* loads with more at once so far */
-		int is_saturated;                /* more at once were too many */
+		int64_t completion_logged_at_ms; /* when the completion of a rollout was last logged */
+		int64_t loading_since_ms;        /* since when at least one server has been loading */
+		int base_concurrency;            /* initial number of concurrent loads; 0: not set yet */
+		int concurrency;                 /* current number of concurrent loads */
+		int base_load_ms;     /* load duration at up to base_concurrency; 0: not measured */
+		int extra_load_ms;    /* load duration above base_concurrency; 0: not measured */
+		int extra_load_count; /* loads measured above base_concurrency */
+		int is_saturated;     /* loads above base_concurrency were slower; no increase any more */
 	} value;
 };
 
-/* When a command to a server was logged, as it was applied here. */
+/* When the newest log entry of a load command to a server was applied on this node. */
 struct rollout_intent {
-	char *key; /* the server's name */
-	int64_t value;
+	char *key;     /* the server's name */
+	int64_t value; /* time in ms */
 };
 
-/* The rollout to listed servers, on the control shard's leader; part of struct controller. */
+/* The rollout to listed servers. */
 struct rollout {
 	struct rollout_server *servers; /* stb_ds */
-	struct rollout_model *models;   /* stb_ds, by name */
-	uint64_t term;                  /* of the leadership */
-	uint64_t command_seq;           /* commands in it */
-	struct rollout_intent *intents; /* stb_ds, by server; on followers too */
-	int64_t unknown_until_ms;       /* commands that were logged before are not known here */
+	struct rollout_model *models;   /* stb_ds map, by model name */
+	uint64_t term;                  /* in which this node last led the control shard */
+	uint64_t command_seq;           /* sequence number of the newest command in this term */
+	struct rollout_intent *intents; /* stb_ds map, by server name; kept on followers too */
+	int64_t unknown_until_ms;       /* intents applied up to this time may be missing here */
 	int64_t term_started_at_ms;
-	int64_t takeover_wait_ms;    /* after an intent, for the command of the leader before to have ended */
-	int is_fenced;               /* a server has seen a higher fence: no more commands in this term */
-	uint64_t completed_stamp;    /* of the instances when nothing was left to do */
-	uint64_t completed_revision; /* of the table at that time */
+	int64_t takeover_wait_ms; /* wait for commands of an earlier leader to expire, counted from the end of
+				   their intent's validity */
+	int is_fenced; /* a server rejected this term's fencing token: no more commands in this term */
+	uint64_t completed_stamp;    /* instances.stamp when all rollouts were last complete */
+	uint64_t completed_revision; /* revision of the table at that time */
 };
 
 #endif
--- a/lib/control/version_history.c
+++ b/lib/control/version_history.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { FIRST_WEIGHTS = 1 }; /* which all servers have before any are set */
+enum { FIRST_WEIGHTS = 1 }; /* version that all servers have before any target version is set */
 
 uint64_t version_history_newest(const struct Nl__Row *model)
 {
@@ -29,7 +29,8 @@
 		(history->count - i) * sizeof history->versions[i]);
 }
 
-/* Weights older than the second entry's are forbidden by it, once its bound has passed as well. */
+/* Remove entries that are not needed any more: once the bound has passed for the second entry, it excludes
+ * all versions older than its own, and the first entry adds nothing. */
 static void drop_expired_versions(struct version_history *history, uint64_t bound_passed_at_ms)
 {
 	while (history->count > 1 && history->versions[1].targeted_at_ms <= bound_passed_at_ms)
@@ -64,7 +65,7 @@
 			    (struct group_moment){ version->targeted_at_ms, version->term });
 	}
 	if (newest_weights > previous_weights && !history->count &&
-	    previous_weights > FIRST_WEIGHTS) /* set before dates were kept */
+	    previous_weights > FIRST_WEIGHTS) /* set before dates were recorded */
 		history_add(history, previous_weights,
 			    (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
 	if (newest_weights > previous_weights)
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -371,7 +371,7 @@
 		{ "*", "soon", "", "", "keep", 0 },
 		{ "*", "0d", "", "", "keep", 0 },
 		{ "*", "", "1s", "", "every: shorter", 0 },
-		{ "*", "", "1h", "daily 02:30 UTC", "every: not beside at", 0 },
+		{ "*", "", "1h", "daily 02:30 UTC", "every: cannot be combined with at", 0 },
 		{ "*", "", "1m", "", "window", 60001 },
 		{ "*", "1m", "", "", "keep: shorter", 70000 },
 		{ "*", "1h", "1h", "", "keep: shorter", 1 },
@@ -511,7 +511,7 @@
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	load(&sim, &rng, 9000, 20, 3);
 	assert_true(newest(&sim, "*")->slices == PURGE_SLICES && !newest(&sim, "*")->done_at_ms);
-	assert_true(missing_says(&sim, "server s2 has not said since what it keeps"));
+	assert_true(missing_says(&sim, "server s2 has not reported its cached blocks since the purge"));
 	sim.servers[2].mute = 0;
 	load(&sim, &rng, 6000, 20, 3);
 	assert_true(newest(&sim, "*")->done_at_ms);
@@ -521,13 +521,13 @@
 		sim.servers[i].report_delay_ms = 2500; /* what drops came of is seen late */
 	sim_run(&sim, 2000, NULL);
 	assert_false(newest(&sim, "*")->done_at_ms);
-	assert_true(missing_says(&sim, "has not heard of it yet"));
+	assert_true(missing_says(&sim, "has not received the purge yet"));
 	assert_true(missing_says(&sim, "server s"));
 	for (int i = 0; i < 6; i++)
 		sim.servers[i].report_delay_ms = 0;
 	sim_run(&sim, 2500, NULL);
 	assert_false(newest(&sim, "*")->done_at_ms);
-	assert_true(missing_says(&sim, "has not heard of it yet"));
+	assert_true(missing_says(&sim, "has not received the purge yet"));
 	assert_false(missing_says(&sim, "server s"));
 	sim_freeze(&sim, SIM_CONTROLLERS + 1, 0);
 	load(&sim, &rng, 6000, 20, 3);
