--- a/lib/control/calendar.c
+++ b/lib/control/calendar.c
@@ -8,8 +8,8 @@
 #include <unicode/ustring.h>
 
 enum {
-	MAX_SEARCH_DAYS =
-	    366 * 9, /* includes a 29 February, also across a century year that is no leap year */
+	/* includes a 29 February, also across a century year that is no leap year */
+	MAX_SEARCH_DAYS = 366 * 9,
 	EVERY_WEEKDAY = 127,
 	MAX_SCHEDULE_BYTES = 160,
 	MAX_ZONE_BYTES = 64
@@ -89,7 +89,7 @@
 	return NULL;
 }
 
-static bool is_known_zone(const char *zone)
+static bool is_valid_zone(const char *zone)
 {
 	UChar id[MAX_ZONE_BYTES], canonical[MAX_ZONE_BYTES];
 	UErrorCode status = U_ZERO_ERROR;
@@ -129,7 +129,7 @@
 	if (apr_strtok(NULL, " ", &save))
 		return "unexpected words after the time zone";
 	memcpy(schedule->zone, token, strlen(token) + 1);
-	if (is_known_zone(schedule->zone))
+	if (is_valid_zone(schedule->zone))
 		return NULL;
 	return pool ? apr_psprintf(pool, "there is no time zone %s", schedule->zone)
 		    : "the time zone does not exist";
@@ -149,7 +149,7 @@
 	return !schedule->month || ucal_get(calendar, UCAL_MONTH, status) + 1 == schedule->month;
 }
 
-/* The first time of the schedule after from_ms, by a calendar of the schedule's time zone; 0: there is none.
+/* The first time of the schedule after from_ms, in the schedule's time zone; 0: there is none.
  */
 static int64_t find_next_due(UCalendar *calendar, const struct schedule *schedule, int64_t from_ms,
 			     UErrorCode *status)
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -54,8 +54,8 @@
 /* Store a copy of an instance under its name; returns its entry, valid until the next change. */
 static struct instance_entry *store_instance(struct instances *instances, const struct Nl__Instance *instance)
 {
-	struct Nl__Instance *copy =
-	    copy_instance(instance); /* copied first: instance may point into the entry that is replaced */
+	/* copied first: instance may point into the entry that is replaced */
+	struct Nl__Instance *copy = copy_instance(instance);
 	ptrdiff_t i = shgeti(instances->rows, copy->server);
 
 	if (i >= 0) {
@@ -212,22 +212,22 @@
 	if (now - instances->polled_at_ms > INSTANCES_POLL_TIMEOUT_MS)
 		succeeded = 0;
 	if (!succeeded) {
-		instances->last_changed_at_ms =
-		    now; /* use the fast poll interval: a server may have begun to drain */
+		/* use the fast poll interval: a server may have begun to drain */
+		instances->last_changed_at_ms = now;
 		return;
 	}
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
 		instances->rows[i].value.missed_poll_count++;
 	for (size_t i = 0; i < count; i++) {
-		ptrdiff_t known;
+		ptrdiff_t row_index;
 
 		if (!listed[i]->server[0] || listed[i]->state > INSTANCE_DRAINING)
 			continue;
-		known = shgeti(instances->rows, listed[i]->server);
-		if (known < 0)
+		row_index = shgeti(instances->rows, listed[i]->server);
+		if (row_index < 0)
 			add_listed(instances, listed[i], now);
 		else
-			merge_listed(instances, &instances->rows[known].value, listed[i], now);
+			merge_listed(instances, &instances->rows[row_index].value, listed[i], now);
 	}
 	any_missing = remove_missing(instances, now);
 	if (any_missing)
@@ -270,19 +270,20 @@
 		mark_removed(instances, &instances->rows[i].value, now);
 }
 
-void instances_pack_since(const struct instances *instances, uint64_t known_stamp,
+void instances_pack_since(const struct instances *instances, uint64_t follower_stamp,
 			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
 	if (!instances->term || !instances->is_publishable)
 		return; /* followers may have newer state than this leader has fetched itself */
 	reply->instances_stamp = instances->stamp;
-	reply->instances_full = known_stamp >> INSTANCES_STAMP_TERM_SHIFT != instances->term ||
-				known_stamp > instances->stamp || known_stamp < instances->compacted_stamp;
-	if (!reply->instances_full && known_stamp == instances->stamp)
+	reply->instances_full = follower_stamp >> INSTANCES_STAMP_TERM_SHIFT != instances->term ||
+				follower_stamp > instances->stamp ||
+				follower_stamp < instances->compacted_stamp;
+	if (!reply->instances_full && follower_stamp == instances->stamp)
 		return;
 	reply->instances = apr_palloc(pool, ((size_t)shlen(instances->rows) + 1) * sizeof *reply->instances);
 	for (ptrdiff_t i = 0; i < shlen(instances->rows); i++)
-		if (reply->instances_full || instances->rows[i].value.instance->stamp > known_stamp)
+		if (reply->instances_full || instances->rows[i].value.instance->stamp > follower_stamp)
 			reply->instances[reply->n_instances++] = (struct Nl__Instance *)core_copy_message(
 			    pool, &instances->rows[i].value.instance->base);
 }
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -23,10 +23,10 @@
 };
 
 enum {
-	INSTANCES_TOMBSTONE_MS = 60000,    /* how long a removed server is still published */
-	INSTANCES_MAX_MISSED_POLLS = 2,    /* a server is removed when this many consecutive lists lack it */
-	INSTANCES_REJOIN_DELAY_MS = 2000,  /* a removed server that is listed again earlier than this is
-					      ignored, since  lists may be outdated */
+	INSTANCES_TOMBSTONE_MS = 60000, /* how long a removed server is still published */
+	INSTANCES_MAX_MISSED_POLLS = 2, /* a server is removed when this many consecutive lists lack it */
+	/* a removed server that is listed again earlier than this is ignored, since lists may be outdated */
+	INSTANCES_REJOIN_DELAY_MS = 2000,
 	INSTANCES_REPORT_VALID_MS = 2000,  /* how long a server's own report takes precedence over the list */
 	INSTANCES_FAST_POLL_MS = 400,      /* poll interval after a change and while servers are loading */
 	INSTANCES_POLL_MS = 800,           /* poll interval otherwise */
@@ -78,8 +78,7 @@
 
 /* Poll the endpoint list if a poll is due; token identifies the poll. list_calls_millihertz is the rate of
  * list calls that the platform allows the fleet, in calls per 1000 s; 0: there is no list. Example:
- * instances_tick(&controller->instances, any_loading, bounds.list_calls_millihertz, token, now, out);
- */
+ * instances_tick(&instances, any_loading, bounds.list_calls_millihertz, token, now, out); */
 void instances_tick(struct instances *instances, int is_fast_poll, int list_calls_millihertz, uint64_t token,
 		    int64_t now, struct command_list *out);
 
@@ -106,7 +105,7 @@
 /* Fill in the reply to a follower, allocated in the pool: the servers changed since the follower's stamp, or
  * all servers when the changes cannot be determined. Adds nothing while this node has nothing to publish.
  * Example: instances_pack_since(&controller->instances, sync->instances_stamp, reply, pool); */
-void instances_pack_since(const struct instances *instances, uint64_t known_stamp,
+void instances_pack_since(const struct instances *instances, uint64_t follower_stamp,
 			  struct Nl__ConfigSyncReply *reply, apr_pool_t *pool);
 
 /* Apply a leader's reply on a follower; returns 1 when a change affects routing.
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -145,9 +145,8 @@
 		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick,
 			      controller->purge_state.values[i], now, out);
 	controller->publisher.tick = controller->purge_state.ceiling;
-	if (raft_epoch(controller->shards[SHARD_PURGE].term) >
-	    controller->epoch[SHARD_PURGE]) /* the state's ceiling is raised with the first operation of the
-					       new epoch */
+	/* the state's ceiling is raised with the first operation of the new epoch */
+	if (raft_epoch(controller->shards[SHARD_PURGE].term) > controller->epoch[SHARD_PURGE])
 		controller->publisher.tick += CONTROLLER_RECOVERY_SKIP;
 	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.tick, NULL, now, out);
 	controller->publisher.pending_tick = 0;
@@ -175,10 +174,9 @@
 			    controller->publisher.feed_round >
 				controller->publisher.feed_complete_round[i] + 5 &&
 			    controller->publisher.feed_round % 5 == 0)
-				config_watch_miss(
-				    &controller->config_watch,
-				    i); /* no reply in recent rounds: request from another controller, which
-					 may reply with a hint to the leader */
+				/* no reply in recent rounds: use another controller, which may reply with a
+				 * hint to the leader */
+				config_watch_miss(&controller->config_watch, i);
 			request = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			request->have_index = controller->purge_state.published_index[i];
 			request->round = controller->publisher.feed_round;
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -11,14 +11,15 @@
 #include "retention_progress.h"
 
 enum {
-	MAX_MISSED_COUNT = 1000,       /* missed due times are counted up to this number */
-	MAX_DECISION_DELAY_MS = 60000, /* the slices of a purge that is decided later than this after its due
-					  time are spread over the time from the decision on */
+	MAX_MISSED_COUNT = 1000, /* missed due times are counted up to this number */
+	/* the slices of a purge that is decided later than this after its due time are spread over the time
+	 * from the decision on */
+	MAX_DECISION_DELAY_MS = 60000,
 };
 
 /* ---- wall clock of the majority ---- */
 
-/* The wall clock of a voter, extrapolated from its last report; INT64_MIN when it has not reported recently.
+/* The wall clock of a voter, extrapolated from its last report; INT64_MIN when there is no recent report.
  */
 static int64_t voter_wall_clock_ms(const struct controller *controller, uint64_t member_id, int64_t now)
 {
@@ -39,7 +40,7 @@
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
-	int64_t sorted_unix_ms[RAFT_MAX_MEMBERS]; /* sorted, latest first */
+	int64_t clocks[RAFT_MAX_MEMBERS]; /* sorted, latest first */
 	int voter_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
@@ -49,12 +50,12 @@
 		if (!raft->group.members[i].voter)
 			continue;
 		unix_ms = voter_wall_clock_ms(controller, raft->group.members[i].id, now);
-		for (; at && sorted_unix_ms[at - 1] < unix_ms; at--)
-			sorted_unix_ms[at] = sorted_unix_ms[at - 1];
-		sorted_unix_ms[at] = unix_ms;
+		for (; at && clocks[at - 1] < unix_ms; at--)
+			clocks[at] = clocks[at - 1];
+		clocks[at] = unix_ms;
 		voter_count++;
 	}
-	return voter_count ? sorted_unix_ms[voter_count / 2] : INT64_MIN;
+	return voter_count ? clocks[voter_count / 2] : INT64_MIN;
 }
 
 /* ---- the leader's decisions ---- */
--- a/lib/control/retention_schedule.c
+++ b/lib/control/retention_schedule.c
@@ -15,7 +15,7 @@
 	HOUR_MS = 3600000
 };
 
-int64_t retention_parse_span(const char *text)
+int64_t retention_parse_duration_ms(const char *text)
 {
 	static const struct {
 		char unit;
@@ -63,14 +63,14 @@
 /* The time between two purges of a row without calendar terms. */
 static int64_t row_period_ms(const struct Nl__Row *row)
 {
-	return row->interval[0] ? retention_parse_span(row->interval)
-				: retention_parse_span(row->max_age) - row->spread_ms;
+	return row->interval[0] ? retention_parse_duration_ms(row->interval)
+				: retention_parse_duration_ms(row->max_age) - row->spread_ms;
 }
 
 const char *retention_check_row(const struct Nl__Row *row)
 {
 	char route[RETENTION_SCOPE_BYTES], tenant[RETENTION_SCOPE_BYTES];
-	int64_t max_age_ms = row->max_age[0] ? retention_parse_span(row->max_age) : 0;
+	int64_t max_age_ms = row->max_age[0] ? retention_parse_duration_ms(row->max_age) : 0;
 
 	if (!retention_parse_scope(row->name, route, tenant))
 		return "name: expected lane/tenant, with * for all lanes or tenants, or * alone for everything";
@@ -80,7 +80,7 @@
 		return "every: cannot be combined with at";
 	if (!max_age_ms && !row->interval[0] && !row->calendar[0])
 		return "keep: missing; at least one of keep, every and at is required";
-	if (row->interval[0] && retention_parse_span(row->interval) < 0)
+	if (row->interval[0] && retention_parse_duration_ms(row->interval) < 0)
 		return "every: expected a number followed by s, m, h, d or w, such as 6h";
 	if (max_age_ms && max_age_ms < (int64_t)row->spread_ms)
 		return "keep: shorter than window";
@@ -175,7 +175,7 @@
 	    (int64_t)row->spread_ms > shortest_ms)
 		return "window: longer than the time between two clearings";
 	if (row->max_age[0]) {
-		int64_t max_age_ms = retention_parse_span(row->max_age);
+		int64_t max_age_ms = retention_parse_duration_ms(row->max_age);
 
 		if (max_age_ms >= 0 && max_age_ms < longest_ms + (int64_t)row->spread_ms)
 			return apr_psprintf(
--- a/lib/control/retention_schedule.h
+++ b/lib/control/retention_schedule.h
@@ -14,10 +14,10 @@
 struct config_table;
 
 enum {
-	RETENTION_MIN_PERIOD_MS =
-	    10000, /* shortest time between two purges, since a purge takes some seconds */
-	RETENTION_SCOPE_BYTES =
-	    200 /* size of the longest scope, route or tenant, with its terminating zero */
+	/* shortest time between two purges, since a purge takes some seconds */
+	RETENTION_MIN_PERIOD_MS = 10000,
+	/* size of the longest scope, route or tenant, with its terminating zero */
+	RETENTION_SCOPE_BYTES = 200
 };
 
 /* Evaluates schedules that are given in calendar terms. calendar.c implements it with ICU; routers are built
@@ -32,8 +32,8 @@
 };
 
 /* Parse a duration such as "90m" or "7d" (units s, m, h, d, w). Returns it in ms, or -1 when the text is
- * invalid. Example: retention_parse_span("6h") == 21600000 */
-int64_t retention_parse_span(const char *text);
+ * invalid. Example: retention_parse_duration_ms("6h") == 21600000 */
+int64_t retention_parse_duration_ms(const char *text);
 
 /* Split a scope into route and tenant, each "" for all. Returns 0 when the text is not a valid scope.
  * Example: if (!retention_parse_scope("*", route, tenant)) reject("name"); */
--- a/lib/control/retention_state.c
+++ b/lib/control/retention_state.c
@@ -318,7 +318,7 @@
 			plan->due_at_ms = 0;
 			continue;
 		}
-		/* blocks in the scope's own cache namespace must not be found again if the row is added again
+		/* blocks in the scope's own cache namespace must not be found again if the row is re-added
 		 */
 		step.scope = plan->scope;
 		step.wall_clock_ms = plan->planned_at_ms;
--- a/lib/control/retention_state.h
+++ b/lib/control/retention_state.h
@@ -16,13 +16,13 @@
 enum {
 	RETENTION_POLL_INTERVAL_MS = 200,       /* interval at which the leader checks the schedule */
 	RETENTION_DONE_CHECK_INTERVAL_MS = 500, /* interval at which it checks whether purges are done */
-	RETENTION_PROPAGATION_MS = 10000, /* a row planned for this long is in force on all nodes, with an
-					     allowance for clock error */
-	RETENTION_MAX_PURGES = 512,       /* purges that are kept for the report */
-	RETENTION_NODE_TIMEOUT_MS =
-	    6000, /* a node without contact for this long has no valid configuration and routes no requests */
-	RETENTION_MAX_LOAD_PRESSURE_PERMILLE =
-	    250, /* load_pressure, per mille, above which the next slice is postponed */
+	/* a row planned for this long is in force on all nodes, with an allowance for clock error */
+	RETENTION_PROPAGATION_MS = 10000,
+	RETENTION_MAX_PURGES = 512, /* purges that are kept for the report */
+	/* a node without contact for this long has no valid configuration and routes no requests */
+	RETENTION_NODE_TIMEOUT_MS = 6000,
+	/* load_pressure, per mille, above which the next slice is postponed */
+	RETENTION_MAX_LOAD_PRESSURE_PERMILLE = 250,
 	RETENTION_TRIM_INTERVAL_MS = 20000, /* interval between two trims of a shard's log */
 	RETENTION_MAX_REMAINDERS = 128,     /* remainders taken from one report of an index holder */
 	RETENTION_REPORT_TTL_MS = 60000     /* a report of an index holder is dropped at this age */
@@ -55,8 +55,8 @@
 	uint64_t purged_tick; /* the control shard's log was trimmed for purges up to this tick */
 
 	/* soft state of the leader, lost when its leadership ends */
-	uint64_t
-	    logged_index; /* log index of the last proposed step; the next is proposed after it is applied */
+	/* log index of the last proposed step; the next is proposed after it is applied */
+	uint64_t logged_index;
 	int64_t polled_at_ms;
 	int64_t done_checked_at_ms;
 	struct retention_index_report *index_reports; /* stb_ds; owned */
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -12,9 +12,9 @@
 
 enum {
 	CALL_TIMEOUT_MS = 400, /* a command or a poll without a reply for this long has failed */
-	SERVER_REPORT_TIMEOUT_MS =
-	    10000, /* a server without a report for this long does not hold up the
-					   rollout; it loads the target weights when it reports again */
+	/* a server without a report for this long does not hold up the rollout; it loads the target weights
+	 * when it reports again */
+	SERVER_REPORT_TIMEOUT_MS = 10000,
 };
 
 /* ---- sending commands, receiving reports ---- */
@@ -184,8 +184,8 @@
 typedef typeof(((struct controller_target_weights *)0)->value) rollout_target;
 
 /* Since when the service has had a target version that not every server has loaded. If a new target version
- * is set during an unfinished rollout, the time of the unfinished one counts, so that the servers do not get
- * more time.
+ * is set during an unfinished rollout, the time of the unfinished one counts, so that the servers get no
+ * extra time.
  */
 static int64_t target_incomplete_since_ms(struct controller *controller, const char *service_name,
 					  const rollout_target *previous, int64_t targeted_at_ms)
@@ -322,7 +322,7 @@
 		server = find_server(controller, row->name);
 		if (!server || !needs_load_command(server, rollout, now))
 			continue;
-		/* a server whose command was lost, or that is loading a superseded version, needs no new slot
+		/* a server that lost its command or is loading a superseded version needs no new slot
 		 */
 		if (server->load_commanded_at_ms < rollout->target->targeted_at_ms && !server->loading[0] &&
 		    slots-- <= 0)
@@ -341,8 +341,8 @@
 	rolled_out.weights = service->target_weights;
 	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 	operation.rolled_out = &rolled_out;
-	if (arrlen(controller->shards[shard].disk.pending_syncs) ==
-	    0) /* an earlier proposal may be unwritten yet */
+	/* an earlier proposal may not be on the disk yet */
+	if (arrlen(controller->shards[shard].disk.pending_syncs) == 0)
 		log_operation(controller, shard, &operation, now, out);
 }
 
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -31,22 +31,22 @@
 enum {
 	ROLLOUT_POLL_INTERVAL_MS = 200, /* between two polls of a server whose load should end soon */
 	ROLLOUT_PLANNED_PERCENT = 90,   /* share of the bound within which all loads are planned to end */
-	ROLLOUT_MAX_REPORT_LAG_MS =
-	    700, /* a report polled this long after a command was sent reflects that command */
+	/* a report polled this long after a command was sent reflects that command */
+	ROLLOUT_MAX_REPORT_LAG_MS = 700,
 	ROLLOUT_REPLY_TIMEOUT_MS = 1000, /* a command or a poll without a reply for this long has failed */
-	ROLLOUT_COMMAND_ALL_PERCENT =
-	    95, /* share of the bound after which all remaining servers are commanded at once */
+	/* share of the bound after which all remaining servers are commanded at once */
+	ROLLOUT_COMMAND_ALL_PERCENT = 95,
 	ROLLOUT_REJECTED_BACKOFF_MS =
 	    2000,                  /* wait before a server that rejected a command is commanded again */
 	ROLLOUT_STALL_DIVISOR = 4, /* a load that takes longer than the bound divided by this has stalled */
-	ROLLOUT_NOTICE_DIVISOR =
-	    8, /* routers are notified before a load by the load's duration divided by this */
+	/* routers are notified before a load by the load's duration divided by this */
+	ROLLOUT_NOTICE_DIVISOR = 8,
 	ROLLOUT_NOTICE_MAX_MS = 500, /* longest notice; less than ROLLOUT_INTENT_VALID_MS */
-	ROLLOUT_INTENT_VALID_MS =
-	    1000, /* a logged command may be sent within this time after its log entry was applied */
+	/* a logged command may be sent within this time after its log entry was applied */
+	ROLLOUT_INTENT_VALID_MS = 1000,
 	ROLLOUT_LEASE_MARGIN_MS = 100, /* no command is sent within this time before the lease expires */
-	ROLLOUT_TAKEOVER_MARGIN_MS =
-	    300 /* added to the lease duration, so that the previous leader's commands have expired */
+	/* added to the lease duration, so that the previous leader's commands have expired */
+	ROLLOUT_TAKEOVER_MARGIN_MS = 300
 };
 
 /* Poll the servers that are rows of the table, and send the load commands that are due, for each service
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -128,7 +128,7 @@
 	rolled.weights = (char *)weights;
 	rolled.server = server->name;
 	rolled.fence = controller->rollout.term << ROLLOUT_FENCE_SEQUENCE_BITS |
-		       (controller->rollout.command_seq & ROLLOUT_FENCE_SEQUENCE_MASK);
+		       (controller->rollout.command_sequence & ROLLOUT_FENCE_SEQUENCE_MASK);
 	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 	operation.rolled_out = &rolled;
 	if (!log_operation(controller, SHARD_CONTROL, &operation, now, out))
@@ -183,7 +183,7 @@
 	command->args.load_weights.addr = core_parse_addr(instance->addr);
 	command->args.load_weights.fencing_token =
 	    controller->rollout.term << ROLLOUT_FENCE_SEQUENCE_BITS |
-	    (++controller->rollout.command_seq & ROLLOUT_FENCE_SEQUENCE_MASK);
+	    (++controller->rollout.command_sequence & ROLLOUT_FENCE_SEQUENCE_MASK);
 	command->args.load_weights.server = apr_pstrdup(out->pool, instance->server);
 	command->args.load_weights.model = apr_pstrdup(out->pool, model);
 	command->args.load_weights.weights = apr_pstrdup(out->pool, server->target_weights);
@@ -249,8 +249,8 @@
 	if (server->state == ROLLOUT_COMMANDED && now - server->commanded_at_ms >= ROLLOUT_REPLY_TIMEOUT_MS)
 		server->state = ROLLOUT_UNCONFIRMED;
 	if (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED) {
-		if (rollout_has_weights(instance->weights,
-					model->target_weights)) { /* shown by the endpoint list */
+		/* the endpoint list shows that the load has ended */
+		if (rollout_has_weights(instance->weights, model->target_weights)) {
 			server->state = ROLLOUT_IDLE;
 			instances_set_weights(&controller->instances, server->name, instance->weights, 0,
 					      now);
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -45,7 +45,7 @@
 		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_TAKEOVER_MARGIN_MS;
 	rollout->term_started_at_ms = now;
 	rollout->term = term;
-	rollout->command_seq = 0;
+	rollout->command_sequence = 0;
 	rollout->is_fenced = 0;
 	for (ptrdiff_t i = 0; i < arrlen(rollout->servers); i++)
 		rollout_server_free(&rollout->servers[i]);
@@ -197,8 +197,8 @@
 	int server_count;
 	int updated_count;
 	int occupied_slot_count;    /* servers that occupy a slot for concurrent loads */
-	int loading_count;          /* servers among them that are or may be loading; not those whose
-				       reply is still outstanding, since they may reject */
+	int loading_count;          /* of these, servers that are or may be loading; not those whose
+				       reply is outstanding, since they may reject */
 	struct zone_servers *zones; /* stb_ds */
 	int64_t *deadlines_ms;      /* stb_ds: of the servers that may be commanded now, soonest first */
 };
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -93,8 +93,8 @@
 
 	*urgent_count = 0;
 	for (int i = 0; i < arrlen(deadlines_ms); i++) {
-		int64_t loads_until_done =
-		    i + 1 + loading_count / 2; /* loads in progress are half done on average */
+		/* loads in progress are half done on average */
+		int64_t loads_until_done = i + 1 + loading_count / 2;
 		int64_t remaining_ms = deadlines_ms[i] == INT64_MIN ? 0 : deadlines_ms[i] - reserve_ms - now;
 
 		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
--- a/lib/control/rollout_state.h
+++ b/lib/control/rollout_state.h
@@ -57,12 +57,13 @@
 	struct rollout_server *servers; /* stb_ds */
 	struct rollout_model *models;   /* stb_ds map, by model name */
 	uint64_t term;                  /* in which this node last led the control shard */
-	uint64_t command_seq;           /* sequence number of the newest command in this term */
+	uint64_t command_sequence;      /* sequence number of the newest command in this term */
 	struct rollout_intent *intents; /* stb_ds map, by server name; kept on followers too */
 	int64_t unknown_until_ms;       /* intents applied up to this time may be missing here */
 	int64_t term_started_at_ms;
-	int64_t takeover_wait_ms; /* wait for commands of an earlier leader to expire, counted from the end of
-				   their intent's validity */
+	/* wait for commands of an earlier leader to expire, counted from the end of their intent's validity
+	 */
+	int64_t takeover_wait_ms;
 	int is_fenced; /* a server rejected this term's fencing token: no more commands in this term */
 	uint64_t completed_stamp;    /* instances.stamp when all rollouts were last complete */
 	uint64_t completed_revision; /* revision of the table at that time */
--- a/lib/control/version_history.c
+++ b/lib/control/version_history.c
@@ -64,8 +64,8 @@
 		history_add(history, version->weights,
 			    (struct group_moment){ version->targeted_at_ms, version->term });
 	}
-	if (newest_weights > previous_weights && !history->count &&
-	    previous_weights > FIRST_WEIGHTS) /* set before dates were recorded */
+	/* the previous version was set before dates were recorded */
+	if (newest_weights > previous_weights && !history->count && previous_weights > FIRST_WEIGHTS)
 		history_add(history, previous_weights,
 			    (struct group_moment){ VERSION_HISTORY_UNKNOWN_TIME, 0 });
 	if (newest_weights > previous_weights)
