--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -86,7 +86,8 @@
  * deadlines_ms holds the deadlines of the servers that may still be commanded, soonest first. *urgent_count
  * is set to the number of those that cannot finish within the planned share any more. */
 static int needed_concurrency(const struct controller *controller, const int64_t *deadlines_ms,
-			      int loading_count, int64_t load_duration_ms, int64_t now, int *urgent_count)
+			      int occupied_slot_count, int64_t load_duration_ms, int64_t now,
+			      int *urgent_count)
 {
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_PLANNED_PERCENT);
 	int needed = 0;
@@ -94,7 +95,7 @@
 	*urgent_count = 0;
 	for (int i = 0; i < arrlen(deadlines_ms); i++) {
 		/* loads in progress are half done on average */
-		int64_t loads_until_done = i + 1 + loading_count / 2;
+		int64_t loads_until_done = i + 1 + occupied_slot_count / 2;
 		int64_t remaining_ms = deadlines_ms[i] == INT64_MIN ? 0 : deadlines_ms[i] - reserve_ms - now;
 
 		if (remaining_ms <= 0 || remaining_ms < load_duration_ms)
@@ -110,14 +111,16 @@
  * to help, if nothing has been measured at all, or if the final deadline is near. Otherwise at most twice the
  * base concurrency, which gives the same load throughput as commanding all of them. */
 static int urgent_concurrency(const struct controller *controller, const struct rollout_pace *pace,
-			      int urgent_count, const int64_t *deadlines_ms, int loading_count, int64_t now)
+			      int urgent_count, const int64_t *deadlines_ms, int occupied_slot_count,
+			      int64_t now)
 {
 	int64_t reserve_ms = reserve_ms_after(controller, ROLLOUT_COMMAND_ALL_PERCENT);
 	int extra_concurrency_helps =
 	    !pace->is_saturated &&
 	    (!pace->base_load_ms || pace->extra_load_count >= 2 * pace->base_concurrency);
-	int full_concurrency = urgent_count + loading_count > pace->concurrency ? urgent_count + loading_count
-										: pace->concurrency;
+	int full_concurrency = urgent_count + occupied_slot_count > pace->concurrency
+				   ? urgent_count + occupied_slot_count
+				   : pace->concurrency;
 
 	if (extra_concurrency_helps || deadlines_ms[0] == INT64_MIN || now >= deadlines_ms[0] - reserve_ms)
 		return full_concurrency;
@@ -125,7 +128,7 @@
 }
 
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
-			const int64_t *deadlines_ms, int loading_count, int64_t now)
+			const int64_t *deadlines_ms, int occupied_slot_count, int64_t now)
 {
 	int64_t load_duration_ms = expected_load_ms(controller, pace) + planned_notice_ms(controller, pace);
 	int urgent_count, needed;
@@ -134,13 +137,14 @@
 		pace->base_concurrency = (server_count + 3) / 6 > 1 ? (server_count + 3) / 6 : 1;
 		pace->concurrency = pace->base_concurrency;
 	}
-	needed =
-	    needed_concurrency(controller, deadlines_ms, loading_count, load_duration_ms, now, &urgent_count);
+	needed = needed_concurrency(controller, deadlines_ms, occupied_slot_count, load_duration_ms, now,
+				    &urgent_count);
 	if (urgent_count)
-		return urgent_concurrency(controller, pace, urgent_count, deadlines_ms, loading_count, now);
+		return urgent_concurrency(controller, pace, urgent_count, deadlines_ms, occupied_slot_count,
+					  now);
 	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
-	if (!loading_count)
+	if (!occupied_slot_count)
 		pace->loading_since_ms = now;
 	if (pace->is_saturated)
 		return pace->concurrency;
--- a/lib/control/rollout_pace.h
+++ b/lib/control/rollout_pace.h
@@ -26,9 +26,10 @@
 /* How many of a model's servers may load concurrently: as many as load without slowing each other down
  * according to the measurements so far; more when the deadlines require it and it helps; and all servers
  * whose planned time has passed. deadlines_ms is an stb_ds array with the deadlines of the servers that may
- * still be commanded, soonest first; loading_count is the number of servers that occupy a slot now. Example:
- * slots = rollout_concurrency(controller, pace, server_count, deadlines_ms, loading, now) - loading; */
+ * still be commanded, soonest first; occupied_slot_count is the number of servers that occupy a slot now.
+ * Example: max = rollout_concurrency(controller, pace, server_count, deadlines_ms, occupied_slot_count, now);
+ */
 int rollout_concurrency(const struct controller *controller, struct rollout_pace *pace, int server_count,
-			const int64_t *deadlines_ms, int loading_count, int64_t now);
+			const int64_t *deadlines_ms, int occupied_slot_count, int64_t now);
 
 #endif
