--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -6,16 +6,16 @@
 #include "leadership.h"
 #include "controller_private.h"
 
-static struct Nl__Value **copy_values(struct Nl__Value *const *values, size_t n, apr_pool_t *pool)
+static struct Nl__Value **copy_values(struct Nl__Value *const *values, size_t count, apr_pool_t *pool)
 {
-	struct Nl__Value **value = apr_palloc(pool, (n + 1) * sizeof *value);
+	struct Nl__Value **copies = apr_palloc(pool, (count + 1) * sizeof *copies);
 
-	for (size_t i = 0; i < n; i++)
-		value[i] = (struct Nl__Value *)core_copy_message(pool, &values[i]->base);
-	return value;
+	for (size_t i = 0; i < count; i++)
+		copies[i] = (struct Nl__Value *)core_copy_message(pool, &values[i]->base);
+	return copies;
 }
 
-static struct Nl__Value **find_feed(struct controller *controller, uint32_t shard)
+static struct Nl__Value **find_purge_feed(struct controller *controller, uint32_t shard)
 {
 	return shard == SHARD_CONTROL                   ? controller->config.purge_feed
 	       : service_shard_state(controller, shard) ? service_shard_state(controller, shard)->purge_feed
@@ -26,31 +26,31 @@
 		     struct command_list *out)
 {
 	struct Nl__FeedReply *feed_reply;
-	struct Nl__Value **value;
-	size_t acknowledged = 0, released = 0;
+	struct Nl__Value **feed_values;
+	size_t acknowledged_count = 0, released_count = 0;
 
 	if (message->shard >= SHARD_COUNT || message->shard == SHARD_PURGE)
 		return;
 	if (!leads_shard(controller, message->shard, now)) {
-		struct Nl__LeaderHint *owner = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
+		struct Nl__LeaderHint *hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 
-		owner->leader_addr = leader_hint(controller, message->shard, now);
+		hint->leader_addr = leader_hint(controller, message->shard, now);
 		command_send(out, message->addr, message->shard, NL__MSG__BODY_LEADER_HINT)->leader_hint =
-		    owner;
+		    hint;
 		return;
 	}
 	feed_reply = MESSAGE_NEW(out, Nl__FeedReply, NL__FEED_REPLY__INIT);
 	feed_reply->round = message->feed_request->round;
-	value = find_feed(controller, message->shard);
-	while (acknowledged < (size_t)arrlen(value) &&
-	       value[acknowledged]->index <= message->feed_request->have_index)
-		acknowledged++;
-	released = acknowledged;
-	feed_reply->n_values = (size_t)arrlen(value) - acknowledged;
-	feed_reply->values =
-	    copy_values(value ? value + acknowledged : NULL, feed_reply->n_values, out->pool);
+	feed_values = find_purge_feed(controller, message->shard);
+	while (acknowledged_count < (size_t)arrlen(feed_values) &&
+	       feed_values[acknowledged_count]->index <= message->feed_request->have_index)
+		acknowledged_count++;
+	released_count = acknowledged_count;
+	feed_reply->n_values = (size_t)arrlen(feed_values) - acknowledged_count;
+	feed_reply->values = copy_values(feed_values ? feed_values + acknowledged_count : NULL,
+					 feed_reply->n_values, out->pool);
 	command_send(out, message->addr, message->shard, NL__MSG__BODY_FEED_REPLY)->feed_reply = feed_reply;
-	if (released > 64) {
+	if (released_count > 64) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
 
@@ -65,36 +65,37 @@
 		   struct command_list *out)
 {
 	const struct Nl__FeedReply *feed_reply = message->feed_reply;
-	int proposed = 0;
+	int proposed_count = 0;
 
 	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT ||
 	    !leads_shard(controller, SHARD_PURGE, now))
 		return;
 	config_watch_hint(&controller->config_watch, message->shard, message->addr);
-	/* one batch at a time; what does not fit, the feed will say again */
-	for (size_t i = 0; i < feed_reply->n_values &&
-			   (proposed || controller->publisher.pending_tick <= controller->publisher.tick);
+	/* One batch is logged at a time; the feed sends the remaining values again in its next reply. */
+	for (size_t i = 0;
+	     i < feed_reply->n_values &&
+	     (proposed_count || controller->publisher.pending_tick <= controller->publisher.tick);
 	     i++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
-		uint64_t next =
-		    (proposed ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
+		uint64_t next_tick =
+		    (proposed_count ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
 
 		if (!feed_reply->values[i]->purge ||
 		    feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
 			continue;
-		if (next > controller->purge_state.ceiling || proposed == CONTROLLER_PURGE_BATCH)
+		if (next_tick > controller->purge_state.ceiling || proposed_count == CONTROLLER_PURGE_BATCH)
 			break;
 		feed_reply->values[i]->feed = message->shard;
-		feed_reply->values[i]->tick = next;
+		feed_reply->values[i]->tick = next_tick;
 		operation.body_case = NL__OPERATION__BODY_VALUE;
 		operation.value = feed_reply->values[i];
 		if (!log_operation(controller, SHARD_PURGE, &operation, now, out))
 			break;
-		controller->publisher.pending_tick = next;
-		proposed++;
+		controller->publisher.pending_tick = next_tick;
+		proposed_count++;
 	}
 	if (controller->publisher.pending_tick > controller->publisher.tick)
-		return; /* this feed has not said all yet */
+		return; /* values are still being logged, and this feed may hold more */
 	if (feed_reply->round > controller->publisher.feed_complete_round[message->shard])
 		controller->publisher.feed_complete_round[message->shard] = feed_reply->round;
 }
@@ -106,12 +107,12 @@
 
 	if (!controller->relay.is_publisher || value->tick <= publisher->tick)
 		return;
-	/* the value, and silence before it */
+	/* publish the value, and silence for the ticks before it */
 	relay_publish(&controller->relay, publisher->tick + 1, value->tick, is_new ? value : NULL, now, out);
 	publisher->tick = value->tick;
 	if (publisher->pending_tick > publisher->tick || publisher->tick >= controller->purge_state.ceiling)
 		return;
-	/* and one tick of silence after the last that was pending */
+	/* after the last pending value, declare one tick of silence */
 	publisher->tick++;
 	relay_publish(&controller->relay, publisher->tick, publisher->tick, NULL, now, out);
 }
@@ -144,8 +145,8 @@
 		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick,
 			      controller->purge_state.values[i], now, out);
 	controller->publisher.tick = controller->purge_state.ceiling;
-	if (raft_epoch(controller->shards[SHARD_PURGE].term) >
-	    controller->epoch[SHARD_PURGE]) /* the ceiling rises with the first operation */
+	/* the state's ceiling is raised with the first operation of the new epoch */
+	if (raft_epoch(controller->shards[SHARD_PURGE].term) > controller->epoch[SHARD_PURGE])
 		controller->publisher.tick += CONTROLLER_RECOVERY_SKIP;
 	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.tick, NULL, now, out);
 	controller->publisher.pending_tick = 0;
@@ -159,7 +160,7 @@
 
 void publisher_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	int all_complete = 1;
+	int all_feeds_complete = 1;
 
 	if (now - controller->publisher.feed_polled_at_ms >= CONTROLLER_FEED_POLL_MS) {
 		controller->publisher.feed_polled_at_ms = now;
@@ -173,9 +174,9 @@
 			    controller->publisher.feed_round >
 				controller->publisher.feed_complete_round[i] + 5 &&
 			    controller->publisher.feed_round % 5 == 0)
-				config_watch_miss(
-				    &controller->config_watch,
-				    i); /* no word for a while: try another controller, then heed its hint */
+				/* no reply in recent rounds: use another controller, which may reply with a
+				 * hint to the leader */
+				config_watch_miss(&controller->config_watch, i);
 			request = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			request->have_index = controller->purge_state.published_index[i];
 			request->round = controller->publisher.feed_round;
@@ -194,10 +195,10 @@
 	    controller->publisher.pending_tick > controller->publisher.tick ||
 	    controller->publisher.tick >= controller->purge_state.ceiling)
 		return;
-	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* silence waits for every feed */
-		all_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
-							controller->publisher.feed_round;
-	if (!all_complete)
+	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a tick is silent only if every feed was empty */
+		all_feeds_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
+							      controller->publisher.feed_round;
+	if (!all_feeds_complete)
 		return;
 	controller->publisher.tick_declared_at_ms = now;
 	controller->publisher.tick++;
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -11,14 +11,17 @@
 #include "retention_progress.h"
 
 enum {
-	MAX_MISSED = 1000,         /* missed due times that are counted */
-	DUE_TIME_VALID_MS = 60000, /* how late a purge may be decided and still be spread from its due time */
+	MAX_MISSED_COUNT = 1000, /* missed due times are counted up to this number */
+	/* the slices of a purge that is decided later than this after its due time are spread over the time
+	 * from the decision on */
+	MAX_DECISION_DELAY_MS = 60000,
 };
 
-/* ---- the agreed time ---- */
+/* ---- wall clock of the majority ---- */
 
-/* The clock of a voter as far as it was heard lately; INT64_MIN when it was not. */
-static int64_t member_wall_clock(const struct controller *controller, uint64_t member_id, int64_t now)
+/* The wall clock of a voter, extrapolated from its last report; INT64_MIN when there is no recent report.
+ */
+static int64_t voter_wall_clock_ms(const struct controller *controller, uint64_t member_id, int64_t now)
 {
 	int64_t unix_ms = INT64_MIN;
 
@@ -37,27 +40,27 @@
 int64_t retention_wall_clock(const struct controller *controller, int64_t now)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
-	int64_t clocks[RAFT_MAX_MEMBERS]; /* latest first */
-	int n = 0;
+	int64_t clocks[RAFT_MAX_MEMBERS]; /* sorted, latest first */
+	int voter_count = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		int64_t unix_ms;
-		int at = n;
+		int at = voter_count;
 
 		if (!raft->group.members[i].voter)
 			continue;
-		unix_ms = member_wall_clock(controller, raft->group.members[i].id, now);
+		unix_ms = voter_wall_clock_ms(controller, raft->group.members[i].id, now);
 		for (; at && clocks[at - 1] < unix_ms; at--)
 			clocks[at] = clocks[at - 1];
 		clocks[at] = unix_ms;
-		n++;
+		voter_count++;
 	}
-	return n ? clocks[n / 2] : INT64_MIN;
+	return voter_count ? clocks[voter_count / 2] : INT64_MIN;
 }
 
 /* ---- the leader's decisions ---- */
 
-/* Returns the index of the log entry; 0 when it could not be logged. */
+/* Log a step. Returns the index of the log entry; 0 when it could not be logged. */
 static uint64_t log_step(struct controller *controller, struct Nl__RetentionStep *step, int64_t now,
 			 struct command_list *out)
 {
@@ -69,9 +72,9 @@
 	return controller->retention.logged_index;
 }
 
-/* From when on a row without a due time counts its periods: from the last purge of its scope, so that a row
- * that is edited again and again is not put off for ever. */
-static int64_t plan_base(const struct retention *retention, const char *scope, int64_t unix_ms)
+/* The time from which the periods of a row without a due time are counted: the last purge of its scope, so
+ * that repeated edits of the row do not postpone its purge indefinitely; unix_ms when there was no purge. */
+static int64_t period_base_ms(const struct retention *retention, const char *scope, int64_t unix_ms)
 {
 	int64_t base_ms = unix_ms;
 
@@ -82,7 +85,8 @@
 	return base_ms;
 }
 
-/* Fill in the step that takes a due time, however many were missed since. */
+/* Fill in the step that begins the purge of a plan's due time. One step covers all due times missed since
+ * then. */
 static void fill_due_step(const struct controller *controller, const struct Nl__RetentionPlan *plan,
 			  const struct Nl__Row *row, int64_t unix_ms, struct Nl__RetentionStep *step)
 {
@@ -92,7 +96,7 @@
 	step->due_at_ms = plan->due_at_ms;
 	step->next_due_at_ms =
 	    retention_next_due(controller->adapters.calendar, row, plan->due_at_ms, unix_ms);
-	while (step->missed < MAX_MISSED) {
+	while (step->missed < MAX_MISSED_COUNT) {
 		next = retention_next_due(controller->adapters.calendar, row, next, next);
 		if (!next || next > unix_ms)
 			break;
@@ -100,8 +104,8 @@
 	}
 }
 
-/* Log the next step of a plan: its first due time, or the purge that is due. Returns 1 when one was logged.
- */
+/* Log the next step of one plan: setting its first due time, or beginning the purge that is due. Returns 1
+ * when a step was logged. */
 static int log_next_due(struct controller *controller, int64_t unix_ms, int64_t now, struct command_list *out)
 {
 	const struct retention *retention = &controller->retention;
@@ -122,48 +126,48 @@
 			step.step = NL__RETENTION_STEP_KIND__RETENTION_STEP_PLAN;
 			step.next_due_at_ms =
 			    retention_next_due(controller->adapters.calendar, row,
-					       plan_base(retention, plan->scope, unix_ms), unix_ms);
+					       period_base_ms(retention, plan->scope, unix_ms), unix_ms);
 		}
 		if (!step.next_due_at_ms || !log_step(controller, &step, now, out))
 			continue;
 		if (step.step == NL__RETENTION_STEP_KIND__RETENTION_STEP_DUE)
 			log_line(controller, "retention", out->pool,
-				 "Purge of %s is due; due times missed before: %u.", plan->scope,
+				 "purge is due, scope %s, due times missed before %u", plan->scope,
 				 (unsigned)step.missed);
 		return 1;
 	}
 	return 0;
 }
 
-/* Whether any router reports that its queues are strained. */
-static int routers_strained(const struct controller *controller, int64_t now)
+/* Whether any router reports a load pressure above the limit for spread purges. */
+static int any_router_under_pressure(const struct controller *controller, int64_t now)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->is_router && now - node->observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
-		    node->load_pressure > RETENTION_MAX_PRESSURE)
+		    node->load_pressure > RETENTION_MAX_LOAD_PRESSURE_PERMILLE)
 			return 1;
 	}
 	return 0;
 }
 
-/* Log the next slice of a purge that is spread over time: in half of that time while routers are not
- * strained, and by its end in any case. Returns 1 when one was logged. */
+/* Log the next slice that is due. A purge's slices are spread evenly over half of its spread time while no
+ * router is under pressure, and over all of its spread time otherwise. Returns 1 when a slice was logged. */
 static int log_next_slice(struct controller *controller, int64_t unix_ms, int64_t now,
 			  struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->retention.purges); i++) {
 		const struct Nl__RetentionPurge *purge = controller->retention.purges[i];
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
-		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - DUE_TIME_VALID_MS
+		int64_t start_ms = purge->due_at_ms > purge->decided_at_ms - MAX_DECISION_DELAY_MS
 				       ? purge->due_at_ms
 				       : purge->decided_at_ms;
 		int intervals;
 
 		if (purge->slices >= PURGE_SLICES)
 			continue;
-		step.late = purge->spread_ms && routers_strained(controller, now);
+		step.late = purge->spread_ms && any_router_under_pressure(controller, now);
 		intervals = step.late ? PURGE_SLICES : 2 * PURGE_SLICES;
 		if (unix_ms < start_ms + (int64_t)purge->spread_ms * purge->slices / intervals)
 			continue;
@@ -175,25 +179,26 @@
 		if (!log_step(controller, &step, now, out))
 			return 0;
 		if (step.late)
-			log_line(controller, "retention", out->pool,
-				 "Purge %" APR_UINT64_T_FMT
-				 ": slice %u goes on although routers are strained: its time ends.",
-				 purge->purge_number, step.slice);
+			log_line(
+			    controller, "retention", out->pool,
+			    "purge %" APR_UINT64_T_FMT
+			    ": slice %u is published despite high router load, since the purge has to end in its window",
+			    purge->purge_number, step.slice);
 		return 1;
 	}
 	return 0;
 }
 
-/* Log that a purge is done. Returns 1 when it was logged. */
+/* Log the completion of the next purge that is done. Returns 1 when one was logged. */
 static int log_next_done(struct controller *controller, int64_t unix_ms, int64_t now,
 			 struct command_list *out)
 {
 	struct retention *retention = &controller->retention;
 
-	if (now - retention->checked_at_ms < RETENTION_CHECK_MS ||
+	if (now - retention->done_checked_at_ms < RETENTION_DONE_CHECK_INTERVAL_MS ||
 	    now - controller->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
-		return 0; /* a new leader hears from all nodes first */
-	retention->checked_at_ms = now;
+		return 0; /* a new leader first needs a report from each node */
+	retention->done_checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
 		const struct Nl__RetentionPurge *purge = retention->purges[i];
 		struct Nl__RetentionStep step = NL__RETENTION_STEP__INIT;
@@ -207,8 +212,8 @@
 		step.wall_clock_ms = unix_ms;
 		if (log_step(controller, &step, now, out)) {
 			log_line(controller, "retention", out->pool,
-				 "Purge %" APR_UINT64_T_FMT
-				 " of %s is done: no server names blocks of before.",
+				 "purge %" APR_UINT64_T_FMT
+				 " of scope %s is done: no server reports cached blocks from before it",
 				 purge->purge_number, purge->scope);
 			return 1;
 		}
@@ -224,7 +229,7 @@
 	if ((!arrlen(retention->plans) && !arrlen(retention->purges)) ||
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	if (now - retention->polled_at_ms < RETENTION_POLL_MS ||
+	if (now - retention->polled_at_ms < RETENTION_POLL_INTERVAL_MS ||
 	    retention->logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	retention->polled_at_ms = now;
@@ -234,12 +239,13 @@
 	if (log_next_due(controller, unix_ms, now, out) || log_next_slice(controller, unix_ms, now, out) ||
 	    log_next_done(controller, unix_ms, now, out))
 		retention->polled_at_ms =
-		    now - RETENTION_POLL_MS; /* the next one as soon as this is applied */
+		    now -
+		    RETENTION_POLL_INTERVAL_MS; /* propose the next step as soon as this one is applied */
 }
 
-/* ---- the logs on disk ---- */
+/* ---- trimming of the logs on disk ---- */
 
-/* The newest tick of a purge of context that is in force here; 0: none. */
+/* The newest tick of the context purges that are in force on this node; 0: none. */
 static uint64_t newest_purge_tick(const struct controller *controller)
 {
 	uint64_t tick = 0;
@@ -250,7 +256,7 @@
 	return tick;
 }
 
-/* Up to which tick a shard's log was trimmed. */
+/* The tick up to which purges have led to a trim of a shard's log. */
 static uint64_t trimmed_tick(struct controller *controller, uint32_t shard)
 {
 	const struct controller_service_state *service = service_shard_state(controller, shard);
@@ -261,9 +267,9 @@
 				      : controller->purge_state.purged_tick;
 }
 
-/* Whether a service shard's claims of before its last trim have run out, so that they can go from its disk.
- */
-static bool can_compact(struct controller *controller, uint32_t shard, int64_t now)
+/* Whether all claims from before a service shard's last trim have expired and are still on its disk, so that
+ * they can be removed. */
+static bool may_compact_claims(struct controller *controller, uint32_t shard, int64_t now)
 {
 	const struct controller_service_state *service = service_shard_state(controller, shard);
 
@@ -282,10 +288,10 @@
 	for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 		struct Nl__Trim trim = NL__TRIM__INIT;
-		int compact = can_compact(controller, shard, now);
+		int compact = may_compact_claims(controller, shard, now);
 
 		if (!leads_shard(controller, shard, now) ||
-		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_MS ||
+		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_INTERVAL_MS ||
 		    (tick <= trimmed_tick(controller, shard) && !compact))
 			continue;
 		controller->compaction[shard].checked_at_ms = now;
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -11,11 +11,13 @@
 #include "json_add.h"
 
 enum {
-	CALL_TIMEOUT_MS = 400,  /* of a command or a poll */
-	SERVER_DEAD_MS = 10000, /* without a report: the server loads the target weights when it is back */
+	CALL_TIMEOUT_MS = 400, /* a command or a poll without a reply for this long has failed */
+	/* a server without a report for this long does not hold up the rollout; it loads the target weights
+	 * when it reports again */
+	SERVER_REPORT_TIMEOUT_MS = 10000,
 };
 
-/* ---- commands and reports ---- */
+/* ---- sending commands, receiving reports ---- */
 
 static struct controller_server *find_server(struct controller *controller, const char *name)
 {
@@ -51,8 +53,8 @@
 	command->args.call.not_after_ms = not_after_ms;
 }
 
-/* Send a command, which is released here, fenced by the shard's term. The lease is checked again before it
- * leaves. */
+/* Send a command with a fencing token made from the shard's term, and release the command's JSON. The lease
+ * is checked again when the command is sent: not_after_ms is the lease's end. */
 static void send_command(struct controller *controller, struct controller_server *server, uint32_t shard,
 			 const char *addr, struct json_object *command, int64_t now, struct command_list *out)
 {
@@ -69,7 +71,7 @@
 	server->commanded_at_ms = now;
 }
 
-/* Whether a cached block that a server reports may stay: no purge covers it. */
+/* Whether a server may keep a cached block that it has reported, because no purge covers the block. */
 static bool may_keep_block(const struct controller *controller, const struct controller_server *server,
 			   struct json_object *block)
 {
@@ -83,9 +85,10 @@
 	       purge_view_keeps_context(view, server->service, maker, hash, stamp_tick);
 }
 
-/* The server's blocks that it has to drop, an array that the caller releases. */
-static struct json_object *purged_blocks(const struct controller *controller,
-					 const struct controller_server *server, struct json_object *blocks)
+/* The reported blocks that the server has to drop, as an array that the caller releases. */
+static struct json_object *find_purged_blocks(const struct controller *controller,
+					      const struct controller_server *server,
+					      struct json_object *blocks)
 {
 	struct json_object *purged = json_object_new_array();
 
@@ -98,22 +101,24 @@
 	return purged;
 }
 
-/* Whether commands may be sent to the servers of a shard: the commands of the leader before have ended. */
+/* Whether this node may send commands to the servers of a shard: it leads the shard, and the commands of
+ * earlier leaders have expired. */
 static bool may_command_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	return leads_shard(controller, shard, now) &&
 	       now - controller->leadership[shard].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS;
 }
 
-static void check_blocks(struct controller *controller, struct controller_server *server,
-			 const struct Nl__Row *row, struct json_object *blocks, int64_t now,
-			 struct command_list *out)
+static void check_reported_blocks(struct controller *controller, struct controller_server *server,
+				  const struct Nl__Row *row, struct json_object *blocks, int64_t now,
+				  struct command_list *out)
 {
 	uint32_t shard = core_shard_of(server->service, SHARD_SERVICES);
-	struct json_object *purged = purged_blocks(controller, server, blocks);
+	struct json_object *purged = find_purged_blocks(controller, server, blocks);
 
 	if (!json_object_array_length(purged)) {
-		/* the report shows it: purges are carried out up to the horizon at the poll */
+		/* the report holds no purged block, so the server has carried out all purges up to the
+		 * horizon that was current when the report was requested */
 		server->purged_tick = server->requested_purge_tick;
 		json_object_put(purged);
 	} else if (may_command_shard(controller, shard, now) && relay_is_current(&controller->relay, now)) {
@@ -140,7 +145,7 @@
 		apr_cpystrn(server->loading, json_string_member(json, "loading"), sizeof server->loading);
 		if (json_object_object_get_ex(json, "parts", &blocks) &&
 		    json_object_is_type(blocks, json_type_array))
-			check_blocks(controller, server, row, blocks, now, out);
+			check_reported_blocks(controller, server, row, blocks, now, out);
 	}
 	if (json)
 		json_object_put(json);
@@ -162,9 +167,10 @@
 		    now + CALL_TIMEOUT_MS, out);
 }
 
-/* ---- target weights ---- */
+/* ---- target versions ---- */
 
-/* Whether every server of a service has had these weights, or it is not known here which ones they had. */
+/* Whether the rollout of these weights to all servers of a service is recorded as complete. Also true when no
+ * completed rollout is recorded for the service. */
 static bool is_rolled_out(struct controller *controller, const char *service_name, const char *weights)
 {
 	struct controller_service_state *state =
@@ -174,13 +180,15 @@
 	return i < 0 || !strcmp(state->rolled_out[i].value, weights);
 }
 
-/* What is known of the weights that a service's servers are to have. */
+/* The target version of a service and the times of its rollout. */
 typedef typeof(((struct controller_target_weights *)0)->value) rollout_target;
 
-/* Since when target weights have been set that not every server has. Weights that overtake others leave those
- * servers no more time. */
-static int64_t incomplete_since(struct controller *controller, const char *service_name,
-				const rollout_target *previous, int64_t targeted_at_ms)
+/* Since when the service has had a target version that not every server has loaded. If a new target version
+ * is set during an unfinished rollout, the time of the unfinished one counts, so that the servers get no
+ * extra time.
+ */
+static int64_t target_incomplete_since_ms(struct controller *controller, const char *service_name,
+					  const rollout_target *previous, int64_t targeted_at_ms)
 {
 	if (previous && !is_rolled_out(controller, service_name, previous->weights))
 		return previous->incomplete_since_ms;
@@ -206,21 +214,22 @@
 		target.weights = strdup(row->target_weights);
 		target.targeted_at_ms = last_unchanged_ms;
 		target.incomplete_since_ms =
-		    incomplete_since(controller, row->name, previous, last_unchanged_ms);
+		    target_incomplete_since_ms(controller, row->name, previous, last_unchanged_ms);
 		if (previous)
 			free(previous->weights);
 		shput(controller->server_rollout.targets, row->name, target);
 	}
 }
 
-/* How many of the servers may have been commanded by now: a third at once, the next ones as loads end, or
- * when the bound on the rollout's time asks for it. A leader that took over has less time left, and leaves
- * none for another failover. */
-static int max_commanded(const struct controller *controller, uint32_t shard, rollout_target *target,
-			 int server_count, int64_t now)
+/* How many of a service's servers should have been commanded by now, by the deadline alone: a third at the
+ * start, another third halfway to the deadline for the last load command, and all of them at that deadline. A
+ * leader that led before the target was set plans for one failover, by an earlier deadline; a leader that
+ * took over the rollout has less time left and plans for none. */
+static int max_commanded_servers(const struct controller *controller, uint32_t shard, rollout_target *target,
+				 int server_count, int64_t now)
 {
 	int64_t deadline_ms = target->incomplete_since_ms + CONTROLLER_LAST_LOAD_COMMAND_MS;
-	int third = (server_count + 2) / 3;
+	int servers_per_wave = (server_count + 2) / 3;
 
 	if (!target->rollout_started_at_ms ||
 	    target->rollout_started_at_ms < controller->leadership[shard].since_ms)
@@ -229,17 +238,17 @@
 		deadline_ms -= CONTROLLER_FAILOVER_MS;
 	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
 		return server_count;
-	return third * (1 + (int)(2 * (now - target->rollout_started_at_ms) /
-				  (deadline_ms - target->rollout_started_at_ms)));
+	return servers_per_wave * (1 + (int)(2 * (now - target->rollout_started_at_ms) /
+					     (deadline_ms - target->rollout_started_at_ms)));
 }
 
-/* One service's rollout as it stands. */
+/* Progress of one service's rollout. */
 struct service_rollout {
 	const struct Nl__Row *service;
 	rollout_target *target;
-	int server_count; /* that report */
-	int updated;      /* have the target weights */
-	int loading;      /* load any, or were commanded to */
+	int server_count;  /* servers that have reported recently */
+	int updated_count; /* servers with the target weights that are loading nothing */
+	int loading_count; /* servers that are loading any weights or were commanded to load the target */
 };
 
 static bool is_server_of(const struct Nl__Row *row, const struct Nl__Row *service)
@@ -258,20 +267,21 @@
 		if (!is_server_of(row, rollout->service))
 			continue;
 		server = find_server(controller, row->name);
-		if (!server || now - server->reported_at_ms > SERVER_DEAD_MS)
+		if (!server || now - server->reported_at_ms > SERVER_REPORT_TIMEOUT_MS)
 			continue;
 		rollout->server_count++;
 		if (!strcmp(server->weights, rollout->service->target_weights) && !server->loading[0])
-			rollout->updated++;
+			rollout->updated_count++;
 		else if (server->loading[0] ||
 			 server->load_commanded_at_ms >= rollout->target->targeted_at_ms)
-			rollout->loading++;
+			rollout->loading_count++;
 	}
 }
 
-/* Whether a server lacks the target weights and no command to load them is under way. */
-static int needs_command(const struct controller_server *server, const struct service_rollout *rollout,
-			 int64_t now)
+/* Whether a load command is due to a server: its report is recent, it neither has nor loads the target
+ * weights, and no command was sent recently. */
+static int needs_load_command(const struct controller_server *server, const struct service_rollout *rollout,
+			      int64_t now)
 {
 	const char *weights = rollout->service->target_weights;
 
@@ -292,11 +302,12 @@
 	json_add_text(command, "load", weights);
 	send_command(controller, server, shard, apr_pstrdup(out->pool, row->addr), command, now, out);
 	server->load_commanded_at_ms = now;
-	log_line(controller, "rollout", out->pool, "Server %s is commanded to load %s.", server->name,
-		 weights);
+	log_line(controller, "rollout", out->pool, "load command sent to table server %s, weights %s",
+		 server->name, weights);
 }
 
-/* Command servers to load, while there are slots. */
+/* Send the load commands that are due. At most slots of them go to servers that have not been commanded to
+ * load this target before. */
 static void command_servers(struct controller *controller, const struct service_rollout *rollout, int slots,
 			    uint32_t shard, int64_t now, struct command_list *out)
 {
@@ -309,9 +320,10 @@
 		if (!is_server_of(row, rollout->service))
 			continue;
 		server = find_server(controller, row->name);
-		if (!server || !needs_command(server, rollout, now))
+		if (!server || !needs_load_command(server, rollout, now))
 			continue;
-		/* one whose command was lost, or that loads weights that were overtaken, keeps its slot */
+		/* a server that lost its command or is loading a superseded version needs no new slot
+		 */
 		if (server->load_commanded_at_ms < rollout->target->targeted_at_ms && !server->loading[0] &&
 		    slots-- <= 0)
 			continue;
@@ -329,11 +341,13 @@
 	rolled_out.weights = service->target_weights;
 	operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
 	operation.rolled_out = &rolled_out;
-	if (arrlen(controller->shards[shard].disk.pending_syncs) == 0) /* it may be on its way already */
+	/* an earlier proposal may not be on the disk yet */
+	if (arrlen(controller->shards[shard].disk.pending_syncs) == 0)
 		log_operation(controller, shard, &operation, now, out);
 }
 
-/* Go on with one service's rollout: a third of its servers at a time, the others keep serving. */
+/* Advance one service's rollout. A third of its servers load at a time while the others keep serving; more of
+ * them when the deadline requires it. */
 static void roll_out_service(struct controller *controller, const struct Nl__Row *service, uint32_t shard,
 			     int64_t now, struct command_list *out)
 {
@@ -345,12 +359,14 @@
 	ptrdiff_t completed;
 
 	count_servers(controller, &rollout, now);
-	if (rollout.updated < rollout.server_count) {
-		int slots = (rollout.server_count + 2) / 3 - rollout.loading;
-		int overdue = max_commanded(controller, shard, rollout.target, rollout.server_count, now) -
-			      rollout.updated - rollout.loading;
-
-		command_servers(controller, &rollout, slots < overdue ? overdue : slots, shard, now, out);
+	if (rollout.updated_count < rollout.server_count) {
+		int slots = (rollout.server_count + 2) / 3 - rollout.loading_count;
+		int slots_by_deadline =
+		    max_commanded_servers(controller, shard, rollout.target, rollout.server_count, now) -
+		    rollout.updated_count - rollout.loading_count;
+
+		command_servers(controller, &rollout, slots < slots_by_deadline ? slots_by_deadline : slots,
+				shard, now, out);
 		return;
 	}
 	completed = shgeti(state->rolled_out, service->name);
@@ -359,7 +375,8 @@
 		log_rolled_out(controller, service, shard, now, out);
 }
 
-static void tick_shard(struct controller *controller, uint32_t shard, int64_t now, struct command_list *out)
+static void tick_service_shard(struct controller *controller, uint32_t shard, int64_t now,
+			       struct command_list *out)
 {
 	const struct config_table *table = &controller->config_watch.table;
 
@@ -385,5 +402,5 @@
 		return;
 	for (uint32_t shard = SHARD_SERVICE; shard < SHARD_COUNT; shard++)
 		if (leads_shard(controller, shard, now))
-			tick_shard(controller, shard, now, out);
+			tick_service_shard(controller, shard, now, out);
 }
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -1,6 +1,6 @@
-/* rollout_instances: the target weights of models are rolled out to the servers of the platform's list. Every
- * command is logged before it leaves, so that a leader that takes over knows which servers may have had one
- * lately. */
+/* rollout_instances: rolls out the target versions of models' weights to the servers of the platform's
+ * endpoint list. On each tick the control shard's leader polls the list, advances the commands in progress,
+ * and chooses the servers to command next. */
 #include "rollout.h"
 
 #include <apr_strings.h>
@@ -14,7 +14,7 @@
 #include "rollout_command.h"
 #include "rollout_pace.h"
 
-enum { COMPLETION_RETRY_MS = 1000 }; /* before the end of a rollout is logged again */
+enum { COMPLETION_RETRY_MS = 1000 }; /* wait before the completion of a rollout is logged again */
 
 void rollout_open(struct rollout *rollout, int64_t now)
 {
@@ -38,14 +38,14 @@
 	struct rollout *rollout = &controller->rollout;
 	uint64_t term = controller->shards[SHARD_CONTROL].term;
 
-	/* nobody else sent commands in between if the terms follow each other */
+	/* if this node led the term just before, no other leader can have sent commands in between */
 	if (rollout->term && term == rollout->term + 1)
 		rollout->takeover_wait_ms = 0;
 	else
-		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_LEASE_SLACK_MS;
+		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_TAKEOVER_MARGIN_MS;
 	rollout->term_started_at_ms = now;
 	rollout->term = term;
-	rollout->command_seq = 0;
+	rollout->command_sequence = 0;
 	rollout->is_fenced = 0;
 	for (ptrdiff_t i = 0; i < arrlen(rollout->servers); i++)
 		rollout_server_free(&rollout->servers[i]);
@@ -57,8 +57,8 @@
 			    ROLLOUT_UNCONFIRMED;
 }
 
-/* What is learnt of a model's loads is recorded from its first target weights on. */
-static void add_models(struct controller *controller)
+/* Add the pace record of each model in the table that has none. */
+static void add_model_paces(struct controller *controller)
 {
 	for (ptrdiff_t i = 0; i < shlen(controller->config.table.rows); i++) {
 		const struct Nl__Row *row = controller->config.table.rows[i].value.row;
@@ -69,21 +69,21 @@
 	}
 }
 
-static int compare_due_times(const void *a, const void *b)
+static int compare_deadlines(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
 
 	return (x > y) - (x < y);
 }
 
-/* A zone's servers of one model. */
+/* The servers of one model in one zone. */
 struct zone_servers {
 	const char *zone;
-	int total;
-	int unavailable; /* load, or are about to */
+	int server_count;
+	int unavailable_count; /* servers with a load command in progress */
 };
 
-static struct zone_servers *zone_servers_of(struct zone_servers **zones, const char *zone, apr_pool_t *pool)
+static struct zone_servers *find_or_add_zone(struct zone_servers **zones, const char *zone, apr_pool_t *pool)
 {
 	struct zone_servers added = { 0 };
 
@@ -103,8 +103,8 @@
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Change change = NL__CHANGE__INIT;
 
-	/* an entry in the log behind the row as it is here would be undone; and this may be on its way
-	 * already */
+	/* The entry sets the complete row: it would revert a change of the row that is logged but not yet
+	 * applied here. An earlier proposal may also still be in progress. */
 	if (raft->log.applied_index != raft->log.base_index + (uint64_t)arrlen(raft->log.entries) ||
 	    now - pace->completion_logged_at_ms < COMPLETION_RETRY_MS)
 		return;
@@ -116,35 +116,38 @@
 	operation.change = &change;
 	if (log_operation(controller, SHARD_CONTROL, &operation, now, out)) {
 		pace->completion_logged_at_ms = now;
-		log_line(controller, "rollout", out->pool, "Every server has %s of %s.",
+		log_line(controller, "rollout", out->pool,
+			 "rollout complete on all listed servers, weights %s, model %s",
 			 model->target_weights, model->name);
 	}
 }
 
-/* Whether a server may be commanded now: nothing is under way there, and no leader before may have commanded
- * it lately. */
+/* Whether a server may be commanded now: it has no command in progress and no backoff, and any command of an
+ * earlier leader has expired. */
 static bool may_be_commanded(const struct controller *controller, const struct Nl__Instance *instance,
 			     int64_t now)
 {
 	const struct rollout_server *server = rollout_server_find(&controller->rollout, instance->server);
 
 	return !(server && (server->state != ROLLOUT_IDLE || now < server->retry_at_ms)) &&
-	       now >= rollout_commands_allowed_from(&controller->rollout, instance->server);
+	       now >= rollout_command_not_before_ms(&controller->rollout, instance->server);
 }
 
-/* Whether a candidate goes before the best so far: due sooner, or in a zone with a smaller share unavailable.
- */
-static bool is_better(int64_t deadline_ms, const struct zone_servers *zone, int64_t best_deadline_ms,
-		      const struct zone_servers *best_zone)
+/* Whether a candidate is preferred to the best one so far: its deadline is earlier, or the deadlines are
+ * equal and a smaller share of its zone's servers is unavailable. */
+static bool is_preferred_candidate(int64_t deadline_ms, const struct zone_servers *zone,
+				   int64_t best_deadline_ms, const struct zone_servers *best_zone)
 {
 	if (deadline_ms != best_deadline_ms)
 		return deadline_ms < best_deadline_ms;
-	return zone->unavailable * best_zone->total < best_zone->unavailable * zone->total;
+	return zone->unavailable_count * best_zone->server_count <
+	       best_zone->unavailable_count * zone->server_count;
 }
 
-/* The server to be commanded next; NULL: none. */
-static const struct Nl__Instance *next_to_command(struct controller *controller, const struct Nl__Row *model,
-						  struct zone_servers **zones, int64_t now, apr_pool_t *pool)
+/* Choose the server to be commanded next; NULL: none. */
+static const struct Nl__Instance *choose_next_server(struct controller *controller,
+						     const struct Nl__Row *model, struct zone_servers **zones,
+						     int64_t now, apr_pool_t *pool)
 {
 	const struct Nl__Instance *best = NULL;
 	int64_t best_deadline_ms = INT64_MAX;
@@ -160,8 +163,8 @@
 		    rollout_has_weights(instance->weights, model->target_weights))
 			continue;
 		deadline_ms = rollout_deadline_ms(controller, model, instance->weights);
-		zone = *zone_servers_of(zones, instance->zone, pool);
-		if (best && !is_better(deadline_ms, &zone, best_deadline_ms, &best_zone))
+		zone = *find_or_add_zone(zones, instance->zone, pool);
+		if (best && !is_preferred_candidate(deadline_ms, &zone, best_deadline_ms, &best_zone))
 			continue;
 		if (!may_be_commanded(controller, instance, now))
 			continue;
@@ -172,13 +175,15 @@
 	return best;
 }
 
-/* A server that does not come to an end, or has rejected, takes no slot from others. */
-static int holds_slot(const struct controller *controller, const struct rollout_server *server, int64_t now)
+/* Whether a server occupies one of the slots for concurrent loads. A server whose load has stalled, or that
+ * has rejected its command, does not. */
+static int occupies_load_slot(const struct controller *controller, const struct rollout_server *server,
+			      int64_t now)
 {
 	int is_rejected = server && server->state == ROLLOUT_UNCONFIRMED && now < server->retry_at_ms;
 
 	return server && server->state != ROLLOUT_IDLE && !is_rejected &&
-	       now - rollout_commanded_since(controller, server) <
+	       now - rollout_last_commanded_at_ms(controller, server) <
 		   controller->bounds.rollout_ms / ROLLOUT_STALL_DIVISOR;
 }
 
@@ -187,18 +192,19 @@
 	return server && (server->state == ROLLOUT_LOADING || server->state == ROLLOUT_UNCONFIRMED);
 }
 
-/* A model's servers as a rollout finds them. */
+/* State of a model's servers at one tick of its rollout. */
 struct rollout_survey {
-	int total;
-	int updated;
-	int busy;                   /* take one of the slots to load at once */
-	int loading;                /* of those, are known to load, or may: one yet to answer may reject */
+	int server_count;
+	int updated_count;
+	int occupied_slot_count;    /* servers that occupy a slot for concurrent loads */
+	int loading_count;          /* of these, servers that are or may be loading; not those whose
+				       reply is outstanding, since they may reject */
 	struct zone_servers *zones; /* stb_ds */
-	int64_t *deadline_ms;       /* stb_ds: of those that may be commanded now, soonest first */
+	int64_t *deadlines_ms;      /* stb_ds: of the servers that may be commanded now, soonest first */
 };
 
-static struct rollout_survey find_servers(struct controller *controller, const struct Nl__Row *model,
-					  int64_t now, struct command_list *out)
+static struct rollout_survey survey_servers(struct controller *controller, const struct Nl__Row *model,
+					    int64_t now, struct command_list *out)
 {
 	struct rollout_survey survey = { 0 };
 
@@ -213,59 +219,60 @@
 			continue;
 		server = rollout_server_find(&controller->rollout, instance->server);
 		if (server)
-			rollout_follow_up(controller, server, instance, model, now, out);
+			rollout_advance_server(controller, server, instance, model, now, out);
 		instance = controller->instances.rows[i].value.instance;
 		is_unavailable = server && server->state != ROLLOUT_IDLE;
-		survey.total++;
-		survey.busy += holds_slot(controller, server, now);
-		survey.loading += may_be_loading(server) && holds_slot(controller, server, now);
+		survey.server_count++;
+		survey.occupied_slot_count += occupies_load_slot(controller, server, now);
+		survey.loading_count += may_be_loading(server) && occupies_load_slot(controller, server, now);
 		if (!is_unavailable && rollout_has_weights(instance->weights, model->target_weights))
-			survey.updated++;
+			survey.updated_count++;
 		else if (may_be_commanded(controller, instance, now))
-			arrput(survey.deadline_ms, rollout_deadline_ms(controller, model, instance->weights));
-		zone = zone_servers_of(&survey.zones, instance->zone, out->pool);
-		zone->total++;
-		zone->unavailable += is_unavailable;
+			arrput(survey.deadlines_ms,
+			       rollout_deadline_ms(controller, model, instance->weights));
+		zone = find_or_add_zone(&survey.zones, instance->zone, out->pool);
+		zone->server_count++;
+		zone->unavailable_count += is_unavailable;
 	}
-	if (survey.deadline_ms)
-		qsort(survey.deadline_ms, (size_t)arrlen(survey.deadline_ms), sizeof *survey.deadline_ms,
-		      compare_due_times);
+	if (survey.deadlines_ms)
+		qsort(survey.deadlines_ms, (size_t)arrlen(survey.deadlines_ms), sizeof *survey.deadlines_ms,
+		      compare_deadlines);
 	return survey;
 }
 
-/* Command as many servers as there are slots for. */
+/* Begin load commands to as many servers as there are free slots. */
 static void command_servers(struct controller *controller, const struct Nl__Row *model,
 			    struct rollout_survey *survey, int64_t now, struct command_list *out)
 {
 	struct rollout_pace *pace = &shgetp(controller->rollout.models, model->name)->value;
-	int slots =
-	    rollout_concurrency(controller, pace, survey->total, survey->deadline_ms, survey->busy, now) -
-	    survey->busy;
+	int slots = rollout_concurrency(controller, pace, survey->server_count, survey->deadlines_ms,
+					survey->occupied_slot_count, now) -
+		    survey->occupied_slot_count;
 
 	if (controller->rollout.is_fenced ||
 	    now >= controller->shards[SHARD_CONTROL].lease.expires_at_ms - ROLLOUT_LEASE_MARGIN_MS)
 		return;
 	while (slots-- > 0) {
 		const struct Nl__Instance *next =
-		    next_to_command(controller, model, &survey->zones, now, out->pool);
+		    choose_next_server(controller, model, &survey->zones, now, out->pool);
 
 		if (!next)
 			break;
-		zone_servers_of(&survey->zones, next->zone, out->pool)->unavailable++;
+		find_or_add_zone(&survey->zones, next->zone, out->pool)->unavailable_count++;
 		rollout_begin_command(controller, rollout_server_get(&controller->rollout, next->server),
 				      model, next, now, out);
-		survey->busy++;
+		survey->occupied_slot_count++;
 	}
 }
 
-/* Go on with a model's rollout; returns 1 when nothing is left to do. */
+/* Advance a model's rollout. Returns 1 when it is complete and its completion is recorded. */
 static int roll_out_model(struct controller *controller, const struct Nl__Row *model, int64_t now,
 			  struct command_list *out)
 {
-	struct rollout_survey survey = find_servers(controller, model, now, out);
-	int complete = survey.updated == survey.total;
+	struct rollout_survey survey = survey_servers(controller, model, now, out);
+	int complete = survey.updated_count == survey.server_count;
 
-	if (survey.total && complete && strcmp(model->rolled_out, model->target_weights))
+	if (survey.server_count && complete && strcmp(model->rolled_out, model->target_weights))
 		log_rolled_out(controller, &shgetp(controller->rollout.models, model->name)->value, model,
 			       now, out);
 	if (!complete)
@@ -273,56 +280,57 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->rollout.servers); i++) {
 		struct rollout_server *server = &controller->rollout.servers[i];
 
-		if (may_be_loading(server) && server->max_concurrent_loads < survey.loading)
-			server->max_concurrent_loads = survey.loading;
+		if (may_be_loading(server) && server->max_concurrent_loads < survey.loading_count)
+			server->max_concurrent_loads = survey.loading_count;
 	}
 	arrfree(survey.zones);
-	arrfree(survey.deadline_ms);
-	return !survey.total || (complete && !strcmp(model->rolled_out, model->target_weights));
+	arrfree(survey.deadlines_ms);
+	return !survey.server_count || (complete && !strcmp(model->rolled_out, model->target_weights));
 }
 
-/* Drop what is recorded of servers that serve no more; returns whether any command is under way. */
+/* Drop the records of servers that no longer serve. Returns whether any command is in progress. */
 static int drop_ended_servers(struct controller *controller)
 {
 	struct rollout *rollout = &controller->rollout;
-	int any_busy = 0;
+	int any_command_active = 0;
 
 	for (ptrdiff_t i = arrlen(rollout->servers) - 1; i >= 0; i--) {
 		const struct Nl__Instance *instance =
 		    instances_get(&controller->instances, rollout->servers[i].name);
 
 		if (instance && instance->state == INSTANCE_SERVING) {
-			any_busy |= rollout->servers[i].state != ROLLOUT_IDLE;
+			any_command_active |= rollout->servers[i].state != ROLLOUT_IDLE;
 			continue;
 		}
 		rollout_server_free(&rollout->servers[i]);
 		arrdelswap(rollout->servers, i);
 	}
-	return any_busy;
+	return any_command_active;
 }
 
 void rollout_instances_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	struct rollout *rollout = &controller->rollout;
 	const struct config_table *table = &controller->config.table;
-	int any_busy, all_done = 1;
+	int any_command_active, all_complete = 1;
 
 	if (!controller->bounds.discover_instances)
 		return;
-	add_models(controller);
+	add_model_paces(controller);
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
-	any_busy = drop_ended_servers(controller);
-	instances_tick(&controller->instances, any_busy, controller->bounds.list_calls_millihertz,
+	any_command_active = drop_ended_servers(controller);
+	instances_tick(&controller->instances, any_command_active, controller->bounds.list_calls_millihertz,
 		       ++controller->identity.last_token, now, out);
 	if (!controller->instances.is_publishable ||
-	    (rollout->done_stamp == controller->instances.stamp && rollout->done_revision == table->revision))
+	    (rollout->completed_stamp == controller->instances.stamp &&
+	     rollout->completed_revision == table->revision))
 		return;
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		if (table->rows[i].value.row->kind == NL__KIND__MODEL)
-			all_done &= roll_out_model(controller, table->rows[i].value.row, now, out);
-	if (all_done) { /* until an instance or the table changes */
-		rollout->done_stamp = controller->instances.stamp;
-		rollout->done_revision = table->revision;
+			all_complete &= roll_out_model(controller, table->rows[i].value.row, now, out);
+	if (all_complete) { /* skip the models until an instance or the table changes */
+		rollout->completed_stamp = controller->instances.stamp;
+		rollout->completed_revision = table->revision;
 	}
 }
