--- a/lib/core/packing.c
+++ b/lib/core/packing.c
@@ -14,10 +14,10 @@
 	return apr_palloc(pool, size);
 }
 
-static void pool_free(void *pool, void *data)
+static void pool_free(void *pool, void *memory)
 {
 	(void)pool;
-	(void)data;
+	(void)memory;
 }
 
 ProtobufCMessage *core_unpack_message(apr_pool_t *pool, const ProtobufCMessageDescriptor *type, size_t size,
--- a/lib/core/prefix_index.c
+++ b/lib/core/prefix_index.c
@@ -8,10 +8,10 @@
 void prefix_index_put(struct prefix_index *index, uint64_t block_hash, const struct block_replica *replica)
 {
 	struct prefix_index_row *row = hmgetp_null(index->blocks, block_hash);
-	struct block_replica *none = NULL;
+	struct block_replica *empty = NULL;
 
 	if (!row) {
-		hmput(index->blocks, block_hash, none);
+		hmput(index->blocks, block_hash, empty);
 		row = hmgetp(index->blocks, block_hash);
 	}
 	for (ptrdiff_t i = 0; i < arrlen(row->value); i++)
@@ -31,7 +31,7 @@
 	return row ? row->value : NULL;
 }
 
-static void remove_if_empty(struct prefix_index *index, struct prefix_index_row *row)
+static void remove_row_if_empty(struct prefix_index *index, struct prefix_index_row *row)
 {
 	uint64_t key = row->key;
 
@@ -53,7 +53,7 @@
 				arrdelswap(row->value, j);
 				index->replica_count--;
 			}
-		remove_if_empty(index, row);
+		remove_row_if_empty(index, row);
 	}
 }
 
@@ -68,29 +68,28 @@
 			arrdelswap(row->value, i);
 			index->replica_count--;
 		}
-	remove_if_empty(index, row);
+	remove_row_if_empty(index, row);
 }
 
 /* What prefix_index_remove_unreported looks for. */
-struct unreported {
+struct unreported_query {
 	uint32_t server_index;
 	uint64_t report_number;
 };
 
 static bool is_unreported(const void *context, uint64_t block_hash, const struct block_replica *replica)
 {
-	const struct unreported *wanted = context;
+	const struct unreported_query *query = context;
 
 	(void)block_hash;
-	return replica->server_index == wanted->server_index &&
-	       replica->report_number < wanted->report_number;
+	return replica->server_index == query->server_index && replica->report_number < query->report_number;
 }
 
 void prefix_index_remove_unreported(struct prefix_index *index, uint32_t server_index, uint64_t report_number)
 {
-	struct unreported wanted = { server_index, report_number };
+	struct unreported_query query = { server_index, report_number };
 
-	prefix_index_remove_if(index, is_unreported, &wanted);
+	prefix_index_remove_if(index, is_unreported, &query);
 }
 
 void prefix_index_clear(struct prefix_index *index)
--- a/lib/core/purge_relay.c
+++ b/lib/core/purge_relay.c
@@ -6,7 +6,7 @@
 
 #include "containers.h"
 
-enum { MAX_WANTED = 8 }; /* ranges in one curiosity message */
+enum { MAX_REQUESTED_RANGES = 8 }; /* ranges in one curiosity message */
 
 void relay_open(struct relay *relay, int64_t now)
 {
@@ -71,8 +71,8 @@
 
 /* Say up to which tick all was known, and how long ago: the receiver's own clock in the request that this
  * follows dates it. */
-static void date_knowledge(const struct relay *relay, struct Nl__Knowledge *knowledge,
-			   int64_t request_clock_ms, int64_t now)
+static void set_knowledge_age(const struct relay *relay, struct Nl__Knowledge *knowledge,
+			      int64_t request_clock_ms, int64_t now)
 {
 	knowledge->age_ms = knowledge_age_ms(relay, now);
 	knowledge->request_clock_ms = request_clock_ms;
@@ -90,7 +90,7 @@
 		if (!knowledge_append(&relay->knowledge, first, last, knowledge, out) ||
 		    !knowledge->n_increments)
 			continue;
-		date_knowledge(relay, knowledge, downstream->request_clock_ms, now);
+		set_knowledge_age(relay, knowledge, downstream->request_clock_ms, now);
 		command_send(out, downstream->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge =
 		    knowledge;
 		relay->increments_sent += knowledge->n_increments;
@@ -100,14 +100,14 @@
 /* A lower bound, on our clock, of when the content of a message was true: it was sent after our request, and
  * was age_ms old then. A message that lay in a buffer while a link was down or this process was frozen still
  * names an earlier request, and proves nothing newer. 0: it names no request of ours. */
-static int64_t known_as_of(int64_t request_clock_ms, uint32_t age_ms, int64_t now)
+static int64_t earliest_valid_at_ms(int64_t request_clock_ms, uint32_t age_ms, int64_t now)
 {
 	return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0;
 }
 
 /* Everything decided up to known_at_ms has a tick up to horizon, as its sender says: so it holds for us once
  * we know as much, whichever message brought the ticks themselves. */
-static void note_known(struct relay *relay, uint64_t horizon, int64_t known_at_ms)
+static void advance_known_at(struct relay *relay, uint64_t horizon, int64_t known_at_ms)
 {
 	if (relay->knowledge.horizon >= horizon && known_at_ms > relay->known_at_ms)
 		relay->known_at_ms = known_at_ms;
@@ -140,12 +140,12 @@
 {
 	int is_new = learn_range(relay, first, last, value, now);
 
-	note_known(relay, last, now);
+	advance_known_at(relay, last, now);
 	if (is_new)
 		send_increments(relay, first, last, now, out);
 }
 
-static bool is_valid(const struct Nl__Increment *increment)
+static bool is_valid_increment(const struct Nl__Increment *increment)
 {
 	const struct Nl__Value *value = increment->value;
 
@@ -157,20 +157,21 @@
 static void on_knowledge(struct relay *relay, const struct Nl__Knowledge *knowledge, int64_t now,
 			 struct command_list *out)
 {
-	int64_t known_at_ms = known_as_of(knowledge->request_clock_ms, knowledge->age_ms, now);
+	int64_t known_at_ms = earliest_valid_at_ms(knowledge->request_clock_ms, knowledge->age_ms, now);
 	bool *is_new = apr_pcalloc(out->pool, (knowledge->n_increments + 1) * sizeof *is_new);
 	uint64_t old_horizon = relay->knowledge.horizon;
 
 	for (size_t i = 0; i < knowledge->n_increments; i++) {
 		const struct Nl__Increment *increment = knowledge->increments[i];
 
-		is_new[i] = is_valid(increment) && learn_range(relay, increment->first, increment->last,
-							       increment->value, now - knowledge->age_ms);
+		is_new[i] =
+		    is_valid_increment(increment) && learn_range(relay, increment->first, increment->last,
+								 increment->value, now - knowledge->age_ms);
 	}
 	if (knowledge->horizon)
-		note_known(relay, knowledge->horizon, known_at_ms);
+		advance_known_at(relay, knowledge->horizon, known_at_ms);
 	else if (relay->knowledge.horizon > old_horizon) /* a sender of an earlier version */
-		note_known(relay, 0, known_at_ms);
+		advance_known_at(relay, 0, known_at_ms);
 	for (size_t i = 0; i < knowledge->n_increments; i++)
 		if (is_new[i])
 			send_increments(relay, knowledge->increments[i]->first,
@@ -180,7 +181,7 @@
 static void on_purge_snapshot(struct relay *relay, const struct Nl__PurgeSnapshot *snapshot, int64_t now,
 			      struct command_list *out)
 {
-	bool brings_ticks = snapshot->upto_tick > relay->knowledge.horizon;
+	bool has_new_ticks = snapshot->upto_tick > relay->knowledge.horizon;
 
 	for (size_t i = 0; i < snapshot->n_latest; i++)
 		if (snapshot->latest[i]->purge) {
@@ -188,12 +189,12 @@
 			if (relay->on_value)
 				relay->on_value(relay->context, snapshot->latest[i]);
 		}
-	if (brings_ticks)
+	if (has_new_ticks)
 		learn_range(relay, relay->knowledge.horizon + 1, snapshot->upto_tick, NULL,
 			    now - snapshot->age_ms);
-	note_known(relay, snapshot->upto_tick,
-		   known_as_of(snapshot->request_clock_ms, snapshot->age_ms, now));
-	if (!brings_ticks)
+	advance_known_at(relay, snapshot->upto_tick,
+			 earliest_valid_at_ms(snapshot->request_clock_ms, snapshot->age_ms, now));
+	if (!has_new_ticks)
 		return;
 	/* the values themselves are not held here: downstreams need a snapshot as well */
 	knowledge_release(&relay->knowledge, snapshot->upto_tick);
@@ -221,7 +222,7 @@
  * all above what is known. */
 static void send_curiosity(struct relay *relay, int requests_ranges, int64_t now, struct command_list *out)
 {
-	struct tick_range gap[MAX_WANTED];
+	struct tick_range gaps[MAX_REQUESTED_RANGES];
 	size_t upstream_count = (size_t)arrlen(relay->upstreams);
 	struct Nl__Curiosity *curiosity;
 	uint64_t upstream;
@@ -230,19 +231,19 @@
 	if (relay->is_publisher || !upstream_count)
 		return;
 	requests_ranges = requests_ranges && !relay->curiosity_disabled;
-	gap_count = requests_ranges ? knowledge_gaps(&relay->knowledge, gap, MAX_WANTED) : 0;
+	gap_count = requests_ranges ? knowledge_gaps(&relay->knowledge, gaps, MAX_REQUESTED_RANGES) : 0;
 	curiosity = MESSAGE_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
 	curiosity->acknowledged_tick = relay_acknowledged_tick(relay);
 	curiosity->highest_tick = knowledge_reach(&relay->knowledge);
 	curiosity->needs_snapshot = !relay->has_knowledge;
 	curiosity->request_clock_ms = now;
-	curiosity->wanted = apr_palloc(out->pool, MAX_WANTED * sizeof *curiosity->wanted);
-	if (requests_ranges && gap_count < MAX_WANTED)
-		gap[gap_count++] = (struct tick_range){ curiosity->highest_tick + 1, UINT64_MAX };
+	curiosity->wanted = apr_palloc(out->pool, MAX_REQUESTED_RANGES * sizeof *curiosity->wanted);
+	if (requests_ranges && gap_count < MAX_REQUESTED_RANGES)
+		gaps[gap_count++] = (struct tick_range){ curiosity->highest_tick + 1, UINT64_MAX };
 	for (int i = 0; i < gap_count; i++) {
 		curiosity->wanted[i] = MESSAGE_NEW(out, Nl__TickRange, NL__TICK_RANGE__INIT);
-		curiosity->wanted[i]->first = gap[i].first;
-		curiosity->wanted[i]->last = gap[i].last;
+		curiosity->wanted[i]->first = gaps[i].first;
+		curiosity->wanted[i]->last = gaps[i].last;
 		curiosity->n_wanted++;
 	}
 	relay->requested_at_ms = now;
@@ -259,7 +260,7 @@
 }
 
 /* Remember what a downstream says of itself; one that is new is added. */
-static void note_downstream(struct relay *relay, const struct Nl__Msg *message, int64_t now)
+static void update_downstream(struct relay *relay, const struct Nl__Msg *message, int64_t now)
 {
 	const struct Nl__Curiosity *curiosity = message->curiosity;
 	struct relay_downstream *downstream = find_downstream(relay, message->id);
@@ -279,29 +280,30 @@
 
 /* Answer what is known of the wanted ranges; a snapshot where they reach below what is held. 1 when anything
  * was answered, or all that is wanted is known. */
-static int answer_wanted(struct relay *relay, const struct Nl__Msg *message, int64_t now,
-			 struct command_list *out)
+static int answer_requested_ranges(struct relay *relay, const struct Nl__Msg *message, int64_t now,
+				   struct command_list *out)
 {
 	const struct Nl__Curiosity *curiosity = message->curiosity;
 	struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
-	uint64_t reach = knowledge_reach(&relay->knowledge);
-	int has_unknown = 0, complete = 1;
+	uint64_t highest_tick = knowledge_reach(&relay->knowledge);
+	int has_unknown_ticks = 0, all_held = 1;
 
 	for (size_t i = 0; i < curiosity->n_wanted; i++) {
-		const struct Nl__TickRange *wanted = curiosity->wanted[i];
-		uint64_t last = wanted->last < reach ? wanted->last : reach;
+		const struct Nl__TickRange *requested = curiosity->wanted[i];
+		uint64_t last = requested->last < highest_tick ? requested->last : highest_tick;
 
-		if (wanted->first <= last)
-			complete &= knowledge_append(&relay->knowledge, wanted->first, last, knowledge, out);
-		has_unknown |= wanted->last > relay->knowledge.horizon;
+		if (requested->first <= last)
+			all_held &=
+			    knowledge_append(&relay->knowledge, requested->first, last, knowledge, out);
+		has_unknown_ticks |= requested->last > relay->knowledge.horizon;
 	}
-	if (!complete) {
+	if (!all_held) {
 		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
 	} else if (knowledge->n_increments) {
-		date_knowledge(relay, knowledge, curiosity->request_clock_ms, now);
+		set_knowledge_age(relay, knowledge, curiosity->request_clock_ms, now);
 		command_send(out, message->addr, SHARD_PURGE, NL__MSG__BODY_KNOWLEDGE)->knowledge = knowledge;
 	}
-	return !has_unknown || knowledge->n_increments;
+	return !has_unknown_ticks || knowledge->n_increments;
 }
 
 static void on_curiosity(struct relay *relay, const struct Nl__Msg *message, int64_t now,
@@ -311,13 +313,14 @@
 
 	if (!relay->has_knowledge)
 		return;
-	note_downstream(relay, message, now);
+	update_downstream(relay, message, now);
 	if (curiosity->needs_snapshot || curiosity->acknowledged_tick < relay->knowledge.released) {
 		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
 		return;
 	}
 	/* pass the request further up, unless one was sent lately */
-	if (!answer_wanted(relay, message, now, out) && now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+	if (!answer_requested_ranges(relay, message, now, out) &&
+	    now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, 1, now, out);
 }
 
@@ -355,7 +358,7 @@
 
 void relay_tick(struct relay *relay, int64_t now, struct command_list *out)
 {
-	struct tick_range gap[1];
+	struct tick_range gaps[1];
 	int requests_ranges;
 
 	for (ptrdiff_t i = arrlen(relay->downstreams) - 1; i >= 0; i--)
@@ -369,7 +372,7 @@
 	if (relay->is_publisher)
 		return;
 	requests_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
-			  knowledge_gaps(&relay->knowledge, gap, 1);
+			  knowledge_gaps(&relay->knowledge, gaps, 1);
 	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, requests_ranges, now, out);
 	try_next_upstream(relay, now);
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -19,24 +19,24 @@
 /* What the leader knows when it decides on a change. */
 struct fleet_view {
 	struct raft *raft;
-	const struct raft_member *live; /* controllers known to the fleet, with their zones */
-	int live_count;
+	const struct raft_member *controllers; /* controllers known to the fleet, with their zones */
+	int controller_count;
 	int64_t now;
 };
 
 /* The state of the membership. Positions are in raft->group.members; -1: none. */
 struct membership_status {
-	int voters;
-	int suspects;       /* voters that are silent, for whom a learner is prepared */
-	int lost_voters;    /* voters silent for longer than member_lost_ms */
-	int lost_voter;     /* position of one of them */
-	int draining_voter; /* position of one that is to stop, while those who stay are no majority by
-			       themselves */
-	int learner;        /* position */
-	int lost_learner;   /* position */
+	int voter_count;
+	int suspect_count;           /* voters that are silent, for whom a learner is prepared */
+	int lost_voter_count;        /* voters silent for longer than member_lost_ms */
+	int lost_voter_position;     /* position of one of them */
+	int draining_voter_position; /* position of one that is to stop, while those who stay are no majority
+			       by themselves */
+	int learner_position;        /* position */
+	int lost_learner_position;   /* position */
 };
 
-static void change_members(struct raft *raft, const struct raft_member *members, int count)
+static void log_members(struct raft *raft, const struct raft_member *members, int count)
 {
 	size_t len;
 	uint8_t *packed = raft_pack_members(raft, members, count, &len);
@@ -46,32 +46,32 @@
 	free(packed);
 }
 
-static const struct raft_member *find_live(const struct fleet_view *view, uint64_t id)
+static const struct raft_member *find_controller(const struct fleet_view *view, uint64_t id)
 {
-	for (int i = 0; i < view->live_count; i++)
-		if (view->live[i].id == id)
-			return &view->live[i];
+	for (int i = 0; i < view->controller_count; i++)
+		if (view->controllers[i].id == id)
+			return &view->controllers[i];
 	return NULL;
 }
 
 /* Another identity has the address of a member: the disk of that member was lost, and it will not come back.
  */
-static bool is_replaced(const struct fleet_view *view, const struct raft_member *member)
+static bool is_address_reused(const struct fleet_view *view, const struct raft_member *member)
 {
-	int other = 0;
+	int address_in_use = 0;
 
-	for (int i = 0; i < view->live_count; i++) {
-		if (view->live[i].id == member->id)
+	for (int i = 0; i < view->controller_count; i++) {
+		if (view->controllers[i].id == member->id)
 			return false;
-		other |= view->live[i].addr == member->addr;
+		address_in_use |= view->controllers[i].addr == member->addr;
 	}
-	return other && view->now - member->progress.last_reply_at_ms > RAFT_LEASE_MS;
+	return address_in_use && view->now - member->progress.last_reply_at_ms > RAFT_LEASE_MS;
 }
 
 static bool is_silent_for(const struct fleet_view *view, const struct raft_member *member, int64_t silent_ms)
 {
 	return member->id != view->raft->id &&
-	       (view->now - member->progress.last_reply_at_ms > silent_ms || is_replaced(view, member));
+	       (view->now - member->progress.last_reply_at_ms > silent_ms || is_address_reused(view, member));
 }
 
 static bool is_suspect(const struct fleet_view *view, const struct raft_member *member)
@@ -98,114 +98,117 @@
 /* Whether these members could commit and elect by themselves at once. */
 static bool has_ready_majority(const struct fleet_view *view, const struct raft_member *members, int count)
 {
-	int voters = 0, ready = 0;
+	int voter_count = 0, ready_count = 0;
 
 	for (int i = 0; i < count; i++) {
-		voters += members[i].voter;
-		ready += members[i].voter && is_caught_up(view, &members[i]);
+		voter_count += members[i].voter;
+		ready_count += members[i].voter && is_caught_up(view, &members[i]);
 	}
-	return ready > voters / 2;
+	return ready_count > voter_count / 2;
 }
 
 /* Voters of a zone that are not silent. */
-static int voters_in_zone(const struct fleet_view *view, uint64_t zone)
+static int responsive_voters_in_zone(const struct fleet_view *view, uint64_t zone)
 {
 	const struct raft *raft = view->raft;
-	int n = 0;
+	int voter_count = 0;
 
 	for (int i = 0; i < raft->group.member_count && zone; i++)
-		n += raft->group.members[i].voter && raft->group.members[i].zone == zone &&
-		     !is_suspect(view, &raft->group.members[i]);
-	return n;
+		voter_count += raft->group.members[i].voter && raft->group.members[i].zone == zone &&
+			       !is_suspect(view, &raft->group.members[i]);
+	return voter_count;
 }
 
 /* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing ranks
  * first. */
-static const struct raft_member *next_replica(const struct fleet_view *view)
+static const struct raft_member *next_controller_to_join(const struct fleet_view *view)
 {
 	const struct raft_member *best = NULL;
-	uint32_t group = view->raft->shard;
-	int fewest = 0;
+	uint32_t shard = view->raft->shard;
+	int fewest_voters = 0;
 
-	for (int i = 0; i < view->live_count; i++) {
-		const struct raft_member *candidate = &view->live[i];
-		int n = candidate->zone ? voters_in_zone(view, candidate->zone)
-					: RAFT_MAX_MEMBERS; /* unknown yet: last */
+	for (int i = 0; i < view->controller_count; i++) {
+		const struct raft_member *controller = &view->controllers[i];
+		int zone_voters = controller->zone ? responsive_voters_in_zone(view, controller->zone)
+						   : RAFT_MAX_MEMBERS; /* unknown yet: last */
 
-		if (raft_find_member(view->raft, candidate->id) || raft_is_fenced(view->raft, candidate->id))
+		if (raft_find_member(view->raft, controller->id) ||
+		    raft_is_fenced(view->raft, controller->id))
 			continue;
-		if (best && (n > fewest || (n == fewest && core_rendezvous_weight(group, candidate->id) <=
-							       core_rendezvous_weight(group, best->id))))
+		if (best && (zone_voters > fewest_voters ||
+			     (zone_voters == fewest_voters && core_rendezvous_weight(shard, controller->id) <=
+								  core_rendezvous_weight(shard, best->id))))
 			continue;
-		best = candidate;
-		fewest = n;
+		best = controller;
+		fewest_voters = zone_voters;
 	}
 	return best;
 }
 
 /* One voter too many: of the zone with the most voters, the one that rendezvous hashing ranks last; never the
  * leader. */
-static int surplus_voter(const struct fleet_view *view)
+static int find_surplus_voter(const struct fleet_view *view)
 {
 	const struct raft *raft = view->raft;
-	int worst = -1, most = 0;
+	int surplus_position = -1, most_voters = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
-		int n = voters_in_zone(view, member->zone);
+		int zone_voters = responsive_voters_in_zone(view, member->zone);
 
 		if (member->id == raft->id || !member->voter)
 			continue;
-		if (worst >= 0 &&
-		    (n < most ||
-		     (n == most && core_rendezvous_weight(raft->shard, member->id) >=
-				       core_rendezvous_weight(raft->shard, raft->group.members[worst].id))))
+		if (surplus_position >= 0 &&
+		    (zone_voters < most_voters ||
+		     (zone_voters == most_voters &&
+		      core_rendezvous_weight(raft->shard, member->id) >=
+			  core_rendezvous_weight(raft->shard, raft->group.members[surplus_position].id))))
 			continue;
-		worst = i;
-		most = n;
+		surplus_position = i;
+		most_voters = zone_voters;
 	}
-	return worst;
+	return surplus_position;
 }
 
 /* Whether a controller's zone has two voters fewer than another: its joining spreads the group better. */
-static int spreads_zones(const struct fleet_view *view, const struct raft_member *candidate)
+static int improves_zone_spread(const struct fleet_view *view, const struct raft_member *controller)
 {
 	const struct raft *raft = view->raft;
-	int most = 0;
+	int most_voters = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
-		int n = voters_in_zone(view, raft->group.members[i].zone);
+		int zone_voters = responsive_voters_in_zone(view, raft->group.members[i].zone);
 
-		if (n > most)
-			most = n;
+		if (zone_voters > most_voters)
+			most_voters = zone_voters;
 	}
-	return candidate->zone && voters_in_zone(view, candidate->zone) + 2 <= most;
+	return controller->zone && responsive_voters_in_zone(view, controller->zone) + 2 <= most_voters;
 }
 
 /* Update zones and addresses to what the fleet knows; 1 when an address has changed and is being logged. */
-static int update_addresses(const struct fleet_view *view)
+static int update_zones_and_addresses(const struct fleet_view *view)
 {
 	struct raft *raft = view->raft;
 	struct raft_member members[RAFT_MAX_MEMBERS];
-	int moved = 0;
+	int has_changed = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
-		const struct raft_member *known = find_live(view, raft->group.members[i].id);
+		const struct raft_member *controller = find_controller(view, raft->group.members[i].id);
 
-		if (known && known->zone)
-			raft->group.members[i].zone = known->zone;
+		if (controller && controller->zone)
+			raft->group.members[i].zone = controller->zone;
 	}
 	memcpy(members, raft->group.members, sizeof members);
-	for (int i = 0; i < raft->group.member_count && !moved; i++) {
-		const struct raft_member *known = find_live(view, members[i].id);
+	for (int i = 0; i < raft->group.member_count && !has_changed; i++) {
+		const struct raft_member *controller = find_controller(view, members[i].id);
 
-		moved = known && known->addr != members[i].addr;
-		if (moved)
-			members[i].addr = known->addr;
+		has_changed = controller && controller->addr != members[i].addr;
+		if (has_changed)
+			members[i].addr = controller->addr;
 	}
-	if (moved)
-		change_members(raft, members, raft->group.member_count);
-	return moved;
+	if (has_changed)
+		log_members(raft, members, raft->group.member_count);
+	return has_changed;
 }
 
 /* A draining voter is replaced beforehand where those who stay could not go on by themselves. */
@@ -217,29 +220,30 @@
 static struct membership_status assess_members(const struct fleet_view *view)
 {
 	const struct raft *raft = view->raft;
-	struct membership_status standing = {
-		.lost_voter = -1, .draining_voter = -1, .learner = -1, .lost_learner = -1
-	};
+	struct membership_status status = { .lost_voter_position = -1,
+					    .draining_voter_position = -1,
+					    .learner_position = -1,
+					    .lost_learner_position = -1 };
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 
 		if (!member->voter) {
 			if (is_silent_for(view, member, LEARNER_LOST_MS) || raft_is_fenced(raft, member->id))
-				standing.lost_learner = i;
+				status.lost_learner_position = i;
 			else
-				standing.learner = i;
+				status.learner_position = i;
 			continue;
 		}
-		standing.voters++;
-		standing.suspects += is_suspect(view, member) || needs_successor(raft, member);
+		status.voter_count++;
+		status.suspect_count += is_suspect(view, member) || needs_successor(raft, member);
 		if (needs_successor(raft, member))
-			standing.draining_voter = i;
-		standing.lost_voters += is_lost(view, member);
+			status.draining_voter_position = i;
+		status.lost_voter_count += is_lost(view, member);
 		if (is_lost(view, member))
-			standing.lost_voter = i;
+			status.lost_voter_position = i;
 	}
-	return standing;
+	return status;
 }
 
 /* Remove one member, unless the others would lack a live majority that holds all that is committed. */
@@ -251,7 +255,7 @@
 	memcpy(members, raft->group.members, sizeof members);
 	members[position] = members[raft->group.member_count - 1];
 	if (has_ready_majority(view, members, raft->group.member_count - 1))
-		change_members(raft, members, raft->group.member_count - 1);
+		log_members(raft, members, raft->group.member_count - 1);
 }
 
 /* Give a learner its vote; it holds all that is committed. */
@@ -263,7 +267,7 @@
 	memcpy(members, raft->group.members, sizeof members);
 	members[position].voter = 1;
 	if (has_ready_majority(view, members, raft->group.member_count))
-		change_members(raft, members, raft->group.member_count);
+		log_members(raft, members, raft->group.member_count);
 }
 
 static void add_learner(const struct fleet_view *view, const struct raft_member *joining)
@@ -276,83 +280,85 @@
 	memset(&members[count], 0, sizeof *members);
 	members[count].id = joining->id;
 	members[count].addr = joining->addr;
-	change_members(raft, members, count + 1);
+	log_members(raft, members, count + 1);
 	raft_find_member(raft, joining->id)->progress.last_reply_at_ms = view->now;
 	raft_find_member(raft, joining->id)->zone = joining->zone;
 }
 
 /* A learner has stopped answering. Where it makes up for a voter of the minimum it is removed only once
  * another has caught up. */
-static void replace_learner(const struct fleet_view *view, const struct membership_status *standing,
-			    const struct raft_member *joining)
+static void replace_lost_learner(const struct fleet_view *view, const struct membership_status *status,
+				 const struct raft_member *joining)
 {
-	int others = standing->voters + (standing->learner >= 0 &&
-					 is_caught_up(view, &view->raft->group.members[standing->learner]));
+	int remaining_voters =
+	    status->voter_count + (status->learner_position >= 0 &&
+				   is_caught_up(view, &view->raft->group.members[status->learner_position]));
 
-	if (others >= RAFT_MIN_VOTERS)
-		remove_member(view, standing->lost_learner);
-	else if (standing->learner < 0 && joining)
+	if (remaining_voters >= RAFT_MIN_VOTERS)
+		remove_member(view, status->lost_learner_position);
+	else if (status->learner_position < 0 && joining)
 		add_learner(view, joining);
 }
 
 /* There is a learner: promote it, remove the voter that it replaces first, or remove it when it is no longer
  * needed. */
-static void use_learner(const struct fleet_view *view, const struct membership_status *standing)
+static void promote_or_remove_learner(const struct fleet_view *view, const struct membership_status *status)
 {
 	const struct raft *raft = view->raft;
-	const struct raft_member *learner = &raft->group.members[standing->learner];
-	int wanted =
-	    standing->voters < raft->group.replicas || (!standing->suspects && spreads_zones(view, learner));
+	const struct raft_member *learner = &raft->group.members[status->learner_position];
+	int is_needed = status->voter_count < raft->group.replicas ||
+			(!status->suspect_count && improves_zone_spread(view, learner));
 
-	if (!standing->suspects && !wanted) {
-		remove_member(view, standing->learner);
+	if (!status->suspect_count && !is_needed) {
+		remove_member(view, status->learner_position);
 		return;
 	}
 	if (!is_caught_up(view, learner) || learner->progress.match_index < raft->log.term_start_index)
 		return;
-	if (standing->lost_voter >= 0)
-		remove_member(view, standing->lost_voter);
-	else if (wanted || standing->draining_voter >= 0)
-		promote_learner(view, standing->learner);
+	if (status->lost_voter_position >= 0)
+		remove_member(view, status->lost_voter_position);
+	else if (is_needed || status->draining_voter_position >= 0)
+		promote_learner(view, status->learner_position);
 }
 
 /* Without a successor a lost voter is removed where that lets the rest survive one more loss, never below the
  * minimum. */
-static int shrinks_well(const struct membership_status *standing)
+static int removal_improves_fault_tolerance(const struct membership_status *status)
 {
-	return standing->lost_voters && standing->voters > RAFT_MIN_VOTERS &&
-	       (standing->voters % 2 == 0 || standing->lost_voters > 1);
+	return status->lost_voter_count && status->voter_count > RAFT_MIN_VOTERS &&
+	       (status->voter_count % 2 == 0 || status->lost_voter_count > 1);
 }
 
 void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now)
 {
 	struct fleet_view view = { raft, live, live_count, now };
 	const struct raft_member *joining;
-	struct membership_status standing;
+	struct membership_status status;
 
 	if (!raft_has_lease(raft, now) || raft->group.members_index > raft->log.commit_index ||
-	    update_addresses(&view))
+	    update_zones_and_addresses(&view))
 		return;
-	standing = assess_members(&view);
-	joining = raft->group.member_count < RAFT_MAX_MEMBERS ? next_replica(&view) : NULL;
-	if (standing.lost_learner >= 0) {
-		replace_learner(&view, &standing, joining);
+	status = assess_members(&view);
+	joining = raft->group.member_count < RAFT_MAX_MEMBERS ? next_controller_to_join(&view) : NULL;
+	if (status.lost_learner_position >= 0) {
+		replace_lost_learner(&view, &status, joining);
 		return;
 	}
-	if (standing.learner >= 0) {
-		use_learner(&view, &standing);
+	if (status.learner_position >= 0) {
+		promote_or_remove_learner(&view, &status);
 		return;
 	}
 	if (joining &&
-	    (standing.suspects || standing.voters < raft->group.replicas || spreads_zones(&view, joining)) &&
-	    standing.voters <= raft->group.replicas)
+	    (status.suspect_count || status.voter_count < raft->group.replicas ||
+	     improves_zone_spread(&view, joining)) &&
+	    status.voter_count <= raft->group.replicas)
 		add_learner(&view, joining);
-	else if (shrinks_well(&standing))
-		remove_member(&view, standing.lost_voter);
-	else if (standing.voters > raft->group.replicas && standing.lost_voters)
-		remove_member(&view, standing.lost_voter);
-	else if (standing.voters > raft->group.replicas && standing.draining_voter >= 0)
-		remove_member(&view, standing.draining_voter);
-	else if (standing.voters > raft->group.replicas && !standing.suspects)
-		remove_member(&view, surplus_voter(&view));
+	else if (removal_improves_fault_tolerance(&status))
+		remove_member(&view, status.lost_voter_position);
+	else if (status.voter_count > raft->group.replicas && status.lost_voter_count)
+		remove_member(&view, status.lost_voter_position);
+	else if (status.voter_count > raft->group.replicas && status.draining_voter_position >= 0)
+		remove_member(&view, status.draining_voter_position);
+	else if (status.voter_count > raft->group.replicas && !status.suspect_count)
+		remove_member(&view, find_surplus_voter(&view));
 }
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -48,7 +48,7 @@
 }
 
 /* A leader of a newer epoch offers membership to an identity of an older one: it has to take another. */
-static void refuse_membership(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
+static void reject_membership(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
 	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
 
@@ -57,7 +57,7 @@
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_APPEND_REPLY)->append_reply = reply;
 }
 
-static bool is_offer(const struct Nl__Msg *message)
+static bool is_append_or_snapshot(const struct Nl__Msg *message)
 {
 	return message->body_case == NL__MSG__BODY_APPEND ||
 	       message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK;
@@ -66,24 +66,24 @@
 bool raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
 			   struct command_list *out)
 {
-	uint64_t theirs = raft_epoch(message_term(raft, message)), ours = raft_epoch(raft->term);
+	uint64_t message_epoch = raft_epoch(message_term(raft, message)), own_epoch = raft_epoch(raft->term);
 
-	if (theirs == ours)
+	if (message_epoch == own_epoch)
 		return !raft->fenced;
-	if (theirs < ours) {
-		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_offer(message))
+	if (message_epoch < own_epoch) {
+		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_append_or_snapshot(message))
 			raft_send_removed(raft, message->addr, out); /* it is fenced */
 		return false;
 	}
 	if (!raft->group.member_count) /* nothing is held here: it takes the group as it is */
-		return is_offer(message);
+		return is_append_or_snapshot(message);
 	become_fenced(raft, now);
-	if (is_offer(message))
-		refuse_membership(raft, message, out);
+	if (is_append_or_snapshot(message))
+		reject_membership(raft, message, out);
 	return false;
 }
 
-static bool is_listed(const uint64_t *lost, int count, uint64_t id)
+static bool is_listed_as_lost(const uint64_t *lost, int count, uint64_t id)
 {
 	for (int i = 0; i < count; i++)
 		if (lost[i] == id)
@@ -93,30 +93,30 @@
 
 enum raft_recovery raft_can_recover(const struct raft *raft, const uint64_t *lost, int count, int64_t now)
 {
-	int voters = 0, remaining = 0, voting = 0;
+	int voter_count = 0, remaining_voters = 0, can_vote = 0;
 
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
-		int is_lost = is_listed(lost, count, member->id);
+		int listed_as_lost = is_listed_as_lost(lost, count, member->id);
 
 		if (!member->voter)
 			continue;
-		voters++;
-		remaining += !is_lost;
-		voting |= member->id == raft->id && !is_lost;
-		if (is_lost && member->id != raft->id && member->last_message_at_ms &&
+		voter_count++;
+		remaining_voters += !listed_as_lost;
+		can_vote |= member->id == raft->id && !listed_as_lost;
+		if (listed_as_lost && member->id != raft->id && member->last_message_at_ms &&
 		    now - member->last_message_at_ms < RAFT_ABSENT_MS)
 			return RAFT_RECOVERY_MEMBER_ANSWERS;
-		if (!is_lost && (member->vote.last_term > raft_last_term(raft) ||
-				 (member->vote.last_term == raft_last_term(raft) &&
-				  member->vote.last_index > raft_last_index(raft))))
+		if (!listed_as_lost && (member->vote.last_term > raft_last_term(raft) ||
+					(member->vote.last_term == raft_last_term(raft) &&
+					 member->vote.last_index > raft_last_index(raft))))
 			return RAFT_RECOVERY_OTHER_IS_NEWER;
 	}
-	if (!voting || raft->fenced)
+	if (!can_vote || raft->fenced)
 		return RAFT_RECOVERY_NO_VOTER;
 	if (raft->role == RAFT_LEADER || now < raft->election.vote_barrier_until_ms)
 		return RAFT_RECOVERY_HAS_LEADER;
-	if (remaining > voters / 2)
+	if (remaining_voters > voter_count / 2)
 		return RAFT_RECOVERY_MAJORITY_REMAINS;
 	return RAFT_RECOVERY_POSSIBLE;
 }
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -8,17 +8,19 @@
 
 #include "raft_internal.h"
 
-enum { SMALL_LOG_BYTES = 64 << 10 }; /* so much behind the snapshot is sent to a new learner as entries */
+enum {
+	NEW_LEARNER_LOG_BYTES = 64 << 10
+}; /* so much behind the snapshot is sent to a new learner as entries */
 
 /* ---- digests ---- */
 
 void raft_digest_begin(struct sha256_ctx *sum, uint64_t index, uint64_t index_term, uint64_t members_len)
 {
-	uint64_t head[3] = { index, index_term, members_len };
-	uint8_t bytes[sizeof head];
+	uint64_t header[3] = { index, index_term, members_len };
+	uint8_t bytes[sizeof header];
 
 	for (size_t i = 0; i < sizeof bytes; i++)
-		bytes[i] = (uint8_t)(head[i / 8] >> (8 * (i % 8)));
+		bytes[i] = (uint8_t)(header[i / 8] >> (8 * (i % 8)));
 	sha256_init(sum);
 	sha256_update(sum, sizeof bytes, bytes);
 }
@@ -93,7 +95,7 @@
 
 /* Give way to a newer snapshot. One that is being sent is kept until it has been, unless an older one already
  * is: its transfers begin anew then. Nothing is kept when purged state has to be forgotten. */
-static void retire_newest(struct raft *raft)
+static void retire_newest_snapshot(struct raft *raft)
 {
 	struct raft_snapshots *snapshots = &raft->snapshots;
 
@@ -114,7 +116,7 @@
 
 void raft_store_snapshot(struct raft *raft, const struct raft_stored_snapshot *snapshot)
 {
-	retire_newest(raft);
+	retire_newest_snapshot(raft);
 	raft->snapshots.newest = *snapshot;
 	raft->snapshots.newest.has_digest = false;
 	raft->log.applied_bytes = 0;
@@ -158,49 +160,50 @@
 
 	return raft->log.applied_index >= raft->snapshots.newest.index + RAFT_SNAPSHOT_ENTRIES ||
 	       raft->log.applied_bytes >= log_bytes ||
-	       (raft->log.applied_bytes > snapshot_bytes + SMALL_LOG_BYTES && has_new_learner(raft));
+	       (raft->log.applied_bytes > snapshot_bytes + NEW_LEARNER_LOG_BYTES && has_new_learner(raft));
 }
 
 /* Leader: the oldest snapshot that a member is receiving; entries after it will be needed soon. */
-static uint64_t oldest_transfer(const struct raft *raft)
+static uint64_t oldest_transfer_index(const struct raft *raft)
 {
-	uint64_t oldest = UINT64_MAX;
+	uint64_t oldest_index = UINT64_MAX;
 
 	for (int i = 0; i < raft->group.member_count && raft->role == RAFT_LEADER; i++)
-		if (raft->group.members[i].transfer.index && raft->group.members[i].transfer.index < oldest)
-			oldest = raft->group.members[i].transfer.index;
-	return oldest;
+		if (raft->group.members[i].transfer.index &&
+		    raft->group.members[i].transfer.index < oldest_index)
+			oldest_index = raft->group.members[i].transfer.index;
+	return oldest_index;
 }
 
 /* The newest index that is dropped from the log: entries behind it are kept for members that lag, within
  * bounds. */
-static uint64_t tail_begin(const struct raft *raft)
+static uint64_t newest_index_to_drop(const struct raft *raft)
 {
-	uint64_t drop = raft->log.applied_index, oldest = oldest_transfer(raft);
-	size_t bytes = 0;
+	uint64_t drop_index = raft->log.applied_index, oldest_transfer = oldest_transfer_index(raft);
+	size_t kept_bytes = 0;
 
-	while (!raft->snapshots.drop_tail && drop > raft->log.base_index &&
-	       (raft->log.applied_index - drop < RAFT_LOG_TAIL || drop > oldest)) {
-		bytes += raft_entry_at(raft, drop)->len;
-		if (bytes > RAFT_LOG_TAIL_BYTES)
+	while (!raft->snapshots.drop_tail && drop_index > raft->log.base_index &&
+	       (raft->log.applied_index - drop_index < RAFT_LOG_TAIL || drop_index > oldest_transfer)) {
+		kept_bytes += raft_entry_at(raft, drop_index)->len;
+		if (kept_bytes > RAFT_LOG_TAIL_BYTES)
 			break;
-		drop--;
+		drop_index--;
 	}
-	return drop < raft->disk.synced_index ? drop : raft->disk.synced_index;
+	return drop_index < raft->disk.synced_index ? drop_index : raft->disk.synced_index;
 }
 
 void raft_snapshot(struct raft *raft, const uint8_t *data, size_t size)
 {
 	struct raft_stored_snapshot snapshot = { .index = raft->log.applied_index, .data_len = size };
 	const uint8_t *members;
-	uint64_t drop;
+	uint64_t drop_index;
 
 	raft_members_in_force(raft, snapshot.index, &members, &snapshot.members_len);
 	snapshot.term = raft_term_at(raft, snapshot.index);
 	snapshot.members = raft_copy_bytes(members, snapshot.members_len);
 	snapshot.data = raft_copy_bytes(data, size);
 	raft_store_snapshot(raft, &snapshot);
-	drop = tail_begin(raft);
-	if (drop > raft->log.base_index)
-		raft_drop_until(raft, drop);
+	drop_index = newest_index_to_drop(raft);
+	if (drop_index > raft->log.base_index)
+		raft_drop_until(raft, drop_index);
 }
--- a/lib/core/raft_snapshot_receive.c
+++ b/lib/core/raft_snapshot_receive.c
@@ -17,7 +17,7 @@
 	uint64_t total_bytes;
 	uint64_t received_bytes;
 	uint8_t digest[RAFT_DIGEST_BYTES]; /* as the leader announced it */
-	struct sha256_ctx sum;             /* over what has been received */
+	struct sha256_ctx sha256;          /* over what has been received */
 	uint8_t *bytes;
 	size_t capacity;
 };
@@ -43,10 +43,10 @@
 	incoming->members_len = chunk->members_len;
 	incoming->total_bytes = chunk->total_bytes;
 	memcpy(incoming->digest, chunk->digest.data, RAFT_DIGEST_BYTES);
-	raft_digest_begin(&incoming->sum, incoming->index, incoming->index_term, incoming->members_len);
+	raft_digest_begin(&incoming->sha256, incoming->index, incoming->index_term, incoming->members_len);
 }
 
-static bool same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
+static bool is_same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
 {
 	return incoming->index == chunk->index && incoming->index_term == chunk->index_term &&
 	       incoming->members_len == chunk->members_len && incoming->total_bytes == chunk->total_bytes &&
@@ -55,11 +55,11 @@
 
 /* The transfer that a chunk belongs to, begun if it is new; NULL if it is older than the one that is being
  * received. */
-static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotChunk *chunk)
+static struct raft_incoming *find_or_begin_incoming(struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	struct raft_incoming *incoming = raft->snapshots.incoming;
 
-	if (!incoming || !same_transfer(incoming, chunk)) {
+	if (!incoming || !is_same_transfer(incoming, chunk)) {
 		if (incoming && incoming->leader_term == chunk->term && chunk->index < incoming->index)
 			return NULL;
 		begin_incoming(raft, chunk);
@@ -68,11 +68,11 @@
 	return raft->snapshots.incoming;
 }
 
-static void reserve_capacity(struct raft_incoming *incoming, size_t wanted)
+static void reserve_capacity(struct raft_incoming *incoming, size_t needed)
 {
-	size_t doubled = incoming->capacity * 2 > wanted ? incoming->capacity * 2 : wanted;
+	size_t doubled = incoming->capacity * 2 > needed ? incoming->capacity * 2 : needed;
 
-	if (wanted <= incoming->capacity)
+	if (needed <= incoming->capacity)
 		return;
 	incoming->capacity = doubled < incoming->total_bytes ? doubled : (size_t)incoming->total_bytes;
 	incoming->bytes = realloc(incoming->bytes, incoming->capacity + 1);
@@ -80,19 +80,19 @@
 		abort();
 }
 
-static void add_bytes(struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
+static void append_chunk(struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
 {
-	size_t skip = (size_t)(incoming->received_bytes - chunk->offset);
-	size_t added = chunk->data.len - skip;
+	size_t duplicate_bytes = (size_t)(incoming->received_bytes - chunk->offset);
+	size_t new_bytes = chunk->data.len - duplicate_bytes;
 
-	reserve_capacity(incoming, (size_t)incoming->received_bytes + added);
-	memcpy(incoming->bytes + incoming->received_bytes, chunk->data.data + skip, added);
-	sha256_update(&incoming->sum, added, incoming->bytes + incoming->received_bytes);
-	incoming->received_bytes += added;
+	reserve_capacity(incoming, (size_t)incoming->received_bytes + new_bytes);
+	memcpy(incoming->bytes + incoming->received_bytes, chunk->data.data + duplicate_bytes, new_bytes);
+	sha256_update(&incoming->sha256, new_bytes, incoming->bytes + incoming->received_bytes);
+	incoming->received_bytes += new_bytes;
 }
 
 /* The digest matches: the snapshot takes the place of all state and of the whole log. */
-static void install(struct raft *raft, struct raft_incoming *incoming)
+static void install_snapshot(struct raft *raft, struct raft_incoming *incoming)
 {
 	size_t members_len = (size_t)incoming->members_len;
 	struct raft_stored_snapshot snapshot = {
@@ -120,7 +120,7 @@
 {
 	uint8_t digest[RAFT_DIGEST_BYTES];
 
-	sha256_digest(&incoming->sum, sizeof digest, digest);
+	sha256_digest(&incoming->sha256, sizeof digest, digest);
 	return !memcmp(digest, incoming->digest, sizeof digest);
 }
 
@@ -139,7 +139,7 @@
 
 /* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be
  * dropped, since what comes after may have been acknowledged. */
-static int log_covers(const struct raft *raft, const struct Nl__SnapshotChunk *chunk)
+static int log_holds_snapshot_entry(const struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	return chunk->index <= raft_last_index(raft) && raft_term_at(raft, chunk->index) == chunk->index_term;
 }
@@ -154,7 +154,7 @@
 		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
 		return;
 	}
-	if (chunk->index > raft->log.commit_index && log_covers(raft, chunk)) {
+	if (chunk->index > raft->log.commit_index && log_holds_snapshot_entry(raft, chunk)) {
 		raft->log.commit_index = chunk->index;
 		raft->log.matched_index =
 		    raft->log.matched_index > chunk->index ? raft->log.matched_index : chunk->index;
@@ -164,12 +164,12 @@
 				       raft->lease.heartbeat_round, out);
 		return;
 	}
-	incoming = incoming_of(raft, chunk);
+	incoming = find_or_begin_incoming(raft, chunk);
 	if (!incoming)
 		return;
 	if (chunk->offset <= incoming->received_bytes &&
 	    chunk->offset + chunk->data.len > incoming->received_bytes)
-		add_bytes(incoming, chunk);
+		append_chunk(incoming, chunk);
 	if (incoming->received_bytes < incoming->total_bytes) {
 		send_snapshot_reply(raft, message, incoming->received_bytes, 0, out);
 		return;
@@ -180,7 +180,7 @@
 		send_snapshot_reply(raft, message, 0, 1, out);
 		return;
 	}
-	install(raft, incoming);
+	install_snapshot(raft, incoming);
 	raft_drop_incoming(raft);
 	send_snapshot_reply(raft, message, chunk->total_bytes, 0, out);
 }
--- a/lib/core/raft_snapshot_send.c
+++ b/lib/core/raft_snapshot_send.c
@@ -39,19 +39,19 @@
 }
 
 /* Members and state are two buffers; a chunk may hold the end of one and the beginning of the other. */
-static void copy_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
-		       size_t size)
+static void copy_snapshot_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
+				size_t size)
 {
-	size_t members_part = 0;
+	size_t members_size = 0;
 
 	if (offset < snapshot->members_len) {
-		members_part = snapshot->members_len - (size_t)offset;
-		members_part = members_part < size ? members_part : size;
-		memcpy(target, snapshot->members + offset, members_part);
+		members_size = snapshot->members_len - (size_t)offset;
+		members_size = members_size < size ? members_size : size;
+		memcpy(target, snapshot->members + offset, members_size);
 	}
-	if (size > members_part)
-		memcpy(target + members_part,
-		       snapshot->data + (offset + members_part - snapshot->members_len), size - members_part);
+	if (size > members_size)
+		memcpy(target + members_size,
+		       snapshot->data + (offset + members_size - snapshot->members_len), size - members_size);
 }
 
 static size_t send_chunk(struct raft *raft, const struct raft_member *member,
@@ -72,7 +72,7 @@
 	remaining_bytes = chunk->total_bytes - chunk->offset;
 	chunk->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
 	chunk->data.data = apr_palloc(out->pool, chunk->data.len + 1);
-	copy_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
+	copy_snapshot_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
 	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_CHUNK)->snapshot_chunk = chunk;
 	return chunk->data.len;
 }
@@ -95,7 +95,7 @@
 {
 	struct raft_snapshot_transfer *transfer = &member->transfer;
 	struct raft_stored_snapshot *snapshot;
-	uint64_t window;
+	uint64_t window_bytes;
 
 	if (transfer->index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
 		transfer->index = 0;
@@ -110,11 +110,12 @@
 	resend_after_timeout(transfer, now);
 	if (now < transfer->resume_at_ms)
 		return;
-	window = transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
+	window_bytes =
+	    transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
 	if (transfer->sent_bytes == transfer->acked_bytes)
 		transfer->advanced_at_ms = now;
 	while (transfer->sent_bytes < total_bytes(snapshot) &&
-	       transfer->sent_bytes - transfer->acked_bytes < window)
+	       transfer->sent_bytes - transfer->acked_bytes < window_bytes)
 		transfer->sent_bytes += send_chunk(raft, member, snapshot, out);
 }
 
@@ -130,7 +131,7 @@
 
 /* The digest does not match what the member received: all of it is sent again, and the digest is computed
  * anew. */
-static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
+static void restart_corrupt_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	if (now < transfer->resume_at_ms)
 		return;
@@ -144,11 +145,11 @@
 }
 
 /* Move the window by what a member says it has received. */
-static void note_offset(struct raft *raft, struct raft_snapshot_transfer *transfer,
-			const struct Nl__SnapshotReply *reply, int64_t now)
+static void advance_window(struct raft *raft, struct raft_snapshot_transfer *transfer,
+			   const struct Nl__SnapshotReply *reply, int64_t now)
 {
 	if (reply->corrupt) {
-		restart_corrupt(raft, transfer, now);
+		restart_corrupt_transfer(raft, transfer, now);
 	} else if (reply->offset > transfer->acked_bytes) {
 		transfer->acked_bytes = reply->offset;
 		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes
@@ -164,9 +165,9 @@
  * and its own reply will say what it holds. */
 static void finish_transfer(struct raft *raft, struct raft_member *member, uint64_t index)
 {
-	uint64_t known = index > member->progress.match_index ? index : member->progress.match_index;
+	uint64_t match_index = index > member->progress.match_index ? index : member->progress.match_index;
 
-	member->progress.next_index = member->progress.unacked_index = known + 1;
+	member->progress.next_index = member->progress.unacked_index = match_index + 1;
 	member->progress.probing = true;
 	raft_end_transfer(raft, member);
 }
@@ -195,7 +196,7 @@
 		return;
 	transfer->last_reply_at_ms = now;
 	transfer->has_reply = true;
-	note_offset(raft, transfer, reply, now);
+	advance_window(raft, transfer, reply, now);
 	if (transfer->acked_bytes < total_bytes(snapshot))
 		raft_send_snapshot(raft, member, now, out);
 	else
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -28,21 +28,21 @@
 
 static enum raft_fault entries_fault(const struct Nl__Append *append)
 {
-	uint64_t term = append->prev_term;
+	uint64_t previous_term = append->prev_term;
 
 	if (append->n_entries > MAX_ENTRIES_PER_APPEND)
 		return RAFT_FAULT_TOO_MANY_ENTRIES;
 	for (size_t i = 0; i < append->n_entries; i++) {
 		const struct Nl__Entry *entry = append->entries[i];
 
-		if (!entry->term || entry->term < term || entry->term > append->term)
+		if (!entry->term || entry->term < previous_term || entry->term > append->term)
 			return RAFT_FAULT_ENTRY_TERM;
 		if (entry->kind > RAFT_ENTRY_OPERATION)
 			return RAFT_FAULT_ENTRY_KIND;
 		if (entry->kind == RAFT_ENTRY_MEMBERS &&
 		    !raft_members_valid(entry->data.data, entry->data.len))
 			return RAFT_FAULT_MEMBERS;
-		term = entry->term;
+		previous_term = entry->term;
 	}
 	return RAFT_FAULT_NONE;
 }
@@ -77,7 +77,7 @@
 	return RAFT_FAULT_NONE;
 }
 
-static enum raft_fault vote_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault vote_request_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	const struct Nl__VoteRequest *request = message->vote_request;
 
@@ -89,7 +89,7 @@
 	return message->id == raft->id ? RAFT_FAULT_OWN_MESSAGE : RAFT_FAULT_NONE;
 }
 
-static enum raft_fault chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
+static enum raft_fault snapshot_chunk_fault(const struct raft *raft, const struct Nl__Msg *message)
 {
 	const struct Nl__SnapshotChunk *chunk = message->snapshot_chunk;
 	enum raft_fault fault = leader_fault(raft, message, chunk->term);
@@ -110,7 +110,7 @@
 	return RAFT_FAULT_NONE;
 }
 
-static enum raft_fault chunk_reply_fault(const struct Nl__SnapshotReply *reply)
+static enum raft_fault snapshot_reply_fault(const struct Nl__SnapshotReply *reply)
 {
 	return is_implausible(reply->term) || is_implausible(reply->index) ||
 		       reply->offset > RAFT_SNAPSHOT_MAX_BYTES
@@ -122,7 +122,7 @@
 {
 	switch (message->body_case) {
 	case NL__MSG__BODY_VOTE_REQUEST:
-		return vote_fault(raft, message);
+		return vote_request_fault(raft, message);
 	case NL__MSG__BODY_VOTE_REPLY:
 		return is_implausible(message->vote_reply->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_APPEND:
@@ -130,9 +130,9 @@
 	case NL__MSG__BODY_APPEND_REPLY:
 		return append_reply_fault(raft, message);
 	case NL__MSG__BODY_SNAPSHOT_CHUNK:
-		return chunk_fault(raft, message);
+		return snapshot_chunk_fault(raft, message);
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
-		return chunk_reply_fault(message->snapshot_reply);
+		return snapshot_reply_fault(message->snapshot_reply);
 	case NL__MSG__BODY_STEP_DOWN:
 		return is_implausible(message->step_down->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_PROBE_REPLY:
--- a/lib/core/tick_knowledge.c
+++ b/lib/core/tick_knowledge.c
@@ -7,153 +7,159 @@
 #include "containers.h"
 
 /* The position of the first held value at or above a tick. */
-static ptrdiff_t value_position(const struct tick_knowledge *known, uint64_t tick)
+static ptrdiff_t find_value_position(const struct tick_knowledge *knowledge, uint64_t tick)
 {
-	ptrdiff_t lo = 0, hi = arrlen(known->values);
+	ptrdiff_t begin = 0, end = arrlen(knowledge->values);
 
-	while (lo < hi) {
-		ptrdiff_t mid = (lo + hi) / 2;
+	while (begin < end) {
+		ptrdiff_t middle = (begin + end) / 2;
 
-		if (known->values[mid]->tick < tick)
-			lo = mid + 1;
+		if (knowledge->values[middle]->tick < tick)
+			begin = middle + 1;
 		else
-			hi = mid;
+			end = middle;
 	}
-	return lo;
+	return begin;
 }
 
-static void hold_value(struct tick_knowledge *known, const struct Nl__Value *value)
+static void store_value(struct tick_knowledge *knowledge, const struct Nl__Value *value)
 {
-	ptrdiff_t i;
+	ptrdiff_t position;
 
-	if (value->tick <= known->released)
+	if (value->tick <= knowledge->released)
 		return;
-	i = value_position(known, value->tick);
-	if (i == arrlen(known->values) || known->values[i]->tick != value->tick)
-		arrins(known->values, i, value_copy(value));
+	position = find_value_position(knowledge, value->tick);
+	if (position == arrlen(knowledge->values) || knowledge->values[position]->tick != value->tick)
+		arrins(knowledge->values, position, value_copy(value));
 }
 
 /* Insert a range above the horizon, merged with all that it touches; 0 when one of them contains it. */
-static int merge_range(struct tick_knowledge *known, struct tick_range added)
+static int merge_range(struct tick_knowledge *knowledge, struct tick_range added)
 {
-	struct tick_range *ranges = known->known_ranges, merged = added;
-	ptrdiff_t begin = 0, end;
+	struct tick_range *ranges = knowledge->known_ranges, merged = added;
+	ptrdiff_t first_touched = 0, end_touched;
 
-	while (begin < arrlen(ranges) && ranges[begin].last + 1 < added.first)
-		begin++;
-	if (begin < arrlen(ranges) && ranges[begin].first <= added.first && ranges[begin].last >= added.last)
+	while (first_touched < arrlen(ranges) && ranges[first_touched].last + 1 < added.first)
+		first_touched++;
+	if (first_touched < arrlen(ranges) && ranges[first_touched].first <= added.first &&
+	    ranges[first_touched].last >= added.last)
 		return 0;
-	for (end = begin; end < arrlen(ranges) && ranges[end].first <= added.last + 1; end++) {
-		if (ranges[end].first < merged.first)
-			merged.first = ranges[end].first;
-		if (ranges[end].last > merged.last)
-			merged.last = ranges[end].last;
+	for (end_touched = first_touched;
+	     end_touched < arrlen(ranges) && ranges[end_touched].first <= added.last + 1; end_touched++) {
+		if (ranges[end_touched].first < merged.first)
+			merged.first = ranges[end_touched].first;
+		if (ranges[end_touched].last > merged.last)
+			merged.last = ranges[end_touched].last;
 	}
-	if (end > begin)
-		arrdeln(known->known_ranges, (size_t)begin, (size_t)(end - begin));
-	arrins(known->known_ranges, begin, merged);
+	if (end_touched > first_touched)
+		arrdeln(knowledge->known_ranges, (size_t)first_touched,
+			(size_t)(end_touched - first_touched));
+	arrins(knowledge->known_ranges, first_touched, merged);
 	return 1;
 }
 
-bool knowledge_add(struct tick_knowledge *known, uint64_t first, uint64_t last, const struct Nl__Value *value)
+bool knowledge_add(struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
+		   const struct Nl__Value *value)
 {
 	if (first > last)
 		return false;
 	if (value)
-		hold_value(known, value);
-	if (first <= known->horizon)
-		first = known->horizon + 1;
-	if (first > last || !merge_range(known, (struct tick_range){ first, last }))
+		store_value(knowledge, value);
+	if (first <= knowledge->horizon)
+		first = knowledge->horizon + 1;
+	if (first > last || !merge_range(knowledge, (struct tick_range){ first, last }))
 		return false;
-	if (known->known_ranges[0].first == known->horizon + 1) {
-		known->horizon = known->known_ranges[0].last;
-		arrdel(known->known_ranges, 0);
+	if (knowledge->known_ranges[0].first == knowledge->horizon + 1) {
+		knowledge->horizon = knowledge->known_ranges[0].last;
+		arrdel(knowledge->known_ranges, 0);
 	}
 	return true;
 }
 
-uint64_t knowledge_reach(const struct tick_knowledge *known)
+uint64_t knowledge_reach(const struct tick_knowledge *knowledge)
 {
-	return arrlen(known->known_ranges) ? arrlast(known->known_ranges).last : known->horizon;
+	return arrlen(knowledge->known_ranges) ? arrlast(knowledge->known_ranges).last : knowledge->horizon;
 }
 
-int knowledge_gaps(const struct tick_knowledge *known, struct tick_range *tick_range, int max_count)
+int knowledge_gaps(const struct tick_knowledge *knowledge, struct tick_range *ranges, int max_count)
 {
-	uint64_t first = known->horizon + 1;
+	uint64_t first = knowledge->horizon + 1;
 	int count = 0;
 
-	for (ptrdiff_t i = 0; i < arrlen(known->known_ranges) && count < max_count; i++) {
-		tick_range[count++] = (struct tick_range){ first, known->known_ranges[i].first - 1 };
-		first = known->known_ranges[i].last + 1;
+	for (ptrdiff_t i = 0; i < arrlen(knowledge->known_ranges) && count < max_count; i++) {
+		ranges[count++] = (struct tick_range){ first, knowledge->known_ranges[i].first - 1 };
+		first = knowledge->known_ranges[i].last + 1;
 	}
 	return count;
 }
 
 /* A known run [a, b]: each value takes the silence before it along, the rest is silence after. */
-static void append_run(const struct tick_knowledge *known, uint64_t first, uint64_t last,
-		       struct Nl__Knowledge *knowledge, struct command_list *out)
+static void append_known_range(const struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
+			       struct Nl__Knowledge *message, struct command_list *out)
 {
-	for (ptrdiff_t i = value_position(known, first); first <= last; i++) {
-		struct Nl__Increment *inc = MESSAGE_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
-		struct Nl__Increment **increment =
-		    apr_palloc(out->pool, (knowledge->n_increments + 1) * sizeof *increment);
-		uint64_t end = last;
-
-		if (i < arrlen(known->values) && known->values[i]->tick <= last) {
-			inc->value =
-			    (struct Nl__Value *)core_copy_message(out->pool, &known->values[i]->base);
-			if (i + 1 < arrlen(known->values) && known->values[i + 1]->tick <= last)
-				end = known->values[i]->tick;
+	for (ptrdiff_t i = find_value_position(knowledge, first); first <= last; i++) {
+		struct Nl__Increment *increment = MESSAGE_NEW(out, Nl__Increment, NL__INCREMENT__INIT);
+		struct Nl__Increment **increments =
+		    apr_palloc(out->pool, (message->n_increments + 1) * sizeof *increments);
+		uint64_t increment_last = last;
+
+		if (i < arrlen(knowledge->values) && knowledge->values[i]->tick <= last) {
+			increment->value =
+			    (struct Nl__Value *)core_copy_message(out->pool, &knowledge->values[i]->base);
+			if (i + 1 < arrlen(knowledge->values) && knowledge->values[i + 1]->tick <= last)
+				increment_last = knowledge->values[i]->tick;
 		}
-		inc->first = first;
-		inc->last = end;
-		if (knowledge->n_increments)
-			memcpy(increment, knowledge->increments, knowledge->n_increments * sizeof *increment);
-		increment[knowledge->n_increments++] = inc;
-		knowledge->increments = increment;
-		first = end + 1;
+		increment->first = first;
+		increment->last = increment_last;
+		if (message->n_increments)
+			memcpy(increments, message->increments, message->n_increments * sizeof *increments);
+		increments[message->n_increments++] = increment;
+		message->increments = increments;
+		first = increment_last + 1;
 	}
 }
 
-bool knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last,
-		      struct Nl__Knowledge *knowledge, struct command_list *out)
+bool knowledge_append(const struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
+		      struct Nl__Knowledge *message, struct command_list *out)
 {
-	if (first <= known->released)
+	if (first <= knowledge->released)
 		return false;
-	if (first <= known->horizon)
-		append_run(known, first, last < known->horizon ? last : known->horizon, knowledge, out);
-	for (ptrdiff_t i = 0; i < arrlen(known->known_ranges); i++) {
+	if (first <= knowledge->horizon)
+		append_known_range(knowledge, first, last < knowledge->horizon ? last : knowledge->horizon,
+				   message, out);
+	for (ptrdiff_t i = 0; i < arrlen(knowledge->known_ranges); i++) {
 		uint64_t range_first =
-		    known->known_ranges[i].first > first ? known->known_ranges[i].first : first;
-		uint64_t range_last = known->known_ranges[i].last < last ? known->known_ranges[i].last : last;
+		    knowledge->known_ranges[i].first > first ? knowledge->known_ranges[i].first : first;
+		uint64_t range_last =
+		    knowledge->known_ranges[i].last < last ? knowledge->known_ranges[i].last : last;
 
 		if (range_first <= range_last)
-			append_run(known, range_first, range_last, knowledge, out);
+			append_known_range(knowledge, range_first, range_last, message, out);
 	}
 	return true;
 }
 
-void knowledge_release(struct tick_knowledge *known, uint64_t upto)
+void knowledge_release(struct tick_knowledge *knowledge, uint64_t upto)
 {
-	ptrdiff_t n;
+	ptrdiff_t released_count;
 
-	if (upto > known->horizon)
-		upto = known->horizon;
-	if (upto <= known->released)
+	if (upto > knowledge->horizon)
+		upto = knowledge->horizon;
+	if (upto <= knowledge->released)
 		return;
-	n = value_position(known, upto + 1);
-	for (ptrdiff_t i = 0; i < n; i++)
-		value_free(known->values[i]);
-	if (n)
-		arrdeln(known->values, 0, (size_t)n);
-	known->released = upto;
+	released_count = find_value_position(knowledge, upto + 1);
+	for (ptrdiff_t i = 0; i < released_count; i++)
+		value_free(knowledge->values[i]);
+	if (released_count)
+		arrdeln(knowledge->values, 0, (size_t)released_count);
+	knowledge->released = upto;
 }
 
-void knowledge_clear(struct tick_knowledge *known)
+void knowledge_clear(struct tick_knowledge *knowledge)
 {
-	for (ptrdiff_t i = 0; i < arrlen(known->values); i++)
-		value_free(known->values[i]);
-	arrfree(known->values);
-	arrfree(known->known_ranges);
-	memset(known, 0, sizeof *known);
+	for (ptrdiff_t i = 0; i < arrlen(knowledge->values); i++)
+		value_free(knowledge->values[i]);
+	arrfree(knowledge->values);
+	arrfree(knowledge->known_ranges);
+	memset(knowledge, 0, sizeof *knowledge);
 }
--- a/lib/core/tick_knowledge.h
+++ b/lib/core/tick_knowledge.h
@@ -24,25 +24,25 @@
 
 /* Learn that all ticks of [first, last] are known; value, if any, is the one in it, and is copied. 1 when any
  * tick was new. Example: knowledge_add(&known, 5, 9, NULL); */
-bool knowledge_add(struct tick_knowledge *known, uint64_t first, uint64_t last,
+bool knowledge_add(struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
 		   const struct Nl__Value *value);
 
 /* The unknown ranges up to the highest known tick, at most max_count; how many. Example: n =
  * knowledge_gaps(&known, ranges, 8); */
-int knowledge_gaps(const struct tick_knowledge *known, struct tick_range *ranges, int max_count);
+int knowledge_gaps(const struct tick_knowledge *knowledge, struct tick_range *ranges, int max_count);
 
 /* The highest known tick. Example: knowledge_reach(&known) */
-uint64_t knowledge_reach(const struct tick_knowledge *known);
+uint64_t knowledge_reach(const struct tick_knowledge *knowledge);
 
 /* Append what is known of [first, last] to a message, in the step's memory; 0 when the range begins below
  * what is still held. Example: if (!knowledge_append(&known, 1, 9, message, out)) send_snapshot(); */
-bool knowledge_append(const struct tick_knowledge *known, uint64_t first, uint64_t last,
+bool knowledge_append(const struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
 		      struct Nl__Knowledge *message, struct command_list *out);
 
 /* Free the values at or below a tick, as far as the horizon. Example: knowledge_release(&known, 100); */
-void knowledge_release(struct tick_knowledge *known, uint64_t upto);
+void knowledge_release(struct tick_knowledge *knowledge, uint64_t upto);
 
 /* Forget everything and free its memory. */
-void knowledge_clear(struct tick_knowledge *known);
+void knowledge_clear(struct tick_knowledge *knowledge);
 
 #endif
