--- a/lib/core/commands.h
+++ b/lib/core/commands.h
@@ -1,6 +1,6 @@
-/* commands: what a step of the router or controller wants done. A step is pure: it returns a list of
- * commands, and the shell performs them in order. Strings and messages in them live in the list's pool, until
- * command_list_clear. */
+/* commands: the effects that a step of the router or controller requests. A step performs no input or
+ * output itself: it returns a list of commands, which the shell (lib/shell, platform) executes in order.
+ * Strings and messages in commands live in the list's pool until command_list_clear. */
 #ifndef NL_COMMANDS_H
 #define NL_COMMANDS_H
 
@@ -12,43 +12,46 @@
 
 #define CORE_PROTOCOL_VERSION 1u
 
-/* What a command asks of the shell. */
 enum command_kind {
 	CMD_SEND,         /* send a message to a peer */
-	CMD_PERSIST,      /* write and sync one shard's state; answered by an event once that is done */
-	CMD_ANSWER,       /* answer an HTTP request with a complete body */
+	CMD_PERSIST,      /* write and sync one shard's state; an event reports that it is done */
+	CMD_ANSWER,       /* send a complete HTTP response */
 	CMD_STREAM_CHUNK, /* send a chunk of a stream to a client */
-	CMD_END_STREAM,   /* end a client's stream: success, or the error in body */
-	CMD_CALL,         /* call a server: POST body to addr/path */
-	CMD_CANCEL,       /* cancel a call */
-	CMD_FORWARD,      /* forward a client's request, whose text the shell holds, to a server */
-	CMD_LIST_SERVERS, /* fetch the list of servers */
-	CMD_POLL_REPORT,  /* fetch one server's report */
-	CMD_LOAD_WEIGHTS, /* command a server to load weights */
-	CMD_WATCH_CACHE   /* wait at a server for cache events */
+	CMD_END_STREAM,   /* end a client's stream, with success or with the error in body */
+	CMD_CALL,         /* send an HTTP request to a server: POST body to addr/path */
+	CMD_CANCEL,       /* cancel a call that is in flight */
+	CMD_FORWARD, /* forward a client's request to a server; the shell holds the text of the request */
+	CMD_LIST_SERVERS, /* fetch the endpoint list */
+	CMD_POLL_REPORT,  /* fetch a server's status report */
+	CMD_LOAD_WEIGHTS, /* send a load command for weights to a server */
+	CMD_WATCH_CACHE /* request cache events from a server, which replies when it has some or after wait_ms
+			 */
 };
 
-/* A client's request on its way to a server. The shell keeps the bytes, relays the response, and reports how
- * it ended. */
+/* One attempt to forward a client's request to a server. The shell holds the bytes of the request, relays
+ * the response, and reports the outcome in an event. */
 struct forward_command {
-	uint64_t call_token;   /* names this attempt in events */
-	uint64_t client_token; /* names the client's request */
+	uint64_t call_token;   /* identifies this attempt in events */
+	uint64_t client_token; /* identifies the client's request in events */
 	uint64_t addr;
 	const char *server;          /* incarnation that is expected at addr */
 	const char *tenant;          /* NULL: none */
-	const char *cache_namespace; /* under which the server caches blocks; NULL: none that others use */
-	const char *weights;         /* expected; NULL: any */
-	uint64_t fetch_source;       /* address to fetch cached blocks from; 0: none */
-	uint64_t offload_target;     /* address to offload blocks to; 0: none */
-	int priority;                /* 0 goes first, to 9 */
-	int client_timeout_ms;       /* for which the client waits */
-	int server_timeout_ms;       /* for which the server may work at it, its queue included */
-	int64_t not_after_ms;        /* not forwarded any more after this */
-	const char *resume_after;    /* id of the chunk to resume after; NULL: as the client said */
-	int headers_sent;    /* the client has received headers and chunks already: only chunks are relayed */
-	int is_stream;       /* relayed by complete chunks, whose ids rise */
-	int idempotent;      /* may be sent again after an unknown outcome */
-	int max_connections; /* that this node may hold to that server; 0: no bound */
+	const char *cache_namespace; /* namespace in which the server caches the blocks of the request; NULL:
+					none that other requests use */
+	const char *weights;         /* weights that the server is expected to run; NULL: any */
+	uint64_t fetch_source;       /* address from which the server fetches cached blocks; 0: none */
+	uint64_t offload_target;     /* address to which the server offloads blocks; 0: none */
+	int priority;                /* from 0, the most urgent, to 9 */
+	int client_timeout_ms;       /* remaining time until the client's time-out */
+	int server_timeout_ms;       /* time-out at the server, including the time in its queue */
+	int64_t not_after_ms;        /* the attempt is not started after this time */
+	const char *resume_after;    /* the response resumes after the chunk with this id; NULL: after the one
+					that the client's request names */
+	int headers_sent;    /* an earlier attempt has sent the client headers and chunks: only chunks are
+				relayed */
+	int is_stream;       /* the response is relayed in complete chunks with increasing ids */
+	int idempotent;      /* the request may be sent again if the outcome of an attempt is unknown */
+	int max_connections; /* connections that this node may hold to the server; 0: unlimited */
 };
 
 /* One log entry to write. */
@@ -63,24 +66,26 @@
 /* One shard's state to write and sync, as one transaction. */
 struct persist {
 	uint32_t shard;
-	uint64_t seq; /* named again when it is done; rises by one for each */
+	uint64_t seq; /* identifies this write in the event that reports it as done; increases by one for each
+			 write */
 	uint64_t term;
 	uint64_t vote;
-	uint64_t truncate_from; /* drop stored entries at or above this index first; 0: none */
+	uint64_t truncate_from; /* stored entries from this index on are deleted before the write; 0: none */
 	size_t entry_count;
 	struct persist_entry *entries;
-	int scrub;               /* what is dropped must not remain in freed pages of the file */
-	int has_snapshot;        /* the following are set */
-	uint64_t snapshot_index; /* the newest entry that it stands for */
+	int scrub;               /* the bytes of deleted data must not remain in freed pages of the file */
+	int has_snapshot;        /* the fields below are set */
+	uint64_t snapshot_index; /* index of the newest log entry that the snapshot includes */
 	uint64_t snapshot_term;
-	uint64_t drop_upto; /* entries at or below are dropped */
+	uint64_t drop_upto; /* stored entries up to this index are deleted */
 	size_t members_len;
 	size_t data_len;
-	const uint8_t *members; /* packed, in force at snapshot_index */
-	const uint8_t *data;    /* packed state */
+	const uint8_t *members; /* packed Nl__Members in force at snapshot_index */
+	const uint8_t *data;    /* packed state of the state machine */
 };
 
-/* One command; kind says which of args is set. Tokens name a request or call in later events. */
+/* One command; kind selects the member of args that is set. A token identifies a request or call in later
+ * events. */
 struct command {
 	enum command_kind kind;
 	union {
@@ -91,26 +96,27 @@
 		struct persist *persist;
 		struct {
 			uint64_t token;
-			int status;   /* HTTP */
-			int retry_ms; /* hint when to try again; 0: none */
+			int status;   /* HTTP status code */
+			int retry_ms; /* delay after which the client should retry, in ms; 0: none */
 			const char *body;
-			uint64_t redirect_addr; /* with 307: the peer whose listener to ask */
-			size_t len;             /* of body; 0: its strlen */
-			int64_t not_after_ms;   /* once it is past, 503 is sent instead; 0: never */
+			uint64_t redirect_addr; /* with status 307: address of the peer to whose listener the
+						   client is redirected */
+			size_t len;             /* length of body in bytes; 0: strlen(body) */
+			int64_t not_after_ms;   /* after this time 503 is sent instead; 0: no limit */
 		} answer;
 		struct {
 			uint64_t token;
 			const char *body;
 			size_t len;
-			int success; /* CMD_END_STREAM: body is no error */
+			int success; /* CMD_END_STREAM: the stream succeeded; if 0, body is the error */
 		} stream_chunk;      /* CMD_STREAM_CHUNK, CMD_END_STREAM */
 		struct {
 			uint64_t token;
 			const char *addr;
 			const char *path;
 			const char *body;
-			int limit_ms; /* time-out */
-			int stream;   /* the response is relayed by chunks */
+			int limit_ms; /* time-out of the call */
+			int stream;   /* the response is relayed in chunks */
 			int64_t not_after_ms;
 		} call;
 		struct {
@@ -136,26 +142,27 @@
 			const char *weights;
 			const char *lease_holder;
 			int64_t not_after_ms;
-			int during_requests; /* load at once, while requests run there; else after they have
-						ended */
+			int during_requests; /* load at once while requests are running there; if 0, after
+						they have ended */
 		} load_weights;
 		struct {
 			uint64_t token;
 			uint64_t addr;
-			uint64_t since;     /* offset of the first event wanted */
+			uint64_t since;     /* offset of the first event requested */
 			const char *server; /* incarnation that is expected at addr */
 			int wait_ms;
-			int full; /* all that it caches now, at once; else what has changed since */
+			int full; /* request all blocks that the server caches now; if 0, the events from
+				     offset since on */
 		} watch_cache;
 	} args;
 };
 
-/* The commands of one step, and the identity that its messages are sent under. */
+/* The commands of one step, and the sender's identity, which is set in its messages. */
 struct command_list {
-	apr_pool_t *pool;         /* memory of the commands */
+	apr_pool_t *pool;         /* memory of the commands' strings and messages */
 	struct command *commands; /* stb_ds */
-	uint64_t id;              /* of this node */
-	uint64_t addr;            /* of this node */
+	uint64_t id;              /* identity of this node */
+	uint64_t addr;            /* address of this node */
 	uint64_t fleet;           /* identity of its fleet */
 };
 
--- a/lib/core/core.h
+++ b/lib/core/core.h
@@ -1,5 +1,6 @@
-/* core: what all parts of the product share. Nothing in lib/core, lib/data or lib/control opens a socket or a
- * file or reads a clock: a step takes an event and the time, and returns commands. */
+/* core: types and functions shared by routers and controllers. No code in lib/core, lib/data or
+ * lib/control opens a socket or a file or reads a clock: a step is a function that takes an event and the
+ * current time and returns commands. */
 #ifndef NL_CORE_H
 #define NL_CORE_H
 
--- a/lib/core/hashing.c
+++ b/lib/core/hashing.c
@@ -7,7 +7,7 @@
 #define FNV_OFFSET 0xcbf29ce484222325ull
 #define FNV_PRIME 0x100000001b3ull
 
-/* The finisher of splitmix64. */
+/* The output function of splitmix64, which mixes all bits of value. */
 static uint64_t mix(uint64_t value)
 {
 	value ^= value >> 30;
--- a/lib/core/mechanism.h
+++ b/lib/core/mechanism.h
@@ -1,40 +1,45 @@
-/* mechanism: the choices of routing policy that an experiment can switch off, one by one, to measure what
- * each is worth. All are on by default. What keeps a promise to users (purges, isolation, budgets, limits,
- * the order of target weights) is not in this table. Set in struct bounds; named in the settings and in
- * metrics by mechanism_info[].name. */
+/* mechanism: the routing mechanisms that an experiment can switch off one by one, to measure the benefit
+ * of each. All are on by default. Mechanisms that enforce a guarantee to users (purges, isolation,
+ * budgets, limits, the order of target weights) cannot be switched off. Disabled mechanisms are recorded
+ * in struct bounds; settings and metrics use mechanism_info[].name. */
 #ifndef NL_MECHANISM_H
 #define NL_MECHANISM_H
 
 #include <stdint.h>
 
-/* Positions in bounds.disabled_mechanisms. */
+/* Values are bit positions in bounds.disabled_mechanisms. */
 enum mechanism {
-	MECHANISM_LOOKUP,     /* routers ask the head of their zone which servers cache a request's prefix */
-	MECHANISM_CACHE_FEED, /* the head of a zone sends its routers what servers cache */
-	MECHANISM_HOMES,      /* a prefix has a home server, the same for all routers */
-	MECHANISM_FETCH,      /* a cached prefix is fetched from another server, rather than computed again */
-	MECHANISM_OFFLOAD_STORE, /* prefixes are offloaded to the store, and fetched from there */
-	MECHANISM_SHARED_LOAD,   /* what other routers have in flight at servers is counted */
-	MECHANISM_CAPACITY,  /* a request that would fill a server's memory, or wait long there, waits in its
-				router */
-	MECHANISM_LATENESS,  /* servers whose first tokens were late recently count as more expensive */
-	MECHANISM_RETAIN,    /* new weights are loaded while requests run, not after they have ended */
-	MECHANISM_PACE,      /* how many servers load new weights at once is learned */
-	MECHANISM_CURIOSITY, /* unknown ticks of the purge stream are requested upstream */
+	MECHANISM_LOOKUP,     /* routers query the head of their zone for the servers that cache a request's
+				 prefix */
+	MECHANISM_CACHE_FEED, /* the head of a zone sends its routers updates of what each server caches */
+	MECHANISM_HOMES,      /* each prefix has a home server, on which all routers agree */
+	MECHANISM_FETCH,      /* a cached prefix is fetched from another server instead of being recomputed */
+	MECHANISM_OFFLOAD_STORE, /* prefixes are offloaded to the offload store and fetched from it */
+	MECHANISM_SHARED_LOAD, /* the load of a server includes the requests that other routers have in flight
+				  there */
+	MECHANISM_CAPACITY,    /* a request waits in its router if it would fill the server's memory or wait
+				  there for long */
+	MECHANISM_LATENESS,    /* servers whose recent first tokens were late are assigned a higher cost */
+	MECHANISM_RETAIN,      /* new weights are loaded while requests are still running, not after they have
+				  ended */
+	MECHANISM_PACE,        /* the number of servers that load new weights at the same time is learned from
+				  earlier loads */
+	MECHANISM_CURIOSITY,   /* unknown ticks of the purge stream are requested from the upstream */
 	MECHANISMS
 };
 
-/* How a mechanism is named in settings and metrics, and what it does. */
+/* Name of a mechanism in settings and metrics, and a description for logs. */
 struct mechanism_info {
 	const char *name;
 	const char *description;
 };
 extern const struct mechanism_info mechanism_info[MECHANISMS];
 
-/* A mechanism by its name, or -1. Example: int mechanism = mechanism_find("fetch"); */
+/* Returns the mechanism with this name, or -1 if there is none.
+ * Example: int mechanism = mechanism_find("fetch"); */
 int mechanism_find(const char *name);
 
-/* Whether a mechanism is in use; disabled_mechanisms: a set of those that are off.
+/* Whether a mechanism is switched on; disabled_mechanisms is the bit set from struct bounds.
  * Example: if (mechanism_on(bounds->disabled_mechanisms, MECHANISM_FETCH)) ... */
 static inline int mechanism_on(uint32_t disabled_mechanisms, enum mechanism mechanism)
 {
--- a/lib/core/packing.c
+++ b/lib/core/packing.c
@@ -8,7 +8,8 @@
 	return packed;
 }
 
-/* An allocator for protobuf-c whose memory goes with the pool. */
+/* Allocation callback for protobuf-c. The memory is freed when the pool is cleared, so pool_free does
+ * nothing. */
 static void *pool_alloc(void *pool, size_t size)
 {
 	return apr_palloc(pool, size);
--- a/lib/core/prefix_index.c
+++ b/lib/core/prefix_index.c
@@ -71,7 +71,7 @@
 	remove_row_if_empty(index, row);
 }
 
-/* What prefix_index_remove_unreported looks for. */
+/* The criteria of prefix_index_remove_unreported: replicas of this server with a lower report number. */
 struct unreported_query {
 	uint32_t server_index;
 	uint64_t report_number;
--- a/lib/core/purge.c
+++ b/lib/core/purge.c
@@ -1,5 +1,3 @@
-/* The values of the purge stream and the keys of what they withdraw.
- * Called by purge_view.c, tick_knowledge.c and the control plane; calls core only. */
 #include "purge.h"
 
 #include <stdlib.h>
@@ -16,7 +14,7 @@
 	value = nl__value__unpack(NULL, size, packed);
 	free(packed);
 	if (!value || !value->purge)
-		abort(); /* a value is only made with its purge */
+		abort(); /* every value is created with a purge */
 	return value;
 }
 
--- a/lib/core/purge_relay.c
+++ b/lib/core/purge_relay.c
@@ -1,19 +1,17 @@
-/* Called by the router, the controller's publisher and their clients; calls tick_knowledge.c, purge_view.c
- * and core. */
 #include "purge_relay.h"
 
 #include <string.h>
 
 #include "containers.h"
 
-enum { MAX_REQUESTED_RANGES = 8 }; /* ranges in one curiosity message */
+enum { MAX_REQUESTED_RANGES = 8 }; /* maximum number of ranges in one curiosity message */
 
 void relay_open(struct relay *relay, int64_t now)
 {
 	memset(relay, 0, sizeof *relay);
 	relay->opened_at_ms = relay->upstream_tried_at_ms = now;
 	relay->horizon_moved_at_ms = relay->known_at_ms =
-	    now - PURGE_MAX_STALENESS_MS - 1; /* nothing is current before the first knowledge */
+	    now - PURGE_MAX_STALENESS_MS - 1; /* no knowledge is current before the first has been received */
 }
 
 void relay_close(struct relay *relay)
@@ -41,7 +39,7 @@
 		arrput(relay->upstreams, log_addr);
 	relay->upstream_position = 0;
 	relay->upstream_tried_at_ms = now;
-	relay->requested_at_ms = 0; /* contact the new upstream at once */
+	relay->requested_at_ms = 0; /* send curiosity to the new upstream at once */
 }
 
 uint64_t relay_acknowledged_tick(const struct relay *relay)
@@ -59,7 +57,7 @@
 	return relay->has_knowledge && now - relay->known_at_ms < PURGE_MAX_STALENESS_MS;
 }
 
-/* How old our knowledge is, as messages carry it. */
+/* Returns the age of our knowledge, limited to the range of the field in messages. */
 static uint32_t knowledge_age_ms(const struct relay *relay, int64_t now)
 {
 	int64_t ms = now - relay->known_at_ms;
@@ -69,8 +67,8 @@
 	return ms > INT32_MAX ? INT32_MAX : (uint32_t)ms;
 }
 
-/* Say up to which tick all was known, and how long ago: the receiver's own clock in the request that this
- * follows dates it. */
+/* Set in a message the tick up to which we know all, the age of that knowledge, and the receiver's clock
+ * from the request that the message answers, from which the receiver derives the time of the knowledge. */
 static void set_knowledge_age(const struct relay *relay, struct Nl__Knowledge *knowledge,
 			      int64_t request_clock_ms, int64_t now)
 {
@@ -79,7 +77,7 @@
 	knowledge->horizon = relay->knowledge.horizon;
 }
 
-/* Send each downstream what is known of a range. */
+/* Send the known ticks of a range to each downstream. */
 static void send_increments(struct relay *relay, uint64_t first, uint64_t last, int64_t now,
 			    struct command_list *out)
 {
@@ -97,24 +95,26 @@
 	}
 }
 
-/* A lower bound, on our clock, of when the content of a message was true: it was sent after our request, and
- * was age_ms old then. A message that lay in a buffer while a link was down or this process was frozen still
- * names an earlier request, and proves nothing newer. 0: it names no request of ours. */
+/* Returns a lower bound, on our clock, of the time at which the content of a message was valid: the
+ * message was sent after our request, and its content was age_ms old then. A message that was buffered
+ * while a link was down or this process was frozen still carries the clock of an earlier request, so it
+ * proves nothing newer. Returns 0 if the message answers no request of ours. */
 static int64_t earliest_valid_at_ms(int64_t request_clock_ms, uint32_t age_ms, int64_t now)
 {
 	return request_clock_ms > 0 && request_clock_ms <= now ? request_clock_ms - age_ms : 0;
 }
 
-/* Everything decided up to known_at_ms has a tick up to horizon, as its sender says: so it holds for us once
- * we know as much, whichever message brought the ticks themselves. */
+/* The sender of a message states that every purge decided up to known_at_ms has a tick up to horizon. Once
+ * our own horizon reaches that tick, we know all of these purges, regardless of which message contained
+ * the ticks. */
 static void advance_known_at(struct relay *relay, uint64_t horizon, int64_t known_at_ms)
 {
 	if (relay->knowledge.horizon >= horizon && known_at_ms > relay->known_at_ms)
 		relay->known_at_ms = known_at_ms;
 }
 
-/* Add a range and its value; 1 when any tick was new. horizon_moved_at_ms: when the sender's horizon moved,
- * if messages took no time. */
+/* Add a range and its value; returns 1 if any tick was unknown before. horizon_moved_at_ms: when the
+ * sender's horizon moved, ignoring the transmission time of the message. */
 static int learn_range(struct relay *relay, uint64_t first, uint64_t last, const struct Nl__Value *value,
 		       int64_t horizon_moved_at_ms)
 {
@@ -170,7 +170,7 @@
 	}
 	if (knowledge->horizon)
 		advance_known_at(relay, knowledge->horizon, known_at_ms);
-	else if (relay->knowledge.horizon > old_horizon) /* a sender of an earlier version */
+	else if (relay->knowledge.horizon > old_horizon) /* a sender of an earlier version sends no horizon */
 		advance_known_at(relay, 0, known_at_ms);
 	for (size_t i = 0; i < knowledge->n_increments; i++)
 		if (is_new[i])
@@ -196,7 +196,8 @@
 			 earliest_valid_at_ms(snapshot->request_clock_ms, snapshot->age_ms, now));
 	if (!has_new_ticks)
 		return;
-	/* the values themselves are not held here: downstreams need a snapshot as well */
+	/* the values up to upto_tick are not stored here, so downstreams that lack them need a snapshot
+	 * too */
 	knowledge_release(&relay->knowledge, snapshot->upto_tick);
 	send_increments(relay, snapshot->upto_tick + 1, knowledge_reach(&relay->knowledge), now, out);
 }
@@ -218,8 +219,8 @@
 	    snapshot;
 }
 
-/* Curiosity goes upstream: what is acknowledged, and with requests_ranges the unknown ticks: the gaps, and
- * all above what is known. */
+/* Send a curiosity message to the upstream: the acknowledged tick, and with requests_ranges the unknown
+ * ticks, which are the gaps and all ticks above the highest known one. */
 static void send_curiosity(struct relay *relay, int requests_ranges, int64_t now, struct command_list *out)
 {
 	struct tick_range gaps[MAX_REQUESTED_RANGES];
@@ -259,7 +260,7 @@
 	return NULL;
 }
 
-/* Remember what a downstream says of itself; one that is new is added. */
+/* Record the state that a downstream reports in a curiosity message; add the downstream if it is new. */
 static void update_downstream(struct relay *relay, const struct Nl__Msg *message, int64_t now)
 {
 	const struct Nl__Curiosity *curiosity = message->curiosity;
@@ -278,8 +279,8 @@
 		downstream->acknowledged_tick = curiosity->acknowledged_tick;
 }
 
-/* Answer what is known of the wanted ranges; a snapshot where they reach below what is held. 1 when anything
- * was answered, or all that is wanted is known. */
+/* Send a downstream the known ticks of the ranges that it requests, or a snapshot if values in them have
+ * been freed. Returns 1 if increments were found, or if the requested ranges lie below our horizon. */
 static int answer_requested_ranges(struct relay *relay, const struct Nl__Msg *message, int64_t now,
 				   struct command_list *out)
 {
@@ -318,7 +319,7 @@
 		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
 		return;
 	}
-	/* pass the request further up, unless one was sent lately */
+	/* forward the request to our upstream, unless we sent curiosity less than PURGE_CURIOSITY_MS ago */
 	if (!answer_requested_ranges(relay, message, now, out) &&
 	    now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, 1, now, out);
@@ -345,7 +346,8 @@
 	}
 }
 
-/* No progress for a stall period: the next upstream, at last the log. */
+/* Select the next upstream if the one in use has made no progress for a stall period; the last one is the
+ * publisher's log. */
 static void try_next_upstream(struct relay *relay, int64_t now)
 {
 	if (!arrlen(relay->upstreams) || now - relay->horizon_moved_at_ms < 2 * PURGE_STALL_MS ||
@@ -364,9 +366,9 @@
 	for (ptrdiff_t i = arrlen(relay->downstreams) - 1; i >= 0; i--)
 		if (now - relay->downstreams[i].last_contact_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
 			arrdel(relay->downstreams,
-			       (size_t)i); /* its lease has expired: it will need a snapshot */
-	/* a new node does not know its downstreams yet: nothing is released before all had time to send a
-	 * message */
+			       (size_t)i); /* its lease has expired; if it returns, it will need a snapshot */
+	/* a new node does not know its downstreams yet: no value is freed before all of them have had time
+	 * to send a message */
 	if (now - relay->opened_at_ms > PURGE_DOWNSTREAM_TIMEOUT_MS)
 		knowledge_release(&relay->knowledge, relay_acknowledged_tick(relay));
 	if (relay->is_publisher)
--- a/lib/core/purge_view.c
+++ b/lib/core/purge_view.c
@@ -1,4 +1,3 @@
-/* Called by purge_relay.c and the router; calls purge.c. */
 #include "purge_view.h"
 
 #include <stdbool.h>
@@ -29,7 +28,7 @@
 		arrput(view->context_purges, hmget(view->subjects, key));
 }
 
-/* Whether a subject was withdrawn after a stamp. */
+/* Whether a value with a tick above the stamp withdrew the subject. */
 static bool is_withdrawn(const struct purge_view *view, uint64_t key, uint64_t stamp)
 {
 	struct purge_view_row *row = view->subjects;
--- a/lib/core/tick_knowledge.c
+++ b/lib/core/tick_knowledge.c
@@ -1,4 +1,3 @@
-/* Called by purge_relay.c; calls purge.c. */
 #include "tick_knowledge.h"
 
 #include <stdbool.h>
@@ -6,7 +5,7 @@
 
 #include "containers.h"
 
-/* The position of the first held value at or above a tick. */
+/* Returns the position in values of the first value whose tick is at or above this one, by binary search. */
 static ptrdiff_t find_value_position(const struct tick_knowledge *knowledge, uint64_t tick)
 {
 	ptrdiff_t begin = 0, end = arrlen(knowledge->values);
@@ -33,7 +32,8 @@
 		arrins(knowledge->values, position, value_copy(value));
 }
 
-/* Insert a range above the horizon, merged with all that it touches; 0 when one of them contains it. */
+/* Insert a range above the horizon, merged with all known ranges that overlap or adjoin it. Returns 0 if a
+ * known range contains it already. */
 static int merge_range(struct tick_knowledge *knowledge, struct tick_range added)
 {
 	struct tick_range *ranges = knowledge->known_ranges, merged = added;
@@ -93,7 +93,8 @@
 	return count;
 }
 
-/* A known run [a, b]: each value takes the silence before it along, the rest is silence after. */
+/* Append the range [first, last], all ticks of which are known, to a message. Each increment holds one
+ * value and the silence before it; the last increment also holds the silence after it. */
 static void append_known_range(const struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
 			       struct Nl__Knowledge *message, struct command_list *out)
 {
