--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -1,37 +1,40 @@
-/* Changes of membership, one member at a time: lost members are replaced, learners promoted, zones balanced.
- * Always: a change starts only when the change before it is committed, in the leader's own term, and only
- * towards a membership whose voters include a live majority that holds all that is committed. Called by the
- * control plane at the leader; calls raft_election.c, raft_members.c and raft_log.c.
+/* Membership changes of a Raft group, one member at a time, decided by the leader: they replace lost
+ * members, promote learners and balance the voters over zones.
  *
- * A lost voter is removed before its successor is promoted, so that its silence never counts towards a larger
- * majority; the successor has caught up as a learner by then. A voter that still answers is removed only
- * after its successor is promoted. A voter that is silent for a while gets a successor prepared as a learner,
- * which is removed again if it returns. */
+ * Invariants: a change is started only after the previous change is committed and an entry of the leader's
+ * own term is committed, and only if the voters of the new membership include a responsive majority that
+ * has synced all committed entries.
+ *
+ * A lost voter is removed before its successor is promoted. Otherwise the group would need a larger
+ * majority while the lost voter still counts as one of its voters. By then the successor has caught up as
+ * a learner. A voter that still responds is removed only after its successor is promoted. When a voter has
+ * been silent for two thirds of member_lost_ms, a learner is added as its prospective successor; the
+ * learner is removed again if the voter returns. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "raft_internal.h"
 
-/* A learner that is silent for so long is removed, so that another can join; it has no vote that could be
- * missed. */
+/* A learner that is silent for this long is removed, so that another controller can join. A learner has no
+ * vote, so its removal costs the group no voter. */
 enum { LEARNER_LOST_MS = 2 * RAFT_LEASE_MS };
 
-/* What the leader knows when it decides on a change. */
+/* The input of the leader's decision on a membership change. */
 struct fleet_view {
 	struct raft *raft;
-	const struct raft_member *controllers; /* controllers known to the fleet, with their zones */
+	const struct raft_member *controllers; /* known to the fleet, with their zones */
 	int controller_count;
 	int64_t now;
 };
 
-/* The state of the membership. Positions are in raft->group.members; -1: none. */
+/* Summary of the group's members. Positions are indices of raft->group.members; -1 means none. */
 struct membership_status {
 	int voter_count;
-	int suspect_count;           /* voters that are silent, for whom a learner is prepared */
-	int lost_voter_count;        /* voters silent for longer than member_lost_ms */
-	int lost_voter_position;     /* position of one of them */
-	int draining_voter_position; /* position of one that is to stop, while those who stay are no majority
-			       by themselves */
+	int suspect_count;    /* silent or draining voters for which a successor is prepared as a learner */
+	int lost_voter_count; /* voters that have been silent for longer than member_lost_ms */
+	int lost_voter_position;     /* one of the lost voters */
+	int draining_voter_position; /* a voter that drains while the voters that stay are no majority by
+					themselves */
 	int learner_position;        /* position */
 	int lost_learner_position;   /* position */
 };
@@ -54,8 +57,8 @@
 	return NULL;
 }
 
-/* Another identity has the address of a member: the disk of that member was lost, and it will not come back.
- */
+/* Whether another identity uses the address of a silent member. In that case the member's disk was lost,
+ * and its identity will not rejoin. */
 static bool is_address_reused(const struct fleet_view *view, const struct raft_member *member)
 {
 	int address_in_use = 0;
@@ -84,7 +87,7 @@
 	return is_silent_for(view, member, view->raft->group.member_lost_ms);
 }
 
-/* Whether a member answers, and has synced all that is committed. */
+/* Whether a member responds and has synced all committed entries. */
 static bool is_caught_up(const struct fleet_view *view, const struct raft_member *member)
 {
 	const struct raft *raft = view->raft;
@@ -95,7 +98,8 @@
 	       member->progress.match_index >= raft->log.commit_index;
 }
 
-/* Whether these members could commit and elect by themselves at once. */
+/* Whether a majority of the voters among these members responds and has synced all committed entries, so
+ * that they can commit entries and elect a leader at once. */
 static bool has_ready_majority(const struct fleet_view *view, const struct raft_member *members, int count)
 {
 	int voter_count = 0, ready_count = 0;
@@ -107,7 +111,7 @@
 	return ready_count > voter_count / 2;
 }
 
-/* Voters of a zone that are not silent. */
+/* Counts the voters of a zone that are not silent; 0 for the unknown zone. */
 static int responsive_voters_in_zone(const struct fleet_view *view, uint64_t zone)
 {
 	const struct raft *raft = view->raft;
@@ -119,8 +123,8 @@
 	return voter_count;
 }
 
-/* The controller that joins next: of the zone with the fewest voters, the one that rendezvous hashing ranks
- * first. */
+/* Returns the controller that joins the group next, or NULL: of the zone with the fewest responsive
+ * voters, the controller that rendezvous hashing ranks first. */
 static const struct raft_member *next_controller_to_join(const struct fleet_view *view)
 {
 	const struct raft_member *best = NULL;
@@ -129,8 +133,9 @@
 
 	for (int i = 0; i < view->controller_count; i++) {
 		const struct raft_member *controller = &view->controllers[i];
-		int zone_voters = controller->zone ? responsive_voters_in_zone(view, controller->zone)
-						   : RAFT_MAX_MEMBERS; /* unknown yet: last */
+		int zone_voters = controller->zone
+				      ? responsive_voters_in_zone(view, controller->zone)
+				      : RAFT_MAX_MEMBERS; /* controllers of unknown zone rank last */
 
 		if (raft_find_member(view->raft, controller->id) ||
 		    raft_is_fenced(view->raft, controller->id))
@@ -145,8 +150,8 @@
 	return best;
 }
 
-/* One voter too many: of the zone with the most voters, the one that rendezvous hashing ranks last; never the
- * leader. */
+/* Returns the position of the voter to remove when there is one too many: of the zone with the most
+ * responsive voters, the one that rendezvous hashing ranks last. The leader is never selected. */
 static int find_surplus_voter(const struct fleet_view *view)
 {
 	const struct raft *raft = view->raft;
@@ -170,7 +175,8 @@
 	return surplus_position;
 }
 
-/* Whether a controller's zone has two voters fewer than another: its joining spreads the group better. */
+/* Whether a controller's zone has at least two responsive voters fewer than another zone, so that the
+ * group is spread more evenly over zones if the controller joins. */
 static int improves_zone_spread(const struct fleet_view *view, const struct raft_member *controller)
 {
 	const struct raft *raft = view->raft;
@@ -185,7 +191,8 @@
 	return controller->zone && responsive_voters_in_zone(view, controller->zone) + 2 <= most_voters;
 }
 
-/* Update zones and addresses to what the fleet knows; 1 when an address has changed and is being logged. */
+/* Update the zones of members, and the address of one member, to those known to the fleet. Returns 1 if an
+ * address has changed, and a members entry with it has been appended. */
 static int update_zones_and_addresses(const struct fleet_view *view)
 {
 	struct raft *raft = view->raft;
@@ -211,7 +218,8 @@
 	return has_changed;
 }
 
-/* A draining voter is replaced beforehand where those who stay could not go on by themselves. */
+/* Whether a draining voter has to be replaced before it stops, because the voters that stay are no
+ * majority by themselves. */
 static int needs_successor(const struct raft *raft, const struct raft_member *member)
 {
 	return member->drain.requested && member->id != raft->id && !raft->drain.has_remaining_majority;
@@ -246,7 +254,8 @@
 	return status;
 }
 
-/* Remove one member, unless the others would lack a live majority that holds all that is committed. */
+/* Remove one member, unless the remaining voters would have no majority that responds and has synced all
+ * committed entries. */
 static void remove_member(const struct fleet_view *view, int position)
 {
 	struct raft *raft = view->raft;
@@ -258,7 +267,8 @@
 		log_members(raft, members, raft->group.member_count - 1);
 }
 
-/* Give a learner its vote; it holds all that is committed. */
+/* Make a learner a voter, unless the voters would then have no majority that responds and has synced all
+ * committed entries. */
 static void promote_learner(const struct fleet_view *view, int position)
 {
 	struct raft *raft = view->raft;
@@ -285,8 +295,8 @@
 	raft_find_member(raft, joining->id)->zone = joining->zone;
 }
 
-/* A learner has stopped answering. Where it makes up for a voter of the minimum it is removed only once
- * another has caught up. */
+/* Handle a learner that no longer responds. If the group has fewer than RAFT_MIN_VOTERS voters, the
+ * learner is removed only after another learner has caught up. */
 static void replace_lost_learner(const struct fleet_view *view, const struct membership_status *status,
 				 const struct raft_member *joining)
 {
@@ -300,8 +310,8 @@
 		add_learner(view, joining);
 }
 
-/* There is a learner: promote it, remove the voter that it replaces first, or remove it when it is no longer
- * needed. */
+/* Perform the next step for the learner of the group: remove it if it is no longer needed; once it has
+ * caught up, remove the lost voter that it replaces, or else promote it. */
 static void promote_or_remove_learner(const struct fleet_view *view, const struct membership_status *status)
 {
 	const struct raft *raft = view->raft;
@@ -321,8 +331,8 @@
 		promote_learner(view, status->learner_position);
 }
 
-/* Without a successor a lost voter is removed where that lets the rest survive one more loss, never below the
- * minimum. */
+/* Whether the group tolerates one more loss if a lost voter is removed without a successor. The group is
+ * never reduced below RAFT_MIN_VOTERS. */
 static int removal_improves_fault_tolerance(const struct membership_status *status)
 {
 	return status->lost_voter_count && status->voter_count > RAFT_MIN_VOTERS &&
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -1,9 +1,8 @@
-/* Recovery of a group that has lost its majority for good, by an operator's decision: one voter that is left
- * goes on alone with its copy, in a new epoch. The epoch is the upper part of the term. Members of an older
- * epoch are fenced: their messages are refused, they neither vote nor lead once they hear of the newer epoch,
- * and no group takes them back under their old identity. Called by raft.c for every message, and by the
- * control plane for the operator's request; calls raft_election.c, raft_members.c, raft_messages.c and
- * raft_log.c. */
+/* Recovery of a group that has permanently lost its majority, at an operator's request: one remaining
+ * voter becomes the only member, with its own copy of the log, in a new epoch. The epoch is stored in the
+ * upper bits of the term (RAFT_EPOCH_SHIFT). Members of an older epoch are fenced: their messages are
+ * rejected, they neither vote nor lead once they have received a message of the newer epoch, and the group
+ * does not readmit them under their old identity. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -14,7 +13,7 @@
 	return term >> RAFT_EPOCH_SHIFT;
 }
 
-/* The term that a message speaks for; a probe speaks for none. */
+/* Returns the term that a message carries. A probe carries none, so our own term is returned for it. */
 static uint64_t message_term(const struct raft *raft, const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
@@ -39,7 +38,8 @@
 	}
 }
 
-/* This member's copy is of an older epoch: it neither leads, votes nor asks for votes any more. */
+/* Mark this member's copy as one of an older epoch: from now on it neither leads, votes nor requests
+ * votes. */
 static void become_fenced(struct raft *raft, int64_t now)
 {
 	raft_become_follower(raft, raft->term, now);
@@ -47,7 +47,8 @@
 	raft->fenced = true;
 }
 
-/* A leader of a newer epoch offers membership to an identity of an older one: it has to take another. */
+/* Reply to a leader of a newer epoch that this member's identity is of an older epoch. To join the group,
+ * this controller needs a new identity. */
 static void reject_membership(struct raft *raft, const struct Nl__Msg *message, struct command_list *out)
 {
 	struct Nl__AppendReply *reply = MESSAGE_NEW(out, Nl__AppendReply, NL__APPEND_REPLY__INIT);
@@ -72,10 +73,10 @@
 		return !raft->fenced;
 	if (message_epoch < own_epoch) {
 		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_append_or_snapshot(message))
-			raft_send_removed(raft, message->addr, out); /* it is fenced */
+			raft_send_removed(raft, message->addr, out); /* the sender is fenced */
 		return false;
 	}
-	if (!raft->group.member_count) /* nothing is held here: it takes the group as it is */
+	if (!raft->group.member_count) /* an empty replica joins a group of any epoch */
 		return is_append_or_snapshot(message);
 	become_fenced(raft, now);
 	if (is_append_or_snapshot(message))
@@ -151,7 +152,7 @@
 {
 	switch (verdict) {
 	case RAFT_RECOVERY_POSSIBLE:
-		return "the group goes on with this copy";
+		return "the group continues with this copy";
 	case RAFT_RECOVERY_NO_VOTER:
 		return "this registrar holds no vote in the group, or its copy is of an older epoch";
 	case RAFT_RECOVERY_HAS_LEADER:
@@ -159,9 +160,9 @@
 	case RAFT_RECOVERY_MAJORITY_REMAINS:
 		return "the members that are not named as lost are a majority";
 	case RAFT_RECOVERY_MEMBER_ANSWERS:
-		return "a member that is named as lost answers";
+		return "a member that is named as lost has sent a message recently";
 	case RAFT_RECOVERY_OTHER_IS_NEWER:
-		return "another member that is left holds a newer copy: recover there";
+		return "another remaining member holds a newer copy: recover the group there";
 	}
 	return "";
 }
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -1,16 +1,16 @@
-/* Snapshots of the state machine as this replica keeps them: what stands for the log up to an index, together
- * with the members in force there. The newest is kept, and one before it as long as a member is still
- * receiving it, so that a slow link finishes. Always: the state is replaced as a whole or not at all, and the
- * log is cut only where the snapshot and the disk have it. Called by raft_snapshot_send.c,
- * raft_snapshot_receive.c and raft.c; calls raft_members.c and raft_log.c. */
+/* The snapshots that this replica stores in memory. A snapshot replaces the log up to an index; it
+ * contains the state of the state machine and the members in force at that index. The newest snapshot is
+ * kept. The leader also keeps the previous one while a member is still receiving it, so that transfers
+ * over slow links can finish. Invariants: a snapshot is installed completely or not at all, and only log
+ * entries that the newest snapshot includes and the disk has synced are dropped. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "raft_internal.h"
 
-enum {
-	NEW_LEARNER_LOG_BYTES = 64 << 10
-}; /* so much behind the snapshot is sent to a new learner as entries */
+/* A new learner receives up to this many bytes of log after the snapshot as entries. If the log is longer, a
+ * new snapshot is taken for it. */
+enum { NEW_LEARNER_LOG_BYTES = 64 << 10 };
 
 /* ---- digests ---- */
 
@@ -44,7 +44,7 @@
 	return id;
 }
 
-/* ---- the snapshots that are kept ---- */
+/* ---- stored snapshots ---- */
 
 void raft_load_snapshot(struct raft *raft, const struct raft_saved *saved)
 {
@@ -93,8 +93,9 @@
 		free_snapshot(&raft->snapshots.previous);
 }
 
-/* Give way to a newer snapshot. One that is being sent is kept until it has been, unless an older one already
- * is: its transfers begin anew then. Nothing is kept when purged state has to be forgotten. */
+/* Make room for a newer snapshot. If the newest one is being sent, it becomes the previous one until its
+ * transfers have finished. If an older one already is the previous one, the newest is freed and its
+ * transfers restart. With drop_tail, which means that purged state must be deleted, neither is kept. */
 static void retire_newest_snapshot(struct raft *raft)
 {
 	struct raft_snapshots *snapshots = &raft->snapshots;
@@ -139,8 +140,8 @@
 
 /* ---- the state machine's own snapshots ---- */
 
-/* A learner that holds nothing yet: it is sent the state as it is now rather than an old one and the long log
- * behind it. */
+/* Whether the leader has a learner with an empty log. It is sent a snapshot of the current state instead
+ * of an old snapshot and a long log after it. */
 static bool has_new_learner(const struct raft *raft)
 {
 	for (int i = 0; i < raft->group.member_count && raft->role == RAFT_LEADER; i++) {
@@ -163,7 +164,8 @@
 	       (raft->log.applied_bytes > snapshot_bytes + NEW_LEARNER_LOG_BYTES && has_new_learner(raft));
 }
 
-/* Leader: the oldest snapshot that a member is receiving; entries after it will be needed soon. */
+/* Leader: returns the index of the oldest snapshot that a member is receiving, which will need the entries
+ * after it next. UINT64_MAX: there is no transfer. */
 static uint64_t oldest_transfer_index(const struct raft *raft)
 {
 	uint64_t oldest_index = UINT64_MAX;
@@ -175,8 +177,8 @@
 	return oldest_index;
 }
 
-/* The newest index that is dropped from the log: entries behind it are kept for members that lag, within
- * bounds. */
+/* Returns the index up to which the log is dropped. Up to RAFT_LOG_TAIL applied entries, and those after
+ * the oldest transfer, are kept for members that lag behind, but no more than RAFT_LOG_TAIL_BYTES. */
 static uint64_t newest_index_to_drop(const struct raft *raft)
 {
 	uint64_t drop_index = raft->log.applied_index, oldest_transfer = oldest_transfer_index(raft);
--- a/lib/core/raft_snapshot_receive.c
+++ b/lib/core/raft_snapshot_receive.c
@@ -1,8 +1,8 @@
-/* Member: a snapshot as it is received from the leader.
- * Chunks are collected in memory, in order, and the snapshot is installed once it is complete and its digest
- * matches: state is replaced as a whole or not at all, and the commit index never moves backwards. A restart
- * forgets the chunks; a change of leader does not, as long as the new one sends the same bytes. Called by
- * raft.c; calls raft_election.c, raft_snapshot.c, raft_members.c, raft_messages.c and raft_log.c. */
+/* Member: reception of a snapshot from the leader. Chunks are collected in memory, in order, and the
+ * snapshot is installed once it is complete and its digest matches. Invariants: a snapshot is installed
+ * completely or not at all, and the commit index never decreases. Received chunks are lost when the
+ * process restarts. They are kept when the leader changes, if the new leader sends a snapshot with the
+ * same digest. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,14 +10,14 @@
 
 /* A snapshot of which some chunks have been received. */
 struct raft_incoming {
-	uint64_t leader_term; /* of the leader that sent its latest chunk */
+	uint64_t leader_term; /* term of the leader that sent the latest chunk */
 	uint64_t index;
 	uint64_t index_term;
-	uint64_t members_len; /* so many of its first bytes are the packed members */
+	uint64_t members_len; /* number of bytes of the packed members, with which the snapshot begins */
 	uint64_t total_bytes;
 	uint64_t received_bytes;
-	uint8_t digest[RAFT_DIGEST_BYTES]; /* as the leader announced it */
-	struct sha256_ctx sha256;          /* over what has been received */
+	uint8_t digest[RAFT_DIGEST_BYTES]; /* digest that the leader announced in the chunks */
+	struct sha256_ctx sha256;          /* SHA-256 state over the bytes received so far */
 	uint8_t *bytes;
 	size_t capacity;
 };
@@ -53,8 +53,8 @@
 	       !memcmp(incoming->digest, chunk->digest.data, RAFT_DIGEST_BYTES);
 }
 
-/* The transfer that a chunk belongs to, begun if it is new; NULL if it is older than the one that is being
- * received. */
+/* Returns the transfer to which a chunk belongs, and begins it if it is new. Returns NULL if the chunk
+ * belongs to an older snapshot of the same leader than the one that is being received. */
 static struct raft_incoming *find_or_begin_incoming(struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	struct raft_incoming *incoming = raft->snapshots.incoming;
@@ -91,7 +91,7 @@
 	incoming->received_bytes += new_bytes;
 }
 
-/* The digest matches: the snapshot takes the place of all state and of the whole log. */
+/* Install a complete snapshot whose digest matches. It replaces the state and the entire log. */
 static void install_snapshot(struct raft *raft, struct raft_incoming *incoming)
 {
 	size_t members_len = (size_t)incoming->members_len;
@@ -107,7 +107,7 @@
 	if (raft_last_index(raft) > raft->log.base_index)
 		raft_truncate_from(raft, raft->log.base_index + 1);
 	memmove(snapshot.data, incoming->bytes + members_len, snapshot.data_len);
-	incoming->bytes = NULL; /* the snapshot has taken it over */
+	incoming->bytes = NULL; /* now owned by the snapshot */
 	raft_store_snapshot(raft, &snapshot);
 	raft->log.base_index = incoming->index;
 	raft->log.base_term = incoming->index_term;
@@ -137,8 +137,8 @@
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_REPLY)->snapshot_reply = reply;
 }
 
-/* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be
- * dropped, since what comes after may have been acknowledged. */
+/* Whether the log holds the last entry that the snapshot includes. If so, it matches the leader's log up
+ * to that entry, and no entry may be dropped, because entries after it may have been acknowledged. */
 static int log_holds_snapshot_entry(const struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	return chunk->index <= raft_last_index(raft) && raft_term_at(raft, chunk->index) == chunk->index_term;
--- a/lib/core/raft_snapshot_send.c
+++ b/lib/core/raft_snapshot_send.c
@@ -1,16 +1,15 @@
-/* Leader: the transfer of a snapshot to a member that is too far behind for entries.
- * A window of chunks is kept under way to the member and moves by what the member acknowledges; without
- * progress the window is sent again, with growing back-off. A transfer goes on with the snapshot that it
- * began with, also when a newer one is taken. Called by raft_replication.c and raft.c; calls raft_election.c,
- * raft_snapshot.c, raft_members.c. */
+/* Leader: transfers of snapshots to members whose next entry is no longer in the log. A window of
+ * unacknowledged chunks is in flight to the member and advances with the acknowledgements. Without
+ * progress the window is sent again, with increasing backoff. A transfer continues with the snapshot that
+ * it began with, even if a newer one is taken. */
 #include <apr_strings.h>
 #include <string.h>
 
 #include "raft_internal.h"
 
-enum {
-	REWIND_INTERVAL_MS = 100
-}; /* between two rewinds of a transfer: replies sent before one say no more than it did */
+/* The minimum interval between two rewinds of a transfer: replies that were sent before a rewind are
+ * outdated. */
+enum { REWIND_INTERVAL_MS = 100 };
 
 static uint64_t total_bytes(const struct raft_stored_snapshot *snapshot)
 {
@@ -38,7 +37,8 @@
 	raft_release_previous(raft);
 }
 
-/* Members and state are two buffers; a chunk may hold the end of one and the beginning of the other. */
+/* Copy a range of a snapshot's bytes. The packed members and the state are stored in two buffers, and a
+ * range may span both. */
 static void copy_snapshot_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
 				size_t size)
 {
@@ -77,7 +77,9 @@
 	return chunk->data.len;
 }
 
-/* Without progress for a while: what is under way is taken for lost. */
+/* If the member has acknowledged nothing within the resend time-out, treat the chunks in flight as lost,
+ * so that they are sent again. The time-out includes the time that a slow link takes to transmit the
+ * chunks. */
 static void resend_after_timeout(struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	int64_t transmission_ms =
@@ -119,7 +121,8 @@
 		transfer->sent_bytes += send_chunk(raft, member, snapshot, out);
 }
 
-/* The member holds less than it had acknowledged: it restarted, or received another transfer in between. */
+/* Continue at a smaller offset: the member holds fewer bytes than it had acknowledged, because it
+ * restarted or received another transfer in between. */
 static void rewind_transfer(struct raft_snapshot_transfer *transfer, uint64_t offset, int64_t now)
 {
 	if (transfer->rewound_at_ms && now - transfer->rewound_at_ms < REWIND_INTERVAL_MS)
@@ -129,8 +132,8 @@
 	transfer->advanced_at_ms = now;
 }
 
-/* The digest does not match what the member received: all of it is sent again, and the digest is computed
- * anew. */
+/* The bytes that the member received do not match the digest: send the complete snapshot again after a
+ * backoff, with a recomputed digest. */
 static void restart_corrupt_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	if (now < transfer->resume_at_ms)
@@ -144,9 +147,9 @@
 	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
 }
 
-/* Move the window by what a member says it has received. */
-static void advance_window(struct raft *raft, struct raft_snapshot_transfer *transfer,
-			   const struct Nl__SnapshotReply *reply, int64_t now)
+/* Move the window to the offset that a member reports. */
+static void update_window(struct raft *raft, struct raft_snapshot_transfer *transfer,
+			  const struct Nl__SnapshotReply *reply, int64_t now)
 {
 	if (reply->corrupt) {
 		restart_corrupt_transfer(raft, transfer, now);
@@ -161,8 +164,8 @@
 	}
 }
 
-/* The member has installed the snapshot, and will have synced it soon: entries behind it are sent at once,
- * and its own reply will say what it holds. */
+/* The member has installed the snapshot and will have synced it soon: the entries after it are sent at
+ * once, and the member's reply to them reports how far its log matches. */
 static void finish_transfer(struct raft *raft, struct raft_member *member, uint64_t index)
 {
 	uint64_t match_index = index > member->progress.match_index ? index : member->progress.match_index;
@@ -196,7 +199,7 @@
 		return;
 	transfer->last_reply_at_ms = now;
 	transfer->has_reply = true;
-	advance_window(raft, transfer, reply, now);
+	update_window(raft, transfer, reply, now);
 	if (transfer->acked_bytes < total_bytes(snapshot))
 		raft_send_snapshot(raft, member, now, out);
 	else
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -1,12 +1,12 @@
-/* Checks on messages of the replicated state machine, before anything is done with them: what no member that
- * keeps to the protocol can have sent is dropped as a whole. Messages that are merely late or repeated pass;
- * the protocol deals with them. Called by raft.c; calls raft_members.c and raft_log.c, and changes nothing.
- */
+/* Validation of Raft messages before they are handled. A message that no member can have sent while
+ * following the protocol is dropped completely. Late and duplicate messages are valid; their handlers take
+ * care of them. The checks change no state. */
 #include "raft_internal.h"
 
 enum { MAX_ENTRIES_PER_APPEND = 4096 };
 
-/* No fleet reaches terms and indices beyond this: incremented once a microsecond they take eight years. */
+/* The largest plausible term or index: a counter that is incremented once per microsecond takes eight
+ * years to reach it. */
 #define MAX_COUNTER ((uint64_t)1 << 48)
 
 static bool is_implausible(uint64_t counter)
@@ -14,7 +14,8 @@
 	return counter > MAX_COUNTER;
 }
 
-/* A leader's own message came back, or another claims to lead in a term that has a leader. */
+/* Checks the sender of a leader's message: its term must be plausible, and it must be neither this member
+ * itself nor a second leader of the current term. */
 static enum raft_fault leader_fault(const struct raft *raft, const struct Nl__Msg *message, uint64_t term)
 {
 	if (!term || is_implausible(term))
@@ -153,29 +154,29 @@
 	case RAFT_FAULT_TERM:
 		return "an implausible term, index or offset";
 	case RAFT_FAULT_OWN_MESSAGE:
-		return "a message under our own identity";
+		return "a message sent under the identity of its receiver";
 	case RAFT_FAULT_SECOND_LEADER:
-		return "a second leader of one term";
+		return "a message of a second leader in the same term";
 	case RAFT_FAULT_TOO_MANY_ENTRIES:
-		return "too many entries";
+		return "too many entries in one append message";
 	case RAFT_FAULT_ENTRY_TERM:
-		return "an entry of an impossible term";
+		return "a log entry with an impossible term";
 	case RAFT_FAULT_ENTRY_KIND:
-		return "an entry of an unknown kind";
+		return "a log entry of an unknown kind";
 	case RAFT_FAULT_MEMBERS:
-		return "an impossible list of members";
+		return "an invalid list of members";
 	case RAFT_FAULT_ACKNOWLEDGEMENT:
-		return "an acknowledgement of entries that do not exist";
+		return "an acknowledgement of log entries that do not exist";
 	case RAFT_FAULT_ROUND:
-		return "an answer to a heartbeat that was not sent";
+		return "a reply to a heartbeat round that was not sent";
 	case RAFT_FAULT_FUTURE_STEP_DOWN:
-		return "a step-down of a leader of a later term";
+		return "a notice that the leader of a future term stepped down";
 	case RAFT_FAULT_NO_DIGEST:
 		return "a snapshot without a digest";
 	case RAFT_FAULT_SNAPSHOT_SIZE:
 		return "a snapshot of an impossible size";
 	case RAFT_FAULT_CHUNK_RANGE:
-		return "a chunk outside its snapshot";
+		return "a snapshot chunk outside the range of its snapshot";
 	}
 	return "";
 }
