--- a/lib/core/commands.h
+++ b/lib/core/commands.h
@@ -166,19 +166,22 @@
 	uint64_t fleet;           /* identity of its fleet */
 };
 
-/* Add one command, zeroed but for its kind. It is valid until the next one is added.
+/* Add one command, with all fields but its kind set to zero. The returned pointer is valid until the next
+ * command is added.
  * Example: command_add(out, CMD_CANCEL)->args.cancel.token = token; */
 struct command *command_add(struct command_list *out, enum command_kind kind);
 
-/* Add a message to a peer and return it for filling in; body: its NL__MSG__BODY_... case.
+/* Add a command that sends a message to a peer, and return the message so that the caller sets its body.
+ * body is the NL__MSG__BODY_... constant of that body.
  * Example: command_send(out, addr, 0, NL__MSG__BODY_LEADER_HINT)->leader_hint = hint; */
 struct Nl__Msg *command_send(struct command_list *out, uint64_t addr, uint32_t shard, int body);
 
 /* Answer an HTTP request. Example: command_answer(out, token, 503, 500, "{}"); */
 void command_answer(struct command_list *out, uint64_t token, int status, int retry_ms, const char *body);
 
-/* The same, for an answer that is only true up to a time. Example: command_answer_until(out, token, 200,
- * body, lease_end_ms); */
+/* Answer an HTTP request with a body that is valid only until not_after_ms; after that time the shell
+ * sends 503 instead.
+ * Example: command_answer_until(out, token, 200, body, lease_end_ms); */
 void command_answer_until(struct command_list *out, uint64_t token, int status, const char *body,
 			  int64_t not_after_ms);
 
@@ -192,7 +195,7 @@
 	((struct type *)command_list_alloc((out), sizeof(struct type), &(struct type)init))
 /* NOLINTEND(bugprone-macro-parentheses) */
 
-/* A copy of init, in the step's pool. */
+/* Copy size bytes of init to the step's pool. */
 void *command_list_alloc(struct command_list *out, size_t size, const void *init);
 
 #endif
--- a/lib/core/purge_relay.c
+++ b/lib/core/purge_relay.c
@@ -9,7 +9,7 @@
 void relay_open(struct relay *relay, int64_t now)
 {
 	memset(relay, 0, sizeof *relay);
-	relay->opened_at_ms = relay->upstream_tried_at_ms = now;
+	relay->opened_at_ms = relay->upstream_selected_at_ms = now;
 	relay->horizon_moved_at_ms = relay->known_at_ms =
 	    now - PURGE_MAX_STALENESS_MS - 1; /* no knowledge is current before the first has been received */
 }
@@ -38,7 +38,7 @@
 	if (log_addr)
 		arrput(relay->upstreams, log_addr);
 	relay->upstream_position = 0;
-	relay->upstream_tried_at_ms = now;
+	relay->upstream_selected_at_ms = now;
 	relay->requested_at_ms = 0; /* send curiosity to the new upstream at once */
 }
 
@@ -351,10 +351,10 @@
 static void try_next_upstream(struct relay *relay, int64_t now)
 {
 	if (!arrlen(relay->upstreams) || now - relay->horizon_moved_at_ms < 2 * PURGE_STALL_MS ||
-	    now - relay->upstream_tried_at_ms < PURGE_STALL_MS)
+	    now - relay->upstream_selected_at_ms < PURGE_STALL_MS)
 		return;
 	relay->upstream_position = (relay->upstream_position + 1) % (size_t)arrlen(relay->upstreams);
-	relay->upstream_tried_at_ms = now;
+	relay->upstream_selected_at_ms = now;
 	relay->requested_at_ms = 0;
 }
 
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -35,8 +35,8 @@
 	int lost_voter_position;     /* one of the lost voters */
 	int draining_voter_position; /* a voter that drains while the voters that stay are no majority by
 					themselves */
-	int learner_position;        /* position */
-	int lost_learner_position;   /* position */
+	int learner_position;
+	int lost_learner_position;
 };
 
 static void log_members(struct raft *raft, const struct raft_member *members, int count)
