--- a/lib/core/raft_snapshot_receive.c
+++ b/lib/core/raft_snapshot_receive.c
@@ -1,8 +1,8 @@
-/* Member: a snapshot as it is received from the leader.
- * Chunks are collected in memory, in order, and the snapshot is installed once it is complete and its digest
- * matches: state is replaced as a whole or not at all, and the commit index never moves backwards. A restart
- * forgets the chunks; a change of leader does not, as long as the new one sends the same bytes. Called by
- * raft.c; calls raft_election.c, raft_snapshot.c, raft_members.c, raft_messages.c and raft_log.c. */
+/* Member: reception of a snapshot from the leader. Chunks are collected in memory, in order, and the
+ * snapshot is installed once it is complete and its digest matches. Invariants: a snapshot is installed
+ * completely or not at all, and the commit index never decreases. Received chunks are lost when the
+ * process restarts. They are kept when the leader changes, if the new leader sends a snapshot with the
+ * same digest. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,14 +10,14 @@
 
 /* A snapshot of which some chunks have been received. */
 struct raft_incoming {
-	uint64_t leader_term; /* of the leader that sent its latest chunk */
+	uint64_t leader_term; /* term of the leader that sent the latest chunk */
 	uint64_t index;
 	uint64_t index_term;
-	uint64_t members_len; /* so many of its first bytes are the packed members */
+	uint64_t members_len; /* number of bytes of the packed members, with which the snapshot begins */
 	uint64_t total_bytes;
 	uint64_t received_bytes;
-	uint8_t digest[RAFT_DIGEST_BYTES]; /* as the leader announced it */
-	struct sha256_ctx sum;             /* over what has been received */
+	uint8_t digest[RAFT_DIGEST_BYTES]; /* digest that the leader announced in the chunks */
+	struct sha256_ctx sha256;          /* SHA-256 state over the bytes received so far */
 	uint8_t *bytes;
 	size_t capacity;
 };
@@ -43,23 +43,23 @@
 	incoming->members_len = chunk->members_len;
 	incoming->total_bytes = chunk->total_bytes;
 	memcpy(incoming->digest, chunk->digest.data, RAFT_DIGEST_BYTES);
-	raft_digest_begin(&incoming->sum, incoming->index, incoming->index_term, incoming->members_len);
+	raft_digest_begin(&incoming->sha256, incoming->index, incoming->index_term, incoming->members_len);
 }
 
-static bool same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
+static bool is_same_transfer(const struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
 {
 	return incoming->index == chunk->index && incoming->index_term == chunk->index_term &&
 	       incoming->members_len == chunk->members_len && incoming->total_bytes == chunk->total_bytes &&
 	       !memcmp(incoming->digest, chunk->digest.data, RAFT_DIGEST_BYTES);
 }
 
-/* The transfer that a chunk belongs to, begun if it is new; NULL if it is older than the one that is being
- * received. */
-static struct raft_incoming *incoming_of(struct raft *raft, const struct Nl__SnapshotChunk *chunk)
+/* Returns the transfer to which a chunk belongs, and begins it if it is new. Returns NULL if the chunk
+ * belongs to an older snapshot of the same leader than the one that is being received. */
+static struct raft_incoming *find_or_begin_incoming(struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	struct raft_incoming *incoming = raft->snapshots.incoming;
 
-	if (!incoming || !same_transfer(incoming, chunk)) {
+	if (!incoming || !is_same_transfer(incoming, chunk)) {
 		if (incoming && incoming->leader_term == chunk->term && chunk->index < incoming->index)
 			return NULL;
 		begin_incoming(raft, chunk);
@@ -68,11 +68,11 @@
 	return raft->snapshots.incoming;
 }
 
-static void reserve_capacity(struct raft_incoming *incoming, size_t wanted)
+static void reserve_capacity(struct raft_incoming *incoming, size_t needed)
 {
-	size_t doubled = incoming->capacity * 2 > wanted ? incoming->capacity * 2 : wanted;
+	size_t doubled = incoming->capacity * 2 > needed ? incoming->capacity * 2 : needed;
 
-	if (wanted <= incoming->capacity)
+	if (needed <= incoming->capacity)
 		return;
 	incoming->capacity = doubled < incoming->total_bytes ? doubled : (size_t)incoming->total_bytes;
 	incoming->bytes = realloc(incoming->bytes, incoming->capacity + 1);
@@ -80,19 +80,19 @@
 		abort();
 }
 
-static void add_bytes(struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
+static void append_chunk(struct raft_incoming *incoming, const struct Nl__SnapshotChunk *chunk)
 {
-	size_t skip = (size_t)(incoming->received_bytes - chunk->offset);
-	size_t added = chunk->data.len - skip;
+	size_t duplicate_bytes = (size_t)(incoming->received_bytes - chunk->offset);
+	size_t new_bytes = chunk->data.len - duplicate_bytes;
 
-	reserve_capacity(incoming, (size_t)incoming->received_bytes + added);
-	memcpy(incoming->bytes + incoming->received_bytes, chunk->data.data + skip, added);
-	sha256_update(&incoming->sum, added, incoming->bytes + incoming->received_bytes);
-	incoming->received_bytes += added;
+	reserve_capacity(incoming, (size_t)incoming->received_bytes + new_bytes);
+	memcpy(incoming->bytes + incoming->received_bytes, chunk->data.data + duplicate_bytes, new_bytes);
+	sha256_update(&incoming->sha256, new_bytes, incoming->bytes + incoming->received_bytes);
+	incoming->received_bytes += new_bytes;
 }
 
-/* The digest matches: the snapshot takes the place of all state and of the whole log. */
-static void install(struct raft *raft, struct raft_incoming *incoming)
+/* Install a complete snapshot whose digest matches. It replaces the state and the entire log. */
+static void install_snapshot(struct raft *raft, struct raft_incoming *incoming)
 {
 	size_t members_len = (size_t)incoming->members_len;
 	struct raft_stored_snapshot snapshot = {
@@ -107,7 +107,7 @@
 	if (raft_last_index(raft) > raft->log.base_index)
 		raft_truncate_from(raft, raft->log.base_index + 1);
 	memmove(snapshot.data, incoming->bytes + members_len, snapshot.data_len);
-	incoming->bytes = NULL; /* the snapshot has taken it over */
+	incoming->bytes = NULL; /* now owned by the snapshot */
 	raft_store_snapshot(raft, &snapshot);
 	raft->log.base_index = incoming->index;
 	raft->log.base_term = incoming->index_term;
@@ -120,7 +120,7 @@
 {
 	uint8_t digest[RAFT_DIGEST_BYTES];
 
-	sha256_digest(&incoming->sum, sizeof digest, digest);
+	sha256_digest(&incoming->sha256, sizeof digest, digest);
 	return !memcmp(digest, incoming->digest, sizeof digest);
 }
 
@@ -137,9 +137,9 @@
 	command_send(out, message->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_REPLY)->snapshot_reply = reply;
 }
 
-/* The log holds the snapshot's last entry, so it matches the leader's up to there: nothing of it may be
- * dropped, since what comes after may have been acknowledged. */
-static int log_covers(const struct raft *raft, const struct Nl__SnapshotChunk *chunk)
+/* Whether the log holds the last entry that the snapshot includes. If so, it matches the leader's log up
+ * to that entry, and no entry may be dropped, because entries after it may have been acknowledged. */
+static int log_holds_snapshot_entry(const struct raft *raft, const struct Nl__SnapshotChunk *chunk)
 {
 	return chunk->index <= raft_last_index(raft) && raft_term_at(raft, chunk->index) == chunk->index_term;
 }
@@ -154,7 +154,7 @@
 		raft_send_append_reply(raft, message->addr, 0, 0, 0, out);
 		return;
 	}
-	if (chunk->index > raft->log.commit_index && log_covers(raft, chunk)) {
+	if (chunk->index > raft->log.commit_index && log_holds_snapshot_entry(raft, chunk)) {
 		raft->log.commit_index = chunk->index;
 		raft->log.matched_index =
 		    raft->log.matched_index > chunk->index ? raft->log.matched_index : chunk->index;
@@ -164,12 +164,12 @@
 				       raft->lease.heartbeat_round, out);
 		return;
 	}
-	incoming = incoming_of(raft, chunk);
+	incoming = find_or_begin_incoming(raft, chunk);
 	if (!incoming)
 		return;
 	if (chunk->offset <= incoming->received_bytes &&
 	    chunk->offset + chunk->data.len > incoming->received_bytes)
-		add_bytes(incoming, chunk);
+		append_chunk(incoming, chunk);
 	if (incoming->received_bytes < incoming->total_bytes) {
 		send_snapshot_reply(raft, message, incoming->received_bytes, 0, out);
 		return;
@@ -180,7 +180,7 @@
 		send_snapshot_reply(raft, message, 0, 1, out);
 		return;
 	}
-	install(raft, incoming);
+	install_snapshot(raft, incoming);
 	raft_drop_incoming(raft);
 	send_snapshot_reply(raft, message, chunk->total_bytes, 0, out);
 }
--- a/lib/core/raft_snapshot_send.c
+++ b/lib/core/raft_snapshot_send.c
@@ -1,16 +1,15 @@
-/* Leader: the transfer of a snapshot to a member that is too far behind for entries.
- * A window of chunks is kept under way to the member and moves by what the member acknowledges; without
- * progress the window is sent again, with growing back-off. A transfer goes on with the snapshot that it
- * began with, also when a newer one is taken. Called by raft_replication.c and raft.c; calls raft_election.c,
- * raft_snapshot.c, raft_members.c. */
+/* Leader: transfers of snapshots to members whose next entry is no longer in the log. A window of
+ * unacknowledged chunks is in flight to the member and advances with the acknowledgements. Without
+ * progress the window is sent again, with increasing backoff. A transfer continues with the snapshot that
+ * it began with, even if a newer one is taken. */
 #include <apr_strings.h>
 #include <string.h>
 
 #include "raft_internal.h"
 
-enum {
-	REWIND_INTERVAL_MS = 100
-}; /* between two rewinds of a transfer: replies sent before one say no more than it did */
+/* The minimum interval between two rewinds of a transfer: replies that were sent before a rewind are
+ * outdated. */
+enum { REWIND_INTERVAL_MS = 100 };
 
 static uint64_t total_bytes(const struct raft_stored_snapshot *snapshot)
 {
@@ -38,20 +37,21 @@
 	raft_release_previous(raft);
 }
 
-/* Members and state are two buffers; a chunk may hold the end of one and the beginning of the other. */
-static void copy_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
-		       size_t size)
+/* Copy a range of a snapshot's bytes. The packed members and the state are stored in two buffers, and a
+ * range may span both. */
+static void copy_snapshot_range(const struct raft_stored_snapshot *snapshot, uint64_t offset, uint8_t *target,
+				size_t size)
 {
-	size_t members_part = 0;
+	size_t members_size = 0;
 
 	if (offset < snapshot->members_len) {
-		members_part = snapshot->members_len - (size_t)offset;
-		members_part = members_part < size ? members_part : size;
-		memcpy(target, snapshot->members + offset, members_part);
+		members_size = snapshot->members_len - (size_t)offset;
+		members_size = members_size < size ? members_size : size;
+		memcpy(target, snapshot->members + offset, members_size);
 	}
-	if (size > members_part)
-		memcpy(target + members_part,
-		       snapshot->data + (offset + members_part - snapshot->members_len), size - members_part);
+	if (size > members_size)
+		memcpy(target + members_size,
+		       snapshot->data + (offset + members_size - snapshot->members_len), size - members_size);
 }
 
 static size_t send_chunk(struct raft *raft, const struct raft_member *member,
@@ -72,12 +72,14 @@
 	remaining_bytes = chunk->total_bytes - chunk->offset;
 	chunk->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
 	chunk->data.data = apr_palloc(out->pool, chunk->data.len + 1);
-	copy_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
+	copy_snapshot_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
 	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_CHUNK)->snapshot_chunk = chunk;
 	return chunk->data.len;
 }
 
-/* Without progress for a while: what is under way is taken for lost. */
+/* If the member has acknowledged nothing within the resend time-out, treat the chunks in flight as lost,
+ * so that they are sent again. The time-out includes the time that a slow link takes to transmit the
+ * chunks. */
 static void resend_after_timeout(struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	int64_t transmission_ms =
@@ -95,7 +97,7 @@
 {
 	struct raft_snapshot_transfer *transfer = &member->transfer;
 	struct raft_stored_snapshot *snapshot;
-	uint64_t window;
+	uint64_t window_bytes;
 
 	if (transfer->index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
 		transfer->index = 0;
@@ -110,15 +112,17 @@
 	resend_after_timeout(transfer, now);
 	if (now < transfer->resume_at_ms)
 		return;
-	window = transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
+	window_bytes =
+	    transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
 	if (transfer->sent_bytes == transfer->acked_bytes)
 		transfer->advanced_at_ms = now;
 	while (transfer->sent_bytes < total_bytes(snapshot) &&
-	       transfer->sent_bytes - transfer->acked_bytes < window)
+	       transfer->sent_bytes - transfer->acked_bytes < window_bytes)
 		transfer->sent_bytes += send_chunk(raft, member, snapshot, out);
 }
 
-/* The member holds less than it had acknowledged: it restarted, or received another transfer in between. */
+/* Continue at a smaller offset: the member holds fewer bytes than it had acknowledged, because it
+ * restarted or received another transfer in between. */
 static void rewind_transfer(struct raft_snapshot_transfer *transfer, uint64_t offset, int64_t now)
 {
 	if (transfer->rewound_at_ms && now - transfer->rewound_at_ms < REWIND_INTERVAL_MS)
@@ -128,9 +132,9 @@
 	transfer->advanced_at_ms = now;
 }
 
-/* The digest does not match what the member received: all of it is sent again, and the digest is computed
- * anew. */
-static void restart_corrupt(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
+/* The bytes that the member received do not match the digest: send the complete snapshot again after a
+ * backoff, with a recomputed digest. */
+static void restart_corrupt_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
 	if (now < transfer->resume_at_ms)
 		return;
@@ -143,12 +147,12 @@
 	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
 }
 
-/* Move the window by what a member says it has received. */
-static void note_offset(struct raft *raft, struct raft_snapshot_transfer *transfer,
-			const struct Nl__SnapshotReply *reply, int64_t now)
+/* Move the window to the offset that a member reports. */
+static void update_window(struct raft *raft, struct raft_snapshot_transfer *transfer,
+			  const struct Nl__SnapshotReply *reply, int64_t now)
 {
 	if (reply->corrupt) {
-		restart_corrupt(raft, transfer, now);
+		restart_corrupt_transfer(raft, transfer, now);
 	} else if (reply->offset > transfer->acked_bytes) {
 		transfer->acked_bytes = reply->offset;
 		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes
@@ -160,13 +164,13 @@
 	}
 }
 
-/* The member has installed the snapshot, and will have synced it soon: entries behind it are sent at once,
- * and its own reply will say what it holds. */
+/* The member has installed the snapshot and will have synced it soon: the entries after it are sent at
+ * once, and the member's reply to them reports how far its log matches. */
 static void finish_transfer(struct raft *raft, struct raft_member *member, uint64_t index)
 {
-	uint64_t known = index > member->progress.match_index ? index : member->progress.match_index;
+	uint64_t match_index = index > member->progress.match_index ? index : member->progress.match_index;
 
-	member->progress.next_index = member->progress.unacked_index = known + 1;
+	member->progress.next_index = member->progress.unacked_index = match_index + 1;
 	member->progress.probing = true;
 	raft_end_transfer(raft, member);
 }
@@ -195,7 +199,7 @@
 		return;
 	transfer->last_reply_at_ms = now;
 	transfer->has_reply = true;
-	note_offset(raft, transfer, reply, now);
+	update_window(raft, transfer, reply, now);
 	if (transfer->acked_bytes < total_bytes(snapshot))
 		raft_send_snapshot(raft, member, now, out);
 	else
