--- a/lib/data/router_server.h
+++ b/lib/data/router_server.h
@@ -1,19 +1,19 @@
-/* router_server: what a router knows of servers beyond their configuration: health, load, what they cache,
- * links between them. All of it is observed and may be lost: a router that starts learns it again from
- * reports, watches, answers and other routers. */
+/* router_server: observed state of servers: health, load, cached blocks, and links between servers. All of it
+ * is soft state: a router that starts rebuilds it from reports, cache watches, answers and messages of other
+ * routers. */
 #ifndef NL_ROUTER_SERVER_H
 #define NL_ROUTER_SERVER_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Cache events of one server that the zone has not been sent: the newest of each block.
- * router_cache_feed.c */
+/* Cache events of one server that have not been sent to the routers of the zone yet: the newest event of each
+ * block. router_cache_feed.c */
 struct pending_cache_update {
 	uint64_t epoch;
 	uint64_t next_event;
-	bool is_reset;  /* what was known of the server's cache before no longer holds */
-	bool is_queued; /* the server waits in the feed's queue */
+	bool is_reset;  /* receivers must drop all indexed blocks of the server first */
+	bool is_queued; /* the server is in router_cache_feed.queue */
 	struct {
 		uint64_t key; /* router_block_key */
 		struct {
@@ -23,64 +23,67 @@
 	} * events; /* stb_ds */
 };
 
-/* One server, by its index. */
+/* Observed state of one server. */
 struct router_server_state {
-	/* load, read at each decision */
+	/* Load; read at each placement decision. */
 	int slots;
-	int own_running;          /* sends of this router */
-	int others_running;       /* of other routers, as the server last said */
-	bool is_known;            /* a report or the endpoint list has described it */
-	bool is_loading;          /* weights; it runs nothing meanwhile */
-	uint32_t weights;         /* index of those it has */
-	uint32_t prefill_tokens;  /* that own sends still have to read there */
-	uint64_t resident_tokens; /* of own sends, prompt and answer */
+	int own_running;    /* attempts of this router at the server */
+	int others_running; /* requests of other routers there, from the server's last report or answer */
+	bool is_known;      /* a report or the endpoint list has described the server */
+	bool is_loading;    /* the server is loading weights and runs no requests meanwhile */
+	uint32_t weights;   /* index of the weights that the server has */
+	uint32_t
+	    prefill_tokens; /* prompt tokens of this router's requests that the server still has to prefill */
+	uint64_t resident_tokens; /* tokens that this router's requests take in the server's memory, prompt
+				     and answer */
 	int64_t unavailable_until_ms;
-	double link_free_at_ms; /* when the transfers under way at its link should be done; own ones stand for
-				   all routers' */
+	double link_free_at_ms; /* when the transfers under way at the server's link are expected to end; this
+				   router's transfers are scaled to represent those of all routers */
 	int64_t others_observed_at_ms;
 
-	/* experience with it, which fades */
+	/* Observed performance; older observations decay. */
 	double average_run_ms;
-	double lateness_ms; /* of first chunks, beyond what was expected */
+	double lateness_ms; /* time that first chunks took beyond the expected time */
 	int64_t lateness_observed_at_ms;
-	double failure_rate; /* of sends that broke off */
+	double failure_rate; /* share of attempts that broke off */
 	int64_t failure_observed_at_ms;
-	int connect_failures; /* in a row */
+	int connect_failures; /* consecutive failed connections */
 
-	/* its reports, own interface: router_reports.c */
-	int running; /* as it last said */
+	/* Reports of the server on the product's own interface: router_reports.c */
+	int running; /* requests running at the server, from its last report */
 	int64_t reported_at_ms;
 	int64_t polled_at_ms;
-	int64_t relayed_at_ms;  /* when a relay last sent its report on */
-	uint64_t poll_token;    /* of the call under way */
-	uint64_t poll_sequence; /* block replicas of older reports are dropped */
-	uint64_t report_serial; /* of the report that is known, with the boot it belongs to */
+	int64_t relayed_at_ms;  /* when a relay last sent a report of the server */
+	uint64_t poll_token;    /* identifies the report request in flight */
+	uint64_t poll_sequence; /* number of the newest report; block replicas of older reports are dropped */
+	uint64_t report_serial; /* serial number of the last applied block list; valid for boot_id only */
 	uint64_t boot_id;
-	uint32_t listed_weights; /* as the endpoint list last said; what the server itself says is newer */
-	uint32_t purged_blocks;  /* in its last complete report, of before a purge */
-	int64_t inventory_at_ms; /* when that report came */
-	int unreadable_reports;  /* in a row; the first is logged */
+	uint32_t listed_weights; /* index of the weights in the endpoint list; weights that the server itself
+				    reports take precedence */
+	uint32_t purged_blocks;  /* blocks in the server's last block list that were cached before a purge */
+	int64_t inventory_at_ms; /* when the server's last block list was received */
+	int unreadable_reports;  /* consecutive reports that could not be parsed; only the first is logged */
 
-	/* watch of its prefix cache: router_cache_watch.c */
-	uint64_t watch_token; /* of the watch under way; 0: none */
-	uint64_t cache_epoch; /* of its event numbers; 0: not known */
+	/* Watch of the server's prefix cache: router_cache_watch.c */
+	uint64_t watch_token; /* identifies the watch request in flight; 0: none */
+	uint64_t cache_epoch; /* epoch of the server's event numbers; 0: none received yet */
 	uint64_t next_cache_event;
-	bool cache_listed;  /* its complete cache was listed once, and no event missed since */
-	bool watch_is_full; /* the watch under way asks for that list */
+	bool cache_listed;  /* a complete block list was received, and no event has been missed since */
+	bool watch_is_full; /* the watch request in flight asks for the complete block list */
 	int64_t watched_at_ms;
-	int64_t cache_update_at_ms; /* when something was last heard of its cache */
+	int64_t cache_update_at_ms; /* when the last update of the server's cache was received */
 	struct pending_cache_update pending_update;
 };
 
-/* Load at one server, as one source counts it. */
+/* Load at one server, as counted by one router. */
 struct load_cell {
 	uint32_t prefill_tokens;
 	uint32_t running;
 	uint32_t resident_tokens;
 };
 
-/* A router that publishes load to this one: one of the zone, the head of another zone, or the head of this
- * one. router_load.c */
+/* A router that publishes load to this one: a router of the zone, the head of another zone, or the head of
+ * this zone. router_load.c */
 struct load_source {
 	uint64_t router_id;
 	int scope; /* enum load_scope, router_load.c */
@@ -93,7 +96,7 @@
 struct link_observation {
 	uint64_t key; /* source index << 32 | target index */
 	struct {
-		double slowdown; /* factor */
+		double slowdown; /* observed time divided by configured time */
 		int64_t observed_at_ms;
 	} value;
 };
