--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -1,8 +1,8 @@
-/* router_cache_feed: what the head of a zone sends its downstream routers of the prompt blocks that servers
- * cache. The head alone watches servers; each of their events would be sent on once for each router of the
- * zone, so the head's own link is the bound. Events wait here, the newest of each block in place of older
- * ones, and leave as fast as a share of the link carries them: what clients and the configuration send shares
- * that link and must not wait behind them. */
+/* router_cache_feed: sends changes of the blocks that servers cache from the head of a zone to the zone's
+ * other routers. Only the head watches servers. It would forward each event once for each router of the zone,
+ * so its own link is the bottleneck. Events are therefore queued here, and the newest event of each block
+ * replaces older ones. They are sent at the rate that a share of the link allows, because traffic of clients
+ * and of the configuration shares that link and must not be delayed. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,18 +11,19 @@
 #include "containers.h"
 
 enum {
-	FEED_SHARE_PERCENT = 40, /* of the link, for all downstream routers together */
-	FEED_BURST_MS = 100,     /* of that share which one message to all of them may take */
-	FEED_INDEX_ROWS = 2048   /* rows of the index in one message to a router that is new */
+	FEED_SHARE_PERCENT = 40, /* share of the link for all downstream routers together */
+	FEED_BURST_MS = 100,   /* time in which the share must carry one message to all downstream routers */
+	FEED_INDEX_ROWS = 2048 /* rows of the index in one message to a new router */
 };
 
-/* Bytes that the feed may send in a ms; 0: the link has no known bound. */
+/* Bytes per ms that the feed may send; 0: the link's bandwidth is not configured. */
 static int64_t feed_bytes_per_ms(const struct router *router)
 {
 	return (int64_t)router->config.bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
 }
 
-/* A message has been sent to so many routers: no more before the link's share has carried it. */
+/* Records that a message was sent to a number of routers: the feed sends no more until its share of the link
+ * has carried it. */
 static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *batch, ptrdiff_t routers,
 		       int64_t now)
 {
@@ -66,7 +67,7 @@
 	bool is_reset = update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch);
 	bool is_store = server_config_of(router, server_index)->is_store;
 
-	/* of a store each update goes on, for it shows that the store is up */
+	/* each update of a store is forwarded, even without events, because it shows that the store is up */
 	if (!arrlen(router->relay.downstreams) || (!update->n_events && !is_reset && !is_store))
 		return;
 	if (is_reset) {
@@ -84,7 +85,7 @@
 
 /* ---- to all downstream routers --------------------------------------------------------------- */
 
-/* The waiting events of one server as they are sent: keys alone, which is all that the index needs. */
+/* Builds the message of one server's queued events. It holds only keys, which is all that the index needs. */
 static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server_index,
 						      struct command_list *out)
 {
@@ -113,7 +114,7 @@
 	return update;
 }
 
-/* Of the servers that have waited longest, as many as one message may take. */
+/* Sends the queued events of the servers that were queued first, as many as one message may hold. */
 static void publish_updates(struct router *router, int64_t now, struct command_list *out)
 {
 	ptrdiff_t routers = arrlen(router->relay.downstreams), sent = 0;
@@ -145,13 +146,14 @@
 
 /* ---- to a router that is new ----------------------------------------------------------------- */
 
-/* A stretch of the index on its way into one message. */
+/* A range of index rows that is being copied into one message. */
 struct index_excerpt {
 	struct Nl__CacheUpdateBatch *batch;
-	struct Nl__CacheUpdate **by_server; /* NULL: none yet */
+	struct Nl__CacheUpdate *
+	    *by_server; /* by server index; NULL: the message has no update of this server yet */
 };
 
-/* The update of a server in the message; made where it is new. */
+/* Finds the update of a server in the message; adds it if there is none. */
 static struct Nl__CacheUpdate *update_of(const struct router *router, struct index_excerpt *excerpt,
 					 uint32_t server_index, struct command_list *out)
 {
@@ -168,7 +170,7 @@
 	return update;
 }
 
-/* Counts the replicas of one row into the updates of their servers, or puts them there. */
+/* Counts the replicas of one index row in the updates of their servers; with fill it also stores them. */
 static void add_index_row(const struct router *router, struct index_excerpt *excerpt,
 			  const struct prefix_index_row *row, bool fill, struct command_list *out)
 {
@@ -186,7 +188,7 @@
 	}
 }
 
-/* Rows [begin, end) of the index as messages, one for each server. */
+/* Builds the message for rows [begin, end) of the index, with one update for each server. */
 static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
 						  struct command_list *out)
 {
@@ -210,10 +212,10 @@
 	return batch;
 }
 
-/* A router that is new in the zone, or back, hears only what changes from then on; so it is sent once all
- * that is known to be cached, or prompts would be prefilled again that are cached. It adds this to what it
- * knows itself. The index is gone through from its end: what a deletion moves meanwhile is sent twice rather
- * than never. */
+/* Sends the next range of the index to a router that joined or rejoined the zone. Such a router receives only
+ * later changes, so the complete index is sent to it once; otherwise it would have prompts prefilled again
+ * that are cached. It adds the rows to its own index. The index is sent from its end: rows that a deletion
+ * moves meanwhile are sent twice rather than never. */
 static void publish_index(struct router *router, struct relay_downstream *downstream, int64_t now,
 			  struct command_list *out)
 {
@@ -243,7 +245,7 @@
 	return NULL;
 }
 
-/* Whether this router is the head of a zone with others in it. */
+/* Whether this router is the head of a zone that has other routers. */
 static bool feeds_zone(const struct router *router)
 {
 	return router->config.server_table && !router->config.watch.upstream_count &&
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -1,7 +1,8 @@
-/* router_cache_watch: watches of servers' prefix caches. The head of a zone asks each server for the events
- * of its cache behind the last one it knows; what it learns goes to the zone (router_cache_feed.c) and into
- * the prefix index, as does what a head sends. Events that were missed make all that is known of a server's
- * cache doubtful: it is dropped and listed anew. */
+/* router_cache_watch: watches servers' prefix caches. The head of a zone requests from each server the cache
+ * events after the last one that it received. It applies them to the prefix index and queues them for the
+ * zone (router_cache_feed.c); other routers apply the updates that the head sends. After missed events the
+ * index entries of a server are unreliable: they are dropped, and the server's complete block list is
+ * requested. */
 #include "router_internal.h"
 
 #include <limits.h>
@@ -9,8 +10,9 @@
 #include "containers.h"
 #include "config_row.h"
 
-/* How many servers may be asked at once for their complete list, as a router does that knows nothing of them
- * yet: the answers come all together, and the configuration must not wait behind them on a slow link. */
+/* Number of servers whose complete block list may be requested at once. A router that starts needs the lists
+ * of all servers; their replies would arrive together, and configuration messages must not be delayed by them
+ * on a slow link. */
 static int max_full_watches(const struct router *router)
 {
 	int64_t link_bytes = (int64_t)router->config.bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
@@ -37,7 +39,6 @@
 	command->args.watch_cache.full = server->watch_is_full;
 }
 
-/* Whether a watch of a server is due. */
 static bool needs_watch(const struct router *router, uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, server_index);
@@ -105,7 +106,7 @@
 	prefix_index_remove(&router->cache.index, key, server_index);
 }
 
-/* Events as a server says them. */
+/* Applies one cache event of a server. */
 static void apply_event(struct router *router, uint32_t server_index, const struct Nl__CacheEvent *event)
 {
 	uint64_t key = router_block_key(core_hash_string(0, event->cache_namespace), event->block_hash);
@@ -117,7 +118,7 @@
 			    router_namespace_key_from_text(event->cache_namespace));
 }
 
-/* Of one server: what it caches now, and no longer. */
+/* Applies the blocks added and removed at one server. */
 static void apply_update(struct router *router, uint32_t server_index, const struct Nl__CacheUpdate *update)
 {
 	for (size_t i = 0; i < update->n_present; i++)
@@ -159,7 +160,8 @@
 	server->watched_at_ms = now;
 	if (status != 200 || !update) {
 		server->watched_at_ms =
-		    now + ROUTER_REPORT_POLL_INTERVAL_MS; /* too many watch it, or it is removed */
+		    now +
+		    ROUTER_REPORT_POLL_INTERVAL_MS; /* the server has too many watchers, or it is removed */
 		return;
 	}
 	if (server->watch_is_full)
@@ -168,7 +170,8 @@
 	router_feed_add(router, server_index, update);
 	router_on_cache_update(router, update, now);
 	if (update->events_lost && !server->watch_is_full)
-		server->next_cache_event = 0; /* events were missed: all that it caches is asked for */
+		server->next_cache_event =
+		    0; /* events were missed: the next watch requests the complete block list */
 }
 
 void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -1,13 +1,13 @@
-/* router_cost: what a send would meet at a server: what is under way there, what fits, what a transfer of
- * cached blocks takes. Own sends are known exactly, others' from the load that routers publish
- * (router_load.c) or from servers' answers, which fades. */
+/* router_cost: the load at a server, whether a request fits there, and the time that a transfer of cached
+ * blocks takes. This router's own requests are counted exactly. Those of other routers come from the load
+ * that routers publish (router_load.c), or else from servers' answers, whose values decay with age. */
 #include "router_internal.h"
 
 #include "containers.h"
 
-enum { SAME_ZONE = 1, OTHER_ZONE = 2 }; /* factor of a transfer's time */
+enum { SAME_ZONE = 1, OTHER_ZONE = 2 }; /* factors of a transfer's time within a zone and between zones */
 
-/* What was observed once, halved for each half-life since. */
+/* An observed value, halved for each half-life since its observation. */
 static double decayed(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
 {
 	for (int64_t age_ms = now - observed_at_ms; age_ms >= half_life_ms && value > 0.01;
@@ -16,7 +16,7 @@
 	return value;
 }
 
-/* Whether others' load is known from the heads of zones. */
+/* Whether recent load of other routers at the server was received from the heads of zones. */
 static bool load_is_fresh(const struct router *router, uint32_t server_index, int64_t now)
 {
 	return now - router->load.others_at_ms <= ROUTER_LOAD_VALID_MS &&
@@ -90,7 +90,7 @@
 	       service->capacity_tokens * ROUTER_MAX_RESIDENT_PERCENT / 100;
 }
 
-/* Transfers at one machine run one after the other. */
+/* Transfers at one server run one after the other. */
 double router_link_wait_ms(const struct router *router, uint32_t server_index, int64_t now)
 {
 	double ms = router->servers.states[server_index].link_free_at_ms - (double)now;
@@ -98,7 +98,8 @@
 	return ms > 0 ? ms : 0;
 }
 
-/* This router knows only its own transfers; it takes each as standing for one of every router. */
+/* This router sees only its own transfers. It assumes that each other router starts as many, and multiplies
+ * the time by the number of routers. */
 void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now)
 {
 	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -1,8 +1,8 @@
-/* router_load: what all routers have under way at each server. A router alone knows only its own sends, so
- * several would queue behind each other at one server while others idle. Each router publishes its load to
- * the head of its zone, heads publish sums to each other, and the sum of all comes back to the zone: three
- * hops, some 50 ms old, and a cost that does not grow with the square of routers. Soft state: a lost message
- * is repaired by the next full one. */
+/* router_load: the load of all routers at each server. A router sees only its own requests; without the
+ * others' load, several routers would queue requests at one server while other servers are idle. Each router
+ * publishes its load to the head of its zone, heads publish sums to each other, and each head publishes the
+ * total to its zone. The total takes three hops and is about 50 ms old, and the cost does not grow with the
+ * square of the number of routers. All of this is soft state: the next full message repairs a lost one. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,19 +10,20 @@
 
 #include "containers.h"
 
-/* What a message of load is about; on the wire. */
+/* Whose load a message holds; sent on the wire. */
 enum load_scope { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
-enum { FLEET_SMALL = 16 }; /* routers up to which full messages are sent twice as often */
+enum { FLEET_SMALL = 16 }; /* number of routers up to which full messages are sent twice as often */
 
-/* A message to some routers, and what they were last sent. */
+/* A load message to a group of routers, and what was last sent to them. */
 struct publication {
 	const uint64_t *addrs;
 	int addr_count;
 	enum load_scope scope;
-	const struct load_cell *cells; /* by server */
-	struct load_cell **last_sent;  /* stb_ds, by server */
-	bool full;                     /* else only what has changed since */
+	const struct load_cell *cells; /* by server index */
+	struct load_cell **last_sent;  /* stb_ds, by server index */
+	bool full; /* holds all servers with load; otherwise only those whose load has changed since last_sent
+		    */
 };
 
 static void resize_cells(struct load_cell **cells, uint32_t count)
@@ -45,7 +46,8 @@
 	return all > own ? all - own : 0;
 }
 
-/* What all have, less what this router knows that the head counts as its own. */
+/* The load of other routers: the total less this router's load as last sent to the head, which the head's
+ * total includes. */
 static struct load_cell others_share(const struct load_cell *all, const struct load_cell *own)
 {
 	return (struct load_cell){
@@ -55,7 +57,7 @@
 	};
 }
 
-/* What this router has under way at a server. */
+/* This router's load at a server. */
 static struct load_cell own_load(const struct router *router, uint32_t server_index)
 {
 	const struct router_server_state *server = &router->servers.states[server_index];
@@ -66,7 +68,7 @@
 
 /* ---- publishing ------------------------------------------------------------------------------ */
 
-/* Whether a publication has a row for a server: of a full one where there is load, else where it has
+/* Whether a message has a row for a server: a full message if the server has load, otherwise if its load has
  * changed. */
 static bool has_row(const struct publication *publication, uint32_t server_index)
 {
@@ -77,7 +79,7 @@
 	return memcmp(cell, &(*publication->last_sent)[server_index], sizeof *cell) != 0;
 }
 
-/* Nothing is sent where nothing has changed. */
+/* Sends a load message. A message that is not full and has no rows is not sent. */
 static void publish(struct router *router, const struct publication *publication, struct command_list *out)
 {
 	uint32_t servers = router->config.server_table->server_count;
@@ -114,9 +116,9 @@
 			   (router->config.server_table->server_count + 1) * sizeof(struct load_cell));
 }
 
-/* How long after its last message a router sends what has changed: soon where a send left or began, so that
- * the head of its zone, which others ask, knows; else as rarely as messages are sent to all. Heads are few,
- * and publish to each other soon. */
+/* Interval in ms between load messages that hold only changes. It is short after a send or a first chunk, so
+ * that the head of the zone, which other routers send lookups to, has the newest load; otherwise it is the
+ * interval of messages to all routers. Heads are few and publish to each other at the short interval. */
 static int load_interval_ms(const struct router *router)
 {
 	int rarely = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
@@ -137,8 +139,8 @@
 		}
 }
 
-/* Load of the zone and of the fleet, from what sources have published; load.others becomes what other routers
- * have. */
+/* Computes the load of the zone and of the fleet from the sources' messages; load.others becomes the load of
+ * all other routers. */
 static void sum_load(struct router *router, const struct load_cell *own, struct load_cell *zone,
 		     struct load_cell *all)
 {
@@ -228,8 +230,8 @@
 	own = zero_cells(router, out);
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
 		own[s] = own_load(router, s);
-	if (router->config.watch
-		.upstream_count) { /* what others have is what the head publishes, less this router's own */
+	if (router->config.watch.upstream_count) { /* the load of other routers is the total that the head
+						      publishes less this router's own */
 		publish_to_head(router, own, full, out);
 		return;
 	}
@@ -247,7 +249,7 @@
 
 /* ---- receiving ------------------------------------------------------------------------------- */
 
-/* The source that is this router; made where it is new. */
+/* Finds the load source with a router id; creates it if there is none. */
 static struct load_source *source_of(struct router *router, uint64_t router_id)
 {
 	struct load_source source = { .router_id = router_id };
@@ -277,7 +279,7 @@
 	}
 }
 
-/* The head of the zone has published what all have. */
+/* Computes the load of other routers from the total that the head of the zone has published. */
 static void learn_fleet(struct router *router, const struct load_source *source, int64_t now)
 {
 	uint32_t servers = router->config.server_table->server_count;
--- a/lib/data/router_names.c
+++ b/lib/data/router_names.c
@@ -1,5 +1,5 @@
-/* router_names: names as dense indices. A name gets the next index when it is first seen and keeps it for the
- * lifetime of the process, so that whatever is kept by index stays right across revisions of the
+/* router_names: maps names to dense indices. A name gets the next index when it first appears and keeps it
+ * for the lifetime of the process, so that arrays by index remain valid across revisions of the
  * configuration. */
 #include "router_internal.h"
 
--- a/lib/data/router_namespace.c
+++ b/lib/data/router_namespace.c
@@ -1,18 +1,18 @@
 /* router_namespace: cache namespaces, the names under which servers cache the blocks of forwarded requests. A
- * name says all that decides who may use a block again: the weights, the isolation of tenants, and the purges
- * that the purge view knows of. So a server finds no block that was made with other weights or for an
- * isolated tenant, whatever it caches; and a purge that is known here makes what was cached before it
- * unreachable from here. */
+ * name contains everything that decides who may reuse a block: the weights, the isolation of tenants, and the
+ * purges in the purge view. So a server never finds a block that was made with other weights or for an
+ * isolated tenant, whatever it caches; and once this router has received a purge, its requests cannot reach
+ * blocks that were cached before the purge. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
 
-enum { NAMESPACE_KEY_TEXT = 17 }; /* '~' and 16 digits at a name's end */
+enum { NAMESPACE_KEY_TEXT = 17 }; /* length of '~' and 16 hexadecimal digits at the end of a name */
 
-/* A scope with a retention row of its own has namespaces of its own, and every purge that covers a
- * namespace's slice renames it. */
+/* A scope with its own retention row has its own namespaces, and each purge that covers a namespace's slice
+ * renames the namespace. */
 const char *router_cache_namespace(struct router *router, const struct client_request *request,
 				   uint32_t weights, apr_pool_t *pool)
 {
--- a/lib/data/router_placement.c
+++ b/lib/data/router_placement.c
@@ -1,5 +1,6 @@
-/* router_placement: what choosing a server goes by for requests of either interface: which servers accept
- * requests, and measures of a prompt. router_placement_claimed.c and router_placement_forwarded.c choose. */
+/* router_placement: the basis of server selection for requests of both interfaces: which servers accept
+ * requests, and measures of a prompt. The selection itself is in router_placement_claimed.c and
+ * router_placement_forwarded.c. */
 #include "router_internal.h"
 
 bool router_server_is_serving(const struct router *router, uint32_t server_index, int64_t now)
@@ -20,7 +21,7 @@
 	return now < router_weights_last_send(router, config->service_index, server->weights, now);
 }
 
-/* For a moment, so that another server may have it. */
+/* A server that returned a request is avoided only for a limited time, so that another server can take it. */
 bool router_avoids_server(const struct client_request *request, uint32_t server_index, int64_t now)
 {
 	return server_index == request->retry.avoided_server && now < request->retry.avoided_until_ms;
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -1,13 +1,16 @@
-/* router_placement_claimed: which server a request of the product's own interface goes to, which cached
- * blocks it reuses there, and what it fetches from where: prefill that is saved is weighed against load, and
- * a fetch against prefill. router_placement_forwarded.c does the same for forwarded requests. */
+/* router_placement_claimed: selects the server for a request of the product's own interface, the cached
+ * blocks that it reuses there, and what it fetches from which other server or store. Saved prefill time is
+ * weighed against the server's load, and fetch time against prefill time. router_placement_forwarded.c does
+ * the same for forwarded requests. */
 #include "router_internal.h"
 
 #include "containers.h"
 
-enum { SHORT_FETCH_MS = 20 }; /* too short to tell a slow link from a process that was not scheduled */
+enum {
+	SHORT_FETCH_MS = 20
+}; /* a fetch this short does not distinguish a slow link from a process that was not scheduled */
 
-/* Whether one tenant may use what was cached for another. */
+/* Whether one tenant may use blocks that were cached for another. */
 static bool may_share(const struct route_table *routes, uint32_t owner, uint32_t user)
 {
 	if (owner == user)
@@ -43,7 +46,7 @@
 	return NULL;
 }
 
-/* How many leading blocks of a prompt a server caches that the request may use. */
+/* Number of leading prompt blocks that a server caches and the request may use. */
 static int cached_prefix_blocks(struct router *router, const struct client_request *request,
 				uint32_t server_index, uint32_t weights)
 {
@@ -57,8 +60,8 @@
 
 /* ---- links ----------------------------------------------------------------------------------- */
 
-/* How much slower than configured the link between two servers was observed to be, which fades; at least
- * 1. */
+/* How much slower than configured the link between two servers was observed to be, as a factor of at least 1.
+ * It is halved for each half-life since the observation. */
 static double link_slowdown(struct router *router, uint32_t source, uint32_t target, int64_t now)
 {
 	ptrdiff_t i = hmgeti(router->servers.links, (uint64_t)source << 32 | target);
@@ -110,7 +113,7 @@
 	       router_server_is_serving(router, server_index, now) && running_count(server) < server->slots;
 }
 
-/* Whether a peer server or the store may give blocks to a server. */
+/* Whether a server can fetch blocks from another server or from the store (source). */
 static bool is_source(const struct router *router, const struct client_request *request, uint32_t source,
 		      uint32_t server_index, int64_t now)
 {
@@ -124,7 +127,7 @@
 	return router_server_is_serving(router, source, now);
 }
 
-/* Puts the best fetch into a plan, where one is quicker than prefill. */
+/* Adds the cheapest fetch to a plan, if one is quicker than prefill. */
 static void plan_fetch(struct router *router, const struct client_request *request, struct plan *plan,
 		       double prefill_ms, int64_t now)
 {
@@ -158,7 +161,7 @@
 	}
 }
 
-/* What it costs to send a request to a server. */
+/* Computes the plan and its cost for sending a request to a server. */
 static struct plan weigh(struct router *router, const struct client_request *request, uint32_t server_index,
 			 int64_t now)
 {
@@ -181,7 +184,7 @@
 	return plan;
 }
 
-/* Of equal costs the one that rendezvous hashing prefers, so that routers spread. */
+/* Compares plans by cost. Ties are broken by rendezvous hashing, so that routers choose different servers. */
 static bool is_better(const struct router *router, const struct client_request *request,
 		      const struct plan *plan, const struct plan *best)
 {
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -1,41 +1,45 @@
-/* router_placement_forwarded: which server a forwarded request goes to, and what is fetched from where. It
- * goes where its prefix is cached, or to the prefix's home, which rendezvous hashing (Thaler and Ravishankar
- * 1998) names; elsewhere only where the wait there is so long that moving the prefix pays, and then with a
- * fetch. Prefill of what is cached somewhere is the most expensive. */
+/* router_placement_forwarded: selects the server for a forwarded request, and what it fetches from which
+ * other server or store. A request is sent to a server that caches its prefix, or to the prefix's home
+ * server, which rendezvous hashing (Thaler and Ravishankar 1998) selects. It is sent elsewhere, with a fetch
+ * of the prefix, only if the wait at those servers costs more than moving the prefix. The most expensive
+ * choice is to prefill a prefix again that is cached at some server. */
 #include "router_internal.h"
 
 #include "containers.h"
 
 enum {
-	ALTERNATIVES = 3, /* other servers that are weighed */
+	ALTERNATIVES = 3, /* number of servers that are weighed in addition to the home and to those that
+			     cache the prefix */
 	HOME_HASH_SEED = 67,
 	STORE_HASH_SEED = 61,
 	ALTERNATIVES_HASH_SEED = 53,
-	OFFLOAD_MIN_SHARED_RATIO = 3 /* shared tokens to the request's own, below which it is not offloaded */
+	OFFLOAD_MIN_SHARED_RATIO =
+	    3 /* minimum ratio of shared tokens to the request's own tokens for an offload */
 };
 
-#define HOME_EXPECTED_SHARE \
-	0.7 /* of a prefix that others will have sent to its home by the time it is prefilled there */
+#define HOME_EXPECTED_SHARE                                                                               \
+	0.7 /* expected share of a prefix that other requests will have sent to its home by the time this \
+	       request is prefilled there */
 
-/* What one decision goes by. */
+/* Inputs of one placement decision. */
 struct placement {
 	const struct client_request *request;
 	const struct service_config *service;
 	int64_t now;
-	int home_server; /* -1: none */
+	int home_server; /* -1: no server can be the home */
 	int store_server;
 	int alternatives[ALTERNATIVES];
-	int shared_blocks;       /* leading blocks that other requests have too */
-	bool purge_view_current; /* cached blocks may be reused */
+	int shared_blocks;       /* leading blocks that other requests may share */
+	bool purge_view_current; /* the purge view is current, so cached blocks may be reused */
 	double all_tokens;
 	struct generation generations[MAX_GENERATIONS];
 	int generation_count;
 };
 
-/* A server that the request may go to. */
+/* A server that the request may be sent to. */
 struct candidate {
 	struct plan plan;
-	double prefill_ms; /* with its fetch */
+	double prefill_ms; /* prefill time, including the fetch */
 };
 
 int router_store_of(const struct router *router, const struct client_request *request)
@@ -63,7 +67,7 @@
 
 /* ---- candidates ------------------------------------------------------------------------------ */
 
-/* The hash that names a request's home. */
+/* The hash that selects a request's home server. */
 static uint64_t home_key(const struct router *router, const struct client_request *request)
 {
 	if (mechanism_in_use(router, MECHANISM_HOMES))
@@ -71,7 +75,7 @@
 	return core_hash_string(HOME_HASH_SEED, request->client.request_id);
 }
 
-/* Whether a server may be a request's home, were it serving. */
+/* Whether a server is eligible as a request's home, regardless of whether it currently serves. */
 static bool may_be_home(const struct router *router, const struct client_request *request,
 			uint32_t server_index, int64_t now)
 {
@@ -82,10 +86,10 @@
 	       !router_avoids_server(request, server_index, now);
 }
 
-/* The server that rendezvous hashing names for a prefix, so that all routers name the same. While it does
- * not serve, the next in an order that does not change while others load, fail or return; those with the
- * target weights go first, since what is prefilled there is of use when the others have them too. -1: none
- * serves. */
+/* The home server of a prefix, selected by rendezvous hashing, so that all routers select the same one. While
+ * that server does not serve, the next one in hash order is used; this order does not change while other
+ * servers load, fail or return. Among these, servers with the target weights are preferred, since blocks that
+ * are prefilled there remain useful when the others have these weights too. -1: no server can be the home. */
 static int home_server(struct router *router, const struct client_request *request, int64_t now)
 {
 	uint32_t target = router->config.route_table->services[request->route.service_index].target_weights;
@@ -116,7 +120,7 @@
 	return first >= 0 && router_server_is_serving(router, (uint32_t)first, now) ? first : home;
 }
 
-/* Puts a server into the alternatives, which are in descending order of weight. */
+/* Inserts a server into the alternatives, which are in descending order of their rendezvous weight. */
 static void insert_alternative(struct placement *placement, uint64_t *weights, uint32_t server_index,
 			       uint64_t weight)
 {
@@ -133,8 +137,9 @@
 	}
 }
 
-/* Where else it may go: a few that the request's own id names. All routers know the same load, some 50 ms old
- * or more; if each took the least loaded of all servers, they would take the same one together. */
+/* Selects a few alternative servers by rendezvous hashing of the request id. All routers see the same load,
+ * which is about 50 ms old or older; if each chose the least loaded of all servers, they would all choose the
+ * same one at once. */
 static void find_alternatives(const struct router *router, struct placement *placement)
 {
 	uint64_t weights[ALTERNATIVES] = { 0 },
@@ -179,8 +184,8 @@
 
 /* ---- what is cached where -------------------------------------------------------------------- */
 
-/* Whether a server gives more of a prefix than another: it caches more blocks, or as many and has fewer own
- * sends. */
+/* Whether a server is a better fetch source than another one: it caches more blocks, or the same number and
+ * runs fewer requests of this router. */
 static bool gives_more(const struct router *router, uint32_t server_index, int other)
 {
 	int depth = router->servers.cached_depth[server_index];
@@ -191,7 +196,8 @@
 	       router->servers.states[server_index].own_running < router->servers.states[other].own_running;
 }
 
-/* The server with these weights that caches most of the prefix. -1: none is known to cache any. */
+/* The serving server with these weights that caches the longest part of the prefix. -1: none caches any of
+ * it. */
 static int deepest_cache_server(const struct router *router, const struct placement *placement,
 				uint32_t weights)
 {
@@ -219,8 +225,8 @@
 	       router_server_is_serving(router, (uint32_t)store, placement->now);
 }
 
-/* Of each generation the server to fetch from: servers have many links and the store one, so the store gives
- * only what no server caches. */
+/* Selects the fetch source for each generation of weights. Servers have many links and the store has one, so
+ * the store is used only for blocks that no server caches. */
 static void find_sources(const struct router *router, struct placement *placement)
 {
 	bool store_up = store_is_up(router, placement);
@@ -251,8 +257,9 @@
 
 /* ---- cost ------------------------------------------------------------------------------------ */
 
-/* What goes to a server with older weights has to begin there before newer ones are due: in twice the time
- * that it is expected to wait, as the load that is known is older than the load it will meet. */
+/* Whether a request would begin in time at a server with these weights: a server with older weights must
+ * begin it before the newer weights are due. The expected wait is doubled, since the published load is older
+ * than the load that the request will meet. */
 static bool begins_in_time(const struct router *router, const struct placement *placement, uint32_t weights,
 			   double wait_ms)
 {
@@ -262,7 +269,7 @@
 	return placement->now + (int64_t)(2 * wait_ms) < last_send;
 }
 
-/* Fetches what the server lacks of the prefix, where that is worth it. */
+/* Adds a fetch of the blocks that the server lacks to a candidate's plan, unless the fetch takes too long. */
 static void plan_fetch(struct router *router, const struct placement *placement, struct candidate *candidate,
 		       int source, int end)
 {
@@ -284,8 +291,8 @@
 	candidate->prefill_ms += ms - tokens / placement->service->prefill_tokens_per_ms;
 }
 
-/* Where a server may fetch from: its generation's source; else the home, which caches the prefix unless
- * nobody has used it yet. */
+/* Selects the server or store that a server fetches from: the source of its generation; otherwise the home
+ * server, which is assumed to cache the prefix. -1: none. *end: leading blocks that are cached there. */
 static int source_for(const struct router *router, const struct placement *placement, uint32_t server_index,
 		      int *end)
 {
@@ -305,8 +312,8 @@
 	return placement->home_server;
 }
 
-/* A server that takes in a prefix evicts others there: what prefill away from the home, or from where it is
- * cached, costs besides. */
+/* The cost of evicting other cached blocks at a server that adds the prefix to its cache. It applies to
+ * prefill away from the home and away from servers that cache the prefix. */
 static double eviction_ms(const struct placement *placement, const struct candidate *candidate, int source)
 {
 	const struct client_request *request = placement->request;
@@ -323,7 +330,7 @@
 	       ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)lacking / 1000;
 }
 
-/* What it costs to go to a server. false: it cannot begin there in time. */
+/* Computes the cost of a candidate. false: the request could not begin there in time. */
 static bool weigh(struct router *router, const struct placement *placement, struct candidate *candidate)
 {
 	const struct client_request *request = placement->request;
@@ -431,8 +438,9 @@
 	return false;
 }
 
-/* A request's own blocks would be offloaded too and evict shared ones: one that adds few of its own will
- * come. */
+/* Whether offloading a request's prefix to the store is worthwhile. The request's own blocks are offloaded
+ * too and evict shared ones, so the request must add few of its own; a later request with the same prefix
+ * will do if this one does not. */
 static bool pays_to_offload(const struct client_request *request, int shared)
 {
 	uint64_t shared_tokens = router_tokens_of_blocks(request, shared);
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -1,8 +1,8 @@
-/* router_prefix_lookup: which servers cache how much of a request's prompt, by the weights that they have.
- * The head of a zone hears first and most of what servers cache; so a router asks it for the prefix of each
- * request that it admits (the paper's curiosity, sent to the nearest holder), and waits a few ms for the
- * answer. Where none comes in time it uses its own index, which the head feeds. A lookup and its reply are
- * some hundred bytes, whatever the number of servers, routers and blocks. */
+/* router_prefix_lookup: finds which servers cache how many blocks of a request's prompt, for each generation
+ * of weights. The head of a zone receives cache events first and most completely, so a router sends it a
+ * lookup for the prefix of each request that it admits (the paper's curiosity, sent to the nearest holder),
+ * and waits a few ms for the reply. Without a timely reply it uses its own index, which the head feeds. A
+ * lookup and its reply take a few hundred bytes, whatever the number of servers, routers and blocks. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,14 +11,14 @@
 #include "containers.h"
 
 enum {
-	LOOKUP_INITIAL_ROUND_TRIP_MS = 6, /* assumed until some replies have come */
-	LOOKUP_WAIT_ROUND_TRIPS = 3,      /* for which a request waits for its reply */
-	LOOKUP_MIN_WAIT_MS = 10,          /* a tick may come between */
-	LOOKUP_MAX_WAIT_MS = 45,          /* what a reply saves is not worth a longer wait */
-	LOOKUP_MAX_MISSES = 3,            /* in a row, after which replies are not waited for */
-	LOOKUP_PROBE_INTERVAL_MS = 400,   /* between lookups while the head does not reply */
-	LOOKUP_MAX_SERVERS = 6,           /* that a reply names for one generation */
-	LOOKUP_MAX_BLOCKS = 16            /* of a prompt that are looked up */
+	LOOKUP_INITIAL_ROUND_TRIP_MS = 6, /* round trip time that is assumed before the first replies */
+	LOOKUP_WAIT_ROUND_TRIPS = 3,      /* round trips for which a request waits for its reply */
+	LOOKUP_MIN_WAIT_MS = 10,          /* a tick may delay the handling of a reply */
+	LOOKUP_MAX_WAIT_MS = 45,          /* a longer wait costs more than a reply saves */
+	LOOKUP_MAX_MISSES = 3,          /* consecutive misses after which requests do not wait for replies */
+	LOOKUP_PROBE_INTERVAL_MS = 400, /* time between lookups while the head does not reply */
+	LOOKUP_MAX_SERVERS = 6,         /* servers that a reply lists for one generation of weights */
+	LOOKUP_MAX_BLOCKS = 16          /* leading prompt blocks that are looked up */
 };
 
 /* ---- generations ----------------------------------------------------------------------------- */
@@ -53,8 +53,8 @@
 
 /* ---- this router's index --------------------------------------------------------------------- */
 
-/* Raises servers.cached_depth to how many of the leading blocks each server caches under this namespace;
- * returns the store's. */
+/* Raises servers.cached_depth to the number of leading blocks that each server caches under this namespace;
+ * returns the number for the store. */
 static int index_depths(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
 			int block_count, int store)
 {
@@ -88,7 +88,8 @@
 		memset(router->servers.cached_depth, 0, n * sizeof *router->servers.cached_depth);
 }
 
-/* What a reply has said, as far as the servers it names still have the weights; returns the store's depth. */
+/* Sets servers.cached_depth from the reply to a request's lookup, for servers that still have the
+ * generation's weights; returns the store's depth. */
 static int answered_depths(struct router *router, const struct client_request *request,
 			   const struct generation *generation, int store)
 {
@@ -108,7 +109,8 @@
 	return store_depth;
 }
 
-/* What this router's own index says of servers with these weights; returns the store's depth. */
+/* Sets servers.cached_depth from this router's own index, for servers with the generation's weights; returns
+ * the store's depth. */
 static int own_depths(struct router *router, const struct client_request *request,
 		      const struct generation *generation, int store)
 {
@@ -157,8 +159,8 @@
 	router->lookup.round_trip_ms = LOOKUP_INITIAL_ROUND_TRIP_MS;
 }
 
-/* The load of the servers that it may go to is asked for too: what the head publishes to all routers is
- * older. */
+/* Adds the servers that a request may be sent to, so that the reply holds their load: it is newer than the
+ * load that the head publishes to all routers. */
 static void request_load(struct router *router, const struct client_request *request,
 			 struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
 {
@@ -170,7 +172,8 @@
 		lookup->servers[lookup->n_servers++] = router->servers.hashes[server_indices[i]];
 }
 
-/* Whether there is a head to ask for a request's prefix. head_is_silent: it has not replied lately. */
+/* Whether a lookup may be sent to the head of the zone for a request's prefix. head_is_silent: the head has
+ * not replied to the last lookups. */
 static bool may_query_head(const struct router *router, const struct client_request *request,
 			   bool head_is_silent, int64_t now)
 {
@@ -182,7 +185,7 @@
 	return !head_is_silent || now >= router->lookup.next_probe_at_ms;
 }
 
-/* The message for a request's blocks under these namespaces. */
+/* Builds the lookup message for a request's blocks under its namespaces. */
 static struct Nl__PrefixLookup *lookup_message(const struct client_request *request, struct command_list *out)
 {
 	struct Nl__PrefixLookup *lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
@@ -240,7 +243,8 @@
 
 /* ---- replying -------------------------------------------------------------------------------- */
 
-/* The servers that cache most of the prefix, of one generation; stores too. */
+/* Adds to a reply the servers that cache the longest part of the prefix under the namespace of one
+ * generation, stores included. */
 static void answer_matches(struct router *router, const struct Nl__PrefixLookup *lookup, size_t generation,
 			   struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
@@ -265,7 +269,7 @@
 		}
 }
 
-/* The load of the servers that were asked for, and of those that are named. */
+/* Adds to a reply the load of the servers in the lookup, and of the servers that the reply lists. */
 static void answer_load(struct router *router, const struct Nl__PrefixLookup *lookup,
 			struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
@@ -311,7 +315,7 @@
 
 /* ---- the reply ------------------------------------------------------------------------------- */
 
-/* The servers that a reply names, by this router's indices. */
+/* Stores the servers of a reply with the request, translated to this router's server indices. */
 static void learn_matches(struct router *router, struct client_request *request,
 			  const struct Nl__PrefixLookupReply *reply)
 {
--- a/lib/data/router_purge.c
+++ b/lib/data/router_purge.c
@@ -1,5 +1,6 @@
-/* router_purge: what purges withdraw from the prefix index as they arrive with the purge stream. Blocks that
- * were cached before the purge's tick are dropped; what was cached later, under the purged state, stays. */
+/* router_purge: removes block replicas from the prefix index as purges arrive with the purge stream. Blocks
+ * that were cached before the purge's tick are dropped. Blocks that were cached later, under the purged
+ * state, are kept. */
 #include "router_internal.h"
 
 #include <string.h>
@@ -21,8 +22,8 @@
 	case PURGE_WEIGHTS:
 		return !strcmp(router->names.services.names[replica->service_index], purge->service) &&
 		       !strcmp(router->names.weights.names[replica->weights_index], purge->weights);
-	case PURGE_CONTEXT: /* of forwarded requests the namespace has another name from now on; the old ones
-			       go as servers say */
+	case PURGE_CONTEXT: /* for forwarded requests the purge renames the namespace; the old blocks are
+			       removed when servers report their eviction */
 		return !router->config.bounds.discover_instances &&
 		       !router_retains(router, replica->service_index, replica->tenant_index, block_hash,
 				       replica->stamp_tick);
--- a/lib/data/router_reports.c
+++ b/lib/data/router_reports.c
@@ -1,6 +1,6 @@
-/* router_reports: reports of servers, of the product's own interface: load, weights, and which blocks a
- * server caches. A relay polls each server for its zone and sends the report on as it came; a router polls
- * itself where no relay has for a while. */
+/* router_reports: reports of servers on the product's own interface: load, weights, and the cached blocks of
+ * a server. A relay polls each server for its zone and forwards the report unchanged; a router polls a server
+ * itself if no relay has forwarded its report for a while. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -12,7 +12,7 @@
 
 enum {
 	REPORT_TIMEOUT_MS = 800,
-	MAX_SLOTS = 100000 /* that a report may name */
+	MAX_SLOTS = 100000 /* largest number of slots in a valid report */
 };
 
 /* ---- polling --------------------------------------------------------------------------------- */
@@ -24,7 +24,7 @@
 	int64_t first_at_ms = now - (int64_t)(core_rendezvous_weight(router->id, server_index) %
 					      ROUTER_REPORT_POLL_INTERVAL_MS);
 
-	/* spread over the period, so that routers do not all poll at once */
+	/* spread over the interval, so that routers do not all poll at the same moment */
 	server->polled_at_ms = server->polled_at_ms ? now : first_at_ms;
 	server->poll_token = router_token_new(router);
 	server->poll_sequence++;
@@ -55,7 +55,8 @@
 
 /* ---- a report -------------------------------------------------------------------------------- */
 
-/* A report that cannot be read changes nothing, and is logged once. */
+/* Logs a report that cannot be parsed. Such a report has no effect, and only the first of consecutive ones is
+ * logged. */
 static void log_unreadable(struct router *router, uint32_t server_index, const char *reason)
 {
 	char text[300];
@@ -76,7 +77,8 @@
 	    server->running > server->own_running ? server->running - server->own_running : 0;
 }
 
-/* One cached block of a report; a late report never revives what is purged. */
+/* Adds one cached block of a report to the prefix index. A purged block is not added, so that a late report
+ * never restores it. */
 static void learn_block(struct router *router, uint32_t server_index, struct json_object *block)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
@@ -91,7 +93,7 @@
 	};
 
 	if (maker < 0 || made_with < 0)
-		return; /* of no tenant that the configuration ever had here */
+		return; /* this router's configuration never contained the tenant */
 	hash = strtoull(json_string_member(block, "h"), NULL, 16);
 	if (!router_retains(router, service_index, (uint32_t)maker, hash, stamp_tick))
 		server->purged_blocks++;
@@ -137,7 +139,7 @@
 	else if (json_uint_member(report, "serial") != server->report_serial ||
 		 json_uint_member(report, "boot") != server->boot_id)
 		server->relayed_at_ms = server->polled_at_ms =
-		    0; /* what changed was lost on its way here: poll ourselves */
+		    0; /* the report with the changed block list was lost: poll the server directly */
 end:
 	if (report)
 		json_object_put(report);
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -1,6 +1,6 @@
-/* router_retention: purges of context by schedule, as a router sees them: which scopes have cache namespaces
- * of their own, which purges cover them, and what servers still cache from before one. Controllers decide the
- * purges (lib/control/retention.h) and count one as done when nobody reports remainders any more. */
+/* router_retention: scheduled purges of context in a router: which scopes have their own cache namespaces,
+ * which purges cover them, and which blocks servers still cache from before a purge. Controllers decide the
+ * purges (lib/control/retention.h) and count a purge as completed when no router reports remaining blocks. */
 #include "router_internal.h"
 
 #include <string.h>
@@ -9,10 +9,11 @@
 #include "retention.h"
 
 enum {
-	RETENTION_SCAN_INTERVAL_MS = 1000, /* between scans for remainders */
-	RETENTION_SILENT_SERVER_MS = 5000, /* after which it is not known what a server caches */
-	RETENTION_ROWS_PER_TICK = 2000,    /* of the index that a scan reads */
-	MAX_SCOPE_NAME = 200               /* bytes */
+	RETENTION_SCAN_INTERVAL_MS = 1000, /* interval between scans for remaining blocks */
+	RETENTION_SILENT_SERVER_MS =
+	    5000, /* silence of a server after which its cached blocks count as unknown */
+	RETENTION_ROWS_PER_TICK = 2000, /* index rows that a scan reads per tick */
+	MAX_SCOPE_NAME = 200            /* bytes */
 };
 
 /* ---- scopes and generations ------------------------------------------------------------------ */
@@ -23,7 +24,7 @@
 	struct cache_scope scope = { -1, -1, "", "", 0 };
 
 	if (!retention_parse_scope(row->name, route_name, tenant_name) || (!route_name[0] && !tenant_name[0]))
-		return; /* of everything: the common namespaces are its own */
+		return; /* a row for all routes and tenants uses the common namespaces */
 	if (route_name[0]) {
 		scope.route_index = names_find(&router->names.routes, route_name);
 		if (scope.route_index < 0)
@@ -40,7 +41,7 @@
 	arrput(routes->scopes, scope);
 }
 
-/* A tenant's scope is narrower than a route's. */
+/* A scope with a tenant is narrower than one with a route only. */
 int router_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index)
 {
 	int best = -1, best_weight = 0;
@@ -61,7 +62,8 @@
 	return best;
 }
 
-/* Whether a purge covers a scope; NULL: the common namespaces, which only a purge of everything covers. */
+/* Whether a purge covers a scope. scope NULL: the common namespaces, which only a purge of all routes and
+ * tenants covers. */
 static bool covers(const struct Nl__Purge *purge, const struct cache_scope *scope)
 {
 	if (!scope)
@@ -71,7 +73,7 @@
 	return !purge->tenant[0] || !scope->tenant_name[0] || !strcmp(purge->tenant, scope->tenant_name);
 }
 
-/* The generations of all scopes and slices, those of the common namespaces first. */
+/* Computes the generations of all scopes and slices; those of the common namespaces come first. */
 static void compute_generations(struct router *router)
 {
 	const struct route_table *routes = router->config.route_table;
@@ -110,7 +112,7 @@
 
 /* ---- a purge --------------------------------------------------------------------------------- */
 
-/* Usage that names whose context is purged goes too. */
+/* Removes the usage records of the routes and tenants that a purge covers. */
 static void drop_usage(struct router *router, const struct Nl__Purge *purge)
 {
 	for (ptrdiff_t i = hmlen(router->records.usage) - 1; i >= 0; i--) {
@@ -130,7 +132,8 @@
 	arrsetlen(router->retention.generations, 0);
 	if (purge->slice != PURGE_SLICES - 1)
 		return;
-	/* the purge is complete: all servers are to report anew what they cache, and a scan begins at once */
+	/* the purge is complete: request new reports of cached blocks from all servers, and start a scan at
+	 * once */
 	router->retention.purged_at_ms = now;
 	router->retention.scan_position = 0;
 	router->retention.scan_at_ms = now - RETENTION_SCAN_INTERVAL_MS;
@@ -162,8 +165,9 @@
 		arrput(router->retention.remainders, remainder);
 }
 
-/* A namespace's generation is of one slice; what is older than the oldest slice of its scope now is surely
- * from before. */
+/* Whether a namespace is from before a purge. A namespace's generation belongs to one slice, which its key
+ * does not name; a generation below the oldest of all slices of its scope is certainly from before a purge.
+ */
 static bool is_purged_generation(struct router *router, uint64_t namespace_key)
 {
 	const struct route_table *routes = router->config.route_table;
@@ -174,7 +178,7 @@
 		if ((routes->scopes[i].hash & UINT32_MAX) == namespace_key >> 32)
 			scope = (int)i;
 	if (namespace_key >> 32 && scope < 0)
-		return true; /* of a row that has been removed */
+		return true; /* the scope's retention row was removed */
 	for (uint32_t slice = 0; slice < PURGE_SLICES; slice++)
 		oldest = router_generation(router, scope, slice) < oldest
 			     ? router_generation(router, scope, slice)
@@ -182,8 +186,8 @@
 	return (namespace_key & UINT32_MAX) < oldest;
 }
 
-/* Servers that have not reported since what they cache. Those of the own interface report at once what a
- * purge withdrew there. */
+/* Adds the servers that have not reported their cached blocks since the purge. Servers of the product's own
+ * interface report at once the blocks that a purge covers. */
 static void remainders_of_servers(struct router *router, int64_t now)
 {
 	bool discovered = router->config.bounds.discover_instances;
@@ -196,14 +200,14 @@
 
 		if (!server_config_of(router, s)->is_configured || !remains)
 			continue;
-		/* 0 blocks: it is not known what it caches */
+		/* 0 blocks: the server's cached blocks are unknown */
 		remainder_add(router, s, RETENTION_ANY, 0,
 			      discovered || unreported ? 0 : server->purged_blocks);
 	}
 }
 
-/* A stretch of the index, from its end on: what a deletion moves meanwhile is scanned twice rather than
- * never. */
+/* Scans the next range of the index for purged blocks, from its end: rows that a deletion moves meanwhile are
+ * scanned twice rather than never. */
 static void remainders_of_index(struct router *router)
 {
 	struct prefix_index_row *rows = router->cache.index.blocks;
@@ -230,7 +234,7 @@
 	}
 }
 
-/* Share of requests that wait, per mille. */
+/* Share of all requests that are queued, per mille. */
 static uint32_t load_pressure(const struct router *router)
 {
 	uint64_t all = arrlen(router->requests.all) ? (uint64_t)arrlen(router->requests.all) : 1;
@@ -241,7 +245,8 @@
 	return waiting ? (uint32_t)(1000ull * waiting / all) : 0;
 }
 
-/* A scan is over: what it has found is reported, and counts if it began after the last purge. */
+/* Reports the result of a completed scan to the controllers. For forwarded requests it counts only if the
+ * scan began after the last purge. */
 static void report_remainders(struct router *router, int64_t now)
 {
 	struct config_watch *watch = &router->config.watch;
--- a/lib/data/router_server_table.c
+++ b/lib/data/router_server_table.c
@@ -1,6 +1,6 @@
-/* router_server_table: builds the server table: servers of the configuration or of the endpoint list,
- * whichever the deployment has, and the offload stores of services. A server that is gone from the table has
- * lost what it cached. */
+/* router_server_table: builds the server table: the servers of the configuration or of the endpoint list,
+ * whichever the deployment uses, and the offload stores of services. A server that is no longer in the table
+ * has lost its cached blocks. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,8 +10,8 @@
 
 enum {
 	SERVER_HASH_SEED = 43,
-	MAX_WEIGHTS_NAME = 128, /* bytes, its end included */
-	MAX_WARM_UP_MS = 2000   /* for which a new server is left alone */
+	MAX_WEIGHTS_NAME = 128, /* bytes, including the terminating zero */
+	MAX_WARM_UP_MS = 2000   /* longest time for which a new server receives no requests */
 };
 
 void router_server_table_free(struct server_table *servers)
@@ -20,8 +20,8 @@
 		apr_pool_destroy(servers->pool);
 }
 
-/* Whether a service's row stands for a store: where stores have rows of their own those do, else each
- * service's address. */
+/* Whether a configuration row defines a store. Where stores have rows of their own, each of those does;
+ * otherwise each service row with the address and speed of a store. */
 static bool store_row(const struct router *router, const struct Nl__Row *row)
 {
 	if (row->kind != NL__KIND__SERVICE || !row->addr[0])
@@ -40,7 +40,7 @@
 	return names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
 }
 
-/* All servers get their index before the table is sized. */
+/* Assigns indices to all servers, so that the table can be sized. */
 static void add_names(struct router *router, apr_pool_t *pool)
 {
 	const struct config_table *table = &router->config.watch.table;
@@ -59,7 +59,7 @@
 			names_id(&router->names.servers, instances->rows[i].key);
 }
 
-/* The router's arrays by server get places for what is new. */
+/* Extends the router's arrays of servers to the new server count. */
 static void grow_arrays(struct router *router, uint32_t server_count)
 {
 	while (arrlen(router->servers.states) < (ptrdiff_t)server_count) {
@@ -74,7 +74,8 @@
 	}
 }
 
-/* A service that is not in the route table has no place in its arrays: its servers do not count. */
+/* Adds a server to the table. A server whose service is not in the route table is left out, since the service
+ * has no index in the router's arrays. */
 static void server_table_put(struct router *router, struct server_table *servers, uint32_t server_index,
 			     const char *service, struct server_config config)
 {
@@ -103,7 +104,8 @@
 	}
 }
 
-/* What the endpoint list says of a server; what the server itself said since goes first. */
+/* Records a server's state from the endpoint list. Weights that the server itself has reported since take
+ * precedence. */
 static void learn_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
 			   int64_t now)
 {
@@ -114,7 +116,7 @@
 		weights = (int)names_id(&router->names.weights, instance->weights);
 	if (weights < 0 && !server->is_known)
 		server->weights =
-		    names_id(&router->names.weights, ""); /* not known: they count as the oldest */
+		    names_id(&router->names.weights, ""); /* unknown weights count as the oldest */
 	if (weights >= 0 && (!server->is_known || server->listed_weights != (uint32_t)weights)) {
 		router_weights_learn(router, server_index, (uint32_t)weights);
 		server->listed_weights = (uint32_t)weights;
@@ -141,7 +143,8 @@
 	learn_instance(router, (uint32_t)server_index, instance, now);
 }
 
-/* That incarnation is over, and with it what the server cached. */
+/* Removes the index entries of servers that are no longer in the table: their incarnation has ended, and its
+ * cache with it. */
 static void forget_removed(struct router *router, const struct server_table *servers)
 {
 	const struct server_table *old = router->config.server_table;
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -1,8 +1,8 @@
-/* router_weights: until when servers with older weights may be sent requests, and what is done about a send
- * that has not begun by then. New target weights are on every server within the rollout bound
- * (bounds.rollout_ms); no request may begin on older ones after it. The date of each target comes with the
- * configuration, on the control group's clock (lib/control/version_history.h). Invariant: no send leaves, and
- * none is known to begin, on weights past their bound. What breaks this is counted and logged. */
+/* router_weights: the time until which servers with older weights may be sent requests, and the handling of
+ * attempts that have not begun by then. New target weights are on every server within the rollout bound
+ * (bounds.rollout_ms); no request may begin on older weights after it. The date of each target version comes
+ * with the configuration, on the control group's clock (lib/control/version_history.h). Invariant: no request
+ * is sent, and none is observed to begin, on weights past their bound. Violations are counted and logged. */
 #include "router_internal.h"
 
 #include <inttypes.h>
@@ -13,7 +13,7 @@
 #include "containers.h"
 #include "version_history.h"
 
-enum { MAX_WEIGHTS_NAME = 128 }; /* bytes that a report's name may have */
+enum { MAX_WEIGHTS_NAME = 128 }; /* longest name of weights in a report, in bytes */
 
 static uint64_t weights_number(const struct router *router, uint32_t weights)
 {
@@ -33,7 +33,7 @@
 	newer = version_history_after(model, weights_number(router, weights));
 	clock = newer ? config_watch_clock_ms(&router->config.watch, newer->term, now) : 0;
 	if (!clock)
-		return INT64_MIN; /* not known: the oldest date possible counts */
+		return INT64_MIN; /* the date is unknown: the oldest possible one applies */
 	return (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock + now;
 }
 
@@ -59,7 +59,8 @@
 	return *name && strspn(name, "0123456789") == strlen(name);
 }
 
-/* Within one incarnation a server's weights only rise, and what tells of them may be late. */
+/* Within one incarnation a server's weight versions only rise, and reports of them may arrive late: a lower
+ * version is ignored. */
 void router_weights_learn(struct router *router, uint32_t server_index, uint32_t weights)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
@@ -72,8 +73,8 @@
 	server->weights = weights;
 }
 
-/* A server may still have weights from before this router knew any. Names from reports are bounded in number
- * and length. */
+/* Adds names that are not in the configuration, since a server may still have weights from before this router
+ * started. Names from reports are bounded in number and length. */
 int router_weights_index(struct router *router, const char *name)
 {
 	int index = names_find(&router->names.weights, name);
@@ -110,7 +111,7 @@
 
 /* ---- the invariant --------------------------------------------------------------------------- */
 
-/* All are counted, and one a second is logged. */
+/* Logs a violation, at most once every ROUTER_VIOLATION_LOG_INTERVAL_MS. The caller counts each one. */
 static void log_violation(struct router *router, const char *what, const struct client_request *request,
 			  int64_t late_ms)
 {
@@ -139,8 +140,8 @@
 	log_violation(router, "is sent", request, end == INT64_MIN ? 0 : now - end);
 }
 
-/* Whether this process was not scheduled at some time since: then what it learns now may have happened long
- * before. */
+/* Whether this process was paused (not scheduled) at some time since time_ms: then an event that it sees now
+ * may have happened long before. */
 static bool paused_since(const struct router *router, int64_t time_ms)
 {
 	return router->clock.paused_at_ms >= time_ms;
@@ -156,8 +157,8 @@
 	log_violation(router, "begins", request, now - end);
 }
 
-/* A send that waits at its server for longer than was expected must not begin after its weights' bound. It is
- * cancelled in time, and goes to another server if it may. */
+/* An attempt that waits at its server for longer than expected must not begin after the bound of its weights.
+ * It is cancelled before that, and the request is sent to another server if that is allowed. */
 void router_weights_recall(struct router *router, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
