--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -36,7 +36,7 @@
 		router->feed.link_free_at_ms += bytes / rate;
 }
 
-/* ---- events that wait ------------------------------------------------------------------------ */
+/* ---- queued events --------------------------------------------------------------------------- */
 
 static void pending_update_clear(struct pending_cache_update *pending)
 {
@@ -144,7 +144,7 @@
 	feed_spent(router, batch, routers, now);
 }
 
-/* ---- to a router that is new ----------------------------------------------------------------- */
+/* ---- index for new routers ------------------------------------------------------------------- */
 
 /* A range of index rows that is being copied into one message. */
 struct index_excerpt {
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -70,7 +70,7 @@
 	}
 }
 
-/* ---- answers --------------------------------------------------------------------------------- */
+/* ---- watch replies --------------------------------------------------------------------------- */
 
 static void learn_full_watch_size(struct router *router, const struct Nl__CacheUpdate *update)
 {
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -58,7 +58,7 @@
 	return n;
 }
 
-/* ---- links ----------------------------------------------------------------------------------- */
+/* ---- link speed ------------------------------------------------------------------------------ */
 
 /* How much slower than configured the link between two servers was observed to be, as a factor of at least 1.
  * It is halved for each half-life since the observation. */
@@ -90,7 +90,7 @@
 	hmput(router->servers.links, link, ((typeof(router->servers.links->value)){ slowdown, now }));
 }
 
-/* ---- the choice ------------------------------------------------------------------------------ */
+/* ---- server selection ------------------------------------------------------------------------ */
 
 static int running_count(const struct router_server_state *server)
 {
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -182,7 +182,7 @@
 	return false;
 }
 
-/* ---- what is cached where -------------------------------------------------------------------- */
+/* ---- fetch sources --------------------------------------------------------------------------- */
 
 /* Whether a server is a better fetch source than another one: it caches more blocks, or the same number and
  * runs fewer requests of this router. */
@@ -357,7 +357,7 @@
 	return true;
 }
 
-/* ---- the decision ---------------------------------------------------------------------------- */
+/* ---- decision -------------------------------------------------------------------------------- */
 
 static bool placement_begin(struct router *router, struct placement *placement,
 			    const struct client_request *request, int64_t now)
@@ -426,7 +426,7 @@
 	return best;
 }
 
-/* ---- the offload store ----------------------------------------------------------------------- */
+/* ---- offload store --------------------------------------------------------------------------- */
 
 static bool store_caches(struct router *router, uint64_t block_key, uint32_t store)
 {
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -51,7 +51,7 @@
 	return n;
 }
 
-/* ---- this router's index --------------------------------------------------------------------- */
+/* ---- depths of cached prefixes --------------------------------------------------------------- */
 
 /* Raises servers.cached_depth to the number of leading blocks that each server caches under this namespace;
  * returns the number for the store. */
@@ -143,7 +143,7 @@
 	}
 }
 
-/* ---- asking ---------------------------------------------------------------------------------- */
+/* ---- sending lookups ------------------------------------------------------------------------- */
 
 static int lookup_wait_ms(const struct router *router)
 {
@@ -241,7 +241,7 @@
 	return false;
 }
 
-/* ---- replying -------------------------------------------------------------------------------- */
+/* ---- replying to lookups --------------------------------------------------------------------- */
 
 /* Adds to a reply the servers that cache the longest part of the prefix under the namespace of one
  * generation, stores included. */
@@ -313,7 +313,7 @@
 	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_LOOKUP_REPLY)->prefix_lookup_reply = reply;
 }
 
-/* ---- the reply ------------------------------------------------------------------------------- */
+/* ---- receiving replies ----------------------------------------------------------------------- */
 
 /* Stores the servers of a reply with the request, translated to this router's server indices. */
 static void learn_matches(struct router *router, struct client_request *request,
--- a/lib/data/router_reports.c
+++ b/lib/data/router_reports.c
@@ -53,7 +53,7 @@
 	}
 }
 
-/* ---- a report -------------------------------------------------------------------------------- */
+/* ---- applying reports ------------------------------------------------------------------------ */
 
 /* Logs a report that cannot be parsed. Such a report has no effect, and only the first of consecutive ones is
  * logged. */
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -110,7 +110,7 @@
 					router->names.tenants.names[tenant_index], block_hash, stamp_tick);
 }
 
-/* ---- a purge --------------------------------------------------------------------------------- */
+/* ---- purges ---------------------------------------------------------------------------------- */
 
 /* Removes the usage records of the routes and tenants that a purge covers. */
 static void drop_usage(struct router *router, const struct Nl__Purge *purge)
@@ -142,7 +142,7 @@
 	drop_usage(router, purge);
 }
 
-/* ---- what is still cached of before ---------------------------------------------------------- */
+/* ---- blocks from before a purge -------------------------------------------------------------- */
 
 static void remainder_add(struct router *router, uint32_t server_index, uint64_t scope, uint64_t purge_number,
 			  uint32_t blocks)
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -109,7 +109,7 @@
 	}
 }
 
-/* ---- the invariant --------------------------------------------------------------------------- */
+/* ---- invariant ------------------------------------------------------------------------------- */
 
 /* Logs a violation, at most once every ROUTER_VIOLATION_LOG_INTERVAL_MS. The caller counts each one. */
 static void log_violation(struct router *router, const char *what, const struct client_request *request,
