--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -11,29 +11,30 @@
 #include "containers.h"
 
 enum {
-	FEED_SHARE_PERCENT = 40, /* share of the link for all downstream routers together */
-	FEED_BURST_MS = 100,   /* time in which the share must carry one message to all downstream routers */
-	FEED_INDEX_ROWS = 2048 /* rows of the index in one message to a new router */
+	FEED_LINK_SHARE_PERCENT = 40, /* share of the link for all downstream routers together */
+	FEED_MESSAGE_MAX_MS =
+	    100, /* time in which the share must carry one message to all downstream routers */
+	FEED_INDEX_ROWS_PER_MESSAGE = 2048 /* rows of the index in one message to a new router */
 };
 
 /* Bytes per ms that the feed may send; 0: the link's bandwidth is not configured. */
 static int64_t feed_bytes_per_ms(const struct router *router)
 {
-	return (int64_t)router->config.bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
+	return (int64_t)router->config.bounds.link_kbps * FEED_LINK_SHARE_PERCENT / 100 / 8;
 }
 
 /* Records that a message was sent to a number of routers: the feed sends no more until its share of the link
  * has carried it. */
-static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *batch, ptrdiff_t routers,
-		       int64_t now)
+static void record_feed_bytes(struct router *router, const struct Nl__CacheUpdateBatch *batch,
+			      ptrdiff_t router_count, int64_t now)
 {
-	int64_t rate = feed_bytes_per_ms(router),
-		bytes = (int64_t)nl__cache_update_batch__get_packed_size(batch) * routers;
+	int64_t bytes_per_ms = feed_bytes_per_ms(router),
+		bytes = (int64_t)nl__cache_update_batch__get_packed_size(batch) * router_count;
 
 	if (router->feed.link_free_at_ms < now)
 		router->feed.link_free_at_ms = now;
-	if (rate)
-		router->feed.link_free_at_ms += bytes / rate;
+	if (bytes_per_ms)
+		router->feed.link_free_at_ms += bytes / bytes_per_ms;
 }
 
 /* ---- queued events --------------------------------------------------------------------------- */
@@ -117,15 +118,16 @@
 /* Sends the queued events of the servers that were queued first, as many as one message may hold. */
 static void publish_updates(struct router *router, int64_t now, struct command_list *out)
 {
-	ptrdiff_t routers = arrlen(router->relay.downstreams), sent = 0;
-	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
+	ptrdiff_t router_count = arrlen(router->relay.downstreams), sent_count = 0;
+	int64_t max_bytes = router_count ? feed_bytes_per_ms(router) * FEED_MESSAGE_MAX_MS / router_count : 0,
+		bytes = 0;
 	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 
 	batch->updates =
 	    apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
-	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
-		uint32_t server_index = router->feed.queue[sent];
+	for (; sent_count < arrlen(router->feed.queue) && (!max_bytes || bytes < max_bytes); sent_count++) {
+		uint32_t server_index = router->feed.queue[sent_count];
 
 		if (server_config_of(router, server_index)->is_configured) {
 			struct Nl__CacheUpdate *update = pending_update_message(router, server_index, out);
@@ -135,13 +137,13 @@
 		}
 		pending_update_clear(&router->servers.states[server_index].pending_update);
 	}
-	arrdeln(router->feed.queue, 0, sent);
+	arrdeln(router->feed.queue, 0, sent_count);
 	if (!batch->n_updates)
 		return;
-	for (ptrdiff_t i = 0; i < routers; i++)
+	for (ptrdiff_t i = 0; i < router_count; i++)
 		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)
 		    ->cache_update_batch = batch;
-	feed_spent(router, batch, routers, now);
+	record_feed_bytes(router, batch, router_count, now);
 }
 
 /* ---- index for new routers ------------------------------------------------------------------- */
@@ -154,8 +156,8 @@
 };
 
 /* Finds the update of a server in the message; adds it if there is none. */
-static struct Nl__CacheUpdate *update_of(const struct router *router, struct index_excerpt *excerpt,
-					 uint32_t server_index, struct command_list *out)
+static struct Nl__CacheUpdate *find_or_add_update(const struct router *router, struct index_excerpt *excerpt,
+						  uint32_t server_index, struct command_list *out)
 {
 	struct Nl__CacheUpdate *update = excerpt->by_server[server_index];
 
@@ -172,7 +174,7 @@
 
 /* Counts the replicas of one index row in the updates of their servers; with fill it also stores them. */
 static void add_index_row(const struct router *router, struct index_excerpt *excerpt,
-			  const struct prefix_index_row *row, bool fill, struct command_list *out)
+			  const struct prefix_index_row *row, bool must_store_keys, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(row->value); i++) {
 		uint32_t s = row->value[i].server_index;
@@ -181,8 +183,8 @@
 		if (s >= router->config.server_table->server_count ||
 		    !server_config_of(router, s)->is_configured || !router->servers.states[s].cache_epoch)
 			continue;
-		update = update_of(router, excerpt, s, out);
-		if (fill)
+		update = find_or_add_update(router, excerpt, s, out);
+		if (must_store_keys)
 			update->present[update->n_present] = row->key;
 		update->n_present++;
 	}
@@ -192,13 +194,13 @@
 static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
 						  struct command_list *out)
 {
-	uint32_t servers = router->config.server_table->server_count;
+	uint32_t server_count = router->config.server_table->server_count;
 	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
-	struct index_excerpt excerpt = { batch,
-					 apr_pcalloc(out->pool, (servers + 1) * sizeof *excerpt.by_server) };
+	struct index_excerpt excerpt = { batch, apr_pcalloc(out->pool,
+							    (server_count + 1) * sizeof *excerpt.by_server) };
 
-	batch->updates = apr_palloc(out->pool, (servers + 1) * sizeof *batch->updates);
+	batch->updates = apr_palloc(out->pool, (server_count + 1) * sizeof *batch->updates);
 	for (ptrdiff_t i = begin; i < end; i++)
 		add_index_row(router, &excerpt, &router->cache.index.blocks[i], false, out);
 	for (size_t i = 0; i < batch->n_updates; i++) {
@@ -219,24 +221,24 @@
 static void publish_index(struct router *router, struct relay_downstream *downstream, int64_t now,
 			  struct command_list *out)
 {
-	ptrdiff_t rows = hmlen(router->cache.index.blocks), from;
+	ptrdiff_t row_count = hmlen(router->cache.index.blocks), begin;
 	struct Nl__CacheUpdateBatch *batch;
 
-	if (!downstream->cache_feed_started || downstream->cache_feed_remaining > rows)
-		downstream->cache_feed_remaining = rows;
+	if (!downstream->cache_feed_started || downstream->cache_feed_remaining > row_count)
+		downstream->cache_feed_remaining = row_count;
 	downstream->cache_feed_started = 1;
-	from = downstream->cache_feed_remaining > FEED_INDEX_ROWS
-		   ? downstream->cache_feed_remaining - FEED_INDEX_ROWS
-		   : 0;
-	batch = index_message(router, from, downstream->cache_feed_remaining, out);
-	downstream->cache_feed_remaining = from;
+	begin = downstream->cache_feed_remaining > FEED_INDEX_ROWS_PER_MESSAGE
+		    ? downstream->cache_feed_remaining - FEED_INDEX_ROWS_PER_MESSAGE
+		    : 0;
+	batch = index_message(router, begin, downstream->cache_feed_remaining, out);
+	downstream->cache_feed_remaining = begin;
 	if (!batch->n_updates)
 		return;
 	command_send(out, downstream->addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = batch;
-	feed_spent(router, batch, 1, now);
+	record_feed_bytes(router, batch, 1, now);
 }
 
-static struct relay_downstream *next_without_index(struct router *router)
+static struct relay_downstream *next_downstream_without_index(struct router *router)
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++)
 		if (!router->relay.downstreams[i].cache_feed_started ||
@@ -246,7 +248,7 @@
 }
 
 /* Whether this router is the head of a zone that has other routers. */
-static bool feeds_zone(const struct router *router)
+static bool is_feeding_zone(const struct router *router)
 {
 	return router->config.server_table && !router->config.watch.upstream_count &&
 	       arrlen(router->relay.downstreams) && mechanism_in_use(router, MECHANISM_CACHE_FEED);
@@ -256,7 +258,7 @@
 {
 	struct relay_downstream *downstream;
 
-	if (!feeds_zone(router)) {
+	if (!is_feeding_zone(router)) {
 		if (arrlen(router->feed.queue))
 			router_feed_clear(router);
 		return;
@@ -270,7 +272,7 @@
 		publish_updates(router, now, out);
 		return;
 	}
-	downstream = next_without_index(router);
+	downstream = next_downstream_without_index(router);
 	if (downstream)
 		publish_index(router, downstream, now, out);
 }
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -28,7 +28,7 @@
 	struct command *command = command_add(out, CMD_WATCH_CACHE);
 
 	server->watch_token = router_token_new(router);
-	server->watch_is_full = !server->cache_listed && !server->next_cache_event;
+	server->is_watch_full = !server->has_complete_block_list && !server->next_cache_event;
 	server->watched_at_ms = now;
 	router->stats.watches++;
 	command->args.watch_cache.token = server->watch_token;
@@ -36,7 +36,7 @@
 	command->args.watch_cache.server = router->names.servers.names[server_index];
 	command->args.watch_cache.since = server->next_cache_event;
 	command->args.watch_cache.wait_ms = ROUTER_CACHE_WATCH_WAIT_MS;
-	command->args.watch_cache.full = server->watch_is_full;
+	command->args.watch_cache.full = server->is_watch_full;
 }
 
 static bool needs_watch(const struct router *router, uint32_t server_index, int64_t now)
@@ -52,34 +52,37 @@
 void router_watch_caches(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct server_table *servers = router->config.server_table;
-	int first = 0, most = max_full_watches(router);
+	int full_watch_count = 0, max_full_watch_count = max_full_watches(router);
 
 	if (!servers || router->shutdown.in_progress || router->config.watch.upstream_count)
 		return;
 	if (config_watch_age_ms(&router->config.watch, now) > router_max_staleness_ms(router))
 		return;
 	for (uint32_t s = 0; s < servers->server_count; s++)
-		first += router->servers.states[s].watch_token && !router->servers.states[s].next_cache_event;
+		full_watch_count +=
+		    router->servers.states[s].watch_token && !router->servers.states[s].next_cache_event;
 	for (uint32_t s = 0; s < servers->server_count; s++) {
 		const struct router_server_state *server = &router->servers.states[s];
 
-		if (!needs_watch(router, s, now) || (!server->next_cache_event && first >= most))
+		if (!needs_watch(router, s, now) ||
+		    (!server->next_cache_event && full_watch_count >= max_full_watch_count))
 			continue;
-		first += !server->next_cache_event;
+		full_watch_count += !server->next_cache_event;
 		watch_server(router, s, now, out);
 	}
 }
 
 /* ---- watch replies --------------------------------------------------------------------------- */
 
-static void learn_full_watch_size(struct router *router, const struct Nl__CacheUpdate *update)
+static void update_average_full_watch_bytes(struct router *router, const struct Nl__CacheUpdate *update)
 {
 	double bytes = ROUTER_CACHE_EVENT_BYTES * (double)update->n_events;
 
 	router->cache.average_full_watch_bytes += (bytes - router->cache.average_full_watch_bytes) / 4;
 }
 
-static void index_block(struct router *router, uint32_t server_index, uint64_t key, uint64_t namespace_key)
+static void add_block_to_index(struct router *router, uint32_t server_index, uint64_t key,
+			       uint64_t namespace_key)
 {
 	struct block_replica replica = {
 		server_index,
@@ -94,42 +97,44 @@
 		prefix_index_put(&router->cache.index, key, &replica);
 }
 
-static void block_added(struct router *router, uint32_t server_index, uint64_t key, uint64_t namespace_key)
+static void on_block_added(struct router *router, uint32_t server_index, uint64_t key, uint64_t namespace_key)
 {
 	router->stats.events++;
-	index_block(router, server_index, key, namespace_key);
+	add_block_to_index(router, server_index, key, namespace_key);
 }
 
-static void block_removed(struct router *router, uint32_t server_index, uint64_t key)
+static void on_block_removed(struct router *router, uint32_t server_index, uint64_t key)
 {
 	router->stats.events++;
 	prefix_index_remove(&router->cache.index, key, server_index);
 }
 
 /* Applies one cache event of a server. */
-static void apply_event(struct router *router, uint32_t server_index, const struct Nl__CacheEvent *event)
+static void apply_cache_event(struct router *router, uint32_t server_index,
+			      const struct Nl__CacheEvent *event)
 {
 	uint64_t key = router_block_key(core_hash_string(0, event->cache_namespace), event->block_hash);
 
 	if (event->evicted)
-		block_removed(router, server_index, key);
+		on_block_removed(router, server_index, key);
 	else
-		block_added(router, server_index, key,
-			    router_namespace_key_from_text(event->cache_namespace));
+		on_block_added(router, server_index, key,
+			       router_namespace_key_from_text(event->cache_namespace));
 }
 
 /* Applies the blocks added and removed at one server. */
-static void apply_update(struct router *router, uint32_t server_index, const struct Nl__CacheUpdate *update)
+static void apply_cache_update(struct router *router, uint32_t server_index,
+			       const struct Nl__CacheUpdate *update)
 {
 	for (size_t i = 0; i < update->n_present; i++)
-		index_block(router, server_index, update->present[i], 0);
+		add_block_to_index(router, server_index, update->present[i], 0);
 	for (size_t i = 0; i < update->n_events; i++)
-		apply_event(router, server_index, update->events[i]);
+		apply_cache_event(router, server_index, update->events[i]);
 	for (size_t i = 0; i < update->n_added; i++)
-		block_added(router, server_index, update->added[i],
-			    i < update->n_added_namespace_keys ? update->added_namespace_keys[i] : 0);
+		on_block_added(router, server_index, update->added[i],
+			       i < update->n_added_namespace_keys ? update->added_namespace_keys[i] : 0);
 	for (size_t i = 0; i < update->n_removed; i++)
-		block_removed(router, server_index, update->removed[i]);
+		on_block_removed(router, server_index, update->removed[i]);
 }
 
 void router_on_cache_update(struct router *router, const struct Nl__CacheUpdate *update, int64_t now)
@@ -148,11 +153,11 @@
 	server->cache_epoch = update->epoch;
 	if (!update->n_present || update->next_offset > server->next_cache_event)
 		server->next_cache_event = update->next_offset;
-	apply_update(router, (uint32_t)server_index, update);
+	apply_cache_update(router, (uint32_t)server_index, update);
 }
 
-static void on_watched(struct router *router, uint32_t server_index, const struct Nl__CacheUpdate *update,
-		       int status, int64_t now)
+static void on_watch_reply(struct router *router, uint32_t server_index, const struct Nl__CacheUpdate *update,
+			   int status, int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
 
@@ -164,14 +169,14 @@
 		    ROUTER_REPORT_POLL_INTERVAL_MS; /* the server has too many watchers, or it is removed */
 		return;
 	}
-	if (server->watch_is_full)
-		learn_full_watch_size(router, update);
-	server->cache_listed = server->watch_is_full || (server->cache_listed && !update->events_lost);
+	if (server->is_watch_full)
+		update_average_full_watch_bytes(router, update);
+	server->has_complete_block_list =
+	    server->is_watch_full || (server->has_complete_block_list && !update->events_lost);
 	router_feed_add(router, server_index, update);
 	router_on_cache_update(router, update, now);
-	if (update->events_lost && !server->watch_is_full)
-		server->next_cache_event =
-		    0; /* events were missed: the next watch requests the complete block list */
+	if (update->events_lost && !server->is_watch_full)
+		server->next_cache_event = 0; /* the next watch requests the complete block list */
 }
 
 void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
@@ -181,7 +186,7 @@
 
 	for (uint32_t s = 0; servers && s < servers->server_count; s++)
 		if (router->servers.states[s].watch_token == token) {
-			on_watched(router, s, update, status, now);
+			on_watch_reply(router, s, update, status, now);
 			return;
 		}
 }
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -5,7 +5,10 @@
 
 #include "containers.h"
 
-enum { SAME_ZONE = 1, OTHER_ZONE = 2 }; /* factors of a transfer's time within a zone and between zones */
+enum {
+	SAME_ZONE_TIME_FACTOR = 1,
+	OTHER_ZONE_TIME_FACTOR = 2
+}; /* factors of a transfer's time within a zone and between zones */
 
 /* An observed value, halved for each half-life since its observation. */
 static double decayed(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
@@ -17,7 +20,7 @@
 }
 
 /* Whether recent load of other routers at the server was received from the heads of zones. */
-static bool load_is_fresh(const struct router *router, uint32_t server_index, int64_t now)
+static bool is_shared_load_recent(const struct router *router, uint32_t server_index, int64_t now)
 {
 	return now - router->load.others_at_ms <= ROUTER_LOAD_VALID_MS &&
 	       server_index < (uint32_t)arrlen(router->load.others) &&
@@ -30,7 +33,7 @@
 	struct server_load load = { (uint32_t)server->own_running, server->prefill_tokens,
 				    server->resident_tokens };
 
-	if (load_is_fresh(router, server_index, now)) {
+	if (is_shared_load_recent(router, server_index, now)) {
 		const struct load_cell *others = &router->load.others[server_index];
 
 		load.running += others->running;
@@ -102,19 +105,20 @@
  * the time by the number of routers. */
 void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now)
 {
-	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
+	uint32_t router_count = router->config.watch.router_count ? router->config.watch.router_count : 1;
 	double *free_at_ms = &router->servers.states[server_index].link_free_at_ms;
 
-	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + ms * routers;
+	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + ms * router_count;
 }
 
 double router_transfer_ms(const struct router *router, uint32_t from_server, uint32_t to_server,
 			  double tokens, const struct service_config *service)
 {
 	const struct server_config *source = server_config_of(router, from_server);
-	double store_speed = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
-	double speed = source->is_store ? store_speed : service->link_bytes_per_ms;
+	double store_bytes_per_ms = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
+	double bytes_per_ms = source->is_store ? store_bytes_per_ms : service->link_bytes_per_ms;
 	bool same_zone = source->zone_hash == server_config_of(router, to_server)->zone_hash;
 
-	return tokens * service->kv_bytes_per_token / speed * (same_zone ? SAME_ZONE : OTHER_ZONE);
+	return tokens * service->kv_bytes_per_token / bytes_per_ms *
+	       (same_zone ? SAME_ZONE_TIME_FACTOR : OTHER_ZONE_TIME_FACTOR);
 }
--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -411,11 +411,11 @@
 void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row);
 
 /* Index of the narrowest scope with its own purges that contains a route and a tenant; -1: none. */
-int router_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index);
+int router_find_cache_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index);
 
 /* Number of the newest purge that covers the namespaces of a scope in a slice; scope -1: the common
  * namespaces. 0: no purge has covered them. */
-uint64_t router_generation(struct router *router, int scope, uint32_t slice);
+uint64_t router_purge_generation(struct router *router, int scope, uint32_t slice);
 
 /* Handles a context purge from the purge stream: drops usage records that it covers. With the last slice of
  * the purge it requests new reports from the servers and starts a scan for remainders. */
@@ -433,8 +433,8 @@
 
 /* Collects the generations of weights that servers of a request's service have. Returns their number, at most
  * MAX_GENERATIONS. */
-int router_generations(struct router *router, const struct client_request *request,
-		       struct generation *generations);
+int router_weight_generations(struct router *router, const struct client_request *request,
+			      struct generation *generations);
 
 /* Sets servers.cached_depth to the number of leading blocks that each server caches, and store_depth of each
  * generation to that of the store. */
@@ -537,10 +537,10 @@
 
 /* Returns the load of all routers at a server, as far as this router has received it. false: none has been
  * received. */
-bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *all);
+bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *total);
 
 /* Records the load of all routers at one server, from a reply of the head of the zone. */
-void router_load_learn(struct router *router, uint32_t server_index, const struct load_cell *all);
+void router_load_record(struct router *router, uint32_t server_index, const struct load_cell *total);
 
 /* Frees all load records. */
 void router_load_clear(struct router *router);
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -22,11 +22,12 @@
 	enum load_scope scope;
 	const struct load_cell *cells; /* by server index */
 	struct load_cell **last_sent;  /* stb_ds, by server index */
-	bool full; /* holds all servers with load; otherwise only those whose load has changed since last_sent
-		    */
+	bool is_full; /* holds all servers with load; otherwise only those whose load has changed since
+		       * last_sent
+		       */
 };
 
-static void resize_cells(struct load_cell **cells, uint32_t count)
+static void extend_cells(struct load_cell **cells, uint32_t count)
 {
 	struct load_cell zero = { 0, 0, 0 };
 
@@ -41,19 +42,19 @@
 	sum->resident_tokens += cell->resident_tokens;
 }
 
-static uint32_t less(uint32_t all, uint32_t own)
+static uint32_t subtract_clamped(uint32_t total, uint32_t own)
 {
-	return all > own ? all - own : 0;
+	return total > own ? total - own : 0;
 }
 
 /* The load of other routers: the total less this router's load as last sent to the head, which the head's
  * total includes. */
-static struct load_cell others_share(const struct load_cell *all, const struct load_cell *own)
+static struct load_cell load_of_others(const struct load_cell *total, const struct load_cell *own)
 {
 	return (struct load_cell){
-		less(all->prefill_tokens, own->prefill_tokens),
-		less(all->running, own->running),
-		less(all->resident_tokens, own->resident_tokens),
+		subtract_clamped(total->prefill_tokens, own->prefill_tokens),
+		subtract_clamped(total->running, own->running),
+		subtract_clamped(total->resident_tokens, own->resident_tokens),
 	};
 }
 
@@ -74,7 +75,7 @@
 {
 	const struct load_cell *cell = &publication->cells[server_index];
 
-	if (publication->full)
+	if (publication->is_full)
 		return cell->prefill_tokens || cell->running;
 	return memcmp(cell, &(*publication->last_sent)[server_index], sizeof *cell) != 0;
 }
@@ -82,15 +83,15 @@
 /* Sends a load message. A message that is not full and has no rows is not sent. */
 static void publish(struct router *router, const struct publication *publication, struct command_list *out)
 {
-	uint32_t servers = router->config.server_table->server_count;
+	uint32_t server_count = router->config.server_table->server_count;
 	struct Nl__Load *load = MESSAGE_NEW(out, Nl__Load, NL__LOAD__INIT);
 
-	resize_cells(publication->last_sent, servers);
+	extend_cells(publication->last_sent, server_count);
 	load->origin = (uint32_t)publication->scope;
 	load->zone = router->zone_hash;
-	load->full = publication->full;
-	load->rows = apr_palloc(out->pool, (servers + 1) * sizeof *load->rows);
-	for (uint32_t s = 0; s < servers; s++) {
+	load->full = publication->is_full;
+	load->rows = apr_palloc(out->pool, (server_count + 1) * sizeof *load->rows);
+	for (uint32_t s = 0; s < server_count; s++) {
 		struct Nl__LoadRow *row;
 
 		if (!has_row(publication, s))
@@ -102,15 +103,16 @@
 		row->memory_tokens = publication->cells[s].resident_tokens;
 		load->rows[load->n_rows++] = row;
 	}
-	if (servers)
-		memcpy(*publication->last_sent, publication->cells, servers * sizeof *publication->cells);
-	if (!publication->full && !load->n_rows)
+	if (server_count)
+		memcpy(*publication->last_sent, publication->cells,
+		       server_count * sizeof *publication->cells);
+	if (!publication->is_full && !load->n_rows)
 		return;
 	for (int i = 0; i < publication->addr_count; i++)
 		command_send(out, publication->addrs[i], 0, NL__MSG__BODY_LOAD)->load = load;
 }
 
-static struct load_cell *zero_cells(const struct router *router, struct command_list *out)
+static struct load_cell *new_zeroed_cells(const struct router *router, struct command_list *out)
 {
 	return apr_pcalloc(out->pool,
 			   (router->config.server_table->server_count + 1) * sizeof(struct load_cell));
@@ -119,18 +121,18 @@
 /* Interval in ms between load messages that hold only changes. It is short after a send or a first chunk, so
  * that the head of the zone, which other routers send lookups to, has the newest load; otherwise it is the
  * interval of messages to all routers. Heads are few and publish to each other at the short interval. */
-static int load_interval_ms(const struct router *router)
+static int load_changes_interval_ms(const struct router *router)
 {
-	int rarely = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
+	int scaled_ms = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
 
 	if (!router->config.watch.upstream_count)
 		return ROUTER_LOAD_INTERVAL_MS;
-	return router->load.changed && rarely > ROUTER_LOAD_CHANGED_INTERVAL_MS
+	return router->load.changed && scaled_ms > ROUTER_LOAD_CHANGED_INTERVAL_MS
 		   ? ROUTER_LOAD_CHANGED_INTERVAL_MS
-		   : rarely;
+		   : scaled_ms;
 }
 
-static void drop_silent_sources(struct router *router, int64_t now)
+static void drop_expired_sources(struct router *router, int64_t now)
 {
 	for (ptrdiff_t i = arrlen(router->load.sources) - 1; i >= 0; i--)
 		if (now - router->load.sources[i].received_at_ms > ROUTER_LOAD_VALID_MS) {
@@ -142,28 +144,28 @@
 /* Computes the load of the zone and of the fleet from the sources' messages; load.others becomes the load of
  * all other routers. */
 static void sum_load(struct router *router, const struct load_cell *own, struct load_cell *zone,
-		     struct load_cell *all)
+		     struct load_cell *fleet)
 {
-	uint32_t servers = router->config.server_table->server_count;
+	uint32_t server_count = router->config.server_table->server_count;
 
-	resize_cells(&router->load.others, servers);
+	extend_cells(&router->load.others, server_count);
 	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++) {
 		const struct load_source *source = &router->load.sources[i];
 
-		for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < (ptrdiff_t)servers; s++)
+		for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < (ptrdiff_t)server_count; s++)
 			if (source->scope != LOAD_SCOPE_FLEET)
-				add_load(source->scope == LOAD_SCOPE_ROUTER ? &zone[s] : &all[s],
+				add_load(source->scope == LOAD_SCOPE_ROUTER ? &zone[s] : &fleet[s],
 					 &source->cells[s]);
 	}
-	for (uint32_t s = 0; s < servers; s++) {
+	for (uint32_t s = 0; s < server_count; s++) {
 		router->load.others[s] = zone[s];
-		add_load(&router->load.others[s], &all[s]);
+		add_load(&router->load.others[s], &fleet[s]);
 		add_load(&zone[s], &own[s]);
-		add_load(&all[s], &zone[s]);
+		add_load(&fleet[s], &zone[s]);
 	}
 }
 
-static void publish_to_head(struct router *router, const struct load_cell *own, bool full,
+static void publish_to_head(struct router *router, const struct load_cell *own, bool is_full,
 			    struct command_list *out)
 {
 	struct publication publication = {
@@ -172,13 +174,13 @@
 		.scope = LOAD_SCOPE_ROUTER,
 		.cells = own,
 		.last_sent = &router->load.sent_to_head,
-		.full = full,
+		.is_full = is_full,
 	};
 
 	publish(router, &publication, out);
 }
 
-static void publish_to_heads(struct router *router, const struct load_cell *zone, bool full,
+static void publish_to_heads(struct router *router, const struct load_cell *zone, bool is_full,
 			     struct command_list *out)
 {
 	struct publication publication = {
@@ -187,23 +189,23 @@
 		.scope = LOAD_SCOPE_ZONE,
 		.cells = zone,
 		.last_sent = &router->load.sent_to_heads,
-		.full = full,
+		.is_full = is_full,
 	};
 
 	if (publication.addr_count)
 		publish(router, &publication, out);
 }
 
-static void publish_to_zone(struct router *router, const struct load_cell *all, bool full,
+static void publish_to_zone(struct router *router, const struct load_cell *fleet, bool is_full,
 			    struct command_list *out)
 {
 	uint64_t *addrs = apr_palloc(out->pool, ((size_t)arrlen(router->load.sources) + 1) * sizeof *addrs);
 	struct publication publication = {
 		.addrs = addrs,
 		.scope = LOAD_SCOPE_FLEET,
-		.cells = all,
+		.cells = fleet,
 		.last_sent = &router->load.sent_to_zone,
-		.full = full,
+		.is_full = is_full,
 	};
 
 	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++)
@@ -215,42 +217,42 @@
 
 void router_load_tick(struct router *router, int64_t now, struct command_list *out)
 {
-	struct load_cell *own, *zone, *all;
-	bool full;
+	struct load_cell *own, *zone, *fleet;
+	bool is_full;
 
-	if (!router->config.server_table || now - router->load.sent_at_ms < load_interval_ms(router))
+	if (!router->config.server_table || now - router->load.sent_at_ms < load_changes_interval_ms(router))
 		return;
 	router->load.sent_at_ms = now;
 	router->load.changed = false;
-	full = now - router->load.full_sent_at_ms >=
-	       (router->config.watch.router_count > FLEET_SMALL ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
-	if (full)
+	is_full = now - router->load.full_sent_at_ms >=
+		  (router->config.watch.router_count > FLEET_SMALL ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
+	if (is_full)
 		router->load.full_sent_at_ms = now;
-	drop_silent_sources(router, now);
-	own = zero_cells(router, out);
+	drop_expired_sources(router, now);
+	own = new_zeroed_cells(router, out);
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
 		own[s] = own_load(router, s);
 	if (router->config.watch.upstream_count) { /* the load of other routers is the total that the head
 						      publishes less this router's own */
-		publish_to_head(router, own, full, out);
+		publish_to_head(router, own, is_full, out);
 		return;
 	}
-	zone = zero_cells(router, out);
-	all = zero_cells(router, out);
-	sum_load(router, own, zone, all);
+	zone = new_zeroed_cells(router, out);
+	fleet = new_zeroed_cells(router, out);
+	sum_load(router, own, zone, fleet);
 	router->load.others_at_ms = now;
-	publish_to_heads(router, zone, full, out);
-	if (!full &&
+	publish_to_heads(router, zone, is_full, out);
+	if (!is_full &&
 	    now - router->load.zone_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
 		return;
 	router->load.zone_sent_at_ms = now;
-	publish_to_zone(router, all, full, out);
+	publish_to_zone(router, fleet, is_full, out);
 }
 
 /* ---- receiving ------------------------------------------------------------------------------- */
 
 /* Finds the load source with a router id; creates it if there is none. */
-static struct load_source *source_of(struct router *router, uint64_t router_id)
+static struct load_source *find_or_add_source(struct router *router, uint64_t router_id)
 {
 	struct load_source source = { .router_id = router_id };
 
@@ -262,11 +264,11 @@
 	return &arrlast(router->load.sources);
 }
 
-static void apply_rows(struct router *router, struct load_source *source, const struct Nl__Load *load)
+static void apply_load_rows(struct router *router, struct load_source *source, const struct Nl__Load *load)
 {
 	if (source->scope != (int)load->origin || load->full)
 		arrsetlen(source->cells, 0);
-	resize_cells(&source->cells, router->config.server_table->server_count);
+	extend_cells(&source->cells, router->config.server_table->server_count);
 	if (load->full && arrlen(source->cells))
 		memset(source->cells, 0, (size_t)arrlen(source->cells) * sizeof *source->cells);
 	for (size_t i = 0; i < load->n_rows; i++) {
@@ -280,14 +282,14 @@
 }
 
 /* Computes the load of other routers from the total that the head of the zone has published. */
-static void learn_fleet(struct router *router, const struct load_source *source, int64_t now)
+static void record_fleet_load(struct router *router, const struct load_source *source, int64_t now)
 {
-	uint32_t servers = router->config.server_table->server_count;
+	uint32_t server_count = router->config.server_table->server_count;
 
-	resize_cells(&router->load.others, servers);
-	resize_cells(&router->load.sent_to_head, servers);
+	extend_cells(&router->load.others, server_count);
+	extend_cells(&router->load.sent_to_head, server_count);
 	for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < arrlen(router->load.others); s++)
-		router->load.others[s] = others_share(&source->cells[s], &router->load.sent_to_head[s]);
+		router->load.others[s] = load_of_others(&source->cells[s], &router->load.sent_to_head[s]);
 	router->load.others_at_ms = now;
 }
 
@@ -298,32 +300,32 @@
 
 	if (!router->config.server_table || load->origin > LOAD_SCOPE_FLEET || router_id == router->id)
 		return;
-	source = source_of(router, router_id);
-	apply_rows(router, source, load);
+	source = find_or_add_source(router, router_id);
+	apply_load_rows(router, source, load);
 	source->scope = (int)load->origin;
 	source->received_at_ms = now;
 	source->addr = addr;
 	if (load->origin == LOAD_SCOPE_FLEET)
-		learn_fleet(router, source, now);
+		record_fleet_load(router, source, now);
 }
 
-bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *all)
+bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *total)
 {
 	if (!mechanism_in_use(router, MECHANISM_SHARED_LOAD) ||
 	    server_index >= (uint32_t)arrlen(router->load.others) ||
 	    server_index >= (uint32_t)arrlen(router->servers.states))
 		return false;
-	*all = own_load(router, server_index);
-	add_load(all, &router->load.others[server_index]);
+	*total = own_load(router, server_index);
+	add_load(total, &router->load.others[server_index]);
 	return true;
 }
 
-void router_load_learn(struct router *router, uint32_t server_index, const struct load_cell *all)
+void router_load_record(struct router *router, uint32_t server_index, const struct load_cell *total)
 {
 	if (server_index >= (uint32_t)arrlen(router->load.others) ||
 	    server_index >= (uint32_t)arrlen(router->load.sent_to_head))
 		return;
-	router->load.others[server_index] = others_share(all, &router->load.sent_to_head[server_index]);
+	router->load.others[server_index] = load_of_others(total, &router->load.sent_to_head[server_index]);
 }
 
 void router_load_clear(struct router *router)
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -11,12 +11,12 @@
 }; /* a fetch this short does not distinguish a slow link from a process that was not scheduled */
 
 /* Whether one tenant may use blocks that were cached for another. */
-static bool may_share(const struct route_table *routes, uint32_t owner, uint32_t user)
+static bool may_share_blocks(const struct route_table *routes, uint32_t owner_tenant, uint32_t user_tenant)
 {
-	if (owner == user)
+	if (owner_tenant == user_tenant)
 		return true;
-	return !routes->tenants[owner].isolated && !routes->tenants[user].isolated &&
-	       routes->tenants[owner].is_configured;
+	return !routes->tenants[owner_tenant].isolated && !routes->tenants[user_tenant].isolated &&
+	       routes->tenants[owner_tenant].is_configured;
 }
 
 const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request,
@@ -33,7 +33,7 @@
 		if (replica->server_index != server_index || replica->weights_index != weights ||
 		    replica->tenant_index >= routes->tenant_count)
 			continue;
-		if (!may_share(routes, replica->tenant_index, request->route.tenant_index))
+		if (!may_share_blocks(routes, replica->tenant_index, request->route.tenant_index))
 			continue;
 		if (purge_view_allows(&router->relay.view, router->names.services.names[service_index],
 				      router->names.weights.names[weights],
@@ -97,13 +97,13 @@
 	return server->others_running + server->own_running;
 }
 
-static double queueing_ms(const struct router_server_state *server)
+static double expected_queue_ms(const struct router_server_state *server)
 {
 	return server->average_run_ms * running_count(server) / server->slots;
 }
 
-static bool is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
-		    int64_t now)
+static bool is_eligible(const struct router *router, const struct client_request *request,
+			uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, server_index);
 	const struct router_server_state *server = &router->servers.states[server_index];
@@ -114,8 +114,8 @@
 }
 
 /* Whether a server can fetch blocks from another server or from the store (source). */
-static bool is_source(const struct router *router, const struct client_request *request, uint32_t source,
-		      uint32_t server_index, int64_t now)
+static bool can_fetch_from(const struct router *router, const struct client_request *request, uint32_t source,
+			   uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, source);
 
@@ -138,22 +138,23 @@
 
 	for (uint32_t source = 0; source < router->config.server_table->server_count; source++) {
 		bool is_store = server_config_of(router, source)->is_store;
-		double speed = is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms, saved,
-		       fetch_ms, cost_ms;
+		double bytes_per_ms = is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms,
+		       saved, fetch_ms, cost_ms;
 		int blocks;
 
-		if (!speed || !is_source(router, request, source, server_index, now))
+		if (!bytes_per_ms || !can_fetch_from(router, request, source, server_index, now))
 			continue;
 		blocks = cached_prefix_blocks(router, request, source, server->weights);
 		if (blocks <= plan->cached_blocks)
 			continue;
 		saved = (double)(router_tokens_of_blocks(request, blocks) -
 				 router_tokens_of_blocks(request, plan->cached_blocks));
-		fetch_ms = saved * service->kv_bytes_per_token / speed;
+		fetch_ms = saved * service->kv_bytes_per_token / bytes_per_ms;
 		cost_ms = fetch_ms * link_slowdown(router, source, server_index, now);
 		saved /= service->prefill_tokens_per_ms;
-		if (cost_ms < saved && prefill_ms - saved + cost_ms < plan->cost_ms - queueing_ms(server)) {
-			plan->cost_ms = prefill_ms - saved + cost_ms + queueing_ms(server);
+		if (cost_ms < saved &&
+		    prefill_ms - saved + cost_ms < plan->cost_ms - expected_queue_ms(server)) {
+			plan->cost_ms = prefill_ms - saved + cost_ms + expected_queue_ms(server);
 			plan->fetch_source = (int)source;
 			plan->fetch_end = blocks;
 			plan->fetch_ms = fetch_ms;
@@ -162,31 +163,31 @@
 }
 
 /* Computes the plan and its cost for sending a request to a server. */
-static struct plan weigh(struct router *router, const struct client_request *request, uint32_t server_index,
-			 int64_t now)
+static struct plan evaluate_server(struct router *router, const struct client_request *request,
+				   uint32_t server_index, int64_t now)
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
 	const struct router_server_state *server = &router->servers.states[server_index];
 	struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
-	bool may_reuse = relay_is_current(&router->relay, now);
+	bool may_reuse_blocks = relay_is_current(&router->relay, now);
 	double prefill_ms = 0;
 
-	if (may_reuse)
+	if (may_reuse_blocks)
 		plan.cached_blocks = cached_prefix_blocks(router, request, server_index, server->weights);
 	if (!router->naive_placement)
 		prefill_ms = (double)(router_prompt_tokens(request) -
 				      router_tokens_of_blocks(request, plan.cached_blocks)) /
 			     service->prefill_tokens_per_ms;
-	plan.cost_ms = prefill_ms + queueing_ms(server);
-	if (may_reuse && !router->naive_placement && plan.cached_blocks < request->prompt.block_count)
+	plan.cost_ms = prefill_ms + expected_queue_ms(server);
+	if (may_reuse_blocks && !router->naive_placement && plan.cached_blocks < request->prompt.block_count)
 		plan_fetch(router, request, &plan, prefill_ms, now);
 	return plan;
 }
 
 /* Compares plans by cost. Ties are broken by rendezvous hashing, so that routers choose different servers. */
-static bool is_better(const struct router *router, const struct client_request *request,
-		      const struct plan *plan, const struct plan *best)
+static bool is_better_plan(const struct router *router, const struct client_request *request,
+			   const struct plan *plan, const struct plan *best)
 {
 	uint64_t key = request->sequence ^ router->id;
 
@@ -204,10 +205,10 @@
 	for (uint32_t i = 0; i < router->config.server_table->server_count; i++) {
 		struct plan plan;
 
-		if (!is_open(router, request, i, now))
+		if (!is_eligible(router, request, i, now))
 			continue;
-		plan = weigh(router, request, i, now);
-		if (is_better(router, request, &plan, &best))
+		plan = evaluate_server(router, request, i, now);
+		if (is_better_plan(router, request, &plan, &best))
 			best = plan;
 	}
 	return best;
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -8,7 +8,7 @@
 #include "containers.h"
 
 enum {
-	ALTERNATIVES = 3, /* number of servers that are weighed in addition to the home and to those that
+	ALTERNATIVE_COUNT = 3, /* number of servers that are weighed in addition to the home and to those that
 			     cache the prefix */
 	HOME_HASH_SEED = 67,
 	STORE_HASH_SEED = 61,
@@ -17,7 +17,7 @@
 	    3 /* minimum ratio of shared tokens to the request's own tokens for an offload */
 };
 
-#define HOME_EXPECTED_SHARE                                                                               \
+#define HOME_EXPECTED_CACHED_SHARE                                                                        \
 	0.7 /* expected share of a prefix that other requests will have sent to its home by the time this \
 	       request is prefilled there */
 
@@ -28,10 +28,10 @@
 	int64_t now;
 	int home_server; /* -1: no server can be the home */
 	int store_server;
-	int alternatives[ALTERNATIVES];
-	int shared_blocks;       /* leading blocks that other requests may share */
-	bool purge_view_current; /* the purge view is current, so cached blocks may be reused */
-	double all_tokens;
+	int alternatives[ALTERNATIVE_COUNT];
+	int shared_blocks;          /* leading blocks that other requests may share */
+	bool is_purge_view_current; /* the purge view is current, so cached blocks may be reused */
+	double prompt_tokens;
 	struct generation generations[MAX_GENERATIONS];
 	int generation_count;
 };
@@ -54,8 +54,8 @@
 			      routes->store_count];
 }
 
-static bool is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
-		    int64_t now)
+static bool is_eligible(const struct router *router, const struct client_request *request,
+			uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, server_index);
 
@@ -68,7 +68,7 @@
 /* ---- candidates ------------------------------------------------------------------------------ */
 
 /* The hash that selects a request's home server. */
-static uint64_t home_key(const struct router *router, const struct client_request *request)
+static uint64_t home_hash_of(const struct router *router, const struct client_request *request)
 {
 	if (mechanism_in_use(router, MECHANISM_HOMES))
 		return router_home_block(request);
@@ -90,49 +90,52 @@
  * that server does not serve, the next one in hash order is used; this order does not change while other
  * servers load, fail or return. Among these, servers with the target weights are preferred, since blocks that
  * are prefilled there remain useful when the others have these weights too. -1: no server can be the home. */
-static int home_server(struct router *router, const struct client_request *request, int64_t now)
+static int select_home_server(struct router *router, const struct client_request *request, int64_t now)
 {
-	uint32_t target = router->config.route_table->services[request->route.service_index].target_weights;
-	uint64_t key = home_key(router, request), first_weight = 0, best_weight = 0;
-	int home = -1, home_on_target = -1, first = -1;
+	uint32_t target_weights =
+	    router->config.route_table->services[request->route.service_index].target_weights;
+	uint64_t home_hash = home_hash_of(router, request), first_hash_weight = 0, home_hash_weight = 0;
+	int home = -1, home_has_target_weights = -1, first_choice = -1;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
-		uint64_t weight;
-		int on_target;
+		uint64_t hash_weight;
+		int has_target_weights;
 
 		if (!may_be_home(router, request, s, now))
 			continue;
-		weight = core_rendezvous_weight(key, router->servers.hashes[s]);
-		if (first < 0 || weight > first_weight) {
-			first = (int)s;
-			first_weight = weight;
+		hash_weight = core_rendezvous_weight(home_hash, router->servers.hashes[s]);
+		if (first_choice < 0 || hash_weight > first_hash_weight) {
+			first_choice = (int)s;
+			first_hash_weight = hash_weight;
 		}
 		if (!router_server_is_serving(router, s, now))
 			continue;
-		on_target = router->servers.states[s].weights == target;
-		if (home < 0 || on_target > home_on_target ||
-		    (on_target == home_on_target && weight > best_weight)) {
+		has_target_weights = router->servers.states[s].weights == target_weights;
+		if (home < 0 || has_target_weights > home_has_target_weights ||
+		    (has_target_weights == home_has_target_weights && hash_weight > home_hash_weight)) {
 			home = (int)s;
-			home_on_target = on_target;
-			best_weight = weight;
+			home_has_target_weights = has_target_weights;
+			home_hash_weight = hash_weight;
 		}
 	}
-	return first >= 0 && router_server_is_serving(router, (uint32_t)first, now) ? first : home;
+	return first_choice >= 0 && router_server_is_serving(router, (uint32_t)first_choice, now)
+		   ? first_choice
+		   : home;
 }
 
 /* Inserts a server into the alternatives, which are in descending order of their rendezvous weight. */
-static void insert_alternative(struct placement *placement, uint64_t *weights, uint32_t server_index,
-			       uint64_t weight)
+static void insert_alternative(struct placement *placement, uint64_t *hash_weights, uint32_t server_index,
+			       uint64_t hash_weight)
 {
-	for (int k = 0; k < ALTERNATIVES; k++) {
-		if (placement->alternatives[k] >= 0 && weight <= weights[k])
+	for (int k = 0; k < ALTERNATIVE_COUNT; k++) {
+		if (placement->alternatives[k] >= 0 && hash_weight <= hash_weights[k])
 			continue;
-		for (int j = ALTERNATIVES - 1; j > k; j--) {
+		for (int j = ALTERNATIVE_COUNT - 1; j > k; j--) {
 			placement->alternatives[j] = placement->alternatives[j - 1];
-			weights[j] = weights[j - 1];
+			hash_weights[j] = hash_weights[j - 1];
 		}
 		placement->alternatives[k] = (int)server_index;
-		weights[k] = weight;
+		hash_weights[k] = hash_weight;
 		return;
 	}
 }
@@ -140,17 +143,19 @@
 /* Selects a few alternative servers by rendezvous hashing of the request id. All routers see the same load,
  * which is about 50 ms old or older; if each chose the least loaded of all servers, they would all choose the
  * same one at once. */
-static void find_alternatives(const struct router *router, struct placement *placement)
+static void select_alternatives(const struct router *router, struct placement *placement)
 {
-	uint64_t weights[ALTERNATIVES] = { 0 },
-		 id = core_hash_string(ALTERNATIVES_HASH_SEED, placement->request->client.request_id);
+	uint64_t hash_weights[ALTERNATIVE_COUNT] = { 0 },
+		 request_id_hash =
+		     core_hash_string(ALTERNATIVES_HASH_SEED, placement->request->client.request_id);
 
-	for (int k = 0; k < ALTERNATIVES; k++)
+	for (int k = 0; k < ALTERNATIVE_COUNT; k++)
 		placement->alternatives[k] = -1;
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
-		if (is_open(router, placement->request, s, placement->now))
-			insert_alternative(placement, weights, s,
-					   core_rendezvous_weight(id, router->servers.hashes[s]));
+		if (is_eligible(router, placement->request, s, placement->now))
+			insert_alternative(
+			    placement, hash_weights, s,
+			    core_rendezvous_weight(request_id_hash, router->servers.hashes[s]));
 }
 
 int router_candidates(struct router *router, const struct client_request *request, uint32_t *server_indices,
@@ -158,13 +163,13 @@
 {
 	struct placement placement = { .request = request,
 				       .now = now,
-				       .home_server = home_server(router, request, now) };
+				       .home_server = select_home_server(router, request, now) };
 	int n = 0;
 
 	if (placement.home_server >= 0)
 		server_indices[n++] = (uint32_t)placement.home_server;
-	find_alternatives(router, &placement);
-	for (int k = 0; k < ALTERNATIVES && n < MAX_CANDIDATES; k++)
+	select_alternatives(router, &placement);
+	for (int k = 0; k < ALTERNATIVE_COUNT && n < MAX_CANDIDATES; k++)
 		if (placement.alternatives[k] >= 0 && placement.alternatives[k] != placement.home_server)
 			server_indices[n++] = (uint32_t)placement.alternatives[k];
 	return n;
@@ -176,7 +181,7 @@
 	if (router->servers.cached_depth[server_index] >= placement->shared_blocks ||
 	    (int)server_index == placement->home_server)
 		return true;
-	for (int k = 0; k < ALTERNATIVES; k++)
+	for (int k = 0; k < ALTERNATIVE_COUNT; k++)
 		if (placement->alternatives[k] == (int)server_index)
 			return true;
 	return false;
@@ -186,7 +191,7 @@
 
 /* Whether a server is a better fetch source than another one: it caches more blocks, or the same number and
  * runs fewer requests of this router. */
-static bool gives_more(const struct router *router, uint32_t server_index, int other)
+static bool is_better_source(const struct router *router, uint32_t server_index, int other)
 {
 	int depth = router->servers.cached_depth[server_index];
 
@@ -210,13 +215,14 @@
 		    config->service_index != placement->request->route.service_index || config->is_store ||
 		    router->servers.states[s].weights != weights)
 			continue;
-		if (gives_more(router, s, deepest) && router_server_is_serving(router, s, placement->now))
+		if (is_better_source(router, s, deepest) &&
+		    router_server_is_serving(router, s, placement->now))
 			deepest = (int)s;
 	}
 	return deepest;
 }
 
-static bool store_is_up(const struct router *router, const struct placement *placement)
+static bool is_store_serving(const struct router *router, const struct placement *placement)
 {
 	int store = placement->store_server;
 
@@ -227,9 +233,9 @@
 
 /* Selects the fetch source for each generation of weights. Servers have many links and the store has one, so
  * the store is used only for blocks that no server caches. */
-static void find_sources(const struct router *router, struct placement *placement)
+static void select_fetch_sources(const struct router *router, struct placement *placement)
 {
-	bool store_up = store_is_up(router, placement);
+	bool is_store_up = is_store_serving(router, placement);
 
 	for (int k = 0; k < placement->generation_count; k++) {
 		struct generation *generation = &placement->generations[k];
@@ -237,10 +243,10 @@
 		int depth = server >= 0 ? router->servers.cached_depth[server] : 0;
 
 		if (server >= 0 &&
-		    (!store_up || depth >= generation->store_depth || depth >= placement->shared_blocks)) {
+		    (!is_store_up || depth >= generation->store_depth || depth >= placement->shared_blocks)) {
 			generation->fetch_source = server;
 			generation->source_depth = depth;
-		} else if (store_up && generation->store_depth) {
+		} else if (is_store_up && generation->store_depth) {
 			generation->fetch_source = placement->store_server;
 			generation->source_depth = generation->store_depth;
 		}
@@ -260,8 +266,8 @@
 /* Whether a request would begin in time at a server with these weights: a server with older weights must
  * begin it before the newer weights are due. The expected wait is doubled, since the published load is older
  * than the load that the request will meet. */
-static bool begins_in_time(const struct router *router, const struct placement *placement, uint32_t weights,
-			   double wait_ms)
+static bool can_begin_in_time(const struct router *router, const struct placement *placement,
+			      uint32_t weights, double wait_ms)
 {
 	int64_t last_send = router_weights_last_send(router, placement->request->route.service_index, weights,
 						     placement->now);
@@ -271,44 +277,44 @@
 
 /* Adds a fetch of the blocks that the server lacks to a candidate's plan, unless the fetch takes too long. */
 static void plan_fetch(struct router *router, const struct placement *placement, struct candidate *candidate,
-		       int source, int end)
+		       int source, int source_end)
 {
 	const struct client_request *request = placement->request;
 	uint32_t server_index = (uint32_t)candidate->plan.server_index;
-	double tokens = (double)(router_tokens_of_blocks(request, end) -
+	double tokens = (double)(router_tokens_of_blocks(request, source_end) -
 				 router_tokens_of_blocks(request, candidate->plan.cached_blocks));
 	double transfer_ms =
 	    router_transfer_ms(router, (uint32_t)source, server_index, tokens, placement->service);
-	double ms = transfer_ms + ROUTER_FETCH_OVERHEAD_MS +
-		    router_link_wait_ms(router, (uint32_t)source, placement->now);
+	double fetch_ms = transfer_ms + ROUTER_FETCH_OVERHEAD_MS +
+			  router_link_wait_ms(router, (uint32_t)source, placement->now);
 
-	if (ms >= ROUTER_FETCH_MAX_MS)
+	if (fetch_ms >= ROUTER_FETCH_MAX_MS)
 		return;
 	candidate->plan.fetch_source = source;
-	candidate->plan.fetch_end = end;
-	candidate->plan.fetch_ms = ms;
+	candidate->plan.fetch_end = source_end;
+	candidate->plan.fetch_ms = fetch_ms;
 	candidate->plan.transfer_ms = transfer_ms;
-	candidate->prefill_ms += ms - tokens / placement->service->prefill_tokens_per_ms;
+	candidate->prefill_ms += fetch_ms - tokens / placement->service->prefill_tokens_per_ms;
 }
 
 /* Selects the server or store that a server fetches from: the source of its generation; otherwise the home
  * server, which is assumed to cache the prefix. -1: none. *end: leading blocks that are cached there. */
-static int source_for(const struct router *router, const struct placement *placement, uint32_t server_index,
-		      int *end)
+static int fetch_source_for(const struct router *router, const struct placement *placement,
+			    uint32_t server_index, int *source_end)
 {
 	uint32_t weights = router->servers.states[server_index].weights;
 	const struct generation *generation = generation_of(placement, weights);
 	bool is_home = (int)server_index == placement->home_server;
 
-	*end = 0;
+	*source_end = 0;
 	if (generation && generation->fetch_source >= 0) {
-		*end = generation->source_depth;
+		*source_end = generation->source_depth;
 		return generation->fetch_source;
 	}
-	if (!placement->purge_view_current || is_home ||
+	if (!placement->is_purge_view_current || is_home ||
 	    router->servers.states[placement->home_server].weights != weights)
 		return -1;
-	*end = placement->shared_blocks;
+	*source_end = placement->shared_blocks;
 	return placement->home_server;
 }
 
@@ -317,41 +323,43 @@
 static double eviction_ms(const struct placement *placement, const struct candidate *candidate, int source)
 {
 	const struct client_request *request = placement->request;
-	int server = candidate->plan.server_index, cached = candidate->plan.cached_blocks;
+	int server = candidate->plan.server_index, cached_blocks = candidate->plan.cached_blocks;
 	bool is_home = server == placement->home_server,
 	     from_peer = source >= 0 && source != placement->store_server && source != server;
-	uint64_t lacking;
+	uint64_t missing_tokens;
 
-	if (cached >= placement->shared_blocks || (is_home && !from_peer))
+	if (cached_blocks >= placement->shared_blocks || (is_home && !from_peer))
 		return 0;
-	lacking = router_tokens_of_blocks(request, placement->shared_blocks) -
-		  router_tokens_of_blocks(request, cached);
+	missing_tokens = router_tokens_of_blocks(request, placement->shared_blocks) -
+			 router_tokens_of_blocks(request, cached_blocks);
 	return ROUTER_UNCACHED_SERVER_COST_MS +
-	       ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)lacking / 1000;
+	       ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)missing_tokens / 1000;
 }
 
 /* Computes the cost of a candidate. false: the request could not begin there in time. */
-static bool weigh(struct router *router, const struct placement *placement, struct candidate *candidate)
+static bool evaluate_server(struct router *router, const struct placement *placement,
+			    struct candidate *candidate)
 {
 	const struct client_request *request = placement->request;
 	const struct service_config *service = placement->service;
 	uint32_t server_index = (uint32_t)candidate->plan.server_index;
-	int cached = candidate->plan.cached_blocks, end;
-	int source = source_for(router, placement, server_index, &end);
-
-	candidate->prefill_ms = (placement->all_tokens - (double)router_tokens_of_blocks(request, cached)) /
-				service->prefill_tokens_per_ms;
-	if (!cached && (int)server_index == placement->home_server && source < 0)
-		candidate->prefill_ms -= HOME_EXPECTED_SHARE *
+	int cached_blocks = candidate->plan.cached_blocks, source_end;
+	int source = fetch_source_for(router, placement, server_index, &source_end);
+
+	candidate->prefill_ms =
+	    (placement->prompt_tokens - (double)router_tokens_of_blocks(request, cached_blocks)) /
+	    service->prefill_tokens_per_ms;
+	if (!cached_blocks && (int)server_index == placement->home_server && source < 0)
+		candidate->prefill_ms -= HOME_EXPECTED_CACHED_SHARE *
 					 (double)router_tokens_of_blocks(request, placement->shared_blocks) /
 					 service->prefill_tokens_per_ms;
-	if (source >= 0 && source != (int)server_index && end > cached && service->link_bytes_per_ms &&
-	    mechanism_in_use(router, MECHANISM_FETCH))
-		plan_fetch(router, placement, candidate, source, end);
+	if (source >= 0 && source != (int)server_index && source_end > cached_blocks &&
+	    service->link_bytes_per_ms && mechanism_in_use(router, MECHANISM_FETCH))
+		plan_fetch(router, placement, candidate, source, source_end);
 	candidate->plan.cost_ms =
 	    candidate->prefill_ms + router_load_ms(router, server_index, service, placement->now);
-	if (!begins_in_time(router, placement, router->servers.states[server_index].weights,
-			    candidate->plan.cost_ms))
+	if (!can_begin_in_time(router, placement, router->servers.states[server_index].weights,
+			       candidate->plan.cost_ms))
 		return false;
 	candidate->plan.cost_ms += eviction_ms(placement, candidate, source);
 	return true;
@@ -359,31 +367,32 @@
 
 /* ---- decision -------------------------------------------------------------------------------- */
 
-static bool placement_begin(struct router *router, struct placement *placement,
-			    const struct client_request *request, int64_t now)
+static bool placement_init(struct router *router, struct placement *placement,
+			   const struct client_request *request, int64_t now)
 {
 	*placement = (struct placement){
 		.request = request,
 		.service = &router->config.route_table->services[request->route.service_index],
 		.now = now,
-		.home_server = home_server(router, request, now),
+		.home_server = select_home_server(router, request, now),
 		.store_server = router_store_of(router, request),
 		.shared_blocks = router_shared_blocks(request),
-		.purge_view_current = relay_is_current(&router->relay, now),
-		.all_tokens = (double)router_prompt_tokens(request),
+		.is_purge_view_current = relay_is_current(&router->relay, now),
+		.prompt_tokens = (double)router_prompt_tokens(request),
 	};
 	if (placement->home_server < 0 || !placement->service->is_configured)
 		return false;
-	if (placement->purge_view_current)
-		placement->generation_count = router_generations(router, request, placement->generations);
+	if (placement->is_purge_view_current)
+		placement->generation_count =
+		    router_weight_generations(router, request, placement->generations);
 	router_prefix_depths(router, request, placement->generations, placement->generation_count,
 			     placement->store_server);
-	find_sources(router, placement);
-	find_alternatives(router, placement);
+	select_fetch_sources(router, placement);
+	select_alternatives(router, placement);
 	return true;
 }
 
-static enum decision_reason reason_of(const struct placement *placement, const struct plan *plan)
+static enum decision_reason decision_reason_of(const struct placement *placement, const struct plan *plan)
 {
 	if (placement->shared_blocks && plan->cached_blocks >= placement->shared_blocks)
 		return DECISION_CACHED;
@@ -399,9 +408,9 @@
 {
 	struct plan best = { .server_index = -1, .fetch_source = -1 };
 	struct placement placement;
-	uint32_t open = 0;
+	uint32_t candidate_count = 0;
 
-	if (!placement_begin(router, &placement, request, now))
+	if (!placement_init(router, &placement, request, now))
 		return best;
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		struct candidate candidate = {
@@ -410,25 +419,25 @@
 				  .fetch_source = -1 },
 		};
 
-		if (!is_open(router, request, s, now) || !is_candidate(router, &placement, s) ||
+		if (!is_eligible(router, request, s, now) || !is_candidate(router, &placement, s) ||
 		    !router_fits_server(router, request, s, candidate.plan.cached_blocks, placement.service,
 					now))
 			continue;
-		if (!weigh(router, &placement, &candidate))
+		if (!evaluate_server(router, &placement, &candidate))
 			continue;
-		open++;
+		candidate_count++;
 		if (best.server_index < 0 || candidate.plan.cost_ms < best.cost_ms)
 			best = candidate.plan;
 	}
-	best.candidates = open;
+	best.candidates = candidate_count;
 	if (best.server_index >= 0)
-		best.reason = reason_of(&placement, &best);
+		best.reason = decision_reason_of(&placement, &best);
 	return best;
 }
 
 /* ---- offload store --------------------------------------------------------------------------- */
 
-static bool store_caches(struct router *router, uint64_t block_key, uint32_t store)
+static bool is_cached_in_store(struct router *router, uint64_t block_key, uint32_t store)
 {
 	struct block_replica *replicas = prefix_index_find(&router->cache.index, block_key);
 
@@ -441,9 +450,9 @@
 /* Whether offloading a request's prefix to the store is worthwhile. The request's own blocks are offloaded
  * too and evict shared ones, so the request must add few of its own; a later request with the same prefix
  * will do if this one does not. */
-static bool pays_to_offload(const struct client_request *request, int shared)
+static bool is_offload_worthwhile(const struct client_request *request, int shared_blocks)
 {
-	uint64_t shared_tokens = router_tokens_of_blocks(request, shared);
+	uint64_t shared_tokens = router_tokens_of_blocks(request, shared_blocks);
 
 	return (request->prompt.total_tokens - shared_tokens) * OFFLOAD_MIN_SHARED_RATIO <= shared_tokens;
 }
@@ -454,17 +463,17 @@
 	struct placement placement = { .request = request,
 				       .now = now,
 				       .store_server = router_store_of(router, request) };
-	int shared = router_shared_blocks(request);
+	int shared_blocks = router_shared_blocks(request);
 	uint32_t store = (uint32_t)placement.store_server;
 
-	if (!store_is_up(router, &placement) ||
+	if (!is_store_serving(router, &placement) ||
 	    router_link_wait_ms(router, store, now) > ROUTER_OFFLOAD_MAX_LINK_WAIT_MS)
 		return 0;
-	if (!pays_to_offload(request, shared))
+	if (!is_offload_worthwhile(request, shared_blocks))
 		return 0;
-	for (int i = 0; i < shared; i++)
-		if (!store_caches(router, router_block_key(cache_namespace, request->prompt.block_hash[i]),
-				  store))
+	for (int i = 0; i < shared_blocks; i++)
+		if (!is_cached_in_store(
+			router, router_block_key(cache_namespace, request->prompt.block_hash[i]), store))
 			return server_config_of(router, store)->packed_addr;
 	return 0;
 }
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -23,10 +23,10 @@
 
 /* ---- generations ----------------------------------------------------------------------------- */
 
-int router_generations(struct router *router, const struct client_request *request,
-		       struct generation *generations)
+int router_weight_generations(struct router *router, const struct client_request *request,
+			      struct generation *generations)
 {
-	int n = 0;
+	int count = 0;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct server_config *config = server_config_of(router, s);
@@ -36,11 +36,11 @@
 		if (!config->is_configured || config->is_store ||
 		    config->service_index != request->route.service_index)
 			continue;
-		while (k < n && generations[k].weights != weights)
+		while (k < count && generations[k].weights != weights)
 			k++;
-		if (k < n || n == MAX_GENERATIONS)
+		if (k < count || count == MAX_GENERATIONS)
 			continue;
-		generations[n++] = (struct generation){
+		generations[count++] = (struct generation){
 			.weights = weights,
 			.cache_namespace = core_hash_string(
 			    0, router_cache_namespace(router, request, weights, router->scratch_pool)),
@@ -48,15 +48,15 @@
 		};
 	}
 	apr_pool_clear(router->scratch_pool);
-	return n;
+	return count;
 }
 
 /* ---- depths of cached prefixes --------------------------------------------------------------- */
 
 /* Raises servers.cached_depth to the number of leading blocks that each server caches under this namespace;
  * returns the number for the store. */
-static int index_depths(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
-			int block_count, int store)
+static int raise_depths_from_index(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
+				   int block_count, int store)
 {
 	int *depth = router->servers.cached_depth;
 	int store_depth = 0;
@@ -79,7 +79,7 @@
 	return store_depth;
 }
 
-static void depths_clear(struct router *router)
+static void clear_cached_depths(struct router *router)
 {
 	uint32_t n = router->config.server_table->server_count;
 
@@ -90,8 +90,8 @@
 
 /* Sets servers.cached_depth from the reply to a request's lookup, for servers that still have the
  * generation's weights; returns the store's depth. */
-static int answered_depths(struct router *router, const struct client_request *request,
-			   const struct generation *generation, int store)
+static int set_depths_from_reply(struct router *router, const struct client_request *request,
+				 const struct generation *generation, int store)
 {
 	int store_depth = 0;
 
@@ -111,41 +111,42 @@
 
 /* Sets servers.cached_depth from this router's own index, for servers with the generation's weights; returns
  * the store's depth. */
-static int own_depths(struct router *router, const struct client_request *request,
-		      const struct generation *generation, int store)
+static int set_depths_from_own_index(struct router *router, const struct client_request *request,
+				     const struct generation *generation, int store)
 {
-	int *before = router->servers.cached_depth, store_depth;
+	int *combined_depths = router->servers.cached_depth, store_depth;
 
 	router->servers.cached_depth = NULL;
-	depths_clear(router);
-	store_depth = index_depths(router, generation->cache_namespace, request->prompt.block_hash,
-				   request->prompt.block_count, store);
+	clear_cached_depths(router);
+	store_depth = raise_depths_from_index(router, generation->cache_namespace, request->prompt.block_hash,
+					      request->prompt.block_count, store);
 	for (ptrdiff_t s = 0; s < arrlen(router->servers.cached_depth); s++)
 		if (router->servers.cached_depth[s] &&
 		    router->servers.states[s].weights == generation->weights)
-			before[s] = router->servers.cached_depth[s];
+			combined_depths[s] = router->servers.cached_depth[s];
 	arrfree(router->servers.cached_depth);
-	router->servers.cached_depth = before;
+	router->servers.cached_depth = combined_depths;
 	return store_depth;
 }
 
 void router_prefix_depths(struct router *router, const struct client_request *request,
 			  struct generation *generations, int generation_count, int store)
 {
-	bool answered = request->lookup.state == LOOKUP_ANSWERED;
+	bool has_reply = request->lookup.state == LOOKUP_ANSWERED;
 
-	depths_clear(router);
+	clear_cached_depths(router);
 	for (int k = 0; k < generation_count; k++) {
 		struct generation *generation = &generations[k];
 
-		generation->store_depth = answered ? answered_depths(router, request, generation, store)
-						   : own_depths(router, request, generation, store);
+		generation->store_depth = has_reply
+					      ? set_depths_from_reply(router, request, generation, store)
+					      : set_depths_from_own_index(router, request, generation, store);
 	}
 }
 
 /* ---- sending lookups ------------------------------------------------------------------------- */
 
-static int lookup_wait_ms(const struct router *router)
+static int lookup_timeout_ms(const struct router *router)
 {
 	int ms = (int)(LOOKUP_WAIT_ROUND_TRIPS * router->lookup.round_trip_ms);
 
@@ -161,8 +162,8 @@
 
 /* Adds the servers that a request may be sent to, so that the reply holds their load: it is newer than the
  * load that the head publishes to all routers. */
-static void request_load(struct router *router, const struct client_request *request,
-			 struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
+static void add_requested_servers(struct router *router, const struct client_request *request,
+				  struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
 {
 	uint32_t server_indices[MAX_CANDIDATES];
 	int count = router_candidates(router, request, server_indices, now);
@@ -174,8 +175,8 @@
 
 /* Whether a lookup may be sent to the head of the zone for a request's prefix. head_is_silent: the head has
  * not replied to the last lookups. */
-static bool may_query_head(const struct router *router, const struct client_request *request,
-			   bool head_is_silent, int64_t now)
+static bool may_send_lookup(const struct router *router, const struct client_request *request,
+			    bool head_is_silent, int64_t now)
 {
 	if (!mechanism_in_use(router, MECHANISM_LOOKUP) || !router->config.watch.upstream_count ||
 	    !request->prompt.block_count)
@@ -206,27 +207,27 @@
 void router_lookup_send(struct router *router, struct client_request *request, int64_t now,
 			struct command_list *out)
 {
-	bool silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES;
+	bool is_head_silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES;
 	struct generation generations[MAX_GENERATIONS];
 	struct Nl__PrefixLookup *lookup;
 	int n;
 
-	if (!may_query_head(router, request, silent, now))
+	if (!may_send_lookup(router, request, is_head_silent, now))
 		return;
-	n = router_generations(router, request, generations);
+	n = router_weight_generations(router, request, generations);
 	if (!n)
 		return;
 	for (int k = 0; k < n; k++)
 		request->lookup.namespaces[k] = generations[k].cache_namespace;
 	request->lookup.namespace_count = n;
 	lookup = lookup_message(request, out);
-	request_load(router, request, lookup, now, out);
+	add_requested_servers(router, request, lookup, now, out);
 	command_send(out, router->config.watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
 	    lookup;
 	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
-	request->lookup.state = silent ? LOOKUP_NONE : LOOKUP_PENDING;
+	request->lookup.state = is_head_silent ? LOOKUP_NONE : LOOKUP_PENDING;
 	request->lookup.sent_at_ms = now;
-	request->lookup.deadline_at_ms = silent ? 0 : now + lookup_wait_ms(router);
+	request->lookup.deadline_at_ms = is_head_silent ? 0 : now + lookup_timeout_ms(router);
 }
 
 bool router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
@@ -245,24 +246,25 @@
 
 /* Adds to a reply the servers that cache the longest part of the prefix under the namespace of one
  * generation, stores included. */
-static void answer_matches(struct router *router, const struct Nl__PrefixLookup *lookup, size_t generation,
-			   struct Nl__PrefixLookupReply *reply, struct command_list *out)
+static void add_reply_matches(struct router *router, const struct Nl__PrefixLookup *lookup,
+			      size_t generation_index, struct Nl__PrefixLookupReply *reply,
+			      struct command_list *out)
 {
-	uint32_t servers = router->config.server_table->server_count;
-	size_t limit = reply->n_matches + LOOKUP_MAX_SERVERS;
-
-	depths_clear(router);
-	(void)index_depths(router, lookup->cache_namespaces[generation], lookup->blocks,
-			   (int)lookup->n_blocks, -1);
-	for (int depth = (int)lookup->n_blocks; depth > 0 && reply->n_matches < limit; depth--)
-		for (uint32_t s = 0; s < servers && reply->n_matches < limit; s++) {
+	uint32_t server_count = router->config.server_table->server_count;
+	size_t max_match_count = reply->n_matches + LOOKUP_MAX_SERVERS;
+
+	clear_cached_depths(router);
+	(void)raise_depths_from_index(router, lookup->cache_namespaces[generation_index], lookup->blocks,
+				      (int)lookup->n_blocks, -1);
+	for (int depth = (int)lookup->n_blocks; depth > 0 && reply->n_matches < max_match_count; depth--)
+		for (uint32_t s = 0; s < server_count && reply->n_matches < max_match_count; s++) {
 			struct Nl__PrefixMatch *match;
 
 			if (router->servers.cached_depth[s] != depth ||
 			    !server_config_of(router, s)->is_configured)
 				continue;
 			match = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
-			match->generation = (uint32_t)generation;
+			match->generation = (uint32_t)generation_index;
 			match->server = router->servers.hashes[s];
 			match->block_count = (uint32_t)depth;
 			reply->matches[reply->n_matches++] = match;
@@ -270,8 +272,8 @@
 }
 
 /* Adds to a reply the load of the servers in the lookup, and of the servers that the reply lists. */
-static void answer_load(struct router *router, const struct Nl__PrefixLookup *lookup,
-			struct Nl__PrefixLookupReply *reply, struct command_list *out)
+static void add_reply_loads(struct router *router, const struct Nl__PrefixLookup *lookup,
+			    struct Nl__PrefixLookupReply *reply, struct command_list *out)
 {
 	size_t count = lookup->n_servers + reply->n_matches;
 
@@ -281,15 +283,16 @@
 						      : reply->matches[i - lookup->n_servers]->server;
 		ptrdiff_t position = hmgeti(router->servers.by_hash, hash);
 		struct Nl__ServerLoad *load;
-		struct load_cell all;
+		struct load_cell total;
 
-		if (position < 0 || !router_fleet_load(router, router->servers.by_hash[position].value, &all))
+		if (position < 0 ||
+		    !router_fleet_load(router, router->servers.by_hash[position].value, &total))
 			continue;
 		load = MESSAGE_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
-		load->prefill_tokens = all.prefill_tokens;
-		load->running_requests = all.running;
-		load->memory_tokens = all.resident_tokens;
+		load->prefill_tokens = total.prefill_tokens;
+		load->running_requests = total.running;
+		load->memory_tokens = total.resident_tokens;
 		reply->loads[reply->n_loads++] = load;
 	}
 }
@@ -307,8 +310,8 @@
 	reply->matches = apr_palloc(out->pool, (lookup->n_cache_namespaces * LOOKUP_MAX_SERVERS + 1) *
 						   sizeof *reply->matches);
 	for (size_t k = 0; k < lookup->n_cache_namespaces; k++)
-		answer_matches(router, lookup, k, reply, out);
-	answer_load(router, lookup, reply, out);
+		add_reply_matches(router, lookup, k, reply, out);
+	add_reply_loads(router, lookup, reply, out);
 	router->stats.lookups_answered++;
 	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_LOOKUP_REPLY)->prefix_lookup_reply = reply;
 }
@@ -316,8 +319,8 @@
 /* ---- receiving replies ----------------------------------------------------------------------- */
 
 /* Stores the servers of a reply with the request, translated to this router's server indices. */
-static void learn_matches(struct router *router, struct client_request *request,
-			  const struct Nl__PrefixLookupReply *reply)
+static void store_reply_matches(struct router *router, struct client_request *request,
+				const struct Nl__PrefixLookupReply *reply)
 {
 	struct request_lookup *lookup = &request->lookup;
 
@@ -338,15 +341,16 @@
 	}
 }
 
-static void learn_loads(struct router *router, const struct Nl__PrefixLookupReply *reply)
+static void record_reply_loads(struct router *router, const struct Nl__PrefixLookupReply *reply)
 {
 	for (size_t i = 0; i < reply->n_loads; i++) {
 		const struct Nl__ServerLoad *load = reply->loads[i];
-		struct load_cell all = { load->prefill_tokens, load->running_requests, load->memory_tokens };
+		struct load_cell total = { load->prefill_tokens, load->running_requests,
+					   load->memory_tokens };
 		ptrdiff_t position = hmgeti(router->servers.by_hash, load->server);
 
 		if (position >= 0)
-			router_load_learn(router, router->servers.by_hash[position].value, &all);
+			router_load_record(router, router->servers.by_hash[position].value, &total);
 	}
 }
 
@@ -362,8 +366,8 @@
 	round_trip_ms = (double)(now - request->lookup.sent_at_ms);
 	router->lookup.round_trip_ms += (round_trip_ms - router->lookup.round_trip_ms) / 8;
 	router->stats.lookups_used += request->lookup.state == LOOKUP_PENDING;
-	learn_matches(router, request, reply);
-	learn_loads(router, reply);
+	store_reply_matches(router, request, reply);
+	record_reply_loads(router, reply);
 	request->lookup.state = LOOKUP_ANSWERED;
 	router->queueing.next_dispatch_at_ms = 0;
 }
--- a/lib/data/router_reports.c
+++ b/lib/data/router_reports.c
@@ -21,11 +21,11 @@
 {
 	struct router_server_state *server = &router->servers.states[server_index];
 	struct command *command;
-	int64_t first_at_ms = now - (int64_t)(core_rendezvous_weight(router->id, server_index) %
-					      ROUTER_REPORT_POLL_INTERVAL_MS);
+	int64_t first_poll_at_ms = now - (int64_t)(core_rendezvous_weight(router->id, server_index) %
+						   ROUTER_REPORT_POLL_INTERVAL_MS);
 
 	/* spread over the interval, so that routers do not all poll at the same moment */
-	server->polled_at_ms = server->polled_at_ms ? now : first_at_ms;
+	server->polled_at_ms = server->polled_at_ms ? now : first_poll_at_ms;
 	server->poll_token = router_token_new(router);
 	server->poll_sequence++;
 	router->stats.report_polls++;
@@ -34,7 +34,7 @@
 	command->args.call.addr = apr_pstrdup(out->pool, server_config_of(router, server_index)->addr);
 	command->args.call.path =
 	    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT,
-			 server->report_serial, server->boot_id);
+			 server->block_list_serial, server->boot_id);
 	command->args.call.limit_ms = REPORT_TIMEOUT_MS;
 	command->args.call.not_after_ms = now + REPORT_TIMEOUT_MS;
 }
@@ -48,7 +48,7 @@
 
 		if (servers->servers[s].is_configured &&
 		    now - server->polled_at_ms >= ROUTER_REPORT_POLL_INTERVAL_MS &&
-		    now - server->relayed_at_ms >= ROUTER_RELAYED_REPORT_VALID_MS)
+		    now - server->last_relayed_report_at_ms >= ROUTER_RELAYED_REPORT_VALID_MS)
 			poll_report(router, s, now, out);
 	}
 }
@@ -57,18 +57,19 @@
 
 /* Logs a report that cannot be parsed. Such a report has no effect, and only the first of consecutive ones is
  * logged. */
-static void log_unreadable(struct router *router, uint32_t server_index, const char *reason)
+static void log_unreadable_report(struct router *router, uint32_t server_index, const char *reason)
 {
 	char text[300];
 
-	if (router->servers.states[server_index].unreadable_reports++ || !router->log)
+	if (router->servers.states[server_index].consecutive_unreadable_reports++ || !router->log)
 		return;
-	apr_snprintf(text, sizeof text, "Unreadable report: server %s: %s; ignored until one can be read.",
+	apr_snprintf(text, sizeof text,
+		     "Unreadable report: server %s: %s; its reports have no effect until one is valid.",
 		     router->names.servers.names[server_index], reason);
 	router->log(router->log_context, "router", text);
 }
 
-static void learn_load(struct router_server_state *server, struct json_object *report)
+static void record_reported_load(struct router_server_state *server, struct json_object *report)
 {
 	server->is_loading = json_string_member(report, "loading")[0] != 0;
 	server->slots = (int)json_uint_member(report, "slots");
@@ -79,40 +80,40 @@
 
 /* Adds one cached block of a report to the prefix index. A purged block is not added, so that a late report
  * never restores it. */
-static void learn_block(struct router *router, uint32_t server_index, struct json_object *block)
+static void index_reported_block(struct router *router, uint32_t server_index, struct json_object *block)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
 	uint32_t service_index = server_config_of(router, server_index)->service_index;
 	const char *tenant = json_string_member(block, "m"), *weights = json_string_member(block, "w");
-	int maker = names_find(&router->names.tenants, tenant),
-	    made_with = router_weights_index(router, weights);
+	int tenant_index = names_find(&router->names.tenants, tenant),
+	    weights_index = router_weights_index(router, weights);
 	uint64_t hash, stamp_tick = json_uint_member(block, "t");
 	struct block_replica replica = {
-		server_index,        (uint32_t)maker, service_index,
-		(uint32_t)made_with, stamp_tick,      server->poll_sequence,
+		server_index, (uint32_t)tenant_index, service_index, (uint32_t)weights_index,
+		stamp_tick,   server->poll_sequence,
 	};
 
-	if (maker < 0 || made_with < 0)
+	if (tenant_index < 0 || weights_index < 0)
 		return; /* this router's configuration never contained the tenant */
 	hash = strtoull(json_string_member(block, "h"), NULL, 16);
-	if (!router_retains(router, service_index, (uint32_t)maker, hash, stamp_tick))
-		server->purged_blocks++;
+	if (!router_retains(router, service_index, (uint32_t)tenant_index, hash, stamp_tick))
+		server->purged_block_count++;
 	else if (purge_view_allows(&router->relay.view, router->names.services.names[service_index], weights,
 				   tenant, router->names.servers.names[server_index], stamp_tick))
 		prefix_index_put(&router->cache.index, hash, &replica);
 }
 
-static void learn_inventory(struct router *router, uint32_t server_index, struct json_object *report,
-			    struct json_object *blocks, int64_t now)
+static void apply_block_list(struct router *router, uint32_t server_index, struct json_object *report,
+			     struct json_object *blocks, int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
 
-	server->report_serial = json_uint_member(report, "serial");
+	server->block_list_serial = json_uint_member(report, "serial");
 	server->boot_id = json_uint_member(report, "boot");
-	server->purged_blocks = 0;
-	server->inventory_at_ms = now;
+	server->purged_block_count = 0;
+	server->block_list_at_ms = now;
 	for (size_t i = 0; i < json_object_array_length(blocks) && i < ROUTER_MAX_REPORTED_BLOCKS; i++)
-		learn_block(router, server_index, json_object_array_get_idx(blocks, i));
+		index_reported_block(router, server_index, json_object_array_get_idx(blocks, i));
 	prefix_index_remove_unreported(&router->cache.index, server_index, server->poll_sequence);
 }
 
@@ -125,20 +126,22 @@
 	if (json_object_is_type(report, json_type_object))
 		weights = router_weights_index(router, json_string_member(report, "weights"));
 	if (weights < 0 || json_uint_member(report, "slots") > MAX_SLOTS) {
-		log_unreadable(router, server_index, "not a report, or with unknown names");
+		log_unreadable_report(
+		    router, server_index,
+		    "not a JSON object, or name of weights not accepted, or too many slots");
 		goto end;
 	}
-	server->unreadable_reports = 0;
+	server->consecutive_unreadable_reports = 0;
 	server->reported_at_ms = now;
 	server->is_known = true;
 	server->weights = (uint32_t)weights;
-	learn_load(server, report);
+	record_reported_load(server, report);
 	if (json_object_object_get_ex(report, "parts", &blocks) &&
 	    json_object_is_type(blocks, json_type_array))
-		learn_inventory(router, server_index, report, blocks, now);
-	else if (json_uint_member(report, "serial") != server->report_serial ||
+		apply_block_list(router, server_index, report, blocks, now);
+	else if (json_uint_member(report, "serial") != server->block_list_serial ||
 		 json_uint_member(report, "boot") != server->boot_id)
-		server->relayed_at_ms = server->polled_at_ms =
+		server->last_relayed_report_at_ms = server->polled_at_ms =
 		    0; /* the report with the changed block list was lost: poll the server directly */
 end:
 	if (report)
@@ -180,7 +183,7 @@
 	if (server_index < 0 || !servers || (uint32_t)server_index >= servers->server_count ||
 	    !servers->servers[server_index].is_configured)
 		return;
-	router->servers.states[server_index].relayed_at_ms = now;
+	router->servers.states[server_index].last_relayed_report_at_ms = now;
 	router->servers.states[server_index].poll_sequence++;
 	on_report(router, (uint32_t)server_index,
 		  apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -42,21 +42,21 @@
 }
 
 /* A scope with a tenant is narrower than one with a route only. */
-int router_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index)
+int router_find_cache_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index)
 {
-	int best = -1, best_weight = 0;
+	int best = -1, best_specificity = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(routes->scopes); i++) {
 		const struct cache_scope *scope = &routes->scopes[i];
-		int weight = (scope->tenant_index >= 0) * 2 + (scope->route_index >= 0);
+		int specificity = (scope->tenant_index >= 0) * 2 + (scope->route_index >= 0);
 
 		if (scope->route_index >= 0 && scope->route_index != (int)route_index)
 			continue;
 		if (scope->tenant_index >= 0 && scope->tenant_index != (int)tenant_index)
 			continue;
-		if (weight > best_weight) {
+		if (specificity > best_specificity) {
 			best = (int)i;
-			best_weight = weight;
+			best_specificity = specificity;
 		}
 	}
 	return best;
@@ -64,7 +64,7 @@
 
 /* Whether a purge covers a scope. scope NULL: the common namespaces, which only a purge of all routes and
  * tenants covers. */
-static bool covers(const struct Nl__Purge *purge, const struct cache_scope *scope)
+static bool purge_covers_scope(const struct Nl__Purge *purge, const struct cache_scope *scope)
 {
 	if (!scope)
 		return !purge->route[0] && !purge->tenant[0];
@@ -74,7 +74,7 @@
 }
 
 /* Computes the generations of all scopes and slices; those of the common namespaces come first. */
-static void compute_generations(struct router *router)
+static void compute_purge_generations(struct router *router)
 {
 	const struct route_table *routes = router->config.route_table;
 	ptrdiff_t scope_count = arrlen(routes->scopes) + 1;
@@ -88,18 +88,19 @@
 		for (ptrdiff_t k = 0; k < scope_count && purge->slice < PURGE_SLICES; k++) {
 			uint64_t *newest = &router->retention.generations[k * PURGE_SLICES + purge->slice];
 
-			if (purge->purge_number > *newest && covers(purge, k ? &routes->scopes[k - 1] : NULL))
+			if (purge->purge_number > *newest &&
+			    purge_covers_scope(purge, k ? &routes->scopes[k - 1] : NULL))
 				*newest = purge->purge_number;
 		}
 	}
 }
 
-uint64_t router_generation(struct router *router, int scope, uint32_t slice)
+uint64_t router_purge_generation(struct router *router, int scope, uint32_t slice)
 {
 	if (!arrlen(router->relay.view.context_purges))
 		return 0;
 	if (!arrlen(router->retention.generations))
-		compute_generations(router);
+		compute_purge_generations(router);
 	return router->retention.generations[(scope + 1) * PURGE_SLICES + slice];
 }
 
@@ -113,7 +114,7 @@
 /* ---- purges ---------------------------------------------------------------------------------- */
 
 /* Removes the usage records of the routes and tenants that a purge covers. */
-static void drop_usage(struct router *router, const struct Nl__Purge *purge)
+static void drop_usage_records(struct router *router, const struct Nl__Purge *purge)
 {
 	for (ptrdiff_t i = hmlen(router->records.usage) - 1; i >= 0; i--) {
 		uint64_t key = router->records.usage[i].key;
@@ -138,30 +139,30 @@
 	router->retention.scan_position = 0;
 	router->retention.scan_at_ms = now - RETENTION_SCAN_INTERVAL_MS;
 	for (ptrdiff_t s = 0; s < arrlen(router->servers.states); s++)
-		router->servers.states[s].report_serial = router->servers.states[s].boot_id = 0;
-	drop_usage(router, purge);
+		router->servers.states[s].block_list_serial = router->servers.states[s].boot_id = 0;
+	drop_usage_records(router, purge);
 }
 
 /* ---- blocks from before a purge -------------------------------------------------------------- */
 
-static void remainder_add(struct router *router, uint32_t server_index, uint64_t scope, uint64_t purge_number,
+static void add_remainder(struct router *router, uint32_t server_index, uint64_t scope, uint64_t purge_number,
 			  uint32_t blocks)
 {
 	struct Nl__CacheRemainder remainder = NL__CACHE_REMAINDER__INIT,
-				  *found = router->retention.remainders;
+				  *remainders = router->retention.remainders;
 	char *server = router->names.servers.names[server_index];
 
-	for (ptrdiff_t i = 0; i < arrlen(found); i++)
-		if (found[i].scope == scope && found[i].purge_number == purge_number &&
-		    found[i].server == server) {
-			found[i].block_count += blocks;
+	for (ptrdiff_t i = 0; i < arrlen(remainders); i++)
+		if (remainders[i].scope == scope && remainders[i].purge_number == purge_number &&
+		    remainders[i].server == server) {
+			remainders[i].block_count += blocks;
 			return;
 		}
 	remainder.server = server;
 	remainder.scope = scope;
 	remainder.purge_number = purge_number;
 	remainder.block_count = blocks;
-	if (arrlen(found) < RETENTION_MAX_REMAINDERS)
+	if (arrlen(remainders) < RETENTION_MAX_REMAINDERS)
 		arrput(router->retention.remainders, remainder);
 }
 
@@ -171,7 +172,7 @@
 static bool is_purged_generation(struct router *router, uint64_t namespace_key)
 {
 	const struct route_table *routes = router->config.route_table;
-	uint64_t oldest = UINT64_MAX;
+	uint64_t oldest_generation = UINT64_MAX;
 	int scope = -1;
 
 	for (ptrdiff_t i = 0; namespace_key >> 32 && i < arrlen(routes->scopes); i++)
@@ -180,40 +181,40 @@
 	if (namespace_key >> 32 && scope < 0)
 		return true; /* the scope's retention row was removed */
 	for (uint32_t slice = 0; slice < PURGE_SLICES; slice++)
-		oldest = router_generation(router, scope, slice) < oldest
-			     ? router_generation(router, scope, slice)
-			     : oldest;
-	return (namespace_key & UINT32_MAX) < oldest;
+		oldest_generation = router_purge_generation(router, scope, slice) < oldest_generation
+					? router_purge_generation(router, scope, slice)
+					: oldest_generation;
+	return (namespace_key & UINT32_MAX) < oldest_generation;
 }
 
 /* Adds the servers that have not reported their cached blocks since the purge. Servers of the product's own
  * interface report at once the blocks that a purge covers. */
-static void remainders_of_servers(struct router *router, int64_t now)
+static void add_unreported_servers(struct router *router, int64_t now)
 {
 	bool discovered = router->config.bounds.discover_instances;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct router_server_state *server = &router->servers.states[s];
-		bool silent = now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS;
-		bool unreported = server->inventory_at_ms <= router->retention.purged_at_ms;
-		bool remains = discovered ? silent : server->purged_blocks || unreported;
+		bool is_silent = now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS;
+		bool is_unreported = server->block_list_at_ms <= router->retention.purged_at_ms;
+		bool has_remainder = discovered ? is_silent : server->purged_block_count || is_unreported;
 
-		if (!server_config_of(router, s)->is_configured || !remains)
+		if (!server_config_of(router, s)->is_configured || !has_remainder)
 			continue;
 		/* 0 blocks: the server's cached blocks are unknown */
-		remainder_add(router, s, RETENTION_ANY, 0,
-			      discovered || unreported ? 0 : server->purged_blocks);
+		add_remainder(router, s, RETENTION_ANY, 0,
+			      discovered || is_unreported ? 0 : server->purged_block_count);
 	}
 }
 
 /* Scans the next range of the index for purged blocks, from its end: rows that a deletion moves meanwhile are
  * scanned twice rather than never. */
-static void remainders_of_index(struct router *router)
+static void scan_index_for_remainders(struct router *router)
 {
 	struct prefix_index_row *rows = router->cache.index.blocks;
 	ptrdiff_t *position = &router->retention.scan_position;
-	uint64_t last = UINT64_MAX;
-	bool old = false;
+	uint64_t last_namespace_key = UINT64_MAX;
+	bool is_purged = false;
 
 	if (*position > hmlen(rows))
 		*position = hmlen(rows);
@@ -224,18 +225,18 @@
 			uint64_t namespace_key = row->value[i].report_number;
 			uint32_t server_index = row->value[i].server_index;
 
-			if (namespace_key != last)
-				old = is_purged_generation(router, namespace_key);
-			last = namespace_key;
-			if (old && server_index < router->config.server_table->server_count)
-				remainder_add(router, server_index, namespace_key >> 32,
+			if (namespace_key != last_namespace_key)
+				is_purged = is_purged_generation(router, namespace_key);
+			last_namespace_key = namespace_key;
+			if (is_purged && server_index < router->config.server_table->server_count)
+				add_remainder(router, server_index, namespace_key >> 32,
 					      namespace_key & UINT32_MAX, 1);
 		}
 	}
 }
 
 /* Share of all requests that are queued, per mille. */
-static uint32_t load_pressure(const struct router *router)
+static uint32_t waiting_requests_permille(const struct router *router)
 {
 	uint64_t all = arrlen(router->requests.all) ? (uint64_t)arrlen(router->requests.all) : 1;
 	uint32_t waiting = 0;
@@ -251,7 +252,7 @@
 {
 	struct config_watch *watch = &router->config.watch;
 
-	remainders_of_servers(router, now);
+	add_unreported_servers(router, now);
 	arrsetlen(watch->cache_remainders, 0);
 	for (ptrdiff_t i = 0; i < arrlen(router->retention.remainders); i++)
 		arrput(watch->cache_remainders, router->retention.remainders[i]);
@@ -264,22 +265,22 @@
 {
 	struct config_watch *watch = &router->config.watch;
 	bool discovered = router->config.bounds.discover_instances;
-	bool scans = arrlen(router->relay.view.context_purges) && !(discovered && watch->upstream_count);
+	bool must_scan = arrlen(router->relay.view.context_purges) && !(discovered && watch->upstream_count);
 
 	if (!router->config.route_table)
 		return;
-	if (!scans) {
+	if (!must_scan) {
 		watch->has_index = 0;
 		router->retention.scan_position = 0;
 		arrsetlen(watch->cache_remainders, 0);
 	} else if (router->retention.scan_position > 0) {
-		remainders_of_index(router);
+		scan_index_for_remainders(router);
 	}
 	if (router->retention.scan_position > 0 ||
 	    now - router->retention.scan_at_ms < RETENTION_SCAN_INTERVAL_MS)
 		return;
-	watch->load_pressure = load_pressure(router);
-	if (scans) {
+	watch->load_pressure = waiting_requests_permille(router);
+	if (must_scan) {
 		report_remainders(router, now);
 		router->retention.scan_position = discovered ? hmlen(router->cache.index.blocks) : 0;
 	}
--- a/lib/data/router_server.h
+++ b/lib/data/router_server.h
@@ -53,23 +53,26 @@
 	int running; /* requests running at the server, from its last report */
 	int64_t reported_at_ms;
 	int64_t polled_at_ms;
-	int64_t relayed_at_ms;  /* when a relay last sent a report of the server */
-	uint64_t poll_token;    /* identifies the report request in flight */
+	int64_t last_relayed_report_at_ms; /* when a relay last sent a report of the server */
+	uint64_t poll_token;               /* identifies the report request in flight */
 	uint64_t poll_sequence; /* number of the newest report; block replicas of older reports are dropped */
-	uint64_t report_serial; /* serial number of the last applied block list; valid for boot_id only */
+	uint64_t block_list_serial; /* serial number of the last applied block list; valid for boot_id only */
 	uint64_t boot_id;
-	uint32_t listed_weights; /* index of the weights in the endpoint list; weights that the server itself
-				    reports take precedence */
-	uint32_t purged_blocks;  /* blocks in the server's last block list that were cached before a purge */
-	int64_t inventory_at_ms; /* when the server's last block list was received */
-	int unreadable_reports;  /* consecutive reports that could not be parsed; only the first is logged */
+	uint32_t endpoint_list_weights; /* index of the weights in the endpoint list; weights that the server
+				    itself reports take precedence */
+	uint32_t
+	    purged_block_count;   /* blocks in the server's last block list that were cached before a purge */
+	int64_t block_list_at_ms; /* when the server's last block list was received */
+	int consecutive_unreadable_reports; /* consecutive reports that could not be parsed; only the first is
+					       logged */
 
 	/* Watch of the server's prefix cache: router_cache_watch.c */
 	uint64_t watch_token; /* identifies the watch request in flight; 0: none */
 	uint64_t cache_epoch; /* epoch of the server's event numbers; 0: none received yet */
 	uint64_t next_cache_event;
-	bool cache_listed;  /* a complete block list was received, and no event has been missed since */
-	bool watch_is_full; /* the watch request in flight asks for the complete block list */
+	bool has_complete_block_list; /* a complete block list was received, and no event has been missed
+					 since */
+	bool is_watch_full;           /* the watch request in flight asks for the complete block list */
 	int64_t watched_at_ms;
 	int64_t cache_update_at_ms; /* when the last update of the server's cache was received */
 	struct pending_cache_update pending_update;
--- a/lib/data/router_server_table.c
+++ b/lib/data/router_server_table.c
@@ -22,7 +22,7 @@
 
 /* Whether a configuration row defines a store. Where stores have rows of their own, each of those does;
  * otherwise each service row with the address and speed of a store. */
-static bool store_row(const struct router *router, const struct Nl__Row *row)
+static bool is_store_row(const struct router *router, const struct Nl__Row *row)
 {
 	if (row->kind != NL__KIND__SERVICE || !row->addr[0])
 		return false;
@@ -30,7 +30,7 @@
 						       : row->store_bytes_per_ms != 0;
 }
 
-static bool server_row(const struct router *router, const struct Nl__Row *row)
+static bool is_server_row(const struct router *router, const struct Nl__Row *row)
 {
 	return row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances;
 }
@@ -49,9 +49,9 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (server_row(router, row))
+		if (is_server_row(router, row))
 			names_id(&router->names.servers, row->name);
-		else if (store_row(router, row))
+		else if (is_store_row(router, row))
 			store_index(router, row, pool);
 	}
 	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
@@ -76,8 +76,8 @@
 
 /* Adds a server to the table. A server whose service is not in the route table is left out, since the service
  * has no index in the router's arrays. */
-static void server_table_put(struct router *router, struct server_table *servers, uint32_t server_index,
-			     const char *service, struct server_config config)
+static void add_server(struct router *router, struct server_table *servers, uint32_t server_index,
+		       const char *service, struct server_config config)
 {
 	int service_index = names_find(&router->names.services, service);
 
@@ -90,36 +90,37 @@
 	servers->servers[server_index] = config;
 }
 
-static void put_row(struct router *router, struct server_table *servers, const struct Nl__Row *row)
+static void add_config_row(struct router *router, struct server_table *servers, const struct Nl__Row *row)
 {
 	struct server_config config = { .addr = row->addr, .zone_hash = core_hash_string(0, row->zone) };
 
-	if (server_row(router, row)) {
+	if (is_server_row(router, row)) {
 		config.draining = row->state != 0;
-		server_table_put(router, servers, names_id(&router->names.servers, row->name), row->service,
-				 config);
-	} else if (store_row(router, row)) {
+		add_server(router, servers, names_id(&router->names.servers, row->name), row->service,
+			   config);
+	} else if (is_store_row(router, row)) {
 		config.is_store = true;
-		server_table_put(router, servers, store_index(router, row, servers->pool), row->name, config);
+		add_server(router, servers, store_index(router, row, servers->pool), row->name, config);
 	}
 }
 
 /* Records a server's state from the endpoint list. Weights that the server itself has reported since take
  * precedence. */
-static void learn_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
-			   int64_t now)
+static void record_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
+			    int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
-	int weights = -1;
+	int weights_index = -1;
 
 	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME)
-		weights = (int)names_id(&router->names.weights, instance->weights);
-	if (weights < 0 && !server->is_known)
+		weights_index = (int)names_id(&router->names.weights, instance->weights);
+	if (weights_index < 0 && !server->is_known)
 		server->weights =
 		    names_id(&router->names.weights, ""); /* unknown weights count as the oldest */
-	if (weights >= 0 && (!server->is_known || server->listed_weights != (uint32_t)weights)) {
-		router_weights_learn(router, server_index, (uint32_t)weights);
-		server->listed_weights = (uint32_t)weights;
+	if (weights_index >= 0 &&
+	    (!server->is_known || server->endpoint_list_weights != (uint32_t)weights_index)) {
+		router_weights_learn(router, server_index, (uint32_t)weights_index);
+		server->endpoint_list_weights = (uint32_t)weights_index;
 	}
 	if (!server->is_known)
 		server->unavailable_until_ms =
@@ -129,7 +130,7 @@
 	server->slots = instance->slots ? (int)instance->slots : 1;
 }
 
-static void put_instance(struct router *router, struct server_table *servers, const char *name,
+static void add_instance(struct router *router, struct server_table *servers, const char *name,
 			 const struct Nl__Instance *instance, int64_t now)
 {
 	struct server_config config = { .addr = instance->addr,
@@ -139,18 +140,18 @@
 	if (server_index < 0 || instance->state == INSTANCE_REMOVED)
 		return;
 	config.draining = instance->state != INSTANCE_SERVING;
-	server_table_put(router, servers, (uint32_t)server_index, instance->service, config);
-	learn_instance(router, (uint32_t)server_index, instance, now);
+	add_server(router, servers, (uint32_t)server_index, instance->service, config);
+	record_instance(router, (uint32_t)server_index, instance, now);
 }
 
 /* Removes the index entries of servers that are no longer in the table: their incarnation has ended, and its
  * cache with it. */
-static void forget_removed(struct router *router, const struct server_table *servers)
+static void drop_blocks_of_removed_servers(struct router *router, const struct server_table *servers)
 {
-	const struct server_table *old = router->config.server_table;
+	const struct server_table *old_table = router->config.server_table;
 
-	for (uint32_t i = 0; old && i < old->server_count; i++)
-		if (old->servers[i].is_configured && !servers->servers[i].is_configured)
+	for (uint32_t i = 0; old_table && i < old_table->server_count; i++)
+		if (old_table->servers[i].is_configured && !servers->servers[i].is_configured)
 			prefix_index_remove_unreported(&router->cache.index, i, UINT64_MAX);
 }
 
@@ -169,9 +170,9 @@
 	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
 	grow_arrays(router, servers->server_count);
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
-		put_row(router, servers, table->rows[i].value.row);
+		add_config_row(router, servers, table->rows[i].value.row);
 	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
-		put_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
-	forget_removed(router, servers);
+		add_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
+	drop_blocks_of_removed_servers(router, servers);
 	return servers;
 }
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -15,7 +15,7 @@
 
 enum { MAX_WEIGHTS_NAME = 128 }; /* longest name of weights in a report, in bytes */
 
-static uint64_t weights_number(const struct router *router, uint32_t weights)
+static uint64_t weights_version(const struct router *router, uint32_t weights)
 {
 	return strtoull(router->names.weights.names[weights], NULL, 10);
 }
@@ -25,31 +25,34 @@
 	const struct service_config *service = &router->config.route_table->services[service_index];
 	const struct Nl__Row *model = service->model_row;
 	const struct Nl__TargetVersion *newer;
-	int64_t clock;
+	int64_t clock_ms;
 
 	if (!model || weights == service->target_weights ||
-	    !version_history_supersedes(model, weights_number(router, weights)))
+	    !version_history_supersedes(model, weights_version(router, weights)))
 		return INT64_MAX;
-	newer = version_history_after(model, weights_number(router, weights));
-	clock = newer ? config_watch_clock_ms(&router->config.watch, newer->term, now) : 0;
-	if (!clock)
+	newer = version_history_after(model, weights_version(router, weights));
+	clock_ms = newer ? config_watch_clock_ms(&router->config.watch, newer->term, now) : 0;
+	if (!clock_ms)
 		return INT64_MIN; /* the date is unknown: the oldest possible one applies */
-	return (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock + now;
+	return (int64_t)newer->targeted_at_ms + router->config.bounds.rollout_ms - clock_ms + now;
 }
 
 int64_t router_weights_last_send(const struct router *router, uint32_t service_index, uint32_t weights,
 				 int64_t now)
 {
-	int64_t end = router_weights_end(router, service_index, weights, now);
+	int64_t bound_ms = router_weights_end(router, service_index, weights, now);
 
-	return end == INT64_MAX || end == INT64_MIN ? end : end - ROUTER_ROLLOUT_SEND_MARGIN_MS;
+	return bound_ms == INT64_MAX || bound_ms == INT64_MIN ? bound_ms
+							      : bound_ms - ROUTER_ROLLOUT_SEND_MARGIN_MS;
 }
 
-static int64_t recall_at(const struct router *router, const struct client_request *request, int64_t now)
+static int64_t recall_at_ms(const struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
+	int64_t bound_ms =
+	    router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
-	return end == INT64_MAX || end == INT64_MIN ? INT64_MAX : end - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
+	return bound_ms == INT64_MAX || bound_ms == INT64_MIN ? INT64_MAX
+							      : bound_ms - ROUTER_ROLLOUT_RECALL_MARGIN_MS;
 }
 
 /* ---- weights of servers ---------------------------------------------------------------------- */
@@ -64,11 +67,11 @@
 void router_weights_learn(struct router *router, uint32_t server_index, uint32_t weights)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
-	const char *known = router->names.weights.names[server->weights],
-		   *reported = router->names.weights.names[weights];
+	const char *recorded_name = router->names.weights.names[server->weights],
+		   *reported_name = router->names.weights.names[weights];
 
-	if (server->is_known && is_number(known) && is_number(reported) &&
-	    weights_number(router, weights) < weights_number(router, server->weights))
+	if (server->is_known && is_number(recorded_name) && is_number(reported_name) &&
+	    weights_version(router, weights) < weights_version(router, server->weights))
 		return;
 	server->weights = weights;
 }
@@ -89,22 +92,23 @@
 {
 	for (uint32_t i = 0; router->log && i < router->config.route_table->service_count; i++) {
 		const struct Nl__Row *model = router->config.route_table->services[i].model_row;
-		const struct Nl__Row *before =
+		const struct Nl__Row *old_model =
 		    old && i < old->service_count ? old->services[i].model_row : NULL;
 		const struct Nl__TargetVersion *newest;
 		int64_t age_ms;
 		char text[200];
 
 		if (!model || !model->n_target_versions ||
-		    (before && !strcmp(before->target_weights, model->target_weights)))
+		    (old_model && !strcmp(old_model->target_weights, model->target_weights)))
 			continue;
 		newest = model->target_versions[model->n_target_versions - 1];
 		age_ms = config_watch_clock_ms(&router->config.watch, newest->term, now) -
 			 (int64_t)newest->targeted_at_ms;
-		snprintf(
-		    text, sizeof text,
-		    "Target weights %.30s of service %.60s: set %" PRId64 " ms ago, %zu versions have dates.",
-		    model->target_weights, router->names.services.names[i], age_ms, model->n_target_versions);
+		snprintf(text, sizeof text,
+			 "Target weights %.30s of service %.60s: target set %" PRId64
+			 " ms ago, %zu dated versions.",
+			 model->target_weights, router->names.services.names[i], age_ms,
+			 model->n_target_versions);
 		router->log(router->log_context, "weights", text);
 	}
 }
@@ -112,7 +116,7 @@
 /* ---- invariant ------------------------------------------------------------------------------- */
 
 /* Logs a violation, at most once every ROUTER_VIOLATION_LOG_INTERVAL_MS. The caller counts each one. */
-static void log_violation(struct router *router, const char *what, const struct client_request *request,
+static void log_violation(struct router *router, const char *event, const struct client_request *request,
 			  int64_t late_ms)
 {
 	int64_t *logged_at_ms = &router->records.violation_logged_at_ms;
@@ -122,39 +126,44 @@
 	    (*logged_at_ms && router->clock.now - *logged_at_ms < ROUTER_VIOLATION_LOG_INTERVAL_MS))
 		return;
 	*logged_at_ms = router->clock.now;
-	snprintf(text, sizeof text,
-		 "A request %s on weights %.60s of %.60s at %.60s, %" PRId64 " ms past their bound.", what,
-		 router->names.weights.names[request->attempt.weights],
-		 router->names.services.names[request->route.service_index],
-		 router->names.servers.names[request->attempt.server_index], late_ms);
+	snprintf(
+	    text, sizeof text,
+	    "A request %s past the bound of its weights: weights %.60s, service %.60s, server %.60s, %" PRId64
+	    " ms late.",
+	    event, router->names.weights.names[request->attempt.weights],
+	    router->names.services.names[request->route.service_index],
+	    router->names.servers.names[request->attempt.server_index], late_ms);
 	router->log(router->log_context, "invariant", text);
 }
 
 void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
+	int64_t bound_ms =
+	    router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
-	if (now <= end)
+	if (now <= bound_ms)
 		return;
 	router->stats.sent_past_bound++;
-	log_violation(router, "is sent", request, end == INT64_MIN ? 0 : now - end);
+	log_violation(router, "is sent", request, bound_ms == INT64_MIN ? 0 : now - bound_ms);
 }
 
 /* Whether this process was paused (not scheduled) at some time since time_ms: then an event that it sees now
  * may have happened long before. */
-static bool paused_since(const struct router *router, int64_t time_ms)
+static bool was_paused_since(const struct router *router, int64_t time_ms)
 {
 	return router->clock.paused_at_ms >= time_ms;
 }
 
 void router_weights_check_begin(struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t end = router_weights_end(router, request->route.service_index, request->attempt.weights, now);
+	int64_t bound_ms =
+	    router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
-	if (now - ROUTER_BEGIN_NOTICE_DELAY_MS <= end || end == INT64_MIN || paused_since(router, end))
+	if (now - ROUTER_BEGIN_NOTICE_DELAY_MS <= bound_ms || bound_ms == INT64_MIN ||
+	    was_paused_since(router, bound_ms))
 		return;
 	router->stats.begun_past_bound++;
-	log_violation(router, "begins", request, now - end);
+	log_violation(router, "begins", request, now - bound_ms);
 }
 
 /* An attempt that waits at its server for longer than expected must not begin after the bound of its weights.
@@ -167,7 +176,7 @@
 		if (!request->is_forwarded || request->state != REQUEST_RUNNING ||
 		    request->attempt.first_chunk_at_ms)
 			continue;
-		if (now < recall_at(router, request, now))
+		if (now < recall_at_ms(router, request, now))
 			continue;
 		router->stats.recalled++;
 		router_recall(router, request, now, out);
