--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -216,8 +216,8 @@
 void router_claim_send(struct router *router, struct client_request *request, int64_t now,
 		       struct command_list *out);
 
-/* Handles that the leader a proposal was sent to did not answer: selects another controller, unless a new
- * leader is already set. */
+/* Handles a proposal that its leader did not answer: later proposals go to another controller, unless another
+ * leader has been set in the meantime. */
 void router_claim_miss(struct router *router, uint32_t service_index, uint64_t leader_addr);
 
 /* Releases a claim, so that its request id may be used again. The release is proposed until it is committed.
@@ -363,8 +363,8 @@
 /* Returns the load at a server now. */
 struct server_load router_server_load(const struct router *router, uint32_t server_index, int64_t now);
 
-/* Cost in ms of a server's load: the expected wait before prefill begins, plus penalties for recent lateness
- * and failures. */
+/* Cost in ms of a server's load: the expected wait before prefill begins, plus penalties for recent lateness,
+ * for recent failures and for another zone. */
 double router_load_ms(const struct router *router, uint32_t server_index,
 		      const struct service_config *service, int64_t now);
 
@@ -586,7 +586,7 @@
 void router_on_report_polled(struct router *router, uint64_t token, int status, const char *body, int64_t now,
 			     struct command_list *out);
 
-/* Applies a server's report that a relay has sent. */
+/* Applies a server's report that a relay has forwarded. */
 void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now,
 			      struct command_list *out);
 
--- a/lib/data/router_server.h
+++ b/lib/data/router_server.h
@@ -32,10 +32,8 @@
 	bool is_known;      /* a report or the endpoint list has described the server */
 	bool is_loading;    /* the server is loading weights and runs no requests meanwhile */
 	uint32_t weights;   /* index of the weights that the server has */
-	uint32_t
-	    prefill_tokens; /* prompt tokens of this router's requests that the server still has to prefill */
-	uint64_t resident_tokens; /* tokens that this router's requests take in the server's memory, prompt
-				     and answer */
+	uint32_t prefill_tokens;  /* prompt tokens of this router's requests, not yet prefilled there */
+	uint64_t resident_tokens; /* tokens of this router's requests in its memory, prompt and answer */
 	int64_t unavailable_until_ms;
 	double link_free_at_ms; /* when the transfers under way at the server's link are expected to end; this
 				   router's transfers are scaled to represent those of all routers */
@@ -55,16 +53,14 @@
 	int64_t polled_at_ms;
 	int64_t last_relayed_report_at_ms; /* when a relay last sent a report of the server */
 	uint64_t poll_token;               /* identifies the report request in flight */
-	uint64_t poll_sequence; /* number of the newest report; block replicas of older reports are dropped */
-	uint64_t block_list_serial; /* serial number of the last applied block list; valid for boot_id only */
+	uint64_t poll_sequence; /* number of the newest report; block replicas of older ones are dropped */
+	uint64_t block_list_serial; /* serial number of the last block list; valid for boot_id only */
 	uint64_t boot_id;
 	uint32_t endpoint_list_weights; /* index of the weights in the endpoint list; weights that the server
 				    itself reports take precedence */
-	uint32_t
-	    purged_block_count;   /* blocks in the server's last block list that were cached before a purge */
-	int64_t block_list_at_ms; /* when the server's last block list was received */
-	int consecutive_unreadable_reports; /* consecutive reports that could not be parsed; only the first is
-					       logged */
+	uint32_t purged_block_count;    /* blocks in its last block list that a purge covers */
+	int64_t block_list_at_ms;       /* when its last block list was received */
+	int consecutive_unreadable_reports; /* only the first one is logged */
 
 	/* Watch of the server's prefix cache: router_cache_watch.c */
 	uint64_t watch_token; /* identifies the watch request in flight; 0: none */
@@ -78,7 +74,7 @@
 	struct pending_cache_update pending_update;
 };
 
-/* Load at one server, as counted by one router. */
+/* Load at one server, from one load source or summed over several. */
 struct load_cell {
 	uint32_t prefill_tokens;
 	uint32_t running;
