--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -12,8 +12,7 @@
 
 enum {
 	FEED_LINK_SHARE_PERCENT = 40, /* share of the link for all downstream routers together */
-	FEED_MESSAGE_MAX_MS =
-	    100, /* time in which the share must carry one message to all downstream routers */
+	FEED_MESSAGE_MAX_MS = 100,    /* longest time in which the share carries one message to all of them */
 	FEED_INDEX_ROWS_PER_MESSAGE = 2048 /* rows of the index in one message to a new router */
 };
 
@@ -52,7 +51,7 @@
 	arrfree(router->feed.queue);
 }
 
-static void add_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
+static void add_pending_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
 {
 	uint64_t key = router_block_key(core_hash_string(0, event->cache_namespace), event->block_hash);
 	typeof(pending->events->value) value = { router_namespace_key_from_text(event->cache_namespace),
@@ -78,7 +77,7 @@
 	pending->epoch = update->epoch;
 	pending->next_event = update->next_offset;
 	for (size_t i = 0; i < update->n_events; i++)
-		add_event(pending, update->events[i]);
+		add_pending_event(pending, update->events[i]);
 	if (!pending->is_queued)
 		arrput(router->feed.queue, server_index);
 	pending->is_queued = true;
@@ -87,8 +86,8 @@
 /* ---- to all downstream routers --------------------------------------------------------------- */
 
 /* Builds the message of one server's queued events. It holds only keys, which is all that the index needs. */
-static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server_index,
-						      struct command_list *out)
+static struct Nl__CacheUpdate *new_pending_update_message(const struct router *router, uint32_t server_index,
+							  struct command_list *out)
 {
 	const struct pending_cache_update *pending = &router->servers.states[server_index].pending_update;
 	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
@@ -130,7 +129,8 @@
 		uint32_t server_index = router->feed.queue[sent_count];
 
 		if (server_config_of(router, server_index)->is_configured) {
-			struct Nl__CacheUpdate *update = pending_update_message(router, server_index, out);
+			struct Nl__CacheUpdate *update =
+			    new_pending_update_message(router, server_index, out);
 
 			bytes += (int64_t)nl__cache_update__get_packed_size(update);
 			batch->updates[batch->n_updates++] = update;
@@ -151,8 +151,7 @@
 /* A range of index rows that is being copied into one message. */
 struct index_excerpt {
 	struct Nl__CacheUpdateBatch *batch;
-	struct Nl__CacheUpdate *
-	    *by_server; /* by server index; NULL: the message has no update of this server yet */
+	struct Nl__CacheUpdate **by_server; /* by server index; NULL: no update of this server yet */
 };
 
 /* Finds the update of a server in the message; adds it if there is none. */
@@ -172,7 +171,8 @@
 	return update;
 }
 
-/* Counts the replicas of one index row in the updates of their servers; with fill it also stores them. */
+/* Counts the replicas of one index row in the updates of their servers; with must_store_keys it also stores
+ * their keys. */
 static void add_index_row(const struct router *router, struct index_excerpt *excerpt,
 			  const struct prefix_index_row *row, bool must_store_keys, struct command_list *out)
 {
@@ -191,8 +191,8 @@
 }
 
 /* Builds the message for rows [begin, end) of the index, with one update for each server. */
-static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
-						  struct command_list *out)
+static struct Nl__CacheUpdateBatch *new_index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
+						      struct command_list *out)
 {
 	uint32_t server_count = router->config.server_table->server_count;
 	struct Nl__CacheUpdateBatch *batch =
@@ -230,7 +230,7 @@
 	begin = downstream->cache_feed_remaining > FEED_INDEX_ROWS_PER_MESSAGE
 		    ? downstream->cache_feed_remaining - FEED_INDEX_ROWS_PER_MESSAGE
 		    : 0;
-	batch = index_message(router, begin, downstream->cache_feed_remaining, out);
+	batch = new_index_message(router, begin, downstream->cache_feed_remaining, out);
 	downstream->cache_feed_remaining = begin;
 	if (!batch->n_updates)
 		return;
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -164,9 +164,8 @@
 	server->watch_token = 0;
 	server->watched_at_ms = now;
 	if (status != 200 || !update) {
-		server->watched_at_ms =
-		    now +
-		    ROUTER_REPORT_POLL_INTERVAL_MS; /* the server has too many watchers, or it is removed */
+		/* the server has too many watchers, or it is removed */
+		server->watched_at_ms = now + ROUTER_REPORT_POLL_INTERVAL_MS;
 		return;
 	}
 	if (server->is_watch_full)
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -5,13 +5,11 @@
 
 #include "containers.h"
 
-enum {
-	SAME_ZONE_TIME_FACTOR = 1,
-	OTHER_ZONE_TIME_FACTOR = 2
-}; /* factors of a transfer's time within a zone and between zones */
+/* Factors of a transfer's time within a zone and between zones. */
+enum { SAME_ZONE_TIME_FACTOR = 1, OTHER_ZONE_TIME_FACTOR = 2 };
 
 /* An observed value, halved for each half-life since its observation. */
-static double decayed(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
+static double decayed_value(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
 {
 	for (int64_t age_ms = now - observed_at_ms; age_ms >= half_life_ms && value > 0.01;
 	     age_ms -= half_life_ms)
@@ -40,8 +38,9 @@
 		load.prefill_tokens += others->prefill_tokens;
 		load.resident_tokens += others->resident_tokens;
 	} else {
-		uint32_t others = (uint32_t)decayed(server->others_running, server->others_observed_at_ms,
-						    now, ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
+		uint32_t others =
+		    (uint32_t)decayed_value(server->others_running, server->others_observed_at_ms, now,
+					    ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
 
 		load.running += others;
 		load.resident_tokens += (uint64_t)others * ROUTER_ASSUMED_REQUEST_TOKENS;
@@ -58,11 +57,11 @@
 	    (double)load.prefill_tokens / service->prefill_tokens_per_ms + ROUTER_STEP_MS * load.running;
 
 	if (mechanism_in_use(router, MECHANISM_LATENESS))
-		ms += decayed(server->lateness_ms, server->lateness_observed_at_ms, now,
-			      ROUTER_LATENESS_HALF_LIFE_MS) /
+		ms += decayed_value(server->lateness_ms, server->lateness_observed_at_ms, now,
+				    ROUTER_LATENESS_HALF_LIFE_MS) /
 		      2;
-	ms += ROUTER_FAILURE_COST_MS *
-	      decayed(server->failure_rate, server->failure_observed_at_ms, now, ROUTER_FAILURE_HALF_LIFE_MS);
+	ms += ROUTER_FAILURE_COST_MS * decayed_value(server->failure_rate, server->failure_observed_at_ms,
+						     now, ROUTER_FAILURE_HALF_LIFE_MS);
 	return ms + (server_config_of(router, server_index)->zone_hash == router->zone_hash ? 0 : 1);
 }
 
--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -479,8 +479,8 @@
  * many names. */
 int router_weights_index(struct router *router, const char *name);
 
-/* Logs the target weights that changed with a new route table; old is the previous one or NULL. */
-void router_weights_log_targets(struct router *router, const struct route_table *old, int64_t now);
+/* Logs the target weights that changed with a new route table; old_routes is the previous one or NULL. */
+void router_weights_log_targets(struct router *router, const struct route_table *old_routes, int64_t now);
 
 /* Checks when a request is sent that its weights are not past their bound; counts and logs a violation. */
 void router_weights_check_send(struct router *router, const struct client_request *request, int64_t now);
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -13,7 +13,9 @@
 /* Whose load a message holds; sent on the wire. */
 enum load_scope { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
-enum { FLEET_SMALL = 16 }; /* number of routers up to which full messages are sent twice as often */
+enum {
+	FREQUENT_FULL_MAX_ROUTERS = 16
+}; /* number of routers up to which full messages are sent twice as often */
 
 /* A load message to a group of routers, and what was last sent to them. */
 struct publication {
@@ -22,9 +24,7 @@
 	enum load_scope scope;
 	const struct load_cell *cells; /* by server index */
 	struct load_cell **last_sent;  /* stb_ds, by server index */
-	bool is_full; /* holds all servers with load; otherwise only those whose load has changed since
-		       * last_sent
-		       */
+	bool is_full;                  /* false: holds only changes since last_sent */
 };
 
 static void extend_cells(struct load_cell **cells, uint32_t count)
@@ -118,10 +118,10 @@
 			   (router->config.server_table->server_count + 1) * sizeof(struct load_cell));
 }
 
-/* Interval in ms between load messages that hold only changes. It is short after a send or a first chunk, so
+/* Interval in ms between load messages. It is short after a send or a first chunk, so
  * that the head of the zone, which other routers send lookups to, has the newest load; otherwise it is the
  * interval of messages to all routers. Heads are few and publish to each other at the short interval. */
-static int load_changes_interval_ms(const struct router *router)
+static int load_interval_ms(const struct router *router)
 {
 	int scaled_ms = router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS);
 
@@ -220,20 +220,22 @@
 	struct load_cell *own, *zone, *fleet;
 	bool is_full;
 
-	if (!router->config.server_table || now - router->load.sent_at_ms < load_changes_interval_ms(router))
+	if (!router->config.server_table || now - router->load.sent_at_ms < load_interval_ms(router))
 		return;
 	router->load.sent_at_ms = now;
 	router->load.changed = false;
 	is_full = now - router->load.full_sent_at_ms >=
-		  (router->config.watch.router_count > FLEET_SMALL ? 2 : 1) * ROUTER_LOAD_FULL_INTERVAL_MS;
+		  (router->config.watch.router_count > FREQUENT_FULL_MAX_ROUTERS ? 2 : 1) *
+		      ROUTER_LOAD_FULL_INTERVAL_MS;
 	if (is_full)
 		router->load.full_sent_at_ms = now;
 	drop_expired_sources(router, now);
 	own = new_zeroed_cells(router, out);
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++)
 		own[s] = own_load(router, s);
-	if (router->config.watch.upstream_count) { /* the load of other routers is the total that the head
-						      publishes less this router's own */
+	if (router->config.watch.upstream_count) {
+		/* the load of other routers is the total that the head publishes less this router's own load
+		 */
 		publish_to_head(router, own, is_full, out);
 		return;
 	}
--- a/lib/data/router_placement.c
+++ b/lib/data/router_placement.c
@@ -7,14 +7,14 @@
 {
 	const struct server_config *config = server_config_of(router, server_index);
 	const struct router_server_state *server = &router->servers.states[server_index];
-	bool discovered = router->config.bounds.discover_instances;
+	bool uses_endpoint_list = router->config.bounds.discover_instances;
 
 	if (!config->is_configured || config->draining || server->is_loading ||
 	    now < server->unavailable_until_ms)
 		return false;
-	if (!server->is_known && !(config->is_store && discovered))
+	if (!server->is_known && !(config->is_store && uses_endpoint_list))
 		return false;
-	if (!discovered)
+	if (!uses_endpoint_list)
 		return now - server->reported_at_ms < ROUTER_REPORT_VALID_MS;
 	if (config->is_store)
 		return now - server->cache_update_at_ms < ROUTER_STORE_SILENCE_MAX_MS;
@@ -49,7 +49,7 @@
 
 uint64_t router_home_block(const struct client_request *request)
 {
-	int shared = router_shared_blocks(request);
+	int shared_blocks = router_shared_blocks(request);
 
-	return shared ? request->prompt.block_hash[shared - 1] : request->sequence;
+	return shared_blocks ? request->prompt.block_hash[shared_blocks - 1] : request->sequence;
 }
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -8,18 +8,18 @@
 #include "containers.h"
 
 enum {
-	ALTERNATIVE_COUNT = 3, /* number of servers that are weighed in addition to the home and to those that
-			     cache the prefix */
+	/* servers that are weighed in addition to the home and to those that cache the prefix */
+	ALTERNATIVE_COUNT = 3,
 	HOME_HASH_SEED = 67,
 	STORE_HASH_SEED = 61,
 	ALTERNATIVES_HASH_SEED = 53,
-	OFFLOAD_MIN_SHARED_RATIO =
-	    3 /* minimum ratio of shared tokens to the request's own tokens for an offload */
+	/* minimum ratio of shared tokens to the request's own tokens for an offload */
+	OFFLOAD_MIN_SHARED_RATIO = 3
 };
 
-#define HOME_EXPECTED_CACHED_SHARE                                                                        \
-	0.7 /* expected share of a prefix that other requests will have sent to its home by the time this \
-	       request is prefilled there */
+/* Expected share of a prefix that other requests will have sent to its home by the time this request is
+ * prefilled there. */
+#define HOME_EXPECTED_CACHED_SHARE 0.7
 
 /* Inputs of one placement decision. */
 struct placement {
@@ -75,7 +75,7 @@
 	return core_hash_string(HOME_HASH_SEED, request->client.request_id);
 }
 
-/* Whether a server is eligible as a request's home, regardless of whether it currently serves. */
+/* Whether a server could be a request's home if it were serving. */
 static bool may_be_home(const struct router *router, const struct client_request *request,
 			uint32_t server_index, int64_t now)
 {
@@ -191,14 +191,15 @@
 
 /* Whether a server is a better fetch source than another one: it caches more blocks, or the same number and
  * runs fewer requests of this router. */
-static bool is_better_source(const struct router *router, uint32_t server_index, int other)
+static bool is_better_source(const struct router *router, uint32_t server_index, int other_server)
 {
 	int depth = router->servers.cached_depth[server_index];
 
-	if (other < 0 || depth > router->servers.cached_depth[other])
+	if (other_server < 0 || depth > router->servers.cached_depth[other_server])
 		return true;
-	return depth == router->servers.cached_depth[other] &&
-	       router->servers.states[server_index].own_running < router->servers.states[other].own_running;
+	return depth == router->servers.cached_depth[other_server] &&
+	       router->servers.states[server_index].own_running <
+		   router->servers.states[other_server].own_running;
 }
 
 /* The serving server with these weights that caches the longest part of the prefix. -1: none caches any of
@@ -298,7 +299,8 @@
 }
 
 /* Selects the server or store that a server fetches from: the source of its generation; otherwise the home
- * server, which is assumed to cache the prefix. -1: none. *end: leading blocks that are cached there. */
+ * server, which caches the prefix unless no request has used it yet. -1: none. *source_end: leading blocks
+ * that are cached there. */
 static int fetch_source_for(const struct router *router, const struct placement *placement,
 			    uint32_t server_index, int *source_end)
 {
@@ -325,10 +327,10 @@
 	const struct client_request *request = placement->request;
 	int server = candidate->plan.server_index, cached_blocks = candidate->plan.cached_blocks;
 	bool is_home = server == placement->home_server,
-	     from_peer = source >= 0 && source != placement->store_server && source != server;
+	     fetches_from_peer = source >= 0 && source != placement->store_server && source != server;
 	uint64_t missing_tokens;
 
-	if (cached_blocks >= placement->shared_blocks || (is_home && !from_peer))
+	if (cached_blocks >= placement->shared_blocks || (is_home && !fetches_from_peer))
 		return 0;
 	missing_tokens = router_tokens_of_blocks(request, placement->shared_blocks) -
 			 router_tokens_of_blocks(request, cached_blocks);
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -162,7 +162,7 @@
 
 /* Adds the servers that a request may be sent to, so that the reply holds their load: it is newer than the
  * load that the head publishes to all routers. */
-static void add_requested_servers(struct router *router, const struct client_request *request,
+static void add_candidate_servers(struct router *router, const struct client_request *request,
 				  struct Nl__PrefixLookup *lookup, int64_t now, struct command_list *out)
 {
 	uint32_t server_indices[MAX_CANDIDATES];
@@ -187,7 +187,8 @@
 }
 
 /* Builds the lookup message for a request's blocks under its namespaces. */
-static struct Nl__PrefixLookup *lookup_message(const struct client_request *request, struct command_list *out)
+static struct Nl__PrefixLookup *new_lookup_message(const struct client_request *request,
+						   struct command_list *out)
 {
 	struct Nl__PrefixLookup *lookup = MESSAGE_NEW(out, Nl__PrefixLookup, NL__PREFIX_LOOKUP__INIT);
 	const uint64_t *namespaces = request->lookup.namespaces;
@@ -210,18 +211,18 @@
 	bool is_head_silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES;
 	struct generation generations[MAX_GENERATIONS];
 	struct Nl__PrefixLookup *lookup;
-	int n;
+	int generation_count;
 
 	if (!may_send_lookup(router, request, is_head_silent, now))
 		return;
-	n = router_weight_generations(router, request, generations);
-	if (!n)
+	generation_count = router_weight_generations(router, request, generations);
+	if (!generation_count)
 		return;
-	for (int k = 0; k < n; k++)
+	for (int k = 0; k < generation_count; k++)
 		request->lookup.namespaces[k] = generations[k].cache_namespace;
-	request->lookup.namespace_count = n;
-	lookup = lookup_message(request, out);
-	add_requested_servers(router, request, lookup, now, out);
+	request->lookup.namespace_count = generation_count;
+	lookup = new_lookup_message(request, out);
+	add_candidate_servers(router, request, lookup, now, out);
 	command_send(out, router->config.watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
 	    lookup;
 	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
--- a/lib/data/router_reports.c
+++ b/lib/data/router_reports.c
@@ -12,7 +12,7 @@
 
 enum {
 	REPORT_TIMEOUT_MS = 800,
-	MAX_SLOTS = 100000 /* largest number of slots in a valid report */
+	MAX_REPORTED_SLOTS = 100000 /* largest number of slots in a valid report */
 };
 
 /* ---- polling --------------------------------------------------------------------------------- */
@@ -117,7 +117,7 @@
 	prefix_index_remove_unreported(&router->cache.index, server_index, server->poll_sequence);
 }
 
-static void on_report(struct router *router, uint32_t server_index, const char *body, int64_t now)
+static void apply_report(struct router *router, uint32_t server_index, const char *body, int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
 	struct json_object *report = router_read_json(router, body), *blocks;
@@ -125,7 +125,7 @@
 
 	if (json_object_is_type(report, json_type_object))
 		weights = router_weights_index(router, json_string_member(report, "weights"));
-	if (weights < 0 || json_uint_member(report, "slots") > MAX_SLOTS) {
+	if (weights < 0 || json_uint_member(report, "slots") > MAX_REPORTED_SLOTS) {
 		log_unreadable_report(
 		    router, server_index,
 		    "not a JSON object, or name of weights not accepted, or too many slots");
@@ -139,10 +139,11 @@
 	if (json_object_object_get_ex(report, "parts", &blocks) &&
 	    json_object_is_type(blocks, json_type_array))
 		apply_block_list(router, server_index, report, blocks, now);
+	/* A changed serial without a block list: the report with the list was lost, so poll the server
+	 * directly. */
 	else if (json_uint_member(report, "serial") != server->block_list_serial ||
 		 json_uint_member(report, "boot") != server->boot_id)
-		server->last_relayed_report_at_ms = server->polled_at_ms =
-		    0; /* the report with the changed block list was lost: poll the server directly */
+		server->last_relayed_report_at_ms = server->polled_at_ms = 0;
 end:
 	if (report)
 		json_object_put(report);
@@ -169,7 +170,7 @@
 
 	for (uint32_t s = 0; servers && s < servers->server_count; s++)
 		if (router->servers.states[s].poll_token == token && status == 200) {
-			on_report(router, s, body, now);
+			apply_report(router, s, body, now);
 			relay_report(router, s, body, out);
 		}
 }
@@ -185,6 +186,6 @@
 		return;
 	router->servers.states[server_index].last_relayed_report_at_ms = now;
 	router->servers.states[server_index].poll_sequence++;
-	on_report(router, (uint32_t)server_index,
-		  apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
+	apply_report(router, (uint32_t)server_index,
+		     apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -10,17 +10,16 @@
 
 enum {
 	RETENTION_SCAN_INTERVAL_MS = 1000, /* interval between scans for remaining blocks */
-	RETENTION_SILENT_SERVER_MS =
-	    5000, /* silence of a server after which its cached blocks count as unknown */
-	RETENTION_ROWS_PER_TICK = 2000, /* index rows that a scan reads per tick */
-	MAX_SCOPE_NAME = 200            /* bytes */
+	RETENTION_SILENT_SERVER_MS = 5000, /* silence after which a server's cached blocks are unknown */
+	RETENTION_ROWS_PER_TICK = 2000,    /* index rows that a scan reads per tick */
+	MAX_SCOPE_NAME_BYTES = 200         /* bytes */
 };
 
 /* ---- scopes and generations ------------------------------------------------------------------ */
 
 void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
-	char route_name[MAX_SCOPE_NAME], tenant_name[MAX_SCOPE_NAME];
+	char route_name[MAX_SCOPE_NAME_BYTES], tenant_name[MAX_SCOPE_NAME_BYTES];
 	struct cache_scope scope = { -1, -1, "", "", 0 };
 
 	if (!retention_parse_scope(row->name, route_name, tenant_name) || (!route_name[0] && !tenant_name[0]))
@@ -191,19 +190,20 @@
  * interface report at once the blocks that a purge covers. */
 static void add_unreported_servers(struct router *router, int64_t now)
 {
-	bool discovered = router->config.bounds.discover_instances;
+	bool uses_endpoint_list = router->config.bounds.discover_instances;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct router_server_state *server = &router->servers.states[s];
 		bool is_silent = now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS;
 		bool is_unreported = server->block_list_at_ms <= router->retention.purged_at_ms;
-		bool has_remainder = discovered ? is_silent : server->purged_block_count || is_unreported;
+		bool has_remainder =
+		    uses_endpoint_list ? is_silent : server->purged_block_count || is_unreported;
 
 		if (!server_config_of(router, s)->is_configured || !has_remainder)
 			continue;
 		/* 0 blocks: the server's cached blocks are unknown */
 		add_remainder(router, s, RETENTION_ANY, 0,
-			      discovered || is_unreported ? 0 : server->purged_block_count);
+			      uses_endpoint_list || is_unreported ? 0 : server->purged_block_count);
 	}
 }
 
@@ -238,12 +238,12 @@
 /* Share of all requests that are queued, per mille. */
 static uint32_t waiting_requests_permille(const struct router *router)
 {
-	uint64_t all = arrlen(router->requests.all) ? (uint64_t)arrlen(router->requests.all) : 1;
+	uint64_t request_count = arrlen(router->requests.all) ? (uint64_t)arrlen(router->requests.all) : 1;
 	uint32_t waiting = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
 		waiting += router->queueing.queues[i].length;
-	return waiting ? (uint32_t)(1000ull * waiting / all) : 0;
+	return waiting ? (uint32_t)(1000ull * waiting / request_count) : 0;
 }
 
 /* Reports the result of a completed scan to the controllers. For forwarded requests it counts only if the
@@ -264,8 +264,9 @@
 void router_retention_tick(struct router *router, int64_t now)
 {
 	struct config_watch *watch = &router->config.watch;
-	bool discovered = router->config.bounds.discover_instances;
-	bool must_scan = arrlen(router->relay.view.context_purges) && !(discovered && watch->upstream_count);
+	bool uses_endpoint_list = router->config.bounds.discover_instances;
+	bool must_scan =
+	    arrlen(router->relay.view.context_purges) && !(uses_endpoint_list && watch->upstream_count);
 
 	if (!router->config.route_table)
 		return;
@@ -282,7 +283,7 @@
 	watch->load_pressure = waiting_requests_permille(router);
 	if (must_scan) {
 		report_remainders(router, now);
-		router->retention.scan_position = discovered ? hmlen(router->cache.index.blocks) : 0;
+		router->retention.scan_position = uses_endpoint_list ? hmlen(router->cache.index.blocks) : 0;
 	}
 	router->retention.scan_at_ms = now;
 }
--- a/lib/data/router_server_table.c
+++ b/lib/data/router_server_table.c
@@ -10,8 +10,8 @@
 
 enum {
 	SERVER_HASH_SEED = 43,
-	MAX_WEIGHTS_NAME = 128, /* bytes, including the terminating zero */
-	MAX_WARM_UP_MS = 2000   /* longest time for which a new server receives no requests */
+	MAX_WEIGHTS_NAME_BYTES = 128, /* bytes, including the terminating zero */
+	MAX_WARM_UP_MS = 2000         /* longest time for which a new server receives no requests */
 };
 
 void router_server_table_free(struct server_table *servers)
@@ -20,8 +20,8 @@
 		apr_pool_destroy(servers->pool);
 }
 
-/* Whether a configuration row defines a store. Where stores have rows of their own, each of those does;
- * otherwise each service row with the address and speed of a store. */
+/* Whether a configuration row defines a store. Where stores have rows of their own (an address without a
+ * speed), only those rows do; otherwise each service row with the address and speed of a store does. */
 static bool is_store_row(const struct router *router, const struct Nl__Row *row)
 {
 	if (row->kind != NL__KIND__SERVICE || !row->addr[0])
@@ -41,7 +41,7 @@
 }
 
 /* Assigns indices to all servers, so that the table can be sized. */
-static void add_names(struct router *router, apr_pool_t *pool)
+static void assign_server_indices(struct router *router, apr_pool_t *pool)
 {
 	const struct config_table *table = &router->config.watch.table;
 	const struct instances *instances = &router->config.watch.instances;
@@ -60,7 +60,7 @@
 }
 
 /* Extends the router's arrays of servers to the new server count. */
-static void grow_arrays(struct router *router, uint32_t server_count)
+static void extend_server_arrays(struct router *router, uint32_t server_count)
 {
 	while (arrlen(router->servers.states) < (ptrdiff_t)server_count) {
 		uint32_t server_index = (uint32_t)arrlen(router->servers.states);
@@ -112,7 +112,7 @@
 	struct router_server_state *server = &router->servers.states[server_index];
 	int weights_index = -1;
 
-	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME)
+	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME_BYTES)
 		weights_index = (int)names_id(&router->names.weights, instance->weights);
 	if (weights_index < 0 && !server->is_known)
 		server->weights =
@@ -165,10 +165,10 @@
 	apr_pool_create(&pool, router->pool);
 	servers = apr_pcalloc(pool, sizeof *servers);
 	servers->pool = pool;
-	add_names(router, pool);
+	assign_server_indices(router, pool);
 	servers->server_count = (uint32_t)arrlen(router->names.servers.names);
 	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
-	grow_arrays(router, servers->server_count);
+	extend_server_arrays(router, servers->server_count);
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		add_config_row(router, servers, table->rows[i].value.row);
 	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
--- a/lib/data/router_weights.c
+++ b/lib/data/router_weights.c
@@ -13,7 +13,7 @@
 #include "containers.h"
 #include "version_history.h"
 
-enum { MAX_WEIGHTS_NAME = 128 }; /* longest name of weights in a report, in bytes */
+enum { MAX_WEIGHTS_NAME_BYTES = 128 }; /* longest name of weights in a report, in bytes */
 
 static uint64_t weights_version(const struct router *router, uint32_t weights)
 {
@@ -57,7 +57,7 @@
 
 /* ---- weights of servers ---------------------------------------------------------------------- */
 
-static bool is_number(const char *name)
+static bool is_decimal_number(const char *name)
 {
 	return *name && strspn(name, "0123456789") == strlen(name);
 }
@@ -70,7 +70,7 @@
 	const char *recorded_name = router->names.weights.names[server->weights],
 		   *reported_name = router->names.weights.names[weights];
 
-	if (server->is_known && is_number(recorded_name) && is_number(reported_name) &&
+	if (server->is_known && is_decimal_number(recorded_name) && is_decimal_number(reported_name) &&
 	    weights_version(router, weights) < weights_version(router, server->weights))
 		return;
 	server->weights = weights;
@@ -82,18 +82,18 @@
 {
 	int index = names_find(&router->names.weights, name);
 
-	if (index >= 0 || strlen(name) > MAX_WEIGHTS_NAME ||
+	if (index >= 0 || strlen(name) > MAX_WEIGHTS_NAME_BYTES ||
 	    arrlen(router->names.weights.names) >= ROUTER_MAX_WEIGHTS_NAMES)
 		return index;
 	return (int)names_id(&router->names.weights, name);
 }
 
-void router_weights_log_targets(struct router *router, const struct route_table *old, int64_t now)
+void router_weights_log_targets(struct router *router, const struct route_table *old_routes, int64_t now)
 {
 	for (uint32_t i = 0; router->log && i < router->config.route_table->service_count; i++) {
 		const struct Nl__Row *model = router->config.route_table->services[i].model_row;
 		const struct Nl__Row *old_model =
-		    old && i < old->service_count ? old->services[i].model_row : NULL;
+		    old_routes && i < old_routes->service_count ? old_routes->services[i].model_row : NULL;
 		const struct Nl__TargetVersion *newest;
 		int64_t age_ms;
 		char text[200];
