--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -13,9 +13,7 @@
 /* Whose load a message holds; sent on the wire. */
 enum load_scope { LOAD_SCOPE_ROUTER = 0, LOAD_SCOPE_ZONE = 1, LOAD_SCOPE_FLEET = 2 };
 
-enum {
-	FREQUENT_FULL_MAX_ROUTERS = 16
-}; /* number of routers up to which full messages are sent twice as often */
+enum { FAST_FULL_MAX_ROUTERS = 16 }; /* number of routers up to which full messages are sent twice as often */
 
 /* A load message to a group of routers, and what was last sent to them. */
 struct publication {
@@ -225,7 +223,7 @@
 	router->load.sent_at_ms = now;
 	router->load.changed = false;
 	is_full = now - router->load.full_sent_at_ms >=
-		  (router->config.watch.router_count > FREQUENT_FULL_MAX_ROUTERS ? 2 : 1) *
+		  (router->config.watch.router_count > FAST_FULL_MAX_ROUTERS ? 2 : 1) *
 		      ROUTER_LOAD_FULL_INTERVAL_MS;
 	if (is_full)
 		router->load.full_sent_at_ms = now;
