--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -317,7 +317,8 @@
 						  uint64_t block_hash, uint32_t server_index,
 						  uint32_t weights);
 
-/* Records how long a fetch took and how many blocks it brought. 0 blocks: the fetch failed or timed out. */
+/* Records how long a fetch took and how many blocks it brought. 0 blocks: the server waited for the fetch
+ * without result. */
 void router_record_fetch(struct router *router, const struct client_request *request, int64_t took_ms,
 			 int fetched_blocks, int64_t now);
 
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -6,9 +6,8 @@
 
 #include "containers.h"
 
-enum {
-	SHORT_FETCH_MS = 20
-}; /* a fetch this short does not distinguish a slow link from a process that was not scheduled */
+/* A fetch this short does not distinguish a slow link from a process that was not scheduled. */
+enum { SHORT_FETCH_MS = 20 };
 
 /* Whether one tenant may use blocks that were cached for another. */
 static bool may_share_blocks(const struct route_table *routes, uint32_t owner_tenant, uint32_t user_tenant)
