--- a/lib/data/router_server.h
+++ b/lib/data/router_server.h
@@ -68,7 +68,7 @@
 	uint64_t next_cache_event;
 	bool has_complete_block_list; /* a complete block list was received, and no event has been missed
 					 since */
-	bool is_watch_full;           /* the watch request in flight asks for the complete block list */
+	bool is_watch_full;           /* the watch request in flight is for the complete block list */
 	int64_t watched_at_ms;
 	int64_t cache_update_at_ms; /* when the last update of the server's cache was received */
 	struct pending_cache_update pending_update;
