--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -1,8 +1,8 @@
-/* router_cache_feed: what the head of a zone sends its downstream routers of the prompt blocks that servers
- * cache. The head alone watches servers; each of their events would be sent on once for each router of the
- * zone, so the head's own link is the bound. Events wait here, the newest of each block in place of older
- * ones, and leave as fast as a share of the link carries them: what clients and the configuration send shares
- * that link and must not wait behind them. */
+/* router_cache_feed: sends changes of the blocks that servers cache from the head of a zone to the zone's
+ * other routers. Only the head watches servers. It would forward each event once for each router of the zone,
+ * so its own link is the bottleneck. Events are therefore queued here, and the newest event of each block
+ * replaces older ones. They are sent at the rate that a share of the link allows, because traffic of clients
+ * and of the configuration shares that link and must not be delayed. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,31 +11,32 @@
 #include "containers.h"
 
 enum {
-	FEED_SHARE_PERCENT = 40, /* of the link, for all downstream routers together */
-	FEED_BURST_MS = 100,     /* of that share which one message to all of them may take */
-	FEED_INDEX_ROWS = 2048   /* rows of the index in one message to a router that is new */
+	FEED_LINK_SHARE_PERCENT = 40, /* share of the link for all downstream routers together */
+	FEED_MESSAGE_MAX_MS = 100,    /* longest time in which the share carries one message to all of them */
+	FEED_INDEX_ROWS_PER_MESSAGE = 2048 /* rows of the index in one message to a new router */
 };
 
-/* Bytes that the feed may send in a ms; 0: the link has no known bound. */
+/* Bytes per ms that the feed may send; 0: the link's bandwidth is not configured. */
 static int64_t feed_bytes_per_ms(const struct router *router)
 {
-	return (int64_t)router->config.bounds.link_kbps * FEED_SHARE_PERCENT / 100 / 8;
+	return (int64_t)router->config.bounds.link_kbps * FEED_LINK_SHARE_PERCENT / 100 / 8;
 }
 
-/* A message has been sent to so many routers: no more before the link's share has carried it. */
-static void feed_spent(struct router *router, const struct Nl__CacheUpdateBatch *batch, ptrdiff_t routers,
-		       int64_t now)
+/* Records that a message was sent to a number of routers: the feed sends no more until its share of the link
+ * has carried it. */
+static void record_feed_bytes(struct router *router, const struct Nl__CacheUpdateBatch *batch,
+			      ptrdiff_t router_count, int64_t now)
 {
-	int64_t rate = feed_bytes_per_ms(router),
-		bytes = (int64_t)nl__cache_update_batch__get_packed_size(batch) * routers;
+	int64_t bytes_per_ms = feed_bytes_per_ms(router),
+		bytes = (int64_t)nl__cache_update_batch__get_packed_size(batch) * router_count;
 
 	if (router->feed.link_free_at_ms < now)
 		router->feed.link_free_at_ms = now;
-	if (rate)
-		router->feed.link_free_at_ms += bytes / rate;
+	if (bytes_per_ms)
+		router->feed.link_free_at_ms += bytes / bytes_per_ms;
 }
 
-/* ---- events that wait ------------------------------------------------------------------------ */
+/* ---- queued events --------------------------------------------------------------------------- */
 
 static void pending_update_clear(struct pending_cache_update *pending)
 {
@@ -50,7 +51,7 @@
 	arrfree(router->feed.queue);
 }
 
-static void add_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
+static void add_pending_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
 {
 	uint64_t key = router_block_key(core_hash_string(0, event->cache_namespace), event->block_hash);
 	typeof(pending->events->value) value = { router_namespace_key_from_text(event->cache_namespace),
@@ -66,7 +67,7 @@
 	bool is_reset = update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch);
 	bool is_store = server_config_of(router, server_index)->is_store;
 
-	/* of a store each update goes on, for it shows that the store is up */
+	/* each update of a store is forwarded, even without events, because it shows that the store is up */
 	if (!arrlen(router->relay.downstreams) || (!update->n_events && !is_reset && !is_store))
 		return;
 	if (is_reset) {
@@ -76,7 +77,7 @@
 	pending->epoch = update->epoch;
 	pending->next_event = update->next_offset;
 	for (size_t i = 0; i < update->n_events; i++)
-		add_event(pending, update->events[i]);
+		add_pending_event(pending, update->events[i]);
 	if (!pending->is_queued)
 		arrput(router->feed.queue, server_index);
 	pending->is_queued = true;
@@ -84,9 +85,9 @@
 
 /* ---- to all downstream routers --------------------------------------------------------------- */
 
-/* The waiting events of one server as they are sent: keys alone, which is all that the index needs. */
-static struct Nl__CacheUpdate *pending_update_message(const struct router *router, uint32_t server_index,
-						      struct command_list *out)
+/* Builds the message of one server's queued events. It holds only keys, which is all that the index needs. */
+static struct Nl__CacheUpdate *new_pending_update_message(const struct router *router, uint32_t server_index,
+							  struct command_list *out)
 {
 	const struct pending_cache_update *pending = &router->servers.states[server_index].pending_update;
 	struct Nl__CacheUpdate *update = MESSAGE_NEW(out, Nl__CacheUpdate, NL__CACHE_UPDATE__INIT);
@@ -113,47 +114,49 @@
 	return update;
 }
 
-/* Of the servers that have waited longest, as many as one message may take. */
+/* Sends the queued events of the servers that were queued first, as many as one message may hold. */
 static void publish_updates(struct router *router, int64_t now, struct command_list *out)
 {
-	ptrdiff_t routers = arrlen(router->relay.downstreams), sent = 0;
-	int64_t limit_bytes = routers ? feed_bytes_per_ms(router) * FEED_BURST_MS / routers : 0, bytes = 0;
+	ptrdiff_t router_count = arrlen(router->relay.downstreams), sent_count = 0;
+	int64_t max_bytes = router_count ? feed_bytes_per_ms(router) * FEED_MESSAGE_MAX_MS / router_count : 0,
+		bytes = 0;
 	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 
 	batch->updates =
 	    apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
-	for (; sent < arrlen(router->feed.queue) && (!limit_bytes || bytes < limit_bytes); sent++) {
-		uint32_t server_index = router->feed.queue[sent];
+	for (; sent_count < arrlen(router->feed.queue) && (!max_bytes || bytes < max_bytes); sent_count++) {
+		uint32_t server_index = router->feed.queue[sent_count];
 
 		if (server_config_of(router, server_index)->is_configured) {
-			struct Nl__CacheUpdate *update = pending_update_message(router, server_index, out);
+			struct Nl__CacheUpdate *update =
+			    new_pending_update_message(router, server_index, out);
 
 			bytes += (int64_t)nl__cache_update__get_packed_size(update);
 			batch->updates[batch->n_updates++] = update;
 		}
 		pending_update_clear(&router->servers.states[server_index].pending_update);
 	}
-	arrdeln(router->feed.queue, 0, sent);
+	arrdeln(router->feed.queue, 0, sent_count);
 	if (!batch->n_updates)
 		return;
-	for (ptrdiff_t i = 0; i < routers; i++)
+	for (ptrdiff_t i = 0; i < router_count; i++)
 		command_send(out, router->relay.downstreams[i].addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)
 		    ->cache_update_batch = batch;
-	feed_spent(router, batch, routers, now);
+	record_feed_bytes(router, batch, router_count, now);
 }
 
-/* ---- to a router that is new ----------------------------------------------------------------- */
+/* ---- index for new routers ------------------------------------------------------------------- */
 
-/* A stretch of the index on its way into one message. */
+/* A range of index rows that is being copied into one message. */
 struct index_excerpt {
 	struct Nl__CacheUpdateBatch *batch;
-	struct Nl__CacheUpdate **by_server; /* NULL: none yet */
+	struct Nl__CacheUpdate **by_server; /* by server index; NULL: no update of this server yet */
 };
 
-/* The update of a server in the message; made where it is new. */
-static struct Nl__CacheUpdate *update_of(const struct router *router, struct index_excerpt *excerpt,
-					 uint32_t server_index, struct command_list *out)
+/* Finds the update of a server in the message; adds it if there is none. */
+static struct Nl__CacheUpdate *find_or_add_update(const struct router *router, struct index_excerpt *excerpt,
+						  uint32_t server_index, struct command_list *out)
 {
 	struct Nl__CacheUpdate *update = excerpt->by_server[server_index];
 
@@ -168,9 +171,10 @@
 	return update;
 }
 
-/* Counts the replicas of one row into the updates of their servers, or puts them there. */
+/* Counts the replicas of one index row in the updates of their servers; with must_store_keys it also stores
+ * their keys. */
 static void add_index_row(const struct router *router, struct index_excerpt *excerpt,
-			  const struct prefix_index_row *row, bool fill, struct command_list *out)
+			  const struct prefix_index_row *row, bool must_store_keys, struct command_list *out)
 {
 	for (ptrdiff_t i = 0; i < arrlen(row->value); i++) {
 		uint32_t s = row->value[i].server_index;
@@ -179,24 +183,24 @@
 		if (s >= router->config.server_table->server_count ||
 		    !server_config_of(router, s)->is_configured || !router->servers.states[s].cache_epoch)
 			continue;
-		update = update_of(router, excerpt, s, out);
-		if (fill)
+		update = find_or_add_update(router, excerpt, s, out);
+		if (must_store_keys)
 			update->present[update->n_present] = row->key;
 		update->n_present++;
 	}
 }
 
-/* Rows [begin, end) of the index as messages, one for each server. */
-static struct Nl__CacheUpdateBatch *index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
-						  struct command_list *out)
+/* Builds the message for rows [begin, end) of the index, with one update for each server. */
+static struct Nl__CacheUpdateBatch *new_index_message(struct router *router, ptrdiff_t begin, ptrdiff_t end,
+						      struct command_list *out)
 {
-	uint32_t servers = router->config.server_table->server_count;
+	uint32_t server_count = router->config.server_table->server_count;
 	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
-	struct index_excerpt excerpt = { batch,
-					 apr_pcalloc(out->pool, (servers + 1) * sizeof *excerpt.by_server) };
+	struct index_excerpt excerpt = { batch, apr_pcalloc(out->pool,
+							    (server_count + 1) * sizeof *excerpt.by_server) };
 
-	batch->updates = apr_palloc(out->pool, (servers + 1) * sizeof *batch->updates);
+	batch->updates = apr_palloc(out->pool, (server_count + 1) * sizeof *batch->updates);
 	for (ptrdiff_t i = begin; i < end; i++)
 		add_index_row(router, &excerpt, &router->cache.index.blocks[i], false, out);
 	for (size_t i = 0; i < batch->n_updates; i++) {
@@ -210,31 +214,31 @@
 	return batch;
 }
 
-/* A router that is new in the zone, or back, hears only what changes from then on; so it is sent once all
- * that is known to be cached, or prompts would be prefilled again that are cached. It adds this to what it
- * knows itself. The index is gone through from its end: what a deletion moves meanwhile is sent twice rather
- * than never. */
+/* Sends the next range of the index to a router that joined or rejoined the zone. Such a router receives only
+ * later changes, so the complete index is sent to it once; otherwise it would have prompts prefilled again
+ * that are cached. It adds the rows to its own index. The index is sent from its end: rows that a deletion
+ * moves meanwhile are sent twice rather than never. */
 static void publish_index(struct router *router, struct relay_downstream *downstream, int64_t now,
 			  struct command_list *out)
 {
-	ptrdiff_t rows = hmlen(router->cache.index.blocks), from;
+	ptrdiff_t row_count = hmlen(router->cache.index.blocks), begin;
 	struct Nl__CacheUpdateBatch *batch;
 
-	if (!downstream->cache_feed_started || downstream->cache_feed_remaining > rows)
-		downstream->cache_feed_remaining = rows;
+	if (!downstream->cache_feed_started || downstream->cache_feed_remaining > row_count)
+		downstream->cache_feed_remaining = row_count;
 	downstream->cache_feed_started = 1;
-	from = downstream->cache_feed_remaining > FEED_INDEX_ROWS
-		   ? downstream->cache_feed_remaining - FEED_INDEX_ROWS
-		   : 0;
-	batch = index_message(router, from, downstream->cache_feed_remaining, out);
-	downstream->cache_feed_remaining = from;
+	begin = downstream->cache_feed_remaining > FEED_INDEX_ROWS_PER_MESSAGE
+		    ? downstream->cache_feed_remaining - FEED_INDEX_ROWS_PER_MESSAGE
+		    : 0;
+	batch = new_index_message(router, begin, downstream->cache_feed_remaining, out);
+	downstream->cache_feed_remaining = begin;
 	if (!batch->n_updates)
 		return;
 	command_send(out, downstream->addr, 0, NL__MSG__BODY_CACHE_UPDATE_BATCH)->cache_update_batch = batch;
-	feed_spent(router, batch, 1, now);
+	record_feed_bytes(router, batch, 1, now);
 }
 
-static struct relay_downstream *next_without_index(struct router *router)
+static struct relay_downstream *next_downstream_without_index(struct router *router)
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.downstreams); i++)
 		if (!router->relay.downstreams[i].cache_feed_started ||
@@ -243,8 +247,8 @@
 	return NULL;
 }
 
-/* Whether this router is the head of a zone with others in it. */
-static bool feeds_zone(const struct router *router)
+/* Whether this router is the head of a zone that has other routers. */
+static bool is_feeding_zone(const struct router *router)
 {
 	return router->config.server_table && !router->config.watch.upstream_count &&
 	       arrlen(router->relay.downstreams) && mechanism_in_use(router, MECHANISM_CACHE_FEED);
@@ -254,7 +258,7 @@
 {
 	struct relay_downstream *downstream;
 
-	if (!feeds_zone(router)) {
+	if (!is_feeding_zone(router)) {
 		if (arrlen(router->feed.queue))
 			router_feed_clear(router);
 		return;
@@ -268,7 +272,7 @@
 		publish_updates(router, now, out);
 		return;
 	}
-	downstream = next_without_index(router);
+	downstream = next_downstream_without_index(router);
 	if (downstream)
 		publish_index(router, downstream, now, out);
 }
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -1,14 +1,15 @@
-/* router_cost: what a send would meet at a server: what is under way there, what fits, what a transfer of
- * cached blocks takes. Own sends are known exactly, others' from the load that routers publish
- * (router_load.c) or from servers' answers, which fades. */
+/* router_cost: the load at a server, whether a request fits there, and the time that a transfer of cached
+ * blocks takes. This router's own requests are counted exactly. Those of other routers come from the load
+ * that routers publish (router_load.c), or else from servers' answers, whose values decay with age. */
 #include "router_internal.h"
 
 #include "containers.h"
 
-enum { SAME_ZONE = 1, OTHER_ZONE = 2 }; /* factor of a transfer's time */
+/* Factors of a transfer's time within a zone and between zones. */
+enum { SAME_ZONE_TIME_FACTOR = 1, OTHER_ZONE_TIME_FACTOR = 2 };
 
-/* What was observed once, halved for each half-life since. */
-static double decayed(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
+/* An observed value, halved for each half-life since its observation. */
+static double decayed_value(double value, int64_t observed_at_ms, int64_t now, int half_life_ms)
 {
 	for (int64_t age_ms = now - observed_at_ms; age_ms >= half_life_ms && value > 0.01;
 	     age_ms -= half_life_ms)
@@ -16,8 +17,8 @@
 	return value;
 }
 
-/* Whether others' load is known from the heads of zones. */
-static bool load_is_fresh(const struct router *router, uint32_t server_index, int64_t now)
+/* Whether recent load of other routers at the server was received from the heads of zones. */
+static bool is_shared_load_recent(const struct router *router, uint32_t server_index, int64_t now)
 {
 	return now - router->load.others_at_ms <= ROUTER_LOAD_VALID_MS &&
 	       server_index < (uint32_t)arrlen(router->load.others) &&
@@ -30,15 +31,16 @@
 	struct server_load load = { (uint32_t)server->own_running, server->prefill_tokens,
 				    server->resident_tokens };
 
-	if (load_is_fresh(router, server_index, now)) {
+	if (is_shared_load_recent(router, server_index, now)) {
 		const struct load_cell *others = &router->load.others[server_index];
 
 		load.running += others->running;
 		load.prefill_tokens += others->prefill_tokens;
 		load.resident_tokens += others->resident_tokens;
 	} else {
-		uint32_t others = (uint32_t)decayed(server->others_running, server->others_observed_at_ms,
-						    now, ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
+		uint32_t others =
+		    (uint32_t)decayed_value(server->others_running, server->others_observed_at_ms, now,
+					    ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
 
 		load.running += others;
 		load.resident_tokens += (uint64_t)others * ROUTER_ASSUMED_REQUEST_TOKENS;
@@ -55,11 +57,11 @@
 	    (double)load.prefill_tokens / service->prefill_tokens_per_ms + ROUTER_STEP_MS * load.running;
 
 	if (mechanism_in_use(router, MECHANISM_LATENESS))
-		ms += decayed(server->lateness_ms, server->lateness_observed_at_ms, now,
-			      ROUTER_LATENESS_HALF_LIFE_MS) /
+		ms += decayed_value(server->lateness_ms, server->lateness_observed_at_ms, now,
+				    ROUTER_LATENESS_HALF_LIFE_MS) /
 		      2;
-	ms += ROUTER_FAILURE_COST_MS *
-	      decayed(server->failure_rate, server->failure_observed_at_ms, now, ROUTER_FAILURE_HALF_LIFE_MS);
+	ms += ROUTER_FAILURE_COST_MS * decayed_value(server->failure_rate, server->failure_observed_at_ms,
+						     now, ROUTER_FAILURE_HALF_LIFE_MS);
 	return ms + (server_config_of(router, server_index)->zone_hash == router->zone_hash ? 0 : 1);
 }
 
@@ -90,7 +92,7 @@
 	       service->capacity_tokens * ROUTER_MAX_RESIDENT_PERCENT / 100;
 }
 
-/* Transfers at one machine run one after the other. */
+/* Transfers at one server run one after the other. */
 double router_link_wait_ms(const struct router *router, uint32_t server_index, int64_t now)
 {
 	double ms = router->servers.states[server_index].link_free_at_ms - (double)now;
@@ -98,22 +100,24 @@
 	return ms > 0 ? ms : 0;
 }
 
-/* This router knows only its own transfers; it takes each as standing for one of every router. */
+/* This router sees only its own transfers. It assumes that each other router starts as many, and multiplies
+ * the time by the number of routers. */
 void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now)
 {
-	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
+	uint32_t router_count = router->config.watch.router_count ? router->config.watch.router_count : 1;
 	double *free_at_ms = &router->servers.states[server_index].link_free_at_ms;
 
-	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + ms * routers;
+	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + ms * router_count;
 }
 
 double router_transfer_ms(const struct router *router, uint32_t from_server, uint32_t to_server,
 			  double tokens, const struct service_config *service)
 {
 	const struct server_config *source = server_config_of(router, from_server);
-	double store_speed = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
-	double speed = source->is_store ? store_speed : service->link_bytes_per_ms;
+	double store_bytes_per_ms = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
+	double bytes_per_ms = source->is_store ? store_bytes_per_ms : service->link_bytes_per_ms;
 	bool same_zone = source->zone_hash == server_config_of(router, to_server)->zone_hash;
 
-	return tokens * service->kv_bytes_per_token / speed * (same_zone ? SAME_ZONE : OTHER_ZONE);
+	return tokens * service->kv_bytes_per_token / bytes_per_ms *
+	       (same_zone ? SAME_ZONE_TIME_FACTOR : OTHER_ZONE_TIME_FACTOR);
 }
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -1,19 +1,21 @@
-/* router_placement_claimed: which server a request of the product's own interface goes to, which cached
- * blocks it reuses there, and what it fetches from where: prefill that is saved is weighed against load, and
- * a fetch against prefill. router_placement_forwarded.c does the same for forwarded requests. */
+/* router_placement_claimed: selects the server for a request of the product's own interface, the cached
+ * blocks that it reuses there, and what it fetches from which other server or store. Saved prefill time is
+ * weighed against the server's load, and fetch time against prefill time. router_placement_forwarded.c does
+ * the same for forwarded requests. */
 #include "router_internal.h"
 
 #include "containers.h"
 
-enum { SHORT_FETCH_MS = 20 }; /* too short to tell a slow link from a process that was not scheduled */
+/* A fetch this short does not distinguish a slow link from a process that was not scheduled. */
+enum { SHORT_FETCH_MS = 20 };
 
-/* Whether one tenant may use what was cached for another. */
-static bool may_share(const struct route_table *routes, uint32_t owner, uint32_t user)
+/* Whether one tenant may use blocks that were cached for another. */
+static bool may_share_blocks(const struct route_table *routes, uint32_t owner_tenant, uint32_t user_tenant)
 {
-	if (owner == user)
+	if (owner_tenant == user_tenant)
 		return true;
-	return !routes->tenants[owner].isolated && !routes->tenants[user].isolated &&
-	       routes->tenants[owner].is_configured;
+	return !routes->tenants[owner_tenant].isolated && !routes->tenants[user_tenant].isolated &&
+	       routes->tenants[owner_tenant].is_configured;
 }
 
 const struct block_replica *router_usable_replica(struct router *router, const struct client_request *request,
@@ -30,7 +32,7 @@
 		if (replica->server_index != server_index || replica->weights_index != weights ||
 		    replica->tenant_index >= routes->tenant_count)
 			continue;
-		if (!may_share(routes, replica->tenant_index, request->route.tenant_index))
+		if (!may_share_blocks(routes, replica->tenant_index, request->route.tenant_index))
 			continue;
 		if (purge_view_allows(&router->relay.view, router->names.services.names[service_index],
 				      router->names.weights.names[weights],
@@ -43,7 +45,7 @@
 	return NULL;
 }
 
-/* How many leading blocks of a prompt a server caches that the request may use. */
+/* Number of leading prompt blocks that a server caches and the request may use. */
 static int cached_prefix_blocks(struct router *router, const struct client_request *request,
 				uint32_t server_index, uint32_t weights)
 {
@@ -55,10 +57,10 @@
 	return n;
 }
 
-/* ---- links ----------------------------------------------------------------------------------- */
+/* ---- link speed ------------------------------------------------------------------------------ */
 
-/* How much slower than configured the link between two servers was observed to be, which fades; at least
- * 1. */
+/* How much slower than configured the link between two servers was observed to be, as a factor of at least 1.
+ * It is halved for each half-life since the observation. */
 static double link_slowdown(struct router *router, uint32_t source, uint32_t target, int64_t now)
 {
 	ptrdiff_t i = hmgeti(router->servers.links, (uint64_t)source << 32 | target);
@@ -87,20 +89,20 @@
 	hmput(router->servers.links, link, ((typeof(router->servers.links->value)){ slowdown, now }));
 }
 
-/* ---- the choice ------------------------------------------------------------------------------ */
+/* ---- server selection ------------------------------------------------------------------------ */
 
 static int running_count(const struct router_server_state *server)
 {
 	return server->others_running + server->own_running;
 }
 
-static double queueing_ms(const struct router_server_state *server)
+static double expected_queue_ms(const struct router_server_state *server)
 {
 	return server->average_run_ms * running_count(server) / server->slots;
 }
 
-static bool is_open(const struct router *router, const struct client_request *request, uint32_t server_index,
-		    int64_t now)
+static bool is_eligible(const struct router *router, const struct client_request *request,
+			uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, server_index);
 	const struct router_server_state *server = &router->servers.states[server_index];
@@ -110,9 +112,9 @@
 	       router_server_is_serving(router, server_index, now) && running_count(server) < server->slots;
 }
 
-/* Whether a peer server or the store may give blocks to a server. */
-static bool is_source(const struct router *router, const struct client_request *request, uint32_t source,
-		      uint32_t server_index, int64_t now)
+/* Whether a server can fetch blocks from another server or from the store (source). */
+static bool can_fetch_from(const struct router *router, const struct client_request *request, uint32_t source,
+			   uint32_t server_index, int64_t now)
 {
 	const struct server_config *config = server_config_of(router, source);
 
@@ -124,7 +126,7 @@
 	return router_server_is_serving(router, source, now);
 }
 
-/* Puts the best fetch into a plan, where one is quicker than prefill. */
+/* Adds the cheapest fetch to a plan, if one is quicker than prefill. */
 static void plan_fetch(struct router *router, const struct client_request *request, struct plan *plan,
 		       double prefill_ms, int64_t now)
 {
@@ -135,22 +137,23 @@
 
 	for (uint32_t source = 0; source < router->config.server_table->server_count; source++) {
 		bool is_store = server_config_of(router, source)->is_store;
-		double speed = is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms, saved,
-		       fetch_ms, cost_ms;
+		double bytes_per_ms = is_store ? service->store_bytes_per_ms : service->link_bytes_per_ms,
+		       saved, fetch_ms, cost_ms;
 		int blocks;
 
-		if (!speed || !is_source(router, request, source, server_index, now))
+		if (!bytes_per_ms || !can_fetch_from(router, request, source, server_index, now))
 			continue;
 		blocks = cached_prefix_blocks(router, request, source, server->weights);
 		if (blocks <= plan->cached_blocks)
 			continue;
 		saved = (double)(router_tokens_of_blocks(request, blocks) -
 				 router_tokens_of_blocks(request, plan->cached_blocks));
-		fetch_ms = saved * service->kv_bytes_per_token / speed;
+		fetch_ms = saved * service->kv_bytes_per_token / bytes_per_ms;
 		cost_ms = fetch_ms * link_slowdown(router, source, server_index, now);
 		saved /= service->prefill_tokens_per_ms;
-		if (cost_ms < saved && prefill_ms - saved + cost_ms < plan->cost_ms - queueing_ms(server)) {
-			plan->cost_ms = prefill_ms - saved + cost_ms + queueing_ms(server);
+		if (cost_ms < saved &&
+		    prefill_ms - saved + cost_ms < plan->cost_ms - expected_queue_ms(server)) {
+			plan->cost_ms = prefill_ms - saved + cost_ms + expected_queue_ms(server);
 			plan->fetch_source = (int)source;
 			plan->fetch_end = blocks;
 			plan->fetch_ms = fetch_ms;
@@ -158,32 +161,32 @@
 	}
 }
 
-/* What it costs to send a request to a server. */
-static struct plan weigh(struct router *router, const struct client_request *request, uint32_t server_index,
-			 int64_t now)
+/* Computes the plan and its cost for sending a request to a server. */
+static struct plan evaluate_server(struct router *router, const struct client_request *request,
+				   uint32_t server_index, int64_t now)
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
 	const struct router_server_state *server = &router->servers.states[server_index];
 	struct plan plan = { .server_index = (int)server_index, .fetch_source = -1 };
-	bool may_reuse = relay_is_current(&router->relay, now);
+	bool may_reuse_blocks = relay_is_current(&router->relay, now);
 	double prefill_ms = 0;
 
-	if (may_reuse)
+	if (may_reuse_blocks)
 		plan.cached_blocks = cached_prefix_blocks(router, request, server_index, server->weights);
 	if (!router->naive_placement)
 		prefill_ms = (double)(router_prompt_tokens(request) -
 				      router_tokens_of_blocks(request, plan.cached_blocks)) /
 			     service->prefill_tokens_per_ms;
-	plan.cost_ms = prefill_ms + queueing_ms(server);
-	if (may_reuse && !router->naive_placement && plan.cached_blocks < request->prompt.block_count)
+	plan.cost_ms = prefill_ms + expected_queue_ms(server);
+	if (may_reuse_blocks && !router->naive_placement && plan.cached_blocks < request->prompt.block_count)
 		plan_fetch(router, request, &plan, prefill_ms, now);
 	return plan;
 }
 
-/* Of equal costs the one that rendezvous hashing prefers, so that routers spread. */
-static bool is_better(const struct router *router, const struct client_request *request,
-		      const struct plan *plan, const struct plan *best)
+/* Compares plans by cost. Ties are broken by rendezvous hashing, so that routers choose different servers. */
+static bool is_better_plan(const struct router *router, const struct client_request *request,
+			   const struct plan *plan, const struct plan *best)
 {
 	uint64_t key = request->sequence ^ router->id;
 
@@ -201,10 +204,10 @@
 	for (uint32_t i = 0; i < router->config.server_table->server_count; i++) {
 		struct plan plan;
 
-		if (!is_open(router, request, i, now))
+		if (!is_eligible(router, request, i, now))
 			continue;
-		plan = weigh(router, request, i, now);
-		if (is_better(router, request, &plan, &best))
+		plan = evaluate_server(router, request, i, now);
+		if (is_better_plan(router, request, &plan, &best))
 			best = plan;
 	}
 	return best;
--- a/lib/data/router_server_table.c
+++ b/lib/data/router_server_table.c
@@ -1,6 +1,6 @@
-/* router_server_table: builds the server table: servers of the configuration or of the endpoint list,
- * whichever the deployment has, and the offload stores of services. A server that is gone from the table has
- * lost what it cached. */
+/* router_server_table: builds the server table: the servers of the configuration or of the endpoint list,
+ * whichever the deployment uses, and the offload stores of services. A server that is no longer in the table
+ * has lost its cached blocks. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,8 +10,8 @@
 
 enum {
 	SERVER_HASH_SEED = 43,
-	MAX_WEIGHTS_NAME = 128, /* bytes, its end included */
-	MAX_WARM_UP_MS = 2000   /* for which a new server is left alone */
+	MAX_WEIGHTS_NAME_BYTES = 128, /* bytes, including the terminating zero */
+	MAX_WARM_UP_MS = 2000         /* longest time for which a new server receives no requests */
 };
 
 void router_server_table_free(struct server_table *servers)
@@ -20,9 +20,9 @@
 		apr_pool_destroy(servers->pool);
 }
 
-/* Whether a service's row stands for a store: where stores have rows of their own those do, else each
- * service's address. */
-static bool store_row(const struct router *router, const struct Nl__Row *row)
+/* Whether a configuration row defines a store. Where stores have rows of their own (an address without a
+ * speed), only those rows do; otherwise each service row with the address and speed of a store does. */
+static bool is_store_row(const struct router *router, const struct Nl__Row *row)
 {
 	if (row->kind != NL__KIND__SERVICE || !row->addr[0])
 		return false;
@@ -30,7 +30,7 @@
 						       : row->store_bytes_per_ms != 0;
 }
 
-static bool server_row(const struct router *router, const struct Nl__Row *row)
+static bool is_server_row(const struct router *router, const struct Nl__Row *row)
 {
 	return row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances;
 }
@@ -40,8 +40,8 @@
 	return names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
 }
 
-/* All servers get their index before the table is sized. */
-static void add_names(struct router *router, apr_pool_t *pool)
+/* Assigns indices to all servers, so that the table can be sized. */
+static void assign_server_indices(struct router *router, apr_pool_t *pool)
 {
 	const struct config_table *table = &router->config.watch.table;
 	const struct instances *instances = &router->config.watch.instances;
@@ -49,9 +49,9 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (server_row(router, row))
+		if (is_server_row(router, row))
 			names_id(&router->names.servers, row->name);
-		else if (store_row(router, row))
+		else if (is_store_row(router, row))
 			store_index(router, row, pool);
 	}
 	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
@@ -59,8 +59,8 @@
 			names_id(&router->names.servers, instances->rows[i].key);
 }
 
-/* The router's arrays by server get places for what is new. */
-static void grow_arrays(struct router *router, uint32_t server_count)
+/* Extends the router's arrays of servers to the new server count. */
+static void extend_server_arrays(struct router *router, uint32_t server_count)
 {
 	while (arrlen(router->servers.states) < (ptrdiff_t)server_count) {
 		uint32_t server_index = (uint32_t)arrlen(router->servers.states);
@@ -74,9 +74,10 @@
 	}
 }
 
-/* A service that is not in the route table has no place in its arrays: its servers do not count. */
-static void server_table_put(struct router *router, struct server_table *servers, uint32_t server_index,
-			     const char *service, struct server_config config)
+/* Adds a server to the table. A server whose service is not in the route table is left out, since the service
+ * has no index in the router's arrays. */
+static void add_server(struct router *router, struct server_table *servers, uint32_t server_index,
+		       const char *service, struct server_config config)
 {
 	int service_index = names_find(&router->names.services, service);
 
@@ -89,35 +90,37 @@
 	servers->servers[server_index] = config;
 }
 
-static void put_row(struct router *router, struct server_table *servers, const struct Nl__Row *row)
+static void add_config_row(struct router *router, struct server_table *servers, const struct Nl__Row *row)
 {
 	struct server_config config = { .addr = row->addr, .zone_hash = core_hash_string(0, row->zone) };
 
-	if (server_row(router, row)) {
+	if (is_server_row(router, row)) {
 		config.draining = row->state != 0;
-		server_table_put(router, servers, names_id(&router->names.servers, row->name), row->service,
-				 config);
-	} else if (store_row(router, row)) {
+		add_server(router, servers, names_id(&router->names.servers, row->name), row->service,
+			   config);
+	} else if (is_store_row(router, row)) {
 		config.is_store = true;
-		server_table_put(router, servers, store_index(router, row, servers->pool), row->name, config);
+		add_server(router, servers, store_index(router, row, servers->pool), row->name, config);
 	}
 }
 
-/* What the endpoint list says of a server; what the server itself said since goes first. */
-static void learn_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
-			   int64_t now)
+/* Records a server's state from the endpoint list. Weights that the server itself has reported since take
+ * precedence. */
+static void record_instance(struct router *router, uint32_t server_index, const struct Nl__Instance *instance,
+			    int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
-	int weights = -1;
+	int weights_index = -1;
 
-	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME)
-		weights = (int)names_id(&router->names.weights, instance->weights);
-	if (weights < 0 && !server->is_known)
+	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME_BYTES)
+		weights_index = (int)names_id(&router->names.weights, instance->weights);
+	if (weights_index < 0 && !server->is_known)
 		server->weights =
-		    names_id(&router->names.weights, ""); /* not known: they count as the oldest */
-	if (weights >= 0 && (!server->is_known || server->listed_weights != (uint32_t)weights)) {
-		router_weights_learn(router, server_index, (uint32_t)weights);
-		server->listed_weights = (uint32_t)weights;
+		    names_id(&router->names.weights, ""); /* unknown weights count as the oldest */
+	if (weights_index >= 0 &&
+	    (!server->is_known || server->endpoint_list_weights != (uint32_t)weights_index)) {
+		router_weights_learn(router, server_index, (uint32_t)weights_index);
+		server->endpoint_list_weights = (uint32_t)weights_index;
 	}
 	if (!server->is_known)
 		server->unavailable_until_ms =
@@ -127,7 +130,7 @@
 	server->slots = instance->slots ? (int)instance->slots : 1;
 }
 
-static void put_instance(struct router *router, struct server_table *servers, const char *name,
+static void add_instance(struct router *router, struct server_table *servers, const char *name,
 			 const struct Nl__Instance *instance, int64_t now)
 {
 	struct server_config config = { .addr = instance->addr,
@@ -137,17 +140,18 @@
 	if (server_index < 0 || instance->state == INSTANCE_REMOVED)
 		return;
 	config.draining = instance->state != INSTANCE_SERVING;
-	server_table_put(router, servers, (uint32_t)server_index, instance->service, config);
-	learn_instance(router, (uint32_t)server_index, instance, now);
+	add_server(router, servers, (uint32_t)server_index, instance->service, config);
+	record_instance(router, (uint32_t)server_index, instance, now);
 }
 
-/* That incarnation is over, and with it what the server cached. */
-static void forget_removed(struct router *router, const struct server_table *servers)
+/* Removes the index entries of servers that are no longer in the table: their incarnation has ended, and its
+ * cache with it. */
+static void drop_blocks_of_removed_servers(struct router *router, const struct server_table *servers)
 {
-	const struct server_table *old = router->config.server_table;
+	const struct server_table *old_table = router->config.server_table;
 
-	for (uint32_t i = 0; old && i < old->server_count; i++)
-		if (old->servers[i].is_configured && !servers->servers[i].is_configured)
+	for (uint32_t i = 0; old_table && i < old_table->server_count; i++)
+		if (old_table->servers[i].is_configured && !servers->servers[i].is_configured)
 			prefix_index_remove_unreported(&router->cache.index, i, UINT64_MAX);
 }
 
@@ -161,14 +165,14 @@
 	apr_pool_create(&pool, router->pool);
 	servers = apr_pcalloc(pool, sizeof *servers);
 	servers->pool = pool;
-	add_names(router, pool);
+	assign_server_indices(router, pool);
 	servers->server_count = (uint32_t)arrlen(router->names.servers.names);
 	servers->servers = apr_pcalloc(pool, (servers->server_count + 1) * sizeof *servers->servers);
-	grow_arrays(router, servers->server_count);
+	extend_server_arrays(router, servers->server_count);
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
-		put_row(router, servers, table->rows[i].value.row);
+		add_config_row(router, servers, table->rows[i].value.row);
 	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
-		put_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
-	forget_removed(router, servers);
+		add_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
+	drop_blocks_of_removed_servers(router, servers);
 	return servers;
 }
