--- a/lib/data/router_event.h
+++ b/lib/data/router_event.h
@@ -1,6 +1,6 @@
-/* router_event: what a router is told in one step: a clock tick, a message, a client's request, a server's
- * answer. The shell and the platform's front end make events; router_step (router.h) takes them. Strings of
- * an event live until its step is over. */
+/* router_event: the events that a router handles, one a step: a clock tick, a message, a client's request or
+ * a server's answer. The HTTP front end and the process around the router create events; router_step
+ * (router.h) handles them. Strings of an event are valid until its step ends. */
 #ifndef NL_ROUTER_EVENT_H
 #define NL_ROUTER_EVENT_H
 
@@ -12,75 +12,84 @@
 struct Nl__CacheUpdate;
 struct Nl__Msg;
 
-/* What has happened. */
+/* Kinds of events. "Claimed" requests use the product's own interface and need a claim; forwarded requests
+ * are HTTP requests of clients. */
 enum router_event_kind {
 	ROUTER_EVENT_TICK,
-	ROUTER_EVENT_MESSAGE,             /* from another process of the fleet */
-	ROUTER_EVENT_CLAIMED_REQUEST,     /* of the product's own interface */
-	ROUTER_EVENT_CLIENT_DISCONNECTED, /* before its request ended */
-	ROUTER_EVENT_STREAM_CHUNK,        /* a server's answer, own interface */
-	ROUTER_EVENT_CALL_ENDED,          /* a server's answer is over, own interface */
-	ROUTER_EVENT_REPORT_POLLED,       /* a server's report, own interface */
-	ROUTER_EVENT_HTTP_GET,            /* of this router's own state */
+	ROUTER_EVENT_MESSAGE,             /* a message from another process of the fleet */
+	ROUTER_EVENT_CLAIMED_REQUEST,     /* a client's request over the product's own interface */
+	ROUTER_EVENT_CLIENT_DISCONNECTED, /* the client disconnected before its request ended */
+	ROUTER_EVENT_STREAM_CHUNK,        /* a line of a server's answer, own interface */
+	ROUTER_EVENT_CALL_ENDED,          /* the call to a server ended, own interface */
+	ROUTER_EVENT_REPORT_POLLED,       /* a server's report was fetched, own interface */
+	ROUTER_EVENT_HTTP_GET,            /* GET request for this router's own state */
 	ROUTER_EVENT_STOP,                /* graceful shutdown: new requests are refused from now on */
-	ROUTER_EVENT_FORWARDED_REQUEST,   /* its text stays with the front end */
-	ROUTER_EVENT_FORWARD_BEGAN,       /* the first chunk of a forwarded answer has gone to the client */
+	ROUTER_EVENT_FORWARDED_REQUEST,   /* an HTTP request to forward; the front end keeps its text */
+	ROUTER_EVENT_FORWARD_BEGAN,       /* the first chunk of a forwarded answer was sent to the client */
 	ROUTER_EVENT_FORWARD_ENDED,
-	ROUTER_EVENT_CACHE_WATCHED /* a server's answer to a watch of its prefix cache */
+	ROUTER_EVENT_CACHE_WATCHED /* a server answered a watch of its prefix cache */
 };
 
 /* One block of a prompt. */
 struct request_block {
-	uint64_t hash; /* of the prompt up to and with this block */
+	uint64_t hash; /* hash of the prompt up to the end of this block */
 	uint32_t tokens;
 };
 
-/* A request whose text stays with the front end; here is what is decided by. */
+/* A request whose text stays with the front end. It holds what routing and placement need. */
 struct forwarded_request {
-	uint64_t token;         /* of the client's connection */
-	const char *key_digest; /* of the client's key; NULL: it showed none */
+	uint64_t token;         /* identifies the client's connection */
+	const char *key_digest; /* digest of the client's key; NULL: the client sent no key */
 	const char *host;
 	const char *path;
 	const char *id;
-	int limit_ms; /* time-out that the client asks for */
+	int limit_ms; /* timeout requested by the client */
 	uint32_t input_tokens;
-	uint32_t output_tokens; /* at most */
+	uint32_t output_tokens; /* maximum length of the answer */
 	int block_count;
-	struct request_block blocks[ROUTER_MAX_BLOCKS]; /* in order; the last is the request's own */
-	bool client_resumes;                            /* the client itself resumes a broken stream */
+	/* in prompt order; the last block is specific to this request */
+	struct request_block blocks[ROUTER_MAX_BLOCKS];
+	bool client_resumes; /* the client can resume a broken stream itself */
 };
 
-/* Deadlines of a graceful shutdown, on the router's clock; 0: not known. */
+/* Deadlines of a graceful shutdown, in ms on the router's clock; 0: not set. */
 struct shutdown_deadlines {
-	int64_t send_deadline_at_ms; /* after it nothing is sent, and what waits is refused in time for
-					another router */
-	int64_t run_deadline_at_ms;  /* after it what still runs ends, so that its client hears of it before
-					the process exits */
+	/* After it nothing is sent; queued requests are refused early enough for another router to
+	 * serve them. */
+	int64_t send_deadline_at_ms;
+	/* After it running requests are ended, so that their clients are notified before the process
+	 * exits. */
+	int64_t run_deadline_at_ms;
 };
 
-/* How a forwarded send ended. */
+/* How an attempt of a forwarded request ended. */
 enum forward_end {
-	FORWARD_COMPLETE,    /* the server's complete answer has gone to the client, whatever its status */
-	FORWARD_NOT_STARTED, /* the server surely never began, and the client has heard nothing */
-	FORWARD_BROKEN_OFF   /* it may have begun; has_begun says whether the client has a head and chunks */
+	FORWARD_COMPLETE, /* the complete answer was sent to the client, whatever its HTTP status */
+	/* the server certainly did not start the request, and the client has received nothing */
+	FORWARD_NOT_STARTED,
+	/* the server may have started the request; has_begun tells whether the client has received headers or
+	   chunks */
+	FORWARD_BROKEN_OFF
 };
 
-/* The end of a forwarded send, and what the server's answer said of the server. */
+/* The result of an attempt of a forwarded request, and the server state that the answer reported. */
 struct forward_result {
-	uint64_t token; /* of the call */
+	uint64_t token; /* identifies the attempt */
 	enum forward_end end;
-	int status; /* HTTP; 0: there was no answer */
+	int status; /* HTTP status; 0: no answer was received */
 	int has_begun;
-	uint32_t chunks;           /* complete chunks passed on by this send */
-	const char *last_event_id; /* of the last of them; NULL: none */
-	int running;               /* requests at the server, as it says */
+	uint32_t chunks;           /* complete chunks sent to the client by this attempt */
+	const char *last_event_id; /* id of the last complete event sent; NULL: none had an id */
+	int running;               /* requests running at the server, as reported by the answer */
 	int waiting;
-	int slots;             /* 0: it does not say */
-	const char *weights;   /* that it names; NULL: none */
-	int wrong_incarnation; /* the address answers for another server, or with other weights */
+	int slots;           /* request slots of the server; 0: not reported */
+	const char *weights; /* weights that the answer reported; NULL: none */
+	/* the address now belongs to another server instance, or the server runs other weights */
+	int wrong_incarnation;
 };
 
-/* One event; the member of its kind is set. Owned by the caller, as is all that it points to. */
+/* One event. The union member that belongs to kind is set. The caller owns the event and all that it points
+ * to. */
 struct router_event {
 	enum router_event_kind kind;
 	union {
@@ -94,14 +103,14 @@
 			uint64_t token;
 		} client_disconnected;
 		struct {
-			uint64_t token; /* of the call */
+			uint64_t token; /* identifies the call to the server */
 			const char *text;
 		} stream_chunk;
 		struct {
-			uint64_t token; /* of the call */
+			uint64_t token; /* identifies the call to the server */
 			int status;
 			int complete;
-			int not_started; /* the server surely never began */
+			int not_started; /* the server certainly did not start the request */
 			const char *body;
 		} call_ended;
 		struct {
