--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -1,6 +1,6 @@
-/* router: the step. It notes the time, ends what may no longer go on, hands the event to the file that
- * handles it, and sends what waits. Invariant: a request that was received has ended once or is under way
- * (router_balanced). */
+/* router: the step function. It records the time, ends requests that must not continue, passes the event to
+ * its handler and dispatches waiting requests. Invariant: a request that was received has either ended
+ * exactly once or is in progress (router_balanced). */
 #include "router_internal.h"
 
 #include <stdlib.h>
@@ -8,7 +8,8 @@
 
 #include "containers.h"
 
-enum { FLEET_SMALL = 16, FLEET_LARGE = 64 }; /* routers between which intervals are stretched */
+/* numbers of routers in the fleet between which message intervals are stretched linearly */
+enum { UNSTRETCHED_MAX_ROUTERS = 16, FULLY_STRETCHED_ROUTERS = 64 };
 
 struct json_object *router_read_json(struct router *router, const char *text)
 {
@@ -23,16 +24,16 @@
 
 int router_scaled_interval_ms(const struct router *router, int ms)
 {
-	uint32_t routers = router->config.watch.router_count;
+	uint32_t router_count = router->config.watch.router_count;
 
-	if (routers <= FLEET_SMALL)
+	if (router_count <= UNSTRETCHED_MAX_ROUTERS)
 		return ms;
-	if (routers >= FLEET_LARGE)
-		return FLEET_LARGE / FLEET_SMALL * ms;
-	return ms * (int)routers / FLEET_SMALL;
+	if (router_count >= FULLY_STRETCHED_ROUTERS)
+		return FULLY_STRETCHED_ROUTERS / UNSTRETCHED_MAX_ROUTERS * ms;
+	return ms * (int)router_count / UNSTRETCHED_MAX_ROUTERS;
 }
 
-/* ---- events ---------------------------------------------------------------------------------- */
+/* ---- events ------------------------------------------------------------------------------- */
 
 static void relay_purges(struct router *router, int64_t now, struct command_list *out)
 {
@@ -44,7 +45,7 @@
 	relay_tick(&router->relay, now, out);
 }
 
-static void tick(struct router *router, int64_t now, struct command_list *out)
+static void on_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	bool is_warm = now - router->clock.started_at_ms >= ROUTER_WARM_UP_MS;
 
@@ -67,8 +68,9 @@
 	router_end_expired(router, now, out);
 }
 
-/* A router may be asked for the configuration by one that has it as a seed: it says who leads. */
-static void answer_config_sync(struct router *router, const struct Nl__Msg *message, struct command_list *out)
+/* Answers a process that uses this router as a configuration seed: names the leader of the control shard. */
+static void reply_to_config_sync(struct router *router, const struct Nl__Msg *message,
+				 struct command_list *out)
 {
 	struct Nl__ConfigSyncReply *reply =
 	    MESSAGE_NEW(out, Nl__ConfigSyncReply, NL__CONFIG_SYNC_REPLY__INIT);
@@ -79,14 +81,15 @@
 	    reply;
 }
 
-/* Whether a message speaks this protocol and comes from this fleet, as far as that is known. */
+/* Whether a message has the protocol version of this router and, where both fleet ids are known, comes from
+ * the same fleet. */
 static bool is_from_fleet(const struct router *router, const struct Nl__Msg *message)
 {
-	uint64_t fleet = router->config.watch.fleet;
+	uint64_t fleet_id = router->config.watch.fleet;
 
 	if (message->protocol_version != CORE_PROTOCOL_VERSION)
 		return false;
-	return !message->fleet_id || !fleet || message->fleet_id == fleet;
+	return !message->fleet_id || !fleet_id || message->fleet_id == fleet_id;
 }
 
 static void on_message(struct router *router, const struct Nl__Msg *message, int64_t now,
@@ -124,31 +127,33 @@
 		router_on_relayed_report(router, message->report, now, out);
 		break;
 	case NL__MSG__BODY_CONFIG_SYNC:
-		answer_config_sync(router, message, out);
+		reply_to_config_sync(router, message, out);
 		break;
 	default:
 		break;
 	}
 }
 
-/* The request whose newest send has this token; NULL: it has ended, or has been sent again since. */
-static struct client_request *request_of_call(struct router *router, uint64_t call_token)
+/* The request whose newest attempt has this token; NULL: the request has ended or has been sent again. */
+static struct client_request *find_request_by_call(struct router *router, uint64_t call_token)
 {
 	struct client_request *request = call_token ? router_request_by_token(router, call_token) : NULL;
 
 	return request && request->attempt.call_token == call_token ? request : NULL;
 }
 
-/* The front end passes an answer's head on before it says so. Whatever ends the request in this very step
- * owes its client the end of a stream: an answer would go nowhere, and the client would wait. */
-static void note_listener_began(struct router *router, const struct router_event *event)
+/* Records that the client has received response headers, before anything else in this step. The front end
+ * sends the headers before it reports them. If the request ended in this same step without the record, it
+ * would be given a new response instead of the end of its stream; that response could not be delivered, and
+ * the client would wait. */
+static void record_stream_began(struct router *router, const struct router_event *event)
 {
 	struct client_request *request = NULL;
 
 	if (event->kind == ROUTER_EVENT_FORWARD_BEGAN)
-		request = request_of_call(router, event->args.forward_began.token);
+		request = find_request_by_call(router, event->args.forward_began.token);
 	else if (event->kind == ROUTER_EVENT_FORWARD_ENDED && event->args.forward_ended->has_begun)
-		request = request_of_call(router, event->args.forward_ended->token);
+		request = find_request_by_call(router, event->args.forward_ended->token);
 	if (request)
 		request->stream.has_begun = true;
 }
@@ -164,7 +169,7 @@
 				   out);
 }
 
-/* What servers answer. */
+/* Handles events that come from servers. */
 static void on_server_event(struct router *router, const struct router_event *event, int64_t now,
 			    struct command_list *out)
 {
@@ -172,23 +177,23 @@
 
 	switch (event->kind) {
 	case ROUTER_EVENT_STREAM_CHUNK:
-		request = request_of_call(router, event->args.stream_chunk.token);
+		request = find_request_by_call(router, event->args.stream_chunk.token);
 		if (request)
 			router_on_stream_chunk(router, request, event->args.stream_chunk.text, now, out);
 		break;
 	case ROUTER_EVENT_CALL_ENDED:
-		request = request_of_call(router, event->args.call_ended.token);
+		request = find_request_by_call(router, event->args.call_ended.token);
 		if (request)
 			router_on_call_ended(router, request, event->args.call_ended.status,
 					     event->args.call_ended.not_started, now, out);
 		break;
 	case ROUTER_EVENT_FORWARD_BEGAN:
-		request = request_of_call(router, event->args.forward_began.token);
+		request = find_request_by_call(router, event->args.forward_began.token);
 		if (request)
 			router_on_began(router, request, event->args.forward_began.weights, now);
 		break;
 	case ROUTER_EVENT_FORWARD_ENDED:
-		request = request_of_call(router, event->args.forward_ended->token);
+		request = find_request_by_call(router, event->args.forward_ended->token);
 		if (request)
 			router_on_ended(router, request, event->args.forward_ended, now, out);
 		break;
@@ -210,7 +215,7 @@
 {
 	switch (event->kind) {
 	case ROUTER_EVENT_TICK:
-		tick(router, now, out);
+		on_tick(router, now, out);
 		break;
 	case ROUTER_EVENT_MESSAGE:
 		on_message(router, event->args.message, now, out);
@@ -244,8 +249,8 @@
 	}
 }
 
-/* Whether an event may have changed what this router needs of its quota. */
-static bool may_need_slots(enum router_event_kind kind)
+/* Whether an event may have changed how many quota slots this router needs. */
+static bool may_change_needed_slots(enum router_event_kind kind)
 {
 	return kind == ROUTER_EVENT_TICK || kind == ROUTER_EVENT_CLAIMED_REQUEST ||
 	       kind == ROUTER_EVENT_FORWARDED_REQUEST;
@@ -260,15 +265,15 @@
 	if (router->clock.now && now - router->clock.now > ROUTER_PAUSE_DETECTION_MS)
 		router->clock.paused_at_ms = now;
 	router->clock.now = now;
-	note_listener_began(router, event);
+	record_stream_began(router, event);
 	router_end_without_config(router, now, out);
 	on_event(router, event, now, out);
 	router_dispatch(router, now, out);
-	if (router->config.route_table && may_need_slots(event->kind))
+	if (router->config.route_table && may_change_needed_slots(event->kind))
 		router_request_slots(router, now, out);
 }
 
-/* ---- opening and closing --------------------------------------------------------------------- */
+/* ---- opening and closing ------------------------------------------------------------------ */
 
 bool router_ready(const struct router *router, int64_t now)
 {
--- a/lib/data/router.h
+++ b/lib/data/router.h
@@ -136,10 +136,9 @@
 /* Observed state of servers; arrays are indexed by server index. */
 struct router_servers {
 	struct router_server_state *states; /* stb_ds */
-	uint64_t
-	    /* stb_ds: hashes of server names; all routers use the same ones, so that they rank servers alike
-	     */
-	    *hashes;
+	/* stb_ds: hashes of server names; all routers use the same ones, so that they rank servers alike
+	 */
+	uint64_t *hashes;
 	struct {
 		uint64_t key;
 		uint32_t value;
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -1,7 +1,7 @@
-/* router_admission: which route, tenant and service a request has by the route table in force, and what is
- * declined before it waits: unknown keys and routes, stale configuration, full queues, services without a
- * server. A newer route table places what waits once more by the same rule. Invariant: a request is queued
- * only while the configuration is in force. */
+/* router_admission: determines the route, tenant and service of a request by the route table in force, and
+ * declines requests that cannot be queued: unknown keys and routes, stale configuration, full queues,
+ * services without a server. When a newer route table comes into force, waiting requests are routed again by
+ * the same rules. Invariant: a request is queued only while the configuration is in force. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,68 +10,69 @@
 #include "containers.h"
 
 enum {
-	MAX_REQUEST_ID = 128, /* bytes */
+	MAX_REQUEST_ID_BYTES = 128,
 	DEFAULT_MAX_ATTEMPTS = 2,
-	BYTES_PER_TOKEN = 4,   /* of text, estimated */
-	STARTUP_RETRY_MS = 200 /* added to the rest of a start-up */
+	BYTES_PER_TOKEN = 4,          /* estimate for text */
+	STARTUP_RETRY_MARGIN_MS = 200 /* added to the remaining time of a fleet's start */
 };
 
-const char router_no_server[] = "no server of this service stands";
+const char router_no_server[] = "no server of this service is available";
 
-/* ---- what is declined ------------------------------------------------------------------------ */
+/* ---- declining requests ------------------------------------------------------------------- */
 
-static bool declined_as_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
+static bool decline_if_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503,
-					 "this counter's configuration is not certain to be in force", 0 };
-	int64_t age_ms = now - router->clock.started_at_ms;
+					 "this router's configuration is not certain to be in force", 0 };
+	int64_t uptime_ms = now - router->clock.started_at_ms;
 
 	if (!router->shutdown.in_progress && router_config_in_force(router, now))
 		return false;
 	if (router->shutdown.in_progress)
-		ending.reason = "this counter is stopping";
+		ending.reason = "this router is shutting down";
 	router->stats.refused_stale++;
 	if (!router->config.bounds.discover_instances)
 		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
-	else if (age_ms < ROUTER_STARTUP_MS) /* a router that has just started knows how long its fleet takes
-						to elect its leaders */
-		ending.retry_after_ms =
-		    router_retry_fast_ms(router, (int)(ROUTER_STARTUP_MS - age_ms + STARTUP_RETRY_MS));
+	/* after its own start, a router estimates how long its fleet still needs to elect leaders */
+	else if (uptime_ms < ROUTER_STARTUP_MS)
+		ending.retry_after_ms = router_retry_fast_ms(
+		    router, (int)(ROUTER_STARTUP_MS - uptime_ms + STARTUP_RETRY_MARGIN_MS));
 	else
 		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return true;
 }
 
-static bool declined_as_full(struct router *router, uint64_t token, const struct request_queue *queue,
-			     uint32_t service_index, int64_t now, struct command_list *out)
+static bool decline_if_full_or_unserved(struct router *router, uint64_t token,
+					const struct request_queue *queue, uint32_t service_index,
+					int64_t now, struct command_list *out)
 {
 	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
-	bool full = queue->length >= router->config.route_table->routes[queue->route_index].queue_limit;
+	bool is_full = queue->length >= router->config.route_table->routes[queue->route_index].queue_limit;
 
-	if (!full &&
+	if (!is_full &&
 	    now - router->servers.last_serving_at_ms[service_index] <= ROUTER_CONFIG_MAX_STALENESS_MS)
 		return false;
-	router->stats.refused_queue_full += full;
-	router->stats.refused_early += !full;
-	if (full) {
+	router->stats.refused_queue_full += is_full;
+	router->stats.refused_early += !is_full;
+	if (is_full) {
 		ending.status = 429;
-		ending.reason = "the line is full";
+		ending.reason = "the queue of this tenant on this lane is full";
 	}
 	ending.retry_after_ms =
-	    router_retry_after_ms(router, full ? router_expected_wait_ms(queue, queue->length / 2, now)
-					       : ROUTER_RETRY_AFTER_MIN_MS);
+	    router_retry_after_ms(router, is_full ? router_expected_wait_ms(queue, queue->length / 2, now)
+						  : ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return true;
 }
 
-static void reject_new(struct router *router, uint64_t token, int status, const char *reason,
-		       struct command_list *out)
+static void reject_before_queueing(struct router *router, uint64_t token, int status, const char *reason,
+				   struct command_list *out)
 {
 	router_decline(router, token, &(struct request_ending){ REQUEST_REJECTED, status, reason, 0 }, out);
 }
 
-/* Into its queue, and into the router's table. */
+/* Adds a request to its queue and to the router's table of requests. */
 static void enqueue(struct router *router, struct client_request *request, int64_t now)
 {
 	request->route.revision = router->config.route_table->revision;
@@ -79,8 +80,8 @@
 	router_request_add(router, request);
 }
 
-/* A request with nothing of its own yet; it owns its pool. */
-static struct client_request *request_new(struct router *router, uint64_t token, const char *key_digest)
+/* Allocates a request with its token and key digest. The request owns its pool. */
+static struct client_request *create_request(struct router *router, uint64_t token, const char *key_digest)
 {
 	apr_pool_t *pool;
 	struct client_request *request;
@@ -95,15 +96,15 @@
 	return request;
 }
 
-/* ---- the product's own interface ------------------------------------------------------------- */
+/* ---- the product's own interface ---------------------------------------------------------- */
 
-/* A request's body as it is read. Texts live in the request's pool. */
+/* Fields of a request body that are not stored in the request. Strings live in the request's pool. */
 struct request_body {
 	const char *route_name;
 	int limit_ms;
 };
 
-/* The parse functions return what is wrong, or NULL. */
+/* The parse functions return an error message, or NULL. */
 static const char *parse_text(struct client_request *request, struct request_body *body, const char *name,
 			      struct json_object *value)
 {
@@ -128,8 +129,8 @@
 
 	if (!json_object_is_type(value, json_type_int) || limit_ms < ROUTER_TIMEOUT_MIN_MS ||
 	    limit_ms > ROUTER_TIMEOUT_MAX_MS)
-		return apr_psprintf(request->pool, "limit_ms: %d to %d", ROUTER_TIMEOUT_MIN_MS,
-				    ROUTER_TIMEOUT_MAX_MS);
+		return apr_psprintf(request->pool, "limit_ms: must be an integer from %d to %d",
+				    ROUTER_TIMEOUT_MIN_MS, ROUTER_TIMEOUT_MAX_MS);
 	body->limit_ms = (int)limit_ms;
 	return NULL;
 }
@@ -137,93 +138,95 @@
 static const char *parse_blocks(struct client_request *request, struct json_object *value)
 {
 	struct request_prompt *prompt = &request->prompt;
-	const char *reason = NULL;
+	const char *error = NULL;
 
 	if (!json_object_is_type(value, json_type_array) ||
 	    json_object_array_length(value) > ROUTER_MAX_BLOCKS)
-		return apr_psprintf(request->pool, "parts: a list of at most %d strings", ROUTER_MAX_BLOCKS);
+		return apr_psprintf(request->pool, "parts: must be a list of at most %d strings",
+				    ROUTER_MAX_BLOCKS);
 	for (size_t i = 0; i < json_object_array_length(value); i++) {
 		struct json_object *text = json_object_array_get_idx(value, i);
 
 		if (!json_object_is_type(text, json_type_string))
-			reason = "parts: a list of strings";
+			error = "parts: must be a list of strings";
 		else
 			prompt->block_text[prompt->block_count++] =
 			    apr_pstrdup(request->pool, json_object_get_string(text));
 	}
-	return reason;
+	return error;
 }
 
-static const char *parse_member(struct client_request *request, struct request_body *body, const char *name,
-				struct json_object *value)
+static const char *parse_member(struct client_request *request, struct request_body *body,
+				const char *field_name, struct json_object *value)
 {
-	if (!strcmp(name, "lane") || !strcmp(name, "id") || !strcmp(name, "tail"))
-		return parse_text(request, body, name, value);
-	if (!strcmp(name, "limit_ms"))
+	if (!strcmp(field_name, "lane") || !strcmp(field_name, "id") || !strcmp(field_name, "tail"))
+		return parse_text(request, body, field_name, value);
+	if (!strcmp(field_name, "limit_ms"))
 		return parse_limit(request, body, value);
-	if (!strcmp(name, "parts"))
+	if (!strcmp(field_name, "parts"))
 		return parse_blocks(request, value);
-	return apr_psprintf(request->pool, "%s: no such field", name);
+	return apr_psprintf(request->pool, "%s: no such field", field_name);
 }
 
-/* What is wrong with a body whose members are each right; NULL: nothing. */
+/* Checks a body for missing fields and a valid id; returns an error message, or NULL. */
 static const char *check_body(const struct client_request *request, const struct request_body *body)
 {
 	const char *id = request->client.request_id;
 
 	if (!body->route_name)
 		return "lane: missing";
-	if (!id || !id[0] || strlen(id) > MAX_REQUEST_ID || strpbrk(id, "\x1f\n"))
-		return "id: 1 to 128 characters";
+	if (!id || !id[0] || strlen(id) > MAX_REQUEST_ID_BYTES || strpbrk(id, "\x1f\n"))
+		return "id: must have 1 to 128 bytes and no unit separators or line feeds";
 	return request->prompt.tail_text ? NULL : "tail: missing";
 }
 
-/* Reads a body into a request; returns what is wrong with it, of several members the last, or NULL. */
+/* Parses a body into a request; returns an error message, or NULL. Of several errors the last one is
+ * returned. */
 static const char *parse_body(struct router *router, struct client_request *request, const char *text,
 			      struct request_body *body)
 {
 	struct json_object *json = router_read_json(router, text);
-	const char *reason = NULL;
+	const char *error = NULL;
 
 	*body = (struct request_body){ .limit_ms = ROUTER_TIMEOUT_DEFAULT_MS };
 	if (json_object_is_type(json, json_type_object)) {
 		json_object_object_foreach(json, name, value)
 		{
-			const char *wrong = parse_member(request, body, name, value);
+			const char *member_error = parse_member(request, body, name, value);
 
-			if (wrong)
-				reason = wrong;
+			if (member_error)
+				error = member_error;
 		}
-		if (!reason)
-			reason = check_body(request, body);
+		if (!error)
+			error = check_body(request, body);
 	} else {
-		reason = "body: not a JSON object";
+		error = "body: not a JSON object";
 	}
 	if (json)
 		json_object_put(json);
-	return reason;
+	return error;
 }
 
-static uint32_t estimated_tokens(const char *text)
+static uint32_t estimate_tokens(const char *text)
 {
 	return (uint32_t)(strlen(text) + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
 }
 
-/* Each block's hash covers the blocks before it, and the service. */
-static void hash_prompt(struct request_prompt *prompt, const char *service)
+/* Hashes the blocks of a prompt. Each hash covers the service, all earlier blocks and the block itself. */
+static void hash_prompt_blocks(struct request_prompt *prompt, const char *service)
 {
 	uint64_t hash = core_hash_string(0, service);
 
 	for (int i = 0; i < prompt->block_count; i++) {
 		hash = core_hash_string(hash, prompt->block_text[i]);
 		prompt->block_hash[i] = hash;
-		prompt->block_tokens[i] = estimated_tokens(prompt->block_text[i]);
+		prompt->block_tokens[i] = estimate_tokens(prompt->block_text[i]);
 	}
-	prompt->tail_tokens = estimated_tokens(prompt->tail_text);
+	prompt->tail_tokens = estimate_tokens(prompt->tail_text);
 }
 
-/* The tenant whose key this is; -1: none. */
-static int tenant_of_key(const struct route_table *routes, const char *key_digest)
+/* Returns the index of the tenant that a key belongs to; -1: none. */
+static int find_tenant_by_key(const struct route_table *routes, const char *key_digest)
 {
 	struct key_entry *keys = routes ? routes->keys : NULL;
 	ptrdiff_t key_index = keys ? shgeti(keys, key_digest) : -1;
@@ -233,8 +236,8 @@
 	return (int)keys[key_index].value;
 }
 
-/* The route of this name, if it and its service are configured; -1: none. */
-static int route_of_name(const struct router *router, const char *name)
+/* Returns the index of the route with this name if it and its service are configured; -1: otherwise. */
+static int find_route_by_name(const struct router *router, const char *name)
 {
 	const struct route_table *routes = router->config.route_table;
 	int route_index = names_find(&router->names.routes, name);
@@ -244,29 +247,30 @@
 	return routes->services[routes->routes[route_index].service_index].is_configured ? route_index : -1;
 }
 
-/* Reads and places a new request. false: it is declined. */
-static bool admit(struct router *router, struct client_request *request, const char *text, int64_t now,
-		  struct command_list *out)
+/* Parses and routes a new request. Returns false if it was declined. */
+static bool parse_and_route(struct router *router, struct client_request *request, const char *text,
+			    int64_t now, struct command_list *out)
 {
 	struct request_body body;
 	const char *reason = parse_body(router, request, text, &body);
-	int route_index = reason ? -1 : route_of_name(router, body.route_name);
+	int route_index = reason ? -1 : find_route_by_name(router, body.route_name);
 
 	if (route_index < 0) {
-		reject_new(router, request->client.token, reason ? 400 : 404,
-			   reason ? reason : "lane: unknown", out);
+		reject_before_queueing(router, request->client.token, reason ? 400 : 404,
+				       reason ? reason : "lane: unknown", out);
 		return false;
 	}
 	request->route.index = (uint32_t)route_index;
 	request->route.service_index = router->config.route_table->routes[route_index].service_index;
-	if (declined_as_full(router, request->client.token,
-			     router_queue_of(router, request->route.index, request->route.tenant_index),
-			     request->route.service_index, now, out))
+	if (decline_if_full_or_unserved(
+		router, request->client.token,
+		router_queue_of(router, request->route.index, request->route.tenant_index),
+		request->route.service_index, now, out))
 		return false;
 	request->sequence = ++router->requests.last_sequence;
 	request->client.deadline_at_ms = now + body.limit_ms;
 	request->client.received_at_ms = now;
-	hash_prompt(&request->prompt, router->names.services.names[request->route.service_index]);
+	hash_prompt_blocks(&request->prompt, router->names.services.names[request->route.service_index]);
 	return true;
 }
 
@@ -277,62 +281,62 @@
 	int tenant_index;
 
 	router->stats.received++;
-	if (declined_as_stale(router, token, now, out))
+	if (decline_if_stale(router, token, now, out))
 		return;
-	tenant_index = tenant_of_key(router->config.route_table, key_digest);
+	tenant_index = find_tenant_by_key(router->config.route_table, key_digest);
 	if (tenant_index < 0) {
-		reject_new(router, token, 401, "key: unknown", out);
+		reject_before_queueing(router, token, 401, "key: unknown", out);
 		return;
 	}
-	request = request_new(router, token, key_digest);
+	request = create_request(router, token, key_digest);
 	request->route.tenant_index = (uint32_t)tenant_index;
-	if (admit(router, request, body, now, out))
+	if (parse_and_route(router, request, body, now, out))
 		enqueue(router, request, now);
 	else
 		apr_pool_destroy(request->pool);
 }
 
-/* ---- forwarded requests ---------------------------------------------------------------------- */
+/* ---- forwarded requests ------------------------------------------------------------------- */
 
-/* The route of a host and path: the one with the longest path prefix. -1: none. */
-static int route_at(const struct route_table *routes, const char *host, const char *path)
+/* Returns the index of the route for a host and path, the one with the longest path prefix; -1: none. */
+static int find_route_by_path(const struct route_table *routes, const char *host, const char *path)
 {
 	struct route_match *matches = routes->matches;
-	size_t n = strcspn(path, "?#");
+	size_t prefix_length = strcspn(path, "?#");
 
-	for (; matches && n; n--) {
+	for (; matches && prefix_length; prefix_length--) {
 		ptrdiff_t i;
 		const struct route_config *route;
 
-		if (path[n - 1] != '/')
+		if (path[prefix_length - 1] != '/')
 			continue;
-		i = hmgeti(matches, router_match_key(host, path, n));
+		i = hmgeti(matches, router_match_key(host, path, prefix_length));
 		if (i < 0)
 			continue;
 		route = &routes->routes[matches[i].value];
-		if (route->is_configured && !strcmp(route->host, host) && strlen(route->path) == n &&
-		    !strncmp(route->path, path, n))
+		if (route->is_configured && !strcmp(route->host, host) &&
+		    strlen(route->path) == prefix_length && !strncmp(route->path, path, prefix_length))
 			return (int)matches[i].value;
 	}
 	return -1;
 }
 
-/* By the split's weights; the same id always goes to the same service. */
-static uint32_t service_at(const struct route_config *route, const char *id)
+/* Chooses a service by the weights of the split. The same request id always gets the same service. */
+static uint32_t choose_split_service(const struct route_config *route, const char *id)
 {
-	uint32_t position, i = 0;
+	uint32_t weight_position, i = 0;
 
 	if (!route->split_count)
 		return route->service_index;
-	position =
+	weight_position =
 	    (uint32_t)(core_hash_string(31, id) % route->splits[route->split_count - 1].cumulative_weight);
-	while (route->splits[i].cumulative_weight <= position)
+	while (route->splits[i].cumulative_weight <= weight_position)
 		i++;
 	return route->splits[i].service_index;
 }
 
-/* Whether a route still leads to a service, with any weight. */
-static bool leads_to(const struct route_config *route, uint32_t service_index)
+/* Whether a route sends requests to a service, with any weight. */
+static bool route_has_service(const struct route_config *route, uint32_t service_index)
 {
 	if (!route->split_count)
 		return route->service_index == service_index;
@@ -342,18 +346,19 @@
 	return false;
 }
 
-/* Where a request goes by a route table, or the status that says why nowhere. */
+/* The route, tenant and service of a request by a route table, or the status with which it is declined. */
 struct admission {
-	int status; /* 0: it is admitted */
+	int status; /* HTTP status; 0: admitted */
 	const char *reason;
 	uint32_t route_index;
 	uint32_t tenant_index;
 	uint32_t service_index;
 };
 
-/* Whose a request is. false: it needs a key, and has none that is known. */
-static bool tenant_at(const struct route_table *routes, const struct route_config *route, const char *digest,
-		      uint32_t *tenant_index)
+/* Determines the tenant of a request. Returns false if the route needs a key and the request has no known
+ * one. */
+static bool determine_tenant(const struct route_table *routes, const struct route_config *route,
+			     const char *digest, uint32_t *tenant_index)
 {
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index = digest && routes->has_keys ? shgeti(keys, digest) : -1;
@@ -366,47 +371,49 @@
 	return true;
 }
 
-static struct admission admission_of(const struct route_table *routes, const char *host, const char *path,
-				     const char *digest, const char *id)
+static struct admission determine_admission(const struct route_table *routes, const char *host,
+					    const char *path, const char *digest, const char *id)
 {
 	struct admission admission = { 0, NULL, 0, 0, 0 };
-	int route_index = route_at(routes, host, path);
+	int route_index = find_route_by_path(routes, host, path);
 
 	if (route_index < 0)
-		return (struct admission){ 404, "lane: none at this host and path", 0, 0, 0 };
+		return (struct admission){ 404, "lane: none matches this host and path", 0, 0, 0 };
 	admission.route_index = (uint32_t)route_index;
-	if (!tenant_at(routes, &routes->routes[route_index], digest, &admission.tenant_index))
+	if (!determine_tenant(routes, &routes->routes[route_index], digest, &admission.tenant_index))
 		return (struct admission){ 401, "key: unknown", 0, 0, 0 };
-	admission.service_index = service_at(&routes->routes[route_index], id);
+	admission.service_index = choose_split_service(&routes->routes[route_index], id);
 	if (!routes->services[admission.service_index].is_configured)
-		return (struct admission){ 404, "lane: its service is unknown", 0, 0, 0 };
+		return (struct admission){ 404, "lane: its service is not configured", 0, 0, 0 };
 	return admission;
 }
 
-/* Another service serves the request from now on; a retry that was reserved with the old one is reserved with
- * the new one. false: that ended the request. */
+/* Assigns a request to another service. A retry reserved in the budget of the old service is reserved in that
+ * of the new one instead. Returns false if that ended the request. */
 static bool change_service(struct router *router, struct client_request *request, uint32_t service_index,
 			   int64_t now, struct command_list *out)
 {
-	bool reserved = request->retry.budget_reserved;
+	bool had_retry_reserved = request->retry.budget_reserved;
 
-	if (reserved)
+	if (had_retry_reserved)
 		router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
 	request->retry.budget_reserved = false;
 	request->route.service_index = service_index;
-	if (request->stream.has_begun) { /* the other service knows nothing of this stream */
-		router_break_off(router, request, 502, "the service of this stream is gone", now, out);
+	if (request->stream.has_begun) { /* the new service cannot resume a stream of the old one */
+		router_break_off(router, request, 502,
+				 "the service of this stream was removed from the configuration", now, out);
 		return false;
 	}
-	if (reserved && router->quota.retry_budget[service_index] < ROUTER_RETRY_COST_MILLI) {
-		router_refuse(router, request, 503,
-			      "its service changed, and the budget for resends is spent",
-			      ROUTER_RETRY_FAST_MS, now, out);
+	if (had_retry_reserved && router->quota.retry_budget[service_index] < ROUTER_RETRY_COST_MILLI) {
+		router_refuse(
+		    router, request, 503,
+		    "the service of the lane changed, and the retry budget of the new service is exhausted",
+		    ROUTER_RETRY_FAST_MS, now, out);
 		return false;
 	}
-	if (reserved)
+	if (had_retry_reserved)
 		router->quota.retry_budget[service_index] -= ROUTER_RETRY_COST_MILLI;
-	request->retry.budget_reserved = reserved;
+	request->retry.budget_reserved = had_retry_reserved;
 	return true;
 }
 
@@ -420,8 +427,8 @@
 	if (request->route.revision == routes->revision)
 		return true;
 	request->route.revision = routes->revision;
-	admission = admission_of(routes, request->client.host, request->client.path,
-				 request->client.key_digest, request->client.request_id);
+	admission = determine_admission(routes, request->client.host, request->client.path,
+					request->client.key_digest, request->client.request_id);
 	if (admission.status) {
 		router->stats.revoked += admission.status == 401;
 		router_end_early(router, request, admission.status, admission.reason, now, out);
@@ -435,24 +442,26 @@
 	request->route.resumable = request->route.resumable && route->resumable;
 	if (request->retry.may_have_run && !request->route.idempotent && !request->route.resumable) {
 		router_break_off(router, request, 502,
-				 "the server's answer broke off, and it may not be sent again", now, out);
+				 "the server's answer broke off, and the lane no longer allows a retry", now,
+				 out);
 		return false;
 	}
 	if (routes->services[request->route.service_index].is_configured &&
-	    (request->stream.has_begun || leads_to(route, request->route.service_index)))
+	    (request->stream.has_begun || route_has_service(route, request->route.service_index)))
 		return true;
 	return change_service(router, request, admission.service_index, now, out);
 }
 
-/* Copies of the front end's texts and of the prompt's blocks. */
-static struct client_request *forwarded_new(struct router *router, const struct forwarded_request *incoming)
+/* Creates a request with copies of the front end's strings and of the prompt's blocks. */
+static struct client_request *create_forwarded_request(struct router *router,
+						       const struct forwarded_request *incoming)
 {
-	struct client_request *request = request_new(router, incoming->token, incoming->key_digest);
+	struct client_request *request = create_request(router, incoming->token, incoming->key_digest);
 	struct request_prompt *prompt = &request->prompt;
-	uint32_t in_blocks;
+	uint32_t block_tokens;
 
 	request->is_forwarded = true;
-	request->claim.confirmed = true; /* who sends it vouches that the id is used once */
+	request->claim.confirmed = true; /* the client guarantees that the id is used only once */
 	request->sequence = ++router->requests.last_sequence;
 	request->client.host = apr_pstrdup(request->pool, incoming->host);
 	request->client.path = apr_pstrdup(request->pool, incoming->path);
@@ -463,10 +472,11 @@
 		prompt->block_hash[i] = incoming->blocks[i].hash;
 		prompt->block_tokens[i] = incoming->blocks[i].tokens;
 	}
-	in_blocks = (uint32_t)router_tokens_of_blocks(request, prompt->block_count);
-	prompt->tail_tokens = incoming->input_tokens > in_blocks ? incoming->input_tokens - in_blocks : 0;
+	block_tokens = (uint32_t)router_tokens_of_blocks(request, prompt->block_count);
+	prompt->tail_tokens =
+	    incoming->input_tokens > block_tokens ? incoming->input_tokens - block_tokens : 0;
 	prompt->output_tokens = incoming->output_tokens;
-	prompt->total_tokens = in_blocks + prompt->tail_tokens + prompt->output_tokens;
+	prompt->total_tokens = block_tokens + prompt->tail_tokens + prompt->output_tokens;
 	return request;
 }
 
@@ -480,21 +490,23 @@
 	int limit_ms = incoming->limit_ms;
 
 	router->stats.received++;
-	if (declined_as_stale(router, incoming->token, now, out))
+	if (decline_if_stale(router, incoming->token, now, out))
 		return;
-	admission = admission_of(routes, incoming->host, incoming->path, incoming->key_digest, incoming->id);
+	admission =
+	    determine_admission(routes, incoming->host, incoming->path, incoming->key_digest, incoming->id);
 	if (admission.status) {
-		reject_new(router, incoming->token, admission.status, admission.reason, out);
+		reject_before_queueing(router, incoming->token, admission.status, admission.reason, out);
 		return;
 	}
-	if (declined_as_full(router, incoming->token,
-			     router_queue_of(router, admission.route_index, admission.tenant_index),
-			     admission.service_index, now, out))
+	if (decline_if_full_or_unserved(
+		router, incoming->token,
+		router_queue_of(router, admission.route_index, admission.tenant_index),
+		admission.service_index, now, out))
 		return;
 	route = &routes->routes[admission.route_index];
 	if (route->timeout_ms && (int)route->timeout_ms < limit_ms)
 		limit_ms = (int)route->timeout_ms;
-	request = forwarded_new(router, incoming);
+	request = create_forwarded_request(router, incoming);
 	request->client.deadline_at_ms = now + limit_ms;
 	request->client.received_at_ms = now;
 	request->route.index = admission.route_index;
--- a/lib/data/router_claims.c
+++ b/lib/data/router_claims.c
@@ -1,7 +1,7 @@
-/* router_claims: claims of the product's own interface. Before a request of it is sent to a server, its
- * tenant and id are claimed with the shard of its service, so that no other router runs the same id. A claim
- * of what surely never ran is released. Claims and releases are proposed again until a leader answers: each
- * shard records a claim once, however often it is proposed. */
+/* router_claims: claims of request ids, for the product's own interface. Before a request is sent to a
+ * server, its tenant and id are claimed with the shard of its service, so that no other router runs the same
+ * id. The claim of a request that certainly never ran is released. Claims and releases are proposed again
+ * until a leader answers: each shard records a claim once, however often it is proposed. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,31 +11,33 @@
 #include "containers.h"
 
 enum {
-	REDIRECTED_CLAIM_DELAY_MS = 20, /* until a claim is proposed to the leader that was hinted at */
+	/* delay before a claim is proposed to the leader named in an answer */
+	REDIRECTED_CLAIM_DELAY_MS = 20,
 	REDIRECTED_RELEASE_DELAY_MS = 50,
-	UNKNOWN_OUTCOME_DELAY_MS = 50 /* until the same claim is proposed again */
+	/* delay before a claim is proposed again when its outcome is unknown */
+	UNKNOWN_OUTCOME_RETRY_DELAY_MS = 50
 };
 
-/* What a claim says, or its release. */
+/* A claim or the release of a claim, to be proposed. */
 struct claim_proposal {
 	uint32_t service_index;
 	uint32_t tenant_index;
 	const char *id;
 	uint64_t sequence;
 	uint64_t token;
-	bool release;
+	bool is_release;
 };
 
-static uint32_t shard_of(const struct router *router, uint32_t service_index)
+static uint32_t shard_of_service(const struct router *router, uint32_t service_index)
 {
 	return core_shard_of(router->names.services.names[service_index], SHARD_SERVICES);
 }
 
-/* Proposes to the shard's leader, as far as it is known; returns its address. */
-static uint64_t propose(struct router *router, const struct claim_proposal *proposal,
-			struct command_list *out)
+/* Proposes a claim or a release to the presumed leader of the shard; returns the leader's address. */
+static uint64_t propose_claim_operation(struct router *router, const struct claim_proposal *proposal,
+					struct command_list *out)
 {
-	uint32_t shard = shard_of(router, proposal->service_index);
+	uint32_t shard = shard_of_service(router, proposal->service_index);
 	uint64_t leader_addr = config_watch_leader_addr(&router->config.watch, shard);
 	struct Nl__Propose *message = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
 	struct Nl__Claim *claim = MESSAGE_NEW(out, Nl__Claim, NL__CLAIM__INIT);
@@ -44,7 +46,7 @@
 	claim->id = apr_pstrdup(out->pool, proposal->id);
 	claim->router_id = router->id;
 	claim->seq = proposal->sequence;
-	claim->release = proposal->release;
+	claim->release = proposal->is_release;
 	message->operation = MESSAGE_NEW(out, Nl__Operation, NL__OPERATION__INIT);
 	message->operation->body_case = NL__OPERATION__BODY_CLAIM;
 	message->operation->claim = claim;
@@ -56,8 +58,9 @@
 
 void router_claim_miss(struct router *router, uint32_t service_index, uint64_t leader_addr)
 {
-	if (config_watch_leader_addr(&router->config.watch, shard_of(router, service_index)) == leader_addr)
-		config_watch_miss(&router->config.watch, shard_of(router, service_index));
+	if (config_watch_leader_addr(&router->config.watch, shard_of_service(router, service_index)) ==
+	    leader_addr)
+		config_watch_miss(&router->config.watch, shard_of_service(router, service_index));
 }
 
 void router_claim_send(struct router *router, struct client_request *request, int64_t now,
@@ -72,10 +75,10 @@
 	};
 
 	request->claim.sent_at_ms = now;
-	request->claim.leader_addr = propose(router, &proposal, out);
+	request->claim.leader_addr = propose_claim_operation(router, &proposal, out);
 }
 
-/* ---- releases -------------------------------------------------------------------------------- */
+/* ---- releases ----------------------------------------------------------------------------- */
 
 static void propose_release(struct router *router, struct claim_release *release, int64_t now,
 			    struct command_list *out)
@@ -86,11 +89,11 @@
 		.id = release->id,
 		.sequence = release->sequence,
 		.token = release->token,
-		.release = true,
+		.is_release = true,
 	};
 
 	release->sent_at_ms = now;
-	release->leader_addr = propose(router, &proposal, out);
+	release->leader_addr = propose_claim_operation(router, &proposal, out);
 }
 
 void router_claim_release(struct router *router, const struct client_request *request, int64_t now,
@@ -129,26 +132,28 @@
 	}
 }
 
-/* ---- answers --------------------------------------------------------------------------------- */
+/* ---- answers ------------------------------------------------------------------------------ */
 
-/* Who was asked does not lead, and may know who does. A late answer about another guess changes nothing. */
-static void claim_hint(struct router *router, uint32_t service_index, uint64_t requested_addr, uint64_t from,
-		       uint64_t hint)
+/* Handles the answer of a controller that is not the leader and may name the leader. A late answer from a
+ * controller that is no longer the presumed leader is ignored. */
+static void apply_leader_hint(struct router *router, uint32_t service_index, uint64_t asked_addr,
+			      uint64_t sender_addr, uint64_t leader_hint_addr)
 {
-	uint32_t shard = shard_of(router, service_index);
+	uint32_t shard = shard_of_service(router, service_index);
 
-	if (requested_addr == from &&
-	    config_watch_leader_addr(&router->config.watch, shard) == requested_addr)
-		config_watch_hint(&router->config.watch, shard, hint == from ? 0 : hint);
+	if (asked_addr == sender_addr && config_watch_leader_addr(&router->config.watch, shard) == asked_addr)
+		config_watch_hint(&router->config.watch, shard,
+				  leader_hint_addr == sender_addr ? 0 : leader_hint_addr);
 }
 
 static void on_release_reply(struct router *router, ptrdiff_t i, const struct Nl__ProposeReply *reply,
-			     uint64_t from, int64_t now)
+			     uint64_t sender_addr, int64_t now)
 {
 	struct claim_release *release = &router->requests.claim_releases[i];
 
 	if (reply->status == PROPOSAL_NOT_LEADER) {
-		claim_hint(router, release->service_index, release->leader_addr, from, reply->leader_hint);
+		apply_leader_hint(router, release->service_index, release->leader_addr, sender_addr,
+				  reply->leader_hint);
 		release->sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_RELEASE_DELAY_MS;
 		release->leader_addr = 0;
 	} else if (reply->status != PROPOSAL_OUTCOME_UNKNOWN) {
@@ -157,27 +162,29 @@
 }
 
 static void on_claim_reply(struct router *router, struct client_request *request,
-			   const struct Nl__ProposeReply *reply, uint64_t from, int64_t now,
+			   const struct Nl__ProposeReply *reply, uint64_t sender_addr, int64_t now,
 			   struct command_list *out)
 {
 	switch (reply->status) {
 	case PROPOSAL_DONE:
 		request->claim.confirmed = true;
-		config_watch_hint(&router->config.watch, shard_of(router, request->route.service_index),
-				  from); /* who answers leads */
+		/* only the leader completes a proposal */
+		config_watch_hint(&router->config.watch,
+				  shard_of_service(router, request->route.service_index), sender_addr);
 		router_send(router, request, now, out);
 		break;
 	case PROPOSAL_NOT_LEADER:
-		claim_hint(router, request->route.service_index, request->claim.leader_addr, from,
-			   reply->leader_hint);
-		request->claim.leader_addr = 0; /* it did answer */
+		apply_leader_hint(router, request->route.service_index, request->claim.leader_addr,
+				  sender_addr, reply->leader_hint);
+		request->claim.leader_addr = 0; /* the controller has answered */
 		request->claim.sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_CLAIM_DELAY_MS;
 		break;
 	case PROPOSAL_OUTCOME_UNKNOWN:
-		request->claim.sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + UNKNOWN_OUTCOME_DELAY_MS;
+		request->claim.sent_at_ms =
+		    now - ROUTER_CLAIM_RETRY_INTERVAL_MS + UNKNOWN_OUTCOME_RETRY_DELAY_MS;
 		break;
 	default:
-		router_reject(router, request, 409, "id: claimed by an earlier asking", now, out);
+		router_reject(router, request, 409, "id: already claimed by an earlier request", now, out);
 	}
 }
 
--- a/lib/data/router_config.c
+++ b/lib/data/router_config.c
@@ -1,32 +1,32 @@
-/* router_config: puts newer configuration in force, and bounds for how long an unconfirmed one is acted on.
- * Invariant: a request that waits is placed by the newest route table; one that a server runs was sent while
- * its key and route held, and ends by itself. */
+/* router_config: puts newer configuration in force, and limits how long an unconfirmed configuration is acted
+ * on. Invariant: a waiting request is routed by the newest route table; a request that a server runs was sent
+ * while its key and route were valid, and continues to its end. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
 
 #include "containers.h"
 
-static void replace_server_table(struct router *router, int64_t now)
+static void install_server_table(struct router *router, int64_t now)
 {
 	struct server_table *servers = router_server_table_new(router, now);
-	uint32_t serving = 0;
-	char text[100];
+	uint32_t serving_count = 0;
+	char line[100];
 
 	router_server_table_free(router->config.server_table);
 	router->config.server_table = servers;
 	for (uint32_t i = 0; i < servers->server_count; i++)
-		serving += servers->servers[i].is_configured && !servers->servers[i].draining &&
-			   !servers->servers[i].is_store;
-	if (serving != router->config.serving_servers && router->log) {
-		apr_snprintf(text, sizeof text, "Serving servers: %u, before %u.", serving,
+		serving_count += servers->servers[i].is_configured && !servers->servers[i].draining &&
+				 !servers->servers[i].is_store;
+	if (serving_count != router->config.serving_servers && router->log) {
+		apr_snprintf(line, sizeof line, "Serving servers: now %u, previously %u.", serving_count,
 			     router->config.serving_servers);
-		router->log(router->log_context, "router", text);
+		router->log(router->log_context, "router", line);
 	}
-	router->config.serving_servers = serving;
+	router->config.serving_servers = serving_count;
 }
 
-/* Whether a request's key still stands for its tenant. */
+/* Whether a request's key still belongs to its tenant. */
 static bool key_is_valid(const struct route_table *routes, const struct client_request *request)
 {
 	struct key_entry *keys = routes->keys;
@@ -39,11 +39,11 @@
 	       routes->tenants[request->route.tenant_index].is_configured;
 }
 
-/* A newer table and a request of the own interface: a removed key ends it wherever it is. What was not sent
- * ends with its route, and is refused where the route has another service now, since the claim is held by the
- * shard of the old one. */
-static void recheck_claimed(struct router *router, struct client_request *request, int64_t now,
-			    struct command_list *out)
+/* Checks a request of the own interface against a newer route table. Removal of its key ends it in any state.
+ * A request that has not been sent ends when its route is removed, and is refused when the route now has
+ * another service, since the claim is held by the shard of the old one. */
+static void recheck_claimed_request(struct router *router, struct client_request *request, int64_t now,
+				    struct command_list *out)
 {
 	const struct route_table *routes = router->config.route_table;
 	const struct route_config *route = &routes->routes[request->route.index];
@@ -56,22 +56,23 @@
 	} else if (!route->is_configured || !routes->services[route->service_index].is_configured) {
 		router_end_early(router, request, 404, "lane: removed", now, out);
 	} else if (route->service_index != request->route.service_index) {
-		router_end_early(router, request, 503, "the lane has another service now", now, out);
+		router_end_early(router, request, 503, "lane: its service changed while the request waited",
+				 now, out);
 	}
 }
 
-static void replace_route_table(struct router *router, int64_t now, struct command_list *out)
+static void install_route_table(struct router *router, int64_t now, struct command_list *out)
 {
 	struct route_table *routes = router_route_table_new(router, now), *old = router->config.route_table;
 
 	router->config.route_table = routes;
 	router_weights_log_targets(router, old, now);
-	replace_server_table(router, now);
+	install_server_table(router, now);
 	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
 		struct client_request *request = router->requests.all[i];
 
 		if (!request->is_forwarded)
-			recheck_claimed(router, request, now, out);
+			recheck_claimed_request(router, request, now, out);
 		else if (request->state != REQUEST_RUNNING)
 			(void)router_readmit(router, request, now, out);
 	}
@@ -81,15 +82,15 @@
 void router_on_config_message(struct router *router, const struct Nl__Msg *message, int64_t now,
 			      struct command_list *out)
 {
-	int changed = config_watch_receive(&router->config.watch, message, now, out);
+	int changed_tables = config_watch_receive(&router->config.watch, message, now, out);
 
-	if (changed & 1)
-		replace_route_table(router, now, out);
-	else if (changed && router->config.route_table)
-		replace_server_table(router, now);
+	if (changed_tables & 1)
+		install_route_table(router, now, out);
+	else if (changed_tables && router->config.route_table)
+		install_server_table(router, now);
 }
 
-/* ---- staleness ------------------------------------------------------------------------------- */
+/* ---- staleness ---------------------------------------------------------------------------- */
 
 bool router_config_in_force(const struct router *router, int64_t now)
 {
@@ -97,24 +98,26 @@
 	       config_watch_age_ms(&router->config.watch, now) <= router_max_staleness_ms(router);
 }
 
-/* With servers from the configuration it is the product's own bound. Where a deployment counts nodes as in
- * touch only when the controllers have been in contact for a while, a leader that falls silent just after its
- * last good answer breaks that contact for so long: until then what it may have acknowledged meanwhile need
- * not be in force here. No removed key may outlive its bound either: docs/design.md, Freshness. */
+/* With servers from the configuration, the bound is the product's own. Otherwise the strictest of three
+ * bounds applies. Contact: a deployment may count a router as in contact only after the controllers have been
+ * in contact with it for some time. A leader that fails just after its last answer interrupts that contact
+ * for this time, and changes that it may have acknowledged meanwhile need not be in force here until the
+ * contact counts again. Drift: the deployment bounds how far a router's configuration may lag behind. Keys:
+ * no removed key may be accepted past its revocation bound. See docs/design.md, Freshness. */
 int router_max_staleness_ms(const struct router *router)
 {
 	const struct bounds *bounds = &router->config.bounds;
-	int key = bounds->revoke_ms - ROUTER_STALENESS_MARGIN_MS;
-	int contact = bounds->contact_ms - ROUTER_CONTACT_MARGIN_MS;
-	int drift = bounds->config_ms + bounds->drift_ms - ROUTER_STALENESS_MARGIN_MS;
-	int least;
+	int revocation_bound_ms = bounds->revoke_ms - ROUTER_STALENESS_MARGIN_MS;
+	int contact_bound_ms = bounds->contact_ms - ROUTER_CONTACT_MARGIN_MS;
+	int drift_bound_ms = bounds->config_ms + bounds->drift_ms - ROUTER_STALENESS_MARGIN_MS;
+	int min_bound_ms;
 
 	if (!bounds->discover_instances)
 		return CONFIG_WATCH_ADMIT_STALENESS_MS;
-	if (contact < bounds->config_ms - ROUTER_CONTACT_MARGIN_MS)
-		contact = bounds->config_ms - ROUTER_CONTACT_MARGIN_MS;
-	least = drift < contact ? drift : contact;
-	return key < least ? key : least;
+	if (contact_bound_ms < bounds->config_ms - ROUTER_CONTACT_MARGIN_MS)
+		contact_bound_ms = bounds->config_ms - ROUTER_CONTACT_MARGIN_MS;
+	min_bound_ms = drift_bound_ms < contact_bound_ms ? drift_bound_ms : contact_bound_ms;
+	return revocation_bound_ms < min_bound_ms ? revocation_bound_ms : min_bound_ms;
 }
 
 int64_t router_config_valid_until(const struct router *router)
--- a/lib/data/router_dispatch.c
+++ b/lib/data/router_dispatch.c
@@ -1,18 +1,19 @@
-/* router_dispatch: which of the waiting requests goes next, and its way out of the queue: to its claim or to
- * its server. Among queues the lowest class goes first, and within a class the queue with the smallest pass
- * (router_queue.c). */
+/* router_dispatch: chooses the next waiting request and takes it out of its queue, to have its id claimed or
+ * to be sent to a server. Queues of the lowest priority class go first; within a class, the queue with the
+ * smallest pass (router_queue.c). */
 #include "router_internal.h"
 
 #include "containers.h"
 
 enum {
-	QUEUE_SCAN_LIMIT = 16, /* requests of a queue that are tried at a time, where its head has to wait */
-	PASS_STEP = 1000000    /* of one dispatch at a share of 1 */
+	/* requests of a queue that are tried in one pass when its head has to wait */
+	QUEUE_SCAN_MAX_REQUESTS = 16,
+	PASS_PER_DISPATCH = 1000000 /* added to a queue's pass by one dispatch at a share of 1 */
 };
 
-/* A queue whose turn it is, and what of it goes. */
+/* The next dispatch: a request, its queue and its placement. */
 struct dispatch {
-	struct request_queue *queue; /* NULL: none can go */
+	struct request_queue *queue; /* NULL: no request can be dispatched */
 	struct client_request *request;
 	struct plan plan;
 };
@@ -23,38 +24,39 @@
 				     : router_placement_claimed(router, request, now);
 }
 
-/* The first of a queue that a server has capacity for. Behind a head that none has capacity for this may be
- * one of another service, or, where the head was returned and avoids the server that did, any. NULL: none. */
-static struct client_request *first_ready(struct router *router, const struct request_queue *queue,
-					  int64_t now, struct plan *plan)
+/* The first request of a queue that a server has capacity for; NULL: none. plan: set to its placement. When
+ * no server has capacity for the head, a request after it may still be sent if it is of another service, or
+ * if the head avoids a server that returned it; then any request may follow. */
+static struct client_request *first_sendable_request(struct router *router, const struct request_queue *queue,
+						     int64_t now, struct plan *plan)
 {
-	uint32_t full[QUEUE_SCAN_LIMIT];
-	int full_count = 0, scanned = 0;
-	bool split = router->config.route_table->routes[queue->route_index].split_count > 0;
+	uint32_t full_services[QUEUE_SCAN_MAX_REQUESTS];
+	int full_service_count = 0, scanned_count = 0;
+	bool is_split = router->config.route_table->routes[queue->route_index].split_count > 0;
 
-	for (struct client_request *request = queue->head; request && scanned < QUEUE_SCAN_LIMIT;
-	     request = request->queueing.next_in_queue, scanned++) {
+	for (struct client_request *request = queue->head; request && scanned_count < QUEUE_SCAN_MAX_REQUESTS;
+	     request = request->queueing.next_in_queue, scanned_count++) {
 		bool is_full = false;
 
-		for (int i = 0; i < full_count; i++)
-			is_full |= full[i] == request->route.service_index;
+		for (int i = 0; i < full_service_count; i++)
+			is_full |= full_services[i] == request->route.service_index;
 		if (is_full || router_lookup_waits(router, request, now))
 			continue;
 		*plan = choose_server(router, request, now);
 		if (plan->server_index >= 0)
 			return request;
 		if (now < request->retry.avoided_until_ms)
-			continue; /* there may be capacity at the server that it avoids */
-		if (!split && !request->stream.has_begun)
-			return NULL; /* all behind it are of its service */
-		full[full_count++] = request->route.service_index;
+			continue; /* the server that it avoids may have capacity for a later request */
+		if (!is_split && !request->stream.has_begun)
+			return NULL; /* all later requests are of the same service */
+		full_services[full_service_count++] = request->route.service_index;
 	}
 	return NULL;
 }
 
-/* Whether a queue has its turn before the best one so far. */
-static bool is_before(const struct route_table *routes, const struct request_queue *queue,
-		      const struct request_queue *best)
+/* Whether a queue is dispatched before the best one found so far. */
+static bool is_dispatched_before(const struct route_table *routes, const struct request_queue *queue,
+				 const struct request_queue *best)
 {
 	uint32_t queue_class = router_priority_class_of(routes, queue);
 	uint32_t best_class = router_priority_class_of(routes, best);
@@ -64,37 +66,37 @@
 	return queue->pass < best->pass;
 }
 
-/* The queue that goes next. waits: whether anything waits at all. */
-static struct dispatch choose(struct router *router, int64_t now, bool *waits)
+/* Chooses the next request to dispatch. any_waiting: set to whether any queue holds a request. */
+static struct dispatch choose_next_dispatch(struct router *router, int64_t now, bool *any_waiting)
 {
 	const struct route_table *routes = router->config.route_table;
 	struct dispatch best = { .queue = NULL };
 
-	*waits = false;
+	*any_waiting = false;
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
 		struct request_queue *queue = &router->queueing.queues[i];
-		struct client_request *ready;
+		struct client_request *sendable;
 		struct plan plan;
 
 		if (!queue->length)
 			continue;
-		*waits = true;
+		*any_waiting = true;
 		if (!router_quota_has_slot(router, queue))
 			continue;
-		if (best.queue && !is_before(routes, queue, best.queue))
+		if (best.queue && !is_dispatched_before(routes, queue, best.queue))
 			continue;
-		ready = first_ready(router, queue, now, &plan);
-		if (ready)
-			best = (struct dispatch){ .queue = queue, .request = ready, .plan = plan };
+		sendable = first_sendable_request(router, queue, now, &plan);
+		if (sendable)
+			best = (struct dispatch){ .queue = queue, .request = sendable, .plan = plan };
 	}
 	return best;
 }
 
-/* Out of its queue, with a slot of the quota. */
+/* Takes a request out of its queue and assigns quota slots to it. */
 static void dequeue(struct router *router, const struct dispatch *next, int64_t now)
 {
 	struct request_queue *queue = next->queue;
-	uint32_t share, limit;
+	uint32_t share, concurrency_limit;
 
 	if (next->request == queue->head) {
 		queue->dequeue_interval_ms +=
@@ -103,12 +105,14 @@
 	}
 	router_queue_remove(router, next->request);
 	router_quota_acquire(router, next->request);
-	router_share_of(router->config.route_table, queue->route_index, queue->tenant_index, &share, &limit);
-	queue->pass += PASS_STEP / (share ? share : 1);
+	router_share_of(router->config.route_table, queue->route_index, queue->tenant_index, &share,
+			&concurrency_limit);
+	queue->pass += PASS_PER_DISPATCH / (share ? share : 1);
 	next->request->state = REQUEST_CLAIMING;
 }
 
-/* A request of the own interface holds its place at the server until its claim has been answered. */
+/* Sends a request of the own interface if its claim is confirmed; otherwise claims its id and reserves its
+ * slot at the server until the claim is answered. */
 static void claim_or_send(struct router *router, const struct dispatch *next, int64_t now,
 			  struct command_list *out)
 {
@@ -132,11 +136,13 @@
 	    !arrlen(router->requests.all) || now < router->queueing.next_dispatch_at_ms)
 		return;
 	for (;;) {
-		bool waits;
-		struct dispatch next = choose(router, now, &waits);
+		bool any_waiting;
+		struct dispatch next = choose_next_dispatch(router, now, &any_waiting);
 
-		if (!next.queue) { /* all that waits was tried at all servers: not again at every event */
-			router->queueing.next_dispatch_at_ms = waits ? now + ROUTER_DISPATCH_INTERVAL_MS : 0;
+		/* no server has capacity for any waiting request: limits how often dispatch is tried again */
+		if (!next.queue) {
+			router->queueing.next_dispatch_at_ms =
+			    any_waiting ? now + ROUTER_DISPATCH_INTERVAL_MS : 0;
 			return;
 		}
 		dequeue(router, &next, now);
@@ -156,25 +162,28 @@
 
 	if (now >= request->client.deadline_at_ms) {
 		router->stats.refused_deadline++;
-		router_refuse(router, request, 503, "the limit passed before a send",
+		router_refuse(router, request, 503,
+			      "the deadline passed before the request was sent to a server",
 			      ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
-	if (request->attempt.server_index >= 0) { /* the place that was held for it */
+	if (request->attempt.server_index >= 0) { /* the slot that was reserved during the claim */
 		router->servers.states[request->attempt.server_index].own_running--;
 		request->attempt.server_index = -1;
 	}
 	if (!request->is_forwarded && now - request->claim.started_at_ms > ROUTER_CLAIM_MAX_AGE_MS) {
-		/* a claim must outlast what is sent under it */
-		router_refuse(router, request, 503, "no server could take it for long",
+		/* a claim must not expire while a request sent under it runs */
+		router_refuse(router, request, 503,
+			      "no server had capacity while the claim of this id was valid",
 			      ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
 	if (config_watch_age_ms(&router->config.watch, now) <= router_max_staleness_ms(router))
 		plan = choose_server(router, request, now);
+	/* returned to its queue if no server has capacity any more, or if the configuration has to be
+	 * confirmed first */
 	if (plan.server_index < 0)
-		router_queue_return(router, request,
-				    now); /* its place was taken, or configuration must be confirmed first */
+		router_queue_return(router, request, now);
 	else if (request->is_forwarded)
 		router_forward(router, request, &plan, now, out);
 	else
--- a/lib/data/router_limits.h
+++ b/lib/data/router_limits.h
@@ -79,8 +79,8 @@
 	ROUTER_AVOID_SERVER_MS = 300,
 	/* time without requests to a server after a failed connection */
 	ROUTER_UNREACHABLE_BACKOFF_MS = 1000,
-	ROUTER_FULL_SERVER_BACKOFF_MS =
-	    150,                   /* the same after a server reported that it is full or loading weights */
+	/* the same after a server reported that it is full or loading weights */
+	ROUTER_FULL_SERVER_BACKOFF_MS = 150,
 	ROUTER_RETRY_FAST_MS = 60, /* retry-after time when a single server rejected the request */
 	ROUTER_RETRY_AFTER_MIN_MS = 500,
 	ROUTER_RETRY_AFTER_MAX_MS = 30000,
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -1,7 +1,7 @@
-/* router_metrics: what a router counts, in the Prometheus text format, and sums of decisions in an
- * experiment's log. Written by hand: a library's registry would hold every series twice, and memory at
- * routers is scarce, while the format is a line a value. Names, labels and help texts are an interface for
- * operators and keep their form; tests/plot_decisions reads the log. */
+/* router_metrics: metrics of a router in the Prometheus text format, and sums of placement decisions in the
+ * log of an experiment. Written by hand: the registry of a library would hold every series twice, and memory
+ * at routers is scarce, while the format takes one line for each value. Names, labels and help texts are an
+ * interface for operators and must not change; tests/plot_decisions reads the log. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -18,21 +18,21 @@
 							    "client_gone" };
 
 enum {
-	MAX_LINE = 400, /* bytes; a longer one is cut */
-	MAX_LABEL = 200,
-	MAX_LOG_LINE = 700
+	MAX_LINE_BYTES = 400, /* a longer line is truncated */
+	MAX_LABEL_BYTES = 200,
+	MAX_LOG_LINE_BYTES = 700
 };
 
-/* ---- text ------------------------------------------------------------------------------------ */
+/* ---- text --------------------------------------------------------------------------------- */
 
-/* Text that grows. */
+/* Text that grows as lines are added. */
 struct text_buffer {
 	char *data; /* stb_ds */
 };
 
 static void __attribute__((format(printf, 2, 3))) add_line(struct text_buffer *text, const char *format, ...)
 {
-	char line[MAX_LINE];
+	char line[MAX_LINE_BYTES];
 	va_list args;
 	int n;
 
@@ -47,7 +47,7 @@
 	memcpy(arraddnptr(text->data, (size_t)n), line, (size_t)n);
 }
 
-static void add_head(struct text_buffer *text, const char *name, const char *kind, const char *help)
+static void add_help_and_type(struct text_buffer *text, const char *name, const char *kind, const char *help)
 {
 	add_line(text, "# HELP notchlug_%s %s", name, help);
 	add_line(text, "# TYPE notchlug_%s %s", name, kind);
@@ -56,12 +56,12 @@
 static void add_value(struct text_buffer *text, const char *name, const char *kind, const char *help,
 		      double value)
 {
-	add_head(text, name, kind, help);
+	add_help_and_type(text, name, kind, help);
 	add_line(text, "notchlug_%s %.10g", name, value);
 }
 
-/* A label's value may hold anything; the format escapes three characters. */
-static const char *label(const char *value, char *escaped, size_t size)
+/* Escapes a label value: the format escapes double quotes, backslashes and line feeds. */
+static const char *escape_label(const char *value, char *escaped, size_t size)
 {
 	size_t n = 0;
 
@@ -95,7 +95,7 @@
 	add_line(text, "notchlug_%s_count{route=\"%s\"} %" PRIu64, name, route, total);
 }
 
-/* ---- decisions ------------------------------------------------------------------------------- */
+/* ---- decisions ---------------------------------------------------------------------------- */
 
 struct decision_counts *router_decision_counts_of(struct router *router, const struct client_request *request)
 {
@@ -109,35 +109,37 @@
 	return *counts;
 }
 
-static void add_reasons(struct text_buffer *text, const struct router *router)
+static void add_decision_reasons(struct text_buffer *text, const struct router *router)
 {
-	char route[MAX_LABEL];
+	char route[MAX_LABEL_BYTES];
 
-	add_head(text, "decisions_total", "counter",
-		 "Sends to servers, by route and by why the server was chosen.");
-	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
-		const struct decision_counts *counts = router->records.decision_counts[l];
+	add_help_and_type(text, "decisions_total", "counter",
+			  "Sends to servers, by route and by why the server was chosen.");
+	for (ptrdiff_t route_index = 0; route_index < arrlen(router->records.decision_counts);
+	     route_index++) {
+		const struct decision_counts *counts = router->records.decision_counts[route_index];
 
 		for (int i = 0; counts && i < DECISION_REASONS; i++)
 			add_line(text, "notchlug_decisions_total{route=\"%s\",reason=\"%s\"} %" PRIu64,
-				 label(router->names.routes.names[l], route, sizeof route), reason_name[i],
-				 counts->decisions[i]);
+				 escape_label(router->names.routes.names[route_index], route, sizeof route),
+				 reason_name[i], counts->decisions[i]);
 	}
 }
 
-static void add_facts(struct text_buffer *text, const struct router *router)
+static void add_decision_facts(struct text_buffer *text, const struct router *router)
 {
-	char route[MAX_LABEL];
+	char route[MAX_LABEL_BYTES];
 
-	add_head(
+	add_help_and_type(
 	    text, "decision_facts_total", "counter",
 	    "Of those: to older weights, with an answered or a missed lookup, ended without a first piece.");
-	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
-		const struct decision_counts *counts = router->records.decision_counts[l];
+	for (ptrdiff_t route_index = 0; route_index < arrlen(router->records.decision_counts);
+	     route_index++) {
+		const struct decision_counts *counts = router->records.decision_counts[route_index];
 
 		if (!counts)
 			continue;
-		label(router->names.routes.names[l], route, sizeof route);
+		escape_label(router->names.routes.names[route_index], route, sizeof route);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"older_weights\"} %" PRIu64,
 			 route, counts->older_weights);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"looked_up\"} %" PRIu64,
@@ -149,19 +151,21 @@
 	}
 }
 
-static void add_tokens(struct text_buffer *text, const struct router *router)
+static void add_prompt_tokens(struct text_buffer *text, const struct router *router)
 {
-	char route[MAX_LABEL];
+	char route[MAX_LABEL_BYTES];
 
-	add_head(text, "prompt_tokens_total", "counter",
-		 "Prompt tokens as decided: kept at the server, fetched, read there, and of those read the "
-		 "shared ones.");
-	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
-		const struct decision_counts *counts = router->records.decision_counts[l];
+	add_help_and_type(
+	    text, "prompt_tokens_total", "counter",
+	    "Prompt tokens as decided: kept at the server, fetched, read there, and of those read the "
+	    "shared ones.");
+	for (ptrdiff_t route_index = 0; route_index < arrlen(router->records.decision_counts);
+	     route_index++) {
+		const struct decision_counts *counts = router->records.decision_counts[route_index];
 
 		if (!counts)
 			continue;
-		label(router->names.routes.names[l], route, sizeof route);
+		escape_label(router->names.routes.names[route_index], route, sizeof route);
 		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"kept\"} %" PRIu64, route,
 			 counts->cached_tokens);
 		add_line(text, "notchlug_prompt_tokens_total{route=\"%s\",how=\"fetched\"} %" PRIu64, route,
@@ -173,7 +177,7 @@
 	}
 }
 
-static void add_times(struct text_buffer *text, const struct router *router)
+static void add_time_histograms(struct text_buffer *text, const struct router *router)
 {
 	static const struct {
 		const char *name, *help;
@@ -188,40 +192,44 @@
 		{ "unexpected_ms", "What of that was beyond what was expected.",
 		  offsetof(struct decision_counts, unexpected_ms) },
 	};
-	char route[MAX_LABEL];
+	char route[MAX_LABEL_BYTES];
 
 	for (size_t i = 0; i < sizeof histograms / sizeof *histograms; i++) {
-		add_head(text, histograms[i].name, "histogram", histograms[i].help);
-		for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++) {
-			const char *counts = (const char *)router->records.decision_counts[l];
+		add_help_and_type(text, histograms[i].name, "histogram", histograms[i].help);
+		for (ptrdiff_t route_index = 0; route_index < arrlen(router->records.decision_counts);
+		     route_index++) {
+			const char *counts = (const char *)router->records.decision_counts[route_index];
 
 			if (counts)
 				add_histogram(
 				    text, histograms[i].name,
-				    label(router->names.routes.names[l], route, sizeof route),
+				    escape_label(router->names.routes.names[route_index], route,
+						 sizeof route),
 				    (const struct decision_histogram *)(counts + histograms[i].offset));
 		}
 	}
 }
 
-/* ---- state ----------------------------------------------------------------------------------- */
+/* ---- state of the router ------------------------------------------------------------------ */
 
-static void add_requests(struct text_buffer *text, const struct router *router)
+static void add_request_gauges(struct text_buffer *text, const struct router *router)
 {
-	uint32_t waiting = 0, running = 0;
+	uint32_t waiting_count = 0, running_count = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
-		waiting += router->queueing.queues[i].length;
-	for (uint32_t s = 0; router->config.server_table && s < router->config.server_table->server_count;
-	     s++)
-		running += (uint32_t)router->servers.states[s].own_running;
-	add_value(text, "waiting_requests", "gauge", "Requests that wait in this router.", waiting);
-	add_value(text, "running_requests", "gauge", "Requests that this router has at servers.", running);
+		waiting_count += router->queueing.queues[i].length;
+	for (uint32_t server_index = 0;
+	     router->config.server_table && server_index < router->config.server_table->server_count;
+	     server_index++)
+		running_count += (uint32_t)router->servers.states[server_index].own_running;
+	add_value(text, "waiting_requests", "gauge", "Requests that wait in this router.", waiting_count);
+	add_value(text, "running_requests", "gauge", "Requests that this router has at servers.",
+		  running_count);
 }
 
 static void add_state(struct text_buffer *text, const struct router *router, int64_t now)
 {
-	add_requests(text, router);
+	add_request_gauges(text, router);
 	add_value(text, "index_copies", "gauge", "Copies of prompt parts in the index.",
 		  (double)router->cache.index.replica_count);
 	add_value(text, "index_untold_servers", "gauge",
@@ -247,8 +255,8 @@
 
 static void add_mechanisms(struct text_buffer *text, const struct router *router)
 {
-	add_head(text, "mechanism_on", "gauge",
-		 "Whether a mechanism is in use; an experiment may switch one off.");
+	add_help_and_type(text, "mechanism_on", "gauge",
+			  "Whether a mechanism is in use; an experiment may switch one off.");
 	for (int m = 0; m < MECHANISMS; m++)
 		add_line(text, "notchlug_mechanism_on{name=\"%s\"} %d", mechanism_info[m].name,
 			 mechanism_in_use(router, (enum mechanism)m));
@@ -259,24 +267,24 @@
 	struct text_buffer text = { NULL };
 	const char *copy;
 
-	add_head(&text, "requests_total", "counter", "Requests that ended, by outcome.");
+	add_help_and_type(&text, "requests_total", "counter", "Requests that ended, by outcome.");
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
 		add_line(&text, "notchlug_requests_total{outcome=\"%s\"} %" PRIu64, outcome_name[i],
 			 router->stats.outcomes[i]);
 	add_state(&text, router, now);
 	add_mechanisms(&text, router);
-	add_reasons(&text, router);
-	add_facts(&text, router);
-	add_tokens(&text, router);
-	add_times(&text, router);
+	add_decision_reasons(&text, router);
+	add_decision_facts(&text, router);
+	add_prompt_tokens(&text, router);
+	add_time_histograms(&text, router);
 	copy = apr_pstrmemdup(pool, text.data, (size_t)arrlen(text.data));
 	arrfree(text.data);
 	return copy;
 }
 
-/* ---- the log of an experiment ---------------------------------------------------------------- */
+/* ---- the log of an experiment ------------------------------------------------------------- */
 
-static uint64_t observed(const struct decision_histogram *histogram)
+static uint64_t observation_count(const struct decision_histogram *histogram)
 {
 	uint64_t count = 0;
 
@@ -285,25 +293,26 @@
 	return count;
 }
 
-/* Totals of one route since this process began, as words and numbers in turn. */
-static void log_route(struct router *router, ptrdiff_t route_index)
+/* Logs the totals of one route since the start of this process, as alternating words and numbers. */
+static void log_route_totals(struct router *router, ptrdiff_t route_index)
 {
 	const struct decision_counts *counts = router->records.decision_counts[route_index];
-	char line[MAX_LOG_LINE];
+	char line[MAX_LOG_LINE_BYTES];
 	int length = snprintf(line, sizeof line, "route %.60s", router->names.routes.names[route_index]);
 
 	for (int i = 0; i < DECISION_REASONS; i++)
 		length += snprintf(line + length, sizeof line - (size_t)length, " %s %" PRIu64,
 				   reason_name[i], counts->decisions[i]);
-	snprintf(
-	    line + length, sizeof line - (size_t)length,
-	    " older %" PRIu64 " looked_up %" PRIu64 " missed %" PRIu64 " failed %" PRIu64 " t_kept %" PRIu64
-	    " t_fetched %" PRIu64 " t_read %" PRIu64 " t_shared %" PRIu64 " queue_ms %" PRIu64
-	    " expected_ms %" PRIu64 " first_ms %" PRIu64 " firsts %" PRIu64 " over_ms %" PRIu64,
-	    counts->older_weights, counts->lookups_answered, counts->lookups_missed, counts->no_first_chunk,
-	    counts->cached_tokens, counts->fetched_tokens, counts->prefill_tokens,
-	    counts->shared_prefill_tokens, counts->queue_ms.sum_ms, counts->expected_ms.sum_ms,
-	    counts->first_chunk_ms.sum_ms, observed(&counts->first_chunk_ms), counts->unexpected_ms.sum_ms);
+	snprintf(line + length, sizeof line - (size_t)length,
+		 " older %" PRIu64 " looked_up %" PRIu64 " missed %" PRIu64 " failed %" PRIu64
+		 " t_kept %" PRIu64 " t_fetched %" PRIu64 " t_read %" PRIu64 " t_shared %" PRIu64
+		 " queue_ms %" PRIu64 " expected_ms %" PRIu64 " first_ms %" PRIu64 " firsts %" PRIu64
+		 " over_ms %" PRIu64,
+		 counts->older_weights, counts->lookups_answered, counts->lookups_missed,
+		 counts->no_first_chunk, counts->cached_tokens, counts->fetched_tokens,
+		 counts->prefill_tokens, counts->shared_prefill_tokens, counts->queue_ms.sum_ms,
+		 counts->expected_ms.sum_ms, counts->first_chunk_ms.sum_ms,
+		 observation_count(&counts->first_chunk_ms), counts->unexpected_ms.sum_ms);
 	router->log(router->log_context, "decisions", line);
 }
 
@@ -313,7 +322,7 @@
 	    now - router->records.decisions_logged_at_ms < ROUTER_DECISIONS_LOG_INTERVAL_MS)
 		return;
 	router->records.decisions_logged_at_ms = now;
-	for (ptrdiff_t l = 0; l < arrlen(router->records.decision_counts); l++)
-		if (router->records.decision_counts[l])
-			log_route(router, l);
+	for (ptrdiff_t route_index = 0; route_index < arrlen(router->records.decision_counts); route_index++)
+		if (router->records.decision_counts[route_index])
+			log_route_totals(router, route_index);
 }
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -1,7 +1,7 @@
-/* router_outcome: the table of requests, and how requests end. Every request that is received ends in exactly
- * one outcome, through router_request_end, or through router_decline when it was never queued. Nothing else
- * gives a client its final answer or takes a request out of the router's tables. Invariant: received == the
- * sum of outcomes + requests under way (router_balanced). */
+/* router_outcome: the table of requests, and the end of requests. Every request that is received ends with
+ * exactly one outcome, through router_request_end, or through router_decline if it was never queued. No other
+ * code sends a client its final answer or removes a request from the router's tables. Invariant: received ==
+ * the sum of outcomes + requests in progress (router_balanced). */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,15 +10,15 @@
 #include "containers.h"
 
 enum {
-	STATUS_TIMED_OUT = 408,
+	STATUS_REQUEST_TIMEOUT = 408,
 	STATUS_CONFLICT = 409,
-	STATUS_MISDIRECTED = 421,
-	STATUS_TOO_MANY = 429,
+	STATUS_MISDIRECTED_REQUEST = 421,
+	STATUS_TOO_MANY_REQUESTS = 429,
 	STATUS_BAD_GATEWAY = 502,
-	STATUS_UNAVAILABLE = 503
+	STATUS_SERVICE_UNAVAILABLE = 503
 };
 
-/* ---- the table ------------------------------------------------------------------------------- */
+/* ---- the table ---------------------------------------------------------------------------- */
 
 struct client_request *router_request_by_token(struct router *router, uint64_t token)
 {
@@ -42,8 +42,8 @@
 	hmput(router->requests.by_token, request->client.token, request);
 }
 
-/* What a request holds besides its place in the table: a place in its queue, or a slot and a share of a
- * server. */
+/* Releases the resources of a request: its place in a queue, or its quota slots and its share of a server's
+ * load, and a retry reserved in the budget. */
 static void release_resources(struct router *router, struct client_request *request)
 {
 	if (request->state == REQUEST_WAITING) {
@@ -62,11 +62,11 @@
 	}
 	if (request->retry.budget_reserved)
 		router->quota.retry_budget[request->route.service_index] +=
-		    ROUTER_RETRY_COST_MILLI; /* never sent again */
+		    ROUTER_RETRY_COST_MILLI; /* the reserved retry will not be sent */
 }
 
-/* Takes a request out of everything and frees it; its client has been answered before. */
-static void request_drop(struct router *router, struct client_request *request)
+/* Removes a request from all tables and frees it. Its client must have been answered before. */
+static void remove_and_free_request(struct router *router, struct client_request *request)
 {
 	release_resources(router, request);
 	(void)hmdel(router->requests.by_token, request->client.token);
@@ -83,32 +83,32 @@
 void router_requests_discard(struct router *router)
 {
 	while (arrlen(router->requests.all))
-		request_drop(router, router->requests.all[0]);
+		remove_and_free_request(router, router->requests.all[0]);
 }
 
 bool router_balanced(const struct router *router)
 {
-	uint64_t sum = (uint64_t)arrlen(router->requests.all);
+	uint64_t accounted_requests = (uint64_t)arrlen(router->requests.all);
 
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
-		sum += router->stats.outcomes[i];
-	return sum == router->stats.received;
+		accounted_requests += router->stats.outcomes[i];
+	return accounted_requests == router->stats.received;
 }
 
-/* ---- answers to clients ---------------------------------------------------------------------- */
+/* ---- answers to clients ------------------------------------------------------------------- */
 
-/* A server may have begun on it, or its client has a part of an answer: it can no longer be said that it
- * never ran. */
+/* Whether a server may have started the request or its client has received part of an answer: then it can no
+ * longer be reported as never run. */
 static bool may_have_run(const struct client_request *request)
 {
 	return request->state == REQUEST_RUNNING || request->stream.has_begun || request->retry.may_have_run;
 }
 
-/* Statuses that promise that the request never ran and never will. */
-static bool promises_not_run(int status)
+/* Whether a status guarantees to the client that the request never ran and never will. */
+static bool guarantees_not_run(int status)
 {
-	return status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY || status == STATUS_TIMED_OUT ||
-	       status == STATUS_MISDIRECTED;
+	return status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_TOO_MANY_REQUESTS ||
+	       status == STATUS_REQUEST_TIMEOUT || status == STATUS_MISDIRECTED_REQUEST;
 }
 
 const char *router_error_body(apr_pool_t *pool, const char *reason, const char *outcome)
@@ -133,9 +133,9 @@
 	command->args.stream_chunk.success = complete;
 }
 
-/* Refused or rejected: nothing of it has run, except where another request holds the id: that one may be
- * running. */
-static void send_refusal(uint64_t token, const struct request_ending *ending, struct command_list *out)
+/* Answers a request that was refused or rejected. It has not run, unless another request holds its id: that
+ * one may be running. */
+static void send_refusal_answer(uint64_t token, const struct request_ending *ending, struct command_list *out)
 {
 	const char *outcome = ending->status == STATUS_CONFLICT ? "claimed" : "refused";
 	int retry_after_ms = ending->outcome == REQUEST_REFUSED ? ending->retry_after_ms : 0;
@@ -144,8 +144,8 @@
 		       router_error_body(out->pool, ending->reason, outcome));
 }
 
-static void send_broken_off(const struct client_request *request, const struct request_ending *ending,
-			    struct command_list *out)
+static void send_broken_off_answer(const struct client_request *request, const struct request_ending *ending,
+				   struct command_list *out)
 {
 	const char *body = router_error_body(out->pool, ending->reason, "unknown");
 
@@ -153,7 +153,7 @@
 		end_stream(request->client.token, body, false, out);
 	else
 		command_answer(out, request->client.token,
-			       promises_not_run(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0,
+			       guarantees_not_run(ending->status) ? STATUS_BAD_GATEWAY : ending->status, 0,
 			       body);
 }
 
@@ -163,7 +163,7 @@
 		command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
 }
 
-/* ---- endings --------------------------------------------------------------------------------- */
+/* ---- endings ------------------------------------------------------------------------------ */
 
 void router_request_end(struct router *router, struct client_request *request,
 			const struct request_ending *ending, int64_t now, struct command_list *out)
@@ -172,12 +172,12 @@
 
 	if ((outcome == REQUEST_REFUSED || outcome == REQUEST_REJECTED) && may_have_run(request))
 		outcome = REQUEST_BROKEN_OFF;
-	/* the id may be used again, unless another request holds it or this one may have run */
+	/* Makes the id available again, unless another request holds it or this request may have run. */
 	if (request->claim.token && ending->status != STATUS_CONFLICT && outcome != REQUEST_ANSWERED &&
 	    !may_have_run(request))
 		router_claim_release(router, request, now, out);
 	switch (outcome) {
-	case REQUEST_ANSWERED: /* the text of a forwarded one has gone through the front end */
+	case REQUEST_ANSWERED: /* the front end has already sent the answer to a forwarded request */
 		if (!request->is_forwarded)
 			end_stream(request->client.token, ending->reason, true, out);
 		router_usage_of(router, request)->value.requests++;
@@ -185,25 +185,25 @@
 		break;
 	case REQUEST_REFUSED:
 	case REQUEST_REJECTED:
-		send_refusal(request->client.token, ending, out);
+		send_refusal_answer(request->client.token, ending, out);
 		break;
 	case REQUEST_BROKEN_OFF:
 		cancel_call(request, out);
-		send_broken_off(request, ending, out);
+		send_broken_off_answer(request, ending, out);
 		router_usage_of(router, request)->value.errors++;
 		break;
 	default:
-		cancel_call(request, out); /* its client has disconnected: nobody is answered */
+		cancel_call(request, out); /* the client has disconnected: there is no one to answer */
 	}
 	router->stats.outcomes[outcome]++;
-	request_drop(router, request);
+	remove_and_free_request(router, request);
 }
 
 void router_decline(struct router *router, uint64_t token, const struct request_ending *ending,
 		    struct command_list *out)
 {
 	router->stats.outcomes[ending->outcome]++;
-	send_refusal(token, ending, out);
+	send_refusal_answer(token, ending, out);
 }
 
 void router_break_off(struct router *router, struct client_request *request, int status, const char *reason,
@@ -237,7 +237,7 @@
 {
 	if (may_have_run(request))
 		router_break_off(router, request, status, reason, now, out);
-	else if (promises_not_run(status))
+	else if (guarantees_not_run(status))
 		router_refuse(router, request, status, reason, ROUTER_RETRY_AFTER_MIN_MS, now, out);
 	else
 		router_reject(router, request, status, reason, now, out);
--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -1,6 +1,6 @@
-/* router_queue: the queues that requests wait in, one for each tenant on each route, in order of admission.
+/* router_queue: the queues of waiting requests, one for each tenant on each route, in order of admission.
  * Dispatch among queues follows stride scheduling (Waldspurger and Weihl 1995): each dispatch advances a
- * queue's pass by the inverse of its share. Invariant: a queue holds just those requests of its tenant and
+ * queue's pass by the inverse of its share. Invariant: a queue holds exactly the requests of its tenant and
  * route whose state is REQUEST_WAITING. */
 #include "router_internal.h"
 
@@ -30,19 +30,20 @@
 	return priority_class ? priority_class - 1 : routes->routes[queue->route_index].priority;
 }
 
-/* What heads of this queue usually take, and for the next of them no less than the time that it has already
- * waited. */
+/* Estimates the wait from the smoothed time between dispatches of heads. The present head is assumed to wait
+ * at least as long again as it has already waited. */
 double router_expected_wait_ms(const struct request_queue *queue, uint32_t before, int64_t now)
 {
-	double waited = (double)(now - queue->head_waiting_since_ms);
-	double remaining = queue->dequeue_interval_ms - waited;
+	double waited_ms = (double)(now - queue->head_waiting_since_ms);
+	double remaining_ms = queue->dequeue_interval_ms - waited_ms;
 
-	return before * queue->dequeue_interval_ms + (waited > remaining ? waited : remaining);
+	return before * queue->dequeue_interval_ms + (waited_ms > remaining_ms ? waited_ms : remaining_ms);
 }
 
-/* A queue that was empty starts where the others of its class are: the time for which it was empty counts
- * neither as a wait nor as turns that it has left to others. */
-static void queue_begins(struct router *router, struct request_queue *queue, int64_t now)
+/* Prepares an empty queue for its first request. Its pass starts at the lowest pass of the other queues of
+ * its priority class, so that the time for which it was empty counts neither as a wait nor as unused
+ * dispatches. */
+static void activate_empty_queue(struct router *router, struct request_queue *queue, int64_t now)
 {
 	const struct route_table *routes = router->config.route_table;
 	uint32_t priority_class = router_priority_class_of(routes, queue);
@@ -64,17 +65,17 @@
 {
 	struct request_queue *queue =
 	    router_queue_of(router, request->route.index, request->route.tenant_index);
-	struct client_request **position = &queue->head;
+	struct client_request **link = &queue->head;
 
 	if (!queue->length)
-		queue_begins(router, queue, now);
+		activate_empty_queue(router, queue, now);
 	if (queue->tail && queue->tail->sequence < request->sequence)
-		position = &queue->tail->queueing.next_in_queue;
-	while (*position && (*position)->sequence < request->sequence)
-		position = &(*position)->queueing.next_in_queue;
+		link = &queue->tail->queueing.next_in_queue;
+	while (*link && (*link)->sequence < request->sequence)
+		link = &(*link)->queueing.next_in_queue;
 	request->state = REQUEST_WAITING;
-	request->queueing.next_in_queue = *position;
-	*position = request;
+	request->queueing.next_in_queue = *link;
+	*link = request;
 	if (!request->queueing.next_in_queue)
 		queue->tail = request;
 	queue->length++;
@@ -84,18 +85,18 @@
 {
 	struct request_queue *queue =
 	    router_queue_of(router, request->route.index, request->route.tenant_index);
-	struct client_request **position = &queue->head, *before = NULL;
+	struct client_request **link = &queue->head, *previous = NULL;
 
-	while (*position && *position != request) {
-		before = *position;
-		position = &(*position)->queueing.next_in_queue;
+	while (*link && *link != request) {
+		previous = *link;
+		link = &(*link)->queueing.next_in_queue;
 	}
-	if (!*position)
+	if (!*link)
 		return;
-	*position = request->queueing.next_in_queue;
+	*link = request->queueing.next_in_queue;
 	request->queueing.next_in_queue = NULL;
 	if (queue->tail == request)
-		queue->tail = before;
+		queue->tail = previous;
 	queue->length--;
 }
 
@@ -106,7 +107,7 @@
 
 	router_quota_release(router, request);
 	if (!queue->length)
-		queue_begins(router, queue, now);
+		activate_empty_queue(router, queue, now);
 	request->state = REQUEST_WAITING;
 	request->queueing.next_in_queue = queue->head;
 	queue->head = request;
@@ -118,16 +119,16 @@
 void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index,
 		       uint32_t tenant_index, int64_t now)
 {
-	bool waits = request->state == REQUEST_WAITING;
+	bool is_waiting = request->state == REQUEST_WAITING;
 
-	if (waits)
+	if (is_waiting)
 		router_queue_remove(router, request);
 	else
 		router_quota_release(router, request);
 	(void)router_queue_of(router, route_index, tenant_index);
 	request->route.index = route_index;
 	request->route.tenant_index = tenant_index;
-	if (waits)
+	if (is_waiting)
 		router_queue_insert(router, request, now);
 	else
 		router_quota_acquire(router, request);
--- a/lib/data/router_quota.c
+++ b/lib/data/router_quota.c
@@ -1,7 +1,7 @@
 /* router_quota: slots of the concurrency limits of tenants and routes. Controllers reserve slots of each
- * limit for this router (config_watch.h); a request holds one slot of its tenant and one of its queue from
- * when it leaves the queue until it ends or returns there. Invariant: no request leaves its queue without a
- * reserved slot of each limit that applies. */
+ * limit for this router (config_watch.h). A request holds one slot of its tenant and one of its queue from
+ * when it leaves the queue until it ends or is returned to the queue. Invariant: no request leaves its queue
+ * without a reserved slot of each limit that applies. */
 #include "router_internal.h"
 
 #include "containers.h"
@@ -18,8 +18,8 @@
 	router->quota.tenant_running[request->route.tenant_index]--;
 }
 
-/* Slots of a limit that are reserved for this router. */
-static uint32_t reserved_slots(const struct router *router, const char *name)
+/* The number of slots of a limit that are reserved for this router. */
+static uint32_t reserved_slot_count(const struct router *router, const char *name)
 {
 	struct config_watch_quota *quotas = router->config.watch.quotas;
 	ptrdiff_t i = shgeti(quotas, name);
@@ -30,19 +30,20 @@
 bool router_quota_has_slot(const struct router *router, const struct request_queue *queue)
 {
 	const struct route_table *routes = router->config.route_table;
-	uint32_t tenant = queue->tenant_index;
-	uint32_t share, limit;
+	uint32_t tenant_index = queue->tenant_index;
+	uint32_t share, concurrency_limit;
 
-	router_share_of(routes, queue->route_index, tenant, &share, &limit);
-	if (routes->tenants[tenant].concurrency_limit &&
-	    router->quota.tenant_running[tenant] >=
-		reserved_slots(router, router->names.tenants.names[tenant]))
+	router_share_of(routes, queue->route_index, tenant_index, &share, &concurrency_limit);
+	if (routes->tenants[tenant_index].concurrency_limit &&
+	    router->quota.tenant_running[tenant_index] >=
+		reserved_slot_count(router, router->names.tenants.names[tenant_index]))
 		return false;
-	return limit == UINT32_MAX || queue->running < reserved_slots(router, queue->name);
+	return concurrency_limit == UINT32_MAX || queue->running < reserved_slot_count(router, queue->name);
 }
 
-/* Adds a queue's use to the limit of this name. Returns whether the queue lacks slots of it. */
-static bool add_use(struct config_watch *watch, const char *name, const struct request_queue *queue)
+/* Adds a queue's used and needed slots to the limit with this name. Returns whether the queue needs more
+ * slots than are reserved. */
+static bool add_slot_usage(struct config_watch *watch, const char *name, const struct request_queue *queue)
 {
 	typeof(watch->quotas->value) *quota = config_watch_quota(watch, name);
 
@@ -63,16 +64,16 @@
 		watch->quotas[i].value.used = watch->quotas[i].value.requested = 0;
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
 		const struct request_queue *queue = &router->queueing.queues[i];
-		uint32_t share, limit;
+		uint32_t share, concurrency_limit;
 
 		if (!queue->length && !queue->running)
 			continue;
-		router_share_of(routes, queue->route_index, queue->tenant_index, &share, &limit);
+		router_share_of(routes, queue->route_index, queue->tenant_index, &share, &concurrency_limit);
 		if (routes->tenants[queue->tenant_index].concurrency_limit)
 			lacks_slots |=
-			    add_use(watch, router->names.tenants.names[queue->tenant_index], queue);
-		if (limit != UINT32_MAX)
-			lacks_slots |= add_use(watch, queue->name, queue);
+			    add_slot_usage(watch, router->names.tenants.names[queue->tenant_index], queue);
+		if (concurrency_limit != UINT32_MAX)
+			lacks_slots |= add_slot_usage(watch, queue->name, queue);
 	}
 	if (lacks_slots && now - watch->requested_at_ms >= ROUTER_QUOTA_REQUEST_INTERVAL_MS)
 		config_watch_poll(watch, router->relay.knowledge.horizon, now, out);
--- a/lib/data/router_retry.c
+++ b/lib/data/router_retry.c
@@ -1,35 +1,35 @@
-/* router_retry: whether a request whose send did not end completely goes to another server, and what clients
- * are told of when to come back. Each service has a retry budget: first sends add to it, a retry takes from
- * it, so that retries stay a bounded share of the traffic while servers fail. Invariant: a retry is taken
- * from the budget when it is decided on, and put back if it is never sent. */
+/* router_retry: decides whether a request whose attempt did not complete is sent to another server, and
+ * computes the retry-after times of answers. Each service has a retry budget: first attempts add to it and a
+ * retry takes from it, so that retries stay a bounded share of the traffic while servers fail. Invariant: a
+ * retry is taken from the budget when it is decided on, and returned to the budget if it is never sent. */
 #include "router_internal.h"
 
 #include "containers.h"
 
 int router_retry_fast_ms(struct router *router, int ms)
 {
-	uint64_t draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
+	uint64_t jitter_draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
 
-	return ms + (int)(draw % (uint64_t)(ms / 2 + 1));
+	return ms + (int)(jitter_draw % (uint64_t)(ms / 2 + 1));
 }
 
 int router_retry_after_ms(struct router *router, double ms)
 {
-	uint64_t draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
-	int64_t least_ms = (int64_t)ms;
+	uint64_t jitter_draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
+	int64_t base_ms = (int64_t)ms;
 
 	if (ms < ROUTER_RETRY_AFTER_MIN_MS)
-		least_ms = ROUTER_RETRY_AFTER_MIN_MS;
+		base_ms = ROUTER_RETRY_AFTER_MIN_MS;
 	else if (ms > ROUTER_RETRY_AFTER_MAX_MS)
-		least_ms = ROUTER_RETRY_AFTER_MAX_MS;
-	return (int)(least_ms + (int64_t)(draw % (uint64_t)least_ms));
+		base_ms = ROUTER_RETRY_AFTER_MAX_MS;
+	return (int)(base_ms + (int64_t)(jitter_draw % (uint64_t)base_ms));
 }
 
-/* ---- the budget ------------------------------------------------------------------------------ */
+/* ---- the budget --------------------------------------------------------------------------- */
 
-/* Retries that may be saved up: a router's part of what the fleet may retry at once beside its share of the
- * traffic. */
-static int64_t budget_cap(const struct router *router)
+/* The maximum of a service's retry budget, in thousandths: this router's share of the retries that the fleet
+ * may make at once in excess of its share of the traffic. */
+static int64_t retry_budget_max_milli(const struct router *router)
 {
 	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
 
@@ -40,17 +40,18 @@
 
 void router_retry_earn(struct router *router, uint32_t service_index)
 {
-	int64_t *budget = &router->quota.retry_budget[service_index];
-	int64_t cap = budget_cap(router);
-
-	*budget += router->config.bounds.discover_instances
-		       ? router->config.bounds.retry_budget_permille * 3 / 4
-		       : ROUTER_RETRY_EARNED_PER_SEND_MILLI;
-	if (*budget > cap)
-		*budget = cap;
+	int64_t *budget_milli = &router->quota.retry_budget[service_index];
+	int64_t max_milli = retry_budget_max_milli(router);
+
+	*budget_milli += router->config.bounds.discover_instances
+			     ? router->config.bounds.retry_budget_permille * 3 / 4
+			     : ROUTER_RETRY_EARNED_PER_SEND_MILLI;
+	if (*budget_milli > max_milli)
+		*budget_milli = max_milli;
 }
 
-/* Reserved at once: the request may wait in its queue, and others be decided on meanwhile. */
+/* Takes a retry from the budget as soon as it is decided on, because the request may wait in its queue while
+ * other retries are decided on. */
 static void reserve_retry(struct router *router, struct client_request *request)
 {
 	request->retry.budget_reserved = request->retry.attempt_count > 0;
@@ -60,7 +61,7 @@
 	router->stats.resumed += request->stream.has_begun != 0;
 }
 
-/* ---- another send ---------------------------------------------------------------------------- */
+/* ---- another attempt ---------------------------------------------------------------------- */
 
 void router_release_server(struct router *router, struct client_request *request, int64_t now)
 {
@@ -79,17 +80,17 @@
 	request->state = REQUEST_CLAIMING;
 }
 
-/* Whether a request may be sent again at all after a send that may have run. A stream that the client has a
- * part of continues only behind an event whose id is known. */
-static bool may_repeat(const struct client_request *request)
+/* Whether a request that may have run can be sent again. A stream that has begun can be resumed only after an
+ * event whose id is known. */
+static bool may_resend_after_start(const struct client_request *request)
 {
 	if (request->stream.has_begun)
 		return request->route.resumable && request->stream.last_event_id;
 	return request->route.idempotent || request->route.resumable;
 }
 
-/* Whether another server may have it: within its own bounds and its service's budget. */
-static bool may_retry(const struct router *router, const struct client_request *request, int64_t now)
+/* Whether another attempt is allowed by the limits of the request and the retry budget of its service. */
+static bool has_retry_left(const struct router *router, const struct client_request *request, int64_t now)
 {
 	return request->retry.attempt_count < request->retry.max_attempts &&
 	       request->retry.unreachable_count < ROUTER_MAX_UNREACHABLE_SENDS &&
@@ -102,10 +103,11 @@
 			 struct command_list *out)
 {
 	router_release_server(router, request, now);
-	if (!not_started && !may_repeat(request)) {
+	if (!not_started && !may_resend_after_start(request)) {
 		router_break_off(router, request, 502, "the server's answer broke off", now, out);
-	} else if (!may_retry(router, request, now)) {
-		router_refuse(router, request, 503, "the server did not take it, and it may go to no other",
+	} else if (!has_retry_left(router, request, now)) {
+		router_refuse(router, request, 503,
+			      "the server did not serve the request, and no further attempt is allowed",
 			      ROUTER_RETRY_FAST_MS, now, out);
 	} else {
 		reserve_retry(router, request);
@@ -120,6 +122,7 @@
 	command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
 	(void)hmdel(router->requests.by_token, request->attempt.call_token);
 	request->attempt.call_token = 0;
-	request->retry.may_have_run = true; /* it may have begun just now */
+	/* the server may have started the request just before the cancellation */
+	request->retry.may_have_run = true;
 	router_retry_or_end(router, request, false, now, out);
 }
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -1,6 +1,6 @@
-/* router_route_table: builds the route table from the configuration's rows. Two passes: the first gives
- * every name its index, so that the arrays have their size; the second fills them. A table is immutable
- * once built. */
+/* router_route_table: builds the route table from the rows of the configuration, in two passes: the first
+ * assigns an index to every name, which determines the sizes of the arrays; the second fills the arrays. A
+ * table is immutable once built. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -36,7 +36,7 @@
 	*limit = i >= 0 ? shares[i].value.concurrency_limit : UINT32_MAX;
 }
 
-/* ---- the first pass -------------------------------------------------------------------------- */
+/* ---- first pass: indices of names --------------------------------------------------------- */
 
 static void add_names(struct router *router, const struct Nl__Row *row)
 {
@@ -65,7 +65,7 @@
 	}
 }
 
-static struct route_table *table_alloc(struct router *router)
+static struct route_table *allocate_route_table(struct router *router)
 {
 	apr_pool_t *pool;
 	struct route_table *routes;
@@ -85,9 +85,9 @@
 	return routes;
 }
 
-/* ---- the second pass ------------------------------------------------------------------------- */
+/* ---- second pass: contents of the table --------------------------------------------------- */
 
-static void route_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
+static void add_route(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	uint32_t route_index = names_id(&router->names.routes, row->name);
 	uint32_t cumulative_weight = 0;
@@ -124,7 +124,7 @@
 		      route_index);
 }
 
-static void tenant_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
+static void add_tenant(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	routes->tenants[names_id(&router->names.tenants, row->name)] = (struct tenant_config){
 		.is_configured = true,
@@ -135,17 +135,18 @@
 	};
 	routes->has_limits |= row->limit != 0;
 	if (row->isolated)
-		routes->isolation_hash += core_hash_string(
-		    ISOLATION_HASH_SEED, row->name); /* a sum: the order of rows does not matter */
+		/* a sum, so that the order of rows does not matter */
+		routes->isolation_hash += core_hash_string(ISOLATION_HASH_SEED, row->name);
 }
 
-/* The offload store of a service's row, as a server. */
-static int store_index(struct router *router, const struct route_table *routes, const struct Nl__Row *row)
+/* The server index of the offload store of a service's row. */
+static int store_server_index(struct router *router, const struct route_table *routes,
+			      const struct Nl__Row *row)
 {
 	return (int)names_id(&router->names.servers, apr_pstrcat(routes->pool, "store:", row->name, NULL));
 }
 
-static void service_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
+static void add_service(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	const struct Nl__Row *model =
 	    row->model[0] ? config_table_get(&router->config.watch.table, NL__KIND__MODEL, row->model) : NULL;
@@ -168,12 +169,13 @@
 	if (!row->addr[0])
 		return;
 	if (row->store_bytes_per_ms)
-		service->store_server = store_index(router, routes, row);
-	else if (router->config.bounds.discover_instances) /* a store itself, not a service that has one */
-		routes->stores[routes->store_count++] = store_index(router, routes, row);
+		service->store_server = store_server_index(router, routes, row);
+	else if (router->config.bounds.discover_instances)
+		/* the row describes a store, not a service that has one */
+		routes->stores[routes->store_count++] = store_server_index(router, routes, row);
 }
 
-static void share_row(const struct router *router, struct route_table *routes, const struct Nl__Row *row)
+static void add_share(const struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	typeof(routes->shares->value) share = { row->share, row->limit };
 	const char *slash = strchr(row->name, '/');
@@ -189,7 +191,7 @@
 		hmput(routes->shares, (uint64_t)route_index << 32 | (uint64_t)tenant_index, share);
 }
 
-static void listener_row(struct route_table *routes, const struct Nl__Row *row)
+static void set_listener_limits(struct route_table *routes, const struct Nl__Row *row)
 {
 	routes->listener.max_head_bytes = row->max_head_bytes;
 	routes->listener.max_body_bytes = row->max_body_bytes;
@@ -201,35 +203,35 @@
 {
 	switch (row->kind) {
 	case NL__KIND__ROUTE:
-		route_row(router, routes, row);
+		add_route(router, routes, row);
 		break;
 	case NL__KIND__TENANT:
-		tenant_row(router, routes, row);
+		add_tenant(router, routes, row);
 		break;
 	case NL__KIND__KEY:
 		shput(routes->keys, row->name, names_id(&router->names.tenants, row->tenant));
 		routes->has_keys = true;
 		break;
 	case NL__KIND__SERVICE:
-		service_row(router, routes, row);
+		add_service(router, routes, row);
 		break;
 	case NL__KIND__RETENTION:
 		router_scope_row(router, routes, row);
 		break;
 	case NL__KIND__LISTENER:
-		listener_row(routes, row);
+		set_listener_limits(routes, row);
 		break;
 	case NL__KIND__SHARE:
-		share_row(router, routes, row);
+		add_share(router, routes, row);
 		break;
 	default:
 		break;
 	}
 }
 
-/* A service that is new, or configured again, has its time to be seen with servers, whenever one of it last
- * served. */
-static void services_return(struct router *router, const struct route_table *routes, int64_t now)
+/* Restarts the time within which a new service, or one that is configured again, has to show a serving
+ * server, regardless of when it last had one. */
+static void restart_service_grace(struct router *router, const struct route_table *routes, int64_t now)
 {
 	const struct route_table *old = router->config.route_table;
 
@@ -239,8 +241,8 @@
 			router->servers.last_serving_at_ms[i] = now;
 }
 
-/* The router's arrays by tenant and by service get places for what is new. */
-static void grow_arrays(struct router *router, const struct route_table *routes, int64_t now)
+/* Extends the router's arrays by tenant and by service for new names. */
+static void extend_arrays(struct router *router, const struct route_table *routes, int64_t now)
 {
 	while (arrlen(router->quota.tenant_running) < (ptrdiff_t)routes->tenant_count)
 		arrput(router->quota.tenant_running, 0);
@@ -257,14 +259,14 @@
 
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		add_names(router, table->rows[i].value.row);
-	routes = table_alloc(router);
+	routes = allocate_route_table(router);
 	routes->revision = table->revision;
 	routes->tenants[routes->anonymous_tenant] =
 	    (struct tenant_config){ .is_configured = true, .share = 1 };
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		add_row(router, routes, table->rows[i].value.row);
 	arrsetlen(router->retention.generations, 0);
-	grow_arrays(router, routes, now);
-	services_return(router, routes, now);
+	extend_arrays(router, routes, now);
+	restart_service_grace(router, routes, now);
 	return routes;
 }
--- a/lib/data/router_send_claimed.c
+++ b/lib/data/router_send_claimed.c
@@ -1,6 +1,6 @@
-/* router_send_claimed: sends of the product's own interface: the call to a server, with the cached blocks
- * that it may reuse and fetch, and its answer as lines of JSON. Invariant: a line is passed on only if it
- * names its send and is the next in order. */
+/* router_send_claimed: attempts over the product's own interface: the call to a server, with the cached
+ * blocks that it may reuse or fetch, and its answer as lines of JSON. Invariant: a line is sent to the client
+ * only if it carries the id of the newest attempt and the next sequence number. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -11,41 +11,41 @@
 void router_count_send(struct router *router, struct client_request *request, const struct plan *plan,
 		       int64_t now)
 {
-	uint64_t prompt = router_prompt_tokens(request),
-		 cached = router_tokens_of_blocks(request, plan->cached_blocks);
+	uint64_t prompt_tokens = router_prompt_tokens(request),
+		 cached_tokens = router_tokens_of_blocks(request, plan->cached_blocks);
 	struct usage_entry *usage = router_usage_of(router, request);
 
 	router->stats.sends++;
 	router_retry_earn(router, request->route.service_index);
-	router->stats.tokens += prompt;
-	router->stats.reused += cached;
+	router->stats.tokens += prompt_tokens;
+	router->stats.reused += cached_tokens;
 	if (plan->fetch_source >= 0)
-		router->stats.fetched += router_tokens_of_blocks(request, plan->fetch_end) - cached;
+		router->stats.fetched += router_tokens_of_blocks(request, plan->fetch_end) - cached_tokens;
 	router->stats.sends_without_cache += !relay_is_current(&router->relay, now);
-	usage->value.tokens += prompt;
-	usage->value.reused += cached;
+	usage->value.tokens += prompt_tokens;
+	usage->value.reused += cached_tokens;
 }
 
-/* ---- the call -------------------------------------------------------------------------------- */
+/* ---- the call ----------------------------------------------------------------------------- */
 
-static const char *hash_text(uint64_t hash, apr_pool_t *pool)
+static const char *format_hash(uint64_t hash, apr_pool_t *pool)
 {
 	return apr_psprintf(pool, "%016" APR_UINT64_T_HEX_FMT, hash);
 }
 
-/* Blocks [begin, end) as a server has them, for reuse there or for a fetch from it. */
+/* The block replicas [begin, end) that a server caches, for reuse there or for a fetch from it. */
 static struct json_object *replicas_json(struct router *router, const struct client_request *request,
-					 int server_index, int begin, int end, apr_pool_t *pool)
+					 int server_index, int begin_block, int end_block, apr_pool_t *pool)
 {
 	struct json_object *array = json_object_new_array();
 
-	for (int i = begin; i < end; i++) {
+	for (int i = begin_block; i < end_block; i++) {
 		uint64_t hash = request->prompt.block_hash[i];
 		const struct block_replica *replica = router_usable_replica(
 		    router, request, hash, (uint32_t)server_index, request->attempt.weights);
 		struct json_object *json = json_object_new_object();
 
-		json_object_object_add(json, "h", json_object_new_string(hash_text(hash, pool)));
+		json_object_object_add(json, "h", json_object_new_string(format_hash(hash, pool)));
 		json_object_object_add(
 		    json, "m", json_object_new_string(router->names.tenants.names[replica->tenant_index]));
 		json_object_object_add(json, "t", json_object_new_int64((int64_t)replica->stamp_tick));
@@ -62,21 +62,21 @@
 		struct json_object *json = json_object_new_object();
 
 		json_object_object_add(
-		    json, "h", json_object_new_string(hash_text(request->prompt.block_hash[i], pool)));
+		    json, "h", json_object_new_string(format_hash(request->prompt.block_hash[i], pool)));
 		json_object_object_add(json, "text", json_object_new_string(request->prompt.block_text[i]));
 		json_object_array_add(array, json);
 	}
 	return array;
 }
 
-/* A fetch may take no longer than prefill of the same blocks would. */
+/* Describes a fetch. The server waits for it no longer than prefill of the same blocks would take. */
 static struct json_object *fetch_json(struct router *router, const struct client_request *request,
 				      const struct plan *plan, apr_pool_t *pool)
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
-	uint64_t cached = router_tokens_of_blocks(request, plan->cached_blocks);
-	double prefill_ms = (double)(router_tokens_of_blocks(request, plan->fetch_end) - cached) /
+	uint64_t cached_tokens = router_tokens_of_blocks(request, plan->cached_blocks);
+	double prefill_ms = (double)(router_tokens_of_blocks(request, plan->fetch_end) - cached_tokens) /
 			    service->prefill_tokens_per_ms;
 	struct json_object *fetch = json_object_new_object();
 	int wait_ms;
@@ -159,15 +159,15 @@
 	command->args.call.body = call_body(router, request, plan, now, out->pool);
 	command->args.call.limit_ms = (int)(request->client.deadline_at_ms - now);
 	command->args.call.stream = 1;
-	/* a frozen process must not send what was decided before */
+	/* a process that was suspended must not send requests on decisions that are out of date */
 	command->args.call.not_after_ms =
 	    router->config.watch.fetched_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
 	router_count_send(router, request, plan, now);
 }
 
-/* ---- the answer ------------------------------------------------------------------------------ */
+/* ---- the answer --------------------------------------------------------------------------- */
 
-/* The server caches the prompt's blocks now, until a report says otherwise. */
+/* Adds the prompt's blocks to the prefix index as cached at the server, until a report says otherwise. */
 static void index_blocks(struct router *router, const struct client_request *request)
 {
 	const struct request_attempt *attempt = &request->attempt;
@@ -196,8 +196,8 @@
 	}
 }
 
-static void on_complete(struct router *router, struct client_request *request, int64_t now,
-			struct command_list *out)
+static void on_answer_complete(struct router *router, struct client_request *request, int64_t now,
+			       struct command_list *out)
 {
 	struct router_server_state *server = &router->servers.states[request->attempt.server_index];
 	const char *body =
@@ -210,8 +210,8 @@
 			   out);
 }
 
-static void pass_chunk_on(struct router *router, struct client_request *request, struct json_object *text,
-			  struct command_list *out)
+static void send_chunk_to_client(struct router *router, struct client_request *request,
+				 struct json_object *text, struct command_list *out)
 {
 	struct command *command = command_add(out, CMD_STREAM_CHUNK);
 
@@ -225,39 +225,43 @@
 	router->stats.chunks++;
 }
 
-/* Whether a line belongs to the newest send, and is the next one. */
-static bool is_next_line(const struct client_request *request, struct json_object *json)
+/* Whether a line carries the id of the newest attempt and the next sequence number. */
+static bool is_next_line_of_attempt(const struct client_request *request, struct json_object *json)
 {
-	struct json_object *v, *n;
+	struct json_object *attempt_id, *chunk_number;
 
-	if (!json_object_is_type(json, json_type_object) || !json_object_object_get_ex(json, "x", &v) ||
-	    !json_object_is_type(v, json_type_string) ||
-	    strcmp(json_object_get_string(v), request->attempt.id))
+	if (!json_object_is_type(json, json_type_object) ||
+	    !json_object_object_get_ex(json, "x", &attempt_id) ||
+	    !json_object_is_type(attempt_id, json_type_string) ||
+	    strcmp(json_object_get_string(attempt_id), request->attempt.id))
 		return false;
-	return json_object_object_get_ex(json, "n", &n) &&
-	       json_object_get_uint64(n) == request->stream.next_chunk;
+	return json_object_object_get_ex(json, "n", &chunk_number) &&
+	       json_object_get_uint64(chunk_number) == request->stream.next_chunk;
 }
 
 void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text,
 			    int64_t now, struct command_list *out)
 {
-	struct json_object *json = router_read_json(router, text), *member, *took;
+	struct json_object *json = router_read_json(router, text), *member, *fetch_ms_json;
 
-	if (!is_next_line(request, json)) {
+	if (!is_next_line_of_attempt(request, json)) {
 		router_break_off(router, request, 502, "the server's answer does not belong to this exchange",
 				 now, out);
 	} else if (json_object_object_get_ex(json, "end", &member)) {
-		if (request->attempt.fetch_source >= 0 && json_object_object_get_ex(json, "fetch_ms", &took))
-			router_record_fetch(router, request, json_object_get_int64(took),
+		if (request->attempt.fetch_source >= 0 &&
+		    json_object_object_get_ex(json, "fetch_ms", &fetch_ms_json))
+			router_record_fetch(router, request, json_object_get_int64(fetch_ms_json),
 					    json_object_object_get_ex(json, "fetched", &member)
 						? json_object_get_int(member)
 						: 0,
 					    now);
-		on_complete(router, request, now, out);
+		on_answer_complete(router, request, now, out);
 	} else if (json_object_object_get_ex(json, "t", &member)) {
-		pass_chunk_on(router, request, member, out);
+		send_chunk_to_client(router, request, member, out);
 	} else {
-		router_break_off(router, request, 502, "the server's answer is not whole", now, out);
+		router_break_off(router, request, 502,
+				 "the server sent a line that is neither a chunk nor the end of its answer",
+				 now, out);
 	}
 	if (json)
 		json_object_put(json);
@@ -272,17 +276,20 @@
 		router_break_off(router, request, 502, "the server's answer broke off", now, out);
 		return;
 	}
-	/* it surely never began: another server may have it, within the budget */
+	/* the server certainly did not start the request: another server may run it, within the budget */
 	if (status == 0)
 		router->servers.states[request->attempt.server_index].unavailable_until_ms =
 		    now + ROUTER_UNREACHABLE_BACKOFF_MS;
 	router_release_server(router, request, now);
 	if (router->quota.retry_budget[request->route.service_index] < ROUTER_RETRY_COST_MILLI) {
-		router_refuse(router, request, 503, "the server refused, and the budget for resends is spent",
-			      ROUTER_RETRY_AFTER_MIN_MS, now, out);
+		router_refuse(
+		    router, request, 503,
+		    "the server refused the request, and the retry budget of its service is exhausted",
+		    ROUTER_RETRY_AFTER_MIN_MS, now, out);
 		return;
 	}
-	/* a retry earns nothing: what router_count_send adds to the budget is taken off beforehand */
+	/* a retry adds nothing to the budget: the amount that router_count_send will add is subtracted here
+	 */
 	router->quota.retry_budget[request->route.service_index] -=
 	    ROUTER_RETRY_COST_MILLI + ROUTER_RETRY_EARNED_PER_SEND_MILLI;
 	router->stats.resends++;
--- a/lib/data/router_send_forwarded.c
+++ b/lib/data/router_send_forwarded.c
@@ -1,7 +1,7 @@
-/* router_send_forwarded: sends of forwarded requests. The front end holds the text and passes the answer on;
- * here it is decided whom to, until when, and under which cache namespace, and what the send's course says of
- * the server is learned. Invariant: no send leaves on configuration or weights whose bound has passed,
- * however late this process is scheduled. */
+/* router_send_forwarded: attempts of forwarded requests. The front end holds the text and sends the answer on
+ * to the client; this file sets the server, the deadlines and the cache namespace of an attempt, and updates
+ * the state of the server from the result. Invariant: no request is sent under a configuration or to weights
+ * whose bound has passed, however late this process is scheduled. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -10,68 +10,71 @@
 #include "containers.h"
 
 enum {
-	MIN_CONNECTIONS = 2,          /* to one server, of one router */
-	MAX_REPORTED_LOAD = 100000,   /* requests at one server; more is not believed */
-	MAX_WEIGHTS_NAME = 128,       /* bytes, its end included */
-	REPEATED_CONNECT_FAILURES = 3 /* after more of them a server is left alone for twice as long */
+	MIN_CONNECTIONS = 2,            /* of one router to one server */
+	MAX_REPORTED_REQUESTS = 100000, /* requests at one server; larger reports are ignored */
+	MAX_WEIGHTS_NAME_BYTES = 128,   /* including the terminating NUL */
+	REPEATED_CONNECT_FAILURES = 3   /* after more consecutive failures the backoff of a server doubles */
 };
 
-/* ---- the send -------------------------------------------------------------------------------- */
+/* ---- sending ------------------------------------------------------------------------------ */
 
-static uint32_t routers_of(const struct router *router)
+static uint32_t fleet_router_count(const struct router *router)
 {
 	return router->config.watch.router_count ? router->config.watch.router_count : 1;
 }
 
-/* How long a server may work at a request. Shortly before the end of its weights not longer than until then:
- * a server that goes on with a request after its connection has closed would begin it past their bound, and
- * rejects what its deadline has passed for. */
-static int server_limit(const struct router *router, const struct client_request *request, int64_t now)
+/* The time that a server has for a request. Shortly before the rollout bound of the server's weights, the
+ * time ends at that bound: a server that continues with a request after its connection has closed could
+ * otherwise begin the request past the bound. A server rejects requests whose deadline has passed. */
+static int server_timeout_ms(const struct router *router, const struct client_request *request, int64_t now)
 {
-	int64_t limit = request->client.deadline_at_ms - now;
-	int64_t weights =
+	int64_t timeout_ms = request->client.deadline_at_ms - now;
+	int64_t weights_end_ms =
 	    router_weights_end(router, request->route.service_index, request->attempt.weights, now);
 
-	if (weights != INT64_MAX && weights - now < ROUTER_ROLLOUT_DEADLINE_MARGIN_MS &&
-	    weights - now < limit)
-		limit = weights - now;
-	return (int)limit;
+	if (weights_end_ms != INT64_MAX && weights_end_ms - now < ROUTER_ROLLOUT_DEADLINE_MARGIN_MS &&
+	    weights_end_ms - now < timeout_ms)
+		timeout_ms = weights_end_ms - now;
+	return (int)timeout_ms;
 }
 
-/* When a request began to wait for its newest send. */
-static int64_t waiting_since(const struct client_request *request)
+/* When a request began to wait for its newest attempt. */
+static int64_t waiting_since_ms(const struct client_request *request)
 {
 	return request->queueing.returned_at_ms ? request->queueing.returned_at_ms
 						: request->client.received_at_ms;
 }
 
-/* What was decided and is expected of it. */
+/* Records the placement decision of an attempt and its expected cost. */
 static void record_decision(struct router *router, struct client_request *request, const struct plan *plan,
 			    int64_t now)
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
-	int shared = router_shared_blocks(request),
-	    have = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
-	uint64_t cached = router_tokens_of_blocks(request, plan->cached_blocks),
-		 available = router_tokens_of_blocks(request, have);
-	uint64_t uncached = have < shared ? router_tokens_of_blocks(request, shared) - available : 0;
+	int shared_blocks = router_shared_blocks(request),
+	    available_blocks = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
+	uint64_t cached_tokens = router_tokens_of_blocks(request, plan->cached_blocks),
+		 available_tokens = router_tokens_of_blocks(request, available_blocks);
+	uint64_t shared_prefill_tokens =
+	    available_blocks < shared_blocks
+		? router_tokens_of_blocks(request, shared_blocks) - available_tokens
+		: 0;
 	struct decision_counts *counts = router_decision_counts_of(router, request);
 
 	request->attempt.decision = (struct decision){
 		.reason = plan->reason,
 		.candidates = plan->candidates,
-		.cached_tokens = (uint32_t)cached,
-		.fetched_tokens = (uint32_t)(available - cached),
+		.cached_tokens = (uint32_t)cached_tokens,
+		.fetched_tokens = (uint32_t)(available_tokens - cached_tokens),
 		.prefill_tokens = request->attempt.prefill_tokens,
-		.shared_prefill_tokens = (uint32_t)uncached,
+		.shared_prefill_tokens = (uint32_t)shared_prefill_tokens,
 		.uses_older_weights = request->attempt.weights != service->target_weights,
 		.expected_ms = (int)request->attempt.expected_first_chunk_ms,
 		.awaiting_first_chunk = true,
 	};
 	counts->lookups_answered += request->lookup.state == LOOKUP_ANSWERED;
 	counts->lookups_missed += request->lookup.state == LOOKUP_MISSED;
-	decision_count(counts, &request->attempt.decision, now - waiting_since(request));
+	decision_count(counts, &request->attempt.decision, now - waiting_since_ms(request));
 }
 
 static void begin_attempt(struct router *router, struct client_request *request, const struct plan *plan,
@@ -79,7 +82,7 @@
 {
 	struct router_server_state *server = &router->servers.states[plan->server_index];
 	struct request_attempt *attempt = &request->attempt;
-	int available = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
+	int available_blocks = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
 
 	request->state = REQUEST_RUNNING;
 	request->retry.attempt_count++;
@@ -91,7 +94,7 @@
 	attempt->first_chunk_at_ms = 0;
 	attempt->call_token = router_token_new(router);
 	attempt->prefill_tokens =
-	    (uint32_t)(router_prompt_tokens(request) - router_tokens_of_blocks(request, available));
+	    (uint32_t)(router_prompt_tokens(request) - router_tokens_of_blocks(request, available_blocks));
 	attempt->expected_first_chunk_ms = plan->cost_ms + ROUTER_FIRST_CHUNK_OVERHEAD_MS;
 	attempt->uncached_tokens = router_uncached_tokens(request, plan->cached_blocks);
 	hmput(router->requests.by_token, attempt->call_token, request);
@@ -100,62 +103,66 @@
 	server->resident_tokens += attempt->uncached_tokens;
 }
 
-/* The cache namespace of a send, and where its blocks are offloaded to. While the purge view is not current
- * the send has a namespace of its own, so that nothing is reused that may have been purged. */
-static void choose_namespace(struct router *router, struct client_request *request,
-			     struct forward_command *forward, int64_t now, apr_pool_t *pool)
+/* Sets the cache namespace of an attempt and the store that its blocks are offloaded to. While the purge view
+ * is not current, the attempt has a namespace of its own, so that no block is reused that may have been
+ * purged. */
+static void set_cache_namespace(struct router *router, struct client_request *request,
+				struct forward_command *forward, int64_t now, apr_pool_t *pool)
 {
 	struct request_attempt *attempt = &request->attempt;
-	int current = relay_is_current(&router->relay, now);
+	int is_current = relay_is_current(&router->relay, now);
 
-	if (current)
+	if (is_current)
 		forward->cache_namespace = router_cache_namespace(router, request, attempt->weights, pool);
 	else
 		forward->cache_namespace =
 		    apr_psprintf(pool, "cold-%" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT, router->id,
 				 attempt->call_token);
-	attempt->cache_namespace = current ? core_hash_string(0, forward->cache_namespace) : 0;
+	attempt->cache_namespace = is_current ? core_hash_string(0, forward->cache_namespace) : 0;
 	attempt->namespace_key = router_namespace_key(router, request);
 	forward->offload_target =
-	    current ? router_offload_target(router, request, attempt->cache_namespace, now) : 0;
+	    is_current ? router_offload_target(router, request, attempt->cache_namespace, now) : 0;
 	attempt->offload_target = forward->offload_target ? router_store_of(router, request) : -1;
 }
 
-/* The transfers of a send occupy the links of its fetch source and of its store. */
+/* Reserves time on the links of the fetch source and of the offload store for the transfers of an attempt. */
 static void reserve_links(struct router *router, const struct client_request *request,
 			  const struct plan *plan, int64_t now)
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
-	double store_speed = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
+	double store_bytes_per_ms = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
 
 	if (plan->fetch_source >= 0 && plan->fetch_end > plan->cached_blocks)
 		router_link_reserve(router, (uint32_t)plan->fetch_source, plan->transfer_ms, now);
 	if (request->attempt.offload_target >= 0)
-		router_link_reserve(
-		    router, (uint32_t)request->attempt.offload_target,
-		    (double)request->attempt.prefill_tokens * service->kv_bytes_per_token / store_speed, now);
+		router_link_reserve(router, (uint32_t)request->attempt.offload_target,
+				    (double)request->attempt.prefill_tokens * service->kv_bytes_per_token /
+					store_bytes_per_ms,
+				    now);
 }
 
-/* Until when a send may leave this process: a frozen one must not send what was decided before. */
-static int64_t send_not_after(const struct router *router, const struct client_request *request, int64_t now)
+/* The latest time at which the attempt may leave this process: a process that was suspended must not send
+ * requests on decisions that are out of date. */
+static int64_t send_not_after_ms(const struct router *router, const struct client_request *request,
+				 int64_t now)
 {
-	int64_t not_after =
+	int64_t not_after_ms =
 	    router->config.watch.fetched_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
-	int64_t last_send =
+	int64_t last_send_ms =
 	    router_weights_last_send(router, request->route.service_index, request->attempt.weights, now);
 
-	return not_after > last_send ? last_send : not_after;
+	return not_after_ms > last_send_ms ? last_send_ms : not_after_ms;
 }
 
-/* Connections that this router may have to a server; 0: as the program has it. */
+/* The maximum number of connections from this router to a server; 0: the program's default. */
 static int max_connections(const struct router *router, const struct service_config *service)
 {
 	int connections;
 
 	if (!service->max_connections)
 		return 0;
-	connections = (int)(service->max_connections * 9 / 10 / routers_of(router));
+	connections = (int)(service->max_connections * 9 / 10 / fleet_router_count(router));
 	return connections < MIN_CONNECTIONS ? MIN_CONNECTIONS : connections;
 }
 
@@ -166,7 +173,7 @@
 	struct forward_command *forward = apr_pcalloc(out->pool, sizeof *forward);
 
 	begin_attempt(router, request, plan, now);
-	choose_namespace(router, request, forward, now, out->pool);
+	set_cache_namespace(router, request, forward, now, out->pool);
 	reserve_links(router, request, plan, now);
 	router_weights_check_send(router, request, now);
 	forward->call_token = request->attempt.call_token;
@@ -180,8 +187,8 @@
 		forward->fetch_source = server_config_of(router, (uint32_t)plan->fetch_source)->packed_addr;
 	forward->priority = (int)request->route.priority;
 	forward->client_timeout_ms = (int)(request->client.deadline_at_ms - now);
-	forward->server_timeout_ms = server_limit(router, request, now);
-	forward->not_after_ms = send_not_after(router, request, now);
+	forward->server_timeout_ms = server_timeout_ms(router, request, now);
+	forward->not_after_ms = send_not_after_ms(router, request, now);
 	forward->resume_after = request->stream.last_event_id;
 	forward->headers_sent = request->stream.has_begun;
 	forward->is_stream = 1;
@@ -191,15 +198,16 @@
 	router->load.changed = true;
 	command_add(out, CMD_FORWARD)->args.forward = forward;
 	if (request->retry.attempt_count > 1)
-		request->retry.budget_reserved =
-		    false; /* a retry earns nothing, and what was reserved for it is spent */
+		/* A retry adds nothing to the budget, and its reservation has now been spent. */
+		request->retry.budget_reserved = false;
 	else if (!request->retry.unreachable_count)
 		router_count_send(router, request, plan, now);
 }
 
-/* ---- its course ------------------------------------------------------------------------------ */
+/* ---- progress and result of an attempt ---------------------------------------------------- */
 
-/* The server caches the prompt's blocks now, and the store will, until an event says otherwise. */
+/* Adds the prompt's blocks to the prefix index as cached at the server and at the offload store, until a
+ * cache event says otherwise. */
 static void index_blocks(struct router *router, const struct client_request *request)
 {
 	const struct request_attempt *attempt = &request->attempt;
@@ -224,8 +232,8 @@
 	}
 }
 
-/* How much later than expected a first chunk came. */
-static void learn_lateness(struct router_server_state *server, double late_ms, int64_t now)
+/* Updates the smoothed lateness of a server's first chunks. */
+static void record_lateness(struct router_server_state *server, double late_ms, int64_t now)
 {
 	if (late_ms < 0)
 		late_ms = 0;
@@ -250,21 +258,24 @@
 	router_weights_check_begin(router, request, now);
 	server->prefill_tokens -= attempt->prefill_tokens;
 	attempt->prefill_tokens = 0;
-	learn_lateness(server, (double)first_chunk_ms - attempt->expected_first_chunk_ms, now);
+	record_lateness(server, (double)first_chunk_ms - attempt->expected_first_chunk_ms, now);
 	if (weights && strcmp(weights, router->names.weights.names[attempt->weights]))
-		return; /* not the weights that its namespace says */
+		return; /* the answer comes from weights other than those in the cache namespace */
 	if (attempt->cache_namespace)
 		index_blocks(router, request);
 }
 
-/* What an answer says of the load at a server, and of its health. */
-static void learn_health(struct router_server_state *server, const struct forward_result *result, int64_t now)
+/* Updates the load of a server from the values that an answer reported, and its failure rate from the result.
+ */
+static void record_load_and_failures(struct router_server_state *server, const struct forward_result *result,
+				     int64_t now)
 {
-	int reported = result->running + result->waiting;
+	int reported_requests = result->running + result->waiting;
 
 	if (result->slots > 0 && result->running >= 0 && result->waiting >= 0 &&
-	    reported < MAX_REPORTED_LOAD) {
-		server->others_running = reported > server->own_running ? reported - server->own_running : 0;
+	    reported_requests < MAX_REPORTED_REQUESTS) {
+		server->others_running =
+		    reported_requests > server->own_running ? reported_requests - server->own_running : 0;
 		server->others_observed_at_ms = now;
 	}
 	server->failure_rate = server->failure_rate * 7 / 8;
@@ -274,11 +285,12 @@
 	}
 }
 
-/* For how long a server is left alone after a send. */
-static void learn_availability(struct router *router, struct router_server_state *server,
+/* Sets for how long no request is sent to a server after a failed attempt. */
+static void set_server_backoff(struct router *router, struct router_server_state *server,
 			       const struct forward_result *result, int64_t now)
 {
-	if (result->end == FORWARD_NOT_STARTED && !result->status) { /* its connection did not come up */
+	if (result->end == FORWARD_NOT_STARTED && !result->status) {
+		/* the connection could not be established */
 		server->connect_failures++;
 		server->unavailable_until_ms =
 		    now + (server->connect_failures > REPEATED_CONNECT_FAILURES ? 2 : 1) *
@@ -287,30 +299,31 @@
 		server->connect_failures = 0;
 	}
 	if (result->end == FORWARD_NOT_STARTED && result->status == 503)
-		server->unavailable_until_ms = now + ROUTER_FULL_SERVER_BACKOFF_MS; /* full, or loading */
+		server->unavailable_until_ms =
+		    now + ROUTER_FULL_SERVER_BACKOFF_MS; /* the server is full or loading weights */
 	if (result->wrong_incarnation) {
 		router->stats.wrong_incarnation++;
 		server->unavailable_until_ms =
-		    now + ROUTER_UNREACHABLE_BACKOFF_MS; /* the endpoint list will say who is there */
+		    now + ROUTER_UNREACHABLE_BACKOFF_MS; /* until the endpoint list names the new server */
 	}
 }
 
-static void learn_server(struct router *router, uint32_t server_index, const struct forward_result *result,
-			 int64_t now)
+static void update_server_state(struct router *router, uint32_t server_index,
+				const struct forward_result *result, int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[server_index];
-	int weights = -1;
-
-	if (result->weights && strlen(result->weights) < MAX_WEIGHTS_NAME)
-		weights = router_weights_index(router, result->weights);
-	learn_health(server, result, now);
-	learn_availability(router, server, result, now);
-	if (weights >= 0)
-		router_weights_learn(router, server_index, (uint32_t)weights);
+	int weights_index = -1;
+
+	if (result->weights && strlen(result->weights) < MAX_WEIGHTS_NAME_BYTES)
+		weights_index = router_weights_index(router, result->weights);
+	record_load_and_failures(server, result, now);
+	set_server_backoff(router, server, result, now);
+	if (weights_index >= 0)
+		router_weights_learn(router, server_index, (uint32_t)weights_index);
 }
 
-static void on_answered(struct router *router, struct client_request *request,
-			const struct forward_result *result, int64_t now, struct command_list *out)
+static void on_answer_complete(struct router *router, struct client_request *request,
+			       const struct forward_result *result, int64_t now, struct command_list *out)
 {
 	struct router_server_state *server = &router->servers.states[request->attempt.server_index];
 
@@ -328,7 +341,7 @@
 
 	(void)hmdel(router->requests.by_token, request->attempt.call_token);
 	request->attempt.call_token = 0;
-	learn_server(router, (uint32_t)request->attempt.server_index, result, now);
+	update_server_state(router, (uint32_t)request->attempt.server_index, result, now);
 	if (result->end != FORWARD_COMPLETE)
 		decision_ended(router_decision_counts_of(router, request), &request->attempt.decision);
 	if (result->last_event_id)
@@ -337,13 +350,14 @@
 	request->stream.has_begun |= result->has_begun;
 	request->retry.may_have_run |= !not_started;
 	if (not_started && !result->status && !result->wrong_incarnation) {
-		/* no server heard of this send: it is no attempt, and what was reserved for it is put back */
+		/* The attempt reached no server: it does not count, and its reservation returns to the retry
+		 * budget. */
 		request->retry.unreachable_count++;
 		if (--request->retry.attempt_count > 0)
 			router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
 	}
 	if (result->end == FORWARD_COMPLETE)
-		on_answered(router, request, result, now, out);
+		on_answer_complete(router, request, result, now, out);
 	else
 		router_retry_or_end(router, request, not_started && !request->stream.has_begun, now, out);
 }
--- a/lib/data/router_status.c
+++ b/lib/data/router_status.c
@@ -1,5 +1,5 @@
-/* router_status: what a router says of itself over HTTP: its state as JSON, usage as CSV, metrics. The names
- * in these texts are an interface for operators and keep their form. */
+/* router_status: the HTTP interface to a router's own state: state as JSON, usage as CSV, and metrics. The
+ * names in these documents are an interface for operators and must not change. */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -12,7 +12,7 @@
 	json_object_object_add(json, name, json_object_new_int64((int64_t)value));
 }
 
-static void add_outcomes(struct json_object *json, const struct router_stats *stats)
+static void add_outcome_counts(struct json_object *json, const struct router_stats *stats)
 {
 	add_number(json, "taken", stats->received);
 	add_number(json, "answered", stats->outcomes[REQUEST_ANSWERED]);
@@ -22,7 +22,7 @@
 	add_number(json, "client_gone", stats->outcomes[REQUEST_CLIENT_DISCONNECTED]);
 }
 
-static void add_work(struct json_object *json, const struct router_stats *stats)
+static void add_work_counts(struct json_object *json, const struct router_stats *stats)
 {
 	add_number(json, "sends", stats->sends);
 	add_number(json, "resends", stats->resends);
@@ -39,7 +39,7 @@
 	add_number(json, "wrong_life", stats->wrong_incarnation);
 }
 
-static void add_refusals(struct json_object *json, const struct router_stats *stats)
+static void add_refusal_counts(struct json_object *json, const struct router_stats *stats)
 {
 	add_number(json, "refused_stale", stats->refused_stale);
 	add_number(json, "refused_line", stats->refused_queue_full);
@@ -49,7 +49,7 @@
 	add_number(json, "blind", stats->ended_without_config);
 }
 
-static void add_placement(struct json_object *json, const struct router_stats *stats)
+static void add_placement_counts(struct json_object *json, const struct router_stats *stats)
 {
 	add_number(json, "lookups_used", stats->lookups_used);
 	add_number(json, "lookups_missed", stats->lookups_missed);
@@ -86,28 +86,28 @@
 	return array;
 }
 
-static uint32_t waiting_requests(const struct router *router)
+static uint32_t count_waiting_requests(const struct router *router)
 {
-	uint32_t waiting = 0;
+	uint32_t waiting_count = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
-		waiting += router->queueing.queues[i].length;
-	return waiting;
+		waiting_count += router->queueing.queues[i].length;
+	return waiting_count;
 }
 
 static const char *state_json(const struct router *router, int64_t now, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_new_object();
-	uint32_t waiting = waiting_requests(router);
+	uint32_t waiting_count = count_waiting_requests(router);
 	const char *text;
 
 	add_number(json, "edition", router->config.watch.table.revision);
 	add_number(json, "horizon", router->relay.knowledge.horizon);
 	add_number(json, "kept", router->cache.index.replica_count);
-	add_outcomes(json, &router->stats);
-	add_work(json, &router->stats);
-	add_refusals(json, &router->stats);
-	add_placement(json, &router->stats);
+	add_outcome_counts(json, &router->stats);
+	add_work_counts(json, &router->stats);
+	add_refusal_counts(json, &router->stats);
+	add_placement_counts(json, &router->stats);
 	add_number(json, "downstreams", (uint64_t)arrlen(router->relay.downstreams));
 	add_number(json, "increments", router->relay.increments_sent);
 	add_number(json, "counters", router->config.watch.router_count);
@@ -119,8 +119,8 @@
 	json_object_object_add(json, "current",
 			       json_object_new_boolean(relay_is_current(&router->relay, now)));
 	json_object_object_add(json, "running",
-			       json_object_new_int64(arrlen(router->requests.all) - (int64_t)waiting));
-	json_object_object_add(json, "waiting", json_object_new_int64(waiting));
+			       json_object_new_int64(arrlen(router->requests.all) - (int64_t)waiting_count));
+	json_object_object_add(json, "waiting", json_object_new_int64(waiting_count));
 	json_object_object_add(json, "servers", servers_json(router, now));
 	text = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	json_object_put(json);
