--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -33,7 +33,7 @@
 	return ms * (int)router_count / UNSTRETCHED_MAX_ROUTERS;
 }
 
-/* ---- events ------------------------------------------------------------------------------- */
+/* ---- events ---------------------------------------------------------------------------------- */
 
 static void relay_purges(struct router *router, int64_t now, struct command_list *out)
 {
@@ -273,7 +273,7 @@
 		router_request_slots(router, now, out);
 }
 
-/* ---- opening and closing ------------------------------------------------------------------ */
+/* ---- opening and closing --------------------------------------------------------------------- */
 
 bool router_ready(const struct router *router, int64_t now)
 {
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -18,7 +18,7 @@
 
 const char router_no_server[] = "no server of this service is available";
 
-/* ---- declining requests ------------------------------------------------------------------- */
+/* ---- declining requests ---------------------------------------------------------------------- */
 
 static bool decline_if_stale(struct router *router, uint64_t token, int64_t now, struct command_list *out)
 {
@@ -96,7 +96,7 @@
 	return request;
 }
 
-/* ---- the product's own interface ---------------------------------------------------------- */
+/* ---- the product's own interface ------------------------------------------------------------- */
 
 /* Fields of a request body that are not stored in the request. Strings live in the request's pool. */
 struct request_body {
@@ -296,7 +296,7 @@
 		apr_pool_destroy(request->pool);
 }
 
-/* ---- forwarded requests ------------------------------------------------------------------- */
+/* ---- forwarded requests ---------------------------------------------------------------------- */
 
 /* Returns the index of the route for a host and path, the one with the longest path prefix; -1: none. */
 static int find_route_by_path(const struct route_table *routes, const char *host, const char *path)
--- a/lib/data/router_claims.c
+++ b/lib/data/router_claims.c
@@ -78,7 +78,7 @@
 	request->claim.leader_addr = propose_claim_operation(router, &proposal, out);
 }
 
-/* ---- releases ----------------------------------------------------------------------------- */
+/* ---- releases -------------------------------------------------------------------------------- */
 
 static void propose_release(struct router *router, struct claim_release *release, int64_t now,
 			    struct command_list *out)
@@ -132,7 +132,7 @@
 	}
 }
 
-/* ---- answers ------------------------------------------------------------------------------ */
+/* ---- answers --------------------------------------------------------------------------------- */
 
 /* Handles the answer of a controller that is not the leader and may name the leader. A late answer from a
  * controller that is no longer the presumed leader is ignored. */
--- a/lib/data/router_config.c
+++ b/lib/data/router_config.c
@@ -90,7 +90,7 @@
 		install_server_table(router, now);
 }
 
-/* ---- staleness ---------------------------------------------------------------------------- */
+/* ---- staleness ------------------------------------------------------------------------------- */
 
 bool router_config_in_force(const struct router *router, int64_t now)
 {
--- a/lib/data/router_deadlines.c
+++ b/lib/data/router_deadlines.c
@@ -43,7 +43,7 @@
 	}
 }
 
-/* ---- waiting requests that cannot be sent in time ----------------------------------------- */
+/* ---- waiting requests that cannot be sent in time -------------------------------------------- */
 
 /* How long a broken stream may wait to be resumed. The client gives up after the longest of two seconds, four
  * times its latency target and eight times its gap between chunks; it should be notified earlier, so that it
@@ -122,7 +122,7 @@
 	}
 }
 
-/* ---- expired deadlines and claims --------------------------------------------------------- */
+/* ---- expired deadlines and claims ------------------------------------------------------------ */
 
 static void check_unconfirmed_claim(struct router *router, struct client_request *request, int64_t now,
 				    struct command_list *out)
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -23,7 +23,7 @@
 	MAX_LOG_LINE_BYTES = 700
 };
 
-/* ---- text --------------------------------------------------------------------------------- */
+/* ---- text ------------------------------------------------------------------------------------ */
 
 /* Text that grows as lines are added. */
 struct text_buffer {
@@ -95,7 +95,7 @@
 	add_line(text, "notchlug_%s_count{route=\"%s\"} %" PRIu64, name, route, total);
 }
 
-/* ---- decisions ---------------------------------------------------------------------------- */
+/* ---- decisions ------------------------------------------------------------------------------- */
 
 struct decision_counts *router_decision_counts_of(struct router *router, const struct client_request *request)
 {
@@ -210,7 +210,7 @@
 	}
 }
 
-/* ---- state of the router ------------------------------------------------------------------ */
+/* ---- state of the router --------------------------------------------------------------------- */
 
 static void add_request_gauges(struct text_buffer *text, const struct router *router)
 {
@@ -282,7 +282,7 @@
 	return copy;
 }
 
-/* ---- the log of an experiment ------------------------------------------------------------- */
+/* ---- the log of an experiment ---------------------------------------------------------------- */
 
 static uint64_t observation_count(const struct decision_histogram *histogram)
 {
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -18,7 +18,7 @@
 	STATUS_SERVICE_UNAVAILABLE = 503
 };
 
-/* ---- the table ---------------------------------------------------------------------------- */
+/* ---- the table ------------------------------------------------------------------------------- */
 
 struct client_request *router_request_by_token(struct router *router, uint64_t token)
 {
@@ -95,7 +95,7 @@
 	return accounted_requests == router->stats.received;
 }
 
-/* ---- answers to clients ------------------------------------------------------------------- */
+/* ---- answers to clients ---------------------------------------------------------------------- */
 
 /* Whether a server may have started the request or its client has received part of an answer: then it can no
  * longer be reported as never run. */
@@ -163,7 +163,7 @@
 		command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
 }
 
-/* ---- endings ------------------------------------------------------------------------------ */
+/* ---- endings --------------------------------------------------------------------------------- */
 
 void router_request_end(struct router *router, struct client_request *request,
 			const struct request_ending *ending, int64_t now, struct command_list *out)
--- a/lib/data/router_retry.c
+++ b/lib/data/router_retry.c
@@ -25,7 +25,7 @@
 	return (int)(base_ms + (int64_t)(jitter_draw % (uint64_t)base_ms));
 }
 
-/* ---- the budget --------------------------------------------------------------------------- */
+/* ---- the budget ------------------------------------------------------------------------------ */
 
 /* The maximum of a service's retry budget, in thousandths: this router's share of the retries that the fleet
  * may make at once in excess of its share of the traffic. */
@@ -61,7 +61,7 @@
 	router->stats.resumed += request->stream.has_begun != 0;
 }
 
-/* ---- another attempt ---------------------------------------------------------------------- */
+/* ---- another attempt ------------------------------------------------------------------------- */
 
 void router_release_server(struct router *router, struct client_request *request, int64_t now)
 {
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -36,7 +36,7 @@
 	*limit = i >= 0 ? shares[i].value.concurrency_limit : UINT32_MAX;
 }
 
-/* ---- first pass: indices of names --------------------------------------------------------- */
+/* ---- first pass: indices of names ------------------------------------------------------------ */
 
 static void add_names(struct router *router, const struct Nl__Row *row)
 {
@@ -85,7 +85,7 @@
 	return routes;
 }
 
-/* ---- second pass: contents of the table --------------------------------------------------- */
+/* ---- second pass: contents of the table ------------------------------------------------------ */
 
 static void add_route(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
--- a/lib/data/router_send_claimed.c
+++ b/lib/data/router_send_claimed.c
@@ -26,7 +26,7 @@
 	usage->value.reused += cached_tokens;
 }
 
-/* ---- the call ----------------------------------------------------------------------------- */
+/* ---- the call -------------------------------------------------------------------------------- */
 
 static const char *format_hash(uint64_t hash, apr_pool_t *pool)
 {
@@ -165,7 +165,7 @@
 	router_count_send(router, request, plan, now);
 }
 
-/* ---- the answer --------------------------------------------------------------------------- */
+/* ---- the answer ------------------------------------------------------------------------------ */
 
 /* Adds the prompt's blocks to the prefix index as cached at the server, until a report says otherwise. */
 static void index_blocks(struct router *router, const struct client_request *request)
--- a/lib/data/router_send_forwarded.c
+++ b/lib/data/router_send_forwarded.c
@@ -16,7 +16,7 @@
 	REPEATED_CONNECT_FAILURES = 3   /* after more consecutive failures the backoff of a server doubles */
 };
 
-/* ---- sending ------------------------------------------------------------------------------ */
+/* ---- sending --------------------------------------------------------------------------------- */
 
 static uint32_t fleet_router_count(const struct router *router)
 {
@@ -204,7 +204,7 @@
 		router_count_send(router, request, plan, now);
 }
 
-/* ---- progress and result of an attempt ---------------------------------------------------- */
+/* ---- progress and result of an attempt ------------------------------------------------------- */
 
 /* Adds the prompt's blocks to the prefix index as cached at the server and at the offload store, until a
  * cache event says otherwise. */
