--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -8,7 +8,7 @@
 
 #include "containers.h"
 
-/* numbers of routers in the fleet between which message intervals are stretched linearly */
+/* Message intervals are stretched in proportion to the number of routers between these two fleet sizes. */
 enum { UNSTRETCHED_MAX_ROUTERS = 16, FULLY_STRETCHED_ROUTERS = 64 };
 
 struct json_object *router_read_json(struct router *router, const char *text)
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -355,7 +355,7 @@
 	uint32_t service_index;
 };
 
-/* Determines the tenant of a request. Returns false if the route needs a key and the request has no known
+/* Determines the tenant of a request. Returns false if the route requires a key and the request has no valid
  * one. */
 static bool determine_tenant(const struct route_table *routes, const struct route_config *route,
 			     const char *digest, uint32_t *tenant_index)
--- a/lib/data/router_request.h
+++ b/lib/data/router_request.h
@@ -28,7 +28,7 @@
 	REQUEST_ANSWERED,
 	/* the request never ran and never will; the client received a retry-after time */
 	REQUEST_REFUSED,
-	/* the request never ran and never will; a 4xx status told the client what is wrong with it */
+	/* the request never ran and never will; a 4xx status reported to the client what is wrong with it */
 	REQUEST_REJECTED,
 	/* the request may have run; the client received an error, or its stream was ended as incomplete */
 	REQUEST_BROKEN_OFF,
