--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -101,7 +101,7 @@
 /* Fields of a request body that are not stored in the request. Strings live in the request's pool. */
 struct request_body {
 	const char *route_name;
-	int limit_ms;
+	int timeout_ms;
 };
 
 /* The parse functions return an error message, or NULL. */
@@ -122,16 +122,16 @@
 	return NULL;
 }
 
-static const char *parse_limit(struct client_request *request, struct request_body *body,
-			       struct json_object *value)
+static const char *parse_timeout(struct client_request *request, struct request_body *body,
+				 struct json_object *value)
 {
-	int64_t limit_ms = json_object_get_int64(value);
+	int64_t timeout_ms = json_object_get_int64(value);
 
-	if (!json_object_is_type(value, json_type_int) || limit_ms < ROUTER_TIMEOUT_MIN_MS ||
-	    limit_ms > ROUTER_TIMEOUT_MAX_MS)
+	if (!json_object_is_type(value, json_type_int) || timeout_ms < ROUTER_TIMEOUT_MIN_MS ||
+	    timeout_ms > ROUTER_TIMEOUT_MAX_MS)
 		return apr_psprintf(request->pool, "limit_ms: must be an integer from %d to %d",
 				    ROUTER_TIMEOUT_MIN_MS, ROUTER_TIMEOUT_MAX_MS);
-	body->limit_ms = (int)limit_ms;
+	body->timeout_ms = (int)timeout_ms;
 	return NULL;
 }
 
@@ -162,7 +162,7 @@
 	if (!strcmp(field_name, "lane") || !strcmp(field_name, "id") || !strcmp(field_name, "tail"))
 		return parse_text(request, body, field_name, value);
 	if (!strcmp(field_name, "limit_ms"))
-		return parse_limit(request, body, value);
+		return parse_timeout(request, body, value);
 	if (!strcmp(field_name, "parts"))
 		return parse_blocks(request, value);
 	return apr_psprintf(request->pool, "%s: no such field", field_name);
@@ -188,7 +188,7 @@
 	struct json_object *json = router_read_json(router, text);
 	const char *error = NULL;
 
-	*body = (struct request_body){ .limit_ms = ROUTER_TIMEOUT_DEFAULT_MS };
+	*body = (struct request_body){ .timeout_ms = ROUTER_TIMEOUT_DEFAULT_MS };
 	if (json_object_is_type(json, json_type_object)) {
 		json_object_object_foreach(json, name, value)
 		{
@@ -268,7 +268,7 @@
 		request->route.service_index, now, out))
 		return false;
 	request->sequence = ++router->requests.last_sequence;
-	request->client.deadline_at_ms = now + body.limit_ms;
+	request->client.deadline_at_ms = now + body.timeout_ms;
 	request->client.received_at_ms = now;
 	hash_prompt_blocks(&request->prompt, router->names.services.names[request->route.service_index]);
 	return true;
@@ -487,7 +487,7 @@
 	const struct route_config *route;
 	struct client_request *request;
 	struct admission admission;
-	int limit_ms = incoming->limit_ms;
+	int timeout_ms = incoming->limit_ms;
 
 	router->stats.received++;
 	if (decline_if_stale(router, incoming->token, now, out))
@@ -504,10 +504,10 @@
 		admission.service_index, now, out))
 		return;
 	route = &routes->routes[admission.route_index];
-	if (route->timeout_ms && (int)route->timeout_ms < limit_ms)
-		limit_ms = (int)route->timeout_ms;
+	if (route->timeout_ms && (int)route->timeout_ms < timeout_ms)
+		timeout_ms = (int)route->timeout_ms;
 	request = create_forwarded_request(router, incoming);
-	request->client.deadline_at_ms = now + limit_ms;
+	request->client.deadline_at_ms = now + timeout_ms;
 	request->client.received_at_ms = now;
 	request->route.index = admission.route_index;
 	request->route.tenant_index = admission.tenant_index;
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -34,17 +34,17 @@
 {
 	char line[MAX_LINE_BYTES];
 	va_list args;
-	int n;
+	int length;
 
 	va_start(args, format);
-	n = vsnprintf(line, sizeof line, format, args);
+	length = vsnprintf(line, sizeof line, format, args);
 	va_end(args);
-	if (n < 0)
+	if (length < 0)
 		return;
-	if (n >= (int)sizeof line - 1)
-		n = (int)sizeof line - 2;
-	line[n++] = '\n';
-	memcpy(arraddnptr(text->data, (size_t)n), line, (size_t)n);
+	if (length >= (int)sizeof line - 1)
+		length = (int)sizeof line - 2;
+	line[length++] = '\n';
+	memcpy(arraddnptr(text->data, (size_t)length), line, (size_t)length);
 }
 
 static void add_help_and_type(struct text_buffer *text, const char *name, const char *kind, const char *help)
@@ -63,17 +63,17 @@
 /* Escapes a label value: the format escapes double quotes, backslashes and line feeds. */
 static const char *escape_label(const char *value, char *escaped, size_t size)
 {
-	size_t n = 0;
+	size_t length = 0;
 
-	for (; *value && n + 3 < size; value++) {
+	for (; *value && length + 3 < size; value++) {
 		if (*value == '"' || *value == '\\' || *value == '\n')
-			escaped[n++] = '\\';
-		escaped[n] = *value;
+			escaped[length++] = '\\';
+		escaped[length] = *value;
 		if (*value == '\n')
-			escaped[n] = 'n';
-		n++;
+			escaped[length] = 'n';
+		length++;
 	}
-	escaped[n] = 0;
+	escaped[length] = 0;
 	return escaped;
 }
 
