--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -27,11 +27,11 @@
 enum {
 	MAX_STREAM_BYTES = 8 << 20, /* that a client has not read yet */
 	STREAM_BLOCK_BYTES = 16384,
-	RETRY_MS = 200,
-	BUSY_RETRY_MS = 1000,
-	CLOSE_MS = 1000, /* at the end, for clients to read what they are sent */
-	CLOSE_POLL_MS = 2,
-	CONNECTION_LIMIT = 20000,
+	RETRY_AFTER_MS = 200,
+	BUSY_RETRY_AFTER_MS = 1000,
+	CLOSE_TIMEOUT_MS = 1000, /* at the end, for clients to read what they are sent */
+	CLOSE_POLL_INTERVAL_MS = 2,
+	MAX_CONNECTIONS = 20000,
 	CONNECTION_MEMORY_BYTES = 64 << 10
 };
 
@@ -39,27 +39,27 @@
 struct api_request {
 	uint64_t token;
 	struct MHD_Connection *connection;
-	bool suspended; /* libmicrohttpd waits for us */
+	bool is_suspended; /* libmicrohttpd waits for us */
 
 	/* the request */
 	char *body; /* stb_ds: received so far */
-	bool too_large;
-	bool delivered; /* it was read whole, and has gone to the event ring or was rejected */
+	bool is_body_too_large;
+	bool is_delivered; /* it was read whole, and has gone to the event ring or was rejected */
 
 	/* a complete answer */
 	char *response; /* from malloc; NULL: none yet */
 	int status;
 	int retry_after_ms;
-	int64_t not_after_ms; /* past it the answer isn't sent any more; 0: no bound */
-	bool responded;       /* the answer, or the stream, has been given to libmicrohttpd */
+	int64_t not_after_ms;    /* past it the answer isn't sent any more; 0: no bound */
+	bool is_response_queued; /* the answer, or the stream, has been given to libmicrohttpd */
 
 	/* a streamed answer */
-	bool streaming;
-	bool ended;
-	bool is_complete; /* it has ended as it should */
-	char *buffer;     /* stb_ds: bytes to send */
+	bool is_stream;
+	bool has_ended;
+	bool is_complete;    /* it has ended as it should */
+	char *stream_buffer; /* stb_ds: bytes to send */
 	size_t sent_offset;
-	bool mid_line; /* the last byte sent did not end a line */
+	bool is_mid_line; /* the last byte sent did not end a line */
 };
 
 struct request_entry {
@@ -75,7 +75,7 @@
 	apr_thread_mutex_t *mutex;
 	uint64_t last_token;
 	struct request_entry *requests; /* stb_ds */
-	bool closing;
+	bool is_closing;
 	int64_t streams_valid_until_ms; /* 0: for ever */
 };
 
@@ -87,17 +87,17 @@
 
 /* ---- answers ---- */
 
-static void resume(struct api_request *request)
+static void resume_connection(struct api_request *request)
 {
-	if (!request->suspended)
+	if (!request->is_suspended)
 		return;
-	request->suspended = false;
+	request->is_suspended = false;
 	MHD_resume_connection(request->connection);
 }
 
-static void suspend(struct api_request *request)
+static void suspend_connection(struct api_request *request)
 {
-	request->suspended = true;
+	request->is_suspended = true;
 	MHD_suspend_connection(request->connection);
 }
 
@@ -110,12 +110,12 @@
 
 /* An answer that was true for a time that is over isn't sent: this process may have been suspended
  * since. */
-static void replace_late_response(struct api_request *request)
+static void replace_expired_response(struct api_request *request)
 {
 	if (!request->not_after_ms || clock_ms() <= request->not_after_ms)
 		return;
 	free(request->response);
-	set_response(request, 503, RETRY_MS, "{\"error\":\"the answer came too late to be certain\"}");
+	set_response(request, 503, RETRY_AFTER_MS, "{\"error\":\"the answer came too late to be certain\"}");
 }
 
 static enum MHD_Result send_response(struct api_request *request)
@@ -140,51 +140,53 @@
 
 /* ---- streams ---- */
 
-static size_t stream_unsent(const struct api_request *request)
+static size_t stream_unsent_bytes(const struct api_request *request)
 {
-	return (size_t)arrlen(request->buffer) - request->sent_offset;
+	return (size_t)arrlen(request->stream_buffer) - request->sent_offset;
 }
 
-static ssize_t stream_copy(struct api_request *request, char *to, size_t capacity)
+static ssize_t stream_copy(struct api_request *request, char *destination, size_t capacity)
 {
-	size_t size = stream_unsent(request);
+	size_t size = stream_unsent_bytes(request);
 
 	if (size > capacity)
 		size = capacity;
-	memcpy(to, request->buffer + request->sent_offset, size);
+	memcpy(destination, request->stream_buffer + request->sent_offset, size);
 	request->sent_offset += size;
-	request->mid_line = to[size - 1] != '\n';
-	if (!stream_unsent(request)) {
-		arrsetlen(request->buffer, 0);
+	request->is_mid_line = destination[size - 1] != '\n';
+	if (!stream_unsent_bytes(request)) {
+		arrsetlen(request->stream_buffer, 0);
 		request->sent_offset = 0;
 	}
 	return (ssize_t)size;
 }
 
 /* Bytes of a stream, its end, or 0 after suspending the connection until there are some. */
-static ssize_t stream_next(struct api_server *server, struct api_request *request, char *to, size_t capacity)
+static ssize_t stream_next(struct api_server *server, struct api_request *request, char *destination,
+			   size_t capacity)
 {
 	if (!request || (server->streams_valid_until_ms && clock_ms() > server->streams_valid_until_ms))
 		return MHD_CONTENT_READER_END_WITH_ERROR;
-	if (stream_unsent(request))
-		return stream_copy(request, to, capacity);
-	if (request->ended)
+	if (stream_unsent_bytes(request))
+		return stream_copy(request, destination, capacity);
+	if (request->has_ended)
 		return request->is_complete ? MHD_CONTENT_READER_END_OF_STREAM
 					    : MHD_CONTENT_READER_END_WITH_ERROR;
-	if (server->closing)
+	if (server->is_closing)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
-	suspend(request);
+	suspend_connection(request);
 	return 0;
 }
 
-static ssize_t stream_read(void *argument, uint64_t position, char *to, size_t capacity)
+static ssize_t stream_read(void *argument, uint64_t position, char *destination, size_t capacity)
 {
 	struct stream_source *source = argument;
 	ssize_t size;
 
 	(void)position;
 	apr_thread_mutex_lock(source->server->mutex);
-	size = stream_next(source->server, hmget(source->server->requests, source->token), to, capacity);
+	size = stream_next(source->server, hmget(source->server->requests, source->token), destination,
+			   capacity);
 	apr_thread_mutex_unlock(source->server->mutex);
 	return size;
 }
@@ -212,10 +214,11 @@
 {
 	size_t size = request->sent_offset;
 
-	while (request->mid_line && size < (size_t)arrlen(request->buffer) && request->buffer[size++] != '\n')
+	while (request->is_mid_line && size < (size_t)arrlen(request->stream_buffer) &&
+	       request->stream_buffer[size++] != '\n')
 		;
-	if (size < (size_t)arrlen(request->buffer))
-		arrsetlen(request->buffer, size);
+	if (size < (size_t)arrlen(request->stream_buffer))
+		arrsetlen(request->stream_buffer, size);
 }
 
 /* ---- requests ---- */
@@ -248,7 +251,7 @@
 static void request_append_body(struct api_request *request, const char *data, size_t size)
 {
 	if ((size_t)arrlen(request->body) + size > API_SERVER_MAX_BODY_BYTES)
-		request->too_large = true;
+		request->is_body_too_large = true;
 	else
 		memcpy(arraddnptr(request->body, size), data, size);
 }
@@ -279,33 +282,35 @@
 {
 	struct shell_event *event;
 
-	request->delivered = true;
-	if (server->closing) {
-		set_response(request, 503, RETRY_MS, "{\"error\":\"stopping\",\"outcome\":\"refused\"}");
+	request->is_delivered = true;
+	if (server->is_closing) {
+		set_response(request, 503, RETRY_AFTER_MS,
+			     "{\"error\":\"stopping\",\"outcome\":\"refused\"}");
 		return;
 	}
-	if (request->too_large) {
+	if (request->is_body_too_large) {
 		set_response(request, 400, 0, "{\"error\":\"body: too large\",\"outcome\":\"refused\"}");
 		return;
 	}
 	event = request_event(request, url, method);
 	if (ring_push(server->events, event, 0)) {
-		suspend(request);
+		suspend_connection(request);
 		return;
 	}
 	shell_event_free(event);
-	set_response(request, 503, BUSY_RETRY_MS, "{\"error\":\"too busy\",\"outcome\":\"refused\"}");
+	set_response(request, 503, BUSY_RETRY_AFTER_MS, "{\"error\":\"too busy\",\"outcome\":\"refused\"}");
 }
 
 /* Gives the answer to libmicrohttpd if there is one. */
 static enum MHD_Result request_respond(struct api_server *server, struct api_request *request)
 {
-	if (request->suspended || request->responded || (!request->response && !request->streaming))
+	if (request->is_suspended || request->is_response_queued ||
+	    (!request->response && !request->is_stream))
 		return MHD_YES;
-	request->responded = true;
-	if (request->streaming)
+	request->is_response_queued = true;
+	if (request->is_stream)
 		return send_stream(server, request);
-	replace_late_response(request);
+	replace_expired_response(request);
 	return send_response(request);
 }
 
@@ -327,7 +332,7 @@
 		request_append_body(request, data, *size);
 		*size = 0;
 	} else {
-		if (!request->delivered)
+		if (!request->is_delivered)
 			request_deliver(server, request, url, method);
 		result = request_respond(server, request);
 	}
@@ -348,24 +353,24 @@
 	return false;
 }
 
-static void on_end(void *argument, struct MHD_Connection *connection, void **state,
-		   enum MHD_RequestTerminationCode code)
+static void on_request_completed(void *argument, struct MHD_Connection *connection, void **state,
+				 enum MHD_RequestTerminationCode code)
 {
 	struct api_server *server = argument;
 	struct api_request *request = *state;
-	bool open;
+	bool is_open;
 
 	(void)connection;
 	if (!request)
 		return;
 	apr_thread_mutex_lock(server->mutex);
-	open = request->delivered && !request->response && !request->ended;
+	is_open = request->is_delivered && !request->response && !request->has_ended;
 	(void)hmdel(server->requests, request->token);
 	apr_thread_mutex_unlock(server->mutex);
-	if (open && code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !server->closing)
+	if (is_open && code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !server->is_closing)
 		(void)push_disconnected(server, request->token);
 	arrfree(request->body);
-	arrfree(request->buffer);
+	arrfree(request->stream_buffer);
 	free(request->response);
 	free(request);
 	*state = NULL;
@@ -385,8 +390,8 @@
 	apr_thread_mutex_create(&server->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
 	server->daemon = MHD_start_daemon(
 	    MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, server,
-	    MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_end, server,
-	    MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTION_LIMIT, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+	    MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, server,
+	    MHD_OPTION_CONNECTION_LIMIT, (unsigned)MAX_CONNECTIONS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
 	    (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
 	if (!server->daemon) {
 		log_write(LOG_ERROR, "api_server", "Cannot listen at %s: %s.", addr, strerror(errno));
@@ -402,10 +407,10 @@
 
 	apr_thread_mutex_lock(server->mutex);
 	request = hmget(server->requests, token);
-	if (request && !request->response && !request->streaming) {
+	if (request && !request->response && !request->is_stream) {
 		set_response(request, status, retry_after_ms, body);
 		request->not_after_ms = not_after_ms;
-		resume(request);
+		resume_connection(request);
 	}
 	apr_thread_mutex_unlock(server->mutex);
 }
@@ -420,20 +425,21 @@
 static void stream_append(struct api_request *request, const char *data, size_t size, bool is_last,
 			  bool is_complete)
 {
-	request->streaming = true;
+	request->is_stream = true;
 	if (is_last && !is_complete)
 		stream_truncate(request);
-	if ((size_t)arrlen(request->buffer) + size > MAX_STREAM_BYTES) { /* a client that doesn't read */
+	if ((size_t)arrlen(request->stream_buffer) + size >
+	    MAX_STREAM_BYTES) { /* a client that doesn't read */
 		is_last = true;
 		is_complete = false;
 	} else if (size) {
-		memcpy(arraddnptr(request->buffer, size), data, size);
+		memcpy(arraddnptr(request->stream_buffer, size), data, size);
 	}
 	if (is_last && !is_complete && size)
-		arrput(request->buffer, '\n');
-	request->ended = is_last;
+		arrput(request->stream_buffer, '\n');
+	request->has_ended = is_last;
 	request->is_complete = is_complete;
-	resume(request);
+	resume_connection(request);
 }
 
 void api_server_stream(struct api_server *server, uint64_t token, const char *data, size_t size, int is_last,
@@ -443,7 +449,7 @@
 
 	apr_thread_mutex_lock(server->mutex);
 	request = hmget(server->requests, token);
-	if (request && !request->response && !request->ended)
+	if (request && !request->response && !request->has_ended)
 		stream_append(request, data, size, is_last, is_complete);
 	apr_thread_mutex_unlock(server->mutex);
 }
@@ -464,27 +470,28 @@
 	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
 		struct api_request *request = server->requests[i].value;
 
-		if (!request->suspended || request->response || request->ended || !has_disconnected(request))
+		if (!request->is_suspended || request->response || request->has_ended ||
+		    !has_disconnected(request))
 			continue;
 		if (!push_disconnected(server, request->token))
 			continue;
-		request->ended = true;
-		if (!request->streaming)
+		request->has_ended = true;
+		if (!request->is_stream)
 			set_response(request, 499, request->retry_after_ms,
 				     "{\"error\":\"the caller left\"}");
-		resume(request);
+		resume_connection(request);
 	}
 	apr_thread_mutex_unlock(server->mutex);
 }
 
 /* Requests that were read whole and whose answers have not been read to the end. */
-static int open_requests(struct api_server *server)
+static int count_open_requests(struct api_server *server)
 {
 	int count = 0;
 
 	apr_thread_mutex_lock(server->mutex);
 	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++)
-		count += server->requests[i].value->delivered;
+		count += server->requests[i].value->is_delivered;
 	apr_thread_mutex_unlock(server->mutex);
 	return count;
 }
@@ -493,17 +500,17 @@
 static void end_requests(struct api_server *server)
 {
 	apr_thread_mutex_lock(server->mutex);
-	server->closing = true;
+	server->is_closing = true;
 	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
 		struct api_request *request = server->requests[i].value;
 
-		if (!request->delivered)
+		if (!request->is_delivered)
 			continue;
-		request->ended = true;
-		if (!request->response && !request->streaming)
-			set_response(request, 504, RETRY_MS,
+		request->has_ended = true;
+		if (!request->response && !request->is_stream)
+			set_response(request, 504, RETRY_AFTER_MS,
 				     "{\"error\":\"stopping\",\"outcome\":\"unknown\"}");
-		resume(request);
+		resume_connection(request);
 	}
 	apr_thread_mutex_unlock(server->mutex);
 }
@@ -511,11 +518,11 @@
 void api_server_close(struct api_server *server)
 {
 	MHD_socket listener = MHD_quiesce_daemon(server->daemon); /* no new connections */
-	int64_t end_ms = clock_ms() + CLOSE_MS;
+	int64_t deadline_ms = clock_ms() + CLOSE_TIMEOUT_MS;
 
 	end_requests(server);
-	while (open_requests(server) && clock_ms() < end_ms)
-		apr_sleep(apr_time_from_msec(CLOSE_POLL_MS));
+	while (count_open_requests(server) && clock_ms() < deadline_ms)
+		apr_sleep(apr_time_from_msec(CLOSE_POLL_INTERVAL_MS));
 	MHD_stop_daemon(server->daemon);
 	if (listener != MHD_INVALID_SOCKET)
 		close(listener);
--- a/lib/shell/api_server.h
+++ b/lib/shell/api_server.h
@@ -1,5 +1,5 @@
-/* api_server: the product's own HTTP interface to clients and operators.
- * The thread that owns the program's state answers by token; it never waits for a client. */
+/* api_server: HTTP server of the product's own interface to clients and operators.
+ * The thread that owns the program's state answers requests by token; it never waits for a client. */
 #ifndef NL_API_SERVER_H
 #define NL_API_SERVER_H
 
@@ -9,36 +9,38 @@
 
 struct ring;
 
-/* A listener, its connections, and libmicrohttpd's thread that serves them. */
+/* A listener, its connections, and the libmicrohttpd thread that serves them. */
 struct api_server;
 
 enum { API_SERVER_MAX_BODY_BYTES = 16 << 20 };
 
-/* Listen at addr ("ip:port"); requests go to events as SHELL_EVENT_REQUEST. Returns NULL on an error, which
- * is logged. It lives as long as pool; end it with api_server_close before. */
+/* Listen at addr ("ip:port"). Requests are pushed into the ring events as SHELL_EVENT_REQUEST. Returns NULL
+ * on an error, which is logged. The memory belongs to pool; call api_server_close before the pool is
+ * destroyed. */
 struct api_server *api_server_open(const char *addr, struct ring *events, apr_pool_t *pool);
 
-/* Give the complete answer to a request; unknown tokens and second answers are ignored. retry_after_ms: 0, or
- * when the client should come back. If clock_ms is past not_after_ms when the answer would leave, 503 is sent
- * instead: a process that stood still must not send an answer that no longer holds. 0: it holds for ever.
- * body is copied. */
+/* Send the complete answer to a request. Unknown tokens and second answers are ignored. retry_after_ms: when
+ * the client should retry; 0: not given. If clock_ms is past not_after_ms when the answer is about to be
+ * sent, 503 is sent instead: a process that was suspended must not send an answer that is no longer valid. 0:
+ * the answer is valid without limit. body is copied. */
 void api_server_respond(struct api_server *server, uint64_t token, int status, int retry_after_ms,
 			const char *body, int64_t not_after_ms);
 
-/* Append data to a streamed answer, which begins with the first call. is_last ends it; a stream that ends
- * without is_complete is broken off in a way that the client can see. data is copied. */
+/* Append data to a streamed answer, which begins with the first call. is_last ends it. If it ends without
+ * is_complete, the connection is closed in such a way that the client can detect it. data is copied. */
 void api_server_stream(struct api_server *server, uint64_t token, const char *data, size_t size, int is_last,
 		       int is_complete);
 
-/* Until which clock_ms streams may go on: past it they are broken off, unless it was moved on. Never called:
- * for ever. */
+/* Set the clock_ms after which all streams are aborted. Each call replaces the time of the last one. Without
+ * any call, streams are valid without limit. */
 void api_server_valid_until(struct api_server *server, int64_t valid_until_ms);
 
-/* Look for clients that disconnected while they wait; each is reported as SHELL_EVENT_DISCONNECTED. */
+/* Check which clients disconnected while they waited for an answer, and report each as
+ * SHELL_EVENT_DISCONNECTED. */
 void api_server_scan(struct api_server *server);
 
-/* Close: unanswered requests get 504 with an unknown outcome, and clients up to one second to read what they
- * are sent. */
+/* Close: unanswered requests are answered with 504 and an unknown outcome, and clients have up to one second
+ * to read their answers. */
 void api_server_close(struct api_server *server);
 
 #endif
--- a/lib/shell/http_buffer.c
+++ b/lib/shell/http_buffer.c
@@ -63,24 +63,24 @@
 
 void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base)
 {
-	char t[24], *e = t + sizeof t, *s = e;
+	char digits[24], *end = digits + sizeof digits, *start = end;
 
 	do {
-		*--s = "0123456789abcdef"[value % base];
+		*--start = "0123456789abcdef"[value % base];
 		value /= base;
 	} while (value);
-	http_buffer_append(http, buffer, s, (size_t)(e - s));
+	http_buffer_append(http, buffer, start, (size_t)(end - start));
 }
 
 /* A line break inside a field would begin another one. */
-void http_buffer_append_clean(struct http *http, struct buffer *buffer, const char *text)
+void http_buffer_append_single_line(struct http *http, struct buffer *buffer, const char *text)
 {
-	size_t n = strlen(text), i;
-	char *d = http_buffer_reserve(http, buffer, n ? n : 1);
+	size_t size = strlen(text), i;
+	char *destination = http_buffer_reserve(http, buffer, size ? size : 1);
 
-	for (i = 0; i < n; i++)
-		d[i] = (char)(text[i] == '\r' || text[i] == '\n' ? ' ' : text[i]);
-	buffer->len += n;
+	for (i = 0; i < size; i++)
+		destination[i] = (char)(text[i] == '\r' || text[i] == '\n' ? ' ' : text[i]);
+	buffer->len += size;
 }
 
 bool http_is_framing_field(const char *name)
@@ -98,8 +98,8 @@
 
 void http_buffer_append_field(struct http *http, struct buffer *buffer, const struct http_field *field)
 {
-	http_buffer_append_clean(http, buffer, field->name);
+	http_buffer_append_single_line(http, buffer, field->name);
 	http_buffer_append(http, buffer, ": ", 2);
-	http_buffer_append_clean(http, buffer, field->value);
+	http_buffer_append_single_line(http, buffer, field->value);
 	http_buffer_append(http, buffer, "\r\n", 2);
 }
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -25,14 +25,14 @@
 }
 
 /* A connection to a peer: an idle one, or one that is still to be opened, or NULL beyond the bound. */
-static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer, int fresh,
-						       int64_t now)
+static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer,
+						       int needs_new_connection, int64_t now_ms)
 {
 	struct http_connection *conn;
 
-	while (!fresh && (conn = peer->first_idle)) {
-		if (conn->timeout_at_ms > now) {
-			http_idle_remove(conn);
+	while (!needs_new_connection && (conn = peer->first_idle)) {
+		if (conn->timeout_at_ms > now_ms) {
+			http_conn_remove_idle(conn);
 			conn->state = CONN_QUEUED;
 			return conn;
 		}
@@ -58,11 +58,11 @@
 /* How long an idle connection may be used: the server must not close it just as we do. */
 static int64_t keep_alive_ms(const struct http_head *head)
 {
-	int64_t margin = (int64_t)head->keep_alive_s * 250;
+	int64_t margin_ms = (int64_t)head->keep_alive_s * 250;
 
 	if (head->keep_alive_s < 0)
 		return DEFAULT_KEEP_ALIVE_MS;
-	return (int64_t)head->keep_alive_s * 1000 - (margin < 300 ? 300 : margin);
+	return (int64_t)head->keep_alive_s * 1000 - (margin_ms < 300 ? 300 : margin_ms);
 }
 
 static void client_make_idle(struct http_connection *conn)
@@ -85,7 +85,7 @@
 	http_timer_set(conn, conn->client.reusable_until_ms);
 }
 
-void http_client_end(struct http_connection *conn, enum http_call_result result, int reusable)
+void http_client_finish_call(struct http_connection *conn, enum http_call_result result, int reusable)
 {
 	struct http *http = conn->http;
 	uint64_t token = conn->client.token;
@@ -102,12 +102,12 @@
 				  result == HTTP_CALL_NOT_SENT ? 0 : status);
 }
 
-static void client_broken(struct http_connection *conn)
+static void client_fail_call(struct http_connection *conn)
 {
-	http_client_end(conn, conn->client.sent ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0);
+	http_client_finish_call(conn, conn->client.has_sent_bytes ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0);
 }
 
-static int64_t earlier(int64_t left, int64_t right)
+static int64_t earlier_time(int64_t left, int64_t right)
 {
 	return left < right ? left : right;
 }
@@ -117,7 +117,8 @@
 {
 	int64_t not_after_ms = conn->client.not_after_ms;
 
-	return earlier(not_after_ms == NO_TIME ? NO_TIME : not_after_ms + 1, conn->client.deadline_ms);
+	return earlier_time(not_after_ms == TIME_NEVER ? TIME_NEVER : not_after_ms + 1,
+			    conn->client.deadline_ms);
 }
 
 static void client_connect(struct http_connection *conn)
@@ -126,19 +127,19 @@
 	struct sockaddr_in address = http_socket_address(conn->client.peer->addr);
 
 	if ((conn->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0) {
-		http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
+		http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
 	}
-	http_socket_options(conn->fd);
+	http_socket_set_options(conn->fd);
 	http->counters.connections_opened++;
 	if (connect(conn->fd, (struct sockaddr *)&address, sizeof address) && errno != EINPROGRESS) {
-		http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
+		http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
 	}
 	conn->state = CONN_CONNECTING;
 	http_conn_watch(conn, HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(conn,
-		       earlier(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
+	http_timer_set(
+	    conn, earlier_time(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
 }
 
 /* Move the call to another connection: no byte of it was sent on this one. */
@@ -146,75 +147,76 @@
 {
 	struct http *http = conn->http;
 	struct peer *peer = conn->client.peer;
-	struct http_connection *n;
+	struct http_connection *replacement;
 
 	peer->open_connections++;
 	http_conn_close(conn, 0);
 	peer->open_connections--;
-	if (!(n = peer_acquire_connection(http, peer, conn->client.new_connection, http->now_ms))) {
-		http_peer_release(http, peer);
+	if (!(replacement =
+		  peer_acquire_connection(http, peer, conn->client.needs_new_connection, http->now_ms))) {
+		http_peer_free_if_unused(http, peer);
 		(void)hmdel(http->calls, conn->client.token);
 		http->callback_made = 1;
 		http->callbacks.call_done(http->callbacks.context, conn->client.token, HTTP_CALL_NOT_SENT, 0);
 		return NULL;
 	}
-	n->output = conn->output;
+	replacement->output = conn->output;
 	conn->output = (struct buffer){ 0 };
-	n->client.token = conn->client.token;
-	n->client.not_after_ms = conn->client.not_after_ms;
-	n->client.deadline_ms = conn->client.deadline_ms;
-	n->client.connect_timeout_ms = conn->client.connect_timeout_ms;
-	n->client.new_connection = conn->client.new_connection;
-	n->client.is_head = conn->client.is_head;
-	n->client.sent = 0;
-	n->timeout_at_ms = NO_TIME;
-	hmput(http->calls, n->client.token, n);
-	return n;
+	replacement->client.token = conn->client.token;
+	replacement->client.not_after_ms = conn->client.not_after_ms;
+	replacement->client.deadline_ms = conn->client.deadline_ms;
+	replacement->client.connect_timeout_ms = conn->client.connect_timeout_ms;
+	replacement->client.needs_new_connection = conn->client.needs_new_connection;
+	replacement->client.is_head_request = conn->client.is_head_request;
+	replacement->client.has_sent_bytes = 0;
+	replacement->timeout_at_ms = TIME_NEVER;
+	hmput(http->calls, replacement->client.token, replacement);
+	return replacement;
 }
 
 /* Send the rest of the request. Returns 0 when the first send failed with nothing written. */
 static int client_send(struct http_connection *conn)
 {
-	size_t off = conn->output.offset;
-	int lost, all = http_conn_send(conn, &lost);
+	size_t offset_before = conn->output.offset;
+	int lost, all_sent = http_conn_send(conn, &lost);
 
 	if (lost) {
-		if (!conn->client.sent)
+		if (!conn->client.has_sent_bytes)
 			return 0;
 		/* an answer may have come all the same; reading shows it */
-		conn->client.request_cut = 1;
+		conn->client.is_request_truncated = 1;
 		http_buffer_free(conn->http, &conn->output);
 		http_conn_watch(conn, HTTP_READ_EVENTS);
 		return 1;
 	}
-	conn->client.sent |= all || conn->output.offset > off;
-	http_conn_watch(conn, all ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
-	http_timer_set(conn, all ? conn->client.deadline_ms : sending_deadline_ms(conn));
+	conn->client.has_sent_bytes |= all_sent || conn->output.offset > offset_before;
+	http_conn_watch(conn, all_sent ? HTTP_READ_EVENTS : HTTP_READ_EVENTS | EPOLLOUT);
+	http_timer_set(conn, all_sent ? conn->client.deadline_ms : sending_deadline_ms(conn));
 	return 1;
 }
 
-static int too_late(const struct http_connection *conn)
+static int is_past_send_deadline(const struct http_connection *conn)
 {
-	int64_t now = clock_ms(); /* not http->now_ms: the process may have been suspended since */
+	int64_t now_ms = clock_ms(); /* not http->now_ms: the process may have been suspended since */
 
-	return now > conn->client.not_after_ms || now >= conn->client.deadline_ms;
+	return now_ms > conn->client.not_after_ms || now_ms >= conn->client.deadline_ms;
 }
 
-void http_client_start(struct http_connection *conn)
+void http_client_start_call(struct http_connection *conn)
 {
 	while (conn && conn->state == CONN_QUEUED) {
 		if (conn->fd >= 0) {
-			char b;
+			char peeked_byte;
 
-			if (recv(conn->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 ||
+			if (recv(conn->fd, &peeked_byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 ||
 			    (errno != EAGAIN && errno != EWOULDBLOCK) ||
 			    clock_ms() >= conn->client.reusable_until_ms) {
 				conn = client_move_call(conn);
 				continue;
 			}
 		}
-		if (too_late(conn)) {
-			http_client_end(conn, HTTP_CALL_NOT_SENT, conn->fd >= 0);
+		if (is_past_send_deadline(conn)) {
+			http_client_finish_call(conn, HTTP_CALL_NOT_SENT, conn->fd >= 0);
 			return;
 		}
 		if (conn->fd < 0) {
@@ -235,47 +237,48 @@
 static int client_parse(struct http_connection *conn, const char *data, size_t size);
 
 /* An answer to another request is over; the bytes behind it, or still to come, are the next one. */
-static int client_next_response(struct http_connection *conn, const char *behind, size_t size)
+static int client_next_response(struct http_connection *conn, const char *surplus, size_t surplus_bytes)
 {
 	char *copy = NULL;
-	int over;
+	int is_call_over;
 
-	conn->client.skipping = 0;
-	if (++conn->client.skipped_count > MAX_SKIPPED_RESPONSES || conn->head.close) {
-		client_broken(conn);
+	conn->client.is_skipping_response = 0;
+	if (++conn->client.skipped_response_count > MAX_SKIPPED_RESPONSES || conn->head.close_connection) {
+		client_fail_call(conn);
 		return 1;
 	}
-	if (size) { /* it may be in the buffer that is emptied here */
-		copy = malloc(size);
+	if (surplus_bytes) { /* it may be in the buffer that is emptied here */
+		copy = malloc(surplus_bytes);
 		if (!copy)
 			abort();
-		memcpy(copy, behind, size);
+		memcpy(copy, surplus, surplus_bytes);
 	}
 	http_buffer_free(conn->http, &conn->input);
 	conn->state = CONN_AWAITING_HEAD;
 	conn->scan_offset = 0;
 	conn->head = (struct http_head){ .keep_alive_s = -1 };
-	over = size ? client_parse(conn, copy, size) : 0;
+	is_call_over = surplus_bytes ? client_parse(conn, copy, surplus_bytes) : 0;
 	free(copy);
-	return over;
+	return is_call_over;
 }
 
 /* The answer is complete; surplus bytes behind it end the connection. */
-static int client_response_complete(struct http_connection *conn, const char *behind, size_t surplus)
+static int client_response_complete(struct http_connection *conn, const char *surplus, size_t surplus_bytes)
 {
-	if (conn->client.skipping)
-		return client_next_response(conn, behind, surplus);
+	if (conn->client.is_skipping_response)
+		return client_next_response(conn, surplus, surplus_bytes);
 	/* the server counts from when it answered: after a freeze that may be long ago */
 	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
-	http_client_end(conn, HTTP_CALL_COMPLETE,
-			!surplus && !conn->client.skipped_count && !conn->head.close && !conn->output.len &&
-			    !conn->client.request_cut);
+	http_client_finish_call(conn, HTTP_CALL_COMPLETE,
+				!surplus_bytes && !conn->client.skipped_response_count &&
+				    !conn->head.close_connection && !conn->output.len &&
+				    !conn->client.is_request_truncated);
 	return 1;
 }
 
-static void client_pass_body(struct http_connection *conn, const char *data, size_t size)
+static void client_deliver_body(struct http_connection *conn, const char *data, size_t size)
 {
-	if (size && !conn->client.skipping)
+	if (size && !conn->client.is_skipping_response)
 		conn->http->callbacks.response_body(conn->http->callbacks.context, conn->client.token, data,
 						    size);
 }
@@ -291,7 +294,7 @@
 	case BODY_LENGTH:
 		span_size = size < conn->body_remaining ? size : (size_t)conn->body_remaining;
 		conn->body_remaining -= span_size;
-		client_pass_body(conn, data, span_size);
+		client_deliver_body(conn, data, span_size);
 		if (conn->closed)
 			return 1;
 		if (conn->body_remaining)
@@ -299,11 +302,11 @@
 		return client_response_complete(conn, data + span_size, size - span_size);
 	case BODY_CHUNKED:
 		while (size && conn->chunks.state != CHUNK_DONE) {
-			if ((consumed = http_chunk_step(&conn->chunks, data, size, &span, &span_size)) < 0) {
-				client_broken(conn);
+			if ((consumed = http_chunk_parse(&conn->chunks, data, size, &span, &span_size)) < 0) {
+				client_fail_call(conn);
 				return 1;
 			}
-			client_pass_body(conn, span, span_size);
+			client_deliver_body(conn, span, span_size);
 			if (conn->closed)
 				return 1;
 			data += consumed;
@@ -311,7 +314,7 @@
 		}
 		return conn->chunks.state == CHUNK_DONE ? client_response_complete(conn, data, size) : 0;
 	case BODY_UNTIL_EOF:
-		client_pass_body(conn, data, size);
+		client_deliver_body(conn, data, size);
 		return conn->closed;
 	default:
 		return client_response_complete(conn, data, size);
@@ -323,10 +326,10 @@
 {
 	const struct http_head *head = &conn->head;
 
-	if (conn->client.is_head || head->status == 204 || head->status == 304 ||
+	if (conn->client.is_head_request || head->status == 204 || head->status == 304 ||
 	    (head->has_length && !head->length))
 		return BODY_NONE;
-	if (head->chunked)
+	if (head->is_chunked)
 		return BODY_CHUNKED;
 	return head->has_length ? BODY_LENGTH : BODY_UNTIL_EOF;
 }
@@ -334,29 +337,31 @@
 static int client_parse(struct http_connection *conn, const char *data, size_t size)
 {
 	struct http *http = conn->http;
-	size_t from = 0;
+	size_t head_offset = 0;
 	ssize_t end;
 
 	if (conn->state == CONN_READING_RESPONSE)
 		return client_read_body(conn, data, size);
 	http_buffer_append(http, &conn->input, data, size);
 	for (;;) {
-		end = http_head_end(conn, from);
-		if (end < 0 || (end ? (size_t)end : conn->input.len) - from > MAX_RESPONSE_HEAD_BYTES ||
-		    (end && !http_head_read(conn, from, (size_t)end, 0)) ||
+		end = http_find_head_end(conn, head_offset);
+		if (end < 0 ||
+		    (end ? (size_t)end : conn->input.len) - head_offset > MAX_RESPONSE_HEAD_BYTES ||
+		    (end && !http_parse_head(conn, head_offset, (size_t)end, 0)) ||
 		    (end && conn->head.status == 101)) {
-			client_broken(conn);
+			client_fail_call(conn);
 			return 1;
 		}
 		if (!end) {
-			if (from) {
-				memmove(conn->input.data, conn->input.data + from, conn->input.len - from);
-				conn->input.len -= from;
-				conn->scan_offset -= from;
+			if (head_offset) {
+				memmove(conn->input.data, conn->input.data + head_offset,
+					conn->input.len - head_offset);
+				conn->input.len -= head_offset;
+				conn->scan_offset -= head_offset;
 			}
 			return 0;
 		}
-		from = (size_t)end;
+		head_offset = (size_t)end;
 		if (conn->head.status >= 200)
 			break;
 	}
@@ -370,37 +375,37 @@
 				      conn->fields, conn->field_count);
 	if (conn->closed)
 		return 1;
-	return client_read_body(conn, conn->input.data + from, conn->input.len - from);
+	return client_read_body(conn, conn->input.data + head_offset, conn->input.len - head_offset);
 }
 
-static void client_eof(struct http_connection *conn)
+static void client_handle_eof(struct http_connection *conn)
 {
 	if (conn->state == CONN_READING_RESPONSE && conn->client.response_framing == BODY_UNTIL_EOF &&
-	    conn->head.close && !conn->client.skipping)
-		http_client_end(conn, HTTP_CALL_COMPLETE, 0);
+	    conn->head.close_connection && !conn->client.is_skipping_response)
+		http_client_finish_call(conn, HTTP_CALL_COMPLETE, 0);
 	else
-		client_broken(conn);
+		client_fail_call(conn);
 }
 
 static void client_read(struct http_connection *conn, uint32_t events)
 {
 	struct http *http = conn->http;
-	ssize_t n;
+	ssize_t received;
 
 	/* where the peer has closed, its last bytes and its end are taken in one go */
 	do {
-		n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
-		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
+		received = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
+		if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
 			return;
-		if (n < 0) {
-			client_broken(conn);
+		if (received < 0) {
+			client_fail_call(conn);
 			return;
 		}
-		if (!n) {
-			client_eof(conn);
+		if (!received) {
+			client_handle_eof(conn);
 			return;
 		}
-		if (client_parse(conn, http->scratch, (size_t)n))
+		if (client_parse(conn, http->scratch, (size_t)received))
 			return;
 	} while (events & EPOLLRDHUP);
 }
@@ -410,15 +415,15 @@
 	switch (conn->state) {
 	case CONN_CONNECTING:
 		/* nobody may have spoken before us, either */
-		if ((events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) || too_late(conn)) {
-			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
+		if ((events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) || is_past_send_deadline(conn)) {
+			http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 			return;
 		}
 		conn->state = CONN_AWAITING_HEAD;
 		conn->scan_offset = 0;
 		conn->head = (struct http_head){ .keep_alive_s = -1 };
 		if (!client_send(conn))
-			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
+			http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 		return;
 	case CONN_AWAITING_HEAD:
 	case CONN_READING_RESPONSE:
@@ -426,8 +431,8 @@
 			client_read(conn, events);
 			return; /* it may be another call's by now */
 		}
-		if (too_late(conn))
-			client_broken(conn);
+		if (is_past_send_deadline(conn))
+			client_fail_call(conn);
 		else
 			client_send(conn);
 		return;
@@ -444,7 +449,7 @@
 	if (conn->state == CONN_IDLE)
 		http_conn_close(conn, 0);
 	else
-		client_broken(conn);
+		client_fail_call(conn);
 }
 
 static int method_has_body(const char *method)
@@ -453,9 +458,9 @@
 }
 
 void http_call_start(struct http *http, uint64_t token, uint64_t addr,
-		     const struct http_client_request *output)
+		     const struct http_client_request *request)
 {
-	int64_t now = clock_ms();
+	int64_t now_ms = clock_ms();
 	struct http_connection *conn;
 	int i;
 
@@ -463,40 +468,40 @@
 		log_write(LOG_ERROR, "http", "A call's token is in use; the call is not made.");
 		return;
 	}
-	if (!(conn =
-		  peer_acquire_connection(http, peer_find_or_add(http, addr), output->new_connection, now))) {
+	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr), request->new_connection,
+					     now_ms))) {
 		conn = http_conn_new(http, CONN_CLIENT, -1);
 		conn->state = CONN_FAILED;
 	}
-	conn->timeout_at_ms = NO_TIME;
+	conn->timeout_at_ms = TIME_NEVER;
 	conn->client.token = token;
-	conn->client.sent = 0;
-	conn->client.new_connection = output->new_connection;
-	conn->client.not_after_ms = output->not_after_ms;
-	conn->client.deadline_ms = output->timeout_ms > 0 ? now + output->timeout_ms : NO_TIME;
+	conn->client.has_sent_bytes = 0;
+	conn->client.needs_new_connection = request->new_connection;
+	conn->client.not_after_ms = request->not_after_ms;
+	conn->client.deadline_ms = request->timeout_ms > 0 ? now_ms + request->timeout_ms : TIME_NEVER;
 	conn->client.connect_timeout_ms =
-	    output->connect_timeout_ms > 0 ? output->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
-	conn->client.is_head = !strcmp(output->method, "HEAD");
+	    request->connect_timeout_ms > 0 ? request->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
+	conn->client.is_head_request = !strcmp(request->method, "HEAD");
 	hmput(http->calls, token, conn);
 	http->counters.calls++;
 	http_conn_queue(conn);
 	if (conn->state == CONN_FAILED)
 		return;
-	http_buffer_append_clean(http, &conn->output, output->method);
+	http_buffer_append_single_line(http, &conn->output, request->method);
 	http_buffer_append(http, &conn->output, " ", 1);
-	http_buffer_append_clean(http, &conn->output, output->target);
+	http_buffer_append_single_line(http, &conn->output, request->target);
 	http_buffer_append(http, &conn->output, " HTTP/1.1\r\n", 11);
-	for (i = 0; i < output->field_count; i++)
-		if (!http_is_framing_field(output->fields[i].name) || strlen(output->fields[i].name) == 10)
-			http_buffer_append_field(http, &conn->output, &output->fields[i]);
-	if (output->body || method_has_body(output->method)) {
+	for (i = 0; i < request->field_count; i++)
+		if (!http_is_framing_field(request->fields[i].name) || strlen(request->fields[i].name) == 10)
+			http_buffer_append_field(http, &conn->output, &request->fields[i]);
+	if (request->body || method_has_body(request->method)) {
 		http_buffer_append_text(http, &conn->output, "Content-Length: ");
-		http_buffer_append_number(http, &conn->output, output->body_bytes, 10);
+		http_buffer_append_number(http, &conn->output, request->body_bytes, 10);
 		http_buffer_append(http, &conn->output, "\r\n", 2);
 	}
 	http_buffer_append(http, &conn->output, "\r\n", 2);
-	if (output->body)
-		http_buffer_append(http, &conn->output, output->body, output->body_bytes);
+	if (request->body)
+		http_buffer_append(http, &conn->output, request->body, request->body_bytes);
 }
 
 void http_call_cancel(struct http *http, uint64_t token)
@@ -514,14 +519,14 @@
 	struct http_connection *conn = hmget(http->calls, token);
 
 	if (conn)
-		conn->client.skipping = 1;
+		conn->client.is_skipping_response = 1;
 }
 
 bool http_call_is_sent(struct http *http, uint64_t token)
 {
 	struct http_connection *conn = hmget(http->calls, token);
 
-	return conn && conn->client.sent;
+	return conn && conn->client.has_sent_bytes;
 }
 
 void http_peer_forget(struct http *http, uint64_t addr)
@@ -535,7 +540,7 @@
 	while (peer->first_idle)
 		http_conn_close(peer->first_idle, 0);
 	peer->open_connections--;
-	http_peer_release(http, peer);
+	http_peer_free_if_unused(http, peer);
 }
 
 void http_peer_set_max_connections(struct http *http, uint64_t addr, int max_connections)
@@ -543,5 +548,5 @@
 	struct peer *peer = peer_find_or_add(http, addr);
 
 	peer->max_connections = max_connections;
-	http_peer_release(http, peer);
+	http_peer_free_if_unused(http, peer);
 }
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -13,53 +13,54 @@
 
 /* ---- timers ---- */
 
-static void timer_set_index(struct http *http, int index, struct http_connection *conn)
+static void timer_place(struct http *http, int index, struct http_connection *conn)
 {
 	http->timer_heap[index] = conn;
 	conn->heap_index = index;
 }
 
-static void timer_up(struct http *http, int index)
+static void timer_sift_up(struct http *http, int index)
 {
 	struct http_connection *conn = http->timer_heap[index];
 
 	for (; index && http->timer_heap[(index - 1) / 2]->heap_key_ms > conn->heap_key_ms;
 	     index = (index - 1) / 2)
-		timer_set_index(http, index, http->timer_heap[(index - 1) / 2]);
-	timer_set_index(http, index, conn);
+		timer_place(http, index, http->timer_heap[(index - 1) / 2]);
+	timer_place(http, index, conn);
 }
 
-void http_timer_down(struct http *http, int index)
+void http_timer_sift_down(struct http *http, int index)
 {
 	struct http_connection *conn = http->timer_heap[index];
-	int n = (int)arrlen(http->timer_heap), j;
+	int count = (int)arrlen(http->timer_heap), child;
 
-	while ((j = 2 * index + 1) < n) {
-		if (j + 1 < n && http->timer_heap[j + 1]->heap_key_ms < http->timer_heap[j]->heap_key_ms)
-			j++;
-		if (http->timer_heap[j]->heap_key_ms >= conn->heap_key_ms)
+	while ((child = 2 * index + 1) < count) {
+		if (child + 1 < count &&
+		    http->timer_heap[child + 1]->heap_key_ms < http->timer_heap[child]->heap_key_ms)
+			child++;
+		if (http->timer_heap[child]->heap_key_ms >= conn->heap_key_ms)
 			break;
-		timer_set_index(http, index, http->timer_heap[j]);
-		index = j;
+		timer_place(http, index, http->timer_heap[child]);
+		index = child;
 	}
-	timer_set_index(http, index, conn);
+	timer_place(http, index, conn);
 }
 
 void http_timer_remove(struct http *http, struct http_connection *conn)
 {
-	struct http_connection *l;
-	int i = conn->heap_index;
+	struct http_connection *last;
+	int index = conn->heap_index;
 
-	if (i < 0)
+	if (index < 0)
 		return;
 	conn->heap_index = -1;
-	conn->heap_key_ms = NO_TIME;
-	l = arrpop(http->timer_heap);
-	if (l == conn)
+	conn->heap_key_ms = TIME_NEVER;
+	last = arrpop(http->timer_heap);
+	if (last == conn)
 		return;
-	timer_set_index(http, i, l);
-	timer_up(http, i);
-	http_timer_down(http, l->heap_index);
+	timer_place(http, index, last);
+	timer_sift_up(http, index);
+	http_timer_sift_down(http, last->heap_index);
 }
 
 void http_timer_set(struct http_connection *conn, int64_t timeout_at_ms)
@@ -72,7 +73,7 @@
 		conn->heap_index = (int)arrlen(conn->http->timer_heap);
 		arrput(conn->http->timer_heap, conn);
 	}
-	timer_up(conn->http, conn->heap_index);
+	timer_sift_up(conn->http, conn->heap_index);
 }
 
 /* ---- connections ---- */
@@ -80,13 +81,13 @@
 struct http_connection *http_conn_new(struct http *http, enum conn_kind kind, int fd)
 {
 	struct http_connection *conn = http->spare_connections;
-	struct http_field *field = NULL;
-	int fcap = 0;
+	struct http_field *fields = NULL;
+	int field_capacity = 0;
 
 	if (conn) {
 		http->spare_connections = conn->client.next;
-		field = conn->fields;
-		fcap = conn->field_capacity;
+		fields = conn->fields;
+		field_capacity = conn->field_capacity;
 	} else if (!(conn = malloc(sizeof *conn))) {
 		abort();
 	}
@@ -94,9 +95,9 @@
 	conn->http = http;
 	conn->kind = kind;
 	conn->fd = fd;
-	conn->fields = field;
-	conn->field_capacity = fcap;
-	conn->timeout_at_ms = conn->heap_key_ms = NO_TIME;
+	conn->fields = fields;
+	conn->field_capacity = field_capacity;
+	conn->timeout_at_ms = conn->heap_key_ms = TIME_NEVER;
 	conn->heap_index = -1;
 	return conn;
 }
@@ -116,10 +117,10 @@
 	if (conn->queued || conn->closed)
 		return;
 	conn->queued = 1;
-	arrput(conn->http->queued, conn);
+	arrput(conn->http->queued_connections, conn);
 }
 
-void http_idle_remove(struct http_connection *conn)
+void http_conn_remove_idle(struct http_connection *conn)
 {
 	struct peer *peer = conn->client.peer;
 
@@ -134,7 +135,7 @@
 	conn->client.next = conn->client.prev = NULL;
 }
 
-void http_peer_release(struct http *http, struct peer *peer)
+void http_peer_free_if_unused(struct http *http, struct peer *peer)
 {
 	if (peer->open_connections || peer->max_connections)
 		return;
@@ -144,7 +145,7 @@
 
 /* Whether an ordinary end of this connection would make an incomplete answer look complete: where the end of
  * the connection is the end of the answer. */
-static int close_misleads(const struct http_connection *conn)
+static int would_close_look_complete(const struct http_connection *conn)
 {
 	if (conn->kind != CONN_SERVER || !conn->server.response_begun ||
 	    conn->server.response_framing != BODY_UNTIL_EOF || conn->server.no_body)
@@ -162,7 +163,7 @@
 		return;
 	conn->closed = 1;
 	if (conn->fd >= 0) {
-		if (reset || close_misleads(conn))
+		if (reset || would_close_look_complete(conn))
 			setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
 		close(conn->fd);
 	}
@@ -170,21 +171,21 @@
 	http_timer_remove(http, conn);
 	if (conn->kind == CONN_SERVER &&
 	    (conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE))
-		http->busy_count--;
+		http->busy_client_count--;
 	if (conn->kind == CONN_CLIENT && conn->client.peer) {
 		if (conn->state == CONN_IDLE)
-			http_idle_remove(conn);
+			http_conn_remove_idle(conn);
 		conn->client.peer->open_connections--;
-		http_peer_release(http, conn->client.peer);
+		http_peer_free_if_unused(http, conn->client.peer);
 		conn->client.peer = NULL;
 	}
-	arrput(http->closed, conn);
+	arrput(http->closed_connections, conn);
 }
 
 static void conn_free(struct http *http, struct http_connection *conn)
 {
 	if (conn->kind == CONN_SERVER) {
-		http_buffer_free(http, &conn->server.early);
+		http_buffer_free(http, &conn->server.pipelined);
 		http->slots[conn->server.slot] = NULL;
 		arrput(http->free_slots, conn->server.slot);
 	}
@@ -194,64 +195,69 @@
 	http->spare_connections = conn;
 }
 
-void http_conn_reap(struct http *http)
+void http_conn_free_closed(struct http *http)
 {
-	ptrdiff_t i, n = 0;
+	ptrdiff_t i, kept_count = 0;
 
-	for (i = 0; i < arrlen(http->closed); i++)
-		if (http->closed[i]->queued)
-			http->closed[n++] = http->closed[i];
+	for (i = 0; i < arrlen(http->closed_connections); i++)
+		if (http->closed_connections[i]->queued)
+			http->closed_connections[kept_count++] = http->closed_connections[i];
 		else
-			conn_free(http, http->closed[i]);
-	arrsetlen(http->closed, n);
+			conn_free(http, http->closed_connections[i]);
+	arrsetlen(http->closed_connections, kept_count);
 }
 
-void http_socket_options(int fd)
+void http_socket_set_options(int fd)
 {
-	int on = 1, ut = UNACKED_TIMEOUT_MS, idle = 2, intvl = 1, cnt = 3;
+	int on = 1, user_timeout_ms = UNACKED_TIMEOUT_MS, keepalive_idle_s = 2, keepalive_interval_s = 1,
+	    keepalive_probe_count = 3;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ut, sizeof ut);
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &intvl, sizeof intvl);
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &cnt, sizeof cnt);
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms, sizeof user_timeout_ms);
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &keepalive_idle_s, sizeof keepalive_idle_s);
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &keepalive_interval_s, sizeof keepalive_interval_s);
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &keepalive_probe_count, sizeof keepalive_probe_count);
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
 }
 
-static int option_is(int fd, int level, int name, int expected)
+static int socket_option_is(int fd, int level, int name, int expected)
 {
-	int v = -1;
-	socklen_t n = sizeof v;
+	int value = -1;
+	socklen_t value_size = sizeof value;
 
-	return !getsockopt(fd, level, name, &v, &n) && (expected ? v == expected : v > 0);
+	return !getsockopt(fd, level, name, &value, &value_size) &&
+	       (expected ? value == expected : value > 0);
 }
 
-bool http_socket_inherits(int fd)
+bool http_socket_has_options(int fd)
 {
-	return option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) &&
-	       option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS) &&
-	       option_is(fd, IPPROTO_TCP, TCP_KEEPIDLE, 2) && option_is(fd, IPPROTO_TCP, TCP_KEEPINTVL, 1) &&
-	       option_is(fd, IPPROTO_TCP, TCP_KEEPCNT, 3) && option_is(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
+	return socket_option_is(fd, IPPROTO_TCP, TCP_NODELAY, 0) &&
+	       socket_option_is(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS) &&
+	       socket_option_is(fd, IPPROTO_TCP, TCP_KEEPIDLE, 2) &&
+	       socket_option_is(fd, IPPROTO_TCP, TCP_KEEPINTVL, 1) &&
+	       socket_option_is(fd, IPPROTO_TCP, TCP_KEEPCNT, 3) &&
+	       socket_option_is(fd, SOL_SOCKET, SO_KEEPALIVE, 0);
 }
 
 int http_conn_send(struct http_connection *conn, int *lost)
 {
-	size_t n = conn->output.len - conn->output.offset;
-	ssize_t k;
+	size_t unsent_bytes = conn->output.len - conn->output.offset;
+	ssize_t sent_bytes;
 
 	*lost = 0;
-	if (!n)
+	if (!unsent_bytes)
 		return 1;
 	do
-		k = send(conn->fd, conn->output.data + conn->output.offset, n, MSG_NOSIGNAL);
-	while (k < 0 && errno == EINTR);
-	if (k < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
+		sent_bytes =
+		    send(conn->fd, conn->output.data + conn->output.offset, unsent_bytes, MSG_NOSIGNAL);
+	while (sent_bytes < 0 && errno == EINTR);
+	if (sent_bytes < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
 		*lost = 1;
 		return 0;
 	}
-	if (k > 0)
-		conn->output.offset += (size_t)k;
-	if (k > 0 && (size_t)k == n) {
+	if (sent_bytes > 0)
+		conn->output.offset += (size_t)sent_bytes;
+	if (sent_bytes > 0 && (size_t)sent_bytes == unsent_bytes) {
 		http_buffer_free(conn->http, &conn->output);
 		return 1;
 	}
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -7,7 +7,7 @@
 #include "http_internal.h"
 
 enum {
-	STOP_READS =
+	MAX_SHUTDOWN_READS =
 	    16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */
 };
 
@@ -26,48 +26,48 @@
 }
 
 /* Whether the client has said that it sends nothing more, and has sent nothing more. */
-static int client_is_done(const struct http_connection *conn)
+static int client_has_finished_sending(const struct http_connection *conn)
 {
-	return conn->head.close && !conn->server.linger && conn->input.len <= conn->server.parse_offset &&
-	       !conn->server.early.len;
+	return conn->head.close_connection && !conn->server.must_linger &&
+	       conn->input.len <= conn->server.parse_offset && !conn->server.pipelined.len;
 }
 
 void http_server_linger(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 
-	if (client_is_done(conn)) {
+	if (client_has_finished_sending(conn)) {
 		http_conn_close(conn, 0);
 		return;
 	}
-	http->busy_count--;
+	http->busy_client_count--;
 	shutdown(conn->fd, SHUT_WR);
 	conn->state = CONN_LINGERING;
 	http_buffer_free(http, &conn->input);
-	http_buffer_free(http, &conn->server.early);
+	http_buffer_free(http, &conn->server.pipelined);
 	http_conn_watch(conn, HTTP_READ_EVENTS);
-	http_timer_set(conn, http->now_ms + LINGER_MS);
+	http_timer_set(conn, http->now_ms + LINGER_TIMEOUT_MS);
 }
 
 /* Read and discard. Returns how many bytes; 0 when the other side has ended, -1 when there are none. */
-static ssize_t drain(struct http_connection *conn)
+static ssize_t discard_input(struct http_connection *conn)
 {
-	ssize_t n = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
+	ssize_t received = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
 
-	if (n >= 0)
-		return n;
+	if (received >= 0)
+		return received;
 	return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? -1 : 0;
 }
 
 void http_server_linger_read(struct http_connection *conn)
 {
-	if (!drain(conn))
+	if (!discard_input(conn))
 		http_conn_close(conn, 0);
 }
 
-void http_server_stop(struct http_connection *conn)
+void http_server_shut_down(struct http_connection *conn)
 {
-	int lost, sent = conn->state != CONN_LINGERING && http_conn_send(conn, &lost), reads = 0;
+	int lost, sent = conn->state != CONN_LINGERING && http_conn_send(conn, &lost), read_count = 0;
 	int answered = conn->state == CONN_LINGERING || (conn->state == CONN_SENDING_RESPONSE && sent);
 
 	if (!answered) {
@@ -77,7 +77,7 @@
 	http_server_count_outcome(conn,
 				  conn->server.is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
 	shutdown(conn->fd, SHUT_WR);
-	while (reads++ < STOP_READS && drain(conn) > 0)
+	while (read_count++ < MAX_SHUTDOWN_READS && discard_input(conn) > 0)
 		;
 	http_conn_close(conn, 0);
 }
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -18,7 +18,7 @@
 	http_timer_set(conn, conn->http->now_ms + ACCEPT_PAUSE_MS);
 }
 
-static uint32_t slot_allocate(struct http *http, struct http_connection *conn)
+static uint32_t allocate_slot(struct http *http, struct http_connection *conn)
 {
 	uint32_t slot;
 
@@ -33,30 +33,30 @@
 }
 
 /* Returns 0 when there is no connection to accept, or no descriptor for it. */
-static int accept_one(struct http_connection *listening)
+static int accept_one(struct http_connection *listening_conn)
 {
-	struct http *http = listening->http;
-	struct listener *listener = &listening->listener;
-	int fd = accept4(listening->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+	struct http *http = listening_conn->http;
+	struct listener *listener = &listening_conn->listener;
+	int fd = accept4(listening_conn->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 	struct http_connection *conn;
 
 	if (fd < 0) {
 		if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
-			pause_accepting(listening);
+			pause_accepting(listening_conn);
 		return 0;
 	}
 	if (!listener->options_checked) {
 		listener->options_checked = 1;
-		listener->options_inherited = http_socket_inherits(fd);
+		listener->options_inherited = http_socket_has_options(fd);
 	}
 	if (!listener->options_inherited)
-		http_socket_options(fd);
+		http_socket_set_options(fd);
 	http->counters.accepted++;
 	conn = http_conn_new(http, CONN_SERVER, fd);
-	conn->server.listener = listening;
-	conn->server.slot = slot_allocate(http, conn);
+	conn->server.listener = listening_conn;
+	conn->server.slot = allocate_slot(http, conn);
 	http_conn_watch(conn, HTTP_READ_EVENTS);
-	http_server_idle(conn);
+	http_server_await_request(conn);
 	return 1;
 }
 
@@ -67,35 +67,35 @@
 	int i;
 
 	/* one a turn, and more only when more wait turn after turn */
-	if (listener->last_turn + 1 != http->turn)
+	if (listener->last_accept_iteration + 1 != http->iteration)
 		listener->accept_burst = 1;
 	else if (listener->accept_burst < MAX_ACCEPT_BURST)
 		listener->accept_burst *= 2;
 	else
 		listener->accept_burst = MAX_ACCEPT_BURST;
-	listener->last_turn = http->turn;
+	listener->last_accept_iteration = http->iteration;
 	for (i = 0; i < listener->accept_burst && accept_one(conn); i++)
 		;
 }
 
 int http_listen(struct http *http, const char *addr, int listener_id, const struct http_limits *limits)
 {
-	uint64_t a = core_parse_addr(addr);
-	struct sockaddr_in socket_address = http_socket_address(a);
-	socklen_t n = sizeof socket_address;
+	uint64_t address = core_parse_addr(addr);
+	struct sockaddr_in socket_address = http_socket_address(address);
+	socklen_t address_size = sizeof socket_address;
 	struct http_connection *conn;
 	int fd, on = 1;
 
-	if (!a) {
+	if (!address) {
 		log_write(LOG_ERROR, "http", "Cannot listen at %s: not an address.", addr);
 		return 0;
 	}
 	if ((fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0)
 		goto bad;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-	http_socket_options(fd);
+	http_socket_set_options(fd);
 	if (bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) ||
-	    listen(fd, ACCEPT_BACKLOG) || getsockname(fd, (struct sockaddr *)&socket_address, &n))
+	    listen(fd, ACCEPT_BACKLOG) || getsockname(fd, (struct sockaddr *)&socket_address, &address_size))
 		goto bad;
 	conn = http_conn_new(http, CONN_LISTENER, fd);
 	conn->state = CONN_LISTENING;
@@ -166,7 +166,7 @@
 }
 
 /* Nothing of a request was read, and none is awaited: the listener drains, or the client never sent one. */
-static bool may_close_unread(const struct http_connection *conn)
+static bool is_idle_without_request(const struct http_connection *conn)
 {
 	return conn->state == CONN_READING_HEAD && !conn->input.len &&
 	       (conn->server.listener->listener.draining || !conn->server.token);
@@ -182,7 +182,7 @@
 		struct http_connection *conn = http->slots[i];
 
 		if (conn && !conn->closed && conn->server.listener->listener.sweep_due &&
-		    may_close_unread(conn) && !http_server_progressed(conn))
+		    is_idle_without_request(conn) && !http_server_read_progress(conn))
 			http_conn_close(conn, 0);
 	}
 	for (i = 0; i < arrlen(http->listeners); i++)
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -14,14 +14,14 @@
 
 static void run_queued(struct http *http)
 {
-	struct http_connection **connections = http->queued;
+	struct http_connection **connections = http->queued_connections;
 	ptrdiff_t i;
 
 	if (!arrlen(connections))
 		return;
 	/* only what was there: what callbacks add has its turn later */
-	http->queued = http->running;
-	http->running = connections;
+	http->queued_connections = http->running_connections;
+	http->running_connections = connections;
 	for (i = 0; i < arrlen(connections); i++) {
 		struct http_connection *conn = connections[i];
 
@@ -31,9 +31,9 @@
 		if (conn->kind == CONN_SERVER)
 			http_server_flush(conn);
 		else if (conn->state == CONN_FAILED)
-			http_client_end(conn, HTTP_CALL_NOT_SENT, 0);
+			http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 		else
-			http_client_start(conn);
+			http_client_start_call(conn);
 	}
 	arrsetlen(connections, 0);
 }
@@ -44,16 +44,16 @@
 		struct http_connection *conn = http->timer_heap[0];
 
 		if (conn->timeout_at_ms > http->now_ms) {
-			if (conn->timeout_at_ms == NO_TIME) {
+			if (conn->timeout_at_ms == TIME_NEVER) {
 				http_timer_remove(http, conn);
 			} else {
 				conn->heap_key_ms = conn->timeout_at_ms;
-				http_timer_down(http, 0);
+				http_timer_sift_down(http, 0);
 			}
 			continue;
 		}
 		http_timer_remove(http, conn);
-		conn->timeout_at_ms = NO_TIME;
+		conn->timeout_at_ms = TIME_NEVER;
 		if (conn->kind == CONN_SERVER) {
 			http_server_timeout(conn);
 		} else if (conn->kind == CONN_CLIENT) {
@@ -70,24 +70,24 @@
 	uint64_t count;
 	int i, n;
 
-	http->turn++;
+	http->iteration++;
 	http->callback_made = 0;
 	/* the time of the last turn serves where nothing is due soon */
-	if (arrlen(http->queued) ||
+	if (arrlen(http->queued_connections) ||
 	    (arrlen(http->timer_heap) &&
 	     http->timer_heap[0]->heap_key_ms - http->now_ms < (int64_t)timeout_ms + 1000))
 		http->now_ms = clock_ms();
 	run_queued(http);
-	if (http->callback_made || http->sweep_count || arrlen(http->queued) || timeout_ms < 0)
+	if (http->callback_made || http->sweep_count || arrlen(http->queued_connections) || timeout_ms < 0)
 		timeout_ms = 0;
 	if (timeout_ms && arrlen(http->timer_heap) &&
 	    http->timer_heap[0]->heap_key_ms - http->now_ms < timeout_ms)
 		timeout_ms = http->timer_heap[0]->heap_key_ms > http->now_ms
 				 ? (int)(http->timer_heap[0]->heap_key_ms - http->now_ms)
 				 : 0;
-	http->previous_poll_at_ms = http->polled_at_ms;
-	n = epoll_wait(http->epoll_fd, http->events, EVENTS, timeout_ms);
-	http->now_ms = http->polled_at_ms = clock_ms();
+	http->previous_poll_at_ms = http->last_poll_at_ms;
+	n = epoll_wait(http->epoll_fd, http->events, MAX_EPOLL_EVENTS, timeout_ms);
+	http->now_ms = http->last_poll_at_ms = clock_ms();
 	for (i = 0; i < n; i++) {
 		struct http_connection *conn = http->events[i].data.ptr;
 		uint32_t events = http->events[i].events;
@@ -95,7 +95,7 @@
 		if (!conn) {
 			if (read(http->wake_fd, &count, sizeof count) < 0)
 				continue;
-			__atomic_store_n(&http->woken, 0,
+			__atomic_store_n(&http->wake_pending, 0,
 					 __ATOMIC_SEQ_CST); /* before the owner reads what it was woken for */
 			continue;
 		}
@@ -111,14 +111,14 @@
 	http_listener_sweep(http);
 	run_timers(http);
 	run_queued(http);
-	http_conn_reap(http);
+	http_conn_free_closed(http);
 }
 
 void http_wake(struct http *http)
 {
 	uint64_t one = 1;
 
-	if (!__atomic_exchange_n(&http->woken, 1, __ATOMIC_SEQ_CST) &&
+	if (!__atomic_exchange_n(&http->wake_pending, 1, __ATOMIC_SEQ_CST) &&
 	    write(http->wake_fd, &one, sizeof one) < 0)
 		return; /* it is awake already */
 }
@@ -141,7 +141,7 @@
 		free(http);
 		return NULL;
 	}
-	http->now_ms = http->polled_at_ms = http->previous_poll_at_ms = clock_ms();
+	http->now_ms = http->last_poll_at_ms = http->previous_poll_at_ms = clock_ms();
 	return http;
 }
 
@@ -151,7 +151,7 @@
 
 	for (i = 0; i < arrlen(http->slots); i++)
 		if (http->slots[i] && !http->slots[i]->closed)
-			http_server_stop(http->slots[i]);
+			http_server_shut_down(http->slots[i]);
 	for (i = 0; i < hmlen(http->calls); i++)
 		http_conn_close(http->calls[i].value, 0);
 	while (hmlen(http->peers)) {
@@ -162,11 +162,11 @@
 		while (peer->first_idle)
 			http_conn_close(peer->first_idle, 0);
 		peer->open_connections--;
-		http_peer_release(http, peer);
+		http_peer_free_if_unused(http, peer);
 	}
-	for (i = 0; i < arrlen(http->queued); i++)
-		http->queued[i]->queued = 0;
-	http_conn_reap(http);
+	for (i = 0; i < arrlen(http->queued_connections); i++)
+		http->queued_connections[i]->queued = 0;
+	http_conn_free_closed(http);
 	for (i = 0; i < arrlen(http->listeners); i++) {
 		if (http->listeners[i]->fd >= 0)
 			close(http->listeners[i]->fd);
@@ -185,9 +185,9 @@
 	arrfree(http->listeners);
 	arrfree(http->slots);
 	arrfree(http->free_slots);
-	arrfree(http->queued);
-	arrfree(http->running);
-	arrfree(http->closed);
+	arrfree(http->queued_connections);
+	arrfree(http->running_connections);
+	arrfree(http->closed_connections);
 	arrfree(http->timer_heap);
 	hmfree(http->calls);
 	hmfree(http->peers);
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -22,21 +22,21 @@
 
 unsigned char http_token_char[256];
 
-ssize_t http_head_end(struct http_connection *conn, size_t from)
+ssize_t http_find_head_end(struct http_connection *conn, size_t from)
 {
-	const char *d = conn->input.data, *nl;
+	const char *data = conn->input.data, *newline;
 
 	if (conn->scan_offset < from)
 		conn->scan_offset = from;
 	while (conn->scan_offset < conn->input.len &&
-	       (nl = memchr(d + conn->scan_offset, '\n', conn->input.len - conn->scan_offset))) {
-		size_t i = (size_t)(nl - d);
+	       (newline = memchr(data + conn->scan_offset, '\n', conn->input.len - conn->scan_offset))) {
+		size_t newline_offset = (size_t)(newline - data);
 
-		if (i == from || d[i - 1] != '\r')
+		if (newline_offset == from || data[newline_offset - 1] != '\r')
 			return -1;
-		conn->scan_offset = i + 1;
-		if (i >= from + 2 && d[i - 2] == '\n')
-			return (ssize_t)(i + 1);
+		conn->scan_offset = newline_offset + 1;
+		if (newline_offset >= from + 2 && data[newline_offset - 2] == '\n')
+			return (ssize_t)(newline_offset + 1);
 	}
 	conn->scan_offset = conn->input.len;
 	return 0;
@@ -72,31 +72,31 @@
 
 /* http-parser accepts folded lines, blanks before a colon and more; the server that reads the same bytes may
  * read them differently (request smuggling). */
-static int are_lines_exact(const char *line, const char *end, int request)
+static int has_strict_syntax(const char *line, const char *end, int request)
 {
-	const char *nl = memchr(line, '\n', (size_t)(end - line));
+	const char *newline = memchr(line, '\n', (size_t)(end - line));
 
-	if (!nl || nl == line || !is_start_line(line, nl - 1, request))
+	if (!newline || newline == line || !is_start_line(line, newline - 1, request))
 		return 0;
-	for (line = nl + 1; line < end - 2; line = nl + 1) {
+	for (line = newline + 1; line < end - 2; line = newline + 1) {
 		const char *cursor = line;
 
-		nl = memchr(line, '\n', (size_t)(end - line));
+		newline = memchr(line, '\n', (size_t)(end - line));
 		while (http_token_char[(unsigned char)*cursor])
 			cursor++;
-		if (cursor == line || *cursor != ':' || !is_text(cursor + 1, nl - 1))
+		if (cursor == line || *cursor != ':' || !is_text(cursor + 1, newline - 1))
 			return 0;
 	}
 	return 1;
 }
 
-struct reading {
-	struct http_connection *c;
+struct head_parse {
+	struct http_connection *conn;
 	char *name_end, *value_end;
-	int values, ended;
+	int value_count, is_complete;
 };
 
-static void terminate(struct reading *reading)
+static void terminate_strings(struct head_parse *reading)
 {
 	if (reading->name_end)
 		*reading->name_end = 0;
@@ -110,23 +110,23 @@
 	return (const char *)(uintptr_t)(position - conn->input.data);
 }
 
-static int on_url(http_parser *parser, const char *at, size_t n)
+static int on_url(http_parser *parser, const char *at, size_t size)
 {
-	struct reading *reading = parser->data;
+	struct head_parse *reading = parser->data;
 
-	reading->c->server.target_offset = (size_t)(at - reading->c->input.data);
-	reading->name_end = reading->c->input.data + reading->c->server.target_offset +
-			    n; /* the blank behind it, which has been read when the next comes */
+	reading->conn->server.target_offset = (size_t)(at - reading->conn->input.data);
+	reading->name_end = reading->conn->input.data + reading->conn->server.target_offset +
+			    size; /* the blank behind it, which has been read when the next comes */
 	return 0;
 }
 
 static int on_field(http_parser *parser, const char *text, size_t size)
 {
-	struct reading *reading = parser->data;
-	struct http_connection *conn = reading->c;
+	struct head_parse *reading = parser->data;
+	struct http_connection *conn = reading->conn;
 
-	terminate(reading);
-	if (reading->values != conn->field_count)
+	terminate_strings(reading);
+	if (reading->value_count != conn->field_count)
 		return -1;
 	if (conn->field_count == conn->field_capacity) {
 		conn->field_capacity = conn->field_capacity ? conn->field_capacity * 2 : 16;
@@ -143,54 +143,55 @@
 
 static int list_has_token(const char *value, size_t size, const char *token)
 {
-	size_t w = strlen(token), i, j;
+	size_t token_size = strlen(token), item_start, item_end;
 
-	for (i = 0; i < size; i = j + 1) {
-		for (j = i; j < size && value[j] != ','; j++)
+	for (item_start = 0; item_start < size; item_start = item_end + 1) {
+		for (item_end = item_start; item_end < size && value[item_end] != ','; item_end++)
 			;
-		size_t a = i, b = j;
+		size_t start = item_start, end = item_end;
 
-		while (a < b && (value[a] == ' ' || value[a] == '\t'))
-			a++;
-		while (b > a && (value[b - 1] == ' ' || value[b - 1] == '\t'))
-			b--;
-		if (b - a == w && !strncasecmp(value + a, token, w))
+		while (start < end && (value[start] == ' ' || value[start] == '\t'))
+			start++;
+		while (end > start && (value[end - 1] == ' ' || value[end - 1] == '\t'))
+			end--;
+		if (end - start == token_size && !strncasecmp(value + start, token, token_size))
 			return 1;
 	}
 	return 0;
 }
 
-static int number(const char *value, size_t n, uint64_t *to)
+static int parse_decimal(const char *value, size_t size, uint64_t *result)
 {
-	uint64_t x = 0;
+	uint64_t number = 0;
 	size_t i;
 
-	for (i = 0; i < n; i++) {
+	for (i = 0; i < size; i++) {
 		if (value[i] < '0' || value[i] > '9')
 			return 0;
-		x = x * 10 + (uint64_t)(value[i] - '0');
+		number = number * 10 + (uint64_t)(value[i] - '0');
 	}
-	*to = x;
-	return n > 0 && n <= 15;
+	*result = number;
+	return size > 0 && size <= 15;
 }
 
-static int keep_alive_seconds(const char *value, size_t size)
+static int parse_keep_alive_s(const char *value, size_t size)
 {
-	size_t i, j;
-	uint64_t s;
+	size_t start, end;
+	uint64_t seconds;
 
-	for (i = 0; i + 8 <= size; i++) {
-		if (strncasecmp(value + i, "timeout=", 8))
+	for (start = 0; start + 8 <= size; start++) {
+		if (strncasecmp(value + start, "timeout=", 8))
 			continue;
-		for (j = i += 8; j < size && value[j] >= '0' && value[j] <= '9'; j++)
+		for (end = start += 8; end < size && value[end] >= '0' && value[end] <= '9'; end++)
 			;
-		if (number(value + i, j - i, &s))
-			return s < 100000 ? (int)s : 100000;
+		if (parse_decimal(value + start, end - start, &seconds))
+			return seconds < 100000 ? (int)seconds : 100000;
 	}
 	return -1;
 }
 
-static void note(struct http_head *head, const char *name, size_t name_length, const char *value, size_t n)
+static void record_field(struct http_head *head, const char *name, size_t name_length, const char *value,
+			 size_t value_size)
 {
 	switch (name_length) {
 	case 4:
@@ -198,79 +199,79 @@
 		break;
 	case 6:
 		head->expects_continue |=
-		    !strncasecmp(name, "expect", 6) && list_has_token(value, n, "100-continue");
+		    !strncasecmp(name, "expect", 6) && list_has_token(value, value_size, "100-continue");
 		break;
 	case 10:
 		if (!strncasecmp(name, "connection", 10))
-			head->close |= list_has_token(value, n, "close");
+			head->close_connection |= list_has_token(value, value_size, "close");
 		else if (!strncasecmp(name, "keep-alive", 10))
-			head->keep_alive_s = keep_alive_seconds(value, n);
+			head->keep_alive_s = parse_keep_alive_s(value, value_size);
 		break;
 	case 14:
 		if (strncasecmp(name, "content-length", 14))
 			break;
-		head->malformed |= head->has_length || !number(value, n, &head->length);
+		head->is_malformed |= head->has_length || !parse_decimal(value, value_size, &head->length);
 		head->has_length = 1;
 		break;
 	case 17:
 		if (strncasecmp(name, "transfer-encoding", 17))
 			break;
-		head->malformed |= head->chunked || n != 7 || strncasecmp(value, "chunked", 7);
-		head->chunked = 1;
+		head->is_malformed |= head->is_chunked || value_size != 7 || strncasecmp(value, "chunked", 7);
+		head->is_chunked = 1;
 		break;
 	}
 }
 
-static int on_value(http_parser *parser, const char *at, size_t n)
+static int on_value(http_parser *parser, const char *at, size_t size)
 {
-	struct reading *reading = parser->data;
-	struct http_connection *conn = reading->c;
-	size_t name = (size_t)(uintptr_t)conn->fields[conn->field_count - 1].name;
+	struct head_parse *reading = parser->data;
+	struct http_connection *conn = reading->conn;
+	size_t name_offset = (size_t)(uintptr_t)conn->fields[conn->field_count - 1].name;
 
-	if (++reading->values != conn->field_count)
+	if (++reading->value_count != conn->field_count)
 		return -1;
-	while (n && (at[n - 1] == ' ' || at[n - 1] == '\t'))
-		n--;
-	note(&conn->head, conn->input.data + name, (size_t)(reading->name_end - conn->input.data) - name, at,
-	     n);
-	if (n) {
+	while (size && (at[size - 1] == ' ' || at[size - 1] == '\t'))
+		size--;
+	record_field(&conn->head, conn->input.data + name_offset,
+		     (size_t)(reading->name_end - conn->input.data) - name_offset, at, size);
+	if (size) {
 		conn->fields[conn->field_count - 1].value = as_offset(conn, at);
-		reading->value_end = conn->input.data + (at - conn->input.data) + n;
+		reading->value_end = conn->input.data + (at - conn->input.data) + size;
 	}
 	return 0;
 }
 
-static int on_head(http_parser *parser)
+static int on_head_complete(http_parser *parser)
 {
-	struct reading *reading = parser->data;
+	struct head_parse *reading = parser->data;
 
-	terminate(reading);
-	reading->ended = 1;
+	terminate_strings(reading);
+	reading->is_complete = 1;
 	return 1; /* its body is not http-parser's */
 }
 
-int http_head_read(struct http_connection *conn, size_t from, size_t end, int request)
+int http_parse_head(struct http_connection *conn, size_t from, size_t end, int request)
 {
-	static const http_parser_settings set = { .on_url = on_url,
-						  .on_header_field = on_field,
-						  .on_header_value = on_value,
-						  .on_headers_complete = on_head };
-	struct reading reading = { .c = conn };
+	static const http_parser_settings settings = { .on_url = on_url,
+						       .on_header_field = on_field,
+						       .on_header_value = on_value,
+						       .on_headers_complete = on_head_complete };
+	struct head_parse reading = { .conn = conn };
 	http_parser parser;
 
 	conn->field_count = 0;
 	conn->head = (struct http_head){ .keep_alive_s = -1 };
-	if (!are_lines_exact(conn->input.data + from, conn->input.data + end, request))
+	if (!has_strict_syntax(conn->input.data + from, conn->input.data + end, request))
 		return 0;
 	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
 	parser.data = &reading;
-	http_parser_execute(&parser, &set, conn->input.data + from, end - from);
-	if (!reading.ended || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.malformed ||
-	    (conn->head.chunked && conn->head.has_length) || parser.http_major != 1 ||
-	    (conn->head.chunked && !parser.http_minor))
+	http_parser_execute(&parser, &settings, conn->input.data + from, end - from);
+	if (!reading.is_complete || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.is_malformed ||
+	    (conn->head.is_chunked && conn->head.has_length) || parser.http_major != 1 ||
+	    (conn->head.is_chunked && !parser.http_minor))
 		return 0;
 	conn->head.minor_version = parser.http_minor;
-	conn->head.close |= !parser.http_minor;
+	conn->head.close_connection |= !parser.http_minor;
 	conn->head.status = (int)parser.status_code;
 	if (request) {
 		conn->server.method = http_method_str((enum http_method)parser.method);
@@ -309,7 +310,7 @@
 }
 
 /* A byte that must be this one, and leads to the next state. */
-static int expect(struct chunk_parser *chunks, char byte, char expected, enum chunk_state next)
+static int expect_byte(struct chunk_parser *chunks, char byte, char expected, enum chunk_state next)
 {
 	if (byte != expected)
 		return 0;
@@ -317,53 +318,55 @@
 	return 1;
 }
 
-static int size_byte(struct chunk_parser *chunks, char byte)
+static int parse_size_byte(struct chunk_parser *chunks, char byte)
 {
 	int digit = hex_digit(byte);
 
 	if (digit >= 0) {
-		chunks->remaining = chunks->remaining * 16 + (uint64_t)digit;
+		chunks->remaining_bytes = chunks->remaining_bytes * 16 + (uint64_t)digit;
 		return ++chunks->digit_count <= MAX_SIZE_DIGITS;
 	}
-	chunks->line_bytes = 0;
+	chunks->extension_bytes = 0;
 	if (!chunks->digit_count)
 		return 0;
-	return expect(chunks, byte, '\r', CHUNK_SIZE_LF) || expect(chunks, byte, ';', CHUNK_EXTENSION);
+	return expect_byte(chunks, byte, '\r', CHUNK_SIZE_LF) ||
+	       expect_byte(chunks, byte, ';', CHUNK_EXTENSION);
 }
 
-static int trailer_start_byte(struct chunk_parser *chunks, char byte)
+static int parse_trailer_start_byte(struct chunk_parser *chunks, char byte)
 {
-	if (expect(chunks, byte, '\r', CHUNK_END_LF))
+	if (expect_byte(chunks, byte, '\r', CHUNK_END_LF))
 		return 1;
 	chunks->state = CHUNK_TRAILER;
 	return http_token_char[(unsigned char)byte];
 }
 
 /* One byte of the framing; 0 when it's wrong there. */
-static int framing_byte(struct chunk_parser *chunks, char byte)
+static int parse_framing_byte(struct chunk_parser *chunks, char byte)
 {
 	switch (chunks->state) {
 	case CHUNK_SIZE:
-		return size_byte(chunks, byte);
+		return parse_size_byte(chunks, byte);
 	case CHUNK_EXTENSION:
-		return expect(chunks, byte, '\r', CHUNK_SIZE_LF) ||
-		       (!is_control(byte) && ++chunks->line_bytes <= MAX_CHUNK_LINE_BYTES);
+		return expect_byte(chunks, byte, '\r', CHUNK_SIZE_LF) ||
+		       (!is_control(byte) && ++chunks->extension_bytes <= MAX_CHUNK_LINE_BYTES);
 	case CHUNK_SIZE_LF:
-		return expect(chunks, byte, '\n', chunks->remaining ? CHUNK_DATA : CHUNK_TRAILER_START);
+		return expect_byte(chunks, byte, '\n',
+				   chunks->remaining_bytes ? CHUNK_DATA : CHUNK_TRAILER_START);
 	case CHUNK_DATA_CR:
-		return expect(chunks, byte, '\r', CHUNK_DATA_LF);
+		return expect_byte(chunks, byte, '\r', CHUNK_DATA_LF);
 	case CHUNK_DATA_LF:
 		chunks->digit_count = 0;
-		return expect(chunks, byte, '\n', CHUNK_SIZE);
+		return expect_byte(chunks, byte, '\n', CHUNK_SIZE);
 	case CHUNK_TRAILER_START:
-		return trailer_start_byte(chunks, byte);
+		return parse_trailer_start_byte(chunks, byte);
 	case CHUNK_TRAILER:
-		return expect(chunks, byte, '\r', CHUNK_TRAILER_LF) ||
+		return expect_byte(chunks, byte, '\r', CHUNK_TRAILER_LF) ||
 		       (!is_control(byte) && ++chunks->trailer_bytes <= MAX_TRAILER_BYTES);
 	case CHUNK_TRAILER_LF:
-		return expect(chunks, byte, '\n', CHUNK_TRAILER_START);
+		return expect_byte(chunks, byte, '\n', CHUNK_TRAILER_START);
 	case CHUNK_END_LF:
-		return expect(chunks, byte, '\n', CHUNK_DONE);
+		return expect_byte(chunks, byte, '\n', CHUNK_DONE);
 	case CHUNK_DATA:
 	case CHUNK_DONE:
 		break;
@@ -371,22 +374,24 @@
 	return 0;
 }
 
-ssize_t http_chunk_step(struct chunk_parser *chunks, const char *input, size_t size, const char **data,
-			size_t *data_size)
+ssize_t http_chunk_parse(struct chunk_parser *chunks, const char *input, size_t input_size, const char **data,
+			 size_t *data_size)
 {
 	size_t i;
 
 	*data_size = 0;
-	for (i = 0; i < size && chunks->state != CHUNK_DONE; i++) {
+	for (i = 0; i < input_size && chunks->state != CHUNK_DONE; i++) {
 		if (chunks->state == CHUNK_DATA) {
 			*data = input + i;
-			*data_size = size - i < chunks->remaining ? size - i : (size_t)chunks->remaining;
-			chunks->remaining -= *data_size;
-			if (!chunks->remaining)
+			*data_size = input_size - i < chunks->remaining_bytes
+					 ? input_size - i
+					 : (size_t)chunks->remaining_bytes;
+			chunks->remaining_bytes -= *data_size;
+			if (!chunks->remaining_bytes)
 				chunks->state = CHUNK_DATA_CR;
 			return (ssize_t)(i + *data_size);
 		}
-		if (!framing_byte(chunks, input[i]))
+		if (!parse_framing_byte(chunks, input[i]))
 			return -1;
 	}
 	return (ssize_t)i;
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -15,7 +15,7 @@
 
 static struct http_connection *find_by_token(struct http *http, uint64_t token)
 {
-	size_t index = token & ((1u << SLOT_BITS) - 1);
+	size_t index = token & ((1u << TOKEN_SLOT_BITS) - 1);
 	struct http_connection *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
 	if (!conn || conn->closed || conn->state != CONN_HANDLING || conn->server.token != token)
@@ -35,7 +35,7 @@
 }
 
 /* For how long the wait under way may last. */
-static int wait_ms(const struct http_connection *conn)
+static int wait_timeout_ms(const struct http_connection *conn)
 {
 	const struct listener *listener = &conn->server.listener->listener;
 
@@ -44,15 +44,15 @@
 		if (conn->server.head_begun)
 			return listener->limits.head_timeout_ms;
 		if (listener->draining && conn->server.token &&
-		    listener->limits.idle_timeout_ms > DRAIN_IDLE_MS)
-			return DRAIN_IDLE_MS;
+		    listener->limits.idle_timeout_ms > DRAIN_IDLE_TIMEOUT_MS)
+			return DRAIN_IDLE_TIMEOUT_MS;
 		return listener->limits.idle_timeout_ms;
 	case CONN_SENDING_RESPONSE:
 		if (conn->server.outcome_pending)
 			return listener->limits.idle_timeout_ms;
-		return LINGER_MS; /* of a rejection: its request was not read */
+		return LINGER_TIMEOUT_MS; /* of a rejection: its request was not read */
 	case CONN_LINGERING:
-		return LINGER_MS;
+		return LINGER_TIMEOUT_MS;
 	default:
 		return listener->limits.idle_timeout_ms;
 	}
@@ -61,7 +61,7 @@
 static void begin_wait(struct http_connection *conn)
 {
 	conn->server.wait_began_at_ms = conn->http->now_ms;
-	http_timer_set(conn, conn->server.wait_began_at_ms + wait_ms(conn));
+	http_timer_set(conn, conn->server.wait_began_at_ms + wait_timeout_ms(conn));
 }
 
 void http_server_reject(struct http_connection *conn, int status, int retry_after_ms)
@@ -70,7 +70,7 @@
 	char retry_after[48];
 
 	http->counters.bad_requests++;
-	http->busy_count++;
+	http->busy_client_count++;
 	append_status_line(http, &conn->output, status);
 	if (retry_after_ms > 0) {
 		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000,
@@ -79,19 +79,19 @@
 	}
 	http_buffer_append_text(http, &conn->output, "Content-Length: 0\r\nConnection: close\r\n\r\n");
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->server.closing = conn->server.linger = 1;
+	conn->server.close_after_response = conn->server.must_linger = 1;
 	conn->input.len = 0;
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
 
-static void server_lost(struct http_connection *conn)
+static void handle_client_disconnect(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	int waits = conn->state == CONN_HANDLING;
+	int was_handling = conn->state == CONN_HANDLING;
 
 	http_server_abort(conn, HTTP_OUTCOME_DISCONNECTED);
-	if (!waits)
+	if (!was_handling)
 		return;
 	http->callback_made = 1;
 	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
@@ -100,7 +100,7 @@
 /* NULL: the request has none, which differs from one of length 0. */
 static const char *request_body(const struct http_connection *conn)
 {
-	if (!conn->head.has_length && !conn->head.chunked)
+	if (!conn->head.has_length && !conn->head.is_chunked)
 		return NULL;
 	return conn->server.body_bytes ? conn->input.data + conn->server.body_offset : "";
 }
@@ -111,7 +111,7 @@
 	struct server_side *side = &conn->server;
 
 	http_head_resolve_fields(conn);
-	side->token = ++http->serial << SLOT_BITS | side->slot;
+	side->token = ++http->last_token_serial << TOKEN_SLOT_BITS | side->slot;
 	side->request = (struct http_request){ .token = side->token,
 					       .listener_id = side->listener->listener.listener_id,
 					       .method = side->method,
@@ -124,47 +124,48 @@
 	side->response_begun = side->no_body = side->is_rejection = 0;
 	side->outcome_pending = 1;
 	side->response_deadline_ms = 0;
-	side->closing = conn->head.close;
+	side->close_after_response = conn->head.close_connection;
 	conn->state = CONN_HANDLING;
-	conn->timeout_at_ms = NO_TIME;
-	http->busy_count++;
+	conn->timeout_at_ms = TIME_NEVER;
+	http->busy_client_count++;
 	http->counters.requests++;
 	http->callback_made = 1;
 	http->callbacks.request(http->callbacks.context, &side->request);
 }
 
-static int server_body(struct http_connection *conn)
+static int server_parse_body(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
-	const char *d = NULL;
-	size_t dn, n;
-	ssize_t k;
-
-	if (!conn->head.chunked) {
-		n = conn->input.len - side->parse_offset;
-		if (n > conn->body_remaining)
-			n = (size_t)conn->body_remaining;
-		side->parse_offset += n;
-		side->body_bytes += n;
-		conn->body_remaining -= n;
+	const char *data = NULL;
+	size_t data_size, size;
+	ssize_t consumed;
+
+	if (!conn->head.is_chunked) {
+		size = conn->input.len - side->parse_offset;
+		if (size > conn->body_remaining)
+			size = (size_t)conn->body_remaining;
+		side->parse_offset += size;
+		side->body_bytes += size;
+		conn->body_remaining -= size;
 		return !conn->body_remaining;
 	}
 	while (side->parse_offset < conn->input.len && conn->chunks.state != CHUNK_DONE) {
-		if ((k = http_chunk_step(&conn->chunks, conn->input.data + side->parse_offset,
-					 conn->input.len - side->parse_offset, &d, &dn)) < 0) {
+		if ((consumed = http_chunk_parse(&conn->chunks, conn->input.data + side->parse_offset,
+						 conn->input.len - side->parse_offset, &data, &data_size)) <
+		    0) {
 			http_server_reject(conn, 400, 0);
 			return 0;
 		}
 		if (conn->chunks.state != CHUNK_SIZE &&
-		    side->body_bytes + dn + conn->chunks.remaining >
+		    side->body_bytes + data_size + conn->chunks.remaining_bytes >
 			side->max_body_bytes) { /* the size itself may be half read */
 			http_server_reject(conn, 413, 0);
 			return 0;
 		}
-		if (dn)
-			memmove(conn->input.data + side->body_offset + side->body_bytes, d, dn);
-		side->body_bytes += dn;
-		side->parse_offset += (size_t)k;
+		if (data_size)
+			memmove(conn->input.data + side->body_offset + side->body_bytes, data, data_size);
+		side->body_bytes += data_size;
+		side->parse_offset += (size_t)consumed;
 	}
 	if (conn->chunks.state == CHUNK_DONE)
 		return 1;
@@ -188,7 +189,7 @@
 		http_buffer_reserve(conn->http, &conn->input,
 				    (size_t)conn->body_remaining - (conn->input.len - side->parse_offset));
 	if (conn->head.expects_continue && conn->head.minor_version &&
-	    (conn->head.chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
+	    (conn->head.is_chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
 		http_buffer_append_text(conn->http, &conn->output, "HTTP/1.1 100 Continue\r\n\r\n");
 		http_conn_queue(conn);
 	}
@@ -197,7 +198,7 @@
 /* Part of a head has come; the first such begins its time-out. */
 static void server_await_head(struct http_connection *conn)
 {
-	if (conn->timeout_at_ms != NO_TIME && conn->server.head_begun)
+	if (conn->timeout_at_ms != TIME_NEVER && conn->server.head_begun)
 		return;
 	conn->server.head_begun = 1;
 	begin_wait(conn);
@@ -217,14 +218,14 @@
 		conn->input.len = side->parse_offset = conn->scan_offset = 0;
 		return;
 	}
-	end = http_head_end(conn, side->parse_offset);
+	end = http_find_head_end(conn, side->parse_offset);
 	if (end < 0)
 		http_server_reject(conn, 400, 0);
 	else if ((end ? (size_t)end : conn->input.len) - side->parse_offset > limits->head_bytes)
 		http_server_reject(conn, 431, 0);
 	else if (!end)
 		server_await_head(conn);
-	else if (!http_head_read(conn, side->parse_offset, (size_t)end, 1))
+	else if (!http_parse_head(conn, side->parse_offset, (size_t)end, 1))
 		http_server_reject(conn, 400, 0);
 	else if (conn->head.has_length && conn->head.length > limits->body_bytes)
 		http_server_reject(conn, 413, 0);
@@ -238,13 +239,13 @@
 		server_parse_head(conn);
 	if (conn->state != CONN_READING_BODY)
 		return;
-	if (server_body(conn))
+	if (server_parse_body(conn))
 		server_deliver_request(conn);
 	else if (conn->state == CONN_READING_BODY)
 		begin_wait(conn);
 }
 
-void http_server_idle(struct http_connection *conn)
+void http_server_await_request(struct http_connection *conn)
 {
 	conn->state = CONN_READING_HEAD;
 	conn->server.head_begun = 0;
@@ -259,24 +260,25 @@
 {
 	struct http *http = conn->http;
 	struct server_side *side = &conn->server;
-	size_t rest = conn->input.len > side->parse_offset ? conn->input.len - side->parse_offset : 0;
+	size_t leftover_bytes =
+	    conn->input.len > side->parse_offset ? conn->input.len - side->parse_offset : 0;
 
 	http_server_count_outcome(conn, side->is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
-	if (side->closing) {
+	if (side->close_after_response) {
 		http_server_linger(conn);
 		return;
 	}
-	if (rest)
-		memmove(conn->input.data, conn->input.data + side->parse_offset, rest);
-	conn->input.len = rest;
-	if (side->early.len) {
-		http_buffer_append(http, &conn->input, side->early.data, side->early.len);
-		http_buffer_free(http, &side->early);
+	if (leftover_bytes)
+		memmove(conn->input.data, conn->input.data + side->parse_offset, leftover_bytes);
+	conn->input.len = leftover_bytes;
+	if (side->pipelined.len) {
+		http_buffer_append(http, &conn->input, side->pipelined.data, side->pipelined.len);
+		http_buffer_free(http, &side->pipelined);
 		if (!(conn->event_mask & EPOLLIN))
 			http_conn_watch(conn, HTTP_READ_EVENTS);
 	}
-	http->busy_count--;
-	http_server_idle(conn);
+	http->busy_client_count--;
+	http_server_await_request(conn);
 	if (conn->input.len)
 		server_parse(conn);
 	else
@@ -303,7 +305,7 @@
 	}
 	if (!http_conn_send(conn, &lost)) {
 		if (lost)
-			server_lost(conn);
+			handle_client_disconnect(conn);
 		else
 			http_conn_watch(conn, conn->event_mask | EPOLLOUT);
 		return;
@@ -316,15 +318,15 @@
 
 /* Reads bytes behind the request that is being answered, so that the answer need not be the last. Not through
  * the scratch buffer, which may hold a piece of a server's answer that is being forwarded. */
-static void server_read_early(struct http_connection *conn)
+static void server_read_pipelined(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct buffer *early = &conn->server.early;
-	ssize_t n =
+	struct buffer *early = &conn->server.pipelined;
+	ssize_t received =
 	    recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
-	if (n > 0)
-		early->len += (size_t)n;
+	if (received > 0)
+		early->len += (size_t)received;
 	else
 		http_buffer_free(http, early);
 }
@@ -334,39 +336,39 @@
 {
 	struct http *http = conn->http;
 	struct server_side *side = &conn->server;
-	ssize_t n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
+	ssize_t received = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 
-	if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
+	if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
 		return 0;
-	if (n <= 0) {
-		server_lost(conn);
+	if (received <= 0) {
+		handle_client_disconnect(conn);
 		return 0;
 	}
 	switch (conn->state) {
 	case CONN_READING_HEAD:
 	case CONN_READING_BODY:
-		http_buffer_append(http, &conn->input, http->scratch, (size_t)n);
+		http_buffer_append(http, &conn->input, http->scratch, (size_t)received);
 		server_parse(conn);
 		break;
 	case CONN_HANDLING:
 	case CONN_SENDING_RESPONSE:
-		if (side->linger)
+		if (side->must_linger)
 			break; /* of a request that was refused */
-		http_buffer_append(http, &side->early, http->scratch, (size_t)n);
-		if (side->early.len >= MAX_EARLY_BYTES)
+		http_buffer_append(http, &side->pipelined, http->scratch, (size_t)received);
+		if (side->pipelined.len >= MAX_PIPELINED_BYTES)
 			http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLIN);
 		break;
 	default:
 		break;
 	}
-	return n;
+	return received;
 }
 
 /* The client has ended its half after its answer was finished: it reads the rest, and sends no more requests.
  */
-static void half_closed(struct http_connection *conn)
+static void handle_half_close(struct http_connection *conn)
 {
-	conn->server.closing = conn->server.linger = 1;
+	conn->server.close_after_response = conn->server.must_linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
@@ -381,7 +383,7 @@
 	}
 	if ((events & (EPOLLHUP | EPOLLERR)) ||
 	    ((events & EPOLLRDHUP) && conn->state != CONN_SENDING_RESPONSE)) {
-		server_lost(conn);
+		handle_client_disconnect(conn);
 		return;
 	}
 	if (events & EPOLLOUT)
@@ -389,29 +391,29 @@
 	if (conn->closed)
 		return;
 	if ((events & EPOLLRDHUP) && conn->state == CONN_SENDING_RESPONSE)
-		half_closed(conn);
+		handle_half_close(conn);
 	else if (events & EPOLLIN)
 		server_read(conn);
 }
 
 /* Bytes may have come since the last poll: this process may have been suspended. */
-int http_server_progressed(struct http_connection *conn)
+int http_server_read_progress(struct http_connection *conn)
 {
-	int in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
-	ssize_t n = server_read(conn);
+	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
+	ssize_t received = server_read(conn);
 
 	return conn->closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
-	       (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
+	       (received > 0 && !(was_in_head && conn->state == CONN_READING_HEAD));
 }
 
 /* Bytes of the answer that the client's machine has not acknowledged. */
 static uint64_t unsent_bytes(const struct http_connection *conn)
 {
-	int kernel = 0;
+	int kernel_bytes = 0;
 
-	if (ioctl(conn->fd, SIOCOUTQ, &kernel) || kernel < 0)
-		kernel = 0;
-	return conn->output.len - conn->output.offset + (uint64_t)kernel;
+	if (ioctl(conn->fd, SIOCOUTQ, &kernel_bytes) || kernel_bytes < 0)
+		kernel_bytes = 0;
+	return conn->output.len - conn->output.offset + (uint64_t)kernel_bytes;
 }
 
 /* A slow link may need many times the idle time for one answer. */
@@ -433,12 +435,12 @@
 static bool has_progressed(struct http_connection *conn)
 {
 	return conn->state == CONN_SENDING_RESPONSE ? response_progressed(conn)
-						    : http_server_progressed(conn);
+						    : http_server_read_progress(conn);
 }
 
 void http_server_timeout(struct http_connection *conn)
 {
-	int64_t timeout_at_ms = conn->server.wait_began_at_ms + wait_ms(conn);
+	int64_t timeout_at_ms = conn->server.wait_began_at_ms + wait_timeout_ms(conn);
 
 	if (conn->state == CONN_HANDLING)
 		return;
@@ -455,15 +457,15 @@
 
 /* Whether the answer says that the connection closes, because its listener drains. It doesn't when bytes of
  * another request have come: that one is served too. */
-static int closes_with_response(struct http_connection *conn)
+static int should_close_after_response(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
 
-	if (!side->listener->listener.draining || side->closing)
+	if (!side->listener->listener.draining || side->close_after_response)
 		return 0;
-	if (conn->input.len <= side->parse_offset && !side->early.len && (conn->event_mask & EPOLLIN))
-		server_read_early(conn);
-	return conn->input.len <= side->parse_offset && !side->early.len;
+	if (conn->input.len <= side->parse_offset && !side->pipelined.len && (conn->event_mask & EPOLLIN))
+		server_read_pipelined(conn);
+	return conn->input.len <= side->parse_offset && !side->pipelined.len;
 }
 
 static bool has_retry_after(int status, const struct http_field *fields, int field_count)
@@ -487,9 +489,9 @@
 	side->response_begun = 1;
 	side->no_body = has_no_body || !strcmp(side->method, "HEAD");
 	side->is_rejection = has_retry_after(status, fields, field_count);
-	if (closes_with_response(conn))
-		side->closing = side->linger = 1;
-	side->remaining_bytes = length < 0 ? 0 : (uint64_t)length;
+	if (should_close_after_response(conn))
+		side->close_after_response = side->must_linger = 1;
+	side->response_remaining_bytes = length < 0 ? 0 : (uint64_t)length;
 	if (has_no_body)
 		side->response_framing = BODY_NONE;
 	else if (length >= 0)
@@ -503,13 +505,13 @@
 	} else if (side->response_framing == BODY_CHUNKED) {
 		http_buffer_append_text(http, &conn->output, "Transfer-Encoding: chunked\r\n");
 	}
-	if (side->closing)
+	if (side->close_after_response)
 		http_buffer_append_text(http, &conn->output, "Connection: close\r\n");
 	http_buffer_append(http, &conn->output, "\r\n", 2);
 	http_conn_queue(conn);
 }
 
-static void response_complete(struct http_connection *conn)
+static void finish_response(struct http_connection *conn)
 {
 	conn->state = CONN_SENDING_RESPONSE;
 	conn->server.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an
@@ -535,7 +537,7 @@
 	append_response_head(conn, status, fields, field_count, (int64_t)body_bytes);
 	if (!conn->server.no_body)
 		http_buffer_append(http, &conn->output, body, body_bytes);
-	response_complete(conn);
+	finish_response(conn);
 }
 
 void http_response_set_deadline(struct http *http, uint64_t token, int64_t deadline_ms)
@@ -563,12 +565,12 @@
 		return;
 	switch (conn->server.response_framing) {
 	case BODY_LENGTH:
-		if (size > conn->server.remaining_bytes) {
+		if (size > conn->server.response_remaining_bytes) {
 			log_write(LOG_ERROR, "http", "An answer is longer than it said; it is broken off.");
 			http_response_abort(http, token);
 			return;
 		}
-		conn->server.remaining_bytes -= size;
+		conn->server.response_remaining_bytes -= size;
 		http_buffer_append(http, &conn->output, data, size);
 		break;
 	case BODY_CHUNKED:
@@ -589,14 +591,15 @@
 
 	if (!conn)
 		return;
-	if (!conn->server.response_begun || (conn->server.response_framing == BODY_LENGTH &&
-					     conn->server.remaining_bytes && !conn->server.no_body)) {
+	if (!conn->server.response_begun ||
+	    (conn->server.response_framing == BODY_LENGTH && conn->server.response_remaining_bytes &&
+	     !conn->server.no_body)) {
 		http_response_abort(http, token);
 		return;
 	}
 	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.no_body)
 		http_buffer_append(http, &conn->output, "0\r\n\r\n", 5);
-	response_complete(conn);
+	finish_response(conn);
 }
 
 void http_response_abort(struct http *http, uint64_t token)
@@ -616,5 +619,5 @@
 
 int http_busy_count(const struct http *http)
 {
-	return http->busy_count + http->sweep_count;
+	return http->busy_client_count + http->sweep_count;
 }
--- a/lib/shell/server_calls.c
+++ b/lib/shell/server_calls.c
@@ -50,8 +50,8 @@
 	char *received; /* stb_ds: the answer, or the part of a stream that isn't a whole line yet */
 	int64_t not_after_ms;
 	int socket_count;
-	bool socket_refused; /* libcurl wanted to send a POST again */
-	bool too_late;       /* it was aborted before a byte had left */
+	bool second_socket_refused;  /* libcurl wanted to send a POST again */
+	bool expired_before_sending; /* it was aborted before a byte had left */
 	bool is_stream;
 	bool is_post;
 };
@@ -67,9 +67,9 @@
 	struct ring *commands; /* of struct call_command: to the thread */
 	CURLM *multi;          /* other threads only wake it */
 	apr_thread_t *thread;
-	atomic_bool stop;
-	struct call_entry *by_token;    /* stb_ds */
-	struct server_call **anonymous; /* stb_ds: calls without a token */
+	atomic_bool stop_requested;
+	struct call_entry *by_token;              /* stb_ds */
+	struct server_call **calls_without_token; /* stb_ds: calls without a token */
 };
 
 /* ---- what libcurl calls back ---- */
@@ -80,7 +80,7 @@
 
 	(void)purpose;
 	if (call->is_post && call->socket_count++) {
-		call->socket_refused = true;
+		call->second_socket_refused = true;
 		return CURL_SOCKET_BAD;
 	}
 	return socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
@@ -96,8 +96,8 @@
 	(void)local_ip;
 	(void)remote_port;
 	(void)local_port;
-	call->too_late = clock_ms() > call->not_after_ms;
-	return call->too_late ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
+	call->expired_before_sending = clock_ms() > call->not_after_ms;
+	return call->expired_before_sending ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
 static void push_chunk(struct server_call *call, const char *line, size_t size)
@@ -131,10 +131,10 @@
 {
 	struct server_call *call = argument;
 	size_t size = item_size * item_count;
-	size_t most = call->is_stream ? MAX_LINE_BYTES : MAX_BODY_BYTES;
+	size_t max_bytes = call->is_stream ? MAX_LINE_BYTES : MAX_BODY_BYTES;
 	long status = 0;
 
-	if ((size_t)arrlen(call->received) + size > most)
+	if ((size_t)arrlen(call->received) + size > max_bytes)
 		return 0;
 	memcpy(arraddnptr(call->received, size), data, size);
 	curl_easy_getinfo(call->curl, CURLINFO_RESPONSE_CODE, &status);
@@ -152,9 +152,9 @@
 	curl_slist_free_all(call->headers);
 	if (call->token)
 		(void)hmdel(calls->by_token, call->token);
-	for (ptrdiff_t i = 0; i < arrlen(calls->anonymous); i++)
-		if (calls->anonymous[i] == call) {
-			arrdelswap(calls->anonymous, i);
+	for (ptrdiff_t i = 0; i < arrlen(calls->calls_without_token); i++)
+		if (calls->calls_without_token[i] == call) {
+			arrdelswap(calls->calls_without_token, i);
 			break;
 		}
 	arrfree(call->received);
@@ -163,21 +163,21 @@
 }
 
 /* The server itself says in its answer that it didn't begin. */
-static bool says_never_started(const char *body)
+static bool response_reports_not_started(const char *body)
 {
 	struct json_object *json = json_tokener_parse(body);
 	struct json_object *began = NULL;
-	bool never = json_object_is_type(json, json_type_object) &&
-		     json_object_object_get_ex(json, "began", &began) &&
-		     json_object_is_type(began, json_type_boolean) && !json_object_get_boolean(began);
+	bool is_not_started =
+	    json_object_is_type(json, json_type_object) && json_object_object_get_ex(json, "began", &began) &&
+	    json_object_is_type(began, json_type_boolean) && !json_object_get_boolean(began);
 
 	if (json)
 		json_object_put(json);
-	return never;
+	return is_not_started;
 }
 
-static void report_end(struct server_calls *calls, uint64_t token, bool is_stream, int status,
-		       bool never_sent, const char *body)
+static void report_call_done(struct server_calls *calls, uint64_t token, bool is_stream, int status,
+			     bool never_sent, const char *body)
 {
 	struct shell_event *event = shell_event_new(SHELL_EVENT_CALL_DONE);
 
@@ -191,16 +191,16 @@
 
 /* It certainly wasn't begun: no connection was ever up, or it was too late to use it, so no byte left; or the
  * server says so. */
-static bool was_never_sent(const struct server_call *call, CURLcode result, long status)
+static bool was_certainly_not_started(const struct server_call *call, CURLcode result, long status)
 {
 	curl_off_t connect_time = 0;
 
 	curl_easy_getinfo(call->curl, CURLINFO_CONNECT_TIME_T, &connect_time);
-	return (connect_time == 0 && !call->socket_refused) || call->too_late ||
-	       (result == CURLE_OK && status >= 400 && says_never_started(call->received));
+	return (connect_time == 0 && !call->second_socket_refused) || call->expired_before_sending ||
+	       (result == CURLE_OK && status >= 400 && response_reports_not_started(call->received));
 }
 
-static void call_finished(struct server_calls *calls, CURL *curl, CURLcode result)
+static void finish_call(struct server_calls *calls, CURL *curl, CURLcode result)
 {
 	struct server_call *call;
 	long status = 0;
@@ -209,8 +209,8 @@
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
 	arrput(call->received, 0);
 	if (call->token)
-		report_end(calls, call->token, call->is_stream, result == CURLE_OK ? (int)status : 0,
-			   was_never_sent(call, result, status), call->received);
+		report_call_done(calls, call->token, call->is_stream, result == CURLE_OK ? (int)status : 0,
+				 was_certainly_not_started(call, result, status), call->received);
 	call_free(calls, call);
 }
 
@@ -265,7 +265,7 @@
 	if (call->token)
 		hmput(calls->by_token, call->token, call);
 	else
-		arrput(calls->anonymous, call);
+		arrput(calls->calls_without_token, call);
 	curl_multi_add_handle(calls->multi, call->curl);
 }
 
@@ -276,7 +276,7 @@
 	free(command);
 }
 
-static void run_command(struct server_calls *calls, struct call_command *command)
+static void execute_command(struct server_calls *calls, struct call_command *command)
 {
 	if (command->is_cancel) {
 		struct server_call *call = hmget(calls->by_token, command->token);
@@ -287,7 +287,7 @@
 	}
 	if (clock_ms() > command->not_after_ms) { /* decided too long ago */
 		if (command->token)
-			report_end(calls, command->token, command->is_stream, 0, true, "");
+			report_call_done(calls, command->token, command->is_stream, 0, true, "");
 		return;
 	}
 	call_begin(calls, command);
@@ -300,20 +300,20 @@
 	struct server_calls *calls = argument;
 
 	(void)thread;
-	while (!calls->stop) {
+	while (!calls->stop_requested) {
 		struct call_command *command;
 		struct CURLMsg *message;
 		int running;
 		int remaining;
 
 		while ((command = ring_pop(calls->commands, 0))) {
-			run_command(calls, command);
+			execute_command(calls, command);
 			command_free(command);
 		}
 		curl_multi_perform(calls->multi, &running);
 		while ((message = curl_multi_info_read(calls->multi, &remaining)))
 			if (message->msg == CURLMSG_DONE)
-				call_finished(calls, message->easy_handle, message->data.result);
+				finish_call(calls, message->easy_handle, message->data.result);
 		curl_multi_poll(calls->multi, NULL, 0, POLL_MS, NULL);
 	}
 	return NULL;
@@ -381,7 +381,7 @@
 	struct call_command *command;
 	apr_status_t status;
 
-	calls->stop = true;
+	calls->stop_requested = true;
 	curl_multi_wakeup(calls->multi);
 	apr_thread_join(&status, calls->thread);
 	while ((command = ring_pop(calls->commands, 0)))
@@ -389,10 +389,10 @@
 	while (hmlen(calls->by_token))
 		call_free(calls, calls->by_token[0].value); /* NOLINT(clang-analyzer-unix.Malloc): call_free
 							       takes it out of by_token */
-	while (arrlen(calls->anonymous))
-		call_free(calls, calls->anonymous[0]);
+	while (arrlen(calls->calls_without_token))
+		call_free(calls, calls->calls_without_token[0]);
 	hmfree(calls->by_token);
-	arrfree(calls->anonymous);
+	arrfree(calls->calls_without_token);
 	curl_multi_cleanup(calls->multi);
 	curl_global_cleanup();
 }
