--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -1,10 +1,10 @@
-/* http_internal: what the files of the HTTP loop share. Not for other modules.
- *   http_loop        the loop, opening and closing       http_listener    listeners, accepting, draining
- *   http_connection  connections, their timers, sockets  http_server      clients that are answered
- *   http_buffer      bytes read and to be written        http_disconnect  how a client's connection ends
- *   http_parse       heads and chunks                    http_client      calls, idle connections to servers
- * The thread that runs the loop owns everything here; only http_wake is called by others, and touches wake_fd
- * and woken alone. */
+/* http_internal: declarations shared by the files of the HTTP loop; other modules include http.h only.
+ *   http_loop        the event loop                      http_listener    listeners, accepting, draining
+ *   http_connection  connections, timers, sockets        http_server      requests and answers of clients
+ *   http_buffer      input and output buffers            http_disconnect  closing of clients' connections
+ *   http_parse       message heads and chunks            http_client      calls, idle connections to servers
+ * The thread that runs the loop owns all of this state. Other threads may call http_wake only, which uses
+ * nothing but wake_fd and wake_pending. */
 #ifndef NL_HTTP_INTERNAL_H
 #define NL_HTTP_INTERNAL_H
 
@@ -17,19 +17,20 @@
 #include "http.h"
 
 enum {
-	BUFFER_BLOCK_BYTES = 4096, /* a buffer's first size; such blocks are kept for the next */
+	BUFFER_BLOCK_BYTES = 4096, /* initial size of a buffer; blocks of this size are kept for reuse */
 	MAX_SPARE_BLOCKS = 256,
 	SCRATCH_BYTES = 65536,
 	MAX_EPOLL_EVENTS = 256,
-	MAX_PIPELINED_BYTES = 65536, /* of bytes that come while a request is being answered */
+	MAX_PIPELINED_BYTES = 65536, /* received while an earlier request of the connection is answered */
 	MAX_RESPONSE_HEAD_BYTES = 65536,
 	MAX_CHUNK_LINE_BYTES = 4096,
 	MAX_TRAILER_BYTES = 16384,
-	LINGER_TIMEOUT_MS = 2000,    /* for a client to read an answer after which we close */
-	DRAIN_IDLE_TIMEOUT_MS = 200, /* at a draining listener, for a request that was sent before the answer
-				to the one before it had arrived */
-	ACCEPT_BACKLOG = 1024,       /* connections that the kernel keeps until they are accepted */
-	MAX_SKIPPED_RESPONSES = 4,   /* answers to other requests that a call passes over on its connection */
+	LINGER_TIMEOUT_MS = 2000, /* for a client to read the last answer before its connection is closed */
+	DRAIN_IDLE_TIMEOUT_MS = 200, /* at a draining listener, for a request that the client sent before it
+					received the previous answer */
+	ACCEPT_BACKLOG = 1024, /* established connections that the kernel queues until they are accepted */
+	MAX_SKIPPED_RESPONSES =
+	    4, /* answers to other requests that a call discards on its connection before it fails */
 	DEFAULT_KEEP_ALIVE_MS = 4000,
 	DEFAULT_CONNECT_TIMEOUT_MS = 3000,
 	UNACKED_TIMEOUT_MS = 3000,
@@ -39,15 +40,15 @@
 #define TIME_NEVER INT64_MAX
 #define HTTP_READ_EVENTS ((uint32_t)(EPOLLIN | EPOLLRDHUP))
 
-/* Bytes: those from offset to len are still to be handled. */
+/* A byte buffer. The bytes from offset to len are yet to be parsed or sent. */
 struct buffer {
 	char *data;
 	size_t offset;
-	size_t len; /* bytes in use, those before offset included */
+	size_t len; /* bytes in use, including those before offset */
 	size_t capacity;
 };
 
-/* What the next byte of a chunked body belongs to (RFC 9112, 7.1). */
+/* The element of a chunked body to which the next byte belongs (RFC 9112, 7.1). */
 enum chunk_state {
 	CHUNK_SIZE,
 	CHUNK_EXTENSION,
@@ -55,176 +56,176 @@
 	CHUNK_DATA,
 	CHUNK_DATA_CR,
 	CHUNK_DATA_LF,
-	CHUNK_TRAILER_START, /* a trailer's first byte, or the CR of the last line */
+	CHUNK_TRAILER_START, /* first byte of a trailer field, or the CR of the final empty line */
 	CHUNK_TRAILER,
 	CHUNK_TRAILER_LF,
 	CHUNK_END_LF,
 	CHUNK_DONE
 };
 
-/* Where in a chunked body the parser is. */
+/* Position of the parser in a chunked body. */
 struct chunk_parser {
 	enum chunk_state state;
-	int digit_count;          /* of the chunk's size so far */
-	uint64_t remaining_bytes; /* bytes of the chunk */
-	unsigned extension_bytes; /* of the extension */
-	unsigned trailer_bytes;   /* of all trailers */
+	int digit_count;          /* digits of the chunk's size read so far */
+	uint64_t remaining_bytes; /* bytes of the chunk's data that are not read yet */
+	unsigned extension_bytes; /* length of the chunk extension read so far */
+	unsigned trailer_bytes;   /* total length of the trailer fields read so far */
 };
 
-/* What a head says of the connection and of the body. */
+/* Properties of the connection and the body that a message's head states. */
 struct http_head {
-	int minor_version;    /* of HTTP/1 */
-	int status;           /* of an answer */
-	int keep_alive_s;     /* Keep-Alive: timeout; -1: not given */
-	int close_connection; /* the connection ends with this message */
+	int minor_version;    /* of HTTP/1: 0 or 1 */
+	int status;           /* of an answer; 0 in a request */
+	int keep_alive_s;     /* timeout of the field Keep-Alive; -1: not given */
+	int close_connection; /* the sender closes the connection after this message */
 	int is_chunked;
 	int has_length;
 	int expects_continue;
 	int host_count;
-	int is_malformed; /* its fields contradict each other */
+	int is_malformed; /* its framing fields are invalid or contradict each other */
 	uint64_t length;  /* Content-Length */
 };
 
-/* What a connection is to us. */
+/* The role of this process on a connection. */
 enum conn_kind {
 	CONN_LISTENER,
-	CONN_SERVER, /* we are the server: a client's connection */
-	CONN_CLIENT  /* we are the client: a connection to a server */
+	CONN_SERVER, /* this process is the server: a client's connection */
+	CONN_CLIENT  /* this process is the client: a connection to a server */
 };
 
-/* What a connection does; which states it may have depends on its kind. */
+/* The state of a connection. Each kind of connection has its own states. */
 enum conn_state {
-	/* a listener */
+	/* states of a listener */
 	CONN_LISTENING,
-	CONN_ACCEPT_PAUSED, /* descriptors have run out */
-	/* a client's connection */
+	CONN_ACCEPT_PAUSED, /* the process has no free file descriptors or memory for sockets */
+	/* states of a client's connection */
 	CONN_READING_HEAD,
 	CONN_READING_BODY,
-	CONN_HANDLING,         /* the request was delivered, and its answer isn't finished */
-	CONN_SENDING_RESPONSE, /* the answer is finished, and not all sent */
-	CONN_LINGERING,        /* our side has ended; theirs is read until it ends too */
-	/* a connection to a server */
-	CONN_FAILED, /* there is none: the call ends at the end of the turn */
-	CONN_QUEUED, /* the call begins at the end of the turn */
+	CONN_HANDLING,         /* the request was delivered and its answer is not finished */
+	CONN_SENDING_RESPONSE, /* the answer is finished and not sent completely */
+	CONN_LINGERING,        /* our direction is shut down; input is discarded until the client closes */
+	/* states of a connection to a server */
+	CONN_FAILED, /* no connection is allowed: the call ends at the end of the iteration */
+	CONN_QUEUED, /* the call begins at the end of the iteration */
 	CONN_CONNECTING,
 	CONN_AWAITING_HEAD,
-	CONN_READING_RESPONSE, /* the answer's body */
-	CONN_IDLE              /* kept for the next call */
+	CONN_READING_RESPONSE, /* reading the body of an answer */
+	CONN_IDLE              /* kept open for a later call */
 };
 
-/* How the end of a body is known. */
+/* How the end of a body is recognised. */
 enum body_framing { BODY_NONE, BODY_LENGTH, BODY_CHUNKED, BODY_UNTIL_EOF };
 
 struct http_connection;
 
-/* A server's address and the connections to it; freed when there are none and no bound. */
+/* A server's address and the connections to it; freed when it has neither connections nor a limit. */
 struct peer {
 	uint64_t addr;
 	int open_connections;
-	int max_connections;                /* 0: no bound */
-	unsigned epoch;                     /* a connection of an earlier epoch isn't used again */
-	struct http_connection *first_idle; /* used last */
-	struct http_connection *last_idle;
+	int max_connections;                /* 0: no limit */
+	unsigned epoch;                     /* connections opened in an earlier epoch are not reused */
+	struct http_connection *first_idle; /* most recently used */
+	struct http_connection *last_idle;  /* least recently used */
 };
 
-/* A client's connection. */
+/* State of a client's connection (CONN_SERVER). */
 struct server_side {
 	struct http_connection *listener;
-	uint32_t slot;  /* its place in http.slots; part of its tokens */
-	uint64_t token; /* of the request; 0: none was delivered yet */
+	uint32_t slot;  /* index in http.slots; the low bits of the tokens of its requests */
+	uint64_t token; /* of the newest delivered request; 0: none was delivered yet */
 	struct http_request request;
-	struct buffer pipelined; /* bytes that came while the request was answered */
+	struct buffer pipelined; /* bytes received while the request was answered */
 
-	/* reading; offsets are in the input buffer */
-	size_t max_body_bytes; /* the limit in force when the body began */
-	size_t parse_offset;   /* the next byte to read */
+	/* the request being read; offsets refer to the input buffer */
+	size_t max_body_bytes; /* the listener's limit when the head was complete */
+	size_t parse_offset;   /* the next byte to parse */
 	size_t body_offset;
 	size_t body_bytes;
 	size_t target_offset;
 	const char *method;
-	int head_begun;
+	int head_begun; /* a byte of the next head was received */
 
 	/* the answer */
 	int response_begun;
-	int no_body;
+	int no_body; /* only the head of the answer is sent */
 	enum body_framing response_framing;
-	uint64_t response_remaining_bytes; /* of its Content-Length */
-	int64_t response_deadline_ms;      /* it doesn't begin to leave past it; 0: no bound */
-	int is_rejection;                  /* it says when to come back */
-	int outcome_pending;               /* a request was read whole, and its outcome isn't counted yet */
+	uint64_t response_remaining_bytes; /* bytes of the answer's Content-Length that are not written yet */
+	int64_t response_deadline_ms;      /* clock_ms by which the first byte must be sent; 0: none */
+	int is_rejection;                  /* the answer is a 503 or 429 with Retry-After */
+	int outcome_pending; /* a request was received completely and its outcome is not counted yet */
 
 	/* the connection */
-	int close_after_response; /* it ends after this answer */
-	int must_linger;          /* and lingers then, whatever the client has said */
-	int64_t wait_began_at_ms; /* when the wait began that the listener's limits bound */
-	uint64_t unsent_bytes;    /* of a finished answer, when that wait began; UINT64_MAX: not read yet */
+	int close_after_response; /* the connection is closed after this answer */
+	int must_linger;          /* and lingers before it is closed, even if the client announced its end */
+	int64_t wait_began_at_ms; /* start of the present wait, whose length the listener's limits bound */
+	uint64_t unsent_bytes;    /* unacknowledged bytes of a finished answer at the start of that wait;
+				     UINT64_MAX: not determined yet */
 };
 
-/* A connection to a server. */
+/* State of a connection to a server (CONN_CLIENT). */
 struct client_side {
 	struct peer *peer;
 	unsigned peer_epoch;
 	uint64_t token;
-	int64_t not_after_ms;      /* no byte of the request leaves past it */
-	int64_t deadline_ms;       /* of the whole call */
-	int64_t reusable_until_ms; /* of an idle connection */
+	int64_t not_after_ms;      /* no byte of the request is sent after this clock_ms */
+	int64_t deadline_ms;       /* when the call must have ended; TIME_NEVER: none */
+	int64_t reusable_until_ms; /* an idle connection is not used at or after this clock_ms */
 	int connect_timeout_ms;
-	int needs_new_connection; /* no idle connection may be used */
-	int is_head_request;      /* a HEAD: its answer has no body */
-	int has_sent_bytes;       /* a byte of the request has left */
-	int is_request_truncated; /* the server closed before it had the whole request; an answer may come all
-				   * the same
-				   */
-	int is_skipping_response; /* the answer being read belongs to another request: nothing of it is passed
-				     on */
-	int skipped_response_count;   /* such answers on this connection */
-	struct http_connection *next; /* in the peer's list of idle ones, and in http.spare_connections */
+	int needs_new_connection;   /* the call must not use an idle connection */
+	int is_head_request;        /* the method is HEAD, whose answer has no body */
+	int has_sent_bytes;         /* at least one byte of the request was sent */
+	int is_request_truncated;   /* the server closed before the complete request was sent; it may still
+				       answer */
+	int is_skipping_response;   /* the answer being read belongs to another request and is discarded */
+	int skipped_response_count; /* answers discarded on this connection */
+	struct http_connection
+	    *next; /* in the peer's list of idle connections, or in http.spare_connections */
 	struct http_connection *prev;
 	enum body_framing response_framing;
 };
 
-/* A listening socket. Its struct outlives the socket, for its connections refer to it. */
+/* A listening socket. The struct outlives the socket, because its connections refer to it. */
 struct listener {
-	int listener_id; /* the caller's */
+	int listener_id; /* chosen by the caller of http_listen */
 	int port;
 	int draining;
-	int accept_burst;               /* connections to accept in a turn */
-	int options_checked;            /* options_inherited is known */
-	int options_inherited;          /* accepted sockets have the listener's options */
-	int sweep_due;                  /* idle connections are closed once what has come was read */
-	uint64_t last_accept_iteration; /* in which it accepted */
+	int accept_burst;      /* connections to accept in one iteration */
+	int options_checked;   /* options_inherited has been determined */
+	int options_inherited; /* accepted sockets inherit the listener's options */
+	int sweep_due;         /* idle connections are to be closed, after their received bytes are read */
+	uint64_t last_accept_iteration; /* http.iteration when it last accepted */
 	struct http_limits limits;
 };
 
-/* A connection or listener. Spare ones are used again, so that a request costs no allocation. */
+/* A connection or listener. Freed structs are reused, so that a connection usually needs no allocation. */
 struct http_connection {
 	struct http *http;
 	int fd; /* -1: none */
 	enum conn_kind kind;
 	enum conn_state state;
-	uint32_t event_mask;   /* that epoll waits for; 0: not registered */
-	int closed;            /* freed at the end of the turn */
-	int queued;            /* in http.queued */
-	int64_t timeout_at_ms; /* when its timer runs out; TIME_NEVER: never */
-	int64_t heap_key_ms;   /* its key in the timer heap: never later than due_at_ms */
+	uint32_t event_mask;   /* events registered with epoll; 0: not registered */
+	int closed;            /* the struct is freed at the end of the iteration */
+	int queued;            /* is in http.queued_connections */
+	int64_t timeout_at_ms; /* when its timer expires; TIME_NEVER: no timer is set */
+	int64_t heap_key_ms;   /* its key in the timer heap: never later than timeout_at_ms */
 	int heap_index;        /* -1: not in the heap */
 	struct buffer input;
 	struct buffer output;
-	size_t scan_offset;      /* of a head: the lines before it are exact */
-	uint64_t body_remaining; /* of the body being read, by its length */
+	size_t scan_offset;      /* the lines of a head before this offset of the input end in CRLF */
+	uint64_t body_remaining; /* bytes of a body with Content-Length that are not read yet */
 	struct chunk_parser chunks;
 	struct http_head head;
-	struct http_field *fields; /* of the head; kept when the struct is used again */
+	struct http_field *fields; /* of the head; the array is kept when the struct is reused */
 	int field_count;
 	int field_capacity;
-	union { /* by kind */
+	union { /* selected by kind */
 		struct listener listener;
 		struct server_side server;
 		struct client_side client;
 	};
 };
 
-/* Maps of stb_ds. */
+/* Entries of stb_ds maps. */
 struct call_entry {
 	uint64_t key; /* token */
 	struct http_connection *value;
@@ -239,31 +240,32 @@
 	struct http_callbacks callbacks;
 	int epoll_fd;
 	int wake_fd;      /* an eventfd */
-	int wake_pending; /* atomic: a wake is on its way */
+	int wake_pending; /* atomic: http_wake has written to wake_fd and the loop has not read it */
 
-	/* the turn */
+	/* the iteration of the loop */
 	int64_t now_ms;
-	int64_t last_poll_at_ms;     /* when the newest events were asked for */
-	int64_t previous_poll_at_ms; /* the time before: what is read now arrived later */
+	int64_t last_poll_at_ms; /* when the newest epoll_wait returned */
+	int64_t
+	    previous_poll_at_ms; /* when the epoll_wait before it returned: bytes read now arrived after it */
 	uint64_t iteration;
-	uint64_t last_token_serial; /* of the last token */
-	int callback_made;          /* before the wait of this turn */
-	int busy_client_count;      /* clients that are being answered */
+	uint64_t last_token_serial; /* serial number in the newest token */
+	int callback_made;          /* a callback was made in this iteration: do not wait */
+	int busy_client_count;      /* clients whose answers are not finished or not sent completely */
 	int sweep_count;            /* listeners with sweep_due */
 
-	/* connections; all arrays are of stb_ds */
+	/* connections; the arrays and maps are managed by stb_ds */
 	struct http_connection **listeners;
-	struct http_connection **slots; /* clients', by slot; NULL: free */
+	struct http_connection **slots; /* clients' connections by slot; NULL: free */
 	uint32_t *free_slots;
-	struct http_connection **queued_connections;  /* for the end of the turn */
-	struct http_connection **running_connections; /* those of them that have their turn */
-	struct http_connection **closed_connections;  /* to be freed */
+	struct http_connection **queued_connections;  /* to be processed at the end of the iteration */
+	struct http_connection **running_connections; /* queued connections that are being processed */
+	struct http_connection **closed_connections;  /* to be freed at the end of the iteration */
 	struct http_connection **timer_heap;
 	struct call_entry *calls;
 	struct peer_entry *peers;
 
-	/* memory for the next ones */
-	struct http_connection *spare_connections; /* chain through client.next */
+	/* freed memory that is kept for reuse */
+	struct http_connection *spare_connections; /* linked by client.next */
 	char *spare_blocks[MAX_SPARE_BLOCKS];
 	int spare_block_count;
 
@@ -274,10 +276,11 @@
 
 /* ---- http_buffer.c ---- */
 
-/* Empty a buffer and give its memory back. */
+/* Empty a buffer and free its memory. */
 void http_buffer_free(struct http *http, struct buffer *buffer);
 
-/* Make room for size more bytes at the end, which the caller writes and adds to len. The buffer may move. */
+/* Reserve size bytes at the end of the buffer and return their address. The caller writes them and adds their
+ * number to len. The buffer's data may move. */
 char *http_buffer_reserve(struct http *http, struct buffer *buffer, size_t size);
 
 /* Append bytes, a string, or a number in base 10 or 16. */
@@ -285,130 +288,134 @@
 void http_buffer_append_text(struct http *http, struct buffer *buffer, const char *text);
 void http_buffer_append_number(struct http *http, struct buffer *buffer, uint64_t value, unsigned base);
 
-/* Text, its line breaks replaced by spaces: they would begin another field. */
+/* Append a string with line breaks replaced by spaces, because a line break would begin another field. */
 void http_buffer_append_single_line(struct http *http, struct buffer *buffer, const char *text);
 
-/* A field's line, without line breaks inside it. */
+/* Append a header field as one line. */
 void http_buffer_append_field(struct http *http, struct buffer *buffer, const struct http_field *field);
 
-/* Whether a field says how a message is framed; the loop alone writes those. */
+/* Whether a field is Connection, Content-Length or Transfer-Encoding, which the loop itself writes. */
 bool http_is_framing_field(const char *name);
 
 /* ---- http_connection.c ---- */
 
-/* A connection with everything zero; spare ones are used again. Never NULL. */
+/* Create a connection whose other members are zero, if possible in a freed struct. Never returns NULL. */
 struct http_connection *http_conn_new(struct http *http, enum conn_kind kind, int fd);
 
-/* Have epoll wait for these events. */
+/* Register these events with epoll. */
 void http_conn_watch(struct http_connection *conn, uint32_t mask);
 
-/* At the end of the turn, send what was written, or begin the call. */
+/* Schedule a connection for the end of the iteration: its output is sent, or its call begins. */
 void http_conn_queue(struct http_connection *conn);
 
-/* Close, with a reset if need be. The struct lives on to the end of the turn. */
+/* Close a connection: with a TCP reset if reset is set, or if an ordinary close could make an incomplete
+ * answer look complete. The struct stays valid until the end of the iteration. */
 void http_conn_close(struct http_connection *conn, int reset);
 
-/* Free the connections that were closed in this turn. */
+/* Free the connections that were closed, except those that are still queued. */
 void http_conn_free_closed(struct http *http);
 
-/* Send the output. 0 when not all could be sent, or the connection is lost. */
+/* Send the output. Returns 1 if it was sent completely. *lost is set if the connection failed. */
 int http_conn_send(struct http_connection *conn, int *lost);
 
-/* Take a connection out of its peer's list of idle ones. */
+/* Remove a connection from its peer's list of idle connections. */
 void http_conn_remove_idle(struct http_connection *conn);
 
-/* Free a peer that has no connection and no bound. */
+/* Free a peer if it has neither connections nor a limit. */
 void http_peer_free_if_unused(struct http *http, struct peer *peer);
 
-/* Timers: a heap whose keys may be early, so that moving a time on costs nothing. */
+/* Timers. A key in the heap may be earlier than its timer, so that postponing a timer does not change the
+ * heap. */
 void http_timer_set(struct http_connection *conn, int64_t timeout_at_ms);
 void http_timer_remove(struct http *http, struct http_connection *conn);
 void http_timer_sift_down(struct http *http, int index);
 
-/* No delay, and time-outs for bytes that aren't acknowledged. */
+/* Set TCP_NODELAY, keep-alive probes, and the timeout for unacknowledged bytes. */
 void http_socket_set_options(int fd);
 
-/* Whether an accepted socket has its listener's options, as on Linux. */
+/* Whether an accepted socket has inherited its listener's options, as it does on Linux. */
 bool http_socket_has_options(int fd);
 
-/* The socket address of an address as core_parse_addr gives it. */
+/* Convert an address in the format of core_parse_addr to a socket address. */
 struct sockaddr_in http_socket_address(uint64_t address);
 
 /* ---- http_parse.c ---- */
 
-/* Characters that a token may hold; filled by http_parse_init. */
+/* Indexed by character: nonzero if a token (RFC 9110, 5.6.2) may contain it. http_parse_init fills it. */
 extern unsigned char http_token_char[256];
 
-/* Fill http_token_char; before any other function of http_parse. */
+/* Fill http_token_char. Call it before any other function of http_parse. */
 void http_parse_init(void);
 
-/* The end of the head that begins at offset from of the input; 0 when more is to come; -1 when a line doesn't
- * end in CRLF. */
+/* The end offset of the head that begins at offset from of the input; 0: the head is incomplete; -1: a line
+ * does not end in CRLF, or the head is empty. */
 ssize_t http_find_head_end(struct http_connection *conn, size_t from);
 
-/* Parse the complete head at [from, end) of the input; 0 when it's malformed. Its fields are offsets until
- * http_head_resolve_fields, which is called once the input no longer moves. */
+/* Parse the complete head at [from, end) of the input. Returns 0 if it is malformed. Its fields hold offsets
+ * until http_head_resolve_fields is called, because the input may still move. */
 int http_parse_head(struct http_connection *conn, size_t from, size_t end, int request);
 
-/* Turn the offsets of the fields into pointers. */
+/* Convert the offsets in the fields to pointers. Call it when the input no longer moves. */
 void http_head_resolve_fields(struct http_connection *conn);
 
-/* Parse bytes up to the end of a span of data, which is set if there is one. Returns how many, or -1 for bad
- * framing. */
+/* Parse a chunked body up to the end of the first span of chunk data in the input. *data_size is 0 if there
+ * is no such span. Returns the number of bytes parsed, or -1 if the framing is invalid. */
 ssize_t http_chunk_parse(struct chunk_parser *chunks, const char *input, size_t input_size, const char **data,
 			 size_t *data_size);
 
 /* ---- http_server.c ---- */
 
-/* A client's connection: epoll has events, output is to be sent, its timer has run out. */
+/* Events of a client's connection: epoll reported events, output is to be sent, its timer expired. */
 void http_server_event(struct http_connection *conn, uint32_t events);
 void http_server_flush(struct http_connection *conn);
 void http_server_timeout(struct http_connection *conn);
 
-/* Read what has come of a request. Returns whether it has moved on: a head has one time-out as a whole. */
+/* Read the received bytes of a request. Returns whether the wait has made progress. More bytes of an
+ * incomplete head are no progress, because its timeout is counted from its first byte. */
 int http_server_read_progress(struct http_connection *conn);
 
-/* Begin to wait for a request. */
+/* Start waiting for the next request. */
 void http_server_await_request(struct http_connection *conn);
 
-/* Answer a request that can't be served or read to its end; nothing of it is delivered. retry_after_ms: 0, or
- * when the client should come back. */
+/* Answer a request that cannot be served or read completely; it is not delivered. retry_after_ms: when the
+ * client should retry; 0: not given. */
 void http_server_reject(struct http_connection *conn, int status, int retry_after_ms);
 
 /* ---- http_disconnect.c ---- */
 
-/* Count the request's outcome, once. */
+/* Count the outcome of the connection's request, unless it is counted already. */
 void http_server_count_outcome(struct http_connection *conn, enum http_outcome outcome);
 
-/* Close before the answer has left: at once, and with a reset where an ordinary end could look whole. */
+/* Close a connection before its answer was sent completely: with a reset where an ordinary close could make
+ * the answer look complete. */
 void http_server_abort(struct http_connection *conn, enum http_outcome outcome);
 
-/* Close behind a complete answer, so that it arrives: our side ends, and theirs is read until it ends too,
- * for LINGER_MS. */
+/* Close a connection after a complete answer in such a way that the answer arrives: shut down our direction,
+ * and discard input until the client closes, for at most LINGER_TIMEOUT_MS. */
 void http_server_linger(struct http_connection *conn);
 
-/* Read and forget what comes on a connection that lingers; close it once its other side has ended. */
+/* Discard the input of a lingering connection; close it once the client has closed its direction. */
 void http_server_linger_read(struct http_connection *conn);
 
-/* The loop is closed: send what the kernel takes, and close. */
+/* The loop is being closed: send the output that the kernel accepts at once, and close the connection. */
 void http_server_shut_down(struct http_connection *conn);
 
 /* ---- http_listener.c ---- */
 
-/* Accept connections: one, or more where more wait turn after turn. */
+/* Accept connections: one, or more if connections were waiting in consecutive iterations. */
 void http_listener_accept(struct http_connection *conn);
 
-/* Close the connections of listeners with sweep_due, if they are idle and nothing has come on them. */
+/* Close the connections of listeners with sweep_due that are idle and have received nothing. */
 void http_listener_sweep(struct http *http);
 
 /* ---- http_client.c ---- */
 
-/* A connection to a server: begin the call, epoll has events, its timer has run out. */
+/* Events of a connection to a server: its call begins, epoll reported events, its timer expired. */
 void http_client_start_call(struct http_connection *conn);
 void http_client_event(struct http_connection *conn, uint32_t events);
 void http_client_timeout(struct http_connection *conn);
 
-/* End a call. reusable: its connection may serve another. */
+/* End a call and report its result. reusable: another call may use the connection. */
 void http_client_finish_call(struct http_connection *conn, enum http_call_result result, int reusable);
 
 #endif
