--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -1,6 +1,6 @@
-/* api_server: the product's own HTTP interface, by libmicrohttpd; see api_server.h.
- * A connection is suspended until the owner of the state has something for it. A stream is fed from a bounded
- * buffer, and one that ends early ends with a broken chunk, so that it never looks complete. */
+/* api_server: the product's own HTTP interface, on libmicrohttpd; see api_server.h. A connection is suspended
+ * until the thread that owns the state provides data for it. A stream is read from a buffer of limited size.
+ * A stream that is cut short ends without the final chunk, so that it never looks complete. */
 #include "api_server.h"
 
 #include <errno.h>
@@ -25,41 +25,42 @@
 #include "shell_event.h"
 
 enum {
-	MAX_STREAM_BYTES = 8 << 20, /* that a client has not read yet */
+	MAX_STREAM_BYTES =
+	    8 << 20, /* bytes of a stream that the client has not read; beyond this the stream is aborted */
 	STREAM_BLOCK_BYTES = 16384,
 	RETRY_AFTER_MS = 200,
 	BUSY_RETRY_AFTER_MS = 1000,
-	CLOSE_TIMEOUT_MS = 1000, /* at the end, for clients to read what they are sent */
+	CLOSE_TIMEOUT_MS = 1000, /* on closing, for clients to read their answers */
 	CLOSE_POLL_INTERVAL_MS = 2,
 	MAX_CONNECTIONS = 20000,
 	CONNECTION_MEMORY_BYTES = 64 << 10
 };
 
-/* A request on its connection. */
+/* A client's request and its answer. */
 struct api_request {
 	uint64_t token;
 	struct MHD_Connection *connection;
-	bool is_suspended; /* libmicrohttpd waits for us */
+	bool is_suspended; /* libmicrohttpd waits until the connection is resumed */
 
 	/* the request */
-	char *body; /* stb_ds: received so far */
+	char *body; /* stb_ds: bytes of the body received so far */
 	bool is_body_too_large;
-	bool is_delivered; /* it was read whole, and has gone to the event ring or was rejected */
+	bool is_delivered; /* the complete request was pushed into the event ring or rejected */
 
 	/* a complete answer */
 	char *response; /* from malloc; NULL: none yet */
 	int status;
 	int retry_after_ms;
-	int64_t not_after_ms;    /* past it the answer isn't sent any more; 0: no bound */
-	bool is_response_queued; /* the answer, or the stream, has been given to libmicrohttpd */
+	int64_t not_after_ms;    /* the answer is not sent after this clock_ms; 0: no limit */
+	bool is_response_queued; /* the answer or the stream was queued in libmicrohttpd */
 
 	/* a streamed answer */
 	bool is_stream;
 	bool has_ended;
-	bool is_complete;    /* it has ended as it should */
-	char *stream_buffer; /* stb_ds: bytes to send */
+	bool is_complete;    /* the stream ended without being cut short */
+	char *stream_buffer; /* stb_ds: bytes of the stream; those from sent_offset are not sent yet */
 	size_t sent_offset;
-	bool is_mid_line; /* the last byte sent did not end a line */
+	bool is_mid_line; /* the last byte sent was not a line feed */
 };
 
 struct request_entry {
@@ -67,8 +68,8 @@
 	struct api_request *value;
 };
 
-/* mutex protects all that changes, requests included: libmicrohttpd's thread reads what the owner of the
- * state writes. */
+/* mutex protects all members that change, including the requests: the thread that owns the state writes them
+ * and libmicrohttpd's thread reads them. */
 struct api_server {
 	struct MHD_Daemon *daemon;
 	struct ring *events;
@@ -76,10 +77,10 @@
 	uint64_t last_token;
 	struct request_entry *requests; /* stb_ds */
 	bool is_closing;
-	int64_t streams_valid_until_ms; /* 0: for ever */
+	int64_t streams_valid_until_ms; /* clock_ms after which streams are aborted; 0: no limit */
 };
 
-/* What a streamed answer is read from; freed by libmicrohttpd. */
+/* Argument of stream_read; freed by libmicrohttpd. */
 struct stream_source {
 	struct api_server *server;
 	uint64_t token;
@@ -108,8 +109,8 @@
 	request->response = strdup(body);
 }
 
-/* An answer that was true for a time that is over isn't sent: this process may have been suspended
- * since. */
+/* Replaces an answer whose time limit has passed by 503: the process may have been suspended after the answer
+ * was given. */
 static void replace_expired_response(struct api_request *request)
 {
 	if (!request->not_after_ms || clock_ms() <= request->not_after_ms)
@@ -161,7 +162,8 @@
 	return (ssize_t)size;
 }
 
-/* Bytes of a stream, its end, or 0 after suspending the connection until there are some. */
+/* Copies the next bytes of a stream and returns their number. Returns the code for the end of the stream, or
+ * 0 after suspending the connection because there are no bytes yet. */
 static ssize_t stream_next(struct api_server *server, struct api_request *request, char *destination,
 			   size_t capacity)
 {
@@ -209,7 +211,8 @@
 	return result;
 }
 
-/* What the client hasn't read yet of a stream that broke, beyond the line begun, isn't passed on. */
+/* Discards the unsent bytes of a stream that was cut short, except the rest of a line that was sent in part.
+ */
 static void stream_truncate(struct api_request *request)
 {
 	size_t size = request->sent_offset;
@@ -223,7 +226,8 @@
 
 /* ---- requests ---- */
 
-/* An API key never goes further than here: the configuration and the core hold its digest. */
+/* Returns the digest of the API key. The key itself does not leave this function: the configuration and the
+ * core hold only digests. */
 static char *authorization_digest(const char *authorization)
 {
 	static const char scheme[] = "Bearer ";
@@ -275,8 +279,7 @@
 	return event;
 }
 
-/* A request that was read whole goes to the owner of the state, and its connection is suspended; or it is
- * rejected. */
+/* Pushes a complete request into the event ring and suspends its connection, or rejects the request. */
 static void request_deliver(struct api_server *server, struct api_request *request, const char *url,
 			    const char *method)
 {
@@ -301,7 +304,7 @@
 	set_response(request, 503, BUSY_RETRY_AFTER_MS, "{\"error\":\"too busy\",\"outcome\":\"refused\"}");
 }
 
-/* Gives the answer to libmicrohttpd if there is one. */
+/* Queues the answer in libmicrohttpd if there is one. */
 static enum MHD_Result request_respond(struct api_server *server, struct api_request *request)
 {
 	if (request->is_suspended || request->is_response_queued ||
@@ -314,8 +317,8 @@
 	return send_response(request);
 }
 
-/* libmicrohttpd calls it when a head was read, for each piece of the body, at the body's end, and after each
- * resume. */
+/* libmicrohttpd calls it after the head, for each received segment of the body, at the end of the body, and
+ * after each resume. */
 static enum MHD_Result on_request(void *argument, struct MHD_Connection *connection, const char *url,
 				  const char *method, const char *version, const char *data, size_t *size,
 				  void **state)
@@ -340,8 +343,8 @@
 	return result;
 }
 
-/* Reports a client that left before its answer. Whether the event ring took it; if not, the request runs to
- * its time-out. */
+/* Reports that a client disconnected before its answer. Returns false if the event ring is full; the request
+ * then runs until its timeout. */
 static bool push_disconnected(struct api_server *server, uint64_t token)
 {
 	struct shell_event *event = shell_event_new(SHELL_EVENT_DISCONNECTED);
@@ -376,7 +379,7 @@
 	*state = NULL;
 }
 
-/* ---- what the owner of the state calls ---- */
+/* ---- functions for the thread that owns the state ---- */
 
 struct api_server *api_server_open(const char *addr, struct ring *events, apr_pool_t *pool)
 {
@@ -429,7 +432,7 @@
 	if (is_last && !is_complete)
 		stream_truncate(request);
 	if ((size_t)arrlen(request->stream_buffer) + size >
-	    MAX_STREAM_BYTES) { /* a client that doesn't read */
+	    MAX_STREAM_BYTES) { /* the client does not read its stream */
 		is_last = true;
 		is_complete = false;
 	} else if (size) {
@@ -454,7 +457,7 @@
 	apr_thread_mutex_unlock(server->mutex);
 }
 
-/* A suspended connection isn't polled: only a look at its socket shows that it has ended. */
+/* A suspended connection is not polled, so its socket is checked here for the end of the client's stream. */
 static bool has_disconnected(const struct api_request *request)
 {
 	const union MHD_ConnectionInfo *info =
@@ -478,13 +481,13 @@
 		request->has_ended = true;
 		if (!request->is_stream)
 			set_response(request, 499, request->retry_after_ms,
-				     "{\"error\":\"the caller left\"}");
+				     "{\"error\":\"the client disconnected\"}");
 		resume_connection(request);
 	}
 	apr_thread_mutex_unlock(server->mutex);
 }
 
-/* Requests that were read whole and whose answers have not been read to the end. */
+/* Counts the requests that were received completely and whose answers have not been sent to the end. */
 static int count_open_requests(struct api_server *server)
 {
 	int count = 0;
@@ -496,7 +499,8 @@
 	return count;
 }
 
-/* The outcome of an unanswered request is unknown: the core may have forwarded it. */
+/* Ends all requests. The outcome of an unanswered request is unknown, because the core may have forwarded it.
+ */
 static void end_requests(struct api_server *server)
 {
 	apr_thread_mutex_lock(server->mutex);
@@ -517,7 +521,7 @@
 
 void api_server_close(struct api_server *server)
 {
-	MHD_socket listener = MHD_quiesce_daemon(server->daemon); /* no new connections */
+	MHD_socket listener = MHD_quiesce_daemon(server->daemon); /* stops accepting connections */
 	int64_t deadline_ms = clock_ms() + CLOSE_TIMEOUT_MS;
 
 	end_requests(server);
--- a/lib/shell/http_buffer.c
+++ b/lib/shell/http_buffer.c
@@ -1,5 +1,4 @@
-/* http_buffer: bytes that were read, or are to be written. Blocks of the first size are kept for the next
- * buffer. */
+/* http_buffer: input and output buffers. Freed blocks of the initial size are kept for reuse. */
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
@@ -72,7 +71,7 @@
 	http_buffer_append(http, buffer, start, (size_t)(end - start));
 }
 
-/* A line break inside a field would begin another one. */
+/* Replaces line breaks, because a line break inside a field would begin another field. */
 void http_buffer_append_single_line(struct http *http, struct buffer *buffer, const char *text)
 {
 	size_t size = strlen(text), i;
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -1,6 +1,6 @@
-/* http_client: calls to servers, and the idle connections that are kept between them.
- * A call moves to another connection only while no byte of it has left; afterwards it ends with what was
- * read. */
+/* http_client: calls to servers, and idle connections that are kept for later calls.
+ * Invariant: a call moves to another connection only while none of its bytes has been sent; after that it
+ * ends on the connection on which it was sent. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -24,7 +24,8 @@
 	return peer;
 }
 
-/* A connection to a peer: an idle one, or one that is still to be opened, or NULL beyond the bound. */
+/* Returns a connection to a peer: an idle one, or a new one that is not open yet. Returns NULL if the peer's
+ * limit of connections is reached. */
 static struct http_connection *peer_acquire_connection(struct http *http, struct peer *peer,
 						       int needs_new_connection, int64_t now_ms)
 {
@@ -36,7 +37,7 @@
 			conn->state = CONN_QUEUED;
 			return conn;
 		}
-		peer->open_connections++; /* so that the peer outlives it */
+		peer->open_connections++; /* keeps http_conn_close from freeing the peer */
 		http_conn_close(conn, 0);
 		peer->open_connections--;
 	}
@@ -55,7 +56,8 @@
 	return conn;
 }
 
-/* How long an idle connection may be used: the server must not close it just as we do. */
+/* How long after an answer its connection may be reused. A margin before the server's own timeout keeps a
+ * request from crossing with the server's close: a quarter of the timeout, and at least 300 ms. */
 static int64_t keep_alive_ms(const struct http_head *head)
 {
 	int64_t margin_ms = (int64_t)head->keep_alive_s * 250;
@@ -112,7 +114,7 @@
 	return left < right ? left : right;
 }
 
-/* When the request must have left. */
+/* When the complete request must have been sent. */
 static int64_t sending_deadline_ms(const struct http_connection *conn)
 {
 	int64_t not_after_ms = conn->client.not_after_ms;
@@ -142,7 +144,8 @@
 	    conn, earlier_time(sending_deadline_ms(conn), http->now_ms + conn->client.connect_timeout_ms));
 }
 
-/* Move the call to another connection: no byte of it was sent on this one. */
+/* Moves a call to another connection. None of its bytes was sent on the present one. Returns NULL if the call
+ * ended because no connection is allowed. */
 static struct http_connection *client_move_call(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -174,7 +177,8 @@
 	return replacement;
 }
 
-/* Send the rest of the request. Returns 0 when the first send failed with nothing written. */
+/* Sends the rest of the request. Returns 0 if the connection failed before any byte of the request was sent.
+ */
 static int client_send(struct http_connection *conn)
 {
 	size_t offset_before = conn->output.offset;
@@ -183,7 +187,7 @@
 	if (lost) {
 		if (!conn->client.has_sent_bytes)
 			return 0;
-		/* an answer may have come all the same; reading shows it */
+		/* the server may have answered before it closed: read what was received */
 		conn->client.is_request_truncated = 1;
 		http_buffer_free(conn->http, &conn->output);
 		http_conn_watch(conn, HTTP_READ_EVENTS);
@@ -197,7 +201,8 @@
 
 static int is_past_send_deadline(const struct http_connection *conn)
 {
-	int64_t now_ms = clock_ms(); /* not http->now_ms: the process may have been suspended since */
+	int64_t now_ms =
+	    clock_ms(); /* not http->now_ms: the process may have been suspended after that was read */
 
 	return now_ms > conn->client.not_after_ms || now_ms >= conn->client.deadline_ms;
 }
@@ -236,7 +241,8 @@
 
 static int client_parse(struct http_connection *conn, const char *data, size_t size);
 
-/* An answer to another request is over; the bytes behind it, or still to come, are the next one. */
+/* A discarded answer to another request is complete. The bytes that follow it belong to the next answer.
+ * Returns 1 when the call is over. */
 static int client_next_response(struct http_connection *conn, const char *surplus, size_t surplus_bytes)
 {
 	char *copy = NULL;
@@ -247,7 +253,7 @@
 		client_fail_call(conn);
 		return 1;
 	}
-	if (surplus_bytes) { /* it may be in the buffer that is emptied here */
+	if (surplus_bytes) { /* surplus may point into the buffer that is freed below */
 		copy = malloc(surplus_bytes);
 		if (!copy)
 			abort();
@@ -262,12 +268,14 @@
 	return is_call_over;
 }
 
-/* The answer is complete; surplus bytes behind it end the connection. */
+/* The answer is complete. If surplus bytes follow it, the connection is closed. Returns 1 when the call is
+ * over. */
 static int client_response_complete(struct http_connection *conn, const char *surplus, size_t surplus_bytes)
 {
 	if (conn->client.is_skipping_response)
 		return client_next_response(conn, surplus, surplus_bytes);
-	/* the server counts from when it answered: after a freeze that may be long ago */
+	/* the server's timeout runs from the time at which it answered, which may be long ago if this process
+	 * was suspended; the previous poll was before the answer arrived */
 	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
 	http_client_finish_call(conn, HTTP_CALL_COMPLETE,
 				!surplus_bytes && !conn->client.skipped_response_count &&
@@ -283,7 +291,7 @@
 						    size);
 }
 
-/* Bytes of the body. Returns 1 when the call is over. */
+/* Reads bytes of the answer's body. Returns 1 when the call is over. */
 static int client_read_body(struct http_connection *conn, const char *data, size_t size)
 {
 	const char *span = NULL;
@@ -321,7 +329,7 @@
 	}
 }
 
-/* How the body behind the head that was read is framed (RFC 9112, 6.3). */
+/* How the body that follows the parsed head is framed (RFC 9112, 6.3). */
 static enum body_framing response_framing(const struct http_connection *conn)
 {
 	const struct http_head *head = &conn->head;
@@ -334,6 +342,7 @@
 	return head->has_length ? BODY_LENGTH : BODY_UNTIL_EOF;
 }
 
+/* Parses received bytes of an answer. Returns 1 when the call is over. */
 static int client_parse(struct http_connection *conn, const char *data, size_t size)
 {
 	struct http *http = conn->http;
@@ -392,7 +401,7 @@
 	struct http *http = conn->http;
 	ssize_t received;
 
-	/* where the peer has closed, its last bytes and its end are taken in one go */
+	/* if the server has closed its direction, read its last bytes and the end of the stream at once */
 	do {
 		received = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 		if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
@@ -414,7 +423,7 @@
 {
 	switch (conn->state) {
 	case CONN_CONNECTING:
-		/* nobody may have spoken before us, either */
+		/* bytes received before the request was sent cannot be an answer to it: the call fails */
 		if ((events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) || is_past_send_deadline(conn)) {
 			http_client_finish_call(conn, HTTP_CALL_NOT_SENT, 0);
 			return;
@@ -429,7 +438,7 @@
 	case CONN_READING_RESPONSE:
 		if (events & ~(uint32_t)EPOLLOUT) {
 			client_read(conn, events);
-			return; /* it may be another call's by now */
+			return; /* the connection may serve another call now */
 		}
 		if (is_past_send_deadline(conn))
 			client_fail_call(conn);
@@ -440,7 +449,7 @@
 		http_conn_close(conn, 0);
 		return;
 	default:
-		return; /* its start checks by itself */
+		return; /* CONN_QUEUED: http_client_start_call checks the connection */
 	}
 }
 
@@ -465,7 +474,8 @@
 	int i;
 
 	if (hmgeti(http->calls, token) >= 0) {
-		log_write(LOG_ERROR, "http", "A call's token is in use; the call is not made.");
+		log_write(LOG_ERROR, "http",
+			  "Call to a server not made: its token is in use by another call.");
 		return;
 	}
 	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr), request->new_connection,
@@ -535,7 +545,7 @@
 
 	if (!peer)
 		return;
-	peer->epoch++; /* those in use are not kept afterwards */
+	peer->epoch++; /* connections in use are closed when their calls end */
 	peer->open_connections++;
 	while (peer->first_idle)
 		http_conn_close(peer->first_idle, 0);
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -1,5 +1,5 @@
 /* http_connection: connections, their timers and their sockets. A closed connection is freed at the end of
- * the turn, so that events and lists that name it stay valid until then. */
+ * the loop iteration, because events and lists of that iteration may still refer to it. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/tcp.h>
@@ -143,8 +143,8 @@
 	free(peer);
 }
 
-/* Whether an ordinary end of this connection would make an incomplete answer look complete: where the end of
- * the connection is the end of the answer. */
+/* Whether an ordinary close of this connection would make an incomplete answer look complete. This is so if
+ * the end of the connection marks the end of the answer. */
 static int would_close_look_complete(const struct http_connection *conn)
 {
 	if (conn->kind != CONN_SERVER || !conn->server.response_begun ||
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -1,6 +1,6 @@
-/* http_disconnect: how a client's connection ends, and what became of each request that was read whole.
- * Every end of a client's connection goes through this file. A complete answer is never followed by a close
- * over unread bytes, for the kernel answers those with a reset, which may overtake the answer. */
+/* http_disconnect: closing of clients' connections, and the outcome of each request that was received
+ * completely. Invariant: a connection is not closed after a complete answer while unread input may remain,
+ * because the kernel would then send a reset, which may overtake the answer. */
 #include <errno.h>
 #include <sys/socket.h>
 
@@ -8,7 +8,7 @@
 
 enum {
 	MAX_SHUTDOWN_READS =
-	    16 /* reads of a connection at the close of the loop, so that unread bytes cause no reset */
+	    16 /* reads on each connection when the loop is closed, so that unread input causes no reset */
 };
 
 void http_server_count_outcome(struct http_connection *conn, enum http_outcome outcome)
@@ -25,7 +25,7 @@
 	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_LATE);
 }
 
-/* Whether the client has said that it sends nothing more, and has sent nothing more. */
+/* Whether the client has announced that its request is the last one, and has sent no bytes after it. */
 static int client_has_finished_sending(const struct http_connection *conn)
 {
 	return conn->head.close_connection && !conn->server.must_linger &&
@@ -49,7 +49,8 @@
 	http_timer_set(conn, http->now_ms + LINGER_TIMEOUT_MS);
 }
 
-/* Read and discard. Returns how many bytes; 0 when the other side has ended, -1 when there are none. */
+/* Reads and discards input. Returns the number of bytes; 0: the client has closed its direction or the
+ * connection failed; -1: no input is available. */
 static ssize_t discard_input(struct http_connection *conn)
 {
 	ssize_t received = recv(conn->fd, conn->http->scratch, SCRATCH_BYTES, 0);
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -1,4 +1,4 @@
-/* http_listener: listeners, the connections that they accept, draining. */
+/* http_listener: listeners, accepting connections, draining. */
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -9,7 +9,10 @@
 #include "http_internal.h"
 #include "log.h"
 
-enum { MAX_ACCEPT_BURST = 64, ACCEPT_PAUSE_MS = 100 /* after the descriptors have run out */ };
+enum {
+	MAX_ACCEPT_BURST = 64,
+	ACCEPT_PAUSE_MS = 100 /* after accept failed for lack of descriptors or memory */
+};
 
 static void pause_accepting(struct http_connection *conn)
 {
@@ -32,7 +35,7 @@
 	return slot;
 }
 
-/* Returns 0 when there is no connection to accept, or no descriptor for it. */
+/* Returns 0 if there is no connection to accept, or no descriptor or memory for it. */
 static int accept_one(struct http_connection *listening_conn)
 {
 	struct http *http = listening_conn->http;
@@ -66,7 +69,8 @@
 	struct listener *listener = &conn->listener;
 	int i;
 
-	/* one a turn, and more only when more wait turn after turn */
+	/* one connection per iteration; the number doubles while connections wait in consecutive iterations
+	 */
 	if (listener->last_accept_iteration + 1 != http->iteration)
 		listener->accept_burst = 1;
 	else if (listener->accept_burst < MAX_ACCEPT_BURST)
@@ -87,7 +91,7 @@
 	int fd, on = 1;
 
 	if (!address) {
-		log_write(LOG_ERROR, "http", "Cannot listen at %s: not an address.", addr);
+		log_write(LOG_ERROR, "http", "Cannot listen at %s: not a valid IP:PORT address.", addr);
 		return 0;
 	}
 	if ((fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) < 0)
@@ -165,7 +169,8 @@
 	conn->listener.sweep_due = 1;
 }
 
-/* Nothing of a request was read, and none is awaited: the listener drains, or the client never sent one. */
+/* Whether no byte of a request was read and none need be awaited: the listener drains, or the client has
+ * never sent a request on this connection. */
 static bool is_idle_without_request(const struct http_connection *conn)
 {
 	return conn->state == CONN_READING_HEAD && !conn->input.len &&
@@ -201,9 +206,9 @@
 		if (conn->listener.listener_id != listener_id || conn->fd < 0)
 			continue;
 		while (accepted < ACCEPT_BACKLOG &&
-		       accept_one(conn)) /* closing the listener would reset what waits in it */
+		       accept_one(conn)) /* closing the listener would reset the connections in its backlog */
 			accepted++;
-		close(conn->fd); /* its struct stays for its connections */
+		close(conn->fd); /* the struct stays, because connections refer to it */
 		conn->fd = -1;
 		http_timer_remove(http, conn);
 		schedule_sweep(http, conn);
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -1,5 +1,6 @@
-/* http_loop: the loop; see http.h. One epoll, level-triggered: a connection is registered once, and polls
- * for writing only after a short write. What is written during a turn is sent at its end in one call. */
+/* http_loop: the event loop of http.h. It uses one level-triggered epoll instance. A connection is registered
+ * once, and waits for EPOLLOUT only after an incomplete send. The output of a connection is collected during
+ * an iteration of the loop and sent by one system call at its end. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -19,7 +20,7 @@
 
 	if (!arrlen(connections))
 		return;
-	/* only what was there: what callbacks add has its turn later */
+	/* process only the present entries: those that callbacks add are processed later */
 	http->queued_connections = http->running_connections;
 	http->running_connections = connections;
 	for (i = 0; i < arrlen(connections); i++) {
@@ -72,7 +73,8 @@
 
 	http->iteration++;
 	http->callback_made = 0;
-	/* the time of the last turn serves where nothing is due soon */
+	/* the clock is not read if nothing is queued and no timer is due soon: the time of the last iteration
+	 * suffices */
 	if (arrlen(http->queued_connections) ||
 	    (arrlen(http->timer_heap) &&
 	     http->timer_heap[0]->heap_key_ms - http->now_ms < (int64_t)timeout_ms + 1000))
@@ -96,7 +98,8 @@
 			if (read(http->wake_fd, &count, sizeof count) < 0)
 				continue;
 			__atomic_store_n(&http->wake_pending, 0,
-					 __ATOMIC_SEQ_CST); /* before the owner reads what it was woken for */
+					 __ATOMIC_SEQ_CST); /* before the owner checks for the work that it
+							       was woken for */
 			continue;
 		}
 		if (conn->closed || conn->fd < 0)
@@ -120,7 +123,7 @@
 
 	if (!__atomic_exchange_n(&http->wake_pending, 1, __ATOMIC_SEQ_CST) &&
 	    write(http->wake_fd, &one, sizeof one) < 0)
-		return; /* it is awake already */
+		return; /* the eventfd's counter is full, so the loop wakes up anyway */
 }
 
 struct http *http_open(const struct http_callbacks *callbacks, apr_pool_t *pool)
@@ -137,7 +140,7 @@
 	http->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	if (http->epoll_fd < 0 || http->wake_fd < 0 ||
 	    epoll_ctl(http->epoll_fd, EPOLL_CTL_ADD, http->wake_fd, &event)) {
-		log_write(LOG_ERROR, "http", "Cannot open a loop: %s.", strerror(errno));
+		log_write(LOG_ERROR, "http", "Cannot open the HTTP event loop: %s.", strerror(errno));
 		free(http);
 		return NULL;
 	}
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -1,6 +1,6 @@
-/* http_parse: heads and chunks. A complete head goes through http-parser once its lines are known to be
- * exact. Chunks are parsed here, because http-parser as it is packaged accepts chunks that do not end where
- * they say. */
+/* http_parse: message heads and chunked bodies. A complete head is parsed by http-parser after its lines
+ * passed a strict syntax check. Chunks are parsed here, because the packaged http-parser accepts chunks that
+ * do not end at their stated size. */
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
@@ -50,7 +50,7 @@
 	return true;
 }
 
-/* First line: METHOD SP target SP HTTP/1.x, or HTTP/1.x SP ddd [SP reason] */
+/* Start line: METHOD SP target SP HTTP/1.x in a request, HTTP/1.x SP ddd [SP reason] in an answer. */
 static bool is_start_line(const char *line, const char *end, int request)
 {
 	const char *cursor;
@@ -70,8 +70,8 @@
 	       (cursor[8] == '0' || cursor[8] == '1');
 }
 
-/* http-parser accepts folded lines, blanks before a colon and more; the server that reads the same bytes may
- * read them differently (request smuggling). */
+/* Rejects deviations that http-parser accepts, such as folded lines and blanks before a colon: the server
+ * that receives the same bytes may interpret them differently, which allows request smuggling. */
 static int has_strict_syntax(const char *line, const char *end, int request)
 {
 	const char *newline = memchr(line, '\n', (size_t)(end - line));
@@ -90,19 +90,20 @@
 	return 1;
 }
 
+/* A head that http-parser is parsing. */
 struct head_parse {
 	struct http_connection *conn;
 	char *name_end, *value_end;
 	int value_count, is_complete;
 };
 
-static void terminate_strings(struct head_parse *reading)
+static void terminate_strings(struct head_parse *parse)
 {
-	if (reading->name_end)
-		*reading->name_end = 0;
-	if (reading->value_end)
-		*reading->value_end = 0;
-	reading->name_end = reading->value_end = NULL;
+	if (parse->name_end)
+		*parse->name_end = 0;
+	if (parse->value_end)
+		*parse->value_end = 0;
+	parse->name_end = parse->value_end = NULL;
 }
 
 static const char *as_offset(struct http_connection *conn, const char *position)
@@ -112,21 +113,22 @@
 
 static int on_url(http_parser *parser, const char *at, size_t size)
 {
-	struct head_parse *reading = parser->data;
+	struct head_parse *parse = parser->data;
 
-	reading->conn->server.target_offset = (size_t)(at - reading->conn->input.data);
-	reading->name_end = reading->conn->input.data + reading->conn->server.target_offset +
-			    size; /* the blank behind it, which has been read when the next comes */
+	parse->conn->server.target_offset = (size_t)(at - parse->conn->input.data);
+	parse->name_end = parse->conn->input.data + parse->conn->server.target_offset +
+			  size; /* the blank after the target; the NUL is written at the next callback, after
+				   http-parser has read the blank */
 	return 0;
 }
 
 static int on_field(http_parser *parser, const char *text, size_t size)
 {
-	struct head_parse *reading = parser->data;
-	struct http_connection *conn = reading->conn;
+	struct head_parse *parse = parser->data;
+	struct http_connection *conn = parse->conn;
 
-	terminate_strings(reading);
-	if (reading->value_count != conn->field_count)
+	terminate_strings(parse);
+	if (parse->value_count != conn->field_count)
 		return -1;
 	if (conn->field_count == conn->field_capacity) {
 		conn->field_capacity = conn->field_capacity ? conn->field_capacity * 2 : 16;
@@ -134,10 +136,11 @@
 			  realloc(conn->fields, (size_t)conn->field_capacity * sizeof *conn->fields)))
 			abort();
 	}
-	/* offsets, until the buffer moves no more; an empty value is the end of its name */
+	/* offsets, because the buffer may still move; the value starts as the empty string at the end of the
+	 * name */
 	conn->fields[conn->field_count++] =
 	    (struct http_field){ as_offset(conn, text), as_offset(conn, text + size) };
-	reading->name_end = conn->input.data + (text - conn->input.data) + size;
+	parse->name_end = conn->input.data + (text - conn->input.data) + size;
 	return 0;
 }
 
@@ -224,30 +227,30 @@
 
 static int on_value(http_parser *parser, const char *at, size_t size)
 {
-	struct head_parse *reading = parser->data;
-	struct http_connection *conn = reading->conn;
+	struct head_parse *parse = parser->data;
+	struct http_connection *conn = parse->conn;
 	size_t name_offset = (size_t)(uintptr_t)conn->fields[conn->field_count - 1].name;
 
-	if (++reading->value_count != conn->field_count)
+	if (++parse->value_count != conn->field_count)
 		return -1;
 	while (size && (at[size - 1] == ' ' || at[size - 1] == '\t'))
 		size--;
 	record_field(&conn->head, conn->input.data + name_offset,
-		     (size_t)(reading->name_end - conn->input.data) - name_offset, at, size);
+		     (size_t)(parse->name_end - conn->input.data) - name_offset, at, size);
 	if (size) {
 		conn->fields[conn->field_count - 1].value = as_offset(conn, at);
-		reading->value_end = conn->input.data + (at - conn->input.data) + size;
+		parse->value_end = conn->input.data + (at - conn->input.data) + size;
 	}
 	return 0;
 }
 
 static int on_head_complete(http_parser *parser)
 {
-	struct head_parse *reading = parser->data;
+	struct head_parse *parse = parser->data;
 
-	terminate_strings(reading);
-	reading->is_complete = 1;
-	return 1; /* its body is not http-parser's */
+	terminate_strings(parse);
+	parse->is_complete = 1;
+	return 1; /* tells http-parser that no body follows: bodies are parsed in this module */
 }
 
 int http_parse_head(struct http_connection *conn, size_t from, size_t end, int request)
@@ -256,7 +259,7 @@
 						       .on_header_field = on_field,
 						       .on_header_value = on_value,
 						       .on_headers_complete = on_head_complete };
-	struct head_parse reading = { .conn = conn };
+	struct head_parse parse = { .conn = conn };
 	http_parser parser;
 
 	conn->field_count = 0;
@@ -264,9 +267,9 @@
 	if (!has_strict_syntax(conn->input.data + from, conn->input.data + end, request))
 		return 0;
 	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
-	parser.data = &reading;
+	parser.data = &parse;
 	http_parser_execute(&parser, &settings, conn->input.data + from, end - from);
-	if (!reading.is_complete || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.is_malformed ||
+	if (!parse.is_complete || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.is_malformed ||
 	    (conn->head.is_chunked && conn->head.has_length) || parser.http_major != 1 ||
 	    (conn->head.is_chunked && !parser.http_minor))
 		return 0;
@@ -309,7 +312,7 @@
 	return ((unsigned char)byte < 32 && byte != '\t') || byte == 127;
 }
 
-/* A byte that must be this one, and leads to the next state. */
+/* Checks that a byte is the expected one, and if so enters the next state. */
 static int expect_byte(struct chunk_parser *chunks, char byte, char expected, enum chunk_state next)
 {
 	if (byte != expected)
@@ -341,7 +344,7 @@
 	return http_token_char[(unsigned char)byte];
 }
 
-/* One byte of the framing; 0 when it's wrong there. */
+/* Parses one byte of the framing. Returns 0 if it is invalid in the present state. */
 static int parse_framing_byte(struct chunk_parser *chunks, char byte)
 {
 	switch (chunks->state) {
@@ -401,5 +404,5 @@
 {
 	for (int i = 0; i < 256; i++)
 		http_token_char[i] = (unsigned char)is_token_char((unsigned char)i);
-	http_parser_set_max_header_size(1 << 24); /* heads are bounded by who reads them */
+	http_parser_set_max_header_size(1 << 24); /* the callers limit the size of heads */
 }
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -1,4 +1,5 @@
-/* http_server: requests of clients, one at a time on a connection, and their answers. */
+/* http_server: requests of clients and their answers. A connection has one request at a time; a request that
+ * the client sends before its previous answer is kept in server.pipelined. */
 #include <errno.h>
 #include <linux/sockios.h>
 #include <stdio.h>
@@ -34,7 +35,7 @@
 	http_buffer_append(http, buffer, "\r\n", 2);
 }
 
-/* For how long the wait under way may last. */
+/* The longest time that the present wait may take. */
 static int wait_timeout_ms(const struct http_connection *conn)
 {
 	const struct listener *listener = &conn->server.listener->listener;
@@ -50,7 +51,8 @@
 	case CONN_SENDING_RESPONSE:
 		if (conn->server.outcome_pending)
 			return listener->limits.idle_timeout_ms;
-		return LINGER_TIMEOUT_MS; /* of a rejection: its request was not read */
+		return LINGER_TIMEOUT_MS; /* a rejection by http_server_reject: its request was not delivered
+					   */
 	case CONN_LINGERING:
 		return LINGER_TIMEOUT_MS;
 	default:
@@ -97,7 +99,7 @@
 	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
 }
 
-/* NULL: the request has none, which differs from one of length 0. */
+/* Returns NULL if the request has no body, and "" if its body has length 0. */
 static const char *request_body(const struct http_connection *conn)
 {
 	if (!conn->head.has_length && !conn->head.is_chunked)
@@ -158,7 +160,7 @@
 		}
 		if (conn->chunks.state != CHUNK_SIZE &&
 		    side->body_bytes + data_size + conn->chunks.remaining_bytes >
-			side->max_body_bytes) { /* the size itself may be half read */
+			side->max_body_bytes) { /* in CHUNK_SIZE the size may be incomplete */
 			http_server_reject(conn, 413, 0);
 			return 0;
 		}
@@ -169,12 +171,12 @@
 	}
 	if (conn->chunks.state == CHUNK_DONE)
 		return 1;
-	/* what was framing makes room for what is to come */
+	/* the bytes of the framing are no longer needed: reuse their space */
 	conn->input.len = side->parse_offset = side->body_offset + side->body_bytes;
 	return 0;
 }
 
-/* A complete head was read: the body begins. */
+/* Prepares to read the body after a complete head. */
 static void server_begin_body(struct http_connection *conn, size_t head_end)
 {
 	struct server_side *side = &conn->server;
@@ -195,7 +197,7 @@
 	}
 }
 
-/* Part of a head has come; the first such begins its time-out. */
+/* The head is incomplete. Its timeout starts with its first byte. */
 static void server_await_head(struct http_connection *conn)
 {
 	if (conn->timeout_at_ms != TIME_NEVER && conn->server.head_begun)
@@ -204,7 +206,7 @@
 	begin_wait(conn);
 }
 
-/* Reads a head, if it's complete; one that can't be served is rejected. */
+/* Parses the head of a request if it is complete. A request that cannot be served is rejected. */
 static void server_parse_head(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
@@ -213,7 +215,7 @@
 
 	while (conn->input.len - side->parse_offset >= 2 &&
 	       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
-		side->parse_offset += 2; /* blank lines before a request */
+		side->parse_offset += 2; /* empty lines before a request line are ignored */
 	if (conn->input.len == side->parse_offset) {
 		conn->input.len = side->parse_offset = conn->scan_offset = 0;
 		return;
@@ -253,9 +255,9 @@
 	begin_wait(conn);
 }
 
-/* The answer was sent. A connection whose answer didn't say that it closes waits for the next request, also
- * while the listener drains: one may be on its way, and closing over it would be a reset that may overtake
- * the answer. */
+/* Called when the answer was sent. A connection whose answer did not carry Connection: close waits for the
+ * next request, even while the listener drains: the next request may be in transit, and closing the
+ * connection would answer it with a reset that may overtake the answer. */
 static void server_next_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -285,8 +287,8 @@
 		http_buffer_free(http, &conn->input);
 }
 
-/* Nothing of an answer has been sent, and its deadline is past: this process may have been suspended since.
- */
+/* Whether the answer's deadline has passed before its first byte was sent. The process may have been
+ * suspended after the answer was given. */
 static int response_is_late(const struct http_connection *conn)
 {
 	return conn->server.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE &&
@@ -316,8 +318,9 @@
 		server_next_request(conn);
 }
 
-/* Reads bytes behind the request that is being answered, so that the answer need not be the last. Not through
- * the scratch buffer, which may hold a piece of a server's answer that is being forwarded. */
+/* Reads bytes that follow the request being answered: if there are any, the connection must not be closed
+ * after this answer. It does not use the scratch buffer, which may hold bytes of a server's answer that is
+ * being forwarded. */
 static void server_read_pipelined(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -331,7 +334,7 @@
 		http_buffer_free(http, early);
 }
 
-/* Returns how many bytes have come. */
+/* Returns the number of bytes received; 0: none, or the client disconnected. */
 static ssize_t server_read(struct http_connection *conn)
 {
 	struct http *http = conn->http;
@@ -353,7 +356,7 @@
 	case CONN_HANDLING:
 	case CONN_SENDING_RESPONSE:
 		if (side->must_linger)
-			break; /* of a request that was refused */
+			break; /* the rest of a rejected request is discarded */
 		http_buffer_append(http, &side->pipelined, http->scratch, (size_t)received);
 		if (side->pipelined.len >= MAX_PIPELINED_BYTES)
 			http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLIN);
@@ -364,17 +367,17 @@
 	return received;
 }
 
-/* The client has ended its half after its answer was finished: it reads the rest, and sends no more requests.
- */
+/* The client shut down its sending direction after its answer was finished: it still reads the answer, and
+ * sends no more requests. */
 static void handle_half_close(struct http_connection *conn)
 {
 	conn->server.close_after_response = conn->server.must_linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
-/* A client that ends its half before it has an answer counts as disconnected. HTTP/1.1 leaves open what such
- * an end means; a full close looks the same until something is sent, and a server must not work on for a
- * client that has disconnected. */
+/* A client that shuts down its sending direction before its answer is finished counts as disconnected.
+ * HTTP/1.1 does not define what such a half-close means. It cannot be told from a full close until something
+ * is sent, and a server must not continue to work for a client that has disconnected. */
 void http_server_event(struct http_connection *conn, uint32_t events)
 {
 	if (conn->state == CONN_LINGERING) {
@@ -396,7 +399,8 @@
 		server_read(conn);
 }
 
-/* Bytes may have come since the last poll: this process may have been suspended. */
+/* Reads before the wait is judged: bytes may have been received since the last poll if the process was
+ * suspended. */
 int http_server_read_progress(struct http_connection *conn)
 {
 	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
@@ -406,7 +410,8 @@
 	       (received > 0 && !(was_in_head && conn->state == CONN_READING_HEAD));
 }
 
-/* Bytes of the answer that the client's machine has not acknowledged. */
+/* Bytes of the answer that the client's machine has not acknowledged, including those not passed to the
+ * kernel. */
 static uint64_t unsent_bytes(const struct http_connection *conn)
 {
 	int kernel_bytes = 0;
@@ -416,7 +421,8 @@
 	return conn->output.len - conn->output.offset + (uint64_t)kernel_bytes;
 }
 
-/* A slow link may need many times the idle time for one answer. */
+/* Over a slow link one answer may take many times the idle timeout: it is aborted only when no byte was
+ * acknowledged for that time. */
 static int response_progressed(struct http_connection *conn)
 {
 	uint64_t unsent;
@@ -448,15 +454,15 @@
 		http_server_linger_read(conn);
 		if (!conn->closed)
 			http_conn_close(conn, 0);
-	} else if (timeout_at_ms > conn->http->now_ms) { /* a longer time has come into force */
+	} else if (timeout_at_ms > conn->http->now_ms) { /* the limit was raised during the wait */
 		http_timer_set(conn, timeout_at_ms);
 	} else if (!has_progressed(conn)) {
 		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
 }
 
-/* Whether the answer says that the connection closes, because its listener drains. It doesn't when bytes of
- * another request have come: that one is served too. */
+/* Whether the answer must carry Connection: close because its listener drains. It must not if bytes of
+ * another request were received, because that request is served too. */
 static int should_close_after_response(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
@@ -474,7 +480,8 @@
 	       http_field_value(fields, field_count, "Retry-After") != NULL;
 }
 
-/* Head of an answer. Length below 0: as the version allows. */
+/* Appends the head of an answer. Negative length: the body is chunked in HTTP/1.1 and ends with the
+ * connection in HTTP/1.0. */
 static void append_response_head(struct http_connection *conn, int status, const struct http_field *fields,
 				 int field_count, int64_t length)
 {
@@ -514,8 +521,8 @@
 static void finish_response(struct http_connection *conn)
 {
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->server.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an
-					      answer costs no system call more */
+	conn->server.unsent_bytes = UINT64_MAX; /* determined only when the idle timeout expires, which saves
+						   a system call for each answer */
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
@@ -566,7 +573,8 @@
 	switch (conn->server.response_framing) {
 	case BODY_LENGTH:
 		if (size > conn->server.response_remaining_bytes) {
-			log_write(LOG_ERROR, "http", "An answer is longer than it said; it is broken off.");
+			log_write(LOG_ERROR, "http",
+				  "Answer to a client aborted: its body is longer than its Content-Length.");
 			http_response_abort(http, token);
 			return;
 		}
--- a/lib/shell/server_calls.c
+++ b/lib/shell/server_calls.c
@@ -1,7 +1,7 @@
-/* server_calls: calls to model servers, by libcurl's multi handle in a thread of its own; see server_calls.h.
- * libcurl sends a request again by itself when a kept connection turns out dead. So each POST has a
- * connection of its own (fresh, never kept), and open_socket lets it open only one. Reports are GETs and may
- * share connections. */
+/* server_calls: calls to model servers with a libcurl multi handle in a thread of its own; see
+ * server_calls.h. libcurl repeats a request by itself if a reused connection turns out to be closed. Each
+ * POST therefore has a new connection that is never reused, and open_socket allows it a single socket. Load
+ * reports are fetched with GET and may share connections. */
 #include "server_calls.h"
 
 #include <curl/curl.h>
@@ -22,14 +22,14 @@
 #include "shell_event.h"
 
 enum {
-	MAX_LINE_BYTES = 1 << 20,  /* of a streamed answer */
-	MAX_BODY_BYTES = 16 << 20, /* of a complete answer */
+	MAX_LINE_BYTES = 1 << 20,  /* longest line of a streamed answer */
+	MAX_BODY_BYTES = 16 << 20, /* largest body of an answer that is not streamed */
 	CONNECT_TIMEOUT_MS = 800,
 	POLL_MS = 200,
 	MAX_QUEUED_COMMANDS = 16384
 };
 
-/* A call to begin or to cancel, on its way to the thread, which frees it. */
+/* A request to the thread to start or cancel a call. The thread frees it. */
 struct call_command {
 	bool is_cancel;
 	uint64_t token;
@@ -40,18 +40,19 @@
 	int64_t not_after_ms;
 };
 
-/* A call under way. */
+/* An unfinished call. */
 struct server_call {
 	struct server_calls *calls;
-	uint64_t token; /* 0: nobody waits for the result */
+	uint64_t token; /* 0: no result is wanted */
 	CURL *curl;
 	struct curl_slist *headers;
 	char *body;     /* owned, from malloc; NULL: a GET */
-	char *received; /* stb_ds: the answer, or the part of a stream that isn't a whole line yet */
+	char *received; /* stb_ds: the answer's body, or the incomplete last line of a stream */
 	int64_t not_after_ms;
 	int socket_count;
-	bool second_socket_refused;  /* libcurl wanted to send a POST again */
-	bool expired_before_sending; /* it was aborted before a byte had left */
+	bool second_socket_refused;  /* libcurl tried to open a second socket, to repeat a POST */
+	bool expired_before_sending; /* the call was aborted before any byte was sent, because not_after_ms
+					had passed */
 	bool is_stream;
 	bool is_post;
 };
@@ -61,18 +62,18 @@
 	struct server_call *value;
 };
 
-/* The thread owns all but the rings and stop. */
+/* The thread owns all members except the rings and stop_requested. */
 struct server_calls {
 	struct ring *events;
-	struct ring *commands; /* of struct call_command: to the thread */
-	CURLM *multi;          /* other threads only wake it */
+	struct ring *commands; /* entries: struct call_command; read by the thread */
+	CURLM *multi;          /* other threads call only curl_multi_wakeup on it */
 	apr_thread_t *thread;
 	atomic_bool stop_requested;
 	struct call_entry *by_token;              /* stb_ds */
 	struct server_call **calls_without_token; /* stb_ds: calls without a token */
 };
 
-/* ---- what libcurl calls back ---- */
+/* ---- callbacks from libcurl ---- */
 
 static curl_socket_t open_socket(void *argument, curlsocktype purpose, struct curl_sockaddr *address)
 {
@@ -86,8 +87,8 @@
 	return socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
 }
 
-/* The connection is up and no byte has left: the last look at the clock. The process may have stood still
- * between the decision and the connection. */
+/* Called when the connection is established and before any byte is sent: the last check of the time limit.
+ * The process may have been suspended since the call was started. */
 static int before_sending(void *argument, char *remote_ip, char *local_ip, int remote_port, int local_port)
 {
 	struct server_call *call = argument;
@@ -113,7 +114,7 @@
 	ring_push(call->calls->events, event, 1);
 }
 
-/* Complete lines of a stream go on; the rest stays in received. */
+/* Pushes the complete lines of a stream; an incomplete last line stays in received. */
 static void push_lines(struct server_call *call)
 {
 	size_t line_start = 0;
@@ -162,7 +163,7 @@
 	free(call);
 }
 
-/* The server itself says in its answer that it didn't begin. */
+/* Whether the server's answer states that it did not begin the request. */
 static bool response_reports_not_started(const char *body)
 {
 	struct json_object *json = json_tokener_parse(body);
@@ -189,8 +190,8 @@
 	ring_push(calls->events, event, 1);
 }
 
-/* It certainly wasn't begun: no connection was ever up, or it was too late to use it, so no byte left; or the
- * server says so. */
+/* Whether the server certainly did not begin the request: no byte was sent, because no connection was
+ * established or the time limit had passed; or the server's answer says so. */
 static bool was_certainly_not_started(const struct server_call *call, CURLcode result, long status)
 {
 	curl_off_t connect_time = 0;
@@ -244,7 +245,7 @@
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 }
 
-/* Begins the command's call, which takes its body over. */
+/* Starts the call of a command. The call takes ownership of the command's body. */
 static void call_begin(struct server_calls *calls, struct call_command *command)
 {
 	struct server_call *call = calloc(1, sizeof *call);
@@ -285,7 +286,7 @@
 			call_free(calls, call);
 		return;
 	}
-	if (clock_ms() > command->not_after_ms) { /* decided too long ago */
+	if (clock_ms() > command->not_after_ms) { /* the time limit passed while the command was queued */
 		if (command->token)
 			report_call_done(calls, command->token, command->is_stream, 0, true, "");
 		return;
@@ -329,7 +330,8 @@
 	calls->multi = curl_multi_init();
 	if (!calls->multi ||
 	    apr_thread_create(&calls->thread, NULL, calls_thread, calls, pool) != APR_SUCCESS) {
-		log_write(LOG_ERROR, "server_calls", "Cannot start the thread for calls to servers.");
+		log_write(LOG_ERROR, "server_calls",
+			  "Cannot start the thread that makes calls to model servers.");
 		return NULL;
 	}
 	return calls;
@@ -388,7 +390,7 @@
 		command_free(command);
 	while (hmlen(calls->by_token))
 		call_free(calls, calls->by_token[0].value); /* NOLINT(clang-analyzer-unix.Malloc): call_free
-							       takes it out of by_token */
+							       removes it from by_token */
 	while (arrlen(calls->calls_without_token))
 		call_free(calls, calls->calls_without_token[0]);
 	hmfree(calls->by_token);
