--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -43,12 +43,12 @@
 	bool is_suspended; /* libmicrohttpd waits until the connection is resumed */
 
 	/* the request */
-	char *body; /* stb_ds: bytes of the body received so far */
+	char *request_body; /* stb_ds: bytes of the body received so far */
 	bool is_body_too_large;
 	bool is_delivered; /* the complete request was pushed into the event ring or rejected */
 
 	/* a complete answer */
-	char *response; /* from malloc; NULL: none yet */
+	char *response_body; /* from malloc; NULL: none yet */
 	int status;
 	int retry_after_ms;
 	int64_t not_after_ms;    /* the answer is not sent after this clock_ms; 0: no limit */
@@ -106,7 +106,7 @@
 {
 	request->status = status;
 	request->retry_after_ms = retry_after_ms;
-	request->response = strdup(body);
+	request->response_body = strdup(body);
 }
 
 /* Replaces an answer whose time limit has passed by 503: the process may have been suspended after the answer
@@ -115,24 +115,24 @@
 {
 	if (!request->not_after_ms || clock_ms() <= request->not_after_ms)
 		return;
-	free(request->response);
+	free(request->response_body);
 	set_response(request, 503, RETRY_AFTER_MS, "{\"error\":\"the answer came too late to be certain\"}");
 }
 
 static enum MHD_Result send_response(struct api_request *request)
 {
 	struct MHD_Response *response = MHD_create_response_from_buffer(
-	    strlen(request->response), request->response, MHD_RESPMEM_MUST_COPY);
+	    strlen(request->response_body), request->response_body, MHD_RESPMEM_MUST_COPY);
 	enum MHD_Result result;
-	char number[32];
+	char header_value[32];
 
 	MHD_add_response_header(response, "Content-Type",
-				request->response[0] == '{' ? "application/json" : "text/csv");
+				request->response_body[0] == '{' ? "application/json" : "text/csv");
 	if (request->retry_after_ms) {
-		snprintf(number, sizeof number, "%d", (request->retry_after_ms + 999) / 1000);
-		MHD_add_response_header(response, "Retry-After", number);
-		snprintf(number, sizeof number, "%d", request->retry_after_ms);
-		MHD_add_response_header(response, "Retry-After-Ms", number);
+		snprintf(header_value, sizeof header_value, "%d", (request->retry_after_ms + 999) / 1000);
+		MHD_add_response_header(response, "Retry-After", header_value);
+		snprintf(header_value, sizeof header_value, "%d", request->retry_after_ms);
+		MHD_add_response_header(response, "Retry-After-Ms", header_value);
 	}
 	result = MHD_queue_response(request->connection, (unsigned)request->status, response);
 	MHD_destroy_response(response);
@@ -254,10 +254,10 @@
 
 static void request_append_body(struct api_request *request, const char *data, size_t size)
 {
-	if ((size_t)arrlen(request->body) + size > API_SERVER_MAX_BODY_BYTES)
+	if ((size_t)arrlen(request->request_body) + size > API_SERVER_MAX_BODY_BYTES)
 		request->is_body_too_large = true;
 	else
-		memcpy(arraddnptr(request->body, size), data, size);
+		memcpy(arraddnptr(request->request_body, size), data, size);
 }
 
 static struct shell_event *request_event(struct api_request *request, const char *url, const char *method)
@@ -272,8 +272,8 @@
 	event->method = strdup(method);
 	event->path = strdup(url);
 	event->key_digest = authorization_digest(authorization);
-	arrput(request->body, 0);
-	event->body = strdup(request->body);
+	arrput(request->request_body, 0);
+	event->body = strdup(request->request_body);
 	if (idempotency_key)
 		event->idempotency_key = strdup(idempotency_key);
 	return event;
@@ -308,7 +308,7 @@
 static enum MHD_Result request_respond(struct api_server *server, struct api_request *request)
 {
 	if (request->is_suspended || request->is_response_queued ||
-	    (!request->response && !request->is_stream))
+	    (!request->response_body && !request->is_stream))
 		return MHD_YES;
 	request->is_response_queued = true;
 	if (request->is_stream)
@@ -367,14 +367,14 @@
 	if (!request)
 		return;
 	apr_thread_mutex_lock(server->mutex);
-	is_open = request->is_delivered && !request->response && !request->has_ended;
+	is_open = request->is_delivered && !request->response_body && !request->has_ended;
 	(void)hmdel(server->requests, request->token);
 	apr_thread_mutex_unlock(server->mutex);
 	if (is_open && code != MHD_REQUEST_TERMINATED_COMPLETED_OK && !server->is_closing)
 		(void)push_disconnected(server, request->token);
-	arrfree(request->body);
+	arrfree(request->request_body);
 	arrfree(request->stream_buffer);
-	free(request->response);
+	free(request->response_body);
 	free(request);
 	*state = NULL;
 }
@@ -410,7 +410,7 @@
 
 	apr_thread_mutex_lock(server->mutex);
 	request = hmget(server->requests, token);
-	if (request && !request->response && !request->is_stream) {
+	if (request && !request->response_body && !request->is_stream) {
 		set_response(request, status, retry_after_ms, body);
 		request->not_after_ms = not_after_ms;
 		resume_connection(request);
@@ -452,7 +452,7 @@
 
 	apr_thread_mutex_lock(server->mutex);
 	request = hmget(server->requests, token);
-	if (request && !request->response && !request->has_ended)
+	if (request && !request->response_body && !request->has_ended)
 		stream_append(request, data, size, is_last, is_complete);
 	apr_thread_mutex_unlock(server->mutex);
 }
@@ -473,7 +473,7 @@
 	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
 		struct api_request *request = server->requests[i].value;
 
-		if (!request->is_suspended || request->response || request->has_ended ||
+		if (!request->is_suspended || request->response_body || request->has_ended ||
 		    !has_disconnected(request))
 			continue;
 		if (!push_disconnected(server, request->token))
@@ -511,7 +511,7 @@
 		if (!request->is_delivered)
 			continue;
 		request->has_ended = true;
-		if (!request->response && !request->is_stream)
+		if (!request->response_body && !request->is_stream)
 			set_response(request, 504, RETRY_AFTER_MS,
 				     "{\"error\":\"stopping\",\"outcome\":\"unknown\"}");
 		resume_connection(request);
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -303,7 +303,7 @@
 		span_size = size < conn->body_remaining ? size : (size_t)conn->body_remaining;
 		conn->body_remaining -= span_size;
 		client_deliver_body(conn, data, span_size);
-		if (conn->closed)
+		if (conn->is_closed)
 			return 1;
 		if (conn->body_remaining)
 			return 0;
@@ -315,7 +315,7 @@
 				return 1;
 			}
 			client_deliver_body(conn, span, span_size);
-			if (conn->closed)
+			if (conn->is_closed)
 				return 1;
 			data += consumed;
 			size -= (size_t)consumed;
@@ -323,7 +323,7 @@
 		return conn->chunks.state == CHUNK_DONE ? client_response_complete(conn, data, size) : 0;
 	case BODY_UNTIL_EOF:
 		client_deliver_body(conn, data, size);
-		return conn->closed;
+		return conn->is_closed;
 	default:
 		return client_response_complete(conn, data, size);
 	}
@@ -347,21 +347,21 @@
 {
 	struct http *http = conn->http;
 	size_t head_offset = 0;
-	ssize_t end;
+	ssize_t head_end;
 
 	if (conn->state == CONN_READING_RESPONSE)
 		return client_read_body(conn, data, size);
 	http_buffer_append(http, &conn->input, data, size);
 	for (;;) {
-		end = http_find_head_end(conn, head_offset);
-		if (end < 0 ||
-		    (end ? (size_t)end : conn->input.len) - head_offset > MAX_RESPONSE_HEAD_BYTES ||
-		    (end && !http_parse_head(conn, head_offset, (size_t)end, 0)) ||
-		    (end && conn->head.status == 101)) {
+		head_end = http_find_head_end(conn, head_offset);
+		if (head_end < 0 ||
+		    (head_end ? (size_t)head_end : conn->input.len) - head_offset > MAX_RESPONSE_HEAD_BYTES ||
+		    (head_end && !http_parse_head(conn, head_offset, (size_t)head_end, 0)) ||
+		    (head_end && conn->head.status == 101)) {
 			client_fail_call(conn);
 			return 1;
 		}
-		if (!end) {
+		if (!head_end) {
 			if (head_offset) {
 				memmove(conn->input.data, conn->input.data + head_offset,
 					conn->input.len - head_offset);
@@ -370,7 +370,7 @@
 			}
 			return 0;
 		}
-		head_offset = (size_t)end;
+		head_offset = (size_t)head_end;
 		if (conn->head.status >= 200)
 			break;
 	}
@@ -382,7 +382,7 @@
 	http->callback_made = 1;
 	http->callbacks.response_head(http->callbacks.context, conn->client.token, conn->head.status,
 				      conn->fields, conn->field_count);
-	if (conn->closed)
+	if (conn->is_closed)
 		return 1;
 	return client_read_body(conn, conn->input.data + head_offset, conn->input.len - head_offset);
 }
--- a/lib/shell/http_connection.c
+++ b/lib/shell/http_connection.c
@@ -114,9 +114,9 @@
 
 void http_conn_queue(struct http_connection *conn)
 {
-	if (conn->queued || conn->closed)
+	if (conn->is_queued || conn->is_closed)
 		return;
-	conn->queued = 1;
+	conn->is_queued = 1;
 	arrput(conn->http->queued_connections, conn);
 }
 
@@ -147,23 +147,23 @@
  * the end of the connection marks the end of the answer. */
 static int would_close_look_complete(const struct http_connection *conn)
 {
-	if (conn->kind != CONN_SERVER || !conn->server.response_begun ||
-	    conn->server.response_framing != BODY_UNTIL_EOF || conn->server.no_body)
+	if (conn->kind != CONN_SERVER || !conn->server.has_response_begun ||
+	    conn->server.response_framing != BODY_UNTIL_EOF || conn->server.is_body_omitted)
 		return 0;
 	return conn->state == CONN_HANDLING ||
 	       (conn->state == CONN_SENDING_RESPONSE && conn->output.len > conn->output.offset);
 }
 
-void http_conn_close(struct http_connection *conn, int reset)
+void http_conn_close(struct http_connection *conn, int with_reset)
 {
 	struct linger linger = { 1, 0 };
 	struct http *http = conn->http;
 
-	if (conn->closed)
+	if (conn->is_closed)
 		return;
-	conn->closed = 1;
+	conn->is_closed = 1;
 	if (conn->fd >= 0) {
-		if (reset || would_close_look_complete(conn))
+		if (with_reset || would_close_look_complete(conn))
 			setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
 		close(conn->fd);
 	}
@@ -200,7 +200,7 @@
 	ptrdiff_t i, kept_count = 0;
 
 	for (i = 0; i < arrlen(http->closed_connections); i++)
-		if (http->closed_connections[i]->queued)
+		if (http->closed_connections[i]->is_queued)
 			http->closed_connections[kept_count++] = http->closed_connections[i];
 		else
 			conn_free(http, http->closed_connections[i]);
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -13,9 +13,9 @@
 
 void http_server_count_outcome(struct http_connection *conn, enum http_outcome outcome)
 {
-	if (!conn->server.outcome_pending)
+	if (!conn->server.is_outcome_pending)
 		return;
-	conn->server.outcome_pending = 0;
+	conn->server.is_outcome_pending = 0;
 	conn->http->counters.outcomes[outcome]++;
 }
 
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -23,7 +23,7 @@
 	MAX_EPOLL_EVENTS = 256,
 	MAX_PIPELINED_BYTES = 65536, /* received while an earlier request of the connection is answered */
 	MAX_RESPONSE_HEAD_BYTES = 65536,
-	MAX_CHUNK_LINE_BYTES = 4096,
+	MAX_CHUNK_EXTENSION_BYTES = 4096,
 	MAX_TRAILER_BYTES = 16384,
 	LINGER_TIMEOUT_MS = 2000, /* for a client to read the last answer before its connection is closed */
 	DRAIN_IDLE_TIMEOUT_MS = 200, /* at a draining listener, for a request that the client sent before it
@@ -143,16 +143,16 @@
 	size_t body_bytes;
 	size_t target_offset;
 	const char *method;
-	int head_begun; /* a byte of the next head was received */
+	int has_head_begun; /* a byte of the next head was received */
 
 	/* the answer */
-	int response_begun;
-	int no_body; /* only the head of the answer is sent */
+	int has_response_begun;
+	int is_body_omitted; /* only the head of the answer is sent */
 	enum body_framing response_framing;
 	uint64_t response_remaining_bytes; /* bytes of the answer's Content-Length that are not written yet */
 	int64_t response_deadline_ms;      /* clock_ms by which the first byte must be sent; 0: none */
 	int is_rejection;                  /* the answer is a 503 or 429 with Retry-After */
-	int outcome_pending; /* a request was received completely and its outcome is not counted yet */
+	int is_outcome_pending; /* a request was received completely and its outcome is not counted yet */
 
 	/* the connection */
 	int close_after_response; /* the connection is closed after this answer */
@@ -188,11 +188,11 @@
 struct listener {
 	int listener_id; /* chosen by the caller of http_listen */
 	int port;
-	int draining;
-	int accept_burst;      /* connections to accept in one iteration */
-	int options_checked;   /* options_inherited has been determined */
-	int options_inherited; /* accepted sockets inherit the listener's options */
-	int sweep_due;         /* idle connections are to be closed, after their received bytes are read */
+	int is_draining;
+	int accept_burst;          /* connections to accept in one iteration */
+	int are_options_checked;   /* are_options_inherited has been determined */
+	int are_options_inherited; /* accepted sockets inherit the listener's options */
+	int is_sweep_due; /* idle connections are to be closed, after their received bytes are read */
 	uint64_t last_accept_iteration; /* http.iteration when it last accepted */
 	struct http_limits limits;
 };
@@ -204,8 +204,8 @@
 	enum conn_kind kind;
 	enum conn_state state;
 	uint32_t event_mask;   /* events registered with epoll; 0: not registered */
-	int closed;            /* the struct is freed at the end of the iteration */
-	int queued;            /* is in http.queued_connections */
+	int is_closed;         /* the struct is freed at the end of the iteration */
+	int is_queued;         /* is in http.queued_connections */
 	int64_t timeout_at_ms; /* when its timer expires; TIME_NEVER: no timer is set */
 	int64_t heap_key_ms;   /* its key in the timer heap: never later than timeout_at_ms */
 	int heap_index;        /* -1: not in the heap */
@@ -251,7 +251,7 @@
 	uint64_t last_token_serial; /* serial number in the newest token */
 	int callback_made;          /* a callback was made in this iteration: do not wait */
 	int busy_client_count;      /* clients whose answers are not finished or not sent completely */
-	int sweep_count;            /* listeners with sweep_due */
+	int sweep_count;            /* listeners with is_sweep_due */
 
 	/* connections; the arrays and maps are managed by stb_ds */
 	struct http_connection **listeners;
@@ -310,7 +310,7 @@
 
 /* Close a connection: with a TCP reset if reset is set, or if an ordinary close could make an incomplete
  * answer look complete. The struct stays valid until the end of the iteration. */
-void http_conn_close(struct http_connection *conn, int reset);
+void http_conn_close(struct http_connection *conn, int with_reset);
 
 /* Free the connections that were closed, except those that are still queued. */
 void http_conn_free_closed(struct http *http);
@@ -347,13 +347,13 @@
 /* Fill http_token_char. Call it before any other function of http_parse. */
 void http_parse_init(void);
 
-/* The end offset of the head that begins at offset from of the input; 0: the head is incomplete; -1: a line
- * does not end in CRLF, or the head is empty. */
-ssize_t http_find_head_end(struct http_connection *conn, size_t from);
+/* The end offset of the head that begins at offset head_offset of the input; 0: the head is incomplete; -1: a
+ * line does not end in CRLF, or the head is empty. */
+ssize_t http_find_head_end(struct http_connection *conn, size_t head_offset);
 
-/* Parse the complete head at [from, end) of the input. Returns 0 if it is malformed. Its fields hold offsets
- * until http_head_resolve_fields is called, because the input may still move. */
-int http_parse_head(struct http_connection *conn, size_t from, size_t end, int request);
+/* Parse the complete head at [head_offset, head_end) of the input. Returns 0 if it is malformed. Its fields
+ * hold offsets until http_head_resolve_fields is called, because the input may still move. */
+int http_parse_head(struct http_connection *conn, size_t head_offset, size_t head_end, int is_request);
 
 /* Convert the offsets in the fields to pointers. Call it when the input no longer moves. */
 void http_head_resolve_fields(struct http_connection *conn);
@@ -405,7 +405,7 @@
 /* Accept connections: one, or more if connections were waiting in consecutive iterations. */
 void http_listener_accept(struct http_connection *conn);
 
-/* Close the connections of listeners with sweep_due that are idle and have received nothing. */
+/* Close the connections of listeners with is_sweep_due that are idle and have received nothing. */
 void http_listener_sweep(struct http *http);
 
 /* ---- http_client.c ---- */
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -48,11 +48,11 @@
 			pause_accepting(listening_conn);
 		return 0;
 	}
-	if (!listener->options_checked) {
-		listener->options_checked = 1;
-		listener->options_inherited = http_socket_has_options(fd);
+	if (!listener->are_options_checked) {
+		listener->are_options_checked = 1;
+		listener->are_options_inherited = http_socket_has_options(fd);
 	}
-	if (!listener->options_inherited)
+	if (!listener->are_options_inherited)
 		http_socket_set_options(fd);
 	http->counters.accepted++;
 	conn = http_conn_new(http, CONN_SERVER, fd);
@@ -138,7 +138,7 @@
 
 static bool is_incomplete(const struct http_connection *conn, int listener_id)
 {
-	return conn && !conn->closed && conn->server.listener->listener.listener_id == listener_id &&
+	return conn && !conn->is_closed && conn->server.listener->listener.listener_id == listener_id &&
 	       (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->input.len));
 }
 
@@ -165,8 +165,8 @@
 
 static void schedule_sweep(struct http *http, struct http_connection *conn)
 {
-	http->sweep_count += !conn->listener.sweep_due;
-	conn->listener.sweep_due = 1;
+	http->sweep_count += !conn->listener.is_sweep_due;
+	conn->listener.is_sweep_due = 1;
 }
 
 /* Whether no byte of a request was read and none need be awaited: the listener drains, or the client has
@@ -174,7 +174,7 @@
 static bool is_idle_without_request(const struct http_connection *conn)
 {
 	return conn->state == CONN_READING_HEAD && !conn->input.len &&
-	       (conn->server.listener->listener.draining || !conn->server.token);
+	       (conn->server.listener->listener.is_draining || !conn->server.token);
 }
 
 void http_listener_sweep(struct http *http)
@@ -186,12 +186,12 @@
 	for (i = 0; i < arrlen(http->slots); i++) {
 		struct http_connection *conn = http->slots[i];
 
-		if (conn && !conn->closed && conn->server.listener->listener.sweep_due &&
+		if (conn && !conn->is_closed && conn->server.listener->listener.is_sweep_due &&
 		    is_idle_without_request(conn) && !http_server_read_progress(conn))
 			http_conn_close(conn, 0);
 	}
 	for (i = 0; i < arrlen(http->listeners); i++)
-		http->listeners[i]->listener.sweep_due = 0;
+		http->listeners[i]->listener.is_sweep_due = 0;
 	http->sweep_count = 0;
 }
 
@@ -222,7 +222,7 @@
 	for (i = 0; i < arrlen(http->listeners); i++) {
 		if (http->listeners[i]->listener.listener_id != listener_id)
 			continue;
-		http->listeners[i]->listener.draining = 1;
+		http->listeners[i]->listener.is_draining = 1;
 		schedule_sweep(http, http->listeners[i]);
 	}
 }
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -26,8 +26,8 @@
 	for (i = 0; i < arrlen(connections); i++) {
 		struct http_connection *conn = connections[i];
 
-		conn->queued = 0;
-		if (conn->closed)
+		conn->is_queued = 0;
+		if (conn->is_closed)
 			continue;
 		if (conn->kind == CONN_SERVER)
 			http_server_flush(conn);
@@ -102,7 +102,7 @@
 							       was woken for */
 			continue;
 		}
-		if (conn->closed || conn->fd < 0)
+		if (conn->is_closed || conn->fd < 0)
 			continue;
 		if (conn->kind == CONN_SERVER)
 			http_server_event(conn, events);
@@ -153,7 +153,7 @@
 	ptrdiff_t i;
 
 	for (i = 0; i < arrlen(http->slots); i++)
-		if (http->slots[i] && !http->slots[i]->closed)
+		if (http->slots[i] && !http->slots[i]->is_closed)
 			http_server_shut_down(http->slots[i]);
 	for (i = 0; i < hmlen(http->calls); i++)
 		http_conn_close(http->calls[i].value, 0);
@@ -168,7 +168,7 @@
 		http_peer_free_if_unused(http, peer);
 	}
 	for (i = 0; i < arrlen(http->queued_connections); i++)
-		http->queued_connections[i]->queued = 0;
+		http->queued_connections[i]->is_queued = 0;
 	http_conn_free_closed(http);
 	for (i = 0; i < arrlen(http->listeners); i++) {
 		if (http->listeners[i]->fd >= 0)
--- a/lib/shell/http_parse.c
+++ b/lib/shell/http_parse.c
@@ -22,20 +22,20 @@
 
 unsigned char http_token_char[256];
 
-ssize_t http_find_head_end(struct http_connection *conn, size_t from)
+ssize_t http_find_head_end(struct http_connection *conn, size_t head_offset)
 {
 	const char *data = conn->input.data, *newline;
 
-	if (conn->scan_offset < from)
-		conn->scan_offset = from;
+	if (conn->scan_offset < head_offset)
+		conn->scan_offset = head_offset;
 	while (conn->scan_offset < conn->input.len &&
 	       (newline = memchr(data + conn->scan_offset, '\n', conn->input.len - conn->scan_offset))) {
 		size_t newline_offset = (size_t)(newline - data);
 
-		if (newline_offset == from || data[newline_offset - 1] != '\r')
+		if (newline_offset == head_offset || data[newline_offset - 1] != '\r')
 			return -1;
 		conn->scan_offset = newline_offset + 1;
-		if (newline_offset >= from + 2 && data[newline_offset - 2] == '\n')
+		if (newline_offset >= head_offset + 2 && data[newline_offset - 2] == '\n')
 			return (ssize_t)(newline_offset + 1);
 	}
 	conn->scan_offset = conn->input.len;
@@ -51,11 +51,11 @@
 }
 
 /* Start line: METHOD SP target SP HTTP/1.x in a request, HTTP/1.x SP ddd [SP reason] in an answer. */
-static bool is_start_line(const char *line, const char *end, int request)
+static bool is_start_line(const char *line, const char *end, int is_request)
 {
 	const char *cursor;
 
-	if (!request)
+	if (!is_request)
 		return end - line >= 12 && !memcmp(line, "HTTP/1.", 7) &&
 		       (line[7] == '0' || line[7] == '1') && line[8] == ' ' && line[9] >= '1' &&
 		       line[9] <= '9' && line[10] >= '0' && line[10] <= '9' && line[11] >= '0' &&
@@ -72,11 +72,11 @@
 
 /* Rejects deviations that http-parser accepts, such as folded lines and blanks before a colon: the server
  * that receives the same bytes may interpret them differently, which allows request smuggling. */
-static int has_strict_syntax(const char *line, const char *end, int request)
+static int has_strict_syntax(const char *line, const char *end, int is_request)
 {
 	const char *newline = memchr(line, '\n', (size_t)(end - line));
 
-	if (!newline || newline == line || !is_start_line(line, newline - 1, request))
+	if (!newline || newline == line || !is_start_line(line, newline - 1, is_request))
 		return 0;
 	for (line = newline + 1; line < end - 2; line = newline + 1) {
 		const char *cursor = line;
@@ -253,7 +253,7 @@
 	return 1; /* tells http-parser that no body follows: bodies are parsed in this module */
 }
 
-int http_parse_head(struct http_connection *conn, size_t from, size_t end, int request)
+int http_parse_head(struct http_connection *conn, size_t head_offset, size_t head_end, int is_request)
 {
 	static const http_parser_settings settings = { .on_url = on_url,
 						       .on_header_field = on_field,
@@ -264,11 +264,11 @@
 
 	conn->field_count = 0;
 	conn->head = (struct http_head){ .keep_alive_s = -1 };
-	if (!has_strict_syntax(conn->input.data + from, conn->input.data + end, request))
+	if (!has_strict_syntax(conn->input.data + head_offset, conn->input.data + head_end, is_request))
 		return 0;
-	http_parser_init(&parser, request ? HTTP_REQUEST : HTTP_RESPONSE);
+	http_parser_init(&parser, is_request ? HTTP_REQUEST : HTTP_RESPONSE);
 	parser.data = &parse;
-	http_parser_execute(&parser, &settings, conn->input.data + from, end - from);
+	http_parser_execute(&parser, &settings, conn->input.data + head_offset, head_end - head_offset);
 	if (!parse.is_complete || HTTP_PARSER_ERRNO(&parser) != HPE_OK || conn->head.is_malformed ||
 	    (conn->head.is_chunked && conn->head.has_length) || parser.http_major != 1 ||
 	    (conn->head.is_chunked && !parser.http_minor))
@@ -276,7 +276,7 @@
 	conn->head.minor_version = parser.http_minor;
 	conn->head.close_connection |= !parser.http_minor;
 	conn->head.status = (int)parser.status_code;
-	if (request) {
+	if (is_request) {
 		conn->server.method = http_method_str((enum http_method)parser.method);
 		return conn->head.host_count <= 1 && parser.method != HTTP_CONNECT;
 	}
@@ -352,7 +352,7 @@
 		return parse_size_byte(chunks, byte);
 	case CHUNK_EXTENSION:
 		return expect_byte(chunks, byte, '\r', CHUNK_SIZE_LF) ||
-		       (!is_control(byte) && ++chunks->extension_bytes <= MAX_CHUNK_LINE_BYTES);
+		       (!is_control(byte) && ++chunks->extension_bytes <= MAX_CHUNK_EXTENSION_BYTES);
 	case CHUNK_SIZE_LF:
 		return expect_byte(chunks, byte, '\n',
 				   chunks->remaining_bytes ? CHUNK_DATA : CHUNK_TRAILER_START);
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -19,7 +19,7 @@
 	size_t index = token & ((1u << TOKEN_SLOT_BITS) - 1);
 	struct http_connection *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
-	if (!conn || conn->closed || conn->state != CONN_HANDLING || conn->server.token != token)
+	if (!conn || conn->is_closed || conn->state != CONN_HANDLING || conn->server.token != token)
 		return NULL;
 	return conn;
 }
@@ -42,14 +42,14 @@
 
 	switch (conn->state) {
 	case CONN_READING_HEAD:
-		if (conn->server.head_begun)
+		if (conn->server.has_head_begun)
 			return listener->limits.head_timeout_ms;
-		if (listener->draining && conn->server.token &&
+		if (listener->is_draining && conn->server.token &&
 		    listener->limits.idle_timeout_ms > DRAIN_IDLE_TIMEOUT_MS)
 			return DRAIN_IDLE_TIMEOUT_MS;
 		return listener->limits.idle_timeout_ms;
 	case CONN_SENDING_RESPONSE:
-		if (conn->server.outcome_pending)
+		if (conn->server.is_outcome_pending)
 			return listener->limits.idle_timeout_ms;
 		return LINGER_TIMEOUT_MS; /* a rejection by http_server_reject: its request was not delivered
 					   */
@@ -123,8 +123,8 @@
 					       .body = request_body(conn),
 					       .body_bytes = side->body_bytes,
 					       .received_at_ms = http->now_ms };
-	side->response_begun = side->no_body = side->is_rejection = 0;
-	side->outcome_pending = 1;
+	side->has_response_begun = side->is_body_omitted = side->is_rejection = 0;
+	side->is_outcome_pending = 1;
 	side->response_deadline_ms = 0;
 	side->close_after_response = conn->head.close_connection;
 	conn->state = CONN_HANDLING;
@@ -200,9 +200,9 @@
 /* The head is incomplete. Its timeout starts with its first byte. */
 static void server_await_head(struct http_connection *conn)
 {
-	if (conn->timeout_at_ms != TIME_NEVER && conn->server.head_begun)
+	if (conn->timeout_at_ms != TIME_NEVER && conn->server.has_head_begun)
 		return;
-	conn->server.head_begun = 1;
+	conn->server.has_head_begun = 1;
 	begin_wait(conn);
 }
 
@@ -211,7 +211,7 @@
 {
 	struct server_side *side = &conn->server;
 	const struct http_limits *limits = &side->listener->listener.limits;
-	ssize_t end;
+	ssize_t head_end;
 
 	while (conn->input.len - side->parse_offset >= 2 &&
 	       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
@@ -220,19 +220,19 @@
 		conn->input.len = side->parse_offset = conn->scan_offset = 0;
 		return;
 	}
-	end = http_find_head_end(conn, side->parse_offset);
-	if (end < 0)
+	head_end = http_find_head_end(conn, side->parse_offset);
+	if (head_end < 0)
 		http_server_reject(conn, 400, 0);
-	else if ((end ? (size_t)end : conn->input.len) - side->parse_offset > limits->head_bytes)
+	else if ((head_end ? (size_t)head_end : conn->input.len) - side->parse_offset > limits->head_bytes)
 		http_server_reject(conn, 431, 0);
-	else if (!end)
+	else if (!head_end)
 		server_await_head(conn);
-	else if (!http_parse_head(conn, side->parse_offset, (size_t)end, 1))
+	else if (!http_parse_head(conn, side->parse_offset, (size_t)head_end, 1))
 		http_server_reject(conn, 400, 0);
 	else if (conn->head.has_length && conn->head.length > limits->body_bytes)
 		http_server_reject(conn, 413, 0);
 	else
-		server_begin_body(conn, (size_t)end);
+		server_begin_body(conn, (size_t)head_end);
 }
 
 static void server_parse(struct http_connection *conn)
@@ -250,7 +250,7 @@
 void http_server_await_request(struct http_connection *conn)
 {
 	conn->state = CONN_READING_HEAD;
-	conn->server.head_begun = 0;
+	conn->server.has_head_begun = 0;
 	conn->server.parse_offset = conn->scan_offset = 0;
 	begin_wait(conn);
 }
@@ -324,14 +324,14 @@
 static void server_read_pipelined(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct buffer *early = &conn->server.pipelined;
+	struct buffer *pipelined = &conn->server.pipelined;
 	ssize_t received =
-	    recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
+	    recv(conn->fd, http_buffer_reserve(http, pipelined, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
 	if (received > 0)
-		early->len += (size_t)received;
+		pipelined->len += (size_t)received;
 	else
-		http_buffer_free(http, early);
+		http_buffer_free(http, pipelined);
 }
 
 /* Returns the number of bytes received; 0: none, or the client disconnected. */
@@ -391,7 +391,7 @@
 	}
 	if (events & EPOLLOUT)
 		http_server_flush(conn);
-	if (conn->closed)
+	if (conn->is_closed)
 		return;
 	if ((events & EPOLLRDHUP) && conn->state == CONN_SENDING_RESPONSE)
 		handle_half_close(conn);
@@ -403,10 +403,10 @@
  * suspended. */
 int http_server_read_progress(struct http_connection *conn)
 {
-	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
+	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.has_head_begun;
 	ssize_t received = server_read(conn);
 
-	return conn->closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
+	return conn->is_closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
 	       (received > 0 && !(was_in_head && conn->state == CONN_READING_HEAD));
 }
 
@@ -428,7 +428,7 @@
 	uint64_t unsent;
 
 	http_server_flush(conn);
-	if (conn->closed || conn->state != CONN_SENDING_RESPONSE)
+	if (conn->is_closed || conn->state != CONN_SENDING_RESPONSE)
 		return 1;
 	unsent = unsent_bytes(conn);
 	if (unsent >= conn->server.unsent_bytes)
@@ -452,7 +452,7 @@
 		return;
 	if (conn->state == CONN_LINGERING) {
 		http_server_linger_read(conn);
-		if (!conn->closed)
+		if (!conn->is_closed)
 			http_conn_close(conn, 0);
 	} else if (timeout_at_ms > conn->http->now_ms) { /* the limit was raised during the wait */
 		http_timer_set(conn, timeout_at_ms);
@@ -467,7 +467,7 @@
 {
 	struct server_side *side = &conn->server;
 
-	if (!side->listener->listener.draining || side->close_after_response)
+	if (!side->listener->listener.is_draining || side->close_after_response)
 		return 0;
 	if (conn->input.len <= side->parse_offset && !side->pipelined.len && (conn->event_mask & EPOLLIN))
 		server_read_pipelined(conn);
@@ -493,8 +493,8 @@
 	for (i = 0; i < field_count; i++)
 		if (!http_is_framing_field(fields[i].name))
 			http_buffer_append_field(http, &conn->output, &fields[i]);
-	side->response_begun = 1;
-	side->no_body = has_no_body || !strcmp(side->method, "HEAD");
+	side->has_response_begun = 1;
+	side->is_body_omitted = has_no_body || !strcmp(side->method, "HEAD");
 	side->is_rejection = has_retry_after(status, fields, field_count);
 	if (should_close_after_response(conn))
 		side->close_after_response = side->must_linger = 1;
@@ -539,10 +539,10 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || conn->server.response_begun)
+	if (!conn || conn->server.has_response_begun)
 		return;
 	append_response_head(conn, status, fields, field_count, (int64_t)body_bytes);
-	if (!conn->server.no_body)
+	if (!conn->server.is_body_omitted)
 		http_buffer_append(http, &conn->output, body, body_bytes);
 	finish_response(conn);
 }
@@ -551,7 +551,7 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->server.response_begun)
+	if (conn && !conn->server.has_response_begun)
 		conn->server.response_deadline_ms = deadline_ms;
 }
 
@@ -560,7 +560,7 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->server.response_begun)
+	if (conn && !conn->server.has_response_begun)
 		append_response_head(conn, status, fields, field_count, length);
 }
 
@@ -568,7 +568,7 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || !conn->server.response_begun || conn->server.no_body || !size)
+	if (!conn || !conn->server.has_response_begun || conn->server.is_body_omitted || !size)
 		return;
 	switch (conn->server.response_framing) {
 	case BODY_LENGTH:
@@ -599,13 +599,13 @@
 
 	if (!conn)
 		return;
-	if (!conn->server.response_begun ||
+	if (!conn->server.has_response_begun ||
 	    (conn->server.response_framing == BODY_LENGTH && conn->server.response_remaining_bytes &&
-	     !conn->server.no_body)) {
+	     !conn->server.is_body_omitted)) {
 		http_response_abort(http, token);
 		return;
 	}
-	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.no_body)
+	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.is_body_omitted)
 		http_buffer_append(http, &conn->output, "0\r\n\r\n", 5);
 	finish_response(conn);
 }
