--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -1,6 +1,6 @@
 /* http_client: calls to servers, and idle connections that are kept for later calls.
- * Invariant: a call moves to another connection only while none of its bytes has been sent; after that it
- * ends on the connection on which it was sent. */
+ * Invariant: a call moves to another connection only while none of its bytes has been sent; after that its
+ * result depends only on what is read on that connection. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -177,8 +177,7 @@
 	return replacement;
 }
 
-/* Sends the rest of the request. Returns 0 if the connection failed before any byte of the request was sent.
- */
+/* Sends the rest of the request. Returns 0 if the connection failed before any byte was sent. */
 static int client_send(struct http_connection *conn)
 {
 	size_t offset_before = conn->output.offset;
@@ -201,8 +200,7 @@
 
 static int is_past_send_deadline(const struct http_connection *conn)
 {
-	int64_t now_ms =
-	    clock_ms(); /* not http->now_ms: the process may have been suspended after that was read */
+	int64_t now_ms = clock_ms(); /* http->now_ms may be old if the process was suspended */
 
 	return now_ms > conn->client.not_after_ms || now_ms >= conn->client.deadline_ms;
 }
@@ -274,8 +272,8 @@
 {
 	if (conn->client.is_skipping_response)
 		return client_next_response(conn, surplus, surplus_bytes);
-	/* the server's timeout runs from the time at which it answered, which may be long ago if this process
-	 * was suspended; the previous poll was before the answer arrived */
+	/* The server's timeout runs from the time at which it answered, which may be long ago if this process
+	 * was suspended. The previous poll is used because it was certainly before the answer arrived. */
 	conn->client.reusable_until_ms = conn->http->previous_poll_at_ms + keep_alive_ms(&conn->head);
 	http_client_finish_call(conn, HTTP_CALL_COMPLETE,
 				!surplus_bytes && !conn->client.skipped_response_count &&
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -1,6 +1,7 @@
 /* http_disconnect: closing of clients' connections, and the outcome of each request that was received
- * completely. Invariant: a connection is not closed after a complete answer while unread input may remain,
- * because the kernel would then send a reset, which may overtake the answer. */
+ * completely. Invariants: a connection whose request has no outcome yet is closed
+ * only by this file; no connection is closed after a complete answer while unread input may remain, because
+ * the kernel would then send a reset, which may overtake the answer. */
 #include <errno.h>
 #include <sys/socket.h>
 
--- a/lib/shell/http_internal.h
+++ b/lib/shell/http_internal.h
@@ -29,8 +29,7 @@
 	DRAIN_IDLE_TIMEOUT_MS = 200, /* at a draining listener, for a request that the client sent before it
 					received the previous answer */
 	ACCEPT_BACKLOG = 1024, /* established connections that the kernel queues until they are accepted */
-	MAX_SKIPPED_RESPONSES =
-	    4, /* answers to other requests that a call discards on its connection before it fails */
+	MAX_SKIPPED_RESPONSES = 4, /* answers to other requests that a call may discard */
 	DEFAULT_KEEP_ALIVE_MS = 4000,
 	DEFAULT_CONNECT_TIMEOUT_MS = 3000,
 	UNACKED_TIMEOUT_MS = 3000,
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -69,8 +69,7 @@
 	struct listener *listener = &conn->listener;
 	int i;
 
-	/* one connection per iteration; the number doubles while connections wait in consecutive iterations
-	 */
+	/* accept one connection; double the number while connections wait in consecutive iterations */
 	if (listener->last_accept_iteration + 1 != http->iteration)
 		listener->accept_burst = 1;
 	else if (listener->accept_burst < MAX_ACCEPT_BURST)
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -1,5 +1,5 @@
-/* http_server: requests of clients and their answers. A connection has one request at a time; a request that
- * the client sends before its previous answer is kept in server.pipelined. */
+/* http_server: requests of clients and their answers. A connection serves one request at a time; bytes of a
+ * request that the client sends before it has received the previous answer are kept in server.pipelined. */
 #include <errno.h>
 #include <linux/sockios.h>
 #include <stdio.h>
@@ -51,8 +51,7 @@
 	case CONN_SENDING_RESPONSE:
 		if (conn->server.is_outcome_pending)
 			return listener->limits.idle_timeout_ms;
-		return LINGER_TIMEOUT_MS; /* a rejection by http_server_reject: its request was not delivered
-					   */
+		return LINGER_TIMEOUT_MS; /* the request was rejected without delivery */
 	case CONN_LINGERING:
 		return LINGER_TIMEOUT_MS;
 	default:
@@ -399,8 +398,7 @@
 		server_read(conn);
 }
 
-/* Reads before the wait is judged: bytes may have been received since the last poll if the process was
- * suspended. */
+/* Reads first, because bytes may have been received since the last poll if the process was suspended. */
 int http_server_read_progress(struct http_connection *conn)
 {
 	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.has_head_begun;
