--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -1,4 +1,5 @@
-/* http_server: requests of clients, one at a time on a connection, and their answers. */
+/* http_server: requests of clients and their answers. A connection serves one request at a time; bytes of a
+ * request that the client sends before it has received the previous answer are kept in server.pipelined. */
 #include <errno.h>
 #include <linux/sockios.h>
 #include <stdio.h>
@@ -15,10 +16,10 @@
 
 static struct http_connection *find_by_token(struct http *http, uint64_t token)
 {
-	size_t index = token & ((1u << SLOT_BITS) - 1);
+	size_t index = token & ((1u << TOKEN_SLOT_BITS) - 1);
 	struct http_connection *conn = index < arrlenu(http->slots) ? http->slots[index] : NULL;
 
-	if (!conn || conn->closed || conn->state != CONN_HANDLING || conn->server.token != token)
+	if (!conn || conn->is_closed || conn->state != CONN_HANDLING || conn->server.token != token)
 		return NULL;
 	return conn;
 }
@@ -34,25 +35,25 @@
 	http_buffer_append(http, buffer, "\r\n", 2);
 }
 
-/* For how long the wait under way may last. */
-static int wait_ms(const struct http_connection *conn)
+/* The longest time that the present wait may take. */
+static int wait_timeout_ms(const struct http_connection *conn)
 {
 	const struct listener *listener = &conn->server.listener->listener;
 
 	switch (conn->state) {
 	case CONN_READING_HEAD:
-		if (conn->server.head_begun)
+		if (conn->server.has_head_begun)
 			return listener->limits.head_timeout_ms;
-		if (listener->draining && conn->server.token &&
-		    listener->limits.idle_timeout_ms > DRAIN_IDLE_MS)
-			return DRAIN_IDLE_MS;
+		if (listener->is_draining && conn->server.token &&
+		    listener->limits.idle_timeout_ms > DRAIN_IDLE_TIMEOUT_MS)
+			return DRAIN_IDLE_TIMEOUT_MS;
 		return listener->limits.idle_timeout_ms;
 	case CONN_SENDING_RESPONSE:
-		if (conn->server.outcome_pending)
+		if (conn->server.is_outcome_pending)
 			return listener->limits.idle_timeout_ms;
-		return LINGER_MS; /* of a rejection: its request was not read */
+		return LINGER_TIMEOUT_MS; /* the request was rejected without delivery */
 	case CONN_LINGERING:
-		return LINGER_MS;
+		return LINGER_TIMEOUT_MS;
 	default:
 		return listener->limits.idle_timeout_ms;
 	}
@@ -61,7 +62,7 @@
 static void begin_wait(struct http_connection *conn)
 {
 	conn->server.wait_began_at_ms = conn->http->now_ms;
-	http_timer_set(conn, conn->server.wait_began_at_ms + wait_ms(conn));
+	http_timer_set(conn, conn->server.wait_began_at_ms + wait_timeout_ms(conn));
 }
 
 void http_server_reject(struct http_connection *conn, int status, int retry_after_ms)
@@ -70,7 +71,7 @@
 	char retry_after[48];
 
 	http->counters.bad_requests++;
-	http->busy_count++;
+	http->busy_client_count++;
 	append_status_line(http, &conn->output, status);
 	if (retry_after_ms > 0) {
 		snprintf(retry_after, sizeof retry_after, "Retry-After: %d.%03d\r\n", retry_after_ms / 1000,
@@ -79,28 +80,28 @@
 	}
 	http_buffer_append_text(http, &conn->output, "Content-Length: 0\r\nConnection: close\r\n\r\n");
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->server.closing = conn->server.linger = 1;
+	conn->server.close_after_response = conn->server.must_linger = 1;
 	conn->input.len = 0;
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
 
-static void server_lost(struct http_connection *conn)
+static void handle_client_disconnect(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	int waits = conn->state == CONN_HANDLING;
+	int was_handling = conn->state == CONN_HANDLING;
 
 	http_server_abort(conn, HTTP_OUTCOME_DISCONNECTED);
-	if (!waits)
+	if (!was_handling)
 		return;
 	http->callback_made = 1;
 	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
 }
 
-/* NULL: the request has none, which differs from one of length 0. */
+/* Returns NULL if the request has no body, and "" if its body has length 0. */
 static const char *request_body(const struct http_connection *conn)
 {
-	if (!conn->head.has_length && !conn->head.chunked)
+	if (!conn->head.has_length && !conn->head.is_chunked)
 		return NULL;
 	return conn->server.body_bytes ? conn->input.data + conn->server.body_offset : "";
 }
@@ -111,7 +112,7 @@
 	struct server_side *side = &conn->server;
 
 	http_head_resolve_fields(conn);
-	side->token = ++http->serial << SLOT_BITS | side->slot;
+	side->token = ++http->last_token_serial << TOKEN_SLOT_BITS | side->slot;
 	side->request = (struct http_request){ .token = side->token,
 					       .listener_id = side->listener->listener.listener_id,
 					       .method = side->method,
@@ -121,59 +122,60 @@
 					       .body = request_body(conn),
 					       .body_bytes = side->body_bytes,
 					       .received_at_ms = http->now_ms };
-	side->response_begun = side->no_body = side->is_rejection = 0;
-	side->outcome_pending = 1;
+	side->has_response_begun = side->is_body_omitted = side->is_rejection = 0;
+	side->is_outcome_pending = 1;
 	side->response_deadline_ms = 0;
-	side->closing = conn->head.close;
+	side->close_after_response = conn->head.close_connection;
 	conn->state = CONN_HANDLING;
-	conn->timeout_at_ms = NO_TIME;
-	http->busy_count++;
+	conn->timeout_at_ms = TIME_NEVER;
+	http->busy_client_count++;
 	http->counters.requests++;
 	http->callback_made = 1;
 	http->callbacks.request(http->callbacks.context, &side->request);
 }
 
-static int server_body(struct http_connection *conn)
+static int server_parse_body(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
-	const char *d = NULL;
-	size_t dn, n;
-	ssize_t k;
-
-	if (!conn->head.chunked) {
-		n = conn->input.len - side->parse_offset;
-		if (n > conn->body_remaining)
-			n = (size_t)conn->body_remaining;
-		side->parse_offset += n;
-		side->body_bytes += n;
-		conn->body_remaining -= n;
+	const char *data = NULL;
+	size_t data_size, size;
+	ssize_t consumed;
+
+	if (!conn->head.is_chunked) {
+		size = conn->input.len - side->parse_offset;
+		if (size > conn->body_remaining)
+			size = (size_t)conn->body_remaining;
+		side->parse_offset += size;
+		side->body_bytes += size;
+		conn->body_remaining -= size;
 		return !conn->body_remaining;
 	}
 	while (side->parse_offset < conn->input.len && conn->chunks.state != CHUNK_DONE) {
-		if ((k = http_chunk_step(&conn->chunks, conn->input.data + side->parse_offset,
-					 conn->input.len - side->parse_offset, &d, &dn)) < 0) {
+		if ((consumed = http_chunk_parse(&conn->chunks, conn->input.data + side->parse_offset,
+						 conn->input.len - side->parse_offset, &data, &data_size)) <
+		    0) {
 			http_server_reject(conn, 400, 0);
 			return 0;
 		}
 		if (conn->chunks.state != CHUNK_SIZE &&
-		    side->body_bytes + dn + conn->chunks.remaining >
-			side->max_body_bytes) { /* the size itself may be half read */
+		    side->body_bytes + data_size + conn->chunks.remaining_bytes >
+			side->max_body_bytes) { /* in CHUNK_SIZE the size may be incomplete */
 			http_server_reject(conn, 413, 0);
 			return 0;
 		}
-		if (dn)
-			memmove(conn->input.data + side->body_offset + side->body_bytes, d, dn);
-		side->body_bytes += dn;
-		side->parse_offset += (size_t)k;
+		if (data_size)
+			memmove(conn->input.data + side->body_offset + side->body_bytes, data, data_size);
+		side->body_bytes += data_size;
+		side->parse_offset += (size_t)consumed;
 	}
 	if (conn->chunks.state == CHUNK_DONE)
 		return 1;
-	/* what was framing makes room for what is to come */
+	/* the bytes of the framing are no longer needed: reuse their space */
 	conn->input.len = side->parse_offset = side->body_offset + side->body_bytes;
 	return 0;
 }
 
-/* A complete head was read: the body begins. */
+/* Prepares to read the body after a complete head. */
 static void server_begin_body(struct http_connection *conn, size_t head_end)
 {
 	struct server_side *side = &conn->server;
@@ -188,48 +190,48 @@
 		http_buffer_reserve(conn->http, &conn->input,
 				    (size_t)conn->body_remaining - (conn->input.len - side->parse_offset));
 	if (conn->head.expects_continue && conn->head.minor_version &&
-	    (conn->head.chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
+	    (conn->head.is_chunked || conn->body_remaining) && conn->input.len == side->parse_offset) {
 		http_buffer_append_text(conn->http, &conn->output, "HTTP/1.1 100 Continue\r\n\r\n");
 		http_conn_queue(conn);
 	}
 }
 
-/* Part of a head has come; the first such begins its time-out. */
+/* The head is incomplete. Its timeout starts with its first byte. */
 static void server_await_head(struct http_connection *conn)
 {
-	if (conn->timeout_at_ms != NO_TIME && conn->server.head_begun)
+	if (conn->timeout_at_ms != TIME_NEVER && conn->server.has_head_begun)
 		return;
-	conn->server.head_begun = 1;
+	conn->server.has_head_begun = 1;
 	begin_wait(conn);
 }
 
-/* Reads a head, if it's complete; one that can't be served is rejected. */
+/* Parses the head of a request if it is complete. A request that cannot be served is rejected. */
 static void server_parse_head(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
 	const struct http_limits *limits = &side->listener->listener.limits;
-	ssize_t end;
+	ssize_t head_end;
 
 	while (conn->input.len - side->parse_offset >= 2 &&
 	       !memcmp(conn->input.data + side->parse_offset, "\r\n", 2))
-		side->parse_offset += 2; /* blank lines before a request */
+		side->parse_offset += 2; /* empty lines before a request line are ignored */
 	if (conn->input.len == side->parse_offset) {
 		conn->input.len = side->parse_offset = conn->scan_offset = 0;
 		return;
 	}
-	end = http_head_end(conn, side->parse_offset);
-	if (end < 0)
+	head_end = http_find_head_end(conn, side->parse_offset);
+	if (head_end < 0)
 		http_server_reject(conn, 400, 0);
-	else if ((end ? (size_t)end : conn->input.len) - side->parse_offset > limits->head_bytes)
+	else if ((head_end ? (size_t)head_end : conn->input.len) - side->parse_offset > limits->head_bytes)
 		http_server_reject(conn, 431, 0);
-	else if (!end)
+	else if (!head_end)
 		server_await_head(conn);
-	else if (!http_head_read(conn, side->parse_offset, (size_t)end, 1))
+	else if (!http_parse_head(conn, side->parse_offset, (size_t)head_end, 1))
 		http_server_reject(conn, 400, 0);
 	else if (conn->head.has_length && conn->head.length > limits->body_bytes)
 		http_server_reject(conn, 413, 0);
 	else
-		server_begin_body(conn, (size_t)end);
+		server_begin_body(conn, (size_t)head_end);
 }
 
 static void server_parse(struct http_connection *conn)
@@ -238,53 +240,54 @@
 		server_parse_head(conn);
 	if (conn->state != CONN_READING_BODY)
 		return;
-	if (server_body(conn))
+	if (server_parse_body(conn))
 		server_deliver_request(conn);
 	else if (conn->state == CONN_READING_BODY)
 		begin_wait(conn);
 }
 
-void http_server_idle(struct http_connection *conn)
+void http_server_await_request(struct http_connection *conn)
 {
 	conn->state = CONN_READING_HEAD;
-	conn->server.head_begun = 0;
+	conn->server.has_head_begun = 0;
 	conn->server.parse_offset = conn->scan_offset = 0;
 	begin_wait(conn);
 }
 
-/* The answer was sent. A connection whose answer didn't say that it closes waits for the next request, also
- * while the listener drains: one may be on its way, and closing over it would be a reset that may overtake
- * the answer. */
+/* Called when the answer was sent. A connection whose answer did not carry Connection: close waits for the
+ * next request, even while the listener drains: the next request may be in transit, and closing the
+ * connection would answer it with a reset that may overtake the answer. */
 static void server_next_request(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	struct server_side *side = &conn->server;
-	size_t rest = conn->input.len > side->parse_offset ? conn->input.len - side->parse_offset : 0;
+	size_t leftover_bytes =
+	    conn->input.len > side->parse_offset ? conn->input.len - side->parse_offset : 0;
 
 	http_server_count_outcome(conn, side->is_rejection ? HTTP_OUTCOME_REJECTED : HTTP_OUTCOME_ANSWERED);
-	if (side->closing) {
+	if (side->close_after_response) {
 		http_server_linger(conn);
 		return;
 	}
-	if (rest)
-		memmove(conn->input.data, conn->input.data + side->parse_offset, rest);
-	conn->input.len = rest;
-	if (side->early.len) {
-		http_buffer_append(http, &conn->input, side->early.data, side->early.len);
-		http_buffer_free(http, &side->early);
+	if (leftover_bytes)
+		memmove(conn->input.data, conn->input.data + side->parse_offset, leftover_bytes);
+	conn->input.len = leftover_bytes;
+	if (side->pipelined.len) {
+		http_buffer_append(http, &conn->input, side->pipelined.data, side->pipelined.len);
+		http_buffer_free(http, &side->pipelined);
 		if (!(conn->event_mask & EPOLLIN))
 			http_conn_watch(conn, HTTP_READ_EVENTS);
 	}
-	http->busy_count--;
-	http_server_idle(conn);
+	http->busy_client_count--;
+	http_server_await_request(conn);
 	if (conn->input.len)
 		server_parse(conn);
 	else
 		http_buffer_free(http, &conn->input);
 }
 
-/* Nothing of an answer has been sent, and its deadline is past: this process may have been suspended since.
- */
+/* Whether the answer's deadline has passed before its first byte was sent. The process may have been
+ * suspended after the answer was given. */
 static int response_is_late(const struct http_connection *conn)
 {
 	return conn->server.response_deadline_ms && conn->state == CONN_SENDING_RESPONSE &&
@@ -303,7 +306,7 @@
 	}
 	if (!http_conn_send(conn, &lost)) {
 		if (lost)
-			server_lost(conn);
+			handle_client_disconnect(conn);
 		else
 			http_conn_watch(conn, conn->event_mask | EPOLLOUT);
 		return;
@@ -314,65 +317,66 @@
 		server_next_request(conn);
 }
 
-/* Reads bytes behind the request that is being answered, so that the answer need not be the last. Not through
- * the scratch buffer, which may hold a piece of a server's answer that is being forwarded. */
-static void server_read_early(struct http_connection *conn)
+/* Reads bytes that follow the request being answered: if there are any, the connection must not be closed
+ * after this answer. It does not use the scratch buffer, which may hold bytes of a server's answer that is
+ * being forwarded. */
+static void server_read_pipelined(struct http_connection *conn)
 {
 	struct http *http = conn->http;
-	struct buffer *early = &conn->server.early;
-	ssize_t n =
-	    recv(conn->fd, http_buffer_reserve(http, early, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
+	struct buffer *pipelined = &conn->server.pipelined;
+	ssize_t received =
+	    recv(conn->fd, http_buffer_reserve(http, pipelined, BUFFER_BLOCK_BYTES), BUFFER_BLOCK_BYTES, 0);
 
-	if (n > 0)
-		early->len += (size_t)n;
+	if (received > 0)
+		pipelined->len += (size_t)received;
 	else
-		http_buffer_free(http, early);
+		http_buffer_free(http, pipelined);
 }
 
-/* Returns how many bytes have come. */
+/* Returns the number of bytes received; 0: none, or the client disconnected. */
 static ssize_t server_read(struct http_connection *conn)
 {
 	struct http *http = conn->http;
 	struct server_side *side = &conn->server;
-	ssize_t n = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
+	ssize_t received = recv(conn->fd, http->scratch, SCRATCH_BYTES, 0);
 
-	if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
+	if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
 		return 0;
-	if (n <= 0) {
-		server_lost(conn);
+	if (received <= 0) {
+		handle_client_disconnect(conn);
 		return 0;
 	}
 	switch (conn->state) {
 	case CONN_READING_HEAD:
 	case CONN_READING_BODY:
-		http_buffer_append(http, &conn->input, http->scratch, (size_t)n);
+		http_buffer_append(http, &conn->input, http->scratch, (size_t)received);
 		server_parse(conn);
 		break;
 	case CONN_HANDLING:
 	case CONN_SENDING_RESPONSE:
-		if (side->linger)
-			break; /* of a request that was refused */
-		http_buffer_append(http, &side->early, http->scratch, (size_t)n);
-		if (side->early.len >= MAX_EARLY_BYTES)
+		if (side->must_linger)
+			break; /* the rest of a rejected request is discarded */
+		http_buffer_append(http, &side->pipelined, http->scratch, (size_t)received);
+		if (side->pipelined.len >= MAX_PIPELINED_BYTES)
 			http_conn_watch(conn, conn->event_mask & ~(uint32_t)EPOLLIN);
 		break;
 	default:
 		break;
 	}
-	return n;
+	return received;
 }
 
-/* The client has ended its half after its answer was finished: it reads the rest, and sends no more requests.
- */
-static void half_closed(struct http_connection *conn)
+/* The client shut down its sending direction after its answer was finished: it still reads the answer, and
+ * sends no more requests. */
+static void handle_half_close(struct http_connection *conn)
 {
-	conn->server.closing = conn->server.linger = 1;
+	conn->server.close_after_response = conn->server.must_linger = 1;
 	http_conn_watch(conn, EPOLLHUP | (conn->event_mask & (uint32_t)EPOLLOUT));
 }
 
-/* A client that ends its half before it has an answer counts as disconnected. HTTP/1.1 leaves open what such
- * an end means; a full close looks the same until something is sent, and a server must not work on for a
- * client that has disconnected. */
+/* A client that shuts down its sending direction before its answer is finished counts as disconnected.
+ * HTTP/1.1 does not define what such a half-close means. It cannot be told from a full close until something
+ * is sent, and a server must not continue to work for a client that has disconnected. */
 void http_server_event(struct http_connection *conn, uint32_t events)
 {
 	if (conn->state == CONN_LINGERING) {
@@ -381,46 +385,48 @@
 	}
 	if ((events & (EPOLLHUP | EPOLLERR)) ||
 	    ((events & EPOLLRDHUP) && conn->state != CONN_SENDING_RESPONSE)) {
-		server_lost(conn);
+		handle_client_disconnect(conn);
 		return;
 	}
 	if (events & EPOLLOUT)
 		http_server_flush(conn);
-	if (conn->closed)
+	if (conn->is_closed)
 		return;
 	if ((events & EPOLLRDHUP) && conn->state == CONN_SENDING_RESPONSE)
-		half_closed(conn);
+		handle_half_close(conn);
 	else if (events & EPOLLIN)
 		server_read(conn);
 }
 
-/* Bytes may have come since the last poll: this process may have been suspended. */
-int http_server_progressed(struct http_connection *conn)
+/* Reads first, because bytes may have been received since the last poll if the process was suspended. */
+int http_server_read_progress(struct http_connection *conn)
 {
-	int in_head = conn->state == CONN_READING_HEAD && conn->server.head_begun;
-	ssize_t n = server_read(conn);
+	int was_in_head = conn->state == CONN_READING_HEAD && conn->server.has_head_begun;
+	ssize_t received = server_read(conn);
 
-	return conn->closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
-	       (n > 0 && !(in_head && conn->state == CONN_READING_HEAD));
+	return conn->is_closed || conn->state == CONN_HANDLING || conn->state == CONN_SENDING_RESPONSE ||
+	       (received > 0 && !(was_in_head && conn->state == CONN_READING_HEAD));
 }
 
-/* Bytes of the answer that the client's machine has not acknowledged. */
+/* Bytes of the answer that the client's machine has not acknowledged, including those not passed to the
+ * kernel. */
 static uint64_t unsent_bytes(const struct http_connection *conn)
 {
-	int kernel = 0;
+	int kernel_bytes = 0;
 
-	if (ioctl(conn->fd, SIOCOUTQ, &kernel) || kernel < 0)
-		kernel = 0;
-	return conn->output.len - conn->output.offset + (uint64_t)kernel;
+	if (ioctl(conn->fd, SIOCOUTQ, &kernel_bytes) || kernel_bytes < 0)
+		kernel_bytes = 0;
+	return conn->output.len - conn->output.offset + (uint64_t)kernel_bytes;
 }
 
-/* A slow link may need many times the idle time for one answer. */
+/* Over a slow link one answer may take many times the idle timeout: it is aborted only when no byte was
+ * acknowledged for that time. */
 static int response_progressed(struct http_connection *conn)
 {
 	uint64_t unsent;
 
 	http_server_flush(conn);
-	if (conn->closed || conn->state != CONN_SENDING_RESPONSE)
+	if (conn->is_closed || conn->state != CONN_SENDING_RESPONSE)
 		return 1;
 	unsent = unsent_bytes(conn);
 	if (unsent >= conn->server.unsent_bytes)
@@ -433,37 +439,37 @@
 static bool has_progressed(struct http_connection *conn)
 {
 	return conn->state == CONN_SENDING_RESPONSE ? response_progressed(conn)
-						    : http_server_progressed(conn);
+						    : http_server_read_progress(conn);
 }
 
 void http_server_timeout(struct http_connection *conn)
 {
-	int64_t timeout_at_ms = conn->server.wait_began_at_ms + wait_ms(conn);
+	int64_t timeout_at_ms = conn->server.wait_began_at_ms + wait_timeout_ms(conn);
 
 	if (conn->state == CONN_HANDLING)
 		return;
 	if (conn->state == CONN_LINGERING) {
 		http_server_linger_read(conn);
-		if (!conn->closed)
+		if (!conn->is_closed)
 			http_conn_close(conn, 0);
-	} else if (timeout_at_ms > conn->http->now_ms) { /* a longer time has come into force */
+	} else if (timeout_at_ms > conn->http->now_ms) { /* the limit was raised during the wait */
 		http_timer_set(conn, timeout_at_ms);
 	} else if (!has_progressed(conn)) {
 		http_server_abort(conn, HTTP_OUTCOME_STALLED);
 	}
 }
 
-/* Whether the answer says that the connection closes, because its listener drains. It doesn't when bytes of
- * another request have come: that one is served too. */
-static int closes_with_response(struct http_connection *conn)
+/* Whether the answer must carry Connection: close because its listener drains. It must not if bytes of
+ * another request were received, because that request is served too. */
+static int should_close_after_response(struct http_connection *conn)
 {
 	struct server_side *side = &conn->server;
 
-	if (!side->listener->listener.draining || side->closing)
+	if (!side->listener->listener.is_draining || side->close_after_response)
 		return 0;
-	if (conn->input.len <= side->parse_offset && !side->early.len && (conn->event_mask & EPOLLIN))
-		server_read_early(conn);
-	return conn->input.len <= side->parse_offset && !side->early.len;
+	if (conn->input.len <= side->parse_offset && !side->pipelined.len && (conn->event_mask & EPOLLIN))
+		server_read_pipelined(conn);
+	return conn->input.len <= side->parse_offset && !side->pipelined.len;
 }
 
 static bool has_retry_after(int status, const struct http_field *fields, int field_count)
@@ -472,7 +478,8 @@
 	       http_field_value(fields, field_count, "Retry-After") != NULL;
 }
 
-/* Head of an answer. Length below 0: as the version allows. */
+/* Appends the head of an answer. Negative length: the body is chunked in HTTP/1.1 and ends with the
+ * connection in HTTP/1.0. */
 static void append_response_head(struct http_connection *conn, int status, const struct http_field *fields,
 				 int field_count, int64_t length)
 {
@@ -484,12 +491,12 @@
 	for (i = 0; i < field_count; i++)
 		if (!http_is_framing_field(fields[i].name))
 			http_buffer_append_field(http, &conn->output, &fields[i]);
-	side->response_begun = 1;
-	side->no_body = has_no_body || !strcmp(side->method, "HEAD");
+	side->has_response_begun = 1;
+	side->is_body_omitted = has_no_body || !strcmp(side->method, "HEAD");
 	side->is_rejection = has_retry_after(status, fields, field_count);
-	if (closes_with_response(conn))
-		side->closing = side->linger = 1;
-	side->remaining_bytes = length < 0 ? 0 : (uint64_t)length;
+	if (should_close_after_response(conn))
+		side->close_after_response = side->must_linger = 1;
+	side->response_remaining_bytes = length < 0 ? 0 : (uint64_t)length;
 	if (has_no_body)
 		side->response_framing = BODY_NONE;
 	else if (length >= 0)
@@ -503,17 +510,17 @@
 	} else if (side->response_framing == BODY_CHUNKED) {
 		http_buffer_append_text(http, &conn->output, "Transfer-Encoding: chunked\r\n");
 	}
-	if (side->closing)
+	if (side->close_after_response)
 		http_buffer_append_text(http, &conn->output, "Connection: close\r\n");
 	http_buffer_append(http, &conn->output, "\r\n", 2);
 	http_conn_queue(conn);
 }
 
-static void response_complete(struct http_connection *conn)
+static void finish_response(struct http_connection *conn)
 {
 	conn->state = CONN_SENDING_RESPONSE;
-	conn->server.unsent_bytes = UINT64_MAX; /* looked at only when the idle time is over, so that an
-					      answer costs no system call more */
+	conn->server.unsent_bytes = UINT64_MAX; /* determined only when the idle timeout expires, which saves
+						   a system call for each answer */
 	begin_wait(conn);
 	http_conn_queue(conn);
 }
@@ -530,19 +537,19 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || conn->server.response_begun)
+	if (!conn || conn->server.has_response_begun)
 		return;
 	append_response_head(conn, status, fields, field_count, (int64_t)body_bytes);
-	if (!conn->server.no_body)
+	if (!conn->server.is_body_omitted)
 		http_buffer_append(http, &conn->output, body, body_bytes);
-	response_complete(conn);
+	finish_response(conn);
 }
 
 void http_response_set_deadline(struct http *http, uint64_t token, int64_t deadline_ms)
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->server.response_begun)
+	if (conn && !conn->server.has_response_begun)
 		conn->server.response_deadline_ms = deadline_ms;
 }
 
@@ -551,7 +558,7 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (conn && !conn->server.response_begun)
+	if (conn && !conn->server.has_response_begun)
 		append_response_head(conn, status, fields, field_count, length);
 }
 
@@ -559,16 +566,17 @@
 {
 	struct http_connection *conn = find_by_token(http, token);
 
-	if (!conn || !conn->server.response_begun || conn->server.no_body || !size)
+	if (!conn || !conn->server.has_response_begun || conn->server.is_body_omitted || !size)
 		return;
 	switch (conn->server.response_framing) {
 	case BODY_LENGTH:
-		if (size > conn->server.remaining_bytes) {
-			log_write(LOG_ERROR, "http", "An answer is longer than it said; it is broken off.");
+		if (size > conn->server.response_remaining_bytes) {
+			log_write(LOG_ERROR, "http",
+				  "Answer to a client aborted: its body is longer than its Content-Length.");
 			http_response_abort(http, token);
 			return;
 		}
-		conn->server.remaining_bytes -= size;
+		conn->server.response_remaining_bytes -= size;
 		http_buffer_append(http, &conn->output, data, size);
 		break;
 	case BODY_CHUNKED:
@@ -589,14 +597,15 @@
 
 	if (!conn)
 		return;
-	if (!conn->server.response_begun || (conn->server.response_framing == BODY_LENGTH &&
-					     conn->server.remaining_bytes && !conn->server.no_body)) {
+	if (!conn->server.has_response_begun ||
+	    (conn->server.response_framing == BODY_LENGTH && conn->server.response_remaining_bytes &&
+	     !conn->server.is_body_omitted)) {
 		http_response_abort(http, token);
 		return;
 	}
-	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.no_body)
+	if (conn->server.response_framing == BODY_CHUNKED && !conn->server.is_body_omitted)
 		http_buffer_append(http, &conn->output, "0\r\n\r\n", 5);
-	response_complete(conn);
+	finish_response(conn);
 }
 
 void http_response_abort(struct http *http, uint64_t token)
@@ -616,5 +625,5 @@
 
 int http_busy_count(const struct http *http)
 {
-	return http->busy_count + http->sweep_count;
+	return http->busy_client_count + http->sweep_count;
 }
