--- a/lib/shell/cli_support.c
+++ b/lib/shell/cli_support.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { MAX_URL_BYTES = 512, MAX_HEADER_BYTES = 200, READ_BYTES = 4096 };
+enum { MAX_URL_BYTES = 512, MAX_HEADER_BYTES = 200, READ_BUFFER_BYTES = 4096 };
 
 struct json_object *json_member(struct json_object *json, const char *name)
 {
@@ -32,21 +32,21 @@
 }
 
 /* A text that grows; it always ends with a zero. */
-struct growing_text {
+struct text_buffer {
 	char *data;
 	size_t size;
 };
 
-static struct growing_text growing_text_new(void)
+static struct text_buffer text_buffer_new(void)
 {
-	struct growing_text text = { calloc(1, 1), 0 };
+	struct text_buffer text = { calloc(1, 1), 0 };
 
 	if (!text.data)
 		abort();
 	return text;
 }
 
-static void growing_text_append(struct growing_text *text, const char *data, size_t size)
+static void text_buffer_append(struct text_buffer *text, const char *data, size_t size)
 {
 	char *grown = realloc(text->data, text->size + size + 1);
 
@@ -58,19 +58,19 @@
 	text->data[text->size] = 0;
 }
 
-static size_t on_body(char *data, size_t item_size, size_t item_count, void *text)
+static size_t append_body(char *data, size_t item_size, size_t item_count, void *text)
 {
-	growing_text_append(text, data, item_size * item_count);
+	text_buffer_append(text, data, item_size * item_count);
 	return item_size * item_count;
 }
 
 /* One call with one more header, unless that is empty. */
-static int call_once(const char *method, const char *addr, const char *path, const char *header,
+static int http_call(const char *method, const char *addr, const char *path, const char *header,
 		     const char *body, int timeout_ms, char **body_out)
 {
 	CURL *curl = curl_easy_init();
 	struct curl_slist *headers = curl_slist_append(NULL, "Expect:");
-	struct growing_text answer = growing_text_new();
+	struct text_buffer answer = text_buffer_new();
 	char url[MAX_URL_BYTES];
 	long status = 0;
 
@@ -82,7 +82,7 @@
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, &answer);
 	if (strcmp(method, "POST") == 0)
 		curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body ? body : "");
@@ -104,7 +104,7 @@
 
 	if (key)
 		snprintf(header, sizeof header, "Authorization: Bearer %s", key);
-	return call_once(method, addr, path, header, body, timeout_ms, body_out);
+	return http_call(method, addr, path, header, body, timeout_ms, body_out);
 }
 
 int http_command_blocking(const char *addr, const char *path, const char *key, const char *body,
@@ -113,21 +113,21 @@
 	char header[MAX_HEADER_BYTES];
 
 	snprintf(header, sizeof header, "Idempotency-Key: %s", key);
-	return call_once("POST", addr, path, header, body, timeout_ms, body_out);
+	return http_call("POST", addr, path, header, body, timeout_ms, body_out);
 }
 
 char *file_read(const char *path)
 {
 	FILE *file = strcmp(path, "-") != 0 ? fopen(path, "r") : stdin;
-	struct growing_text text;
-	char block[READ_BYTES];
+	struct text_buffer text;
+	char block[READ_BUFFER_BYTES];
 	size_t size;
 
 	if (!file)
 		return NULL;
-	text = growing_text_new();
+	text = text_buffer_new();
 	while ((size = fread(block, 1, sizeof block, file)) > 0)
-		growing_text_append(&text, block, size);
+		text_buffer_append(&text, block, size);
 	if (file != stdin)
 		(void)fclose(file);
 	return text.data;
--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -20,19 +20,19 @@
 #include "transport.h"
 
 enum {
-	TICK_MS = 25,
-	SCAN_MS = 250,            /* between looks for disconnected clients */
-	DEFAULT_GRACE_MS = 30000, /* for a planned stop */
+	TICK_INTERVAL_MS = 25,
+	DISCONNECT_SCAN_INTERVAL_MS = 250, /* between looks for disconnected clients */
+	DEFAULT_STOP_GRACE_MS = 30000,     /* for a planned stop */
 	EVENT_RING_CAPACITY = 65536,
 	MAX_EVENT_BATCH = 64, /* events between looks at the clock */
-	FLUSH_MS = 50         /* at the end, for answers given last to leave */
+	FINAL_FLUSH_MS = 50   /* at the end, for answers given last to leave */
 };
 
 /* The state of the loop itself. */
 struct loop {
 	struct process *process;
 	const struct process_handlers *handlers;
-	struct settings_watch watch;
+	struct settings_watch settings_watch;
 	int64_t last_tick_ms;
 	int64_t last_scan_ms;
 	bool events_pending; /* the last batch was full */
@@ -61,11 +61,11 @@
 {
 	if (!process->front_end->open(process->front_end_context, process))
 		return 0;
-	ring_on_push(process->events, process->front_end->wake, process->front_end_context);
+	ring_set_on_push(process->events, process->front_end->wake, process->front_end_context);
 	return 1;
 }
 
-static int open_own_interface(struct process *process)
+static int open_product_interface(struct process *process)
 {
 	process->api_server = api_server_open(process->settings.web, process->events, process->pool);
 	if (!process->api_server)
@@ -87,12 +87,12 @@
 	process->transport = transport_open(settings->listen, process->events, process->pool);
 	if (!process->transport)
 		return 0;
-	return process->front_end ? open_front_end(process) : open_own_interface(process);
+	return process->front_end ? open_front_end(process) : open_product_interface(process);
 }
 
 /* ---- commands ---- */
 
-static void perform(struct process *process, struct command *command)
+static void perform_command(struct process *process, struct command *command)
 {
 	switch (command->kind) {
 	case CMD_SEND:
@@ -140,14 +140,14 @@
 
 		if (process->front_end && process->front_end->perform(process->front_end_context, command))
 			continue;
-		perform(process, command);
+		perform_command(process, command);
 	}
 	command_list_clear(&process->commands);
 }
 
 /* ---- the loop ---- */
 
-static void step(struct loop *loop, const struct shell_event *event, int64_t now)
+static void run_step(struct loop *loop, const struct shell_event *event, int64_t now)
 {
 	loop->handlers->step(loop->handlers->context, event, now, &loop->process->commands);
 	process_perform(loop->process);
@@ -161,17 +161,17 @@
 	log_write(LOG_INFO, "process", "Shutting down: requests in flight end first.");
 	process->stopping = 1;
 	process->stop_deadline_ms =
-	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_GRACE_MS);
+	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_STOP_GRACE_MS);
 	stop.deadline_ms = process->stop_deadline_ms;
 	if (process->front_end) {
 		process->front_end->stop(process->front_end_context, now);
 		process_perform(process);
 	} else {
-		step(loop, &stop, now);
+		run_step(loop, &stop, now);
 	}
 }
 
-static bool is_stopped(const struct loop *loop, int64_t now)
+static bool is_stop_complete(const struct loop *loop, int64_t now)
 {
 	const struct process *process = loop->process;
 
@@ -189,14 +189,14 @@
 	struct process *process = loop->process;
 	const struct process_handlers *handlers = loop->handlers;
 
-	if (now - loop->last_tick_ms >= TICK_MS) {
+	if (now - loop->last_tick_ms >= TICK_INTERVAL_MS) {
 		loop->last_tick_ms = now;
-		step(loop, NULL, now);
+		run_step(loop, NULL, now);
 		if (handlers->streams_valid_until && !process->front_end)
 			api_server_valid_until(process->api_server,
 					       handlers->streams_valid_until(handlers->context));
 	}
-	if (!process->front_end && now - loop->last_scan_ms >= SCAN_MS) {
+	if (!process->front_end && now - loop->last_scan_ms >= DISCONNECT_SCAN_INTERVAL_MS) {
 		loop->last_scan_ms = now;
 		api_server_scan(process->api_server);
 	}
@@ -204,10 +204,10 @@
 
 /* The next event, waited for until the next tick. A front end waits for its sockets meanwhile; it isn't woken
  * by what stands in the ring already, so it doesn't wait then. */
-static struct shell_event *next_event(const struct loop *loop, int64_t now)
+static struct shell_event *wait_for_event(const struct loop *loop, int64_t now)
 {
 	const struct process *process = loop->process;
-	int64_t next_tick_ms = loop->last_tick_ms + TICK_MS;
+	int64_t next_tick_ms = loop->last_tick_ms + TICK_INTERVAL_MS;
 	int wait_ms = next_tick_ms > now ? (int)(next_tick_ms - now) : 0;
 
 	if (!process->front_end)
@@ -218,13 +218,13 @@
 
 static void handle_event(struct loop *loop, struct shell_event *event)
 {
-	step(loop, event, clock_ms());
+	run_step(loop, event, clock_ms());
 	shell_event_free(event);
 }
 
 static void handle_events(struct loop *loop, int64_t now)
 {
-	struct shell_event *event = next_event(loop, now);
+	struct shell_event *event = wait_for_event(loop, now);
 
 	for (int i = 0; event && i < MAX_EVENT_BATCH; i++) {
 		handle_event(loop, event);
@@ -238,13 +238,13 @@
 /* ---- the end ---- */
 
 /* Answers that were just given leave. */
-static void flush(const struct process *process)
+static void flush_answers(const struct process *process)
 {
 	int64_t now = clock_ms();
-	int64_t end_ms = now + FLUSH_MS;
+	int64_t end_ms = now + FINAL_FLUSH_MS;
 
 	if (!process->front_end) {
-		apr_sleep(apr_time_from_msec(FLUSH_MS));
+		apr_sleep(apr_time_from_msec(FINAL_FLUSH_MS));
 		return;
 	}
 	for (; now < end_ms; now = clock_ms())
@@ -263,7 +263,7 @@
 static void close_all(struct process *process)
 {
 	if (process->front_end) {
-		ring_on_push(process->events, NULL, NULL);
+		ring_set_on_push(process->events, NULL, NULL);
 		process->front_end->close(process->front_end_context);
 	} else {
 		api_server_close(process->api_server);
@@ -286,15 +286,15 @@
 	for (;;) {
 		int64_t now = clock_ms();
 
-		settings_watch_poll(&loop.watch, process, handlers, now);
+		settings_watch_poll(&loop.settings_watch, process, handlers, now);
 		if (process_stop_requested() && !process->stopping)
 			begin_stop(&loop, now);
-		if (is_stopped(&loop, now))
+		if (is_stop_complete(&loop, now))
 			break;
 		run_timers(&loop, now);
 		handle_events(&loop, now);
 	}
-	flush(process);
+	flush_answers(process);
 	close_all(process);
 	log_write(LOG_INFO, "process", "Ended.");
 	return 0;
--- a/lib/shell/process_signals.c
+++ b/lib/shell/process_signals.c
@@ -7,7 +7,7 @@
 static volatile sig_atomic_t stop_signal;
 static volatile sig_atomic_t hangup_signal;
 
-static void on_signal(int signal_number)
+static void record_signal(int signal_number)
 {
 	if (signal_number == SIGHUP)
 		hangup_signal = 1;
@@ -29,7 +29,7 @@
 	struct sigaction action;
 
 	memset(&action, 0, sizeof action);
-	action.sa_handler = on_signal;
+	action.sa_handler = record_signal;
 	sigaction(SIGTERM, &action, NULL);
 	sigaction(SIGINT, &action, NULL);
 	if (!settings->read_external)
--- a/lib/shell/ring.c
+++ b/lib/shell/ring.c
@@ -22,7 +22,7 @@
 	void *on_push_context;
 };
 
-void ring_on_push(struct ring *ring, void (*on_push)(void *context), void *context)
+void ring_set_on_push(struct ring *ring, void (*on_push)(void *context), void *context)
 {
 	pthread_mutex_lock(&ring->mutex);
 	ring->on_push_context = context;
@@ -64,7 +64,7 @@
 	return pushed;
 }
 
-static struct timespec monotonic_after(int timeout_ms)
+static struct timespec monotonic_deadline(int timeout_ms)
 {
 	struct timespec time;
 
@@ -80,12 +80,12 @@
 
 void *ring_pop(struct ring *ring, int timeout_ms)
 {
-	struct timespec until = monotonic_after(timeout_ms);
+	struct timespec deadline = monotonic_deadline(timeout_ms);
 	void *item = NULL;
 
 	pthread_mutex_lock(&ring->mutex);
 	if (!ring->count && timeout_ms > 0)
-		pthread_cond_timedwait(&ring->not_empty, &ring->mutex, &until);
+		pthread_cond_timedwait(&ring->not_empty, &ring->mutex, &deadline);
 	if (ring->count) {
 		item = ring->items[ring->head];
 		ring->head = (ring->head + 1) % ring->capacity;
--- a/lib/shell/settings.c
+++ b/lib/shell/settings.c
@@ -16,7 +16,7 @@
 #endif
 
 enum {
-	GO_ON = -1, /* of functions that return an exit code, or this */
+	SETTINGS_CONTINUE = -1, /* of functions that return an exit code, or this */
 	EXIT_BAD_USAGE = 2,
 	MAX_PORT = 65535,
 	MAX_ZONE_LENGTH = 60,
@@ -24,8 +24,8 @@
 	FLAG_COUNT = 16
 };
 
-#define ADDRESS_RANGE "an address ip:port with a port of 1 to 65535"
-#define SEEDS_RANGE "1 to 8 addresses ip:port of other processes"
+#define ADDRESS_EXPECTED "an address ip:port with a port of 1 to 65535"
+#define SEEDS_EXPECTED "1 to 8 addresses ip:port of other processes"
 
 /* The flags of a program, as argtable reads them; freed by flags_free. */
 struct flags {
@@ -49,9 +49,10 @@
 };
 
 /* Prints one line of place, key and range; returns the exit code. */
-static int settings_error(const char *program, const char *place, const char *key, const char *range)
+static int print_settings_error(const char *program, const char *source, const char *key,
+				const char *expected)
 {
-	fprintf(stderr, "%s: %s: %s: %s\n", program, place, key, range);
+	fprintf(stderr, "%s: %s: %s: %s\n", program, source, key, expected);
 	return EXIT_BAD_USAGE;
 }
 
@@ -62,13 +63,14 @@
 {
 	if (!json_object_is_type(value, json_type_array) ||
 	    json_object_array_length(value) > SETTINGS_MAX_SEEDS)
-		return settings_error(program, settings->file, "seeds", "a list of 1 to 8 addresses ip:port");
+		return print_settings_error(program, settings->file, "seeds",
+					    "a list of 1 to 8 addresses ip:port");
 	if (settings->seed_count)
-		return GO_ON; /* flags have precedence */
+		return SETTINGS_CONTINUE; /* flags have precedence */
 	for (size_t i = 0; i < json_object_array_length(value); i++)
 		settings->seeds[settings->seed_count++] =
 		    apr_pstrdup(pool, json_object_get_string(json_object_array_get_idx(value, i)));
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
 static int read_file_key(struct settings *settings, const char *program, const char *key,
@@ -87,30 +89,31 @@
 		if (strcmp(key, texts[i].name) != 0)
 			continue;
 		if (!json_object_is_type(value, json_type_string))
-			return settings_error(program, settings->file, key, "a string");
+			return print_settings_error(program, settings->file, key, "a string");
 		if (!*texts[i].target)
 			*texts[i].target = apr_pstrdup(pool, json_object_get_string(value));
-		return GO_ON;
+		return SETTINGS_CONTINUE;
 	}
 	if (strcmp(key, "seeds") == 0)
 		return read_seeds(settings, program, value, pool);
-	return settings_error(program, settings->file, key,
-			      "no such key; known: listen, advertise, web, zone, seeds, data, fault");
+	return print_settings_error(program, settings->file, key,
+				    "no such key; known: listen, advertise, web, zone, seeds, data, fault");
 }
 
 static int read_file(struct settings *settings, const char *program, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_from_file(settings->file);
-	int exit_code = GO_ON;
+	int exit_code = SETTINGS_CONTINUE;
 
 	if (!json_object_is_type(json, json_type_object)) {
-		exit_code = settings_error(program, settings->file, "file", "not readable as a JSON object");
+		exit_code =
+		    print_settings_error(program, settings->file, "file", "not readable as a JSON object");
 		goto out;
 	}
 	json_object_object_foreach(json, key, value)
 	{
 		exit_code = read_file_key(settings, program, key, value, pool);
-		if (exit_code != GO_ON)
+		if (exit_code != SETTINGS_CONTINUE)
 			goto out;
 	}
 out:
@@ -173,10 +176,10 @@
 		arg_print_errors(stderr, flags->end, program);
 		return EXIT_BAD_USAGE;
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
-static int unknown_mechanism(const char *program, const char *name)
+static int print_unknown_mechanism(const char *program, const char *name)
 {
 	fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program, name);
 	for (int i = 0; i < MECHANISMS; i++)
@@ -191,17 +194,17 @@
 	settings->experiments_allowed = flags->experiments->count;
 	settings->metrics_port = flags->metrics->count ? flags->metrics->ival[0] : 0;
 	if (flags->metrics->count && (settings->metrics_port < 1 || settings->metrics_port > MAX_PORT))
-		return settings_error(program, "flags", "metrics", "a port of 1 to 65535");
+		return print_settings_error(program, "flags", "metrics", "a port of 1 to 65535");
 	if (flags->without->count && !flags->experiments->count)
-		return settings_error(program, "flags", "without", "only with --experiments");
+		return print_settings_error(program, "flags", "without", "only with --experiments");
 	for (int i = 0; i < flags->without->count; i++) {
 		int mechanism = mechanism_find(flags->without->sval[i]);
 
 		if (mechanism < 0)
-			return unknown_mechanism(program, flags->without->sval[i]);
+			return print_unknown_mechanism(program, flags->without->sval[i]);
 		settings->disabled_mechanisms |= UINT32_C(1) << mechanism;
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
 /* Settings in another form than the product's, which allows few flags beside it. */
@@ -210,14 +213,15 @@
 				  int (*read_external)(struct settings *, const char *, int, apr_pool_t *),
 				  apr_pool_t *pool)
 {
-	int others = flags->listen->count + flags->advertise->count + flags->web->count + flags->zone->count +
-		     flags->seed->count + flags->data->count + flags->fault->count + flags->file->count;
+	int disallowed_count = flags->listen->count + flags->advertise->count + flags->web->count +
+			       flags->zone->count + flags->seed->count + flags->data->count +
+			       flags->fault->count + flags->file->count;
 	int exit_code;
 
 	if (!read_external)
-		return settings_error(program, "flags", "platform", "not known by this program");
-	if (others)
-		return settings_error(
+		return print_settings_error(program, "flags", "platform", "not known by this program");
+	if (disallowed_count)
+		return print_settings_error(
 		    program, "flags", "platform",
 		    "no other flag but --check, --metrics, --experiments and --without with it");
 	exit_code = read_external(settings, program, has_storage, pool);
@@ -226,7 +230,7 @@
 		return exit_code;
 	}
 	settings->read_external = read_external;
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
 static const char *flag_text(const struct arg_str *flag, apr_pool_t *pool)
@@ -248,7 +252,7 @@
 	for (int i = 0; i < flags->seed->count && i < SETTINGS_MAX_SEEDS; i++)
 		settings->seeds[settings->seed_count++] = apr_pstrdup(pool, flags->seed->sval[i]);
 	settings->file = flags->file->count ? apr_pstrdup(pool, flags->file->filename[0]) : NULL;
-	return settings->file ? read_file(settings, program, pool) : GO_ON;
+	return settings->file ? read_file(settings, program, pool) : SETTINGS_CONTINUE;
 }
 
 /* ---- checks ---- */
@@ -258,7 +262,7 @@
 	return core_parse_addr(text) && (core_parse_addr(text) & MAX_PORT);
 }
 
-static int check_addresses(const struct settings *settings, const char *program, const char *place)
+static int check_addresses(const struct settings *settings, const char *program, const char *source)
 {
 	const struct {
 		const char *name;
@@ -274,29 +278,29 @@
 		const char *value = addresses[i].value;
 
 		if (value ? !is_address(value) : addresses[i].required)
-			return settings_error(program, place, addresses[i].name, ADDRESS_RANGE);
+			return print_settings_error(program, source, addresses[i].name, ADDRESS_EXPECTED);
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
-static int check(const struct settings *settings, const char *program, bool has_storage)
+static int check_settings(const struct settings *settings, const char *program, bool has_storage)
 {
-	const char *place = settings->file ? settings->file : "flags";
-	int exit_code = check_addresses(settings, program, place);
+	const char *source = settings->file ? settings->file : "flags";
+	int exit_code = check_addresses(settings, program, source);
 
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	if (!settings->zone || !settings->zone[0] || strlen(settings->zone) > MAX_ZONE_LENGTH)
-		return settings_error(program, place, "zone", "a name of 1 to 60 characters");
+		return print_settings_error(program, source, "zone", "a name of 1 to 60 characters");
 	if (!settings->seed_count)
-		return settings_error(program, place, "seeds", SEEDS_RANGE);
+		return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
 	for (int i = 0; i < settings->seed_count; i++)
 		if (!core_parse_addr(settings->seeds[i]))
-			return settings_error(program, place, "seeds", SEEDS_RANGE);
+			return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
 	if (has_storage && (!settings->data || !settings->data[0]))
-		return settings_error(program, place, "data",
-				      "the folder that this controller keeps its files in");
-	return GO_ON;
+		return print_settings_error(program, source, "data",
+					    "the folder that this controller keeps its files in");
+	return SETTINGS_CONTINUE;
 }
 
 /* ---- all of it ---- */
@@ -308,20 +312,20 @@
 {
 	int exit_code = read_experiment(settings, program, flags);
 
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	if (flags->platform->count)
 		exit_code =
 		    read_external_settings(settings, program, has_storage, flags, read_external, pool);
 	else
 		exit_code = read_own_settings(settings, program, flags, pool);
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
 	settings->bounds.experiments = settings->experiments_allowed;
 	settings->check_only = flags->check->count;
-	exit_code = check(settings, program, has_storage);
-	if (exit_code == GO_ON && settings->check_only) {
+	exit_code = check_settings(settings, program, has_storage);
+	if (exit_code == SETTINGS_CONTINUE && settings->check_only) {
 		printf("%s: the settings are good\n", program);
 		return 0;
 	}
@@ -339,10 +343,10 @@
 	if (!flags_open(&flags, has_storage))
 		return 1;
 	exit_code = flags_parse(&flags, program, argc, argv);
-	if (exit_code == GO_ON)
+	if (exit_code == SETTINGS_CONTINUE)
 		exit_code = read_and_check(settings, program, has_storage, &flags, read_external, pool);
 	arg_freetable(flags.table, FLAG_COUNT);
-	if (exit_code == GO_ON && settings->read_external)
+	if (exit_code == SETTINGS_CONTINUE && settings->read_external)
 		process_install_signal_handlers(settings); /* the platform may signal at once */
 	return exit_code;
 }
--- a/lib/shell/settings_watch.c
+++ b/lib/shell/settings_watch.c
@@ -6,10 +6,10 @@
 #include "log.h"
 #include "process_internal.h"
 
-enum { POLL_MS = 1000 };
+enum { POLL_INTERVAL_MS = 1000 };
 
 /* Whether the file is another one, or was written, since the last call. */
-static bool file_changed(struct settings_watch *watch, const char *file, apr_pool_t *scratch)
+static bool has_file_changed(struct settings_watch *watch, const char *file, apr_pool_t *scratch)
 {
 	apr_finfo_t info;
 	bool changed;
@@ -36,8 +36,8 @@
 	apr_cpystrn(watch->last_error, error_text, sizeof watch->last_error);
 }
 
-static void read_again(struct settings_watch *watch, struct process *process,
-		       const struct process_handlers *handlers, apr_pool_t *scratch)
+static void reload_settings(struct settings_watch *watch, struct process *process,
+			    const struct process_handlers *handlers, apr_pool_t *scratch)
 {
 	struct settings settings;
 
@@ -66,12 +66,12 @@
 	if (!process->settings.read_external || (now < watch->next_poll_at_ms && !process_hangup_received()))
 		return;
 	apr_pool_create(&scratch, process->pool);
-	changed = file_changed(watch, process->settings.file, scratch);
+	changed = has_file_changed(watch, process->settings.file, scratch);
 	if (!watch->next_poll_at_ms) /* the first poll: they were read a moment ago */
 		changed = false;
-	watch->next_poll_at_ms = now + POLL_MS;
+	watch->next_poll_at_ms = now + POLL_INTERVAL_MS;
 	if (process_hangup_received() || changed || watch->retry_pending) {
-		read_again(watch, process, handlers, scratch);
+		reload_settings(watch, process, handlers, scratch);
 		process_clear_hangup();
 	}
 	apr_pool_destroy(scratch);
--- a/lib/shell/shell.h
+++ b/lib/shell/shell.h
@@ -1,7 +1,7 @@
-/* shell: the I/O of a program, round the pure state machines of lib/core, lib/control and lib/data. One
- * thread owns a program's state; the threads of the modules below own sockets and files, and hand what they
- * read to it as events. This header includes all modules of the layer, for programs and tests that use most
- * of them; a module includes those that it needs. */
+/* shell: the I/O layer of a program. The state machines of lib/core, lib/control and lib/data perform no I/O.
+ * One thread owns the state of the program. The threads of the modules included here own sockets and files,
+ * and send the data that they read to that thread as events. This header includes all modules of the layer,
+ * for programs and tests that use most of them; a module includes only the headers that it needs. */
 #ifndef NL_SHELL_H
 #define NL_SHELL_H
 
--- a/lib/shell/shell_event.h
+++ b/lib/shell/shell_event.h
@@ -1,5 +1,5 @@
-/* shell_event: what the threads of the shell layer report to the thread that owns a program's state, through
- * its event ring. */
+/* shell_event: events that the threads of the shell layer send to the thread that owns the program's state,
+ * through its event ring. */
 #ifndef NL_SHELL_EVENT_H
 #define NL_SHELL_EVENT_H
 
@@ -8,44 +8,46 @@
 struct Nl__Msg;
 
 enum shell_event_kind {
-	SHELL_EVENT_MESSAGE,      /* transport: a message of another process */
-	SHELL_EVENT_REQUEST,      /* api_server: a client's complete request */
-	SHELL_EVENT_DISCONNECTED, /* api_server: a client left before it had its answer */
-	SHELL_EVENT_CHUNK,        /* server_calls: a line of a streamed answer */
-	SHELL_EVENT_CALL_DONE,    /* server_calls: a call is over */
-	SHELL_EVENT_SYNCED,       /* storage: a write is on the disk */
+	SHELL_EVENT_MESSAGE,      /* transport: a message from another process was received */
+	SHELL_EVENT_REQUEST,      /* api_server: the complete request of a client was received */
+	SHELL_EVENT_DISCONNECTED, /* api_server: a client disconnected before its answer was complete */
+	SHELL_EVENT_CHUNK,        /* server_calls: a line of a streamed answer was received */
+	SHELL_EVENT_CALL_DONE,    /* server_calls: a call has ended */
+	SHELL_EVENT_SYNCED,       /* storage: a write was synced to the disk */
 	SHELL_EVENT_STOP          /* process: a planned stop begins */
 };
 
-/* An event. Only the fields of its kind are set; the rest is zero. Whoever pops it from the ring owns it. */
+/* An event. Only the fields of its kind are set; all others are zero. The thread that pops it from the ring
+ * owns it. */
 struct shell_event {
 	enum shell_event_kind kind;
-	uint64_t token;          /* of the request or call */
-	struct Nl__Msg *message; /* owned */
+	uint64_t token;          /* identifies the request or call */
+	struct Nl__Msg *message; /* the received message; owned */
 
-	/* of a request; all owned, from malloc */
+	/* fields of a request; all owned, allocated by malloc */
 	char *method;
 	char *path;
 	char *key_digest;      /* SHA-256 of the API key, in hexadecimal; empty without a key */
-	char *idempotency_key; /* NULL without one */
-	char *body;            /* also of a chunk (without its line break) and of a finished call */
+	char *idempotency_key; /* NULL: the request has none */
+	char *body; /* also the line of a chunk (without its line break) or the answer of a finished call */
 
-	/* of a finished call */
-	int status;     /* of HTTP; 0: no complete answer */
-	int never_sent; /* the server certainly didn't begin it */
+	/* fields of a finished call */
+	int status;     /* HTTP status; 0: no complete answer was received */
+	int never_sent; /* the server certainly has not started to process the call */
 	int is_stream;
 
-	/* of a synced write */
+	/* fields of a synced write */
 	uint32_t shard;
 	uint64_t sequence;
 
-	int64_t deadline_ms; /* of a stop: clock_ms when the process ends at the latest */
+	int64_t deadline_ms; /* of a stop: the clock_ms at which the process ends at the latest */
 };
 
-/* A new event with all other fields zero. Never NULL: out of memory aborts. */
+/* Allocate an event with all other fields zero. Never returns NULL: the process aborts if memory is
+ * exhausted. */
 struct shell_event *shell_event_new(enum shell_event_kind kind);
 
-/* Free an event and what it owns; NULL is allowed. */
+/* Free an event and the fields that it owns. event may be NULL. */
 void shell_event_free(struct shell_event *event);
 
 #endif
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -85,60 +85,62 @@
 /* Reads a file that the library can't open because the disk refuses the writes that take back an unfinished
  * transaction. Its records are read from a copy; the file itself is opened before the first transaction, as
  * after one that failed. */
-static enum storage_error load_from_copy(struct storage *storage, struct stored_state *found,
+static enum storage_error load_from_copy(struct storage *storage, struct stored_state *state,
 					 struct storage_failure *failure, apr_pool_t *pool)
 {
-	bool passes_check;
+	bool passes_tdb_check;
 	bool loaded;
 
-	storage->database = storage_file_open_copy(storage->path, &storage->library_faults);
+	storage->database = storage_file_open_copy(storage->database_path, &storage->tdb_error_count);
 	if (!storage->database)
 		return failure->error_number == ENOSPC || failure->error_number == EDQUOT
 			   ? STORAGE_DISK_FULL
 			   : STORAGE_FILE_UNREADABLE;
-	passes_check = tdb_check(storage->database, NULL, NULL) == 0;
-	loaded = storage_load(storage, passes_check, found, failure, pool);
+	passes_tdb_check = tdb_check(storage->database, NULL, NULL) == 0;
+	loaded = storage_load(storage, passes_tdb_check, state, failure, pool);
 	(void)tdb_close(storage->database);
 	storage->database = NULL;
 	if (!loaded)
 		return failure->error;
 	storage->transaction_failed = true;
-	storage->rewrite_pending = !passes_check;
+	storage->rewrite_pending = !passes_tdb_check;
 	log_write(LOG_WARN, "storage",
 		  "The disk of %s refuses writes; nothing is acknowledged until it takes them.",
-		  storage->path);
+		  storage->database_path);
 	return STORAGE_OK;
 }
 
 /* Opens and reads the database file. One that is torn outside its records lacks nothing, but takes no
  * transaction: it is written anew, now or, if the disk is full, before the first transaction. */
-static enum storage_error open_file(struct storage *storage, struct stored_state *found,
-				    struct storage_failure *failure, apr_pool_t *pool)
+static enum storage_error open_database_file(struct storage *storage, struct stored_state *state,
+					     struct storage_failure *failure, apr_pool_t *pool)
 {
-	bool passes_check;
+	bool passes_tdb_check;
 
-	failure->path = storage->path;
-	(void)unlink(storage->fresh_path); /* left by a crash while it was written */
-	storage->database = storage_file_open(storage->path, O_RDWR | O_CREAT, &storage->library_faults);
+	failure->path = storage->database_path;
+	(void)unlink(storage->rewrite_path); /* left by a crash while it was written */
+	storage->database =
+	    storage_file_open(storage->database_path, O_RDWR | O_CREAT, &storage->tdb_error_count);
 	if (!storage->database) {
 		failure->error_number = errno;
-		return load_from_copy(storage, found, failure, pool);
+		return load_from_copy(storage, state, failure, pool);
 	}
-	passes_check = tdb_check(storage->database, NULL, NULL) == 0;
-	if (!storage_load(storage, passes_check, found, failure, pool))
+	passes_tdb_check = tdb_check(storage->database, NULL, NULL) == 0;
+	if (!storage_load(storage, passes_tdb_check, state, failure, pool))
 		return failure->error;
-	storage->rewrite_pending = !passes_check && !storage_file_rewrite(storage);
-	if (!passes_check)
-		log_write(
-		    LOG_WARN, "storage",
-		    "%s was torn outside its records by a loss of power; the records %s.", storage->path,
-		    storage->rewrite_pending ? "will be rewritten before the next write" : "were rewritten");
+	storage->rewrite_pending = !passes_tdb_check && !storage_file_rewrite(storage);
+	if (!passes_tdb_check)
+		log_write(LOG_WARN, "storage",
+			  "%s was torn outside its records by a loss of power; the records %s.",
+			  storage->database_path,
+			  storage->rewrite_pending ? "will be rewritten before the next write"
+						   : "were rewritten");
 	storage_folder_sync(storage->folder); /* the file's name must last too */
 	return STORAGE_OK;
 }
 
 /* Frees what storage holds besides its pool, however far it was opened. */
-static void release(struct storage *storage)
+static void release_resources(struct storage *storage)
 {
 	if (storage->database)
 		tdb_close(storage->database);
@@ -147,30 +149,30 @@
 		close(storage->lock_fd);
 }
 
-struct storage *storage_open(const char *folder, const char *fault_file, struct ring *events,
-			     struct stored_state *found, struct storage_failure *failure, apr_pool_t *pool)
+struct storage *storage_open(const char *folder, const char *sync_delay_file, struct ring *events,
+			     struct stored_state *state, struct storage_failure *failure, apr_pool_t *pool)
 {
 	struct storage *storage = apr_pcalloc(pool, sizeof *storage);
 
 	(void)signal(SIGXFSZ,
 		     SIG_IGN); /* a file at its size limit is a failed write, not the end of the process */
-	memset(found, 0, sizeof *found);
+	memset(state, 0, sizeof *state);
 	*failure = (struct storage_failure){ 0 };
 	storage->events = events;
-	storage->fault_file = fault_file;
+	storage->sync_delay_file = sync_delay_file;
 	storage->lock_fd = -1;
 	storage->folder = apr_pstrdup(pool, folder);
-	storage->path = apr_pstrcat(pool, folder, DATABASE_NAME, NULL);
-	storage->fresh_path = apr_pstrcat(pool, storage->path, ".fresh", NULL);
+	storage->database_path = apr_pstrcat(pool, folder, DATABASE_NAME, NULL);
+	storage->rewrite_path = apr_pstrcat(pool, storage->database_path, ".fresh", NULL);
 	apr_thread_mutex_create(&storage->mutex, APR_THREAD_MUTEX_DEFAULT, pool);
 	failure->error = lock_folder(storage, failure, pool);
 	if (failure->error == STORAGE_OK)
-		failure->error = open_file(storage, found, failure, pool);
+		failure->error = open_database_file(storage, state, failure, pool);
 	if (failure->error == STORAGE_OK && !storage_writer_start(storage, pool))
 		failure->error = STORAGE_NO_THREAD;
 	if (failure->error == STORAGE_OK)
 		return storage;
-	release(storage);
+	release_resources(storage);
 	return NULL;
 }
 
@@ -209,5 +211,5 @@
 void storage_close(struct storage *storage)
 {
 	storage_writer_stop(storage);
-	release(storage);
+	release_resources(storage);
 }
--- a/lib/shell/storage_file.c
+++ b/lib/shell/storage_file.c
@@ -8,57 +8,57 @@
 #include "containers.h"
 #include "storage_internal.h"
 
-enum { TDB_HASH_SIZE = 1009, FILE_MODE = 0600, COPY_BYTES = 65536 };
+enum { TDB_HASH_SIZE = 1009, FILE_MODE = 0600, COPY_BUFFER_BYTES = 65536 };
 
 /* The library's log: faults are counted, nothing is printed. */
-static void count_library_faults(struct tdb_context *database, enum tdb_debug_level level, const char *format,
-				 ...)
+static void count_tdb_errors(struct tdb_context *database, enum tdb_debug_level level, const char *format,
+			     ...)
 {
-	int *faults = tdb_get_logging_private(database);
+	int *error_count = tdb_get_logging_private(database);
 
 	(void)format;
 	if (level == TDB_DEBUG_FATAL || level == TDB_DEBUG_ERROR)
-		++*faults;
+		++*error_count;
 }
 
-struct tdb_context *storage_file_open(const char *path, int flags, int *faults)
+struct tdb_context *storage_file_open(const char *path, int flags, int *error_count)
 {
-	struct tdb_logging_context logging = { count_library_faults, faults };
+	struct tdb_logging_context logging = { count_tdb_errors, error_count };
 
 	return tdb_open_ex(path, TDB_HASH_SIZE, TDB_NOMMAP, flags, FILE_MODE, &logging, NULL);
 }
 
 /* Copies what can be read of a file; false on an error. */
-static bool copy_bytes(int from, int to)
+static bool copy_file(int from_fd, int to_fd)
 {
-	char bytes[COPY_BYTES];
+	char bytes[COPY_BUFFER_BYTES];
 	ssize_t size;
 
-	while ((size = read(from, bytes, sizeof bytes)) > 0)
-		if (write(to, bytes, (size_t)size) != size)
+	while ((size = read(from_fd, bytes, sizeof bytes)) > 0)
+		if (write(to_fd, bytes, (size_t)size) != size)
 			return false;
 	return size == 0;
 }
 
-struct tdb_context *storage_file_open_copy(const char *path, int *faults)
+struct tdb_context *storage_file_open_copy(const char *path, int *error_count)
 {
 	char copy_path[] = P_tmpdir "/notchlug-copy-XXXXXX";
 	struct tdb_context *copy = NULL;
-	int from = open(path, O_RDONLY | O_CLOEXEC);
-	int to = from < 0 ? -1 : mkstemp(copy_path);
+	int from_fd = open(path, O_RDONLY | O_CLOEXEC);
+	int to_fd = from_fd < 0 ? -1 : mkstemp(copy_path);
 
-	if (to >= 0 && copy_bytes(from, to))
-		copy = storage_file_open(copy_path, O_RDWR, faults);
-	if (to >= 0) {
+	if (to_fd >= 0 && copy_file(from_fd, to_fd))
+		copy = storage_file_open(copy_path, O_RDWR, error_count);
+	if (to_fd >= 0) {
 		(void)unlink(copy_path);
-		close(to);
+		close(to_fd);
 	}
-	if (from >= 0)
-		close(from);
+	if (from_fd >= 0)
+		close(from_fd);
 	return copy;
 }
 
-static int checksum_add_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *storage)
+static int load_record_checksum(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *storage)
 {
 	char name[STORAGE_MAX_KEY_BYTES];
 	uint64_t checksum;
@@ -81,11 +81,11 @@
 {
 	if (storage->database)
 		(void)tdb_close(storage->database);
-	storage->database = storage_file_open(storage->path, O_RDWR, &storage->library_faults);
+	storage->database = storage_file_open(storage->database_path, O_RDWR, &storage->tdb_error_count);
 	if (!storage->database)
 		return false;
 	storage_checksums_reset(storage);
-	if (tdb_traverse_read(storage->database, checksum_add_record, storage) < 0)
+	if (tdb_traverse_read(storage->database, load_record_checksum, storage) < 0)
 		return false;
 	storage->transaction_failed = false;
 	return true;
@@ -101,22 +101,22 @@
 	close(fd);
 }
 
-static int copy_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *fresh)
+static int copy_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *new_database)
 {
 	(void)database;
-	return tdb_store(fresh, key, value, TDB_INSERT);
+	return tdb_store(new_database, key, value, TDB_INSERT);
 }
 
 /* Copies all records in one transaction. faults_before: the library's faults before fresh was opened. */
-static bool copy_records(struct storage *storage, struct tdb_context *fresh, int faults_before)
+static bool copy_records(struct storage *storage, struct tdb_context *new_database, int error_count_before)
 {
-	if (tdb_transaction_start(fresh))
+	if (tdb_transaction_start(new_database))
 		return false;
-	if (tdb_traverse_read(storage->database, copy_record, fresh) < 0) {
-		tdb_transaction_cancel(fresh);
+	if (tdb_traverse_read(storage->database, copy_record, new_database) < 0) {
+		tdb_transaction_cancel(new_database);
 		return false;
 	}
-	return tdb_transaction_commit(fresh) == 0 && storage->library_faults == faults_before;
+	return tdb_transaction_commit(new_database) == 0 && storage->tdb_error_count == error_count_before;
 }
 
 /* What was deleted is in neither the fresh file's records nor its freed pages. A loss of power at any moment
@@ -124,25 +124,26 @@
  * the first sync of the folder. */
 bool storage_file_rewrite(struct storage *storage)
 {
-	int faults_before = storage->library_faults;
-	struct tdb_context *fresh;
+	int error_count_before = storage->tdb_error_count;
+	struct tdb_context *new_database;
 
-	(void)unlink(storage->fresh_path);
-	fresh = storage_file_open(storage->fresh_path, O_RDWR | O_CREAT | O_EXCL, &storage->library_faults);
-	if (!fresh)
+	(void)unlink(storage->rewrite_path);
+	new_database =
+	    storage_file_open(storage->rewrite_path, O_RDWR | O_CREAT | O_EXCL, &storage->tdb_error_count);
+	if (!new_database)
 		return false;
-	if (!copy_records(storage, fresh, faults_before))
+	if (!copy_records(storage, new_database, error_count_before))
 		goto failed;
 	storage_folder_sync(storage->folder);
-	if (rename(storage->fresh_path, storage->path))
+	if (rename(storage->rewrite_path, storage->database_path))
 		goto failed;
 	storage_folder_sync(storage->folder);
 	tdb_close(storage->database);
-	storage->database = fresh;
+	storage->database = new_database;
 	return true;
 failed:
-	tdb_close(fresh);
-	(void)unlink(storage->fresh_path);
+	tdb_close(new_database);
+	(void)unlink(storage->rewrite_path);
 	return false;
 }
 
@@ -164,7 +165,8 @@
  * the next opening. The library's log tells. */
 bool storage_transaction_commit(struct storage *storage)
 {
-	int faults_before = storage->library_faults;
+	int error_count_before = storage->tdb_error_count;
 
-	return tdb_transaction_commit(storage->database) == 0 && storage->library_faults == faults_before;
+	return tdb_transaction_commit(storage->database) == 0 &&
+	       storage->tdb_error_count == error_count_before;
 }
--- a/lib/shell/storage_internal.h
+++ b/lib/shell/storage_internal.h
@@ -1,7 +1,7 @@
-/* storage_internal: what the files of the storage module share. Not for other modules.
- *   storage.c         opening, closing, identity       storage_file.c    the database file: opening anew,
- * writing anew storage_record.c  records and their checksums      storage_write.c   batches of changes, the
- * writer thread storage_load.c    reading back and checking */
+/* storage_internal: declarations shared by the files of the storage module. Not for other modules.
+ * storage.c: opening and closing, identity. storage_file.c: the database file, its reopening and rewriting.
+ * storage_record.c: records and their checksums. storage_write.c: batches of changes, the writer thread.
+ * storage_load.c: loading and checking of all records. */
 #ifndef NL_STORAGE_INTERNAL_H
 #define NL_STORAGE_INTERNAL_H
 
@@ -17,17 +17,17 @@
 #include "storage.h"
 
 enum {
-	STORAGE_MAX_KEY_BYTES = 64, /* of a record's key, its terminating zero included */
-	CHECKSUM_BYTES = 8          /* at the start of each record */
+	STORAGE_MAX_KEY_BYTES = 64, /* of a record's key, including the terminating zero */
+	CHECKSUM_BYTES = 8          /* size of the checksum at the start of each record */
 };
 
-/* Keys and forms of the records. They stand on disks of running fleets and must stay as they are:
+/* Keys and formats of the records. They are stored on disks of running fleets and must not change:
  *   id            identity_record
  *   total         storage_total
  *   m/SHARD       vote_record
  *   s/SHARD       snapshot_header, members, data
  *   e/SHARD/INDEX entry_header, data
- * Integers have the byte order of the machine. */
+ * Integers are stored in the byte order of the machine. */
 #define STORAGE_IDENTITY_KEY "id"
 #define STORAGE_TOTAL_KEY "total"
 
@@ -38,7 +38,7 @@
 
 struct vote_record {
 	uint64_t term;
-	uint64_t vote;
+	uint64_t voted_for;
 };
 
 struct snapshot_header {
@@ -53,11 +53,11 @@
 	uint64_t kind;
 };
 
-/* The number of records, this one not counted, and the sum of their checksums. The last write of each
- * transaction, so that a file after a loss of power shows whether it holds the records of one transaction and
- * no others. */
+/* The total record: the number of all other records and the sum of their checksums. It is the last write of
+ * each transaction. After a loss of power it shows whether the file holds exactly the records of one
+ * transaction. */
 struct storage_total {
-	uint64_t records;
+	uint64_t record_count;
 	uint64_t checksum_sum;
 };
 
@@ -66,99 +66,105 @@
 	uint64_t value;
 };
 
-/* The writer thread writes; storage_write_identity may write from the owner's thread. Both do it under mutex,
- * which protects all from database to rewrite_due. Before the thread starts and after it has ended, the
- * caller of storage_open owns everything. */
+/* The writer thread writes the changes of shards; storage_write_identity writes from the caller's thread.
+ * Both hold mutex, which protects the fields from database to rewrite_pending. Before the writer thread is
+ * started and after it has ended, the caller of storage_open owns all fields. */
 struct storage {
-	struct tdb_context *database;      /* NULL: it could not be opened anew */
-	struct record_checksum *checksums; /* stb_ds: by key, of every record but the total's */
-	struct storage_total total;        /* of checksums */
-	uint64_t first_entry[SHARD_COUNT]; /* lowest index stored; 0: none */
-	uint64_t last_entry[SHARD_COUNT];  /* highest index stored */
-	int library_faults;                /* that TDB has logged */
-	bool transaction_failed;           /* since the file was opened: what it holds is not known */
-	bool rewrite_pending;              /* the file is torn outside its records and takes no transaction */
-	bool scrub_pending; /* deleted records must not stay in freed pages; the writer thread's alone */
+	struct tdb_context *database;      /* NULL: the file is not open, since it could not be reopened */
+	struct record_checksum *checksums; /* stb_ds hash map by record key; without the total record */
+	struct storage_total total;        /* count and sum of the elements of checksums */
+	uint64_t first_entry_index[SHARD_COUNT]; /* lowest stored log index; 0: none */
+	uint64_t last_entry_index[SHARD_COUNT];  /* highest stored log index */
+	int tdb_error_count;                     /* errors that TDB has logged */
+	bool transaction_failed; /* a transaction failed since the file was opened, so its contents are
+				    unknown */
+	bool rewrite_pending; /* the file is damaged outside its records; it must be rewritten before the next
+			   transaction */
+	bool erase_pending;   /* a rewrite must erase deleted records from freed pages; only the writer thread
+				 uses this flag */
 	apr_thread_mutex_t *mutex;
 
-	struct ring *events; /* where SHELL_EVENT_SYNCED goes */
-	struct ring *jobs;   /* of struct storage_job: to the writer thread */
+	struct ring *events;    /* receives SHELL_EVENT_SYNCED */
+	struct ring *job_queue; /* of struct storage_job, for the writer thread */
 	apr_thread_t *thread;
-	atomic_bool stop;
+	atomic_bool stop_requested;
 	_Atomic uint64_t sync_count;
 	_Atomic uint64_t refused_count;
 
-	/* set once by storage_open */
-	int lock_fd; /* holds the folder's lock; -1: not locked */
-	const char *fault_file;
+	/* set once, by storage_open */
+	int lock_fd; /* open lock file, which holds the lock of the folder; -1: not open */
+	const char *sync_delay_file;
 	const char *folder;
-	const char *path;       /* of the database file */
-	const char *fresh_path; /* under which it is written anew */
+	const char *database_path;
+	const char *rewrite_path; /* path of the new file while the database is rewritten */
 };
 
 /* ---- storage_record.c ---- */
 
-/* Write a record: checksum over key and body, then the body, which is head and then data. False when the file
- * refuses. */
-bool storage_record_put(struct storage *storage, const char *key, const void *head, size_t head_size,
-			const void *data, size_t size);
+/* Write a record: a checksum over key and body, then the body, which consists of header and data. Returns
+ * false if the database rejects the write. */
+bool storage_record_put(struct storage *storage, const char *key, const void *header, size_t header_size,
+			const void *data, size_t data_size);
 
-/* Delete a record; one that isn't there counts as deleted. False when the file refuses. */
+/* Delete a record. Returns true also if there is no such record, false if the database rejects the write. */
 bool storage_record_delete(struct storage *storage, const char *key);
 
-/* Write the total record; the last write of each transaction. */
+/* Write the total record. It must be the last write of each transaction. */
 bool storage_total_write(struct storage *storage);
 
-/* Note a record's checksum in the total. */
+/* Set a record's checksum and update the total. */
 void storage_checksum_set(struct storage *storage, const char *key, uint64_t checksum);
 
-/* Forget all checksums, and begin with none. */
+/* Remove all checksums and set the total to zero. */
 void storage_checksums_reset(struct storage *storage);
 
-/* The key of a log entry, in buffer. */
+/* Write the record key of a log entry to buffer, and return buffer. */
 const char *storage_entry_key(char *buffer, size_t size, uint32_t shard, uint64_t index);
 
 /* ---- storage_file.c ---- */
 
-/* Open a database file; faults that the library logs are counted in *faults, which must outlive it. NULL with
- * errno on an error. */
-struct tdb_context *storage_file_open(const char *path, int flags, int *faults);
+/* Open a database file. Errors that TDB logs are counted in *error_count, which must stay valid until the
+ * file is closed. Returns NULL and sets errno on an error. */
+struct tdb_context *storage_file_open(const char *path, int flags, int *error_count);
 
-/* Open a copy of the database file outside the data folder, which ends with tdb_close: what the file would
- * hold once the library has taken back an unfinished transaction, where the disk refuses the writes that this
- * needs. NULL when there is no room for the copy or it can't be opened either. */
-struct tdb_context *storage_file_open_copy(const char *path, int *faults);
+/* Open a temporary copy of the database file outside the data folder. TDB rolls back an unfinished
+ * transaction in the copy, as it would in the file if the disk accepted the writes. The copy is already
+ * unlinked; tdb_close frees its space. Returns NULL if there is no space for the copy or if TDB can't open it
+ * either. */
+struct tdb_context *storage_file_open_copy(const char *path, int *error_count);
 
-/* Open the file anew after a failed transaction and read its checksums again. False when that fails; it stays
- * due. */
+/* Reopen the file after a failed transaction and reload the checksums. Returns false if that fails; the next
+ * transaction then tries again. */
 bool storage_file_reopen(struct storage *storage);
 
-/* Write all records to a fresh file that takes the old one's name. False when the disk refuses; the old one
- * then stays. */
+/* Write all records to a new file and rename it over the old one. Returns false and keeps the old file if the
+ * disk rejects a write. */
 bool storage_file_rewrite(struct storage *storage);
 
-/* Make the file ready for a transaction and begin it. */
+/* Begin a transaction, after reopening or rewriting the file if that is pending. False on an error. */
 bool storage_transaction_begin(struct storage *storage);
 
-/* Commit, which syncs. On false the file must be opened anew to know what it holds. */
+/* Commit and sync. Returns false on an error; the contents of the file are then unknown until it is reopened.
+ */
 bool storage_transaction_commit(struct storage *storage);
 
-/* Sync the folder, so that the names in it last. */
+/* Sync the folder, so that creations and renames of its files survive a loss of power. */
 void storage_folder_sync(const char *folder);
 
 /* ---- storage_load.c ---- */
 
-/* Read and check all records into *found, and set the checksums and entry ranges of storage. False with
- * *failure on damage. passes_check: the result of TDB's own check of the file. */
-bool storage_load(struct storage *storage, bool passes_check, struct stored_state *found,
+/* Load all records into *state, check them, and set the checksums and the ranges of log indexes of storage.
+ * Returns false and fills in *failure if the file is damaged. passes_tdb_check: whether tdb_check succeeded.
+ */
+bool storage_load(struct storage *storage, bool passes_tdb_check, struct stored_state *state,
 		  struct storage_failure *failure, apr_pool_t *pool);
 
 /* ---- storage_write.c ---- */
 
-/* Start the writer thread. False when there is none. */
+/* Start the writer thread. Returns false if it could not be created. */
 bool storage_writer_start(struct storage *storage, apr_pool_t *pool);
 
-/* Stop the writer thread and drop the jobs that it has not begun. */
+/* Stop the writer thread and drop the jobs that it has not started. */
 void storage_writer_stop(struct storage *storage);
 
 #endif
--- a/lib/shell/storage_load.c
+++ b/lib/shell/storage_load.c
@@ -10,15 +10,15 @@
 #include "storage_internal.h"
 
 /* One reading of a file. */
-struct loading {
+struct load_context {
 	struct storage *storage;
-	struct stored_state *found;
+	struct stored_state *state;
 	apr_pool_t *pool;                        /* of what goes to found */
 	const char *damaged_key;                 /* of the first damaged record; NULL: none */
 	struct raft_entry *entries[SHARD_COUNT]; /* stb_ds; entry_index() of each until they are in order */
 	bool has_total;
-	struct storage_total total;   /* as the file says */
-	struct storage_total counted; /* as its records are */
+	struct storage_total stored_total;  /* as the file says */
+	struct storage_total counted_total; /* as its records are */
 };
 
 /* A record whose checksum is right. */
@@ -36,7 +36,7 @@
 		return false;
 	memcpy(&vote, record->body, sizeof vote);
 	shard->term = vote.term;
-	shard->vote = vote.vote;
+	shard->vote = vote.voted_for;
 	return true;
 }
 
@@ -80,56 +80,57 @@
 }
 
 /* Records of the control state: KIND/SHARD or KIND/SHARD/INDEX. */
-static bool load_shard_record(struct loading *loading, const struct loaded_record *record)
+static bool load_shard_record(struct load_context *context, const struct loaded_record *record)
 {
 	unsigned long shard;
-	char *rest;
+	char *key_rest;
 
 	if (strlen(record->key) < 2)
 		return false;
-	shard = strtoul(record->key + 2, &rest, 10);
+	shard = strtoul(record->key + 2, &key_rest, 10);
 	if (shard >= SHARD_COUNT)
 		return false;
 	switch (record->key[0]) {
 	case 'm':
-		return load_vote(record, &loading->found->shards[shard]);
+		return load_vote(record, &context->state->shards[shard]);
 	case 's':
-		return load_snapshot(record, &loading->found->shards[shard]);
+		return load_snapshot(record, &context->state->shards[shard]);
 	case 'e':
-		return load_entry(record, rest, &loading->entries[shard]);
+		return load_entry(record, key_rest, &context->entries[shard]);
 	default:
 		return false;
 	}
 }
 
-static bool load_identity(struct loading *loading, const struct loaded_record *record)
+static bool load_identity(struct load_context *context, const struct loaded_record *record)
 {
 	struct identity_record identity;
 
 	memcpy(&identity, record->body, sizeof identity);
-	loading->found->node_id = identity.node_id;
-	loading->found->fleet_id = identity.fleet_id;
+	context->state->node_id = identity.node_id;
+	context->state->fleet_id = identity.fleet_id;
 	return true;
 }
 
-static bool load_body(struct loading *loading, const struct loaded_record *record, uint64_t checksum)
+static bool load_record_body(struct load_context *context, const struct loaded_record *record,
+			     uint64_t checksum)
 {
-	if (strcmp(record->key, STORAGE_TOTAL_KEY) == 0 && record->size == sizeof loading->total) {
-		memcpy(&loading->total, record->body, sizeof loading->total);
-		loading->has_total = true;
+	if (strcmp(record->key, STORAGE_TOTAL_KEY) == 0 && record->size == sizeof context->stored_total) {
+		memcpy(&context->stored_total, record->body, sizeof context->stored_total);
+		context->has_total = true;
 		return true;
 	}
 	if (strlen(record->key) >= STORAGE_MAX_KEY_BYTES)
 		return false;
-	loading->counted.records++;
-	loading->counted.checksum_sum += checksum;
-	storage_checksum_set(loading->storage, record->key, checksum);
+	context->counted_total.record_count++;
+	context->counted_total.checksum_sum += checksum;
+	storage_checksum_set(context->storage, record->key, checksum);
 	if (strcmp(record->key, STORAGE_IDENTITY_KEY) == 0 && record->size == sizeof(struct identity_record))
-		return load_identity(loading, record);
-	return load_shard_record(loading, record);
+		return load_identity(context, record);
+	return load_shard_record(context, record);
 }
 
-static bool load_checked(struct loading *loading, struct loaded_record *record, TDB_DATA value)
+static bool check_and_load_record(struct load_context *context, struct loaded_record *record, TDB_DATA value)
 {
 	uint64_t checksum;
 
@@ -137,34 +138,34 @@
 		return false;
 	memcpy(&checksum, value.dptr, CHECKSUM_BYTES);
 	record->size = value.dsize - CHECKSUM_BYTES;
-	record->body = apr_palloc(loading->pool, record->size + 1);
+	record->body = apr_palloc(context->pool, record->size + 1);
 	memcpy(record->body, value.dptr + CHECKSUM_BYTES, record->size);
 	if (checksum != core_hash(core_hash_string(0, record->key), record->body, record->size))
 		return false;
-	return load_body(loading, record, checksum);
+	return load_record_body(context, record, checksum);
 }
 
 static int load_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *argument)
 {
-	struct loading *loading = argument;
-	struct loaded_record record = { .key = apr_pstrmemdup(loading->pool, (char *)key.dptr, key.dsize) };
+	struct load_context *context = argument;
+	struct loaded_record record = { .key = apr_pstrmemdup(context->pool, (char *)key.dptr, key.dsize) };
 
 	(void)database;
-	if (load_checked(loading, &record, value))
+	if (check_and_load_record(context, &record, value))
 		return 0;
-	loading->damaged_key = record.key;
+	context->damaged_key = record.key;
 	return -1;
 }
 
 /* Whether these are all records of the last transaction, and of no other. The library's own check also looks
  * at what holds no record: it finds fault with a file that lost power while space for a larger transaction
  * was made, though nothing is missing. A file of an early version has no total and must pass that check. */
-static bool is_complete(const struct loading *loading, bool passes_check)
+static bool is_complete(const struct load_context *context, bool passes_tdb_check)
 {
-	if (!loading->has_total)
-		return passes_check;
-	return loading->counted.records == loading->total.records &&
-	       loading->counted.checksum_sum == loading->total.checksum_sum;
+	if (!context->has_total)
+		return passes_tdb_check;
+	return context->counted_total.record_count == context->stored_total.record_count &&
+	       context->counted_total.checksum_sum == context->stored_total.checksum_sum;
 }
 
 /* The index of an entry that was loaded. The traversal of the file has no order; until the entries are
@@ -207,49 +208,50 @@
 			return STORAGE_ENTRY_MISSING;
 		saved->entries[i] = entries[i];
 	}
-	storage->first_entry[shard] = saved->first_index;
-	storage->last_entry[shard] = saved->first_index + count - 1;
+	storage->first_entry_index[shard] = saved->first_index;
+	storage->last_entry_index[shard] = saved->first_index + count - 1;
 	if (saved->first_index > saved->snapshot_index + 1)
 		return STORAGE_SNAPSHOT_MISSING;
 	return STORAGE_OK;
 }
 
-static enum storage_error assemble(struct loading *loading, struct storage_failure *failure)
+static enum storage_error assemble_logs(struct load_context *context, struct storage_failure *failure)
 {
 	for (int shard = 0; shard < SHARD_COUNT; shard++) {
-		struct raft_saved *saved = &loading->found->shards[shard];
+		struct raft_saved *saved = &context->state->shards[shard];
 		enum storage_error error;
 
-		loading->found->shard_pointers[shard] = saved;
+		context->state->shard_pointers[shard] = saved;
 		failure->shard = shard;
-		error = assemble_log(loading->storage, shard, loading->entries[shard], saved, &failure->index,
-				     loading->pool);
+		error = assemble_log(context->storage, shard, context->entries[shard], saved, &failure->index,
+				     context->pool);
 		if (error != STORAGE_OK)
 			return error;
 	}
 	return STORAGE_OK;
 }
 
-static enum storage_error load(struct loading *loading, bool passes_check, struct storage_failure *failure)
+static enum storage_error load_all_records(struct load_context *context, bool passes_tdb_check,
+					   struct storage_failure *failure)
 {
-	if (tdb_traverse_read(loading->storage->database, load_record, loading) < 0 || loading->damaged_key) {
-		failure->record = loading->damaged_key;
+	if (tdb_traverse_read(context->storage->database, load_record, context) < 0 || context->damaged_key) {
+		failure->record = context->damaged_key;
 		return STORAGE_RECORD_DAMAGED;
 	}
-	if (!is_complete(loading, passes_check))
+	if (!is_complete(context, passes_tdb_check))
 		return STORAGE_RECORDS_MISSING;
-	return assemble(loading, failure);
+	return assemble_logs(context, failure);
 }
 
-bool storage_load(struct storage *storage, bool passes_check, struct stored_state *found,
+bool storage_load(struct storage *storage, bool passes_tdb_check, struct stored_state *state,
 		  struct storage_failure *failure, apr_pool_t *pool)
 {
-	struct loading loading = { .storage = storage, .found = found, .pool = pool };
+	struct load_context context = { .storage = storage, .state = state, .pool = pool };
 
 	storage_checksums_reset(storage);
-	failure->path = storage->path;
-	failure->error = load(&loading, passes_check, failure);
+	failure->path = storage->database_path;
+	failure->error = load_all_records(&context, passes_tdb_check, failure);
 	for (int shard = 0; shard < SHARD_COUNT; shard++)
-		arrfree(loading.entries[shard]);
+		arrfree(context.entries[shard]);
 	return failure->error == STORAGE_OK;
 }
--- a/lib/shell/storage_record.c
+++ b/lib/shell/storage_record.c
@@ -8,48 +8,48 @@
 #include "containers.h"
 #include "storage_internal.h"
 
-static TDB_DATA key_data(const char *key)
+static TDB_DATA tdb_key(const char *key)
 {
 	return (TDB_DATA){ (unsigned char *)(uintptr_t)key, strlen(key) };
 }
 
 /* Writes a record and returns its checksum, without noting it in the total. */
-static bool record_write(struct storage *storage, const char *key, const void *head, size_t head_size,
-			 const void *data, size_t size, uint64_t *checksum)
+static bool write_record(struct storage *storage, const char *key, const void *header, size_t header_size,
+			 const void *data, size_t data_size, uint64_t *checksum)
 {
-	size_t record_size = CHECKSUM_BYTES + head_size + size;
+	size_t record_size = CHECKSUM_BYTES + header_size + data_size;
 	uint8_t *record = malloc(record_size);
 	TDB_DATA value = { record, record_size };
 	int status;
 
 	if (!record)
 		abort();
-	memcpy(record + CHECKSUM_BYTES, head, head_size);
-	if (size)
-		memcpy(record + CHECKSUM_BYTES + head_size, data, size);
-	*checksum = core_hash(core_hash_string(0, key), record + CHECKSUM_BYTES, head_size + size);
+	memcpy(record + CHECKSUM_BYTES, header, header_size);
+	if (data_size)
+		memcpy(record + CHECKSUM_BYTES + header_size, data, data_size);
+	*checksum = core_hash(core_hash_string(0, key), record + CHECKSUM_BYTES, header_size + data_size);
 	memcpy(record, checksum, CHECKSUM_BYTES);
-	status = tdb_store(storage->database, key_data(key), value, TDB_REPLACE);
+	status = tdb_store(storage->database, tdb_key(key), value, TDB_REPLACE);
 	free(record);
 	return status == 0;
 }
 
 /* Takes a record's checksum out of the total. */
-static void total_subtract(struct storage *storage, const char *key)
+static void subtract_from_total(struct storage *storage, const char *key)
 {
-	ptrdiff_t old = shgeti(storage->checksums, key);
+	ptrdiff_t position = shgeti(storage->checksums, key);
 
-	if (old < 0)
+	if (position < 0)
 		return;
-	storage->total.checksum_sum -= storage->checksums[old].value;
-	storage->total.records--;
+	storage->total.checksum_sum -= storage->checksums[position].value;
+	storage->total.record_count--;
 }
 
 void storage_checksum_set(struct storage *storage, const char *key, uint64_t checksum)
 {
-	total_subtract(storage, key);
+	subtract_from_total(storage, key);
 	storage->total.checksum_sum += checksum;
-	storage->total.records++;
+	storage->total.record_count++;
 	shput(storage->checksums, key, checksum);
 }
 
@@ -60,12 +60,12 @@
 	storage->total = (struct storage_total){ 0 };
 }
 
-bool storage_record_put(struct storage *storage, const char *key, const void *head, size_t head_size,
-			const void *data, size_t size)
+bool storage_record_put(struct storage *storage, const char *key, const void *header, size_t header_size,
+			const void *data, size_t data_size)
 {
 	uint64_t checksum;
 
-	if (!record_write(storage, key, head, head_size, data, size, &checksum))
+	if (!write_record(storage, key, header, header_size, data, data_size, &checksum))
 		return false;
 	storage_checksum_set(storage, key, checksum);
 	return true;
@@ -75,9 +75,9 @@
 {
 	if (shgeti(storage->checksums, key) < 0)
 		return true;
-	if (tdb_delete(storage->database, key_data(key)))
+	if (tdb_delete(storage->database, tdb_key(key)))
 		return false;
-	total_subtract(storage, key);
+	subtract_from_total(storage, key);
 	(void)shdel(storage->checksums, key);
 	return true;
 }
@@ -86,7 +86,7 @@
 {
 	uint64_t checksum;
 
-	return record_write(storage, STORAGE_TOTAL_KEY, &storage->total, sizeof storage->total, NULL, 0,
+	return write_record(storage, STORAGE_TOTAL_KEY, &storage->total, sizeof storage->total, NULL, 0,
 			    &checksum);
 }
 
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -16,9 +16,9 @@
 enum {
 	MAX_QUEUED_JOBS = 65536,
 	MAX_BATCH_JOBS = 256,
-	JOB_WAIT_MS = 100,
-	RETRY_AFTER_US = 200000, /* after the disk has refused a batch */
-	FAULT_POLL_US = 5000     /* between looks whether an injected delay is over */
+	JOB_POLL_MS = 100,
+	RETRY_INTERVAL_US = 200000, /* after the disk has refused a batch */
+	DELAY_FILE_POLL_US = 5000   /* between looks whether an injected delay is over */
 };
 
 /* A change on its way to the writer thread. It is allocated from its own pool, which ends with it. */
@@ -52,7 +52,7 @@
 /* Entries from truncate_from on were replaced by another leader's. */
 static bool truncate_log(struct storage *storage, const struct persist *write)
 {
-	uint64_t *last = &storage->last_entry[write->shard];
+	uint64_t *last = &storage->last_entry_index[write->shard];
 
 	if (!write->truncate_from)
 		return true;
@@ -68,8 +68,8 @@
 {
 	struct snapshot_header header = { write->snapshot_index, write->snapshot_term, write->members_len,
 					  write->data_len };
-	uint64_t *first = &storage->first_entry[write->shard];
-	uint64_t last = storage->last_entry[write->shard];
+	uint64_t *first = &storage->first_entry_index[write->shard];
+	uint64_t last = storage->last_entry_index[write->shard];
 	uint8_t *payload = malloc(write->members_len + write->data_len + 1);
 	char key[STORAGE_MAX_KEY_BYTES];
 	bool written;
@@ -94,8 +94,8 @@
 
 static bool append_entries(struct storage *storage, const struct persist *write)
 {
-	uint64_t *first = &storage->first_entry[write->shard];
-	uint64_t *last = &storage->last_entry[write->shard];
+	uint64_t *first = &storage->first_entry_index[write->shard];
+	uint64_t *last = &storage->last_entry_index[write->shard];
 	char key[STORAGE_MAX_KEY_BYTES];
 
 	for (size_t i = 0; i < write->entry_count; i++) {
@@ -112,7 +112,7 @@
 	return true;
 }
 
-static bool write_shard(struct storage *storage, const struct persist *write)
+static bool write_change(struct storage *storage, const struct persist *write)
 {
 	return write_vote(storage, write) && truncate_log(storage, write) &&
 	       (!write->has_snapshot || write_snapshot(storage, write)) && append_entries(storage, write);
@@ -127,7 +127,7 @@
 	if (!storage_transaction_begin(storage))
 		return false;
 	for (size_t i = 0; i < count && written; i++)
-		written = write_shard(storage, &jobs[i]->write);
+		written = write_change(storage, &jobs[i]->write);
 	written = written && storage_total_write(storage);
 	if (written)
 		written = storage_transaction_commit(
@@ -141,19 +141,19 @@
 /* Writes all or nothing. */
 static bool write_batch(struct storage *storage, struct storage_job **jobs, size_t count)
 {
-	uint64_t first[SHARD_COUNT];
-	uint64_t last[SHARD_COUNT];
+	uint64_t first_before[SHARD_COUNT];
+	uint64_t last_before[SHARD_COUNT];
 	bool written;
 
 	apr_thread_mutex_lock(storage->mutex);
-	memcpy(first, storage->first_entry, sizeof first);
-	memcpy(last, storage->last_entry, sizeof last);
+	memcpy(first_before, storage->first_entry_index, sizeof first_before);
+	memcpy(last_before, storage->last_entry_index, sizeof last_before);
 	written = write_transaction(storage, jobs, count);
 	if (written) {
 		storage->sync_count++;
 	} else {
-		memcpy(storage->first_entry, first, sizeof first);
-		memcpy(storage->last_entry, last, sizeof last);
+		memcpy(storage->first_entry_index, first_before, sizeof first_before);
+		memcpy(storage->last_entry_index, last_before, sizeof last_before);
 	}
 	apr_thread_mutex_unlock(storage->mutex);
 	return written;
@@ -165,7 +165,7 @@
 {
 	bool refused = false;
 
-	while (!storage->stop && !write_batch(storage, jobs, count)) {
+	while (!storage->stop_requested && !write_batch(storage, jobs, count)) {
 		if (!refused)
 			log_write(LOG_ERROR, "storage",
 				  "Step write: the disk refuses (%s); the write is retried.",
@@ -173,20 +173,20 @@
 						    : "the file cannot be opened");
 		refused = true;
 		storage->refused_count++;
-		apr_sleep(RETRY_AFTER_US);
+		apr_sleep(RETRY_INTERVAL_US);
 	}
 	return refused;
 }
 
 /* Deleted records must not be readable from freed pages: the file is written anew. */
-static void scrub(struct storage *storage)
+static void erase_deleted_records(struct storage *storage)
 {
 	bool rewritten;
 
 	apr_thread_mutex_lock(storage->mutex);
 	rewritten = storage_file_rewrite(storage);
 	apr_thread_mutex_unlock(storage->mutex);
-	storage->scrub_pending = !rewritten;
+	storage->erase_pending = !rewritten;
 	if (!rewritten)
 		log_write(
 		    LOG_ERROR, "storage",
@@ -196,9 +196,9 @@
 /* ---- the thread ---- */
 
 /* The milliseconds in the fault file; 0 without one. */
-static int64_t injected_delay_ms(const struct storage *storage)
+static int64_t read_injected_delay_ms(const struct storage *storage)
 {
-	FILE *file = storage->fault_file ? fopen(storage->fault_file, "r") : NULL;
+	FILE *file = storage->sync_delay_file ? fopen(storage->sync_delay_file, "r") : NULL;
 	long delay_ms = 0;
 
 	if (!file)
@@ -216,22 +216,22 @@
 	int64_t delay_ms;
 
 	do {
-		delay_ms = injected_delay_ms(storage);
+		delay_ms = read_injected_delay_ms(storage);
 		if (delay_ms > 0)
-			apr_sleep(FAULT_POLL_US);
-	} while (delay_ms > 0 && clock_ms() - began_at_ms < delay_ms && !storage->stop);
+			apr_sleep(DELAY_FILE_POLL_US);
+	} while (delay_ms > 0 && clock_ms() - began_at_ms < delay_ms && !storage->stop_requested);
 }
 
 /* All jobs that wait, MAX_BATCH_JOBS at most. */
-static size_t take_jobs(struct storage *storage, struct storage_job **jobs)
+static size_t take_queued_jobs(struct storage *storage, struct storage_job **jobs)
 {
 	size_t count;
 
-	jobs[0] = ring_pop(storage->jobs, JOB_WAIT_MS);
+	jobs[0] = ring_pop(storage->job_queue, JOB_POLL_MS);
 	if (!jobs[0])
 		return 0;
 	for (count = 1; count < MAX_BATCH_JOBS; count++) {
-		jobs[count] = ring_pop(storage->jobs, 0);
+		jobs[count] = ring_pop(storage->job_queue, 0);
 		if (!jobs[count])
 			break;
 	}
@@ -245,7 +245,7 @@
 	event->shard = job->write.shard;
 	event->sequence = job->write.seq;
 	apr_pool_destroy(job->pool);
-	if (storage->stop)
+	if (storage->stop_requested)
 		shell_event_free(event);
 	else
 		ring_push(storage->events, event, 1);
@@ -257,8 +257,8 @@
 	struct storage_job *jobs[MAX_BATCH_JOBS];
 
 	(void)thread;
-	while (!storage->stop) {
-		size_t count = take_jobs(storage, jobs);
+	while (!storage->stop_requested) {
+		size_t count = take_queued_jobs(storage, jobs);
 		bool refused;
 
 		if (!count)
@@ -266,10 +266,10 @@
 		inject_sync_delay(storage);
 		refused = write_batch_until_synced(storage, jobs, count);
 		for (size_t i = 0; i < count; i++)
-			storage->scrub_pending |= jobs[i]->write.scrub;
-		if (storage->scrub_pending && !storage->stop)
-			scrub(storage);
-		if (refused && !storage->stop)
+			storage->erase_pending |= jobs[i]->write.scrub;
+		if (storage->erase_pending && !storage->stop_requested)
+			erase_deleted_records(storage);
+		if (refused && !storage->stop_requested)
 			log_write(LOG_INFO, "storage", "Disk accepts writes again.");
 		for (size_t i = 0; i < count; i++)
 			acknowledge_job(storage, jobs[i]);
@@ -279,7 +279,7 @@
 
 bool storage_writer_start(struct storage *storage, apr_pool_t *pool)
 {
-	ring_open(&storage->jobs, MAX_QUEUED_JOBS, pool);
+	ring_open(&storage->job_queue, MAX_QUEUED_JOBS, pool);
 	return apr_thread_create(&storage->thread, NULL, writer_thread, storage, pool) == APR_SUCCESS;
 }
 
@@ -288,9 +288,9 @@
 	struct storage_job *job;
 	apr_status_t status;
 
-	storage->stop = true;
+	storage->stop_requested = true;
 	apr_thread_join(&status, storage->thread);
-	while ((job = ring_pop(storage->jobs, 0)))
+	while ((job = ring_pop(storage->job_queue, 0)))
 		apr_pool_destroy(job->pool);
 }
 
@@ -313,5 +313,5 @@
 		job->write.members = apr_pmemdup(pool, write->members, write->members_len + 1);
 		job->write.data = apr_pmemdup(pool, write->data, write->data_len + 1);
 	}
-	ring_push(storage->jobs, job, 1);
+	ring_push(storage->job_queue, job, 1);
 }
--- a/lib/shell/transport.c
+++ b/lib/shell/transport.c
@@ -15,9 +15,9 @@
 #include "transport_internal.h"
 
 enum {
-	POLL_MS = 100,
-	CLOSE_MS = 200,     /* at the end, for messages that were queued last to leave */
-	CLOSE_POLL_MS = 10, /* between looks whether they have */
+	POLL_TIMEOUT_MS = 100,
+	CLOSE_FLUSH_MS = 200,       /* at the end, for messages that were queued last to leave */
+	CLOSE_POLL_TIMEOUT_MS = 10, /* between looks whether they have */
 	MAX_QUEUED_FRAMES = 65536,
 	MAX_POLLED_SOCKETS = 4096,
 	LISTEN_BACKLOG = 128
@@ -25,9 +25,9 @@
 
 void transport_stop_polling(struct transport *transport, struct transport_connection *connection)
 {
-	if (connection->in_pollset)
+	if (connection->is_in_pollset)
 		apr_pollset_remove(transport->pollset, &connection->poll_fd);
-	connection->in_pollset = false;
+	connection->is_in_pollset = false;
 }
 
 bool transport_poll(struct transport *transport, struct transport_connection *connection, apr_int16_t events)
@@ -39,8 +39,8 @@
 	connection->poll_fd.desc.s = connection->socket;
 	connection->poll_fd.client_data = connection;
 	connection->poll_fd.p = connection->pool;
-	connection->in_pollset = apr_pollset_add(transport->pollset, &connection->poll_fd) == APR_SUCCESS;
-	return connection->in_pollset;
+	connection->is_in_pollset = apr_pollset_add(transport->pollset, &connection->poll_fd) == APR_SUCCESS;
+	return connection->is_in_pollset;
 }
 
 apr_sockaddr_t *transport_socket_address(uint64_t addr, apr_pool_t *pool)
@@ -56,7 +56,7 @@
 
 /* ---- the thread ---- */
 
-static void handle_ready(struct transport *transport, const apr_pollfd_t *ready)
+static void dispatch_ready_socket(struct transport *transport, const apr_pollfd_t *ready)
 {
 	struct transport_connection *connection = ready->client_data;
 
@@ -75,7 +75,7 @@
 }
 
 /* Waits for sockets, then sends what was queued. */
-static void serve(struct transport *transport, int timeout_ms)
+static void poll_and_send(struct transport *transport, int timeout_ms)
 {
 	const apr_pollfd_t *ready = NULL;
 	struct outgoing_frame *frame;
@@ -83,7 +83,7 @@
 
 	apr_pollset_poll(transport->pollset, apr_time_from_msec(timeout_ms), &count, &ready);
 	for (apr_int32_t i = 0; i < count; i++)
-		handle_ready(transport, &ready[i]);
+		dispatch_ready_socket(transport, &ready[i]);
 	while ((frame = ring_pop(transport->outgoing_frames, 0))) {
 		transport_outgoing_enqueue(transport, frame);
 		free_frame(frame);
@@ -96,12 +96,12 @@
 	int64_t end_ms;
 
 	(void)thread;
-	while (!transport->stop)
-		serve(transport, POLL_MS);
-	end_ms = clock_ms() + CLOSE_MS;
+	while (!transport->stop_requested)
+		poll_and_send(transport, POLL_TIMEOUT_MS);
+	end_ms = clock_ms() + CLOSE_FLUSH_MS;
 	do
-		serve(transport, CLOSE_POLL_MS);
-	while (transport_has_unsent(transport) && clock_ms() < end_ms);
+		poll_and_send(transport, CLOSE_POLL_TIMEOUT_MS);
+	while (transport_has_unsent_bytes(transport) && clock_ms() < end_ms);
 	return NULL;
 }
 
@@ -205,7 +205,7 @@
 	struct outgoing_frame *frame;
 	apr_status_t status;
 
-	transport->stop = true;
+	transport->stop_requested = true;
 	apr_pollset_wakeup(transport->pollset);
 	apr_thread_join(&status, transport->thread);
 	while ((frame = ring_pop(transport->outgoing_frames, 0)))
--- a/lib/shell/transport_incoming.c
+++ b/lib/shell/transport_incoming.c
@@ -11,8 +11,8 @@
 #include "transport_internal.h"
 
 enum {
-	MAX_READS = 64, /* of one connection before others have their turn */
-	READ_BYTES = 65536
+	MAX_READS_PER_POLL = 64, /* of one connection before others have their turn */
+	READ_BUFFER_BYTES = 65536
 };
 
 static void incoming_close(struct transport *transport, struct transport_connection *connection)
@@ -74,8 +74,8 @@
 
 void transport_incoming_ready(struct transport *transport, struct transport_connection *connection)
 {
-	for (int reads = 0; reads < MAX_READS; reads++) {
-		char bytes[READ_BYTES];
+	for (int reads = 0; reads < MAX_READS_PER_POLL; reads++) {
+		char bytes[READ_BUFFER_BYTES];
 		apr_size_t size = sizeof bytes;
 		apr_status_t status = apr_socket_recv(connection->socket, bytes, &size);
 
--- a/lib/shell/transport_outgoing.c
+++ b/lib/shell/transport_outgoing.c
@@ -17,11 +17,11 @@
 
 enum {
 	MAX_QUEUED_BYTES = 64 << 20, /* of one connection */
-	COMPACT_BYTES =
-	    1 << 20,        /* written bytes at the start of a buffer that are worth moving the rest for */
-	REDIAL_MS = 200,    /* after a connection was closed */
-	DIAL_MS = 250,      /* without an answer, after which another dial goes out beside it */
-	MAX_OLDER_DIALS = 8 /* a round trip longer than that many dials is as good as none */
+	COMPACT_MIN_BYTES =
+	    1 << 20,           /* written bytes at the start of a buffer that are worth moving the rest for */
+	REDIAL_DELAY_MS = 200, /* after a connection was closed */
+	PARALLEL_DIAL_DELAY_MS = 250, /* without an answer, after which another dial goes out beside it */
+	MAX_OLDER_DIALS = 8           /* a round trip longer than that many dials is as good as none */
 };
 
 /* Bytes that are not acknowledged for so long end a connection. The kernel would retransmit to a silent
@@ -29,9 +29,9 @@
  * acknowledgement may take as long as that: so a connection whose dial took its time gets a few round trips
  * more. */
 enum {
-	UNACKED_MS = 1000,
+	UNACKED_TIMEOUT_MS = 1000,
 	UNACKED_ROUND_TRIPS = 3, /* as the dial took them, on top of it */
-	UNACKED_MAX_MS = 5000
+	UNACKED_TIMEOUT_MAX_MS = 5000
 };
 
 static void dial_close(struct transport *transport, struct dial *dial)
@@ -55,14 +55,14 @@
 	if (connection->socket)
 		apr_socket_close(connection->socket);
 	connection->socket = NULL;
-	connection->connected = false;
+	connection->is_connected = false;
 	arrsetlen(connection->buffer, 0);
 	connection->sent_offset = 0;
-	connection->redial_at_ms = clock_ms() + REDIAL_MS;
+	connection->redial_at_ms = clock_ms() + REDIAL_DELAY_MS;
 	apr_pool_clear(connection->pool);
 }
 
-static void limit_unacknowledged(apr_socket_t *socket, int timeout_ms)
+static void set_unacked_timeout(apr_socket_t *socket, int timeout_ms)
 {
 	apr_os_sock_t fd;
 
@@ -83,7 +83,7 @@
 	apr_socket_opt_set(connection->socket, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(connection->socket, 0);
 	apr_socket_opt_set(connection->socket, APR_TCP_NODELAY, 1);
-	limit_unacknowledged(connection->socket, DIAL_MS * (MAX_OLDER_DIALS + 1));
+	set_unacked_timeout(connection->socket, PARALLEL_DIAL_DELAY_MS * (MAX_OLDER_DIALS + 1));
 	connection->dialled_at_ms = clock_ms();
 	status = apr_socket_connect(connection->socket, socket_address);
 	if (status != APR_SUCCESS && !APR_STATUS_IS_EINPROGRESS(status)) {
@@ -117,7 +117,7 @@
 /* An answer to a dial may only be slow, behind a saturated link: the dial stays, and another goes out beside
  * it, for the kernel asks a machine that was down again after a second at the soonest. What was queued for it
  * is no longer worth sending. */
-static void dial_beside(struct transport *transport, struct transport_connection *connection)
+static void dial_in_parallel(struct transport *transport, struct transport_connection *connection)
 {
 	struct dial dial = { connection->pool, connection->socket, connection->poll_fd,
 			     connection->dialled_at_ms };
@@ -129,7 +129,7 @@
 	arrput(connection->older_dials, dial);
 	apr_pool_create(&connection->pool, transport->pool);
 	connection->socket = NULL;
-	connection->in_pollset = false;
+	connection->is_in_pollset = false;
 	arrsetlen(connection->buffer, 0);
 	connection->sent_offset = 0;
 	outgoing_dial(transport, connection);
@@ -138,24 +138,25 @@
 /* The first answer to a dial: this socket is the connection's, and the other dials are closed. */
 static void outgoing_connected(struct transport *transport, struct transport_connection *connection)
 {
-	int64_t timeout_ms = UNACKED_MS + UNACKED_ROUND_TRIPS * (clock_ms() - connection->dialled_at_ms);
+	int64_t timeout_ms =
+	    UNACKED_TIMEOUT_MS + UNACKED_ROUND_TRIPS * (clock_ms() - connection->dialled_at_ms);
 
 	older_dials_close(transport, connection);
-	limit_unacknowledged(connection->socket,
-			     (int)(timeout_ms < UNACKED_MAX_MS ? timeout_ms : UNACKED_MAX_MS));
-	if (connection->unreachable_logged)
+	set_unacked_timeout(connection->socket,
+			    (int)(timeout_ms < UNACKED_TIMEOUT_MAX_MS ? timeout_ms : UNACKED_TIMEOUT_MAX_MS));
+	if (connection->is_unreachable_logged)
 		log_write(LOG_INFO, "transport", "Peer %s is reachable again.",
 			  core_format_addr(connection->pool, connection->addr));
-	connection->connected = true;
-	connection->unreachable_logged = false;
+	connection->is_connected = true;
+	connection->is_unreachable_logged = false;
 }
 
 static void dial_failed(struct transport *transport, struct transport_connection *connection)
 {
-	if (!connection->unreachable_logged)
+	if (!connection->is_unreachable_logged)
 		log_write(LOG_WARN, "transport", "Peer %s is unreachable.",
 			  core_format_addr(connection->pool, connection->addr));
-	connection->unreachable_logged = true;
+	connection->is_unreachable_logged = true;
 	outgoing_close(transport, connection);
 }
 
@@ -174,7 +175,7 @@
 {
 	bool failed = (events & (APR_POLLERR | APR_POLLHUP)) != 0;
 
-	if (!connection->connected && failed) {
+	if (!connection->is_connected && failed) {
 		dial_failed(transport, connection);
 		return;
 	}
@@ -183,7 +184,7 @@
 		return;
 	}
 	if (events & APR_POLLOUT) {
-		if (!connection->connected)
+		if (!connection->is_connected)
 			outgoing_connected(transport, connection);
 		outgoing_write(transport, connection);
 	} else if (failed) {
@@ -215,7 +216,7 @@
 	connection->pool = dial.pool;
 	connection->socket = dial.socket;
 	connection->poll_fd = dial.poll_fd;
-	connection->in_pollset = true;
+	connection->is_in_pollset = true;
 	connection->dialled_at_ms = dial.started_at_ms;
 	newest_dial_ready(transport, connection, events);
 }
@@ -229,7 +230,8 @@
 		older_dial_ready(transport, connection, socket, events);
 }
 
-static struct transport_connection *find_or_add(struct transport *transport, uint64_t addr, bool is_bulk)
+static struct transport_connection *find_or_add_connection(struct transport *transport, uint64_t addr,
+							   bool is_bulk)
 {
 	uint64_t key = addr | (is_bulk ? BULK_CONNECTION : 0);
 	struct transport_connection *connection = hmget(transport->outgoing, key);
@@ -247,28 +249,30 @@
 
 void transport_outgoing_enqueue(struct transport *transport, const struct outgoing_frame *frame)
 {
-	struct transport_connection *connection = find_or_add(transport, frame->addr, frame->is_bulk);
+	struct transport_connection *connection =
+	    find_or_add_connection(transport, frame->addr, frame->is_bulk);
 
 	/* a machine without power, or behind a partition, doesn't answer a dial; the kernel would ask once
 	 * more after a second only */
-	if (connection->socket && !connection->connected && clock_ms() - connection->dialled_at_ms > DIAL_MS)
-		dial_beside(transport, connection);
+	if (connection->socket && !connection->is_connected &&
+	    clock_ms() - connection->dialled_at_ms > PARALLEL_DIAL_DELAY_MS)
+		dial_in_parallel(transport, connection);
 	else if (!connection->socket && clock_ms() >= connection->redial_at_ms)
 		outgoing_dial(transport, connection);
 	if (!connection->socket ||
 	    (size_t)arrlen(connection->buffer) - connection->sent_offset + frame->size_bytes >
 		MAX_QUEUED_BYTES)
 		return;
-	if (connection->sent_offset > COMPACT_BYTES) {
+	if (connection->sent_offset > COMPACT_MIN_BYTES) {
 		arrdeln(connection->buffer, 0, connection->sent_offset);
 		connection->sent_offset = 0;
 	}
 	memcpy(arraddnptr(connection->buffer, frame->size_bytes), frame->data, frame->size_bytes);
-	if (connection->connected)
+	if (connection->is_connected)
 		outgoing_write(transport, connection);
 }
 
-bool transport_has_unsent(const struct transport *transport)
+bool transport_has_unsent_bytes(const struct transport *transport)
 {
 	for (ptrdiff_t i = 0; i < hmlen(transport->outgoing); i++) {
 		const struct transport_connection *connection = transport->outgoing[i].value;
