--- a/lib/shell/process.h
+++ b/lib/shell/process.h
@@ -1,5 +1,6 @@
-/* process: the main loop of a program: events go to the handlers of the thread that owns its state, and the
- * commands that a handler leaves are performed. */
+/* process: the main loop of a program.
+ * One thread owns the program's state. It passes each event to the program's handlers and performs the
+ * commands that they emit. */
 #ifndef NL_PROCESS_H
 #define NL_PROCESS_H
 
@@ -17,68 +18,71 @@
 struct storage;
 struct transport;
 
-/* Another interface than the product's own: clients, operators and servers are spoken to through it, by the
- * thread that owns the state. It turns what it reads into events of the core, steps the core and calls
- * process_perform. All calls but wake come from that thread. */
+/* A replacement for the product's own interface (api_server and server_calls), which communicates with
+ * clients, operators and servers. It converts received data into events of the core, steps the core and calls
+ * process_perform. The thread that owns the state calls all functions; other threads call only wake. */
 struct front_end {
-	int (*open)(void *context, struct process *process); /* 0 on an error, which it logs */
-	int (*perform)(void *context,
-		       const struct command *command); /* 1: the command was the front end's and is done */
+	int (*open)(void *context, struct process *process); /* returns 0 on an error, which it logs */
+	int (*perform)(void *context, const struct command *command); /* returns 1 if the front end handles
+							    this command and has performed it, 0 if not */
 	void (*wait)(void *context,
-		     int timeout_ms);             /* serve sockets until the time is over or wake is called */
-	void (*wake)(void *context);              /* from any thread */
-	void (*stop)(void *context, int64_t now); /* a planned stop begins */
-	int (*is_idle)(void *context, int64_t now); /* while stopping: nothing is under way any more */
+		     int timeout_ms); /* serve sockets until timeout_ms has passed or wake is called */
+	void (*wake)(void *context);  /* make wait return; any thread may call it */
+	void (*stop)(void *context, int64_t now); /* notify the front end that a planned stop begins */
+	int (*is_idle)(void *context,
+		       int64_t now); /* while stopping: whether no request or call is in progress */
 	void (*close)(void *context);
 };
 
-/* A running program. The thread of process_run owns it all. */
+/* A running program. The thread that calls process_run owns all fields. */
 struct process {
 	const struct front_end *front_end; /* NULL: the product's own interface */
 	void *front_end_context;
-	apr_pool_t *pool; /* the program's, for as long as it runs */
+	apr_pool_t *pool; /* valid until the program ends */
 	struct settings settings;
 	struct ring *events; /* of struct shell_event */
 	struct transport *transport;
 	struct api_server *api_server;     /* NULL with a front end */
 	struct server_calls *server_calls; /* NULL with a front end */
 	struct storage *storage;           /* NULL in a program without a data folder */
-	struct command_list commands;      /* that the last step left */
-	uint64_t address;                  /* that other processes are given */
-	int64_t stop_deadline_ms;          /* when a planned stop ends at the latest */
+	struct command_list commands;      /* emitted by the last step, not performed yet */
+	uint64_t address;                  /* address that is advertised to other processes */
+	int64_t stop_deadline_ms;          /* latest time at which a planned stop ends */
 	int stopping;
 };
 
-/* What a program does; context goes to each. */
+/* The functions of a program that the main loop calls; each is passed context. */
 struct process_handlers {
 	void *context;
-	/* Handle an event, or let time pass when event is NULL; commands go to the list. */
+	/* Handle an event, or run the timers if event is NULL. Emitted commands are appended to the list. */
 	void (*step)(void *context, const struct shell_event *event, int64_t now,
 		     struct command_list *commands);
-	/* While stopping: nothing is under way any more. */
+	/* While stopping: whether no request is in progress. */
 	int (*is_idle)(void *context);
-	/* Until which clock_ms streams may go on; NULL: for ever. */
+	/* Returns the clock_ms until which streams may continue. NULL: without limit. */
 	int64_t (*streams_valid_until)(void *context);
-	/* External settings were read again; they live until it returns. NULL: nothing of them can change. */
+	/* Apply external settings that were reloaded; they are valid only during the call. NULL: the program
+	 * can't change its settings while it runs. */
 	void (*settings_changed)(void *context, const struct settings *settings);
 };
 
-/* Ignore SIGHUP until settings_read has installed its handler: a SIGHUP before asks for what is done anyway,
- * and must not end the process. First call of a program. */
+/* Ignore SIGHUP until settings_read has installed its handler. An earlier SIGHUP requests a reload of
+ * settings that are about to be read anyway, and must not end the process. Must be the first call of a
+ * program. */
 void process_ignore_hangup(void);
 
-/* Open sockets and start threads; pool, settings and front_end are set before, storage too if the program has
- * one. Returns 0 on an error, which is logged. */
+/* Open sockets and start threads. The caller sets pool, settings, front_end and, if the program has a data
+ * folder, storage before. Returns 0 on an error, which is logged. */
 int process_open(struct process *process);
 
-/* Run until SIGTERM or SIGINT and the graceful shutdown that follows, then close everything. Returns the exit
- * code. */
+/* Run until the graceful shutdown that SIGTERM or SIGINT starts is complete, then close all sockets, threads
+ * and storage. Returns the exit code. */
 int process_run(struct process *process, const struct process_handlers *handlers);
 
-/* Perform the commands that a step left, and clear the list. */
+/* Perform the commands that the last step emitted, and clear the list. */
 void process_perform(struct process *process);
 
-/* A random number from the kernel, never 0. */
+/* Return a random number from the kernel; never 0. */
 uint64_t process_random_id(void);
 
 #endif
--- a/lib/shell/settings.h
+++ b/lib/shell/settings.h
@@ -1,4 +1,4 @@
-/* settings: the configuration of a program, by flags, by a JSON file or by a platform. */
+/* settings: the start settings of a program, from flags, a JSON file or the platform. */
 #ifndef NL_SETTINGS_H
 #define NL_SETTINGS_H
 
@@ -9,37 +9,39 @@
 
 enum { SETTINGS_MAX_SEEDS = 8 };
 
-/* All texts live in the pool of settings_read. */
+/* All strings are allocated from the pool of settings_read. */
 struct settings {
-	const char *listen;    /* "ip:port" for other processes of the fleet */
-	const char *advertise; /* the address that they are given, if another; or NULL */
-	const char *web;       /* "ip:port" for clients or operators */
+	const char *listen;    /* "ip:port" where other processes of the fleet connect */
+	const char *advertise; /* address that is advertised to other processes; NULL: the value of listen */
+	const char *web;       /* "ip:port" where clients (router) or operators (controller) connect */
 	const char *zone;
-	const char *data;                      /* a controller's data folder */
-	const char *fault;                     /* for tests: see storage_open; or NULL */
+	const char *data;                      /* data folder of a controller; unused by a router */
+	const char *fault;                     /* for tests: the sync delay file of storage_open; or NULL */
 	const char *seeds[SETTINGS_MAX_SEEDS]; /* addresses of other processes */
 	int seed_count;
-	int check_only;               /* check the settings and end */
-	const char *file;             /* the settings file, or NULL */
-	int grace_ms;                 /* for a planned stop; 0: the default */
-	int metrics_port;             /* where metrics are served; 0: nowhere */
+	int check_only;               /* exit after the settings were checked */
+	const char *file;             /* path of the settings file, or NULL */
+	int grace_ms;                 /* maximum duration of a planned stop; 0: the default */
+	int metrics_port;             /* port on which metrics are served; 0: not served */
 	int experiments_allowed;      /* --without is allowed, and decisions are logged */
-	uint32_t disabled_mechanisms; /* that an experiment switches off, as a set: mechanism.h */
+	uint32_t disabled_mechanisms; /* bit set of enum mechanism: mechanisms that an experiment disables */
 	struct bounds bounds;
-	int may_bootstrap; /* a first start on empty disks: the first seed bootstraps the fleet, once */
-	void *extension; /* what only the reader of external settings and its front end know; NULL: product's
-			    own interface */
+	int may_bootstrap; /* first start of a fleet with empty disks: the first seed bootstraps the fleet,
+			      once */
+	void *extension; /* data for the front end, set by read_external; NULL: the product's own interface is
+			    used */
 
-	/* Reads settings in another form than the product's, for --platform; set by the program before
-	 * settings_read. Fills in what flags may not. Returns -1 to go on, or an exit code with error_text
-	 * set. NULL: the program knows no other form. */
+	/* Reads the platform's settings for --platform, in a format other than the product's, and fills in
+	 * the fields that flags can't set then. The program sets it before settings_read. Returns -1 on
+	 * success, or an exit code with error_text set. NULL: the program does not support --platform. */
 	int (*read_external)(struct settings *settings, const char *program, int has_storage,
 			     apr_pool_t *pool);
-	const char *error_text; /* one line with file, key and range */
+	const char *error_text; /* one line: file, key and allowed range */
 };
 
-/* Read flags and, with --settings, a file; flags have precedence. has_storage: the program keeps a data
- * folder. Errors are printed. Returns -1 to go on, or the exit code with which the program ends. */
+/* Read the flags and, with --settings, the settings file; flags take precedence. has_storage: the program has
+ * a data folder. Errors are printed to stderr. Returns -1 if the program is to continue, or else its exit
+ * code. */
 int settings_read(struct settings *settings, const char *program, int has_storage, int argc, char **argv,
 		  apr_pool_t *pool);
 
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -17,11 +17,12 @@
 
 enum { FOLDER_MODE = 0700, LOCK_MODE = 0600 };
 
-#define DATABASE_NAME "/registrar.tdb" /* on disks of running fleets: it keeps its name */
+#define DATABASE_NAME "/registrar.tdb" /* disks of running fleets have this file: the name must not change \
+					*/
 #define LOCK_NAME "/lock"
 
-/* What an operator has to do when a file is damaged. */
-#define REMEDY "move the folder away and start anew, the controller then joins under a new identity"
+/* The operator's remedy for a damaged file. */
+#define REMEDY "move the folder away and restart the controller, which then joins under a new identity"
 
 const char *storage_strerror(const struct storage_failure *failure, apr_pool_t *pool)
 {
@@ -31,38 +32,46 @@
 	case STORAGE_OK:
 		return "no error";
 	case STORAGE_FOLDER_NOT_CREATED:
-		return apr_psprintf(pool, "step make: %s: %s", path, strerror(failure->error_number));
+		return apr_psprintf(pool, "step make: cannot create the data folder %s: %s", path,
+				    strerror(failure->error_number));
 	case STORAGE_FOLDER_LOCKED:
 		return apr_psprintf(
-		    pool, "step lock: %s is in use by another controller, or cannot be written", path);
+		    pool,
+		    "step lock: the data folder %s is in use by another controller, or cannot be written",
+		    path);
 	case STORAGE_FILE_UNREADABLE:
-		return apr_psprintf(pool, "step open: %s is damaged or unreadable (%s); " REMEDY, path,
-				    strerror(failure->error_number));
+		return apr_psprintf(pool, "step open: the file %s is damaged or unreadable (%s); " REMEDY,
+				    path, strerror(failure->error_number));
 	case STORAGE_DISK_FULL:
 		return apr_psprintf(
-		    pool, "step open: the disk of %s refuses writes (%s): free space and start again", path,
-		    strerror(failure->error_number));
+		    pool,
+		    "step open: the disk rejects writes to %s (%s); free disk space and restart the controller",
+		    path, strerror(failure->error_number));
 	case STORAGE_RECORD_DAMAGED:
 		return apr_psprintf(
-		    pool, "step check: %s is damaged at record %s; it takes no part in votes: " REMEDY, path,
-		    failure->record ? failure->record : "(unknown)");
+		    pool,
+		    "step check: the file %s is damaged at record %s; this controller does not vote: " REMEDY,
+		    path, failure->record ? failure->record : "(unknown)");
 	case STORAGE_RECORDS_MISSING:
-		return apr_psprintf(pool,
-				    "step check: %s is damaged, it lacks records of its last transaction; "
-				    "it takes no part in votes: " REMEDY,
-				    path);
+		return apr_psprintf(
+		    pool,
+		    "step check: the file %s is damaged: records of its last transaction are missing; "
+		    "this controller does not vote: " REMEDY,
+		    path);
 	case STORAGE_ENTRY_MISSING:
-		return apr_psprintf(pool,
-				    "step check: %s: shard %d lacks entry %" PRIu64
-				    "; it takes no part in votes: " REMEDY,
-				    path, failure->shard, failure->index);
+		return apr_psprintf(
+		    pool,
+		    "step check: the file %s is damaged: the log of shard %d lacks entry %" PRIu64
+		    "; this controller does not vote: " REMEDY,
+		    path, failure->shard, failure->index);
 	case STORAGE_SNAPSHOT_MISSING:
-		return apr_psprintf(pool,
-				    "step check: %s: shard %d lacks the entries after its snapshot; "
-				    "it takes no part in votes: " REMEDY,
-				    path, failure->shard);
+		return apr_psprintf(
+		    pool,
+		    "step check: the file %s is damaged: the log of shard %d lacks the entries after its snapshot; "
+		    "this controller does not vote: " REMEDY,
+		    path, failure->shard);
 	case STORAGE_NO_THREAD:
-		return apr_psprintf(pool, "step start: no thread to write %s", path);
+		return apr_psprintf(pool, "step start: cannot create the writer thread for %s", path);
 	}
 	return "unknown error";
 }
@@ -82,9 +91,9 @@
 	return STORAGE_OK;
 }
 
-/* Reads a file that the library can't open because the disk refuses the writes that take back an unfinished
- * transaction. Its records are read from a copy; the file itself is opened before the first transaction, as
- * after one that failed. */
+/* Loads a file that TDB can't open because the disk rejects the writes that roll back an unfinished
+ * transaction. The records are loaded from a copy. The file itself is reopened before the first transaction,
+ * as after a failed transaction. */
 static enum storage_error load_from_copy(struct storage *storage, struct stored_state *state,
 					 struct storage_failure *failure, apr_pool_t *pool)
 {
@@ -105,20 +114,21 @@
 	storage->transaction_failed = true;
 	storage->rewrite_pending = !passes_tdb_check;
 	log_write(LOG_WARN, "storage",
-		  "The disk of %s refuses writes; nothing is acknowledged until it takes them.",
+		  "The disk rejects writes to %s; no write is acknowledged until it accepts them.",
 		  storage->database_path);
 	return STORAGE_OK;
 }
 
-/* Opens and reads the database file. One that is torn outside its records lacks nothing, but takes no
- * transaction: it is written anew, now or, if the disk is full, before the first transaction. */
+/* Opens the database file and loads its records. A file that is damaged only outside its records is complete,
+ * but a transaction on it would fail. It is rewritten at once or, if the disk is full, before the first
+ * transaction. */
 static enum storage_error open_database_file(struct storage *storage, struct stored_state *state,
 					     struct storage_failure *failure, apr_pool_t *pool)
 {
 	bool passes_tdb_check;
 
 	failure->path = storage->database_path;
-	(void)unlink(storage->rewrite_path); /* left by a crash while it was written */
+	(void)unlink(storage->rewrite_path); /* left by a crash during a rewrite */
 	storage->database =
 	    storage_file_open(storage->database_path, O_RDWR | O_CREAT, &storage->tdb_error_count);
 	if (!storage->database) {
@@ -131,15 +141,15 @@
 	storage->rewrite_pending = !passes_tdb_check && !storage_file_rewrite(storage);
 	if (!passes_tdb_check)
 		log_write(LOG_WARN, "storage",
-			  "%s was torn outside its records by a loss of power; the records %s.",
+			  "The file %s was damaged outside its records by a loss of power; the records %s.",
 			  storage->database_path,
 			  storage->rewrite_pending ? "will be rewritten before the next write"
 						   : "were rewritten");
-	storage_folder_sync(storage->folder); /* the file's name must last too */
+	storage_folder_sync(storage->folder); /* so that the new file's name survives a loss of power */
 	return STORAGE_OK;
 }
 
-/* Frees what storage holds besides its pool, however far it was opened. */
+/* Closes files and frees memory outside the pool. storage may be only partly opened. */
 static void release_resources(struct storage *storage)
 {
 	if (storage->database)
@@ -154,8 +164,9 @@
 {
 	struct storage *storage = apr_pcalloc(pool, sizeof *storage);
 
-	(void)signal(SIGXFSZ,
-		     SIG_IGN); /* a file at its size limit is a failed write, not the end of the process */
+	(void)signal(
+	    SIGXFSZ,
+	    SIG_IGN); /* a write beyond the file size limit then fails and does not end the process */
 	memset(state, 0, sizeof *state);
 	*failure = (struct storage_failure){ 0 };
 	storage->events = events;
--- a/lib/shell/storage_file.c
+++ b/lib/shell/storage_file.c
@@ -1,4 +1,4 @@
-/* storage_file: the database file itself: opening, transactions, writing it anew. */
+/* storage_file: opening and rewriting of the database file, and its transactions. */
 #include <fcntl.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 enum { TDB_HASH_SIZE = 1009, FILE_MODE = 0600, COPY_BUFFER_BYTES = 65536 };
 
-/* The library's log: faults are counted, nothing is printed. */
+/* TDB's log function: counts errors and prints nothing. */
 static void count_tdb_errors(struct tdb_context *database, enum tdb_debug_level level, const char *format,
 			     ...)
 {
@@ -28,7 +28,7 @@
 	return tdb_open_ex(path, TDB_HASH_SIZE, TDB_NOMMAP, flags, FILE_MODE, &logging, NULL);
 }
 
-/* Copies what can be read of a file; false on an error. */
+/* Copies the contents of a file. Returns false on an error. */
 static bool copy_file(int from_fd, int to_fd)
 {
 	char bytes[COPY_BUFFER_BYTES];
@@ -74,9 +74,10 @@
 	return 0;
 }
 
-/* A commit that a full disk has stopped may stand, or half of it, and what undoes it is refused as well. Only
- * opening the file tells: the library then takes back what is not complete. So nothing is written before
- * that, and what stands is read again; the batch is then written once more, whether it stands or not. */
+/* If a full disk interrupts a commit, the file may contain the transaction completely or partly, and the
+ * writes that would undo it fail too. TDB rolls back an incomplete transaction only when the file is opened.
+ * Therefore the file is reopened and its checksums are reloaded before any other write. The batch is then
+ * written again, whether or not its first commit took effect. */
 bool storage_file_reopen(struct storage *storage)
 {
 	if (storage->database)
@@ -107,7 +108,8 @@
 	return tdb_store(new_database, key, value, TDB_INSERT);
 }
 
-/* Copies all records in one transaction. faults_before: the library's faults before fresh was opened. */
+/* Copies all records in one transaction. error_count_before: tdb_error_count before new_database was opened.
+ */
 static bool copy_records(struct storage *storage, struct tdb_context *new_database, int error_count_before)
 {
 	if (tdb_transaction_start(new_database))
@@ -119,9 +121,9 @@
 	return tdb_transaction_commit(new_database) == 0 && storage->tdb_error_count == error_count_before;
 }
 
-/* What was deleted is in neither the fresh file's records nor its freed pages. A loss of power at any moment
- * leaves one complete file under the name: the fresh file's own name must last before it is renamed, hence
- * the first sync of the folder. */
+/* The new file contains no deleted data, neither in records nor in freed pages. After a loss of power at any
+ * time, the database path names a complete file. For this the name of the new file must be durable before it
+ * is renamed, hence the first sync of the folder. */
 bool storage_file_rewrite(struct storage *storage)
 {
 	int error_count_before = storage->tdb_error_count;
@@ -147,8 +149,8 @@
 	return false;
 }
 
-/* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not
- * allow that yet. */
+/* A file that is damaged outside its records accepts no transaction until its records were copied to a new
+ * file. A full disk may prevent that for now. */
 static bool rewrite_if_pending(struct storage *storage)
 {
 	storage->rewrite_pending = storage->rewrite_pending && !storage_file_rewrite(storage);
@@ -161,8 +163,9 @@
 	       rewrite_if_pending(storage) && tdb_transaction_start(storage->database) == 0;
 }
 
-/* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at
- * the next opening. The library's log tells. */
+/* The last write of a commit marks it as complete. If the disk rejects that write, tdb_transaction_commit
+ * still returns success, but the transaction is rolled back when the file is opened next. TDB's log reports
+ * this error. */
 bool storage_transaction_commit(struct storage *storage)
 {
 	int error_count_before = storage->tdb_error_count;
--- a/lib/shell/storage_load.c
+++ b/lib/shell/storage_load.c
@@ -1,7 +1,7 @@
-/* storage_load: reads a data file back and checks it.
- * A controller must not vote or lead with less than it has acknowledged, so a file that lacks anything is
- * refused. Refusing one that lacks nothing would cost a controller after each loss of power, hence the total:
- * it tells the two apart. */
+/* storage_load: loads and checks the records of a database file.
+ * A controller must not vote or lead if it has lost data that it acknowledged. Therefore a file that lacks
+ * records is rejected. A file that lacks none must be accepted, or each loss of power would cost a
+ * controller. The total record distinguishes the two cases. */
 #include <apr_strings.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,23 +9,24 @@
 #include "containers.h"
 #include "storage_internal.h"
 
-/* One reading of a file. */
+/* The state of one storage_load. */
 struct load_context {
 	struct storage *storage;
 	struct stored_state *state;
-	apr_pool_t *pool;                        /* of what goes to found */
-	const char *damaged_key;                 /* of the first damaged record; NULL: none */
-	struct raft_entry *entries[SHARD_COUNT]; /* stb_ds; entry_index() of each until they are in order */
+	apr_pool_t *pool;        /* of the strings and entries in state */
+	const char *damaged_key; /* key of the first damaged record; NULL: none */
+	struct raft_entry
+	    *entries[SHARD_COUNT]; /* stb_ds; in the order of the file; entry_index() returns the log index */
 	bool has_total;
-	struct storage_total stored_total;  /* as the file says */
-	struct storage_total counted_total; /* as its records are */
+	struct storage_total stored_total;  /* from the total record of the file */
+	struct storage_total counted_total; /* computed from the records of the file */
 };
 
-/* A record whose checksum is right. */
+/* A record with its body; its checksum is checked before the load functions receive it. */
 struct loaded_record {
 	const char *key;
-	uint8_t *body; /* in the pool */
-	size_t size;   /* of body */
+	uint8_t *body; /* allocated from the pool of load_context */
+	size_t size;   /* of body, in bytes */
 };
 
 static bool load_vote(const struct loaded_record *record, struct raft_saved *shard)
@@ -58,7 +59,7 @@
 	return true;
 }
 
-/* index_text: what follows the shard's number in the key, a slash and the index. */
+/* index_text: the end of the key, a slash and the log index. */
 static bool load_entry(const struct loaded_record *record, const char *index_text,
 		       struct raft_entry **entries)
 {
@@ -74,12 +75,12 @@
 	entry.kind = (uint32_t)header.kind;
 	entry.len = record->size - sizeof header;
 	entry.data = record->body + sizeof header;
-	memcpy(record->body, &index, sizeof index); /* read back by entry_index */
+	memcpy(record->body, &index, sizeof index); /* entry_index returns it */
 	arrput(*entries, entry);
 	return true;
 }
 
-/* Records of the control state: KIND/SHARD or KIND/SHARD/INDEX. */
+/* Loads a record of a shard, whose key is KIND/SHARD or KIND/SHARD/INDEX. */
 static bool load_shard_record(struct load_context *context, const struct loaded_record *record)
 {
 	unsigned long shard;
@@ -157,9 +158,10 @@
 	return -1;
 }
 
-/* Whether these are all records of the last transaction, and of no other. The library's own check also looks
- * at what holds no record: it finds fault with a file that lost power while space for a larger transaction
- * was made, though nothing is missing. A file of an early version has no total and must pass that check. */
+/* Whether the loaded records are exactly those of the last transaction. tdb_check is too strict for this,
+ * because it also checks the space outside records: it fails on a file that lost power while it was extended
+ * for a larger transaction, although no record is missing. A file of an early version has no total record and
+ * must pass tdb_check. */
 static bool is_complete(const struct load_context *context, bool passes_tdb_check)
 {
 	if (!context->has_total)
@@ -168,9 +170,9 @@
 	       context->counted_total.checksum_sum == context->stored_total.checksum_sum;
 }
 
-/* The index of an entry that was loaded. The traversal of the file has no order; until the entries are
- * sorted, each one's index stands in the place of its header, before its data, so that loading a log takes no
- * more memory than the log. */
+/* Returns the log index of a loaded entry. The traversal returns entries in no particular order. Until they
+ * are sorted, the index of each entry is stored in place of its header, directly before its data, so that
+ * loading a log needs no more memory than the log itself. */
 static uint64_t entry_index(const struct raft_entry *entry)
 {
 	uint64_t index;
@@ -189,8 +191,8 @@
 	return left_index < right_index ? -1 : 1;
 }
 
-/* Puts a shard's entries into order. There must be no gap between them, nor between the snapshot and the
- * first. */
+/* Sorts a shard's entries by log index. Returns an error if there is a gap between two entries, or between
+ * the snapshot and the first entry. */
 static enum storage_error assemble_log(struct storage *storage, int shard, struct raft_entry *entries,
 				       struct raft_saved *saved, uint64_t *missing_index, apr_pool_t *pool)
 {
--- a/lib/shell/storage_record.c
+++ b/lib/shell/storage_record.c
@@ -1,6 +1,6 @@
-/* storage_record: records of the data file and their checksums.
- * The checksums of all records are also kept in memory: a delete or a replacement must take the old one out
- * of the total. */
+/* storage_record: records of the database file and their checksums.
+ * The checksums of all records are also kept in memory, because a deletion or replacement must subtract the
+ * old checksum from the total. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 	return (TDB_DATA){ (unsigned char *)(uintptr_t)key, strlen(key) };
 }
 
-/* Writes a record and returns its checksum, without noting it in the total. */
+/* Writes a record and stores its checksum in *checksum, without updating the total. */
 static bool write_record(struct storage *storage, const char *key, const void *header, size_t header_size,
 			 const void *data, size_t data_size, uint64_t *checksum)
 {
@@ -34,7 +34,7 @@
 	return status == 0;
 }
 
-/* Takes a record's checksum out of the total. */
+/* Subtracts a record's checksum from the total, if there is such a record. */
 static void subtract_from_total(struct storage *storage, const char *key)
 {
 	ptrdiff_t position = shgeti(storage->checksums, key);
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -1,6 +1,6 @@
-/* storage_write: batches of changes, and the thread that writes them.
- * All jobs that wait go into one transaction, so that a busy controller pays for one sync and not for one a
- * change. */
+/* storage_write: the writer thread, which writes batches of changes.
+ * All queued jobs are written in one transaction, so that a busy controller needs one sync per batch and not
+ * one per change. */
 #include <apr_strings.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,11 +17,12 @@
 	MAX_QUEUED_JOBS = 65536,
 	MAX_BATCH_JOBS = 256,
 	JOB_POLL_MS = 100,
-	RETRY_INTERVAL_US = 200000, /* after the disk has refused a batch */
-	DELAY_FILE_POLL_US = 5000   /* between looks whether an injected delay is over */
+	RETRY_INTERVAL_US = 200000, /* after the disk rejected a batch */
+	DELAY_FILE_POLL_US = 5000 /* interval at which the sync delay file is read during an injected delay */
 };
 
-/* A change on its way to the writer thread. It is allocated from its own pool, which ends with it. */
+/* A queued change for the writer thread. Each job is allocated from its own pool, which is destroyed with it.
+ */
 struct storage_job {
 	struct persist write;
 	apr_pool_t *pool;
@@ -38,7 +39,7 @@
 	return storage_record_put(storage, key, &record, sizeof record, NULL, 0);
 }
 
-/* Deletes entries from index first to last. */
+/* Deletes the entries with log indexes from first to last, inclusive. */
 static bool delete_entries(struct storage *storage, uint32_t shard, uint64_t first, uint64_t last)
 {
 	char key[STORAGE_MAX_KEY_BYTES];
@@ -49,7 +50,8 @@
 	return true;
 }
 
-/* Entries from truncate_from on were replaced by another leader's. */
+/* Deletes the entries from log index truncate_from on, which conflict with those of another leader. 0: none.
+ */
 static bool truncate_log(struct storage *storage, const struct persist *write)
 {
 	uint64_t *last = &storage->last_entry_index[write->shard];
@@ -63,7 +65,7 @@
 	return true;
 }
 
-/* Writes a new snapshot and deletes the entries that it stands for. */
+/* Writes a new snapshot and deletes the entries up to drop_upto, which it replaces. */
 static bool write_snapshot(struct storage *storage, const struct persist *write)
 {
 	struct snapshot_header header = { write->snapshot_index, write->snapshot_term, write->members_len,
@@ -118,7 +120,7 @@
 	       (!write->has_snapshot || write_snapshot(storage, write)) && append_entries(storage, write);
 }
 
-/* ---- a batch ---- */
+/* ---- batches ---- */
 
 static bool write_transaction(struct storage *storage, struct storage_job **jobs, size_t count)
 {
@@ -131,14 +133,14 @@
 	written = written && storage_total_write(storage);
 	if (written)
 		written = storage_transaction_commit(
-		    storage); /* on a fault it has cancelled itself, as far as it could */
+		    storage); /* on an error TDB itself cancels, as far as the disk allows */
 	else
 		tdb_transaction_cancel(storage->database);
 	storage->transaction_failed = !written;
 	return written;
 }
 
-/* Writes all or nothing. */
+/* Writes all jobs in one transaction, or none of them. */
 static bool write_batch(struct storage *storage, struct storage_job **jobs, size_t count)
 {
 	uint64_t first_before[SHARD_COUNT];
@@ -159,18 +161,20 @@
 	return written;
 }
 
-/* Nothing is acknowledged while the disk refuses: the leader that waits for it steps down. Returns whether it
- * has refused. */
+/* Retries a batch until it is synced or the storage is closed. While the disk rejects it, no write is
+ * acknowledged, so a leader that waits for the sync steps down. Returns whether the disk rejected an attempt.
+ */
 static bool write_batch_until_synced(struct storage *storage, struct storage_job **jobs, size_t count)
 {
 	bool refused = false;
 
 	while (!storage->stop_requested && !write_batch(storage, jobs, count)) {
 		if (!refused)
-			log_write(LOG_ERROR, "storage",
-				  "Step write: the disk refuses (%s); the write is retried.",
-				  storage->database ? tdb_errorstr(storage->database)
-						    : "the file cannot be opened");
+			log_write(
+			    LOG_ERROR, "storage",
+			    "Step write: the disk refuses the batch (%s); it is retried until it succeeds.",
+			    storage->database ? tdb_errorstr(storage->database)
+					      : "the file cannot be opened");
 		refused = true;
 		storage->refused_count++;
 		apr_sleep(RETRY_INTERVAL_US);
@@ -178,7 +182,7 @@
 	return refused;
 }
 
-/* Deleted records must not be readable from freed pages: the file is written anew. */
+/* Rewrites the file, because deleted records must not be readable from its freed pages. */
 static void erase_deleted_records(struct storage *storage)
 {
 	bool rewritten;
@@ -190,12 +194,12 @@
 	if (!rewritten)
 		log_write(
 		    LOG_ERROR, "storage",
-		    "Step scrub: no fresh file could be written; purged records stay in freed pages until the next batch.");
+		    "Step scrub: the database file could not be rewritten; purged records stay in freed pages until the next batch.");
 }
 
 /* ---- the thread ---- */
 
-/* The milliseconds in the fault file; 0 without one. */
+/* Returns the milliseconds in the sync delay file; 0 if there is no such file. */
 static int64_t read_injected_delay_ms(const struct storage *storage)
 {
 	FILE *file = storage->sync_delay_file ? fopen(storage->sync_delay_file, "r") : NULL;
@@ -209,7 +213,7 @@
 	return delay_ms;
 }
 
-/* The file is read again and again, so that a test can end a delay early. */
+/* Delays a sync for tests. The file is read repeatedly, so that a test can end a delay early. */
 static void inject_sync_delay(const struct storage *storage)
 {
 	int64_t began_at_ms = clock_ms();
@@ -222,7 +226,8 @@
 	} while (delay_ms > 0 && clock_ms() - began_at_ms < delay_ms && !storage->stop_requested);
 }
 
-/* All jobs that wait, MAX_BATCH_JOBS at most. */
+/* Waits up to JOB_POLL_MS for a job, then takes all queued jobs, MAX_BATCH_JOBS at most. Returns their count.
+ */
 static size_t take_queued_jobs(struct storage *storage, struct storage_job **jobs)
 {
 	size_t count;
@@ -270,7 +275,7 @@
 		if (storage->erase_pending && !storage->stop_requested)
 			erase_deleted_records(storage);
 		if (refused && !storage->stop_requested)
-			log_write(LOG_INFO, "storage", "Disk accepts writes again.");
+			log_write(LOG_INFO, "storage", "The disk accepts writes again.");
 		for (size_t i = 0; i < count; i++)
 			acknowledge_job(storage, jobs[i]);
 	}
