--- a/lib/shell/cli_support.c
+++ b/lib/shell/cli_support.c
@@ -31,7 +31,7 @@
 	return value ? json_object_get_int64(value) : 0;
 }
 
-/* A text that grows; it always ends with a zero. */
+/* A growing string that always ends with a zero. */
 struct text_buffer {
 	char *data;
 	size_t size;
@@ -64,7 +64,7 @@
 	return item_size * item_count;
 }
 
-/* One call with one more header, unless that is empty. */
+/* Performs an HTTP call. header: one additional header line, or empty. */
 static int http_call(const char *method, const char *addr, const char *path, const char *header,
 		     const char *body, int timeout_ms, char **body_out)
 {
--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -1,6 +1,6 @@
 /* process: the main loop of a program; see process.h.
- * One thread owns the state. It takes events from the ring one by one, steps the core with each, and performs
- * the commands of a step before the next one. */
+ * The thread that owns the state removes events from the ring one by one, steps the core with each event, and
+ * performs the commands of that step before the next step. */
 #include "process.h"
 
 #include <string.h>
@@ -21,11 +21,11 @@
 
 enum {
 	TICK_INTERVAL_MS = 25,
-	DISCONNECT_SCAN_INTERVAL_MS = 250, /* between looks for disconnected clients */
-	DEFAULT_STOP_GRACE_MS = 30000,     /* for a planned stop */
+	DISCONNECT_SCAN_INTERVAL_MS = 250, /* interval of the scan for disconnected clients */
+	DEFAULT_STOP_GRACE_MS = 30000,     /* maximum duration of a planned stop */
 	EVENT_RING_CAPACITY = 65536,
-	MAX_EVENT_BATCH = 64, /* events between looks at the clock */
-	FINAL_FLUSH_MS = 50   /* at the end, for answers given last to leave */
+	MAX_EVENT_BATCH = 64, /* maximum number of events between two checks of timers */
+	FINAL_FLUSH_MS = 50   /* time at the end of a stop in which the last answers are sent */
 };
 
 /* The state of the loop itself. */
@@ -35,7 +35,7 @@
 	struct settings_watch settings_watch;
 	int64_t last_tick_ms;
 	int64_t last_scan_ms;
-	bool events_pending; /* the last batch was full */
+	bool events_pending; /* the last batch was full, so the ring may contain more events */
 };
 
 uint64_t process_random_id(void)
@@ -53,8 +53,8 @@
 {
 	for (int i = 0; i < MECHANISMS; i++)
 		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)i))
-			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[i].name,
-				  mechanism_info[i].description);
+			log_write(LOG_WARN, "experiment", "Without %s: this mechanism is disabled (%s).",
+				  mechanism_info[i].name, mechanism_info[i].description);
 }
 
 static int open_front_end(struct process *process)
@@ -129,7 +129,7 @@
 	case CMD_POLL_REPORT:
 	case CMD_LOAD_WEIGHTS:
 	case CMD_WATCH_CACHE:
-		break; /* only front ends have them */
+		break; /* only front ends perform these commands */
 	}
 }
 
@@ -158,7 +158,7 @@
 	struct process *process = loop->process;
 	struct shell_event stop = { .kind = SHELL_EVENT_STOP };
 
-	log_write(LOG_INFO, "process", "Shutting down: requests in flight end first.");
+	log_write(LOG_INFO, "process", "Shutting down: waiting for requests in progress to end.");
 	process->stopping = 1;
 	process->stop_deadline_ms =
 	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_STOP_GRACE_MS);
@@ -183,7 +183,7 @@
 	return now >= process->stop_deadline_ms;
 }
 
-/* What is due by the clock. */
+/* Steps the core and scans for disconnected clients if their intervals have passed. */
 static void run_timers(struct loop *loop, int64_t now)
 {
 	struct process *process = loop->process;
@@ -202,8 +202,9 @@
 	}
 }
 
-/* The next event, waited for until the next tick. A front end waits for its sockets meanwhile; it isn't woken
- * by what stands in the ring already, so it doesn't wait then. */
+/* Waits for the next event until the next tick is due; returns NULL if there is none. A front end serves its
+ * sockets meanwhile. It is woken only by a push into an empty ring, so it does not wait if the ring already
+ * has events. */
 static struct shell_event *wait_for_event(const struct loop *loop, int64_t now)
 {
 	const struct process *process = loop->process;
@@ -231,13 +232,13 @@
 		event = ring_pop(loop->process->events, 0);
 	}
 	loop->events_pending = event != NULL;
-	if (event) /* popped already */
+	if (event) /* was already removed from the ring */
 		handle_event(loop, event);
 }
 
-/* ---- the end ---- */
+/* ---- closing ---- */
 
-/* Answers that were just given leave. */
+/* Gives the interface time to send the last answers. */
 static void flush_answers(const struct process *process)
 {
 	int64_t now = clock_ms();
@@ -259,7 +260,8 @@
 		shell_event_free(event);
 }
 
-/* The core handles nothing more: its ring is kept empty so that no thread waits to push while it's joined. */
+/* Closes all modules. Events are no longer handled; the ring is emptied so that no thread blocks on a push
+ * while it is being joined. */
 static void close_all(struct process *process)
 {
 	if (process->front_end) {
@@ -296,6 +298,6 @@
 	}
 	flush_answers(process);
 	close_all(process);
-	log_write(LOG_INFO, "process", "Ended.");
+	log_write(LOG_INFO, "process", "Shutdown complete; the process ends.");
 	return 0;
 }
--- a/lib/shell/process_signals.c
+++ b/lib/shell/process_signals.c
@@ -1,4 +1,4 @@
-/* process_signals: a handler only sets a flag, which the loop reads at its next turn. */
+/* process_signals: a signal handler only sets a flag, which the main loop reads in its next iteration. */
 #include <signal.h>
 #include <string.h>
 
--- a/lib/shell/ring.c
+++ b/lib/shell/ring.c
@@ -1,5 +1,6 @@
-/* ring: see ring.h. POSIX threads and not APR's: APR's timed wait uses the wall clock, and lasts an hour when
- * that is set back by one. */
+/* ring: see ring.h.
+ * Uses POSIX threads, because the timed wait of APR uses the wall clock: if that is set back by an hour, the
+ * wait lasts an hour longer. */
 #include "ring.h"
 
 #include <pthread.h>
@@ -9,14 +10,14 @@
 #define NS_PER_MS 1000000L
 #define NS_PER_S 1000000000L
 
-/* All fields but capacity are protected by mutex. */
+/* mutex protects all fields except capacity. */
 struct ring {
 	pthread_mutex_t mutex;
 	pthread_cond_t not_empty;
 	pthread_cond_t not_full;
 	size_t capacity;
 	size_t head;  /* index of the first item */
-	size_t count; /* of items */
+	size_t count; /* number of items in the ring */
 	void **items;
 	void (*on_push)(void *context);
 	void *on_push_context;
--- a/lib/shell/settings.c
+++ b/lib/shell/settings.c
@@ -1,4 +1,4 @@
-/* settings: flags, the settings file, and their checks; see settings.h. */
+/* settings: reads and checks the flags and the settings file; see settings.h. */
 #include "settings.h"
 
 #include <apr_strings.h>
@@ -16,7 +16,7 @@
 #endif
 
 enum {
-	SETTINGS_CONTINUE = -1, /* of functions that return an exit code, or this */
+	SETTINGS_CONTINUE = -1, /* result of functions that otherwise return an exit code: continue */
 	EXIT_BAD_USAGE = 2,
 	MAX_PORT = 65535,
 	MAX_ZONE_LENGTH = 60,
@@ -27,7 +27,7 @@
 #define ADDRESS_EXPECTED "an address ip:port with a port of 1 to 65535"
 #define SEEDS_EXPECTED "1 to 8 addresses ip:port of other processes"
 
-/* The flags of a program, as argtable reads them; freed by flags_free. */
+/* The flags of a program, parsed by argtable. arg_freetable frees them. */
 struct flags {
 	struct arg_lit *help;
 	struct arg_lit *version;
@@ -45,10 +45,10 @@
 	struct arg_str *without;
 	struct arg_str *fault;
 	struct arg_end *end;
-	void *table[FLAG_COUNT]; /* all of them, in the order of --help */
+	void *table[FLAG_COUNT]; /* all flags, in the order of --help */
 };
 
-/* Prints one line of place, key and range; returns the exit code. */
+/* Prints one line: source, key and the expected value. Returns the exit code. */
 static int print_settings_error(const char *program, const char *source, const char *key,
 				const char *expected)
 {
@@ -66,7 +66,7 @@
 		return print_settings_error(program, settings->file, "seeds",
 					    "a list of 1 to 8 addresses ip:port");
 	if (settings->seed_count)
-		return SETTINGS_CONTINUE; /* flags have precedence */
+		return SETTINGS_CONTINUE; /* flags take precedence */
 	for (size_t i = 0; i < json_object_array_length(value); i++)
 		settings->seeds[settings->seed_count++] =
 		    apr_pstrdup(pool, json_object_get_string(json_object_array_get_idx(value, i)));
@@ -96,8 +96,9 @@
 	}
 	if (strcmp(key, "seeds") == 0)
 		return read_seeds(settings, program, value, pool);
-	return print_settings_error(program, settings->file, key,
-				    "no such key; known: listen, advertise, web, zone, seeds, data, fault");
+	return print_settings_error(
+	    program, settings->file, key,
+	    "unknown key; valid keys: listen, advertise, web, zone, seeds, data, fault");
 }
 
 static int read_file(struct settings *settings, const char *program, apr_pool_t *pool)
@@ -128,25 +129,25 @@
 {
 	flags->help = arg_lit0("h", "help", "print this text");
 	flags->version = arg_lit0(NULL, "version", "print the version");
-	flags->check = arg_lit0(NULL, "check", "check the settings and exit; no socket opens");
+	flags->check = arg_lit0(NULL, "check", "check the settings and exit without opening a socket");
 	flags->platform = arg_lit0(
 	    NULL, "platform",
-	    "take all settings from where the platform keeps them; with --check, --metrics, --experiments and --without alone");
-	flags->file = arg_file0("s", "settings", "FILE", "JSON settings; flags have precedence");
+	    "read all settings from the platform; may be combined only with --check, --metrics, --experiments and --without");
+	flags->file = arg_file0("s", "settings", "FILE", "JSON file with settings; flags take precedence");
 	flags->listen = arg_str0("l", "listen", "IP:PORT", "address for other processes of the fleet");
-	flags->advertise =
-	    arg_str0(NULL, "advertise", "IP:PORT", "address that other processes are given, if another");
+	flags->advertise = arg_str0(NULL, "advertise", "IP:PORT",
+				    "address that is advertised to other processes, if not that of --listen");
 	flags->web = arg_str0("w", "web", "IP:PORT",
 			      has_storage ? "address for operators and the platform" : "address for clients");
 	flags->zone = arg_str0("z", "zone", "NAME", "zone of this machine");
-	flags->seed = arg_strn(NULL, "seed", "IP:PORT", 0, SETTINGS_MAX_SEEDS, "another process; give three");
-	flags->data = arg_str0("d", "data", "FOLDER", has_storage ? "data folder" : "unused here");
-	flags->metrics = arg_int0(NULL, "metrics", "PORT", "serve metrics there, as GET /metrics");
+	flags->seed = arg_strn(NULL, "seed", "IP:PORT", 0, SETTINGS_MAX_SEEDS,
+			       "address of another process; three are recommended");
+	flags->data = arg_str0("d", "data", "FOLDER", has_storage ? "data folder" : "unused by this program");
+	flags->metrics = arg_int0(NULL, "metrics", "PORT", "port on which GET /metrics is served");
 	flags->experiments = arg_lit0(NULL, "experiments", "allow --without");
-	flags->without =
-	    arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "experiment: switch a mechanism off");
-	flags->fault =
-	    arg_str0(NULL, "fault", "FILE", "tests only: a file with the ms by which each sync is delayed");
+	flags->without = arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "experiment: disable a mechanism");
+	flags->fault = arg_str0(NULL, "fault", "FILE",
+				"tests only: file with the milliseconds by which each sync is delayed");
 	flags->end = arg_end(MAX_FLAG_ERRORS);
 	memcpy(flags->table,
 	       (void *[FLAG_COUNT]){ flags->help, flags->version, flags->check, flags->platform, flags->file,
@@ -157,7 +158,7 @@
 	return arg_nullcheck(flags->table) == 0;
 }
 
-/* Parses the command line, and does what --help and --version ask for. */
+/* Parses the command line, and handles --help and --version. */
 static int flags_parse(struct flags *flags, const char *program, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, flags->table);
@@ -181,22 +182,22 @@
 
 static int print_unknown_mechanism(const char *program, const char *name)
 {
-	fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program, name);
+	fprintf(stderr, "%s: flags: without: unknown mechanism %s; valid names:", program, name);
 	for (int i = 0; i < MECHANISMS; i++)
 		fprintf(stderr, " %s", mechanism_info[i].name);
 	fprintf(stderr, "\n");
 	return EXIT_BAD_USAGE;
 }
 
-/* Where metrics are served, and the mechanisms that are off: only an experiment may switch one off. */
-static int read_experiment(struct settings *settings, const char *program, const struct flags *flags)
+/* Reads the port for metrics and the disabled mechanisms; only an experiment may disable one. */
+static int read_experiment_flags(struct settings *settings, const char *program, const struct flags *flags)
 {
 	settings->experiments_allowed = flags->experiments->count;
 	settings->metrics_port = flags->metrics->count ? flags->metrics->ival[0] : 0;
 	if (flags->metrics->count && (settings->metrics_port < 1 || settings->metrics_port > MAX_PORT))
 		return print_settings_error(program, "flags", "metrics", "a port of 1 to 65535");
 	if (flags->without->count && !flags->experiments->count)
-		return print_settings_error(program, "flags", "without", "only with --experiments");
+		return print_settings_error(program, "flags", "without", "allowed only with --experiments");
 	for (int i = 0; i < flags->without->count; i++) {
 		int mechanism = mechanism_find(flags->without->sval[i]);
 
@@ -207,7 +208,7 @@
 	return SETTINGS_CONTINUE;
 }
 
-/* Settings in another form than the product's, which allows few flags beside it. */
+/* Reads the platform's settings, which can be combined with only a few flags. */
 static int read_external_settings(struct settings *settings, const char *program, bool has_storage,
 				  const struct flags *flags,
 				  int (*read_external)(struct settings *, const char *, int, apr_pool_t *),
@@ -219,11 +220,11 @@
 	int exit_code;
 
 	if (!read_external)
-		return print_settings_error(program, "flags", "platform", "not known by this program");
+		return print_settings_error(program, "flags", "platform", "not supported by this program");
 	if (disallowed_count)
 		return print_settings_error(
 		    program, "flags", "platform",
-		    "no other flag but --check, --metrics, --experiments and --without with it");
+		    "may be combined only with --check, --metrics, --experiments and --without");
 	exit_code = read_external(settings, program, has_storage, pool);
 	if (exit_code >= 0) {
 		fprintf(stderr, "%s: %s\n", program, settings->error_text);
@@ -238,7 +239,7 @@
 	return flag->count ? apr_pstrdup(pool, flag->sval[0]) : NULL;
 }
 
-/* The product's own settings: flags, then the file for what no flag has set. */
+/* Reads the product's own settings: the flags, then the file for settings that no flag has set. */
 static int read_own_settings(struct settings *settings, const char *program, const struct flags *flags,
 			     apr_pool_t *pool)
 {
@@ -298,19 +299,18 @@
 		if (!core_parse_addr(settings->seeds[i]))
 			return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
 	if (has_storage && (!settings->data || !settings->data[0]))
-		return print_settings_error(program, source, "data",
-					    "the folder that this controller keeps its files in");
+		return print_settings_error(program, source, "data", "the data folder of this controller");
 	return SETTINGS_CONTINUE;
 }
 
-/* ---- all of it ---- */
+/* ---- reading and checking ---- */
 
 static int read_and_check(struct settings *settings, const char *program, bool has_storage,
 			  const struct flags *flags,
 			  int (*read_external)(struct settings *, const char *, int, apr_pool_t *),
 			  apr_pool_t *pool)
 {
-	int exit_code = read_experiment(settings, program, flags);
+	int exit_code = read_experiment_flags(settings, program, flags);
 
 	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
@@ -326,7 +326,7 @@
 	settings->check_only = flags->check->count;
 	exit_code = check_settings(settings, program, has_storage);
 	if (exit_code == SETTINGS_CONTINUE && settings->check_only) {
-		printf("%s: the settings are good\n", program);
+		printf("%s: the settings are valid\n", program);
 		return 0;
 	}
 	return exit_code;
@@ -347,6 +347,6 @@
 		exit_code = read_and_check(settings, program, has_storage, &flags, read_external, pool);
 	arg_freetable(flags.table, FLAG_COUNT);
 	if (exit_code == SETTINGS_CONTINUE && settings->read_external)
-		process_install_signal_handlers(settings); /* the platform may signal at once */
+		process_install_signal_handlers(settings); /* the platform may send SIGHUP from now on */
 	return exit_code;
 }
--- a/lib/shell/settings_watch.c
+++ b/lib/shell/settings_watch.c
@@ -1,4 +1,4 @@
-/* settings_watch: external settings that change while a program runs. */
+/* settings_watch: reloads external settings that change while the program runs. */
 #include <apr_file_info.h>
 #include <apr_strings.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 
 enum { POLL_INTERVAL_MS = 1000 };
 
-/* Whether the file is another one, or was written, since the last call. */
+/* Whether the file was replaced or written since the last call. */
 static bool has_file_changed(struct settings_watch *watch, const char *file, apr_pool_t *scratch)
 {
 	apr_finfo_t info;
@@ -18,7 +18,8 @@
 	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, scratch) !=
 		APR_SUCCESS &&
 	    !info.valid) {
-		watch->retry_pending = true; /* it's missing for a moment, or for good: reading it tells */
+		watch->retry_pending =
+		    true; /* the file may be missing only temporarily; a failed read is logged */
 		return true;
 	}
 	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
@@ -67,7 +68,7 @@
 		return;
 	apr_pool_create(&scratch, process->pool);
 	changed = has_file_changed(watch, process->settings.file, scratch);
-	if (!watch->next_poll_at_ms) /* the first poll: they were read a moment ago */
+	if (!watch->next_poll_at_ms) /* the first poll: settings_read has just read the file */
 		changed = false;
 	watch->next_poll_at_ms = now + POLL_INTERVAL_MS;
 	if (process_hangup_received() || changed || watch->retry_pending) {
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -17,8 +17,9 @@
 
 enum { FOLDER_MODE = 0700, LOCK_MODE = 0600 };
 
-#define DATABASE_NAME "/registrar.tdb" /* disks of running fleets have this file: the name must not change \
-					*/
+#define DATABASE_NAME                                                                        \
+	"/registrar.tdb" /* disks of running fleets have this file: the name must not change \
+			  */
 #define LOCK_NAME "/lock"
 
 /* The operator's remedy for a damaged file. */
@@ -216,7 +217,7 @@
 
 uint64_t storage_refused_count(const struct storage *storage)
 {
-	return storage->refused_count;
+	return storage->rejected_write_count;
 }
 
 void storage_close(struct storage *storage)
--- a/lib/shell/storage_internal.h
+++ b/lib/shell/storage_internal.h
@@ -89,7 +89,7 @@
 	apr_thread_t *thread;
 	atomic_bool stop_requested;
 	_Atomic uint64_t sync_count;
-	_Atomic uint64_t refused_count;
+	_Atomic uint64_t rejected_write_count;
 
 	/* set once, by storage_open */
 	int lock_fd; /* open lock file, which holds the lock of the folder; -1: not open */
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -166,20 +166,20 @@
  */
 static bool write_batch_until_synced(struct storage *storage, struct storage_job **jobs, size_t count)
 {
-	bool refused = false;
+	bool rejected = false;
 
 	while (!storage->stop_requested && !write_batch(storage, jobs, count)) {
-		if (!refused)
+		if (!rejected)
 			log_write(
 			    LOG_ERROR, "storage",
 			    "Step write: the disk refuses the batch (%s); it is retried until it succeeds.",
 			    storage->database ? tdb_errorstr(storage->database)
 					      : "the file cannot be opened");
-		refused = true;
-		storage->refused_count++;
+		rejected = true;
+		storage->rejected_write_count++;
 		apr_sleep(RETRY_INTERVAL_US);
 	}
-	return refused;
+	return rejected;
 }
 
 /* Rewrites the file, because deleted records must not be readable from its freed pages. */
@@ -207,7 +207,7 @@
 
 	if (!file)
 		return 0;
-	if (fscanf(file, "%ld", &delay_ms) != 1) /* NOLINT(cert-err34-c): a test's own file */
+	if (fscanf(file, "%ld", &delay_ms) != 1) /* NOLINT(cert-err34-c): the file is written by a test */
 		delay_ms = 0;
 	(void)fclose(file);
 	return delay_ms;
@@ -264,17 +264,17 @@
 	(void)thread;
 	while (!storage->stop_requested) {
 		size_t count = take_queued_jobs(storage, jobs);
-		bool refused;
+		bool rejected;
 
 		if (!count)
 			continue;
 		inject_sync_delay(storage);
-		refused = write_batch_until_synced(storage, jobs, count);
+		rejected = write_batch_until_synced(storage, jobs, count);
 		for (size_t i = 0; i < count; i++)
 			storage->erase_pending |= jobs[i]->write.scrub;
 		if (storage->erase_pending && !storage->stop_requested)
 			erase_deleted_records(storage);
-		if (refused && !storage->stop_requested)
+		if (rejected && !storage->stop_requested)
 			log_write(LOG_INFO, "storage", "The disk accepts writes again.");
 		for (size_t i = 0; i < count; i++)
 			acknowledge_job(storage, jobs[i]);
--- a/lib/shell/transport.c
+++ b/lib/shell/transport.c
@@ -1,6 +1,7 @@
-/* transport: framed messages between the fleet's own processes; see transport.h.
- * A process has one TCP connection to each other process, and a second one for bulk messages (log entries,
- * chunks of snapshots): heartbeats must not wait behind those on a slow link, or the leader's lease ends. */
+/* transport: framed messages between the processes of the fleet; see transport.h.
+ * A process opens one TCP connection to each peer, and a second one for bulk messages (log entries, snapshot
+ * chunks). On a slow link heartbeats must not queue after bulk messages, or the leader's lease would expire.
+ */
 #include "transport.h"
 
 #include <apr_strings.h>
@@ -16,8 +17,8 @@
 
 enum {
 	POLL_TIMEOUT_MS = 100,
-	CLOSE_FLUSH_MS = 200,       /* at the end, for messages that were queued last to leave */
-	CLOSE_POLL_TIMEOUT_MS = 10, /* between looks whether they have */
+	CLOSE_FLUSH_MS = 200,       /* on closing: maximum time to send the messages still queued */
+	CLOSE_POLL_TIMEOUT_MS = 10, /* interval of the check whether they were sent */
 	MAX_QUEUED_FRAMES = 65536,
 	MAX_POLLED_SOCKETS = 4096,
 	LISTEN_BACKLOG = 128
@@ -74,7 +75,7 @@
 	free(frame);
 }
 
-/* Waits for sockets, then sends what was queued. */
+/* Waits for ready sockets and handles them, then passes queued frames to their connections. */
 static void poll_and_send(struct transport *transport, int timeout_ms)
 {
 	const apr_pollfd_t *ready = NULL;
@@ -128,8 +129,8 @@
 	return APR_SUCCESS;
 }
 
-/* The thread adds sockets to the pollset, which allocates for each in its pool: so that must be the thread's.
- */
+/* The thread adds sockets to the pollset, which allocates memory from its pool each time. Therefore the pool
+ * must not be used by other threads. */
 static apr_status_t start_thread(struct transport *transport)
 {
 	apr_status_t status = apr_pollset_create(&transport->pollset, MAX_POLLED_SOCKETS, transport->pool,
@@ -166,7 +167,7 @@
 	return NULL;
 }
 
-/* Messages that may be large, or many, and that nothing waits for within a lease or a staleness bound. */
+/* Whether a message may be large or frequent, and no lease or staleness bound depends on its delay. */
 static bool is_bulk(const struct Nl__Msg *message)
 {
 	switch (message->body_case) {
--- a/lib/shell/transport_incoming.c
+++ b/lib/shell/transport_incoming.c
@@ -1,5 +1,5 @@
-/* transport_incoming: connections that other processes open. A frame is a size of four bytes, big-endian, and
- * a packed message. */
+/* transport_incoming: connections that other processes open. A frame consists of a size (four bytes,
+ * big-endian) and a packed message. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 #include "transport_internal.h"
 
 enum {
-	MAX_READS_PER_POLL = 64, /* of one connection before others have their turn */
+	MAX_READS_PER_POLL = 64, /* of one connection, before other ready sockets are served */
 	READ_BUFFER_BYTES = 65536
 };
 
@@ -29,8 +29,8 @@
 	free(connection);
 }
 
-/* Pushes a packed message to the event ring; it's dropped when the ring is full. False when it can't be read.
- */
+/* Unpacks a message and pushes it to the event ring; drops it if the ring is full. Returns false if the
+ * message is malformed or has another protocol version. */
 static bool push_message(struct transport *transport, const uint8_t *packed, size_t size)
 {
 	struct Nl__Msg *message = nl__msg__unpack(NULL, size, packed);
@@ -49,7 +49,7 @@
 	return true;
 }
 
-/* Complete frames become events. False when one is malformed. */
+/* Pushes the messages of all complete frames to the event ring. Returns false if a frame is malformed. */
 static bool parse_frames(struct transport *transport, struct transport_connection *connection)
 {
 	size_t offset = 0;
@@ -83,8 +83,9 @@
 			memcpy(arraddnptr(connection->buffer, size), bytes, size);
 		if (APR_STATUS_IS_EAGAIN(status) || (status == APR_SUCCESS && size < sizeof bytes)) {
 			if (!parse_frames(transport, connection)) {
-				log_write(LOG_WARN, "transport",
-					  "Malformed message from a peer; its connection is closed.");
+				log_write(
+				    LOG_WARN, "transport",
+				    "Received a malformed message or another protocol version from a peer; its connection is closed.");
 				incoming_close(transport, connection);
 			}
 			return;
--- a/lib/shell/transport_outgoing.c
+++ b/lib/shell/transport_outgoing.c
@@ -1,5 +1,5 @@
 /* transport_outgoing: connections that this process opens.
- * A frame that can't be queued is dropped: the protocols of lib/core ask again. */
+ * A frame that can't be queued is dropped; the protocols of lib/core repeat their requests. */
 #include <apr_portable.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -16,21 +16,23 @@
 #define BULK_CONNECTION ((uint64_t)1 << 63)
 
 enum {
-	MAX_QUEUED_BYTES = 64 << 20, /* of one connection */
-	COMPACT_MIN_BYTES =
-	    1 << 20,           /* written bytes at the start of a buffer that are worth moving the rest for */
-	REDIAL_DELAY_MS = 200, /* after a connection was closed */
-	PARALLEL_DIAL_DELAY_MS = 250, /* without an answer, after which another dial goes out beside it */
-	MAX_OLDER_DIALS = 8           /* a round trip longer than that many dials is as good as none */
+	MAX_QUEUED_BYTES = 64 << 20, /* unsent bytes of one connection */
+	COMPACT_MIN_BYTES = 1 << 20, /* sent bytes at the start of a buffer above which the unsent bytes are
+					moved to the start */
+	REDIAL_DELAY_MS = 200,       /* minimum time between the end of a connection and its next dial */
+	PARALLEL_DIAL_DELAY_MS =
+	    250,            /* age of an unanswered dial at which another dial is started in parallel */
+	MAX_OLDER_DIALS = 8 /* the oldest dial beyond this number is closed: a peer with a longer round trip
+		    counts as unreachable */
 };
 
-/* Bytes that are not acknowledged for so long end a connection. The kernel would retransmit to a silent
- * machine after ever longer pauses, and not look for 10 s and more after it is back. Over a saturated link an
- * acknowledgement may take as long as that: so a connection whose dial took its time gets a few round trips
- * more. */
+/* A connection is closed if sent bytes are not acknowledged within a timeout (TCP_USER_TIMEOUT). Without it
+ * the kernel would retransmit to an unresponsive machine at growing intervals, and notice its return only 10
+ * s or more later. On a saturated link an acknowledgement may take longer than UNACKED_TIMEOUT_MS. Therefore
+ * the timeout of a connection is extended by some round trips, as measured by its dial. */
 enum {
 	UNACKED_TIMEOUT_MS = 1000,
-	UNACKED_ROUND_TRIPS = 3, /* as the dial took them, on top of it */
+	UNACKED_ROUND_TRIPS = 3, /* extension, in multiples of the duration of the dial */
 	UNACKED_TIMEOUT_MAX_MS = 5000
 };
 
@@ -114,9 +116,9 @@
 	transport_poll(transport, connection, APR_POLLIN);
 }
 
-/* An answer to a dial may only be slow, behind a saturated link: the dial stays, and another goes out beside
- * it, for the kernel asks a machine that was down again after a second at the soonest. What was queued for it
- * is no longer worth sending. */
+/* Starts another dial while the newest one is unanswered. The answer may only be delayed by a saturated link,
+ * so the older dial is kept. A machine that was down would get the kernel's next SYN only after 1 s or more,
+ * so a new dial reaches it earlier. Queued bytes are dropped, because they are outdated. */
 static void dial_in_parallel(struct transport *transport, struct transport_connection *connection)
 {
 	struct dial dial = { connection->pool, connection->socket, connection->poll_fd,
@@ -135,7 +137,8 @@
 	outgoing_dial(transport, connection);
 }
 
-/* The first answer to a dial: this socket is the connection's, and the other dials are closed. */
+/* Handles the first dial that was accepted: the connection uses its socket, and all other dials are closed.
+ */
 static void outgoing_connected(struct transport *transport, struct transport_connection *connection)
 {
 	int64_t timeout_ms =
@@ -154,13 +157,13 @@
 static void dial_failed(struct transport *transport, struct transport_connection *connection)
 {
 	if (!connection->is_unreachable_logged)
-		log_write(LOG_WARN, "transport", "Peer %s is unreachable.",
+		log_write(LOG_WARN, "transport", "Peer %s is unreachable: the connection attempt failed.",
 			  core_format_addr(connection->pool, connection->addr));
 	connection->is_unreachable_logged = true;
 	outgoing_close(transport, connection);
 }
 
-/* The peer never sends on this connection: what can be read is its end. */
+/* Whether the peer closed the connection. A peer never sends data on it, so only its end can be read. */
 static bool is_closed_by_peer(const struct transport_connection *connection)
 {
 	char byte[64];
@@ -192,7 +195,8 @@
 	}
 }
 
-/* An older dial has its answer: it takes the newest one's place, or is over. */
+/* Handles poll events of an older dial: if it was accepted, it replaces the newest dial; if it failed, it is
+ * closed. */
 static void older_dial_ready(struct transport *transport, struct transport_connection *connection,
 			     const apr_socket_t *socket, apr_int16_t events)
 {
@@ -202,7 +206,7 @@
 	while (i < arrlen(connection->older_dials) && connection->older_dials[i].socket != socket)
 		i++;
 	if (i == arrlen(connection->older_dials))
-		return; /* closed by an event before it */
+		return; /* an earlier event of the same poll has closed this dial */
 	dial = connection->older_dials[i];
 	arrdel(connection->older_dials, i);
 	if (events & (APR_POLLERR | APR_POLLHUP)) {
@@ -252,8 +256,8 @@
 	struct transport_connection *connection =
 	    find_or_add_connection(transport, frame->addr, frame->is_bulk);
 
-	/* a machine without power, or behind a partition, doesn't answer a dial; the kernel would ask once
-	 * more after a second only */
+	/* a machine that is down or separated by a network partition does not answer a dial, and the kernel
+	 * would repeat its SYN only after 1 s */
 	if (connection->socket && !connection->is_connected &&
 	    clock_ms() - connection->dialled_at_ms > PARALLEL_DIAL_DELAY_MS)
 		dial_in_parallel(transport, connection);
