--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -32,7 +32,7 @@
 struct loop {
 	struct process *process;
 	const struct process_handlers *handlers;
-	struct settings_watch settings_watch;
+	struct settings_watch external_settings; /* watch on their changes */
 	int64_t last_tick_ms;
 	int64_t last_scan_ms;
 	bool events_pending; /* the last batch was full, so the ring may contain more events */
@@ -288,7 +288,7 @@
 	for (;;) {
 		int64_t now = clock_ms();
 
-		settings_watch_poll(&loop.settings_watch, process, handlers, now);
+		settings_watch_poll(&loop.external_settings, process, handlers, now);
 		if (process_stop_requested() && !process->stopping)
 			begin_stop(&loop, now);
 		if (is_stop_complete(&loop, now))
@@ -298,6 +298,6 @@
 	}
 	flush_answers(process);
 	close_all(process);
-	log_write(LOG_INFO, "process", "Shutdown complete; the process ends.");
+	log_write(LOG_INFO, "process", "Ended.");
 	return 0;
 }
--- a/lib/shell/settings.c
+++ b/lib/shell/settings.c
@@ -135,8 +135,9 @@
 	    "read all settings from the platform; may be combined only with --check, --metrics, --experiments and --without");
 	flags->file = arg_file0("s", "settings", "FILE", "JSON file with settings; flags take precedence");
 	flags->listen = arg_str0("l", "listen", "IP:PORT", "address for other processes of the fleet");
-	flags->advertise = arg_str0(NULL, "advertise", "IP:PORT",
-				    "address that is advertised to other processes, if not that of --listen");
+	flags->advertise =
+	    arg_str0(NULL, "advertise", "IP:PORT",
+		     "address that is advertised to other processes; default: the listening address");
 	flags->web = arg_str0("w", "web", "IP:PORT",
 			      has_storage ? "address for operators and the platform" : "address for clients");
 	flags->zone = arg_str0("z", "zone", "NAME", "zone of this machine");
--- a/lib/shell/transport_outgoing.c
+++ b/lib/shell/transport_outgoing.c
@@ -27,9 +27,9 @@
 };
 
 /* A connection is closed if sent bytes are not acknowledged within a timeout (TCP_USER_TIMEOUT). Without it
- * the kernel would retransmit to an unresponsive machine at growing intervals, and notice its return only 10
- * s or more later. On a saturated link an acknowledgement may take longer than UNACKED_TIMEOUT_MS. Therefore
- * the timeout of a connection is extended by some round trips, as measured by its dial. */
+ * the kernel would retransmit to an unresponsive machine at growing intervals, and would take 10 s or more
+ * to notice its return. On a saturated link an acknowledgement may take longer than UNACKED_TIMEOUT_MS.
+ * Therefore the timeout of a connection is extended by some round trips, as measured by its dial. */
 enum {
 	UNACKED_TIMEOUT_MS = 1000,
 	UNACKED_ROUND_TRIPS = 3, /* extension, in multiples of the duration of the dial */
