--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -22,17 +22,17 @@
 enum {
 	TICK_INTERVAL_MS = 25,
 	DISCONNECT_SCAN_INTERVAL_MS = 250, /* interval of the scan for disconnected clients */
-	DEFAULT_STOP_GRACE_MS = 30000,     /* maximum duration of a planned stop */
+	DEFAULT_STOP_GRACE_MS = 30000,     /* maximum duration of a planned stop if the settings have none */
 	EVENT_RING_CAPACITY = 65536,
 	MAX_EVENT_BATCH = 64, /* maximum number of events between two checks of timers */
-	FINAL_FLUSH_MS = 50   /* time at the end of a stop in which the last answers are sent */
+	FINAL_FLUSH_MS = 50   /* duration at the end of a stop in which the last answers are sent */
 };
 
-/* The state of the loop itself. */
+/* The state of the main loop. */
 struct loop {
 	struct process *process;
 	const struct process_handlers *handlers;
-	struct settings_watch external_settings; /* watch on their changes */
+	struct settings_watch external_settings; /* detects changes of external settings */
 	int64_t last_tick_ms;
 	int64_t last_scan_ms;
 	bool events_pending; /* the last batch was full, so the ring may contain more events */
@@ -232,13 +232,13 @@
 		event = ring_pop(loop->process->events, 0);
 	}
 	loop->events_pending = event != NULL;
-	if (event) /* was already removed from the ring */
+	if (event) /* it was already removed from the ring, so it must be handled now */
 		handle_event(loop, event);
 }
 
 /* ---- closing ---- */
 
-/* Gives the interface time to send the last answers. */
+/* Serves the interface for FINAL_FLUSH_MS, so that the last answers are sent. */
 static void flush_answers(const struct process *process)
 {
 	int64_t now = clock_ms();
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -17,9 +17,8 @@
 
 enum { FOLDER_MODE = 0700, LOCK_MODE = 0600 };
 
-#define DATABASE_NAME                                                                        \
-	"/registrar.tdb" /* disks of running fleets have this file: the name must not change \
-			  */
+/* The name must not change: data folders of running fleets contain this file. */
+#define DATABASE_NAME "/registrar.tdb"
 #define LOCK_NAME "/lock"
 
 /* The operator's remedy for a damaged file. */
--- a/lib/shell/storage_load.c
+++ b/lib/shell/storage_load.c
@@ -13,7 +13,7 @@
 struct load_context {
 	struct storage *storage;
 	struct stored_state *state;
-	apr_pool_t *pool;        /* of the strings and entries in state */
+	apr_pool_t *pool;        /* for the strings and entries in state */
 	const char *damaged_key; /* key of the first damaged record; NULL: none */
 	struct raft_entry
 	    *entries[SHARD_COUNT]; /* stb_ds; in the order of the file; entry_index() returns the log index */
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -17,7 +17,7 @@
 	MAX_QUEUED_JOBS = 65536,
 	MAX_BATCH_JOBS = 256,
 	JOB_POLL_MS = 100,
-	RETRY_INTERVAL_US = 200000, /* after the disk rejected a batch */
+	RETRY_INTERVAL_US = 200000, /* time between two attempts to write a batch */
 	DELAY_FILE_POLL_US = 5000 /* interval at which the sync delay file is read during an injected delay */
 };
 
@@ -28,7 +28,7 @@
 	apr_pool_t *pool;
 };
 
-/* ---- one shard's change ---- */
+/* ---- changes of one shard ---- */
 
 static bool write_vote(struct storage *storage, const struct persist *write)
 {
@@ -133,7 +133,7 @@
 	written = written && storage_total_write(storage);
 	if (written)
 		written = storage_transaction_commit(
-		    storage); /* on an error TDB itself cancels, as far as the disk allows */
+		    storage); /* on an error TDB cancels the transaction, as far as the disk allows */
 	else
 		tdb_transaction_cancel(storage->database);
 	storage->transaction_failed = !written;
@@ -197,7 +197,7 @@
 		    "Step scrub: the database file could not be rewritten; purged records stay in freed pages until the next batch.");
 }
 
-/* ---- the thread ---- */
+/* ---- the writer thread ---- */
 
 /* Returns the milliseconds in the sync delay file; 0 if there is no such file. */
 static int64_t read_injected_delay_ms(const struct storage *storage)
--- a/lib/shell/transport.c
+++ b/lib/shell/transport.c
@@ -18,7 +18,7 @@
 enum {
 	POLL_TIMEOUT_MS = 100,
 	CLOSE_FLUSH_MS = 200,       /* on closing: maximum time to send the messages still queued */
-	CLOSE_POLL_TIMEOUT_MS = 10, /* interval of the check whether they were sent */
+	CLOSE_POLL_TIMEOUT_MS = 10, /* interval at which queued messages are checked for being sent */
 	MAX_QUEUED_FRAMES = 65536,
 	MAX_POLLED_SOCKETS = 4096,
 	LISTEN_BACKLOG = 128
--- a/lib/shell/transport_incoming.c
+++ b/lib/shell/transport_incoming.c
@@ -11,7 +11,7 @@
 #include "transport_internal.h"
 
 enum {
-	MAX_READS_PER_POLL = 64, /* of one connection, before other ready sockets are served */
+	MAX_READS_PER_POLL = 64, /* reads from one connection before other ready sockets are served */
 	READ_BUFFER_BYTES = 65536
 };
 
@@ -85,7 +85,7 @@
 			if (!parse_frames(transport, connection)) {
 				log_write(
 				    LOG_WARN, "transport",
-				    "Received a malformed message or another protocol version from a peer; its connection is closed.");
+				    "Received a message that is malformed or has another protocol version; the connection of the peer is closed.");
 				incoming_close(transport, connection);
 			}
 			return;
