--- a/lib/shell/transport_incoming.c
+++ b/lib/shell/transport_incoming.c
@@ -85,7 +85,7 @@
 			if (!parse_frames(transport, connection)) {
 				log_write(
 				    LOG_WARN, "transport",
-				    "Received a message that is malformed or has another protocol version; the connection of the peer is closed.");
+				    "Received a malformed message or unsupported protocol version; the connection is closed.");
 				incoming_close(transport, connection);
 			}
 			return;
