--- a/lib/shell/transport_outgoing.c
+++ b/lib/shell/transport_outgoing.c
@@ -17,7 +17,8 @@
 
 enum {
 	MAX_QUEUED_BYTES = 64 << 20, /* unsent bytes of one connection */
-	COMPACT_MIN_BYTES = 1 << 20, /* minimum number of sent bytes that are removed from a buffer */
+	COMPACT_MIN_BYTES = 1 << 20, /* sent bytes are removed from a buffer above this number; for fewer it
+					is not worth moving the rest */
 	REDIAL_DELAY_MS = 200,       /* minimum time between the end of a connection and its next dial */
 	PARALLEL_DIAL_DELAY_MS =
 	    250,            /* age of an unanswered dial at which another dial is started in parallel */
