--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -1,6 +1,6 @@
 /* process: the main loop of a program; see process.h.
- * One thread owns the state. It takes events from the ring one by one, steps the core with each, and performs
- * the commands of a step before the next one. */
+ * The thread that owns the state removes events from the ring one by one, steps the core with each event, and
+ * performs the commands of that step before the next step. */
 #include "process.h"
 
 #include <string.h>
@@ -20,22 +20,22 @@
 #include "transport.h"
 
 enum {
-	TICK_MS = 25,
-	SCAN_MS = 250,            /* between looks for disconnected clients */
-	DEFAULT_GRACE_MS = 30000, /* for a planned stop */
+	TICK_INTERVAL_MS = 25,
+	DISCONNECT_SCAN_INTERVAL_MS = 250, /* interval of the scan for disconnected clients */
+	DEFAULT_STOP_GRACE_MS = 30000,     /* maximum duration of a planned stop if the settings have none */
 	EVENT_RING_CAPACITY = 65536,
-	MAX_EVENT_BATCH = 64, /* events between looks at the clock */
-	FLUSH_MS = 50         /* at the end, for answers given last to leave */
+	MAX_EVENT_BATCH = 64, /* maximum number of events between two checks of timers */
+	FINAL_FLUSH_MS = 50   /* duration at the end of a stop in which the last answers are sent */
 };
 
-/* The state of the loop itself. */
+/* The state of the main loop. */
 struct loop {
 	struct process *process;
 	const struct process_handlers *handlers;
-	struct settings_watch watch;
+	struct settings_watch external_settings; /* detects changes of external settings */
 	int64_t last_tick_ms;
 	int64_t last_scan_ms;
-	bool events_pending; /* the last batch was full */
+	bool events_pending; /* the last batch was full, so the ring may contain more events */
 };
 
 uint64_t process_random_id(void)
@@ -53,19 +53,19 @@
 {
 	for (int i = 0; i < MECHANISMS; i++)
 		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)i))
-			log_write(LOG_WARN, "experiment", "Without %s: %s.", mechanism_info[i].name,
-				  mechanism_info[i].description);
+			log_write(LOG_WARN, "experiment", "Without %s: this mechanism is disabled (%s).",
+				  mechanism_info[i].name, mechanism_info[i].description);
 }
 
 static int open_front_end(struct process *process)
 {
 	if (!process->front_end->open(process->front_end_context, process))
 		return 0;
-	ring_on_push(process->events, process->front_end->wake, process->front_end_context);
+	ring_set_on_push(process->events, process->front_end->wake, process->front_end_context);
 	return 1;
 }
 
-static int open_own_interface(struct process *process)
+static int open_product_interface(struct process *process)
 {
 	process->api_server = api_server_open(process->settings.web, process->events, process->pool);
 	if (!process->api_server)
@@ -87,12 +87,12 @@
 	process->transport = transport_open(settings->listen, process->events, process->pool);
 	if (!process->transport)
 		return 0;
-	return process->front_end ? open_front_end(process) : open_own_interface(process);
+	return process->front_end ? open_front_end(process) : open_product_interface(process);
 }
 
 /* ---- commands ---- */
 
-static void perform(struct process *process, struct command *command)
+static void perform_command(struct process *process, struct command *command)
 {
 	switch (command->kind) {
 	case CMD_SEND:
@@ -129,7 +129,7 @@
 	case CMD_POLL_REPORT:
 	case CMD_LOAD_WEIGHTS:
 	case CMD_WATCH_CACHE:
-		break; /* only front ends have them */
+		break; /* only front ends perform these commands */
 	}
 }
 
@@ -140,14 +140,14 @@
 
 		if (process->front_end && process->front_end->perform(process->front_end_context, command))
 			continue;
-		perform(process, command);
+		perform_command(process, command);
 	}
 	command_list_clear(&process->commands);
 }
 
 /* ---- the loop ---- */
 
-static void step(struct loop *loop, const struct shell_event *event, int64_t now)
+static void run_step(struct loop *loop, const struct shell_event *event, int64_t now)
 {
 	loop->handlers->step(loop->handlers->context, event, now, &loop->process->commands);
 	process_perform(loop->process);
@@ -158,20 +158,20 @@
 	struct process *process = loop->process;
 	struct shell_event stop = { .kind = SHELL_EVENT_STOP };
 
-	log_write(LOG_INFO, "process", "Shutting down: requests in flight end first.");
+	log_write(LOG_INFO, "process", "Shutting down: waiting for requests in progress to end.");
 	process->stopping = 1;
 	process->stop_deadline_ms =
-	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_GRACE_MS);
+	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_STOP_GRACE_MS);
 	stop.deadline_ms = process->stop_deadline_ms;
 	if (process->front_end) {
 		process->front_end->stop(process->front_end_context, now);
 		process_perform(process);
 	} else {
-		step(loop, &stop, now);
+		run_step(loop, &stop, now);
 	}
 }
 
-static bool is_stopped(const struct loop *loop, int64_t now)
+static bool is_stop_complete(const struct loop *loop, int64_t now)
 {
 	const struct process *process = loop->process;
 
@@ -183,31 +183,32 @@
 	return now >= process->stop_deadline_ms;
 }
 
-/* What is due by the clock. */
+/* Steps the core and scans for disconnected clients if their intervals have passed. */
 static void run_timers(struct loop *loop, int64_t now)
 {
 	struct process *process = loop->process;
 	const struct process_handlers *handlers = loop->handlers;
 
-	if (now - loop->last_tick_ms >= TICK_MS) {
+	if (now - loop->last_tick_ms >= TICK_INTERVAL_MS) {
 		loop->last_tick_ms = now;
-		step(loop, NULL, now);
+		run_step(loop, NULL, now);
 		if (handlers->streams_valid_until && !process->front_end)
 			api_server_valid_until(process->api_server,
 					       handlers->streams_valid_until(handlers->context));
 	}
-	if (!process->front_end && now - loop->last_scan_ms >= SCAN_MS) {
+	if (!process->front_end && now - loop->last_scan_ms >= DISCONNECT_SCAN_INTERVAL_MS) {
 		loop->last_scan_ms = now;
 		api_server_scan(process->api_server);
 	}
 }
 
-/* The next event, waited for until the next tick. A front end waits for its sockets meanwhile; it isn't woken
- * by what stands in the ring already, so it doesn't wait then. */
-static struct shell_event *next_event(const struct loop *loop, int64_t now)
+/* Waits for the next event until the next tick is due; returns NULL if there is none. A front end serves its
+ * sockets meanwhile. It is woken only by a push into an empty ring, so it does not wait if the ring already
+ * has events. */
+static struct shell_event *wait_for_event(const struct loop *loop, int64_t now)
 {
 	const struct process *process = loop->process;
-	int64_t next_tick_ms = loop->last_tick_ms + TICK_MS;
+	int64_t next_tick_ms = loop->last_tick_ms + TICK_INTERVAL_MS;
 	int wait_ms = next_tick_ms > now ? (int)(next_tick_ms - now) : 0;
 
 	if (!process->front_end)
@@ -218,33 +219,33 @@
 
 static void handle_event(struct loop *loop, struct shell_event *event)
 {
-	step(loop, event, clock_ms());
+	run_step(loop, event, clock_ms());
 	shell_event_free(event);
 }
 
 static void handle_events(struct loop *loop, int64_t now)
 {
-	struct shell_event *event = next_event(loop, now);
+	struct shell_event *event = wait_for_event(loop, now);
 
 	for (int i = 0; event && i < MAX_EVENT_BATCH; i++) {
 		handle_event(loop, event);
 		event = ring_pop(loop->process->events, 0);
 	}
 	loop->events_pending = event != NULL;
-	if (event) /* popped already */
+	if (event) /* it was already removed from the ring, so it must be handled now */
 		handle_event(loop, event);
 }
 
-/* ---- the end ---- */
+/* ---- closing ---- */
 
-/* Answers that were just given leave. */
-static void flush(const struct process *process)
+/* Serves the interface for FINAL_FLUSH_MS, so that the last answers are sent. */
+static void flush_answers(const struct process *process)
 {
 	int64_t now = clock_ms();
-	int64_t end_ms = now + FLUSH_MS;
+	int64_t end_ms = now + FINAL_FLUSH_MS;
 
 	if (!process->front_end) {
-		apr_sleep(apr_time_from_msec(FLUSH_MS));
+		apr_sleep(apr_time_from_msec(FINAL_FLUSH_MS));
 		return;
 	}
 	for (; now < end_ms; now = clock_ms())
@@ -259,11 +260,12 @@
 		shell_event_free(event);
 }
 
-/* The core handles nothing more: its ring is kept empty so that no thread waits to push while it's joined. */
+/* Closes all modules. Events are no longer handled; the ring is emptied so that no thread blocks on a push
+ * while it is being joined. */
 static void close_all(struct process *process)
 {
 	if (process->front_end) {
-		ring_on_push(process->events, NULL, NULL);
+		ring_set_on_push(process->events, NULL, NULL);
 		process->front_end->close(process->front_end_context);
 	} else {
 		api_server_close(process->api_server);
@@ -286,15 +288,15 @@
 	for (;;) {
 		int64_t now = clock_ms();
 
-		settings_watch_poll(&loop.watch, process, handlers, now);
+		settings_watch_poll(&loop.external_settings, process, handlers, now);
 		if (process_stop_requested() && !process->stopping)
 			begin_stop(&loop, now);
-		if (is_stopped(&loop, now))
+		if (is_stop_complete(&loop, now))
 			break;
 		run_timers(&loop, now);
 		handle_events(&loop, now);
 	}
-	flush(process);
+	flush_answers(process);
 	close_all(process);
 	log_write(LOG_INFO, "process", "Ended.");
 	return 0;
--- a/lib/shell/ring.c
+++ b/lib/shell/ring.c
@@ -1,5 +1,6 @@
-/* ring: see ring.h. POSIX threads and not APR's: APR's timed wait uses the wall clock, and lasts an hour when
- * that is set back by one. */
+/* ring: see ring.h.
+ * Uses POSIX threads, because the timed wait of APR uses the wall clock: if that is set back by an hour, the
+ * wait lasts an hour longer. */
 #include "ring.h"
 
 #include <pthread.h>
@@ -9,20 +10,20 @@
 #define NS_PER_MS 1000000L
 #define NS_PER_S 1000000000L
 
-/* All fields but capacity are protected by mutex. */
+/* mutex protects all fields except capacity. */
 struct ring {
 	pthread_mutex_t mutex;
 	pthread_cond_t not_empty;
 	pthread_cond_t not_full;
 	size_t capacity;
 	size_t head;  /* index of the first item */
-	size_t count; /* of items */
+	size_t count; /* number of items in the ring */
 	void **items;
 	void (*on_push)(void *context);
 	void *on_push_context;
 };
 
-void ring_on_push(struct ring *ring, void (*on_push)(void *context), void *context)
+void ring_set_on_push(struct ring *ring, void (*on_push)(void *context), void *context)
 {
 	pthread_mutex_lock(&ring->mutex);
 	ring->on_push_context = context;
@@ -64,7 +65,7 @@
 	return pushed;
 }
 
-static struct timespec monotonic_after(int timeout_ms)
+static struct timespec monotonic_deadline(int timeout_ms)
 {
 	struct timespec time;
 
@@ -80,12 +81,12 @@
 
 void *ring_pop(struct ring *ring, int timeout_ms)
 {
-	struct timespec until = monotonic_after(timeout_ms);
+	struct timespec deadline = monotonic_deadline(timeout_ms);
 	void *item = NULL;
 
 	pthread_mutex_lock(&ring->mutex);
 	if (!ring->count && timeout_ms > 0)
-		pthread_cond_timedwait(&ring->not_empty, &ring->mutex, &until);
+		pthread_cond_timedwait(&ring->not_empty, &ring->mutex, &deadline);
 	if (ring->count) {
 		item = ring->items[ring->head];
 		ring->head = (ring->head + 1) % ring->capacity;
--- a/lib/shell/settings.c
+++ b/lib/shell/settings.c
@@ -1,4 +1,4 @@
-/* settings: flags, the settings file, and their checks; see settings.h. */
+/* settings: reads and checks the flags and the settings file; see settings.h. */
 #include "settings.h"
 
 #include <apr_strings.h>
@@ -16,7 +16,7 @@
 #endif
 
 enum {
-	GO_ON = -1, /* of functions that return an exit code, or this */
+	SETTINGS_CONTINUE = -1, /* result of functions that otherwise return an exit code: continue */
 	EXIT_BAD_USAGE = 2,
 	MAX_PORT = 65535,
 	MAX_ZONE_LENGTH = 60,
@@ -24,10 +24,10 @@
 	FLAG_COUNT = 16
 };
 
-#define ADDRESS_RANGE "an address ip:port with a port of 1 to 65535"
-#define SEEDS_RANGE "1 to 8 addresses ip:port of other processes"
+#define ADDRESS_EXPECTED "an address ip:port with a port of 1 to 65535"
+#define SEEDS_EXPECTED "1 to 8 addresses ip:port of other processes"
 
-/* The flags of a program, as argtable reads them; freed by flags_free. */
+/* The flags of a program, parsed by argtable. arg_freetable frees them. */
 struct flags {
 	struct arg_lit *help;
 	struct arg_lit *version;
@@ -45,13 +45,14 @@
 	struct arg_str *without;
 	struct arg_str *fault;
 	struct arg_end *end;
-	void *table[FLAG_COUNT]; /* all of them, in the order of --help */
+	void *table[FLAG_COUNT]; /* all flags, in the order of --help */
 };
 
-/* Prints one line of place, key and range; returns the exit code. */
-static int settings_error(const char *program, const char *place, const char *key, const char *range)
+/* Prints one line: source, key and the expected value. Returns the exit code. */
+static int print_settings_error(const char *program, const char *source, const char *key,
+				const char *expected)
 {
-	fprintf(stderr, "%s: %s: %s: %s\n", program, place, key, range);
+	fprintf(stderr, "%s: %s: %s: %s\n", program, source, key, expected);
 	return EXIT_BAD_USAGE;
 }
 
@@ -62,13 +63,14 @@
 {
 	if (!json_object_is_type(value, json_type_array) ||
 	    json_object_array_length(value) > SETTINGS_MAX_SEEDS)
-		return settings_error(program, settings->file, "seeds", "a list of 1 to 8 addresses ip:port");
+		return print_settings_error(program, settings->file, "seeds",
+					    "a list of 1 to 8 addresses ip:port");
 	if (settings->seed_count)
-		return GO_ON; /* flags have precedence */
+		return SETTINGS_CONTINUE; /* flags take precedence */
 	for (size_t i = 0; i < json_object_array_length(value); i++)
 		settings->seeds[settings->seed_count++] =
 		    apr_pstrdup(pool, json_object_get_string(json_object_array_get_idx(value, i)));
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
 static int read_file_key(struct settings *settings, const char *program, const char *key,
@@ -87,30 +89,32 @@
 		if (strcmp(key, texts[i].name) != 0)
 			continue;
 		if (!json_object_is_type(value, json_type_string))
-			return settings_error(program, settings->file, key, "a string");
+			return print_settings_error(program, settings->file, key, "a string");
 		if (!*texts[i].target)
 			*texts[i].target = apr_pstrdup(pool, json_object_get_string(value));
-		return GO_ON;
+		return SETTINGS_CONTINUE;
 	}
 	if (strcmp(key, "seeds") == 0)
 		return read_seeds(settings, program, value, pool);
-	return settings_error(program, settings->file, key,
-			      "no such key; known: listen, advertise, web, zone, seeds, data, fault");
+	return print_settings_error(
+	    program, settings->file, key,
+	    "unknown key; valid keys: listen, advertise, web, zone, seeds, data, fault");
 }
 
 static int read_file(struct settings *settings, const char *program, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_from_file(settings->file);
-	int exit_code = GO_ON;
+	int exit_code = SETTINGS_CONTINUE;
 
 	if (!json_object_is_type(json, json_type_object)) {
-		exit_code = settings_error(program, settings->file, "file", "not readable as a JSON object");
+		exit_code =
+		    print_settings_error(program, settings->file, "file", "not readable as a JSON object");
 		goto out;
 	}
 	json_object_object_foreach(json, key, value)
 	{
 		exit_code = read_file_key(settings, program, key, value, pool);
-		if (exit_code != GO_ON)
+		if (exit_code != SETTINGS_CONTINUE)
 			goto out;
 	}
 out:
@@ -125,25 +129,26 @@
 {
 	flags->help = arg_lit0("h", "help", "print this text");
 	flags->version = arg_lit0(NULL, "version", "print the version");
-	flags->check = arg_lit0(NULL, "check", "check the settings and exit; no socket opens");
+	flags->check = arg_lit0(NULL, "check", "check the settings and exit without opening a socket");
 	flags->platform = arg_lit0(
 	    NULL, "platform",
-	    "take all settings from where the platform keeps them; with --check, --metrics, --experiments and --without alone");
-	flags->file = arg_file0("s", "settings", "FILE", "JSON settings; flags have precedence");
+	    "read all settings from the platform; may be combined only with --check, --metrics, --experiments and --without");
+	flags->file = arg_file0("s", "settings", "FILE", "JSON file with settings; flags take precedence");
 	flags->listen = arg_str0("l", "listen", "IP:PORT", "address for other processes of the fleet");
 	flags->advertise =
-	    arg_str0(NULL, "advertise", "IP:PORT", "address that other processes are given, if another");
+	    arg_str0(NULL, "advertise", "IP:PORT",
+		     "address that is advertised to other processes; default: the listening address");
 	flags->web = arg_str0("w", "web", "IP:PORT",
 			      has_storage ? "address for operators and the platform" : "address for clients");
 	flags->zone = arg_str0("z", "zone", "NAME", "zone of this machine");
-	flags->seed = arg_strn(NULL, "seed", "IP:PORT", 0, SETTINGS_MAX_SEEDS, "another process; give three");
-	flags->data = arg_str0("d", "data", "FOLDER", has_storage ? "data folder" : "unused here");
-	flags->metrics = arg_int0(NULL, "metrics", "PORT", "serve metrics there, as GET /metrics");
+	flags->seed = arg_strn(NULL, "seed", "IP:PORT", 0, SETTINGS_MAX_SEEDS,
+			       "address of another process; three are recommended");
+	flags->data = arg_str0("d", "data", "FOLDER", has_storage ? "data folder" : "unused by this program");
+	flags->metrics = arg_int0(NULL, "metrics", "PORT", "port on which GET /metrics is served");
 	flags->experiments = arg_lit0(NULL, "experiments", "allow --without");
-	flags->without =
-	    arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "experiment: switch a mechanism off");
-	flags->fault =
-	    arg_str0(NULL, "fault", "FILE", "tests only: a file with the ms by which each sync is delayed");
+	flags->without = arg_strn(NULL, "without", "NAME", 0, MECHANISMS, "experiment: disable a mechanism");
+	flags->fault = arg_str0(NULL, "fault", "FILE",
+				"tests only: file with the milliseconds by which each sync is delayed");
 	flags->end = arg_end(MAX_FLAG_ERRORS);
 	memcpy(flags->table,
 	       (void *[FLAG_COUNT]){ flags->help, flags->version, flags->check, flags->platform, flags->file,
@@ -154,7 +159,7 @@
 	return arg_nullcheck(flags->table) == 0;
 }
 
-/* Parses the command line, and does what --help and --version ask for. */
+/* Parses the command line, and handles --help and --version. */
 static int flags_parse(struct flags *flags, const char *program, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, flags->table);
@@ -173,60 +178,61 @@
 		arg_print_errors(stderr, flags->end, program);
 		return EXIT_BAD_USAGE;
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
-static int unknown_mechanism(const char *program, const char *name)
+static int print_unknown_mechanism(const char *program, const char *name)
 {
-	fprintf(stderr, "%s: flags: without: no mechanism is called %s; known:", program, name);
+	fprintf(stderr, "%s: flags: without: unknown mechanism %s; valid names:", program, name);
 	for (int i = 0; i < MECHANISMS; i++)
 		fprintf(stderr, " %s", mechanism_info[i].name);
 	fprintf(stderr, "\n");
 	return EXIT_BAD_USAGE;
 }
 
-/* Where metrics are served, and the mechanisms that are off: only an experiment may switch one off. */
-static int read_experiment(struct settings *settings, const char *program, const struct flags *flags)
+/* Reads the port for metrics and the disabled mechanisms; only an experiment may disable one. */
+static int read_experiment_flags(struct settings *settings, const char *program, const struct flags *flags)
 {
 	settings->experiments_allowed = flags->experiments->count;
 	settings->metrics_port = flags->metrics->count ? flags->metrics->ival[0] : 0;
 	if (flags->metrics->count && (settings->metrics_port < 1 || settings->metrics_port > MAX_PORT))
-		return settings_error(program, "flags", "metrics", "a port of 1 to 65535");
+		return print_settings_error(program, "flags", "metrics", "a port of 1 to 65535");
 	if (flags->without->count && !flags->experiments->count)
-		return settings_error(program, "flags", "without", "only with --experiments");
+		return print_settings_error(program, "flags", "without", "allowed only with --experiments");
 	for (int i = 0; i < flags->without->count; i++) {
 		int mechanism = mechanism_find(flags->without->sval[i]);
 
 		if (mechanism < 0)
-			return unknown_mechanism(program, flags->without->sval[i]);
+			return print_unknown_mechanism(program, flags->without->sval[i]);
 		settings->disabled_mechanisms |= UINT32_C(1) << mechanism;
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
-/* Settings in another form than the product's, which allows few flags beside it. */
+/* Reads the platform's settings, which can be combined with only a few flags. */
 static int read_external_settings(struct settings *settings, const char *program, bool has_storage,
 				  const struct flags *flags,
 				  int (*read_external)(struct settings *, const char *, int, apr_pool_t *),
 				  apr_pool_t *pool)
 {
-	int others = flags->listen->count + flags->advertise->count + flags->web->count + flags->zone->count +
-		     flags->seed->count + flags->data->count + flags->fault->count + flags->file->count;
+	int disallowed_count = flags->listen->count + flags->advertise->count + flags->web->count +
+			       flags->zone->count + flags->seed->count + flags->data->count +
+			       flags->fault->count + flags->file->count;
 	int exit_code;
 
 	if (!read_external)
-		return settings_error(program, "flags", "platform", "not known by this program");
-	if (others)
-		return settings_error(
+		return print_settings_error(program, "flags", "platform", "not supported by this program");
+	if (disallowed_count)
+		return print_settings_error(
 		    program, "flags", "platform",
-		    "no other flag but --check, --metrics, --experiments and --without with it");
+		    "may be combined only with --check, --metrics, --experiments and --without");
 	exit_code = read_external(settings, program, has_storage, pool);
 	if (exit_code >= 0) {
 		fprintf(stderr, "%s: %s\n", program, settings->error_text);
 		return exit_code;
 	}
 	settings->read_external = read_external;
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
 static const char *flag_text(const struct arg_str *flag, apr_pool_t *pool)
@@ -234,7 +240,7 @@
 	return flag->count ? apr_pstrdup(pool, flag->sval[0]) : NULL;
 }
 
-/* The product's own settings: flags, then the file for what no flag has set. */
+/* Reads the product's own settings: the flags, then the file for settings that no flag has set. */
 static int read_own_settings(struct settings *settings, const char *program, const struct flags *flags,
 			     apr_pool_t *pool)
 {
@@ -248,7 +254,7 @@
 	for (int i = 0; i < flags->seed->count && i < SETTINGS_MAX_SEEDS; i++)
 		settings->seeds[settings->seed_count++] = apr_pstrdup(pool, flags->seed->sval[i]);
 	settings->file = flags->file->count ? apr_pstrdup(pool, flags->file->filename[0]) : NULL;
-	return settings->file ? read_file(settings, program, pool) : GO_ON;
+	return settings->file ? read_file(settings, program, pool) : SETTINGS_CONTINUE;
 }
 
 /* ---- checks ---- */
@@ -258,7 +264,7 @@
 	return core_parse_addr(text) && (core_parse_addr(text) & MAX_PORT);
 }
 
-static int check_addresses(const struct settings *settings, const char *program, const char *place)
+static int check_addresses(const struct settings *settings, const char *program, const char *source)
 {
 	const struct {
 		const char *name;
@@ -274,55 +280,54 @@
 		const char *value = addresses[i].value;
 
 		if (value ? !is_address(value) : addresses[i].required)
-			return settings_error(program, place, addresses[i].name, ADDRESS_RANGE);
+			return print_settings_error(program, source, addresses[i].name, ADDRESS_EXPECTED);
 	}
-	return GO_ON;
+	return SETTINGS_CONTINUE;
 }
 
-static int check(const struct settings *settings, const char *program, bool has_storage)
+static int check_settings(const struct settings *settings, const char *program, bool has_storage)
 {
-	const char *place = settings->file ? settings->file : "flags";
-	int exit_code = check_addresses(settings, program, place);
+	const char *source = settings->file ? settings->file : "flags";
+	int exit_code = check_addresses(settings, program, source);
 
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	if (!settings->zone || !settings->zone[0] || strlen(settings->zone) > MAX_ZONE_LENGTH)
-		return settings_error(program, place, "zone", "a name of 1 to 60 characters");
+		return print_settings_error(program, source, "zone", "a name of 1 to 60 characters");
 	if (!settings->seed_count)
-		return settings_error(program, place, "seeds", SEEDS_RANGE);
+		return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
 	for (int i = 0; i < settings->seed_count; i++)
 		if (!core_parse_addr(settings->seeds[i]))
-			return settings_error(program, place, "seeds", SEEDS_RANGE);
+			return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
 	if (has_storage && (!settings->data || !settings->data[0]))
-		return settings_error(program, place, "data",
-				      "the folder that this controller keeps its files in");
-	return GO_ON;
+		return print_settings_error(program, source, "data", "the data folder of this controller");
+	return SETTINGS_CONTINUE;
 }
 
-/* ---- all of it ---- */
+/* ---- reading and checking ---- */
 
 static int read_and_check(struct settings *settings, const char *program, bool has_storage,
 			  const struct flags *flags,
 			  int (*read_external)(struct settings *, const char *, int, apr_pool_t *),
 			  apr_pool_t *pool)
 {
-	int exit_code = read_experiment(settings, program, flags);
+	int exit_code = read_experiment_flags(settings, program, flags);
 
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	if (flags->platform->count)
 		exit_code =
 		    read_external_settings(settings, program, has_storage, flags, read_external, pool);
 	else
 		exit_code = read_own_settings(settings, program, flags, pool);
-	if (exit_code != GO_ON)
+	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
 	settings->bounds.experiments = settings->experiments_allowed;
 	settings->check_only = flags->check->count;
-	exit_code = check(settings, program, has_storage);
-	if (exit_code == GO_ON && settings->check_only) {
-		printf("%s: the settings are good\n", program);
+	exit_code = check_settings(settings, program, has_storage);
+	if (exit_code == SETTINGS_CONTINUE && settings->check_only) {
+		printf("%s: the settings are valid\n", program);
 		return 0;
 	}
 	return exit_code;
@@ -339,10 +344,10 @@
 	if (!flags_open(&flags, has_storage))
 		return 1;
 	exit_code = flags_parse(&flags, program, argc, argv);
-	if (exit_code == GO_ON)
+	if (exit_code == SETTINGS_CONTINUE)
 		exit_code = read_and_check(settings, program, has_storage, &flags, read_external, pool);
 	arg_freetable(flags.table, FLAG_COUNT);
-	if (exit_code == GO_ON && settings->read_external)
-		process_install_signal_handlers(settings); /* the platform may signal at once */
+	if (exit_code == SETTINGS_CONTINUE && settings->read_external)
+		process_install_signal_handlers(settings); /* the platform may send SIGHUP from now on */
 	return exit_code;
 }
--- a/lib/shell/settings_watch.c
+++ b/lib/shell/settings_watch.c
@@ -1,4 +1,4 @@
-/* settings_watch: external settings that change while a program runs. */
+/* settings_watch: reloads external settings that change while the program runs. */
 #include <apr_file_info.h>
 #include <apr_strings.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 #include "log.h"
 #include "process_internal.h"
 
-enum { POLL_MS = 1000 };
+enum { POLL_INTERVAL_MS = 1000 };
 
-/* Whether the file is another one, or was written, since the last call. */
-static bool file_changed(struct settings_watch *watch, const char *file, apr_pool_t *scratch)
+/* Whether the file was replaced or written since the last call. */
+static bool has_file_changed(struct settings_watch *watch, const char *file, apr_pool_t *scratch)
 {
 	apr_finfo_t info;
 	bool changed;
@@ -18,7 +18,8 @@
 	if (apr_stat(&info, file, APR_FINFO_MTIME | APR_FINFO_INODE | APR_FINFO_SIZE, scratch) !=
 		APR_SUCCESS &&
 	    !info.valid) {
-		watch->retry_pending = true; /* it's missing for a moment, or for good: reading it tells */
+		watch->retry_pending =
+		    true; /* the file may be missing only temporarily; a failed read is logged */
 		return true;
 	}
 	changed = info.mtime != watch->mtime || info.inode != watch->inode || info.size != watch->size;
@@ -36,8 +37,8 @@
 	apr_cpystrn(watch->last_error, error_text, sizeof watch->last_error);
 }
 
-static void read_again(struct settings_watch *watch, struct process *process,
-		       const struct process_handlers *handlers, apr_pool_t *scratch)
+static void reload_settings(struct settings_watch *watch, struct process *process,
+			    const struct process_handlers *handlers, apr_pool_t *scratch)
 {
 	struct settings settings;
 
@@ -66,12 +67,12 @@
 	if (!process->settings.read_external || (now < watch->next_poll_at_ms && !process_hangup_received()))
 		return;
 	apr_pool_create(&scratch, process->pool);
-	changed = file_changed(watch, process->settings.file, scratch);
-	if (!watch->next_poll_at_ms) /* the first poll: they were read a moment ago */
+	changed = has_file_changed(watch, process->settings.file, scratch);
+	if (!watch->next_poll_at_ms) /* the first poll: settings_read has just read the file */
 		changed = false;
-	watch->next_poll_at_ms = now + POLL_MS;
+	watch->next_poll_at_ms = now + POLL_INTERVAL_MS;
 	if (process_hangup_received() || changed || watch->retry_pending) {
-		read_again(watch, process, handlers, scratch);
+		reload_settings(watch, process, handlers, scratch);
 		process_clear_hangup();
 	}
 	apr_pool_destroy(scratch);
--- a/lib/shell/storage_file.c
+++ b/lib/shell/storage_file.c
@@ -1,4 +1,4 @@
-/* storage_file: the database file itself: opening, transactions, writing it anew. */
+/* storage_file: opening and rewriting of the database file, and its transactions. */
 #include <fcntl.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,57 +8,57 @@
 #include "containers.h"
 #include "storage_internal.h"
 
-enum { TDB_HASH_SIZE = 1009, FILE_MODE = 0600, COPY_BYTES = 65536 };
+enum { TDB_HASH_SIZE = 1009, FILE_MODE = 0600, COPY_BUFFER_BYTES = 65536 };
 
-/* The library's log: faults are counted, nothing is printed. */
-static void count_library_faults(struct tdb_context *database, enum tdb_debug_level level, const char *format,
-				 ...)
+/* TDB's log function: counts errors and prints nothing. */
+static void count_tdb_errors(struct tdb_context *database, enum tdb_debug_level level, const char *format,
+			     ...)
 {
-	int *faults = tdb_get_logging_private(database);
+	int *error_count = tdb_get_logging_private(database);
 
 	(void)format;
 	if (level == TDB_DEBUG_FATAL || level == TDB_DEBUG_ERROR)
-		++*faults;
+		++*error_count;
 }
 
-struct tdb_context *storage_file_open(const char *path, int flags, int *faults)
+struct tdb_context *storage_file_open(const char *path, int flags, int *error_count)
 {
-	struct tdb_logging_context logging = { count_library_faults, faults };
+	struct tdb_logging_context logging = { count_tdb_errors, error_count };
 
 	return tdb_open_ex(path, TDB_HASH_SIZE, TDB_NOMMAP, flags, FILE_MODE, &logging, NULL);
 }
 
-/* Copies what can be read of a file; false on an error. */
-static bool copy_bytes(int from, int to)
+/* Copies the contents of a file. Returns false on an error. */
+static bool copy_file(int from_fd, int to_fd)
 {
-	char bytes[COPY_BYTES];
+	char bytes[COPY_BUFFER_BYTES];
 	ssize_t size;
 
-	while ((size = read(from, bytes, sizeof bytes)) > 0)
-		if (write(to, bytes, (size_t)size) != size)
+	while ((size = read(from_fd, bytes, sizeof bytes)) > 0)
+		if (write(to_fd, bytes, (size_t)size) != size)
 			return false;
 	return size == 0;
 }
 
-struct tdb_context *storage_file_open_copy(const char *path, int *faults)
+struct tdb_context *storage_file_open_copy(const char *path, int *error_count)
 {
 	char copy_path[] = P_tmpdir "/notchlug-copy-XXXXXX";
 	struct tdb_context *copy = NULL;
-	int from = open(path, O_RDONLY | O_CLOEXEC);
-	int to = from < 0 ? -1 : mkstemp(copy_path);
+	int from_fd = open(path, O_RDONLY | O_CLOEXEC);
+	int to_fd = from_fd < 0 ? -1 : mkstemp(copy_path);
 
-	if (to >= 0 && copy_bytes(from, to))
-		copy = storage_file_open(copy_path, O_RDWR, faults);
-	if (to >= 0) {
+	if (to_fd >= 0 && copy_file(from_fd, to_fd))
+		copy = storage_file_open(copy_path, O_RDWR, error_count);
+	if (to_fd >= 0) {
 		(void)unlink(copy_path);
-		close(to);
+		close(to_fd);
 	}
-	if (from >= 0)
-		close(from);
+	if (from_fd >= 0)
+		close(from_fd);
 	return copy;
 }
 
-static int checksum_add_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *storage)
+static int load_record_checksum(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *storage)
 {
 	char name[STORAGE_MAX_KEY_BYTES];
 	uint64_t checksum;
@@ -74,18 +74,19 @@
 	return 0;
 }
 
-/* A commit that a full disk has stopped may stand, or half of it, and what undoes it is refused as well. Only
- * opening the file tells: the library then takes back what is not complete. So nothing is written before
- * that, and what stands is read again; the batch is then written once more, whether it stands or not. */
+/* If a full disk interrupts a commit, the file may contain the transaction completely or partly, and the
+ * writes that would undo it fail too. TDB rolls back an incomplete transaction only when the file is opened.
+ * Therefore the file is reopened and its checksums are reloaded before any other write. The batch is then
+ * written again, whether or not its first commit took effect. */
 bool storage_file_reopen(struct storage *storage)
 {
 	if (storage->database)
 		(void)tdb_close(storage->database);
-	storage->database = storage_file_open(storage->path, O_RDWR, &storage->library_faults);
+	storage->database = storage_file_open(storage->database_path, O_RDWR, &storage->tdb_error_count);
 	if (!storage->database)
 		return false;
 	storage_checksums_reset(storage);
-	if (tdb_traverse_read(storage->database, checksum_add_record, storage) < 0)
+	if (tdb_traverse_read(storage->database, load_record_checksum, storage) < 0)
 		return false;
 	storage->transaction_failed = false;
 	return true;
@@ -101,53 +102,55 @@
 	close(fd);
 }
 
-static int copy_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *fresh)
+static int copy_record(struct tdb_context *database, TDB_DATA key, TDB_DATA value, void *new_database)
 {
 	(void)database;
-	return tdb_store(fresh, key, value, TDB_INSERT);
+	return tdb_store(new_database, key, value, TDB_INSERT);
 }
 
-/* Copies all records in one transaction. faults_before: the library's faults before fresh was opened. */
-static bool copy_records(struct storage *storage, struct tdb_context *fresh, int faults_before)
+/* Copies all records in one transaction. error_count_before: tdb_error_count before new_database was opened.
+ */
+static bool copy_records(struct storage *storage, struct tdb_context *new_database, int error_count_before)
 {
-	if (tdb_transaction_start(fresh))
+	if (tdb_transaction_start(new_database))
 		return false;
-	if (tdb_traverse_read(storage->database, copy_record, fresh) < 0) {
-		tdb_transaction_cancel(fresh);
+	if (tdb_traverse_read(storage->database, copy_record, new_database) < 0) {
+		tdb_transaction_cancel(new_database);
 		return false;
 	}
-	return tdb_transaction_commit(fresh) == 0 && storage->library_faults == faults_before;
+	return tdb_transaction_commit(new_database) == 0 && storage->tdb_error_count == error_count_before;
 }
 
-/* What was deleted is in neither the fresh file's records nor its freed pages. A loss of power at any moment
- * leaves one complete file under the name: the fresh file's own name must last before it is renamed, hence
- * the first sync of the folder. */
+/* The new file contains no deleted data, neither in records nor in freed pages. After a loss of power at any
+ * time, the database path names a complete file. For this the name of the new file must be durable before it
+ * is renamed, hence the first sync of the folder. */
 bool storage_file_rewrite(struct storage *storage)
 {
-	int faults_before = storage->library_faults;
-	struct tdb_context *fresh;
+	int error_count_before = storage->tdb_error_count;
+	struct tdb_context *new_database;
 
-	(void)unlink(storage->fresh_path);
-	fresh = storage_file_open(storage->fresh_path, O_RDWR | O_CREAT | O_EXCL, &storage->library_faults);
-	if (!fresh)
+	(void)unlink(storage->rewrite_path);
+	new_database =
+	    storage_file_open(storage->rewrite_path, O_RDWR | O_CREAT | O_EXCL, &storage->tdb_error_count);
+	if (!new_database)
 		return false;
-	if (!copy_records(storage, fresh, faults_before))
+	if (!copy_records(storage, new_database, error_count_before))
 		goto failed;
 	storage_folder_sync(storage->folder);
-	if (rename(storage->fresh_path, storage->path))
+	if (rename(storage->rewrite_path, storage->database_path))
 		goto failed;
 	storage_folder_sync(storage->folder);
 	tdb_close(storage->database);
-	storage->database = fresh;
+	storage->database = new_database;
 	return true;
 failed:
-	tdb_close(fresh);
-	(void)unlink(storage->fresh_path);
+	tdb_close(new_database);
+	(void)unlink(storage->rewrite_path);
 	return false;
 }
 
-/* A file torn outside its records takes no transaction before they stand in a fresh one; a full disk may not
- * allow that yet. */
+/* A file that is damaged outside its records accepts no transaction until its records were copied to a new
+ * file. A full disk may prevent that for now. */
 static bool rewrite_if_pending(struct storage *storage)
 {
 	storage->rewrite_pending = storage->rewrite_pending && !storage_file_rewrite(storage);
@@ -160,11 +163,13 @@
 	       rewrite_if_pending(storage) && tdb_transaction_start(storage->database) == 0;
 }
 
-/* A commit whose last write is refused (the mark that it is over) says that it was done, and is taken back at
- * the next opening. The library's log tells. */
+/* The last write of a commit marks it as complete. If the disk rejects that write, tdb_transaction_commit
+ * still returns success, but the transaction is rolled back when the file is opened next. TDB's log reports
+ * this error. */
 bool storage_transaction_commit(struct storage *storage)
 {
-	int faults_before = storage->library_faults;
+	int error_count_before = storage->tdb_error_count;
 
-	return tdb_transaction_commit(storage->database) == 0 && storage->library_faults == faults_before;
+	return tdb_transaction_commit(storage->database) == 0 &&
+	       storage->tdb_error_count == error_count_before;
 }
--- a/lib/shell/transport_outgoing.c
+++ b/lib/shell/transport_outgoing.c
@@ -1,5 +1,5 @@
 /* transport_outgoing: connections that this process opens.
- * A frame that can't be queued is dropped: the protocols of lib/core ask again. */
+ * A frame that can't be queued is dropped; the protocols of lib/core repeat their requests. */
 #include <apr_portable.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -16,22 +16,24 @@
 #define BULK_CONNECTION ((uint64_t)1 << 63)
 
 enum {
-	MAX_QUEUED_BYTES = 64 << 20, /* of one connection */
-	COMPACT_BYTES =
-	    1 << 20,        /* written bytes at the start of a buffer that are worth moving the rest for */
-	REDIAL_MS = 200,    /* after a connection was closed */
-	DIAL_MS = 250,      /* without an answer, after which another dial goes out beside it */
-	MAX_OLDER_DIALS = 8 /* a round trip longer than that many dials is as good as none */
+	MAX_QUEUED_BYTES = 64 << 20, /* unsent bytes of one connection */
+	COMPACT_MIN_BYTES = 1 << 20, /* sent bytes are removed from a buffer above this number; for fewer it
+					is not worth moving the rest */
+	REDIAL_DELAY_MS = 200,       /* minimum time between the end of a connection and its next dial */
+	PARALLEL_DIAL_DELAY_MS =
+	    250,            /* age of an unanswered dial at which another dial is started in parallel */
+	MAX_OLDER_DIALS = 8 /* the oldest dial beyond this number is closed: a peer with a longer round trip
+		    counts as unreachable */
 };
 
-/* Bytes that are not acknowledged for so long end a connection. The kernel would retransmit to a silent
- * machine after ever longer pauses, and not look for 10 s and more after it is back. Over a saturated link an
- * acknowledgement may take as long as that: so a connection whose dial took its time gets a few round trips
- * more. */
+/* A connection is closed if sent bytes are not acknowledged within a timeout (TCP_USER_TIMEOUT). Without it
+ * the kernel would retransmit to an unresponsive machine at growing intervals, and would take 10 s or more
+ * to notice its return. On a saturated link an acknowledgement may take longer than UNACKED_TIMEOUT_MS.
+ * Therefore the timeout of a connection is extended by some round trips, as measured by its dial. */
 enum {
-	UNACKED_MS = 1000,
-	UNACKED_ROUND_TRIPS = 3, /* as the dial took them, on top of it */
-	UNACKED_MAX_MS = 5000
+	UNACKED_TIMEOUT_MS = 1000,
+	UNACKED_ROUND_TRIPS = 3, /* extension, in multiples of the duration of the dial */
+	UNACKED_TIMEOUT_MAX_MS = 5000
 };
 
 static void dial_close(struct transport *transport, struct dial *dial)
@@ -55,14 +57,14 @@
 	if (connection->socket)
 		apr_socket_close(connection->socket);
 	connection->socket = NULL;
-	connection->connected = false;
+	connection->is_connected = false;
 	arrsetlen(connection->buffer, 0);
 	connection->sent_offset = 0;
-	connection->redial_at_ms = clock_ms() + REDIAL_MS;
+	connection->redial_at_ms = clock_ms() + REDIAL_DELAY_MS;
 	apr_pool_clear(connection->pool);
 }
 
-static void limit_unacknowledged(apr_socket_t *socket, int timeout_ms)
+static void set_unacked_timeout(apr_socket_t *socket, int timeout_ms)
 {
 	apr_os_sock_t fd;
 
@@ -83,7 +85,7 @@
 	apr_socket_opt_set(connection->socket, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(connection->socket, 0);
 	apr_socket_opt_set(connection->socket, APR_TCP_NODELAY, 1);
-	limit_unacknowledged(connection->socket, DIAL_MS * (MAX_OLDER_DIALS + 1));
+	set_unacked_timeout(connection->socket, PARALLEL_DIAL_DELAY_MS * (MAX_OLDER_DIALS + 1));
 	connection->dialled_at_ms = clock_ms();
 	status = apr_socket_connect(connection->socket, socket_address);
 	if (status != APR_SUCCESS && !APR_STATUS_IS_EINPROGRESS(status)) {
@@ -114,10 +116,10 @@
 	transport_poll(transport, connection, APR_POLLIN);
 }
 
-/* An answer to a dial may only be slow, behind a saturated link: the dial stays, and another goes out beside
- * it, for the kernel asks a machine that was down again after a second at the soonest. What was queued for it
- * is no longer worth sending. */
-static void dial_beside(struct transport *transport, struct transport_connection *connection)
+/* Starts another dial while the newest one is unanswered. The answer may only be delayed by a saturated link,
+ * so the older dial is kept. A machine that was down would get the kernel's next SYN only after 1 s or more,
+ * so a new dial reaches it earlier. Queued bytes are dropped, because they are outdated. */
+static void dial_in_parallel(struct transport *transport, struct transport_connection *connection)
 {
 	struct dial dial = { connection->pool, connection->socket, connection->poll_fd,
 			     connection->dialled_at_ms };
@@ -129,37 +131,39 @@
 	arrput(connection->older_dials, dial);
 	apr_pool_create(&connection->pool, transport->pool);
 	connection->socket = NULL;
-	connection->in_pollset = false;
+	connection->is_in_pollset = false;
 	arrsetlen(connection->buffer, 0);
 	connection->sent_offset = 0;
 	outgoing_dial(transport, connection);
 }
 
-/* The first answer to a dial: this socket is the connection's, and the other dials are closed. */
+/* Handles the first dial that was accepted: the connection uses its socket, and all other dials are closed.
+ */
 static void outgoing_connected(struct transport *transport, struct transport_connection *connection)
 {
-	int64_t timeout_ms = UNACKED_MS + UNACKED_ROUND_TRIPS * (clock_ms() - connection->dialled_at_ms);
+	int64_t timeout_ms =
+	    UNACKED_TIMEOUT_MS + UNACKED_ROUND_TRIPS * (clock_ms() - connection->dialled_at_ms);
 
 	older_dials_close(transport, connection);
-	limit_unacknowledged(connection->socket,
-			     (int)(timeout_ms < UNACKED_MAX_MS ? timeout_ms : UNACKED_MAX_MS));
-	if (connection->unreachable_logged)
+	set_unacked_timeout(connection->socket,
+			    (int)(timeout_ms < UNACKED_TIMEOUT_MAX_MS ? timeout_ms : UNACKED_TIMEOUT_MAX_MS));
+	if (connection->is_unreachable_logged)
 		log_write(LOG_INFO, "transport", "Peer %s is reachable again.",
 			  core_format_addr(connection->pool, connection->addr));
-	connection->connected = true;
-	connection->unreachable_logged = false;
+	connection->is_connected = true;
+	connection->is_unreachable_logged = false;
 }
 
 static void dial_failed(struct transport *transport, struct transport_connection *connection)
 {
-	if (!connection->unreachable_logged)
-		log_write(LOG_WARN, "transport", "Peer %s is unreachable.",
+	if (!connection->is_unreachable_logged)
+		log_write(LOG_WARN, "transport", "Peer %s is unreachable: the connection attempt failed.",
 			  core_format_addr(connection->pool, connection->addr));
-	connection->unreachable_logged = true;
+	connection->is_unreachable_logged = true;
 	outgoing_close(transport, connection);
 }
 
-/* The peer never sends on this connection: what can be read is its end. */
+/* Whether the peer closed the connection. A peer never sends data on it, so only its end can be read. */
 static bool is_closed_by_peer(const struct transport_connection *connection)
 {
 	char byte[64];
@@ -174,7 +178,7 @@
 {
 	bool failed = (events & (APR_POLLERR | APR_POLLHUP)) != 0;
 
-	if (!connection->connected && failed) {
+	if (!connection->is_connected && failed) {
 		dial_failed(transport, connection);
 		return;
 	}
@@ -183,7 +187,7 @@
 		return;
 	}
 	if (events & APR_POLLOUT) {
-		if (!connection->connected)
+		if (!connection->is_connected)
 			outgoing_connected(transport, connection);
 		outgoing_write(transport, connection);
 	} else if (failed) {
@@ -191,7 +195,8 @@
 	}
 }
 
-/* An older dial has its answer: it takes the newest one's place, or is over. */
+/* Handles poll events of an older dial: if it was accepted, it replaces the newest dial; if it failed, it is
+ * closed. */
 static void older_dial_ready(struct transport *transport, struct transport_connection *connection,
 			     const apr_socket_t *socket, apr_int16_t events)
 {
@@ -201,7 +206,7 @@
 	while (i < arrlen(connection->older_dials) && connection->older_dials[i].socket != socket)
 		i++;
 	if (i == arrlen(connection->older_dials))
-		return; /* closed by an event before it */
+		return; /* an earlier event of the same poll has closed this dial */
 	dial = connection->older_dials[i];
 	arrdel(connection->older_dials, i);
 	if (events & (APR_POLLERR | APR_POLLHUP)) {
@@ -215,7 +220,7 @@
 	connection->pool = dial.pool;
 	connection->socket = dial.socket;
 	connection->poll_fd = dial.poll_fd;
-	connection->in_pollset = true;
+	connection->is_in_pollset = true;
 	connection->dialled_at_ms = dial.started_at_ms;
 	newest_dial_ready(transport, connection, events);
 }
@@ -229,7 +234,8 @@
 		older_dial_ready(transport, connection, socket, events);
 }
 
-static struct transport_connection *find_or_add(struct transport *transport, uint64_t addr, bool is_bulk)
+static struct transport_connection *find_or_add_connection(struct transport *transport, uint64_t addr,
+							   bool is_bulk)
 {
 	uint64_t key = addr | (is_bulk ? BULK_CONNECTION : 0);
 	struct transport_connection *connection = hmget(transport->outgoing, key);
@@ -247,28 +253,30 @@
 
 void transport_outgoing_enqueue(struct transport *transport, const struct outgoing_frame *frame)
 {
-	struct transport_connection *connection = find_or_add(transport, frame->addr, frame->is_bulk);
-
-	/* a machine without power, or behind a partition, doesn't answer a dial; the kernel would ask once
-	 * more after a second only */
-	if (connection->socket && !connection->connected && clock_ms() - connection->dialled_at_ms > DIAL_MS)
-		dial_beside(transport, connection);
+	struct transport_connection *connection =
+	    find_or_add_connection(transport, frame->addr, frame->is_bulk);
+
+	/* a machine that is down or separated by a network partition does not answer a dial, and the kernel
+	 * would repeat its SYN only after 1 s */
+	if (connection->socket && !connection->is_connected &&
+	    clock_ms() - connection->dialled_at_ms > PARALLEL_DIAL_DELAY_MS)
+		dial_in_parallel(transport, connection);
 	else if (!connection->socket && clock_ms() >= connection->redial_at_ms)
 		outgoing_dial(transport, connection);
 	if (!connection->socket ||
 	    (size_t)arrlen(connection->buffer) - connection->sent_offset + frame->size_bytes >
 		MAX_QUEUED_BYTES)
 		return;
-	if (connection->sent_offset > COMPACT_BYTES) {
+	if (connection->sent_offset > COMPACT_MIN_BYTES) {
 		arrdeln(connection->buffer, 0, connection->sent_offset);
 		connection->sent_offset = 0;
 	}
 	memcpy(arraddnptr(connection->buffer, frame->size_bytes), frame->data, frame->size_bytes);
-	if (connection->connected)
+	if (connection->is_connected)
 		outgoing_write(transport, connection);
 }
 
-bool transport_has_unsent(const struct transport *transport)
+bool transport_has_unsent_bytes(const struct transport *transport)
 {
 	for (ptrdiff_t i = 0; i < hmlen(transport->outgoing); i++) {
 		const struct transport_connection *connection = transport->outgoing[i].value;
