--- a/bin/notchlug_controller.c
+++ b/bin/notchlug_controller.c
@@ -1,6 +1,8 @@
-/* notchlug-controller: a controller of the fleet. The process turns what its shell hears into events of the
- * controller (lib/control), which answers with commands; with a platform's settings, platform/control.c is
- * its front end. Its identity and the shards' logs are on its disk; an empty disk is a new identity. */
+/* notchlug-controller: runs one controller of the fleet. It translates the events of the shell (lib/shell)
+ * into events of the controller (lib/control) and passes the resulting commands back to the shell. With a
+ * platform's settings, platform/control.c serves HTTP in place of the product's own interface. The data
+ * folder holds the controller's identity and the Raft logs of the shards; an empty folder gets a new
+ * identity. */
 #include <apr_general.h>
 #include <string.h>
 
@@ -13,11 +15,11 @@
 
 enum { EVENT_RING_SIZE = 65536, MAX_SEEDS = 8 };
 
-/* The program's parts; there is one. */
+/* The state of the program. main() owns the only one. */
 struct program {
 	struct controller controller;
 	struct process process;
-	struct control front_end; /* with a platform's settings */
+	struct control front_end; /* used only with a platform's settings */
 };
 
 static void step_controller(void *context, const struct controller_event *event, int64_t now,
@@ -30,16 +32,17 @@
 	controller_step(controller, event, now, commands);
 	if (!controller->identity.fleet_dirty)
 		return;
-	/* on the disk before anything that was said under it leaves */
+	/* store the fleet id before any message that carries it is sent */
 	controller->identity.fleet_dirty = 0;
 	if (!storage_write_identity(program->process.storage, controller->identity.id,
 				    controller->identity.fleet))
-		log_write(LOG_ERROR, "storage",
-			  "Step identity: the disk refuses; this controller may be taken for a new one.");
+		log_write(
+		    LOG_ERROR, "storage",
+		    "Step identity: writing the fleet id to disk failed; after a restart this controller may be treated as a new one.");
 }
 
-/* Returns 0 when the controller has no such event. */
-static int translate(const struct shell_event *event, struct controller_event *controller_event)
+/* Translates an event of the shell. Returns 0 for an event that the controller does not handle. */
+static int translate_event(const struct shell_event *event, struct controller_event *controller_event)
 {
 	switch (event->kind) {
 	case SHELL_EVENT_MESSAGE:
@@ -77,30 +80,31 @@
 	}
 }
 
-/* event NULL: time passes. */
-static void step(void *context, const struct shell_event *event, int64_t now, struct command_list *commands)
+/* Steps the controller with an event of the shell. event NULL: a timer tick. */
+static void step_shell_event(void *context, const struct shell_event *event, int64_t now,
+			     struct command_list *commands)
 {
 	struct controller_event controller_event;
 
 	memset(&controller_event, 0, sizeof controller_event);
 	controller_event.kind = CONTROLLER_TICK;
-	if (!event || translate(event, &controller_event))
+	if (!event || translate_event(event, &controller_event))
 		step_controller(context, &controller_event, now, commands);
 }
 
-/* Read the addresses of the seeds; returns how many there are. */
-static int parse_seeds(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
+/* Parses the addresses of the seed controllers. Returns their number. */
+static int parse_seed_addrs(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
 {
 	for (int i = 0; i < settings->seed_count; i++)
 		seeds[i] = core_parse_addr(settings->seeds[i]);
 	return settings->seed_count;
 }
 
-static void settings_changed(void *context, const struct settings *settings)
+static void on_settings_changed(void *context, const struct settings *settings)
 {
 	struct program *program = context;
 	uint64_t seeds[MAX_SEEDS];
-	int seed_count = parse_seeds(settings, seeds);
+	int seed_count = parse_seed_addrs(settings, seeds);
 
 	config_watch_set_seeds(&program->controller.config_watch, seeds, seed_count);
 	program->controller.bounds = settings->bounds;
@@ -120,7 +124,8 @@
 	log_write(LOG_INFO, prefix, "%s", line);
 }
 
-/* Open the storage; a new disk gets an identity. Returns 0 on an error, which is logged. */
+/* Opens the data folder and, if it is empty, stores a new identity there. Returns 0 on an error, which is
+ * logged. */
 static int open_storage(struct process *process, struct stored_state *stored)
 {
 	struct storage_failure failure;
@@ -135,14 +140,14 @@
 		return 1;
 	stored->node_id = process_random_id();
 	if (!storage_write_identity(process->storage, stored->node_id, 0)) {
-		log_write(LOG_ERROR, "storage", "Step identity: the disk refuses.");
+		log_write(LOG_ERROR, "storage", "Step identity: writing a new identity to disk failed.");
 		return 0;
 	}
 	return 1;
 }
 
-/* The platform's front end is the process's. */
-static void use_front_end(struct program *program, const struct platform *platform)
+/* Makes the platform's front end serve the HTTP requests of this process. */
+static void set_front_end(struct program *program, const struct platform *platform)
 {
 	program->front_end.step = step_controller;
 	program->front_end.ctx = program;
@@ -157,7 +162,7 @@
 	struct controller *controller = &program->controller;
 	const char *address = settings->advertise ? settings->advertise : settings->listen;
 	uint64_t seeds[MAX_SEEDS];
-	int seed_count = parse_seeds(settings, seeds);
+	int seed_count = parse_seed_addrs(settings, seeds);
 
 	controller_open(controller, stored->node_id, core_parse_addr(address), settings->zone, seeds,
 			seed_count, stored->fleet_id, process_random_id(), stored->shard_pointers,
@@ -177,7 +182,7 @@
 {
 	static struct program program;
 	struct process *process = &program.process;
-	struct process_handlers handlers = { &program, step, is_idle, NULL, settings_changed };
+	struct process_handlers handlers = { &program, step_shell_event, is_idle, NULL, on_settings_changed };
 	const struct platform *platform;
 	struct stored_state stored;
 	int rc;
@@ -196,11 +201,11 @@
 	if (!open_storage(process, &stored))
 		goto end;
 	if (platform)
-		use_front_end(&program, platform);
+		set_front_end(&program, platform);
 	open_controller(&program, &stored);
 	if (!process_open(process))
 		goto end;
-	log_write(LOG_INFO, "controller", "Serves operators at %s in zone %s.",
+	log_write(LOG_INFO, "controller", "Serving operators at %s in zone %s.",
 		  platform ? platform->control_addr : process->settings.web, process->settings.zone);
 	rc = process_run(process, &handlers);
 	controller_close(&program.controller);
--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -1,6 +1,7 @@
-/* notchlug-router: a router of the fleet. The process turns what its shell hears into events of the router
- * (lib/data), which answers with commands; with a platform's settings, platform/edge.c is its front end. It
- * keeps nothing on disk. */
+/* notchlug-router: runs one router of the fleet. It translates the events of the shell (lib/shell) into
+ * events of the router (lib/data) and passes the resulting commands back to the shell. With a platform's
+ * settings, platform/edge.c serves HTTP in place of the product's own interface. A router stores nothing on
+ * disk. */
 #include <apr_general.h>
 #include <string.h>
 
@@ -10,12 +11,13 @@
 #include "shell.h"
 
 enum {
-	FINAL_ANSWERS_MS = 300, /* before the end of a planned stop: for the last answers to leave */
+	FINAL_RESPONSE_FLUSH_MS = 300, /* running requests end this long before a planned stop does, so that
+			    their final responses can be sent */
 	MAX_SEEDS = 8
 };
 
-/* A request at the product's own interface. */
-static void request_event(const struct shell_event *event, struct router_event *router_event)
+/* Translates an HTTP request that arrived at the product's own interface. */
+static void translate_request(const struct shell_event *event, struct router_event *router_event)
 {
 	if (!strcmp(event->path, "/v1/exchange") && !strcmp(event->method, "POST")) {
 		router_event->kind = ROUTER_EVENT_CLAIMED_REQUEST;
@@ -29,8 +31,9 @@
 	}
 }
 
-/* A call to a server has ended: a stream is a request's, others poll reports. */
-static void call_event(const struct shell_event *event, struct router_event *router_event)
+/* Translates the end of an HTTP call to a server. A streamed call is an attempt of a client's request; all
+ * other calls poll a server's report. */
+static void translate_call_result(const struct shell_event *event, struct router_event *router_event)
 {
 	if (event->is_stream) {
 		router_event->kind = ROUTER_EVENT_CALL_ENDED;
@@ -46,8 +49,8 @@
 	}
 }
 
-/* Returns 0 when the router has no such event. */
-static int translate(const struct shell_event *event, int64_t now, struct router_event *router_event)
+/* Translates an event of the shell. Returns 0 for an event that the router does not handle. */
+static int translate_event(const struct shell_event *event, int64_t now, struct router_event *router_event)
 {
 	switch (event->kind) {
 	case SHELL_EVENT_MESSAGE:
@@ -55,7 +58,7 @@
 		router_event->args.message = event->message;
 		return 1;
 	case SHELL_EVENT_REQUEST:
-		request_event(event, router_event);
+		translate_request(event, router_event);
 		return 1;
 	case SHELL_EVENT_DISCONNECTED:
 		router_event->kind = ROUTER_EVENT_CLIENT_DISCONNECTED;
@@ -67,43 +70,44 @@
 		router_event->args.stream_chunk.text = event->body;
 		return 1;
 	case SHELL_EVENT_CALL_DONE:
-		call_event(event, router_event);
+		translate_call_result(event, router_event);
 		return 1;
 	case SHELL_EVENT_STOP:
 		router_event->kind = ROUTER_EVENT_STOP;
 		router_event->args.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
-		router_event->args.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_ANSWERS_MS;
+		router_event->args.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_RESPONSE_FLUSH_MS;
 		return 1;
 	default:
 		return 0;
 	}
 }
 
-/* event NULL: time passes. */
-static void step(void *context, const struct shell_event *event, int64_t now, struct command_list *commands)
+/* Steps the router with an event of the shell. event NULL: a timer tick. */
+static void step_shell_event(void *context, const struct shell_event *event, int64_t now,
+			     struct command_list *commands)
 {
 	struct router *router = context;
 	struct router_event router_event;
 
 	memset(&router_event, 0, sizeof router_event);
 	router_event.kind = ROUTER_EVENT_TICK;
-	if (!event || translate(event, now, &router_event))
+	if (!event || translate_event(event, now, &router_event))
 		router_step(router, &router_event, now, commands);
 }
 
-/* Read the addresses of the seeds; returns how many there are. */
-static int parse_seeds(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
+/* Parses the addresses of the seed controllers. Returns their number. */
+static int parse_seed_addrs(const struct settings *settings, uint64_t seeds[MAX_SEEDS])
 {
 	for (int i = 0; i < settings->seed_count; i++)
 		seeds[i] = core_parse_addr(settings->seeds[i]);
 	return settings->seed_count;
 }
 
-static void settings_changed(void *context, const struct settings *settings)
+static void on_settings_changed(void *context, const struct settings *settings)
 {
 	struct router *router = context;
 	uint64_t seeds[MAX_SEEDS];
-	int seed_count = parse_seeds(settings, seeds);
+	int seed_count = parse_seed_addrs(settings, seeds);
 
 	config_watch_set_seeds(&router->config.watch, seeds, seed_count);
 	router->config.bounds = settings->bounds;
@@ -128,7 +132,7 @@
 static void open_router(struct router *router, const struct settings *settings)
 {
 	uint64_t seeds[MAX_SEEDS];
-	int seed_count = parse_seeds(settings, seeds);
+	int seed_count = parse_seed_addrs(settings, seeds);
 	const char *address = settings->advertise ? settings->advertise : settings->listen;
 
 	router_open(router, process_random_id(), core_parse_addr(address), settings->zone, seeds, seed_count,
@@ -144,7 +148,8 @@
 	struct process process;
 	struct router router;
 	struct edge edge;
-	struct process_handlers handlers = { &router, step, is_idle, streams_valid_until, settings_changed };
+	struct process_handlers handlers = { &router, step_shell_event, is_idle, streams_valid_until,
+					     on_settings_changed };
 	const struct platform *platform;
 	int rc;
 
@@ -169,7 +174,7 @@
 	if (!process_open(&process))
 		goto end;
 	router.log = write_log;
-	log_write(LOG_INFO, "router", "Serves clients at %s in zone %s.",
+	log_write(LOG_INFO, "router", "Serving clients at %s in zone %s.",
 		  platform ? platform->front_addr : process.settings.web, process.settings.zone);
 	rc = process_run(&process, &handlers);
 	router_close(&router);
--- a/bin/notchlugctl_client.h
+++ b/bin/notchlugctl_client.h
@@ -1,35 +1,39 @@
-/* notchlugctl_client: how the operators' command line calls controllers: reads until there is a clear answer,
- * and requests under one idempotency key, so that each is done once however often it arrives. */
+/* notchlugctl_client: sends the operators' reads and changes to controllers over HTTP. A read is retried
+ * until a controller gives a usable answer. A change is retried under one idempotency key until its outcome
+ * is known, so that it takes effect at most once however often it arrives. */
 #ifndef NL_NOTCHLUGCTL_CLIENT_H
 #define NL_NOTCHLUGCTL_CLIENT_H
 
 #include <apr_pools.h>
 #include <json-c/json.h>
 
-/* Exit codes of the program. */
+/* Exit codes of notchlugctl. */
 enum { OK = 0, REJECTED = 1, USAGE = 2, UNREACHABLE = 3, CONFLICT = 4 };
 
-extern apr_pool_t *pool;            /* the program's, for as long as it runs */
-extern const char *controller_addr; /* the controller that is called */
-extern const char *idempotency_key; /* of this run's request, by --key; NULL: one is made up */
+extern apr_pool_t *pool;            /* lives until the program ends */
+extern const char *controller_addr; /* "ip:port" of the node that receives the next call */
+extern const char *idempotency_key; /* the value of --key; NULL: each change gets a random key */
 
-/* Read the addresses of --at. Returns 0 when it is no list of them. */
-int parse_controllers(const char *list);
+/* Parses the value of --at, a list of addresses separated by commas, and selects the first one. Returns 0
+ * when an address is invalid or when there are none or too many. */
+int parse_controller_list(const char *list);
 
-/* Whether an answer leaves open what became of a call, or says that it may come again. */
-int is_unclear(int status);
+/* Returns whether an HTTP status leaves the outcome of a request unknown or permits a retry. 0: no answer. */
+int is_status_unclear(int status);
 
-/* Read from a controller until there is a clear answer, at the addresses in turn: a read changes nothing.
- * Returns the HTTP status; 0: nobody answers. *body is the caller's to free. */
-int read_path(const char *path, int limit_ms, char **body);
+/* Sends a GET to the controllers in turn until one gives a usable answer or the retry period is over; a read
+ * changes nothing, so retries are safe. Returns the last HTTP status, 0 for no answer. The caller frees
+ * *body. */
+int read_with_retry(const char *path, int attempt_timeout_ms, char **body);
 
-/* Send a request until it has a clear answer. Returns the HTTP status; *body is the caller's to free. */
-int send_request(const char *path, struct json_object *request, char **body);
+/* Posts a request to the controllers in turn, under one idempotency key, until its outcome is known or the
+ * retry period is over. Returns the last HTTP status, 0 for no answer. The caller frees *body. */
+int send_request_with_retry(const char *path, struct json_object *request, char **body);
 
-/* The exit code of a request that changes something. */
-int exit_code(int status);
+/* Maps the HTTP status of a change to the exit code. */
+int change_exit_code(int status);
 
-/* The exit code of a call that is made once, at one node. */
+/* Maps the HTTP status of a request that needs no CONFLICT code to the exit code. */
 int single_call_exit_code(int status);
 
 #endif
--- a/bin/notchlugctl_status.c
+++ b/bin/notchlugctl_status.c
@@ -11,14 +11,15 @@
 #include "notchlugctl_table.h"
 
 enum {
-	RETENTION_TIMEOUT_MS = 6000, /* for one attempt of a read */
-	STATE_TIMEOUT_MS = 3000,     /* at one node alone */
-	METRICS_TIMEOUT_MS = 3000,
-	BOOTSTRAP_TIMEOUT_MS = 15000, /* once, at one controller alone */
-	RECOVER_TIMEOUT_MS = 7000
+	RETENTION_ATTEMPT_TIMEOUT_MS = 6000, /* limit of one attempt of a read that is retried */
+	STATE_TIMEOUT_MS = 3000,             /* one attempt, at one node */
+	METRICS_TIMEOUT_MS = 3000,           /* one attempt, at one router */
+	BOOTSTRAP_TIMEOUT_MS = 15000,        /* one attempt, at one controller */
+	RECOVER_TIMEOUT_MS = 7000            /* one attempt, at one controller */
 };
 
-/* The program's former name: what a purge records of who asked for it stays as it was. */
+/* Recorded as the requester of a purge when USER is not set. It is the former name of this program, kept so
+ * that stored purge records stay comparable. */
 #define UNKNOWN_REQUESTER "clerk"
 
 /* ---- state ---- */
@@ -29,11 +30,11 @@
 		struct json_object *shard = json_object_array_get_idx(shards, i);
 		const char *leader = json_member_string(shard, "owner");
 
-		printf("part %lld  owner %-21s term %-4lld entries %-6lld here %s%s\n",
-		       (long long)json_member_int(shard, "part"), leader[0] ? leader : "not known here",
+		printf("shard %lld  leader %-21s term %-4lld commit index %-6lld local role %s%s\n",
+		       (long long)json_member_int(shard, "part"), leader[0] ? leader : "unknown here",
 		       (long long)json_member_int(shard, "term"), (long long)json_member_int(shard, "commit"),
 		       json_member_string(shard, "role"),
-		       json_object_get_boolean(json_member(shard, "licensed")) ? ", licensed" : "");
+		       json_object_get_boolean(json_member(shard, "licensed")) ? ", holds lease" : "");
 	}
 }
 
@@ -42,7 +43,7 @@
 	for (size_t i = 0; nodes && i < json_object_array_length(nodes); i++) {
 		struct json_object *node = json_object_array_get_idx(nodes, i);
 
-		printf("%s %-21s edition %-6lld horizon %-6lld heard %lld ms ago\n",
+		printf("%s %-21s edition %-6lld purge horizon %-6lld last report %lld ms ago\n",
 		       json_object_get_boolean(json_member(node, "counter")) ? "counter  " : "registrar",
 		       json_member_string(node, "addr"), (long long)json_member_int(node, "edition"),
 		       (long long)json_member_int(node, "horizon"),
@@ -57,27 +58,27 @@
 		const char *loading = json_member_string(server, "loading");
 
 		printf(
-		    "server %-12s weights %-8s %s%s purges carried out to tick %lld, reported %lld ms ago\n",
+		    "server %-12s version %-8s %s%s purges applied up to tick %lld, last report %lld ms ago\n",
 		    json_member_string(server, "server"), json_member_string(server, "weights"),
 		    loading[0] ? "loading " : "", loading, (long long)json_member_int(server, "carried"),
 		    (long long)json_member_int(server, "reported_ms"));
 	}
 }
 
-static void print_controllers(struct json_object *rows)
+static void print_controllers(struct json_object *table_rows)
 {
-	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *row = json_object_array_get_idx(rows, i);
+	for (size_t i = 0; table_rows && i < json_object_array_length(table_rows); i++) {
+		struct json_object *row = json_object_array_get_idx(table_rows, i);
 
 		if (!strcmp(json_member_string(row, "kind"), "registrar"))
-			printf("in the table: registrar %s in %s\n", json_member_string(row, "addr"),
+			printf("configured controller %s in zone %s\n", json_member_string(row, "addr"),
 			       json_member_string(row, "zone"));
 	}
 }
 
 int print_state(void)
 {
-	struct json_object *table = read_table(), *json = NULL;
+	struct json_object *table = read_table(), *state = NULL;
 	char *body = NULL;
 
 	if (!table)
@@ -85,19 +86,20 @@
 	printf("edition %lld\n", (long long)json_member_int(table, "edition"));
 	if (http_call_blocking("GET", controller_addr, "/v1/state", NULL, NULL, STATE_TIMEOUT_MS, &body) ==
 	    200)
-		json = json_tokener_parse(body);
-	printf("fleet %s, as %s knows it (edition %lld, %lld ms old, horizon %lld%s)\n",
-	       json_member_string(json, "fleet"), json_member_string(json, "addr"),
-	       (long long)json_member_int(json, "edition"), (long long)json_member_int(json, "age_ms"),
-	       (long long)json_member_int(json, "horizon"),
-	       json_object_get_boolean(json_member(json, "publisher")) ? ", publisher" : "");
-	print_shards(json_member(json, "parts"));
-	print_nodes(json_member(json, "nodes"));
-	print_servers(json_member(json, "servers"));
+		state = json_tokener_parse(body);
+	printf(
+	    "fleet %s, state at controller %s: edition %lld, configuration age %lld ms, purge horizon %lld%s\n",
+	    json_member_string(state, "fleet"), json_member_string(state, "addr"),
+	    (long long)json_member_int(state, "edition"), (long long)json_member_int(state, "age_ms"),
+	    (long long)json_member_int(state, "horizon"),
+	    json_object_get_boolean(json_member(state, "publisher")) ? ", publisher" : "");
+	print_shards(json_member(state, "parts"));
+	print_nodes(json_member(state, "nodes"));
+	print_servers(json_member(state, "servers"));
 	print_controllers(json_member(table, "rows"));
 	free(body);
-	if (json)
-		json_object_put(json);
+	if (state)
+		json_object_put(state);
 	json_object_put(table);
 	return OK;
 }
@@ -111,55 +113,56 @@
 	if (status == 200)
 		fputs(body, stdout);
 	else
-		fprintf(stderr, "notchlugctl: step metrics, at %s: %s\n", controller_addr,
-			status ? "it tells none" : "nobody answers");
+		fprintf(stderr, "notchlugctl: reading metrics from %s failed: %s\n", controller_addr,
+			status ? "this node serves no metrics" : "no answer");
 	free(body);
 	return single_call_exit_code(status);
 }
 
 /* ---- purges ---- */
 
-int purge(const char *scope)
+int purge_scope(const char *scope)
 {
-	struct json_object *json = json_object_new_object();
+	struct json_object *request = json_object_new_object();
 	const char *user = getenv("USER");
 	char *body = NULL;
 	int status;
 
-	json_object_object_add(json, "scope", json_object_new_string(!strcmp(scope, "all") ? "*" : scope));
-	json_object_object_add(json, "by",
+	json_object_object_add(request, "scope", json_object_new_string(!strcmp(scope, "all") ? "*" : scope));
+	json_object_object_add(request, "by",
 			       json_object_new_string(user && user[0] ? user : UNKNOWN_REQUESTER));
-	status = send_request("/v1/clear", json, &body);
+	status = send_request_with_retry("/v1/clear", request, &body);
 	if (status == 200)
-		printf("clearing is decided; notchlugctl retention shows how far it is\n");
+		printf("purge accepted; run notchlugctl retention to see its progress\n");
 	else
-		fprintf(stderr, "notchlugctl: step clear, at %s: %s\n", controller_addr,
-			status ? body : "nobody answers");
+		fprintf(stderr, "notchlugctl: purge request to %s failed: %s\n", controller_addr,
+			status ? body : "no answer");
 	free(body);
-	json_object_put(json);
+	json_object_put(request);
 	if (status == 200)
 		return OK;
-	return is_unclear(status) ? UNREACHABLE : REJECTED;
+	return is_status_unclear(status) ? UNREACHABLE : REJECTED;
 }
 
-/* A time for people, in UTC, in the pool; "-" for 0. */
-static const char *format_time(int64_t ms)
+/* Formats a Unix time in UTC, allocated in pool; 0 gives "-". */
+static const char *format_time(int64_t unix_ms)
 {
-	apr_time_exp_t time;
+	apr_time_exp_t utc;
 
-	if (!ms || apr_time_exp_gmt(&time, ms * 1000) != APR_SUCCESS)
+	if (!unix_ms || apr_time_exp_gmt(&utc, unix_ms * 1000) != APR_SUCCESS)
 		return "-";
-	return apr_psprintf(pool, "%04d-%02d-%02d %02d:%02d:%02d UTC", time.tm_year + 1900, time.tm_mon + 1,
-			    time.tm_mday, time.tm_hour, time.tm_min, time.tm_sec);
+	return apr_psprintf(pool, "%04d-%02d-%02d %02d:%02d:%02d UTC", utc.tm_year + 1900, utc.tm_mon + 1,
+			    utc.tm_mday, utc.tm_hour, utc.tm_min, utc.tm_sec);
 }
 
-static void print_plans(struct json_object *rows)
+static void print_retention_plans(struct json_object *plans)
 {
-	for (size_t i = 0; rows && i < json_object_array_length(rows); i++) {
-		struct json_object *row = json_object_array_get_idx(rows, i);
+	for (size_t i = 0; plans && i < json_object_array_length(plans); i++) {
+		struct json_object *plan = json_object_array_get_idx(plans, i);
 
-		printf("%-24s due %s (keep|every|at|window: %s)\n", json_member_string(row, "scope"),
-		       format_time(json_member_int(row, "due")), json_member_string(row, "setting"));
+		printf("retention %-24s next purge %s (keep|every|at|window: %s)\n",
+		       json_member_string(plan, "scope"), format_time(json_member_int(plan, "due")),
+		       json_member_string(plan, "setting"));
 	}
 }
 
@@ -167,79 +170,83 @@
 {
 	struct json_object *missing = json_member(purge, "missing");
 
-	printf("clearing %" APR_INT64_T_FMT " of %s by %s, due %s: ", json_member_int(purge, "number"),
+	printf("purge %" APR_INT64_T_FMT " of %s requested by %s, due %s: ", json_member_int(purge, "number"),
 	       json_member_string(purge, "scope"), json_member_string(purge, "by"),
 	       format_time(json_member_int(purge, "due")));
 	if (json_member_int(purge, "done"))
-		printf("done %s\n", format_time(json_member_int(purge, "done")));
+		printf("completed %s\n", format_time(json_member_int(purge, "done")));
 	else if (json_member_int(purge, "sliced"))
-		printf("unreachable since %s\n", format_time(json_member_int(purge, "sliced")));
+		printf("all slices published, context unreachable since %s\n",
+		       format_time(json_member_int(purge, "sliced")));
 	else
-		printf("runs, %" APR_INT64_T_FMT " slices decided\n", json_member_int(purge, "slices"));
+		printf("running, %" APR_INT64_T_FMT " slices committed\n", json_member_int(purge, "slices"));
 	for (size_t i = 0; missing && i < json_object_array_length(missing); i++)
-		printf("  missing: %s\n", json_object_get_string(json_object_array_get_idx(missing, i)));
+		printf("  not confirmed: %s\n",
+		       json_object_get_string(json_object_array_get_idx(missing, i)));
 }
 
-/* What is due, runs and is done; what is missing is known at the control shard's leader alone. */
-static void print_retention(struct json_object *json)
+/* Prints the scheduled, running and completed purges. Only the leader of the control shard knows which nodes
+ * have not confirmed a purge. */
+static void print_retention(struct json_object *retention)
 {
-	struct json_object *purges = json_member(json, "clearings");
-	const char *leader = json_member_string(json, "owner_addr");
+	struct json_object *purges = json_member(retention, "clearings");
+	const char *leader = json_member_string(retention, "owner_addr");
 
-	print_plans(json_member(json, "rows"));
+	print_retention_plans(json_member(retention, "rows"));
 	for (size_t i = 0; purges && i < json_object_array_length(purges); i++)
 		print_purge(json_object_array_get_idx(purges, i));
-	if (!json_object_get_boolean(json_member(json, "owner")))
-		printf("what is missing is known at the owner of the configuration alone: %s\n",
-		       leader[0] ? leader : "not known here");
+	if (!json_object_get_boolean(json_member(retention, "owner")))
+		printf("missing confirmations are listed only by the leader of the control shard: %s\n",
+		       leader[0] ? leader : "leader unknown here");
 }
 
-int show_retention(int report)
+int show_retention(int as_csv_report)
 {
 	char *body = NULL;
-	int status = read_path(report ? "/v1/retention.csv" : "/v1/retention", RETENTION_TIMEOUT_MS, &body);
-	struct json_object *json = status == 200 && !report ? json_tokener_parse(body) : NULL;
+	int status = read_with_retry(as_csv_report ? "/v1/retention.csv" : "/v1/retention",
+				     RETENTION_ATTEMPT_TIMEOUT_MS, &body);
+	struct json_object *retention = status == 200 && !as_csv_report ? json_tokener_parse(body) : NULL;
 
 	if (status != 200)
-		fprintf(stderr, "notchlugctl: step retention, at %s: %s\n", controller_addr,
-			status ? body : "nobody answers");
-	else if (report)
+		fprintf(stderr, "notchlugctl: reading the retention state from %s failed: %s\n",
+			controller_addr, status ? body : "no answer");
+	else if (as_csv_report)
 		fputs(body, stdout);
-	if (json) {
-		print_retention(json);
-		json_object_put(json);
+	if (retention) {
+		print_retention(retention);
+		json_object_put(retention);
 	}
 	free(body);
 	return single_call_exit_code(status);
 }
 
-/* ---- the fleet's beginning, and its repair ---- */
+/* ---- bootstrap and recovery ---- */
 
-int bootstrap(void)
+int bootstrap_fleet(void)
 {
 	char *body = NULL;
 	int status =
 	    http_call_blocking("POST", controller_addr, "/v1/found", NULL, "{}", BOOTSTRAP_TIMEOUT_MS, &body);
 
-	printf("%s\n", status ? body : "nobody answers");
+	printf("%s\n", status ? body : "no answer");
 	free(body);
 	return single_call_exit_code(status);
 }
 
-int recover(int count, char **ids)
+int recover_groups(int count, char **member_ids)
 {
-	struct json_object *call = json_object_new_object(), *lost = json_object_new_array();
+	struct json_object *request = json_object_new_object(), *lost_ids = json_object_new_array();
 	char *body = NULL;
 	int status;
 
 	for (int i = 0; i < count; i++)
-		json_object_array_add(lost, json_object_new_string(ids[i]));
-	json_object_object_add(call, "lost", lost);
+		json_object_array_add(lost_ids, json_object_new_string(member_ids[i]));
+	json_object_object_add(request, "lost", lost_ids);
 	status = http_call_blocking("POST", controller_addr, "/v1/recover", NULL,
-				    json_object_to_json_string_ext(call, JSON_C_TO_STRING_PLAIN),
+				    json_object_to_json_string_ext(request, JSON_C_TO_STRING_PLAIN),
 				    RECOVER_TIMEOUT_MS, &body);
-	json_object_put(call);
-	printf("%s\n", status ? body : "nobody answers");
+	json_object_put(request);
+	printf("%s\n", status ? body : "no answer");
 	free(body);
 	return single_call_exit_code(status);
 }
--- a/bin/notchlugctl_status.h
+++ b/bin/notchlugctl_status.h
@@ -1,26 +1,27 @@
-/* notchlugctl_status: what the operators' command line reads and starts besides the table: state, metrics,
- * purges, a fleet's bootstrap and its recovery. All return the program's exit code, and have said what is
- * wrong. */
+/* notchlugctl_status: commands of notchlugctl that do not edit the table: print state and metrics, request
+ * purges, bootstrap a fleet, and recover Raft groups. Each function returns the exit code of the program and
+ * has printed any error. */
 #ifndef NL_NOTCHLUGCTL_STATUS_H
 #define NL_NOTCHLUGCTL_STATUS_H
 
-/* The fleet's state, as the controller that is called knows it. */
+/* Prints the state of the fleet as the selected controller reports it. */
 int print_state(void);
 
-/* A router's metrics; --at names the router's own address. */
+/* Prints the metrics of the router whose address --at names. */
 int print_metrics(void);
 
-/* Purge a scope's context now; "all" for everything. */
-int purge(const char *scope);
+/* Requests an immediate purge of the cached context in scope, "ROUTE/TENANT"; "all" purges everything. */
+int purge_scope(const char *scope);
 
-/* The retention's progress, or the auditors' report. */
-int show_retention(int report);
+/* Prints the progress of purges, or, as CSV, the retention report for auditors. */
+int show_retention(int as_csv_report);
 
-/* Bootstrap a fleet from its seeds. */
-int bootstrap(void);
+/* Bootstraps a fleet from its seed controllers. */
+int bootstrap_fleet(void);
 
-/* Recover groups whose majority is lost, at one controller alone: which replica goes on is the operator's
- * choice. ids: the lost members; none: print who the members are. */
-int recover(int count, char **ids);
+/* Recovers, at one controller, the Raft groups whose majority is permanently lost. The operator chooses whose
+ * replica the groups continue from by choosing the controller. member_ids: the lost members; count 0: only
+ * print the members. */
+int recover_groups(int count, char **member_ids);
 
 #endif
--- a/bin/notchlugctl_table.h
+++ b/bin/notchlugctl_table.h
@@ -1,31 +1,34 @@
-/* notchlugctl_table: what the operators' command line does with the table: rows, cells, and its text form.
- * Kinds are those of the table. Functions that return an int return the program's exit code, and have said
- * what is wrong. */
+/* notchlugctl_table: reads and changes the configuration table, by rows or in its text form (config_text.h).
+ * Every kind parameter is a kind of row as the table names it. Functions that return an int return the exit
+ * code of the program and have printed any error. */
 #ifndef NL_NOTCHLUGCTL_TABLE_H
 #define NL_NOTCHLUGCTL_TABLE_H
 
 #include <json-c/json.h>
 
-/* The table, released by the caller; NULL: it was not read, which is said. */
+/* Reads the table from a controller. The caller releases it. NULL: the read failed, and the error is printed.
+ */
 struct json_object *read_table(void);
 
-/* Print the table's text form; kind NULL: rows of all kinds. */
+/* Prints the text form of the table. kind NULL: rows of all kinds. */
 int print_table(const char *kind);
 
-/* A row without cells, released by the caller. */
+/* Creates a row with only a kind and a name. The caller releases it. */
 struct json_object *row_new(const char *kind, const char *name);
 
-/* A change of one row, which becomes the change's. what: "set" or "del"; revision: the one that it builds on;
- * NULL: any. */
-struct json_object *change_of(const char *what, struct json_object *row, struct json_object *revision);
+/* Creates a change of one row and takes over the caller's reference to that row. list_name: "set" or "del".
+ * revision: the change is rejected if the table has been changed since this revision; NULL: never. */
+struct json_object *change_new(const char *list_name, struct json_object *row, struct json_object *revision);
 
-/* Send a change, which is released here. */
+/* Sends a change to a controller, prints the result, and releases the request. */
 int send_change(struct json_object *request);
 
-/* Edit cells, COLUMN=VALUE, of a row in place, or add the row, if the table has not changed meanwhile. */
-int set_cells(const char *kind, const char *name, int count, char **cells);
+/* Changes columns of a row, or adds the row. assignments: texts COLUMN=VALUE. The change is rejected if the
+ * table is changed between the read and the write. */
+int set_cells(const char *kind, const char *name, int count, char **assignments);
 
-/* Print what a file with the text form would change, and make the change if it is to be applied. */
-int compare_sheet(const char *path, int apply);
+/* Prints how the table would change to match a file with its text form. apply_changes: also send the change.
+ */
+int compare_table_file(const char *path, int apply_changes);
 
 #endif
