--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -11,8 +11,7 @@
 #include "shell.h"
 
 enum {
-	FINAL_RESPONSE_FLUSH_MS = 300, /* running requests end this long before a planned stop does, so that
-			    their final responses can be sent */
+	FINAL_RESPONSE_FLUSH_MS = 300, /* left at the end of a planned stop for sending the final responses */
 	MAX_SEEDS = 8
 };
 
--- a/bin/notchlug_validate.c
+++ b/bin/notchlug_validate.c
@@ -59,9 +59,9 @@
 }
 
 /* Adds a finding that describes an effect of the change without objecting to it. */
-static void add_note(struct validation *validation, const char *label, const char *why)
+static void add_note(struct validation *validation, const char *label, const char *message)
 {
-	add_finding(validation, "note", label, why);
+	add_finding(validation, "note", label, message);
 }
 
 /* Returns the row with this kind and name, borrowed from rows; NULL: there is none. */
@@ -250,7 +250,7 @@
 /* Warns about routes where only some tenants have a share of their own: shares of a route and general shares
  * of tenants are on different scales and cannot be compared. Warns also about a tenant whose share is very
  * small. */
-static void check_share_mixture(struct validation *validation)
+static void check_route_shares(struct validation *validation)
 {
 	for (size_t i = 0; i < json_object_array_length(validation->proposed_rows); i++) {
 		struct json_object *route_row = json_object_array_get_idx(validation->proposed_rows, i);
@@ -288,10 +288,11 @@
 				"shares are not comparable: %d tenants have a share in this route, %d use their general share",
 				with_share_count, without_share_count));
 		if (share_sum && smallest_share * 200 < share_sum)
-			add_warning(validation,
-				    apr_pstrcat(validation->pool, "lane ",
-						json_member_string(route_row, "name"), NULL),
-				    "the share of a tenant is less than 0.5 % of the sum of all shares");
+			add_warning(
+			    validation,
+			    apr_pstrcat(validation->pool, "lane ", json_member_string(route_row, "name"),
+					NULL),
+			    "the share of a tenant is less than half a percent of the sum of all shares");
 	}
 }
 
@@ -526,7 +527,7 @@
 	build_proposed_rows(&validation, input.change);
 	for (size_t i = 0; i < json_object_array_length(validation.proposed_rows); i++)
 		check_row(&validation, json_object_array_get_idx(validation.proposed_rows, i));
-	check_share_mixture(&validation);
+	check_route_shares(&validation);
 	check_removals(&validation);
 	if (options->as_json)
 		print_findings_json(&validation);
--- a/bin/notchlugctl.c
+++ b/bin/notchlugctl.c
@@ -54,8 +54,8 @@
 {
 	fprintf(
 	    file,
-	    "Usage: notchlugctl [--at IP:PORT[,IP:PORT...]] [--key KEY] COMMAND\n\n"
-	    "  --at                           HTTP addresses of controllers\n\n"
+	    "Usage: notchlugctl [--at IP:PORT[,IP:PORT...]] [--key KEY] COMMAND\n"
+	    "The addresses are HTTP addresses of controllers.\n\n"
 	    "  found                          bootstrap a new fleet from its three seed controllers; works once\n"
 	    "  recover [ID ...]               recover Raft groups whose majority is permanently lost, from the replicas of one\n"
 	    "                                 controller; ID: the lost controllers; without ID: print the members\n"
@@ -70,7 +70,7 @@
 	    "  weights SERVICE NAME           set the target version of a service, which starts a rollout\n"
 	    "  clear all | ROUTE/TENANT       purge cached context now; * selects all routes or all tenants\n"
 	    "  retention [--report]           print scheduled, running and completed purges, and who has not confirmed them;\n"
-	    "                                 --report: print the retention report as CSV\n"
+	    "                                 with the option, print the retention report as CSV\n"
 	    "  state                          print shard leaders, table editions, purge horizons and servers\n"
 	    "  metrics                        print the metrics of the router whose metrics address --at names, in the\n"
 	    "                                 Prometheus text format\n"
--- a/bin/notchlugctl_client.h
+++ b/bin/notchlugctl_client.h
@@ -33,7 +33,8 @@
 /* Maps the HTTP status of a change to the exit code. */
 int change_exit_code(int status);
 
-/* Maps the HTTP status of a request that needs no CONFLICT code to the exit code. */
+/* Maps the HTTP status of any other request to the exit code: OK, REJECTED, or UNREACHABLE without an answer.
+ */
 int single_call_exit_code(int status);
 
 #endif
--- a/bin/notchlugctl_status.c
+++ b/bin/notchlugctl_status.c
@@ -43,6 +43,7 @@
 	for (size_t i = 0; nodes && i < json_object_array_length(nodes); i++) {
 		struct json_object *node = json_object_array_get_idx(nodes, i);
 
+		/* the first column is the name that the interface has for routers and controllers */
 		printf("%s %-21s edition %-6lld purge horizon %-6lld last report %lld ms ago\n",
 		       json_object_get_boolean(json_member(node, "counter")) ? "counter  " : "registrar",
 		       json_member_string(node, "addr"), (long long)json_member_int(node, "edition"),
@@ -114,7 +115,7 @@
 		fputs(body, stdout);
 	else
 		fprintf(stderr, "notchlugctl: reading metrics from %s failed: %s\n", controller_addr,
-			status ? "this node serves no metrics" : "no answer");
+			status ? "the node answered without metrics" : "no answer");
 	free(body);
 	return single_call_exit_code(status);
 }
@@ -179,7 +180,7 @@
 		printf("all slices published, context unreachable since %s\n",
 		       format_time(json_member_int(purge, "sliced")));
 	else
-		printf("running, %" APR_INT64_T_FMT " slices committed\n", json_member_int(purge, "slices"));
+		printf("running, %" APR_INT64_T_FMT " slices published\n", json_member_int(purge, "slices"));
 	for (size_t i = 0; missing && i < json_object_array_length(missing); i++)
 		printf("  not confirmed: %s\n",
 		       json_object_get_string(json_object_array_get_idx(missing, i)));
