--- a/bin/notchlugctl_status.c
+++ b/bin/notchlugctl_status.c
@@ -18,8 +18,8 @@
 	RECOVER_TIMEOUT_MS = 7000            /* one attempt, at one controller */
 };
 
-/* Recorded as the requester of a purge when USER is not set. It is the former name of this program, kept so
- * that stored purge records stay comparable. */
+/* Recorded as the requester of a purge when USER is not set. It is the former name of this program and
+ * does not change with the program's name, so that purge records keep the same value. */
 #define UNKNOWN_REQUESTER "clerk"
 
 /* ---- state ---- */
