--- a/bin/notchlug_validate.c
+++ b/bin/notchlug_validate.c
@@ -31,8 +31,8 @@
 	struct json_object *current_rows;  /* of the table that was read; borrowed */
 	struct json_object *proposed_rows; /* the rows after the change; owned */
 	struct json_object *servers;       /* from a router's state, borrowed; NULL: no router was given */
-	int faults;
-	int warnings;
+	int fault_count;
+	int warning_count;
 };
 
 static void add_finding(struct validation *validation, const char *grade, const char *label,
@@ -49,13 +49,13 @@
 static void add_fault(struct validation *validation, const char *label, const char *message)
 {
 	add_finding(validation, "fault", label, message);
-	validation->faults++;
+	validation->fault_count++;
 }
 
 static void add_warning(struct validation *validation, const char *label, const char *message)
 {
 	add_finding(validation, "warning", label, message);
-	validation->warnings++;
+	validation->warning_count++;
 }
 
 /* Adds a finding that describes an effect of the change without objecting to it. */
@@ -495,14 +495,14 @@
 		printf("%s: %s: %s\n", json_member_string(finding, "grade"),
 		       json_member_string(finding, "row"), json_member_string(finding, "why"));
 	}
-	printf("%d faults, %d warnings\n", validation->faults, validation->warnings);
+	printf("%d faults, %d warnings\n", validation->fault_count, validation->warning_count);
 }
 
 static void print_findings_json(const struct validation *validation)
 {
 	struct json_object *report = json_object_new_object();
 
-	json_object_object_add(report, "good", json_object_new_boolean(!validation->faults));
+	json_object_object_add(report, "good", json_object_new_boolean(!validation->fault_count));
 	json_object_object_add(report, "findings", json_object_get(validation->findings));
 	printf("%s\n", json_object_to_json_string_ext(report, JSON_C_TO_STRING_PLAIN));
 	json_object_put(report);
@@ -536,51 +536,54 @@
 	json_object_put(validation.findings);
 	json_object_put(validation.proposed_rows);
 	free_input(&input);
-	return validation.faults ? FAULTS : GOOD;
+	return validation.fault_count ? FAULTS : GOOD;
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_str *at = arg_str0(NULL, "at", "IP:PORT", "HTTP address of a controller");
-	struct arg_str *router = arg_str0(NULL, "counter", "IP:PORT",
-					  "HTTP address of a router, to check against its servers' reports");
-	struct arg_lit *json = arg_lit0(NULL, "json", "print the findings as JSON");
-	struct arg_lit *help = arg_lit0("h", "help", "print this help");
-	struct arg_lit *version = arg_lit0(NULL, "version", "print the version");
-	struct arg_file *file = arg_file0(
+	struct arg_str *controller_option = arg_str0(NULL, "at", "IP:PORT", "HTTP address of a controller");
+	struct arg_str *router_option = arg_str0(
+	    NULL, "counter", "IP:PORT", "HTTP address of a router, to check against its servers' reports");
+	struct arg_lit *json_option = arg_lit0(NULL, "json", "print the findings as JSON");
+	struct arg_lit *help_option = arg_lit0("h", "help", "print this help");
+	struct arg_lit *version_option = arg_lit0(NULL, "version", "print the version");
+	struct arg_file *file_argument = arg_file0(
 	    NULL, NULL, "FILE", "the text form of a table, or a change as JSON; - reads standard input");
-	struct arg_end *end = arg_end(5);
-	void *table[] = { at, router, json, help, version, file, end };
+	struct arg_end *parse_errors = arg_end(5);
+	void *argument_table[] = { controller_option, router_option, json_option, help_option,
+				   version_option,    file_argument, parse_errors };
 	apr_pool_t *pool;
-	int rc = GOOD, errors;
+	int rc = GOOD, error_count;
 
 	apr_initialize();
 	apr_pool_create(&pool, NULL);
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	errors = arg_parse(argc, argv, table);
-	if (help->count) {
+	error_count = arg_parse(argc, argv, argument_table);
+	if (help_option->count) {
 		printf("Usage: notchlug-validate");
-		arg_print_syntax(stdout, table, "\n");
-		arg_print_glossary(stdout, table, "  %-24s %s\n");
+		arg_print_syntax(stdout, argument_table, "\n");
+		arg_print_glossary(stdout, argument_table, "  %-24s %s\n");
 		printf(
 		    "Exit codes: 0 no faults, 1 faults found, 2 wrong usage, 3 reading from a controller or router failed.\n");
-	} else if (version->count) {
+	} else if (version_option->count) {
 		printf("notchlug-validate (notchlug) %s\n", NL_VERSION);
-	} else if (errors || !file->count) {
-		arg_print_errors(stderr, end, "notchlug-validate");
+	} else if (error_count || !file_argument->count) {
+		arg_print_errors(stderr, parse_errors, "notchlug-validate");
 		fprintf(stderr,
 			"notchlug-validate: argument FILE is missing or the options are wrong; see --help\n");
 		rc = USAGE;
 	} else {
-		const struct options options = { .controller_addr =
-						     at->count ? at->sval[0] : "127.0.0.1:8000",
-						 .router_addr = router->count ? router->sval[0] : NULL,
-						 .file_path = file->filename[0],
-						 .as_json = json->count };
+		const struct options options = { .controller_addr = controller_option->count
+									? controller_option->sval[0]
+									: "127.0.0.1:8000",
+						 .router_addr =
+						     router_option->count ? router_option->sval[0] : NULL,
+						 .file_path = file_argument->filename[0],
+						 .as_json = json_option->count };
 
 		rc = validate(&options, pool);
 	}
-	arg_freetable(table, sizeof table / sizeof *table);
+	arg_freetable(argument_table, sizeof argument_table / sizeof *argument_table);
 	apr_pool_destroy(pool);
 	apr_terminate();
 	return rc;
--- a/bin/notchlugctl_status.c
+++ b/bin/notchlugctl_status.c
@@ -134,7 +134,7 @@
 			       json_object_new_string(user && user[0] ? user : UNKNOWN_REQUESTER));
 	status = send_request_with_retry("/v1/clear", request, &body);
 	if (status == 200)
-		printf("purge accepted; run notchlugctl retention to see its progress\n");
+		printf("purge committed; run notchlugctl retention to see its progress\n");
 	else
 		fprintf(stderr, "notchlugctl: purge request to %s failed: %s\n", controller_addr,
 			status ? body : "no answer");
