--- a/tests/explore.h
+++ b/tests/explore.h
@@ -176,7 +176,8 @@
 	SCENE_SNAPSHOT,      /* a snapshot is in flight to a follower that lags */
 	SCENE_FOUR,          /* four voters, and a leader with a lease */
 	SCENE_REPLACED,      /* a member has lost its disk and is being replaced */
-	SCENE_SPLIT_LOG,     /* one follower's log has entries of an earlier leader, from an earlier term */
+	SCENE_SPLIT_LOG, /* an old leader is a follower again; only its log has its entries of an earlier term
+			  */
 	SCENE_CUT_OFF, /* a follower has received nothing from the leader for more than an election timeout */
 	SCENE_RESTARTED,  /* like SCENE_CUT_OFF, and the follower that grants the lease has just restarted */
 	SCENE_LED_BEFORE, /* a leader that also led two terms earlier; an acknowledgement sent to it in that
--- a/tests/http_fixture.c
+++ b/tests/http_fixture.c
@@ -1,4 +1,4 @@
-/* http_fixture: see http_fixture.h. */
+/* http_fixture: see http_fixture.h for the contract. */
 #include "http_fixture.h"
 
 #include <arpa/inet.h>
@@ -15,7 +15,7 @@
 
 #include "shell.h"
 
-/* ---- clock and counts ---- */
+/* ---- clock and system calls ---- */
 
 struct http_fixture_clock http_fixture_clock;
 struct http_fixture_write_after_wait http_fixture_after_wait;
@@ -72,7 +72,7 @@
 	return __real_send(fd, d, n, flags);
 }
 
-/* ---- what the loop reports ---- */
+/* ---- callbacks of the loop ---- */
 
 static void hook(struct http_recorder *recorder, const char *what, uint64_t token)
 {
@@ -163,7 +163,7 @@
 	http_fixture_clock.moved_ms = 0;
 }
 
-/* ---- the other end ---- */
+/* ---- clients and servers at the far ends ---- */
 
 uint64_t loopback_addr(int port)
 {
@@ -188,7 +188,7 @@
 		ssize_t k = send(fd, d, n, MSG_NOSIGNAL);
 
 		if (k < 0)
-			return; /* it has closed: what it said shows */
+			return; /* the connection is closed; the caller reads what was received on it */
 		d += k;
 		n -= (size_t)k;
 	}
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -1,3 +1,4 @@
+/* raft_leader: see raft_leader.h for the contract. */
 #include "raft_leader.h"
 
 #include <setjmp.h>
@@ -44,7 +45,6 @@
 	leader_receive(leader, from, &message);
 }
 
-/* A member answers the newest heartbeat: it has synced all up to match. */
 void leader_receive_append_reply(struct leader *leader, uint64_t from, uint64_t match)
 {
 	struct Nl__Msg message = leader_message(NL__MSG__BODY_APPEND_REPLY);
@@ -63,7 +63,6 @@
 	return leader->raft.log.base_index + (uint64_t)arrlen(leader->raft.log.entries);
 }
 
-/* Time passes; the members in the mask answer each heartbeat, and hold all that there is. */
 void leader_run_heartbeats(struct leader *leader, int64_t ms, unsigned answering)
 {
 	for (int64_t end = leader->now + ms; leader->now < end;) {
@@ -77,7 +76,6 @@
 	}
 }
 
-/* Member 1 leads a group of so many voters. */
 void leader_begin(struct leader *leader, int voters)
 {
 	struct raft_member members[RAFT_MAX_MEMBERS];
@@ -95,7 +93,7 @@
 		leader->live[i] = (struct raft_member){ .id = (uint64_t)i + 1,
 							.addr = 101 + (uint64_t)i,
 							.zone = 1 + (uint64_t)i };
-	leader->live_count = voters + 1; /* one more can join */
+	leader->live_count = voters + 1; /* one controller that is not a member can join */
 	raft_open(&leader->raft, 0, 1, 5, NULL, leader->now);
 	leader->raft.group.replicas = voters;
 	leader->raft.group.member_lost_ms = 2400;
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -1,4 +1,4 @@
-/* raft_leader: a raft leader alone; the test itself sends its members' answers. */
+/* raft_leader: runs the leader of a Raft group without the other members, whose messages the test sends. */
 #ifndef NL_RAFT_LEADER_H
 #define NL_RAFT_LEADER_H
 
@@ -7,45 +7,47 @@
 struct leader {
 	struct raft raft;
 	struct command_list out;
-	int64_t now;
-	struct raft_member live[6]; /* controllers that the fleet knows */
+	int64_t now;                /* ms */
+	struct raft_member live[6]; /* running controllers of the fleet, from which members are chosen */
 	int live_count;
 };
 
-/* An empty message of a kind. */
+/* An empty message whose body case is `body`. */
 struct Nl__Msg leader_message(int body);
 
-/* All that it has written is synced. */
+/* Complete the sync of everything that the leader has written. */
 void leader_sync_disk(struct leader *leader);
 
-/* It receives a message of a member. */
+/* The leader receives a message from member `from`. */
 void leader_receive(struct leader *leader, uint64_t from, struct Nl__Msg *message);
 
-/* A member grants its vote, or with pre its pre-vote. */
+/* The candidate receives a granted vote from member `from`, or with `pre` a granted pre-vote. */
 void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int pre);
 
-/* A member answers the newest heartbeat: it has synced all up to match. */
+/* The leader receives member `from`'s answer to the newest heartbeat: its log is synced up to index `match`.
+ */
 void leader_receive_append_reply(struct leader *leader, uint64_t from, uint64_t match);
 
-/* The index of its newest entry. */
+/* The index of the newest entry in the leader's log. */
 uint64_t leader_last_index(const struct leader *leader);
 
-/* Time passes; the members in the mask answer each heartbeat, and have synced the whole log. */
+/* Advance the clock by `ms` in heartbeat intervals. The members whose bits (1 << id) are set in `answering`
+ * answer each heartbeat, with their complete log synced. */
 void leader_run_heartbeats(struct leader *leader, int64_t ms, unsigned answering);
 
-/* Member 1 leads a group of so many voters; one more controller can join. */
+/* Open member 1 as the leader, with a lease, of a group of `voters` voters; one more controller can join. */
 void leader_begin(struct leader *leader, int voters);
 
 /* Free all memory. */
 void leader_end(struct leader *leader);
 
-/* A member of its group, or NULL. */
+/* The member of the leader's group with this id, or NULL. */
 const struct raft_member *leader_member(const struct leader *leader, uint64_t id);
 
-/* It changes the membership by one step, if that is due. */
+/* Let the leader change the membership by one step, if a change is due. */
 void leader_reconfigure(struct leader *leader);
 
-/* It logs an operation, and syncs it. */
+/* Log an operation at the leader, and complete its sync. */
 void leader_propose(struct leader *leader);
 
 #endif
--- a/tests/raft_world.h
+++ b/tests/raft_world.h
@@ -119,7 +119,7 @@
 	uint64_t append_bytes;
 	size_t peak_memory;    /* bytes of one machine */
 	size_t peak_disk;      /* bytes of one machine */
-	size_t peak_in_flight; /* bytes between two machines */
+	size_t peak_in_flight; /* bytes of all packets in flight at a time */
 	/* called for each message before it is sent; returns 0 to drop the message. NULL: none is dropped */
 	int (*filter)(struct raft_world *world, int from, int to, struct Nl__Msg *message);
 };
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -1,4 +1,4 @@
-/* router_fixture: see router_fixture.h. */
+/* router_fixture: see router_fixture.h for the contract. */
 #include "router_fixture.h"
 
 #include <setjmp.h>
@@ -53,7 +53,7 @@
 }
 
 void router_fixture_table(struct router_fixture *fixture, struct Nl__Row **rows, size_t n,
-			  struct Nl__Instance **instances, size_t nsight, uint64_t revision)
+			  struct Nl__Instance **instances, size_t instance_count, uint64_t revision)
 {
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
@@ -71,7 +71,7 @@
 	reply.set = rows;
 	reply.n_set = n;
 	reply.instances = instances;
-	reply.n_instances = nsight;
+	reply.n_instances = instance_count;
 	reply.instances_stamp = revision;
 	reply.router_count = 1;
 	reply.group_clock_ms = (uint64_t)fixture->now; /* the control group's clock is the router's own */
@@ -162,15 +162,16 @@
 	return 0;
 }
 
-void router_fixture_end_call(struct router_fixture *fixture, uint64_t call, enum forward_end how, int status)
+void router_fixture_end_call(struct router_fixture *fixture, uint64_t call_token, enum forward_end result,
+			     int status)
 {
-	struct forward_result ended = { .token = call, .end = how, .status = status };
+	struct forward_result ended = { .token = call_token, .end = result, .status = status };
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
 	event.args.forward_ended = &ended;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &event);
-	for (int i = 0; how != FORWARD_COMPLETE && i < 4;
-	     i++) /* it may wait in its queue before it is sent again */
+	/* The request may wait in the router's queue before it is resent. */
+	for (int i = 0; result != FORWARD_COMPLETE && i < 4; i++)
 		router_fixture_tick(fixture, 60);
 }
--- a/tests/router_fixture.h
+++ b/tests/router_fixture.h
@@ -1,7 +1,7 @@
-/* router_fixture: one router by itself, without a fleet. A test gives it a configuration table, requests and
- * what servers answer, and reads the commands of its steps. Always: the clock moves only in
- * router_fixture_tick and router_fixture_table, and the commands of past steps stay in `commands` until a
- * call that says that it clears them. */
+/* router_fixture: runs a single router without a fleet. A test supplies a configuration table, requests and
+ * the servers' answers, and inspects the commands that the router issues. Invariants: the clock advances only
+ * in router_fixture_tick, router_fixture_table and router_fixture_end_call, and `commands` collects the
+ * commands of all steps until a function whose comment says that it clears them. */
 #ifndef NL_ROUTER_FIXTURE_H
 #define NL_ROUTER_FIXTURE_H
 
@@ -15,41 +15,46 @@
 	uint64_t token; /* of the newest request */
 };
 
-/* A router of zone z1 that knows no table yet; released by router_fixture_close. */
+/* Open a router in zone z1 that has no configuration table yet; release it with router_fixture_close. */
 void router_fixture_open(struct router_fixture *fixture, uint64_t id);
 void router_fixture_close(struct router_fixture *fixture);
 
-/* One step of the router, and one that is the receipt of a message. */
+/* Pass an event to the router; router_fixture_message passes the receipt of a message. */
 void router_fixture_step(struct router_fixture *fixture, const struct router_event *event);
 void router_fixture_message(struct router_fixture *fixture, struct Nl__Msg *message);
 
-/* Let time pass, then tick. */
+/* Advance the clock by `ms`, then pass a tick to the router. */
 void router_fixture_tick(struct router_fixture *fixture, int64_t ms);
 
-/* The control leader answers a poll: a complete table of `n` rows, and `nsight` servers of the list, both of
- * this revision. Clears the commands. */
+/* Answer the router's configuration poll as the control leader does: with a complete table of `n` rows and an
+ * endpoint list of `instance_count` servers, both of this revision. Advances the clock by 300 ms and clears
+ * the commands. */
 void router_fixture_table(struct router_fixture *fixture, struct Nl__Row **rows, size_t n,
-			  struct Nl__Instance **instances, size_t nsight, uint64_t revision);
+			  struct Nl__Instance **instances, size_t instance_count, uint64_t revision);
 
-/* Rows for a table; all live in the pool. A service has weights w1, an instance is in zone z1 at 127.1.0.(i +
- * 1). */
+/* Create rows of a table and servers of the endpoint list; the pool owns them. A service has target weights
+ * w1; server i is in zone z1, has the address 127.1.0.(i + 1):80, 100 slots and weights w1. */
 struct Nl__Row *new_row(apr_pool_t *pool, Nl__Kind kind, const char *name);
 struct Nl__Row *new_service(apr_pool_t *pool, const char *name);
 struct Nl__Instance *new_instance(apr_pool_t *pool, int i, const char *service);
 
-/* Submit a forwarded request with a limit of 60 s. Returns it while it waits, else NULL with the status of
- * its answer. Clears the commands. */
+/* Submit a forwarded request with a time limit of 60 s, after clearing the commands. Returns the request
+ * while it is pending, with *status 0; NULL if the router has answered it, with the answer's status in
+ * *status. */
 struct client_request *router_fixture_submit(struct router_fixture *fixture, const char *host,
 					     const char *path, const char *id, int *status);
 
-/* The client of the newest request disconnects. */
+/* Disconnect the client of the newest request. */
 void router_fixture_disconnect(struct router_fixture *fixture);
 
-/* The token of the newest send among the commands; 0: there is none. */
+/* The token of the newest send to a server among the commands; 0: none. */
 uint64_t router_fixture_last_call(struct router_fixture *fixture);
 
-/* How a send ended; unless it is complete, time passes so that the request may be sent again. Clears the
- * commands. */
-void router_fixture_end_call(struct router_fixture *fixture, uint64_t call, enum forward_end how, int status);
+/* Report to the router that a send has ended, after clearing the commands. Unless the result is
+ * FORWARD_COMPLETE, also advances the clock by 240 ms in four ticks, so that the router can resend the
+ * request.
+ */
+void router_fixture_end_call(struct router_fixture *fixture, uint64_t call_token, enum forward_end result,
+			     int status);
 
 #endif
--- a/tests/stored_world.h
+++ b/tests/stored_world.h
@@ -1,6 +1,7 @@
-/* One controller and its data folder, without sockets and without a clock: what it sends to itself arrives,
- * what it sends to others does not, and every write is waited for. Makes the folders of tests/data, and goes
- * on from them. */
+/* stored_world: runs one controller on a data folder, without sockets and under virtual time. Messages that
+ * the controller sends to itself are delivered, messages to others are dropped, and each write is synced
+ * before the next step. It creates the data folders in tests/data, and continues from them in later versions.
+ */
 #ifndef NL_STORED_WORLD_H
 #define NL_STORED_WORLD_H
 
@@ -14,68 +15,71 @@
 	int status;
 	char *body;
 	size_t len;
-	uint32_t outcome; /* of a claim */
+	uint32_t outcome; /* outcome in the answer to a claim */
 };
 
 struct world {
 	apr_pool_t *pool;
 	struct ring *ring;
 	struct storage *store;
-	struct stored_state found; /* what the folder held */
+	struct stored_state found; /* contents of the folder when it was opened */
 	struct controller controller;
 	struct command_list out;
-	int64_t now;
-	uint64_t token;
-	struct Nl__Msg **arriving;       /* stb_ds: sent to itself */
-	struct controller_event *synced; /* stb_ds */
-	struct world_answer answer;      /* to the newest call; status 0: none yet */
+	int64_t now;                     /* ms */
+	uint64_t token;                  /* token of the newest call */
+	struct Nl__Msg **arriving;       /* stb_ds: messages that the controller has sent to itself */
+	struct controller_event *synced; /* stb_ds: completed syncs that the controller has not yet handled */
+	struct world_answer answer;      /* answer to the newest call; status 0: not answered yet */
 };
 
-/* Open a folder, and a controller on it; NULL, or why the folder is refused. An empty one gets the identity
- * WORLD_SELF. */
+/* Open a data folder and start a controller on it; returns NULL, or the reason why the folder is rejected. In
+ * an empty folder the controller gets the identity WORLD_SELF. */
 const char *world_open(struct world *world, const char *folder);
 void world_close(struct world *world);
 
-/* Begin a fleet of so many members, of which this is one. Example: world_bootstrap(&w, 1); */
+/* Bootstrap a fleet of `members` members, including this controller. Example: world_bootstrap(&w, 1); */
 void world_bootstrap(struct world *world, int members);
 
-/* Let time pass. Example: world_run(&w, 2000); */
+/* Run for `ms` of virtual time. Example: world_run(&w, 2000); */
 void world_run(struct world *world, int64_t ms);
 
-/* One event at the controller, and all that follows at once. */
+/* Pass one event to the controller, then all completed syncs and messages to itself that result from it. */
 void world_step(struct world *world, const struct controller_event *event);
 
-/* A message of another member, or of a router, arrives: body and part are set. Example: world_hear(&w, 2,
- * &message); */
+/* Deliver a message from another member or from a router; the caller has set its body and shard.
+ * Example: world_hear(&w, 2, &message); */
 void world_hear(struct world *world, uint64_t from, struct Nl__Msg *message);
 
-/* An operator's call; waits for the answer, which stays in w.answer: its status. key: NULL for none.
+/* Send an operator's call, with an idempotency key unless `key` is NULL, and wait for the answer. Returns its
+ * status, 0 if there is none; the answer stays in world->answer.
  * Example: assert_int_equal(world_call(&w, "GET", "/v1/table", "", NULL), 200); */
 int world_call(struct world *world, const char *method, const char *path, const char *body, const char *key);
 
-/* The same of an operator's document, in the platform's language. */
+/* Send a call of the platform's interface and wait for the answer, like world_call: write a document or patch
+ * on config version `base`, read the document, or set the target weights of a model. */
 int world_document(struct world *world, const char *body, int patch, uint64_t base);
 int world_read_document(struct world *world);
 int world_name_weights(struct world *world, const char *model, const char *weights);
 
-/* An operation is logged by the leader itself; waits until it is applied. Example: world_log(&w,
- * SHARD_SERVICE, &op); */
+/* Log an operation at this controller, which must lead the shard, and wait until it is applied.
+ * Example: world_log(&w, SHARD_SERVICE, &op); */
 void world_log(struct world *world, uint32_t part, const struct Nl__Operation *operation);
 
-/* A router's claim: the status of the answer to it. */
+/* Send a router's claim of a request id and wait for the answer; returns its status. */
 uint32_t world_claim(struct world *world, const char *service, const struct Nl__Claim *claim);
 
-/* The disk's word on a write, waited for up to five minutes; NULL: none came. */
+/* Wait up to five minutes for the report that a write is synced; NULL if there is none. */
 struct shell_event *world_synced(struct ring *ring);
 
-/* All that a folder held, as text without names: identity, terms, votes, members, snapshots and entries. */
+/* The contents of a folder as text without field names: identity, terms, votes, members, snapshots and log
+ * entries. */
 const char *world_records(const struct stored_state *found, apr_pool_t *pool);
 
-/* The state that it makes, by shards: its snapshots and, upon them, all its entries. Of a controller that has
- * done nothing yet. */
+/* The state of each shard as text, after its snapshot and all its log entries have been applied. The
+ * controller must not have handled any event before. */
 const char *world_state(struct world *world, apr_pool_t *pool);
 
-/* Write all that a folder held to another, which is new. */
+/* Write the contents of a folder to another folder, which must be new. */
 void world_copy(const struct stored_state *found, const char *folder);
 
 #endif
