--- a/tests/http_fixture.h
+++ b/tests/http_fixture.h
@@ -150,7 +150,7 @@
 struct http_client_request get_request(void);
 #define GET "GET /t HTTP/1.1\r\nHost: x\r\n\r\n"
 
-/* The shortest request of a client that the product accepts. */
+/* A short request of a client, without header fields. */
 extern const char http_fixture_get_a[];
 
 /* A random number below n; *r is the generator's state. */
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -115,7 +115,7 @@
 	int slow;   /* ms between two chunks of an answer */
 	int serial;
 	int odd_report; /* invalid status report; 1: truncated JSON, 2: not a JSON object, 3: an absurd number
-			   of slots, 4: blocks of 1000 unknown tenants and weights */
+			   of slots, and blocks as in 4, 4: blocks of 1000 unknown tenants and weights */
 	int is_store;
 	int slow_link;       /* factor by which block fetches from it are slower; 0: 1 */
 	int hang;            /* fault: block fetches from it are never answered */
