--- a/tests/http_fixture.c
+++ b/tests/http_fixture.c
@@ -38,12 +38,12 @@
 		test_server_write_first(http_fixture_early_server);
 	http_fixture_early_server = NULL;
 	if (http_fixture_after_wait.text) {
-		int got = __real_epoll_wait(fd, event, n, 0);
+		int ready_count = __real_epoll_wait(fd, event, n, 0);
 
 		http_fixture_write(http_fixture_after_wait.fd, http_fixture_after_wait.text);
 		http_fixture_after_wait.text = NULL;
 		http_fixture_clock.moved_ms += http_fixture_after_wait.frozen_ms;
-		return got;
+		return ready_count;
 	}
 	return __real_epoll_wait(fd, event, n, ms);
 }
@@ -110,50 +110,51 @@
 static void on_head(void *ctx, uint64_t token, int status, const struct http_field *field, int nf)
 {
 	struct http_recorder *recorder = ctx;
-	struct recorded_call *c = &recorder->call[token];
+	struct recorded_call *call = &recorder->call[token];
 	const char *id = http_field_value(field, nf, "x-id");
 
-	c->bad |= c->done || c->cancelled || c->status;
-	c->status = status;
-	snprintf(c->x_id, sizeof c->x_id, "%s", id ? id : "");
+	call->bad |= call->done || call->cancelled || call->status;
+	call->status = status;
+	snprintf(call->x_id, sizeof call->x_id, "%s", id ? id : "");
 	hook(recorder, "head", token);
 }
 
 static void on_body(void *ctx, uint64_t token, const char *d, size_t n)
 {
 	struct http_recorder *recorder = ctx;
-	struct recorded_call *c = &recorder->call[token];
+	struct recorded_call *call = &recorder->call[token];
 
-	c->bad |= c->done || c->cancelled || !c->status || !n || c->n + n > HTTP_FIXTURE_BODY_BYTES;
-	if (c->n + n <= HTTP_FIXTURE_BODY_BYTES)
-		memcpy(c->got + c->n, d, n);
-	c->n += n;
+	call->bad |=
+	    call->done || call->cancelled || !call->status || !n || call->n + n > HTTP_FIXTURE_BODY_BYTES;
+	if (call->n + n <= HTTP_FIXTURE_BODY_BYTES)
+		memcpy(call->got + call->n, d, n);
+	call->n += n;
 	hook(recorder, "body", token);
 }
 
 static void on_done(void *ctx, uint64_t token, enum http_call_result how, int status)
 {
 	struct http_recorder *recorder = ctx;
-	struct recorded_call *c = &recorder->call[token];
+	struct recorded_call *call = &recorder->call[token];
 
-	c->bad |= c->done || c->cancelled || (how == HTTP_CALL_COMPLETE && status != c->status) ||
-		  (how == HTTP_CALL_NOT_SENT && status);
-	c->done++;
-	c->how = how;
+	call->bad |= call->done || call->cancelled || (how == HTTP_CALL_COMPLETE && status != call->status) ||
+		     (how == HTTP_CALL_NOT_SENT && status);
+	call->done++;
+	call->how = how;
 	hook(recorder, "done", token);
 }
 
 const struct http_limits http_fixture_limits = { 2048, 16384, 5000, 60000 };
 
-struct http *http_fixture_open(struct http_recorder *s)
+struct http *http_fixture_open(struct http_recorder *recorder)
 {
-	struct http_callbacks callbacks = { s, on_request, on_gone, on_head, on_body, on_done };
+	struct http_callbacks callbacks = { recorder, on_request, on_gone, on_head, on_body, on_done };
 
-	memset(s, 0, sizeof *s);
-	assert_non_null(s->call = calloc(HTTP_FIXTURE_TOKENS, sizeof *s->call));
-	assert_non_null(s->h = http_open(&callbacks, NULL));
-	assert_int_equal(http_listen(s->h, "127.0.0.1:0", 1, &http_fixture_limits), 1);
-	return s->h;
+	memset(recorder, 0, sizeof *recorder);
+	assert_non_null(recorder->call = calloc(HTTP_FIXTURE_TOKENS, sizeof *recorder->call));
+	assert_non_null(recorder->h = http_open(&callbacks, NULL));
+	assert_int_equal(http_listen(recorder->h, "127.0.0.1:0", 1, &http_fixture_limits), 1);
+	return recorder->h;
 }
 
 void http_fixture_close(struct http_recorder *recorder)
@@ -185,12 +186,12 @@
 void http_fixture_write_bytes(int fd, const char *d, size_t n)
 {
 	while (n) {
-		ssize_t k = send(fd, d, n, MSG_NOSIGNAL);
+		ssize_t sent_bytes = send(fd, d, n, MSG_NOSIGNAL);
 
-		if (k < 0)
+		if (sent_bytes < 0)
 			return; /* the connection is closed; the caller reads what was received on it */
-		d += k;
-		n -= (size_t)k;
+		d += sent_bytes;
+		n -= (size_t)sent_bytes;
 	}
 }
 
@@ -201,24 +202,24 @@
 
 size_t http_fixture_read(struct http *h, int fd, char *to, size_t expected, size_t cap, int *how)
 {
-	int64_t stop = __real_clock_ms() + HTTP_FIXTURE_LIMIT_MS;
+	int64_t deadline_ms = __real_clock_ms() + HTTP_FIXTURE_LIMIT_MS;
 	size_t n = 0;
 
 	*how = 0;
-	while (n < expected && __real_clock_ms() < stop) {
+	while (n < expected && __real_clock_ms() < deadline_ms) {
 		struct pollfd p = { fd, POLLIN, 0 };
-		ssize_t k;
+		ssize_t received_bytes;
 
 		http_wait(h, 0);
 		if (poll(&p, 1, 1) <= 0)
 			continue;
-		k = recv(fd, to + n, cap - 1 - n, MSG_DONTWAIT);
-		if (!k || (k < 0 && errno != EAGAIN)) {
-			*how = k ? 2 : 1;
+		received_bytes = recv(fd, to + n, cap - 1 - n, MSG_DONTWAIT);
+		if (!received_bytes || (received_bytes < 0 && errno != EAGAIN)) {
+			*how = received_bytes ? 2 : 1;
 			break;
 		}
-		if (k > 0)
-			n += (size_t)k;
+		if (received_bytes > 0)
+			n += (size_t)received_bytes;
 	}
 	to[n] = 0;
 	return n;
@@ -226,51 +227,51 @@
 
 void http_fixture_expect_end(struct http *h, int fd, const char *expected)
 {
-	static char b[HTTP_FIXTURE_READ_BYTES];
+	static char buffer[HTTP_FIXTURE_READ_BYTES];
 	int how;
 
-	http_fixture_read(h, fd, b, HTTP_FIXTURE_READ_BYTES, HTTP_FIXTURE_READ_BYTES, &how);
-	assert_string_equal(b, expected);
+	http_fixture_read(h, fd, buffer, HTTP_FIXTURE_READ_BYTES, HTTP_FIXTURE_READ_BYTES, &how);
+	assert_string_equal(buffer, expected);
 	assert_int_equal(how, 1);
 	close(fd);
 }
 
 void http_fixture_expect(struct http *h, int fd, const char *expected)
 {
-	static char b[HTTP_FIXTURE_READ_BYTES];
+	static char buffer[HTTP_FIXTURE_READ_BYTES];
 	int how;
 
-	http_fixture_read(h, fd, b, strlen(expected), HTTP_FIXTURE_READ_BYTES, &how);
-	assert_string_equal(b, expected);
+	http_fixture_read(h, fd, buffer, strlen(expected), HTTP_FIXTURE_READ_BYTES, &how);
+	assert_string_equal(buffer, expected);
 	assert_int_equal(how, 0);
 }
 
-void test_server_write_first(struct test_server *t)
+void test_server_write_first(struct test_server *server)
 {
-	t->conn = accept(t->listener, NULL, NULL);
-	http_fixture_write(t->conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly");
+	server->conn = accept(server->listener, NULL, NULL);
+	http_fixture_write(server->conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly");
 }
 
 struct test_server test_server_open(void)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK) };
 	socklen_t n = sizeof address;
-	struct test_server t = { socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0), -1, 0 };
+	struct test_server server = { socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0), -1, 0 };
 
-	assert_return_code(bind(t.listener, (struct sockaddr *)&address, sizeof address), errno);
-	assert_return_code(listen(t.listener, 64), errno);
-	getsockname(t.listener, (struct sockaddr *)&address, &n);
-	t.addr = loopback_addr(ntohs(address.sin_port));
-	return t;
+	assert_return_code(bind(server.listener, (struct sockaddr *)&address, sizeof address), errno);
+	assert_return_code(listen(server.listener, 64), errno);
+	getsockname(server.listener, (struct sockaddr *)&address, &n);
+	server.addr = loopback_addr(ntohs(address.sin_port));
+	return server;
 }
 
-void test_server_accept(struct http *h, struct test_server *t)
+void test_server_accept(struct http *h, struct test_server *server)
 {
-	int64_t stop = __real_clock_ms() + HTTP_FIXTURE_LIMIT_MS;
+	int64_t deadline_ms = __real_clock_ms() + HTTP_FIXTURE_LIMIT_MS;
 
-	while ((t->conn = accept(t->listener, NULL, NULL)) < 0 && __real_clock_ms() < stop)
+	while ((server->conn = accept(server->listener, NULL, NULL)) < 0 && __real_clock_ms() < deadline_ms)
 		http_wait(h, 1);
-	assert_true(t->conn >= 0);
+	assert_true(server->conn >= 0);
 }
 
 const char http_fixture_get_a[] = "GET /a HTTP/1.1\r\n\r\n";
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -33,14 +33,14 @@
 	leader_sync_disk(leader);
 }
 
-void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int pre)
+void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int is_pre_vote)
 {
 	struct Nl__Msg message = leader_message(NL__MSG__BODY_VOTE_REPLY);
 	struct Nl__VoteReply reply = NL__VOTE_REPLY__INIT;
 
 	reply.term = term;
 	reply.granted = 1;
-	reply.is_pre_vote = pre;
+	reply.is_pre_vote = is_pre_vote;
 	message.vote_reply = &reply;
 	leader_receive(leader, from, &message);
 }
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -21,8 +21,8 @@
 /* The leader receives a message from member `from`. */
 void leader_receive(struct leader *leader, uint64_t from, struct Nl__Msg *message);
 
-/* The candidate receives a granted vote from member `from`, or with `pre` a granted pre-vote. */
-void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int pre);
+/* The candidate receives a granted vote from member `from`, or with is_pre_vote a granted pre-vote. */
+void leader_receive_vote(struct leader *leader, uint64_t from, uint64_t term, int is_pre_vote);
 
 /* The leader receives member `from`'s answer to the newest heartbeat: its log is synced up to index `match`.
  */
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -122,26 +122,26 @@
 struct client_request *router_fixture_submit(struct router_fixture *fixture, const char *host,
 					     const char *path, const char *id, int *status)
 {
-	struct forwarded_request query;
+	struct forwarded_request request;
 	struct router_event event;
 
-	memset(&query, 0, sizeof query);
+	memset(&request, 0, sizeof request);
 	memset(&event, 0, sizeof event);
-	query.token = ++fixture->token;
-	query.host = host;
-	query.path = path;
-	query.id = id;
-	query.limit_ms = 60000;
+	request.token = ++fixture->token;
+	request.host = host;
+	request.path = path;
+	request.id = id;
+	request.limit_ms = 60000;
 	event.kind = ROUTER_EVENT_FORWARDED_REQUEST;
-	event.args.forwarded_request = &query;
+	event.args.forwarded_request = &request;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &event);
 	*status = 0;
 	for (ptrdiff_t i = 0; i < arrlen(fixture->commands.commands); i++)
 		if (fixture->commands.commands[i].kind == CMD_ANSWER &&
-		    fixture->commands.commands[i].args.answer.token == query.token)
+		    fixture->commands.commands[i].args.answer.token == request.token)
 			*status = fixture->commands.commands[i].args.answer.status;
-	return router_request_by_token(&fixture->router, query.token);
+	return router_request_by_token(&fixture->router, request.token);
 }
 
 void router_fixture_disconnect(struct router_fixture *fixture)
