--- a/bin/notchlug_controller.c
+++ b/bin/notchlug_controller.c
@@ -30,12 +30,12 @@
 
 	controller->clocks.wall_ms = clock_wall_ms();
 	controller_step(controller, event, now, commands);
-	if (!controller->identity.fleet_dirty)
+	if (!controller->identity.is_fleet_unsaved)
 		return;
 	/* store the fleet id before any message that carries it is sent */
-	controller->identity.fleet_dirty = 0;
+	controller->identity.is_fleet_unsaved = 0;
 	if (!storage_write_identity(program->process.storage, controller->identity.id,
-				    controller->identity.fleet))
+				    controller->identity.fleet_id))
 		log_write(
 		    LOG_ERROR, "storage",
 		    "Step identity: writing the fleet id to disk failed; after a restart this controller may be treated as a new one.");
@@ -65,7 +65,7 @@
 	case SHELL_EVENT_CALL_DONE:
 		controller_event->kind = CONTROLLER_CALL_RESULT;
 		controller_event->payload.call_result.token = event->token;
-		controller_event->payload.call_result.status = event->status;
+		controller_event->payload.call_result.status = event->http_status;
 		controller_event->payload.call_result.body = event->body;
 		return 1;
 	case SHELL_EVENT_DISCONNECTED:
@@ -108,14 +108,15 @@
 
 	config_watch_set_seeds(&program->controller.config_watch, seeds, seed_count);
 	program->controller.bounds = settings->bounds;
-	program->front_end.list_addr = ((const struct platform *)settings->extension)->list_addr;
+	program->front_end.endpoint_list_addr =
+	    ((const struct platform *)settings->front_end_settings)->endpoint_list_addr;
 }
 
 static int is_idle(void *context)
 {
 	const struct program *program = context;
 
-	return controller_stopped(&program->controller, clock_ms());
+	return controller_may_stop(&program->controller, clock_ms());
 }
 
 static void write_log(void *context, const char *prefix, const char *line)
@@ -130,8 +131,8 @@
 {
 	struct storage_failure failure;
 
-	process->storage = storage_open(process->settings.data, process->settings.fault, process->events,
-					stored, &failure, process->pool);
+	process->storage = storage_open(process->settings.data_folder, process->settings.sync_delay_file,
+					process->events, stored, &failure, process->pool);
 	if (!process->storage) {
 		log_write(LOG_ERROR, "storage", "%s.", storage_strerror(&failure, process->pool));
 		return 0;
@@ -149,9 +150,9 @@
 /* Makes the platform's front end serve the HTTP requests of this process. */
 static void set_front_end(struct program *program, const struct platform *platform)
 {
-	program->front_end.step = step_controller;
-	program->front_end.ctx = program;
-	program->front_end.list_addr = platform->list_addr;
+	program->front_end.step_controller = step_controller;
+	program->front_end.step_context = program;
+	program->front_end.endpoint_list_addr = platform->endpoint_list_addr;
 	program->process.front_end = &platform_control;
 	program->process.front_end_context = &program->front_end;
 }
@@ -160,7 +161,7 @@
 {
 	const struct settings *settings = &program->process.settings;
 	struct controller *controller = &program->controller;
-	const char *address = settings->advertise ? settings->advertise : settings->listen;
+	const char *address = settings->advertised_addr ? settings->advertised_addr : settings->listen_addr;
 	uint64_t seeds[MAX_SEEDS];
 	int seed_count = parse_seed_addrs(settings, seeds);
 
@@ -170,11 +171,11 @@
 	controller->adapters.log = write_log;
 	controller->adapters.calendar = &calendar_icu;
 	controller->bounds.disabled_mechanisms = settings->disabled_mechanisms;
-	if (!settings->extension)
+	if (!settings->front_end_settings)
 		return;
 	controller->adapters.codec = &platform_codec;
 	controller->bounds = settings->bounds;
-	if (settings->may_bootstrap && seed_count && !strcmp(settings->seeds[0], settings->listen))
+	if (settings->may_bootstrap && seed_count && !strcmp(settings->seeds[0], settings->listen_addr))
 		controller_bootstrap(controller, clock_ms());
 }
 
@@ -191,12 +192,12 @@
 	apr_initialize();
 	apr_pool_create(&process->pool, NULL);
 	log_open("notchlug-controller");
-	process->settings.read_external = platform_settings;
+	process->settings.read_external = platform_read_settings;
 	rc = settings_read(&process->settings, "notchlug-controller", 1, argc, argv, process->pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	platform = process->settings.extension;
+	platform = process->settings.front_end_settings;
 	ring_open(&process->events, EVENT_RING_SIZE, process->pool);
 	if (!open_storage(process, &stored))
 		goto end;
@@ -206,7 +207,7 @@
 	if (!process_open(process))
 		goto end;
 	log_write(LOG_INFO, "controller", "Serving operators at %s in zone %s.",
-		  platform ? platform->control_addr : process->settings.web, process->settings.zone);
+		  platform ? platform->control_addr : process->settings.http_addr, process->settings.zone);
 	rc = process_run(process, &handlers);
 	controller_close(&program.controller);
 end:
--- a/bin/notchlug_router.c
+++ b/bin/notchlug_router.c
@@ -37,13 +37,13 @@
 	if (event->is_stream) {
 		router_event->kind = ROUTER_EVENT_CALL_ENDED;
 		router_event->args.call_ended.token = event->token;
-		router_event->args.call_ended.status = event->status;
+		router_event->args.call_ended.status = event->http_status;
 		router_event->args.call_ended.not_started = event->never_sent;
 		router_event->args.call_ended.body = event->body;
 	} else {
 		router_event->kind = ROUTER_EVENT_REPORT_POLLED;
 		router_event->args.report_polled.token = event->token;
-		router_event->args.report_polled.status = event->status;
+		router_event->args.report_polled.status = event->http_status;
 		router_event->args.report_polled.body = event->body;
 	}
 }
@@ -72,9 +72,9 @@
 		translate_call_result(event, router_event);
 		return 1;
 	case SHELL_EVENT_STOP:
-		router_event->kind = ROUTER_EVENT_STOP;
+		router_event->kind = ROUTER_EVENT_SHUTDOWN;
 		router_event->args.shutdown.send_deadline_at_ms = now + (event->deadline_ms - now) / 2;
-		router_event->args.shutdown.run_deadline_at_ms = event->deadline_ms - FINAL_RESPONSE_FLUSH_MS;
+		router_event->args.shutdown.end_deadline_at_ms = event->deadline_ms - FINAL_RESPONSE_FLUSH_MS;
 		return 1;
 	default:
 		return 0;
@@ -132,14 +132,14 @@
 {
 	uint64_t seeds[MAX_SEEDS];
 	int seed_count = parse_seed_addrs(settings, seeds);
-	const char *address = settings->advertise ? settings->advertise : settings->listen;
+	const char *address = settings->advertised_addr ? settings->advertised_addr : settings->listen_addr;
 
 	router_open(router, process_random_id(), core_parse_addr(address), settings->zone, seeds, seed_count,
 		    clock_ms());
-	if (settings->extension)
+	if (settings->front_end_settings)
 		router->config.bounds = settings->bounds;
 	router->config.bounds.disabled_mechanisms = settings->disabled_mechanisms;
-	router->config.bounds.experiments = settings->experiments_allowed;
+	router->config.bounds.is_experiment = settings->are_experiments_allowed;
 }
 
 int main(int argc, char **argv)
@@ -157,12 +157,12 @@
 	apr_initialize();
 	apr_pool_create(&process.pool, NULL);
 	log_open("notchlug-router");
-	process.settings.read_external = platform_settings;
+	process.settings.read_external = platform_read_settings;
 	rc = settings_read(&process.settings, "notchlug-router", 0, argc, argv, process.pool);
 	if (rc >= 0)
 		goto end;
 	rc = 1;
-	platform = process.settings.extension;
+	platform = process.settings.front_end_settings;
 	memset(&edge, 0, sizeof edge);
 	edge.router = &router;
 	if (platform) {
@@ -174,7 +174,7 @@
 		goto end;
 	router.log = write_log;
 	log_write(LOG_INFO, "router", "Serving clients at %s in zone %s.",
-		  platform ? platform->front_addr : process.settings.web, process.settings.zone);
+		  platform ? platform->front_addr : process.settings.http_addr, process.settings.zone);
 	rc = process_run(&process, &handlers);
 	router_close(&router);
 end:
--- a/bin/notchlugctl.c
+++ b/bin/notchlugctl.c
@@ -95,7 +95,7 @@
 {
 	(void)count;
 	(void)args;
-	return bootstrap_fleet();
+	return bootstrap_on_call();
 }
 
 static int run_purge(int count, char **args)
@@ -169,12 +169,12 @@
 	struct json_object *row;
 
 	if (count == 3 && !strcmp(args[0], "add")) {
-		row = row_new("key", digest_hex(args[2], hex));
+		row = row_new("key", key_digest_hex(args[2], hex));
 		json_object_object_add(row, "tenant", json_object_new_string(args[1]));
 		return send_change(change_new("set", row, NULL));
 	}
 	if (count == 2 && !strcmp(args[0], "remove"))
-		return send_change(change_new("del", row_new("key", digest_hex(args[1], hex)), NULL));
+		return send_change(change_new("del", row_new("key", key_digest_hex(args[1], hex)), NULL));
 	return usage(stderr);
 }
 
@@ -208,7 +208,7 @@
 	int max_args;                       /* most arguments after the command word */
 	int (*run)(int count, char **args); /* returns the exit code */
 } commands[] = {
-	{ "found", 0, 0, run_bootstrap }, { "recover", 0, INT_MAX, recover_groups },
+	{ "found", 0, 0, run_bootstrap }, { "recover", 0, INT_MAX, recovery_on_call },
 	{ "clear", 1, 1, run_purge },     { "retention", 0, 1, run_retention },
 	{ "state", 0, 0, run_state },     { "metrics", 0, 0, run_metrics },
 	{ "show", 0, 1, run_show },       { "set", 3, INT_MAX, run_set },
--- a/bin/notchlugctl_status.c
+++ b/bin/notchlugctl_status.c
@@ -223,7 +223,7 @@
 
 /* ---- bootstrap and recovery ---- */
 
-int bootstrap_fleet(void)
+int bootstrap_on_call(void)
 {
 	char *body = NULL;
 	int status =
@@ -234,7 +234,7 @@
 	return single_call_exit_code(status);
 }
 
-int recover_groups(int count, char **member_ids)
+int recovery_on_call(int count, char **member_ids)
 {
 	struct json_object *request = json_object_new_object(), *lost_ids = json_object_new_array();
 	char *body = NULL;
--- a/bin/notchlugctl_status.h
+++ b/bin/notchlugctl_status.h
@@ -17,11 +17,11 @@
 int show_retention(int as_csv_report);
 
 /* Bootstraps a fleet from its seed controllers. */
-int bootstrap_fleet(void);
+int bootstrap_on_call(void);
 
 /* Recovers, at one controller, the Raft groups whose majority is permanently lost. The operator chooses whose
  * replica the groups continue from by choosing the controller. member_ids: the lost members; count 0: only
  * print the members. */
-int recover_groups(int count, char **member_ids);
+int recovery_on_call(int count, char **member_ids);
 
 #endif
--- a/bin/notchlugctl_table.c
+++ b/bin/notchlugctl_table.c
@@ -100,7 +100,7 @@
 			return USAGE;
 		}
 		column = apr_pstrmemdup(pool, assignments[i], (size_t)(equals - assignments[i]));
-		json_object_object_add(row, column, config_text_cell(column, equals + 1));
+		json_object_object_add(row, column, config_text_parse_cell(column, equals + 1));
 	}
 	request = change_new("set", row, json_member(table, "edition"));
 	json_object_put(table);
@@ -157,7 +157,7 @@
 
 	if (!table)
 		return UNREACHABLE;
-	fputs(config_text_print(table, kind, pool), stdout);
+	fputs(config_text_format(table, kind, pool), stdout);
 	json_object_put(table);
 	return OK;
 }
--- a/emulator/fleet_operations.c
+++ b/emulator/fleet_operations.c
@@ -143,9 +143,10 @@
 	if (on)
 		snprintf(b, sizeof b,
 			 "{\"set\":[{\"kind\":\"key\",\"name\":\"%s\",\"tenant\":\"tenant-%d\"}]}",
-			 digest_hex(k, hex), i);
+			 key_digest_hex(k, hex), i);
 	else
-		snprintf(b, sizeof b, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}", digest_hex(k, hex));
+		snprintf(b, sizeof b, "{\"del\":[{\"kind\":\"key\",\"name\":\"%s\"}]}",
+			 key_digest_hex(k, hex));
 	if (on)
 		fleet_note(fleet, "key-added", "key", k);
 	if (fleet_change(fleet, b, NULL) == 200 && !on)
--- a/emulator/fleet_server_scenarios.c
+++ b/emulator/fleet_server_scenarios.c
@@ -36,8 +36,8 @@
 	fleet_note_fault(fleet, "a server dies during the roll-out, and the giver of its service too");
 	fleet_end_process(fleet_process_of(fleet, PROCESS_SERVER, 3), SIGKILL);
 	fleet_end_process(fleet_process_of(fleet, PROCESS_CONTROLLER,
-					   fleet_wait_leader(fleet, (int)core_shard_of(fleet->services[0],
-										       SHARD_SERVICES))),
+					   fleet_wait_leader(fleet, (int)core_service_shard(
+									fleet->services[0], SHARD_SERVICES))),
 			  SIGKILL);
 	fleet_sleep_ms(4000);
 	fleet_restart_process(
--- a/emulator/scale_model_internal.h
+++ b/emulator/scale_model_internal.h
@@ -260,7 +260,7 @@
 char *model_server_report(struct model_fleet *fleet, struct model_server *server, const char *path,
 			  size_t *len);
 
-/* Start a request at a server: its first piece comes at first_ms. */
+/* Start a request at a server: its first piece comes at first_chunk_sum_ms. */
 void model_start_run(struct model_fleet *fleet, const struct server_run *run, int64_t first);
 
 /* A send reaches a server: what it names as reused is not looked up; all its blocks are cached there
--- a/emulator/scale_model_load.c
+++ b/emulator/scale_model_load.c
@@ -43,10 +43,10 @@
 		q.key_digest = key;
 		q.host = "a.example";
 		q.path = path;
-		q.id = id;
-		q.limit_ms = 20000;
+		q.request_id = id;
+		q.timeout_ms = 20000;
 		q.input_tokens = 4000;
-		q.output_tokens = 420;
+		q.max_output_tokens = 420;
 		q.block_count = 3;
 		for (int i = 0; i < 3; i++)
 			q.blocks[i] = (struct request_block){ a.blocks[i], 1000 };
--- a/emulator/scale_model_measures.c
+++ b/emulator/scale_model_measures.c
@@ -62,7 +62,7 @@
 	return slot == SLOT_RUN || slot == SLOT_OUT ||
 	       (is_router && (k == ROUTER_EVENT_CLAIMED_REQUEST || k == ROUTER_EVENT_CLIENT_DISCONNECTED ||
 			      k == ROUTER_EVENT_STREAM_CHUNK || k == ROUTER_EVENT_CALL_ENDED ||
-			      k == ROUTER_EVENT_FORWARDED_REQUEST || k == ROUTER_EVENT_FORWARD_BEGAN ||
+			      k == ROUTER_EVENT_FORWARDED_REQUEST || k == ROUTER_EVENT_FORWARD_STREAM_BEGAN ||
 			      k == ROUTER_EVENT_FORWARD_ENDED));
 }
 
@@ -287,11 +287,12 @@
 	size_t before;
 
 	apr_pool_create(&pool, fleet->pool);
-	config_table_since(&fleet->nodes[fleet->node_count - 1].router->config.watch.table, 0, &all, pool);
+	config_table_pack_since(&fleet->nodes[fleet->node_count - 1].router->config.watch.table, 0, &all,
+				pool);
 	before = heap_bytes();
 	config_table_open(&copy);
 	all.full = 1;
-	if (config_table_follow(&copy, &all) && all.n_set)
+	if (config_table_apply_reply(&copy, &all) && all.n_set)
 		add_single(result, (double)(heap_bytes() - before) / (double)all.n_set, "state.row_bytes");
 	config_table_close(&copy);
 	add_single(result, (double)protobuf_c_message_get_packed_size(&all.base), "state.table_packed_bytes");
--- a/emulator/scale_model_nodes.c
+++ b/emulator/scale_model_nodes.c
@@ -43,7 +43,7 @@
 
 	controller_step(node->controller, input, fleet->now_ms, &node->commands);
 	node->tallies[slot].step_ns += (uint64_t)(model_cpu_ns() - t);
-	node->controller->identity.fleet_dirty = 0;
+	node->controller->identity.is_fleet_unsaved = 0;
 	perform_commands(fleet, node);
 }
 
@@ -121,7 +121,7 @@
 				     .incarnation = n->incarnation,
 				     .token = command->args.call.token };
 
-	if (command->args.call.stream) {
+	if (command->args.call.is_stream) {
 		struct client_request *request =
 		    n->router && hmgeti(n->router->requests.by_token, input.token) >= 0
 			? hmget(n->router->requests.by_token, input.token)
@@ -186,7 +186,7 @@
 {
 	struct model_server *v = model_server_at(fleet, command->args.watch_cache.addr);
 	struct cache_watch watcher = { node->index, 0, node->incarnation, command->args.watch_cache.token,
-				       command->args.watch_cache.since };
+				       command->args.watch_cache.first_offset };
 	struct model_event input = { .at_ms = fleet->now_ms + command->args.watch_cache.wait_ms,
 				     .kind = MODEL_WATCHED,
 				     .node = node->index,
@@ -335,8 +335,8 @@
 	for (int k = 0; k < 3; k++)
 		seeds[k] = model_address(ADDRESS_CONTROLLER, k);
 	n->incarnation = ++fleet->seq;
-	bounds.discover_instances = fleet->settings.use_instance_list;
-	bounds.list_calls_millihertz = fleet->settings.use_instance_list ? 2000 : 0;
+	bounds.use_endpoint_list = fleet->settings.use_instance_list;
+	bounds.endpoint_list_calls_millihertz = fleet->settings.use_instance_list ? 2000 : 0;
 	if (n->is_router) {
 		n->router = malloc(sizeof *n->router);
 		router_open(n->router, id, n->addr, n->zone, seeds, 3, fleet->now_ms);
--- a/emulator/scale_model_servers.c
+++ b/emulator/scale_model_servers.c
@@ -228,7 +228,7 @@
 		bytes += 150; /* as text */
 	}
 	ev.payload.servers_listed.token = input->token;
-	ev.payload.servers_listed.succeeded = 1;
+	ev.payload.servers_listed.is_complete = 1;
 	ev.payload.servers_listed.instance_count = (size_t)fleet->settings.servers;
 	ev.payload.servers_listed.instances = instance;
 	model_count_received(node, OUTSIDE + CONTROLLER_SERVERS_LISTED, bytes);
@@ -246,11 +246,11 @@
 	struct forward_result done = { .token = run->token,
 				       .end = FORWARD_COMPLETE,
 				       .status = 200,
-				       .has_begun = 1,
+				       .has_stream_begun = 1,
 				       .slots = SLOTS_LISTED,
 				       .weights = server->weights };
-	struct router_event input = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
-	int slot = OUTSIDE + ROUTER_EVENT_FORWARD_BEGAN;
+	struct router_event input = { .kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN };
+	int slot = OUTSIDE + ROUTER_EVENT_FORWARD_STREAM_BEGAN;
 
 	if (!run->next_piece) {
 		run->next_piece = fleet->settings.pieces;
@@ -264,7 +264,7 @@
 		model_end_run(fleet, i);
 		arrput(fleet->idle, i);
 		done.chunks = (uint32_t)fleet->settings.pieces;
-		done.running = server->running;
+		done.running_requests = server->running;
 		input.kind = ROUTER_EVENT_FORWARD_ENDED;
 		input.args.forward_ended = &done;
 		slot = OUTSIDE + ROUTER_EVENT_FORWARD_ENDED;
--- a/lib/control/bootstrap.c
+++ b/lib/control/bootstrap.c
@@ -21,7 +21,7 @@
 		if (controller->shards[i].term || controller->shards[i].group.member_count ||
 		    controller->shards[i].log.base_index)
 			return false;
-	return !controller->identity.fleet;
+	return !controller->identity.fleet_id;
 }
 
 static void start_as_first_member(struct controller *controller, uint64_t fleet_id,
@@ -39,8 +39,8 @@
 	}
 	if (!is_member || !is_controller_empty(controller))
 		return;
-	controller->identity.fleet = controller->config_watch.fleet = fleet_id;
-	controller->identity.fleet_dirty = true;
+	controller->identity.fleet_id = controller->config_watch.fleet_id = fleet_id;
+	controller->identity.is_fleet_unsaved = true;
 	out->fleet = fleet_id;
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_bootstrap(&controller->shards[i], first_members, member_count, now);
@@ -60,12 +60,12 @@
 			start_as_first_member(controller, received->fleet_id, received->members, now, out);
 		answer = MESSAGE_NEW(out, Nl__Bootstrap, NL__BOOTSTRAP__INIT);
 		answer->is_empty = is_controller_empty(controller);
-		answer->fleet_id = controller->identity.fleet;
+		answer->fleet_id = controller->identity.fleet_id;
 		answer->token = received->token;
 		command_send(out, message->addr, 0, NL__MSG__BODY_BOOTSTRAP)->bootstrap = answer;
 		return;
 	}
-	if (!controller->bootstrap.call_token && !controller->bootstrap.by_settings)
+	if (!controller->bootstrap.call_token && !controller->bootstrap.is_by_settings)
 		return;
 	for (int i = 0; i < controller->identity.seed_count; i++)
 		if (controller->identity.seeds[i] == message->addr) {
@@ -83,12 +83,12 @@
 	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_CALL_TIMEOUT_MS;
 }
 
-void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
-		     struct command_list *out)
+void bootstrap_on_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		       struct command_list *out)
 {
 	const char *rejection = NULL;
 
-	if (controller->identity.fleet)
+	if (controller->identity.fleet_id)
 		rejection = "found: this registrar belongs to a fleet";
 	else if (!controller->identity.seed_count)
 		rejection = "found: the settings of this registrar name no seeds";
@@ -97,7 +97,7 @@
 			       error_json(out->pool, rejection, 0));
 		return;
 	}
-	if (controller->bootstrap.call_token || controller->bootstrap.by_settings) {
+	if (controller->bootstrap.call_token || controller->bootstrap.is_by_settings) {
 		command_answer(
 		    out, event->payload.api_call.token, 503, BOOTSTRAP_RETRY_MS,
 		    error_json(out->pool, "found: a bootstrap is already in progress, retry later", 0));
@@ -109,11 +109,11 @@
 
 void controller_bootstrap(struct controller *controller, int64_t now)
 {
-	if (controller->bootstrap.call_token || controller->bootstrap.by_settings ||
+	if (controller->bootstrap.call_token || controller->bootstrap.is_by_settings ||
 	    !controller->identity.seed_count || !is_controller_empty(controller))
 		return;
 	bootstrap_reset(controller, now);
-	controller->bootstrap.by_settings = true;
+	controller->bootstrap.is_by_settings = true;
 	controller->bootstrap.deadline_at_ms = now + BOOTSTRAP_SETTINGS_TIMEOUT_MS;
 }
 
@@ -124,7 +124,7 @@
 		command_answer(out, controller->bootstrap.call_token, status,
 			       status < 500 ? 0 : BOOTSTRAP_RETRY_MS, body);
 	controller->bootstrap.call_token = 0;
-	controller->bootstrap.by_settings = false;
+	controller->bootstrap.is_by_settings = false;
 }
 
 /* End a bootstrap that has failed. The failure is definite (409) only if a seed has answered that it belongs
@@ -161,7 +161,7 @@
 		return;
 	fail_bootstrap(controller, 0, out);
 	/* some seeds may have started: the members are still sent to the others */
-	controller->bootstrap.by_settings = may_have_started;
+	controller->bootstrap.is_by_settings = may_have_started;
 }
 
 /* Whether the bootstrap has failed. answered_count: number of seeds that have answered. empty_count: number
@@ -172,10 +172,10 @@
 	const struct controller_bootstrap *bootstrap = &controller->bootstrap;
 	bool is_past_deadline = now > bootstrap->deadline_at_ms;
 
-	if (bootstrap->by_settings)
+	if (bootstrap->is_by_settings)
 		return (!bootstrap->members &&
-			(empty_count < answered_count || controller->identity.fleet)) ||
-		       (controller->identity.fleet && is_past_deadline);
+			(empty_count < answered_count || controller->identity.fleet_id)) ||
+		       (controller->identity.fleet_id && is_past_deadline);
 	return is_past_deadline ||
 	       (!bootstrap->members && answered_count == controller->identity.seed_count &&
 		empty_count < answered_count);
@@ -192,7 +192,7 @@
 	if (!members)
 		abort();
 	nl__members__init(members);
-	bootstrap->proposed_fleet_id = core_random(&controller->identity.rng) | 1;
+	bootstrap->proposed_fleet_id = core_random(&controller->identity.random_state) | 1;
 	members->members = calloc((size_t)identity->seed_count, sizeof *members->members);
 	for (int i = 0; i < identity->seed_count; i++) {
 		struct Nl__Member *member = malloc(sizeof *member);
@@ -233,10 +233,10 @@
 	int seed_count = controller->identity.seed_count;
 	int answered_count = 0, empty_count = 0, started_count = 0;
 
-	if (!bootstrap->call_token && !bootstrap->by_settings)
+	if (!bootstrap->call_token && !bootstrap->is_by_settings)
 		return;
 	if (now < bootstrap->retry_at_ms &&
-	    !(bootstrap->by_settings && controller->identity.fleet && !bootstrap->members))
+	    !(bootstrap->is_by_settings && controller->identity.fleet_id && !bootstrap->members))
 		return;
 	bootstrap->retry_at_ms = now + BOOTSTRAP_QUERY_INTERVAL_MS;
 	for (int i = 0; i < seed_count; i++) {
@@ -249,7 +249,7 @@
 	if (seed_count && started_count == seed_count) {
 		end_bootstrap(controller, 200,
 			      apr_psprintf(out->pool, "{\"fleet\":\"%016" APR_UINT64_T_HEX_FMT "\"}",
-					   controller->identity.fleet),
+					   controller->identity.fleet_id),
 			      out);
 		return;
 	}
--- a/lib/control/bootstrap.h
+++ b/lib/control/bootstrap.h
@@ -17,8 +17,8 @@
 			  struct command_list *out);
 
 /* Start a bootstrap by an operator's call, which is answered within 10 s. */
-void bootstrap_fleet(struct controller *controller, const struct controller_event *event, int64_t now,
-		     struct command_list *out);
+void bootstrap_on_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		       struct command_list *out);
 
 /* Answer the operator's call of a bootstrap in progress, because this controller is shutting down. */
 void bootstrap_stop(struct controller *controller, struct command_list *out);
--- a/lib/control/completed_proposals.c
+++ b/lib/control/completed_proposals.c
@@ -81,7 +81,7 @@
 	arrput(completed->incarnations, proposer);
 	drop_outcomes_below(completed, proposer.proposer_id, proposer.incarnation,
 			    proposer.oldest_open_token);
-	if (arrlen(completed->incarnations) > COMPLETED_MAX_RUNS)
+	if (arrlen(completed->incarnations) > COMPLETED_MAX_INCARNATIONS)
 		evict_oldest_incarnation(completed);
 }
 
@@ -90,7 +90,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(completed->proposals); i++)
 		if (!completed->proposals[i].incarnation) {
 			arrdel(completed->proposals, (size_t)i);
-			completed->without_run--;
+			completed->without_incarnation_count--;
 			return;
 		}
 }
@@ -100,8 +100,8 @@
 	arrput(completed->proposals, added);
 	if (added.incarnation)
 		return;
-	completed->without_run++;
-	if (completed->without_run > COMPLETED_MAX_WITHOUT_RUN)
+	completed->without_incarnation_count++;
+	if (completed->without_incarnation_count > COMPLETED_MAX_WITHOUT_INCARNATION)
 		evict_oldest_without_incarnation(completed);
 }
 
--- a/lib/control/completed_proposals.h
+++ b/lib/control/completed_proposals.h
@@ -22,10 +22,10 @@
 #include "proposal_status.h"
 
 enum {
-	COMPLETED_MAX_RUNS = 256,       /* incarnations that are recorded; the one without a proposal for the
-					   longest time is evicted first */
-	COMPLETED_MAX_WITHOUT_RUN = 256 /* recorded proposals without an incarnation, as earlier versions send
-					   them; the oldest is evicted first */
+	COMPLETED_MAX_INCARNATIONS = 256, /* incarnations that are recorded; the one without a proposal for
+				     the longest time is evicted first */
+	COMPLETED_MAX_WITHOUT_INCARNATION = 256 /* recorded proposals without an incarnation, as earlier
+					   versions send them; the oldest is evicted first */
 };
 
 /* A proposal that was applied, and its outcome. */
@@ -47,8 +47,8 @@
 struct completed_proposals {
 	struct completed_proposal *proposals; /* stb_ds, oldest first */
 	struct proposer_incarnation
-	    *incarnations;  /* stb_ds, ordered by the newest proposal, the oldest first */
-	size_t without_run; /* number of proposals without an incarnation */
+	    *incarnations;                /* stb_ds, ordered by the newest proposal, the oldest first */
+	size_t without_incarnation_count; /* number of proposals without an incarnation */
 };
 
 /* Whether this proposal was applied before or is a late copy of one that is no longer open; *status is then
--- a/lib/control/config_handover.c
+++ b/lib/control/config_handover.c
@@ -28,7 +28,7 @@
 	if (raft->role == RAFT_LEADER)
 		return controller->leadership[SHARD_CONTROL].term == raft->term ? HANDLE_ANSWER
 										: HANDLE_DEFER;
-	if (!controller->stopping)
+	if (!controller->is_stopping)
 		return HANDLE_ANSWER;
 	return other_leader_addr(controller, now) ? HANDLE_FORWARD : HANDLE_DEFER;
 }
@@ -89,7 +89,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		struct Nl__LeaderHint *hint;
 
-		if (now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_LIVE_MS)
+		if (now - controller->membership.nodes[i].last_request_at_ms > CONTROLLER_NODE_LIVE_MS)
 			continue;
 		hint = MESSAGE_NEW(out, Nl__LeaderHint, NL__LEADER_HINT__INIT);
 		hint->leader_addr = successor_addr;
--- a/lib/control/config_sync.c
+++ b/lib/control/config_sync.c
@@ -32,7 +32,7 @@
 		ptrdiff_t k = 0;
 
 		if (!node->is_router || node->zone == zone ||
-		    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2)
+		    now - node->last_request_at_ms > CONTROLLER_NODE_LIVE_MS / 2)
 			continue;
 		while (k < arrlen(heads) && heads[k]->zone != node->zone)
 			k++;
@@ -61,7 +61,7 @@
 			const struct controller_node_status *node = &controller->membership.nodes[i];
 
 			if (!node->is_router || node->zone != requester->zone ||
-			    now - node->observed_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
+			    now - node->last_request_at_ms > CONTROLLER_NODE_LIVE_MS / 2 ||
 			    !is_upstream(node, requester))
 				continue;
 			if (reply->n_upstreams && node->addr == reply->upstreams[0])
@@ -81,7 +81,8 @@
 						       sizeof *reply->controllers);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		if (!controller->membership.nodes[i].is_router &&
-		    now - controller->membership.nodes[i].observed_at_ms < live_window_ms(controller)) {
+		    now - controller->membership.nodes[i].last_request_at_ms <
+			controller_live_window_ms(controller)) {
 			struct Nl__Member *member = MESSAGE_NEW(out, Nl__Member, NL__MEMBER__INIT);
 
 			member->id = controller->membership.nodes[i].id;
@@ -90,7 +91,7 @@
 		}
 }
 
-/* Record a node's status, and remove nodes that have sent no request for CONTROLLER_NODE_FORGET_MS. Returns 1
+/* Record a node's status, and remove nodes that have sent no request for CONTROLLER_NODE_EXPIRY_MS. Returns 1
  * if a newer request of the node has been received before this one: the quota slots that this request reports
  * are then outdated. */
 static int update_node_status(struct controller *controller, const struct controller_node_status *node,
@@ -98,16 +99,16 @@
 {
 	for (ptrdiff_t i = arrlen(controller->membership.nodes) - 1; i >= 0; i--)
 		if (controller->membership.nodes[i].id != node->id &&
-		    now - controller->membership.nodes[i].observed_at_ms > CONTROLLER_NODE_FORGET_MS)
+		    now - controller->membership.nodes[i].last_request_at_ms > CONTROLLER_NODE_EXPIRY_MS)
 			arrdelswap(controller->membership.nodes, i);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		struct controller_node_status *recorded = &controller->membership.nodes[i];
-		int is_outdated = node->token < recorded->token;
+		int is_outdated = node->request_token < recorded->request_token;
 
 		if (recorded->id != node->id)
 			continue;
 		if (is_outdated)
-			recorded->observed_at_ms = now;
+			recorded->last_request_at_ms = now;
 		else
 			*recorded = *node;
 		return is_outdated;
@@ -121,7 +122,7 @@
  * leader; before that no leader could have granted slots. */
 static bool is_new_leader(const struct controller *controller, int64_t now)
 {
-	return now - controller->leadership[SHARD_CONTROL].since_ms < CONTROLLER_QUOTA_LEASE_MS &&
+	return now - controller->leadership[SHARD_CONTROL].started_at_ms < CONTROLLER_QUOTA_LEASE_MS &&
 	       controller->shards[SHARD_CONTROL].log.term_start_index > 2;
 }
 
@@ -147,7 +148,7 @@
 	command_send(out, message->addr, SHARD_CONTROL, NL__MSG__BODY_CONFIG_SYNC_REPLY)->config_sync_reply =
 	    reply;
 	reply->token = sync->token;
-	reply->fleet_id = controller->identity.fleet;
+	reply->fleet_id = controller->identity.fleet_id;
 	reply->has_lease = leads_shard(controller, SHARD_CONTROL, now);
 	reply->leader_hint = leader_hint(controller, SHARD_CONTROL, now);
 	if (!reply->leader_hint && controller->config_watch.leader_addr[SHARD_CONTROL] != out->addr)
@@ -158,20 +159,20 @@
 	retention_on_report(controller, message, now);
 	reply->group_clock_ms = group_clock_now(controller, now);
 	reply->clock_term = controller->shards[SHARD_CONTROL].term;
-	config_table_since(&controller->config.table, sync->have_revision, reply, out->pool);
+	config_table_pack_since(&controller->config.table, sync->have_revision, reply, out->pool);
 	instances_pack_since(&controller->instances, sync->instances_stamp, reply, out->pool);
 	if (sync->is_router)
 		add_upstreams(controller, &node, reply, now, out);
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		reply->router_count +=
 		    controller->membership.nodes[i].is_router &&
-		    now - controller->membership.nodes[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+		    now - controller->membership.nodes[i].last_request_at_ms < CONTROLLER_NODE_LIVE_MS;
 	if (sync->is_router && !reply->n_upstreams) {
 		add_zone_heads(controller, node.zone, reply, now, out);
 		reply->publisher = leader_hint(controller, SHARD_PURGE, now);
 	}
 	if (!is_outdated)
-		quota_shares_update(&controller->quota, &controller->config.table,
+		quota_shares_update(&controller->quota_shares, &controller->config.table,
 				    is_new_leader(controller, now), message->id, sync, reply->router_count,
 				    reply, now, out);
 	add_controllers(controller, reply, now, out);
--- a/lib/control/config_table.c
+++ b/lib/control/config_table.c
@@ -317,11 +317,11 @@
 			   table->revision, purges);
 	for (size_t i = 0; i < change->n_set; i++)
 		apply_row(table, change->set[i], change, purges);
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
-void config_table_since(const struct config_table *table, uint64_t base_revision,
-			struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
+void config_table_pack_since(const struct config_table *table, uint64_t base_revision,
+			     struct Nl__ConfigSyncReply *reply, apr_pool_t *pool)
 {
 	size_t changed_count = 0, row_count = (size_t)shlen(table->rows);
 
@@ -355,7 +355,7 @@
 	}
 }
 
-bool config_table_follow(struct config_table *table, const struct Nl__ConfigSyncReply *reply)
+bool config_table_apply_reply(struct config_table *table, const struct Nl__ConfigSyncReply *reply)
 {
 	char key[CONFIG_ROW_KEY_BYTES];
 
--- a/lib/control/config_table.h
+++ b/lib/control/config_table.h
@@ -62,7 +62,7 @@
 void config_table_close(struct config_table *table);
 
 /* Apply a change that config_check has accepted. The purges that the change requires are appended, without an
- * index, to *purges (stb_ds, owned by the caller); purges may be NULL. Returns PROPOSAL_DONE, or
+ * index, to *purges (stb_ds, owned by the caller); purges may be NULL. Returns PROPOSAL_APPLIED, or
  * PROPOSAL_SUPERSEDED if the change expects another revision; the table is then unchanged.
  * Example: status = config_table_apply(&table, change, &purges); */
 enum proposal_status config_table_apply(struct config_table *table, const struct Nl__Change *change,
@@ -70,16 +70,16 @@
 
 /* Fill a reply with the rows that have changed since base_revision. It holds all rows if base_revision is 0
  * or the tombstones since then have been removed. The rows are allocated in the pool.
- * Example: config_table_since(&table, 7, reply, pool); */
-void config_table_since(const struct config_table *table, uint64_t base_revision,
-			struct Nl__ConfigSyncReply *reply, apr_pool_t *pool);
+ * Example: config_table_pack_since(&table, 7, reply, pool); */
+void config_table_pack_since(const struct config_table *table, uint64_t base_revision,
+			     struct Nl__ConfigSyncReply *reply, apr_pool_t *pool);
 
 /* Apply a leader's reply to a copy of the table. Returns false if the reply cannot be applied: its revision
  * is older than the copy, or it holds the changes since a revision that the copy has not reached. A reply
  * with the changes since a revision older than the copy can be applied, too: it holds the current contents of
  * every row that has changed since then, so rows that are already up to date stay the same.
- * Example: if (!config_table_follow(&table, reply)) request_all_rows(); */
-bool config_table_follow(struct config_table *table, const struct Nl__ConfigSyncReply *reply);
+ * Example: if (!config_table_apply_reply(&table, reply)) request_all_rows(); */
+bool config_table_apply_reply(struct config_table *table, const struct Nl__ConfigSyncReply *reply);
 
 /* Get the revision of the last change of operators' rows. A copy of the table does not have
  * operator_revision, so its result covers only the rows that still exist.
--- a/lib/control/config_text.c
+++ b/lib/control/config_text.c
@@ -34,7 +34,7 @@
 	return json_object_object_get_ex(json, "rows", &rows) ? rows : NULL;
 }
 
-const char *config_text_print(struct json_object *table, const char *kind, apr_pool_t *pool)
+const char *config_text_format(struct json_object *table, const char *kind, apr_pool_t *pool)
 {
 	struct json_object *rows = rows_member(table);
 	size_t row_count = rows ? json_object_array_length(rows) : 0, capacity = 1024, used = 0;
@@ -63,7 +63,7 @@
 	return text;
 }
 
-struct json_object *config_text_cell(const char *column, const char *text)
+struct json_object *config_text_parse_cell(const char *column, const char *text)
 {
 	static const char *const integer_columns[] = {
 		"prio", "share", "limit",      "prefill",    "kv_bytes", "link",    "store",
@@ -129,7 +129,7 @@
 
 		if (cell[0])
 			json_object_object_add(row, header->names[i],
-					       config_text_cell(header->names[i], cell));
+					       config_text_parse_cell(header->names[i], cell));
 	}
 	return !line;
 }
--- a/lib/control/config_text.h
+++ b/lib/control/config_text.h
@@ -13,8 +13,8 @@
 
 /* Convert a table, as GET /v1/table returns it ({"edition":..,"rows":[..]}), to text in the pool. kind
  * selects the rows of one kind; NULL selects all kinds that operators edit.
- * Example: puts(config_text_print(answer, NULL, pool)); */
-const char *config_text_print(struct json_object *table, const char *kind, apr_pool_t *pool);
+ * Example: puts(config_text_format(answer, NULL, pool)); */
+const char *config_text_format(struct json_object *table, const char *kind, apr_pool_t *pool);
 
 /* Parse a text into {"edition":..,"rows":[..]}, owned by the caller. On failure returns NULL and sets *error
  * to a text that names the line.
@@ -22,8 +22,8 @@
 struct json_object *config_text_parse(const char *text, apr_pool_t *pool, const char **error);
 
 /* Convert the text of a cell to a JSON value of its column's type, owned by the caller.
- * Example: config_text_cell("limit", "5") */
-struct json_object *config_text_cell(const char *column, const char *text);
+ * Example: config_text_parse_cell("limit", "5") */
+struct json_object *config_text_parse_cell(const char *column, const char *text);
 
 /* Make the change that turns the table into the rows of a parsed text: {"expect":..,"set":[..],"del":[..]},
  * owned by the caller. Rows of kinds that do not occur in the text are kept.
--- a/lib/control/config_watch.c
+++ b/lib/control/config_watch.c
@@ -17,9 +17,9 @@
 	for (int i = 0; i < seed_count && i < CONFIG_WATCH_MAX_CONTROLLERS; i++)
 		watch->controller_addrs[watch->controller_count++] = seeds[i];
 	watch->seed_count = watch->controller_count;
-	watch->fetched_at_ms = watch->leader_contact_at_ms = now - 1000000;
+	watch->confirmed_at_ms = watch->leader_contact_at_ms = now - 1000000;
 	watch->last_reply_at_ms = now;
-	watch->requested_at_ms = now - CONFIG_WATCH_POLL_MS;
+	watch->last_request_at_ms = now - CONFIG_WATCH_POLL_MS;
 	for (int i = 0; i < SHARD_COUNT && watch->controller_count; i++)
 		watch->next_controller[i] =
 		    (int)(core_random(&watch->rng) % (uint64_t)watch->controller_count);
@@ -113,35 +113,35 @@
 	if (!reply->group_clock_ms || !reply->clock_term)
 		return;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
-		if (watch->group_clock[i].term == reply->clock_term) {
-			if (max_offset_ms < watch->group_clock[i].offset_ms ||
-			    min_offset_ms > watch->group_clock[i].offset_ms)
-				watch->group_clock[i].offset_ms = max_offset_ms;
+		if (watch->group_clocks[i].term == reply->clock_term) {
+			if (max_offset_ms < watch->group_clocks[i].offset_ms ||
+			    min_offset_ms > watch->group_clocks[i].offset_ms)
+				watch->group_clocks[i].offset_ms = max_offset_ms;
 			return;
 		}
-	if (reply->clock_term < watch->group_clock[0].term)
+	if (reply->clock_term < watch->group_clocks[0].term)
 		return; /* the reply is from a leader older than the newest one */
-	memmove(&watch->group_clock[1], &watch->group_clock[0],
-		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clock[0]);
-	watch->group_clock[0].term = reply->clock_term;
-	watch->group_clock[0].offset_ms = max_offset_ms;
+	memmove(&watch->group_clocks[1], &watch->group_clocks[0],
+		(CONFIG_WATCH_MAX_CLOCKS - 1) * sizeof watch->group_clocks[0]);
+	watch->group_clocks[0].term = reply->clock_term;
+	watch->group_clocks[0].offset_ms = max_offset_ms;
 }
 
-int64_t config_watch_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now)
+int64_t config_watch_group_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now)
 {
 	int clock_index = 0;
 
-	if (!watch->group_clock[0].term)
+	if (!watch->group_clocks[0].term)
 		return 0;
 	for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
-		if (term && watch->group_clock[i].term == term)
+		if (term && watch->group_clocks[i].term == term)
 			clock_index = i;
-	return now + watch->group_clock[clock_index].offset_ms;
+	return now + watch->group_clocks[clock_index].offset_ms;
 }
 
 int64_t config_watch_age_ms(const struct config_watch *watch, int64_t now)
 {
-	return now - watch->fetched_at_ms;
+	return now - watch->confirmed_at_ms;
 }
 
 uint64_t config_watch_leader_addr(struct config_watch *watch, uint32_t shard)
@@ -154,7 +154,7 @@
 		   : 0;
 }
 
-void config_watch_miss(struct config_watch *watch, uint32_t shard)
+void config_watch_try_next_controller(struct config_watch *watch, uint32_t shard)
 {
 	watch->leader_addr[shard] = 0;
 	watch->next_controller[shard]++;
@@ -165,19 +165,19 @@
 	if (now - progressed_at_ms > 2 * CONFIG_WATCH_PUBLISHER_TIMEOUT_MS &&
 	    now - watch->publisher_retried_at_ms > CONFIG_WATCH_PUBLISHER_TIMEOUT_MS) {
 		watch->publisher_retried_at_ms = now;
-		config_watch_miss(watch, SHARD_PURGE);
+		config_watch_try_next_controller(watch, SHARD_PURGE);
 	}
 	return config_watch_leader_addr(watch, SHARD_PURGE);
 }
 
-void config_watch_hint(struct config_watch *watch, uint32_t shard, uint64_t addr)
+void config_watch_set_leader_hint(struct config_watch *watch, uint32_t shard, uint64_t addr)
 {
 	if (shard >= SHARD_COUNT)
 		return;
 	if (addr)
 		watch->leader_addr[shard] = addr;
 	else
-		config_watch_miss(watch, shard);
+		config_watch_try_next_controller(watch, shard);
 }
 
 static struct config_watch_request *in_flight_slot(struct config_watch *watch, uint64_t token)
@@ -210,7 +210,7 @@
 	add_quotas(watch, sync, out);
 	*in_flight_slot(watch, watch->last_token) =
 	    (struct config_watch_request){ watch->last_token, watch->table.revision, now };
-	watch->requested_at_ms = now;
+	watch->last_request_at_ms = now;
 	return sync;
 }
 
@@ -268,11 +268,12 @@
 {
 	int is_leader_lost = is_leader_timed_out(watch, now);
 
-	if (now - watch->requested_at_ms < (is_leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
+	if (now - watch->last_request_at_ms <
+	    (is_leader_lost ? CONFIG_WATCH_POLL_MS / 2 : CONFIG_WATCH_POLL_MS))
 		return;
 	if (now - watch->last_reply_at_ms >
 	    CONFIG_WATCH_REPLY_TIMEOUT_MS + CONFIG_WATCH_POLL_MS + round_trip_allowance_ms(watch)) {
-		config_watch_miss(watch, SHARD_CONTROL);
+		config_watch_try_next_controller(watch, SHARD_CONTROL);
 		/* the next controller gets its full reply time-out, too */
 		watch->last_reply_at_ms = now - CONFIG_WATCH_POLL_MS;
 	}
@@ -285,14 +286,14 @@
 static void apply_controllers(struct config_watch *watch, const struct Nl__ConfigSyncReply *reply)
 {
 	watch->controller_count = watch->seed_count;
-	watch->live_count = 0;
+	watch->live_controller_count = 0;
 	for (size_t i = 0; i < reply->n_controllers; i++) {
 		const struct Nl__Member *member = reply->controllers[i];
 		int is_listed = 0;
 
-		if (watch->live_count < CONFIG_WATCH_MAX_CONTROLLERS) {
-			watch->live_addr[watch->live_count] = member->addr;
-			watch->live_id[watch->live_count++] = member->id;
+		if (watch->live_controller_count < CONFIG_WATCH_MAX_CONTROLLERS) {
+			watch->live_controller_addrs[watch->live_controller_count] = member->addr;
+			watch->live_controller_ids[watch->live_controller_count++] = member->id;
 		}
 		for (int k = 0; k < watch->controller_count; k++)
 			is_listed |= watch->controller_addrs[k] == member->addr;
@@ -311,7 +312,7 @@
 {
 	if (reply->revision < watch->table.revision)
 		return reply->revision >= request->base_revision;
-	return config_table_follow(&watch->table, reply);
+	return config_table_apply_reply(&watch->table, reply);
 }
 
 int config_watch_receive(struct config_watch *watch, const struct Nl__Msg *message, int64_t now,
@@ -322,7 +323,7 @@
 	struct config_watch_request request;
 
 	if (message->body_case == NL__MSG__BODY_LEADER_HINT) {
-		config_watch_hint(watch, message->shard, message->leader_hint->leader_addr);
+		config_watch_set_leader_hint(watch, message->shard, message->leader_hint->leader_addr);
 		return 0;
 	}
 	if (message->body_case != NL__MSG__BODY_CONFIG_SYNC_REPLY)
@@ -334,15 +335,16 @@
 	if (!reply->has_lease) {
 		/* only a reply to the newest request changes the guess of the leader */
 		if (reply->token == watch->last_token) {
-			config_watch_hint(watch, SHARD_CONTROL,
-					  reply->leader_hint == message->addr ? 0 : reply->leader_hint);
+			config_watch_set_leader_hint(
+			    watch, SHARD_CONTROL,
+			    reply->leader_hint == message->addr ? 0 : reply->leader_hint);
 			if (reply->leader_hint && reply->leader_hint != message->addr &&
-			    now - watch->requested_at_ms >= 20)
+			    now - watch->last_request_at_ms >= 20)
 				config_watch_poll(watch, 0, now, out);
 		}
 		return 0;
 	}
-	if (watch->fleet && reply->fleet_id != watch->fleet)
+	if (watch->fleet_id && reply->fleet_id != watch->fleet_id)
 		return 0;
 	watch->leader_addr[SHARD_CONTROL] = message->addr;
 	watch->leader_contact_at_ms = now;
@@ -350,22 +352,22 @@
 	apply_clock(watch, reply, request.requested_at_ms, now);
 	if (!apply_table(watch, reply, &request))
 		return 0;
-	watch->fleet = reply->fleet_id;
+	watch->fleet_id = reply->fleet_id;
 	apply_quotas(watch, reply);
-	if (request.requested_at_ms > watch->fetched_at_ms)
-		watch->fetched_at_ms = request.requested_at_ms;
+	if (request.requested_at_ms > watch->confirmed_at_ms)
+		watch->confirmed_at_ms = request.requested_at_ms;
 	watch->upstream_count = 0;
 	for (size_t i = 0; i < reply->n_upstreams && i < 8; i++)
-		watch->upstream[watch->upstream_count++] = reply->upstreams[i];
+		watch->upstream_addrs[watch->upstream_count++] = reply->upstreams[i];
 	watch->zone_head_count = 0;
 	for (size_t i = 0;
 	     i < reply->n_zone_heads &&
-	     watch->zone_head_count < (int)(sizeof watch->zone_heads / sizeof *watch->zone_heads);
+	     watch->zone_head_count < (int)(sizeof watch->zone_head_addrs / sizeof *watch->zone_head_addrs);
 	     i++)
-		watch->zone_heads[watch->zone_head_count++] = reply->zone_heads[i];
+		watch->zone_head_addrs[watch->zone_head_count++] = reply->zone_heads[i];
 	/* a publisher that has stopped cannot name its successor, so the leader names the current one */
 	if (reply->publisher)
-		config_watch_hint(watch, SHARD_PURGE, reply->publisher);
+		config_watch_set_leader_hint(watch, SHARD_PURGE, reply->publisher);
 	watch->router_count = reply->router_count;
 	apply_controllers(watch, reply);
 	return (watch->table.revision != revision_before ? CONFIG_WATCH_TABLE_CHANGED : 0) |
--- a/lib/control/config_watch.h
+++ b/lib/control/config_watch.h
@@ -70,7 +70,7 @@
 				       while */
 	struct config_watch_quota *quotas; /* stb_ds string map; a router sets used and requested */
 	uint64_t applied_token;            /* token of the newest reply whose quota slots are in force */
-	uint64_t fleet;                    /* fleet id; 0 until a leader has replied */
+	uint64_t fleet_id;                 /* fleet id; 0 until a leader has replied */
 
 	/* status that this node reports in its requests */
 	uint64_t node_id;
@@ -93,24 +93,24 @@
 	uint64_t rng;
 
 	/* peers named in the newest reply */
-	uint64_t upstream[8]; /* addresses of upstream routers, best first */
+	uint64_t upstream_addrs[8]; /* addresses of upstream routers, best first */
 	int upstream_count;
-	uint64_t
-	    zone_heads[32]; /* addresses of the other zones' heads, if this node is the head of its zone */
+	uint64_t zone_head_addrs[32]; /* addresses of the other zones' heads, if this node is the head of its
+					 zone */
 	int zone_head_count;
-	uint64_t live_addr[CONFIG_WATCH_MAX_CONTROLLERS]; /* addresses of live controllers */
-	uint64_t live_id[CONFIG_WATCH_MAX_CONTROLLERS];   /* ids of live controllers */
-	int live_count;
+	uint64_t live_controller_addrs[CONFIG_WATCH_MAX_CONTROLLERS]; /* addresses of live controllers */
+	uint64_t live_controller_ids[CONFIG_WATCH_MAX_CONTROLLERS];   /* ids of live controllers */
+	int live_controller_count;
 	uint32_t router_count; /* live routers in the fleet */
 
 	/* requests and replies */
 	uint64_t last_token;
 	struct config_watch_request in_flight[CONFIG_WATCH_MAX_IN_FLIGHT]; /* by token modulo the size */
-	struct config_watch_clock group_clock[CONFIG_WATCH_MAX_CLOCKS];    /* newest leader first */
-	int64_t fetched_at_ms;           /* send time of the newest request whose reply was applied */
+	struct config_watch_clock group_clocks[CONFIG_WATCH_MAX_CLOCKS];   /* newest leader first */
+	int64_t confirmed_at_ms;         /* send time of the newest request whose reply was applied */
 	int64_t leader_contact_at_ms;    /* arrival of the newest reply of a leader with a lease */
 	int64_t round_trip_ms;           /* time from request to arrival of that reply */
-	int64_t requested_at_ms;         /* send time of the newest request */
+	int64_t last_request_at_ms;      /* send time of the newest request */
 	int64_t last_reply_at_ms;        /* arrival of the newest reply of any controller */
 	int64_t publisher_retried_at_ms; /* when another controller was last tried for the publisher */
 };
@@ -153,18 +153,18 @@
  * except for the drift between the two clocks while a reply is in flight. For term 0, or if no reply of that
  * leader has arrived, it is the clock of the newest leader, which continues the clocks of earlier ones. 0:
  * not known.
- * Example: age_ms = config_watch_clock_ms(watch, version->term, now) - version->targeted_at_ms; */
-int64_t config_watch_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now);
+ * Example: age_ms = config_watch_group_clock_ms(watch, version->term, now) - version->targeted_at_ms; */
+int64_t config_watch_group_clock_ms(const struct config_watch *watch, uint64_t term, int64_t now);
 
 /* Get the address to which requests for a shard are sent: its leader, or the next controller to try; 0: no
  * controller is known. */
 uint64_t config_watch_leader_addr(struct config_watch *watch, uint32_t shard);
 
 /* Handle a hint that names a shard's leader; 0 means that the current guess does not lead. */
-void config_watch_hint(struct config_watch *watch, uint32_t shard, uint64_t addr);
+void config_watch_set_leader_hint(struct config_watch *watch, uint32_t shard, uint64_t addr);
 
 /* Discard the guess of a shard's leader, which does not reply, and continue with the next controller. */
-void config_watch_miss(struct config_watch *watch, uint32_t shard);
+void config_watch_try_next_controller(struct config_watch *watch, uint32_t shard);
 
 /* Get the address of the purge stream's publisher, for a relay. If the horizon has not advanced since
  * progressed_at_ms, the result is another controller each time, which replies with a hint that names the
--- a/lib/control/controller.c
+++ b/lib/control/controller.c
@@ -22,14 +22,14 @@
 #include "snapshot.h"
 #include "state_machine.h"
 
-/* Count a dropped message and log it. At most one line is logged in CONTROLLER_DROP_LOG_MS; it includes the
- * number of messages dropped since the line before. */
+/* Count a dropped message and log it. At most one line is logged in CONTROLLER_DROP_LOG_INTERVAL_MS; it
+ * includes the number of messages dropped since the line before. */
 static void log_dropped_message(struct controller *controller, const struct Nl__Msg *message,
 				const char *reason, int64_t now, struct command_list *out)
 {
 	controller->drop_log.dropped_count++;
 	if (controller->drop_log.logged_count &&
-	    now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_MS)
+	    now - controller->drop_log.logged_at_ms < CONTROLLER_DROP_LOG_INTERVAL_MS)
 		return;
 	log_line(controller, "raft", out->pool,
 		 "message dropped, kind %d, from %s: %s; %" APR_UINT64_T_FMT
@@ -46,10 +46,10 @@
 	enum raft_fault fault;
 	const char *drop_reason = NULL;
 
-	if (!controller->identity.fleet)
+	if (!controller->identity.fleet_id)
 		return; /* no fault: a new member receives messages of its groups before it has received the
 			   identity of its fleet */
-	if (message->fleet_id != controller->identity.fleet)
+	if (message->fleet_id != controller->identity.fleet_id)
 		drop_reason = "fleet id missing or different";
 	else if (message->shard >= SHARD_COUNT)
 		drop_reason = "unknown shard number";
@@ -64,13 +64,13 @@
 static void on_config_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
 			    struct command_list *out)
 {
-	int64_t previous_fetched_at_ms = controller->config_watch.fetched_at_ms;
+	int64_t previous_fetched_at_ms = controller->config_watch.confirmed_at_ms;
 
 	if (config_watch_receive(&controller->config_watch, message, now, out))
 		rollout_on_target_change(controller, previous_fetched_at_ms);
-	if (!controller->identity.fleet && controller->config_watch.fleet) {
-		controller->identity.fleet = controller->config_watch.fleet;
-		controller->identity.fleet_dirty = true;
+	if (!controller->identity.fleet_id && controller->config_watch.fleet_id) {
+		controller->identity.fleet_id = controller->config_watch.fleet_id;
+		controller->identity.is_fleet_unsaved = true;
 	}
 }
 
@@ -116,10 +116,10 @@
 		on_read_reply(controller, message->read_reply, now, out);
 		break;
 	case NL__MSG__BODY_FEED_REQUEST:
-		on_feed_request(controller, message, now, out);
+		publisher_on_feed_request(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_FEED_REPLY:
-		on_feed_reply(controller, message, now, out);
+		publisher_on_feed_reply(controller, message, now, out);
 		break;
 	case NL__MSG__BODY_CURIOSITY:
 		on_curiosity(controller, message, now, out);
@@ -140,8 +140,8 @@
 		       struct command_list *out)
 {
 	if (message->protocol_version != CORE_PROTOCOL_VERSION ||
-	    (message->fleet_id && controller->identity.fleet &&
-	     message->fleet_id != controller->identity.fleet)) {
+	    (message->fleet_id && controller->identity.fleet_id &&
+	     message->fleet_id != controller->identity.fleet_id)) {
 		log_dropped_message(controller, message, "fleet id or protocol version differs", now, out);
 		return;
 	}
@@ -166,13 +166,13 @@
 static void controller_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (int i = 0; i < SHARD_COUNT; i++)
-		if (controller->identity.fleet)
+		if (controller->identity.fleet_id)
 			raft_tick(&controller->shards[i], now, out);
 	bootstrap_tick(controller, now, out);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a group member's own view of the leader is the newest */
 		if (leader_hint(controller, i, now))
 			controller->config_watch.leader_addr[i] = leader_hint(controller, i, now);
-	if (controller->stopping)
+	if (controller->is_stopping)
 		return;
 	config_watch_tick(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
 	membership_register_tick(controller, now, out);
@@ -197,8 +197,8 @@
 {
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		if (controller->compaction[i].is_snapshot_needed &&
-		    !controller->shards[i].snapshots.to_load) {
-			controller->shards[i].snapshots.drop_tail = 1;
+		    !controller->shards[i].snapshots.must_load_newest) {
+			controller->shards[i].snapshots.drop_log_tail = 1;
 			controller->compaction[i].is_snapshot_needed = false;
 			snapshot_create(controller, i, out);
 		}
@@ -211,12 +211,13 @@
 		return;
 	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++)
 		if (controller->server_rollout.servers[i].call_token == token)
-			rollout_on_report(controller, &controller->server_rollout.servers[i], body, now, out);
+			rollout_on_server_report(controller, &controller->server_rollout.servers[i], body,
+						 now, out);
 }
 
 static void on_stop(struct controller *controller, int64_t now, struct command_list *out)
 {
-	controller->stopping = true;
+	controller->is_stopping = true;
 	for (int i = 0; i < SHARD_COUNT; i++)
 		raft_drain(&controller->shards[i], now);
 	bootstrap_stop(controller, out);
@@ -252,7 +253,7 @@
 		break;
 	case CONTROLLER_SERVERS_LISTED:
 		instances_on_list(&controller->instances, event->payload.servers_listed.token,
-				  event->payload.servers_listed.succeeded,
+				  event->payload.servers_listed.is_complete,
 				  event->payload.servers_listed.instances,
 				  event->payload.servers_listed.instance_count, now);
 		break;
@@ -285,10 +286,10 @@
 		struct apply_result applied = state_machine_apply(controller, shard, index, entry, out->pool);
 
 		if (applied.logged_value)
-			publisher_on_value_logged(controller, applied.logged_value, applied.value_is_new, now,
+			publisher_on_value_logged(controller, applied.logged_value, applied.is_value_new, now,
 						  out);
 		if (applied.commanded_server)
-			rollout_intent_logged(controller, applied.commanded_server, now);
+			rollout_on_intent_logged(controller, applied.commanded_server, now);
 		if (shard == SHARD_CONTROL)
 			answer_logged_calls(controller, index, applied.status, out);
 		answer_proposer(controller, shard, index, applied, out);
@@ -300,14 +301,14 @@
 {
 	struct raft *raft = &controller->shards[shard];
 
-	if (raft->snapshots.to_load) {
+	if (raft->snapshots.must_load_newest) {
 		snapshot_load(controller, shard, out->pool);
 		if (shard == SHARD_CONTROL) {
-			quota_shares_invalidate_table(&controller->quota);
+			quota_shares_invalidate_table(&controller->quota_shares);
 			/* snapshots do not contain load commands: those logged before are unknown here */
-			controller->rollout.unknown_until_ms = now;
+			controller->rollout.intents_unknown_until_ms = now;
 		}
-		raft->snapshots.to_load = 0;
+		raft->snapshots.must_load_newest = 0;
 	}
 	on_leadership_lost(controller, shard, now, out);
 	apply_committed_entries(controller, shard, now, out);
@@ -323,7 +324,7 @@
 
 	out->id = controller->identity.id;
 	out->addr = controller->identity.addr;
-	out->fleet = controller->identity.fleet;
+	out->fleet = controller->identity.fleet_id;
 	controller->config_watch.wall_clock_ms = controller->clocks.wall_ms;
 	compact_purged_logs(controller, out);
 	on_event(controller, event, now, out);
@@ -331,9 +332,9 @@
 		advance_shard(controller, i, now, out);
 	config_handover_tick(controller, now, out);
 	proposals_tick(controller, now, out);
-	expire_calls(controller, now, out);
-	reads_tick(controller, now, out);
-	operator_calls_count(&controller->operators.calls, out, first_command);
+	expire_logged_calls(controller, now, out);
+	pending_reads_tick(controller, now, out);
+	operator_calls_count(&controller->operators.call_counts, out, first_command);
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		raft_flush(&controller->shards[i], now, out);
 }
@@ -346,11 +347,11 @@
 	controller->identity.id = id;
 	controller->identity.addr = addr;
 	controller->identity.zone = zone;
-	controller->identity.fleet = fleet;
-	controller->identity.rng = seed;
-	controller->identity.last_token = core_random(&controller->identity.rng) >>
+	controller->identity.fleet_id = fleet;
+	controller->identity.random_state = seed;
+	controller->identity.last_token = core_random(&controller->identity.random_state) >>
 					  2; /* differs from all tokens of an earlier incarnation */
-	controller->identity.run = controller->identity.last_token + 1;
+	controller->identity.incarnation = controller->identity.last_token + 1;
 	controller->identity.seed_count =
 	    seed_count > CONTROLLER_MAX_SEEDS ? CONTROLLER_MAX_SEEDS : seed_count;
 	memcpy(controller->identity.seeds, seeds, (size_t)controller->identity.seed_count * sizeof *seeds);
@@ -363,9 +364,9 @@
 	for (uint32_t i = 0; i < SHARD_COUNT; i++)
 		raft_open(&controller->shards[i], i, id, seed, saved ? saved[i] : NULL, now);
 	sh_new_strdup(controller->server_rollout.targets);
-	quota_shares_open(&controller->quota);
+	quota_shares_open(&controller->quota_shares);
 	config_watch_open(&controller->config_watch, id, seeds, controller->identity.seed_count, now);
-	controller->config_watch.fleet = fleet;
+	controller->config_watch.fleet_id = fleet;
 	controller->config_watch.zone = zone;
 	relay_open(&controller->relay, now);
 }
@@ -384,8 +385,8 @@
 	arrfree(controller->operators.logged_calls);
 	config_handover_clear(controller);
 	free(controller->config.document);
-	free_purge_values(&controller->purge_state.values);
-	purge_view_clear(&controller->purge_state.last_view);
+	free_purge_values(&controller->purge_state.unreleased_values);
+	purge_view_clear(&controller->purge_state.newest_purges);
 	for (int i = 0; i < SHARD_SERVICES; i++) {
 		reset_service_state(&controller->service_states[i]);
 		shfree(controller->service_states[i].claims);
@@ -393,8 +394,8 @@
 	}
 	config_watch_close(&controller->config_watch);
 	relay_close(&controller->relay);
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++)
-		nl__operation__free_unpacked(controller->proposals.own[i].operation, NULL);
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own_proposals); i++)
+		nl__operation__free_unpacked(controller->proposals.own_proposals[i].operation, NULL);
 	for (ptrdiff_t i = 0; i < arrlen(controller->server_rollout.servers); i++) {
 		free(controller->server_rollout.servers[i].name);
 		free(controller->server_rollout.servers[i].service);
@@ -404,19 +405,19 @@
 	for (ptrdiff_t i = 0; i < shlen(controller->server_rollout.targets); i++)
 		free(controller->server_rollout.targets[i].value.weights);
 	shfree(controller->server_rollout.targets);
-	quota_shares_close(&controller->quota);
-	arrfree(controller->proposals.received);
-	arrfree(controller->proposals.own);
+	quota_shares_close(&controller->quota_shares);
+	arrfree(controller->proposals.pending_entries);
+	arrfree(controller->proposals.own_proposals);
 	arrfree(controller->membership.nodes);
 	arrfree(controller->operators.pending_reads);
 	arrfree(controller->server_rollout.servers);
 }
 
-bool controller_stopped(const struct controller *controller, int64_t now)
+bool controller_may_stop(const struct controller *controller, int64_t now)
 {
-	if (operator_calls_open(controller))
+	if (operator_calls_open_count(controller))
 		return false;
-	for (int i = 0; i < SHARD_COUNT && controller->identity.fleet; i++)
+	for (int i = 0; i < SHARD_COUNT && controller->identity.fleet_id; i++)
 		if (!raft_may_stop(&controller->shards[i], now))
 			return false;
 	return true;
--- a/lib/control/controller.h
+++ b/lib/control/controller.h
@@ -44,7 +44,7 @@
 
 /* Whether the process may end, after CONTROLLER_STOP and before the time limit of a graceful shutdown: no
  * Raft group needs this controller any more, and all operators' calls have been answered. Example: return
- * controller_stopped(&controller, now); */
-bool controller_stopped(const struct controller *controller, int64_t now);
+ * controller_may_stop(&controller, now); */
+bool controller_may_stop(const struct controller *controller, int64_t now);
 
 #endif
--- a/lib/control/controller_event.h
+++ b/lib/control/controller_event.h
@@ -56,8 +56,8 @@
 					*/
 			const char *body;
 			size_t body_bytes;
-			const char *invalid; /* why the platform's adapter rejects the call; NULL: the call is
-						valid */
+			const char *rejection; /* why the platform's adapter rejects the call; NULL: the call
+						is valid */
 		} document;
 		struct {
 			uint64_t token;
@@ -66,12 +66,12 @@
 			uint64_t token;
 			const char *model;
 			const char *weights;
-			const char *invalid; /* why the platform's adapter rejects the call; NULL: the call is
-						valid */
+			const char *rejection; /* why the platform's adapter rejects the call; NULL: the call
+						is valid */
 		} target;
 		struct {
 			uint64_t token;
-			bool succeeded; /* the complete list was received */
+			bool is_complete; /* the complete list was received */
 			size_t instance_count;
 			struct Nl__Instance *const *instances;
 		} servers_listed;
--- a/lib/control/controller_private.c
+++ b/lib/control/controller_private.c
@@ -16,14 +16,14 @@
 void reject_without_leader(uint64_t token, struct command_list *out)
 {
 	command_answer(
-	    out, token, 503, CONTROLLER_RETRY_MS,
+	    out, token, 503, CONTROLLER_CALL_RETRY_MS,
 	    error_json(out->pool, "leader of the control shard unreachable: nothing was logged, retry", 0));
 }
 
 void reject_while_stopping(uint64_t token, struct command_list *out)
 {
 	command_answer(
-	    out, token, 503, CONTROLLER_RETRY_MS,
+	    out, token, 503, CONTROLLER_CALL_RETRY_MS,
 	    error_json(out->pool,
 		       "this controller is shutting down: nothing was logged, call another controller", 0));
 }
--- a/lib/control/controller_state.h
+++ b/lib/control/controller_state.h
@@ -1,4 +1,4 @@
-/* controller_state: the state of a controller, grouped into records by concern.
+/* snapshot_pack_state: the state of a controller, grouped into records by concern.
  *
  * The comment of each record names its owner: the only module that writes the record. Other modules read it
  * or call the owner. Replicated records change only when a committed log entry is applied and when a snapshot
@@ -23,10 +23,10 @@
 enum {
 	CONTROLLER_MAX_SEEDS = 8,
 	CONTROLLER_NODE_LIVE_MS = 3000,    /* a node is live for this long after its last request */
-	CONTROLLER_NODE_FORGET_MS = 60000, /* a node's record is removed this long after its last request */
+	CONTROLLER_NODE_EXPIRY_MS = 60000, /* a node's record is removed this long after its last request */
 	CONTROLLER_ROLLOUT_HOLD_OFF_MS =
 	    4000, /* delay between the start of a leadership and the first load command of its rollouts */
-	CONTROLLER_REPORT_POLL_MS = 500, /* interval between status requests to one server */
+	CONTROLLER_REPORT_POLL_INTERVAL_MS = 500, /* interval between status requests to one server */
 	/* Bound: all servers run new weights 25 s after the weights were set. The last load command is sent
 	 * early enough for a load that takes 8 s. A rollout in the leadership in which the weights were set
 	 * ends CONTROLLER_FAILOVER_MS earlier, so that a new leader can still take over: the lease has to
@@ -37,7 +37,7 @@
 	CONTROLLER_QUOTA_LEASE_MS = CONFIG_WATCH_MAX_STALENESS_MS + 300,
 	CONTROLLER_MAX_RESERVED_LIMITS =
 	    64, /* with more limits than this, routers hold no reserved slots ahead of demand */
-	CONTROLLER_RETRY_MS =
+	CONTROLLER_CALL_RETRY_MS =
 	    200, /* sent to the caller of a failed call: delay before it may repeat the call */
 	CONTROLLER_CALL_TIMEOUT_MS =
 	    5000, /* an operator's call without an outcome by then is answered "outcome unknown" */
@@ -46,17 +46,19 @@
 	CONTROLLER_PROPOSAL_RETRY_MS = 400, /* a proposal without a reply is sent again after this time */
 	CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS =
 	    50, /* a proposal is sent again this long after a reply that the leader has changed */
-	CONTROLLER_PURGE_BATCH = 128, /* the publisher logs at most this many purges in one batch */
+	CONTROLLER_MAX_PURGE_BATCH = 128, /* the publisher logs at most this many purges in one batch */
 	CONTROLLER_RECONFIGURE_INTERVAL_MS = 50, /* interval between reconfigurations of the Raft groups */
 	CONTROLLER_ANNOUNCE_INTERVAL_MS =
 	    500, /* interval between announcements of the fleet to the addresses of silent controllers */
-	CONTROLLER_RECOVERY_SKIP = 1 << 20, /* number of revisions and of ticks that a recovery skips */
-	CONTROLLER_EPOCH_SHIFT_BITS = 40,   /* position of the epoch in the index of a purge feed value */
+	CONTROLLER_RECOVERY_SKIPPED_NUMBERS =
+	    1 << 20,                      /* number of revisions and of ticks that a recovery skips */
+	CONTROLLER_EPOCH_SHIFT_BITS = 40, /* position of the epoch in the index of a purge feed value */
 	CONTROLLER_REMOVE_ABSENT_CONTROLLERS_MS =
 	    60000, /* time since the start of a leadership after which its leader removes controllers that it
 		      has not received a request from */
-	CONTROLLER_DROP_LOG_MS = 1000, /* interval between log lines about dropped messages */
-	CONTROLLER_FEED_POLL_MS = 100  /* interval between the publisher's requests to the purge feeds */
+	CONTROLLER_DROP_LOG_INTERVAL_MS = 1000, /* interval between log lines about dropped messages */
+	CONTROLLER_FEED_POLL_INTERVAL_MS =
+	    100 /* interval between the publisher's requests to the purge feeds */
 };
 
 /* An operator's call that set a document or target weights, logged by this node as leader. It is answered
@@ -85,8 +87,9 @@
 	int64_t deadline_at_ms;
 	int64_t retry_at_ms;
 	int send_count;
-	int denied_count; /* copies that certainly were not logged; equal to send_count: no copy was logged */
-	int refused_count; /* copies that a leader rejected before logging them */
+	int unlogged_count; /* copies that certainly were not logged; equal to send_count: no copy was logged
+			     */
+	int rejected_count; /* copies that a leader rejected before logging them */
 };
 
 /* An operator's read that waits for the reply of the control shard's leader. */
@@ -108,16 +111,16 @@
 struct controller_node_status {
 	uint64_t id;
 	uint64_t addr;
-	uint64_t zone;          /* hash of the zone's name */
-	int64_t observed_at_ms; /* when the request was received */
+	uint64_t zone;              /* hash of the zone's name */
+	int64_t last_request_at_ms; /* when the request was received */
 	bool is_router;
-	bool is_warm;      /* a router that has been in service for a while: preferred as the upstream of its
-			      zone's routers */
-	uint64_t revision; /* of the configuration that the node holds */
-	uint64_t horizon;  /* the node has carried out all purges up to this tick */
-	uint64_t token;    /* identifies the request */
-	int64_t wall_clock_ms;  /* a controller's wall clock; 0: not reported */
-	uint32_t load_pressure; /* per mille */
+	bool is_warm; /* a router that has been in service for a while: preferred as the upstream of its
+			 zone's routers */
+	uint64_t config_revision; /* of the configuration that the node holds */
+	uint64_t purge_horizon;   /* the node has carried out all purges up to this tick */
+	uint64_t request_token;   /* identifies the request */
+	int64_t wall_clock_ms;    /* a controller's wall clock; 0: not reported */
+	uint32_t load_pressure;   /* per mille */
 };
 
 /* The slots under one limit that a router holds, or may still hold because its next report has not arrived.
@@ -132,7 +135,7 @@
 };
 
 /* All routers' shares of one limit. */
-struct controller_quota {
+struct controller_quota_limit {
 	char *key;                            /* the limit's name: "tenant" or "route/tenant" */
 	struct controller_quota_share *value; /* stb_ds, one share for each router */
 };
@@ -167,10 +170,11 @@
 
 /* Applied state of the purge shard, equal on all members. Owned by state_machine.c and snapshot.c. */
 struct controller_purge_state {
-	uint64_t ceiling;            /* the publisher may declare ticks up to this one */
-	uint64_t released;           /* values up to this tick are no longer needed, and are not stored */
-	struct Nl__Value **values;   /* stb_ds: logged values of later ticks than released, ordered by tick */
-	struct purge_view last_view; /* newest purge of each subject */
+	uint64_t tick_ceiling;  /* the publisher may declare ticks up to this one */
+	uint64_t released_tick; /* values up to this tick are no longer needed, and are not stored */
+	struct Nl__Value *
+	    *unreleased_values; /* stb_ds: logged values of later ticks than released, ordered by tick */
+	struct purge_view newest_purges; /* newest purge of each subject */
 	uint64_t
 	    published_index[SHARD_COUNT]; /* highest index that has been logged of each shard's purge feed */
 	uint64_t purged_tick; /* tick of the newest retention purge after which the shard's log was trimmed */
@@ -206,17 +210,17 @@
 /* The controller's identity in the fleet and its sources of unique numbers. Owned by controller.c, which sets
  * the record at the start; bootstrap.c sets the fleet. */
 struct controller_identity {
-	uint64_t id;      /* of this controller, unique in the fleet */
-	uint64_t addr;    /* of this controller */
-	uint64_t fleet;   /* identity of the fleet; 0: this controller belongs to none yet */
-	bool fleet_dirty; /* the fleet has changed and the process has to store it */
+	uint64_t id;           /* of this controller, unique in the fleet */
+	uint64_t addr;         /* of this controller */
+	uint64_t fleet_id;     /* identity of the fleet; 0: this controller belongs to none yet */
+	bool is_fleet_unsaved; /* the fleet has changed and the process has to store it */
 	const char *zone;
 	uint64_t seeds[CONTROLLER_MAX_SEEDS]; /* addresses of the seeds */
 	int seed_count;
-	uint64_t rng;        /* state of the random number generator */
-	uint64_t run;        /* incarnation of this process: random, not 0 */
-	uint64_t last_token; /* newest token in use; the first is random, so that tokens differ from an
-				earlier incarnation's */
+	uint64_t random_state; /* state of the random number generator */
+	uint64_t incarnation;  /* incarnation of this process: random, not 0 */
+	uint64_t last_token;   /* newest token in use; the first is random, so that tokens differ from an
+				  earlier incarnation's */
 };
 
 /* Functions of other libraries that the process provides to the controller. Set once, before the first step.
@@ -253,7 +257,7 @@
  * clock_advanced_at_ms. */
 struct controller_leadership {
 	uint64_t term;                /* newest term in which this node began to lead the shard */
-	int64_t since_ms;             /* when its leadership in that term began */
+	int64_t started_at_ms;        /* when its leadership in that term began */
 	int64_t clock_advanced_at_ms; /* the shard's clock as logged includes the time up to this moment */
 };
 
@@ -261,21 +265,23 @@
 struct controller_compaction {
 	bool is_snapshot_needed; /* the next snapshot has to replace all earlier log entries and snapshots on
 				    the disk */
-	int64_t checked_at_ms;   /* when the leader last logged a trim for the compaction */
+	int64_t trim_logged_at_ms; /* when the leader last logged a trim for the compaction */
 };
 
 /* Operators' calls by outcome, counted since the start of the process. Owned by operator_calls.c. */
-struct operator_calls {
-	uint64_t read;         /* calls that were received */
-	uint64_t answered;     /* calls answered with the leader's confirmation or redirected to the leader */
-	uint64_t rejected;     /* calls answered 503: nothing was logged */
-	uint64_t unknown;      /* calls answered 504: the outcome is unknown and the caller may repeat them */
-	uint64_t disconnected; /* calls whose caller closed its connection before the answer */
+struct operator_call_counts {
+	uint64_t read_count; /* calls that were received */
+	uint64_t
+	    answered_count; /* calls answered with the leader's confirmation or redirected to the leader */
+	uint64_t rejected_count;        /* calls answered 503: nothing was logged */
+	uint64_t unknown_outcome_count; /* calls answered 504: the outcome is unknown and the caller may
+					   repeat them */
+	uint64_t disconnected_count;    /* calls whose caller closed its connection before the answer */
 };
 
 /* Operators' calls that this controller has received and not yet answered. */
 struct controller_operators {
-	struct operator_calls calls; /* calls by outcome */
+	struct operator_call_counts call_counts; /* calls by outcome */
 	struct controller_logged_call
 	    *logged_calls; /* stb_ds: calls that wait for their log entry to be committed */
 	struct controller_pending_read *pending_reads; /* stb_ds: reads that wait for the leader's reply */
@@ -283,9 +289,10 @@
 
 /* Proposals that have no outcome yet. Owned by proposals.c. */
 struct controller_proposals {
-	struct controller_proposal *own; /* stb_ds: proposals made by this node that have no outcome yet */
-	struct controller_pending_entry *received; /* stb_ds: other nodes' proposals that this node has logged
-						      and that are not yet committed */
+	struct controller_proposal
+	    *own_proposals; /* stb_ds: proposals made by this node that have no outcome yet */
+	struct controller_pending_entry *pending_entries; /* stb_ds: other nodes' proposals that this node has
+						      logged and that are not yet committed */
 };
 
 /* The nodes of the fleet as observed by the control shard's leader, and the times of periodic membership
@@ -306,7 +313,7 @@
 /* The fleet-wide limits and the share of each router, on the control shard's leader: soft state. Owned by
  * quota_shares.c. */
 struct controller_quota_shares {
-	struct controller_quota *limits; /* stb_ds string map, keyed by "tenant" or "route/tenant" */
+	struct controller_quota_limit *limits; /* stb_ds string map, keyed by "tenant" or "route/tenant" */
 	char **reserved_limits; /* stb_ds: names of the limits under which each router holds slots ahead of
 				   demand; the strings belong to the configuration table */
 	uint64_t reserved_limits_revision; /* revision of the table that reserved_limits was computed from */
@@ -323,11 +330,11 @@
 /* The publisher of the purge stream, which runs on the purge shard's leader: soft state. Owned by
  * purge_publisher.c. The tick also advances when a value is applied. */
 struct controller_publisher {
-	uint64_t tick;               /* highest tick that has been declared */
+	uint64_t declared_tick;      /* highest tick that has been declared */
 	int64_t tick_declared_at_ms; /* when the publisher last declared silence (ticks without a purge) */
 	uint64_t pending_tick;       /* tick of the newest value that has been proposed to the log */
 	uint64_t
-	    reserved_for_ceiling;  /* value of the ceiling when the newest reservation of ticks was logged */
+	    reservation_ceiling;   /* value of the ceiling when the newest reservation of ticks was logged */
 	uint64_t feed_round;       /* number of the newest round of requests to the purge feeds */
 	int64_t feed_polled_at_ms; /* when the newest round of requests began */
 	uint64_t feed_complete_round[SHARD_COUNT]; /* newest round in which each feed had no further values */
@@ -336,7 +343,7 @@
 /* A bootstrap that this node coordinates. Owned by bootstrap.c. */
 struct controller_bootstrap {
 	uint64_t call_token;        /* operator's call that requested the bootstrap; 0: none */
-	bool by_settings;           /* the bootstrap was requested by the settings */
+	bool is_by_settings;        /* the bootstrap was requested by the settings */
 	uint64_t proposed_fleet_id; /* identity of the new fleet; 0: the members are not yet chosen */
 	int64_t deadline_at_ms;
 	int64_t retry_at_ms; /* when the seeds are queried next */
@@ -362,13 +369,13 @@
 	struct controller_adapters adapters;
 	struct controller_clocks clocks;
 	struct bounds bounds; /* the deployment's bounds; bounds_default until they are set */
-	bool stopping;        /* CONTROLLER_STOP was received: no new work is begun */
+	bool is_stopping;     /* CONTROLLER_STOP was received: no new work is begun */
 
 	/* replicated logs */
 	struct raft shards[SHARD_COUNT];
 	struct controller_leadership leadership[SHARD_COUNT];
 	struct controller_compaction compaction[SHARD_COUNT];
-	uint64_t epoch[SHARD_COUNT]; /* epoch of the newest operation that was applied */
+	uint64_t applied_epoch[SHARD_COUNT]; /* epoch of the newest operation that was applied */
 
 	/* applied state */
 	struct controller_config config;
@@ -380,7 +387,7 @@
 	struct config_watch config_watch;
 	struct controller_membership membership;
 	struct controller_handover handover;
-	struct controller_quota_shares quota;
+	struct controller_quota_shares quota_shares;
 	struct instances
 	    instances; /* servers on the endpoint list, as observed by the control shard's leader */
 	struct rollout rollout;
--- a/lib/control/group_clock.c
+++ b/lib/control/group_clock.c
@@ -5,7 +5,7 @@
 void group_clock_start_term(struct controller *controller, int64_t now)
 {
 	int64_t logged_ms = (int64_t)controller->config.table.clock.at_ms,
-		received_ms = config_watch_clock_ms(&controller->config_watch, 0, now);
+		received_ms = config_watch_group_clock_ms(&controller->config_watch, 0, now);
 	int64_t clock_ms = logged_ms > received_ms ? logged_ms : received_ms;
 
 	if (clock_ms < FIRST_CLOCK_MS)
--- a/lib/control/group_clock.h
+++ b/lib/control/group_clock.h
@@ -1,10 +1,10 @@
-/* group_clock: the control group's clock in ms, with which events are stamped on all nodes of the fleet.
+/* group_clocks: the control group's clock in ms, with which events are stamped on all nodes of the fleet.
  *
  * The control shard's leader advances it by its own monotonic clock and stamps each operation that it logs
  * with it. The clock thus continues through snapshots, new leaders and restarts. Every other node computes it
- * from the leader's replies, as of the moment when it sent the request (config_watch_clock_ms). This computed
- * value may be ahead of the leader's clock by the time that the reply took; it is never behind it. A new
- * leader continues from the later of the last logged value and the value from the replies that it has
+ * from the leader's replies, as of the moment when it sent the request (config_watch_group_clock_ms). This
+ * computed value may be ahead of the leader's clock by the time that the reply took; it is never behind it. A
+ * new leader continues from the later of the last logged value and the value from the replies that it has
  * received. If all members restart at the same time, the clock loses the time since the last logged
  * operation. A moment therefore contains the term of the leader whose clock it is, and a node that has
  * received replies of that leader continues to compute with that leader's clock.
--- a/lib/control/idempotency.c
+++ b/lib/control/idempotency.c
@@ -82,14 +82,15 @@
 {
 	/* An accepted request made a higher version than its base version. Requests that made higher versions
 	 * than the evicted ones are still recorded. */
-	return base_version < log->forgotten_versions[series];
+	return base_version < log->highest_evicted_versions[series];
 }
 
 /* Update the highest evicted version of the record's series. */
 static void note_evicted_version(struct idempotency_log *log, const struct idempotency_record *evicted)
 {
-	if (evicted->series < SERIES_COUNT && evicted->version > log->forgotten_versions[evicted->series])
-		log->forgotten_versions[evicted->series] = evicted->version;
+	if (evicted->series < SERIES_COUNT &&
+	    evicted->version > log->highest_evicted_versions[evicted->series])
+		log->highest_evicted_versions[evicted->series] = evicted->version;
 }
 
 void idempotency_log_add(struct idempotency_log *log, const struct request_key *key,
@@ -104,9 +105,9 @@
 		arrput(log->records, added);
 		return;
 	}
-	note_evicted_version(log, &log->records[log->oldest]);
-	log->records[log->oldest] = added;
-	log->oldest = (log->oldest + 1) % capacity;
+	note_evicted_version(log, &log->records[log->oldest_index]);
+	log->records[log->oldest_index] = added;
+	log->oldest_index = (log->oldest_index + 1) % capacity;
 }
 
 struct Nl__RequestKey *request_key_pack(const struct request_key *key, struct Nl__RequestKey *message)
@@ -143,7 +144,7 @@
 	state->n_idempotency_records = count;
 	state->idempotency_records = apr_palloc(pool, (count + 1) * sizeof *state->idempotency_records);
 	for (size_t i = 0; i < count; i++) {
-		const struct idempotency_record *record = &log->records[(log->oldest + i) % count];
+		const struct idempotency_record *record = &log->records[(log->oldest_index + i) % count];
 
 		nl__idempotency_record__init(&records[i]);
 		records[i].request_key = request_key_pack(&record->key, &keys[i]);
@@ -152,7 +153,7 @@
 		state->idempotency_records[i] = &records[i];
 	}
 	state->n_forgotten_versions = SERIES_COUNT;
-	state->forgotten_versions = (uint64_t *)(uintptr_t)log->forgotten_versions;
+	state->forgotten_versions = (uint64_t *)(uintptr_t)log->highest_evicted_versions;
 }
 
 void idempotency_log_load(struct idempotency_log *log, const struct Nl__ControlState *state)
@@ -170,12 +171,12 @@
 				    saved->version);
 	}
 	for (size_t i = 0; i < state->n_forgotten_versions && i < SERIES_COUNT; i++)
-		log->forgotten_versions[i] = state->forgotten_versions[i];
+		log->highest_evicted_versions[i] = state->forgotten_versions[i];
 }
 
 void idempotency_log_reset(struct idempotency_log *log)
 {
 	arrfree(log->records);
-	log->oldest = 0;
-	memset(log->forgotten_versions, 0, sizeof log->forgotten_versions);
+	log->oldest_index = 0;
+	memset(log->highest_evicted_versions, 0, sizeof log->highest_evicted_versions);
 }
--- a/lib/control/idempotency.h
+++ b/lib/control/idempotency.h
@@ -57,10 +57,10 @@
 /* The log; belongs to the control shard's state. */
 struct idempotency_log {
 	struct idempotency_record *records; /* stb_ds; a ring buffer once it is full; owned by the log */
-	size_t oldest;                      /* index of the oldest record once the ring buffer is full */
+	size_t oldest_index;                /* index of the oldest record once the ring buffer is full */
 	size_t capacity;                    /* must be equal on all replicas; 0: IDEMPOTENCY_MAX_RECORDS */
-	uint64_t forgotten_versions[SERIES_COUNT]; /* highest version that was made by an evicted request, for
-						      each series */
+	uint64_t highest_evicted_versions[SERIES_COUNT]; /* highest version that was made by an evicted
+						      request, for each series */
 };
 
 /* Whether an idempotency key is valid: 1 to IDEMPOTENCY_KEY_MAX visible ASCII characters.
--- a/lib/control/instances.c
+++ b/lib/control/instances.c
@@ -113,8 +113,8 @@
 		    int64_t now, struct command_list *out)
 {
 	int64_t interval_ms = is_fast_poll || now - instances->last_changed_at_ms < INSTANCES_RECENT_CHANGE_MS
-				  ? INSTANCES_FAST_POLL_MS
-				  : INSTANCES_POLL_MS;
+				  ? INSTANCES_FAST_POLL_INTERVAL_MS
+				  : INSTANCES_POLL_INTERVAL_MS;
 
 	drop_old_tombstones(instances, now);
 	if (list_calls_millihertz <= 0)
--- a/lib/control/instances.h
+++ b/lib/control/instances.h
@@ -27,9 +27,10 @@
 	INSTANCES_MAX_MISSED_POLLS = 2, /* a server is removed when this many consecutive lists lack it */
 	/* a removed server that is listed again earlier than this is ignored, since lists may be outdated */
 	INSTANCES_REJOIN_DELAY_MS = 2000,
-	INSTANCES_REPORT_VALID_MS = 2000,  /* how long a server's own report takes precedence over the list */
-	INSTANCES_FAST_POLL_MS = 400,      /* poll interval after a change and while servers are loading */
-	INSTANCES_POLL_MS = 800,           /* poll interval otherwise */
+	INSTANCES_REPORT_VALID_MS = 2000, /* how long a server's own report takes precedence over the list */
+	INSTANCES_FAST_POLL_INTERVAL_MS =
+	    400,                           /* poll interval after a change and while servers are loading */
+	INSTANCES_POLL_INTERVAL_MS = 800,  /* poll interval otherwise */
 	INSTANCES_RECENT_CHANGE_MS = 3000, /* how long the fast poll interval lasts after a change */
 	INSTANCES_POLL_TIMEOUT_MS = 2000   /* a poll without a reply for this long has failed */
 };
--- a/lib/control/leadership.h
+++ b/lib/control/leadership.h
@@ -29,7 +29,7 @@
 }
 
 /* Whether the control shard's leader is this node, or has replied within CONFIG_WATCH_LEADER_TIMEOUT_MS. */
-static inline int leader_reachable(const struct controller *controller, int64_t now)
+static inline int is_control_leader_reachable(const struct controller *controller, int64_t now)
 {
 	return leads_shard(controller, SHARD_CONTROL, now) ||
 	       config_watch_age_ms(&controller->config_watch, now) <= CONFIG_WATCH_LEADER_TIMEOUT_MS;
--- a/lib/control/leadership_change.c
+++ b/lib/control/leadership_change.c
@@ -17,16 +17,16 @@
 
 	if (raft_has_lease(raft, now) && controller->leadership[shard].term != raft->term) {
 		controller->leadership[shard].term = raft->term;
-		controller->leadership[shard].since_ms = controller->leadership[shard].clock_advanced_at_ms =
-		    now;
+		controller->leadership[shard].started_at_ms =
+		    controller->leadership[shard].clock_advanced_at_ms = now;
 		log_line(controller, "shard", out->pool,
 			 "leadership gained, shard %u, term %" APR_UINT64_T_FMT ".", shard, raft->term);
 		if (shard == SHARD_CONTROL) {
 			group_clock_start_term(controller, now);
 			arrsetlen(controller->membership.nodes, 0);
-			quota_shares_clear(&controller->quota);
+			quota_shares_clear(&controller->quota_shares);
 			rollout_start_term(controller, now);
-			controller->retention.logged_index = 0;
+			controller->retention.last_step_index = 0;
 		}
 		if (shard == SHARD_PURGE)
 			publisher_start(controller, now, out);
@@ -47,14 +47,14 @@
 static void abandon_received_proposals(struct controller *controller, uint32_t shard,
 				       struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->proposals.received) - 1; i >= 0; i--) {
-		const struct controller_pending_entry *entry = &controller->proposals.received[i];
+	for (ptrdiff_t i = arrlen(controller->proposals.pending_entries) - 1; i >= 0; i--) {
+		const struct controller_pending_entry *entry = &controller->proposals.pending_entries[i];
 
 		if (entry->shard != shard)
 			continue;
 		reply_to_proposal(entry->proposer_addr, entry->token, PROPOSAL_OUTCOME_UNKNOWN, 0,
 				  "leadership lost: outcome unknown", 0, out);
-		arrdel(controller->proposals.received, i);
+		arrdel(controller->proposals.pending_entries, i);
 	}
 }
 
--- a/lib/control/membership.c
+++ b/lib/control/membership.c
@@ -8,16 +8,16 @@
 #include "proposals.h"
 #include "controller_private.h"
 
-int64_t live_window_ms(const struct controller *controller)
+int64_t controller_live_window_ms(const struct controller *controller)
 {
-	int64_t window_ms = controller->bounds.catch_up_ms / 5;
+	int64_t window_ms = controller->bounds.member_catch_up_ms / 5;
 
 	return window_ms < CONTROLLER_NODE_LIVE_MS ? window_ms : CONTROLLER_NODE_LIVE_MS;
 }
 
 static int64_t member_lost_after_ms(const struct controller *controller)
 {
-	return controller->bounds.catch_up_ms * 3 / 5;
+	return controller->bounds.member_catch_up_ms * 3 / 5;
 }
 
 void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out)
@@ -29,7 +29,7 @@
 	struct Nl__Row own_row = NL__ROW__INIT, *changed_rows[1] = { &own_row };
 
 	if (now - controller->membership.registered_at_ms < 1000 ||
-	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->stopping)
+	    config_watch_age_ms(&controller->config_watch, now) > 600 || controller->is_stopping)
 		return;
 	apr_snprintf(row_name, sizeof row_name, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
 	row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, row_name);
@@ -58,15 +58,15 @@
 	int live_count = 0;
 
 	memset(live, 0, sizeof live);
-	for (; live_count < controller->config_watch.live_count; live_count++) {
-		live[live_count].id = controller->config_watch.live_id[live_count];
-		live[live_count].addr = controller->config_watch.live_addr[live_count];
+	for (; live_count < controller->config_watch.live_controller_count; live_count++) {
+		live[live_count].id = controller->config_watch.live_controller_ids[live_count];
+		live[live_count].addr = controller->config_watch.live_controller_addrs[live_count];
 		apr_snprintf(row_name, sizeof row_name, "%016" APR_UINT64_T_HEX_FMT, live[live_count].id);
 		row = config_table_get(&controller->config_watch.table, NL__KIND__CONTROLLER, row_name);
 		live[live_count].zone = row ? core_hash_string(0, row->zone) : 0;
 	}
 	for (int i = 0; i < SHARD_COUNT; i++) {
-		controller->shards[i].group.replicas =
+		controller->shards[i].group.target_voters =
 		    controller->bounds.replicas < RAFT_MIN_VOTERS        ? RAFT_MIN_VOTERS
 		    : controller->bounds.replicas < RAFT_MAX_MEMBERS - 1 ? controller->bounds.replicas
 									 : RAFT_MAX_MEMBERS - 1;
@@ -79,7 +79,8 @@
 {
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++)
 		if (controller->membership.nodes[i].id == node_id)
-			return now - controller->membership.nodes[i].observed_at_ms < CONTROLLER_NODE_LIVE_MS;
+			return now - controller->membership.nodes[i].last_request_at_ms <
+			       CONTROLLER_NODE_LIVE_MS;
 	return 0;
 }
 
@@ -138,6 +139,7 @@
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	announce_fleet(controller, now, out);
-	if (now - controller->leadership[SHARD_CONTROL].since_ms >= CONTROLLER_REMOVE_ABSENT_CONTROLLERS_MS)
+	if (now - controller->leadership[SHARD_CONTROL].started_at_ms >=
+	    CONTROLLER_REMOVE_ABSENT_CONTROLLERS_MS)
 		remove_one_absent_controller(controller, now, out);
 }
--- a/lib/control/membership.h
+++ b/lib/control/membership.h
@@ -13,9 +13,9 @@
  * may join a group. It is a fifth of the deployment's bound for catching up, and at most
  * CONTROLLER_NODE_LIVE_MS. A silent member is removed from its group after three fifths of the bound, and a
  * learner that replaces it is prepared after two thirds of that. The rest of the bound is reserved for the
- * change of membership itself. Example: if (now - node->observed_at_ms < live_window_ms(controller))
- * add_candidate(node); */
-int64_t live_window_ms(const struct controller *controller);
+ * change of membership itself. Example: if (now - node->observed_at_ms <
+ * controller_live_window_ms(controller)) add_candidate(node); */
+int64_t controller_live_window_ms(const struct controller *controller);
 
 /* Propose this controller's own row if the table has none, or one with another address or zone. */
 void membership_register_tick(struct controller *controller, int64_t now, struct command_list *out);
--- a/lib/control/operator_api.c
+++ b/lib/control/operator_api.c
@@ -75,9 +75,9 @@
 		return;
 	}
 	if (message->read->kind == NL__READ_KIND__READ_RETENTION)
-		response_body = retention_json(controller, now, out->pool);
+		response_body = retention_report_json(controller, now, out->pool);
 	else if (message->read->kind == NL__READ_KIND__READ_RETENTION_REPORT)
-		response_body = retention_csv(controller, out->pool);
+		response_body = retention_report_csv(controller, out->pool);
 	else
 		return;
 	reply = MESSAGE_NEW(out, Nl__ReadReply, NL__READ_REPLY__INIT);
@@ -124,18 +124,18 @@
 	    ->read = request;
 }
 
-void reads_tick(struct controller *controller, int64_t now, struct command_list *out)
+void pending_reads_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->operators.pending_reads) - 1; i >= 0; i--) {
 		struct controller_pending_read *pending = &controller->operators.pending_reads[i];
 		int is_current = pending->kind == NL__READ_KIND__READ_TABLE &&
-				 controller->config_watch.fetched_at_ms >= pending->requested_at_ms;
+				 controller->config_watch.confirmed_at_ms >= pending->requested_at_ms;
 
 		if (is_current) {
 			command_answer_until(out, pending->call_token, 200,
 					     config_table_json(&controller->config_watch.table, out->pool),
 					     pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS);
-		} else if (leader_reachable(controller, now) &&
+		} else if (is_control_leader_reachable(controller, now) &&
 			   now < pending->requested_at_ms + CONTROLLER_CALL_TIMEOUT_MS) {
 			send_read_to_leader(controller, pending, now, out);
 			continue;
--- a/lib/control/operator_api.h
+++ b/lib/control/operator_api.h
@@ -35,7 +35,7 @@
 
 /* Answer pending reads of the table that are confirmed, send the other reads to the leader again, and reject
  * those that have timed out or whose leader is unreachable. */
-void reads_tick(struct controller *controller, int64_t now, struct command_list *out);
+void pending_reads_tick(struct controller *controller, int64_t now, struct command_list *out);
 
 /* Propose a change of the table. A request that cannot be parsed as a change is rejected by this node. */
 void change_config_table(struct controller *controller, const struct controller_event *event, int64_t now,
--- a/lib/control/operator_calls.h
+++ b/lib/control/operator_calls.h
@@ -1,4 +1,4 @@
-/* operator_calls: counts the outcomes of the operators' calls that a controller has read.
+/* operator_call_counts: counts the outcomes of the operators' calls that a controller has read.
  *
  * A call ends when it is answered, rejected with a time to retry (nothing was logged), answered that its
  * outcome is unknown (it may be sent again), or when its caller disconnects. Until then it is open. Calls are
@@ -18,12 +18,12 @@
 
 /* Count the answers among the commands from index first_command on.
  * Example: operator_calls_count(&controller->operators.calls, out, first_command); */
-void operator_calls_count(struct operator_calls *calls, const struct command_list *out,
+void operator_calls_count(struct operator_call_counts *calls, const struct command_list *out,
 			  ptrdiff_t first_command);
 
 /* Get the number of calls that wait for an answer.
- * Example: if (operator_calls_open(controller)) wait(); */
-uint64_t operator_calls_open(const struct controller *controller);
+ * Example: if (operator_calls_open_count(controller)) wait(); */
+uint64_t operator_calls_open_count(const struct controller *controller);
 
 /* Returns whether each call that was read is counted once, as ended or as open.
  * Example: assert(operator_calls_are_balanced(controller)); */
--- a/lib/control/operator_documents.c
+++ b/lib/control/operator_documents.c
@@ -37,7 +37,7 @@
 	    idempotency_log_find(&controller->config.accepted_requests, key);
 
 	if (accepted) {
-		if (repeated_request_status(accepted, key) == PROPOSAL_DONE)
+		if (repeated_request_status(accepted, key) == PROPOSAL_APPLIED)
 			command_answer(out, token, 200, 0, "{}");
 		else
 			command_answer(out, token, 422, 0, error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
@@ -100,8 +100,9 @@
 	const char *error;
 	struct request_key key;
 
-	if (event->payload.document.invalid) {
-		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.document.invalid, 0));
+	if (event->payload.document.rejection) {
+		command_answer(out, token, 400, 0,
+			       error_json(out->pool, event->payload.document.rejection, 0));
 		return;
 	}
 	request_key_init(&key, NULL, event->payload.document.is_patch ? "patch" : "document", 1, base_version,
@@ -152,8 +153,8 @@
 	const struct Nl__Row *current_row;
 	const char *error;
 
-	if (event->payload.target.invalid) {
-		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.target.invalid, 0));
+	if (event->payload.target.rejection) {
+		command_answer(out, token, 400, 0, error_json(out->pool, event->payload.target.rejection, 0));
 		return;
 	}
 	row.kind = NL__KIND__MODEL;
@@ -184,7 +185,7 @@
 
 		if (controller->operators.logged_calls[i].log_index != index)
 			continue;
-		if (status == PROPOSAL_DONE)
+		if (status == PROPOSAL_APPLIED)
 			command_answer(out, token, 200, 0, "{}");
 		else if (status == PROPOSAL_KEY_REUSED)
 			command_answer(out, token, 422, 0, error_json(out->pool, IDEMPOTENCY_KEY_REUSED, 0));
@@ -203,18 +204,18 @@
 {
 	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--) {
 		command_answer(
-		    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+		    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_CALL_RETRY_MS,
 		    error_json(out->pool, "leadership lost: outcome unknown, send the request again", 0));
 		arrdel(controller->operators.logged_calls, i);
 	}
 }
 
-void expire_calls(struct controller *controller, int64_t now, struct command_list *out)
+void expire_logged_calls(struct controller *controller, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(controller->operators.logged_calls) - 1; i >= 0; i--)
 		if (now >= controller->operators.logged_calls[i].deadline_at_ms) {
 			command_answer(
-			    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_RETRY_MS,
+			    out, controller->operators.logged_calls[i].token, 504, CONTROLLER_CALL_RETRY_MS,
 			    error_json(out->pool,
 				       "not committed in time: outcome unknown, send the request again", 0));
 			arrdel(controller->operators.logged_calls, i);
--- a/lib/control/operator_documents.h
+++ b/lib/control/operator_documents.h
@@ -33,6 +33,6 @@
 void abandon_logged_calls(struct controller *controller, struct command_list *out);
 
 /* Answer logged calls that have timed out with 504: their outcome is unknown. */
-void expire_calls(struct controller *controller, int64_t now, struct command_list *out);
+void expire_logged_calls(struct controller *controller, int64_t now, struct command_list *out);
 
 #endif
--- a/lib/control/operator_paths.c
+++ b/lib/control/operator_paths.c
@@ -30,8 +30,8 @@
 	  read_retention_report },
 	{ CONTROLLER_API_CALL, "POST", "/v1/change", PATH_NEEDS_REACHABLE_LEADER, change_config_table },
 	{ CONTROLLER_API_CALL, "POST", "/v1/clear", PATH_NEEDS_REACHABLE_LEADER, purge_context },
-	{ CONTROLLER_API_CALL, "POST", "/v1/found", PATH_NEEDS_SEEDS, bootstrap_fleet },
-	{ CONTROLLER_API_CALL, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recover_groups },
+	{ CONTROLLER_API_CALL, "POST", "/v1/found", PATH_NEEDS_SEEDS, bootstrap_on_call },
+	{ CONTROLLER_API_CALL, "POST", "/v1/recover", PATH_NEEDS_LOCAL_STATE, recovery_on_call },
 	{ CONTROLLER_PUT_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, put_document },
 	{ CONTROLLER_READ_DOCUMENT, NULL, NULL, PATH_NEEDS_LEADERSHIP, read_document },
 	{ CONTROLLER_SET_TARGET_WEIGHTS, NULL, NULL, PATH_NEEDS_LEADERSHIP, set_target_weights },
@@ -71,7 +71,7 @@
 	uint64_t leader_addr = leader_hint(controller, SHARD_CONTROL, now);
 	struct command *command;
 
-	if (!leader_addr && leader_reachable(controller, now))
+	if (!leader_addr && is_control_leader_reachable(controller, now))
 		leader_addr = controller->config_watch.leader_addr[SHARD_CONTROL];
 	if (!leader_addr || leader_addr == controller->identity.addr) {
 		reject_without_leader(token, out);
@@ -101,13 +101,13 @@
 	const struct operator_path *path = find_path(event);
 	ptrdiff_t first_command = arrlen(out->commands);
 
-	controller->operators.calls.read++;
+	controller->operators.call_counts.read_count++;
 	if (!path) { /* no leader is needed: the path does not exist whatever the log holds */
 		command_answer(out, call_token(event), 404, 0,
 			       error_json(out->pool, "path: no such call", 0));
 		return;
 	}
-	if (controller->stopping && path->needs != PATH_NEEDS_LOCAL_STATE) {
+	if (controller->is_stopping && path->needs != PATH_NEEDS_LOCAL_STATE) {
 		reject_while_stopping(call_token(event), out);
 		return;
 	}
@@ -125,7 +125,7 @@
 		}
 		break;
 	case PATH_NEEDS_REACHABLE_LEADER:
-		if (leader_reachable(controller, now))
+		if (is_control_leader_reachable(controller, now))
 			path->handle(controller, event, now, out);
 		else
 			reject_without_leader(call_token(event), out);
--- a/lib/control/operator_state.c
+++ b/lib/control/operator_state.c
@@ -62,9 +62,9 @@
 
 		json_add_text(node, "addr", core_format_addr(pool, status->addr));
 		json_add_flag(node, "counter", status->is_router);
-		json_add_number(node, "edition", (int64_t)status->revision);
-		json_add_number(node, "horizon", (int64_t)status->horizon);
-		json_add_number(node, "heard_ms", now - status->observed_at_ms);
+		json_add_number(node, "edition", (int64_t)status->config_revision);
+		json_add_number(node, "horizon", (int64_t)status->purge_horizon);
+		json_add_number(node, "heard_ms", now - status->last_request_at_ms);
 		json_object_array_add(nodes, node);
 	}
 	return nodes;
@@ -79,7 +79,7 @@
 		const struct controller_server *server = &controller->server_rollout.servers[i];
 		struct json_object *json;
 
-		if (!leads_shard(controller, core_shard_of(server->service, SHARD_SERVICES), now))
+		if (!leads_shard(controller, core_service_shard(server->service, SHARD_SERVICES), now))
 			continue;
 		json = json_object_new_object();
 		json_add_text(json, "server", server->name);
@@ -108,7 +108,7 @@
 	json_add_text(json, "scope", "this node alone");
 	json_add_text(json, "id", hex_id(controller->identity.id, pool));
 	json_add_text(json, "addr", core_format_addr(pool, controller->identity.addr));
-	json_add_text(json, "fleet", hex_id(controller->identity.fleet, pool));
+	json_add_text(json, "fleet", hex_id(controller->identity.fleet_id, pool));
 	json_add_number(json, "edition", (int64_t)controller->config_watch.table.revision);
 	json_add_number(json, "age_ms", config_watch_age_ms(&controller->config_watch, now));
 	json_add_number(json, "horizon", (int64_t)controller->relay.knowledge.horizon);
@@ -117,7 +117,7 @@
 	json_object_object_add(json, "nodes", nodes_json(controller, now, pool));
 	json_object_object_add(json, "servers", servers_json(controller, now));
 	json_object_object_add(json, "operator_calls", operator_calls_json(controller));
-	if (controller->bounds.discover_instances)
+	if (controller->bounds.use_endpoint_list)
 		json_object_object_add(json, "sights", instances_json(current_instances(controller, now)));
 	text = apr_pstrdup(pool, json_object_to_json_string_ext(json, JSON_C_TO_STRING_PLAIN));
 	json_object_put(json);
--- a/lib/control/proposal_status.h
+++ b/lib/control/proposal_status.h
@@ -8,7 +8,7 @@
 
 /* Outcome of a proposal. */
 enum proposal_status {
-	PROPOSAL_DONE = 0,       /* it was applied, now or when an earlier copy was logged */
+	PROPOSAL_APPLIED = 0,    /* it was applied, now or when an earlier copy was logged */
 	PROPOSAL_NOT_LEADER = 1, /* certainly not logged: it can be sent to the leader that the reply names */
 	PROPOSAL_REJECTED = 2,   /* it can't be applied to the current state */
 	PROPOSAL_SUPERSEDED = 3, /* it is based on a revision or version that is no longer current */
--- a/lib/control/proposals.c
+++ b/lib/control/proposals.c
@@ -27,13 +27,13 @@
 void answer_proposer(struct controller *controller, uint32_t shard, uint64_t index,
 		     struct apply_result applied, struct command_list *out)
 {
-	struct controller_pending_entry *received = controller->proposals.received;
+	struct controller_pending_entry *received = controller->proposals.pending_entries;
 
 	for (ptrdiff_t i = 0; i < arrlen(received); i++)
 		if (received[i].shard == shard && received[i].log_index == index) {
 			reply_to_proposal(received[i].proposer_addr, received[i].token, applied.status,
 					  applied.version, proposal_status_strerror(applied.status), 0, out);
-			arrdel(controller->proposals.received, i);
+			arrdel(controller->proposals.pending_entries, i);
 			return;
 		}
 }
@@ -44,7 +44,7 @@
 static const char *check_purge_request(const struct controller *controller, struct Nl__RetentionStep *step,
 				       int64_t now, apr_pool_t *pool)
 {
-	int64_t wall_clock_ms = retention_wall_clock(controller, now);
+	int64_t wall_clock_ms = retention_majority_wall_clock_ms(controller, now);
 	char route[200], tenant[200];
 
 	if (!retention_parse_scope(step->scope, route, tenant))
@@ -86,7 +86,7 @@
 	if (fault)
 		return fault;
 	return retention_check_calendar(controller->adapters.calendar, operation->change,
-					retention_wall_clock(controller, now), pool);
+					retention_majority_wall_clock_ms(controller, now), pool);
 }
 
 /* Return the status of a change that is based on an old revision: superseded, or PROPOSAL_KEY_EXPIRED if it
@@ -167,7 +167,7 @@
 	}
 	pending.log_index = log_operation(controller, message->shard, request->operation, now, out);
 	if (pending.log_index)
-		arrput(controller->proposals.received, pending);
+		arrput(controller->proposals.pending_entries, pending);
 	else /* this leader is shutting down: the proposal was certainly not logged, and the next leader is
 		not known yet */
 		reply_to_proposal(message->addr, request->token, PROPOSAL_NOT_LEADER, 0, "",
@@ -197,15 +197,15 @@
 	if (!proposal.operation)
 		abort();
 	proposal.operation->requester_id = controller->identity.id;
-	proposal.operation->requester_run = controller->identity.run;
+	proposal.operation->requester_run = controller->identity.incarnation;
 	proposal.operation->token = proposal.token;
-	arrput(controller->proposals.own, proposal);
+	arrput(controller->proposals.own_proposals, proposal);
 }
 
 static void remove_proposal(struct controller *controller, ptrdiff_t i)
 {
-	nl__operation__free_unpacked(controller->proposals.own[i].operation, NULL);
-	arrdel(controller->proposals.own, i);
+	nl__operation__free_unpacked(controller->proposals.own_proposals[i].operation, NULL);
+	arrdel(controller->proposals.own_proposals, i);
 }
 
 /* Whether a proposal has expired without an outcome; its caller is then answered. A proposal that certainly
@@ -215,14 +215,15 @@
 static int expire_proposal(const struct controller *controller, const struct controller_proposal *proposal,
 			   int64_t now, struct command_list *out)
 {
-	int may_be_logged = proposal->send_count > proposal->denied_count;
+	int may_be_logged = proposal->send_count > proposal->unlogged_count;
 
-	if (now < proposal->deadline_at_ms && (!proposal->call_token || leader_reachable(controller, now) ||
-					       (may_be_logged && !controller->stopping)))
+	if (now < proposal->deadline_at_ms &&
+	    (!proposal->call_token || is_control_leader_reachable(controller, now) ||
+	     (may_be_logged && !controller->is_stopping)))
 		return 0;
 	if (proposal->call_token && may_be_logged)
 		command_answer(
-		    out, proposal->call_token, 504, CONTROLLER_RETRY_MS,
+		    out, proposal->call_token, 504, CONTROLLER_CALL_RETRY_MS,
 		    error_json(
 			out->pool,
 			"outcome unknown: the change may have been logged; read the table before you retry",
@@ -234,21 +235,21 @@
 
 void proposals_tick(struct controller *controller, int64_t now, struct command_list *out)
 {
-	for (ptrdiff_t i = arrlen(controller->proposals.own) - 1; i >= 0; i--) {
-		struct controller_proposal *proposal = &controller->proposals.own[i];
+	for (ptrdiff_t i = arrlen(controller->proposals.own_proposals) - 1; i >= 0; i--) {
+		struct controller_proposal *proposal = &controller->proposals.own_proposals[i];
 		struct Nl__Propose *request;
 
 		if (expire_proposal(controller, proposal, now, out)) {
 			remove_proposal(controller, i);
 			continue;
 		}
-		if (now < proposal->retry_at_ms || !leader_reachable(controller, now))
+		if (now < proposal->retry_at_ms || !is_control_leader_reachable(controller, now))
 			continue;
 		proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_RETRY_MS;
 		proposal->send_count++;
 		request = MESSAGE_NEW(out, Nl__Propose, NL__PROPOSE__INIT);
 		request->token = proposal->token;
-		proposal->operation->oldest_open_token = controller->proposals.own[0].token;
+		proposal->operation->oldest_open_token = controller->proposals.own_proposals[0].token;
 		request->operation =
 		    (struct Nl__Operation *)core_copy_message(out->pool, &proposal->operation->base);
 		command_send(out, config_watch_leader_addr(&controller->config_watch, proposal->shard),
@@ -277,8 +278,8 @@
  * answered yet, and no further copies are sent. */
 static int wait_for_other_copies(struct controller_proposal *proposal)
 {
-	proposal->refused_count++;
-	if (proposal->refused_count >= proposal->send_count - proposal->denied_count)
+	proposal->rejected_count++;
+	if (proposal->rejected_count >= proposal->send_count - proposal->unlogged_count)
 		return 0;
 	proposal->retry_at_ms = proposal->deadline_at_ms;
 	return 1;
@@ -287,18 +288,19 @@
 void on_proposal_reply(struct controller *controller, const struct Nl__ProposeReply *reply, int64_t now,
 		       struct command_list *out)
 {
-	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own); i++) {
-		struct controller_proposal *proposal = &controller->proposals.own[i];
+	for (ptrdiff_t i = 0; i < arrlen(controller->proposals.own_proposals); i++) {
+		struct controller_proposal *proposal = &controller->proposals.own_proposals[i];
 		const char *body;
 
 		if (proposal->token != reply->token)
 			continue;
 		if (reply->status == PROPOSAL_NOT_LEADER) { /* this copy was certainly not logged */
-			proposal->denied_count++;
+			proposal->unlogged_count++;
 			proposal->retry_at_ms =
 			    now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS; /* now to the leader that the reply
 									    names */
-			config_watch_hint(&controller->config_watch, proposal->shard, reply->leader_hint);
+			config_watch_set_leader_hint(&controller->config_watch, proposal->shard,
+						     reply->leader_hint);
 			return;
 		}
 		if (reply->status == PROPOSAL_REJECTED && wait_for_other_copies(proposal))
@@ -308,10 +310,10 @@
 			proposal->retry_at_ms = now + CONTROLLER_PROPOSAL_REDIRECT_RETRY_MS;
 			return;
 		}
-		if (reply->status != PROPOSAL_DONE && now >= proposal->deadline_at_ms)
+		if (reply->status != PROPOSAL_APPLIED && now >= proposal->deadline_at_ms)
 			return; /* A late reply may describe an old state: all that is certain is that the
 				   proposal may have been logged. */
-		if (proposal->call_token && reply->status == PROPOSAL_DONE) {
+		if (proposal->call_token && reply->status == PROPOSAL_APPLIED) {
 			body =
 			    apr_psprintf(out->pool, "{\"edition\":%" APR_UINT64_T_FMT "}", reply->revision);
 			command_answer(out, proposal->call_token, 200, 0, body);
@@ -326,8 +328,8 @@
 				command_answer_until(out, proposal->call_token, http_status, body,
 						     proposal->deadline_at_ms);
 			else
-				command_answer(out, proposal->call_token, http_status, CONTROLLER_RETRY_MS,
-					       body);
+				command_answer(out, proposal->call_token, http_status,
+					       CONTROLLER_CALL_RETRY_MS, body);
 		}
 		remove_proposal(controller, i);
 		config_watch_poll(&controller->config_watch, controller->relay.knowledge.horizon, now, out);
--- a/lib/control/purge_publisher.c
+++ b/lib/control/purge_publisher.c
@@ -22,8 +22,8 @@
 							: NULL;
 }
 
-void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
-		     struct command_list *out)
+void publisher_on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			       struct command_list *out)
 {
 	struct Nl__FeedReply *feed_reply;
 	struct Nl__Value **feed_values;
@@ -61,8 +61,8 @@
 	}
 }
 
-void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
-		   struct command_list *out)
+void publisher_on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			     struct command_list *out)
 {
 	const struct Nl__FeedReply *feed_reply = message->feed_reply;
 	int proposed_count = 0;
@@ -70,20 +70,22 @@
 	if (!controller->relay.is_publisher || message->shard >= SHARD_COUNT ||
 	    !leads_shard(controller, SHARD_PURGE, now))
 		return;
-	config_watch_hint(&controller->config_watch, message->shard, message->addr);
+	config_watch_set_leader_hint(&controller->config_watch, message->shard, message->addr);
 	/* One batch is logged at a time; the feed sends the remaining values again in its next reply. */
 	for (size_t i = 0;
 	     i < feed_reply->n_values &&
-	     (proposed_count || controller->publisher.pending_tick <= controller->publisher.tick);
+	     (proposed_count || controller->publisher.pending_tick <= controller->publisher.declared_tick);
 	     i++) {
 		struct Nl__Operation operation = NL__OPERATION__INIT;
-		uint64_t next_tick =
-		    (proposed_count ? controller->publisher.pending_tick : controller->publisher.tick) + 1;
+		uint64_t next_tick = (proposed_count ? controller->publisher.pending_tick
+						     : controller->publisher.declared_tick) +
+				     1;
 
 		if (!feed_reply->values[i]->purge ||
 		    feed_reply->values[i]->index <= controller->purge_state.published_index[message->shard])
 			continue;
-		if (next_tick > controller->purge_state.ceiling || proposed_count == CONTROLLER_PURGE_BATCH)
+		if (next_tick > controller->purge_state.tick_ceiling ||
+		    proposed_count == CONTROLLER_MAX_PURGE_BATCH)
 			break;
 		feed_reply->values[i]->feed = message->shard;
 		feed_reply->values[i]->tick = next_tick;
@@ -94,7 +96,7 @@
 		controller->publisher.pending_tick = next_tick;
 		proposed_count++;
 	}
-	if (controller->publisher.pending_tick > controller->publisher.tick)
+	if (controller->publisher.pending_tick > controller->publisher.declared_tick)
 		return; /* values are still being logged, and this feed may hold more */
 	if (feed_reply->round > controller->publisher.feed_complete_round[message->shard])
 		controller->publisher.feed_complete_round[message->shard] = feed_reply->round;
@@ -105,16 +107,18 @@
 {
 	struct controller_publisher *publisher = &controller->publisher;
 
-	if (!controller->relay.is_publisher || value->tick <= publisher->tick)
+	if (!controller->relay.is_publisher || value->tick <= publisher->declared_tick)
 		return;
 	/* publish the value, and silence for the ticks before it */
-	relay_publish(&controller->relay, publisher->tick + 1, value->tick, is_new ? value : NULL, now, out);
-	publisher->tick = value->tick;
-	if (publisher->pending_tick > publisher->tick || publisher->tick >= controller->purge_state.ceiling)
+	relay_publish(&controller->relay, publisher->declared_tick + 1, value->tick, is_new ? value : NULL,
+		      now, out);
+	publisher->declared_tick = value->tick;
+	if (publisher->pending_tick > publisher->declared_tick ||
+	    publisher->declared_tick >= controller->purge_state.tick_ceiling)
 		return;
 	/* after the last pending value, declare one tick of silence */
-	publisher->tick++;
-	relay_publish(&controller->relay, publisher->tick, publisher->tick, NULL, now, out);
+	publisher->declared_tick++;
+	relay_publish(&controller->relay, publisher->declared_tick, publisher->declared_tick, NULL, now, out);
 }
 
 static void reserve_ticks(struct controller *controller, int64_t now, struct command_list *out)
@@ -122,12 +126,12 @@
 	struct Nl__Operation operation = NL__OPERATION__INIT;
 	struct Nl__Reserve reserve = NL__RESERVE__INIT;
 
-	reserve.ceiling = controller->purge_state.ceiling + PURGE_RESERVED_TICKS;
-	reserve.released = controller->relay.knowledge.released;
+	reserve.ceiling = controller->purge_state.tick_ceiling + PURGE_RESERVED_TICKS;
+	reserve.released = controller->relay.knowledge.released_tick;
 	operation.body_case = NL__OPERATION__BODY_RESERVE;
 	operation.reserve = &reserve;
 	if (log_operation(controller, SHARD_PURGE, &operation, now, out))
-		controller->publisher.reserved_for_ceiling = controller->purge_state.ceiling;
+		controller->publisher.reservation_ceiling = controller->purge_state.tick_ceiling;
 }
 
 void publisher_start(struct controller *controller, int64_t now, struct command_list *out)
@@ -135,22 +139,24 @@
 	struct relay *relay = &controller->relay;
 
 	knowledge_clear(&relay->knowledge);
-	relay->knowledge.released = relay->knowledge.horizon = controller->purge_state.released;
+	relay->knowledge.released_tick = relay->knowledge.horizon = controller->purge_state.released_tick;
 	relay->is_publisher = 1;
 	relay->opened_at_ms = now;
 	arrsetlen(relay->downstreams, 0);
-	for (ptrdiff_t i = 0; i < hmlen(controller->purge_state.last_view.subjects); i++)
-		purge_view_apply(&relay->view, controller->purge_state.last_view.subjects[i].value);
-	for (ptrdiff_t i = 0; i < arrlen(controller->purge_state.values); i++)
-		relay_publish(relay, relay->knowledge.horizon + 1, controller->purge_state.values[i]->tick,
-			      controller->purge_state.values[i], now, out);
-	controller->publisher.tick = controller->purge_state.ceiling;
+	for (ptrdiff_t i = 0; i < hmlen(controller->purge_state.newest_purges.subjects); i++)
+		purge_view_apply(&relay->view, controller->purge_state.newest_purges.subjects[i].value);
+	for (ptrdiff_t i = 0; i < arrlen(controller->purge_state.unreleased_values); i++)
+		relay_publish(relay, relay->knowledge.horizon + 1,
+			      controller->purge_state.unreleased_values[i]->tick,
+			      controller->purge_state.unreleased_values[i], now, out);
+	controller->publisher.declared_tick = controller->purge_state.tick_ceiling;
 	/* the state's ceiling is raised with the first operation of the new epoch */
-	if (raft_epoch(controller->shards[SHARD_PURGE].term) > controller->epoch[SHARD_PURGE])
-		controller->publisher.tick += CONTROLLER_RECOVERY_SKIP;
-	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.tick, NULL, now, out);
+	if (raft_epoch(controller->shards[SHARD_PURGE].term) > controller->applied_epoch[SHARD_PURGE])
+		controller->publisher.declared_tick += CONTROLLER_RECOVERY_SKIPPED_NUMBERS;
+	relay_publish(relay, relay->knowledge.horizon + 1, controller->publisher.declared_tick, NULL, now,
+		      out);
 	controller->publisher.pending_tick = 0;
-	controller->publisher.reserved_for_ceiling = UINT64_MAX;
+	controller->publisher.reservation_ceiling = UINT64_MAX;
 	controller->publisher.tick_declared_at_ms = now;
 	for (int i = 0; i < SHARD_COUNT; i++)
 		controller->publisher.feed_complete_round[i] = 0;
@@ -162,7 +168,7 @@
 {
 	int all_feeds_complete = 1;
 
-	if (now - controller->publisher.feed_polled_at_ms >= CONTROLLER_FEED_POLL_MS) {
+	if (now - controller->publisher.feed_polled_at_ms >= CONTROLLER_FEED_POLL_INTERVAL_MS) {
 		controller->publisher.feed_polled_at_ms = now;
 		controller->publisher.feed_round++;
 		for (uint32_t i = 0; i < SHARD_COUNT; i++) {
@@ -176,7 +182,7 @@
 			    controller->publisher.feed_round % 5 == 0)
 				/* no reply in recent rounds: use another controller, which may reply with a
 				 * hint to the leader */
-				config_watch_miss(&controller->config_watch, i);
+				config_watch_try_next_controller(&controller->config_watch, i);
 			request = MESSAGE_NEW(out, Nl__FeedRequest, NL__FEED_REQUEST__INIT);
 			request->have_index = controller->purge_state.published_index[i];
 			request->round = controller->publisher.feed_round;
@@ -188,12 +194,13 @@
 			    ->feed_request = request;
 		}
 	}
-	if (controller->purge_state.ceiling < controller->publisher.tick + PURGE_RESERVED_TICKS / 2 &&
-	    controller->publisher.reserved_for_ceiling != controller->purge_state.ceiling)
+	if (controller->purge_state.tick_ceiling <
+		controller->publisher.declared_tick + PURGE_RESERVED_TICKS / 2 &&
+	    controller->publisher.reservation_ceiling != controller->purge_state.tick_ceiling)
 		reserve_ticks(controller, now, out);
 	if (now - controller->publisher.tick_declared_at_ms < PURGE_TICK_MS ||
-	    controller->publisher.pending_tick > controller->publisher.tick ||
-	    controller->publisher.tick >= controller->purge_state.ceiling)
+	    controller->publisher.pending_tick > controller->publisher.declared_tick ||
+	    controller->publisher.declared_tick >= controller->purge_state.tick_ceiling)
 		return;
 	for (uint32_t i = 0; i < SHARD_COUNT; i++) /* a tick is silent only if every feed was empty */
 		all_feeds_complete &= i == SHARD_PURGE || controller->publisher.feed_complete_round[i] + 2 >=
@@ -201,7 +208,7 @@
 	if (!all_feeds_complete)
 		return;
 	controller->publisher.tick_declared_at_ms = now;
-	controller->publisher.tick++;
-	relay_publish(&controller->relay, controller->publisher.tick, controller->publisher.tick, NULL, now,
-		      out);
+	controller->publisher.declared_tick++;
+	relay_publish(&controller->relay, controller->publisher.declared_tick,
+		      controller->publisher.declared_tick, NULL, now, out);
 }
--- a/lib/control/purge_publisher.h
+++ b/lib/control/purge_publisher.h
@@ -14,13 +14,13 @@
 
 /* Answer a publisher's request for the newest purge decisions of a shard; replies with a hint when this node
  * does not lead the shard. */
-void on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
-		     struct command_list *out);
+void publisher_on_feed_request(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			       struct command_list *out);
 
-/* Process a shard's reply with its purge decisions: log the new ones, at most CONTROLLER_PURGE_BATCH at a
+/* Process a shard's reply with its purge decisions: log the new ones, at most CONTROLLER_MAX_PURGE_BATCH at a
  * time. */
-void on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
-		   struct command_list *out);
+void publisher_on_feed_reply(struct controller *controller, const struct Nl__Msg *message, int64_t now,
+			     struct command_list *out);
 
 /* Publish a value that this publisher has logged and that is now committed, with silence for the ticks before
  * it. is_new is false when the value's feed has supplied it before; its tick is then published as silence. */
--- a/lib/control/quota_shares.c
+++ b/lib/control/quota_shares.c
@@ -132,7 +132,7 @@
 				     const struct controller_quota_share *share, const char *limit_name,
 				     uint32_t limit_slots)
 {
-	struct controller_quota *limits = request->quota->limits;
+	struct controller_quota_limit *limits = request->quota->limits;
 
 	return compute_share(shget(limits, limit_name), share, limit_name, limit_slots,
 			     limit_slots / request->router_count / 4, request->now);
--- a/lib/control/recovery.c
+++ b/lib/control/recovery.c
@@ -63,8 +63,8 @@
 	return json;
 }
 
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
-		    struct command_list *out)
+void recovery_on_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		      struct command_list *out)
 {
 	uint64_t lost_ids[RECOVERY_MAX_LOST_CONTROLLERS];
 	int lost_count = parse_lost_ids(event->payload.api_call.body, lost_ids), recovered_count = 0;
--- a/lib/control/recovery.h
+++ b/lib/control/recovery.h
@@ -12,8 +12,9 @@
 
 /* Handle POST /v1/recover. The body {"lost":["00112233445566aa", ...]} names the controllers that are lost
  * permanently. For each group, the answer reports whether it was recovered here, the reason if not, and its
- * members. With an empty list no group is recovered. Example: recover_groups(controller, event, now, out); */
-void recover_groups(struct controller *controller, const struct controller_event *event, int64_t now,
-		    struct command_list *out);
+ * members. With an empty list no group is recovered. Example: recovery_on_call(controller, event, now, out);
+ */
+void recovery_on_call(struct controller *controller, const struct controller_event *event, int64_t now,
+		      struct command_list *out);
 
 #endif
--- a/lib/control/retention.c
+++ b/lib/control/retention.c
@@ -31,13 +31,13 @@
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
 		if (node->id == member_id && node->wall_clock_ms &&
-		    now - node->observed_at_ms <= CONTROLLER_NODE_LIVE_MS)
-			unix_ms = node->wall_clock_ms + (now - node->observed_at_ms);
+		    now - node->last_request_at_ms <= CONTROLLER_NODE_LIVE_MS)
+			unix_ms = node->wall_clock_ms + (now - node->last_request_at_ms);
 	}
 	return unix_ms;
 }
 
-int64_t retention_wall_clock(const struct controller *controller, int64_t now)
+int64_t retention_majority_wall_clock_ms(const struct controller *controller, int64_t now)
 {
 	const struct raft *raft = &controller->shards[SHARD_CONTROL];
 	int64_t clocks[RAFT_MAX_MEMBERS]; /* sorted, latest first */
@@ -68,8 +68,9 @@
 
 	operation.body_case = NL__OPERATION__BODY_RETENTION_STEP;
 	operation.retention_step = step;
-	controller->retention.logged_index = log_operation(controller, SHARD_CONTROL, &operation, now, out);
-	return controller->retention.logged_index;
+	controller->retention.last_step_index =
+	    log_operation(controller, SHARD_CONTROL, &operation, now, out);
+	return controller->retention.last_step_index;
 }
 
 /* The time from which the periods of a row without a due time are counted: the last purge of its scope, so
@@ -145,7 +146,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
-		if (node->is_router && now - node->observed_at_ms < CONTROLLER_NODE_LIVE_MS &&
+		if (node->is_router && now - node->last_request_at_ms < CONTROLLER_NODE_LIVE_MS &&
 		    node->load_pressure > RETENTION_MAX_LOAD_PRESSURE_PERMILLE)
 			return 1;
 	}
@@ -196,7 +197,7 @@
 	struct retention *retention = &controller->retention;
 
 	if (now - retention->done_checked_at_ms < RETENTION_DONE_CHECK_INTERVAL_MS ||
-	    now - controller->leadership[SHARD_CONTROL].since_ms < RETENTION_NODE_TIMEOUT_MS)
+	    now - controller->leadership[SHARD_CONTROL].started_at_ms < RETENTION_NODE_TIMEOUT_MS)
 		return 0; /* a new leader first needs a report from each node */
 	retention->done_checked_at_ms = now;
 	for (ptrdiff_t i = 0; i < arrlen(retention->purges); i++) {
@@ -230,10 +231,10 @@
 	    !leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	if (now - retention->polled_at_ms < RETENTION_POLL_INTERVAL_MS ||
-	    retention->logged_index > controller->shards[SHARD_CONTROL].log.applied_index)
+	    retention->last_step_index > controller->shards[SHARD_CONTROL].log.applied_index)
 		return;
 	retention->polled_at_ms = now;
-	unix_ms = retention_wall_clock(controller, now);
+	unix_ms = retention_majority_wall_clock_ms(controller, now);
 	if (unix_ms == INT64_MIN)
 		return;
 	if (log_next_due(controller, unix_ms, now, out) || log_next_slice(controller, unix_ms, now, out) ||
@@ -291,10 +292,10 @@
 		int compact = may_compact_claims(controller, shard, now);
 
 		if (!leads_shard(controller, shard, now) ||
-		    now - controller->compaction[shard].checked_at_ms < RETENTION_TRIM_INTERVAL_MS ||
+		    now - controller->compaction[shard].trim_logged_at_ms < RETENTION_TRIM_INTERVAL_MS ||
 		    (tick <= trimmed_tick(controller, shard) && !compact))
 			continue;
-		controller->compaction[shard].checked_at_ms = now;
+		controller->compaction[shard].trim_logged_at_ms = now;
 		trim.purged_tick = tick;
 		trim.compacted = compact;
 		operation.body_case = NL__OPERATION__BODY_TRIM;
--- a/lib/control/retention.h
+++ b/lib/control/retention.h
@@ -32,6 +32,6 @@
 
 /* The time in ms since 1970 that a majority of the control shard's voters has reached, so that a jump of a
  * single clock has no effect. INT64_MIN when no majority has reported its clock recently. */
-int64_t retention_wall_clock(const struct controller *controller, int64_t now);
+int64_t retention_majority_wall_clock_ms(const struct controller *controller, int64_t now);
 
 #endif
--- a/lib/control/retention_progress.c
+++ b/lib/control/retention_progress.c
@@ -82,7 +82,7 @@
 	char planned_route[RETENTION_SCOPE_BYTES], planned_tenant[RETENTION_SCOPE_BYTES];
 
 	(void)retention_parse_scope(purge->scope, route, tenant);
-	if (purge->wide || scope == RETENTION_ANY || (!route[0] && !tenant[0]))
+	if (purge->wide || scope == RETENTION_ANY_SCOPE || (!route[0] && !tenant[0]))
 		return 1;
 	for (ptrdiff_t i = 0; scope && i < arrlen(controller->retention.plans); i++)
 		if (retention_parse_scope(controller->retention.plans[i]->scope, planned_route,
@@ -143,8 +143,8 @@
 	for (ptrdiff_t i = 0; i < arrlen(controller->membership.nodes); i++) {
 		const struct controller_node_status *node = &controller->membership.nodes[i];
 
-		if (node->is_router && now - node->observed_at_ms < RETENTION_NODE_TIMEOUT_MS &&
-		    node->horizon < tick)
+		if (node->is_router && now - node->last_request_at_ms < RETENTION_NODE_TIMEOUT_MS &&
+		    node->purge_horizon < tick)
 			add_missing_condition(
 			    missing,
 			    "router %s has not received the purge yet and routes without cached prefixes",
--- a/lib/control/retention_report.c
+++ b/lib/control/retention_report.c
@@ -50,12 +50,12 @@
  * has reported its clock. */
 static int64_t shown_wall_clock(const struct controller *controller, int is_leader, int64_t now)
 {
-	int64_t agreed = is_leader ? retention_wall_clock(controller, now) : INT64_MIN;
+	int64_t agreed = is_leader ? retention_majority_wall_clock_ms(controller, now) : INT64_MIN;
 
 	return agreed != INT64_MIN ? agreed : controller->clocks.wall_ms;
 }
 
-const char *retention_json(struct controller *controller, int64_t now, apr_pool_t *pool)
+const char *retention_report_json(struct controller *controller, int64_t now, apr_pool_t *pool)
 {
 	struct json_object *json = json_object_new_object();
 	struct json_object *purges = json_object_new_array();
@@ -92,7 +92,7 @@
 			    time.tm_mday, time.tm_hour, time.tm_min, time.tm_sec);
 }
 
-const char *retention_csv(const struct controller *controller, apr_pool_t *pool)
+const char *retention_report_csv(const struct controller *controller, apr_pool_t *pool)
 {
 	const char *text =
 	    "number,scope,whole fleet,by,due,decided,unreachable,done,missed due times,window lapsed under load\n";
--- a/lib/control/retention_state.c
+++ b/lib/control/retention_state.c
@@ -206,7 +206,7 @@
 		return PROPOSAL_REJECTED;
 	plan->due_at_ms = step->next_due_at_ms;
 	plan->planned_at_ms = step->wall_clock_ms;
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 /* Begin the purge of a due time. The same entry sets the next due time, so a due time leads to one purge
@@ -222,7 +222,7 @@
 	plan->due_at_ms = step->next_due_at_ms;
 	begin_purge(context, step, "schedule", row->spread_ms, !plan->settled);
 	plan->settled |= step->wall_clock_ms - plan->planned_at_ms >= RETENTION_PROPAGATION_MS;
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 static enum proposal_status apply_now(const struct entry_context *context,
@@ -231,7 +231,7 @@
 	const struct Nl__RetentionPlan *plan = find_plan(context->retention, step->scope);
 
 	begin_purge(context, step, step->requested_by, 0, !plan || !plan->settled);
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 static enum proposal_status apply_slice(const struct entry_context *context,
@@ -245,7 +245,7 @@
 	purge->late |= step->late;
 	if (purge->slices == PURGE_SLICES)
 		purge->sliced_at_ms = step->wall_clock_ms;
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 static enum proposal_status apply_done(const struct entry_context *context,
@@ -256,7 +256,7 @@
 	if (!purge || purge->slices < PURGE_SLICES || purge->done_at_ms)
 		return PROPOSAL_REJECTED;
 	purge->done_at_ms = step->wall_clock_ms;
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 enum proposal_status retention_apply(struct retention *retention, const struct config_table *table,
--- a/lib/control/retention_state.h
+++ b/lib/control/retention_state.h
@@ -28,12 +28,13 @@
 	RETENTION_REPORT_TTL_MS = 60000     /* a report of an index holder is dropped at this age */
 };
 
-#define RETENTION_ANY UINT64_MAX /* scope of a remainder that an index holder reports without a scope */
+#define RETENTION_ANY_SCOPE UINT64_MAX /* scope of a remainder that an index holder reports without a scope \
+					*/
 
 /* Cached blocks of an older purge number that a server still reports. */
 struct retention_remainder {
 	char *server;   /* owned */
-	uint64_t scope; /* namespace hash, or RETENTION_ANY */
+	uint64_t scope; /* namespace hash, or RETENTION_ANY_SCOPE */
 	uint64_t purge_number;
 	uint32_t block_count; /* 0: the server has sent no report since the purge */
 };
@@ -56,15 +57,15 @@
 
 	/* soft state of the leader, lost when its leadership ends */
 	/* log index of the last proposed step; the next is proposed after it is applied */
-	uint64_t logged_index;
+	uint64_t last_step_index;
 	int64_t polled_at_ms;
 	int64_t done_checked_at_ms;
 	struct retention_index_report *index_reports; /* stb_ds; owned */
 };
 
 /* Apply one step from the log entry at index. Slices that the step decides are appended to the purge feed and
- * numbered from index. Returns PROPOSAL_DONE, or PROPOSAL_REJECTED when the state has changed since the step
- * was proposed, so that it does not apply any more. */
+ * numbered from index. Returns PROPOSAL_APPLIED, or PROPOSAL_REJECTED when the state has changed since the
+ * step was proposed, so that it does not apply any more. */
 enum proposal_status retention_apply(struct retention *retention, const struct config_table *table,
 				     struct Nl__Value ***feed, uint64_t index,
 				     const struct Nl__RetentionStep *step);
--- a/lib/control/rollout.c
+++ b/lib/control/rollout.c
@@ -49,7 +49,7 @@
 	command->args.call.addr = addr;
 	command->args.call.path = path;
 	command->args.call.body = body;
-	command->args.call.limit_ms = CALL_TIMEOUT_MS;
+	command->args.call.timeout_ms = CALL_TIMEOUT_MS;
 	command->args.call.not_after_ms = not_after_ms;
 }
 
@@ -82,7 +82,7 @@
 
 	return purge_view_allows(view, server->service, json_string_member(block, "w"), maker, server->name,
 				 stamp_tick) &&
-	       purge_view_keeps_context(view, server->service, maker, hash, stamp_tick);
+	       purge_view_allows_context(view, server->service, maker, hash, stamp_tick);
 }
 
 /* The reported blocks that the server has to drop, as an array that the caller releases. */
@@ -106,14 +106,14 @@
 static bool may_command_shard(const struct controller *controller, uint32_t shard, int64_t now)
 {
 	return leads_shard(controller, shard, now) &&
-	       now - controller->leadership[shard].since_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS;
+	       now - controller->leadership[shard].started_at_ms >= CONTROLLER_ROLLOUT_HOLD_OFF_MS;
 }
 
 static void check_reported_blocks(struct controller *controller, struct controller_server *server,
 				  const struct Nl__Row *row, struct json_object *blocks, int64_t now,
 				  struct command_list *out)
 {
-	uint32_t shard = core_shard_of(server->service, SHARD_SERVICES);
+	uint32_t shard = core_service_shard(server->service, SHARD_SERVICES);
 	struct json_object *purged = find_purged_blocks(controller, server, blocks);
 
 	if (!json_object_array_length(purged)) {
@@ -131,8 +131,8 @@
 	}
 }
 
-void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body,
-		       int64_t now, struct command_list *out)
+void rollout_on_server_report(struct controller *controller, struct controller_server *server,
+			      const char *body, int64_t now, struct command_list *out)
 {
 	struct json_object *json = json_tokener_parse(body);
 	const struct Nl__Row *row =
@@ -158,7 +158,7 @@
 
 	if (!server)
 		server = add_server(controller, row, now);
-	if (now - server->polled_at_ms < CONTROLLER_REPORT_POLL_MS)
+	if (now - server->polled_at_ms < CONTROLLER_REPORT_POLL_INTERVAL_MS)
 		return;
 	server->polled_at_ms = now;
 	server->call_token = ++controller->identity.last_token;
@@ -174,7 +174,7 @@
 static bool is_rolled_out(struct controller *controller, const char *service_name, const char *weights)
 {
 	struct controller_service_state *state =
-	    service_shard_state(controller, core_shard_of(service_name, SHARD_SERVICES));
+	    service_shard_state(controller, core_service_shard(service_name, SHARD_SERVICES));
 	ptrdiff_t i = shgeti(state->rolled_out, service_name);
 
 	return i < 0 || !strcmp(state->rolled_out[i].value, weights);
@@ -232,9 +232,9 @@
 	int servers_per_wave = (server_count + 2) / 3;
 
 	if (!target->rollout_started_at_ms ||
-	    target->rollout_started_at_ms < controller->leadership[shard].since_ms)
+	    target->rollout_started_at_ms < controller->leadership[shard].started_at_ms)
 		target->rollout_started_at_ms = now;
-	if (controller->leadership[shard].since_ms <= target->incomplete_since_ms)
+	if (controller->leadership[shard].started_at_ms <= target->incomplete_since_ms)
 		deadline_ms -= CONTROLLER_FAILOVER_MS;
 	if (now >= deadline_ms || target->rollout_started_at_ms >= deadline_ms)
 		return server_count;
@@ -285,12 +285,12 @@
 {
 	const char *weights = rollout->service->target_weights;
 
-	if (now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_MS ||
+	if (now - server->reported_at_ms > 2 * CONTROLLER_REPORT_POLL_INTERVAL_MS ||
 	    !strcmp(server->weights, weights) || !strcmp(server->loading, weights) ||
-	    now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_MS)
+	    now - server->commanded_at_ms < CONTROLLER_REPORT_POLL_INTERVAL_MS)
 		return 0;
 	return server->load_commanded_at_ms < rollout->target->targeted_at_ms ||
-	       now - server->load_commanded_at_ms >= 2 * CONTROLLER_REPORT_POLL_MS;
+	       now - server->load_commanded_at_ms >= 2 * CONTROLLER_REPORT_POLL_INTERVAL_MS;
 }
 
 static void command_load(struct controller *controller, struct controller_server *server,
@@ -383,7 +383,8 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVER && core_shard_of(row->service, SHARD_SERVICES) == shard)
+		if (row->kind == NL__KIND__SERVER &&
+		    core_service_shard(row->service, SHARD_SERVICES) == shard)
 			poll_server(controller, row, now, out);
 	}
 	if (!may_command_shard(controller, shard, now))
@@ -391,7 +392,7 @@
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++) {
 		const struct Nl__Row *row = table->rows[i].value.row;
 
-		if (row->kind == NL__KIND__SERVICE && core_shard_of(row->name, SHARD_SERVICES) == shard)
+		if (row->kind == NL__KIND__SERVICE && core_service_shard(row->name, SHARD_SERVICES) == shard)
 			roll_out_service(controller, row, shard, now, out);
 	}
 }
--- a/lib/control/rollout.h
+++ b/lib/control/rollout.h
@@ -59,9 +59,10 @@
 void rollout_on_target_change(struct controller *controller, int64_t last_unchanged_ms);
 
 /* Process the JSON report of a server that is a row of the table: record its weights, and command it to drop
- * the cached blocks that a purge covers. Example: rollout_on_report(controller, server, body, now, out); */
-void rollout_on_report(struct controller *controller, struct controller_server *server, const char *body,
-		       int64_t now, struct command_list *out);
+ * the cached blocks that a purge covers. Example: rollout_on_server_report(controller, server, body, now,
+ * out); */
+void rollout_on_server_report(struct controller *controller, struct controller_server *server,
+			      const char *body, int64_t now, struct command_list *out);
 
 /* Begin a term as the leader of the control shard. Servers that are already loading will be polled.
  * Example: rollout_start_term(controller, now); */
@@ -83,8 +84,8 @@
 			   int loading, int64_t now);
 
 /* Apply the log entry of a load command to a listed server; the command may be sent from now on.
- * Example: rollout_intent_logged(controller, "i-7", now); */
-void rollout_intent_logged(struct controller *controller, const char *server, int64_t now);
+ * Example: rollout_on_intent_logged(controller, "i-7", now); */
+void rollout_on_intent_logged(struct controller *controller, const char *server, int64_t now);
 
 /* Initialise the state. Commands that were logged before now are unknown to it. */
 void rollout_open(struct rollout *rollout, int64_t now);
--- a/lib/control/rollout_command.c
+++ b/lib/control/rollout_command.c
@@ -74,7 +74,7 @@
 
 /* ---- from the notice to the load command ---- */
 
-void rollout_intent_logged(struct controller *controller, const char *server, int64_t now)
+void rollout_on_intent_logged(struct controller *controller, const char *server, int64_t now)
 {
 	for (ptrdiff_t i = shlen(controller->rollout.intents) - 1; i >= 0; i--)
 		if (now - controller->rollout.intents[i].value > INTENT_TTL_MS)
@@ -86,7 +86,7 @@
 {
 	struct rollout_intent *intents = rollout->intents;
 	ptrdiff_t i = shgeti(intents, name);
-	int64_t intent_logged_at_ms = rollout->unknown_until_ms; /* the latest possible time */
+	int64_t intent_logged_at_ms = rollout->intents_unknown_until_ms; /* the latest possible time */
 
 	if (i >= 0 && intents[i].value > intent_logged_at_ms)
 		intent_logged_at_ms = intents[i].value;
@@ -191,7 +191,7 @@
 	    apr_psprintf(out->pool, "%016" APR_UINT64_T_HEX_FMT, controller->identity.id);
 	command->args.load_weights.not_after_ms = not_after_ms;
 	command->args.load_weights.during_requests =
-	    mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN);
+	    mechanism_is_enabled(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN);
 	log_line(controller, "rollout", out->pool,
 		 "load command sent to listed server %s, current weights %s, target weights %s, model %s",
 		 instance->server, instance->weights, server->target_weights, model);
--- a/lib/control/rollout_instances.c
+++ b/lib/control/rollout_instances.c
@@ -21,7 +21,7 @@
 	memset(rollout, 0, sizeof *rollout);
 	sh_new_strdup(rollout->models);
 	sh_new_strdup(rollout->intents);
-	rollout->unknown_until_ms = now;
+	rollout->intents_unknown_until_ms = now;
 }
 
 void rollout_close(struct rollout *rollout)
@@ -42,7 +42,8 @@
 	if (rollout->term && term == rollout->term + 1)
 		rollout->takeover_wait_ms = 0;
 	else
-		rollout->takeover_wait_ms = controller->bounds.lease_ms + ROLLOUT_TAKEOVER_MARGIN_MS;
+		rollout->takeover_wait_ms =
+		    controller->bounds.load_lease_wait_ms + ROLLOUT_TAKEOVER_MARGIN_MS;
 	rollout->term_started_at_ms = now;
 	rollout->term = term;
 	rollout->command_sequence = 0;
@@ -314,14 +315,15 @@
 	const struct config_table *table = &controller->config.table;
 	int any_command_active, all_complete = 1;
 
-	if (!controller->bounds.discover_instances)
+	if (!controller->bounds.use_endpoint_list)
 		return;
 	add_model_paces(controller);
 	if (!leads_shard(controller, SHARD_CONTROL, now))
 		return;
 	any_command_active = drop_ended_servers(controller);
-	instances_tick(&controller->instances, any_command_active, controller->bounds.list_calls_millihertz,
-		       ++controller->identity.last_token, now, out);
+	instances_tick(&controller->instances, any_command_active,
+		       controller->bounds.endpoint_list_calls_millihertz, ++controller->identity.last_token,
+		       now, out);
 	if (!controller->instances.is_publishable ||
 	    (rollout->completed_stamp == controller->instances.stamp &&
 	     rollout->completed_revision == table->revision))
--- a/lib/control/rollout_pace.c
+++ b/lib/control/rollout_pace.c
@@ -44,7 +44,7 @@
 {
 	int64_t notice_ms = expected_load_ms(controller, pace) / ROLLOUT_NOTICE_DIVISOR;
 
-	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN))
+	if (!mechanism_is_enabled(controller->bounds.disabled_mechanisms, MECHANISM_RETAIN))
 		return 0;
 	return notice_ms < ROLLOUT_NOTICE_MAX_MS ? notice_ms : ROLLOUT_NOTICE_MAX_MS;
 }
@@ -74,7 +74,7 @@
 			    const char *weights)
 {
 	const struct Nl__TargetVersion *next_version =
-	    version_history_after(model, strtoull(weights, NULL, 10));
+	    version_history_first_newer(model, strtoull(weights, NULL, 10));
 
 	if (!next_version)
 		return INT64_MIN;
@@ -142,7 +142,7 @@
 	if (urgent_count)
 		return urgent_concurrency(controller, pace, urgent_count, deadlines_ms, occupied_slot_count,
 					  now);
-	if (!mechanism_on(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
+	if (!mechanism_is_enabled(controller->bounds.disabled_mechanisms, MECHANISM_PACE))
 		return pace->base_concurrency;
 	if (!occupied_slot_count)
 		pace->loading_since_ms = now;
--- a/lib/control/rollout_pace.h
+++ b/lib/control/rollout_pace.h
@@ -13,7 +13,7 @@
 
 /* How long before its load command routers stop sending requests to a server, so that the notice reaches the
  * routers and most requests running on the server have ended. 0 when the deadline is too near for a notice.
- * Example: if (now - since_ms < rollout_notice_ms(controller, "lm", deadline_ms, now)) return; */
+ * Example: if (now - started_at_ms < rollout_notice_ms(controller, "lm", deadline_ms, now)) return; */
 int64_t rollout_notice_ms(const struct controller *controller, const char *model, int64_t deadline_ms,
 			  int64_t now);
 
--- a/lib/control/rollout_state.h
+++ b/lib/control/rollout_state.h
@@ -2,7 +2,7 @@
  * list.
  *
  * It is soft state of the control shard's leader, except for the logged intents, which all members of the
- * shard keep. The rollout modules write it; controller.c sets unknown_until_ms. */
+ * shard keep. The rollout modules write it; controller.c sets intents_unknown_until_ms. */
 #ifndef NL_ROLLOUT_STATE_H
 #define NL_ROLLOUT_STATE_H
 
@@ -54,12 +54,12 @@
 
 /* The rollout to listed servers. */
 struct rollout {
-	struct rollout_server *servers; /* stb_ds */
-	struct rollout_model *models;   /* stb_ds map, by model name */
-	uint64_t term;                  /* in which this node last led the control shard */
-	uint64_t command_sequence;      /* sequence number of the newest command in this term */
-	struct rollout_intent *intents; /* stb_ds map, by server name; kept on followers too */
-	int64_t unknown_until_ms;       /* intents applied up to this time may be missing here */
+	struct rollout_server *servers;   /* stb_ds */
+	struct rollout_model *models;     /* stb_ds map, by model name */
+	uint64_t term;                    /* in which this node last led the control shard */
+	uint64_t command_sequence;        /* sequence number of the newest command in this term */
+	struct rollout_intent *intents;   /* stb_ds map, by server name; kept on followers too */
+	int64_t intents_unknown_until_ms; /* intents applied up to this time may be missing here */
 	int64_t term_started_at_ms;
 	/* wait for commands of an earlier leader to expire, counted from the end of their intent's validity
 	 */
--- a/lib/control/snapshot.c
+++ b/lib/control/snapshot.c
@@ -20,8 +20,8 @@
 	struct config_table_row *rows = controller->config.table.rows;
 	char **sorted_keys = apr_palloc(pool, ((size_t)shlen(rows) + 1) * sizeof *sorted_keys);
 
-	config_table_since(&controller->config.table, 0, &all_rows, pool);
-	state.fleet_id = controller->identity.fleet;
+	config_table_pack_since(&controller->config.table, 0, &all_rows, pool);
+	state.fleet_id = controller->identity.fleet_id;
 	state.revision = controller->config.table.revision;
 	state.operator_revision = controller->config.table.operator_revision;
 	state.group_clock_ms = controller->config.table.clock.at_ms;
@@ -49,13 +49,13 @@
 {
 	struct Nl__PurgeState state = NL__PURGE_STATE__INIT;
 	struct Nl__FeedOffset offsets[SHARD_COUNT], *offset_pointers[SHARD_COUNT];
-	struct purge_view_row *subjects = purge_state->last_view.subjects;
+	struct purge_view_row *subjects = purge_state->newest_purges.subjects;
 
-	state.ceiling = purge_state->ceiling;
-	state.released = purge_state->released;
+	state.ceiling = purge_state->tick_ceiling;
+	state.released = purge_state->released_tick;
 	state.purged_tick = purge_state->purged_tick;
-	state.values = purge_state->values;
-	state.n_values = (size_t)arrlen(purge_state->values);
+	state.values = purge_state->unreleased_values;
+	state.n_values = (size_t)arrlen(purge_state->unreleased_values);
 	state.latest = apr_palloc(pool, ((size_t)hmlen(subjects) + 1) * sizeof *state.latest);
 	for (ptrdiff_t i = 0; i < hmlen(subjects); i++) {
 		size_t k = state.n_latest++;
@@ -123,8 +123,8 @@
 	return core_pack_message(pool, &state.base, size_bytes);
 }
 
-uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
-			  size_t *size_bytes)
+uint8_t *snapshot_pack_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
+			     size_t *size_bytes)
 {
 	if (shard == SHARD_CONTROL)
 		return pack_control_state(controller, pool, size_bytes);
@@ -171,7 +171,7 @@
 	all_rows.revision = state->revision;
 	all_rows.set = state->rows;
 	all_rows.n_set = state->n_rows;
-	(void)config_table_follow(&config->table, &all_rows);
+	(void)config_table_apply_reply(&config->table, &all_rows);
 	config->table.operator_revision = state->operator_revision;
 	config->table.clock.at_ms = state->group_clock_ms;
 	config->table.floor_revision = state->revision;
@@ -181,18 +181,18 @@
 
 static void load_purge_state(struct controller_purge_state *purge_state, const struct Nl__PurgeState *state)
 {
-	free_purge_values(&purge_state->values);
-	purge_view_clear(&purge_state->last_view);
+	free_purge_values(&purge_state->unreleased_values);
+	purge_view_clear(&purge_state->newest_purges);
 	memset(purge_state, 0, sizeof *purge_state);
 	if (!state)
 		return;
-	purge_state->ceiling = state->ceiling;
-	purge_state->released = state->released;
+	purge_state->tick_ceiling = state->ceiling;
+	purge_state->released_tick = state->released;
 	purge_state->purged_tick = state->purged_tick;
 	for (size_t i = 0; i < state->n_values; i++)
-		arrput(purge_state->values, value_copy(state->values[i]));
+		arrput(purge_state->unreleased_values, value_copy(state->values[i]));
 	for (size_t i = 0; i < state->n_latest; i++)
-		purge_view_apply(&purge_state->last_view, state->latest[i]);
+		purge_view_apply(&purge_state->newest_purges, state->latest[i]);
 	for (size_t i = 0; i < state->n_feed_offsets; i++)
 		if (state->feed_offsets[i]->feed < SHARD_COUNT)
 			purge_state->published_index[state->feed_offsets[i]->feed] =
@@ -227,15 +227,15 @@
 						const ProtobufCMessageDescriptor *descriptor,
 						apr_pool_t *pool)
 {
-	return core_unpack_message(pool, descriptor, raft->snapshots.newest.data_len,
-				   raft->snapshots.newest.data);
+	return core_unpack_message(pool, descriptor, raft->snapshots.newest.state_len,
+				   raft->snapshots.newest.state);
 }
 
 void snapshot_load(struct controller *controller, uint32_t shard, apr_pool_t *pool)
 {
 	const struct raft *raft = &controller->shards[shard];
 
-	controller->epoch[shard] = raft_epoch(raft->snapshots.newest.term);
+	controller->applied_epoch[shard] = raft_epoch(raft->snapshots.newest.term);
 	if (shard == SHARD_CONTROL)
 		load_control_state(controller, (struct Nl__ControlState *)unpack_newest_snapshot(
 						   raft, &nl__control_state__descriptor, pool));
@@ -256,6 +256,6 @@
 
 	if (service_shard_state(controller, shard))
 		expire_claims(service_shard_state(controller, shard));
-	packed = controller_state(controller, shard, out->pool, &size_bytes);
-	raft_snapshot(&controller->shards[shard], packed, size_bytes);
+	packed = snapshot_pack_state(controller, shard, out->pool, &size_bytes);
+	raft_take_snapshot(&controller->shards[shard], packed, size_bytes);
 }
--- a/lib/control/snapshot.h
+++ b/lib/control/snapshot.h
@@ -26,8 +26,8 @@
 
 /* Return the packed state of a shard as it is stored in a snapshot, allocated in the pool. Tests compare
  * the states of members with it.
- * Example: data = controller_state(controller, shard, pool, &size); */
-uint8_t *controller_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
-			  size_t *size_bytes);
+ * Example: data = snapshot_pack_state(controller, shard, pool, &size); */
+uint8_t *snapshot_pack_state(const struct controller *controller, uint32_t shard, apr_pool_t *pool,
+			     size_t *size_bytes);
 
 #endif
--- a/lib/control/state_machine.c
+++ b/lib/control/state_machine.c
@@ -31,7 +31,7 @@
 enum proposal_status repeated_request_status(const struct idempotency_record *accepted,
 					     const struct request_key *request_key)
 {
-	return request_key_equal(&accepted->key, request_key) ? PROPOSAL_DONE : PROPOSAL_KEY_REUSED;
+	return request_key_equal(&accepted->key, request_key) ? PROPOSAL_APPLIED : PROPOSAL_KEY_REUSED;
 }
 
 void store_document(struct controller *controller, const uint8_t *data, size_t size_bytes, uint64_t version)
@@ -71,7 +71,7 @@
 {
 	struct request_key request_key = request_key_unpack(operation->request_key);
 
-	if (status == PROPOSAL_DONE)
+	if (status == PROPOSAL_APPLIED)
 		idempotency_log_add(&controller->config.accepted_requests, &request_key, series, version);
 	completed_proposals_add(&controller->config.completed_proposals, operation, status);
 }
@@ -88,10 +88,10 @@
 	if (change->document_version <= controller->config.document_version)
 		return PROPOSAL_REJECTED;
 	status = config_table_apply(&controller->config.table, change, feed);
-	if (status != PROPOSAL_DONE)
+	if (status != PROPOSAL_APPLIED)
 		return status;
 	store_document(controller, change->document.data, change->document.len, change->document_version);
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 static enum proposal_status apply_change(struct controller *controller, uint64_t feed_index,
@@ -116,7 +116,7 @@
 		nl__purge__free_unpacked(decided_purges[i], NULL);
 	}
 	arrfree(decided_purges);
-	if (status == PROPOSAL_DONE)
+	if (status == PROPOSAL_APPLIED)
 		retention_on_config_change(&controller->retention, &config->table, &config->purge_feed,
 					   feed_index);
 	return status;
@@ -177,7 +177,7 @@
 			shput(service->claims, key,
 			      ((typeof(service->claims->value)){ claim->router_id, claim->seq,
 								 service->clock_ms, 1 }));
-		return PROPOSAL_DONE;
+		return PROPOSAL_APPLIED;
 	}
 	if (is_same_claim ? service->claims[found].value.is_released
 			  : found >= 0 && !service->claims[found].value.is_released)
@@ -186,7 +186,7 @@
 		shput(
 		    service->claims, key,
 		    ((typeof(service->claims->value)){ claim->router_id, claim->seq, service->clock_ms, 0 }));
-	return PROPOSAL_DONE;
+	return PROPOSAL_APPLIED;
 }
 
 void expire_claims(struct controller_service_state *service)
@@ -223,8 +223,8 @@
 	    !value->purge)
 		return false;
 	state->published_index[value->feed] = value->index;
-	arrput(state->values, value_copy(value));
-	purge_view_apply(&state->last_view, value);
+	arrput(state->unreleased_values, value_copy(value));
+	purge_view_apply(&state->newest_purges, value);
 	return true;
 }
 
@@ -232,31 +232,31 @@
 {
 	size_t released_count = 0;
 
-	if (reserve->ceiling > state->ceiling)
-		state->ceiling = reserve->ceiling;
-	while (released_count < (size_t)arrlen(state->values) &&
-	       state->values[released_count]->tick <= reserve->released)
-		value_free(state->values[released_count++]);
+	if (reserve->ceiling > state->tick_ceiling)
+		state->tick_ceiling = reserve->ceiling;
+	while (released_count < (size_t)arrlen(state->unreleased_values) &&
+	       state->unreleased_values[released_count]->tick <= reserve->released)
+		value_free(state->unreleased_values[released_count++]);
 	if (released_count)
-		arrdeln(state->values, 0, released_count);
-	if (reserve->released > state->released)
-		state->released = reserve->released;
+		arrdeln(state->unreleased_values, 0, released_count);
+	if (reserve->released > state->released_tick)
+		state->released_tick = reserve->released;
 }
 
 /* Process the start of an epoch, at the first operation after a recovery. Skips the revisions and ticks that
  * the lost members may have issued, so that none is issued twice. */
 static void enter_epoch(struct controller *controller, uint32_t shard, uint64_t epoch)
 {
-	if (epoch <= controller->epoch[shard])
+	if (epoch <= controller->applied_epoch[shard])
 		return;
-	controller->epoch[shard] = epoch;
+	controller->applied_epoch[shard] = epoch;
 	if (shard == SHARD_CONTROL) { /* every node fetches the complete table */
-		controller->config.table.revision += CONTROLLER_RECOVERY_SKIP;
+		controller->config.table.revision += CONTROLLER_RECOVERY_SKIPPED_NUMBERS;
 		controller->config.table.floor_revision = controller->config.table.operator_revision =
 		    controller->config.table.revision;
 	}
 	if (shard == SHARD_PURGE)
-		controller->purge_state.ceiling += CONTROLLER_RECOVERY_SKIP;
+		controller->purge_state.tick_ceiling += CONTROLLER_RECOVERY_SKIPPED_NUMBERS;
 }
 
 /* Advance the replicated clock that the operation carries: a service shard's own clock, or the control
@@ -289,11 +289,11 @@
 		break;
 	case NL__OPERATION__BODY_ROLLED_OUT:
 		result->commanded_server = operation->rolled_out->server;
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	case NL__OPERATION__BODY_TRIM:
 		trim_purge_feed(&controller->config.purge_feed, operation->trim->feed);
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	default:
 		break;
@@ -306,15 +306,15 @@
 	switch (operation->body_case) {
 	case NL__OPERATION__BODY_RESERVE:
 		apply_tick_reservation(&controller->purge_state, operation->reserve);
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	case NL__OPERATION__BODY_VALUE:
-		result->value_is_new = apply_purge_value(&controller->purge_state, operation->value);
+		result->is_value_new = apply_purge_value(&controller->purge_state, operation->value);
 		result->logged_value = operation->value;
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	case NL__OPERATION__BODY_TRIM:
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	default:
 		break;
@@ -331,11 +331,11 @@
 		break;
 	case NL__OPERATION__BODY_ROLLED_OUT:
 		apply_rolled_out_weights(service, shard, feed_index, operation->rolled_out);
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	case NL__OPERATION__BODY_TRIM:
 		trim_purge_feed(&service->purge_feed, operation->trim->feed);
-		result->status = PROPOSAL_DONE;
+		result->status = PROPOSAL_APPLIED;
 		break;
 	default:
 		break;
--- a/lib/control/state_machine.h
+++ b/lib/control/state_machine.h
@@ -21,7 +21,7 @@
 			     made; otherwise the table's revision */
 	const struct Nl__Value
 	    *logged_value; /* value of the purge stream in the entry, allocated in the pool; NULL: none */
-	bool value_is_new; /* the value was not logged before */
+	bool is_value_new; /* the value was not logged before */
 	const char *commanded_server; /* server whose load command is in the entry, allocated in the pool;
 					 NULL: none */
 };
@@ -31,8 +31,8 @@
 struct apply_result state_machine_apply(struct controller *controller, uint32_t shard, uint64_t entry_index,
 					const struct raft_entry *entry, apr_pool_t *pool);
 
-/* Return the status of a request whose key has been accepted before: PROPOSAL_DONE if the accepted request is
- * the same, PROPOSAL_KEY_REUSED if its content differs. */
+/* Return the status of a request whose key has been accepted before: PROPOSAL_APPLIED if the accepted request
+ * is the same, PROPOSAL_KEY_REUSED if its content differs. */
 enum proposal_status repeated_request_status(const struct idempotency_record *accepted,
 					     const struct request_key *request_key);
 
--- a/lib/control/version_history.c
+++ b/lib/control/version_history.c
@@ -82,7 +82,7 @@
 	return weights < version_history_newest(model) && version_history_newest(model) > FIRST_WEIGHTS;
 }
 
-const struct Nl__TargetVersion *version_history_after(const struct Nl__Row *model, uint64_t weights)
+const struct Nl__TargetVersion *version_history_first_newer(const struct Nl__Row *model, uint64_t weights)
 {
 	for (size_t i = 0; i < model->n_target_versions; i++)
 		if (model->target_versions[i]->weights > weights)
--- a/lib/control/version_history.h
+++ b/lib/control/version_history.h
@@ -48,8 +48,8 @@
 
 /* The first target version that is newer than these weights, owned by the row; NULL when there is none or its
  * date is unknown. Example: if (version_history_supersedes(model, 3) && !(version =
- * version_history_after(model, 3))) treat_as_expired(); */
-const struct Nl__TargetVersion *version_history_after(const struct Nl__Row *model, uint64_t weights);
+ * version_history_first_newer(model, 3))) treat_as_expired(); */
+const struct Nl__TargetVersion *version_history_first_newer(const struct Nl__Row *model, uint64_t weights);
 
 /* The number of a model's newest target version. Example: if (version_history_newest(model) > 3) roll_out();
  */
--- a/lib/core/commands.c
+++ b/lib/core/commands.c
@@ -41,7 +41,7 @@
 
 	command->args.answer.token = token;
 	command->args.answer.status = status;
-	command->args.answer.retry_ms = retry_ms;
+	command->args.answer.retry_after_ms = retry_ms;
 	command->args.answer.body = body;
 }
 
--- a/lib/core/commands.h
+++ b/lib/core/commands.h
@@ -50,7 +50,7 @@
 	int headers_sent;    /* an earlier attempt has sent the client headers and chunks: only chunks are
 				relayed */
 	int is_stream;       /* the response is relayed in complete chunks with increasing ids */
-	int idempotent;      /* the request may be sent again if the outcome of an attempt is unknown */
+	int is_idempotent;   /* the request may be sent again if the outcome of an attempt is unknown */
 	int max_connections; /* connections that this node may hold to the server; 0: unlimited */
 };
 
@@ -73,11 +73,11 @@
 	uint64_t truncate_from; /* stored entries from this index on are deleted before the write; 0: none */
 	size_t entry_count;
 	struct persist_entry *entries;
-	int scrub;               /* the bytes of deleted data must not remain in freed pages of the file */
+	int erase_deleted_bytes; /* the bytes of deleted data must not remain in freed pages of the file */
 	int has_snapshot;        /* the fields below are set */
 	uint64_t snapshot_index; /* index of the newest log entry that the snapshot includes */
 	uint64_t snapshot_term;
-	uint64_t drop_upto; /* stored entries up to this index are deleted */
+	uint64_t drop_up_to_index; /* stored entries up to this index are deleted */
 	size_t members_len;
 	size_t data_len;
 	const uint8_t *members; /* packed Nl__Members in force at snapshot_index */
@@ -96,8 +96,8 @@
 		struct persist *persist;
 		struct {
 			uint64_t token;
-			int status;   /* HTTP status code */
-			int retry_ms; /* delay after which the client should retry, in ms; 0: none */
+			int status;         /* HTTP status code */
+			int retry_after_ms; /* delay after which the client should retry, in ms; 0: none */
 			const char *body;
 			uint64_t redirect_addr; /* with status 307: address of the peer to whose listener the
 						   client is redirected */
@@ -115,8 +115,8 @@
 			const char *addr;
 			const char *path;
 			const char *body;
-			int limit_ms; /* time-out of the call */
-			int stream;   /* the response is relayed in chunks */
+			int timeout_ms; /* time-out of the call */
+			int is_stream;  /* the response is relayed in chunks */
 			int64_t not_after_ms;
 		} call;
 		struct {
@@ -148,11 +148,11 @@
 		struct {
 			uint64_t token;
 			uint64_t addr;
-			uint64_t since;     /* offset of the first event requested */
-			const char *server; /* incarnation that is expected at addr */
+			uint64_t first_offset; /* offset of the first event requested */
+			const char *server;    /* incarnation that is expected at addr */
 			int wait_ms;
-			int full; /* request all blocks that the server caches now; if 0, the events from
-				     offset since on */
+			int wants_all_blocks; /* request all blocks that the server caches now; if 0, the
+				     events from offset since on */
 		} watch_cache;
 	} args;
 };
--- a/lib/core/hashing.c
+++ b/lib/core/hashing.c
@@ -42,7 +42,7 @@
 	return mix(*state += SPLITMIX_INCREMENT);
 }
 
-uint32_t core_shard_of(const char *service, uint32_t service_shards)
+uint32_t core_service_shard(const char *service, uint32_t service_shards)
 {
 	return SHARD_SERVICE + (uint32_t)(core_hash_string(0, service) % service_shards);
 }
--- a/lib/core/hashing.h
+++ b/lib/core/hashing.h
@@ -26,7 +26,7 @@
 uint64_t core_random(uint64_t *state);
 
 /* Returns the shard that stores a service's state; service_shards is the number of service shards.
- * Example: core_shard_of("arrears", 4) is in 2..5 */
-uint32_t core_shard_of(const char *service, uint32_t service_shards);
+ * Example: core_service_shard("arrears", 4) is in 2..5 */
+uint32_t core_service_shard(const char *service, uint32_t service_shards);
 
 #endif
--- a/lib/core/mechanism.h
+++ b/lib/core/mechanism.h
@@ -40,8 +40,8 @@
 int mechanism_find(const char *name);
 
 /* Whether a mechanism is switched on; disabled_mechanisms is the bit set from struct bounds.
- * Example: if (mechanism_on(bounds->disabled_mechanisms, MECHANISM_FETCH)) ... */
-static inline int mechanism_on(uint32_t disabled_mechanisms, enum mechanism mechanism)
+ * Example: if (mechanism_is_enabled(bounds->disabled_mechanisms, MECHANISM_FETCH)) ... */
+static inline int mechanism_is_enabled(uint32_t disabled_mechanisms, enum mechanism mechanism)
 {
 	return !(disabled_mechanisms >> mechanism & 1);
 }
--- a/lib/core/purge_relay.c
+++ b/lib/core/purge_relay.c
@@ -39,7 +39,7 @@
 		arrput(relay->upstreams, log_addr);
 	relay->upstream_position = 0;
 	relay->upstream_selected_at_ms = now;
-	relay->requested_at_ms = 0; /* send curiosity to the new upstream at once */
+	relay->curiosity_sent_at_ms = 0; /* send curiosity to the new upstream at once */
 }
 
 uint64_t relay_acknowledged_tick(const struct relay *relay)
@@ -199,7 +199,7 @@
 	/* the values up to upto_tick are not stored here, so downstreams that lack them need a snapshot
 	 * too */
 	knowledge_release(&relay->knowledge, snapshot->upto_tick);
-	send_increments(relay, snapshot->upto_tick + 1, knowledge_reach(&relay->knowledge), now, out);
+	send_increments(relay, snapshot->upto_tick + 1, knowledge_highest_tick(&relay->knowledge), now, out);
 }
 
 static void send_purge_snapshot(struct relay *relay, uint64_t downstream_addr, int64_t request_clock_ms,
@@ -235,7 +235,7 @@
 	gap_count = requests_ranges ? knowledge_gaps(&relay->knowledge, gaps, MAX_REQUESTED_RANGES) : 0;
 	curiosity = MESSAGE_NEW(out, Nl__Curiosity, NL__CURIOSITY__INIT);
 	curiosity->acknowledged_tick = relay_acknowledged_tick(relay);
-	curiosity->highest_tick = knowledge_reach(&relay->knowledge);
+	curiosity->highest_tick = knowledge_highest_tick(&relay->knowledge);
 	curiosity->needs_snapshot = !relay->has_knowledge;
 	curiosity->request_clock_ms = now;
 	curiosity->wanted = apr_palloc(out->pool, MAX_REQUESTED_RANGES * sizeof *curiosity->wanted);
@@ -247,7 +247,7 @@
 		curiosity->wanted[i]->last = gaps[i].last;
 		curiosity->n_wanted++;
 	}
-	relay->requested_at_ms = now;
+	relay->curiosity_sent_at_ms = now;
 	upstream = relay->upstreams[relay->upstream_position % upstream_count];
 	command_send(out, upstream, SHARD_PURGE, NL__MSG__BODY_CURIOSITY)->curiosity = curiosity;
 }
@@ -286,7 +286,7 @@
 {
 	const struct Nl__Curiosity *curiosity = message->curiosity;
 	struct Nl__Knowledge *knowledge = MESSAGE_NEW(out, Nl__Knowledge, NL__KNOWLEDGE__INIT);
-	uint64_t highest_tick = knowledge_reach(&relay->knowledge);
+	uint64_t highest_tick = knowledge_highest_tick(&relay->knowledge);
 	int has_unknown_ticks = 0, all_held = 1;
 
 	for (size_t i = 0; i < curiosity->n_wanted; i++) {
@@ -315,13 +315,13 @@
 	if (!relay->has_knowledge)
 		return;
 	update_downstream(relay, message, now);
-	if (curiosity->needs_snapshot || curiosity->acknowledged_tick < relay->knowledge.released) {
+	if (curiosity->needs_snapshot || curiosity->acknowledged_tick < relay->knowledge.released_tick) {
 		send_purge_snapshot(relay, message->addr, curiosity->request_clock_ms, now, out);
 		return;
 	}
 	/* forward the request to our upstream, unless we sent curiosity less than PURGE_CURIOSITY_MS ago */
 	if (!answer_requested_ranges(relay, message, now, out) &&
-	    now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+	    now - relay->curiosity_sent_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, 1, now, out);
 }
 
@@ -329,12 +329,12 @@
 {
 	switch (message->body_case) {
 	case NL__MSG__BODY_KNOWLEDGE:
-		relay->received_at_ms = now;
+		relay->knowledge_received_at_ms = now;
 		if (!relay->is_publisher && relay->has_knowledge)
 			on_knowledge(relay, message->knowledge, now, out);
 		break;
 	case NL__MSG__BODY_PURGE_SNAPSHOT:
-		relay->received_at_ms = now;
+		relay->knowledge_received_at_ms = now;
 		if (!relay->is_publisher)
 			on_purge_snapshot(relay, message->purge_snapshot, now, out);
 		break;
@@ -355,7 +355,7 @@
 		return;
 	relay->upstream_position = (relay->upstream_position + 1) % (size_t)arrlen(relay->upstreams);
 	relay->upstream_selected_at_ms = now;
-	relay->requested_at_ms = 0;
+	relay->curiosity_sent_at_ms = 0;
 }
 
 void relay_tick(struct relay *relay, int64_t now, struct command_list *out)
@@ -375,7 +375,7 @@
 		return;
 	requests_ranges = !relay->has_knowledge || now - relay->horizon_moved_at_ms >= PURGE_STALL_MS ||
 			  knowledge_gaps(&relay->knowledge, gaps, 1);
-	if (now - relay->requested_at_ms >= PURGE_CURIOSITY_MS)
+	if (now - relay->curiosity_sent_at_ms >= PURGE_CURIOSITY_MS)
 		send_curiosity(relay, requests_ranges, now, out);
 	try_next_upstream(relay, now);
 }
--- a/lib/core/purge_relay.h
+++ b/lib/core/purge_relay.h
@@ -49,9 +49,9 @@
 					of messages */
 	int64_t known_at_ms; /* all purges decided up to this time are known; derived from the time of our own
 				request */
-	int64_t requested_at_ms;         /* when the last curiosity message was sent; 0: send one at once */
-	int64_t received_at_ms;          /* when the last knowledge or snapshot was received */
-	int64_t upstream_selected_at_ms; /* when the upstream in use was selected */
+	int64_t curiosity_sent_at_ms;     /* when the last curiosity message was sent; 0: send one at once */
+	int64_t knowledge_received_at_ms; /* when the last knowledge or snapshot was received */
+	int64_t upstream_selected_at_ms;  /* when the upstream in use was selected */
 	/* called with context for each value received; NULL: no callback */
 	void (*on_value)(void *context, const struct Nl__Value *value);
 	void *context;
--- a/lib/core/purge_view.c
+++ b/lib/core/purge_view.c
@@ -47,8 +47,8 @@
 	       !is_withdrawn(view, purge_subject_of(PURGE_SERVER, server, ""), stamp);
 }
 
-bool purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant,
-			      uint64_t block_hash, uint64_t stamp)
+bool purge_view_allows_context(const struct purge_view *view, const char *service, const char *tenant,
+			       uint64_t block_hash, uint64_t stamp)
 {
 	for (ptrdiff_t i = 0; i < arrlen(view->context_purges); i++) {
 		const struct Nl__Value *value = view->context_purges[i];
--- a/lib/core/purge_view.h
+++ b/lib/core/purge_view.h
@@ -33,9 +33,9 @@
 
 /* Whether no retention purge has withdrawn, since its stamp, a block that a request of this tenant cached
  * for this service.
- * Example: if (!purge_view_keeps_context(&view, "arrears", "t1", block_hash, stamp)) prefill_again(); */
-bool purge_view_keeps_context(const struct purge_view *view, const char *service, const char *tenant,
-			      uint64_t block_hash, uint64_t stamp);
+ * Example: if (!purge_view_allows_context(&view, "arrears", "t1", block_hash, stamp)) prefill_again(); */
+bool purge_view_allows_context(const struct purge_view *view, const char *service, const char *tenant,
+			       uint64_t block_hash, uint64_t stamp);
 
 /* Returns the newest tick that withdrew a subject, or 0 if none did; name and detail as for
  * purge_subject_of.
--- a/lib/core/raft.c
+++ b/lib/core/raft.c
@@ -5,7 +5,7 @@
  * Layers of the modules; each calls only modules below its own:
  *   raft.c                              events and their order within a step
  *   raft_replication, raft_reconfigure  appends, commit index, lease; changes of membership
- *   raft_snapshot, _transfer, _recovery snapshots and their transfer; planned stops; recovery
+ *   raft_take_snapshot, _transfer, _recovery snapshots and their transfer; planned stops; recovery
  *   raft_election                       roles, votes, vote barrier, election timer
  *   raft_drain                          which draining members may stop
  *   raft_members, _disk, _messages, _validate
@@ -43,10 +43,10 @@
 	if (sender)
 		sender->last_message_at_ms = now;
 	if (sender && message->body_case == NL__MSG__BODY_VOTE_REQUEST) {
-		sender->vote.last_index = message->vote_request->last_index;
-		sender->vote.last_term = message->vote_request->last_term;
+		sender->vote.last_log_index = message->vote_request->last_index;
+		sender->vote.last_log_term = message->vote_request->last_term;
 	}
-	if (!raft_is_of_this_epoch(raft, message, now, out))
+	if (!raft_accept_epoch(raft, message, now, out))
 		return RAFT_FAULT_NONE;
 	switch (message->body_case) {
 	case NL__MSG__BODY_VOTE_REQUEST:
@@ -97,7 +97,7 @@
 	raft_update_remaining_majority(raft, now);
 	if (raft->drain.requested && raft_hand_over_leadership(raft, now, out))
 		return;
-	if (now - raft->lease.last_heartbeat_at_ms >= RAFT_HEARTBEAT_MS) {
+	if (now - raft->lease.last_heartbeat_at_ms >= RAFT_HEARTBEAT_INTERVAL_MS) {
 		raft->lease.last_heartbeat_at_ms = now;
 		raft->lease
 		    .heartbeat_sent_at_ms[++raft->lease.heartbeat_round % RAFT_HEARTBEAT_ROUND_HISTORY] = now;
@@ -112,7 +112,7 @@
 
 	if (raft->fenced)
 		return;
-	if (raft->election.vote_barrier_unknown && now < raft->election.vote_barrier_until_ms &&
+	if (raft->election.is_probing_for_leader && now < raft->election.vote_barrier_until_ms &&
 	    now >= raft->election.next_probe_at_ms)
 		raft_send_probes(raft, now, out);
 	if (now < raft->election.timeout_at_ms || now < raft->election.vote_barrier_until_ms ||
@@ -151,7 +151,7 @@
 	if (raft->role == RAFT_LEADER)
 		raft_advance_commit(raft);
 	else if (raft->leader_addr && raft->log.matched_index)
-		raft_send_append_reply(raft, raft->leader_addr, 1, raft_synced_match(raft),
+		raft_send_append_reply(raft, raft->leader_addr, 1, raft_synced_match_index(raft),
 				       raft->lease.heartbeat_round, out);
 }
 
@@ -167,7 +167,7 @@
 {
 	if (raft->role == RAFT_LEADER)
 		raft_replicate(raft, 0, now, out);
-	raft_release_previous(raft);
+	raft_release_previous_snapshot(raft);
 	raft_request_sync(raft, now, out);
 }
 
@@ -196,14 +196,14 @@
 	raft->shard = shard;
 	raft->id = id;
 	raft->random_state = seed ^ core_rendezvous_weight(shard, id);
-	raft->group.replicas = RAFT_MIN_VOTERS;
+	raft->group.target_voters = RAFT_MIN_VOTERS;
 	raft->group.member_lost_ms = RAFT_MEMBER_LOST_MS;
 	raft_init_elections(raft, now);
 	raft_load_snapshot(raft, saved);
 	if (!saved)
 		return;
 	raft->term = saved->term;
-	raft->vote = saved->vote;
+	raft->voted_for = saved->voted_for;
 	load_saved_log(raft, saved);
 	raft_reload_members(raft);
 }
@@ -215,7 +215,7 @@
 	arrfree(raft->log.entries);
 	arrfree(raft->disk.pending_syncs);
 	raft_free_snapshots(raft);
-	raft_drop_incoming(raft);
+	raft_drop_incoming_snapshot(raft);
 	memset(raft, 0, sizeof *raft);
 }
 
--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -21,9 +21,9 @@
 	/* the leader's lease expires this much before the vote barriers that protect it */
 	RAFT_LEASE_MARGIN_MS = 150,
 	/* interval between heartbeat rounds */
-	RAFT_HEARTBEAT_MS = 150,
+	RAFT_HEARTBEAT_INTERVAL_MS = 150,
 	/* election timeout; a random time of up to half of it is added */
-	RAFT_ELECTION_MS = 700,
+	RAFT_ELECTION_TIMEOUT_MS = 700,
 	/* a candidate without a majority starts another election after this; a random time of up to the same
 	 * length is added */
 	RAFT_ELECTION_RETRY_MS = 300,
@@ -50,13 +50,13 @@
 	/* position of the epoch in a term, in bits */
 	RAFT_EPOCH_SHIFT = 26,
 	/* recovery: a member may be named as lost once it has sent no message for this time */
-	RAFT_ABSENT_MS = 3000
+	RAFT_RECOVERY_SILENCE_MS = 3000
 };
 
 /* Log and snapshots. */
 enum {
 	/* log entries that are kept although the newest snapshot covers them, for members that lag */
-	RAFT_LOG_TAIL = 256,
+	RAFT_LOG_TAIL_ENTRIES = 256,
 	/* upper bound of the size of these kept entries */
 	RAFT_LOG_TAIL_BYTES = 8 << 20,
 	/* a snapshot is taken after this many entries have been applied since the last one */
@@ -76,16 +76,16 @@
 	RAFT_APPEND_MAX_ENTRIES = 512,
 	/* data in flight is sent again after this time without an acknowledgement; the time doubles with each
 	 * resend */
-	RAFT_RESEND_MS = 300,
+	RAFT_RESEND_INITIAL_MS = 300,
 	/* upper bound of the doubled resend time */
 	RAFT_RESEND_MAX_MS = 4800,
 	/* slowest link that is provided for: the resend time is extended by the time that a link of this
 	 * speed needs to carry the data in flight */
 	RAFT_RESEND_BYTES_PER_MS = 5000,
 	/* snapshot data in one message */
-	RAFT_CHUNK_BYTES = 64 << 10,
+	RAFT_SNAPSHOT_CHUNK_BYTES = 64 << 10,
 	/* snapshot chunks in flight to a member */
-	RAFT_CHUNK_WINDOW = 8,
+	RAFT_SNAPSHOT_WINDOW_CHUNKS = 8,
 	/* a snapshot transfer that gets no reply for this time is started again, with the newest snapshot */
 	RAFT_TRANSFER_IDLE_MS = 10000
 };
@@ -105,15 +105,15 @@
 
 /* Leader: the snapshot transfer to one member. Owned by raft_snapshot_send.c. */
 struct raft_snapshot_transfer {
-	uint64_t index;           /* index of the snapshot; 0: no transfer is active */
-	uint64_t acked_bytes;     /* bytes that the member has acknowledged */
-	uint64_t sent_bytes;      /* bytes that have been sent, acknowledged or not */
-	bool has_reply;           /* the member has replied, so a full window may be in flight */
-	int64_t last_reply_at_ms; /* last reply to a chunk, or the start of the transfer */
-	int64_t advanced_at_ms;   /* last increase of acked_bytes, or last resend */
-	int64_t resend_ms;        /* data in flight is sent again after this time without progress */
-	int64_t resume_at_ms;     /* back-off after a wrong digest: no chunk is sent before this time */
-	int64_t rewound_at_ms;    /* last time at which the transfer was set back to a smaller offset */
+	uint64_t snapshot_index;     /* index of the snapshot; 0: no transfer is active */
+	uint64_t acked_bytes;        /* bytes that the member has acknowledged */
+	uint64_t sent_bytes;         /* bytes that have been sent, acknowledged or not */
+	bool has_reply;              /* the member has replied, so a full window may be in flight */
+	int64_t last_reply_at_ms;    /* last reply to a chunk, or the start of the transfer */
+	int64_t last_progress_at_ms; /* last increase of acked_bytes, or last resend */
+	int64_t resend_after_ms;     /* data in flight is sent again after this time without progress */
+	int64_t resume_at_ms;        /* back-off after a wrong digest: no chunk is sent before this time */
+	int64_t rewound_at_ms;       /* last time at which the transfer was set back to a smaller offset */
 };
 
 /* A snapshot in memory: the packed state, and the packed list of the members that were in force at its index.
@@ -121,9 +121,9 @@
 struct raft_stored_snapshot {
 	uint64_t index; /* newest log entry that the snapshot covers; 0: there is no snapshot */
 	uint64_t term;  /* term of that entry */
-	uint8_t *data;  /* packed state */
+	uint8_t *state; /* packed state */
 	uint8_t *members;
-	size_t data_len;
+	size_t state_len;
 	size_t members_len;
 	uint8_t digest[RAFT_DIGEST_BYTES]; /* SHA-256, computed when the snapshot is first sent */
 	bool has_digest;
@@ -140,17 +140,17 @@
 	uint64_t unacked_index;         /* entries from this index up to next_index - 1 are in flight */
 	uint64_t acked_heartbeat_round; /* newest heartbeat round that the member has answered */
 	int64_t last_reply_at_ms;       /* last reply to an append or to a snapshot chunk */
-	int64_t advanced_at_ms;         /* last entry acknowledged, or last resend */
-	int64_t resend_ms; /* entries in flight are sent again after this time without progress */
-	bool probing;      /* next_index is a guess: no entries are sent until the member has confirmed it */
+	int64_t last_progress_at_ms;    /* last entry acknowledged, or last resend */
+	int64_t resend_after_ms; /* entries in flight are sent again after this time without progress */
+	bool is_probing; /* next_index is a guess: no entries are sent until the member has confirmed it */
 };
 
 /* Election state of one member. Owned by raft_election.c. */
 struct raft_member_vote {
-	bool granted;           /* the member has granted its vote, or pre-vote, for our current candidacy */
-	bool denied_leadership; /* the member has replied, since our restart, that it is not the leader */
-	uint64_t last_index;    /* newest log entry of the member, from its last vote request */
-	uint64_t last_term;     /* term of that entry */
+	bool granted;            /* the member has granted its vote, or pre-vote, for our current candidacy */
+	bool denied_leadership;  /* the member has replied, since our restart, that it is not the leader */
+	uint64_t last_log_index; /* newest log entry of the member, from its last vote request */
+	uint64_t last_log_term;  /* term of that entry */
 };
 
 /* Leader: the planned stop of one member. Owned by raft_drain.c. */
@@ -209,8 +209,8 @@
 	bool dirty;                  /* the next raft_flush writes at least the term and the vote */
 	uint64_t dirty_from_index;   /* entries from this index on are written too; 0: none */
 	uint64_t truncate_from;      /* stored entries from this index on are deleted first; 0: none */
-	uint64_t requested_seq;      /* seq of the newest sync that has been requested */
-	uint64_t synced_seq;         /* seq of the newest sync that has been reported as done */
+	uint64_t requested_sync_seq; /* seq of the newest sync that has been requested */
+	uint64_t completed_sync_seq; /* seq of the newest sync that has been reported as done */
 	uint64_t synced_index;       /* newest entry that is on the disk */
 	uint64_t self_vote_sync_seq; /* candidate: its vote for itself counts after this sync; 0: it has not
 					voted for itself */
@@ -228,10 +228,10 @@
 	struct raft_stored_snapshot newest;
 	struct raft_stored_snapshot previous; /* leader: kept only while a member is still receiving it */
 	struct raft_incoming *incoming;       /* member: a partly received snapshot; NULL: none */
-	bool dirty;                           /* the newest snapshot has not been written to the disk yet */
-	bool drop_tail; /* the next snapshot keeps none of the entries that it covers, and the space that they
-			   took on the disk is overwritten */
-	bool to_load;   /* the caller must load the newest snapshot before it applies entries */
+	bool newest_is_dirty;                 /* the newest snapshot has not been written to the disk yet */
+	bool drop_log_tail; /* the next snapshot keeps none of the entries that it covers, and the space that
+			   they took on the disk is overwritten */
+	bool must_load_newest; /* the caller must load the newest snapshot before it applies entries */
 };
 
 /* The members in force: those of the newest members entry, committed or not. Owned by raft_members.c. */
@@ -239,7 +239,7 @@
 	struct raft_member members[RAFT_MAX_MEMBERS];
 	int member_count;
 	uint64_t members_index; /* index of the log entry, or snapshot, that holds this list of members */
-	int replicas;           /* target number of voters */
+	int target_voters;      /* target number of voters */
 	int64_t member_lost_ms; /* a member that sends no reply for this time counts as lost */
 	/* identities of older epochs, which the group does not admit again */
 	uint64_t fenced_ids[RAFT_MAX_FENCED_IDS];
@@ -251,9 +251,9 @@
 	int64_t timeout_at_ms;         /* an election starts at this time unless a leader sends a message */
 	int64_t vote_barrier_until_ms; /* no vote is granted before this time: an earlier leader's lease may
 					  still be valid */
-	bool vote_barrier_unknown; /* the barrier was set by a restart and may protect a lease from before it;
-				      probes are sent to find out */
-	int64_t next_probe_at_ms;  /* time of the next such probe */
+	bool is_probing_for_leader;    /* the barrier was set by a restart and may protect a lease from before
+					 it;    probes are sent to find out */
+	int64_t next_probe_at_ms;      /* time of the next such probe */
 	uint64_t incarnation; /* identifies this run of the process, chosen at random; replies to probes of an
 				 earlier run are recognised by it */
 	uint64_t stepped_down_term;   /* newest term whose leader has announced that it stepped down */
@@ -292,7 +292,7 @@
 	uint64_t id;           /* identity of this member */
 	uint64_t random_state; /* random generator of the time-outs, seeded by raft_open */
 	uint64_t term;
-	uint64_t vote; /* identity voted for in this term; 0: none */
+	uint64_t voted_for; /* identity voted for in this term; 0: none */
 	enum raft_role role;
 	uint64_t leader_id; /* 0: the leader is not known */
 	uint64_t leader_addr;
@@ -310,13 +310,13 @@
 /* The stored state with which a replica is opened. The caller keeps ownership of the buffers. */
 struct raft_saved {
 	uint64_t term;
-	uint64_t vote;
+	uint64_t voted_for;
 	uint64_t snapshot_index; /* newest log entry that the snapshot covers; 0: there is no snapshot */
 	uint64_t snapshot_term;
 	const uint8_t *members; /* packed members in force at snapshot_index */
-	const uint8_t *data;    /* packed state */
+	const uint8_t *state;   /* packed state */
 	size_t members_len;
-	size_t data_len;
+	size_t state_len;
 	uint64_t first_index; /* index of entries[0] */
 	struct raft_entry *entries;
 	size_t entry_count;
@@ -325,13 +325,14 @@
 /* Why a message was dropped: a member that keeps to the protocol cannot have sent it. */
 enum raft_fault {
 	RAFT_FAULT_NONE,
-	RAFT_FAULT_TERM,        /* a term, index or offset is implausibly large, or contradicts another one */
-	RAFT_FAULT_OWN_MESSAGE, /* the sender uses our own identity */
+	RAFT_FAULT_TERM_OR_INDEX, /* a term, index or offset is implausibly large, or contradicts another one
+				   */
+	RAFT_FAULT_OWN_MESSAGE,   /* the sender uses our own identity */
 	RAFT_FAULT_SECOND_LEADER, /* the term already has another leader */
 	RAFT_FAULT_TOO_MANY_ENTRIES,
 	RAFT_FAULT_ENTRY_TERM, /* an entry's term is lower than the one before, or higher than the leader's */
 	RAFT_FAULT_ENTRY_KIND, /* an entry is of an unknown kind */
-	RAFT_FAULT_MEMBERS,    /* a list of members is invalid */
+	RAFT_FAULT_INVALID_MEMBERS,  /* a list of members is invalid */
 	RAFT_FAULT_ACKNOWLEDGEMENT,  /* acknowledges log entries that do not exist */
 	RAFT_FAULT_ROUND,            /* replies to a heartbeat round that was not sent */
 	RAFT_FAULT_FUTURE_STEP_DOWN, /* reports a step-down in a term that has not begun */
@@ -340,7 +341,7 @@
 	RAFT_FAULT_CHUNK_RANGE    /* a chunk is empty, or is not inside its snapshot */
 };
 
-/* Describes a fault for logs. Example: raft_fault_strerror(RAFT_FAULT_MEMBERS) */
+/* Describes a fault for logs. Example: raft_fault_strerror(RAFT_FAULT_INVALID_MEMBERS) */
 const char *raft_fault_strerror(enum raft_fault fault);
 
 /* Set up a replica from its stored state, of which it makes copies; saved is NULL for an empty disk. seed
@@ -387,12 +388,12 @@
 bool raft_has_lease(const struct raft *raft, int64_t now);
 
 /* Whether the log has grown enough for a new snapshot.
- * Example: if (raft_needs_snapshot(&raft)) raft_snapshot(&raft, data, size); */
+ * Example: if (raft_needs_snapshot(&raft)) raft_take_snapshot(&raft, data, size); */
 bool raft_needs_snapshot(const struct raft *raft);
 
 /* Store a snapshot of the state machine at the applied index, and drop log entries that it covers. data is
  * copied. */
-void raft_snapshot(struct raft *raft, const uint8_t *data, size_t size);
+void raft_take_snapshot(struct raft *raft, const uint8_t *data, size_t size);
 
 /* Leader: step down before the process ends, so that a successor need not wait for the election timeout. On
  * other members this does nothing. Example: raft_step_down(&raft, now, out); */
@@ -401,7 +402,8 @@
 /* Leader: start at most one change of membership: add, promote or remove one member, or change its address.
  * The target is group.replicas voters, spread over the zones. live: the controllers that the fleet knows,
  * with their zones. Example: raft_reconfigure(&raft, live, live_count, now); */
-void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now);
+void raft_reconfigure(struct raft *raft, const struct raft_member *controllers, int controller_count,
+		      int64_t now);
 
 /* Begin the planned stop of this member: a leader hands over its leadership, and the member starts no
  * elections from now on. Example: raft_drain(&raft, now); */
@@ -418,9 +420,9 @@
 	RAFT_RECOVERY_POSSIBLE,
 	RAFT_RECOVERY_NO_VOTER,   /* this member has no vote, or its copy is of an older epoch */
 	RAFT_RECOVERY_HAS_LEADER, /* the group has a leader, or may have one until our vote barrier ends */
-	RAFT_RECOVERY_MAJORITY_REMAINS, /* the members that are not named as lost are a majority */
-	RAFT_RECOVERY_MEMBER_ANSWERS,   /* a member that is named as lost has sent a message recently */
-	RAFT_RECOVERY_OTHER_IS_NEWER    /* a member that is not named as lost holds a newer log */
+	RAFT_RECOVERY_MAJORITY_REMAINS,   /* the members that are not named as lost are a majority */
+	RAFT_RECOVERY_LOST_MEMBER_ACTIVE, /* a member that is named as lost has sent a message recently */
+	RAFT_RECOVERY_NEWER_LOG_EXISTS    /* a member that is not named as lost holds a newer log */
 };
 
 /* The epoch of a term: the number of recoveries of the group before that term.
--- a/lib/core/raft_disk.c
+++ b/lib/core/raft_disk.c
@@ -34,17 +34,17 @@
 {
 	const struct raft_stored_snapshot *snapshot = &raft->snapshots.newest;
 
-	if (!raft->snapshots.dirty)
+	if (!raft->snapshots.newest_is_dirty)
 		return;
 	record->has_snapshot = 1;
-	record->scrub = raft->snapshots.drop_tail;
+	record->erase_deleted_bytes = raft->snapshots.drop_log_tail;
 	record->snapshot_index = snapshot->index;
 	record->snapshot_term = snapshot->term;
-	record->drop_upto = raft->log.base_index;
+	record->drop_up_to_index = raft->log.base_index;
 	record->members = apr_pmemdup(pool, snapshot->members, snapshot->members_len + 1);
 	record->members_len = snapshot->members_len;
-	record->data = apr_pmemdup(pool, snapshot->data, snapshot->data_len + 1);
-	record->data_len = snapshot->data_len;
+	record->data = apr_pmemdup(pool, snapshot->state, snapshot->state_len + 1);
+	record->data_len = snapshot->state_len;
 }
 
 void raft_request_sync(struct raft *raft, int64_t now, struct command_list *out)
@@ -56,15 +56,16 @@
 		return;
 	record = apr_pcalloc(out->pool, sizeof *record);
 	record->shard = raft->shard;
-	record->seq = ++raft->disk.requested_seq;
+	record->seq = ++raft->disk.requested_sync_seq;
 	record->term = raft->term;
-	record->vote = raft->vote;
+	record->vote = raft->voted_for;
 	record->truncate_from = raft->disk.truncate_from;
 	add_dirty_entries(raft, record, out->pool);
 	add_dirty_snapshot(raft, record, out->pool);
-	pending_sync = (struct raft_pending_sync){ raft->disk.requested_seq, raft_last_index(raft), now };
+	pending_sync =
+	    (struct raft_pending_sync){ raft->disk.requested_sync_seq, raft_last_index(raft), now };
 	arrput(raft->disk.pending_syncs, pending_sync);
-	raft->disk.dirty = raft->snapshots.dirty = raft->snapshots.drop_tail = false;
+	raft->disk.dirty = raft->snapshots.newest_is_dirty = raft->snapshots.drop_log_tail = false;
 	raft->disk.dirty_from_index = raft->disk.truncate_from = 0;
 	command_add(out, CMD_PERSIST)->args.persist = record;
 }
@@ -73,9 +74,9 @@
 {
 	uint64_t synced_index = raft->disk.synced_index;
 
-	if (seq <= raft->disk.synced_seq)
+	if (seq <= raft->disk.completed_sync_seq)
 		return 0;
-	raft->disk.synced_seq = seq;
+	raft->disk.completed_sync_seq = seq;
 	while (arrlen(raft->disk.pending_syncs) && raft->disk.pending_syncs[0].seq <= seq) {
 		synced_index = raft->disk.pending_syncs[0].last_index;
 		arrdel(raft->disk.pending_syncs, 0);
