--- a/lib/core/raft_election.c
+++ b/lib/core/raft_election.c
@@ -20,7 +20,8 @@
 void raft_reset_election_timer(struct raft *raft, int64_t now)
 {
 	raft->election.timeout_at_ms =
-	    now + RAFT_ELECTION_MS + (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_MS / 2));
+	    now + RAFT_ELECTION_TIMEOUT_MS +
+	    (int64_t)(core_random(&raft->random_state) % (RAFT_ELECTION_TIMEOUT_MS / 2));
 }
 
 /* No leader is known, so the next election may start sooner than after a full election timeout. The caller
@@ -35,7 +36,7 @@
 {
 	if (term > raft->term) {
 		raft->term = term;
-		raft->vote = 0;
+		raft->voted_for = 0;
 		raft_mark_dirty(raft, 0);
 		raft->leader_id = raft->leader_addr = 0;
 		raft->log.matched_index = raft->log.commit_index;
@@ -66,7 +67,7 @@
 	raft->leader_id = message->id;
 	raft->leader_addr = message->addr;
 	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
-	raft->election.vote_barrier_unknown = false;
+	raft->election.is_probing_for_leader = false;
 	raft->removed = false;
 	raft_reset_election_timer(raft, now);
 	return true;
@@ -114,8 +115,8 @@
 		.next_index = next_index,
 		.unacked_index = next_index,
 		.last_reply_at_ms = now - raft->group.member_lost_ms / 2,
-		.advanced_at_ms = now,
-		.resend_ms = RAFT_RESEND_MS,
+		.last_progress_at_ms = now,
+		.resend_after_ms = RAFT_RESEND_INITIAL_MS,
 	};
 	member->drain.requested = false;
 	member->drain.release_round = 0;
@@ -144,13 +145,13 @@
 {
 	raft->role = RAFT_CANDIDATE;
 	raft->term++;
-	raft->vote = raft->id;
+	raft->voted_for = raft->id;
 	raft->log.matched_index = raft->log.commit_index;
 	raft->lease.heartbeat_round = raft->drain.release_round = 0;
 	raft->leader_id = raft->leader_addr = 0;
 	raft_mark_dirty(raft, 0);
 	/* the flush at the end of this step requests this sync */
-	raft->disk.self_vote_sync_seq = raft->disk.requested_seq + 1;
+	raft->disk.self_vote_sync_seq = raft->disk.requested_sync_seq + 1;
 	raft_request_votes(raft, 0, now, out);
 	raft_retry_election_after(raft, RAFT_SYNC_STALL_MS, now);
 }
@@ -160,7 +161,7 @@
 {
 	if (member->id == raft->id)
 		return raft->role == RAFT_PRE_CANDIDATE ||
-		       raft->disk.synced_seq >= raft->disk.self_vote_sync_seq;
+		       raft->disk.completed_sync_seq >= raft->disk.self_vote_sync_seq;
 	return member->vote.granted;
 }
 
@@ -199,7 +200,7 @@
 		return;
 	raft->election.stepped_down_term = term;
 	raft->election.vote_barrier_until_ms = 0;
-	raft->election.vote_barrier_unknown = false;
+	raft->election.is_probing_for_leader = false;
 }
 
 /* Whether a candidate's log is at least as up-to-date as ours (Raft paper, 5.4.1). */
@@ -214,10 +215,10 @@
 /* Grant the vote of this term. The reply is sent once the vote is synced (raft_synced). */
 static void grant_vote(struct raft *raft, const struct Nl__Msg *message, int64_t now)
 {
-	raft->vote = message->id;
+	raft->voted_for = message->id;
 	raft_mark_dirty(raft, 0);
 	raft->disk.pending_vote.active = true;
-	raft->disk.pending_vote.sync_seq = raft->disk.requested_seq + 1;
+	raft->disk.pending_vote.sync_seq = raft->disk.requested_sync_seq + 1;
 	raft->disk.pending_vote.candidate_addr = message->addr;
 	raft->disk.pending_vote.term = raft->term;
 	raft_reset_election_timer(raft, now);
@@ -232,7 +233,7 @@
 
 	if (raft_has_lease(raft, now) && raft->group.members_index <= raft->log.commit_index &&
 	    !raft_find_member(raft, message->id)) {
-		raft_send_removed(raft, message->addr, out);
+		raft_send_removed_reply(raft, message->addr, out);
 		return;
 	}
 	end_vote_barrier_after_step_down(raft, request->stepped_down_term);
@@ -246,7 +247,7 @@
 	}
 	if (request->term > raft->term)
 		raft_become_follower(raft, request->term, now);
-	if (!log_up_to_date || (raft->vote && raft->vote != message->id)) {
+	if (!log_up_to_date || (raft->voted_for && raft->voted_for != message->id)) {
 		raft_send_vote_reply(raft, message->addr, raft->term, 0, 0, out);
 		return;
 	}
@@ -352,19 +353,19 @@
 	const struct Nl__ProbeReply *reply = message->probe_reply;
 	struct raft_member *member = raft_find_member(raft, message->id);
 
-	if (!raft->election.vote_barrier_unknown || reply->incarnation != raft->election.incarnation ||
+	if (!raft->election.is_probing_for_leader || reply->incarnation != raft->election.incarnation ||
 	    !member)
 		return;
 	if (may_have_unknown_leader(raft, reply)) {
 		/* no more probes are sent: the vote barrier is waited out */
-		raft->election.vote_barrier_unknown = false;
+		raft->election.is_probing_for_leader = false;
 		return;
 	}
 	member->vote.denied_leadership = true;
 	for (int i = 0; i < raft->group.member_count; i++)
 		if (raft->group.members[i].id != raft->id && !raft->group.members[i].vote.denied_leadership)
 			return;
-	raft->election.vote_barrier_unknown = false;
+	raft->election.is_probing_for_leader = false;
 	raft->election.vote_barrier_until_ms = 0;
 	raft->election.timeout_at_ms =
 	    now + RAFT_ELECTION_STAGGER_MS * (1 + count_voters_ranked_first(raft)) +
@@ -407,7 +408,7 @@
 		return;
 	successor = raft_find_successor(raft, now);
 	raft_become_follower(raft, raft->term, now); /* the lease ends before the step-down is announced */
-	raft->election.timeout_at_ms += RAFT_ELECTION_MS;
+	raft->election.timeout_at_ms += RAFT_ELECTION_TIMEOUT_MS;
 	for (int i = 0; i < raft->group.member_count; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 		struct Nl__StepDown *message;
@@ -426,7 +427,7 @@
 void raft_init_elections(struct raft *raft, int64_t now)
 {
 	raft->election.vote_barrier_until_ms = now + RAFT_LEASE_MS;
-	raft->election.vote_barrier_unknown = true;
+	raft->election.is_probing_for_leader = true;
 	raft->election.incarnation = core_random(&raft->random_state);
 	raft->election.next_probe_at_ms = now;
 	raft_reset_election_timer(raft, now);
@@ -437,5 +438,5 @@
 	raft->election.timeout_at_ms =
 	    now + (int64_t)(core_random(&raft->random_state) % FIRST_ELECTION_MAX_DELAY_MS);
 	raft->election.vote_barrier_until_ms = 0;
-	raft->election.vote_barrier_unknown = false;
+	raft->election.is_probing_for_leader = false;
 }
--- a/lib/core/raft_internal.h
+++ b/lib/core/raft_internal.h
@@ -34,13 +34,13 @@
 void raft_append_entry(struct raft *raft, uint64_t term, uint32_t kind, const uint8_t *data, size_t size);
 
 /* Remove the entries from an index on, because they conflict with the leader's log. */
-void raft_truncate_from(struct raft *raft, uint64_t from_index);
+void raft_truncate_entries_from(struct raft *raft, uint64_t from_index);
 
 /* Remove the entries up to an index, which a snapshot covers. */
-void raft_drop_until(struct raft *raft, uint64_t index);
+void raft_drop_entries_until(struct raft *raft, uint64_t index);
 
 /* Member: the index up to which its log matches the leader's and is synced. */
-uint64_t raft_synced_match(const struct raft *raft);
+uint64_t raft_synced_match_index(const struct raft *raft);
 
 /* ---- members in force (raft_members.c) ---- */
 
@@ -61,7 +61,7 @@
 
 /* Finds the packed members in force at an index, which a snapshot at that index contains. The buffer stays
  * owned by the log or the snapshot. */
-void raft_members_in_force(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size);
+void raft_find_members_at(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size);
 
 /* Whether a packed list of members is valid: it has at least one voter and at most RAFT_MAX_MEMBERS members,
  * each of them once, with an identity and an address. */
@@ -73,10 +73,10 @@
 
 /* Add an identity of an older epoch to the fenced ones; the next members entry stores it. Does nothing when
  * the list is full. */
-void raft_add_fenced(struct raft *raft, uint64_t id);
+void raft_add_fenced_id(struct raft *raft, uint64_t id);
 
 /* Whether an identity is in the list of fenced ones, which are of older epochs. */
-bool raft_is_fenced(const struct raft *raft, uint64_t id);
+bool raft_is_fenced_id(const struct raft *raft, uint64_t id);
 
 /* ---- the disk (raft_disk.c) ---- */
 
@@ -96,7 +96,7 @@
 			  int is_pre_vote, struct command_list *out);
 
 /* Notify a sender that it is no longer a member, or that its copy is of an older epoch. */
-void raft_send_removed(struct raft *raft, uint64_t addr, struct command_list *out);
+void raft_send_removed_reply(struct raft *raft, uint64_t addr, struct command_list *out);
 
 /* Reply to an append. match_index: on success, the index up to which this member has synced the leader's
  * log; else the index after which the leader is to retry. */
@@ -219,7 +219,7 @@
 struct raft_stored_snapshot *raft_find_snapshot(struct raft *raft, uint64_t index);
 
 /* Free the snapshot before the newest one unless a transfer still uses it. */
-void raft_release_previous(struct raft *raft);
+void raft_release_previous_snapshot(struct raft *raft);
 
 /* ---- leader: sending snapshots (raft_snapshot_send.c) ---- */
 
@@ -241,7 +241,7 @@
 			    struct command_list *out);
 
 /* Free a partly received snapshot. */
-void raft_drop_incoming(struct raft *raft);
+void raft_drop_incoming_snapshot(struct raft *raft);
 
 /* ---- the planned stop of this member (raft_transfer.c) ---- */
 
@@ -253,8 +253,8 @@
 
 /* Whether a message is of this member's epoch. A sender of an older epoch is notified when it requests a vote
  * or acts as leader. If this member's own epoch is older, this member is fenced. */
-bool raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
-			   struct command_list *out);
+bool raft_accept_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out);
 
 /* ---- replication (raft_replication.c) ---- */
 
--- a/lib/core/raft_log.c
+++ b/lib/core/raft_log.c
@@ -63,7 +63,7 @@
 	raft_mark_dirty(raft, raft_last_index(raft));
 }
 
-void raft_truncate_from(struct raft *raft, uint64_t from_index)
+void raft_truncate_entries_from(struct raft *raft, uint64_t from_index)
 {
 	for (uint64_t i = from_index; i <= raft_last_index(raft); i++)
 		free(raft_entry_at(raft, i)->data);
@@ -80,7 +80,7 @@
 			raft->disk.pending_syncs[i].last_index = from_index - 1;
 }
 
-void raft_drop_until(struct raft *raft, uint64_t index)
+void raft_drop_entries_until(struct raft *raft, uint64_t index)
 {
 	raft->log.base_term = raft_term_at(raft, index);
 	for (uint64_t i = raft->log.base_index + 1; i <= index; i++)
@@ -89,7 +89,7 @@
 	raft->log.base_index = index;
 }
 
-uint64_t raft_synced_match(const struct raft *raft)
+uint64_t raft_synced_match_index(const struct raft *raft)
 {
 	return raft->log.matched_index < raft->disk.synced_index ? raft->log.matched_index
 								 : raft->disk.synced_index;
@@ -97,7 +97,7 @@
 
 const struct raft_entry *raft_next_committed(struct raft *raft, uint64_t *index)
 {
-	while (raft->log.applied_index < raft->log.commit_index && !raft->snapshots.to_load) {
+	while (raft->log.applied_index < raft->log.commit_index && !raft->snapshots.must_load_newest) {
 		struct raft_entry *entry = raft_entry_at(raft, ++raft->log.applied_index);
 
 		raft->log.applied_bytes += entry ? entry->len : 0;
--- a/lib/core/raft_members.c
+++ b/lib/core/raft_members.c
@@ -28,14 +28,14 @@
 	return count;
 }
 
-void raft_add_fenced(struct raft *raft, uint64_t id)
+void raft_add_fenced_id(struct raft *raft, uint64_t id)
 {
-	if (raft_is_fenced(raft, id) || raft->group.fenced_count == RAFT_MAX_FENCED_IDS)
+	if (raft_is_fenced_id(raft, id) || raft->group.fenced_count == RAFT_MAX_FENCED_IDS)
 		return;
 	raft->group.fenced_ids[raft->group.fenced_count++] = id;
 }
 
-bool raft_is_fenced(const struct raft *raft, uint64_t id)
+bool raft_is_fenced_id(const struct raft *raft, uint64_t id)
 {
 	for (int i = 0; i < raft->group.fenced_count; i++)
 		if (raft->group.fenced_ids[i] == id)
@@ -50,8 +50,8 @@
 
 	return (struct raft_member){ .progress = { .next_index = next_index,
 						   .unacked_index = next_index,
-						   .resend_ms = RAFT_RESEND_MS,
-						   .probing = true } };
+						   .resend_after_ms = RAFT_RESEND_INITIAL_MS,
+						   .is_probing = true } };
 }
 
 void raft_set_members(struct raft *raft, const uint8_t *packed, size_t size, uint64_t index)
@@ -78,7 +78,7 @@
 	}
 	raft->group.fenced_count = 0;
 	for (size_t i = 0; members && i < members->n_fenced; i++)
-		raft_add_fenced(raft, members->fenced[i]);
+		raft_add_fenced_id(raft, members->fenced[i]);
 	if (members)
 		nl__members__free_unpacked(members, NULL);
 }
@@ -94,7 +94,7 @@
 			 raft->snapshots.newest.index);
 }
 
-void raft_members_in_force(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size)
+void raft_find_members_at(struct raft *raft, uint64_t index, const uint8_t **packed, size_t *size)
 {
 	for (; index > raft->log.base_index; index--)
 		if (raft_entry_at(raft, index)->kind == RAFT_ENTRY_MEMBERS) {
--- a/lib/core/raft_messages.c
+++ b/lib/core/raft_messages.c
@@ -13,7 +13,7 @@
 	command_send(out, candidate_addr, raft->shard, NL__MSG__BODY_VOTE_REPLY)->vote_reply = reply;
 }
 
-void raft_send_removed(struct raft *raft, uint64_t addr, struct command_list *out)
+void raft_send_removed_reply(struct raft *raft, uint64_t addr, struct command_list *out)
 {
 	struct Nl__VoteReply *reply = MESSAGE_NEW(out, Nl__VoteReply, NL__VOTE_REPLY__INIT);
 
--- a/lib/core/raft_reconfigure.c
+++ b/lib/core/raft_reconfigure.c
@@ -138,7 +138,7 @@
 				      : RAFT_MAX_MEMBERS; /* controllers of unknown zone rank last */
 
 		if (raft_find_member(view->raft, controller->id) ||
-		    raft_is_fenced(view->raft, controller->id))
+		    raft_is_fenced_id(view->raft, controller->id))
 			continue;
 		if (best && (zone_voters > fewest_voters ||
 			     (zone_voters == fewest_voters && core_rendezvous_weight(shard, controller->id) <=
@@ -237,7 +237,8 @@
 		const struct raft_member *member = &raft->group.members[i];
 
 		if (!member->voter) {
-			if (is_silent_for(view, member, LEARNER_LOST_MS) || raft_is_fenced(raft, member->id))
+			if (is_silent_for(view, member, LEARNER_LOST_MS) ||
+			    raft_is_fenced_id(raft, member->id))
 				status.lost_learner_position = i;
 			else
 				status.learner_position = i;
@@ -316,7 +317,7 @@
 {
 	const struct raft *raft = view->raft;
 	const struct raft_member *learner = &raft->group.members[status->learner_position];
-	int is_needed = status->voter_count < raft->group.replicas ||
+	int is_needed = status->voter_count < raft->group.target_voters ||
 			(!status->suspect_count && improves_zone_spread(view, learner));
 
 	if (!status->suspect_count && !is_needed) {
@@ -339,9 +340,10 @@
 	       (status->voter_count % 2 == 0 || status->lost_voter_count > 1);
 }
 
-void raft_reconfigure(struct raft *raft, const struct raft_member *live, int live_count, int64_t now)
+void raft_reconfigure(struct raft *raft, const struct raft_member *controllers, int controller_count,
+		      int64_t now)
 {
-	struct fleet_view view = { raft, live, live_count, now };
+	struct fleet_view view = { raft, controllers, controller_count, now };
 	const struct raft_member *joining;
 	struct membership_status status;
 
@@ -359,16 +361,16 @@
 		return;
 	}
 	if (joining &&
-	    (status.suspect_count || status.voter_count < raft->group.replicas ||
+	    (status.suspect_count || status.voter_count < raft->group.target_voters ||
 	     improves_zone_spread(&view, joining)) &&
-	    status.voter_count <= raft->group.replicas)
+	    status.voter_count <= raft->group.target_voters)
 		add_learner(&view, joining);
 	else if (removal_improves_fault_tolerance(&status))
 		remove_member(&view, status.lost_voter_position);
-	else if (status.voter_count > raft->group.replicas && status.lost_voter_count)
+	else if (status.voter_count > raft->group.target_voters && status.lost_voter_count)
 		remove_member(&view, status.lost_voter_position);
-	else if (status.voter_count > raft->group.replicas && status.draining_voter_position >= 0)
+	else if (status.voter_count > raft->group.target_voters && status.draining_voter_position >= 0)
 		remove_member(&view, status.draining_voter_position);
-	else if (status.voter_count > raft->group.replicas && !status.suspect_count)
+	else if (status.voter_count > raft->group.target_voters && !status.suspect_count)
 		remove_member(&view, find_surplus_voter(&view));
 }
--- a/lib/core/raft_recovery.c
+++ b/lib/core/raft_recovery.c
@@ -64,8 +64,8 @@
 	       message->body_case == NL__MSG__BODY_SNAPSHOT_CHUNK;
 }
 
-bool raft_is_of_this_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
-			   struct command_list *out)
+bool raft_accept_epoch(struct raft *raft, const struct Nl__Msg *message, int64_t now,
+		       struct command_list *out)
 {
 	uint64_t message_epoch = raft_epoch(message_term(raft, message)), own_epoch = raft_epoch(raft->term);
 
@@ -73,7 +73,7 @@
 		return !raft->fenced;
 	if (message_epoch < own_epoch) {
 		if (message->body_case == NL__MSG__BODY_VOTE_REQUEST || is_append_or_snapshot(message))
-			raft_send_removed(raft, message->addr, out); /* the sender is fenced */
+			raft_send_removed_reply(raft, message->addr, out); /* the sender is fenced */
 		return false;
 	}
 	if (!raft->group.member_count) /* an empty replica joins a group of any epoch */
@@ -106,12 +106,12 @@
 		remaining_voters += !listed_as_lost;
 		can_vote |= member->id == raft->id && !listed_as_lost;
 		if (listed_as_lost && member->id != raft->id && member->last_message_at_ms &&
-		    now - member->last_message_at_ms < RAFT_ABSENT_MS)
-			return RAFT_RECOVERY_MEMBER_ANSWERS;
-		if (!listed_as_lost && (member->vote.last_term > raft_last_term(raft) ||
-					(member->vote.last_term == raft_last_term(raft) &&
-					 member->vote.last_index > raft_last_index(raft))))
-			return RAFT_RECOVERY_OTHER_IS_NEWER;
+		    now - member->last_message_at_ms < RAFT_RECOVERY_SILENCE_MS)
+			return RAFT_RECOVERY_LOST_MEMBER_ACTIVE;
+		if (!listed_as_lost && (member->vote.last_log_term > raft_last_term(raft) ||
+					(member->vote.last_log_term == raft_last_term(raft) &&
+					 member->vote.last_log_index > raft_last_index(raft))))
+			return RAFT_RECOVERY_NEWER_LOG_EXISTS;
 	}
 	if (!can_vote || raft->fenced)
 		return RAFT_RECOVERY_NO_VOTER;
@@ -133,16 +133,16 @@
 		return verdict;
 	for (int i = 0; i < raft->group.member_count; i++)
 		if (raft->group.members[i].id != raft->id)
-			raft_add_fenced(raft, raft->group.members[i].id);
+			raft_add_fenced_id(raft, raft->group.members[i].id);
 	self = *raft_find_member(raft, raft->id);
 	raft_become_follower(raft, (raft_epoch(raft->term) + 1) << RAFT_EPOCH_SHIFT, now);
-	raft->vote = raft->id;
+	raft->voted_for = raft->id;
 	packed = raft_pack_members(raft, &self, 1, &len);
 	raft_append_entry(raft, raft->term, RAFT_ENTRY_MEMBERS, packed, len);
 	raft_set_members(raft, packed, len, raft_last_index(raft));
 	free(packed);
 	raft->election.vote_barrier_until_ms = 0;
-	raft->election.vote_barrier_unknown = false;
+	raft->election.is_probing_for_leader = false;
 	raft->removed = false;
 	raft->election.timeout_at_ms = now;
 	return verdict;
@@ -159,9 +159,9 @@
 		return "the group has a leader";
 	case RAFT_RECOVERY_MAJORITY_REMAINS:
 		return "the members that are not named as lost are a majority";
-	case RAFT_RECOVERY_MEMBER_ANSWERS:
+	case RAFT_RECOVERY_LOST_MEMBER_ACTIVE:
 		return "a member that is named as lost has sent a message recently";
-	case RAFT_RECOVERY_OTHER_IS_NEWER:
+	case RAFT_RECOVERY_NEWER_LOG_EXISTS:
 		return "another remaining member holds a newer copy: recover the group there";
 	}
 	return "";
--- a/lib/core/raft_replication.c
+++ b/lib/core/raft_replication.c
@@ -96,7 +96,7 @@
 static void send_heartbeat(struct raft *raft, struct raft_member *member, struct command_list *out)
 {
 	uint64_t prev_index =
-	    member->progress.probing ? member->progress.next_index - 1 : member->progress.match_index;
+	    member->progress.is_probing ? member->progress.next_index - 1 : member->progress.match_index;
 
 	(void)new_append(raft, member, prev_index > raft->log.base_index ? prev_index : raft->log.base_index,
 			 out);
@@ -125,7 +125,7 @@
 	if (!entry_count || (!none_in_flight && in_flight_bytes >= RAFT_APPEND_WINDOW_BYTES))
 		return;
 	if (none_in_flight)
-		progress->advanced_at_ms = now;
+		progress->last_progress_at_ms = now;
 	entry_count = entry_count > RAFT_APPEND_MAX_ENTRIES ? RAFT_APPEND_MAX_ENTRIES : entry_count;
 	append = new_append(raft, member, progress->next_index - 1, out);
 	append->entries = apr_palloc(out->pool, entry_count * sizeof *append->entries);
@@ -145,18 +145,19 @@
 	int64_t transmission_ms = (int64_t)(bytes_in_flight(raft, progress) / RAFT_RESEND_BYTES_PER_MS);
 
 	if (progress->next_index == progress->unacked_index ||
-	    now - progress->advanced_at_ms < progress->resend_ms + transmission_ms)
+	    now - progress->last_progress_at_ms < progress->resend_after_ms + transmission_ms)
 		return;
 	progress->next_index = progress->unacked_index;
-	progress->advanced_at_ms = now;
-	progress->resend_ms =
-	    progress->resend_ms * 2 < RAFT_RESEND_MAX_MS ? progress->resend_ms * 2 : RAFT_RESEND_MAX_MS;
+	progress->last_progress_at_ms = now;
+	progress->resend_after_ms = progress->resend_after_ms * 2 < RAFT_RESEND_MAX_MS
+					? progress->resend_after_ms * 2
+					: RAFT_RESEND_MAX_MS;
 }
 
 static void send_entries_or_snapshot(struct raft *raft, struct raft_member *member, int64_t now,
 				     struct command_list *out)
 {
-	if (member->progress.probing && member->progress.next_index > raft->log.base_index)
+	if (member->progress.is_probing && member->progress.next_index > raft->log.base_index)
 		return;
 	resend_after_timeout(raft, &member->progress, now);
 	if (member->progress.next_index <= raft->log.base_index)
@@ -229,7 +230,7 @@
 		if (index <= raft_last_index(raft) && raft_term_at(raft, index) == entry->term)
 			continue;
 		if (index <= raft_last_index(raft)) {
-			raft_truncate_from(raft, index);
+			raft_truncate_entries_from(raft, index);
 			if (raft->group.members_index >= index)
 				raft_reload_members(raft);
 		}
@@ -265,7 +266,7 @@
 	/* the round is never lowered: entries may arrive after heartbeats that were sent later */
 	if (append->round > raft->lease.heartbeat_round)
 		raft->lease.heartbeat_round = append->round;
-	raft_send_append_reply(raft, message->addr, 1, raft_synced_match(raft), append->round, out);
+	raft_send_append_reply(raft, message->addr, 1, raft_synced_match_index(raft), append->round, out);
 }
 
 /* ---- leader: replies ---- */
@@ -278,13 +279,13 @@
 {
 	uint64_t acknowledged_index = matched_index > match_index ? matched_index : match_index;
 
-	if (progress->probing && acknowledged_index + 1 < progress->next_index)
+	if (progress->is_probing && acknowledged_index + 1 < progress->next_index)
 		progress->next_index = progress->unacked_index = acknowledged_index + 1;
-	progress->probing = false;
+	progress->is_probing = false;
 	if (match_index > progress->match_index) {
 		progress->match_index = match_index;
-		progress->advanced_at_ms = now;
-		progress->resend_ms = RAFT_RESEND_MS;
+		progress->last_progress_at_ms = now;
+		progress->resend_after_ms = RAFT_RESEND_INITIAL_MS;
 	}
 	if (progress->unacked_index <= progress->match_index)
 		progress->unacked_index = progress->match_index + 1;
@@ -305,7 +306,7 @@
 	    (hint_index > progress->match_index ? hint_index : progress->match_index) + 1;
 	if (progress->next_index <= raft->log.base_index)
 		return;
-	progress->probing = true;
+	progress->is_probing = true;
 	send_heartbeat(raft, member, out);
 }
 
@@ -322,7 +323,7 @@
 	if (raft->role != RAFT_LEADER || reply->term != raft->term || !member)
 		return;
 	if (reply->fenced) {
-		raft_add_fenced(raft, message->id);
+		raft_add_fenced_id(raft, message->id);
 		return;
 	}
 	member->progress.last_reply_at_ms = now;
@@ -333,7 +334,7 @@
 		handle_accepted_append(&member->progress, reply->match_index, reply->matched_index, now);
 	else
 		handle_rejected_append(raft, member, reply->match_index, out);
-	if (member->progress.next_index > raft->log.base_index && member->transfer.index)
+	if (member->progress.next_index > raft->log.base_index && member->transfer.snapshot_index)
 		raft_end_transfer(raft, member);
 	raft_advance_commit(raft);
 }
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -31,7 +31,7 @@
 
 	raft_digest_begin(&sum, snapshot->index, snapshot->term, snapshot->members_len);
 	sha256_update(&sum, snapshot->members_len, snapshot->members);
-	sha256_update(&sum, snapshot->data_len, snapshot->data);
+	sha256_update(&sum, snapshot->state_len, snapshot->state);
 	sha256_digest(&sum, RAFT_DIGEST_BYTES, snapshot->digest);
 	snapshot->has_digest = true;
 }
@@ -51,22 +51,22 @@
 	struct raft_stored_snapshot *newest = &raft->snapshots.newest;
 
 	if (!saved || !saved->snapshot_index) {
-		newest->data = raft_copy_bytes(NULL, 0);
+		newest->state = raft_copy_bytes(NULL, 0);
 		newest->members = raft_copy_bytes(NULL, 0);
 		return;
 	}
-	newest->data = raft_copy_bytes(saved->data, saved->data_len);
-	newest->data_len = saved->data_len;
+	newest->state = raft_copy_bytes(saved->state, saved->state_len);
+	newest->state_len = saved->state_len;
 	newest->members = raft_copy_bytes(saved->members, saved->members_len);
 	newest->members_len = saved->members_len;
 	newest->index = saved->snapshot_index;
 	newest->term = saved->snapshot_term;
-	raft->snapshots.to_load = true;
+	raft->snapshots.must_load_newest = true;
 }
 
 static void free_snapshot(struct raft_stored_snapshot *snapshot)
 {
-	free(snapshot->data);
+	free(snapshot->state);
 	free(snapshot->members);
 	memset(snapshot, 0, sizeof *snapshot);
 }
@@ -80,12 +80,12 @@
 static bool is_being_sent(const struct raft *raft, uint64_t index)
 {
 	for (int i = 0; i < raft->group.member_count && index; i++)
-		if (raft->group.members[i].transfer.index == index)
+		if (raft->group.members[i].transfer.snapshot_index == index)
 			return true;
 	return false;
 }
 
-void raft_release_previous(struct raft *raft)
+void raft_release_previous_snapshot(struct raft *raft)
 {
 	uint64_t index = raft->snapshots.previous.index;
 
@@ -100,18 +100,18 @@
 {
 	struct raft_snapshots *snapshots = &raft->snapshots;
 
-	raft_release_previous(raft);
-	if (snapshots->drop_tail)
+	raft_release_previous_snapshot(raft);
+	if (snapshots->drop_log_tail)
 		free_snapshot(&snapshots->previous);
-	if (!snapshots->drop_tail && !snapshots->previous.index && raft->role == RAFT_LEADER &&
+	if (!snapshots->drop_log_tail && !snapshots->previous.index && raft->role == RAFT_LEADER &&
 	    is_being_sent(raft, snapshots->newest.index)) {
 		snapshots->previous = snapshots->newest;
 		return;
 	}
 	for (int i = 0; i < raft->group.member_count; i++)
-		if (raft->group.members[i].transfer.index == snapshots->newest.index)
-			raft->group.members[i].transfer.index = 0;
-	free(snapshots->newest.data);
+		if (raft->group.members[i].transfer.snapshot_index == snapshots->newest.index)
+			raft->group.members[i].transfer.snapshot_index = 0;
+	free(snapshots->newest.state);
 	free(snapshots->newest.members);
 }
 
@@ -121,7 +121,7 @@
 	raft->snapshots.newest = *snapshot;
 	raft->snapshots.newest.has_digest = false;
 	raft->log.applied_bytes = 0;
-	raft->snapshots.dirty = true;
+	raft->snapshots.newest_is_dirty = true;
 	raft_mark_dirty(raft, 0);
 }
 
@@ -147,7 +147,7 @@
 	for (int i = 0; i < raft->group.member_count && raft->role == RAFT_LEADER; i++) {
 		const struct raft_member *member = &raft->group.members[i];
 
-		if (!member->voter && !member->progress.match_index && !member->transfer.index)
+		if (!member->voter && !member->progress.match_index && !member->transfer.snapshot_index)
 			return true;
 	}
 	return false;
@@ -155,7 +155,7 @@
 
 bool raft_needs_snapshot(const struct raft *raft)
 {
-	size_t snapshot_bytes = raft->snapshots.newest.data_len;
+	size_t snapshot_bytes = raft->snapshots.newest.state_len;
 	size_t log_bytes =
 	    snapshot_bytes > RAFT_SNAPSHOT_LOG_BYTES ? snapshot_bytes : RAFT_SNAPSHOT_LOG_BYTES;
 
@@ -171,21 +171,22 @@
 	uint64_t oldest_index = UINT64_MAX;
 
 	for (int i = 0; i < raft->group.member_count && raft->role == RAFT_LEADER; i++)
-		if (raft->group.members[i].transfer.index &&
-		    raft->group.members[i].transfer.index < oldest_index)
-			oldest_index = raft->group.members[i].transfer.index;
+		if (raft->group.members[i].transfer.snapshot_index &&
+		    raft->group.members[i].transfer.snapshot_index < oldest_index)
+			oldest_index = raft->group.members[i].transfer.snapshot_index;
 	return oldest_index;
 }
 
-/* Returns the index up to which the log is dropped. Up to RAFT_LOG_TAIL applied entries, and those after
- * the oldest transfer, are kept for members that lag behind, but no more than RAFT_LOG_TAIL_BYTES. */
+/* Returns the index up to which the log is dropped. Up to RAFT_LOG_TAIL_ENTRIES applied entries, and those
+ * after the oldest transfer, are kept for members that lag behind, but no more than RAFT_LOG_TAIL_BYTES. */
 static uint64_t newest_index_to_drop(const struct raft *raft)
 {
 	uint64_t drop_index = raft->log.applied_index, oldest_transfer = oldest_transfer_index(raft);
 	size_t kept_bytes = 0;
 
-	while (!raft->snapshots.drop_tail && drop_index > raft->log.base_index &&
-	       (raft->log.applied_index - drop_index < RAFT_LOG_TAIL || drop_index > oldest_transfer)) {
+	while (
+	    !raft->snapshots.drop_log_tail && drop_index > raft->log.base_index &&
+	    (raft->log.applied_index - drop_index < RAFT_LOG_TAIL_ENTRIES || drop_index > oldest_transfer)) {
 		kept_bytes += raft_entry_at(raft, drop_index)->len;
 		if (kept_bytes > RAFT_LOG_TAIL_BYTES)
 			break;
@@ -194,18 +195,18 @@
 	return drop_index < raft->disk.synced_index ? drop_index : raft->disk.synced_index;
 }
 
-void raft_snapshot(struct raft *raft, const uint8_t *data, size_t size)
+void raft_take_snapshot(struct raft *raft, const uint8_t *data, size_t size)
 {
-	struct raft_stored_snapshot snapshot = { .index = raft->log.applied_index, .data_len = size };
+	struct raft_stored_snapshot snapshot = { .index = raft->log.applied_index, .state_len = size };
 	const uint8_t *members;
 	uint64_t drop_index;
 
-	raft_members_in_force(raft, snapshot.index, &members, &snapshot.members_len);
+	raft_find_members_at(raft, snapshot.index, &members, &snapshot.members_len);
 	snapshot.term = raft_term_at(raft, snapshot.index);
 	snapshot.members = raft_copy_bytes(members, snapshot.members_len);
-	snapshot.data = raft_copy_bytes(data, size);
+	snapshot.state = raft_copy_bytes(data, size);
 	raft_store_snapshot(raft, &snapshot);
 	drop_index = newest_index_to_drop(raft);
 	if (drop_index > raft->log.base_index)
-		raft_drop_until(raft, drop_index);
+		raft_drop_entries_until(raft, drop_index);
 }
--- a/lib/core/raft_snapshot_receive.c
+++ b/lib/core/raft_snapshot_receive.c
@@ -22,7 +22,7 @@
 	size_t capacity;
 };
 
-void raft_drop_incoming(struct raft *raft)
+void raft_drop_incoming_snapshot(struct raft *raft)
 {
 	if (raft->snapshots.incoming)
 		free(raft->snapshots.incoming->bytes);
@@ -36,7 +36,7 @@
 
 	if (!incoming)
 		abort();
-	raft_drop_incoming(raft);
+	raft_drop_incoming_snapshot(raft);
 	raft->snapshots.incoming = incoming;
 	incoming->index = chunk->index;
 	incoming->index_term = chunk->index_term;
@@ -98,21 +98,21 @@
 	struct raft_stored_snapshot snapshot = {
 		.index = incoming->index,
 		.term = incoming->index_term,
-		.data = incoming->bytes,
+		.state = incoming->bytes,
 		.members = raft_copy_bytes(incoming->bytes, members_len),
-		.data_len = (size_t)incoming->total_bytes - members_len,
+		.state_len = (size_t)incoming->total_bytes - members_len,
 		.members_len = members_len,
 	};
 
 	if (raft_last_index(raft) > raft->log.base_index)
-		raft_truncate_from(raft, raft->log.base_index + 1);
-	memmove(snapshot.data, incoming->bytes + members_len, snapshot.data_len);
+		raft_truncate_entries_from(raft, raft->log.base_index + 1);
+	memmove(snapshot.state, incoming->bytes + members_len, snapshot.state_len);
 	incoming->bytes = NULL; /* now owned by the snapshot */
 	raft_store_snapshot(raft, &snapshot);
 	raft->log.base_index = incoming->index;
 	raft->log.base_term = incoming->index_term;
 	raft->log.commit_index = raft->log.applied_index = raft->log.matched_index = incoming->index;
-	raft->snapshots.to_load = true;
+	raft->snapshots.must_load_newest = true;
 	raft_reload_members(raft);
 }
 
@@ -160,7 +160,7 @@
 		    raft->log.matched_index > chunk->index ? raft->log.matched_index : chunk->index;
 	}
 	if (chunk->index <= raft->log.commit_index) {
-		raft_send_append_reply(raft, message->addr, 1, raft_synced_match(raft),
+		raft_send_append_reply(raft, message->addr, 1, raft_synced_match_index(raft),
 				       raft->lease.heartbeat_round, out);
 		return;
 	}
@@ -176,11 +176,11 @@
 	}
 	if (!digest_matches(incoming) ||
 	    !raft_members_valid(incoming->bytes, (size_t)incoming->members_len)) {
-		raft_drop_incoming(raft);
+		raft_drop_incoming_snapshot(raft);
 		send_snapshot_reply(raft, message, 0, 1, out);
 		return;
 	}
 	install_snapshot(raft, incoming);
-	raft_drop_incoming(raft);
+	raft_drop_incoming_snapshot(raft);
 	send_snapshot_reply(raft, message, chunk->total_bytes, 0, out);
 }
--- a/lib/core/raft_snapshot_send.c
+++ b/lib/core/raft_snapshot_send.c
@@ -13,7 +13,7 @@
 
 static uint64_t total_bytes(const struct raft_stored_snapshot *snapshot)
 {
-	return snapshot->members_len + snapshot->data_len;
+	return snapshot->members_len + snapshot->state_len;
 }
 
 static int64_t doubled_backoff_ms(int64_t resend_ms)
@@ -23,18 +23,18 @@
 
 static void begin_transfer(struct raft *raft, struct raft_snapshot_transfer *transfer, int64_t now)
 {
-	int64_t resend_ms = transfer->resend_ms;
+	int64_t resend_ms = transfer->resend_after_ms;
 
 	memset(transfer, 0, sizeof *transfer);
-	transfer->index = raft->snapshots.newest.index;
-	transfer->last_reply_at_ms = transfer->advanced_at_ms = now;
-	transfer->resend_ms = resend_ms ? resend_ms : RAFT_RESEND_MS;
+	transfer->snapshot_index = raft->snapshots.newest.index;
+	transfer->last_reply_at_ms = transfer->last_progress_at_ms = now;
+	transfer->resend_after_ms = resend_ms ? resend_ms : RAFT_RESEND_INITIAL_MS;
 }
 
 void raft_end_transfer(struct raft *raft, struct raft_member *member)
 {
 	memset(&member->transfer, 0, sizeof member->transfer);
-	raft_release_previous(raft);
+	raft_release_previous_snapshot(raft);
 }
 
 /* Copy a range of a snapshot's bytes. The packed members and the state are stored in two buffers, and a
@@ -51,7 +51,8 @@
 	}
 	if (size > members_size)
 		memcpy(target + members_size,
-		       snapshot->data + (offset + members_size - snapshot->members_len), size - members_size);
+		       snapshot->state + (offset + members_size - snapshot->members_len),
+		       size - members_size);
 }
 
 static size_t send_chunk(struct raft *raft, const struct raft_member *member,
@@ -70,7 +71,8 @@
 	chunk->digest.data = apr_pmemdup(out->pool, snapshot->digest, RAFT_DIGEST_BYTES);
 	chunk->digest.len = RAFT_DIGEST_BYTES;
 	remaining_bytes = chunk->total_bytes - chunk->offset;
-	chunk->data.len = remaining_bytes < RAFT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_CHUNK_BYTES;
+	chunk->data.len =
+	    remaining_bytes < RAFT_SNAPSHOT_CHUNK_BYTES ? (size_t)remaining_bytes : RAFT_SNAPSHOT_CHUNK_BYTES;
 	chunk->data.data = apr_palloc(out->pool, chunk->data.len + 1);
 	copy_snapshot_range(snapshot, chunk->offset, chunk->data.data, chunk->data.len);
 	command_send(out, member->addr, raft->shard, NL__MSG__BODY_SNAPSHOT_CHUNK)->snapshot_chunk = chunk;
@@ -86,11 +88,11 @@
 	    (int64_t)((transfer->sent_bytes - transfer->acked_bytes) / RAFT_RESEND_BYTES_PER_MS);
 
 	if (transfer->sent_bytes == transfer->acked_bytes ||
-	    now - transfer->advanced_at_ms < transfer->resend_ms + transmission_ms)
+	    now - transfer->last_progress_at_ms < transfer->resend_after_ms + transmission_ms)
 		return;
 	transfer->sent_bytes = transfer->acked_bytes;
-	transfer->advanced_at_ms = now;
-	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
+	transfer->last_progress_at_ms = now;
+	transfer->resend_after_ms = doubled_backoff_ms(transfer->resend_after_ms);
 }
 
 void raft_send_snapshot(struct raft *raft, struct raft_member *member, int64_t now, struct command_list *out)
@@ -99,23 +101,23 @@
 	struct raft_stored_snapshot *snapshot;
 	uint64_t window_bytes;
 
-	if (transfer->index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
-		transfer->index = 0;
-	snapshot = raft_find_snapshot(raft, transfer->index);
+	if (transfer->snapshot_index && now - transfer->last_reply_at_ms > RAFT_TRANSFER_IDLE_MS)
+		transfer->snapshot_index = 0;
+	snapshot = raft_find_snapshot(raft, transfer->snapshot_index);
 	if (!snapshot) {
 		begin_transfer(raft, transfer, now);
-		raft_release_previous(raft);
-		snapshot = raft_find_snapshot(raft, transfer->index);
+		raft_release_previous_snapshot(raft);
+		snapshot = raft_find_snapshot(raft, transfer->snapshot_index);
 	}
 	if (!snapshot)
 		return;
 	resend_after_timeout(transfer, now);
 	if (now < transfer->resume_at_ms)
 		return;
-	window_bytes =
-	    transfer->has_reply ? (uint64_t)RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES : RAFT_CHUNK_BYTES;
+	window_bytes = transfer->has_reply ? (uint64_t)RAFT_SNAPSHOT_WINDOW_CHUNKS * RAFT_SNAPSHOT_CHUNK_BYTES
+					   : RAFT_SNAPSHOT_CHUNK_BYTES;
 	if (transfer->sent_bytes == transfer->acked_bytes)
-		transfer->advanced_at_ms = now;
+		transfer->last_progress_at_ms = now;
 	while (transfer->sent_bytes < total_bytes(snapshot) &&
 	       transfer->sent_bytes - transfer->acked_bytes < window_bytes)
 		transfer->sent_bytes += send_chunk(raft, member, snapshot, out);
@@ -129,7 +131,7 @@
 		return;
 	transfer->rewound_at_ms = now;
 	transfer->acked_bytes = transfer->sent_bytes = offset;
-	transfer->advanced_at_ms = now;
+	transfer->last_progress_at_ms = now;
 }
 
 /* The bytes that the member received do not match the digest: send the complete snapshot again after a
@@ -138,13 +140,13 @@
 {
 	if (now < transfer->resume_at_ms)
 		return;
-	if (transfer->index == raft->snapshots.newest.index)
+	if (transfer->snapshot_index == raft->snapshots.newest.index)
 		raft->snapshots.newest.has_digest = false;
 	else
 		raft->snapshots.previous.has_digest = false;
 	transfer->acked_bytes = transfer->sent_bytes = 0;
-	transfer->resume_at_ms = now + transfer->resend_ms;
-	transfer->resend_ms = doubled_backoff_ms(transfer->resend_ms);
+	transfer->resume_at_ms = now + transfer->resend_after_ms;
+	transfer->resend_after_ms = doubled_backoff_ms(transfer->resend_after_ms);
 }
 
 /* Move the window to the offset that a member reports. */
@@ -157,8 +159,8 @@
 		transfer->acked_bytes = reply->offset;
 		transfer->sent_bytes = transfer->sent_bytes > transfer->acked_bytes ? transfer->sent_bytes
 										    : transfer->acked_bytes;
-		transfer->advanced_at_ms = now;
-		transfer->resend_ms = RAFT_RESEND_MS;
+		transfer->last_progress_at_ms = now;
+		transfer->resend_after_ms = RAFT_RESEND_INITIAL_MS;
 	} else if (reply->offset < transfer->acked_bytes) {
 		rewind_transfer(transfer, reply->offset, now);
 	}
@@ -171,7 +173,7 @@
 	uint64_t match_index = index > member->progress.match_index ? index : member->progress.match_index;
 
 	member->progress.next_index = member->progress.unacked_index = match_index + 1;
-	member->progress.probing = true;
+	member->progress.is_probing = true;
 	raft_end_transfer(raft, member);
 }
 
@@ -191,9 +193,9 @@
 		return;
 	member->progress.last_reply_at_ms = now;
 	transfer = &member->transfer;
-	if (reply->index != transfer->index)
+	if (reply->index != transfer->snapshot_index)
 		return;
-	snapshot = raft_find_snapshot(raft, transfer->index);
+	snapshot = raft_find_snapshot(raft, transfer->snapshot_index);
 	if (!snapshot || reply->transfer_id != raft_transfer_id(snapshot->digest) ||
 	    reply->offset > total_bytes(snapshot))
 		return;
--- a/lib/core/raft_validate.c
+++ b/lib/core/raft_validate.c
@@ -19,7 +19,7 @@
 static enum raft_fault leader_fault(const struct raft *raft, const struct Nl__Msg *message, uint64_t term)
 {
 	if (!term || is_implausible(term))
-		return RAFT_FAULT_TERM;
+		return RAFT_FAULT_TERM_OR_INDEX;
 	if (message->id == raft->id)
 		return RAFT_FAULT_OWN_MESSAGE;
 	if (term == raft->term && raft->leader_id && raft->leader_id != message->id)
@@ -42,7 +42,7 @@
 			return RAFT_FAULT_ENTRY_KIND;
 		if (entry->kind == RAFT_ENTRY_MEMBERS &&
 		    !raft_members_valid(entry->data.data, entry->data.len))
-			return RAFT_FAULT_MEMBERS;
+			return RAFT_FAULT_INVALID_MEMBERS;
 		previous_term = entry->term;
 	}
 	return RAFT_FAULT_NONE;
@@ -57,7 +57,7 @@
 		return fault;
 	if (is_implausible(append->prev_index) || is_implausible(append->commit_index) ||
 	    append->prev_term > append->term)
-		return RAFT_FAULT_TERM;
+		return RAFT_FAULT_TERM_OR_INDEX;
 	return entries_fault(append);
 }
 
@@ -67,7 +67,7 @@
 
 	if (is_implausible(reply->term) || is_implausible(reply->match_index) ||
 	    is_implausible(reply->matched_index))
-		return RAFT_FAULT_TERM;
+		return RAFT_FAULT_TERM_OR_INDEX;
 	if (raft->role != RAFT_LEADER || reply->term != raft->term)
 		return RAFT_FAULT_NONE;
 	if (reply->success &&
@@ -84,7 +84,7 @@
 
 	if (!request->term || is_implausible(request->term) || is_implausible(request->last_index) ||
 	    request->last_term > request->term)
-		return RAFT_FAULT_TERM;
+		return RAFT_FAULT_TERM_OR_INDEX;
 	if (request->stepped_down_term >= request->term)
 		return RAFT_FAULT_FUTURE_STEP_DOWN;
 	return message->id == raft->id ? RAFT_FAULT_OWN_MESSAGE : RAFT_FAULT_NONE;
@@ -99,7 +99,7 @@
 		return fault;
 	if (!chunk->index || is_implausible(chunk->index) || !chunk->index_term ||
 	    chunk->index_term > chunk->term)
-		return RAFT_FAULT_TERM;
+		return RAFT_FAULT_TERM_OR_INDEX;
 	if (chunk->digest.len != RAFT_DIGEST_BYTES)
 		return RAFT_FAULT_NO_DIGEST;
 	if (!chunk->members_len || chunk->members_len > chunk->total_bytes ||
@@ -115,7 +115,7 @@
 {
 	return is_implausible(reply->term) || is_implausible(reply->index) ||
 		       reply->offset > RAFT_SNAPSHOT_MAX_BYTES
-		   ? RAFT_FAULT_TERM
+		   ? RAFT_FAULT_TERM_OR_INDEX
 		   : RAFT_FAULT_NONE;
 }
 
@@ -125,7 +125,7 @@
 	case NL__MSG__BODY_VOTE_REQUEST:
 		return vote_request_fault(raft, message);
 	case NL__MSG__BODY_VOTE_REPLY:
-		return is_implausible(message->vote_reply->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
+		return is_implausible(message->vote_reply->term) ? RAFT_FAULT_TERM_OR_INDEX : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_APPEND:
 		return append_fault(raft, message);
 	case NL__MSG__BODY_APPEND_REPLY:
@@ -135,11 +135,11 @@
 	case NL__MSG__BODY_SNAPSHOT_REPLY:
 		return snapshot_reply_fault(message->snapshot_reply);
 	case NL__MSG__BODY_STEP_DOWN:
-		return is_implausible(message->step_down->term) ? RAFT_FAULT_TERM : RAFT_FAULT_NONE;
+		return is_implausible(message->step_down->term) ? RAFT_FAULT_TERM_OR_INDEX : RAFT_FAULT_NONE;
 	case NL__MSG__BODY_PROBE_REPLY:
 		return is_implausible(message->probe_reply->last_term) ||
 			       is_implausible(message->probe_reply->members_index)
-			   ? RAFT_FAULT_TERM
+			   ? RAFT_FAULT_TERM_OR_INDEX
 			   : RAFT_FAULT_NONE;
 	default:
 		return RAFT_FAULT_NONE;
@@ -151,7 +151,7 @@
 	switch (fault) {
 	case RAFT_FAULT_NONE:
 		return "no fault";
-	case RAFT_FAULT_TERM:
+	case RAFT_FAULT_TERM_OR_INDEX:
 		return "an implausible term, index or offset";
 	case RAFT_FAULT_OWN_MESSAGE:
 		return "a message sent under the identity of its receiver";
@@ -163,7 +163,7 @@
 		return "a log entry with an impossible term";
 	case RAFT_FAULT_ENTRY_KIND:
 		return "a log entry of an unknown kind";
-	case RAFT_FAULT_MEMBERS:
+	case RAFT_FAULT_INVALID_MEMBERS:
 		return "an invalid list of members";
 	case RAFT_FAULT_ACKNOWLEDGEMENT:
 		return "an acknowledgement of log entries that do not exist";
--- a/lib/core/tick_knowledge.c
+++ b/lib/core/tick_knowledge.c
@@ -25,7 +25,7 @@
 {
 	ptrdiff_t position;
 
-	if (value->tick <= knowledge->released)
+	if (value->tick <= knowledge->released_tick)
 		return;
 	position = find_value_position(knowledge, value->tick);
 	if (position == arrlen(knowledge->values) || knowledge->values[position]->tick != value->tick)
@@ -76,7 +76,7 @@
 	return true;
 }
 
-uint64_t knowledge_reach(const struct tick_knowledge *knowledge)
+uint64_t knowledge_highest_tick(const struct tick_knowledge *knowledge)
 {
 	return arrlen(knowledge->known_ranges) ? arrlast(knowledge->known_ranges).last : knowledge->horizon;
 }
@@ -123,7 +123,7 @@
 bool knowledge_append(const struct tick_knowledge *knowledge, uint64_t first, uint64_t last,
 		      struct Nl__Knowledge *message, struct command_list *out)
 {
-	if (first <= knowledge->released)
+	if (first <= knowledge->released_tick)
 		return false;
 	if (first <= knowledge->horizon)
 		append_known_range(knowledge, first, last < knowledge->horizon ? last : knowledge->horizon,
@@ -146,14 +146,14 @@
 
 	if (upto > knowledge->horizon)
 		upto = knowledge->horizon;
-	if (upto <= knowledge->released)
+	if (upto <= knowledge->released_tick)
 		return;
 	released_count = find_value_position(knowledge, upto + 1);
 	for (ptrdiff_t i = 0; i < released_count; i++)
 		value_free(knowledge->values[i]);
 	if (released_count)
 		arrdeln(knowledge->values, 0, (size_t)released_count);
-	knowledge->released = upto;
+	knowledge->released_tick = upto;
 }
 
 void knowledge_clear(struct tick_knowledge *knowledge)
--- a/lib/core/tick_knowledge.h
+++ b/lib/core/tick_knowledge.h
@@ -17,7 +17,7 @@
 /* Zeroed memory knows no tick. knowledge_clear frees it. */
 struct tick_knowledge {
 	uint64_t horizon;                /* the doubt horizon: every tick up to it is known */
-	uint64_t released;               /* values with ticks up to this one have been freed */
+	uint64_t released_tick;          /* values with ticks up to this one have been freed */
 	struct tick_range *known_ranges; /* stb_ds; known ranges above the horizon */
 	struct Nl__Value **values;       /* stb_ds; the stored values, sorted by tick */
 };
@@ -33,8 +33,8 @@
  * Example: count = knowledge_gaps(&knowledge, ranges, 8); */
 int knowledge_gaps(const struct tick_knowledge *knowledge, struct tick_range *ranges, int max_count);
 
-/* Returns the highest known tick. Example: knowledge_reach(&knowledge) */
-uint64_t knowledge_reach(const struct tick_knowledge *knowledge);
+/* Returns the highest known tick. Example: knowledge_highest_tick(&knowledge) */
+uint64_t knowledge_highest_tick(const struct tick_knowledge *knowledge);
 
 /* Append the known ticks of [first, last] to a message, in the memory of out. Returns false, and appends
  * nothing, if values at the beginning of the range may have been freed.
--- a/lib/data/router.c
+++ b/lib/data/router.c
@@ -1,6 +1,6 @@
 /* router: the step function. It records the time, ends requests that must not continue, passes the event to
  * its handler and dispatches waiting requests. Invariant: a request that was received has either ended
- * exactly once or is in progress (router_balanced). */
+ * exactly once or is in progress (router_outcomes_balance). */
 #include "router_internal.h"
 
 #include <stdlib.h>
@@ -40,7 +40,8 @@
 	struct config_watch *watch = &router->config.watch;
 	uint64_t publisher = config_watch_publisher_addr(watch, router->relay.horizon_moved_at_ms, now);
 
-	relay_set_upstreams(&router->relay, watch->upstream, (size_t)watch->upstream_count, publisher, now);
+	relay_set_upstreams(&router->relay, watch->upstream_addrs, (size_t)watch->upstream_count, publisher,
+			    now);
 	router->relay.curiosity_disabled = !mechanism_in_use(router, MECHANISM_CURIOSITY);
 	relay_tick(&router->relay, now, out);
 }
@@ -53,18 +54,18 @@
 	router->config.watch.is_warm = !router->shutdown.in_progress && is_warm;
 	config_watch_tick(&router->config.watch, router->relay.knowledge.horizon, now, out);
 	relay_purges(router, now, out);
-	if (router->config.bounds.discover_instances) {
+	if (router->config.bounds.use_endpoint_list) {
 		router_load_tick(router, now, out);
 		router_feed_tick(router, now, out);
-		router_watch_caches(router, now, out);
+		router_start_cache_watches(router, now, out);
 	} else {
 		router_poll_reports(router, now, out);
 	}
 	router_log_decisions(router, now);
 	router_weights_recall(router, now, out);
-	router_end_hopeless(router, now, out);
-	router_end_draining(router, now, out);
-	router_releases_tick(router, now, out);
+	router_end_unservable(router, now, out);
+	router_end_for_shutdown(router, now, out);
+	router_claim_releases_tick(router, now, out);
 	router_end_expired(router, now, out);
 }
 
@@ -85,7 +86,7 @@
  * the same fleet. */
 static bool is_from_fleet(const struct router *router, const struct Nl__Msg *message)
 {
-	uint64_t fleet_id = router->config.watch.fleet;
+	uint64_t fleet_id = router->config.watch.fleet_id;
 
 	if (message->protocol_version != CORE_PROTOCOL_VERSION)
 		return false;
@@ -150,9 +151,9 @@
 {
 	struct client_request *request = NULL;
 
-	if (event->kind == ROUTER_EVENT_FORWARD_BEGAN)
+	if (event->kind == ROUTER_EVENT_FORWARD_STREAM_BEGAN)
 		request = find_request_by_call(router, event->args.forward_began.token);
-	else if (event->kind == ROUTER_EVENT_FORWARD_ENDED && event->args.forward_ended->has_begun)
+	else if (event->kind == ROUTER_EVENT_FORWARD_ENDED && event->args.forward_ended->has_stream_begun)
 		request = find_request_by_call(router, event->args.forward_ended->token);
 	if (request)
 		request->stream.has_begun = true;
@@ -187,25 +188,25 @@
 			router_on_call_ended(router, request, event->args.call_ended.status,
 					     event->args.call_ended.not_started, now, out);
 		break;
-	case ROUTER_EVENT_FORWARD_BEGAN:
+	case ROUTER_EVENT_FORWARD_STREAM_BEGAN:
 		request = find_request_by_call(router, event->args.forward_began.token);
 		if (request)
-			router_on_began(router, request, event->args.forward_began.weights, now);
+			router_on_forward_began(router, request, event->args.forward_began.weights, now);
 		break;
 	case ROUTER_EVENT_FORWARD_ENDED:
 		request = find_request_by_call(router, event->args.forward_ended->token);
 		if (request)
-			router_on_ended(router, request, event->args.forward_ended, now, out);
+			router_on_forward_ended(router, request, event->args.forward_ended, now, out);
 		break;
 	case ROUTER_EVENT_REPORT_POLLED:
-		router_on_report_polled(router, event->args.report_polled.token,
-					event->args.report_polled.status, event->args.report_polled.body, now,
-					out);
+		router_on_report_reply(router, event->args.report_polled.token,
+				       event->args.report_polled.status, event->args.report_polled.body, now,
+				       out);
 		break;
 	default:
-		router_on_cache_watched(router, event->args.cache_watched.token,
-					event->args.cache_watched.update, event->args.cache_watched.status,
-					now);
+		router_on_cache_watch_reply(router, event->args.cache_watched.token,
+					    event->args.cache_watched.update,
+					    event->args.cache_watched.status, now);
 		break;
 	}
 }
@@ -234,14 +235,14 @@
 	case ROUTER_EVENT_HTTP_GET:
 		router_on_http_get(router, event->args.http_get.token, event->args.http_get.path, now, out);
 		break;
-	case ROUTER_EVENT_STOP:
+	case ROUTER_EVENT_SHUTDOWN:
 		router->shutdown.in_progress = true;
 		router->shutdown.deadlines = event->args.shutdown;
 		break;
 	case ROUTER_EVENT_STREAM_CHUNK:
 	case ROUTER_EVENT_CALL_ENDED:
 	case ROUTER_EVENT_REPORT_POLLED:
-	case ROUTER_EVENT_FORWARD_BEGAN:
+	case ROUTER_EVENT_FORWARD_STREAM_BEGAN:
 	case ROUTER_EVENT_FORWARD_ENDED:
 	case ROUTER_EVENT_CACHE_WATCHED:
 		on_server_event(router, event, now, out);
@@ -261,16 +262,16 @@
 {
 	out->id = router->id;
 	out->addr = router->addr;
-	out->fleet = router->config.watch.fleet;
-	if (router->clock.now && now - router->clock.now > ROUTER_PAUSE_DETECTION_MS)
-		router->clock.paused_at_ms = now;
-	router->clock.now = now;
+	out->fleet = router->config.watch.fleet_id;
+	if (router->clock.now_ms && now - router->clock.now_ms > ROUTER_PAUSE_DETECTION_MS)
+		router->clock.resumed_at_ms = now;
+	router->clock.now_ms = now;
 	record_stream_began(router, event);
 	router_end_without_config(router, now, out);
 	on_event(router, event, now, out);
 	router_dispatch(router, now, out);
 	if (router->config.route_table && may_change_needed_slots(event->kind))
-		router_request_slots(router, now, out);
+		router_request_quota_slots(router, now, out);
 }
 
 /* ---- opening and closing --------------------------------------------------------------------- */
@@ -304,12 +305,12 @@
 	router->clock.started_at_ms = now;
 	router->config.bounds = bounds_default;
 	router->cache.average_full_watch_bytes = ROUTER_FULL_WATCH_INITIAL_BYTES;
-	router_lookup_open(router);
+	router_lookup_init(router);
 	config_watch_open(&router->config.watch, id, seeds, seed_count, now);
 	router->config.watch.zone = zone;
 	router->config.watch.is_router = 1;
 	relay_open(&router->relay, now);
-	router->relay.on_value = router_on_value;
+	router->relay.on_value = router_on_purge_value;
 	router->relay.context = router;
 }
 
@@ -317,14 +318,14 @@
 {
 	router_requests_discard(router);
 	while (arrlen(router->requests.claim_releases))
-		router_release_end(router, 0);
+		router_claim_release_drop(router, 0);
 	arrfree(router->requests.claim_releases);
 	arrfree(router->requests.all);
 	hmfree(router->requests.by_token);
-	hmfree(router->queueing.by_owner);
+	hmfree(router->queueing.index_by_route_and_tenant);
 	arrfree(router->queueing.queues);
-	arrfree(router->quota.tenant_running);
-	arrfree(router->quota.retry_budget);
+	arrfree(router->quota.tenant_slots_held);
+	arrfree(router->quota.retry_budget_milli);
 }
 
 static void close_servers(struct router *router)
@@ -332,9 +333,9 @@
 	router_feed_clear(router);
 	router_load_clear(router);
 	arrfree(router->servers.states);
-	arrfree(router->servers.hashes);
-	hmfree(router->servers.by_hash);
-	arrfree(router->servers.cached_depth);
+	arrfree(router->servers.name_hashes);
+	hmfree(router->servers.by_name_hash);
+	arrfree(router->servers.cached_block_counts);
 	arrfree(router->servers.last_serving_at_ms);
 	hmfree(router->servers.links);
 	prefix_index_clear(&router->cache.index);
@@ -358,7 +359,7 @@
 	close_servers(router);
 	close_config(router);
 	relay_close(&router->relay);
-	arrfree(router->retention.generations);
+	arrfree(router->retention.newest_purges);
 	arrfree(router->retention.remainders);
 	arrfree(router->records.decision_counts);
 	hmfree(router->records.usage);
--- a/lib/data/router.h
+++ b/lib/data/router.h
@@ -19,34 +19,34 @@
 
 /* Counters since the start of the process; served at /v1/state and /metrics. */
 struct router_stats {
-	uint64_t received; /* requests; always the sum of outcomes and of requests in progress */
+	uint64_t requests_received; /* requests; always the sum of outcomes and of requests in progress */
 	uint64_t outcomes[REQUEST_OUTCOMES];
 	uint64_t sends; /* attempts; of a forwarded request only the first */
-	uint64_t resends;
-	uint64_t resumed; /* streams resumed at another server */
-	uint64_t chunks;
-	uint64_t tokens;              /* prompt tokens of the attempts counted in sends */
-	uint64_t reused;              /* of tokens, those expected to be cached at the server */
-	uint64_t fetched;             /* tokens to be fetched from another server or the store */
+	uint64_t retries;
+	uint64_t streams_resumed; /* streams resumed at another server */
+	uint64_t chunks_sent;
+	uint64_t prompt_tokens;       /* prompt tokens of the attempts counted in sends */
+	uint64_t cached_tokens;       /* of tokens, those expected to be cached at the server */
+	uint64_t fetched_tokens;      /* tokens to be fetched from another server or the store */
 	uint64_t sends_without_cache; /* attempts sent while the purge view was not current */
-	uint64_t claims;              /* proposals of claims and of claim releases */
+	uint64_t claim_proposals;     /* proposals of claims and of claim releases */
 	uint64_t report_polls;
-	uint64_t watches;
-	uint64_t events; /* cache events received */
+	uint64_t cache_watches;
+	uint64_t cache_events; /* cache events received */
 	/* answers from a server instance or weights other than those that the request was sent to */
 	uint64_t wrong_incarnation;
 	/* refused because the configuration may be out of date, or because the router is shutting down */
-	uint64_t refused_stale;
+	uint64_t refused_stale_config;
 	uint64_t refused_queue_full;
-	uint64_t refused_deadline; /* the deadline passed before the request was sent */
-	uint64_t refused_early;    /* no server or leader available, or the deadline was out of reach */
-	uint64_t revoked;          /* requests ended because their key was removed */
+	uint64_t refused_deadline;   /* the deadline passed before the request was sent */
+	uint64_t refused_unservable; /* no server or leader available, or the deadline was out of reach */
+	uint64_t ended_key_removed;  /* requests ended because their key was removed */
 	/* requests ended because the configuration could not be confirmed for too long */
 	uint64_t ended_without_config;
-	uint64_t lookups_used; /* own prefix lookups answered in time */
-	uint64_t lookups_missed;
-	uint64_t lookups_answered; /* prefix lookups of other routers that this one answered */
-	uint64_t recalled;         /* attempts recalled shortly before the rollout bound of their weights */
+	uint64_t own_lookups_answered; /* own prefix lookups answered in time */
+	uint64_t own_lookups_missed;
+	uint64_t lookups_served;    /* prefix lookups of other routers that this one answered */
+	uint64_t attempts_recalled; /* attempts recalled shortly before the rollout bound of their weights */
 	/* attempts sent to servers whose weights were past their rollout bound; any is a fault */
 	uint64_t sent_past_bound;
 	/* requests that servers began on weights past their rollout bound; any is a fault */
@@ -58,8 +58,8 @@
 	uint64_t key; /* route index << 32 | tenant index */
 	struct {
 		uint64_t requests;
-		uint64_t tokens;
-		uint64_t reused; /* prompt tokens expected to be cached at the server */
+		uint64_t prompt_tokens;
+		uint64_t cached_tokens; /* prompt tokens expected to be cached at the server */
 		uint64_t chunks;
 		uint64_t errors;
 	} value;
@@ -79,10 +79,10 @@
 
 /* Clock readings of the current step, in ms. */
 struct router_clock {
-	int64_t now;
+	int64_t now_ms;
 	int64_t started_at_ms;
 	/* when this process last resumed after it had not been scheduled for a while; 0: never */
-	int64_t paused_at_ms;
+	int64_t resumed_at_ms;
 };
 
 /* The configuration in force. Written by router.c and router_route_table.c. */
@@ -91,7 +91,7 @@
 	struct bounds bounds;
 	struct route_table *route_table; /* NULL: no configuration received yet */
 	struct server_table *server_table;
-	uint32_t serving_servers; /* serving servers in server_table */
+	uint32_t serving_server_count; /* serving servers in server_table */
 };
 
 /* Dense indices for names. */
@@ -122,15 +122,15 @@
 	struct {
 		uint64_t key; /* route index << 32 | tenant index */
 		uint32_t value;
-	} * by_owner; /* stb_ds: index into queues */
+	} * index_by_route_and_tenant; /* stb_ds: index into queues */
 	int64_t next_dispatch_at_ms;
 	uint64_t retry_jitter_draws;
 };
 
 /* Slots in use and retry budgets. Written by router_quota.c and router_retry.c. */
 struct router_quota {
-	uint32_t *tenant_running; /* stb_ds, by tenant index: slots held by requests */
-	int64_t *retry_budget;    /* stb_ds, by service index, in thousandths of a retry */
+	uint32_t *tenant_slots_held; /* stb_ds, by tenant index: slots held by requests */
+	int64_t *retry_budget_milli; /* stb_ds, by service index, in thousandths of a retry */
 };
 
 /* Observed state of servers; arrays are indexed by server index. */
@@ -138,13 +138,13 @@
 	struct router_server_state *states; /* stb_ds */
 	/* stb_ds: hashes of server names; all routers use the same ones, so that they rank servers alike
 	 */
-	uint64_t *hashes;
+	uint64_t *name_hashes;
 	struct {
 		uint64_t key;
 		uint32_t value;
-	} * by_hash; /* stb_ds: server index */
+	} * by_name_hash; /* stb_ds: server index */
 	/* stb_ds: number of leading prompt blocks cached at each server, for the placement in progress */
-	int *cached_depth;
+	int *cached_block_counts;
 	/* stb_ds, by service index: when the service last had a serving server */
 	int64_t *last_serving_at_ms;
 	struct link_observation *links; /* stb_ds */
@@ -161,7 +161,7 @@
  * router_cache_feed.c. */
 struct router_cache_feed {
 	/* stb_ds: servers with unsent events, the one that has waited longest first */
-	uint32_t *queue;
+	uint32_t *unsent_servers;
 	int64_t sent_at_ms;
 	/* when the feed's share of the link will have carried all that was sent */
 	int64_t link_free_at_ms;
@@ -169,16 +169,16 @@
 
 /* Load that routers publish to each other; arrays are indexed by server index. Written by router_load.c. */
 struct router_load {
-	struct load_source *sources;     /* stb_ds */
-	struct load_cell *sent_to_head;  /* stb_ds: last published to the head of the zone */
-	struct load_cell *sent_to_zone;  /* stb_ds: last published to the routers of the zone */
-	struct load_cell *sent_to_heads; /* stb_ds: last published to the heads of other zones */
-	struct load_cell *others;        /* stb_ds: load that other routers have at each server */
-	int64_t others_at_ms;
+	struct load_source *sources;             /* stb_ds */
+	struct load_counts *sent_to_head;        /* stb_ds: last published to the head of the zone */
+	struct load_counts *sent_to_zone;        /* stb_ds: last published to the routers of the zone */
+	struct load_counts *sent_to_other_heads; /* stb_ds: last published to the heads of other zones */
+	struct load_counts *other_routers;       /* stb_ds: load that other routers have at each server */
+	int64_t other_routers_at_ms;
 	int64_t sent_at_ms;
 	int64_t full_sent_at_ms;
 	int64_t zone_sent_at_ms;
-	bool changed; /* an attempt was sent or began since the last message */
+	bool has_unsent_change; /* an attempt was sent or began since the last message */
 };
 
 /* Prefix lookups that this router sends to the head of its zone. Written by router_prefix_lookup.c. */
@@ -186,13 +186,13 @@
 	double round_trip_ms; /* smoothed time from a lookup to its answer */
 	int consecutive_misses;
 	/* when the next lookup is sent to a head that has not been answering */
-	int64_t next_probe_at_ms;
+	int64_t next_lookup_at_ms;
 };
 
 /* Purges of cached context on a schedule. Written by router_retention.c. */
 struct router_retention {
 	/* stb_ds, by scope and slice: newest purge; emptied on a purge or a new route table */
-	uint64_t *generations;
+	uint64_t *newest_purges;
 	int64_t purged_at_ms; /* when the last purge was received completely */
 	/* start of the scan for blocks that servers still cache from before that purge */
 	int64_t scan_at_ms;
@@ -270,13 +270,13 @@
 
 /* Checks the invariant that each request received has either ended exactly once or is in progress. Always
  * true; tests check it after each step. */
-bool router_balanced(const struct router *router);
+bool router_outcomes_balance(const struct router *router);
 
 /* Whether no request is in progress and no claim is to be released, so that a shutdown may complete. */
 bool router_idle(const struct router *router);
 
 /* The usage so far as CSV, allocated in the caller's pool: lane,tenant,exchanges,tokens,reused,pieces,errors.
  */
-const char *router_usage(const struct router *router, apr_pool_t *pool);
+const char *router_usage_csv(const struct router *router, apr_pool_t *pool);
 
 #endif
--- a/lib/data/router_admission.c
+++ b/lib/data/router_admission.c
@@ -16,7 +16,7 @@
 	STARTUP_RETRY_MARGIN_MS = 200 /* added to the remaining time of a fleet's start */
 };
 
-const char router_no_server[] = "no server of this service is available";
+const char router_reason_no_server[] = "no server of this service is available";
 
 /* ---- declining requests ---------------------------------------------------------------------- */
 
@@ -30,15 +30,15 @@
 		return false;
 	if (router->shutdown.in_progress)
 		ending.reason = "this router is shutting down";
-	router->stats.refused_stale++;
-	if (!router->config.bounds.discover_instances)
+	router->stats.refused_stale_config++;
+	if (!router->config.bounds.use_endpoint_list)
 		ending.retry_after_ms = router_retry_after_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	/* after its own start, a router estimates how long its fleet still needs to elect leaders */
-	else if (uptime_ms < ROUTER_STARTUP_MS)
-		ending.retry_after_ms = router_retry_fast_ms(
-		    router, (int)(ROUTER_STARTUP_MS - uptime_ms + STARTUP_RETRY_MARGIN_MS));
+	else if (uptime_ms < ROUTER_FLEET_STARTUP_MS)
+		ending.retry_after_ms = router_retry_after_short_ms(
+		    router, (int)(ROUTER_FLEET_STARTUP_MS - uptime_ms + STARTUP_RETRY_MARGIN_MS));
 	else
-		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
+		ending.retry_after_ms = router_retry_after_short_ms(router, ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return true;
 }
@@ -47,21 +47,22 @@
 					const struct request_queue *queue, uint32_t service_index,
 					int64_t now, struct command_list *out)
 {
-	struct request_ending ending = { REQUEST_REFUSED, 503, router_no_server, 0 };
-	bool is_full = queue->length >= router->config.route_table->routes[queue->route_index].queue_limit;
+	struct request_ending ending = { REQUEST_REFUSED, 503, router_reason_no_server, 0 };
+	bool is_full = queue->waiting_count >=
+		       router->config.route_table->routes[queue->route_index].max_waiting_per_tenant;
 
 	if (!is_full &&
 	    now - router->servers.last_serving_at_ms[service_index] <= ROUTER_CONFIG_MAX_STALENESS_MS)
 		return false;
 	router->stats.refused_queue_full += is_full;
-	router->stats.refused_early += !is_full;
+	router->stats.refused_unservable += !is_full;
 	if (is_full) {
 		ending.status = 429;
 		ending.reason = "the queue of this tenant on this lane is full";
 	}
-	ending.retry_after_ms =
-	    router_retry_after_ms(router, is_full ? router_expected_wait_ms(queue, queue->length / 2, now)
-						  : ROUTER_RETRY_AFTER_MIN_MS);
+	ending.retry_after_ms = router_retry_after_ms(
+	    router, is_full ? router_expected_wait_ms(queue, queue->waiting_count / 2, now)
+			    : ROUTER_RETRY_AFTER_MIN_MS);
 	router_decline(router, token, &ending, out);
 	return true;
 }
@@ -75,7 +76,7 @@
 /* Adds a request to its queue and to the router's table of requests. */
 static void enqueue(struct router *router, struct client_request *request, int64_t now)
 {
-	request->route.revision = router->config.route_table->revision;
+	request->route.table_revision = router->config.route_table->revision;
 	router_queue_insert(router, request, now);
 	router_request_add(router, request);
 }
@@ -280,7 +281,7 @@
 	struct client_request *request;
 	int tenant_index;
 
-	router->stats.received++;
+	router->stats.requests_received++;
 	if (decline_if_stale(router, token, now, out))
 		return;
 	tenant_index = find_tenant_by_key(router->config.route_table, key_digest);
@@ -363,7 +364,7 @@
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index = digest && routes->has_keys ? shgeti(keys, digest) : -1;
 
-	*tenant_index = routes->anonymous_tenant;
+	*tenant_index = routes->anonymous_tenant_index;
 	if (key_index >= 0 && routes->tenants[keys[key_index].value].is_configured)
 		*tenant_index = keys[key_index].value;
 	else if (routes->has_keys && !route->key_optional)
@@ -396,7 +397,7 @@
 	bool had_retry_reserved = request->retry.budget_reserved;
 
 	if (had_retry_reserved)
-		router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
+		router->quota.retry_budget_milli[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
 	request->retry.budget_reserved = false;
 	request->route.service_index = service_index;
 	if (request->stream.has_begun) { /* the new service cannot resume a stream of the old one */
@@ -404,15 +405,15 @@
 				 "the service of this stream was removed from the configuration", now, out);
 		return false;
 	}
-	if (had_retry_reserved && router->quota.retry_budget[service_index] < ROUTER_RETRY_COST_MILLI) {
+	if (had_retry_reserved && router->quota.retry_budget_milli[service_index] < ROUTER_RETRY_COST_MILLI) {
 		router_refuse(
 		    router, request, 503,
 		    "the service of the lane changed, and the retry budget of the new service is exhausted",
-		    ROUTER_RETRY_FAST_MS, now, out);
+		    ROUTER_RETRY_AFTER_SINGLE_SERVER_MS, now, out);
 		return false;
 	}
 	if (had_retry_reserved)
-		router->quota.retry_budget[service_index] -= ROUTER_RETRY_COST_MILLI;
+		router->quota.retry_budget_milli[service_index] -= ROUTER_RETRY_COST_MILLI;
 	request->retry.budget_reserved = had_retry_reserved;
 	return true;
 }
@@ -424,13 +425,13 @@
 	const struct route_config *route;
 	struct admission admission;
 
-	if (request->route.revision == routes->revision)
+	if (request->route.table_revision == routes->revision)
 		return true;
-	request->route.revision = routes->revision;
+	request->route.table_revision = routes->revision;
 	admission = determine_admission(routes, request->client.host, request->client.path,
 					request->client.key_digest, request->client.request_id);
 	if (admission.status) {
-		router->stats.revoked += admission.status == 401;
+		router->stats.ended_key_removed += admission.status == 401;
 		router_end_early(router, request, admission.status, admission.reason, now, out);
 		return false;
 	}
@@ -461,22 +462,22 @@
 	uint32_t block_tokens;
 
 	request->is_forwarded = true;
-	request->claim.confirmed = true; /* the client guarantees that the id is used only once */
+	request->claim.is_confirmed = true; /* the client guarantees that the id is used only once */
 	request->sequence = ++router->requests.last_sequence;
 	request->client.host = apr_pstrdup(request->pool, incoming->host);
 	request->client.path = apr_pstrdup(request->pool, incoming->path);
-	request->client.request_id = apr_pstrdup(request->pool, incoming->id);
+	request->client.request_id = apr_pstrdup(request->pool, incoming->request_id);
 	prompt->block_count =
 	    incoming->block_count < ROUTER_MAX_BLOCKS ? incoming->block_count : ROUTER_MAX_BLOCKS;
 	for (int i = 0; i < prompt->block_count; i++) {
-		prompt->block_hash[i] = incoming->blocks[i].hash;
+		prompt->block_hash[i] = incoming->blocks[i].prefix_hash;
 		prompt->block_tokens[i] = incoming->blocks[i].tokens;
 	}
 	block_tokens = (uint32_t)router_tokens_of_blocks(request, prompt->block_count);
 	prompt->tail_tokens =
 	    incoming->input_tokens > block_tokens ? incoming->input_tokens - block_tokens : 0;
-	prompt->output_tokens = incoming->output_tokens;
-	prompt->total_tokens = block_tokens + prompt->tail_tokens + prompt->output_tokens;
+	prompt->max_output_tokens = incoming->max_output_tokens;
+	prompt->total_tokens = block_tokens + prompt->tail_tokens + prompt->max_output_tokens;
 	return request;
 }
 
@@ -487,13 +488,13 @@
 	const struct route_config *route;
 	struct client_request *request;
 	struct admission admission;
-	int timeout_ms = incoming->limit_ms;
+	int timeout_ms = incoming->timeout_ms;
 
-	router->stats.received++;
+	router->stats.requests_received++;
 	if (decline_if_stale(router, incoming->token, now, out))
 		return;
-	admission =
-	    determine_admission(routes, incoming->host, incoming->path, incoming->key_digest, incoming->id);
+	admission = determine_admission(routes, incoming->host, incoming->path, incoming->key_digest,
+					incoming->request_id);
 	if (admission.status) {
 		reject_before_queueing(router, incoming->token, admission.status, admission.reason, out);
 		return;
--- a/lib/data/router_cache_feed.c
+++ b/lib/data/router_cache_feed.c
@@ -48,7 +48,7 @@
 {
 	for (ptrdiff_t i = 0; i < arrlen(router->servers.states); i++)
 		pending_update_clear(&router->servers.states[i].pending_update);
-	arrfree(router->feed.queue);
+	arrfree(router->feed.unsent_servers);
 }
 
 static void add_pending_event(struct pending_cache_update *pending, const struct Nl__CacheEvent *event)
@@ -79,7 +79,7 @@
 	for (size_t i = 0; i < update->n_events; i++)
 		add_pending_event(pending, update->events[i]);
 	if (!pending->is_queued)
-		arrput(router->feed.queue, server_index);
+		arrput(router->feed.unsent_servers, server_index);
 	pending->is_queued = true;
 }
 
@@ -123,10 +123,11 @@
 	struct Nl__CacheUpdateBatch *batch =
 	    MESSAGE_NEW(out, Nl__CacheUpdateBatch, NL__CACHE_UPDATE_BATCH__INIT);
 
-	batch->updates =
-	    apr_palloc(out->pool, (size_t)arrlen(router->feed.queue) * sizeof(struct Nl__CacheUpdate *));
-	for (; sent_count < arrlen(router->feed.queue) && (!max_bytes || bytes < max_bytes); sent_count++) {
-		uint32_t server_index = router->feed.queue[sent_count];
+	batch->updates = apr_palloc(out->pool, (size_t)arrlen(router->feed.unsent_servers) *
+						   sizeof(struct Nl__CacheUpdate *));
+	for (; sent_count < arrlen(router->feed.unsent_servers) && (!max_bytes || bytes < max_bytes);
+	     sent_count++) {
+		uint32_t server_index = router->feed.unsent_servers[sent_count];
 
 		if (server_config_of(router, server_index)->is_configured) {
 			struct Nl__CacheUpdate *update =
@@ -137,7 +138,7 @@
 		}
 		pending_update_clear(&router->servers.states[server_index].pending_update);
 	}
-	arrdeln(router->feed.queue, 0, sent_count);
+	arrdeln(router->feed.unsent_servers, 0, sent_count);
 	if (!batch->n_updates)
 		return;
 	for (ptrdiff_t i = 0; i < router_count; i++)
@@ -259,13 +260,13 @@
 	struct relay_downstream *downstream;
 
 	if (!is_feeding_zone(router)) {
-		if (arrlen(router->feed.queue))
+		if (arrlen(router->feed.unsent_servers))
 			router_feed_clear(router);
 		return;
 	}
 	if (now < router->feed.link_free_at_ms)
 		return;
-	if (arrlen(router->feed.queue) &&
+	if (arrlen(router->feed.unsent_servers) &&
 	    now - router->feed.sent_at_ms >=
 		router_scaled_interval_ms(router, ROUTER_CACHE_FEED_INTERVAL_MS)) {
 		router->feed.sent_at_ms = now;
--- a/lib/data/router_cache_watch.c
+++ b/lib/data/router_cache_watch.c
@@ -15,7 +15,7 @@
  * on a slow link. */
 static int max_full_watches(const struct router *router)
 {
-	int64_t link_bytes = (int64_t)router->config.bounds.link_kbps / 8 * ROUTER_FULL_WATCH_LINK_MS;
+	int64_t link_bytes = (int64_t)router->config.bounds.link_kbps / 8 * ROUTER_FULL_WATCH_MAX_LINK_MS;
 
 	if (!router->config.bounds.link_kbps)
 		return INT_MAX;
@@ -29,14 +29,14 @@
 
 	server->watch_token = router_token_new(router);
 	server->is_watch_full = !server->has_complete_block_list && !server->next_cache_event;
-	server->watched_at_ms = now;
-	router->stats.watches++;
+	server->last_watch_at_ms = now;
+	router->stats.cache_watches++;
 	command->args.watch_cache.token = server->watch_token;
 	command->args.watch_cache.addr = server_config_of(router, server_index)->packed_addr;
 	command->args.watch_cache.server = router->names.servers.names[server_index];
-	command->args.watch_cache.since = server->next_cache_event;
+	command->args.watch_cache.first_offset = server->next_cache_event;
 	command->args.watch_cache.wait_ms = ROUTER_CACHE_WATCH_WAIT_MS;
-	command->args.watch_cache.full = server->is_watch_full;
+	command->args.watch_cache.wants_all_blocks = server->is_watch_full;
 }
 
 static bool needs_watch(const struct router *router, uint32_t server_index, int64_t now)
@@ -44,12 +44,12 @@
 	const struct server_config *config = server_config_of(router, server_index);
 	const struct router_server_state *server = &router->servers.states[server_index];
 
-	return config->is_configured && !config->draining && !server->watch_token &&
-	       now - server->watched_at_ms >= ROUTER_CACHE_WATCH_INTERVAL_MS &&
+	return config->is_configured && !config->is_draining && !server->watch_token &&
+	       now - server->last_watch_at_ms >= ROUTER_CACHE_WATCH_INTERVAL_MS &&
 	       now >= server->unavailable_until_ms;
 }
 
-void router_watch_caches(struct router *router, int64_t now, struct command_list *out)
+void router_start_cache_watches(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct server_table *servers = router->config.server_table;
 	int full_watch_count = 0, max_full_watch_count = max_full_watches(router);
@@ -88,7 +88,7 @@
 		server_index,
 		0,
 		server_config_of(router, server_index)->service_index,
-		router->servers.states[server_index].weights,
+		router->servers.states[server_index].weights_index,
 		0,
 		namespace_key,
 	};
@@ -99,13 +99,13 @@
 
 static void on_block_added(struct router *router, uint32_t server_index, uint64_t key, uint64_t namespace_key)
 {
-	router->stats.events++;
+	router->stats.cache_events++;
 	add_block_to_index(router, server_index, key, namespace_key);
 }
 
 static void on_block_removed(struct router *router, uint32_t server_index, uint64_t key)
 {
-	router->stats.events++;
+	router->stats.cache_events++;
 	prefix_index_remove(&router->cache.index, key, server_index);
 }
 
@@ -147,7 +147,7 @@
 	    !servers->servers[server_index].is_configured)
 		return;
 	server = &router->servers.states[server_index];
-	server->cache_update_at_ms = now;
+	server->last_cache_update_at_ms = now;
 	if (update->events_lost || (server->cache_epoch && server->cache_epoch != update->epoch))
 		prefix_index_remove_unreported(&router->cache.index, (uint32_t)server_index, UINT64_MAX);
 	server->cache_epoch = update->epoch;
@@ -162,10 +162,10 @@
 	struct router_server_state *server = &router->servers.states[server_index];
 
 	server->watch_token = 0;
-	server->watched_at_ms = now;
+	server->last_watch_at_ms = now;
 	if (status != 200 || !update) {
 		/* the server has too many watchers, or it is removed */
-		server->watched_at_ms = now + ROUTER_REPORT_POLL_INTERVAL_MS;
+		server->last_watch_at_ms = now + ROUTER_REPORT_POLL_INTERVAL_MS;
 		return;
 	}
 	if (server->is_watch_full)
@@ -178,8 +178,8 @@
 		server->next_cache_event = 0; /* the next watch requests the complete block list */
 }
 
-void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
-			     int status, int64_t now)
+void router_on_cache_watch_reply(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
+				 int status, int64_t now)
 {
 	const struct server_table *servers = router->config.server_table;
 
--- a/lib/data/router_claims.c
+++ b/lib/data/router_claims.c
@@ -30,7 +30,7 @@
 
 static uint32_t shard_of_service(const struct router *router, uint32_t service_index)
 {
-	return core_shard_of(router->names.services.names[service_index], SHARD_SERVICES);
+	return core_service_shard(router->names.services.names[service_index], SHARD_SERVICES);
 }
 
 /* Proposes a claim or a release to the presumed leader of the shard; returns the leader's address. */
@@ -51,16 +51,17 @@
 	message->operation->body_case = NL__OPERATION__BODY_CLAIM;
 	message->operation->claim = claim;
 	message->token = proposal->token;
-	router->stats.claims++;
+	router->stats.claim_proposals++;
 	command_send(out, leader_addr, shard, NL__MSG__BODY_PROPOSE)->propose = message;
 	return leader_addr;
 }
 
-void router_claim_miss(struct router *router, uint32_t service_index, uint64_t leader_addr)
+void router_on_claim_unanswered(struct router *router, uint32_t service_index, uint64_t leader_addr)
 {
 	if (config_watch_leader_addr(&router->config.watch, shard_of_service(router, service_index)) ==
 	    leader_addr)
-		config_watch_miss(&router->config.watch, shard_of_service(router, service_index));
+		config_watch_try_next_controller(&router->config.watch,
+						 shard_of_service(router, service_index));
 }
 
 void router_claim_send(struct router *router, struct client_request *request, int64_t now,
@@ -75,7 +76,7 @@
 	};
 
 	request->claim.sent_at_ms = now;
-	request->claim.leader_addr = propose_claim_operation(router, &proposal, out);
+	request->claim.unanswered_leader_addr = propose_claim_operation(router, &proposal, out);
 }
 
 /* ---- releases -------------------------------------------------------------------------------- */
@@ -112,21 +113,21 @@
 	arrput(router->requests.claim_releases, release);
 }
 
-void router_release_end(struct router *router, ptrdiff_t i)
+void router_claim_release_drop(struct router *router, ptrdiff_t i)
 {
 	free(router->requests.claim_releases[i].id);
 	arrdelswap(router->requests.claim_releases, i);
 }
 
-void router_releases_tick(struct router *router, int64_t now, struct command_list *out)
+void router_claim_releases_tick(struct router *router, int64_t now, struct command_list *out)
 {
 	for (ptrdiff_t i = arrlen(router->requests.claim_releases) - 1; i >= 0; i--) {
 		struct claim_release *release = &router->requests.claim_releases[i];
 
 		if (now >= release->expires_at_ms) {
-			router_release_end(router, i);
+			router_claim_release_drop(router, i);
 		} else if (now - release->sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
-			router_claim_miss(router, release->service_index, release->leader_addr);
+			router_on_claim_unanswered(router, release->service_index, release->leader_addr);
 			propose_release(router, release, now, out);
 		}
 	}
@@ -142,8 +143,8 @@
 	uint32_t shard = shard_of_service(router, service_index);
 
 	if (asked_addr == sender_addr && config_watch_leader_addr(&router->config.watch, shard) == asked_addr)
-		config_watch_hint(&router->config.watch, shard,
-				  leader_hint_addr == sender_addr ? 0 : leader_hint_addr);
+		config_watch_set_leader_hint(&router->config.watch, shard,
+					     leader_hint_addr == sender_addr ? 0 : leader_hint_addr);
 }
 
 static void on_release_reply(struct router *router, ptrdiff_t i, const struct Nl__ProposeReply *reply,
@@ -157,7 +158,7 @@
 		release->sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_RELEASE_DELAY_MS;
 		release->leader_addr = 0;
 	} else if (reply->status != PROPOSAL_OUTCOME_UNKNOWN) {
-		router_release_end(router, i);
+		router_claim_release_drop(router, i);
 	}
 }
 
@@ -166,17 +167,18 @@
 			   struct command_list *out)
 {
 	switch (reply->status) {
-	case PROPOSAL_DONE:
-		request->claim.confirmed = true;
+	case PROPOSAL_APPLIED:
+		request->claim.is_confirmed = true;
 		/* only the leader completes a proposal */
-		config_watch_hint(&router->config.watch,
-				  shard_of_service(router, request->route.service_index), sender_addr);
+		config_watch_set_leader_hint(&router->config.watch,
+					     shard_of_service(router, request->route.service_index),
+					     sender_addr);
 		router_send(router, request, now, out);
 		break;
 	case PROPOSAL_NOT_LEADER:
-		apply_leader_hint(router, request->route.service_index, request->claim.leader_addr,
+		apply_leader_hint(router, request->route.service_index, request->claim.unanswered_leader_addr,
 				  sender_addr, reply->leader_hint);
-		request->claim.leader_addr = 0; /* the controller has answered */
+		request->claim.unanswered_leader_addr = 0; /* the controller has answered */
 		request->claim.sent_at_ms = now - ROUTER_CLAIM_RETRY_INTERVAL_MS + REDIRECTED_CLAIM_DELAY_MS;
 		break;
 	case PROPOSAL_OUTCOME_UNKNOWN:
@@ -188,18 +190,18 @@
 	}
 }
 
-void router_on_propose_reply(struct router *router, const struct Nl__ProposeReply *reply, uint64_t from,
-			     int64_t now, struct command_list *out)
+void router_on_propose_reply(struct router *router, const struct Nl__ProposeReply *reply,
+			     uint64_t sender_addr, int64_t now, struct command_list *out)
 {
 	struct client_request *request = router_request_by_token(router, reply->token);
 
 	for (ptrdiff_t i = 0; i < arrlen(router->requests.claim_releases); i++)
 		if (router->requests.claim_releases[i].token == reply->token) {
-			on_release_reply(router, i, reply, from, now);
+			on_release_reply(router, i, reply, sender_addr, now);
 			return;
 		}
 	if (!request || request->state != REQUEST_CLAIMING || request->claim.token != reply->token ||
-	    request->claim.confirmed)
+	    request->claim.is_confirmed)
 		return;
-	on_claim_reply(router, request, reply, from, now, out);
+	on_claim_reply(router, request, reply, sender_addr, now, out);
 }
--- a/lib/data/router_config.c
+++ b/lib/data/router_config.c
@@ -16,14 +16,14 @@
 	router_server_table_free(router->config.server_table);
 	router->config.server_table = servers;
 	for (uint32_t i = 0; i < servers->server_count; i++)
-		serving_count += servers->servers[i].is_configured && !servers->servers[i].draining &&
+		serving_count += servers->servers[i].is_configured && !servers->servers[i].is_draining &&
 				 !servers->servers[i].is_store;
-	if (serving_count != router->config.serving_servers && router->log) {
+	if (serving_count != router->config.serving_server_count && router->log) {
 		apr_snprintf(line, sizeof line, "Serving servers: now %u, previously %u.", serving_count,
-			     router->config.serving_servers);
+			     router->config.serving_server_count);
 		router->log(router->log_context, "router", line);
 	}
-	router->config.serving_servers = serving_count;
+	router->config.serving_server_count = serving_count;
 }
 
 /* Whether a request's key still belongs to its tenant. */
@@ -32,7 +32,7 @@
 	struct key_entry *keys = routes->keys;
 	ptrdiff_t key_index;
 
-	if (!request->client.key_digest || request->route.tenant_index == routes->anonymous_tenant)
+	if (!request->client.key_digest || request->route.tenant_index == routes->anonymous_tenant_index)
 		return true;
 	key_index = shgeti(keys, request->client.key_digest);
 	return key_index >= 0 && keys[key_index].value == request->route.tenant_index &&
@@ -49,7 +49,7 @@
 	const struct route_config *route = &routes->routes[request->route.index];
 
 	if (!key_is_valid(routes, request)) {
-		router->stats.revoked++;
+		router->stats.ended_key_removed++;
 		router_end_early(router, request, 401, "key: removed", now, out);
 	} else if (request->state == REQUEST_RUNNING) {
 		return;
@@ -107,20 +107,21 @@
 int router_max_staleness_ms(const struct router *router)
 {
 	const struct bounds *bounds = &router->config.bounds;
-	int revocation_bound_ms = bounds->revoke_ms - ROUTER_STALENESS_MARGIN_MS;
-	int contact_bound_ms = bounds->contact_ms - ROUTER_CONTACT_MARGIN_MS;
-	int drift_bound_ms = bounds->config_ms + bounds->drift_ms - ROUTER_STALENESS_MARGIN_MS;
+	int revocation_bound_ms = bounds->key_revocation_ms - ROUTER_STALENESS_MARGIN_MS;
+	int contact_bound_ms = bounds->contact_window_ms - ROUTER_CONTACT_MARGIN_MS;
+	int drift_bound_ms =
+	    bounds->config_propagation_ms + bounds->config_leaderless_extra_ms - ROUTER_STALENESS_MARGIN_MS;
 	int min_bound_ms;
 
-	if (!bounds->discover_instances)
+	if (!bounds->use_endpoint_list)
 		return CONFIG_WATCH_ADMIT_STALENESS_MS;
-	if (contact_bound_ms < bounds->config_ms - ROUTER_CONTACT_MARGIN_MS)
-		contact_bound_ms = bounds->config_ms - ROUTER_CONTACT_MARGIN_MS;
+	if (contact_bound_ms < bounds->config_propagation_ms - ROUTER_CONTACT_MARGIN_MS)
+		contact_bound_ms = bounds->config_propagation_ms - ROUTER_CONTACT_MARGIN_MS;
 	min_bound_ms = drift_bound_ms < contact_bound_ms ? drift_bound_ms : contact_bound_ms;
 	return revocation_bound_ms < min_bound_ms ? revocation_bound_ms : min_bound_ms;
 }
 
 int64_t router_config_valid_until(const struct router *router)
 {
-	return router->config.watch.fetched_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS;
+	return router->config.watch.confirmed_at_ms + ROUTER_CONFIG_MAX_STALENESS_MS;
 }
--- a/lib/data/router_cost.c
+++ b/lib/data/router_cost.c
@@ -20,44 +20,44 @@
 /* Whether recent load of other routers at the server was received from the heads of zones. */
 static bool is_shared_load_recent(const struct router *router, uint32_t server_index, int64_t now)
 {
-	return now - router->load.others_at_ms <= ROUTER_LOAD_VALID_MS &&
-	       server_index < (uint32_t)arrlen(router->load.others) &&
+	return now - router->load.other_routers_at_ms <= ROUTER_LOAD_VALID_MS &&
+	       server_index < (uint32_t)arrlen(router->load.other_routers) &&
 	       mechanism_in_use(router, MECHANISM_SHARED_LOAD);
 }
 
 struct server_load router_server_load(const struct router *router, uint32_t server_index, int64_t now)
 {
 	const struct router_server_state *server = &router->servers.states[server_index];
-	struct server_load load = { (uint32_t)server->own_running, server->prefill_tokens,
-				    server->resident_tokens };
+	struct server_load load = { (uint32_t)server->own_running_count, server->own_prefill_tokens,
+				    server->own_resident_tokens };
 
 	if (is_shared_load_recent(router, server_index, now)) {
-		const struct load_cell *others = &router->load.others[server_index];
+		const struct load_counts *others = &router->load.other_routers[server_index];
 
-		load.running += others->running;
+		load.running_count += others->running_count;
 		load.prefill_tokens += others->prefill_tokens;
 		load.resident_tokens += others->resident_tokens;
 	} else {
 		uint32_t others =
-		    (uint32_t)decayed_value(server->others_running, server->others_observed_at_ms, now,
-					    ROUTER_OTHERS_LOAD_HALF_LIFE_MS);
+		    (uint32_t)decayed_value(server->others_running_count, server->others_observed_at_ms, now,
+					    ROUTER_OTHER_ROUTERS_LOAD_HALF_LIFE_MS);
 
-		load.running += others;
+		load.running_count += others;
 		load.resident_tokens += (uint64_t)others * ROUTER_ASSUMED_REQUEST_TOKENS;
 	}
 	return load;
 }
 
-double router_load_ms(const struct router *router, uint32_t server_index,
-		      const struct service_config *service, int64_t now)
+double router_load_cost_ms(const struct router *router, uint32_t server_index,
+			   const struct service_config *service, int64_t now)
 {
 	const struct router_server_state *server = &router->servers.states[server_index];
 	struct server_load load = router_server_load(router, server_index, now);
-	double ms =
-	    (double)load.prefill_tokens / service->prefill_tokens_per_ms + ROUTER_STEP_MS * load.running;
+	double ms = (double)load.prefill_tokens / service->prefill_tokens_per_ms +
+		    ROUTER_DECODE_STEP_SLOWDOWN_MS * load.running_count;
 
 	if (mechanism_in_use(router, MECHANISM_LATENESS))
-		ms += decayed_value(server->lateness_ms, server->lateness_observed_at_ms, now,
+		ms += decayed_value(server->first_chunk_lateness_ms, server->lateness_observed_at_ms, now,
 				    ROUTER_LATENESS_HALF_LIFE_MS) /
 		      2;
 	ms += ROUTER_FAILURE_COST_MS * decayed_value(server->failure_rate, server->failure_observed_at_ms,
@@ -79,7 +79,7 @@
 {
 	struct server_load load = router_server_load(router, server_index, now);
 
-	if (load.running >= (uint32_t)router->servers.states[server_index].slots)
+	if (load.running_count >= (uint32_t)router->servers.states[server_index].slots)
 		return false;
 	if (!mechanism_in_use(router, MECHANISM_CAPACITY))
 		return true;
@@ -102,12 +102,12 @@
 
 /* This router sees only its own transfers. It assumes that each other router starts as many, and multiplies
  * the time by the number of routers. */
-void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now)
+void router_link_reserve(struct router *router, uint32_t server_index, double transfer_ms, int64_t now)
 {
 	uint32_t router_count = router->config.watch.router_count ? router->config.watch.router_count : 1;
 	double *free_at_ms = &router->servers.states[server_index].link_free_at_ms;
 
-	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + ms * router_count;
+	*free_at_ms = (*free_at_ms > (double)now ? *free_at_ms : (double)now) + transfer_ms * router_count;
 }
 
 double router_transfer_ms(const struct router *router, uint32_t from_server, uint32_t to_server,
--- a/lib/data/router_deadlines.c
+++ b/lib/data/router_deadlines.c
@@ -30,15 +30,15 @@
 	}
 }
 
-void router_end_draining(struct router *router, int64_t now, struct command_list *out)
+void router_end_for_shutdown(struct router *router, int64_t now, struct command_list *out)
 {
-	if (!router->shutdown.deadlines.run_deadline_at_ms ||
+	if (!router->shutdown.deadlines.end_deadline_at_ms ||
 	    now < router->shutdown.deadlines.send_deadline_at_ms)
 		return;
 	for (ptrdiff_t i = arrlen(router->requests.all) - 1; i >= 0; i--) {
 		struct client_request *request = router->requests.all[i];
 
-		if (request->state != REQUEST_RUNNING || now >= router->shutdown.deadlines.run_deadline_at_ms)
+		if (request->state != REQUEST_RUNNING || now >= router->shutdown.deadlines.end_deadline_at_ms)
 			router_end_early(router, request, 503, "this router is shutting down", now, out);
 	}
 }
@@ -50,12 +50,12 @@
  * can resume the stream itself. */
 static int64_t max_stream_silence_ms(const struct route_config *route)
 {
-	int64_t client_timeout_ms = ROUTER_STREAM_MIN_PATIENCE_MS;
+	int64_t client_timeout_ms = ROUTER_CLIENT_MIN_STREAM_TIMEOUT_MS;
 
 	if (4 * (int64_t)route->latency_target_ms > client_timeout_ms)
 		client_timeout_ms = 4 * (int64_t)route->latency_target_ms;
-	if (8 * (int64_t)route->max_gap_ms > client_timeout_ms)
-		client_timeout_ms = 8 * (int64_t)route->max_gap_ms;
+	if (8 * (int64_t)route->max_chunk_gap_ms > client_timeout_ms)
+		client_timeout_ms = 8 * (int64_t)route->max_chunk_gap_ms;
 	return client_timeout_ms * 3 / 4;
 }
 
@@ -98,15 +98,15 @@
 	}
 	if (!no_server && wait_ms <= (double)(request->client.deadline_at_ms - now))
 		return true;
-	router->stats.refused_early++;
+	router->stats.refused_unservable++;
 	router_refuse(router, request, 503,
-		      no_server ? router_no_server
+		      no_server ? router_reason_no_server
 				: "the queue is too long to send the request before its deadline",
 		      no_server ? ROUTER_RETRY_AFTER_MIN_MS : wait_ms / 2, now, out);
 	return false;
 }
 
-void router_end_hopeless(struct router *router, int64_t now, struct command_list *out)
+void router_end_unservable(struct router *router, int64_t now, struct command_list *out)
 {
 	update_last_serving_times(router, now);
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
@@ -128,13 +128,14 @@
 				    struct command_list *out)
 {
 	if (now - request->claim.started_at_ms > ROUTER_CONFIG_MAX_STALENESS_MS) {
-		router->stats.refused_early++;
+		router->stats.refused_unservable++;
 		router_refuse(router, request, 503,
 			      "no leader of the service's shard answered the claim of this id",
 			      ROUTER_RETRY_AFTER_MIN_MS, now, out);
 	} else if (now - request->claim.sent_at_ms >= ROUTER_CLAIM_RETRY_INTERVAL_MS) {
 		/* Proposes the same claim again: a shard records it once however often it is proposed. */
-		router_claim_miss(router, request->route.service_index, request->claim.leader_addr);
+		router_on_claim_unanswered(router, request->route.service_index,
+					   request->claim.unanswered_leader_addr);
 		router_claim_send(router, request, now, out);
 	}
 }
@@ -151,7 +152,7 @@
 					 is_running ? "the deadline passed"
 						    : "the deadline passed while the request was queued",
 					 now, out);
-		} else if (request->state == REQUEST_CLAIMING && !request->claim.confirmed) {
+		} else if (request->state == REQUEST_CLAIMING && !request->claim.is_confirmed) {
 			check_unconfirmed_claim(router, request, now, out);
 		}
 	}
--- a/lib/data/router_dispatch.c
+++ b/lib/data/router_dispatch.c
@@ -20,8 +20,8 @@
 
 static struct plan choose_server(struct router *router, const struct client_request *request, int64_t now)
 {
-	return request->is_forwarded ? router_placement_forwarded(router, request, now)
-				     : router_placement_claimed(router, request, now);
+	return request->is_forwarded ? router_place_forwarded(router, request, now)
+				     : router_place_claimed(router, request, now);
 }
 
 /* The first request of a queue that a server has capacity for; NULL: none. plan: set to its placement. When
@@ -40,7 +40,7 @@
 
 		for (int i = 0; i < full_service_count; i++)
 			is_full |= full_services[i] == request->route.service_index;
-		if (is_full || router_lookup_waits(router, request, now))
+		if (is_full || router_is_awaiting_lookup(router, request, now))
 			continue;
 		*plan = choose_server(router, request, now);
 		if (plan->server_index >= 0)
@@ -78,7 +78,7 @@
 		struct client_request *sendable;
 		struct plan plan;
 
-		if (!queue->length)
+		if (!queue->waiting_count)
 			continue;
 		*any_waiting = true;
 		if (!router_quota_has_slot(router, queue))
@@ -105,8 +105,8 @@
 	}
 	router_queue_remove(router, next->request);
 	router_quota_acquire(router, next->request);
-	router_share_of(router->config.route_table, queue->route_index, queue->tenant_index, &share,
-			&concurrency_limit);
+	router_tenant_share(router->config.route_table, queue->route_index, queue->tenant_index, &share,
+			    &concurrency_limit);
 	queue->pass += PASS_PER_DISPATCH / (share ? share : 1);
 	next->request->state = REQUEST_CLAIMING;
 }
@@ -119,8 +119,8 @@
 	struct client_request *request = next->request;
 
 	request->attempt.server_index = next->plan.server_index;
-	router->servers.states[request->attempt.server_index].own_running++;
-	if (request->claim.confirmed) {
+	router->servers.states[request->attempt.server_index].own_running_count++;
+	if (request->claim.is_confirmed) {
 		router_send(router, request, now, out);
 		return;
 	}
@@ -149,7 +149,7 @@
 		if (next.request->is_forwarded) {
 			next.request->route.priority =
 			    router_priority_class_of(router->config.route_table, next.queue);
-			router_forward(router, next.request, &next.plan, now, out);
+			router_forward_to_server(router, next.request, &next.plan, now, out);
 		} else {
 			claim_or_send(router, &next, now, out);
 		}
@@ -168,7 +168,7 @@
 		return;
 	}
 	if (request->attempt.server_index >= 0) { /* the slot that was reserved during the claim */
-		router->servers.states[request->attempt.server_index].own_running--;
+		router->servers.states[request->attempt.server_index].own_running_count--;
 		request->attempt.server_index = -1;
 	}
 	if (!request->is_forwarded && now - request->claim.started_at_ms > ROUTER_CLAIM_MAX_AGE_MS) {
@@ -185,7 +185,7 @@
 	if (plan.server_index < 0)
 		router_queue_return(router, request, now);
 	else if (request->is_forwarded)
-		router_forward(router, request, &plan, now, out);
+		router_forward_to_server(router, request, &plan, now, out);
 	else
-		router_send_to(router, request, &plan, now, out);
+		router_call_server(router, request, &plan, now, out);
 }
--- a/lib/data/router_event.h
+++ b/lib/data/router_event.h
@@ -16,23 +16,23 @@
  * are HTTP requests of clients. */
 enum router_event_kind {
 	ROUTER_EVENT_TICK,
-	ROUTER_EVENT_MESSAGE,             /* a message from another process of the fleet */
-	ROUTER_EVENT_CLAIMED_REQUEST,     /* a client's request over the product's own interface */
-	ROUTER_EVENT_CLIENT_DISCONNECTED, /* the client disconnected before its request ended */
-	ROUTER_EVENT_STREAM_CHUNK,        /* a line of a server's answer, own interface */
-	ROUTER_EVENT_CALL_ENDED,          /* the call to a server ended, own interface */
-	ROUTER_EVENT_REPORT_POLLED,       /* a server's report was fetched, own interface */
-	ROUTER_EVENT_HTTP_GET,            /* GET request for this router's own state */
-	ROUTER_EVENT_STOP,                /* graceful shutdown: new requests are refused from now on */
-	ROUTER_EVENT_FORWARDED_REQUEST,   /* an HTTP request to forward; the front end keeps its text */
-	ROUTER_EVENT_FORWARD_BEGAN,       /* the first chunk of a forwarded answer was sent to the client */
+	ROUTER_EVENT_MESSAGE,              /* a message from another process of the fleet */
+	ROUTER_EVENT_CLAIMED_REQUEST,      /* a client's request over the product's own interface */
+	ROUTER_EVENT_CLIENT_DISCONNECTED,  /* the client disconnected before its request ended */
+	ROUTER_EVENT_STREAM_CHUNK,         /* a line of a server's answer, own interface */
+	ROUTER_EVENT_CALL_ENDED,           /* the call to a server ended, own interface */
+	ROUTER_EVENT_REPORT_POLLED,        /* a server's report was fetched, own interface */
+	ROUTER_EVENT_HTTP_GET,             /* GET request for this router's own state */
+	ROUTER_EVENT_SHUTDOWN,             /* graceful shutdown: new requests are refused from now on */
+	ROUTER_EVENT_FORWARDED_REQUEST,    /* an HTTP request to forward; the front end keeps its text */
+	ROUTER_EVENT_FORWARD_STREAM_BEGAN, /* the first chunk of a forwarded answer was sent to the client */
 	ROUTER_EVENT_FORWARD_ENDED,
 	ROUTER_EVENT_CACHE_WATCHED /* a server answered a watch of its prefix cache */
 };
 
 /* One block of a prompt. */
 struct request_block {
-	uint64_t hash; /* hash of the prompt up to the end of this block */
+	uint64_t prefix_hash; /* hash of the prompt up to the end of this block */
 	uint32_t tokens;
 };
 
@@ -42,14 +42,14 @@
 	const char *key_digest; /* digest of the client's key; NULL: the client sent no key */
 	const char *host;
 	const char *path;
-	const char *id;
-	int limit_ms; /* timeout requested by the client */
+	const char *request_id;
+	int timeout_ms; /* timeout requested by the client */
 	uint32_t input_tokens;
-	uint32_t output_tokens; /* maximum length of the answer */
+	uint32_t max_output_tokens; /* maximum length of the answer */
 	int block_count;
 	/* in prompt order; the last block is specific to this request */
 	struct request_block blocks[ROUTER_MAX_BLOCKS];
-	bool client_resumes; /* the client can resume a broken stream itself */
+	bool client_can_resume; /* the client can resume a broken stream itself */
 };
 
 /* Deadlines of a graceful shutdown, in ms on the router's clock; 0: not set. */
@@ -59,7 +59,7 @@
 	int64_t send_deadline_at_ms;
 	/* After it running requests are ended, so that their clients are notified before the process
 	 * exits. */
-	int64_t run_deadline_at_ms;
+	int64_t end_deadline_at_ms;
 };
 
 /* How an attempt of a forwarded request ended. */
@@ -77,15 +77,15 @@
 	uint64_t token; /* identifies the attempt */
 	enum forward_end end;
 	int status; /* HTTP status; 0: no answer was received */
-	int has_begun;
+	int has_stream_begun;
 	uint32_t chunks;           /* complete chunks sent to the client by this attempt */
 	const char *last_event_id; /* id of the last complete event sent; NULL: none had an id */
-	int running;               /* requests running at the server, as reported by the answer */
-	int waiting;
+	int running_requests;      /* requests running at the server, as reported by the answer */
+	int waiting_requests;
 	int slots;           /* request slots of the server; 0: not reported */
 	const char *weights; /* weights that the answer reported; NULL: none */
 	/* the address now belongs to another server instance, or the server runs other weights */
-	int wrong_incarnation;
+	int is_wrong_incarnation;
 };
 
 /* One event. The union member that belongs to kind is set. The caller owns the event and all that it points
--- a/lib/data/router_internal.h
+++ b/lib/data/router_internal.h
@@ -19,7 +19,7 @@
 /* Whether a mechanism is enabled; an experiment may disable it (bounds.disabled_mechanisms). */
 static inline bool mechanism_in_use(const struct router *router, enum mechanism mechanism)
 {
-	return mechanism_on(router->config.bounds.disabled_mechanisms, mechanism);
+	return mechanism_is_enabled(router->config.bounds.disabled_mechanisms, mechanism);
 }
 
 /* ---- router.c -------------------------------------------------------------------------------- */
@@ -65,8 +65,8 @@
 
 /* Looks up a tenant's share on a route and its concurrency limit there. A limit of UINT32_MAX: none is set.
  */
-void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index,
-		     uint32_t *share, uint32_t *limit);
+void router_tenant_share(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index,
+			 uint32_t *share, uint32_t *limit);
 
 /* Builds the server table from the configuration and the endpoint list. The route table must exist. The
  * caller frees it with router_server_table_free. */
@@ -141,10 +141,10 @@
 
 /* At each tick: ends queued requests that cannot be sent before their deadline, or for which there is no
  * server. */
-void router_end_hopeless(struct router *router, int64_t now, struct command_list *out);
+void router_end_unservable(struct router *router, int64_t now, struct command_list *out);
 
 /* At each tick: ends requests that cannot complete before the deadline of a graceful shutdown. */
-void router_end_draining(struct router *router, int64_t now, struct command_list *out);
+void router_end_for_shutdown(struct router *router, int64_t now, struct command_list *out);
 
 /* At each tick: ends requests that are past their deadline, and proposes claims again that were not answered.
  */
@@ -152,7 +152,7 @@
 
 /* ---- router_admission.c ---------------------------------------------------------------------- */
 
-extern const char router_no_server[]; /* reason of a refusal: there is no server for the request */
+extern const char router_reason_no_server[]; /* reason of a refusal: there is no server for the request */
 
 /* Admits a request of the product's own interface to its queue, or declines it. body: the request as JSON. */
 void router_admit_claimed(struct router *router, uint64_t token, const char *key_digest, const char *body,
@@ -179,7 +179,7 @@
 uint32_t router_priority_class_of(const struct route_table *routes, const struct request_queue *queue);
 
 /* Expected remaining wait in ms of a request that has "before" other requests in front of it in its queue. */
-double router_expected_wait_ms(const struct request_queue *queue, uint32_t before, int64_t now);
+double router_expected_wait_ms(const struct request_queue *queue, uint32_t requests_ahead, int64_t now);
 
 /* Inserts a request into its queue, in order of admission. */
 void router_queue_insert(struct router *router, struct client_request *request, int64_t now);
@@ -208,7 +208,7 @@
 
 /* Reports to the controllers, through the configuration watch, how many slots of each limit are in use and
  * how many are requested. Polls at once where slots are lacking. */
-void router_request_slots(struct router *router, int64_t now, struct command_list *out);
+void router_request_quota_slots(struct router *router, int64_t now, struct command_list *out);
 
 /* ---- router_claims.c ------------------------------------------------------------------------- */
 
@@ -218,7 +218,7 @@
 
 /* Handles a proposal that its leader did not answer: later proposals go to another controller, unless another
  * leader has been set in the meantime. */
-void router_claim_miss(struct router *router, uint32_t service_index, uint64_t leader_addr);
+void router_on_claim_unanswered(struct router *router, uint32_t service_index, uint64_t leader_addr);
 
 /* Releases a claim, so that its request id may be used again. The release is proposed until it is committed.
  */
@@ -226,14 +226,14 @@
 			  struct command_list *out);
 
 /* Removes a release that is committed or expired; i is its index in the list of releases. */
-void router_release_end(struct router *router, ptrdiff_t i);
+void router_claim_release_drop(struct router *router, ptrdiff_t i);
 
 /* Proposes unanswered releases again. */
-void router_releases_tick(struct router *router, int64_t now, struct command_list *out);
+void router_claim_releases_tick(struct router *router, int64_t now, struct command_list *out);
 
 /* Handles a controller's reply to a claim or a release. */
-void router_on_propose_reply(struct router *router, const struct Nl__ProposeReply *reply, uint64_t from,
-			     int64_t now, struct command_list *out);
+void router_on_propose_reply(struct router *router, const struct Nl__ProposeReply *reply,
+			     uint64_t sender_addr, int64_t now, struct command_list *out);
 
 /* ---- router_dispatch.c ----------------------------------------------------------------------- */
 
@@ -249,17 +249,17 @@
 /* ---- router_retry.c -------------------------------------------------------------------------- */
 
 /* A retry-after time for a condition that passes soon, with jitter. */
-int router_retry_fast_ms(struct router *router, int ms);
+int router_retry_after_short_ms(struct router *router, int ms);
 
 /* A retry-after time for an expected wait, bounded and with jitter, so that clients do not all retry at the
  * same moment. */
 int router_retry_after_ms(struct router *router, double ms);
 
 /* Credits the first attempt of a request to the retry budget of its service. */
-void router_retry_earn(struct router *router, uint32_t service_index);
+void router_retry_budget_add(struct router *router, uint32_t service_index);
 
 /* Ends the association of a request with its server. The request keeps its quota slot. */
-void router_release_server(struct router *router, struct client_request *request, int64_t now);
+void router_detach_from_server(struct router *router, struct client_request *request, int64_t now);
 
 /* Handles an attempt that did not complete: sends the request to another server if that is allowed, else ends
  * it. not_started: the request certainly did not run there. */
@@ -268,22 +268,22 @@
 
 /* Cancels an attempt that has not begun as far as the router has observed, then continues like
  * router_retry_or_end. */
-void router_recall(struct router *router, struct client_request *request, int64_t now,
-		   struct command_list *out);
+void router_recall_attempt(struct router *router, struct client_request *request, int64_t now,
+			   struct command_list *out);
 
 /* ---- router_placement.c ---------------------------------------------------------------------- */
 
 /* A placement decision: the server for a request and what it fetches. */
 struct plan {
-	int server_index;  /* -1: no server can take the request now */
-	int cached_blocks; /* leading prompt blocks that are cached at the server */
-	int fetch_source;  /* server or store to fetch further cached blocks from; -1: none */
-	int fetch_end;     /* leading prompt blocks that are cached at the server after the fetch */
+	int server_index;       /* -1: no server can take the request now */
+	int cached_blocks;      /* leading prompt blocks that are cached at the server */
+	int fetch_source;       /* server or store to fetch further cached blocks from; -1: none */
+	int blocks_after_fetch; /* leading prompt blocks that are cached at the server after the fetch */
 	double cost_ms;
 	double fetch_ms;    /* fetch time, including the wait for the link */
 	double transfer_ms; /* transfer time alone, without the wait for the link */
 	enum decision_reason reason;
-	uint32_t candidates; /* number of servers that could take the request */
+	uint32_t candidate_count; /* number of servers that could take the request */
 };
 
 /* Whether a server accepts requests, according to the newest observations. */
@@ -300,16 +300,15 @@
 
 /* Number of leading blocks of a prompt that other requests may share: all but the last block, which is
  * specific to the request. */
-int router_shared_blocks(const struct client_request *request);
+int router_shared_block_count(const struct client_request *request);
 
 /* The hash that selects the home server and the store of a prompt: that of the last shared block. */
-uint64_t router_home_block(const struct client_request *request);
+uint64_t router_home_block_hash(const struct client_request *request);
 
 /* ---- router_placement_claimed.c -------------------------------------------------------------- */
 
 /* Chooses the server for a request of the product's own interface. */
-struct plan router_placement_claimed(struct router *router, const struct client_request *request,
-				     int64_t now);
+struct plan router_place_claimed(struct router *router, const struct client_request *request, int64_t now);
 
 /* Finds the replica of a block at a server that a request may use: made with the given weights, not isolated
  * from the request's tenant, not purged. NULL: there is none. */
@@ -336,8 +335,7 @@
 };
 
 /* Chooses the server for a forwarded request. */
-struct plan router_placement_forwarded(struct router *router, const struct client_request *request,
-				       int64_t now);
+struct plan router_place_forwarded(struct router *router, const struct client_request *request, int64_t now);
 
 /* Collects the servers that a request may go to in addition to those that cache its prefix: its home server
  * and a few alternatives. Returns their number, at most MAX_CANDIDATES. */
@@ -356,7 +354,7 @@
 
 /* Load at a server: this router's requests and, as far as observed, those of other routers. */
 struct server_load {
-	uint32_t running;
+	uint32_t running_count;
 	uint64_t prefill_tokens;
 	uint64_t resident_tokens;
 };
@@ -366,8 +364,8 @@
 
 /* Cost in ms of a server's load: the expected wait before prefill begins, plus penalties for recent lateness,
  * for recent failures and for another zone. */
-double router_load_ms(const struct router *router, uint32_t server_index,
-		      const struct service_config *service, int64_t now);
+double router_load_cost_ms(const struct router *router, uint32_t server_index,
+			   const struct service_config *service, int64_t now);
 
 /* Tokens that a request adds to the memory of a server that caches the first cached_blocks blocks of its
  * prompt. */
@@ -384,7 +382,7 @@
 double router_link_wait_ms(const struct router *router, uint32_t server_index, int64_t now);
 
 /* Records that a transfer of "ms" milliseconds begins at a server's link. */
-void router_link_reserve(struct router *router, uint32_t server_index, double ms, int64_t now);
+void router_link_reserve(struct router *router, uint32_t server_index, double transfer_ms, int64_t now);
 
 /* How long a transfer of cached blocks takes, without the wait for the link, in ms. */
 double router_transfer_ms(const struct router *router, uint32_t from_server, uint32_t to_server,
@@ -409,7 +407,7 @@
 /* ---- router_retention.c ---------------------------------------------------------------------- */
 
 /* Adds the cache scope that a retention row of the configuration defines to a route table. */
-void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row);
+void router_add_cache_scope(struct router *router, struct route_table *routes, const struct Nl__Row *row);
 
 /* Index of the narrowest scope with its own purges that contains a route and a tenant; -1: none. */
 int router_find_cache_scope(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index);
@@ -427,13 +425,13 @@
 void router_retention_tick(struct router *router, int64_t now);
 
 /* Whether no purge that this router has received covers a block with this stamp. */
-bool router_retains(const struct router *router, uint32_t service_index, uint32_t tenant_index,
-		    uint64_t block_hash, uint64_t stamp_tick);
+bool router_allows_context(const struct router *router, uint32_t service_index, uint32_t tenant_index,
+			   uint64_t block_hash, uint64_t stamp_tick);
 
 /* ---- router_prefix_lookup.c ------------------------------------------------------------------ */
 
 /* Collects the generations of weights that servers of a request's service have. Returns their number, at most
- * MAX_GENERATIONS. */
+ * MAX_WEIGHTS_GENERATIONS. */
 int router_weight_generations(struct router *router, const struct client_request *request,
 			      struct generation *generations);
 
@@ -443,7 +441,7 @@
 			  struct generation *generations, int generation_count, int store);
 
 /* Initialises the state of prefix lookups with an assumed round trip time. */
-void router_lookup_open(struct router *router);
+void router_lookup_init(struct router *router);
 
 /* Sends the head of the zone a lookup of which servers cache a request's prefix. */
 void router_lookup_send(struct router *router, struct client_request *request, int64_t now,
@@ -451,7 +449,7 @@
 
 /* Whether a request still waits for the reply to its lookup; counts the lookup as missed after its deadline.
  */
-bool router_lookup_waits(struct router *router, struct client_request *request, int64_t now);
+bool router_is_awaiting_lookup(struct router *router, struct client_request *request, int64_t now);
 
 /* Replies to a prefix lookup of another router. */
 void router_on_prefix_lookup(struct router *router, const struct Nl__Msg *message, struct command_list *out);
@@ -464,21 +462,21 @@
 /* The time by which a request on these weights must have begun at a server of the service, on this router's
  * clock. INT64_MAX: no newer weights are the target. INT64_MIN: newer weights are the target, but their date
  * is unknown. */
-int64_t router_weights_end(const struct router *router, uint32_t service_index, uint32_t weights,
-			   int64_t now);
+int64_t router_weights_begin_deadline_ms(const struct router *router, uint32_t service_index,
+					 uint32_t weights, int64_t now);
 
 /* The time until which a request may be sent to a server with these weights, so that it can begin in time;
- * special values as for router_weights_end. */
-int64_t router_weights_last_send(const struct router *router, uint32_t service_index, uint32_t weights,
-				 int64_t now);
+ * special values as for router_weights_begin_deadline_ms. */
+int64_t router_weights_send_deadline_ms(const struct router *router, uint32_t service_index, uint32_t weights,
+					int64_t now);
 
 /* Records a server's weights from its answer or from the endpoint list, unless they are older than those
  * already recorded. */
-void router_weights_learn(struct router *router, uint32_t server_index, uint32_t weights);
+void router_weights_record(struct router *router, uint32_t server_index, uint32_t weights);
 
 /* The index of the weights with this name, added if it is new. -1: the name is too long, or there are too
  * many names. */
-int router_weights_index(struct router *router, const char *name);
+int router_weights_find_or_add(struct router *router, const char *name);
 
 /* Logs the target weights that changed with a new route table; old_routes is the previous one or NULL. */
 void router_weights_log_targets(struct router *router, const struct route_table *old_routes, int64_t now);
@@ -497,8 +495,8 @@
 /* ---- router_send_claimed.c ------------------------------------------------------------------- */
 
 /* Sends a request of the product's own interface to the server of a plan. */
-void router_send_to(struct router *router, struct client_request *request, const struct plan *plan,
-		    int64_t now, struct command_list *out);
+void router_call_server(struct router *router, struct client_request *request, const struct plan *plan,
+			int64_t now, struct command_list *out);
 
 /* Handles one line of a server's answer on the product's own interface. */
 void router_on_stream_chunk(struct router *router, struct client_request *request, const char *text,
@@ -516,16 +514,17 @@
 /* ---- router_send_forwarded.c ----------------------------------------------------------------- */
 
 /* Forwards a request to the server of a plan; the front end sends the request's bytes. */
-void router_forward(struct router *router, struct client_request *request, const struct plan *plan,
-		    int64_t now, struct command_list *out);
+void router_forward_to_server(struct router *router, struct client_request *request, const struct plan *plan,
+			      int64_t now, struct command_list *out);
 
 /* Handles that the first chunk was sent to the client. weights: name of the weights in the server's answer;
  * NULL: none. */
-void router_on_began(struct router *router, struct client_request *request, const char *weights, int64_t now);
+void router_on_forward_began(struct router *router, struct client_request *request, const char *weights,
+			     int64_t now);
 
 /* Handles the end of an attempt. */
-void router_on_ended(struct router *router, struct client_request *request,
-		     const struct forward_result *result, int64_t now, struct command_list *out);
+void router_on_forward_ended(struct router *router, struct client_request *request,
+			     const struct forward_result *result, int64_t now, struct command_list *out);
 
 /* ---- router_load.c --------------------------------------------------------------------------- */
 
@@ -538,10 +537,10 @@
 
 /* Returns the load of all routers at a server, as far as this router has received it. false: none has been
  * received. */
-bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *total);
+bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_counts *total);
 
 /* Records the load of all routers at one server, from a reply of the head of the zone. */
-void router_load_record(struct router *router, uint32_t server_index, const struct load_cell *total);
+void router_load_record(struct router *router, uint32_t server_index, const struct load_counts *total);
 
 /* Frees all load records. */
 void router_load_clear(struct router *router);
@@ -562,11 +561,11 @@
 
 /* Starts the watches of servers' prefix caches that are due; does nothing unless this router is the head of
  * its zone. */
-void router_watch_caches(struct router *router, int64_t now, struct command_list *out);
+void router_start_cache_watches(struct router *router, int64_t now, struct command_list *out);
 
 /* Handles a server's reply to a cache watch; update is NULL if there was none. */
-void router_on_cache_watched(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
-			     int status, int64_t now);
+void router_on_cache_watch_reply(struct router *router, uint64_t token, const struct Nl__CacheUpdate *update,
+				 int status, int64_t now);
 
 /* Applies a cache update (blocks added and removed at a server) to the prefix index. It comes from a watch or
  * from the head of the zone. */
@@ -576,7 +575,7 @@
 
 /* Handles a value of the purge stream: drops the block replicas that a purge covers from the prefix index.
  * context is the router. */
-void router_on_value(void *context, const struct Nl__Value *value);
+void router_on_purge_value(void *context, const struct Nl__Value *value);
 
 /* ---- router_reports.c ------------------------------------------------------------------------ */
 
@@ -584,8 +583,8 @@
 void router_poll_reports(struct router *router, int64_t now, struct command_list *out);
 
 /* Handles the reply to a report poll: applies the report and relays it to downstream routers. */
-void router_on_report_polled(struct router *router, uint64_t token, int status, const char *body, int64_t now,
-			     struct command_list *out);
+void router_on_report_reply(struct router *router, uint64_t token, int status, const char *body, int64_t now,
+			    struct command_list *out);
 
 /* Applies a server's report that a relay has forwarded. */
 void router_on_relayed_report(struct router *router, const struct Nl__Report *report, int64_t now,
--- a/lib/data/router_limits.h
+++ b/lib/data/router_limits.h
@@ -27,7 +27,8 @@
 	ROUTER_SEND_LATENESS_MS = 200,
 	/* for this time after the start of a router, other routers prefer a different upstream */
 	ROUTER_WARM_UP_MS = 10000,
-	ROUTER_STARTUP_MS = 1300 /* time from the start of a fleet until its configuration is in force */
+	ROUTER_FLEET_STARTUP_MS =
+	    1300 /* time from the start of a fleet until its configuration is in force */
 };
 
 /* Reports of servers on their load and cached blocks, own interface. */
@@ -46,7 +47,7 @@
 	ROUTER_CACHE_WATCH_WAIT_MS = 1000,
 	ROUTER_CACHE_WATCH_INTERVAL_MS = 300, /* interval between two watches of the same server */
 	/* maximum link time used by complete cache lists in transfer at once */
-	ROUTER_FULL_WATCH_LINK_MS = 150,
+	ROUTER_FULL_WATCH_MAX_LINK_MS = 150,
 	/* assumed size of a complete cache list until one has been received */
 	ROUTER_FULL_WATCH_INITIAL_BYTES = 65536,
 	ROUTER_CACHE_EVENT_BYTES = 50,         /* size of one cache event in a server's answer */
@@ -77,15 +78,16 @@
 	/* maximum attempts of one request at servers that did not accept a connection */
 	ROUTER_MAX_UNREACHABLE_SENDS = 4,
 	/* time for which a request avoids a server that returned it */
-	ROUTER_AVOID_SERVER_MS = 300,
+	ROUTER_RETURNED_SERVER_AVOIDANCE_MS = 300,
 	/* time without requests to a server after a failed connection */
 	ROUTER_UNREACHABLE_BACKOFF_MS = 1000,
 	/* time without requests to a server that reported to be full or to be loading weights */
 	ROUTER_FULL_SERVER_BACKOFF_MS = 150,
-	ROUTER_RETRY_FAST_MS = 60, /* retry-after time when a single server rejected the request */
+	ROUTER_RETRY_AFTER_SINGLE_SERVER_MS =
+	    60, /* retry-after time when a single server rejected the request */
 	ROUTER_RETRY_AFTER_MIN_MS = 500,
 	ROUTER_RETRY_AFTER_MAX_MS = 30000,
-	ROUTER_STREAM_MIN_PATIENCE_MS = 2000 /* gap between two chunks that every client tolerates */
+	ROUTER_CLIENT_MIN_STREAM_TIMEOUT_MS = 2000 /* gap between two chunks that every client tolerates */
 };
 
 /* Queues and quotas. */
@@ -102,9 +104,9 @@
 	ROUTER_LATENESS_HALF_LIFE_MS = 1500,
 	ROUTER_FAILURE_HALF_LIFE_MS = 3000,
 	ROUTER_FAILURE_COST_MS = 1500, /* cost of a server all of whose recent attempts were broken off */
-	ROUTER_OTHERS_LOAD_HALF_LIFE_MS = 1000,
+	ROUTER_OTHER_ROUTERS_LOAD_HALF_LIFE_MS = 1000,
 	/* cost of a server that does not cache the prefix: caching it there evicts other prefixes */
-	ROUTER_UNCACHED_SERVER_COST_MS = 40,
+	ROUTER_PREFIX_NOT_CACHED_COST_MS = 40,
 	ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS = 12,
 	ROUTER_MAX_PREFILL_WAIT_MS = 800, /* maximum prefill time queued at a server ahead of a request */
 	/* share of a server's memory for running requests; the rest is for cached blocks */
@@ -113,7 +115,7 @@
 	ROUTER_ASSUMED_REQUEST_TOKENS = 5000
 };
 /* Time that each running request adds to the decode step of another request at the same server. */
-#define ROUTER_STEP_MS 0.4
+#define ROUTER_DECODE_STEP_SLOWDOWN_MS 0.4
 
 /* Transfers of cached blocks between servers and the offload store. */
 enum {
@@ -143,7 +145,8 @@
 	/* from here on the rollout bound is also the deadline of requests sent to older weights */
 	ROUTER_ROLLOUT_DEADLINE_MARGIN_MS = 4000,
 	ROUTER_ROLLOUT_RECALL_MARGIN_MS = 300, /* attempts that have not begun by then are recalled */
-	ROUTER_BEGIN_NOTICE_DELAY_MS = 250 /* maximum delay of the notification that a request has begun */
+	ROUTER_BEGIN_NOTICE_MAX_DELAY_MS =
+	    250 /* maximum delay of the notification that a request has begun */
 };
 
 /* Logging and diagnostics. */
--- a/lib/data/router_load.c
+++ b/lib/data/router_load.c
@@ -20,23 +20,23 @@
 	const uint64_t *addrs;
 	int addr_count;
 	enum load_scope scope;
-	const struct load_cell *cells; /* by server index */
-	struct load_cell **last_sent;  /* stb_ds, by server index */
-	bool is_full;                  /* false: holds only changes since last_sent */
+	const struct load_counts *cells; /* by server index */
+	struct load_counts **last_sent;  /* stb_ds, by server index */
+	bool is_full;                    /* false: holds only changes since last_sent */
 };
 
-static void extend_cells(struct load_cell **cells, uint32_t count)
+static void extend_cells(struct load_counts **cells, uint32_t count)
 {
-	struct load_cell zero = { 0, 0, 0 };
+	struct load_counts zero = { 0, 0, 0 };
 
 	while (arrlen(*cells) < (ptrdiff_t)count)
 		arrput(*cells, zero);
 }
 
-static void add_load(struct load_cell *sum, const struct load_cell *cell)
+static void add_load(struct load_counts *sum, const struct load_counts *cell)
 {
 	sum->prefill_tokens += cell->prefill_tokens;
-	sum->running += cell->running;
+	sum->running_count += cell->running_count;
 	sum->resident_tokens += cell->resident_tokens;
 }
 
@@ -47,22 +47,22 @@
 
 /* The load of other routers: the total less this router's load as last sent to the head, which the head's
  * total includes. */
-static struct load_cell load_of_others(const struct load_cell *total, const struct load_cell *own)
+static struct load_counts load_of_others(const struct load_counts *total, const struct load_counts *own)
 {
-	return (struct load_cell){
+	return (struct load_counts){
 		subtract_clamped(total->prefill_tokens, own->prefill_tokens),
-		subtract_clamped(total->running, own->running),
+		subtract_clamped(total->running_count, own->running_count),
 		subtract_clamped(total->resident_tokens, own->resident_tokens),
 	};
 }
 
 /* This router's load at a server. */
-static struct load_cell own_load(const struct router *router, uint32_t server_index)
+static struct load_counts own_load(const struct router *router, uint32_t server_index)
 {
 	const struct router_server_state *server = &router->servers.states[server_index];
 
-	return (struct load_cell){ server->prefill_tokens, (uint32_t)server->own_running,
-				   (uint32_t)server->resident_tokens };
+	return (struct load_counts){ server->own_prefill_tokens, (uint32_t)server->own_running_count,
+				     (uint32_t)server->own_resident_tokens };
 }
 
 /* ---- publishing ------------------------------------------------------------------------------ */
@@ -71,10 +71,10 @@
  * changed. */
 static bool has_row(const struct publication *publication, uint32_t server_index)
 {
-	const struct load_cell *cell = &publication->cells[server_index];
+	const struct load_counts *cell = &publication->cells[server_index];
 
 	if (publication->is_full)
-		return cell->prefill_tokens || cell->running;
+		return cell->prefill_tokens || cell->running_count;
 	return memcmp(cell, &(*publication->last_sent)[server_index], sizeof *cell) != 0;
 }
 
@@ -97,7 +97,7 @@
 		row = MESSAGE_NEW(out, Nl__LoadRow, NL__LOAD_ROW__INIT);
 		row->server = apr_pstrdup(out->pool, router->names.servers.names[s]);
 		row->prefill_tokens = publication->cells[s].prefill_tokens;
-		row->running_requests = publication->cells[s].running;
+		row->running_requests = publication->cells[s].running_count;
 		row->memory_tokens = publication->cells[s].resident_tokens;
 		load->rows[load->n_rows++] = row;
 	}
@@ -110,10 +110,10 @@
 		command_send(out, publication->addrs[i], 0, NL__MSG__BODY_LOAD)->load = load;
 }
 
-static struct load_cell *new_zeroed_cells(const struct router *router, struct command_list *out)
+static struct load_counts *new_zeroed_cells(const struct router *router, struct command_list *out)
 {
 	return apr_pcalloc(out->pool,
-			   (router->config.server_table->server_count + 1) * sizeof(struct load_cell));
+			   (router->config.server_table->server_count + 1) * sizeof(struct load_counts));
 }
 
 /* Interval in ms between load messages. It is short after a send or a first chunk, so
@@ -125,7 +125,7 @@
 
 	if (!router->config.watch.upstream_count)
 		return ROUTER_LOAD_INTERVAL_MS;
-	return router->load.changed && scaled_ms > ROUTER_LOAD_CHANGED_INTERVAL_MS
+	return router->load.has_unsent_change && scaled_ms > ROUTER_LOAD_CHANGED_INTERVAL_MS
 		   ? ROUTER_LOAD_CHANGED_INTERVAL_MS
 		   : scaled_ms;
 }
@@ -141,12 +141,12 @@
 
 /* Computes the load of the zone and of the fleet from the sources' messages; load.others becomes the load of
  * all other routers. */
-static void sum_load(struct router *router, const struct load_cell *own, struct load_cell *zone,
-		     struct load_cell *fleet)
+static void sum_load(struct router *router, const struct load_counts *own, struct load_counts *zone,
+		     struct load_counts *fleet)
 {
 	uint32_t server_count = router->config.server_table->server_count;
 
-	extend_cells(&router->load.others, server_count);
+	extend_cells(&router->load.other_routers, server_count);
 	for (ptrdiff_t i = 0; i < arrlen(router->load.sources); i++) {
 		const struct load_source *source = &router->load.sources[i];
 
@@ -156,18 +156,18 @@
 					 &source->cells[s]);
 	}
 	for (uint32_t s = 0; s < server_count; s++) {
-		router->load.others[s] = zone[s];
-		add_load(&router->load.others[s], &fleet[s]);
+		router->load.other_routers[s] = zone[s];
+		add_load(&router->load.other_routers[s], &fleet[s]);
 		add_load(&zone[s], &own[s]);
 		add_load(&fleet[s], &zone[s]);
 	}
 }
 
-static void publish_to_head(struct router *router, const struct load_cell *own, bool is_full,
+static void publish_to_head(struct router *router, const struct load_counts *own, bool is_full,
 			    struct command_list *out)
 {
 	struct publication publication = {
-		.addrs = router->config.watch.upstream,
+		.addrs = router->config.watch.upstream_addrs,
 		.addr_count = 1,
 		.scope = LOAD_SCOPE_ROUTER,
 		.cells = own,
@@ -178,15 +178,15 @@
 	publish(router, &publication, out);
 }
 
-static void publish_to_heads(struct router *router, const struct load_cell *zone, bool is_full,
+static void publish_to_heads(struct router *router, const struct load_counts *zone, bool is_full,
 			     struct command_list *out)
 {
 	struct publication publication = {
-		.addrs = router->config.watch.zone_heads,
+		.addrs = router->config.watch.zone_head_addrs,
 		.addr_count = router->config.watch.zone_head_count,
 		.scope = LOAD_SCOPE_ZONE,
 		.cells = zone,
-		.last_sent = &router->load.sent_to_heads,
+		.last_sent = &router->load.sent_to_other_heads,
 		.is_full = is_full,
 	};
 
@@ -194,7 +194,7 @@
 		publish(router, &publication, out);
 }
 
-static void publish_to_zone(struct router *router, const struct load_cell *fleet, bool is_full,
+static void publish_to_zone(struct router *router, const struct load_counts *fleet, bool is_full,
 			    struct command_list *out)
 {
 	uint64_t *addrs = apr_palloc(out->pool, ((size_t)arrlen(router->load.sources) + 1) * sizeof *addrs);
@@ -215,13 +215,13 @@
 
 void router_load_tick(struct router *router, int64_t now, struct command_list *out)
 {
-	struct load_cell *own, *zone, *fleet;
+	struct load_counts *own, *zone, *fleet;
 	bool is_full;
 
 	if (!router->config.server_table || now - router->load.sent_at_ms < load_interval_ms(router))
 		return;
 	router->load.sent_at_ms = now;
-	router->load.changed = false;
+	router->load.has_unsent_change = false;
 	is_full = now - router->load.full_sent_at_ms >=
 		  (router->config.watch.router_count > FAST_FULL_MAX_ROUTERS ? 2 : 1) *
 		      ROUTER_LOAD_FULL_INTERVAL_MS;
@@ -240,7 +240,7 @@
 	zone = new_zeroed_cells(router, out);
 	fleet = new_zeroed_cells(router, out);
 	sum_load(router, own, zone, fleet);
-	router->load.others_at_ms = now;
+	router->load.other_routers_at_ms = now;
 	publish_to_heads(router, zone, is_full, out);
 	if (!is_full &&
 	    now - router->load.zone_sent_at_ms < router_scaled_interval_ms(router, ROUTER_LOAD_INTERVAL_MS))
@@ -276,8 +276,8 @@
 		int s = names_find(&router->names.servers, row->server);
 
 		if (s >= 0 && s < arrlen(source->cells))
-			source->cells[s] = (struct load_cell){ row->prefill_tokens, row->running_requests,
-							       row->memory_tokens };
+			source->cells[s] = (struct load_counts){ row->prefill_tokens, row->running_requests,
+								 row->memory_tokens };
 	}
 }
 
@@ -286,11 +286,12 @@
 {
 	uint32_t server_count = router->config.server_table->server_count;
 
-	extend_cells(&router->load.others, server_count);
+	extend_cells(&router->load.other_routers, server_count);
 	extend_cells(&router->load.sent_to_head, server_count);
-	for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < arrlen(router->load.others); s++)
-		router->load.others[s] = load_of_others(&source->cells[s], &router->load.sent_to_head[s]);
-	router->load.others_at_ms = now;
+	for (ptrdiff_t s = 0; s < arrlen(source->cells) && s < arrlen(router->load.other_routers); s++)
+		router->load.other_routers[s] =
+		    load_of_others(&source->cells[s], &router->load.sent_to_head[s]);
+	router->load.other_routers_at_ms = now;
 }
 
 void router_on_load(struct router *router, uint64_t router_id, uint64_t addr, const struct Nl__Load *load,
@@ -309,23 +310,24 @@
 		record_fleet_load(router, source, now);
 }
 
-bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_cell *total)
+bool router_fleet_load(const struct router *router, uint32_t server_index, struct load_counts *total)
 {
 	if (!mechanism_in_use(router, MECHANISM_SHARED_LOAD) ||
-	    server_index >= (uint32_t)arrlen(router->load.others) ||
+	    server_index >= (uint32_t)arrlen(router->load.other_routers) ||
 	    server_index >= (uint32_t)arrlen(router->servers.states))
 		return false;
 	*total = own_load(router, server_index);
-	add_load(total, &router->load.others[server_index]);
+	add_load(total, &router->load.other_routers[server_index]);
 	return true;
 }
 
-void router_load_record(struct router *router, uint32_t server_index, const struct load_cell *total)
+void router_load_record(struct router *router, uint32_t server_index, const struct load_counts *total)
 {
-	if (server_index >= (uint32_t)arrlen(router->load.others) ||
+	if (server_index >= (uint32_t)arrlen(router->load.other_routers) ||
 	    server_index >= (uint32_t)arrlen(router->load.sent_to_head))
 		return;
-	router->load.others[server_index] = load_of_others(total, &router->load.sent_to_head[server_index]);
+	router->load.other_routers[server_index] =
+	    load_of_others(total, &router->load.sent_to_head[server_index]);
 }
 
 void router_load_clear(struct router *router)
@@ -335,6 +337,6 @@
 	arrfree(router->load.sources);
 	arrfree(router->load.sent_to_head);
 	arrfree(router->load.sent_to_zone);
-	arrfree(router->load.sent_to_heads);
-	arrfree(router->load.others);
+	arrfree(router->load.sent_to_other_heads);
+	arrfree(router->load.other_routers);
 }
--- a/lib/data/router_metrics.c
+++ b/lib/data/router_metrics.c
@@ -13,7 +13,7 @@
 
 #include "containers.h"
 
-static const char *const reason_name[DECISION_REASONS] = { "kept", "fetch", "home", "load", "only" };
+static const char *const reason_name[DECISION_REASON_COUNT] = { "kept", "fetch", "home", "load", "only" };
 static const char *const outcome_name[REQUEST_OUTCOMES] = { "answered", "refused", "rejected", "broken_off",
 							    "client_gone" };
 
@@ -82,9 +82,9 @@
 {
 	uint64_t total = 0;
 
-	for (int i = 0; i <= DECISION_BUCKETS; i++) {
+	for (int i = 0; i <= DECISION_BUCKET_COUNT; i++) {
 		total += histogram->counts[i];
-		if (i < DECISION_BUCKETS)
+		if (i < DECISION_BUCKET_COUNT)
 			add_line(text, "notchlug_%s_bucket{route=\"%s\",le=\"%d\"} %" PRIu64, name, route,
 				 decision_bucket_ms[i], total);
 		else
@@ -119,7 +119,7 @@
 	     route_index++) {
 		const struct decision_counts *counts = router->records.decision_counts[route_index];
 
-		for (int i = 0; counts && i < DECISION_REASONS; i++)
+		for (int i = 0; counts && i < DECISION_REASON_COUNT; i++)
 			add_line(text, "notchlug_decisions_total{route=\"%s\",reason=\"%s\"} %" PRIu64,
 				 escape_label(router->names.routes.names[route_index], route, sizeof route),
 				 reason_name[i], counts->decisions[i]);
@@ -141,13 +141,13 @@
 			continue;
 		escape_label(router->names.routes.names[route_index], route, sizeof route);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"older_weights\"} %" PRIu64,
-			 route, counts->older_weights);
+			 route, counts->older_weights_count);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"looked_up\"} %" PRIu64,
 			 route, counts->lookups_answered);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"lookup_missed\"} %" PRIu64,
 			 route, counts->lookups_missed);
 		add_line(text, "notchlug_decision_facts_total{route=\"%s\",fact=\"no_first_piece\"} %" PRIu64,
-			 route, counts->no_first_chunk);
+			 route, counts->no_first_chunk_count);
 	}
 }
 
@@ -186,11 +186,11 @@
 		{ "queue_ms", "Time from the request, or from its return by a server, to its send.",
 		  offsetof(struct decision_counts, queue_ms) },
 		{ "expected_ms", "Time to the first piece as it was expected at the send.",
-		  offsetof(struct decision_counts, expected_ms) },
+		  offsetof(struct decision_counts, expected_first_chunk_ms) },
 		{ "first_piece_ms", "Time from the send to the first piece.",
 		  offsetof(struct decision_counts, first_chunk_ms) },
 		{ "unexpected_ms", "What of that was beyond what was expected.",
-		  offsetof(struct decision_counts, unexpected_ms) },
+		  offsetof(struct decision_counts, first_chunk_delay_ms) },
 	};
 	char route[MAX_LABEL_BYTES];
 
@@ -217,11 +217,11 @@
 	uint32_t waiting_count = 0, running_count = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
-		waiting_count += router->queueing.queues[i].length;
+		waiting_count += router->queueing.queues[i].waiting_count;
 	for (uint32_t server_index = 0;
 	     router->config.server_table && server_index < router->config.server_table->server_count;
 	     server_index++)
-		running_count += (uint32_t)router->servers.states[server_index].own_running;
+		running_count += (uint32_t)router->servers.states[server_index].own_running_count;
 	add_value(text, "waiting_requests", "gauge", "Requests that wait in this router.", waiting_count);
 	add_value(text, "running_requests", "gauge", "Requests that this router has at servers.",
 		  running_count);
@@ -234,23 +234,23 @@
 		  (double)router->cache.index.replica_count);
 	add_value(text, "index_untold_servers", "gauge",
 		  "Servers whose news this head of a zone has yet to tell.",
-		  (double)arrlen(router->feed.queue));
+		  (double)arrlen(router->feed.unsent_servers));
 	add_value(text, "purge_age_ms", "gauge", "Age of what is known of purges.",
 		  (double)(now - router->relay.known_at_ms));
 	add_value(text, "config_age_ms", "gauge", "Age of the configuration.",
 		  (double)config_watch_age_ms(&router->config.watch, now));
 	add_value(text, "load_age_ms", "gauge", "Age of what is known of others' load.",
-		  (double)(now - router->load.others_at_ms));
+		  (double)(now - router->load.other_routers_at_ms));
 	add_value(text, "lookup_ms", "gauge", "What a lookup of a prefix takes, smoothed.",
 		  router->lookup.round_trip_ms);
 	add_value(text, "lookups_missed_total", "counter", "Lookups that were not answered in time.",
-		  (double)router->stats.lookups_missed);
+		  (double)router->stats.own_lookups_missed);
 	add_value(text, "lookups_served_total", "counter", "Lookups that this router answered for others.",
-		  (double)router->stats.lookups_answered);
+		  (double)router->stats.lookups_served);
 	add_value(text, "resends_total", "counter", "Requests sent once more.",
-		  (double)router->stats.resends);
+		  (double)router->stats.retries);
 	add_value(text, "recalled_total", "counter", "Sends taken back before their weights' bound.",
-		  (double)router->stats.recalled);
+		  (double)router->stats.attempts_recalled);
 }
 
 static void add_mechanisms(struct text_buffer *text, const struct router *router)
@@ -288,7 +288,7 @@
 {
 	uint64_t count = 0;
 
-	for (int i = 0; i <= DECISION_BUCKETS; i++)
+	for (int i = 0; i <= DECISION_BUCKET_COUNT; i++)
 		count += histogram->counts[i];
 	return count;
 }
@@ -300,7 +300,7 @@
 	char line[MAX_LOG_LINE_BYTES];
 	int length = snprintf(line, sizeof line, "route %.60s", router->names.routes.names[route_index]);
 
-	for (int i = 0; i < DECISION_REASONS; i++)
+	for (int i = 0; i < DECISION_REASON_COUNT; i++)
 		length += snprintf(line + length, sizeof line - (size_t)length, " %s %" PRIu64,
 				   reason_name[i], counts->decisions[i]);
 	snprintf(line + length, sizeof line - (size_t)length,
@@ -308,17 +308,17 @@
 		 " t_kept %" PRIu64 " t_fetched %" PRIu64 " t_read %" PRIu64 " t_shared %" PRIu64
 		 " queue_ms %" PRIu64 " expected_ms %" PRIu64 " first_ms %" PRIu64 " firsts %" PRIu64
 		 " over_ms %" PRIu64,
-		 counts->older_weights, counts->lookups_answered, counts->lookups_missed,
-		 counts->no_first_chunk, counts->cached_tokens, counts->fetched_tokens,
+		 counts->older_weights_count, counts->lookups_answered, counts->lookups_missed,
+		 counts->no_first_chunk_count, counts->cached_tokens, counts->fetched_tokens,
 		 counts->prefill_tokens, counts->shared_prefill_tokens, counts->queue_ms.sum_ms,
-		 counts->expected_ms.sum_ms, counts->first_chunk_ms.sum_ms,
-		 observation_count(&counts->first_chunk_ms), counts->unexpected_ms.sum_ms);
+		 counts->expected_first_chunk_ms.sum_ms, counts->first_chunk_ms.sum_ms,
+		 observation_count(&counts->first_chunk_ms), counts->first_chunk_delay_ms.sum_ms);
 	router->log(router->log_context, "decisions", line);
 }
 
 void router_log_decisions(struct router *router, int64_t now)
 {
-	if (!router->config.bounds.experiments || !router->log ||
+	if (!router->config.bounds.is_experiment || !router->log ||
 	    now - router->records.decisions_logged_at_ms < ROUTER_DECISIONS_LOG_INTERVAL_MS)
 		return;
 	router->records.decisions_logged_at_ms = now;
--- a/lib/data/router_names.c
+++ b/lib/data/router_names.c
@@ -8,7 +8,7 @@
 
 #include "containers.h"
 
-uint32_t names_id(struct name_table *table, const char *name)
+uint32_t names_find_or_add(struct name_table *table, const char *name)
 {
 	ptrdiff_t i;
 
--- a/lib/data/router_namespace.c
+++ b/lib/data/router_namespace.c
@@ -25,10 +25,10 @@
 	uint64_t purge_state_hash =
 	    core_rendezvous_weight(routes->isolation_hash ^ router->cache.isolation_tick, purged_tick);
 
-	name = apr_psprintf(pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name,
-			    purge_state_hash & 0xffffffff, routes->tenants[tenant_index].isolated ? "-" : "",
-			    routes->tenants[tenant_index].isolated ? router->names.tenants.names[tenant_index]
-								   : "");
+	name = apr_psprintf(
+	    pool, "%s-%" APR_UINT64_T_HEX_FMT "%s%s", weights_name, purge_state_hash & 0xffffffff,
+	    routes->tenants[tenant_index].is_isolated ? "-" : "",
+	    routes->tenants[tenant_index].is_isolated ? router->names.tenants.names[tenant_index] : "");
 	return namespace_key ? apr_psprintf(pool, "%s~%016" APR_UINT64_T_HEX_FMT, name, namespace_key) : name;
 }
 
@@ -44,7 +44,8 @@
 	uint64_t hash = scope < 0 ? 0 : router->config.route_table->scopes[scope].hash;
 
 	return hash << 32 |
-	       (router_purge_generation(router, scope, PURGE_SLICE(router_home_block(request))) & UINT32_MAX);
+	       (router_purge_generation(router, scope, PURGE_SLICE(router_home_block_hash(request))) &
+		UINT32_MAX);
 }
 
 uint64_t router_namespace_key_from_text(const char *cache_namespace)
--- a/lib/data/router_outcome.c
+++ b/lib/data/router_outcome.c
@@ -1,7 +1,7 @@
 /* router_outcome: the table of requests, and the end of requests. Every request that is received ends with
  * exactly one outcome, through router_request_end, or through router_decline if it was never queued. No other
  * code sends a client its final answer or removes a request from the router's tables. Invariant: received ==
- * the sum of outcomes + requests in progress (router_balanced). */
+ * the sum of outcomes + requests in progress (router_outcomes_balance). */
 #include "router_internal.h"
 
 #include <apr_strings.h>
@@ -54,14 +54,14 @@
 			struct router_server_state *server =
 			    &router->servers.states[request->attempt.server_index];
 
-			server->own_running--;
-			server->prefill_tokens -= request->attempt.prefill_tokens;
+			server->own_running_count--;
+			server->own_prefill_tokens -= request->attempt.prefill_tokens;
 			if (request->is_forwarded && request->state == REQUEST_RUNNING)
-				server->resident_tokens -= request->attempt.uncached_tokens;
+				server->own_resident_tokens -= request->attempt.uncached_tokens;
 		}
 	}
 	if (request->retry.budget_reserved)
-		router->quota.retry_budget[request->route.service_index] +=
+		router->quota.retry_budget_milli[request->route.service_index] +=
 		    ROUTER_RETRY_COST_MILLI; /* the reserved retry will not be sent */
 }
 
@@ -86,13 +86,13 @@
 		remove_and_free_request(router, router->requests.all[0]);
 }
 
-bool router_balanced(const struct router *router)
+bool router_outcomes_balance(const struct router *router)
 {
 	uint64_t accounted_requests = (uint64_t)arrlen(router->requests.all);
 
 	for (int i = 0; i < REQUEST_OUTCOMES; i++)
 		accounted_requests += router->stats.outcomes[i];
-	return accounted_requests == router->stats.received;
+	return accounted_requests == router->stats.requests_received;
 }
 
 /* ---- answers to clients ---------------------------------------------------------------------- */
@@ -218,8 +218,9 @@
 {
 	struct request_ending ending = { REQUEST_REFUSED, status, reason, 0 };
 
-	if (retry_after_ms == ROUTER_RETRY_FAST_MS)
-		ending.retry_after_ms = router_retry_fast_ms(router, ROUTER_RETRY_FAST_MS);
+	if (retry_after_ms == ROUTER_RETRY_AFTER_SINGLE_SERVER_MS)
+		ending.retry_after_ms =
+		    router_retry_after_short_ms(router, ROUTER_RETRY_AFTER_SINGLE_SERVER_MS);
 	else
 		ending.retry_after_ms = router_retry_after_ms(router, retry_after_ms);
 	router_request_end(router, request, &ending, now, out);
--- a/lib/data/router_placement_claimed.c
+++ b/lib/data/router_placement_claimed.c
@@ -1,4 +1,4 @@
-/* router_placement_claimed: selects the server for a request of the product's own interface, the cached
+/* router_place_claimed: selects the server for a request of the product's own interface, the cached
  * blocks that it reuses there, and what it fetches from which other server or store. Saved prefill time is
  * weighed against the server's load, and fetch time against prefill time. router_placement_forwarded.c does
  * the same for forwarded requests. */
@@ -14,7 +14,7 @@
 {
 	if (owner_tenant == user_tenant)
 		return true;
-	return !routes->tenants[owner_tenant].isolated && !routes->tenants[user_tenant].isolated &&
+	return !routes->tenants[owner_tenant].is_isolated && !routes->tenants[user_tenant].is_isolated &&
 	       routes->tenants[owner_tenant].is_configured;
 }
 
@@ -38,8 +38,8 @@
 				      router->names.weights.names[weights],
 				      router->names.tenants.names[replica->tenant_index],
 				      router->names.servers.names[server_index], replica->stamp_tick) &&
-		    router_retains(router, service_index, replica->tenant_index, block_hash,
-				   replica->stamp_tick))
+		    router_allows_context(router, service_index, replica->tenant_index, block_hash,
+					  replica->stamp_tick))
 			return replica;
 	}
 	return NULL;
@@ -77,7 +77,7 @@
 			 int fetched_blocks, int64_t now)
 {
 	const struct request_attempt *attempt = &request->attempt;
-	uint64_t link = (uint64_t)attempt->fetch_source << 32 | (uint32_t)attempt->server_index;
+	uint64_t link = (uint64_t)attempt->fetch_source_index << 32 | (uint32_t)attempt->server_index;
 	double slowdown = ROUTER_LINK_SLOWDOWN_MAX;
 
 	if (fetched_blocks && took_ms > 0)
@@ -93,12 +93,12 @@
 
 static int running_count(const struct router_server_state *server)
 {
-	return server->others_running + server->own_running;
+	return server->others_running_count + server->own_running_count;
 }
 
 static double expected_queue_ms(const struct router_server_state *server)
 {
-	return server->average_run_ms * running_count(server) / server->slots;
+	return server->average_request_ms * running_count(server) / server->slots;
 }
 
 static bool is_eligible(const struct router *router, const struct client_request *request,
@@ -120,8 +120,8 @@
 
 	if (source == server_index || config->service_index != request->route.service_index)
 		return false;
-	if (!config->is_store &&
-	    router->servers.states[source].weights != router->servers.states[server_index].weights)
+	if (!config->is_store && router->servers.states[source].weights_index !=
+				     router->servers.states[server_index].weights_index)
 		return false;
 	return router_server_is_serving(router, source, now);
 }
@@ -143,7 +143,7 @@
 
 		if (!bytes_per_ms || !can_fetch_from(router, request, source, server_index, now))
 			continue;
-		blocks = cached_prefix_blocks(router, request, source, server->weights);
+		blocks = cached_prefix_blocks(router, request, source, server->weights_index);
 		if (blocks <= plan->cached_blocks)
 			continue;
 		saved = (double)(router_tokens_of_blocks(request, blocks) -
@@ -155,7 +155,7 @@
 		    prefill_ms - saved + cost_ms < plan->cost_ms - expected_queue_ms(server)) {
 			plan->cost_ms = prefill_ms - saved + cost_ms + expected_queue_ms(server);
 			plan->fetch_source = (int)source;
-			plan->fetch_end = blocks;
+			plan->blocks_after_fetch = blocks;
 			plan->fetch_ms = fetch_ms;
 		}
 	}
@@ -173,7 +173,8 @@
 	double prefill_ms = 0;
 
 	if (may_reuse_blocks)
-		plan.cached_blocks = cached_prefix_blocks(router, request, server_index, server->weights);
+		plan.cached_blocks =
+		    cached_prefix_blocks(router, request, server_index, server->weights_index);
 	if (!router->naive_placement)
 		prefill_ms = (double)(router_prompt_tokens(request) -
 				      router_tokens_of_blocks(request, plan.cached_blocks)) /
@@ -197,7 +198,7 @@
 		   core_rendezvous_weight(key, (uint64_t)best->server_index);
 }
 
-struct plan router_placement_claimed(struct router *router, const struct client_request *request, int64_t now)
+struct plan router_place_claimed(struct router *router, const struct client_request *request, int64_t now)
 {
 	struct plan best = { .server_index = -1, .fetch_source = -1 };
 
--- a/lib/data/router_placement_forwarded.c
+++ b/lib/data/router_placement_forwarded.c
@@ -1,4 +1,4 @@
-/* router_placement_forwarded: selects the server for a forwarded request, and what it fetches from which
+/* router_place_forwarded: selects the server for a forwarded request, and what it fetches from which
  * other server or store. A request is sent to a server that caches its prefix, or to the prefix's home
  * server, which rendezvous hashing (Thaler and Ravishankar 1998) selects. It is sent elsewhere, with a fetch
  * of the prefix, only if the wait at those servers costs more than moving the prefix. The most expensive
@@ -32,7 +32,7 @@
 	int shared_blocks;          /* leading blocks that other requests may share */
 	bool is_purge_view_current; /* the purge view is current, so cached blocks may be reused */
 	double prompt_tokens;
-	struct generation generations[MAX_GENERATIONS];
+	struct generation generations[MAX_WEIGHTS_GENERATIONS];
 	int generation_count;
 };
 
@@ -49,9 +49,10 @@
 	if (!mechanism_in_use(router, MECHANISM_OFFLOAD_STORE))
 		return -1;
 	if (!routes->store_count)
-		return routes->services[request->route.service_index].store_server;
-	return routes->stores[core_rendezvous_weight(STORE_HASH_SEED, router_home_block(request)) %
-			      routes->store_count];
+		return routes->services[request->route.service_index].store_server_index;
+	return routes
+	    ->store_server_indices[core_rendezvous_weight(STORE_HASH_SEED, router_home_block_hash(request)) %
+				   routes->store_count];
 }
 
 static bool is_eligible(const struct router *router, const struct client_request *request,
@@ -71,7 +72,7 @@
 static uint64_t home_hash_of(const struct router *router, const struct client_request *request)
 {
 	if (mechanism_in_use(router, MECHANISM_HOMES))
-		return router_home_block(request);
+		return router_home_block_hash(request);
 	return core_hash_string(HOME_HASH_SEED, request->client.request_id);
 }
 
@@ -81,7 +82,7 @@
 {
 	const struct server_config *config = server_config_of(router, server_index);
 
-	return config->is_configured && !config->is_store && !config->draining &&
+	return config->is_configured && !config->is_store && !config->is_draining &&
 	       config->service_index == request->route.service_index &&
 	       !router_avoids_server(request, server_index, now);
 }
@@ -93,7 +94,7 @@
 static int select_home_server(struct router *router, const struct client_request *request, int64_t now)
 {
 	uint32_t target_weights =
-	    router->config.route_table->services[request->route.service_index].target_weights;
+	    router->config.route_table->services[request->route.service_index].target_weights_index;
 	uint64_t home_hash = home_hash_of(router, request), first_hash_weight = 0, home_hash_weight = 0;
 	int home = -1, home_has_target_weights = -1, first_choice = -1;
 
@@ -103,14 +104,14 @@
 
 		if (!may_be_home(router, request, s, now))
 			continue;
-		hash_weight = core_rendezvous_weight(home_hash, router->servers.hashes[s]);
+		hash_weight = core_rendezvous_weight(home_hash, router->servers.name_hashes[s]);
 		if (first_choice < 0 || hash_weight > first_hash_weight) {
 			first_choice = (int)s;
 			first_hash_weight = hash_weight;
 		}
 		if (!router_server_is_serving(router, s, now))
 			continue;
-		has_target_weights = router->servers.states[s].weights == target_weights;
+		has_target_weights = router->servers.states[s].weights_index == target_weights;
 		if (home < 0 || has_target_weights > home_has_target_weights ||
 		    (has_target_weights == home_has_target_weights && hash_weight > home_hash_weight)) {
 			home = (int)s;
@@ -155,7 +156,7 @@
 		if (is_eligible(router, placement->request, s, placement->now))
 			insert_alternative(
 			    placement, hash_weights, s,
-			    core_rendezvous_weight(request_id_hash, router->servers.hashes[s]));
+			    core_rendezvous_weight(request_id_hash, router->servers.name_hashes[s]));
 }
 
 int router_candidates(struct router *router, const struct client_request *request, uint32_t *server_indices,
@@ -178,7 +179,7 @@
 static bool is_candidate(const struct router *router, const struct placement *placement,
 			 uint32_t server_index)
 {
-	if (router->servers.cached_depth[server_index] >= placement->shared_blocks ||
+	if (router->servers.cached_block_counts[server_index] >= placement->shared_blocks ||
 	    (int)server_index == placement->home_server)
 		return true;
 	for (int k = 0; k < ALTERNATIVE_COUNT; k++)
@@ -193,13 +194,13 @@
  * runs fewer requests of this router. */
 static bool is_better_source(const struct router *router, uint32_t server_index, int other_server)
 {
-	int depth = router->servers.cached_depth[server_index];
+	int depth = router->servers.cached_block_counts[server_index];
 
-	if (other_server < 0 || depth > router->servers.cached_depth[other_server])
+	if (other_server < 0 || depth > router->servers.cached_block_counts[other_server])
 		return true;
-	return depth == router->servers.cached_depth[other_server] &&
-	       router->servers.states[server_index].own_running <
-		   router->servers.states[other_server].own_running;
+	return depth == router->servers.cached_block_counts[other_server] &&
+	       router->servers.states[server_index].own_running_count <
+		   router->servers.states[other_server].own_running_count;
 }
 
 /* The serving server with these weights that caches the longest part of the prefix. -1: none caches any of
@@ -212,9 +213,9 @@
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct server_config *config = server_config_of(router, s);
 
-		if (!router->servers.cached_depth[s] ||
+		if (!router->servers.cached_block_counts[s] ||
 		    config->service_index != placement->request->route.service_index || config->is_store ||
-		    router->servers.states[s].weights != weights)
+		    router->servers.states[s].weights_index != weights)
 			continue;
 		if (is_better_source(router, s, deepest) &&
 		    router_server_is_serving(router, s, placement->now))
@@ -241,7 +242,7 @@
 	for (int k = 0; k < placement->generation_count; k++) {
 		struct generation *generation = &placement->generations[k];
 		int server = deepest_cache_server(router, placement, generation->weights);
-		int depth = server >= 0 ? router->servers.cached_depth[server] : 0;
+		int depth = server >= 0 ? router->servers.cached_block_counts[server] : 0;
 
 		if (server >= 0 &&
 		    (!is_store_up || depth >= generation->store_depth || depth >= placement->shared_blocks)) {
@@ -270,8 +271,8 @@
 static bool can_begin_in_time(const struct router *router, const struct placement *placement,
 			      uint32_t weights, double wait_ms)
 {
-	int64_t last_send = router_weights_last_send(router, placement->request->route.service_index, weights,
-						     placement->now);
+	int64_t last_send = router_weights_send_deadline_ms(router, placement->request->route.service_index,
+							    weights, placement->now);
 
 	return placement->now + (int64_t)(2 * wait_ms) < last_send;
 }
@@ -292,7 +293,7 @@
 	if (fetch_ms >= ROUTER_FETCH_MAX_MS)
 		return;
 	candidate->plan.fetch_source = source;
-	candidate->plan.fetch_end = source_end;
+	candidate->plan.blocks_after_fetch = source_end;
 	candidate->plan.fetch_ms = fetch_ms;
 	candidate->plan.transfer_ms = transfer_ms;
 	candidate->prefill_ms += fetch_ms - tokens / placement->service->prefill_tokens_per_ms;
@@ -304,7 +305,7 @@
 static int fetch_source_for(const struct router *router, const struct placement *placement,
 			    uint32_t server_index, int *source_end)
 {
-	uint32_t weights = router->servers.states[server_index].weights;
+	uint32_t weights = router->servers.states[server_index].weights_index;
 	const struct generation *generation = generation_of(placement, weights);
 	bool is_home = (int)server_index == placement->home_server;
 
@@ -314,7 +315,7 @@
 		return generation->fetch_source;
 	}
 	if (!placement->is_purge_view_current || is_home ||
-	    router->servers.states[placement->home_server].weights != weights)
+	    router->servers.states[placement->home_server].weights_index != weights)
 		return -1;
 	*source_end = placement->shared_blocks;
 	return placement->home_server;
@@ -334,7 +335,7 @@
 		return 0;
 	missing_tokens = router_tokens_of_blocks(request, placement->shared_blocks) -
 			 router_tokens_of_blocks(request, cached_blocks);
-	return ROUTER_UNCACHED_SERVER_COST_MS +
+	return ROUTER_PREFIX_NOT_CACHED_COST_MS +
 	       ROUTER_UNCACHED_COST_MS_PER_1000_TOKENS * (double)missing_tokens / 1000;
 }
 
@@ -359,8 +360,8 @@
 	    service->link_bytes_per_ms && mechanism_in_use(router, MECHANISM_FETCH))
 		plan_fetch(router, placement, candidate, source, source_end);
 	candidate->plan.cost_ms =
-	    candidate->prefill_ms + router_load_ms(router, server_index, service, placement->now);
-	if (!can_begin_in_time(router, placement, router->servers.states[server_index].weights,
+	    candidate->prefill_ms + router_load_cost_ms(router, server_index, service, placement->now);
+	if (!can_begin_in_time(router, placement, router->servers.states[server_index].weights_index,
 			       candidate->plan.cost_ms))
 		return false;
 	candidate->plan.cost_ms += eviction_ms(placement, candidate, source);
@@ -378,7 +379,7 @@
 		.now = now,
 		.home_server = select_home_server(router, request, now),
 		.store_server = router_store_of(router, request),
-		.shared_blocks = router_shared_blocks(request),
+		.shared_blocks = router_shared_block_count(request),
 		.is_purge_view_current = relay_is_current(&router->relay, now),
 		.prompt_tokens = (double)router_prompt_tokens(request),
 	};
@@ -400,13 +401,12 @@
 		return DECISION_CACHED;
 	if (plan->fetch_source >= 0)
 		return DECISION_FETCH;
-	if (plan->candidates == 1)
-		return DECISION_ONLY;
-	return plan->server_index == placement->home_server ? DECISION_HOME : DECISION_LOAD;
+	if (plan->candidate_count == 1)
+		return DECISION_ONLY_SERVER;
+	return plan->server_index == placement->home_server ? DECISION_HOME : DECISION_LESS_LOADED;
 }
 
-struct plan router_placement_forwarded(struct router *router, const struct client_request *request,
-				       int64_t now)
+struct plan router_place_forwarded(struct router *router, const struct client_request *request, int64_t now)
 {
 	struct plan best = { .server_index = -1, .fetch_source = -1 };
 	struct placement placement;
@@ -417,7 +417,7 @@
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		struct candidate candidate = {
 			.plan = { .server_index = (int)s,
-				  .cached_blocks = router->servers.cached_depth[s],
+				  .cached_blocks = router->servers.cached_block_counts[s],
 				  .fetch_source = -1 },
 		};
 
@@ -431,7 +431,7 @@
 		if (best.server_index < 0 || candidate.plan.cost_ms < best.cost_ms)
 			best = candidate.plan;
 	}
-	best.candidates = candidate_count;
+	best.candidate_count = candidate_count;
 	if (best.server_index >= 0)
 		best.reason = decision_reason_of(&placement, &best);
 	return best;
@@ -465,7 +465,7 @@
 	struct placement placement = { .request = request,
 				       .now = now,
 				       .store_server = router_store_of(router, request) };
-	int shared_blocks = router_shared_blocks(request);
+	int shared_blocks = router_shared_block_count(request);
 	uint32_t store = (uint32_t)placement.store_server;
 
 	if (!is_store_serving(router, &placement) ||
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -30,7 +30,7 @@
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct server_config *config = server_config_of(router, s);
-		uint32_t weights = router->servers.states[s].weights;
+		uint32_t weights = router->servers.states[s].weights_index;
 		int k = 0;
 
 		if (!config->is_configured || config->is_store ||
@@ -38,7 +38,7 @@
 			continue;
 		while (k < count && generations[k].weights != weights)
 			k++;
-		if (k < count || count == MAX_GENERATIONS)
+		if (k < count || count == MAX_WEIGHTS_GENERATIONS)
 			continue;
 		generations[count++] = (struct generation){
 			.weights = weights,
@@ -58,7 +58,7 @@
 static int raise_depths_from_index(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
 				   int block_count, int store)
 {
-	int *depth = router->servers.cached_depth;
+	int *depth = router->servers.cached_block_counts;
 	int store_depth = 0;
 
 	for (int i = 0; i < block_count; i++) {
@@ -83,9 +83,10 @@
 {
 	uint32_t n = router->config.server_table->server_count;
 
-	arrsetlen(router->servers.cached_depth, n);
+	arrsetlen(router->servers.cached_block_counts, n);
 	if (n)
-		memset(router->servers.cached_depth, 0, n * sizeof *router->servers.cached_depth);
+		memset(router->servers.cached_block_counts, 0,
+		       n * sizeof *router->servers.cached_block_counts);
 }
 
 /* Sets servers.cached_depth from the reply to a request's lookup, for servers that still have the
@@ -102,9 +103,9 @@
 		    prefix->server_index >= router->config.server_table->server_count)
 			continue;
 		if ((int)prefix->server_index == store)
-			store_depth = (int)prefix->depth;
-		else if (router->servers.states[prefix->server_index].weights == generation->weights)
-			router->servers.cached_depth[prefix->server_index] = (int)prefix->depth;
+			store_depth = (int)prefix->block_count;
+		else if (router->servers.states[prefix->server_index].weights_index == generation->weights)
+			router->servers.cached_block_counts[prefix->server_index] = (int)prefix->block_count;
 	}
 	return store_depth;
 }
@@ -114,18 +115,18 @@
 static int set_depths_from_own_index(struct router *router, const struct client_request *request,
 				     const struct generation *generation, int store)
 {
-	int *combined_depths = router->servers.cached_depth, store_depth;
+	int *combined_depths = router->servers.cached_block_counts, store_depth;
 
-	router->servers.cached_depth = NULL;
+	router->servers.cached_block_counts = NULL;
 	clear_cached_depths(router);
 	store_depth = raise_depths_from_index(router, generation->cache_namespace, request->prompt.block_hash,
 					      request->prompt.block_count, store);
-	for (ptrdiff_t s = 0; s < arrlen(router->servers.cached_depth); s++)
-		if (router->servers.cached_depth[s] &&
-		    router->servers.states[s].weights == generation->weights)
-			combined_depths[s] = router->servers.cached_depth[s];
-	arrfree(router->servers.cached_depth);
-	router->servers.cached_depth = combined_depths;
+	for (ptrdiff_t s = 0; s < arrlen(router->servers.cached_block_counts); s++)
+		if (router->servers.cached_block_counts[s] &&
+		    router->servers.states[s].weights_index == generation->weights)
+			combined_depths[s] = router->servers.cached_block_counts[s];
+	arrfree(router->servers.cached_block_counts);
+	router->servers.cached_block_counts = combined_depths;
 	return store_depth;
 }
 
@@ -155,7 +156,7 @@
 	return ms > LOOKUP_MAX_WAIT_MS ? LOOKUP_MAX_WAIT_MS : ms;
 }
 
-void router_lookup_open(struct router *router)
+void router_lookup_init(struct router *router)
 {
 	router->lookup.round_trip_ms = LOOKUP_INITIAL_ROUND_TRIP_MS;
 }
@@ -170,7 +171,7 @@
 
 	lookup->servers = apr_palloc(out->pool, (size_t)(count + 1) * sizeof *lookup->servers);
 	for (int i = 0; i < count; i++)
-		lookup->servers[lookup->n_servers++] = router->servers.hashes[server_indices[i]];
+		lookup->servers[lookup->n_servers++] = router->servers.name_hashes[server_indices[i]];
 }
 
 /* Whether a lookup may be sent to the head of the zone for a request's prefix. head_is_silent: the head has
@@ -183,7 +184,7 @@
 		return false;
 	if (!router->config.server_table || !relay_is_current(&router->relay, now))
 		return false;
-	return !head_is_silent || now >= router->lookup.next_probe_at_ms;
+	return !head_is_silent || now >= router->lookup.next_lookup_at_ms;
 }
 
 /* Builds the lookup message for a request's blocks under its namespaces. */
@@ -209,7 +210,7 @@
 			struct command_list *out)
 {
 	bool is_head_silent = router->lookup.consecutive_misses >= LOOKUP_MAX_MISSES;
-	struct generation generations[MAX_GENERATIONS];
+	struct generation generations[MAX_WEIGHTS_GENERATIONS];
 	struct Nl__PrefixLookup *lookup;
 	int generation_count;
 
@@ -223,15 +224,15 @@
 	request->lookup.namespace_count = generation_count;
 	lookup = new_lookup_message(request, out);
 	add_candidate_servers(router, request, lookup, now, out);
-	command_send(out, router->config.watch.upstream[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)->prefix_lookup =
-	    lookup;
-	router->lookup.next_probe_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
+	command_send(out, router->config.watch.upstream_addrs[0], 0, NL__MSG__BODY_PREFIX_LOOKUP)
+	    ->prefix_lookup = lookup;
+	router->lookup.next_lookup_at_ms = now + LOOKUP_PROBE_INTERVAL_MS;
 	request->lookup.state = is_head_silent ? LOOKUP_NONE : LOOKUP_PENDING;
 	request->lookup.sent_at_ms = now;
 	request->lookup.deadline_at_ms = is_head_silent ? 0 : now + lookup_timeout_ms(router);
 }
 
-bool router_lookup_waits(struct router *router, struct client_request *request, int64_t now)
+bool router_is_awaiting_lookup(struct router *router, struct client_request *request, int64_t now)
 {
 	if (request->lookup.state != LOOKUP_PENDING)
 		return false;
@@ -239,7 +240,7 @@
 		return true;
 	request->lookup.state = LOOKUP_MISSED;
 	router->lookup.consecutive_misses++;
-	router->stats.lookups_missed++;
+	router->stats.own_lookups_missed++;
 	return false;
 }
 
@@ -261,12 +262,12 @@
 		for (uint32_t s = 0; s < server_count && reply->n_matches < max_match_count; s++) {
 			struct Nl__PrefixMatch *match;
 
-			if (router->servers.cached_depth[s] != depth ||
+			if (router->servers.cached_block_counts[s] != depth ||
 			    !server_config_of(router, s)->is_configured)
 				continue;
 			match = MESSAGE_NEW(out, Nl__PrefixMatch, NL__PREFIX_MATCH__INIT);
 			match->generation = (uint32_t)generation_index;
-			match->server = router->servers.hashes[s];
+			match->server = router->servers.name_hashes[s];
 			match->block_count = (uint32_t)depth;
 			reply->matches[reply->n_matches++] = match;
 		}
@@ -282,17 +283,17 @@
 	for (size_t i = 0; i < count; i++) {
 		uint64_t hash = i < lookup->n_servers ? lookup->servers[i]
 						      : reply->matches[i - lookup->n_servers]->server;
-		ptrdiff_t position = hmgeti(router->servers.by_hash, hash);
+		ptrdiff_t position = hmgeti(router->servers.by_name_hash, hash);
 		struct Nl__ServerLoad *load;
-		struct load_cell total;
+		struct load_counts total;
 
 		if (position < 0 ||
-		    !router_fleet_load(router, router->servers.by_hash[position].value, &total))
+		    !router_fleet_load(router, router->servers.by_name_hash[position].value, &total))
 			continue;
 		load = MESSAGE_NEW(out, Nl__ServerLoad, NL__SERVER_LOAD__INIT);
 		load->server = hash;
 		load->prefill_tokens = total.prefill_tokens;
-		load->running_requests = total.running;
+		load->running_requests = total.running_count;
 		load->memory_tokens = total.resident_tokens;
 		reply->loads[reply->n_loads++] = load;
 	}
@@ -304,7 +305,7 @@
 	struct Nl__PrefixLookupReply *reply;
 
 	if (!router->config.server_table || !lookup->n_blocks || lookup->n_blocks > LOOKUP_MAX_BLOCKS ||
-	    lookup->n_cache_namespaces > MAX_GENERATIONS || lookup->n_servers > MAX_CANDIDATES)
+	    lookup->n_cache_namespaces > MAX_WEIGHTS_GENERATIONS || lookup->n_servers > MAX_CANDIDATES)
 		return;
 	reply = MESSAGE_NEW(out, Nl__PrefixLookupReply, NL__PREFIX_LOOKUP_REPLY__INIT);
 	reply->token = lookup->token;
@@ -313,7 +314,7 @@
 	for (size_t k = 0; k < lookup->n_cache_namespaces; k++)
 		add_reply_matches(router, lookup, k, reply, out);
 	add_reply_loads(router, lookup, reply, out);
-	router->stats.lookups_answered++;
+	router->stats.lookups_served++;
 	command_send(out, message->addr, 0, NL__MSG__BODY_PREFIX_LOOKUP_REPLY)->prefix_lookup_reply = reply;
 }
 
@@ -329,14 +330,14 @@
 	lookup->prefix_count = 0;
 	for (size_t i = 0; i < reply->n_matches; i++) {
 		const struct Nl__PrefixMatch *match = reply->matches[i];
-		ptrdiff_t position = hmgeti(router->servers.by_hash, match->server);
+		ptrdiff_t position = hmgeti(router->servers.by_name_hash, match->server);
 
 		if (position < 0 || match->generation >= (uint32_t)lookup->namespace_count ||
 		    match->block_count > (uint32_t)request->prompt.block_count)
 			continue;
 		lookup->prefixes[lookup->prefix_count++] = (struct cached_prefix){
-			.server_index = router->servers.by_hash[position].value,
-			.depth = match->block_count,
+			.server_index = router->servers.by_name_hash[position].value,
+			.block_count = match->block_count,
 			.cache_namespace = lookup->namespaces[match->generation],
 		};
 	}
@@ -346,12 +347,12 @@
 {
 	for (size_t i = 0; i < reply->n_loads; i++) {
 		const struct Nl__ServerLoad *load = reply->loads[i];
-		struct load_cell total = { load->prefill_tokens, load->running_requests,
-					   load->memory_tokens };
-		ptrdiff_t position = hmgeti(router->servers.by_hash, load->server);
+		struct load_counts total = { load->prefill_tokens, load->running_requests,
+					     load->memory_tokens };
+		ptrdiff_t position = hmgeti(router->servers.by_name_hash, load->server);
 
 		if (position >= 0)
-			router_load_record(router, router->servers.by_hash[position].value, &total);
+			router_load_record(router, router->servers.by_name_hash[position].value, &total);
 	}
 }
 
@@ -366,7 +367,7 @@
 		return;
 	round_trip_ms = (double)(now - request->lookup.sent_at_ms);
 	router->lookup.round_trip_ms += (round_trip_ms - router->lookup.round_trip_ms) / 8;
-	router->stats.lookups_used += request->lookup.state == LOOKUP_PENDING;
+	router->stats.own_lookups_answered += request->lookup.state == LOOKUP_PENDING;
 	store_reply_matches(router, request, reply);
 	record_reply_loads(router, reply);
 	request->lookup.state = LOOKUP_ANSWERED;
--- a/lib/data/router_purge.c
+++ b/lib/data/router_purge.c
@@ -24,9 +24,9 @@
 		       !strcmp(router->names.weights.names[replica->weights_index], purge->weights);
 	case PURGE_CONTEXT: /* for forwarded requests the purge renames the namespace; the old blocks are
 			       removed when servers report their eviction */
-		return !router->config.bounds.discover_instances &&
-		       !router_retains(router, replica->service_index, replica->tenant_index, block_hash,
-				       replica->stamp_tick);
+		return !router->config.bounds.use_endpoint_list &&
+		       !router_allows_context(router, replica->service_index, replica->tenant_index,
+					      block_hash, replica->stamp_tick);
 	case PURGE_TENANT:
 		return !strcmp(router->names.tenants.names[replica->tenant_index], purge->tenant);
 	default:
@@ -34,7 +34,7 @@
 	}
 }
 
-void router_on_value(void *context, const struct Nl__Value *value)
+void router_on_purge_value(void *context, const struct Nl__Value *value)
 {
 	struct router *router = context;
 	struct purge_match match = { router, value };
@@ -43,6 +43,6 @@
 	    value->tick > router->cache.isolation_tick)
 		router->cache.isolation_tick = value->tick;
 	if (value->purge && value->purge->reason == PURGE_CONTEXT)
-		router_on_context_purge(router, value, router->clock.now);
+		router_on_context_purge(router, value, router->clock.now_ms);
 	prefix_index_remove_if(&router->cache.index, is_purged, &match);
 }
--- a/lib/data/router_queue.c
+++ b/lib/data/router_queue.c
@@ -12,13 +12,13 @@
 {
 	uint64_t owner = (uint64_t)route_index << 32 | tenant_index;
 	struct request_queue queue = { .route_index = route_index, .tenant_index = tenant_index };
-	ptrdiff_t i = hmgeti(router->queueing.by_owner, owner);
+	ptrdiff_t i = hmgeti(router->queueing.index_by_route_and_tenant, owner);
 
 	if (i >= 0)
-		return &router->queueing.queues[router->queueing.by_owner[i].value];
+		return &router->queueing.queues[router->queueing.index_by_route_and_tenant[i].value];
 	queue.name = apr_pstrcat(router->pool, router->names.routes.names[route_index], "/",
 				 router->names.tenants.names[tenant_index], NULL);
-	hmput(router->queueing.by_owner, owner, (uint32_t)arrlen(router->queueing.queues));
+	hmput(router->queueing.index_by_route_and_tenant, owner, (uint32_t)arrlen(router->queueing.queues));
 	arrput(router->queueing.queues, queue);
 	return &arrlast(router->queueing.queues);
 }
@@ -32,12 +32,13 @@
 
 /* Estimates the wait from the smoothed time between dispatches of heads. The present head is assumed to wait
  * at least as long again as it has already waited. */
-double router_expected_wait_ms(const struct request_queue *queue, uint32_t before, int64_t now)
+double router_expected_wait_ms(const struct request_queue *queue, uint32_t requests_ahead, int64_t now)
 {
 	double waited_ms = (double)(now - queue->head_waiting_since_ms);
 	double remaining_ms = queue->dequeue_interval_ms - waited_ms;
 
-	return before * queue->dequeue_interval_ms + (waited_ms > remaining_ms ? waited_ms : remaining_ms);
+	return requests_ahead * queue->dequeue_interval_ms +
+	       (waited_ms > remaining_ms ? waited_ms : remaining_ms);
 }
 
 /* Prepares an empty queue for its first request. Its pass starts at the lowest pass of the other queues of
@@ -53,7 +54,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++) {
 		const struct request_queue *other = &router->queueing.queues[i];
 
-		if (other->length && router_priority_class_of(routes, other) == priority_class &&
+		if (other->waiting_count && router_priority_class_of(routes, other) == priority_class &&
 		    other->pass < lowest_pass)
 			lowest_pass = other->pass;
 	}
@@ -67,7 +68,7 @@
 	    router_queue_of(router, request->route.index, request->route.tenant_index);
 	struct client_request **link = &queue->head;
 
-	if (!queue->length)
+	if (!queue->waiting_count)
 		activate_empty_queue(router, queue, now);
 	if (queue->tail && queue->tail->sequence < request->sequence)
 		link = &queue->tail->queueing.next_in_queue;
@@ -78,7 +79,7 @@
 	*link = request;
 	if (!request->queueing.next_in_queue)
 		queue->tail = request;
-	queue->length++;
+	queue->waiting_count++;
 }
 
 void router_queue_remove(struct router *router, struct client_request *request)
@@ -97,7 +98,7 @@
 	request->queueing.next_in_queue = NULL;
 	if (queue->tail == request)
 		queue->tail = previous;
-	queue->length--;
+	queue->waiting_count--;
 }
 
 void router_queue_return(struct router *router, struct client_request *request, int64_t now)
@@ -106,14 +107,14 @@
 	    router_queue_of(router, request->route.index, request->route.tenant_index);
 
 	router_quota_release(router, request);
-	if (!queue->length)
+	if (!queue->waiting_count)
 		activate_empty_queue(router, queue, now);
 	request->state = REQUEST_WAITING;
 	request->queueing.next_in_queue = queue->head;
 	queue->head = request;
 	if (!queue->tail)
 		queue->tail = request;
-	queue->length++;
+	queue->waiting_count++;
 }
 
 void router_queue_move(struct router *router, struct client_request *request, uint32_t route_index,
--- a/lib/data/router_quota.c
+++ b/lib/data/router_quota.c
@@ -8,14 +8,14 @@
 
 void router_quota_acquire(struct router *router, struct client_request *request)
 {
-	router_queue_of(router, request->route.index, request->route.tenant_index)->running++;
-	router->quota.tenant_running[request->route.tenant_index]++;
+	router_queue_of(router, request->route.index, request->route.tenant_index)->slots_held++;
+	router->quota.tenant_slots_held[request->route.tenant_index]++;
 }
 
 void router_quota_release(struct router *router, struct client_request *request)
 {
-	router_queue_of(router, request->route.index, request->route.tenant_index)->running--;
-	router->quota.tenant_running[request->route.tenant_index]--;
+	router_queue_of(router, request->route.index, request->route.tenant_index)->slots_held--;
+	router->quota.tenant_slots_held[request->route.tenant_index]--;
 }
 
 /* The number of slots of a limit that are reserved for this router. */
@@ -33,12 +33,13 @@
 	uint32_t tenant_index = queue->tenant_index;
 	uint32_t share, concurrency_limit;
 
-	router_share_of(routes, queue->route_index, tenant_index, &share, &concurrency_limit);
+	router_tenant_share(routes, queue->route_index, tenant_index, &share, &concurrency_limit);
 	if (routes->tenants[tenant_index].concurrency_limit &&
-	    router->quota.tenant_running[tenant_index] >=
+	    router->quota.tenant_slots_held[tenant_index] >=
 		reserved_slot_count(router, router->names.tenants.names[tenant_index]))
 		return false;
-	return concurrency_limit == UINT32_MAX || queue->running < reserved_slot_count(router, queue->name);
+	return concurrency_limit == UINT32_MAX ||
+	       queue->slots_held < reserved_slot_count(router, queue->name);
 }
 
 /* Adds a queue's used and needed slots to the limit with this name. Returns whether the queue needs more
@@ -47,18 +48,18 @@
 {
 	typeof(watch->quotas->value) *quota = config_watch_quota(watch, name);
 
-	quota->used += queue->running;
-	quota->requested += queue->running + queue->length;
-	return queue->length && quota->used >= quota->reserved;
+	quota->used += queue->slots_held;
+	quota->requested += queue->slots_held + queue->waiting_count;
+	return queue->waiting_count && quota->used >= quota->reserved;
 }
 
-void router_request_slots(struct router *router, int64_t now, struct command_list *out)
+void router_request_quota_slots(struct router *router, int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->config.route_table;
 	struct config_watch *watch = &router->config.watch;
 	bool lacks_slots = false;
 
-	if (!routes->has_limits)
+	if (!routes->has_concurrency_limits)
 		return;
 	for (ptrdiff_t i = 0; i < shlen(watch->quotas); i++)
 		watch->quotas[i].value.used = watch->quotas[i].value.requested = 0;
@@ -66,15 +67,16 @@
 		const struct request_queue *queue = &router->queueing.queues[i];
 		uint32_t share, concurrency_limit;
 
-		if (!queue->length && !queue->running)
+		if (!queue->waiting_count && !queue->slots_held)
 			continue;
-		router_share_of(routes, queue->route_index, queue->tenant_index, &share, &concurrency_limit);
+		router_tenant_share(routes, queue->route_index, queue->tenant_index, &share,
+				    &concurrency_limit);
 		if (routes->tenants[queue->tenant_index].concurrency_limit)
 			lacks_slots |=
 			    add_slot_usage(watch, router->names.tenants.names[queue->tenant_index], queue);
 		if (concurrency_limit != UINT32_MAX)
 			lacks_slots |= add_slot_usage(watch, queue->name, queue);
 	}
-	if (lacks_slots && now - watch->requested_at_ms >= ROUTER_QUOTA_REQUEST_INTERVAL_MS)
+	if (lacks_slots && now - watch->last_request_at_ms >= ROUTER_QUOTA_REQUEST_INTERVAL_MS)
 		config_watch_poll(watch, router->relay.knowledge.horizon, now, out);
 }
--- a/lib/data/router_reports.c
+++ b/lib/data/router_reports.c
@@ -25,17 +25,17 @@
 						   ROUTER_REPORT_POLL_INTERVAL_MS);
 
 	/* spread over the interval, so that routers do not all poll at the same moment */
-	server->polled_at_ms = server->polled_at_ms ? now : first_poll_at_ms;
-	server->poll_token = router_token_new(router);
-	server->poll_sequence++;
+	server->last_report_poll_at_ms = server->last_report_poll_at_ms ? now : first_poll_at_ms;
+	server->report_poll_token = router_token_new(router);
+	server->report_poll_sequence++;
 	router->stats.report_polls++;
 	command = command_add(out, CMD_CALL);
-	command->args.call.token = server->poll_token;
+	command->args.call.token = server->report_poll_token;
 	command->args.call.addr = apr_pstrdup(out->pool, server_config_of(router, server_index)->addr);
 	command->args.call.path =
 	    apr_psprintf(out->pool, "/v1/report?since=%" APR_UINT64_T_FMT "&boot=%" APR_UINT64_T_FMT,
 			 server->block_list_serial, server->boot_id);
-	command->args.call.limit_ms = REPORT_TIMEOUT_MS;
+	command->args.call.timeout_ms = REPORT_TIMEOUT_MS;
 	command->args.call.not_after_ms = now + REPORT_TIMEOUT_MS;
 }
 
@@ -47,7 +47,7 @@
 		const struct router_server_state *server = &router->servers.states[s];
 
 		if (servers->servers[s].is_configured &&
-		    now - server->polled_at_ms >= ROUTER_REPORT_POLL_INTERVAL_MS &&
+		    now - server->last_report_poll_at_ms >= ROUTER_REPORT_POLL_INTERVAL_MS &&
 		    now - server->last_relayed_report_at_ms >= ROUTER_RELAYED_REPORT_VALID_MS)
 			poll_report(router, s, now, out);
 	}
@@ -73,9 +73,10 @@
 {
 	server->is_loading = json_string_member(report, "loading")[0] != 0;
 	server->slots = (int)json_uint_member(report, "slots");
-	server->running = (int)json_uint_member(report, "running");
-	server->others_running =
-	    server->running > server->own_running ? server->running - server->own_running : 0;
+	server->reported_running_count = (int)json_uint_member(report, "running");
+	server->others_running_count = server->reported_running_count > server->own_running_count
+					   ? server->reported_running_count - server->own_running_count
+					   : 0;
 }
 
 /* Adds one cached block of a report to the prefix index. A purged block is not added, so that a late report
@@ -86,17 +87,17 @@
 	uint32_t service_index = server_config_of(router, server_index)->service_index;
 	const char *tenant = json_string_member(block, "m"), *weights = json_string_member(block, "w");
 	int tenant_index = names_find(&router->names.tenants, tenant),
-	    weights_index = router_weights_index(router, weights);
+	    weights_index = router_weights_find_or_add(router, weights);
 	uint64_t hash, stamp_tick = json_uint_member(block, "t");
 	struct block_replica replica = {
-		server_index, (uint32_t)tenant_index, service_index, (uint32_t)weights_index,
-		stamp_tick,   server->poll_sequence,
+		server_index, (uint32_t)tenant_index,       service_index, (uint32_t)weights_index,
+		stamp_tick,   server->report_poll_sequence,
 	};
 
 	if (tenant_index < 0 || weights_index < 0)
 		return; /* this router's configuration never contained the tenant */
 	hash = strtoull(json_string_member(block, "h"), NULL, 16);
-	if (!router_retains(router, service_index, (uint32_t)tenant_index, hash, stamp_tick))
+	if (!router_allows_context(router, service_index, (uint32_t)tenant_index, hash, stamp_tick))
 		server->purged_block_count++;
 	else if (purge_view_allows(&router->relay.view, router->names.services.names[service_index], weights,
 				   tenant, router->names.servers.names[server_index], stamp_tick))
@@ -114,7 +115,7 @@
 	server->block_list_at_ms = now;
 	for (size_t i = 0; i < json_object_array_length(blocks) && i < ROUTER_MAX_REPORTED_BLOCKS; i++)
 		index_reported_block(router, server_index, json_object_array_get_idx(blocks, i));
-	prefix_index_remove_unreported(&router->cache.index, server_index, server->poll_sequence);
+	prefix_index_remove_unreported(&router->cache.index, server_index, server->report_poll_sequence);
 }
 
 static void apply_report(struct router *router, uint32_t server_index, const char *body, int64_t now)
@@ -124,7 +125,7 @@
 	int weights = -1;
 
 	if (json_object_is_type(report, json_type_object))
-		weights = router_weights_index(router, json_string_member(report, "weights"));
+		weights = router_weights_find_or_add(router, json_string_member(report, "weights"));
 	if (weights < 0 || json_uint_member(report, "slots") > MAX_REPORTED_SLOTS) {
 		log_unreadable_report(
 		    router, server_index,
@@ -132,9 +133,9 @@
 		goto end;
 	}
 	server->consecutive_unreadable_reports = 0;
-	server->reported_at_ms = now;
-	server->is_known = true;
-	server->weights = (uint32_t)weights;
+	server->last_report_at_ms = now;
+	server->is_described = true;
+	server->weights_index = (uint32_t)weights;
 	record_reported_load(server, report);
 	if (json_object_object_get_ex(report, "parts", &blocks) &&
 	    json_object_is_type(blocks, json_type_array))
@@ -143,7 +144,7 @@
 	 * directly. */
 	else if (json_uint_member(report, "serial") != server->block_list_serial ||
 		 json_uint_member(report, "boot") != server->boot_id)
-		server->last_relayed_report_at_ms = server->polled_at_ms = 0;
+		server->last_relayed_report_at_ms = server->last_report_poll_at_ms = 0;
 end:
 	if (report)
 		json_object_put(report);
@@ -163,13 +164,13 @@
 	}
 }
 
-void router_on_report_polled(struct router *router, uint64_t token, int status, const char *body, int64_t now,
-			     struct command_list *out)
+void router_on_report_reply(struct router *router, uint64_t token, int status, const char *body, int64_t now,
+			    struct command_list *out)
 {
 	const struct server_table *servers = router->config.server_table;
 
 	for (uint32_t s = 0; servers && s < servers->server_count; s++)
-		if (router->servers.states[s].poll_token == token && status == 200) {
+		if (router->servers.states[s].report_poll_token == token && status == 200) {
 			apply_report(router, s, body, now);
 			relay_report(router, s, body, out);
 		}
@@ -185,7 +186,7 @@
 	    !servers->servers[server_index].is_configured)
 		return;
 	router->servers.states[server_index].last_relayed_report_at_ms = now;
-	router->servers.states[server_index].poll_sequence++;
+	router->servers.states[server_index].report_poll_sequence++;
 	apply_report(router, (uint32_t)server_index,
 		     apr_pstrmemdup(out->pool, (char *)report->body.data, report->body.len), now);
 }
--- a/lib/data/router_request.h
+++ b/lib/data/router_request.h
@@ -12,7 +12,7 @@
 #include "router_limits.h"
 
 /* Maximum number of different weights among the servers of one service that a lookup tells apart. */
-enum { MAX_GENERATIONS = 4 };
+enum { MAX_WEIGHTS_GENERATIONS = 4 };
 
 /* States of a request. */
 enum request_state {
@@ -48,7 +48,7 @@
  * zone. */
 struct cached_prefix {
 	uint32_t server_index;
-	uint32_t depth; /* number of leading blocks cached there */
+	uint32_t block_count; /* number of leading blocks cached there */
 	uint64_t cache_namespace;
 };
 
@@ -67,7 +67,7 @@
 /* Route, tenant and service by the route table in force. Written by router_admission.c; priority by
  * router_dispatch.c. */
 struct request_route {
-	uint64_t revision; /* revision of the route table that the request was last routed by */
+	uint64_t table_revision; /* revision of the route table that the request was last routed by */
 	uint32_t index;
 	uint32_t tenant_index;
 	uint32_t service_index;
@@ -88,11 +88,11 @@
 struct request_claim {
 	uint64_t token; /* identifies the proposal; 0: not proposed yet */
 	/* address of the controller that has yet to answer the newest proposal; 0: it has answered */
-	uint64_t leader_addr;
+	uint64_t unanswered_leader_addr;
 	int64_t sent_at_ms;
 	int64_t started_at_ms;
 	/* set from the start for a forwarded request, whose client guarantees that the id is unique */
-	bool confirmed;
+	bool is_confirmed;
 };
 
 /* The newest attempt. Written by router_send_claimed.c and router_send_forwarded.c. */
@@ -103,13 +103,13 @@
 	int64_t first_chunk_at_ms;      /* 0: no chunk received yet */
 	double expected_first_chunk_ms; /* expected time from the send to the first chunk */
 	int server_index;               /* -1: no server chosen */
-	uint32_t weights;               /* index of the weights that the server had at the send */
+	uint32_t weights_index;         /* index of the weights that the server had at the send */
 	uint64_t stamp_tick;            /* purge horizon at the send */
 	uint64_t cache_namespace;       /* hash of the namespace's name; 0: the blocks are not indexed */
 	uint64_t namespace_key;         /* purge scope and generation of that namespace */
-	int fetch_source;               /* server or store to fetch cached blocks from; -1: none */
+	int fetch_source_index;         /* server or store to fetch cached blocks from; -1: none */
 	uint32_t expected_fetch_ms;     /* expected duration of the fetch at the link's configured speed */
-	int offload_target;             /* store that the blocks are offloaded to; -1: none */
+	int offload_store_index;        /* store that the blocks are offloaded to; -1: none */
 	uint32_t prefill_tokens;        /* prompt tokens that the server has yet to prefill */
 	uint32_t uncached_tokens;       /* tokens that the request adds to the server's memory */
 	struct decision decision;
@@ -137,10 +137,10 @@
 /* The prompt, divided into prefix blocks. Written by router_admission.c. */
 struct request_prompt {
 	int block_count;
-	uint32_t tail_tokens;   /* tokens after the last block */
-	uint32_t output_tokens; /* maximum length of the answer */
-	uint32_t total_tokens;  /* tokens of prompt and answer in a server's memory */
-	char *tail_text;        /* own interface: text after the last block */
+	uint32_t tail_tokens;       /* tokens after the last block */
+	uint32_t max_output_tokens; /* maximum length of the answer */
+	uint32_t total_tokens;      /* tokens of prompt and answer in a server's memory */
+	char *tail_text;            /* own interface: text after the last block */
 	uint64_t block_hash[ROUTER_MAX_BLOCKS];
 	const char *block_text[ROUTER_MAX_BLOCKS]; /* own interface: text of each block */
 	uint32_t block_tokens[ROUTER_MAX_BLOCKS];
@@ -153,8 +153,8 @@
 	int namespace_count;
 	int64_t sent_at_ms;
 	int64_t deadline_at_ms;
-	uint64_t namespaces[MAX_GENERATIONS]; /* cache namespaces in the order of the lookup */
-	struct cached_prefix *prefixes;       /* servers that cache the prefix, from the answer */
+	uint64_t namespaces[MAX_WEIGHTS_GENERATIONS]; /* cache namespaces in the order of the lookup */
+	struct cached_prefix *prefixes;               /* servers that cache the prefix, from the answer */
 	int prefix_count;
 };
 
@@ -183,9 +183,9 @@
 	char *name; /* route/tenant */
 	struct client_request *head;
 	struct client_request *tail;
-	uint32_t length;
-	uint32_t running; /* requests that hold a quota slot */
-	uint64_t pass;    /* stride scheduling: the queue with the smallest pass is dispatched next */
+	uint32_t waiting_count;
+	uint32_t slots_held; /* requests that hold a quota slot */
+	uint64_t pass;       /* stride scheduling: the queue with the smallest pass is dispatched next */
 	/* when the previous head was dispatched, or a request was added to the empty queue */
 	int64_t head_waiting_since_ms;
 	double dequeue_interval_ms; /* smoothed time between dispatches of two heads */
