--- a/lib/data/router_retention.c
+++ b/lib/data/router_retention.c
@@ -17,7 +17,7 @@
 
 /* ---- scopes and generations ------------------------------------------------------------------ */
 
-void router_scope_row(struct router *router, struct route_table *routes, const struct Nl__Row *row)
+void router_add_cache_scope(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	char route_name[MAX_SCOPE_NAME_BYTES], tenant_name[MAX_SCOPE_NAME_BYTES];
 	struct cache_scope scope = { -1, -1, "", "", 0 };
@@ -78,14 +78,14 @@
 	const struct route_table *routes = router->config.route_table;
 	ptrdiff_t scope_count = arrlen(routes->scopes) + 1;
 
-	arrsetlen(router->retention.generations, scope_count * PURGE_SLICES);
-	memset(router->retention.generations, 0,
-	       (size_t)scope_count * PURGE_SLICES * sizeof *router->retention.generations);
+	arrsetlen(router->retention.newest_purges, scope_count * PURGE_SLICES);
+	memset(router->retention.newest_purges, 0,
+	       (size_t)scope_count * PURGE_SLICES * sizeof *router->retention.newest_purges);
 	for (ptrdiff_t i = 0; i < arrlen(router->relay.view.context_purges); i++) {
 		const struct Nl__Purge *purge = router->relay.view.context_purges[i]->purge;
 
 		for (ptrdiff_t k = 0; k < scope_count && purge->slice < PURGE_SLICES; k++) {
-			uint64_t *newest = &router->retention.generations[k * PURGE_SLICES + purge->slice];
+			uint64_t *newest = &router->retention.newest_purges[k * PURGE_SLICES + purge->slice];
 
 			if (purge->purge_number > *newest &&
 			    purge_covers_scope(purge, k ? &routes->scopes[k - 1] : NULL))
@@ -98,16 +98,16 @@
 {
 	if (!arrlen(router->relay.view.context_purges))
 		return 0;
-	if (!arrlen(router->retention.generations))
+	if (!arrlen(router->retention.newest_purges))
 		compute_purge_generations(router);
-	return router->retention.generations[(scope + 1) * PURGE_SLICES + slice];
+	return router->retention.newest_purges[(scope + 1) * PURGE_SLICES + slice];
 }
 
-bool router_retains(const struct router *router, uint32_t service_index, uint32_t tenant_index,
-		    uint64_t block_hash, uint64_t stamp_tick)
+bool router_allows_context(const struct router *router, uint32_t service_index, uint32_t tenant_index,
+			   uint64_t block_hash, uint64_t stamp_tick)
 {
-	return purge_view_keeps_context(&router->relay.view, router->names.services.names[service_index],
-					router->names.tenants.names[tenant_index], block_hash, stamp_tick);
+	return purge_view_allows_context(&router->relay.view, router->names.services.names[service_index],
+					 router->names.tenants.names[tenant_index], block_hash, stamp_tick);
 }
 
 /* ---- purges ---------------------------------------------------------------------------------- */
@@ -129,7 +129,7 @@
 {
 	const struct Nl__Purge *purge = value->purge;
 
-	arrsetlen(router->retention.generations, 0);
+	arrsetlen(router->retention.newest_purges, 0);
 	if (purge->slice != PURGE_SLICES - 1)
 		return;
 	/* the purge is complete: request new reports of cached blocks from all servers, and start a scan at
@@ -190,11 +190,11 @@
  * interface report at once the blocks that a purge covers. */
 static void add_unreported_servers(struct router *router, int64_t now)
 {
-	bool uses_endpoint_list = router->config.bounds.discover_instances;
+	bool uses_endpoint_list = router->config.bounds.use_endpoint_list;
 
 	for (uint32_t s = 0; s < router->config.server_table->server_count; s++) {
 		const struct router_server_state *server = &router->servers.states[s];
-		bool is_silent = now - server->cache_update_at_ms > RETENTION_SILENT_SERVER_MS;
+		bool is_silent = now - server->last_cache_update_at_ms > RETENTION_SILENT_SERVER_MS;
 		bool is_unreported = server->block_list_at_ms <= router->retention.purged_at_ms;
 		bool has_remainder =
 		    uses_endpoint_list ? is_silent : server->purged_block_count || is_unreported;
@@ -202,7 +202,7 @@
 		if (!server_config_of(router, s)->is_configured || !has_remainder)
 			continue;
 		/* 0 blocks: the server's cached blocks are unknown */
-		add_remainder(router, s, RETENTION_ANY, 0,
+		add_remainder(router, s, RETENTION_ANY_SCOPE, 0,
 			      uses_endpoint_list || is_unreported ? 0 : server->purged_block_count);
 	}
 }
@@ -242,7 +242,7 @@
 	uint32_t waiting = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
-		waiting += router->queueing.queues[i].length;
+		waiting += router->queueing.queues[i].waiting_count;
 	return waiting ? (uint32_t)(1000ull * waiting / request_count) : 0;
 }
 
@@ -256,7 +256,7 @@
 	arrsetlen(watch->cache_remainders, 0);
 	for (ptrdiff_t i = 0; i < arrlen(router->retention.remainders); i++)
 		arrput(watch->cache_remainders, router->retention.remainders[i]);
-	watch->has_index = !router->config.bounds.discover_instances ||
+	watch->has_index = !router->config.bounds.use_endpoint_list ||
 			   router->retention.scan_at_ms >= router->retention.purged_at_ms;
 	arrsetlen(router->retention.remainders, 0);
 }
@@ -264,7 +264,7 @@
 void router_retention_tick(struct router *router, int64_t now)
 {
 	struct config_watch *watch = &router->config.watch;
-	bool uses_endpoint_list = router->config.bounds.discover_instances;
+	bool uses_endpoint_list = router->config.bounds.use_endpoint_list;
 	bool must_scan =
 	    arrlen(router->relay.view.context_purges) && !(uses_endpoint_list && watch->upstream_count);
 
--- a/lib/data/router_retry.c
+++ b/lib/data/router_retry.c
@@ -6,7 +6,7 @@
 
 #include "containers.h"
 
-int router_retry_fast_ms(struct router *router, int ms)
+int router_retry_after_short_ms(struct router *router, int ms)
 {
 	uint64_t jitter_draw = core_rendezvous_weight(router->id, ++router->queueing.retry_jitter_draws);
 
@@ -33,17 +33,17 @@
 {
 	uint32_t routers = router->config.watch.router_count ? router->config.watch.router_count : 1;
 
-	if (!router->config.bounds.discover_instances)
+	if (!router->config.bounds.use_endpoint_list)
 		return ROUTER_RETRY_BUDGET_MAX_MILLI;
 	return 1000 + (int64_t)router->config.bounds.retry_budget_slack * 600 / routers;
 }
 
-void router_retry_earn(struct router *router, uint32_t service_index)
+void router_retry_budget_add(struct router *router, uint32_t service_index)
 {
-	int64_t *budget_milli = &router->quota.retry_budget[service_index];
+	int64_t *budget_milli = &router->quota.retry_budget_milli[service_index];
 	int64_t max_milli = retry_budget_max_milli(router);
 
-	*budget_milli += router->config.bounds.discover_instances
+	*budget_milli += router->config.bounds.use_endpoint_list
 			     ? router->config.bounds.retry_budget_permille * 3 / 4
 			     : ROUTER_RETRY_EARNED_PER_SEND_MILLI;
 	if (*budget_milli > max_milli)
@@ -56,25 +56,25 @@
 {
 	request->retry.budget_reserved = request->retry.attempt_count > 0;
 	if (request->retry.budget_reserved)
-		router->quota.retry_budget[request->route.service_index] -= ROUTER_RETRY_COST_MILLI;
-	router->stats.resends++;
-	router->stats.resumed += request->stream.has_begun != 0;
+		router->quota.retry_budget_milli[request->route.service_index] -= ROUTER_RETRY_COST_MILLI;
+	router->stats.retries++;
+	router->stats.streams_resumed += request->stream.has_begun != 0;
 }
 
 /* ---- another attempt ------------------------------------------------------------------------- */
 
-void router_release_server(struct router *router, struct client_request *request, int64_t now)
+void router_detach_from_server(struct router *router, struct client_request *request, int64_t now)
 {
 	struct router_server_state *server = &router->servers.states[request->attempt.server_index];
 
-	server->own_running--;
+	server->own_running_count--;
 	if (request->is_forwarded) {
-		server->prefill_tokens -= request->attempt.prefill_tokens;
-		server->resident_tokens -= request->attempt.uncached_tokens;
+		server->own_prefill_tokens -= request->attempt.prefill_tokens;
+		server->own_resident_tokens -= request->attempt.uncached_tokens;
 		request->attempt.prefill_tokens = 0;
 	}
 	request->retry.avoided_server = (uint32_t)request->attempt.server_index;
-	request->retry.avoided_until_ms = now + ROUTER_AVOID_SERVER_MS;
+	request->retry.avoided_until_ms = now + ROUTER_RETURNED_SERVER_AVOIDANCE_MS;
 	request->queueing.returned_at_ms = now;
 	request->attempt.server_index = -1;
 	request->state = REQUEST_CLAIMING;
@@ -95,20 +95,20 @@
 	return request->retry.attempt_count < request->retry.max_attempts &&
 	       request->retry.unreachable_count < ROUTER_MAX_UNREACHABLE_SENDS &&
 	       (!request->retry.attempt_count ||
-		router->quota.retry_budget[request->route.service_index] >= ROUTER_RETRY_COST_MILLI) &&
+		router->quota.retry_budget_milli[request->route.service_index] >= ROUTER_RETRY_COST_MILLI) &&
 	       now + ROUTER_RETRY_MIN_REMAINING_MS < request->client.deadline_at_ms;
 }
 
 void router_retry_or_end(struct router *router, struct client_request *request, bool not_started, int64_t now,
 			 struct command_list *out)
 {
-	router_release_server(router, request, now);
+	router_detach_from_server(router, request, now);
 	if (!not_started && !may_resend_after_start(request)) {
 		router_break_off(router, request, 502, "the server's answer broke off", now, out);
 	} else if (!has_retry_left(router, request, now)) {
 		router_refuse(router, request, 503,
 			      "the server did not serve the request, and no further attempt is allowed",
-			      ROUTER_RETRY_FAST_MS, now, out);
+			      ROUTER_RETRY_AFTER_SINGLE_SERVER_MS, now, out);
 	} else {
 		reserve_retry(router, request);
 		if (router_readmit(router, request, now, out))
@@ -116,8 +116,8 @@
 	}
 }
 
-void router_recall(struct router *router, struct client_request *request, int64_t now,
-		   struct command_list *out)
+void router_recall_attempt(struct router *router, struct client_request *request, int64_t now,
+			   struct command_list *out)
 {
 	command_add(out, CMD_CANCEL)->args.cancel.token = request->attempt.call_token;
 	(void)hmdel(router->requests.by_token, request->attempt.call_token);
--- a/lib/data/router_route_table.c
+++ b/lib/data/router_route_table.c
@@ -26,8 +26,8 @@
 	return core_hash(core_hash_string(MATCH_HASH_SEED, host), path, path_length);
 }
 
-void router_share_of(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index,
-		     uint32_t *share, uint32_t *limit)
+void router_tenant_share(const struct route_table *routes, uint32_t route_index, uint32_t tenant_index,
+			 uint32_t *share, uint32_t *limit)
 {
 	struct share_config *shares = routes->shares;
 	ptrdiff_t i = shares ? hmgeti(shares, (uint64_t)route_index << 32 | tenant_index) : -1;
@@ -42,23 +42,23 @@
 {
 	switch (row->kind) {
 	case NL__KIND__ROUTE:
-		names_id(&router->names.routes, row->name);
-		names_id(&router->names.services, row->service);
+		names_find_or_add(&router->names.routes, row->name);
+		names_find_or_add(&router->names.services, row->service);
 		for (size_t i = 0; i < row->n_split; i++)
-			names_id(&router->names.services, row->split[i]->service);
+			names_find_or_add(&router->names.services, row->split[i]->service);
 		break;
 	case NL__KIND__TENANT:
-		names_id(&router->names.tenants, row->name);
+		names_find_or_add(&router->names.tenants, row->name);
 		break;
 	case NL__KIND__KEY:
-		names_id(&router->names.tenants, row->tenant);
+		names_find_or_add(&router->names.tenants, row->tenant);
 		break;
 	case NL__KIND__SERVICE:
-		names_id(&router->names.services, row->name);
-		names_id(&router->names.weights, row->target_weights);
+		names_find_or_add(&router->names.services, row->name);
+		names_find_or_add(&router->names.weights, row->target_weights);
 		break;
 	case NL__KIND__MODEL:
-		names_id(&router->names.weights, row->target_weights);
+		names_find_or_add(&router->names.weights, row->target_weights);
 		break;
 	default:
 		break;
@@ -73,14 +73,15 @@
 	apr_pool_create(&pool, router->pool);
 	routes = apr_pcalloc(pool, sizeof *routes);
 	routes->pool = pool;
-	routes->anonymous_tenant = names_id(&router->names.tenants, "");
+	routes->anonymous_tenant_index = names_find_or_add(&router->names.tenants, "");
 	routes->route_count = (uint32_t)arrlen(router->names.routes.names);
 	routes->tenant_count = (uint32_t)arrlen(router->names.tenants.names);
 	routes->service_count = (uint32_t)arrlen(router->names.services.names);
 	routes->routes = apr_pcalloc(pool, (routes->route_count + 1) * sizeof *routes->routes);
 	routes->tenants = apr_pcalloc(pool, (routes->tenant_count + 1) * sizeof *routes->tenants);
 	routes->services = apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->services);
-	routes->stores = apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->stores);
+	routes->store_server_indices =
+	    apr_pcalloc(pool, (routes->service_count + 1) * sizeof *routes->store_server_indices);
 	sh_new_arena(routes->keys);
 	return routes;
 }
@@ -89,7 +90,7 @@
 
 static void add_route(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
-	uint32_t route_index = names_id(&router->names.routes, row->name);
+	uint32_t route_index = names_find_or_add(&router->names.routes, row->name);
 	uint32_t cumulative_weight = 0;
 	struct route_config *route = &routes->routes[route_index];
 	struct route_split *splits = apr_palloc(routes->pool, (row->n_split + 1) * sizeof *splits);
@@ -99,11 +100,11 @@
 		.resumable = row->resumable,
 		.idempotent = row->idempotent,
 		.key_optional = row->key_optional,
-		.service_index = names_id(&router->names.services, row->service),
+		.service_index = names_find_or_add(&router->names.services, row->service),
 		.priority = row->priority,
-		.queue_limit = row->limit,
+		.max_waiting_per_tenant = row->limit,
 		.latency_target_ms = row->latency_target_ms,
-		.max_gap_ms = row->max_gap_ms,
+		.max_chunk_gap_ms = row->max_gap_ms,
 		.timeout_ms = row->timeout_ms,
 		.max_attempts = row->max_attempts,
 		.host = apr_pstrdup(routes->pool, row->host),
@@ -115,7 +116,7 @@
 			continue;
 		cumulative_weight += row->split[i]->weight;
 		splits[route->split_count++] = (struct route_split){
-			.service_index = names_id(&router->names.services, row->split[i]->service),
+			.service_index = names_find_or_add(&router->names.services, row->split[i]->service),
 			.cumulative_weight = cumulative_weight,
 		};
 	}
@@ -126,14 +127,14 @@
 
 static void add_tenant(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
-	routes->tenants[names_id(&router->names.tenants, row->name)] = (struct tenant_config){
+	routes->tenants[names_find_or_add(&router->names.tenants, row->name)] = (struct tenant_config){
 		.is_configured = true,
-		.isolated = row->isolated,
+		.is_isolated = row->isolated,
 		.share = row->share,
 		.concurrency_limit = row->limit,
 		.priority_class = row->priority_class,
 	};
-	routes->has_limits |= row->limit != 0;
+	routes->has_concurrency_limits |= row->limit != 0;
 	if (row->isolated)
 		/* a sum, so that the order of rows does not matter */
 		routes->isolation_hash += core_hash_string(ISOLATION_HASH_SEED, row->name);
@@ -143,36 +144,38 @@
 static int store_server_index(struct router *router, const struct route_table *routes,
 			      const struct Nl__Row *row)
 {
-	return (int)names_id(&router->names.servers, apr_pstrcat(routes->pool, "store:", row->name, NULL));
+	return (int)names_find_or_add(&router->names.servers,
+				      apr_pstrcat(routes->pool, "store:", row->name, NULL));
 }
 
 static void add_service(struct router *router, struct route_table *routes, const struct Nl__Row *row)
 {
 	const struct Nl__Row *model =
 	    row->model[0] ? config_table_get(&router->config.watch.table, NL__KIND__MODEL, row->model) : NULL;
-	struct service_config *service = &routes->services[names_id(&router->names.services, row->name)];
+	struct service_config *service =
+	    &routes->services[names_find_or_add(&router->names.services, row->name)];
 
 	*service = (struct service_config){
 		.is_configured = true,
-		.target_weights =
-		    names_id(&router->names.weights, model ? model->target_weights : row->target_weights),
+		.target_weights_index = names_find_or_add(
+		    &router->names.weights, model ? model->target_weights : row->target_weights),
 		.prefill_tokens_per_ms = row->prefill_tokens_per_ms,
 		.kv_bytes_per_token = row->kv_bytes_per_token,
 		.link_bytes_per_ms = row->link_bytes_per_ms,
 		.store_bytes_per_ms = row->store_bytes_per_ms,
 		.max_connections = row->max_connections,
 		.capacity_tokens = row->capacity_tokens,
-		.store_server = -1,
+		.store_server_index = -1,
 	};
 	if (model)
 		service->model_row = (const struct Nl__Row *)core_copy_message(routes->pool, &model->base);
 	if (!row->addr[0])
 		return;
 	if (row->store_bytes_per_ms)
-		service->store_server = store_server_index(router, routes, row);
-	else if (router->config.bounds.discover_instances)
+		service->store_server_index = store_server_index(router, routes, row);
+	else if (router->config.bounds.use_endpoint_list)
 		/* the row describes a store, not a service that has one */
-		routes->stores[routes->store_count++] = store_server_index(router, routes, row);
+		routes->store_server_indices[routes->store_count++] = store_server_index(router, routes, row);
 }
 
 static void add_share(const struct router *router, struct route_table *routes, const struct Nl__Row *row)
@@ -181,7 +184,7 @@
 	const char *slash = strchr(row->name, '/');
 	int route_index, tenant_index;
 
-	routes->has_limits = true;
+	routes->has_concurrency_limits = true;
 	if (!slash)
 		return;
 	route_index = names_find(&router->names.routes,
@@ -209,14 +212,14 @@
 		add_tenant(router, routes, row);
 		break;
 	case NL__KIND__KEY:
-		shput(routes->keys, row->name, names_id(&router->names.tenants, row->tenant));
+		shput(routes->keys, row->name, names_find_or_add(&router->names.tenants, row->tenant));
 		routes->has_keys = true;
 		break;
 	case NL__KIND__SERVICE:
 		add_service(router, routes, row);
 		break;
 	case NL__KIND__RETENTION:
-		router_scope_row(router, routes, row);
+		router_add_cache_scope(router, routes, row);
 		break;
 	case NL__KIND__LISTENER:
 		set_listener_limits(routes, row);
@@ -244,12 +247,12 @@
 /* Extends the router's arrays by tenant and by service for new names. */
 static void extend_arrays(struct router *router, const struct route_table *routes, int64_t now)
 {
-	while (arrlen(router->quota.tenant_running) < (ptrdiff_t)routes->tenant_count)
-		arrput(router->quota.tenant_running, 0);
+	while (arrlen(router->quota.tenant_slots_held) < (ptrdiff_t)routes->tenant_count)
+		arrput(router->quota.tenant_slots_held, 0);
 	while (arrlen(router->servers.last_serving_at_ms) < (ptrdiff_t)routes->service_count)
 		arrput(router->servers.last_serving_at_ms, now);
-	while (arrlen(router->quota.retry_budget) < (ptrdiff_t)routes->service_count)
-		arrput(router->quota.retry_budget, ROUTER_RETRY_COST_MILLI);
+	while (arrlen(router->quota.retry_budget_milli) < (ptrdiff_t)routes->service_count)
+		arrput(router->quota.retry_budget_milli, ROUTER_RETRY_COST_MILLI);
 }
 
 struct route_table *router_route_table_new(struct router *router, int64_t now)
@@ -261,11 +264,11 @@
 		add_names(router, table->rows[i].value.row);
 	routes = allocate_route_table(router);
 	routes->revision = table->revision;
-	routes->tenants[routes->anonymous_tenant] =
+	routes->tenants[routes->anonymous_tenant_index] =
 	    (struct tenant_config){ .is_configured = true, .share = 1 };
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		add_row(router, routes, table->rows[i].value.row);
-	arrsetlen(router->retention.generations, 0);
+	arrsetlen(router->retention.newest_purges, 0);
 	extend_arrays(router, routes, now);
 	restart_service_grace(router, routes, now);
 	return routes;
--- a/lib/data/router_route_table.h
+++ b/lib/data/router_route_table.h
@@ -22,9 +22,10 @@
 	char **names;             /* stb_ds, by index; owns the strings */
 };
 
-/* Returns the index of a name, adding the name if it is new. Example: names_id(&router->names.weights, "3")
+/* Returns the index of a name, adding the name if it is new. Example:
+ * names_find_or_add(&router->names.weights, "3")
  */
-uint32_t names_id(struct name_table *table, const char *name);
+uint32_t names_find_or_add(struct name_table *table, const char *name);
 
 /* Returns the index of a name; -1: the name has no index. */
 int names_find(const struct name_table *table, const char *name);
@@ -42,10 +43,10 @@
 	bool idempotent;   /* a request may run more than once */
 	bool key_optional; /* requests need no client key */
 	uint32_t service_index;
-	uint32_t priority;    /* priority class; the lowest is dispatched first */
-	uint32_t queue_limit; /* maximum number of waiting requests of one tenant */
+	uint32_t priority;               /* priority class; the lowest is dispatched first */
+	uint32_t max_waiting_per_tenant; /* maximum number of waiting requests of one tenant */
 	uint32_t latency_target_ms;
-	uint32_t max_gap_ms; /* maximum time between two chunks of an answer */
+	uint32_t max_chunk_gap_ms; /* maximum time between two chunks of an answer */
 	uint32_t timeout_ms;
 	uint32_t max_attempts;
 	const char *host;
@@ -57,7 +58,7 @@
 /* A tenant. Its requests share its quota and cached blocks. */
 struct tenant_config {
 	bool is_configured;
-	bool isolated; /* its cached blocks are not shared with other tenants */
+	bool is_isolated; /* its cached blocks are not shared with other tenants */
 	uint32_t share;
 	uint32_t concurrency_limit;
 	uint32_t priority_class; /* priority class + 1; 0: the class of the route applies */
@@ -66,14 +67,14 @@
 /* A service: servers that run the same model, and their speeds, which placement uses as estimates. */
 struct service_config {
 	bool is_configured;
-	uint32_t target_weights; /* index of the target version of the weights */
+	uint32_t target_weights_index; /* index of the target version of the weights */
 	uint32_t prefill_tokens_per_ms;
 	uint32_t kv_bytes_per_token;
 	uint32_t link_bytes_per_ms;  /* speed of the links between servers */
 	uint32_t store_bytes_per_ms; /* speed of the link of the offload store */
 	uint32_t max_connections;    /* maximum connections to one server from all routers together */
 	uint64_t capacity_tokens;    /* memory of one server, in tokens; 0: unknown */
-	int store_server;            /* server index of the service's own offload store; -1: none */
+	int store_server_index;      /* server index of the service's own offload store; -1: none */
 	/* rollout dates of the target weights; NULL: no rollout bound applies */
 	const struct Nl__Row *model_row;
 };
@@ -87,7 +88,7 @@
 /* One incarnation of a server, listed by the configuration or the endpoint list. */
 struct server_config {
 	bool is_configured;
-	bool draining;
+	bool is_draining;
 	bool is_store; /* an offload store, which stores blocks and runs no requests */
 	uint32_t service_index;
 	const char *addr;
@@ -136,13 +137,13 @@
 	uint32_t route_count;
 	uint32_t tenant_count;
 	uint32_t service_count;
-	uint32_t anonymous_tenant; /* index of the tenant of requests without a key */
+	uint32_t anonymous_tenant_index; /* index of the tenant of requests without a key */
 	/* server indices of the offload stores shared by all services; rendezvous hashing assigns a prefix to
 	 * one */
-	int *stores;
+	int *store_server_indices;
 	uint32_t store_count;
 	bool has_keys;
-	bool has_limits; /* a tenant or share has a concurrency limit */
+	bool has_concurrency_limits; /* a tenant or share has a concurrency limit */
 	struct {
 		uint32_t max_head_bytes;
 		uint32_t max_body_bytes;
--- a/lib/data/router_send_claimed.c
+++ b/lib/data/router_send_claimed.c
@@ -16,14 +16,15 @@
 	struct usage_entry *usage = router_usage_of(router, request);
 
 	router->stats.sends++;
-	router_retry_earn(router, request->route.service_index);
-	router->stats.tokens += prompt_tokens;
-	router->stats.reused += cached_tokens;
+	router_retry_budget_add(router, request->route.service_index);
+	router->stats.prompt_tokens += prompt_tokens;
+	router->stats.cached_tokens += cached_tokens;
 	if (plan->fetch_source >= 0)
-		router->stats.fetched += router_tokens_of_blocks(request, plan->fetch_end) - cached_tokens;
+		router->stats.fetched_tokens +=
+		    router_tokens_of_blocks(request, plan->blocks_after_fetch) - cached_tokens;
 	router->stats.sends_without_cache += !relay_is_current(&router->relay, now);
-	usage->value.tokens += prompt_tokens;
-	usage->value.reused += cached_tokens;
+	usage->value.prompt_tokens += prompt_tokens;
+	usage->value.cached_tokens += cached_tokens;
 }
 
 /* ---- the call -------------------------------------------------------------------------------- */
@@ -42,7 +43,7 @@
 	for (int i = begin_block; i < end_block; i++) {
 		uint64_t hash = request->prompt.block_hash[i];
 		const struct block_replica *replica = router_usable_replica(
-		    router, request, hash, (uint32_t)server_index, request->attempt.weights);
+		    router, request, hash, (uint32_t)server_index, request->attempt.weights_index);
 		struct json_object *json = json_object_new_object();
 
 		json_object_object_add(json, "h", json_object_new_string(format_hash(hash, pool)));
@@ -76,8 +77,9 @@
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
 	uint64_t cached_tokens = router_tokens_of_blocks(request, plan->cached_blocks);
-	double prefill_ms = (double)(router_tokens_of_blocks(request, plan->fetch_end) - cached_tokens) /
-			    service->prefill_tokens_per_ms;
+	double prefill_ms =
+	    (double)(router_tokens_of_blocks(request, plan->blocks_after_fetch) - cached_tokens) /
+	    service->prefill_tokens_per_ms;
 	struct json_object *fetch = json_object_new_object();
 	int wait_ms;
 
@@ -90,9 +92,9 @@
 	json_object_object_add(
 	    fetch, "from",
 	    json_object_new_string(server_config_of(router, (uint32_t)plan->fetch_source)->addr));
-	json_object_object_add(
-	    fetch, "parts",
-	    replicas_json(router, request, plan->fetch_source, plan->cached_blocks, plan->fetch_end, pool));
+	json_object_object_add(fetch, "parts",
+			       replicas_json(router, request, plan->fetch_source, plan->cached_blocks,
+					     plan->blocks_after_fetch, pool));
 	json_object_object_add(fetch, "wait_ms", json_object_new_int(wait_ms));
 	return fetch;
 }
@@ -107,8 +109,9 @@
 	json_object_object_add(json, "id", json_object_new_string(request->client.request_id));
 	json_object_object_add(
 	    json, "tenant", json_object_new_string(router->names.tenants.names[request->route.tenant_index]));
-	json_object_object_add(json, "weights",
-			       json_object_new_string(router->names.weights.names[request->attempt.weights]));
+	json_object_object_add(
+	    json, "weights",
+	    json_object_new_string(router->names.weights.names[request->attempt.weights_index]));
 	json_object_object_add(json, "stamp", json_object_new_int64((int64_t)request->attempt.stamp_tick));
 	json_object_object_add(json, "limit_ms", json_object_new_int64(request->client.deadline_at_ms - now));
 	json_object_object_add(json, "parts", prompt_json(request, pool));
@@ -133,20 +136,20 @@
 	request->retry.attempt_count++;
 	request->stream.next_chunk = 0;
 	attempt->server_index = plan->server_index;
-	attempt->weights = server->weights;
+	attempt->weights_index = server->weights_index;
 	attempt->stamp_tick = router->relay.knowledge.horizon;
 	attempt->sent_at_ms = now;
-	attempt->fetch_source = plan->fetch_source;
+	attempt->fetch_source_index = plan->fetch_source;
 	attempt->expected_fetch_ms = (uint32_t)(plan->fetch_ms + 0.5);
 	attempt->call_token = router_token_new(router);
 	attempt->id = apr_psprintf(request->pool, "%016" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT "-%d",
 				   router->id, request->sequence, request->retry.attempt_count);
 	hmput(router->requests.by_token, attempt->call_token, request);
-	server->own_running++;
+	server->own_running_count++;
 }
 
-void router_send_to(struct router *router, struct client_request *request, const struct plan *plan,
-		    int64_t now, struct command_list *out)
+void router_call_server(struct router *router, struct client_request *request, const struct plan *plan,
+			int64_t now, struct command_list *out)
 {
 	struct command *command;
 
@@ -157,11 +160,11 @@
 	    apr_pstrdup(out->pool, server_config_of(router, (uint32_t)plan->server_index)->addr);
 	command->args.call.path = "/v1/run";
 	command->args.call.body = call_body(router, request, plan, now, out->pool);
-	command->args.call.limit_ms = (int)(request->client.deadline_at_ms - now);
-	command->args.call.stream = 1;
+	command->args.call.timeout_ms = (int)(request->client.deadline_at_ms - now);
+	command->args.call.is_stream = 1;
 	/* a process that was suspended must not send requests on decisions that are out of date */
 	command->args.call.not_after_ms =
-	    router->config.watch.fetched_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
+	    router->config.watch.confirmed_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
 	router_count_send(router, request, plan, now);
 }
 
@@ -176,22 +179,22 @@
 		server_index,
 		request->route.tenant_index,
 		request->route.service_index,
-		attempt->weights,
+		attempt->weights_index,
 		attempt->stamp_tick,
-		router->servers.states[server_index].poll_sequence + 1,
+		router->servers.states[server_index].report_poll_sequence + 1,
 	};
 
 	for (int i = 0; i < request->prompt.block_count; i++) {
 		uint64_t hash = request->prompt.block_hash[i];
 
-		if (!router_usable_replica(router, request, hash, server_index, attempt->weights) &&
+		if (!router_usable_replica(router, request, hash, server_index, attempt->weights_index) &&
 		    purge_view_allows(&router->relay.view,
 				      router->names.services.names[request->route.service_index],
-				      router->names.weights.names[attempt->weights],
+				      router->names.weights.names[attempt->weights_index],
 				      router->names.tenants.names[request->route.tenant_index],
 				      router->names.servers.names[server_index], attempt->stamp_tick) &&
-		    router_retains(router, request->route.service_index, request->route.tenant_index, hash,
-				   attempt->stamp_tick))
+		    router_allows_context(router, request->route.service_index, request->route.tenant_index,
+					  hash, attempt->stamp_tick))
 			prefix_index_put(&router->cache.index, hash, &replica);
 	}
 }
@@ -204,7 +207,8 @@
 	    apr_psprintf(out->pool, "{\"end\":true,\"pieces\":%" APR_UINT64_T_FMT ",\"exchange\":\"%s\"}\n",
 			 request->stream.next_chunk, request->attempt.id);
 
-	server->average_run_ms += ((double)(now - request->attempt.sent_at_ms) - server->average_run_ms) / 8;
+	server->average_request_ms +=
+	    ((double)(now - request->attempt.sent_at_ms) - server->average_request_ms) / 8;
 	index_blocks(router, request);
 	router_request_end(router, request, &(struct request_ending){ REQUEST_ANSWERED, 200, body, 0 }, now,
 			   out);
@@ -222,7 +226,7 @@
 	command->args.stream_chunk.len = strlen(command->args.stream_chunk.body);
 	request->stream.has_begun = true;
 	request->stream.next_chunk++;
-	router->stats.chunks++;
+	router->stats.chunks_sent++;
 }
 
 /* Whether a line carries the id of the newest attempt and the next sequence number. */
@@ -248,7 +252,7 @@
 		router_break_off(router, request, 502, "the server's answer does not belong to this exchange",
 				 now, out);
 	} else if (json_object_object_get_ex(json, "end", &member)) {
-		if (request->attempt.fetch_source >= 0 &&
+		if (request->attempt.fetch_source_index >= 0 &&
 		    json_object_object_get_ex(json, "fetch_ms", &fetch_ms_json))
 			router_record_fetch(router, request, json_object_get_int64(fetch_ms_json),
 					    json_object_object_get_ex(json, "fetched", &member)
@@ -280,8 +284,8 @@
 	if (status == 0)
 		router->servers.states[request->attempt.server_index].unavailable_until_ms =
 		    now + ROUTER_UNREACHABLE_BACKOFF_MS;
-	router_release_server(router, request, now);
-	if (router->quota.retry_budget[request->route.service_index] < ROUTER_RETRY_COST_MILLI) {
+	router_detach_from_server(router, request, now);
+	if (router->quota.retry_budget_milli[request->route.service_index] < ROUTER_RETRY_COST_MILLI) {
 		router_refuse(
 		    router, request, 503,
 		    "the server refused the request, and the retry budget of its service is exhausted",
@@ -290,8 +294,8 @@
 	}
 	/* a retry adds nothing to the budget: the amount that router_count_send will add is subtracted here
 	 */
-	router->quota.retry_budget[request->route.service_index] -=
+	router->quota.retry_budget_milli[request->route.service_index] -=
 	    ROUTER_RETRY_COST_MILLI + ROUTER_RETRY_EARNED_PER_SEND_MILLI;
-	router->stats.resends++;
+	router->stats.retries++;
 	router_send(router, request, now, out);
 }
--- a/lib/data/router_send_forwarded.c
+++ b/lib/data/router_send_forwarded.c
@@ -29,8 +29,8 @@
 static int server_timeout_ms(const struct router *router, const struct client_request *request, int64_t now)
 {
 	int64_t timeout_ms = request->client.deadline_at_ms - now;
-	int64_t weights_end_ms =
-	    router_weights_end(router, request->route.service_index, request->attempt.weights, now);
+	int64_t weights_end_ms = router_weights_begin_deadline_ms(router, request->route.service_index,
+								  request->attempt.weights_index, now);
 
 	if (weights_end_ms != INT64_MAX && weights_end_ms - now < ROUTER_ROLLOUT_DEADLINE_MARGIN_MS &&
 	    weights_end_ms - now < timeout_ms)
@@ -51,8 +51,8 @@
 {
 	const struct service_config *service =
 	    &router->config.route_table->services[request->route.service_index];
-	int shared_blocks = router_shared_blocks(request),
-	    available_blocks = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
+	int shared_blocks = router_shared_block_count(request),
+	    available_blocks = plan->fetch_source >= 0 ? plan->blocks_after_fetch : plan->cached_blocks;
 	uint64_t cached_tokens = router_tokens_of_blocks(request, plan->cached_blocks),
 		 available_tokens = router_tokens_of_blocks(request, available_blocks);
 	uint64_t shared_prefill_tokens =
@@ -63,18 +63,18 @@
 
 	request->attempt.decision = (struct decision){
 		.reason = plan->reason,
-		.candidates = plan->candidates,
+		.candidate_count = plan->candidate_count,
 		.cached_tokens = (uint32_t)cached_tokens,
 		.fetched_tokens = (uint32_t)(available_tokens - cached_tokens),
 		.prefill_tokens = request->attempt.prefill_tokens,
 		.shared_prefill_tokens = (uint32_t)shared_prefill_tokens,
-		.uses_older_weights = request->attempt.weights != service->target_weights,
-		.expected_ms = (int)request->attempt.expected_first_chunk_ms,
+		.uses_older_weights = request->attempt.weights_index != service->target_weights_index,
+		.expected_first_chunk_ms = (int)request->attempt.expected_first_chunk_ms,
 		.awaiting_first_chunk = true,
 	};
 	counts->lookups_answered += request->lookup.state == LOOKUP_ANSWERED;
 	counts->lookups_missed += request->lookup.state == LOOKUP_MISSED;
-	decision_count(counts, &request->attempt.decision, now - waiting_since_ms(request));
+	decision_on_send(counts, &request->attempt.decision, now - waiting_since_ms(request));
 }
 
 static void begin_attempt(struct router *router, struct client_request *request, const struct plan *plan,
@@ -82,15 +82,15 @@
 {
 	struct router_server_state *server = &router->servers.states[plan->server_index];
 	struct request_attempt *attempt = &request->attempt;
-	int available_blocks = plan->fetch_source >= 0 ? plan->fetch_end : plan->cached_blocks;
+	int available_blocks = plan->fetch_source >= 0 ? plan->blocks_after_fetch : plan->cached_blocks;
 
 	request->state = REQUEST_RUNNING;
 	request->retry.attempt_count++;
 	attempt->server_index = plan->server_index;
-	attempt->weights = server->weights;
+	attempt->weights_index = server->weights_index;
 	attempt->stamp_tick = router->relay.knowledge.horizon;
 	attempt->sent_at_ms = now;
-	attempt->fetch_source = plan->fetch_source;
+	attempt->fetch_source_index = plan->fetch_source;
 	attempt->first_chunk_at_ms = 0;
 	attempt->call_token = router_token_new(router);
 	attempt->prefill_tokens =
@@ -98,9 +98,9 @@
 	attempt->expected_first_chunk_ms = plan->cost_ms + ROUTER_FIRST_CHUNK_OVERHEAD_MS;
 	attempt->uncached_tokens = router_uncached_tokens(request, plan->cached_blocks);
 	hmput(router->requests.by_token, attempt->call_token, request);
-	server->own_running++;
-	server->prefill_tokens += attempt->prefill_tokens;
-	server->resident_tokens += attempt->uncached_tokens;
+	server->own_running_count++;
+	server->own_prefill_tokens += attempt->prefill_tokens;
+	server->own_resident_tokens += attempt->uncached_tokens;
 }
 
 /* Sets the cache namespace of an attempt and the store that its blocks are offloaded to. While the purge view
@@ -113,7 +113,8 @@
 	int is_current = relay_is_current(&router->relay, now);
 
 	if (is_current)
-		forward->cache_namespace = router_cache_namespace(router, request, attempt->weights, pool);
+		forward->cache_namespace =
+		    router_cache_namespace(router, request, attempt->weights_index, pool);
 	else
 		forward->cache_namespace =
 		    apr_psprintf(pool, "cold-%" APR_UINT64_T_HEX_FMT "-%" APR_UINT64_T_FMT, router->id,
@@ -122,7 +123,7 @@
 	attempt->namespace_key = router_namespace_key(router, request);
 	forward->offload_target =
 	    is_current ? router_offload_target(router, request, attempt->cache_namespace, now) : 0;
-	attempt->offload_target = forward->offload_target ? router_store_of(router, request) : -1;
+	attempt->offload_store_index = forward->offload_target ? router_store_of(router, request) : -1;
 }
 
 /* Reserves time on the links of the fetch source and of the offload store for the transfers of an attempt. */
@@ -133,10 +134,10 @@
 	    &router->config.route_table->services[request->route.service_index];
 	double store_bytes_per_ms = service->store_bytes_per_ms ? service->store_bytes_per_ms : 1;
 
-	if (plan->fetch_source >= 0 && plan->fetch_end > plan->cached_blocks)
+	if (plan->fetch_source >= 0 && plan->blocks_after_fetch > plan->cached_blocks)
 		router_link_reserve(router, (uint32_t)plan->fetch_source, plan->transfer_ms, now);
-	if (request->attempt.offload_target >= 0)
-		router_link_reserve(router, (uint32_t)request->attempt.offload_target,
+	if (request->attempt.offload_store_index >= 0)
+		router_link_reserve(router, (uint32_t)request->attempt.offload_store_index,
 				    (double)request->attempt.prefill_tokens * service->kv_bytes_per_token /
 					store_bytes_per_ms,
 				    now);
@@ -148,9 +149,9 @@
 				 int64_t now)
 {
 	int64_t not_after_ms =
-	    router->config.watch.fetched_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
-	int64_t last_send_ms =
-	    router_weights_last_send(router, request->route.service_index, request->attempt.weights, now);
+	    router->config.watch.confirmed_at_ms + router_max_staleness_ms(router) + ROUTER_SEND_LATENESS_MS;
+	int64_t last_send_ms = router_weights_send_deadline_ms(router, request->route.service_index,
+							       request->attempt.weights_index, now);
 
 	return not_after_ms > last_send_ms ? last_send_ms : not_after_ms;
 }
@@ -166,8 +167,8 @@
 	return connections < MIN_CONNECTIONS ? MIN_CONNECTIONS : connections;
 }
 
-void router_forward(struct router *router, struct client_request *request, const struct plan *plan,
-		    int64_t now, struct command_list *out)
+void router_forward_to_server(struct router *router, struct client_request *request, const struct plan *plan,
+			      int64_t now, struct command_list *out)
 {
 	const struct route_table *routes = router->config.route_table;
 	struct forward_command *forward = apr_pcalloc(out->pool, sizeof *forward);
@@ -180,9 +181,9 @@
 	forward->client_token = request->client.token;
 	forward->addr = server_config_of(router, (uint32_t)plan->server_index)->packed_addr;
 	forward->server = router->names.servers.names[plan->server_index];
-	if (request->route.tenant_index != routes->anonymous_tenant)
+	if (request->route.tenant_index != routes->anonymous_tenant_index)
 		forward->tenant = router->names.tenants.names[request->route.tenant_index];
-	forward->weights = router->names.weights.names[request->attempt.weights];
+	forward->weights = router->names.weights.names[request->attempt.weights_index];
 	if (plan->fetch_source >= 0)
 		forward->fetch_source = server_config_of(router, (uint32_t)plan->fetch_source)->packed_addr;
 	forward->priority = (int)request->route.priority;
@@ -193,9 +194,9 @@
 	forward->headers_sent = request->stream.has_begun;
 	forward->is_stream = 1;
 	forward->max_connections = max_connections(router, &routes->services[request->route.service_index]);
-	forward->idempotent = request->route.idempotent || request->route.resumable;
+	forward->is_idempotent = request->route.idempotent || request->route.resumable;
 	record_decision(router, request, plan, now);
-	router->load.changed = true;
+	router->load.has_unsent_change = true;
 	command_add(out, CMD_FORWARD)->args.forward = forward;
 	if (request->retry.attempt_count > 1)
 		/* A retry adds nothing to the budget, and its reservation has now been spent. */
@@ -215,7 +216,7 @@
 		(uint32_t)attempt->server_index,
 		0,
 		request->route.service_index,
-		attempt->weights,
+		attempt->weights_index,
 		attempt->stamp_tick,
 		attempt->namespace_key,
 	};
@@ -225,9 +226,9 @@
 
 		replica.server_index = (uint32_t)attempt->server_index;
 		prefix_index_put(&router->cache.index, key, &replica);
-		if (attempt->offload_target < 0)
+		if (attempt->offload_store_index < 0)
 			continue;
-		replica.server_index = (uint32_t)attempt->offload_target;
+		replica.server_index = (uint32_t)attempt->offload_store_index;
 		prefix_index_put(&router->cache.index, key, &replica);
 	}
 }
@@ -239,11 +240,12 @@
 		late_ms = 0;
 	else if (late_ms > ROUTER_LATENESS_MAX_MS)
 		late_ms = ROUTER_LATENESS_MAX_MS;
-	server->lateness_ms = server->lateness_ms * 3 / 4 + late_ms / 4;
+	server->first_chunk_lateness_ms = server->first_chunk_lateness_ms * 3 / 4 + late_ms / 4;
 	server->lateness_observed_at_ms = now;
 }
 
-void router_on_began(struct router *router, struct client_request *request, const char *weights, int64_t now)
+void router_on_forward_began(struct router *router, struct client_request *request, const char *weights,
+			     int64_t now)
 {
 	struct request_attempt *attempt = &request->attempt;
 	struct router_server_state *server = &router->servers.states[attempt->server_index];
@@ -253,13 +255,14 @@
 	if (attempt->first_chunk_at_ms)
 		return;
 	attempt->first_chunk_at_ms = now;
-	decision_began(router_decision_counts_of(router, request), &attempt->decision, first_chunk_ms);
-	router->load.changed = true;
+	decision_on_first_chunk(router_decision_counts_of(router, request), &attempt->decision,
+				first_chunk_ms);
+	router->load.has_unsent_change = true;
 	router_weights_check_begin(router, request, now);
-	server->prefill_tokens -= attempt->prefill_tokens;
+	server->own_prefill_tokens -= attempt->prefill_tokens;
 	attempt->prefill_tokens = 0;
 	record_lateness(server, (double)first_chunk_ms - attempt->expected_first_chunk_ms, now);
-	if (weights && strcmp(weights, router->names.weights.names[attempt->weights]))
+	if (weights && strcmp(weights, router->names.weights.names[attempt->weights_index]))
 		return; /* the answer comes from weights other than those in the cache namespace */
 	if (attempt->cache_namespace)
 		index_blocks(router, request);
@@ -270,12 +273,13 @@
 static void record_load_and_failures(struct router_server_state *server, const struct forward_result *result,
 				     int64_t now)
 {
-	int reported_requests = result->running + result->waiting;
+	int reported_requests = result->running_requests + result->waiting_requests;
 
-	if (result->slots > 0 && result->running >= 0 && result->waiting >= 0 &&
+	if (result->slots > 0 && result->running_requests >= 0 && result->waiting_requests >= 0 &&
 	    reported_requests < MAX_REPORTED_REQUESTS) {
-		server->others_running =
-		    reported_requests > server->own_running ? reported_requests - server->own_running : 0;
+		server->others_running_count = reported_requests > server->own_running_count
+						   ? reported_requests - server->own_running_count
+						   : 0;
 		server->others_observed_at_ms = now;
 	}
 	server->failure_rate = server->failure_rate * 7 / 8;
@@ -291,17 +295,17 @@
 {
 	if (result->end == FORWARD_NOT_STARTED && !result->status) {
 		/* the connection could not be established */
-		server->connect_failures++;
+		server->consecutive_connect_failures++;
 		server->unavailable_until_ms =
-		    now + (server->connect_failures > REPEATED_CONNECT_FAILURES ? 2 : 1) *
+		    now + (server->consecutive_connect_failures > REPEATED_CONNECT_FAILURES ? 2 : 1) *
 			      ROUTER_UNREACHABLE_BACKOFF_MS;
 	} else if (result->status) {
-		server->connect_failures = 0;
+		server->consecutive_connect_failures = 0;
 	}
 	if (result->end == FORWARD_NOT_STARTED && result->status == 503)
 		server->unavailable_until_ms =
 		    now + ROUTER_FULL_SERVER_BACKOFF_MS; /* the server is full or loading weights */
-	if (result->wrong_incarnation) {
+	if (result->is_wrong_incarnation) {
 		router->stats.wrong_incarnation++;
 		server->unavailable_until_ms =
 		    now + ROUTER_UNREACHABLE_BACKOFF_MS; /* until the endpoint list names the new server */
@@ -315,11 +319,11 @@
 	int weights_index = -1;
 
 	if (result->weights && strlen(result->weights) < MAX_WEIGHTS_NAME_BYTES)
-		weights_index = router_weights_index(router, result->weights);
+		weights_index = router_weights_find_or_add(router, result->weights);
 	record_load_and_failures(server, result, now);
 	set_server_backoff(router, server, result, now);
 	if (weights_index >= 0)
-		router_weights_learn(router, server_index, (uint32_t)weights_index);
+		router_weights_record(router, server_index, (uint32_t)weights_index);
 }
 
 static void on_answer_complete(struct router *router, struct client_request *request,
@@ -328,14 +332,15 @@
 	struct router_server_state *server = &router->servers.states[request->attempt.server_index];
 
 	if (!request->attempt.first_chunk_at_ms)
-		router_on_began(router, request, result->weights, now);
-	server->average_run_ms += ((double)(now - request->attempt.sent_at_ms) - server->average_run_ms) / 8;
+		router_on_forward_began(router, request, result->weights, now);
+	server->average_request_ms +=
+	    ((double)(now - request->attempt.sent_at_ms) - server->average_request_ms) / 8;
 	router_request_end(router, request,
 			   &(struct request_ending){ REQUEST_ANSWERED, result->status, NULL, 0 }, now, out);
 }
 
-void router_on_ended(struct router *router, struct client_request *request,
-		     const struct forward_result *result, int64_t now, struct command_list *out)
+void router_on_forward_ended(struct router *router, struct client_request *request,
+			     const struct forward_result *result, int64_t now, struct command_list *out)
 {
 	bool not_started = result->end == FORWARD_NOT_STARTED;
 
@@ -343,18 +348,20 @@
 	request->attempt.call_token = 0;
 	update_server_state(router, (uint32_t)request->attempt.server_index, result, now);
 	if (result->end != FORWARD_COMPLETE)
-		decision_ended(router_decision_counts_of(router, request), &request->attempt.decision);
+		decision_on_attempt_end(router_decision_counts_of(router, request),
+					&request->attempt.decision);
 	if (result->last_event_id)
 		request->stream.last_event_id = apr_pstrdup(request->pool, result->last_event_id);
 	request->stream.next_chunk += result->chunks;
-	request->stream.has_begun |= result->has_begun;
+	request->stream.has_begun |= result->has_stream_begun;
 	request->retry.may_have_run |= !not_started;
-	if (not_started && !result->status && !result->wrong_incarnation) {
+	if (not_started && !result->status && !result->is_wrong_incarnation) {
 		/* The attempt reached no server: it does not count, and its reservation returns to the retry
 		 * budget. */
 		request->retry.unreachable_count++;
 		if (--request->retry.attempt_count > 0)
-			router->quota.retry_budget[request->route.service_index] += ROUTER_RETRY_COST_MILLI;
+			router->quota.retry_budget_milli[request->route.service_index] +=
+			    ROUTER_RETRY_COST_MILLI;
 	}
 	if (result->end == FORWARD_COMPLETE)
 		on_answer_complete(router, request, result, now, out);
--- a/lib/data/router_server_table.c
+++ b/lib/data/router_server_table.c
@@ -32,12 +32,12 @@
 
 static bool is_server_row(const struct router *router, const struct Nl__Row *row)
 {
-	return row->kind == NL__KIND__SERVER && !router->config.bounds.discover_instances;
+	return row->kind == NL__KIND__SERVER && !router->config.bounds.use_endpoint_list;
 }
 
 static uint32_t store_index(struct router *router, const struct Nl__Row *row, apr_pool_t *pool)
 {
-	return names_id(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
+	return names_find_or_add(&router->names.servers, apr_pstrcat(pool, "store:", row->name, NULL));
 }
 
 /* Assigns indices to all servers, so that the table can be sized. */
@@ -50,13 +50,13 @@
 		const struct Nl__Row *row = table->rows[i].value.row;
 
 		if (is_server_row(router, row))
-			names_id(&router->names.servers, row->name);
+			names_find_or_add(&router->names.servers, row->name);
 		else if (is_store_row(router, row))
 			store_index(router, row, pool);
 	}
-	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
+	for (ptrdiff_t i = 0; router->config.bounds.use_endpoint_list && i < shlen(instances->rows); i++)
 		if (instances->rows[i].value.instance->state != INSTANCE_REMOVED)
-			names_id(&router->names.servers, instances->rows[i].key);
+			names_find_or_add(&router->names.servers, instances->rows[i].key);
 }
 
 /* Extends the router's arrays of servers to the new server count. */
@@ -68,8 +68,8 @@
 		struct router_server_state state;
 
 		memset(&state, 0, sizeof state);
-		arrput(router->servers.hashes, hash);
-		hmput(router->servers.by_hash, hash, server_index);
+		arrput(router->servers.name_hashes, hash);
+		hmput(router->servers.by_name_hash, hash, server_index);
 		arrput(router->servers.states, state);
 	}
 }
@@ -95,9 +95,9 @@
 	struct server_config config = { .addr = row->addr, .zone_hash = core_hash_string(0, row->zone) };
 
 	if (is_server_row(router, row)) {
-		config.draining = row->state != 0;
-		add_server(router, servers, names_id(&router->names.servers, row->name), row->service,
-			   config);
+		config.is_draining = row->state != 0;
+		add_server(router, servers, names_find_or_add(&router->names.servers, row->name),
+			   row->service, config);
 	} else if (is_store_row(router, row)) {
 		config.is_store = true;
 		add_server(router, servers, store_index(router, row, servers->pool), row->name, config);
@@ -113,19 +113,19 @@
 	int weights_index = -1;
 
 	if (instance->weights[0] && strlen(instance->weights) < MAX_WEIGHTS_NAME_BYTES)
-		weights_index = (int)names_id(&router->names.weights, instance->weights);
-	if (weights_index < 0 && !server->is_known)
-		server->weights =
-		    names_id(&router->names.weights, ""); /* unknown weights count as the oldest */
+		weights_index = (int)names_find_or_add(&router->names.weights, instance->weights);
+	if (weights_index < 0 && !server->is_described)
+		server->weights_index =
+		    names_find_or_add(&router->names.weights, ""); /* unknown weights count as the oldest */
 	if (weights_index >= 0 &&
-	    (!server->is_known || server->endpoint_list_weights != (uint32_t)weights_index)) {
-		router_weights_learn(router, server_index, (uint32_t)weights_index);
+	    (!server->is_described || server->endpoint_list_weights != (uint32_t)weights_index)) {
+		router_weights_record(router, server_index, (uint32_t)weights_index);
 		server->endpoint_list_weights = (uint32_t)weights_index;
 	}
-	if (!server->is_known)
+	if (!server->is_described)
 		server->unavailable_until_ms =
 		    now + (instance->warm_up_ms > MAX_WARM_UP_MS ? MAX_WARM_UP_MS : instance->warm_up_ms);
-	server->is_known = true;
+	server->is_described = true;
 	server->is_loading = instance->loading;
 	server->slots = instance->slots ? (int)instance->slots : 1;
 }
@@ -139,7 +139,7 @@
 
 	if (server_index < 0 || instance->state == INSTANCE_REMOVED)
 		return;
-	config.draining = instance->state != INSTANCE_SERVING;
+	config.is_draining = instance->state != INSTANCE_SERVING;
 	add_server(router, servers, (uint32_t)server_index, instance->service, config);
 	record_instance(router, (uint32_t)server_index, instance, now);
 }
@@ -171,7 +171,7 @@
 	extend_server_arrays(router, servers->server_count);
 	for (ptrdiff_t i = 0; i < shlen(table->rows); i++)
 		add_config_row(router, servers, table->rows[i].value.row);
-	for (ptrdiff_t i = 0; router->config.bounds.discover_instances && i < shlen(instances->rows); i++)
+	for (ptrdiff_t i = 0; router->config.bounds.use_endpoint_list && i < shlen(instances->rows); i++)
 		add_instance(router, servers, instances->rows[i].key, instances->rows[i].value.instance, now);
 	drop_blocks_of_removed_servers(router, servers);
 	return servers;
--- a/lib/data/router_status.c
+++ b/lib/data/router_status.c
@@ -14,7 +14,7 @@
 
 static void add_outcome_counts(struct json_object *json, const struct router_stats *stats)
 {
-	add_number(json, "taken", stats->received);
+	add_number(json, "taken", stats->requests_received);
 	add_number(json, "answered", stats->outcomes[REQUEST_ANSWERED]);
 	add_number(json, "refused", stats->outcomes[REQUEST_REFUSED]);
 	add_number(json, "rejected", stats->outcomes[REQUEST_REJECTED]);
@@ -25,36 +25,36 @@
 static void add_work_counts(struct json_object *json, const struct router_stats *stats)
 {
 	add_number(json, "sends", stats->sends);
-	add_number(json, "resends", stats->resends);
-	add_number(json, "pieces", stats->chunks);
-	add_number(json, "tokens", stats->tokens);
-	add_number(json, "reused", stats->reused);
-	add_number(json, "fetched", stats->fetched);
+	add_number(json, "resends", stats->retries);
+	add_number(json, "pieces", stats->chunks_sent);
+	add_number(json, "tokens", stats->prompt_tokens);
+	add_number(json, "reused", stats->cached_tokens);
+	add_number(json, "fetched", stats->fetched_tokens);
 	add_number(json, "cold", stats->sends_without_cache);
-	add_number(json, "claims", stats->claims);
+	add_number(json, "claims", stats->claim_proposals);
 	add_number(json, "looks", stats->report_polls);
-	add_number(json, "watches", stats->watches);
-	add_number(json, "events", stats->events);
-	add_number(json, "taken_up", stats->resumed);
+	add_number(json, "watches", stats->cache_watches);
+	add_number(json, "events", stats->cache_events);
+	add_number(json, "taken_up", stats->streams_resumed);
 	add_number(json, "wrong_life", stats->wrong_incarnation);
 }
 
 static void add_refusal_counts(struct json_object *json, const struct router_stats *stats)
 {
-	add_number(json, "refused_stale", stats->refused_stale);
+	add_number(json, "refused_stale", stats->refused_stale_config);
 	add_number(json, "refused_line", stats->refused_queue_full);
 	add_number(json, "refused_limit", stats->refused_deadline);
-	add_number(json, "refused_early", stats->refused_early);
-	add_number(json, "revoked", stats->revoked);
+	add_number(json, "refused_early", stats->refused_unservable);
+	add_number(json, "revoked", stats->ended_key_removed);
 	add_number(json, "blind", stats->ended_without_config);
 }
 
 static void add_placement_counts(struct json_object *json, const struct router_stats *stats)
 {
-	add_number(json, "lookups_used", stats->lookups_used);
-	add_number(json, "lookups_missed", stats->lookups_missed);
-	add_number(json, "lookups_answered", stats->lookups_answered);
-	add_number(json, "recalled", stats->recalled);
+	add_number(json, "lookups_used", stats->own_lookups_answered);
+	add_number(json, "lookups_missed", stats->own_lookups_missed);
+	add_number(json, "lookups_answered", stats->lookups_served);
+	add_number(json, "recalled", stats->attempts_recalled);
 	add_number(json, "sent_past_bound", stats->sent_past_bound);
 	add_number(json, "begun_past_bound", stats->begun_past_bound);
 }
@@ -62,14 +62,14 @@
 static struct json_object *server_json(const struct router *router, uint32_t server_index, int64_t now)
 {
 	const struct router_server_state *server = &router->servers.states[server_index];
-	const char *weights = server->is_known ? router->names.weights.names[server->weights] : "";
+	const char *weights = server->is_described ? router->names.weights.names[server->weights_index] : "";
 	struct json_object *json = json_object_new_object();
 
 	json_object_object_add(json, "server",
 			       json_object_new_string(router->names.servers.names[server_index]));
 	json_object_object_add(json, "standing",
 			       json_object_new_boolean(router_server_is_serving(router, server_index, now)));
-	json_object_object_add(json, "running", json_object_new_int(server->running));
+	json_object_object_add(json, "running", json_object_new_int(server->reported_running_count));
 	json_object_object_add(json, "slots", json_object_new_int(server->slots));
 	json_object_object_add(json, "weights", json_object_new_string(weights));
 	return json;
@@ -91,7 +91,7 @@
 	uint32_t waiting_count = 0;
 
 	for (ptrdiff_t i = 0; i < arrlen(router->queueing.queues); i++)
-		waiting_count += router->queueing.queues[i].length;
+		waiting_count += router->queueing.queues[i].waiting_count;
 	return waiting_count;
 }
 
@@ -137,7 +137,7 @@
 	return hmgetp(router->records.usage, key);
 }
 
-const char *router_usage(const struct router *router, apr_pool_t *pool)
+const char *router_usage_csv(const struct router *router, apr_pool_t *pool)
 {
 	const char *csv = "lane,tenant,exchanges,tokens,reused,pieces,errors\n";
 
@@ -149,8 +149,8 @@
 				   ",%" APR_UINT64_T_FMT ",%" APR_UINT64_T_FMT "\n",
 				   csv, router->names.routes.names[entry->key >> 32],
 				   router->names.tenants.names[entry->key & UINT32_MAX],
-				   entry->value.requests, entry->value.tokens, entry->value.reused,
-				   entry->value.chunks, entry->value.errors);
+				   entry->value.requests, entry->value.prompt_tokens,
+				   entry->value.cached_tokens, entry->value.chunks, entry->value.errors);
 	}
 	return csv;
 }
@@ -159,7 +159,7 @@
 			struct command_list *out)
 {
 	if (!strcmp(path, "/v1/usage"))
-		command_answer(out, token, 200, 0, router_usage(router, out->pool));
+		command_answer(out, token, 200, 0, router_usage_csv(router, out->pool));
 	else if (!strcmp(path, "/v1/state"))
 		command_answer(out, token, 200, 0, state_json(router, now, out->pool));
 	else if (!strcmp(path, "/metrics"))
--- a/lib/shell/api_server.c
+++ b/lib/shell/api_server.c
@@ -236,7 +236,7 @@
 	if (!hex)
 		abort();
 	if (authorization && strncmp(authorization, scheme, sizeof scheme - 1) == 0)
-		digest_hex(authorization + sizeof scheme - 1, hex);
+		key_digest_hex(authorization + sizeof scheme - 1, hex);
 	return hex;
 }
 
@@ -418,7 +418,7 @@
 	apr_thread_mutex_unlock(server->mutex);
 }
 
-void api_server_valid_until(struct api_server *server, int64_t valid_until_ms)
+void api_server_set_streams_valid_until(struct api_server *server, int64_t valid_until_ms)
 {
 	apr_thread_mutex_lock(server->mutex);
 	server->streams_valid_until_ms = valid_until_ms;
@@ -445,8 +445,8 @@
 	resume_connection(request);
 }
 
-void api_server_stream(struct api_server *server, uint64_t token, const char *data, size_t size, int is_last,
-		       int is_complete)
+void api_server_stream_write(struct api_server *server, uint64_t token, const char *data, size_t size,
+			     int is_last, int is_complete)
 {
 	struct api_request *request;
 
@@ -467,7 +467,7 @@
 	return info && recv(info->connect_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-void api_server_scan(struct api_server *server)
+void api_server_report_disconnected(struct api_server *server)
 {
 	apr_thread_mutex_lock(server->mutex);
 	for (ptrdiff_t i = 0; i < hmlen(server->requests); i++) {
--- a/lib/shell/api_server.h
+++ b/lib/shell/api_server.h
@@ -28,16 +28,16 @@
 
 /* Append data to a streamed answer, which begins with the first call. is_last ends it. If it ends without
  * is_complete, the connection is closed in such a way that the client can detect it. data is copied. */
-void api_server_stream(struct api_server *server, uint64_t token, const char *data, size_t size, int is_last,
-		       int is_complete);
+void api_server_stream_write(struct api_server *server, uint64_t token, const char *data, size_t size,
+			     int is_last, int is_complete);
 
 /* Set the clock_ms after which all streams are aborted. Each call replaces the time of the last one. Without
  * any call, streams are valid without limit. */
-void api_server_valid_until(struct api_server *server, int64_t valid_until_ms);
+void api_server_set_streams_valid_until(struct api_server *server, int64_t valid_until_ms);
 
 /* Check which clients disconnected while they waited for an answer, and report each as
  * SHELL_EVENT_DISCONNECTED. */
-void api_server_scan(struct api_server *server);
+void api_server_report_disconnected(struct api_server *server);
 
 /* Close: unanswered requests are answered with 504 and an unknown outcome, and clients have up to one second
  * to read their answers. */
--- a/lib/shell/http.h
+++ b/lib/shell/http.h
@@ -38,10 +38,10 @@
 
 /* The limits of a listener on requests and connections of clients. */
 struct http_limits {
-	size_t head_bytes;   /* largest head of a request */
-	size_t body_bytes;   /* largest body of a request */
-	int head_timeout_ms; /* to receive a complete head, counted from its first byte */
-	int idle_timeout_ms; /* between two requests, and without progress of a body or an answer */
+	size_t max_head_bytes; /* largest head of a request */
+	size_t max_body_bytes; /* largest body of a request */
+	int head_timeout_ms;   /* to receive a complete head, counted from its first byte */
+	int idle_timeout_ms;   /* between two requests, and without progress of a body or an answer */
 };
 
 /* A call to a server. The call copies it. The fields are sent as they are; the loop adds no Host and no
@@ -53,10 +53,10 @@
 	int field_count;
 	const char *body; /* NULL: no body */
 	size_t body_bytes;
-	int64_t not_after_ms;   /* no byte of the request is sent after this clock_ms */
-	int connect_timeout_ms; /* 0: 3 s */
-	int timeout_ms;         /* from the start of the call to the end of its answer; 0: none */
-	int new_connection;     /* the call must not use an idle connection */
+	int64_t not_after_ms;     /* no byte of the request is sent after this clock_ms */
+	int connect_timeout_ms;   /* 0: 3 s */
+	int timeout_ms;           /* from the start of the call to the end of its answer; 0: none */
+	int needs_new_connection; /* the call must not use an idle connection */
 };
 
 /* How a call ended. */
@@ -64,7 +64,8 @@
 	HTTP_CALL_COMPLETE, /* the answer was read to its end */
 	HTTP_CALL_NOT_SENT, /* no byte of the request left this machine, or the kernel reports that none did
 			     */
-	HTTP_CALL_BROKEN    /* the call failed in any other way: the server may have begun the request */
+	HTTP_CALL_OUTCOME_UNKNOWN /* the call failed in any other way: the server may have begun the request
+				   */
 };
 
 /* Callbacks of the loop. Pointers that a callback receives are valid until it returns, except the request,
@@ -73,9 +74,9 @@
 	void *context;
 	/* A client's complete request was received. The owner of the loop answers it by its token, within the
 	 * callback or later. */
-	void (*request)(void *context, const struct http_request *request);
+	void (*request_received)(void *context, const struct http_request *request);
 	/* A client disconnected before its answer was finished. */
-	void (*disconnected)(void *context, uint64_t token);
+	void (*client_disconnected)(void *context, uint64_t token);
 	/* The head of a call's answer was received. Interim answers (1xx) are skipped. */
 	void (*response_head)(void *context, uint64_t token, int status, const struct http_field *fields,
 			      int field_count);
@@ -106,24 +107,24 @@
 int http_listen(struct http *http, const char *addr, int listener_id, const struct http_limits *limits);
 
 /* Change a listener's limits. They take effect at once, also for requests and waits in progress. */
-void http_set_limits(struct http *http, int listener_id, const struct http_limits *limits);
+void http_listener_set_limits(struct http *http, int listener_id, const struct http_limits *limits);
 
 /* The port of a listener, also if it was opened with port 0; 0: there is no such listener. */
 int http_listener_port(const struct http *http, int listener_id);
 
 /* Stop accepting connections. Connections that the kernel has established already are accepted first; the
  * next iteration of the loop reads their received bytes and closes those on which none were received. */
-void http_stop_accepting(struct http *http, int listener_id);
+void http_listener_stop_accepting(struct http *http, int listener_id);
 
 /* From now on the last answer on each connection of the listener carries Connection: close. The next
  * iteration of the loop reads the received bytes and closes the connections that are idle then. */
-void http_drain(struct http *http, int listener_id);
+void http_listener_drain(struct http *http, int listener_id);
 
 /* The number of requests of a listener that have been received in part. */
-int http_incomplete_count(const struct http *http, int listener_id);
+int http_incomplete_request_count(const struct http *http, int listener_id);
 
 /* Answer the partly received requests of a listener with 503 and Retry-After. They are never delivered. */
-void http_reject_incomplete(struct http *http, int listener_id, int retry_after_ms);
+void http_reject_incomplete_requests(struct http *http, int listener_id, int retry_after_ms);
 
 /* ---- answers to clients ---- */
 
@@ -149,7 +150,7 @@
 void http_response_abort(struct http *http, uint64_t token);
 
 /* Bytes of an answer that the kernel has not accepted yet. */
-size_t http_response_backlog(struct http *http, uint64_t token);
+size_t http_response_unsent_bytes(struct http *http, uint64_t token);
 
 /* The number of clients whose answers are unfinished or not sent completely, plus the number of listeners
  * whose idle connections the next iteration has to check. A planned stop waits until it is 0. */
@@ -171,11 +172,11 @@
 void http_call_skip_response(struct http *http, uint64_t token);
 
 /* Whether at least one byte of the request of an unfinished call has been sent. */
-bool http_call_is_sent(struct http *http, uint64_t token);
+bool http_call_has_sent_bytes(struct http *http, uint64_t token);
 
 /* Close the idle connections to an address, and close those in use when their calls end: the address belongs
  * to another server now. */
-void http_peer_forget(struct http *http, uint64_t addr);
+void http_peer_retire_connections(struct http *http, uint64_t addr);
 
 /* Limit the number of connections to an address, idle ones included. Calls beyond the limit end with
  * HTTP_CALL_NOT_SENT. 0: no limit. */
@@ -193,7 +194,7 @@
 	HTTP_OUTCOME_REJECTED,     /* a complete 503 or 429 answer with Retry-After was sent */
 	HTTP_OUTCOME_DISCONNECTED, /* the client disconnected before the complete answer was sent */
 	HTTP_OUTCOME_ABORTED,      /* the answer was aborted by http_response_abort */
-	HTTP_OUTCOME_LATE,         /* the answer was not sent: its deadline had passed */
+	HTTP_OUTCOME_EXPIRED,      /* the answer was not sent: its deadline had passed */
 	HTTP_OUTCOME_STALLED,      /* the client read nothing of its answer for the idle timeout */
 	HTTP_OUTCOME_CLOSED,       /* the loop was closed first */
 	HTTP_OUTCOME_COUNT
@@ -201,18 +202,18 @@
 
 /* Totals since the loop was opened. */
 struct http_counters {
-	uint64_t accepted;                     /* connections accepted from clients */
+	uint64_t accepted_connections;         /* connections accepted from clients */
 	uint64_t connections_opened;           /* connections opened to servers */
 	uint64_t connections_reused;           /* calls that began on an idle connection */
-	uint64_t requests;                     /* requests received completely */
-	uint64_t calls;                        /* calls started */
-	uint64_t bad_requests;                 /* requests that the loop rejected without delivering them */
+	uint64_t received_requests;            /* requests received completely */
+	uint64_t started_calls;                /* calls started */
+	uint64_t rejected_requests;            /* requests that the loop rejected without delivering them */
 	uint64_t outcomes[HTTP_OUTCOME_COUNT]; /* requests by outcome */
 };
 
 struct http_counters http_counters_read(const struct http *http);
 
 /* The number of requests that were received completely and have no outcome yet. */
-uint64_t http_pending_requests(const struct http *http);
+uint64_t http_pending_request_count(const struct http *http);
 
 #endif
--- a/lib/shell/http_client.c
+++ b/lib/shell/http_client.c
@@ -106,7 +106,8 @@
 
 static void client_fail_call(struct http_connection *conn)
 {
-	http_client_finish_call(conn, conn->client.has_sent_bytes ? HTTP_CALL_BROKEN : HTTP_CALL_NOT_SENT, 0);
+	http_client_finish_call(
+	    conn, conn->client.has_sent_bytes ? HTTP_CALL_OUTCOME_UNKNOWN : HTTP_CALL_NOT_SENT, 0);
 }
 
 static int64_t earlier_time(int64_t left, int64_t right)
@@ -476,22 +477,22 @@
 			  "Call to a server not made: its token is in use by another call.");
 		return;
 	}
-	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr), request->new_connection,
-					     now_ms))) {
+	if (!(conn = peer_acquire_connection(http, peer_find_or_add(http, addr),
+					     request->needs_new_connection, now_ms))) {
 		conn = http_conn_new(http, CONN_CLIENT, -1);
 		conn->state = CONN_FAILED;
 	}
 	conn->timeout_at_ms = TIME_NEVER;
 	conn->client.token = token;
 	conn->client.has_sent_bytes = 0;
-	conn->client.needs_new_connection = request->new_connection;
+	conn->client.needs_new_connection = request->needs_new_connection;
 	conn->client.not_after_ms = request->not_after_ms;
 	conn->client.deadline_ms = request->timeout_ms > 0 ? now_ms + request->timeout_ms : TIME_NEVER;
 	conn->client.connect_timeout_ms =
 	    request->connect_timeout_ms > 0 ? request->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
 	conn->client.is_head_request = !strcmp(request->method, "HEAD");
 	hmput(http->calls, token, conn);
-	http->counters.calls++;
+	http->counters.started_calls++;
 	http_conn_queue(conn);
 	if (conn->state == CONN_FAILED)
 		return;
@@ -530,14 +531,14 @@
 		conn->client.is_skipping_response = 1;
 }
 
-bool http_call_is_sent(struct http *http, uint64_t token)
+bool http_call_has_sent_bytes(struct http *http, uint64_t token)
 {
 	struct http_connection *conn = hmget(http->calls, token);
 
 	return conn && conn->client.has_sent_bytes;
 }
 
-void http_peer_forget(struct http *http, uint64_t addr)
+void http_peer_retire_connections(struct http *http, uint64_t addr)
 {
 	struct peer *peer = hmget(http->peers, addr);
 
--- a/lib/shell/http_disconnect.c
+++ b/lib/shell/http_disconnect.c
@@ -23,7 +23,7 @@
 void http_server_abort(struct http_connection *conn, enum http_outcome outcome)
 {
 	http_server_count_outcome(conn, outcome);
-	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_LATE);
+	http_conn_close(conn, outcome == HTTP_OUTCOME_ABORTED || outcome == HTTP_OUTCOME_EXPIRED);
 }
 
 /* Whether the client has announced that its request is the last one, and has sent no bytes after it. */
--- a/lib/shell/http_listener.c
+++ b/lib/shell/http_listener.c
@@ -54,7 +54,7 @@
 	}
 	if (!listener->are_options_inherited)
 		http_socket_set_options(fd);
-	http->counters.accepted++;
+	http->counters.accepted_connections++;
 	conn = http_conn_new(http, CONN_SERVER, fd);
 	conn->server.listener = listening_conn;
 	conn->server.slot = allocate_slot(http, conn);
@@ -126,7 +126,7 @@
 	return 0;
 }
 
-void http_set_limits(struct http *http, int listener_id, const struct http_limits *limits)
+void http_listener_set_limits(struct http *http, int listener_id, const struct http_limits *limits)
 {
 	ptrdiff_t i;
 
@@ -141,7 +141,7 @@
 	       (conn->state == CONN_READING_BODY || (conn->state == CONN_READING_HEAD && conn->input.len));
 }
 
-int http_incomplete_count(const struct http *http, int listener_id)
+int http_incomplete_request_count(const struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 	int count = 0;
@@ -151,7 +151,7 @@
 	return count;
 }
 
-void http_reject_incomplete(struct http *http, int listener_id, int retry_after_ms)
+void http_reject_incomplete_requests(struct http *http, int listener_id, int retry_after_ms)
 {
 	ptrdiff_t i;
 
@@ -194,7 +194,7 @@
 	http->sweep_count = 0;
 }
 
-void http_stop_accepting(struct http *http, int listener_id)
+void http_listener_stop_accepting(struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 
@@ -214,7 +214,7 @@
 	}
 }
 
-void http_drain(struct http *http, int listener_id)
+void http_listener_drain(struct http *http, int listener_id)
 {
 	ptrdiff_t i;
 
--- a/lib/shell/http_loop.c
+++ b/lib/shell/http_loop.c
@@ -214,9 +214,9 @@
 	return http->counters;
 }
 
-uint64_t http_pending_requests(const struct http *http)
+uint64_t http_pending_request_count(const struct http *http)
 {
-	uint64_t pending = http->counters.requests;
+	uint64_t pending = http->counters.received_requests;
 
 	for (int i = 0; i < HTTP_OUTCOME_COUNT; i++)
 		pending -= http->counters.outcomes[i];
--- a/lib/shell/http_server.c
+++ b/lib/shell/http_server.c
@@ -70,7 +70,7 @@
 	struct http *http = conn->http;
 	char retry_after[48];
 
-	http->counters.bad_requests++;
+	http->counters.rejected_requests++;
 	http->busy_client_count++;
 	append_status_line(http, &conn->output, status);
 	if (retry_after_ms > 0) {
@@ -95,7 +95,7 @@
 	if (!was_handling)
 		return;
 	http->callback_made = 1;
-	http->callbacks.disconnected(http->callbacks.context, conn->server.token);
+	http->callbacks.client_disconnected(http->callbacks.context, conn->server.token);
 }
 
 /* Returns NULL if the request has no body, and "" if its body has length 0. */
@@ -129,9 +129,9 @@
 	conn->state = CONN_HANDLING;
 	conn->timeout_at_ms = TIME_NEVER;
 	http->busy_client_count++;
-	http->counters.requests++;
+	http->counters.received_requests++;
 	http->callback_made = 1;
-	http->callbacks.request(http->callbacks.context, &side->request);
+	http->callbacks.request_received(http->callbacks.context, &side->request);
 }
 
 static int server_parse_body(struct http_connection *conn)
@@ -182,7 +182,7 @@
 
 	side->parse_offset = side->body_offset = head_end;
 	side->body_bytes = 0;
-	side->max_body_bytes = side->listener->listener.limits.body_bytes;
+	side->max_body_bytes = side->listener->listener.limits.max_body_bytes;
 	conn->body_remaining = conn->head.length;
 	conn->chunks = (struct chunk_parser){ 0 };
 	conn->state = CONN_READING_BODY;
@@ -222,13 +222,14 @@
 	head_end = http_find_head_end(conn, side->parse_offset);
 	if (head_end < 0)
 		http_server_reject(conn, 400, 0);
-	else if ((head_end ? (size_t)head_end : conn->input.len) - side->parse_offset > limits->head_bytes)
+	else if ((head_end ? (size_t)head_end : conn->input.len) - side->parse_offset >
+		 limits->max_head_bytes)
 		http_server_reject(conn, 431, 0);
 	else if (!head_end)
 		server_await_head(conn);
 	else if (!http_parse_head(conn, side->parse_offset, (size_t)head_end, 1))
 		http_server_reject(conn, 400, 0);
-	else if (conn->head.has_length && conn->head.length > limits->body_bytes)
+	else if (conn->head.has_length && conn->head.length > limits->max_body_bytes)
 		http_server_reject(conn, 413, 0);
 	else
 		server_begin_body(conn, (size_t)head_end);
@@ -301,7 +302,7 @@
 	if (conn->state == CONN_LINGERING)
 		return;
 	if (response_is_late(conn)) {
-		http_server_abort(conn, HTTP_OUTCOME_LATE);
+		http_server_abort(conn, HTTP_OUTCOME_EXPIRED);
 		return;
 	}
 	if (!http_conn_send(conn, &lost)) {
@@ -616,7 +617,7 @@
 		http_server_abort(conn, HTTP_OUTCOME_ABORTED);
 }
 
-size_t http_response_backlog(struct http *http, uint64_t token)
+size_t http_response_unsent_bytes(struct http *http, uint64_t token)
 {
 	struct http_connection *conn = find_by_token(http, token);
 
--- a/lib/shell/key_digest.c
+++ b/lib/shell/key_digest.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-char *digest_hex(const char *key, char hex[KEY_DIGEST_BYTES])
+char *key_digest_hex(const char *key, char hex[KEY_DIGEST_BYTES])
 {
 	uint8_t digest[SHA256_DIGEST_SIZE];
 	struct sha256_ctx context;
--- a/lib/shell/key_digest.h
+++ b/lib/shell/key_digest.h
@@ -6,6 +6,6 @@
 enum { KEY_DIGEST_BYTES = 65 }; /* SHA-256 in hexadecimal and a terminating zero */
 
 /* Write the digest of an API key to hex, and return hex. */
-char *digest_hex(const char *key, char hex[KEY_DIGEST_BYTES]);
+char *key_digest_hex(const char *key, char hex[KEY_DIGEST_BYTES]);
 
 #endif
--- a/lib/shell/process.c
+++ b/lib/shell/process.c
@@ -52,7 +52,7 @@
 static void log_disabled_mechanisms(const struct settings *settings)
 {
 	for (int i = 0; i < MECHANISMS; i++)
-		if (!mechanism_on(settings->disabled_mechanisms, (enum mechanism)i))
+		if (!mechanism_is_enabled(settings->disabled_mechanisms, (enum mechanism)i))
 			log_write(LOG_WARN, "experiment", "Without %s: this mechanism is disabled (%s).",
 				  mechanism_info[i].name, mechanism_info[i].description);
 }
@@ -67,7 +67,7 @@
 
 static int open_product_interface(struct process *process)
 {
-	process->api_server = api_server_open(process->settings.web, process->events, process->pool);
+	process->api_server = api_server_open(process->settings.http_addr, process->events, process->pool);
 	if (!process->api_server)
 		return 0;
 	process->server_calls = server_calls_open(process->events, process->pool);
@@ -82,9 +82,10 @@
 	process_install_signal_handlers(settings);
 	if (!process->events)
 		ring_open(&process->events, EVENT_RING_CAPACITY, process->pool);
-	process->address = core_parse_addr(settings->advertise ? settings->advertise : settings->listen);
+	process->advertised_addr =
+	    core_parse_addr(settings->advertised_addr ? settings->advertised_addr : settings->listen_addr);
 	apr_pool_create(&process->commands.pool, NULL);
-	process->transport = transport_open(settings->listen, process->events, process->pool);
+	process->transport = transport_open(settings->listen_addr, process->events, process->pool);
 	if (!process->transport)
 		return 0;
 	return process->front_end ? open_front_end(process) : open_product_interface(process);
@@ -103,22 +104,23 @@
 		break;
 	case CMD_ANSWER:
 		api_server_respond(process->api_server, command->args.answer.token,
-				   command->args.answer.status, command->args.answer.retry_ms,
+				   command->args.answer.status, command->args.answer.retry_after_ms,
 				   command->args.answer.body, command->args.answer.not_after_ms);
 		break;
 	case CMD_STREAM_CHUNK:
-		api_server_stream(process->api_server, command->args.stream_chunk.token,
-				  command->args.stream_chunk.body, command->args.stream_chunk.len, 0, 1);
+		api_server_stream_write(process->api_server, command->args.stream_chunk.token,
+					command->args.stream_chunk.body, command->args.stream_chunk.len, 0,
+					1);
 		break;
 	case CMD_END_STREAM:
-		api_server_stream(process->api_server, command->args.stream_chunk.token,
-				  command->args.stream_chunk.body, command->args.stream_chunk.len, 1,
-				  command->args.stream_chunk.success);
+		api_server_stream_write(process->api_server, command->args.stream_chunk.token,
+					command->args.stream_chunk.body, command->args.stream_chunk.len, 1,
+					command->args.stream_chunk.success);
 		break;
 	case CMD_CALL:
 		server_calls_start(process->server_calls, command->args.call.token, command->args.call.addr,
 				   command->args.call.path, command->args.call.body,
-				   command->args.call.limit_ms, command->args.call.stream,
+				   command->args.call.timeout_ms, command->args.call.is_stream,
 				   command->args.call.not_after_ms);
 		break;
 	case CMD_CANCEL:
@@ -149,7 +151,7 @@
 
 static void run_step(struct loop *loop, const struct shell_event *event, int64_t now)
 {
-	loop->handlers->step(loop->handlers->context, event, now, &loop->process->commands);
+	loop->handlers->step_shell_event(loop->handlers->context, event, now, &loop->process->commands);
 	process_perform(loop->process);
 }
 
@@ -159,12 +161,12 @@
 	struct shell_event stop = { .kind = SHELL_EVENT_STOP };
 
 	log_write(LOG_INFO, "process", "Shutting down: waiting for requests in progress to end.");
-	process->stopping = 1;
+	process->is_stopping = 1;
 	process->stop_deadline_ms =
-	    now + (process->settings.grace_ms ? process->settings.grace_ms : DEFAULT_STOP_GRACE_MS);
+	    now + (process->settings.stop_grace_ms ? process->settings.stop_grace_ms : DEFAULT_STOP_GRACE_MS);
 	stop.deadline_ms = process->stop_deadline_ms;
 	if (process->front_end) {
-		process->front_end->stop(process->front_end_context, now);
+		process->front_end->begin_stop(process->front_end_context, now);
 		process_perform(process);
 	} else {
 		run_step(loop, &stop, now);
@@ -175,7 +177,7 @@
 {
 	const struct process *process = loop->process;
 
-	if (!process->stopping)
+	if (!process->is_stopping)
 		return false;
 	if (loop->handlers->is_idle(loop->handlers->context) &&
 	    (!process->front_end || process->front_end->is_idle(process->front_end_context, now)))
@@ -192,13 +194,13 @@
 	if (now - loop->last_tick_ms >= TICK_INTERVAL_MS) {
 		loop->last_tick_ms = now;
 		run_step(loop, NULL, now);
-		if (handlers->streams_valid_until && !process->front_end)
-			api_server_valid_until(process->api_server,
-					       handlers->streams_valid_until(handlers->context));
+		if (handlers->streams_valid_until_ms && !process->front_end)
+			api_server_set_streams_valid_until(
+			    process->api_server, handlers->streams_valid_until_ms(handlers->context));
 	}
 	if (!process->front_end && now - loop->last_scan_ms >= DISCONNECT_SCAN_INTERVAL_MS) {
 		loop->last_scan_ms = now;
-		api_server_scan(process->api_server);
+		api_server_report_disconnected(process->api_server);
 	}
 }
 
@@ -213,7 +215,7 @@
 
 	if (!process->front_end)
 		return ring_pop(process->events, wait_ms);
-	process->front_end->wait(process->front_end_context, loop->events_pending ? 0 : wait_ms);
+	process->front_end->serve_sockets(process->front_end_context, loop->events_pending ? 0 : wait_ms);
 	return ring_pop(process->events, 0);
 }
 
@@ -249,7 +251,7 @@
 		return;
 	}
 	for (; now < end_ms; now = clock_ms())
-		process->front_end->wait(process->front_end_context, (int)(end_ms - now));
+		process->front_end->serve_sockets(process->front_end_context, (int)(end_ms - now));
 }
 
 static void discard_events(struct process *process)
@@ -289,7 +291,7 @@
 		int64_t now = clock_ms();
 
 		settings_watch_poll(&loop.external_settings, process, handlers, now);
-		if (process_stop_requested() && !process->stopping)
+		if (process_stop_requested() && !process->is_stopping)
 			begin_stop(&loop, now);
 		if (is_stop_complete(&loop, now))
 			break;
--- a/lib/shell/process.h
+++ b/lib/shell/process.h
@@ -25,10 +25,10 @@
 	int (*open)(void *context, struct process *process); /* returns 0 on an error, which it logs */
 	int (*perform)(void *context, const struct command *command); /* returns 1 if the front end handles
 							    this command and has performed it, 0 if not */
-	void (*wait)(void *context,
-		     int timeout_ms); /* serve sockets until timeout_ms has passed or wake is called */
-	void (*wake)(void *context);  /* make wait return; any thread may call it */
-	void (*stop)(void *context, int64_t now); /* notify the front end that a planned stop begins */
+	void (*serve_sockets)(
+	    void *context, int timeout_ms); /* serve sockets until timeout_ms has passed or wake is called */
+	void (*wake)(void *context);        /* make wait return; any thread may call it */
+	void (*begin_stop)(void *context, int64_t now); /* notify the front end that a planned stop begins */
 	int (*is_idle)(void *context,
 		       int64_t now); /* while stopping: whether no request or call is in progress */
 	void (*close)(void *context);
@@ -46,24 +46,24 @@
 	struct server_calls *server_calls; /* NULL with a front end */
 	struct storage *storage;           /* NULL in a program without a data folder */
 	struct command_list commands;      /* emitted by the last step, not performed yet */
-	uint64_t address;                  /* address that is advertised to other processes */
+	uint64_t advertised_addr;          /* address that is advertised to other processes */
 	int64_t stop_deadline_ms;          /* latest time at which a planned stop ends */
-	int stopping;
+	int is_stopping;
 };
 
 /* The functions of a program that the main loop calls; each is passed context. */
 struct process_handlers {
 	void *context;
 	/* Handle an event, or run the timers if event is NULL. Emitted commands are appended to the list. */
-	void (*step)(void *context, const struct shell_event *event, int64_t now,
-		     struct command_list *commands);
+	void (*step_shell_event)(void *context, const struct shell_event *event, int64_t now,
+				 struct command_list *commands);
 	/* While stopping: whether no request is in progress. */
 	int (*is_idle)(void *context);
 	/* Returns the clock_ms until which streams may continue. NULL: without limit. */
-	int64_t (*streams_valid_until)(void *context);
+	int64_t (*streams_valid_until_ms)(void *context);
 	/* Apply external settings that were reloaded; they are valid only during the call. NULL: the program
 	 * can't change its settings while it runs. */
-	void (*settings_changed)(void *context, const struct settings *settings);
+	void (*apply_settings)(void *context, const struct settings *settings);
 };
 
 /* Ignore SIGHUP until settings_read has installed its handler. An earlier SIGHUP requests a reload of
--- a/lib/shell/server_calls.c
+++ b/lib/shell/server_calls.c
@@ -184,7 +184,7 @@
 
 	event->token = token;
 	event->is_stream = is_stream;
-	event->status = status;
+	event->http_status = status;
 	event->never_sent = never_sent;
 	event->body = strdup(body);
 	ring_push(calls->events, event, 1);
--- a/lib/shell/settings.c
+++ b/lib/shell/settings.c
@@ -63,7 +63,7 @@
 {
 	if (!json_object_is_type(value, json_type_array) ||
 	    json_object_array_length(value) > SETTINGS_MAX_SEEDS)
-		return print_settings_error(program, settings->file, "seeds",
+		return print_settings_error(program, settings->settings_path, "seeds",
 					    "a list of 1 to 8 addresses ip:port");
 	if (settings->seed_count)
 		return SETTINGS_CONTINUE; /* flags take precedence */
@@ -80,16 +80,16 @@
 		const char *name;
 		const char **target;
 	} texts[] = {
-		{ "listen", &settings->listen }, { "advertise", &settings->advertise },
-		{ "web", &settings->web },       { "zone", &settings->zone },
-		{ "data", &settings->data },     { "fault", &settings->fault },
+		{ "listen", &settings->listen_addr }, { "advertise", &settings->advertised_addr },
+		{ "web", &settings->http_addr },      { "zone", &settings->zone },
+		{ "data", &settings->data_folder },   { "fault", &settings->sync_delay_file },
 	};
 
 	for (size_t i = 0; i < sizeof texts / sizeof *texts; i++) {
 		if (strcmp(key, texts[i].name) != 0)
 			continue;
 		if (!json_object_is_type(value, json_type_string))
-			return print_settings_error(program, settings->file, key, "a string");
+			return print_settings_error(program, settings->settings_path, key, "a string");
 		if (!*texts[i].target)
 			*texts[i].target = apr_pstrdup(pool, json_object_get_string(value));
 		return SETTINGS_CONTINUE;
@@ -97,18 +97,18 @@
 	if (strcmp(key, "seeds") == 0)
 		return read_seeds(settings, program, value, pool);
 	return print_settings_error(
-	    program, settings->file, key,
+	    program, settings->settings_path, key,
 	    "unknown key; valid keys: listen, advertise, web, zone, seeds, data, fault");
 }
 
 static int read_file(struct settings *settings, const char *program, apr_pool_t *pool)
 {
-	struct json_object *json = json_object_from_file(settings->file);
+	struct json_object *json = json_object_from_file(settings->settings_path);
 	int exit_code = SETTINGS_CONTINUE;
 
 	if (!json_object_is_type(json, json_type_object)) {
-		exit_code =
-		    print_settings_error(program, settings->file, "file", "not readable as a JSON object");
+		exit_code = print_settings_error(program, settings->settings_path, "file",
+						 "not readable as a JSON object");
 		goto out;
 	}
 	json_object_object_foreach(json, key, value)
@@ -193,7 +193,7 @@
 /* Reads the port for metrics and the disabled mechanisms; only an experiment may disable one. */
 static int read_experiment_flags(struct settings *settings, const char *program, const struct flags *flags)
 {
-	settings->experiments_allowed = flags->experiments->count;
+	settings->are_experiments_allowed = flags->experiments->count;
 	settings->metrics_port = flags->metrics->count ? flags->metrics->ival[0] : 0;
 	if (flags->metrics->count && (settings->metrics_port < 1 || settings->metrics_port > MAX_PORT))
 		return print_settings_error(program, "flags", "metrics", "a port of 1 to 65535");
@@ -245,16 +245,16 @@
 			     apr_pool_t *pool)
 {
 	settings->bounds = bounds_default;
-	settings->listen = flag_text(flags->listen, pool);
-	settings->advertise = flag_text(flags->advertise, pool);
-	settings->web = flag_text(flags->web, pool);
+	settings->listen_addr = flag_text(flags->listen, pool);
+	settings->advertised_addr = flag_text(flags->advertise, pool);
+	settings->http_addr = flag_text(flags->web, pool);
 	settings->zone = flag_text(flags->zone, pool);
-	settings->data = flag_text(flags->data, pool);
-	settings->fault = flag_text(flags->fault, pool);
+	settings->data_folder = flag_text(flags->data, pool);
+	settings->sync_delay_file = flag_text(flags->fault, pool);
 	for (int i = 0; i < flags->seed->count && i < SETTINGS_MAX_SEEDS; i++)
 		settings->seeds[settings->seed_count++] = apr_pstrdup(pool, flags->seed->sval[i]);
-	settings->file = flags->file->count ? apr_pstrdup(pool, flags->file->filename[0]) : NULL;
-	return settings->file ? read_file(settings, program, pool) : SETTINGS_CONTINUE;
+	settings->settings_path = flags->file->count ? apr_pstrdup(pool, flags->file->filename[0]) : NULL;
+	return settings->settings_path ? read_file(settings, program, pool) : SETTINGS_CONTINUE;
 }
 
 /* ---- checks ---- */
@@ -271,9 +271,9 @@
 		const char *value;
 		bool required;
 	} addresses[] = {
-		{ "listen", settings->listen, true },
-		{ "web", settings->web, true },
-		{ "advertise", settings->advertise, false },
+		{ "listen", settings->listen_addr, true },
+		{ "web", settings->http_addr, true },
+		{ "advertise", settings->advertised_addr, false },
 	};
 
 	for (size_t i = 0; i < sizeof addresses / sizeof *addresses; i++) {
@@ -287,7 +287,7 @@
 
 static int check_settings(const struct settings *settings, const char *program, bool has_storage)
 {
-	const char *source = settings->file ? settings->file : "flags";
+	const char *source = settings->settings_path ? settings->settings_path : "flags";
 	int exit_code = check_addresses(settings, program, source);
 
 	if (exit_code != SETTINGS_CONTINUE)
@@ -299,7 +299,7 @@
 	for (int i = 0; i < settings->seed_count; i++)
 		if (!core_parse_addr(settings->seeds[i]))
 			return print_settings_error(program, source, "seeds", SEEDS_EXPECTED);
-	if (has_storage && (!settings->data || !settings->data[0]))
+	if (has_storage && (!settings->data_folder || !settings->data_folder[0]))
 		return print_settings_error(program, source, "data", "the data folder of this controller");
 	return SETTINGS_CONTINUE;
 }
@@ -323,10 +323,10 @@
 	if (exit_code != SETTINGS_CONTINUE)
 		return exit_code;
 	settings->bounds.disabled_mechanisms = settings->disabled_mechanisms;
-	settings->bounds.experiments = settings->experiments_allowed;
-	settings->check_only = flags->check->count;
+	settings->bounds.is_experiment = settings->are_experiments_allowed;
+	settings->is_check_only = flags->check->count;
 	exit_code = check_settings(settings, program, has_storage);
-	if (exit_code == SETTINGS_CONTINUE && settings->check_only) {
+	if (exit_code == SETTINGS_CONTINUE && settings->is_check_only) {
 		printf("%s: the settings are valid\n", program);
 		return 0;
 	}
--- a/lib/shell/settings.h
+++ b/lib/shell/settings.h
@@ -11,25 +11,26 @@
 
 /* All strings are allocated from the pool of settings_read. */
 struct settings {
-	const char *listen;    /* "ip:port" where other processes of the fleet connect */
-	const char *advertise; /* address that is advertised to other processes; NULL: the value of listen */
-	const char *web;       /* "ip:port" where clients (router) or operators (controller) connect */
+	const char *listen_addr; /* "ip:port" where other processes of the fleet connect */
+	const char
+	    *advertised_addr;  /* address that is advertised to other processes; NULL: the value of listen */
+	const char *http_addr; /* "ip:port" where clients (router) or operators (controller) connect */
 	const char *zone;
-	const char *data;                      /* data folder of a controller; unused by a router */
-	const char *fault;                     /* for tests: the sync delay file of storage_open; or NULL */
+	const char *data_folder;               /* data folder of a controller; unused by a router */
+	const char *sync_delay_file;           /* for tests: the sync delay file of storage_open; or NULL */
 	const char *seeds[SETTINGS_MAX_SEEDS]; /* addresses of other processes */
 	int seed_count;
-	int check_only;               /* exit after the settings were checked */
-	const char *file;             /* path of the settings file, or NULL */
-	int grace_ms;                 /* maximum duration of a planned stop; 0: the default */
+	int is_check_only;            /* exit after the settings were checked */
+	const char *settings_path;    /* path of the settings file, or NULL */
+	int stop_grace_ms;            /* maximum duration of a planned stop; 0: the default */
 	int metrics_port;             /* port on which metrics are served; 0: not served */
-	int experiments_allowed;      /* --without is allowed, and decisions are logged */
+	int are_experiments_allowed;  /* --without is allowed, and decisions are logged */
 	uint32_t disabled_mechanisms; /* bit set of enum mechanism: mechanisms that an experiment disables */
 	struct bounds bounds;
 	int may_bootstrap; /* first start of a fleet with empty disks: the first seed bootstraps the fleet,
 			      once */
-	void *extension; /* data for the front end, set by read_external; NULL: the product's own interface is
-			    used */
+	void *front_end_settings; /* data for the front end, set by read_external; NULL: the product's own
+			    interface is used */
 
 	/* Reads the platform's settings for --platform, in a format other than the product's, and fills in
 	 * the fields that flags can't set then. The program sets it before settings_read. Returns -1 on
--- a/lib/shell/settings_watch.c
+++ b/lib/shell/settings_watch.c
@@ -51,11 +51,11 @@
 	watch->last_error[0] = 0;
 	log_write(LOG_INFO, "process", "Settings reloaded%s.", process_hangup_received() ? " on SIGHUP" : "");
 	settings.bounds.disabled_mechanisms = process->settings.disabled_mechanisms;
-	settings.bounds.experiments = process->settings.experiments_allowed;
+	settings.bounds.is_experiment = process->settings.are_experiments_allowed;
 	process->settings.bounds = settings.bounds;
-	process->settings.grace_ms = settings.grace_ms;
-	if (handlers->settings_changed)
-		handlers->settings_changed(handlers->context, &settings);
+	process->settings.stop_grace_ms = settings.stop_grace_ms;
+	if (handlers->apply_settings)
+		handlers->apply_settings(handlers->context, &settings);
 }
 
 void settings_watch_poll(struct settings_watch *watch, struct process *process,
@@ -67,7 +67,7 @@
 	if (!process->settings.read_external || (now < watch->next_poll_at_ms && !process_hangup_received()))
 		return;
 	apr_pool_create(&scratch, process->pool);
-	changed = has_file_changed(watch, process->settings.file, scratch);
+	changed = has_file_changed(watch, process->settings.settings_path, scratch);
 	if (!watch->next_poll_at_ms) /* the first poll: settings_read has just read the file */
 		changed = false;
 	watch->next_poll_at_ms = now + POLL_INTERVAL_MS;
--- a/lib/shell/shell_event.h
+++ b/lib/shell/shell_event.h
@@ -32,8 +32,8 @@
 	char *body; /* also the line of a chunk (without its line break) or the answer of a finished call */
 
 	/* fields of a finished call */
-	int status;     /* HTTP status; 0: no complete answer was received */
-	int never_sent; /* the server certainly has not started to process the call */
+	int http_status; /* HTTP status; 0: no complete answer was received */
+	int never_sent;  /* the server certainly has not started to process the call */
 	int is_stream;
 
 	/* fields of a synced write */
--- a/lib/shell/storage.c
+++ b/lib/shell/storage.c
@@ -214,7 +214,7 @@
 	return storage->sync_count;
 }
 
-uint64_t storage_refused_count(const struct storage *storage)
+uint64_t storage_rejected_write_count(const struct storage *storage)
 {
 	return storage->rejected_write_count;
 }
--- a/lib/shell/storage.h
+++ b/lib/shell/storage.h
@@ -82,7 +82,7 @@
 /* The number of batches that were synced, and of attempts that the disk rejected, since the storage was
  * opened. Both may be called by any thread. */
 uint64_t storage_sync_count(const struct storage *storage);
-uint64_t storage_refused_count(const struct storage *storage);
+uint64_t storage_rejected_write_count(const struct storage *storage);
 
 /* Stop the writer thread and close the file. Writes that were not synced yet are dropped; none of them was
  * acknowledged. */
--- a/lib/shell/storage_load.c
+++ b/lib/shell/storage_load.c
@@ -37,7 +37,7 @@
 		return false;
 	memcpy(&vote, record->body, sizeof vote);
 	shard->term = vote.term;
-	shard->vote = vote.voted_for;
+	shard->voted_for = vote.voted_for;
 	return true;
 }
 
@@ -54,8 +54,8 @@
 	shard->snapshot_term = header.snapshot_term;
 	shard->members = record->body + sizeof header;
 	shard->members_len = header.members_len;
-	shard->data = shard->members + header.members_len;
-	shard->data_len = header.data_len;
+	shard->state = shard->members + header.members_len;
+	shard->state_len = header.data_len;
 	return true;
 }
 
--- a/lib/shell/storage_write.c
+++ b/lib/shell/storage_write.c
@@ -65,7 +65,7 @@
 	return true;
 }
 
-/* Writes a new snapshot and deletes the entries up to drop_upto, which it replaces. */
+/* Writes a new snapshot and deletes the entries up to drop_up_to_index, which it replaces. */
 static bool write_snapshot(struct storage *storage, const struct persist *write)
 {
 	struct snapshot_header header = { write->snapshot_index, write->snapshot_term, write->members_len,
@@ -86,11 +86,11 @@
 	free(payload);
 	if (!written)
 		return false;
-	if (*first &&
-	    !delete_entries(storage, write->shard, *first, write->drop_upto < last ? write->drop_upto : last))
+	if (*first && !delete_entries(storage, write->shard, *first,
+				      write->drop_up_to_index < last ? write->drop_up_to_index : last))
 		return false;
-	if (*first && *first <= write->drop_upto)
-		*first = write->drop_upto + 1;
+	if (*first && *first <= write->drop_up_to_index)
+		*first = write->drop_up_to_index + 1;
 	return true;
 }
 
@@ -271,7 +271,7 @@
 		inject_sync_delay(storage);
 		rejected = write_batch_until_synced(storage, jobs, count);
 		for (size_t i = 0; i < count; i++)
-			storage->erase_pending |= jobs[i]->write.scrub;
+			storage->erase_pending |= jobs[i]->write.erase_deleted_bytes;
 		if (storage->erase_pending && !storage->stop_requested)
 			erase_deleted_records(storage);
 		if (rejected && !storage->stop_requested)
--- a/tests/ablation.c
+++ b/tests/ablation.c
@@ -26,14 +26,14 @@
 		.capacity_tokens = day->half ? 120000 : 240000,
 		.link_kbps = 100,
 		.event_lag_ms = 80,
-		.event_loss = 30,
+		.event_loss_per_mille = 30,
 		.load_ms = 1500,
-		.loads_under_requests = mechanism_on(without, MECHANISM_RETAIN),
+		.loads_under_requests = mechanism_is_enabled(without, MECHANISM_RETAIN),
 		.max_loads = 3,
-		.mechanisms_off = without,
+		.disabled_mechanisms = without,
 		.kind = {
-			{ .interval_ms = 22, .prefixes = day->half ? 60 : 120, .shared_tokens = 13000, .own_tokens = 3700, .output_pieces = 100, .latency_target_ms = 1000 },
-			{ .interval_ms = 20, .prefixes = 60, .shared_tokens = 350, .own_tokens = 1100, .output_pieces = 120, .latency_target_ms = 600 },
+			{ .interval_ms = 22, .prefixes = day->half ? 60 : 120, .shared_tokens = 13000, .own_tokens = 3700, .output_chunks = 100, .latency_target_ms = 1000 },
+			{ .interval_ms = 20, .prefixes = 60, .shared_tokens = 350, .own_tokens = 1100, .output_chunks = 120, .latency_target_ms = 600 },
 		},
 	};
 }
--- a/tests/engine_sim.c
+++ b/tests/engine_sim.c
@@ -169,7 +169,7 @@
 			       engines->now + engines->settings.event_lag_ms };
 
 	apr_cpystrn(event.name, p->name, sizeof event.name);
-	if (random_below(engines, LOSS_SCALE) >= (uint64_t)engines->settings.event_loss)
+	if (random_below(engines, LOSS_SCALE) >= (uint64_t)engines->settings.event_loss_per_mille)
 		arrput(e->event, event);
 }
 
@@ -396,7 +396,7 @@
 	}
 }
 
-int engine_rolled(const struct engine_sim *engines)
+int engine_is_rollout_complete(const struct engine_sim *engines)
 {
 	for (int s = 0; s < ENGINE_SERVERS; s++)
 		if (engines->engines[s].weights != engines->target_weights)
@@ -505,13 +505,13 @@
 	struct router *router = &engines->nodes[i].router;
 	int zone = zone_of(i);
 
-	router->config.watch.fetched_at_ms = engines->now;
+	router->config.watch.confirmed_at_ms = engines->now;
 	router->relay.has_knowledge = 1;
 	router->relay.known_at_ms = engines->now;
 	router->config.watch.upstream_count = i != head_of(zone);
-	router->config.watch.upstream[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
+	router->config.watch.upstream_addrs[0] = (uint64_t)head_of(zone) + ROUTER_ADDR;
 	router->config.watch.zone_head_count = i == head_of(zone);
-	router->config.watch.zone_heads[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
+	router->config.watch.zone_head_addrs[0] = (uint64_t)head_of(!zone) + ROUTER_ADDR;
 	if (i != head_of(zone))
 		return;
 	for (ptrdiff_t k = 0; k < arrlen(router->relay.downstreams); k++)
@@ -540,12 +540,12 @@
 	const struct engine_kind *engine_kind = &w->settings.kind[kind];
 	int router = (int)random_below(w, ENGINE_ROUTERS), prefix = 0;
 	struct forwarded_request a = { .token = ++w->token,
-				       .limit_ms = 20000,
-				       .output_tokens = engine_kind->output_pieces };
+				       .timeout_ms = 20000,
+				       .max_output_tokens = engine_kind->output_chunks };
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
 	typeof(w->requests->value) submitted = { .kind = kind,
 						 .at = w->now,
-						 .out = engine_kind->output_pieces };
+						 .out = engine_kind->output_chunks };
 
 	if (engine_kind->prefixes && random_below(w, 100) >= (uint64_t)engine_kind->hot_percent)
 		prefix = (int)random_below(w, (uint64_t)engine_kind->prefixes);
@@ -556,14 +556,14 @@
 	a.blocks[a.block_count++] =
 	    (struct request_block){ UINT64_C(1) << 40 | ++w->own_id, engine_kind->own_tokens };
 	for (int i = 0; i < a.block_count; i++) {
-		submitted.id[i] = a.blocks[i].hash;
+		submitted.id[i] = a.blocks[i].prefix_hash;
 		submitted.tokens[i] = a.blocks[i].tokens;
 		a.input_tokens += a.blocks[i].tokens;
 	}
 	submitted.blocks = a.block_count;
 	a.host = "h";
 	a.path = apr_psprintf(w->pool, "/%d/", kind);
-	a.id = apr_psprintf(w->pool, "r%llu", (unsigned long long)a.token);
+	a.request_id = apr_psprintf(w->pool, "r%llu", (unsigned long long)a.token);
 	input.args.forwarded_request = &a;
 	hmput(w->requests, at_router(router, a.token), submitted);
 	w->counts[kind].requests++;
@@ -647,9 +647,10 @@
 			forwarded(w, i, k->args.forward);
 			break;
 		case CMD_WATCH_CACHE:
-			arrput(w->watches, ((struct watch){ i, atoi(k->args.watch_cache.server + 2),
-							    k->args.watch_cache.token,
-							    k->args.watch_cache.since, w->now + WATCH_MS }));
+			arrput(w->watches,
+			       ((struct watch){ i, atoi(k->args.watch_cache.server + 2),
+						k->args.watch_cache.token, k->args.watch_cache.first_offset,
+						w->now + WATCH_MS }));
 			break;
 		case CMD_ANSWER: {
 			ptrdiff_t at = hmgeti(w->requests, at_router(i, k->args.answer.token));
@@ -739,17 +740,17 @@
 static void began(struct engine_sim *w, const struct happening *happening)
 {
 	ptrdiff_t at = hmgeti(w->calls, at_router(happening->router, happening->call));
-	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN };
 	struct engine_counts *n;
 	int ms;
 
 	if (at >= 0) {
 		n = &w->counts[w->calls[at].value.kind];
 		ms = (int)(w->now - w->calls[at].value.at);
-		n->first_pieces++;
+		n->first_chunks++;
 		n->within_target += ms <= w->settings.kind[w->calls[at].value.kind].latency_target_ms;
-		n->first_ms += ms;
-		arrput(n->first, ms);
+		n->first_chunk_sum_ms += ms;
+		arrput(n->first_chunk_ms, ms);
 	}
 	event.args.forward_began.token = happening->call;
 	node_step(w, happening->router, &event);
@@ -760,8 +761,8 @@
 	struct forward_result e = { .token = happening->call,
 				    .end = happening->how,
 				    .status = happening->status,
-				    .has_begun = happening->how == FORWARD_COMPLETE,
-				    .wrong_incarnation = happening->status == 421 };
+				    .has_stream_begun = happening->how == FORWARD_COMPLETE,
+				    .is_wrong_incarnation = happening->status == 421 };
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 	ptrdiff_t at = hmgeti(engines->calls, at_router(happening->router, happening->call));
 
@@ -858,9 +859,9 @@
 		apr_pool_create(&engines->nodes[i].out.pool, engines->pool);
 		router_open(router, (uint64_t)i + 1, (uint64_t)i + ROUTER_ADDR, zone_name(zone_of(i)),
 			    &controller, 1, engines->now);
-		router->config.bounds.discover_instances = 1;
+		router->config.bounds.use_endpoint_list = 1;
 		router->config.bounds.link_kbps = settings->link_kbps;
-		router->config.bounds.disabled_mechanisms = settings->mechanisms_off;
+		router->config.bounds.disabled_mechanisms = settings->disabled_mechanisms;
 		router->config.bounds.retry_budget_slack = 1000;
 		router->config.bounds.retry_budget_permille = 200;
 	}
@@ -882,7 +883,7 @@
 		if (engines->happenings[i].message)
 			nl__msg__free_unpacked(engines->happenings[i].message, NULL);
 	for (int k = 0; k < ENGINE_KINDS; k++)
-		arrfree(engines->counts[k].first);
+		arrfree(engines->counts[k].first_chunk_ms);
 	arrfree(engines->happenings);
 	arrfree(engines->watches);
 	hmfree(engines->requests);
@@ -898,7 +899,7 @@
 	engines->table_changed = 1;
 }
 
-void engine_silence_head(struct engine_sim *engines, int zone, int silent)
+void engine_set_head_silent(struct engine_sim *engines, int zone, int silent)
 {
 	engines->nodes[head_of(zone)].silent = silent;
 }
@@ -906,7 +907,7 @@
 void engine_reset_counts(struct engine_sim *engines)
 {
 	for (int k = 0; k < ENGINE_KINDS; k++) {
-		arrfree(engines->counts[k].first);
+		arrfree(engines->counts[k].first_chunk_ms);
 		memset(&engines->counts[k], 0, sizeof engines->counts[k]);
 	}
 	engines->prefilled_tokens = engines->prefilled_again_tokens = 0;
@@ -939,10 +940,10 @@
 int engine_percentile(const struct engine_sim *engines, int kind, int percent)
 {
 	const struct engine_counts *n = &engines->counts[kind];
-	size_t count = (size_t)arrlen(n->first);
+	size_t count = (size_t)arrlen(n->first_chunk_ms);
 
 	if (!count)
 		return 0;
-	qsort(n->first, count, sizeof *n->first, compare_ints);
-	return n->first[(count - 1) * (size_t)percent / 100];
+	qsort(n->first_chunk_ms, count, sizeof *n->first_chunk_ms, compare_ints);
+	return n->first_chunk_ms[(count - 1) * (size_t)percent / 100];
 }
--- a/tests/engine_sim.h
+++ b/tests/engine_sim.h
@@ -18,7 +18,7 @@
 	int hot_percent;        /* percentage of the requests that always use the first shared prefix */
 	uint32_t shared_tokens; /* prompt tokens of a shared prefix */
 	uint32_t own_tokens;    /* prompt tokens that the request does not share */
-	uint32_t output_pieces; /* chunks of the answer */
+	uint32_t output_chunks; /* chunks of the answer */
 	int latency_target_ms;  /* target for the time from the request to its first chunk */
 };
 
@@ -28,23 +28,23 @@
 	uint32_t capacity_tokens;  /* cache capacity of a server, running requests included */
 	int link_kbps;             /* bandwidth of a router's link, as its settings state it; 0: not stated */
 	int event_lag_ms;          /* delay of cache events */
-	int event_loss;            /* per mille of cache events that are lost */
+	int event_loss_per_mille;  /* per mille of cache events that are lost */
 	int load_ms;               /* duration of loading weights */
 	int loads_under_requests;  /* 1: servers load weights while requests are running */
 	int max_loads;             /* number of servers that may load weights concurrently */
-	uint32_t mechanisms_off;   /* bit mask of enum mechanism: disabled mechanisms of the routers */
+	uint32_t disabled_mechanisms; /* bit mask of enum mechanism: disabled mechanisms of the routers */
 	struct engine_kind kind[ENGINE_KINDS];
 };
 
 /* Outcomes of the requests of one kind. */
 struct engine_counts {
 	uint64_t requests;
-	uint64_t first_pieces;
+	uint64_t first_chunks;
 	uint64_t within_target; /* requests whose first chunk came within latency_target_ms */
 	uint64_t refused;
-	uint64_t ended;   /* requests whose answer was completed */
-	int64_t first_ms; /* sum over all requests of the time to the first chunk */
-	int *first;       /* stb_ds: time to the first chunk of each request, in ms */
+	uint64_t ended;             /* requests whose answer was completed */
+	int64_t first_chunk_sum_ms; /* sum over all requests of the time to the first chunk */
+	int *first_chunk_ms;        /* stb_ds: time to the first chunk of each request, in ms */
 };
 
 struct engine_sim;
@@ -61,10 +61,10 @@
 void engine_set_target(struct engine_sim *engines);
 
 /* Whether every server has the target weights. */
-int engine_rolled(const struct engine_sim *engines);
+int engine_is_rollout_complete(const struct engine_sim *engines);
 
 /* Stop (silent 1) or resume (silent 0) all message traffic of the head router of a zone. */
-void engine_silence_head(struct engine_sim *engines, int zone, int silent);
+void engine_set_head_silent(struct engine_sim *engines, int zone, int silent);
 
 /* Set all counts to 0. */
 void engine_reset_counts(struct engine_sim *engines);
--- a/tests/explore.c
+++ b/tests/explore.c
@@ -125,7 +125,7 @@
 		write.snapshot = 1;
 		write.base = persist->snapshot_index;
 		write.base_term = persist->snapshot_term;
-		write.drop = persist->drop_upto;
+		write.drop = persist->drop_up_to_index;
 		write.members = explore_intern(persist->members, persist->members_len);
 		write.data = explore_intern(persist->data, persist->data_len);
 	}
@@ -274,10 +274,10 @@
 
 	memset(machine, 0, sizeof *machine);
 	machine->applied = raft->snapshots.newest.index;
-	machine->operation_count = (uint32_t)(raft->snapshots.newest.data_len / OPERATION_BYTES);
-	if (raft->snapshots.newest.data_len)
-		memcpy(machine->operations, raft->snapshots.newest.data, raft->snapshots.newest.data_len);
-	raft->snapshots.to_load = 0;
+	machine->operation_count = (uint32_t)(raft->snapshots.newest.state_len / OPERATION_BYTES);
+	if (raft->snapshots.newest.state_len)
+		memcpy(machine->operations, raft->snapshots.newest.state, raft->snapshots.newest.state_len);
+	raft->snapshots.must_load_newest = 0;
 	check_loaded(node);
 }
 
@@ -299,7 +299,7 @@
 {
 	struct raft *raft = rafts[node];
 
-	if (raft->snapshots.to_load)
+	if (raft->snapshots.must_load_newest)
 		load_machine(node);
 	apply_committed(node);
 	raft_flush(raft, explore_world.now, &out);
@@ -347,13 +347,13 @@
 	struct explore_replica *replica = &explore_world.replica[node];
 	const struct explore_disk *disk = &replica->disk;
 	struct raft_saved saved = { .term = disk->term,
-				    .vote = disk->vote,
+				    .voted_for = disk->vote,
 				    .snapshot_index = disk->snapshot_index,
 				    .snapshot_term = disk->snapshot_term };
 
 	if (disk->snapshot_index) {
 		saved.members = explore_blob(disk->members, &saved.members_len);
-		saved.data = explore_blob(disk->data, &saved.data_len);
+		saved.state = explore_blob(disk->data, &saved.state_len);
 	}
 	saved.first_index = disk->first_index;
 	saved.entries = saved_entries(disk);
@@ -450,9 +450,9 @@
 	const struct explore_machine *machine = &explore_world.replica[node].machine;
 
 	(void)step_begin(node);
-	rafts[node]->snapshots.drop_tail = 1;
-	raft_snapshot(rafts[node], (const uint8_t *)machine->operations,
-		      machine->operation_count * OPERATION_BYTES);
+	rafts[node]->snapshots.drop_log_tail = 1;
+	raft_take_snapshot(rafts[node], (const uint8_t *)machine->operations,
+			   machine->operation_count * OPERATION_BYTES);
 	step_end(node);
 }
 
@@ -647,7 +647,8 @@
 /* ---- enumeration ------------------------------------------------------------- */
 
 /* The spans that decide: a heartbeat, a lease without its margin, a vote barrier. */
-static const uint16_t waits[] = { RAFT_HEARTBEAT_MS, RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS, RAFT_ELECTION_MS };
+static const uint16_t waits[] = { RAFT_HEARTBEAT_INTERVAL_MS, RAFT_LEASE_MS - RAFT_LEASE_MARGIN_MS,
+				  RAFT_ELECTION_TIMEOUT_MS };
 
 struct choice_list {
 	struct choice *choices;
--- a/tests/explore_scenes.c
+++ b/tests/explore_scenes.c
@@ -52,7 +52,7 @@
 
 static void heartbeat(int leader, int nodes)
 {
-	wait_for(RAFT_HEARTBEAT_MS);
+	wait_for(RAFT_HEARTBEAT_INTERVAL_MS);
 	(void)do_one(CHOICE_TICK, leader, 0, 0);
 	settle(nodes);
 }
@@ -125,14 +125,14 @@
 	(void)do_one(CHOICE_PROPOSE, 0, 0, 0); /* known to the old leader alone, and in flight */
 	(void)do_one(CHOICE_PROPOSE, 0, 0, 0);
 	(void)do_one(CHOICE_SYNC, 0, 0, 0);
-	wait_for(RAFT_ELECTION_MS);
+	wait_for(RAFT_ELECTION_TIMEOUT_MS);
 	elect(1, 6);
 }
 
 static void scene_change(void)
 {
 	begin_lease(4, 3);
-	explore_raft(0)->group.replicas = 4;
+	explore_raft(0)->group.target_voters = 4;
 	(void)do_one(CHOICE_RECONFIGURE, 0, 0, 0);
 }
 
@@ -148,7 +148,7 @@
 static void scene_learner(void)
 {
 	begin_lease(4, 3);
-	explore_raft(0)->group.replicas = 4;
+	explore_raft(0)->group.target_voters = 4;
 	(void)do_one(CHOICE_RECONFIGURE, 0, 0, 0);
 	settle(ALL);
 	heartbeat(0, ALL);
@@ -175,7 +175,7 @@
 	lose_messages();
 	(void)do_one(CHOICE_COMPACT, 0, 0, 0);
 	settle(3);
-	wait_for(RAFT_HEARTBEAT_MS);
+	wait_for(RAFT_HEARTBEAT_INTERVAL_MS);
 	(void)do_one(CHOICE_TICK, 0, 0, 0);
 	(void)do_one(CHOICE_DELIVER, 2, 0, 0); /* the follower answers how far its log is */
 	(void)do_one(CHOICE_DELIVER, 0, 2, 0);
@@ -204,9 +204,9 @@
 	(void)do_one(CHOICE_SYNC, 0, 0, 0);
 	fall(0);
 	lose_messages();
-	wait_for(RAFT_ELECTION_MS);
+	wait_for(RAFT_ELECTION_TIMEOUT_MS);
 	for (int i = 0; i < ELECTION_ROUNDS && explore_raft(1)->role != RAFT_LEADER; i++) {
-		wait_for(RAFT_HEARTBEAT_MS);
+		wait_for(RAFT_HEARTBEAT_INTERVAL_MS);
 		(void)do_one(CHOICE_TICK, 1, 0, 0);
 		while (explore_raft(1)->role != RAFT_LEADER && deliver_and_sync_once(6))
 			;
@@ -221,7 +221,7 @@
 static void scene_cut_off(void)
 {
 	begin_lease(3, 3);
-	for (int i = 0; i < RAFT_ELECTION_MS / RAFT_HEARTBEAT_MS + 1; i++) {
+	for (int i = 0; i < RAFT_ELECTION_TIMEOUT_MS / RAFT_HEARTBEAT_INTERVAL_MS + 1; i++) {
 		heartbeat(0, 3);
 		lose_messages();
 	}
@@ -239,11 +239,11 @@
 	begin_lease(3, 3);
 	for (int i = 0; i < 5; i++)
 		heartbeat(0, ALL);
-	wait_for(RAFT_HEARTBEAT_MS);
+	wait_for(RAFT_HEARTBEAT_INTERVAL_MS);
 	(void)do_one(CHOICE_TICK, 0, 0, 0);
 	(void)do_one(CHOICE_DELIVER, 1, 0, 0);
 	(void)do_one(CHOICE_STEP_DOWN, 0, 0, 0);
-	wait_for(RAFT_ELECTION_MS);
+	wait_for(RAFT_ELECTION_TIMEOUT_MS);
 	elect(0, 5);
 }
 
--- a/tests/http_fixture.c
+++ b/tests/http_fixture.c
@@ -24,7 +24,7 @@
 
 int64_t __wrap_clock_ms(void)
 {
-	return __real_clock_ms() + http_fixture_clock.moved_ms;
+	return __real_clock_ms() + http_fixture_clock.offset_ms;
 }
 
 int __real_epoll_wait(int fd, struct epoll_event *event, int n, int ms);
@@ -32,7 +32,7 @@
 int __wrap_epoll_wait(int fd, struct epoll_event *event, int n, int ms)
 {
 	http_fixture_calls.waits += http_fixture_calls.counting;
-	http_fixture_clock.moved_ms += http_fixture_clock.freeze_ms;
+	http_fixture_clock.offset_ms += http_fixture_clock.freeze_ms;
 	http_fixture_clock.freeze_ms = 0;
 	if (http_fixture_early_server)
 		test_server_write_first(http_fixture_early_server);
@@ -42,7 +42,7 @@
 
 		http_fixture_write(http_fixture_after_wait.fd, http_fixture_after_wait.text);
 		http_fixture_after_wait.text = NULL;
-		http_fixture_clock.moved_ms += http_fixture_after_wait.frozen_ms;
+		http_fixture_clock.offset_ms += http_fixture_after_wait.freeze_ms;
 		return ready_count;
 	}
 	return __real_epoll_wait(fd, event, n, ms);
@@ -52,7 +52,7 @@
 int __wrap_epoll_ctl(int ep, int op, int fd, struct epoll_event *event);
 int __wrap_epoll_ctl(int ep, int op, int fd, struct epoll_event *event)
 {
-	http_fixture_calls.others += http_fixture_calls.counting;
+	http_fixture_calls.epoll_ctls += http_fixture_calls.counting;
 	return __real_epoll_ctl(ep, op, fd, event);
 }
 
@@ -85,10 +85,10 @@
 	struct http_recorder *recorder = ctx;
 
 	recorder->token[recorder->requests++ % HTTP_FIXTURE_TOKENS] = request->token;
-	snprintf(recorder->verb, sizeof recorder->verb, "%s", request->method);
+	snprintf(recorder->method, sizeof recorder->method, "%s", request->method);
 	snprintf(recorder->target, sizeof recorder->target, "%s", request->target);
-	recorder->nb = request->body_bytes;
-	recorder->nf = request->field_count;
+	recorder->body_bytes = request->body_bytes;
+	recorder->field_count = request->field_count;
 	if (request->body_bytes && request->body_bytes < sizeof recorder->body)
 		memcpy(recorder->body, request->body, request->body_bytes);
 	assert_ptr_equal(http_request_find(recorder->h, request->token), request);
@@ -101,8 +101,8 @@
 {
 	struct http_recorder *recorder = ctx;
 
-	recorder->removed++;
-	recorder->gone_token = token;
+	recorder->disconnected_count++;
+	recorder->disconnected_token = token;
 	assert_null(http_request_find(recorder->h, token));
 	hook(recorder, "gone", token);
 }
@@ -113,7 +113,7 @@
 	struct recorded_call *call = &recorder->call[token];
 	const char *id = http_field_value(field, nf, "x-id");
 
-	call->bad |= call->done || call->cancelled || call->status;
+	call->violates_contract |= call->done || call->cancelled || call->status;
 	call->status = status;
 	snprintf(call->x_id, sizeof call->x_id, "%s", id ? id : "");
 	hook(recorder, "head", token);
@@ -124,11 +124,11 @@
 	struct http_recorder *recorder = ctx;
 	struct recorded_call *call = &recorder->call[token];
 
-	call->bad |=
-	    call->done || call->cancelled || !call->status || !n || call->n + n > HTTP_FIXTURE_BODY_BYTES;
-	if (call->n + n <= HTTP_FIXTURE_BODY_BYTES)
-		memcpy(call->got + call->n, d, n);
-	call->n += n;
+	call->violates_contract |= call->done || call->cancelled || !call->status || !n ||
+				   call->body_bytes + n > HTTP_FIXTURE_BODY_BYTES;
+	if (call->body_bytes + n <= HTTP_FIXTURE_BODY_BYTES)
+		memcpy(call->body + call->body_bytes, d, n);
+	call->body_bytes += n;
 	hook(recorder, "body", token);
 }
 
@@ -137,10 +137,11 @@
 	struct http_recorder *recorder = ctx;
 	struct recorded_call *call = &recorder->call[token];
 
-	call->bad |= call->done || call->cancelled || (how == HTTP_CALL_COMPLETE && status != call->status) ||
-		     (how == HTTP_CALL_NOT_SENT && status);
+	call->violates_contract |= call->done || call->cancelled ||
+				   (how == HTTP_CALL_COMPLETE && status != call->status) ||
+				   (how == HTTP_CALL_NOT_SENT && status);
 	call->done++;
-	call->how = how;
+	call->result = how;
 	hook(recorder, "done", token);
 }
 
@@ -161,7 +162,7 @@
 {
 	http_close(recorder->h);
 	free(recorder->call);
-	http_fixture_clock.moved_ms = 0;
+	http_fixture_clock.offset_ms = 0;
 }
 
 /* ---- clients and servers at the far ends ---- */
--- a/tests/http_fixture.h
+++ b/tests/http_fixture.h
@@ -33,7 +33,7 @@
 
 /* The offset of the loop's clock, and a simulated freeze of the process. */
 struct http_fixture_clock {
-	int64_t moved_ms;  /* loop's clock minus the machine's clock */
+	int64_t offset_ms; /* loop's clock minus the machine's clock */
 	int64_t freeze_ms; /* duration of a freeze at the start of the loop's next wait; 0: none */
 };
 extern struct http_fixture_clock http_fixture_clock;
@@ -43,18 +43,18 @@
 struct http_fixture_write_after_wait {
 	int fd;
 	const char *text; /* NULL: nothing is written */
-	int64_t frozen_ms;
+	int64_t freeze_ms;
 };
 extern struct http_fixture_write_after_wait http_fixture_after_wait;
 
 /* Numbers of the loop's system calls while `counting` is 1. */
 struct http_fixture_calls {
 	int counting;
-	int waits;  /* epoll_wait */
-	int recvs;  /* recv without MSG_PEEK */
-	int peeks;  /* recv with MSG_PEEK */
-	int sends;  /* send */
-	int others; /* epoll_ctl */
+	int waits;      /* epoll_wait */
+	int recvs;      /* recv without MSG_PEEK */
+	int peeks;      /* recv with MSG_PEEK */
+	int sends;      /* send */
+	int epoll_ctls; /* epoll_ctl */
 };
 extern struct http_fixture_calls http_fixture_calls;
 
@@ -71,14 +71,14 @@
 
 /* A call to a server, as the loop's callbacks reported it. */
 struct recorded_call {
-	int done;      /* number of reports that the call has ended */
-	int cancelled; /* 1: the test has cancelled the call */
-	int status;    /* status of the answer; 0: no response headers yet */
-	int bad;       /* 1: a report violated the contract of http.h */
-	enum http_call_result how;
+	int done;              /* number of reports that the call has ended */
+	int cancelled;         /* 1: the test has cancelled the call */
+	int status;            /* status of the answer; 0: no response headers yet */
+	int violates_contract; /* 1: a report violated the contract of http.h */
+	enum http_call_result result;
 	char x_id[16]; /* value of the answer's X-Id header */
-	char got[HTTP_FIXTURE_BODY_BYTES];
-	size_t n; /* bytes of the answer's body, including those that exceed the size of `got` */
+	char body[HTTP_FIXTURE_BODY_BYTES];
+	size_t body_bytes; /* bytes of the answer's body, including those that exceed the size of `got` */
 };
 
 /* Records the reports of a loop: the newest request, and all requests and calls by token. */
@@ -86,14 +86,14 @@
 	struct http *h;
 	uint64_t token[HTTP_FIXTURE_TOKENS]; /* tokens of the newest requests, a ring indexed by `requests` */
 	int requests;                        /* number of requests received */
-	int removed;                         /* number of requests whose clients have disconnected */
+	int disconnected_count;              /* number of requests whose clients have disconnected */
 	int answer;                          /* 1: each request is answered immediately, with its own body */
-	uint64_t gone_token;                 /* token of the request whose client disconnected last */
-	char verb[16];                       /* method of the newest request */
+	uint64_t disconnected_token;         /* token of the request whose client disconnected last */
+	char method[16];                     /* method of the newest request */
 	char target[256];                    /* target of the newest request */
 	char body[4096];            /* body of the newest request, if it is shorter than this array */
-	size_t nb;                  /* body length of the newest request, in bytes */
-	int nf;                     /* number of header fields of the newest request */
+	size_t body_bytes;          /* body length of the newest request, in bytes */
+	int field_count;            /* number of header fields of the newest request */
 	struct recorded_call *call; /* calls, indexed by token */
 	/* called after each report, with its kind: request, gone, head, body or done; may be NULL */
 	void (*hook)(struct http_recorder *recorder, const char *what, uint64_t token);
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -69,11 +69,18 @@
 	idle = (struct count){ b.msg - a.msg, b.sync - a.sync, b.bytes - a.bytes };
 	per("nothing to do, a second (4 registrars, 9 counters)", a, b, (struct count){ 0, 0, 0 }, 50);
 	printf("  of these: rounds %.1f, follow %.1f, feeds %.1f, purge stream %.1f a second\n",
-	       (double)(s.by_body[NL__MSG__BODY_APPEND] + s.by_body[NL__MSG__BODY_APPEND_REPLY]) / 68,
-	       (double)(s.by_body[NL__MSG__BODY_CONFIG_SYNC] + s.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY]) /
+	       (double)(s.messages_by_body[NL__MSG__BODY_APPEND] +
+			s.messages_by_body[NL__MSG__BODY_APPEND_REPLY]) /
 		   68,
-	       (double)(s.by_body[NL__MSG__BODY_FEED_REQUEST] + s.by_body[NL__MSG__BODY_FEED_REPLY]) / 68,
-	       (double)(s.by_body[NL__MSG__BODY_KNOWLEDGE] + s.by_body[NL__MSG__BODY_CURIOSITY]) / 68);
+	       (double)(s.messages_by_body[NL__MSG__BODY_CONFIG_SYNC] +
+			s.messages_by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY]) /
+		   68,
+	       (double)(s.messages_by_body[NL__MSG__BODY_FEED_REQUEST] +
+			s.messages_by_body[NL__MSG__BODY_FEED_REPLY]) /
+		   68,
+	       (double)(s.messages_by_body[NL__MSG__BODY_KNOWLEDGE] +
+			s.messages_by_body[NL__MSG__BODY_CURIOSITY]) /
+		   68);
 	a = now_count(&s);
 	for (int i = 0; i < n; i++) {
 		snprintf(body, sizeof body,
@@ -139,7 +146,8 @@
 		serve[k] = sim.now - from;
 		sim_run(&sim, 20000, NULL);
 		pub = sim_leader(&sim, SHARD_PURGE);
-		ceiling = sim.nodes[pub].controller->purge_state.ceiling; /* a successor starts above it */
+		ceiling =
+		    sim.nodes[pub].controller->purge_state.tick_ceiling; /* a successor starts above it */
 		sim_crash(&sim, pub, 0);
 		from = sim.now;
 		for (int c = SIM_CONTROLLERS; c < SIM_CONTROLLERS + 3; c++) {
@@ -162,7 +170,7 @@
 static int last_begin(struct sim *sim, int tenant, int64_t since, int64_t *last)
 {
 	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
-		if ((tenant < 0 || sim->requests[i].tenant == tenant) && sim->requests[i].began &&
+		if ((tenant < 0 || sim->requests[i].tenant == tenant) && sim->requests[i].execution_count &&
 		    sim->requests[i].submitted_at > since && sim->requests[i].submitted_at - since > *last)
 			*last = sim->requests[i].submitted_at - since;
 	return 0;
@@ -189,7 +197,7 @@
 		if (!sim_change(&sim, body, 12000))
 			fail(&sim, "not acknowledged");
 		from = sim.now;
-		sim.servers[0].departed = sim.now;
+		sim.servers[0].drain_acked_at = sim.now;
 		before = 0;
 		for (int i = 0; sim.now < from + 6000; i++) {
 			int was = sim.servers[0].running;
--- a/tests/raft_leader.c
+++ b/tests/raft_leader.c
@@ -21,7 +21,7 @@
 void leader_sync_disk(struct leader *leader)
 {
 	raft_flush(&leader->raft, leader->now, &leader->out);
-	raft_synced(&leader->raft, leader->raft.disk.requested_seq, leader->now, &leader->out);
+	raft_synced(&leader->raft, leader->raft.disk.requested_sync_seq, leader->now, &leader->out);
 	raft_flush(&leader->raft, leader->now, &leader->out);
 }
 
@@ -66,7 +66,7 @@
 void leader_run_heartbeats(struct leader *leader, int64_t ms, unsigned answering)
 {
 	for (int64_t end = leader->now + ms; leader->now < end;) {
-		leader->now += RAFT_HEARTBEAT_MS;
+		leader->now += RAFT_HEARTBEAT_INTERVAL_MS;
 		raft_tick(&leader->raft, leader->now, &leader->out);
 		leader_sync_disk(leader);
 		for (uint64_t id = 2; id < 10; id++)
@@ -90,12 +90,12 @@
 		members[i] =
 		    (struct raft_member){ .id = (uint64_t)i + 1, .addr = 101 + (uint64_t)i, .voter = 1 };
 	for (int i = 0; i < voters + 1; i++)
-		leader->live[i] = (struct raft_member){ .id = (uint64_t)i + 1,
-							.addr = 101 + (uint64_t)i,
-							.zone = 1 + (uint64_t)i };
-	leader->live_count = voters + 1; /* one controller that is not a member can join */
+		leader->controllers[i] = (struct raft_member){ .id = (uint64_t)i + 1,
+							       .addr = 101 + (uint64_t)i,
+							       .zone = 1 + (uint64_t)i };
+	leader->controller_count = voters + 1; /* one controller that is not a member can join */
 	raft_open(&leader->raft, 0, 1, 5, NULL, leader->now);
-	leader->raft.group.replicas = voters;
+	leader->raft.group.target_voters = voters;
 	leader->raft.group.member_lost_ms = 2400;
 	raft_bootstrap(&leader->raft, members, voters, leader->now);
 	leader_sync_disk(leader);
@@ -127,7 +127,7 @@
 
 void leader_reconfigure(struct leader *leader)
 {
-	raft_reconfigure(&leader->raft, leader->live, leader->live_count, leader->now);
+	raft_reconfigure(&leader->raft, leader->controllers, leader->controller_count, leader->now);
 	leader_sync_disk(leader);
 }
 
--- a/tests/raft_leader.h
+++ b/tests/raft_leader.h
@@ -7,9 +7,10 @@
 struct leader {
 	struct raft raft;
 	struct command_list out;
-	int64_t now;                /* ms */
-	struct raft_member live[6]; /* running controllers of the fleet, from which members are chosen */
-	int live_count;
+	int64_t now; /* ms */
+	struct raft_member
+	    controllers[6]; /* running controllers of the fleet, from which members are chosen */
+	int controller_count;
 };
 
 /* An empty message whose body case is `body`. */
--- a/tests/raft_world.c
+++ b/tests/raft_world.c
@@ -100,14 +100,14 @@
 	state_set(state, NULL, 0);
 	if (!raft->snapshots.newest.index)
 		return;
-	if (raft->snapshots.newest.data_len < HEAD) {
+	if (raft->snapshots.newest.state_len < HEAD) {
 		report_violation(world, "a snapshot is torn");
 		return;
 	}
-	state->version = get_u64(raft->snapshots.newest.data);
-	state->applied = get_u64(raft->snapshots.newest.data + 8);
-	state->chain = get_u64(raft->snapshots.newest.data + 16);
-	state_set(state, raft->snapshots.newest.data + HEAD, raft->snapshots.newest.data_len - HEAD);
+	state->version = get_u64(raft->snapshots.newest.state);
+	state->applied = get_u64(raft->snapshots.newest.state + 8);
+	state->chain = get_u64(raft->snapshots.newest.state + 16);
+	state_set(state, raft->snapshots.newest.state + HEAD, raft->snapshots.newest.state_len - HEAD);
 	for (size_t i = HEAD; i < state->len; i++)
 		if (state->document[i] != filling(state->version)) {
 			report_violation(world, "a snapshot's document is not the one of version %llu",
@@ -146,7 +146,7 @@
 	disk->members_len = write->members_len;
 	disk->snapshot_index = write->snapshot_index;
 	disk->snapshot_term = write->snapshot_term;
-	while (arrlen(disk->entries) && disk->first_index <= write->drop_upto) {
+	while (arrlen(disk->entries) && disk->first_index <= write->drop_up_to_index) {
 		free(disk->entries[0].data);
 		arrdel(disk->entries, 0);
 		disk->first_index++;
@@ -222,7 +222,7 @@
 size_t world_memory(const struct raft_world *world, int machine)
 {
 	const struct raft *raft = &world->machines[machine].raft;
-	size_t n = raft->snapshots.newest.data_len + raft->snapshots.previous.data_len;
+	size_t n = raft->snapshots.newest.state_len + raft->snapshots.previous.state_len;
 
 	for (ptrdiff_t i = 0; i < arrlen(raft->log.entries); i++)
 		n += raft->log.entries[i].len;
@@ -298,7 +298,7 @@
 	if (world->filter && !world->filter(world, from, to, message))
 		return;
 	enqueue(world, from, to, message, arrival(world, &world->machines[from], to, message));
-	if ((int)draw(world, 1000) < world->repeat_permille)
+	if ((int)draw(world, 1000) < world->duplicate_permille)
 		enqueue(world, from, to, message,
 			arrival(world, &world->machines[from], to, message) + (int64_t)draw(world, 300));
 }
@@ -348,9 +348,9 @@
 	const struct raft_entry *entry;
 	uint64_t index;
 
-	if (machine->raft.snapshots.to_load) {
+	if (machine->raft.snapshots.must_load_newest) {
 		state_load(world, machine);
-		machine->raft.snapshots.to_load = 0;
+		machine->raft.snapshots.must_load_newest = 0;
 	}
 	while ((entry = raft_next_committed(&machine->raft, &index)))
 		state_apply(world, machine, entry);
@@ -358,7 +358,7 @@
 		size_t len;
 		uint8_t *d = state_pack(&machine->state, &len);
 
-		raft_snapshot(&machine->raft, d, len);
+		raft_take_snapshot(&machine->raft, d, len);
 		free(d);
 	}
 	raft_flush(&machine->raft, world->now, &machine->out);
@@ -577,13 +577,13 @@
 static void open_machine(struct raft_world *world, struct world_machine *machine)
 {
 	struct raft_saved saved = { .term = machine->disk.term,
-				    .vote = machine->disk.vote,
+				    .voted_for = machine->disk.vote,
 				    .snapshot_index = machine->disk.snapshot_index,
 				    .snapshot_term = machine->disk.snapshot_term,
 				    .members = machine->disk.members,
 				    .members_len = machine->disk.members_len,
-				    .data = machine->disk.data,
-				    .data_len = machine->disk.data_len,
+				    .state = machine->disk.data,
+				    .state_len = machine->disk.data_len,
 				    .first_index = machine->disk.first_index,
 				    .entry_count = (size_t)arrlen(machine->disk.entries) };
 
@@ -595,7 +595,7 @@
 	raft_open(&machine->raft, 0, machine->id, world->seed + machine->incarnation,
 		  machine->disk.term ? &saved : NULL, world->now);
 	machine->raft.group.member_lost_ms = WORLD_CATCH_UP_MS * 2 / 5;
-	machine->raft.group.replicas = world->voter_count;
+	machine->raft.group.target_voters = world->voter_count;
 	free(saved.entries);
 	machine->out.id = machine->id;
 	machine->out.addr = machine->addr;
@@ -759,9 +759,9 @@
 			    (unsigned long long)member->progress.next_index,
 			    (unsigned long long)member->progress.unacked_index,
 			    (unsigned long long)member->progress.match_index,
-			    member->progress.probing ? " probing" : "",
+			    member->progress.is_probing ? " probing" : "",
 			    (long long)(world->now - member->progress.last_reply_at_ms),
-			    (unsigned long long)member->transfer.index,
+			    (unsigned long long)member->transfer.snapshot_index,
 			    (unsigned long long)member->transfer.acked_bytes,
 			    (unsigned long long)member->transfer.sent_bytes);
 		}
--- a/tests/raft_world.h
+++ b/tests/raft_world.h
@@ -90,8 +90,8 @@
 	struct world_machine machines[WORLD_MAX_MACHINES];
 	struct world_packet *packets; /* stb_ds: packets in flight */
 	/* links and disks */
-	int loss_permille;   /* per mille of messages that are lost */
-	int repeat_permille; /* per mille of messages that are delivered twice */
+	int loss_permille;      /* per mille of messages that are lost */
+	int duplicate_permille; /* per mille of messages that are delivered twice */
 	int reorders_bulk;   /* 1: messages with log entries or snapshot chunks may overtake each other too */
 	int delay_ms;        /* one-way delay of a message */
 	int jitter_ms;       /* highest random addition to a message's delay */
--- a/tests/router_fixture.c
+++ b/tests/router_fixture.c
@@ -16,18 +16,18 @@
 	uint64_t seed = 1;
 
 	memset(fixture, 0, sizeof *fixture);
-	apr_pool_create(&fixture->p, NULL);
-	apr_pool_create(&fixture->commands.pool, fixture->p);
+	apr_pool_create(&fixture->pool, NULL);
+	apr_pool_create(&fixture->commands.pool, fixture->pool);
 	fixture->now = 1000000;
 	router_open(&fixture->router, id, id + 1000, "z1", &seed, 1, fixture->now);
-	fixture->router.config.bounds.discover_instances = 1;
+	fixture->router.config.bounds.use_endpoint_list = 1;
 }
 
 void router_fixture_close(struct router_fixture *fixture)
 {
 	router_close(&fixture->router);
 	arrfree(fixture->commands.commands);
-	apr_pool_destroy(fixture->p);
+	apr_pool_destroy(fixture->pool);
 }
 
 void router_fixture_step(struct router_fixture *fixture, const struct router_event *event)
@@ -130,8 +130,8 @@
 	request.token = ++fixture->token;
 	request.host = host;
 	request.path = path;
-	request.id = id;
-	request.limit_ms = 60000;
+	request.request_id = id;
+	request.timeout_ms = 60000;
 	event.kind = ROUTER_EVENT_FORWARDED_REQUEST;
 	event.args.forwarded_request = &request;
 	command_list_clear(&fixture->commands);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -94,7 +94,7 @@
 {
 	sim_router_event(sim, node, input);
 }
-int64_t sim_local(const struct sim *sim, int node)
+int64_t sim_local_clock(const struct sim *sim, int node)
 {
 	return sim_node_clock(sim, &sim->nodes[node]);
 }
@@ -128,8 +128,9 @@
 				       .incarnation = input->incarnation,
 				       .token = input->token };
 
-		a.status = sim_order_arrives(sim, (struct sim_load_command *)input->data);
-		if (sim_random_below(sim, 1000) < (uint64_t)sim->instance_list.lossy || node->partition)
+		a.status = sim_load_command_arrives(sim, (struct sim_load_command *)input->data);
+		if (sim_random_below(sim, 1000) < (uint64_t)sim->instance_list.lost_answer_per_mille ||
+		    node->partition)
 			a.status = 0;
 		if (a.status || sim_random_below(sim, 2)) /* some never hear */
 			sim_push_event(sim, a);
@@ -193,10 +194,10 @@
 		break;
 	}
 	case SIM_SYNC:
-		if (sim->now < node->stalled_until) {
+		if (sim->now < node->disk_stalled_until) {
 			struct sim_event later = *input;
 
-			later.at = node->stalled_until;
+			later.at = node->disk_stalled_until;
 			sim_push_event(sim, later);
 			break;
 		}
@@ -221,7 +222,7 @@
 
 		ev.kind = CONTROLLER_SERVERS_LISTED;
 		ev.payload.servers_listed.token = input->token;
-		ev.payload.servers_listed.succeeded = input->status;
+		ev.payload.servers_listed.is_complete = input->status;
 		ev.payload.servers_listed.instances = a->instances;
 		ev.payload.servers_listed.instance_count = input->status ? a->n_instances : 0;
 		sim_controller_step(sim, input->node, &ev);
@@ -321,9 +322,9 @@
 	sim->disk_ms = 2;
 	sim->request_timeout_ms = 8000;
 	sim->bounds = bounds_default;
-	sim->instance_list.lag_ms = 800;
+	sim->instance_list.listing_delay_ms = 800;
 	sim->instance_list.load_ms = 1100;
-	sim->instance_list.at_once = 3;
+	sim->instance_list.full_speed_loads = 3;
 	sim->instance_list.report_age_ms = 100;
 	apr_pool_create(&sim->pool, NULL);
 }
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -44,7 +44,7 @@
 struct sim_disk {
 	uint64_t id;
 	uint64_t fleet;
-	int made; /* 1: a controller's identity has been written */
+	int has_identity; /* 1: a controller's identity has been written */
 	struct sim_disk_shard shards[SHARD_COUNT];
 };
 
@@ -62,7 +62,7 @@
 	int up;
 	int frozen;
 	int partition;                /* number of its network partition; no messages cross partitions */
-	int64_t stalled_until;        /* virtual time in ms before which its disk completes no sync */
+	int64_t disk_stalled_until;   /* virtual time in ms before which its disk completes no sync */
 	int64_t clock_skew_ms;        /* its monotonic clock minus virtual time */
 	int64_t wall_clock_offset_ms; /* error of its wall clock */
 	uint64_t addr;
@@ -108,20 +108,21 @@
 	int64_t last_command_at;
 	struct sim_cached_block *blocks; /* stb_ds */
 	int running;
-	int bad;    /* stream fault; 1: carries another request's mark, 2: skips a chunk, 3: breaks off, 4:
-		       repeats a chunk */
-	int hoard;  /* fault: ignores commands to drop cached blocks */
-	int refuse; /* fault: answers each request with 503 */
-	int slow;   /* ms between two chunks of an answer */
+	int stream_fault; /* stream fault; 1: carries another request's mark, 2: skips a chunk, 3: breaks off,
+		    4: repeats a chunk */
+	int ignores_drops;     /* fault: ignores commands to drop cached blocks */
+	int refuses_requests;  /* fault: answers each request with 503 */
+	int chunk_interval_ms; /* ms between two chunks of an answer */
 	int serial;
-	int odd_report; /* invalid status report; 1: truncated JSON, 2: not a JSON object, 3: an absurd number
-			   of slots, and blocks as in 4, 4: blocks of 1000 unknown tenants and weights */
+	int report_fault; /* invalid status report; 1: truncated JSON, 2: not a JSON object, 3: an absurd
+			   number of slots, and blocks as in 4, 4: blocks of 1000 unknown tenants and weights
+			 */
 	int is_store;
-	int slow_link;       /* factor by which block fetches from it are slower; 0: 1 */
-	int hang;            /* fault: block fetches from it are never answered */
-	int mute;            /* fault: it sends no status reports */
-	int report_delay_ms; /* delay of its status reports */
-	int64_t departed;    /* virtual time in ms at which its drain was acknowledged */
+	int fetch_slowdown;     /* factor by which block fetches from it are slower; 0: 1 */
+	int hangs_fetches;      /* fault: block fetches from it are never answered */
+	int sends_no_reports;   /* fault: it sends no status reports */
+	int report_delay_ms;    /* delay of its status reports */
+	int64_t drain_acked_at; /* virtual time in ms at which its drain was acknowledged */
 };
 
 /* One incarnation of a server in the endpoint list; it executes load commands as the platform's servers do.
@@ -148,21 +149,21 @@
 	char holder[20]; /* the controller whose load command was accepted last */
 	char loaded[8][32];
 	int loads;
-	int refuses; /* fault: answers each load command with 503 */
+	int refuses_loads; /* fault: answers each load command with 503 */
 };
 
 /* The platform's endpoint list, and its faults. */
 struct sim_instance_list {
 	struct sim_instance *instances; /* stb_ds; entries are never removed */
-	int lag_ms;                     /* delay after which a change of the instances is listed */
+	int listing_delay_ms;           /* delay after which a change of the instances is listed */
 	int call_ms;                    /* duration of a call to the list */
-	int refuse;                     /* per mille of calls that the list refuses */
-	int lossy;                      /* per mille of load commands whose answer is lost */
-	int64_t away_until;             /* virtual time in ms before which the list answers no call */
+	int refusal_per_mille;          /* per mille of calls that the list refuses */
+	int lost_answer_per_mille;      /* per mille of load commands whose answer is lost */
+	int64_t unavailable_until;      /* virtual time in ms before which the list answers no call */
 	int report_age_ms;              /* age of a server's status report when it is read */
 	int slots;                      /* slots of each server; 0: 128 */
 	int load_ms;                    /* duration of loading weights */
-	int at_once;                    /* number of concurrent loads above which each load is slower */
+	int full_speed_loads;           /* number of concurrent loads above which each load is slower */
 	int64_t calls[64];              /* virtual times in ms of the latest calls to the list */
 	uint64_t n_list;
 	uint64_t n_polls;
@@ -171,7 +172,7 @@
 	uint64_t n_fenced;
 	uint64_t n_busy;
 	uint64_t n_loads_under_requests; /* load commands that reached a server with running requests */
-	int most_loads;                  /* highest number of concurrent loads */
+	int peak_loads;                  /* highest number of concurrent loads */
 };
 
 /* ---- events ---- */
@@ -227,8 +228,8 @@
 	int tenant;
 	int node;
 	int server;
-	int pieces;
-	int next;
+	int chunk_count;
+	int next_chunk;
 	int ended;
 	int is_resend;
 	int fetch_ms;
@@ -244,18 +245,18 @@
 struct sim_request {
 	char id[64];
 	int tenant;
-	int node;    /* number of the router's node */
-	int next;    /* number of the next chunk that the client expects */
-	int outcome; /* SIM_OPEN to SIM_LOST */
-	int began;   /* executions that began at servers */
+	int node;            /* number of the router's node */
+	int next_chunk;      /* number of the next chunk that the client expects */
+	int outcome;         /* SIM_OPEN to SIM_LOST */
+	int execution_count; /* executions that began at servers */
 	int submissions;
-	int tries; /* sends that reached a server */
-	int pick;  /* selects one of the prompts of its route */
+	int send_count;   /* sends that reached a server */
+	int prompt_index; /* selects one of the prompts of its route */
 	const char *route;
 	uint64_t token;
 	int64_t submitted_at;
 	int64_t answered_at;
-	int64_t first_piece_at;
+	int64_t first_chunk_at;
 	int disconnected; /* 1: the client has disconnected */
 	int retry_ms;     /* delay before a retry that the router's answer names */
 	char key[65];
@@ -278,8 +279,8 @@
 	int status;
 	int64_t answered_at;
 	char body[512];
-	uint64_t to;     /* address that the answer redirects to; 0: none */
-	char *full_body; /* the complete body, for reads of the configuration document */
+	uint64_t redirect_addr; /* address that the answer redirects to; 0: none */
+	char *full_body;        /* the complete body, for reads of the configuration document */
 	size_t full_body_len;
 	int node;
 	int retry_ms;
@@ -292,7 +293,7 @@
 };
 
 /* A published purge: its tick, and the key that identifies what is purged. */
-struct sim_value {
+struct sim_published_purge {
 	uint64_t tick;
 	uint64_t key;
 };
@@ -343,20 +344,20 @@
 	const struct controller_codec *codec;
 	int load_ms;         /* duration of loading weights at servers of the table; 0: 1.5 to 2.5 s */
 	char violation[512]; /* text of the first violation; empty: none */
-	int recovered;       /* 1: an operator let a group continue with one replica, so that an entry may be
-				committed with a copy on that one disk only */
+	int was_recovered;   /* 1: an operator let a group continue with one replica, so that an entry may be
+			    committed with a copy on that one disk only */
 
 	/* state of the fleet as an external observer sees it, and statistics */
 	uint64_t *entry_hashes[SHARD_COUNT];          /* stb_ds: hash of each committed entry, by index */
-	struct sim_value *value;                      /* stb_ds: published purges in order of tick */
+	struct sim_published_purge *value;            /* stb_ds: published purges in order of tick */
 	struct sim_operator_answer *operator_answers; /* stb_ds */
 	struct sim_ack *acks;                         /* stb_ds */
 	uint64_t n_msg;
 	uint64_t n_sync;
 	uint64_t n_bytes;
 	uint64_t n_commands;
-	uint64_t by_body[64];               /* number of messages, by Nl__Msg body case */
-	uint64_t value_index[SHARD_COUNT];  /* highest log index read from each feed */
+	uint64_t messages_by_body[64];      /* number of messages, by Nl__Msg body case */
+	uint64_t feed_index[SHARD_COUNT];   /* highest log index read from each feed */
 	struct sim_request *requests;       /* stb_ds */
 	struct sim_submission *submissions; /* stb_ds */
 	struct sim_run *runs;               /* stb_ds */
@@ -380,19 +381,19 @@
 		int64_t after;
 	} * purges; /* stb_ds: from time `after` (ms) on, no block made before tick `made` may be reused */
 	uint64_t n_checked;
-	int tenant_limits[16]; /* by tenant: limit of running requests in the fleet to check; 0: not checked
-				*/
-	int most_runs[16];     /* by tenant: highest number of requests that ran concurrently */
-	uint64_t n_sends;      /* sends that reached a server, resends included */
-	uint64_t n_firsts;     /* first sends of requests */
+	int tenant_limits[16];  /* by tenant: limit of running requests in the fleet to check; 0: not checked
+				 */
+	int peak_running[16];   /* by tenant: highest number of requests that ran concurrently */
+	uint64_t n_sends;       /* sends that reached a server, resends included */
+	uint64_t n_first_sends; /* first sends of requests */
 	uint64_t n_complete;
 	uint64_t n_refused;
 	uint64_t n_unknown;
-	uint64_t n_fresh;               /* prompt tokens that were prefilled */
+	uint64_t n_prefilled_tokens;    /* prompt tokens that were prefilled */
 	uint64_t n_tokens;              /* prompt tokens, cached ones included */
 	uint64_t n_fetched;             /* blocks fetched from another server */
-	uint64_t n_vain;                /* block fetches that failed or timed out */
-	uint64_t n_odd;                 /* log lines about unreadable status reports */
+	uint64_t n_failed_fetches;      /* block fetches that failed or timed out */
+	uint64_t n_unreadable_reports;  /* log lines about unreadable status reports */
 	unsigned char link_cut[16][16]; /* [from][to], of the first 16 nodes: 1 if this direction is cut */
 };
 
@@ -421,11 +422,11 @@
 int sim_add_router(struct sim *sim, const char *zone);
 
 /* sim_crash stops a node as a power loss does, and with `wipe` also empties its disk; sim_start restarts it.
- * sim_freeze suspends (1) or resumes (0) a node; sim_cut moves it into network partition `cell`. */
+ * sim_freeze suspends (1) or resumes (0) a node; sim_set_partition moves it into network partition `cell`. */
 void sim_crash(struct sim *sim, int node, int wipe);
 void sim_start(struct sim *sim, int node);
 void sim_freeze(struct sim *sim, int node, int on);
-void sim_cut(struct sim *sim, int node, int cell);
+void sim_set_partition(struct sim *sim, int node, int cell);
 
 /* Request a planned stop of a router. */
 void sim_stop(struct sim *sim, int node);
@@ -434,7 +435,7 @@
 int sim_leader(struct sim *sim, uint32_t shard);
 
 /* The node's own monotonic clock, in ms, with its skew. */
-int64_t sim_local(const struct sim *sim, int node);
+int64_t sim_local_clock(const struct sim *sim, int node);
 
 /* sim_push adds an event to the queue; sim_router_step passes one event to a router and executes the commands
  * that follow. */
@@ -449,10 +450,10 @@
 /* Disconnect the client of a request, and notify its router. */
 void sim_disconnect(struct sim *sim, const char *id);
 
-/* sim_is_open: whether the client of a request still waits. sim_forget: the client stops waiting, and its
- * router is not notified. */
+/* sim_is_open: whether the client of a request still waits. sim_abandon_request: the client stops waiting,
+ * and its router is not notified. */
 int sim_is_open(struct sim *sim, const char *id);
-void sim_forget(struct sim *sim, const char *id);
+void sim_abandon_request(struct sim *sim, const char *id);
 
 /* Whether the router that received the request has not restarted since. */
 int sim_same_incarnation(const struct sim *sim, const char *id);
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -11,11 +11,11 @@
 
 	if (operation && operation->body_case == NL__OPERATION__BODY_VALUE &&
 	    operation->value->feed < SHARD_COUNT &&
-	    operation->value->index > sim->value_index[operation->value->feed]) {
-		struct sim_value sim_value = { operation->value->tick,
-					       purge_subject(operation->value->purge) };
+	    operation->value->index > sim->feed_index[operation->value->feed]) {
+		struct sim_published_purge sim_value = { operation->value->tick,
+							 purge_subject(operation->value->purge) };
 
-		sim->value_index[operation->value->feed] = operation->value->index;
+		sim->feed_index[operation->value->feed] = operation->value->index;
 		if (arrlen(sim->value) && arrlast(sim->value).tick >= sim_value.tick)
 			sim_violation(sim, "tick %llu was published after %llu",
 				      (unsigned long long)sim_value.tick,
@@ -78,7 +78,7 @@
 						      (unsigned long long)x);
 			} else if ((uint64_t)arrlen(sim->entry_hashes[i]) == x - 1) {
 				arrput(sim->entry_hashes[i], h);
-				if (!sim->recovered && copies(sim, i, x, h) < 2)
+				if (!sim->was_recovered && copies(sim, i, x, h) < 2)
 					sim_violation(
 					    sim, "part %d entry %llu is committed, and synced on %d disks", i,
 					    (unsigned long long)x, copies(sim, i, x, h));
@@ -126,7 +126,7 @@
 	}
 }
 
-void sim_check_in_force(struct sim *sim, int i)
+void sim_check_router_config(struct sim *sim, int i)
 {
 	struct sim_node *node = &sim->nodes[i];
 
@@ -157,7 +157,7 @@
 	const struct router *router = sim->nodes[i].router;
 	long own = 0, waiting = 0, running = 0, placed = 0, in_lines = 0, in_places = 0, tokens = 0;
 
-	if (!router_balanced(router))
+	if (!router_outcomes_balance(router))
 		sim_violation(sim, "counter %d has lost a request, or ended one twice", i);
 	for (ptrdiff_t k = 0; k < arrlen(router->requests.all); k++) {
 		const struct client_request *request = router->requests.all[k];
@@ -167,16 +167,16 @@
 		placed += request->attempt.server_index >= 0;
 		tokens += 1 + (request->attempt.call_token != 0) + (request->claim.token != 0);
 		if (request->is_forwarded && request->state == REQUEST_WAITING &&
-		    request->route.revision != router->config.route_table->revision)
+		    request->route.table_revision != router->config.route_table->revision)
 			sim_violation(sim, "counter %d holds %s by an old table", i,
 				      request->client.request_id);
 	}
 	for (ptrdiff_t k = 0; k < arrlen(router->queueing.queues); k++) {
-		in_lines += router->queueing.queues[k].length;
-		in_places += router->queueing.queues[k].running;
+		in_lines += router->queueing.queues[k].waiting_count;
+		in_places += router->queueing.queues[k].slots_held;
 	}
 	for (ptrdiff_t k = 0; k < arrlen(router->servers.states); k++)
-		own += router->servers.states[k].own_running;
+		own += router->servers.states[k].own_running_count;
 	if (tokens != hmlen(router->requests.by_token))
 		sim_violation(sim, "counter %d finds requests by %ld tokens, not %ld", i,
 			      (long)hmlen(router->requests.by_token), tokens);
@@ -212,10 +212,10 @@
 		sim_violation(
 		    sim,
 		    "controller %d: operators' calls: %llu read, %llu answered, %llu refused, %llu unknown, %llu gone, %llu open",
-		    i, (unsigned long long)node->controller->operators.calls.read,
-		    (unsigned long long)node->controller->operators.calls.answered,
-		    (unsigned long long)node->controller->operators.calls.rejected,
-		    (unsigned long long)node->controller->operators.calls.unknown,
-		    (unsigned long long)node->controller->operators.calls.disconnected,
-		    (unsigned long long)operator_calls_open(node->controller));
+		    i, (unsigned long long)node->controller->operators.call_counts.read_count,
+		    (unsigned long long)node->controller->operators.call_counts.answered_count,
+		    (unsigned long long)node->controller->operators.call_counts.rejected_count,
+		    (unsigned long long)node->controller->operators.call_counts.unknown_outcome_count,
+		    (unsigned long long)node->controller->operators.call_counts.disconnected_count,
+		    (unsigned long long)operator_calls_open_count(node->controller));
 }
--- a/tests/sim_commands.c
+++ b/tests/sim_commands.c
@@ -48,10 +48,10 @@
 {
 	struct late_answer late = { .w = { .token = command->args.answer.token,
 					   .status = command->args.answer.status,
-					   .to = command->args.answer.redirect_addr,
+					   .redirect_addr = command->args.answer.redirect_addr,
 					   .full_body_len = command->args.answer.len,
 					   .node = node,
-					   .retry_ms = command->args.answer.retry_ms },
+					   .retry_ms = command->args.answer.retry_after_ms },
 				    .not_after = command->args.answer.not_after_ms };
 	struct sim_event input = { .at = sim->now +
 					 (int64_t)sim_random_below(sim, (uint64_t)sim->answer_delay_ms),
@@ -79,7 +79,7 @@
 	memcpy(&late, input->data, sizeof late);
 	if (late.not_after && sim_node_clock(sim, &sim->nodes[input->node]) > late.not_after) {
 		late.w.status = 503;
-		late.w.retry_ms = CONTROLLER_RETRY_MS;
+		late.w.retry_ms = CONTROLLER_CALL_RETRY_MS;
 		snprintf(late.w.body, sizeof late.w.body, "{}");
 	}
 	operator_hears(sim, late.w);
@@ -100,7 +100,7 @@
 		switch (command->kind) {
 		case CMD_SEND:
 			s->n_msg++;
-			s->by_body[command->args.send.msg->body_case % 64]++;
+			s->messages_by_body[command->args.send.msg->body_case % 64]++;
 			to = node_at(s, command->args.send.addr);
 			if (to >= SIM_CONTROLLERS &&
 			    s->undelivered_bodies >> command->args.send.msg->body_case % 64 & 1)
@@ -139,7 +139,7 @@
 		case CMD_CALL: {
 			struct sim_server *server = sim_server_at(s, command->args.call.addr);
 
-			if (command->args.call.stream) { /* a send */
+			if (command->args.call.is_stream) { /* a send */
 				if (!server || sim_node_clock(s, n) > command->args.call.not_after_ms) {
 					sim_break_off(s, i, n->incarnation, command->args.call.token, 0, 1);
 					break;
@@ -157,10 +157,10 @@
 			if (!server || !server->up ||
 			    sim_node_clock(s, n) > command->args.call.not_after_ms || n->partition)
 				break;
-			if (server->mute && strcmp(command->args.call.path, "/v1/order"))
+			if (server->sends_no_reports && strcmp(command->args.call.path, "/v1/order"))
 				break;
 			if (!strcmp(command->args.call.path, "/v1/order")) {
-				sim_server_order(s, server, command->args.call.body);
+				sim_server_receive_command(s, server, command->args.call.body);
 				break;
 			}
 			input.kind = SIM_CALLED;
@@ -175,7 +175,7 @@
 		}
 		case CMD_STREAM_CHUNK:
 		case CMD_END_STREAM:
-			sim_receive_piece(s, command->args.stream_chunk.token,
+			sim_receive_chunk(s, command->args.stream_chunk.token,
 					  command->args.stream_chunk.body, command->args.stream_chunk.len,
 					  command->kind == CMD_END_STREAM,
 					  command->args.stream_chunk.success);
@@ -196,12 +196,13 @@
 			for (ptrdiff_t q = 0; q < arrlen(s->runs); q++)
 				if (!s->runs[q].ended && s->runs[q].node == i &&
 				    s->runs[q].token == command->args.cancel.token)
-					sim_run_over(s, &s->runs[q]);
+					sim_run_ends(s, &s->runs[q]);
 			break;
 		case CMD_ANSWER: {
 			if (n->router)
 				sim_receive_answer(s, command->args.answer.token, command->args.answer.status,
-						   command->args.answer.retry_ms, command->args.answer.body);
+						   command->args.answer.retry_after_ms,
+						   command->args.answer.body);
 			else
 				answer_is_sent(s, i, command);
 			break;
@@ -218,9 +219,9 @@
 	node->controller->clocks.wall_ms =
 	    sim->wall_clock_epoch_ms ? sim->wall_clock_epoch_ms + sim->now + node->wall_clock_offset_ms : 0;
 	controller_step(node->controller, input, sim_node_clock(sim, node), &node->commands);
-	if (node->controller->identity.fleet_dirty) {
-		node->disk.fleet = node->controller->identity.fleet;
-		node->controller->identity.fleet_dirty = 0;
+	if (node->controller->identity.is_fleet_unsaved) {
+		node->disk.fleet = node->controller->identity.fleet_id;
+		node->controller->identity.is_fleet_unsaved = 0;
 	}
 	perform(sim, i);
 	sim_check_node(sim, i);
@@ -271,7 +272,7 @@
 		ev.args.client_disconnected.token = input->token;
 		break;
 	case SIM_STOP:
-		ev.kind = ROUTER_EVENT_STOP;
+		ev.kind = ROUTER_EVENT_SHUTDOWN;
 		break;
 	case SIM_REQUEST:
 		request = sim_request_with_token(sim, input->token);
--- a/tests/sim_disks.c
+++ b/tests/sim_disks.c
@@ -42,13 +42,13 @@
 		p->members_len = w->members_len;
 		p->base = w->snapshot_index;
 		p->base_term = w->snapshot_term;
-		while (arrlen(p->entries) && p->first <= w->drop_upto) {
+		while (arrlen(p->entries) && p->first <= w->drop_up_to_index) {
 			free(p->entries[0].data);
 			arrdel(p->entries, 0);
 			p->first++;
 		}
 		if (!arrlen(p->entries))
-			p->first = w->drop_upto + 1;
+			p->first = w->drop_up_to_index + 1;
 	}
 	for (size_t i = 0; i < w->entry_count; i++) {
 		struct sim_entry e = { w->entries[i].term, w->entries[i].kind, w->entries[i].len,
--- a/tests/sim_fleet.c
+++ b/tests/sim_fleet.c
@@ -11,7 +11,7 @@
 static void count_line(void *ctx, const char *prefix, const char *line)
 {
 	(void)prefix;
-	((struct sim *)ctx)->n_odd += strstr(line, "Unreadable report") != NULL;
+	((struct sim *)ctx)->n_unreadable_reports += strstr(line, "Unreadable report") != NULL;
 }
 
 static void node_begin(struct sim *sim, int i, const uint64_t *seeds, int nseeds)
@@ -39,8 +39,8 @@
 		sim_tick_at(sim, i, sim->now + (int64_t)sim_random_below(sim, 25));
 		return;
 	}
-	if (!node->disk.made) {
-		node->disk.made = 1;
+	if (!node->disk.has_identity) {
+		node->disk.has_identity = 1;
 		node->disk.id = core_random(&sim->rng);
 	}
 	node->id = node->disk.id;
@@ -69,7 +69,7 @@
 	if (sim->replica_count)
 		node->controller->bounds.replicas = sim->replica_count;
 	if (sim->catch_up_ms)
-		node->controller->bounds.catch_up_ms = sim->catch_up_ms;
+		node->controller->bounds.member_catch_up_ms = sim->catch_up_ms;
 	apr_pool_destroy(pool);
 	sim_tick_at(sim, i, sim->now + (int64_t)sim_random_below(sim, 25));
 }
@@ -123,7 +123,7 @@
 		router_close(n->router);
 		free(n->router);
 		n->router = NULL;
-		sim_lose_clients(sim, i);
+		sim_close_client_connections(sim, i);
 		if (sim->front_end.lost)
 			sim->front_end.lost(sim->front_end.ctx, i);
 	}
@@ -153,7 +153,7 @@
 {
 	sim->nodes[i].frozen = on;
 }
-void sim_cut(struct sim *sim, int i, int cell)
+void sim_set_partition(struct sim *sim, int i, int cell)
 {
 	sim->nodes[i].partition = cell;
 }
@@ -326,7 +326,7 @@
 		if (at >= 0) {
 			struct sim_event input = { .at = sim->now, .kind = SIM_MSG, .node = at };
 
-			message.fleet_id = sim->nodes[at].controller->identity.fleet;
+			message.fleet_id = sim->nodes[at].controller->identity.fleet_id;
 			input.data_len = nl__msg__get_packed_size(&message);
 			input.data = malloc(input.data_len + 1);
 			nl__msg__pack(&message, input.data);
@@ -367,7 +367,7 @@
 			    sim->nodes[i].router->config.server_table->server_count < servers)
 				return 0;
 			for (uint32_t k = 0; k < sim->nodes[i].router->config.server_table->server_count; k++)
-				if (!sim->nodes[i].router->servers.states[k].is_known)
+				if (!sim->nodes[i].router->servers.states[k].is_described)
 					return 0;
 		}
 	return 1;
--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -67,15 +67,15 @@
 /* A router that has been in touch all the while from some ms before a moment. */
 static int in_touch(const struct sim_forward *forwarding, int node, int64_t from)
 {
-	return forwarding->last_fault_at[node] <= from - forwarding->sim.bounds.contact_ms &&
-	       forwarding->last_core_fault_at <= from - forwarding->sim.bounds.contact_ms;
+	return forwarding->last_fault_at[node] <= from - forwarding->sim.bounds.contact_window_ms &&
+	       forwarding->last_core_fault_at <= from - forwarding->sim.bounds.contact_window_ms;
 }
 
 /* Since when the core counts as settled, as the emulator's checker has it: a majority is up, and nothing has
  * changed for contact_ms. INT64_MAX: it does not. */
 static int64_t core_settled_since(const struct sim_forward *forwarding)
 {
-	int64_t since = forwarding->core_changed_at + forwarding->sim.bounds.contact_ms;
+	int64_t since = forwarding->core_changed_at + forwarding->sim.bounds.contact_window_ms;
 	int up = 0, all = 0;
 
 	for (int n = 0; n < SIM_CONTROLLERS; n++) {
@@ -91,7 +91,8 @@
 	if (!in_touch(forwarding, node, submitted))
 		return 0;
 	for (ptrdiff_t k = arrlen(forwarding->configs) - 1; k > 0; k--)
-		if (forwarding->configs[k].acked_at < submitted - forwarding->sim.bounds.config_ms)
+		if (forwarding->configs[k].acked_at <
+		    submitted - forwarding->sim.bounds.config_propagation_ms)
 			return k;
 	return 0;
 }
@@ -143,7 +144,7 @@
 static void check_loss(struct sim_forward *forwarding, const struct sim_forward_request *request,
 		       const char *how)
 {
-	if (forwarding->planned && request->reached_router && !request->broke &&
+	if (forwarding->is_planned_work_only && request->reached_router && !request->has_broken_send &&
 	    !outlasts_grace(forwarding, request) &&
 	    forwarding->sim.now - request->submitted_at < time_of(forwarding, request) - 20)
 		sim_violation(&forwarding->sim, "LOST: %s %s %lld ms after it was asked", request->id, how,
@@ -168,7 +169,7 @@
 			      tenant, request->key);
 	if (forwarding->key_removed_at[request->key] &&
 	    request->submitted_at - forwarding->key_removed_at[request->key] >
-		forwarding->sim.bounds.revoke_ms)
+		forwarding->sim.bounds.key_revocation_ms)
 		sim_violation(&forwarding->sim, "CONFIG: %s ran with key %d, asked %lld ms after its removal",
 			      request->id, request->key,
 			      (long long)(request->submitted_at - forwarding->key_removed_at[request->key]));
@@ -205,7 +206,8 @@
 
 	/* also a router that is not in touch sends by nothing older than what it goes on */
 	for (ptrdiff_t k = arrlen(forwarding->configs) - 1; k > 0 && !from; k--)
-		if (forwarding->configs[k].acked_at < submitted - forwarding->sim.bounds.revoke_ms - 500)
+		if (forwarding->configs[k].acked_at <
+		    submitted - forwarding->sim.bounds.key_revocation_ms - 500)
 			from = k;
 	if (oldest(forwarding, node, submitted) > from)
 		from = oldest(forwarding, node, submitted);
@@ -228,7 +230,7 @@
 	     walled(forwarding, request->node, request->submitted_at, call->tenant)))
 		sim_violation(&forwarding->sim, "WALL: %s of tenant %d used a part made by tenant %d",
 			      request->id, call->tenant, fw_part->tenant);
-	if (!call->current)
+	if (!call->is_horizon_current)
 		sim_violation(&forwarding->sim,
 			      "COLD: %s used a part though its counter's purge horizon stood still",
 			      request->id);
@@ -268,7 +270,7 @@
 		forwarding->servers[i].is_initialized = 1;
 		forwarding->servers[i].epoch = core_random(&forwarding->rng) | 1;
 		forwarding->servers[i].next_event = 1;
-		forwarding->servers[i].retains = (int)random_below(forwarding, 2);
+		forwarding->servers[i].retains_blocks = (int)random_below(forwarding, 2);
 	}
 	return &forwarding->servers[i];
 }
@@ -300,7 +302,7 @@
 					     forwarding->sim.now + forwarding->event_lag_ms };
 
 	memcpy(e.cache_namespace, p->cache_namespace, sizeof e.cache_namespace);
-	if (chance(forwarding, forwarding->event_loss))
+	if (chance(forwarding, forwarding->event_loss_per_mille))
 		return;
 	arrput(server->events, e);
 	while (arrlen(server->events) > SIM_FORWARD_EVENTS)
@@ -345,7 +347,7 @@
 
 	if (server->weights_of_blocks == now)
 		return;
-	if (server->weights_of_blocks && !server->retains)
+	if (server->weights_of_blocks && !server->retains_blocks)
 		while (arrlen(server->blocks)) {
 			struct sim_forward_block old = arrpop(server->blocks);
 
@@ -368,8 +370,8 @@
 		snprintf(text, sizeof text, "%s's own", request->id);
 	else
 		snprintf(text, sizeof text, "%d.%d.%d.%d", request->route,
-			 forwarding->prefix_of_tenant ? request->tenant : 0, at > 0 ? request->pick / 4 : 0,
-			 at > 1 ? request->pick : 0);
+			 forwarding->has_tenant_prefixes ? request->tenant : 0,
+			 at > 0 ? request->prompt_index / 4 : 0, at > 1 ? request->prompt_index : 0);
 	return core_hash_string(5, text);
 }
 
@@ -404,20 +406,20 @@
 	e.token = call->token;
 	e.end = how;
 	e.status = status;
-	e.has_begun = call->begun || call->joined;
+	e.has_stream_begun = call->begun || call->joined;
 	e.chunks = (uint32_t)call->pieces;
-	snprintf(since, sizeof since, "%d", call->last);
-	e.last_event_id = call->last ? since : NULL;
+	snprintf(since, sizeof since, "%d", call->last_chunk);
+	e.last_event_id = call->last_chunk ? since : NULL;
 	e.slots = call->load.slots;
-	e.running = call->load.running;
-	e.wrong_incarnation = wrong;
+	e.running_requests = call->load.running;
+	e.is_wrong_incarnation = wrong;
 	snprintf(weights, sizeof weights, "%d", call->run_weights);
 	e.weights = call->run_weights ? weights : NULL;
 	memset(&event, 0, sizeof event);
 	event.kind = ROUTER_EVENT_FORWARD_ENDED;
 	event.args.forward_ended = &e;
 	if (how == FORWARD_BROKEN_OFF && call->request >= 0)
-		forwarding->requests[call->request].broke = 1;
+		forwarding->requests[call->request].has_broken_send = 1;
 	forwarding->n_not_run += how == FORWARD_NOT_STARTED;
 	forwarding->n_wrong_incarnation += wrong;
 	sim_router_step(&forwarding->sim, node, &event);
@@ -489,7 +491,7 @@
 
 	if (from < forwarding->sim.now - forwarding->sim.bounds.rollout_ms &&
 	    forwarding->last_fault_at[request->node] <=
-		forwarding->sim.now - forwarding->sim.bounds.contact_ms)
+		forwarding->sim.now - forwarding->sim.bounds.contact_window_ms)
 		sim_violation(
 		    &forwarding->sim,
 		    "VERSION: %s begins on weights %d at %s, %lld ms after newer ones were acknowledged",
@@ -524,13 +526,14 @@
 static void check_arrival(struct sim_forward *forwarding, struct sim_forward_request *request,
 			  struct sim_forward_call *call, const struct sim_instance *instance)
 {
-	int64_t shown = instance->draining ? instance->drained_at + forwarding->sim.instance_list.lag_ms : 0;
+	int64_t shown =
+	    instance->draining ? instance->drained_at + forwarding->sim.instance_list.listing_delay_ms : 0;
 	struct sim_forward_arrival fw_arrival = { forwarding->sim.now, request->arrivals > 0,
 						  instance->service[0] == 'a' };
 
 	mark(forwarding);
 	if (shown && !misdirected(call, instance) &&
-	    forwarding->sim.now - shown > forwarding->sim.bounds.drain_ms &&
+	    forwarding->sim.now - shown > forwarding->sim.bounds.server_drain_ms &&
 	    in_touch(forwarding, call->node, shown))
 		sim_violation(&forwarding->sim, "DRAIN: %s was sent %s, %lld ms after its drain was shown",
 			      instance->name, request->id, (long long)(forwarding->sim.now - shown));
@@ -610,18 +613,18 @@
 			}
 		}
 	}
-	call->fate = chance(forwarding, server->silences)        ? FATE_SILENT
-		     : chance(forwarding, server->errors)        ? FATE_HARD
-		     : chance(forwarding, server->bare_refusals) ? FATE_BARE
-								 : FATE_WELL;
-	call->breaks_at = chance(forwarding, server->breaks_before_head) ? 0
-			  : chance(forwarding, server->breaks)
-			      ? 1 + (int)random_below(forwarding, (uint64_t)request->total_pieces)
+	call->fate = chance(forwarding, server->no_answer_per_mille)          ? FATE_SILENT
+		     : chance(forwarding, server->error_per_mille)            ? FATE_HARD
+		     : chance(forwarding, server->unmarked_refusal_per_mille) ? FATE_BARE
+									      : FATE_WELL;
+	call->breaks_at = chance(forwarding, server->break_before_head_per_mille) ? 0
+			  : chance(forwarding, server->break_per_mille)
+			      ? 1 + (int)random_below(forwarding, (uint64_t)request->chunk_count)
 			      : -1;
-	call->next = call->from;
-	if (call->next && chance(forwarding, server->repeated_pieces))
-		call->next = call->next > 2 ? call->next - 2 : 0;
-	call->pieces_shown = 0;
+	call->next_chunk = call->resume_after_chunk;
+	if (call->next_chunk && chance(forwarding, server->repeated_chunk_per_mille))
+		call->next_chunk = call->next_chunk > 2 ? call->next_chunk - 2 : 0;
+	call->sent_chunk_count = 0;
 	later(forwarding, AT_PIECE, call->node, at, 15 + fetch + read / 20);
 }
 
@@ -653,7 +656,7 @@
 		later(f, AT_NOT_RUN, call->node, at, 1);
 		return;
 	}
-	if (w->running >= call->load.slots || chance(f, w->refusals) ||
+	if (w->running >= call->load.slots || chance(f, w->refusal_per_mille) ||
 	    (v->loading[0] && random_below(f, 2))) {
 		call->status = 503;
 		later(f, AT_NOT_RUN, call->node, at, 1 + w->refusal_delay_ms);
@@ -680,7 +683,8 @@
 		return;
 	}
 	if (call->ended && i >= 0 && i == call->server &&
-	    server_of(forwarding, i)->keeps) /* its caller has left, and it runs all the same */
+	    server_of(forwarding, i)
+		->runs_after_disconnect) /* its caller has left, and it runs all the same */
 		check_version(forwarding, &forwarding->requests[call->request],
 			      forwarding->sim.instance_list.instances[i].service[0] == 'a',
 			      atoi(forwarding->sim.instance_list.instances[i].weights),
@@ -713,7 +717,7 @@
 		return;
 	}
 	if (!forwarding->sim.instance_list.instances[call->server].up ||
-	    call->breaks_at == call->pieces_shown) {
+	    call->breaks_at == call->sent_chunk_count) {
 		ended(forwarding, at, FORWARD_BROKEN_OFF, call->begun ? 200 : 0, 0);
 		return;
 	}
@@ -730,22 +734,22 @@
 		ended(forwarding, at, FORWARD_COMPLETE, 500, 0);
 		return;
 	}
-	if (call->next < request->total_pieces) {
-		call->next++;
-		call->pieces_shown++;
+	if (call->next_chunk < request->chunk_count) {
+		call->next_chunk++;
+		call->sent_chunk_count++;
 		later(forwarding, AT_PIECE, node, at,
-		      8 + (int64_t)random_below(forwarding, 12) + server->extra_piece_ms);
-		if (call->stream && call->joined && call->next <= call->last)
+		      8 + (int64_t)random_below(forwarding, 12) + server->extra_chunk_interval_ms);
+		if (call->stream && call->joined && call->next_chunk <= call->last_chunk)
 			return; /* the caller has it */
 		if (!call->begun && !call->joined && request->has_head)
 			sim_violation(&forwarding->sim, "ORDER: %s has a second head", request->id);
-		if (request->token && call->next != request->last_piece + 1)
+		if (request->token && call->next_chunk != request->last_chunk + 1)
 			sim_violation(&forwarding->sim, "ORDER: %s hears piece %d after %d", request->id,
-				      call->next, request->last_piece);
+				      call->next_chunk, request->last_chunk);
 		request->has_head = 1;
-		request->last_piece = call->next;
+		request->last_chunk = call->next_chunk;
 		if (call->stream) {
-			call->last = call->next;
+			call->last_chunk = call->next_chunk;
 			call->pieces++;
 		}
 		call->begun = 1;
@@ -753,7 +757,7 @@
 			return;
 		call->began_reported = 1;
 		memset(&ev, 0, sizeof ev);
-		ev.kind = ROUTER_EVENT_FORWARD_BEGAN;
+		ev.kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN;
 		ev.args.forward_began.token = call->token;
 		{
 			char weights[24];
@@ -764,9 +768,9 @@
 		}
 		return;
 	}
-	if (request->token && request->last_piece != request->total_pieces)
+	if (request->token && request->last_chunk != request->chunk_count)
 		sim_violation(&forwarding->sim, "ORDER: %s ends as whole after piece %d of %d", request->id,
-			      request->last_piece, request->total_pieces);
+			      request->last_chunk, request->chunk_count);
 	told(forwarding, request, SIM_FORWARD_COMPLETE, 200);
 	ended(forwarding, at, FORWARD_COMPLETE, 200, 0);
 }
@@ -795,20 +799,20 @@
 	call.offload_addr = forward->offload_target;
 	call.joined = forward->headers_sent;
 	call.stream = forward->is_stream && (!request || request->route != SIM_FORWARD_IDEM);
-	call.repeatable = forward->idempotent;
-	call.last = call.from = forward->resume_after ? atoi(forward->resume_after) : 0;
+	call.repeatable = forward->is_idempotent;
+	call.last_chunk = call.resume_after_chunk = forward->resume_after ? atoi(forward->resume_after) : 0;
 	call.not_after_ms = forward->not_after_ms;
 	call.limit_ms = forward->server_timeout_ms;
 	call.priority = forward->priority;
 	call.sent_at = forwarding->sim.now;
-	call.current =
-	    relay_is_current(&forwarding->sim.nodes[node].router->relay, sim_local(&forwarding->sim, node));
+	call.is_horizon_current = relay_is_current(&forwarding->sim.nodes[node].router->relay,
+						   sim_local_clock(&forwarding->sim, node));
 	call.horizon = forwarding->sim.nodes[node].router->relay.knowledge.horizon;
 	call.request = request ? (int)(request - forwarding->requests) : -1;
 	forwarding->n_forward++;
 	forwarding->n_resumed += forward->headers_sent;
 	forwarding->n_cold_namespaces += !strncmp(call.cache_namespace, "cold-", 5);
-	if (!call.current && strncmp(call.cache_namespace, "cold-", 5))
+	if (!call.is_horizon_current && strncmp(call.cache_namespace, "cold-", 5))
 		sim_violation(&forwarding->sim,
 			      "COLD: a send from a counter whose purge horizon stands still has shelf %s",
 			      call.cache_namespace);
@@ -832,7 +836,7 @@
 		return;
 	if (forwarding->sim.nodes[call->node].frozen)
 		later(forwarding, AT_CONNECT, call->node, at, 20);
-	else if (sim_local(&forwarding->sim, call->node) > call->not_after_ms || i < 0)
+	else if (sim_local_clock(&forwarding->sim, call->node) > call->not_after_ms || i < 0)
 		later(forwarding, AT_NOT_RUN, call->node, at, i < 0 && random_below(forwarding, 2) ? 300 : 1);
 	else
 		later(forwarding, AT_ARRIVE, call->node, at, 1 + (int64_t)random_below(forwarding, 3));
@@ -843,12 +847,12 @@
 	struct sim_forward_call call;
 
 	memset(&call, 0, sizeof call);
-	call.watch = 1;
+	call.is_watch = 1;
 	call.token = command->args.watch_cache.token;
 	call.node = node;
 	call.incarnation = forwarding->sim.nodes[node].incarnation;
 	call.addr = command->args.watch_cache.addr;
-	call.since = command->args.watch_cache.since;
+	call.since = command->args.watch_cache.first_offset;
 	snprintf(call.name, sizeof call.name, "%s", command->args.watch_cache.server);
 	call.wait_until = forwarding->sim.now + command->args.watch_cache.wait_ms;
 	forwarding->n_watches++;
@@ -941,7 +945,7 @@
 			sim_violation(&f->sim, "REFUSED: %s has run, and was told %d: %s", r->id, status,
 				      k->args.answer.body);
 		for (ptrdiff_t i = arrlen(f->calls) - 1; i >= 0 && r->promised_not_run; i--)
-			if (!f->calls[i].watch && f->calls[i].request == r - f->requests &&
+			if (!f->calls[i].is_watch && f->calls[i].request == r - f->requests &&
 			    !f->calls[i].ended)
 				sim_violation(&f->sim,
 					      "REFUSED: %s was told %d while a send of it was under way",
@@ -950,7 +954,7 @@
 	if (status == 502 || status == 504)
 		check_loss(f, r, "was given up");
 	f->n_refused++;
-	r->retry_ms = k->args.answer.retry_ms;
+	r->retry_ms = k->args.answer.retry_after_ms;
 	if ((status == 503 || status == 429) && r->retry_ms < 1 && !r->runs)
 		sim_violation(&f->sim, "RETRY: %s was told %d without when to come back", r->id, status);
 	told(f, r, SIM_FORWARD_ANSWERED, status);
@@ -1028,18 +1032,18 @@
 	request.key = key;
 	request.tenant = key / 2;
 	request.node = node;
-	request.pick = pick;
+	request.prompt_index = pick;
 	request.attempts = tries;
 	request.incarnation = forwarding->sim.nodes[node].incarnation;
 	request.token = request.first_token = ++forwarding->sim.token;
 	request.submitted_at = forwarding->sim.now;
-	request.deadline_at = forwarding->sim.now + forwarding->limit_ms;
-	request.total_pieces = 2 + (int)(core_hash_string(1, request.id) % 6);
+	request.deadline_at = forwarding->sim.now + forwarding->request_timeout_ms;
+	request.chunk_count = 2 + (int)(core_hash_string(1, request.id) % 6);
 	arrput(forwarding->requests, request);
 	input.token = (uint64_t)arrlen(forwarding->requests) - 1;
 	input.status = 1;
 	sim_push(&forwarding->sim, input);
-	later(forwarding, AT_DEADLINE, node, input.token, forwarding->limit_ms + 300);
+	later(forwarding, AT_DEADLINE, node, input.token, forwarding->request_timeout_ms + 300);
 	for (int k = 0; k < 2; k++)
 		if (leads_to(&arrlast(forwarding->configs), route, k))
 			arrput(forwarding->submitted,
@@ -1061,7 +1065,7 @@
 			    forwarding,
 			    SIM_CONTROLLERS +
 				(int)random_below(forwarding, (uint64_t)forwarding->router_count),
-			    request->route, request->key, request->pick, request->attempts + 1);
+			    request->route, request->key, request->prompt_index, request->attempts + 1);
 		return;
 	}
 	if (!request->token)
@@ -1084,10 +1088,10 @@
 	snprintf(path, sizeof path, "%sx?q=1", paths[request->route]);
 	query.path = path;
 	memcpy(id, request->id, sizeof id);
-	query.id = id;
-	query.limit_ms = (int)(request->deadline_at - forwarding->sim.now);
+	query.request_id = id;
+	query.timeout_ms = (int)(request->deadline_at - forwarding->sim.now);
 	query.input_tokens = 2000;
-	query.output_tokens = 100;
+	query.max_output_tokens = 100;
 	query.block_count = SIM_FORWARD_BLOCKS;
 	for (int k = 0; k < SIM_FORWARD_BLOCKS; k++)
 		query.blocks[k] =
@@ -1155,7 +1159,8 @@
 		up |= (unsigned)(forwarding->sim.nodes[n].used && forwarding->sim.nodes[n].up &&
 				 !forwarding->sim.nodes[n].frozen && !forwarding->sim.nodes[n].partition)
 		      << n;
-	if (up != forwarding->core_up || forwarding->sim.now < forwarding->sim.instance_list.away_until ||
+	if (up != forwarding->core_up ||
+	    forwarding->sim.now < forwarding->sim.instance_list.unavailable_until ||
 	    forwarding->sim.loss_per_mille || forwarding->sim.undelivered_bodies)
 		forwarding->core_changed_at = forwarding->sim.now;
 	forwarding->core_up = up;
@@ -1172,7 +1177,7 @@
 		    (!forwarding->sim.nodes[n].up || forwarding->sim.nodes[n].frozen ||
 		     forwarding->sim.nodes[n].partition))
 			core = 1;
-	if (core || forwarding->sim.now < forwarding->sim.instance_list.away_until ||
+	if (core || forwarding->sim.now < forwarding->sim.instance_list.unavailable_until ||
 	    forwarding->sim.loss_per_mille || forwarding->sim.undelivered_bodies)
 		forwarding->last_core_fault_at = forwarding->sim.now;
 	if (sim_leader(&forwarding->sim, SHARD_CONTROL) >= 0 &&
@@ -1413,12 +1418,12 @@
 
 void sim_forward_stop(struct sim_forward *forwarding, int node, int grace_ms)
 {
-	struct router_event input = { .kind = ROUTER_EVENT_STOP };
+	struct router_event input = { .kind = ROUTER_EVENT_SHUTDOWN };
 
 	forwarding->stops_at[node] = forwarding->sim.now + grace_ms;
 	forwarding->grace_ms[node] = grace_ms;
-	input.args.shutdown.send_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms / 2;
-	input.args.shutdown.run_deadline_at_ms = sim_local(&forwarding->sim, node) + grace_ms - 300;
+	input.args.shutdown.send_deadline_at_ms = sim_local_clock(&forwarding->sim, node) + grace_ms / 2;
+	input.args.shutdown.end_deadline_at_ms = sim_local_clock(&forwarding->sim, node) + grace_ms - 300;
 	sim_router_step(&forwarding->sim, node, &input);
 }
 
@@ -1488,9 +1493,9 @@
 	for (int n = SIM_CONTROLLERS; n < SIM_CONTROLLERS + forwarding->router_count; n++) {
 		struct router *c = sim->nodes[n].router;
 
-		if (!c || !router_ready(c, sim_local(sim, n)) ||
-		    c->config.serving_servers < (uint32_t)forwarding->server_count ||
-		    !relay_is_current(&c->relay, sim_local(sim, n)))
+		if (!c || !router_ready(c, sim_local_clock(sim, n)) ||
+		    c->config.serving_server_count < (uint32_t)forwarding->server_count ||
+		    !relay_is_current(&c->relay, sim_local_clock(sim, n)))
 			return 0;
 	}
 	return 1;
@@ -1506,15 +1511,15 @@
 	memset(forwarding, 0, sizeof *forwarding);
 	sim_open(&forwarding->sim, seed);
 	forwarding->sim.front_end = (struct sim_front_end){ forwarding, perform, event, lost };
-	forwarding->sim.bounds.discover_instances = 1;
-	forwarding->sim.bounds.list_calls_millihertz = 47000;
+	forwarding->sim.bounds.use_endpoint_list = 1;
+	forwarding->sim.bounds.endpoint_list_calls_millihertz = 47000;
 	forwarding->sim.bounds.rollout_ms = 15000;
 	forwarding->sim.instance_list.load_ms = 1100;
 	forwarding->rng = seed * 31337 + 5;
 	forwarding->controller_count = controllers;
 	forwarding->router_count = routers;
 	forwarding->server_count = servers;
-	forwarding->limit_ms = 6000;
+	forwarding->request_timeout_ms = 6000;
 	forwarding->event_lag_ms = 60;
 	forwarding->capacity_blocks = 60;
 	forwarding->offload_store.is_initialized = 1;
--- a/tests/sim_forward.h
+++ b/tests/sim_forward.h
@@ -70,19 +70,20 @@
 	struct sim_forward_cache_event *events; /* stb_ds, the newest SIM_FORWARD_EVENTS cache events */
 	uint64_t next_event;
 	uint64_t epoch;
-	int refusals;           /* rate: answers 503 with the mark that the request was not executed */
-	int silences;           /* rate: begins a request and never answers it */
-	int extra_piece_ms;     /* added to the interval between two chunks */
-	int errors;             /* rate: answers 500 */
-	int breaks;             /* rate: breaks off the answer after one or more chunks */
-	int breaks_before_head; /* rate: closes the connection before the response headers */
-	int repeated_pieces;    /* rate: a resumed stream repeats up to two chunks */
-	int bare_refusals;      /* rate: answers 503 without the mark that the request was not executed */
-	int refusal_delay_ms;   /* delay before a refusal is answered */
-	int queue_ms;           /* time that a request waits in the server's queue before it begins */
-	int keeps;              /* 1: continues a request whose connection was closed */
-	int retains;            /* 1: retains its cached blocks when it loads weights */
-	int weights_of_blocks;  /* weights at the last check for blocks to drop after a load */
+	int refusal_per_mille;       /* rate: answers 503 with the mark that the request was not executed */
+	int no_answer_per_mille;     /* rate: begins a request and never answers it */
+	int extra_chunk_interval_ms; /* added to the interval between two chunks */
+	int error_per_mille;         /* rate: answers 500 */
+	int break_per_mille;         /* rate: breaks off the answer after one or more chunks */
+	int break_before_head_per_mille; /* rate: closes the connection before the response headers */
+	int repeated_chunk_per_mille;    /* rate: a resumed stream repeats up to two chunks */
+	int unmarked_refusal_per_mille;  /* rate: answers 503 without the mark that the request was not
+					    executed */
+	int refusal_delay_ms;            /* delay before a refusal is answered */
+	int queue_ms;              /* time that a request waits in the server's queue before it begins */
+	int runs_after_disconnect; /* 1: continues a request whose connection was closed */
+	int retains_blocks;        /* 1: retains its cached blocks when it loads weights */
+	int weights_of_blocks;     /* weights at the last check for blocks to drop after a load */
 };
 
 /* Outcome of a request as its client saw it. */
@@ -95,7 +96,7 @@
 	int key;
 	int node; /* number of the router's node */
 	int attempts;
-	int pick;             /* selects one of the prompts of its route */
+	int prompt_index;     /* selects one of the prompts of its route */
 	uint64_t incarnation; /* incarnation of the router */
 	uint64_t token;       /* identifies the request at its router; 0 after its end */
 	uint64_t first_token; /* the value of token, kept after the request's end */
@@ -105,16 +106,16 @@
 	int64_t sent_at;
 	int arrivals;   /* sends that reached a server */
 	int runs;       /* executions that began at a server */
-	int last_piece; /* number of the last chunk that its client has received */
+	int last_chunk; /* number of the last chunk that its client has received */
 	int has_head;
-	int total_pieces;
+	int chunk_count;
 	int outcome;
 	int status;
 	int retry_ms;
 	int promised_not_run; /* 1: the client's answer states that no server has executed the request */
 	int resends;
 	int reached_router;
-	int broke; /* 1: a server broke off one of its sends */
+	int has_broken_send; /* 1: a server broke off one of its sends */
 	uint32_t priority;
 };
 
@@ -124,8 +125,8 @@
 	uint64_t caller;
 	uint64_t incarnation;
 	int node;
-	int request; /* index in `requests`; -1: it belongs to no request */
-	int watch;   /* 1: a watch of cache events, 0: a send of a request */
+	int request;  /* index in `requests`; -1: it belongs to no request */
+	int is_watch; /* 1: a watch of cache events, 0: a send of a request */
 	int server;
 	int ended;
 	int at_server;
@@ -136,12 +137,12 @@
 	int joined; /* 1: the client already has the response headers; the send resumes its stream */
 	int stream;
 	int repeatable;
-	int last; /* number of the last chunk that the client has received */
-	int from; /* number of the chunk after which this send's answer begins */
-	int next;
+	int last_chunk;         /* number of the last chunk that the client has received */
+	int resume_after_chunk; /* number of the chunk after which this send's answer begins */
+	int next_chunk;
 	int breaks_at; /* number of chunks after which the server breaks off; -1: it does not */
 	int fate;
-	int pieces_shown; /* chunks that the server has sent for it */
+	int sent_chunk_count; /* chunks that the server has sent for it */
 	int64_t not_after_ms;
 	int64_t sent_at;
 	int64_t wait_until;
@@ -159,7 +160,7 @@
 	int status;
 	int limit_ms;
 	int priority;
-	int current; /* 1: when it was sent, its router's purge horizon was still advancing */
+	int is_horizon_current; /* 1: when it was sent, its router's purge horizon was still advancing */
 	int run_weights;
 	struct {
 		int running;
@@ -204,13 +205,13 @@
 	int router_count;
 	int server_count;
 	int request_interval_ms;     /* between two submissions; 0: only the test submits requests */
-	int limit_ms;                /* time limit of each request */
+	int request_timeout_ms;      /* time limit of each request */
 	int event_lag_ms;            /* delay of cache events */
-	int event_loss;              /* per mille of cache events that are lost */
-	int planned;                 /* 1: the test does planned work only, so that no request may be lost */
+	int event_loss_per_mille;    /* per mille of cache events that are lost */
+	int is_planned_work_only;    /* 1: the test does planned work only, so that no request may be lost */
 	int64_t stops_at[SIM_NODES]; /* time at which a stopping router has to end; 0: it is not stopping */
 	int grace_ms[SIM_NODES];     /* grace period of each stopping router */
-	int prefix_of_tenant;        /* 1: tenants' prompts share no blocks; 0: all tenants' prompts do */
+	int has_tenant_prefixes;     /* 1: tenants' prompts share no blocks; 0: all tenants' prompts do */
 	int capacity_blocks;         /* capacity of a server's cache */
 	uint64_t n_forward;
 	uint64_t n_run;
--- a/tests/sim_instances.c
+++ b/tests/sim_instances.c
@@ -86,7 +86,7 @@
 				   .token = token,
 				   .status = 1 };
 	int64_t *ring = sim->instance_list.calls;
-	int many = 3 * sim->bounds.list_calls_millihertz / 3000 + 3;
+	int many = 3 * sim->bounds.endpoint_list_calls_millihertz / 3000 + 3;
 
 	if (sim->instance_list.n_list >= (uint64_t)many && many < 64 &&
 	    sim->now - ring[(sim->instance_list.n_list - (uint64_t)many) % 64] < 2900)
@@ -94,12 +94,12 @@
 		    sim, "%d calls to the list in %lld ms", many,
 		    (long long)(sim->now - ring[(sim->instance_list.n_list - (uint64_t)many) % 64]));
 	ring[sim->instance_list.n_list++ % 64] = sim->now;
-	if (node->partition || sim->now < sim->instance_list.away_until ||
-	    sim_random_below(sim, 1000) < (uint64_t)sim->instance_list.refuse) {
+	if (node->partition || sim->now < sim->instance_list.unavailable_until ||
+	    sim_random_below(sim, 1000) < (uint64_t)sim->instance_list.refusal_per_mille) {
 		input.status = 0;
 		input.at += node->partition ? 1000 : 0;
 	}
-	list_pack(sim, sim->now - sim->instance_list.lag_ms, &input);
+	list_pack(sim, sim->now - sim->instance_list.listing_delay_ms, &input);
 	sim_push_event(sim, input);
 }
 
@@ -168,7 +168,7 @@
 	return n;
 }
 
-int sim_order_arrives(struct sim *sim, const struct sim_load_command *order)
+int sim_load_command_arrives(struct sim *sim, const struct sim_load_command *order)
 {
 	struct sim_instance *instance = instance_at(sim, order->addr);
 	struct sim_event input = { .kind = SIM_LOAD_END };
@@ -180,7 +180,7 @@
 	if (strcmp(instance->name, order->server))
 		return 421;
 	if (instance->last_command_at && strcmp(instance->holder, order->holder) &&
-	    sim->now - instance->last_command_at < sim->bounds.lease_ms)
+	    sim->now - instance->last_command_at < sim->bounds.load_lease_wait_ms)
 		sim_violation(sim, "server %s had orders of two holders %lld ms apart", instance->name,
 			      (long long)(sim->now - instance->last_command_at));
 	instance->last_command_at = sim->now;
@@ -194,7 +194,7 @@
 	snprintf(instance->holder, sizeof instance->holder, "%s", order->holder);
 	if (!strcmp(instance->weights, order->weights))
 		return 200;
-	if (instance->refuses)
+	if (instance->refuses_loads)
 		return 503;
 	if (instance->loading[0]) {
 		sim->instance_list.n_busy++;
@@ -208,12 +208,13 @@
 	snprintf(instance->loading, sizeof instance->loading, "%s", order->weights);
 	sim->instance_list.n_load++;
 	n = loading_now(sim);
-	if (n > sim->instance_list.most_loads)
-		sim->instance_list.most_loads = n;
+	if (n > sim->instance_list.peak_loads)
+		sim->instance_list.peak_loads = n;
 	input.at = instance->load_done_at =
-	    sim->now + sim->instance_list.load_ms *
-			   (n > sim->instance_list.at_once ? n : sim->instance_list.at_once) /
-			   sim->instance_list.at_once;
+	    sim->now +
+	    sim->instance_list.load_ms *
+		(n > sim->instance_list.full_speed_loads ? n : sim->instance_list.full_speed_loads) /
+		sim->instance_list.full_speed_loads;
 	input.server = (int)(instance - sim->instance_list.instances);
 	sim_push_event(sim, input);
 	return 202;
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -38,7 +38,7 @@
 
 /* Check router `i`, which has sent a request: it must have every configuration revision that was acknowledged
  * two seconds before or earlier, however old it takes its own configuration to be. */
-void sim_check_in_force(struct sim *sim, int i);
+void sim_check_router_config(struct sim *sim, int i);
 
 /* Check all invariants of node `i`; called after each event at that node. */
 void sim_check_node(struct sim *sim, int i);
@@ -57,7 +57,8 @@
 /* The submission of a request id, at one incarnation of a router, to which a send belongs: one that was not
  * refused, if there is any. *n: the number of submissions that were not refused; a send does not identify its
  * submission when there are two or more. */
-struct sim_submission *sim_asking_of(struct sim *sim, const char *id, int node, uint64_t incarnation, int *n);
+struct sim_submission *sim_submission_of_send(struct sim *sim, const char *id, int node, uint64_t incarnation,
+					      int *n);
 
 /* A client receives a complete answer that is not streamed. */
 void sim_receive_answer(struct sim *sim, uint64_t token, int status, int retry_ms, const char *body);
@@ -65,10 +66,10 @@
 /* A client receives a chunk of its stream, or with `end` the end of the stream; `ok`: the stream was
  * complete.
  */
-void sim_receive_piece(struct sim *sim, uint64_t token, const char *body, size_t len, int end, int ok);
+void sim_receive_chunk(struct sim *sim, uint64_t token, const char *body, size_t len, int end, int ok);
 
 /* Close all clients' connections to a router that has crashed or ended. */
-void sim_lose_clients(struct sim *sim, int node);
+void sim_close_client_connections(struct sim *sim, int node);
 
 /* ---- sim_servers.c ---- */
 
@@ -79,7 +80,7 @@
 void sim_server_report(struct sim_server *server, char **body);
 
 /* A server receives a command: a load command, or a list of cached blocks to drop. */
-void sim_server_order(struct sim *sim, struct sim_server *server, const char *body);
+void sim_server_receive_command(struct sim *sim, struct sim_server *server, const char *body);
 
 /* Notify a router that its call to a server ended early; `never`: 1 if the server certainly did not begin to
  * execute it. */
@@ -89,7 +90,7 @@
 void sim_run_arrives(struct sim *sim, const struct sim_event *input);
 
 /* End the execution of a request, and free its slot at the server. */
-void sim_run_over(struct sim *sim, struct sim_run *run);
+void sim_run_ends(struct sim *sim, struct sim_run *run);
 
 /* A server sends the next chunk of a request's answer. */
 void sim_run_streams(struct sim *sim, const struct sim_event *input);
@@ -107,7 +108,7 @@
 void sim_instance_command(struct sim *sim, int i, const struct command *command);
 
 /* A server in the endpoint list receives a load command; returns the HTTP status of its answer. */
-int sim_order_arrives(struct sim *sim, const struct sim_load_command *order);
+int sim_load_command_arrives(struct sim *sim, const struct sim_load_command *order);
 
 /* A server in the endpoint list has finished loading weights. */
 void sim_load_ends(struct sim *sim, const struct sim_event *input);
--- a/tests/sim_requests.c
+++ b/tests/sim_requests.c
@@ -52,7 +52,8 @@
 	s->n_unknown += how >= SIM_UNKNOWN;
 }
 
-struct sim_submission *sim_asking_of(struct sim *sim, const char *id, int node, uint64_t incarnation, int *n)
+struct sim_submission *sim_submission_of_send(struct sim *sim, const char *id, int node, uint64_t incarnation,
+					      int *n)
 {
 	struct sim_submission *best = NULL;
 
@@ -90,7 +91,7 @@
 	if (!request)
 		return;
 	request->retry_ms = retry_ms;
-	if (request->next)
+	if (request->next_chunk)
 		sim_violation(sim, "%s was answered %d in the middle of its stream", request->id, status);
 	sim_end_request(sim, request,
 			strstr(body, "\"refused\"")   ? SIM_REFUSED
@@ -98,7 +99,7 @@
 						      : SIM_UNKNOWN);
 }
 
-void sim_receive_piece(struct sim *sim, uint64_t token, const char *body, size_t len, int end, int ok)
+void sim_receive_chunk(struct sim *sim, uint64_t token, const char *body, size_t len, int end, int ok)
 {
 	struct sim_request *request = sim_request_with_token(sim, token);
 	struct json_object *json, *v;
@@ -121,16 +122,17 @@
 	} else if (end) {
 		int n = json_object_object_get_ex(json, "pieces", &v) ? json_object_get_int(v) : -1;
 
-		if (n != request->next || n != 3 + (int)(core_hash_string(1, request->id) % 4))
-			sim_violation(sim, "%s was told whole after %d pieces", request->id, request->next);
+		if (n != request->next_chunk || n != 3 + (int)(core_hash_string(1, request->id) % 4))
+			sim_violation(sim, "%s was told whole after %d pieces", request->id,
+				      request->next_chunk);
 		sim_end_request(sim, request, SIM_COMPLETE);
 	} else {
-		snprintf(expected, sizeof expected, "%s#%d", request->id, request->next);
+		snprintf(expected, sizeof expected, "%s#%d", request->id, request->next_chunk);
 		if (!json_object_object_get_ex(json, "text", &v) ||
 		    strcmp(json_object_get_string(v), expected))
 			sim_violation(sim, "%s heard another piece than %s", request->id, expected);
-		if (!request->next++)
-			request->first_piece_at = sim->now;
+		if (!request->next_chunk++)
+			request->first_chunk_at = sim->now;
 	}
 	json_object_put(json);
 	free(text);
@@ -155,13 +157,13 @@
 	}
 	x->tenant = tenant;
 	x->route = route;
-	x->pick = pick;
+	x->prompt_index = pick;
 	x->node = node;
-	x->next = 0;
+	x->next_chunk = 0;
 	x->outcome = SIM_OPEN;
 	x->token = input.token;
 	x->submissions++;
-	x->tries = 0; /* a caller's own asking anew is no resend */
+	x->send_count = 0; /* a caller's own asking anew is no resend */
 	x->submitted_at = sim->now;
 	memset(&sim_asking, 0, sizeof sim_asking);
 	snprintf(sim_asking.id, sizeof sim_asking.id, "%s", id);
@@ -196,7 +198,7 @@
 {
 	return sim_request_with_id(sim, id) && sim_request_with_id(sim, id)->token;
 }
-void sim_forget(struct sim *sim, const char *id)
+void sim_abandon_request(struct sim *sim, const char *id)
 {
 	sim_end_request(sim, sim_request_with_id(sim, id), SIM_LOST);
 }
@@ -220,7 +222,7 @@
 	sim_push_event(sim, input);
 }
 
-void sim_lose_clients(struct sim *sim, int node)
+void sim_close_client_connections(struct sim *sim, int node)
 {
 	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
 		if (sim->requests[i].token && sim->requests[i].node == node)
