--- a/tests/sim_servers.c
+++ b/tests/sim_servers.c
@@ -20,21 +20,21 @@
 {
 	size_t n = 256 + 200 * (size_t)arrlen(server->blocks), k;
 
-	if (server->odd_report) {
+	if (server->report_fault) {
 		*body = malloc(200000);
 		k = (size_t)sprintf(*body,
-				    server->odd_report == 1 ? "{\"weights\":\"w1"
-				    : server->odd_report == 2
+				    server->report_fault == 1 ? "{\"weights\":\"w1"
+				    : server->report_fault == 2
 					? "[1,2]"
 					: "{\"weights\":\"w1\",\"loading\":\"\",\"slots\":%s,\"parts\":[",
-				    server->odd_report == 3 ? "99999999" : "8");
+				    server->report_fault == 3 ? "99999999" : "8");
 		server->serial++;
-		for (int i = 0; i < 1000 && server->odd_report > 2; i++)
+		for (int i = 0; i < 1000 && server->report_fault > 2; i++)
 			k += (size_t)sprintf(
 			    *body + k,
 			    "%s{\"h\":\"%x\",\"w\":\"odd-%d-%d\",\"m\":\"nobody-%d-%d\",\"t\":1,\"n\":1}",
 			    i ? "," : "", i, i, server->serial, i, server->serial);
-		if (server->odd_report > 2)
+		if (server->report_fault > 2)
 			sprintf(*body + k, "]}");
 		return;
 	}
@@ -51,7 +51,7 @@
 	snprintf(*body + k, n - k, "]}");
 }
 
-void sim_server_order(struct sim *sim, struct sim_server *server, const char *body)
+void sim_server_receive_command(struct sim *sim, struct sim_server *server, const char *body)
 {
 	struct json_object *j = json_tokener_parse(body), *x, *json;
 	uint64_t fence = 0, rollout = 0;
@@ -84,7 +84,7 @@
 		server->load_done_at = input.at;
 		sim_push_event(sim, input);
 	}
-	if (!server->hoard && json_object_object_get_ex(j, "drop", &json))
+	if (!server->ignores_drops && json_object_object_get_ex(j, "drop", &json))
 		for (size_t i = 0; i < json_object_array_length(json); i++) {
 			struct json_object *k = json_object_array_get_idx(json, i), *h, *m;
 
@@ -227,12 +227,12 @@
 
 		if (!cached)
 			break;
-		takes += cached->tokens * 400 / 100000.0 * (from->slow_link ? from->slow_link : 1);
+		takes += cached->tokens * 400 / 100000.0 * (from->fetch_slowdown ? from->fetch_slowdown : 1);
 		got[n++] = *cached;
 	}
-	if (!from || from->hang || takes > wait) {
+	if (!from || from->hangs_fetches || takes > wait) {
 		*ms = wait;
-		sim->n_vain++;
+		sim->n_failed_fetches++;
 		return have;
 	}
 	*ms = (int)takes;
@@ -278,8 +278,8 @@
 		     sim->nodes[run->node].incarnation == run->incarnation && sim->nodes[run->node].up &&
 		     !sim->nodes[run->node].frozen;
 	}
-	if (n > sim->most_runs[tenant])
-		sim->most_runs[tenant] = n;
+	if (n > sim->peak_running[tenant])
+		sim->peak_running[tenant] = n;
 	if (sim->tenant_limits[tenant] && n > sim->tenant_limits[tenant])
 		sim_violation(sim, "tenant t%d has %d runs at once under a limit of %d", tenant, n,
 			      sim->tenant_limits[tenant]);
@@ -301,7 +301,7 @@
 		return;
 	}
 	if (sim->nodes[input->node].incarnation == input->incarnation)
-		sim_check_in_force(sim, input->node);
+		sim_check_router_config(sim, input->node);
 	j = json_tokener_parse((char *)input->data);
 	json_object_object_get_ex(j, "id", &x);
 	id = json_object_get_string(x);
@@ -309,21 +309,21 @@
 	tenant = json_object_get_string(x);
 	request = sim_request_with_id(sim, id);
 	sim->n_sends++;
-	arrput(sim->sends, ((typeof(*sim->sends)){ sim->now, request->tries > 0 }));
-	sim->n_firsts += request->tries++ == 0;
-	if (server->departed && sim->now - server->departed > 3000)
+	arrput(sim->sends, ((typeof(*sim->sends)){ sim->now, request->send_count > 0 }));
+	sim->n_first_sends += request->send_count++ == 0;
+	if (server->drain_acked_at && sim->now - server->drain_acked_at > 3000)
 		sim_violation(sim, "%s was sent %s, %lld ms after its drain was acknowledged", server->name,
-			      id, (long long)(sim->now - server->departed));
+			      id, (long long)(sim->now - server->drain_acked_at));
 	json_object_object_get_ex(j, "weights", &x);
-	if (server->running >= 8 || server->refuse || server->loading[0] ||
+	if (server->running >= 8 || server->refuses_requests || server->loading[0] ||
 	    strcmp(json_object_get_string(x), server->weights)) {
 		sim_break_off(sim, input->node, input->incarnation, input->token, 503, 1);
 		json_object_put(j);
 		return;
 	}
-	if (request->began++)
+	if (request->execution_count++)
 		sim_violation(sim, "%s ran twice", id);
-	sim_asking = sim_asking_of(sim, id, input->node, input->incarnation, &askings);
+	sim_asking = sim_submission_of_send(sim, id, input->node, input->incarnation, &askings);
 	if (!sim_asking)
 		sim_violation(sim, "%s ran for a counter where nobody asked it", id);
 	else if (sim_asking->refused_at)
@@ -340,7 +340,7 @@
 	run.server = input->server;
 	run.submission = sim_asking && askings == 1 ? sim_asking->token : 0;
 	run.began_at = (uint64_t)server->load_done_at;
-	run.pieces = 3 + (int)(core_hash_string(1, id) % 4);
+	run.chunk_count = 3 + (int)(core_hash_string(1, id) % 4);
 	snprintf(run.id, sizeof run.id, "%s", id);
 	json_object_object_get_ex(j, "x", &x);
 	snprintf(run.request_id, sizeof run.request_id, "%s", json_object_get_string(x));
@@ -366,7 +366,7 @@
 		sim->n_tokens += (uint64_t)tokens;
 		if (i < have)
 			continue;
-		sim->n_fresh += (uint64_t)tokens;
+		sim->n_prefilled_tokens += (uint64_t)tokens;
 		fresh += tokens;
 		memset(&cached, 0, sizeof cached);
 		cached.hash = strtoull(json_object_get_string(json), NULL, 16);
@@ -388,7 +388,7 @@
 		  sim->now + 20 + fresh * sim->prefill_ms_per_token + (run.fetch_ms > 0 ? run.fetch_ms : 0));
 }
 
-void sim_run_over(struct sim *sim, struct sim_run *run)
+void sim_run_ends(struct sim *sim, struct sim_run *run)
 {
 	run->ended = 1;
 	sim->servers[run->server].running--;
@@ -404,12 +404,12 @@
 	if (run->ended)
 		return;
 	if (!sim->servers[run->server].up) {
-		sim_run_over(sim, run);
+		sim_run_ends(sim, run);
 		sim_break_off(sim, run->node, run->incarnation, run->token, 0, 0);
 		return;
 	}
 	if (!node->up || node->incarnation != run->incarnation) {
-		sim_run_over(sim, run);
+		sim_run_ends(sim, run);
 		return;
 	}
 	if (node->frozen) {
@@ -420,32 +420,32 @@
 	ev.kind = ROUTER_EVENT_STREAM_CHUNK;
 	ev.args.stream_chunk.token = run->token;
 	ev.args.stream_chunk.text = line;
-	if (run->next < run->pieces)
+	if (run->next_chunk < run->chunk_count)
 		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"t\":\"%s#%d\"}", run->request_id,
-			 run->next, run->id, run->next);
+			 run->next_chunk, run->id, run->next_chunk);
 	else if (run->fetch_ms >= 0)
 		snprintf(line, sizeof line,
 			 "{\"x\":\"%s\",\"n\":%d,\"end\":true,\"fetch_ms\":%d,\"fetched\":%d}",
-			 run->request_id, run->next, run->fetch_ms, run->fetched);
+			 run->request_id, run->next_chunk, run->fetch_ms, run->fetched);
 	else
 		snprintf(line, sizeof line, "{\"x\":\"%s\",\"n\":%d,\"end\":true}", run->request_id,
-			 run->next);
-	if (sim->servers[run->server].bad == 1 && run->next == 1)
+			 run->next_chunk);
+	if (sim->servers[run->server].stream_fault == 1 && run->next_chunk == 1)
 		line[6] = line[6] == '0' ? '1' : '0';
-	if (sim->servers[run->server].bad == 3 && run->next == 2) {
-		sim_run_over(sim, run);
+	if (sim->servers[run->server].stream_fault == 3 && run->next_chunk == 2) {
+		sim_run_ends(sim, run);
 		sim_break_off(sim, run->node, run->incarnation, run->token, 200, 0);
 		return;
 	}
-	if (run->next == 1 &&
-	    (sim->servers[run->server].bad == 2 || (sim->servers[run->server].bad == 4 && !run->is_resend++)))
-		run->next += sim->servers[run->server].bad == 2 ? 1 : -1;
-	if (run->next++ == run->pieces)
-		sim_run_over(sim, run);
+	if (run->next_chunk == 1 && (sim->servers[run->server].stream_fault == 2 ||
+				     (sim->servers[run->server].stream_fault == 4 && !run->is_resend++)))
+		run->next_chunk += sim->servers[run->server].stream_fault == 2 ? 1 : -1;
+	if (run->next_chunk++ == run->chunk_count)
+		sim_run_ends(sim, run);
 	else
 		stream_at(sim, (ptrdiff_t)input->token,
 			  sim->now + 10 + (int64_t)sim_random_below(sim, 10) +
-			      sim->servers[run->server].slow);
+			      sim->servers[run->server].chunk_interval_ms);
 	sim_router_event(sim, run->node, &ev);
 }
 
--- a/tests/stored_folders.c
+++ b/tests/stored_folders.c
@@ -60,7 +60,7 @@
 	for (int i = 1;; i++) {
 		const char *name = apr_psprintf(pool, "s%d", i);
 
-		if (core_shard_of(name, SHARD_SERVICES) == shard)
+		if (core_service_shard(name, SHARD_SERVICES) == shard)
 			return name;
 	}
 }
@@ -122,10 +122,10 @@
 		struct Nl__RolledOut rolled = NL__ROLLED_OUT__INIT;
 		struct Nl__Operation operation = NL__OPERATION__INIT;
 
-		expect(world_claim(world, service, &stands) == PROPOSAL_DONE, "a claim is refused");
-		expect(world_claim(world, service, &back) == PROPOSAL_DONE, "a claim is refused");
-		expect(world_claim(world, service, &given) == PROPOSAL_DONE, "a release is refused");
-		expect(world_claim(world, service, &early) == PROPOSAL_DONE, "a release is refused");
+		expect(world_claim(world, service, &stands) == PROPOSAL_APPLIED, "a claim is refused");
+		expect(world_claim(world, service, &back) == PROPOSAL_APPLIED, "a claim is refused");
+		expect(world_claim(world, service, &given) == PROPOSAL_APPLIED, "a release is refused");
+		expect(world_claim(world, service, &early) == PROPOSAL_APPLIED, "a release is refused");
 		rolled.service = (char *)(uintptr_t)service;
 		rolled.weights = (char *)(uintptr_t) "w1";
 		operation.body_case = NL__OPERATION__BODY_ROLLED_OUT;
@@ -212,9 +212,9 @@
 	begin(&world, folder, 1);
 	expect_done(&world, world_document(&world, stored_document, 0, 0), "the document is refused");
 	expect_done(&world, world_document(&world, stored_patch, 1, 7), "the patch is refused");
-	expect_done(&world, world_name_weights(&world, "daka", "5"), "weights are not named");
+	expect_done(&world, world_set_target_weights(&world, "daka", "5"), "weights are not named");
 	world_run(&world, 1000);
-	expect_done(&world, world_name_weights(&world, "daka", "6"), "weights are not named");
+	expect_done(&world, world_set_target_weights(&world, "daka", "6"), "weights are not named");
 	world_close(&world);
 }
 
@@ -232,7 +232,7 @@
 	message.body_case = NL__MSG__BODY_VOTE_REQUEST;
 	message.vote_request = &ask;
 	message.shard = shard;
-	world_hear(world, from, &message);
+	world_receive(world, from, &message);
 }
 
 /* A change of the table as an entry. */
@@ -270,7 +270,7 @@
 	message.body_case = NL__MSG__BODY_APPEND;
 	message.append = &append;
 	message.shard = shard;
-	world_hear(world, from, &message);
+	world_receive(world, from, &message);
 }
 
 /* Votes for others, entries of several terms that are not all committed, and in place of some others of a
@@ -337,8 +337,8 @@
 	expect(!why, why);
 	memset(&none, 0, sizeof none);
 	none.term = world.found.shards[0].term;
-	none.vote = world.found.shards[0].vote;
-	none.scrub = 1;
+	none.vote = world.found.shards[0].voted_for;
+	none.erase_deleted_bytes = 1;
 	storage_write(world.store, &none);
 	shell_event_free(world_synced(world.ring));
 	world_close(&world);
--- a/tests/stored_interface.c
+++ b/tests/stored_interface.c
@@ -74,7 +74,7 @@
 		json_object_array_add(list, json_tokener_parse(rows[i]));
 	json_object_object_add(table, "edition", json_object_new_int(7));
 	json_object_object_add(table, "rows", list);
-	sheet = config_text_print(table, NULL, pool);
+	sheet = config_text_format(table, NULL, pool);
 	again = config_text_parse(sheet, pool, &why);
 	text = apr_pstrcat(pool, sheet, "\n",
 			   again ? json_object_to_json_string_ext(again, JSON_C_TO_STRING_PLAIN) : why, "\n",
@@ -127,9 +127,10 @@
 		if (command->kind == CMD_SEND && command->args.send.msg->body_case == NL__MSG__BODY_PROPOSE)
 			grant(talk, command->args.send.msg->propose->token);
 		else if (command->kind == CMD_ANSWER)
-			talk->text = apr_psprintf(talk->pool, "%sanswer %d, again in %d ms: %s\n", talk->text,
-						  command->args.answer.status, command->args.answer.retry_ms,
-						  command->args.answer.body);
+			talk->text =
+			    apr_psprintf(talk->pool, "%sanswer %d, again in %d ms: %s\n", talk->text,
+					 command->args.answer.status, command->args.answer.retry_after_ms,
+					 command->args.answer.body);
 		else if (command->kind == CMD_STREAM_CHUNK)
 			talk->text = apr_psprintf(talk->pool, "%spiece: %s", talk->text,
 						  command->args.stream_chunk.body);
@@ -141,7 +142,7 @@
 			talk->text = apr_psprintf(talk->pool, "%sto %s %s: %s\n", talk->text,
 						  command->args.call.addr, command->args.call.path,
 						  command->args.call.body ? command->args.call.body : "");
-			if (command->args.call.stream)
+			if (command->args.call.is_stream)
 				talk->call = command->args.call.token;
 		}
 	}
@@ -208,7 +209,7 @@
 	talk->pool = pool;
 	talk->text = "";
 	router_fixture_open(&talk->s, 5);
-	server = new_instance(talk->s.p, 0, "chat");
+	server = new_instance(talk->s.pool, 0, "chat");
 	router_fixture_table(&talk->s, change->set, change->n_set, &server, 1, 1);
 	talk->s.router.relay.has_knowledge = 1;
 	talk->s.router.relay.known_at_ms = talk->s.now;
--- a/tests/stored_world.c
+++ b/tests/stored_world.c
@@ -56,7 +56,7 @@
 	ev.kind = CONTROLLER_SYNCED;
 	ev.payload.synced.shard = event->shard;
 	ev.payload.synced.sequence = event->sequence;
-	arrput(world->synced, ev);
+	arrput(world->completed_syncs, ev);
 	shell_event_free(event);
 }
 
@@ -78,7 +78,8 @@
 	struct Nl__Msg *message = command->args.send.msg;
 
 	if (command->args.send.addr == world->controller.identity.addr)
-		arrput(world->arriving, (struct Nl__Msg *)core_copy_message(world->pool, &message->base));
+		arrput(world->messages_to_self,
+		       (struct Nl__Msg *)core_copy_message(world->pool, &message->base));
 	else if (command->args.send.addr == ROUTER && message->body_case == NL__MSG__BODY_PROPOSE_REPLY &&
 		 message->propose_reply->token == world->token) {
 		world->answer.status = 1;
@@ -88,11 +89,11 @@
 
 static void perform(struct world *w)
 {
-	if (w->controller.identity.fleet_dirty)
-		must(
-		    storage_write_identity(w->store, w->controller.identity.id, w->controller.identity.fleet),
-		    "no identity written");
-	w->controller.identity.fleet_dirty = 0;
+	if (w->controller.identity.is_fleet_unsaved)
+		must(storage_write_identity(w->store, w->controller.identity.id,
+					    w->controller.identity.fleet_id),
+		     "no identity written");
+	w->controller.identity.is_fleet_unsaved = 0;
 	for (ptrdiff_t i = 0; i < arrlen(w->out.commands); i++)
 		switch (w->out.commands[i].kind) {
 		case CMD_PERSIST:
@@ -121,17 +122,17 @@
 void world_step(struct world *world, const struct controller_event *event)
 {
 	step_once(world, event);
-	while (arrlen(world->synced) || arrlen(world->arriving)) {
+	while (arrlen(world->completed_syncs) || arrlen(world->messages_to_self)) {
 		struct controller_event next;
 
 		memset(&next, 0, sizeof next);
-		if (arrlen(world->synced)) {
-			next = world->synced[0];
-			arrdel(world->synced, 0);
+		if (arrlen(world->completed_syncs)) {
+			next = world->completed_syncs[0];
+			arrdel(world->completed_syncs, 0);
 		} else {
 			next.kind = CONTROLLER_MESSAGE;
-			next.payload.message = world->arriving[0];
-			arrdel(world->arriving, 0);
+			next.payload.message = world->messages_to_self[0];
+			arrdel(world->messages_to_self, 0);
 		}
 		step_once(world, &next);
 	}
@@ -181,15 +182,15 @@
 		storage_close(world->store);
 	}
 	arrfree(world->out.commands);
-	arrfree(world->arriving);
-	arrfree(world->synced);
+	arrfree(world->messages_to_self);
+	arrfree(world->completed_syncs);
 	apr_pool_destroy(world->out.pool);
 	apr_pool_destroy(world->pool);
 }
 
 /* ---- what others say ---- */
 
-void world_hear(struct world *world, uint64_t from, struct Nl__Msg *message)
+void world_receive(struct world *world, uint64_t from, struct Nl__Msg *message)
 {
 	struct controller_event event;
 
@@ -197,7 +198,7 @@
 	message->protocol_version = CORE_PROTOCOL_VERSION;
 	message->id = from;
 	message->addr = from == ROUTER ? ROUTER : ADDRESS + from;
-	message->fleet_id = world->controller.identity.fleet;
+	message->fleet_id = world->controller.identity.fleet_id;
 	event.kind = CONTROLLER_MESSAGE;
 	event.payload.message = message;
 	world_step(world, &event);
@@ -208,7 +209,7 @@
 	struct Nl__Msg message = NL__MSG__INIT;
 	struct Nl__Bootstrap found = NL__BOOTSTRAP__INIT;
 	struct Nl__Members all = NL__MEMBERS__INIT;
-	struct Nl__Member v[WORLD_MEMBERS_MOST], *member[WORLD_MEMBERS_MOST];
+	struct Nl__Member v[WORLD_MAX_MEMBERS], *member[WORLD_MAX_MEMBERS];
 
 	for (int i = 0; i < members; i++) {
 		nl__member__init(&v[i]);
@@ -223,8 +224,8 @@
 	found.members = &all;
 	message.body_case = NL__MSG__BODY_BOOTSTRAP;
 	message.bootstrap = &found;
-	world_hear(world, WORLD_SELF, &message);
-	must(world->controller.identity.fleet == WORLD_FLEET, "no fleet begun");
+	world_receive(world, WORLD_SELF, &message);
+	must(world->controller.identity.fleet_id == WORLD_FLEET, "no fleet begun");
 }
 
 /* ---- operators and routers ---- */
@@ -276,7 +277,7 @@
 	return wait_for_answer(world, &event);
 }
 
-int world_name_weights(struct world *world, const char *model, const char *weights)
+int world_set_target_weights(struct world *world, const char *model, const char *weights)
 {
 	struct controller_event event;
 
@@ -315,9 +316,9 @@
 	propose.operation = &operation;
 	message.body_case = NL__MSG__BODY_PROPOSE;
 	message.propose = &propose;
-	message.shard = core_shard_of(service, SHARD_SERVICES);
+	message.shard = core_service_shard(service, SHARD_SERVICES);
 	world->answer.status = 0;
-	world_hear(world, ROUTER, &message);
+	world_receive(world, ROUTER, &message);
 	for (int64_t end = world->now + CALL_LIMIT_MS; !world->answer.status && world->now < end;)
 		world_run(world, STEP_MS);
 	must(world->answer.status == 1, "a claim is not answered");
@@ -367,13 +368,13 @@
 		const char *place = apr_psprintf(pool, "shard %u snapshot", i);
 
 		text = apr_psprintf(pool, "%sshard %u: term %" PRIu64 " vote %" PRIu64 "\n", text, i,
-				    saved->term, saved->vote);
+				    saved->term, saved->voted_for);
 		if (saved->snapshot_index)
 			text = apr_psprintf(pool, "%s%s: up to %" PRIu64 " of term %" PRIu64 "\n%s%s", text,
 					    place, saved->snapshot_index, saved->snapshot_term,
 					    unpacked(WALK_MEMBERS, saved->members, saved->members_len,
 						     apr_pstrcat(pool, place, " members", NULL), pool),
-					    unpacked(state_root(i), saved->data, saved->data_len,
+					    unpacked(state_root(i), saved->state, saved->state_len,
 						     apr_pstrcat(pool, place, " state", NULL), pool));
 		for (size_t k = 0; k < saved->entry_count; k++)
 			text = apr_pstrcat(pool, text,
@@ -399,7 +400,7 @@
 			    saved->first_index + k > saved->snapshot_index)
 				(void)state_machine_apply(&world->controller, i, saved->first_index + k,
 							  &saved->entries[k], world->out.pool);
-		d = controller_state(&world->controller, i, pool, &n);
+		d = snapshot_pack_state(&world->controller, i, pool, &n);
 		text = apr_pstrcat(
 		    pool, text, unpacked(state_root(i), d, n, apr_psprintf(pool, "shard %u", i), pool), NULL);
 	}
@@ -415,7 +416,7 @@
 	w.shard = part;
 	w.seq = 1;
 	w.term = saved->term;
-	w.vote = saved->vote;
+	w.vote = saved->voted_for;
 	w.entry_count = saved->entry_count;
 	w.entries = apr_pcalloc(pool, (saved->entry_count + 1) * sizeof *w.entries);
 	for (size_t k = 0; k < saved->entry_count; k++)
@@ -428,8 +429,8 @@
 		w.snapshot_term = saved->snapshot_term;
 		w.members = saved->members;
 		w.members_len = saved->members_len;
-		w.data = saved->data;
-		w.data_len = saved->data_len;
+		w.data = saved->state;
+		w.data_len = saved->state_len;
 	}
 	storage_write(store, &w);
 }
--- a/tests/stored_world.h
+++ b/tests/stored_world.h
@@ -8,7 +8,7 @@
 #include "controller.h"
 #include "shell.h"
 
-enum { WORLD_SELF = 1, WORLD_FLEET = 7, WORLD_MEMBERS_MOST = 3 };
+enum { WORLD_SELF = 1, WORLD_FLEET = 7, WORLD_MAX_MEMBERS = 3 };
 
 /* The last answer to an operator. */
 struct world_answer {
@@ -25,11 +25,12 @@
 	struct stored_state found; /* contents of the folder when it was opened */
 	struct controller controller;
 	struct command_list out;
-	int64_t now;                     /* ms */
-	uint64_t token;                  /* token of the newest call */
-	struct Nl__Msg **arriving;       /* stb_ds: messages that the controller has sent to itself */
-	struct controller_event *synced; /* stb_ds: completed syncs that the controller has not yet handled */
-	struct world_answer answer;      /* answer to the newest call; status 0: not answered yet */
+	int64_t now;                       /* ms */
+	uint64_t token;                    /* token of the newest call */
+	struct Nl__Msg **messages_to_self; /* stb_ds: messages that the controller has sent to itself */
+	struct controller_event
+	    *completed_syncs;       /* stb_ds: completed syncs that the controller has not yet handled */
+	struct world_answer answer; /* answer to the newest call; status 0: not answered yet */
 };
 
 /* Open a data folder and start a controller on it; returns NULL, or the reason why the folder is rejected. In
@@ -47,8 +48,8 @@
 void world_step(struct world *world, const struct controller_event *event);
 
 /* Deliver a message from another member or from a router; the caller has set its body and shard.
- * Example: world_hear(&w, 2, &message); */
-void world_hear(struct world *world, uint64_t from, struct Nl__Msg *message);
+ * Example: world_receive(&w, 2, &message); */
+void world_receive(struct world *world, uint64_t from, struct Nl__Msg *message);
 
 /* Send an operator's call, with an idempotency key unless `key` is NULL, and wait for the answer. Returns its
  * status, 0 if there is none; the answer stays in world->answer.
@@ -59,7 +60,7 @@
  * on config version `base`, read the document, or set the target weights of a model. */
 int world_document(struct world *world, const char *body, int patch, uint64_t base);
 int world_read_document(struct world *world);
-int world_name_weights(struct world *world, const char *model, const char *weights);
+int world_set_target_weights(struct world *world, const char *model, const char *weights);
 
 /* Log an operation at this controller, which must lead the shard, and wait until it is applied.
  * Example: world_log(&w, SHARD_SERVICE, &op); */
--- a/tests/test_cache_feed.c
+++ b/tests/test_cache_feed.c
@@ -113,7 +113,7 @@
 		apr_pool_create(&zone->node[i].out.pool, zone->pool);
 		router_open(&zone->node[i].router, (uint64_t)i + 1, (uint64_t)i + 1001, "z1", &controller, 1,
 			    zone->now);
-		zone->node[i].router.config.bounds.discover_instances = 1;
+		zone->node[i].router.config.bounds.use_endpoint_list = 1;
 		zone->node[i].router.config.bounds.link_kbps = link_kbps;
 		node_table(zone, i);
 	}
@@ -237,7 +237,7 @@
 	for (int64_t end = zone->now + ms; zone->now < end; zone->now += TICK_MS) {
 		zone_keeps_downstream(zone);
 		for (int i = 0; i <= FOLLOWERS; i++) {
-			zone->node[i].router.config.watch.fetched_at_ms = zone->now;
+			zone->node[i].router.config.watch.confirmed_at_ms = zone->now;
 			zone->node[i].router.config.watch.upstream_count = i > 0;
 		}
 		node_step(zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
@@ -336,7 +336,7 @@
 		zone_open(&zone, 3, link_kbps);
 		head->config.watch.upstream_count = 0;
 		for (int64_t end = zone.now + WITHIN_MS; zone.now < end; zone.now += TICK_MS) {
-			head->config.watch.fetched_at_ms = zone.now;
+			head->config.watch.confirmed_at_ms = zone.now;
 			node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 			open = 0;
 			for (int s = 0; s < SERVERS; s++)
@@ -346,7 +346,7 @@
 			for (int s = 0; s < SERVERS; s++) {
 				struct router_server_state *server = &head->servers.states[s];
 
-				if (server->watch_token && zone.now - server->watched_at_ms >= ANSWER_MS)
+				if (server->watch_token && zone.now - server->last_watch_at_ms >= ANSWER_MS)
 					answer_all(&zone, server->watch_token,
 						   atoi(head->names.servers.names[s] + 2), ANSWER_EVENTS);
 			}
@@ -367,7 +367,7 @@
 		if (command->kind != CMD_WATCH_CACHE || strcmp(command->args.watch_cache.server, server))
 			continue;
 		*token = command->args.watch_cache.token;
-		return command->args.watch_cache.full;
+		return command->args.watch_cache.wants_all_blocks;
 	}
 	return -1;
 }
@@ -385,7 +385,7 @@
 	(void)state;
 	zone_open(&zone, 5, 0);
 	zone.node[0].router.config.watch.upstream_count = 0;
-	zone.node[0].router.config.watch.fetched_at_ms = zone.now;
+	zone.node[0].router.config.watch.confirmed_at_ms = zone.now;
 	node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 	assert_int_equal(watch_of(&zone.node[0], "i-3", &token), 1);
 	for (size_t i = 0; i < sizeof answers / sizeof *answers; i++) {
@@ -402,7 +402,7 @@
 		event.args.cache_watched.status = 200;
 		node_step(&zone, 0, &event);
 		zone.now += ROUTER_CACHE_WATCH_INTERVAL_MS + TICK_MS;
-		zone.node[0].router.config.watch.fetched_at_ms = zone.now;
+		zone.node[0].router.config.watch.confirmed_at_ms = zone.now;
 		node_step(&zone, 0, &(struct router_event){ .kind = ROUTER_EVENT_TICK });
 		assert_int_equal(watch_of(&zone.node[0], "i-3", &token), answers[i].all_next);
 	}
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -100,7 +100,7 @@
 		change.deleted = rows;
 		change.n_deleted = 1;
 	}
-	assert_int_equal(config_table_apply(&world->leader, &change, NULL), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&world->leader, &change, NULL), PROPOSAL_APPLIED);
 	assert_true(world->leader.revision < REVISIONS);
 	if (world->leader.revision == before)
 		return;
@@ -140,7 +140,7 @@
 	reply->leader_hint = LEADER;
 	reply->fleet_id = 7;
 	if (reply->has_lease)
-		config_table_since(&world->leader, request->have_revision, reply, world->pool);
+		config_table_pack_since(&world->leader, request->have_revision, reply, world->pool);
 	arrput(world->mail, letter);
 }
 
@@ -178,7 +178,8 @@
 	const struct config_table *table = &world->watch.table;
 	uint64_t owed = 0;
 
-	while (owed + 1 <= world->leader.revision && world->changed_at[owed + 1] < world->watch.fetched_at_ms)
+	while (owed + 1 <= world->leader.revision &&
+	       world->changed_at[owed + 1] < world->watch.confirmed_at_ms)
 		owed++;
 	assert_true(table->revision >= owed);
 	for (int i = 0; i < NAMES; i++) {
@@ -269,7 +270,7 @@
 		(void)step(&world);
 	revision = world.watch.table.revision;
 	assert_true(revision > 3);
-	fresh = world.watch.fetched_at_ms;
+	fresh = world.watch.confirmed_at_ms;
 	config_watch_poll(&world.watch, 0, world.now, &world.out);
 	reply.token = world.watch.last_token;
 	reply.has_lease = 1;
@@ -280,7 +281,7 @@
 	message.body_case = NL__MSG__BODY_CONFIG_SYNC_REPLY;
 	message.config_sync_reply = &reply;
 	assert_int_equal(config_watch_receive(&world.watch, &message, world.now + 5, &world.out), 0);
-	assert_int_equal(world.watch.fetched_at_ms, fresh);
+	assert_int_equal(world.watch.confirmed_at_ms, fresh);
 	assert_int_equal(world.watch.table.revision, revision);
 	command_list_clear(&world.out);
 	world_close(&world);
--- a/tests/test_connections.c
+++ b/tests/test_connections.c
@@ -634,7 +634,7 @@
 /* Until when a configuration that was certain when a request was decided on may still send it. */
 static int64_t router_fresh_until(void)
 {
-	return w.ctr.config.watch.fetched_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS;
+	return w.ctr.config.watch.confirmed_at_ms + router_max_staleness_ms(&w.ctr) + SEND_GRACE_MS;
 }
 
 /* A request's path is on a wire: from here on it may run. */
@@ -668,7 +668,7 @@
 				    (unsigned long long)request->wires[i].conn);
 	if (net_sim_call_began_at() > router_fresh_until())
 		breach("request %d (%s) was sent by a configuration that is %lld ms old", no, request->path,
-		       (long long)(net_sim_call_began_at() - w.ctr.config.watch.fetched_at_ms));
+		       (long long)(net_sim_call_began_at() - w.ctr.config.watch.confirmed_at_ms));
 	sum.wires++;
 	sum.again += arrlen(request->wires) > 0;
 	arrput(request->wires, wire);
@@ -1358,7 +1358,7 @@
 			config_row[0] = row(pool, NL__KIND__TENANT, apr_psprintf(pool, "t%d", i));
 			config_row[0]->share = 1;
 			config_row[1] =
-			    row(pool, NL__KIND__KEY, doc_digest(apr_psprintf(pool, "key-%d", i), hex));
+			    row(pool, NL__KIND__KEY, access_key_digest(apr_psprintf(pool, "key-%d", i), hex));
 			config_row[1]->tenant = config_row[0]->name;
 		}
 		reply.n_set = 1 + ROUTES + 2 * TENANTS;
@@ -1402,12 +1402,12 @@
 	apr_pool_create(&w.proc.pool, NULL);
 	apr_pool_create(&w.proc.commands.pool, w.proc.pool);
 	router_open(&w.ctr, 5, 1005, "z1", &leader, 1, net_sim_now());
-	w.ctr.config.bounds.discover_instances = 1;
+	w.ctr.config.bounds.use_endpoint_list = 1;
 	w.ctr.config.bounds.retry_budget_permille = 1000;
 	w.ctr.config.bounds.retry_budget_slack = 60;
 	w.platform.front_addr = "127.0.0.1:8080";
 	w.platform.readiness_addr = "127.0.0.1:8081";
-	w.proc.settings.extension = &w.platform;
+	w.proc.settings.front_end_settings = &w.platform;
 	w.edge.router = &w.ctr;
 	assert_true(platform_edge.open(&w.edge, &w.proc));
 }
@@ -1456,7 +1456,7 @@
 			w.owner_silent_until = net_sim_now() + (int64_t)random_below(6000);
 		for (int i = 0; i < CLIENTS; i++)
 			client_turn(&w.clients[i], ask && w.ctr.config.route_table);
-		platform_edge.wait(&w.edge, 0);
+		platform_edge.serve_sockets(&w.edge, 0);
 		if (net_sim_now() - tick >= TICK_MS) {
 			tick = net_sim_now();
 			core_step(&event);
@@ -1469,9 +1469,9 @@
 
 static void stop_begins(int64_t grace_ms)
 {
-	w.proc.stopping = 1;
+	w.proc.is_stopping = 1;
 	w.proc.stop_deadline_ms = net_sim_now() + grace_ms;
-	platform_edge.stop(&w.edge, net_sim_now());
+	platform_edge.begin_stop(&w.edge, net_sim_now());
 }
 
 /* The process stops as proc_run does it. Returns how long that took. */
@@ -1483,7 +1483,7 @@
 	       !platform_edge.is_idle(&w.edge, net_sim_now()))
 		play(1, ask);
 	for (end = net_sim_now() + DISCONNECTED_MS; net_sim_now() < end; net_sim_advance(5))
-		platform_edge.wait(&w.edge, 0);
+		platform_edge.serve_sockets(&w.edge, 0);
 	platform_edge.close(&w.edge);
 	w.closed = 1;
 	for (int i = 0; i < CLIENTS; i++)
@@ -1514,15 +1514,15 @@
 	for (ptrdiff_t i = 0; i < arrlen(w.ctr.servers.states); i++) {
 		const struct router_server_state *server = &w.ctr.servers.states[i];
 
-		if (server->own_running || server->prefill_tokens || server->resident_tokens)
+		if (server->own_running_count || server->own_prefill_tokens || server->own_resident_tokens)
 			breach("server %d: %d requests, %u tokens ahead, %llu tokens are left over", (int)i,
-			       server->own_running, server->prefill_tokens,
-			       (unsigned long long)server->resident_tokens);
+			       server->own_running_count, server->own_prefill_tokens,
+			       (unsigned long long)server->own_resident_tokens);
 	}
 	for (ptrdiff_t i = 0; i < arrlen(w.ctr.queueing.queues); i++)
-		if (w.ctr.queueing.queues[i].length || w.ctr.queueing.queues[i].running)
+		if (w.ctr.queueing.queues[i].waiting_count || w.ctr.queueing.queues[i].slots_held)
 			breach("a line of nobody has %u waiting and %u running",
-			       w.ctr.queueing.queues[i].length, w.ctr.queueing.queues[i].running);
+			       w.ctr.queueing.queues[i].waiting_count, w.ctr.queueing.queues[i].slots_held);
 }
 
 static void no_answer_goes_astray(void **state)
@@ -1764,7 +1764,7 @@
 	struct http_limits limits = { 16384 + random_below(16384), 65536 + random_below(65536),
 				      100 + (int)random_below(3000), 100 + (int)random_below(5000) };
 
-	http_set_limits(w.edge.http, 1, &limits);
+	http_listener_set_limits(w.edge.http, 1, &limits);
 }
 
 /* Settings are read anew, as notchlug_router.c takes them over. */
@@ -1791,7 +1791,7 @@
 
 static uint64_t without_outcome(const struct http_counters *http_counts)
 {
-	uint64_t remaining = http_counts->requests;
+	uint64_t remaining = http_counts->received_requests;
 
 	for (int i = 0; i < HTTP_OUTCOME_COUNT; i++)
 		remaining -= http_counts->outcomes[i];
@@ -1832,7 +1832,7 @@
 		if (w.bad[0])
 			fail_msg("NL_SEED=%llu at %lld ms: %s", (unsigned long long)seed,
 				 (long long)(net_sim_now() - w.started), w.bad);
-		outcomes = w.edge.outcomes;
+		outcomes = w.edge.request_counters;
 		if (without_outcome(&outcomes) > slow_clients())
 			fail_msg("NL_SEED=%llu: %llu requests have no outcome", (unsigned long long)seed,
 				 (unsigned long long)without_outcome(&outcomes));
--- a/tests/test_control.c
+++ b/tests/test_control.c
@@ -35,7 +35,7 @@
 	ok(&sim);
 	assert_true(sim_leader(&sim, SHARD_CONTROL) >= 0);
 	for (int i = 0; i < 3; i++) { /* every founder has it on its disk, the one that was asked too */
-		assert_int_equal(sim.nodes[i].disk.fleet, sim.nodes[0].controller->identity.fleet);
+		assert_int_equal(sim.nodes[i].disk.fleet, sim.nodes[0].controller->identity.fleet_id);
 		assert_true(sim.nodes[i].disk.shards[SHARD_CONTROL].term > 0);
 	}
 	assert_int_equal(
@@ -420,13 +420,14 @@
 					sim_start(&sim, v);
 				break;
 			case 2:
-				sim_cut(&sim, v, !sim.nodes[v].partition);
+				sim_set_partition(&sim, v, !sim.nodes[v].partition);
 				break;
 			case 3:
 				sim_freeze(&sim, v, !sim.nodes[v].frozen);
 				break;
 			case 4:
-				sim.nodes[v].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000);
+				sim.nodes[v].disk_stalled_until =
+				    sim.now + (int64_t)(core_random(&rng) % 4000);
 				break;
 			case 5:
 				sim.jitter_ms = (int)(core_random(&rng) % 200);
@@ -464,7 +465,7 @@
 		sim.jitter_ms = 2;
 		memset(sim.link_cut, 0, sizeof sim.link_cut);
 		for (int i = 0; i < 4; i++) {
-			sim_cut(&sim, i, 0);
+			sim_set_partition(&sim, i, 0);
 			sim_freeze(&sim, i, 0);
 			if (!sim.nodes[i].up)
 				sim_start(&sim, i);
@@ -480,7 +481,7 @@
 			struct controller *pub = sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller,
 					  *controller = sim.nodes[i].controller;
 
-			assert_true(controller->relay.knowledge.horizon + 10 >= pub->publisher.tick);
+			assert_true(controller->relay.knowledge.horizon + 10 >= pub->publisher.declared_tick);
 			assert_true(
 			    controller->config_watch.table.revision ==
 			    sim.nodes[sim_leader(&sim, SHARD_CONTROL)].controller->config.table.revision);
--- a/tests/test_data.c
+++ b/tests/test_data.c
@@ -56,7 +56,7 @@
 
 			if (old && old->outcome > SIM_COMPLETE && core_random(rng) % 3 == 0) {
 				snprintf(id, sizeof id, "%s", old->id);
-				sim_submit(sim, node, id, old->tenant, old->route, old->pick);
+				sim_submit(sim, node, id, old->tenant, old->route, old->prompt_index);
 			} else {
 				snprintf(id, sizeof id, "x%llu", (unsigned long long)++sim->token);
 				sim_submit(sim, node, id, (int)(core_random(rng) % 4), lanes[route],
@@ -120,8 +120,9 @@
 	all_notified(&b);
 	print_message(
 	    "read anew of all prompt part tokens: %.1f %% with the index, %.1f %% with a least-loaded choice\n",
-	    100.0 * (double)a.n_fresh / (double)a.n_tokens, 100.0 * (double)b.n_fresh / (double)b.n_tokens);
-	assert_true(a.n_fresh * 3 < b.n_fresh * 2);
+	    100.0 * (double)a.n_prefilled_tokens / (double)a.n_tokens,
+	    100.0 * (double)b.n_prefilled_tokens / (double)b.n_tokens);
+	assert_true(a.n_prefilled_tokens * 3 < b.n_prefilled_tokens * 2);
 	matters = 3;
 	sim_close(&a);
 	sim_close(&b);
@@ -159,7 +160,7 @@
 		    "{\"set\":[{\"kind\":\"server\",\"name\":\"s0\",\"service\":\"arrears\",\"addr\":\"%s\",\"state\":\"draining\"}]}",
 		    sim.servers[0].addr);
 		must_change(&sim, body, 12000);
-		sim.servers[0].departed = sim.now;
+		sim.servers[0].drain_acked_at = sim.now;
 		load(&sim, &rng, 5000, 20, 3);
 		/* remove the key of t2, with a router cut off and another frozen meanwhile */
 		/* the first hears all controllers but the control leader: it could claim and send, but
@@ -185,7 +186,8 @@
 		targeted_at = sim.now;
 		load(&sim, &rng, 1000, 20, 3);
 		rollout = sim_leader(
-		    &sim, core_shard_of("repairs", SHARD_SERVICES)); /* and the rollout dies in the middle */
+		    &sim,
+		    core_service_shard("repairs", SHARD_SERVICES)); /* and the rollout dies in the middle */
 		if (rollout >= 0)
 			sim_crash(&sim, rollout, 0);
 		load(&sim, &rng, 2000, 20, 3);
@@ -210,7 +212,7 @@
 		    body, sizeof body,
 		    "{\"set\":[{\"kind\":\"server\",\"name\":\"s0\",\"service\":\"arrears\",\"addr\":\"%s\"}]}",
 		    sim.servers[0].addr);
-		sim.servers[0].departed = 0;
+		sim.servers[0].drain_acked_at = 0;
 		must_change(&sim, body, 12000);
 		load(&sim, &rng, 9000, 20, 3);
 		all_notified(&sim);
@@ -255,13 +257,14 @@
 					sim_start(&sim, r);
 				break;
 			case 2:
-				sim_cut(&sim, r, !sim.nodes[r].partition);
+				sim_set_partition(&sim, r, !sim.nodes[r].partition);
 				break;
 			case 3:
 				sim_freeze(&sim, r, !sim.nodes[r].frozen);
 				break;
 			case 4:
-				sim.nodes[r].stalled_until = sim.now + (int64_t)(core_random(&rng) % 4000);
+				sim.nodes[r].disk_stalled_until =
+				    sim.now + (int64_t)(core_random(&rng) % 4000);
 				break;
 			case 5:
 				if (sim.nodes[c].up)
@@ -273,7 +276,7 @@
 				sim_freeze(&sim, c, !sim.nodes[c].frozen);
 				break;
 			case 7:
-				sim_cut(&sim, c, !sim.nodes[c].partition);
+				sim_set_partition(&sim, c, !sim.nodes[c].partition);
 				break;
 			case 8:
 				sim.servers[v].up = !sim.servers[v].up;
@@ -303,7 +306,7 @@
 		for (int i = 0; i < SIM_CONTROLLERS + 3; i++) {
 			if (!sim.nodes[i].used)
 				continue;
-			sim_cut(&sim, i, 0);
+			sim_set_partition(&sim, i, 0);
 			sim_freeze(&sim, i, 0);
 			if (!sim.nodes[i].up) {
 				sim_start(&sim, i);
@@ -399,8 +402,8 @@
 
 				load(&sim, &rng, 100, 60, 2);
 				if (sim.now >= rollout_at && rollout < 0 &&
-				    (rollout = sim_leader(&sim, core_shard_of("repairs", SHARD_SERVICES))) >=
-					0)
+				    (rollout = sim_leader(
+					 &sim, core_service_shard("repairs", SHARD_SERVICES))) >= 0)
 					sim_crash(&sim, rollout, 0);
 				if (sim.now >= server_at && !gone) {
 					gone = 1;
@@ -524,25 +527,25 @@
 				arrsetlen(sim.servers[store].blocks, 0);
 				break;
 			case 3:
-				sim.servers[v].slow_link =
-				    sim.servers[v].slow_link ? 0 : 1 << core_random(&rng) % 12;
+				sim.servers[v].fetch_slowdown =
+				    sim.servers[v].fetch_slowdown ? 0 : 1 << core_random(&rng) % 12;
 				break;
 			case 4:
-				sim.servers[v].hang = !sim.servers[v].hang;
+				sim.servers[v].hangs_fetches = !sim.servers[v].hangs_fetches;
 				break;
 			case 5:
-				sim.servers[v].mute = !sim.servers[v].mute;
+				sim.servers[v].sends_no_reports = !sim.servers[v].sends_no_reports;
 				break;
 			case 6:
 				sim.servers[v].report_delay_ms =
 				    sim.servers[v].report_delay_ms ? 0 : (int)(core_random(&rng) % 1500);
 				break;
 			case 7:
-				sim.servers[store].hang = !sim.servers[store].hang;
+				sim.servers[store].hangs_fetches = !sim.servers[store].hangs_fetches;
 				break;
 			default:
 				if (drained >= 0) {
-					sim.servers[drained].departed = 0;
+					sim.servers[drained].drain_acked_at = 0;
 					v = drained;
 				}
 				snprintf(
@@ -552,14 +555,14 @@
 				    drained >= 0 ? "serving" : "draining");
 				must_change(&sim, body, 12000);
 				if (drained < 0)
-					sim.servers[v].departed = sim.now;
+					sim.servers[v].drain_acked_at = sim.now;
 				drained = drained >= 0 ? -1 : v;
 			}
 			load(&sim, &rng, 500 + (int64_t)(core_random(&rng) % 4000), 15, 3);
 		}
 		all_notified(&sim);
 		fetched += sim.n_fetched;
-		vain += sim.n_vain;
+		vain += sim.n_failed_fetches;
 		sim_close(&sim);
 	}
 	print_message(
@@ -582,13 +585,13 @@
 		matters = 400;
 		for (int phase = 0; phase < 3; phase++) {
 			for (int v = 0; v < 9; v++) {
-				sim.servers[v].hang = hang && phase == 1;
-				sim.servers[v].slow_link = !hang && phase == 1 ? 1000 : 0;
+				sim.servers[v].hangs_fetches = hang && phase == 1;
+				sim.servers[v].fetch_slowdown = !hang && phase == 1 ? 1000 : 0;
 			}
-			vain[phase] = sim.n_vain;
+			vain[phase] = sim.n_failed_fetches;
 			fetched[phase] = sim.n_fetched;
 			load(&sim, &rng, phase == 2 ? 90000 : 20000, 15, 1);
-			vain[phase] = sim.n_vain - vain[phase];
+			vain[phase] = sim.n_failed_fetches - vain[phase];
 			fetched[phase] = sim.n_fetched - fetched[phase];
 		}
 		matters = 3;
@@ -669,18 +672,18 @@
 		sim_freeze(sim, SIM_CONTROLLERS + 1, 1);
 		break;
 	case LOSE_SPLIT: /* two and two */
-		sim_cut(sim, r, 1);
-		sim_cut(sim, (r + 1) % 4, 1);
+		sim_set_partition(sim, r, 1);
+		sim_set_partition(sim, (r + 1) % 4, 1);
 		break;
 	case LOSE_ONE_WAY:
 		for (int i = 0; i < 16; i++)
 			sim->link_cut[leader][i] = 1;
 		break;
 	case LOSE_STALLED_DISK:
-		sim->nodes[leader].stalled_until = sim->now + 8000;
+		sim->nodes[leader].disk_stalled_until = sim->now + 8000;
 		break;
 	case LOSE_FULL_DISK: /* it takes nothing more until there is room again; two machines */
-		sim->nodes[leader].stalled_until = sim->nodes[(leader + 1) % 4].stalled_until =
+		sim->nodes[leader].disk_stalled_until = sim->nodes[(leader + 1) % 4].disk_stalled_until =
 		    sim->now + 9000;
 		break;
 	case LOSE_ROUTERS:
@@ -732,11 +735,11 @@
 {
 	memset(sim->link_cut, 0, sizeof sim->link_cut);
 	for (int i = 0; i < SIM_NODES; i++) {
-		sim_cut(sim, i, 0);
+		sim_set_partition(sim, i, 0);
 		if (sim->nodes[i].used && sim->nodes[i].up)
 			sim_freeze(sim, i, 0);
 		if (sim->nodes[i].used && !sim->nodes[i].up &&
-		    sim->nodes[i].disk.made + sim->nodes[i].is_router)
+		    sim->nodes[i].disk.has_identity + sim->nodes[i].is_router)
 			sim_start(sim, i);
 	}
 	for (int i = 0; i < 9; i++)
@@ -860,7 +863,7 @@
 
 		sim_deploy(&sim, 9, 3, 1, 3);
 		for (int i = 0; i < 3; i++)
-			sim.servers[i].bad = bad;
+			sim.servers[i].stream_fault = bad;
 		load(&sim, &rng, 1500, 40, 1);
 		all_notified(&sim);
 		assert_int_equal(sim.n_complete, 0);
@@ -878,14 +881,14 @@
 	(void)state;
 	sim_deploy(&sim, 4, 3, 3, 6);
 	for (int i = 0; i < 6; i++)
-		sim.servers[i].refuse = 1;
+		sim.servers[i].refuses_requests = 1;
 	load(&sim, &rng, 10000, 10, 3);
 	all_notified(&sim);
 	assert_int_equal(sim.n_complete, 0);
 	assert_true(sim.n_refused > 300);
 	budget_kept(&sim, 3);
 	print_message("servers that refuse: %llu sends for %llu exchanges\n", (unsigned long long)sim.n_sends,
-		      (unsigned long long)sim.n_firsts);
+		      (unsigned long long)sim.n_first_sends);
 	sim_close(&sim);
 }
 
@@ -899,7 +902,7 @@
 	(void)state;
 	sim_deploy(&sim, 8, 3, 1, 3);
 	for (int i = 0; i < 3; i++)
-		sim.servers[i].slow = 1200;
+		sim.servers[i].chunk_interval_ms = 1200;
 	sim_submit(&sim, SIM_CONTROLLERS, "a", 1, "arrears", 0);
 	sim_submit(&sim, SIM_CONTROLLERS, "b", 2, "arrears", 0);
 	sim_run(&sim, 500, NULL);
@@ -929,14 +932,14 @@
 
 		sim_deploy(&sim, seed, 4, 2, 3);
 		for (int i = 0; i < 3; i++)
-			sim.servers[i].slow = 2500;
+			sim.servers[i].chunk_interval_ms = 2500;
 		for (int i = 0; i < 8; i++) {
 			snprintf(id, sizeof id, "e%d", i);
 			sim_submit(&sim, SIM_CONTROLLERS, id, 1, lanes[i % 3], 0);
 		}
 		sim_run(&sim, 500 + (int64_t)(seed % 7) * 40, NULL);
 		if (mode == 0 || mode == 3)
-			sim_cut(&sim, SIM_CONTROLLERS, 1);
+			sim_set_partition(&sim, SIM_CONTROLLERS, 1);
 		else if (mode == 1)
 			sim.link_cut[sim_leader(&sim, SHARD_CONTROL)][SIM_CONTROLLERS] = 1;
 		if (mode >= 2)
@@ -985,11 +988,12 @@
 			int node = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
 			    other = SIM_CONTROLLERS + (int)(core_random(&rng) % 3),
 			    what = (int)(core_random(&rng) % 10);
-			int leader = sim_leader(&sim, core_shard_of(lanes[k % 3], SHARD_SERVICES)), down = 0;
+			int leader = sim_leader(&sim, core_service_shard(lanes[k % 3], SHARD_SERVICES)),
+			    down = 0;
 			char id[32];
 
 			for (int i = 0; i < 6; i++)
-				sim.servers[i].refuse = core_random(&rng) % 2;
+				sim.servers[i].refuses_requests = core_random(&rng) % 2;
 			for (int i = 0; i < 4; i++)
 				down += !sim.nodes[i].up;
 			for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + 3; i++)
@@ -1007,11 +1011,11 @@
 			else if (what == 3 && leader >= 0 && !down)
 				sim_crash(&sim, leader, 0);
 			else if (what == 4 && leader >= 0)
-				sim.nodes[leader].stalled_until = sim.now + 700;
+				sim.nodes[leader].disk_stalled_until = sim.now + 700;
 			if (what && what < 7 && sim.nodes[other].up &&
 			    !sim.nodes[other].frozen) { /* asked again while the first may go on */
 				if (sim_is_open(&sim, id))
-					sim_forget(&sim, id);
+					sim_abandon_request(&sim, id);
 				sim_run(&sim, (int64_t)(core_random(&rng) % 40), NULL);
 				sim_submit(&sim, other, id, k % 4, lanes[k % 3], 0);
 				twice++;
@@ -1030,12 +1034,12 @@
 		all_notified(&sim);
 		sim.loss_per_mille = 0;
 		for (int i = 0; i < 6; i++)
-			sim.servers[i].refuse = 0;
+			sim.servers[i].refuses_requests = 0;
 		n = arrlen(sim.requests);
 		for (ptrdiff_t i = 0; i < n; i++)
-			if (sim.requests[i].submissions == 1 && !sim.requests[i].began &&
+			if (sim.requests[i].submissions == 1 && !sim.requests[i].execution_count &&
 			    (sim.requests[i].outcome == SIM_REFUSED ||
-			     (sim.requests[i].disconnected && !sim.requests[i].tries)) &&
+			     (sim.requests[i].disconnected && !sim.requests[i].send_count)) &&
 			    sim_same_incarnation(&sim, sim.requests[i].id)) {
 				again++;
 				sim_submit(&sim, SIM_CONTROLLERS + (int)(i % 3), sim.requests[i].id,
@@ -1044,7 +1048,7 @@
 			}
 		all_notified(&sim);
 		for (ptrdiff_t i = 0; i < n; i++)
-			claimed += sim.requests[i].pick == 1 && sim.requests[i].outcome == SIM_LOST;
+			claimed += sim.requests[i].prompt_index == 1 && sim.requests[i].outcome == SIM_LOST;
 		sim_close(&sim);
 	}
 	print_message(
@@ -1066,7 +1070,7 @@
 
 		sim_deploy(&sim, seed, 4, 2, 3);
 		for (int i = 0; i < 3; i++)
-			sim.servers[i].slow = 600;
+			sim.servers[i].chunk_interval_ms = 600;
 		for (int i = 0; i < 24; i++) {
 			snprintf(id, sizeof id, "f%d", i);
 			sim_submit(&sim, SIM_CONTROLLERS + i % 2, id, i % 4, lanes[i % 3], 0);
@@ -1097,12 +1101,12 @@
 		router = sim.nodes[SIM_CONTROLLERS].router;
 		tenants = arrlen(router->names.tenants.names);
 		for (int i = 0; i < 3; i++)
-			sim.servers[i].odd_report = odd;
+			sim.servers[i].report_fault = odd;
 		load(&sim, &rng, 12000, 20, 1);
 		all_notified(&sim);
 		assert_int_equal(arrlen(router->names.tenants.names), tenants);
 		assert_true(arrlen(router->names.weights.names) <= ROUTER_MAX_WEIGHTS_NAMES);
-		assert_int_equal(sim.n_odd, odd < 4 ? 3 : 0);
+		assert_int_equal(sim.n_unreadable_reports, odd < 4 ? 3 : 0);
 		assert_int_equal(sim.n_unknown, 0);
 		assert_true(sim.n_complete > 400);
 		sim_close(&sim);
@@ -1119,7 +1123,7 @@
 	(void)state;
 	sim_deploy(&sim, 12, 3, 2, 3);
 	for (int i = 0; i < 3; i++)
-		sim.servers[i].slow = 500;
+		sim.servers[i].chunk_interval_ms = 500;
 	for (int i = 0; i < 12; i++) { /* eight places at the one server: four wait */
 		snprintf(id, sizeof id, "l%d", i);
 		sim_submit(&sim, SIM_CONTROLLERS, id, 0, "arrears", 0);
@@ -1142,7 +1146,7 @@
 	assert_true(router_idle(sim.nodes[SIM_CONTROLLERS].router));
 	for (int i = 1; i < 11; i++)
 		assert_int_equal(sim.requests[i].outcome, SIM_COMPLETE);
-	assert_int_equal(sim.requests[11].began, 0); /* it left while it waited: never sent */
+	assert_int_equal(sim.requests[11].execution_count, 0); /* it left while it waited: never sent */
 	sim_close(&sim);
 }
 
@@ -1237,11 +1241,11 @@
 			load(&sim, &rng, 1000 + (int64_t)(seed % 5) * 50, 30, 2);
 			fault = sim.now;
 			if (mode == 2)
-				sim.servers[0].slow = 100;
+				sim.servers[0].chunk_interval_ms = 100;
 			if (mode == 0) {
 				sim.servers[0].up = 0;
 			} else if (mode == 1) { /* two of three copies: this part cannot be owned any more */
-				int leader = sim_leader(&sim, core_shard_of("arrears", SHARD_SERVICES));
+				int leader = sim_leader(&sim, core_service_shard("arrears", SHARD_SERVICES));
 
 				sim_crash(&sim, leader, 0);
 				sim_crash(&sim, (leader + 1) % 3, 0);
@@ -1307,14 +1311,14 @@
 		must_change(&sim, body, 6000);
 		sim_run(&sim, 6000, NULL); /* what was held under the limit before has ended */
 		for (int i = 0; i < 9; i++)
-			sim.servers[i].slow = 60;
+			sim.servers[i].chunk_interval_ms = 60;
 		sim.tenant_limits[1] = limit;
 		/* all callers at one router, then at all of them */
 		for (int phase = 0; phase < 2; phase++) {
 			int64_t from = sim.now;
 			uint64_t before = sim.n_complete;
 
-			submitted = sim.by_body[NL__MSG__BODY_CONFIG_SYNC];
+			submitted = sim.messages_by_body[NL__MSG__BODY_CONFIG_SYNC];
 			while (sim.now < from + 10000 && !sim.violation[0]) {
 				snprintf(id, sizeof id, "p%llu", (unsigned long long)++k);
 				sim_submit(&sim, SIM_CONTROLLERS + (phase ? (int)(core_random(&rng) % 9) : 4),
@@ -1322,12 +1326,14 @@
 				sim_run(&sim, 10, NULL);
 			}
 			ok(&sim);
-			asks += phase ? (double)(sim.by_body[NL__MSG__BODY_CONFIG_SYNC] - submitted) / 10 : 0;
+			asks +=
+			    phase ? (double)(sim.messages_by_body[NL__MSG__BODY_CONFIG_SYNC] - submitted) / 10
+				  : 0;
 			if (phase)
 				arrput(even, (int64_t)(sim.n_complete - before) * 1000 / limit);
 			else
 				arrput(skewed, (int64_t)(sim.n_complete - before) * 1000 / limit);
-			assert_int_equal(sim.most_runs[1], limit);
+			assert_int_equal(sim.peak_running[1], limit);
 		}
 		/* faults, with the limit lowered among them: what runs may go on, so it is judged a little
 		 * later */
@@ -1339,7 +1345,7 @@
 			if (what == 0)
 				sim_crash(&sim, node, 0);
 			else if (what == 1)
-				sim_cut(&sim, node, 1);
+				sim_set_partition(&sim, node, 1);
 			else if (what == 2)
 				sim_freeze(&sim, node, 1);
 			else if (what == 3 && leader >= 0)
@@ -1364,7 +1370,7 @@
 			for (int i = 0; i < SIM_CONTROLLERS + 9; i++) {
 				if (!sim.nodes[i].used)
 					continue;
-				sim_cut(&sim, i, 0);
+				sim_set_partition(&sim, i, 0);
 				sim_freeze(&sim, i, 0);
 				if (!sim.nodes[i].up)
 					sim_start(&sim, i);
@@ -1405,14 +1411,14 @@
 		load(&sim, &rng, 1000, 20, 3);
 		snprintf(body, sizeof body, row, i, svc[i % 3], sim.servers[i].addr, "draining");
 		must_change(&sim, body, 6000);
-		sim.servers[i].departed = sim.now;
+		sim.servers[i].drain_acked_at = sim.now;
 		load(&sim, &rng, 3500, 20, 3);
 		assert_int_equal(sim.servers[i].running, 0);
 		sim.servers[i].up = 0;
 		load(&sim, &rng, 1000, 20, 3);
 		arrsetlen(sim.servers[i].blocks, 0);
 		sim.servers[i].up = 1;
-		sim.servers[i].departed = 0;
+		sim.servers[i].drain_acked_at = 0;
 		snprintf(body, sizeof body, row, i, svc[i % 3], sim.servers[i].addr, "serving");
 		must_change(&sim, body, 6000);
 	}
@@ -1463,12 +1469,12 @@
 		    &sim.nodes[sim_leader(&sim, SHARD_PURGE)].controller->purge_state;
 		uint64_t sum = 0, later = 0;
 
-		for (ptrdiff_t i = 0; i < hmlen(pub->last_view.subjects); i++)
-			sum += pub->last_view.subjects[i].value->tick;
+		for (ptrdiff_t i = 0; i < hmlen(pub->newest_purges.subjects); i++)
+			sum += pub->newest_purges.subjects[i].value->tick;
 		sim_run(&sim, 3000, NULL);
 		ok(&sim);
-		for (ptrdiff_t i = 0; i < hmlen(pub->last_view.subjects); i++)
-			later += pub->last_view.subjects[i].value->tick;
+		for (ptrdiff_t i = 0; i < hmlen(pub->newest_purges.subjects); i++)
+			later += pub->newest_purges.subjects[i].value->tick;
 		assert_int_equal(sum, later);
 	}
 	free(body);
@@ -1494,9 +1500,9 @@
 		pub = sim.nodes[node].controller;
 		assert_true(arrlen(pub->relay.downstreams) <=
 			    4 + 3); /* a relay a zone, and the other controllers */
-		from = sim.by_body[NL__MSG__BODY_KNOWLEDGE];
+		from = sim.messages_by_body[NL__MSG__BODY_KNOWLEDGE];
 		inc = pub->relay.increments_sent;
-		horizon = pub->publisher.tick;
+		horizon = pub->publisher.declared_tick;
 		for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + size[k]; i++)
 			looks -= sim.nodes[i].router->stats.report_polls;
 		sim_run(&sim, 10000, NULL);
@@ -1514,11 +1520,12 @@
 		print_message(
 		    "%d counters: %.2f knowledge messages a tick in all, %.2f of the publisher; the last horizon is %llu ticks behind\n",
 		    size[k],
-		    (double)(sim.by_body[NL__MSG__BODY_KNOWLEDGE] - from) /
-			(double)(pub->publisher.tick - horizon),
-		    (double)(pub->relay.increments_sent - inc) / (double)(pub->publisher.tick - horizon),
-		    (unsigned long long)(pub->publisher.tick - worst));
-		assert_true(worst + 3 >= pub->publisher.tick);
+		    (double)(sim.messages_by_body[NL__MSG__BODY_KNOWLEDGE] - from) /
+			(double)(pub->publisher.declared_tick - horizon),
+		    (double)(pub->relay.increments_sent - inc) /
+			(double)(pub->publisher.declared_tick - horizon),
+		    (unsigned long long)(pub->publisher.declared_tick - worst));
+		assert_true(worst + 3 >= pub->publisher.declared_tick);
 		sim_close(&sim);
 	}
 }
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -32,21 +32,21 @@
 	struct Nl__Instance **instances;
 
 	router_fixture_open(fixture, 5);
-	service = new_service(fixture->p, "pool");
+	service = new_service(fixture->pool, "pool");
 	service->prefill_tokens_per_ms = PREFILL;
 	service->capacity_tokens = capacity;
 	service->link_bytes_per_ms = 10 * PREFILL;
 	service->kv_bytes_per_token = 1;
-	row = new_row(fixture->p, NL__KIND__ROUTE, route);
+	row = new_row(fixture->pool, NL__KIND__ROUTE, route);
 	row->service = "pool";
 	row->host = "h";
 	row->path = "/x/";
 	row->limit = 100;
 	rows[0] = service;
 	rows[1] = row;
-	instances = apr_palloc(fixture->p, (size_t)servers * sizeof *instances);
+	instances = apr_palloc(fixture->pool, (size_t)servers * sizeof *instances);
 	for (int i = 0; i < servers; i++)
-		instances[i] = new_instance(fixture->p, i, "pool");
+		instances[i] = new_instance(fixture->pool, i, "pool");
 	router_fixture_table(fixture, rows, 2, instances, (size_t)servers, 1);
 	fixture->router.relay.has_knowledge = 1;
 	fixture->router.relay.known_at_ms = fixture->now;
@@ -56,7 +56,7 @@
 static uint64_t ask(struct router_fixture *fixture, uint64_t shared, const char *id)
 {
 	struct forwarded_request a = {
-		.token = ++fixture->token, .host = "h", .path = "/x/", .id = id, .limit_ms = 10000
+		.token = ++fixture->token, .host = "h", .path = "/x/", .request_id = id, .timeout_ms = 10000
 	};
 	struct router_event input = { .kind = ROUTER_EVENT_FORWARDED_REQUEST };
 
@@ -64,7 +64,7 @@
 	a.blocks[0] = (struct request_block){ shared, SHARED };
 	a.blocks[1] = (struct request_block){ 1000000 + fixture->token, OWN };
 	a.input_tokens = SHARED + OWN;
-	a.output_tokens = 10;
+	a.max_output_tokens = 10;
 	input.args.forwarded_request = &a;
 	command_list_clear(&fixture->commands);
 	router_fixture_step(fixture, &input);
@@ -73,10 +73,10 @@
 
 static void begin(struct router_fixture *s, uint64_t call, int after_ms)
 {
-	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN };
 
 	s->now += after_ms;
-	s->router.config.watch.fetched_at_ms = s->router.relay.known_at_ms = s->now;
+	s->router.config.watch.confirmed_at_ms = s->router.relay.known_at_ms = s->now;
 	event.args.forward_began.token = call;
 	router_fixture_step(s, &event);
 }
@@ -106,7 +106,7 @@
 	assert_int_equal(counts(&fixture)->cached_tokens, SHARED);
 	assert_int_equal(counts(&fixture)->prefill_tokens, SHARED + 2 * OWN);
 	router_fixture_end_call(&fixture, call, FORWARD_BROKEN_OFF, 0);
-	assert_int_equal(counts(&fixture)->no_first_chunk, 1);
+	assert_int_equal(counts(&fixture)->no_first_chunk_count, 1);
 	router_fixture_close(&fixture);
 }
 
@@ -120,7 +120,7 @@
 	open_before(&fixture, 1, 10, "l1");
 	first = ask(&fixture, 7, "a");
 	assert_true(first);
-	assert_int_equal(counts(&fixture)->decisions[DECISION_ONLY], 1);
+	assert_int_equal(counts(&fixture)->decisions[DECISION_ONLY_SERVER], 1);
 	assert_int_equal(ask(&fixture, 7, "b"), 0); /* it waits: there is no room beside the first */
 	begin(&fixture, first, 50);
 	router_fixture_end_call(&fixture, first, FORWARD_COMPLETE, 200);
@@ -174,12 +174,12 @@
 	(void)state;
 	open_before(&fixture, 3, CAPACITY_TOKENS, "a \"lane\" of \\ ours");
 	assert_true(ask(&fixture, 7, "a"));
-	text = router_metrics(&fixture.router, fixture.now, fixture.p);
+	text = router_metrics(&fixture.router, fixture.now, fixture.pool);
 	assert_non_null(strstr(
 	    text, "notchlug_decisions_total{route=\"a \\\"lane\\\" of \\\\ ours\",reason=\"home\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_mechanism_on{name=\"fetch\"} 1\n"));
 	assert_non_null(strstr(text, "notchlug_queue_ms_bucket"));
-	for (line = apr_pstrdup(fixture.p, text); line && *line;
+	for (line = apr_pstrdup(fixture.pool, text); line && *line;
 	     line = strchr(line, '\n') ? strchr(line, '\n') + 1 : NULL) {
 		if (*line == '#')
 			continue;
@@ -229,8 +229,7 @@
 		for (int i = 0; i < DECISIONS; i++) {
 			request.prompt.block_hash[0] = (uint64_t)i;
 			found +=
-			    router_placement_forwarded(&fixture.router, &request, fixture.now).server_index >=
-			    0;
+			    router_place_forwarded(&fixture.router, &request, fixture.now).server_index >= 0;
 		}
 		us = (double)(clock() - from) * 1e6 / CLOCKS_PER_SEC / DECISIONS;
 		print_message("%d servers: %.1f us a decision\n", servers[k], us);
--- a/tests/test_documents.c
+++ b/tests/test_documents.c
@@ -132,9 +132,9 @@
 	assert_int_equal(row->priority_class, 2);
 	assert_int_equal(row->limit, 0);
 	assert_int_equal(row_of(&change, NL__KIND__TENANT, "t2")->priority_class, 0);
-	row = row_of(&change, NL__KIND__KEY, doc_digest("k3", hex));
+	row = row_of(&change, NL__KIND__KEY, access_key_digest("k3", hex));
 	assert_string_equal(row->tenant, "t2");
-	assert_string_equal(doc_digest("abc", hex),
+	assert_string_equal(access_key_digest("abc", hex),
 			    "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 	row = row_of(&change, NL__KIND__LISTENER, "door");
 	assert_int_equal(row->max_body_bytes, 4194304);
@@ -370,16 +370,16 @@
 		config_table_open(&table);
 		assert_int_equal(doc(NULL, a, 0, &change, &why, p), 0);
 		change.any_revision = change.replace_all = change.replace_keys = 1;
-		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
+		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_APPLIED);
 		t0 = ms_of();
 		assert_int_equal(doc(NULL, b, 0, &change, &why, p), 0);
 		change.any_revision = change.replace_all = change.replace_keys = 1;
 		t1 = ms_of();
 		assert_null(config_check_change(&table, &change, p));
 		t2 = ms_of();
-		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
+		assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_APPLIED);
 		t3 = ms_of();
-		config_table_since(&table, 1, &rep, p);
+		config_table_pack_since(&table, 1, &rep, p);
 		assert_true(rep.n_set < (size_t)sizes[i] / 100 + 2); /* followers get what changed */
 		assert_int_equal(
 		    doc(a,
@@ -529,9 +529,9 @@
 	if (!call->busy)
 		return 0;
 	if (web && web->status == 307) {
-		assert_true(web->to && web->to != sim->nodes[call->node].addr);
-		if (call->hops < 2 && node_of(sim, web->to) >= 0) {
-			send_call(sim, call, node_of(sim, web->to), call->hops + 1);
+		assert_true(web->redirect_addr && web->redirect_addr != sim->nodes[call->node].addr);
+		if (call->hops < 2 && node_of(sim, web->redirect_addr) >= 0) {
+			send_call(sim, call, node_of(sim, web->redirect_addr), call->hops + 1);
 			return 0;
 		}
 	} else if (web && web->status < 500) {
@@ -594,16 +594,16 @@
 	sim_run(&sim, 1000, NULL); /* the fleet stands before its founder has heard each seed say so */
 	controller_bootstrap(sim.nodes[0].controller,
 			     sim.now + sim.nodes[0].clock_skew_ms); /* again: it belongs to one */
-	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
+	assert_int_equal(sim.nodes[0].controller->bootstrap.is_by_settings, 0);
 	sim_crash(&sim, 0, 1); /* the first seed loses its disk, and its settings still say so */
 	sim_run(&sim, 3000, NULL);
 	sim_start(&sim, 0);
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	until_complete(&sim, 3, 15000);
 	for (int i = 0; i < 3; i++)
-		assert_int_equal(sim.nodes[i].controller->identity.fleet,
-				 sim.nodes[1].controller->identity.fleet);
-	assert_int_equal(sim.nodes[0].controller->bootstrap.by_settings, 0);
+		assert_int_equal(sim.nodes[i].controller->identity.fleet_id,
+				 sim.nodes[1].controller->identity.fleet_id);
+	assert_int_equal(sim.nodes[0].controller->bootstrap.is_by_settings, 0);
 	ok(&sim);
 	sim_close(&sim);
 	/* seeds that come later are waited for, longer than a call would */
@@ -615,10 +615,10 @@
 	sim_add_controller(&sim, "z1", seeds, 3);
 	controller_bootstrap(sim.nodes[0].controller, sim.now + sim.nodes[0].clock_skew_ms);
 	sim_run(&sim, 40000, NULL);
-	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet_id, 0);
 	sim_add_controller(&sim, "z2", seeds, 3);
 	sim_run(&sim, 15000, NULL);
-	assert_int_equal(sim.nodes[0].controller->identity.fleet, 0);
+	assert_int_equal(sim.nodes[0].controller->identity.fleet_id, 0);
 	sim_add_controller(&sim, "z3", seeds, 3);
 	until_complete(&sim, 3, 5000);
 	ok(&sim);
@@ -1017,8 +1017,8 @@
 				assert_string_equal(
 				    config_table_get(
 					&sim->nodes[o].controller->config.table, NL__KIND__KEY,
-					doc_digest(json_object_get_string(json_object_array_get_idx(a, k)),
-						   hex))
+					access_key_digest(
+					    json_object_get_string(json_object_array_get_idx(a, k)), hex))
 					->tenant,
 				    json_string_member(json_object_array_get_idx(t, i), "Name"));
 		}
@@ -1041,7 +1041,7 @@
 	int o = sim_leader(sim, SHARD_CONTROL);
 
 	apr_pool_create(&p, NULL);
-	a = controller_state(sim->nodes[o].controller, SHARD_CONTROL, p, &n);
+	a = snapshot_pack_state(sim->nodes[o].controller, SHARD_CONTROL, p, &n);
 	for (int i = 0; i < regs(sim); i++) {
 		const struct raft *raft = &sim->nodes[i].controller->shards[SHARD_CONTROL];
 		uint8_t *b;
@@ -1065,7 +1065,7 @@
 			sim->nodes[o].controller->shards[SHARD_CONTROL].log.applied_index ||
 		    !raft->group.member_count)
 			continue;
-		b = controller_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
+		b = snapshot_pack_state(sim->nodes[i].controller, SHARD_CONTROL, p, &m);
 		assert_int_equal(n, m);
 		assert_memory_equal(a, b, n);
 	}
@@ -1162,7 +1162,7 @@
 			}
 			if (down < 0 && cut < 0 && sim.now > next_fault && sim.now < end && !rnd(&sim, 60)) {
 				cut = (int)rnd(&sim, (uint64_t)regs(&sim));
-				sim_cut(&sim, cut, 1);
+				sim_set_partition(&sim, cut, 1);
 				faults++;
 				back = sim.now + 200 + (int64_t)rnd(&sim, 3000);
 			}
@@ -1172,7 +1172,7 @@
 				next_fault = INT64_MAX;
 			}
 			if (cut >= 0 && sim.now > back) {
-				sim_cut(&sim, cut, 0);
+				sim_set_partition(&sim, cut, 0);
 				cut = -1;
 				next_fault = INT64_MAX;
 			}
@@ -1183,7 +1183,7 @@
 		if (down >= 0)
 			sim_start(&sim, down);
 		if (cut >= 0)
-			sim_cut(&sim, cut, 0);
+			sim_set_partition(&sim, cut, 0);
 		sim.loss_per_mille = 0;
 		until_complete(&sim, 3, 20000);
 		sim_run(&sim, 1000, NULL);
@@ -1439,10 +1439,10 @@
 	sim_add_router(&sim, "z1");
 	sim_run(&sim, 8000, NULL);
 	o = sim_leader(&sim, SHARD_CONTROL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota_shares.limits), 0);
 	config_watch_quota(&sim.nodes[SIM_CONTROLLERS].router->config.watch, "t1")->requested = 1;
 	sim_run(&sim, 1000, NULL);
-	assert_int_equal(shlen(sim.nodes[o].controller->quota.limits), 0);
+	assert_int_equal(shlen(sim.nodes[o].controller->quota_shares.limits), 0);
 	ok(&sim);
 	sim_close(&sim);
 }
@@ -1463,33 +1463,33 @@
 	config_table_open(&table);
 	assert_int_equal(doc(NULL, first, 0, &change, &why, p), 0);
 	change.any_revision = change.replace_all = change.replace_keys = name.any_revision = 1;
-	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_APPLIED);
 	row.kind = NL__KIND__MODEL;
 	row.name = (char *)"daka";
 	row.target_weights = (char *)"2";
 	name.set = set;
 	name.n_set = 1;
-	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_APPLIED);
 	assert_int_equal(arrlen(feed), 0);
 	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled_out, "1");
 	row.target_weights = (char *)"1"; /* only rises */
-	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_APPLIED);
 	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->target_weights, "2");
 	row.rolled_out = (char *)"2";
-	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_APPLIED);
 	assert_int_equal(arrlen(feed), 2); /* for both services of the model */
 	assert_string_equal(feed[0]->weights, "1");
 	assert_int_equal(feed[0]->reason, 1);
 	row.target_weights = (char *)"5";
 	row.rolled_out = (char *)"4"; /* 3 was named and overtaken: it goes as well */
-	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_APPLIED);
 	assert_int_equal(arrlen(feed), 6);
 	row.rolled_out = (char *)"2";
-	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &name, &feed), PROPOSAL_APPLIED);
 	assert_string_equal(config_table_get(&table, NL__KIND__MODEL, "daka")->rolled_out, "4");
 	assert_int_equal(arrlen(feed), 6);
 	assert_int_equal(config_table_apply(&table, &change, &feed),
-			 PROPOSAL_DONE); /* the same document: no rows change, nothing is withdrawn */
+			 PROPOSAL_APPLIED); /* the same document: no rows change, nothing is withdrawn */
 	assert_int_equal(arrlen(feed), 6);
 	assert_non_null(config_table_get(&table, NL__KIND__MODEL, "daka"));
 	for (ptrdiff_t i = 0; i < arrlen(feed); i++)
--- a/tests/test_explore.c
+++ b/tests/test_explore.c
@@ -415,7 +415,7 @@
 static void beat(uint8_t leader, uint8_t follower, int rounds)
 {
 	for (int i = 0; i < rounds; i++) {
-		(void)explore_do((struct choice){ CHOICE_WAIT, 0, 0, RAFT_HEARTBEAT_MS });
+		(void)explore_do((struct choice){ CHOICE_WAIT, 0, 0, RAFT_HEARTBEAT_INTERVAL_MS });
 		(void)explore_do((struct choice){ CHOICE_TICK, leader, 0, 0 });
 		(void)explore_do((struct choice){ CHOICE_SYNC, leader, 0, 0 });
 		while (explore_do((struct choice){ CHOICE_DELIVER, follower, leader, 0 }) ||
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -94,33 +94,33 @@
 
 	switch (random_below(d, 10)) {
 	case 0:
-		server->refusals = 300;
+		server->refusal_per_mille = 300;
 		break;
 	case 1:
-		server->silences = 100;
+		server->no_answer_per_mille = 100;
 		break;
 	case 2:
-		server->extra_piece_ms = 200;
+		server->extra_chunk_interval_ms = 200;
 		break;
 	case 3:
-		server->errors = 200;
+		server->error_per_mille = 200;
 		break;
 	case 4:
-		server->breaks = 300;
+		server->break_per_mille = 300;
 		break;
 	case 5:
-		server->breaks_before_head = 300;
+		server->break_before_head_per_mille = 300;
 		break;
 	case 6:
-		server->repeated_pieces = 500;
+		server->repeated_chunk_per_mille = 500;
 		break;
 	case 7:
-		server->bare_refusals = 200;
+		server->unmarked_refusal_per_mille = 200;
 		break;
 	default:
-		server->refusals = server->silences = server->extra_piece_ms = server->errors =
-		    server->breaks = server->breaks_before_head = server->repeated_pieces =
-			server->bare_refusals = 0;
+		server->refusal_per_mille = server->no_answer_per_mille = server->extra_chunk_interval_ms =
+		    server->error_per_mille = server->break_per_mille = server->break_before_head_per_mille =
+			server->repeated_chunk_per_mille = server->unmarked_refusal_per_mille = 0;
 	}
 }
 
@@ -201,8 +201,8 @@
 	else if (down.how == 1)
 		sim_freeze(&forwarding->sim, down.node, 1);
 	else
-		sim_cut(&forwarding->sim, down.node,
-			core ? 1 : 2); /* both at once are not cut off together */
+		sim_set_partition(&forwarding->sim, down.node,
+				  core ? 1 : 2); /* both at once are not cut off together */
 }
 
 static void mend(struct sim_forward *forwarding, struct down *down, int now)
@@ -214,7 +214,7 @@
 	else if (down->how == 1)
 		sim_freeze(&forwarding->sim, down->node, 0);
 	else
-		sim_cut(&forwarding->sim, down->node, 0);
+		sim_set_partition(&forwarding->sim, down->node, 0);
 	down->node = -1;
 }
 
@@ -222,13 +222,13 @@
 {
 	uint64_t seed = forwarding->sim.seed;
 
-	forwarding->event_loss = seed % 3 ? 0 : 150;
+	forwarding->event_loss_per_mille = seed % 3 ? 0 : 150;
 	forwarding->event_lag_ms = seed % 4 == 1 ? 400 : 60;
 	forwarding->capacity_blocks = seed % 5 == 2 ? 12 : 60;
-	forwarding->prefix_of_tenant = seed % 2;
+	forwarding->has_tenant_prefixes = seed % 2;
 	forwarding->sim.instance_list.slots = seed % 4 == 2 ? 4 : 0;
-	forwarding->sim.instance_list.lag_ms = seed % 4 == 3 ? 1500 : 800;
-	forwarding->sim.instance_list.refuse = seed % 6 == 5 ? 100 : 0;
+	forwarding->sim.instance_list.listing_delay_ms = seed % 4 == 3 ? 1500 : 800;
+	forwarding->sim.instance_list.refusal_per_mille = seed % 6 == 5 ? 100 : 0;
 	forwarding->sim.loss_per_mille = seed % 7 == 6 ? 30 : 0;
 }
 
@@ -281,7 +281,8 @@
 				break;
 			default:
 				if (seed % 6 == 3)
-					forwarding.sim.instance_list.away_until = forwarding.sim.now + 1500;
+					forwarding.sim.instance_list.unavailable_until =
+					    forwarding.sim.now + 1500;
 			}
 			mend(&forwarding, &router_node, 0);
 			mend(&forwarding, &controller_node, 0);
@@ -337,7 +338,7 @@
 
 		open_fleet(&forwarding, seed, 2, 4, NULL);
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++)
-			forwarding.servers[i].refusals = 1000;
+			forwarding.servers[i].refusal_per_mille = 1000;
 		asks(&forwarding, 80, SIM_FORWARD_CHAT);
 		go(&forwarding, 7000);
 		assert_true(forwarding.n_resend > 0);
@@ -358,8 +359,8 @@
 		open_fleet(&forwarding, seed, 2, 6, NULL);
 		forwarding.request_interval_ms = 15;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++) {
-			forwarding.servers[i].breaks = 120;
-			forwarding.servers[i].repeated_pieces = 500;
+			forwarding.servers[i].break_per_mille = 120;
+			forwarding.servers[i].repeated_chunk_per_mille = 500;
 		}
 		go(&forwarding, 9000);
 		forwarding.request_interval_ms = 0;
@@ -384,15 +385,15 @@
 		int hold = seed % 3 == 2;
 
 		open_fleet(&forwarding, seed, 3, 6, NULL);
-		forwarding.limit_ms = 9000;
+		forwarding.request_timeout_ms = 9000;
 		forwarding.request_interval_ms = 6;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++)
-			forwarding.servers[i].silences = 200;
+			forwarding.servers[i].no_answer_per_mille = 200;
 		go(&forwarding, 500);
 		if (hold)
 			sim_freeze(&forwarding.sim, SIM_CONTROLLERS, 1);
 		else
-			sim_cut(&forwarding.sim, SIM_CONTROLLERS, 2);
+			sim_set_partition(&forwarding.sim, SIM_CONTROLLERS, 2);
 		go(&forwarding, 100);
 		config = arrlast(forwarding.configs);
 		for (int k = 1; k < SIM_FORWARD_KEYS; k += 2)
@@ -402,7 +403,7 @@
 		if (hold)
 			sim_freeze(&forwarding.sim, SIM_CONTROLLERS, 0);
 		else
-			sim_cut(&forwarding.sim, SIM_CONTROLLERS, 0);
+			sim_set_partition(&forwarding.sim, SIM_CONTROLLERS, 0);
 		go(&forwarding, 2000);
 		forwarding.request_interval_ms = 0;
 		go(&forwarding, 9500);
@@ -418,7 +419,7 @@
 
 	(void)state;
 	open_fleet(&forwarding, 3, 1, 4, NULL);
-	forwarding.limit_ms = 60000;
+	forwarding.request_timeout_ms = 60000;
 	for (int i = 0; i < 40; i++) {
 		sim_forward_submit(&forwarding, SIM_CONTROLLERS, SIM_FORWARD_ONCE, 0, i, 9);
 		go(&forwarding, 1);
@@ -442,7 +443,7 @@
 		int first;
 
 		open_fleet(&forwarding, seed, 2, 4, NULL);
-		forwarding.limit_ms = 60000;
+		forwarding.request_timeout_ms = 60000;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.sim.instance_list.instances); i++)
 			if (forwarding.sim.instance_list.instances[i].service[0] == 'p')
 				sim_instance_end(&forwarding.sim, (int)i, 0);
@@ -514,9 +515,9 @@
 		int64_t last_once = 0, first_idem = INT64_MAX;
 
 		open_fleet(&forwarding, seed, 1, 3, few_slots);
-		forwarding.limit_ms = 30000;
+		forwarding.request_timeout_ms = 30000;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++)
-			forwarding.servers[i].extra_piece_ms = 50;
+			forwarding.servers[i].extra_chunk_interval_ms = 50;
 		asks(&forwarding, 12, SIM_FORWARD_ONCE); /* these lines are known first, so that no order by
 							    age helps the urgent */
 		go(&forwarding, 100);
@@ -553,9 +554,9 @@
 
 	(void)state;
 	open_fleet(&forwarding, 2, 1, 3, few_slots);
-	forwarding.limit_ms = 60000;
+	forwarding.request_timeout_ms = 60000;
 	for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++)
-		forwarding.servers[i].extra_piece_ms = 2500;
+		forwarding.servers[i].extra_chunk_interval_ms = 2500;
 	for (int i = 0; i < 4; i++)
 		sim_forward_submit(&forwarding, SIM_CONTROLLERS, SIM_FORWARD_ONCE, 0, i, 9);
 	go(&forwarding, 300);
@@ -630,7 +631,7 @@
 		forwarding.request_interval_ms = 10;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding.servers);
 		     i++) /* so that the others are full now and then */
-			forwarding.servers[i].extra_piece_ms = 100;
+			forwarding.servers[i].extra_chunk_interval_ms = 100;
 		go(&forwarding, 2000);
 		assert_true(sim_forward_set_target(&forwarding, 0, 2));
 		hold_back(&forwarding, 18000);
@@ -699,22 +700,22 @@
 
 	(void)state;
 	router_fixture_open(&fixture, 5);
-	rows = apr_palloc(fixture.p, (N + 1) * sizeof *rows);
-	rows[n++] = new_service(fixture.p, "pool");
+	rows = apr_palloc(fixture.pool, (N + 1) * sizeof *rows);
+	rows[n++] = new_service(fixture.pool, "pool");
 	sh_new_strdup(seen);
 	while (n <= N) {
 		struct Nl__Row *row =
-		    new_row(fixture.p, NL__KIND__ROUTE, apr_psprintf(fixture.p, "l%d", (int)n));
+		    new_row(fixture.pool, NL__KIND__ROUTE, apr_psprintf(fixture.pool, "l%d", (int)n));
 		int deep = (int)random_below(&d, 6);
 		char *key;
 
 		row->path = "/";
 		for (int i = 0; i < deep; i++)
 			row->path =
-			    apr_psprintf(fixture.p, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3),
+			    apr_psprintf(fixture.pool, "%s%c%d/", row->path, 'a' + (int)random_below(&d, 3),
 					 (int)random_below(&d, i ? 3 : 12));
-		row->host = apr_psprintf(fixture.p, "h%d.example", (int)random_below(&d, 12));
-		key = apr_pstrcat(fixture.p, row->host, row->path, NULL);
+		row->host = apr_psprintf(fixture.pool, "h%d.example", (int)random_below(&d, 12));
+		key = apr_pstrcat(fixture.pool, row->host, row->path, NULL);
 		if (shgeti(seen, key) >= 0)
 			continue;
 		shput(seen, key, 1);
@@ -752,7 +753,7 @@
 		found++;
 		router_fixture_disconnect(&fixture);
 		if (k % 200 == 0) /* it must stay in touch with its table */
-			fixture.router.config.watch.fetched_at_ms = fixture.now;
+			fixture.router.config.watch.confirmed_at_ms = fixture.now;
 	}
 	assert_true(found > 1000);
 	router_fixture_close(&fixture);
@@ -771,13 +772,13 @@
 	(void)state;
 	router_fixture_open(&fixture, 5);
 	for (int i = 0; i < 4; i++) {
-		rows[i] = new_service(fixture.p, names[i]);
+		rows[i] = new_service(fixture.pool, names[i]);
 		nl__route_split__init(&part[i]);
 		part[i].service = (char *)(uintptr_t)names[i];
 		part[i].weight = (uint32_t)weight[i];
 		list[i] = &part[i];
 	}
-	rows[4] = route = new_row(fixture.p, NL__KIND__ROUTE, "l");
+	rows[4] = route = new_row(fixture.pool, NL__KIND__ROUTE, "l");
 	route->service = "s0";
 	route->host = "h";
 	route->path = "/";
@@ -822,9 +823,9 @@
 
 		for (int i = 0; i < N; i++) {
 			router_fixture_open(&fixture[i], (uint64_t)i + 1);
-			rows[0] = new_service(fixture[i].p, "pool");
+			rows[0] = new_service(fixture[i].pool, "pool");
 			for (int k = 0; k < SRV; k++)
-				instances[k] = new_instance(fixture[i].p, (k + i) % SRV,
+				instances[k] = new_instance(fixture[i].pool, (k + i) % SRV,
 							    "pool"); /* each knows them by other numbers */
 			router_fixture_table(&fixture[i], rows, 1, instances, SRV, 1);
 		}
@@ -835,21 +836,22 @@
 				int zone = i % ZONES, head = i < ZONES;
 				struct router *router = &fixture[i].router;
 
-				router->config.watch.fetched_at_ms = fixture[i].now;
+				router->config.watch.confirmed_at_ms = fixture[i].now;
 				router->zone_hash = (uint64_t)zone + 1;
 				router->config.watch.upstream_count = head ? 0 : 1;
-				router->config.watch.upstream[0] = (uint64_t)zone + 1001;
+				router->config.watch.upstream_addrs[0] = (uint64_t)zone + 1001;
 				router->config.watch.zone_head_count = 0;
 				for (int z = 0; z < ZONES && head; z++)
 					if (z != zone)
 						router->config.watch
-						    .zone_heads[router->config.watch.zone_head_count++] =
+						    .zone_head_addrs[router->config.watch.zone_head_count++] =
 						    (uint64_t)z + 1001;
 				if (!quiet && random_below(&d, 3) == 0) {
 					int k = (int)random_below(&d, SRV);
 
-					router->servers.states[k].own_running = (int)random_below(&d, 30);
-					router->servers.states[k].prefill_tokens =
+					router->servers.states[k].own_running_count =
+					    (int)random_below(&d, 30);
+					router->servers.states[k].own_prefill_tokens =
 					    (uint32_t)random_below(&d, 20000);
 				}
 				if (i == off && round > 150 &&
@@ -884,22 +886,25 @@
 					int at = names_find(&fixture[x].router.names.servers, name);
 
 					ahead +=
-					    x == i ? 0 : fixture[x].router.servers.states[at].prefill_tokens;
-					running +=
-					    x == i
-						? 0
-						: (uint32_t)fixture[x].router.servers.states[at].own_running;
+					    x == i ? 0
+						   : fixture[x].router.servers.states[at].own_prefill_tokens;
+					running += x == i ? 0
+							  : (uint32_t)fixture[x]
+								.router.servers.states[at]
+								.own_running_count;
 				}
-				if (fixture[i].router.load.others[k].prefill_tokens != ahead ||
-				    fixture[i].router.load.others[k].running != running)
+				if (fixture[i].router.load.other_routers[k].prefill_tokens != ahead ||
+				    fixture[i].router.load.other_routers[k].running_count != running)
 					fail_msg(
 					    "seed %d: counter %d thinks that others have %u tokens, %u requests at %s; they have %u, %u",
-					    (int)seed, i, fixture[i].router.load.others[k].prefill_tokens,
-					    fixture[i].router.load.others[k].running, name, ahead, running);
+					    (int)seed, i,
+					    fixture[i].router.load.other_routers[k].prefill_tokens,
+					    fixture[i].router.load.other_routers[k].running_count, name,
+					    ahead, running);
 			}
 		for (int i = 0; i < N; i++) {
 			for (int k = 0; k < SRV; k++)
-				fixture[i].router.servers.states[k].own_running = 0;
+				fixture[i].router.servers.states[k].own_running_count = 0;
 			router_fixture_close(&fixture[i]);
 		}
 	}
@@ -921,9 +926,9 @@
 
 		memset(have, 0, sizeof have);
 		router_fixture_open(&fixture, 5);
-		rows[0] = new_service(fixture.p, "pool");
+		rows[0] = new_service(fixture.pool, "pool");
 		for (int k = 0; k < SRV; k++)
-			instances[k] = new_instance(fixture.p, k, "pool");
+			instances[k] = new_instance(fixture.pool, k, "pool");
 		router_fixture_table(&fixture, rows, 1, instances, SRV, 1);
 		for (int round = 0; round < 600; round++) {
 			struct Nl__Msg message = NL__MSG__INIT;
@@ -999,7 +1004,7 @@
 	memset(&request, 0, sizeof request);
 	request.route.service_index = service;
 	request.route.tenant_index = tenant;
-	return router_cache_namespace(&fixture->router, &request, weights, fixture->p);
+	return router_cache_namespace(&fixture->router, &request, weights, fixture->pool);
 }
 
 /* One open route to one service with one server, and no bound but its slots. */
@@ -1008,15 +1013,15 @@
 	struct Nl__Row *rows[2];
 	struct Nl__Instance *instance;
 
-	rows[0] = new_service(fixture->p, "pool");
+	rows[0] = new_service(fixture->pool, "pool");
 	rows[0]->slots = slots;
-	rows[1] = new_row(fixture->p, NL__KIND__ROUTE, "l");
+	rows[1] = new_row(fixture->pool, NL__KIND__ROUTE, "l");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
 	rows[1]->limit = 10;
 	rows[1]->key_optional = 1;
-	instance = new_instance(fixture->p, 1, "pool");
+	instance = new_instance(fixture->pool, 1, "pool");
 	instance->slots = slots;
 	router_fixture_table(fixture, rows, 2, &instance, 1, 1);
 }
@@ -1038,7 +1043,7 @@
 		answered.cancels += command->kind == CMD_CANCEL;
 		if (command->kind == CMD_ANSWER) {
 			answered.status = command->args.answer.status;
-			answered.retry_ms = command->args.answer.retry_ms;
+			answered.retry_ms = command->args.answer.retry_after_ms;
 		}
 	}
 	return answered;
@@ -1071,11 +1076,11 @@
 			ended.token = call;
 			ended.end = FORWARD_BROKEN_OFF;
 			ended.status = 200;
-			ended.has_begun = 1;
+			ended.has_stream_begun = 1;
 			event.kind = ROUTER_EVENT_FORWARD_ENDED;
 			event.args.forward_ended = &ended;
 		} else {
-			event.kind = ROUTER_EVENT_FORWARD_BEGAN;
+			event.kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN;
 			event.args.forward_began.token = call;
 		}
 		router_fixture_step(&fixture, &event);
@@ -1164,7 +1169,7 @@
 	assert_int_equal(answered.answers, 1);
 	assert_true(answered.retry_ms > 0);
 	assert_int_equal(arrlen(fixture.router.requests.all), 1 + SLOTS);
-	fixture.router.config.watch.fetched_at_ms = fixture.now;
+	fixture.router.config.watch.confirmed_at_ms = fixture.now;
 	router_fixture_end_call(&fixture, call, FORWARD_COMPLETE, 200);
 	answered = fixture_told(&fixture);
 	assert_int_equal(answered.answers + answered.ends, 0);
@@ -1193,7 +1198,7 @@
 	assert_true(call);
 	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "waits", &status));
 	fixture.now += 1500; /* well within the bounds of before */
-	fixture.router.config.bounds.revoke_ms = 1000;
+	fixture.router.config.bounds.key_revocation_ms = 1000;
 	command_list_clear(&fixture.commands);
 	router_fixture_tick(&fixture, 25);
 	answered = fixture_told(&fixture);
@@ -1205,7 +1210,7 @@
 	assert_int_equal(answered.ends + answered.answers, 0);
 	assert_false(
 	    router_fixture_last_call(&fixture)); /* there is a place, but the configuration is too old */
-	fixture.router.config.watch.fetched_at_ms = fixture.now; /* heard again */
+	fixture.router.config.watch.confirmed_at_ms = fixture.now; /* heard again */
 	command_list_clear(&fixture.commands);
 	router_fixture_tick(&fixture, 25);
 	assert_true(router_fixture_last_call(&fixture));
@@ -1225,17 +1230,17 @@
 
 		(void)state;
 		router_fixture_open(&fixture, 5);
-		rows[0] = new_service(fixture.p, "pool");
+		rows[0] = new_service(fixture.pool, "pool");
 		rows[0]->model = "m";
-		rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "l");
+		rows[1] = new_row(fixture.pool, NL__KIND__ROUTE, "l");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
 		rows[1]->key_optional = 1;
-		rows[2] = new_row(fixture.p, NL__KIND__MODEL, "m");
+		rows[2] = new_row(fixture.pool, NL__KIND__MODEL, "m");
 		rows[2]->target_weights = "1";
-		instance = new_instance(fixture.p, 1, "pool");
+		instance = new_instance(fixture.pool, 1, "pool");
 		instance->weights = "1";
 		router_fixture_table(&fixture, rows, 3, &instance, 1, 1);
 		rows[2]->target_weights = "2";
@@ -1246,10 +1251,10 @@
 		router_fixture_table(&fixture, rows, 3, &instance, 1, 2);
 		fixture.now = (int64_t)named.targeted_at_ms + fixture.router.config.bounds.rollout_ms -
 			      ROUTER_ROLLOUT_SEND_MARGIN_MS - 600;
-		fixture.router.config.watch.fetched_at_ms = fixture.now;
+		fixture.router.config.watch.confirmed_at_ms = fixture.now;
 		router_fixture_tick(&fixture, 1);
 		if (busy)
-			fixture.router.servers.states[0].prefill_tokens =
+			fixture.router.servers.states[0].own_prefill_tokens =
 			    500 * rows[0]->prefill_tokens_per_ms; /* 500 ms of reading */
 		assert_non_null(router_fixture_submit(&fixture, "h", "/x", "id", &status));
 		assert_int_equal(router_fixture_last_call(&fixture) != 0, !busy);
@@ -1268,16 +1273,16 @@
 	(void)state;
 	router_fixture_open(&fixture, 5);
 	for (int i = 0; i < 2; i++) {
-		rows[i] = new_service(fixture.p, i ? "idle" : "busy");
-		rows[2 + i] = new_row(fixture.p, NL__KIND__ROUTE, i ? "l-idle" : "l-busy");
+		rows[i] = new_service(fixture.pool, i ? "idle" : "busy");
+		rows[2 + i] = new_row(fixture.pool, NL__KIND__ROUTE, i ? "l-idle" : "l-busy");
 		rows[2 + i]->service = rows[i]->name;
 		rows[2 + i]->host = i ? "idle" : "busy";
 		rows[2 + i]->path = "/";
 		rows[2 + i]->limit = 10;
 		rows[2 + i]->key_optional = 1;
 		rows[2 + i]->max_attempts = 4;
-		instances[2 * i] = new_instance(fixture.p, 1 + 2 * i, rows[i]->name);
-		instances[2 * i + 1] = new_instance(fixture.p, 2 + 2 * i, rows[i]->name);
+		instances[2 * i] = new_instance(fixture.pool, 1 + 2 * i, rows[i]->name);
+		instances[2 * i + 1] = new_instance(fixture.pool, 2 + 2 * i, rows[i]->name);
 	}
 	router_fixture_table(&fixture, rows, 4, instances, 4, 1);
 	for (int i = 0; i < 30; i++) {
@@ -1323,14 +1328,14 @@
 		int status;
 
 		router_fixture_open(&fixture, 5);
-		rows[0] = new_service(fixture.p, "pool");
-		rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "lane");
+		rows[0] = new_service(fixture.pool, "pool");
+		rows[1] = new_row(fixture.pool, NL__KIND__ROUTE, "lane");
 		rows[1]->service = "pool";
 		rows[1]->host = "h";
 		rows[1]->path = "/";
 		rows[1]->limit = 10;
 		rows[1]->key_optional = 1;
-		instance = new_instance(fixture.p, 1, "pool");
+		instance = new_instance(fixture.pool, 1, "pool");
 		router_fixture_table(&fixture, rows, 2, &instance, 1, 1);
 		assert_non_null(request = router_fixture_submit(&fixture, "h", "/x", "id", &status));
 		request->attempt.id = "send";
@@ -1369,8 +1374,8 @@
 
 	(void)state;
 	router_fixture_open(&fixture, 5);
-	rows[0] = new_service(fixture.p, "pool");
-	rows[1] = new_row(fixture.p, NL__KIND__ROUTE, "lane");
+	rows[0] = new_service(fixture.pool, "pool");
+	rows[1] = new_row(fixture.pool, NL__KIND__ROUTE, "lane");
 	rows[1]->service = "pool";
 	rows[1]->host = "h";
 	rows[1]->path = "/";
@@ -1378,13 +1383,13 @@
 	rows[1]->key_optional = rows[1]->idempotent = 1;
 	rows[1]->max_attempts = 3;
 	for (int i = 0; i < 2; i++)
-		instances[i] = new_instance(fixture.p, 1 + i, "pool");
+		instances[i] = new_instance(fixture.pool, 1 + i, "pool");
 	router_fixture_table(&fixture, rows, 2, instances, 2, 1);
 	assert_false(
 	    relay_is_current(&fixture.router.relay, fixture.now)); /* nothing has been heard of withdrawals */
 	assert_non_null(router_fixture_submit(&fixture, "h", "/x", "id", &status));
 	assert_non_null(fixture_cache_namespace(&fixture));
-	first = apr_pstrdup(fixture.p, fixture_cache_namespace(&fixture));
+	first = apr_pstrdup(fixture.pool, fixture_cache_namespace(&fixture));
 	router_fixture_end_call(&fixture, router_fixture_last_call(&fixture), FORWARD_BROKEN_OFF, 0);
 	assert_true(router_fixture_last_call(&fixture));
 	assert_int_equal(strncmp(first, "cold-", 5), 0);
@@ -1421,16 +1426,16 @@
 
 	(void)state;
 	router_fixture_open(&fixture, 5);
-	rows[0] = new_service(fixture.p, "pool");
+	rows[0] = new_service(fixture.pool, "pool");
 	for (int i = 0; i < 2; i++) {
-		rows[1 + i] = new_row(fixture.p, NL__KIND__ROUTE, i ? "later" : "first");
+		rows[1 + i] = new_row(fixture.pool, NL__KIND__ROUTE, i ? "later" : "first");
 		rows[1 + i]->service = "pool";
 		rows[1 + i]->host = i ? "later" : "first";
 		rows[1 + i]->path = "/";
 		rows[1 + i]->limit = ROUNDS;
 		rows[1 + i]->key_optional = 1;
 	}
-	instance = new_instance(fixture.p, 1, "pool");
+	instance = new_instance(fixture.pool, 1, "pool");
 	instance->slots = 2;
 	router_fixture_table(&fixture, rows, 2, &instance, 1, 1);
 	for (int i = 0; i < 100; i++) { /* the first route has had its turns for a while */
@@ -1470,16 +1475,16 @@
 
 	(void)state;
 	router_fixture_open(&fixture, 5);
-	rows[0] = new_service(fixture.p, "pool");
-	rows[1] = new_row(fixture.p, NL__KIND__TENANT, "t0");
-	rows[2] = new_row(fixture.p, NL__KIND__TENANT, "t1");
+	rows[0] = new_service(fixture.pool, "pool");
+	rows[1] = new_row(fixture.pool, NL__KIND__TENANT, "t0");
+	rows[2] = new_row(fixture.pool, NL__KIND__TENANT, "t1");
 	rows[1]->share = rows[2]->share = 1;
 	router_fixture_table(&fixture, rows, 3, NULL, 0, 1);
-	w1 = names_id(&fixture.router.names.weights, "w1");
-	w2 = names_id(&fixture.router.names.weights, "w2");
-	t0 = names_id(&fixture.router.names.tenants, "t0");
-	t1 = names_id(&fixture.router.names.tenants, "t1");
-	pool = names_id(&fixture.router.names.services, "pool");
+	w1 = names_find_or_add(&fixture.router.names.weights, "w1");
+	w2 = names_find_or_add(&fixture.router.names.weights, "w2");
+	t0 = names_find_or_add(&fixture.router.names.tenants, "t0");
+	t1 = names_find_or_add(&fixture.router.names.tenants, "t1");
+	pool = names_find_or_add(&fixture.router.names.services, "pool");
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t0);
 	assert_string_equal(was[0], cache_namespace_of(&fixture, pool, w1, t1));
 	was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w2, t0);
@@ -1498,7 +1503,7 @@
 		purge.weights = "w1";
 		purge.tenant = "t1";
 		purge_view_apply(&fixture.router.relay.view, &value);
-		router_on_value(&fixture.router, &value);
+		router_on_purge_value(&fixture.router, &value);
 		was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t0);
 		was[n++] = (char *)(uintptr_t)cache_namespace_of(&fixture, pool, w1, t1);
 	}
--- a/tests/test_handover.c
+++ b/tests/test_handover.c
@@ -258,7 +258,7 @@
 	raft_open(&follower->raft, 0, 1, 5, NULL, follower->now);
 	raft_bootstrap(&follower->raft, group, 3, follower->now);
 	raft_flush(&follower->raft, follower->now, &follower->out);
-	raft_synced(&follower->raft, follower->raft.disk.requested_seq, follower->now, &follower->out);
+	raft_synced(&follower->raft, follower->raft.disk.requested_sync_seq, follower->now, &follower->out);
 	follower->now += 5000;
 }
 
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -53,45 +53,50 @@
 		{ "HTTP/1.0 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nhi", OPEN,
 		  HTTP_CALL_COMPLETE, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", RESET, HTTP_CALL_BROKEN, 200, NULL, 0,
-		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 200, "hi", 0,
-		  "GET" },
+		{ "HTTP/1.1 200 OK\r\n\r\nhi", SHUT, HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", RESET, HTTP_CALL_OUTCOME_UNKNOWN, 200,
+		  NULL, 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", SHUT, HTTP_CALL_OUTCOME_UNKNOWN, 200,
+		  "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nhi", SHUT,
-		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", SHUT, HTTP_CALL_BROKEN,
-		  200, "hi", 0, "GET" },
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", SHUT,
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n", SHUT,
-		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r", SHUT,
-		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhiXX0\r\n\r\n", OPEN,
-		  HTTP_CALL_BROKEN, 200, "hi", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", OPEN, HTTP_CALL_BROKEN, 200,
-		  "", 0, "GET" },
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "hi", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", OPEN,
+		  HTTP_CALL_OUTCOME_UNKNOWN, 200, "", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi", OPEN,
-		  HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		  HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
 		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi", OPEN,
-		  HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0,
+		  HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "",
+		  0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", SHUT, HTTP_CALL_OUTCOME_UNKNOWN, 0,
+		  "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\r\nX: a\r\n b\r\nContent-Length: 2\r\n\r\nhi", OPEN,
+		  HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 200 OK\nContent-Length: 2\n\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0,
 		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nhi", SHUT, HTTP_CALL_BROKEN, 0, "", 0,
+		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", SHUT, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0,
 		  "GET" },
-		{ "HTTP/1.1 200 OK\r\nX: a\r\n b\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0,
-		  "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\nContent-Length: 2\n\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n", SHUT, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 101 Up\r\nUpgrade: x\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 20 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/1.1 099 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_BROKEN, 0, "", 0,
+		{ "HTTP/1.1 101 Up\r\nUpgrade: x\r\n\r\n", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "HTTP/1.1 20 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0,
+		  "GET" },
+		{ "HTTP/1.1 099 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0,
 		  "GET" },
-		{ "GET / HTTP/1.1\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "nonsense\r\n\r\n", OPEN, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "", SHUT, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
-		{ "", RESET, HTTP_CALL_BROKEN, 0, "", 0, "GET" },
+		{ "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0,
+		  "GET" },
+		{ "\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0,
+		  "", 0, "GET" },
+		{ "GET / HTTP/1.1\r\n\r\n", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "nonsense\r\n\r\n", OPEN, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "", SHUT, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
+		{ "", RESET, HTTP_CALL_OUTCOME_UNKNOWN, 0, "", 0, "GET" },
 	};
 	struct linger linger = { 1, 0 };
 	struct http_recorder recorder;
@@ -114,10 +119,10 @@
 			snprintf(expected, sizeof expected, "%s /t HTTP/1.1\r\nHost: x\r\n\r\n",
 				 output.method);
 			http_call_start(h, k, t.addr, &output);
-			assert_false(http_call_is_sent(h, k));
+			assert_false(http_call_has_sent_bytes(h, k));
 			test_server_accept(h, &t);
 			http_fixture_expect(h, t.conn, expected);
-			assert_true(http_call_is_sent(h, k));
+			assert_true(http_call_has_sent_bytes(h, k));
 			assert_false(call->done);
 			for (p = all[i].says; split && *p; p++) {
 				http_fixture_write_bytes(t.conn, p, 1);
@@ -130,16 +135,17 @@
 			if (all[i].then)
 				close(t.conn);
 			UNTIL(h, call->done);
-			if ((int)call->how != (int)all[i].how || call->status != all[i].status || call->bad ||
-			    (all[i].body &&
-			     (call->n != strlen(all[i].body) || memcmp(call->got, all[i].body, call->n))))
+			if ((int)call->result != (int)all[i].how || call->status != all[i].status ||
+			    call->violates_contract ||
+			    (all[i].body && (call->body_bytes != strlen(all[i].body) ||
+					     memcmp(call->body, all[i].body, call->body_bytes))))
 				fail_msg("number %zu, split %d: how %d status %d body %.*s", i, split,
-					 call->how, call->status, (int)call->n, call->got);
+					 call->result, call->status, (int)call->body_bytes, call->body);
 			http_wait(h, 0);
 			http_wait(h, 0);
 			output = get_request();
 			http_call_start(h, 1000, t.addr, &output);
-			UNTIL(h, http_call_is_sent(h, 1000) || recorder.call[1000].done);
+			UNTIL(h, http_call_has_sent_bytes(h, 1000) || recorder.call[1000].done);
 			if ((int)(http_counters_read(h).connections_opened - connects) !=
 			    (split && all[i].kept == 0 && all[i].how == HTTP_CALL_COMPLETE ? 2
 											   : 2 - all[i].kept))
@@ -176,7 +182,7 @@
 	h->callbacks.response_body = pass_piece_on;
 	http_fixture_write(fd, http_fixture_get_a);
 	UNTIL(h, recorder.requests == 1);
-	http_drain(h, 1);
+	http_listener_drain(h, 1);
 	http_call_start(h, 1, t.addr, &output);
 	test_server_accept(h, &t);
 	http_fixture_expect(h, t.conn, GET);
@@ -213,7 +219,7 @@
 		http_wait(h, 0);
 	}
 	UNTIL(h, recorder.call[1].done);
-	assert_int_equal(recorder.call[1].how, HTTP_CALL_BROKEN);
+	assert_int_equal(recorder.call[1].result, HTTP_CALL_OUTCOME_UNKNOWN);
 	close(t.conn);
 	close(t.listener);
 	http_fixture_close(&recorder);
@@ -232,7 +238,7 @@
 	snprintf(b, sizeof b, "HTTP/1.1 200 OK\r\n%sContent-Length: 2\r\n\r\nhi", more);
 	http_fixture_write(t->conn, b);
 	UNTIL(recorder->h, recorder->call[k].done);
-	assert_int_equal(recorder->call[k].how, HTTP_CALL_COMPLETE);
+	assert_int_equal(recorder->call[k].result, HTTP_CALL_COMPLETE);
 }
 
 static void kept_connections(void **state)
@@ -262,7 +268,7 @@
 	for (i = 0; i < 3; i++)
 		keep_one(&recorder, &t, ++k, "");
 	assert_int_equal(http_counters_read(h).connections_opened, 1);
-	output.new_connection = 1;
+	output.needs_new_connection = 1;
 	http_call_start(h, ++k, t.addr, &output);
 	close(t.conn);
 	test_server_accept(h, &t);
@@ -274,14 +280,14 @@
 		t.conn = -1;
 		n = http_counters_read(h).connections_opened;
 		keep_one(&recorder, &t, ++k, all[i].more);
-		http_fixture_clock.moved_ms += all[i].ms;
+		http_fixture_clock.offset_ms += all[i].ms;
 		output = get_request();
 		http_call_start(h, ++k, t.addr, &output);
-		UNTIL(h, http_call_is_sent(h, k));
+		UNTIL(h, http_call_has_sent_bytes(h, k));
 		if ((int)(http_counters_read(h).connections_opened - n) != 2 - all[i].used)
 			fail_msg("number %zu", i);
 		http_call_cancel(h, k);
-		http_peer_forget(h, t.addr);
+		http_peer_retire_connections(h, t.addr);
 		close(t.conn);
 		while ((t.conn = accept(t.listener, NULL, NULL)) >= 0)
 			close(t.conn);
@@ -310,7 +316,7 @@
 			}
 			output = get_request();
 			http_call_start(h, ++k, t.addr, &output);
-			UNTIL(h, http_call_is_sent(h, k) || recorder.call[k].done);
+			UNTIL(h, http_call_has_sent_bytes(h, k) || recorder.call[k].done);
 			assert_false(recorder.call[k].done);
 			assert_int_equal(http_counters_read(h).connections_opened, n + 1);
 			http_call_cancel(h, k);
@@ -322,20 +328,20 @@
 	/* forgotten, also by a call that was under way */
 	t.conn = -1;
 	keep_one(&recorder, &t, ++k, "");
-	http_peer_forget(h, t.addr);
+	http_peer_retire_connections(h, t.addr);
 	http_fixture_expect_end(h, t.conn, "");
 	output = get_request();
 	http_call_start(h, ++k, t.addr, &output);
 	test_server_accept(h, &t);
 	http_fixture_expect(h, t.conn, GET);
-	http_peer_forget(h, t.addr);
+	http_peer_retire_connections(h, t.addr);
 	http_fixture_write(t.conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
 	UNTIL(h, recorder.call[k].done);
-	assert_int_equal(recorder.call[k].how, HTTP_CALL_COMPLETE);
+	assert_int_equal(recorder.call[k].result, HTTP_CALL_COMPLETE);
 	n = http_counters_read(h).connections_opened;
 	output = get_request();
 	http_call_start(h, ++k, t.addr, &output);
-	UNTIL(h, http_call_is_sent(h, k));
+	UNTIL(h, http_call_has_sent_bytes(h, k));
 	assert_int_equal(http_counters_read(h).connections_opened, n + 1);
 	http_call_cancel(h, k);
 	http_fixture_expect_end(h, t.conn, "");
@@ -352,7 +358,7 @@
 	http_call_start(h, ++k, t.addr, &output);
 	assert_false(recorder.call[k].done);
 	UNTIL(h, recorder.call[k].done);
-	assert_int_equal(recorder.call[k].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[k].result, HTTP_CALL_NOT_SENT);
 	http_call_cancel(h, k - 1);
 	http_call_cancel(h, k - 2);
 	close(t.conn);
@@ -362,14 +368,14 @@
 	t.conn = -1;
 	http_peer_set_max_connections(h, t.addr, 1);
 	keep_one(&recorder, &t, ++k, "");
-	output.new_connection = 1;
+	output.needs_new_connection = 1;
 	http_call_start(h, ++k, t.addr, &output);
 	http_fixture_expect_end(h, t.conn, "");
 	test_server_accept(h, &t);
 	http_fixture_expect(h, t.conn, GET);
 	close(t.conn);
 	UNTIL(h, recorder.call[k].done);
-	assert_int_equal(recorder.call[k].how, HTTP_CALL_BROKEN);
+	assert_int_equal(recorder.call[k].result, HTTP_CALL_OUTCOME_UNKNOWN);
 	close(t.listener);
 	http_fixture_close(&recorder);
 }
@@ -391,19 +397,19 @@
 	http_call_start(h, 1, t.addr, &output);
 	assert_int_equal(recorder.call[1].done, 0);
 	UNTIL(h, recorder.call[1].done);
-	assert_int_equal(recorder.call[1].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[1].result, HTTP_CALL_NOT_SENT);
 	/* too late before it is begun, and by the time the connection is there */
 	t = test_server_open();
 	output = get_request();
 	http_call_start(h, 2, t.addr, &output);
-	http_fixture_clock.moved_ms += 5001;
+	http_fixture_clock.offset_ms += 5001;
 	UNTIL(h, recorder.call[2].done);
-	assert_int_equal(recorder.call[2].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[2].result, HTTP_CALL_NOT_SENT);
 	output = get_request();
 	http_call_start(h, 3, t.addr, &output);
 	http_fixture_clock.freeze_ms = 5001; /* between connecting and sending */
 	UNTIL(h, recorder.call[3].done);
-	assert_int_equal(recorder.call[3].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[3].result, HTTP_CALL_NOT_SENT);
 	/* a server that answers before it was asked */
 	output = get_request();
 	while ((i = accept(t.listener, NULL, NULL)) >= 0)
@@ -411,8 +417,8 @@
 	http_call_start(h, 10, t.addr, &output);
 	http_fixture_early_server = &t;
 	UNTIL(h, recorder.call[10].done);
-	assert_int_equal(recorder.call[10].how, HTTP_CALL_NOT_SENT);
-	assert_int_equal(recorder.call[10].n, 0);
+	assert_int_equal(recorder.call[10].result, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[10].body_bytes, 0);
 	assert_int_equal(
 	    http_fixture_read(h, t.conn, b, HTTP_FIXTURE_READ_BYTES, HTTP_FIXTURE_READ_BYTES, &how),
 	    0); /* nothing of the request came */
@@ -425,21 +431,21 @@
 	keep_one(&recorder, &t, 4, "Keep-Alive: timeout=1000\r\n");
 	output = get_request();
 	http_call_start(h, 5, t.addr, &output);
-	http_fixture_clock.moved_ms += 5001;
+	http_fixture_clock.offset_ms += 5001;
 	UNTIL(h, recorder.call[5].done);
-	assert_int_equal(recorder.call[5].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[5].result, HTTP_CALL_NOT_SENT);
 	keep_one(&recorder, &t, 6, "");
 	assert_int_equal(http_counters_read(h).connections_reused, 1);
 	/* no answer within the limit */
 	output = get_request();
 	http_call_start(h, 7, t.addr, &output);
 	http_fixture_expect(h, t.conn, GET);
-	http_fixture_clock.moved_ms += 9000;
+	http_fixture_clock.offset_ms += 9000;
 	http_wait(h, 0);
 	assert_false(recorder.call[7].done);
-	http_fixture_clock.moved_ms += 1001;
+	http_fixture_clock.offset_ms += 1001;
 	UNTIL(h, recorder.call[7].done);
-	assert_int_equal(recorder.call[7].how, HTTP_CALL_BROKEN);
+	assert_int_equal(recorder.call[7].result, HTTP_CALL_OUTCOME_UNKNOWN);
 	http_fixture_expect_end(h, t.conn, "");
 	/* a request that stops halfway goes no further after its time */
 	output = get_request();
@@ -448,12 +454,12 @@
 	output.body_bytes = sizeof big;
 	http_call_start(h, 8, t.addr, &output);
 	test_server_accept(h, &t);
-	UNTIL(h, http_call_is_sent(h, 8));
+	UNTIL(h, http_call_has_sent_bytes(h, 8));
 	for (i = 0; i < 20; i++)
 		http_wait(h, 0);
-	http_fixture_clock.moved_ms += 5001;
+	http_fixture_clock.offset_ms += 5001;
 	UNTIL(h, recorder.call[8].done);
-	assert_int_equal(recorder.call[8].how, HTTP_CALL_BROKEN);
+	assert_int_equal(recorder.call[8].result, HTTP_CALL_OUTCOME_UNKNOWN);
 	for (n = 0, how = 0; !how; n += http_fixture_read(h, t.conn, b, 1, HTTP_FIXTURE_READ_BYTES, &how))
 		;
 	assert_true(n < sizeof big);
@@ -473,16 +479,16 @@
 	http_call_start(h, 9, full.addr, &output);
 	for (i = 0; i < 20; i++)
 		http_wait(h, 0);
-	assert_false(http_call_is_sent(h, 9));
-	http_fixture_clock.moved_ms += 1001;
+	assert_false(http_call_has_sent_bytes(h, 9));
+	http_fixture_clock.offset_ms += 1001;
 	UNTIL(h, recorder.call[9].done);
-	assert_int_equal(recorder.call[9].how, HTTP_CALL_NOT_SENT);
+	assert_int_equal(recorder.call[9].result, HTTP_CALL_NOT_SENT);
 	for (i = 0; i < 8; i++)
 		close(fd[i]);
 	close(full.listener);
 	close(t.listener);
 	for (i = 1; i < 11; i++)
-		assert_false(recorder.call[i].bad);
+		assert_false(recorder.call[i].violates_contract);
 	http_fixture_close(&recorder);
 }
 
@@ -553,7 +559,7 @@
 		http_call_cancel(recorder->h, 2);
 		break;
 	case 2:
-		http_peer_forget(recorder->h, within->addr);
+		http_peer_retire_connections(recorder->h, within->addr);
 		http_peer_set_max_connections(recorder->h, within->addr, 1);
 		http_call_start(recorder->h, 3, within->addr, &output);
 		break;
@@ -569,11 +575,11 @@
 		http_response_begin(recorder->h, mine, 200, NULL, 0, -1);
 		http_response_write(recorder->h, mine, "x", 1);
 		http_response_finish(recorder->h, mine);
-		http_drain(recorder->h, 1);
+		http_listener_drain(recorder->h, 1);
 		break;
 	case 6:
-		http_stop_accepting(recorder->h, 1);
-		http_drain(recorder->h, 1);
+		http_listener_stop_accepting(recorder->h, 1);
+		http_listener_drain(recorder->h, 1);
 		http_response_abort(recorder->h, mine);
 		break;
 	}
@@ -611,7 +617,7 @@
 				for (n = 0; n < 10; n++)
 					http_wait(h, n < 3);
 				for (n = 0; n < 4; n++)
-					if (recorder.call[n].bad || recorder.call[n].done > 1)
+					if (recorder.call[n].violates_contract || recorder.call[n].done > 1)
 						fail_msg("%s, act %d, call %d", what[i], j, n);
 				close(t.conn);
 				close(t.listener);
@@ -634,7 +640,8 @@
 	else if (!strcmp(what, "head"))
 		http_response_begin(recorder->h, mine, recorder->call[token].status, NULL, 0, -1);
 	else if (!strcmp(what, "body"))
-		http_response_write(recorder->h, mine, recorder->call[token].got, recorder->call[token].n);
+		http_response_write(recorder->h, mine, recorder->call[token].body,
+				    recorder->call[token].body_bytes);
 	else if (!strcmp(what, "done"))
 		http_response_finish(recorder->h, mine);
 }
@@ -659,7 +666,7 @@
 		if (!i)
 			test_server_accept(h, &t);
 		http_fixture_expect(h, t.conn, GET);
-		while (!http_call_is_sent(h, (uint64_t)i + 1))
+		while (!http_call_has_sent_bytes(h, (uint64_t)i + 1))
 			http_wait(h, 0);
 		http_fixture_write(t.conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
 		http_fixture_calls.counting = i > 0;
@@ -670,18 +677,18 @@
 		    h, fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n");
 	}
 	n = http_fixture_calls.waits + http_fixture_calls.recvs + http_fixture_calls.peeks +
-	    http_fixture_calls.sends + http_fixture_calls.others;
+	    http_fixture_calls.sends + http_fixture_calls.epoll_ctls;
 	print_message(
 	    "%d requests passed on: %.2f system calls each (waits %.2f, reads %.2f, looks %.2f, sends %.2f, others %.2f), "
 	    "%llu connection to the server\n",
 	    N - 1, (double)n / (N - 1), (double)http_fixture_calls.waits / (N - 1),
 	    (double)http_fixture_calls.recvs / (N - 1), (double)http_fixture_calls.peeks / (N - 1),
-	    (double)http_fixture_calls.sends / (N - 1), (double)http_fixture_calls.others / (N - 1),
+	    (double)http_fixture_calls.sends / (N - 1), (double)http_fixture_calls.epoll_ctls / (N - 1),
 	    (unsigned long long)http_counters_read(h).connections_opened);
 	assert_int_equal(http_counters_read(h).connections_opened, 1);
 	/* a wait may end early by an old time, once in a while */
 	assert_true(http_fixture_calls.sends <= 2 * N && http_fixture_calls.recvs <= 2 * N &&
-		    http_fixture_calls.peeks <= N && !http_fixture_calls.others &&
+		    http_fixture_calls.peeks <= N && !http_fixture_calls.epoll_ctls &&
 		    http_fixture_calls.waits <= 2 * N + 10);
 	close(fd);
 	close(t.conn);
@@ -701,7 +708,7 @@
 	(void)state;
 	http_call_start(h, 1, t.addr, &output);
 	test_server_accept(h, &t);
-	UNTIL(h, http_counters_read(h).accepted == 1 && http_call_is_sent(h, 1));
+	UNTIL(h, http_counters_read(h).accepted_connections == 1 && http_call_has_sent_bytes(h, 1));
 	for (i = 0; i < 256; i++) {
 		struct sockaddr_in address;
 		socklen_t n = sizeof address;
--- a/tests/test_http_drain.c
+++ b/tests/test_http_drain.c
@@ -29,7 +29,7 @@
 	http_fixture_write(fd, http_fixture_get_a);
 	http_fixture_expect(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	http_fixture_write(fd, http_fixture_get_a);
-	http_drain(h, 1);
+	http_listener_drain(h, 1);
 	http_fixture_expect_end(h, fd, leaving_ok);
 	assert_int_equal(recorder.requests, 2);
 	assert_int_equal(http_busy_count(h), 0);
@@ -38,11 +38,11 @@
 	    &recorder); /* it comes once the loop has looked, and before the connection is closed */
 	recorder.answer = 1;
 	fd = http_fixture_dial(h);
-	UNTIL(h, http_counters_read(h).accepted == 1);
-	http_drain(h, 1);
+	UNTIL(h, http_counters_read(h).accepted_connections == 1);
+	http_listener_drain(h, 1);
 	http_fixture_after_wait.fd = fd;
 	http_fixture_after_wait.text = http_fixture_get_a;
-	http_fixture_after_wait.frozen_ms = 1;
+	http_fixture_after_wait.freeze_ms = 1;
 	http_fixture_expect_end(h, fd, leaving_ok);
 	http_fixture_close(&recorder);
 }
@@ -64,8 +64,8 @@
 		if (i % 2)
 			http_fixture_write(fd[i], http_fixture_get_a);
 	}
-	http_drain(h, 1);
-	http_stop_accepting(h, 1);
+	http_listener_drain(h, 1);
+	http_listener_stop_accepting(h, 1);
 	for (int i = 1; i < 20; i += 2)
 		http_fixture_expect_end(h, fd[i], leaving_ok);
 	for (int i = 0; i < 20; i += 2) { /* who has said nothing is closed */
@@ -92,7 +92,7 @@
 	UNTIL(h, recorder.requests == 1);
 	http_response_begin(h, recorder.token[0], 200, NULL, 0, 1);
 	http_fixture_expect(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
-	http_drain(h, 1);
+	http_listener_drain(h, 1);
 	http_wait(h, 0);
 	http_fixture_write(fd, http_fixture_get_a); /* unread when the answer ends */
 	http_response_write(h, recorder.token[0], "x", 1);
@@ -115,7 +115,7 @@
 	UNTIL(h, recorder.requests == 1);
 	http_fixture_write(fd, "GET /3 HTTP/1.1\r\n\r\n");
 	http_wait(h, 1000);
-	http_drain(h, 1);
+	http_listener_drain(h, 1);
 	recorder.answer = 1;
 	http_respond(h, recorder.token[0], 200, NULL, 0, "1", 1);
 	http_fixture_expect_end(h, fd,
@@ -142,12 +142,12 @@
 		int fd = http_fixture_dial(h), accepted = i + 1;
 
 		http_fixture_write(fd, before[i]);
-		UNTIL(h, http_counters_read(h).accepted == (uint64_t)accepted);
+		UNTIL(h, http_counters_read(h).accepted_connections == (uint64_t)accepted);
 		for (int k = 0; k < 3; k++)
 			http_wait(h, 5);
 		http_fixture_after_wait.fd = fd;
 		http_fixture_after_wait.text = rest[i];
-		http_fixture_after_wait.frozen_ms = 61000;
+		http_fixture_after_wait.freeze_ms = 61000;
 		http_wait(h, 0);
 		UNTIL(h, recorder.requests == i + 1);
 		close(fd);
@@ -169,7 +169,7 @@
 	http_wait(h, 1000);
 	http_fixture_after_wait.fd = fd;
 	http_fixture_after_wait.text = "TP/1.1\r\nX: ";
-	http_fixture_after_wait.frozen_ms = 5001;
+	http_fixture_after_wait.freeze_ms = 5001;
 	http_wait(h, 0);
 	assert_int_equal(recv(fd, b, 1, MSG_DONTWAIT), 0);
 	close(fd);
@@ -186,7 +186,7 @@
 	char b[1];
 
 	(void)state;
-	http_set_limits(h, 1, &brief);
+	http_listener_set_limits(h, 1, &brief);
 	idle = http_fixture_dial(h);
 	head = http_fixture_dial(h);
 	body = http_fixture_dial(h);
@@ -194,8 +194,8 @@
 	http_fixture_write(body, "POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
 	for (int i = 0; i < 10; i++)
 		http_wait(h, 5);
-	http_set_limits(h, 1, &http_fixture_limits);
-	http_fixture_clock.moved_ms += 4000;
+	http_listener_set_limits(h, 1, &http_fixture_limits);
+	http_fixture_clock.offset_ms += 4000;
 	for (int i = 0; i < 5; i++)
 		http_wait(h, 0);
 	assert_int_equal(recv(idle, b, 1, MSG_DONTWAIT), -1);
@@ -205,7 +205,7 @@
 	http_fixture_write(head, "y\r\n\r\n");
 	http_fixture_write(body, "cde");
 	UNTIL(h, recorder.requests == 3);
-	http_fixture_clock.moved_ms += 61000;
+	http_fixture_clock.offset_ms += 61000;
 	http_fixture_expect_end(h, idle, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 	close(head);
 	close(body);
@@ -223,8 +223,8 @@
 	(void)state;
 	recorder.answer = 1;
 	http_fixture_write(fd, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-	UNTIL(h, http_incomplete_count(h, 1) == 1);
-	http_set_limits(h, 1, &small);
+	UNTIL(h, http_incomplete_request_count(h, 1) == 1);
+	http_listener_set_limits(h, 1, &small);
 	http_fixture_write(fd, "3\r\ndef\r\n0\r\n\r\n");
 	http_fixture_expect(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabcdef");
 	http_fixture_write(fd,
@@ -249,7 +249,7 @@
 					       sizeof b, how);
 
 		n += got;
-		http_fixture_clock.moved_ms += step_ms;
+		http_fixture_clock.offset_ms += step_ms;
 		http_wait(h, 0);
 	}
 	return n;
@@ -278,7 +278,7 @@
 	size_t expected;
 
 	(void)state;
-	http_set_limits(h, 1, &brief);
+	http_listener_set_limits(h, 1, &brief);
 	fd = http_fixture_dial(h);
 	expected = give_large(&recorder, fd);
 	assert_int_equal(read_slowly(h, fd, expected, 900, &how), expected);
@@ -286,13 +286,13 @@
 	close(fd);
 	http_fixture_close(&recorder);
 	h = http_fixture_open(&recorder);
-	http_set_limits(h, 1, &brief);
+	http_listener_set_limits(h, 1, &brief);
 	fd = http_fixture_dial(h);
 	expected = give_large(&recorder, fd);
 	http_wait(h, 0);
-	http_fixture_clock.moved_ms += 1100;
+	http_fixture_clock.offset_ms += 1100;
 	http_wait(h, 0);
-	http_fixture_clock.moved_ms += 1100;
+	http_fixture_clock.offset_ms += 1100;
 	http_wait(h, 0);
 	assert_true(read_slowly(h, fd, expected, 0, &how) < expected);
 	assert_int_not_equal(how, 0);
@@ -315,7 +315,7 @@
 	http_wait(h, 100);
 	assert_int_equal(read_slowly(h, fd, expected, 0, &how), expected);
 	http_fixture_expect_end(h, fd, "");
-	assert_int_equal(recorder.removed, 0);
+	assert_int_equal(recorder.disconnected_count, 0);
 	assert_int_equal(http_busy_count(h), 0);
 	http_fixture_close(&recorder);
 }
@@ -330,10 +330,10 @@
 	(void)state;
 	recorder.answer = 1;
 	http_fixture_write(fd, "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-	http_drain(h, 1);
-	http_stop_accepting(h, 1);
+	http_listener_drain(h, 1);
+	http_listener_stop_accepting(h, 1);
 	http_fixture_expect(h, fd, "HTTP/1.1 100 Continue\r\n\r\n");
-	assert_int_equal(http_incomplete_count(h, 1), 1);
+	assert_int_equal(http_incomplete_request_count(h, 1), 1);
 	http_fixture_write(fd, "ok");
 	http_fixture_expect_end(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
 	http_fixture_close(&recorder);
@@ -351,15 +351,15 @@
 
 	(void)state;
 	recorder.answer = 1;
-	UNTIL(h, http_counters_read(h).accepted == 1);
+	UNTIL(h, http_counters_read(h).accepted_connections == 1);
 	second = http_fixture_dial(h);
 	http_fixture_write(first, http_fixture_get_a);
 	http_fixture_write(second, http_fixture_get_a);
 	assert_return_code(getrlimit(RLIMIT_NOFILE, &was), errno);
 	few = (struct rlimit){ (rlim_t)second + 1, was.rlim_max };
 	assert_return_code(setrlimit(RLIMIT_NOFILE, &few), errno);
-	http_drain(h, 1);
-	http_stop_accepting(h, 1);
+	http_listener_drain(h, 1);
+	http_listener_stop_accepting(h, 1);
 	assert_return_code(setrlimit(RLIMIT_NOFILE, &was), errno);
 	http_fixture_expect_end(h, first, leaving_ok);
 	http_fixture_read(h, second, b, HTTP_FIXTURE_READ_BYTES, HTTP_FIXTURE_READ_BYTES, &how);
@@ -387,7 +387,7 @@
 		fd = http_fixture_dial(h);
 		http_fixture_write(fd, i == 3 ? get_old : http_fixture_get_a);
 		UNTIL(h, recorder.requests == i + 1);
-		assert_int_equal(http_pending_requests(h), 1);
+		assert_int_equal(http_pending_request_count(h), 1);
 		if (i == 0)
 			http_respond(h, recorder.token[i], 200, NULL, 0, "x", 1);
 		if (i == 1)
@@ -406,8 +406,8 @@
 		}
 		expected[(int[]){ HTTP_OUTCOME_ANSWERED, HTTP_OUTCOME_REJECTED, HTTP_OUTCOME_ANSWERED,
 				  HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_ABORTED, HTTP_OUTCOME_DISCONNECTED,
-				  HTTP_OUTCOME_LATE }[i]]++;
-		UNTIL(h, !http_pending_requests(h));
+				  HTTP_OUTCOME_EXPIRED }[i]]++;
+		UNTIL(h, !http_pending_request_count(h));
 		n = http_counters_read(h);
 		assert_memory_equal(n.outcomes, expected, sizeof expected);
 		if (i != 5)
@@ -415,8 +415,8 @@
 	}
 	fd = http_fixture_dial(h);
 	http_fixture_write(fd, "GET /bad\r\n\r\n"); /* never read whole */
-	UNTIL(h, http_counters_read(h).bad_requests == 1);
-	assert_int_equal(http_pending_requests(h), 0);
+	UNTIL(h, http_counters_read(h).rejected_requests == 1);
+	assert_int_equal(http_pending_request_count(h), 0);
 	close(fd);
 	http_fixture_close(&recorder);
 }
@@ -438,7 +438,7 @@
 	UNTIL(h, recorder.requests == 3);
 	http_respond(h, recorder.token[1], 200, NULL, 0, "2", 1);
 	http_wait(h, 0);
-	assert_int_equal(http_pending_requests(h), 2);
+	assert_int_equal(http_pending_request_count(h), 2);
 	http_respond(h, recorder.token[0], 200, NULL, 0, "1", 1);
 	http_fixture_write(given, "surplus");
 	http_fixture_write(lingers, "surplus");
@@ -469,11 +469,11 @@
 	http_fixture_write(body, "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
 	http_fixture_write(chunk, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab");
 	http_fixture_write(waits, http_fixture_get_a);
-	UNTIL(h, recorder.requests == 1 && http_incomplete_count(h, 1) == 3);
-	http_drain(h, 1);
-	http_stop_accepting(h, 1);
-	http_reject_incomplete(h, 1, 500);
-	assert_int_equal(http_incomplete_count(h, 1), 0);
+	UNTIL(h, recorder.requests == 1 && http_incomplete_request_count(h, 1) == 3);
+	http_listener_drain(h, 1);
+	http_listener_stop_accepting(h, 1);
+	http_reject_incomplete_requests(h, 1, 500);
+	assert_int_equal(http_incomplete_request_count(h, 1), 0);
 	http_fixture_write(body, "cde"); /* was on its way, and is read over */
 	http_fixture_expect_end(h, head, refused);
 	http_fixture_expect_end(h, body, refused);
--- a/tests/test_http_lying_server.c
+++ b/tests/test_http_lying_server.c
@@ -262,7 +262,7 @@
 			output.body = post;
 			output.body_bytes = random_below(&liar.r, 2) ? random_below(&liar.r, 100)
 								     : random_below(&liar.r, sizeof post);
-			output.new_connection = !fair && !random_below(&liar.r, 10);
+			output.needs_new_connection = !fair && !random_below(&liar.r, 10);
 			if (!fair && !random_below(&liar.r, 30))
 				output.not_after_ms = __wrap_clock_ms() - (int)random_below(&liar.r, 2);
 			http_call_start(h, (uint64_t)started, liar.t.addr, &output);
@@ -276,7 +276,7 @@
 			}
 		}
 		if (!fair && !random_below(&liar.r, 60))
-			http_peer_forget(h, liar.t.addr);
+			http_peer_retire_connections(h, liar.t.addr);
 		http_wait(h, (int)random_below(&liar.r, 2));
 		liar_step(&liar);
 	}
@@ -297,32 +297,32 @@
 
 		if (liar.arrived[i] > 1)
 			why = "arrived twice";
-		if (call->bad)
+		if (call->violates_contract)
 			why = "was told wrongly";
 		if (call->done + call->cancelled != 1)
 			why = "did not end once";
-		if (call->done && call->how == HTTP_CALL_NOT_SENT && liar.arrived[i])
+		if (call->done && call->result == HTTP_CALL_NOT_SENT && liar.arrived[i])
 			why = "never sent, and arrived";
-		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) == i &&
+		if (call->done && call->result == HTTP_CALL_COMPLETE && atoi(call->x_id) == i &&
 		    !liar.arrived[i])
 			why = "answered, and did not arrive";
 		/* who answers is told by the id: bytes of another answer in this one's slot are whole in
 		 * themselves */
 		n = body_of(atoi(call->x_id), body);
-		if (call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) &&
-		    (call->n != n || memcmp(call->got, body, n)))
+		if (call->done && call->result == HTTP_CALL_COMPLETE && atoi(call->x_id) &&
+		    (call->body_bytes != n || memcmp(call->body, body, n)))
 			why = "whole, and is not";
-		if (fair && (!call->done || call->how != HTTP_CALL_COMPLETE || atoi(call->x_id) != i ||
+		if (fair && (!call->done || call->result != HTTP_CALL_COMPLETE || atoi(call->x_id) != i ||
 			     liar.arrived[i] != 1))
 			why = "of a fair server was not served";
 		if (why)
 			fail_msg("seed %u: call %d %s (how %d, arrived %u, id %s, %zu bytes)", seed, i, why,
-				 call->how, liar.arrived[i], call->x_id, call->n);
-		sum->complete += call->done && call->how == HTTP_CALL_COMPLETE;
-		sum->never += call->done && call->how == HTTP_CALL_NOT_SENT;
-		sum->broke += call->done && call->how == HTTP_CALL_BROKEN;
+				 call->result, liar.arrived[i], call->x_id, call->body_bytes);
+		sum->complete += call->done && call->result == HTTP_CALL_COMPLETE;
+		sum->never += call->done && call->result == HTTP_CALL_NOT_SENT;
+		sum->broke += call->done && call->result == HTTP_CALL_OUTCOME_UNKNOWN;
 		sum->cancelled += call->cancelled;
-		sum->other += call->done && call->how == HTTP_CALL_COMPLETE && atoi(call->x_id) != i;
+		sum->other += call->done && call->result == HTTP_CALL_COMPLETE && atoi(call->x_id) != i;
 	}
 	close(liar.t.listener);
 	free(recorder.call);
--- a/tests/test_http_server.c
+++ b/tests/test_http_server.c
@@ -27,9 +27,9 @@
 	(void)state;
 	http_fixture_write(fd, "GET /a?b=c HTTP/1.1\r\nHost: x\r\nX-Empty:\r\nX-Trail: v \t\r\n\r\n");
 	UNTIL(h, recorder.requests == 1);
-	assert_string_equal(recorder.verb, "GET");
+	assert_string_equal(recorder.method, "GET");
 	assert_string_equal(recorder.target, "/a?b=c");
-	assert_int_equal(recorder.nf, 3);
+	assert_int_equal(recorder.field_count, 3);
 	assert_null(http_request_find(h, recorder.token[0])->body);
 	assert_string_equal(http_field_value(http_request_find(h, recorder.token[0])->fields, 3, "x-empty"),
 			    "");
@@ -75,7 +75,7 @@
 	http_response_finish(h, recorder.token[5]);
 	http_fixture_expect_end(h, fd, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi");
 	assert_int_equal(http_busy_count(h), 0);
-	assert_int_equal(recorder.removed, 0);
+	assert_int_equal(recorder.disconnected_count, 0);
 	http_fixture_close(&recorder);
 }
 
@@ -92,7 +92,7 @@
 	UNTIL(h, recorder.requests == 1);
 	http_response_set_deadline(h, recorder.token[0], __wrap_clock_ms() + 400);
 	http_respond(h, recorder.token[0], 200, NULL, 0, "old", 3);
-	http_fixture_clock.moved_ms += 20000;
+	http_fixture_clock.offset_ms += 20000;
 	assert_int_equal(http_fixture_read(h, fd, b, HTTP_FIXTURE_READ_BYTES, HTTP_FIXTURE_READ_BYTES, &how),
 			 0);
 	assert_int_equal(how, 2);
@@ -107,7 +107,7 @@
 	http_fixture_write(fd, "GET /b HTTP/1.1\r\n\r\n"); /* the next one on the connection holds for ever */
 	UNTIL(h, recorder.requests == 3);
 	http_respond(h, recorder.token[2], 200, NULL, 0, "any", 3);
-	http_fixture_clock.moved_ms += 2 * HTTP_FIXTURE_LIMIT_MS;
+	http_fixture_clock.offset_ms += 2 * HTTP_FIXTURE_LIMIT_MS;
 	http_fixture_expect(h, fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nany");
 	close(fd);
 	http_fixture_close(&recorder);
@@ -136,7 +136,7 @@
 	http_respond(h, recorder.token[1], 200, NULL, 0, "2", 1);
 	UNTIL(h, recorder.requests == 3);
 	assert_string_equal(recorder.target, "/3");
-	assert_int_equal(recorder.nb, 5);
+	assert_int_equal(recorder.body_bytes, 5);
 	assert_memory_equal(recorder.body, "three", 5);
 	http_respond(h, recorder.token[2], 200, NULL, 0, "3", 1);
 	http_fixture_expect(
@@ -147,7 +147,7 @@
 	UNTIL(h, recorder.requests == 4);
 	assert_string_equal(recorder.target, "/4");
 	close(fd);
-	UNTIL(h, recorder.removed == 1);
+	UNTIL(h, recorder.disconnected_count == 1);
 	http_fixture_close(&recorder);
 }
 
@@ -267,7 +267,7 @@
 		if (recorder.requests)
 			fail_msg("number %zu was delivered byte by byte: %s", i, bad[i].d);
 	}
-	assert_int_equal(http_counters_read(h).bad_requests, 2 * i);
+	assert_int_equal(http_counters_read(h).rejected_requests, 2 * i);
 	http_fixture_close(&recorder);
 }
 
@@ -304,7 +304,7 @@
 	fd = http_fixture_dial(h);
 	http_fixture_write(fd, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n");
 	http_fixture_expect_end(h, fd, big);
-	http_set_limits(h, 1, &small);
+	http_listener_set_limits(h, 1, &small);
 	fd = http_fixture_dial(h);
 	http_fixture_write(
 	    fd,
@@ -377,7 +377,7 @@
 				assert_null(http_request_find(h, t));
 				close(fd);
 			}
-	assert_int_equal(recorder.removed, 0);
+	assert_int_equal(recorder.disconnected_count, 0);
 	assert_int_equal(http_busy_count(h), 0);
 	http_fixture_close(&recorder);
 }
@@ -409,14 +409,14 @@
 			if (j == 1) /* writes find out first */
 				for (k = 0; k < 3; k++)
 					http_response_write(h, recorder.token[n], "more", 4);
-			UNTIL(h, recorder.removed == n + 1);
-			assert_true(recorder.gone_token == recorder.token[n]);
+			UNTIL(h, recorder.disconnected_count == n + 1);
+			assert_true(recorder.disconnected_token == recorder.token[n]);
 			http_response_write(h, recorder.token[n], "more", 4);
 			http_response_finish(h, recorder.token[n]);
 			http_respond(h, recorder.token[n], 200, NULL, 0, "x", 1);
 			for (k = 0; k < 5; k++)
 				http_wait(h, 0);
-			assert_int_equal(recorder.removed, n + 1);
+			assert_int_equal(recorder.disconnected_count, n + 1);
 			assert_int_equal(recorder.requests, n + 1);
 			if (!i)
 				close(fd);
@@ -447,8 +447,8 @@
 	http_fixture_write(half, "GET / HT");
 	http_wait(h, 1000);
 	unread = http_fixture_dial(h);
-	UNTIL(h, http_counters_read(h).accepted == 5);
-	http_stop_accepting(h, 1);
+	UNTIL(h, http_counters_read(h).accepted_connections == 5);
+	http_listener_stop_accepting(h, 1);
 	http_fixture_read(h, unread, b, 1, HTTP_FIXTURE_READ_BYTES, &how);
 	assert_true(how > 0);
 	close(unread);
@@ -467,7 +467,7 @@
 	UNTIL(h, recorder.requests == 4);
 	http_respond(h, recorder.token[3], 200, NULL, 0, "2", 1);
 	http_fixture_expect(h, idle, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2");
-	http_drain(h, 1);
+	http_listener_drain(h, 1);
 	http_fixture_expect_end(h, idle, "");
 	http_respond(h, recorder.token[1], 200, NULL, 0, "2", 1);
 	http_fixture_expect_end(h, busy,
@@ -478,7 +478,7 @@
 	http_fixture_write(half, "TP/1.1\r\n\r\n");
 	http_fixture_expect_end(h, half, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
 	assert_int_equal(http_busy_count(h), 0);
-	assert_int_equal(recorder.removed, 0);
+	assert_int_equal(recorder.disconnected_count, 0);
 	http_fixture_close(&recorder);
 }
 
@@ -501,22 +501,22 @@
 	UNTIL(h, recorder.requests == 2);
 	http_respond(h, recorder.token[1], 200, NULL, 0, "1", 1);
 	http_fixture_expect(h, kept, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
-	http_fixture_clock.moved_ms += 4000;
+	http_fixture_clock.offset_ms += 4000;
 	http_wait(h, 0);
 	http_fixture_write(head, "y"); /* no new time for that */
 	http_wait(h, 1000);
-	http_fixture_clock.moved_ms += 1500;
+	http_fixture_clock.offset_ms += 1500;
 	http_fixture_expect_end(h, head, "");
-	http_fixture_clock.moved_ms += 40000;
+	http_fixture_clock.offset_ms += 40000;
 	for (i = 0; i < 5; i++)
 		http_wait(h, 0);
 	assert_int_equal(recv(fresh, b, 1, MSG_DONTWAIT), -1);
 	assert_int_equal(errno, EAGAIN);
-	http_fixture_clock.moved_ms += 20000;
+	http_fixture_clock.offset_ms += 20000;
 	http_fixture_expect_end(h, fresh, "");
 	http_fixture_expect_end(h, kept, "");
 	http_fixture_expect_end(h, body, "");
-	http_fixture_clock.moved_ms += 1000000;
+	http_fixture_clock.offset_ms += 1000000;
 	http_wait(h, 0);
 	http_respond(h, recorder.token[0], 200, NULL, 0, "1", 1); /* who waits for us is not closed */
 	http_fixture_expect(h, busy, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
@@ -542,7 +542,7 @@
 		http_response_write(h, recorder.token[0], piece, PIECE);
 		http_wait(h, 0);
 	}
-	assert_true(http_response_backlog(h, recorder.token[0]) > 0);
+	assert_true(http_response_unsent_bytes(h, recorder.token[0]) > 0);
 	http_response_finish(h, recorder.token[0]);
 	for (i = 0; i < 5; i++)
 		http_wait(h, 0);
@@ -564,7 +564,7 @@
 		http_response_write(h, recorder.token[1], piece, PIECE);
 	http_wait(h, 0);
 	close(fd);
-	UNTIL(h, recorder.removed == 1);
+	UNTIL(h, recorder.disconnected_count == 1);
 	free(piece);
 	free(b);
 	http_fixture_close(&recorder);
@@ -629,9 +629,10 @@
 	if (strcmp(what, "request"))
 		return;
 	(void)token;
-	understood->n += (size_t)snprintf(
-	    understood->what + understood->n, HTTP_FIXTURE_READ_BYTES - understood->n, "%s %s %d %.*s\n",
-	    recorder->verb, recorder->target, recorder->nf, (int)recorder->nb, recorder->body);
+	understood->n +=
+	    (size_t)snprintf(understood->what + understood->n, HTTP_FIXTURE_READ_BYTES - understood->n,
+			     "%s %s %d %.*s\n", recorder->method, recorder->target, recorder->field_count,
+			     (int)recorder->body_bytes, recorder->body);
 }
 
 static void understand(const char *d, size_t n, unsigned seed, struct understood *understood)
@@ -646,7 +647,7 @@
 	recorder.answer = 1;
 	recorder.hook = write_down;
 	recorder.arg = understood;
-	UNTIL(h, http_counters_read(h).accepted == 1);
+	UNTIL(h, http_counters_read(h).accepted_connections == 1);
 	for (off = 0; off < n; off += k) {
 		k = seed ? 1 + random_below(&r, random_below(&r, 3) ? 4 : 60) : n;
 		k = k < n - off ? k : n - off;
@@ -665,7 +666,7 @@
 			idle = 0;
 	}
 	understood->requests = recorder.requests;
-	understood->bad = (int)http_counters_read(h).bad_requests;
+	understood->bad = (int)http_counters_read(h).rejected_requests;
 	close(fd);
 	http_fixture_close(&recorder);
 }
--- a/tests/test_idempotency.c
+++ b/tests/test_idempotency.c
@@ -109,11 +109,11 @@
 	request_key = numbered(150);
 	assert_null(idempotency_log_find(&orders, &request_key));
 	assert_null(idempotency_log_find(&loaded, &request_key));
-	assert_int_equal(orders.forgotten_versions[SERIES_CHANGES],
-			 loaded.forgotten_versions[SERIES_CHANGES]);
+	assert_int_equal(orders.highest_evicted_versions[SERIES_CHANGES],
+			 loaded.highest_evicted_versions[SERIES_CHANGES]);
 	idempotency_log_load(&loaded, NULL);
 	assert_int_equal(arrlen(loaded.records), 0);
-	assert_int_equal(loaded.forgotten_versions[SERIES_DOCUMENTS], 0);
+	assert_int_equal(loaded.highest_evicted_versions[SERIES_DOCUMENTS], 0);
 	idempotency_log_reset(&orders);
 	idempotency_log_reset(&loaded);
 	apr_pool_destroy(pool);
@@ -135,7 +135,7 @@
 static void apply_proposal(struct completed_proposals *completed, struct Nl__Operation operation)
 {
 	completed_proposals_note_open(completed, &operation);
-	completed_proposals_add(completed, &operation, PROPOSAL_DONE);
+	completed_proposals_add(completed, &operation, PROPOSAL_APPLIED);
 }
 
 static int is_known(const struct completed_proposals *completed, uint64_t proposer, uint64_t run,
@@ -194,16 +194,17 @@
 
 	(void)state;
 	apr_pool_create(&pool, NULL);
-	for (uint64_t run = 1; run <= 3 * COMPLETED_MAX_RUNS; run++) {
+	for (uint64_t run = 1; run <= 3 * COMPLETED_MAX_INCARNATIONS; run++) {
 		apply_proposal(&completed, proposal(1, run, 1000 - run, 1000 - run));
 		apply_proposal(&completed, proposal(9, 0, run, 0));
 		assert_true(is_known(&completed, 1, run, 1000 - run) && is_known(&completed, 9, 0, run));
 	}
-	assert_int_equal(arrlen(completed.incarnations), COMPLETED_MAX_RUNS);
-	assert_int_equal(arrlen(completed.proposals), COMPLETED_MAX_RUNS + COMPLETED_MAX_WITHOUT_RUN);
+	assert_int_equal(arrlen(completed.incarnations), COMPLETED_MAX_INCARNATIONS);
+	assert_int_equal(arrlen(completed.proposals),
+			 COMPLETED_MAX_INCARNATIONS + COMPLETED_MAX_WITHOUT_INCARNATION);
 	completed_proposals_pack(&completed, &saved, pool);
 	completed_proposals_load(&loaded, &saved);
-	assert_int_equal(loaded.without_run, COMPLETED_MAX_WITHOUT_RUN);
+	assert_int_equal(loaded.without_incarnation_count, COMPLETED_MAX_WITHOUT_INCARNATION);
 	assert_int_equal(arrlen(loaded.proposals), arrlen(completed.proposals));
 	completed_proposals_load(&loaded, NULL);
 	assert_int_equal(arrlen(loaded.proposals) + arrlen(loaded.incarnations), 0);
@@ -381,7 +382,7 @@
 		snprintf(text, sizeof text, "z%d", i % 3 + 1);
 		sim_add_controller(&w->s, text, seeds, 3);
 	}
-	controller_bootstrap(w->s.nodes[0].controller, sim_local(&w->s, 0));
+	controller_bootstrap(w->s.nodes[0].controller, sim_local_clock(&w->s, 0));
 	run_until_complete(w, 8000);
 }
 
@@ -443,8 +444,9 @@
 	    replica->lost ? NULL : sim_answer(&world->s, replica->token);
 
 	if (web && web->status == 307) {
-		if (replica->hops < 2 && node_at(world, web->to) >= 0) {
-			send_to(world, operator, replica, node_at(world, web->to), replica->hops + 1);
+		if (replica->hops < 2 && node_at(world, web->redirect_addr) >= 0) {
+			send_to(world, operator, replica, node_at(world, web->redirect_addr),
+				replica->hops + 1);
 			return 0;
 		}
 		return -1;
@@ -736,13 +738,13 @@
 		sim_crash(&world->s, node, 1);
 		break;
 	case 2:
-		sim_cut(&world->s, node, 1);
+		sim_set_partition(&world->s, node, 1);
 		break;
 	case 3:
 		sim_freeze(&world->s, node, 1);
 		break;
 	case 4:
-		world->s.nodes[node].stalled_until = world->heal_at;
+		world->s.nodes[node].disk_stalled_until = world->heal_at;
 		break;
 	default: /* it speaks, and hears nothing; or the other way round */
 		for (int i = 0, deaf = (int)random_below(world, 2); i < world->controllers; i++)
@@ -755,7 +757,7 @@
 	if (!world->s.nodes[world->broken].up)
 		sim_start(&world->s, world->broken);
 	sim_freeze(&world->s, world->broken, 0);
-	sim_cut(&world->s, world->broken, 0);
+	sim_set_partition(&world->s, world->broken, 0);
 	memset(world->s.link_cut, 0, sizeof world->s.link_cut);
 	world->broken = -1;
 	world->fault_at = INT64_MAX; /* the next once all is whole */
@@ -769,7 +771,7 @@
 static void end_planned_stop(struct world *world)
 {
 	struct controller *controller = world->s.nodes[world->broken].controller;
-	uint64_t open = operator_calls_open(controller);
+	uint64_t open = operator_calls_open_count(controller);
 	int64_t took = world->s.now - world->stop_requested_at;
 
 	if (open && took > STOP_CALLS_MS)
@@ -777,7 +779,8 @@
 			 (unsigned long long)world->s.seed, (unsigned long long)open, (long long)took);
 	if (!open && world->calls_ms && arrlast(world->calls_ms) < 0)
 		arrlast(world->calls_ms) = took;
-	if ((open || !controller_stopped(controller, sim_local(&world->s, world->broken))) && took < GRACE_MS)
+	if ((open || !controller_may_stop(controller, sim_local_clock(&world->s, world->broken))) &&
+	    took < GRACE_MS)
 		return;
 	sim_crash(&world->s, world->broken, (int)random_below(world, 2));
 	world->stop_requested_at = 0;
@@ -997,7 +1000,7 @@
 	uint8_t *a;
 
 	apr_pool_create(&pool, NULL);
-	a = controller_state(world->s.nodes[leader].controller, SHARD_CONTROL, pool, &n);
+	a = snapshot_pack_state(world->s.nodes[leader].controller, SHARD_CONTROL, pool, &n);
 	for (int i = 0; i < world->controllers; i++) {
 		const struct raft *shard = &world->s.nodes[i].controller->shards[SHARD_CONTROL];
 		uint8_t *b;
@@ -1007,7 +1010,7 @@
 			world->s.nodes[leader].controller->shards[SHARD_CONTROL].log.applied_index ||
 		    !shard->group.member_count)
 			continue;
-		b = controller_state(world->s.nodes[i].controller, SHARD_CONTROL, pool, &m);
+		b = snapshot_pack_state(world->s.nodes[i].controller, SHARD_CONTROL, pool, &m);
 		assert_int_equal(n, m);
 		assert_memory_equal(a, b, n);
 	}
@@ -1127,7 +1130,7 @@
 			const struct sim_operator_answer *web = sim_answer(&world->s, token);
 
 			if (web && web->status == 307 && hops++ < 2) {
-				node = node_at(world, web->to);
+				node = node_at(world, web->redirect_addr);
 				token =
 				    node >= 0 ? sim_call_keyed(&world->s, node, "POST", path, body, key) : 0;
 			} else if (web && web->status < 500 && web->status != 307) {
@@ -1318,7 +1321,7 @@
 	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = world->s.nodes[from].id;
 	message.addr = world->s.nodes[from].addr;
-	message.fleet_id = world->s.nodes[to].controller->identity.fleet;
+	message.fleet_id = world->s.nodes[to].controller->identity.fleet_id;
 	message.body_case = NL__MSG__BODY_PROPOSE_REPLY;
 	message.propose_reply = &refusal;
 	event.data_len = nl__msg__get_packed_size(&message);
@@ -1347,9 +1350,9 @@
 	sim_run(&world.s, 500, NULL);
 	assert_null(config_table_get(&world.s.nodes[leader].controller->config.table, NL__KIND__SERVICE,
 				     "s")); /* the second copy was accepted */
-	assert_int_equal(arrlen(world.s.nodes[submitted].controller->proposals.own), 1);
+	assert_int_equal(arrlen(world.s.nodes[submitted].controller->proposals.own_proposals), 1);
 	deliver_refusal(&world, leader, submitted,
-			world.s.nodes[submitted].controller->proposals.own[0].token);
+			world.s.nodes[submitted].controller->proposals.own_proposals[0].token);
 	sim_run(&world.s, 100, NULL);
 	if (sim_answer(&world.s, token) && sim_answer(&world.s, token)->status < 500)
 		fail_msg("answered with %d", sim_answer(&world.s, token)->status);
--- a/tests/test_instances.c
+++ b/tests/test_instances.c
@@ -47,7 +47,7 @@
 
 	/* state as judged: 0 never seen, 1 serving, 2 draining, 3 gone or forgotten after it */
 	is = is < 0 ? (was >= 2 || (was && listed->ended_at &&
-				    sim->now > listed->ended_at + sim->instance_list.lag_ms)
+				    sim->now > listed->ended_at + sim->instance_list.listing_delay_ms)
 			   ? 3
 			   : 0)
 		    : is + 1;
@@ -60,13 +60,13 @@
 			      listed->name);
 	if (is == 1 && sim->now - checker->in_touch_since[node] > 3000 &&
 	    sim->now - checker->last_core_fault_at > 3000) {
-		int64_t shown = listed->draining   ? listed->drained_at + sim->instance_list.lag_ms
-				: listed->ended_at ? listed->ended_at + sim->instance_list.lag_ms
+		int64_t shown = listed->draining   ? listed->drained_at + sim->instance_list.listing_delay_ms
+				: listed->ended_at ? listed->ended_at + sim->instance_list.listing_delay_ms
 						   : 0;
 
 		if (shown && sim->now - shown > checker->drained_worst && shown > checker->last_core_fault_at)
 			checker->drained_worst = sim->now - shown;
-		if (shown && sim->now - shown > sim->bounds.drain_ms)
+		if (shown && sim->now - shown > sim->bounds.server_drain_ms)
 			sim_violation(
 			    sim, "counter %d: server %s serves %lld ms after the list showed that it leaves",
 			    node, listed->name, (long long)(sim->now - shown));
@@ -106,7 +106,7 @@
 	for (int n = 0; n < CONTROLLERS * CONTROLLERS; n++)
 		if (sim->link_cut[n / CONTROLLERS][n % CONTROLLERS])
 			j->last_core_fault_at = sim->now;
-	if (sim->now < sim->instance_list.away_until)
+	if (sim->now < sim->instance_list.unavailable_until)
 		j->last_core_fault_at = sim->now;
 }
 
@@ -171,8 +171,8 @@
 
 	memset(checker, 0, sizeof *checker);
 	sim_open(sim, seed);
-	sim->bounds.discover_instances = 1;
-	sim->bounds.list_calls_millihertz = 47000;
+	sim->bounds.use_endpoint_list = 1;
+	sim->bounds.endpoint_list_calls_millihertz = 47000;
 	sim->bounds.rollout_ms = roll_ms;
 	sim->instance_list.load_ms = load_ms;
 	for (int k = 0; k < 3; k++) {
@@ -249,7 +249,7 @@
 			print_message(
 			    "seed %d: load %d ms: all have it after %lld ms, %d at once, %d orders, %d looks, %d lists\n",
 			    (int)seed, sim.instance_list.load_ms, (long long)last,
-			    sim.instance_list.most_loads, (int)sim.instance_list.n_commands,
+			    sim.instance_list.peak_loads, (int)sim.instance_list.n_commands,
 			    (int)sim.instance_list.n_polls, (int)sim.instance_list.n_list);
 		assert_true(last >= 0);
 		assert_int_equal(sim.instance_list.n_load, SERVERS);
@@ -282,15 +282,15 @@
 
 	(void)state;
 	fleet(&sim, &checker, 3, 10000, 1800);
-	sim.instance_list.at_once = SERVERS;
+	sim.instance_list.full_speed_loads = SERVERS;
 	name_weights(&sim, "2");
 	targeted_at = sim.now;
 	go(&sim, &checker, sim.bounds.rollout_ms);
 	last = all_have(&sim, "2", targeted_at);
 	print_message("no slower with more: all have it after %lld ms, %d at once, %d orders\n",
-		      (long long)last, sim.instance_list.most_loads, (int)sim.instance_list.n_commands);
+		      (long long)last, sim.instance_list.peak_loads, (int)sim.instance_list.n_commands);
 	assert_true(last >= 0 && last < sim.bounds.rollout_ms * ROLLOUT_PLANNED_PERCENT / 100);
-	assert_true(sim.instance_list.most_loads <= 6);
+	assert_true(sim.instance_list.peak_loads <= 6);
 	sim_close(&sim);
 }
 
@@ -332,7 +332,7 @@
 		int at, how = (int)(seed % 5); /* 4: from the other controllers alone */
 
 		fleet(&sim, &checker, seed, seed / 4 % 2 ? 12000 : 15000, seed / 4 % 2 ? 1100 : 1800);
-		sim.instance_list.lossy = seed % 3 ? 0 : 200;
+		sim.instance_list.lost_answer_per_mille = seed % 3 ? 0 : 200;
 		name_weights(&sim, "2");
 		targeted_at = sim.now;
 		go(&sim, &checker, (int64_t)random_below(&d, 8000));
@@ -342,7 +342,7 @@
 		else if (at >= 0 && how == 1)
 			sim_freeze(&sim, at, 1);
 		else if (at >= 0 && how == 2)
-			sim_cut(&sim, at, 1);
+			sim_set_partition(&sim, at, 1);
 		else if (at >= 0 && how == 3)
 			sim_crash(&sim, at, 1);
 		for (int k = 0; at >= 0 && how == 4 && k < CONTROLLERS; k++)
@@ -353,7 +353,7 @@
 		else if (at >= 0 && how == 1)
 			sim_freeze(&sim, at, 0);
 		else if (at >= 0)
-			sim_cut(&sim, at, 0);
+			sim_set_partition(&sim, at, 0);
 		memset(sim.link_cut, 0, sizeof sim.link_cut);
 		go(&sim, &checker, 20000);
 		last = all_have(&sim, "2", targeted_at);
@@ -382,9 +382,9 @@
 		int64_t targeted_at;
 
 		fleet(&sim, &checker, seed, 15000, 1800);
-		sim.instance_list.at_once =
+		sim.instance_list.full_speed_loads =
 		    6; /* with 3 the servers would be loading for most of the bound, were they told at once */
-		sim.instance_list.lossy = seed % 2 ? 0 : 150;
+		sim.instance_list.lost_answer_per_mille = seed % 2 ? 0 : 150;
 		name_weights(&sim, "2");
 		go(&sim, &checker, (int64_t)random_below(&d, 9000));
 		name_weights(&sim, "3");
@@ -414,7 +414,7 @@
 		int down = -1, held = -1, cut = -1;
 
 		fleet(&sim, &checker, seed, 15000, 1800);
-		sim.instance_list.refuse = seed % 3 ? 0 : 150;
+		sim.instance_list.refusal_per_mille = seed % 3 ? 0 : 150;
 		sim.instance_list.call_ms = seed % 4 == 1 ? 300 : 0;
 		sim.loss_per_mille = seed % 5 ? 0 : 50;
 		for (int step = 0; step < 40; step++) {
@@ -437,7 +437,7 @@
 				break;
 			case 5:
 				if (seed % 2 && step % 4 == 0)
-					sim.instance_list.away_until = sim.now + 2000;
+					sim.instance_list.unavailable_until = sim.now + 2000;
 				break;
 			case 6: {
 				int at = sim_leader(&sim, SHARD_CONTROL);
@@ -448,7 +448,7 @@
 					else if (seed % 3 == 1)
 						sim_freeze(&sim, held = at, 1);
 					else
-						sim_cut(&sim, cut = at, 1);
+						sim_set_partition(&sim, cut = at, 1);
 				}
 				break;
 			}
@@ -467,7 +467,7 @@
 				if (held >= 0)
 					sim_freeze(&sim, held, 0);
 				if (cut >= 0)
-					sim_cut(&sim, cut, 0);
+					sim_set_partition(&sim, cut, 0);
 				down = held = cut = -1;
 			}
 		}
--- a/tests/test_isolation.c
+++ b/tests/test_isolation.c
@@ -387,7 +387,7 @@
 	if (call->isolated && !call->was_frozen && web->answered_at - call->sent_at > ANSWER_MS)
 		breach(world, call, web, "late: it is cut off from every other controller");
 	if (web->status == 307) {
-		if (!web->to || web->to == world->s.nodes[call->node].addr)
+		if (!web->redirect_addr || web->redirect_addr == world->s.nodes[call->node].addr)
 			breach(world, call, web, "redirected to itself");
 	} else if (web->status >= 500) {
 		if (web->retry_ms <= 0)
@@ -449,7 +449,7 @@
 {
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++) {
 		const struct sim_node *node = &world->s.nodes[i];
-		int64_t now = sim_local(&world->s, i);
+		int64_t now = sim_local_clock(&world->s, i);
 
 		if (!node->up || node->frozen)
 			continue;
@@ -513,7 +513,7 @@
 		snprintf(text, sizeof text, "z%d", i % 3 + 1);
 		sim_add_router(&world->s, text);
 	}
-	controller_bootstrap(world->s.nodes[0].controller, sim_local(&world->s, 0));
+	controller_bootstrap(world->s.nodes[0].controller, sim_local_clock(&world->s, 0));
 	for (int64_t end = world->s.now + 20000;
 	     world->s.now < end && sim_leader(&world->s, SHARD_CONTROL) < 0;)
 		observe(world);
@@ -599,7 +599,7 @@
 		observe(world);
 	assert_true(sim_leader(&world->s, SHARD_CONTROL) >= 0);
 	for (int i = SIM_CONTROLLERS; i < SIM_CONTROLLERS + ROUTERS; i++)
-		if (!router_ready(world->s.nodes[i].router, sim_local(&world->s, i)))
+		if (!router_ready(world->s.nodes[i].router, sim_local_clock(&world->s, i)))
 			fail_msg("seed %llu: router %d does not take requests again",
 				 (unsigned long long)world->s.seed, i);
 	for (int i = 0; i < CONTROLLERS; i++)
@@ -805,7 +805,7 @@
 		for (int64_t end = world.s.now + ISOLATION_MS - ROUTER_BOUND_MS; world.s.now < end;) {
 			operate(&world, 100, -1, 40);
 			if (!frozen &&
-			    router_ready(world.s.nodes[router].router, sim_local(&world.s, router)))
+			    router_ready(world.s.nodes[router].router, sim_local_clock(&world.s, router)))
 				fail_msg(
 				    "seed %llu: router %d takes requests, and has heard nobody for a while",
 				    (unsigned long long)seed, router);
@@ -821,9 +821,9 @@
 /* Run until another answer of this kind is on its way to a node. */
 static void until_sent(struct sim *sim, int body)
 {
-	uint64_t before = sim->by_body[body];
+	uint64_t before = sim->messages_by_body[body];
 
-	while (sim->by_body[body] == before)
+	while (sim->messages_by_body[body] == before)
 		if (!sim_run(sim, 1, NULL))
 			fail_msg("%s", sim->violation);
 }
@@ -919,7 +919,7 @@
 	instances_on_list(&seen, 7, 1, list, 1, now + ISOLATION_MS);
 	assert_null(instances_get(&seen, "x"));
 	assert_false(seen.is_publishable);
-	now += ISOLATION_MS + INSTANCES_POLL_MS;
+	now += ISOLATION_MS + INSTANCES_POLL_INTERVAL_MS;
 	instances_tick(&seen, 0, 10000, 8, now, &out);
 	instances_on_list(&seen, 8, 1, list, 1, now + 100);
 	assert_non_null(instances_get(&seen, "x"));
@@ -942,8 +942,8 @@
 	open_world(&world, 2);
 	operate(&world, 3000, -1, 40);
 	sim_run(&world.s, 1000, NULL);
-	replies = world.s.by_body[NL__MSG__BODY_READ_REPLY];
-	hints = world.s.by_body[NL__MSG__BODY_LEADER_HINT];
+	replies = world.s.messages_by_body[NL__MSG__BODY_READ_REPLY];
+	hints = world.s.messages_by_body[NL__MSG__BODY_LEADER_HINT];
 	read.kind = NL__READ_KIND__READ_RETENTION;
 	message.protocol_version = CORE_PROTOCOL_VERSION;
 	message.id = 77;
@@ -959,8 +959,8 @@
 		sim_push(&world.s, event);
 	}
 	sim_run(&world.s, 1, NULL);
-	assert_int_equal(world.s.by_body[NL__MSG__BODY_READ_REPLY], replies + 1);
-	assert_true(world.s.by_body[NL__MSG__BODY_LEADER_HINT] >= hints + CONTROLLERS - 1);
+	assert_int_equal(world.s.messages_by_body[NL__MSG__BODY_READ_REPLY], replies + 1);
+	assert_true(world.s.messages_by_body[NL__MSG__BODY_LEADER_HINT] >= hints + CONTROLLERS - 1);
 	intact(&world);
 	close_world(&world);
 }
@@ -991,20 +991,21 @@
 		cut_links(&world, node, 0, SIM_CONTROLLERS, CUT_BOTH);
 		world.s.link_cut[node][follower] = world.s.link_cut[follower][node] = 0;
 		controller = world.s.nodes[node].controller;
-		while (config_watch_age_ms(&controller->config_watch, sim_local(&world.s, node)) <
+		while (config_watch_age_ms(&controller->config_watch, sim_local_clock(&world.s, node)) <
 		       LAST_UPDATE_MS)
 			sim_run(&world.s, 1, NULL);
 		controller->config_watch.leader_addr[SHARD_CONTROL] =
 		    world.s.nodes[follower].addr; /* as a hint that came late would have it */
-		answers = world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY];
+		answers = world.s.messages_by_body[NL__MSG__BODY_PROPOSE_REPLY];
 		token = sim_call(&world.s, node, "POST", "/v1/change",
 				 "{\"set\":[{\"kind\":\"service\",\"name\":\"sx\",\"weights\":\"w1\"" SPEEDS
 				 "}]}");
 		sent = world.s.now;
 		sim_run(&world.s, 20, NULL);
-		if (world.s.by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers &&
-		    arrlen(controller->proposals.own) == 1 && controller->proposals.own[0].send_count == 1 &&
-		    controller->proposals.own[0].denied_count == 1) {
+		if (world.s.messages_by_body[NL__MSG__BODY_PROPOSE_REPLY] > answers &&
+		    arrlen(controller->proposals.own_proposals) == 1 &&
+		    controller->proposals.own_proposals[0].send_count == 1 &&
+		    controller->proposals.own_proposals[0].unlogged_count == 1) {
 			while (!sim_answer(&world.s, token) && world.s.now < sent + 2 * OPEN_OUTCOME_MS)
 				sim_run(&world.s, POLL_MS, NULL);
 			assert_non_null(sim_answer(&world.s, token));
@@ -1038,7 +1039,7 @@
 		assert_true(leader >= 0);
 		for (int i = 0; i < CONTROLLERS; i++)
 			if (i != leader)
-				world.s.nodes[i].stalled_until = world.s.now + 2 * OPEN_OUTCOME_MS;
+				world.s.nodes[i].disk_stalled_until = world.s.now + 2 * OPEN_OUTCOME_MS;
 		call.node = leader;
 		send_document_call(&world, &call);
 		sent = world.s.now;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -324,7 +324,7 @@
 	sim_stop(sim, node);
 	pass(sim, 1);
 	while (sim->now - from < GRACE_MS &&
-	       !controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
+	       !controller_may_stop(sim->nodes[node].controller, sim_local_clock(sim, node)))
 		pass(sim, 5);
 	for (uint32_t shard = 0; shard < SHARD_COUNT && sim->now - from < GRACE_MS; shard++) {
 		const struct raft *raft = raft_at(sim, node, shard);
@@ -501,7 +501,8 @@
 		/* the link heals while the member waits */
 		sim_stop(&sim, leader);
 		pass(&sim, 1500);
-		assert_false(controller_stopped(sim.nodes[leader].controller, sim_local(&sim, leader)));
+		assert_false(
+		    controller_may_stop(sim.nodes[leader].controller, sim_local_clock(&sim, leader)));
 		memset(sim.link_cut, 0, sizeof sim.link_cut);
 		took = stop(&sim, leader);
 		if (took > 3000)
@@ -587,10 +588,10 @@
 		while (sim.now - from < GRACE_MS && (sim.nodes[a].up || sim.nodes[b].up)) {
 			pass(&sim, 5);
 			if (sim.nodes[a].up &&
-			    controller_stopped(sim.nodes[a].controller, sim_local(&sim, a)))
+			    controller_may_stop(sim.nodes[a].controller, sim_local_clock(&sim, a)))
 				sim_crash(&sim, a, 1);
 			if (sim.nodes[b].up &&
-			    controller_stopped(sim.nodes[b].controller, sim_local(&sim, b)))
+			    controller_may_stop(sim.nodes[b].controller, sim_local_clock(&sim, b)))
 				sim_crash(&sim, b, 1);
 		}
 		if (sim.nodes[a].up || sim.nodes[b].up)
@@ -770,8 +771,8 @@
 		pass(&sim, CATCH_UP_MS);
 		check(&sim);
 		for (int i = 0; i < 3; i++)
-			assert_int_equal(sim.nodes[i].controller->identity.fleet,
-					 sim.nodes[3].controller->identity.fleet);
+			assert_int_equal(sim.nodes[i].controller->identity.fleet_id,
+					 sim.nodes[3].controller->identity.fleet_id);
 		assert_true(tolerance_is_whole(&sim, deployment));
 		sim_close(&sim);
 	}
@@ -865,9 +866,9 @@
 
 	(void)state;
 	leader_begin(&leader, 5);
-	leader.live[1].zone = leader.live[2].zone =
+	leader.controllers[1].zone = leader.controllers[2].zone =
 	    9; /* the zone with the most voters: one of members 2 and 3 is to go */
-	leader.raft.group.replicas = 3;
+	leader.raft.group.target_voters = 3;
 	old = leader_last_index(&leader);
 	leader_propose(&leader);
 	leader_receive_append_reply(&leader, 2, leader_last_index(&leader));
@@ -883,9 +884,9 @@
 	leader_end(&leader);
 	/* a voter that is silent counts for none, though it is not given up */
 	leader_begin(&leader, 5);
-	leader.live[1].zone = leader.live[2].zone = 9;
+	leader.controllers[1].zone = leader.controllers[2].zone = 9;
 	leader_run_heartbeats(&leader, 900, 1u << 2 | 1u << 3);
-	leader.raft.group.replicas = 3;
+	leader.raft.group.target_voters = 3;
 	leader_reconfigure(&leader);
 	assert_int_equal(leader.raft.group.member_count, 5);
 	leader_run_heartbeats(&leader, 150, 1u << 2 | 1u << 3 | 1u << 4);
@@ -934,7 +935,7 @@
 		raft_drain(&leader.raft, leader.now);
 		assert_int_equal(raft_propose(&leader.raft, (const uint8_t *)"y", 1, leader.now), 0);
 		for (int i = 0; i < 4; i++) {
-			leader.now += RAFT_HEARTBEAT_MS;
+			leader.now += RAFT_HEARTBEAT_INTERVAL_MS;
 			raft_tick(&leader.raft, leader.now, &leader.out);
 			leader_sync_disk(&leader);
 			leader_receive_append_reply(&leader, 2, old);
@@ -982,7 +983,7 @@
 	assert_int_equal(leader.raft.log.commit_index, leader_last_index(&leader));
 	/* the other voter is silent: the leaving one counts, and is kept */
 	for (int i = 0; i < 5; i++) {
-		leader.now += RAFT_HEARTBEAT_MS;
+		leader.now += RAFT_HEARTBEAT_INTERVAL_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 		leader_sync_disk(&leader);
 		reply.round = leader.raft.lease.heartbeat_round;
@@ -1056,7 +1057,7 @@
 	for (int caught_up = 0; caught_up <= 1; caught_up++) {
 		leader_receive_append_reply(&leader, 2, caught_up ? leader_last_index(&leader) : old);
 		command_list_clear(&leader.out);
-		leader.now += RAFT_HEARTBEAT_MS;
+		leader.now += RAFT_HEARTBEAT_INTERVAL_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 		assert_int_equal(let_go(&leader, 3), caught_up);
 		assert_int_equal(let_go(&leader, 2), 0);
--- a/tests/test_planned_stop.c
+++ b/tests/test_planned_stop.c
@@ -95,7 +95,8 @@
 /* The process ends once nothing needs it; what it said last has left by then. */
 static void end_when_stopped(struct sim *sim, int node)
 {
-	if (sim->nodes[node].up && controller_stopped(sim->nodes[node].controller, sim_local(sim, node)))
+	if (sim->nodes[node].up &&
+	    controller_may_stop(sim->nodes[node].controller, sim_local_clock(sim, node)))
 		sim_crash(sim, node, 0);
 }
 
@@ -120,7 +121,8 @@
 		for (int i = 0; i < ROUTERS; i++) {
 			const struct config_watch *watch =
 			    &sim->nodes[SIM_CONTROLLERS + i].router->config.watch;
-			int64_t fresh = watch->fetched_at_ms - sim->nodes[SIM_CONTROLLERS + i].clock_skew_ms;
+			int64_t fresh =
+			    watch->confirmed_at_ms - sim->nodes[SIM_CONTROLLERS + i].clock_skew_ms;
 
 			if (sim->now - fresh > age[i])
 				age[i] = sim->now - fresh;
@@ -180,8 +182,8 @@
 			int node = SIM_CONTROLLERS + i;
 			int64_t known = sim->nodes[node].router->relay.known_at_ms;
 
-			if (sim_local(sim, node) - known > age[i])
-				age[i] = sim_local(sim, node) - known;
+			if (sim_local_clock(sim, node) - known > age[i])
+				age[i] = sim_local_clock(sim, node) - known;
 		}
 	}
 	for (int i = 0; i < ROUTERS; i++)
@@ -233,17 +235,17 @@
 		for (int i = 0; i < 3; i++)
 			if (i != leader)
 				sim_crash(&sim, i, 0);
-		answers = sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY];
+		answers = sim.messages_by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY];
 		for (end = sim.now + 2 * CONFIG_WATCH_POLL_MS; sim.now < end;) {
 			pass(&sim, STEP_MS);
 			for (ptrdiff_t i = 0; i < arrlen(stopped->handover.deferred); i++)
-				if (sim_local(&sim, leader) >
+				if (sim_local_clock(&sim, leader) >
 				    stopped->handover.deferred[i].deadline_at_ms + TICK_MS)
 					fail_msg("seed %llu: a request is held for too long",
 						 (unsigned long long)seed);
 			held += arrlenu(stopped->handover.deferred);
 		}
-		assert_true(sim.by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY] > answers);
+		assert_true(sim.messages_by_body[NL__MSG__BODY_CONFIG_SYNC_REPLY] > answers);
 		sim_close(&sim);
 	}
 	assert_true(held);
@@ -255,7 +257,7 @@
 {
 	for (int i = 0; i < 3; i++)
 		if (i != leader)
-			sim->nodes[i].stalled_until = sim->now + ms;
+			sim->nodes[i].disk_stalled_until = sim->now + ms;
 }
 
 /* A leader is to stop and may not yet, since an entry is not on the others' disks; a change that is passed on
@@ -331,7 +333,7 @@
 		if (sim.now - answered_at > CONFIG_WATCH_LEADER_TIMEOUT_MS + TICK_MS)
 			fail_msg("seed %llu: said %lld ms after the stop", (unsigned long long)seed,
 				 (long long)(sim.now - answered_at));
-		assert_int_equal(operator_calls_open(sim.nodes[node].controller), 0);
+		assert_int_equal(operator_calls_open_count(sim.nodes[node].controller), 0);
 		sim_close(&sim);
 	}
 }
@@ -363,7 +365,7 @@
 	sim_stop(&sim, 0);
 	assert_true(answered_after(&sim, token, 12000) <= TICK_MS);
 	assert_int_equal(sim_answer(&sim, token)->status, 503);
-	assert_true(controller_stopped(sim.nodes[0].controller, sim_local(&sim, 0)));
+	assert_true(controller_may_stop(sim.nodes[0].controller, sim_local_clock(&sim, 0)));
 	sim_close(&sim);
 }
 
@@ -397,12 +399,12 @@
 		pass(&sim, STEP_MS);
 		assert_non_null(sim_answer(&sim, token)); /* to whoever is there */
 		assert_int_equal(sim_answer(&sim, token)->status, 504);
-		assert_int_equal(operator_calls_open(sim.nodes[0].controller), 0);
+		assert_int_equal(operator_calls_open_count(sim.nodes[0].controller), 0);
 		pass(&sim, 3000);
 		for (int i = 0; i < 3; i++)
-			assert_true(sim.nodes[i].controller->identity.fleet &&
-				    sim.nodes[i].controller->identity.fleet ==
-					sim.nodes[0].controller->identity.fleet);
+			assert_true(sim.nodes[i].controller->identity.fleet_id &&
+				    sim.nodes[i].controller->identity.fleet_id ==
+					sim.nodes[0].controller->identity.fleet_id);
 		sim_close(&sim);
 	}
 }
@@ -431,7 +433,7 @@
 		assert_true(answered_after(&sim, after, 100) <= 1);
 		assert_int_equal(sim_answer(&sim, after)->status, 503);
 		assert_true(sim_answer(&sim, after)->retry_ms > 0);
-		while (!controller_stopped(sim.nodes[node].controller, sim_local(&sim, node))) {
+		while (!controller_may_stop(sim.nodes[node].controller, sim_local_clock(&sim, node))) {
 			waited += !sim_answer(&sim, before);
 			pass(&sim, STEP_MS);
 		}
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -116,7 +116,7 @@
 static int read_them(struct settings *settings, int disk, apr_pool_t *pool)
 {
 	memset(settings, 0, sizeof *settings);
-	return platform_settings(settings, "test", disk, pool);
+	return platform_read_settings(settings, "test", disk, pool);
 }
 
 static int setup(void **st)
@@ -150,40 +150,40 @@
 	put(with(NULL, NULL, pool));
 	if (read_them(&settings, 0, pool) >= 0)
 		fail_msg("%s", settings.error_text);
-	f = settings.extension;
-	assert_string_equal(settings.listen, "127.1.0.14:7360");
-	assert_string_equal(settings.web, "127.1.0.14:8689");
+	f = settings.front_end_settings;
+	assert_string_equal(settings.listen_addr, "127.1.0.14:7360");
+	assert_string_equal(settings.http_addr, "127.1.0.14:8689");
 	assert_string_equal(settings.zone, "z1");
-	assert_null(settings.data);
+	assert_null(settings.data_folder);
 	assert_int_equal(settings.seed_count, 3);
 	assert_string_equal(settings.seeds[2], "127.3.0.38:7360");
 	assert_true(settings.may_bootstrap);
-	assert_int_equal(settings.grace_ms, 7300);
-	assert_int_equal(settings.bounds.grace_ms, 7300);
-	assert_int_equal(settings.bounds.contact_ms, 3001);
-	assert_int_equal(settings.bounds.ack_ms, 4001);
-	assert_non_null(strstr(platform_unused_settings(), "AckMs")); /* said at the start */
-	assert_int_equal(settings.bounds.catch_up_ms, 4500);
-	assert_int_equal(settings.bounds.drain_ms, 3002);
-	assert_int_equal(settings.bounds.config_ms, 2001);
-	assert_int_equal(settings.bounds.drift_ms, 5001);
-	assert_int_equal(settings.bounds.revoke_ms, 5002);
-	assert_int_equal(settings.bounds.lease_ms, 3003);
-	assert_int_equal(settings.bounds.thaw_ms, 300);
-	assert_int_equal(settings.bounds.recover_ms, 12000);
+	assert_int_equal(settings.stop_grace_ms, 7300);
+	assert_int_equal(settings.bounds.stop_grace_ms, 7300);
+	assert_int_equal(settings.bounds.contact_window_ms, 3001);
+	assert_int_equal(settings.bounds.change_ack_ms, 4001);
+	assert_non_null(strstr(platform_settings_without_effect(), "AckMs")); /* said at the start */
+	assert_int_equal(settings.bounds.member_catch_up_ms, 4500);
+	assert_int_equal(settings.bounds.server_drain_ms, 3002);
+	assert_int_equal(settings.bounds.config_propagation_ms, 2001);
+	assert_int_equal(settings.bounds.config_leaderless_extra_ms, 5001);
+	assert_int_equal(settings.bounds.key_revocation_ms, 5002);
+	assert_int_equal(settings.bounds.load_lease_wait_ms, 3003);
+	assert_int_equal(settings.bounds.resume_tolerance_ms, 300);
+	assert_int_equal(settings.bounds.fleet_recovery_ms, 12000);
 	assert_int_equal(settings.bounds.rollout_ms, 15000);
 	assert_int_equal(settings.bounds.retry_budget_permille, 200);
 	assert_int_equal(settings.bounds.retry_budget_slack, 58);
 	assert_int_equal(settings.bounds.retry_budget_window_ms, 10000);
 	assert_int_equal(settings.bounds.replicas, 5);
-	assert_int_equal(settings.bounds.list_calls_millihertz, 47500);
-	assert_int_equal(settings.bounds.discover_instances, 1);
-	assert_string_equal(f->node, "edge-z1-1");
+	assert_int_equal(settings.bounds.endpoint_list_calls_millihertz, 47500);
+	assert_int_equal(settings.bounds.use_endpoint_list, 1);
+	assert_string_equal(f->node_name, "edge-z1-1");
 	assert_string_equal(f->region, "r1");
 	assert_string_equal(f->front_addr, "127.1.0.14:8689");
 	assert_string_equal(f->readiness_addr, "127.1.0.14:8687");
-	assert_true(f->list_addr == core_parse_addr("127.200.0.24:8688"));
-	assert_int_equal(f->list_max_lag_ms, 800);
+	assert_true(f->endpoint_list_addr == core_parse_addr("127.200.0.24:8688"));
+	assert_int_equal(f->endpoint_list_max_lag_ms, 800);
 	assert_int_equal(f->memory_mb, 260);
 	assert_int_equal(f->max_fds, 4100);
 	assert_int_equal(f->max_machine_losses, 2);
@@ -205,8 +205,8 @@
 	put(with("MachineLosses", "0", pool));
 	if (read_them(&settings, 1, pool) >= 0)
 		fail_msg("%s", settings.error_text);
-	assert_string_equal(settings.web, "127.1.0.14:8683");
-	assert_string_equal(settings.data, "/data/x");
+	assert_string_equal(settings.http_addr, "127.1.0.14:8683");
+	assert_string_equal(settings.data_folder, "/data/x");
 	assert_int_equal(settings.bounds.replicas, 3);
 }
 
@@ -352,14 +352,14 @@
 
 	put(with(NULL, NULL, pool));
 	memset(&settings, 0, sizeof settings);
-	settings.read_external = platform_settings;
+	settings.read_external = platform_read_settings;
 	assert_int_equal(settings_read(&settings, "test", 0, 3, good, pool), 0);
 	assert_int_equal(settings_read(&settings, "test", 0, 4, two, pool), 2);
 	memset(&settings, 0, sizeof settings);
 	assert_int_equal(settings_read(&settings, "test", 0, 3, good, pool),
 			 2); /* a program without such settings */
 	put(with("Zone", NULL, pool));
-	settings.read_external = platform_settings;
+	settings.read_external = platform_read_settings;
 	assert_int_equal(settings_read(&settings, "test", 0, 2, run, pool), 2);
 }
 
@@ -443,7 +443,7 @@
 		heard.patch = input->payload.document.is_patch;
 		snprintf(heard.text[0], 200, "%.*s", (int)input->payload.document.body_bytes,
 			 input->payload.document.body);
-		copy(heard.text[1], input->payload.document.invalid);
+		copy(heard.text[1], input->payload.document.rejection);
 		heard.n = input->payload.document.body_bytes;
 		break;
 	case CONTROLLER_READ_DOCUMENT:
@@ -456,7 +456,7 @@
 		heard.token = input->payload.target.token;
 		copy(heard.text[0], input->payload.target.model);
 		copy(heard.text[1], input->payload.target.weights);
-		copy(heard.text[2], input->payload.target.invalid);
+		copy(heard.text[2], input->payload.target.rejection);
 		break;
 	case CONTROLLER_API_CALL:
 		heard.token = input->payload.api_call.token;
@@ -468,7 +468,7 @@
 		break;
 	case CONTROLLER_SERVERS_LISTED:
 		heard.token = input->payload.servers_listed.token;
-		heard.ok = input->payload.servers_listed.succeeded;
+		heard.ok = input->payload.servers_listed.is_complete;
 		heard.n = input->payload.servers_listed.instance_count;
 		for (size_t i = 0; i < heard.n && i < 8; i++) {
 			const struct Nl__Instance *instance = input->payload.servers_listed.instances[i];
@@ -518,10 +518,10 @@
 	apr_pool_create(&desk->p.pool, pool);
 	apr_pool_create(&desk->p.commands.pool, desk->p.pool);
 	ring_open(&desk->p.events, 64, desk->p.pool);
-	desk->p.settings.web = desk->web;
-	desk->c.step = core;
-	desk->c.ctx = desk;
-	desk->c.list_addr = core_parse_addr(desk->list_addr);
+	desk->p.settings.http_addr = desk->web;
+	desk->c.step_controller = core;
+	desk->c.step_context = desk;
+	desk->c.endpoint_list_addr = core_parse_addr(desk->list_addr);
 	desk->p.front_end = &platform_control;
 	desk->p.front_end_context = &desk->c;
 	desk->s = (struct script){ 200, 0, 0, "{}", 0, 0 };
@@ -547,7 +547,7 @@
 		ssize_t k;
 		char *body, *len;
 
-		platform_control.wait(&desk->c, 5);
+		platform_control.serve_sockets(&desk->c, 5);
 		k = recv(fd, to + n, size - n - 1, MSG_DONTWAIT);
 		if (k > 0)
 			n += (size_t)k;
@@ -733,12 +733,12 @@
 	fd = dial(desk.web);
 	assert_int_equal(write(fd, q, sizeof q - 1), sizeof q - 1);
 	while (!arrlen(desk.v) && clock_ms() < end)
-		platform_control.wait(&desk.c, 5);
+		platform_control.serve_sockets(&desk.c, 5);
 	assert_int_equal(arrlen(desk.v), 1);
 	assert_false(platform_control.is_idle(&desk.c, clock_ms()));
 	close(fd);
 	while (!platform_control.is_idle(&desk.c, clock_ms()) && clock_ms() < end)
-		platform_control.wait(&desk.c, 5);
+		platform_control.serve_sockets(&desk.c, 5);
 	assert_true(platform_control.is_idle(&desk.c, clock_ms()));
 	assert_int_equal(arrlast(desk.v).kind, CONTROLLER_CALLER_DISCONNECTED); /* and the core is told */
 	assert_int_equal(arrlast(desk.v).token, desk.v[0].token);
@@ -766,7 +766,7 @@
 			break;
 		if (clock_ms() > end)
 			fail_msg("no call within the limit");
-		platform_control.wait(&desk->c, 5);
+		platform_control.serve_sockets(&desk->c, 5);
 		if (fd < 0)
 			fd = accept(desk->list, NULL, NULL);
 		k = fd >= 0 ? recv(fd, received + n, size - n - 1, MSG_DONTWAIT) : 0;
@@ -791,7 +791,7 @@
 	int64_t end = clock_ms() + LIMIT;
 
 	while (!arrlen(desk->v) && clock_ms() < end)
-		platform_control.wait(&desk->c, 5);
+		platform_control.serve_sockets(&desk->c, 5);
 	assert_int_equal(arrlen(desk->v), 1);
 	return &desk->v[0];
 }
@@ -1033,7 +1033,7 @@
 	fd = dial(desk.web);
 	assert_int_equal(write(fd, q, sizeof q - 1), sizeof q - 1);
 	while (!arrlen(desk.v) && clock_ms() < end)
-		platform_control.wait(&desk.c, 5);
+		platform_control.serve_sockets(&desk.c, 5);
 	command_add(&desk.p.commands, CMD_LOAD_WEIGHTS)->args.load_weights.addr =
 	    core_parse_addr(desk.list_addr);
 	arrlast(desk.p.commands.commands).args.load_weights.server =
@@ -1041,7 +1041,7 @@
 		arrlast(desk.p.commands.commands).args.load_weights.lease_holder =
 		    arrlast(desk.p.commands.commands).args.load_weights.weights = "w";
 	process_perform(&desk.p);
-	platform_control.stop(&desk.c, clock_ms());
+	platform_control.begin_stop(&desk.c, clock_ms());
 	assert_int_equal(arrlast(desk.v).kind, CONTROLLER_STOP);
 	late = socket(AF_INET, SOCK_STREAM, 0); /* refused, or closed unread */
 	if (connect(late,
@@ -1052,7 +1052,7 @@
 		    sizeof(struct sockaddr_in)) == 0) {
 		assert_int_equal(write(late, q, sizeof q - 1), sizeof q - 1);
 		for (int i = 0; i < 20; i++)
-			platform_control.wait(&desk.c, 5);
+			platform_control.serve_sockets(&desk.c, 5);
 		assert_true(recv(late, b, sizeof b, 0) <= 0);
 	}
 	close(late);
@@ -1064,7 +1064,7 @@
 	assert_false(platform_control.is_idle(&desk.c, clock_ms())); /* the order */
 	serve(&desk, reply(*state, 202, ""), received, sizeof received);
 	while (!platform_control.is_idle(&desk.c, clock_ms()) && clock_ms() < end)
-		platform_control.wait(&desk.c, 5);
+		platform_control.serve_sockets(&desk.c, 5);
 	assert_true(platform_control.is_idle(&desk.c, clock_ms()));
 	close(fd);
 	desk_close(&desk);
@@ -1086,11 +1086,11 @@
 		assert_int_equal(write(fd[i], q, sizeof q - 1), sizeof q - 1);
 	}
 	while (arrlen(desk.v) < 2 && clock_ms() < end)
-		platform_control.wait(&desk.c, 5);
-	desk.p.stopping = 1;
+		platform_control.serve_sockets(&desk.c, 5);
+	desk.p.is_stopping = 1;
 	desk.p.stop_deadline_ms = clock_ms() + LIMIT;
-	platform_control.stop(&desk.c, clock_ms());
-	platform_control.wait(&desk.c, 5);
+	platform_control.begin_stop(&desk.c, clock_ms());
+	platform_control.serve_sockets(&desk.c, 5);
 	assert_false(platform_control.is_idle(&desk.c, clock_ms()));
 	desk.p.stop_deadline_ms = clock_ms();
 	for (int i = 0; i < 2; i++) { /* as proc does between the last step and the close */
@@ -1110,7 +1110,7 @@
 static int counted(struct settings *settings, const char *program, int disk, apr_pool_t *pool)
 {
 	__atomic_add_fetch(&reads, 1, __ATOMIC_SEQ_CST);
-	return platform_settings(settings, program, disk, pool);
+	return platform_read_settings(settings, program, disk, pool);
 }
 
 struct running {
@@ -1179,10 +1179,10 @@
 	close(listener(in));
 	close(listener(running.d.web));
 	running.d.p.pool = pool;
-	running.d.p.settings.listen = in;
-	running.d.p.settings.web = running.d.web;
-	running.d.c.step = core;
-	running.d.c.ctx = &running.d;
+	running.d.p.settings.listen_addr = in;
+	running.d.p.settings.http_addr = running.d.web;
+	running.d.c.step_controller = core;
+	running.d.c.step_context = &running.d;
 	running.d.p.front_end = &platform_control;
 	running.d.p.front_end_context = &running.d.c;
 	ring_open(&running.heard, 16, pool);
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -24,13 +24,13 @@
 		.capacity_tokens = 240000,
 		.link_kbps = 100,
 		.event_lag_ms = 80,
-		.event_loss = 30,
+		.event_loss_per_mille = 30,
 		.load_ms = 1500,
 		.loads_under_requests = 1,
 		.max_loads = 3,
 		.kind = {
-			[LARGE] = { .interval_ms = 22, .prefixes = 120, .shared_tokens = 13000, .own_tokens = 3700, .output_pieces = 100, .latency_target_ms = 1000 },
-			[SMALL] = { .interval_ms = 20, .prefixes = 60, .shared_tokens = 350, .own_tokens = 1100, .output_pieces = 120, .latency_target_ms = 600 },
+			[LARGE] = { .interval_ms = 22, .prefixes = 120, .shared_tokens = 13000, .own_tokens = 3700, .output_chunks = 100, .latency_target_ms = 1000 },
+			[SMALL] = { .interval_ms = 20, .prefixes = 60, .shared_tokens = 350, .own_tokens = 1100, .output_chunks = 120, .latency_target_ms = 600 },
 		},
 	};
 }
@@ -80,7 +80,7 @@
 	engine_reset_counts(engines);
 	engine_set_target(engines);
 	engine_run(engines, 16000);
-	assert_true(engine_rolled(engines));
+	assert_true(engine_is_rollout_complete(engines));
 	return engines;
 }
 
@@ -104,7 +104,7 @@
 			struct engine_sim *engines;
 			int p90;
 
-			set.mechanisms_off = k ? without : 0;
+			set.disabled_mechanisms = k ? without : 0;
 			engines = named ? rolled(&set) : played(&set, 10000);
 			print_counts(what, seed, engines);
 			comparison.large[k] += within_target(engines, LARGE) / SEEDS;
@@ -205,19 +205,19 @@
 		uint64_t used, missed;
 
 		engine_run(engines, 8000);
-		used = router->stats.lookups_used;
+		used = router->stats.own_lookups_answered;
 		assert_true(used > 10);
-		engine_silence_head(engines, 0, 1);
+		engine_set_head_silent(engines, 0, 1);
 		engine_reset_counts(engines);
 		engine_run(engines, 6000);
-		missed = router->stats.lookups_missed;
+		missed = router->stats.own_lookups_missed;
 		print_counts("a silent head", seed, engines);
 		assert_true(missed <= 3); /* then none is waited for */
 		assert_true(within_target(engines, LARGE) > 0.85 && within_target(engines, SMALL) > 0.85);
-		used = router->stats.lookups_used;
-		engine_silence_head(engines, 0, 0);
+		used = router->stats.own_lookups_answered;
+		engine_set_head_silent(engines, 0, 0);
 		engine_run(engines, 4000);
-		assert_true(router->stats.lookups_used - used > 15);
+		assert_true(router->stats.own_lookups_answered - used > 15);
 		engine_close(engines);
 	}
 }
--- a/tests/test_purge_freshness.c
+++ b/tests/test_purge_freshness.c
@@ -68,7 +68,7 @@
 		sim_deploy(&sim, seed, CONTROLLERS, ROUTERS, SERVERS);
 		sim.wall_clock_epoch_ms = 1800000000000ll;
 		for (int i = 0; i < SERVERS; i++)
-			sim.servers[i].hoard = 1; /* old parts stay at their servers */
+			sim.servers[i].ignores_drops = 1; /* old parts stay at their servers */
 		for (int i = 0; i < ROUTERS; i++)
 			ask_router(&sim, &rng, SIM_CONTROLLERS + i, 1500);
 		sim_freeze(&sim, router, 1);
@@ -101,7 +101,7 @@
 		ask_router(&sim, &rng, router, 2000);
 		if (sim.violation[0])
 			fail_msg("%s", sim.violation);
-		if (!relay_is_current(&sim.nodes[router].router->relay, sim_local(&sim, router)))
+		if (!relay_is_current(&sim.nodes[router].router->relay, sim_local_clock(&sim, router)))
 			fail_msg("seed %llu: router %d does not hear of purges again",
 				 (unsigned long long)seed, router);
 		judged += sim.n_checked;
--- a/tests/test_raft_fuzz.c
+++ b/tests/test_raft_fuzz.c
@@ -33,7 +33,7 @@
 		h = core_hash(h, raft->log.entries[i].data, raft->log.entries[i].len);
 	}
 	h = core_hash(h, raft->snapshots.newest.members, raft->snapshots.newest.members_len);
-	return core_hash(h, raft->snapshots.newest.data, raft->snapshots.newest.data_len);
+	return core_hash(h, raft->snapshots.newest.state, raft->snapshots.newest.state_len);
 }
 
 /* ---- valid messages, as a member of the group sends them ---- */
@@ -500,7 +500,7 @@
 	assert_int_equal(arrlen(machine->out.commands), 1);
 	assert_true(machine->out.commands[0].args.send.msg->snapshot_reply->corrupt);
 	assert_true(machine->raft.log.commit_index < sample.piece.index);
-	assert_false(machine->raft.snapshots.to_load);
+	assert_false(machine->raft.snapshots.must_load_newest);
 	command_list_clear(&machine->out);
 	world_close(&world);
 }
@@ -572,7 +572,7 @@
 			world.now += (int64_t)(core_random(&rng) % 20);
 			raft_tick(&machine->raft, world.now, &machine->out);
 			raft_flush(&machine->raft, world.now, &machine->out);
-			raft_synced(&machine->raft, machine->raft.disk.requested_seq, world.now,
+			raft_synced(&machine->raft, machine->raft.disk.requested_sync_seq, world.now,
 				    &machine->out);
 			command_list_clear(&machine->out);
 			assert_true(world_memory(&world, target) < 4 << 20);
@@ -673,7 +673,7 @@
 	uint64_t before = image_of_all(controller), dropped = controller->drop_log.dropped_count;
 
 	event.payload.message = message;
-	controller->drop_log.logged_at_ms = now - 10 * CONTROLLER_DROP_LOG_MS;
+	controller->drop_log.logged_at_ms = now - 10 * CONTROLLER_DROP_LOG_INTERVAL_MS;
 	log_lines = 0;
 	controller_step(controller, &event, now, out);
 	assert_int_equal(controller->drop_log.dropped_count, dropped + 1);
@@ -694,17 +694,17 @@
 	assert_true(sim_run(&sim, 3000, NULL));
 	node = (sim_leader(&sim, SHARD_CONTROL) + 1) % 3;
 	controller = sim.nodes[node].controller;
-	now = sim_local(&sim, node);
+	now = sim_local_clock(&sim, node);
 	controller->adapters.log = count_lines;
 	for (int i = 0; i < KIND_COUNT; i++) {
 		struct sample sample;
 
 		sample_open(&sample, kind_names[i], &controller->shards[0], controller->shards[0].leader_id);
-		sample.msg.fleet_id = controller->identity.fleet + 1;
+		sample.msg.fleet_id = controller->identity.fleet_id + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
 		sample.msg.fleet_id = 0;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
-		sample.msg.fleet_id = controller->identity.fleet;
+		sample.msg.fleet_id = controller->identity.fleet_id;
 		sample.msg.protocol_version = CORE_PROTOCOL_VERSION + 1;
 		foreign(controller, &sample.msg, now, &sim.nodes[node].commands);
 		sample.msg.protocol_version = CORE_PROTOCOL_VERSION;
@@ -719,7 +719,7 @@
 
 		sample_open(&sample, NL__MSG__BODY_APPEND, &controller->shards[0],
 			    controller->shards[0].leader_id);
-		sample.msg.fleet_id = controller->identity.fleet + 1;
+		sample.msg.fleet_id = controller->identity.fleet_id + 1;
 		event.payload.message = &sample.msg;
 		log_lines = 0;
 		for (int i = 0; i < 3000; i++)
--- a/tests/test_recovery.c
+++ b/tests/test_recovery.c
@@ -19,7 +19,7 @@
 static void lose_followers(struct leader *leader)
 {
 	for (int i = 0; i < 30; i++) {
-		leader->now += RAFT_HEARTBEAT_MS;
+		leader->now += RAFT_HEARTBEAT_INTERVAL_MS;
 		raft_tick(&leader->raft, leader->now, &leader->out);
 		leader_sync_disk(leader);
 	}
@@ -59,8 +59,8 @@
 
 	(void)state;
 	leader_begin(&leader, 3);
-	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MEMBER_ANSWERS);
-	leader.now += RAFT_ABSENT_MS;
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_LOST_MEMBER_ACTIVE);
+	leader.now += RAFT_RECOVERY_SILENCE_MS;
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_HAS_LEADER);
 	lose_followers(&leader);
 	assert_int_equal(raft_recover(&leader.raft, one, 1, leader.now), RAFT_RECOVERY_MAJORITY_REMAINS);
@@ -71,9 +71,9 @@
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_HAS_LEADER);
 	leader.raft.election.vote_barrier_until_ms = 0;
 	receive_vote_request(&leader, 3, 2, 1, 1); /* one that is named as lost is there */
-	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_MEMBER_ANSWERS);
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_LOST_MEMBER_ACTIVE);
 	assert_int_equal(raft_epoch(leader.raft.term), 0);
-	leader.now += RAFT_ABSENT_MS;
+	leader.now += RAFT_RECOVERY_SILENCE_MS;
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now), RAFT_RECOVERY_POSSIBLE);
 	assert_int_equal(raft_epoch(leader.raft.term), 1);
 	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now),
@@ -84,7 +84,7 @@
 	lose_followers(&leader);
 	receive_vote_request(&leader, 4, leader.raft.term, leader_last_index(&leader) + 1, leader.raft.term);
 	assert_int_equal(raft_recover(&leader.raft, (const uint64_t[]){ 2, 3, 5 }, 3, leader.now),
-			 RAFT_RECOVERY_OTHER_IS_NEWER);
+			 RAFT_RECOVERY_NEWER_LOG_EXISTS);
 	leader_end(&leader);
 	/* one that is no member */
 	leader_begin(&leader, 3);
@@ -111,9 +111,9 @@
 	for (int i = 0; i < 4; i++) {
 		raft_tick(&leader.raft, leader.now, &leader.out);
 		leader_sync_disk(&leader);
-		leader.now += RAFT_HEARTBEAT_MS;
+		leader.now += RAFT_HEARTBEAT_INTERVAL_MS;
 	}
-	assert_true(raft_has_lease(&leader.raft, leader.now - RAFT_HEARTBEAT_MS));
+	assert_true(raft_has_lease(&leader.raft, leader.now - RAFT_HEARTBEAT_INTERVAL_MS));
 	assert_true(leader.raft.log.commit_index > held);
 	assert_int_equal(leader.raft.group.member_count, 1);
 	assert_true(raft_epoch(leader.raft.term) == 1);
@@ -174,7 +174,7 @@
 			 0); /* its term stays what it was: its disk can be told from the new ones */
 	command_list_clear(&leader.out);
 	for (int i = 0; i < 30; i++) {
-		leader.now += RAFT_HEARTBEAT_MS;
+		leader.now += RAFT_HEARTBEAT_INTERVAL_MS;
 		raft_tick(&leader.raft, leader.now, &leader.out);
 	}
 	assert_null(sent(&leader, NL__MSG__BODY_VOTE_REQUEST));
@@ -187,7 +187,7 @@
 	leader_receive(&leader, 3, &offer);
 	assert_non_null(sent(&leader, NL__MSG__BODY_APPEND_REPLY));
 	assert_true(sent(&leader, NL__MSG__BODY_APPEND_REPLY)->append_reply->fenced);
-	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now + RAFT_ABSENT_MS),
+	assert_int_equal(raft_recover(&leader.raft, lost, 2, leader.now + RAFT_RECOVERY_SILENCE_MS),
 			 RAFT_RECOVERY_NO_VOTER);
 	leader_end(&leader);
 }
@@ -278,7 +278,7 @@
 		pass(&sim, 4000);
 		assert_int_equal(call_recover(&sim, remaining, gone, 1),
 				 409); /* one of them is not said to be lost */
-		sim.recovered = 1;
+		sim.was_recovered = 1;
 		assert_int_equal(call_recover(&sim, remaining, gone, 2), 200);
 		assert_int_equal(call_recover(&sim, remaining, gone, 2), 409); /* twice */
 		if (seed % 2) { /* it falls right after it said so, and goes on from its disk */
@@ -288,7 +288,7 @@
 		}
 		revision = sim_change(&sim, TENANT("after"), 12000);
 		check(&sim);
-		assert_true(revision > CONTROLLER_RECOVERY_SKIP);
+		assert_true(revision > CONTROLLER_RECOVERY_SKIPPED_NUMBERS);
 		assert_true(table_has(&sim, remaining, "before"));
 		/* old members and new machines come together */
 		sim_start(&sim, gone[0]);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -28,17 +28,17 @@
 
 static struct Nl__Row *world_service(struct world *world, const char *name)
 {
-	return world->row[world->rows++] = new_service(world->s.p, name);
+	return world->row[world->rows++] = new_service(world->s.pool, name);
 }
 
 static struct Nl__Row *world_route(struct world *world, const char *name, const char *path,
 				   const char *service)
 {
-	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.p, NL__KIND__ROUTE, name);
+	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.pool, NL__KIND__ROUTE, name);
 
-	row->service = apr_pstrdup(world->s.p, service);
+	row->service = apr_pstrdup(world->s.pool, service);
 	row->host = "h";
-	row->path = apr_pstrdup(world->s.p, path);
+	row->path = apr_pstrdup(world->s.pool, path);
 	row->limit = 10;
 	row->max_attempts = 3;
 	row->key_optional = 1;
@@ -51,13 +51,13 @@
 
 	memset(digest, letter, 64);
 	digest[64] = 0;
-	world->row[world->rows++] = new_row(world->s.p, NL__KIND__KEY, digest);
-	world->row[world->rows - 1]->tenant = apr_pstrdup(world->s.p, tenant);
+	world->row[world->rows++] = new_row(world->s.pool, NL__KIND__KEY, digest);
+	world->row[world->rows - 1]->tenant = apr_pstrdup(world->s.pool, tenant);
 }
 
 static struct Nl__Row *world_tenant(struct world *world, const char *name)
 {
-	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.p, NL__KIND__TENANT, name);
+	struct Nl__Row *row = world->row[world->rows++] = new_row(world->s.pool, NL__KIND__TENANT, name);
 
 	row->share = 1;
 	return row;
@@ -65,7 +65,7 @@
 
 static void world_server(struct world *world, const char *service)
 {
-	world->server[world->servers] = new_instance(world->s.p, (int)world->servers, service);
+	world->server[world->servers] = new_instance(world->s.pool, (int)world->servers, service);
 	world->servers++;
 }
 
@@ -111,10 +111,10 @@
 	a.key_digest = key ? digest : NULL;
 	a.host = "h";
 	a.path = path;
-	a.id = apr_psprintf(w->s.p, "id-%d", (int)w->s.token);
-	a.limit_ms = REQUEST_LIMIT;
+	a.request_id = apr_psprintf(w->s.pool, "id-%d", (int)w->s.token);
+	a.timeout_ms = REQUEST_LIMIT;
 	a.input_tokens = 2000;
-	a.output_tokens = 100;
+	a.max_output_tokens = 100;
 	input.kind = ROUTER_EVENT_FORWARDED_REQUEST;
 	input.args.forwarded_request = &a;
 	command_list_clear(&w->s.commands);
@@ -127,7 +127,7 @@
 		      const char *since)
 {
 	struct forward_result ended = {
-		.token = call, .end = how, .status = status, .has_begun = began, .last_event_id = since
+		.token = call, .end = how, .status = status, .has_stream_begun = began, .last_event_id = since
 	};
 	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_ENDED };
 
@@ -138,7 +138,7 @@
 
 static void began(struct world *w, uint64_t call)
 {
-	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_BEGAN };
+	struct router_event event = { .kind = ROUTER_EVENT_FORWARD_STREAM_BEGAN };
 
 	event.args.forward_began.token = call;
 	command_list_clear(&w->s.commands);
@@ -411,7 +411,7 @@
 	world.rows -= 2;
 	world_apply(&world);
 	for (int i = 0; i < 100; i++) {
-		world.s.router.config.watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.confirmed_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 100);
 	}
 	world.rows += 2;
@@ -447,14 +447,14 @@
 	router_fixture_tick(&world.s, 100);
 	began(&world, first);
 	for (int i = 0; i < 700; i++) { /* over half of its time: the queue was empty meanwhile */
-		world.s.router.config.watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.confirmed_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 	}
 	send_ends(&world, call, FORWARD_BROKEN_OFF, 200, 1, "3");
 	assert_int_equal(answered_status(&world.s, 2), 0);
 	assert_null(sent_to(&world.s));
 	command_list_clear(&world.s.commands);
-	world.s.router.config.watch.fetched_at_ms = world.s.now;
+	world.s.router.config.watch.confirmed_at_ms = world.s.now;
 	router_fixture_tick(&world.s, 50);
 	assert_int_equal(answered_status(&world.s, 2), 0);
 	send_ends(&world, first, FORWARD_COMPLETE, 200, 1, "9");
@@ -496,7 +496,7 @@
 		from = world.s.now;
 		while (!status && world.s.now - from < 20000) {
 			command_list_clear(&world.s.commands);
-			world.s.router.config.watch.fetched_at_ms = world.s.now;
+			world.s.router.config.watch.confirmed_at_ms = world.s.now;
 			world.s.router.servers.states[1].unavailable_until_ms =
 			    world.s.router.servers.states[0].unavailable_until_ms = world.s.now + 100;
 			router_fixture_tick(&world.s, 50);
@@ -528,7 +528,7 @@
 	ask(&world, "/x", 0);
 	for (int i = 0; i < 20 && !(sent || status); i++) {
 		command_list_clear(&world.s.commands);
-		world.s.router.config.watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.confirmed_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		sent = sent_to(&world.s) != NULL;
 		status = answered_status(&world.s, 1);
@@ -555,7 +555,7 @@
 	send_ends(&world, router_fixture_last_call(&world.s), FORWARD_NOT_STARTED, 0, 0, NULL);
 	for (int64_t waited = 0; waited < LIMIT_MS && !sent; waited += STEP_MS) {
 		command_list_clear(&world.s.commands);
-		world.s.router.config.watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.confirmed_at_ms = world.s.now;
 		router_fixture_tick(&world.s, STEP_MS);
 		assert_int_equal(answered_status(&world.s, 1), 0);
 		sent = sent_to(&world.s) != NULL;
@@ -585,11 +585,11 @@
 	world.servers = 0;
 	world_apply(&world);
 	send_ends(&world, call, FORWARD_BROKEN_OFF, 0, 0, NULL);
-	fetched_at_ms = world.s.router.config.watch.fetched_at_ms;
+	fetched_at_ms = world.s.router.config.watch.confirmed_at_ms;
 	for (int64_t waited = 0; waited < LIMIT_MS && !status; waited += STEP_MS) {
 		status = answered_status(&world.s, 1);
 		command_list_clear(&world.s.commands);
-		world.s.router.config.watch.fetched_at_ms = fetched_at_ms; /* no answer of the leader */
+		world.s.router.config.watch.confirmed_at_ms = fetched_at_ms; /* no answer of the leader */
 		router_fixture_tick(&world.s, STEP_MS);
 	}
 	assert_int_equal(status, 502);
@@ -606,9 +606,9 @@
 	world_service(world, "down");
 	route = world_route(world, "route", "/", "up");
 	route->limit = 100;
-	route->split = apr_palloc(world->s.p, 2 * sizeof *route->split);
+	route->split = apr_palloc(world->s.pool, 2 * sizeof *route->split);
 	for (route->n_split = 0; route->n_split < 2; route->n_split++) {
-		struct Nl__RouteSplit *half = apr_palloc(world->s.p, sizeof *half);
+		struct Nl__RouteSplit *half = apr_palloc(world->s.pool, sizeof *half);
 
 		nl__route_split__init(half);
 		half->service = world->row[route->n_split]->name;
@@ -628,7 +628,7 @@
 static void time_passes(struct world *world, int64_t ms)
 {
 	for (int64_t end = world->s.now + ms; world->s.now < end;) {
-		world->s.router.config.watch.fetched_at_ms = world->s.now;
+		world->s.router.config.watch.confirmed_at_ms = world->s.now;
 		router_fixture_tick(&world->s, 50);
 	}
 }
@@ -754,7 +754,7 @@
 	if (send_end->spent == SPENT_ATTEMPTS)
 		request->retry.max_attempts = 1;
 	if (send_end->spent == SPENT_BUDGET)
-		world.s.router.quota.retry_budget[request->route.service_index] = 0;
+		world.s.router.quota.retry_budget_milli[request->route.service_index] = 0;
 	if (send_end->spent == SPENT_TIME)
 		request->client.deadline_at_ms = world.s.now + 10;
 	send_ends(&world, call, send_end->how, send_end->how == FORWARD_NOT_STARTED ? 503 : 200,
@@ -767,7 +767,7 @@
 		    expected(send_end));
 	assert_int_equal(sent_to(&world.s) != NULL, expected(send_end) == ANSWER_RESENT);
 	assert_int_equal(arrlen(world.s.router.requests.all), expected(send_end) == ANSWER_RESENT);
-	assert_true(router_balanced(&world.s.router));
+	assert_true(router_outcomes_balance(&world.s.router));
 	router_fixture_close(&world.s);
 }
 
@@ -794,7 +794,7 @@
 static void a_draining_process_answers_what_it_holds(void **state)
 {
 	struct world world = { 0 };
-	struct router_event event = { .kind = ROUTER_EVENT_STOP };
+	struct router_event event = { .kind = ROUTER_EVENT_SHUTDOWN };
 	int answered[3] = { 0, 0, 0 };
 
 	(void)state;
@@ -811,11 +811,11 @@
 	assert_int_equal(router_request_by_token(&world.s.router, 2)->state, REQUEST_RUNNING);
 	assert_int_equal(router_request_by_token(&world.s.router, 3)->state, REQUEST_WAITING);
 	event.args.shutdown.send_deadline_at_ms = world.s.now + 2000;
-	event.args.shutdown.run_deadline_at_ms = world.s.now + 2700;
+	event.args.shutdown.end_deadline_at_ms = world.s.now + 2700;
 	router_fixture_step(&world.s, &event);
-	while (world.s.now < event.args.shutdown.run_deadline_at_ms + 200) {
+	while (world.s.now < event.args.shutdown.end_deadline_at_ms + 200) {
 		command_list_clear(&world.s.commands);
-		world.s.router.config.watch.fetched_at_ms = world.s.now;
+		world.s.router.config.watch.confirmed_at_ms = world.s.now;
 		router_fixture_tick(&world.s, 50);
 		for (uint64_t i = 0; i < 3; i++)
 			if (answered_status(&world.s, i + 1))
@@ -908,7 +908,7 @@
 
 	for (int64_t end = world->s.now + ms; world->s.now < end && !answered;) {
 		command_list_clear(&world->s.commands);
-		world->s.router.config.watch.fetched_at_ms = world->s.now;
+		world->s.router.config.watch.confirmed_at_ms = world->s.now;
 		router_fixture_tick(&world->s, 50);
 		answered = answered_status(&world->s, 1);
 	}
@@ -918,7 +918,7 @@
 /* Bring an event about; what the client hears of it. */
 static int event_happens(struct world *world, enum request_event event)
 {
-	struct router_event stop = { .kind = ROUTER_EVENT_STOP };
+	struct router_event stop = { .kind = ROUTER_EVENT_SHUTDOWN };
 
 	switch (event) {
 	case EVENT_ROUTE_REMOVED:
@@ -947,7 +947,7 @@
 		return ticks_until_answered(world, 300);
 	case EVENT_PROCESS_STOPS:
 		stop.args.shutdown.send_deadline_at_ms = world->s.now + 200;
-		stop.args.shutdown.run_deadline_at_ms = world->s.now + 900;
+		stop.args.shutdown.end_deadline_at_ms = world->s.now + 900;
 		router_fixture_step(&world->s, &stop);
 		return ticks_until_answered(world, 1100);
 	default:
@@ -979,7 +979,7 @@
 				fail_msg("event %d in phase %d: heard %d, not %d", event, phase, answered,
 					 hears[event][phase]);
 			assert_int_equal(arrlen(world.s.router.requests.all), answered == ANSWER_NONE);
-			assert_true(router_balanced(&world.s.router));
+			assert_true(router_outcomes_balance(&world.s.router));
 			if (answered)
 				assert_int_equal(world.s.router.stats.outcomes[outcome_answered(answered)],
 						 1);
@@ -1022,7 +1022,7 @@
 static void crowded(struct sim_forward *forwarding)
 {
 	forwarding->sim.instance_list.slots = 2 + (int)(forwarding->sim.seed % 3);
-	forwarding->planned = 1;
+	forwarding->is_planned_work_only = 1;
 }
 
 static void route_changes(struct sim_forward_config *config, int route, uint64_t *d)
@@ -1155,7 +1155,7 @@
 		for (int step = 0; step < 120; step++) {
 			for (ptrdiff_t i = 0; i < arrlen(forwarding.servers); i++) {
 				forwarding.servers[i].refusal_delay_ms = i % 3 == 0 ? 400 : 0;
-				forwarding.servers[i].extra_piece_ms = i % 3 == 1 ? 200 : 0;
+				forwarding.servers[i].extra_chunk_interval_ms = i % 3 == 1 ? 200 : 0;
 			}
 			one_change(&forwarding, &d);
 			changes++;
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -305,13 +305,13 @@
 			    12000);
 		load(&sim, &rng, 12000, 15, 3);
 		for (int i = 0; i < 6; i++) /* routers must not rely on servers' dropping */
-			sim.servers[i].hoard = 1;
+			sim.servers[i].ignores_drops = 1;
 		switch (seed % 6) { /* what goes wrong as the purge runs */
 		case 0:
 			sim_freeze(&sim, SIM_CONTROLLERS, 1);
 			break;
 		case 1:
-			sim_cut(&sim, SIM_CONTROLLERS + 1, 1);
+			sim_set_partition(&sim, SIM_CONTROLLERS + 1, 1);
 			break;
 		case 2:
 			sim_crash(&sim, sim_leader(&sim, SHARD_PURGE), 0);
@@ -343,11 +343,11 @@
 			if (sim.nodes[i].used && !sim.nodes[i].up)
 				sim_start(&sim, i);
 		sim_freeze(&sim, SIM_CONTROLLERS, 0);
-		sim_cut(&sim, SIM_CONTROLLERS + 1, 0);
+		sim_set_partition(&sim, SIM_CONTROLLERS + 1, 0);
 		sim.servers[1].up = 1;
 		load(&sim, &rng, 4000, 15, 3);
 		for (int i = 0; i < 6; i++)
-			sim.servers[i].hoard = 0;
+			sim.servers[i].ignores_drops = 0;
 		load(&sim, &rng, 10000, 15, 3);
 		all_notified(&sim);
 		assert_true(sim.n_checked > 100);
@@ -407,7 +407,7 @@
 	change.any_revision = 1;
 	change.set = set;
 	change.n_set = 2;
-	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&table, &change, &feed), PROPOSAL_APPLIED);
 	change.set = one;
 	change.n_set = 1;
 	for (size_t i = 0; i <= sizeof bad / sizeof *bad; i++) {
@@ -489,9 +489,9 @@
 
 	assert_true(at >= 0);
 	apr_pool_create(&pool, NULL);
-	found =
-	    strstr(retention_json(sim->nodes[at].controller, sim->now + sim->nodes[at].clock_skew_ms, pool),
-		   text) != NULL;
+	found = strstr(retention_report_json(sim->nodes[at].controller,
+					     sim->now + sim->nodes[at].clock_skew_ms, pool),
+		       text) != NULL;
 	apr_pool_destroy(pool);
 	return found;
 }
@@ -507,12 +507,12 @@
 	sim_deploy(&sim, 41, 4, 3, 6);
 	sim.wall_clock_epoch_ms = EPOCH * 1000ll;
 	load(&sim, &rng, 9000, 20, 3); /* and the leader has been in office for long */
-	sim.servers[2].mute = 1;
+	sim.servers[2].sends_no_reports = 1;
 	assert_true(clear_now(&sim, "*", 9000) > 0);
 	load(&sim, &rng, 9000, 20, 3);
 	assert_true(newest(&sim, "*")->slices == PURGE_SLICES && !newest(&sim, "*")->done_at_ms);
 	assert_true(missing_says(&sim, "server s2 has not reported its cached blocks since the purge"));
-	sim.servers[2].mute = 0;
+	sim.servers[2].sends_no_reports = 0;
 	load(&sim, &rng, 6000, 20, 3);
 	assert_true(newest(&sim, "*")->done_at_ms);
 	sim_freeze(&sim, SIM_CONTROLLERS + 1, 1);
@@ -604,7 +604,7 @@
 	ok(&sim);
 	/* the head of a zone sees in its index what servers still name of before, and nothing else, in a few
 	 * thousand rows a tick */
-	router->config.bounds.discover_instances = 1;
+	router->config.bounds.use_endpoint_list = 1;
 	router->config.watch.upstream_count = 0;
 	for (uint64_t i = 0; i < 5000; i++)
 		prefix_index_put(
@@ -719,7 +719,7 @@
 		while (!newest(&sim, "*"))
 			load(&sim, &rng, 100, 40, 3);
 		for (int i = 0; strained && i < 3; i++)
-			sim.servers[i].slow = 400;
+			sim.servers[i].chunk_interval_ms = 400;
 		began = sim.now;
 		load(&sim, &rng, 3500, strained ? 4 : 40, 3);
 		purge_run = newest(&sim, "*");
@@ -744,8 +744,8 @@
 	int64_t *v = NULL, ms;
 
 	for (ptrdiff_t i = 0; i < arrlen(sim->requests); i++)
-		if (sim->requests[i].first_piece_at)
-			arrput(v, sim->requests[i].first_piece_at - sim->requests[i].submitted_at);
+		if (sim->requests[i].first_chunk_at)
+			arrput(v, sim->requests[i].first_chunk_at - sim->requests[i].submitted_at);
 	assert_true(arrlen(v) > 500);
 	qsort(v, (size_t)arrlen(v), sizeof *v, by_time);
 	ms = v[(arrlen(v) - 1) * of_100 / 100];
--- a/tests/test_shell.c
+++ b/tests/test_shell.c
@@ -205,13 +205,13 @@
 	fake.reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: keep-alive\r\n\r\n{}";
 	server_calls_start(call, 2, addr, "/v1/run", "{}", 5000, 0, clock_ms() + LIMIT);
 	event = next(ring, SHELL_EVENT_CALL_DONE);
-	assert_int_equal(event->status, 200);
+	assert_int_equal(event->http_status, 200);
 	shell_event_free(event);
 	fake.reply = NULL;
 	server_calls_start(call, 3, addr, "/v1/run", "{}", 5000, 0, clock_ms() + LIMIT);
 	event = next(ring, SHELL_EVENT_CALL_DONE);
 	assert_int_equal(event->never_sent, 0);
-	assert_int_equal(event->status, 0);
+	assert_int_equal(event->http_status, 0);
 	shell_event_free(event);
 	assert_int_equal(fake.requests, 3);
 	assert_int_equal(fake.taken, 3); /* one connection each */
@@ -351,7 +351,7 @@
 	w.has_snapshot = 1;
 	w.snapshot_index = 20;
 	w.snapshot_term = 7;
-	w.drop_upto = 10;
+	w.drop_up_to_index = 10;
 	w.members = (const uint8_t *)"mm";
 	w.members_len = 2;
 	w.data = (const uint8_t *)"state";
@@ -364,9 +364,9 @@
 	assert_int_equal(found.node_id, 42);
 	assert_int_equal(found.fleet_id, 43);
 	assert_int_equal(found.shards[2].term, 8);
-	assert_int_equal(found.shards[2].vote, 1);
+	assert_int_equal(found.shards[2].voted_for, 1);
 	assert_int_equal(found.shards[2].snapshot_index, 20);
-	assert_memory_equal(found.shards[2].data, "state", 5);
+	assert_memory_equal(found.shards[2].state, "state", 5);
 	assert_int_equal(found.shards[2].first_index, 11);
 	assert_int_equal(found.shards[2].entry_count, 34);
 	assert_memory_equal(found.shards[2].entries[0].data, "entry 11 of 1", 13);
@@ -421,14 +421,14 @@
 	w.shard = 2;
 	w.seq = 21;
 	w.has_snapshot = 1;
-	w.snapshot_index = w.drop_upto = 990;
+	w.snapshot_index = w.drop_up_to_index = 990;
 	w.members = w.data = (const uint8_t *)"state";
 	w.members_len = w.data_len = 5;
 	storage_write(storage, &w);
 	shell_event_free(next(ring, SHELL_EVENT_SYNCED));
 	assert_true(traces(folder, "entry 7 of 1") > 0); /* deleted, and yet there */
 	w.seq = 22;
-	w.scrub = 1;
+	w.erase_deleted_bytes = 1;
 	storage_write(storage, &w);
 	shell_event_free(next(ring, SHELL_EVENT_SYNCED));
 	assert_int_equal(traces(folder, "entry 7 of 1"), 0);
@@ -481,9 +481,9 @@
 	w.entry_count = 1;
 	w.entries = &persist_entry;
 	storage_write(storage, &w);
-	for (int64_t end = clock_ms() + LIMIT; storage_refused_count(storage) < 2 && clock_ms() < end;)
+	for (int64_t end = clock_ms() + LIMIT; storage_rejected_write_count(storage) < 2 && clock_ms() < end;)
 		assert_null(ring_pop(ring, 20));
-	assert_true(storage_refused_count(storage) >= 2);
+	assert_true(storage_rejected_write_count(storage) >= 2);
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &was), 0);
 	shell_event_free(next(ring, SHELL_EVENT_SYNCED));
 	storage_close(storage);
@@ -977,9 +977,9 @@
 	event = next(ring, SHELL_EVENT_REQUEST);
 	assert_int_equal(strlen(event->key_digest), 64);
 	assert_null(event->idempotency_key);
-	api_server_stream(web, event->token, "one\n", 4, 0, 1);
+	api_server_stream_write(web, event->token, "one\n", 4, 0, 1);
 	read_until(fd, b, sizeof b, "one\n");
-	api_server_stream(web, event->token, "end\n", 4, 1, 1);
+	api_server_stream_write(web, event->token, "end\n", 4, 1, 1);
 	read_until(fd, b, sizeof b, "\r\n0\r\n\r\n");
 	close(fd);
 	shell_event_free(event);
@@ -996,8 +996,8 @@
 	fd = dial(addr);
 	assert_true(write(fd, ask, sizeof ask - 1) > 0);
 	event = next(ring, SHELL_EVENT_REQUEST);
-	api_server_stream(web, event->token, "one\n", 4, 0, 1);
-	api_server_stream(web, event->token, "broken", 6, 1, 0);
+	api_server_stream_write(web, event->token, "one\n", 4, 0, 1);
+	api_server_stream_write(web, event->token, "broken", 6, 1, 0);
 	read_until(fd, b, sizeof b, NULL);
 	assert_non_null(strstr(b, "broken"));
 	assert_null(strstr(b, "\r\n0\r\n"));
@@ -1007,15 +1007,15 @@
 	fd = dial(addr);
 	assert_true(write(fd, ask, sizeof ask - 1) > 0);
 	event = next(ring, SHELL_EVENT_REQUEST);
-	api_server_valid_until(web, clock_ms() + 60000);
-	api_server_stream(web, event->token, "one\n", 4, 0, 1);
+	api_server_set_streams_valid_until(web, clock_ms() + 60000);
+	api_server_stream_write(web, event->token, "one\n", 4, 0, 1);
 	read_until(fd, b, sizeof b, "one\n");
-	api_server_valid_until(web, clock_ms() - 1);
-	api_server_stream(web, event->token, "two\n", 4, 0, 1);
+	api_server_set_streams_valid_until(web, clock_ms() - 1);
+	api_server_stream_write(web, event->token, "two\n", 4, 0, 1);
 	read_until(fd, b, sizeof b, NULL);
 	assert_null(strstr(b, "two"));
 	assert_null(strstr(b, "\r\n0\r\n"));
-	api_server_valid_until(web, clock_ms() + 60000);
+	api_server_set_streams_valid_until(web, clock_ms() + 60000);
 	close(fd);
 	shell_event_free(event);
 	/* a slow reader of a stream that is broken off hears no more than it was in the middle of */
@@ -1027,9 +1027,9 @@
 
 		memset(line, 'a', sizeof line);
 		line[sizeof line - 1] = '\n';
-		api_server_stream(web, event->token, line, sizeof line, 0, 1);
+		api_server_stream_write(web, event->token, line, sizeof line, 0, 1);
 	}
-	api_server_stream(web, event->token, "broken", 6, 1, 0);
+	api_server_stream_write(web, event->token, "broken", 6, 1, 0);
 	{
 		size_t all = 0;
 		ssize_t n;
@@ -1048,7 +1048,7 @@
 	for (int64_t end = clock_ms() + LIMIT; clock_ms() < end;) {
 		struct shell_event *g;
 
-		api_server_scan(web);
+		api_server_report_disconnected(web);
 		g = ring_pop(ring, 20);
 		if (g) {
 			assert_int_equal(g->kind, SHELL_EVENT_DISCONNECTED);
