--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -39,7 +39,7 @@
 	raft_open(&member->raft, 0, 1, 5, NULL, member->now);
 	raft_bootstrap(&member->raft, group, 3, member->now);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	command_list_clear(&member->out);
 	member->now += 5000;
 }
@@ -156,11 +156,11 @@
 
 static void assert_installed(const struct member *member, const struct sender *sender)
 {
-	assert_true(member->raft.snapshots.to_load);
+	assert_true(member->raft.snapshots.must_load_newest);
 	assert_int_equal(member->raft.log.commit_index, sender->index);
-	assert_int_equal(member->raft.snapshots.newest.data_len, sender->len - sender->members_len);
-	assert_memory_equal(member->raft.snapshots.newest.data, sender->bytes + sender->members_len,
-			    member->raft.snapshots.newest.data_len);
+	assert_int_equal(member->raft.snapshots.newest.state_len, sender->len - sender->members_len);
+	assert_memory_equal(member->raft.snapshots.newest.state, sender->bytes + sender->members_len,
+			    member->raft.snapshots.newest.state_len);
 	assert_int_equal(member->raft.group.member_count, 3);
 }
 
@@ -177,7 +177,7 @@
 	assert_int_equal(send_range(&member, &sender, 2, 0, 300)->offset, 300);   /* repeated */
 	assert_int_equal(send_range(&member, &sender, 2, 100, 400)->offset, 500); /* overlaps */
 	assert_int_equal(send_range(&member, &sender, 2, 500, sender.len - 500 - 1)->offset, sender.len - 1);
-	assert_false(member.raft.snapshots.to_load);
+	assert_false(member.raft.snapshots.must_load_newest);
 	assert_int_equal(member.raft.log.base_index, 0);
 	assert_int_equal(member.raft.log.commit_index, 0);
 	assert_int_equal(send_range(&member, &sender, 2, sender.len - 1, 1)->offset, sender.len);
@@ -186,7 +186,7 @@
 	assert_null(send_range(&member, &sender, 2, sender.len - 1, 1));
 	assert_true(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index < 50);
 	command_list_clear(&member.out);
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
 	free(sender.bytes);
 	member_close(&member);
@@ -206,7 +206,7 @@
 	reply = send_range(&member, &sender, 2, 600, sender.len - 600);
 	assert_true(reply->corrupt);
 	assert_int_equal(reply->offset, 0);
-	assert_false(member.raft.snapshots.to_load);
+	assert_false(member.raft.snapshots.must_load_newest);
 	assert_int_equal(member.raft.log.base_index, 0);
 	sender.bytes[700] ^= 1;
 	reply = send_range(&member, &sender, 2, 600, sender.len - 600); /* nothing of it is left */
@@ -232,17 +232,17 @@
 	assert_null(send_range(&member, &old, 3, 0, old.len)); /* a leader of before */
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->term, 3);
 	assert_null(send_range(&member, &older, 2, 0, older.len)); /* late, of the same leader */
-	assert_false(member.raft.snapshots.to_load);
+	assert_false(member.raft.snapshots.must_load_newest);
 	assert_int_equal(send_range(&member, &sender, 2, 400, sender.len - 400)->offset, sender.len);
 	assert_installed(&member, &sender);
-	member.raft.snapshots.to_load = 0;
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	member.raft.snapshots.must_load_newest = 0;
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	/* what is committed never goes back */
 	assert_null(send_range(&member, &older, 2, 0, older.len));
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 50);
 	assert_int_equal(member.raft.log.commit_index, 50);
 	assert_int_equal(member.raft.log.base_index, 50);
-	assert_false(member.raft.snapshots.to_load);
+	assert_false(member.raft.snapshots.must_load_newest);
 	free(old.bytes);
 	free(sender.bytes);
 	free(older.bytes);
@@ -324,7 +324,7 @@
 	msg.body_case = NL__MSG__BODY_APPEND;
 	msg.append = &append;
 	assert_int_equal(receive(&member, 2, &msg), RAFT_FAULT_NONE);
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	assert_int_equal(sent(&member, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 10);
 	sender_open(&sender, 2, 5, 1000); /* entry 5 is of its term */
 	assert_null(send_range(&member, &sender, 2, 0, sender.len));
@@ -407,17 +407,17 @@
 	receive(member, 2, &msg);
 	reply.is_pre_vote = 0;
 	receive(member, 2, &msg);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	raft_tick(&member->raft, member->now, &member->out);
 	reply_append(member, 2, 1, member->raft.log.term_start_index);
 	assert_true(raft_has_lease(&member->raft, member->now));
 	member->raft.log.applied_index = member->raft.log.commit_index;
-	member->raft.snapshots.drop_tail = 1;
-	raft_snapshot(&member->raft, state, len);
+	member->raft.snapshots.drop_log_tail = 1;
+	raft_take_snapshot(&member->raft, state, len);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	assert_int_equal(member->raft.log.base_index, member->raft.log.term_start_index);
 	free(state);
 }
@@ -425,7 +425,7 @@
 /* A heartbeat round; member 2 answers. */
 static void heartbeat(struct member *member)
 {
-	member->now += RAFT_HEARTBEAT_MS;
+	member->now += RAFT_HEARTBEAT_INTERVAL_MS;
 	command_list_clear(&member->out);
 	raft_tick(&member->raft, member->now, &member->out);
 	raft_flush(&member->raft, member->now, &member->out);
@@ -434,7 +434,7 @@
 /* The last of the pieces that go out next, within five seconds of heartbeats. */
 static struct piece next_piece(struct member *member, uint64_t addr)
 {
-	for (int i = 0; i < 5000 / RAFT_HEARTBEAT_MS; i++) {
+	for (int i = 0; i < 5000 / RAFT_HEARTBEAT_INTERVAL_MS; i++) {
 		reply_append(member, 2, 1, member->raft.disk.synced_index);
 		heartbeat(member);
 		if (piece_for(member, addr).index)
@@ -457,10 +457,10 @@
 	piece = piece_for(&member, 103);
 	assert_int_equal(piece.offset, 0);
 	reply_piece(&member, 3, piece, piece.len, 0);
-	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), RAFT_CHUNK_WINDOW);
+	assert_int_equal(count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103), RAFT_SNAPSHOT_WINDOW_CHUNKS);
 	/* it is silent for ten seconds: what is under way goes out again now and then, heartbeats each round
 	 */
-	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) {
+	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_INTERVAL_MS; i++) {
 		heartbeat(&member);
 		pieces += count_sent(&member, NL__MSG__BODY_SNAPSHOT_CHUNK, 103);
 		assert_int_equal(count_sent(&member, NL__MSG__BODY_APPEND, 103), 1);
@@ -468,10 +468,10 @@
 		reply_append(&member, 2, 1, member.raft.log.term_start_index);
 		assert_true(raft_has_lease(&member.raft, member.now));
 	}
-	assert_true(pieces >= 3 * RAFT_CHUNK_WINDOW && pieces <= 5 * RAFT_CHUNK_WINDOW);
+	assert_true(pieces >= 3 * RAFT_SNAPSHOT_WINDOW_CHUNKS && pieces <= 5 * RAFT_SNAPSHOT_WINDOW_CHUNKS);
 	assert_true(member.raft.group.members[2].transfer.sent_bytes -
 			member.raft.group.members[2].transfer.acked_bytes <=
-		    RAFT_CHUNK_WINDOW * RAFT_CHUNK_BYTES);
+		    RAFT_SNAPSHOT_WINDOW_CHUNKS * RAFT_SNAPSHOT_CHUNK_BYTES);
 	member_close(&member);
 }
 
@@ -486,17 +486,19 @@
 	piece = piece_for(&member, 103);
 	reply_piece(&member, 3, piece, 500000, 0); /* it holds the same bytes of another leader */
 	piece = piece_for(&member, 103);
-	assert_int_equal(piece.offset, 500000 + (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	assert_int_equal(piece.offset,
+			 500000 + (RAFT_SNAPSHOT_WINDOW_CHUNKS - 1) * RAFT_SNAPSHOT_CHUNK_BYTES);
 	member.now += 200;
 	reply_piece(&member, 3, piece, 0, 0); /* it fell */
-	assert_int_equal(piece_for(&member, 103).offset, (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	assert_int_equal(piece_for(&member, 103).offset,
+			 (RAFT_SNAPSHOT_WINDOW_CHUNKS - 1) * RAFT_SNAPSHOT_CHUNK_BYTES);
 	piece = piece_for(&member, 103);
 	reply_piece(&member, 3, piece, 0, 1); /* a wrong digest: after a while, all of it */
 	assert_int_equal(piece_for(&member, 103).index, 0);
 	piece = next_piece(&member, 103);
-	assert_int_equal(piece.offset, (RAFT_CHUNK_WINDOW - 1) * RAFT_CHUNK_BYTES);
+	assert_int_equal(piece.offset, (RAFT_SNAPSHOT_WINDOW_CHUNKS - 1) * RAFT_SNAPSHOT_CHUNK_BYTES);
 	reply_piece(&member, 3, piece, piece.total, 0);
-	assert_int_equal(member.raft.group.members[2].transfer.index, 0);
+	assert_int_equal(member.raft.group.members[2].transfer.snapshot_index, 0);
 	assert_int_equal(member.raft.group.members[2].progress.next_index, member.raft.log.base_index + 1);
 	member_close(&member);
 }
@@ -507,14 +509,14 @@
 
 	raft_propose(&member->raft, (const uint8_t *)"x", 1, member->now);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	reply_append(member, 2, 1, member->raft.disk.synced_index);
 	assert_int_equal(member->raft.log.commit_index, member->raft.disk.synced_index);
 	member->raft.log.applied_index = member->raft.log.commit_index;
-	member->raft.snapshots.drop_tail = drop_tail;
-	raft_snapshot(&member->raft, state, len);
+	member->raft.snapshots.drop_log_tail = drop_tail;
+	raft_take_snapshot(&member->raft, state, len);
 	raft_flush(&member->raft, member->now, &member->out);
-	raft_synced(&member->raft, member->raft.disk.requested_seq, member->now, &member->out);
+	raft_synced(&member->raft, member->raft.disk.requested_sync_seq, member->now, &member->out);
 	free(state);
 }
 
@@ -562,7 +564,7 @@
 	take_snapshot(&member, 1 * MB, 1);
 	assert_int_equal(member.raft.snapshots.previous.index, 0);
 	heartbeat(&member);
-	assert_true(member.raft.group.members[2].transfer.index > index);
+	assert_true(member.raft.group.members[2].transfer.snapshot_index > index);
 	assert_int_equal(member.raft.group.members[2].transfer.acked_bytes, 0);
 	member_close(&member);
 }
@@ -583,12 +585,12 @@
 	assert_int_equal(member.raft.log.commit_index, index);
 	assert_true(member.raft.disk.synced_index < index);
 	member.raft.log.applied_index = index;
-	member.raft.snapshots.drop_tail = 1;
-	raft_snapshot(&member.raft, (const uint8_t *)"state", 5);
+	member.raft.snapshots.drop_log_tail = 1;
+	raft_take_snapshot(&member.raft, (const uint8_t *)"state", 5);
 	assert_int_equal(member.raft.log.base_index, member.raft.disk.synced_index);
 	assert_int_equal(arrlen(member.raft.log.entries), 1);
 	raft_flush(&member.raft, member.now, &member.out);
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	assert_int_equal(member.raft.disk.synced_index, index);
 	member_close(&member);
 }
@@ -625,12 +627,12 @@
 		raft_propose(&member.raft, d, 100 * KB, member.now);
 		raft_flush(&member.raft, member.now, &member.out);
 	}
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	bytes = entry_bytes(&member, 103);
 	assert_int_equal(bytes, UNDER_WAY); /* the window, and the entry that fills it */
 	reply_append(&member, 3, 1, member.raft.log.base_index + 1);
 	assert_int_equal(entry_bytes(&member, 103), 100 * KB);
-	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_MS; i++) { /* silent for nine seconds */
+	for (int i = 0; i < 9000 / RAFT_HEARTBEAT_INTERVAL_MS; i++) { /* silent for nine seconds */
 		heartbeat(&member);
 		resent += entry_bytes(&member, 103);
 		reply_append(&member, 2, 1, member.raft.disk.synced_index);
@@ -659,12 +661,12 @@
 	for (int i = 0; i < 5; i++)
 		raft_propose(&member.raft, (const uint8_t *)"x", 1, member.now);
 	raft_flush(&member.raft, member.now, &member.out);
-	raft_synced(&member.raft, member.raft.disk.requested_seq, member.now, &member.out);
+	raft_synced(&member.raft, member.raft.disk.requested_sync_seq, member.now, &member.out);
 	who = &member.raft.group.members[2];
 	who->progress.next_index = who->progress.unacked_index =
 	    member.raft.log.base_index + 6; /* as raft_set_members has it */
 	who->progress.match_index = 0;
-	who->progress.probing = 1;
+	who->progress.is_probing = 1;
 	reply_append(&member, 3, 1, member.raft.log.base_index + 2);
 	assert_int_equal(entry_bytes(&member, 103), 3);
 	member_close(&member);
@@ -789,7 +791,7 @@
 			    b = (int)(core_random(&rng) % WORLD_MACHINES);
 
 			world.loss_permille = (int)(core_random(&rng) % 100);
-			world.repeat_permille = (int)(core_random(&rng) % 100);
+			world.duplicate_permille = (int)(core_random(&rng) % 100);
 			world.jitter_ms = (int)(core_random(&rng) % 80);
 			world.reorders_bulk = 1;
 			world.disk_ms = 1 + (int)(core_random(&rng) % 60);
@@ -807,7 +809,7 @@
 			world_start(&world, b);
 			ok(&world);
 		}
-		world.loss_permille = world.repeat_permille = world.reorders_bulk = 0;
+		world.loss_permille = world.duplicate_permille = world.reorders_bulk = 0;
 		world.jitter_ms = 1;
 		world.disk_ms = 4;
 		world.bytes_per_ms = 125000;
@@ -855,7 +857,7 @@
 			world.peak_memory = world.peak_disk = world.peak_in_flight = 0;
 			ms = world_catch_up(&world, 4 * WORLD_CATCH_UP_MS);
 			ok(&world);
-			needed = (size[i] + RAFT_CHUNK_BYTES - 1) / RAFT_CHUNK_BYTES;
+			needed = (size[i] + RAFT_SNAPSHOT_CHUNK_BYTES - 1) / RAFT_SNAPSHOT_CHUNK_BYTES;
 			print_message(
 			    "%zu KB, %s: whole after %lld ms; %llu messages, %llu pieces (one snapshot has %llu) of %llu KB, "
 			    "entries %llu KB; at most %zu KB in a member, %zu KB on a disk, %zu KB under way\n",
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -326,10 +326,10 @@
 		write.has_snapshot = 1;
 		write.snapshot_index = state->base = state->last - write.entry_count;
 		write.snapshot_term = 1;
-		write.drop_upto =
+		write.drop_up_to_index =
 		    write.snapshot_index > KEPT_ENTRIES ? write.snapshot_index - KEPT_ENTRIES : 0;
-		if (write.drop_upto >= state->first)
-			state->first = write.drop_upto + 1;
+		if (write.drop_up_to_index >= state->first)
+			state->first = write.drop_up_to_index + 1;
 		write.members = (const uint8_t *)"members";
 		write.members_len = strlen("members");
 		write.data_len = core_random(random) % LARGE;
@@ -497,13 +497,13 @@
 		assert_true(storage_write_identity(store, IDENTITY, FLEET));
 		watch(folder);
 		for (uint64_t number = 1; number <= FULL_TRANSACTIONS; number++) {
-			uint64_t refused = storage_refused_count(store);
+			uint64_t refused = storage_rejected_write_count(store);
 			struct shell_event *event = NULL;
 
 			disk.writes_until_full = 1 + (int)(core_random(&random) % WRITES);
 			write_next(store, seed, number, &written, &random);
 			for (int64_t end = clock_ms() + LIMIT_MS;
-			     !event && storage_refused_count(store) == refused && clock_ms() < end;)
+			     !event && storage_rejected_write_count(store) == refused && clock_ms() < end;)
 				event = ring_pop(ring, 10);
 			disk.writes_until_full = 0;
 			disk.full = 0;
@@ -564,11 +564,11 @@
 		watch(folder);
 		stopped = written;
 		disk.writes_until_full = (int)seed;
-		refused = storage_refused_count(store);
+		refused = storage_rejected_write_count(store);
 		write_next(store, seed, TRANSACTIONS_BEFORE + 1, &stopped, &random);
 		event = NULL;
 		for (int64_t end = clock_ms() + LIMIT_MS;
-		     !event && storage_refused_count(store) == refused && clock_ms() < end;)
+		     !event && storage_rejected_write_count(store) == refused && clock_ms() < end;)
 			event = ring_pop(ring, 10);
 		if (event) { /* it was over before the disk was full */
 			shell_event_free(event);
@@ -589,10 +589,10 @@
 			fail_msg("seed %llu: what was acknowledged does not stand", (unsigned long long)seed);
 		if (!holds(&found, seed, &written))
 			written = stopped;
-		refused = storage_refused_count(store);
+		refused = storage_rejected_write_count(store);
 		write_next(store, seed, TRANSACTIONS_BEFORE + 2, &written, &random);
 		for (int64_t end = clock_ms() + LIMIT_MS;
-		     storage_refused_count(store) == refused && clock_ms() < end;)
+		     storage_rejected_write_count(store) == refused && clock_ms() < end;)
 			assert_null(ring_pop(ring, 10));
 		disk.writes_until_full = 0;
 		disk.full = 0;
--- a/tests/test_store_snapshot.c
+++ b/tests/test_store_snapshot.c
@@ -79,7 +79,7 @@
 		memcpy(fixture->document, entry->data, entry->len);
 	}
 	if (raft_needs_snapshot(&fixture->raft))
-		raft_snapshot(&fixture->raft, fixture->document, fixture->len);
+		raft_take_snapshot(&fixture->raft, fixture->document, fixture->len);
 	perform(fixture);
 }
 
@@ -99,7 +99,7 @@
 
 static int settle(struct store_fixture *s)
 {
-	while (s->raft.disk.synced_seq < s->raft.disk.requested_seq)
+	while (s->raft.disk.completed_sync_seq < s->raft.disk.requested_sync_seq)
 		if (!take_sync(s, LIMIT_MS))
 			return 0;
 	return 1;
@@ -124,7 +124,7 @@
 	raft_open(&s->raft, SHARD, 1, 7, saved, s->now);
 	if (!saved)
 		raft_bootstrap(&s->raft, &self, 1, s->now);
-	s->raft.snapshots.to_load = 0;
+	s->raft.snapshots.must_load_newest = 0;
 	for (int i = 0; i < 200 && !raft_has_lease(&s->raft, s->now); i++) {
 		s->now += 20;
 		raft_tick(&s->raft, s->now, &s->out);
@@ -232,7 +232,7 @@
 
 	assert_true(saved->term > 0);
 	if (saved->snapshot_index)
-		newest = version_of(saved->data, saved->data_len);
+		newest = version_of(saved->state, saved->state_len);
 	for (size_t i = 0; i < saved->entry_count; i++) {
 		uint64_t version;
 
@@ -271,11 +271,11 @@
 		assert_true(take_sync(&fixture, LIMIT_MS));
 	assert_return_code(setrlimit(RLIMIT_FSIZE, &full), 0);
 	acked = fixture.acked;
-	while (fixture.raft.disk.synced_seq < fixture.raft.disk.requested_seq &&
-	       storage_refused_count(fixture.store) < 2) /* or it came before the disk was full */
+	while (fixture.raft.disk.completed_sync_seq < fixture.raft.disk.requested_sync_seq &&
+	       storage_rejected_write_count(fixture.store) < 2) /* or it came before the disk was full */
 		(void)take_sync(&fixture, 20);
-	for (int i = 0; storage_refused_count(fixture.store) < 2; i++) { /* more, until nothing fits */
-		if (fixture.raft.disk.synced_seq == fixture.raft.disk.requested_seq)
+	for (int i = 0; storage_rejected_write_count(fixture.store) < 2; i++) { /* more, until nothing fits */
+		if (fixture.raft.disk.completed_sync_seq == fixture.raft.disk.requested_sync_seq)
 			propose(&fixture, ++v);
 		(void)take_sync(&fixture, 20);
 		acked = fixture.acked;
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -160,7 +160,7 @@
 		for (uint32_t shard = 0; shard < SHARD_COUNT; shard++) {
 			struct raft_saved *saved = &packed.shards[shard];
 
-			saved->data = controller_state(&world.controller, shard, pool, &saved->data_len);
+			saved->state = snapshot_pack_state(&world.controller, shard, pool, &saved->state_len);
 			saved->members = saved->members ? saved->members
 							: (const uint8_t *)""; /* a snapshot without any */
 			saved->snapshot_index = saved->snapshot_index + saved->entry_count + 1;
@@ -257,10 +257,10 @@
 					 free_now = stored_claim("back", CLAIM_OTHER, CLAIM_FIRST, 0);
 
 			assert_int_equal(world_claim(&world, service, &taken), PROPOSAL_REJECTED);
-			assert_int_equal(world_claim(&world, service, &again), PROPOSAL_DONE);
+			assert_int_equal(world_claim(&world, service, &again), PROPOSAL_APPLIED);
 			assert_int_equal(world_claim(&world, service, &returned), PROPOSAL_REJECTED);
 			assert_int_equal(world_claim(&world, service, &early), PROPOSAL_REJECTED);
-			assert_int_equal(world_claim(&world, service, &free_now), PROPOSAL_DONE);
+			assert_int_equal(world_claim(&world, service, &free_now), PROPOSAL_APPLIED);
 		}
 		world_close(&world);
 		remove_folder(folder);
@@ -280,7 +280,7 @@
 	assert_memory_equal(world.answer.body, then, world.answer.len);
 	assert_int_equal(world_document(&world, stored_document, 0, 6), 412);
 	assert_int_equal(world_document(&world, stored_patch, 1, 7), 200); /* the same call again */
-	assert_int_equal(world_name_weights(&world, "daka", "6"), 200);
+	assert_int_equal(world_set_target_weights(&world, "daka", "6"), 200);
 	assert_int_equal(world_call(&world, "GET", "/v1/table", "", NULL), 200);
 	assert_string_equal(world.answer.body, stored_text("stored/document/table.json"));
 	world_close(&world);
@@ -305,7 +305,7 @@
 				    "{\"set\":[{\"kind\":\"tenant\",\"name\":\"x\",\"share\":8}]}", NULL),
 			 200);
 	assert_true(strtoull(world.answer.body + strlen("{\"edition\":"), NULL, 10) >
-		    CONTROLLER_RECOVERY_SKIP);
+		    CONTROLLER_RECOVERY_SKIPPED_NUMBERS);
 	world_close(&world);
 	remove_folder(folder);
 }
@@ -318,9 +318,9 @@
 	(void)state;
 	open_copy(&world, folder);
 	assert_int_equal(world.controller.shards[SHARD_CONTROL].term, 5);
-	assert_int_equal(world.controller.shards[SHARD_CONTROL].vote, 3);
+	assert_int_equal(world.controller.shards[SHARD_CONTROL].voted_for, 3);
 	assert_int_equal(world.controller.shards[SHARD_PURGE].term, 9);
-	assert_int_equal(world.controller.shards[SHARD_PURGE].vote, 2);
+	assert_int_equal(world.controller.shards[SHARD_PURGE].voted_for, 2);
 	assert_int_equal(world.controller.shards[SHARD_CONTROL].group.member_count, 3);
 	world_close(&world);
 	remove_folder(folder);
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -76,7 +76,7 @@
 			for (reach = TICKS; reach > horizon && !known[reach]; reach--)
 				;
 			assert_int_equal(k.horizon, horizon);
-			assert_int_equal(knowledge_reach(&k), reach);
+			assert_int_equal(knowledge_highest_tick(&k), reach);
 			gaps = 0;
 			for (uint64_t i = horizon + 1; i <= reach; i++)
 				gaps += !known[i] && known[i - 1];
@@ -88,18 +88,18 @@
 			if (core_random(&rng) % 9 == 0 && horizon) {
 				released = 1 + core_random(&rng) % horizon;
 				knowledge_release(&k, released);
-				released = k.released;
+				released = k.released_tick;
 			}
 		}
 		/* what it tells from its release on is all it knows, values and silence alike */
 		assert_false(knowledge_append(&k, released ? released : 0, TICKS, &knowledge, &out));
 		assert_true(knowledge_append(&k, released + 1, TICKS, &knowledge, &out));
-		twin.horizon = twin.released = released;
+		twin.horizon = twin.released_tick = released;
 		for (size_t i = 0; i < knowledge.n_increments; i++)
 			knowledge_add(&twin, knowledge.increments[i]->first, knowledge.increments[i]->last,
 				      knowledge.increments[i]->value);
 		assert_int_equal(twin.horizon, k.horizon);
-		assert_int_equal(knowledge_reach(&twin), knowledge_reach(&k));
+		assert_int_equal(knowledge_highest_tick(&twin), knowledge_highest_tick(&k));
 		n = 0;
 		for (uint64_t i = released + 1; i <= TICKS; i++)
 			if (known[i] && is_value[i])
@@ -363,12 +363,12 @@
 				change.deleted = rows;
 				change.n_deleted = 1;
 			}
-			assert_int_equal(config_table_apply(&t, &change, NULL), PROPOSAL_DONE);
+			assert_int_equal(config_table_apply(&t, &change, NULL), PROPOSAL_APPLIED);
 			if (core_random(&rng) % 40 == 0 || i == 1499) {
 				struct Nl__ConfigSyncReply reply = NL__CONFIG_SYNC_REPLY__INIT;
 
-				config_table_since(&t, table.revision, &reply, pool);
-				assert_true(config_table_follow(&table, &reply));
+				config_table_pack_since(&t, table.revision, &reply, pool);
+				assert_true(config_table_apply_reply(&table, &reply));
 				assert_int_equal(table.revision, t.revision);
 				assert_int_equal(shlen(table.rows), shlen(t.rows));
 				for (ptrdiff_t k = 0; k < shlen(t.rows); k++) {
@@ -380,9 +380,9 @@
 				}
 				/* an older answer, late, changes nothing: neither a change nor the whole */
 				reply.revision = last;
-				assert_true(last == 0 || !config_table_follow(&table, &reply));
+				assert_true(last == 0 || !config_table_apply_reply(&table, &reply));
 				reply.full = 1;
-				assert_true(last == 0 || !config_table_follow(&table, &reply));
+				assert_true(last == 0 || !config_table_apply_reply(&table, &reply));
 				assert_int_equal(table.revision, t.revision);
 				last = t.revision - 1;
 			}
@@ -456,7 +456,7 @@
 		    config_change_parse(apr_psprintf(pool, route, "s", 5), pool, &why);
 
 		assert_null(config_check_change(&table, change, pool));
-		assert_int_equal(config_table_apply(&table, change, NULL), PROPOSAL_DONE);
+		assert_int_equal(config_table_apply(&table, change, NULL), PROPOSAL_APPLIED);
 		assert_null(config_check_change(
 		    &table, config_change_parse(apr_psprintf(pool, route, "s", 6), pool, &why), pool));
 		assert_non_null(strstr(
@@ -490,7 +490,7 @@
 	raft_open(&bench->p, 0, 1, 5, NULL, bench->now);
 	raft_bootstrap(&bench->p, member, 3, bench->now);
 	raft_flush(&bench->p, bench->now, &bench->o);
-	raft_synced(&bench->p, bench->p.disk.requested_seq, bench->now, &bench->o);
+	raft_synced(&bench->p, bench->p.disk.requested_sync_seq, bench->now, &bench->o);
 	command_list_clear(&bench->o);
 	bench->now += 5000;
 }
@@ -559,7 +559,7 @@
 	/* a vote */
 	receive_vote(&bench, 2, 5, 1, 1);
 	assert_null(said(&bench, NL__MSG__BODY_VOTE_REPLY));
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	r = said(&bench, NL__MSG__BODY_VOTE_REPLY);
 	assert_non_null(r);
 	assert_true(r->vote_reply->granted);
@@ -593,7 +593,7 @@
 	assert_int_equal(r->append_reply->match_index, 1);
 	assert_int_equal(r->append_reply->round, 1);
 	command_list_clear(&bench.o);
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	assert_int_equal(said(&bench, NL__MSG__BODY_APPEND_REPLY)->append_reply->match_index, 2);
 	bench_close(&bench);
 }
@@ -618,10 +618,10 @@
 	reply.is_pre_vote = 0;
 	hear(&bench, 2, &message);
 	assert_int_equal(bench.p.role, RAFT_CANDIDATE); /* its own vote is not on the disk yet */
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	assert_int_equal(bench.p.role, RAFT_LEADER);
 	raft_flush(&bench.p, bench.now, &bench.o);
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	raft_tick(&bench.p, bench.now, &bench.o);
 	receive_ack(&bench, 2, bench.p.log.term_start_index);
 	assert_true(raft_has_lease(&bench.p, bench.now));
@@ -630,7 +630,7 @@
 	raft_flush(&bench.p, bench.now, &bench.o);
 	receive_ack(&bench, 2, i);
 	assert_true(bench.p.log.commit_index < i); /* one member and an unsynced leader are no majority */
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	assert_int_equal(bench.p.log.commit_index, i);
 	/* its disk stalls: it gives up, and says so */
 	raft_propose(&bench.p, (const uint8_t *)"y", 1, bench.now);
@@ -651,7 +651,7 @@
 	struct raft_entry entry[2] = { { 1, RAFT_ENTRY_MEMBERS, 0, NULL },
 				       { 3, RAFT_ENTRY_NOOP, 0, (uint8_t *)"" } };
 	struct raft_saved saved = {
-		.term = 3, .vote = 2, .first_index = 1, .entries = entry, .entry_count = 2
+		.term = 3, .voted_for = 2, .first_index = 1, .entries = entry, .entry_count = 2
 	};
 
 	memset(bench, 0, sizeof *bench);
@@ -711,7 +711,7 @@
 	assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	receive_idle(&bench, 3, incarnation, 0, 3, 1);
 	receive_vote(&bench, 2, 5, 2, 3);
-	raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+	raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 	assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 	bench_close(&bench);
 
@@ -726,7 +726,7 @@
 		assert_false(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 		bench.now += RAFT_LEASE_MS;
 		receive_vote(&bench, 2, 5, 2, 3);
-		raft_synced(&bench.p, bench.p.disk.requested_seq, bench.now, &bench.o);
+		raft_synced(&bench.p, bench.p.disk.requested_sync_seq, bench.now, &bench.o);
 		assert_true(said(&bench, NL__MSG__BODY_VOTE_REPLY)->vote_reply->granted);
 		bench_close(&bench);
 	}
--- a/tests/test_version_history.c
+++ b/tests/test_version_history.c
@@ -53,7 +53,7 @@
 	change.n_set = 1;
 	change.bound_passed_at_ms = at > BOUND_MS ? at - BOUND_MS : 0;
 	config_table.clock = (struct group_moment){ at, TERM };
-	assert_int_equal(config_table_apply(&config_table, &change, NULL), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&config_table, &change, NULL), PROPOSAL_APPLIED);
 	return config_table_get(&config_table, NL__KIND__MODEL, "m");
 }
 
@@ -64,7 +64,7 @@
 
 static uint64_t date_after(const struct Nl__Row *model, uint64_t weights)
 {
-	const struct Nl__TargetVersion *target = version_history_after(model, weights);
+	const struct Nl__TargetVersion *target = version_history_first_newer(model, weights);
 
 	return target ? target->targeted_at_ms : 0;
 }
@@ -83,8 +83,8 @@
 	assert_int_equal(date_after(model, 2), 3000);
 	assert_int_equal(date_after(model, 4), 3000); /* never named */
 	assert_int_equal(date_after(model, 5), 4000);
-	assert_null(version_history_after(model, 6));
-	assert_int_equal(version_history_after(model, 1)->term, TERM);
+	assert_null(version_history_first_newer(model, 6));
+	assert_int_equal(version_history_first_newer(model, 1)->term, TERM);
 }
 
 /* A new target version that is sent again, an older one, and the end of a roll-out date nothing anew. */
@@ -149,13 +149,13 @@
 	(void)state;
 	config_table_open(&follower);
 	name(2, 1000);
-	config_table_since(&config_table, 0, &reply, pool);
-	assert_true(config_table_follow(&follower, &reply));
+	config_table_pack_since(&config_table, 0, &reply, pool);
+	assert_true(config_table_apply_reply(&follower, &reply));
 	name(3, 2000);
 	name(4, 2500);
 	nl__config_sync_reply__init(&reply);
-	config_table_since(&config_table, follower.revision, &reply, pool);
-	assert_true(config_table_follow(&follower, &reply));
+	config_table_pack_since(&config_table, follower.revision, &reply, pool);
+	assert_true(config_table_apply_reply(&follower, &reply));
 	model = config_table_get(&follower, NL__KIND__MODEL, "m");
 	assert_int_equal(model->n_target_versions, 3);
 	assert_int_equal(date_after(model, 2), 2000);
@@ -170,7 +170,7 @@
 	(void)state;
 	row.kind = NL__KIND__MODEL;
 	row.target_weights = "7";
-	assert_null(version_history_after(&row, 6));
+	assert_null(version_history_first_newer(&row, 6));
 	assert_true(version_history_newest(&row) == 7);
 }
 
@@ -196,7 +196,7 @@
 	add.any_revision = 1;
 	add.set = added;
 	add.n_set = 1;
-	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_DONE);
+	assert_int_equal(config_table_apply(&config_table, &add, NULL), PROPOSAL_APPLIED);
 	assert_string_equal(config_check_change(&config_table, &change, pool),
 			    "del model m: service pool still uses it");
 }
@@ -235,21 +235,21 @@
 
 	(void)state;
 	config_watch_open(&watch, 2, &seed, 1, 0);
-	assert_int_equal(config_watch_clock_ms(&watch, 0, 500), 0);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 0, 500), 0);
 	receive_clock(&watch, 4, 10000, 1000, 3000); /* read by the leader at some time from 1000 to 3000 */
-	assert_int_equal(config_watch_clock_ms(&watch, 4, 3000), 12000);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 4, 3000), 12000);
 	receive_clock(&watch, 4, 12500, 4000, 4200);
-	assert_int_equal(config_watch_clock_ms(&watch, 4, 5000), 13500);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 4, 5000), 13500);
 	receive_clock(&watch, 4, 15000, 5000, 9000); /* a slow one tells nothing more */
-	assert_int_equal(config_watch_clock_ms(&watch, 4, 9000), 17500);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 4, 9000), 17500);
 	receive_clock(&watch, 5, 12000, 10000, 10100);
-	assert_int_equal(config_watch_clock_ms(&watch, 5, 10100), 12100);
-	assert_int_equal(config_watch_clock_ms(&watch, 4, 10100), 18600);
-	assert_int_equal(config_watch_clock_ms(&watch, 0, 10100), 12100); /* the newest leader's */
-	assert_int_equal(config_watch_clock_ms(&watch, 3, 10100),
+	assert_int_equal(config_watch_group_clock_ms(&watch, 5, 10100), 12100);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 4, 10100), 18600);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 0, 10100), 12100); /* the newest leader's */
+	assert_int_equal(config_watch_group_clock_ms(&watch, 3, 10100),
 			 12100);                      /* not heard: it went on from there */
 	receive_clock(&watch, 3, 1000, 10200, 10300); /* an older leader's late word */
-	assert_int_equal(config_watch_clock_ms(&watch, 0, 10300), 12300);
+	assert_int_equal(config_watch_group_clock_ms(&watch, 0, 10300), 12300);
 	config_watch_close(&watch);
 }
 
--- a/tests/test_weights_bound.c
+++ b/tests/test_weights_bound.c
@@ -105,7 +105,7 @@
 {
 	struct sim_forward *forwarding = open_fleet(seed, SERVERS, bounds);
 
-	forwarding->sim.instance_list.instances[STUCK].refuses = 1;
+	forwarding->sim.instance_list.instances[STUCK].refuses_loads = 1;
 	forwarding->request_interval_ms = REQUEST_MS;
 	go(forwarding, SETTLE_MS);
 	return forwarding;
@@ -212,7 +212,7 @@
 		if (frozen)
 			sim_freeze(&forwarding->sim, SIM_CONTROLLERS, 1);
 		else
-			sim_cut(&forwarding->sim, SIM_CONTROLLERS, 2);
+			sim_set_partition(&forwarding->sim, SIM_CONTROLLERS, 2);
 		first = name(forwarding, 2);
 		go_until(forwarding, first + ROLL_MS / 2);
 		name(forwarding, 3);
@@ -220,7 +220,7 @@
 		if (frozen)
 			sim_freeze(&forwarding->sim, SIM_CONTROLLERS, 0);
 		else
-			sim_cut(&forwarding->sim, SIM_CONTROLLERS, 0);
+			sim_set_partition(&forwarding->sim, SIM_CONTROLLERS, 0);
 		go_until(forwarding, first + ROLL_MS + BEYOND_MS);
 		close_stuck(forwarding);
 	}
@@ -271,7 +271,7 @@
 	for (ptrdiff_t i = 0; i < arrlen(forwarding->calls); i++) {
 		const struct sim_forward_call *call = &forwarding->calls[i];
 
-		if (!call->watch && !call->ended && call->server < 0 &&
+		if (!call->is_watch && !call->ended && call->server < 0 &&
 		    !strcmp(call->name, forwarding->sim.instance_list.instances[STUCK].name))
 			return 1;
 	}
@@ -313,7 +313,7 @@
 {
 	bounds(forwarding);
 	forwarding->sim.instance_list.load_ms = ROLL_MS / 10;
-	forwarding->sim.instance_list.at_once = 12;
+	forwarding->sim.instance_list.full_speed_loads = 12;
 }
 
 static void few_at_once(struct sim_forward *forwarding)
--- a/tests/test_weights_review.c
+++ b/tests/test_weights_review.c
@@ -70,7 +70,7 @@
 {
 	forwarding->sim.bounds.rollout_ms = ROLL_MS;
 	forwarding->sim.instance_list.load_ms = LOAD_MS;
-	forwarding->sim.instance_list.at_once = 64;
+	forwarding->sim.instance_list.full_speed_loads = 64;
 }
 
 static void slow_loads(struct sim_forward *forwarding)
@@ -117,7 +117,7 @@
 	int most;
 
 	forwarding->request_interval_ms = 10;
-	forwarding->sim.instance_list.instances[STUCK].refuses = refuses;
+	forwarding->sim.instance_list.instances[STUCK].refuses_loads = refuses;
 	go(forwarding, SETTLE_MS);
 	targeted_at = name(forwarding, 2);
 	go(forwarding, targeted_at + 2 * ROLL_MS - forwarding->sim.now);
@@ -203,7 +203,7 @@
 {
 	bounds(forwarding);
 	forwarding->sim.instance_list.load_ms = ROLL_MS / 10;
-	forwarding->sim.instance_list.at_once = 3;
+	forwarding->sim.instance_list.full_speed_loads = 3;
 	forwarding->sim.instance_list.slots = 3;
 }
 
@@ -216,7 +216,7 @@
 	int64_t targeted_at;
 	int complete = 0, all;
 
-	forwarding->sim.instance_list.instances[STUCK].refuses = refuses;
+	forwarding->sim.instance_list.instances[STUCK].refuses_loads = refuses;
 	go(forwarding, SETTLE_MS);
 	targeted_at = name(forwarding, 2);
 	go(forwarding, targeted_at + 2 * ROLL_MS - forwarding->sim.now);
@@ -259,10 +259,10 @@
 		struct sim_forward *forwarding = open_fleet(seed, bounds);
 		int64_t targeted_at;
 
-		forwarding->sim.instance_list.instances[STUCK].refuses = 1;
+		forwarding->sim.instance_list.instances[STUCK].refuses_loads = 1;
 		forwarding->request_interval_ms = 10;
 		go(forwarding, SETTLE_MS);
-		forwarding->servers[STUCK].keeps = 1;
+		forwarding->servers[STUCK].runs_after_disconnect = 1;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding->servers); i++)
 			forwarding->servers[i].queue_ms = 400;
 		targeted_at = name(forwarding, 2);
@@ -286,7 +286,8 @@
 
 		forwarding->request_interval_ms = 10;
 		for (ptrdiff_t i = 0; i < arrlen(forwarding->sim.instance_list.instances); i++)
-			forwarding->sim.instance_list.instances[i].refuses = i % 3 == (ptrdiff_t)(seed % 3);
+			forwarding->sim.instance_list.instances[i].refuses_loads =
+			    i % 3 == (ptrdiff_t)(seed % 3);
 		go(forwarding, SETTLE_MS);
 		first = name(forwarding, 2);
 		assert_true(sim_forward_set_target(forwarding, 1, 2));
@@ -299,7 +300,7 @@
 				const struct sim_instance *instance =
 				    &forwarding->sim.instance_list.instances[i];
 
-				behind[weights - 2] += instance->up && !instance->refuses &&
+				behind[weights - 2] += instance->up && !instance->refuses_loads &&
 						       instance->service[0] != 's' &&
 						       atoi(instance->weights) < weights;
 			}
@@ -361,7 +362,7 @@
 static void stuck_fleet(struct sim_forward *forwarding)
 {
 	bounds(forwarding);
-	forwarding->sim.instance_list.at_once = 12;
+	forwarding->sim.instance_list.full_speed_loads = 12;
 }
 
 static void restart(struct sim_forward *f, int node)
@@ -391,7 +392,7 @@
 		int64_t targeted_at;
 		int used;
 
-		forwarding->sim.instance_list.instances[STUCK].refuses = 1;
+		forwarding->sim.instance_list.instances[STUCK].refuses_loads = 1;
 		go(forwarding, SETTLE_MS);
 		if (seed % 2)
 			name(forwarding, 2);
@@ -444,7 +445,7 @@
 
 	(void)state;
 	version_history_update(&list, &before, &row, (struct group_moment){ 1000000, 3 }, 900000);
-	newer = version_history_after(&row, 4);
+	newer = version_history_first_newer(&row, 4);
 	if (newer && newer->targeted_at_ms == 1000000)
 		fail_msg(
 		    "weights 4, superseded by 5 before dates were kept, are dated by the naming of %d, at %d",
@@ -482,7 +483,7 @@
 			last = next;
 			assert_true(is->n_target_versions <= VERSION_HISTORY_MAX);
 			for (uint64_t w = 1; w < last; w++) {
-				const struct Nl__TargetVersion *newer = version_history_after(is, w);
+				const struct Nl__TargetVersion *newer = version_history_first_newer(is, w);
 
 				assert_non_null(newer);
 				assert_true(newer->targeted_at_ms <= at[w + 1] ||
@@ -568,16 +569,17 @@
 				heard = (uint64_t)of > heard ? (uint64_t)of : heard;
 				for (int t = 1; t <= term; t++)
 					for (int i = 0; i < CONFIG_WATCH_MAX_CLOCKS; i++)
-						if (watch.group_clock[i].term == (uint64_t)t) {
-							int64_t ahead =
-							    config_watch_clock_ms(&watch, (uint64_t)t, now) -
-							    now - offset[t];
+						if (watch.group_clocks[i].term == (uint64_t)t) {
+							int64_t ahead = config_watch_group_clock_ms(
+									    &watch, (uint64_t)t, now) -
+									now - offset[t];
 
 							assert_true(ahead >= 0 && ahead <= WAYS &&
 								    ahead <= best[t]);
 							best[t] = ahead;
 						}
-				assert_true(config_watch_clock_ms(&watch, 0, now) - now >= offset[heard]);
+				assert_true(config_watch_group_clock_ms(&watch, 0, now) - now >=
+					    offset[heard]);
 			}
 		}
 		config_watch_close(&watch);
@@ -608,7 +610,7 @@
 		answer_watch(&watch, p, now, (uint64_t)leader);
 		apr_pool_destroy(p);
 	}
-	leader -= config_watch_clock_ms(&watch, 1, now);
+	leader -= config_watch_group_clock_ms(&watch, 1, now);
 	config_watch_close(&watch);
 	apr_pool_destroy(pool);
 	return leader;
@@ -641,15 +643,15 @@
 	struct Nl__Instance **instance;
 
 	router_fixture_open(fixture, 5);
-	instance = apr_palloc(fixture->p, sizeof *instance * (size_t)servers);
+	instance = apr_palloc(fixture->pool, sizeof *instance * (size_t)servers);
 	fixture->router.config.bounds.rollout_ms = FIXTURE_ROLL_MS;
-	row[0] = new_row(fixture->p, NL__KIND__MODEL, "m");
-	row[0]->target_weights = apr_psprintf(fixture->p, "%d", targets + 1);
+	row[0] = new_row(fixture->pool, NL__KIND__MODEL, "m");
+	row[0]->target_weights = apr_psprintf(fixture->pool, "%d", targets + 1);
 	row[0]->rolled_out = "1";
 	row[0]->target_versions =
-	    apr_palloc(fixture->p, sizeof *row[0]->target_versions * (size_t)(targets + 1));
+	    apr_palloc(fixture->pool, sizeof *row[0]->target_versions * (size_t)(targets + 1));
 	for (int i = 0; i < targets; i++) {
-		struct Nl__TargetVersion *naming = apr_palloc(fixture->p, sizeof *naming);
+		struct Nl__TargetVersion *naming = apr_palloc(fixture->pool, sizeof *naming);
 
 		nl__target_version__init(naming);
 		naming->weights = (uint64_t)(i + 2);
@@ -657,9 +659,9 @@
 		naming->term = 1;
 		row[0]->target_versions[row[0]->n_target_versions++] = naming;
 	}
-	row[1] = new_service(fixture->p, "pool");
+	row[1] = new_service(fixture->pool, "pool");
 	row[1]->model = "m";
-	row[2] = new_row(fixture->p, NL__KIND__ROUTE, "route");
+	row[2] = new_row(fixture->pool, NL__KIND__ROUTE, "route");
 	row[2]->service = "pool";
 	row[2]->host = "h";
 	row[2]->path = "/";
@@ -668,7 +670,7 @@
 	row[2]->key_optional = 1;
 	row[2]->idempotent = repeatable;
 	for (int i = 0; i < servers; i++) {
-		instance[i] = new_instance(fixture->p, i, "pool");
+		instance[i] = new_instance(fixture->pool, i, "pool");
 		instance[i]->weights = i < servers - new_servers ? "1" : row[0]->target_weights;
 	}
 	router_fixture_table(fixture, row, 3, instance, (size_t)servers, 1);
@@ -723,7 +725,7 @@
 				int status;
 
 				(void)router_fixture_submit(&fixture, "h", "/x",
-							    apr_psprintf(fixture.p, "id-%d", i), &status);
+							    apr_psprintf(fixture.pool, "id-%d", i), &status);
 			}
 			while (fixture.now < end + 100) {
 				command_list_clear(&fixture.commands);
@@ -738,16 +740,16 @@
 					cancelled += command->kind == CMD_CANCEL;
 					sent += command->kind == CMD_FORWARD;
 				}
-				assert_true(router_balanced(&fixture.router));
+				assert_true(router_outcomes_balance(&fixture.router));
 			}
 			print_message(
 			    "repeatable %d, new servers %d: recalled %d, cancelled %d; then 502 %d, 503 %d, sent %d; %d remain, "
 			    "sent past %d\n",
-			    repeatable, new_servers, (int)fixture.router.stats.recalled, cancelled, broke,
-			    refused, sent, (int)arrlen(fixture.router.requests.all),
+			    repeatable, new_servers, (int)fixture.router.stats.attempts_recalled, cancelled,
+			    broke, refused, sent, (int)arrlen(fixture.router.requests.all),
 			    (int)fixture.router.stats.sent_past_bound);
-			assert_true(fixture.router.stats.recalled > 0);
-			assert_int_equal(fixture.router.stats.recalled, cancelled);
+			assert_true(fixture.router.stats.attempts_recalled > 0);
+			assert_int_equal(fixture.router.stats.attempts_recalled, cancelled);
 			assert_int_equal(fixture.router.stats.sent_past_bound, 0);
 			if (!repeatable)
 				assert_int_equal(sent, 0);
@@ -771,8 +773,8 @@
 		for (int i = 0; i < REQUESTS; i++) {
 			int status;
 
-			(void)router_fixture_submit(&fixture, "h", "/x", apr_psprintf(fixture.p, "id-%d", i),
-						    &status);
+			(void)router_fixture_submit(&fixture, "h", "/x",
+						    apr_psprintf(fixture.pool, "id-%d", i), &status);
 			for (ptrdiff_t k = 0; k < arrlen(fixture.commands.commands); k++)
 				sent += fixture.commands.commands[k].kind == CMD_FORWARD;
 		}
@@ -783,7 +785,7 @@
 				sent += fixture.commands.commands[k].kind == CMD_FORWARD;
 		}
 		for (int i = 0; i < SERVERS - new_servers; i++)
-			assert_int_equal(fixture.router.servers.states[i].own_running, 0);
+			assert_int_equal(fixture.router.servers.states[i].own_running_count, 0);
 		if (new_servers)
 			assert_true(sent > 0);
 		else
