--- a/lib/core/raft.h
+++ b/lib/core/raft.h
@@ -286,7 +286,7 @@
 
 /* One replica of one shard's state machine. Zero it, then set it up with raft_open; raft_close frees its
  * memory. Callers may read all of it, and may change only group.replicas, group.member_lost_ms,
- * snapshots.to_load and snapshots.drop_tail. */
+ * snapshots.must_load_newest and snapshots.drop_log_tail. */
 struct raft {
 	uint32_t shard;
 	uint64_t id;           /* identity of this member */
@@ -379,8 +379,8 @@
 void raft_flush(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Returns the next committed operation for the state machine, or NULL. It is valid until the next call that
- * changes the replica. NULL is returned as long as snapshots.to_load is set: load the snapshot, then clear
- * the flag. Example: while ((entry = raft_next_committed(&raft, &index))) apply(index, entry); */
+ * changes the replica. NULL is returned as long as snapshots.must_load_newest is set: load the snapshot, then
+ * clear the flag. Example: while ((entry = raft_next_committed(&raft, &index))) apply(index, entry); */
 const struct raft_entry *raft_next_committed(struct raft *raft, uint64_t *index);
 
 /* Whether this member is the leader, holds a lease, and knows all entries that were committed before its
@@ -400,8 +400,8 @@
 void raft_step_down(struct raft *raft, int64_t now, struct command_list *out);
 
 /* Leader: start at most one change of membership: add, promote or remove one member, or change its address.
- * The target is group.replicas voters, spread over the zones. live: the controllers that the fleet knows,
- * with their zones. Example: raft_reconfigure(&raft, live, live_count, now); */
+ * The target is group.target_voters voters, spread over the zones. controllers: the controllers that the
+ * fleet knows, with their zones. Example: raft_reconfigure(&raft, controllers, controller_count, now); */
 void raft_reconfigure(struct raft *raft, const struct raft_member *controllers, int controller_count,
 		      int64_t now);
 
--- a/lib/core/raft_snapshot.c
+++ b/lib/core/raft_snapshot.c
@@ -95,7 +95,7 @@
 
 /* Make room for a newer snapshot. If the newest one is being sent, it becomes the previous one until its
  * transfers have finished. If an older one already is the previous one, the newest is freed and its
- * transfers restart. With drop_tail, which means that purged state must be deleted, neither is kept. */
+ * transfers restart. With drop_log_tail, which means that purged state must be deleted, neither is kept. */
 static void retire_newest_snapshot(struct raft *raft)
 {
 	struct raft_snapshots *snapshots = &raft->snapshots;
--- a/lib/data/router_event.h
+++ b/lib/data/router_event.h
@@ -67,8 +67,8 @@
 	FORWARD_COMPLETE, /* the complete answer was sent to the client, whatever its HTTP status */
 	/* the server certainly did not start the request, and the client has received nothing */
 	FORWARD_NOT_STARTED,
-	/* the server may have started the request; has_begun tells whether the client has received headers or
-	   chunks */
+	/* the server may have started the request; has_stream_begun tells whether the client has received
+	   headers or chunks */
 	FORWARD_BROKEN_OFF
 };
 
--- a/lib/data/router_prefix_lookup.c
+++ b/lib/data/router_prefix_lookup.c
@@ -53,8 +53,8 @@
 
 /* ---- depths of cached prefixes --------------------------------------------------------------- */
 
-/* Raises servers.cached_depth to the number of leading blocks that each server caches under this namespace;
- * returns the number for the store. */
+/* Raises servers.cached_block_counts to the number of leading blocks that each server caches under this
+ * namespace; returns the number for the store. */
 static int raise_depths_from_index(struct router *router, uint64_t cache_namespace, const uint64_t *blocks,
 				   int block_count, int store)
 {
@@ -89,7 +89,7 @@
 		       n * sizeof *router->servers.cached_block_counts);
 }
 
-/* Sets servers.cached_depth from the reply to a request's lookup, for servers that still have the
+/* Sets servers.cached_block_counts from the reply to a request's lookup, for servers that still have the
  * generation's weights; returns the store's depth. */
 static int set_depths_from_reply(struct router *router, const struct client_request *request,
 				 const struct generation *generation, int store)
@@ -110,8 +110,8 @@
 	return store_depth;
 }
 
-/* Sets servers.cached_depth from this router's own index, for servers with the generation's weights; returns
- * the store's depth. */
+/* Sets servers.cached_block_counts from this router's own index, for servers with the generation's weights;
+ * returns the store's depth. */
 static int set_depths_from_own_index(struct router *router, const struct client_request *request,
 				     const struct generation *generation, int store)
 {
--- a/tests/http_fixture.h
+++ b/tests/http_fixture.h
@@ -23,7 +23,7 @@
 	HTTP_FIXTURE_BODY_BYTES = 8192 /* bytes of a call's answer that a recorder stores */
 };
 
-/* __real_clock_ms is the machine's clock in ms; __wrap_clock_ms adds the offset http_fixture_clock.moved_ms.
+/* __real_clock_ms is the machine's clock in ms; __wrap_clock_ms adds the offset http_fixture_clock.offset_ms.
  */
 int64_t __real_clock_ms(void);
 int64_t __wrap_clock_ms(void);
@@ -39,7 +39,7 @@
 extern struct http_fixture_clock http_fixture_clock;
 
 /* In the loop's next wait, after epoll_wait has polled the sockets, `text` is written to `fd`, and the
- * process is then frozen for frozen_ms. */
+ * process is then frozen for freeze_ms. */
 struct http_fixture_write_after_wait {
 	int fd;
 	const char *text; /* NULL: nothing is written */
@@ -78,7 +78,7 @@
 	enum http_call_result result;
 	char x_id[16]; /* value of the answer's X-Id header */
 	char body[HTTP_FIXTURE_BODY_BYTES];
-	size_t body_bytes; /* bytes of the answer's body, including those that exceed the size of `got` */
+	size_t body_bytes; /* bytes of the answer's body, including those that exceed the size of `body` */
 };
 
 /* Records the reports of a loop: the newest request, and all requests and calls by token. */
--- a/tests/sim_forward.c
+++ b/tests/sim_forward.c
@@ -72,7 +72,7 @@
 }
 
 /* Since when the core counts as settled, as the emulator's checker has it: a majority is up, and nothing has
- * changed for contact_ms. INT64_MAX: it does not. */
+ * changed for contact_window_ms. INT64_MAX: it does not. */
 static int64_t core_settled_since(const struct sim_forward *forwarding)
 {
 	int64_t since = forwarding->core_changed_at + forwarding->sim.bounds.contact_window_ms;
