--- a/lib/control/retention_state.h
+++ b/lib/control/retention_state.h
@@ -28,8 +28,8 @@
 	RETENTION_REPORT_TTL_MS = 60000     /* a report of an index holder is dropped at this age */
 };
 
-#define RETENTION_ANY_SCOPE UINT64_MAX /* scope of a remainder that an index holder reports without a scope \
-					*/
+/* Scope of a remainder that an index holder reports without a scope. */
+#define RETENTION_ANY_SCOPE UINT64_MAX
 
 /* Cached blocks of an older purge number that a server still reports. */
 struct retention_remainder {
